--- a/asking/asking_test.go
+++ b/asking/asking_test.go
@@ -21,8 +21,10 @@
 func TestSilence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := rapid.Float64Range(0, 1)
-		c := New(Terms{Agents: rapid.IntRange(1, 5000).Draw(t, "agents"), AskWithin: 10 * time.Second,
-			DrainGrace: 3 * time.Second})
+		c := New(Terms{
+			Agents: rapid.IntRange(1, 5000).Draw(t, "agents"), AskWithin: 10 * time.Second,
+			DrainGrace: 3 * time.Second,
+		})
 		for range rapid.IntRange(0, 9).Draw(t, "refused before") {
 			c.Ended(0, Refused, 0)
 		}
@@ -49,8 +51,10 @@
 // What is changed at that moment, or later, is heard of before it binds.
 func TestHeardInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := New(Terms{Agents: rapid.IntRange(1, 5000).Draw(t, "agents"), DrainGrace: grace,
-			AskWithin: rapid.SampledFrom([]time.Duration{0, ToldAfter, 10 * time.Second, time.Minute}).Draw(t, "ask within")})
+		c := New(Terms{
+			Agents: rapid.IntRange(1, 5000).Draw(t, "agents"), DrainGrace: grace,
+			AskWithin: rapid.SampledFrom([]time.Duration{0, ToldAfter, 10 * time.Second, time.Minute}).Draw(t, "ask within"),
+		})
 		cut := time.Minute
 		back := cut + time.Duration(rapid.Int64Range(0, int64(40*time.Second)).Draw(t, "back after"))
 		now, end := cut, rapid.SampledFrom([]End{Lost, Refused}).Draw(t, "end")
--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -40,8 +40,10 @@
 
 func run(in io.Reader, out io.Writer) error {
 	r := bufio.NewReaderSize(in, 1<<20)
-	h := &host{dec: wire.NewDecoder(), instances: map[string]*storm.Gate{},
-		lists: map[int][]decide.Server{}}
+	h := &host{
+		dec: wire.NewDecoder(), instances: map[string]*storm.Gate{},
+		lists: map[int][]decide.Server{},
+	}
 	var long []byte
 	for n := 1; ; n++ {
 		line, err := r.ReadSlice('\n')
@@ -97,12 +99,16 @@
 	var ev decide.Event
 	switch m.Kind {
 	case "REQUEST":
-		h.req = decide.Request{ID: m.ID, Work: wire.Micros(m.Work), Key: m.Key, Tenant: m.Tenant, Class: m.Class,
-			Budget: wire.Micros(m.Budget), Retry: m.Retry}
+		h.req = decide.Request{
+			ID: m.ID, Work: wire.Micros(m.Work), Key: m.Key, Tenant: m.Tenant, Class: m.Class,
+			Budget: wire.Micros(m.Budget), Retry: m.Retry,
+		}
 		ev = &h.req
 	case "DONE":
-		h.done = decide.AttemptDone{ID: m.ID, Attempt: m.Attempt, Server: m.Server,
-			Outcome: wire.Outcome(m.Outcome), Latency: wire.Micros(m.Latency), Finished: m.Complete}
+		h.done = decide.AttemptDone{
+			ID: m.ID, Attempt: m.Attempt, Server: m.Server,
+			Outcome: wire.Outcome(m.Outcome), Latency: wire.Micros(m.Latency), Finished: m.Complete,
+		}
 		if m.HasLoad {
 			h.load = m.Load
 			h.done.Load = &h.load
--- a/cmd/benchlink/main_test.go
+++ b/cmd/benchlink/main_test.go
@@ -70,23 +70,40 @@
 		{"an empty batch", []string{batch()}, "", ""},
 		{"a saved list makes it subscribe", []string{batch(newOne, pool("0", "s1"), sync("SAVED", "0"))}, "SUBSCRIBE", ""},
 		{"a list's number is taken over within the batch", []string{
-			batch(newOne, pool("0", "s1"), sync("SAVED", "0"), pool("0", "s2"), sync("FULL", "0"), request("7"))}, "HAND_OFF", "s2"},
-		{"a full list drops others", []string{batch(newOne, pool("0", "s1"), sync("SAVED", "0")),
-			batch(pool("1", "s2"), sync("FULL", "1")), batch(request("7"))}, "HAND_OFF", "s2"},
-		{"a failed call keeps the list, whatever number it names", []string{batch(newOne, pool("0", "s1"), sync("SAVED", "0")),
-			batch(sync("FAILED", "13")), batch(request("7"))}, "HAND_OFF", "s1"},
-		{"a change applies on top", []string{batch(newOne, pool("0", "s1"), sync("SAVED", "0")),
+			batch(newOne, pool("0", "s1"), sync("SAVED", "0"), pool("0", "s2"), sync("FULL", "0"), request("7")),
+		}, "HAND_OFF", "s2"},
+		{"a full list drops others", []string{
+			batch(newOne, pool("0", "s1"), sync("SAVED", "0")),
+			batch(pool("1", "s2"), sync("FULL", "1")), batch(request("7")),
+		}, "HAND_OFF", "s2"},
+		{"a failed call keeps the list, whatever number it names", []string{
+			batch(newOne, pool("0", "s1"), sync("SAVED", "0")),
+			batch(sync("FAILED", "13")), batch(request("7")),
+		}, "HAND_OFF", "s1"},
+		{"a change applies on top", []string{
+			batch(newOne, pool("0", "s1"), sync("SAVED", "0")),
 			batch(`{"kind":"POOL","sheet":2,"members":[{"backend":"s1","campus":"a","availability":"terminating"}]}`,
-				sync("INCREMENTAL", "2")), batch(request("7"))}, "REFUSE", ""},
-		{"killed and restarted in one batch", []string{batch(newOne, pool("0", "s1"), sync("SAVED", "0"), request("7")),
-			batch(`{"kind":"KILLED","agentId":"agent-1"}`, newOne, pool("0", "s3"), sync("SAVED", "0"), request("8"))},
-			"HAND_OFF", "s3"},
-		{"a killed instance is not heard", []string{batch(newOne, pool("0", "s1"), sync("SAVED", "0")),
-			batch(`{"kind":"KILLED","agentId":"agent-1"}`), batch(request("7"))}, "", ""},
-		{"unknown events and fields are passed over", []string{batch(newOne, pool("0", "s1"), sync("SAVED", "0")),
-			batch(`{"kind":"LATER","agentId":"agent-1","deep":{"a":[1,2,{}]}}`)}, "", ""},
+				sync("INCREMENTAL", "2")), batch(request("7")),
+		}, "REFUSE", ""},
+		{
+			"killed and restarted in one batch",
+			[]string{
+				batch(newOne, pool("0", "s1"), sync("SAVED", "0"), request("7")),
+				batch(`{"kind":"KILLED","agentId":"agent-1"}`, newOne, pool("0", "s3"), sync("SAVED", "0"), request("8")),
+			},
+			"HAND_OFF", "s3",
+		},
+		{"a killed instance is not heard", []string{
+			batch(newOne, pool("0", "s1"), sync("SAVED", "0")),
+			batch(`{"kind":"KILLED","agentId":"agent-1"}`), batch(request("7")),
+		}, "", ""},
+		{"unknown events and fields are passed over", []string{
+			batch(newOne, pool("0", "s1"), sync("SAVED", "0")),
+			batch(`{"kind":"LATER","agentId":"agent-1","deep":{"a":[1,2,{}]}}`),
+		}, "", ""},
 		{"settings that cannot be served", []string{
-			batch(`{"kind":"NEW_INSTANCE","agentId":"agent-1","prng":1,"env":{"balancers":1,"categories":[]}}`)}, "FATAL", ""},
+			batch(`{"kind":"NEW_INSTANCE","agentId":"agent-1","prng":1,"env":{"balancers":1,"categories":[]}}`),
+		}, "FATAL", ""},
 	} {
 		rs, err := play(t, c.lines...)
 		if err != nil || len(rs) != len(c.lines) {
@@ -108,8 +125,10 @@
 }
 
 func TestEveryOutcomeIsAnswered(t *testing.T) {
-	for _, o := range []string{"served", "server_error", "turned_away", "no_answer", "no_connection", "connection_lost",
-		"called_off", "not_sent", "a_later_one"} {
+	for _, o := range []string{
+		"served", "server_error", "turned_away", "no_answer", "no_connection", "connection_lost",
+		"called_off", "not_sent", "a_later_one",
+	} {
 		complete := ""
 		if o == "served" {
 			complete = `,"complete":true`
--- a/cmd/dunestep/answers_test.go
+++ b/cmd/dunestep/answers_test.go
@@ -48,10 +48,14 @@
 	part func(string) string
 	last string
 }{
-	"by length": {func(n int) string { return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", n) },
-		func(s string) string { return s }, ""},
-	"by chunks": {func(int) string { return "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" },
-		func(s string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(s), s) }, "0\r\n\r\n"},
+	"by length": {
+		func(n int) string { return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", n) },
+		func(s string) string { return s }, "",
+	},
+	"by chunks": {
+		func(int) string { return "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" },
+		func(s string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(s), s) }, "0\r\n\r\n",
+	},
 }
 
 // got is an answer as far as it came.
--- a/cmd/dunestep/budgets_test.go
+++ b/cmd/dunestep/budgets_test.go
@@ -172,8 +172,10 @@
 		w := newWorldAlone(t, 2).start(plainly, func(w *world) {
 			settings := w.config["settings"].(object)
 			settings["balancers"] = 1
-			settings["customers"] = []object{{"name": "acme", "quotaPerS": 60, "share": 0.5},
-				{"name": "greedy", "quotaPerS": 40, "share": 0.5}}
+			settings["customers"] = []object{
+				{"name": "acme", "quotaPerS": 60, "share": 0.5},
+				{"name": "greedy", "quotaPerS": 40, "share": 0.5},
+			}
 			for _, s := range w.servers {
 				s.slowly(20 * time.Millisecond)
 			}
--- a/cmd/dunestep/deployments_test.go
+++ b/cmd/dunestep/deployments_test.go
@@ -17,24 +17,32 @@
 
 // coast and hills are deployments that have no name, class, tenant, limit, time or effect in common.
 var (
-	coast = deployment{zone: "wharf", kind: "granite", server: "gull-",
+	coast = deployment{
+		zone: "wharf", kind: "granite", server: "gull-",
 		tenants: []string{"lighthouse", "breakwater"}, quota: 900,
-		classes: []class{{"browse", retryable, 15 * time.Second, 25 * time.Second, 1, 0},
+		classes: []class{
+			{"browse", retryable, 15 * time.Second, 25 * time.Second, 1, 0},
 			{"moor", fragile, 20 * time.Second, 40 * time.Second, 9, 0},
-			{"logbook", dedup, 18 * time.Second, 35 * time.Second, 2, 30 * time.Second}},
+			{"logbook", dedup, 18 * time.Second, 35 * time.Second, 2, 30 * time.Second},
+		},
 		discovery: "on_request", attempts: 3, retryAfter: true, maxRetryAfter: 700 * time.Millisecond,
 		connectTimeout: 8 * time.Second, connIdle: 12 * time.Second, drainGrace: 2 * time.Second,
-		cold: 4 * time.Second, coldShare: 0.5}
-	hills = deployment{zone: "ridge", kind: "basalt", server: "marmot-",
+		cold: 4 * time.Second, coldShare: 0.5,
+	}
+	hills = deployment{
+		zone: "ridge", kind: "basalt", server: "marmot-",
 		tenants: []string{"shepherd", "alpinist", "beekeeper"}, quota: 400,
-		classes: []class{{"summit", fragile, 30 * time.Second, 60 * time.Second, 3, 0},
+		classes: []class{
+			{"summit", fragile, 30 * time.Second, 60 * time.Second, 3, 0},
 			{"orchard", dedup, 24 * time.Second, 50 * time.Second, 5, 40 * time.Second},
 			{"garden", dedup, 26 * time.Second, 65 * time.Second, 4, 0}, // whose key is forgotten at once
 			{"meadow", retryable, 28 * time.Second, 55 * time.Second, 1, 0},
-			{"glacier", fragile, 22 * time.Second, 45 * time.Second, 8, 0}},
+			{"glacier", fragile, 22 * time.Second, 45 * time.Second, 8, 0},
+		},
 		discovery: "pushed", attempts: 2, retryAfter: false, maxRetryAfter: 4 * time.Second,
 		connectTimeout: 6 * time.Second, connIdle: 20 * time.Second, drainGrace: time.Second,
-		cold: 6 * time.Second, coldShare: 0.25}
+		cold: 6 * time.Second, coldShare: 0.25,
+	}
 )
 
 // words are the names of a deployment.
@@ -215,8 +223,10 @@
 
 // asks asks for classes of its own, and of another deployment, where the first attempt meets answers of all kinds.
 func (w *world) asks(s *transcript, own, other deployment) {
-	for _, meets := range []func(step) string{ok, func(step) string { return reply("500 No", "") },
-		func(step) string { return reply("503 No", "", "X-Unprocessed: 1") }, func(step) string { return hangUp }} {
+	for _, meets := range []func(step) string{
+		ok, func(step) string { return reply("500 No", "") },
+		func(step) string { return reply("503 No", "", "X-Unprocessed: 1") }, func(step) string { return hangUp },
+	} {
 		for _, c := range slices.Concat(own.classes, other.classes) {
 			for _, tenant := range own.tenants {
 				w.first(meets, ok)
--- a/cmd/dunestep/faults_test.go
+++ b/cmd/dunestep/faults_test.go
@@ -40,7 +40,8 @@
 				c.Handle = fault
 			}
 			c.Reply(standin.Reply{Status: 200, Body: fmt.Sprintf("%s %d", r.Header.Get("X-Correlation-Id"), len(body))}, fault)
-		}})
+		},
+	})
 	require.NoError(t, err)
 	t.Cleanup(f.Close)
 	return f
@@ -74,8 +75,10 @@
 		t.Run("fault "+string(c.fault), func(t *testing.T) {
 			f := newFaulty(t, c.fault)
 			w := newWorld(t, 0)
-			w.config["known"].(object)["servers"] = []object{{"id": "s-0", "addr": f.Addr(), "zone": "a", "kind": "rapid",
-				"cell": 1, "state": "active", "weight": 1.0}}
+			w.config["known"].(object)["servers"] = []object{{
+				"id": "s-0", "addr": f.Addr(), "zone": "a", "kind": "rapid",
+				"cell": 1, "state": "active", "weight": 1.0,
+			}}
 			w.start()
 			switch c.fault {
 			case scenario.NoAccept:
@@ -126,8 +129,10 @@
 	w.patient()
 	rules := w.config["settings"].(object)["rules"].(object)
 	rules["stopSendingWithin"] = 60000000 // a connection is waited for half of that at the most
-	w.config["known"].(object)["servers"] = []object{{"id": "s-0", "addr": f.Addr(), "zone": "a", "kind": "rapid", "cell": 1,
-		"state": "active", "weight": 1.0}}
+	w.config["known"].(object)["servers"] = []object{{
+		"id": "s-0", "addr": f.Addr(), "zone": "a", "kind": "rapid", "cell": 1,
+		"state": "active", "weight": 1.0,
+	}}
 	w.start()
 	require.NoError(t, f.Mute())
 	w.until("there is no room for a connection", f.Full)
--- a/cmd/dunestep/fleet.go
+++ b/cmd/dunestep/fleet.go
@@ -86,11 +86,15 @@
 func (p *fleetPart) settings() fleet.Settings {
 	f := p.told.operator.Fleet
 	now := time.Now()
-	set := fleet.Settings{Self: p.told.Settings.Self, Agents: p.told.Settings.Balancers,
+	set := fleet.Settings{
+		Self: p.told.Settings.Self, Agents: p.told.Settings.Balancers,
 		Incarnation: uint64(now.UnixMilli()), Seed: p.told.Seed, Ready: time.Duration(f.ReadyMS) * time.Millisecond,
 		Rate: int(f.RateKB << 10), Machines: []fleet.Machine{ordersMachine: p.orders},
-		Terms: lease.Terms{Length: time.Duration(f.LeaseMS) * time.Millisecond,
-			Heard: time.Duration(f.HeardMS) * time.Millisecond}}
+		Terms: lease.Terms{
+			Length: time.Duration(f.LeaseMS) * time.Millisecond,
+			Heard:  time.Duration(f.HeardMS) * time.Millisecond,
+		},
+	}
 	for _, v := range f.Voters {
 		set.Voters = append(set.Voters, int(v))
 	}
@@ -161,10 +165,12 @@
 
 // sit has policies hold here.
 func (p *fleetPart) sit(n *fleet.Settings) {
-	p.seat = seat.New(seat.Settings{Self: n.Self, Votes: n.Votes(), Incarnation: n.Incarnation,
+	p.seat = seat.New(seat.Settings{
+		Self: n.Self, Votes: n.Votes(), Incarnation: n.Incarnation,
 		Machine: policyMachine,
 		Own:     p.told.policyOwn(),
-		Times:   p.policyTimes(n.Terms)}, routing.ReadClocks())
+		Times:   p.policyTimes(n.Terms),
+	}, routing.ReadClocks())
 	p.stack(n)
 }
 
@@ -330,8 +336,10 @@
 	if !p.hand.agent.Listed(ctx, call.ID) {
 		return http.StatusNotFound, []byte("no such booking server was ever listed\n")
 	}
-	raw, err := orders.Order{Server: call.ID, Down: call.Kind == protocol.OpsFleetDown,
-		By: p.told.Settings.Self, At: unixNow()}.Encode()
+	raw, err := orders.Order{
+		Server: call.ID, Down: call.Kind == protocol.OpsFleetDown,
+		By: p.told.Settings.Self, At: unixNow(),
+	}.Encode()
 	if err != nil {
 		return http.StatusBadRequest, []byte(err.Error() + "\n")
 	}
@@ -348,8 +356,10 @@
 	}
 	slog.Info("fleet: order by hand", "server", call.ID, "down", call.Kind == protocol.OpsFleetDown,
 		"ticket", uint64(t))
-	return answerJSON(http.StatusAccepted, protocol.FleetProposed{Ticket: uint64(t),
-		Result: fleet.Waiting.String()})
+	return answerJSON(http.StatusAccepted, protocol.FleetProposed{
+		Ticket: uint64(t),
+		Result: fleet.Waiting.String(),
+	})
 }
 
 // keep remembers a ticket, and forgets the oldest.
--- a/cmd/dunestep/fleet_test.go
+++ b/cmd/dunestep/fleet_test.go
@@ -224,8 +224,10 @@
 	require.NoError(t, l.Wait(ctx, "leases again", all(l, full)))
 	apart := []int{0, 3}
 	rest := []int{1, 2, 4, 5}
-	for _, f := range []mishap.Fault{{From: apart, To: rest, Way: mishap.Way{Cut: true}},
-		{From: rest, To: apart, Way: mishap.Way{Cut: true}}} {
+	for _, f := range []mishap.Fault{
+		{From: apart, To: rest, Way: mishap.Way{Cut: true}},
+		{From: rest, To: apart, Way: mishap.Way{Cut: true}},
+	} {
 		end, err := l.Spoil(f)
 		require.NoError(t, err)
 		defer end()
--- a/cmd/dunestep/fleetcommands.go
+++ b/cmd/dunestep/fleetcommands.go
@@ -20,8 +20,10 @@
 )
 
 // connections are the words for what an agent knows of its own way to others.
-var connections = map[roster.Standing]string{roster.Connected: "connected", roster.Unsaid: "unsaid",
-	roster.Deaf: "deaf"}
+var connections = map[roster.Standing]string{
+	roster.Connected: "connected", roster.Unsaid: "unsaid",
+	roster.Deaf: "deaf",
+}
 
 // fleetStatus is what staff see of the fleet at one agent.
 type fleetStatus struct {
@@ -67,10 +69,12 @@
 }
 
 func statusOf(s fleet.Status, book []orders.Order) fleetStatus {
-	out := fleetStatus{Agent: s.Self, Agents: s.Agents, Incarnation: s.Incarnation, Epoch: s.At.Epoch,
+	out := fleetStatus{
+		Agent: s.Self, Agents: s.Agents, Incarnation: s.Incarnation, Epoch: s.At.Epoch,
 		Record: s.At.Seq, Standing: s.Standing.String(),
 		LeaseMS: s.LeaseLeft.Milliseconds(), Ready: s.Ready, Connection: connections[s.Connection],
-		Voters: s.Voters, Here: s.Here, Others: []peerStatus{}, Orders: []orderStatus{}, Dropped: s.Dropped}
+		Voters: s.Voters, Here: s.Here, Others: []peerStatus{}, Orders: []orderStatus{}, Dropped: s.Dropped,
+	}
 	if v := s.Voter; v != nil {
 		out.Voter = voterOf(v)
 	}
--- a/cmd/dunestep/fleetstarts_test.go
+++ b/cmd/dunestep/fleetstarts_test.go
@@ -31,13 +31,15 @@
 	program, err := plain()
 	require.NoError(t, err)
 	f := &coldFleet{t: t, came: map[int][]time.Time{}}
-	f.Lab = lab.Open(t, lab.Options{Agents: agents, Servers: 4, Program: program, Seed: 21,
+	f.Lab = lab.Open(t, lab.Options{
+		Agents: agents, Servers: 4, Program: program, Seed: 21,
 		Answer: func(s lab.Step) standin.Reply {
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			f.came[s.Server] = append(f.came[s.Server], time.Now())
 			return standin.Reply{Status: http.StatusOK, Body: "booked"}
-		}})
+		},
+	})
 	return f
 }
 
@@ -174,7 +176,8 @@
 	require.NoError(t, err)
 	d := &turns{takes: 100 * time.Millisecond, most: 6}
 	var l *lab.Lab
-	l = lab.Open(t, lab.Options{Agents: agents, Servers: 2, Program: program, Seed: 22,
+	l = lab.Open(t, lab.Options{
+		Agents: agents, Servers: 2, Program: program, Seed: 22,
 		Call: func(agent int, c *standin.Call) bool {
 			go d.answer(l.Agent(agent), c)
 			return true
@@ -182,7 +185,8 @@
 		Shape: func(c *lab.Config) {
 			c.File["known"] = object{"version": 0, "full": true, "servers": []object{}}
 			c.File["settings"].(map[string]any)["balancers"] = fleet
-		}})
+		},
+	})
 	began := time.Now()
 	took := make([]time.Duration, agents)
 	var wait sync.WaitGroup
--- a/cmd/dunestep/graphql.go
+++ b/cmd/dunestep/graphql.go
@@ -60,19 +60,25 @@
 	if err != nil {
 		return nil, err
 	}
-	classer, err := graphql.NewClasser(graphql.Rules{Classes: s.Settings.Classes,
-		Safe: g.SafeClass, Unsafe: g.UnsafeClass, Queries: g.Queries, Mutations: g.Mutations,
+	classer, err := graphql.NewClasser(graphql.Rules{
+		Classes: s.Settings.Classes,
+		Safe:    g.SafeClass, Unsafe: g.UnsafeClass, Queries: g.Queries, Mutations: g.Mutations,
 		Batches: g.Batch == operator.BatchStrictest, Trusted: trusted,
-		Limits: graphql.Limits{Document: int(g.DocumentKB << 10), Tokens: int(g.Tokens), Depth: int(g.Depth),
+		Limits: graphql.Limits{
+			Document: int(g.DocumentKB << 10), Tokens: int(g.Tokens), Depth: int(g.Depth),
 			Aliases: int(g.Aliases), Operations: int(g.Operations), Batch: int(g.BatchLength),
-			CacheBytes: int(g.CacheKB << 10), StoreBytes: int(g.StoreKB << 10)}})
+			CacheBytes: int(g.CacheKB << 10), StoreBytes: int(g.StoreKB << 10),
+		},
+	})
 	first, _, _ := strings.Cut(g.Path[1:], "/")
 	taken := slices.ContainsFunc(s.Settings.Classes, func(c decide.Class) bool { return c.Name == first })
 	if taken && g.Listen == operator.OnFront {
 		err = errors.Join(err, fmt.Errorf("path %s is that of a class on the front socket", g.Path))
 	}
-	form := &protocol.GraphQL{Path: g.Path, Classer: classer, Classes: s.Settings.Classes,
-		DefaultTenant: g.TenantDefault}
+	form := &protocol.GraphQL{
+		Path: g.Path, Classer: classer, Classes: s.Settings.Classes,
+		DefaultTenant: g.TenantDefault,
+	}
 	for _, f := range []struct {
 		to   *protocol.Source
 		text string
--- a/cmd/dunestep/graphql_faults_test.go
+++ b/cmd/dunestep/graphql_faults_test.go
@@ -48,15 +48,26 @@
 	wait     time.Duration
 	answer   string
 }{
-	{false, 0, reply("500 Internal Server Error", "")}, {true, 0, reply("500 Internal Server Error", "")},
+	{false, 0, reply("500 Internal Server Error", "")},
+	{true, 0, reply("500 Internal Server Error", "")},
 	{false, 0, reply("503 Service Unavailable", "", "X-Unprocessed: 1")},
-	{false, 0, reply("504 Gateway Timeout", "", "X-Unprocessed: 1")}, {true, 0, reply("503 Service Unavailable", "")},
-	{false, 0, hangUp}, {true, 0, hangUp}, {true, 0, "HTTP/1.1 200 OK\r\nConte" + hangUp},
-	{true, 0, "HTTP/1.1 200 OK\r\nContent-Length: 30\r\n\r\n{\"data\"" + hangUp}, {true, 0, "\x00\xff{}\r\n\r\n"},
-	{true, 0, "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx"}, {false, 0, silence}, {true, 0, silence},
-	{true, 250 * time.Millisecond, "$"}, {false, 250 * time.Millisecond, reply("500 Internal Server Error", "")},
-	{true, 0, "HTTP/1.1 102 Processing\r\n\r\n$"}, {true, 0, "HTTP/1.1 200 OK\r\nA: " + strings.Repeat("x", 100<<10)},
-	{true, 0, "$" + reply("200 OK", "stale")}, {true, 0, "$" + hangUp}, {true, 0, reply("200 OK", "x", "Connection: close")},
+	{false, 0, reply("504 Gateway Timeout", "", "X-Unprocessed: 1")},
+	{true, 0, reply("503 Service Unavailable", "")},
+	{false, 0, hangUp},
+	{true, 0, hangUp},
+	{true, 0, "HTTP/1.1 200 OK\r\nConte" + hangUp},
+	{true, 0, "HTTP/1.1 200 OK\r\nContent-Length: 30\r\n\r\n{\"data\"" + hangUp},
+	{true, 0, "\x00\xff{}\r\n\r\n"},
+	{true, 0, "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx"},
+	{false, 0, silence},
+	{true, 0, silence},
+	{true, 250 * time.Millisecond, "$"},
+	{false, 250 * time.Millisecond, reply("500 Internal Server Error", "")},
+	{true, 0, "HTTP/1.1 102 Processing\r\n\r\n$"},
+	{true, 0, "HTTP/1.1 200 OK\r\nA: " + strings.Repeat("x", 100<<10)},
+	{true, 0, "$" + reply("200 OK", "stale")},
+	{true, 0, "$" + hangUp},
+	{true, 0, reply("200 OK", "x", "Connection: close")},
 }
 
 // answer gives a quarter of the route steps one of the troubles.
--- a/cmd/dunestep/graphql_test.go
+++ b/cmd/dunestep/graphql_test.go
@@ -90,8 +90,10 @@
 			steps := w.servers[0].steps()
 			require.Len(t, steps, 2)
 			require.Equal(t, []string{"POST", "/graphql", string(sent), "application/json; charset=utf-8", accept, "chair-4"},
-				[]string{steps[0].Method, steps[0].RequestURI, steps[0].body, steps[0].Header.Get("Content-Type"),
-					steps[0].Header.Get("Accept"), steps[0].Header.Get("Idempotency-Key")})
+				[]string{
+					steps[0].Method, steps[0].RequestURI, steps[0].body, steps[0].Header.Get("Content-Type"),
+					steps[0].Header.Get("Accept"), steps[0].Header.Get("Idempotency-Key"),
+				})
 			require.Regexp(t, "^[0-9a-f]{16}$", steps[0].Header.Get("X-Correlation-Id"))
 			require.Greater(t, wait(t, steps[0]), 40000, "by the class's deadline")
 			require.Equal(t, []string{"GET", target, "", "00000000000000ab"},
--- a/cmd/dunestep/hand.go
+++ b/cmd/dunestep/hand.go
@@ -75,7 +75,8 @@
 }
 
 func (h *hand) change(ctx context.Context, id, what string,
-	do func(context.Context, string) ([]core.Ban, bool, error)) (bool, error) {
+	do func(context.Context, string) ([]core.Ban, bool, error),
+) (bool, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	bans, listed, err := do(ctx, id)
--- a/cmd/dunestep/helper_test.go
+++ b/cmd/dunestep/helper_test.go
@@ -104,30 +104,42 @@
 }
 
 // usual is the deployment of tests that say nothing else, with a class of each kind that occurs there.
-var usual = deployment{zone: "a", kind: "rapid", server: "s-", tenants: []string{"acme"}, quota: 1000,
-	classes: []class{{"consult", retryable, 500 * time.Millisecond, 2500 * time.Millisecond, 1, 0},
-		{"rezervare", fragile, 500 * time.Millisecond, time.Second, 2, 0}},
+var usual = deployment{
+	zone: "a", kind: "rapid", server: "s-", tenants: []string{"acme"}, quota: 1000,
+	classes: []class{
+		{"consult", retryable, 500 * time.Millisecond, 2500 * time.Millisecond, 1, 0},
+		{"rezervare", fragile, 500 * time.Millisecond, time.Second, 2, 0},
+	},
 	discovery: "on_request", attempts: 3, retryAfter: true, maxRetryAfter: 2 * time.Second,
 	connectTimeout: 250 * time.Millisecond, connIdle: 15 * time.Second, drainGrace: 3 * time.Second,
-	cold: 8900 * time.Millisecond, coldShare: 0.31}
+	cold: 8900 * time.Millisecond, coldShare: 0.31,
+}
 
 func (d deployment) settings() object {
 	var categories, customers []object
 	for _, c := range d.classes {
-		categories = append(categories, object{"name": c.name, "effect": c.effect, "value": c.worth,
+		categories = append(categories, object{
+			"name": c.name, "effect": c.effect, "value": c.worth,
 			"aim": c.aim.Microseconds(), "deadline": c.deadline.Microseconds(),
-			"memorySpan": c.memory.Microseconds()})
+			"memorySpan": c.memory.Microseconds(),
+		})
 	}
 	for _, t := range d.tenants {
 		customers = append(customers, object{"name": t, "quotaPerS": d.quota, "share": 1 / float64(len(d.tenants))})
 	}
-	return object{"balancers": 2, "ordinal": 0, "zone": d.zone, "resolution": 5000, "discovery": d.discovery,
+	return object{
+		"balancers": 2, "ordinal": 0, "zone": d.zone, "resolution": 5000, "discovery": d.discovery,
 		"categories": categories, "customers": customers, "clientHabits": object{"marksRetry": true},
-		"bounds": object{"sendCap": d.attempts, "cancel": true, "mayTell": true, "retryAfter": d.retryAfter,
+		"bounds": object{
+			"sendCap": d.attempts, "cancel": true, "mayTell": true, "retryAfter": d.retryAfter,
 			"maxRetryAfter": d.maxRetryAfter.Microseconds(), "connIdle": d.connIdle.Microseconds(),
-			"connectTimeout": d.connectTimeout.Microseconds()},
-		"rules": object{"cold": d.cold.Microseconds(), "startCapacity": d.coldShare, "fallMultiple": 3,
-			"fall": 3000000, "askWithin": 10000000, "stopSendingWithin": d.drainGrace.Microseconds()}}
+			"connectTimeout": d.connectTimeout.Microseconds(),
+		},
+		"rules": object{
+			"cold": d.cold.Microseconds(), "startCapacity": d.coldShare, "fallMultiple": 3,
+			"fall": 3000000, "askWithin": 10000000, "stopSendingWithin": d.drainGrace.Microseconds(),
+		},
+	}
 }
 
 // named is a class by its name, or one that may be repeated.
@@ -209,10 +221,12 @@
 	w.peer, err = net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = w.peer.Close() })
-	w.config = object{"name": "n0", "listen": w.addr, "discovery": w.discovery.addr, "seed": "8c1f30d27a5be964",
+	w.config = object{
+		"name": "n0", "listen": w.addr, "discovery": w.discovery.addr, "seed": "8c1f30d27a5be964",
 		"limits":      object{"cores": 1.0, "memory_mb": 192, "sockets": 1024},
 		"peer_listen": w.addr, "peers": []string{w.addr, w.peer.LocalAddr().String()}, "peers_all": w.addr,
-		"known": object{"version": 41, "full": true, "servers": entries}, "settings": site.settings()}
+		"known": object{"version": 41, "full": true, "servers": entries}, "settings": site.settings(),
+	}
 	return w
 }
 
@@ -242,8 +256,10 @@
 	if w.operator != "" {
 		w.process.Args = append(w.process.Args, "--operator", w.path+".toml")
 	}
-	w.process.Env = append([]string{"LB_NAME=n0", "LB_LISTEN=" + w.addr, "LB_DISCOVERY=" + w.discovery.addr,
-		"LB_CONFIG=" + w.path, "LB_OPS=" + w.ops, "TMPDIR=" + w.folder}, w.env...)
+	w.process.Env = append([]string{
+		"LB_NAME=n0", "LB_LISTEN=" + w.addr, "LB_DISCOVERY=" + w.discovery.addr,
+		"LB_CONFIG=" + w.path, "LB_OPS=" + w.ops, "TMPDIR=" + w.folder,
+	}, w.env...)
 	w.process.Stdout, w.process.Stderr = w.log, w.log
 	require.NoError(w.t, w.process.Start())
 	go func() { _ = w.process.Wait(); close(w.exited) }()
--- a/cmd/dunestep/inherited_test.go
+++ b/cmd/dunestep/inherited_test.go
@@ -31,8 +31,10 @@
 		return d.call(http.MethodGet, "/ops/fleet/status", "", &s) == nil && s.Standing == "full" && s.Ring.Acting > 0
 	})
 	require.NoError(t, policyProposeCommand{opsDoor: d, File: file, Within: time.Second, Wait: patience}.Run())
-	require.NoError(t, windowAskCommand{windowWish: windowWish{opsDoor: d, Node: []string{"s-0"}, Tenant: []string{"acme"},
-		From: "+8s", To: "+20m", Pace: 1}, ID: "w", Wait: patience}.Run())
+	require.NoError(t, windowAskCommand{windowWish: windowWish{
+		opsDoor: d, Node: []string{"s-0"}, Tenant: []string{"acme"},
+		From: "+8s", To: "+20m", Pace: 1,
+	}, ID: "w", Wait: patience}.Run())
 	require.Eventually(t, func() bool {
 		var s windowsState
 		return d.call(http.MethodGet, "/ops/fleet/windows", "", &s) == nil && s.Windows[0].State == "free"
--- a/cmd/dunestep/keep.go
+++ b/cmd/dunestep/keep.go
@@ -61,9 +61,11 @@
 		}
 	}
 	if set := told.operator.State; set.Folder != "" {
-		m.keeper = folder.Keep(folder.Keeping{Path: set.Folder, Owner: told.owner(), Take: m.take,
+		m.keeper = folder.Keep(folder.Keeping{
+			Path: set.Folder, Owner: told.owner(), Take: m.take,
 			Period: seconds(set.PeriodS),
-			Gap:    time.Minute / time.Duration(set.WritesAMinute)}, from, start.Age)
+			Gap:    time.Minute / time.Duration(set.WritesAMinute),
+		}, from, start.Age)
 	}
 	return m
 }
--- a/cmd/dunestep/leaving_test.go
+++ b/cmd/dunestep/leaving_test.go
@@ -64,8 +64,10 @@
 
 // callers has clients begin to send.
 func (w *world) callers(clients int, think func() time.Duration) *callers {
-	c := &callers{w: w, think: think, over: make(chan struct{}), ends: map[string]int{},
-		crossed: map[string]bool{}}
+	c := &callers{
+		w: w, think: think, over: make(chan struct{}), ends: map[string]int{},
+		crossed: map[string]bool{},
+	}
 	c.dials.Store(true)
 	for range clients {
 		c.wait.Go(c.client)
@@ -105,7 +107,8 @@
 // that there was has crossed it. Late is when its end comes; the booking server answers none that hangs. It
 // returns the connection if that is still to be used.
 func (c *callers) exchange(conn *standin.Client, hears chan heard, late time.Duration, hangs bool) (*standin.Client,
-	chan heard) {
+	chan heard,
+) {
 	const left = 2500
 	class, method, body, size := "consult", "GET", "", rand.N(100_000)
 	id := c.w.id()
--- a/cmd/dunestep/main.go
+++ b/cmd/dunestep/main.go
@@ -81,21 +81,25 @@
 // bodies is what is set for bodies: their memory, and the rules.
 func (s instructions) bodies() (limit int64, r transport.BodyRules) {
 	a := s.operator.Answers
-	return int64(a.MemoryShare * float64(s.Limits.MemoryMB<<20)), transport.BodyRules{Longest: a.LongestKB << 10,
-		Whole: a.WholeKB << 10,
-		Hold:  time.Duration(a.HoldMS) * time.Millisecond, Stall: time.Duration(a.StallMS) * time.Millisecond,
-		Lag: time.Duration(a.LagMS) * time.Millisecond}
+	return int64(a.MemoryShare * float64(s.Limits.MemoryMB<<20)), transport.BodyRules{
+		Longest: a.LongestKB << 10,
+		Whole:   a.WholeKB << 10,
+		Hold:    time.Duration(a.HoldMS) * time.Millisecond, Stall: time.Duration(a.StallMS) * time.Millisecond,
+		Lag: time.Duration(a.LagMS) * time.Millisecond,
+	}
 }
 
 // storm is what is set for slow spells, outages and storms of repeats.
 func (s instructions) storm() storm.Figures {
 	t := s.operator.Storm
-	return storm.Figures{Off: !t.On, TellQuota: t.RateLimitFields, SpellFactor: t.SpellFactor,
+	return storm.Figures{
+		Off: !t.On, TellQuota: t.RateLimitFields, SpellFactor: t.SpellFactor,
 		PurgeShare: t.PurgeShare,
 		PurgeFor:   time.Duration(t.PurgeMS) * time.Millisecond,
 		PurgeLeast: time.Duration(t.PurgeLeastMS) * time.Millisecond,
 		PurgeAgain: time.Duration(t.PurgeAgainS) * time.Second, TrialShare: t.TrialShare, ReturnMore: t.ReturnMore,
-		InVain: t.InVain, PurgeSparse: t.PurgeSparse, Turn: time.Duration(t.TurnS) * time.Second}
+		InVain: t.InVain, PurgeSparse: t.PurgeSparse, Turn: time.Duration(t.TurnS) * time.Second,
+	}
 }
 
 // serveCommand is the agent itself.
--- a/cmd/dunestep/names_test.go
+++ b/cmd/dunestep/names_test.go
@@ -19,9 +19,11 @@
 
 // knownNames are those of the deployment that the agent is developed beside: of itself, its classes, tenants, zones,
 // kinds of machine and service.
-var knownNames = []string{"carpatica", "carpatica-programari", "programari", "consult", "rezervare", "rapid", "lent",
+var knownNames = []string{
+	"carpatica", "carpatica-programari", "programari", "consult", "rezervare", "rapid", "lent",
 	"buc-pipera", "buc-militari", "cluj-est", "brasov-nord", "zambet-plus", "dentamed-nord", "clinica-olt", "dent-somes",
-	"surasul-mures", "stoma-vaslui"}
+	"surasul-mures", "stoma-vaslui",
+}
 
 // data are names in code of rehearsals and labs, which is in no program that ships.
 var data = []struct {
@@ -29,11 +31,17 @@
 	names  []string
 	reason string
 }{
-	{"internal/rehearsal/lab/deployment.go", []string{"consult", "rezervare", "rapid"},
-		"the settings of a lab's agents: process tests hand them to the program as any others"},
+	{
+		"internal/rehearsal/lab/deployment.go",
+		[]string{"consult", "rezervare", "rapid"},
+		"the settings of a lab's agents: process tests hand them to the program as any others",
+	},
 	{"internal/rehearsal/lab/lab.go", []string{"rapid"}, "tells of the same"},
-	{"internal/rehearsal/scenario/scenario.go", []string{"buc-pipera", "buc-militari", "cluj-est", "brasov-nord"},
-		"the zones of a rehearsal that names none: each delay is drawn by a zone's name, so all days' figures rest on them"},
+	{
+		"internal/rehearsal/scenario/scenario.go",
+		[]string{"buc-pipera", "buc-militari", "cluj-est", "brasov-nord"},
+		"the zones of a rehearsal that names none: each delay is drawn by a zone's name, so all days' figures rest on them",
+	},
 	{"placement/lab/paces.go", []string{"rapid", "lent"}, "two kinds of machine in virtual time"},
 	{"placement/lab/lab.go", []string{"rapid"}, "tells of the same"},
 }
--- a/cmd/dunestep/operations_test.go
+++ b/cmd/dunestep/operations_test.go
@@ -68,8 +68,10 @@
 		{name: "a length of 3 GB", answer: "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + long},
 		{name: "a negative length", answer: "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\nabc"},
 		{name: "the longest body", answer: reply("200 OK", longest), served: true},
-		{name: "chunked", answer: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n",
-			served: true},
+		{
+			name: "chunked", answer: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n",
+			served: true,
+		},
 		{name: "until the end", answer: "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nabc" + hangUp, served: true},
 		{name: "close announced", answer: reply("200 OK", "abc", "Connection: close"), served: true},
 		{name: "after a 100", answer: "HTTP/1.1 100 Continue\r\n\r\n" + reply("200 OK", "abc"), served: true},
@@ -431,8 +433,10 @@
 func TestErrorReachesAClientThatIsStillSending(t *testing.T) {
 	w := start(t, 1)
 	good := " /consult HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: 00000000000000aa\r\nX-Time-Left-Ms: 900\r\n"
-	for head, status := range map[string]string{"POST" + good + "Content-Length: 40000000\r\n\r\n": "413",
-		"no HTTP at all" + good + "\r\n": "400"} {
+	for head, status := range map[string]string{
+		"POST" + good + "Content-Length: 40000000\r\n\r\n": "413",
+		"no HTTP at all" + good + "\r\n":                   "400",
+	} {
 		c := w.raw(head)
 		_, err := io.WriteString(c, strings.Repeat("x", 40000000))
 		require.NoError(t, err)
--- a/cmd/dunestep/ops_test.go
+++ b/cmd/dunestep/ops_test.go
@@ -60,13 +60,20 @@
 		method, path, body string
 		status             int
 	}{
-		{"GET", "/ops/readiness", "", 200}, {"GET", "/ops/stats", "", 200}, {"POST", "/ops/drain/stop", "", 200},
-		{"GET", "/", "", 404}, {"GET", "/ops/stats/", "", 404}, {"POST", "/ops/stats", "", 405},
-		{"GET", "/ops/drain/start", "", 405}, {"POST", "/ops/booking-servers/down", "", 400},
-		{"POST", "/ops/booking-servers/down", "s-\x00", 400}, {"POST", "/ops/booking-servers/down", "s- 0", 400},
+		{"GET", "/ops/readiness", "", 200},
+		{"GET", "/ops/stats", "", 200},
+		{"POST", "/ops/drain/stop", "", 200},
+		{"GET", "/", "", 404},
+		{"GET", "/ops/stats/", "", 404},
+		{"POST", "/ops/stats", "", 405},
+		{"GET", "/ops/drain/start", "", 405},
+		{"POST", "/ops/booking-servers/down", "", 400},
+		{"POST", "/ops/booking-servers/down", "s-\x00", 400},
+		{"POST", "/ops/booking-servers/down", "s- 0", 400},
 		{"POST", "/ops/booking-servers/down", strings.Repeat("s", 257), 404},
 		{"POST", "/ops/booking-servers/down", strings.Repeat("s", 1000), 413},
-		{"POST", "/ops/booking-servers/down", "s-7", 404}, {"POST", "/ops/booking-servers/up", "s-7", 404},
+		{"POST", "/ops/booking-servers/down", "s-7", 404},
+		{"POST", "/ops/booking-servers/up", "s-7", 404},
 		{"POST", "/ops/booking-servers/up", "s-1\n", 200},
 	} {
 		status, text := w.call(c.method, c.path, c.body)
@@ -135,8 +142,10 @@
 	require.Len(t, zero.Responses, 2, "classes without a request are there")
 	w.ask("consult")
 	answers := map[int]int{}
-	for i, with := range []func(step) string{ok, func(step) string { return reply("500 No", "") },
-		func(step) string { return reply("503 No", "", "X-Unprocessed: 1") }, func(step) string { return hangUp }} {
+	for i, with := range []func(step) string{
+		ok, func(step) string { return reply("500 No", "") },
+		func(step) string { return reply("503 No", "", "X-Unprocessed: 1") }, func(step) string { return hangUp },
+	} {
 		w.each(with)
 		for range 3 + i {
 			answers[w.ask("rezervare").status]++
--- a/cmd/dunestep/placement.go
+++ b/cmd/dunestep/placement.go
@@ -34,19 +34,25 @@
 
 // sitPlaces has generations of the ring hold here.
 func (p *fleetPart) sitPlaces(n *fleet.Settings) *placementseat.Seat {
-	p.places = &placesPart{votes: n.Votes(), seat: placementseat.New(placementseat.Settings{Votes: n.Votes(),
+	p.places = &placesPart{votes: n.Votes(), seat: placementseat.New(placementseat.Settings{
+		Votes:       n.Votes(),
 		Incarnation: n.Incarnation,
 		Machine:     placementMachine,
-		Figures: placement.Figures{Terms: n.Terms, Cold: p.told.cold(),
-			Paces: p.told.operator.Fleet.Paces}}, routing.ReadClocks())}
+		Figures: placement.Figures{
+			Terms: n.Terms, Cold: p.told.cold(),
+			Paces: p.told.operator.Fleet.Paces,
+		},
+	}, routing.ReadClocks())}
 	return p.places.seat
 }
 
 // cold is what the settings let cold servers have, as the module goes by it.
 func (s instructions) cold() cold.Terms {
 	rules, f := s.Settings.Rules, decide.DefaultFigures()
-	return cold.Terms{Share: rules.ColdShare, For: rules.ColdFor, FallMultiple: rules.FallMultiple,
-		FallWindow: rules.FallWindow, Margin: f.ColdMargin, Most: f.ColdMost, Balancers: s.Settings.Balancers}
+	return cold.Terms{
+		Share: rules.ColdShare, For: rules.ColdFor, FallMultiple: rules.FallMultiple,
+		FallWindow: rules.FallWindow, Margin: f.ColdMargin, Most: f.ColdMost, Balancers: s.Settings.Balancers,
+	}
 }
 
 // ringStatus is what staff see of the ring's generation.
@@ -113,8 +119,10 @@
 func (p *fleetPart) see(n *fleet.Node, now fleet.Reading) {
 	if p.places != nil {
 		acting := p.seat.Acting(now, n.Standing(now))
-		p.places.seat.See(now, placement.View{Now: now.Unix, Servers: seen(p.servers, acting.Effect.Capacity),
-			Emptied: p.emptied(n, now)})
+		p.places.seat.See(now, placement.View{
+			Now: now.Unix, Servers: seen(p.servers, acting.Effect.Capacity),
+			Emptied: p.emptied(n, now),
+		})
 	}
 }
 
@@ -194,8 +202,10 @@
 // seen is this agent's own list, as a leader makes generations of it.
 func seen(servers []decide.Server, c policy.Capacity) (all []placement.Seen) {
 	for _, s := range servers {
-		all = append(all, placement.Seen{ID: s.ID, Zone: s.Zone, Kind: s.Kind, Ready: s.State == decide.Ready,
-			Draining: s.State == decide.Draining, Started: s.Started, Capacity: c.Of(s.ID, s.Kind)})
+		all = append(all, placement.Seen{
+			ID: s.ID, Zone: s.Zone, Kind: s.Kind, Ready: s.State == decide.Ready,
+			Draining: s.State == decide.Draining, Started: s.Started, Capacity: c.Of(s.ID, s.Kind),
+		})
 	}
 	return all
 }
--- a/cmd/dunestep/placement_test.go
+++ b/cmd/dunestep/placement_test.go
@@ -35,10 +35,12 @@
 	t.Parallel()
 	program, err := plain()
 	require.NoError(t, err)
-	l := lab.Open(t, lab.Options{Agents: 5, Servers: 4, Program: program, Ops: true, Seed: 13, Patience: 3 * time.Minute,
+	l := lab.Open(t, lab.Options{
+		Agents: 5, Servers: 4, Program: program, Ops: true, Seed: 13, Patience: 3 * time.Minute,
 		Shape: func(c *lab.Config) {
 			c.Operator = "[fleet]\non = true\npolicy = true\nplacement = true\nvoters = [0, 1, 2]\nlease_ms = 2000\nheard_ms = 500\n"
-		}})
+		},
+	})
 	ctx := t.Context()
 	l.List(3, "left")
 	require.NoError(t, l.StartAll(ctx))
@@ -109,11 +111,13 @@
 	set := lab.Deployment()
 	set.Tenants = []decide.Tenant{{Name: "east", QuotaPerS: 1000, Share: 1}}
 	r := &windowRig{t: t}
-	r.Lab = lab.Open(t, lab.Options{Agents: 5, Servers: 4, Program: program, Ops: true, Seed: 17, Settings: set,
+	r.Lab = lab.Open(t, lab.Options{
+		Agents: 5, Servers: 4, Program: program, Ops: true, Seed: 17, Settings: set,
 		Patience: 3 * time.Minute, Answer: func(s lab.Step) standin.Reply {
 			return standin.Reply{Status: http.StatusOK, Body: fmt.Sprint("s-", s.Server)}
 		},
-		Shape: func(c *lab.Config) { c.Operator = shortTerms + "placement = true\n" }})
+		Shape: func(c *lab.Config) { c.Operator = shortTerms + "placement = true\n" },
+	})
 	ctx := t.Context()
 	require.NoError(t, r.StartAll(ctx))
 	require.NoError(t, r.Wait(ctx, "leases", all(r.Lab, full)))
@@ -164,7 +168,8 @@
 	t.Parallel()
 	program, err := plain()
 	require.NoError(t, err)
-	l := lab.Open(t, lab.Options{Agents: 5, Servers: 5, Program: program, Ops: true, Seed: 19, Patience: 3 * time.Minute,
+	l := lab.Open(t, lab.Options{
+		Agents: 5, Servers: 5, Program: program, Ops: true, Seed: 19, Patience: 3 * time.Minute,
 		Kinds: []string{"rapid", "rapid", "lent", "lent", "lent"},
 		Answer: func(s lab.Step) standin.Reply {
 			if s.Server < 2 {
@@ -174,7 +179,8 @@
 		},
 		Shape: func(c *lab.Config) {
 			c.Operator = "[fleet]\non = true\npolicy = true\nplacement = true\npaces = true\nvoters = [0, 1, 2]\nlease_ms = 2000\nheard_ms = 500\n"
-		}})
+		},
+	})
 	ctx := t.Context()
 	require.NoError(t, l.StartAll(ctx))
 	loading, end := context.WithCancel(ctx)
--- a/cmd/dunestep/policy.go
+++ b/cmd/dunestep/policy.go
@@ -59,7 +59,8 @@
 
 // policy answers a call about policies.
 func (p *fleetPart) policy(ctx context.Context, actor *routing.Fleet, call protocol.OpsCall) (status int,
-	body []byte) {
+	body []byte,
+) {
 	if !p.told.operator.Fleet.Policy {
 		return http.StatusNotFound, nil
 	}
@@ -88,8 +89,10 @@
 
 func (p *fleetPart) policies(n *fleet.Node, now fleet.Reading) policyState {
 	s, acting := p.seat.State(), p.seat.Acting(now, n.Standing(now))
-	out := policyState{Acting: acting.How.String(), Version: acting.Version, Now: versionOf(s.Now),
-		Past: []policyVersion{}, Calls: []policyOutcome{}}
+	out := policyState{
+		Acting: acting.How.String(), Version: acting.Version, Now: versionOf(s.Now),
+		Past: []policyVersion{}, Calls: []policyOutcome{},
+	}
 	if s.Open != nil {
 		v := versionOf(s.Open.Version)
 		out.Open = &v
--- a/cmd/dunestep/policy_test.go
+++ b/cmd/dunestep/policy_test.go
@@ -62,13 +62,15 @@
 	program, err := plain()
 	require.NoError(t, err)
 	c := &tries{latest: map[int]string{}, of: map[string]int{}}
-	return lab.Open(t, lab.Options{Agents: agents, Servers: 4, Program: program, Ops: true, Seed: 9, Answer: c.answer,
+	return lab.Open(t, lab.Options{
+		Agents: agents, Servers: 4, Program: program, Ops: true, Seed: 9, Answer: c.answer,
 		Shape: func(c *lab.Config) {
 			c.Operator = "[fleet]\non = true\npolicy = true\nvoters = [0, 1, 2]\nlease_ms = 2000\nheard_ms = 500\n[storm]\non = false\n"
 			if shape != nil {
 				shape(c)
 			}
-		}}), c
+		},
+	}), c
 }
 
 func attemptsDocument(t *testing.T, attempts int, floor string) string {
--- a/cmd/dunestep/policyfaults_test.go
+++ b/cmd/dunestep/policyfaults_test.go
@@ -226,8 +226,10 @@
 // With three datagrams in ten lost, two doubled and two held back by up to two seconds, changes end and hold.
 func TestPolicyLossy(t *testing.T) {
 	w := watchedLab(t, 5, false, nil)
-	_, err := w.l.Spoil(mishap.Fault{Way: mishap.Way{Loss: 0.3, Double: 0.2, Reorder: 0.2,
-		Held: scenario.TimeSpan{High: 2 * time.Second}}})
+	_, err := w.l.Spoil(mishap.Fault{Way: mishap.Way{
+		Loss: 0.3, Double: 0.2, Reorder: 0.2,
+		Held: scenario.TimeSpan{High: 2 * time.Second},
+	}})
 	require.NoError(t, err)
 	taken := 0
 	for _, mark := range []int{4, 3} {
@@ -296,8 +298,10 @@
 	w := watchedLab(t, 5, false, nil)
 	apart, rest := []int{0, 3}, []int{1, 2, 4}
 	var heal []func()
-	for _, f := range []mishap.Fault{{From: apart, To: rest, Way: mishap.Way{Cut: true}},
-		{From: rest, To: apart, Way: mishap.Way{Cut: true}}} {
+	for _, f := range []mishap.Fault{
+		{From: apart, To: rest, Way: mishap.Way{Cut: true}},
+		{From: rest, To: apart, Way: mishap.Way{Cut: true}},
+	} {
 		end, err := w.l.Spoil(f)
 		require.NoError(t, err)
 		heal = append(heal, end)
--- a/cmd/dunestep/process.go
+++ b/cmd/dunestep/process.go
@@ -61,8 +61,10 @@
 	if err := c.listen(p.front); err != nil {
 		return err
 	}
-	p.hand = &hand{agent: p.agent, front: p.front, counts: p.counts, file: p.file, set: got.hand,
-		changed: p.changed, fleet: p.fleet}
+	p.hand = &hand{
+		agent: p.agent, front: p.front, counts: p.counts, file: p.file, set: got.hand,
+		changed: p.changed, fleet: p.fleet,
+	}
 	if err := p.beginFleet(); err != nil {
 		return err
 	}
@@ -81,10 +83,12 @@
 func (p *process) startAgent(got inheritance) (err error) {
 	c := p.told
 	p.kept = recall(c, got.file)
-	set := routing.Settings{Deployment: c.Settings, Seed: c.Seed, Discovery: c.Discovery, Start: p.kept.start,
+	set := routing.Settings{
+		Deployment: c.Settings, Seed: c.Seed, Discovery: c.Discovery, Start: p.kept.start,
 		Proof:       state.Proof{Wanted: c.operator.State.ProveList, Deploy: seconds(c.operator.State.DeployS)},
 		Descriptors: p.descriptors, Bodies: p.bodies, Figures: p.counts, Bans: got.hand.Bans,
-		Changed: p.kept.changed, Storm: c.storm(), Awaits: func() bool { return p.fleet.ready() }}
+		Changed: p.kept.changed, Storm: c.storm(), Awaits: func() bool { return p.fleet.ready() },
+	}
 	if c.operator.Fleet.On && c.operator.Fleet.Policy {
 		set.Acting = func() *policy.Effect { return p.fleet.effect() }
 		if c.operator.Fleet.Windows {
--- a/cmd/dunestep/restart_test.go
+++ b/cmd/dunestep/restart_test.go
@@ -193,8 +193,10 @@
 	log = &logBuffer{}
 	require.NoError(w.t, os.WriteFile(path, raw, 0o600))
 	other := exec.Command(binary, "--operator", w.path+".toml")
-	other.Env = []string{"LB_NAME=n1", fmt.Sprint("LB_LISTEN=", config["listen"]), "LB_DISCOVERY=" + w.discovery.addr,
-		"LB_CONFIG=" + path}
+	other.Env = []string{
+		"LB_NAME=n1", fmt.Sprint("LB_LISTEN=", config["listen"]), "LB_DISCOVERY=" + w.discovery.addr,
+		"LB_CONFIG=" + path,
+	}
 	other.Stdout, other.Stderr = log, log
 	require.NoError(w.t, other.Start())
 	end = sync.OnceFunc(func() {
--- a/cmd/dunestep/server_test.go
+++ b/cmd/dunestep/server_test.go
@@ -66,8 +66,10 @@
 }
 
 func (s *server) entry(state string) object {
-	return object{"id": s.id, "addr": s.socket.Addr(), "zone": s.zone, "kind": s.kind, "cell": 1,
-		"state": state, "weight": 1.0, "started_ms": 0}
+	return object{
+		"id": s.id, "addr": s.socket.Addr(), "zone": s.zone, "kind": s.kind, "cell": 1,
+		"state": state, "weight": 1.0, "started_ms": 0,
+	}
 }
 
 func (s *server) set(answer func(step) string) {
--- a/cmd/dunestep/storm_test.go
+++ b/cmd/dunestep/storm_test.go
@@ -95,8 +95,10 @@
 func TestRefusalsTellClients(t *testing.T) {
 	w := start(t, 1, func(w *world) {
 		w.operator = "[storm]\nrate_limit_fields = true\n"
-		w.config["settings"].(object)["customers"] = []object{{"name": "acme", "quotaPerS": 1000, "share": 0.99},
-			{"name": "greedy", "quotaPerS": 1, "share": 0.01}}
+		w.config["settings"].(object)["customers"] = []object{
+			{"name": "acme", "quotaPerS": 1000, "share": 0.99},
+			{"name": "greedy", "quotaPerS": 1, "share": 0.01},
+		}
 	})
 	w.each(func(step) string { return reply("503 Service Unavailable", "", "X-Unprocessed: 1") })
 	seen := map[string]bool{}
@@ -136,8 +138,10 @@
 // BenchmarkRefusal measures what a request that is turned away in an outage costs the program, beside one that is
 // served: in CPU time of the process, and in requests a second on one core.
 func BenchmarkRefusal(b *testing.B) {
-	for name, answers := range map[string]func(step) string{"served": ok,
-		"refused": func(step) string { return reply("503 Service Unavailable", "", "X-Unprocessed: 1") }} {
+	for name, answers := range map[string]func(step) string{
+		"served":  ok,
+		"refused": func(step) string { return reply("503 Service Unavailable", "", "X-Unprocessed: 1") },
+	} {
 		b.Run(name, func(b *testing.B) {
 			w := newWorldAlone(b, 4).start(plainly)
 			w.each(answers)
--- a/cmd/dunestep/upgrade.go
+++ b/cmd/dunestep/upgrade.go
@@ -215,8 +215,10 @@
 func (p *process) hands(heir *handover.Peer) (goesOn bool) {
 	sockets, names := p.handed()
 	limits := p.limits()
-	offer := handover.Offer{Handed: names, State: p.remembered(), MemoryMB: max(limits.MemoryMB/2, 1),
-		Sockets: p.room(limits)}
+	offer := handover.Offer{
+		Handed: names, State: p.remembered(), MemoryMB: max(limits.MemoryMB/2, 1),
+		Sockets: p.room(limits),
+	}
 	p.setHeir(heir, share{limits.Sockets - offer.Sockets, limits.MemoryMB - offer.MemoryMB})
 	debug.FreeOSMemory()
 	offer.Hand, offer.Fleet = p.hand.now(), p.fleet.handed()
@@ -344,8 +346,10 @@
 	if !ok {
 		return nil
 	}
-	raw, err := state.Encode(&state.File{Header: state.Header{Owner: p.kept.told.owner(),
-		Written: time.Now().UnixMilli()}, Content: content})
+	raw, err := state.Encode(&state.File{Header: state.Header{
+		Owner:   p.kept.told.owner(),
+		Written: time.Now().UnixMilli(),
+	}, Content: content})
 	if err != nil {
 		slog.Warn("state not handed over", "error", err)
 	}
--- a/cmd/dunestep/upgrade_test.go
+++ b/cmd/dunestep/upgrade_test.go
@@ -37,8 +37,10 @@
 
 // another is the same agent's next process, not started yet.
 func (w *world) another() *world {
-	next := &world{t: w.t, site: w.site, config: w.config, env: w.env, operator: w.operator, program: w.program, addr: w.addr,
-		folder: w.folder, log: &logBuffer{}, exited: make(chan struct{}), servers: w.servers, discovery: w.discovery}
+	next := &world{
+		t: w.t, site: w.site, config: w.config, env: w.env, operator: w.operator, program: w.program, addr: w.addr,
+		folder: w.folder, log: &logBuffer{}, exited: make(chan struct{}), servers: w.servers, discovery: w.discovery,
+	}
 	next.ids.Store(w.ids.Load() + 1_000_000)
 	door(next)
 	return next
--- a/cmd/dunestep/uploads_test.go
+++ b/cmd/dunestep/uploads_test.go
@@ -49,8 +49,10 @@
 		w.config["limits"].(object)["memory_mb"] = 32
 	})
 	for _, size := range []int{65535, 65536, 65537, 100_000, 3_000_000, 32 << 20} {
-		for _, head := range []string{fmt.Sprint("Content-Length: ", size), "Transfer-Encoding: chunked",
-			fmt.Sprintf("Content-Length: %d\r\nExpect: 100-continue", size)} {
+		for _, head := range []string{
+			fmt.Sprint("Content-Length: ", size), "Transfer-Encoding: chunked",
+			fmt.Sprintf("Content-Length: %d\r\nExpect: 100-continue", size),
+		} {
 			id := w.id()
 			body := long(size, id)
 			if strings.Contains(head, "chunked") {
--- a/cmd/dunestep/window.go
+++ b/cmd/dunestep/window.go
@@ -40,12 +40,14 @@
 func (p *fleetPart) sitWindows(n *fleet.Settings) *windowseat.Seat {
 	f := p.told.operator.Fleet
 	p.windows = &windowsPart{told: map[string]toldOf{}, before: map[string]decide.Strain{}}
-	p.windows.seat = windowseat.New(windowseat.Settings{Self: n.Self, Votes: n.Votes(),
+	p.windows.seat = windowseat.New(windowseat.Settings{
+		Self: n.Self, Votes: n.Votes(),
 		Incarnation: n.Incarnation, Machine: windowMachine, Times: p.policyTimes(n.Terms), Turns: int(f.Turns),
 		Linger: seconds(f.LingerS),
 		Margin: seconds(f.MarginS), Notice: seconds(f.NoticeS),
 		InForce: p.inForce,
-		See:     p.view}, routing.ReadClocks())
+		See:     p.view,
+	}, routing.ReadClocks())
 	return p.windows.seat
 }
 
@@ -65,8 +67,10 @@
 func (p *fleetPart) nodes(e *policy.Effect) (nodes []window.Node) {
 	for _, s := range p.servers {
 		if s.State != decide.Gone {
-			nodes = append(nodes, window.Node{ID: s.ID, Zone: s.Zone, Capacity: e.Capacity.Of(s.ID, s.Kind),
-				Absent: s.State != decide.Ready})
+			nodes = append(nodes, window.Node{
+				ID: s.ID, Zone: s.Zone, Capacity: e.Capacity.Of(s.ID, s.Kind),
+				Absent: s.State != decide.Ready,
+			})
 		}
 	}
 	return nodes
@@ -120,9 +124,11 @@
 			continue
 		}
 		since := func(now, before uint64) uint32 { return uint32(min(now-before, math.MaxUint32)) }
-		counts = append(counts, window.Count{Tenant: s.Tenant, Asked: since(s.Asked, b.Asked),
+		counts = append(counts, window.Count{
+			Tenant: s.Tenant, Asked: since(s.Asked, b.Asked),
 			Served: since(s.Served, b.Served), First: since(s.First, b.First),
-			Failed: since(s.Failed, b.Failed) + since(s.Refused, b.Refused)})
+			Failed: since(s.Failed, b.Failed) + since(s.Refused, b.Refused),
+		})
 	}
 	return counts
 }
@@ -161,7 +167,8 @@
 
 // windowsCall answers a call about windows.
 func (p *fleetPart) windowsCall(ctx context.Context, actor *routing.Fleet, call protocol.OpsCall) (status int,
-	body []byte) {
+	body []byte,
+) {
 	if p.windows == nil {
 		return http.StatusNotFound, nil
 	}
@@ -211,9 +218,11 @@
 	case acting.How != policy.Full: // between two versions
 		return answerJSON(http.StatusOK, windowOutcome{End: policy.AskAgain.String(), Reason: takesHold})
 	}
-	ask := window.Ask{ID: call.ID, Who: p.told.Settings.Self, Nodes: call.Window.Nodes, Zone: call.Window.Zone,
+	ask := window.Ask{
+		ID: call.ID, Who: p.told.Settings.Self, Nodes: call.Window.Nodes, Zone: call.Window.Zone,
 		Tenants: call.Window.Tenants, From: time.Duration(call.Window.From.UnixNano()),
-		To: time.Duration(call.Window.To.UnixNano()), Pace: call.Window.Pace}
+		To: time.Duration(call.Window.To.UnixNano()), Pace: call.Window.Pace,
+	}
 	if !asks {
 		ask.ID = "check"
 		w, err := p.windows.seat.Plan(now, ask, p.scene(acting))
@@ -234,8 +243,10 @@
 	var misfit window.Misfit
 	switch {
 	case errors.As(err, &misfit):
-		return answerJSON(http.StatusOK, windowOutcome{End: policy.NotTaken.String(), Reason: misfit.Reason,
-			Tenant: misfit.Tenant, Next: unixTime(misfit.Next)})
+		return answerJSON(http.StatusOK, windowOutcome{
+			End: policy.NotTaken.String(), Reason: misfit.Reason,
+			Tenant: misfit.Tenant, Next: unixTime(misfit.Next),
+		})
 	case errors.Is(err, windowseat.ErrPolicy):
 		return answerJSON(http.StatusOK, windowOutcome{End: policy.AskAgain.String(), Reason: takesHold})
 	case err != nil:
@@ -248,9 +259,11 @@
 // scene is what a plan depends on, as this agent sees it.
 func (p *fleetPart) scene(acting policy.Acting) window.Scene {
 	e, f := acting.Effect, p.told.operator.Fleet
-	return window.Scene{Nodes: p.nodes(e), Contracts: e.Contracts, Tenants: p.loads(e), Load: e.Capacity.Load,
+	return window.Scene{
+		Nodes: p.nodes(e), Contracts: e.Contracts, Tenants: p.loads(e), Load: e.Capacity.Load,
 		Most: e.Capacity.Most, Margin: seconds(f.MarginS), Notice: seconds(f.NoticeS),
-		Drained: drainedMargins * seconds(f.MarginS), Policy: acting.Version}
+		Drained: drainedMargins * seconds(f.MarginS), Policy: acting.Version,
+	}
 }
 
 // drainedMargins is for how many times the clocks' margin nodes are to be without keys at the least: a minute
@@ -343,9 +356,11 @@
 }
 
 func windowOf(w *window.Window, now fleet.Reading) windowState {
-	s := windowState{ID: w.ID, Who: w.Who, Nodes: w.Nodes, Tenants: w.Tenants, From: unixTime(w.From),
+	s := windowState{
+		ID: w.ID, Who: w.Who, Nodes: w.Nodes, Tenants: w.Tenants, From: unixTime(w.From),
 		Drained: unixTime(w.Drained), Back: unixTime(w.Back), To: unixTime(w.To), State: w.State.String(),
-		Since: unixTime(w.Since), Reason: w.Reason, Waits: waitsFor(w)}
+		Since: unixTime(w.Since), Reason: w.Reason, Waits: waitsFor(w),
+	}
 	if w.State == window.Free {
 		s.FreeUntil = unixTime(w.Back)
 	}
--- a/cmd/dunestep/window_test.go
+++ b/cmd/dunestep/window_test.go
@@ -118,8 +118,10 @@
 
 // ask asks an agent for a window of east's traffic.
 func (r *windowRig) ask(at int, id, node, from, to string, more ...string) (string, error) {
-	return fleetCommand(r.t, r.Agent(at), append([]string{"window", "ask", "--id", id, "--node", node, "--tenant", "east",
-		"--from", from, "--to", to, "--pace", "0.2"}, more...)...)
+	return fleetCommand(r.t, r.Agent(at), append([]string{
+		"window", "ask", "--id", id, "--node", node, "--tenant", "east",
+		"--from", from, "--to", to, "--pace", "0.2",
+	}, more...)...)
 }
 
 // at is a window as an agent has it.
@@ -330,7 +332,8 @@
 		"notice":   {"--node", "s-3", "--tenant", "east", "--from", "+1s", "--to", "+1h"},
 		"kept":     {"--node", "s-3", "--node", "s-1", "--tenant", "west", "--from", "+5h", "--to", "+6h"},
 		"server":   {"--node", "s-9", "--tenant", "east", "--from", "+5h", "--to", "+6h"},
-		"backward": {"--node", "s-3", "--tenant", "east", "--from", "+6h", "--to", "+5h"}} {
+		"backward": {"--node", "s-3", "--tenant", "east", "--from", "+6h", "--to", "+5h"},
+	} {
 		text, err = fleetCommand(t, r.Agent(1), append([]string{"window", "check"}, c...)...)
 		require.Error(t, err, name+text)
 	}
--- a/cmd/dunestep/windowfaults_test.go
+++ b/cmd/dunestep/windowfaults_test.go
@@ -73,8 +73,10 @@
 
 // forTenant asks for a window of a clinic group's, or checks it.
 func (r *windowRig) forTenant(what, tenant, id, node string, from, to time.Time) (string, error) {
-	args := []string{"window", what, "--node", node, "--tenant", tenant, "--pace", "1", "--from", from.UTC().Format(time.RFC3339Nano),
-		"--to", to.UTC().Format(time.RFC3339Nano)}
+	args := []string{
+		"window", what, "--node", node, "--tenant", tenant, "--pace", "1", "--from", from.UTC().Format(time.RFC3339Nano),
+		"--to", to.UTC().Format(time.RFC3339Nano),
+	}
 	if what == "ask" {
 		args = append(args, "--id", id)
 	}
--- a/cmd/dunestep/witness_test.go
+++ b/cmd/dunestep/witness_test.go
@@ -66,15 +66,18 @@
 	program, err := plain()
 	require.NoError(t, err)
 	folders := t.TempDir()
-	w := &witness{t: t, open: map[string]*sighting{}, history: judge.NewHistory(slack), versions: map[uint64]policyVersion{},
-		marks: map[uint64]int{0: markAtFirst}}
+	w := &witness{
+		t: t, open: map[string]*sighting{}, history: judge.NewHistory(slack), versions: map[uint64]policyVersion{},
+		marks: map[uint64]int{0: markAtFirst},
+	}
 	set := lab.Deployment()
 	set.Limits.MaxAttempts = markAtFirst
 	set.Classes = append(set.Classes, decide.Class{Name: inHand, Aim: 10 * time.Second, Worth: 1, Effect: decide.Safe})
 	for i := range set.Classes { // that nothing ends for want of time
 		set.Classes[i].Deadline = 60 * time.Second
 	}
-	w.l = lab.Open(t, lab.Options{Agents: agents, Servers: 2 * markAtFirst, Program: program, Ops: true, Seed: 5,
+	w.l = lab.Open(t, lab.Options{
+		Agents: agents, Servers: 2 * markAtFirst, Program: program, Ops: true, Seed: 5,
 		Settings: set, Answer: w.answer, Shape: func(c *lab.Config) {
 			c.Operator = "[fleet]\non = true\npolicy = true\nvoters = [0, 1, 2]\nlease_ms = 2000\nheard_ms = 500\n"
 			if lasts {
@@ -84,7 +87,8 @@
 			if shape != nil {
 				shape(c)
 			}
-		}})
+		},
+	})
 	ctx := t.Context()
 	require.NoError(t, w.l.StartAll(ctx))
 	require.NoError(t, w.l.Wait(ctx, "leases", all(w.l, full)))
@@ -353,8 +357,10 @@
 }
 
 func (w *witness) version(n uint64, by time.Duration) judge.Version {
-	own := policy.Own{InVain: 0.25, Settings: decide.Settings{Classes: []decide.Class{{Name: "consult"}, {Name: inHand}},
-		Limits: decide.Limits{MaxAttempts: markAtFirst, SecondCopies: true}}}
+	own := policy.Own{InVain: 0.25, Settings: decide.Settings{
+		Classes: []decide.Class{{Name: "consult"}, {Name: inHand}},
+		Limits:  decide.Limits{MaxAttempts: markAtFirst, SecondCopies: true},
+	}}
 	text := "format = 1\n"
 	if n > 0 {
 		text += fmt.Sprintf("[classes.consult]\nattempts = %d\n[classes.%s]\nattempts = %[1]d\n", w.marks[n], inHand)
--- a/cmd/rehearse/bench.go
+++ b/cmd/rehearse/bench.go
@@ -28,9 +28,11 @@
 	if err != nil {
 		return err
 	}
-	b, err := live.RunBench(d.ctx, live.BenchOptions{Programs: c.Agent, Rounds: c.Rounds,
+	b, err := live.RunBench(d.ctx, live.BenchOptions{
+		Programs: c.Agent, Rounds: c.Rounds,
 		Self: []string{self, "part"}, Conns: c.Conns,
-		Servers: c.Servers, Length: c.Length, Rates: c.Rate})
+		Servers: c.Servers, Length: c.Length, Rates: c.Rate,
+	})
 	if b != nil && len(b.Costs) > 0 {
 		if err := b.Text(d.stdout); err != nil {
 			return err
--- a/cmd/rehearse/compare.go
+++ b/cmd/rehearse/compare.go
@@ -134,8 +134,10 @@
 		return err
 	}
 	p := d.progress()
-	o := rehearsal.BreakOptions{Least: c.From, Most: c.To, Steps: c.Steps, Seed: set.Seed,
-		Progress: func(load float64) { p.show("%s under %.3f times its load", set.Name, load) }}
+	o := rehearsal.BreakOptions{
+		Least: c.From, Most: c.To, Steps: c.Steps, Seed: set.Seed,
+		Progress: func(load float64) { p.show("%s under %.3f times its load", set.Name, load) },
+	}
 	if c.Live {
 		o.Play = c.live()
 	}
--- a/cmd/rehearse/gate.go
+++ b/cmd/rehearse/gate.go
@@ -57,8 +57,10 @@
 	}
 	makeRoom(runtime.GOMAXPROCS(0), sets...)
 	p, all := d.progress(), len(sets)*c.Seeds
-	days, err := rehearsal.Gate(d.ctx, sets, rehearsal.GateOptions{Seeds: c.Seeds, Without: c.Without,
-		Progress: func(done int) { p.show("%d of %d days played", done, all) }})
+	days, err := rehearsal.Gate(d.ctx, sets, rehearsal.GateOptions{
+		Seeds: c.Seeds, Without: c.Without,
+		Progress: func(done int) { p.show("%d of %d days played", done, all) },
+	})
 	p.clear()
 	var failed []string
 	for _, day := range days {
--- a/cmd/rehearse/hunt.go
+++ b/cmd/rehearse/hunt.go
@@ -51,11 +51,13 @@
 		}
 	}
 	p := d.progress()
-	days, err := rehearsal.Hunt(d.ctx, set, rehearsal.HuntOptions{First: c.First, Seeds: c.Seeds,
+	days, err := rehearsal.Hunt(d.ctx, set, rehearsal.HuntOptions{
+		First: c.First, Seeds: c.Seeds,
 		Without: c.Without, Placed: c.Placed,
 		Progress: func(done, failed int) {
 			p.show("%s: %d of %d days played, %d did not pass", set.Name, done, c.Seeds, failed)
-		}})
+		},
+	})
 	p.clear()
 	if err != nil && d.ctx.Err() == nil {
 		return err
@@ -114,8 +116,10 @@
 		Without  []string          `json:"without"`
 		Placed   bool              `json:"placed,omitempty"` // whatever the scenario says
 		Days     []rehearsal.Found `json:"days"`             // the worst first; fewer than seeds if broken off
-	}{1, set.Name, c.First, c.Seeds, append([]string{}, c.Without...), c.Placed,
-		append([]rehearsal.Found{}, days...)}
+	}{
+		1, set.Name, c.First, c.Seeds, append([]string{}, c.Without...), c.Placed,
+		append([]rehearsal.Found{}, days...),
+	}
 	text, err := json.MarshalIndent(ranking, "", " ")
 	if err != nil {
 		return err
--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -138,9 +138,11 @@
 	}
 	makeRoom(1, set)
 	p := d.progress()
-	r, err := rehearsal.Play(d.ctx, set, rehearsal.Options{Seed: set.Seed, Without: c.Without, Late: c.Late,
+	r, err := rehearsal.Play(d.ctx, set, rehearsal.Options{
+		Seed: set.Seed, Without: c.Without, Late: c.Late,
 		Placed:   c.Placed,
-		Progress: func(at time.Duration) { p.show("%s: %v of %v played", set.Name, at, set.Day.Length) }})
+		Progress: func(at time.Duration) { p.show("%s: %v of %v played", set.Name, at, set.Day.Length) },
+	})
 	p.clear()
 	if r == nil {
 		return err
@@ -201,11 +203,13 @@
 	}
 	makeRoom(runtime.GOMAXPROCS(0), set)
 	p := d.progress()
-	small, err := rehearsal.Shrink(d.ctx, set, rehearsal.ShrinkOptions{Without: c.Without,
+	small, err := rehearsal.Shrink(d.ctx, set, rehearsal.ShrinkOptions{
+		Without: c.Without,
 		Progress: func(played int, now *scenario.Scenario) {
 			p.show("%d days played: %v, %d agents, %d servers, %d troubles", played, now.Day.Length,
 				now.Agents.Count, now.Fleet.Servers, len(now.Troubles))
-		}})
+		},
+	})
 	p.clear()
 	if small == nil {
 		return err
--- a/cmd/rehearse/main_test.go
+++ b/cmd/rehearse/main_test.go
@@ -50,8 +50,10 @@
 		"unknown protection": {[]string{"run", good, "--without", "luck"}, badUsage, "", "--without must be one of"},
 		"no such file":       {[]string{"run", "nowhere.toml"}, badUsage, "", "nowhere.toml"},
 		"empty":              {[]string{"run", file("empty.toml", "")}, badUsage, "", "needs the key schema"},
-		"no servers": {[]string{"run", file("none.toml", strings.Replace(string(short), "servers = 1", "servers = 0", 1))},
-			badUsage, "", "fleet.servers: must be a whole number from 1"},
+		"no servers": {
+			[]string{"run", file("none.toml", strings.Replace(string(short), "servers = 1", "servers = 0", 1))},
+			badUsage, "", "fleet.servers: must be a whole number from 1",
+		},
 		"unwritable":        {[]string{"run", good, "--json", dir}, badUsage, "", "is a directory"},
 		"hunt passes":       {[]string{"hunt", good, "--seeds", "3"}, passed, "3 days, 0 did not pass", ""},
 		"hunt finds":        {[]string{"hunt", bad, "--seeds", "3", "--out", filepath.Join(dir, "hunt")}, failed, "2 did not pass", ""},
--- a/contract/contract_test.go
+++ b/contract/contract_test.go
@@ -39,9 +39,11 @@
 func draw(t *rapid.T) Table {
 	clock := rapid.SampledFrom([]string{"00:00", "02:00", "03:00", "03:30", "04:00", "05:00", "12:15", "20:00", "23:59"})
 	days := rapid.SampledFrom([]string{"mon-sun", "fri-mon", "sat", "sun", "sat,sun", "mon,wed", "thu-sat,mon"})
-	c := Table{Zone: rapid.SampledFrom([]string{"Europe/Bucharest", "America/Havana", "Australia/Lord_Howe", "UTC"}).Draw(t, "zone"),
+	c := Table{
+		Zone:     rapid.SampledFrom([]string{"Europe/Bucharest", "America/Havana", "Australia/Lord_Howe", "UTC"}).Draw(t, "zone"),
 		DayAfter: rapid.Bool().Draw(t, "day after"),
-		Excluded: rapid.SliceOfN(rapid.SampledFrom([]string{"2026-03-28", "2026-03-29", "2026-03-31", "2026-10-24", "2026-10-25", "2026-11-01"}), 0, 3).Draw(t, "excluded")}
+		Excluded: rapid.SliceOfN(rapid.SampledFrom([]string{"2026-03-28", "2026-03-29", "2026-03-31", "2026-10-24", "2026-10-25", "2026-11-01"}), 0, 3).Draw(t, "excluded"),
+	}
 	for range rapid.IntRange(1, 4).Draw(t, "spans") {
 		from, to := clock.Draw(t, "from"), rapid.OneOf(clock, rapid.Just("24:00")).Draw(t, "to")
 		if from != to {
@@ -102,8 +104,10 @@
 }
 
 // strangeZones have clocks that skip or double a midnight, a day, half an hour or two hours, or changed oddly.
-var strangeZones = []string{"Pacific/Apia", "Africa/Cairo", "Asia/Beirut", "America/Sao_Paulo", "Antarctica/Troll",
-	"Australia/Lord_Howe", "Africa/Casablanca", "America/Nuuk", "Europe/Bucharest", "Pacific/Kiritimati", "Etc/GMT+12"}
+var strangeZones = []string{
+	"Pacific/Apia", "Africa/Cairo", "Asia/Beirut", "America/Sao_Paulo", "Antarctica/Troll",
+	"Australia/Lord_Howe", "Africa/Casablanca", "America/Nuuk", "Europe/Bucharest", "Pacific/Kiritimati", "Etc/GMT+12",
+}
 
 // TestAnything: whatever a table says, it is refused, or is a contract that gives an answer for any moment; each
 // look along the calendar goes on.
@@ -211,8 +215,10 @@
 
 // TestMonthsBeginWhereMidnightIsStrange: one that comes after a doubled hour, and one that is skipped.
 func TestMonthsBeginWhereMidnightIsStrange(t *testing.T) {
-	for zone, want := range map[string]string{"Africa/Cairo": "2024-11-01 00:00 EET", "America/Asuncion": "2023-10-01 01:00 -03",
-		"Europe/Bucharest": "2026-11-01 00:00 EET"} {
+	for zone, want := range map[string]string{
+		"Africa/Cairo": "2024-11-01 00:00 EET", "America/Asuncion": "2023-10-01 01:00 -03",
+		"Europe/Bucharest": "2026-11-01 00:00 EET",
+	} {
 		c, err := Table{Zone: zone, Hours: []string{"mon 01:00-02:00"}}.Contract()
 		require.NoError(t, err)
 		first, err := time.ParseInLocation("2006-01-02", want[:10], time.UTC)
--- a/contract/read.go
+++ b/contract/read.go
@@ -40,7 +40,8 @@
 // Contract is what the table says, or Problems.
 func (t Table) Contract() (*Contract, error) {
 	var wrong Problems
-	c := &Contract{latest: latest,
+	c := &Contract{
+		latest:  latest,
 		notice:  time.Duration(t.NoticeMin) * time.Minute,
 		longest: time.Duration(cmp.Or(t.LongestMin, 480)) * time.Minute,
 		monthly: cmp.Or(t.Monthly, 4), keep: cmp.Or(t.Keep, 0.7), served: cmp.Or(t.Served, 0.9),
--- a/contract/rules_test.go
+++ b/contract/rules_test.go
@@ -33,7 +33,8 @@
 			require.Equal(t, own.Allows(at), agreed.Allows(at), own.Local(at))
 			for _, of := range []func(*Contract) (time.Duration, time.Duration, bool){
 				func(c *Contract) (time.Duration, time.Duration, bool) { return c.Run(at) },
-				func(c *Contract) (time.Duration, time.Duration, bool) { from, to := c.Month(at); return from, to, true }} {
+				func(c *Contract) (time.Duration, time.Duration, bool) { from, to := c.Month(at); return from, to, true },
+			} {
 				from, to, is := of(own)
 				begin, end, found := of(agreed)
 				require.Equal(t, []any{from, to, is}, []any{begin, end, found}, own.Local(at))
@@ -76,10 +77,21 @@
 // TestRulesRefused: what is no rules, or none in order.
 func TestRulesRefused(t *testing.T) {
 	const first, end = "2026-01-01T00:00:00Z +02:00", "2031-01-01T00:00:00Z end"
-	for _, rules := range [][]string{nil, {end}, {first}, {end, first}, {first, first, end}, {first, end, end},
-		{"2026-01-01T00:00:00Z", end}, {"2026-01-01T00:00:00Z +15:00", end}, {"2026-01-01T00:00:00Z -15:00", end},
-		{"2026-01-01T00:00:00.5Z +02:00", end}, {"1969-01-01T00:00:00Z +02:00", end},
-		{first, "2027-13-01T00:00:00Z +02:00", end}, make([]string, maxRules+1)} {
+	for _, rules := range [][]string{
+		nil,
+		{end},
+		{first},
+		{end, first},
+		{first, first, end},
+		{first, end, end},
+		{"2026-01-01T00:00:00Z", end},
+		{"2026-01-01T00:00:00Z +15:00", end},
+		{"2026-01-01T00:00:00Z -15:00", end},
+		{"2026-01-01T00:00:00.5Z +02:00", end},
+		{"1969-01-01T00:00:00Z +02:00", end},
+		{first, "2027-13-01T00:00:00Z +02:00", end},
+		make([]string, maxRules+1),
+	} {
 		_, err := Table{Zone: "Europe/Bucharest", Hours: []string{"mon 01:00-02:00"}}.ContractBy(rules)
 		require.Error(t, err, rules)
 	}
--- a/decide/agreed_test.go
+++ b/decide/agreed_test.go
@@ -92,8 +92,13 @@
 			permitted bool
 			agreed    []Agreed
 			sends     int
-		}{{true, nil, 2}, {true, []Agreed{{Attempts: 3}}, 1}, {true, []Agreed{{Attempts: 1, Copies: true}}, 1},
-			{true, []Agreed{{Attempts: 2, Copies: true}}, 2}, {false, []Agreed{{Attempts: 2, Copies: true}}, 1}} {
+		}{
+			{true, nil, 2},
+			{true, []Agreed{{Attempts: 3}}, 1},
+			{true, []Agreed{{Attempts: 1, Copies: true}}, 1},
+			{true, []Agreed{{Attempts: 2, Copies: true}}, 2},
+			{false, []Agreed{{Attempts: 2, Copies: true}}, 1},
+		} {
 			set.Limits.SecondCopies = c.permitted
 			b := start(t, set, list(6))
 			if s := b.ring.Owner(ring.Hash("k")); unproved {
--- a/decide/avoid_test.go
+++ b/decide/avoid_test.go
@@ -72,8 +72,10 @@
 			s.Tenants = []Tenant{{Name: "a"}, {Name: "b"}}
 			s.Limits.SecondCopies = seed%3 > 0
 		}
-		neutral := &Avoid{Tenants: map[string]map[string]uint32{"a": {"s1": 0, "none": math.MaxUint32}, "none": {"s1": math.MaxUint32}},
-			Turn: func(string, string) bool { return false }}
+		neutral := &Avoid{
+			Tenants: map[string]map[string]uint32{"a": {"s1": 0, "none": math.MaxUint32}, "none": {"s1": math.MaxUint32}},
+			Turn:    func(string, string) bool { return false },
+		}
 		require.True(t, reflect.DeepEqual(play(t, seed, change, nil), play(t, seed, change, func(w *world, n int) {
 			w.b.Avoid([]*Avoid{nil, neutral}[n%2])
 		})), "seed %d", seed)
--- a/decide/bench_test.go
+++ b/decide/bench_test.go
@@ -33,8 +33,10 @@
 					if noise > 0 && i%noise == 0 {
 						outcome = ConnectionLost
 					}
-					bal.Step(now, &AttemptDone{ID: old.ID, Server: old.Server, Outcome: outcome, Latency: 12 * ms,
-						Finished: true})
+					bal.Step(now, &AttemptDone{
+						ID: old.ID, Server: old.Server, Outcome: outcome, Latency: 12 * ms,
+						Finished: true,
+					})
 				}
 				acts := bal.Step(now, &Request{ID: uint32(i + 1), Class: "unsafe", Key: keys[i*7%1000], Budget: time.Second})
 				sent[i%4] = acts[len(acts)-1]
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -181,8 +181,10 @@
 func (b *Balancer) update(e *Server) (changed bool) {
 	s := b.servers[e.ID]
 	if s == nil {
-		s = &server{hash: ring.Hash(e.ID), penalty: b.meanPenalty(), penaltyAt: b.now,
-			record: b.detector.Join()}
+		s = &server{
+			hash: ring.Hash(e.ID), penalty: b.meanPenalty(), penaltyAt: b.now,
+			record: b.detector.Join(),
+		}
 		s.State, s.ID = Gone, e.ID
 		b.servers[e.ID], b.byHash[s.hash] = s, s
 	}
@@ -563,8 +565,10 @@
 		held = s.held
 		s.held++
 	}
-	r.attempts = append(r.attempts, attempt{server: s, load: int32(s.inFlight), held: held,
-		despite: despite, noted: b.detector.Start(b.now, s.record, r.class.lane, limit)})
+	r.attempts = append(r.attempts, attempt{
+		server: s, load: int32(s.inFlight), held: held,
+		despite: despite, noted: b.detector.Start(b.now, s.record, r.class.lane, limit),
+	})
 	r.open++
 	if s.inFlight == 0 {
 		s.silentSince = b.now
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -23,22 +23,34 @@
 const ringVectors = "s4 s1 s2 s3 s0 s2 s3 s3 "
 
 func settings() Settings {
-	return Settings{Balancers: 3, Zone: "z0",
+	return Settings{
+		Balancers: 3, Zone: "z0",
 		Classes: []Class{
 			{Name: "safe", Aim: 400 * ms, Deadline: time.Second, Effect: Safe, Worth: 1},
-			{Name: "zone", Aim: 800 * ms, Deadline: 2 * time.Second, Effect: Keyed, Scope: ScopeZone,
-				Memory: 500 * ms, Worth: 2},
-			{Name: "cell", Aim: 800 * ms, Deadline: 2 * time.Second, Effect: Keyed, Scope: ScopeCell,
-				Memory: 500 * ms, Worth: 2},
-			{Name: "all", Aim: 800 * ms, Deadline: 2 * time.Second, Effect: Keyed, Scope: ScopeAll,
-				Memory: 500 * ms, Worth: 2},
+			{
+				Name: "zone", Aim: 800 * ms, Deadline: 2 * time.Second, Effect: Keyed, Scope: ScopeZone,
+				Memory: 500 * ms, Worth: 2,
+			},
+			{
+				Name: "cell", Aim: 800 * ms, Deadline: 2 * time.Second, Effect: Keyed, Scope: ScopeCell,
+				Memory: 500 * ms, Worth: 2,
+			},
+			{
+				Name: "all", Aim: 800 * ms, Deadline: 2 * time.Second, Effect: Keyed, Scope: ScopeAll,
+				Memory: 500 * ms, Worth: 2,
+			},
 			{Name: "unsafe", Aim: 500 * ms, Deadline: time.Second, Effect: Unsafe, Worth: 10},
 		},
-		Limits: Limits{MaxAttempts: 3, Cancel: true, Peers: true, RetryAfter: true,
-			MaxRetryAfter: time.Second},
-		Rules: Rules{DrainGrace: 500 * ms, ColdShare: 0.4, ColdFor: 8 * time.Second, FallMultiple: 3,
-			FallWindow: 2 * time.Second, AskWithin: 10 * time.Second},
-		Prices: Prices{CrossZone: 0.01, Waste: 0.05}, Goal: Goal{Whole: 0.7, WorstClass: 0.3}, Tick: 5 * ms}
+		Limits: Limits{
+			MaxAttempts: 3, Cancel: true, Peers: true, RetryAfter: true,
+			MaxRetryAfter: time.Second,
+		},
+		Rules: Rules{
+			DrainGrace: 500 * ms, ColdShare: 0.4, ColdFor: 8 * time.Second, FallMultiple: 3,
+			FallWindow: 2 * time.Second, AskWithin: 10 * time.Second,
+		},
+		Prices: Prices{CrossZone: 0.01, Waste: 0.05}, Goal: Goal{Whole: 0.7, WorstClass: 0.3}, Tick: 5 * ms,
+	}
 }
 
 func list(n int) []Server {
@@ -1111,8 +1123,10 @@
 	a, b := start(t, settings(), l), start(t, settings(), []Server{l[3], l[1], l[7], l[0], l[2], l[5], l[4], l[6]})
 	small := 0
 	for i := range 4000 {
-		r := &request{class: a.classes["safe"], keyed: true, hash: farm.Fingerprint32([]byte(fmt.Sprint(i))),
-			aimBy: time.Second, deadline: time.Second}
+		r := &request{
+			class: a.classes["safe"], keyed: true, hash: farm.Fingerprint32([]byte(fmt.Sprint(i))),
+			aimBy: time.Second, deadline: time.Second,
+		}
 		s := a.pick(r)
 		if other := b.pick(r); other.ID != s.ID {
 			t.Fatalf("key %d: %s and %s", i, s.ID, other.ID)
@@ -1152,10 +1166,16 @@
 	set := settings()
 	set.Tenants = []Tenant{{Name: "a", QuotaPerS: 30}}
 	for _, m := range []PeerMessage{
-		{From: -1, Data: rateMessage(5)}, {From: 3, Data: rateMessage(5)}, {From: 0, Data: rateMessage(5)},
-		{From: 1}, {From: 1, Data: rateMessage(math.NaN())}, {From: 1, Data: rateMessage(-1)},
-		{From: 1, Data: rateMessage(math.Inf(1))}, {From: 1, Data: make([]byte, 4096)},
-		{From: 1, Data: append(rateMessage(5), 0)}, {From: 1, Data: []byte{msgDampResp, 0, 0, 0, 0, 255}},
+		{From: -1, Data: rateMessage(5)},
+		{From: 3, Data: rateMessage(5)},
+		{From: 0, Data: rateMessage(5)},
+		{From: 1},
+		{From: 1, Data: rateMessage(math.NaN())},
+		{From: 1, Data: rateMessage(-1)},
+		{From: 1, Data: rateMessage(math.Inf(1))},
+		{From: 1, Data: make([]byte, 4096)},
+		{From: 1, Data: append(rateMessage(5), 0)},
+		{From: 1, Data: []byte{msgDampResp, 0, 0, 0, 0, 255}},
 	} {
 		b := start(t, set, list(4))
 		acts := b.Step(time.Second, &m)
@@ -1168,8 +1188,12 @@
 // Where the tail counts, the limit follows the share of misses allowed; odd goals leave the usual limit.
 func TestTailLimit(t *testing.T) {
 	for _, c := range []struct{ slowEnd, miss, want float64 }{
-		{0, 0, hardShare}, {0, 0.02, hardShare}, {0.4, 0.02, 1 / math.Log(50)}, {0.4, 0, hardShare},
-		{0.4, 1, hardShare}, {0.4, 0.5, hardShare},
+		{0, 0, hardShare},
+		{0, 0.02, hardShare},
+		{0.4, 0.02, 1 / math.Log(50)},
+		{0.4, 0, hardShare},
+		{0.4, 1, hardShare},
+		{0.4, 0.5, hardShare},
 	} {
 		set := settings()
 		set.Goal.SlowEnd, set.Goal.TailMiss = c.slowEnd, c.miss
@@ -1464,8 +1488,10 @@
 	b.Step(5*time.Second, &TimerDue{Tag: tagRound})
 	require.Less(t, b.expected(s), 0.05, "it is quick and idle, as it was before")
 	for id := uint32(100); id < 100+slow; id++ {
-		b.Step(6*time.Second, &AttemptDone{ID: id, Server: "s0", Outcome: []Outcome{Served, ConnectionLost, CalledOff}[id%3],
-			Latency: 40 * ms, Finished: true})
+		b.Step(6*time.Second, &AttemptDone{
+			ID: id, Server: "s0", Outcome: []Outcome{Served, ConnectionLost, CalledOff}[id%3],
+			Latency: 40 * ms, Finished: true,
+		})
 	}
 	require.Zero(t, s.inFlight, "and none is taken off twice")
 	require.Zero(t, b.inFlight)
@@ -1478,8 +1504,10 @@
 	b := start(t, settings(), list(3))
 	for id := range uint32(30) {
 		a := mustSend(t, b.Step(time.Duration(id)*ms, &Request{ID: id, Class: "safe", Budget: time.Second}))
-		b.Step(time.Duration(id)*ms+1, &AttemptDone{ID: id, Server: a.Server, Outcome: NoConnection, Latency: ms,
-			Evidence: health.Evidence{Phase: health.Connecting, Ours: true}})
+		b.Step(time.Duration(id)*ms+1, &AttemptDone{
+			ID: id, Server: a.Server, Outcome: NoConnection, Latency: ms,
+			Evidence: health.Evidence{Phase: health.Connecting, Ours: true},
+		})
 	}
 	require.Zero(t, b.failing)
 	for _, s := range b.ring.Members() {
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -13,8 +13,10 @@
 		Balancers: 1,
 		Zone:      "a",
 		Tick:      time.Millisecond,
-		Classes: []decide.Class{{Name: "read", Aim: 300 * time.Millisecond, Deadline: time.Second,
-			Effect: decide.Safe, Worth: 1}},
+		Classes: []decide.Class{{
+			Name: "read", Aim: 300 * time.Millisecond, Deadline: time.Second,
+			Effect: decide.Safe, Worth: 1,
+		}},
 		Limits: decide.Limits{MaxAttempts: 3},
 		Rules:  decide.Rules{ColdShare: 0.3, ColdFor: 8 * time.Second, FallMultiple: 3, FallWindow: 2 * time.Second},
 	}, 42)
@@ -23,7 +25,8 @@
 		return
 	}
 	b.Step(0, &decide.Membership{Kind: decide.SyncFull, Servers: []decide.Server{
-		{ID: "server-1", Zone: "a", Weight: 1}, {ID: "server-2", Zone: "a", Weight: 1}}})
+		{ID: "server-1", Zone: "a", Weight: 1}, {ID: "server-2", Zone: "a", Weight: 1},
+	}})
 	now := 10 * time.Millisecond
 	for _, a := range b.Step(now, &decide.Request{ID: 1, Class: "read", Key: "user-7", Budget: time.Second}) {
 		if a.Kind == decide.Send {
--- a/decide/figures.go
+++ b/decide/figures.go
@@ -16,6 +16,8 @@
 
 // DefaultFigures are the figures in service.
 func DefaultFigures() Figures {
-	return Figures{SuppressLimit: 2.5, ColdMargin: 0.4, ColdMost: 1, BoundedLoad: 2, RetryRatio: 0.2,
-		RetryReserve: 20, SpareRatio: 1, SpareReserve: 40, LowShare: 0.3}
+	return Figures{
+		SuppressLimit: 2.5, ColdMargin: 0.4, ColdMost: 1, BoundedLoad: 2, RetryRatio: 0.2,
+		RetryReserve: 20, SpareRatio: 1, SpareReserve: 40, LowShare: 0.3,
+	}
 }
--- a/decide/memory.go
+++ b/decide/memory.go
@@ -95,8 +95,10 @@
 	const toDown = 3 // failures that took a server down then, by the module's own count
 	for i := range m.Servers {
 		s := &m.Servers[i]
-		s.Health = health.Memory{Down: s.Down1, Mute: s.Down1 && s.Refused1 == 0, Absent: s.Refused1 > 1,
-			Dead: 4 * min(max(s.Failures1, 0), toDown)}
+		s.Health = health.Memory{
+			Down: s.Down1, Mute: s.Down1 && s.Refused1 == 0, Absent: s.Refused1 > 1,
+			Dead: 4 * min(max(s.Failures1, 0), toDown),
+		}
 		s.Failures1, s.Refused1, s.Down1 = 0, 0, false
 	}
 }
@@ -120,9 +122,11 @@
 func (b *Balancer) Remember(now time.Duration) Memory {
 	b.now = max(b.now, now)
 	here, mean := b.quota.Rates()
-	m := Memory{Pace: b.pace.memory(), Latency: b.latency, Failing: b.failing, Rate: b.rate, Typical: b.typical,
+	m := Memory{
+		Pace: b.pace.memory(), Latency: b.latency, Failing: b.failing, Rate: b.rate, Typical: b.typical,
 		Arrivals: here, MeanArrivals: mean, MeanWork: b.meanWork, MeanHeld: b.meanHeld,
-		Tokens: b.tokens}
+		Tokens: b.tokens,
+	}
 	for _, name := range byName(b.kinds) {
 		m.Kinds = append(m.Kinds, KindMemory{name, b.kinds[name].memory()})
 	}
@@ -158,8 +162,10 @@
 
 // rememberServer numbers classes by their place among the names.
 func (b *Balancer) rememberServer(s *server, names []string) ServerMemory {
-	m := ServerMemory{ID: s.ID, Started: s.Started, Latency: s.latency, LatencyAtN: s.latencyAtN,
-		DampedFor: max(s.dampedUntil-b.now, 0), Health: b.detector.Remember(b.now, s.record)}
+	m := ServerMemory{
+		ID: s.ID, Started: s.Started, Latency: s.latency, LatencyAtN: s.latencyAtN,
+		DampedFor: max(s.dampedUntil-b.now, 0), Health: b.detector.Remember(b.now, s.record),
+	}
 	for i := range m.Health.Lanes {
 		m.Health.Lanes[i].Class = slices.Index(names, b.laneName(m.Health.Lanes[i].Class))
 	}
--- a/decide/memory_test.go
+++ b/decide/memory_test.go
@@ -32,8 +32,10 @@
 			}
 			attempt := len(b.requests[id].attempts) - 1
 			now += took / 8
-			acts = b.Step(now, &AttemptDone{ID: id, Attempt: attempt, Server: a.Server, Outcome: o, Latency: took,
-				Finished: o == Served})
+			acts = b.Step(now, &AttemptDone{
+				ID: id, Attempt: attempt, Server: a.Server, Outcome: o, Latency: took,
+				Finished: o == Served,
+			})
 		}
 		if id%25 == 0 {
 			b.Step(now, &TimerDue{})
@@ -103,8 +105,14 @@
 	for _, c := range []struct {
 		age                  time.Duration
 		down, damped, blamed bool
-	}{{0, true, true, true}, {9 * time.Second, true, true, true}, {11 * time.Second, true, true, false},
-		{21 * time.Second, true, false, false}, {59 * time.Second, true, false, false}, {time.Minute, false, false, false}} {
+	}{
+		{0, true, true, true},
+		{9 * time.Second, true, true, true},
+		{11 * time.Second, true, true, false},
+		{21 * time.Second, true, false, false},
+		{59 * time.Second, true, false, false},
+		{time.Minute, false, false, false},
+	} {
 		then := recalled(t, m, noon, c.age, list(4))
 		require.Equal(t, c.down, then.servers["s1"].record.IsDown(), c.age)
 		require.Equal(t, c.damped, noon < then.servers["s2"].dampedUntil, c.age)
--- a/decide/place.go
+++ b/decide/place.go
@@ -93,8 +93,10 @@
 func (b *Balancer) resettle() {
 	if before := b.placed; b.given != nil {
 		if b.settle(); b.placed != before {
-			b.log("generation %d of the ring %s", b.given.Number, map[bool]string{true: "holds again",
-				false: "leaves no server that is not down"}[b.placed != nil])
+			b.log("generation %d of the ring %s", b.given.Number, map[bool]string{
+				true:  "holds again",
+				false: "leaves no server that is not down",
+			}[b.placed != nil])
 			b.seat()
 		}
 	}
--- a/decide/present_test.go
+++ b/decide/present_test.go
@@ -28,8 +28,10 @@
 // named, where so many are said to be there.
 func trials(agents, said int) float64 {
 	const length = 10 * time.Minute
-	terms := cold.Terms{Share: 0.3, For: 9 * time.Second, FallMultiple: 3, FallWindow: 3 * time.Second, Margin: 0.5, Most: 1,
-		Balancers: Counted(said, 300)}
+	terms := cold.Terms{
+		Share: 0.3, For: 9 * time.Second, FallMultiple: 3, FallWindow: 3 * time.Second, Margin: 0.5, Most: 1,
+		Balancers: Counted(said, 300),
+	}
 	rng, sent := rand.New(rand.NewPCG(1, 2)), 0
 	for range agents {
 		var b cold.Budget
--- a/decide/sparse_test.go
+++ b/decide/sparse_test.go
@@ -34,8 +34,10 @@
 				continue
 			}
 			sent[a.Server]++
-			b.Step(now+50*ms, &AttemptDone{ID: id, Server: a.Server, Outcome: Served, Latency: 50 * ms,
-				Finished: true})
+			b.Step(now+50*ms, &AttemptDone{
+				ID: id, Server: a.Server, Outcome: Served, Latency: 50 * ms,
+				Finished: true,
+			})
 		}
 	}
 	return sent
--- a/decide/state.go
+++ b/decide/state.go
@@ -84,19 +84,25 @@
 	if err := set.check(); err != nil {
 		return nil, err
 	}
-	b := &Balancer{set: set, fig: set.Figures, rng: rand.New(rand.NewPCG(seed, 0x5072656c)),
+	b := &Balancer{
+		set: set, fig: set.Figures, rng: rand.New(rand.NewPCG(seed, 0x5072656c)),
 		classes: map[string]*class{}, servers: map[string]*server{},
 		byHash: map[uint32]*server{}, ring: ring.New[*server](replicaPoints),
 		outside:  ring.New[*server](replicaPoints),
 		requests: map[uint32]*request{}, keys: map[uint32]*blame{}, zones: map[string]*zone{},
 		kinds: map[string]*pace{}, typical: typicalStart / float64(set.Balancers),
-		tokens: set.Figures.RetryReserve, spares: set.Figures.SpareReserve, off: newKeepOff(set.Tenants)}
-	b.discovery = asking.New(asking.Terms{Agents: set.Balancers, AskWithin: set.Rules.AskWithin,
-		DrainGrace: set.Rules.DrainGrace})
+		tokens: set.Figures.RetryReserve, spares: set.Figures.SpareReserve, off: newKeepOff(set.Tenants),
+	}
+	b.discovery = asking.New(asking.Terms{
+		Agents: set.Balancers, AskWithin: set.Rules.AskWithin,
+		DrainGrace: set.Rules.DrainGrace,
+	})
 	b.quota = quota.New(set.Balancers, set.Limits.Peers)
-	b.setTerms(cold.Terms{Share: set.Rules.ColdShare, For: set.Rules.ColdFor,
+	b.setTerms(cold.Terms{
+		Share: set.Rules.ColdShare, For: set.Rules.ColdFor,
 		FallMultiple: set.Rules.FallMultiple, FallWindow: set.Rules.FallWindow, Margin: b.fig.ColdMargin,
-		Most: b.fig.ColdMost, Balancers: set.Balancers})
+		Most: b.fig.ColdMost, Balancers: set.Balancers,
+	})
 	shortest := set.Classes[0].Aim
 	for i, c := range set.Classes {
 		b.classes[c.Name] = &class{Class: c, lane: i}
@@ -194,10 +200,12 @@
 }
 
 // ends are the outcomes as the detector knows them.
-var ends = [...]health.End{Served: health.Answered, ServerError: health.Errored,
+var ends = [...]health.End{
+	Served: health.Answered, ServerError: health.Errored,
 	TurnedAway: health.TurnedAway, NoAnswer: health.TimedOut, NoConnection: health.Unsent,
 	ConnectionLost: health.Lost,
-	CalledOff:      health.Void, NotSent: health.Void}
+	CalledOff:      health.Void, NotSent: health.Void,
+}
 
 // zone holds what a zone's reports of requests held have been worth: the wait that followed for each. Reports
 // of a full house with quick answers after them lose their weight so; a zone with honest servers beside lying
--- a/decide/unproved.go
+++ b/decide/unproved.go
@@ -29,9 +29,11 @@
 
 // toProve is what counts of a request at a server that is not proved.
 func (r *request) toProve() proving.Request {
-	return proving.Request{Aim: r.class.Aim, Safe: r.class.Effect == Safe, Copies: r.class.copies,
+	return proving.Request{
+		Aim: r.class.Aim, Safe: r.class.Effect == Safe, Copies: r.class.copies,
 		Attempts: len(r.attempts), Most: r.class.most, By: r.proofBy,
-		Ended: slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.done })}
+		Ended: slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.done }),
+	}
 }
 
 // vouched tells what trusted does, and for a server that is not proved, whether it has room for the request.
--- a/decide/zones_test.go
+++ b/decide/zones_test.go
@@ -29,8 +29,10 @@
 			}
 			id := uint32(i + 1)
 			off := now > 10*time.Second && now <= 30*time.Second
-			acts := b.Step(now, &Request{ID: id, Key: string(rune('a'+i%26)) + string(rune('a'+i*7%23)),
-				Class: set.Classes[0].Name, Budget: time.Second})
+			acts := b.Step(now, &Request{
+				ID: id, Key: string(rune('a'+i%26)) + string(rune('a'+i*7%23)),
+				Class: set.Classes[0].Name, Budget: time.Second,
+			})
 			number := 0
 			var ends []AttemptDone
 			for _, a := range acts {
--- a/fleet/arena/arena.go
+++ b/fleet/arena/arena.go
@@ -82,7 +82,8 @@
 
 // New returns an arena of so many agents, none of which is started. Start makes an agent's process.
 func New(seed uint64, now time.Time, agents int, start func(agent uint32, now time.Time) Process) *World {
-	return &World{random: rand.New(rand.NewPCG(seed, 0xa7e4a)), begin: now, now: now, start: start,
+	return &World{
+		random: rand.New(rand.NewPCG(seed, 0xa7e4a)), begin: now, now: now, start: start,
 		agents: make([]agent, agents),
 	}
 }
--- a/fleet/arena/arena_test.go
+++ b/fleet/arena/arena_test.go
@@ -22,6 +22,7 @@
 	e.next = now.Add(time.Second)
 	e.out = append(e.out, Datagram{1, []byte{1, 2}})
 }
+
 func (e *echoer) Out(time.Time) []Datagram {
 	out := e.out
 	e.out = nil
--- a/fleet/consensus/consensus_test.go
+++ b/fleet/consensus/consensus_test.go
@@ -353,8 +353,10 @@
 // FuzzReceived: nothing that comes ends the process.
 func FuzzReceived(f *testing.F) {
 	f.Add(uint8(0), []byte{1, 2, 3})
-	m, _ := proto.Marshal(&raftpb.Message{Type: raftpb.MsgApp.Enum(), To: new(uint64(2)), From: new(uint64(1)),
-		Term: new(uint64(5)), Commit: new(uint64(9)), Index: new(uint64(1)), LogTerm: new(uint64(1))})
+	m, _ := proto.Marshal(&raftpb.Message{
+		Type: raftpb.MsgApp.Enum(), To: new(uint64(2)), From: new(uint64(1)),
+		Term: new(uint64(5)), Commit: new(uint64(9)), Index: new(uint64(1)), LogTerm: new(uint64(1)),
+	})
 	f.Add(uint8(1), append(envelope{}.append(nil)[2:], m...))
 	f.Add(uint8(2), hello{nonce: 5}.encode()[2:])
 	f.Add(uint8(3), welcome{nonce: 5, epoch: 1, id: 1}.encode()[2:])
--- a/fleet/fleetlab/lab.go
+++ b/fleet/fleetlab/lab.go
@@ -91,9 +91,11 @@
 // Lossy has all ways lose and double a part, and be late by up to a time.
 func (l *Lab) Lossy(loss, double float64, late time.Duration) {
 	l.World.All(func(k *arena.Link) {
-		*k = arena.Link{Cut: k.Cut, Loss: loss, Double: double, Delay: time.Millisecond,
+		*k = arena.Link{
+			Cut: k.Cut, Loss: loss, Double: double, Delay: time.Millisecond,
 			Jitter: 4 * time.Millisecond,
-			Late:   0.1, Lateness: late}
+			Late:   0.1, Lateness: late,
+		}
 	})
 }
 
@@ -120,9 +122,11 @@
 	h.lives++
 	h.tally = &tally{}
 	h.writing = nil
-	set := fleet.Settings{Self: h.self, Agents: l.opts.Agents, Voters: l.voters(),
+	set := fleet.Settings{
+		Self: h.self, Agents: l.opts.Agents, Voters: l.voters(),
 		Seed:        l.opts.Seed*7919 + uint64(h.self),
-		Incarnation: h.lives, Terms: l.opts.Terms, Lasts: !l.opts.Volatile, Machines: []fleet.Machine{h.tally}}
+		Incarnation: h.lives, Terms: l.opts.Terms, Lasts: !l.opts.Volatile, Machines: []fleet.Machine{h.tally},
+	}
 	if !l.opts.Volatile {
 		set.Stored = h.disk
 	}
--- a/fleet/fleetlab/script.go
+++ b/fleet/fleetlab/script.go
@@ -120,7 +120,8 @@
 	for _, unit := range []time.Duration{time.Second, 100 * time.Millisecond, 10 * time.Millisecond} {
 		for i := range script {
 			for _, round := range []func(*Fault){
-				func(f *Fault) { f.At = f.At.Round(unit) }, func(f *Fault) { f.Lasts = f.Lasts.Round(unit) }} {
+				func(f *Fault) { f.At = f.At.Round(unit) }, func(f *Fault) { f.Lasts = f.Lasts.Round(unit) },
+			} {
 				rounder := slices.Clone(script)
 				if round(&rounder[i]); rounder[i].At >= script[max(i-1, 0)].At && fails(rounder) {
 					script = rounder
--- a/fleet/internal/compact/compact.go
+++ b/fleet/internal/compact/compact.go
@@ -23,8 +23,10 @@
 	if err != nil {
 		panic(err) // of constants
 	}
-	dec, err := cbor.DecOptions{IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden,
-		MaxArrayElements: mostElements, MaxMapPairs: 16, MaxNestedLevels: 6}.DecMode()
+	dec, err := cbor.DecOptions{
+		IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden,
+		MaxArrayElements: mostElements, MaxMapPairs: 16, MaxNestedLevels: 6,
+	}.DecMode()
 	if err != nil {
 		panic(err)
 	}
--- a/fleet/lease/granter.go
+++ b/fleet/lease/granter.go
@@ -114,10 +114,14 @@
 		return Answer{To: to, Grant: Grant{Nonce: r.Nonce, Refused: true}}
 	}
 	g.fig.Granted++
-	g.agents[to] = Held{Agent: to, Incarnation: r.Incarnation, Granted: now,
-		Applied: chronicle.Position{Epoch: r.Epoch, Seq: r.Seq}}
-	return Answer{To: to, Grant: Grant{Nonce: r.Nonce, Epoch: g.at.Epoch, Seq: g.at.Seq,
-		Unix: now.Unix}}
+	g.agents[to] = Held{
+		Agent: to, Incarnation: r.Incarnation, Granted: now,
+		Applied: chronicle.Position{Epoch: r.Epoch, Seq: r.Seq},
+	}
+	return Answer{To: to, Grant: Grant{
+		Nonce: r.Nonce, Epoch: g.at.Epoch, Seq: g.at.Seq,
+		Unix: now.Unix,
+	}}
 }
 
 // Confirmed tells that a linearizable read which began at a reading has ended, and that this voter has
--- a/fleet/lease/holder.go
+++ b/fleet/lease/holder.go
@@ -114,8 +114,10 @@
 	}
 	h.turn = (h.turn + 1) % len(h.voters)
 	to = h.voters[h.turn]
-	r = Request{Agent: h.set.Self, Incarnation: h.set.Incarnation, Nonce: h.rng.Uint64(), Epoch: h.applied.Epoch,
-		Seq: h.applied.Seq}
+	r = Request{
+		Agent: h.set.Self, Incarnation: h.set.Incarnation, Nonce: h.rng.Uint64(), Epoch: h.applied.Epoch,
+		Seq: h.applied.Seq,
+	}
 	h.open[h.asked%openRequests] = request{nonce: r.Nonce, voter: to, sent: now}
 	h.asked++
 	h.fig.Asked++
--- a/fleet/lease/lease_test.go
+++ b/fleet/lease/lease_test.go
@@ -35,8 +35,10 @@
 )
 
 func newLab(seed uint64, agents int, faults lossy.Faults, terms Terms, without string) *lab {
-	l := &lab{World: lossy.New(seed, voters+agents, 1e6*time.Second, faults), terms: terms.Usual(), without: without,
-		known: make([]uint64, agents), lastInput: make([]Reading, agents)}
+	l := &lab{
+		World: lossy.New(seed, voters+agents, 1e6*time.Second, faults), terms: terms.Usual(), without: without,
+		known: make([]uint64, agents), lastInput: make([]Reading, agents),
+	}
 	granting := l.terms
 	if without == "heard" {
 		granting.Heard, granting.Pause = time.Hour, time.Hour
@@ -64,8 +66,10 @@
 }
 
 func (l *lab) restart(a int, incarnation uint64) {
-	l.holders[a] = NewHolder(HolderSettings{Terms: l.terms, Self: a, Incarnation: incarnation,
-		Voters: []int{0, 1, 2}, Seed: uint64(a) + 7}, l.reading(voters+a))
+	l.holders[a] = NewHolder(HolderSettings{
+		Terms: l.terms, Self: a, Incarnation: incarnation,
+		Voters: []int{0, 1, 2}, Seed: uint64(a) + 7,
+	}, l.reading(voters+a))
 	l.holders[a].Applied(chronicle.Position{Epoch: 1, Seq: l.known[a]})
 	l.Wake(voters+a, l.holders[a].Next())
 }
@@ -215,8 +219,10 @@
 // course plays 90 s with all faults.
 func course(seed uint64, without string) *lab {
 	terms := Terms{Length: 2 * time.Second, Heard: 500 * time.Millisecond, Clocks: 400 * time.Millisecond, Drift: 0.01}
-	l := newLab(seed, 6, lossy.Faults{Loss: 0.1, Double: 0.1, Least: time.Millisecond, Most: 20 * time.Millisecond,
-		Late: 0.1, LateBy: 4 * time.Second}, terms, without)
+	l := newLab(seed, 6, lossy.Faults{
+		Loss: 0.1, Double: 0.1, Least: time.Millisecond, Most: 20 * time.Millisecond,
+		Late: 0.1, LateBy: 4 * time.Second,
+	}, terms, without)
 	rng, begin := l.Rand(), l.Now()
 	end := begin + 90*time.Second
 	incarnation := uint64(1)
--- a/fleet/lossy/lossy.go
+++ b/fleet/lossy/lossy.go
@@ -52,10 +52,12 @@
 
 // New returns a world that begins at a true time.
 func New(seed uint64, nodes int, begin time.Duration, faults Faults) *World {
-	w := &World{Faults: faults,
-		rng: rand.New(rand.NewPCG(seed, 0x10557)), now: begin, cut: make([]bool, nodes*nodes),
+	w := &World{
+		Faults: faults,
+		rng:    rand.New(rand.NewPCG(seed, 0x10557)), now: begin, cut: make([]bool, nodes*nodes),
 		Sent: make([]int, nodes), Bytes: make([]int, nodes), paused: make([]time.Duration, nodes),
-		timers: make([]uint64, nodes), clocks: make([]clock, nodes)}
+		timers: make([]uint64, nodes), clocks: make([]clock, nodes),
+	}
 	for i := range w.clocks {
 		w.clocks[i] = clock{rate: 1, from: begin}
 	}
--- a/fleet/node.go
+++ b/fleet/node.go
@@ -134,27 +134,35 @@
 	if err := set.Check(); err != nil {
 		return nil, err
 	}
-	n := &Node{set: set, began: now.Mono, differs: map[int]bool{},
-		random: rand.New(rand.NewPCG(set.Seed, set.Incarnation))}
+	n := &Node{
+		set: set, began: now.Mono, differs: map[int]bool{},
+		random: rand.New(rand.NewPCG(set.Seed, set.Incarnation)),
+	}
 	n.machines.known = set.Machines
 	n.proposals = newProposals(n.random.Uint64())
-	n.carrier = pieces.New(pieces.Config{Agents: set.Agents, Incarnation: set.Incarnation, Memory: set.Memory,
-		Rate: set.Rate, Burst: set.Burst})
+	n.carrier = pieces.New(pieces.Config{
+		Agents: set.Agents, Incarnation: set.Incarnation, Memory: set.Memory,
+		Rate: set.Rate, Burst: set.Burst,
+	})
 	var err error
 	limits := chronicle.Limits{Snapshot: consensus.MaxSnapshot}
 	if n.log, err = chronicle.New(chronicle.Snapshot{}, limits); err != nil {
 		return nil, err
 	}
-	n.holder = lease.NewHolder(lease.HolderSettings{Terms: set.Terms, Self: set.Self,
+	n.holder = lease.NewHolder(lease.HolderSettings{
+		Terms: set.Terms, Self: set.Self,
 		Incarnation: set.Incarnation,
-		Voters:      set.Voters, Seed: set.Seed}, now)
+		Voters:      set.Voters, Seed: set.Seed,
+	}, now)
 	if set.Votes() {
 		if err := n.startVoter(now); err != nil {
 			return nil, err
 		}
 	}
-	n.roster = roster.New(roster.Settings{Agents: set.Agents, Self: set.Self,
-		Started: time.Duration(set.Incarnation) * time.Millisecond, Seed: set.Seed}, now.Mono)
+	n.roster = roster.New(roster.Settings{
+		Agents: set.Agents, Self: set.Self,
+		Started: time.Duration(set.Incarnation) * time.Millisecond, Seed: set.Seed,
+	}, now.Mono)
 	n.startSpread(now)
 	n.turn(now)
 	return n, nil
--- a/fleet/orders/orders_test.go
+++ b/fleet/orders/orders_test.go
@@ -17,8 +17,10 @@
 		one, other := &Book{}, &Book{}
 		last := map[string]bool{}
 		for i := range rapid.IntRange(0, 60).Draw(t, "orders") {
-			o := Order{Server: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "server"),
-				Down: rapid.Bool().Draw(t, "down"), At: time.Duration(rapid.IntRange(1, 50).Draw(t, "at"))}
+			o := Order{
+				Server: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "server"),
+				Down:   rapid.Bool().Draw(t, "down"), At: time.Duration(rapid.IntRange(1, 50).Draw(t, "at")),
+			}
 			raw, err := o.Encode()
 			require.NoError(t, err)
 			if rapid.IntRange(0, 9).Draw(t, "spoilt") == 0 {
--- a/fleet/proposing.go
+++ b/fleet/proposing.go
@@ -119,8 +119,10 @@
 	p := &n.proposals
 	p.last++
 	t := ticketOf{p.origin, p.last}
-	p.waiting[p.last] = &proposal{ticket: t, data: encodeRecord(machine, t, data), giveUp: now.Mono + within,
-		next: now.Mono, turn: n.random.IntN(len(n.set.Voters))}
+	p.waiting[p.last] = &proposal{
+		ticket: t, data: encodeRecord(machine, t, data), giveUp: now.Mono + within,
+		next: now.Mono, turn: n.random.IntN(len(n.set.Voters)),
+	}
 	return Ticket(p.last), nil
 }
 
@@ -201,8 +203,10 @@
 		n.dropped++
 		return
 	}
-	id := consensus.ID{Origin: binary.BigEndian.Uint64(b), Number: binary.BigEndian.Uint64(b[8:]),
-		Base: binary.BigEndian.Uint64(b[16:])}
+	id := consensus.ID{
+		Origin: binary.BigEndian.Uint64(b), Number: binary.BigEndian.Uint64(b[8:]),
+		Base: binary.BigEndian.Uint64(b[16:]),
+	}
 	ask, data := b[24], b[proposalHead:]
 	answer := func(what byte, base uint64) {
 		a := append(append(make([]byte, 0, answerSize), b[:16]...), make([]byte, 9)...)
--- a/fleet/records.go
+++ b/fleet/records.go
@@ -59,6 +59,8 @@
 	if len(b) < snapshotHead {
 		return s, errState
 	}
-	return chronicle.Snapshot{Epoch: binary.BigEndian.Uint64(b), Seq: binary.BigEndian.Uint64(b[8:]),
-		Sum: binary.BigEndian.Uint64(b[16:]), Data: b[snapshotHead:]}, nil
+	return chronicle.Snapshot{
+		Epoch: binary.BigEndian.Uint64(b), Seq: binary.BigEndian.Uint64(b[8:]),
+		Sum: binary.BigEndian.Uint64(b[16:]), Data: b[snapshotHead:],
+	}, nil
 }
--- a/fleet/roster/roster.go
+++ b/fleet/roster/roster.go
@@ -187,9 +187,11 @@
 	if set.Hold <= 0 {
 		set.Hold = 10 * time.Second
 	}
-	r := &Roster{set: set, rng: rand.New(rand.NewPCG(set.Seed, uint64(set.Self))), begun: now, said: now,
+	r := &Roster{
+		set: set, rng: rand.New(rand.NewPCG(set.Seed, uint64(set.Self))), begun: now, said: now,
 		agents: make([]agent, set.Agents), heard: make([]heard, set.Agents),
-		news: make([]uint64, (set.Agents+63)/64), told: set.Agents, times: 3}
+		news: make([]uint64, (set.Agents+63)/64), told: set.Agents, times: 3,
+	}
 	for n := set.Agents; n > 1; n /= 2 {
 		r.times += 4
 	}
@@ -247,8 +249,10 @@
 		return nil
 	}
 	r.heard[r.set.Self].at = now
-	w := word{Incarnation: r.Incarnation(), Leaving: r.leaving,
-		HeardYou: age(now, r.agents[to].seen().direct, r.agents[to].seen().heardDirect)}
+	w := word{
+		Incarnation: r.Incarnation(), Leaving: r.leaving,
+		HeardYou: age(now, r.agents[to].seen().direct, r.agents[to].seen().heardDirect),
+	}
 	w.Events = r.events(now, min(mostEvents, (most-headBytes)/eventBytes))
 	start := r.rng.IntN(len(r.agents))
 	w.Start = uint16(start)
@@ -316,8 +320,10 @@
 	for c := range by {
 		if acc := &by[c]; urgent && acc.tell > 0 && r.fresh(now, *acc) && len(out) < most {
 			acc.tell--
-			out = append(out, event{Agent: number, Incarnation: a.incarnation, By: acc.by,
-				Ago: age(now, acc.at, true)})
+			out = append(out, event{
+				Agent: number, Incarnation: a.incarnation, By: acc.by,
+				Ago: age(now, acc.at, true),
+			})
 		}
 	}
 	if a.tell == 0 && by[0].tell == 0 && by[1].tell == 0 {
--- a/fleet/roster/roster_test.go
+++ b/fleet/roster/roster_test.go
@@ -27,10 +27,14 @@
 )
 
 func newLab(seed uint64, agents int, loss float64) *lab {
-	faults := lossy.Faults{Loss: loss, Double: loss / 10, Least: time.Millisecond, Most: 10 * time.Millisecond, Late: loss / 10,
-		LateBy: 2 * time.Second}
-	l := &lab{World: lossy.New(seed, agents, time.Hour, faults), rosters: make([]*Roster, agents), down: make([]bool, agents),
-		turn: make([]int, agents)}
+	faults := lossy.Faults{
+		Loss: loss, Double: loss / 10, Least: time.Millisecond, Most: 10 * time.Millisecond, Late: loss / 10,
+		LateBy: 2 * time.Second,
+	}
+	l := &lab{
+		World: lossy.New(seed, agents, time.Hour, faults), rosters: make([]*Roster, agents), down: make([]bool, agents),
+		turn: make([]int, agents),
+	}
 	l.Deliver = func(to, from int, data []byte) {
 		if l.down[to] {
 			return
@@ -285,10 +289,14 @@
 			now := time.Duration(i) * time.Second
 			data := rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(t, "data")
 			if rapid.Bool().Draw(t, "formed") {
-				w := word{Incarnation: incarnation.Draw(t, "inc"), Leaving: rapid.Bool().Draw(t, "leaving"),
+				w := word{
+					Incarnation: incarnation.Draw(t, "inc"), Leaving: rapid.Bool().Draw(t, "leaving"),
 					HeardYou: rapid.Byte().Draw(t, "heard"), Start: number.Draw(t, "start"), Ages: append([]byte{}, data...),
-					Events: []event{{Agent: number.Draw(t, "agent"), Incarnation: incarnation.Draw(t, "inc"),
-						Left: rapid.Bool().Draw(t, "left"), By: number.Draw(t, "by")}}}
+					Events: []event{{
+						Agent: number.Draw(t, "agent"), Incarnation: incarnation.Draw(t, "inc"),
+						Left: rapid.Bool().Draw(t, "left"), By: number.Draw(t, "by"),
+					}},
+				}
 				data = w.encode(1000)
 				require.Equal(t, compact.Marshal(w), data)
 			}
--- a/fleet/spread/bounds.go
+++ b/fleet/spread/bounds.go
@@ -97,8 +97,10 @@
 	of, data := s.begun.of, s.begun.data
 	s.begun = assembly{}
 	if !of.Snapshot {
-		_, err := s.log.Take(chronicle.Part{Epoch: of.Epoch, First: of.Seq, Prior: of.Sum, After: of.Check,
-			Records: [][]byte{data}})
+		_, err := s.log.Take(chronicle.Part{
+			Epoch: of.Epoch, First: of.Seq, Prior: of.Sum, After: of.Check,
+			Records: [][]byte{data},
+		})
 		s.wrong(from, err)
 		return
 	}
--- a/fleet/spread/spread.go
+++ b/fleet/spread/spread.go
@@ -144,8 +144,10 @@
 // New returns a Spreader for a log, which has to be told of what others append to it (News). It asks at once.
 func New(set Settings, log *chronicle.Log, now time.Duration) *Spreader {
 	set = set.usual()
-	s := &Spreader{set: set, log: log, rng: rand.New(rand.NewPCG(set.Seed, uint64(set.Self))), now: now,
-		last: log.Last(), interval: set.Quiet, pushed: now - set.Round}
+	s := &Spreader{
+		set: set, log: log, rng: rand.New(rand.NewPCG(set.Seed, uint64(set.Self))), now: now,
+		last: log.Last(), interval: set.Quiet, pushed: now - set.Round,
+	}
 	s.nextPush = now + s.around(set.Quiet)
 	s.given, s.taken = newBucket(set, now), newBucket(set, now)
 	s.start = start{deadline: now + set.Deadline, next: now, ask: s.rng.Uint32() | 1}
@@ -277,8 +279,10 @@
 		if !ok || uint64(len(records.Records)) != last.Seq-first+1 {
 			break
 		}
-		p := encode(kindPart, part{Epoch: records.Epoch, First: first, Prior: records.Prior, After: records.After,
-			Records: records.Records, Last: last.Seq})
+		p := encode(kindPart, part{
+			Epoch: records.Epoch, First: first, Prior: records.Prior, After: records.After,
+			Records: records.Records, Last: last.Seq,
+		})
 		if len(p) > s.set.NewsBytes {
 			break
 		}
@@ -424,8 +428,10 @@
 	if s.set.GiveOnly {
 		return
 	}
-	taken, err := s.log.Take(chronicle.Part{Epoch: p.Epoch, First: p.First, Prior: p.Prior, After: p.After,
-		Records: p.Records})
+	taken, err := s.log.Take(chronicle.Part{
+		Epoch: p.Epoch, First: p.First, Prior: p.Prior, After: p.After,
+		Records: p.Records,
+	})
 	switch {
 	case errors.Is(err, chronicle.ErrDiverged):
 		s.diverged(from)
@@ -478,16 +484,22 @@
 	} else if sum, ok := s.log.SumAt(p.Seq); ok && sum != p.Sum {
 		return nil
 	}
-	whole := piece{Snapshot: true, Epoch: snap.Epoch, Seq: snap.Seq, Sum: snap.Sum, Size: len(snap.Data),
-		Last: last.Seq}
+	whole := piece{
+		Snapshot: true, Epoch: snap.Epoch, Seq: snap.Seq, Sum: snap.Sum, Size: len(snap.Data),
+		Last: last.Seq,
+	}
 	data := snap.Data
 	if records, ok := s.log.Part(first, s.set.MessageBytes); ok {
 		if data = records.Records[0]; len(data) <= s.set.MessageBytes {
-			return encode(kindPart, part{Epoch: records.Epoch, First: first, Prior: records.Prior,
-				After: records.After, Records: records.Records, Last: last.Seq})
+			return encode(kindPart, part{
+				Epoch: records.Epoch, First: first, Prior: records.Prior,
+				After: records.After, Records: records.Records, Last: last.Seq,
+			})
+		}
+		whole = piece{
+			Epoch: records.Epoch, Seq: first, Sum: records.Prior, Check: records.After, Size: len(data),
+			Last: last.Seq,
 		}
-		whole = piece{Epoch: records.Epoch, Seq: first, Sum: records.Prior, Check: records.After, Size: len(data),
-			Last: last.Seq}
 	} else {
 		whole.Check = snap.Digest()
 	}
--- a/fleet/spread/spread_test.go
+++ b/fleet/spread/spread_test.go
@@ -29,9 +29,11 @@
 const voters = 5
 
 func newLab(seed uint64, agents int, faults lossy.Faults, set Settings) *lab {
-	l := &lab{World: lossy.New(seed, agents, time.Hour, faults), set: set, logs: make([]*chronicle.Log, agents),
+	l := &lab{
+		World: lossy.New(seed, agents, time.Hour, faults), set: set, logs: make([]*chronicle.Log, agents),
 		agents: make([]*Spreader, agents), truth: empty(chronicle.Limits{}), sums: map[uint64]uint64{},
-		had: make([]chronicle.Position, agents)}
+		had: make([]chronicle.Position, agents),
+	}
 	l.set.Agents, l.set.Voters = agents, []int{0, 1, 2, 3, 4}
 	l.Deliver = func(to, from int, data []byte) {
 		if l.agents[to] != nil {
@@ -174,8 +176,10 @@
 // end, all have all soon.
 func TestCopiesThroughAllFaults(t *testing.T) {
 	for seed := range uint64(30) {
-		faults := lossy.Faults{Loss: 0.2, Double: 0.1, Least: time.Millisecond, Most: 20 * time.Millisecond, Late: 0.1,
-			LateBy: 3 * time.Second}
+		faults := lossy.Faults{
+			Loss: 0.2, Double: 0.1, Least: time.Millisecond, Most: 20 * time.Millisecond, Late: 0.1,
+			LateBy: 3 * time.Second,
+		}
 		l := newLab(seed, 20, faults, Settings{})
 		rng, begun := l.Rand(), make([]uint64, 20)
 		for at := l.Now(); at < time.Hour+30*time.Second; at += 100 * time.Millisecond {
@@ -343,8 +347,10 @@
 	}
 	asked := s.from
 	s.Step(0, asked, far)
-	s.Step(0, asked, encode(kindPart, part{Epoch: 1, First: 1, Prior: chronicle.Beginning(1).Sum,
-		After: chronicle.Beginning(1).Sum, Last: 50}))
+	s.Step(0, asked, encode(kindPart, part{
+		Epoch: 1, First: 1, Prior: chronicle.Beginning(1).Sum,
+		After: chronicle.Beginning(1).Sum, Last: 50,
+	}))
 	for _, p := range s.ahead {
 		require.NotEqual(t, asked, p.number)
 	}
@@ -387,8 +393,10 @@
 	out = two.Step(0, 0, out.Sends[0].Data)
 	require.True(t, out.Diverged && out.With == 0)
 	records, _ := logs[1].Part(2, 100)
-	out = one.Step(0, 1, encode(kindPart, part{Epoch: 1, First: 2, Prior: records.Prior, After: records.After,
-		Records: records.Records, Last: 2}))
+	out = one.Step(0, 1, encode(kindPart, part{
+		Epoch: 1, First: 2, Prior: records.Prior, After: records.After,
+		Records: records.Records, Last: 2,
+	}))
 	require.True(t, out.Diverged)
 	require.Equal(t, before, logs[0].Last())
 }
@@ -397,8 +405,10 @@
 func TestALieAtTheStartEnds(t *testing.T) {
 	s := New(Settings{Agents: 9, Self: 1, Voters: []int{0}, Seed: 1}, empty(chronicle.Limits{}), 0)
 	tell := func(now time.Duration, from int, seq uint64) {
-		s.Step(now, from, encode(kindDigest, digest{Epoch: 1, Seq: seq, Sum: chronicle.Beginning(1).Sum,
-			Answer: s.start.ask, Ready: true}))
+		s.Step(now, from, encode(kindDigest, digest{
+			Epoch: 1, Seq: seq, Sum: chronicle.Beginning(1).Sum,
+			Answer: s.start.ask, Ready: true,
+		}))
 	}
 	tell(0, 5, 1<<60)
 	for now := time.Duration(0); now < time.Minute; now += 100 * time.Millisecond {
@@ -424,17 +434,25 @@
 			data := rapid.SliceOfN(rapid.Byte(), 0, 2000).Draw(t, "data")
 			switch rapid.IntRange(0, 4).Draw(t, "kind") {
 			case 0:
-				data = encode(kindDigest, digest{Epoch: any64("e"), Seq: any64("s"), Sum: any64("sum"),
-					Ask: uint32(any64("ask")), Answer: s.start.ask, Ready: true})
+				data = encode(kindDigest, digest{
+					Epoch: any64("e"), Seq: any64("s"), Sum: any64("sum"),
+					Ask: uint32(any64("ask")), Answer: s.start.ask, Ready: true,
+				})
 			case 1:
-				data = encode(kindPull, pull{Epoch: any64("e"), Seq: any64("s"), Sum: any64("sum"), Check: any64("c"),
-					Offset: size("o")})
+				data = encode(kindPull, pull{
+					Epoch: any64("e"), Seq: any64("s"), Sum: any64("sum"), Check: any64("c"),
+					Offset: size("o"),
+				})
 			case 2:
-				data = encode(kindPart, part{Epoch: any64("e"), First: any64("f"), Prior: any64("p"), After: any64("a"),
-					Records: [][]byte{data}, Last: any64("l")})
+				data = encode(kindPart, part{
+					Epoch: any64("e"), First: any64("f"), Prior: any64("p"), After: any64("a"),
+					Records: [][]byte{data}, Last: any64("l"),
+				})
 			case 3:
-				data = encode(kindPiece, piece{Snapshot: rapid.Bool().Draw(t, "snap"), Epoch: any64("e"), Seq: any64("s"),
-					Size: size("size"), Offset: size("o"), Data: data, Check: any64("c"), Last: any64("l")})
+				data = encode(kindPiece, piece{
+					Snapshot: rapid.Bool().Draw(t, "snap"), Epoch: any64("e"), Seq: any64("s"),
+					Size: size("size"), Offset: size("o"), Data: data, Check: any64("c"), Last: any64("l"),
+				})
 			}
 			now := time.Duration(i) * 100 * time.Millisecond
 			out := s.Step(now, rapid.IntRange(-1, 21).Draw(t, "from"), data)
--- a/fleet/spreading.go
+++ b/fleet/spreading.go
@@ -8,8 +8,10 @@
 // startSpread begins to exchange records with other agents. A voter does too: until it belongs to a log
 // again, others have what it lacks.
 func (n *Node) startSpread(now Reading) {
-	n.spread = spread.New(spread.Settings{Agents: n.set.Agents, Self: n.set.Self, Voters: n.set.Voters,
-		Seed: n.set.Seed, Deadline: n.set.Ready}, n.log, now.Mono)
+	n.spread = spread.New(spread.Settings{
+		Agents: n.set.Agents, Self: n.set.Self, Voters: n.set.Voters,
+		Seed: n.set.Seed, Deadline: n.set.Ready,
+	}, n.log, now.Mono)
 	n.spreads = n.log.Last()
 }
 
--- a/fleet/stack_test.go
+++ b/fleet/stack_test.go
@@ -32,10 +32,12 @@
 func (s *shouter) Note() []byte                                    { return []byte("never asked for") }
 func (s *shouter) May(fleet.Reading, int, uint64, []byte) bool     { return !s.no }
 func (s *shouter) Answered(_ fleet.Reading, from int, data []byte) { s.take(s.answered, from, data) }
+
 func (s *shouter) Heard(_ fleet.Reading, from int, d []byte) []byte {
 	s.take(s.heard, from, d)
 	return d
 }
+
 func (s *shouter) take(count map[int]int, from int, data []byte) {
 	if count[from]++; !bytes.Equal(data, s.words) {
 		s.wrong++
@@ -54,13 +56,17 @@
 // reaches those that have it, at the same place, and does nothing to the two, also where it looks like a refusal; and
 // policies take hold at all.
 func TestStack(t *testing.T) {
-	own := policy.Own{InVain: 0.25, Settings: decide.Settings{Tenants: []decide.Tenant{{Name: "east", QuotaPerS: 60}},
-		Classes: []decide.Class{{Name: "find"}}, Limits: decide.Limits{MaxAttempts: 3}}}
+	own := policy.Own{InVain: 0.25, Settings: decide.Settings{
+		Tenants: []decide.Tenant{{Name: "east", QuotaPerS: 60}},
+		Classes: []decide.Class{{Name: "find"}}, Limits: decide.Limits{MaxAttempts: 3},
+	}}
 	var seats [6]*seat.Seat
 	var tops [6]*shouter
 	l := fleetlab.New(fleetlab.Options{Agents: 6, Voters: 3, Seed: 5, Upper: func(set *fleet.Settings, now fleet.Reading) {
-		s := seat.New(seat.Settings{Self: set.Self, Votes: set.Votes(), Incarnation: set.Incarnation,
-			Machine: uint8(len(set.Machines)), Own: own, Times: policy.Times{Terms: set.Terms}}, now)
+		s := seat.New(seat.Settings{
+			Self: set.Self, Votes: set.Votes(), Incarnation: set.Incarnation,
+			Machine: uint8(len(set.Machines)), Own: own, Times: policy.Times{Terms: set.Terms},
+		}, now)
 		seats[set.Self] = s
 		set.Machines, set.Above = append(set.Machines, s), s
 		if set.Self < 4 {
--- a/fleet/status.go
+++ b/fleet/status.go
@@ -40,10 +40,12 @@
 // Status returns what the node knows now.
 func (n *Node) Status(now Reading) Status {
 	ready, _ := n.Ready(now)
-	s := Status{Self: n.set.Self, Agents: n.set.Agents, Incarnation: n.set.Incarnation, Voters: n.set.Voters,
+	s := Status{
+		Self: n.set.Self, Agents: n.set.Agents, Incarnation: n.set.Incarnation, Voters: n.set.Voters,
 		At: n.at, Standing: n.Standing(now), ClockOff: n.holder.ClockOff(now),
 		LeaseLeft: n.holder.Left(now), Ready: ready,
-		Dropped: n.dropped, Carried: n.carrier.Counts(), Leases: n.holder.Figures()}
+		Dropped: n.dropped, Carried: n.carrier.Counts(), Leases: n.holder.Figures(),
+	}
 	if n.voter != nil {
 		v := n.voter.Status()
 		s.Voter = &v
--- a/fleet/voting.go
+++ b/fleet/voting.go
@@ -14,10 +14,14 @@
 	for _, v := range n.set.Voters {
 		voters = append(voters, uint32(v))
 	}
-	n.voter, err = consensus.New(consensus.Config{Agent: uint32(n.set.Self), Voters: voters,
-		Nonce: n.set.Incarnation, Seed: n.set.Seed, Volatile: !n.set.Lasts}, steady(now), n.set.Stored)
-	n.granter = lease.NewGranter(lease.GranterSettings{Terms: n.set.Terms, Agents: n.set.Agents,
-		May: func(now Reading, from int, r lease.Request) bool { return n.may(now, from, r.Incarnation, r.Note) }})
+	n.voter, err = consensus.New(consensus.Config{
+		Agent: uint32(n.set.Self), Voters: voters,
+		Nonce: n.set.Incarnation, Seed: n.set.Seed, Volatile: !n.set.Lasts,
+	}, steady(now), n.set.Stored)
+	n.granter = lease.NewGranter(lease.GranterSettings{
+		Terms: n.set.Terms, Agents: n.set.Agents,
+		May: func(now Reading, from int, r lease.Request) bool { return n.may(now, from, r.Incarnation, r.Note) },
+	})
 	return err
 }
 
--- a/health/evidence.go
+++ b/health/evidence.go
@@ -64,12 +64,16 @@
 
 // Below these shares nothing is taken for usual, so that the first failures after a quiet hour prove little
 // by themselves: two refused connects, or three failures of another cause, take a server down.
-var leastUsual = [causes]float64{refused: 0.0008, unconnected: 0.007, stale: 0.3, reset: 0.007,
-	errored: 0.007, spoilt: 0.007, silent: 0.007, waiting: 0.02, turned: 0.02}
+var leastUsual = [causes]float64{
+	refused: 0.0008, unconnected: 0.007, stale: 0.3, reset: 0.007,
+	errored: 0.007, spoilt: 0.007, silent: 0.007, waiting: 0.02, turned: 0.02,
+}
 
-var words = [causes]string{refused: "refused", unconnected: "not connected", stale: "lost while idle",
+var words = [causes]string{
+	refused: "refused", unconnected: "not connected", stale: "lost while idle",
 	reset: "reset", errored: "failed", spoilt: "spoilt", silent: "unanswered", waiting: "late",
-	turned: "turned away"}
+	turned: "turned away",
+}
 
 const (
 	staleIdle = 50 * time.Millisecond  // a connection that stood idle for less was surely still alive
--- a/health/health.go
+++ b/health/health.go
@@ -135,8 +135,10 @@
 // New returns a Detector that knows no servers, for that many classes, numbered from zero; aim is their
 // shortest.
 func New(aim time.Duration, classes int) *Detector {
-	return &Detector{aim: aim, classes: classes, round: 1, downFor: make([]int, classes),
-		anyway: make([]bool, classes)}
+	return &Detector{
+		aim: aim, classes: classes, round: 1, downFor: make([]int, classes),
+		anyway: make([]bool, classes),
+	}
 }
 
 // Join adds a server of which nothing is known.
@@ -149,8 +151,10 @@
 // Restarted forgets what was known of a server's last process. One that is down stays so until a trial.
 func (d *Detector) Restarted(s *Server) {
 	d.forgive(s)
-	*s = Server{lanes: s.lanes, onRing: s.onRing, damped: s.damped, down: s.down, since: s.since,
-		swung: s.swung, asked: 1, left: 1, out: s.out}
+	*s = Server{
+		lanes: s.lanes, onRing: s.onRing, damped: s.damped, down: s.down, since: s.since,
+		swung: s.swung, asked: 1, left: 1, out: s.out,
+	}
 	clear(s.lanes)
 	d.weigh()
 }
@@ -208,14 +212,17 @@
 	}
 	likely := s.takes * max(float64(s.out+1)/(s.takesAt+1), 1)
 	s.out++
-	return Attempt{At: now, allowed: float32(seconds(allowed)), likely: float32(likely), lane: int16(class),
-		out: int16(min(s.out, math.MaxInt16))}
+	return Attempt{
+		At: now, allowed: float32(seconds(allowed)), likely: float32(likely), lane: int16(class),
+		out: int16(min(s.out, math.MaxInt16)),
+	}
 }
 
 // End takes in how an attempt ended, and how long the server took for it: less than has passed where this
 // side held the answer up.
 func (d *Detector) End(now time.Duration, s *Server, a Attempt, end End, took time.Duration,
-	e *Evidence) Change {
+	e *Evidence,
+) Change {
 	if s.gone {
 		return Same
 	}
--- a/health/memory.go
+++ b/health/memory.go
@@ -44,8 +44,10 @@
 
 // Remember returns what was learned of a server.
 func (d *Detector) Remember(now time.Duration, s *Server) Memory {
-	m := Memory{Dead: s.dead, Part: s.part, Down: s.down, Mute: s.down && s.mute, Absent: s.absent,
-		Turns: s.turns, NotNow: max(s.notNow-now, 0), All: s.recent.all}
+	m := Memory{
+		Dead: s.dead, Part: s.part, Down: s.down, Mute: s.down && s.mute, Absent: s.absent,
+		Turns: s.turns, NotNow: max(s.notNow-now, 0), All: s.recent.all,
+	}
 	if s.turns >= turnedProof/2 { // with less, it would not be taken back
 		m.Hold = s.hold
 	}
@@ -89,8 +91,10 @@
 	}
 	for _, l := range m.Lanes {
 		if l.Class >= 0 && l.Class < len(s.lanes) {
-			s.lanes[l.Class] = lane{silence: left * evidence(l.Silence, most), missed: max(l.Missed, 0),
-				down: l.Down && age < downFor}
+			s.lanes[l.Class] = lane{
+				silence: left * evidence(l.Silence, most), missed: max(l.Missed, 0),
+				down: l.Down && age < downFor,
+			}
 		}
 	}
 	d.weigh()
--- a/internal/core/bans_test.go
+++ b/internal/core/bans_test.go
@@ -50,8 +50,10 @@
 					clear(said)
 				}
 				for _, id := range rapid.SliceOfNDistinct(ids, 0, 4, rapid.ID).Draw(t, "ids") {
-					s := protocol.PoolServer{Server: decide.Server{ID: id, State: state.Draw(t, "state"),
-						Started: time.Duration(rapid.IntRange(0, 2).Draw(t, "started"))}}
+					s := protocol.PoolServer{Server: decide.Server{
+						ID: id, State: state.Draw(t, "state"),
+						Started: time.Duration(rapid.IntRange(0, 2).Draw(t, "started")),
+					}}
 					if said[id] = s; s.State == decide.Gone {
 						delete(said, id)
 					} else {
--- a/internal/core/day_test.go
+++ b/internal/core/day_test.go
@@ -19,13 +19,18 @@
 )
 
 func deployment() decide.Settings {
-	return decide.Settings{Balancers: 2, Zone: "a", Tick: 5 * time.Millisecond, OnRequest: true, MarksRetry: true,
+	return decide.Settings{
+		Balancers: 2, Zone: "a", Tick: 5 * time.Millisecond, OnRequest: true, MarksRetry: true,
 		Classes: []decide.Class{
 			{Name: safe, Aim: wait, Deadline: 2500 * time.Millisecond, Worth: 1},
-			{Name: fragile, Aim: wait, Deadline: time.Second, Effect: decide.Unsafe, Worth: 2}},
+			{Name: fragile, Aim: wait, Deadline: time.Second, Effect: decide.Unsafe, Worth: 2},
+		},
 		Limits: decide.Limits{MaxAttempts: 3, Cancel: true, Peers: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second},
-		Rules: decide.Rules{DrainGrace: 3 * time.Second, AskWithin: 10 * time.Second, ColdShare: 0.3,
-			ColdFor: 9 * time.Second, FallMultiple: 3, FallWindow: 3 * time.Second}}
+		Rules: decide.Rules{
+			DrainGrace: 3 * time.Second, AskWithin: 10 * time.Second, ColdShare: 0.3,
+			ColdFor: 9 * time.Second, FallMultiple: 3, FallWindow: 3 * time.Second,
+		},
+	}
 }
 
 // reaction is what becomes of a route step, and when. What takes longer than the step may is late.
@@ -116,11 +121,13 @@
 		panic(err)
 	}
 	module := &ear{Balancer: balancer}
-	d := &day{now: epoch, module: module, router: NewRouter(set, module), limit: NewIdleLimit(epoch, 15*time.Second),
+	d := &day{
+		now: epoch, module: module, router: NewRouter(set, module), limit: NewIdleLimit(epoch, 15*time.Second),
 		descriptors: NewDescriptors(1024), pools: map[string]*Pool[int]{}, steps: map[stepRef]*attempted{},
 		answers: map[uint32][]Output{}, gone: map[uint32]bool{}, until: map[uint32]time.Duration{},
 		forgot: map[uint32]int{}, open: map[int]bool{},
-		react: func(*attempted) reaction { return whole(decide.Served) }}
+		react: func(*attempted) reaction { return whole(decide.Served) },
+	}
 	d.list(decide.SyncSaved, servers, decide.Ready)
 	return d
 }
@@ -135,8 +142,10 @@
 }
 
 func entry(i int, state decide.ServerState) protocol.PoolServer {
-	return protocol.PoolServer{Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), uint16(1000+i)),
-		Server: decide.Server{ID: fmt.Sprint("s-", i), Zone: "a", Kind: "k", State: state, Weight: 1}}
+	return protocol.PoolServer{
+		Addr:   netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), uint16(1000+i)),
+		Server: decide.Server{ID: fmt.Sprint("s-", i), Zone: "a", Kind: "k", State: state, Weight: 1},
+	}
 }
 
 func (d *day) arrive(class, id string) uint32 { return d.arriveIn(class, id, 900*time.Millisecond) }
--- a/internal/core/drain.go
+++ b/internal/core/drain.go
@@ -41,8 +41,10 @@
 		longest = max(longest, c.Deadline)
 	}
 	whole := min(longest, longestWait) + killGrace - lastWords
-	return Drain{arriving: now + min(lateArrivals, whole), closing: now + whole,
-		abandoning: now + whole + lastWords/2}
+	return Drain{
+		arriving: now + min(lateArrivals, whole), closing: now + whole,
+		abandoning: now + whole + lastWords/2,
+	}
 }
 
 // End is when it is over at the latest.
--- a/internal/core/ending.go
+++ b/internal/core/ending.go
@@ -27,9 +27,11 @@
 )
 
 func (e Ending) Error() string {
-	return [...]string{"goes on", "whole", "broken off", "spoilt", "its time is up", "the client has left",
+	return [...]string{
+		"goes on", "whole", "broken off", "spoilt", "its time is up", "the client has left",
 		"the client takes its answer too slowly", "no memory came free", "it is not needed", "called off",
-		"the agent is ending"}[e]
+		"the agent is ending",
+	}[e]
 }
 
 // Phase is how far a route step came on its connection.
@@ -83,13 +85,17 @@
 
 // Evidence is what the route step tells the module beyond its outcome.
 func (s Sighting) Evidence() health.Evidence {
-	phase := [...]health.Phase{Connecting: health.Connecting, Unused: health.Connecting, Writing: health.Writing,
-		Waiting: health.Awaiting, Answering: health.Answering}[s.Phase]
+	phase := [...]health.Phase{
+		Connecting: health.Connecting, Unused: health.Connecting, Writing: health.Writing,
+		Waiting: health.Awaiting, Answering: health.Answering,
+	}[s.Phase]
 	if s.Ending == Completed { // a whole answer that says 500 is an error, not a spoilt answer
 		phase = health.Awaiting
 	}
-	return health.Evidence{Phase: phase, Reused: s.Reused, Idle: s.Stood, Refused: s.Refused, Ours: s.Ours,
-		Late: s.Late}
+	return health.Evidence{
+		Phase: phase, Reused: s.Reused, Idle: s.Stood, Refused: s.Refused, Ours: s.Ours,
+		Late: s.Late,
+	}
 }
 
 // Again tells that the step goes out once more, on a new connection: this is still the first time it is sent.
--- a/internal/core/list.go
+++ b/internal/core/list.go
@@ -115,8 +115,10 @@
 
 // NewList returns a List that knows a list, and where discovery is. The bans hold from the start.
 func NewList(addr netip.AddrPort, known protocol.PoolConfig, bans []Ban) *List {
-	l := &List{addr: addr, version: known.Version, fetches: map[int]bool{}, bans: map[string]Ban{},
-		seen: map[string]bool{}, entries: map[string]protocol.PoolServer{}}
+	l := &List{
+		addr: addr, version: known.Version, fetches: map[int]bool{}, bans: map[string]Ban{},
+		seen: map[string]bool{}, entries: map[string]protocol.PoolServer{},
+	}
 	for _, b := range bans[:min(len(bans), mostBans)] {
 		l.bans[b.ID] = b
 		l.see(b.ID)
@@ -427,8 +429,10 @@
 func (l *List) watch() {
 	l.calls++
 	l.present, l.begun, l.undone, l.moved = l.calls, false, false, false
-	l.put(ListOutput{Kind: BeginCall, Call: l.present, Addr: l.addr,
-		Form: protocol.ListCall{Watch: true, From: l.version}})
+	l.put(ListOutput{
+		Kind: BeginCall, Call: l.present, Addr: l.addr,
+		Form: protocol.ListCall{Watch: true, From: l.version},
+	})
 }
 
 // take passes an object on. Changes that are older than what is known are out of order: they would undo
--- a/internal/core/parts_test.go
+++ b/internal/core/parts_test.go
@@ -151,8 +151,10 @@
 		{k(l.CallEnded(10, nil)), nil},
 		{k(l.CallBegun(9)), []ListOutput{takenUp}},
 		{k(l.Relocate(there)), []ListOutput{begins(11, 45, there)}},
-		{k(l.CallEnded(9, mute)), []ListOutput{{Kind: News, Sync: decide.SyncFailed,
-			Word: decide.Word{End: asking.Silent, Quiet: time.Second, Waiting: true}}}}, // the clock runs from there on
+		{k(l.CallEnded(9, mute)), []ListOutput{{
+			Kind: News, Sync: decide.SyncFailed,
+			Word: decide.Word{End: asking.Silent, Quiet: time.Second, Waiting: true},
+		}}}, // the clock runs from there on
 		{k(l.CallBegun(11)), []ListOutput{takenUp}},
 		{k(l.CallEnded(11, mute)), failed(mute, asking.Silent, decide.Word{Quiet: time.Second})},
 		{k(l.Subscribe()), []ListOutput{ends(11), begins(12, 45, there)}},
@@ -248,8 +250,11 @@
 		{Progress{Length: 1000, Came: 1, Coming: 200 * ms, Stream: true}, 200 * ms, -999 * ms, 2999 * ms, GoesOn, 0},
 		{Progress{Length: 1000, Came: 1, Coming: 200 * ms, Stream: true}, 200 * ms, 0, 3001 * ms, OutOfTime, decide.NoAnswer},
 		{Progress{Length: -1, Came: 1, Coming: time.Hour}, time.Hour, -restMost - 1, 0, OutOfTime, decide.NoAnswer},
-		{Progress{Length: 1000, Came: 1, Coming: 99 * ms, HeldUp: 100 * ms}, 999 * ms, 0, 3001 * ms, OutOfTime,
-			decide.CalledOff},
+		{
+			Progress{Length: 1000, Came: 1, Coming: 99 * ms, HeldUp: 100 * ms},
+			999 * ms, 0, 3001 * ms, OutOfTime,
+			decide.CalledOff,
+		},
 		{Progress{Whole: true}, 99 * ms, -time.Hour, 0, GoesOn, 0},
 		{Progress{Length: -1, Came: 1, HeldUp: 300 * ms}, 500 * ms, ms, 0, GoesOn, 0}, // 200 of its own and 100 more
 		{Progress{Length: -1, Came: 1, HeldUp: 301 * ms}, 500 * ms, ms, 0, ClientLags, decide.CalledOff},
@@ -264,11 +269,13 @@
 		}
 	}
 	require.Equal(t, decide.CalledOff, Sighting{Phase: Waiting, Ending: OutOfTime, Body: Progress{Whole: true}}.Outcome())
-	for saw, phase := range map[Sighting]health.Phase{{Ending: OutOfTime}: health.Connecting,
+	for saw, phase := range map[Sighting]health.Phase{
+		{Ending: OutOfTime}:                 health.Connecting,
 		{Phase: Writing, Ending: BrokenOff}: health.Writing, {Phase: Waiting, Ending: OutOfTime}: health.Awaiting,
 		{Phase: Answering, Ending: Completed, Reply: decide.ServerError}: health.Awaiting, // a whole 500 is not spoilt
 		{Phase: Answering, Ending: Spoilt}:                               health.Answering,
-		{Phase: Answering, Ending: BrokenOff}:                            health.Answering} {
+		{Phase: Answering, Ending: BrokenOff}:                            health.Answering,
+	} {
 		saw.Reused, saw.Stood, saw.Refused, saw.Ours, saw.Late = true, 1, true, true, 2
 		require.Equal(t, health.Evidence{Phase: phase, Reused: true, Idle: 1, Refused: true, Ours: true, Late: 2},
 			saw.Evidence())
--- a/internal/core/pool.go
+++ b/internal/core/pool.go
@@ -75,8 +75,10 @@
 	p.idle = slices.Delete(p.idle, at, at+1)
 	stood := now - from.since
 	settles := max(p.settle-stood, 0)
-	return Lease[C]{Reused: true, Conn: from.conn, Settles: settles, Stood: stood + settles, Addr: p.addr,
-		from: from}, p.closing
+	return Lease[C]{
+		Reused: true, Conn: from.conn, Settles: settles, Stood: stood + settles, Addr: p.addr,
+		from: from,
+	}, p.closing
 }
 
 // Unused takes the end of a route step in that was not written on the connection of its lease, which has
--- a/internal/core/roster.go
+++ b/internal/core/roster.go
@@ -29,7 +29,8 @@
 // changes. It returns those servers that turn out to be others than the list of the start had under their
 // names, by address or start: what was learned before the start is not of them.
 func (r *Roster) Take(now time.Duration, kind decide.SyncKind, config protocol.PoolConfig,
-	confirms bool) (replaced []string) {
+	confirms bool,
+) (replaced []string) {
 	if confirms || r.live {
 		r.confirmed = now
 	}
--- a/internal/core/router.go
+++ b/internal/core/router.go
@@ -104,9 +104,11 @@
 // NewRouter returns a Router that knows no servers yet: the known list is told by PoolNews, as SyncSaved. The
 // module was built with the same settings.
 func NewRouter(set decide.Settings, module Module) *Router {
-	r := &Router{module: module, most: max(set.Limits.MaxAttempts, 1), stays: set.Rules.OnlyDrainingBind,
+	r := &Router{
+		module: module, most: max(set.Limits.MaxAttempts, 1), stays: set.Rules.OnlyDrainingBind,
 		classes: map[string]decide.Class{}, operations: map[uint32]*operation{}, ids: map[string]uint32{},
-		servers: map[string]*standing{}}
+		servers: map[string]*standing{},
+	}
 	for _, c := range set.Classes {
 		r.classes[c.Name] = c
 	}
@@ -135,8 +137,10 @@
 		r.turnAway(o, protocol.BusyReply, busyText)
 	default:
 		r.ids[op.CorrelationID] = o.id
-		r.request = decide.Request{ID: o.id, Work: op.Work, Key: op.Key, Tenant: op.Tenant, Class: op.Class,
-			Budget: max(min(o.deadline-now, op.TimeLeft), 0), Retry: op.Repeat}
+		r.request = decide.Request{
+			ID: o.id, Work: op.Work, Key: op.Key, Tenant: op.Tenant, Class: op.Class,
+			Budget: max(min(o.deadline-now, op.TimeLeft), 0), Retry: op.Repeat,
+		}
 		r.step(now, &r.request)
 	}
 	return o.id, r.out
@@ -174,8 +178,10 @@
 	o.deadline, o.timeLeft = now+o.timeLeft-AnswerMargin, 0
 	for attempt, s := range o.steps {
 		if s.out {
-			r.put(Output{Kind: RetimeStep, Operation: id, Attempt: attempt, Deadline: o.deadline,
-				At: min(o.deadline, now+s.after)})
+			r.put(Output{
+				Kind: RetimeStep, Operation: id, Attempt: attempt, Deadline: o.deadline,
+				At: min(o.deadline, now+s.after),
+			})
 		}
 	}
 	return r.out
@@ -214,9 +220,12 @@
 }
 
 func (r *Router) end(now time.Duration, o *operation, attempt int, outcome decide.Outcome,
-	latency time.Duration, known health.Evidence) {
-	r.done = decide.AttemptDone{ID: o.id, Attempt: attempt, Server: o.steps[attempt].server, Outcome: outcome,
-		Latency: latency, Evidence: known}
+	latency time.Duration, known health.Evidence,
+) {
+	r.done = decide.AttemptDone{
+		ID: o.id, Attempt: attempt, Server: o.steps[attempt].server, Outcome: outcome,
+		Latency: latency, Evidence: known,
+	}
 	o.open--
 	switch {
 	case outcome == decide.Served && !o.answered:
@@ -374,8 +383,10 @@
 	case decide.Fail:
 		r.conclude(act.ID, Output{Result: protocol.Failed, Text: failedText})
 	case decide.Refuse:
-		r.conclude(act.ID, Output{Result: protocol.BusyReply, After: act.After, OverShare: act.OverShare,
-			Quota: act.Quota, Text: busyText})
+		r.conclude(act.ID, Output{
+			Result: protocol.BusyReply, After: act.After, OverShare: act.OverShare,
+			Quota: act.Quota, Text: busyText,
+		})
 	case decide.Cancel:
 		if o := r.stepOut(act.ID, act.Attempt); o != nil {
 			r.cancel(o, act.Attempt, CalledOff)
@@ -460,6 +471,8 @@
 		return
 	}
 	o.steps[attempt].out = true
-	r.put(Output{Kind: StartStep, Operation: o.id, Attempt: attempt, Server: act.Server, At: until,
-		Deadline: o.deadline, Begins: o.streams, After: after})
+	r.put(Output{
+		Kind: StartStep, Operation: o.id, Attempt: attempt, Server: act.Server, At: until,
+		Deadline: o.deadline, Begins: o.streams, After: after,
+	})
 }
--- a/internal/core/router_test.go
+++ b/internal/core/router_test.go
@@ -49,9 +49,11 @@
 			for range 4 {
 				dice = dice*6364136223846793005 + 1442695040888963407
 				n := int(dice >> 33)
-				acts = append(acts, decide.Action{Kind: decide.ActionKind(max(n%7-2, 0)), ID: d.router.lastID - uint32(n/7%3),
+				acts = append(acts, decide.Action{
+					Kind: decide.ActionKind(max(n%7-2, 0)), ID: d.router.lastID - uint32(n/7%3),
 					Attempt: n / 21 % 4, Server: fmt.Sprint("s-", n/84%5),
-					After: time.Duration(n/420%2000-500) * time.Millisecond})
+					After: time.Duration(n/420%2000-500) * time.Millisecond,
+				})
 			}
 			return acts
 		}
@@ -67,8 +69,10 @@
 		}
 		dice = dice*6364136223846793005 + 1442695040888963407
 		n := int(dice >> 33)
-		r := reaction{after: time.Duration(n%700) * time.Millisecond, close: n%3 == 0, ended: n%17 == 0,
-			saw: Sighting{Phase: Phase(n / 7 % 6), Ending: []Ending{BrokenOff, Spoilt}[n/5%2]}}
+		r := reaction{
+			after: time.Duration(n%700) * time.Millisecond, close: n%3 == 0, ended: n%17 == 0,
+			saw: Sighting{Phase: Phase(n / 7 % 6), Ending: []Ending{BrokenOff, Spoilt}[n/5%2]},
+		}
 		if r.saw.Phase > Answering {
 			r.saw.Phase, r.saw.Ending = Answering, Completed
 			r.saw.Reply = []decide.Outcome{decide.Served, decide.TurnedAway, decide.ServerError}[n/11%3]
@@ -284,8 +288,10 @@
 	} {
 		d := newDay(deployment(), 2)
 		d.react = func(*attempted) reaction {
-			return reaction{begins: 10 * time.Millisecond, after: 100 * time.Millisecond,
-				saw: Sighting{Phase: Answering, Ending: c.end}}
+			return reaction{
+				begins: 10 * time.Millisecond, after: 100 * time.Millisecond,
+				saw: Sighting{Phase: Answering, Ending: c.end},
+			}
 		}
 		n := d.arrive(safe, "a")
 		d.run(50 * time.Millisecond)
@@ -333,8 +339,10 @@
 	d := newDay(deployment(), 0)
 	d.router = NewRouter(deployment(), d.module.Balancer) // nobody listens
 	d.list(decide.SyncSaved, 13, decide.Ready)
-	op := &protocol.Operation{CorrelationID: "9b1f03aa5c7e2d41", Class: safe, Key: "7f3a9c21e0b4d655",
-		TimeLeft: 900 * time.Millisecond}
+	op := &protocol.Operation{
+		CorrelationID: "9b1f03aa5c7e2d41", Class: safe, Key: "7f3a9c21e0b4d655",
+		TimeLeft: 900 * time.Millisecond,
+	}
 	now := d.now
 	b.ReportAllocs()
 	for b.Loop() {
@@ -343,8 +351,10 @@
 		pool := d.pools[out[0].Server]
 		lease, _ := pool.Begin(now)
 		d.limit.Note(now, lease.Stood, false)
-		d.router.StepEnded(now+time.Millisecond, id, 0, Sighting{Phase: Answering, Ending: Completed,
-			Latency: time.Millisecond})
+		d.router.StepEnded(now+time.Millisecond, id, 0, Sighting{
+			Phase: Answering, Ending: Completed,
+			Latency: time.Millisecond,
+		})
 		pool.Over(now+time.Millisecond, 1, lease.Addr, false)
 	}
 }
@@ -362,8 +372,10 @@
 		return found
 	}
 	arrive := func(id string) (uint32, Output) {
-		op := &protocol.Operation{CorrelationID: id, Class: fragile, Length: -1, TimeLeft: 900 * time.Millisecond,
-			Rest: flow.New(-1, memory.Grant{}, 0)}
+		op := &protocol.Operation{
+			CorrelationID: id, Class: fragile, Length: -1, TimeLeft: 900 * time.Millisecond,
+			Rest: flow.New(-1, memory.Grant{}, 0),
+		}
 		n, out := d.router.Arrive(d.now, op, d.now)
 		starts := kinds(out, StartStep)
 		require.Len(t, starts, 1)
--- a/internal/core/standing.go
+++ b/internal/core/standing.go
@@ -13,7 +13,8 @@
 // PoolNews takes news of the booking servers in, brings their actors in line and tells the module. Where the
 // kind is decide.SyncFailed or nothing has changed, the config is empty.
 func (r *Router) PoolNews(now time.Duration, kind decide.SyncKind, config protocol.PoolConfig,
-	word decide.Word) []Output {
+	word decide.Word,
+) []Output {
 	r.out = r.out[:0]
 	listed := make(map[string]bool, len(config.Servers))
 	servers := make([]decide.Server, 0, len(config.Servers))
--- a/internal/figures/figures.go
+++ b/internal/figures/figures.go
@@ -105,11 +105,15 @@
 
 // Read reads all figures. Each is right by itself; they may be some instructions apart.
 func (f *Figures) Read() Reading {
-	r := Reading{Responses: make(map[string]Counts, len(f.classes)), Tries: f.tries.Load(),
-		Active: f.active.Load()}
+	r := Reading{
+		Responses: make(map[string]Counts, len(f.classes)), Tries: f.tries.Load(),
+		Active: f.active.Load(),
+	}
 	for name, c := range f.classes {
-		r.Responses[name] = Counts{OK: c[OK].Load(), Shed: c[Shed].Load(), Errors: c[Error].Load(),
-			Abandoned: c[Abandoned].Load()}
+		r.Responses[name] = Counts{
+			OK: c[OK].Load(), Shed: c[Shed].Load(), Errors: c[Error].Load(),
+			Abandoned: c[Abandoned].Load(),
+		}
 	}
 	pool := f.pool.Load()
 	r.Listed = int64(pool.Listed)
--- a/internal/flow/flow.go
+++ b/internal/flow/flow.go
@@ -331,8 +331,10 @@
 func (f *Flow) Progress() Progress {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	p := Progress{Length: f.length, Came: f.came, LastCame: f.lastCame, Before: f.before, HeldUp: f.heldUp,
-		Whole: f.end == io.EOF, Taken: f.tookAny}
+	p := Progress{
+		Length: f.length, Came: f.came, LastCame: f.lastCame, Before: f.before, HeldUp: f.heldUp,
+		Whole: f.end == io.EOF, Taken: f.tookAny,
+	}
 	until := f.lastCame
 	if f.end == nil {
 		until = time.Now()
--- a/internal/graphql/graphql.go
+++ b/internal/graphql/graphql.go
@@ -79,9 +79,11 @@
 
 // NewClasser checks the rules; the error joins all that is wrong with them.
 func NewClasser(r Rules) (*Classer, error) {
-	c := &Classer{rules: r, queries: map[string]int{}, mutations: map[string]int{},
+	c := &Classer{
+		rules: r, queries: map[string]int{}, mutations: map[string]int{},
 		documents: newCache(r.Limits.CacheBytes), seen: newCache(r.Limits.StoreBytes),
-		trusted: map[string]*document{}}
+		trusted: map[string]*document{},
+	}
 	var errs []error
 	named := func(name string, effect decide.Effect, what string) int {
 		i := slices.IndexFunc(r.Classes, func(k decide.Class) bool {
@@ -249,16 +251,20 @@
 	v.Class = c.class(v.class).Name
 	switch {
 	case v.Kind == Subscription:
-		err = &Error{Code: CodeSubscription, Status: 400, wellFormed: true,
-			Message: "subscriptions are not served here"}
+		err = &Error{
+			Code: CodeSubscription, Status: 400, wellFormed: true,
+			Message: "subscriptions are not served here",
+		}
 	case get && v.Kind == Mutation:
 		err = &Error{Code: CodeMutationByGET, Status: 405, Message: "a mutation must come by POST"}
 	case get && d == nil && p.query == nil:
 		// The words that clients look for, to send the document too.
 		err = &Error{Code: CodeNotFound, Status: 400, wellFormed: true, Message: "PersistedQueryNotFound"}
 	case get && v.Kind == Unclear:
-		err = &Error{Code: CodeUnclear, Status: 400, wellFormed: true,
-			Message: "it cannot be told that this is a query; send it by POST"}
+		err = &Error{
+			Code: CodeUnclear, Status: 400, wellFormed: true,
+			Message: "it cannot be told that this is a query; send it by POST",
+		}
 	}
 	return v, err
 }
--- a/internal/graphql/graphql_test.go
+++ b/internal/graphql/graphql_test.go
@@ -18,17 +18,23 @@
 
 // rules are those of a deployment with a class of each kind.
 func rules() Rules {
-	return Rules{Classes: []decide.Class{
-		{Name: "consult", Effect: decide.Safe, Deadline: 2 * time.Second},
-		{Name: "rezervare", Effect: decide.Unsafe, Deadline: time.Second},
-		{Name: "report", Effect: decide.Safe, Deadline: 5 * time.Second},
-		{Name: "notify", Effect: decide.Keyed, Deadline: time.Second}, {Name: "note", Effect: decide.Keyed}},
+	return Rules{
+		Classes: []decide.Class{
+			{Name: "consult", Effect: decide.Safe, Deadline: 2 * time.Second},
+			{Name: "rezervare", Effect: decide.Unsafe, Deadline: time.Second},
+			{Name: "report", Effect: decide.Safe, Deadline: 5 * time.Second},
+			{Name: "notify", Effect: decide.Keyed, Deadline: time.Second},
+			{Name: "note", Effect: decide.Keyed},
+		},
 		Queries:   map[string]string{"holdSlot": "rezervare", "report": "report"},
 		Mutations: map[string]string{"remind": "notify", "note": "note"},
 		Trusted:   map[string]string{"t1": "query T { slots { id } }", "t2": "mutation { book { id } }"},
 		Batches:   true,
-		Limits: Limits{Document: 16 << 10, Tokens: 1000, Depth: 30, Aliases: 100, Operations: 50, Batch: 10,
-			CacheBytes: 1 << 20, StoreBytes: 1 << 18}}
+		Limits: Limits{
+			Document: 16 << 10, Tokens: 1000, Depth: 30, Aliases: 100, Operations: 50, Batch: 10,
+			CacheBytes: 1 << 20, StoreBytes: 1 << 18,
+		},
+	}
 }
 
 func classer(t testing.TB, r Rules) *Classer {
@@ -181,10 +187,16 @@
 	} {
 		require.Equal(t, CodeBadRequest, verdict(c.Class(r)), name)
 	}
-	for _, h := range []map[string][]string{nil, {"Content-Type": {"text/plain"}}, {"Content-Type": {"application/graphql"}},
-		{"Content-Type": {"application/json", "application/json"}}, {"Content-Type": {"application/json; charset=utf-16"}},
-		{"Content-Type": {"application/json; charset=utf-8; charset=utf-16"}}, {"Content-Type": {"multipart/form-data; boundary=x"}},
-		{"Content-Type": {"application/json"}, "Content-Encoding": {"gzip"}}} {
+	for _, h := range []map[string][]string{
+		nil,
+		{"Content-Type": {"text/plain"}},
+		{"Content-Type": {"application/graphql"}},
+		{"Content-Type": {"application/json", "application/json"}},
+		{"Content-Type": {"application/json; charset=utf-16"}},
+		{"Content-Type": {"application/json; charset=utf-8; charset=utf-16"}},
+		{"Content-Type": {"multipart/form-data; boundary=x"}},
+		{"Content-Type": {"application/json"}, "Content-Encoding": {"gzip"}},
+	} {
 		require.Equal(t, CodeMediaType, verdict(c.Class(Request{Method: "POST", Header: h, Body: []byte(good)})), "%v", h)
 	}
 	charset := Request{Method: "POST", Header: map[string][]string{"Content-Type": {`Application/JSON; charset="UTF-8"`}}, Body: []byte(good)}
@@ -291,14 +303,17 @@
 	r := rules()
 	r.Safe, r.Unsafe, r.Queries["x"], r.Mutations["y"] = "rezervare", "nothing", "nowhere", "consult"
 	_, err := NewClasser(r)
-	for _, want := range []string{`no class "rezervare" in the settings is safe`, `no class "nothing" in the settings is unsafe`,
-		`x: the settings have no class "nowhere"`, `y: a mutation must not have class "consult"`} {
+	for _, want := range []string{
+		`no class "rezervare" in the settings is safe`, `no class "nothing" in the settings is unsafe`,
+		`x: the settings have no class "nowhere"`, `y: a mutation must not have class "consult"`,
+	} {
 		require.ErrorContains(t, err, want)
 	}
 }
 
 func TestAnswers(t *testing.T) {
-	for accept, want := range map[string]MediaType{"": PlainJSON, "*/*": PlainJSON, "application/json": PlainJSON,
+	for accept, want := range map[string]MediaType{
+		"": PlainJSON, "*/*": PlainJSON, "application/json": PlainJSON,
 		"application/graphql-response+json": ResponseJSON, "application/graphql-response+json, application/json;q=0.9": ResponseJSON,
 		"application/json;q=0.5, application/graphql-response+json;q=0.4": PlainJSON, "text/html": "", "application/json;q=0": "",
 		"application/graphql-response+json; charset=utf-8, application/json; charset=utf-8": ResponseJSON, "application/json;charset=latin1": "",
--- a/internal/graphql/limits_test.go
+++ b/internal/graphql/limits_test.go
@@ -98,8 +98,10 @@
 	require.True(t, isPlain([]byte(`{"input":{"clinicId":"c-1"}}`)))
 	require.False(t, isPlain([]byte(`{"a":{"a":{"a":1}}}`)))
 	// Just within the limits.
-	for _, document := range []string{strings.Repeat("{a", 30) + strings.Repeat("}", 30), "{" + strings.Repeat("a:b ", 100) + "}",
-		"{" + strings.Repeat("a ", 990) + "}"} {
+	for _, document := range []string{
+		strings.Repeat("{a", 30) + strings.Repeat("}", 30), "{" + strings.Repeat("a:b ", 100) + "}",
+		"{" + strings.Repeat("a ", 990) + "}",
+	} {
 		body, _ := ask(document, "-")
 		require.Equal(t, "consult", verdict(c.Class(post(body))))
 	}
--- a/internal/graphql/property_test.go
+++ b/internal/graphql/property_test.go
@@ -116,9 +116,11 @@
 // Whatever comes: no panic, an *Error or a class, and a safe class only for what another reader of the JSON
 // and the parser find to be a query.
 func FuzzClass(f *testing.F) {
-	for _, s := range []string{`{"query":"{ slots }"}`, `{"query":"mutation M { a } query Q { b }","operationName":"Q"}`,
+	for _, s := range []string{
+		`{"query":"{ slots }"}`, `{"query":"mutation M { a } query Q { b }","operationName":"Q"}`,
 		`[{"query":"{a}"},{"query":"mutation{b}"}]`, `{"query":"query Q{...F} fragment F on Q{a(s:\"\"\"\\n}\"\"\")}","variables":{"a":[{}]}}`,
-		`{"query":"{a}","extensions":{"persistedQuery":{"version":1,"sha256Hash":"x"}}}`, `{"query":"{a}","qu\u0065ry":"mutation{b}"}`} {
+		`{"query":"{a}","extensions":{"persistedQuery":{"version":1,"sha256Hash":"x"}}}`, `{"query":"{a}","qu\u0065ry":"mutation{b}"}`,
+	} {
 		f.Add("POST", s)
 	}
 	f.Add("GET", "query=%7Ba%7D&operationName=a&variables=%7B%7D")
--- a/internal/graphql/read.go
+++ b/internal/graphql/read.go
@@ -157,8 +157,10 @@
 
 // documentNames are, in small letters, what servers of their own ways call a document's id. In a URL other
 // names are common and mean nothing.
-var documentNames = []string{"id", "doc", "docid", "doc_id", "document", "hash", "queryid", "query_id",
-	"operationid", "operation_id", "sha256hash"}
+var documentNames = []string{
+	"id", "doc", "docid", "doc_id", "document", "hash", "queryid", "query_id",
+	"operationid", "operation_id", "sha256hash",
+}
 
 // urlNames are what a name in a URL consists of. Others are read as lists or trimmed by some servers.
 const urlNames = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789_-"
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -101,8 +101,10 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
-	offer := Offer{Hand: Hand{Bans: []core.Ban{{ID: "s-0"}}}, Sockets: 9, MemoryMB: 8, State: []byte("learned"),
-		Handed: []string{"tcp x"}}
+	offer := Offer{
+		Hand: Hand{Bans: []core.Ban{{ID: "s-0"}}}, Sockets: 9, MemoryMB: 8, State: []byte("learned"),
+		Handed: []string{"tcp x"},
+	}
 	refused, heard, served := make(chan error, 1), make(chan Note, 1), make(chan struct{})
 	go func() {
 		defer close(served)
--- a/internal/memory/budget_test.go
+++ b/internal/memory/budget_test.go
@@ -37,8 +37,10 @@
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"ask": func(t *rapid.T) {
-				g := grant{rapid.SampledFrom(holders).Draw(t, "holder"),
-					rapid.Int64Range(1, 1<<18).Draw(t, "size")}
+				g := grant{
+					rapid.SampledFrom(holders).Draw(t, "holder"),
+					rapid.Int64Range(1, 1<<18).Draw(t, "size"),
+				}
 				before, answers := b.Used(), b.used-b.requests
 				if ticket, ok := b.Ask(now, g.holder, g.size); ok {
 					held = append(held, g)
--- a/internal/operator/file.go
+++ b/internal/operator/file.go
@@ -82,11 +82,15 @@
 
 // Default is what holds without a file, and for every key that a file does not have.
 func Default() File {
-	return File{Answers: Answers{LongestKB: 65536, HoldMS: 50, MemoryShare: 0.125, StallMS: 10000, LagMS: 5000},
-		Log: Log{Format: Text, Level: "info"}, GraphQL: defaultGraphQL(),
+	return File{
+		Answers: Answers{LongestKB: 65536, HoldMS: 50, MemoryShare: 0.125, StallMS: 10000, LagMS: 5000},
+		Log:     Log{Format: Text, Level: "info"}, GraphQL: defaultGraphQL(),
 		Fleet: defaultFleet(), State: State{PeriodS: 10, WritesAMinute: 12, DeployS: 900},
-		Storm: Storm{On: true, SpellFactor: 1.65, PurgeShare: 0.5, PurgeMS: 3800, PurgeLeastMS: 2000,
-			PurgeAgainS: 30, TrialShare: 0.1, ReturnMore: 1.25, InVain: 0.25, TurnS: 60}}
+		Storm: Storm{
+			On: true, SpellFactor: 1.65, PurgeShare: 0.5, PurgeMS: 3800, PurgeLeastMS: 2000,
+			PurgeAgainS: 30, TrialShare: 0.1, ReturnMore: 1.25, InVain: 0.25, TurnS: 60,
+		},
+	}
 }
 
 // check tells what is wrong between keys that are right by themselves.
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -57,8 +57,10 @@
 const clocksMS = 1000
 
 func defaultFleet() Fleet {
-	return Fleet{Voters: []int64{}, LeaseMS: 4000, HeardMS: 1000, ReadyMS: 2000, RateKB: 128,
-		FloorS: 900, NoticeS: 1200, MarginS: 10, LingerS: 30, Turns: 4}
+	return Fleet{
+		Voters: []int64{}, LeaseMS: 4000, HeardMS: 1000, ReadyMS: 2000, RateKB: 128,
+		FloorS: 900, NoticeS: 1200, MarginS: 10, LingerS: 30, Turns: 4,
+	}
 }
 
 // check tells what is wrong between keys that are right by themselves.
--- a/internal/operator/graphql.go
+++ b/internal/operator/graphql.go
@@ -48,10 +48,12 @@
 )
 
 func defaultGraphQL() GraphQL {
-	return GraphQL{Path: "/graphql", Queries: map[string]string{}, Mutations: map[string]string{},
+	return GraphQL{
+		Path: "/graphql", Queries: map[string]string{}, Mutations: map[string]string{},
 		Batch: BatchRefused, Key: "cookie:sid", Tenant: "header:X-Account", Deadline: "header:X-Time-Left-Ms",
 		ID: "header:X-Correlation-Id", DocumentKB: 16, Tokens: 1000, Depth: 30, Aliases: 100, Operations: 50,
-		BatchLength: 10, CacheKB: 1024, StoreKB: 256}
+		BatchLength: 10, CacheKB: 1024, StoreKB: 256,
+	}
 }
 
 var (
@@ -71,7 +73,8 @@
 		return "batch", "must be " + BatchRefused + " or " + BatchStrictest
 	}
 	for _, s := range []struct{ key, text string }{
-		{"key", g.Key}, {"tenant", g.Tenant}, {"deadline", g.Deadline}, {"id", g.ID}} {
+		{"key", g.Key}, {"tenant", g.Tenant}, {"deadline", g.Deadline}, {"id", g.ID},
+	} {
 		if !source.MatchString(s.text) {
 			return s.key, "must be header:NAME, cookie:NAME, variable:NAME or empty"
 		}
--- a/internal/operator/read_test.go
+++ b/internal/operator/read_test.go
@@ -42,9 +42,11 @@
 		"no TOML":      {"[answers\n", []string{"1:9: "}},
 		"twice":        {"[answers]\nstall_ms = 200\nstall_ms = 300", []string{"3:1: "}},
 		"unknown": {"[answers]\nlongest = 1\n\n[other]\nx = 1", []string{
-			"2:1: answers.longest: unknown key; there are longest_kb, whole_kb", "4:2: other: unknown table; there are answers, log, storm, graphql"}},
+			"2:1: answers.longest: unknown key; there are longest_kb, whole_kb", "4:2: other: unknown table; there are answers, log, storm, graphql",
+		}},
 		"all": {"[answers]\nlongest_kb = 63\nwhole_kb = 1.5\nmemory_share = nan\nstall_ms = \"2 s\"\nlag_ms = 60001", []string{
-			"2:1: answers.longest_kb: must be a whole number from 64 to 1048576", "3:1: ", "4:1: ", "5:1: ", "6:1: "}},
+			"2:1: answers.longest_kb: must be a whole number from 64 to 1048576", "3:1: ", "4:1: ", "5:1: ", "6:1: ",
+		}},
 		"no table":  {"answers = 5", []string{"1:1: answers: must be a table"}},
 		"tables":    {"[[answers]]\nlag_ms = 5", []string{"1:3: answers: must be a table"}},
 		"below":     {"[answers.lag_ms]\nx = 1", []string{"1:10: answers.lag_ms: must be a whole number"}},
@@ -60,7 +62,8 @@
 		"storm":     {"[storm]\non = false\npurge_ms = 1000", []string{"1:2: storm.purge_least_ms: must not be above purge_ms"}},
 		"windows":   {"[fleet]\nwindows = true", []string{"2:1: fleet.windows: needs policy"}},
 		"notice": {"[fleet]\nwindows = true\npolicy = true\nfloor_s = 2\nnotice_s = 8", []string{
-			"5:1: fleet.notice_s: must be above floor_s"}},
+			"5:1: fleet.notice_s: must be above floor_s",
+		}},
 		"notice ok": {"[fleet]\nwindows = true\npolicy = true\nfloor_s = 2\nnotice_s = 9", nil},
 		"escaped":   {"\"\\u0061x\" = 1\n'b.c' = 2", []string{"1:1: ax: unknown table", "2:1: b.c: unknown table"}},
 	} {
--- a/internal/pages/pages_test.go
+++ b/internal/pages/pages_test.go
@@ -113,8 +113,10 @@
 
 // Drawings are indented in notes of design, commands are not taken for them.
 func TestDrawings(t *testing.T) {
-	for text, kind := range map[string]Kind{"    a -> b\n": Text, "    bin/rehearse list\n": Commands,
-		"    A=1 go run ./example/toy\n": Commands} {
+	for text, kind := range map[string]Kind{
+		"    a -> b\n": Text, "    bin/rehearse list\n": Commands,
+		"    A=1 go run ./example/toy\n": Commands,
+	} {
 		page, problems := Parse("docs/design/page.md", []byte(text))
 		require.Empty(t, problems)
 		require.Equal(t, kind, page.Blocks[0].Kind, text)
--- a/internal/pages/play.go
+++ b/internal/pages/play.go
@@ -50,8 +50,10 @@
 // with its script.
 func (p *Player) Params(folder string, pages []Page) (testscript.Params, error) {
 	p.pages = map[string]Page{}
-	params := testscript.Params{Setup: p.setup,
-		Cmds: map[string]func(*testscript.TestScript, bool, []string){"block": p.block}}
+	params := testscript.Params{
+		Setup: p.setup,
+		Cmds:  map[string]func(*testscript.TestScript, bool, []string){"block": p.block},
+	}
 	for _, page := range pages {
 		script, runs := page.script()
 		if !runs {
--- a/internal/pages/shell.go
+++ b/internal/pages/shell.go
@@ -48,8 +48,10 @@
 	if err != nil {
 		return nil, errors.Join(err, out.Close(), in.Close())
 	}
-	s := &shell{cmd: exec.Command("bash", "-c", guard, "bash", commands), hold: hold,
-		ended: make(chan struct{}), grown: make(chan struct{})}
+	s := &shell{
+		cmd: exec.Command("bash", "-c", guard, "bash", commands), hold: hold,
+		ended: make(chan struct{}), grown: make(chan struct{}),
+	}
 	s.cmd.Dir, s.cmd.Env, s.cmd.Stdout, s.cmd.Stderr = folder, env, in, in
 	s.cmd.ExtraFiles = []*os.File{held}
 	s.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
--- a/internal/protocol/configcheck_test.go
+++ b/internal/protocol/configcheck_test.go
@@ -26,13 +26,17 @@
 		"cut":     {soundConfig[:100], []string{"2:"}},
 		"empty":   {"", []string{"1:1: config: unexpected end"}},
 		"values": {change("127.0.0.1:1", "here", `"8c"`, `"xyz"`, `"connIdle": 5`, `"connIdle": 0`), []string{
-			`1:26: config: listen: "here" is not an address`, "1:70: config: seed: ", "3:25: config: settings: bounds: "}},
+			`1:26: config: listen: "here" is not an address`, "1:70: config: seed: ", "3:25: config: settings: bounds: ",
+		}},
 		"types": {change(`"n0"`, "5", `"cores": 1`, `"cores": "1"`, `"aim": 5`, `"aim": "x"`, `"aim": 6`, `"aim": {}`), []string{
 			"1:10: config: name: must not be of type number", "2:22: config: limits.cores: must not be of type string",
 			"4:39: config: settings.categories[0].aim: must not be of type string",
-			"4:66: config: settings.categories[1].aim: must not be of type object"}},
-		"missing": {"{}", []string{"1:1: config: listen", "1:1: config: discovery", "1:1: config: seed", "1:1: config: limits",
-			"1:1: config: no settings"}},
+			"4:66: config: settings.categories[1].aim: must not be of type object",
+		}},
+		"missing": {"{}", []string{
+			"1:1: config: listen", "1:1: config: discovery", "1:1: config: seed", "1:1: config: limits",
+			"1:1: config: no settings",
+		}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got := CheckConfig([]byte(c.text), fine)
--- a/internal/protocol/graphql.go
+++ b/internal/protocol/graphql.go
@@ -118,21 +118,27 @@
 	media, acceptable := graphql.Accepted(r.Header["Accept"])
 	switch {
 	case path != g.Path:
-		return nil, &graphql.Error{Code: graphql.CodePath, Status: http.StatusNotFound,
-			Message: "GraphQL is at " + g.Path}
+		return nil, &graphql.Error{
+			Code: graphql.CodePath, Status: http.StatusNotFound,
+			Message: "GraphQL is at " + g.Path,
+		}
 	case !acceptable:
-		return nil, &graphql.Error{Code: graphql.CodeNotAcceptable, Status: http.StatusNotAcceptable,
-			Message: "answers are " + string(graphql.ResponseJSON) + " or " + string(graphql.PlainJSON)}
+		return nil, &graphql.Error{
+			Code: graphql.CodeNotAcceptable, Status: http.StatusNotAcceptable,
+			Message: "answers are " + string(graphql.ResponseJSON) + " or " + string(graphql.PlainJSON),
+		}
 	}
 	x.media = media
 	request := graphql.Request{Method: r.Method, URLQuery: query, Header: r.Header}
 	if err := request.CheckHead(); err != nil {
 		return nil, err
 	}
-	op := &Operation{Repeat: r.Header.Get("X-Repeat") == "1", Method: r.Method, Target: r.RequestURI,
+	op := &Operation{
+		Repeat: r.Header.Get("X-Repeat") == "1", Method: r.Method, Target: r.RequestURI,
 		Host: r.Host, ContentType: r.Header.Get("Content-Type"), GraphQL: true,
 		Accept: strings.Join(r.Header["Accept"], ", "), IdempotencyKeys: r.Header[idempotencyKey],
-		Work: work(r.Header.Get("X-Facts"))}
+		Work: work(r.Header.Get("X-Facts")),
+	}
 	op.TimeLeft = g.leastTimeLeft(r)
 	if err := op.read(r, room, MaxBody); err != nil {
 		return nil, err
@@ -208,17 +214,25 @@
 func (x *graphQLExchange) own(a Answer) *graphql.Error {
 	switch {
 	case a.Kind == BusyReply:
-		return &graphql.Error{Code: graphql.CodeBusy, Status: busyStatus(a),
-			RetryAfter: a.RetryAfter, Message: "busy: it was not executed"}
+		return &graphql.Error{
+			Code: graphql.CodeBusy, Status: busyStatus(a),
+			RetryAfter: a.RetryAfter, Message: "busy: it was not executed",
+		}
 	case a.Kind == Failed:
-		return &graphql.Error{Code: graphql.CodeFailed, Status: http.StatusBadGateway, Message: "failed",
-			MayHaveRun: x.verdict.Kind != graphql.Query}
+		return &graphql.Error{
+			Code: graphql.CodeFailed, Status: http.StatusBadGateway, Message: "failed",
+			MayHaveRun: x.verdict.Kind != graphql.Query,
+		}
 	case a.Kind == TooLong:
-		return &graphql.Error{Code: graphql.CodeLimit, Status: http.StatusRequestEntityTooLarge,
-			Message: ErrTooLong.Error()}
+		return &graphql.Error{
+			Code: graphql.CodeLimit, Status: http.StatusRequestEntityTooLarge,
+			Message: ErrTooLong.Error(),
+		}
 	case x.refused != nil:
 		return x.refused
 	}
-	return &graphql.Error{Code: graphql.CodeBadRequest, Status: http.StatusBadRequest,
-		Message: strings.TrimSpace(string(a.Body))}
+	return &graphql.Error{
+		Code: graphql.CodeBadRequest, Status: http.StatusBadRequest,
+		Message: strings.TrimSpace(string(a.Body)),
+	}
 }
--- a/internal/protocol/operation.go
+++ b/internal/protocol/operation.go
@@ -92,9 +92,11 @@
 
 func (p plain) Decode(room Room) (*Operation, error) {
 	r := p.r
-	op := &Operation{CorrelationID: r.Header.Get("X-Correlation-Id"), Tenant: r.Header.Get("X-Account"),
+	op := &Operation{
+		CorrelationID: r.Header.Get("X-Correlation-Id"), Tenant: r.Header.Get("X-Account"),
 		Repeat: r.Header.Get("X-Repeat") == "1", Method: r.Method, Target: r.RequestURI, Host: r.Host,
-		ContentType: r.Header.Get("Content-Type"), IdempotencyKeys: r.Header[idempotencyKey]}
+		ContentType: r.Header.Get("Content-Type"), IdempotencyKeys: r.Header[idempotencyKey],
+	}
 	if _, err := strconv.ParseUint(op.CorrelationID, 16, 64); err != nil || len(op.CorrelationID) != 16 {
 		return nil, errID
 	}
--- a/internal/protocol/ops_test.go
+++ b/internal/protocol/ops_test.go
@@ -64,7 +64,8 @@
 		_, status := call(path, good)
 		require.Equal(t, http.StatusOK, status, path)
 	}
-	for path, body := range map[string]string{"/ask?id=": good, "/ask?id=a%20b": good, "/stop?id=": "",
+	for path, body := range map[string]string{
+		"/ask?id=": good, "/ask?id=a%20b": good, "/stop?id=": "",
 		"/ask?id=" + strings.Repeat("x", 65): good,
 		"/ask?id=1":                          ask(`"nodes":["s-1"],"zone":"a","tenants":["*"]`), "/ask?id=2": ask(`"tenants":["*"]`),
 		"/ask?id=3": ask(`"zone":"a","tenants":[]`), "/ask?id=4": ask(`"zone":"a","tenants":["x","x"]`),
@@ -72,7 +73,8 @@
 		"/ask?id=7": ask(`"zone":"a","tenants":["x"],"pace":1.1`), "/ask?id=8": ask(`"zone":"a\n","tenants":["x"]`),
 		"/ask?id=9":  fmt.Sprintf(`{"zone":"a","tenants":["x"],"from":%q,"to":%q}`, to, from),
 		"/ask?id=10": `{"zone":"a","tenants":["x"],"from":"1677-01-01T00:00:00Z","to":"2300-01-01T00:00:00Z"}`,
-		"/ask?id=11": ask(`"tenants":["x"],"nodes":["` + strings.Join(strings.Fields(strings.Repeat("s ", 65)), `","`) + `"]`)} {
+		"/ask?id=11": ask(`"tenants":["x"],"nodes":["` + strings.Join(strings.Fields(strings.Repeat("s ", 65)), `","`) + `"]`),
+	} {
 		_, status := call(path, body)
 		require.Equal(t, http.StatusBadRequest, status, path)
 	}
--- a/internal/protocol/settings.go
+++ b/internal/protocol/settings.go
@@ -57,22 +57,32 @@
 	}
 	s := decide.Settings{
 		Self: e.Ordinal, Balancers: e.Balancers, Zone: e.Zone, OverShareWorth: e.OverShareWorth,
-		Limits: decide.Limits{MaxAttempts: e.Bounds.SendCap, SecondCopies: e.Bounds.SecondCopies,
+		Limits: decide.Limits{
+			MaxAttempts: e.Bounds.SendCap, SecondCopies: e.Bounds.SecondCopies,
 			Cancel: e.Bounds.Cancel, Probes: e.Bounds.Probes, Peers: e.Bounds.MayTell,
-			RetryAfter: e.Bounds.RetryAfter, MaxRetryAfter: micros(e.Bounds.MaxRetryAfter)},
-		Rules: decide.Rules{DrainGrace: micros(e.Rules.StopSendingWithin), AskWithin: micros(e.Rules.AskWithin),
+			RetryAfter: e.Bounds.RetryAfter, MaxRetryAfter: micros(e.Bounds.MaxRetryAfter),
+		},
+		Rules: decide.Rules{
+			DrainGrace: micros(e.Rules.StopSendingWithin), AskWithin: micros(e.Rules.AskWithin),
 			ColdShare: e.Rules.StartCapacity, ColdFor: micros(e.Rules.Cold), FallMultiple: e.Rules.FallMultiple,
-			FallWindow: micros(e.Rules.Fall), OnlyDrainingBind: e.Rules.OnlyDrainingBinds},
-		Prices: decide.Prices{CrossZone: e.Prices.CrossZone, Waste: e.Prices.Waste, Probe: e.Prices.Probe,
-			Peer: e.Prices.Peer, LateFail: e.Prices.LateFail},
-		Goal: decide.Goal{Whole: e.Goal.Whole, WorstWindow: e.Goal.WorstWindow,
+			FallWindow: micros(e.Rules.Fall), OnlyDrainingBind: e.Rules.OnlyDrainingBinds,
+		},
+		Prices: decide.Prices{
+			CrossZone: e.Prices.CrossZone, Waste: e.Prices.Waste, Probe: e.Prices.Probe,
+			Peer: e.Prices.Peer, LateFail: e.Prices.LateFail,
+		},
+		Goal: decide.Goal{
+			Whole: e.Goal.Whole, WorstWindow: e.Goal.WorstWindow,
 			WorstClass: e.Goal.WorstClass, WorstTenant: e.Goal.WorstTenant,
-			SlowEnd: e.Goal.SlowEnd, TailMiss: e.Goal.TailMiss},
+			SlowEnd: e.Goal.SlowEnd, TailMiss: e.Goal.TailMiss,
+		},
 		OnRequest: e.Discovery == "on_request", MarksRetry: e.ClientHabits.MarksRetry, Tick: micros(e.Resolution),
 	}
 	for _, c := range e.Categories {
-		k := decide.Class{Name: c.Name, Aim: micros(c.Aim), AimStretch: c.AimStretch, Deadline: micros(c.Deadline),
-			LateWorth: c.LateWorth, Memory: micros(c.MemorySpan), Worth: c.Value, Stream: c.Stream}
+		k := decide.Class{
+			Name: c.Name, Aim: micros(c.Aim), AimStretch: c.AimStretch, Deadline: micros(c.Deadline),
+			LateWorth: c.LateWorth, Memory: micros(c.MemorySpan), Worth: c.Value, Stream: c.Stream,
+		}
 		switch c.Effect {
 		case "retryable":
 			k.Effect = decide.Safe
@@ -94,8 +104,10 @@
 	for _, t := range e.Customers {
 		s.Tenants = append(s.Tenants, decide.Tenant{Name: t.Name, QuotaPerS: t.QuotaPerS, Share: t.Share})
 	}
-	return Settings{Settings: s, ConnIdle: micros(e.Bounds.ConnIdle),
-		ConnectTimeout: micros(e.Bounds.ConnectTimeout)}, nil
+	return Settings{
+		Settings: s, ConnIdle: micros(e.Bounds.ConnIdle),
+		ConnectTimeout: micros(e.Bounds.ConnectTimeout),
+	}, nil
 }
 
 func micros(v int64) time.Duration { return time.Duration(v) * time.Microsecond }
--- a/internal/rehearsal/compare/compare.go
+++ b/internal/rehearsal/compare/compare.go
@@ -25,12 +25,20 @@
 	for _, rule := range r.Rules {
 		breaches += rule.Breaches
 	}
-	all := []Figure{{"service", r.Service}, {"whole day", r.Parts.Whole}, {"worst 10 s", r.Parts.WorstWindow},
-		{"worst class", r.Parts.WorstClass}, {"worst clinic group", r.Parts.WorstTenant},
-		{"breaches of rules", float64(breaches)}, {"answered in time, per first try", per(c.InTime)},
-		{"refused, per first try", per(c.Refused)}, {"failed, per first try", per(c.Failed)},
-		{"clients' retries, per first try", per(c.Retries)}, {"sends, per first try", per(c.Sends)},
-		{"new connections, per first try", per(c.Opened)}}
+	all := []Figure{
+		{"service", r.Service},
+		{"whole day", r.Parts.Whole},
+		{"worst 10 s", r.Parts.WorstWindow},
+		{"worst class", r.Parts.WorstClass},
+		{"worst clinic group", r.Parts.WorstTenant},
+		{"breaches of rules", float64(breaches)},
+		{"answered in time, per first try", per(c.InTime)},
+		{"refused, per first try", per(c.Refused)},
+		{"failed, per first try", per(c.Failed)},
+		{"clients' retries, per first try", per(c.Retries)},
+		{"sends, per first try", per(c.Sends)},
+		{"new connections, per first try", per(c.Opened)},
+	}
 	for _, g := range r.Classes {
 		all = append(all, Figure{g.Name + " p50 ms", g.Latency.P50MS}, Figure{g.Name + " p99 ms", g.Latency.P99MS})
 	}
@@ -104,8 +112,10 @@
 }
 
 // tQuantiles are the 97.5th percentiles of Student's distribution, for 1, 2, ... degrees of freedom.
-var tQuantiles = []float64{12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201,
-	2.179, 2.160, 2.145, 2.131, 2.120, 2.110, 2.101, 2.093, 2.086}
+var tQuantiles = []float64{
+	12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201,
+	2.179, 2.160, 2.145, 2.131, 2.120, 2.110, 2.101, 2.093, 2.086,
+}
 
 func tQuantile(freedom int) float64 {
 	if freedom > len(tQuantiles) {
--- a/internal/rehearsal/hunt.go
+++ b/internal/rehearsal/hunt.go
@@ -76,8 +76,10 @@
 }
 
 func found(r *report.Report) Found {
-	f := Found{Seed: r.Seed, Passed: r.Passed, Crashed: r.Crash != nil, Service: r.Service,
-		Broken: []string{}, Findings: []string{}}
+	f := Found{
+		Seed: r.Seed, Passed: r.Passed, Crashed: r.Crash != nil, Service: r.Service,
+		Broken: []string{}, Findings: []string{},
+	}
 	for _, rule := range r.Rules {
 		if rule.First != nil {
 			f.Broken = append(f.Broken, rule.Name)
--- a/internal/rehearsal/judge/cold.go
+++ b/internal/rehearsal/judge/cold.go
@@ -56,9 +56,13 @@
 }
 
 func newColdStarts(w words, set *scenario.Scenario, day record.Day, list *knowledge) *coldStarts {
-	return &coldStarts{words: w, set: set, list: list, cold: map[int32]*coldServer{},
-		mean: set.MeanWork(day.MeanWork), Rule: Rule{Name: "cold starts",
-			Text: "no starting server pushed over by what all agents that know of its start send it together"}}
+	return &coldStarts{
+		words: w, set: set, list: list, cold: map[int32]*coldServer{},
+		mean: set.MeanWork(day.MeanWork), Rule: Rule{
+			Name: "cold starts",
+			Text: "no starting server pushed over by what all agents that know of its start send it together",
+		},
+	}
 }
 
 func (c *coldStarts) verdict() Rule { return c.Rule }
@@ -185,9 +189,11 @@
 	})
 	n := len(all)
 	most := all[n-1]
-	sum := &Cold{Starts: n, Fell: c.fell, FellTold: c.told, Median: all[n/2].fullest,
+	sum := &Cold{
+		Starts: n, Fell: c.fell, FellTold: c.told, Median: all[n/2].fullest,
 		P90: all[n*9/10].fullest, Fullest: most.fullest, Server: c.words.server(most.server),
-		AtS: inSeconds(most.at), Told: most.told}
+		AtS: inSeconds(most.at), Told: most.told,
+	}
 	for _, s := range all {
 		if s.fullest > nearFall {
 			sum.OverThree++
--- a/internal/rehearsal/judge/judge_test.go
+++ b/internal/rehearsal/judge/judge_test.go
@@ -81,8 +81,10 @@
 		change(set)
 	}
 	p := &play{Judge: New(set)}
-	p.Begin(record.Day{Agents: []record.Agent{{Name: "n0"}, {Name: "n1"}}, Capacity: 2, Quotas: []float64{20, 20},
-		MeanWork: []time.Duration{ms(100), ms(100)}})
+	p.Begin(record.Day{
+		Agents: []record.Agent{{Name: "n0"}, {Name: "n1"}}, Capacity: 2, Quotas: []float64{20, 20},
+		MeanWork: []time.Duration{ms(100), ms(100)},
+	})
 	p.Server(0, record.Server{ID: "s0", Capacity: 1})
 	p.Server(1, record.Server{ID: "s1", Capacity: 1})
 	return p
@@ -102,8 +104,10 @@
 
 func (p *play) askWork(at int, class uint8, chain uint32, work time.Duration) (op uint32) {
 	p.ops++
-	e := record.Event{Kind: record.Asked, At: ms(at), Op: p.ops, Chain: chain, Class: class, Work: work,
-		Left: ms(1000)}
+	e := record.Event{
+		Kind: record.Asked, At: ms(at), Op: p.ops, Chain: chain, Class: class, Work: work,
+		Left: ms(1000),
+	}
 	if chain == 0 {
 		e.Chain = p.ops
 	} else {
@@ -119,8 +123,10 @@
 }
 
 func (p *play) ended(at int, op uint32, attempt int8, how record.Outcome) {
-	p.Take(&record.Event{Kind: record.Worked, At: ms(at), Op: op, Attempt: attempt, Work: ms(100),
-		Ran: !how.NeverRan()})
+	p.Take(&record.Event{
+		Kind: record.Worked, At: ms(at), Op: op, Attempt: attempt, Work: ms(100),
+		Ran: !how.NeverRan(),
+	})
 	p.Take(&record.Event{Kind: record.Ended, At: ms(at), Op: op, Attempt: attempt, Outcome: how})
 }
 
@@ -231,8 +237,10 @@
 			p.Take(&record.Event{Kind: record.Told, At: ms(1100), Server: 0, Started: ms(1000)})
 		}
 		for i := range 10 {
-			p.Take(&record.Event{Kind: record.Reached, At: ms(1200 + i), Op: 99, Server: 0, Work: ms(500), Cold: true,
-				Capacity: 0.3})
+			p.Take(&record.Event{
+				Kind: record.Reached, At: ms(1200 + i), Op: 99, Server: 0, Work: ms(500), Cold: true,
+				Capacity: 0.3,
+			})
 		}
 		p.Take(&record.Event{Kind: record.Fell, At: ms(1300), Server: 0})
 	}
@@ -434,8 +442,10 @@
 			p.serve(17_051, 17_100, consult, 0)
 		}},
 		"begun after their clients had gone, two": {-1, "", 0, func(p *play) { sentAfter(p, 101, 2) }},
-		"begun after their clients had gone": {0, "n0 began attempt 1 of operation 3 101ms after its client had gone, the day's 3.",
-			2601, func(p *play) { sentAfter(p, 101, 3) }},
+		"begun after their clients had gone": {
+			0, "n0 began attempt 1 of operation 3 101ms after its client had gone, the day's 3.",
+			2601, func(p *play) { sentAfter(p, 101, 3) },
+		},
 		"begun as their clients went": {-1, "", 0, func(p *play) { sentAfter(p, 100, 9) }},
 		"a silent watch, given up and the next call failed": {2, "n0 sent to s0 3.051s after", 10_051, func(p *play) {
 			watched(p, 0)
@@ -476,8 +486,10 @@
 			told(p, 1001, record.Leaving)
 			p.serve(4052, 4100, consult, 0)
 		}},
-		"pushed over": {3, "s0, started 300ms before, was sent 5s of work in 3s and fell over; 100%", 1300,
-			func(p *play) { push(p, true) }},
+		"pushed over": {
+			3, "s0, started 300ms before, was sent 5s of work in 3s and fell over; 100%", 1300,
+			func(p *play) { push(p, true) },
+		},
 		"pushed over unknown": {-1, "", 0, func(p *play) { push(p, false) }},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -647,8 +659,10 @@
 		} else {
 			p.answer(s*1000+400, op, record.Failed, -1)
 		}
-		p.Sample(&record.Sample{At: at + time.Second, Servers: []record.Load{{Server: 0, Busy: busy, Capacity: 1},
-			{Server: 1, Busy: busy, Capacity: 1}}})
+		p.Sample(&record.Sample{At: at + time.Second, Servers: []record.Load{
+			{Server: 0, Busy: busy, Capacity: 1},
+			{Server: 1, Busy: busy, Capacity: 1},
+		}})
 	}
 }
 
@@ -722,7 +736,8 @@
 		at := 0
 		for range rapid.IntRange(0, 200).Draw(r, "events") {
 			at += rapid.IntRange(0, 400).Draw(r, "pause")
-			p.Take(&record.Event{At: ms(at), Kind: record.Kind(rapid.IntRange(0, int(record.Over)).Draw(r, "kind")),
+			p.Take(&record.Event{
+				At: ms(at), Kind: record.Kind(rapid.IntRange(0, int(record.Over)).Draw(r, "kind")),
 				Op: uint32(rapid.IntRange(1, 9).Draw(r, "op")), Chain: uint32(rapid.IntRange(1, 9).Draw(r, "chain")),
 				Server: int32(rapid.IntRange(0, 1).Draw(r, "server")), Agent: int32(rapid.IntRange(0, 1).Draw(r, "agent")),
 				Try: uint8(rapid.IntRange(0, 2).Draw(r, "try")), Class: uint8(rapid.IntRange(0, 1).Draw(r, "class")),
@@ -730,7 +745,8 @@
 				Answer: record.Answer(rapid.IntRange(0, 2).Draw(r, "answer")), State: record.State(rapid.IntRange(0, 2).Draw(r, "state")),
 				Work: ms(rapid.IntRange(0, 300).Draw(r, "work")), Left: ms(rapid.IntRange(0, 2000).Draw(r, "left")),
 				Tenant: rapid.SampledFrom([]uint8{0, 1, record.NoTenant}).Draw(r, "tenant"),
-				Cold:   rapid.Bool().Draw(r, "cold"), Ran: rapid.Bool().Draw(r, "ran")})
+				Cold:   rapid.Bool().Draw(r, "cold"), Ran: rapid.Bool().Draw(r, "ran"),
+			})
 		}
 		p.Sample(&record.Sample{At: ms(at) + time.Hour, Servers: []record.Load{{Server: 0}}})
 		p.End(ms(at) + time.Hour)
@@ -759,8 +775,10 @@
 			limit := p.set.Rules.FallLimit(0.3, ms(100)) // 27 requests of 0.1 s, and 2 x root of 27 + 2
 			require.InDelta(t, 27+2*math.Sqrt(27)+2, limit.Seconds()*10, 1e-6)
 			reached := func(at int, server int32, agent int32, work time.Duration) {
-				p.Take(&record.Event{Kind: record.Reached, At: ms(at), Op: 99, Server: server, Agent: agent, Work: work, Cold: true,
-					Capacity: 0.3})
+				p.Take(&record.Event{
+					Kind: record.Reached, At: ms(at), Op: 99, Server: server, Agent: agent, Work: work, Cold: true,
+					Capacity: 0.3,
+				})
 			}
 			for server := range int32(2) {
 				p.Take(&record.Event{Kind: record.ServerUp, At: ms(1000), Server: server, Cold: true})
@@ -801,8 +819,16 @@
 	p.ask(600_000, consult, 0)
 	p.Take(&record.Event{Kind: record.Began, At: ms(601_000)})
 	v := p.verdict()
-	late := Verdict{Shares: []Share{{Served: 0.9}, {Served: 0.29}, {Served: 0.8}, {Served: 0.6}, {Served: 0.6},
-		{Served: 1}, {Served: 0.9}, {Served: 0.4}}}
+	late := Verdict{Shares: []Share{
+		{Served: 0.9},
+		{Served: 0.29},
+		{Served: 0.8},
+		{Served: 0.6},
+		{Served: 0.6},
+		{Served: 1},
+		{Served: 0.9},
+		{Served: 0.4},
+	}}
 	v.Measure(&late)
 	wants := []float64{0.45, 0, 0.4, 0.2, 0, 0.5, 0.45, 0.2}
 	for i, s := range v.Shares {
@@ -842,8 +868,10 @@
 			p.serve(i*100, i*100+50, consult, 0)
 		}
 		for i := range shut {
-			p.Take(&record.Event{Kind: record.Unreached, At: ms(19_980 + i), Op: 900 + uint32(i), Chain: 900 + uint32(i),
-				Work: ms(100), Shut: true})
+			p.Take(&record.Event{
+				Kind: record.Unreached, At: ms(19_980 + i), Op: 900 + uint32(i), Chain: 900 + uint32(i),
+				Work: ms(100), Shut: true,
+			})
 		}
 		p.answer(20_100, p.ask(20_000, consult, 0), record.Failed, -1) // never sent on
 		sent := p.ask(20_200, consult, 0)
--- a/internal/rehearsal/judge/rules.go
+++ b/internal/rehearsal/judge/rules.go
@@ -94,8 +94,10 @@
 )
 
 func newAnswers(w words, ops *operations) *answers {
-	return &answers{words: w, ops: ops, Rule: Rule{Name: "answers",
-		Text: "exactly one final answer in time for each request taken, and a served one as a server made it"}}
+	return &answers{words: w, ops: ops, Rule: Rule{
+		Name: "answers",
+		Text: "exactly one final answer in time for each request taken, and a served one as a server made it",
+	}}
 }
 
 func (c *answers) verdict() Rule { return c.Rule }
@@ -203,8 +205,10 @@
 }
 
 func newRepeats(w words, set *scenario.Scenario) *repeats {
-	return &repeats{set: set, words: w, Rule: Rule{Name: "repeats",
-		Text: "what might have run is sent or refused again only as its class allows"}}
+	return &repeats{set: set, words: w, Rule: Rule{
+		Name: "repeats",
+		Text: "what might have run is sent or refused again only as its class allows",
+	}}
 }
 
 func (c *repeats) verdict() Rule { return c.Rule }
@@ -271,8 +275,10 @@
 }
 
 func newDrains(w words, set *scenario.Scenario, list *knowledge) *drains {
-	return &drains{words: w, grace: set.Rules.DrainGrace + wireSlack, list: list, Rule: Rule{Name: "drains",
-		Text: "nothing new for a server more than the grace after the agent was told that it drains or is gone"}}
+	return &drains{words: w, grace: set.Rules.DrainGrace + wireSlack, list: list, Rule: Rule{
+		Name: "drains",
+		Text: "nothing new for a server more than the grace after the agent was told that it drains or is gone",
+	}}
 }
 
 func (c *drains) verdict() Rule { return c.Rule }
--- a/internal/rehearsal/judge/service.go
+++ b/internal/rehearsal/judge/service.go
@@ -183,8 +183,10 @@
 
 func (s *service) first(e *record.Event) *chain {
 	class := &s.set.Classes[e.Class]
-	c := &chain{op: e.Op, class: e.Class, tenant: e.Tenant, at: e.At, aimBy: e.At + class.Aim, within: true,
-		counts: e.At >= s.set.Day.From, worth: class.Worth}
+	c := &chain{
+		op: e.Op, class: e.Class, tenant: e.Tenant, at: e.At, aimBy: e.At + class.Aim, within: true,
+		counts: e.At >= s.set.Day.From, worth: class.Worth,
+	}
 	if mean := s.day.MeanWork[e.Class]; mean > 0 {
 		c.worth *= float64(e.Work) / float64(mean)
 	}
--- a/internal/rehearsal/judge/verdict.go
+++ b/internal/rehearsal/judge/verdict.go
@@ -114,9 +114,11 @@
 func (j *Judge) Verdict() Verdict {
 	s, goal := &j.service, j.set.Goal
 	arrivals := len(s.seconds)
-	v := Verdict{Tenants: []Group{}, Servers: []ServerDay{}, Floor: j.set.Floor, LastedS: inSeconds(j.end),
+	v := Verdict{
+		Tenants: []Group{}, Servers: []ServerDay{}, Floor: j.set.Floor, LastedS: inSeconds(j.end),
 		Capacity: j.day.Capacity, RatePerS: j.day.RatePerS, StepS: j.course.step, Seconds: j.course.seconds,
-		Tries: s.byTries[:], Sends: s.bySends[:]}
+		Tries: s.byTries[:], Sends: s.bySends[:],
+	}
 	v.Parts = j.parts()
 	p := v.Parts
 	v.Prices = j.prices()
@@ -140,9 +142,11 @@
 	j.spells.judge(j.course.seconds, arrivals)
 	v.Spells = append([]Spell{}, j.spells.all...) // an empty array, not null, where there are none
 	v.Findings = j.spells.findings(j.course.seconds, arrivals)
-	v.Counts = Counts{s.firstTries, s.retries, s.unreached, s.inTime, s.answers[record.Served],
+	v.Counts = Counts{
+		s.firstTries, s.retries, s.unreached, s.inTime, s.answers[record.Served],
 		s.answers[record.Refused], s.answers[record.Failed], s.unanswered, s.sends, s.opened, s.crossings,
-		s.shut, s.unsent, j.answers.forGone}
+		s.shut, s.unsent, j.answers.forGone,
+	}
 	v.Shares = j.shares()
 	v.Cold = j.cold.summary()
 	v.groups(j)
@@ -205,8 +209,10 @@
 
 func latencies(h *hdrhistogram.Histogram) *Latency {
 	at := func(percent float64) float64 { return float64(h.ValueAtQuantile(percent)) / 1000 }
-	return &Latency{Count: h.TotalCount(), MeanMS: math.Round(h.Mean()) / 1000, P50MS: at(50), P90MS: at(90),
-		P99MS: at(99), P999MS: at(99.9), MaxMS: float64(h.Max()) / 1000}
+	return &Latency{
+		Count: h.TotalCount(), MeanMS: math.Round(h.Mean()) / 1000, P50MS: at(50), P90MS: at(90),
+		P99MS: at(99), P999MS: at(99.9), MaxMS: float64(h.Max()) / 1000,
+	}
 }
 
 func recordLatency(h *hdrhistogram.Histogram, took time.Duration) {
@@ -216,9 +222,11 @@
 func (v *Verdict) serverDays(j *Judge) {
 	for n, s := range j.servers {
 		c := &j.course.servers[n]
-		v.Servers = append(v.Servers, ServerDay{ID: s.ID, Zone: s.Zone, Kind: s.Kind, Capacity: s.Capacity,
+		v.Servers = append(v.Servers, ServerDay{
+			ID: s.ID, Zone: s.Zone, Kind: s.Kind, Capacity: s.Capacity,
 			MeanBusy: c.sum / float64(max(c.samples, 1)), PeakBusy: c.peak, MostHeld: c.mostHeld,
-			MostConns: c.mostConns, Busy: c.busy, Held: c.held})
+			MostConns: c.mostConns, Busy: c.busy, Held: c.held,
+		})
 	}
 }
 
--- a/internal/rehearsal/judge/windows.go
+++ b/internal/rehearsal/judge/windows.go
@@ -19,8 +19,10 @@
 }
 
 func newWindows(w words, set *scenario.Scenario) *windows {
-	return &windows{words: w, set: set, empty: map[int32][]int16{}, Rule: Rule{Name: "windows",
-		Text: "nothing of a window's tenants reaches its servers while it has emptied them"}}
+	return &windows{words: w, set: set, empty: map[int32][]int16{}, Rule: Rule{
+		Name: "windows",
+		Text: "nothing of a window's tenants reaches its servers while it has emptied them",
+	}}
 }
 
 func (c *windows) verdict() Rule { return c.Rule }
--- a/internal/rehearsal/judge/words.go
+++ b/internal/rehearsal/judge/words.go
@@ -53,9 +53,11 @@
 	answerWords = [...]string{record.Served: "served", record.Refused: "refused", record.Failed: "failed"}
 	stateWords  = [...]string{record.Active: "active", record.Leaving: "leaving", record.Gone: "gone"}
 
-	outcomeWords = [...]string{record.OK: "a 200", record.Error: "an error", record.TurnedAway: "turned away",
+	outcomeWords = [...]string{
+		record.OK: "a 200", record.Error: "an error", record.TurnedAway: "turned away",
 		record.NoConnection: "no connection", record.Broken: "connection broken", record.GivenUp: "given up",
-		record.Unwritten: "given up before it was written", record.SpoiltAnswer: "an answer that can't be read"}
+		record.Unwritten: "given up before it was written", record.SpoiltAnswer: "an answer that can't be read",
+	}
 )
 
 func (w words) text(e *record.Event) string {
--- a/internal/rehearsal/lab/agent.go
+++ b/internal/rehearsal/lab/agent.go
@@ -71,7 +71,8 @@
 	}
 	for s := range l.o.Servers {
 		server, err := standin.Listen(a.round+":0", standin.Events{
-			Came: func(c *standin.Conn, r *http.Request, body []byte) { a.came(c, Step{n, s, r, body}) }})
+			Came: func(c *standin.Conn, r *http.Request, body []byte) { a.came(c, Step{n, s, r, body}) },
+		})
 		if err != nil {
 			return a, err
 		}
--- a/internal/rehearsal/lab/deployment.go
+++ b/internal/rehearsal/lab/deployment.go
@@ -16,16 +16,25 @@
 // repeat, "consult", and one that is not, "rezervare"; one clinic group, "acme", of whose traffic the agents
 // tell one another; times that a busy machine keeps.
 func Deployment() *protocol.Settings {
-	return &protocol.Settings{ConnIdle: 15 * time.Second, ConnectTimeout: time.Second,
-		Settings: decide.Settings{Zone: "a", Tick: 5 * time.Millisecond, MarksRetry: true,
+	return &protocol.Settings{
+		ConnIdle: 15 * time.Second, ConnectTimeout: time.Second,
+		Settings: decide.Settings{
+			Zone: "a", Tick: 5 * time.Millisecond, MarksRetry: true,
 			Classes: []decide.Class{
 				{Name: "consult", Aim: time.Second, Deadline: 5 * time.Second, Worth: 1, Effect: decide.Safe},
-				{Name: "rezervare", Aim: time.Second, Deadline: 5 * time.Second, Worth: 2, Effect: decide.Unsafe}},
+				{Name: "rezervare", Aim: time.Second, Deadline: 5 * time.Second, Worth: 2, Effect: decide.Unsafe},
+			},
 			Tenants: []decide.Tenant{{Name: "acme", QuotaPerS: 1000, Share: 1}},
-			Limits: decide.Limits{MaxAttempts: 3, SecondCopies: true, Cancel: true, Peers: true, RetryAfter: true,
-				MaxRetryAfter: 2 * time.Second},
-			Rules: decide.Rules{DrainGrace: 3 * time.Second, AskWithin: 10 * time.Second, ColdShare: 0.31,
-				ColdFor: 9 * time.Second, FallMultiple: 3, FallWindow: 3 * time.Second}}}
+			Limits: decide.Limits{
+				MaxAttempts: 3, SecondCopies: true, Cancel: true, Peers: true, RetryAfter: true,
+				MaxRetryAfter: 2 * time.Second,
+			},
+			Rules: decide.Rules{
+				DrainGrace: 3 * time.Second, AskWithin: 10 * time.Second, ColdShare: 0.31,
+				ColdFor: 9 * time.Second, FallMultiple: 3, FallWindow: 3 * time.Second,
+			},
+		},
+	}
 }
 
 // config is what an agent is started with in a run.
@@ -36,10 +45,12 @@
 	l.mu.Lock()
 	known := l.list.whole(a)
 	l.mu.Unlock()
-	file := program.Object{"name": a.Name, "listen": a.Addr, "discovery": a.discovery.Addr,
+	file := program.Object{
+		"name": a.Name, "listen": a.Addr, "discovery": a.discovery.Addr,
 		"seed":   fmt.Sprintf("%016x", l.o.Seed<<32|uint64(a.Number)<<16|uint64(run)),
 		"limits": program.Object{"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "known": known,
-		"settings": program.SettingsObject(set)}
+		"settings": program.SettingsObject(set),
+	}
 	if set.Limits.Peers {
 		file["peer_listen"] = a.Addr
 		file["peers"], file["peers_all"] = l.network.Addrs(a.Number)
@@ -55,8 +66,10 @@
 }
 
 func newList(servers int) list {
-	return list{version: 1, states: slices.Repeat([]string{"active"}, servers),
-		started: make([]time.Time, servers)}
+	return list{
+		version: 1, states: slices.Repeat([]string{"active"}, servers),
+		started: make([]time.Time, servers),
+	}
 }
 
 // of is what is said of a number, or else what is usual.
@@ -72,8 +85,10 @@
 	if at := v.started[n]; !at.IsZero() {
 		started = at.UnixMilli()
 	}
-	return program.Object{"id": fmt.Sprint("s-", n), "addr": a.servers[n].Addr(), "zone": of(o.Zones, n, "a"),
-		"kind": of(o.Kinds, n, "rapid"), "cell": 1, "state": v.states[n], "weight": 1.0, "started_ms": started}
+	return program.Object{
+		"id": fmt.Sprint("s-", n), "addr": a.servers[n].Addr(), "zone": of(o.Zones, n, "a"),
+		"kind": of(o.Kinds, n, "rapid"), "cell": 1, "state": v.states[n], "weight": 1.0, "started_ms": started,
+	}
 }
 
 func (v *list) whole(a *Agent) program.Object {
@@ -106,8 +121,10 @@
 func (l *Lab) tell(server int) {
 	l.list.version++
 	for _, a := range l.agents {
-		text := program.Line(program.Object{"version": l.list.version, "full": false,
-			"servers": []program.Object{l.list.entry(a, server)}})
+		text := program.Line(program.Object{
+			"version": l.list.version, "full": false,
+			"servers": []program.Object{l.list.entry(a, server)},
+		})
 		a.mu.Lock()
 		for c := range a.calls {
 			c.Say(text)
--- a/internal/rehearsal/lab/lab.go
+++ b/internal/rehearsal/lab/lab.go
@@ -138,9 +138,11 @@
 	if o.Settings == nil {
 		o.Settings = Deployment()
 	}
-	l := &Lab{Timeline: &timeline.Timeline{}, o: o, began: time.Now(), changed: make(chan struct{}),
+	l := &Lab{
+		Timeline: &timeline.Timeline{}, o: o, began: time.Now(), changed: make(chan struct{}),
 		spawn: program.NewSpawner(), list: newList(o.Servers),
-		client: http.Client{Timeout: askWait, Transport: &http.Transport{MaxIdleConnsPerHost: keptConnections}}}
+		client: http.Client{Timeout: askWait, Transport: &http.Transport{MaxIdleConnsPerHost: keptConnections}},
+	}
 	l.ids.Store(uint64(l.began.UnixNano()))
 	if err := l.open(); err != nil {
 		l.Close()
--- a/internal/rehearsal/lab/lab_test.go
+++ b/internal/rehearsal/lab/lab_test.go
@@ -129,8 +129,10 @@
 	f := l.Network()
 	require.Equal(t, f.Came-f.Cut-f.Lost+f.Doubled, f.Copies)
 	text := l.String()
-	for _, want := range []string{"datagrams from [0] to [1 2]: cut", "over: datagrams from [0] to", "n1   paused", "n1   resumed",
-		"n2   killed", "n3   told to end", "n4   runs for 0.3 of the time", "n0   streams to discovery: silent", "run 2 starts"} {
+	for _, want := range []string{
+		"datagrams from [0] to [1 2]: cut", "over: datagrams from [0] to", "n1   paused", "n1   resumed",
+		"n2   killed", "n3   told to end", "n4   runs for 0.3 of the time", "n0   streams to discovery: silent", "run 2 starts",
+	} {
 		require.Contains(t, text, want)
 	}
 	require.Empty(t, l.EndAll())
@@ -194,8 +196,10 @@
 	require.ErrorContains(t, err, "the agent's program")
 	_, err = New(Options{Program: shipped})
 	require.ErrorContains(t, err, "0 agents")
-	l := Open(t, Options{Agents: 1, Program: shipped,
-		Shape: func(c *Config) { c.Operator = "[storm]\non = 7\n" }})
+	l := Open(t, Options{
+		Agents: 1, Program: shipped,
+		Shape: func(c *Config) { c.Operator = "[storm]\non = 7\n" },
+	})
 	ctx := t.Context()
 	err = l.StartAll(ctx)
 	require.ErrorContains(t, err, "n0 is not ready: it ended before it was ready")
@@ -221,9 +225,12 @@
 	hour := scenario.Always(time.Hour)
 	done := make(chan error, 1)
 	go func() {
-		done <- l.Play(ctx, []scenario.Trouble{{Kind: scenario.AgentsKilled, For: hour, Agents: []int{0}},
+		done <- l.Play(ctx, []scenario.Trouble{
+			{Kind: scenario.AgentsKilled, For: hour, Agents: []int{0}},
 			{Kind: scenario.AgentsPaused, For: scenario.Always(scenario.LongestPause), Agents: []int{1}},
-			{Kind: scenario.Datagrams, For: hour, Cut: true}, {Kind: scenario.Datagrams, At: hour, For: hour, Loss: scenario.Exactly(1)}})
+			{Kind: scenario.Datagrams, For: hour, Cut: true},
+			{Kind: scenario.Datagrams, At: hour, For: hour, Loss: scenario.Exactly(1)},
+		})
 	}()
 	require.NoError(t, l.Wait(ctx, "all are there", func() bool {
 		marks, _ := l.Timeline.Marks()
--- a/internal/rehearsal/late/late.go
+++ b/internal/rehearsal/late/late.go
@@ -99,9 +99,11 @@
 // New returns a Policy that sees by sight, which returns how the servers stood some time ago. Work is the
 // mean work of a request on a standard core.
 func New(set decide.Settings, work time.Duration, seed uint64, sight func() *Sight) *Policy {
-	p := &Policy{set: set, sight: sight, work: work, rng: rand.New(rand.NewPCG(seed, 0x6c617465)),
+	p := &Policy{
+		set: set, sight: sight, work: work, rng: rand.New(rand.NewPCG(seed, 0x6c617465)),
 		ready: map[string]bool{}, out: map[string]int{}, requests: map[uint32]*request{},
-		classes: map[string]decide.Class{}}
+		classes: map[string]decide.Class{},
+	}
 	for _, c := range set.Classes {
 		p.classes[c.Name] = c
 	}
@@ -167,8 +169,10 @@
 	}
 	r.tried = append(r.tried, best.ID)
 	p.out[best.ID]++
-	p.acts = append(p.acts, decide.Action{Kind: decide.Send, ID: id, Attempt: len(r.tried) - 1, Server: best.ID,
-		After: r.until - now})
+	p.acts = append(p.acts, decide.Action{
+		Kind: decide.Send, ID: id, Attempt: len(r.tried) - 1, Server: best.ID,
+		After: r.until - now,
+	})
 }
 
 func (p *Policy) finish(id uint32, kind decide.ActionKind) {
--- a/internal/rehearsal/late/late_test.go
+++ b/internal/rehearsal/late/late_test.go
@@ -12,12 +12,15 @@
 // What comes beyond what the servers can do is refused; the rest goes where there is room, in the parts of what each
 // can do; what may be repeated is tried elsewhere, and nothing else is.
 func TestPolicy(t *testing.T) {
-	sight := NewSight([]Server{{ID: "a", Takes: true, Capacity: 1, Speed: 1, Cores: 1},
+	sight := NewSight([]Server{
+		{ID: "a", Takes: true, Capacity: 1, Speed: 1, Cores: 1},
 		{ID: "b", Takes: true, Capacity: 3, Speed: 3, Cores: 3},
 		{ID: "full", Takes: true, Capacity: 1, Speed: 1, Held: 9, Cores: 1},
-		{ID: "silent", Capacity: 100, Speed: 100, Cores: 1}}, 7)
+		{ID: "silent", Capacity: 100, Speed: 100, Cores: 1},
+	}, 7)
 	set := decide.Settings{Limits: decide.Limits{MaxAttempts: 3}, Classes: []decide.Class{
-		{Name: "consult", Aim: time.Second}, {Name: "rezervare", Aim: time.Second, Effect: decide.Unsafe}}}
+		{Name: "consult", Aim: time.Second}, {Name: "rezervare", Aim: time.Second, Effect: decide.Unsafe},
+	}}
 	p := New(set, 100*time.Millisecond, 1, func() *Sight { return sight })
 	var list decide.Membership
 	for _, id := range []string{"a", "b", "full", "silent"} {
--- a/internal/rehearsal/live/bench.go
+++ b/internal/rehearsal/live/bench.go
@@ -142,7 +142,8 @@
 )
 
 func (s benchSubject) measure(ctx context.Context, o BenchOptions, b *Bench, spawn *program.Spawner,
-	core unix.CPUSet, direct string) (c Cost, err error) {
+	core unix.CPUSet, direct string,
+) (c Cost, err error) {
 	c.Name = s.name
 	addr := direct
 	var cmd *exec.Cmd
@@ -212,22 +213,36 @@
 	}
 	var entries []program.Object
 	for i, s := range servers {
-		entries = append(entries, program.Object{"id": fmt.Sprint("s-", i), "addr": s, "zone": "a", "kind": "quick",
-			"state": "active", "weight": 1.0})
+		entries = append(entries, program.Object{
+			"id": fmt.Sprint("s-", i), "addr": s, "zone": "a", "kind": "quick",
+			"state": "active", "weight": 1.0,
+		})
 	}
-	set := protocol.Settings{ConnIdle: 15 * time.Second, ConnectTimeout: 250 * time.Millisecond,
-		Settings: decide.Settings{Balancers: 1, Zone: "a", Tick: 5 * time.Millisecond,
-			Classes: []decide.Class{{Name: "any", Aim: time.Second, Deadline: 2 * time.Second, Worth: 1,
-				Effect: decide.Safe}},
-			Limits: decide.Limits{MaxAttempts: 3, SecondCopies: true, Cancel: true, RetryAfter: true,
-				MaxRetryAfter: 2 * time.Second},
-			Rules: decide.Rules{DrainGrace: 3 * time.Second, AskWithin: 10 * time.Second, ColdShare: 0.31,
-				ColdFor: 9 * time.Second, FallMultiple: 3, FallWindow: 3 * time.Second}}}
-	config := program.Line(program.Object{"name": "n0", "listen": addr, "discovery": d.Addr,
+	set := protocol.Settings{
+		ConnIdle: 15 * time.Second, ConnectTimeout: 250 * time.Millisecond,
+		Settings: decide.Settings{
+			Balancers: 1, Zone: "a", Tick: 5 * time.Millisecond,
+			Classes: []decide.Class{{
+				Name: "any", Aim: time.Second, Deadline: 2 * time.Second, Worth: 1,
+				Effect: decide.Safe,
+			}},
+			Limits: decide.Limits{
+				MaxAttempts: 3, SecondCopies: true, Cancel: true, RetryAfter: true,
+				MaxRetryAfter: 2 * time.Second,
+			},
+			Rules: decide.Rules{
+				DrainGrace: 3 * time.Second, AskWithin: 10 * time.Second, ColdShare: 0.31,
+				ColdFor: 9 * time.Second, FallMultiple: 3, FallWindow: 3 * time.Second,
+			},
+		},
+	}
+	config := program.Line(program.Object{
+		"name": "n0", "listen": addr, "discovery": d.Addr,
 		"seed":     "8c1f30d27a5be964",
 		"limits":   program.Object{"cores": 1, "memory_mb": 192, "sockets": 1024},
 		"known":    program.Object{"version": 1, "full": true, "servers": entries},
-		"settings": program.SettingsObject(set)})
+		"settings": program.SettingsObject(set),
+	})
 	file, err := program.MemoryFile("config", config)
 	if err != nil {
 		d.Close()
@@ -235,8 +250,10 @@
 	}
 	cmd := exec.Command(path)
 	cmd.ExtraFiles = []*os.File{file}
-	cmd.Env = []string{"LB_NAME=n0", "LB_LISTEN=" + addr, "LB_DISCOVERY=" + d.Addr,
-		"LB_CONFIG=/proc/self/fd/3"}
+	cmd.Env = []string{
+		"LB_NAME=n0", "LB_LISTEN=" + addr, "LB_DISCOVERY=" + d.Addr,
+		"LB_CONFIG=/proc/self/fd/3",
+	}
 	return cmd, closers{func() { d.Close() }, func() { _ = file.Close() }}, nil
 }
 
--- a/internal/rehearsal/live/benchload.go
+++ b/internal/rehearsal/live/benchload.go
@@ -75,8 +75,10 @@
 	began, before := time.Now(), kitTime()
 	err = day.Play(ctx, w)
 	took := time.Since(began)
-	return &LoadBench{PerS: float64(counts.answered) / min(took, length).Seconds(), Asked: counts.asked,
-		Answered: counts.answered, Late: day.Late(), CPUS: (kitTime() - before).Seconds(), Cores: cores}, err
+	return &LoadBench{
+		PerS: float64(counts.answered) / min(took, length).Seconds(), Asked: counts.asked,
+		Answered: counts.answered, Late: day.Late(), CPUS: (kitTime() - before).Seconds(), Cores: cores,
+	}, err
 }
 
 // quickWire has a stand-in in place of each agent: there are no booking servers behind it.
--- a/internal/rehearsal/live/live.go
+++ b/internal/rehearsal/live/live.go
@@ -102,10 +102,13 @@
 }
 
 func newAgents(set *scenario.Scenario, path string, spawn *program.Spawner, log func(string, string)) (
-	agents []*program.Agent, err error) {
+	agents []*program.Agent, err error,
+) {
 	for i := range set.Agents.Count {
-		a := &program.Agent{Name: fmt.Sprint("n", i), Program: path, Sockets: set.Agents.Sockets, Spawn: spawn,
-			Log: log, Look: lookEvery * time.Duration(max(set.Agents.Count/looksAtATime, 1))}
+		a := &program.Agent{
+			Name: fmt.Sprint("n", i), Program: path, Sockets: set.Agents.Sockets, Spawn: spawn,
+			Log: log, Look: lookEvery * time.Duration(max(set.Agents.Count/looksAtATime, 1)),
+		}
 		if a.Addr, err = program.FreeAddr(addresses{os.Getpid()}.of(i)); err != nil {
 			return nil, err
 		}
@@ -125,9 +128,11 @@
 	if u.PeakMB > float64(memory) {
 		u.Problems = append(u.Problems, fmt.Sprintf("took %.1f MB of %d", u.PeakMB, memory))
 	}
-	return report.AgentUse{Name: a.Name, Starts: u.Starts, PeakMB: u.PeakMB, LimitMB: memory,
+	return report.AgentUse{
+		Name: a.Name, Starts: u.Starts, PeakMB: u.PeakMB, LimitMB: memory,
 		Descriptors: u.Descriptors, Limit: set.Agents.Sockets + program.SpareDescriptors, CPUS: u.CPUS,
-		Problems: u.Problems}
+		Problems: u.Problems,
+	}
 }
 
 // checkPlan tells whether the day can be played live, on this machine, at all.
@@ -165,11 +170,15 @@
 func planPart(p *world.Plan) report.PlanPart {
 	digest := sha256.New()
 	_ = WritePlan(digest, p) // a hash takes all
-	part := report.PlanPart{Arrivals: len(p.Arrivals), Digest: hex.EncodeToString(digest.Sum(nil)),
-		Troubles: []report.PlanTrouble{}}
+	part := report.PlanPart{
+		Arrivals: len(p.Arrivals), Digest: hex.EncodeToString(digest.Sum(nil)),
+		Troubles: []report.PlanTrouble{},
+	}
 	for _, t := range p.Troubles {
-		part.Troubles = append(part.Troubles, report.PlanTrouble{Kind: string(t.Kind), AtS: t.At.Seconds(),
-			ForS: t.For.Seconds()})
+		part.Troubles = append(part.Troubles, report.PlanTrouble{
+			Kind: string(t.Kind), AtS: t.At.Seconds(),
+			ForS: t.For.Seconds(),
+		})
 	}
 	return part
 }
@@ -193,11 +202,14 @@
 }
 
 func measured(path string, late world.Lateness, kit time.Duration, set *scenario.Scenario,
-	agents []*program.Agent) report.Measured {
+	agents []*program.Agent,
+) report.Measured {
 	h := late.Happenings
-	m := report.Measured{Program: path, Cores: runtime.NumCPU(), Kit: report.Kit{P50US: h.ValueAtQuantile(50),
+	m := report.Measured{Program: path, Cores: runtime.NumCPU(), Kit: report.Kit{
+		P50US: h.ValueAtQuantile(50),
 		P99US: h.ValueAtQuantile(99), P999US: h.ValueAtQuantile(99.9), MostMS: late.Most.Seconds() * 1000,
-		MostAt: late.MostAt.Seconds(), CPUS: kit.Seconds()}}
+		MostAt: late.MostAt.Seconds(), CPUS: kit.Seconds(),
+	}}
 	for _, a := range agents {
 		m.Agents = append(m.Agents, used(a, set))
 	}
--- a/internal/rehearsal/live/parts.go
+++ b/internal/rehearsal/live/parts.go
@@ -21,11 +21,13 @@
 	next := func() string { return servers[turn.Add(1)%uint64(len(servers))] }
 	switch part {
 	case PartProxy:
-		proxy := &httputil.ReverseProxy{ErrorLog: log.New(io.Discard, "", 0),
+		proxy := &httputil.ReverseProxy{
+			ErrorLog: log.New(io.Discard, "", 0),
 			Rewrite: func(r *httputil.ProxyRequest) {
 				r.Out.URL.Scheme, r.Out.URL.Host = "http", next()
 			},
-			Transport: &http.Transport{MaxIdleConns: 1024, MaxIdleConnsPerHost: 256, DisableCompression: true}}
+			Transport: &http.Transport{MaxIdleConns: 1024, MaxIdleConnsPerHost: 256, DisableCompression: true},
+		}
 		return http.Serve(l, proxy)
 	case PartCopier:
 		for {
--- a/internal/rehearsal/live/wire.go
+++ b/internal/rehearsal/live/wire.go
@@ -288,12 +288,16 @@
 func (w *wire) Start(number, run int, known protocol.PoolConfig) {
 	s := w.agents[number]
 	deployment := w.day.Deployment(number)
-	config := program.Object{"name": s.agent.Name, "listen": s.agent.Addr, "discovery": s.discovery.Addr,
+	config := program.Object{
+		"name": s.agent.Name, "listen": s.agent.Addr, "discovery": s.discovery.Addr,
 		"seed": fmt.Sprintf("%016x", uint64(number)<<32|uint64(run)),
-		"limits": program.Object{"cores": w.set.Agents.Cores, "memory_mb": w.set.Agents.MemoryMB,
-			"sockets": w.set.Agents.Sockets},
+		"limits": program.Object{
+			"cores": w.set.Agents.Cores, "memory_mb": w.set.Agents.MemoryMB,
+			"sockets": w.set.Agents.Sockets,
+		},
 		"known":    program.ListObject(known, s.where, w.day.StartedMS),
-		"settings": program.SettingsObject(deployment)}
+		"settings": program.SettingsObject(deployment),
+	}
 	if w.peers != nil {
 		config["peer_listen"] = s.agent.Addr
 		config["peers"], config["peers_all"] = w.peers.Addrs(number)
--- a/internal/rehearsal/mishap/mishap.go
+++ b/internal/rehearsal/mishap/mishap.go
@@ -46,10 +46,12 @@
 // FromTrouble is the fault of a scenario's trouble between agents; the shares and mean times that a day draws
 // are drawn.
 func FromTrouble(t *scenario.Trouble, chance *rand.Rand) Fault {
-	return Fault{From: t.From, To: t.To, Way: Way{Cut: t.Cut, Loss: t.Loss.Draw(chance),
+	return Fault{From: t.From, To: t.To, Way: Way{
+		Cut: t.Cut, Loss: t.Loss.Draw(chance),
 		Burst: Burst{Calm: t.Calm.Draw(chance), Bad: t.Bad.Draw(chance), Loss: t.BurstLoss.Draw(chance)},
 		Delay: t.Delay, Reorder: t.Reorder.Draw(chance), Held: t.Held, Double: t.Double.Draw(chance),
-		Flip: t.Flip.Draw(chance), Shorten: t.Shorten.Draw(chance)}}
+		Flip: t.Flip.Draw(chance), Shorten: t.Shorten.Draw(chance),
+	}}
 }
 
 // String says what the way does, in words.
@@ -85,8 +87,14 @@
 	for _, s := range []struct {
 		name  string
 		share float64
-	}{{"loss", f.Loss}, {"loss in bursts", f.Burst.Loss}, {"reorder", f.Reorder}, {"double", f.Double},
-		{"flip", f.Flip}, {"shorten", f.Shorten}} {
+	}{
+		{"loss", f.Loss},
+		{"loss in bursts", f.Burst.Loss},
+		{"reorder", f.Reorder},
+		{"double", f.Double},
+		{"flip", f.Flip},
+		{"shorten", f.Shorten},
+	} {
 		if !(s.share >= 0 && s.share <= 1) {
 			return fmt.Errorf("mishap: %s is %v, which is no share from 0 to 1", s.name, s.share)
 		}
