--- a/internal/rehearsal/mishap/mishap_test.go
+++ b/internal/rehearsal/mishap/mishap_test.go
@@ -40,17 +40,21 @@
 			low := time.Duration(rapid.IntRange(0, 50).Draw(t, name)) * ms
 			return within(low, low+time.Duration(rapid.IntRange(0, 50).Draw(t, name))*ms)
 		}
-		w := Way{Cut: rapid.Bool().Draw(t, "cut"), Loss: share("loss"), Delay: span("delay"), Reorder: share("reorder"),
+		w := Way{
+			Cut: rapid.Bool().Draw(t, "cut"), Loss: share("loss"), Delay: span("delay"), Reorder: share("reorder"),
 			Held: span("held"), Double: share("double"), Flip: share("flip"), Shorten: share("shorten"),
-			Burst: Burst{Calm: 20 * ms, Bad: 10 * ms, Loss: share("burst")}}
+			Burst: Burst{Calm: 20 * ms, Bad: 10 * ms, Loss: share("burst")},
+		}
 		from := rapid.SampledFrom([][]int{nil, {0}, {1, 2}}).Draw(t, "from")
 		seed := rapid.Uint64().Draw(t, "seed")
 		var datagrams []sent
 		at := time.Duration(0)
 		for range rapid.IntRange(1, 60).Draw(t, "n") {
 			at += time.Duration(rapid.IntRange(0, 20).Draw(t, "gap")) * ms
-			datagrams = append(datagrams, sent{at, rapid.IntRange(0, 2).Draw(t, "from"), rapid.IntRange(0, 2).Draw(t, "to"),
-				bytes.Repeat([]byte{0x5a}, rapid.IntRange(0, 40).Draw(t, "length"))})
+			datagrams = append(datagrams, sent{
+				at, rapid.IntRange(0, 2).Draw(t, "from"), rapid.IntRange(0, 2).Draw(t, "to"),
+				bytes.Repeat([]byte{0x5a}, rapid.IntRange(0, 40).Draw(t, "length")),
+			})
 		}
 		play := func(only int) (out [][]Copy, c Counts) {
 			n := New(seed, 3)
@@ -141,8 +145,10 @@
 		"reorder": {Way{Reorder: 0.1, Held: within(ms, ms)}, func(c Counts) int { return c.Held }, 0.1},
 		"flip":    {Way{Flip: 0.4}, func(c Counts) int { return c.Flipped }, 0.4},
 		"shorten": {Way{Shorten: 0.25}, func(c Counts) int { return c.Short }, 0.25},
-		"bursts": {Way{Burst: Burst{Calm: 300 * ms, Bad: 100 * ms, Loss: 0.8}},
-			func(c Counts) int { return c.Lost }, 0.25 * 0.8},
+		"bursts": {
+			Way{Burst: Burst{Calm: 300 * ms, Bad: 100 * ms, Loss: 0.8}},
+			func(c Counts) int { return c.Lost }, 0.25 * 0.8,
+		},
 	} {
 		t.Run(name, func(t *testing.T) { require.InDelta(t, c.want, float64(c.of(count(Fault{Way: c.way})))/many, 0.03) })
 	}
@@ -226,8 +232,10 @@
 
 func BenchmarkPass(b *testing.B) {
 	n := New(1, 50)
-	begin(b, n, Fault{Way: Way{Loss: 0.1, Double: 0.1, Reorder: 0.1, Delay: within(ms, 30*ms), Flip: 0.01,
-		Burst: Burst{Calm: time.Second, Bad: 100 * ms, Loss: 0.9}}})
+	begin(b, n, Fault{Way: Way{
+		Loss: 0.1, Double: 0.1, Reorder: 0.1, Delay: within(ms, 30*ms), Flip: 0.01,
+		Burst: Burst{Calm: time.Second, Bad: 100 * ms, Loss: 0.9},
+	}})
 	data := make([]byte, 256)
 	for i := 0; b.Loop(); i++ {
 		n.Pass(time.Duration(i)*ms, i%50, (i+7)%50, data)
--- a/internal/rehearsal/rehearsal.go
+++ b/internal/rehearsal/rehearsal.go
@@ -24,22 +24,36 @@
 	Name, Text string
 	takeOut    func(*decide.Figures, *storm.Figures)
 }{
-	{"damping", "flapping servers are left alone for a while",
-		func(f *decide.Figures, _ *storm.Figures) { f.SuppressLimit = never }},
-	{"cold-budget", "a starting server gets no more than its part",
-		func(f *decide.Figures, _ *storm.Figures) { f.ColdMargin, f.ColdMost = never, never }},
-	{"spill", "an owner over the bounded load passes its keys on",
-		func(f *decide.Figures, _ *storm.Figures) { f.BoundedLoad = never }},
-	{"retry-budget", "an agent's further sends are a part of its requests",
+	{
+		"damping", "flapping servers are left alone for a while",
+		func(f *decide.Figures, _ *storm.Figures) { f.SuppressLimit = never },
+	},
+	{
+		"cold-budget", "a starting server gets no more than its part",
+		func(f *decide.Figures, _ *storm.Figures) { f.ColdMargin, f.ColdMost = never, never },
+	},
+	{
+		"spill", "an owner over the bounded load passes its keys on",
+		func(f *decide.Figures, _ *storm.Figures) { f.BoundedLoad = never },
+	},
+	{
+		"retry-budget", "an agent's further sends are a part of its requests",
 		func(f *decide.Figures, _ *storm.Figures) {
 			f.RetryRatio, f.RetryReserve, f.SpareRatio, f.SpareReserve = never, never, never, never
-		}},
-	{"quota", "traffic beyond a tenant's share waits in shorter queues only",
-		func(f *decide.Figures, _ *storm.Figures) { f.LowShare = 1 }},
-	{"throttle", "an agent of a large fleet lets in little more than what is answered",
-		func(_ *decide.Figures, f *storm.Figures) { f.InVain = never }},
-	{"storm", "slow spells are purged, and storms and returning servers met with fewer sends",
-		func(_ *decide.Figures, f *storm.Figures) { f.Off = true }},
+		},
+	},
+	{
+		"quota", "traffic beyond a tenant's share waits in shorter queues only",
+		func(f *decide.Figures, _ *storm.Figures) { f.LowShare = 1 },
+	},
+	{
+		"throttle", "an agent of a large fleet lets in little more than what is answered",
+		func(_ *decide.Figures, f *storm.Figures) { f.InVain = never },
+	},
+	{
+		"storm", "slow spells are purged, and storms and returning servers met with fewer sends",
+		func(_ *decide.Figures, f *storm.Figures) { f.Off = true },
+	},
 }
 
 // figuresWithout are the figures of the module and of the gate before it, with protections taken out.
@@ -80,8 +94,10 @@
 	}
 	j, line := judge.New(set), &timeline.Timeline{}
 	crash, err := play(ctx, set, o.Seed, j,
-		world.Options{Figures: figures, Storm: gate, Progress: o.Progress, Log: o.reads(line), Timeline: line,
-			Placed: o.Placed})
+		world.Options{
+			Figures: figures, Storm: gate, Progress: o.Progress, Log: o.reads(line), Timeline: line,
+			Placed: o.Placed,
+		})
 	if err != nil && ctx.Err() == nil {
 		return nil, err
 	}
@@ -128,7 +144,8 @@
 // play plays a day into a judge. Code that panics ends the day, not the rehearsal: the agents' code runs in
 // it, and an agent that crashes is what a hunt is for.
 func play(ctx context.Context, set *scenario.Scenario, seed uint64, j *judge.Judge, o world.Options) (
-	crash *report.Crash, err error) {
+	crash *report.Crash, err error,
+) {
 	now := time.Duration(0)
 	progress := o.Progress
 	o.Progress = func(at time.Duration) {
--- a/internal/rehearsal/rehearsal_test.go
+++ b/internal/rehearsal/rehearsal_test.go
@@ -65,8 +65,10 @@
 	require.Greater(t, playDay(t, load(t, "all-refusing"), "storm").Spells[0].SendsPer, 2.0)
 	require.Less(t, playDay(t, load(t, "all-silent")).Spells[0].RecoveredS, 3.0)
 	require.Less(t, playDay(t, load(t, "all-refusing")).Spells[0].SendsPer, 0.5)
-	days, err := Hunt(context.Background(), load(t, "slow-kept-alive"), HuntOptions{First: 1, Seeds: 16,
-		Without: []string{"storm"}})
+	days, err := Hunt(context.Background(), load(t, "slow-kept-alive"), HuntOptions{
+		First: 1, Seeds: 16,
+		Without: []string{"storm"},
+	})
 	require.NoError(t, err)
 	require.True(t, slices.ContainsFunc(days, func(f Found) bool {
 		return slices.Contains(f.Findings, judge.KeptAlive)
--- a/internal/rehearsal/report/live.go
+++ b/internal/rehearsal/report/live.go
@@ -67,8 +67,10 @@
 	kit.add("most", millis(m.Kit.MostMS), fmt.Sprintf("at %.1f s", m.Kit.MostAt))
 	kit.add("processor time", fmt.Sprintf("%.1f s", m.Kit.CPUS),
 		fmt.Sprintf("on %d cores, with the agents", m.Cores))
-	agents := table{title: "Agents (measured)", head: []string{"agent", "starts", "peak memory", "limit",
-		"descriptors", "limit", "processor time", ""}}
+	agents := table{title: "Agents (measured)", head: []string{
+		"agent", "starts", "peak memory", "limit",
+		"descriptors", "limit", "processor time", "",
+	}}
 	for _, a := range m.Agents {
 		problems := "-"
 		if len(a.Problems) > 0 {
--- a/internal/rehearsal/report/plots.go
+++ b/internal/rehearsal/report/plots.go
@@ -96,14 +96,18 @@
 func (r *Report) serviceFigure() (figure, error) {
 	worth := func(s *judge.Second) float64 { return s.AskedWorth }
 	served := func(s *judge.Second) float64 { return s.ServedWorth }
-	return r.overTime(figure{Title: "Service over time",
-		Text: "The part of the worth asked for in a second that was answered in time. Troubles are shaded."},
+	return r.overTime(figure{
+		Title: "Service over time",
+		Text:  "The part of the worth asked for in a second that was answered in time. Troubles are shaded.",
+	},
 		"service", serviceTop, line{"service", blue, ratio(served, worth)})
 }
 
 func (r *Report) answersFigure() (figure, error) {
-	return r.overTime(figure{Title: "Answers, refusals and retries",
-		Text: "What went back in each second, and the clients' retries that came."}, "a second", 0,
+	return r.overTime(figure{
+		Title: "Answers, refusals and retries",
+		Text:  "What went back in each second, and the clients' retries that came.",
+	}, "a second", 0,
 		line{"in time", green, count(func(s *judge.Second) int { return s.InTime })},
 		line{"served late", orange, count(func(s *judge.Second) int { return s.Late })},
 		line{"refused", violet, count(func(s *judge.Second) int { return s.Refused })},
@@ -113,22 +117,30 @@
 }
 
 func (r *Report) workFigure() (figure, error) {
-	return r.overTime(figure{Title: "Work that reached the booking servers",
+	return r.overTime(figure{
+		Title: "Work that reached the booking servers",
 		Text: "In seconds of standard work a second, beside what the servers could do. Where first tries alone " +
-			"would fit and all together do not, repeats keep the trouble alive."}, "work a second", 0,
+			"would fit and all together do not, repeats keep the trouble alive.",
+	}, "work a second", 0,
 		line{"capacity", grey, mean(func(s *judge.Second) float64 { return s.Capacity })},
 		line{"first tries", blue, mean(func(s *judge.Second) float64 { return s.WorkFirst })},
-		line{"with clients' retries", sky,
-			mean(func(s *judge.Second) float64 { return s.WorkFirst + s.WorkRetry })},
-		line{"and what agents sent again", red,
-			mean(func(s *judge.Second) float64 { return s.WorkFirst + s.WorkRetry + s.WorkAgain })})
+		line{
+			"with clients' retries", sky,
+			mean(func(s *judge.Second) float64 { return s.WorkFirst + s.WorkRetry }),
+		},
+		line{
+			"and what agents sent again", red,
+			mean(func(s *judge.Second) float64 { return s.WorkFirst + s.WorkRetry + s.WorkAgain }),
+		})
 }
 
 func (r *Report) attemptsFigure() (figure, error) {
 	sends := func(s *judge.Second) float64 { return float64(s.Sends) }
 	firsts := func(s *judge.Second) float64 { return float64(s.FirstTries) }
-	return r.overTime(figure{Title: "Attempts for each request",
-		Text: "Sends to booking servers for each first try, the clients' retries' among them."},
+	return r.overTime(figure{
+		Title: "Attempts for each request",
+		Text:  "Sends to booking servers for each first try, the clients' retries' among them.",
+	},
 		"sends for each first try", 0, line{"sends for each first try", blue, ratio(sends, firsts)})
 }
 
@@ -148,8 +160,10 @@
 }
 
 func (r *Report) connectionsFigure() (figure, error) {
-	return r.overTime(figure{Title: "Connections to booking servers",
-		Text: "Open ones, and new ones in each second."}, "connections", 0,
+	return r.overTime(figure{
+		Title: "Connections to booking servers",
+		Text:  "Open ones, and new ones in each second.",
+	}, "connections", 0,
 		line{"open", blue, count(func(s *judge.Second) int { return s.Conns })},
 		line{"new", red, count(func(s *judge.Second) int { return s.Opened })})
 }
@@ -229,8 +243,12 @@
 			over = p.X.Max
 		}
 		left, right := x(s.BeganS), x(over)
-		c.FillPolygon(shading, []vg.Point{{X: left, Y: c.Min.Y}, {X: right, Y: c.Min.Y}, {X: right, Y: c.Max.Y},
-			{X: left, Y: c.Max.Y}})
+		c.FillPolygon(shading, []vg.Point{
+			{X: left, Y: c.Min.Y},
+			{X: right, Y: c.Min.Y},
+			{X: right, Y: c.Max.Y},
+			{X: left, Y: c.Max.Y},
+		})
 		const rowsOfNames, rowHeight = 4, 9
 		top := c.Max.Y - vg.Length(i%rowsOfNames*rowHeight)
 		c.FillText(style, vg.Point{X: left + 1, Y: top}, strings.ReplaceAll(s.Kind, "_", " "))
@@ -261,8 +279,10 @@
 
 // loadFigure draws the load of each server; of a large fleet that of the busiest.
 func (r *Report) loadFigure() (figure, error) {
-	f := figure{Title: "Load of each booking server",
-		Text: "How busy each was, from light (idle) to dark (all of its time). Blank: it did not run."}
+	f := figure{
+		Title: "Load of each booking server",
+		Text:  "How busy each was, from light (idle) to dark (all of its time). Blank: it did not run.",
+	}
 	rows := r.Servers
 	if len(rows) > mostRows {
 		rows = busiest(rows, mostRows)
--- a/internal/rehearsal/report/report.go
+++ b/internal/rehearsal/report/report.go
@@ -39,8 +39,10 @@
 
 // New puts a report together.
 func New(scenario, about string, seed uint64, without []string, v judge.Verdict) *Report {
-	return &Report{Schema: Schema, Scenario: scenario, About: about, Seed: seed,
-		Without: append([]string{}, without...), Verdict: v}
+	return &Report{
+		Schema: Schema, Scenario: scenario, About: about, Seed: seed,
+		Without: append([]string{}, without...), Verdict: v,
+	}
 }
 
 // Crash is a panic of the code that was played.
--- a/internal/rehearsal/report/text.go
+++ b/internal/rehearsal/report/text.go
@@ -180,8 +180,10 @@
 }
 
 func (r *Report) troublesTable() table {
-	t := table{title: "Troubles", head: []string{"trouble", "from", "to", "service before", "during",
-		"sends per first try", "back after", "servers busy meanwhile"}}
+	t := table{title: "Troubles", head: []string{
+		"trouble", "from", "to", "service before", "during",
+		"sends per first try", "back after", "servers busy meanwhile",
+	}}
 	for _, s := range r.Spells {
 		over, back, busy := "-", "not", "-"
 		if s.OverS >= 0 {
@@ -208,8 +210,10 @@
 }
 
 func (r *Report) groupsTable() table {
-	t := table{title: "Classes and clinic groups",
-		head: []string{"", "served in time", "answers", "p50", "p90", "p99", "p99.9", "most"}}
+	t := table{
+		title: "Classes and clinic groups",
+		head:  []string{"", "served in time", "answers", "p50", "p90", "p99", "p99.9", "most"},
+	}
 	for _, c := range r.Classes {
 		l := c.Latency
 		t.add(c.Name, share(c.Served), fmt.Sprint(l.Count), millis(l.P50MS), millis(l.P90MS), millis(l.P99MS),
@@ -223,8 +227,10 @@
 
 // sharesTable tells what was served of the day's parts, before prices, and what the gate asks of them.
 func (r *Report) sharesTable() table {
-	t := table{title: "Shares, before prices",
-		head: []string{"of", "served", "by the policy that sees late", "asked"}}
+	t := table{
+		title: "Shares, before prices",
+		head:  []string{"of", "served", "by the policy that sees late", "asked"},
+	}
 	for _, s := range r.Shares {
 		by, asked := "-", "-"
 		if s.Late > 0 {
@@ -262,8 +268,10 @@
 // coldTable tells how full the fullest windows of the servers that started cold were: at 1 one falls.
 func (r *Report) coldTable() table {
 	c := r.Cold
-	t := table{title: "Cold servers, by the fullest window of each over what it stood then",
-		head: []string{"", "", ""}}
+	t := table{
+		title: "Cold servers, by the fullest window of each over what it stood then",
+		head:  []string{"", "", ""},
+	}
 	t.add("starts", fmt.Sprint(c.Starts), "")
 	t.add("median", share(c.Median), "")
 	t.add("of nine in ten at most", share(c.P90), "")
@@ -308,8 +316,10 @@
 }
 
 func (r *Report) repeatsTable() table {
-	t := table{title: "First tries, by how many tries and sends they came to",
-		head: []string{"", "tries", "sends"}}
+	t := table{
+		title: "First tries, by how many tries and sends they came to",
+		head:  []string{"", "tries", "sends"},
+	}
 	for n := range r.Tries {
 		if r.Tries[n] > 0 || r.Sends[n] > 0 {
 			t.add(countLabel(n, len(r.Tries)), fmt.Sprint(r.Tries[n]), fmt.Sprint(r.Sends[n]))
@@ -327,8 +337,10 @@
 }
 
 func (r *Report) serversTable() table {
-	t := table{title: "Booking servers", head: []string{"server", "kind", "zone", "capacity", "busy",
-		"most busy", "most held", "most connections"}}
+	t := table{title: "Booking servers", head: []string{
+		"server", "kind", "zone", "capacity", "busy",
+		"most busy", "most held", "most connections",
+	}}
 	for _, s := range r.Servers {
 		t.add(s.ID, s.Kind, s.Zone, fmt.Sprintf("%.2f", s.Capacity), percent(s.MeanBusy), percent(s.PeakBusy),
 			fmt.Sprint(s.MostHeld), fmt.Sprint(s.MostConns))
--- a/internal/rehearsal/report/text_test.go
+++ b/internal/rehearsal/report/text_test.go
@@ -11,9 +11,13 @@
 
 // A line of the gate fails a day that passed by itself where a share is too low, names it, and has what each day has.
 func TestGateLine(t *testing.T) {
-	v := judge.Verdict{Passed: true, Service: 0.8, Floor: 0.5, Cold: &judge.Cold{Starts: 7, Fullest: 0.4},
-		Shares: []judge.Share{{Of: "the day", Served: 0.9, Late: 0.8, Wants: 0.4},
-			{Of: "class rezervare", Served: 0.41, Late: 0.82, Wants: 0.41}}}
+	v := judge.Verdict{
+		Passed: true, Service: 0.8, Floor: 0.5, Cold: &judge.Cold{Starts: 7, Fullest: 0.4},
+		Shares: []judge.Share{
+			{Of: "the day", Served: 0.9, Late: 0.8, Wants: 0.4},
+			{Of: "class rezervare", Served: 0.41, Late: 0.82, Wants: 0.41},
+		},
+	}
 	says, passed := New("day", "", 1, nil, v).GateLine()
 	require.True(t, passed)
 	require.Equal(t, "passed, service 0.800, floor 0.50; served (asked): the day 0.90 (0.40), class rezervare 0.41 (0.41); "+
--- a/internal/rehearsal/restart_test.go
+++ b/internal/rehearsal/restart_test.go
@@ -77,8 +77,10 @@
 	set, err := scenario.Load("../../rehearsals/" + name + ".toml")
 	require.NoError(t, err)
 	edit(set)
-	s := &share{set: set, from: from, to: to, asked: map[uint32]*record.Event{}, chains: map[uint32]uint32{},
-		gone: map[[2]int32]bool{}}
+	s := &share{
+		set: set, from: from, to: to, asked: map[uint32]*record.Event{}, chains: map[uint32]uint32{},
+		gone: map[[2]int32]bool{},
+	}
 	require.NoError(t, world.Play(context.Background(), set, seed, s, world.Options{}))
 	return s
 }
@@ -95,13 +97,15 @@
 // silent, and those that were have recovered.
 func TestRestartInTrouble(t *testing.T) {
 	sharp := func(d time.Duration) scenario.TimeSpan { return scenario.TimeSpan{Low: d, High: d} }
-	for name, change := range map[string]func(*scenario.Scenario){"lasting": func(*scenario.Scenario) {},
+	for name, change := range map[string]func(*scenario.Scenario){
+		"lasting": func(*scenario.Scenario) {},
 		"stale": func(s *scenario.Scenario) {
 			other := s.Troubles[0]
 			s.Troubles[0].For = sharp(18 * time.Second)
 			other.At, other.For = sharp(30*time.Second), sharp(25*time.Second)
 			s.Troubles = append(s.Troubles, other)
-		}} {
+		},
+	} {
 		t.Run(name, func(t *testing.T) {
 			var lost, lostWithout, lostAnyway, worst float64
 			for seed := range seeds(3) {
@@ -139,8 +143,10 @@
 					spell := &s.Troubles[0]
 					spell.At, spell.For = sharp(28*time.Second), sharp(16*time.Second)
 					spell.HealsBelow, spell.HealsRest = scenario.Span{Low: 0.5, High: 0.5}, sharp(1200*time.Millisecond)
-					s.Troubles = append(s.Troubles, scenario.Trouble{Kind: scenario.AgentsKilled, At: sharp(kill),
-						For: sharp(200 * time.Millisecond), Count: 5})
+					s.Troubles = append(s.Troubles, scenario.Trouble{
+						Kind: scenario.AgentsKilled, At: sharp(kill),
+						For: sharp(200 * time.Millisecond), Count: 5,
+					})
 				}).all() / float64(seeds(3))
 		}
 		with += service(5*time.Second, 30*time.Second)
@@ -197,8 +203,10 @@
 			s.Agents.KeepEvery, s.Agents.DeployTakes, s.Discovery.KnownAge = 5*time.Second, 20*time.Second, sharp(45)
 			s.Troubles = []scenario.Trouble{
 				{Kind: scenario.AgentsKilled, At: sharp(8), For: sharp(32), Count: 5},
-				{Kind: scenario.Deploy, At: sharp(9), For: sharp(29), Part: some(1), Size: some(0.2), Drain: sharp(1),
-					SameAddress: some(0.6)},
+				{
+					Kind: scenario.Deploy, At: sharp(9), For: sharp(29), Part: some(1), Size: some(0.2), Drain: sharp(1),
+					SameAddress: some(0.6),
+				},
 				{Kind: scenario.DiscoveryDown, At: sharp(36), For: sharp(15)},
 			}
 		})
--- a/internal/rehearsal/scenario/fault.go
+++ b/internal/rehearsal/scenario/fault.go
@@ -34,8 +34,10 @@
 )
 
 // Faults are all faults.
-var Faults = []Fault{NoAccept, SilentHead, SilentBody, ResetBefore, ResetAfter, Hints, TwoAnswers, Noise,
-	EndlessHead, CutBody, OpenBody, HalfClose, SlowReader, Forgets}
+var Faults = []Fault{
+	NoAccept, SilentHead, SilentBody, ResetBefore, ResetAfter, Hints, TwoAnswers, Noise,
+	EndlessHead, CutBody, OpenBody, HalfClose, SlowReader, Forgets,
+}
 
 // The faults of streams. What can't pass waits, and passes when the fault is over.
 const (
--- a/internal/rehearsal/scenario/load_test.go
+++ b/internal/rehearsal/scenario/load_test.go
@@ -170,8 +170,10 @@
 
 // Troubles that a program has put together are checked as a file's are, and come back as a file's do.
 func TestCheckTroubles(t *testing.T) {
-	good := Trouble{Kind: Datagrams, At: Always(time.Second), For: Always(2 * time.Second), From: []int{1}, Loss: Exactly(0.3),
-		Delay: TimeSpan{0, 30 * time.Millisecond}}
+	good := Trouble{
+		Kind: Datagrams, At: Always(time.Second), For: Always(2 * time.Second), From: []int{1}, Loss: Exactly(0.3),
+		Delay: TimeSpan{0, 30 * time.Millisecond},
+	}
 	got, err := Check(2, []Trouble{good, {Kind: AgentsKilled, At: Always(0), For: Always(time.Second), Agents: []int{0}}})
 	require.NoError(t, err)
 	require.Equal(t, good.Loss, got[0].Loss)
--- a/internal/rehearsal/scenario/scenario.go
+++ b/internal/rehearsal/scenario/scenario.go
@@ -571,8 +571,10 @@
 	Partition:       {need: ofAZone},
 	DatagramsLost:   {need: []string{"size"}, may: ofAZone, most: 1},
 	FewConnections:  {need: []string{"part", "size"}, may: ofAZone, most: 1},
-	Datagrams: {oneOf: ofDatagrams, anyOf: true,
-		may: []string{"from", "to", "calm_ms", "bad_ms", "held_ms", "on_s", "off_s"}},
+	Datagrams: {
+		oneOf: ofDatagrams, anyOf: true,
+		may: []string{"from", "to", "calm_ms", "bad_ms", "held_ms", "on_s", "off_s"},
+	},
 	Streams:         {need: []string{"fault"}, may: []string{"stream", "agents", "on_s", "off_s"}},
 	AgentsPaused:    {oneOf: someAgents, may: []string{"on_s", "off_s"}},
 	Window:          {need: []string{"part", "tenants", "moves_s"}, may: ofAZone},
--- a/internal/rehearsal/short_test.go
+++ b/internal/rehearsal/short_test.go
@@ -14,8 +14,11 @@
 func TestShortDaysAddUp(t *testing.T) {
 	day := func(effect scenario.Effect, worth, served float64) (*scenario.Scenario, []judge.Share) {
 		return &scenario.Scenario{Classes: []scenario.Class{{Name: "consult", Effect: scenario.Safe}, {Name: "rezervare", Effect: effect}}},
-			[]judge.Share{{Worth: 2 * worth, Served: (0.9 + served) / 2, Late: 0.9}, {Worth: worth, Served: 0.9, Late: 0.9},
-				{Worth: worth, Served: served, Late: 0.9}}
+			[]judge.Share{
+				{Worth: 2 * worth, Served: (0.9 + served) / 2, Late: 0.9},
+				{Worth: worth, Served: 0.9, Late: 0.9},
+				{Worth: worth, Served: served, Late: 0.9},
+			}
 	}
 	s := newShort()
 	_, any := s.gated()
--- a/internal/rehearsal/shrink.go
+++ b/internal/rehearsal/shrink.go
@@ -97,7 +97,8 @@
 // firstThatShows plays the candidates on all cores and returns the first, in their order, that shows what is
 // wrong; nil: none does.
 func firstThatShows(ctx context.Context, wrong symptom, all []*scenario.Scenario, o ShrinkOptions) (
-	first *scenario.Scenario, played int, err error) {
+	first *scenario.Scenario, played int, err error,
+) {
 	const together = 16
 	for group := range slices.Chunk(all, together) {
 		shows := make([]bool, len(group))
--- a/internal/rehearsal/world/bench_test.go
+++ b/internal/rehearsal/world/bench_test.go
@@ -36,6 +36,8 @@
 func BenchmarkRoughMinute(b *testing.B) {
 	at, lasts := ms(10000, 10000), ms(25000, 25000)
 	benchmarkMinute(b, scenario.Trouble{Kind: scenario.Silent, At: at, For: lasts, Part: span(0.19, 0.19)},
-		scenario.Trouble{Kind: scenario.Deploy, At: at, For: lasts, Part: span(0.8, 0.8), Size: span(0.18, 0.18),
-			Drain: ms(4000, 4000)}, scenario.Trouble{Kind: scenario.Surge, At: at, For: lasts, Size: span(4, 4)})
+		scenario.Trouble{
+			Kind: scenario.Deploy, At: at, For: lasts, Part: span(0.8, 0.8), Size: span(0.18, 0.18),
+			Drain: ms(4000, 4000),
+		}, scenario.Trouble{Kind: scenario.Surge, At: at, For: lasts, Size: span(4, 4)})
 }
--- a/internal/rehearsal/world/client_test.go
+++ b/internal/rehearsal/world/client_test.go
@@ -59,8 +59,10 @@
 		honour  float64
 		waits   []time.Duration
 	}{
-		{scenario.AtOnce, 2, 0, []time.Duration{0, 0}}, {scenario.Fixed, 3, 0, []time.Duration{wait, wait, wait}},
-		{scenario.Exponential, 3, 0, []time.Duration{wait, 2 * wait, 4 * wait}}, {scenario.Fixed, 0, 0, nil},
+		{scenario.AtOnce, 2, 0, []time.Duration{0, 0}},
+		{scenario.Fixed, 3, 0, []time.Duration{wait, wait, wait}},
+		{scenario.Exponential, 3, 0, []time.Duration{wait, 2 * wait, 4 * wait}},
+		{scenario.Fixed, 0, 0, nil},
 		{scenario.Fixed, 1, 1, nil},
 	} {
 		d := troubled(t, scenario.Trouble{Kind: scenario.Refusing, Part: span(1, 1)}, func(set *scenario.Scenario) {
@@ -114,8 +116,10 @@
 	if os.Getenv("WORLD_PRINT_DAY") != "" {
 		set := deployment(20 * time.Second)
 		for _, k := range []scenario.TroubleKind{scenario.Deploy, scenario.AgentsKilled, scenario.Silent, scenario.Reset} {
-			set.Troubles = append(set.Troubles, scenario.Trouble{Kind: k, At: ms(2000, 5000), For: ms(5000, 9000),
-				Part: span(0.1, 0.5), Size: span(0.1, 0.2), Count: 2, Drain: ms(2000, 3000), SameAddress: span(0.5, 0.5)})
+			set.Troubles = append(set.Troubles, scenario.Trouble{
+				Kind: k, At: ms(2000, 5000), For: ms(5000, 9000),
+				Part: span(0.1, 0.5), Size: span(0.1, 0.2), Count: 2, Drain: ms(2000, 3000), SameAddress: span(0.5, 0.5),
+			})
 		}
 		d := play(t, set, 11, Options{})
 		fmt.Printf("day %x\n", sha256.Sum256(fmt.Append(nil, d.day, d.servers, d.events, d.samples)))
@@ -143,8 +147,10 @@
 	life := &life{w: l.world, agent: l.agents[0], descriptors: core.NewDescriptors(1024)}
 	l.agents[0].client = &client{w: l.world, agent: l.agents[0]}
 	q := &request{client: l.agents[0].client}
-	tried := &try{request: q, agent: l.agents[0], life: life, op: 1, taken: true,
-		conn: &frontConn{client: l.agents[0].client, life: life}}
+	tried := &try{
+		request: q, agent: l.agents[0], life: life, op: 1, taken: true,
+		conn: &frontConn{client: l.agents[0].client, life: life},
+	}
 	life.operations = map[uint32]*operation{7: {try: tried}}
 	answer := core.Output{Kind: core.Answer, Operation: 7, Result: protocol.Failed}
 	life.answer(&answer)
--- a/internal/rehearsal/world/cutoff_test.go
+++ b/internal/rehearsal/world/cutoff_test.go
@@ -85,8 +85,10 @@
 
 // effects are those of the settings as they are, of the new policy, and of its floor.
 func effects(t *testing.T, set *scenario.Scenario, quotas []float64) (before, after, floor *policy.Effect) {
-	own := policy.Own{InVain: 0.25, Settings: decide.Settings{Limits: decide.Limits{MaxAttempts: set.Allow.MaxAttempts,
-		SecondCopies: set.Allow.SecondCopies}}}
+	own := policy.Own{InVain: 0.25, Settings: decide.Settings{Limits: decide.Limits{
+		MaxAttempts:  set.Allow.MaxAttempts,
+		SecondCopies: set.Allow.SecondCopies,
+	}}}
 	for i := range set.Tenants {
 		own.Settings.Tenants = append(own.Settings.Tenants, decide.Tenant{Name: set.Tenants[i].Name, QuotaPerS: quotas[i]})
 	}
--- a/internal/rehearsal/world/day_test.go
+++ b/internal/rehearsal/world/day_test.go
@@ -120,17 +120,21 @@
 
 // anyTrouble draws a trouble of any kind within a day of 20 s.
 func anyTrouble(t *rapid.T, i int) scenario.Trouble {
-	kinds := []scenario.TroubleKind{scenario.Silent, scenario.Failing, scenario.Refusing, scenario.Deploy, scenario.Slow,
+	kinds := []scenario.TroubleKind{
+		scenario.Silent, scenario.Failing, scenario.Refusing, scenario.Deploy, scenario.Slow,
 		scenario.Vanished, scenario.Crashed, scenario.AgentsKilled, scenario.AgentsRestarted, scenario.TakenOut, scenario.SentAway, scenario.Upgraded,
 		scenario.DiscoveryDown, scenario.EmptyList,
 		scenario.Reset, scenario.Forgotten, scenario.Spoilt, scenario.Surge, scenario.Partition,
 		scenario.DatagramsLost, scenario.FewConnections, scenario.Datagrams, scenario.Streams, scenario.AgentsPaused,
-		scenario.AgentsSlowed, scenario.ClientsLeave, scenario.LateConnections}
+		scenario.AgentsSlowed, scenario.ClientsLeave, scenario.LateConnections,
+	}
 	kind := rapid.SampledFrom(kinds).Draw(t, fmt.Sprint("kind ", i))
 	at, lasts := rapid.Float64Range(0, 18000).Draw(t, "at"), rapid.Float64Range(100, 15000).Draw(t, "for")
 	size := rapid.Float64Range(0.05, 1).Draw(t, "size")
-	u := scenario.Trouble{Kind: kind, At: ms(at, at), For: ms(lasts, lasts), Count: 1 + int(size*4), Zone: "cluj-est",
-		Part: span(0.01, 1), Size: span(size, size), Idle: ms(50, 2000), Drain: ms(0, 5000), SameAddress: span(0, 1)}
+	u := scenario.Trouble{
+		Kind: kind, At: ms(at, at), For: ms(lasts, lasts), Count: 1 + int(size*4), Zone: "cluj-est",
+		Part: span(0.01, 1), Size: span(size, size), Idle: ms(50, 2000), Drain: ms(0, 5000), SameAddress: span(0, 1),
+	}
 	switch kind {
 	case scenario.Slow:
 		u.Size = span(1+3*size, 1+3*size)
@@ -161,8 +165,10 @@
 		set.Agents.Sockets = rapid.SampledFrom([]int{64, 1024}).Draw(t, "sockets")
 		set.Fleet.Servers = rapid.IntRange(1, 8).Draw(t, "servers")
 		set.Clients.KeepIdle = rapid.SampledFrom([]time.Duration{0, time.Second}).Draw(t, "kept")
-		set.Clients.Backoff = rapid.SampledFrom([]scenario.Backoff{scenario.AtOnce, scenario.Fixed,
-			scenario.Exponential}).Draw(t, "backoff")
+		set.Clients.Backoff = rapid.SampledFrom([]scenario.Backoff{
+			scenario.AtOnce, scenario.Fixed,
+			scenario.Exponential,
+		}).Draw(t, "backoff")
 		set.Load.Arrivals = rapid.SampledFrom([]scenario.Arrivals{scenario.Poisson, scenario.Bursty}).Draw(t, "arrivals")
 		if rapid.Bool().Draw(t, "plain") {
 			set.Load.Keys, set.Tenants, set.Network.Zones = span(0, 0), nil, []string{"buc-pipera", "cluj-est"}
--- a/internal/rehearsal/world/discovery.go
+++ b/internal/rehearsal/world/discovery.go
@@ -71,9 +71,11 @@
 func newDiscovery(w *world) *discovery {
 	s := &w.set.Discovery
 	chance := newStream(w.seed, "discovery")
-	d := &discovery{w: w, notice: s.Notice.Draw(chance.Rand), silentNotice: s.SilentNotice.Draw(chance.Rand),
+	d := &discovery{
+		w: w, notice: s.Notice.Draw(chance.Rand), silentNotice: s.SilentNotice.Draw(chance.Rand),
 		join: s.Join.Draw(chance.Rand), period: s.Period.Draw(chance.Rand), spread: s.Spread.Draw(chance.Rand),
-		timeout: s.Timeout, version: 1}
+		timeout: s.Timeout, version: 1,
+	}
 	d.each = time.Duration(float64(time.Second) / s.CallsPerS.Draw(chance.Rand))
 	return d
 }
@@ -221,8 +223,10 @@
 			continue
 		}
 		s := l.server
-		e := decide.Server{ID: s.id, Zone: d.w.set.Network.Zones[s.zone], Kind: s.machine.kind, Cell: s.cell,
-			State: l.state, Weight: s.weight}
+		e := decide.Server{
+			ID: s.id, Zone: d.w.set.Network.Zones[s.zone], Kind: s.machine.kind, Cell: s.cell,
+			State: l.state, Weight: s.weight,
+		}
 		if l.started > 0 {
 			e.Started = clockStart + l.started
 		}
--- a/internal/rehearsal/world/discovery_test.go
+++ b/internal/rehearsal/world/discovery_test.go
@@ -85,7 +85,8 @@
 	set.Discovery.KnownAge, set.Discovery.Notice = ms(15000, 15000), ms(1000, 1000)
 	set.Troubles = []scenario.Trouble{
 		{Kind: scenario.Crashed, At: ms(10000, 10000), For: ms(25000, 25000), Part: span(0.3, 0.3)},
-		{Kind: scenario.AgentsKilled, At: ms(15000, 15000), For: ms(1000, 1000), Count: 1}}
+		{Kind: scenario.AgentsKilled, At: ms(15000, 15000), For: ms(1000, 1000), Count: 1},
+	}
 	d := play(t, set, 7, Options{})
 	up := d.of(record.AgentUp)
 	require.Len(t, up, 6)
--- a/internal/rehearsal/world/fault_test.go
+++ b/internal/rehearsal/world/fault_test.go
@@ -41,8 +41,10 @@
 			for _, rule := range o.Verdict().Rules {
 				require.Nil(t, rule.First)
 			}
-			shows := map[scenario.FaultEffect]record.Outcome{scenario.Unanswered: record.GivenUp,
-				scenario.Breaks: record.Broken, scenario.Spoils: record.SpoiltAnswer}
+			shows := map[scenario.FaultEffect]record.Outcome{
+				scenario.Unanswered: record.GivenUp,
+				scenario.Breaks:     record.Broken, scenario.Spoils: record.SpoiltAnswer,
+			}
 			if of, is := shows[f.Effect()]; is {
 				require.Greater(t, o.ended[of], 100)
 			}
--- a/internal/rehearsal/world/graphql.go
+++ b/internal/rehearsal/world/graphql.go
@@ -29,10 +29,14 @@
 // buildGraphQL makes ready what the agents classify GraphQL by. The scenario has a safe and an unsafe class.
 func (w *world) buildGraphQL() error {
 	var err error
-	rules := graphql.Rules{Classes: w.deployment(w.agents[0]).Classes,
+	rules := graphql.Rules{
+		Classes: w.deployment(w.agents[0]).Classes,
 		Queries: map[string]string{}, Mutations: map[string]string{},
-		Limits: graphql.Limits{Document: 4 << 10, Tokens: 200, Depth: 10, Aliases: 10, Operations: 5,
-			CacheBytes: 1 << 20}}
+		Limits: graphql.Limits{
+			Document: 4 << 10, Tokens: 200, Depth: 10, Aliases: 10, Operations: 5,
+			CacheBytes: 1 << 20,
+		},
+	}
 	for i := len(rules.Classes) - 1; i >= 0; i-- {
 		c, field := rules.Classes[i], fmt.Sprintf("field%d", i)
 		kind, table := "query", rules.Queries
--- a/internal/rehearsal/world/hardship_test.go
+++ b/internal/rehearsal/world/hardship_test.go
@@ -29,14 +29,17 @@
 		trouble scenario.Trouble
 		check   func(t *testing.T, d *diary)
 	}{
-		"cut one way": {scenario.Trouble{Kind: scenario.Datagrams, From: some, To: []int{1}, Cut: true},
+		"cut one way": {
+			scenario.Trouble{Kind: scenario.Datagrams, From: some, To: []int{1}, Cut: true},
 			func(t *testing.T, d *diary) {
 				require.Zero(t, d.count(record.Datagram, settled, troubleTo, way(0, 1)))
 				require.Positive(t, d.count(record.Datagram, settled, troubleTo, way(1, 0)))
 				require.Positive(t, d.count(record.Datagram, settled, troubleTo, way(0, 2)))
 				require.Positive(t, d.count(record.Datagram, troubleTo, dayLength, way(0, 1)))
-			}},
-		"doubled": {scenario.Trouble{Kind: scenario.Datagrams, To: []int{1}, Double: span(1, 1)},
+			},
+		},
+		"doubled": {
+			scenario.Trouble{Kind: scenario.Datagrams, To: []int{1}, Double: span(1, 1)},
 			func(t *testing.T, d *diary) {
 				twice, once := 0, 0
 				for _, from := range []int32{0, 3, 4} {
@@ -44,7 +47,8 @@
 					once += d.count(record.Datagram, settled, troubleTo, way(from, 2))
 				}
 				require.InDelta(t, 2, float64(twice)/float64(once), 0.5, "%d and %d", twice, once)
-			}},
+			},
+		},
 		"paused": {scenario.Trouble{Kind: scenario.AgentsPaused, Agents: some}, func(t *testing.T, d *diary) {
 			for _, kind := range []record.Kind{record.Sent, record.Answered} {
 				require.Zero(t, d.count(kind, settled, troubleTo, by(0)), "it stands still")
@@ -54,7 +58,8 @@
 			require.Positive(t, d.count(record.Sent, troubleTo, troubleTo+100*time.Millisecond, by(0)), "what waited")
 			require.Greater(t, d.count(record.Answered, 30*time.Second, dayLength, served), 1000)
 		}},
-		"slowed": {scenario.Trouble{Kind: scenario.AgentsSlowed, Agents: some, Size: span(0.2, 0.2)},
+		"slowed": {
+			scenario.Trouble{Kind: scenario.AgentsSlowed, Agents: some, Size: span(0.2, 0.2)},
 			func(t *testing.T, d *diary) {
 				n := d.count(record.Sent, troubleFrom, troubleTo, func(e record.Event) bool {
 					still := time.Duration(0.8 * float64(scenario.SlowSlice))
@@ -62,26 +67,35 @@
 				})
 				require.Zero(t, n, "sent while it stood still")
 				require.Positive(t, d.count(record.Sent, settled, troubleTo, by(0)))
-			}},
-		"servers hear, and are not heard": {scenario.Trouble{Kind: scenario.Streams, Stream: "servers", Agents: some,
-			Fault: scenario.StreamFromAgent}, func(t *testing.T, d *diary) {
+			},
+		},
+		"servers hear, and are not heard": {scenario.Trouble{
+			Kind: scenario.Streams, Stream: "servers", Agents: some,
+			Fault: scenario.StreamFromAgent,
+		}, func(t *testing.T, d *diary) {
 			require.Positive(t, d.count(record.Reached, settled, troubleTo, by(0)))
 			require.Zero(t, d.count(record.Ended, settled, troubleTo,
 				func(e record.Event) bool { return e.Agent == 0 && e.Outcome == record.OK }))
 		}},
-		"servers do not hear": {scenario.Trouble{Kind: scenario.Streams, Stream: "servers", Agents: some,
-			Fault: scenario.StreamToAgent}, func(t *testing.T, d *diary) {
+		"servers do not hear": {scenario.Trouble{
+			Kind: scenario.Streams, Stream: "servers", Agents: some,
+			Fault: scenario.StreamToAgent,
+		}, func(t *testing.T, d *diary) {
 			require.Zero(t, d.count(record.Reached, settled, troubleTo, by(0)))
 			require.Positive(t, d.count(record.Reached, settled, troubleTo, by(1)))
 		}},
-		"servers reset": {scenario.Trouble{Kind: scenario.Streams, Stream: "servers", Agents: some,
-			Fault: scenario.StreamReset}, func(t *testing.T, d *diary) {
+		"servers reset": {scenario.Trouble{
+			Kind: scenario.Streams, Stream: "servers", Agents: some,
+			Fault: scenario.StreamReset,
+		}, func(t *testing.T, d *diary) {
 			require.Zero(t, d.count(record.Opened, settled, troubleTo, by(0)))
 			require.Positive(t, d.count(record.Ended, settled, troubleTo, ended(record.NoConnection)))
 			require.Positive(t, d.count(record.Opened, troubleTo, dayLength, by(0)))
 		}},
-		"discovery resets": {scenario.Trouble{Kind: scenario.Streams, Stream: "discovery", Agents: some,
-			Fault: scenario.StreamReset}, func(t *testing.T, d *diary) {
+		"discovery resets": {scenario.Trouble{
+			Kind: scenario.Streams, Stream: "discovery", Agents: some,
+			Fault: scenario.StreamReset,
+		}, func(t *testing.T, d *diary) {
 			require.Positive(t, d.count(record.CallFailed, troubleFrom, troubleTo, by(0)))
 			require.Zero(t, d.count(record.CallFailed, troubleFrom, troubleTo, by(1)))
 			require.Zero(t, d.count(record.Watching, troubleFrom, troubleTo, by(0)))
@@ -97,8 +111,10 @@
 	told := func(fault scenario.Fault) (agents [2]int, after int) {
 		d := troubled(t, scenario.Trouble{Kind: scenario.Streams, Stream: "discovery", Agents: []int{0}, Fault: fault},
 			func(set *scenario.Scenario) {
-				set.Troubles = append(set.Troubles, scenario.Trouble{Kind: scenario.Deploy, At: ms(11000, 11000),
-					For: ms(4000, 4000), Part: span(0.4, 0.4), Size: span(0.2, 0.2), Drain: ms(3000, 3000)})
+				set.Troubles = append(set.Troubles, scenario.Trouble{
+					Kind: scenario.Deploy, At: ms(11000, 11000),
+					For: ms(4000, 4000), Part: span(0.4, 0.4), Size: span(0.2, 0.2), Drain: ms(3000, 3000),
+				})
 			})
 		for i := range agents {
 			agents[i] = d.count(record.Told, 11*time.Second, troubleTo, by(int32(i)))
@@ -119,12 +135,15 @@
 func TestTimeline(t *testing.T) {
 	var line timeline.Timeline
 	set := deployment(3 * time.Second)
-	set.Troubles = []scenario.Trouble{{Kind: scenario.Datagrams, At: ms(1000, 1000), For: ms(500, 500),
-		From: []int{0, 2}, Loss: span(0.5, 0.5)}}
+	set.Troubles = []scenario.Trouble{{
+		Kind: scenario.Datagrams, At: ms(1000, 1000), For: ms(500, 500),
+		From: []int{0, 2}, Loss: span(0.5, 0.5),
+	}}
 	play(t, set, 1, Options{Storm: storm.Figures{Off: true}, Timeline: &line})
 	marks, dropped := line.Marks()
 	require.Zero(t, dropped)
 	require.Equal(t, []timeline.Mark{
 		{At: time.Second, Lane: timeline.Faults, Text: "datagrams from n0 n2: loses 0.5"},
-		{At: 1500 * time.Millisecond, Lane: timeline.Faults, Text: "over: datagrams from n0 n2: loses 0.5"}}, marks)
+		{At: 1500 * time.Millisecond, Lane: timeline.Faults, Text: "over: datagrams from n0 n2: loses 0.5"},
+	}, marks)
 }
--- a/internal/rehearsal/world/lab_test.go
+++ b/internal/rehearsal/world/lab_test.go
@@ -44,11 +44,15 @@
 // send has a route step arrive at the server's process, on a connection of its own. The agent has lost interest.
 func (l *lab) send(work float64, key uint32) *step {
 	l.steps++
-	c := &conn{link: l.agents[0].link(l.server), life: &life{w: l.world, agent: l.agents[0]}, place: -1, greeted: true,
-		closed: true}
+	c := &conn{
+		link: l.agents[0].link(l.server), life: &life{w: l.world, agent: l.agents[0]}, place: -1, greeted: true,
+		closed: true,
+	}
 	c.process = l.server.process
-	s := &step{w: l.world, life: c.life, try: &try{op: uint32(l.steps), request: &request{key: key}}, conn: c,
-		number: l.steps, work: work, ended: true}
+	s := &step{
+		w: l.world, life: c.life, try: &try{op: uint32(l.steps), request: &request{key: key}}, conn: c,
+		number: l.steps, work: work, ended: true,
+	}
 	c.step = s
 	if l.server.process.accept(c) {
 		l.record.reached(s, c.process)
@@ -271,8 +275,10 @@
 		for range rapid.IntRange(0, 200).Draw(t, "n") {
 			if rapid.Bool().Draw(t, "enter") {
 				entered++
-				p := &planned{at: c.now + time.Duration(rapid.IntRange(0, 5).Draw(t, "wait")),
-					rank: rank(rapid.IntRange(0, int(rankSample)).Draw(t, "rank")), number: entered}
+				p := &planned{
+					at:   c.now + time.Duration(rapid.IntRange(0, 5).Draw(t, "wait")),
+					rank: rank(rapid.IntRange(0, int(rankSample)).Draw(t, "rank")), number: entered,
+				}
 				due = append(due, p)
 				c.enter(p.at, p.rank, p)
 				continue
@@ -298,8 +304,10 @@
 	a := l.agents[0]
 	a.client = &client{w: l.world, agent: a}
 	alive := &life{w: l.world, agent: a, descriptors: core.NewDescriptors(1024)}
-	asked := &try{request: &request{client: a.client, deadline: time.Hour}, agent: a, life: alive, op: 1,
-		conn: &frontConn{client: a.client, life: alive}, taken: true}
+	asked := &try{
+		request: &request{client: a.client, deadline: time.Hour}, agent: a, life: alive, op: 1,
+		conn: &frontConn{client: a.client, life: alive}, taken: true,
+	}
 	l.enter(time.Second, rankClient, (*tryLate)(asked))
 	l.enter(time.Second, rankClient, (*tryLeaves)(asked))
 	l.enter(time.Second, rankArrival, (*tryAnswered)(asked))
@@ -311,8 +319,10 @@
 		l := newLab(func(*scenario.Scenario, *machine) {})
 		l.server.start(false)
 		idle := core.NewIdleLimit(0, time.Minute)
-		alive := &life{w: l.world, agent: l.agents[0], idle: idle, descriptors: core.NewDescriptors(1024),
-			router: core.NewRouter(decide.Settings{}, nil)}
+		alive := &life{
+			w: l.world, agent: l.agents[0], idle: idle, descriptors: core.NewDescriptors(1024),
+			router: core.NewRouter(decide.Settings{}, nil),
+		}
 		over := &step{}
 		l.enter(timeOut, rankTimer, (*lateStep)(over))
 		s := l.send(1.5, 0)
--- a/internal/rehearsal/world/life.go
+++ b/internal/rehearsal/world/life.go
@@ -168,11 +168,13 @@
 	if w.sights != nil {
 		module = w.sights.policy(set, seed)
 	}
-	l := &life{w: w, agent: a, router: core.NewRouter(set, module),
+	l := &life{
+		w: w, agent: a, router: core.NewRouter(set, module),
 		list:        core.NewList(serverAddr(0), known, a.bans),
 		idle:        core.NewIdleLimit(clockStart+w.now, w.set.Connections.Idle),
 		descriptors: core.NewDescriptors(w.set.Agents.Sockets), upstreams: map[string]*upstream{},
-		operations: map[uint32]*operation{}, calls: map[int]*call{}}
+		operations: map[uint32]*operation{}, calls: map[int]*call{},
+	}
 	a.life = l
 	l.joinRing()
 	if s := &w.set.Agents; w.sights == nil && (s.KeepEvery > 0 || s.ProvesList || w.upgrades()) {
@@ -305,8 +307,10 @@
 	q := t.request
 	l.taken++
 	op := &l.wire
-	*op = protocol.Operation{CorrelationID: wireID(l.taken), Class: q.told(),
-		Repeat: t.nth > 0 && w.set.Clients.MarksRetry, TimeLeft: (t.leaves - t.asked).Truncate(time.Millisecond)}
+	*op = protocol.Operation{
+		CorrelationID: wireID(l.taken), Class: q.told(),
+		Repeat: t.nth > 0 && w.set.Clients.MarksRetry, TimeLeft: (t.leaves - t.asked).Truncate(time.Millisecond),
+	}
 	if q.key > 0 {
 		op.Key = w.keyNames[q.key-1]
 	}
--- a/internal/rehearsal/world/live.go
+++ b/internal/rehearsal/world/live.go
@@ -160,8 +160,10 @@
 
 // NewLive draws a day that is to be played in real time.
 func NewLive(set *scenario.Scenario, seed uint64, sink record.Sink, o Options) (*Live, error) {
-	w := &world{seed: seed, set: set, sink: sink, o: o, at: map[netip.AddrPort]*server{}, slow: 1, keeps: 1,
-		tries: map[uint32]*try{}}
+	w := &world{
+		seed: seed, set: set, sink: sink, o: o, at: map[netip.AddrPort]*server{}, slow: 1, keeps: 1,
+		tries: map[uint32]*try{},
+	}
 	w.record.w = w
 	fd, err := unix.Eventfd(0, unix.EFD_CLOEXEC|unix.EFD_NONBLOCK)
 	if err != nil {
@@ -179,8 +181,10 @@
 // Deployment is the agents' settings, for their configuration files.
 func (v *Live) Deployment(agent int) protocol.Settings {
 	c := &v.w.set.Connections
-	return protocol.Settings{Settings: v.w.deployment(v.w.agents[agent]), ConnIdle: c.Idle,
-		ConnectTimeout: c.ConnectTimeout}
+	return protocol.Settings{
+		Settings: v.w.deployment(v.w.agents[agent]), ConnIdle: c.Idle,
+		ConnectTimeout: c.ConnectTimeout,
+	}
 }
 
 // Zero is the day's time zero on the clock of the machine, as far as it is known.
--- a/internal/rehearsal/world/memory.go
+++ b/internal/rehearsal/world/memory.go
@@ -66,8 +66,10 @@
 
 // content is what the agent knows now.
 func (l *life) content() *state.File {
-	return &state.File{Content: l.session.Snapshot(l.clock()).Content(),
-		Header: state.Header{Owner: l.agent.owner(), Written: l.w.wallClock().UnixMilli()}}
+	return &state.File{
+		Content: l.session.Snapshot(l.clock()).Content(),
+		Header:  state.Header{Owner: l.agent.owner(), Written: l.w.wallClock().UnixMilli()},
+	}
 }
 
 // written is when a write is whole.
--- a/internal/rehearsal/world/network.go
+++ b/internal/rehearsal/world/network.go
@@ -47,8 +47,10 @@
 }
 
 func newLink(w *world, a *agent, s *server) *link {
-	return &link{w: w, agent: a, server: s, chance: newStream(w.seed, "link "+a.name+" "+s.id),
-		oneWay: w.network.oneWay[a.zone][s.zone], crosses: a.zone != s.zone}
+	return &link{
+		w: w, agent: a, server: s, chance: newStream(w.seed, "link "+a.name+" "+s.id),
+		oneWay: w.network.oneWay[a.zone][s.zone], crosses: a.zone != s.zone,
+	}
 }
 
 // cutUntil tells until when nothing passes; zero: it does.
@@ -101,8 +103,10 @@
 func (d *datagram) happen() {
 	if l := d.to.life; l != nil {
 		w := l.w
-		w.record.take(record.Event{Kind: record.Datagram, Agent: int32(d.to.number), From: int32(d.from.number),
-			Bytes: uint32(len(d.data))})
+		w.record.take(record.Event{
+			Kind: record.Datagram, Agent: int32(d.to.number), From: int32(d.from.number),
+			Bytes: uint32(len(d.data)),
+		})
 		l.post(message{kind: datagramCame, from: d.from.number, data: d.data})
 	}
 }
--- a/internal/rehearsal/world/placed.go
+++ b/internal/rehearsal/world/placed.go
@@ -45,10 +45,14 @@
 
 func newGenerations(w *world) *generations {
 	f, r := decide.DefaultFigures(), &w.set.Rules
-	g := &generations{w: w, machine: placement.NewMachine(), chance: newStream(w.seed, "generations"),
-		sizes: map[string]float64{}}
-	g.figures.Cold = cold.Terms{Share: r.ColdShare, For: r.ColdFor, FallMultiple: r.FallMultiple,
-		FallWindow: r.FallWindow, Margin: f.ColdMargin, Most: f.ColdMost, Balancers: w.set.Agents.Count}
+	g := &generations{
+		w: w, machine: placement.NewMachine(), chance: newStream(w.seed, "generations"),
+		sizes: map[string]float64{},
+	}
+	g.figures.Cold = cold.Terms{
+		Share: r.ColdShare, For: r.ColdFor, FallMultiple: r.FallMultiple,
+		FallWindow: r.FallWindow, Margin: f.ColdMargin, Most: f.ColdMost, Balancers: w.set.Agents.Count,
+	}
 	mean := 0.0
 	for i := range w.set.Kinds {
 		k := &w.set.Kinds[i]
@@ -70,8 +74,10 @@
 func (g *generations) settle() {
 	var view placement.View
 	for _, l := range g.w.discovery.known {
-		view.Servers = append(view.Servers, g.seen(decide.Server{ID: l.server.id, Kind: l.server.machine.kind,
-			Zone: g.w.set.Network.Zones[l.server.zone]}))
+		view.Servers = append(view.Servers, g.seen(decide.Server{
+			ID: l.server.id, Kind: l.server.machine.kind,
+			Zone: g.w.set.Network.Zones[l.server.zone],
+		}))
 	}
 	at := func(t time.Duration) lease.Reading {
 		return lease.Reading{Unix: clockStart - t, Mono: steadyFrom - t}
@@ -127,8 +133,10 @@
 
 // seen is how a server of an agent's list is told the council.
 func (g *generations) seen(s decide.Server) placement.Seen {
-	return placement.Seen{ID: s.ID, Zone: s.Zone, Kind: s.Kind, Ready: s.State == decide.Ready,
-		Draining: s.State == decide.Draining, Started: s.Started, Capacity: g.sizes[s.Kind]}
+	return placement.Seen{
+		ID: s.ID, Zone: s.Zone, Kind: s.Kind, Ready: s.State == decide.Ready,
+		Draining: s.State == decide.Draining, Started: s.Started, Capacity: g.sizes[s.Kind],
+	}
 }
 
 // happen is a look for the next generation.
--- a/internal/rehearsal/world/placed_test.go
+++ b/internal/rehearsal/world/placed_test.go
@@ -20,10 +20,14 @@
 	set.Kinds[0].Speed, set.Kinds[1].Speed = span(2, 2), span(1, 1)
 	set.Agents.Placed = true
 	set.Troubles = []scenario.Trouble{
-		{Kind: scenario.Deploy, At: scenario.Always(5 * time.Second), For: scenario.Always(4 * time.Second),
-			Part: span(0.5, 0.5), Size: span(0.2, 0.2), Drain: scenario.Always(3 * time.Second)},
-		{Kind: scenario.Partition, At: scenario.Always(8 * time.Second), For: scenario.Always(5 * time.Second),
-			Zone: set.Network.Zones[1]},
+		{
+			Kind: scenario.Deploy, At: scenario.Always(5 * time.Second), For: scenario.Always(4 * time.Second),
+			Part: span(0.5, 0.5), Size: span(0.2, 0.2), Drain: scenario.Always(3 * time.Second),
+		},
+		{
+			Kind: scenario.Partition, At: scenario.Always(8 * time.Second), For: scenario.Always(5 * time.Second),
+			Zone: set.Network.Zones[1],
+		},
 		{Kind: scenario.AgentsKilled, At: scenario.Always(12 * time.Second), For: scenario.Always(2 * time.Second), Count: 1},
 	}
 	d := &diary{}
--- a/internal/rehearsal/world/plan.go
+++ b/internal/rehearsal/world/plan.go
@@ -36,8 +36,10 @@
 // NewPlan draws a day's plan. The day is gone through without agents: what they do has no part in it.
 func NewPlan(set *scenario.Scenario, seed uint64) *Plan {
 	p := &Plan{}
-	w := &world{seed: seed, set: set, sink: unheard{}, at: map[netip.AddrPort]*server{}, slow: 1,
-		keeps: 1, plan: p}
+	w := &world{
+		seed: seed, set: set, sink: unheard{}, at: map[netip.AddrPort]*server{}, slow: 1,
+		keeps: 1, plan: p,
+	}
 	w.record.w = w
 	w.build()
 	for what, any := w.next(set.Day.Length); any; what, any = w.next(set.Day.Length) {
@@ -48,8 +50,10 @@
 
 // planned notes a request in the plan that is drawn.
 func (p *Plan) planned(at time.Duration, q *request) {
-	p.Arrivals = append(p.Arrivals, Arrival{At: at, Work: seconds(q.work), Key: q.key, Class: uint8(q.class),
-		Tenant: q.tenant, Agent: int32(q.client.agent.number)})
+	p.Arrivals = append(p.Arrivals, Arrival{
+		At: at, Work: seconds(q.work), Key: q.key, Class: uint8(q.class),
+		Tenant: q.tenant, Agent: int32(q.client.agent.number),
+	})
 }
 
 // unheard is a sink that takes nothing in.
--- a/internal/rehearsal/world/record.go
+++ b/internal/rehearsal/world/record.go
@@ -23,20 +23,26 @@
 // try tells of a client's try.
 func (r *recorder) try(kind record.Kind, t *try) {
 	q := t.request
-	r.take(record.Event{Kind: kind, Op: t.op, Chain: q.chain, Agent: int32(t.agent.number),
+	r.take(record.Event{
+		Kind: kind, Op: t.op, Chain: q.chain, Agent: int32(t.agent.number),
 		Class: uint8(q.class), Tenant: q.tenant, Key: q.key, Work: seconds(q.work), Left: t.leaves - r.w.now,
-		Try: uint8(t.nth), Shut: kind == record.Unreached && t.shut})
+		Try: uint8(t.nth), Shut: kind == record.Unreached && t.shut,
+	})
 }
 
 func (r *recorder) answered(t *try) {
-	r.take(record.Event{Kind: record.Answered, Op: t.op, Agent: int32(t.agent.number), Answer: t.answer,
-		After: t.advice, Attempt: int8(t.attempt)})
+	r.take(record.Event{
+		Kind: record.Answered, Op: t.op, Agent: int32(t.agent.number), Answer: t.answer,
+		After: t.advice, Attempt: int8(t.attempt),
+	})
 }
 
 // event is what the events of a route step have in common.
 func (s *step) event(kind record.Kind) record.Event {
-	ev := record.Event{Kind: kind, Op: s.try.op, Agent: int32(s.life.agent.number), Attempt: int8(s.attempt),
-		Server: -1, NewConn: !s.lease.Reused}
+	ev := record.Event{
+		Kind: kind, Op: s.try.op, Agent: int32(s.life.agent.number), Attempt: int8(s.attempt),
+		Server: -1, NewConn: !s.lease.Reused,
+	}
 	if s.conn != nil {
 		ev.Server = int32(s.conn.link.server.number)
 		ev.Crossed = s.conn.link.crosses
@@ -73,8 +79,10 @@
 }
 
 func (r *recorder) server(kind record.Kind, p *process) {
-	r.take(record.Event{Kind: kind, Server: int32(p.server.number), Cold: p.cold, Capacity: p.capacity(),
-		Started: p.started})
+	r.take(record.Event{
+		Kind: kind, Server: int32(p.server.number), Cold: p.cold, Capacity: p.capacity(),
+		Started: p.started,
+	})
 }
 
 // listed tells of a server's standing on the list.
@@ -145,9 +153,11 @@
 		if s.of[i] != p {
 			s.of[i], s.busy[i] = p, 0
 		}
-		s.sample.Servers = append(s.sample.Servers, record.Load{Server: i,
-			Busy: (p.busy - s.busy[i]) / float64(v.machine.cores), Capacity: p.capacity(),
-			Running: p.slots, Waiting: p.waiting.len(), Conns: len(p.conns)})
+		s.sample.Servers = append(s.sample.Servers, record.Load{
+			Server: i,
+			Busy:   (p.busy - s.busy[i]) / float64(v.machine.cores), Capacity: p.capacity(),
+			Running: p.slots, Waiting: p.waiting.len(), Conns: len(p.conns),
+		})
 		s.busy[i] = p.busy
 	}
 	for _, a := range w.agents {
--- a/internal/rehearsal/world/record_test.go
+++ b/internal/rehearsal/world/record_test.go
@@ -15,8 +15,10 @@
 func TestStartsAndTimesAreOnRecord(t *testing.T) {
 	set := deployment(12 * time.Second)
 	set.Agents.BackIn = 700 * time.Millisecond
-	set.Troubles = []scenario.Trouble{{Kind: scenario.AgentsKilled, At: ms(2000, 2000), For: ms(3000, 3000), Count: 2},
-		{Kind: scenario.Refusing, At: ms(6000, 6000), For: ms(4000, 4000), Part: span(0.5, 0.5)}} // so that there are further attempts
+	set.Troubles = []scenario.Trouble{
+		{Kind: scenario.AgentsKilled, At: ms(2000, 2000), For: ms(3000, 3000), Count: 2},
+		{Kind: scenario.Refusing, At: ms(6000, 6000), For: ms(4000, 4000), Part: span(0.5, 0.5)},
+	} // so that there are further attempts
 	d := play(t, set, 7, Options{})
 	starts, took := 0, 0
 	due := map[uint32]time.Duration{}
--- a/internal/rehearsal/world/remote.go
+++ b/internal/rehearsal/world/remote.go
@@ -19,8 +19,10 @@
 	w.record.agent(record.AgentStarts, a)
 	age := w.set.Discovery.KnownAge.Draw(a.chance.Rand)
 	list, version := w.discovery.asOf(max(w.now-age, 0))
-	l := &life{w: w, agent: a, remote: true, descriptors: core.NewDescriptors(w.set.Agents.Sockets),
-		operations: map[uint32]*operation{}, calls: map[int]*call{}}
+	l := &life{
+		w: w, agent: a, remote: true, descriptors: core.NewDescriptors(w.set.Agents.Sockets),
+		operations: map[uint32]*operation{}, calls: map[int]*call{},
+	}
 	a.coming = l
 	l.writes(list, true)
 	w.wire.Start(a.number, a.starts, w.discovery.config(list, version, true))
@@ -249,10 +251,12 @@
 	w.tries[t.op] = t
 	w.enter(t.leaves+remembers, rankClient, (*tryForgotten)(t))
 	w.record.try(record.Asked, t)
-	query := &Query{Agent: t.agent.number, Op: t.op, Class: q.told(),
+	query := &Query{
+		Agent: t.agent.number, Op: t.op, Class: q.told(),
 		Update: w.set.Classes[q.class].Effect != scenario.Safe,
 		Repeat: t.nth > 0 && w.set.Clients.MarksRetry, TimeLeft: (t.leaves - t.asked).Truncate(time.Millisecond),
-		Due: w.now, try: t}
+		Due: w.now, try: t,
+	}
 	if q.key > 0 {
 		query.Key = w.keyNames[q.key-1]
 	}
@@ -317,8 +321,10 @@
 func (t *try) untakenRemote() {
 	w := t.agent.w
 	t.end()
-	w.record.take(record.Event{Kind: record.Left, Op: t.op, Agent: int32(t.agent.number),
-		Shut: !t.conn.answered, Unread: true})
+	w.record.take(record.Event{
+		Kind: record.Left, Op: t.op, Agent: int32(t.agent.number),
+		Shut: !t.conn.answered, Unread: true,
+	})
 	t.again(true)
 }
 
--- a/internal/rehearsal/world/restart.go
+++ b/internal/rehearsal/world/restart.go
@@ -29,8 +29,10 @@
 		l.w.wire.Drain(l.agent.number)
 		return
 	}
-	l.end = draining{course: core.NewDrain(l.clock(), l.w.deployment(l.agent).Classes), told: true,
-		arrives: l.w.now + lateClients}
+	l.end = draining{
+		course: core.NewDrain(l.clock(), l.w.deployment(l.agent).Classes), told: true,
+		arrives: l.w.now + lateClients,
+	}
 	l.keep()
 	(*drainPhase)(l).happen()
 }
--- a/internal/rehearsal/world/server.go
+++ b/internal/rehearsal/world/server.go
@@ -64,11 +64,13 @@
 	draw := func(v scenario.Span) float64 { return v.Draw(chance.Rand) }
 	cores := float64(k.Cores)
 	perCore := func(v scenario.Span) int { return int(math.Round(draw(v) * cores)) }
-	m := machine{kind: k.Name, cores: k.Cores, speed: draw(k.Speed), slots: max(perCore(k.SlotsPerCore), 1),
+	m := machine{
+		kind: k.Name, cores: k.Cores, speed: draw(k.Speed), slots: max(perCore(k.SlotsPerCore), 1),
 		queue: perCore(k.QueuePerCore), conns: perCore(k.ConnsPerCore), thrash: draw(k.Thrash),
 		thrashAt: draw(k.ThrashAt), coldFrom: draw(k.ColdFrom), coldFor: k.Cold.Draw(chance.Rand),
 		pauseEvery: k.PauseEvery.Draw(chance.Rand), pause: k.Pause.Draw(chance.Rand),
-		errorRate: draw(k.ErrorRate), dropsExpired: k.DropsExpired}
+		errorRate: draw(k.ErrorRate), dropsExpired: k.DropsExpired,
+	}
 	either := chance.Float64() < 0.5
 	m.dropsWaiting = k.Cancel == "queued" || k.Cancel == "either" && either
 	return m
@@ -95,8 +97,10 @@
 // newServer puts a booking server on a machine. Its address is drawn from its number where it is not given.
 func (w *world) newServer(zone int, m machine, addr netip.AddrPort) *server {
 	n := len(w.servers)
-	s := &server{w: w, number: n, id: fmt.Sprintf("s-%08x", uint32(nameSeed(w.seed, fmt.Sprint("server ", n)))),
-		zone: zone, cell: n / max(w.set.Fleet.CellSize, 1), machine: m, addr: addr, weight: 1, accepting: 1}
+	s := &server{
+		w: w, number: n, id: fmt.Sprintf("s-%08x", uint32(nameSeed(w.seed, fmt.Sprint("server ", n)))),
+		zone: zone, cell: n / max(w.set.Fleet.CellSize, 1), machine: m, addr: addr, weight: 1, accepting: 1,
+	}
 	if !addr.IsValid() {
 		s.addr = serverAddr(n)
 	}
@@ -115,8 +119,10 @@
 			w.failed = err
 		}
 	}
-	w.sink.Server(n, record.Server{ID: s.id, Zone: w.set.Network.Zones[zone], Kind: m.kind,
-		Addr: s.addr.String(), Cell: s.cell, Capacity: m.full()})
+	w.sink.Server(n, record.Server{
+		ID: s.id, Zone: w.set.Network.Zones[zone], Kind: m.kind,
+		Addr: s.addr.String(), Cell: s.cell, Capacity: m.full(),
+	})
 	return s
 }
 
--- a/internal/rehearsal/world/sight.go
+++ b/internal/rehearsal/world/sight.go
@@ -35,10 +35,12 @@
 			continue
 		}
 		p.reckon()
-		all = append(all, late.Server{ID: v.id, Capacity: p.capacity(),
+		all = append(all, late.Server{
+			ID: v.id, Capacity: p.capacity(),
 			Speed: p.capacity() * p.efficiency(), Cores: float64(v.machine.cores),
 			Held:  float64(len(p.running.jobs) + p.waiting.len()),
-			Takes: !v.silent && !v.refusing && v.failing < wellEnough && s.w.now >= v.cutUntil})
+			Takes: !v.silent && !v.refusing && v.failing < wellEnough && s.w.now >= v.cutUntil,
+		})
 	}
 	s.came += (s.asked/sightStep.Seconds() - s.came) * sightFade
 	s.asked = 0
--- a/internal/rehearsal/world/silence_test.go
+++ b/internal/rehearsal/world/silence_test.go
@@ -16,8 +16,10 @@
 	d := troubled(t, scenario.Trouble{Kind: scenario.WatchesSilent}, func(set *scenario.Scenario) {
 		set.Agents.Count = 8
 		set.Discovery.CallsPerS = span(100, 100)
-		set.Troubles = append(set.Troubles, scenario.Trouble{Kind: scenario.Deploy, At: ms(5000, 5000),
-			For: ms(25000, 25000), Part: span(0.8, 0.8), Size: span(0.1, 0.1), Drain: ms(3000, 3000)})
+		set.Troubles = append(set.Troubles, scenario.Trouble{
+			Kind: scenario.Deploy, At: ms(5000, 5000),
+			For: ms(25000, 25000), Part: span(0.8, 0.8), Size: span(0.1, 0.1), Drain: ms(3000, 3000),
+		})
 	})
 	silent := map[int32]time.Duration{}
 	for _, e := range d.of(record.WatchSilent) {
--- a/internal/rehearsal/world/step.go
+++ b/internal/rehearsal/world/step.go
@@ -128,8 +128,10 @@
 	op := l.operations[o.Operation]
 	u := l.upstreams[o.Server]
 	t := op.try
-	s := &step{w: w, life: l, operation: op, try: t, attempt: o.Attempt, pool: u, begun: w.now,
-		until: o.At - clockStart}
+	s := &step{
+		w: w, life: l, operation: op, try: t, attempt: o.Attempt, pool: u, begun: w.now,
+		until: o.At - clockStart,
+	}
 	s.number = mix(t.request.lots + uint64(t.nth)<<32 + uint64(o.Attempt))
 	s.work = t.request.work * lognormal(w.noise[t.request.class], lotNormalOf(w.seed, s.number))
 	op.steps = append(op.steps, s)
@@ -156,8 +158,10 @@
 		return
 	}
 	to := w.at[s.lease.Addr]
-	c := &conn{link: l.agent.link(to), life: l, pool: s.pool, step: s, place: -1, usedAt: w.now,
-		slot: len(l.open)}
+	c := &conn{
+		link: l.agent.link(to), life: l, pool: s.pool, step: s, place: -1, usedAt: w.now,
+		slot: len(l.open),
+	}
 	l.open = append(l.open, c)
 	s.conn = c
 	c.open()
@@ -185,8 +189,10 @@
 // end ends a route step at the agent. The connection is closed, unless it can carry another.
 func (s *step) end(how core.Ending) {
 	l := s.life
-	saw := core.Sighting{Phase: s.phase, Ending: how, Reply: s.reply.outcome(), Latency: s.w.now - s.begun,
-		Reused: s.lease.Reused, Stood: s.lease.Stood}
+	saw := core.Sighting{
+		Phase: s.phase, Ending: how, Reply: s.reply.outcome(), Latency: s.w.now - s.begun,
+		Reused: s.lease.Reused, Stood: s.lease.Stood,
+	}
 	if s.phase == core.Connecting && how == core.BrokenOff {
 		saw.Refused, saw.Ours = s.conn != nil, s.conn == nil
 	}
--- a/internal/rehearsal/world/trouble.go
+++ b/internal/rehearsal/world/trouble.go
@@ -330,8 +330,10 @@
 // surge has more requests come, from sources of the trouble's own.
 func (t *trouble) surge() {
 	for _, a := range t.w.agents {
-		s := &source{client: a.client, chance: newStream(t.w.seed, t.name+" "+a.name),
-			perS: (t.size - 1) * t.w.perS * a.part, from: t.w.now, until: min(t.w.now+t.lasts, t.w.set.Day.Length)}
+		s := &source{
+			client: a.client, chance: newStream(t.w.seed, t.name+" "+a.name),
+			perS: (t.size - 1) * t.w.perS * a.part, from: t.w.now, until: min(t.w.now+t.lasts, t.w.set.Day.Length),
+		}
 		s.start()
 	}
 }
--- a/internal/rehearsal/world/trouble_test.go
+++ b/internal/rehearsal/world/trouble_test.go
@@ -66,19 +66,23 @@
 				"agents are slow to come back")
 			require.Greater(t, d.count(record.Answered, 32*second, 33*second, served), 280)
 		}},
-		{trouble: scenario.Trouble{Kind: scenario.Failing, Part: span(0.19, 0.19), Size: span(0.9, 0.9)},
+		{
+			trouble: scenario.Trouble{Kind: scenario.Failing, Part: span(0.19, 0.19), Size: span(0.9, 0.9)},
 			check: func(t *testing.T, d *diary) {
 				require.Greater(t, d.count(record.Ended, troubleFrom, troubleTo, ended(record.Error)), 30)
 				require.Less(t, d.count(record.Ended, troubleTo, dayLength, ended(record.Error)), 20)
-			}},
+			},
+		},
 		{trouble: scenario.Trouble{Kind: scenario.Refusing, Part: all}, check: func(t *testing.T, d *diary) {
 			require.Zero(t, d.count(record.Answered, troubleFrom+second, troubleTo, served))
 			require.Greater(t, d.count(record.Ended, troubleFrom, troubleTo, ended(record.TurnedAway)), 1000)
 			require.Zero(t, d.count(record.Worked, troubleFrom+2*second, troubleTo,
 				func(e record.Event) bool { return e.Ran }))
 		}},
-		{trouble: scenario.Trouble{Kind: scenario.Deploy, Part: span(0.8, 0.8), Size: span(0.18, 0.18),
-			Drain: ms(3000, 3000), SameAddress: span(0.5, 0.5)}, check: func(t *testing.T, d *diary) {
+		{trouble: scenario.Trouble{
+			Kind: scenario.Deploy, Part: span(0.8, 0.8), Size: span(0.18, 0.18),
+			Drain: ms(3000, 3000), SameAddress: span(0.5, 0.5),
+		}, check: func(t *testing.T, d *diary) {
 			require.Len(t, d.servers, 13+10)
 			require.Equal(t, 10, d.count(record.ServerDown, troubleFrom+3*second, troubleTo+3*second, nil))
 			require.Equal(t, 10, d.count(record.ServerUp, troubleFrom+3*second, troubleTo+3*second,
@@ -100,8 +104,9 @@
 			require.InDelta(t, 2.5, capacity(9)/capacity(15), 0.1)
 			require.InDelta(t, 1, capacity(9)/capacity(23), 0.05)
 		}},
-		{trouble: scenario.Trouble{Kind: scenario.Vanished, Part: span(0.19, 0.19)},
-			change: func(set *scenario.Scenario) { set.Discovery.SilentNotice = ms(5000, 5000) },
+		{
+			trouble: scenario.Trouble{Kind: scenario.Vanished, Part: span(0.19, 0.19)},
+			change:  func(set *scenario.Scenario) { set.Discovery.SilentNotice = ms(5000, 5000) },
 			check: func(t *testing.T, d *diary) {
 				gone := map[int32]bool{}
 				for _, e := range d.of(record.Changed) {
@@ -114,7 +119,8 @@
 					return gone[e.Server] && e.Outcome != record.GivenUp && e.Outcome != record.NoConnection
 				}), "nothing comes of them")
 				require.Greater(t, d.count(record.Reached, troubleTo+5*second, dayLength, from), 100, "they are back")
-			}},
+			},
+		},
 		{trouble: scenario.Trouble{Kind: scenario.Crashed, Part: span(0.19, 0.19)}, check: func(t *testing.T, d *diary) {
 			require.Equal(t, 2, d.count(record.ServerDown, troubleFrom, troubleFrom+1, nil))
 			require.Equal(t, 2, d.count(record.ServerUp, troubleTo, troubleTo+1,
@@ -202,11 +208,13 @@
 			require.Less(t, d.count(record.Ended, troubleTo-4*second, troubleTo, ended(record.Broken)), early/2,
 				"agents learn how long connections last")
 		}},
-		{trouble: scenario.Trouble{Kind: scenario.Spoilt, Part: span(0.2, 0.2), Size: span(0.2, 0.2)},
+		{
+			trouble: scenario.Trouble{Kind: scenario.Spoilt, Part: span(0.2, 0.2), Size: span(0.2, 0.2)},
 			check: func(t *testing.T, d *diary) {
 				require.Greater(t, d.count(record.Ended, troubleFrom, troubleTo, ended(record.SpoiltAnswer)), 30)
 				require.Zero(t, d.count(record.Ended, troubleTo+second, dayLength, ended(record.SpoiltAnswer)))
-			}},
+			},
+		},
 		{trouble: scenario.Trouble{Kind: scenario.Surge, Size: span(4, 4)}, check: func(t *testing.T, d *diary) {
 			require.InDelta(t, 4*12*330, d.count(record.Asked, troubleFrom, troubleTo, firstTry), 5*130)
 		}},
@@ -246,11 +254,13 @@
 			require.Equal(t, 2, d.count(record.AgentDown, 0, troubleFrom+4*second, nil), "two at a time, the next 4 s later")
 			require.Equal(t, 5, d.count(record.AgentUp, troubleFrom, dayLength, nil), "each as soon as it has drained")
 		}},
-		{trouble: scenario.Trouble{Kind: scenario.FewConnections, Part: all, Size: span(0.005, 0.005)},
+		{
+			trouble: scenario.Trouble{Kind: scenario.FewConnections, Part: all, Size: span(0.005, 0.005)},
 			check: func(t *testing.T, d *diary) {
 				require.Greater(t, d.count(record.Ended, troubleFrom, troubleTo, ended(record.NoConnection)), 10)
 				require.Zero(t, d.count(record.Ended, 0, troubleFrom, ended(record.NoConnection)))
-			}},
+			},
+		},
 		{trouble: scenario.Trouble{Kind: scenario.ClientsLeave, Part: all}, check: func(t *testing.T, d *diary) {
 			leave := map[uint32]bool{}
 			for _, e := range d.of(record.Left) {
@@ -264,14 +274,16 @@
 				return e.Try > 0 && leave[e.Chain] && e.At > troubleFrom
 			}), "they don't come back")
 		}},
-		{trouble: scenario.Trouble{Kind: scenario.LateConnections, Part: all, Delay: ms(900, 900)},
-			change: func(set *scenario.Scenario) { set.Connections.Idle = 200 * time.Millisecond }, // many new ones
+		{
+			trouble: scenario.Trouble{Kind: scenario.LateConnections, Part: all, Delay: ms(900, 900)},
+			change:  func(set *scenario.Scenario) { set.Connections.Idle = 200 * time.Millisecond }, // many new ones
 			check: func(t *testing.T, d *diary) {
 				early := troubleFrom + 10*time.Millisecond // some were begun before
 				require.Greater(t, d.count(record.Opened, troubleFrom-second, troubleFrom, nil), 20)
 				require.Zero(t, d.count(record.Opened, early, troubleFrom+900*time.Millisecond, nil))
 				require.Greater(t, d.count(record.Ended, early, troubleTo, ended(record.NoConnection)), 100)
-			}},
+			},
+		},
 	} {
 		t.Run(string(c.trouble.Kind), func(t *testing.T) { c.check(t, troubled(t, c.trouble, c.change)) })
 	}
@@ -281,8 +293,10 @@
 // goes on to its latest end where it keeps them busy.
 func TestSlowSpellHeals(t *testing.T) {
 	for load, heals := range map[float64]bool{0.15: true, 0.8: false} {
-		d := troubled(t, scenario.Trouble{Kind: scenario.Slow, Size: span(2.5, 2.5), HealsBelow: span(0.5, 0.5),
-			HealsRest: ms(2000, 2000)}, func(set *scenario.Scenario) {
+		d := troubled(t, scenario.Trouble{
+			Kind: scenario.Slow, Size: span(2.5, 2.5), HealsBelow: span(0.5, 0.5),
+			HealsRest: ms(2000, 2000),
+		}, func(set *scenario.Scenario) {
 			set.Load.PerS, set.Load.OfCapacity = span(0, 0), span(load, load)
 		})
 		over := d.of(record.Over)
@@ -312,8 +326,11 @@
 		return all
 	}
 	calm := play(t, deployment(dayLength), 7, Options{})
-	for _, u := range []scenario.Trouble{{Kind: scenario.Silent, Part: span(0.5, 0.5)},
-		{Kind: scenario.Deploy, Part: span(1, 1), Size: span(0.2, 0.2)}, {Kind: scenario.DiscoveryDown}} {
+	for _, u := range []scenario.Trouble{
+		{Kind: scenario.Silent, Part: span(0.5, 0.5)},
+		{Kind: scenario.Deploy, Part: span(1, 1), Size: span(0.2, 0.2)},
+		{Kind: scenario.DiscoveryDown},
+	} {
 		d := troubled(t, u, nil)
 		require.Equal(t, calm.servers, d.servers[:13])
 		for agent := range int32(5) {
@@ -322,8 +339,10 @@
 	}
 	// With the same traffic for each agent, one server and one agent more.
 	set := deployment(dayLength)
-	set.Troubles = []scenario.Trouble{{Kind: scenario.Crashed, At: ms(10000, 10000), For: ms(12000, 12000),
-		Part: span(0.3, 0.3)}}
+	set.Troubles = []scenario.Trouble{{
+		Kind: scenario.Crashed, At: ms(10000, 10000), For: ms(12000, 12000),
+		Part: span(0.3, 0.3),
+	}}
 	set.Agents.Zipf, set.Agents.Count = span(0, 0), 4
 	base := play(t, set, 7, Options{})
 	set.Agents.Count, set.Fleet.Servers, set.Load.PerS = 5, 14, span(330*5/4.0, 330*5/4.0)
@@ -340,8 +359,10 @@
 	require.GreaterOrEqual(t, same, 3, "of the four, but for the new one the same crash")
 	// A trouble's own draws do not hang on another kind's.
 	two := deployment(dayLength)
-	two.Troubles = []scenario.Trouble{{Kind: scenario.Reset, At: ms(0, 5000), For: ms(1000, 2000), Size: span(0, 1)},
-		{Kind: scenario.Silent, At: ms(0, 5000), For: ms(1000, 2000), Part: span(0, 1)}}
+	two.Troubles = []scenario.Trouble{
+		{Kind: scenario.Reset, At: ms(0, 5000), For: ms(1000, 2000), Size: span(0, 1)},
+		{Kind: scenario.Silent, At: ms(0, 5000), For: ms(1000, 2000), Part: span(0, 1)},
+	}
 	began := play(t, two, 7, Options{}).of(record.Began)
 	two.Troubles = two.Troubles[1:]
 	alone := play(t, two, 7, Options{}).of(record.Began)
--- a/internal/rehearsal/world/week_test.go
+++ b/internal/rehearsal/world/week_test.go
@@ -28,9 +28,11 @@
 	require.NoError(t, err)
 	set.Day.Length = weekDay
 	if windowed {
-		set.Troubles = append(set.Troubles, scenario.Trouble{Kind: scenario.Window, At: scenario.Always(windowFrom),
+		set.Troubles = append(set.Troubles, scenario.Trouble{
+			Kind: scenario.Window, At: scenario.Always(windowFrom),
 			For: scenario.Always(windowTo - windowFrom), Part: span(0.25, 0.25), Moves: scenario.Always(15 * time.Second),
-			Tenants: []string{set.Tenants[0].Name, set.Tenants[1].Name}})
+			Tenants: []string{set.Tenants[0].Name, set.Tenants[1].Name},
+		})
 	}
 	d := &diary{}
 	require.NoError(t, Play(t.Context(), set, seed, d, Options{}))
--- a/internal/rehearsal/world/window.go
+++ b/internal/rehearsal/world/window.go
@@ -23,8 +23,10 @@
 // planWindow is the plan of the trouble that is a window.
 func (t *trouble) planWindow(moves time.Duration) *window.Window {
 	from, to := clockStart+t.at, clockStart+t.at+t.lasts
-	return &window.Window{ID: t.name, Tenants: t.set.Tenants, Steps: windowSteps, From: from,
-		Drained: from + moves, Back: to - moves, To: to}
+	return &window.Window{
+		ID: t.name, Tenants: t.set.Tenants, Steps: windowSteps, From: from,
+		Drained: from + moves, Back: to - moves, To: to,
+	}
 }
 
 // beginWindow has the keys leave.
--- a/internal/rehearsal/world/window_test.go
+++ b/internal/rehearsal/world/window_test.go
@@ -15,8 +15,10 @@
 func TestWindowDay(t *testing.T) {
 	set := deployment(60 * time.Second)
 	set.Troubles = []scenario.Trouble{
-		{Kind: scenario.Window, At: scenario.Always(5 * time.Second), For: scenario.Always(50 * time.Second),
-			Part: span(0.3, 0.3), Tenants: []string{set.Tenants[0].Name}, Moves: scenario.Always(10 * time.Second)},
+		{
+			Kind: scenario.Window, At: scenario.Always(5 * time.Second), For: scenario.Always(50 * time.Second),
+			Part: span(0.3, 0.3), Tenants: []string{set.Tenants[0].Name}, Moves: scenario.Always(10 * time.Second),
+		},
 		{Kind: scenario.AgentsKilled, At: scenario.Always(20 * time.Second), For: scenario.Always(2 * time.Second), Count: 1},
 	}
 	d := play(t, set, 1, Options{})
--- a/internal/rehearsal/world/world.go
+++ b/internal/rehearsal/world/world.go
@@ -211,16 +211,20 @@
 	for i, a := range w.agents {
 		names[i] = record.Agent{Name: a.name, Zone: s.Network.Zones[a.zone]}
 	}
-	w.sink.Begin(record.Day{Agents: names, Capacity: full(machines), RatePerS: w.perS, Quotas: w.quotas,
-		MeanWork: w.meanWork})
+	w.sink.Begin(record.Day{
+		Agents: names, Capacity: full(machines), RatePerS: w.perS, Quotas: w.quotas,
+		MeanWork: w.meanWork,
+	})
 	for i, m := range machines {
 		w.newServer(zones[i], m, netip.AddrPort{}).start(false)
 	}
 	w.discovery = newDiscovery(w)
 	w.discovery.begin()
 	for _, a := range w.agents {
-		(&source{client: a.client, chance: newStream(w.seed, "client "+a.name), perS: w.perS * a.part,
-			until: s.Day.Length}).start()
+		(&source{
+			client: a.client, chance: newStream(w.seed, "client "+a.name), perS: w.perS * a.part,
+			until: s.Day.Length,
+		}).start()
 	}
 	nth := map[scenario.TroubleKind]int{}
 	for i := range s.Troubles {
@@ -366,19 +370,29 @@
 // deployment is what an agent is told of its deployment.
 func (w *world) deployment(a *agent) decide.Settings {
 	s := w.set
-	set := decide.Settings{Self: a.number, Balancers: len(w.agents), Zone: s.Network.Zones[a.zone],
+	set := decide.Settings{
+		Self: a.number, Balancers: len(w.agents), Zone: s.Network.Zones[a.zone],
 		OverShareWorth: s.Load.OverShareWorth, OnRequest: true, MarksRetry: s.Clients.MarksRetry,
 		Tick: s.Agents.Tick, Figures: w.o.Figures,
-		Limits: decide.Limits{MaxAttempts: s.Allow.MaxAttempts, SecondCopies: s.Allow.SecondCopies,
+		Limits: decide.Limits{
+			MaxAttempts: s.Allow.MaxAttempts, SecondCopies: s.Allow.SecondCopies,
 			Cancel: s.Allow.Cancel, Peers: s.Allow.Peers, RetryAfter: s.Allow.RetryAfter,
-			MaxRetryAfter: s.Allow.MaxRetryAfter},
-		Rules: decide.Rules{DrainGrace: s.Rules.DrainGrace, AskWithin: s.Rules.AskWithin,
+			MaxRetryAfter: s.Allow.MaxRetryAfter,
+		},
+		Rules: decide.Rules{
+			DrainGrace: s.Rules.DrainGrace, AskWithin: s.Rules.AskWithin,
 			ColdShare: s.Rules.ColdShare, ColdFor: s.Rules.ColdFor, FallMultiple: s.Rules.FallMultiple,
-			FallWindow: s.Rules.FallWindow},
-		Prices: decide.Prices{CrossZone: s.Prices.CrossZone, Waste: s.Prices.Waste, Peer: s.Prices.Peer,
-			LateFail: s.Prices.LateFail},
-		Goal: decide.Goal{Whole: s.Goal.Whole, WorstWindow: s.Goal.WorstWindow, WorstClass: s.Goal.WorstClass,
-			WorstTenant: s.Goal.WorstTenant}}
+			FallWindow: s.Rules.FallWindow,
+		},
+		Prices: decide.Prices{
+			CrossZone: s.Prices.CrossZone, Waste: s.Prices.Waste, Peer: s.Prices.Peer,
+			LateFail: s.Prices.LateFail,
+		},
+		Goal: decide.Goal{
+			Whole: s.Goal.Whole, WorstWindow: s.Goal.WorstWindow, WorstClass: s.Goal.WorstClass,
+			WorstTenant: s.Goal.WorstTenant,
+		},
+	}
 	for i := range s.Classes {
 		c := &s.Classes[i]
 		k := decide.Class{Name: c.Name, Aim: c.Aim, Deadline: c.Deadline, Worth: c.Worth, Effect: decide.Unsafe}
@@ -388,8 +402,10 @@
 		set.Classes = append(set.Classes, k)
 	}
 	for i := range s.Tenants {
-		set.Tenants = append(set.Tenants, decide.Tenant{Name: s.Tenants[i].Name, QuotaPerS: w.quotas[i],
-			Share: s.Tenants[i].Share})
+		set.Tenants = append(set.Tenants, decide.Tenant{
+			Name: s.Tenants[i].Name, QuotaPerS: w.quotas[i],
+			Share: s.Tenants[i].Share,
+		})
 	}
 	return set
 }
--- a/internal/routing/agreed_test.go
+++ b/internal/routing/agreed_test.go
@@ -37,16 +37,20 @@
 // changed.
 func TestAvoiding(t *testing.T) {
 	module, avoid, placed := &noting{}, (*decide.Avoid)(nil), (*decide.Placed)(nil)
-	a := &Agent{mail: newMailbox[any](), clock: newClock(), router: core.NewRouter(decide.Settings{}, module),
-		avoiding: func() *decide.Avoid { return avoid }, placed: func() *decide.Placed { return placed }}
+	a := &Agent{
+		mail: newMailbox[any](), clock: newClock(), router: core.NewRouter(decide.Settings{}, module),
+		avoiding: func() *decide.Avoid { return avoid }, placed: func() *decide.Placed { return placed },
+	}
 	a.handle(timerDue{1})
 	avoid, placed = &decide.Avoid{}, &decide.Placed{}
 	a.handle(timerDue{2})
 	a.handle(timerDue{3})
 	avoid, placed = nil, nil
 	a.handle(timerDue{4})
-	require.Equal(t, []string{"*decide.TimerDue", "avoid true", "place true", "*decide.TimerDue", "*decide.TimerDue", "avoid false",
-		"place false", "*decide.TimerDue"}, module.notes)
+	require.Equal(t, []string{
+		"*decide.TimerDue", "avoid true", "place true", "*decide.TimerDue", "*decide.TimerDue", "avoid false",
+		"place false", "*decide.TimerDue",
+	}, module.notes)
 	ctx, cancel := context.WithCancel(t.Context())
 	go a.mail.receive(func(m any) bool { return m != nil && a.handle(m) })
 	strain, damps := a.Strain(ctx)
@@ -64,8 +68,10 @@
 	module := &noting{}
 	a := &Agent{mail: newMailbox[any](), clock: newClock(), router: core.NewRouter(decide.Settings{}, module)}
 	a.mail.put(timerDue{1})
-	a.Agree(&policy.Effect{Quota: []float64{3}, InVain: 0.2,
-		Classes: []policy.ClassEffect{{Attempts: 2, Copies: true, Pace: time.Millisecond}}})
+	a.Agree(&policy.Effect{
+		Quota: []float64{3}, InVain: 0.2,
+		Classes: []policy.ClassEffect{{Attempts: 2, Copies: true, Pace: time.Millisecond}},
+	})
 	a.mail.put(timerDue{2})
 	a.Agree(nil)
 	a.mail.put(nil)
--- a/internal/routing/answered_test.go
+++ b/internal/routing/answered_test.go
@@ -45,15 +45,19 @@
 	}()
 	k := newClock()
 	reports := make(chan any, 4)
-	b := startBooking(upstreamSettings{clock: k, connectTimeout: time.Minute, settle: core.SettleTime, connects: &connects{},
+	b := startBooking(upstreamSettings{
+		clock: k, connectTimeout: time.Minute, settle: core.SettleTime, connects: &connects{},
 		idleLimit:   &idleLimit{core: core.NewIdleLimit(k.now(), time.Hour)},
 		descriptors: transport.NewDescriptors(16, func() {}), figures: figures.New(nil),
-		bodies: transport.NewBodies(1<<20, transport.BodyRules{Longest: 1 << 20, Stall: time.Second, Lag: time.Second})},
+		bodies: transport.NewBodies(1<<20, transport.BodyRules{Longest: 1 << 20, Stall: time.Second, Lag: time.Second}),
+	},
 		l.Addr().(*net.TCPAddr).AddrPort(), func(m any) { reports <- m })
 	step := func(id string) *attempt {
 		until := k.now() + time.Minute
-		return newAttempt(&operation{Operation: &protocol.Operation{Method: http.MethodGet, Target: "/consult",
-			CorrelationID: id, Class: "consult", TimeLeft: time.Minute}}, core.Output{At: until, Deadline: until}, k)
+		return newAttempt(&operation{Operation: &protocol.Operation{
+			Method: http.MethodGet, Target: "/consult",
+			CorrelationID: id, Class: "consult", TimeLeft: time.Minute,
+		}}, core.Output{At: until, Deadline: until}, k)
 	}
 	late := step("000000000000000a")
 	late.unwanted = true // as if the answer had crossed the connection's coming up
--- a/internal/routing/answers_test.go
+++ b/internal/routing/answers_test.go
@@ -39,10 +39,13 @@
 
 func newStage(n int) *stage {
 	set := decide.Settings{Classes: []decide.Class{{Name: "consult"}}, Limits: decide.Limits{MaxAttempts: n}}
-	a := &Agent{mail: newMailbox[any](), clock: newClock(), router: core.NewRouter(set, copies(n)),
-		servers: map[string]*booking{}, operations: map[uint32]*operation{}}
+	a := &Agent{
+		mail: newMailbox[any](), clock: newClock(), router: core.NewRouter(set, copies(n)),
+		servers: map[string]*booking{}, operations: map[uint32]*operation{},
+	}
 	a.do(a.router.PoolNews(0, decide.SyncFull, protocol.PoolConfig{Servers: []protocol.PoolServer{{
-		Server: decide.Server{ID: "s-0"}, Addr: netip.MustParseAddrPort("127.0.0.1:1")}}}, decide.Word{}))
+		Server: decide.Server{ID: "s-0"}, Addr: netip.MustParseAddrPort("127.0.0.1:1"),
+	}}}, decide.Word{}))
 	a.servers["s-0"] = &booking{mail: newMailbox[any]()} // nobody reads it
 	return &stage{Agent: a, pool: memory.NewPool(1 << 20)}
 }
@@ -64,8 +67,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 3).Draw(t, "steps")
 		s := newStage(n)
-		o := &operation{answer: make(chan protocol.Answer, 1), Operation: &protocol.Operation{Class: "consult",
-			CorrelationID: "1", Sent: time.Now(), TimeLeft: time.Minute, Release: func() { s.released++ }}}
+		o := &operation{answer: make(chan protocol.Answer, 1), Operation: &protocol.Operation{
+			Class:         "consult",
+			CorrelationID: "1", Sent: time.Now(), TimeLeft: time.Minute, Release: func() { s.released++ },
+		}}
 		s.handle(o)
 		var flows []*flow.Flow
 		begun, over := make([]*flow.Flow, n), make([]bool, n)
@@ -158,8 +163,10 @@
 func TestEndingOf(t *testing.T) {
 	c := newClock()
 	s := newAttempt(&operation{}, core.Output{At: c.now() + time.Minute}, c)
-	for err, want := range map[error]core.Ending{nil: core.Completed, io.ErrUnexpectedEOF: core.BrokenOff,
-		flow.ErrLeft: core.ClientLeft, transport.ErrSpoilt: core.Spoilt, memory.ErrFull: core.NoMemory} {
+	for err, want := range map[error]core.Ending{
+		nil: core.Completed, io.ErrUnexpectedEOF: core.BrokenOff,
+		flow.ErrLeft: core.ClientLeft, transport.ErrSpoilt: core.Spoilt, memory.ErrFull: core.NoMemory,
+	} {
 		require.Equal(t, want, endingOf(err, s.ctx))
 	}
 	s.cancel(core.ClientLags)
--- a/internal/routing/attempt.go
+++ b/internal/routing/attempt.go
@@ -103,8 +103,10 @@
 
 // newAttempt prepares an attempt that the core has asked for.
 func newAttempt(o *operation, start core.Output, c clock) *attempt {
-	a := &attempt{operation: o, number: start.Attempt, server: start.Server, streamed: start.Begins,
-		sent: time.Now()}
+	a := &attempt{
+		operation: o, number: start.Attempt, server: start.Server, streamed: start.Begins,
+		sent: time.Now(),
+	}
 	until := c.time(start.At)
 	a.times.Store(&attemptTimes{until, c.time(start.Deadline), start.After})
 	ctx, cancel := context.WithCancelCause(context.Background())
--- a/internal/routing/bench_test.go
+++ b/internal/routing/bench_test.go
@@ -63,13 +63,17 @@
 	list := protocol.PoolConfig{Version: 1, Full: true}
 	for i, s := range servers {
 		list.Servers = append(list.Servers, protocol.PoolServer{
-			Server: decide.Server{ID: fmt.Sprint("s-", i), Weight: 1}, Addr: netip.MustParseAddrPort(s)})
+			Server: decide.Server{ID: fmt.Sprint("s-", i), Weight: 1}, Addr: netip.MustParseAddrPort(s),
+		})
 	}
-	a, err := routing.Start(routing.Settings{Seed: 1, Descriptors: descriptors, Bodies: bodies,
+	a, err := routing.Start(routing.Settings{
+		Seed: 1, Descriptors: descriptors, Bodies: bodies,
 		Deployment: protocol.Settings{ConnIdle: time.Hour, ConnectTimeout: time.Minute, Settings: decide.Settings{
 			Balancers: 1, Classes: []decide.Class{class}, Tick: time.Millisecond,
-			Limits: decide.Limits{MaxAttempts: 3}}},
-		Start: state.Beginning{ListAge: -1, List: list}})
+			Limits: decide.Limits{MaxAttempts: 3},
+		}},
+		Start: state.Beginning{ListAge: -1, List: list},
+	})
 	require.NoError(b, err)
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(b, err)
--- a/internal/routing/booking.go
+++ b/internal/routing/booking.go
@@ -118,8 +118,10 @@
 )
 
 func startBooking(set upstreamSettings, addr netip.AddrPort, report func(any)) *booking {
-	b := &booking{set: set, mail: newMailbox[any](), report: report,
-		pool: core.NewPool[*transport.Upstream](addr, set.idleLimit, set.settle)}
+	b := &booking{
+		set: set, mail: newMailbox[any](), report: report,
+		pool: core.NewPool[*transport.Upstream](addr, set.idleLimit, set.settle),
+	}
 	go b.mail.receive(b.handle)
 	return b
 }
@@ -188,14 +190,16 @@
 			return protocol.Reply{}, true, transport.ErrUnused // the connection is as good as before
 		}
 		op, wait := attempt.operation.Operation, attempt.times.Load().wait() // after the dial
-		return conn.Exchange(attempt.ctx, transport.Step{Head: protocol.AppendRouteStep(nil, op, wait),
+		return conn.Exchange(attempt.ctx, transport.Step{
+			Head: protocol.AppendRouteStep(nil, op, wait),
 			Body: op.Body, Rest: op.Rest, Chunked: op.Length < 0,
 			AtOnce: attempt.streamed, GraphQL: op.GraphQL,
 			Written: func() { attempt.written = time.Now(); b.set.figures.Tried() },
 			Begun: func(r protocol.Reply) {
 				begun = r.Flow
 				b.begin(attempt, r)
-			}})
+			},
+		})
 	}
 	saw := core.Sighting{Phase: core.Unused, Reused: lease.Reused, Stood: lease.Stood}
 	var reply protocol.Reply
@@ -274,13 +278,16 @@
 
 // progress is what the core goes by.
 func progress(p flow.Progress) core.Progress {
-	return core.Progress{Length: p.Length, Came: p.Came, Before: p.Before, HeldUp: p.HeldUp, Coming: p.Coming,
-		Whole: p.Whole}
+	return core.Progress{
+		Length: p.Length, Came: p.Came, Before: p.Before, HeldUp: p.HeldUp, Coming: p.Coming,
+		Whole: p.Whole,
+	}
 }
 
 // judge tells how an attempt ended. For an answer that had begun it waits until nobody takes it any more.
 func (b *booking) judge(attempt *attempt, saw core.Sighting, reply protocol.Reply, begun *flow.Flow,
-	err error) attemptEnded {
+	err error,
+) attemptEnded {
 	ended := attemptEnded{attempt: attempt, reply: reply}
 	var p flow.Progress
 	if begun != nil {
--- a/internal/routing/crossings_test.go
+++ b/internal/routing/crossings_test.go
@@ -48,11 +48,15 @@
 		}
 	})
 	s := &scene{t: t, clock: newClock(), reports: make(chan any, 16)}
-	set := upstreamSettings{clock: s.clock, connectTimeout: time.Minute, connects: &connects{},
+	set := upstreamSettings{
+		clock: s.clock, connectTimeout: time.Minute, connects: &connects{},
 		idleLimit:   &idleLimit{core: core.NewIdleLimit(s.clock.now(), time.Hour)},
 		descriptors: transport.NewDescriptors(1024, func() {}), figures: figures.New(nil),
-		bodies: transport.NewBodies(1<<20, transport.BodyRules{Longest: 1 << 20, Whole: 1 << 20, Stall: time.Minute,
-			Lag: time.Minute})}
+		bodies: transport.NewBodies(1<<20, transport.BodyRules{
+			Longest: 1 << 20, Whole: 1 << 20, Stall: time.Minute,
+			Lag: time.Minute,
+		}),
+	}
 	if edit != nil {
 		edit(&set)
 	}
@@ -68,8 +72,10 @@
 // step prepares an attempt that has a minute.
 func (s *scene) step(id string) *attempt {
 	until := s.clock.now() + time.Minute
-	return newAttempt(&operation{Operation: &protocol.Operation{Method: http.MethodGet, Target: "/consult",
-		CorrelationID: id, Class: "consult", TimeLeft: time.Minute}}, core.Output{At: until, Deadline: until}, s.clock)
+	return newAttempt(&operation{Operation: &protocol.Operation{
+		Method: http.MethodGet, Target: "/consult",
+		CorrelationID: id, Class: "consult", TimeLeft: time.Minute,
+	}}, core.Output{At: until, Deadline: until}, s.clock)
 }
 
 // ended waits for the end of an attempt, and returns it with the answer's body.
@@ -185,8 +191,10 @@
 		rest := flow.New(-1, memory.Grant{}, 0)
 		rest.End(io.EOF)
 		until := s.clock.now() + 15*time.Minute // it may come for so long
-		step := newAttempt(&operation{Operation: &protocol.Operation{Method: http.MethodPost, Target: "/rezervare",
-			CorrelationID: "000000000000000a", Class: "rezervare", TimeLeft: time.Minute, Length: -1, Rest: rest}},
+		step := newAttempt(&operation{Operation: &protocol.Operation{
+			Method: http.MethodPost, Target: "/rezervare",
+			CorrelationID: "000000000000000a", Class: "rezervare", TimeLeft: time.Minute, Length: -1, Rest: rest,
+		}},
 			core.Output{At: until, Deadline: until, After: time.Minute}, s.clock)
 		if comesWhole { // and so much of its time is left
 			until := s.clock.time(s.clock.now() + left)
--- a/internal/routing/fleet.go
+++ b/internal/routing/fleet.go
@@ -66,8 +66,10 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &Fleet{mail: newMailbox[any](), store: set.Store, agents: startAgents(set.Datagrams), node: node,
-		applied: set.Applied, began: time.Now()}
+	f := &Fleet{
+		mail: newMailbox[any](), store: set.Store, agents: startAgents(set.Datagrams), node: node,
+		applied: set.Applied, began: time.Now(),
+	}
 	f.wake = time.AfterFunc(time.Hour, func() { f.mail.put(fleetWake{}) })
 	go f.mail.receive(f.handle)
 	f.mail.put(fleetWake{})
--- a/internal/routing/list.go
+++ b/internal/routing/list.go
@@ -72,10 +72,13 @@
 }
 
 func startList(addr netip.AddrPort, known protocol.PoolConfig, bans []core.Ban, clock clock,
-	f *figures.Figures, report func(poolNews)) *list {
-	l := &list{mail: newMailbox[any](), core: core.NewList(addr, known, bans),
+	f *figures.Figures, report func(poolNews),
+) *list {
+	l := &list{
+		mail: newMailbox[any](), core: core.NewList(addr, known, bans),
 		calls:  map[int]context.CancelFunc{},
-		report: report, clock: clock, figures: f}
+		report: report, clock: clock, figures: f,
+	}
 	l.report(poolNews{kind: decide.SyncSaved, config: l.core.Known(known), told: known})
 	l.count()
 	go l.mail.receive(l.handle)
--- a/internal/routing/module.go
+++ b/internal/routing/module.go
@@ -126,17 +126,23 @@
 	if err != nil {
 		return nil, err
 	}
-	a := &Agent{mail: newMailbox[any](), clock: newClock(), gate: gate, balancer: balancer, figures: set.Figures,
+	a := &Agent{
+		mail: newMailbox[any](), clock: newClock(), gate: gate, balancer: balancer, figures: set.Figures,
 		router: core.NewRouter(permitted, gate), servers: map[string]*booking{},
 		operations: map[uint32]*operation{}, awaits: set.Awaits, knows: set.Knows,
-		acting: set.Acting, avoiding: set.Avoiding, placed: set.Placed}
+		acting: set.Acting, avoiding: set.Avoiding, placed: set.Placed,
+	}
 	limit := &idleLimit{core: core.NewIdleLimit(a.clock.now(), set.Deployment.ConnIdle)}
-	a.upstream = upstreamSettings{clock: a.clock, connectTimeout: connectWait(set.Deployment),
+	a.upstream = upstreamSettings{
+		clock: a.clock, connectTimeout: connectWait(set.Deployment),
 		settle:    core.SettleTime,
 		idleLimit: limit, connects: &connects{}, descriptors: set.Descriptors, bodies: set.Bodies,
-		figures: set.Figures}
-	a.kept = kept{session: state.NewSession(set.Start, balancer, gate, limit, set.Proof),
-		proves: set.Proof.Wanted, changed: set.Changed, clock: a.clock}
+		figures: set.Figures,
+	}
+	a.kept = kept{
+		session: state.NewSession(set.Start, balancer, gate, limit, set.Proof),
+		proves:  set.Proof.Wanted, changed: set.Changed, clock: a.clock,
+	}
 	a.list = startList(set.Discovery, set.Start.List, set.Bans, a.clock, set.Figures,
 		func(n poolNews) { a.mail.put(n) })
 	if set.Datagrams != nil {
@@ -498,11 +504,15 @@
 
 // answer gives the one final answer; a good one is the reply in hand.
 func (a *Agent) answer(o *operation, out *core.Output) {
-	answer := protocol.Answer{Kind: out.Result, RetryAfter: out.After, OverShare: out.OverShare,
-		Quota: out.Quota, Body: []byte(out.Text)}
+	answer := protocol.Answer{
+		Kind: out.Result, RetryAfter: out.After, OverShare: out.OverShare,
+		Quota: out.Quota, Body: []byte(out.Text),
+	}
 	if out.Result == protocol.Served {
-		answer = protocol.Answer{Kind: protocol.Served, Flow: a.reply.Flow, ContentType: a.reply.ContentType,
-			Status: a.reply.Status}
+		answer = protocol.Answer{
+			Kind: protocol.Served, Flow: a.reply.Flow, ContentType: a.reply.ContentType,
+			Status: a.reply.Status,
+		}
 		a.reply.Flow = nil
 	}
 	answer.Begins = out.Begins
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -35,7 +35,8 @@
 // in good order, and the request may have crossed that. Then nothing of it may have been sent on, which is
 // for the caller to look at. Both are called from a goroutine of the connection's.
 func Dial(addr string, request []byte, answered func(*http.Response, []byte),
-	ended func(unread bool)) *Client {
+	ended func(unread bool),
+) *Client {
 	c := &Client{answered: answered, ended: ended, asked: true, up: make(chan struct{})}
 	go c.run(addr, request)
 	return c
--- a/internal/standin/confined_linux_amd64.go
+++ b/internal/standin/confined_linux_amd64.go
@@ -11,9 +11,11 @@
 
 // refusedCalls are the system calls that a platform of the operators' refuses: those that start other
 // programs, and those that move data past the process.
-var refusedCalls = []uint32{unix.SYS_FORK, unix.SYS_VFORK,
+var refusedCalls = []uint32{
+	unix.SYS_FORK, unix.SYS_VFORK,
 	unix.SYS_IO_URING_SETUP, unix.SYS_IO_URING_ENTER,
-	unix.SYS_IO_URING_REGISTER, unix.SYS_SPLICE, unix.SYS_TEE, unix.SYS_VMSPLICE, unix.SYS_SENDFILE}
+	unix.SYS_IO_URING_REGISTER, unix.SYS_SPLICE, unix.SYS_TEE, unix.SYS_VMSPLICE, unix.SYS_SENDFILE,
+}
 
 // Confined puts a program in the place of this process, where each of the refused calls ends it by SIGSYS,
 // and so does a clone that is no thread. It needs no rights. It returns only what kept it from doing so.
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -102,8 +102,10 @@
 // ServeHTTP implements http.Handler.
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	from, _ := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
-	c := &Call{Target: r.RequestURI, Watch: r.URL.Query().Get("watch") == "1", From: from,
-		signal: make(chan struct{}, 1)}
+	c := &Call{
+		Target: r.RequestURI, Watch: r.URL.Query().Get("watch") == "1", From: from,
+		signal: make(chan struct{}, 1),
+	}
 	d.came(c)
 	var empty <-chan time.Time
 	begun, mute := false, false
--- a/internal/standin/network.go
+++ b/internal/standin/network.go
@@ -35,8 +35,10 @@
 // ListenNetwork opens the network between the agents that listen at these addresses, on an IP address at
 // which none of them does. The seed is for the fate of the datagrams.
 func ListenNetwork(ip string, agents []netip.AddrPort, seed uint64) (*Network, error) {
-	n := &Network{agents: len(agents), began: time.Now(), faults: mishap.New(seed, len(agents)),
-		wake: make(chan struct{}, 1), late: hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3)}
+	n := &Network{
+		agents: len(agents), began: time.Now(), faults: mishap.New(seed, len(agents)),
+		wake: make(chan struct{}, 1), late: hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3),
+	}
 	var err error
 	n.mu.Lock() // until there are peers to tell
 	n.peers, err = ListenPeers(ip, agents, n.told)
@@ -79,8 +81,10 @@
 func (n *Network) Figures() Figures {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return Figures{Counts: n.faults.Counts(), Passed: n.passed, Full: n.full,
-		Late: hdrhistogram.Import(n.late.Export())}
+	return Figures{
+		Counts: n.faults.Counts(), Passed: n.passed, Full: n.full,
+		Late: hdrhistogram.Import(n.late.Export()),
+	}
 }
 
 // told takes in what an agent says to another, or to all.
--- a/internal/standin/program/program.go
+++ b/internal/standin/program/program.go
@@ -132,8 +132,10 @@
 		<-old.ended
 	}
 	cmd := exec.Command(a.Program, a.Args...)
-	cmd.Env = append([]string{"LB_NAME=" + a.Name, "LB_LISTEN=" + a.Addr, "LB_DISCOVERY=" + discovery,
-		"LB_CONFIG=/proc/self/fd/3"}, a.Env...)
+	cmd.Env = append([]string{
+		"LB_NAME=" + a.Name, "LB_LISTEN=" + a.Addr, "LB_DISCOVERY=" + discovery,
+		"LB_CONFIG=/proc/self/fd/3",
+	}, a.Env...)
 	if a.Folder != "" {
 		cmd.Env = append(cmd.Env, "TMPDIR="+a.Folder)
 	}
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -53,8 +53,10 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{events: events, addr: l.Addr().(*net.TCPAddr), listener: l.(*net.TCPListener),
-		conns: map[*Conn]struct{}{}, fillers: map[string]net.Conn{}}
+	s := &Server{
+		events: events, addr: l.Addr().(*net.TCPAddr), listener: l.(*net.TCPListener),
+		conns: map[*Conn]struct{}{}, fillers: map[string]net.Conn{},
+	}
 	s.wait.Go(func() { s.accept(s.listener) })
 	return s, nil
 }
--- a/internal/standin/strait_test.go
+++ b/internal/standin/strait_test.go
@@ -51,8 +51,10 @@
 // Each fault keeps from passing what it says, on open connections and on new ones, and what waited comes when it is
 // over.
 func TestStrait(t *testing.T) {
-	for fault, reaches := range map[scenario.Fault]bool{scenario.StreamSilent: false, scenario.StreamToAgent: false,
-		scenario.StreamFromAgent: true} {
+	for fault, reaches := range map[scenario.Fault]bool{
+		scenario.StreamSilent: false, scenario.StreamToAgent: false,
+		scenario.StreamFromAgent: true,
+	} {
 		t.Run(string(fault), func(t *testing.T) {
 			var came atomic.Int32
 			s, err := Listen("127.0.0.1:0", Events{Came: func(c *Conn, _ *http.Request, _ []byte) {
--- a/internal/state/beginning_test.go
+++ b/internal/state/beginning_test.go
@@ -19,8 +19,10 @@
 func config(version int64, servers ...[3]int) protocol.PoolConfig {
 	c := protocol.PoolConfig{Version: version, Full: true}
 	for _, s := range servers {
-		c.Servers = append(c.Servers, protocol.PoolServer{Server: decide.Server{ID: fmt.Sprintf("s-%d", s[0]), Weight: 1,
-			Started: time.Duration(s[2])}, Addr: netip.MustParseAddrPort(fmt.Sprintf("10.0.0.1:%d", s[1]))})
+		c.Servers = append(c.Servers, protocol.PoolServer{Server: decide.Server{
+			ID: fmt.Sprintf("s-%d", s[0]), Weight: 1,
+			Started: time.Duration(s[2]),
+		}, Addr: netip.MustParseAddrPort(fmt.Sprintf("10.0.0.1:%d", s[1]))})
 	}
 	return c
 }
@@ -29,9 +31,13 @@
 func TestBegin(t *testing.T) {
 	now := time.UnixMilli(1_796_000_000_000)
 	kept := config(41, [3]int{1, 9001}, [3]int{2, 9002}, [3]int{3, 9003, 7})
-	f := &File{Header: Header{Written: now.Add(-time.Minute).UnixMilli()},
-		Content: Content{List: NewList(kept, now.Add(-2*time.Minute).UnixMilli()), Idle: &core.IdleMemory{},
-			Module: &decide.Memory{Servers: []decide.ServerMemory{{ID: "s-1"}, {ID: "s-2"}, {ID: "s-3", Started: 7}}}}}
+	f := &File{
+		Header: Header{Written: now.Add(-time.Minute).UnixMilli()},
+		Content: Content{
+			List: NewList(kept, now.Add(-2*time.Minute).UnixMilli()), Idle: &core.IdleMemory{},
+			Module: &decide.Memory{Servers: []decide.ServerMemory{{ID: "s-1"}, {ID: "s-2"}, {ID: "s-3", Started: 7}}},
+		},
+	}
 	for name, c := range map[string]struct {
 		known protocol.PoolConfig
 		list  int64
@@ -40,8 +46,10 @@
 	}{
 		"older":    {config(40, [3]int{1, 9001}), 41, true, []string{"s-1", "s-2", "s-3"}},
 		"the same": {kept, 41, false, []string{"s-1", "s-2", "s-3"}},
-		"newer, moved, replaced, restarted, gone": {config(42, [3]int{1, 9009}, [3]int{3, 9003, 8}, [3]int{4, 9002}),
-			42, false, nil},
+		"newer, moved, replaced, restarted, gone": {
+			config(42, [3]int{1, 9009}, [3]int{3, 9003, 8}, [3]int{4, 9002}),
+			42, false, nil,
+		},
 		"newer, two the same": {config(42, [3]int{2, 9002}, [3]int{3, 9003, 7}), 42, false, []string{"s-2", "s-3"}},
 	} {
 		b, err := Begin(c.known, f, now)
@@ -94,8 +102,10 @@
 // that nothing more comes of it. What is kept is the list as it is by then, and when it was last confirmed.
 func TestSession(t *testing.T) {
 	m, gate, idle := &spy{}, &spyGate{}, core.NewIdleLimit(0, 10*time.Second)
-	s := NewSession(Beginning{List: config(41, [3]int{1, 9001}, [3]int{2, 9002}, [3]int{3, 9003}), Module: &decide.Memory{},
-		Storm: &storm.Memory{Crowd: 7}, Age: time.Minute, Confirmed: 5 * time.Millisecond, ListAge: 30 * time.Second},
+	s := NewSession(Beginning{
+		List: config(41, [3]int{1, 9001}, [3]int{2, 9002}, [3]int{3, 9003}), Module: &decide.Memory{},
+		Storm: &storm.Memory{Crowd: 7}, Age: time.Minute, Confirmed: 5 * time.Millisecond, ListAge: 30 * time.Second,
+	},
 		m, gate, idle, Proof{Wanted: true, Deploy: time.Minute})
 	s.Began(time.Second)
 	require.Equal(t, time.Minute+7, gate.age)
@@ -134,8 +144,10 @@
 	learned := l.Limit()
 	require.Less(t, learned, 3*time.Second)
 	m := l.Remember(2 * time.Second)
-	for age, want := range map[time.Duration]time.Duration{0: learned, 20 * time.Second: learned,
-		10 * time.Minute: 9 * time.Second, -time.Second: 9 * time.Second} {
+	for age, want := range map[time.Duration]time.Duration{
+		0: learned, 20 * time.Second: learned,
+		10 * time.Minute: 9 * time.Second, -time.Second: 9 * time.Second,
+	} {
 		again := core.NewIdleLimit(time.Hour, 15*time.Second)
 		again.Recall(m, age)
 		require.Equal(t, want, again.Limit(), age)
--- a/internal/state/content.go
+++ b/internal/state/content.go
@@ -53,8 +53,10 @@
 		if s.Addr.IsValid() {
 			addr = s.Addr.String()
 		}
-		l.Servers = append(l.Servers, Server{ID: s.ID, Addr: addr, Zone: s.Zone, Kind: s.Kind, Cell: s.Cell,
-			State: s.State, Weight: s.Weight, Started: s.Started})
+		l.Servers = append(l.Servers, Server{
+			ID: s.ID, Addr: addr, Zone: s.Zone, Kind: s.Kind, Cell: s.Cell,
+			State: s.State, Weight: s.Weight, Started: s.Started,
+		})
 	}
 	return l
 }
@@ -64,8 +66,10 @@
 func (l *List) Config() (protocol.PoolConfig, error) {
 	c := protocol.PoolConfig{Version: l.Version, Full: true}
 	for _, s := range l.Servers {
-		entry := protocol.PoolServer{Server: decide.Server{ID: s.ID, Zone: s.Zone, Kind: s.Kind, Cell: s.Cell,
-			State: s.State, Weight: s.Weight, Started: s.Started}}
+		entry := protocol.PoolServer{Server: decide.Server{
+			ID: s.ID, Zone: s.Zone, Kind: s.Kind, Cell: s.Cell,
+			State: s.State, Weight: s.Weight, Started: s.Started,
+		}}
 		addr, err := netip.ParseAddrPort(s.Addr)
 		switch {
 		case s.ID == "" || s.State > decide.Draining || !(s.Weight >= 0) || s.Started < 0,
--- a/internal/state/folder/crash_test.go
+++ b/internal/state/folder/crash_test.go
@@ -216,8 +216,10 @@
 func crash(first *crashDisk, s story, times, depth int) (states int, err error) {
 	for fault := 0; ; fault++ {
 		for cut := fault + 1; ; cut++ {
-			d := &crashDisk{lasting: maps.Clone(first.lasting), now: maps.Clone(first.now),
-				noFileSync: first.noFileSync, noNameSync: first.noNameSync}
+			d := &crashDisk{
+				lasting: maps.Clone(first.lasting), now: maps.Clone(first.now),
+				noFileSync: first.noFileSync, noNameSync: first.noNameSync,
+			}
 			after := s
 			came, wrong := after.write(d, times, cut, fault)
 			if err = errors.Join(err, wrong); err != nil {
--- a/internal/state/folder/folder.go
+++ b/internal/state/folder/folder.go
@@ -84,8 +84,10 @@
 		return f.unwritable
 	}
 	f.generation++ // also where this one fails: it may be there all the same
-	raw, err := state.Encode(&state.File{Content: c,
-		Header: state.Header{Owner: f.owner, Written: now.UnixMilli(), Generation: f.generation}})
+	raw, err := state.Encode(&state.File{
+		Content: c,
+		Header:  state.Header{Owner: f.owner, Written: now.UnixMilli(), Generation: f.generation},
+	})
 	if err != nil {
 		return err
 	}
--- a/internal/state/folder/folder_test.go
+++ b/internal/state/folder/folder_test.go
@@ -195,8 +195,10 @@
 // keep starts a keeper on a disk; what it takes is numbered.
 func keep(d disk, age time.Duration) (*Keeper, *atomic.Int64) {
 	taken := &atomic.Int64{}
-	return Keep(Keeping{Path: "nowhere", Owner: owner, Period: 10 * time.Second, Gap: 5 * time.Second,
-		Take: func(context.Context) (state.Content, bool) { return numbered(int(taken.Add(1))), true }},
+	return Keep(Keeping{
+		Path: "nowhere", Owner: owner, Period: 10 * time.Second, Gap: 5 * time.Second,
+		Take: func(context.Context) (state.Content, bool) { return numbered(int(taken.Add(1))), true },
+	},
 		newFolder(d, owner, nil), age), taken
 }
 
@@ -269,8 +271,10 @@
 	path := t.TempDir() // the folder is gone, and comes back
 	folder, err := Open(path, owner)
 	require.NoError(t, err)
-	k := Keep(Keeping{Path: path, Owner: owner, Period: time.Millisecond, Gap: time.Millisecond,
-		Take: func(context.Context) (state.Content, bool) { return numbered(1), true }}, folder, time.Minute)
+	k := Keep(Keeping{
+		Path: path, Owner: owner, Period: time.Millisecond, Gap: time.Millisecond,
+		Take: func(context.Context) (state.Content, bool) { return numbered(1), true },
+	}, folder, time.Minute)
 	kept := func() bool { return len(glob(path)) > 0 }
 	require.Eventually(t, kept, 10*time.Second, time.Millisecond)
 	require.NoError(t, os.Rename(path, path+"-away"))
--- a/internal/state/folder/keeper.go
+++ b/internal/state/folder/keeper.go
@@ -49,8 +49,10 @@
 // again.
 func Keep(set Keeping, folder *Folder, age time.Duration) *Keeper {
 	ctx, cancel := context.WithCancel(context.Background())
-	k := &Keeper{set: set, folder: folder, pokes: make(chan struct{}, 1), finish: make(chan struct{}),
-		over: make(chan struct{}), stop: cancel}
+	k := &Keeper{
+		set: set, folder: folder, pokes: make(chan struct{}, 1), finish: make(chan struct{}),
+		over: make(chan struct{}), stop: cancel,
+	}
 	go k.run(ctx, time.Now().Add(-max(age, 0)))
 	return k
 }
--- a/internal/state/format.go
+++ b/internal/state/format.go
@@ -80,14 +80,18 @@
 var encoding, decoding = codec()
 
 func codec() (cbor.EncMode, cbor.DecMode) {
-	enc, err := cbor.EncOptions{Sort: cbor.SortCoreDeterministic, ShortestFloat: cbor.ShortestFloat16,
-		IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden}.EncMode()
+	enc, err := cbor.EncOptions{
+		Sort: cbor.SortCoreDeterministic, ShortestFloat: cbor.ShortestFloat16,
+		IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden,
+	}.EncMode()
 	if err != nil {
 		panic(err) // the options above are wrong
 	}
 	// What a later build of the same version adds is passed over; all else that is odd is an error.
-	dec, err := cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden,
-		TagsMd: cbor.TagsForbidden, MaxArrayElements: 1 << 16, MaxMapPairs: 1 << 10, MaxNestedLevels: 16}.DecMode()
+	dec, err := cbor.DecOptions{
+		DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden,
+		TagsMd: cbor.TagsForbidden, MaxArrayElements: 1 << 16, MaxMapPairs: 1 << 10, MaxNestedLevels: 16,
+	}.DecMode()
 	if err != nil {
 		panic(err)
 	}
--- a/internal/state/format_test.go
+++ b/internal/state/format_test.go
@@ -26,20 +26,34 @@
 	config := protocol.PoolConfig{Version: 41, Full: true}
 	m := decide.Memory{Latency: 0.0517342, Rate: 43.1234}
 	for i := range n {
-		s := decide.Server{ID: fmt.Sprintf("s-%08x", i*2654435761), Zone: "buc-pipera", Kind: "rapid", Cell: i / 4,
-			Weight: 1.25, Started: time.Duration(1_760_000_000_000+i) * time.Millisecond, State: decide.ServerState(i % 2)}
-		config.Servers = append(config.Servers, protocol.PoolServer{Server: s,
-			Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(i >> 8), byte(i)}), 9000)})
-		m.Servers = append(m.Servers, decide.ServerMemory{ID: s.ID, Started: s.Started, Latency: 0.01 * float64(i+1) / 3,
+		s := decide.Server{
+			ID: fmt.Sprintf("s-%08x", i*2654435761), Zone: "buc-pipera", Kind: "rapid", Cell: i / 4,
+			Weight: 1.25, Started: time.Duration(1_760_000_000_000+i) * time.Millisecond, State: decide.ServerState(i % 2),
+		}
+		config.Servers = append(config.Servers, protocol.PoolServer{
+			Server: s,
+			Addr:   netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(i >> 8), byte(i)}), 9000),
+		})
+		m.Servers = append(m.Servers, decide.ServerMemory{
+			ID: s.ID, Started: s.Started, Latency: 0.01 * float64(i+1) / 3,
 			LatencyAtN: 3.3 / float64(i+1), SampledAgo: time.Duration(i+1) * 1234567, Penalty: 0.7123 / float64(i+1),
-			Health: health.Memory{All: 12.345, Down: i%5 == 0, Mute: true, Asked: 1,
-				Because: "6 of 6 unanswered, usual 2%", By: make([]float64, 9)}})
+			Health: health.Memory{
+				All: 12.345, Down: i%5 == 0, Mute: true, Asked: 1,
+				Because: "6 of 6 unanswered, usual 2%", By: make([]float64, 9),
+			},
+		})
 	}
-	return &File{Format: format, Header: Header{Owner: owner, Written: 1_796_115_624_558, Generation: 7},
-		Content: Content{List: NewList(config, 1_796_115_624_000), Module: &m,
+	return &File{
+		Format: format, Header: Header{Owner: owner, Written: 1_796_115_624_558, Generation: 7},
+		Content: Content{
+			List: NewList(config, 1_796_115_624_000), Module: &m,
 			Idle: &core.IdleMemory{Steps: []core.IdleStep{{Number: 3, Used: 1.5, Lost: 0.25}}, Ago: time.Second},
-			Storm: &storm.Memory{Kinds: []storm.KindMemory{{Name: "rapid", Steps: []storm.PaceMemory{{Step: 3, Log: -2.5,
-				Answers: 70}}}}, Crowd: 1.5, Servers: 13, NoPurge: time.Second}}}
+			Storm: &storm.Memory{Kinds: []storm.KindMemory{{Name: "rapid", Steps: []storm.PaceMemory{{
+				Step: 3, Log: -2.5,
+				Answers: 70,
+			}}}}, Crowd: 1.5, Servers: 13, NoPurge: time.Second},
+		},
+	}
 }
 
 // Whatever byte of a file is changed, wherever it is cut and whatever comes after it: nothing of it is taken.
@@ -138,9 +152,11 @@
 		header := begin + int(binary.BigEndian.Uint16(raw[10:]))
 		f.Add(uint8(version), raw[begin:header], raw[header:len(raw)-sumLength])
 	}
-	set := decide.Settings{Tick: time.Millisecond, Balancers: 3, Classes: []decide.Class{{Name: "consult", Deadline: time.Second}},
+	set := decide.Settings{
+		Tick: time.Millisecond, Balancers: 3, Classes: []decide.Class{{Name: "consult", Deadline: time.Second}},
 		Tenants: []decide.Tenant{{Name: "acme", QuotaPerS: 10}}, Limits: decide.Limits{MaxAttempts: 2},
-		Rules: decide.Rules{ColdFor: time.Second, FallWindow: time.Second, FallMultiple: 3}}
+		Rules: decide.Rules{ColdFor: time.Second, FallWindow: time.Second, FallMultiple: 3},
+	}
 	f.Fuzz(func(t *testing.T, version uint8, header, content []byte) {
 		file, err := Decode(framed(int(version), header, content))
 		if err != nil {
--- a/internal/state/session.go
+++ b/internal/state/session.go
@@ -50,8 +50,10 @@
 
 // NewSession begins with what Begin has put together.
 func NewSession(b Beginning, module Module, gate Gate, idle Idle, p Proof) *Session {
-	return &Session{module: module, gate: gate, idle: idle, roster: core.NewRoster(b.List, b.Confirmed),
-		begin: b, trust: proving.Trust(b.ListAge, p.Deploy), proves: p.Wanted}
+	return &Session{
+		module: module, gate: gate, idle: idle, roster: core.NewRoster(b.List, b.Confirmed),
+		begin: b, trust: proving.Trust(b.ListAge, p.Deploy), proves: p.Wanted,
+	}
 }
 
 // Began comes right after the module was told the list of the start, and before the first operation.
@@ -74,7 +76,8 @@
 // News comes right after the module was told news of the list, from core.List. It tells whether discovery has
 // confirmed the list for the first time by that.
 func (s *Session) News(now time.Duration, kind decide.SyncKind, config protocol.PoolConfig,
-	confirms bool) (first bool) {
+	confirms bool,
+) (first bool) {
 	first = confirms && !s.roster.Told()
 	for _, id := range s.roster.Take(now, kind, config, confirms) {
 		s.module.Disown(id)
@@ -97,14 +100,18 @@
 
 // Snapshot is what is known now.
 func (s *Session) Snapshot(now time.Duration) Snapshot {
-	return Snapshot{list: s.roster.Config(), confirmed: s.roster.Confirmed(now), module: s.module.Remember(now),
-		storm: s.gate.Remember(now), idle: s.idle.Remember(now)}
+	return Snapshot{
+		list: s.roster.Config(), confirmed: s.roster.Confirmed(now), module: s.module.Remember(now),
+		storm: s.gate.Remember(now), idle: s.idle.Remember(now),
+	}
 }
 
 // Content is the snapshot in the form that is kept.
 func (s Snapshot) Content() Content {
-	return Content{List: NewList(s.list, s.confirmed.Milliseconds()), Module: &s.module, Storm: &s.storm,
-		Idle: &s.idle}
+	return Content{
+		List: NewList(s.list, s.confirmed.Milliseconds()), Module: &s.module, Storm: &s.storm,
+		Idle: &s.idle,
+	}
 }
 
 // ListVersion is the version of the list as it is known.
--- a/internal/strict/strict_test.go
+++ b/internal/strict/strict_test.go
@@ -61,9 +61,11 @@
 "" = "nothing"
 'c.d' = "both"
 `), &got, acrossKeys))
-	want := sample{Name: "x", Mode: "slow", On: true, Count: 1, Wait: 1001 * time.Microsecond,
+	want := sample{
+		Name: "x", Mode: "slow", On: true, Count: 1, Wait: 1001 * time.Microsecond,
 		Inner: inner{1, 7}, Entry: []inner{{0, 0}, {0.5, 3}},
-		Named: map[string]string{"": "nothing", "c.d": "both"}, Deeper: map[string][]inner{"a b": {{1, 0}}}}
+		Named: map[string]string{"": "nothing", "c.d": "both"}, Deeper: map[string][]inner{"a b": {{1, 0}}},
+	}
 	want.Reach.Low, want.Reach.High = 1, 1
 	want.Gap.Low, want.Gap.High = time.Second, 2500*time.Millisecond
 	require.Equal(t, want, got)
--- a/internal/transport/discovery.go
+++ b/internal/transport/discovery.go
@@ -35,7 +35,8 @@
 // accepted the call; object is called for each object of the answer, whose bytes are its own only until it
 // returns.
 func CallDiscovery(ctx context.Context, addr netip.AddrPort, call protocol.ListCall, begun func(),
-	object func([]byte)) error {
+	object func([]byte),
+) error {
 	began := time.Now()
 	var dialer net.Dialer
 	dialCtx, cancel := context.WithTimeout(ctx, listWait)
--- a/internal/transport/discovery_test.go
+++ b/internal/transport/discovery_test.go
@@ -21,8 +21,10 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
-	pieces := []string{"HTTP/1.1 200 OK\r\n\r\n", "{\"version\":43}\n", "\n", "{\n  \"version\"", ": 44\n", "}\n\n",
-		"{\"version\":45} {\"version\":46}", "\r\n", "{\n\"version\":", "\n\n"}
+	pieces := []string{
+		"HTTP/1.1 200 OK\r\n\r\n", "{\"version\":43}\n", "\n", "{\n  \"version\"", ": 44\n", "}\n\n",
+		"{\"version\":45} {\"version\":46}", "\r\n", "{\n\"version\":", "\n\n",
+	}
 	go func() {
 		c, err := l.Accept()
 		if err != nil {
--- a/internal/transport/front.go
+++ b/internal/transport/front.go
@@ -49,8 +49,10 @@
 
 // NewFront returns a front that listens nowhere yet.
 func NewFront(d *Descriptors, bodies *Bodies, counts *figures.Figures, o Operator) *Front {
-	f := &Front{operator: o, bodies: bodies, figures: counts, clients: &clients{descriptors: d,
-		conns: map[*frontConn]struct{}{}, empty: make(chan struct{}, 1)}}
+	f := &Front{operator: o, bodies: bodies, figures: counts, clients: &clients{
+		descriptors: d,
+		conns:       map[*frontConn]struct{}{}, empty: make(chan struct{}, 1),
+	}}
 	f.server = &http.Server{
 		// Not a ServeMux: it would clean paths and redirect, and an operation's target goes on unchanged.
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -106,8 +108,10 @@
 			return err
 		}
 	}
-	f.listeners = append(f.listeners, &frontListener{Listener: l, addr: addr, clients: f.clients, forms: forms,
-		closed: make(chan struct{})})
+	f.listeners = append(f.listeners, &frontListener{
+		Listener: l, addr: addr, clients: f.clients, forms: forms,
+		closed: make(chan struct{}),
+	})
 	return nil
 }
 
@@ -223,7 +227,8 @@
 
 // passOn carries an operation out whose body is passed on as it comes.
 func (f *Front) passOn(w http.ResponseWriter, r *http.Request, x protocol.Exchange, op *protocol.Operation,
-	body *pacedBody, grant memory.Grant, counted *figures.Operation) {
+	body *pacedBody, grant memory.Grant, counted *figures.Operation,
+) {
 	conn := r.Context().Value(connKey{}).(*frontConn)
 	ctx, failed := context.WithCancel(r.Context())
 	defer failed()
@@ -268,12 +273,15 @@
 // answer writes an answer, and closes the connection where that can't be done to the end: what was written
 // may look whole. It counts how the operation ended.
 func (f *Front) answer(w http.ResponseWriter, r *http.Request, x protocol.Exchange, a protocol.Answer,
-	counted *figures.Operation) {
+	counted *figures.Operation,
+) {
 	if a.Kind == protocol.Malformed || a.Kind == protocol.TooLong {
 		w.Header().Set("Connection", "close") // and what is left of the request is not waited for
 	}
-	out := &answerWriter{ResponseWriter: w, control: http.NewResponseController(w), begins: a.Begins,
-		stall: f.bodies.Rules().Stall}
+	out := &answerWriter{
+		ResponseWriter: w, control: http.NewResponseController(w), begins: a.Begins,
+		stall: f.bodies.Rules().Stall,
+	}
 	out.renew()
 	err := x.Encode(out, a)
 	if a.Flow != nil {
--- a/internal/transport/front_crossings_test.go
+++ b/internal/transport/front_crossings_test.go
@@ -98,8 +98,10 @@
 		return nil, err
 	}
 	front := c.(*frontConn)
-	front.Conn = &heldConn{TCPConn: front.Conn.(*net.TCPConn), front: front, reads: make(chan struct{}, 1),
-		closed: make(chan struct{})}
+	front.Conn = &heldConn{
+		TCPConn: front.Conn.(*net.TCPConn), front: front, reads: make(chan struct{}, 1),
+		closed: make(chan struct{}),
+	}
 	l.accepted <- front
 	return front, nil
 }
@@ -150,8 +152,10 @@
 		edit(f)
 	}
 	require.NoError(t, f.Listen(netip.MustParseAddrPort("127.0.0.1:0"), protocol.HTTP))
-	x := &crossing{t: t, front: f, operator: operator,
-		listener: &heldListener{f.listeners[0], make(chan *frontConn, 64)}}
+	x := &crossing{
+		t: t, front: f, operator: operator,
+		listener: &heldListener{f.listeners[0], make(chan *frontConn, 64)},
+	}
 	served := make(chan struct{})
 	go func() { defer close(served); _ = f.server.Serve(x.listener) }()
 	t.Cleanup(func() {
--- a/internal/transport/front_test.go
+++ b/internal/transport/front_test.go
@@ -67,8 +67,10 @@
 		status  int
 	}{
 		"health": {"POST /health/live HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\n", http.StatusOK},
-		"two lengths": {"POST /consult/x HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\nTransfer-Encoding: chunked\r\n\r\n",
-			http.StatusBadRequest},
+		"two lengths": {
+			"POST /consult/x HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\nTransfer-Encoding: chunked\r\n\r\n",
+			http.StatusBadRequest,
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -91,8 +93,10 @@
 	bodies := NewBodies(1<<20, BodyRules{Longest: 1 << 20, Stall: time.Minute})
 	_, err := bodies.Memory.Take(t.Context(), memory.Holder{Name: "s-0"}, 1<<20) // all of it
 	require.NoError(t, err)
-	classes := []decide.Class{{Name: "consult", Deadline: time.Second, Effect: decide.Safe},
-		{Name: "rezervare", Deadline: deadline, Effect: decide.Unsafe}}
+	classes := []decide.Class{
+		{Name: "consult", Deadline: time.Second, Effect: decide.Safe},
+		{Name: "rezervare", Deadline: deadline, Effect: decide.Unsafe},
+	}
 	classer, err := graphql.NewClasser(graphql.Rules{Classes: classes})
 	require.NoError(t, err)
 	graphQL := &protocol.GraphQL{Path: "/graphql", Classer: classer, Classes: classes}
--- a/internal/transport/frontconn.go
+++ b/internal/transport/frontconn.go
@@ -440,7 +440,8 @@
 
 // missedLeast chooses the connection that evict is to end, if any.
 func (l *clients) missedLeast(short bool, but map[*frontConn]bool) (chosen *frontConn, state connState,
-	since time.Time) {
+	since time.Time,
+) {
 	now, lowest := time.Now(), 1
 	if short {
 		lowest = 4
--- a/internal/transport/ops.go
+++ b/internal/transport/ops.go
@@ -65,7 +65,8 @@
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return context.WithValue(ctx, connKey{}, c)
 		},
-		ErrorLog: slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug)}}
+		ErrorLog: slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug),
+	}}
 	s.server.SetKeepAlivesEnabled(false) // one call to a connection
 	return s, nil
 }
--- a/internal/transport/upload.go
+++ b/internal/transport/upload.go
@@ -72,13 +72,16 @@
 // startUpload begins to read the rest of an operation's body, in memory that was asked for with the
 // beginning's.
 func startUpload(op *protocol.Operation, body *pacedBody, grant memory.Grant, conn *frontConn,
-	counted *figures.Operation, failed context.CancelFunc) *upload {
+	counted *figures.Operation, failed context.CancelFunc,
+) *upload {
 	length := int64(-1)
 	if op.Length > 0 {
 		length = op.Length - int64(len(op.Body))
 	}
-	u := &upload{body: body, rest: flow.New(length, grant, mostAhead), conn: conn, counted: counted,
-		failed: failed, whole: make(chan struct{}), done: make(chan struct{})}
+	u := &upload{
+		body: body, rest: flow.New(length, grant, mostAhead), conn: conn, counted: counted,
+		failed: failed, whole: make(chan struct{}), done: make(chan struct{}),
+	}
 	op.Rest, op.Whole = u.rest, u.whole
 	release := op.Release
 	op.Release = func() { u.rest.Close(); release() }
--- a/internal/transport/upstream.go
+++ b/internal/transport/upstream.go
@@ -99,7 +99,8 @@
 // DialUpstream connects to a server. Ended is called, from another goroutine, if the connection ends while no
 // route step is on it.
 func DialUpstream(ctx context.Context, server string, addr netip.AddrPort, wait time.Duration, d *Descriptors,
-	bodies *Bodies, ended func(*Upstream)) (*Upstream, error) {
+	bodies *Bodies, ended func(*Upstream),
+) (*Upstream, error) {
 	if !d.TryUpstream() {
 		return nil, ErrNoDescriptor
 	}
@@ -115,9 +116,12 @@
 
 // newUpstream begins to wait on a connection; release is called once when it is closed.
 func newUpstream(conn net.Conn, server string, bodies *Bodies, release func(),
-	ended func(*Upstream)) (*Upstream, error) {
-	u := &Upstream{conn: conn, server: server, bodies: bodies, ended: ended, replies: make(chan reply, 1),
-		over: make(chan struct{}), release: sync.OnceFunc(release), source: source{conn: conn}}
+	ended func(*Upstream),
+) (*Upstream, error) {
+	u := &Upstream{
+		conn: conn, server: server, bodies: bodies, ended: ended, replies: make(chan reply, 1),
+		over: make(chan struct{}), release: sync.OnceFunc(release), source: source{conn: conn},
+	}
 	u.limit.R = &u.source
 	var err error
 	if u.raw, err = conn.(syscall.Conn).SyscallConn(); err != nil {
@@ -390,8 +394,10 @@
 	r.Flow = f
 	b := beginning{begin: func() {
 		f.Begun()
-		u.replies <- reply{Reply: protocol.Reply{Outcome: r.Outcome, ContentType: r.ContentType, Status: r.Status,
-			Flow: f}, begun: true}
+		u.replies <- reply{Reply: protocol.Reply{
+			Outcome: r.Outcome, ContentType: r.ContentType, Status: r.Status,
+			Flow: f,
+		}, begun: true}
 	}}
 	short := body.Length >= 0 && body.Length <= rules.Whole
 	for came := int64(0); err == nil && came != body.Length; {
--- a/internal/transport/upstream_crossings_test.go
+++ b/internal/transport/upstream_crossings_test.go
@@ -288,8 +288,10 @@
 					reset(t, server)
 				}
 			}()
-			r, reuse, err := u.Exchange(bounded(t), Step{Head: []byte("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n\r\n"),
-				Rest: rest, Begun: func(protocol.Reply) { require.Fail(t, "begun") }})
+			r, reuse, err := u.Exchange(bounded(t), Step{
+				Head: []byte("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n\r\n"),
+				Rest: rest, Begun: func(protocol.Reply) { require.Fail(t, "begun") },
+			})
 			<-ended
 			require.False(t, reuse)
 			if c.want == nil {
--- a/internal/transport/upstream_test.go
+++ b/internal/transport/upstream_test.go
@@ -128,8 +128,10 @@
 			}
 		}
 		begun := false
-		r, reuse, err := u.Exchange(ctx, Step{Head: []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"), AtOnce: atOnce,
-			Begun: func(r protocol.Reply) { begun = true; take(r) }})
+		r, reuse, err := u.Exchange(ctx, Step{
+			Head: []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"), AtOnce: atOnce,
+			Begun: func(r protocol.Reply) { begun = true; take(r) },
+		})
 		if !begun && r.Flow != nil {
 			take(r)
 		}
--- a/placement/example_test.go
+++ b/placement/example_test.go
@@ -21,7 +21,8 @@
 
 	now := later(6 * time.Second)
 	council.See(now, placement.View{Now: now.Unix, Servers: []placement.Seen{
-		{ID: "s-1", Ready: true, Capacity: 1.8}, {ID: "s-2", Ready: true, Capacity: 0.9}}})
+		{ID: "s-1", Ready: true, Capacity: 1.8}, {ID: "s-2", Ready: true, Capacity: 0.9},
+	}})
 	council.Due(now)
 	records, _ := council.Due(later(time.Second))
 	machine.Apply(1, records[0])
--- a/placement/judge/judge.go
+++ b/placement/judge/judge.go
@@ -92,9 +92,11 @@
 
 // New returns a Judge.
 func New(set Settings, truth Truth) *Judge {
-	return &Judge{set: set, truth: truth, Moved: map[int]float64{}, Needed: map[int]float64{},
+	return &Judge{
+		set: set, truth: truth, Moved: map[int]float64{}, Needed: map[int]float64{},
 		agents: map[int]*agent{}, first: map[uint64]time.Duration{},
-		counts: map[*Owners][]count{}}
+		counts: map[*Owners][]count{},
+	}
 }
 
 // Ended takes that an agent's process has ended.
--- a/placement/lab/course.go
+++ b/placement/lab/course.go
@@ -76,8 +76,10 @@
 // Join has a new server start, cold.
 func (l *Lab) Join(capacity float64) {
 	l.change(func() {
-		l.list = append(l.list, server{name: name(len(l.list)), zone: string(rune('a' + len(l.list)%3)),
-			capacity: capacity, listed: true, ready: true, started: l.Now()})
+		l.list = append(l.list, server{
+			name: name(len(l.list)), zone: string(rune('a' + len(l.list)%3)),
+			capacity: capacity, listed: true, ready: true, started: l.Now(),
+		})
 	})
 }
 
@@ -133,9 +135,13 @@
 	if seed%4 == 2 {
 		warm = 40 * time.Second
 	}
-	l := New(Setup{Seed: seed, Agents: agents, Servers: 20, Keys: 1000, Warm: warm, Without: without,
-		Faults: lossy.Faults{Loss: 0.1, Double: 0.1, Least: time.Millisecond, Most: 20 * time.Millisecond,
-			Late: 0.05, LateBy: 3 * time.Second}})
+	l := New(Setup{
+		Seed: seed, Agents: agents, Servers: 20, Keys: 1000, Warm: warm, Without: without,
+		Faults: lossy.Faults{
+			Loss: 0.1, Double: 0.1, Least: time.Millisecond, Most: 20 * time.Millisecond,
+			Late: 0.05, LateBy: 3 * time.Second,
+		},
+	})
 	begin := l.Now()
 	end := begin + troubled
 	step := 200 * time.Millisecond
--- a/placement/lab/lab.go
+++ b/placement/lab/lab.go
@@ -181,12 +181,16 @@
 	case "hysteresis":
 		f.Settle, f.Differs = time.Nanosecond, 0.01
 	}
-	l := &Lab{World: lossy.New(set.Seed, set.Agents, 1e6*time.Second, set.Faults), set: set,
+	l := &Lab{
+		World: lossy.New(set.Seed, set.Agents, 1e6*time.Second, set.Faults), set: set,
 		speed: 1, f: f.Usual(), terms: judged.Terms,
-		ref: placement.NewMachine(), planned: newWindows()}
+		ref: placement.NewMachine(), planned: newWindows(),
+	}
 	l.rings = rings{lab: l, owners: map[owning]*judge.Owners{}}
-	l.Judge = judge.New(judge.Settings{Rate: judged.Rate, Burst: judged.Burst, Owed: judged.Owed,
-		Slack: 1.2 / math.Sqrt(float64(set.Keys))}, truth{l})
+	l.Judge = judge.New(judge.Settings{
+		Rate: judged.Rate, Burst: judged.Burst, Owed: judged.Owed,
+		Slack: 1.2 / math.Sqrt(float64(set.Keys)),
+	}, truth{l})
 	l.Deliver, l.Tick = l.deliver, l.tick
 	for i := range set.Servers {
 		s := server{name: name(i), zone: string(rune('a' + i%3)), capacity: 0.9, listed: true, ready: true}
@@ -197,8 +201,10 @@
 	}
 	l.lists = [][]server{append([]server(nil), l.list...)}
 	for i := range set.Agents {
-		l.nodes = append(l.nodes, &node{number: i, missing: map[int32]time.Duration{},
-			late: time.Duration(l.Rand().Int64N(int64(mostLate)))})
+		l.nodes = append(l.nodes, &node{
+			number: i, missing: map[int32]time.Duration{},
+			late: time.Duration(l.Rand().Int64N(int64(mostLate))),
+		})
 		l.Start(i, false)
 	}
 	l.watchLeader()
@@ -423,10 +429,12 @@
 		if l.wild && l.Rand().IntN(2) == 0 {
 			capacity *= []float64{0.5, 2}[l.Rand().IntN(2)]
 		}
-		v.Servers = append(v.Servers, placement.Seen{ID: s.name, Zone: s.zone, Kind: kindOf(s.capacity),
+		v.Servers = append(v.Servers, placement.Seen{
+			ID: s.name, Zone: s.zone, Kind: kindOf(s.capacity),
 			Ready:    s.ready,
 			Draining: s.draining || l.set.Without == "stays" && taken[s.name] || l.thought != nil && l.thought(i),
-			Started:  s.started, Capacity: capacity})
+			Started:  s.started, Capacity: capacity,
+		})
 	}
 	nd.council.See(now, v)
 }
--- a/placement/lab/lab_test.go
+++ b/placement/lab/lab_test.go
@@ -77,8 +77,10 @@
 }
 
 // hunted are the protections that a few seeds find; TestEvents finds the others.
-var hunted = map[string]bool{"outstanding": true, "begin": true, "fence": true, "bound": true, "own list": true,
-	"warmth": true, "emptied": true, "stays": true}
+var hunted = map[string]bool{
+	"outstanding": true, "begin": true, "fence": true, "bound": true, "own list": true,
+	"warmth": true, "emptied": true, "stays": true,
+}
 
 func TestEachProtectionIsNeeded(t *testing.T) {
 	t.Parallel()
--- a/placement/lab/measure.go
+++ b/placement/lab/measure.go
@@ -9,8 +9,10 @@
 )
 
 // Events are what Measure can have happen to a quiet fleet.
-var Events = []string{"join", "drain", "replace", "flap", "zone", "wild", "late", "window", "restarts",
-	"window cut", "capacity", "cut", "foreseen", "half foreseen", "misjudged", "third", "third misjudged"}
+var Events = []string{
+	"join", "drain", "replace", "flap", "zone", "wild", "late", "window", "restarts",
+	"window cut", "capacity", "cut", "foreseen", "half foreseen", "misjudged", "third", "third misjudged",
+}
 
 // Result is what an event did at an agent, as parts of all keys.
 type Result struct {
@@ -32,8 +34,10 @@
 
 // Measure plays one event in a fleet of so many servers of two kinds.
 func Measure(seed uint64, agents, servers int, without, event string) Result {
-	l := New(Setup{Seed: seed, Agents: agents, Servers: servers, Keys: 5000, Without: without,
-		Faults: lossy.Faults{Loss: 0.01, Least: time.Millisecond, Most: 10 * time.Millisecond}})
+	l := New(Setup{
+		Seed: seed, Agents: agents, Servers: servers, Keys: 5000, Without: without,
+		Faults: lossy.Faults{Loss: 0.01, Least: time.Millisecond, Most: 10 * time.Millisecond},
+	})
 	l.Run(l.Now() + settles)
 	l.Sample()
 	m := &meter{l: l, agent: agents - 1, lost: map[int32]bool{}, has: map[int32]*has{}}
@@ -47,10 +51,12 @@
 	l.Run(l.Now() + lasts)
 	l.Sample()
 	keys := float64(l.set.Keys)
-	return Result{Moved: float64(m.moved) / keys, Least: m.least(), Forced: m.forced(),
+	return Result{
+		Moved: float64(m.moved) / keys, Least: m.least(), Forced: m.forced(),
 		Cold: float64(m.cold) / keys, Late: m.late, Worst: m.worst,
 		Fullest: l.Fullest(m.agent, 100_000), Generations: int(l.State().Number - generation),
-		Breaches: l.Judge.Count}
+		Breaches: l.Judge.Count,
+	}
 }
 
 // inWindow has so many servers be in a planned window, within which they begin anew so often.
--- a/placement/lab/paces.go
+++ b/placement/lab/paces.go
@@ -88,8 +88,10 @@
 		if l.few(nd) && kind == lent {
 			took *= 3
 		}
-		all = append(all, decide.Quick{Kind: kind, Took: time.Duration(took * float64(20*time.Millisecond)),
-			Answers: p.had})
+		all = append(all, decide.Quick{
+			Kind: kind, Took: time.Duration(took * float64(20*time.Millisecond)),
+			Answers: p.had,
+		})
 	}
 	return all
 }
@@ -98,8 +100,10 @@
 func (l *Lab) listed(nd *node) (all []placement.Seen) {
 	for _, s := range l.lists[nd.seen] {
 		if s.listed {
-			all = append(all, placement.Seen{ID: s.name, Zone: s.zone, Kind: kindOf(s.capacity), Ready: s.ready,
-				Draining: s.draining, Started: s.started, Capacity: s.capacity})
+			all = append(all, placement.Seen{
+				ID: s.name, Zone: s.zone, Kind: kindOf(s.capacity), Ready: s.ready,
+				Draining: s.draining, Started: s.started, Capacity: s.capacity,
+			})
 		}
 	}
 	return all
@@ -119,8 +123,10 @@
 // Paces plays a fleet whose servers of one kind become half as quick, after a time in which nothing has
 // changed; an agent lies, some have hardly any requests, agents are cut off and leaders end.
 func Paces(seed uint64, without string, lasts time.Duration) (l *Lab, j *judge.Paces) {
-	set := Setup{Seed: seed, Agents: 5, Servers: 20, Keys: 4000, Without: without,
-		Faults: lossy.Faults{Loss: 0.1, Double: 0.1, Least: time.Millisecond, Most: 20 * time.Millisecond}}
+	set := Setup{
+		Seed: seed, Agents: 5, Servers: 20, Keys: 4000, Without: without,
+		Faults: lossy.Faults{Loss: 0.1, Double: 0.1, Least: time.Millisecond, Most: 20 * time.Millisecond},
+	}
 	set.Figures.Paces = true
 	l = New(set)
 	l.lies = true
--- a/placement/lab/windows.go
+++ b/placement/lab/windows.go
@@ -30,8 +30,10 @@
 	if l.leader < 0 {
 		return
 	}
-	w := &window.Window{ID: fmt.Sprint("w", len(l.log), "-", of[0]), Tenants: []string{window.Rest}, Steps: 8,
-		From: l.Now() + ahead, Drained: l.Now() + ahead + windowMoves}
+	w := &window.Window{
+		ID: fmt.Sprint("w", len(l.log), "-", of[0]), Tenants: []string{window.Rest}, Steps: 8,
+		From: l.Now() + ahead, Drained: l.Now() + ahead + windowMoves,
+	}
 	w.Back = w.Drained + quiet
 	w.To = w.Back + windowMoves
 	for _, i := range of {
@@ -39,8 +41,10 @@
 		w.Nodes = append(w.Nodes, l.list[i].name)
 	}
 	slices.Sort(w.Nodes)
-	r, err := window.Accept(window.Asking{Window: w, Now: l.Unix(l.leader), Revision: l.planned.Revision(),
-		Notice: windowNotice})
+	r, err := window.Accept(window.Asking{
+		Window: w, Now: l.Unix(l.leader), Revision: l.planned.Revision(),
+		Notice: windowNotice,
+	})
 	if err != nil {
 		panic(err) // of its own
 	}
--- a/placement/machine.go
+++ b/placement/machine.go
@@ -101,8 +101,10 @@
 	if err != nil {
 		panic(err) // of constants
 	}
-	dec, err := cbor.DecOptions{IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden,
-		MaxArrayElements: 4 << 10, MaxMapPairs: 16, MaxNestedLevels: 6}.DecMode()
+	dec, err := cbor.DecOptions{
+		IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden,
+		MaxArrayElements: 4 << 10, MaxMapPairs: 16, MaxNestedLevels: 6,
+	}.DecMode()
 	if err != nil {
 		panic(err)
 	}
@@ -158,8 +160,10 @@
 	if c.By < c.Now || c.By > c.Now+furthest || c.Now < st.By || len(c.Paces) > mostKinds {
 		return st, false
 	}
-	next := State{Number: st.Number + 1, By: c.By, Off: c.Off, Owed: c.Owed, Lost: c.Lost, Paces: st.Paces,
-		Paced: st.Paced}
+	next := State{
+		Number: st.Number + 1, By: c.By, Off: c.Off, Owed: c.Owed, Lost: c.Lost, Paces: st.Paces,
+		Paced: st.Paced,
+	}
 	if len(c.Paces) > 0 {
 		next.Paces, next.Paced = c.Paces, seconds(c.Now)
 	}
--- a/placement/next.go
+++ b/placement/next.go
@@ -29,9 +29,11 @@
 // Next is the generation that follows from the present one, from what the leader sees and from the time: a
 // pure function. False: none does. F has to be Usual.
 func Next(st State, sights []Sight, f Figures, now time.Duration) (Change, bool) {
-	x := &next{st: &st, f: &f, now: now, by: now + f.Ahead, sights: map[string]*Sight{},
+	x := &next{
+		st: &st, f: &f, now: now, by: now + f.Ahead, sights: map[string]*Sight{},
 		missing: map[string]time.Duration{}, emptied: map[string]bool{},
-		nodes: map[string]*Node{}}
+		nodes: map[string]*Node{},
+	}
 	ready, size := 0, 0
 	for i := range sights {
 		s := &sights[i]
--- a/placement/next_test.go
+++ b/placement/next_test.go
@@ -28,7 +28,8 @@
 
 func begin(t *testing.T, servers int) *fleet {
 	x := &fleet{t: t, now: 1e6 * time.Hour, list: map[string]*Seen{}, machine: NewMachine(), f: Figures{
-		Cold: cold.Terms{Share: 0.31, For: 9 * time.Second, FallMultiple: 3, Margin: 0.4, Most: 1}}.Usual()}
+		Cold: cold.Terms{Share: 0.31, For: 9 * time.Second, FallMultiple: 3, Margin: 0.4, Most: 1},
+	}.Usual()}
 	for i := range servers {
 		x.list[fmt.Sprint("s-", 10+i)] = &Seen{ID: fmt.Sprint("s-", 10+i), Ready: true, Capacity: 1}
 	}
@@ -235,8 +236,10 @@
 func TestRoom(t *testing.T) {
 	m, size := NewMachine(), 0
 	for i := 0; ; i++ {
-		n := Node{ID: fmt.Sprintf("%03d%s", i, strings.Repeat("x", i%100)), Phase: Suspect, Points: 1999, Full: 2000,
-			Since: 1 << 31, Penalty: 2000}
+		n := Node{
+			ID: fmt.Sprintf("%03d%s", i, strings.Repeat("x", i%100)), Phase: Suspect, Points: 1999, Full: 2000,
+			Since: 1 << 31, Penalty: 2000,
+		}
 		if size += len(n.ID) + PerNode; size > MostBytes {
 			break
 		}
@@ -254,8 +257,10 @@
 		for range rapid.IntRange(1, 30).Draw(t, "records") {
 			c := Change{Base: rapid.Uint64Range(0, 5).Draw(t, "base"), Now: m.st.By, By: m.st.By + 1}
 			for range rapid.IntRange(0, 4).Draw(t, "nodes") {
-				c.Nodes = append(c.Nodes, Node{ID: rapid.StringN(0, 3, 200).Draw(t, "id"),
-					Phase: Phase(rapid.IntRange(0, 9).Draw(t, "phase")), Points: rapid.Uint16Range(0, 3000).Draw(t, "points")})
+				c.Nodes = append(c.Nodes, Node{
+					ID:    rapid.StringN(0, 3, 200).Draw(t, "id"),
+					Phase: Phase(rapid.IntRange(0, 9).Draw(t, "phase")), Points: rapid.Uint16Range(0, 3000).Draw(t, "points"),
+				})
 			}
 			if rapid.Bool().Draw(t, "drop") {
 				c.Drop = []string{rapid.StringN(0, 3, 9).Draw(t, "dropped")}
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -83,12 +83,14 @@
 // Usual returns the figures with the defaults for what is zero.
 func (f Figures) Usual() Figures {
 	f.Terms = f.Terms.Usual()
-	for v, usual := range map[*time.Duration]time.Duration{&f.Burst: 10 * time.Second,
+	for v, usual := range map[*time.Duration]time.Duration{
+		&f.Burst: 10 * time.Second,
 		&f.Ahead: 500 * time.Millisecond, &f.Gather: 300 * time.Millisecond, &f.Sure: time.Second,
 		&f.Steady: 3 * time.Second,
 		&f.Half:   time.Minute, &f.Longest: 5 * time.Minute, &f.Keep: 30 * time.Second, &f.Owed: time.Minute,
 		&f.Forget: 10 * time.Minute, &f.Settle: 30 * time.Second, &f.Stale: 15 * time.Second,
-		&f.Quiet: time.Minute} {
+		&f.Quiet: time.Minute,
+	} {
 		if *v == 0 {
 			*v = usual
 		}
--- a/placement/seat/seat_test.go
+++ b/placement/seat/seat_test.go
@@ -27,15 +27,19 @@
 }
 
 func play(t *testing.T, o fleetlab.Options, servers int) *played {
-	p := &played{t: t, seats: make([]*Seat, o.Agents), list: map[string]placement.Seen{}, began: map[uint64]time.Time{},
-		saw: make([]time.Time, o.Agents), placed: make([]*decide.Placed, o.Agents)}
+	p := &played{
+		t: t, seats: make([]*Seat, o.Agents), list: map[string]placement.Seen{}, began: map[uint64]time.Time{},
+		saw: make([]time.Time, o.Agents), placed: make([]*decide.Placed, o.Agents),
+	}
 	for i := range servers {
 		id := fmt.Sprintf("s-%04x", 40503*(i+1)%65536)
 		p.list[id] = placement.Seen{ID: id, Kind: "rapid", Ready: true, Capacity: 1}
 	}
 	o.Upper = func(set *fleet.Settings, now fleet.Reading) {
-		s := New(Settings{Votes: set.Votes(), Incarnation: set.Incarnation, Machine: uint8(len(set.Machines)),
-			Figures: placement.Figures{Terms: set.Terms, Paces: true}}, now)
+		s := New(Settings{
+			Votes: set.Votes(), Incarnation: set.Incarnation, Machine: uint8(len(set.Machines)),
+			Figures: placement.Figures{Terms: set.Terms, Paces: true},
+		}, now)
 		set.Machines, set.Above = append(set.Machines, s), s
 		s.Measured(map[string]float64{"rapid": 0.8})
 		p.seats[set.Self] = s
--- a/policy/council.go
+++ b/policy/council.go
@@ -92,8 +92,10 @@
 		return [][]byte{marshal(record{Kind: abandoned, Version: o.Number})}
 	}
 	if c.own.Version == o.Number && c.own.Code != Yes {
-		return [][]byte{marshal(record{Kind: abandoned, Version: o.Number, Who: c.self, Code: c.own.Code,
-			Text: c.own.Text})}
+		return [][]byte{marshal(record{
+			Kind: abandoned, Version: o.Number, Who: c.self, Code: c.own.Code,
+			Text: c.own.Text,
+		})}
 	}
 	if by := c.later(now, o, ready); by > o.By {
 		records = append(records, marshal(record{Kind: postponed, Version: o.Number, By: by}))
--- a/policy/document.go
+++ b/policy/document.go
@@ -122,7 +122,7 @@
 			continue
 		}
 		c, err := d.readContract(d.file.Contracts[name])
-		if wrong := (contract.Problems)(nil); errors.As(err, &wrong) {
+		if wrong := contract.Problems(nil); errors.As(err, &wrong) {
 			for _, p := range wrong {
 				doc.Complain(path+"."+p.Key, "%s", p.Text)
 			}
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -11,7 +11,8 @@
 func Example() {
 	own := policy.Own{InVain: 0.25, Settings: decide.Settings{
 		Tenants: []decide.Tenant{{Name: "east", QuotaPerS: 60}, {Name: "west", QuotaPerS: 40}},
-		Classes: []decide.Class{{Name: "find"}}, Limits: decide.Limits{MaxAttempts: 3}}}
+		Classes: []decide.Class{{Name: "find"}}, Limits: decide.Limits{MaxAttempts: 3},
+	}}
 	for _, text := range []string{
 		"format = 1\n[tenants.east]\nshare = 0.55\n[tenants.west]\nshare = 0.45\n",
 		"format = 1\n[classes.find]\nattempts = 4\n",
--- a/policy/judge/history.go
+++ b/policy/judge/history.go
@@ -41,8 +41,10 @@
 // with version 0, that it was not taken. A call of which nobody was told has to be asked about again first:
 // what it was taken as explains nothing else.
 func (h *History) Answered(at time.Duration, id string, version uint64, by time.Duration) {
-	h.ops = append(h.ops, porcupine.Operation{ClientId: len(h.ops), Input: call{id: id}, Output: version,
-		Call: int64(h.calls[id]), Return: int64(max(at, by) + h.slack)})
+	h.ops = append(h.ops, porcupine.Operation{
+		ClientId: len(h.ops), Input: call{id: id}, Output: version,
+		Call: int64(h.calls[id]), Return: int64(max(at, by) + h.slack),
+	})
 }
 
 // Read tells that some agent acted on a version at some moment between two.
@@ -66,8 +68,10 @@
 	ops := append([]porcupine.Operation{}, h.ops...)
 	for version, all := range h.reads {
 		for _, r := range []seenRead{all.first, all.last} {
-			ops = append(ops, porcupine.Operation{ClientId: len(ops), Input: call{}, Output: version,
-				Call: int64(r.from), Return: int64(r.to)})
+			ops = append(ops, porcupine.Operation{
+				ClientId: len(ops), Input: call{}, Output: version,
+				Call: int64(r.from), Return: int64(r.to),
+			})
 		}
 	}
 	return porcupine.CheckOperationsTimeout(register, ops, time.Minute) == porcupine.Ok
--- a/policy/lab/beside.go
+++ b/policy/lab/beside.go
@@ -43,8 +43,10 @@
 		return now.Mono + time.Hour
 	}
 	votes := nd.number < len(l.voters)
-	due := nd.beside.Due(now, fleet.Voting{Votes: votes, Leads: votes && nd.number == l.leader,
-		Voters: l.voterNumbers()})
+	due := nd.beside.Due(now, fleet.Voting{
+		Votes: votes, Leads: votes && nd.number == l.leader,
+		Voters: l.voterNumbers(),
+	})
 	for _, r := range due.Records {
 		l.submit(nd.number, ofBeside(r.Data))
 	}
--- a/policy/lab/course.go
+++ b/policy/lab/course.go
@@ -13,8 +13,10 @@
 
 // Terms are those of the courses: short, so that much happens in little time.
 func Terms() policy.Times {
-	return policy.Times{Terms: lease.Terms{Length: 2 * time.Second, Heard: 500 * time.Millisecond,
-		Clocks: 100 * time.Millisecond, Drift: 0.01}, Ahead: 300 * time.Millisecond, Floor: 2 * time.Second}
+	return policy.Times{Terms: lease.Terms{
+		Length: 2 * time.Second, Heard: 500 * time.Millisecond,
+		Clocks: 100 * time.Millisecond, Drift: 0.01,
+	}, Ahead: 300 * time.Millisecond, Floor: 2 * time.Second}
 }
 
 const (
@@ -37,9 +39,13 @@
 
 // Course plays changes among all faults, and then a while without.
 func Course(seed uint64, agents int, without string) *Lab {
-	l := New(Setup{Seed: seed, Voters: 3, Agents: agents, Times: Terms(), Within: 800 * time.Millisecond,
-		Without: without, Faults: lossy.Faults{Loss: 0.1, Double: 0.1, Least: time.Millisecond,
-			Most: 20 * time.Millisecond, Late: 0.05, LateBy: 3 * time.Second}})
+	l := New(Setup{
+		Seed: seed, Voters: 3, Agents: agents, Times: Terms(), Within: 800 * time.Millisecond,
+		Without: without, Faults: lossy.Faults{
+			Loss: 0.1, Double: 0.1, Least: time.Millisecond,
+			Most: 20 * time.Millisecond, Late: 0.05, LateBy: 3 * time.Second,
+		},
+	})
 	begin := l.Now()
 	end := begin + troubled
 	l.every(begin, end+healed, 100*time.Millisecond, l.Decide)
@@ -203,8 +209,10 @@
 
 // Measure plays one change and tells how long it took.
 func Measure(seed uint64, agents int, loss float64, within time.Duration, trouble Trouble) Spread {
-	l := New(Setup{Seed: seed, Voters: 3, Agents: agents, Within: within,
-		Faults: lossy.Faults{Loss: loss, Least: time.Millisecond, Most: 10 * time.Millisecond}})
+	l := New(Setup{
+		Seed: seed, Voters: 3, Agents: agents, Within: within,
+		Faults: lossy.Faults{Loss: loss, Least: time.Millisecond, Most: 10 * time.Millisecond},
+	})
 	// Voters report early only once they have run for longer than a lease.
 	l.Run(l.Now() + 12*time.Second)
 	called := l.Now()
--- a/policy/lab/lab.go
+++ b/policy/lab/lab.go
@@ -141,7 +141,8 @@
 	return policy.Own{InVain: 0.25, Settings: decide.Settings{
 		Tenants: []decide.Tenant{{Name: "east", QuotaPerS: 60}, {Name: "west", QuotaPerS: 40}},
 		Classes: []decide.Class{{Name: "find"}, {Name: "book"}},
-		Limits:  decide.Limits{MaxAttempts: 3, SecondCopies: true}}}
+		Limits:  decide.Limits{MaxAttempts: 3, SecondCopies: true},
+	}}
 }
 
 // New returns a course at its beginning, with all nodes running and version 0.
@@ -150,8 +151,10 @@
 	if set.Begin == 0 {
 		set.Begin = 1e6 * time.Second
 	}
-	l := &Lab{World: lossy.New(set.Seed, set.Voters+set.Agents, set.Begin, set.Faults), set: set,
-		ref: policy.NewMachine(), Acted: map[uint64]map[int]time.Duration{}}
+	l := &Lab{
+		World: lossy.New(set.Seed, set.Voters+set.Agents, set.Begin, set.Faults), set: set,
+		ref: policy.NewMachine(), Acted: map[uint64]map[int]time.Duration{},
+	}
 	own := Own()
 	plain, err := mean(own, "format = 1\n")
 	if err != nil {
@@ -221,8 +224,10 @@
 		l.startVoter(l.voters[n], now)
 	} else {
 		a := l.agents[n-len(l.voters)]
-		a.holder = lease.NewHolder(lease.HolderSettings{Terms: l.set.Times.Terms, Self: n - len(l.voters),
-			Incarnation: uint64(nd.life), Voters: l.voterNumbers(), Seed: l.set.Seed ^ uint64(n)<<32}, now)
+		a.holder = lease.NewHolder(lease.HolderSettings{
+			Terms: l.set.Times.Terms, Self: n - len(l.voters),
+			Incarnation: uint64(nd.life), Voters: l.voterNumbers(), Seed: l.set.Seed ^ uint64(n)<<32,
+		}, now)
 		times := l.set.Times
 		if l.set.Without == "run out" {
 			times.Floor = time.Hour
@@ -594,8 +599,10 @@
 	st := l.node(n).member.Machine.State()
 	c := &call{node: n, id: fmt.Sprint("change ", len(l.calls))}
 	now := l.Unix(n)
-	data, err := policy.Propose(policy.Proposal{ID: c.id, Who: n, Base: st.Now.Number, Now: now,
-		By: now + l.set.Within, Document: []byte(document)})
+	data, err := policy.Propose(policy.Proposal{
+		ID: c.id, Who: n, Base: st.Now.Number, Now: now,
+		By: now + l.set.Within, Document: []byte(document),
+	})
 	if err != nil {
 		panic(err)
 	}
--- a/policy/lab/measure_test.go
+++ b/policy/lab/measure_test.go
@@ -17,8 +17,11 @@
 		trouble Trouble
 		most    time.Duration
 	}
-	rows := []row{{50, 0, Trouble{}, time.Second}, {50, 0.3, Trouble{}, 4 * time.Second},
-		{50, 0, Trouble{Down: 0.2}, 6 * time.Second}}
+	rows := []row{
+		{50, 0, Trouble{}, time.Second},
+		{50, 0.3, Trouble{}, 4 * time.Second},
+		{50, 0, Trouble{Down: 0.2}, 6 * time.Second},
+	}
 	if os.Getenv("LONG_TESTS") != "" {
 		rows = nil
 		for _, agents := range []int{5, 50, 300} {
--- a/policy/machine.go
+++ b/policy/machine.go
@@ -191,8 +191,10 @@
 	} else {
 		m.st.Last++
 		o.Version = m.st.Last
-		m.st.Open = &Change{Base: r.Base, Version: Version{Number: m.st.Last, By: r.By, ID: r.ID, Who: r.Who,
-			Document: r.Document, Floor: r.Floor}}
+		m.st.Open = &Change{Base: r.Base, Version: Version{
+			Number: m.st.Last, By: r.By, ID: r.ID, Who: r.Who,
+			Document: r.Document, Floor: r.Floor,
+		}}
 	}
 	all := m.st.Outcomes
 	m.st.Outcomes = append(slices.Clone(all[max(len(all)-maxOutcomes+1, 0):]), o)
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -18,7 +18,8 @@
 func own() Own {
 	return Own{InVain: 0.25, Settings: decide.Settings{
 		Tenants: []decide.Tenant{{Name: "east", QuotaPerS: 60}, {Name: "west", QuotaPerS: 40}, {Name: "free"}},
-		Classes: []decide.Class{{Name: "find"}, {Name: "book"}}, Limits: decide.Limits{MaxAttempts: 3}}}
+		Classes: []decide.Class{{Name: "find"}, {Name: "book"}}, Limits: decide.Limits{MaxAttempts: 3},
+	}}
 }
 
 // TestWhatADocumentMaySay: it stays within the settings and the floors; all else is told with its place.
@@ -77,9 +78,11 @@
 	require.NoError(t, err)
 	e, err := d.Effect(own())
 	require.NoError(t, err)
-	require.Equal(t, &Effect{Quota: []float64{50, 40, 0}, InVain: 0.25, Capacity: Capacity{Load: 0.7, Most: 0.9},
+	require.Equal(t, &Effect{
+		Quota: []float64{50, 40, 0}, InVain: 0.25, Capacity: Capacity{Load: 0.7, Most: 0.9},
 		Contracts: map[string]*contract.Contract{},
-		Classes:   []ClassEffect{{Attempts: 3}, {Attempts: 2, Pace: 5 * time.Millisecond}}}, e)
+		Classes:   []ClassEffect{{Attempts: 3}, {Attempts: 2, Pace: 5 * time.Millisecond}},
+	}, e)
 }
 
 // TestBottomCannotBeForbidden: whatever a document says, an agent that was cut off for long does what it allows.
@@ -108,8 +111,10 @@
 }
 
 func change(t require.TestingT, id string, base uint64, floor int) []byte {
-	data, err := Propose(Proposal{ID: id, Base: base, Now: time.Hour, By: time.Hour + time.Second,
-		Document: fmt.Appendf(nil, "format = 1\n[floor]\nattempts = %d\n", floor)})
+	data, err := Propose(Proposal{
+		ID: id, Base: base, Now: time.Hour, By: time.Hour + time.Second,
+		Document: fmt.Appendf(nil, "format = 1\n[floor]\nattempts = %d\n", floor),
+	})
 	require.NoError(t, err)
 	return data
 }
@@ -136,8 +141,10 @@
 	apply(early)
 	require.Equal(t, "not taken: version 1 has not taken hold yet", end("d"))
 	late := func(id string, base uint64, floor int) {
-		data, _ := Propose(Proposal{ID: id, Base: base, Now: 2 * time.Hour, By: 2 * time.Hour,
-			Document: fmt.Appendf(nil, "format = 1\n[floor]\nattempts = %d\n", floor)})
+		data, _ := Propose(Proposal{
+			ID: id, Base: base, Now: 2 * time.Hour, By: 2 * time.Hour,
+			Document: fmt.Appendf(nil, "format = 1\n[floor]\nattempts = %d\n", floor),
+		})
 		apply(data)
 	}
 	late("e", 1, 1)
@@ -164,8 +171,10 @@
 			data := rapid.SliceOfN(rapid.Byte(), 0, 40).Draw(t, "bytes")
 			if kind := rapid.IntRange(0, 9).Draw(t, "kind"); kind > 0 {
 				st := m.State()
-				data = marshal(record{Kind: activated, Version: st.Last, ID: fmt.Sprint(i), Base: st.Now.Number, Now: time.Duration(i),
-					By: time.Duration(i), Document: make([]byte, rapid.IntRange(0, MaxDocument+1).Draw(t, "length"))})
+				data = marshal(record{
+					Kind: activated, Version: st.Last, ID: fmt.Sprint(i), Base: st.Now.Number, Now: time.Duration(i),
+					By: time.Duration(i), Document: make([]byte, rapid.IntRange(0, MaxDocument+1).Draw(t, "length")),
+				})
 				if kind > 1 && st.Open == nil {
 					data[1] = byte(proposed)
 				} else {
@@ -224,8 +233,10 @@
 	narrow := own()
 	narrow.Settings.Classes = narrow.Settings.Classes[:1]
 	b := NewAgent(narrow, Times{})
-	bad, _ := Propose(Proposal{ID: "b", Base: 1, Now: 2 * time.Hour, By: 2 * time.Hour,
-		Document: []byte("format = 1\n[floor]\nattempts = 1\n[classes.book]\nattempts = 2")})
+	bad, _ := Propose(Proposal{
+		ID: "b", Base: 1, Now: 2 * time.Hour, By: 2 * time.Hour,
+		Document: []byte("format = 1\n[floor]\nattempts = 1\n[classes.book]\nattempts = 2"),
+	})
 	m.Apply(0, bad)
 	b.Learn(m)
 	n, ok := DecodeNote(b.Note())
--- a/policy/records.go
+++ b/policy/records.go
@@ -50,8 +50,10 @@
 	if err != nil {
 		panic(err) // of constants
 	}
-	dec, err := cbor.DecOptions{IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden,
-		MaxArrayElements: 1 << 10, MaxMapPairs: 16, MaxNestedLevels: 6}.DecMode()
+	dec, err := cbor.DecOptions{
+		IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden,
+		MaxArrayElements: 1 << 10, MaxMapPairs: 16, MaxNestedLevels: 6,
+	}.DecMode()
 	if err != nil {
 		panic(err)
 	}
@@ -92,8 +94,10 @@
 	if p.ID == "" || len(p.ID) > maxID || !utf8.ValidString(p.ID) || p.By < p.Now || p.By > p.Now+furthest {
 		return nil, fmt.Errorf("%w: a name of 1 to %d bytes, and a time within an hour", ErrProposal, maxID)
 	}
-	return marshal(record{Kind: proposed, ID: p.ID, Who: p.Who, Base: p.Base, Now: p.Now, By: p.By,
-		Document: p.Document, Floor: d.Floor().encode()}), nil
+	return marshal(record{
+		Kind: proposed, ID: p.ID, Who: p.Who, Base: p.Base, Now: p.Now, By: p.By,
+		Document: p.Document, Floor: d.Floor().encode(),
+	}), nil
 }
 
 // Postpones tells whether a record only puts a change off.
--- a/policy/search/search.go
+++ b/policy/search/search.go
@@ -56,8 +56,10 @@
 	second                         = time.Second + 10*time.Microsecond
 )
 
-var times = policy.Times{Ahead: time.Second / 2, Terms: lease.Terms{Length: length * time.Second,
-	Heard: heard * time.Second, Pause: time.Hour, Clocks: time.Nanosecond, Drift: 1e-6}}
+var times = policy.Times{Ahead: time.Second / 2, Terms: lease.Terms{
+	Length: length * time.Second,
+	Heard:  heard * time.Second, Pause: time.Hour, Clocks: time.Nanosecond, Drift: 1e-6,
+}}
 
 func reading(s int) lease.Reading {
 	return lease.Reading{Unix: time.Duration(1000+s) * second, Mono: time.Duration(1000+s) * second}
@@ -135,8 +137,10 @@
 }
 
 func own(attempts int) policy.Own {
-	return policy.Own{Settings: decide.Settings{Classes: []decide.Class{{Name: "find"}},
-		Limits: decide.Limits{MaxAttempts: attempts}}}
+	return policy.Own{Settings: decide.Settings{
+		Classes: []decide.Class{{Name: "find"}},
+		Limits:  decide.Limits{MaxAttempts: attempts},
+	}}
 }
 
 // Run tries all.
@@ -147,8 +151,10 @@
 	if set.Voters > mostVoters || set.Voters+set.Grants > mostGrants {
 		panic(fmt.Sprintf("%+v: there is no room for so many", set))
 	}
-	s := &search{set: set, all: []int{0, 1, 2}[:set.Voters], seed: maphash.MakeSeed(), seen: explore.NewStates(),
-		apart: explore.NewStates(), proposals: map[string]*proposal{}, root: &place{machine: policy.NewMachine()}}
+	s := &search{
+		set: set, all: []int{0, 1, 2}[:set.Voters], seed: maphash.MakeSeed(), seen: explore.NewStates(),
+		apart: explore.NewStates(), proposals: map[string]*proposal{}, root: &place{machine: policy.NewMachine()},
+	}
 	var began []job
 	for _, age := range [][mostVoters]int{{0, 0, 0}, {0, 2, 1}, {1, 1, 2}, {2, 1, 0}} {
 		began = append(began, job{w: s.begin(age)})
@@ -171,8 +177,10 @@
 func (s *search) begin(age [mostVoters]int) world {
 	w := world{grants: int8(s.set.Grants), restarts: int8(s.set.Restarts), later: int8(s.set.Later), log: s.root}
 	for v := range s.all {
-		n := voter{part: policy.NewVoter(v, s.voterTimes(), reading(-100)),
-			council: policy.NewCouncil(v, s.councilTimes())}
+		n := voter{
+			part:    policy.NewVoter(v, s.voterTimes(), reading(-100)),
+			council: policy.NewCouncil(v, s.councilTimes()),
+		}
 		n.council.Voters(reading(-100), s.all, 1)
 		s.learns(&n, s.root, 0)
 		for i := range w.agents {
@@ -189,8 +197,10 @@
 		}
 		w.agents[i] = a
 	}
-	data, err := policy.Propose(policy.Proposal{ID: "change", Now: reading(0).Unix, By: reading(2).Unix,
-		Document: []byte("format = 1\n[classes.find]\nattempts = 3\n")})
+	data, err := policy.Propose(policy.Proposal{
+		ID: "change", Now: reading(0).Unix, By: reading(2).Unix,
+		Document: []byte("format = 1\n[classes.find]\nattempts = 3\n"),
+	})
 	if err != nil {
 		panic(err) // of constants
 	}
@@ -221,8 +231,10 @@
 func (s *search) proposal(data []byte) *proposal {
 	p := s.proposals[string(data)]
 	if p == nil {
-		p = &proposal{id: uint16(len(s.proposals) + 1), data: data, reports: policy.Reports(data),
-			postpones: policy.Postpones(data)}
+		p = &proposal{
+			id: uint16(len(s.proposals) + 1), data: data, reports: policy.Reports(data),
+			postpones: policy.Postpones(data),
+		}
 		s.proposals[string(data)] = p
 	}
 	return p
@@ -241,8 +253,10 @@
 	m.Apply(uint64(last.depth+1), p.data)
 	if next = last; !bytes.Equal(m.Snapshot(), last.machine.Snapshot()) {
 		s.places++
-		next = &place{id: s.places, depth: last.depth + 1, before: last, machine: m, open: m.State().Open != nil,
-			end: m.Outcome("change").End}
+		next = &place{
+			id: s.places, depth: last.depth + 1, before: last, machine: m, open: m.State().Open != nil,
+			end: m.Outcome("change").End,
+		}
 		if p.reports {
 			next.depth, next.before = last.depth, last.before
 		}
--- a/policy/search/search_test.go
+++ b/policy/search/search_test.go
@@ -20,9 +20,15 @@
 func TestNothingThatCanHappenBreaksThePromise(t *testing.T) {
 	worlds := []Setup{{Seconds: 4, Grants: 1}, {Seconds: 2, Restarts: 1}, {Seconds: 2, Odd: true}, {Voters: 3, Seconds: 2}}
 	if os.Getenv("LONG_TESTS") != "" {
-		worlds = []Setup{{Seconds: 6, Grants: 2}, {Seconds: 5, Grants: 1, Restarts: 1}, {Seconds: 4, Later: 1},
-			{Voters: 3, Seconds: 4, Grants: 1}, {Voters: 3, Seconds: 4, Restarts: 1},
-			{Voters: 3, Seconds: 4, Grants: 1, Odd: true}, {Voters: 3, Seconds: 4, Later: 1}}
+		worlds = []Setup{
+			{Seconds: 6, Grants: 2},
+			{Seconds: 5, Grants: 1, Restarts: 1},
+			{Seconds: 4, Later: 1},
+			{Voters: 3, Seconds: 4, Grants: 1},
+			{Voters: 3, Seconds: 4, Restarts: 1},
+			{Voters: 3, Seconds: 4, Grants: 1, Odd: true},
+			{Voters: 3, Seconds: 4, Later: 1},
+		}
 	}
 	if text := os.Getenv("SEARCH"); text != "" { // voters, seconds, postponements, leases, restarts, whether one is odd
 		set := Setup{}
--- a/policy/search/worker.go
+++ b/policy/search/worker.go
@@ -39,11 +39,13 @@
 )
 
 func (t taken) String() string {
-	text := [...]string{"a postponement is agreed", "voter %d begins anew", "voter %d learns a record",
+	text := [...]string{
+		"a postponement is agreed", "voter %d begins anew", "voter %d learns a record",
 		"voter %d reports",
 		"voter %d leads", "agent %d learns a record", "agent %d is granted a lease by voter %d",
 		"agent %d is heard by voter %d",
-		"agent %d begins anew", "a second passes"}[t.what]
+		"agent %d begins anew", "a second passes",
+	}[t.what]
 	switch t.what {
 	case agreedLate, passes:
 	case grants, told:
@@ -99,9 +101,11 @@
 }
 
 func newWorker(s *search, jobs *explore.Jobs[job]) *worker {
-	return &worker{search: s, jobs: jobs, agreed: map[agreeing]*place{}, voters: map[voterAsked]voter{},
+	return &worker{
+		search: s, jobs: jobs, agreed: map[agreeing]*place{}, voters: map[voterAsked]voter{},
 		records: map[voterAsked][]*proposal{}, met: map[meeting]hears{}, learnt: map[agentAsked]agent{},
-		decided: map[agentAsked]decided{}, ended: map[voterAsked]bool{}}
+		decided: map[agentAsked]decided{}, ended: map[voterAsked]bool{},
+	}
 }
 
 // remembered gives what a part was asked before, or asks it.
@@ -228,8 +232,10 @@
 	}
 	for i := range k.all {
 		v := w.voters[i]
-		key := voterAsked{what: passes, i: int8(i), now: w.now, sum: v.sum, councils: v.councils,
-			p: w.log.up(v.known)}
+		key := voterAsked{
+			what: passes, i: int8(i), now: w.now, sum: v.sum, councils: v.councils,
+			p: w.log.up(v.known),
+		}
 		w.voters[i] = remembered(k, k.voters, key, func() voter {
 			n := v
 			k.sums(&n, int(w.now))
@@ -347,9 +353,11 @@
 
 func (k *worker) meeting(w *world, i, v int, what what) meeting {
 	vo, a := &w.voters[v], &w.agents[i]
-	return meeting{what: what, voter: vo.sum, councils: vo.councils, p: w.log.up(vo.known),
+	return meeting{
+		what: what, voter: vo.sum, councils: vo.councils, p: w.log.up(vo.known),
 		v: int8(v), i: int8(i), life: a.life,
-		now: w.now, agent: a.sum}
+		now: w.now, agent: a.sum,
+	}
 }
 
 func (k *worker) tells(w *world, i, v int) {
@@ -392,8 +400,10 @@
 				standing = lease.Full
 			}
 		}
-		key := agentAsked{what: passes, i: int8(i), now: w.now, standing: standing, sum: a.sum,
-			p: w.log.up(a.known)}
+		key := agentAsked{
+			what: passes, i: int8(i), now: w.now, standing: standing, sum: a.sum,
+			p: w.log.up(a.known),
+		}
 		d := remembered(k, k.decided, key, func() decided { return k.decides(*a, int(w.now), standing) })
 		a.part, a.sum = d.after.part, d.after.sum
 		switch {
--- a/policy/seat/seat.go
+++ b/policy/seat/seat.go
@@ -133,7 +133,9 @@
 	if err := policy.Check(document, s.set.Own); err != nil {
 		return nil, err
 	}
-	return policy.Propose(policy.Proposal{ID: id, Who: s.set.Self, Base: s.State().Now.Number,
+	return policy.Propose(policy.Proposal{
+		ID: id, Who: s.set.Self, Base: s.State().Now.Number,
 		Now: now.Unix, By: by,
-		Document: document})
+		Document: document,
+	})
 }
--- a/policy/seat/seat_test.go
+++ b/policy/seat/seat_test.go
@@ -37,7 +37,8 @@
 var own = policy.Own{InVain: 0.25, Settings: decide.Settings{
 	Tenants: []decide.Tenant{{Name: "east", QuotaPerS: 60}, {Name: "west", QuotaPerS: 40}},
 	Classes: []decide.Class{{Name: "find"}, {Name: "book"}},
-	Limits:  decide.Limits{MaxAttempts: 3, SecondCopies: true}}}
+	Limits:  decide.Limits{MaxAttempts: 3, SecondCopies: true},
+}}
 
 func document(n int) string {
 	return fmt.Sprintf("format = 1\n[tenants.east]\nshare = %.3f\n[tenants.west]\nshare = 0.3\n[classes.find]\nattempts = 2\n",
@@ -59,16 +60,20 @@
 	effect, err := whole.Effect(own)
 	require.NoError(t, err)
 	// Clocks may be off by 100 ms each, and by what the judge hears of late.
-	p := &played{t: t, seats: make([]*Seat, o.Agents), first: map[uint64]map[int]time.Time{},
+	p := &played{
+		t: t, seats: make([]*Seat, o.Agents), first: map[uint64]map[int]time.Time{},
 		history: judge.NewHistory(200 * time.Millisecond),
-		judge:   judge.New(200*time.Millisecond, judge.Version{Effect: effect, Floor: floor.Effect(own)})}
+		judge:   judge.New(200*time.Millisecond, judge.Version{Effect: effect, Floor: floor.Effect(own)}),
+	}
 	o.Upper = func(set *fleet.Settings, now fleet.Reading) {
 		mine := own
 		if weaken != nil {
 			mine = weaken(set.Self)
 		}
-		s := New(Settings{Self: set.Self, Votes: set.Votes(), Incarnation: set.Incarnation,
-			Machine: uint8(len(set.Machines)), Own: mine, Times: policy.Times{Terms: set.Terms}}, now)
+		s := New(Settings{
+			Self: set.Self, Votes: set.Votes(), Incarnation: set.Incarnation,
+			Machine: uint8(len(set.Machines)), Own: mine, Times: policy.Times{Terms: set.Terms},
+		}, now)
 		set.Machines, set.Above = append(set.Machines, s), s
 		p.seats[set.Self] = s
 	}
@@ -148,7 +153,8 @@
 // once their leases are over; and they have it before they act again.
 func TestEverywhere(t *testing.T) {
 	for name, hurt := range map[string]func(p *played, agent int){
-		"all up": nil, "down": func(p *played, a int) { p.Kill(a) }, "cut off": func(p *played, a int) { p.Isolate(a, true) }} {
+		"all up": nil, "down": func(p *played, a int) { p.Kill(a) }, "cut off": func(p *played, a int) { p.Isolate(a, true) },
+	} {
 		p := play(t, fleetlab.Options{Agents: 30, Voters: 3, Seed: 2}, nil)
 		if hurt != nil {
 			for a := 1; a < 30; a += 5 {
--- a/policy/voter.go
+++ b/policy/voter.go
@@ -147,8 +147,10 @@
 	case v.asked == open.Number && now.Mono < v.again:
 		return nil, v.again
 	case v.no.note.Version == open.Number:
-		records = append(records, marshal(record{Kind: abandoned, Version: open.Number, Who: v.no.agent,
-			Code: v.no.note.Code, Text: v.no.note.Text}))
+		records = append(records, marshal(record{
+			Kind: abandoned, Version: open.Number, Who: v.no.agent,
+			Code: v.no.note.Code, Text: v.no.note.Text,
+		}))
 	case !slices.Contains(open.Yes, v.self) && v.promised(now, open.Number):
 		records = append(records, marshal(record{Kind: answered, Version: open.Number, Who: v.self}))
 	default:
--- a/proving/book_test.go
+++ b/proving/book_test.go
@@ -33,7 +33,8 @@
 	require.Equal(t, time.Second, answers.Limit(most, time.Second, 0))
 	for what, change := range map[string]func(*Request){
 		"unsafe": func(r *Request) { r.Safe = false }, "no copies": func(r *Request) { r.Copies = false },
-		"had one": func(r *Request) { r.Attempts = 1 }, "one only": func(r *Request) { r.Most = 1 }} {
+		"had one": func(r *Request) { r.Attempts = 1 }, "one only": func(r *Request) { r.Most = 1 },
+	} {
 		r := most
 		change(&r)
 		require.False(t, silent.Twice(r), what)
--- a/ring/ring.go
+++ b/ring/ring.go
@@ -59,8 +59,10 @@
 
 // New returns a ring without members, each of which will have so many points where it joins by Join.
 func New[V any](replicas int) *Ring[V] {
-	return &Ring[V]{replicas: max(replicas, 1), byName: map[string]*Place[V]{},
-		arcs: make([][]point, 1), shift: 32}
+	return &Ring[V]{
+		replicas: max(replicas, 1), byName: map[string]*Place[V]{},
+		arcs: make([][]point, 1), shift: 32,
+	}
 }
 
 // Join makes a member of a name, or has it take part again with the points and the value that it had.
--- a/storm/agreed_test.go
+++ b/storm/agreed_test.go
@@ -22,8 +22,10 @@
 		for range 100 {
 			l.now += 50 * time.Millisecond
 			id++
-			acts := g.Step(l.now, &decide.Request{ID: id, Key: fmt.Sprint(id), Tenant: tenant, Class: "consult",
-				Budget: time.Second})
+			acts := g.Step(l.now, &decide.Request{
+				ID: id, Key: fmt.Sprint(id), Tenant: tenant, Class: "consult",
+				Budget: time.Second,
+			})
 			require.NotEmpty(t, acts)
 			if r := g.requests[id]; r != nil && r.over {
 				n++
@@ -49,7 +51,8 @@
 	require.Equal(t, 0.2, g.fig.InVain)
 	fig := DefaultFigures()
 	for _, c := range []struct{ own, agreed, holds float64 }{
-		{0.25, 0.2, 0.2}, {0.15, 0.2, 0.15}, {0.3, 0, 0.3}, {0.3, math.NaN(), 0.3}, {0.3, -1, 0.3}, {0.25, 1, 0.25}} {
+		{0.25, 0.2, 0.2}, {0.15, 0.2, 0.15}, {0.3, 0, 0.3}, {0.3, math.NaN(), 0.3}, {0.3, -1, 0.3}, {0.25, 1, 0.25},
+	} {
 		g.Agree(nil, nil, c.agreed)
 		fig.InVain = c.own
 		require.NoError(t, g.Set(fig))
@@ -86,6 +89,8 @@
 		g.refuse(&decide.Request{ID: 2, Tenant: tenant}, 0, false)
 	}
 	require.Len(t, g.turned, 2)
-	require.Equal(t, []decide.Strain{{Tenant: decide.NoTenant, Asked: 4, Refused: 3, Failed: 1},
-		{Tenant: "a", Asked: 11, Served: 9, Refused: 2}}, g.Strain())
+	require.Equal(t, []decide.Strain{
+		{Tenant: decide.NoTenant, Asked: 4, Refused: 3, Failed: 1},
+		{Tenant: "a", Asked: 11, Served: 9, Refused: 2},
+	}, g.Strain())
 }
--- a/storm/figures.go
+++ b/storm/figures.go
@@ -38,9 +38,11 @@
 // some spells ended once the servers were only about half busy for 2 to 3.5 s, and those were 2 to 2.8 times
 // slower.
 func DefaultFigures() Figures {
-	return Figures{SpellFactor: 1.65, PurgeShare: 0.5, PurgeFor: 3800 * time.Millisecond,
+	return Figures{
+		SpellFactor: 1.65, PurgeShare: 0.5, PurgeFor: 3800 * time.Millisecond,
 		PurgeLeast: 2 * time.Second, PurgeAgain: 30 * time.Second, TrialShare: 0.1, ReturnMore: 1.25, InVain: 0.25,
-		Turn: time.Minute}
+		Turn: time.Minute,
+	}
 }
 
 // orDefaults gives the defaults for the zero value, switched off or not, and refuses what can't be counted
--- a/storm/gate.go
+++ b/storm/gate.go
@@ -137,14 +137,16 @@
 		return nil, errors.New("storm: no request classes")
 	}
 	set.Balancers = max(set.Balancers, 1)
-	g := &Gate{module: module, set: set, there: set.Balancers, own: fig, fig: fig,
+	g := &Gate{
+		module: module, set: set, there: set.Balancers, own: fig, fig: fig,
 		rng:      rand.New(rand.NewPCG(seed, 0x73746f72)),
 		requests: map[uint32]*request{}, servers: map[string]*server{}, kinds: map[string]*pace{},
 		crowd: level{faded: faded{half: factorHalf}}, order: newOrder(set.Classes), shares: map[string]*share{},
 		turned: map[string]uint64{decide.NoTenant: 0},
 		came:   faded{half: rateHalf}, sent: faded{half: rateHalf}, served: faded{half: rateHalf},
 		usual: faded{half: usualHalf}, most: faded{half: fleetHalf},
-		spell: newSpell(), damper: newDamper(), repeats: newRepeats(), throttle: newThrottle()}
+		spell: newSpell(), damper: newDamper(), repeats: newRepeats(), throttle: newThrottle(),
+	}
 	g.told = newTold(g.rng.Uint64())
 	for _, c := range set.Classes {
 		g.longestAim = max(g.longestAim, c.Aim)
@@ -311,8 +313,10 @@
 		r, g.spare = g.spare[n-1], g.spare[:n-1]
 	}
 	class, known := g.order.classes[e.Class]
-	*r = request{who: who, tenant: e.Tenant, over: over, attempts: r.attempts[:0],
-		streams: known && g.set.Classes[class].Stream}
+	*r = request{
+		who: who, tenant: e.Tenant, over: over, attempts: r.attempts[:0],
+		streams: known && g.set.Classes[class].Stream,
+	}
 	g.requests[e.ID] = r
 }
 
@@ -326,8 +330,10 @@
 // refuse turns a request away at once.
 func (g *Gate) refuse(e *decide.Request, who uint64, over bool) {
 	g.noteTurned(e.Tenant)
-	g.acts = append(g.acts, decide.Action{Kind: decide.Refuse, ID: e.ID, After: g.advise(who), OverShare: over,
-		Quota: g.quota(e.Tenant)})
+	g.acts = append(g.acts, decide.Action{
+		Kind: decide.Refuse, ID: e.ID, After: g.advise(who), OverShare: over,
+		Quota: g.quota(e.Tenant),
+	})
 }
 
 // advise says when a client that is turned away is to come back: those that were told come back one after
@@ -394,8 +400,10 @@
 	number, s := r.sends, g.server(a.Server)
 	r.sends++
 	if g.holdsBack(r, s) {
-		g.next = append(g.next, &decide.AttemptDone{ID: a.ID, Attempt: number, Server: a.Server,
-			Outcome: decide.NotSent, Finished: r.answered})
+		g.next = append(g.next, &decide.AttemptDone{
+			ID: a.ID, Attempt: number, Server: a.Server,
+			Outcome: decide.NotSent, Finished: r.answered,
+		})
 		return false
 	}
 	if len(r.attempts) == 0 {
@@ -568,8 +576,10 @@
 func (g *Gate) server(id string) *server {
 	s := g.servers[id]
 	if s == nil {
-		s = &server{entry: decide.Server{ID: id}, kind: g.kind(""), log: faded{half: serverHalf},
-			answers: faded{half: serverHalf}}
+		s = &server{
+			entry: decide.Server{ID: id}, kind: g.kind(""), log: faded{half: serverHalf},
+			answers: faded{half: serverHalf},
+		}
 		g.servers[id] = s
 		at, _ := slices.BinarySearchFunc(g.inOrder, id,
 			func(s *server, id string) int { return cmp.Compare(s.entry.ID, id) })
--- a/storm/gate_test.go
+++ b/storm/gate_test.go
@@ -94,8 +94,10 @@
 	if o == decide.Served && !r.final {
 		r.final, finished = true, true
 	}
-	p.step(&decide.AttemptDone{ID: id, Attempt: attempt, Server: server, Outcome: o,
-		Latency: time.Duration(rapid.IntRange(1, 600).Draw(p.t, "ms")) * time.Millisecond, Finished: finished})
+	p.step(&decide.AttemptDone{
+		ID: id, Attempt: attempt, Server: server, Outcome: o,
+		Latency: time.Duration(rapid.IntRange(1, 600).Draw(p.t, "ms")) * time.Millisecond, Finished: finished,
+	})
 }
 
 // TestAnyDay: whatever comes, in calm, in outages and after them, each request has one answer, what may have
@@ -117,21 +119,27 @@
 		var ids uint32
 		for range rapid.IntRange(1, 8).Draw(t, "phases") {
 			served := rapid.SampledFrom([]int{0, 0, 50, 98}).Draw(t, "served in 100")
-			failure := rapid.SampledFrom([]decide.Outcome{decide.NoAnswer, decide.TurnedAway, decide.NoConnection,
-				decide.ConnectionLost, decide.ServerError}).Draw(t, "else")
+			failure := rapid.SampledFrom([]decide.Outcome{
+				decide.NoAnswer, decide.TurnedAway, decide.NoConnection,
+				decide.ConnectionLost, decide.ServerError,
+			}).Draw(t, "else")
 			for range rapid.IntRange(20, 250).Draw(t, "events") {
 				p.pass(10 * time.Millisecond)
 				switch rapid.IntRange(0, 99).Draw(t, "what") {
 				case 0:
 					list(rapid.IntRange(0, 5).Draw(t, "servers"))
 				case 1:
-					p.step(&decide.PeerMessage{From: 1, Data: message{says: byte(rapid.IntRange(0, 2).Draw(t, "says")),
-						log: 1, weight: 50, begins: p.now + 50*time.Millisecond}.encode()})
+					p.step(&decide.PeerMessage{From: 1, Data: message{
+						says: byte(rapid.IntRange(0, 2).Draw(t, "says")),
+						log:  1, weight: 50, begins: p.now + 50*time.Millisecond,
+					}.encode()})
 				default:
 					ids++
 					p.open[ids] = &played{class: []string{"consult", "rezervare"}[ids%2]}
-					p.step(&decide.Request{ID: ids, Class: p.open[ids].class, Key: fmt.Sprint(ids % 7),
-						Tenant: fmt.Sprint("t", ids%3), Budget: time.Second, Retry: ids%5 == 0})
+					p.step(&decide.Request{
+						ID: ids, Class: p.open[ids].class, Key: fmt.Sprint(ids % 7),
+						Tenant: fmt.Sprint("t", ids%3), Budget: time.Second, Retry: ids%5 == 0,
+					})
 					for id := ids - min(ids-1, 30); id <= ids; id++ {
 						r := p.open[id]
 						for n := range r.out {
@@ -205,8 +213,10 @@
 			case i == 0:
 				ev = &decide.Membership{Kind: decide.SyncFull, Servers: []decide.Server{{ID: "a", Weight: 1}, {ID: "b", Weight: 1}}}
 			case i%2 == 0:
-				ev = &decide.AttemptDone{ID: i - 1, Server: "a", Latency: 50 * time.Millisecond,
-					Outcome: decide.Outcome(rapid.IntRange(0, 5).Draw(t, "outcome"))}
+				ev = &decide.AttemptDone{
+					ID: i - 1, Server: "a", Latency: 50 * time.Millisecond,
+					Outcome: decide.Outcome(rapid.IntRange(0, 5).Draw(t, "outcome")),
+				}
 			}
 			now := epoch + time.Duration(i)*20*time.Millisecond
 			want := fmt.Sprint(bare.Step(now, ev))
--- a/storm/lab_test.go
+++ b/storm/lab_test.go
@@ -15,13 +15,18 @@
 )
 
 func deployment(agents, self int) decide.Settings {
-	return decide.Settings{Self: self, Balancers: agents, Zone: "a", Tick: step, MarksRetry: true,
+	return decide.Settings{
+		Self: self, Balancers: agents, Zone: "a", Tick: step, MarksRetry: true,
 		Classes: []decide.Class{
 			{Name: "consult", Aim: 500 * time.Millisecond, Deadline: 2500 * time.Millisecond, Worth: 1},
-			{Name: "rezervare", Aim: 500 * time.Millisecond, Deadline: time.Second, Effect: decide.Unsafe, Worth: 2}},
-		Limits: decide.Limits{MaxAttempts: 3, Cancel: true, Peers: true, RetryAfter: true,
-			MaxRetryAfter: 2 * time.Second},
-		Rules: decide.Rules{ColdFor: 9 * time.Second}}
+			{Name: "rezervare", Aim: 500 * time.Millisecond, Deadline: time.Second, Effect: decide.Unsafe, Worth: 2},
+		},
+		Limits: decide.Limits{
+			MaxAttempts: 3, Cancel: true, Peers: true, RetryAfter: true,
+			MaxRetryAfter: 2 * time.Second,
+		},
+		Rules: decide.Rules{ColdFor: 9 * time.Second},
+	}
 }
 
 // lab is a fleet of agents with gates before simple modules, and servers that share their cores evenly.
@@ -172,8 +177,10 @@
 	key := fmt.Sprint("k", l.rng.IntN(500))
 	l.do(agent, l.gates[agent].Step(l.now, &decide.Request{ID: l.ids, Class: class, Budget: time.Second, Key: key}))
 	for _, at := range l.again {
-		l.do(at, l.gates[at].Step(l.now, &decide.Request{ID: l.ids + 1, Class: class, Budget: time.Second, Key: key,
-			Retry: true}))
+		l.do(at, l.gates[at].Step(l.now, &decide.Request{
+			ID: l.ids + 1, Class: class, Budget: time.Second, Key: key,
+			Retry: true,
+		}))
 	}
 	l.again = l.again[:0]
 	return l.ids
@@ -220,8 +227,10 @@
 	l.jobs = nil
 	for _, j := range jobs {
 		if end, outcome := l.fails(j); end {
-			l.do(j.agent, l.gates[j.agent].Step(l.now, &decide.AttemptDone{ID: j.id, Server: fmt.Sprint("s-", j.server),
-				Outcome: outcome, Latency: l.now - j.began}))
+			l.do(j.agent, l.gates[j.agent].Step(l.now, &decide.AttemptDone{
+				ID: j.id, Server: fmt.Sprint("s-", j.server),
+				Outcome: outcome, Latency: l.now - j.began,
+			}))
 			continue
 		}
 		if l.silent {
@@ -234,8 +243,10 @@
 			continue
 		}
 		l.served++
-		l.do(j.agent, l.gates[j.agent].Step(l.now, &decide.AttemptDone{ID: j.id, Server: fmt.Sprint("s-", j.server),
-			Outcome: decide.Served, Latency: l.now + step - j.began, Finished: true}))
+		l.do(j.agent, l.gates[j.agent].Step(l.now, &decide.AttemptDone{
+			ID: j.id, Server: fmt.Sprint("s-", j.server),
+			Outcome: decide.Served, Latency: l.now + step - j.began, Finished: true,
+		}))
 	}
 }
 
--- a/storm/memory.go
+++ b/storm/memory.go
@@ -51,8 +51,10 @@
 	g.now = max(g.now, now)
 	most := g.most // a copy: to remember changes nothing
 	most.fade(g.now)
-	m := Memory{Crowd: g.damper.usual.weight, Servers: max(most.weight, float64(g.ready())),
-		NoPurge: min(max(g.spell.next-g.now, 0), noPurgeMost)}
+	m := Memory{
+		Crowd: g.damper.usual.weight, Servers: max(most.weight, float64(g.ready())),
+		NoPurge: min(max(g.spell.next-g.now, 0), noPurgeMost),
+	}
 	if g.firstAnswer > 0 {
 		m.Learned = min(g.now-g.firstAnswer, learnsFor)
 	}
--- a/storm/memory_test.go
+++ b/storm/memory_test.go
@@ -36,8 +36,10 @@
 	require.Equal(t, learnsFor-1500*time.Millisecond, again.Learned) // the rest, until servers have settled
 	again.Learned = m.Learned
 	require.Equal(t, m, again)
-	require.Equal(t, Memory{Kinds: []KindMemory{{"rapid", []PaceMemory{{paceAt(5), m.Kinds[0].Steps[0].Log, 100}}}},
-		Crowd: 12, Servers: 13, NoPurge: 20 * time.Second, Learned: learnsFor}, m)
+	require.Equal(t, Memory{
+		Kinds: []KindMemory{{"rapid", []PaceMemory{{paceAt(5), m.Kinds[0].Steps[0].Log, 100}}}},
+		Crowd: 12, Servers: 13, NoPurge: 20 * time.Second, Learned: learnsFor,
+	}, m)
 	for g, factor := range map[*Gate]float64{then: 3, fresh(): 1} {
 		g.now = now
 		for range 40 {
@@ -67,8 +69,10 @@
 		many[i].Name = fmt.Sprint(i)
 	}
 	many[0].Steps = []PaceMemory{{-1, 0, 1}, {paceSteps, 0, 1}, {1, math.NaN(), 9}, {2, 0, math.Inf(-1)}, {3, 0, math.NaN()}}
-	none.Recall(now, Memory{Crowd: math.Inf(1), Servers: math.NaN(), NoPurge: math.MinInt64, Learned: math.MinInt64,
-		Kinds: many}, time.Second)
+	none.Recall(now, Memory{
+		Crowd: math.Inf(1), Servers: math.NaN(), NoPurge: math.MinInt64, Learned: math.MinInt64,
+		Kinds: many,
+	}, time.Second)
 	got := none.Remember(now)
 	require.Len(t, got.Kinds, mostKinds)
 	got.Kinds = slices.DeleteFunc(got.Kinds, func(k KindMemory) bool { return k.Steps == nil })
--- a/storm/message.go
+++ b/storm/message.go
@@ -40,8 +40,10 @@
 	if len(d) != msgSize || d[0] != msgStorm || d[1] > saysServed {
 		return m, false
 	}
-	m = message{says: d[1], log: float64(int16(binary.BigEndian.Uint16(d[2:]))) / 1000,
-		weight: float64(binary.BigEndian.Uint16(d[4:])) / 10, begins: time.Duration(binary.BigEndian.Uint64(d[6:]))}
+	m = message{
+		says: d[1], log: float64(int16(binary.BigEndian.Uint16(d[2:]))) / 1000,
+		weight: float64(binary.BigEndian.Uint16(d[4:])) / 10, begins: time.Duration(binary.BigEndian.Uint64(d[6:])),
+	}
 	m.log, m.weight = clamp(m.log, mostFactor), min(m.weight, mostWeight)
 	return m, true
 }
--- a/storm/outage.go
+++ b/storm/outage.go
@@ -68,8 +68,10 @@
 }
 
 func newDamper() damper {
-	return damper{ends: faded{half: endsHalf}, good: faded{half: endsHalf}, turned: faded{half: endsHalf},
-		usual: faded{half: usualHalfCrowd}}
+	return damper{
+		ends: faded{half: endsHalf}, good: faded{half: endsHalf}, turned: faded{half: endsHalf},
+		usual: faded{half: usualHalfCrowd},
+	}
 }
 
 // noteEnd takes in how an attempt ended at a server.
--- a/storm/outage_test.go
+++ b/storm/outage_test.go
@@ -98,8 +98,10 @@
 					}
 				}
 				if len(out) > 0 && (c.outcome != decide.Served || i%25 == 0) { // it serves 40 a second
-					g.Step(now, &decide.AttemptDone{ID: out[0], Server: "s-0", Outcome: c.outcome,
-						Latency: 50 * time.Millisecond, Finished: c.outcome == decide.Served})
+					g.Step(now, &decide.AttemptDone{
+						ID: out[0], Server: "s-0", Outcome: c.outcome,
+						Latency: 50 * time.Millisecond, Finished: c.outcome == decide.Served,
+					})
 					out = out[1:]
 				}
 			}
@@ -112,8 +114,10 @@
 // TestOrder: who is let in first.
 func TestOrder(t *testing.T) {
 	o := newOrder(deployment(1, 0).Classes)
-	first := []int{o.tier("rezervare", false, false), o.tier("rezervare", false, true), o.tier("consult", false, false),
-		o.tier("consult", false, true), o.tier("rezervare", true, false), o.tier("consult", true, true)}
+	first := []int{
+		o.tier("rezervare", false, false), o.tier("rezervare", false, true), o.tier("consult", false, false),
+		o.tier("consult", false, true), o.tier("rezervare", true, false), o.tier("consult", true, true),
+	}
 	require.IsIncreasing(t, first)
 	require.Equal(t, o.tier("consult", false, false), o.tier("unheard of", false, false))
 	for _, tier := range first {
@@ -202,8 +206,10 @@
 		now += 10 * time.Millisecond
 		for _, a := range g.Step(now, &decide.Request{ID: id, Class: "consult", Budget: time.Second}) {
 			if a.Kind == decide.Send {
-				g.Step(now, &decide.AttemptDone{ID: id, Server: a.Server, Outcome: decide.NoConnection,
-					Evidence: health.Evidence{Phase: health.Connecting, Ours: true}})
+				g.Step(now, &decide.AttemptDone{
+					ID: id, Server: a.Server, Outcome: decide.NoConnection,
+					Evidence: health.Evidence{Phase: health.Connecting, Ours: true},
+				})
 			}
 		}
 	}
--- a/storm/spell_test.go
+++ b/storm/spell_test.go
@@ -83,9 +83,11 @@
 			data := rapid.OneOf(
 				rapid.Map(rapid.SliceOfN(rapid.Byte(), 0, 20), func(b []byte) []byte { return append([]byte{msgStorm}, b...) }),
 				rapid.Custom(func(t *rapid.T) []byte {
-					return message{says: byte(rapid.IntRange(0, 1).Draw(t, "says")), log: rapid.Float64Range(-9, 9).Draw(t, "log"),
+					return message{
+						says: byte(rapid.IntRange(0, 1).Draw(t, "says")), log: rapid.Float64Range(-9, 9).Draw(t, "log"),
 						weight: rapid.Float64Range(0, 1e4).Draw(t, "weight"),
-						begins: l.now + time.Duration(rapid.IntRange(-5, 5).Draw(t, "in"))*100*time.Millisecond}.encode()
+						begins: l.now + time.Duration(rapid.IntRange(-5, 5).Draw(t, "in"))*100*time.Millisecond,
+					}.encode()
 				})).Draw(t, "data")
 			from := rapid.IntRange(-1, 4).Draw(t, "from")
 			l.do(0, l.gates[0].Step(l.now, &decide.PeerMessage{From: from, Data: data}))
--- a/window/agent.go
+++ b/window/agent.go
@@ -53,8 +53,10 @@
 // the standing by it and how to act are to be read for this decision, so that a process that was paused
 // sees where it stands now.
 func (a *Agent) Avoid(now lease.Reading, standing lease.Standing, acting policy.Acting) *decide.Avoid {
-	b := basis{is: true, told: a.told, lease: standing == lease.Full, how: acting.How,
-		version: acting.Version, effect: acting.Effect}
+	b := basis{
+		is: true, told: a.told, lease: standing == lease.Full, how: acting.How,
+		version: acting.Version, effect: acting.Effect,
+	}
 	same := a.made
 	same.from = 0
 	if same == b && now.Unix >= a.made.from && now.Unix < a.until {
--- a/window/council.go
+++ b/window/council.go
@@ -84,9 +84,13 @@
 // NewCouncil returns the Council of a process that begins now.
 func NewCouncil(set CouncilSettings, now lease.Reading) *Council {
 	set = set.Usual()
-	return &Council{set: set, begin: now, learnt: map[string]learnt{}, last: map[string]proposed{},
-		hearing: hearing{agents: map[int][]told{}, leases: map[int]lease.Reading{},
-			length: set.Times.Terms.Length}}
+	return &Council{
+		set: set, begin: now, learnt: map[string]learnt{}, last: map[string]proposed{},
+		hearing: hearing{
+			agents: map[int][]told{}, leases: map[int]lease.Reading{},
+			length: set.Times.Terms.Length,
+		},
+	}
 }
 
 // Learn takes what the log says now, as soon as records were applied, by any voter.
--- a/window/counts.go
+++ b/window/counts.go
@@ -51,8 +51,10 @@
 
 // Tell returns what an agent tells voters. Counts are those since it told last.
 func Tell(incarnation, number uint64, counts []Count, storm bool) []byte {
-	return marshal(word{Incarnation: incarnation, Number: number, Storm: storm,
-		Counts: counts[:min(len(counts), MaxCounts)]})
+	return marshal(word{
+		Incarnation: incarnation, Number: number, Storm: storm,
+		Counts: counts[:min(len(counts), MaxCounts)],
+	})
 }
 
 // told is a word, and when it came.
--- a/window/explore.go
+++ b/window/explore.go
@@ -22,8 +22,10 @@
 // Hurry has the council propose again at once what it proposed, and forget what it heard: time stands still
 // between a search's steps.
 func (c *Council) Hurry() {
-	c.last, c.hearing = map[string]proposed{}, hearing{agents: map[int][]told{}, leases: map[int]lease.Reading{},
-		length: c.hearing.length}
+	c.last, c.hearing = map[string]proposed{}, hearing{
+		agents: map[int][]told{}, leases: map[int]lease.Reading{},
+		length: c.hearing.length,
+	}
 }
 
 // Told has the council have heard one agent for long, which tells this now.
--- a/window/fit_example_test.go
+++ b/window/fit_example_test.go
@@ -16,14 +16,18 @@
 		panic(err)
 	}
 	noon := time.Date(2026, 10, 23, 12, 0, 0, 0, time.UTC) // a Friday
-	scene := window.Scene{Now: time.Duration(noon.UnixNano()), Policy: 7, Load: 0.5,
+	scene := window.Scene{
+		Now: time.Duration(noon.UnixNano()), Policy: 7, Load: 0.5,
 		Tenants:   map[string]float64{"east": 0.6},
-		Contracts: map[string]*contract.Contract{"east": hours}}
+		Contracts: map[string]*contract.Contract{"east": hours},
+	}
 	for _, id := range []string{"booking-1", "booking-2", "booking-3", "booking-4"} {
 		scene.Nodes = append(scene.Nodes, window.Node{ID: id, Capacity: 1})
 	}
-	ask := window.Ask{ID: "disks", Nodes: []string{"booking-1"}, Tenants: []string{"east"},
-		From: scene.Now + 26*time.Hour, To: scene.Now + 27*time.Hour}
+	ask := window.Ask{
+		ID: "disks", Nodes: []string{"booking-1"}, Tenants: []string{"east"},
+		From: scene.Now + 26*time.Hour, To: scene.Now + 27*time.Hour,
+	}
 	_, err = window.Fit(ask, scene)
 	fmt.Println(err)
 	if m := (window.Misfit{}); errors.As(err, &m) {
--- a/window/judge/judge_test.go
+++ b/window/judge/judge_test.go
@@ -15,8 +15,10 @@
 
 // TestJudge: each thing that must not be is told, and what lies next to it is not.
 func TestJudge(t *testing.T) {
-	c, err := contract.Table{Zone: "UTC", Hours: []string{"mon-sun 21:00-23:30"}, NoticeMin: 20, LongestMin: 300,
-		Monthly: 31, Keep: 0.5, Served: 0.9}.Contract()
+	c, err := contract.Table{
+		Zone: "UTC", Hours: []string{"mon-sun 21:00-23:30"}, NoticeMin: 20, LongestMin: 300,
+		Monthly: 31, Keep: 0.5, Served: 0.9,
+	}.Contract()
 	require.NoError(t, err)
 	at := func(s int) time.Duration { return from + time.Duration(s)*time.Second }
 	for name, x := range map[string]struct {
@@ -43,8 +45,10 @@
 		j := New(Settings{Slack: 100 * time.Millisecond, Keys: 10})
 		j.Contracts(1, map[string]*contract.Contract{"east": c, "west": c})
 		j.Contracts(2, map[string]*contract.Contract{"west": c})
-		j.Accepted(&window.Window{ID: "w", Nodes: []string{"n"}, Tenants: []string{"east"}, From: from, Drained: at(50),
-			Back: at(3500), To: at(3600), Steps: 10, Policy: 1}, 0.02)
+		j.Accepted(&window.Window{
+			ID: "w", Nodes: []string{"n"}, Tenants: []string{"east"}, From: from, Drained: at(50),
+			Back: at(3500), To: at(3600), Steps: 10, Policy: 1,
+		}, 0.02)
 		r := x.r
 		if r.Version == 0 {
 			r.Version = 1
@@ -79,8 +83,10 @@
 		right bool
 	}{"slowly": {time.Second, 0, true}, "at once": {time.Millisecond, 0, false}, "a new process": {time.Millisecond, 1, true}} {
 		j := New(Settings{Keys: 50})
-		j.Accepted(&window.Window{ID: "w", Nodes: []string{"n"}, Tenants: []string{"east"}, From: from,
-			Drained: from + 50*time.Second, Back: from + time.Hour, To: from + 2*time.Hour, Steps: 50}, 0.02)
+		j.Accepted(&window.Window{
+			ID: "w", Nodes: []string{"n"}, Tenants: []string{"east"}, From: from,
+			Drained: from + 50*time.Second, Back: from + time.Hour, To: from + 2*time.Hour, Steps: 50,
+		}, 0.02)
 		for k := range uint32(50) {
 			j.Sent(Request{At: from, Tenant: "east", Hash: k, Server: "n", How: policy.Full})
 		}
--- a/window/judge/plan_test.go
+++ b/window/judge/plan_test.go
@@ -31,8 +31,10 @@
 	s.Now = time.Duration(begin.UnixNano()) + time.Duration(rapid.IntRange(0, 10*288).Draw(t, "now"))*grid
 	s.Margin, s.Load, s.Most = grid, pick(t, "load", 0, 0.3, 0.6), pick(t, "most", 0, 0.8, 1)
 	for i := range pick(t, "nodes", 6, 5, 9, 4, 2) {
-		s.Nodes = append(s.Nodes, window.Node{ID: fmt.Sprint("n", i), Zone: pick(t, "zone", "a", "b", ""), Capacity: pick(t, "capacity", 1, 1.8, 1, 1, 0.9, 0),
-			Absent: rapid.IntRange(0, 7).Draw(t, "absent") == 7})
+		s.Nodes = append(s.Nodes, window.Node{
+			ID: fmt.Sprint("n", i), Zone: pick(t, "zone", "a", "b", ""), Capacity: pick(t, "capacity", 1, 1.8, 1, 1, 0.9, 0),
+			Absent: rapid.IntRange(0, 7).Draw(t, "absent") == 7,
+		})
 	}
 	s.Tenants, s.Contracts = map[string]float64{}, map[string]*contract.Contract{}
 	for _, name := range []string{"east", "west", window.Rest} {
@@ -40,18 +42,22 @@
 			s.Tenants[name] = pick(t, "share", 0, 0.1, 0.45)
 		}
 		if pick(t, "contract", true, true, true, true, true, true, true, false) {
-			table := contract.Table{Zone: pick(t, "hours' zone", "Europe/Bucharest", "UTC"), DayAfter: rapid.Bool().Draw(t, "day after"),
+			table := contract.Table{
+				Zone: pick(t, "hours' zone", "Europe/Bucharest", "UTC"), DayAfter: rapid.Bool().Draw(t, "day after"),
 				Hours:    [][]string{{"mon-sun 00:00-24:00"}, {"mon-sun 00:00-24:00"}, {"mon-fri 20:00-06:00", "sat,sun 00:00-24:00"}, {"sun 02:00-05:00", "tue 01:00-02:30"}}[pick(t, "hours", 0, 1, 2, 3)],
 				Excluded: pick(t, "excluded", nil, []string{"2026-10-25"}, []string{"2026-03-28", "2026-10-27", "2026-04-01"}), NoticeMin: pick(t, "notice", 0, 0, 60, 1440),
-				LongestMin: pick(t, "longest", 0, 0, 1440, 60), Monthly: pick(t, "monthly", 9, 0, 2, 1), Keep: pick(t, "keep", 0.05, 0.3, 0.5, 0, 0.9)}
+				LongestMin: pick(t, "longest", 0, 0, 1440, 60), Monthly: pick(t, "monthly", 9, 0, 2, 1), Keep: pick(t, "keep", 0.05, 0.3, 0.5, 0, 0.9),
+			}
 			c, err := table.Contract()
 			require.NoError(t, err)
 			p.Tables[name], s.Contracts[name] = table, c
 		}
 	}
 	for i := range pick(t, "windows", 3, 6, 9, 0) {
-		one := &window.Window{ID: fmt.Sprint("w", i), From: s.Now + time.Duration(rapid.IntRange(0, 288).Draw(t, "from")*pick(t, "days", 1, 2, 10)-10)*grid,
-			Nodes: []string{pick(t, "node", "n0", "n1", "n2", "gone")}, Tenants: []string{pick(t, "tenant", "east", "west", window.Rest, "gone")}}
+		one := &window.Window{
+			ID: fmt.Sprint("w", i), From: s.Now + time.Duration(rapid.IntRange(0, 288).Draw(t, "from")*pick(t, "days", 1, 2, 10)-10)*grid,
+			Nodes: []string{pick(t, "node", "n0", "n1", "n2", "gone")}, Tenants: []string{pick(t, "tenant", "east", "west", window.Rest, "gone")},
+		}
 		one.To = one.From + time.Duration(pick(t, "length", 36, 12, 100, 6, 288))*grid
 		if p.Begun = append(p.Begun, one); one.To > s.Now {
 			s.Windows = append(s.Windows, one)
--- a/window/lab/course.go
+++ b/window/lab/course.go
@@ -33,8 +33,10 @@
 
 // weeks begin on Mondays, 00:00 UTC: of both nights when clocks change in Bucharest, on their last day, and
 // two others.
-var weeks = []time.Duration{1774224000 * time.Second, 1792368000 * time.Second, 1780272000 * time.Second,
-	1798416000 * time.Second}
+var weeks = []time.Duration{
+	1774224000 * time.Second, 1792368000 * time.Second, 1780272000 * time.Second,
+	1798416000 * time.Second,
+}
 
 // Contracts are the tables of a policy: hours of one tenant, and the other's.
 const document = `format = 1
@@ -57,8 +59,10 @@
 `
 
 // hours are east's.
-var hours = []string{"mon-sun 21:00-06:00", "mon-sun 22:00-05:00", "mon-sun 00:00-04:00",
-	"mon-fri 21:00-01:00", "mon-sun 20:00-07:00"}
+var hours = []string{
+	"mon-sun 21:00-06:00", "mon-sun 22:00-05:00", "mon-sun 00:00-04:00",
+	"mon-fri 21:00-01:00", "mon-sun 20:00-07:00",
+}
 
 // contracts are a document as an agent proposes it, with one of east's hours.
 func (l *Lab) contracts(of int) string {
@@ -161,9 +165,12 @@
 		if w.State == window.Returning {
 			end = w.Since + w.To - w.Back
 		}
-		for _, s := range []span{{w.From - 12*time.Second, w.Drained + margin + linger + 35*time.Second},
-			{middle, middle + 25*time.Second}, {w.Back - 12*time.Second, w.To + margin + 8*time.Second},
-			{end, end + margin + 8*time.Second}} {
+		for _, s := range []span{
+			{w.From - 12*time.Second, w.Drained + margin + linger + 35*time.Second},
+			{middle, middle + 25*time.Second},
+			{w.Back - 12*time.Second, w.To + margin + 8*time.Second},
+			{end, end + margin + 8*time.Second},
+		} {
 			if s.to > after {
 				all = append(all, s)
 			}
--- a/window/lab/lab.go
+++ b/window/lab/lab.go
@@ -131,18 +131,26 @@
 	if set.Keys == 0 {
 		set.Keys = 40
 	}
-	l := &Lab{set: set, monday: begin, Refused: map[string]int{},
+	l := &Lab{
+		set: set, monday: begin, Refused: map[string]int{},
 		Reasons: map[string]int{}, last: map[string]window.State{},
 		paces: map[string]float64{}, orders: map[string][]key{}, lost: map[string]time.Duration{},
 		failing: map[string]time.Duration{}, bad: map[string]time.Duration{}, stormy: map[int]time.Duration{},
-		told: make([]time.Duration, set.Agents), leased: make([]lease.Reading, set.Agents)}
+		told: make([]time.Duration, set.Agents), leased: make([]lease.Reading, set.Agents),
+	}
 	times := policy.Times{}.Usual()
-	l.Lab = policylab.New(policylab.Setup{Seed: set.Seed, Voters: voters, Agents: set.Agents, Begin: begin,
+	l.Lab = policylab.New(policylab.Setup{
+		Seed: set.Seed, Voters: voters, Agents: set.Agents, Begin: begin,
 		Times: times, Within: 2 * time.Second, Beside: l.part,
-		Faults: lossy.Faults{Loss: 0.05, Double: 0.05, Least: time.Millisecond, Most: 20 * time.Millisecond,
-			Late: 0.02, LateBy: 3 * time.Second}})
-	l.Judge = judge.New(judge.Settings{Slack: 2*times.Terms.Clocks + time.Millisecond, Turns: turns,
-		Late: times.Terms.Wait(), Keys: set.Keys, Report: 12 * time.Second})
+		Faults: lossy.Faults{
+			Loss: 0.05, Double: 0.05, Least: time.Millisecond, Most: 20 * time.Millisecond,
+			Late: 0.02, LateBy: 3 * time.Second,
+		},
+	})
+	l.Judge = judge.New(judge.Settings{
+		Slack: 2*times.Terms.Clocks + time.Millisecond, Turns: turns,
+		Late: times.Terms.Wait(), Keys: set.Keys, Report: 12 * time.Second,
+	})
 	l.Decided, l.OnBeside = l.decided, l.follow
 	for range set.Agents {
 		l.counts = append(l.counts, map[string]*window.Count{})
@@ -163,9 +171,11 @@
 
 // part makes what stands beside the policy in a process.
 func (l *Lab) part(n int, now lease.Reading) policylab.Beside {
-	set := seat.Settings{Self: n, Votes: n >= 0 && n < voters, Incarnation: uint64(now.Mono) + 1, Machine: 2,
+	set := seat.Settings{
+		Self: n, Votes: n >= 0 && n < voters, Incarnation: uint64(now.Mono) + 1, Machine: 2,
 		Turns: turns, Linger: linger, Margin: margin, InForce: func() uint64 { return l.inForce(n) },
-		See: func(fleet.Reading) window.View { return l.view(n) }}
+		See: func(fleet.Reading) window.View { return l.view(n) },
+	}
 	switch l.set.Without {
 	case "linger":
 		set.Linger = 1
@@ -300,8 +310,10 @@
 }
 
 var anytime = func() *contract.Contract {
-	c, err := contract.Table{Zone: "UTC", Hours: []string{"mon-sun 00:00-24:00"}, NoticeMin: 20, LongestMin: 600,
-		Monthly: 31, Keep: 0.1, Served: 0.9}.Contract()
+	c, err := contract.Table{
+		Zone: "UTC", Hours: []string{"mon-sun 00:00-24:00"}, NoticeMin: 20, LongestMin: 600,
+		Monthly: 31, Keep: 0.1, Served: 0.9,
+	}.Contract()
 	if err != nil {
 		panic(err) // of constants
 	}
@@ -312,8 +324,10 @@
 // off; and where there is none, to the first that is listed and not down, or listed.
 func (l *Lab) request(i int, tenant string, k key, act policy.Acting, avoid *decide.Avoid) {
 	l.Requests++
-	r := judge.Request{At: l.Now(), Arrives: l.Now() + 20*time.Millisecond, Agent: i, Life: l.Life(voters + i),
-		Tenant: tenant, Hash: k.hash, How: act.How, Version: act.Version}
+	r := judge.Request{
+		At: l.Now(), Arrives: l.Now() + 20*time.Millisecond, Agent: i, Life: l.Life(voters + i),
+		Tenant: tenant, Hash: k.hash, How: act.How, Version: act.Version,
+	}
 	if l.Rand().IntN(10) == 0 {
 		r.Arrives = l.Now() + time.Duration(l.Rand().Int64N(int64(linger)))
 	}
@@ -432,8 +446,10 @@
 	if l.set.Without == "notice" {
 		now.Unix -= window.LeastNotice
 	}
-	data, _, err := p.Record(now, *ask, window.Scene{Nodes: l.nodes(), Contracts: act.Effect.Contracts,
-		Load: 0.5, Tenants: map[string]float64{"east": 0.5, "west": 0.3}, Policy: act.Version, Margin: margin})
+	data, _, err := p.Record(now, *ask, window.Scene{
+		Nodes: l.nodes(), Contracts: act.Effect.Contracts,
+		Load: 0.5, Tenants: map[string]float64{"east": 0.5, "west": 0.3}, Policy: act.Version, Margin: margin,
+	})
 	var misfit window.Misfit
 	if errors.As(err, &misfit) {
 		l.Refused[misfit.Tenant]++
--- a/window/lab/lab_test.go
+++ b/window/lab/lab_test.go
@@ -97,8 +97,10 @@
 }
 
 // breaks is what the judge says where a protection is taken out.
-var breaks = map[string]string{"notice": "arrives", "own clock": "arrives", "fence": "arrives", "linger": "arrives",
-	"contract": "hours", "turns": "arrives", "early return": "no window holds", "begin": "serving goes first", "strangers": "arrives"}
+var breaks = map[string]string{
+	"notice": "arrives", "own clock": "arrives", "fence": "arrives", "linger": "arrives",
+	"contract": "hours", "turns": "arrives", "early return": "no window holds", "begin": "serving goes first", "strangers": "arrives",
+}
 
 func TestEachProtectionIsNeeded(t *testing.T) {
 	for _, without := range Protections {
--- a/window/plan.go
+++ b/window/plan.go
@@ -220,9 +220,11 @@
 func (p *planner) away() time.Duration { return time.Duration(p.steps) * step }
 
 func (p *planner) window() *Window {
-	w := &Window{ID: p.ask.ID, Who: p.ask.Who, Tenants: p.tenants, Steps: p.steps, Policy: p.scene.Policy,
+	w := &Window{
+		ID: p.ask.ID, Who: p.ask.Who, Tenants: p.tenants, Steps: p.steps, Policy: p.scene.Policy,
 		From: p.ask.From, Drained: p.ask.From + p.away(), Back: p.ask.To - p.away(), To: p.ask.To,
-		Since: p.scene.Now}
+		Since: p.scene.Now,
+	}
 	for _, i := range p.asked {
 		w.Nodes = append(w.Nodes, p.scene.Nodes[i].ID)
 	}
