--- a/window/plan_test.go
+++ b/window/plan_test.go
@@ -25,7 +25,8 @@
 		return time.Duration(one.UnixNano())
 	}
 	other := &Window{ID: "w1", From: at("20 18:30:00"), To: at("20 19:00:00"), Nodes: []string{"a", "b"}, Tenants: []string{"east"}}
-	scene := Scene{Now: at("20 12:00:00"), Windows: []*Window{other}, Tenants: map[string]float64{"east": 0.5, "west": 0.2},
+	scene := Scene{
+		Now: at("20 12:00:00"), Windows: []*Window{other}, Tenants: map[string]float64{"east": 0.5, "west": 0.2},
 		Contracts: map[string]*contract.Contract{"east": c},
 		Nodes:     []Node{{ID: "a", Zone: "z", Capacity: 1}, {ID: "b", Zone: "z", Capacity: 1}, {ID: "c", Zone: "y", Capacity: 1}, {ID: "d", Zone: "y", Capacity: 1}, {ID: "e", Capacity: 1}, {ID: "f", Capacity: 1}, {ID: "g", Capacity: 1}},
 		Moved: func(_ string, from, to time.Duration) int {
@@ -33,7 +34,8 @@
 				return 1
 			}
 			return 0
-		}}
+		},
+	}
 	const none = time.Duration(0)
 	for name, one := range map[string]struct {
 		change func(*Ask, *Scene)
@@ -45,10 +47,14 @@
 		"touches one after it": {func(a *Ask, _ *Scene) {
 			a.Nodes, a.From, a.To = []string{"c", "d"}, other.From-time.Hour, other.From
 		}, "", none},
-		"at the far edge": {func(a *Ask, _ *Scene) { a.From, a.To = at("21 02:00:00"), at("21 02:59:55") },
-			"tenant east: its contract's hours are Tue 2026-10-20 20:00:00 EEST to Wed 2026-10-21 06:00:00 EEST", at("21 17:00:10")},
-		"without a node": {func(a *Ask, s *Scene) { a.Nodes, a.Zone, s.Nodes = nil, "z", s.Nodes[:2] },
-			"tenant east: is left without a node", none},
+		"at the far edge": {
+			func(a *Ask, _ *Scene) { a.From, a.To = at("21 02:00:00"), at("21 02:59:55") },
+			"tenant east: its contract's hours are Tue 2026-10-20 20:00:00 EEST to Wed 2026-10-21 06:00:00 EEST", at("21 17:00:10"),
+		},
+		"without a node": {
+			func(a *Ask, s *Scene) { a.Nodes, a.Zone, s.Nodes = nil, "z", s.Nodes[:2] },
+			"tenant east: is left without a node", none,
+		},
 		"a zone":            {func(a *Ask, _ *Scene) { a.Nodes, a.Zone = nil, "z" }, "", none},
 		"no contract":       {func(a *Ask, _ *Scene) { a.Tenants = []string{"west"} }, "tenant west: has no contract, so it may not be moved", none},
 		"all":               {func(a *Ask, _ *Scene) { a.Tenants = []string{All} }, "tenant -: has no contract", none},
@@ -56,18 +62,28 @@
 		"short":             {func(a *Ask, _ *Scene) { a.To = a.From + 4*time.Minute }, "4m0s is too short: keys take 1m40s to leave", none},
 		"long":              {func(a *Ask, _ *Scene) { a.To = a.From + 3*time.Hour }, "tenant east: by its contract a window lasts 2h0m0s at most", none},
 		"late":              {func(_ *Ask, s *Scene) { s.Now = at("20 19:45:01") }, "tenant east: a window has to be asked for 20m0s ahead", at("20 20:08:00")},
-		"by day": {func(a *Ask, _ *Scene) { a.From, a.To = at("21 08:00:00"), at("21 09:00:00") },
-			"tenant east: its contract's hours do not allow Wed 2026-10-21 11:00:00 EEST", at("21 17:00:10")},
-		"at the edge": {func(a *Ask, _ *Scene) { a.From, a.To = at("21 17:00:00"), at("21 18:00:00") },
-			"tenant east: its contract's hours are Wed 2026-10-21 20:00:00 EEST to Thu 2026-10-22 06:00:00 EEST, and 10s of them are left at both ends", at("21 17:00:10")},
+		"by day": {
+			func(a *Ask, _ *Scene) { a.From, a.To = at("21 08:00:00"), at("21 09:00:00") },
+			"tenant east: its contract's hours do not allow Wed 2026-10-21 11:00:00 EEST", at("21 17:00:10"),
+		},
+		"at the edge": {
+			func(a *Ask, _ *Scene) { a.From, a.To = at("21 17:00:00"), at("21 18:00:00") },
+			"tenant east: its contract's hours are Wed 2026-10-21 20:00:00 EEST to Thu 2026-10-22 06:00:00 EEST, and 10s of them are left at both ends", at("21 17:00:10"),
+		},
 		"monthly": {func(_ *Ask, s *Scene) { s.Moved = func(string, time.Duration, time.Duration) int { return 2 } }, "tenant east: it has its 2 windows of 2026-10", none},
-		"twice": {func(a *Ask, _ *Scene) { a.From, a.To = at("20 18:00:00"), at("20 19:00:00") },
-			"tenant east: is off node a by window w1 until 2026-10-20 19:00:00 UTC", other.To},
-		"kept": {func(a *Ask, _ *Scene) { a.Nodes, a.From, a.To = []string{"c"}, at("20 18:00:00"), at("20 19:00:00") },
-			"tenant east: 0.571 of the capacity remains, its contract keeps 0.7, with windows w1", other.To},
+		"twice": {
+			func(a *Ask, _ *Scene) { a.From, a.To = at("20 18:00:00"), at("20 19:00:00") },
+			"tenant east: is off node a by window w1 until 2026-10-20 19:00:00 UTC", other.To,
+		},
+		"kept": {
+			func(a *Ask, _ *Scene) { a.Nodes, a.From, a.To = []string{"c"}, at("20 18:00:00"), at("20 19:00:00") },
+			"tenant east: 0.571 of the capacity remains, its contract keeps 0.7, with windows w1", other.To,
+		},
 		"too full": {func(_ *Ask, s *Scene) { s.Load = 0.89 }, "node b is used to 0.964 of what it can, 0.9 at most may be", none},
-		"one is down": {func(a *Ask, s *Scene) { a.Nodes, s.Nodes[6].Absent = []string{"c", "d"}, true },
-			"tenant east: 0.571 of the capacity remains", none},
+		"one is down": {
+			func(a *Ask, s *Scene) { a.Nodes, s.Nodes[6].Absent = []string{"c", "d"}, true },
+			"tenant east: 0.571 of the capacity remains", none,
+		},
 		"one is down that a window holds": {func(a *Ask, s *Scene) {
 			a.Nodes, s.Nodes[6].Absent = []string{"c", "d"}, true
 			s.Windows = []*Window{{ID: "w0", From: s.Now, To: a.From, Nodes: []string{"g", "on no list"}}}
@@ -97,9 +113,11 @@
 		if one.want == "" {
 			require.NoError(t, err, name)
 			require.Equal(t, time.Duration(w.Steps)*time.Second, w.Drained-w.From, name)
-			require.Equal(t, []float64{0, 0, 0.01, 0.5, 1, 1, 1, 0.5, 0.01, 0}, []float64{w.Planned(w.From - 1), w.Planned(w.From),
+			require.Equal(t, []float64{0, 0, 0.01, 0.5, 1, 1, 1, 0.5, 0.01, 0}, []float64{
+				w.Planned(w.From - 1), w.Planned(w.From),
 				w.Planned(w.From + time.Second), w.Planned(w.From + 50*time.Second), w.Planned(w.Drained), w.Planned(w.Back - 1),
-				w.Planned(w.Back), w.Planned(w.To - 50*time.Second), w.Planned(w.To - 1), w.Planned(w.To)})
+				w.Planned(w.Back), w.Planned(w.To - 50*time.Second), w.Planned(w.To - 1), w.Planned(w.To),
+			})
 			continue
 		}
 		require.ErrorContains(t, err, one.want, name)
@@ -115,10 +133,14 @@
 	c, err := contract.Table{Zone: "UTC", Hours: []string{"mon-sun 00:00-24:00"}, Keep: 0.5}.Contract()
 	require.NoError(t, err)
 	now := time.Duration(time.Date(2026, 3, 23, 12, 0, 0, 0, time.UTC).UnixNano())
-	scene := Scene{Now: now, Most: 1, Tenants: map[string]float64{"east": 0.1, "west": 0.1}, Contracts: map[string]*contract.Contract{Rest: c},
+	scene := Scene{
+		Now: now, Most: 1, Tenants: map[string]float64{"east": 0.1, "west": 0.1}, Contracts: map[string]*contract.Contract{Rest: c},
 		Nodes: []Node{{ID: "a", Capacity: 1}, {ID: "b", Capacity: 1}, {ID: "c", Capacity: 1}},
-		Windows: []*Window{{ID: "east", From: now, To: now + day, Nodes: []string{"c"}, Tenants: []string{"east"}},
-			{ID: "west", From: now + 20*time.Hour, To: now + 21*time.Hour, Nodes: []string{"b"}, Tenants: []string{"west"}}}}
+		Windows: []*Window{
+			{ID: "east", From: now, To: now + day, Nodes: []string{"c"}, Tenants: []string{"east"}},
+			{ID: "west", From: now + 20*time.Hour, To: now + 21*time.Hour, Nodes: []string{"b"}, Tenants: []string{"west"}},
+		},
+	}
 	_, err = Fit(Ask{ID: "ask", Nodes: []string{"a"}, Tenants: []string{Rest}, From: now + 2*time.Hour, To: now + 150*time.Minute}, scene)
 	require.ErrorContains(t, err, "node b is used to 1.01 of what it can, 1 at most may be, with windows east")
 	require.Equal(t, 20*time.Hour, err.(Misfit).Next-now)
@@ -138,8 +160,10 @@
 		s.Nodes = append(s.Nodes, Node{ID: fmt.Sprint("booking-", i), Zone: fmt.Sprint("z", i%3), Capacity: []float64{1.8, 0.9}[i%2]})
 	}
 	for i := range 20 {
-		c, err := contract.Table{Zone: "Europe/Bucharest", Monthly: 100,
-			Hours: []string{fmt.Sprintf("mon-fri %d:00-06:00", 19+i%4), "sat,sun 00:00-24:00"}}.Contract()
+		c, err := contract.Table{
+			Zone: "Europe/Bucharest", Monthly: 100,
+			Hours: []string{fmt.Sprintf("mon-fri %d:00-06:00", 19+i%4), "sat,sun 00:00-24:00"},
+		}.Contract()
 		require.NoError(b, err)
 		s.Tenants[fmt.Sprint("t", i)], s.Contracts[fmt.Sprint("t", i)] = 0.04, c
 	}
--- a/window/records.go
+++ b/window/records.go
@@ -79,8 +79,10 @@
 	if err != nil {
 		panic(err) // of constants
 	}
-	dec, err := cbor.DecOptions{IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden,
-		MaxArrayElements: 1 << 10, MaxMapPairs: 16, MaxNestedLevels: 6}.DecMode()
+	dec, err := cbor.DecOptions{
+		IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden,
+		MaxArrayElements: 1 << 10, MaxMapPairs: 16, MaxNestedLevels: 6,
+	}.DecMode()
 	if err != nil {
 		panic(err)
 	}
@@ -119,8 +121,10 @@
 	if f.Notice == 0 {
 		f.Notice = LeastNotice
 	}
-	r := record{Kind: asked, ID: a.Window.ID, Who: a.Who, Now: a.Now, Policy: a.Policy, Revision: a.Revision,
-		Window: f}
+	r := record{
+		Kind: asked, ID: a.Window.ID, Who: a.Who, Now: a.Now, Policy: a.Policy, Revision: a.Revision,
+		Window: f,
+	}
 	if why := unfit(&r); why != "" {
 		return nil, fmt.Errorf("%w: %s", ErrRecord, why)
 	}
@@ -189,13 +193,17 @@
 }
 
 func formOf(w *Window) *form {
-	return &form{ID: w.ID, Who: w.Who, Nodes: w.Nodes, Tenants: w.Tenants, From: w.From, Drained: w.Drained,
-		Back: w.Back, To: w.To, Steps: w.Steps, Policy: w.Policy}
+	return &form{
+		ID: w.ID, Who: w.Who, Nodes: w.Nodes, Tenants: w.Tenants, From: w.From, Drained: w.Drained,
+		Back: w.Back, To: w.To, Steps: w.Steps, Policy: w.Policy,
+	}
 }
 
 // window is the form as others see it.
 func (f *form) window() *Window {
-	return &Window{ID: f.ID, Who: f.Who, Nodes: f.Nodes, Tenants: f.Tenants, From: f.From, Drained: f.Drained,
+	return &Window{
+		ID: f.ID, Who: f.Who, Nodes: f.Nodes, Tenants: f.Tenants, From: f.From, Drained: f.Drained,
 		Back: f.Back, To: f.To, Steps: f.Steps, Policy: f.Policy, State: f.State, Since: f.Since,
-		Held: float64(f.Held) / float64(max(f.Steps, 1)), Reason: f.Reason}
+		Held: float64(f.Held) / float64(max(f.Steps, 1)), Reason: f.Reason,
+	}
 }
--- a/window/search/search.go
+++ b/window/search/search.go
@@ -63,8 +63,10 @@
 	step = 12*time.Second + 100*time.Microsecond // longer than counts are summed, and than clocks are off
 )
 
-var terms = lease.Terms{Length: length * 12 * time.Second, Heard: heard * 12 * time.Second, Pause: time.Hour,
-	Clocks: time.Nanosecond, Drift: 1e-6}
+var terms = lease.Terms{
+	Length: length * 12 * time.Second, Heard: heard * 12 * time.Second, Pause: time.Hour,
+	Clocks: time.Nanosecond, Drift: 1e-6,
+}
 
 func reading(s int) lease.Reading {
 	at := 1798459200*time.Second + time.Duration(s)*step
@@ -152,18 +154,24 @@
 	if set.Voters > mostVoters || set.Agents > mostAgents || set.Grants >= mostGrants {
 		panic(fmt.Sprintf("%+v: there is no room for so many", set))
 	}
-	s := &search{set: set, seed: maphash.MakeSeed(), proposals: map[string]*proposal{},
-		seen: explore.NewStates(), apart: explore.NewStates()}
+	s := &search{
+		set: set, seed: maphash.MakeSeed(), proposals: map[string]*proposal{},
+		seen: explore.NewStates(), apart: explore.NewStates(),
+	}
 	s.root = &place{machine: window.NewMachine(func() uint64 { return 1 })}
-	always, err := contract.Table{Zone: "UTC", Hours: []string{"mon-sun 00:00-24:00"}, NoticeMin: 1,
-		LongestMin: 600, Monthly: 31, Keep: 0.1, Served: 0.9}.Contract()
+	always, err := contract.Table{
+		Zone: "UTC", Hours: []string{"mon-sun 00:00-24:00"}, NoticeMin: 1,
+		LongestMin: 600, Monthly: 31, Keep: 0.1, Served: 0.9,
+	}.Contract()
 	if err != nil {
 		panic(err) // of constants
 	}
 	effect := &policy.Effect{Contracts: map[string]*contract.Contract{"east": always}}
-	s.acting = [...]policy.Acting{policy.Bottom: {Effect: &policy.Effect{}},
+	s.acting = [...]policy.Acting{
+		policy.Bottom: {Effect: &policy.Effect{}},
 		policy.Within: {How: policy.Within, Version: 1, Effect: effect},
-		policy.Full:   {How: policy.Full, Version: 1, Effect: effect}}
+		policy.Full:   {How: policy.Full, Version: 1, Effect: effect},
+	}
 	s.begin(nil)
 	explore.Run(set.Workers, s.began, func(jobs *explore.Jobs[job]) func(job) {
 		k := newWorker(s, jobs)
@@ -208,9 +216,13 @@
 func (s *search) first(agents []agent) (w world, can bool) {
 	w = world{log: s.root, sent: never, troubles: int8(s.set.Troubles), restarts: int8(s.set.Restarts)}
 	at := reading(s.asked())
-	data, err := window.Accept(window.Asking{Now: at.Unix, Policy: 1, Notice: reading(from).Unix - at.Unix,
-		Window: &window.Window{ID: "w", Nodes: []string{"n"}, Tenants: []string{"east"}, Steps: 2,
-			From: reading(from).Unix, Drained: reading(drained).Unix, Back: reading(back).Unix, To: reading(to).Unix}})
+	data, err := window.Accept(window.Asking{
+		Now: at.Unix, Policy: 1, Notice: reading(from).Unix - at.Unix,
+		Window: &window.Window{
+			ID: "w", Nodes: []string{"n"}, Tenants: []string{"east"}, Steps: 2,
+			From: reading(from).Unix, Drained: reading(drained).Unix, Back: reading(back).Unix, To: reading(to).Unix,
+		},
+	})
 	if err != nil {
 		panic(err) // of constants
 	}
@@ -247,8 +259,10 @@
 
 // council has the settings of each voter's.
 func (s *search) council() window.CouncilSettings {
-	set := window.CouncilSettings{Times: policy.Times{Terms: terms}, Linger: lingers * 12 * time.Second,
-		Margin: margin * 12 * time.Second}
+	set := window.CouncilSettings{
+		Times: policy.Times{Terms: terms}, Linger: lingers * 12 * time.Second,
+		Margin: margin * 12 * time.Second,
+	}
 	switch s.set.Without {
 	case "linger":
 		set.Linger = 1
@@ -281,8 +295,10 @@
 	m.Apply(uint64(last.depth+1), p.data)
 	if next = last; !bytes.Equal(m.Snapshot(), last.machine.Snapshot()) {
 		s.places++
-		next = &place{id: s.places, depth: last.depth + 1, before: last, machine: m,
-			state: m.Windows()[0].State, part: s.part(m)}
+		next = &place{
+			id: s.places, depth: last.depth + 1, before: last, machine: m,
+			state: m.Windows()[0].State, part: s.part(m),
+		}
 	}
 	if last.next == nil {
 		last.next = map[*proposal]*place{}
@@ -331,8 +347,10 @@
 	}
 	c.Told(now, []window.Count{count})
 	records, _ := c.Due(now, func() window.View {
-		return window.View{Standing: lease.Full, Acting: s.acting[policy.Full], InForce: 1,
-			Nodes: []window.Node{{ID: "n", Capacity: 1}, {ID: "m", Capacity: 9}}}
+		return window.View{
+			Standing: lease.Full, Acting: s.acting[policy.Full], InForce: 1,
+			Nodes: []window.Node{{ID: "n", Capacity: 1}, {ID: "m", Capacity: 9}},
+		}
 	})
 	c.Hurry()
 	l.council, l.sums = c, s.sums(c, at)
--- a/window/search/search_test.go
+++ b/window/search/search_test.go
@@ -18,11 +18,18 @@
 }
 
 func TestNothingThatCanHappenBreaksThePromise(t *testing.T) {
-	worlds := []Setup{{Voters: 1, Agents: 1, Grants: 1}, {Voters: 3, Agents: 1, Troubles: 1},
-		{Voters: 3, Agents: 1, Grants: 1, Restarts: 1}}
+	worlds := []Setup{
+		{Voters: 1, Agents: 1, Grants: 1},
+		{Voters: 3, Agents: 1, Troubles: 1},
+		{Voters: 3, Agents: 1, Grants: 1, Restarts: 1},
+	}
 	if os.Getenv("LONG_TESTS") != "" {
-		worlds = []Setup{{Voters: 1, Agents: 1, Grants: 2, Troubles: 1}, {Voters: 2, Agents: 2, Troubles: 1},
-			{Voters: 3, Agents: 1, Grants: 1, Troubles: 1}, {Voters: 3, Agents: 1, Troubles: 1, Restarts: 1}}
+		worlds = []Setup{
+			{Voters: 1, Agents: 1, Grants: 2, Troubles: 1},
+			{Voters: 2, Agents: 2, Troubles: 1},
+			{Voters: 3, Agents: 1, Grants: 1, Troubles: 1},
+			{Voters: 3, Agents: 1, Troubles: 1, Restarts: 1},
+		}
 	}
 	if text := os.Getenv("SEARCH"); text != "" { // voters, agents, leases, troubles, voters' restarts
 		set := Setup{}
@@ -47,8 +54,12 @@
 func TestWhatIsLeftOutDoesNotMatter(t *testing.T) {
 	worlds := []Setup{{Voters: 1, Agents: 1, Grants: 1}, {Voters: 1, Agents: 1, Troubles: 1}, {Voters: 2, Agents: 1, Restarts: 1}}
 	if os.Getenv("LONG_TESTS") != "" {
-		worlds = []Setup{{Voters: 1, Agents: 1, Grants: 1, Troubles: 1}, {Voters: 2, Agents: 1, Troubles: 1},
-			{Voters: 2, Agents: 2, Grants: 1}, {Voters: 1, Agents: 1, Troubles: 1, Restarts: 1}}
+		worlds = []Setup{
+			{Voters: 1, Agents: 1, Grants: 1, Troubles: 1},
+			{Voters: 2, Agents: 1, Troubles: 1},
+			{Voters: 2, Agents: 2, Grants: 1},
+			{Voters: 1, Agents: 1, Troubles: 1, Restarts: 1},
+		}
 	}
 	for _, set := range worlds {
 		set.Workers = runtime.GOMAXPROCS(0)
--- a/window/search/worker.go
+++ b/window/search/worker.go
@@ -41,9 +41,11 @@
 )
 
 func (t taken) String() string {
-	text := [...]string{"it is agreed late that it is free", "voter %d begins anew", "voter %d learns a record",
+	text := [...]string{
+		"it is agreed late that it is free", "voter %d begins anew", "voter %d learns a record",
 		"voter %d leads", "voter %d leads, and sees trouble", "voter %d proposes that it is free",
-		"agent %d learns a record", "agent %d is granted a lease", "time passes"}[t.what]
+		"agent %d learns a record", "agent %d is granted a lease", "time passes",
+	}[t.what]
 	if bytes.ContainsRune([]byte(text), '%') {
 		text = fmt.Sprintf(text, t.who)
 	}
@@ -100,9 +102,11 @@
 }
 
 func newWorker(s *search, jobs *explore.Jobs[job]) *worker {
-	return &worker{search: s, jobs: jobs, agreed: map[agreeing]*place{}, learnt: map[learning]voter{},
+	return &worker{
+		search: s, jobs: jobs, agreed: map[agreeing]*place{}, learnt: map[learning]voter{},
 		led:    map[leading]led{},
-		passed: map[passing]sums{}, kept: map[keeping]kept{}}
+		passed: map[passing]sums{}, kept: map[keeping]kept{},
+	}
 }
 
 // remembered gives what a part was asked before, or asks it.
--- a/window/seat/seat.go
+++ b/window/seat/seat.go
@@ -56,8 +56,10 @@
 func (s *Seat) begin(now fleet.Reading) {
 	s.agent = window.NewAgent(s.set.Turns)
 	if s.set.Votes {
-		s.council = window.NewCouncil(window.CouncilSettings{Times: s.set.Times, Linger: s.set.Linger,
-			Margin: s.set.Margin}, now)
+		s.council = window.NewCouncil(window.CouncilSettings{
+			Times: s.set.Times, Linger: s.set.Linger,
+			Margin: s.set.Margin,
+		}, now)
 	}
 }
 
@@ -219,8 +221,10 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	data, err := window.Accept(window.Asking{Window: w, Who: s.set.Self, Now: now.Unix, Policy: scene.Policy,
-		Revision: s.machine.Revision(), Notice: s.set.Notice})
+	data, err := window.Accept(window.Asking{
+		Window: w, Who: s.set.Self, Now: now.Unix, Policy: scene.Policy,
+		Revision: s.machine.Revision(), Notice: s.set.Notice,
+	})
 	return data, w, err
 }
 
--- a/window/seat/seat_test.go
+++ b/window/seat/seat_test.go
@@ -28,22 +28,27 @@
 }
 
 func contracts(t *testing.T, hours string) map[string]*contract.Contract {
-	c, err := contract.Table{Zone: "UTC", Hours: []string{hours}, NoticeMin: 20, LongestMin: 240, Monthly: 2, Keep: 0.5,
-		Served: 0.9}.Contract()
+	c, err := contract.Table{
+		Zone: "UTC", Hours: []string{hours}, NoticeMin: 20, LongestMin: 240, Monthly: 2, Keep: 0.5,
+		Served: 0.9,
+	}.Contract()
 	require.NoError(t, err)
 	return map[string]*contract.Contract{"east": c}
 }
 
 func begin(t *testing.T) *world {
 	w := &world{acting: policy.Acting{How: policy.Full, Version: 1, Effect: &policy.Effect{
-		Contracts: contracts(t, "mon-sun 20:00-06:00")}}}
+		Contracts: contracts(t, "mon-sun 20:00-06:00"),
+	}}}
 	for _, id := range []string{"n1", "n2", "n3"} {
 		w.nodes = append(w.nodes, window.Node{ID: id, Capacity: 1})
 	}
-	w.Seat = New(Settings{Votes: true, Machine: 2, InForce: func() uint64 { return 1 },
+	w.Seat = New(Settings{
+		Votes: true, Machine: 2, InForce: func() uint64 { return 1 },
 		See: func(fleet.Reading) window.View {
 			return window.View{Standing: lease.Full, Acting: w.acting, InForce: 1, Nodes: w.nodes}
-		}}, at(0))
+		},
+	}, at(0))
 	return w
 }
 
@@ -61,10 +66,14 @@
 }
 
 func (w *world) ask(t *testing.T) *window.Window {
-	ask := window.Ask{ID: "a", Nodes: []string{"n1"}, Tenants: []string{"east"}, From: noon + 9*time.Hour,
-		To: noon + 11*time.Hour}
-	data, win, err := w.Record(at(0), ask, window.Scene{Nodes: w.nodes, Contracts: w.acting.Effect.Contracts,
-		Tenants: map[string]float64{"east": 0.5}, Load: 0.5, Policy: 1})
+	ask := window.Ask{
+		ID: "a", Nodes: []string{"n1"}, Tenants: []string{"east"}, From: noon + 9*time.Hour,
+		To: noon + 11*time.Hour,
+	}
+	data, win, err := w.Record(at(0), ask, window.Scene{
+		Nodes: w.nodes, Contracts: w.acting.Effect.Contracts,
+		Tenants: map[string]float64{"east": 0.5}, Load: 0.5, Policy: 1,
+	})
 	require.NoError(t, err)
 	w.Apply(1, data)
 	w.Learn(at(0), false)
--- a/window/window.go
+++ b/window/window.go
@@ -48,8 +48,10 @@
 )
 
 func (s State) String() string {
-	return [...]string{"planned", "draining", "drained", "free", "paused", "returning", "ended",
-		"stopped"}[min(s, Stopped)]
+	return [...]string{
+		"planned", "draining", "drained", "free", "paused", "returning", "ended",
+		"stopped",
+	}[min(s, Stopped)]
 }
 
 // Window is one that was accepted. Everything is absolute, so that no agent needs a calendar or another's
--- a/window/window_test.go
+++ b/window/window_test.go
@@ -19,8 +19,10 @@
 const begin = 1798459200 * time.Second
 
 func example(id string, at time.Duration) *Window {
-	return &Window{ID: id, Nodes: []string{"n1", "n2"}, Tenants: []string{"east", "west"}, From: at,
-		Drained: at + 100*time.Second, Back: at + time.Hour, To: at + time.Hour + 100*time.Second, Steps: 10}
+	return &Window{
+		ID: id, Nodes: []string{"n1", "n2"}, Tenants: []string{"east", "west"}, From: at,
+		Drained: at + 100*time.Second, Back: at + time.Hour, To: at + time.Hour + 100*time.Second, Steps: 10,
+	}
 }
 
 func accept(t require.TestingT, m *Machine, w *Window, now time.Duration) {
@@ -152,8 +154,10 @@
 }
 
 func always(t require.TestingT) *contract.Contract {
-	c, err := contract.Table{Zone: "UTC", Hours: []string{"mon-sun 00:00-24:00"}, NoticeMin: 20, LongestMin: 600,
-		Monthly: 31, Keep: 0.1, Served: 0.9}.Contract()
+	c, err := contract.Table{
+		Zone: "UTC", Hours: []string{"mon-sun 00:00-24:00"}, NoticeMin: 20, LongestMin: 600,
+		Monthly: 31, Keep: 0.1, Served: 0.9,
+	}.Contract()
 	require.NoError(t, err)
 	return c
 }
