--- /dev/null
+++ b/internal/wire/golden_test.go
@@ -0,0 +1,187 @@
+package wire
+
+import (
+	"bufio"
+	"bytes"
+	"encoding/hex"
+	"flag"
+	"fmt"
+	"math"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"dunestep/decide"
+)
+
+var updateGolden = flag.Bool("update", false, "write testdata/golden/actions.txt anew")
+
+// dispositions, modes and availabilities are the wire's names by the values that they stand for.
+var (
+	dispositions = []string{
+		"served", "server_error", "turned_away", "no_answer", "no_connection", "connection_lost", "called_off", "not_sent",
+	}
+	modes          = []string{"INCREMENTAL", "FULL", "SAVED", "FAILED"}
+	availabilities = []string{"in_service", "terminating", "terminated"}
+)
+
+// A line in the making: the fields of one item, in order.
+type fields struct{ text []string }
+
+func (f *fields) add(name string, value any) {
+	f.text = append(f.text, fmt.Sprintf(`"%s":%v`, name, value))
+}
+
+func (f *fields) String() string { return "{" + strings.Join(f.text, ",") + "}" }
+
+func quoted(s string) string { return string(AppendString(nil, s)) }
+
+// encoded is the item that a message was decoded from, by what was read.
+func encoded(m *Msg) string {
+	var f fields
+	f.add("kind", quoted(m.Kind))
+	if m.Agent != "" {
+		f.add("agentId", quoted(m.Agent))
+	}
+	switch m.Kind {
+	case "REQUEST":
+		f.add("call", m.ID)
+		f.add("weightHint", m.Work)
+		f.add("subject", quoted(m.Key))
+		if m.Tenant == "" {
+			f.add("org", 0)
+		} else {
+			f.add("org", quoted(m.Tenant))
+		}
+		f.add("class", quoted(m.Class))
+		f.add("budget", m.Budget)
+		f.add("isRetry", m.Retry)
+	case "DONE", "CHECKED":
+		if m.Kind == "DONE" {
+			f.add("call", m.ID)
+			f.add("go", m.Attempt)
+		}
+		f.add("backend", quoted(m.Server))
+		f.add("disposition", quoted(m.Outcome))
+		f.add("latency", m.Latency)
+		if m.Kind == "DONE" {
+			f.add("complete", m.Complete)
+		}
+		if m.HasLoad {
+			f.add("stats", encodedLoad(m.Load))
+		}
+	case "STREAMING":
+		f.add("call", m.ID)
+		f.add("go", m.Attempt)
+	case "TIMED_OUT_CLIENT":
+		f.add("call", m.ID)
+	case "NEIGHBOUR_SAYS":
+		f.add("by", m.From)
+		f.add("body", quoted(hex.EncodeToString(m.Data)))
+	case "TIMER":
+		f.add("tag", m.Tag)
+	case "SYNC":
+		f.add("mode", quoted(m.Mode))
+		f.add("sheet", m.Sheet)
+	case "POOL":
+		f.add("sheet", m.Sheet)
+		f.add("members", encodedServers(m.Members))
+	case "NEW_INSTANCE":
+		f.add("prng", m.Seed)
+		f.add("env", string(m.Env))
+	}
+	return f.String()
+}
+
+func encodedLoad(l decide.Load) string {
+	var f fields
+	for _, x := range []struct {
+		name  string
+		value float64
+	}{{"rif", l.InFlight}, {"lat_ms", l.Latency * 1e3}, {"rate", l.Rate}, {"fail_rate", l.Errors}} {
+		if x.value >= 0 {
+			f.add(x.name, x.value)
+		}
+	}
+	return f.String()
+}
+
+func encodedServers(servers []decide.Server) string {
+	var all []string
+	for _, s := range servers {
+		var f fields
+		f.add("backend", quoted(s.ID))
+		f.add("campus", quoted(s.Zone))
+		f.add("machine", quoted(s.Kind))
+		f.add("cohort", s.Cell)
+		f.add("availability", quoted(availabilities[s.State]))
+		f.add("heft", s.Weight)
+		f.add("startedAt", s.Started.Microseconds())
+		all = append(all, f.String())
+	}
+	return "[" + strings.Join(all, ",") + "]"
+}
+
+// Each line of the file is a batch, in the order of fields that encoded has: one for each kind of message.
+func TestGoldenBatches(t *testing.T) {
+	file, err := os.ReadFile(filepath.Join("testdata", "golden", "batches.txt"))
+	require.NoError(t, err)
+	decoder, lines := NewDecoder(), bufio.NewScanner(bytes.NewReader(file))
+	kinds := map[string]bool{}
+	for lines.Scan() {
+		var items []string
+		now, err := decoder.Batch(lines.Bytes(), func(_ time.Duration, m *Msg) error {
+			kinds[m.Kind] = true
+			items = append(items, encoded(m))
+			if m.Outcome != "" {
+				require.Equal(t, m.Outcome, dispositions[Outcome(m.Outcome)])
+			}
+			if m.Mode != "" {
+				kind, err := SyncKind(m.Mode)
+				require.NoError(t, err)
+				require.Equal(t, m.Mode, modes[kind])
+			}
+			return nil
+		})
+		require.NoError(t, err, lines.Text())
+		again := fmt.Sprintf(`{"time":%d,"items":[%s]}`, now.Microseconds(), strings.Join(items, ","))
+		require.Equal(t, lines.Text(), again)
+	}
+	require.NoError(t, lines.Err())
+	require.Len(t, kinds, 11)
+}
+
+// Each line of the file is an action as it is written.
+func TestGoldenActions(t *testing.T) {
+	var made bytes.Buffer
+	for _, a := range []decide.Action{
+		{Kind: decide.Send, ID: 1, Server: "backend_abuevth", After: 80 * time.Millisecond},
+		{Kind: decide.Send, ID: math.MaxUint32, Server: "a\"b\\c\td", After: time.Hour},
+		{Kind: decide.Fail, ID: 2},
+		{Kind: decide.Refuse, ID: 3},
+		{Kind: decide.Refuse, ID: 4, After: 1500 * time.Microsecond},
+		{Kind: decide.Refuse, ID: 5, OverShare: true},
+		{Kind: decide.Cancel, ID: 6, Attempt: 1},
+		{Kind: decide.Probe, Server: "s1"},
+		{Kind: decide.Tell, Peer: 3, Data: []byte{'q', 1, 2, 3, 4, 5}},
+		{Kind: decide.Tell, Peer: 0},
+		{Kind: decide.SetTimer, After: time.Second, Tag: math.MaxUint64},
+		{Kind: decide.Subscribe},
+		{Kind: decide.Fetch},
+		{Kind: decide.Log, Text: "two servers known"},
+	} {
+		made.Write(append(AppendAction(nil, "agent-3", &a), '\n'))
+	}
+	made.Write(append(AppendFault(nil, "agent-3", "no request classes"), '\n'))
+	path := filepath.Join("testdata", "golden", "actions.txt")
+	if *updateGolden {
+		require.NoError(t, os.WriteFile(path, made.Bytes(), 0o644))
+	}
+	want, err := os.ReadFile(path)
+	require.NoError(t, err)
+	require.Equal(t, string(want), made.String())
+}
