--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -1421,11 +1421,14 @@
 	zero, err := New(settings(), 1)
 	require.NoError(t, err)
 	assert.Equal(t, DefaultFigures(), zero.set.Figures)
-	for _, bad := range []float64{-1, math.NaN(), math.Inf(1)} {
-		set.Figures = DefaultFigures()
-		set.Figures.ColdMargin = bad
-		_, err := New(set, 1)
-		assert.ErrorContains(t, err, "ColdMargin")
+	for i := range reflect.TypeFor[Figures]().NumField() {
+		name := reflect.TypeFor[Figures]().Field(i).Name
+		for _, bad := range []float64{-1, math.NaN(), math.Inf(1)} {
+			set.Figures = DefaultFigures()
+			reflect.ValueOf(&set.Figures).Elem().Field(i).SetFloat(bad)
+			_, err := New(set, 1)
+			assert.ErrorContains(t, err, name)
+		}
 	}
 }
 
