--- a/fleet/consensus/consensus_test.go
+++ b/fleet/consensus/consensus_test.go
@@ -19,6 +19,7 @@
 	voters    []*Voter
 	committed [][]Entry
 	drop      func(from, to uint32) bool
+	sent      func(b []byte) // told of each message; nil: nobody is
 }
 
 func newTrio(t require.TestingT, volatile bool) *trio {
@@ -42,6 +43,9 @@
 		tr.step(a, Persisted{out.Persist.Token})
 	}
 	for _, m := range out.Messages {
+		if tr.sent != nil {
+			tr.sent(m.Bytes)
+		}
 		if tr.drop == nil || !tr.drop(a, m.To) {
 			tr.step(m.To, Received{a, m.Bytes})
 		}
--- /dev/null
+++ b/fleet/consensus/golden_test.go
@@ -0,0 +1,136 @@
+package consensus
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+	"go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+
+	"dunestep/fleet/internal/golden"
+)
+
+// TestGoldenMessages: each kind of message between voters keeps its bytes, and is read from them as it was.
+func TestGoldenMessages(t *testing.T) {
+	const epoch = 1_800_000_000_000
+	founders := []member{{1, 0, epoch}, {2, 100, epoch + 1}, {3, 299, epoch + 2}}
+	h := hello{nonce: epoch + 5, epoch: epoch, id: 9, promise: 3, seen: epoch + 1, standing: hasStuckLog, answer: true}
+	for name, h := range map[string]hello{"hello": h, "hello-new": {nonce: epoch}} {
+		encoded := golden.Bytes(t, name, h.encode())
+		require.Equal(t, []byte{wireVersion, wireHello}, encoded[:2])
+		r := &reader{b: encoded[2:]}
+		back := readHello(r)
+		require.False(t, r.bad || len(r.b) > 0)
+		require.Equal(t, h, back)
+		require.Equal(t, encoded, back.encode())
+	}
+	file := golden.Bytes(t, "relay", h.relay(299))
+	require.Equal(t, []byte{wireVersion, wireRelay}, file[:2])
+	r := &reader{b: file[2:]}
+	from, back := r.u32(), readHello(r)
+	require.False(t, r.bad || len(r.b) > 0)
+	require.Equal(t, file, back.relay(from))
+
+	for name, w := range map[string]welcome{
+		"welcome":         {nonce: epoch + 5, epoch: epoch, id: 9},
+		"welcome-founder": {nonce: epoch + 1, epoch: epoch, id: 2, founders: founders},
+	} {
+		encoded := golden.Bytes(t, name, w.encode())
+		require.Equal(t, []byte{wireVersion, wireWelcome}, encoded[:2])
+		body := &reader{b: encoded[2:]}
+		read := readWelcome(body)
+		require.False(t, body.bad || len(body.b) > 0)
+		require.Equal(t, w, read)
+		require.Equal(t, encoded, read.encode())
+	}
+	file = golden.Bytes(t, "gone", gone{epoch, 9}.encode())
+	require.Equal(t, []byte{wireVersion, wireGone}, file[:2])
+	r = &reader{b: file[2:]}
+	require.Equal(t, file, gone{r.u64(), r.u64()}.encode())
+	require.False(t, r.bad || len(r.b) > 0)
+}
+
+// rewritten is a message of raft's that was read and written again.
+func rewritten(t *testing.T, file []byte) []byte {
+	t.Helper()
+	require.Equal(t, []byte{wireVersion, wireRaft}, file[:2])
+	r := &reader{b: file[2:]}
+	e := envelope{r.u64(), r.u64(), r.u64(), r.u64(), r.u64()}
+	m := &raftpb.Message{}
+	require.NoError(t, proto.Unmarshal(r.b, m))
+	back, err := proto.MarshalOptions{Deterministic: true}.MarshalAppend(e.append(nil), m)
+	require.NoError(t, err)
+	return back
+}
+
+// TestGoldenRaft: what three voters send each other, as a log begins, a record is agreed, and a voter comes back without its
+// store: the first message of each type of raft's.
+func TestGoldenRaft(t *testing.T) {
+	first := map[string][]byte{}
+	tr := newTrio(t, false)
+	note := func(b []byte) {
+		if b[1] != wireRaft {
+			return
+		}
+		m := &raftpb.Message{}
+		require.NoError(t, proto.Unmarshal(b[2+5*8:], m))
+		name := fmt.Sprintf("raft-%s", m.GetType())
+		if m.GetType() == raftpb.MsgApp && len(m.GetEntries()) > 0 {
+			name = fmt.Sprintf("raft-%s-%s", m.GetType(), m.GetEntries()[0].GetType())
+		}
+		if first[name] == nil {
+			first[name] = append([]byte(nil), b...)
+		}
+	}
+	tr.sent = note
+	tr.run(5 * time.Second)
+	leader := tr.leader()
+	id := ID{7, 1, tr.voters[0].Status().Applied}
+	follower := (leader + 1) % 3
+	require.NoError(t, tr.step(follower, Propose{id, []byte("a record")}))
+	require.NoError(t, tr.step(leader, Withdraw{ID{7, 2, id.Base}}))
+	tr.run(time.Second)
+	require.NoError(t, tr.step(leader, Compact{tr.voters[leader].Status().Applied, []byte("above")}))
+	tr.voters[follower] = fresh(t, follower, 1000, tr.now, false)
+	tr.run(20 * time.Second)
+	require.GreaterOrEqual(t, len(first), 12)
+	for name, b := range first {
+		file := golden.Bytes(t, name, b)
+		require.Equal(t, file, rewritten(t, file), name)
+	}
+}
+
+// TestGoldenLog: what the log and its snapshots hold keeps its bytes, and is read from them as it was.
+func TestGoldenLog(t *testing.T) {
+	id := ID{1 << 60, 300, 70_000}
+	for kind, name := range map[byte]string{kindProposal: "record", kindWithdrawal: "record-withdrawal"} {
+		file := golden.Bytes(t, name, record(kind, id, []byte("data")))
+		require.Equal(t, id, readID(file[1:]))
+		require.Equal(t, file, record(file[0], readID(file[1:]), file[recordHead:]))
+	}
+	const epoch = 1_800_000_000_000
+	ms := []member{{1, 0, epoch}, {2, 100, epoch + 1}, {4, 299, epoch + 2}}
+	tb := table{founders: ms[:2], members: ms, next: 5}
+	tb.settle(ID{1, 2, 3}, 4, true)
+	tb.settle(ID{1, 3, 3}, 5, false)
+	for name, tb := range map[string]table{"snapshot": tb, "snapshot-first": {founders: ms, members: ms, next: 4}} {
+		file := golden.Bytes(t, name, tb.encode([]byte("state above")))
+		back, above, err := decodeTable(file)
+		require.NoError(t, err)
+		require.Equal(t, "state above", string(above))
+		require.Equal(t, file, back.encode(above))
+	}
+	b, err := proto.MarshalOptions{Deterministic: true}.Marshal(firstSnapshot(ms))
+	require.NoError(t, err)
+	golden.Bytes(t, "snapshot-of-founders", b)
+}
+
+// TestGoldenPhases: staff's commands and pages show these words.
+func TestGoldenPhases(t *testing.T) {
+	require.Equal(t, []string{"seeking", "learning", "voting", "leading", "leaderless", "stuck", "broken"}, []string{
+		Seeking.String(), Learning.String(), Voting.String(), Leading.String(), Leaderless.String(), Stuck.String(),
+		Broken.String(),
+	})
+}
--- /dev/null
+++ b/fleet/lease/golden_test.go
@@ -0,0 +1,40 @@
+package lease
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"dunestep/fleet/internal/golden"
+)
+
+// TestGolden: each message keeps its bytes, and is read from them as it was.
+func TestGolden(t *testing.T) {
+	for name, m := range map[string]Request{
+		"request":      {Agent: 17, Incarnation: 1_800_000_000_123, Nonce: 1 << 63, Epoch: 1_800_000_000_000, Seq: 300, Note: []byte("note")},
+		"request-zero": {},
+	} {
+		file := golden.Bytes(t, name, m.Encode())
+		back, err := DecodeRequest(file)
+		require.NoError(t, err)
+		require.Equal(t, m, back, name)
+		require.Equal(t, file, back.Encode(), name)
+	}
+	for name, m := range map[string]Grant{
+		"grant":         {Nonce: 1 << 63, Epoch: 1_800_000_000_000, Seq: 300, Unix: 1_800_000_001 * time.Second},
+		"grant-refused": {Nonce: 7, Refused: true},
+	} {
+		file := golden.Bytes(t, name, m.Encode())
+		back, err := DecodeGrant(file)
+		require.NoError(t, err)
+		require.Equal(t, m, back, name)
+		require.Equal(t, file, back.Encode(), name)
+	}
+}
+
+// TestGoldenStandings: staff's commands and pages show these words.
+func TestGoldenStandings(t *testing.T) {
+	require.Equal(t, []string{"new", "floor", "full", "full"},
+		[]string{New.String(), Floor.String(), Full.String(), Standing(200).String()})
+}
--- /dev/null
+++ b/fleet/orders/golden_test.go
@@ -0,0 +1,40 @@
+package orders
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"dunestep/fleet/internal/golden"
+)
+
+// TestGolden: records and the state keep their bytes, and are read from them as they were.
+func TestGolden(t *testing.T) {
+	out := Order{Server: "north-2", Down: true, By: 17, At: 1_800_000_000 * time.Second}
+	back := Order{Server: "north-2", By: 0, At: 1_800_000_100*time.Second + 5}
+	other := Order{Server: "süd/α", Down: true, By: 299, At: 1_800_000_050 * time.Second}
+	b := &Book{}
+	for _, c := range []struct {
+		name  string
+		order Order
+	}{{"record-down", out}, {"record-up", back}, {"record-other", other}} {
+		raw, err := c.order.Encode()
+		require.NoError(t, err)
+		file := golden.Bytes(t, c.name, raw)
+		one := &Book{}
+		one.Apply(1, file)
+		require.Equal(t, []Order{c.order}, one.All(), c.name)
+		again, err := one.All()[0].Encode()
+		require.NoError(t, err)
+		require.Equal(t, file, again, c.name)
+		b.Apply(1, file)
+	}
+	for name, book := range map[string]*Book{"state": b, "state-empty": {}} {
+		file := golden.Bytes(t, name, book.Snapshot())
+		restored := &Book{}
+		require.NoError(t, restored.Restore(file), name)
+		require.Equal(t, book.All(), restored.All(), name)
+		require.Equal(t, file, restored.Snapshot(), name)
+	}
+}
--- /dev/null
+++ b/fleet/pieces/golden_test.go
@@ -0,0 +1,80 @@
+package pieces
+
+import (
+	"bytes"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"dunestep/fleet/internal/golden"
+)
+
+// frames reads the frames of a datagram.
+func frames(t *testing.T, datagram []byte) (fs []frame) {
+	t.Helper()
+	body, ok := unseal(datagram)
+	require.True(t, ok)
+	for len(body) > 0 {
+		f, rest, ok := readFrame(body)
+		require.True(t, ok)
+		fs, body = append(fs, f), rest
+	}
+	return fs
+}
+
+// encodeFrame writes a frame that was read.
+func encodeFrame(f frame) []byte {
+	switch f.kind {
+	case kindShort:
+		return append([]byte{kindShort, f.channel, byte(len(f.data))}, f.data...)
+	case kindAck:
+		return ackFrame(f, f.data)
+	}
+	return pieceFrame(f.kind, f.channel, f)
+}
+
+// TestGolden: each form of datagram keeps its bytes, and is read from them as it was.
+func TestGolden(t *testing.T) {
+	long := make([]byte, 2*pieceSize+30)
+	for i := range long {
+		long[i] = byte(i * 7)
+	}
+	one := New(Config{Agents: 300, Incarnation: 1_800_000_000_123})
+	other := New(Config{Agents: 300, Incarnation: 1_800_000_000_456})
+	require.NoError(t, one.Send(start, 299, 3, []byte("short")))
+	require.NoError(t, one.Send(start, 299, 4, bytes.Repeat([]byte{1}, 20)))
+	require.NoError(t, one.Send(start, 299, 5, long))
+	datagrams := map[string][]byte{}
+	sent := one.Out(start)
+	require.Len(t, sent, 4)
+	for i, name := range []string{"piece-first", "piece-second", "piece-last-asks", "short-two"} {
+		datagrams[name] = sent[i].Bytes
+	}
+	other.Receive(start, 7, sent[0].Bytes)
+	other.Receive(start, 7, sent[2].Bytes)
+	some := other.Out(start)
+	require.Len(t, some, 1)
+	datagrams["ack-some"] = some[0].Bytes
+	require.Empty(t, one.Receive(start, 299, some[0].Bytes))
+	again := one.Out(start)
+	require.Len(t, again, 1)
+	datagrams["piece-again"] = again[0].Bytes
+	got := other.Receive(start, 7, again[0].Bytes)
+	require.Equal(t, []Message{{7, 5, long}}, got)
+	all := other.Out(start.Add(time.Millisecond))
+	require.Len(t, all, 1)
+	datagrams["ack-all"] = all[0].Bytes
+
+	for name, d := range datagrams {
+		file := golden.Bytes(t, name, d)
+		require.Equal(t, []byte{First, Version}, file[:2], name)
+		var back []byte
+		for _, f := range frames(t, file) {
+			back = append(back, encodeFrame(f)...)
+		}
+		require.Equal(t, file, seal(back), name)
+	}
+	require.Equal(t, []Message{{7, 3, []byte("short")}, {7, 4, bytes.Repeat([]byte{1}, 20)}},
+		other.Receive(start, 7, golden.Bytes(t, "short-two", datagrams["short-two"])))
+}
