--- /dev/null
+++ b/contract/golden_test.go
@@ -0,0 +1,84 @@
+package contract
+
+import (
+	"encoding/json"
+	"flag"
+	"os"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"dunestep/internal/strict"
+)
+
+// update has the golden files written anew. They were made by the build before the packages were renamed: a
+// change of them is a change of what other builds read.
+var update = flag.Bool("update", false, "write testdata/golden anew")
+
+func describe(c *Contract) map[string]any {
+	runs := []string{}
+	for at := 1800000000 * time.Second; len(runs) < 12; {
+		from, to, ok := c.Next(at)
+		if !ok {
+			break
+		}
+		runs = append(runs, c.Local(from).Format(time.RFC3339)+" "+c.Local(to).Format(time.RFC3339))
+		at = to
+	}
+	from, to := c.Month(1800000000 * time.Second)
+	return map[string]any{
+		"notice": c.Notice().String(), "longest": c.Longest().String(), "monthly": c.Monthly(), "keep": c.Keep(),
+		"served": c.Served(), "until": c.Until().String(), "runs": runs,
+		"month": []string{from.String(), to.String()},
+	}
+}
+
+// TestGoldenTables: each key of a contract's table, with what is left out as its default, and the rules of a
+// zone.
+func TestGoldenTables(t *testing.T) {
+	text, err := os.ReadFile("testdata/golden/contracts.toml")
+	require.NoError(t, err)
+	var file struct {
+		Contracts map[string]Table    `toml:"contracts"`
+		Rules     map[string][]string `toml:"rules"`
+	}
+	require.NoError(t, strict.Read("contracts.toml", text, &file, func(*strict.Document) {}))
+	described := map[string]any{}
+	for name, table := range file.Contracts {
+		var c *Contract
+		if rules := file.Rules[name]; rules != nil {
+			c, err = table.ContractBy(rules)
+		} else {
+			c, err = table.Contract()
+		}
+		require.NoError(t, err, name)
+		described[name] = map[string]any{"table": map[string]any{
+			"zone": table.Zone, "hours": table.Hours, "excluded": table.Excluded, "day_after": table.DayAfter,
+			"notice_min": table.NoticeMin, "longest_min": table.LongestMin, "monthly": table.Monthly,
+			"keep": table.Keep, "served": table.Served,
+		}, "contract": describe(c)}
+	}
+	got, err := json.MarshalIndent(described, "", "  ")
+	require.NoError(t, err)
+	const path = "testdata/golden/contracts.json"
+	if *update {
+		require.NoError(t, os.WriteFile(path, append(got, '\n'), 0o644))
+	}
+	want, err := os.ReadFile(path)
+	require.NoError(t, err)
+	require.JSONEq(t, string(want), string(got))
+}
+
+// TestGoldenRules: rules as they are written into a policy document. The zone is one that never changes, so
+// that the machine's zone data do not count.
+func TestGoldenRules(t *testing.T) {
+	rules, err := RulesOf("Etc/GMT-2", time.Unix(1800000000, 5), time.Unix(1900000000, 5))
+	require.NoError(t, err)
+	require.Equal(t, []string{"2027-01-15T08:00:00Z +02:00", "2030-03-17T17:46:40Z end"}, rules)
+	read, err := readRules(rules)
+	require.NoError(t, err)
+	require.True(t, read.from.Equal(time.Unix(1800000000, 0)))
+	require.True(t, read.until.Equal(time.Unix(1900000000, 0)))
+	require.NoError(t, Unlike("Etc/GMT-2", rules))
+}
--- /dev/null
+++ b/placement/golden_test.go
@@ -0,0 +1,145 @@
+package placement
+
+import (
+	"encoding/hex"
+	"flag"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"dunestep/fleet/lease"
+)
+
+// update has the golden files written anew. They were made by the build before the packages were renamed: a
+// change of them is a change of what other builds read.
+var update = flag.Bool("update", false, "write testdata/golden anew")
+
+// goldenForm is one encoded form by its name in a golden file.
+type goldenForm struct {
+	name string
+	data []byte
+}
+
+// requireGolden compares encoded forms with a golden file of lines "name hex", and returns those of the file.
+func requireGolden(t *testing.T, file string, forms []goldenForm) map[string][]byte {
+	t.Helper()
+	path := filepath.Join("testdata", "golden", file)
+	text := ""
+	for _, f := range forms {
+		text += f.name + " " + hex.EncodeToString(f.data) + "\n"
+	}
+	if *update {
+		require.NoError(t, os.MkdirAll(filepath.Dir(path), 0o755))
+		require.NoError(t, os.WriteFile(path, []byte(text), 0o644))
+	}
+	golden, err := os.ReadFile(path)
+	require.NoError(t, err)
+	require.Equal(t, string(golden), text, file)
+	stored := map[string][]byte{}
+	for line := range strings.Lines(string(golden)) {
+		name, digits, _ := strings.Cut(strings.TrimSuffix(line, "\n"), " ")
+		stored[name], err = hex.DecodeString(digits)
+		require.NoError(t, err)
+	}
+	return stored
+}
+
+const goldenNow = 1800000000 * time.Second // Unix time
+
+func goldenNodes() []Node {
+	return []Node{
+		{ID: "a-1", Phase: Whole, Points: 200},
+		{ID: "a-2", Phase: Expected, Full: 200, Since: 1799999990},
+		{ID: "b-1", Phase: Joining, Points: 40, Full: 360, Since: 1799999991, Penalty: 100},
+		{ID: "b-2", Phase: Suspect, Points: 200, Full: 180, Since: 1799999992, Penalty: 150},
+		{ID: "c-1", Phase: Away, Full: 200, Since: 1799999993, Penalty: 20},
+		{ID: "c-2", Phase: Gone, Since: 1799999994, Penalty: 2000},
+	}
+}
+
+// TestGoldenRecords: the records of the agreed log have the bytes that every build reads.
+func TestGoldenRecords(t *testing.T) {
+	changes := []struct {
+		name string
+		Change
+	}{
+		{"full", Change{
+			Base: 3, Now: goldenNow, By: goldenNow + 500*time.Millisecond, Nodes: goldenNodes(),
+			Drop: []string{"d-1", "d-2"}, Owed: 80, Lost: 1799999992,
+			Paces: []Pace{{Kind: "lent", Per: 90}, {Kind: "own", Per: 110}},
+		}},
+		{"off", Change{Base: 4, Now: goldenNow, By: goldenNow + 500*time.Millisecond, Off: true}},
+	}
+	var forms []goldenForm
+	for _, c := range changes {
+		with := c.Change
+		with.Moves, with.Hurry = true, true // no part of the record
+		require.Equal(t, c.Record(), with.Record())
+		forms = append(forms, goldenForm{c.name, c.Record()})
+	}
+	stored := requireGolden(t, "records.txt", forms)
+	for _, c := range changes {
+		var read Change
+		require.NoError(t, decoding.Unmarshal(stored[c.name], &read), c.name)
+		require.Equal(t, c.Change, read, c.name)
+	}
+}
+
+// TestGoldenSnapshots: the agreed generation in all its parts.
+func TestGoldenSnapshots(t *testing.T) {
+	full := State{
+		Number: 4, By: goldenNow, Off: true, Nodes: goldenNodes(), Owed: 80, Lost: 1799999992,
+		Paces: []Pace{{Kind: "lent", Per: 90}}, Paced: 1799990000,
+	}
+	applied := NewMachine()
+	for _, c := range []Change{
+		{Now: goldenNow - time.Minute, By: goldenNow - time.Minute, Nodes: append(goldenNodes(), Node{ID: "d-1", Points: 9})},
+		{
+			Base: 1, Now: goldenNow, By: goldenNow + time.Second, Drop: []string{"d-1"}, Owed: 200, Lost: 1800000000,
+			Nodes: []Node{{ID: "a-1", Phase: Suspect, Points: 200, Since: 1800000000, Penalty: 100}},
+			Paces: []Pace{{Kind: "own", Per: 110}},
+		},
+	} {
+		applied.Apply(0, c.Record())
+	}
+	stored := requireGolden(t, "snapshots.txt", []goldenForm{
+		{"new", NewMachine().Snapshot()},
+		{"full", (&Machine{st: full}).Snapshot()},
+		{"applied", applied.Snapshot()},
+	})
+	for name, state := range map[string]State{"new": {}, "full": full, "applied": applied.State()} {
+		m := NewMachine()
+		require.NoError(t, m.Restore(stored[name]), name)
+		require.Equal(t, state, m.State(), name)
+		require.Equal(t, stored[name], m.Snapshot(), name)
+	}
+}
+
+// TestGoldenMessages: what agents and voters tell each other.
+func TestGoldenMessages(t *testing.T) {
+	mark := Mark{Number: 4, By: goldenNow}
+	word := Word(map[string]float64{"own": 1.1, "lent": 0.9, "strange": -1})
+	stored := requireGolden(t, "messages.txt", []goldenForm{
+		{"mark", mark.Encode(nil)}, {"word", word}, {"word-of-none", Word(nil)},
+	})
+	read, ok := DecodeMark(stored["mark"])
+	require.True(t, ok)
+	require.Equal(t, mark, read)
+	c := NewCouncil(Figures{Paces: true}, lease.Reading{Unix: goldenNow})
+	require.True(t, c.Hear(lease.Reading{Unix: goldenNow}, 1, stored["word"]))
+	require.Equal(t, 1, c.Tell(lease.Reading{Unix: goldenNow}))
+}
+
+// TestGoldenNumbersAndWords: numbers that are in what agents share, and words that operators' tools read.
+func TestGoldenNumbersAndWords(t *testing.T) {
+	require.Equal(t, []Phase{0, 1, 2, 3, 5, 6}, []Phase{Whole, Expected, Joining, Suspect, Away, Gone})
+	for phase, word := range map[Phase]string{
+		Whole: "whole", Expected: "expected", Joining: "joining", Suspect: "suspect", Away: "away", Gone: "gone",
+	} {
+		require.Equal(t, word, phase.String())
+	}
+}
--- /dev/null
+++ b/placement/seat/golden_test.go
@@ -0,0 +1,76 @@
+package seat
+
+import (
+	"encoding/hex"
+	"flag"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"dunestep/fleet"
+	"dunestep/placement"
+)
+
+// update has the golden files written anew. They were made by the build before the packages were renamed: a
+// change of them is a change of what other builds read.
+var update = flag.Bool("update", false, "write testdata/golden anew")
+
+// goldenForm is one encoded form by its name in a golden file.
+type goldenForm struct {
+	name string
+	data []byte
+}
+
+// requireGolden compares encoded forms with a golden file of lines "name hex", and returns those of the file.
+func requireGolden(t *testing.T, file string, forms []goldenForm) map[string][]byte {
+	t.Helper()
+	path := filepath.Join("testdata", "golden", file)
+	text := ""
+	for _, f := range forms {
+		text += f.name + " " + hex.EncodeToString(f.data) + "\n"
+	}
+	if *update {
+		require.NoError(t, os.MkdirAll(filepath.Dir(path), 0o755))
+		require.NoError(t, os.WriteFile(path, []byte(text), 0o644))
+	}
+	golden, err := os.ReadFile(path)
+	require.NoError(t, err)
+	require.Equal(t, string(golden), text, file)
+	stored := map[string][]byte{}
+	for line := range strings.Lines(string(golden)) {
+		name, digits, _ := strings.Cut(strings.TrimSuffix(line, "\n"), " ")
+		stored[name], err = hex.DecodeString(digits)
+		require.NoError(t, err)
+	}
+	return stored
+}
+
+// TestGoldenMessages: what an agent and a voter tell voters, by kinds.
+func TestGoldenMessages(t *testing.T) {
+	now := fleet.Reading{Unix: 1800000000 * time.Second, Mono: time.Hour}
+	s := New(Settings{Votes: true, Incarnation: 1800000000123, Machine: 3}, now)
+	record := placement.Change{
+		Now: now.Unix, By: now.Unix, Nodes: []placement.Node{{ID: "a-1", Points: 200}},
+	}.Record()
+	s.Measured(map[string]float64{"lent": 0.9})
+	s.Apply(1, record)
+	now = fleet.Reading{Unix: now.Unix + 10*time.Second, Mono: now.Mono + 10*time.Second}
+	s.Learn(now, false)
+	now = fleet.Reading{Unix: now.Unix + 2*time.Second, Mono: now.Mono + 2*time.Second}
+	due := s.Due(now, fleet.Voting{Votes: true, Voters: []int{1}, Members: []int{1}, Generation: 5})
+	require.Len(t, due.Sends, 3)
+	require.Equal(t, []byte{aMark, aReport, aWord},
+		[]byte{due.Sends[0].Data[0], due.Sends[1].Data[0], due.Sends[2].Data[0]})
+	stored := requireGolden(t, "messages.txt", []goldenForm{
+		{"mark", due.Sends[0].Data},
+		{"report", due.Sends[1].Data},
+		{"word", due.Sends[2].Data},
+		{"snapshot", s.Snapshot()},
+	})
+	require.Equal(t, stored["mark"], s.Heard(now, 1, stored["mark"]))
+	require.Nil(t, s.Heard(now, 1, stored["report"]))
+}
--- /dev/null
+++ b/policy/seat/golden_test.go
@@ -0,0 +1,75 @@
+package seat
+
+import (
+	"encoding/hex"
+	"flag"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"dunestep/fleet"
+	"dunestep/policy"
+)
+
+// update has the golden files written anew. They were made by the build before the packages were renamed: a
+// change of them is a change of what other builds read.
+var update = flag.Bool("update", false, "write testdata/golden anew")
+
+// goldenForm is one encoded form by its name in a golden file.
+type goldenForm struct {
+	name string
+	data []byte
+}
+
+// requireGolden compares encoded forms with a golden file of lines "name hex", and returns those of the file.
+func requireGolden(t *testing.T, file string, forms []goldenForm) map[string][]byte {
+	t.Helper()
+	path := filepath.Join("testdata", "golden", file)
+	text := ""
+	for _, f := range forms {
+		text += f.name + " " + hex.EncodeToString(f.data) + "\n"
+	}
+	if *update {
+		require.NoError(t, os.MkdirAll(filepath.Dir(path), 0o755))
+		require.NoError(t, os.WriteFile(path, []byte(text), 0o644))
+	}
+	golden, err := os.ReadFile(path)
+	require.NoError(t, err)
+	require.Equal(t, string(golden), text, file)
+	stored := map[string][]byte{}
+	for line := range strings.Lines(string(golden)) {
+		name, digits, _ := strings.Cut(strings.TrimSuffix(line, "\n"), " ")
+		stored[name], err = hex.DecodeString(digits)
+		require.NoError(t, err)
+	}
+	return stored
+}
+
+// TestGoldenMessages: an agent's answer to an open change, as voters are told it and tell it back, and the
+// record of a document that is proposed.
+func TestGoldenMessages(t *testing.T) {
+	now := fleet.Reading{Unix: 1800000000 * time.Second, Mono: time.Hour}
+	s := New(Settings{Self: 3, Votes: true, Incarnation: 1800000000123, Machine: 1, Own: own}, now)
+	record, err := s.Record(now, "p-1", []byte("format = 1\n[tenants.east]\nshare = 0.5\n"), now.Unix+2*time.Second)
+	require.NoError(t, err)
+	s.Apply(1, record)
+	s.Learn(now, false)
+	due := s.Due(now, fleet.Voting{Voters: []int{1, 3}})
+	require.Len(t, due.Sends, 2)
+	require.Equal(t, due.Sends[0].Data, due.Sends[1].Data)
+	stored := requireGolden(t, "messages.txt", []goldenForm{
+		{"record", record},
+		{"answer", due.Sends[0].Data},
+		{"heard", s.Heard(now, 2, due.Sends[0].Data)},
+		{"note", s.Note()},
+		{"snapshot", s.Snapshot()},
+	})
+	require.Equal(t, stored["heard"], s.Heard(now, 2, stored["answer"]))
+	note, ok := policy.DecodeNote(stored["heard"])
+	require.True(t, ok)
+	require.Equal(t, policy.Note{Version: 1}, note)
+}
--- /dev/null
+++ b/window/seat/golden_test.go
@@ -0,0 +1,78 @@
+package seat
+
+import (
+	"encoding/hex"
+	"flag"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"dunestep/fleet"
+	"dunestep/window"
+)
+
+// update has the golden files written anew. They were made by the build before the packages were renamed: a
+// change of them is a change of what other builds read.
+var update = flag.Bool("update", false, "write testdata/golden anew")
+
+// goldenForm is one encoded form by its name in a golden file.
+type goldenForm struct {
+	name string
+	data []byte
+}
+
+// requireGolden compares encoded forms with a golden file of lines "name hex", and returns those of the file.
+func requireGolden(t *testing.T, file string, forms []goldenForm) map[string][]byte {
+	t.Helper()
+	path := filepath.Join("testdata", "golden", file)
+	text := ""
+	for _, f := range forms {
+		text += f.name + " " + hex.EncodeToString(f.data) + "\n"
+	}
+	if *update {
+		require.NoError(t, os.MkdirAll(filepath.Dir(path), 0o755))
+		require.NoError(t, os.WriteFile(path, []byte(text), 0o644))
+	}
+	golden, err := os.ReadFile(path)
+	require.NoError(t, err)
+	require.Equal(t, string(golden), text, file)
+	stored := map[string][]byte{}
+	for line := range strings.Lines(string(golden)) {
+		name, digits, _ := strings.Cut(strings.TrimSuffix(line, "\n"), " ")
+		stored[name], err = hex.DecodeString(digits)
+		require.NoError(t, err)
+	}
+	return stored
+}
+
+// TestGoldenMessages: the record of an ask that fits, the one by which staff stop a window, and what an agent
+// tells voters while it moves something.
+func TestGoldenMessages(t *testing.T) {
+	w := begin(t)
+	w.set.Incarnation = 1800000000123
+	ask := window.Ask{
+		ID: "a", Who: 3, Nodes: []string{"n1"}, Tenants: []string{"east"}, From: noon + 9*time.Hour,
+		To: noon + 11*time.Hour,
+	}
+	record, _, err := w.Record(at(0), ask, window.Scene{
+		Nodes: w.nodes, Contracts: w.acting.Effect.Contracts,
+		Tenants: map[string]float64{"east": 0.5}, Load: 0.5, Policy: 1,
+	})
+	require.NoError(t, err)
+	w.Apply(1, record)
+	w.Learn(at(0), false)
+	moving := at(9*time.Hour + time.Second)
+	w.Counts(moving, []window.Count{{Tenant: "east", Asked: 100, Served: 80, Failed: 15, First: 5}}, true)
+	due := w.Due(moving, fleet.Voting{Voters: []int{1}})
+	require.Len(t, due.Sends, 1)
+	requireGolden(t, "messages.txt", []goldenForm{
+		{"ask", record},
+		{"stop", w.Stop(moving, "a", "by staff")},
+		{"word", due.Sends[0].Data},
+		{"snapshot", w.Snapshot()},
+	})
+}
