--- a/internal/protocol/config.go
+++ b/internal/protocol/config.go
@@ -46,12 +46,16 @@
 // that it can't be read.
 func decodeConfig(raw []byte) (Config, []wrong, error) {
 	var f struct {
-		Name, Listen, Discovery, Ops, Seed string
-		Limits                             struct {
-			Cores    float64
-			MemoryMB int64 `json:"memory_mb"`
-			Sockets  int
-		}
+		Name      string `json:"name"`
+		Listen    string `json:"listen"`
+		Discovery string `json:"discovery"`
+		Ops       string `json:"ops"`
+		Seed      string `json:"seed"`
+		Limits    struct {
+			Cores    float64 `json:"cores"`
+			MemoryMB int64   `json:"memory_mb"`
+			Sockets  int     `json:"sockets"`
+		} `json:"limits"`
 		PeerListen string          `json:"peer_listen"`
 		Peers      []string        `json:"peers"`
 		PeersAll   string          `json:"peers_all"`
--- a/internal/protocol/poolconfig.go
+++ b/internal/protocol/poolconfig.go
@@ -32,9 +32,9 @@
 // the others hold: a drain in the same object must be heeded.
 func DecodePoolConfig(raw []byte, dropped func(error)) (PoolConfig, error) {
 	var f struct {
-		Version *int64
-		Full    bool
-		Servers []json.RawMessage
+		Version *int64            `json:"version"`
+		Full    bool              `json:"full"`
+		Servers []json.RawMessage `json:"servers"`
 	}
 	if err := json.Unmarshal(raw, &f); err != nil {
 		return PoolConfig{}, fmt.Errorf("pool config: %w", err)
@@ -60,10 +60,14 @@
 
 func decodeServer(raw []byte) (PoolServer, error) {
 	var f struct {
-		ID, Addr, Zone, Kind, State string
-		Cell                        int
-		Weight                      *float64
-		StartedMS                   int64 `json:"started_ms"`
+		ID        string   `json:"id"`
+		Addr      string   `json:"addr"`
+		Zone      string   `json:"zone"`
+		Kind      string   `json:"kind"`
+		State     string   `json:"state"`
+		Cell      int      `json:"cell"`
+		Weight    *float64 `json:"weight"`
+		StartedMS int64    `json:"started_ms"`
 	}
 	if err := json.Unmarshal(raw, &f); err != nil {
 		return PoolServer{}, fmt.Errorf("server: %w", err)
--- a/internal/protocol/settings.go
+++ b/internal/protocol/settings.go
@@ -9,36 +9,67 @@
 )
 
 type env struct {
-	Balancers  int
-	Ordinal    int
-	Zone       string
-	Resolution int64
+	Balancers  int    `json:"balancers"`
+	Ordinal    int    `json:"ordinal"`
+	Zone       string `json:"zone"`
+	Resolution int64  `json:"resolution"`
 	Categories []struct {
-		Name, Effect, KeyScope       string
-		Aim, Deadline, MemorySpan    int64
-		AimStretch, LateWorth, Value float64
-		Stream                       bool
-	}
+		Name       string  `json:"name"`
+		Effect     string  `json:"effect"`
+		KeyScope   string  `json:"keyScope"`
+		Aim        int64   `json:"aim"`
+		Deadline   int64   `json:"deadline"`
+		MemorySpan int64   `json:"memorySpan"`
+		AimStretch float64 `json:"aimStretch"`
+		LateWorth  float64 `json:"lateWorth"`
+		Value      float64 `json:"value"`
+		Stream     bool    `json:"stream"`
+	} `json:"categories"`
 	Customers []struct {
-		Name             string
-		QuotaPerS, Share float64
-	}
-	OverShareWorth float64
-	Discovery      string
-	ClientHabits   struct{ MarksRetry bool }
-	Bounds         struct {
-		Cancel, MayTell, Probes, RetryAfter, SecondCopies bool
-		SendCap                                           int
-		MaxRetryAfter                                     int64
-		ConnIdle, ConnectTimeout                          int64
-	}
+		Name      string  `json:"name"`
+		QuotaPerS float64 `json:"quotaPerS"`
+		Share     float64 `json:"share"`
+	} `json:"customers"`
+	OverShareWorth float64 `json:"overShareWorth"`
+	Discovery      string  `json:"discovery"`
+	ClientHabits   struct {
+		MarksRetry bool `json:"marksRetry"`
+	} `json:"clientHabits"`
+	Bounds struct {
+		Cancel         bool  `json:"cancel"`
+		MayTell        bool  `json:"mayTell"`
+		Probes         bool  `json:"probes"`
+		RetryAfter     bool  `json:"retryAfter"`
+		SecondCopies   bool  `json:"secondCopies"`
+		SendCap        int   `json:"sendCap"`
+		MaxRetryAfter  int64 `json:"maxRetryAfter"`
+		ConnIdle       int64 `json:"connIdle"`
+		ConnectTimeout int64 `json:"connectTimeout"`
+	} `json:"bounds"`
 	Rules struct {
-		AskWithin, Cold, Fall, StopSendingWithin int64
-		FallMultiple, StartCapacity              float64
-		OnlyDrainingBinds                        bool
-	}
-	Prices struct{ CrossZone, Waste, Probe, Peer, LateFail float64 }
-	Goal   struct{ Whole, WorstWindow, WorstClass, WorstTenant, SlowEnd, TailMiss float64 }
+		AskWithin         int64   `json:"askWithin"`
+		Cold              int64   `json:"cold"`
+		Fall              int64   `json:"fall"`
+		StopSendingWithin int64   `json:"stopSendingWithin"`
+		FallMultiple      float64 `json:"fallMultiple"`
+		StartCapacity     float64 `json:"startCapacity"`
+		OnlyDrainingBinds bool    `json:"onlyDrainingBinds"`
+	} `json:"rules"`
+	Prices struct {
+		CrossZone float64 `json:"crossZone"`
+		Waste     float64 `json:"waste"`
+		Probe     float64 `json:"probe"`
+		Peer      float64 `json:"peer"`
+		LateFail  float64 `json:"lateFail"`
+	} `json:"prices"`
+	Goal struct {
+		Whole       float64 `json:"whole"`
+		WorstWindow float64 `json:"worstWindow"`
+		WorstClass  float64 `json:"worstClass"`
+		WorstTenant float64 `json:"worstTenant"`
+		SlowEnd     float64 `json:"slowEnd"`
+		TailMiss    float64 `json:"tailMiss"`
+	} `json:"goal"`
 }
 
 // Settings is what an agent is told of its deployment: what the module goes by, and what sockets go by.
