--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -27,21 +27,21 @@
 }
 
 type host struct {
-	dec       *wire.Decoder
+	decoder   *wire.Decoder
 	instances map[string]*storm.Gate
 	lists     map[int][]decide.Server
 	out       []byte
 	first     bool
 	// events are reused: a step does not keep them
-	req  decide.Request
-	done decide.AttemptDone
-	load decide.Load
+	request     decide.Request
+	attemptDone decide.AttemptDone
+	loadReport  decide.LoadReport
 }
 
 func run(in io.Reader, out io.Writer) error {
 	r := bufio.NewReaderSize(in, 1<<20)
 	h := &host{
-		dec: wire.NewDecoder(), instances: map[string]*storm.Gate{},
+		decoder: wire.NewDecoder(), instances: map[string]*storm.Gate{},
 		lists: map[int][]decide.Server{},
 	}
 	var long []byte
@@ -63,7 +63,7 @@
 		}
 		h.out = append(h.out[:0], `{"actions":[`...)
 		h.first = true
-		if _, e := h.dec.Batch(bytes.TrimRight(line, "\r\n"), h.item); e != nil {
+		if _, e := h.decoder.DecodeBatch(bytes.TrimRight(line, "\r\n"), h.onMessage); e != nil {
 			return fmt.Errorf("line %d: %w", n, e)
 		}
 		h.out = append(h.out, "]}\n"...)
@@ -73,20 +73,20 @@
 	}
 }
 
-func (h *host) item(now time.Duration, m *wire.Msg) error {
+func (h *host) onMessage(now time.Duration, m *wire.Message) error {
 	switch m.Kind {
 	case "POOL":
-		h.lists[m.Sheet] = m.Members
+		h.lists[m.List] = m.Servers
 		return nil
 	case "NEW_INSTANCE":
-		s, err := protocol.DecodeSettings(m.Env)
+		s, err := protocol.DecodeSettings(m.Settings)
 		var g *storm.Gate
 		if err == nil {
 			g, err = storm.Build(s.Settings, storm.DefaultFigures(), m.Seed)
 		}
 		if err != nil {
-			h.sep()
-			h.out = wire.AppendFault(h.out, m.Agent, err.Error())
+			h.separate()
+			h.out = wire.AppendFatal(h.out, m.Agent, err.Error())
 			delete(h.instances, m.Agent)
 			return nil
 		}
@@ -99,41 +99,41 @@
 	var ev decide.Event
 	switch m.Kind {
 	case "REQUEST":
-		h.req = decide.Request{
-			ID: m.ID, Work: wire.Micros(m.Work), Key: m.Key, Tenant: m.Tenant, Class: m.Class,
-			Budget: wire.Micros(m.Budget), Retry: m.Retry,
+		h.request = decide.Request{
+			ID: m.ID, WorkHint: wire.Micros(m.WorkHint), Key: m.Key, Tenant: m.Tenant, Class: m.Class,
+			ClientTimeout: wire.Micros(m.ClientTimeout), ClientRetry: m.ClientRetry,
 		}
-		ev = &h.req
+		ev = &h.request
 	case "DONE":
-		h.done = decide.AttemptDone{
+		h.attemptDone = decide.AttemptDone{
 			ID: m.ID, Attempt: m.Attempt, Server: m.Server,
-			Outcome: wire.Outcome(m.Outcome), Latency: wire.Micros(m.Latency), Finished: m.Complete,
+			Outcome: wire.ParseOutcome(m.Outcome), Latency: wire.Micros(m.Latency), RequestDone: m.Complete,
 		}
-		if m.HasLoad {
-			h.load = m.Load
-			h.done.Load = &h.load
+		if m.HasLoadReport {
+			h.loadReport = m.LoadReport
+			h.attemptDone.LoadReport = &h.loadReport
 		}
-		ev = &h.done
+		ev = &h.attemptDone
 	case "SYNC":
-		kind, err := wire.SyncKind(m.Mode)
+		kind, err := wire.ParseUpdateKind(m.Mode)
 		if err != nil {
 			return err
 		}
-		list, ok := h.lists[m.Sheet]
-		if !ok && kind != decide.SyncFailed {
-			return fmt.Errorf("SYNC names list %d, which is not known", m.Sheet)
+		list, ok := h.lists[m.List]
+		if !ok && kind != decide.UpdateFailed {
+			return fmt.Errorf("SYNC names list %d, which is not known", m.List)
 		}
-		if kind == decide.SyncFailed {
+		if kind == decide.UpdateFailed {
 			list = nil
 		}
-		ev = &decide.Membership{Kind: kind, Servers: list}
+		ev = &decide.ServerListUpdate{Kind: kind, Servers: list}
 	case "TIMER":
 		ev = &decide.TimerDue{Tag: m.Tag}
 	case "CHECKED":
-		p := &decide.ProbeDone{Server: m.Server, Outcome: wire.Outcome(m.Outcome), Latency: wire.Micros(m.Latency)}
-		if m.HasLoad {
-			h.load = m.Load
-			p.Load = &h.load
+		p := &decide.ProbeDone{Server: m.Server, Outcome: wire.ParseOutcome(m.Outcome), Latency: wire.Micros(m.Latency)}
+		if m.HasLoadReport {
+			h.loadReport = m.LoadReport
+			p.LoadReport = &h.loadReport
 		}
 		ev = p
 	case "STREAMING":
@@ -152,13 +152,13 @@
 		return nil // killed, or never started
 	}
 	for _, a := range b.Step(now, ev) {
-		h.sep()
+		h.separate()
 		h.out = wire.AppendAction(h.out, m.Agent, &a)
 	}
 	return nil
 }
 
-func (h *host) sep() {
+func (h *host) separate() {
 	if !h.first {
 		h.out = append(h.out, ',')
 	}
--- a/cmd/dunestep/fleet.go
+++ b/cmd/dunestep/fleet.go
@@ -44,55 +44,55 @@
 	leaveWait = 100 * time.Millisecond
 )
 
-// fleetPart is this agent's part in what the fleet agrees on. A nil one takes no part.
-type fleetPart struct {
-	told      instructions
+// fleetMember is this agent's part in what the fleet agrees on. A nil one takes no part.
+type fleetMember struct {
+	told      settings
 	datagrams *transport.Datagrams
-	actor     atomic.Pointer[routing.Fleet] // nil: not begun
+	actor     atomic.Pointer[routing.FleetActor] // nil: not begun
 
 	mu      sync.Mutex
-	hand    *hand
+	hand    *manualControl
 	tickets map[uint64]*ticket // by the node's
 	latest  []uint64
 
-	orders   *orders.Book    // the actor's
-	seat     *seat.Seat      // the same; nil: policies do not hold here
+	orders   *orders.List    // the actor's
+	seat     *seat.Adapter   // the same; nil: policies do not hold here
 	compared uint64          // the version whose zones were last compared; the same
 	servers  []decide.Server // this agent's own list, as it was last looked at; the same
-	windows  *windowsPart    // the same; nil: maintenance windows do not
-	places   *placesPart     // the same; nil: generations of the ring do not
-	inherits *inherited      // the module's actor's; nil: nothing
+	windows  *windowControl  // the same; nil: maintenance windows do not
+	places   *ringControl    // the same; nil: generations of the ring do not
+	inherits *inheritedState // the module's actor's; nil: nothing
 }
 
 // ticket is a proposal of staff's.
 type ticket struct {
-	taken   fleet.Reading // when it was seen to be taken: not before it was
+	taken   fleet.ClockReading // when it was seen to be taken: not before it was
 	isTaken bool
 }
 
 // newFleetPart returns the part of an agent that takes part; nil: it does not.
-func newFleetPart(c instructions, d *transport.Datagrams) (*fleetPart, error) {
+func newFleetPart(c settings, d *transport.Datagrams) (*fleetMember, error) {
 	if !c.operator.Fleet.On {
 		return nil, nil
 	}
 	if d == nil {
 		return nil, errors.New("fleet: the configuration has no way between agents: mayTell, peers and peer_listen")
 	}
-	p := &fleetPart{told: c, datagrams: d, orders: &orders.Book{}, tickets: map[uint64]*ticket{}}
-	return p, p.settings().Check()
+	p := &fleetMember{told: c, datagrams: d, orders: &orders.List{}, tickets: map[uint64]*ticket{}}
+	return p, p.settings().Validate()
 }
 
 // settings are the node's.
-func (p *fleetPart) settings() fleet.Settings {
+func (p *fleetMember) settings() fleet.Settings {
 	f := p.told.operator.Fleet
 	now := time.Now()
 	set := fleet.Settings{
 		Self: p.told.Settings.Self, Agents: p.told.Settings.Balancers,
-		Incarnation: uint64(now.UnixMilli()), Seed: p.told.Seed, Ready: time.Duration(f.ReadyMS) * time.Millisecond,
-		Rate: int(f.RateKB << 10), Machines: []fleet.Machine{ordersMachine: p.orders},
+		Incarnation: uint64(now.UnixMilli()), Seed: p.told.Seed, ReadyTimeout: time.Duration(f.ReadyMS) * time.Millisecond,
+		BytesPerSecond: int(f.RateKB << 10), Machines: []fleet.StateMachine{ordersMachine: p.orders},
 		Terms: lease.Terms{
-			Length: time.Duration(f.LeaseMS) * time.Millisecond,
-			Heard:  time.Duration(f.HeardMS) * time.Millisecond,
+			Duration:        time.Duration(f.LeaseMS) * time.Millisecond,
+			MaxKnowledgeAge: time.Duration(f.HeardMS) * time.Millisecond,
 		},
 	}
 	for _, v := range f.Voters {
@@ -111,12 +111,12 @@
 }
 
 // begin opens the store, where there is one, and starts the actor.
-func (p *fleetPart) begin(h *hand) error {
+func (p *fleetMember) begin(h *manualControl) error {
 	if p == nil {
 		return nil
 	}
 	p.hand = h
-	set := routing.FleetSettings{Node: p.settings(), Datagrams: p.datagrams, Applied: p.applied}
+	set := routing.FleetSettings{Node: p.settings(), Datagrams: p.datagrams, OnApplied: p.applied}
 	p.openStore(&set)
 	if p.told.operator.Fleet.Policy {
 		p.sit(&set.Node)
@@ -140,46 +140,46 @@
 // openStore opens a voter's store. Where it can't be used, torn or of another version or gone, this agent
 // follows and has no vote: that is no reason to turn booking away, and a voter that took its store for an
 // empty one could break the log.
-func (p *fleetPart) openStore(set *routing.FleetSettings) {
+func (p *fleetMember) openStore(set *routing.FleetSettings) {
 	folder := p.told.operator.Fleet.Folder
-	if folder == "" || !set.Node.Votes() {
+	if folder == "" || !set.Node.IsVoter() {
 		return
 	}
 	store, err := fleetstore.Open(folder)
 	if err != nil {
 		slog.Error("fleet: the voter's store can't be used, this agent follows without a vote until it starts "+
 			"with an empty folder", "folder", folder, "error", err)
-		set.Node.NoVote = true
+		set.Node.NonVoting = true
 		return
 	}
-	set.Store, set.Node.Stored, set.Node.Lasts = store, store.Stored(), true
+	set.Store, set.Node.Stored, set.Node.IsDurable = store, store.Stored(), true
 }
 
 // keepStates has the state of policies, windows and placement kept where they are off here: others may go on
 // from a snapshot of this agent's.
-func (p *fleetPart) keepStates(n *fleet.Settings) {
-	policies := policy.NewMachine()
+func (p *fleetMember) keepStates(n *fleet.Settings) {
+	policies := policy.NewStateMachine()
 	n.Machines = append(n.Machines, policies,
-		window.NewMachine(func() uint64 { return policies.State().Now.Number }), placement.NewMachine())
+		window.NewStateMachine(func() uint64 { return policies.State().InForce.Number }), placement.NewStateMachine())
 }
 
 // sit has policies hold here.
-func (p *fleetPart) sit(n *fleet.Settings) {
+func (p *fleetMember) sit(n *fleet.Settings) {
 	p.seat = seat.New(seat.Settings{
-		Self: n.Self, Votes: n.Votes(), Incarnation: n.Incarnation,
-		Machine: policyMachine,
-		Own:     p.told.policyOwn(),
-		Times:   p.policyTimes(n.Terms),
+		Self: n.Self, IsVoter: n.IsVoter(), Incarnation: n.Incarnation,
+		MachineNumber: policyMachine,
+		Local:         p.told.policyOwn(),
+		Times:         p.policyTimes(n.Terms),
 	}, routing.ReadClocks())
 	p.stack(n)
 }
 
 // stack puts windows and placement above the node beside the policies. The machines are there in any case:
 // an agent at which they are off keeps their state too, or a snapshot of its would have others forget it.
-func (p *fleetPart) stack(n *fleet.Settings) {
-	var above [2]fleet.Above
-	var windows fleet.Machine = window.NewMachine(p.inForce)
-	var places fleet.Machine = placement.NewMachine()
+func (p *fleetMember) stack(n *fleet.Settings) {
+	var above [2]fleet.Application
+	var windows fleet.StateMachine = window.NewStateMachine(p.inForce)
+	var places fleet.StateMachine = placement.NewStateMachine()
 	if p.told.operator.Fleet.Windows {
 		s := p.sitWindows(n)
 		windows, above[0] = s, s
@@ -189,24 +189,24 @@
 		places, above[1] = s, s
 	}
 	n.Machines = append(n.Machines, p.seat, windows, places)
-	n.Above = fleet.Stack(p.seat, above[0], above[1])
+	n.Application = fleet.StackApplications(p.seat, above[0], above[1])
 }
 
 // inForce is the newest version of the policy that was activated.
-func (p *fleetPart) inForce() uint64 { return p.seat.State().Now.Number }
+func (p *fleetMember) inForce() uint64 { return p.seat.State().InForce.Number }
 
 // policyTimes are the policies'.
-func (p *fleetPart) policyTimes(terms lease.Terms) policy.Times {
-	return policy.Times{Terms: terms, Floor: seconds(p.told.operator.Fleet.FloorS)}
+func (p *fleetMember) policyTimes(terms lease.Terms) policy.Times {
+	return policy.Times{Terms: terms, FloorValidity: seconds(p.told.operator.Fleet.FloorS)}
 }
 
 // policyOwn is what this agent holds policies against.
-func (s instructions) policyOwn() policy.Own {
-	return policy.Own{Settings: core.Permitted(s.Settings.Settings), InVain: s.storm().InVain}
+func (s settings) policyOwn() policy.LocalSettings {
+	return policy.LocalSettings{Settings: core.Permitted(s.Settings.Settings), MaxFailedRatio: s.storm().InVain}
 }
 
 // reload takes in what SIGHUP has changed of that.
-func (p *fleetPart) reload(c instructions) {
+func (p *fleetMember) reload(c settings) {
 	if p == nil || !p.told.operator.Fleet.Policy {
 		return
 	}
@@ -215,74 +215,74 @@
 		own.operator.Storm = c.operator.Storm
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		actor.Do(ctx, func(*fleet.Node, fleet.Reading) { p.seat.Change(own.policyOwn()) })
+		actor.Do(ctx, func(*fleet.Node, fleet.ClockReading) { p.seat.SetLocalSettings(own.policyOwn()) })
 	}
 }
 
 // hear parts the fleet's datagrams from the module's.
-func (p *fleetPart) hear(module func(protocol.Datagram)) func(protocol.Datagram) {
+func (p *fleetMember) hear(module func(protocol.Datagram)) func(protocol.Datagram) {
 	return func(d protocol.Datagram) {
 		switch actor := p.actor.Load(); {
-		case d.Data[0] != pieces.First:
+		case d.Data[0] != pieces.FirstByte:
 			module(d)
 		case actor != nil:
-			actor.Hear(d)
+			actor.ReceiveDatagram(d)
 		}
 	}
 }
 
 // leave has the other agents told that this process goes.
-func (p *fleetPart) leave() {
+func (p *fleetMember) leave() {
 	if p == nil {
 		return
 	}
 	if actor := p.actor.Load(); actor != nil {
 		ctx, cancel := context.WithTimeout(context.Background(), leaveWait)
 		defer cancel()
-		actor.Do(ctx, func(n *fleet.Node, _ fleet.Reading) { n.Leave() })
+		actor.Do(ctx, func(n *fleet.Node, _ fleet.ClockReading) { n.Leave() })
 	}
 }
 
 // ready tells whether this agent has what was agreed, as far as it can be had. While a process before it
 // still takes part for it there is nothing to wait for.
-func (p *fleetPart) ready() bool {
+func (p *fleetMember) ready() bool {
 	if p == nil {
 		return true
 	}
 	actor := p.actor.Load()
-	return actor == nil || actor.Ready()
+	return actor == nil || actor.IsReady()
 }
 
 // knows tells whether this process has what was agreed, handed over or from others, or has tried for long
 // enough.
-func (p *fleetPart) knows() bool {
+func (p *fleetMember) knows() bool {
 	if p == nil || p.inherits != nil {
 		return true
 	}
 	actor := p.actor.Load()
-	return actor == nil || actor.Knows()
+	return actor == nil || actor.IsCaughtUp()
 }
 
 // applied has this agent go by the fleet's orders, beside what it was told by hand itself: the last word
 // counts. The actor calls it.
-func (p *fleetPart) applied() {
+func (p *fleetMember) applied() {
 	p.tellWindows()
 	p.tellZones()
-	var bans []core.Ban
+	var bans []core.DisabledEndpoint
 	for _, o := range p.orders.All() {
-		b := core.Ban{ID: o.Server, Set: o.At}
+		b := core.DisabledEndpoint{ID: o.Server, DisabledAt: o.IssuedAt}
 		if !o.Down {
-			b = core.Ban{ID: o.Server, Lifted: o.At}
+			b = core.DisabledEndpoint{ID: o.Server, EnabledAt: o.IssuedAt}
 		}
 		bans = append(bans, b)
 	}
 	if len(bans) > 0 {
-		go p.hand.adopt(handover.Hand{Bans: bans})
+		go p.hand.adopt(handover.ManualSettings{Disabled: bans})
 	}
 }
 
-// Fleet implements transport.Operations.
-func (h *hand) Fleet(ctx context.Context, call protocol.OpsCall) (int, []byte) {
+// HandleFleetCall implements transport.OpsHandler.
+func (h *manualControl) HandleFleetCall(ctx context.Context, call protocol.OpsCall) (int, []byte) {
 	p := h.fleet
 	if p == nil {
 		return http.StatusNotFound, nil
@@ -298,20 +298,20 @@
 		return p.ask(ctx, actor, call.Ticket)
 	case protocol.OpsPolicy, protocol.OpsPolicyPropose, protocol.OpsPolicyOutcome, protocol.OpsPolicyDocument:
 		return p.policy(ctx, actor, call)
-	case protocol.OpsFleetDown, protocol.OpsFleetUp:
+	case protocol.OpsFleetDisable, protocol.OpsFleetEnable:
 		return p.order(ctx, actor, call)
-	case protocol.OpsWindows, protocol.OpsWindowAsk, protocol.OpsWindowCheck, protocol.OpsWindowStop,
+	case protocol.OpsWindows, protocol.OpsWindowRequest, protocol.OpsWindowCheck, protocol.OpsWindowStop,
 		protocol.OpsWindowOutcome:
 		return p.windowsCall(ctx, actor, call)
 	}
 	return http.StatusNotFound, nil // of a part that is off
 }
 
-func (p *fleetPart) status(ctx context.Context, actor *routing.Fleet) (int, []byte) {
+func (p *fleetMember) status(ctx context.Context, actor *routing.FleetActor) (int, []byte) {
 	var s fleet.Status
-	var book []orders.Order
+	var book []orders.Command
 	var ring *ringStatus
-	if !actor.Do(ctx, func(n *fleet.Node, now fleet.Reading) {
+	if !actor.Do(ctx, func(n *fleet.Node, now fleet.ClockReading) {
 		s, book, ring = n.Status(now), p.orders.All(), p.ringStatus(n, now)
 	}) {
 		return late()
@@ -332,19 +332,19 @@
 }
 
 // order proposes an order to the fleet. What became of it is asked for by its ticket.
-func (p *fleetPart) order(ctx context.Context, actor *routing.Fleet, call protocol.OpsCall) (int, []byte) {
-	if !p.hand.agent.Listed(ctx, call.ID) {
+func (p *fleetMember) order(ctx context.Context, actor *routing.FleetActor, call protocol.OpsCall) (int, []byte) {
+	if !p.hand.agent.WasListed(ctx, call.ID) {
 		return http.StatusNotFound, []byte("no such booking server was ever listed\n")
 	}
-	raw, err := orders.Order{
-		Server: call.ID, Down: call.Kind == protocol.OpsFleetDown,
-		By: p.told.Settings.Self, At: unixNow(),
+	raw, err := orders.Command{
+		Server: call.ID, Down: call.Kind == protocol.OpsFleetDisable,
+		IssuedBy: p.told.Settings.Self, IssuedAt: unixNow(),
 	}.Encode()
 	if err != nil {
 		return http.StatusBadRequest, []byte(err.Error() + "\n")
 	}
 	var t fleet.Ticket
-	if !actor.Do(ctx, func(n *fleet.Node, now fleet.Reading) {
+	if !actor.Do(ctx, func(n *fleet.Node, now fleet.ClockReading) {
 		if t, err = n.Propose(now, ordersMachine, raw, proposeWithin); err == nil {
 			p.keep(uint64(t))
 		}
@@ -354,16 +354,16 @@
 	if err != nil {
 		return http.StatusServiceUnavailable, []byte(err.Error() + "\n")
 	}
-	slog.Info("fleet: order by hand", "server", call.ID, "down", call.Kind == protocol.OpsFleetDown,
+	slog.Info("fleet: order by hand", "server", call.ID, "down", call.Kind == protocol.OpsFleetDisable,
 		"ticket", uint64(t))
-	return answerJSON(http.StatusAccepted, protocol.FleetProposed{
+	return answerJSON(http.StatusAccepted, protocol.FleetProposal{
 		Ticket: uint64(t),
-		Result: fleet.Waiting.String(),
+		Result: fleet.Pending.String(),
 	})
 }
 
 // keep remembers a ticket, and forgets the oldest.
-func (p *fleetPart) keep(t uint64) {
+func (p *fleetMember) keep(t uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.tickets[t] = &ticket{}
@@ -374,23 +374,23 @@
 }
 
 // ask tells what became of a proposal.
-func (p *fleetPart) ask(ctx context.Context, actor *routing.Fleet, number uint64) (int, []byte) {
+func (p *fleetMember) ask(ctx context.Context, actor *routing.FleetActor, number uint64) (int, []byte) {
 	p.mu.Lock()
 	t := p.tickets[number]
 	p.mu.Unlock()
 	if t == nil {
 		return http.StatusNotFound, []byte("no such ticket\n")
 	}
-	answer := protocol.FleetProposed{Ticket: number}
-	if !actor.Do(ctx, func(n *fleet.Node, now fleet.Reading) {
+	answer := protocol.FleetProposal{Ticket: number}
+	if !actor.Do(ctx, func(n *fleet.Node, now fleet.ClockReading) {
 		r := n.Result(fleet.Ticket(number))
-		if answer.Result = r.String(); r != fleet.Taken {
+		if answer.Result = r.String(); r != fleet.Committed {
 			return
 		}
 		if !t.isTaken {
 			t.isTaken, t.taken = true, now
 		}
-		answer.InForce = n.Passed(t.taken, now)
+		answer.InForce = n.FencePassed(t.taken, now)
 	}) {
 		return late()
 	}
--- a/cmd/dunestep/fleetcommands.go
+++ b/cmd/dunestep/fleetcommands.go
@@ -20,9 +20,9 @@
 )
 
 // connections are the words for what an agent knows of its own way to others.
-var connections = map[roster.Standing]string{
-	roster.Connected: "connected", roster.Unsaid: "unsaid",
-	roster.Deaf: "deaf",
+var connections = map[roster.Connection]string{
+	roster.Connected: "connected", roster.Unconfirmed: "unsaid",
+	roster.Isolated: "deaf",
 }
 
 // fleetStatus is what staff see of the fleet at one agent.
@@ -68,21 +68,21 @@
 	At     time.Time `json:"at"`
 }
 
-func statusOf(s fleet.Status, book []orders.Order) fleetStatus {
+func statusOf(s fleet.Status, book []orders.Command) fleetStatus {
 	out := fleetStatus{
-		Agent: s.Self, Agents: s.Agents, Incarnation: s.Incarnation, Epoch: s.At.Epoch,
-		Record: s.At.Seq, Standing: s.Standing.String(),
-		LeaseMS: s.LeaseLeft.Milliseconds(), Ready: s.Ready, Connection: connections[s.Connection],
-		Voters: s.Voters, Here: s.Here, Others: []peerStatus{}, Orders: []orderStatus{}, Dropped: s.Dropped,
+		Agent: s.Self, Agents: s.Agents, Incarnation: s.Incarnation, Epoch: s.Applied.Epoch,
+		Record: s.Applied.Seq, Standing: s.Standing.String(),
+		LeaseMS: s.LeaseRemaining.Milliseconds(), Ready: s.Ready, Connection: connections[s.Connection],
+		Voters: s.Voters, Here: s.PresentAgents, Others: []peerStatus{}, Orders: []orderStatus{}, Dropped: s.Dropped,
 	}
 	if v := s.Voter; v != nil {
 		out.Voter = voterOf(v)
 	}
-	for _, o := range s.Others {
-		out.Others = append(out.Others, peerStatus{o.Agent, o.State.String(), o.Closed})
+	for _, o := range s.Peers {
+		out.Others = append(out.Others, peerStatus{o.Agent, o.State.String(), o.IsPathClosed})
 	}
 	for _, o := range book {
-		out.Orders = append(out.Orders, orderStatus{o.Server, o.Down, o.By, time.Unix(0, int64(o.At)).UTC()})
+		out.Orders = append(out.Orders, orderStatus{o.Server, o.Down, o.IssuedBy, time.Unix(0, int64(o.IssuedAt)).UTC()})
 	}
 	return out
 }
@@ -223,7 +223,7 @@
 
 // order proposes and waits. It says what is known, also where that is that nobody knows.
 func (c orderCommand) order(what string) error {
-	var p protocol.FleetProposed
+	var p protocol.FleetProposal
 	if err := c.call(http.MethodPost, "/ops/fleet/booking-servers/"+what, c.ID, &p); err != nil {
 		return err
 	}
@@ -235,9 +235,9 @@
 		case p.InForce:
 			fmt.Println("in force at all agents that hold a lease")
 			return nil
-		case p.Result == fleet.NotTaken.String():
+		case p.Result == fleet.NotCommitted.String():
 			return errors.New("not taken: no voter could agree to it in time")
-		case p.Result == fleet.AskAgain.String():
+		case p.Result == fleet.Indeterminate.String():
 			return errors.New("not known whether it was taken: look at fleet status, and ask again")
 		}
 	}
--- a/cmd/dunestep/fleetstates_test.go
+++ b/cmd/dunestep/fleetstates_test.go
@@ -12,11 +12,11 @@
 // An agent at which policies are off keeps their state, the windows' and the ring's, as who goes on from its snapshot
 // needs them.
 func TestStatesAreKeptWherePoliciesAreOff(t *testing.T) {
-	p := &fleetPart{}
-	set := fleet.Settings{Machines: []fleet.Machine{nil}}
+	p := &fleetMember{}
+	set := fleet.Settings{Machines: []fleet.StateMachine{nil}}
 	p.keepStates(&set)
 	require.Len(t, set.Machines, 4)
-	require.IsType(t, &policy.Machine{}, set.Machines[policyMachine])
+	require.IsType(t, &policy.StateMachine{}, set.Machines[policyMachine])
 	for _, m := range set.Machines[policyMachine:] {
 		require.NoError(t, m.Restore(nil))
 		require.NoError(t, m.Restore(m.Snapshot()))
--- a/cmd/dunestep/golden_test.go
+++ b/cmd/dunestep/golden_test.go
@@ -189,7 +189,7 @@
 	checkGoldenJSON[policyOutcome](t, "policy-outcome.json")
 	checkGoldenJSON[windowsState](t, "windows-state.json")
 	checkGoldenJSON[windowOutcome](t, "window-outcome.json")
-	checkGoldenJSON[agreed](t, "handed-over.json")
+	checkGoldenJSON[fleetState](t, "handed-over.json")
 }
 
 // words are the texts of values.
@@ -205,16 +205,16 @@
 	for _, c := range []struct{ want, got []string }{
 		{
 			[]string{"connected", "unsaid", "deaf"},
-			[]string{connections[roster.Connected], connections[roster.Unsaid], connections[roster.Deaf]},
+			[]string{connections[roster.Connected], connections[roster.Unconfirmed], connections[roster.Isolated]},
 		},
 		{[]string{"new", "floor", "full"}, words(lease.New, lease.Floor, lease.Full)},
 		{
 			[]string{"unheard", "here", "doubted", "cut off on one side", "silent", "left"},
-			words(roster.Unheard, roster.Here, roster.Doubted, roster.OneSided, roster.Silent, roster.Left),
+			words(roster.Unknown, roster.Alive, roster.Suspect, roster.OneWay, roster.Silent, roster.Left),
 		},
-		{[]string{"waiting", "taken", "not taken", "ask again"}, words(fleet.Waiting, fleet.Taken, fleet.NotTaken, fleet.AskAgain)},
-		{[]string{"bottom", "floor", "full"}, words(policy.Bottom, policy.Within, policy.Full)},
-		{[]string{"ask again", "taken", "not taken"}, words(policy.AskAgain, policy.Taken, policy.NotTaken)},
+		{[]string{"waiting", "taken", "not taken", "ask again"}, words(fleet.Pending, fleet.Committed, fleet.NotCommitted, fleet.Indeterminate)},
+		{[]string{"bottom", "floor", "full"}, words(policy.ModeBottom, policy.ModeFloor, policy.ModeFull)},
+		{[]string{"ask again", "taken", "not taken"}, words(policy.StatusUnknown, policy.StatusAccepted, policy.StatusRejected)},
 		{
 			[]string{"planned", "draining", "drained", "free", "paused", "returning", "ended", "stopped"},
 			words(window.Planned, window.Draining, window.Drained, window.Free, window.Paused, window.Returning,
@@ -222,7 +222,7 @@
 		},
 		{
 			[]string{"whole", "expected", "joining", "suspect", "", "away", "gone"},
-			words(placement.Whole, placement.Expected, placement.Joining, placement.Suspect, placement.Phase(4), placement.Away, placement.Gone),
+			words(placement.Complete, placement.Expected, placement.Joining, placement.Suspect, placement.Phase(4), placement.Away, placement.Gone),
 		},
 		{
 			[]string{"seeking", "learning", "voting", "leading", "leaderless", "stuck", "broken"},
--- a/cmd/dunestep/graphql.go
+++ b/cmd/dunestep/graphql.go
@@ -21,7 +21,7 @@
 const maxTrusted = 4 << 20
 
 // listen opens the front socket, and the one for GraphQL where the operator wants it.
-func (s instructions) listen(front *transport.Front) error {
+func (s settings) listen(front *transport.Listener) error {
 	g := s.operator.GraphQL
 	if g.Listen == "" {
 		return front.Listen(s.Listen, protocol.HTTP)
@@ -54,7 +54,7 @@
 }
 
 // graphQL brings the operator's table together with the deployment's settings.
-func (s instructions) graphQL() (*protocol.GraphQL, error) {
+func (s settings) graphQL() (*protocol.GraphQL, error) {
 	g := s.operator.GraphQL
 	trusted, err := readTrusted(g.Trusted)
 	if err != nil {
--- a/cmd/dunestep/hand.go
+++ b/cmd/dunestep/hand.go
@@ -19,16 +19,16 @@
 const handIdleBy = 1700 * time.Millisecond
 
 // hand carries out what staff ask for at the ops socket.
-type hand struct {
+type manualControl struct {
 	agent   *routing.Agent
-	front   *transport.Front
+	front   *transport.Listener
 	counts  *figures.Figures
-	file    *handover.Bans
-	changed func(handover.Hand) // something was set, and lies in the file
-	fleet   *fleetPart          // nil: this agent takes no part
+	file    *handover.SettingsFile
+	changed func(handover.ManualSettings) // something was set, and lies in the file
+	fleet   *fleetMember                  // nil: this agent takes no part
 
 	mu      sync.Mutex // one change after the other, so that the file has the latest
-	set     handover.Hand
+	set     handover.ManualSettings
 	serving bool
 	ending  bool
 	// heir: it began drained, by what another process was told. It says that it is ready all the same, or that
@@ -37,45 +37,45 @@
 }
 
 // serves tells that the front socket takes clients.
-func (h *hand) serves() {
+func (h *manualControl) serves() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.serving = true
-	if h.set.Drained {
+	if h.set.Draining {
 		h.heir = true
-		h.front.Leave(handIdleBy, false)
+		h.front.StartDrain(handIdleBy, false)
 	}
 }
 
 // ends tells that the process is ending.
-func (h *hand) ends() {
+func (h *manualControl) ends() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.ending = true
 }
 
-// Readiness tells whether this process takes clients.
-func (h *hand) Readiness() bool {
+// IsReady tells whether this process takes clients.
+func (h *manualControl) IsReady() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.serving && !h.ending && (!h.set.Drained || h.heir) && h.agent.Ready()
+	return h.serving && !h.ending && (!h.set.Draining || h.heir) && h.agent.Ready()
 }
 
-// Figures are what the agent has done.
-func (h *hand) Figures() figures.Reading { return h.counts.Read() }
+// Metrics are what the agent has done.
+func (h *manualControl) Metrics() figures.Reading { return h.counts.Read() }
 
-// Ban takes a booking server out. It lies in the file before the yes.
-func (h *hand) Ban(ctx context.Context, id string) (bool, error) {
-	return h.change(ctx, id, "booking server out by hand", h.agent.Ban)
+// DisableEndpoint takes a booking server out. It lies in the file before the yes.
+func (h *manualControl) DisableEndpoint(ctx context.Context, id string) (bool, error) {
+	return h.change(ctx, id, "booking server out by hand", h.agent.DisableEndpoint)
 }
 
-// Lift puts a booking server back.
-func (h *hand) Lift(ctx context.Context, id string) (bool, error) {
-	return h.change(ctx, id, "booking server back by hand", h.agent.Lift)
+// EnableEndpoint puts a booking server back.
+func (h *manualControl) EnableEndpoint(ctx context.Context, id string) (bool, error) {
+	return h.change(ctx, id, "booking server back by hand", h.agent.EnableEndpoint)
 }
 
-func (h *hand) change(ctx context.Context, id, what string,
-	do func(context.Context, string) ([]core.Ban, bool, error),
+func (h *manualControl) change(ctx context.Context, id, what string,
+	do func(context.Context, string) ([]core.DisabledEndpoint, bool, error),
 ) (bool, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -83,16 +83,16 @@
 	if err != nil || !listed {
 		return listed, err
 	}
-	h.set.Bans = core.MergeBans(h.set.Bans, bans)
+	h.set.Disabled = core.MergeDisabled(h.set.Disabled, bans)
 	slog.Info(what, "server", id)
 	return true, h.keep()
 }
 
-// Drain sends clients away, or takes them again.
-func (h *hand) Drain(on bool) {
+// SetDraining sends clients away, or takes them again.
+func (h *manualControl) SetDraining(on bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.set.Drained, h.set.DrainSet, h.heir = on, unixNow(), false
+	h.set.Draining, h.set.DrainSetAt, h.heir = on, unixNow(), false
 	h.drain()
 	if err := h.keep(); err != nil {
 		slog.Warn("set by hand, but not kept for the next process", "error", err)
@@ -100,18 +100,18 @@
 }
 
 // drain has the front do what is set; mu is held.
-func (h *hand) drain() {
-	slog.Info("clients by hand", "sent_away", h.set.Drained)
-	if h.set.Drained {
-		h.front.Leave(handIdleBy, false)
+func (h *manualControl) drain() {
+	slog.Info("clients by hand", "sent_away", h.set.Draining)
+	if h.set.Draining {
+		h.front.StartDrain(handIdleBy, false)
 	} else {
-		h.front.Return()
+		h.front.StopDrain()
 	}
 }
 
 // keep writes what is set to the file, takes in what the file has of another process, and tells that one; mu
 // is held.
-func (h *hand) keep() error {
+func (h *manualControl) keep() error {
 	merged, err := h.file.Update(h.set, unixNow())
 	h.join(merged)
 	if err == nil {
@@ -121,20 +121,20 @@
 }
 
 // adopt takes in what was set at another process of this agent.
-func (h *hand) adopt(set handover.Hand) {
+func (h *manualControl) adopt(set handover.ManualSettings) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.join(handover.Merge(h.set, set, unixNow()))
 }
 
 // join has hold what two processes together were told; mu is held.
-func (h *hand) join(set handover.Hand) {
-	drained := h.set.Drained
-	if !slices.Equal(h.set.Bans, set.Bans) {
-		h.agent.JoinBans(set.Bans)
+func (h *manualControl) join(set handover.ManualSettings) {
+	drained := h.set.Draining
+	if !slices.Equal(h.set.Disabled, set.Disabled) {
+		h.agent.MergeDisabled(set.Disabled)
 	}
 	h.set = set
-	if set.Drained != drained {
+	if set.Draining != drained {
 		h.heir = false
 		h.drain()
 	}
@@ -144,7 +144,7 @@
 func unixNow() time.Duration { return time.Duration(time.Now().UnixNano()) }
 
 // now is what is set.
-func (h *hand) now() handover.Hand {
+func (h *manualControl) now() handover.ManualSettings {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.set
--- a/cmd/dunestep/inherited.go
+++ b/cmd/dunestep/inherited.go
@@ -18,7 +18,7 @@
 // agreed is what the fleet had agreed on, as one process of an agent hands it to the next: snapshots of the
 // machines. Of the two only one takes part, and until the new one does it would know nothing: it would act
 // by its settings where a policy holds, send to servers that are said to be free, and place by other rings.
-type agreed struct {
+type fleetState struct {
 	Held      bool   `json:"held"` // the process held a lease
 	Policy    []byte `json:"policy,omitempty"`
 	Windows   []byte `json:"windows,omitempty"`
@@ -29,7 +29,7 @@
 const handWait = 500 * time.Millisecond
 
 // handed is what a new process gets; empty: nothing.
-func (p *fleetPart) handed() (raw []byte) {
+func (p *fleetMember) handed() (raw []byte) {
 	if p == nil || p.seat == nil {
 		return nil
 	}
@@ -37,11 +37,11 @@
 	if actor == nil {
 		return nil
 	}
-	done := make(chan agreed, 1)
+	done := make(chan fleetState, 1)
 	ctx, cancel := context.WithTimeout(context.Background(), handWait)
 	defer cancel()
-	if !actor.Do(ctx, func(n *fleet.Node, now fleet.Reading) {
-		a := agreed{Held: n.Standing(now) == lease.Full, Policy: p.seat.Snapshot()}
+	if !actor.Do(ctx, func(n *fleet.Node, now fleet.ClockReading) {
+		a := fleetState{Held: n.Standing(now) == lease.Full, Policy: p.seat.Snapshot()}
 		if p.windows != nil {
 			a.Windows = p.windows.seat.Snapshot()
 		}
@@ -59,19 +59,19 @@
 // inherited is that, at the new process, until it holds a lease of its own. It goes by it as an agent does
 // that is cut off: within the floor, by the windows' plans, on the generation that there is. It is the
 // module's actor's.
-type inherited struct {
+type inheritedState struct {
 	policy  *policy.Agent
 	windows *window.Agent
 	places  *placement.Agent
 }
 
 // inherit takes in what was handed over; nil: nothing.
-func (p *fleetPart) inherit(raw []byte, now fleet.Reading) *inherited {
-	var a agreed
+func (p *fleetMember) inherit(raw []byte, now fleet.ClockReading) *inheritedState {
+	var a fleetState
 	if len(raw) == 0 || !p.told.operator.Fleet.Policy {
 		return nil
 	}
-	m := policy.NewMachine()
+	m := policy.NewStateMachine()
 	err := json.Unmarshal(raw, &a)
 	if err == nil {
 		err = m.Restore(a.Policy)
@@ -81,30 +81,30 @@
 			"error", err)
 		return nil
 	}
-	h := &inherited{policy: policy.NewAgent(p.told.policyOwn(), p.policyTimes(p.settings().Terms))}
+	h := &inheritedState{policy: policy.NewAgent(p.told.policyOwn(), p.policyTimes(p.settings().Terms))}
 	h.policy.Learn(m)
-	h.policy.Acting(now, lease.Full) // the floor counts from here
-	windows := window.NewMachine(func() uint64 { return m.State().Now.Number })
+	h.policy.Active(now, lease.Full) // the floor counts from here
+	windows := window.NewStateMachine(func() uint64 { return m.State().InForce.Number })
 	if f := p.told.operator.Fleet; f.Windows && windows.Restore(a.Windows) == nil {
 		h.windows = window.NewAgent(int(f.Turns))
 		h.windows.Learn(windows)
 	}
-	places := placement.NewMachine()
+	places := placement.NewStateMachine()
 	if p.told.operator.Fleet.Placement && places.Restore(a.Placement) == nil {
 		h.places = placement.NewAgent()
 		h.places.Learn(places)
-		h.places.Placed(now, lease.Full)
+		h.places.Assignment(now, lease.Full)
 	}
 	return h
 }
 
 // standing reads the clocks and how this process may act, and whether it goes by what was handed to it: until
 // it has held a lease.
-func (p *fleetPart) standing(look func(now fleet.Reading, standing lease.Standing)) (inherits bool) {
+func (p *fleetMember) standing(look func(now fleet.ClockReading, standing lease.Standing)) (inherits bool) {
 	if p.actor.Load() == nil {
 		return p.inherits != nil
 	}
-	p.actor.Load().Look(func(n *fleet.Node, now fleet.Reading) {
+	p.actor.Load().Read(func(n *fleet.Node, now fleet.ClockReading) {
 		standing := n.Standing(now)
 		if inherits = standing == lease.New && p.inherits != nil; !inherits {
 			look(now, standing)
@@ -114,38 +114,38 @@
 }
 
 // effect is what this agent goes by, at this moment; nil: by its settings alone.
-func (p *fleetPart) effect() (e *policy.Effect) {
+func (p *fleetMember) effect() (e *policy.Effect) {
 	if p == nil || !p.told.operator.Fleet.Policy {
 		return nil
 	}
-	if p.standing(func(now fleet.Reading, standing lease.Standing) { e = p.seat.Acting(now, standing).Effect }) {
-		return p.inherits.policy.Acting(routing.ReadClocks(), lease.Floor).Effect
+	if p.standing(func(now fleet.ClockReading, standing lease.Standing) { e = p.seat.Active(now, standing).Effect }) {
+		return p.inherits.policy.Active(routing.ReadClocks(), lease.Floor).Effect
 	}
 	return e
 }
 
 // avoiding is what requests keep off at this moment; nil: nothing.
-func (p *fleetPart) avoiding() (a *decide.Avoid) {
+func (p *fleetMember) avoiding() (a *decide.Exclusions) {
 	if p == nil || !p.told.operator.Fleet.Windows {
 		return nil
 	}
-	if p.standing(func(now fleet.Reading, standing lease.Standing) {
-		a = p.windows.seat.Avoid(now, standing, p.seat.Acting(now, standing))
+	if p.standing(func(now fleet.ClockReading, standing lease.Standing) {
+		a = p.windows.seat.Exclusions(now, standing, p.seat.Active(now, standing))
 	}) && p.inherits.windows != nil {
 		now := routing.ReadClocks()
-		return p.inherits.windows.Avoid(now, lease.Floor, p.inherits.policy.Acting(now, lease.Floor))
+		return p.inherits.windows.Exclusions(now, lease.Floor, p.inherits.policy.Active(now, lease.Floor))
 	}
 	return a
 }
 
 // placed is the generation of the ring to place by at this moment; nil: none.
-func (p *fleetPart) placed() (g *decide.Placed) {
+func (p *fleetMember) placed() (g *decide.RingAssignment) {
 	if p == nil || !p.told.operator.Fleet.Placement {
 		return nil
 	}
-	look := func(now fleet.Reading, standing lease.Standing) { g = p.places.seat.Placed(now, standing) }
+	look := func(now fleet.ClockReading, standing lease.Standing) { g = p.places.seat.Assignment(now, standing) }
 	if p.standing(look) && p.inherits.places != nil {
-		return p.inherits.places.Placed(routing.ReadClocks(), lease.Floor)
+		return p.inherits.places.Assignment(routing.ReadClocks(), lease.Floor)
 	}
 	return g
 }
--- a/cmd/dunestep/keep.go
+++ b/cmd/dunestep/keep.go
@@ -13,17 +13,17 @@
 )
 
 // memory is what this agent keeps over a restart: the folder, where there is one, and what was in it.
-type memory struct {
-	told   instructions
-	start  state.Beginning
-	keeper *folder.Keeper // nil: nothing is kept
+type stateKeeper struct {
+	told   settings
+	start  state.Initial
+	keeper *folder.Writer // nil: nothing is kept
 
 	began chan struct{} // closed once there is an agent
 	agent *routing.Agent
 }
 
 // owner is whose files this agent's are.
-func (s instructions) owner() state.Owner {
+func (s settings) owner() state.Owner {
 	deployment := s.operator.State.Deployment
 	if deployment == "" {
 		var classes []string
@@ -38,13 +38,13 @@
 
 // recall reads what is kept, or takes what was handed over, and has it kept from now on. Whatever is wrong
 // with it is told, and the start goes on without.
-func recall(told instructions, handed *state.File) *memory {
-	m := &memory{told: told, began: make(chan struct{})}
+func recall(told settings, handed *state.File) *stateKeeper {
+	m := &stateKeeper{told: told, began: make(chan struct{})}
 	from, file := m.read()
 	if handed != nil { // it is newer than what lies on a disk
 		file = handed
 	}
-	start, err := state.Begin(told.Known, file, time.Now())
+	start, err := state.NewInitial(told.KnownEndpoints, file, time.Now())
 	if err != nil {
 		slog.Warn("state not taken over", "error", err)
 	}
@@ -54,30 +54,30 @@
 		if start.Age < 0 {
 			age = "unknown, the clock was set back"
 		}
-		slog.Info("state taken over", "written", time.UnixMilli(file.Written), "age", age, "format", file.Format,
-			"servers", len(start.List.Servers), "list", m.listFrom())
-		for _, one := range file.Skipped {
+		slog.Info("state taken over", "written", time.UnixMilli(file.WrittenMS), "age", age, "format", file.Format,
+			"servers", len(start.List.Endpoints), "list", m.listFrom())
+		for _, one := range file.SkippedSections {
 			slog.Warn("state not taken over", "error", one)
 		}
 	}
 	if set := told.operator.State; set.Folder != "" {
-		m.keeper = folder.Keep(folder.Keeping{
-			Path: set.Folder, Owner: told.owner(), Take: m.take,
-			Period: seconds(set.PeriodS),
-			Gap:    time.Minute / time.Duration(set.WritesAMinute),
+		m.keeper = folder.StartWriter(folder.WriterSettings{
+			Path: set.Folder, Owner: told.owner(), Collect: m.take,
+			Period:      seconds(set.PeriodS),
+			MinInterval: time.Minute / time.Duration(set.WritesAMinute),
 		}, from, start.Age)
 	}
 	return m
 }
 
-func (m *memory) listFrom() string {
-	if m.start.FromFile {
+func (m *stateKeeper) listFrom() string {
+	if m.start.IsFromFile {
 		return "the file's"
 	}
 	return "the configuration's"
 }
 
-func (m *memory) read() (*folder.Folder, *state.File) {
+func (m *stateKeeper) read() (*folder.Folder, *state.File) {
 	set := m.told.operator.State
 	if set.Folder == "" {
 		return nil, nil
@@ -95,22 +95,22 @@
 }
 
 // changed tells that something of weight has changed.
-func (m *memory) changed() {
+func (m *stateKeeper) changed() {
 	if m.keeper != nil {
-		m.keeper.Poke()
+		m.keeper.RequestWrite()
 	}
 }
 
 // serves tells of the agent, which is asked from then on.
-func (m *memory) serves(agent *routing.Agent) {
+func (m *stateKeeper) serves(agent *routing.Agent) {
 	m.agent = agent
 	close(m.began)
 }
 
-func (m *memory) take(ctx context.Context) (state.Content, bool) {
+func (m *stateKeeper) take(ctx context.Context) (state.Content, bool) {
 	select {
 	case <-m.began:
-		return m.agent.Remember(ctx)
+		return m.agent.Snapshot(ctx)
 	case <-ctx.Done():
 		return state.Content{}, false
 	}
@@ -118,7 +118,7 @@
 
 // finish writes a last time, beside the drain, and returns a channel that is closed when that is done, after
 // whole at the latest.
-func (m *memory) finish(whole time.Duration) <-chan struct{} {
+func (m *stateKeeper) finish(whole time.Duration) <-chan struct{} {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
--- a/cmd/dunestep/main.go
+++ b/cmd/dunestep/main.go
@@ -73,24 +73,24 @@
 }
 
 // instructions is all that the program was told and may be told again.
-type instructions struct {
+type settings struct {
 	protocol.Config
 	operator operator.File
 }
 
 // bodies is what is set for bodies: their memory, and the rules.
-func (s instructions) bodies() (limit int64, r transport.BodyRules) {
+func (s settings) bodies() (limit int64, r transport.BodyRules) {
 	a := s.operator.Answers
 	return int64(a.MemoryShare * float64(s.Limits.MemoryMB<<20)), transport.BodyRules{
-		Longest: a.LongestKB << 10,
-		Whole:   a.WholeKB << 10,
-		Hold:    time.Duration(a.HoldMS) * time.Millisecond, Stall: time.Duration(a.StallMS) * time.Millisecond,
-		Lag: time.Duration(a.LagMS) * time.Millisecond,
+		MaxBytes:      a.LongestKB << 10,
+		BufferedBytes: a.WholeKB << 10,
+		MaxBuffering:  time.Duration(a.HoldMS) * time.Millisecond, ClientStall: time.Duration(a.StallMS) * time.Millisecond,
+		ClientLag: time.Duration(a.LagMS) * time.Millisecond,
 	}
 }
 
 // storm is what is set for slow spells, outages and storms of repeats.
-func (s instructions) storm() storm.Figures {
+func (s settings) storm() storm.Figures {
 	t := s.operator.Storm
 	return storm.Figures{
 		Off: !t.On, TellQuota: t.RateLimitFields, SpellFactor: t.SpellFactor,
@@ -169,16 +169,16 @@
 	p.told.Limits, p.told.operator = c.Limits, c.operator
 	p.up.mu.Unlock()
 	p.limit()
-	p.agent.SetStorm(c.storm())
+	p.agent.SetOverload(c.storm())
 	p.fleet.reload(c)
-	p.agent.Rediscover(c.Discovery)
+	p.agent.SetDiscovery(c.Discovery)
 	slog.Info("configuration taken over", "discovery", c.Discovery, "cores", c.Limits.Cores,
 		"memory_mb", c.Limits.MemoryMB, "sockets", c.Limits.Sockets)
 }
 
 // configure reads what the program is told at its start. The variables of the environment are all needed, and
 // win over the configuration's file.
-func configure(operatorFile string) (c instructions, err error) {
+func configure(operatorFile string) (c settings, err error) {
 	env := map[string]string{}
 	for _, name := range []string{"LB_NAME", "LB_LISTEN", "LB_DISCOVERY", "LB_CONFIG"} {
 		if env[name] = os.Getenv(name); env[name] == "" {
@@ -204,7 +204,7 @@
 }
 
 // readSettings reads both files.
-func readSettings(config, operatorFile string) (s instructions, err error) {
+func readSettings(config, operatorFile string) (s settings, err error) {
 	if s.Config, err = readConfig(config); err != nil {
 		return s, err
 	}
--- a/cmd/dunestep/placement.go
+++ b/cmd/dunestep/placement.go
@@ -19,11 +19,11 @@
 	"dunestep/window"
 )
 
-// placesPart is what this agent has for generations of the ring; nil: each agent places by its own list.
-type placesPart struct {
-	seat  *placementseat.Seat
+// ringControl is what this agent has for generations of the ring; nil: each agent places by its own list.
+type ringControl struct {
+	seat  *placementseat.Adapter
 	votes bool // it may lead, and make generations by its own list
-	gauge placement.Gauge
+	gauge placement.PaceMeter
 	paces map[string]uint16 // that were last seen to be agreed, by kind
 	looks time.Time         // when kinds are measured next
 }
@@ -33,25 +33,25 @@
 const ringEvery = 200 * time.Millisecond
 
 // sitPlaces has generations of the ring hold here.
-func (p *fleetPart) sitPlaces(n *fleet.Settings) *placementseat.Seat {
-	p.places = &placesPart{votes: n.Votes(), seat: placementseat.New(placementseat.Settings{
-		Votes:       n.Votes(),
-		Incarnation: n.Incarnation,
-		Machine:     placementMachine,
-		Figures: placement.Figures{
-			Terms: n.Terms, Cold: p.told.cold(),
-			Paces: p.told.operator.Fleet.Paces,
+func (p *fleetMember) sitPlaces(n *fleet.Settings) *placementseat.Adapter {
+	p.places = &ringControl{votes: n.IsVoter(), seat: placementseat.New(placementseat.Settings{
+		IsVoter:       n.IsVoter(),
+		Incarnation:   n.Incarnation,
+		MachineNumber: placementMachine,
+		Parameters: placement.Parameters{
+			Terms: n.Terms, SlowStart: p.told.cold(),
+			UsePaces: p.told.operator.Fleet.Paces,
 		},
 	}, routing.ReadClocks())}
 	return p.places.seat
 }
 
 // cold is what the settings let cold servers have, as the module goes by it.
-func (s instructions) cold() cold.Terms {
-	rules, f := s.Settings.Rules, decide.DefaultFigures()
+func (s settings) cold() cold.Terms {
+	rules, f := s.Settings.Rules, decide.DefaultTuning()
 	return cold.Terms{
-		Share: rules.ColdShare, For: rules.ColdFor, FallMultiple: rules.FallMultiple,
-		FallWindow: rules.FallWindow, Margin: f.ColdMargin, Most: f.ColdMost, Balancers: s.Settings.Balancers,
+		Share: rules.SlowStartCapacity, For: rules.SlowStartDuration, FallMultiple: rules.OverloadMultiple,
+		FallWindow: rules.OverloadWindow, Margin: f.SlowStartMargin, Most: f.SlowStartMax, Balancers: s.Settings.Balancers,
 	}
 }
 
@@ -75,24 +75,24 @@
 }
 
 // ringStatus is the present one; nil: placement is off.
-func (p *fleetPart) ringStatus(n *fleet.Node, now fleet.Reading) *ringStatus {
+func (p *fleetMember) ringStatus(n *fleet.Node, now fleet.ClockReading) *ringStatus {
 	if p.places == nil {
 		return nil
 	}
 	st := p.places.seat.State()
-	out := &ringStatus{Generation: st.Number, By: unixTime(st.By), Off: st.Off, Servers: []ringServer{}}
-	if placed := p.places.seat.Placed(now, n.Standing(now)); placed != nil {
-		out.Acting = placed.Number
+	out := &ringStatus{Generation: st.Number, By: unixTime(st.EffectiveAt), Off: st.Suspended, Servers: []ringServer{}}
+	if placed := p.places.seat.Assignment(now, n.Standing(now)); placed != nil {
+		out.Acting = placed.Generation
 	}
-	out.Tell = p.places.seat.Tell(now)
+	out.Tell = p.places.seat.PaceReporters(now)
 	for _, pace := range st.Paces {
 		if out.Paces == nil {
 			out.Paces = map[string]float64{}
 		}
-		out.Paces[pace.Kind] = float64(pace.Per) / 100
+		out.Paces[pace.Kind] = float64(pace.Percent) / 100
 	}
-	for i := range st.Nodes {
-		one := &st.Nodes[i]
+	for i := range st.Members {
+		one := &st.Members[i]
 		out.Servers = append(out.Servers, ringServer{one.ID, one.Phase.String(), one.OnRing()})
 	}
 	return out
@@ -116,18 +116,18 @@
 }
 
 // see tells the placement's seat this agent's own list.
-func (p *fleetPart) see(n *fleet.Node, now fleet.Reading) {
+func (p *fleetMember) see(n *fleet.Node, now fleet.ClockReading) {
 	if p.places != nil {
-		acting := p.seat.Acting(now, n.Standing(now))
-		p.places.seat.See(now, placement.View{
+		acting := p.seat.Active(now, n.Standing(now))
+		p.places.seat.SetView(now, placement.View{
 			Now: now.Unix, Servers: seen(p.servers, acting.Effect.Capacity),
-			Emptied: p.emptied(n, now),
+			FullyDrained: p.emptied(n, now),
 		})
 	}
 }
 
 // emptied are the servers that windows keep all keys off now.
-func (p *fleetPart) emptied(n *fleet.Node, now fleet.Reading) map[string]bool {
+func (p *fleetMember) emptied(n *fleet.Node, now fleet.ClockReading) map[string]bool {
 	if p.windows == nil {
 		return nil
 	}
@@ -136,33 +136,33 @@
 	for _, t := range p.told.Settings.Tenants {
 		tenants = append(tenants, t.Name)
 	}
-	return window.Emptied(p.windows.seat.Avoid(now, standing, p.seat.Acting(now, standing)), tenants)
+	return window.FullyDrained(p.windows.seat.Exclusions(now, standing, p.seat.Active(now, standing)), tenants)
 }
 
 // gaugeEvery is how often it is looked at how quick kinds of servers are.
 const gaugeEvery = 10 * time.Second
 
 // tellPaces measures how quick the kinds of servers are, for voters, and writes to the log what is agreed on.
-func (p *fleetPart) tellPaces(actor *routing.Fleet) {
+func (p *fleetMember) tellPaces(actor *routing.FleetActor) {
 	if p.places == nil || !p.told.operator.Fleet.Paces || time.Now().Before(p.places.looks) {
 		return
 	}
 	p.places.looks = time.Now().Add(gaugeEvery)
 	ctx, cancel := context.WithTimeout(context.Background(), watchEvery)
 	defer cancel()
-	quicks := p.hand.agent.Quicks(ctx)
-	actor.Do(ctx, func(n *fleet.Node, now fleet.Reading) {
-		list := seen(p.servers, p.seat.Acting(now, n.Standing(now)).Effect.Capacity)
-		p.places.seat.Measured(p.places.gauge.Look(now.Mono, quicks, list))
+	quicks := p.hand.agent.BaselineLatencies(ctx)
+	actor.Do(ctx, func(n *fleet.Node, now fleet.ClockReading) {
+		list := seen(p.servers, p.seat.Active(now, n.Standing(now)).Effect.Capacity)
+		p.places.seat.SetPaces(p.places.gauge.Measure(now.Mono, quicks, list))
 		p.places.noteAgreed()
 	})
 }
 
 // noteAgreed writes to the log which paces are agreed on, each change once.
-func (p *placesPart) noteAgreed() {
+func (p *ringControl) noteAgreed() {
 	agreed := map[string]uint16{}
 	for _, pace := range p.seat.State().Paces {
-		agreed[pace.Kind] = pace.Per
+		agreed[pace.Kind] = pace.Percent
 	}
 	for kind, per := range agreed {
 		if p.paces[kind] != per {
@@ -174,7 +174,7 @@
 }
 
 // lookAtRing tells the seat of a voter what has changed on its list, until a time.
-func (p *fleetPart) lookAtRing(actor *routing.Fleet, until time.Time) {
+func (p *fleetMember) lookAtRing(actor *routing.FleetActor, until time.Time) {
 	for time.Now().Add(ringEvery).Before(until) {
 		time.Sleep(ringEvery)
 		if p.places != nil && p.places.votes {
@@ -184,14 +184,14 @@
 	time.Sleep(time.Until(until))
 }
 
-func (p *fleetPart) lookForChange(actor *routing.Fleet) {
+func (p *fleetMember) lookForChange(actor *routing.FleetActor) {
 	ctx, cancel := context.WithTimeout(context.Background(), watchEvery)
 	defer cancel()
-	servers, known := p.hand.agent.Servers(ctx)
+	servers, known := p.hand.agent.Endpoints(ctx)
 	if !known {
 		return
 	}
-	actor.Do(ctx, func(n *fleet.Node, now fleet.Reading) {
+	actor.Do(ctx, func(n *fleet.Node, now fleet.ClockReading) {
 		if !slices.Equal(servers, p.servers) {
 			p.servers = servers
 			p.see(n, now)
@@ -200,11 +200,11 @@
 }
 
 // seen is this agent's own list, as a leader makes generations of it.
-func seen(servers []decide.Server, c policy.Capacity) (all []placement.Seen) {
+func seen(servers []decide.Server, c policy.Capacity) (all []placement.Server) {
 	for _, s := range servers {
-		all = append(all, placement.Seen{
-			ID: s.ID, Zone: s.Zone, Kind: s.Kind, Ready: s.State == decide.Ready,
-			Draining: s.State == decide.Draining, Started: s.Started, Capacity: c.Of(s.ID, s.Kind),
+		all = append(all, placement.Server{
+			ID: s.ID, Zone: s.Zone, Kind: s.MachineKind, Ready: s.State == decide.Ready,
+			Draining: s.State == decide.Draining, StartedAt: s.StartedAt, Capacity: c.Of(s.ID, s.MachineKind),
 		})
 	}
 	return all
--- a/cmd/dunestep/policy.go
+++ b/cmd/dunestep/policy.go
@@ -39,12 +39,12 @@
 }
 
 func versionOf(v policy.Version) policyVersion {
-	return policyVersion{v.Number, unixTime(v.By), v.ID, v.Who}
+	return policyVersion{v.Number, unixTime(v.EffectiveAt), v.ProposalID, v.ProposedBy}
 }
 
 func outcomeOf(o policy.Outcome) policyOutcome {
-	out := policyOutcome{ID: o.ID, End: o.End.String(), Version: o.Version, By: unixTime(o.By)}
-	if o.End == policy.NotTaken {
+	out := policyOutcome{ID: o.ID, End: o.Status.String(), Version: o.Version, By: unixTime(o.EffectiveAt)}
+	if o.Status == policy.StatusRejected {
 		out.Reason = o.Reason()
 	}
 	return out
@@ -58,28 +58,28 @@
 }
 
 // policy answers a call about policies.
-func (p *fleetPart) policy(ctx context.Context, actor *routing.Fleet, call protocol.OpsCall) (status int,
+func (p *fleetMember) policy(ctx context.Context, actor *routing.FleetActor, call protocol.OpsCall) (status int,
 	body []byte,
 ) {
 	if !p.told.operator.Fleet.Policy {
 		return http.StatusNotFound, nil
 	}
-	answer := func(*fleet.Node, fleet.Reading) {}
+	answer := func(*fleet.Node, fleet.ClockReading) {}
 	switch call.Kind {
 	case protocol.OpsPolicy:
-		answer = func(n *fleet.Node, now fleet.Reading) {
+		answer = func(n *fleet.Node, now fleet.ClockReading) {
 			status, body = answerJSON(http.StatusOK, p.policies(n, now))
 		}
 	case protocol.OpsPolicyOutcome:
-		answer = func(*fleet.Node, fleet.Reading) {
+		answer = func(*fleet.Node, fleet.ClockReading) {
 			o := p.seat.Outcome(call.ID)
 			o.ID = call.ID
 			status, body = answerJSON(http.StatusOK, outcomeOf(o))
 		}
 	case protocol.OpsPolicyDocument:
-		answer = func(*fleet.Node, fleet.Reading) { status, body = p.document(call.Version) }
+		answer = func(*fleet.Node, fleet.ClockReading) { status, body = p.document(call.Version) }
 	case protocol.OpsPolicyPropose:
-		answer = func(n *fleet.Node, now fleet.Reading) { status, body = p.propose(n, now, call) }
+		answer = func(n *fleet.Node, now fleet.ClockReading) { status, body = p.propose(n, now, call) }
 	}
 	if !actor.Do(ctx, answer) {
 		return late()
@@ -87,14 +87,14 @@
 	return status, body
 }
 
-func (p *fleetPart) policies(n *fleet.Node, now fleet.Reading) policyState {
-	s, acting := p.seat.State(), p.seat.Acting(now, n.Standing(now))
+func (p *fleetMember) policies(n *fleet.Node, now fleet.ClockReading) policyState {
+	s, acting := p.seat.State(), p.seat.Active(now, n.Standing(now))
 	out := policyState{
-		Acting: acting.How.String(), Version: acting.Version, Now: versionOf(s.Now),
+		Acting: acting.Mode.String(), Version: acting.Version, Now: versionOf(s.InForce),
 		Past: []policyVersion{}, Calls: []policyOutcome{},
 	}
-	if s.Open != nil {
-		v := versionOf(s.Open.Version)
+	if s.OpenChange != nil {
+		v := versionOf(s.OpenChange.Version)
 		out.Open = &v
 	}
 	for _, v := range s.Past {
@@ -106,7 +106,7 @@
 	return out
 }
 
-func (p *fleetPart) document(version uint64) (int, []byte) {
+func (p *fleetMember) document(version uint64) (int, []byte) {
 	text, ok := p.seat.Document(version)
 	if !ok {
 		return http.StatusNotFound, []byte("that version's document is not kept any more, or never was\n")
@@ -115,17 +115,17 @@
 }
 
 // propose checks a document against this agent's own settings, and proposes it to the fleet.
-func (p *fleetPart) propose(n *fleet.Node, now fleet.Reading, call protocol.OpsCall) (int, []byte) {
+func (p *fleetMember) propose(n *fleet.Node, now fleet.ClockReading, call protocol.OpsCall) (int, []byte) {
 	// The same call again: it is known what came of it.
-	if o := p.seat.Outcome(call.ID); o.End != policy.AskAgain {
+	if o := p.seat.Outcome(call.ID); o.Status != policy.StatusUnknown {
 		return answerJSON(http.StatusOK, outcomeOf(o))
 	}
-	document, err := policy.Fill(call.Document, time.Unix(0, int64(now.Unix)))
+	document, err := policy.AddZoneRules(call.Document, time.Unix(0, int64(now.Unix)))
 	if err != nil {
 		return http.StatusUnprocessableEntity, []byte(err.Error() + "\n")
 	}
-	record, err := p.seat.Record(now, call.ID, document, now.Unix+call.Within)
-	var refusal policy.Refusal
+	record, err := p.seat.EncodeProposal(now, call.ID, document, now.Unix+call.EffectiveIn)
+	var refusal policy.Rejection
 	switch {
 	case errors.As(err, &refusal):
 		return http.StatusUnprocessableEntity, []byte(err.Error() + "\n")
@@ -135,14 +135,14 @@
 	if _, err := n.Propose(now, policyMachine, record, proposeWithin); err != nil {
 		return http.StatusServiceUnavailable, []byte(err.Error() + "\n")
 	}
-	slog.Info("fleet: policy proposed", "id", call.ID, "bytes", len(document), "within", call.Within)
-	return answerJSON(http.StatusAccepted, policyOutcome{ID: call.ID, End: policy.AskAgain.String()})
+	slog.Info("fleet: policy proposed", "id", call.ID, "bytes", len(document), "within", call.EffectiveIn)
+	return answerJSON(http.StatusAccepted, policyOutcome{ID: call.ID, End: policy.StatusUnknown.String()})
 }
 
 // tellZones logs once for each version that is in force where clocks of its contracts' zones show other times
 // by this machine's zone data: one of the two is out of date. It is told, and nothing else: hours go by what
 // is agreed.
-func (p *fleetPart) tellZones() {
+func (p *fleetMember) tellZones() {
 	if p.seat == nil || p.inForce() == p.compared {
 		return
 	}
@@ -152,11 +152,11 @@
 		return
 	}
 	go func(version uint64) { // zone data are files
-		d, err := policy.Read("policy", text)
+		d, err := policy.ParseDocument("policy", text)
 		if err != nil {
 			return // which is told elsewhere
 		}
-		if err := d.Unlike(); err != nil {
+		if err := d.ZoneDifferences(); err != nil {
 			slog.Warn("fleet: the policy's zones are not as by this machine's zone data", "version", version,
 				"error", err)
 		}
--- a/cmd/dunestep/policy_test.go
+++ b/cmd/dunestep/policy_test.go
@@ -202,16 +202,16 @@
 
 // What SIGHUP changes of an agent's own settings counts: a figure of its own that is lower than the agreed one stays.
 func TestPolicyAndReload(t *testing.T) {
-	own := instructions{}
+	own := settings{}
 	own.Settings.Limits.MaxAttempts = 3
 	own.Settings.Classes = []decide.Class{{Name: "consult"}}
 	own.operator.Fleet.Policy = true
 	own.operator.Storm.InVain = 0.5
-	require.InDelta(t, 0.5, own.policyOwn().InVain, 1e-9)
-	s := seat.New(seat.Settings{Own: own.policyOwn(), Times: policy.Times{}.Usual()}, fleet.Reading{})
-	before := s.Acting(fleet.Reading{}, lease.Full).Effect
-	require.InDelta(t, 0.5, before.InVain, 1e-9)
+	require.InDelta(t, 0.5, own.policyOwn().MaxFailedRatio, 1e-9)
+	s := seat.New(seat.Settings{Local: own.policyOwn(), Times: policy.Times{}.WithDefaults()}, fleet.ClockReading{})
+	before := s.Active(fleet.ClockReading{}, lease.Full).Effect
+	require.InDelta(t, 0.5, before.MaxFailedRatio, 1e-9)
 	own.operator.Storm.InVain = 0.3
-	s.Change(own.policyOwn())
-	require.InDelta(t, 0.3, s.Acting(fleet.Reading{}, lease.Full).Effect.InVain, 1e-9)
+	s.SetLocalSettings(own.policyOwn())
+	require.InDelta(t, 0.3, s.Active(fleet.ClockReading{}, lease.Full).Effect.MaxFailedRatio, 1e-9)
 }
--- a/cmd/dunestep/policycommands.go
+++ b/cmd/dunestep/policycommands.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		return err
 	}
-	if _, err := policy.Read(c.File, text); err != nil {
+	if _, err := policy.ParseDocument(c.File, text); err != nil {
 		return err
 	}
 	if c.Config != "" {
@@ -42,11 +42,11 @@
 		if err != nil {
 			return err
 		}
-		whole, err := policy.Fill(text, time.Now())
+		whole, err := policy.AddZoneRules(text, time.Now())
 		if err != nil {
 			return err
 		}
-		if err := policy.Check(whole, s.policyOwn()); err != nil {
+		if err := policy.CheckDocument(whole, s.policyOwn()); err != nil {
 			return err
 		}
 	}
@@ -86,18 +86,18 @@
 	if err := c.call(http.MethodPost, path, document, &o); err != nil {
 		return err
 	}
-	for until := time.Now().Add(c.Wait); o.End == policy.AskAgain.String() && time.Now().Before(until); {
+	for until := time.Now().Add(c.Wait); o.End == policy.StatusUnknown.String() && time.Now().Before(until); {
 		time.Sleep(ticketEvery)
 		if err := c.call(http.MethodGet, "/ops/fleet/policy/outcome?id="+name, "", &o); err != nil {
 			return err
 		}
 	}
 	switch o.End {
-	case policy.Taken.String():
+	case policy.StatusAccepted.String():
 		fmt.Printf("taken: version %d holds everywhere from %s on\n", o.Version, o.By.Format(time.RFC3339Nano))
 		time.Sleep(min(time.Until(o.By)+clocksApart, c.Wait)) // so that what is done next is done under it
 		return nil
-	case policy.NotTaken.String():
+	case policy.StatusRejected.String():
 		return fmt.Errorf("not taken: %s", o.Reason)
 	}
 	return fmt.Errorf("not known yet: ask again with --id %s", c.ID)
--- a/cmd/dunestep/policyfaults_test.go
+++ b/cmd/dunestep/policyfaults_test.go
@@ -455,7 +455,7 @@
 			err := opsDoor{w.l.Agent(3 + n%2).Ops}.call(http.MethodGet,
 				fmt.Sprintf("/ops/fleet/policy/outcome?id=mark-%d-%d", markAtFirst, n), "", &o)
 			s, ok := policiesAt(w.l.Agent(3 + n%2))
-			return err == nil && o.End != policy.AskAgain.String() || ok && s.Open != nil && s.Open.ID == o.ID
+			return err == nil && o.End != policy.StatusUnknown.String() || ok && s.Open != nil && s.Open.ID == o.ID
 		}))
 	}
 	require.NoError(t, w.l.Wait(t.Context(), "the last one has taken hold", func() bool {
--- a/cmd/dunestep/present.go
+++ b/cmd/dunestep/present.go
@@ -14,30 +14,30 @@
 const presentEvery = time.Second
 
 // countPresent tells the module how many agents are there, until the process ends.
-func (p *fleetPart) countPresent(actor *routing.Fleet) {
+func (p *fleetMember) countPresent(actor *routing.FleetActor) {
 	told := 0
 	for range time.Tick(presentEvery) {
 		here := 0 // where there is no answer in time: as many as the settings name
 		ctx, cancel := context.WithTimeout(context.Background(), presentEvery)
-		actor.Do(ctx, func(n *fleet.Node, now fleet.Reading) { here = n.Here(now) })
+		actor.Do(ctx, func(n *fleet.Node, now fleet.ClockReading) { here = n.PresentAgents(now) })
 		cancel()
 		if here != told {
 			told = here
 			slog.Info("fleet: divides by agents that are there", "there", here, "counted",
-				decide.Counted(here, p.told.Settings.Balancers))
-			p.hand.agent.Present(p.counts(here))
+				decide.EffectiveFleetSize(here, p.told.Settings.Balancers))
+			p.hand.agent.SetFleetSize(p.counts(here))
 		}
 	}
 }
 
 // counts is what each part divides by that is to go by who is there.
-func (p *fleetPart) counts(here int) (module decide.Present, storm int) {
+func (p *fleetMember) counts(here int) (module decide.FleetSize, storm int) {
 	f := p.told.operator.Fleet
 	if f.HereCold {
-		module.Cold = here
+		module.ProbeRequests = here
 	}
 	if f.HereShares {
-		module.Shares = here
+		module.Quotas = here
 	}
 	if f.HereStorm {
 		storm = here
--- a/cmd/dunestep/price_test.go
+++ b/cmd/dunestep/price_test.go
@@ -18,15 +18,15 @@
 // Off, there is no part of the fleet's at all: nothing is started, so no timer runs and no datagram is sent; what asks it
 // is told that there is nothing; and each datagram is the module's.
 func TestFleetOffIsNothing(t *testing.T) {
-	p, err := newFleetPart(instructions{}, nil)
+	p, err := newFleetPart(settings{}, nil)
 	require.NoError(t, err)
 	require.Nil(t, p)
 	require.NoError(t, p.begin(nil))
 	require.Nil(t, p.effect())
 	require.True(t, p.ready())
-	p.reload(instructions{})
+	p.reload(settings{})
 	p.leave()
-	status, body := (&hand{}).Fleet(t.Context(), protocol.OpsCall{Kind: protocol.OpsFleetStatus})
+	status, body := (&manualControl{}).HandleFleetCall(t.Context(), protocol.OpsCall{Kind: protocol.OpsFleetStatus})
 	require.Equal(t, 404, status)
 	require.Empty(t, body)
 }
@@ -46,7 +46,7 @@
 }
 
 // With the fleet and policies on and off, in turns at two labs side by side: how long requests take, and what processes use.
-// Figures alone; long: LONG_TESTS.
+// Metrics alone; long: LONG_TESTS.
 func TestFleetPrice(t *testing.T) {
 	if os.Getenv("LONG_TESTS") == "" {
 		t.Skip("LONG_TESTS is not set")
--- a/cmd/dunestep/process.go
+++ b/cmd/dunestep/process.go
@@ -21,19 +21,19 @@
 
 // process is the running agent: its parts, and what they were told.
 type process struct {
-	told        instructions
+	told        settings
 	counts      *figures.Figures
 	descriptors *transport.Descriptors
-	bodies      *transport.Bodies
-	kept        *memory
+	bodies      *transport.BodyLimits
+	kept        *stateKeeper
 	datagrams   *transport.Datagrams // nil: agents don't talk to one another
 	agent       *routing.Agent
-	front       *transport.Front
-	hand        *hand
-	fleet       *fleetPart           // nil: it takes no part
-	ops         *transport.OpsSocket // nil: there is none
+	front       *transport.Listener
+	hand        *manualControl
+	fleet       *fleetMember         // nil: it takes no part
+	ops         *transport.OpsServer // nil: there is none
 	served      chan error
-	file        *handover.Bans
+	file        *handover.SettingsFile
 	up          upgrade
 }
 
@@ -48,20 +48,20 @@
 func (p *process) start() error {
 	c := p.told
 	p.served = make(chan error, 2)
-	p.file = handover.NewBans(os.TempDir(), c.Name, c.Listen)
+	p.file = handover.NewSettingsFile(os.TempDir(), c.Name, c.Listen)
 	got := p.meet()
-	p.bodies = transport.NewBodies(c.bodies())
-	p.descriptors = transport.NewDescriptors(c.Limits.Sockets, func() { p.agent.Reclaim() })
+	p.bodies = transport.NewBodyLimits(c.bodies())
+	p.descriptors = transport.NewDescriptors(c.Limits.Sockets, func() { p.agent.ReleaseIdle() })
 	p.limit()
 	if err := p.startAgent(got); err != nil {
 		return err
 	}
-	p.front = transport.NewFront(p.descriptors, p.bodies, p.counts, p.agent)
+	p.front = transport.NewListener(p.descriptors, p.bodies, p.counts, p.agent)
 	p.front.Inherit(got.listeners)
 	if err := c.listen(p.front); err != nil {
 		return err
 	}
-	p.hand = &hand{
+	p.hand = &manualControl{
 		agent: p.agent, front: p.front, counts: p.counts, file: p.file, set: got.hand,
 		changed: p.changed, fleet: p.fleet,
 	}
@@ -75,31 +75,31 @@
 	go func() { p.served <- p.front.Serve() }()
 	p.hand.serves()
 	p.meets(meeting)
-	slog.Info("serving", "name", c.Name, "listen", c.Listen, "known", len(p.kept.start.List.Servers))
+	slog.Info("serving", "name", c.Name, "listen", c.Listen, "known", len(p.kept.start.List.Endpoints))
 	return nil
 }
 
 // startAgent starts the actors, with the booking servers out that were taken out by hand.
-func (p *process) startAgent(got inheritance) (err error) {
+func (p *process) startAgent(got takeover) (err error) {
 	c := p.told
 	p.kept = recall(c, got.file)
 	set := routing.Settings{
-		Deployment: c.Settings, Seed: c.Seed, Discovery: c.Discovery, Start: p.kept.start,
-		Proof:       state.Proof{Wanted: c.operator.State.ProveList, Deploy: seconds(c.operator.State.DeployS)},
-		Descriptors: p.descriptors, Bodies: p.bodies, Figures: p.counts, Bans: got.hand.Bans,
-		Changed: p.kept.changed, Storm: c.storm(), Awaits: func() bool { return p.fleet.ready() },
+		Deployment: c.Settings, Seed: c.Seed, Discovery: c.Discovery, Initial: p.kept.start,
+		Probation:   state.ProbationSettings{Enabled: c.operator.State.ProveList, FullDeploy: seconds(c.operator.State.DeployS)},
+		Descriptors: p.descriptors, Bodies: p.bodies, Metrics: p.counts, Disabled: got.hand.Disabled,
+		OnStateChange: p.kept.changed, Overload: c.storm(), FleetReady: func() bool { return p.fleet.ready() },
 	}
 	if c.operator.Fleet.On && c.operator.Fleet.Policy {
-		set.Acting = func() *policy.Effect { return p.fleet.effect() }
+		set.FleetPolicy = func() *policy.Effect { return p.fleet.effect() }
 		if c.operator.Fleet.Windows {
-			set.Avoiding = func() *decide.Avoid { return p.fleet.avoiding() }
-			set.Knows = func() bool { return p.fleet.knows() }
+			set.Exclusions = func() *decide.Exclusions { return p.fleet.avoiding() }
+			set.FleetCaughtUp = func() bool { return p.fleet.knows() }
 		}
 		if c.operator.Fleet.Placement {
-			set.Placed = func() *decide.Placed { return p.fleet.placed() }
+			set.RingAssignment = func() *decide.RingAssignment { return p.fleet.placed() }
 		}
 	}
-	if c.Settings.Limits.Peers && c.PeerListen.IsValid() {
+	if c.Settings.Limits.Gossip && c.PeerListen.IsValid() {
 		if p.datagrams, err = p.listenDatagrams(got.datagrams); err != nil {
 			return err
 		}
@@ -116,7 +116,7 @@
 	}
 	p.kept.serves(p.agent)
 	if p.datagrams != nil {
-		hear := p.agent.Hear
+		hear := p.agent.ReceiveDatagram
 		if p.fleet != nil {
 			hear = p.fleet.hear(hear)
 		}
@@ -131,7 +131,7 @@
 
 // listenDatagrams opens the socket for datagrams, or takes over the one that it was handed.
 func (p *process) listenDatagrams(handed *net.UDPConn) (*transport.Datagrams, error) {
-	agents := protocol.NewAgents(p.told.Peers, p.told.PeersAll)
+	agents := protocol.NewPeerAddresses(p.told.Peers, p.told.PeersAll)
 	if handed != nil && handed.LocalAddr().String() == p.told.PeerListen.String() {
 		return transport.NewDatagrams(handed, agents), nil
 	}
@@ -172,7 +172,7 @@
 func (p *process) stop() {
 	p.hand.ends()
 	p.fleet.leave()
-	written := p.kept.finish(core.NewDrain(0, p.told.Settings.Classes).End())
+	written := p.kept.finish(core.NewShutdownPlan(0, p.told.Settings.Classes).Deadline())
 	drain(p.front, p.agent, p.told.Settings.Classes, p.ends())
 	<-written
 }
@@ -188,35 +188,35 @@
 
 // drain goes through the phases of a planned restart. It returns when all that was taken has been answered,
 // or when the time for it is over. Taken: another process takes the clients that come.
-func drain(front *transport.Front, agent *routing.Agent, classes []decide.Class, taken bool) {
+func drain(front *transport.Listener, agent *routing.Agent, classes []decide.Class, taken bool) {
 	began := time.Now()
-	course := core.NewDrain(0, classes)
+	course := core.NewShutdownPlan(0, classes)
 	abandon := sync.OnceFunc(func() {
 		slog.Warn("drain cut short: what is unanswered fails now")
-		agent.Abandon()
+		agent.FailAll()
 	})
-	_, arrived := course.At(0)
-	front.Leave(arrived, true)
+	_, arrived := course.PhaseAt(0)
+	front.StartDrain(arrived, true)
 	if taken {
 		front.StopListening()
 	}
 	for {
-		phase, until := course.At(time.Since(began))
+		phase, until := course.PhaseAt(time.Since(began))
 		switch phase {
-		case core.Arriving:
+		case core.ShutdownAccepting:
 			if !taken {
 				<-time.NewTimer(until - time.Since(began)).C
 				front.StopListening()
 				continue
 			}
-		case core.Abandoning:
+		case core.ShutdownFailing:
 			abandon()
-		case core.Over:
+		case core.ShutdownOver:
 			abandon() // where the machine has kept it waiting for all of that phase
 			return
 		}
 		ctx, cancel := context.WithDeadline(context.Background(), began.Add(until))
-		err := front.Gone(ctx)
+		err := front.WaitClosed(ctx)
 		cancel()
 		if err == nil {
 			return
--- a/cmd/dunestep/state.go
+++ b/cmd/dunestep/state.go
@@ -38,7 +38,7 @@
 		return nil, 0, err
 	}
 	defer f.Close()
-	raw, err := io.ReadAll(io.LimitReader(f, state.MaxFile+1))
+	raw, err := io.ReadAll(io.LimitReader(f, state.MaxFileBytes+1))
 	if err != nil {
 		return nil, 0, err
 	}
@@ -56,8 +56,8 @@
 		return err
 	}
 	fmt.Printf("whole: format %d, %d bytes, generation %d, of %q in %q, written %s\n", f.Format, length,
-		f.Generation, f.Owner.Agent, f.Owner.Deployment, time.UnixMilli(f.Written).UTC().Format(time.RFC3339))
-	for _, one := range f.Skipped {
+		f.Generation, f.Owner.Agent, f.Owner.Deployment, time.UnixMilli(f.WrittenMS).UTC().Format(time.RFC3339))
+	for _, one := range f.SkippedSections {
 		fmt.Println("not known here:", one)
 	}
 	return nil
@@ -84,25 +84,25 @@
 		return err
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	known := map[string]*decide.ServerMemory{}
-	if m := f.Module; m != nil {
-		fmt.Fprintf(w, "\nmodule\tmean answer %.0f ms\tfailing %.1f%%\tsent %.1f/s\n", 1000*m.Latency,
-			100*m.Failing, m.Rate)
+	known := map[string]*decide.ServerSnapshot{}
+	if m := f.Balancer; m != nil {
+		fmt.Fprintf(w, "\nmodule\tmean answer %.0f ms\tfailing %.1f%%\tsent %.1f/s\n", 1000*m.MeanLatency,
+			100*m.FailureRatio, m.SendRate)
 		for _, k := range m.Kinds {
-			fmt.Fprintf(w, "kind %s\tquick %.0f ms\tof %.0f answers\t\n", k.Name, 1000*k.Pace.Quick, k.Pace.Answers)
+			fmt.Fprintf(w, "kind %s\tquick %.0f ms\tof %.0f answers\t\n", k.Name, 1000*k.BaselineLatency.Latency, k.BaselineLatency.Samples)
 		}
 		for i := range m.Servers {
 			known[m.Servers[i].ID] = &m.Servers[i]
 		}
-		fmt.Fprintf(w, "blamed keys\t%d\t\t\n", len(m.Keys))
+		fmt.Fprintf(w, "blamed keys\t%d\t\t\n", len(m.BlamedKeys))
 	}
 	if l := f.List; l != nil {
 		confirmed := "never"
-		if l.Confirmed > 0 {
-			confirmed = time.UnixMilli(l.Confirmed).UTC().Format(time.RFC3339)
+		if l.ConfirmedMS > 0 {
+			confirmed = time.UnixMilli(l.ConfirmedMS).UTC().Format(time.RFC3339)
 		}
-		fmt.Fprintf(w, "list\tversion %d\t%d servers\tconfirmed %s\n\n", l.Version, len(l.Servers), confirmed)
-		for _, s := range l.Servers {
+		fmt.Fprintf(w, "list\tversion %d\t%d servers\tconfirmed %s\n\n", l.Version, len(l.Endpoints), confirmed)
+		for _, s := range l.Endpoints {
 			fmt.Fprintf(w, "%s\t%s\t%s %s\t%s\n", s.ID, s.Addr, s.Zone, s.Kind, standing(s, known[s.ID]))
 		}
 	}
@@ -110,7 +110,7 @@
 }
 
 // standing says in words what was known of a server.
-func standing(s state.Server, m *decide.ServerMemory) string {
+func standing(s state.StoredEndpoint, m *decide.ServerSnapshot) string {
 	var words []string
 	if s.State == decide.Draining {
 		words = append(words, "leaving")
@@ -121,13 +121,13 @@
 	if m.Latency > 0 {
 		words = append(words, fmt.Sprintf("%.0f ms", 1000*m.Latency))
 	}
-	if m.Health.Down {
-		words = append(words, "down: "+m.Health.Because)
+	if m.Outlier.Down {
+		words = append(words, "down: "+m.Outlier.Because)
 	}
 	if m.DampedFor > 0 {
 		words = append(words, fmt.Sprintf("damped for %v", m.DampedFor.Round(time.Second)))
 	}
-	if m.BackAgo > 0 {
+	if m.RecoveredAgo > 0 {
 		words = append(words, "cold")
 	}
 	return strings.Join(words, ", ")
--- a/cmd/dunestep/upgrade.go
+++ b/cmd/dunestep/upgrade.go
@@ -59,8 +59,8 @@
 }
 
 // inheritance is what a process that takes over begins with.
-type inheritance struct {
-	hand      handover.Hand
+type takeover struct {
+	hand      handover.ManualSettings
 	file      *state.File
 	listeners map[netip.AddrPort]*net.TCPListener
 	datagrams *net.UDPConn // nil: none
@@ -68,14 +68,14 @@
 }
 
 // meet takes over from a process of this agent that runs, where there is one.
-func (p *process) meet() (got inheritance) {
+func (p *process) meet() (got takeover) {
 	kept, err := p.file.Read()
 	if err != nil {
 		slog.Warn("what was set by hand is not taken over", "error", err)
 	}
-	got.hand.Bans = kept.Bans // a drain by hand ends with the last process
-	old, offer, sockets, err := handover.Meet(os.TempDir(), p.told.Name, p.told.Listen)
-	if errors.Is(err, handover.ErrAlone) {
+	got.hand.Disabled = kept.Disabled // a drain by hand ends with the last process
+	old, offer, sockets, err := handover.Connect(os.TempDir(), p.told.Name, p.told.Listen)
+	if errors.Is(err, handover.ErrNoPeer) {
 		return got
 	}
 	if err != nil {
@@ -83,24 +83,24 @@
 		return got
 	}
 	p.up.old = old
-	p.up.share = share{offer.Sockets, offer.MemoryMB}
-	got.hand, got.fleet = offer.Hand, offer.Fleet
-	got.hand.Bans = core.MergeBans(offer.Hand.Bans, kept.Bans)
+	p.up.share = share{offer.Descriptors, offer.MemoryMB}
+	got.hand, got.fleet = offer.Manual, offer.FleetState
+	got.hand.Disabled = core.MergeDisabled(offer.Manual.Disabled, kept.Disabled)
 	if got.file, err = state.Decode(offer.State); err == nil && got.file.Owner != p.told.owner() {
-		err = state.ErrOther
+		err = state.ErrOtherOwner
 	}
 	if err != nil {
 		slog.Warn("state not taken over", "error", err)
 		got.file = nil
 	}
 	got.take(sockets)
-	slog.Info("taking over from the process that runs", "sockets", len(sockets), "descriptors", offer.Sockets,
-		"memory_mb", offer.MemoryMB, "out_by_hand", len(offer.Hand.Bans))
+	slog.Info("taking over from the process that runs", "sockets", len(sockets), "descriptors", offer.Descriptors,
+		"memory_mb", offer.MemoryMB, "out_by_hand", len(offer.Manual.Disabled))
 	return got
 }
 
 // take opens the sockets that were handed over. One that is not what it is said to be is left alone.
-func (i *inheritance) take(sockets map[string]*os.File) {
+func (i *takeover) take(sockets map[string]*os.File) {
 	i.listeners = map[netip.AddrPort]*net.TCPListener{}
 	for name, f := range sockets {
 		network, text, _ := cutNetwork(name)
@@ -142,8 +142,8 @@
 
 // opened has this process be met by one that takes over from it. Guards against a yes to clients or staff
 // while the place is not there yet: a process that is started on that yes would meet nobody.
-func (p *process) opened() *handover.Meeting {
-	meeting, err := handover.Await(os.TempDir(), p.told.Name, p.told.Listen)
+func (p *process) opened() *handover.Listener {
+	meeting, err := handover.Listen(os.TempDir(), p.told.Name, p.told.Listen)
 	if err != nil {
 		slog.Warn("no process can take over from this one", "error", err)
 		return nil
@@ -153,7 +153,7 @@
 
 // meets hands over to processes that come to the meeting place; nil: none can come. The process before, where
 // there is one, is told that this one takes clients as soon as it does.
-func (p *process) meets(meeting *handover.Meeting) {
+func (p *process) meets(meeting *handover.Listener) {
 	if old := p.up.old; old != nil { // nothing else looks at it before the next lines
 		go p.tellReady(old)
 		go p.outlive(old)
@@ -165,15 +165,15 @@
 
 // tellReady tells the process before that this one takes clients.
 func (p *process) tellReady(old *handover.Peer) {
-	for !p.hand.Readiness() {
+	for !p.hand.IsReady() {
 		time.Sleep(readyEvery)
 	}
-	old.Tell(handover.Note{Ready: true})
+	old.Notify(handover.Notification{Ready: true})
 }
 
 // outlive listens to the process before until that has ended, and takes all of the limits then.
 func (p *process) outlive(old *handover.Peer) {
-	old.Listen(p.noted)
+	old.Receive(p.noted)
 	p.up.mu.Lock()
 	p.up.old = nil
 	p.up.share = share{}
@@ -186,26 +186,26 @@
 }
 
 // noted takes a note from the other process in.
-func (p *process) noted(n handover.Note) {
-	if n.Hand != nil {
-		p.hand.adopt(*n.Hand)
+func (p *process) noted(n handover.Notification) {
+	if n.Manual != nil {
+		p.hand.adopt(*n.Manual)
 	}
-	if n.Sockets > 0 {
+	if n.Descriptors > 0 {
 		p.up.mu.Lock()
-		p.up.share.sockets = n.Sockets
+		p.up.share.sockets = n.Descriptors
 		p.up.mu.Unlock()
 		p.limit()
 	}
 }
 
 // changed tells the other process, where there is one, what staff have set.
-func (p *process) changed(h handover.Hand) {
+func (p *process) changed(h handover.ManualSettings) {
 	p.up.mu.Lock()
 	others := []*handover.Peer{p.up.old, p.up.heir}
 	p.up.mu.Unlock()
 	for _, o := range others {
 		if o != nil {
-			o.Tell(handover.Note{Hand: &h})
+			o.Notify(handover.Notification{Manual: &h})
 		}
 	}
 }
@@ -216,30 +216,30 @@
 	sockets, names := p.handed()
 	limits := p.limits()
 	offer := handover.Offer{
-		Handed: names, State: p.remembered(), MemoryMB: max(limits.MemoryMB/2, 1),
-		Sockets: p.room(limits),
+		SocketNames: names, State: p.remembered(), MemoryMB: max(limits.MemoryMB/2, 1),
+		Descriptors: p.room(limits),
 	}
-	p.setHeir(heir, share{limits.Sockets - offer.Sockets, limits.MemoryMB - offer.MemoryMB})
+	p.setHeir(heir, share{limits.Sockets - offer.Descriptors, limits.MemoryMB - offer.MemoryMB})
 	debug.FreeOSMemory()
-	offer.Hand, offer.Fleet = p.hand.now(), p.fleet.handed()
-	if err := heir.Give(offer, sockets); err != nil {
+	offer.Manual, offer.FleetState = p.hand.now(), p.fleet.handed()
+	if err := heir.SendOffer(offer, sockets); err != nil {
 		slog.Warn("not handed over", "error", err)
 	} else {
-		slog.Info("handing over to a new process", "descriptors", offer.Sockets, "memory_mb", offer.MemoryMB)
+		slog.Info("handing over to a new process", "descriptors", offer.Descriptors, "memory_mb", offer.MemoryMB)
 		stop := make(chan struct{})
-		go p.tellRoom(heir, offer.Sockets, stop)
-		heir.Listen(func(n handover.Note) {
+		go p.tellRoom(heir, offer.Descriptors, stop)
+		heir.Receive(func(n handover.Notification) {
 			if n.Ready {
 				p.yield()
 			}
-			n.Sockets = 0 // it is for this one to say
+			n.Descriptors = 0 // it is for this one to say
 			p.noted(n)
 		})
 		close(stop)
 	}
 	p.setHeir(nil, share{})
 	if p.datagrams != nil {
-		p.datagrams.Speak(true)
+		p.datagrams.SetActive(true)
 	}
 	p.up.mu.Lock()
 	defer p.up.mu.Unlock()
@@ -255,7 +255,7 @@
 	p.up.taken = true
 	p.up.mu.Unlock()
 	if p.datagrams != nil {
-		p.datagrams.Speak(false)
+		p.datagrams.SetActive(false)
 	}
 	slog.Info("the new process takes clients")
 }
@@ -265,7 +265,7 @@
 	p.up.heir, p.up.share, p.up.taken = heir, s, false
 	p.up.mu.Unlock()
 	p.limit()
-	p.agent.Reclaim() // idle connections are the first to be let go
+	p.agent.ReleaseIdle() // idle connections are the first to be let go
 }
 
 // ends tells that this process is ending, and whether a new one takes its clients.
@@ -280,7 +280,7 @@
 func (p *process) limits() protocol.Limits { return p.instructions().Limits }
 
 // instructions are those that hold now.
-func (p *process) instructions() instructions {
+func (p *process) instructions() settings {
 	p.up.mu.Lock()
 	defer p.up.mu.Unlock()
 	return p.told
@@ -289,7 +289,7 @@
 // room is how many descriptors the new process may hold beside this one: half, or all that this one does not
 // need, once it is ending; what it holds stays its own.
 func (p *process) room(l protocol.Limits) int {
-	held := p.descriptors.Held()
+	held := p.descriptors.InUse()
 	if p.told.Ops.IsValid() {
 		held += transport.OpsDescriptors
 	}
@@ -321,7 +321,7 @@
 		p.up.share.sockets = limits.Sockets - room
 		p.up.mu.Unlock()
 		p.limit()
-		heir.Tell(handover.Note{Sockets: room})
+		heir.Notify(handover.Notification{Descriptors: room})
 	}
 }
 
@@ -347,8 +347,8 @@
 		return nil
 	}
 	raw, err := state.Encode(&state.File{Header: state.Header{
-		Owner:   p.kept.told.owner(),
-		Written: time.Now().UnixMilli(),
+		Owner:     p.kept.told.owner(),
+		WrittenMS: time.Now().UnixMilli(),
 	}, Content: content})
 	if err != nil {
 		slog.Warn("state not handed over", "error", err)
--- a/cmd/dunestep/window.go
+++ b/cmd/dunestep/window.go
@@ -20,11 +20,11 @@
 	windowseat "dunestep/window/seat"
 )
 
-// windowsPart is what this agent has for maintenance windows; nil: they do not hold here.
-type windowsPart struct {
-	seat   *windowseat.Seat
-	before map[string]decide.Strain // what was counted when it was last looked at
-	told   map[string]toldOf        // what the log has of each window
+// windowControl is what this agent has for maintenance windows; nil: they do not hold here.
+type windowControl struct {
+	seat   *windowseat.Adapter
+	before map[string]decide.TenantStats // what was counted when it was last looked at
+	told   map[string]toldOf             // what the log has of each window
 }
 
 type toldOf struct {
@@ -37,38 +37,38 @@
 const watchEvery = 2 * time.Second
 
 // sitWindows has maintenance windows hold here.
-func (p *fleetPart) sitWindows(n *fleet.Settings) *windowseat.Seat {
+func (p *fleetMember) sitWindows(n *fleet.Settings) *windowseat.Adapter {
 	f := p.told.operator.Fleet
-	p.windows = &windowsPart{told: map[string]toldOf{}, before: map[string]decide.Strain{}}
+	p.windows = &windowControl{told: map[string]toldOf{}, before: map[string]decide.TenantStats{}}
 	p.windows.seat = windowseat.New(windowseat.Settings{
-		Self: n.Self, Votes: n.Votes(),
-		Incarnation: n.Incarnation, Machine: windowMachine, Times: p.policyTimes(n.Terms), Turns: int(f.Turns),
-		Linger: seconds(f.LingerS),
-		Margin: seconds(f.MarginS), Notice: seconds(f.NoticeS),
+		Self: n.Self, IsVoter: n.IsVoter(),
+		Incarnation: n.Incarnation, MachineNumber: windowMachine, Times: p.policyTimes(n.Terms), Turns: int(f.Turns),
+		MaxInFlight: seconds(f.LingerS),
+		ClockMargin: seconds(f.MarginS), MinNotice: seconds(f.NoticeS),
 		InForce: p.inForce,
-		See:     p.view,
+		View:    p.view,
 	}, routing.ReadClocks())
 	return p.windows.seat
 }
 
 // view is what the leader's council sees here. It is asked by the actor.
-func (p *fleetPart) view(now fleet.Reading) window.View {
+func (p *fleetMember) view(now fleet.ClockReading) window.LeaderView {
 	s := p.seat.State()
-	v := window.View{InForce: s.Now.Number, Open: s.Open != nil}
+	v := window.LeaderView{InForce: s.InForce.Number, ChangeOpen: s.OpenChange != nil}
 	if actor := p.actor.Load(); actor != nil {
-		v.Standing = actor.Standing(now)
+		v.Standing = actor.LeaseStanding(now)
 	}
-	v.Acting = p.seat.Acting(now, v.Standing)
-	v.Nodes = p.nodes(v.Acting.Effect)
+	v.Active = p.seat.Active(now, v.Standing)
+	v.Servers = p.nodes(v.Active.Effect)
 	return v
 }
 
 // nodes are the servers of the own list that are not gone.
-func (p *fleetPart) nodes(e *policy.Effect) (nodes []window.Node) {
+func (p *fleetMember) nodes(e *policy.Effect) (nodes []window.Server) {
 	for _, s := range p.servers {
 		if s.State != decide.Gone {
-			nodes = append(nodes, window.Node{
-				ID: s.ID, Zone: s.Zone, Capacity: e.Capacity.Of(s.ID, s.Kind),
+			nodes = append(nodes, window.Server{
+				ID: s.ID, Zone: s.Zone, Capacity: e.Capacity.Of(s.ID, s.MachineKind),
 				Absent: s.State != decide.Ready,
 			})
 		}
@@ -77,7 +77,7 @@
 }
 
 // watch tells what stands above the node what this agent sees, again and again.
-func (p *fleetPart) watch(actor *routing.Fleet) {
+func (p *fleetMember) watch(actor *routing.FleetActor) {
 	for {
 		p.lookOnce(actor)
 		p.tellPaces(actor)
@@ -85,17 +85,17 @@
 	}
 }
 
-func (p *fleetPart) lookOnce(actor *routing.Fleet) {
+func (p *fleetMember) lookOnce(actor *routing.FleetActor) {
 	ctx, cancel := context.WithTimeout(context.Background(), watchEvery)
 	defer cancel()
-	servers, known := p.hand.agent.Servers(ctx)
+	servers, known := p.hand.agent.Endpoints(ctx)
 	moving := false
-	actor.Do(ctx, func(n *fleet.Node, now fleet.Reading) {
+	actor.Do(ctx, func(n *fleet.Node, now fleet.ClockReading) {
 		if known {
 			p.servers = servers
 			p.see(n, now)
 		}
-		moving = p.windows != nil && p.windows.seat.Moving(now)
+		moving = p.windows != nil && p.windows.seat.MovesTraffic(now)
 		p.tellWindows()
 	})
 	if moving {
@@ -106,17 +106,17 @@
 }
 
 // tellStrain tells how the tenants' requests fare.
-func (p *fleetPart) tellStrain(ctx context.Context, actor *routing.Fleet) {
-	strain, damps := p.hand.agent.Strain(ctx)
+func (p *fleetMember) tellStrain(ctx context.Context, actor *routing.FleetActor) {
+	strain, damps := p.hand.agent.TenantStats(ctx)
 	if strain == nil {
 		return
 	}
 	counts := p.windows.counts(strain)
-	actor.Do(ctx, func(_ *fleet.Node, now fleet.Reading) { p.windows.seat.Counts(now, counts, damps) })
+	actor.Do(ctx, func(_ *fleet.Node, now fleet.ClockReading) { p.windows.seat.AddCounts(now, counts, damps) })
 }
 
 // counts are what came since it was last called; of the first call while something moves: nothing.
-func (w *windowsPart) counts(all []decide.Strain) (counts []window.Count) {
+func (w *windowControl) counts(all []decide.TenantStats) (counts []window.TenantCounts) {
 	first := len(w.before) == 0
 	for _, s := range all {
 		b := w.before[s.Tenant]
@@ -124,10 +124,10 @@
 			continue
 		}
 		since := func(now, before uint64) uint32 { return uint32(min(now-before, math.MaxUint32)) }
-		counts = append(counts, window.Count{
-			Tenant: s.Tenant, Asked: since(s.Asked, b.Asked),
-			Served: since(s.Served, b.Served), First: since(s.First, b.First),
-			Failed: since(s.Failed, b.Failed) + since(s.Refused, b.Refused),
+		counts = append(counts, window.TenantCounts{
+			Tenant: s.Tenant, Requests: since(s.Requests, b.Requests),
+			Served: since(s.Served, b.Served), ExclusionOverrides: since(s.ExclusionOverrides, b.ExclusionOverrides),
+			Failed: since(s.Failed, b.Failed) + since(s.Rejected, b.Rejected),
 		})
 	}
 	return counts
@@ -135,12 +135,12 @@
 
 // tellWindows writes to the log what has become of windows, each change once. The actor calls it as records
 // were applied, and as time passes.
-func (p *fleetPart) tellWindows() {
+func (p *fleetMember) tellWindows() {
 	if p.windows == nil {
 		return
 	}
 	known := map[string]toldOf{}
-	for _, w := range p.windows.seat.State(routing.ReadClocks()) {
+	for _, w := range p.windows.seat.Windows(routing.ReadClocks()) {
 		now := toldOf{w.State, w.Reason}
 		known[w.ID] = now
 		if was, is := p.windows.told[w.ID]; is && was == now {
@@ -155,37 +155,37 @@
 			"to", local(unixTime(w.To)), "reason", w.Reason)
 	}
 	for _, o := range p.windows.seat.Outcomes() {
-		if o.End != policy.NotTaken {
+		if o.Status != policy.StatusRejected {
 			continue
 		}
-		if known[o.ID] = (toldOf{reason: o.Text()}); p.windows.told[o.ID] != known[o.ID] {
-			slog.Info("fleet: window not accepted", "id", o.ID, "reason", o.Text())
+		if known[o.ID] = (toldOf{reason: o.Reason()}); p.windows.told[o.ID] != known[o.ID] {
+			slog.Info("fleet: window not accepted", "id", o.ID, "reason", o.Reason())
 		}
 	}
 	p.windows.told = known
 }
 
 // windowsCall answers a call about windows.
-func (p *fleetPart) windowsCall(ctx context.Context, actor *routing.Fleet, call protocol.OpsCall) (status int,
+func (p *fleetMember) windowsCall(ctx context.Context, actor *routing.FleetActor, call protocol.OpsCall) (status int,
 	body []byte,
 ) {
 	if p.windows == nil {
 		return http.StatusNotFound, nil
 	}
-	answer := func(*fleet.Node, fleet.Reading) {}
+	answer := func(*fleet.Node, fleet.ClockReading) {}
 	switch call.Kind {
 	case protocol.OpsWindows:
-		answer = func(n *fleet.Node, now fleet.Reading) {
+		answer = func(n *fleet.Node, now fleet.ClockReading) {
 			status, body = answerJSON(http.StatusOK, p.windowsState(n, now))
 		}
 	case protocol.OpsWindowOutcome:
-		answer = func(n *fleet.Node, now fleet.Reading) {
+		answer = func(n *fleet.Node, now fleet.ClockReading) {
 			status, body = answerJSON(http.StatusOK, p.windowOutcome(now, call.ID))
 		}
-	case protocol.OpsWindowCheck, protocol.OpsWindowAsk:
+	case protocol.OpsWindowCheck, protocol.OpsWindowRequest:
 		// Its own list as it is now, not as it was seconds ago.
-		if servers, known := p.hand.agent.Servers(ctx); known {
-			answer = func(n *fleet.Node, now fleet.Reading) {
+		if servers, known := p.hand.agent.Endpoints(ctx); known {
+			answer = func(n *fleet.Node, now fleet.ClockReading) {
 				p.servers = servers
 				status, body = p.askWindow(n, now, call)
 			}
@@ -193,7 +193,7 @@
 			return late()
 		}
 	case protocol.OpsWindowStop:
-		answer = func(n *fleet.Node, now fleet.Reading) { status, body = p.stopWindow(n, now, call.ID) }
+		answer = func(n *fleet.Node, now fleet.ClockReading) { status, body = p.stopWindow(n, now, call.ID) }
 	}
 	if !actor.Do(ctx, answer) {
 		return late()
@@ -202,53 +202,53 @@
 }
 
 // askWindow plans what is asked for by what is known here, and, unless it is only to be checked, proposes it.
-func (p *fleetPart) askWindow(n *fleet.Node, now fleet.Reading, call protocol.OpsCall) (int, []byte) {
-	asks := call.Kind == protocol.OpsWindowAsk
+func (p *fleetMember) askWindow(n *fleet.Node, now fleet.ClockReading, call protocol.OpsCall) (int, []byte) {
+	asks := call.Kind == protocol.OpsWindowRequest
 	if asks {
 		// The same call again: it is known what came of it.
-		if o := p.windowOutcome(now, call.ID); o.End != policy.AskAgain.String() {
+		if o := p.windowOutcome(now, call.ID); o.End != policy.StatusUnknown.String() {
 			return answerJSON(http.StatusOK, o)
 		}
 	}
 	standing := n.Standing(now)
-	acting := p.seat.Acting(now, standing)
+	acting := p.seat.Active(now, standing)
 	switch {
 	case standing != lease.Full:
 		return http.StatusServiceUnavailable, []byte("this agent holds no lease: ask another\n")
-	case acting.How != policy.Full: // between two versions
-		return answerJSON(http.StatusOK, windowOutcome{End: policy.AskAgain.String(), Reason: takesHold})
+	case acting.Mode != policy.ModeFull: // between two versions
+		return answerJSON(http.StatusOK, windowOutcome{End: policy.StatusUnknown.String(), Reason: takesHold})
 	}
-	ask := window.Ask{
-		ID: call.ID, Who: p.told.Settings.Self, Nodes: call.Window.Nodes, Zone: call.Window.Zone,
+	ask := window.WindowRequest{
+		ID: call.ID, Agent: p.told.Settings.Self, Nodes: call.Window.Nodes, Zone: call.Window.Zone,
 		Tenants: call.Window.Tenants, From: time.Duration(call.Window.From.UnixNano()),
-		To: time.Duration(call.Window.To.UnixNano()), Pace: call.Window.Pace,
+		To: time.Duration(call.Window.To.UnixNano()), MoveRate: call.Window.Pace,
 	}
 	if !asks {
 		ask.ID = "check"
 		w, err := p.windows.seat.Plan(now, ask, p.scene(acting))
 		return p.planned(endFits, now, w, err)
 	}
-	record, w, err := p.windows.seat.Record(now, ask, p.scene(acting))
+	record, w, err := p.windows.seat.EncodeProposal(now, ask, p.scene(acting))
 	if err == nil {
 		if _, err := n.Propose(now, windowMachine, record, proposeWithin); err != nil {
 			return http.StatusServiceUnavailable, []byte(err.Error() + "\n")
 		}
 		slog.Info("fleet: window asked for", "id", call.ID, "nodes", w.Nodes, "tenants", w.Tenants)
 	}
-	return p.planned(policy.AskAgain.String(), now, w, err)
+	return p.planned(policy.StatusUnknown.String(), now, w, err)
 }
 
 // planned answers with a window that fits, or with why there is none.
-func (p *fleetPart) planned(end string, now fleet.Reading, w *window.Window, err error) (int, []byte) {
-	var misfit window.Misfit
+func (p *fleetMember) planned(end string, now fleet.ClockReading, w *window.Window, err error) (int, []byte) {
+	var misfit window.Conflict
 	switch {
 	case errors.As(err, &misfit):
 		return answerJSON(http.StatusOK, windowOutcome{
-			End: policy.NotTaken.String(), Reason: misfit.Reason,
-			Tenant: misfit.Tenant, Next: unixTime(misfit.Next),
+			End: policy.StatusRejected.String(), Reason: misfit.Reason,
+			Tenant: misfit.Tenant, Next: unixTime(misfit.NextFit),
 		})
-	case errors.Is(err, windowseat.ErrPolicy):
-		return answerJSON(http.StatusOK, windowOutcome{End: policy.AskAgain.String(), Reason: takesHold})
+	case errors.Is(err, windowseat.ErrPolicyChanged):
+		return answerJSON(http.StatusOK, windowOutcome{End: policy.StatusUnknown.String(), Reason: takesHold})
 	case err != nil:
 		return http.StatusBadRequest, []byte(err.Error() + "\n")
 	}
@@ -257,12 +257,12 @@
 }
 
 // scene is what a plan depends on, as this agent sees it.
-func (p *fleetPart) scene(acting policy.Acting) window.Scene {
+func (p *fleetMember) scene(acting policy.Active) window.PlanInput {
 	e, f := acting.Effect, p.told.operator.Fleet
-	return window.Scene{
-		Nodes: p.nodes(e), Contracts: e.Contracts, Tenants: p.loads(e), Load: e.Capacity.Load,
-		Most: e.Capacity.Most, Margin: seconds(f.MarginS), Notice: seconds(f.NoticeS),
-		Drained: drainedMargins * seconds(f.MarginS), Policy: acting.Version,
+	return window.PlanInput{
+		Servers: p.nodes(e), Contracts: e.Contracts, TenantLoads: p.loads(e), PeakLoad: e.Capacity.PeakLoad,
+		MaxUtilization: e.Capacity.MaxUtilization, ClockMargin: seconds(f.MarginS), MinNotice: seconds(f.NoticeS),
+		MinDrained: drainedMargins * seconds(f.MarginS), PolicyVersion: acting.Version,
 	}
 }
 
@@ -271,12 +271,12 @@
 const drainedMargins = 6
 
 // loads are the tenants' parts of the load: by the settings, and as the policy's shares have changed them.
-func (p *fleetPart) loads(e *policy.Effect) map[string]float64 {
+func (p *fleetMember) loads(e *policy.Effect) map[string]float64 {
 	loads, sum := map[string]float64{}, 0.0
 	for i, t := range p.told.Settings.Tenants {
 		part := t.Share
-		if quota := e.Quota[i]; quota > 0 && t.QuotaPerS > 0 {
-			part *= quota / t.QuotaPerS
+		if quota := e.Quota[i]; quota > 0 && t.QuotaPerSecond > 0 {
+			part *= quota / t.QuotaPerSecond
 		}
 		loads[t.Name] = part
 		sum += part
@@ -290,32 +290,32 @@
 }
 
 // stopWindow has a window end early.
-func (p *fleetPart) stopWindow(n *fleet.Node, now fleet.Reading, id string) (int, []byte) {
-	all := p.windows.seat.State(now)
+func (p *fleetMember) stopWindow(n *fleet.Node, now fleet.ClockReading, id string) (int, []byte) {
+	all := p.windows.seat.Windows(now)
 	i := slices.IndexFunc(all, func(w *window.Window) bool { return w.ID == id })
 	if i < 0 {
 		return http.StatusNotFound, []byte("no such window\n")
 	}
 	switch all[i].State {
 	case window.Returning, window.Ended, window.Stopped:
-		return answerJSON(http.StatusOK, windowOutcome{ID: id, End: policy.Taken.String()})
+		return answerJSON(http.StatusOK, windowOutcome{ID: id, End: policy.StatusAccepted.String()})
 	}
-	record := p.windows.seat.Stop(now, id, fmt.Sprintf("stopped at agent %d", p.told.Settings.Self))
+	record := p.windows.seat.EncodeStop(now, id, fmt.Sprintf("stopped at agent %d", p.told.Settings.Self))
 	if _, err := n.Propose(now, windowMachine, record, proposeWithin); err != nil {
 		return http.StatusServiceUnavailable, []byte(err.Error() + "\n")
 	}
 	slog.Info("fleet: window stopped by hand", "id", id)
-	return answerJSON(http.StatusAccepted, windowOutcome{ID: id, End: policy.AskAgain.String()})
+	return answerJSON(http.StatusAccepted, windowOutcome{ID: id, End: policy.StatusUnknown.String()})
 }
 
 // windowOutcome is what is known here of a call.
-func (p *fleetPart) windowOutcome(now fleet.Reading, id string) windowOutcome {
+func (p *fleetMember) windowOutcome(now fleet.ClockReading, id string) windowOutcome {
 	o := p.windows.seat.Outcome(id)
-	out := windowOutcome{ID: id, End: o.End.String()}
-	if o.End == policy.NotTaken {
-		out.Reason = o.Text()
+	out := windowOutcome{ID: id, End: o.Status.String()}
+	if o.Status == policy.StatusRejected {
+		out.Reason = o.Reason()
 	}
-	for _, w := range p.windows.seat.State(now) {
+	for _, w := range p.windows.seat.Windows(now) {
 		if w.ID == id {
 			s := windowOf(w, now)
 			out.Window = &s
@@ -324,12 +324,12 @@
 	return out
 }
 
-func (p *fleetPart) windowsState(n *fleet.Node, now fleet.Reading) windowsState {
+func (p *fleetMember) windowsState(n *fleet.Node, now fleet.ClockReading) windowsState {
 	standing := n.Standing(now)
-	acting := p.seat.Acting(now, standing)
-	avoid := p.windows.seat.Avoid(now, standing, acting)
+	acting := p.seat.Active(now, standing)
+	avoid := p.windows.seat.Exclusions(now, standing, acting)
 	s := windowsState{Policy: acting.Version, Windows: []windowState{}, Calls: []windowOutcome{}}
-	for _, w := range p.windows.seat.State(now) {
+	for _, w := range p.windows.seat.Windows(now) {
 		one := windowOf(w, now)
 		one.Moved = movedOf(w, avoid)
 		s.Windows = append(s.Windows, one)
@@ -341,7 +341,7 @@
 }
 
 // movedOf is the least part of the keys that keeps off any of a window's servers here.
-func movedOf(w *window.Window, a *decide.Avoid) float64 {
+func movedOf(w *window.Window, a *decide.Exclusions) float64 {
 	least := uint32(math.MaxUint32)
 	for _, t := range w.Tenants {
 		for _, n := range w.Nodes {
@@ -355,14 +355,14 @@
 	return float64(least) / math.MaxUint32
 }
 
-func windowOf(w *window.Window, now fleet.Reading) windowState {
+func windowOf(w *window.Window, now fleet.ClockReading) windowState {
 	s := windowState{
-		ID: w.ID, Who: w.Who, Nodes: w.Nodes, Tenants: w.Tenants, From: unixTime(w.From),
-		Drained: unixTime(w.Drained), Back: unixTime(w.Back), To: unixTime(w.To), State: w.State.String(),
-		Since: unixTime(w.Since), Reason: w.Reason, Waits: waitsFor(w),
+		ID: w.ID, Who: w.Agent, Nodes: w.Nodes, Tenants: w.Tenants, From: unixTime(w.From),
+		Drained: unixTime(w.DrainedAt), Back: unixTime(w.ReturnFrom), To: unixTime(w.To), State: w.State.String(),
+		Since: unixTime(w.StateSince), Reason: w.Reason, Waits: waitsFor(w),
 	}
 	if w.State == window.Free {
-		s.FreeUntil = unixTime(w.Back)
+		s.FreeUntil = unixTime(w.ReturnFrom)
 	}
 	return s
 }
@@ -373,7 +373,7 @@
 	case window.Planned:
 		return "its beginning"
 	case window.Draining:
-		return "the traffic to leave, until " + local(unixTime(w.Drained))
+		return "the traffic to leave, until " + local(unixTime(w.DrainedAt))
 	case window.Drained:
 		return "what may be on its way, and all agents' leases"
 	case window.Paused:
--- a/cmd/dunestep/window_test.go
+++ b/cmd/dunestep/window_test.go
@@ -56,7 +56,7 @@
 	program, err := plain()
 	require.NoError(t, err)
 	set := lab.Deployment()
-	set.Tenants = []decide.Tenant{{Name: "east", QuotaPerS: 1000, Share: 0.5}, {Name: "west", QuotaPerS: 1000, Share: 0.5}}
+	set.Tenants = []decide.Tenant{{Name: "east", QuotaPerSecond: 1000, Share: 0.5}, {Name: "west", QuotaPerSecond: 1000, Share: 0.5}}
 	o.Servers, o.Program, o.Ops, o.Seed, o.Settings, o.Answer = 4, program, true, 11, set, r.answer
 	o.Patience = max(o.Patience, 3*time.Minute)
 	o.Shape = func(c *lab.Config) {
--- a/cmd/dunestep/windowcommands.go
+++ b/cmd/dunestep/windowcommands.go
@@ -81,7 +81,7 @@
 
 // body is the call's.
 func (w windowWish) body(now time.Time) (string, error) {
-	a := protocol.WindowAsk{Nodes: w.Node, Zone: w.Zone, Tenants: w.Tenant, Pace: w.Pace}
+	a := protocol.WindowRequest{Nodes: w.Node, Zone: w.Zone, Tenants: w.Tenant, Pace: w.Pace}
 	if len(w.Node) > 0 == (w.Zone != "") {
 		return "", errors.New("name servers by --node, or a zone by --zone")
 	}
@@ -132,7 +132,7 @@
 		return err
 	}
 	switch o.End {
-	case policy.Taken.String():
+	case policy.StatusAccepted.String():
 		fmt.Printf("taken: window %s", c.ID)
 		if w := o.Window; w != nil {
 			fmt.Printf(", from %s, all moved at %s, back from %s to %s", local(w.From), local(w.Drained),
@@ -140,7 +140,7 @@
 		}
 		fmt.Println()
 		return nil
-	case policy.NotTaken.String():
+	case policy.StatusRejected.String():
 		return errors.New(o.refusal())
 	}
 	return fmt.Errorf("not known yet: ask again with --id %s", c.ID)
@@ -160,7 +160,7 @@
 // settle waits until it is known what became of a call.
 func (d opsDoor) settle(o *windowOutcome, id string, wait time.Duration) error {
 	path := "/ops/fleet/windows/outcome?id=" + url.QueryEscape(id)
-	for until := time.Now().Add(wait); o.End == policy.AskAgain.String() && time.Now().Before(until); {
+	for until := time.Now().Add(wait); o.End == policy.StatusUnknown.String() && time.Now().Before(until); {
 		time.Sleep(ticketEvery)
 		if err := d.call(http.MethodGet, path, "", o); err != nil {
 			return err
@@ -237,7 +237,7 @@
 			strings.Join(one.Nodes, ","), strings.Join(one.Tenants, ","), local(one.From), local(one.To), free, what)
 	}
 	for _, o := range s.Calls {
-		if o.End == policy.NotTaken.String() {
+		if o.End == policy.StatusRejected.String() {
 			fmt.Fprintf(w, "call %s\t%s\n", o.ID, o.refusal())
 		}
 	}
@@ -258,11 +258,11 @@
 		if err := c.call(http.MethodPost, "/ops/fleet/windows/stop?id="+name, "", &o); err != nil {
 			return err
 		}
-		if o.End == policy.Taken.String() {
+		if o.End == policy.StatusAccepted.String() {
 			fmt.Println("stopped: the traffic comes back")
 			return nil
 		}
-		if o.End == policy.NotTaken.String() {
+		if o.End == policy.StatusRejected.String() {
 			return errors.New(o.refusal())
 		}
 		if time.Now().After(until) {
--- a/cmd/dunestep/witness_test.go
+++ b/cmd/dunestep/witness_test.go
@@ -72,7 +72,7 @@
 	}
 	set := lab.Deployment()
 	set.Limits.MaxAttempts = markAtFirst
-	set.Classes = append(set.Classes, decide.Class{Name: inHand, Aim: 10 * time.Second, Worth: 1, Effect: decide.Safe})
+	set.Classes = append(set.Classes, decide.Class{Name: inHand, LatencyObjective: 10 * time.Second, PriorityWeight: 1, Idempotency: decide.Idempotent})
 	for i := range set.Classes { // that nothing ends for want of time
 		set.Classes[i].Deadline = 60 * time.Second
 	}
@@ -237,7 +237,7 @@
 func (w *witness) read(ctx context.Context, a *lab.Agent) {
 	for ctx.Err() == nil {
 		from := unix()
-		if s, ok := policiesAt(a); ok && s.Acting == policy.Full.String() {
+		if s, ok := policiesAt(a); ok && s.Acting == policy.ModeFull.String() {
 			w.mu.Lock()
 			if s.Version >= w.since {
 				w.history.Read(from, unix(), s.Version)
@@ -306,7 +306,7 @@
 		}
 		require.NoError(w.t, w.l.Wait(w.t.Context(), fmt.Sprint(a.Name, " acts on mark ", mark), func() bool {
 			s, ok := policiesAt(a)
-			return ok && s.Acting == policy.Full.String() && (s.Now.ID == fmt.Sprint("mark-", mark) ||
+			return ok && s.Acting == policy.ModeFull.String() && (s.Now.ID == fmt.Sprint("mark-", mark) ||
 				s.Now.Number == 0 && mark == markAtFirst)
 		}))
 	}
@@ -323,7 +323,7 @@
 	}
 	w.stop()
 	w.wait.Wait()
-	require.True(w.t, w.history.Explained(), "no one register shows what the callers and the doors were told")
+	require.True(w.t, w.history.IsLinearizable(), "no one register shows what the callers and the doors were told")
 	j := judge.New(slack, w.version(0, 0))
 	numbers := []uint64{0}
 	for n := range w.versions {
@@ -338,7 +338,7 @@
 	counts := map[string]int{}
 	for _, d := range decisions {
 		j.Decided(d)
-		counts[fmt.Sprint(d.How, " ", d.Version)]++
+		counts[fmt.Sprint(d.Mode, " ", d.Version)]++
 	}
 	w.t.Logf("%d decisions: %v, versions %v", len(decisions), counts, w.versions)
 	if j.Count > 0 {
@@ -347,29 +347,29 @@
 				s.ended-s.began)
 		}
 	}
-	require.Empty(w.t, j.Breaches)
+	require.Empty(w.t, j.Violations)
 	for i, n := range numbers {
 		if slices.ContainsFunc(numbers[i+1:], func(later uint64) bool { return w.marks[later] == w.marks[n] }) {
 			continue // they can't be told apart
 		}
-		require.NotZero(w.t, counts[fmt.Sprint(policy.Full, " ", n)], "version %d was never seen", n)
+		require.NotZero(w.t, counts[fmt.Sprint(policy.ModeFull, " ", n)], "version %d was never seen", n)
 	}
 }
 
 func (w *witness) version(n uint64, by time.Duration) judge.Version {
-	own := policy.Own{InVain: 0.25, Settings: decide.Settings{
+	own := policy.LocalSettings{MaxFailedRatio: 0.25, Settings: decide.Settings{
 		Classes: []decide.Class{{Name: "consult"}, {Name: inHand}},
-		Limits:  decide.Limits{MaxAttempts: markAtFirst, SecondCopies: true},
+		Limits:  decide.Limits{MaxAttempts: markAtFirst, Hedging: true},
 	}}
 	text := "format = 1\n"
 	if n > 0 {
 		text += fmt.Sprintf("[classes.consult]\nattempts = %d\n[classes.%s]\nattempts = %[1]d\n", w.marks[n], inHand)
 	}
-	d, err := policy.Read("mark", []byte(text))
+	d, err := policy.ParseDocument("mark", []byte(text))
 	require.NoError(w.t, err)
 	effect, err := d.Effect(own)
 	require.NoError(w.t, err)
-	return judge.Version{Number: n, By: by, Effect: effect, Floor: d.Floor().Effect(own)}
+	return judge.Version{Number: n, EffectiveAt: by, Effect: effect, Floor: d.Floor().Effect(own)}
 }
 
 // atOnce is how soon after its last attempt a request ends whose attempts are used up. One that is given up for want of
@@ -386,11 +386,11 @@
 	}
 	for _, seen := range of {
 		for i, s := range seen {
-			d := judge.Decision{Agent: s.agent, At: s.turned, Till: s.last}
+			d := judge.Decision{Agent: s.agent, At: s.turned, LatestAt: s.last}
 			if s.tries <= markFloor {
-				d.How, d.At = policy.Within, s.last
+				d.Mode, d.At = policy.ModeFloor, s.last
 				if s.tries < markFloor {
-					d.How = policy.Bottom
+					d.Mode = policy.ModeBottom
 				}
 				out = append(out, d)
 				continue
@@ -407,7 +407,7 @@
 				}
 			}
 			require.True(w.t, found, "agent %d made %d attempts, of which no version has so many: %+v", s.agent, s.tries, s)
-			d.How = policy.Full
+			d.Mode = policy.ModeFull
 			out = append(out, d)
 		}
 	}
--- a/contract/contract.go
+++ b/contract/contract.go
@@ -14,7 +14,7 @@
 // part after midnight neither.
 //
 // Zone data of two machines may differ where a zone's rules were changed lately. So a zone's rules are agreed
-// on with a contract (RulesOf, ContractBy): who goes by it reads no zone data. Table.Contract alone goes by
+// on with a contract (ZoneRules, ContractWithRules): who goes by it reads no zone data. Table.Contract alone goes by
 // the machine's, and where it has none by those in the program.
 //
 // It knows no clock, and does no other input or output. A Contract may be used from anywhere at once.
@@ -34,65 +34,65 @@
 	Hours []string `toml:"hours,need"`
 	// Excluded are days without hours, as "2026-12-25".
 	Excluded []string `toml:"excluded"`
-	// DayAfter says that the day after an excluded one is excluded too.
-	DayAfter bool `toml:"day_after"`
+	// ExcludeDayAfter says that the day after an excluded one is excluded too.
+	ExcludeDayAfter bool `toml:"day_after"`
 	// NoticeMin is how long before a window it has to be asked for, in minutes; the fleet's least holds beside.
 	NoticeMin int `toml:"notice_min" range:"0..43200"`
-	// LongestMin is how long a window may be, in minutes.
-	LongestMin int `toml:"longest_min" range:"1..1440" default:"480"`
-	// Monthly is how many windows there may be in a calendar month.
-	Monthly int `toml:"monthly" range:"1..100" default:"4"`
-	// Keep is the part of the fleet's agreed capacity that has to remain for the tenant.
-	Keep float64 `toml:"keep" range:"0.05..1" default:"0.7"`
-	// Served is the least part of its requests that is to be served inside a window.
-	Served float64 `toml:"served" range:"0.01..1" default:"0.9"`
+	// MaxLengthMin is how long a window may be, in minutes.
+	MaxLengthMin int `toml:"longest_min" range:"1..1440" default:"480"`
+	// MaxPerMonth is how many windows there may be in a calendar month.
+	MaxPerMonth int `toml:"monthly" range:"1..100" default:"4"`
+	// KeptCapacity is the part of the fleet's agreed capacity that has to remain for the tenant.
+	KeptCapacity float64 `toml:"keep" range:"0.05..1" default:"0.7"`
+	// MinServed is the least part of its requests that is to be served inside a window.
+	MinServed float64 `toml:"served" range:"0.01..1" default:"0.9"`
 }
 
 // Contract is a Table that was checked. It is not changed any more.
 type Contract struct {
-	zone     *time.Location
-	earliest time.Duration // what is before, or after latest, is none of the contract's
-	latest   time.Duration
-	week     [7][]span // by the day on which they begin, 0: Sunday
-	edges    [7][]int  // minutes of that day at which something may begin or end, ascending, from 0
-	excluded []int     // days, ascending
-	notice   time.Duration
-	longest  time.Duration
-	monthly  int
-	keep     float64
-	served   float64
+	zone         *time.Location
+	earliest     time.Duration // what is before, or after latest, is none of the contract's
+	latest       time.Duration
+	week         [7][]span // by the day on which they begin, 0: Sunday
+	edges        [7][]int  // minutes of that day at which something may begin or end, ascending, from 0
+	excluded     []int     // days, ascending
+	minNotice    time.Duration
+	maxLength    time.Duration
+	maxPerMonth  int
+	keptCapacity float64
+	minServed    float64
 }
 
 // span is from a minute of a day up to another, which is over 1440 where it is after midnight.
 type span struct{ from, to int }
 
 const (
-	day    = 24 * 60                    // minutes
-	reach  = 40 * 24 * time.Hour        // how far a run is followed
-	ahead  = 400 * 24 * time.Hour       // how far ahead a run is looked for
-	latest = 230 * 365 * 24 * time.Hour // some of 2199; later moments are none of a contract's
+	minutesPerDay = 24 * 60                    // minutes
+	maxRun        = 40 * 24 * time.Hour        // how far a run is followed
+	searchAhead   = 400 * 24 * time.Hour       // how far ahead a run is looked for
+	latestMoment  = 230 * 365 * 24 * time.Hour // some of 2199; later moments are none of a contract's
 )
 
-// Notice is how long before a window it has to be asked for; zero: as the fleet says.
-func (c *Contract) Notice() time.Duration { return c.notice }
+// MinNotice is how long before a window it has to be asked for; zero: as the fleet says.
+func (c *Contract) MinNotice() time.Duration { return c.minNotice }
 
-// Longest is how long a window may be.
-func (c *Contract) Longest() time.Duration { return c.longest }
+// MaxLength is how long a window may be.
+func (c *Contract) MaxLength() time.Duration { return c.maxLength }
 
-// Monthly is how many windows may begin in a calendar month.
-func (c *Contract) Monthly() int { return c.monthly }
+// MaxPerMonth is how many windows may begin in a calendar month.
+func (c *Contract) MaxPerMonth() int { return c.maxPerMonth }
 
-// Keep is the part of the fleet's agreed capacity that has to remain for the tenant, 0 to 1.
-func (c *Contract) Keep() float64 { return c.keep }
+// KeptCapacity is the part of the fleet's agreed capacity that has to remain for the tenant, 0 to 1.
+func (c *Contract) KeptCapacity() float64 { return c.keptCapacity }
 
-// Served is the least part of the tenant's requests that is to be served inside a window, 0 to 1.
-func (c *Contract) Served() float64 { return c.served }
+// MinServed is the least part of the tenant's requests that is to be served inside a window, 0 to 1.
+func (c *Contract) MinServed() float64 { return c.minServed }
 
-// Local is a moment (Unix time) as the contract's zone has it.
-func (c *Contract) Local(at time.Duration) time.Time { return time.Unix(0, int64(at)).In(c.zone) }
+// InZone is a moment (Unix time) as the contract's zone has it.
+func (c *Contract) InZone(at time.Duration) time.Time { return time.Unix(0, int64(at)).In(c.zone) }
 
-// Until is the end of what the contract's rules say, as Unix time.
-func (c *Contract) Until() time.Duration { return c.latest }
+// RulesEnd is the end of what the contract's rules say, as Unix time.
+func (c *Contract) RulesEnd() time.Duration { return c.latest }
 
 // Allows tells whether the tenant's traffic may be moved at a moment (Unix time; none before 1970 or after
 // 2198, nor beyond the rules that were agreed).
@@ -100,34 +100,34 @@
 	if at < c.earliest || at > c.latest {
 		return false
 	}
-	date, minute := wall(c.Local(at))
-	if c.excludes(date) {
+	date, minute := wallClock(c.InZone(at))
+	if c.isExcluded(date) {
 		return false
 	}
 	within := func(date, minute int) bool {
 		inside := func(s span) bool { return s.from <= minute && minute < s.to }
 		return slices.ContainsFunc(c.week[weekday(date)], inside)
 	}
-	return within(date, minute) || !c.excludes(date-1) && within(date-1, minute+day)
+	return within(date, minute) || !c.isExcluded(date-1) && within(date-1, minute+minutesPerDay)
 }
 
-func (c *Contract) excludes(date int) bool {
+func (c *Contract) isExcluded(date int) bool {
 	_, found := slices.BinarySearch(c.excluded, date)
 	return found
 }
 
 // wall is what a clock shows: the day (1970-01-01 is 1) and the minute of it.
-func wall(t time.Time) (date, minute int) {
-	shown := shows(t)
-	date = int(shown / (day * 60))
-	return date, int(shown/60) - date*day
+func wallClock(t time.Time) (date, minute int) {
+	shown := wallSeconds(t)
+	date = int(shown / (minutesPerDay * 60))
+	return date, int(shown/60) - date*minutesPerDay
 }
 
 // shows is what a clock shows, in seconds; 1970-01-01 00:00 is the second day's beginning, as west of
 // Greenwich the first moments of 1970 are of the day before.
-func shows(t time.Time) int64 {
+func wallSeconds(t time.Time) int64 {
 	_, offset := t.Zone()
-	return t.Unix() + int64(offset) + day*60
+	return t.Unix() + int64(offset) + minutesPerDay*60
 }
 
 // weekday is a day's as counted by wall, 0: Sunday. 1970-01-01 was a Thursday, and is day 1.
--- a/contract/contract_test.go
+++ b/contract/contract_test.go
@@ -17,7 +17,7 @@
 	excluded := func(date time.Time) bool {
 		for _, text := range t.Excluded {
 			one, _ := time.Parse(time.DateOnly, text)
-			if one.Equal(date) || t.DayAfter && one.AddDate(0, 0, 1).Equal(date) {
+			if one.Equal(date) || t.ExcludeDayAfter && one.AddDate(0, 0, 1).Equal(date) {
 				return true
 			}
 		}
@@ -25,7 +25,7 @@
 	}
 	begun := func(date time.Time, minute int) bool {
 		for _, text := range t.Hours {
-			days, s, _ := readSpan(text)
+			days, s, _ := parseSpan(text)
 			if days[date.Weekday()] && s.from <= minute && minute < s.to {
 				return true
 			}
@@ -40,9 +40,9 @@
 	clock := rapid.SampledFrom([]string{"00:00", "02:00", "03:00", "03:30", "04:00", "05:00", "12:15", "20:00", "23:59"})
 	days := rapid.SampledFrom([]string{"mon-sun", "fri-mon", "sat", "sun", "sat,sun", "mon,wed", "thu-sat,mon"})
 	c := Table{
-		Zone:     rapid.SampledFrom([]string{"Europe/Bucharest", "America/Havana", "Australia/Lord_Howe", "UTC"}).Draw(t, "zone"),
-		DayAfter: rapid.Bool().Draw(t, "day after"),
-		Excluded: rapid.SliceOfN(rapid.SampledFrom([]string{"2026-03-28", "2026-03-29", "2026-03-31", "2026-10-24", "2026-10-25", "2026-11-01"}), 0, 3).Draw(t, "excluded"),
+		Zone:            rapid.SampledFrom([]string{"Europe/Bucharest", "America/Havana", "Australia/Lord_Howe", "UTC"}).Draw(t, "zone"),
+		ExcludeDayAfter: rapid.Bool().Draw(t, "day after"),
+		Excluded:        rapid.SliceOfN(rapid.SampledFrom([]string{"2026-03-28", "2026-03-29", "2026-03-31", "2026-10-24", "2026-10-25", "2026-11-01"}), 0, 3).Draw(t, "excluded"),
 	}
 	for range rapid.IntRange(1, 4).Draw(t, "spans") {
 		from, to := clock.Draw(t, "from"), rapid.OneOf(clock, rapid.Just("24:00")).Draw(t, "to")
@@ -74,7 +74,7 @@
 		for m := range allowed {
 			allowed[m] = shownBy(table, zone, first.Add(time.Duration(m)*time.Minute))
 			if got := c.Allows(at(m)); got != allowed[m] {
-				t.Fatalf("%v: %t", c.Local(at(m)), got)
+				t.Fatalf("%v: %t", c.InZone(at(m)), got)
 			}
 		}
 		for range 20 {
@@ -86,7 +86,7 @@
 			for end < week && allowed[end] {
 				end++
 			}
-			from, to, ok := c.Run(at(m) + time.Duration(rapid.IntRange(0, int(time.Minute-1)).Draw(t, "inside")))
+			from, to, ok := c.RunAt(at(m) + time.Duration(rapid.IntRange(0, int(time.Minute-1)).Draw(t, "inside")))
 			require.Equal(t, allowed[m], ok)
 			if ok && begin > 0 {
 				require.Equal(t, at(begin), from)
@@ -96,7 +96,7 @@
 			}
 			for end = m; end < week && !allowed[end]; end++ {
 			}
-			if next, _, _ := c.Next(at(m)); end < week && end > m {
+			if next, _, _ := c.NextRun(at(m)); end < week && end > m {
 				require.Equal(t, at(end), next)
 			}
 		}
@@ -123,8 +123,8 @@
 			return of
 		}
 		table.Hours, table.Excluded = change(table.Hours), change(table.Excluded)
-		table.Keep, table.Served = rapid.Float64().Draw(t, "keep"), rapid.SampledFrom([]float64{0, 0.5, math.NaN()}).Draw(t, "served")
-		table.Monthly, table.LongestMin = rapid.IntRange(-1, 200).Draw(t, "monthly"), rapid.IntRange(-1, 2000).Draw(t, "longest")
+		table.KeptCapacity, table.MinServed = rapid.Float64().Draw(t, "keep"), rapid.SampledFrom([]float64{0, 0.5, math.NaN()}).Draw(t, "served")
+		table.MaxPerMonth, table.MaxLengthMin = rapid.IntRange(-1, 200).Draw(t, "monthly"), rapid.IntRange(-1, 2000).Draw(t, "longest")
 		c, err := table.Contract()
 		if err != nil {
 			require.NotEmpty(t, err.(Problems).Error())
@@ -133,24 +133,24 @@
 			c, err = table.Contract()
 			require.NoError(t, err)
 		}
-		require.True(t, c.Keep() > 0 && c.Keep() <= 1 && c.Served() > 0 && c.Served() <= 1 && c.Monthly() > 0 && c.Longest() > 0)
-		at := time.Duration(rapid.OneOf(rapid.Int64(), rapid.Int64Range(0, int64(latest))).Draw(t, "at"))
-		from, to, ok := c.Run(at)
+		require.True(t, c.KeptCapacity() > 0 && c.KeptCapacity() <= 1 && c.MinServed() > 0 && c.MinServed() <= 1 && c.MaxPerMonth() > 0 && c.MaxLength() > 0)
+		at := time.Duration(rapid.OneOf(rapid.Int64(), rapid.Int64Range(0, int64(latestMoment))).Draw(t, "at"))
+		from, to, ok := c.RunAt(at)
 		require.Equal(t, c.Allows(at), ok)
 		if ok {
 			require.True(t, from <= at && at < to && c.Allows(from) && c.Allows(to-1))
 		}
-		if from, to, ok := c.Next(at); ok {
+		if from, to, ok := c.NextRun(at); ok {
 			require.True(t, to > at && c.Allows(from) && (from <= at || !c.Allows(from-1)))
 		}
-		if at >= 0 && at <= latest {
+		if at >= 0 && at <= latestMoment {
 			require.Greater(t, c.edgeAfter(at), at)
 			require.LessOrEqual(t, c.edgeUpTo(at), at)
 			from, to = c.Month(at)
-			require.True(t, from <= at && at < to, "%v %v %v", c.Local(from), c.Local(at), c.Local(to))
+			require.True(t, from <= at && at < to, "%v %v %v", c.InZone(from), c.InZone(at), c.InZone(to))
 			_, end := c.Month(from)
 			require.Equal(t, to, end)
-			if again, _ := c.Month(to); to <= latest {
+			if again, _ := c.Month(to); to <= latestMoment {
 				require.Equal(t, to, again)
 			}
 		}
@@ -163,21 +163,21 @@
 	c, err := all.Contract()
 	require.NoError(t, err)
 	at := 20000 * 24 * time.Hour
-	from, to, ok := c.Run(at)
+	from, to, ok := c.RunAt(at)
 	require.True(t, ok)
-	require.Equal(t, []time.Duration{at - reach, at + reach}, []time.Duration{from, to})
+	require.Equal(t, []time.Duration{at - maxRun, at + maxRun}, []time.Duration{from, to})
 	for d := range maxExcluded {
 		all.Excluded = append(all.Excluded, time.Unix(0, int64(at)).UTC().AddDate(0, 0, d).Format(time.DateOnly))
 	}
 	c, err = all.Contract()
 	require.NoError(t, err)
-	from, _, ok = c.Next(at)
+	from, _, ok = c.NextRun(at)
 	require.True(t, ok)
-	require.Equal(t, "00:00", c.Local(from).Format("15:04"))
-	all.DayAfter = true
+	require.Equal(t, "00:00", c.InZone(from).Format("15:04"))
+	all.ExcludeDayAfter = true
 	c, err = all.Contract()
 	require.NoError(t, err)
-	_, _, ok = c.Next(at)
+	_, _, ok = c.NextRun(at)
 	require.False(t, ok)
 	all.Excluded = append(all.Excluded, "2026-01-01")
 	_, err = all.Contract()
@@ -203,8 +203,8 @@
 			}
 			saturday, err := time.ParseInLocation(time.DateOnly, day, c.zone)
 			require.NoError(t, err)
-			from, to, _ := c.Next(time.Duration(saturday.UnixNano()))
-			got := c.Local(from).Format("15:04 MST") + " - " + c.Local(to).Format("15:04 MST") + ", " + (to - from).String()
+			from, to, _ := c.NextRun(time.Duration(saturday.UnixNano()))
+			got := c.InZone(from).Format("15:04 MST") + " - " + c.InZone(to).Format("15:04 MST") + ", " + (to - from).String()
 			if from > time.Duration(saturday.AddDate(0, 0, 2).UnixNano()) {
 				got = ""
 			}
@@ -224,7 +224,7 @@
 		first, err := time.ParseInLocation("2006-01-02", want[:10], time.UTC)
 		require.NoError(t, err)
 		_, to := c.Month(time.Duration(first.AddDate(0, 0, -2).UnixNano()))
-		require.Equal(t, want, c.Local(to).Format("2006-01-02 15:04 MST"))
+		require.Equal(t, want, c.InZone(to).Format("2006-01-02 15:04 MST"))
 	}
 	for _, zone := range []string{"", "Local", "../etc/passwd", "Mars/Olympus"} {
 		_, err := Table{Zone: zone, Hours: []string{"mon 01:00-02:00"}}.Contract()
@@ -237,7 +237,7 @@
 	require.NoError(b, err)
 	at := 20000 * 24 * time.Hour
 	for b.Loop() {
-		c.Next(at)
+		c.NextRun(at)
 	}
 }
 
--- a/contract/example_test.go
+++ b/contract/example_test.go
@@ -9,10 +9,10 @@
 
 func Example() {
 	c, err := contract.Table{
-		Zone:     "Europe/Bucharest",
-		Hours:    []string{"mon-fri 20:00-06:00", "sat,sun 00:00-24:00"},
-		Excluded: []string{"2026-12-25"}, // a Friday
-		DayAfter: true,
+		Zone:            "Europe/Bucharest",
+		Hours:           []string{"mon-fri 20:00-06:00", "sat,sun 00:00-24:00"},
+		Excluded:        []string{"2026-12-25"}, // a Friday
+		ExcludeDayAfter: true,
 	}.Contract()
 	if err != nil {
 		fmt.Println(err)
@@ -22,14 +22,16 @@
 		t, _ := time.Parse(time.RFC3339, text)
 		return time.Duration(t.UnixNano())
 	}
-	show := func(what string, at time.Duration) { fmt.Println(what, c.Local(at).Format("Mon 2006-01-02 15:04 MST")) }
+	show := func(what string, at time.Duration) {
+		fmt.Println(what, c.InZone(at).Format("Mon 2006-01-02 15:04 MST"))
+	}
 
 	fmt.Println(c.Allows(at("2026-10-20T19:00:00Z")), c.Allows(at("2026-12-25T19:00:00Z")))
-	from, to, _ := c.Next(at("2026-10-23T12:00:00Z"))
+	from, to, _ := c.NextRun(at("2026-10-23T12:00:00Z"))
 	show("from", from)
 	show("to", to)
 	fmt.Println(to - from) // the night on which clocks go back is in it
-	from, _, _ = c.Next(at("2026-12-25T12:00:00Z"))
+	from, _, _ = c.NextRun(at("2026-12-25T12:00:00Z"))
 	show("after the holiday, from", from)
 
 	_, err = contract.Table{Zone: "Europe/Bucharest", Hours: []string{"weekdays 20:00-06:00"}}.Contract()
--- a/contract/golden_test.go
+++ b/contract/golden_test.go
@@ -19,17 +19,17 @@
 func describe(c *Contract) map[string]any {
 	runs := []string{}
 	for at := 1800000000 * time.Second; len(runs) < 12; {
-		from, to, ok := c.Next(at)
+		from, to, ok := c.NextRun(at)
 		if !ok {
 			break
 		}
-		runs = append(runs, c.Local(from).Format(time.RFC3339)+" "+c.Local(to).Format(time.RFC3339))
+		runs = append(runs, c.InZone(from).Format(time.RFC3339)+" "+c.InZone(to).Format(time.RFC3339))
 		at = to
 	}
 	from, to := c.Month(1800000000 * time.Second)
 	return map[string]any{
-		"notice": c.Notice().String(), "longest": c.Longest().String(), "monthly": c.Monthly(), "keep": c.Keep(),
-		"served": c.Served(), "until": c.Until().String(), "runs": runs,
+		"notice": c.MinNotice().String(), "longest": c.MaxLength().String(), "monthly": c.MaxPerMonth(), "keep": c.KeptCapacity(),
+		"served": c.MinServed(), "until": c.RulesEnd().String(), "runs": runs,
 		"month": []string{from.String(), to.String()},
 	}
 }
@@ -48,15 +48,15 @@
 	for name, table := range file.Contracts {
 		var c *Contract
 		if rules := file.Rules[name]; rules != nil {
-			c, err = table.ContractBy(rules)
+			c, err = table.ContractWithRules(rules)
 		} else {
 			c, err = table.Contract()
 		}
 		require.NoError(t, err, name)
 		described[name] = map[string]any{"table": map[string]any{
-			"zone": table.Zone, "hours": table.Hours, "excluded": table.Excluded, "day_after": table.DayAfter,
-			"notice_min": table.NoticeMin, "longest_min": table.LongestMin, "monthly": table.Monthly,
-			"keep": table.Keep, "served": table.Served,
+			"zone": table.Zone, "hours": table.Hours, "excluded": table.Excluded, "day_after": table.ExcludeDayAfter,
+			"notice_min": table.NoticeMin, "longest_min": table.MaxLengthMin, "monthly": table.MaxPerMonth,
+			"keep": table.KeptCapacity, "served": table.MinServed,
 		}, "contract": describe(c)}
 	}
 	got, err := json.MarshalIndent(described, "", "  ")
@@ -73,12 +73,12 @@
 // TestGoldenRules: rules as they are written into a policy document. The zone is one that never changes, so
 // that the machine's zone data do not count.
 func TestGoldenRules(t *testing.T) {
-	rules, err := RulesOf("Etc/GMT-2", time.Unix(1800000000, 5), time.Unix(1900000000, 5))
+	rules, err := ZoneRules("Etc/GMT-2", time.Unix(1800000000, 5), time.Unix(1900000000, 5))
 	require.NoError(t, err)
 	require.Equal(t, []string{"2027-01-15T08:00:00Z +02:00", "2030-03-17T17:46:40Z end"}, rules)
-	read, err := readRules(rules)
+	read, err := parseRules(rules)
 	require.NoError(t, err)
 	require.True(t, read.from.Equal(time.Unix(1800000000, 0)))
 	require.True(t, read.until.Equal(time.Unix(1900000000, 0)))
-	require.NoError(t, Unlike("Etc/GMT-2", rules))
+	require.NoError(t, CompareZoneData("Etc/GMT-2", rules))
 }
--- a/contract/read.go
+++ b/contract/read.go
@@ -41,46 +41,46 @@
 func (t Table) Contract() (*Contract, error) {
 	var wrong Problems
 	c := &Contract{
-		latest:  latest,
-		notice:  time.Duration(t.NoticeMin) * time.Minute,
-		longest: time.Duration(cmp.Or(t.LongestMin, 480)) * time.Minute,
-		monthly: cmp.Or(t.Monthly, 4), keep: cmp.Or(t.Keep, 0.7), served: cmp.Or(t.Served, 0.9),
-	}
-	wrong.within("notice_min", t.NoticeMin, 0, 43200)
-	wrong.within("longest_min", cmp.Or(t.LongestMin, 480), 1, 1440)
-	wrong.within("monthly", c.monthly, 1, 100)
-	if !(c.keep >= 0.05 && c.keep <= 1) {
+		latest:      latestMoment,
+		minNotice:   time.Duration(t.NoticeMin) * time.Minute,
+		maxLength:   time.Duration(cmp.Or(t.MaxLengthMin, 480)) * time.Minute,
+		maxPerMonth: cmp.Or(t.MaxPerMonth, 4), keptCapacity: cmp.Or(t.KeptCapacity, 0.7), minServed: cmp.Or(t.MinServed, 0.9),
+	}
+	wrong.checkRange("notice_min", t.NoticeMin, 0, 43200)
+	wrong.checkRange("longest_min", cmp.Or(t.MaxLengthMin, 480), 1, 1440)
+	wrong.checkRange("monthly", c.maxPerMonth, 1, 100)
+	if !(c.keptCapacity >= 0.05 && c.keptCapacity <= 1) {
 		wrong.add("keep", "must be a number from 0.05 to 1")
 	}
-	if !(c.served >= 0.01 && c.served <= 1) {
+	if !(c.minServed >= 0.01 && c.minServed <= 1) {
 		wrong.add("served", "must be a number from 0.01 to 1")
 	}
-	c.readZone(t.Zone, &wrong)
-	c.readHours(t.Hours, &wrong)
-	c.readExcluded(t.Excluded, t.DayAfter, &wrong)
+	c.parseZone(t.Zone, &wrong)
+	c.parseHours(t.Hours, &wrong)
+	c.parseExcluded(t.Excluded, t.ExcludeDayAfter, &wrong)
 	if len(wrong) > 0 {
 		return nil, wrong
 	}
 	return c, nil
 }
 
-func (p *Problems) within(key string, n, least, most int) {
+func (p *Problems) checkRange(key string, n, least, most int) {
 	if n < least || n > most {
 		p.add(key, "must be a whole number from %d to %d", least, most)
 	}
 }
 
-// readZone refuses Local, which is another one at each machine.
-func (c *Contract) readZone(name string, wrong *Problems) {
+// parseZone refuses InZone, which is another one at each machine.
+func (c *Contract) parseZone(name string, wrong *Problems) {
 	var err error
-	if c.zone, err = find(name); err != nil {
+	if c.zone, err = loadZone(name); err != nil {
 		wrong.add("zone", "%s", err)
 	}
 }
 
 // find is a zone by this machine's data.
-func find(name string) (zone *time.Location, err error) {
-	if plausible(name) {
+func loadZone(name string) (zone *time.Location, err error) {
+	if isPlausibleZone(name) {
 		if zone, err = time.LoadLocation(name); err == nil {
 			return zone, nil
 		}
@@ -88,15 +88,15 @@
 	return nil, fmt.Errorf("%.80q is no time zone; one is as Europe/Bucharest", name)
 }
 
-func plausible(name string) bool { return name != "" && name != "Local" && len(name) <= maxZone }
+func isPlausibleZone(name string) bool { return name != "" && name != "Local" && len(name) <= maxZone }
 
-func (c *Contract) readHours(hours []string, wrong *Problems) {
+func (c *Contract) parseHours(hours []string, wrong *Problems) {
 	if len(hours) == 0 || len(hours) > maxHours {
 		wrong.add("hours", "must have 1 to %d entries", maxHours)
 		return
 	}
 	for i, text := range hours {
-		days, s, ok := readSpan(text)
+		days, s, ok := parseSpan(text)
 		if !ok {
 			wrong.add(fmt.Sprintf("hours[%d]", i), "%.80q must be as mon-fri 20:00-06:00 or sat,sun 00:00-24:00", text)
 			continue
@@ -119,9 +119,9 @@
 			edges = append(edges, s.from, s.to)
 		}
 		for _, s := range c.week[(d+6)%7] {
-			edges = append(edges, s.from-day, s.to-day)
+			edges = append(edges, s.from-minutesPerDay, s.to-minutesPerDay)
 		}
-		edges = slices.DeleteFunc(edges, func(m int) bool { return m < 0 || m >= day })
+		edges = slices.DeleteFunc(edges, func(m int) bool { return m < 0 || m >= minutesPerDay })
 		slices.Sort(edges)
 		c.edges[d] = slices.Compact(edges)
 	}
@@ -129,8 +129,8 @@
 
 var dayNames = []string{"sun", "mon", "tue", "wed", "thu", "fri", "sat"}
 
-// readSpan reads days and the hours on them.
-func readSpan(text string) (days [7]bool, s span, ok bool) {
+// parseSpan reads days and the hours on them.
+func parseSpan(text string) (days [7]bool, s span, ok bool) {
 	names, hours, _ := strings.Cut(text, " ")
 	for one := range strings.SplitSeq(names, ",") {
 		first, last, several := strings.Cut(one, "-")
@@ -146,27 +146,27 @@
 		}
 	}
 	begin, end, _ := strings.Cut(hours, "-")
-	from, fine := readClock(begin)
-	to, fineToo := readClock(end)
-	if !fine || !fineToo || from == day || from == to {
+	from, fine := parseClock(begin)
+	to, fineToo := parseClock(end)
+	if !fine || !fineToo || from == minutesPerDay || from == to {
 		return days, s, false
 	}
 	if to < from {
-		to += day
+		to += minutesPerDay
 	}
 	return days, span{from, to}, true
 }
 
-// readClock reads a time of the day, 00:00 to 24:00, as a minute of it.
-func readClock(text string) (minute int, ok bool) {
+// parseClock reads a time of the day, 00:00 to 24:00, as a minute of it.
+func parseClock(text string) (minute int, ok bool) {
 	if text == "24:00" {
-		return day, true
+		return minutesPerDay, true
 	}
 	t, err := time.Parse("15:04", text)
 	return t.Hour()*60 + t.Minute(), err == nil && len(text) == 5
 }
 
-func (c *Contract) readExcluded(days []string, after bool, wrong *Problems) {
+func (c *Contract) parseExcluded(days []string, after bool, wrong *Problems) {
 	if len(days) > maxExcluded {
 		wrong.add("excluded", "must have at most %d entries", maxExcluded)
 		return
@@ -177,7 +177,7 @@
 			wrong.add(fmt.Sprintf("excluded[%d]", i), "%.80q must be a day as 2026-12-25", text)
 			continue
 		}
-		date, _ := wall(t)
+		date, _ := wallClock(t)
 		if c.excluded = append(c.excluded, date); after {
 			c.excluded = append(c.excluded, date+1)
 		}
--- a/contract/rules.go
+++ b/contract/rules.go
@@ -12,19 +12,19 @@
 const (
 	maxRules   = 256
 	maxOffsets = 16             // that differ, in one zone's rules
-	furthest   = 14 * time.Hour // no zone is further from UTC
+	maxOffset  = 14 * time.Hour // no zone is further from UTC
 	rulesEnd   = "end"
 )
 
-// ErrUnlike is that a machine's zone data have other rules.
-var ErrUnlike = errors.New("this machine's zone data say otherwise")
+// ErrZoneDataDiffers is that a machine's zone data have other rules.
+var ErrZoneDataDiffers = errors.New("this machine's zone data say otherwise")
 
-// RulesOf is what a zone's clocks show from one moment to another, as this machine's zone data have it and,
+// ZoneRules is what a zone's clocks show from one moment to another, as this machine's zone data have it and,
 // where it has none, those in the program: each entry is a moment from which on clocks show an offset, as
 // "2027-03-28T01:00:00Z +03:00"; the last is "2031-12-02T00:00:00Z end". It reads zone data: it is for who
 // writes rules down, and not for those who go by them.
-func RulesOf(zone string, from, until time.Time) (rules []string, err error) {
-	location, err := find(zone)
+func ZoneRules(zone string, from, until time.Time) (rules []string, err error) {
+	location, err := loadZone(zone)
 	if err != nil {
 		return nil, err
 	}
@@ -40,34 +40,34 @@
 	return append(rules, until.UTC().Truncate(time.Second).Format(time.RFC3339)+" "+rulesEnd), nil
 }
 
-// Unlike is ErrUnlike where this machine's zone data differ from rules, with the first moment. As RulesOf it
+// CompareZoneData is ErrZoneDataDiffers where this machine's zone data differ from rules, with the first moment. As ZoneRules it
 // reads zone data.
-func Unlike(zone string, rules []string) error {
-	own, err := find(zone)
+func CompareZoneData(zone string, rules []string) error {
+	own, err := loadZone(zone)
 	if err != nil {
 		return err
 	}
-	agreed, err := readRules(rules)
+	agreed, err := parseRules(rules)
 	if err != nil {
 		return err
 	}
-	return agreed.unlike(own)
+	return agreed.compare(own)
 }
 
-func (a agreed) unlike(own *time.Location) error {
+func (a zoneRules) compare(own *time.Location) error {
 	for at := a.from; at.Before(a.until); {
 		said, here := at.In(a.zone), at.In(own)
-		if shows(said) != shows(here) {
-			return fmt.Errorf("%w: %s from %s on, not %s", ErrUnlike, here.Format("-07:00"),
+		if wallSeconds(said) != wallSeconds(here) {
+			return fmt.Errorf("%w: %s from %s on, not %s", ErrZoneDataDiffers, here.Format("-07:00"),
 				at.UTC().Format(time.RFC3339), said.Format("-07:00"))
 		}
-		at = firstOfBoth(said, here, a.until)
+		at = nextOffsetChange(said, here, a.until)
 	}
 	return nil
 }
 
-// firstOfBoth is when either of two clocks is changed next, or a time by which neither is.
-func firstOfBoth(said, here, until time.Time) time.Time {
+// nextOffsetChange is when either of two clocks is changed next, or a time by which neither is.
+func nextOffsetChange(said, here, until time.Time) time.Time {
 	for _, t := range []time.Time{said, here} {
 		if _, changes := t.ZoneBounds(); !changes.IsZero() && changes.Before(until) {
 			until = changes
@@ -76,18 +76,18 @@
 	return until
 }
 
-// ContractBy is Contract by rules of the zone that were agreed on, whatever this machine's zone data are.
+// ContractWithRules is Contract by rules of the zone that were agreed on, whatever this machine's zone data are.
 // Beyond them nothing is allowed, as nobody agreed on what clocks show there.
-func (t Table) ContractBy(rules []string) (*Contract, error) {
+func (t Table) ContractWithRules(rules []string) (*Contract, error) {
 	named := t.Zone
-	if t.Zone = "UTC"; !plausible(named) {
+	if t.Zone = "UTC"; !isPlausibleZone(named) {
 		t.Zone = named // refused below, with all else that is wrong
 	}
 	c, err := t.Contract()
 	if err != nil {
 		return nil, err
 	}
-	agreed, err := readRules(rules)
+	agreed, err := parseRules(rules)
 	if err != nil {
 		return nil, Problems{{"zone", err.Error()}}
 	}
@@ -97,21 +97,21 @@
 	return c, nil
 }
 
-// Fixed tells whether a zone needs no rules: every machine has the same.
-func Fixed(zone string) bool { return zone == "UTC" }
+// IsFixedZone tells whether a zone needs no rules: every machine has the same.
+func IsFixedZone(zone string) bool { return zone == "UTC" }
 
 // agreed is what rules say.
-type agreed struct {
+type zoneRules struct {
 	zone        *time.Location
 	from, until time.Time
 }
 
-// readRules reads entries in ascending order, the last of them the end.
-func readRules(rules []string) (agreed, error) {
+// parseRules reads entries in ascending order, the last of them the end.
+func parseRules(rules []string) (zoneRules, error) {
 	if len(rules) < 2 || len(rules) > maxRules {
-		return agreed{}, fmt.Errorf("rules must have 2 to %d entries", maxRules)
+		return zoneRules{}, fmt.Errorf("rules must have 2 to %d entries", maxRules)
 	}
-	var all []change
+	var all []offsetChange
 	for i, text := range rules {
 		moment, offset, _ := strings.Cut(text, " ")
 		at, err := time.Parse(time.RFC3339, moment)
@@ -120,28 +120,28 @@
 		ends := i == len(rules)-1
 		switch {
 		case err != nil, ends != (offset == rulesEnd), !ends && wrong != nil,
-			time.Duration(max(seconds, -seconds))*time.Second > furthest, at.Year() < 1970 || at.Year() > 2200,
+			time.Duration(max(seconds, -seconds))*time.Second > maxOffset, at.Year() < 1970 || at.Year() > 2200,
 			at.Nanosecond() > 0:
-			return agreed{}, fmt.Errorf("%.80q must be as 2027-03-28T01:00:00Z +03:00, the last as "+
+			return zoneRules{}, fmt.Errorf("%.80q must be as 2027-03-28T01:00:00Z +03:00, the last as "+
 				"2031-12-02T00:00:00Z end", text)
 		case i > 0 && !at.After(all[i-1].at):
-			return agreed{}, fmt.Errorf("%.80q must be after the entry before it", text)
+			return zoneRules{}, fmt.Errorf("%.80q must be after the entry before it", text)
 		}
-		all = append(all, change{at, seconds})
+		all = append(all, offsetChange{at, seconds})
 	}
-	zone, err := location(all[:len(all)-1])
-	return agreed{zone: zone, from: all[0].at, until: all[len(all)-1].at}, err
+	zone, err := newLocation(all[:len(all)-1])
+	return zoneRules{zone: zone, from: all[0].at, until: all[len(all)-1].at}, err
 }
 
 // change is from when on clocks show an offset, in seconds.
-type change struct {
+type offsetChange struct {
 	at     time.Time
 	offset int
 }
 
 // location is a zone whose clocks show these offsets, and before the first the first. A time.Location is made
 // from zone data alone: RFC 9636's form of version 2, whose first part, of 32 bits, is empty.
-func location(all []change) (*time.Location, error) {
+func newLocation(all []offsetChange) (*time.Location, error) {
 	var offsets []int
 	for _, c := range all {
 		if !slices.Contains(offsets, c.offset) {
@@ -161,7 +161,7 @@
 		shown := time.Unix(0, 0).In(time.FixedZone("", offset)).Format("-0700")
 		names = append(append(names, shown...), 0)
 	}
-	data := append(header(0, 0, 0), header(len(all), len(offsets), len(names))...)
+	data := append(zoneDataHeader(0, 0, 0), zoneDataHeader(len(all), len(offsets), len(names))...)
 	for _, part := range [][]byte{times, kinds, types, names, []byte("\n\n")} {
 		data = append(data, part...)
 	}
@@ -169,7 +169,7 @@
 }
 
 // header is that of one part of zone data.
-func header(times, types, names int) []byte {
+func zoneDataHeader(times, types, names int) []byte {
 	h := append([]byte("TZif2"), make([]byte, 15)...)
 	for _, n := range []int{0, 0, 0, times, types, names} {
 		h = binary.BigEndian.AppendUint32(h, uint32(n))
--- a/contract/rules_test.go
+++ b/contract/rules_test.go
@@ -19,32 +19,32 @@
 	rapid.Check(t, func(t *rapid.T) {
 		table := draw(t)
 		table.Zone = rapid.SampledFrom(append(strangeZones, table.Zone)).Draw(t, "a zone")
-		rules, err := RulesOf(table.Zone, ruled, unruled)
+		rules, err := ZoneRules(table.Zone, ruled, unruled)
 		require.NoError(t, err)
-		require.NoError(t, Unlike(table.Zone, rules))
+		require.NoError(t, CompareZoneData(table.Zone, rules))
 		own, err := table.Contract()
 		require.NoError(t, err)
-		agreed, err := table.ContractBy(rules)
+		agreed, err := table.ContractWithRules(rules)
 		require.NoError(t, err)
 		first, last := time.Duration(ruled.UnixNano()), time.Duration(unruled.UnixNano())
 		away := 50 * 24 * time.Hour // a run is not followed over the rules' ends
 		for range 30 {
 			at := time.Duration(rapid.Int64Range(int64(first+away), int64(last-away)).Draw(t, "at"))
-			require.Equal(t, own.Allows(at), agreed.Allows(at), own.Local(at))
+			require.Equal(t, own.Allows(at), agreed.Allows(at), own.InZone(at))
 			for _, of := range []func(*Contract) (time.Duration, time.Duration, bool){
-				func(c *Contract) (time.Duration, time.Duration, bool) { return c.Run(at) },
+				func(c *Contract) (time.Duration, time.Duration, bool) { return c.RunAt(at) },
 				func(c *Contract) (time.Duration, time.Duration, bool) { from, to := c.Month(at); return from, to, true },
 			} {
 				from, to, is := of(own)
 				begin, end, found := of(agreed)
-				require.Equal(t, []any{from, to, is}, []any{begin, end, found}, own.Local(at))
+				require.Equal(t, []any{from, to, is}, []any{begin, end, found}, own.InZone(at))
 			}
 			beyond := first - 1 - at%away
 			require.False(t, agreed.Allows(beyond) || agreed.Allows(last+at%away))
-			if from, to, ok := agreed.Next(beyond); ok {
+			if from, to, ok := agreed.NextRun(beyond); ok {
 				require.True(t, from >= first && to <= last && agreed.Allows(from))
 			}
-			if from, to, ok := agreed.Run(last - 1); ok {
+			if from, to, ok := agreed.RunAt(last - 1); ok {
 				require.True(t, from < to && to == last)
 			}
 		}
@@ -54,24 +54,24 @@
 // TestLawsDiffer: by agreed rules a contract means the same whatever law a machine's zone data have, here none of clocks
 // that change; the first moment that differs is told.
 func TestLawsDiffer(t *testing.T) {
-	rules, err := RulesOf("Europe/Bucharest", ruled, unruled)
+	rules, err := ZoneRules("Europe/Bucharest", ruled, unruled)
 	require.NoError(t, err)
-	law, err := readRules([]string{rules[0], rules[len(rules)-1]})
+	law, err := parseRules([]string{rules[0], rules[len(rules)-1]})
 	require.NoError(t, err)
 	table := Table{Zone: "Europe/Bucharest", Hours: []string{"mon-sun 20:00-22:00"}}
 	at := time.Duration(time.Date(2026, 7, 2, 17, 30, 0, 0, time.UTC).UnixNano())
 	own, err := table.Contract()
 	require.NoError(t, err)
-	agreed, err := table.ContractBy(rules)
+	agreed, err := table.ContractWithRules(rules)
 	require.NoError(t, err)
 	for _, allows := range []bool{true, false} {
 		require.Equal(t, allows, agreed.Allows(at) == own.Allows(at))
 		own.zone = law.zone // as where no clocks change
 	}
-	other, err := readRules(rules)
+	other, err := parseRules(rules)
 	require.NoError(t, err)
-	require.ErrorIs(t, other.unlike(law.zone), ErrUnlike)
-	require.ErrorContains(t, other.unlike(law.zone), "+02:00 from 2026-03-29T01:00:00Z on, not +03:00")
+	require.ErrorIs(t, other.compare(law.zone), ErrZoneDataDiffers)
+	require.ErrorContains(t, other.compare(law.zone), "+02:00 from 2026-03-29T01:00:00Z on, not +03:00")
 }
 
 // TestRulesRefused: what is no rules, or none in order.
@@ -92,12 +92,12 @@
 		{first, "2027-13-01T00:00:00Z +02:00", end},
 		make([]string, maxRules+1),
 	} {
-		_, err := Table{Zone: "Europe/Bucharest", Hours: []string{"mon 01:00-02:00"}}.ContractBy(rules)
+		_, err := Table{Zone: "Europe/Bucharest", Hours: []string{"mon 01:00-02:00"}}.ContractWithRules(rules)
 		require.Error(t, err, rules)
 	}
-	_, err := Table{Zone: "Local", Hours: []string{"mon 01:00-02:00"}}.ContractBy([]string{first, end})
+	_, err := Table{Zone: "Local", Hours: []string{"mon 01:00-02:00"}}.ContractWithRules([]string{first, end})
 	require.ErrorContains(t, err, "no time zone")
-	c, err := Table{Zone: "Of/A later law", Hours: []string{"mon 01:00-02:00"}}.ContractBy([]string{first, end})
+	c, err := Table{Zone: "Of/A later law", Hours: []string{"mon 01:00-02:00"}}.ContractWithRules([]string{first, end})
 	require.NoError(t, err, "this machine needs no data on it")
-	require.Equal(t, time.Duration(time.Date(2031, 1, 1, 0, 0, 0, 0, time.UTC).UnixNano())-1, c.Until())
+	require.Equal(t, time.Duration(time.Date(2031, 1, 1, 0, 0, 0, 0, time.UTC).UnixNano())-1, c.RulesEnd())
 }
--- a/contract/runs.go
+++ b/contract/runs.go
@@ -2,60 +2,60 @@
 
 import "time"
 
-// Run is the unbroken run of allowed time that a moment lies in, from its first moment up to the first that
+// RunAt is the unbroken run of allowed time that a moment lies in, from its first moment up to the first that
 // is not allowed, joined over spans that touch. It is followed for 40 days to either side. False: the moment
 // is not allowed.
-func (c *Contract) Run(at time.Duration) (from, to time.Duration, ok bool) {
+func (c *Contract) RunAt(at time.Duration) (from, to time.Duration, ok bool) {
 	if !c.Allows(at) {
 		return 0, 0, false
 	}
-	return c.begin(at), c.end(at), true
+	return c.runStart(at), c.runEnd(at), true
 }
 
-// Next is the first run that ends after a moment: the one it lies in, or the first to begin after it. False:
+// NextRun is the first run that ends after a moment: the one it lies in, or the first to begin after it. False:
 // there is none within 400 days.
-func (c *Contract) Next(at time.Duration) (from, to time.Duration, ok bool) {
+func (c *Contract) NextRun(at time.Duration) (from, to time.Duration, ok bool) {
 	if at = max(at, c.earliest); at > c.latest {
 		return 0, 0, false
 	}
-	for t := at; t < at+ahead; t = c.edgeAfter(t) {
+	for t := at; t < at+searchAhead; t = c.edgeAfter(t) {
 		if c.Allows(t) {
-			return c.Run(t)
+			return c.RunAt(t)
 		}
 	}
 	return 0, 0, false
 }
 
-func (c *Contract) end(at time.Duration) time.Duration {
-	for t := at; t < at+reach; {
+func (c *Contract) runEnd(at time.Duration) time.Duration {
+	for t := at; t < at+maxRun; {
 		if t = min(c.edgeAfter(t), c.latest+1); !c.Allows(t) {
 			return t
 		}
 	}
-	return at + reach
+	return at + maxRun
 }
 
-func (c *Contract) begin(at time.Duration) time.Duration {
-	for t := at; t > at-reach && t > c.earliest; t-- {
+func (c *Contract) runStart(at time.Duration) time.Duration {
+	for t := at; t > at-maxRun && t > c.earliest; t-- {
 		if t = max(c.edgeUpTo(t), c.earliest); !c.Allows(t - 1) {
 			return t
 		}
 	}
-	return max(at-reach, c.earliest)
+	return max(at-maxRun, c.earliest)
 }
 
 // edgeAfter is the first moment after another at which something may begin or end: an edge of the hours, a
 // midnight, or a change of the clocks.
 func (c *Contract) edgeAfter(at time.Duration) time.Duration {
-	t := c.Local(at)
-	shown, second := shows(t), int64(day*60)
+	t := c.InZone(at)
+	shown, second := wallSeconds(t), int64(minutesPerDay*60)
 	for _, m := range c.edges[weekday(int(shown/second))] {
 		if int64(m*60) > shown%second {
 			second = int64(m * 60)
 			break
 		}
 	}
-	next := t.Unix() + second - shown%(day*60)
+	next := t.Unix() + second - shown%(minutesPerDay*60)
 	if _, changes := t.ZoneBounds(); !changes.IsZero() {
 		next = min(next, changes.Unix())
 	}
@@ -64,14 +64,14 @@
 
 // edgeUpTo is the last such moment up to another.
 func (c *Contract) edgeUpTo(at time.Duration) time.Duration {
-	t := c.Local(at)
-	shown, second := shows(t), int64(0)
-	for _, m := range c.edges[weekday(int(shown/(day*60)))] {
-		if int64(m*60) <= shown%(day*60) {
+	t := c.InZone(at)
+	shown, second := wallSeconds(t), int64(0)
+	for _, m := range c.edges[weekday(int(shown/(minutesPerDay*60)))] {
+		if int64(m*60) <= shown%(minutesPerDay*60) {
 			second = int64(m * 60)
 		}
 	}
-	last := t.Unix() + second - shown%(day*60)
+	last := t.Unix() + second - shown%(minutesPerDay*60)
 	if changed, _ := t.ZoneBounds(); !changed.IsZero() {
 		last = max(last, changed.Unix())
 	}
@@ -80,12 +80,12 @@
 
 // Month is the calendar month of the zone that a moment (1970 to 2198) lies in, up to the next one's first.
 func (c *Contract) Month(at time.Duration) (from, to time.Duration) {
-	year, month, _ := c.Local(min(max(at, c.earliest), c.latest)).Date()
-	return c.firstOf(year, month), c.firstOf(year, month+1)
+	year, month, _ := c.InZone(min(max(at, c.earliest), c.latest)).Date()
+	return c.monthStart(year, month), c.monthStart(year, month+1)
 }
 
-// firstOf is the first moment at which a month is shown, or what is after it where midnight is skipped.
-func (c *Contract) firstOf(year int, month time.Month) time.Duration {
+// monthStart is the first moment at which a month is shown, or what is after it where midnight is skipped.
+func (c *Contract) monthStart(year int, month time.Month) time.Duration {
 	shown := time.Date(year, month, 1, 0, 0, 0, 0, time.UTC).Unix()
 	t := time.Unix(shown, 0).Add(-15 * time.Hour).In(c.zone) // no zone is further ahead
 	for {
--- a/decide/avoid_test.go
+++ b/decide/avoid_test.go
@@ -22,7 +22,7 @@
 	for i := range keys {
 		h, n := ring.Hash(fmt.Sprint("key", i)), 0
 		for s := range below {
-			if Lot(h, fmt.Sprint("s", s)) < half {
+			if KeyRank(h, fmt.Sprint("s", s)) < half {
 				below[s]++
 				n++
 			}
@@ -35,7 +35,7 @@
 		require.InDelta(t, keys/2, n, keys/50, "server %d", s)
 	}
 	require.InDelta(t, keys/16, both, keys/100)
-	require.Equal(t, uint32(0xdbf1fcde), Lot(ring.Hash("k:1"), "s3"), "the same in every build of a running fleet")
+	require.Equal(t, uint32(0xdbf1fcde), KeyRank(ring.Hash("k:1"), "s3"), "the same in every build of a running fleet")
 }
 
 // judgeAvoid holds a request to what is to be kept off: it may go to such a server only where none is left.
@@ -45,15 +45,15 @@
 	}
 	off := func(s *server) bool {
 		below := w.avoid.Tenants[e.Tenant][s.ID]
-		return w.avoid.Turn != nil && w.avoid.Turn(s.ID, s.Zone) || below == math.MaxUint32 ||
-			Lot(ring.Hash(e.Key), s.ID) < below
+		return w.avoid.AllTenants != nil && w.avoid.AllTenants(s.ID, s.Zone) || below == math.MaxUint32 ||
+			KeyRank(ring.Hash(e.Key), s.ID) < below
 	}
 	any, left := false, false
 	for _, s := range w.b.servers {
-		lane := w.b.classes[e.Class].lane
-		down := w.b.detector.Verdict(s.record, lane) == health.Down
+		lane := w.b.classes[e.Class].index
+		down := w.b.detector.Verdict(s.outlier, lane) == health.Down
 		any = any || off(s)
-		left = left || s.place.Member() && !w.drained[s.ID] && !down && !off(s)
+		left = left || s.ringPlace.Member() && !w.drained[s.ID] && !down && !off(s)
 	}
 	if any {
 		w.kept++
@@ -70,14 +70,14 @@
 	for seed := range uint64(20) {
 		change := func(s *Settings) {
 			s.Tenants = []Tenant{{Name: "a"}, {Name: "b"}}
-			s.Limits.SecondCopies = seed%3 > 0
+			s.Limits.Hedging = seed%3 > 0
 		}
-		neutral := &Avoid{
-			Tenants: map[string]map[string]uint32{"a": {"s1": 0, "none": math.MaxUint32}, "none": {"s1": math.MaxUint32}},
-			Turn:    func(string, string) bool { return false },
+		neutral := &Exclusions{
+			Tenants:    map[string]map[string]uint32{"a": {"s1": 0, "none": math.MaxUint32}, "none": {"s1": math.MaxUint32}},
+			AllTenants: func(string, string) bool { return false },
 		}
 		require.True(t, reflect.DeepEqual(play(t, seed, change, nil), play(t, seed, change, func(w *world, n int) {
-			w.b.Avoid([]*Avoid{nil, neutral}[n%2])
+			w.b.SetExclusions([]*Exclusions{nil, neutral}[n%2])
 		})), "seed %d", seed)
 		var last *world
 		play(t, seed, change, func(w *world, n int) {
@@ -85,20 +85,20 @@
 			if n%100 != 0 {
 				return
 			}
-			a := &Avoid{Tenants: map[string]map[string]uint32{"a": {}, NoTenant: {}}}
+			a := &Exclusions{Tenants: map[string]map[string]uint32{"a": {}, NoTenant: {}}}
 			for i := range 8 {
 				if w.rng.IntN(3) == 0 {
 					a.Tenants["a"][fmt.Sprint("s", i)] = w.rng.Uint32() | uint32(w.rng.IntN(2))*math.MaxUint32
 				}
 			}
 			if w.rng.IntN(4) == 0 {
-				a.Turn = func(server, _ string) bool { return server < "s4" }
+				a.AllTenants = func(server, _ string) bool { return server < "s4" }
 			}
 			w.avoid = a
-			w.b.Avoid(a)
+			w.b.SetExclusions(a)
 		})
-		for _, s := range last.b.Strain() {
-			firsts += int(s.First)
+		for _, s := range last.b.TenantStats() {
+			firsts += int(s.ExclusionOverrides)
 		}
 		kept += last.kept
 	}
@@ -111,25 +111,25 @@
 func TestAvoidEveryWay(t *testing.T) {
 	for name, way := range map[string]func(b *Balancer, s *server){
 		"owner":     func(*Balancer, *server) {},
-		"own zone":  func(b *Balancer, s *server) { b.set.Prices.CrossZone, b.set.Zone = 1, s.Zone },
-		"trial":     func(b *Balancer, s *server) { b.turn(s, true); b.rate = 10; s.cold.Begin(b.now, 1) },
-		"unproved":  func(b *Balancer, s *server) { b.Doubt(0.5) },
+		"own zone":  func(b *Balancer, s *server) { b.settings.Costs.CrossZone, b.settings.Zone = 1, s.Zone },
+		"trial":     func(b *Balancer, s *server) { b.turn(s, true); b.sendRate = 10; s.slowStart.Begin(b.now, 1) },
+		"unproved":  func(b *Balancer, s *server) { b.StartProbation(0.5) },
 		"mute ones": func(b *Balancer, s *server) { mute(b) },
 	} {
 		for _, key := range []string{"k", ""} {
 			set := settings()
-			set.Limits.SecondCopies, set.Tenants = true, []Tenant{{Name: "a"}, {Name: "b"}}
+			set.Limits.Hedging, set.Tenants = true, []Tenant{{Name: "a"}, {Name: "b"}}
 			sent := func(tenant string, kept bool) (n int) {
 				for seed := range uint64(100) {
 					b, err := New(set, seed)
 					require.NoError(t, err)
-					b.Step(0, &Membership{Kind: SyncFull, Servers: list(2)})
+					b.Step(0, &ServerListUpdate{Kind: UpdateFull, Servers: list(2)})
 					s := b.ring.Owner(ring.Hash("k"))
 					way(b, s)
 					if kept {
-						b.Avoid(&Avoid{Tenants: map[string]map[string]uint32{"a": {s.ID: math.MaxUint32}}})
+						b.SetExclusions(&Exclusions{Tenants: map[string]map[string]uint32{"a": {s.ID: math.MaxUint32}}})
 					}
-					for _, a := range b.Step(time.Second, &Request{ID: 1, Class: "safe", Key: key, Tenant: tenant, Budget: time.Second}) {
+					for _, a := range b.Step(time.Second, &Request{ID: 1, Class: "safe", Key: key, Tenant: tenant, ClientTimeout: time.Second}) {
 						if a.Kind == Send && a.Server == s.ID {
 							n++
 						}
@@ -147,7 +147,7 @@
 // mute has all probes fail, so that what is sent at all is sent as a test.
 func mute(b *Balancer) {
 	for _, s := range b.ring.Members() {
-		s.probeFailedAt, s.probeSays = time.Second, NoAnswer
+		s.probeFailedAt, s.probeOutcome = time.Second, TimedOut
 	}
 }
 
@@ -160,8 +160,8 @@
 		b := start(t, set, list(3))
 		var order []string
 		b.ring.Walk(ring.Hash("k"), func(s *server) bool { order = append(order, s.ID); return true })
-		acts := b.Step(time.Second, &Request{ID: 1, Class: "safe", Key: "k", Budget: time.Second})
-		b.Avoid(&Avoid{Tenants: map[string]map[string]uint32{NoTenant: {order[0]: math.MaxUint32, order[1]: math.MaxUint32}}})
+		acts := b.Step(time.Second, &Request{ID: 1, Class: "safe", Key: "k", ClientTimeout: time.Second})
+		b.SetExclusions(&Exclusions{Tenants: map[string]map[string]uint32{NoTenant: {order[0]: math.MaxUint32, order[1]: math.MaxUint32}}})
 		if probes {
 			require.Equal(t, order[0], find(acts, Probe).Server)
 			acts = b.Step(b.now+ms, &ProbeDone{Server: order[0], Outcome: Served})
@@ -169,7 +169,7 @@
 			continue
 		}
 		require.Equal(t, order[0], mustSend(t, acts).Server)
-		acts = b.Step(b.now+ms, &AttemptDone{ID: 1, Server: order[0], Outcome: TurnedAway, Latency: ms})
+		acts = b.Step(b.now+ms, &AttemptDone{ID: 1, Server: order[0], Outcome: Rejected, Latency: ms})
 		require.Equal(t, order[2], mustSend(t, acts).Server)
 	}
 }
@@ -180,7 +180,7 @@
 	set := settings()
 	set.Tenants = []Tenant{{Name: "a"}}
 	ask := func(b *Balancer) []Action {
-		return b.Step(b.now+time.Second, &Request{ID: uint32(b.now / ms), Class: "unsafe", Key: "k", Tenant: "a", Budget: time.Second})
+		return b.Step(b.now+time.Second, &Request{ID: uint32(b.now / ms), Class: "unsafe", Key: "k", Tenant: "a", ClientTimeout: time.Second})
 	}
 	for name, c := range map[string]struct {
 		change func(b *Balancer, s *server)
@@ -191,13 +191,15 @@
 		"damped": {func(b *Balancer, s *server) { s.dampedUntil = time.Hour }, false},
 		"down":   {func(b *Balancer, s *server) { b.turn(s, true) }, true},
 		"drained": {func(b *Balancer, s *server) {
-			b.Step(b.now, &Membership{Servers: []Server{{ID: s.ID, State: Draining}}})
+			b.Step(b.now, &ServerListUpdate{Servers: []Server{{ID: s.ID, State: Draining}}})
+		}, true},
+		"gone": {func(b *Balancer, s *server) {
+			b.Step(b.now, &ServerListUpdate{Servers: []Server{{ID: s.ID, State: Gone}}})
 		}, true},
-		"gone": {func(b *Balancer, s *server) { b.Step(b.now, &Membership{Servers: []Server{{ID: s.ID, State: Gone}}}) }, true},
 	} {
 		b := start(t, set, list(2))
 		kept, left := b.ring.Owner(ring.Hash("k")), (*server)(nil)
-		b.Avoid(&Avoid{Tenants: map[string]map[string]uint32{"a": {kept.ID: math.MaxUint32}}})
+		b.SetExclusions(&Exclusions{Tenants: map[string]map[string]uint32{"a": {kept.ID: math.MaxUint32}}})
 		for _, s := range b.ring.Members() {
 			if s != kept {
 				left = s
@@ -213,15 +215,15 @@
 				logs++
 			}
 			if sent != nil {
-				b.Step(b.now, &AttemptDone{ID: sent.ID, Outcome: Served, Latency: ms, Finished: true})
+				b.Step(b.now, &AttemptDone{ID: sent.ID, Outcome: Served, Latency: ms, RequestDone: true})
 			}
 		}
-		strain := b.Strain()
+		strain := b.TenantStats()
 		require.Len(t, strain, 2)
-		require.Equal(t, Strain{Tenant: NoTenant}, strain[0])
-		require.Equal(t, uint64(15), strain[1].Served+strain[1].Refused+strain[1].Failed)
+		require.Equal(t, TenantStats{Tenant: NoTenant}, strain[0])
+		require.Equal(t, uint64(15), strain[1].Served+strain[1].Rejected+strain[1].Failed)
 		if c.first {
-			require.Equal(t, Strain{Tenant: "a", Asked: 15, Served: 15, First: 15}, strain[1], name)
+			require.Equal(t, TenantStats{Tenant: "a", Requests: 15, Served: 15, ExclusionOverrides: 15}, strain[1], name)
 			require.Equal(t, 2, logs, "%s: every 10 s", name)
 		}
 	}
@@ -230,15 +232,15 @@
 // A server that comes onto the list later is kept off as well.
 func TestAvoidHoldsForLateComers(t *testing.T) {
 	b := start(t, settings(), list(1))
-	b.Avoid(&Avoid{Turn: func(server, zone string) bool { return server == "s1" && zone == "z1" }})
-	b.Step(ms, &Membership{Kind: SyncFull, Servers: list(2)})
+	b.SetExclusions(&Exclusions{AllTenants: func(server, zone string) bool { return server == "s1" && zone == "z1" }})
+	b.Step(ms, &ServerListUpdate{Kind: UpdateFull, Servers: list(2)})
 	for i := range 50 {
-		a := mustSend(t, b.Step(b.now+ms, &Request{ID: uint32(i), Class: "safe", Key: fmt.Sprint(i), Budget: time.Second}))
+		a := mustSend(t, b.Step(b.now+ms, &Request{ID: uint32(i), Class: "safe", Key: fmt.Sprint(i), ClientTimeout: time.Second}))
 		require.Equal(t, "s0", a.Server)
-		b.Step(b.now, &AttemptDone{ID: uint32(i), Outcome: Served, Latency: ms, Finished: true})
+		b.Step(b.now, &AttemptDone{ID: uint32(i), Outcome: Served, Latency: ms, RequestDone: true})
 	}
-	b.Avoid(nil)
-	require.Nil(t, b.servers["s1"].off)
+	b.SetExclusions(nil)
+	require.Nil(t, b.servers["s1"].excludedBelow)
 }
 
 // Of the requests without a key so many keep off a server as of those with one: a quarter of them would go there
@@ -246,13 +248,13 @@
 func TestAvoidWithoutKeys(t *testing.T) {
 	b := start(t, settings(), list(4))
 	sent := func(kept uint32) (n int) {
-		b.Avoid(&Avoid{Tenants: map[string]map[string]uint32{NoTenant: {"s2": kept}}})
+		b.SetExclusions(&Exclusions{Tenants: map[string]map[string]uint32{NoTenant: {"s2": kept}}})
 		for range 2000 {
 			id := uint32(b.now)
-			if a := mustSend(t, b.Step(b.now+20*ms, &Request{ID: id, Class: "safe", Budget: time.Second})); a.Server == "s2" {
+			if a := mustSend(t, b.Step(b.now+20*ms, &Request{ID: id, Class: "safe", ClientTimeout: time.Second})); a.Server == "s2" {
 				n++
 			}
-			b.Step(b.now, &AttemptDone{ID: id, Outcome: Served, Latency: ms, Finished: true})
+			b.Step(b.now, &AttemptDone{ID: id, Outcome: Served, Latency: ms, RequestDone: true})
 		}
 		return n
 	}
@@ -268,14 +270,14 @@
 	set.Tenants = []Tenant{{Name: "a"}, {Name: "b"}}
 	b := start(t, set, list(4))
 	for i := range 40 {
-		b.Step(b.now+ms, &Request{ID: uint32(i), Class: "safe", Tenant: []string{"a", "b", "b", "b"}[i%4], Budget: time.Second})
+		b.Step(b.now+ms, &Request{ID: uint32(i), Class: "safe", Tenant: []string{"a", "b", "b", "b"}[i%4], ClientTimeout: time.Second})
 	}
 	for below, sizes := range map[uint32]float64{0: 4, 1 << 31: 3.875, math.MaxUint32: 3.75} {
-		b.Avoid(&Avoid{Tenants: map[string]map[string]uint32{"a": {"s2": below}}})
-		b.measure()
-		require.InDelta(t, sizes, b.sizes, 1e-6)
+		b.SetExclusions(&Exclusions{Tenants: map[string]map[string]uint32{"a": {"s2": below}}})
+		b.updateWeights()
+		require.InDelta(t, sizes, b.weightSum, 1e-6)
 	}
-	b.Avoid(&Avoid{Turn: func(server, _ string) bool { return server == "s2" }})
-	b.measure()
-	require.InDelta(t, 3, b.sizes, 1e-6)
+	b.SetExclusions(&Exclusions{AllTenants: func(server, _ string) bool { return server == "s2" }})
+	b.updateWeights()
+	require.InDelta(t, 3, b.weightSum, 1e-6)
 }
--- a/decide/bench_test.go
+++ b/decide/bench_test.go
@@ -15,7 +15,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			bal.Step(0, &Membership{Kind: SyncFull, Servers: list(13)})
+			bal.Step(0, &ServerListUpdate{Kind: UpdateFull, Servers: list(13)})
 			keys := make([]string, 1000)
 			for i := range keys {
 				keys[i] = fmt.Sprint("key-", i)
@@ -26,7 +26,7 @@
 			for i := range b.N {
 				now += 3 * ms
 				if i%333 == 0 {
-					bal.Step(now, &TimerDue{Tag: tagRound})
+					bal.Step(now, &TimerDue{Tag: timerRound})
 				}
 				if old := sent[i%4]; old.Kind == Send && old.ID > 0 {
 					outcome := Served
@@ -35,10 +35,10 @@
 					}
 					bal.Step(now, &AttemptDone{
 						ID: old.ID, Server: old.Server, Outcome: outcome, Latency: 12 * ms,
-						Finished: true,
+						RequestDone: true,
 					})
 				}
-				acts := bal.Step(now, &Request{ID: uint32(i + 1), Class: "unsafe", Key: keys[i*7%1000], Budget: time.Second})
+				acts := bal.Step(now, &Request{ID: uint32(i + 1), Class: "unsafe", Key: keys[i*7%1000], ClientTimeout: time.Second})
 				sent[i%4] = acts[len(acts)-1]
 			}
 		})
@@ -53,9 +53,9 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			bal.Step(0, &Membership{Kind: SyncFull, Servers: list(13)})
+			bal.Step(0, &ServerListUpdate{Kind: UpdateFull, Servers: list(13)})
 			if below > 0 {
-				bal.Avoid(&Avoid{Tenants: map[string]map[string]uint32{NoTenant: {"s0": below}}})
+				bal.SetExclusions(&Exclusions{Tenants: map[string]map[string]uint32{NoTenant: {"s0": below}}})
 			}
 			keys := make([]string, 1000)
 			for i := range keys {
@@ -66,11 +66,11 @@
 			for i := range b.N {
 				now += 3 * ms
 				if i%333 == 0 {
-					bal.Step(now, &TimerDue{Tag: tagRound})
+					bal.Step(now, &TimerDue{Tag: timerRound})
 				}
 				id := uint32(i + 1)
-				acts := bal.Step(now, &Request{ID: id, Class: "unsafe", Key: keys[i*7%1000], Budget: time.Second})
-				bal.Step(now, &AttemptDone{ID: id, Server: acts[len(acts)-1].Server, Outcome: Served, Latency: 12 * ms, Finished: true})
+				acts := bal.Step(now, &Request{ID: id, Class: "unsafe", Key: keys[i*7%1000], ClientTimeout: time.Second})
+				bal.Step(now, &AttemptDone{ID: id, Server: acts[len(acts)-1].Server, Outcome: Served, Latency: 12 * ms, RequestDone: true})
 			}
 		})
 	}
@@ -85,19 +85,19 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			bal.Step(0, &Membership{Kind: SyncFull, Servers: list(n)})
+			bal.Step(0, &ServerListUpdate{Kind: UpdateFull, Servers: list(n)})
 			now, last := time.Second, list(1)[0]
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				joins := Server{ID: fmt.Sprint("new", i), Zone: "z0", Weight: 1, Started: now}
+				joins := Server{ID: fmt.Sprint("new", i), Zone: "z0", Weight: 1, StartedAt: now}
 				last.State = Gone
-				bal.Step(now, &Membership{Kind: SyncChange, Servers: []Server{joins}})
-				bal.Step(now, &Membership{Kind: SyncChange, Servers: []Server{last}})
+				bal.Step(now, &ServerListUpdate{Kind: UpdateIncremental, Servers: []Server{joins}})
+				bal.Step(now, &ServerListUpdate{Kind: UpdateIncremental, Servers: []Server{last}})
 				last = joins
 				if i%64 == 63 {
 					now += 2 * forgetAfter
 					bal.now = now
-					bal.forgetGone()
+					bal.forgetGoneServers()
 				}
 			}
 		})
