--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -26,30 +26,30 @@
 	return Settings{
 		Balancers: 3, Zone: "z0",
 		Classes: []Class{
-			{Name: "safe", Aim: 400 * ms, Deadline: time.Second, Effect: Safe, Worth: 1},
+			{Name: "safe", LatencyObjective: 400 * ms, Deadline: time.Second, Idempotency: Idempotent, PriorityWeight: 1},
 			{
-				Name: "zone", Aim: 800 * ms, Deadline: 2 * time.Second, Effect: Keyed, Scope: ScopeZone,
-				Memory: 500 * ms, Worth: 2,
+				Name: "zone", LatencyObjective: 800 * ms, Deadline: 2 * time.Second, Idempotency: IdempotentWithKey, DedupScope: DedupScopeZone,
+				DedupWindow: 500 * ms, PriorityWeight: 2,
 			},
 			{
-				Name: "cell", Aim: 800 * ms, Deadline: 2 * time.Second, Effect: Keyed, Scope: ScopeCell,
-				Memory: 500 * ms, Worth: 2,
+				Name: "cell", LatencyObjective: 800 * ms, Deadline: 2 * time.Second, Idempotency: IdempotentWithKey, DedupScope: DedupScopeCell,
+				DedupWindow: 500 * ms, PriorityWeight: 2,
 			},
 			{
-				Name: "all", Aim: 800 * ms, Deadline: 2 * time.Second, Effect: Keyed, Scope: ScopeAll,
-				Memory: 500 * ms, Worth: 2,
+				Name: "all", LatencyObjective: 800 * ms, Deadline: 2 * time.Second, Idempotency: IdempotentWithKey, DedupScope: DedupScopeAll,
+				DedupWindow: 500 * ms, PriorityWeight: 2,
 			},
-			{Name: "unsafe", Aim: 500 * ms, Deadline: time.Second, Effect: Unsafe, Worth: 10},
+			{Name: "unsafe", LatencyObjective: 500 * ms, Deadline: time.Second, Idempotency: NotIdempotent, PriorityWeight: 10},
 		},
 		Limits: Limits{
-			MaxAttempts: 3, Cancel: true, Peers: true, RetryAfter: true,
+			MaxAttempts: 3, Cancel: true, Gossip: true, RetryAfter: true,
 			MaxRetryAfter: time.Second,
 		},
 		Rules: Rules{
-			DrainGrace: 500 * ms, ColdShare: 0.4, ColdFor: 8 * time.Second, FallMultiple: 3,
-			FallWindow: 2 * time.Second, AskWithin: 10 * time.Second,
+			DrainGrace: 500 * ms, SlowStartCapacity: 0.4, SlowStartDuration: 8 * time.Second, OverloadMultiple: 3,
+			OverloadWindow: 2 * time.Second, MaxPollInterval: 10 * time.Second,
 		},
-		Prices: Prices{CrossZone: 0.01, Waste: 0.05}, Goal: Goal{Whole: 0.7, WorstClass: 0.3}, Tick: 5 * ms,
+		Costs: Costs{CrossZone: 0.01, WastedWork: 0.05}, ScoreWeights: ScoreWeights{Total: 0.7, WorstClass: 0.3}, Tick: 5 * ms,
 	}
 }
 
@@ -67,7 +67,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.Step(0, &Membership{Kind: SyncFull, Servers: servers})
+	b.Step(0, &ServerListUpdate{Kind: UpdateFull, Servers: servers})
 	return b
 }
 
@@ -92,33 +92,33 @@
 
 // learnOf has an attempt at a server end so, with all that goes with it.
 func (b *Balancer) learnOf(s *server, o Outcome) {
-	noted := b.detector.Start(b.now, s.record, 0, time.Second)
-	b.learn(&request{class: b.classes["safe"]}, &attempt{server: s, noted: noted},
+	noted := b.detector.Start(b.now, s.outlier, 0, time.Second)
+	b.observeAttempt(&request{class: b.classes["safe"]}, &attempt{server: s, outlier: noted},
 		&AttemptDone{Outcome: o, Latency: 10 * ms})
 }
 
 // turn has a server go down or come back, and ends the round.
 func (b *Balancer) turn(s *server, down bool) {
-	outcome := map[bool]Outcome{true: NoConnection, false: Served}[down]
+	outcome := map[bool]Outcome{true: ConnectFailed, false: Served}[down]
 	for range 20 {
-		if s.record.IsDown() != down {
+		if s.outlier.IsDown() != down {
 			b.learnOf(s, outcome)
 		}
 	}
 	b.detector.Round()
-	b.swing(s)
+	b.countFlap(s)
 }
 
 func TestRingFollowsFarmHash(t *testing.T) {
 	b := start(t, settings(), list(4))
-	if b.ring.Points() != 4*replicaPoints {
+	if b.ring.Points() != 4*pointsPerServer {
 		t.Fatalf("%d points", b.ring.Points())
 	}
 	for key := range 500 {
 		h := farm.Fingerprint32([]byte(fmt.Sprint("key", key)))
 		best, dist := "", uint32(math.MaxUint32)
 		for _, s := range list(4) { // brute force: the nearest point clockwise
-			for i := range replicaPoints {
+			for i := range pointsPerServer {
 				if d := farm.Fingerprint32([]byte(fmt.Sprint(s.ID, i))) - h; d <= dist {
 					best, dist = s.ID, d
 				}
@@ -164,7 +164,7 @@
 		t.Errorf("%d of 2000 keys moved", moved)
 	}
 	// the leaver comes back: the old owners again
-	less.Step(1, &Membership{Kind: SyncChange, Servers: full[5:]})
+	less.Step(1, &ServerListUpdate{Kind: UpdateIncremental, Servers: full[5:]})
 	for key := range 200 {
 		h := farm.Fingerprint32([]byte(fmt.Sprint("key", key)))
 		if less.ring.Owner(h).ID != b.ring.Owner(h).ID {
@@ -175,14 +175,14 @@
 
 func TestOwnerKeepsItsKeysUntilCrowded(t *testing.T) {
 	b := start(t, settings(), list(4))
-	first := mustSend(t, b.Step(ms, &Request{ID: 1, Class: "safe", Key: "k", Budget: time.Second})).Server
+	first := mustSend(t, b.Step(ms, &Request{ID: 1, Class: "safe", Key: "k", ClientTimeout: time.Second})).Server
 	owner := b.servers[first]
 	if o := b.ring.Owner(ring.Hash("k")); o != owner {
 		t.Fatalf("first sent to %s, owner %s", first, o.ID)
 	}
 	spilled := ""
 	for id := uint32(2); id < 40 && spilled == ""; id++ {
-		if a := mustSend(t, b.Step(2*ms, &Request{ID: id, Class: "safe", Key: "k", Budget: time.Second})); a.Server != first {
+		if a := mustSend(t, b.Step(2*ms, &Request{ID: id, Class: "safe", Key: "k", ClientTimeout: time.Second})); a.Server != first {
 			spilled = a.Server
 		}
 	}
@@ -201,8 +201,8 @@
 	b.ring.Members()[0].inFlight, b.inFlight = 1, 1
 	busy := 0
 	for i := range uint32(200) {
-		a := mustSend(t, b.Step(ms, &Request{ID: i, Class: "safe", Budget: time.Second}))
-		b.Step(ms, &AttemptDone{ID: i, Server: a.Server, Latency: ms, Finished: true})
+		a := mustSend(t, b.Step(ms, &Request{ID: i, Class: "safe", ClientTimeout: time.Second}))
+		b.Step(ms, &AttemptDone{ID: i, Server: a.Server, Latency: ms, RequestDone: true})
 		if a.Server == b.ring.Members()[0].ID {
 			busy++
 		}
@@ -217,9 +217,9 @@
 // owner when all have left: it ended the agent.
 func TestKeylessWhenAllServersHaveLeft(t *testing.T) {
 	b := start(t, settings(), list(3))
-	b.Step(ms, &Membership{Kind: SyncFull})
-	acts := b.Step(2*ms, &Request{ID: 1, Class: "safe", Budget: time.Second})
-	require.NotNil(t, find(acts, Refuse), "%+v", acts)
+	b.Step(ms, &ServerListUpdate{Kind: UpdateFull})
+	acts := b.Step(2*ms, &Request{ID: 1, Class: "safe", ClientTimeout: time.Second})
+	require.NotNil(t, find(acts, Reject), "%+v", acts)
 }
 
 func TestSpillTable(t *testing.T) {
@@ -239,14 +239,14 @@
 		b := start(t, settings(), list(4))
 		b.now = time.Minute
 		for _, s := range b.ring.Members() {
-			s.inFlight, s.silentSince, s.latency, s.latencyAtN, s.sampledAt = c.others, b.now, c.latency, 9, b.now
+			s.inFlight, s.silentSince, s.latency, s.latencyInFlight, s.latencyAt = c.others, b.now, c.latency, 9, b.now
 			b.inFlight += c.others
 		}
 		s := b.ring.Members()[0]
 		b.inFlight += c.inFlight - c.others
-		s.inFlight, s.latencyAtN = c.inFlight, float64(c.inFlight+1)
-		r := &request{class: b.classes["safe"], aimBy: b.now + 400*ms, deadline: b.now + time.Second}
-		if got := b.crowded(r, s, b.expected(s), b.hardTime(r)); got != c.crowded {
+		s.inFlight, s.latencyInFlight = c.inFlight, float64(c.inFlight+1)
+		r := &request{class: b.classes["safe"], objectiveAt: b.now + 400*ms, deadline: b.now + time.Second}
+		if got := b.isSaturated(r, s, b.expectedLatency(s), b.latencyLimit(r)); got != c.crowded {
 			t.Errorf("%s: crowded %v", c.name, got)
 		}
 	}
@@ -254,15 +254,15 @@
 
 func TestPenaltyDecaysAndDamps(t *testing.T) {
 	set := settings()
-	set.Limits.Peers = false
+	set.Limits.Gossip = false
 	b := start(t, set, list(5))
 	s := b.ring.Members()[0]
 	b.turn(s, true)
 	for _, c := range []struct {
 		after time.Duration
 		want  float64
-	}{{0, 1}, {penaltyHalf, 0.5}, {2 * penaltyHalf, 0.25}} {
-		if got := s.penaltyNow(b.now + c.after); math.Abs(got-c.want) > 1e-9 {
+	}{{0, 1}, {flapPenaltyHalfLife, 0.5}, {2 * flapPenaltyHalfLife, 0.25}} {
+		if got := s.decayedPenalty(b.now + c.after); math.Abs(got-c.want) > 1e-9 {
 			t.Errorf("after %v the penalty is %v, want %v", c.after, got, c.want)
 		}
 	}
@@ -272,14 +272,14 @@
 		t.Error("damped after two swings")
 	}
 	b.turn(s, true)
-	if s.dampedUntil != b.now+holdDown {
+	if s.dampedUntil != b.now+dampingDuration {
 		t.Error("not damped after three quick swings")
 	}
-	if ok, _ := b.trusted(&request{class: b.classes["safe"]}, s); ok {
+	if ok, _ := b.checkHealth(&request{class: b.classes["safe"]}, s); ok {
 		t.Error("a damped server is trusted")
 	}
-	b.update(&Server{ID: "new", State: Ready})
-	if got := b.servers["new"].penalty; math.Abs(got-b.meanPenalty()) > 1e-9 || got == 0 {
+	b.updateServer(&Server{ID: "new", State: Ready})
+	if got := b.servers["new"].flapPenalty; math.Abs(got-b.meanPenalty()) > 1e-9 || got == 0 {
 		t.Errorf("a new server starts at %v, the mean is %v", got, b.meanPenalty())
 	}
 }
@@ -299,23 +299,23 @@
 	} {
 		b := start(t, settings(), list(5))
 		s := b.ring.Members()[0]
-		b.now, b.acts = time.Minute, nil
+		b.now, b.actions = time.Minute, nil
 		for _, down := range []bool{true, false, true} {
 			b.turn(s, down)
 		}
 		asked := 0
-		for _, a := range b.acts {
-			if a.Kind == Tell {
+		for _, a := range b.actions {
+			if a.Kind == SendToPeer {
 				asked++
-				if a.Peer == b.set.Self {
+				if a.Peer == b.settings.Self {
 					t.Error("asks itself")
 				}
 			}
 		}
-		if asked != fanout || s.dampedUntil != 0 {
+		if asked != gossipFanout || s.dampedUntil != 0 {
 			t.Fatalf("asked %d peers, damped %v", asked, s.dampedUntil)
 		}
-		reply := dampMessage(msgDampResp, s, b.now)
+		reply := encodeDampMessage(messageDampResponse, s, b.now)
 		reply[5] = c.score
 		b.Step(b.now+c.late, &PeerMessage{From: c.from, Data: reply})
 		if (s.dampedUntil > 0) != c.damped {
@@ -323,7 +323,7 @@
 		}
 	}
 	b := start(t, settings(), list(5))
-	if a := find(b.Step(1, &PeerMessage{From: 2, Data: dampMessage(msgDampReq, b.ring.Members()[1], 0)}), Tell); a == nil || a.Peer != 2 {
+	if a := find(b.Step(1, &PeerMessage{From: 2, Data: encodeDampMessage(messageDampRequest, b.ring.Members()[1], 0)}), SendToPeer); a == nil || a.Peer != 2 {
 		t.Error("a damp-req is not answered")
 	}
 }
@@ -338,29 +338,29 @@
 		refuse  bool // what the final answer is, if there is no other attempt
 	}{
 		{"safe", ServerError, 5 * ms, true, true},
-		{"safe", NoAnswer, 5 * ms, true, true},
-		{"zone", TurnedAway, 5 * ms, true, true},
+		{"safe", TimedOut, 5 * ms, true, true},
+		{"zone", Rejected, 5 * ms, true, true},
 		{"zone", ConnectionLost, 5 * ms, true, false},
 		{"zone", ServerError, 600 * ms, false, false}, // past the memory
 		{"cell", ServerError, 5 * ms, true, false},
 		{"cell", ServerError, 600 * ms, false, false},
 		{"all", ServerError, 5 * ms, true, true},
 		{"all", ServerError, 600 * ms, false, false},
-		{"unsafe", NoConnection, 5 * ms, true, true},
-		{"unsafe", TurnedAway, 5 * ms, true, true},
+		{"unsafe", ConnectFailed, 5 * ms, true, true},
+		{"unsafe", Rejected, 5 * ms, true, true},
 		{"unsafe", ServerError, 5 * ms, false, false},
-		{"unsafe", NoAnswer, 5 * ms, false, false},
+		{"unsafe", TimedOut, 5 * ms, false, false},
 		{"unsafe", ConnectionLost, 5 * ms, false, false},
 	} {
 		b := start(t, settings(), list(12))
-		first := mustSend(t, b.Step(time.Second, &Request{ID: 1, Class: c.class, Key: "k", Budget: 2 * time.Second}))
+		first := mustSend(t, b.Step(time.Second, &Request{ID: 1, Class: c.class, Key: "k", ClientTimeout: 2 * time.Second}))
 		acts := b.Step(time.Second+c.after, &AttemptDone{ID: 1, Server: first.Server, Outcome: c.outcome, Latency: c.after})
 		next := find(acts, Send)
 		if (next != nil) != c.again {
 			t.Errorf("%s after %d: next attempt %v", c.class, c.outcome, next)
 		}
 		if next == nil {
-			if refused := find(acts, Refuse) != nil; refused != c.refuse || refused == (find(acts, Fail) != nil) {
+			if refused := find(acts, Reject) != nil; refused != c.refuse || refused == (find(acts, Fail) != nil) {
 				t.Errorf("%s after %d: %+v", c.class, c.outcome, acts)
 			}
 			continue
@@ -369,7 +369,7 @@
 		if one == two {
 			t.Errorf("%s: the same server again", c.class)
 		}
-		if !c.outcome.NeverRan() && (c.class == "zone" && one.Zone != two.Zone || c.class == "cell" && one.Cell != two.Cell) {
+		if !c.outcome.Unprocessed() && (c.class == "zone" && one.Zone != two.Zone || c.class == "cell" && one.Cell != two.Cell) {
 			t.Errorf("%s: repeat left the group", c.class)
 		}
 	}
@@ -390,20 +390,20 @@
 		{"gone after draining", Gone, true, true, false},
 	} {
 		set := settings()
-		set.Rules.OnlyDrainingBind = c.onlyDraining
+		set.Rules.GoneUsable = c.onlyDraining
 		b := start(t, set, list(1))
 		l := list(1)
 		if c.drainedFirst {
 			l[0].State = Draining
-			b.Step(1, &Membership{Kind: SyncChange, Servers: l})
+			b.Step(1, &ServerListUpdate{Kind: UpdateIncremental, Servers: l})
 		}
 		l[0].State = c.state
-		b.Step(1, &Membership{Kind: SyncChange, Servers: l})
-		acts := b.Step(1, &Request{ID: 1, Class: "safe", Key: "k", Budget: time.Second})
+		b.Step(1, &ServerListUpdate{Kind: UpdateIncremental, Servers: l})
+		acts := b.Step(1, &Request{ID: 1, Class: "safe", Key: "k", ClientTimeout: time.Second})
 		if (find(acts, Send) != nil) != c.sends {
 			t.Errorf("%s: %+v", c.name, acts)
 		}
-		if !c.sends && find(acts, Refuse) == nil {
+		if !c.sends && find(acts, Reject) == nil {
 			t.Errorf("%s: no answer", c.name)
 		}
 	}
@@ -411,11 +411,11 @@
 
 func TestFullListDropsTheUnlisted(t *testing.T) {
 	b := start(t, settings(), list(4))
-	b.Step(1, &Membership{Kind: SyncFull, Servers: list(2)})
-	if len(b.ring.Members()) != 2 || b.listed(b.servers["s3"]) {
+	b.Step(1, &ServerListUpdate{Kind: UpdateFull, Servers: list(2)})
+	if len(b.ring.Members()) != 2 || b.isListed(b.servers["s3"]) {
 		t.Error("a server left out of a full list is still used")
 	}
-	b.Step(2, &Membership{Kind: SyncFailed})
+	b.Step(2, &ServerListUpdate{Kind: UpdateFailed})
 	if len(b.ring.Members()) != 2 {
 		t.Error("a failed call changed the list")
 	}
@@ -426,19 +426,19 @@
 	b := start(t, settings(), list(4))
 	now := time.Minute
 	cold := list(1)
-	cold[0].Started = now
+	cold[0].StartedAt = now
 	send := func(id uint32) string {
-		a := find(b.Step(now, &Request{ID: id, Class: "safe", Key: fmt.Sprint("k", id%97), Budget: time.Second}), Send)
+		a := find(b.Step(now, &Request{ID: id, Class: "safe", Key: fmt.Sprint("k", id%97), ClientTimeout: time.Second}), Send)
 		if a == nil {
 			return ""
 		}
-		b.Step(now+20*ms, &AttemptDone{ID: id, Server: a.Server, Latency: 20 * ms, Finished: true})
+		b.Step(now+20*ms, &AttemptDone{ID: id, Server: a.Server, Latency: 20 * ms, RequestDone: true})
 		return a.Server
 	}
 	count := func(from uint32) (cold, all int) {
 		for i := range uint32(600) {
 			if i%200 == 199 {
-				b.Step(now, &TimerDue{Tag: tagRound})
+				b.Step(now, &TimerDue{Tag: timerRound})
 			}
 			now += 5 * ms
 			switch send(from + i) {
@@ -456,11 +456,11 @@
 	if warm < 60 || all < 590 {
 		t.Fatalf("warm server got %d of %d", warm, all)
 	}
-	cold[0].Started = now
-	b.Step(now, &Membership{Kind: SyncChange, Servers: cold})
+	cold[0].StartedAt = now
+	b.Step(now, &ServerListUpdate{Kind: UpdateIncremental, Servers: cold})
 	got, all := count(1000)
 	rate := float64(all) / 3 / 4 // sends a second to each server
-	// warmth rises to 0.625 by the end of the 3 s; the rule allows FallMultiple times the capacity
+	// warmth rises to 0.625 by the end of the 3 s; the rule allows OverloadMultiple times the capacity
 	if limit := 3*0.4*rate*3 + 1; float64(got) > limit {
 		t.Errorf("cold server got %d, the rule allows about %.0f", got, limit)
 	}
@@ -471,9 +471,9 @@
 
 func TestLateRepeatIsGivenUpAtOnce(t *testing.T) {
 	b := start(t, settings(), list(4))
-	b.Step(1, &Request{ID: 1, Class: "safe", Key: "a", Budget: time.Second})
-	acts := b.Step(2, &Request{ID: 2, Class: "safe", Key: "b", Budget: 500 * ms}) // 0.5 s old, the aim is 0.4
-	if find(acts, Refuse) == nil || find(acts, Send) != nil {
+	b.Step(1, &Request{ID: 1, Class: "safe", Key: "a", ClientTimeout: time.Second})
+	acts := b.Step(2, &Request{ID: 2, Class: "safe", Key: "b", ClientTimeout: 500 * ms}) // 0.5 s old, the aim is 0.4
+	if find(acts, Reject) == nil || find(acts, Send) != nil {
 		t.Errorf("%+v", acts)
 	}
 }
@@ -484,24 +484,24 @@
 func TestHurriedClientIsAnsweredInItsTime(t *testing.T) {
 	for _, left := range []time.Duration{30 * ms, 4 * ms} { // of the client's time, when the second attempt ends
 		b := start(t, settings(), list(6))
-		mustSend(t, b.Step(time.Second, &Request{ID: 1, Class: "all", Key: "k", Budget: 250 * ms}))
-		b.latency = 0.001
-		again := b.Step(time.Second+100*ms, &AttemptDone{ID: 1, Server: "s0", Outcome: NoConnection, Latency: 100 * ms})
+		mustSend(t, b.Step(time.Second, &Request{ID: 1, Class: "all", Key: "k", ClientTimeout: 250 * ms}))
+		b.meanLatency = 0.001
+		again := b.Step(time.Second+100*ms, &AttemptDone{ID: 1, Server: "s0", Outcome: ConnectFailed, Latency: 100 * ms})
 		mustSend(t, again)
-		b.tokens = 5
-		acts := b.Step(time.Second+250*ms-left, &AttemptDone{ID: 1, Attempt: 1, Outcome: NoConnection, Latency: 100 * ms})
-		require.NotNil(t, find(acts, Refuse), "%+v", acts)
+		b.retryTokens = 5
+		acts := b.Step(time.Second+250*ms-left, &AttemptDone{ID: 1, Attempt: 1, Outcome: ConnectFailed, Latency: 100 * ms})
+		require.NotNil(t, find(acts, Reject), "%+v", acts)
 	}
 }
 
 func TestOnlyMarkedRepeatsAreOldWhereMarksAreGiven(t *testing.T) {
 	set := settings()
-	set.MarksRetry = true
+	set.ClientsMarkRetries = true
 	b := start(t, set, list(4))
-	b.Step(1, &Request{ID: 1, Class: "safe", Key: "a", Budget: time.Second})
-	mustSend(t, b.Step(2, &Request{ID: 2, Class: "safe", Key: "b", Budget: 500 * ms}))
-	acts := b.Step(3, &Request{ID: 3, Class: "safe", Key: "c", Budget: 500 * ms, Retry: true})
-	if find(acts, Refuse) == nil {
+	b.Step(1, &Request{ID: 1, Class: "safe", Key: "a", ClientTimeout: time.Second})
+	mustSend(t, b.Step(2, &Request{ID: 2, Class: "safe", Key: "b", ClientTimeout: 500 * ms}))
+	acts := b.Step(3, &Request{ID: 3, Class: "safe", Key: "c", ClientTimeout: 500 * ms, ClientRetry: true})
+	if find(acts, Reject) == nil {
 		t.Errorf("a marked repeat that is too old: %+v", acts)
 	}
 }
@@ -509,9 +509,9 @@
 func TestSilentServerIsLeftBeforeTheRoundEnds(t *testing.T) {
 	b := start(t, settings(), list(4))
 	now := time.Second
-	a := mustSend(t, b.Step(now, &Request{ID: 1, Class: "safe", Key: "k", Budget: time.Second}))
+	a := mustSend(t, b.Step(now, &Request{ID: 1, Class: "safe", Key: "k", ClientTimeout: time.Second}))
 	now += 210 * ms // silence past half of the aim
-	if next := mustSend(t, b.Step(now, &Request{ID: 2, Class: "safe", Key: "k", Budget: time.Second})); next.Server == a.Server {
+	if next := mustSend(t, b.Step(now, &Request{ID: 2, Class: "safe", Key: "k", ClientTimeout: time.Second})); next.Server == a.Server {
 		t.Error("a silent owner still gets requests")
 	}
 }
@@ -520,45 +520,45 @@
 	b := start(t, settings(), list(6))
 	s := b.ring.Owner(ring.Hash("k"))
 	now := time.Second
-	for id := uint32(1); !s.record.IsDown(); id++ {
+	for id := uint32(1); !s.outlier.IsDown(); id++ {
 		if id > 10 {
 			t.Fatal("never taken down")
 		}
 		now += ms
-		a := mustSend(t, b.Step(now, &Request{ID: id, Class: "unsafe", Key: "k", Budget: time.Second}))
+		a := mustSend(t, b.Step(now, &Request{ID: id, Class: "unsafe", Key: "k", ClientTimeout: time.Second}))
 		if a.Server == s.ID {
-			b.Step(now, &AttemptDone{ID: id, Server: a.Server, Outcome: NoConnection})
+			b.Step(now, &AttemptDone{ID: id, Server: a.Server, Outcome: ConnectFailed})
 		}
 	}
-	if a := mustSend(t, b.Step(now, &Request{ID: 90, Class: "safe", Key: "k", Budget: time.Second})); a.Server == s.ID {
+	if a := mustSend(t, b.Step(now, &Request{ID: 90, Class: "safe", Key: "k", ClientTimeout: time.Second})); a.Server == s.ID {
 		t.Fatal("a down server gets an ordinary request")
 	}
-	b.rate = 10
-	s.cold.Begin(b.now, 1)
-	trial := mustSend(t, b.Step(now, &Request{ID: 91, Class: "safe", Key: "k", Budget: time.Second}))
+	b.sendRate = 10
+	s.slowStart.Begin(b.now, 1)
+	trial := mustSend(t, b.Step(now, &Request{ID: 91, Class: "safe", Key: "k", ClientTimeout: time.Second}))
 	if trial.Server != s.ID {
 		t.Fatalf("no trial; sent to %s", trial.Server)
 	}
-	if a := mustSend(t, b.Step(now, &Request{ID: 92, Class: "safe", Key: "k", Budget: time.Second})); a.Server == s.ID {
+	if a := mustSend(t, b.Step(now, &Request{ID: 92, Class: "safe", Key: "k", ClientTimeout: time.Second})); a.Server == s.ID {
 		t.Error("two trials from one part of the budget")
 	}
-	b.Step(now+10*ms, &AttemptDone{ID: 91, Server: s.ID, Outcome: Served, Latency: 10 * ms, Finished: true})
-	assert.True(t, s.record.IsDown(), "two swings in a round")
-	b.Step(now+20*ms, &TimerDue{Tag: tagRound})
-	assert.False(t, s.record.IsDown())
+	b.Step(now+10*ms, &AttemptDone{ID: 91, Server: s.ID, Outcome: Served, Latency: 10 * ms, RequestDone: true})
+	assert.True(t, s.outlier.IsDown(), "two swings in a round")
+	b.Step(now+20*ms, &TimerDue{Tag: timerRound})
+	assert.False(t, s.outlier.IsDown())
 	assert.Less(t, b.warmth(s), 1.0)
 }
 
 // Where most are silent the fault is likelier near this balancer. Servers that refuse have said so themselves.
 func TestDoubtWhenMostLookBad(t *testing.T) {
-	for outcome, from := range map[Outcome]int{NoAnswer: 3, NoConnection: 4} {
+	for outcome, from := range map[Outcome]int{TimedOut: 3, ConnectFailed: 4} {
 		b := start(t, settings(), list(4))
 		for i, s := range b.ring.Members() {
 			for range 5 {
 				b.learnOf(s, outcome)
 			}
-			require.True(t, s.record.IsDown())
-			ok, _ := b.trusted(&request{class: b.classes["unsafe"]}, s)
+			require.True(t, s.outlier.IsDown())
+			ok, _ := b.checkHealth(&request{class: b.classes["unsafe"]}, s)
 			assert.Equal(t, i+1 >= from, ok, "outcome %d, %d of 4 down", outcome, i+1)
 		}
 	}
@@ -568,13 +568,13 @@
 // request up. Guards against trials that cost a client its answer, and so against making few of them.
 func TestTrialsAreSecondCopies(t *testing.T) {
 	set := settings()
-	set.Limits.SecondCopies = true
+	set.Limits.Hedging = true
 	b := start(t, set, list(6))
 	s := b.ring.Owner(ring.Hash("k"))
 	b.turn(s, true)
-	b.rate = 10
-	s.cold.Begin(b.now, 1)
-	acts := b.Step(time.Second, &Request{ID: 1, Class: "safe", Key: "k", Budget: time.Second})
+	b.sendRate = 10
+	s.slowStart.Begin(b.now, 1)
+	acts := b.Step(time.Second, &Request{ID: 1, Class: "safe", Key: "k", ClientTimeout: time.Second})
 	var sent []string
 	for _, a := range acts {
 		if a.Kind == Send {
@@ -595,13 +595,13 @@
 		outcome Outcome
 		spares  float64
 		again   bool
-	}{{TurnedAway, 1, true}, {TurnedAway, -2, false}, {ServerError, 1, false}} {
+	}{{Rejected, 1, true}, {Rejected, -2, false}, {ServerError, 1, false}} {
 		b := start(t, settings(), list(6))
-		a := mustSend(t, b.Step(time.Second, &Request{ID: 1, Class: "safe", Key: "k", Budget: time.Second}))
-		b.tokens, b.spares = 0, c.spares
+		a := mustSend(t, b.Step(time.Second, &Request{ID: 1, Class: "safe", Key: "k", ClientTimeout: time.Second}))
+		b.retryTokens, b.unprocessedRetryTokens = 0, c.spares
 		acts := b.Step(time.Second+5*ms, &AttemptDone{ID: 1, Server: a.Server, Outcome: c.outcome, Latency: 5 * ms})
 		assert.Equal(t, c.again, find(acts, Send) != nil, "outcome %d, %.0f to spare", c.outcome, c.spares)
-		assert.Equal(t, !c.again, find(acts, Refuse) != nil)
+		assert.Equal(t, !c.again, find(acts, Reject) != nil)
 	}
 }
 
@@ -612,10 +612,10 @@
 	s := b.ring.Owner(ring.Hash("k"))
 	b.now = time.Second
 	for range 3 {
-		b.learnOf(s, TurnedAway)
+		b.learnOf(s, Rejected)
 	}
 	ask := func(id uint32) string {
-		return mustSend(t, b.Step(b.now, &Request{ID: id, Class: "safe", Key: "k", Budget: time.Second})).Server
+		return mustSend(t, b.Step(b.now, &Request{ID: id, Class: "safe", Key: "k", ClientTimeout: time.Second})).Server
 	}
 	assert.NotEqual(t, s.ID, ask(1))
 	b.now += 500 * ms
@@ -631,36 +631,36 @@
 // the quickest, so that it gets at once all that the others have no room for.
 func TestNewServerIsTakenForAUsualOne(t *testing.T) {
 	b := start(t, settings(), list(4))
-	b.now, b.latency, b.pace.quick, b.typical = time.Second, 0.1, 0.03, 2
+	b.now, b.meanLatency, b.baseline.seconds, b.typicalInFlight = time.Second, 0.1, 0.03, 2
 	s := b.ring.Members()[0]
 	s.silentSince = b.now
-	assert.Less(t, b.expected(s), 0.1)
+	assert.Less(t, b.expectedLatency(s), 0.1)
 	s.inFlight = 12
-	assert.Greater(t, b.expected(s), 0.3)
-	s.inFlight, b.latency = 0, 0.4
-	assert.Less(t, b.expected(s), 0.1, "where all are slow a new one is never tried")
+	assert.Greater(t, b.expectedLatency(s), 0.3)
+	s.inFlight, b.meanLatency = 0, 0.4
+	assert.Less(t, b.expectedLatency(s), 0.1, "where all are slow a new one is never tried")
 }
 
 // A key that fails on healthy servers is blamed; one whose servers are all silent is not.
 func TestPoisonousKey(t *testing.T) {
 	for i, healthy := range []bool{true, false, false} {
 		b := start(t, settings(), list(8))
-		b.failing = float64(i/2) * 0.05 // the last time the servers answer, but many attempts fail
+		b.failureFraction = float64(i/2) * 0.05 // the last time the servers answer, but many attempts fail
 		now := time.Minute
 		for _, s := range b.ring.Members() {
 			if healthy || i == 2 {
-				s.lastServed = now
+				s.lastServedAt = now
 			}
 		}
-		b.Step(now, &Request{ID: 1, Class: "safe", Key: "bad", Budget: time.Second})
+		b.Step(now, &Request{ID: 1, Class: "safe", Key: "bad", ClientTimeout: time.Second})
 		id, refused := uint32(1), false
 		for range 12 {
 			r := b.requests[id]
 			if r == nil {
 				id++
-				acts := b.Step(now, &Request{ID: id, Class: "safe", Key: "bad", Budget: time.Second})
+				acts := b.Step(now, &Request{ID: id, Class: "safe", Key: "bad", ClientTimeout: time.Second})
 				if find(acts, Send) == nil {
-					refused = find(acts, Refuse) != nil
+					refused = find(acts, Reject) != nil
 					break
 				}
 				r = b.requests[id]
@@ -669,10 +669,10 @@
 			if n := len(r.attempts) - 1; !r.attempts[n].done {
 				b.Step(now, &AttemptDone{ID: id, Attempt: n, Server: r.attempts[n].server.ID, Outcome: ConnectionLost})
 			} else {
-				b.Step(now, &TimerDue{Tag: uint64(id)<<2 | tagRetry})
+				b.Step(now, &TimerDue{Tag: uint64(id)<<2 | timerRetry})
 			}
 		}
-		if blamed := b.keys[farm.Fingerprint32([]byte("bad"))] != nil; blamed != healthy || healthy && !refused {
+		if blamed := b.blamedKeys[farm.Fingerprint32([]byte("bad"))] != nil; blamed != healthy || healthy && !refused {
 			t.Errorf("healthy servers %v: blamed %v, refused %v", healthy, blamed, refused)
 		}
 	}
@@ -680,30 +680,30 @@
 
 func TestOverQuotaWaitsLess(t *testing.T) {
 	set := settings()
-	set.Tenants = []Tenant{{Name: "a", QuotaPerS: 30}, {Name: "b", QuotaPerS: 3}}
+	set.Tenants = []Tenant{{Name: "a", QuotaPerSecond: 30}, {Name: "b", QuotaPerSecond: 3}}
 	b := start(t, set, list(3))
 	low := 0
 	for i := range uint32(400) {
 		if i%20 == 0 {
-			b.Step(time.Duration(i)*ms*50, &TimerDue{Tag: tagRound})
+			b.Step(time.Duration(i)*ms*50, &TimerDue{Tag: timerRound})
 		}
-		if b.quota.Over(b.now, "b") {
+		if b.quotas.Over(b.now, "b") {
 			low++
 		}
 	}
 	if low < 200 || low == 400 { // three balancers with 20 a second each against a quota of 3
 		t.Errorf("%d of 400 marked beyond the quota", low)
 	}
-	in, out := &request{class: b.classes["safe"], aimBy: b.now + 400*ms, deadline: b.now + time.Second}, &request{}
+	in, out := &request{class: b.classes["safe"], objectiveAt: b.now + 400*ms, deadline: b.now + time.Second}, &request{}
 	*out = *in
-	out.low = true
-	if b.hardTime(out) >= b.hardTime(in) {
+	out.overQuota = true
+	if b.latencyLimit(out) >= b.latencyLimit(in) {
 		t.Error("traffic beyond a quota waits as long as the rest")
 	}
 	// each one told moves halfway to its peer's mean
-	b.quota.Recall(0, 0, 10)
-	b.Step(time.Minute, &PeerMessage{From: 1, Data: rateMessage(30)})
-	if _, mean := b.quota.Rates(); mean != 20 {
+	b.quotas.Recall(0, 0, 10)
+	b.Step(time.Minute, &PeerMessage{From: 1, Data: encodeRateMessage(30)})
+	if _, mean := b.quotas.Rates(); mean != 20 {
 		t.Errorf("mean %v", mean)
 	}
 }
@@ -711,40 +711,40 @@
 func TestNoClassWaitsLongerThanTheMostValued(t *testing.T) {
 	b := start(t, settings(), list(3))
 	for name, c := range b.classes {
-		if c.hard > b.classes["unsafe"].hard {
-			t.Errorf("%s accepts %v s, the most valued %v", name, c.hard, b.classes["unsafe"].hard)
+		if c.latencyLimit > b.classes["unsafe"].latencyLimit {
+			t.Errorf("%s accepts %v s, the most valued %v", name, c.latencyLimit, b.classes["unsafe"].latencyLimit)
 		}
 	}
 }
 
 func TestDiscoveryOnRequest(t *testing.T) {
 	set := settings()
-	set.OnRequest = true
+	set.DiscoveryOnDemand = true
 	b, _ := New(set, 1)
-	if find(b.Step(0, &Membership{Kind: SyncSaved}), Subscribe) == nil {
+	if find(b.Step(0, &ServerListUpdate{Kind: UpdateCached}), Subscribe) == nil {
 		t.Fatal("no subscription at the start")
 	}
 	asked, waits := time.Duration(0), [6]time.Duration{}
 	for i := range waits { // the first call comes again soon, a service in trouble is spared
-		set := find(b.Step(asked+ms, &Membership{Kind: SyncFailed}), SetTimer)
+		set := find(b.Step(asked+ms, &ServerListUpdate{Kind: UpdateFailed}), SetTimer)
 		require.NotNil(t, set)
-		assert.Nil(t, find(b.Step(asked+ms, &Membership{Kind: SyncFailed}), SetTimer), "one call follows two ends")
+		assert.Nil(t, find(b.Step(asked+ms, &ServerListUpdate{Kind: UpdateFailed}), SetTimer), "one call follows two ends")
 		waits[i] = set.After
 		asked += ms + set.After
 		require.NotNil(t, find(b.Step(asked, &TimerDue{Tag: set.Tag}), Subscribe))
 	}
 	assert.Less(t, waits[0], 350*ms)
 	assert.Greater(t, waits[5], 750*ms)
-	assert.Less(t, waits[5], set.Rules.AskWithin/4)
-	quarter := set.Rules.AskWithin / 4
-	if find(b.Step(asked+quarter-ms, &TimerDue{Tag: tagRound}), Subscribe) != nil {
+	assert.Less(t, waits[5], set.Rules.MaxPollInterval/4)
+	quarter := set.Rules.MaxPollInterval / 4
+	if find(b.Step(asked+quarter-ms, &TimerDue{Tag: timerRound}), Subscribe) != nil {
 		t.Error("asks again while a call is out")
 	}
-	if find(b.Step(asked+quarter, &TimerDue{Tag: tagRound}), Subscribe) == nil {
+	if find(b.Step(asked+quarter, &TimerDue{Tag: timerRound}), Subscribe) == nil {
 		t.Error("a call that is never answered ends the asking")
 	}
-	b.Step(asked+quarter+ms, &Membership{Kind: SyncChange})
-	if find(b.Step(time.Minute, &TimerDue{Tag: tagRound}), Subscribe) != nil {
+	b.Step(asked+quarter+ms, &ServerListUpdate{Kind: UpdateIncremental})
+	if find(b.Step(time.Minute, &TimerDue{Tag: timerRound}), Subscribe) != nil {
 		t.Error("asks again though subscribed")
 	}
 }
@@ -753,15 +753,15 @@
 // SIGHUP, and the call in its place may be refused.
 func TestDiscoveryHeardMeanwhile(t *testing.T) {
 	set := settings()
-	set.OnRequest = true
+	set.DiscoveryOnDemand = true
 	b, _ := New(set, 1)
-	b.Step(0, &Membership{Kind: SyncSaved})
+	b.Step(0, &ServerListUpdate{Kind: UpdateCached})
 	for i, heard := range []bool{true, false} {
 		lost := time.Duration(i+1) * time.Minute
-		again := find(b.Step(lost, &Membership{Kind: SyncFailed, Word: Word{End: asking.Lost}}), SetTimer)
+		again := find(b.Step(lost, &ServerListUpdate{Kind: UpdateFailed, Watch: WatchStatus{End: asking.Lost}}), SetTimer)
 		require.NotNil(t, again)
-		b.Step(lost+ms, &Membership{Kind: SyncChange, Word: Word{Begun: true}})
-		b.Step(lost+2*ms, &Membership{Kind: SyncChange, Word: Word{Local: !heard}})
+		b.Step(lost+ms, &ServerListUpdate{Kind: UpdateIncremental, Watch: WatchStatus{Opened: true}})
+		b.Step(lost+2*ms, &ServerListUpdate{Kind: UpdateIncremental, Watch: WatchStatus{Local: !heard}})
 		asks := find(b.Step(lost+again.After, &TimerDue{Tag: again.Tag}), Subscribe) != nil
 		require.Equal(t, !heard, asks)
 	}
@@ -794,8 +794,8 @@
 	timerAt []time.Duration
 	probed  []string
 	pace    time.Duration // agreed on for all classes, without second copies
-	avoid   *Avoid
-	placed  *Placed
+	avoid   *Exclusions
+	placed  *RingAssignment
 	outside int // attempts at servers that no generation names
 	kept    int // attempts by requests that had something to keep off
 }
@@ -827,14 +827,14 @@
 			w.timers, w.timerAt = append(w.timers, TimerDue{a.Tag}), append(w.timerAt, w.now+max(a.After, 1))
 		case Send:
 			w.onSend(r, a)
-		case Refuse, Fail:
+		case Reject, Fail:
 			if r == nil || r.answered > 0 {
 				w.t.Fatalf("a second answer for %d", a.ID)
 			}
 			r.answered++
 			for _, x := range r.attempts {
-				harmless := x.never || r.class.Effect == Safe || r.class.Effect == Keyed && r.class.Scope == ScopeAll
-				if a.Kind == Refuse && !harmless {
+				harmless := x.never || r.class.Idempotency == Idempotent || r.class.Idempotency == IdempotentWithKey && r.class.DedupScope == DedupScopeAll
+				if a.Kind == Reject && !harmless {
 					w.t.Fatalf("%s refused though it may have run", r.class.Name)
 				}
 			}
@@ -853,19 +853,19 @@
 	w.judgeAvoid(r.request, a.Server)
 	w.judgePlace(a.Server)
 	for _, x := range r.attempts {
-		if x.out && !w.b.set.Limits.SecondCopies {
+		if x.out && !w.b.settings.Limits.Hedging {
 			w.t.Fatal("two attempts at once")
 		}
-		if x.never || r.class.Effect == Safe {
+		if x.never || r.class.Idempotency == Idempotent {
 			continue
 		}
 		c := r.class
-		if c.Effect == Unsafe || w.now-x.sent > c.Memory || c.Scope == ScopeZone && s.Zone != x.server.Zone ||
-			c.Scope == ScopeCell && s.Cell != x.server.Cell {
+		if c.Idempotency == NotIdempotent || w.now-x.sent > c.DedupWindow || c.DedupScope == DedupScopeZone && s.Zone != x.server.Zone ||
+			c.DedupScope == DedupScopeCell && s.Cell != x.server.Cell {
 			w.t.Fatalf("%s repeated unlawfully", c.Name)
 		}
 	}
-	if w.now+a.After > r.by || len(r.attempts) >= w.b.set.Limits.MaxAttempts {
+	if w.now+a.After > r.by || len(r.attempts) >= w.b.settings.Limits.MaxAttempts {
 		w.t.Fatalf("attempt %d outlasts the client's budget or the cap", len(r.attempts))
 	}
 	if n := len(r.attempts); n > 0 && w.now-r.attempts[n-1].sent < w.pace {
@@ -879,11 +879,11 @@
 // play is run with settings changed, and agree, unless nil, called before each event but the first.
 func play(t *testing.T, seed uint64, change func(*Settings), agree func(w *world, n int)) []Action {
 	set := settings()
-	set.Rules.OnlyDrainingBind = seed%5 == 0
-	set.OnRequest = seed%3 == 0
+	set.Rules.GoneUsable = seed%5 == 0
+	set.DiscoveryOnDemand = seed%3 == 0
 	set.Limits.Probes = seed%2 == 0
 	if seed%4 == 0 {
-		set.Prices.CrossZone = 1
+		set.Costs.CrossZone = 1
 	}
 	change(&set)
 	b, err := New(set, seed)
@@ -891,7 +891,7 @@
 		t.Fatal(err)
 	}
 	w := &world{t: t, b: b, rng: rand.New(rand.NewPCG(seed, 2)), open: map[uint32]*ask{}, drained: map[string]bool{}}
-	w.step(&Membership{Kind: SyncSaved, Servers: list(w.rng.IntN(8))})
+	w.step(&ServerListUpdate{Kind: UpdateCached, Servers: list(w.rng.IntN(8))})
 	var ids []uint32
 	for n := range 4000 {
 		if agree != nil {
@@ -913,7 +913,7 @@
 			c := set.Classes[w.rng.IntN(len(set.Classes))]
 			budget := time.Duration(w.rng.IntN(int(c.Deadline/ms))) * ms
 			w.open[id] = &ask{class: c, by: w.now + budget}
-			e := &Request{ID: id, Class: c.Name, Key: fmt.Sprint("k", w.rng.IntN(20)), Budget: budget}
+			e := &Request{ID: id, Class: c.Name, Key: fmt.Sprint("k", w.rng.IntN(20)), ClientTimeout: budget}
 			if n := len(set.Tenants); n > 0 {
 				e.Tenant = set.Tenants[int(id)%n].Name
 			}
@@ -923,11 +923,11 @@
 			l := list(8)[w.rng.IntN(8):]
 			for i := range l {
 				l[i].State = ServerState(w.rng.IntN(3))
-				l[i].Started = time.Duration(w.rng.IntN(2)) * w.now
+				l[i].StartedAt = time.Duration(w.rng.IntN(2)) * w.now
 				w.drained[l[i].ID] = l[i].State == Draining || l[i].State == Gone &&
-					(!set.Rules.OnlyDrainingBind || w.drained[l[i].ID])
+					(!set.Rules.GoneUsable || w.drained[l[i].ID])
 			}
-			w.step(&Membership{Kind: SyncChange, Servers: l})
+			w.step(&ServerListUpdate{Kind: UpdateIncremental, Servers: l})
 		case k == 9:
 			junk := make([]byte, w.rng.IntN(9))
 			for i := range junk {
@@ -954,14 +954,14 @@
 				x.out = false
 				o := Outcome(max(w.rng.IntN(20)-12, 0)) // mostly served
 				if overdue {
-					o = NoAnswer
+					o = TimedOut
 				}
-				x.never = o.NeverRan()
+				x.never = o.Unprocessed()
 				finished := o == Served || r.answered > 0
 				if o == Served && r.answered == 0 {
 					r.answered++
 				}
-				w.step(&AttemptDone{ID: id, Attempt: i, Server: x.server.ID, Outcome: o, Latency: w.now - x.sent, Finished: finished})
+				w.step(&AttemptDone{ID: id, Attempt: i, Server: x.server.ID, Outcome: o, Latency: w.now - x.sent, RequestDone: finished})
 			}
 			if r.answered == 0 && w.now > r.by+100*ms {
 				t.Fatalf("seed %d: request %d (%s) got no answer in time", seed, id, r.class.Name)
@@ -1002,17 +1002,17 @@
 			return b.Step(now, &ProbeDone{Server: first, Outcome: Served})
 		}, true},
 		{"refuses connections", func(b *Balancer, first string, now time.Duration) []Action {
-			return b.Step(now, &ProbeDone{Server: first, Outcome: NoConnection})
+			return b.Step(now, &ProbeDone{Server: first, Outcome: ConnectFailed})
 		}, false},
 		{"silent", func(b *Balancer, first string, now time.Duration) []Action {
-			return b.Step(now+50*ms, &TimerDue{Tag: 1<<2 | tagRetry})
+			return b.Step(now+50*ms, &TimerDue{Tag: 1<<2 | timerRetry})
 		}, false},
 	} {
 		set := settings()
 		set.Limits.Probes = true
 		b := start(t, set, list(6))
 		now := time.Minute
-		first := find(b.Step(now, &Request{ID: 1, Class: "unsafe", Key: "k", Budget: time.Second}), Probe)
+		first := find(b.Step(now, &Request{ID: 1, Class: "unsafe", Key: "k", ClientTimeout: time.Second}), Probe)
 		if first == nil {
 			t.Fatal("not asked")
 		}
@@ -1040,7 +1040,7 @@
 		now := time.Minute
 		for id := uint32(1); id < 60; id++ {
 			now += 500 * ms
-			queue := b.Step(now, &Request{ID: id, Class: "safe", Key: fmt.Sprint(id), Budget: time.Second})
+			queue := b.Step(now, &Request{ID: id, Class: "safe", Key: fmt.Sprint(id), ClientTimeout: time.Second})
 			queue = slices.Clone(queue)
 			for len(queue) > 0 {
 				a := queue[0]
@@ -1048,17 +1048,17 @@
 				var more []Action
 				switch {
 				case a.Kind == Probe:
-					more = b.Step(now, &ProbeDone{Server: a.Server, Outcome: NoAnswer, Latency: 250 * ms})
+					more = b.Step(now, &ProbeDone{Server: a.Server, Outcome: TimedOut, Latency: 250 * ms})
 				case a.Kind == Send && served:
-					more = b.Step(now, &AttemptDone{ID: id, Attempt: len(b.requests[id].attempts) - 1, Server: a.Server, Latency: ms, Finished: true})
+					more = b.Step(now, &AttemptDone{ID: id, Attempt: len(b.requests[id].attempts) - 1, Server: a.Server, Latency: ms, RequestDone: true})
 				case a.Kind == Send:
-					more = b.Step(now, &AttemptDone{ID: id, Attempt: len(b.requests[id].attempts) - 1, Server: a.Server, Outcome: NoConnection})
+					more = b.Step(now, &AttemptDone{ID: id, Attempt: len(b.requests[id].attempts) - 1, Server: a.Server, Outcome: ConnectFailed})
 				}
 				queue = append(queue, slices.Clone(more)...)
 			}
 		}
-		if believed := b.lies <= floorShare; believed == served {
-			t.Errorf("served %v: lies %.2f", served, b.lies)
+		if believed := b.falseProbeFraction <= maxFalseProbeFraction; believed == served {
+			t.Errorf("served %v: lies %.2f", served, b.falseProbeFraction)
 		}
 	}
 }
@@ -1085,25 +1085,25 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			b.Step(0, &Membership{Kind: SyncFull, Servers: list(4)})
-			b.rate = rate
+			b.Step(0, &ServerListUpdate{Kind: UpdateFull, Servers: list(4)})
+			b.sendRate = rate
 			s := b.servers["s0"]
 			if c.down {
 				b.now = time.Minute
 				b.turn(s, true)
 			} else {
 				cold := list(1)
-				cold[0].Started = time.Minute
+				cold[0].StartedAt = time.Minute
 				if c.newcomer {
 					cold[0].ID = "new"
 				}
-				b.Step(time.Minute, &Membership{Kind: SyncChange, Servers: cold})
+				b.Step(time.Minute, &ServerListUpdate{Kind: UpdateIncremental, Servers: cold})
 				s = b.servers[cold[0].ID]
 			}
 			for at := range 30 { // three seconds, far more asked for than is due
 				b.now = time.Minute + time.Duration(at)*100*ms
-				if b.coldRoom(s, c.down) {
-					s.cold.Spend(1)
+				if b.hasSlowStartCapacity(s, c.down) {
+					s.slowStart.Spend(1)
 					sent++
 				}
 			}
@@ -1124,11 +1124,11 @@
 	small := 0
 	for i := range 4000 {
 		r := &request{
-			class: a.classes["safe"], keyed: true, hash: farm.Fingerprint32([]byte(fmt.Sprint(i))),
-			aimBy: time.Second, deadline: time.Second,
+			class: a.classes["safe"], hasKey: true, hash: farm.Fingerprint32([]byte(fmt.Sprint(i))),
+			objectiveAt: time.Second, deadline: time.Second,
 		}
-		s := a.pick(r)
-		if other := b.pick(r); other.ID != s.ID {
+		s := a.selectServer(r)
+		if other := b.selectServer(r); other.ID != s.ID {
 			t.Fatalf("key %d: %s and %s", i, s.ID, other.ID)
 		}
 		if s.Weight == 1 {
@@ -1140,23 +1140,23 @@
 	}
 }
 
-// Peer traffic has a bounded fan-out, whatever the size of the fleet, and never goes to the teller itself.
+// PeerMessage traffic has a bounded fan-out, whatever the size of the fleet, and never goes to the teller itself.
 func TestGossipIsBounded(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 1500} {
 		set := settings()
 		set.Balancers, set.Self = n, n-1
-		set.Tenants = []Tenant{{Name: "a", QuotaPerS: 30}}
+		set.Tenants = []Tenant{{Name: "a", QuotaPerSecond: 30}}
 		b := start(t, set, list(4))
 		told := 0
-		for _, a := range b.Step(time.Second, &TimerDue{Tag: tagRound}) {
-			if a.Kind == Tell {
+		for _, a := range b.Step(time.Second, &TimerDue{Tag: timerRound}) {
+			if a.Kind == SendToPeer {
 				told++
 				if a.Peer < 0 || a.Peer >= n || a.Peer == set.Self {
 					t.Errorf("%d balancers: told %d", n, a.Peer)
 				}
 			}
 		}
-		if told != min(fanout, n-1) {
+		if told != min(gossipFanout, n-1) {
 			t.Errorf("%d balancers: told %d", n, told)
 		}
 	}
@@ -1164,22 +1164,22 @@
 
 func TestBadPeerMessages(t *testing.T) {
 	set := settings()
-	set.Tenants = []Tenant{{Name: "a", QuotaPerS: 30}}
+	set.Tenants = []Tenant{{Name: "a", QuotaPerSecond: 30}}
 	for _, m := range []PeerMessage{
-		{From: -1, Data: rateMessage(5)},
-		{From: 3, Data: rateMessage(5)},
-		{From: 0, Data: rateMessage(5)},
+		{From: -1, Data: encodeRateMessage(5)},
+		{From: 3, Data: encodeRateMessage(5)},
+		{From: 0, Data: encodeRateMessage(5)},
 		{From: 1},
-		{From: 1, Data: rateMessage(math.NaN())},
-		{From: 1, Data: rateMessage(-1)},
-		{From: 1, Data: rateMessage(math.Inf(1))},
+		{From: 1, Data: encodeRateMessage(math.NaN())},
+		{From: 1, Data: encodeRateMessage(-1)},
+		{From: 1, Data: encodeRateMessage(math.Inf(1))},
 		{From: 1, Data: make([]byte, 4096)},
-		{From: 1, Data: append(rateMessage(5), 0)},
-		{From: 1, Data: []byte{msgDampResp, 0, 0, 0, 0, 255}},
+		{From: 1, Data: append(encodeRateMessage(5), 0)},
+		{From: 1, Data: []byte{messageDampResponse, 0, 0, 0, 0, 255}},
 	} {
 		b := start(t, set, list(4))
 		acts := b.Step(time.Second, &m)
-		if _, mean := b.quota.Rates(); len(acts) > 0 || mean != 0 {
+		if _, mean := b.quotas.Rates(); len(acts) > 0 || mean != 0 {
 			t.Errorf("%+v: %+v, mean %v", m, acts, mean)
 		}
 	}
@@ -1188,17 +1188,17 @@
 // Where the tail counts, the limit follows the share of misses allowed; odd goals leave the usual limit.
 func TestTailLimit(t *testing.T) {
 	for _, c := range []struct{ slowEnd, miss, want float64 }{
-		{0, 0, hardShare},
-		{0, 0.02, hardShare},
+		{0, 0, maxLatencyFraction},
+		{0, 0.02, maxLatencyFraction},
 		{0.4, 0.02, 1 / math.Log(50)},
-		{0.4, 0, hardShare},
-		{0.4, 1, hardShare},
-		{0.4, 0.5, hardShare},
+		{0.4, 0, maxLatencyFraction},
+		{0.4, 1, maxLatencyFraction},
+		{0.4, 0.5, maxLatencyFraction},
 	} {
 		set := settings()
-		set.Goal.SlowEnd, set.Goal.TailMiss = c.slowEnd, c.miss
-		if b := start(t, set, list(2)); math.Abs(b.hardShare-c.want) > 1e-9 {
-			t.Errorf("%+v: %v", c, b.hardShare)
+		set.ScoreWeights.TailLatency, set.ScoreWeights.TailMissRatio = c.slowEnd, c.miss
+		if b := start(t, set, list(2)); math.Abs(b.latencyLimitFraction-c.want) > 1e-9 {
+			t.Errorf("%+v: %v", c, b.latencyLimitFraction)
 		}
 	}
 }
@@ -1206,29 +1206,29 @@
 // Reports of a full house lose their weight in a zone whose answers stay quick, and keep it where they don't.
 func TestReportsAreWeighedByWhatFollows(t *testing.T) {
 	b := start(t, settings(), list(6))
-	b.pace.quick = 0.02
+	b.baseline.seconds = 0.02
 	for id := range uint32(200) {
 		for _, s := range []*server{b.servers["s0"], b.servers["s1"]} { // zones z0, which lies, and z1
 			b.now += 50 * ms
-			s.held, s.heldAt = 20, b.now
-			r := &request{id: id, class: b.classes["safe"], aimBy: b.now + 400*ms, deadline: b.now + time.Second, units: 1}
-			b.send(r, s)
+			s.reportedInFlight, s.reportedAt = 20, b.now
+			r := &request{id: id, class: b.classes["safe"], objectiveAt: b.now + 400*ms, deadline: b.now + time.Second, workUnits: 1}
+			b.sendAttempt(r, s)
 			latency := 20 * ms
 			if s.Zone == "z1" {
 				latency = 350 * ms
 			}
-			r.open--
+			r.openAttempts--
 			s.inFlight--
-			b.learn(r, &r.attempts[0], &AttemptDone{Outcome: Served, Latency: latency})
+			b.observeAttempt(r, &r.attempts[0], &AttemptDone{Outcome: Served, Latency: latency})
 			s.latency = 0 // the report alone
 		}
 	}
 	for id, want := range map[string]bool{"s2": false, "s3": true} {
 		s := b.servers[id]
-		s.held, s.heldAt = 20, b.now
-		r := &request{class: b.classes["safe"], aimBy: b.now + 400*ms, deadline: b.now + time.Second}
-		if got := b.crowded(r, s, b.expected(s), b.hardTime(r)); got != want {
-			t.Errorf("%s says 20: crowded %v at %.3f s", id, got, b.expected(s))
+		s.reportedInFlight, s.reportedAt = 20, b.now
+		r := &request{class: b.classes["safe"], objectiveAt: b.now + 400*ms, deadline: b.now + time.Second}
+		if got := b.isSaturated(r, s, b.expectedLatency(s), b.latencyLimit(r)); got != want {
+			t.Errorf("%s says 20: crowded %v at %.3f s", id, got, b.expectedLatency(s))
 		}
 	}
 }
@@ -1238,8 +1238,8 @@
 	set := settings()
 	set.Limits.Probes = true
 	b := start(t, set, list(4))
-	b.rate = 100
-	if acts := b.Step(time.Minute, &Request{ID: 1, Class: "unsafe", Key: "k", Budget: time.Second}); find(acts, Probe) != nil {
+	b.sendRate = 100
+	if acts := b.Step(time.Minute, &Request{ID: 1, Class: "unsafe", Key: "k", ClientTimeout: time.Second}); find(acts, Probe) != nil {
 		t.Errorf("asked: %+v", acts)
 	}
 }
@@ -1251,8 +1251,8 @@
 	for range 3 {
 		for _, st := range []ServerState{Gone, Ready} {
 			l[2].State = st
-			b.Step(b.now+1, &Membership{Kind: SyncChange, Servers: l[2:3]})
-			if b.ring.Points() != 5*replicaPoints {
+			b.Step(b.now+1, &ServerListUpdate{Kind: UpdateIncremental, Servers: l[2:3]})
+			if b.ring.Points() != 5*pointsPerServer {
 				t.Fatalf("%d points", b.ring.Points())
 			}
 			if gone := b.ring.Owner(b.servers["s2"].hash); st == Gone && gone.ID == "s2" {
@@ -1261,12 +1261,12 @@
 		}
 	}
 	// an id listed twice, and an empty list
-	b.Step(b.now+1, &Membership{Kind: SyncFull, Servers: append(list(5), list(5)...)})
-	if len(b.ring.Members()) != 5 || b.ring.Points() != 5*replicaPoints {
+	b.Step(b.now+1, &ServerListUpdate{Kind: UpdateFull, Servers: append(list(5), list(5)...)})
+	if len(b.ring.Members()) != 5 || b.ring.Points() != 5*pointsPerServer {
 		t.Errorf("%d members, %d points", len(b.ring.Members()), b.ring.Points())
 	}
-	b.Step(b.now+1, &Membership{Kind: SyncFull})
-	if acts := b.Step(b.now+1, &Request{ID: 1, Class: "safe", Key: "k", Budget: time.Second}); find(acts, Refuse) == nil {
+	b.Step(b.now+1, &ServerListUpdate{Kind: UpdateFull})
+	if acts := b.Step(b.now+1, &Request{ID: 1, Class: "safe", Key: "k", ClientTimeout: time.Second}); find(acts, Reject) == nil {
 		t.Errorf("empty list: %+v", acts)
 	}
 }
@@ -1281,17 +1281,17 @@
 	now := time.Second
 	for i := range 100 {
 		id := fmt.Sprint("new", i)
-		b.Step(now, &Membership{Kind: SyncChange, Servers: []Server{{ID: id, Zone: "z0", Weight: 1, Started: now}}})
-		b.Step(now, &Request{ID: uint32(i), Class: "safe", Key: id, Budget: time.Second})
+		b.Step(now, &ServerListUpdate{Kind: UpdateIncremental, Servers: []Server{{ID: id, Zone: "z0", Weight: 1, StartedAt: now}}})
+		b.Step(now, &Request{ID: uint32(i), Class: "safe", Key: id, ClientTimeout: time.Second})
 		now += time.Second
-		b.Step(now, &Membership{Kind: SyncChange, Servers: []Server{{ID: id, State: Gone}}})
+		b.Step(now, &ServerListUpdate{Kind: UpdateIncremental, Servers: []Server{{ID: id, State: Gone}}})
 		if r := b.requests[uint32(i)]; r != nil {
-			b.Step(now, &AttemptDone{ID: uint32(i), Server: r.attempts[0].server.ID, Outcome: Served, Finished: true})
+			b.Step(now, &AttemptDone{ID: uint32(i), Server: r.attempts[0].server.ID, Outcome: Served, RequestDone: true})
 		}
-		b.Step(now, &TimerDue{Tag: tagRound})
+		b.Step(now, &TimerDue{Tag: timerRound})
 	}
 	if n := len(b.servers); n > 5+int(forgetAfter/time.Second)+2 || len(b.byHash) != n ||
-		b.ring.Points() != n*replicaPoints {
+		b.ring.Points() != n*pointsPerServer {
 		t.Errorf("%d servers, %d by hash, %d points", n, len(b.byHash), b.ring.Points())
 	}
 	got := ""
@@ -1309,34 +1309,34 @@
 	b := start(t, settings(), list(4))
 	now := time.Duration(0)
 	round := func(sends float64) {
-		now += roundLength
-		b.sentRound = sends
-		b.Step(now, &TimerDue{Tag: tagRound})
+		now += roundInterval
+		b.sentThisRound = sends
+		b.Step(now, &TimerDue{Tag: timerRound})
 	}
 	round(100)
 	round(100)
-	if b.rate < 70 {
-		t.Errorf("%.0f a second after two rounds of 100", b.rate)
+	if b.sendRate < 70 {
+		t.Errorf("%.0f a second after two rounds of 100", b.sendRate)
 	}
 	for range 10 {
 		round(0)
 	}
-	if b.rate < 55 {
-		t.Errorf("%.0f a second after ten idle rounds", b.rate)
+	if b.sendRate < 55 {
+		t.Errorf("%.0f a second after ten idle rounds", b.sendRate)
 	}
-	for outcome, cold := range map[Outcome]bool{NoConnection: true, NoAnswer: false, ServerError: false} {
+	for outcome, cold := range map[Outcome]bool{ConnectFailed: true, TimedOut: false, ServerError: false} {
 		b := start(t, settings(), list(4))
 		s := b.ring.Members()[0]
 		b.now = time.Second
 		for range 5 {
 			b.learnOf(s, outcome)
 		}
-		assert.True(t, s.record.IsDown(), "outcome %d", outcome)
+		assert.True(t, s.outlier.IsDown(), "outcome %d", outcome)
 		for range 8 {
 			b.learnOf(s, Served)
 		}
-		b.Step(b.now, &TimerDue{Tag: tagRound})
-		assert.False(t, s.record.IsDown(), "outcome %d", outcome)
+		b.Step(b.now, &TimerDue{Tag: timerRound})
+		assert.False(t, s.outlier.IsDown(), "outcome %d", outcome)
 		assert.Equal(t, cold, b.warmth(s) < 1, "outcome %d", outcome)
 	}
 }
@@ -1345,18 +1345,18 @@
 // was seen is taken off, and what was seen fades within a few aims.
 func TestSlowForItsCrowd(t *testing.T) {
 	b := start(t, settings(), list(4))
-	b.now, b.pace.quick = time.Minute, 0.05
+	b.now, b.baseline.seconds = time.Minute, 0.05
 	s := b.ring.Members()[0]
-	s.latency, s.latencyAtN, s.sampledAt = 0.3, 18, b.now
-	empty := b.expected(s)
+	s.latency, s.latencyInFlight, s.latencyAt = 0.3, 18, b.now
+	empty := b.expectedLatency(s)
 	s.inFlight, s.silentSince = 18, b.now
-	if full := b.expected(s); empty > 0.15 || full < 0.3 {
+	if full := b.expectedLatency(s); empty > 0.15 || full < 0.3 {
 		t.Errorf("%.3f s expected with nothing in flight, %.3f s with as many as before", empty, full)
 	}
-	s.inFlight, s.latencyAtN = 0, 1
-	b.now += b.staleHalf
-	if got := b.expected(s); b.staleHalf != staleMost || math.Abs(got-0.175) > 0.001 {
-		t.Errorf("%.3f s after %v", got, b.staleHalf)
+	s.inFlight, s.latencyInFlight = 0, 1
+	b.now += b.observationHalfLife
+	if got := b.expectedLatency(s); b.observationHalfLife != maxObservationHalfLife || math.Abs(got-0.175) > 0.001 {
+		t.Errorf("%.3f s after %v", got, b.observationHalfLife)
 	}
 }
 
@@ -1365,13 +1365,13 @@
 func TestSizesGoByTheKindsPace(t *testing.T) {
 	servers := list(6)
 	for i := range servers {
-		servers[i].Kind = []string{"rapid", "lent"}[i%2]
+		servers[i].MachineKind = []string{"rapid", "lent"}[i%2]
 	}
 	b := start(t, settings(), servers)
 	now := time.Second
 	ask := func(i int) (*server, uint32) {
 		id := uint32(i + 1)
-		a := mustSend(t, b.Step(now, &Request{ID: id, Class: "safe", Key: fmt.Sprint("k", i), Budget: time.Second}))
+		a := mustSend(t, b.Step(now, &Request{ID: id, Class: "safe", Key: fmt.Sprint("k", i), ClientTimeout: time.Second}))
 		return b.servers[a.Server], id
 	}
 	slow := 0
@@ -1379,31 +1379,31 @@
 		now += 5 * ms
 		s, id := ask(i)
 		took := 10 * ms
-		if s.Kind == "lent" {
+		if s.MachineKind == "lent" {
 			took = 30 * ms
 			if i >= 1000 {
 				slow++
 			}
 		}
-		b.Step(now+took, &AttemptDone{ID: id, Server: s.ID, Outcome: Served, Latency: took, Finished: true})
+		b.Step(now+took, &AttemptDone{ID: id, Server: s.ID, Outcome: Served, Latency: took, RequestDone: true})
 		if i%100 == 0 {
-			b.Step(now, &TimerDue{Tag: tagRound})
+			b.Step(now, &TimerDue{Tag: timerRound})
 		}
 	}
 	if slow < 150 || slow > 350 { // a quarter, by three to one
 		t.Errorf("%d of 1000 went to machines of a third of the pace", slow)
 	}
 	for _, s := range b.ring.Members() {
-		if s.Kind == "rapid" {
+		if s.MachineKind == "rapid" {
 			s.inFlight, s.silentSince = 50, now-time.Second
 		}
 	}
 	for i := range 50 {
 		s, id := ask(3000 + i)
-		if s.Kind != "lent" {
+		if s.MachineKind != "lent" {
 			t.Fatal("sent to a machine that has been silent for a second")
 		}
-		b.Step(now, &AttemptDone{ID: id, Server: s.ID, Outcome: Served, Latency: 30 * ms, Finished: true})
+		b.Step(now, &AttemptDone{ID: id, Server: s.ID, Outcome: Served, Latency: 30 * ms, RequestDone: true})
 	}
 }
 
@@ -1411,21 +1411,21 @@
 // refused: a figure of NaN would otherwise make every comparison with it false, without a word.
 func TestFigures(t *testing.T) {
 	set := settings()
-	set.Figures = DefaultFigures()
-	set.Figures.RetryRatio, set.Figures.RetryReserve = 0, 0
+	set.Tuning = DefaultTuning()
+	set.Tuning.RetryRatio, set.Tuning.RetryBurst = 0, 0
 	b := start(t, set, list(4))
-	send := mustSend(t, b.Step(time.Second, &Request{ID: 1, Class: "safe", Budget: time.Second}))
+	send := mustSend(t, b.Step(time.Second, &Request{ID: 1, Class: "safe", ClientTimeout: time.Second}))
 	acts := b.Step(time.Second, &AttemptDone{ID: 1, Server: send.Server, Outcome: ServerError})
-	assert.NotNil(t, find(acts, Refuse), "with nothing in the budget there is no further attempt")
+	assert.NotNil(t, find(acts, Reject), "with nothing in the budget there is no further attempt")
 
 	zero, err := New(settings(), 1)
 	require.NoError(t, err)
-	assert.Equal(t, DefaultFigures(), zero.set.Figures)
-	for i := range reflect.TypeFor[Figures]().NumField() {
-		name := reflect.TypeFor[Figures]().Field(i).Name
+	assert.Equal(t, DefaultTuning(), zero.settings.Tuning)
+	for i := range reflect.TypeFor[Tuning]().NumField() {
+		name := reflect.TypeFor[Tuning]().Field(i).Name
 		for _, bad := range []float64{-1, math.NaN(), math.Inf(1)} {
-			set.Figures = DefaultFigures()
-			reflect.ValueOf(&set.Figures).Elem().Field(i).SetFloat(bad)
+			set.Tuning = DefaultTuning()
+			reflect.ValueOf(&set.Tuning).Elem().Field(i).SetFloat(bad)
 			_, err := New(set, 1)
 			assert.ErrorContains(t, err, name)
 		}
@@ -1437,25 +1437,25 @@
 func TestPartFollowsClientsThatMove(t *testing.T) {
 	set := settings()
 	set.Balancers = 2
-	set.Tenants = []Tenant{{Name: "clinic", QuotaPerS: 400}}
+	set.Tenants = []Tenant{{Name: "clinic", QuotaPerSecond: 400}}
 	b := start(t, set, list(8))
 	now, id := time.Duration(0), uint32(0)
 	run := func(length time.Duration, perSecond int) (low int) {
 		gap, next := time.Second/time.Duration(max(perSecond, 1)), now
 		for end := now + length; now < end; now += 5 * ms {
 			if now%time.Second == 0 {
-				b.Step(now, &TimerDue{Tag: tagRound})
-				b.Step(now, &PeerMessage{From: 1, Data: rateMessage(150)}) // both together have 300
+				b.Step(now, &TimerDue{Tag: timerRound})
+				b.Step(now, &PeerMessage{From: 1, Data: encodeRateMessage(150)}) // both together have 300
 			}
 			for ; perSecond > 0 && next <= now; next += gap {
 				id++
-				b.Step(now, &Request{ID: id, Class: "safe", Tenant: "clinic", Budget: time.Second})
+				b.Step(now, &Request{ID: id, Class: "safe", Tenant: "clinic", ClientTimeout: time.Second})
 				if r := b.requests[id]; r != nil {
-					if r.low {
+					if r.overQuota {
 						low++
 					}
 					for len(r.attempts) > 0 && b.requests[id] != nil {
-						b.Step(now, &AttemptDone{ID: id, Outcome: Served, Latency: 5 * ms, Finished: true})
+						b.Step(now, &AttemptDone{ID: id, Outcome: Served, Latency: 5 * ms, RequestDone: true})
 					}
 				}
 			}
@@ -1476,24 +1476,24 @@
 	s := b.servers["s0"]
 	for id := range uint32(60) { // answers take 40 ms
 		now := time.Duration(id) * 50 * ms
-		b.Step(now, &Request{ID: id, Class: "safe", Budget: time.Second})
-		b.Step(now+40*ms, &AttemptDone{ID: id, Server: "s0", Outcome: Served, Latency: 40 * ms, Finished: true})
+		b.Step(now, &Request{ID: id, Class: "safe", ClientTimeout: time.Second})
+		b.Step(now+40*ms, &AttemptDone{ID: id, Server: "s0", Outcome: Served, Latency: 40 * ms, RequestDone: true})
 	}
 	const slow = 8
 	for id := uint32(100); id < 100+slow; id++ {
-		b.Step(3*time.Second, &Request{ID: id, Class: "safe", Budget: 30 * time.Second})
+		b.Step(3*time.Second, &Request{ID: id, Class: "safe", ClientTimeout: 30 * time.Second})
 		require.NotEmpty(t, b.requests[id].attempts, "sent")
 		b.Step(3*time.Second, &StreamStarted{ID: id})
 		b.Step(3*time.Second, &StreamStarted{ID: id}) // once
 	}
 	require.Zero(t, s.inFlight)
 	require.Zero(t, b.inFlight)
-	b.Step(5*time.Second, &TimerDue{Tag: tagRound})
-	require.Less(t, b.expected(s), 0.05, "it is quick and idle, as it was before")
+	b.Step(5*time.Second, &TimerDue{Tag: timerRound})
+	require.Less(t, b.expectedLatency(s), 0.05, "it is quick and idle, as it was before")
 	for id := uint32(100); id < 100+slow; id++ {
 		b.Step(6*time.Second, &AttemptDone{
-			ID: id, Server: "s0", Outcome: []Outcome{Served, ConnectionLost, CalledOff}[id%3],
-			Latency: 40 * ms, Finished: true,
+			ID: id, Server: "s0", Outcome: []Outcome{Served, ConnectionLost, Canceled}[id%3],
+			Latency: 40 * ms, RequestDone: true,
 		})
 	}
 	require.Zero(t, s.inFlight, "and none is taken off twice")
@@ -1506,16 +1506,16 @@
 func TestOwnShortageSaysNothingOfServers(t *testing.T) {
 	b := start(t, settings(), list(3))
 	for id := range uint32(30) {
-		a := mustSend(t, b.Step(time.Duration(id)*ms, &Request{ID: id, Class: "safe", Budget: time.Second}))
+		a := mustSend(t, b.Step(time.Duration(id)*ms, &Request{ID: id, Class: "safe", ClientTimeout: time.Second}))
 		b.Step(time.Duration(id)*ms+1, &AttemptDone{
-			ID: id, Server: a.Server, Outcome: NoConnection, Latency: ms,
+			ID: id, Server: a.Server, Outcome: ConnectFailed, Latency: ms,
 			Evidence: health.Evidence{Phase: health.Connecting, Ours: true},
 		})
 	}
-	require.Zero(t, b.failing)
+	require.Zero(t, b.failureFraction)
 	for _, s := range b.ring.Members() {
 		require.Zero(t, s.latency)
-		require.False(t, s.record.IsDown())
+		require.False(t, s.outlier.IsDown())
 	}
 }
 
@@ -1535,16 +1535,16 @@
 	} {
 		b := start(t, settings(), list(5))
 		b.now = 10 * time.Second
-		b.pace.quick = c.latency / 2
+		b.baseline.seconds = c.latency / 2
 		for _, s := range b.ring.Members() {
-			s.latency, s.latencyAtN, s.sampledAt = 2*c.latency, 1, b.now
+			s.latency, s.latencyInFlight, s.latencyAt = 2*c.latency, 1, b.now
 		}
 		b.servers["s3"].latency = c.latency
-		a := find(b.Step(b.now, &Request{ID: 1, Class: "safe", Key: "chair", Budget: c.budget}), Send)
+		a := find(b.Step(b.now, &Request{ID: 1, Class: "safe", Key: "chair", ClientTimeout: c.budget}), Send)
 		require.Equal(t, c.sent, a != nil, c.name)
 		if c.sent {
 			require.Equal(t, "s3", a.Server, c.name)
-			b.Step(b.now+c.budget, &AttemptDone{ID: 1, Server: "s3", Outcome: NoAnswer, Latency: c.budget, Finished: true})
+			b.Step(b.now+c.budget, &AttemptDone{ID: 1, Server: "s3", Outcome: TimedOut, Latency: c.budget, RequestDone: true})
 			require.Less(t, b.servers["s3"].latency, 0.06, "it was not slow, its caller was in a hurry")
 		}
 	}
--- a/decide/full_test.go
+++ b/decide/full_test.go
@@ -11,35 +11,35 @@
 // much while the warm ones are full, and never so much that one falls.
 func TestColdServersRelieveFullOnes(t *testing.T) {
 	const balancers, servers, capacity = 100, 40, 60.0 // requests a second of a warm server
-	window := settings().Rules.FallWindow
+	window := settings().Rules.OverloadWindow
 	play := func(full bool) (all int, fullest float64) {
 		set := settings()
 		set.Balancers = balancers
 		members := list(servers)
 		for i := range members[servers/2:] {
-			members[servers/2+i].Started = 10 * time.Second
+			members[servers/2+i].StartedAt = 10 * time.Second
 		}
 		reached := map[string][]time.Duration{}
 		for n := range balancers {
 			set.Self = n
 			b, err := New(set, uint64(n))
 			require.NoError(t, err)
-			b.Step(0, &Membership{Kind: SyncFull, Servers: list(servers)})
+			b.Step(0, &ServerListUpdate{Kind: UpdateFull, Servers: list(servers)})
 			for i := range 300 { // 20 a second
 				now := time.Duration(i) * 50 * ms
 				if now == 10*time.Second {
-					b.Step(now, &Membership{Kind: SyncFull, Servers: members})
+					b.Step(now, &ServerListUpdate{Kind: UpdateFull, Servers: members})
 				}
-				if b.Full(full && now >= 10*time.Second); i%10 == 0 {
-					b.Step(now, &TimerDue{Tag: tagRound})
+				if b.SetWarmServersSaturated(full && now >= 10*time.Second); i%10 == 0 {
+					b.Step(now, &TimerDue{Tag: timerRound})
 				}
 				key := string(rune('a'+(i*7+n)%26)) + string(rune('a'+(i*3+n)%23))
-				a := find(b.Step(now, &Request{ID: uint32(i), Key: key, Class: "safe", Budget: time.Second}), Send)
+				a := find(b.Step(now, &Request{ID: uint32(i), Key: key, Class: "safe", ClientTimeout: time.Second}), Send)
 				if a == nil {
 					continue
 				}
 				reached[a.Server] = append(reached[a.Server], now)
-				b.Step(now+40*ms, &AttemptDone{ID: uint32(i), Server: a.Server, Outcome: Served, Latency: 40 * ms, Finished: true})
+				b.Step(now+40*ms, &AttemptDone{ID: uint32(i), Server: a.Server, Outcome: Served, Latency: 40 * ms, RequestDone: true})
 			}
 		}
 		for _, m := range members[servers/2:] {
@@ -52,7 +52,7 @@
 				}
 				if to >= 10*time.Second {
 					all++
-					stands := set.Rules.FallMultiple * capacity * window.Seconds() * set.Rules.ColdShare
+					stands := set.Rules.OverloadMultiple * capacity * window.Seconds() * set.Rules.SlowStartCapacity
 					fullest = max(fullest, float64(in)/stands)
 				}
 			}
--- a/decide/golden_test.go
+++ b/decide/golden_test.go
@@ -35,12 +35,12 @@
 
 // encodeAgain decodes a peer message and encodes what was read.
 func encodeAgain(data []byte) []byte {
-	m := parseMessage(data)
+	m := decodePeerMessage(data)
 	switch m.kind {
-	case msgDampReq, msgDampResp:
-		return dampMessage(m.kind, &server{hash: m.hash, penalty: m.score}, 0)
-	case msgRate:
-		return rateMessage(m.score)
+	case messageDampRequest, messageDampResponse:
+		return encodeDampMessage(m.kind, &server{hash: m.hash, flapPenalty: m.score}, 0)
+	case messageArrivalRate:
+		return encodeRateMessage(m.score)
 	}
 	return nil
 }
@@ -51,15 +51,15 @@
 	add := func(name string, data []byte) { fmt.Fprintf(&made, "%s %x\n", name, data) }
 	for _, hash := range []uint32{0, 0x01020304, 0xfedcba98, math.MaxUint32} {
 		for _, penalty := range []float64{0, 0.1, 1, 2.5, 25.5} {
-			s := &server{hash: hash, penalty: penalty}
-			add(fmt.Sprintf("damping-request-%08x-%.1f", hash, penalty), dampMessage(msgDampReq, s, 0))
-			add(fmt.Sprintf("damping-response-%08x-%.1f", hash, penalty), dampMessage(msgDampResp, s, 0))
+			s := &server{hash: hash, flapPenalty: penalty}
+			add(fmt.Sprintf("damping-request-%08x-%.1f", hash, penalty), encodeDampMessage(messageDampRequest, s, 0))
+			add(fmt.Sprintf("damping-response-%08x-%.1f", hash, penalty), encodeDampMessage(messageDampResponse, s, 0))
 		}
 	}
-	add("damping-response-faded-by-half", dampMessage(msgDampResp, &server{hash: 7, penalty: 5}, 10*time.Second))
-	add("damping-response-above-the-range", dampMessage(msgDampResp, &server{hash: 7, penalty: 300}, 0))
+	add("damping-response-faded-by-half", encodeDampMessage(messageDampResponse, &server{hash: 7, flapPenalty: 5}, 10*time.Second))
+	add("damping-response-above-the-range", encodeDampMessage(messageDampResponse, &server{hash: 7, flapPenalty: 300}, 0))
 	for _, rate := range []float64{0, 0.5, 1, 33.25, 1e6, 999_999_936} {
-		add(fmt.Sprintf("arrival-rate-%v", rate), rateMessage(rate))
+		add(fmt.Sprintf("arrival-rate-%v", rate), encodeRateMessage(rate))
 	}
 	want := golden(t, "peer_messages.txt", made.Bytes())
 	require.Equal(t, string(want), made.String())
@@ -129,7 +129,7 @@
 }
 
 // filled has each field set, those of older versions too.
-func filled() (m Memory) {
+func filled() (m Snapshot) {
 	n := 0
 	fill(reflect.ValueOf(&m).Elem(), &n)
 	return m
@@ -147,7 +147,7 @@
 
 // What is kept over a restart: each field under its number.
 func TestGoldenMemoryStored(t *testing.T) {
-	for name, m := range map[string]Memory{"memory_full.cbor.hex": filled(), "memory_empty.cbor.hex": {}} {
+	for name, m := range map[string]Snapshot{"memory_full.cbor.hex": filled(), "memory_empty.cbor.hex": {}} {
 		t.Run(name, func(t *testing.T) {
 			made, err := stored(t).Marshal(m)
 			require.NoError(t, err)
@@ -155,7 +155,7 @@
 			want, err := hex.DecodeString(strings.TrimSpace(string(text)))
 			require.NoError(t, err)
 			require.Equal(t, want, made)
-			var read Memory
+			var read Snapshot
 			require.NoError(t, cbor.Unmarshal(want, &read))
 			require.Equal(t, m, read)
 			again, err := stored(t).Marshal(read)
@@ -165,15 +165,15 @@
 	}
 }
 
-// Memory of the version before, as it is after it was read and brought to the present version.
+// DedupWindow of the version before, as it is after it was read and brought to the present version.
 func TestGoldenMemoryVersion1(t *testing.T) {
 	m := filled()
-	m.FromVersion1()
+	m.MigrateFromVersion1()
 	made, err := stored(t).Marshal(m)
 	require.NoError(t, err)
 	text := golden(t, "memory_from_version_1.cbor.hex", []byte(hex.EncodeToString(made)+"\n"))
 	require.Equal(t, strings.TrimSpace(string(text)), hex.EncodeToString(made))
-	require.Equal(t, 2, MemoryVersion)
+	require.Equal(t, 2, SnapshotVersion)
 }
 
 // How it is printed.
--- a/decide/present.go
+++ b/decide/present.go
@@ -1,30 +1,30 @@
 package decide
 
-// Present is how many agents are there, as far as is known, for what divides by their number; zero: as many
+// FleetSize is how many agents are there, as far as is known, for what divides by their number; zero: as many
 // as the settings name. It comes from what agents hear of one another, so it may be wrong, or a lie: see
-// Counted.
-type Present struct {
-	// Cold: the trials of a server that is down, of which all agents together make a certain number a second.
-	Cold int
-	// Shares: the tenants' shares, of which each agent has a part by its part of all arrivals.
-	Shares int
+// QuotaCounted.
+type FleetSize struct {
+	// ProbeRequests: the trials of a server that is down, of which all agents together make a certain number a second.
+	ProbeRequests int
+	// Quotas: the tenants' shares, of which each agent has a part by its part of all arrivals.
+	Quotas int
 }
 
-// Present has the Balancer divide by other numbers from the next Step on; the zero value takes that back.
+// FleetSize has the Balancer divide by other numbers from the next Step on; the zero value takes that back.
 //
 // However wrong the numbers are at however many agents, all together make half as many trials again of a down
 // server at the most: 0.75 a second for 0.5. The budget of a server that just started, and what a warm one
 // sends it, do not go by any number of agents. Nor does a tenant get more than half its share again.
-func (b *Balancer) Present(p Present) {
-	b.cold.Balancers = Counted(p.Cold, b.set.Balancers)
-	b.coldFull.Balancers = b.cold.Balancers
-	b.quota.Count(Counted(p.Shares, b.set.Balancers))
+func (b *Balancer) SetFleetSize(p FleetSize) {
+	b.slowStart.Balancers = EffectiveFleetSize(p.ProbeRequests, b.settings.Balancers)
+	b.slowStartSaturated.Balancers = b.slowStart.Balancers
+	b.quotas.Count(EffectiveFleetSize(p.Quotas, b.settings.Balancers))
 }
 
-// Counted is how many agents count of so many that the settings name, where so many are said to be there:
+// QuotaCounted is how many agents count of so many that the settings name, where so many are said to be there:
 // two thirds of them at the least, and never more than there are. So a sum over all that are there is at most
 // half as much again as where each divides by the number that the settings name.
-func Counted(there, named int) int {
+func EffectiveFleetSize(there, named int) int {
 	if there <= 0 {
 		return named
 	}
--- a/decide/present_test.go
+++ b/decide/present_test.go
@@ -15,13 +15,13 @@
 func TestPresentIsBounded(t *testing.T) {
 	for named := 1; named <= 300; named += 23 {
 		for there := -5; there < 1000; there++ {
-			n := Counted(there, named)
+			n := EffectiveFleetSize(there, named)
 			require.LessOrEqual(t, n, named)
 			require.GreaterOrEqual(t, 3*n, 2*named)
 		}
 	}
-	require.Equal(t, 200, Counted(200, 300))
-	require.Equal(t, 300, Counted(0, 300))
+	require.Equal(t, 200, EffectiveFleetSize(200, 300))
+	require.Equal(t, 300, EffectiveFleetSize(0, 300))
 }
 
 // trials is how many requests a second so many agents, which send little, send a server that is down, of 300 that are
@@ -30,7 +30,7 @@
 	const length = 10 * time.Minute
 	terms := cold.Terms{
 		Share: 0.3, For: 9 * time.Second, FallMultiple: 3, FallWindow: 3 * time.Second, Margin: 0.5, Most: 1,
-		Balancers: Counted(said, 300),
+		Balancers: EffectiveFleetSize(said, 300),
 	}
 	rng, sent := rand.New(rand.NewPCG(1, 2)), 0
 	for range agents {
@@ -65,7 +65,7 @@
 	for i := range books {
 		books[i] = quota.New(60, true)
 		books[i].Add("acme", perS)
-		books[i].Count(Counted(said, 60))
+		books[i].Count(EffectiveFleetSize(said, 60))
 	}
 	over, asked := 0, 0
 	for second := range 120 {
--- a/decide/sparse_test.go
+++ b/decide/sparse_test.go
@@ -14,29 +14,29 @@
 	t.Helper()
 	set := settings()
 	set.Balancers = balancers
-	set.Classes[0].Effect = Safe
+	set.Classes[0].Idempotency = Idempotent
 	sent, rng := map[string]int{}, rand.New(rand.NewPCG(1, 2))
 	for n := range balancers {
 		set.Self = n
 		b, err := New(set, uint64(n))
 		require.NoError(t, err)
-		b.Step(0, &Membership{Kind: SyncFull, Servers: list(servers)})
+		b.Step(0, &ServerListUpdate{Kind: UpdateFull, Servers: list(servers)})
 		for i := range 200 {
 			now := time.Duration(i) * 100 * ms
-			b.Step(now, &TimerDue{Tag: tagRound})
+			b.Step(now, &TimerDue{Tag: timerRound})
 			key := string(rune('a'+rng.IntN(26))) + string(rune('a'+rng.IntN(26)))
 			if rng.IntN(popular) == 0 {
 				key = "popular"
 			}
 			id := uint32(i + 1)
-			a := find(b.Step(now, &Request{ID: id, Key: key, Class: set.Classes[0].Name, Budget: time.Second}), Send)
+			a := find(b.Step(now, &Request{ID: id, Key: key, Class: set.Classes[0].Name, ClientTimeout: time.Second}), Send)
 			if a == nil {
 				continue
 			}
 			sent[a.Server]++
 			b.Step(now+50*ms, &AttemptDone{
 				ID: id, Server: a.Server, Outcome: Served, Latency: 50 * ms,
-				Finished: true,
+				RequestDone: true,
 			})
 		}
 	}
--- a/decide/unproved.go
+++ b/decide/unproved.go
@@ -10,104 +10,104 @@
 // The servers of a list that nobody has confirmed yet, between the parts of decide.go that ask it and package
 // proving, which decides: here its words are put into this package's. See docs/design/restart.md.
 
-// Doubt has the servers that are listed now prove themselves by requests, until Confirm. Trust is how far the
+// StartProbation has the servers that are listed now prove themselves by requests, until ConfirmServerList. Trust is how far the
 // list is trusted, from 0 to 1: see proving.Trust.
-func (b *Balancer) Doubt(trust float64) {
-	b.proofs.Doubt(trust)
+func (b *Balancer) StartProbation(trust float64) {
+	b.probation.Doubt(trust)
 	for _, s := range b.ring.Members() {
-		s.proof = b.proofs.Add()
+		s.probation = b.probation.Add()
 	}
 }
 
-// Confirm takes in that discovery has told what the list is: its servers need no proof.
-func (b *Balancer) Confirm() {
+// ConfirmServerList takes in that discovery has told what the list is: its servers need no proof.
+func (b *Balancer) ConfirmServerList() {
 	for _, s := range b.servers {
-		s.proof = nil
+		s.probation = nil
 	}
-	b.proofs.Confirm()
+	b.probation.Confirm()
 }
 
-// toProve is what counts of a request at a server that is not proved.
-func (r *request) toProve() proving.Request {
+// probationRequest is what counts of a request at a server that is not proved.
+func (r *request) probationRequest() proving.Request {
 	return proving.Request{
-		Aim: r.class.Aim, Safe: r.class.Effect == Safe, Copies: r.class.copies,
-		Attempts: len(r.attempts), Most: r.class.most, By: r.proofBy,
+		Aim: r.class.LatencyObjective, Safe: r.class.Idempotency == Idempotent, Copies: r.class.hedging,
+		Attempts: len(r.attempts), Most: r.class.maxAttempts, By: r.probationUntil,
 		Ended: slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.done }),
 	}
 }
 
 // vouched tells what trusted does, and for a server that is not proved, whether it has room for the request.
-func (b *Balancer) vouched(r *request, s *server) (ok, trial bool) {
-	if s.proof == nil {
-		return b.trusted(r, s)
+func (b *Balancer) checkTrust(r *request, s *server) (ok, trial bool) {
+	if s.probation == nil {
+		return b.checkHealth(r, s)
 	}
-	return s.proof.Room(b.now, r.toProve().Careful(b.now)), false
+	return s.probation.Room(b.now, r.probationRequest().Careful(b.now)), false
 }
 
 // dispatch sends a request on, and where its server's proof asks for that, to one more at once.
 func (b *Balancer) dispatch(r *request, s *server) {
-	twice := s.proof != nil && s.proof.Twice(r.toProve())
-	b.send(r, s)
+	twice := s.probation != nil && s.probation.Twice(r.probationRequest())
+	b.sendAttempt(r, s)
 	if !twice {
 		return
 	}
-	if other := b.pick(r); other != nil {
-		b.send(r, other) // which has the request, and the first one is the trial
-		r.attempts[0].copy = true
-		r.copies, r.copied = r.copies+1, r.copied+1
+	if other := b.selectServer(r); other != nil {
+		b.sendAttempt(r, other) // which has the request, and the first one is the trial
+		r.attempts[0].hedged = true
+		r.openHedges, r.hedges = r.openHedges+1, r.hedges+1
 	}
 }
 
 // allow notes that the request goes to the server, and bounds how long that may take.
-func (b *Balancer) allow(r *request, s *server, limit time.Duration) time.Duration {
-	if s.proof == nil {
+func (b *Balancer) attemptTimeout(r *request, s *server, limit time.Duration) time.Duration {
+	if s.probation == nil {
 		return limit
 	}
-	s.proof.Sent()
-	return s.proof.Limit(r.toProve(), limit, time.Duration(b.pace.quick*float64(time.Second)))
+	s.probation.Sent()
+	return s.probation.Limit(r.probationRequest(), limit, time.Duration(b.baseline.seconds*float64(time.Second)))
 }
 
 // hear takes what an outcome says of a server that is not proved, and then as of any other.
-func (b *Balancer) hear(r *request, a *attempt, e *AttemptDone) {
-	if s := a.server; s.proof != nil && b.proofs.Ended(s.proof, b.now, proofOf(e.Outcome)) {
-		s.proof = nil
+func (b *Balancer) onAttemptEnd(r *request, a *attempt, e *AttemptDone) {
+	if s := a.server; s.probation != nil && b.probation.Ended(s.probation, b.now, probationEnd(e.Outcome)) {
+		s.probation = nil
 	}
-	b.learn(r, a, e)
-	if e.Finished && !r.closed {
-		b.noteEnd(r, e.Outcome == Served)
+	b.observeAttempt(r, a, e)
+	if e.RequestDone && !r.closed {
+		b.countEnd(r, e.Outcome == Served)
 	}
 }
 
-func proofOf(o Outcome) proving.End {
+func probationEnd(o Outcome) proving.End {
 	switch o {
 	case Served:
 		return proving.Served
-	case TurnedAway:
+	case Rejected:
 		return proving.Turned
-	case NotSent, CalledOff:
+	case NotSent, Canceled:
 		return proving.Void
 	}
 	return proving.Failed
 }
 
 // await has a request wait for a server to prove itself, where one may in time, and else gives it up.
-func (b *Balancer) await(r *request) {
-	r.proofBy = b.proofs.By(r.toProve(), b.now, r.deadline-2*b.set.Tick)
-	ask := r.toProve()
-	if !b.proofs.Worth(ask, b.now) || !b.hope(r) {
-		b.giveUp(r)
+func (b *Balancer) waitForProbation(r *request) {
+	r.probationUntil = b.probation.By(r.probationRequest(), b.now, r.deadline-2*b.settings.Tick)
+	ask := r.probationRequest()
+	if !b.probation.Worth(ask, b.now) || !b.mayProveInTime(r) {
+		b.rejectOrFail(r)
 		return
 	}
-	wait := ask.Pause(b.now, b.set.Tick)
-	r.holding, r.askUntil = true, b.now+wait
-	b.timer(wait, r.id, tagRetry)
+	wait := ask.Pause(b.now, b.settings.Tick)
+	r.waiting, r.waitUntil = true, b.now+wait
+	b.setTimer(wait, r.id, timerRetry)
 }
 
 // hope tells whether a server that may have the request can have room for it by then.
-func (b *Balancer) hope(r *request) bool {
+func (b *Balancer) mayProveInTime(r *request) bool {
 	var seen proving.Outlook
 	for _, s := range b.ring.Members() {
-		seen.See(s.proof, s.proof == nil || b.lawful(r, s), r.proofBy)
+		seen.See(s.probation, s.probation == nil || b.isPermitted(r, s), r.probationUntil)
 	}
 	return seen.Hope()
 }
--- a/decide/view.go
+++ b/decide/view.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Avoided is how many listed booking servers get nothing of the ordinary path now, by choice: those down,
+// EjectedServers is how many listed booking servers get nothing of the ordinary path now, by choice: those down,
 // damped, or passed over for turning requests away. What drains or is gone is not among them.
-func (b *Balancer) Avoided() (n int) {
+func (b *Balancer) EjectedServers() (n int) {
 	for _, s := range b.servers {
-		if s.State == Ready && (s.record.IsDown() || b.now < s.dampedUntil || s.record.NotNow(b.now)) {
+		if s.State == Ready && (s.outlier.IsDown() || b.now < s.dampedUntil || s.outlier.NotNow(b.now)) {
 			n++
 		}
 	}
@@ -17,19 +17,19 @@
 // a server says nothing of how busy that is.
 func (b *Balancer) Sparse() bool { return b.sparse() }
 
-// Quick is how quick a kind of server was: the time below which a quarter of its answers came, as the later
+// BaselineLatency is how quick a kind of server was: the time below which a quarter of its answers came, as the later
 // ones show it, and how many there were since the start.
-type Quick struct {
-	Kind    string
-	Took    time.Duration
-	Answers float64
+type BaselineLatency struct {
+	MachineKind string
+	Latency     time.Duration
+	Samples     float64
 }
 
-// Quicks are those of all kinds that were ever listed, of which there are answers, in any order.
-func (b *Balancer) Quicks() (all []Quick) {
-	for name, k := range b.kinds {
-		if k.answers > 0 {
-			all = append(all, Quick{name, time.Duration(k.quick * float64(time.Second)), k.answers})
+// BaselineLatencies are those of all kinds that were ever listed, of which there are answers, in any order.
+func (b *Balancer) BaselineLatencies() (all []BaselineLatency) {
+	for name, k := range b.kindBaselines {
+		if k.samples > 0 {
+			all = append(all, BaselineLatency{name, time.Duration(k.seconds * float64(time.Second)), k.samples})
 		}
 	}
 	return all
--- a/decide/view_test.go
+++ b/decide/view_test.go
@@ -19,7 +19,7 @@
 		now, wait := time.Minute, time.Duration(0)
 		for range asking.Doubled + 1 {
 			now += time.Hour
-			timer := find(b.Step(now, &Membership{Kind: SyncFailed}), SetTimer)
+			timer := find(b.Step(now, &ServerListUpdate{Kind: UpdateFailed}), SetTimer)
 			require.NotNil(t, timer)
 			wait = timer.After
 			b.Step(now+wait, &TimerDue{Tag: timer.Tag})
@@ -30,10 +30,10 @@
 	}
 }
 
-// Avoided counts what gets nothing by choice, each once; what drains is not among it.
+// EjectedServers counts what gets nothing by choice, each once; what drains is not among it.
 func TestAvoided(t *testing.T) {
 	b := start(t, settings(), list(6))
-	require.Zero(t, b.Avoided())
+	require.Zero(t, b.EjectedServers())
 	i := 0
 	for _, s := range b.servers {
 		switch i++; i {
@@ -43,5 +43,5 @@
 			s.dampedUntil, s.State = b.now+time.Second, Draining
 		}
 	}
-	require.Equal(t, 1, b.Avoided())
+	require.Equal(t, 1, b.EjectedServers())
 }
--- a/decide/zones_test.go
+++ b/decide/zones_test.go
@@ -21,17 +21,17 @@
 	play := func(unheard Outcome) (lost, back int) {
 		b, err := New(set, 1)
 		require.NoError(t, err)
-		b.Step(0, &Membership{Kind: SyncFull, Servers: members})
+		b.Step(0, &ServerListUpdate{Kind: UpdateFull, Servers: members})
 		for i := range 400 { // 10 a second
 			now := time.Duration(i+1) * 100 * ms
 			if i%10 == 0 {
-				b.Step(now, &TimerDue{Tag: tagRound})
+				b.Step(now, &TimerDue{Tag: timerRound})
 			}
 			id := uint32(i + 1)
 			off := now > 10*time.Second && now <= 30*time.Second
 			acts := b.Step(now, &Request{
 				ID: id, Key: string(rune('a'+i%26)) + string(rune('a'+i*7%23)),
-				Class: set.Classes[0].Name, Budget: time.Second,
+				Class: set.Classes[0].Name, ClientTimeout: time.Second,
 			})
 			number := 0
 			var ends []AttemptDone
@@ -49,17 +49,17 @@
 				ends = append(ends, e)
 			}
 			for k := range ends {
-				ends[k].Finished = k == len(ends)-1
+				ends[k].RequestDone = k == len(ends)-1
 				b.Step(now+50*ms, &ends[k])
 			}
 		}
 		return lost, back
 	}
-	lost, back := play(NoConnection)
+	lost, back := play(ConnectFailed)
 	t.Log(lost, back)
 	require.LessOrEqual(t, lost, 3+20*2, "three to learn it by, then two tries a second")
 	require.Greater(t, back, 20, "of 80 requests")
-	lost, back = play(NoAnswer)
+	lost, back = play(TimedOut)
 	require.LessOrEqual(t, lost, 3+20*2)
 	require.Greater(t, back, 20)
 }
@@ -71,14 +71,14 @@
 	end := func(zone string, e AttemptDone) {
 		for _, s := range b.ring.Members() {
 			if s.Zone == zone {
-				b.reached(s, &attempt{}, &e)
+				b.observeZone(s, &attempt{}, &e)
 			}
 		}
 	}
 	end("z0", AttemptDone{Outcome: Served})
-	end("z1", AttemptDone{Outcome: NoConnection, Evidence: health.Evidence{Refused: true}})
-	end("z1", AttemptDone{Outcome: NoConnection, Evidence: health.Evidence{Ours: true}})
-	require.False(t, b.reach.Doubtful("z1"))
-	end("z1", AttemptDone{Outcome: NoConnection})
-	require.True(t, b.reach.Cut("z1"))
+	end("z1", AttemptDone{Outcome: ConnectFailed, Evidence: health.Evidence{Refused: true}})
+	end("z1", AttemptDone{Outcome: ConnectFailed, Evidence: health.Evidence{Ours: true}})
+	require.False(t, b.zoneReach.Doubtful("z1"))
+	end("z1", AttemptDone{Outcome: ConnectFailed})
+	require.True(t, b.zoneReach.Cut("z1"))
 }
--- a/docs/pages_test.go
+++ b/docs/pages_test.go
@@ -35,7 +35,7 @@
 			return err
 		},
 		"policy": func(text string) error {
-			_, err := policy.Read("policy.toml", []byte(text))
+			_, err := policy.ParseDocument("policy.toml", []byte(text))
 			return err
 		},
 	}
--- a/fleet/chronicle/chronicle.go
+++ b/fleet/chronicle/chronicle.go
@@ -56,49 +56,49 @@
 	Data []byte
 }
 
-// Snapshot is what a state machine has made of all records up to one.
+// MaxSnapshotBytes is what a state machine has made of all records up to one.
 type Snapshot struct {
 	Epoch, Seq, Sum uint64 // Sum is the one of the log there, not of Data
 	Data            []byte
 }
 
-// At is the snapshot's place.
-func (s Snapshot) At() Position { return Position{Epoch: s.Epoch, Seq: s.Seq, Sum: s.Sum} }
+// Position is the snapshot's place.
+func (s Snapshot) Position() Position { return Position{Epoch: s.Epoch, Seq: s.Seq, Sum: s.Sum} }
 
 // Digest is a sum of all of the snapshot, for the way from one agent to another.
-func (s Snapshot) Digest() uint64 { return chain(s.Sum, s.Epoch, s.Seq, s.Data) }
+func (s Snapshot) Digest() uint64 { return chainSum(s.Sum, s.Epoch, s.Seq, s.Data) }
 
-// Beginning is the snapshot that an epoch begins with.
-func Beginning(epoch uint64) Snapshot {
-	return Snapshot{Epoch: epoch, Sum: chain(0, epoch, 0, nil)}
+// InitialSnapshot is the snapshot that an epoch begins with.
+func InitialSnapshot(epoch uint64) Snapshot {
+	return Snapshot{Epoch: epoch, Sum: chainSum(0, epoch, 0, nil)}
 }
 
-// Part is some records in order as they go from one copy to another, with the sums before and after them.
-type Part struct {
-	Epoch, First uint64 // First is the number of the first record
-	Prior, After uint64 // sums
-	Records      [][]byte
+// Segment is some records in order as they go from one copy to another, with the sums before and after them.
+type Segment struct {
+	Epoch, First  uint64 // First is the number of the first record
+	PriorSum, Sum uint64 // sums
+	Records       [][]byte
 }
 
 // Limits bound a Log. Zero values are the defaults.
 type Limits struct {
-	Records  int // kept since the snapshot; 4096
-	Bytes    int // of their data; 1 MiB
-	Snapshot int // bytes of its data; 1 MiB
+	MaxRecords       int // kept since the snapshot; 4096
+	MaxRecordBytes   int // of their data; 1 MiB
+	MaxSnapshotBytes int // bytes of its data; 1 MiB
 }
 
 const (
-	mostRecords = 4096
-	mostBytes   = 1 << 20
+	defaultMaxRecords = 4096
+	defaultMaxBytes   = 1 << 20
 )
 
 // Log is one copy.
 type Log struct {
-	limits  Limits
-	snap    Snapshot
-	records []Record
-	sums    []uint64 // of each record
-	bytes   int
+	limits   Limits
+	snapshot Snapshot
+	records  []Record
+	sums     []uint64 // of each record
+	bytes    int
 }
 
 // New returns a Log that begins with a snapshot.
@@ -106,15 +106,15 @@
 	for _, l := range []struct {
 		value *int
 		usual int
-	}{{&limits.Records, mostRecords}, {&limits.Bytes, mostBytes}, {&limits.Snapshot, mostBytes}} {
+	}{{&limits.MaxRecords, defaultMaxRecords}, {&limits.MaxRecordBytes, defaultMaxBytes}, {&limits.MaxSnapshotBytes, defaultMaxBytes}} {
 		if *l.value <= 0 {
 			*l.value = l.usual
 		}
 	}
-	if len(s.Data) > limits.Snapshot {
+	if len(s.Data) > limits.MaxSnapshotBytes {
 		return nil, ErrTooLarge
 	}
-	return &Log{limits: limits, snap: s}, nil
+	return &Log{limits: limits, snapshot: s}, nil
 }
 
 // Limits are the bounds that hold.
@@ -122,31 +122,31 @@
 
 // Last is the place of the newest record, or of the snapshot where there is none after it.
 func (l *Log) Last() Position {
-	p := l.snap.At()
+	p := l.snapshot.Position()
 	if n := len(l.records); n > 0 {
 		p.Seq, p.Sum = l.records[n-1].Seq, l.sums[n-1]
 	}
 	return p
 }
 
-// Snapshot is what the log begins with. Its data is not to be changed.
-func (l *Log) Snapshot() Snapshot { return l.snap }
+// MaxSnapshotBytes is what the log begins with. Its data is not to be changed.
+func (l *Log) Snapshot() Snapshot { return l.snapshot }
 
-// Len is the number of records since the snapshot, Bytes that of their data.
+// Len is the number of records since the snapshot, MaxRecordBytes that of their data.
 func (l *Log) Len() int { return len(l.records) }
 
-// Bytes is how many the data of the records since the snapshot has.
+// MaxRecordBytes is how many the data of the records since the snapshot has.
 func (l *Log) Bytes() int { return l.bytes }
 
 // SumAt is the sum up to a record; ok is false where the log does not reach there, or no longer.
 func (l *Log) SumAt(seq uint64) (sum uint64, ok bool) {
 	switch {
-	case seq == l.snap.Seq:
-		return l.snap.Sum, true
-	case seq < l.snap.Seq || seq > l.Last().Seq:
+	case seq == l.snapshot.Seq:
+		return l.snapshot.Sum, true
+	case seq < l.snapshot.Seq || seq > l.Last().Seq:
 		return 0, false
 	}
-	return l.sums[seq-l.snap.Seq-1], true
+	return l.sums[seq-l.snapshot.Seq-1], true
 }
 
 // Compare tells where another copy is: below zero, it is behind, above, it is ahead, and zero, it is the
@@ -155,15 +155,15 @@
 func (l *Log) Compare(other Position) (int, error) {
 	last := l.Last()
 	if other.Epoch != last.Epoch {
-		return order(other.Epoch, last.Epoch), nil
+		return compare(other.Epoch, last.Epoch), nil
 	}
 	if sum, ok := l.SumAt(other.Seq); ok && sum != other.Sum {
 		return 0, ErrDiverged
 	}
-	return order(other.Seq, last.Seq), nil
+	return compare(other.Seq, last.Seq), nil
 }
 
-func order(a, b uint64) int {
+func compare(a, b uint64) int {
 	switch {
 	case a < b:
 		return -1
@@ -181,27 +181,27 @@
 	}
 	if r.Seq <= last.Seq {
 		prior, ok := l.SumAt(r.Seq - 1)
-		if sum, is := l.SumAt(r.Seq); ok && is && chain(prior, last.Epoch, r.Seq, r.Data) != sum {
+		if sum, is := l.SumAt(r.Seq); ok && is && chainSum(prior, last.Epoch, r.Seq, r.Data) != sum {
 			return ErrDiverged
 		}
 		return nil
 	}
-	if len(r.Data) > l.limits.Bytes {
+	if len(r.Data) > l.limits.MaxRecordBytes {
 		return ErrTooLarge
 	}
-	if len(l.records) >= l.limits.Records || l.bytes+len(r.Data) > l.limits.Bytes {
+	if len(l.records) >= l.limits.MaxRecords || l.bytes+len(r.Data) > l.limits.MaxRecordBytes {
 		return ErrFull
 	}
 	l.records = append(l.records, Record{Seq: r.Seq, Data: slices.Clone(r.Data)})
-	l.sums = append(l.sums, chain(last.Sum, last.Epoch, r.Seq, r.Data))
+	l.sums = append(l.sums, chainSum(last.Sum, last.Epoch, r.Seq, r.Data))
 	l.bytes += len(r.Data)
 	return nil
 }
 
-// Take takes what is new of a part of another copy, and tells how many records that was. Where the part is
+// AppendSegment takes what is new of a part of another copy, and tells how many records that was. Where the part is
 // wrong in any place, nothing is taken; with ErrFull, the first ones are. A part that is the beginning of a
 // higher epoch replaces all; the state machine has to begin anew then, as it sees from the epoch.
-func (l *Log) Take(p Part) (taken int, err error) {
+func (l *Log) AppendSegment(p Segment) (taken int, err error) {
 	last := l.Last()
 	switch {
 	case p.Epoch < last.Epoch:
@@ -211,18 +211,18 @@
 	case p.First == 0 || p.First+uint64(len(p.Records)) < p.First:
 		return 0, ErrCorrupt
 	}
-	if !p.fits() {
+	if !p.hasValidSums() {
 		return 0, ErrCorrupt
 	}
 	if p.Epoch > last.Epoch {
-		begin := Beginning(p.Epoch)
-		if p.Prior != begin.Sum {
+		begin := InitialSnapshot(p.Epoch)
+		if p.PriorSum != begin.Sum {
 			return 0, ErrDiverged
 		}
-		l.restart(begin)
-		last = begin.At()
+		l.reset(begin)
+		last = begin.Position()
 	}
-	if err := l.agrees(p); err != nil {
+	if err := l.checkOverlap(p); err != nil {
 		return 0, err
 	}
 	for i, data := range p.Records {
@@ -239,17 +239,17 @@
 }
 
 // fits tells whether the sums of a part are those of its records.
-func (p Part) fits() bool {
-	sum := p.Prior
+func (p Segment) hasValidSums() bool {
+	sum := p.PriorSum
 	for i, data := range p.Records {
-		sum = chain(sum, p.Epoch, p.First+uint64(i), data)
+		sum = chainSum(sum, p.Epoch, p.First+uint64(i), data)
 	}
-	return sum == p.After
+	return sum == p.Sum
 }
 
 // agrees looks at the sums of a part where the log has the same records: before it, and in all of it.
-func (l *Log) agrees(p Part) error {
-	sum := p.Prior
+func (l *Log) checkOverlap(p Segment) error {
+	sum := p.PriorSum
 	for i := 0; ; i++ {
 		seq := p.First + uint64(i) - 1
 		if own, ok := l.SumAt(seq); ok && own != sum {
@@ -258,83 +258,83 @@
 		if i == len(p.Records) || seq >= l.Last().Seq {
 			return nil
 		}
-		sum = chain(sum, p.Epoch, seq+1, p.Records[i])
+		sum = chainSum(sum, p.Epoch, seq+1, p.Records[i])
 	}
 }
 
 // Compact gives the log a later beginning: what the state machine has made of the records up to one that the
-// log holds. Records up to there are dropped.
+// log holds. MaxRecords up to there are dropped.
 func (l *Log) Compact(s Snapshot) error {
-	if len(s.Data) > l.limits.Snapshot {
+	if len(s.Data) > l.limits.MaxSnapshotBytes {
 		return ErrTooLarge
 	}
 	sum, ok := l.SumAt(s.Seq)
 	switch {
-	case s.Epoch != l.snap.Epoch || !ok:
+	case s.Epoch != l.snapshot.Epoch || !ok:
 		return ErrGap
 	case sum != s.Sum:
 		return ErrDiverged
 	}
-	n := int(s.Seq - l.snap.Seq)
+	n := int(s.Seq - l.snapshot.Seq)
 	for _, r := range l.records[:n] {
 		l.bytes -= len(r.Data)
 	}
 	l.records, l.sums = slices.Clone(l.records[n:]), slices.Clone(l.sums[n:])
-	l.snap = s
+	l.snapshot = s
 	return nil
 }
 
 // Install takes the snapshot of another copy where it is ahead; taken is false where this one covers it. All
 // records are dropped then, and the state machine has to go on from the snapshot.
 func (l *Log) Install(s Snapshot) (taken bool, err error) {
-	if len(s.Data) > l.limits.Snapshot {
+	if len(s.Data) > l.limits.MaxSnapshotBytes {
 		return false, ErrTooLarge
 	}
-	ahead, err := l.Compare(s.At())
+	ahead, err := l.Compare(s.Position())
 	switch {
 	case err != nil:
 		return false, err
-	case s.Epoch < l.snap.Epoch:
+	case s.Epoch < l.snapshot.Epoch:
 		return false, ErrOldEpoch
 	case ahead <= 0:
 		return false, nil
 	}
 	s.Data = slices.Clone(s.Data)
-	l.restart(s)
+	l.reset(s)
 	return true, nil
 }
 
-func (l *Log) restart(s Snapshot) { l.snap, l.records, l.sums, l.bytes = s, nil, nil, 0 }
+func (l *Log) reset(s Snapshot) { l.snapshot, l.records, l.sums, l.bytes = s, nil, nil, 0 }
 
-// Part returns records from a number on, at most so many bytes of data, but always one where there is one: ok
+// Segment returns records from a number on, at most so many bytes of data, but always one where there is one: ok
 // is false where that number is not there, or no longer. Its records are not to be changed.
-func (l *Log) Part(first uint64, bytes int) (p Part, ok bool) {
+func (l *Log) Segment(first uint64, bytes int) (p Segment, ok bool) {
 	prior, known := l.SumAt(first - 1)
 	if first == 0 || !known || first > l.Last().Seq {
-		return Part{}, false
+		return Segment{}, false
 	}
-	p = Part{Epoch: l.snap.Epoch, First: first, Prior: prior, After: prior}
-	for i := int(first - l.snap.Seq - 1); i < len(l.records); i++ {
+	p = Segment{Epoch: l.snapshot.Epoch, First: first, PriorSum: prior, Sum: prior}
+	for i := int(first - l.snapshot.Seq - 1); i < len(l.records); i++ {
 		data := l.records[i].Data
 		if bytes -= len(data); bytes < 0 && len(p.Records) > 0 {
 			break
 		}
-		p.Records, p.After = append(p.Records, data), l.sums[i]
+		p.Records, p.Sum = append(p.Records, data), l.sums[i]
 	}
 	return p, true
 }
 
 // Record is the one with a number; ok is false where it is not there, or no longer. It is not to be changed.
 func (l *Log) Record(seq uint64) (r Record, ok bool) {
-	if seq <= l.snap.Seq || seq > l.Last().Seq {
+	if seq <= l.snapshot.Seq || seq > l.Last().Seq {
 		return Record{}, false
 	}
-	return l.records[seq-l.snap.Seq-1], true
+	return l.records[seq-l.snapshot.Seq-1], true
 }
 
 // chain is the sum after a record: 64 bits of SHA-256 over the sum before it and all of the record, so that
 // neither chance nor a broken machine makes two logs with the same one.
-func chain(prior, epoch, seq uint64, data []byte) uint64 {
+func chainSum(prior, epoch, seq uint64, data []byte) uint64 {
 	h := sha256.New()
 	var head [32]byte
 	for i, v := range []uint64{prior, epoch, seq, uint64(len(data))} {
--- a/fleet/chronicle/chronicle_test.go
+++ b/fleet/chronicle/chronicle_test.go
@@ -10,7 +10,7 @@
 )
 
 func filled(t require.TestingT, epoch uint64, limits Limits, data ...string) *Log {
-	l, err := New(Beginning(epoch), limits)
+	l, err := New(InitialSnapshot(epoch), limits)
 	require.NoError(t, err)
 	for i, d := range data {
 		require.NoError(t, l.Append(Record{Seq: uint64(i + 1), Data: []byte(d)}))
@@ -19,12 +19,12 @@
 }
 
 func TestWhatDoesNotFollowIsNotTaken(t *testing.T) {
-	part := func(l *Log, first uint64) Part { p, _ := l.Part(first, 1<<20); return p }
+	part := func(l *Log, first uint64) Segment { p, _ := l.Segment(first, 1<<20); return p }
 	abc := filled(t, 2, Limits{}, "a", "b", "c")
 	torn := part(abc, 2)
 	torn.Records = [][]byte{[]byte("b"), []byte("C")}
 	for name, c := range map[string]struct {
-		part  Part
+		part  Segment
 		taken int
 		err   error
 	}{
@@ -37,18 +37,18 @@
 		"an earlier epoch":   {part(filled(t, 1, Limits{}, "a", "b", "c"), 1), 0, ErrOldEpoch},
 		"a later one":        {part(filled(t, 3, Limits{}, "a", "b", "c"), 1), 3, nil},
 		"its beginning not":  {part(filled(t, 3, Limits{}, "a", "b", "c"), 2), 0, ErrNewEpoch},
-		"numbers run over":   {Part{Epoch: 2, First: 1<<64 - 1, Records: [][]byte{nil, nil}}, 0, ErrCorrupt},
-		"number zero":        {Part{Epoch: 2}, 0, ErrCorrupt},
+		"numbers run over":   {Segment{Epoch: 2, First: 1<<64 - 1, Records: [][]byte{nil, nil}}, 0, ErrCorrupt},
+		"number zero":        {Segment{Epoch: 2}, 0, ErrCorrupt},
 	} {
 		l := filled(t, 2, Limits{}, "a")
 		before := l.Last()
-		taken, err := l.Take(c.part)
+		taken, err := l.AppendSegment(c.part)
 		require.ErrorIs(t, err, c.err, name)
 		require.Equal(t, c.taken, taken, name)
 		if err != nil {
 			require.Equal(t, before, l.Last(), name)
 		} else {
-			require.Equal(t, c.part.After, l.Last().Sum, name)
+			require.Equal(t, c.part.Sum, l.Last().Sum, name)
 		}
 	}
 	ahead, err := abc.Compare(Position{Epoch: 2, Seq: 9, Sum: 7})
@@ -60,7 +60,7 @@
 }
 
 func TestBoundsAndCompaction(t *testing.T) {
-	l := filled(t, 1, Limits{Records: 3, Bytes: 4, Snapshot: 2}, "a", "b")
+	l := filled(t, 1, Limits{MaxRecords: 3, MaxRecordBytes: 4, MaxSnapshotBytes: 2}, "a", "b")
 	require.ErrorIs(t, l.Append(Record{Seq: 3, Data: []byte("ccc")}), ErrFull)
 	require.ErrorIs(t, l.Append(Record{Seq: 3, Data: []byte("ccccc")}), ErrTooLarge)
 	sum, _ := l.SumAt(1)
@@ -79,7 +79,7 @@
 	taken, err = behind.Install(filled(t, 1, Limits{}).Snapshot())
 	require.NoError(t, err)
 	require.False(t, taken, "a snapshot never takes back")
-	_, err = behind.Install(Beginning(0))
+	_, err = behind.Install(InitialSnapshot(0))
 	require.ErrorIs(t, err, ErrOldEpoch)
 }
 
@@ -95,21 +95,21 @@
 			}
 			sources = append(sources, filled(t, epoch+1, Limits{}, data...))
 		}
-		l := filled(t, 1, Limits{Records: 5})
+		l := filled(t, 1, Limits{MaxRecords: 5})
 		for range 30 {
 			src := sources[rapid.IntRange(0, 1).Draw(t, "epoch")]
 			before := l.Last()
 			seq := rapid.Uint64Range(0, src.Last().Seq).Draw(t, "seq")
 			sum, _ := src.SumAt(seq)
-			snap := Snapshot{Epoch: src.snap.Epoch, Seq: seq, Sum: sum}
+			snap := Snapshot{Epoch: src.snapshot.Epoch, Seq: seq, Sum: sum}
 			switch rapid.IntRange(0, 2).Draw(t, "input") {
 			case 0:
-				p, _ := src.Part(seq, rapid.IntRange(1, 20).Draw(t, "bytes"))
+				p, _ := src.Segment(seq, rapid.IntRange(1, 20).Draw(t, "bytes"))
 				if len(p.Records) > 0 && rapid.Bool().Draw(t, "corrupt") {
 					p.Records = slices.Clone(p.Records)
 					p.Records[0] = append(slices.Clone(p.Records[0]), '!')
 				}
-				_, err := l.Take(p)
+				_, err := l.AppendSegment(p)
 				require.NotErrorIs(t, err, ErrDiverged)
 			case 1:
 				_, _ = l.Install(snap)
--- a/fleet/chronicle/example_test.go
+++ b/fleet/chronicle/example_test.go
@@ -10,7 +10,7 @@
 // An agent takes what it lacks from another one, and does not take what cannot follow from what it has.
 func Example() {
 	copyOf := func(records ...string) *chronicle.Log {
-		log, err := chronicle.New(chronicle.Beginning(1), chronicle.Limits{})
+		log, err := chronicle.New(chronicle.InitialSnapshot(1), chronicle.Limits{})
 		for i, r := range records {
 			err = errors.Join(err, log.Append(chronicle.Record{Seq: uint64(i + 1), Data: []byte(r)}))
 		}
@@ -20,10 +20,10 @@
 		return log
 	}
 	ahead, behind := copyOf("a", "b", "c"), copyOf("a")
-	part, _ := ahead.Part(behind.Last().Seq+1, 1000)
-	taken, err := behind.Take(part)
+	part, _ := ahead.Segment(behind.Last().Seq+1, 1000)
+	taken, err := behind.AppendSegment(part)
 	fmt.Println(taken, err, behind.Last() == ahead.Last())
-	_, err = copyOf("x").Take(part)
+	_, err = copyOf("x").AppendSegment(part)
 	fmt.Println(err)
 	// Output:
 	// 2 <nil> true
--- a/fleet/chronicle/golden_test.go
+++ b/fleet/chronicle/golden_test.go
@@ -11,7 +11,7 @@
 
 // TestGoldenSums: the sums of the same records are the same in each build, as copies are compared by them.
 func TestGoldenSums(t *testing.T) {
-	l, err := New(Beginning(1_800_000_000_000), Limits{})
+	l, err := New(InitialSnapshot(1_800_000_000_000), Limits{})
 	require.NoError(t, err)
 	var sums []byte
 	put := func(sum uint64) { sums = binary.BigEndian.AppendUint64(sums, sum) }
--- a/fleet/consensus/consensus_test.go
+++ b/fleet/consensus/consensus_test.go
@@ -47,11 +47,11 @@
 			tr.sent(m.Bytes)
 		}
 		if tr.drop == nil || !tr.drop(a, m.To) {
-			tr.step(m.To, Received{a, m.Bytes})
+			tr.step(m.To, MessageReceived{a, m.Bytes})
 		}
 	}
-	if out.WantSnapshot {
-		tr.step(a, Compact{tr.voters[a].Status().Applied, []byte("above")})
+	if out.SnapshotWanted {
+		tr.step(a, Compact{tr.voters[a].Status().AppliedIndex, []byte("above")})
 	}
 	return out.Err
 }
@@ -59,7 +59,7 @@
 func (tr *trio) run(d time.Duration) {
 	for end := tr.now.Add(d); tr.now.Before(end); tr.now = tr.now.Add(20 * time.Millisecond) {
 		for a := range tr.voters {
-			tr.step(uint32(a), Passed{})
+			tr.step(uint32(a), TimePassed{})
 		}
 	}
 }
@@ -108,11 +108,11 @@
 func TestFounderNeedsPromises(t *testing.T) {
 	for _, promise := range []uint64{0, 99, 100} {
 		v := fresh(t, 0, 100, start, false)
-		v.Step(start, Persisted{v.Step(start, Passed{}).Persist.Token})
+		v.Step(start, Persisted{v.Step(start, TimePassed{}).Persist.Token})
 		for a := range uint32(2) {
-			v.Step(start, Received{a + 1, hello{nonce: 5, promise: promise, answer: true}.encode()})
+			v.Step(start, MessageReceived{a + 1, hello{nonce: 5, promisedNonce: promise, isReply: true}.encode()})
 		}
-		v.Step(start.Add(time.Second), Passed{})
+		v.Step(start.Add(time.Second), TimePassed{})
 		require.Equal(t, promise != 100, v.Status().Phase == Seeking)
 	}
 }
@@ -120,22 +120,22 @@
 // A promise binds: the log that an earlier founder began is not taken after one was made to a later one.
 func TestPromiseBinds(t *testing.T) {
 	v := fresh(t, 1, 100, start, false)
-	say := func(h hello) { v.Step(start, Received{0, h.encode()}) }
-	done := func() { v.Step(start, Persisted{v.token}) }
-	v.Step(start, Passed{})
+	say := func(h hello) { v.Step(start, MessageReceived{0, h.encode()}) }
+	done := func() { v.Step(start, Persisted{v.writeToken}) }
+	v.Step(start, TimePassed{})
 	done()
-	say(hello{nonce: 7, answer: true})
+	say(hello{nonce: 7, isReply: true})
 	done()
-	say(hello{nonce: 8, answer: true})
-	require.EqualValues(t, 8, v.Status().Identity.Promise)
+	say(hello{nonce: 8, isReply: true})
+	require.EqualValues(t, 8, v.Status().Identity.PromisedNonce)
 	done()
 	began := func(founder uint64) welcome {
 		ms := []member{{1, 0, founder}, {2, 1, 100}, {3, 2, 9}}
 		return welcome{nonce: 100, epoch: uint64(start.UnixMilli()), id: 2, founders: ms}
 	}
-	v.Step(start, Received{0, began(7).encode()})
+	v.Step(start, MessageReceived{0, began(7).encode()})
 	require.Equal(t, Seeking, v.Status().Phase)
-	v.Step(start, Received{0, began(8).encode()})
+	v.Step(start, MessageReceived{0, began(8).encode()})
 	require.Equal(t, Leaderless, v.Status().Phase)
 }
 
@@ -150,8 +150,8 @@
 		tr.run(20 * time.Second)
 		if !volatile {
 			require.Equal(t, []Phase{Stuck, Seeking, Seeking}, tr.phases())
-			tr.step(0, Alive{epoch})
-			tr.step(0, Abandon{})
+			tr.step(0, LiveLogSeen{epoch})
+			tr.step(0, AbandonLog{})
 			tr.run(5 * time.Second)
 			require.Equal(t, Stuck, tr.phases()[0], "given up though it was heard of")
 			tr.run(20 * time.Second)
@@ -164,15 +164,15 @@
 
 // A log is not given up while another voter says that it has one that goes on.
 func TestNotGivenUpWhileAnotherHasIt(t *testing.T) {
-	for _, other := range []standing{hasLog, hasStuckLog} {
+	for _, other := range []storeState{hasLog, stuckLog} {
 		tr := newTrio(t, true)
 		tr.run(5 * time.Second)
 		epoch := tr.voters[0].Status().Identity.Epoch
 		tr.drop = func(_, _ uint32) bool { return true }
 		for range 40 {
-			tr.step(0, Received{1, hello{nonce: 1000, answer: true}.encode()})
-			h := hello{nonce: 1000, epoch: epoch, id: 9, standing: other, answer: true}
-			tr.step(0, Received{2, h.encode()})
+			tr.step(0, MessageReceived{1, hello{nonce: 1000, isReply: true}.encode()})
+			h := hello{nonce: 1000, epoch: epoch, id: 9, state: other, isReply: true}
+			tr.step(0, MessageReceived{2, h.encode()})
 			tr.run(500 * time.Millisecond)
 		}
 		require.Equal(t, other == hasLog, tr.voters[0].Status().Identity.Epoch == epoch)
@@ -212,23 +212,23 @@
 // A proposal that is asked for again, by any voter, is done once; one that was withdrawn first, never.
 func TestProposals(t *testing.T) {
 	tr := newTrio(t, false)
-	require.ErrorIs(t, tr.step(0, Propose{ID{1, 1, 0}, nil}), ErrNoLeader)
+	require.ErrorIs(t, tr.step(0, Propose{ProposalID{1, 1, 0}, nil}), ErrNoLeader)
 	tr.run(5 * time.Second)
-	base := tr.voters[0].Status().Applied
-	id := ID{1, 1, base}
+	base := tr.voters[0].Status().AppliedIndex
+	id := ProposalID{1, 1, base}
 	for a := range uint32(3) {
 		require.NoError(t, tr.step(a, Propose{id, []byte("x")}))
 	}
-	require.NoError(t, tr.step(0, Withdraw{ID{1, 2, base}}))
+	require.NoError(t, tr.step(0, Withdraw{ProposalID{1, 2, base}}))
 	tr.run(time.Second)
-	require.ErrorIs(t, tr.step(1, Propose{ID{1, 2, base}, []byte("y")}), ErrTooOld)
-	require.ErrorIs(t, tr.step(1, Propose{ID{1, 3, base}, make([]byte, MaxData+1)}), ErrTooLong)
+	require.ErrorIs(t, tr.step(1, Propose{ProposalID{1, 2, base}, []byte("y")}), ErrTooOld)
+	require.ErrorIs(t, tr.step(1, Propose{ProposalID{1, 3, base}, make([]byte, MaxProposalBytes+1)}), ErrTooLong)
 	tr.run(time.Second)
 	for a, v := range tr.voters {
 		require.Len(t, tr.committed[a], 1)
 		require.Equal(t, "x", string(tr.committed[a][0].Data))
-		for n, want := range []Outcome{Taken, NotTaken, Unknown} {
-			o, _ := v.Outcome(ID{1, uint64(n) + 1, base})
+		for n, want := range []Outcome{Committed, NotCommitted, Unknown} {
+			o, _ := v.Outcome(ProposalID{1, uint64(n) + 1, base})
 			require.Equal(t, want, o)
 		}
 	}
@@ -236,25 +236,25 @@
 
 // The table forgets only what can't be asked for any more, and what it says of a proposal stays true.
 func TestTableIsBounded(t *testing.T) {
-	var tb table
+	var tb logState
 	r := rand.New(rand.NewPCG(1, 1))
-	did, never := map[ID]uint64{}, map[ID]bool{}
+	did, never := map[ProposalID]uint64{}, map[ProposalID]bool{}
 	for i := uint64(1); i < 5000; i++ {
-		id := ID{1, r.Uint64N(50), i - 1 - min(i-1, r.Uint64N(4*Window))/64*64}
+		id := ProposalID{1, r.Uint64N(50), i - 1 - min(i-1, r.Uint64N(4*ProposalWindow))/64*64}
 		id.Base -= id.Base % 64
 		if tb.settle(id, i, true) {
 			require.NotContains(t, did, id)
 			require.False(t, never[id])
 			did[id] = i
 		}
-		require.LessOrEqual(t, len(tb.order), remembered)
+		require.LessOrEqual(t, len(tb.settledOrder), rememberedRecords)
 		o, where := tb.outcome(id, i)
-		never[id] = never[id] || o == NotTaken
-		if o == Taken {
+		never[id] = never[id] || o == NotCommitted
+		if o == Committed {
 			require.Equal(t, did[id], where)
 		}
 		if i%1000 == 0 {
-			back, above, err := decodeTable(tb.encode([]byte("above")))
+			back, above, err := decodeLogState(tb.encode([]byte("above")))
 			require.NoError(t, err)
 			require.Equal(t, "above", string(above))
 			require.Equal(t, tb.settled, back.settled)
@@ -266,29 +266,29 @@
 
 // Of a change of voters only what fits is done: no number twice, none that is not there, nothing in between.
 func TestChangeThatDoesNotFit(t *testing.T) {
-	tb := table{members: []member{{1, 0, 1}, {2, 1, 1}, {4, 3, 1}}, next: 5}
+	tb := logState{members: []member{{1, 0, 1}, {2, 1, 1}, {4, 3, 1}}, nextID: 5}
 	conf := &raftpb.ConfState{Voters: []uint64{1, 2}, Learners: []uint64{4}}
 	joint := &raftpb.ConfState{Voters: []uint64{1, 4}, VotersOutgoing: []uint64{1, 2}}
-	ctx := make([]byte, contextSize)
+	ctx := make([]byte, changeContextBytes)
 	const add, learn, remove = raftpb.ConfChangeAddNode, raftpb.ConfChangeAddLearnerNode, raftpb.ConfChangeRemoveNode
 	for name, c := range map[string]struct {
 		conf *raftpb.ConfState
 		c    *raftpb.ConfChangeV2
 		fits bool
 	}{
-		"next number":     {conf, change(ctx, single(learn, 5)), true},
-		"used number":     {conf, change(ctx, single(learn, 3)), false},
-		"number left out": {conf, change(ctx, single(learn, 6)), false},
-		"without a store": {conf, change(nil, single(learn, 5)), false},
-		"learner votes":   {conf, change(nil, single(add, 4), single(remove, 2)), true},
-		"not a learner":   {conf, change(nil, single(add, 5)), false},
-		"not there":       {conf, change(nil, single(remove, 3)), false},
-		"nobody left":     {conf, change(nil, single(remove, 1), single(remove, 2)), false},
-		"in between":      {joint, change(ctx, single(learn, 5)), false},
-		"leave":           {joint, change(nil), true},
-		"nothing to do":   {conf, change(nil), false},
+		"next number":     {conf, confChange(ctx, singleChange(learn, 5)), true},
+		"used number":     {conf, confChange(ctx, singleChange(learn, 3)), false},
+		"number left out": {conf, confChange(ctx, singleChange(learn, 6)), false},
+		"without a store": {conf, confChange(nil, singleChange(learn, 5)), false},
+		"learner votes":   {conf, confChange(nil, singleChange(add, 4), singleChange(remove, 2)), true},
+		"not a learner":   {conf, confChange(nil, singleChange(add, 5)), false},
+		"not there":       {conf, confChange(nil, singleChange(remove, 3)), false},
+		"nobody left":     {conf, confChange(nil, singleChange(remove, 1), singleChange(remove, 2)), false},
+		"in between":      {joint, confChange(ctx, singleChange(learn, 5)), false},
+		"leave":           {joint, confChange(nil), true},
+		"nothing to do":   {conf, confChange(nil), false},
 	} {
-		require.Equal(t, c.fits, tb.fits(c.c, c.conf), name)
+		require.Equal(t, c.fits, tb.isValidChange(c.c, c.conf), name)
 	}
 }
 
@@ -298,38 +298,38 @@
 	tr.run(5 * time.Second)
 	leader := tr.leader()
 	for _, v := range tr.voters {
-		require.Less(t, tr.now.Sub(v.Status().Fresh), time.Second)
+		require.Less(t, tr.now.Sub(v.Status().FreshAsOf), time.Second)
 	}
 	lone := (leader + 1) % 3
 	cut := tr.now
 	tr.drop = cutOff(lone)
 	tr.run(2 * time.Second)
-	require.False(t, tr.voters[lone].Status().Fresh.After(cut))
-	require.Less(t, tr.now.Sub(tr.voters[leader].Status().Fresh), time.Second)
+	require.False(t, tr.voters[lone].Status().FreshAsOf.After(cut))
+	require.Less(t, tr.now.Sub(tr.voters[leader].Status().FreshAsOf), time.Second)
 	tr.drop = cutOff(leader)
 	cut = tr.now
 	tr.run(600 * time.Millisecond) // it still leads
 	require.Equal(t, Leading, tr.voters[leader].Status().Phase)
-	require.False(t, tr.voters[leader].Status().Fresh.After(cut))
+	require.False(t, tr.voters[leader].Status().FreshAsOf.After(cut))
 
 	f := &freshness{}
-	f.lead(3)
+	f.beginTerm(3)
 	conf := &raftpb.ConfState{Voters: []uint64{1, 2, 3}}
-	f.begin(10, 5)
-	f.begin(20, 6)
-	require.True(t, f.answered(1, 2, 10, conf))
-	require.Equal(t, round{10, 5}, f.quorum)
+	f.beginRound(10, 5)
+	f.beginRound(20, 6)
+	require.True(t, f.noteAck(1, 2, 10, conf))
+	require.Equal(t, heartbeatRound{10, 5}, f.confirmed)
 	conf.VotersOutgoing = []uint64{1, 4, 5}
-	f.answered(1, 2, 20, conf)
-	require.Equal(t, round{10, 5}, f.quorum, "both halves of a joint configuration count")
-	f.answered(1, 5, 20, conf)
-	require.Equal(t, round{20, 6}, f.quorum)
+	f.noteAck(1, 2, 20, conf)
+	require.Equal(t, heartbeatRound{10, 5}, f.confirmed, "both halves of a joint configuration count")
+	f.noteAck(1, 5, 20, conf)
+	require.Equal(t, heartbeatRound{20, 6}, f.confirmed)
 }
 
 // What is written is enough to go on from, and nothing is sent before it is.
 func TestNothingBeforeItIsWritten(t *testing.T) {
 	v := fresh(t, 1, 100, start, false)
-	out := v.Step(start, Received{0, hello{nonce: 7}.encode()})
+	out := v.Step(start, MessageReceived{0, hello{nonce: 7}.encode()})
 	require.NotNil(t, out.Persist)
 	require.Empty(t, out.Messages)
 	require.Empty(t, v.Step(start, Persisted{out.Persist.Token + 1}).Messages)
@@ -348,10 +348,10 @@
 	require.NoError(t, err)
 	tr := &trio{t: t, now: start, voters: []*Voter{v}, committed: make([][]Entry, 1)}
 	tr.run(5 * time.Second)
-	require.NoError(t, tr.step(0, Propose{ID{1, 1, v.Status().Applied}, []byte("x")}))
+	require.NoError(t, tr.step(0, Propose{ProposalID{1, 1, v.Status().AppliedIndex}, []byte("x")}))
 	tr.run(time.Second)
 	require.Len(t, tr.committed[0], 1)
-	require.Less(t, tr.now.Sub(v.Status().Fresh), time.Second)
+	require.Less(t, tr.now.Sub(v.Status().FreshAsOf), time.Second)
 }
 
 // FuzzReceived: nothing that comes ends the process.
@@ -370,7 +370,7 @@
 		if e := tr.voters[1].Status().Identity.Epoch; kind == wireRaft && len(b) >= 8 {
 			b = append(envelope{epoch: e}.append(nil)[2:10], b[8:]...)
 		}
-		tr.step(1, Received{0, append([]byte{wireVersion, kind}, b...)})
+		tr.step(1, MessageReceived{0, append([]byte{wireVersion, kind}, b...)})
 		tr.run(time.Second)
 	})
 }
@@ -380,11 +380,11 @@
 	v := fresh(t, 0, 100, start, false)
 	at := func(index uint64, size int, after time.Duration) bool {
 		v.now = start.Add(after)
-		return v.underway(&raftpb.Message{To: new(uint64(2)), Index: &index}, size)
+		return v.isLongAppendInFlight(&raftpb.Message{To: new(uint64(2)), Index: &index}, size)
 	}
-	require.False(t, at(7, longMessage, 0))
-	require.True(t, at(7, longMessage, 400*time.Millisecond))
-	require.False(t, at(7, longMessage-1, 400*time.Millisecond), "short")
-	require.False(t, at(7, longMessage, 600*time.Millisecond), "it may be lost")
-	require.False(t, at(8, longMessage, 650*time.Millisecond), "others")
+	require.False(t, at(7, longMessageBytes, 0))
+	require.True(t, at(7, longMessageBytes, 400*time.Millisecond))
+	require.False(t, at(7, longMessageBytes-1, 400*time.Millisecond), "short")
+	require.False(t, at(7, longMessageBytes, 600*time.Millisecond), "it may be lost")
+	require.False(t, at(8, longMessageBytes, 650*time.Millisecond), "others")
 }
--- a/fleet/consensus/fresh.go
+++ b/fleet/consensus/fresh.go
@@ -21,101 +21,101 @@
 // no two machines' clocks are compared: one may be off by any amount. A message that is late is no worse
 // than one that is lost.
 type freshness struct {
-	life uint64    // tells this process from others of the same voter, whose clock may have begun anew
-	at   time.Time // applied here
+	incarnation uint64    // tells this process from others of the same voter, whose clock may have begun anew
+	freshAsOf   time.Time // applied here
 
 	// told, not applied here yet
-	nextAt    time.Time
-	nextIndex uint64
+	pendingAsOf  time.Time
+	pendingIndex uint64
 
 	// a leader's
-	term   uint64
-	rounds []round              // not confirmed yet, oldest first
-	acked  map[uint64]uint64    // the last stamp that came back, by id
-	missed map[uint64]time.Time // when a round was not answered, by id
-	sent   [2]uint64            // the stamps of the last round that was begun, and of the one before
-	quorum round                // the last round that a quorum answered
-	asked  map[uint64][]ask     // readings of others that no such round has covered yet, oldest first
-	sure   map[uint64]ask       // the latest that one has
-
-	echo map[uint64]round // the last stamp of a leader, with its term as index, by its id
-	late time.Time        // when the last stamp came too long after the one before
+	term            uint64
+	unconfirmed     []heartbeatRound          // not confirmed yet, oldest first
+	acked           map[uint64]uint64         // the last stamp that came back, by id
+	missedRoundAt   map[uint64]time.Time      // when a round was not answered, by id
+	lastRounds      [2]uint64                 // the stamps of the last round that was begun, and of the one before
+	confirmed       heartbeatRound            // the last round that a quorum answered
+	pendingReadings map[uint64][]clockReading // readings of others that no such round has covered yet, oldest first
+	coveredReadings map[uint64]clockReading   // the latest that one has
+
+	leaderRound     map[uint64]heartbeatRound // the last stamp of a leader, with its term as index, by its id
+	lateHeartbeatAt time.Time                 // when the last stamp came too long after the one before
 }
 
-type round struct{ at, index uint64 }
+type heartbeatRound struct{ startedAt, index uint64 }
 
 // ask is a reading of another voter's clock, and when it came, by the leader's.
-type ask struct{ life, at, came uint64 }
+type clockReading struct{ incarnation, reading, receivedAt uint64 }
 
-const roundsKept, asksKept = 64, 16
+const maxUnconfirmedRounds, maxPendingReadings = 64, 16
 
 // lead makes a leader's book new in each term.
-func (f *freshness) lead(term uint64) {
+func (f *freshness) beginTerm(term uint64) {
 	if f.term != term {
-		f.term, f.rounds, f.acked, f.quorum, f.sent = term, nil, map[uint64]uint64{}, round{}, [2]uint64{}
-		f.missed = map[uint64]time.Time{}
-		f.asked, f.sure = map[uint64][]ask{}, map[uint64]ask{}
+		f.term, f.unconfirmed, f.acked, f.confirmed, f.lastRounds = term, nil, map[uint64]uint64{}, heartbeatRound{}, [2]uint64{}
+		f.missedRoundAt = map[uint64]time.Time{}
+		f.pendingReadings, f.coveredReadings = map[uint64][]clockReading{}, map[uint64]clockReading{}
 	}
 }
 
 // asks notes another voter's reading. Where too many wait the latest is passed over: one comes with each
 // answer.
-func (f *freshness) asks(id uint64, a ask) {
-	if a.at > 0 && len(f.asked[id]) < asksKept {
-		f.asked[id] = append(f.asked[id], a)
+func (f *freshness) noteReading(id uint64, a clockReading) {
+	if a.reading > 0 && len(f.pendingReadings[id]) < maxPendingReadings {
+		f.pendingReadings[id] = append(f.pendingReadings[id], a)
 	}
 }
 
 // cover takes the readings that came before a round began which a quorum has answered.
-func (f *freshness) cover() {
-	for id, asks := range f.asked {
+func (f *freshness) coverReadings() {
+	for id, asks := range f.pendingReadings {
 		n := 0
-		for n < len(asks) && asks[n].came < f.quorum.at {
-			f.sure[id] = asks[n]
+		for n < len(asks) && asks[n].receivedAt < f.confirmed.startedAt {
+			f.coveredReadings[id] = asks[n]
 			n++
 		}
-		f.asked[id] = asks[n:]
+		f.pendingReadings[id] = asks[n:]
 	}
 }
 
 // begin notes a round; index is what is committed, 0 if nothing of the leader's own term is.
-func (f *freshness) begin(at, index uint64) {
-	if n := len(f.rounds); n > 0 && f.rounds[n-1].at == at {
+func (f *freshness) beginRound(at, index uint64) {
+	if n := len(f.unconfirmed); n > 0 && f.unconfirmed[n-1].startedAt == at {
 		return
 	}
-	f.sent = [2]uint64{at, f.sent[0]}
-	if f.rounds = append(f.rounds, round{at, index}); len(f.rounds) > roundsKept {
-		f.rounds = f.rounds[1:]
+	f.lastRounds = [2]uint64{at, f.lastRounds[0]}
+	if f.unconfirmed = append(f.unconfirmed, heartbeatRound{at, index}); len(f.unconfirmed) > maxUnconfirmedRounds {
+		f.unconfirmed = f.unconfirmed[1:]
 	}
 }
 
 // answered notes an answer, and returns whether a quorum has answered one more round.
-func (f *freshness) answered(self, id, at uint64, conf *raftpb.ConfState) bool {
+func (f *freshness) noteAck(self, id, at uint64, conf *raftpb.ConfState) bool {
 	if f.acked == nil || at <= f.acked[id] {
 		return false
 	}
 	f.acked[id] = at
-	by := min(f.quorumOf(self, conf.GetVoters()), f.quorumOf(self, conf.GetVotersOutgoing()))
-	for len(f.rounds) > 0 && f.rounds[0].at <= by {
-		f.quorum = f.rounds[0]
-		f.rounds = f.rounds[1:]
+	by := min(f.quorumStamp(self, conf.GetVoters()), f.quorumStamp(self, conf.GetVotersOutgoing()))
+	for len(f.unconfirmed) > 0 && f.unconfirmed[0].startedAt <= by {
+		f.confirmed = f.unconfirmed[0]
+		f.unconfirmed = f.unconfirmed[1:]
 	}
-	f.cover()
+	f.coverReadings()
 	return true
 }
 
 // lossy says whether a voter left a round unanswered not long ago. The round that is begun now has no answer
 // yet.
-func (f *freshness) lossy(id uint64, now time.Time, long time.Duration) bool {
-	if f.acked[id] < f.sent[1] {
-		f.missed[id] = now
+func (f *freshness) hasRecentLoss(id uint64, now time.Time, long time.Duration) bool {
+	if f.acked[id] < f.lastRounds[1] {
+		f.missedRoundAt[id] = now
 	}
-	at, is := f.missed[id]
+	at, is := f.missedRoundAt[id]
 	return is && now.Sub(at) < long
 }
 
-// quorumOf returns the latest stamp that a majority has answered. The leader itself has answered all.
-func (f *freshness) quorumOf(self uint64, ids []uint64) uint64 {
+// quorumStamp returns the latest stamp that a majority has answered. The leader itself has answered all.
+func (f *freshness) quorumStamp(self uint64, ids []uint64) uint64 {
 	if len(ids) == 0 {
 		return ^uint64(0)
 	}
@@ -132,14 +132,14 @@
 }
 
 // tell takes what a leader says.
-func (f *freshness) tell(at time.Time, index uint64) {
-	if index > 0 && at.After(f.nextAt) {
-		f.nextAt, f.nextIndex = at, index
+func (f *freshness) noteCovered(at time.Time, index uint64) {
+	if index > 0 && at.After(f.pendingAsOf) {
+		f.pendingAsOf, f.pendingIndex = at, index
 	}
 }
 
-func (f *freshness) settle(applied uint64) {
-	if applied >= f.nextIndex && f.nextAt.After(f.at) {
-		f.at = f.nextAt
+func (f *freshness) advance(applied uint64) {
+	if applied >= f.pendingIndex && f.pendingAsOf.After(f.freshAsOf) {
+		f.freshAsOf = f.pendingAsOf
 	}
 }
--- a/fleet/consensus/golden_test.go
+++ b/fleet/consensus/golden_test.go
@@ -16,22 +16,22 @@
 func TestGoldenMessages(t *testing.T) {
 	const epoch = 1_800_000_000_000
 	founders := []member{{1, 0, epoch}, {2, 100, epoch + 1}, {3, 299, epoch + 2}}
-	h := hello{nonce: epoch + 5, epoch: epoch, id: 9, promise: 3, seen: epoch + 1, standing: hasStuckLog, answer: true}
+	h := hello{nonce: epoch + 5, epoch: epoch, id: 9, promisedNonce: 3, highestEpochSeen: epoch + 1, state: stuckLog, isReply: true}
 	for name, h := range map[string]hello{"hello": h, "hello-new": {nonce: epoch}} {
 		encoded := golden.Bytes(t, name, h.encode())
 		require.Equal(t, []byte{wireVersion, wireHello}, encoded[:2])
 		r := &reader{b: encoded[2:]}
 		back := readHello(r)
-		require.False(t, r.bad || len(r.b) > 0)
+		require.False(t, r.tooShort || len(r.b) > 0)
 		require.Equal(t, h, back)
 		require.Equal(t, encoded, back.encode())
 	}
-	file := golden.Bytes(t, "relay", h.relay(299))
+	file := golden.Bytes(t, "relay", h.encodeRelay(299))
 	require.Equal(t, []byte{wireVersion, wireRelay}, file[:2])
 	r := &reader{b: file[2:]}
 	from, back := r.u32(), readHello(r)
-	require.False(t, r.bad || len(r.b) > 0)
-	require.Equal(t, file, back.relay(from))
+	require.False(t, r.tooShort || len(r.b) > 0)
+	require.Equal(t, file, back.encodeRelay(from))
 
 	for name, w := range map[string]welcome{
 		"welcome":         {nonce: epoch + 5, epoch: epoch, id: 9},
@@ -41,15 +41,15 @@
 		require.Equal(t, []byte{wireVersion, wireWelcome}, encoded[:2])
 		body := &reader{b: encoded[2:]}
 		read := readWelcome(body)
-		require.False(t, body.bad || len(body.b) > 0)
+		require.False(t, body.tooShort || len(body.b) > 0)
 		require.Equal(t, w, read)
 		require.Equal(t, encoded, read.encode())
 	}
-	file = golden.Bytes(t, "gone", gone{epoch, 9}.encode())
-	require.Equal(t, []byte{wireVersion, wireGone}, file[:2])
+	file = golden.Bytes(t, "gone", removed{epoch, 9}.encode())
+	require.Equal(t, []byte{wireVersion, wireRemoved}, file[:2])
 	r = &reader{b: file[2:]}
-	require.Equal(t, file, gone{r.u64(), r.u64()}.encode())
-	require.False(t, r.bad || len(r.b) > 0)
+	require.Equal(t, file, removed{r.u64(), r.u64()}.encode())
+	require.False(t, r.tooShort || len(r.b) > 0)
 }
 
 // rewritten is a message of raft's that was read and written again.
@@ -87,12 +87,12 @@
 	tr.sent = note
 	tr.run(5 * time.Second)
 	leader := tr.leader()
-	id := ID{7, 1, tr.voters[0].Status().Applied}
+	id := ProposalID{7, 1, tr.voters[0].Status().AppliedIndex}
 	follower := (leader + 1) % 3
 	require.NoError(t, tr.step(follower, Propose{id, []byte("a record")}))
-	require.NoError(t, tr.step(leader, Withdraw{ID{7, 2, id.Base}}))
+	require.NoError(t, tr.step(leader, Withdraw{ProposalID{7, 2, id.Base}}))
 	tr.run(time.Second)
-	require.NoError(t, tr.step(leader, Compact{tr.voters[leader].Status().Applied, []byte("above")}))
+	require.NoError(t, tr.step(leader, Compact{tr.voters[leader].Status().AppliedIndex, []byte("above")}))
 	tr.voters[follower] = fresh(t, follower, 1000, tr.now, false)
 	tr.run(20 * time.Second)
 	require.GreaterOrEqual(t, len(first), 12)
@@ -104,25 +104,25 @@
 
 // TestGoldenLog: what the log and its snapshots hold keeps its bytes, and is read from them as it was.
 func TestGoldenLog(t *testing.T) {
-	id := ID{1 << 60, 300, 70_000}
+	id := ProposalID{1 << 60, 300, 70_000}
 	for kind, name := range map[byte]string{kindProposal: "record", kindWithdrawal: "record-withdrawal"} {
-		file := golden.Bytes(t, name, record(kind, id, []byte("data")))
+		file := golden.Bytes(t, name, encodeRecord(kind, id, []byte("data")))
 		require.Equal(t, id, readID(file[1:]))
-		require.Equal(t, file, record(file[0], readID(file[1:]), file[recordHead:]))
+		require.Equal(t, file, encodeRecord(file[0], readID(file[1:]), file[recordHeaderBytes:]))
 	}
 	const epoch = 1_800_000_000_000
 	ms := []member{{1, 0, epoch}, {2, 100, epoch + 1}, {4, 299, epoch + 2}}
-	tb := table{founders: ms[:2], members: ms, next: 5}
-	tb.settle(ID{1, 2, 3}, 4, true)
-	tb.settle(ID{1, 3, 3}, 5, false)
-	for name, tb := range map[string]table{"snapshot": tb, "snapshot-first": {founders: ms, members: ms, next: 4}} {
+	tb := logState{founders: ms[:2], members: ms, nextID: 5}
+	tb.settle(ProposalID{1, 2, 3}, 4, true)
+	tb.settle(ProposalID{1, 3, 3}, 5, false)
+	for name, tb := range map[string]logState{"snapshot": tb, "snapshot-first": {founders: ms, members: ms, nextID: 4}} {
 		file := golden.Bytes(t, name, tb.encode([]byte("state above")))
-		back, above, err := decodeTable(file)
+		back, above, err := decodeLogState(file)
 		require.NoError(t, err)
 		require.Equal(t, "state above", string(above))
 		require.Equal(t, file, back.encode(above))
 	}
-	b, err := proto.MarshalOptions{Deterministic: true}.Marshal(firstSnapshot(ms))
+	b, err := proto.MarshalOptions{Deterministic: true}.Marshal(foundingSnapshot(ms))
 	require.NoError(t, err)
 	golden.Bytes(t, "snapshot-of-founders", b)
 }
--- a/fleet/consensus/voterlab/faults.go
+++ b/fleet/consensus/voterlab/faults.go
@@ -31,12 +31,12 @@
 		l.isolate(a, true)
 		l.World.At(end, func() { l.isolate(a, false) })
 	case 3, 4:
-		l.rough()
+		l.degradeNetwork()
 	case 5:
 		l.World.Pause(a)
 		l.World.At(end, func() { l.World.Resume(a) })
 	case 6:
-		l.World.Clock(a, ahead(a)+time.Duration(l.random.Int64N(int64(clockError)))-clockError/2)
+		l.World.SetClock(a, clockOffset(a)+time.Duration(l.random.Int64N(int64(clockError)))-clockError/2)
 	case 7, 8:
 		l.end(a, end)
 	case 9:
@@ -45,24 +45,24 @@
 			l.World.Start(a)
 		}
 	case 10:
-		l.rename()
+		l.replaceVoter()
 	}
 }
 
 // rough makes the whole network bad.
-func (l *Lab) rough() {
+func (l *Lab) degradeNetwork() {
 	loss, double, late := l.random.Float64()*0.4, l.random.Float64()*0.3, l.random.Float64()*0.3
 	corrupt := l.random.Float64() * 0.02
-	l.World.All(func(k *arena.Link) {
+	l.World.ChangeAll(func(k *arena.Link) {
 		*k = arena.Link{
-			Cut: k.Cut, Loss: loss, Double: double, Late: late, Lateness: 3 * time.Second, Corrupt: corrupt,
+			Cut: k.Cut, Loss: loss, Duplicate: double, Late: late, Lateness: 3 * time.Second, Corrupt: corrupt,
 			Delay: time.Millisecond, Jitter: 30 * time.Millisecond,
 		}
 	})
 }
 
 func (l *Lab) isolate(a uint32, cut bool) {
-	l.World.Links(func(from, to uint32, k *arena.Link) {
+	l.World.ChangeEach(func(from, to uint32, k *arena.Link) {
 		if from == a || to == a {
 			k.Cut = cut
 		}
@@ -71,7 +71,7 @@
 
 // end ends a process and starts it again, with what its disk has.
 func (l *Lab) end(a uint32, again time.Time) {
-	if !l.World.Running(a) || l.opts.Volatile && !l.Healthy() {
+	if !l.World.IsRunning(a) || l.opts.Volatile && !l.Healthy() {
 		return
 	}
 	if h := l.hosts[a]; h.writing != nil && l.random.IntN(2) == 0 {
@@ -85,7 +85,7 @@
 }
 
 // rename names the spare agent instead of one of the voters.
-func (l *Lab) rename() {
+func (l *Lab) replaceVoter() {
 	if !l.Healthy() || l.opts.Agents == l.opts.Voters {
 		return
 	}
--- a/fleet/consensus/voterlab/figures_test.go
+++ b/fleet/consensus/voterlab/figures_test.go
@@ -16,9 +16,9 @@
 	for _, voters := range []int{3, 5, 7} {
 		l := New(Options{Voters: voters, Pace: -1})
 		l.World.Run(Start.Add(20 * time.Second))
-		before := l.World.Counts()
+		before := l.World.Traffic()
 		l.World.Run(Start.Add(120 * time.Second))
-		c := l.World.Counts()
+		c := l.World.Traffic()
 		messages, bytes := float64(c.Datagrams-before.Datagrams)/100, float64(c.Bytes-before.Bytes)/100
 		t.Logf("%d voters, quiet: %.1f datagrams and %.0f bytes a second in all", voters, messages, bytes)
 		require.Less(t, messages, 12*float64(voters))
@@ -63,7 +63,7 @@
 			id, _ := l.Ask(leader, 0, 1)
 			from := l.World.Now()
 			took := wait(func() bool {
-				return l.Outcome(leader, id) == consensus.Taken || l.World.Now().Sub(from) > 10*time.Second
+				return l.Outcome(leader, id) == consensus.Committed || l.World.Now().Sub(from) > 10*time.Second
 			})
 			commit = append(commit, took)
 		}
--- a/fleet/consensus/voterlab/host.go
+++ b/fleet/consensus/voterlab/host.go
@@ -28,17 +28,17 @@
 	if p.Identity != nil {
 		s.Identity = *p.Identity
 	}
-	if p.Hard != nil {
-		s.Hard = p.Hard
+	if p.HardState != nil {
+		s.HardState = p.HardState
 	}
 	if p.Snapshot != nil {
 		s.Snapshot = p.Snapshot
 	}
-	if p.Replace {
+	if p.ReplaceEntries {
 		s.Entries = nil
 	}
 	s.Entries = slices.DeleteFunc(slices.Clone(s.Entries), func(e *raftpb.Entry) bool {
-		return e.GetIndex() <= p.DropTo || len(p.Entries) > 0 && e.GetIndex() >= p.Entries[0].GetIndex()
+		return e.GetIndex() <= p.DropThrough || len(p.Entries) > 0 && e.GetIndex() >= p.Entries[0].GetIndex()
 	})
 	s.Entries = append(s.Entries, p.Entries...)
 }
@@ -48,7 +48,7 @@
 	lab     *Lab
 	agent   uint32
 	voter   *consensus.Voter
-	carrier *pieces.Carrier
+	carrier *pieces.Transport
 	disk    *Disk
 	writing *consensus.Persist
 	written time.Time
@@ -88,41 +88,41 @@
 }
 
 func (l *Lab) start(agent uint32, now time.Time) arena.Process {
-	l.lives++
-	life := uint64(l.World.Now().UnixNano()) + l.lives
+	l.incarnations++
+	life := uint64(l.World.Now().UnixNano()) + l.incarnations
 	d := l.disks[agent]
 	if l.opts.Volatile || d == nil {
 		d = &Disk{}
 	}
 	l.disks[agent] = d
 	v, err := consensus.New(consensus.Config{
-		Agent: agent, Voters: l.named, Nonce: life, Seed: l.opts.Seed + l.lives,
+		Agent: agent, Voters: l.named, Nonce: life, Seed: l.opts.Seed + l.incarnations,
 		Volatile: l.opts.Volatile,
 	}, now, d.stored)
 	if err != nil {
-		l.breach("agent %d does not start: %v", agent, err)
-		empty := consensus.Config{Agent: agent, Voters: l.named, Nonce: l.lives}
+		l.addViolation("agent %d does not start: %v", agent, err)
+		empty := consensus.Config{Agent: agent, Voters: l.named, Nonce: l.incarnations}
 		v, _ = consensus.New(empty, now, consensus.Stored{})
 	}
 	h := &host{lab: l, agent: agent, voter: v, disk: d, named: l.named, carrier: pieces.New(pieces.Config{
 		Agents: l.opts.Agents, Incarnation: life,
 	})}
 	l.hosts[agent] = h
-	h.step(now, consensus.Passed{})
+	h.step(now, consensus.TimePassed{})
 	return h
 }
 
 // Receive, Wake, Next and Out make it a process of the arena.
 func (h *host) Receive(now time.Time, from uint32, datagram []byte) {
 	for _, m := range h.carrier.Receive(now, from, datagram) {
-		h.step(now, consensus.Received{From: from, Bytes: m.Bytes})
+		h.step(now, consensus.MessageReceived{From: from, Bytes: m.Bytes})
 	}
 }
 
 func (h *host) Wake(now time.Time) {
 	if !slices.Equal(h.named, h.lab.named) {
 		h.named = h.lab.named
-		_ = h.step(now, consensus.Name{Voters: h.named})
+		_ = h.step(now, consensus.SetVoters{Voters: h.named})
 	}
 	if h.writing != nil && !now.Before(h.written) {
 		p := h.writing
@@ -130,7 +130,7 @@
 		h.disk.write(p)
 		h.step(now, consensus.Persisted{Token: p.Token})
 	}
-	h.step(now, consensus.Passed{})
+	h.step(now, consensus.TimePassed{})
 }
 
 func (h *host) Next() time.Time {
@@ -155,7 +155,7 @@
 	out := h.voter.Step(now, in)
 	if out.Persist != nil {
 		if h.writing != nil {
-			h.lab.breach("agent %d: a write before the last one was done", h.agent)
+			h.lab.addViolation("agent %d: a write before the last one was done", h.agent)
 		}
 		h.writing = out.Persist
 		h.written = now.Add(h.lab.writeTime())
@@ -163,15 +163,15 @@
 	for _, m := range out.Messages {
 		h.lab.messages++
 		if err := h.carrier.Send(now, m.To, 1, m.Bytes); err != nil {
-			h.lab.breach("agent %d: %d bytes for %d: %v", h.agent, len(m.Bytes), m.To, err)
+			h.lab.addViolation("agent %d: %d bytes for %d: %v", h.agent, len(m.Bytes), m.To, err)
 		}
 	}
 	h.take(out)
-	if out.WantSnapshot || h.since > h.lab.opts.SnapshotAfter && h.voter.Status().Phase != consensus.Seeking {
+	if out.SnapshotWanted || h.since > h.lab.opts.SnapshotAfter && h.voter.Status().Phase != consensus.Seeking {
 		h.since = 0
 		next := h.voter.Step(now, consensus.Compact{Index: h.index(), Data: h.state.encode()})
 		if next.Err != nil {
-			h.lab.breach("agent %d: snapshot: %v", h.agent, next.Err)
+			h.lab.addViolation("agent %d: snapshot: %v", h.agent, next.Err)
 		}
 		h.again(now, next)
 	}
@@ -182,7 +182,7 @@
 func (h *host) again(now time.Time, out consensus.Output) {
 	if out.Persist != nil {
 		if h.writing != nil {
-			h.lab.breach("agent %d: a write before the last one was done", h.agent)
+			h.lab.addViolation("agent %d: a write before the last one was done", h.agent)
 		}
 		h.writing, h.written = out.Persist, now.Add(h.lab.writeTime())
 	}
@@ -192,7 +192,7 @@
 	h.take(out)
 }
 
-func (h *host) index() uint64 { return h.voter.Status().Applied }
+func (h *host) index() uint64 { return h.voter.Status().AppliedIndex }
 
 func (h *host) take(out consensus.Output) {
 	if r := out.Restore; r != nil {
@@ -207,7 +207,7 @@
 
 func (h *host) apply(e consensus.Entry) {
 	if e.Index <= h.state.index {
-		h.lab.breach("agent %d: record %d after %d", h.agent, e.Index, h.state.index)
+		h.lab.addViolation("agent %d: record %d after %d", h.agent, e.Index, h.state.index)
 	}
 	h.state.index = e.Index
 	sum := fnv.New64a()
--- a/fleet/consensus/voterlab/judge.go
+++ b/fleet/consensus/voterlab/judge.go
@@ -11,12 +11,12 @@
 	h := l.hosts[a]
 	s := h.voter.Status()
 	if s.Err != nil {
-		l.breach("agent %d broke: %v", a, s.Err)
+		l.addViolation("agent %d broke: %v", a, s.Err)
 	}
 	if s.Phase == consensus.Leading {
 		at := place{s.Identity.Epoch, s.Term}
 		if id, is := l.leaders[at]; is && id != s.Identity.ID {
-			l.breach("epoch %d has two leaders in term %d: %d and %d", at.epoch, at.at, id, s.Identity.ID)
+			l.addViolation("epoch %d has two leaders in term %d: %d and %d", at.epoch, at.at, id, s.Identity.ID)
 		}
 		l.leaders[at] = s.Identity.ID
 	}
@@ -27,19 +27,19 @@
 // that: no two are alike, as clocks that begin with the machine are not.
 const clockError = 20 * time.Millisecond
 
-func ahead(a uint32) time.Duration { return -time.Duration(a) * 10 * 365 * 24 * time.Hour }
+func clockOffset(a uint32) time.Duration { return -time.Duration(a) * 10 * 365 * 24 * time.Hour }
 
 // checkFresh: what was told as taken before the instant is applied here.
 func (l *Lab) checkFresh(h *host, s consensus.Status) {
-	if s.Fresh.IsZero() {
+	if s.FreshAsOf.IsZero() {
 		return
 	}
-	for i := len(l.told) - 1; i >= 0 && i > len(l.told)-50; i-- {
-		t := l.told[i]
-		at := t.at.Add(ahead(h.agent) + clockError) // by the voter's own clock
-		if t.epoch == s.Identity.Epoch && at.Before(s.Fresh) && s.Applied < t.place.at {
-			l.breach("agent %d is fresh as of %v, but has not applied %d, told at %v", h.agent,
-				s.Fresh.Sub(Start), t.place.at, t.at.Sub(Start))
+	for i := len(l.acknowledged) - 1; i >= 0 && i > len(l.acknowledged)-50; i-- {
+		t := l.acknowledged[i]
+		at := t.at.Add(clockOffset(h.agent) + clockError) // by the voter's own clock
+		if t.epoch == s.Identity.Epoch && at.Before(s.FreshAsOf) && s.AppliedIndex < t.place.at {
+			l.addViolation("agent %d is fresh as of %v, but has not applied %d, told at %v", h.agent,
+				s.FreshAsOf.Sub(Start), t.place.at, t.at.Sub(Start))
 		}
 	}
 }
@@ -49,15 +49,15 @@
 	l.epochs[h.epoch] = true
 	at := place{h.epoch, e.Index}
 	if c, is := l.chains[at]; is && c != h.state.chain {
-		l.breach("agent %d has another record %d than others", h.agent, e.Index)
+		l.addViolation("agent %d has another record %d than others", h.agent, e.Index)
 	}
 	l.chains[at] = h.state.chain
 	epoch := place{epoch: h.epoch}
 	if l.done[epoch] == nil {
-		l.done[epoch] = map[consensus.ID]uint64{}
+		l.done[epoch] = map[consensus.ProposalID]uint64{}
 	}
 	if i, is := l.done[epoch][e.ID]; is && i != e.Index {
-		l.breach("proposal %v is done twice: at %d and %d", e.ID, i, e.Index)
+		l.addViolation("proposal %v is done twice: at %d and %d", e.ID, i, e.Index)
 	}
 	l.done[epoch][e.ID] = e.Index
 	l.results[e.ID] = value
@@ -68,7 +68,7 @@
 	for i := h.state.index; i > 0 && i+100 > h.state.index; i-- {
 		if c, is := l.chains[place{h.epoch, i}]; is {
 			if c != h.state.chain {
-				l.breach("agent %d is given another state at %d than others had", h.agent, h.state.index)
+				l.addViolation("agent %d is given another state at %d than others had", h.agent, h.state.index)
 			}
 			return
 		}
@@ -82,7 +82,7 @@
 	l.Calm()
 	for a := range l.hosts {
 		l.World.Resume(uint32(a))
-		l.World.Clock(uint32(a), ahead(uint32(a)))
+		l.World.SetClock(uint32(a), clockOffset(uint32(a)))
 	}
 	for _, a := range l.named {
 		l.World.Start(a)
@@ -90,20 +90,20 @@
 	began := l.World.Now()
 	for !l.Healthy() {
 		if l.World.Now().Sub(began) > within {
-			l.breach("not healthy %v after the faults", within)
+			l.addViolation("not healthy %v after the faults", within)
 			l.explain()
 			return within
 		}
 		l.World.Run(l.World.Now().Add(50 * time.Millisecond))
 	}
 	took := l.World.Now().Sub(began)
-	before := l.told
+	before := l.acknowledged
 	l.checkProposal()
 	for _, a := range l.named {
 		s, _ := l.Status(a)
 		for _, t := range before {
-			if t.epoch == s.Identity.Epoch && s.Applied < t.place.at {
-				l.breach("agent %d lacks %d, which was told as taken", a, t.place.at)
+			if t.epoch == s.Identity.Epoch && s.AppliedIndex < t.place.at {
+				l.addViolation("agent %d lacks %d, which was told as taken", a, t.place.at)
 			}
 		}
 	}
@@ -113,7 +113,7 @@
 func (l *Lab) checkProposal() {
 	leader, ok := l.Leader()
 	if !ok {
-		l.breach("healthy without a leader")
+		l.addViolation("healthy without a leader")
 		return
 	}
 	id, err := l.Ask(leader, 0, 1<<40)
@@ -121,19 +121,19 @@
 	l.calls = append(l.calls, c)
 	l.World.Run(l.World.Now().Add(5 * time.Second))
 	for _, a := range l.named {
-		if l.Outcome(a, id) != consensus.Taken {
-			l.breach("agent %d does not have a proposal after 5 s: %v", a, err)
+		if l.Outcome(a, id) != consensus.Committed {
+			l.addViolation("agent %d does not have a proposal after 5 s: %v", a, err)
 			l.explain()
 		}
 	}
 }
 
 func (l *Lab) explain() {
-	l.breach("named %v", l.named)
+	l.addViolation("named %v", l.named)
 	for a := range l.hosts {
 		if s, ok := l.Status(uint32(a)); ok {
-			l.breach("agent %d: %v %+v term %d leader %v %v applied %d commit %d members %+v, %d dropped", a, s.Phase,
-				s.Identity, s.Term, s.Leader, s.HasLeader, s.Applied, s.Commit, s.Members, s.Dropped)
+			l.addViolation("agent %d: %v %+v term %d leader %v %v applied %d commit %d members %+v, %d dropped", a, s.Phase,
+				s.Identity, s.Term, s.Leader, s.HasLeader, s.AppliedIndex, s.CommitIndex, s.Members, s.Dropped)
 		}
 	}
 }
--- a/fleet/consensus/voterlab/lab.go
+++ b/fleet/consensus/voterlab/lab.go
@@ -30,31 +30,31 @@
 
 // Lab is a run.
 type Lab struct {
-	World *arena.World
-
-	opts     Options
-	random   *rand.Rand
-	named    []uint32
-	disks    []*Disk
-	hosts    []*host
-	lives    uint64
-	messages uint64
-	breaches []string
-
-	chains  map[place]uint64                  // of the record at an index
-	results map[consensus.ID]uint64           // what a read found
-	leaders map[place]uint64                  // ids, by epoch and term
-	done    map[place]map[consensus.ID]uint64 // indexes, by epoch
-	told    []told
-	calls   []*call
-	epochs  map[uint64]bool
-	number  uint64
+	World *arena.Cluster
+
+	opts         Options
+	random       *rand.Rand
+	named        []uint32
+	disks        []*Disk
+	hosts        []*host
+	incarnations uint64
+	messages     uint64
+	violations   []string
+
+	chains       map[place]uint64                          // of the record at an index
+	results      map[consensus.ProposalID]uint64           // what a read found
+	leaders      map[place]uint64                          // ids, by epoch and term
+	done         map[place]map[consensus.ProposalID]uint64 // indexes, by epoch
+	acknowledged []acknowledged
+	calls        []*call
+	epochs       map[uint64]bool
+	number       uint64
 }
 
 type place struct{ epoch, at uint64 }
 
 // told is what a client was told as taken, and when.
-type told struct {
+type acknowledged struct {
 	at time.Time
 	place
 }
@@ -62,7 +62,7 @@
 // call is a client's.
 type call struct {
 	op           op
-	id           consensus.ID
+	id           consensus.ProposalID
 	client       int
 	from, to     time.Time
 	done, absent bool
@@ -91,17 +91,17 @@
 	}
 	l := &Lab{
 		opts: o, random: rand.New(rand.NewPCG(o.Seed, 0x1ab)), disks: make([]*Disk, o.Agents),
-		hosts: make([]*host, o.Agents), chains: map[place]uint64{}, results: map[consensus.ID]uint64{},
-		leaders: map[place]uint64{}, done: map[place]map[consensus.ID]uint64{}, epochs: map[uint64]bool{},
+		hosts: make([]*host, o.Agents), chains: map[place]uint64{}, results: map[consensus.ProposalID]uint64{},
+		leaders: map[place]uint64{}, done: map[place]map[consensus.ProposalID]uint64{}, epochs: map[uint64]bool{},
 	}
 	for a := range o.Voters {
 		l.named = append(l.named, uint32(a))
 	}
-	l.World = arena.New(o.Seed, Start, o.Agents, l.start)
-	l.World.After = l.check
+	l.World = arena.NewCluster(o.Seed, Start, o.Agents, l.start)
+	l.World.AfterStep = l.check
 	l.Calm()
 	for a := range uint32(o.Agents) {
-		l.World.Clock(a, ahead(a))
+		l.World.SetClock(a, clockOffset(a))
 	}
 	for _, a := range l.named {
 		l.World.Start(a)
@@ -116,7 +116,7 @@
 
 // Calm ends all faults of the network but the loss that the options ask for.
 func (l *Lab) Calm() {
-	l.World.All(func(k *arena.Link) {
+	l.World.ChangeAll(func(k *arena.Link) {
 		*k = arena.Link{Loss: l.opts.Loss, Delay: 500 * time.Microsecond, Jitter: time.Millisecond}
 	})
 }
@@ -125,21 +125,21 @@
 	return time.Duration(l.random.Int64N(int64(l.opts.WriteTime))) + time.Microsecond
 }
 
-func (l *Lab) breach(format string, args ...any) {
-	if len(l.breaches) < 20 {
-		l.breaches = append(l.breaches, l.World.Now().Sub(Start).String()+" "+fmt.Sprintf(format, args...))
+func (l *Lab) addViolation(format string, args ...any) {
+	if len(l.violations) < 20 {
+		l.violations = append(l.violations, l.World.Now().Sub(Start).String()+" "+fmt.Sprintf(format, args...))
 	}
 }
 
-// Breaches are what was seen of promises that were not kept, with their times.
-func (l *Lab) Breaches() []string { return l.breaches }
+// Violations are what was seen of promises that were not kept, with their times.
+func (l *Lab) Violations() []string { return l.violations }
 
 // Messages returns how many messages voters have sent each other.
 func (l *Lab) Messages() uint64 { return l.messages }
 
 // Status returns what an agent's voter says; ok is false if there is none.
 func (l *Lab) Status(a uint32) (s consensus.Status, ok bool) {
-	if !l.World.Running(a) {
+	if !l.World.IsRunning(a) {
 		return s, false
 	}
 	return l.hosts[a].voter.Status(), true
@@ -150,7 +150,7 @@
 	var best consensus.Status
 	for a := range l.hosts {
 		s, is := l.Status(uint32(a))
-		if is && s.Phase == consensus.Leading && !l.World.Paused(uint32(a)) &&
+		if is && s.Phase == consensus.Leading && !l.World.IsPaused(uint32(a)) &&
 			(s.Identity.Epoch > best.Identity.Epoch || s.Identity.Epoch == best.Identity.Epoch && s.Term > best.Term) {
 			agent, best, ok = uint32(a), s, true
 		}
@@ -195,18 +195,18 @@
 }
 
 // Ask has an agent propose a write, and returns its ID; call Propose again with it to ask again.
-func (l *Lab) Ask(a uint32, key uint8, value uint64) (id consensus.ID, err error) {
+func (l *Lab) Ask(a uint32, key uint8, value uint64) (id consensus.ProposalID, err error) {
 	l.number++
-	id = consensus.ID{Origin: 99, Number: l.number, Base: l.hosts[a].index()}
-	l.World.Do(a, func(p arena.Process, now time.Time) {
+	id = consensus.ProposalID{Origin: 99, Number: l.number, Base: l.hosts[a].index()}
+	l.World.Call(a, func(p arena.Process, now time.Time) {
 		err = p.(*host).step(now, consensus.Propose{ID: id, Data: op{true, key, value}.encode()})
 	})
 	return id, err
 }
 
 // Outcome is what an agent's voter knows of a proposal.
-func (l *Lab) Outcome(a uint32, id consensus.ID) consensus.Outcome {
-	if !l.World.Running(a) {
+func (l *Lab) Outcome(a uint32, id consensus.ProposalID) consensus.Outcome {
+	if !l.World.IsRunning(a) {
 		return consensus.Unknown
 	}
 	o, _ := l.hosts[a].voter.Outcome(id)
@@ -220,11 +220,11 @@
 		op: op{l.random.IntN(3) > 0, uint8(l.random.IntN(keys)), l.number}, client: n, from: l.World.Now(),
 	}
 	a := l.named[l.random.IntN(len(l.named))]
-	if !l.World.Running(a) || l.hosts[a].epoch == 0 {
+	if !l.World.IsRunning(a) || l.hosts[a].epoch == 0 {
 		l.World.At(l.World.Now().Add(l.opts.Pace), func() { l.client(n) })
 		return
 	}
-	c.id = consensus.ID{Origin: uint64(n), Number: l.number, Base: l.hosts[a].index()}
+	c.id = consensus.ProposalID{Origin: uint64(n), Number: l.number, Base: l.hosts[a].index()}
 	l.calls = append(l.calls, c)
 	l.ask(c, a, 0)
 }
@@ -239,21 +239,21 @@
 	again := func() { l.client(c.client) }
 	var o consensus.Outcome
 	var index uint64
-	l.World.Do(a, func(p arena.Process, now time.Time) {
+	l.World.Call(a, func(p arena.Process, now time.Time) {
 		h := p.(*host)
 		if times%10 == 0 {
 			_ = h.step(now, consensus.Propose{ID: c.id, Data: c.op.encode()})
 		} else if times == 45 {
 			_ = h.step(now, consensus.Withdraw{ID: c.id})
 		}
-		if o, index = h.voter.Outcome(c.id); o == consensus.Taken {
-			l.told = append(l.told, told{l.World.Now(), place{h.epoch, index}})
+		if o, index = h.voter.Outcome(c.id); o == consensus.Committed {
+			l.acknowledged = append(l.acknowledged, acknowledged{l.World.Now(), place{h.epoch, index}})
 		}
 	})
 	switch {
-	case o == consensus.Taken:
+	case o == consensus.Committed:
 		c.done, c.result = true, l.results[c.id]
-	case o == consensus.NotTaken:
+	case o == consensus.NotCommitted:
 		c.done, c.absent = true, true
 	case times >= askMost:
 	default:
--- a/fleet/consensus/voterlab/voterlab_test.go
+++ b/fleet/consensus/voterlab/voterlab_test.go
@@ -38,7 +38,7 @@
 			for seed := range seeds(c.few, 30*c.few) {
 				o := Options{Seed: uint64(seed), Voters: c.voters, Volatile: c.volatile}
 				l := hunt(o, time.Duration(seeds(20, 40))*time.Second)
-				require.Empty(t, l.Breaches(), "seed %d", seed)
+				require.Empty(t, l.Violations(), "seed %d", seed)
 				require.Equal(t, 1, l.Epochs(), "seed %d", seed)
 				require.True(t, l.Linearizable(), "seed %d", seed)
 			}
@@ -51,7 +51,7 @@
 	play := func(seed uint64) (string, int) {
 		l := hunt(Options{Seed: seed, Voters: 5}, 30*time.Second)
 		taken, not, unknown := l.Taken()
-		return fmt.Sprint(l.World.Now(), l.World.Counts(), l.leaders, l.told, not, unknown), taken
+		return fmt.Sprint(l.World.Now(), l.World.Traffic(), l.leaders, l.acknowledged, not, unknown), taken
 	}
 	first, taken := play(3)
 	require.Greater(t, taken, 50)
@@ -68,7 +68,7 @@
 		l.World.Run(Start.Add(5 * time.Second))
 		old, ok := l.Leader()
 		require.True(t, ok)
-		l.World.Links(func(from, to uint32, k *arena.Link) {
+		l.World.ChangeEach(func(from, to uint32, k *arena.Link) {
 			k.Cut = from == old || to == old && seed%2 == 0 // every other time it still hears the others
 		})
 		l.World.Run(l.World.Now().Add(4 * time.Second))
@@ -80,9 +80,9 @@
 		id, err := l.Ask(now, 1, 5)
 		require.NoError(t, err)
 		l.World.Run(l.World.Now().Add(time.Second))
-		require.Equal(t, consensus.Taken, l.Outcome(now, id))
+		require.Equal(t, consensus.Committed, l.Outcome(now, id))
 		l.Settle(10 * time.Second)
-		require.Empty(t, l.Breaches())
+		require.Empty(t, l.Violations())
 	}
 }
 
@@ -98,7 +98,7 @@
 		}
 		l.World.Run(l.World.Now().Add(time.Second))
 		l.Settle(20 * time.Second)
-		require.Empty(t, l.Breaches())
+		require.Empty(t, l.Violations())
 		after, _ := l.Status(0)
 		require.Equal(t, volatile, after.Identity.Epoch > before.Identity.Epoch)
 	}
--- a/fleet/consensus/wire.go
+++ b/fleet/consensus/wire.go
@@ -12,19 +12,19 @@
 	wireRaft    = 1 // a message of raft's
 	wireHello   = 2 // who one is, and what one has
 	wireWelcome = 3 // to a store that was added: its number
-	wireGone    = 4 // to one that was removed
+	wireRemoved = 4 // to one that was removed
 	wireRelay   = 5 // a hello of another agent's that has nothing, passed on to the leader
 )
 
 // reader takes numbers off the front; bad says that there were too few bytes.
 type reader struct {
-	b   []byte
-	bad bool
+	b        []byte
+	tooShort bool
 }
 
 func (r *reader) take(n int) []byte {
-	if r.bad || len(r.b) < n {
-		r.bad = true
+	if r.tooShort || len(r.b) < n {
+		r.tooShort = true
 		return make([]byte, n)
 	}
 	b := r.b[:n]
@@ -42,20 +42,20 @@
 // own clock and which of its processes read it: in an answer to a heartbeat, and told again by the leader
 // once all that had been agreed by then is within index (see fresh.go).
 type envelope struct {
-	epoch, round, life, at, index uint64
+	epoch, round, incarnation, reading, index uint64
 }
 
 func (e envelope) append(b []byte) []byte {
 	b = append(b, wireVersion, wireRaft)
-	for _, n := range [...]uint64{e.epoch, e.round, e.life, e.at, e.index} {
+	for _, n := range [...]uint64{e.epoch, e.round, e.incarnation, e.reading, e.index} {
 		b = binary.BigEndian.AppendUint64(b, n)
 	}
 	return b
 }
 
-func stamp(t time.Time) uint64 { return uint64(t.UnixNano()) }
+func timeStamp(t time.Time) uint64 { return uint64(t.UnixNano()) }
 
-func instant(s uint64) time.Time {
+func stampTime(s uint64) time.Time {
 	if s == 0 {
 		return time.Time{}
 	}
@@ -64,29 +64,29 @@
 
 // hello says who one is. To a member that asks, the others say hello too.
 type hello struct {
-	nonce, epoch, id, promise, seen uint64
-	standing                        standing
-	answer                          bool
+	nonce, epoch, id, promisedNonce, highestEpochSeen uint64
+	state                                             storeState
+	isReply                                           bool
 }
 
 // standing is what a store has.
-type standing uint8
+type storeState uint8
 
 const (
-	hasNothing standing = iota // and may begin a log with the others
+	noLog storeState = iota // and may begin a log with the others
 	hasLog
-	hasStuckLog // a majority of its voters is gone for good, and it may be given up
+	stuckLog // a majority of its voters is gone for good, and it may be given up
 )
 
-const helloSize = 2 + 5*8 + 2
+const helloBytes = 2 + 5*8 + 2
 
 func (h hello) encode() []byte {
-	b := append(make([]byte, 0, helloSize), wireVersion, wireHello)
-	for _, n := range [...]uint64{h.nonce, h.epoch, h.id, h.promise, h.seen} {
+	b := append(make([]byte, 0, helloBytes), wireVersion, wireHello)
+	for _, n := range [...]uint64{h.nonce, h.epoch, h.id, h.promisedNonce, h.highestEpochSeen} {
 		b = binary.BigEndian.AppendUint64(b, n)
 	}
-	b = append(b, byte(h.standing), 0)
-	if h.answer {
+	b = append(b, byte(h.state), 0)
+	if h.isReply {
 		b[len(b)-1] = 1
 	}
 	return b
@@ -94,12 +94,12 @@
 
 func readHello(r *reader) hello {
 	return hello{
-		nonce: r.u64(), epoch: r.u64(), id: r.u64(), promise: r.u64(), seen: r.u64(),
-		standing: standing(r.u8()), answer: r.u8() == 1,
+		nonce: r.u64(), epoch: r.u64(), id: r.u64(), promisedNonce: r.u64(), highestEpochSeen: r.u64(),
+		state: storeState(r.u8()), isReply: r.u8() == 1,
 	}
 }
 
-func (h hello) relay(from uint32) []byte {
+func (h hello) encodeRelay(from uint32) []byte {
 	b := binary.BigEndian.AppendUint32([]byte{wireVersion, wireRelay}, from)
 	return append(b, h.encode()[2:]...)
 }
@@ -123,9 +123,9 @@
 }
 
 // gone tells a store that its number is not of the log any more.
-type gone struct{ epoch, id uint64 }
+type removed struct{ epoch, id uint64 }
 
-func (g gone) encode() []byte {
-	b := binary.BigEndian.AppendUint64([]byte{wireVersion, wireGone}, g.epoch)
+func (g removed) encode() []byte {
+	b := binary.BigEndian.AppendUint64([]byte{wireVersion, wireRemoved}, g.epoch)
 	return binary.BigEndian.AppendUint64(b, g.id)
 }
--- a/fleet/fleetlab/hunt.go
+++ b/fleet/fleetlab/hunt.go
@@ -13,11 +13,11 @@
 	end := l.World.Now().Add(length)
 	for l.World.Now().Before(end) {
 		l.Run(time.Duration(50+l.random.IntN(1200)) * time.Millisecond)
-		l.trouble()
+		l.injectFault()
 		for range l.random.IntN(3) {
 			l.Do(Fault{Kind: Propose, Agent: l.random.IntN(len(l.hosts))})
 		}
-		l.Ask()
+		l.UpdateOutcomes()
 		l.Decide()
 	}
 }
@@ -29,7 +29,7 @@
 // after has something done after a time, if that is not past the play's end.
 func (l *Lab) after(d time.Duration, do func()) { l.World.At(l.World.Now().Add(d), do) }
 
-func (l *Lab) trouble() {
+func (l *Lab) injectFault() {
 	a, length := l.some()
 	b := l.random.IntN(len(l.hosts))
 	switch l.random.IntN(14) {
@@ -40,10 +40,10 @@
 	case 3:
 		l.Do(Fault{Kind: Isolate, Agent: a, Lasts: length})
 	case 4:
-		l.Do(Fault{Kind: Part, Some: l.part(), Lasts: length})
+		l.Do(Fault{Kind: Partition, Agents: l.randomPartition(), Lasts: length})
 	case 5, 6:
 		loss := l.random.Float64() * 0.4
-		l.Do(Fault{Kind: Lossy, Loss: loss, Twice: l.random.Float64() * 0.3})
+		l.Do(Fault{Kind: Lossy, Loss: loss, Duplicate: l.random.Float64() * 0.3})
 	case 7:
 		l.Do(Fault{Kind: Damage})
 	case 8, 9:
@@ -64,7 +64,7 @@
 }
 
 // part is a random half of the agents, or a fifth.
-func (l *Lab) part() (some []int) {
+func (l *Lab) randomPartition() (some []int) {
 	share := []float64{0.5, 0.2}[l.random.IntN(2)]
 	for a := range l.hosts {
 		if l.random.Float64() < share {
@@ -102,7 +102,7 @@
 func (l *Lab) healthy() bool {
 	for _, v := range l.voters() {
 		n := l.hosts[v].node
-		if n == nil || l.World.Paused(uint32(v)) {
+		if n == nil || l.World.IsPaused(uint32(v)) {
 			return false
 		}
 		if s := n.Status(l.Reading(v)).Voter; len(s.Members) != l.opts.Voters || !s.HasLeader {
@@ -117,5 +117,5 @@
 	full, floor, fresh := l.Decisions()
 	return fmt.Sprintf("%d agents, seed %d: %v, decisions %d full %d floor %d new, %d datagrams, %d breaches",
 		len(l.hosts), l.opts.Seed, l.Results(), full, floor, fresh,
-		l.World.Counts().Datagrams, len(l.judge.breaches))
+		l.World.Traffic().Datagrams, len(l.judge.violations))
 }
--- a/fleet/fleetlab/lab.go
+++ b/fleet/fleetlab/lab.go
@@ -1,7 +1,7 @@
 // Package fleetlab plays whole agents of a fleet in virtual time: voters, followers, leases, what is
 // proposed, with a network between each pair that fails on purpose, clocks that are off, disks that are
 // slow or lost, and processes that are paused, ended and started again. It judges from the outside what
-// was promised: see Lab.Breaches.
+// was promised: see Lab.Violations.
 package fleetlab
 
 import (
@@ -28,19 +28,19 @@
 	ClocksWithin time.Duration
 	// Weaken takes a protection out, to see that it is missed; nil: none.
 	Weaken func(*fleet.Settings)
-	// Upper puts something above a process that starts, with machines of its own after the lab's; nil:
+	// Application puts something above a process that starts, with machines of its own after the lab's; nil:
 	// nothing.
-	Upper func(set *fleet.Settings, now fleet.Reading)
-	// Decided is told of each moment at which an agent could decide: as often as it does anything, and by
+	Application func(set *fleet.Settings, now fleet.ClockReading)
+	// OnDecision is told of each moment at which an agent could decide: as often as it does anything, and by
 	// Decide; nil: nobody is.
-	Decided func(agent int, at time.Time, now fleet.Reading, n *fleet.Node)
-	// Act has what is above an agent do something: a script's Upper.
+	OnDecision func(agent int, at time.Time, now fleet.ClockReading, n *fleet.Node)
+	// Act has what is above an agent do something: a script's Application.
 	Act func(agent int)
 }
 
 // Lab is a fleet that is played.
 type Lab struct {
-	World  *arena.World
+	World  *arena.Cluster
 	opts   Options
 	random *rand.Rand
 	hosts  []*host
@@ -51,23 +51,23 @@
 
 // host is an agent's machine: it outlives processes.
 type host struct {
-	lab     *Lab
-	self    int
-	lives   uint64
-	disk    consensus.Stored
-	node    *fleet.Node // nil: no process
-	tally   *tally
-	writing *consensus.Persist
-	writes  uint64 // so far, over all lives
+	lab         *Lab
+	self        int
+	incarnation uint64
+	disk        consensus.Stored
+	node        *fleet.Node // nil: no process
+	tally       *tally
+	writing     *consensus.Persist
+	writes      uint64 // so far, over all lives
 }
 
-// diskTime is how long a write takes at the most.
-const diskTime = 8 * time.Millisecond
+// maxWriteTime is how long a write takes at the most.
+const maxWriteTime = 8 * time.Millisecond
 
 // New returns a fleet of which no process runs yet.
 func New(o Options) *Lab {
 	l := &Lab{opts: o, random: rand.New(rand.NewPCG(o.Seed, 0xf1ee7)), begin: time.Unix(1_700_000_000, 0)}
-	l.opts.Terms = o.Terms.Usual()
+	l.opts.Terms = o.Terms.WithDefaults()
 	if o.ClocksWithin == 0 {
 		l.opts.ClocksWithin = 5 * time.Second
 	}
@@ -75,24 +75,24 @@
 		l.hosts = append(l.hosts, &host{lab: l, self: i})
 	}
 	l.judge = newJudge(l)
-	l.World = arena.New(o.Seed, l.begin, o.Agents, l.process)
-	l.World.After = func(a uint32) { l.judge.look(l.hosts[a]) }
+	l.World = arena.NewCluster(o.Seed, l.begin, o.Agents, l.process)
+	l.World.AfterStep = func(a uint32) { l.judge.check(l.hosts[a]) }
 	l.Calm()
 	return l
 }
 
 // Calm ends what ails the network: one to five milliseconds each way, nothing lost.
 func (l *Lab) Calm() {
-	l.World.All(func(k *arena.Link) {
+	l.World.ChangeAll(func(k *arena.Link) {
 		*k = arena.Link{Delay: time.Millisecond, Jitter: 4 * time.Millisecond}
 	})
 }
 
 // Lossy has all ways lose and double a part, and be late by up to a time.
 func (l *Lab) Lossy(loss, double float64, late time.Duration) {
-	l.World.All(func(k *arena.Link) {
+	l.World.ChangeAll(func(k *arena.Link) {
 		*k = arena.Link{
-			Cut: k.Cut, Loss: loss, Double: double, Delay: time.Millisecond,
+			Cut: k.Cut, Loss: loss, Duplicate: double, Delay: time.Millisecond,
 			Jitter: 4 * time.Millisecond,
 			Late:   0.1, Lateness: late,
 		}
@@ -119,19 +119,19 @@
 
 func (l *Lab) process(a uint32, now time.Time) arena.Process {
 	h := l.hosts[a]
-	h.lives++
+	h.incarnation++
 	h.tally = &tally{}
 	h.writing = nil
 	set := fleet.Settings{
 		Self: h.self, Agents: l.opts.Agents, Voters: l.voters(),
 		Seed:        l.opts.Seed*7919 + uint64(h.self),
-		Incarnation: h.lives, Terms: l.opts.Terms, Lasts: !l.opts.Volatile, Machines: []fleet.Machine{h.tally},
+		Incarnation: h.incarnation, Terms: l.opts.Terms, IsDurable: !l.opts.Volatile, Machines: []fleet.StateMachine{h.tally},
 	}
 	if !l.opts.Volatile {
 		set.Stored = h.disk
 	}
-	if l.opts.Upper != nil {
-		l.opts.Upper(&set, h.reading(now))
+	if l.opts.Application != nil {
+		l.opts.Application(&set, h.reading(now))
 	}
 	if l.opts.Weaken != nil {
 		l.opts.Weaken(&set)
@@ -146,9 +146,9 @@
 
 // reading is what the machine's clocks show: the Unix time is off by what the arena says, the steady one
 // begins at another moment at each machine.
-func (h *host) reading(now time.Time) fleet.Reading {
+func (h *host) reading(now time.Time) fleet.ClockReading {
 	steady := h.lab.World.Now().Sub(h.lab.begin) + time.Duration(h.self+1)*time.Hour
-	return fleet.Reading{Unix: time.Duration(now.UnixNano()), Mono: steady}
+	return fleet.ClockReading{Unix: time.Duration(now.UnixNano()), Mono: steady}
 }
 
 // Receive implements arena.Process.
@@ -163,7 +163,7 @@
 func (h *host) Next() time.Time {
 	now := h.lab.World.Now()
 	ahead := h.node.Next() - h.reading(now).Mono
-	return now.Add(max(ahead, 0) + h.lab.World.Ahead(uint32(h.self)))
+	return now.Add(max(ahead, 0) + h.lab.World.ClockOffset(uint32(h.self)))
 }
 
 // Out implements arena.Process.
@@ -181,27 +181,27 @@
 
 // write puts something on the disk after a while, and tells the process if it still runs.
 func (h *host) write(p *consensus.Persist) {
-	life := h.lives
+	life := h.incarnation
 	h.writing = p
-	took := time.Duration(h.lab.random.Int64N(int64(diskTime)))
+	took := time.Duration(h.lab.random.Int64N(int64(maxWriteTime)))
 	h.lab.World.At(h.lab.World.Now().Add(took), func() {
-		if h.lives != life || h.writing != p || !h.lab.World.Running(uint32(h.self)) {
+		if h.incarnation != life || h.writing != p || !h.lab.World.IsRunning(uint32(h.self)) {
 			return
 		}
 		h.flush()
-		h.told(life, p.Token)
+		h.notifyWritten(life, p.Token)
 	})
 }
 
 // told passes on that a write is safe, once the process is not paused.
-func (h *host) told(life, token uint64) {
-	if h.lives != life {
+func (h *host) notifyWritten(life, token uint64) {
+	if h.incarnation != life {
 		return
 	}
-	if !h.lab.World.Do(uint32(h.self), func(_ arena.Process, now time.Time) {
+	if !h.lab.World.Call(uint32(h.self), func(_ arena.Process, now time.Time) {
 		h.node.Persisted(h.reading(now), token)
-	}) && h.lab.World.Paused(uint32(h.self)) {
-		h.lab.World.At(h.lab.World.Now().Add(50*time.Millisecond), func() { h.told(life, token) })
+	}) && h.lab.World.IsPaused(uint32(h.self)) {
+		h.lab.World.At(h.lab.World.Now().Add(50*time.Millisecond), func() { h.notifyWritten(life, token) })
 	}
 }
 
@@ -216,17 +216,17 @@
 	if p.Identity != nil {
 		s.Identity = *p.Identity
 	}
-	if p.Hard != nil {
-		s.Hard = p.Hard
+	if p.HardState != nil {
+		s.HardState = p.HardState
 	}
 	if p.Snapshot != nil {
 		s.Snapshot = p.Snapshot
 	}
-	if p.Replace {
+	if p.ReplaceEntries {
 		s.Entries = nil
 	}
 	s.Entries = slices.DeleteFunc(slices.Clone(s.Entries), func(e *raftpb.Entry) bool {
-		return e.GetIndex() <= p.DropTo || len(p.Entries) > 0 && e.GetIndex() >= p.Entries[0].GetIndex()
+		return e.GetIndex() <= p.DropThrough || len(p.Entries) > 0 && e.GetIndex() >= p.Entries[0].GetIndex()
 	})
 	s.Entries = append(s.Entries, p.Entries...)
 }
@@ -250,8 +250,8 @@
 func (l *Lab) Node(a int) *fleet.Node { return l.hosts[a].node }
 
 // Reading is what an agent's clocks show now.
-func (l *Lab) Reading(a int) fleet.Reading {
-	return l.hosts[a].reading(l.World.Now().Add(l.World.Ahead(uint32(a))))
+func (l *Lab) Reading(a int) fleet.ClockReading {
+	return l.hosts[a].reading(l.World.Now().Add(l.World.ClockOffset(uint32(a))))
 }
 
 // Leader is the agent that leads the voters; below zero: none, or several say so.
@@ -270,16 +270,16 @@
 
 // Isolate cuts an agent off from all others, in both directions, or ends that.
 func (l *Lab) Isolate(a int, cut bool) {
-	l.World.Links(func(from, to uint32, k *arena.Link) {
+	l.World.ChangeEach(func(from, to uint32, k *arena.Link) {
 		if int(from) == a || int(to) == a {
 			k.Cut = cut
 		}
 	})
 }
 
-// Part cuts some agents off from all others.
-func (l *Lab) Part(some []int, cut bool) {
-	l.World.Links(func(from, to uint32, k *arena.Link) {
+// Partition cuts some agents off from all others.
+func (l *Lab) Partition(some []int, cut bool) {
+	l.World.ChangeEach(func(from, to uint32, k *arena.Link) {
 		if slices.Contains(some, int(from)) != slices.Contains(some, int(to)) {
 			k.Cut = cut
 		}
--- a/fleet/fleetlab/lab_test.go
+++ b/fleet/fleetlab/lab_test.go
@@ -24,9 +24,9 @@
 	for _, agents := range []int{5, 50, 300} {
 		l := play(Options{Agents: agents, Voters: 3, Seed: 1})
 		l.Run(10 * time.Second)
-		before := l.World.Counts()
+		before := l.World.Traffic()
 		l.Run(20 * time.Second)
-		said := l.World.Counts()
+		said := l.World.Traffic()
 		datagrams := float64(said.Datagrams-before.Datagrams) / float64(agents) / 20
 		bytes := float64(said.Bytes-before.Bytes) / float64(agents) / 20
 		require.Less(t, datagrams, 6.0)
@@ -42,8 +42,8 @@
 		t.Logf("%d agents: quiet %.2f datagrams, %.0f bytes an agent and second; 12 records at all after %v", agents,
 			datagrams, bytes, all)
 		l.Settle(5 * time.Second)
-		require.Equal(t, map[fleet.Result]int{fleet.Taken: min(agents, 12)}, l.Results())
-		require.Empty(t, l.Breaches())
+		require.Equal(t, map[fleet.Result]int{fleet.Committed: min(agents, 12)}, l.Results())
+		require.Empty(t, l.Violations())
 	}
 }
 
@@ -58,9 +58,9 @@
 			l := play(Options{Agents: agents, Voters: voters, Seed: 1})
 			l.Run(20 * time.Second)
 			const length = 20
-			before := make([][2]arena.Counts, agents)
+			before := make([][2]arena.Traffic, agents)
 			for a := range before {
-				before[a][0], before[a][1] = l.World.Of(uint32(a))
+				before[a][0], before[a][1] = l.World.TrafficOf(uint32(a))
 			}
 			l.Run(length * time.Second)
 			var rates [2][4]float64 // followers, voters: datagrams and bytes sent, and the same heard
@@ -69,8 +69,8 @@
 				if l.votes(a) {
 					of = 1
 				}
-				sent, heard := l.World.Of(uint32(a))
-				for i, c := range []arena.Counts{sent, heard} {
+				sent, heard := l.World.TrafficOf(uint32(a))
+				for i, c := range []arena.Traffic{sent, heard} {
 					rates[of][2*i] += float64(c.Datagrams-before[a][i].Datagrams) / length
 					rates[of][2*i+1] += float64(c.Bytes-before[a][i].Bytes) / length
 				}
@@ -91,7 +91,7 @@
 // have is how many agents have all 12 records of a calm fleet, or as many as there are agents.
 func (l *Lab) have() (n int) {
 	for a := range l.hosts {
-		if l.Node(a).At().Seq >= uint64(min(len(l.hosts), 12)) {
+		if l.Node(a).Applied().Seq >= uint64(min(len(l.hosts), 12)) {
 			n++
 		}
 	}
@@ -109,7 +109,7 @@
 			l := play(Options{Agents: n, Voters: min(n/2|1, 5), Seed: seed})
 			l.Hunt(60 * time.Second)
 			l.Settle(40 * time.Second)
-			require.Empty(t, l.Breaches(), l.Report())
+			require.Empty(t, l.Violations(), l.Report())
 		}
 	}
 }
@@ -117,14 +117,14 @@
 // Each protection that is taken out is missed within 200 seeds: the judge can fail.
 func TestProtectionsAreMissed(t *testing.T) {
 	for name, weaken := range map[string]func(*fleet.Settings){
-		"leases last longer than agreed": func(s *fleet.Settings) { s.Terms.Length = 12 * time.Second },
-		"voters grant on what they knew": func(s *fleet.Settings) { s.Terms.Heard, s.Terms.Pause = time.Minute, time.Hour },
+		"leases last longer than agreed": func(s *fleet.Settings) { s.Terms.Duration = 12 * time.Second },
+		"voters grant on what they knew": func(s *fleet.Settings) { s.Terms.MaxKnowledgeAge, s.Terms.MaxPause = time.Minute, time.Hour },
 	} {
 		missed := false
 		for seed := uint64(0); seed < 200 && !missed; seed++ {
 			l := play(Options{Agents: 7, Voters: 3, Seed: seed, Weaken: weaken})
 			l.Hunt(60 * time.Second)
-			missed = len(l.Breaches()) > 0
+			missed = len(l.Violations()) > 0
 		}
 		require.True(t, missed, name)
 	}
@@ -141,10 +141,10 @@
 	require.True(t, l.Propose(0))
 	l.Run(59 * time.Second)
 	require.Equal(t, lease.Floor, l.Node(paused).Standing(l.Reading(paused)), "before it has heard anything")
-	require.Zero(t, l.Node(paused).At().Seq)
+	require.Zero(t, l.Node(paused).Applied().Seq)
 	l.World.Resume(paused)
 	l.Settle(5 * time.Second)
-	require.Empty(t, l.Breaches())
+	require.Empty(t, l.Violations())
 }
 
 // The smaller half of a fleet is cut off, with one voter: it comes to the floor and agrees on nothing; the larger goes
@@ -160,7 +160,7 @@
 				cut = append(cut, v)
 			}
 		}
-		l.Part(cut, true)
+		l.Partition(cut, true)
 		l.Run(6 * time.Second)
 		for _, a := range cut {
 			require.Equal(t, lease.Floor, l.Node(a).Standing(l.Reading(a)))
@@ -168,10 +168,10 @@
 		require.True(t, l.Propose(1), "on the smaller side")
 		require.True(t, l.Propose(8))
 		l.Run(6 * time.Second)
-		require.Equal(t, map[fleet.Result]int{fleet.NotTaken: 1, fleet.Taken: 1}, l.Results())
-		l.Part(cut, false)
+		require.Equal(t, map[fleet.Result]int{fleet.NotCommitted: 1, fleet.Committed: 1}, l.Results())
+		l.Partition(cut, false)
 		l.Settle(8 * time.Second)
-		require.Empty(t, l.Breaches())
+		require.Empty(t, l.Violations())
 	}
 }
 
@@ -182,13 +182,13 @@
 		l.Propose(a)
 	}
 	l.Run(time.Second)
-	require.Equal(t, map[fleet.Result]int{fleet.Taken: 9}, l.Results())
+	require.Equal(t, map[fleet.Result]int{fleet.Committed: 9}, l.Results())
 	for a := range 9 {
 		l.Kill(a)
 	}
 	l.Run(time.Second)
 	l.Settle(10 * time.Second)
-	require.Empty(t, l.Breaches())
+	require.Empty(t, l.Violations())
 	require.Len(t, l.hosts[8].tally.times, 9)
 }
 
@@ -199,7 +199,7 @@
 		l := play(Options{Agents: 5, Voters: 3, Volatile: true, Seed: seed})
 		require.True(t, l.Propose(0))
 		l.Run(time.Second)
-		before := l.Node(0).At()
+		before := l.Node(0).Applied()
 		for a := range 5 {
 			l.Kill(a)
 			l.World.Start(uint32(a))
@@ -208,7 +208,7 @@
 			}
 		}
 		l.Settle(10 * time.Second)
-		require.Empty(t, l.Breaches(), seed)
-		require.Equal(t, before, l.Node(0).At(), seed)
+		require.Empty(t, l.Violations(), seed)
+		require.Equal(t, before, l.Node(0).Applied(), seed)
 	}
 }
--- a/fleet/fleetlab/script.go
+++ b/fleet/fleetlab/script.go
@@ -12,30 +12,30 @@
 
 // The kinds, with the fields of Fault that each one uses.
 const (
-	Calm    Kind = "calm"    // what ails the network ends
-	Cut     Kind = "cut"     // Agent, Other, Lasts: that direction
-	Isolate Kind = "isolate" // Agent, Lasts
-	Part    Kind = "part"    // Some, Lasts
-	Lossy   Kind = "lossy"   // Loss, Double
-	Damage  Kind = "damage"
-	Pause   Kind = "pause" // Agent, Lasts
-	Clock   Kind = "clock" // Agent, Lasts: by how much it is ahead
-	Kill    Kind = "kill"  // Agent, Lasts: until it is started again
-	Lose    Kind = "lose"  // Agent: its disk, where all voters are well
-	Propose Kind = "propose"
-	Upper   Kind = "upper" // Agent: Options.Act
+	Calm           Kind = "calm"    // what ails the network ends
+	Cut            Kind = "cut"     // Agent, Other, Lasts: that direction
+	Isolate        Kind = "isolate" // Agent, Lasts
+	Partition      Kind = "part"    // Agents, Lasts
+	Lossy          Kind = "lossy"   // Loss, Double
+	Damage         Kind = "damage"
+	Pause          Kind = "pause" // Agent, Lasts
+	Clock          Kind = "clock" // Agent, Lasts: by how much it is ahead
+	Kill           Kind = "kill"  // Agent, Lasts: until it is started again
+	Lose           Kind = "lose"  // Agent: its disk, where all voters are well
+	Propose        Kind = "propose"
+	ApplicationAct Kind = "upper" // Agent: Options.Act
 )
 
 // Fault is one step of a script. The same options and script are the same course.
 type Fault struct {
-	At    time.Duration `json:"at"` // since the beginning; times are in nanoseconds
-	Kind  Kind          `json:"kind"`
-	Agent int           `json:"agent,omitempty"`
-	Other int           `json:"other,omitempty"`
-	Some  []int         `json:"some,omitempty"`
-	Lasts time.Duration `json:"lasts,omitempty"`
-	Loss  float64       `json:"loss,omitempty"`
-	Twice float64       `json:"twice,omitempty"` // the part that is doubled
+	At        time.Duration `json:"at"` // since the beginning; times are in nanoseconds
+	Kind      Kind          `json:"kind"`
+	Agent     int           `json:"agent,omitempty"`
+	Other     int           `json:"other,omitempty"`
+	Agents    []int         `json:"some,omitempty"`
+	Lasts     time.Duration `json:"lasts,omitempty"`
+	Loss      float64       `json:"loss,omitempty"`
+	Duplicate float64       `json:"twice,omitempty"` // the part that is doubled
 }
 
 // Script is what was done so far.
@@ -70,18 +70,18 @@
 	case Isolate:
 		l.Isolate(f.Agent, true)
 		l.after(f.Lasts, func() { l.Isolate(f.Agent, false) })
-	case Part:
-		l.Part(f.Some, true)
-		l.after(f.Lasts, func() { l.Part(f.Some, false) })
+	case Partition:
+		l.Partition(f.Agents, true)
+		l.after(f.Lasts, func() { l.Partition(f.Agents, false) })
 	case Lossy:
-		l.Lossy(f.Loss, f.Twice, 3*time.Second)
+		l.Lossy(f.Loss, f.Duplicate, 3*time.Second)
 	case Damage:
-		l.World.All(func(k *arena.Link) { k.Corrupt = 0.05 })
+		l.World.ChangeAll(func(k *arena.Link) { k.Corrupt = 0.05 })
 	case Pause:
 		l.World.Pause(a)
 		l.after(f.Lasts, func() { l.World.Resume(a) })
 	case Clock:
-		l.World.Clock(a, f.Lasts)
+		l.World.SetClock(a, f.Lasts)
 	case Kill:
 		l.Kill(f.Agent)
 		l.after(f.Lasts, func() { l.World.Start(a) })
@@ -92,7 +92,7 @@
 		}
 	case Propose:
 		l.Propose(f.Agent)
-	case Upper:
+	case ApplicationAct:
 		l.opts.Act(f.Agent)
 	}
 }
--- a/fleet/golden_test.go
+++ b/fleet/golden_test.go
@@ -26,7 +26,7 @@
 // TestGoldenRecord: a record, and a snapshot of the log above the voters', keep their bytes, and are read from them as they
 // were.
 func TestGoldenRecord(t *testing.T) {
-	name := ticketOf{1 << 63, 300}
+	name := proposalName{1 << 63, 300}
 	file := golden.Bytes(t, "record", encodeRecord(2, name, []byte("data")))
 	machine, back, data, ok := decodeRecord(file)
 	require.True(t, ok)
@@ -44,13 +44,13 @@
 // TestGoldenStates: the machines' states in a snapshot keep their bytes, and what an earlier build keeps for later ones is
 // written again as it was.
 func TestGoldenStates(t *testing.T) {
-	later := machines{known: []Machine{&tape{}, &tape{}, &tape{}}}
-	earlier := machines{known: []Machine{&tape{}}}
+	later := stateMachines{known: []StateMachine{&tape{}, &tape{}, &tape{}}}
+	earlier := stateMachines{known: []StateMachine{&tape{}}}
 	for seq, c := range []struct {
 		machine uint8
 		data    string
 	}{{0, "zero"}, {1, "one"}, {0, "more"}, {2, ""}} {
-		require.NoError(t, later.apply(uint64(seq)+1, encodeRecord(c.machine, ticketOf{9, uint64(seq)}, []byte(c.data))))
+		require.NoError(t, later.apply(uint64(seq)+1, encodeRecord(c.machine, proposalName{9, uint64(seq)}, []byte(c.data))))
 	}
 	b, err := later.snapshot()
 	require.NoError(t, err)
@@ -59,7 +59,7 @@
 	b, err = earlier.snapshot()
 	require.NoError(t, err)
 	require.Equal(t, file, b, "an earlier build's")
-	require.ErrorIs(t, earlier.apply(5, encodeRecord(1, ticketOf{9, 5}, []byte("kept"))), errUnknown)
+	require.ErrorIs(t, earlier.apply(5, encodeRecord(1, proposalName{9, 5}, []byte("kept"))), errUnknownMachine)
 	b, err = earlier.snapshot()
 	require.NoError(t, err)
 	file = golden.Bytes(t, "states-kept", b)
@@ -72,9 +72,9 @@
 }
 
 // alone is a node that is the only voter, and leads. All that it says goes to itself or, if it is of more agents, to them.
-func alone(t *testing.T, agents int) (*Node, Reading) {
+func alone(t *testing.T, agents int) (*Node, ClockReading) {
 	t.Helper()
-	now := Reading{Unix: 1_800_000_000 * time.Second, Mono: time.Hour}
+	now := ClockReading{Unix: 1_800_000_000 * time.Second, Mono: time.Hour}
 	n, err := New(Settings{Self: 0, Agents: agents, Voters: []int{0}, Incarnation: 1_800_000_000_123, Seed: 3}, now)
 	require.NoError(t, err)
 	for range 100 {
@@ -88,67 +88,67 @@
 
 // TestGoldenProposals: what goes to a voter of a proposal, and what it answers, keeps its bytes.
 func TestGoldenProposals(t *testing.T) {
-	name := ticketOf{1 << 63, 300}
-	p := &proposal{ticket: name, data: encodeRecord(1, name, []byte("data"))}
+	name := proposalName{1 << 63, 300}
+	p := &proposal{name: name, record: encodeRecord(1, name, []byte("data"))}
 	based, recalled := *p, *p
-	based.base, recalled.base, recalled.recalls = 70_000, 70_000, true
+	based.baseIndex, recalled.baseIndex, recalled.isWithdrawn = 70_000, 70_000, true
 	for form, p := range map[string]*proposal{"propose-first": p, "propose": &based, "withdraw": &recalled} {
 		golden.Bytes(t, form, p.encode())
 	}
 	n, now := alone(t, 1)
-	base := n.voter.Status().Applied
-	n.own = nil
+	base := n.voter.Status().AppliedIndex
+	n.selfMessages = nil
 	answered := func(form string, p proposal) {
 		t.Helper()
-		n.proposed(now, 0, p.encode())
-		require.Len(t, n.own, 1, form)
-		require.EqualValues(t, channelOutcome, n.own[0].channel)
-		golden.Bytes(t, form, n.own[0].bytes)
-		n.own = nil
+		n.handleProposal(now, 0, p.encode())
+		require.Len(t, n.selfMessages, 1, form)
+		require.EqualValues(t, channelProposalReply, n.selfMessages[0].channel)
+		golden.Bytes(t, form, n.selfMessages[0].bytes)
+		n.selfMessages = nil
 	}
 	answered("outcome-base", *p)
-	based.base = base
+	based.baseIndex = base
 	answered("outcome-taken", based)
-	recalled.base, recalled.ticket.number = base, 301
+	recalled.baseIndex, recalled.name.number = base, 301
 	answered("outcome-not-taken", recalled)
-	recalled.base, recalled.ticket.number = base+1000, 302
+	recalled.baseIndex, recalled.name.number = base+1000, 302
 	answered("outcome-unknown", recalled)
 	other, err := New(Settings{Self: 0, Agents: 3, Voters: []int{0, 1, 2}, Incarnation: 1, Seed: 3}, now)
 	require.NoError(t, err)
 	n = other
 	answered("outcome-no-leader", based)
-	require.Equal(t, []byte{answerUnknown, answerTaken, answerNotTaken, answerForgotten}, []byte{
-		answerOf(consensus.Unknown), answerOf(consensus.Taken), answerOf(consensus.NotTaken), answerOf(consensus.Forgotten),
+	require.Equal(t, []byte{replyUnknown, replyCommitted, replyNotCommitted, replyForgotten}, []byte{
+		replyFor(consensus.Unknown), replyFor(consensus.Committed), replyFor(consensus.NotCommitted), replyFor(consensus.Forgotten),
 	})
 	golden.Bytes(t, "outcomes", []byte{
-		answerBase, answerUnknown, answerTaken, answerNotTaken, answerForgotten, answerNoLeader,
+		replyBase, replyUnknown, replyCommitted, replyNotCommitted, replyForgotten, replyNoLeader,
 	})
 }
 
 // TestGoldenDatagrams: messages of a node go on their channels, and with a word before them where they had one.
 func TestGoldenDatagrams(t *testing.T) {
 	golden.Bytes(t, "channels", []byte{
-		channelVoters, channelSpread, channelLease, channelGrant, channelPropose, channelOutcome, channelAbove,
-		channelAboveAnswer,
+		channelRaft, channelGossip, channelLeaseRequest, channelLeaseGrant, channelProposal, channelProposalReply, channelApplication,
+		channelApplicationReply,
 	})
 	n, now := alone(t, 30)
 	n.Out(now)
-	n.say(now, 7, channelSpread, []byte("digest"))
-	n.say(now, 8, channelLease, []byte("request"))
-	n.say(now, 9, channelGrant, []byte("grant"))
-	n.tell(now, 10, channelPropose, []byte("propose"))
+	n.sendWithUpdate(now, 7, channelGossip, []byte("digest"))
+	n.sendWithUpdate(now, 8, channelLeaseRequest, []byte("request"))
+	n.sendWithUpdate(now, 9, channelLeaseGrant, []byte("grant"))
+	n.send(now, 10, channelProposal, []byte("propose"))
 	sent := n.Out(now).Datagrams
 	require.Len(t, sent, 4)
 	for i, name := range []string{"datagram-spread", "datagram-lease", "datagram-grant", "datagram-propose"} {
 		file := golden.Bytes(t, name, sent[i].Bytes)
 		other := pieces.New(pieces.Config{Agents: 30, Incarnation: 5})
-		got := other.Receive(steady(now), 0, file)
+		got := other.Receive(steadyTime(now), 0, file)
 		require.Len(t, got, 1)
 		if name == "datagram-propose" {
 			require.Equal(t, "propose", string(got[0].Bytes))
 			continue
 		}
-		rest, ok := n.said(now, 5, got[0].Bytes)
+		rest, ok := n.takeUpdate(now, 5, got[0].Bytes)
 		require.True(t, ok)
 		require.Equal(t, []string{"digest", "request", "grant"}[i], string(rest))
 	}
@@ -156,25 +156,25 @@
 
 // TestGoldenPlaced: messages of what is stacked after the first keep their bytes, and are read from them as they were.
 func TestGoldenPlaced(t *testing.T) {
-	s := &stack{more: []Above{nil, said{}}}
+	s := &applicationStack{others: []Application{nil, said{}}}
 	for name, data := range map[string][]byte{
-		"placed-short": []byte("short"), "placed-long": make([]byte, leastPlaced+10), "placed-empty": {},
+		"placed-short": []byte("short"), "placed-long": make([]byte, minSlottedBytes+10), "placed-empty": {},
 	} {
-		file := golden.Bytes(t, name, place(1, data))
-		require.True(t, placed(file))
-		i, a, rest := s.of(file)
+		file := golden.Bytes(t, name, encodeSlot(1, data))
+		require.True(t, isSlotted(file))
+		i, a, rest := s.decodeSlot(file)
 		require.Equal(t, 1, i)
 		require.NotNil(t, a)
 		require.Equal(t, data, rest)
-		require.Equal(t, file, place(i, rest))
+		require.Equal(t, file, encodeSlot(i, rest))
 	}
 }
 
-// said is an Above of which only the place is looked at.
-type said struct{ Above }
+// said is an Application of which only the place is looked at.
+type said struct{ Application }
 
 // TestGoldenResults: staff's commands and pages show these words.
 func TestGoldenResults(t *testing.T) {
 	require.Equal(t, []string{"waiting", "taken", "not taken", "ask again", "ask again"},
-		[]string{Waiting.String(), Taken.String(), NotTaken.String(), AskAgain.String(), Result(200).String()})
+		[]string{Pending.String(), Committed.String(), NotCommitted.String(), Indeterminate.String(), Result(200).String()})
 }
--- a/fleet/lease/example_test.go
+++ b/fleet/lease/example_test.go
@@ -10,21 +10,21 @@
 
 // An agent asks a voter, which asks the leader first. Then the voter is cut off, and the lease runs out.
 func Example() {
-	at := func(d time.Duration) lease.Reading {
-		return lease.Reading{Unix: 1_800_000_000*time.Second + d, Mono: d}
+	at := func(d time.Duration) lease.ClockReading {
+		return lease.ClockReading{Unix: 1_800_000_000*time.Second + d, Mono: d}
 	}
-	terms := lease.Terms{}.Usual()
+	terms := lease.Terms{}.WithDefaults()
 	voter := lease.NewGranter(lease.GranterSettings{Terms: terms, Agents: 300})
 	agent := lease.NewHolder(lease.HolderSettings{Terms: terms, Self: 17, Voters: []int{0}, Seed: 1}, at(0))
-	agent.Applied(chronicle.Position{Epoch: 1, Seq: 5})
+	agent.SetApplied(chronicle.Position{Epoch: 1, Seq: 5})
 	asked := agent.Next()
 	_, request, _ := agent.Tick(at(asked))
-	_, ask := voter.Requested(at(asked), 17, request)
+	_, ask := voter.HandleRequest(at(asked), 17, request)
 	fmt.Println("the leader is asked:", ask)
-	for _, answer := range voter.Confirmed(at(asked+time.Millisecond), at(asked), chronicle.Position{Epoch: 1, Seq: 5}) {
-		agent.Answered(at(asked+2*time.Millisecond), 0, answer.Grant)
+	for _, answer := range voter.HandleConfirmed(at(asked+time.Millisecond), at(asked), chronicle.Position{Epoch: 1, Seq: 5}) {
+		agent.HandleGrant(at(asked+2*time.Millisecond), 0, answer.Grant)
 	}
-	for _, after := range []time.Duration{time.Second, terms.Length - 1, terms.Length} {
+	for _, after := range []time.Duration{time.Second, terms.Duration - 1, terms.Duration} {
 		fmt.Println(after, agent.Standing(at(asked+after)))
 	}
 	committed := at(asked).Unix
--- a/fleet/lease/golden_test.go
+++ b/fleet/lease/golden_test.go
@@ -23,7 +23,7 @@
 	}
 	for name, m := range map[string]Grant{
 		"grant":         {Nonce: 1 << 63, Epoch: 1_800_000_000_000, Seq: 300, Unix: 1_800_000_001 * time.Second},
-		"grant-refused": {Nonce: 7, Refused: true},
+		"grant-refused": {Nonce: 7, Rejected: true},
 	} {
 		file := golden.Bytes(t, name, m.Encode())
 		back, err := DecodeGrant(file)
--- a/fleet/lease/lease.go
+++ b/fleet/lease/lease.go
@@ -8,8 +8,8 @@
 //
 // # Terms
 //
-// L is Terms.Length and H is Terms.Heard; d is Terms.Drift: over any time each steady clock runs between 1-d
-// and 1+d as fast as it should. E is Terms.Clocks: each Unix clock is off by E at most, its steps included.
+// L is Terms.Duration and H is Terms.MaxKnowledgeAge; d is Terms.MaxDrift: over any time each steady clock runs between 1-d
+// and 1+d as fast as it should. E is Terms.MaxClockError: each Unix clock is off by E at most, its steps included.
 //
 // # Why nobody acts without record i after the fence
 //
@@ -28,7 +28,7 @@
 //  2. The voter grants only while its own clock shows at most H since p: g <= p + H/(1-d). A voter
 //     that is cut off from the leader has no new p. One that was paused reads its clock anew for
 //     each request, after it has taken the request from the way; its clock ran on, so it sees that
-//     p is old. Where the time between two inputs is more than Terms.Pause it also forgets p,
+//     p is old. Where the time between two inputs is more than Terms.MaxPause it also forgets p,
 //     whatever the clocks' difference says.
 //  3. The request had arrived by g, so q <= g. No grant is used whose request number is not that of
 //     one of the holder's own open requests, so this holds for grants that are late, doubled, of
@@ -49,7 +49,7 @@
 // Between the reading of a decision and its effect an agent may be paused: no lease helps there. A request
 // that waits in hand has to ask Holds again when it is sent on; what was already sent cannot be taken back.
 //
-// Who waits for the fence by its own clock (Terms.Passed) needs (H+L)*(1+d)/(1-d) on both of its clocks since
+// Who waits for the fence by its own clock (Terms.FencePassed) needs (H+L)*(1+d)/(1-d) on both of its clocks since
 // a reading at which i was committed for sure; a new leader counts from when it first knew that. Who is told
 // t as a Unix time by another machine and compares it with its own has to add 2E (Terms.Fence).
 //
@@ -64,38 +64,38 @@
 
 // Terms are the same at all agents of a fleet.
 type Terms struct {
-	Length time.Duration // how long a lease lasts from when it was asked for; 4 s
-	Heard  time.Duration // how old a voter's knowledge may be as it grants; 1 s
-	Pause  time.Duration // a longer time between two of a voter's inputs makes it forget what it knew; Heard
-	Clocks time.Duration // how far a Unix clock may be off; 100 ms
-	Drift  float64       // how much faster or slower a steady clock may run; 0.001
+	Duration        time.Duration // how long a lease lasts from when it was asked for; 4 s
+	MaxKnowledgeAge time.Duration // how old a voter's knowledge may be as it grants; 1 s
+	MaxPause        time.Duration // a longer time between two of a voter's inputs makes it forget what it knew; MaxKnowledgeAge
+	MaxClockError   time.Duration // how far a Unix clock may be off; 100 ms
+	MaxDrift        float64       // how much faster or slower a steady clock may run; 0.001
 }
 
-// ErrTerms: the terms cannot be kept.
-var ErrTerms = errors.New("leases last 100 ms to 1 h, voters' knowledge 50 ms to 1 h, clocks drift 0 to 10%")
+// ErrInvalidTerms: the terms cannot be kept.
+var ErrInvalidTerms = errors.New("leases last 100 ms to 1 h, voters' knowledge 50 ms to 1 h, clocks drift 0 to 10%")
 
-// Usual returns the terms with the defaults for what is zero.
-func (t Terms) Usual() Terms {
+// WithDefaults returns the terms with the defaults for what is zero.
+func (t Terms) WithDefaults() Terms {
 	usual := func(v *time.Duration, d time.Duration) {
 		if *v == 0 {
 			*v = d
 		}
 	}
-	usual(&t.Length, 4*time.Second)
-	usual(&t.Heard, time.Second)
-	usual(&t.Pause, t.Heard)
-	usual(&t.Clocks, 100*time.Millisecond)
-	if t.Drift == 0 {
-		t.Drift = 0.001
+	usual(&t.Duration, 4*time.Second)
+	usual(&t.MaxKnowledgeAge, time.Second)
+	usual(&t.MaxPause, t.MaxKnowledgeAge)
+	usual(&t.MaxClockError, 100*time.Millisecond)
+	if t.MaxDrift == 0 {
+		t.MaxDrift = 0.001
 	}
 	return t
 }
 
-// Check gives ErrTerms where nobody could hold a lease by them, or no fence could be told.
-func (t Terms) Check() error {
-	if t.Length < 100*time.Millisecond || t.Heard < 50*time.Millisecond || t.Pause < 0 || t.Clocks < 0 ||
-		!(t.Drift >= 0 && t.Drift <= 0.1) || t.Length > time.Hour || t.Heard > time.Hour || t.Clocks > time.Hour {
-		return ErrTerms
+// Validate gives ErrInvalidTerms where nobody could hold a lease by them, or no fence could be told.
+func (t Terms) Validate() error {
+	if t.Duration < 100*time.Millisecond || t.MaxKnowledgeAge < 50*time.Millisecond || t.MaxPause < 0 || t.MaxClockError < 0 ||
+		!(t.MaxDrift >= 0 && t.MaxDrift <= 0.1) || t.Duration > time.Hour || t.MaxKnowledgeAge > time.Hour || t.MaxClockError > time.Hour {
+		return ErrInvalidTerms
 	}
 	return nil
 }
@@ -103,30 +103,30 @@
 // Fence is the moment, in the Unix time of any machine, after which no agent acts without what was committed
 // at a moment in the Unix time of another. Committed has to be read when that was so, not before.
 func (t Terms) Fence(committed time.Duration) time.Duration {
-	return committed + t.stretched(1/(1-t.Drift)) + 2*t.Clocks
+	return committed + t.stretched(1/(1-t.MaxDrift)) + 2*t.MaxClockError
 }
 
-// Wait is how long one waits for the same by its own steady clock.
-func (t Terms) Wait() time.Duration { return t.stretched((1 + t.Drift) / (1 - t.Drift)) }
+// FenceWait is how long one waits for the same by its own steady clock.
+func (t Terms) FenceWait() time.Duration { return t.stretched((1 + t.MaxDrift) / (1 - t.MaxDrift)) }
 
 func (t Terms) stretched(by float64) time.Duration {
-	return time.Duration(math.Ceil(float64(t.Heard+t.Length)*by)) + 1
+	return time.Duration(math.Ceil(float64(t.MaxKnowledgeAge+t.Duration)*by)) + 1
 }
 
-// Passed tells whether no agent acts any more without what was committed for sure at an earlier reading of
+// FencePassed tells whether no agent acts any more without what was committed for sure at an earlier reading of
 // the same machine.
-func (t Terms) Passed(committed, now Reading) bool {
-	return min(now.Unix-committed.Unix, now.Mono-committed.Mono) >= t.Wait()
+func (t Terms) FencePassed(committed, now ClockReading) bool {
+	return min(now.Unix-committed.Unix, now.Mono-committed.Mono) >= t.FenceWait()
 }
 
-// Reading is what a machine's clocks show at one moment: the Unix time, which may be set, and a steady one
+// ClockReading is what a machine's clocks show at one moment: the Unix time, which may be set, and a steady one
 // from any beginning that is never set and runs on while the process and the machine stand still. Who has
 // only one clock gives it twice, and bears what it lacks.
-type Reading struct {
+type ClockReading struct {
 	Unix, Mono time.Duration
 }
 
 // Since is how long ago an earlier reading was, by the clock that says more.
-func (r Reading) Since(earlier Reading) time.Duration {
+func (r ClockReading) Since(earlier ClockReading) time.Duration {
 	return max(r.Unix-earlier.Unix, r.Mono-earlier.Mono)
 }
