--- a/fleet/lease/lease_test.go
+++ b/fleet/lease/lease_test.go
@@ -15,14 +15,14 @@
 // lab plays voters, whose leader is node 0, and agents. What was committed, and when, is told by the lab: the
 // leader answers each question with what is committed as it answers.
 type lab struct {
-	*lossy.World
+	*lossy.Network
 	terms     Terms
 	granters  []*Granter
 	holders   []*Holder
 	known     []uint64 // records, by agent
-	lastInput []Reading
-	commits   []Reading // of the leader's clocks, by record
-	without   string    // a protection
+	lastInput []ClockReading
+	commits   []ClockReading // of the leader's clocks, by record
+	without   string         // a protection
 	decisions int
 	full      int
 	breach    string
@@ -36,14 +36,14 @@
 
 func newLab(seed uint64, agents int, faults lossy.Faults, terms Terms, without string) *lab {
 	l := &lab{
-		World: lossy.New(seed, voters+agents, 1e6*time.Second, faults), terms: terms.Usual(), without: without,
-		known: make([]uint64, agents), lastInput: make([]Reading, agents),
+		Network: lossy.NewNetwork(seed, voters+agents, 1e6*time.Second, faults), terms: terms.WithDefaults(), without: without,
+		known: make([]uint64, agents), lastInput: make([]ClockReading, agents),
 	}
 	granting := l.terms
 	if without == "heard" {
-		granting.Heard, granting.Pause = time.Hour, time.Hour
+		granting.MaxKnowledgeAge, granting.MaxPause = time.Hour, time.Hour
 	}
-	l.Deliver, l.Tick = l.deliver, l.tick
+	l.OnMessage, l.OnTimer = l.deliver, l.tick
 	for range voters {
 		l.granters = append(l.granters, NewGranter(GranterSettings{Terms: granting, Agents: agents}))
 	}
@@ -54,8 +54,8 @@
 	return l
 }
 
-func (l *lab) reading(node int) Reading {
-	r := Reading{Unix: l.Unix(node), Mono: l.Mono(node)}
+func (l *lab) reading(node int) ClockReading {
+	r := ClockReading{Unix: l.UnixTime(node), Mono: l.SteadyTime(node)}
 	switch l.without {
 	case "steady clock":
 		r.Mono = r.Unix - 1e6*time.Second
@@ -70,8 +70,8 @@
 		Terms: l.terms, Self: a, Incarnation: incarnation,
 		Voters: []int{0, 1, 2}, Seed: uint64(a) + 7,
 	}, l.reading(voters+a))
-	l.holders[a].Applied(chronicle.Position{Epoch: 1, Seq: l.known[a]})
-	l.Wake(voters+a, l.holders[a].Next())
+	l.holders[a].SetApplied(chronicle.Position{Epoch: 1, Seq: l.known[a]})
+	l.SetTimer(voters+a, l.holders[a].Next())
 }
 
 func (l *lab) tick(node int) {
@@ -81,12 +81,12 @@
 	if to, r, send := l.holders[a].Tick(now); send {
 		l.Send(node, to, append([]byte{'r'}, r.Encode()...))
 	}
-	l.Wake(node, max(l.holders[a].Next(), l.Mono(node)+10*time.Millisecond))
+	l.SetTimer(node, max(l.holders[a].Next(), l.SteadyTime(node)+10*time.Millisecond))
 }
 
 // read is a linearizable read on its way between a voter and the leader.
 type read struct {
-	asked     Reading
+	asked     ClockReading
 	committed uint64
 }
 
@@ -98,7 +98,7 @@
 		if err != nil {
 			panic(err)
 		}
-		out, ask := l.granters[to].Requested(now, from-voters, r)
+		out, ask := l.granters[to].HandleRequest(now, from-voters, r)
 		l.answer(to, out)
 		if ask {
 			l.ask(to, now)
@@ -110,19 +110,19 @@
 		}
 		a := to - voters
 		if l.without == "sending" { // measure from when the grant comes
-			for i := range l.holders[a].open {
-				l.holders[a].open[i].sent = now
+			for i := range l.holders[a].outstanding {
+				l.holders[a].outstanding[i].sent = now
 			}
 		}
 		l.lastInput[a] = now
-		l.holders[a].Answered(now, from, g)
-		l.Wake(to, l.holders[a].Next())
+		l.holders[a].HandleGrant(now, from, g)
+		l.SetTimer(to, l.holders[a].Next())
 	}
 }
 
 // ask goes to the leader and back over the same ways as all else, with messages of its own.
-func (l *lab) ask(voter int, asked Reading) {
-	w := l.World
+func (l *lab) ask(voter int, asked ClockReading) {
+	w := l.Network
 	question := func(done func(read)) {
 		if l.gone(voter, 0) {
 			return
@@ -137,7 +137,7 @@
 	question(func(r read) {
 		var confirm func()
 		confirm = func() {
-			if w.Paused(voter) {
+			if w.IsPaused(voter) {
 				w.At(w.Now()+50*time.Millisecond, confirm)
 				return
 			}
@@ -145,7 +145,7 @@
 			if l.without == "asked" { // take the answer's coming for what it is as new as
 				r.asked = now
 			}
-			l.answer(voter, l.granters[voter].Confirmed(now, r.asked, chronicle.Position{Epoch: 1, Seq: r.committed}))
+			l.answer(voter, l.granters[voter].HandleConfirmed(now, r.asked, chronicle.Position{Epoch: 1, Seq: r.committed}))
 		}
 		confirm()
 	})
@@ -156,14 +156,14 @@
 }
 
 func (l *lab) delay() time.Duration {
-	d := l.Faults.Least
+	d := l.Faults.MinDelay
 	if l.Rand().Float64() < l.Faults.Late {
-		d += time.Duration(l.Rand().Int64N(int64(l.Faults.LateBy)))
+		d += time.Duration(l.Rand().Int64N(int64(l.Faults.Lateness)))
 	}
 	return d
 }
 
-func (l *lab) answer(voter int, out []Answer) {
+func (l *lab) answer(voter int, out []Reply) {
 	for _, a := range out {
 		l.Send(voter, voters+a.To, append([]byte{'g'}, a.Grant.Encode()...))
 	}
@@ -180,7 +180,7 @@
 		}
 		l.At(l.Now()+wait, func() {
 			l.known[a] = max(l.known[a], n)
-			l.holders[a].Applied(chronicle.Position{Epoch: 1, Seq: l.known[a]})
+			l.holders[a].SetApplied(chronicle.Position{Epoch: 1, Seq: l.known[a]})
 		})
 	}
 }
@@ -188,9 +188,9 @@
 // decide has every agent that runs make a decision, and looks whether it may: by the leader's own clocks, and
 // by the Unix time of another machine.
 func (l *lab) decide() {
-	leader, other := l.reading(0), l.Unix(l.Rand().IntN(voters))
+	leader, other := l.reading(0), l.UnixTime(l.Rand().IntN(voters))
 	for a, h := range l.holders {
-		if l.Paused(voters + a) {
+		if l.IsPaused(voters + a) {
 			continue
 		}
 		now := l.reading(voters + a)
@@ -198,7 +198,7 @@
 			now = l.lastInput[a]
 		}
 		if l.without == "applied" {
-			h.Applied(chronicle.Position{Epoch: 1, Seq: math.MaxUint64})
+			h.SetApplied(chronicle.Position{Epoch: 1, Seq: math.MaxUint64})
 		}
 		l.decisions++
 		if !h.Holds(now) {
@@ -209,7 +209,7 @@
 			if l.known[a] > uint64(i) {
 				continue
 			}
-			if l.terms.Passed(committed, leader) || other >= l.terms.Fence(committed.Unix) {
+			if l.terms.FencePassed(committed, leader) || other >= l.terms.Fence(committed.Unix) {
 				l.breach = "an agent acts without a record after its fence"
 			}
 		}
@@ -218,10 +218,10 @@
 
 // course plays 90 s with all faults.
 func course(seed uint64, without string) *lab {
-	terms := Terms{Length: 2 * time.Second, Heard: 500 * time.Millisecond, Clocks: 400 * time.Millisecond, Drift: 0.01}
+	terms := Terms{Duration: 2 * time.Second, MaxKnowledgeAge: 500 * time.Millisecond, MaxClockError: 400 * time.Millisecond, MaxDrift: 0.01}
 	l := newLab(seed, 6, lossy.Faults{
-		Loss: 0.1, Double: 0.1, Least: time.Millisecond, Most: 20 * time.Millisecond,
-		Late: 0.1, LateBy: 4 * time.Second,
+		Loss: 0.1, Duplicate: 0.1, MinDelay: time.Millisecond, MaxDelay: 20 * time.Millisecond,
+		Late: 0.1, Lateness: 4 * time.Second,
 	}, terms, without)
 	rng, begin := l.Rand(), l.Now()
 	end := begin + 90*time.Second
@@ -240,19 +240,19 @@
 			}
 		case 1: // one way, for a while
 			other := rng.IntN(voters)
-			l.Cut(node, other, true)
-			l.At(l.Now()+8*time.Second, func() { l.Cut(node, other, false) })
+			l.SetCut(node, other, true)
+			l.At(l.Now()+8*time.Second, func() { l.SetCut(node, other, false) })
 		case 2:
 			other := rng.IntN(voters)
-			l.Cut(other, node, true)
-			l.At(l.Now()+8*time.Second, func() { l.Cut(other, node, false) })
+			l.SetCut(other, node, true)
+			l.At(l.Now()+8*time.Second, func() { l.SetCut(other, node, false) })
 		case 3: // within the terms; an agent's Unix time may be off by more, as nobody else goes by it
-			off := (2*rng.Float64() - 1) * float64(terms.Clocks)
+			off := (2*rng.Float64() - 1) * float64(terms.MaxClockError)
 			if node >= voters {
 				off *= 10
 			}
 			if node != suspended {
-				l.SetClock(node, time.Duration(off), 1+(2*rng.Float64()-1)*terms.Drift)
+				l.SetClock(node, time.Duration(off), 1+(2*rng.Float64()-1)*terms.MaxDrift)
 			}
 		case 4:
 			if node >= voters {
@@ -303,15 +303,15 @@
 		loss, full, perVoter float64
 		dead                 bool // one of the three voters
 	}{{0, 1, 52, false}, {0.1, 0.999, 75, false}, {0.3, 0.98, 110, false}, {0, 1, 80, true}, {0.1, 0.99, 110, true}} {
-		l := newLab(1, 300, lossy.Faults{Loss: c.loss, Least: time.Millisecond, Most: 5 * time.Millisecond}, Terms{}, "")
+		l := newLab(1, 300, lossy.Faults{Loss: c.loss, MinDelay: time.Millisecond, MaxDelay: 5 * time.Millisecond}, Terms{}, "")
 		l.Run(l.Now() + 5*time.Second)
 		if c.dead {
 			l.Pause(2, l.Now()+time.Hour)
 		}
-		begin, sent := l.Now(), l.Sent[0]
+		begin, sent := l.Now(), l.SentMessages[0]
 		every(l, begin, begin+60*time.Second, 200*time.Millisecond, l.decide)
 		l.Run(begin + 60*time.Second)
-		share, rate := float64(l.full)/float64(l.decisions), float64(l.Sent[0]-sent)/60
+		share, rate := float64(l.full)/float64(l.decisions), float64(l.SentMessages[0]-sent)/60
 		t.Logf("loss %.0f%%, one dead %v: full %.4f, a voter of 3 sends %.0f/s", c.loss*100, c.dead, share, rate)
 		require.GreaterOrEqual(t, share, c.full)
 		require.Less(t, rate, c.perVoter)
@@ -320,19 +320,19 @@
 
 // TestHolder: what counts as a lease and what does not.
 func TestHolder(t *testing.T) {
-	at := func(s float64) Reading { // with both clocks
-		return Reading{Unix: 1e6*time.Second + time.Duration(s*1e9), Mono: time.Duration(s * 1e9)}
+	at := func(s float64) ClockReading { // with both clocks
+		return ClockReading{Unix: 1e6*time.Second + time.Duration(s*1e9), Mono: time.Duration(s * 1e9)}
 	}
 	h := NewHolder(HolderSettings{Self: 1, Incarnation: 3, Voters: []int{4}, Seed: 9}, at(0))
 	require.Equal(t, New, h.Standing(at(0)))
 	to, r, send := h.Tick(at(0.5))
 	require.True(t, send)
-	h.Answered(at(0.6), to+1, Grant{Nonce: r.Nonce})
-	h.Answered(at(0.6), to, Grant{Nonce: r.Nonce + 1})
+	h.HandleGrant(at(0.6), to+1, Grant{Nonce: r.Nonce})
+	h.HandleGrant(at(0.6), to, Grant{Nonce: r.Nonce + 1})
 	require.Equal(t, New, h.Standing(at(0.6)), "of another voter, for another request")
-	h.Answered(at(0.6), to, Grant{Nonce: r.Nonce, Epoch: 1, Seq: 5})
+	h.HandleGrant(at(0.6), to, Grant{Nonce: r.Nonce, Epoch: 1, Seq: 5})
 	require.Equal(t, New, h.Standing(at(0.7)), "not applied")
-	h.Applied(chronicle.Position{Epoch: 1, Seq: 5})
+	h.SetApplied(chronicle.Position{Epoch: 1, Seq: 5})
 	require.Equal(t, Full, h.Standing(at(4.4)))
 	ahead := at(0.7)
 	ahead.Unix += 5 * time.Second
@@ -343,21 +343,21 @@
 	require.True(t, send)
 	back := at(8.9)
 	back.Unix -= time.Hour
-	h.Answered(back, to, Grant{Nonce: r.Nonce, Epoch: 1, Seq: 4})
+	h.HandleGrant(back, to, Grant{Nonce: r.Nonce, Epoch: 1, Seq: 4})
 	require.Equal(t, Full, h.Standing(back), "a clock that was set back counts for nothing")
 	back.Mono += 200 * time.Millisecond
 	require.Equal(t, Floor, h.Standing(back))
 	_, r, _ = h.Tick(at(10))
-	h.Answered(at(14), to, Grant{Nonce: r.Nonce, Epoch: 1, Seq: 4})
-	require.Equal(t, HolderFigures{Asked: 3, Granted: 2, Late: 1, Strange: 2}, h.Figures())
+	h.HandleGrant(at(14), to, Grant{Nonce: r.Nonce, Epoch: 1, Seq: 4})
+	require.Equal(t, HolderStats{Requests: 3, Granted: 2, Late: 1, Unmatched: 2}, h.Stats())
 }
 
 // TestPatience: a voter is waited for as long as answers take, and all of them are taken to be away after as many
 // requests as the way's loss explains, not before.
 func TestPatience(t *testing.T) {
 	for _, lost := range []int{0, 2} { // requests before each one that is answered
-		h := NewHolder(HolderSettings{Voters: []int{4, 5, 6}, Seed: 9}, Reading{})
-		now := Reading{}
+		h := NewHolder(HolderSettings{Voters: []int{4, 5, 6}, Seed: 9}, ClockReading{})
+		now := ClockReading{}
 		ask := func() (int, Request, time.Duration) {
 			since := now.Mono
 			now.Mono = h.Next()
@@ -375,7 +375,7 @@
 			}
 			to, r, _ := ask()
 			now.Mono, now.Unix = now.Mono+5*time.Millisecond, now.Unix+5*time.Millisecond
-			h.Answered(now, to, Grant{Nonce: r.Nonce})
+			h.HandleGrant(now, to, Grant{Nonce: r.Nonce})
 		}
 		var waits []time.Duration
 		ask()
@@ -395,67 +395,67 @@
 
 // TestAnswersOutOfOrder: an older lease never takes the place of a newer one, nor an earlier epoch's of a later.
 func TestAnswersOutOfOrder(t *testing.T) {
-	h := NewHolder(HolderSettings{Voters: []int{4}, Seed: 9}, Reading{})
-	h.Applied(chronicle.Position{Epoch: 2, Seq: 5})
+	h := NewHolder(HolderSettings{Voters: []int{4}, Seed: 9}, ClockReading{})
+	h.SetApplied(chronicle.Position{Epoch: 2, Seq: 5})
 	ask := func(s float64) Request {
-		h.next = 0
+		h.nextRequest = 0
 		_, r, _ := h.Tick(at(s))
 		return r
 	}
 	first, second, third := ask(1), ask(2), ask(2.5)
-	h.Answered(at(2.6), 4, Grant{Nonce: third.Nonce, Epoch: 1, Seq: 9})
+	h.HandleGrant(at(2.6), 4, Grant{Nonce: third.Nonce, Epoch: 1, Seq: 9})
 	require.Equal(t, New, h.Standing(at(2.6)))
-	h.Answered(at(2.6), 4, Grant{Nonce: second.Nonce, Epoch: 2, Seq: 5})
-	h.Answered(at(2.7), 4, Grant{Nonce: first.Nonce, Epoch: 2, Seq: 5})
-	require.Equal(t, 3300*time.Millisecond, h.Left(at(2.7)))
-	h.Answered(at(3), 4, Grant{Nonce: ask(3).Nonce, Epoch: 2, Seq: 6})
+	h.HandleGrant(at(2.6), 4, Grant{Nonce: second.Nonce, Epoch: 2, Seq: 5})
+	h.HandleGrant(at(2.7), 4, Grant{Nonce: first.Nonce, Epoch: 2, Seq: 5})
+	require.Equal(t, 3300*time.Millisecond, h.Remaining(at(2.7)))
+	h.HandleGrant(at(3), 4, Grant{Nonce: ask(3).Nonce, Epoch: 2, Seq: 6})
 	behind, is := h.Behind()
 	require.True(t, is && behind.Seq == 6 && h.Holds(at(5.9)) && !h.Holds(at(6)), "the former holds until its end")
 
 	refused := ask(4)
-	before := h.next
-	h.Answered(at(4), 4, Grant{Nonce: refused.Nonce, Refused: true})
-	require.Equal(t, before, h.next, "a voter that refuses is not asked at once again where it is the only one")
+	before := h.nextRequest
+	h.HandleGrant(at(4), 4, Grant{Nonce: refused.Nonce, Rejected: true})
+	require.Equal(t, before, h.nextRequest, "a voter that refuses is not asked at once again where it is the only one")
 }
 
-func at(s float64) Reading { return Reading{Mono: time.Duration(s * 1e9)} }
+func at(s float64) ClockReading { return ClockReading{Mono: time.Duration(s * 1e9)} }
 
 func TestGranter(t *testing.T) {
 	g := NewGranter(GranterSettings{Agents: 2})
-	out, ask := g.Requested(at(1), 1, Request{Agent: 1, Nonce: 7})
+	out, ask := g.HandleRequest(at(1), 1, Request{Agent: 1, Nonce: 7})
 	require.True(t, ask)
 	require.Empty(t, out, "waits for the leader's word")
 	place := chronicle.Position{Epoch: 1, Seq: 3}
-	require.Equal(t, []Answer{{To: 1, Grant: Grant{Nonce: 7, Epoch: 1, Seq: 3}}}, g.Confirmed(at(1.1), at(1), place))
-	require.Len(t, g.Present(at(5)), 1)
-	require.Empty(t, g.Present(at(5.2)))
+	require.Equal(t, []Reply{{To: 1, Grant: Grant{Nonce: 7, Epoch: 1, Seq: 3}}}, g.HandleConfirmed(at(1.1), at(1), place))
+	require.Len(t, g.ActiveHolders(at(5)), 1)
+	require.Empty(t, g.ActiveHolders(at(5.2)))
 	for _, c := range []struct {
 		now     float64
 		refused bool
 		ask     bool
 	}{{1.3, false, false}, {1.9, false, true}, {2.1, true, false}, {2.6, true, true}, {4, true, true}} {
-		out, ask = g.Requested(at(c.now), 0, Request{})
+		out, ask = g.HandleRequest(at(c.now), 0, Request{})
 		require.Equal(t, c.ask, ask, "%v", c.now)
 		if c.now != 2.1 { // that one waits: the leader was asked a short while ago
-			require.Equal(t, c.refused, out[0].Grant.Refused, "%v", c.now)
+			require.Equal(t, c.refused, out[0].Grant.Rejected, "%v", c.now)
 		} else {
 			require.Empty(t, out)
 		}
 	}
-	require.Empty(t, g.Confirmed(at(5.5), at(4), place), "too old a word")
-	_, _ = g.Requested(at(5.6), 7, Request{Agent: 7})
-	_, _ = g.Requested(at(5.6), 0, Request{Agent: 1})
-	require.Equal(t, uint64(2), g.Figures().Dropped)
-	_ = g.Confirmed(at(5.7), at(5.6), place)
-	g.Confirmed(at(7.5), at(7.4), place)
-	require.Equal(t, uint64(3), g.Figures().Pauses)
-
-	g = NewGranter(GranterSettings{Agents: 1, Terms: Terms{Pause: 200 * time.Millisecond}})
-	g.Confirmed(at(1), at(0.9), place)
-	g.Confirmed(at(1.1), at(0.5), chronicle.Position{Epoch: 1, Seq: 2})
-	out, _ = g.Requested(at(1.2), 0, Request{})
+	require.Empty(t, g.HandleConfirmed(at(5.5), at(4), place), "too old a word")
+	_, _ = g.HandleRequest(at(5.6), 7, Request{Agent: 7})
+	_, _ = g.HandleRequest(at(5.6), 0, Request{Agent: 1})
+	require.Equal(t, uint64(2), g.Stats().Dropped)
+	_ = g.HandleConfirmed(at(5.7), at(5.6), place)
+	g.HandleConfirmed(at(7.5), at(7.4), place)
+	require.Equal(t, uint64(3), g.Stats().Pauses)
+
+	g = NewGranter(GranterSettings{Agents: 1, Terms: Terms{MaxPause: 200 * time.Millisecond}})
+	g.HandleConfirmed(at(1), at(0.9), place)
+	g.HandleConfirmed(at(1.1), at(0.5), chronicle.Position{Epoch: 1, Seq: 2})
+	out, _ = g.HandleRequest(at(1.2), 0, Request{})
 	require.Equal(t, uint64(3), out[0].Grant.Seq, "an older word came later")
-	out, _ = g.Requested(at(1.5), 0, Request{})
+	out, _ = g.HandleRequest(at(1.5), 0, Request{})
 	require.Empty(t, out, "what was known before a pause is not used")
 }
 
@@ -472,44 +472,44 @@
 	again, err := DecodeRequest(r.Encode())
 	require.NoError(t, err)
 	require.Equal(t, r, again)
-	require.ErrorIs(t, Terms{Length: 1, Heard: 1}.Check(), ErrTerms)
-	require.NoError(t, Terms{}.Usual().Check())
+	require.ErrorIs(t, Terms{Duration: 1, MaxKnowledgeAge: 1}.Validate(), ErrInvalidTerms)
+	require.NoError(t, Terms{}.WithDefaults().Validate())
 }
 
 // A clock that is off from most voters' is told, by the time that lies between request and grant and no more; who may
 // not have a lease by the parts above is refused, with its note before them, at the moment of the grant.
 func TestClockOffAndMay(t *testing.T) {
-	terms := Terms{}.Usual()
+	terms := Terms{}.WithDefaults()
 	var asked []string
-	g := NewGranter(GranterSettings{Terms: terms, Agents: 4, May: func(_ Reading, from int, r Request) bool {
+	g := NewGranter(GranterSettings{Terms: terms, Agents: 4, MayGrant: func(_ ClockReading, from int, r Request) bool {
 		asked = append(asked, string(r.Note))
 		return string(r.Note) != "no"
 	}})
-	h := NewHolder(HolderSettings{Terms: terms, Self: 3, Voters: []int{0, 1, 2}, Seed: 1}, Reading{})
+	h := NewHolder(HolderSettings{Terms: terms, Self: 3, Voters: []int{0, 1, 2}, Seed: 1}, ClockReading{})
 	for i, c := range []struct {
 		off  time.Duration
 		note string
 		want bool
 	}{{0, "", false}, {time.Second, "", false}, {time.Second, "", true}, {0, "", true}, {0, "no", true}, {0, "", false}} {
-		now := Reading{Unix: time.Duration(i+1) * 10 * time.Second, Mono: time.Duration(i+1) * 10 * time.Second}
+		now := ClockReading{Unix: time.Duration(i+1) * 10 * time.Second, Mono: time.Duration(i+1) * 10 * time.Second}
 		to, r, send := h.Tick(now)
 		require.True(t, send)
 		r.Note = []byte(c.note)
 		decoded, err := DecodeRequest(r.Encode())
 		require.NoError(t, err)
-		voter := Reading{Unix: now.Unix + c.off, Mono: now.Mono}
-		g.Requested(voter, 3, decoded)
-		answers := g.Confirmed(voter, voter, chronicle.Position{Epoch: 1})
+		voter := ClockReading{Unix: now.Unix + c.off, Mono: now.Mono}
+		g.HandleRequest(voter, 3, decoded)
+		answers := g.HandleConfirmed(voter, voter, chronicle.Position{Epoch: 1})
 		require.Len(t, answers, 1)
 		grant, err := DecodeGrant(answers[0].Grant.Encode())
 		require.NoError(t, err)
-		require.Equal(t, c.note == "no", grant.Refused)
-		h.Answered(now, to, grant)
-		require.Equal(t, c.want, h.ClockOff(now), i)
-		set := Reading{Unix: now.Unix + 5*time.Second, Mono: now.Mono}
-		require.True(t, h.ClockOff(set), "set since")
+		require.Equal(t, c.note == "no", grant.Rejected)
+		h.HandleGrant(now, to, grant)
+		require.Equal(t, c.want, h.IsClockOff(now), i)
+		set := ClockReading{Unix: now.Unix + 5*time.Second, Mono: now.Mono}
+		require.True(t, h.IsClockOff(set), "set since")
 	}
 	require.Len(t, asked, 6)
-	long, err := DecodeRequest(Request{Note: make([]byte, MostNote+1)}.Encode())
+	long, err := DecodeRequest(Request{Note: make([]byte, MaxNoteBytes+1)}.Encode())
 	require.Error(t, err, long)
 }
--- a/fleet/lease/messages.go
+++ b/fleet/lease/messages.go
@@ -7,7 +7,7 @@
 	"dunestep/fleet/internal/compact"
 )
 
-var errNote = errors.New("the note of a request for a lease is too long")
+var errNoteTooLong = errors.New("the note of a request for a lease is too long")
 
 // Request asks a voter for a lease.
 type Request struct {
@@ -16,19 +16,19 @@
 	Incarnation uint64
 	Nonce       uint64 // told again in the Grant
 	Epoch, Seq  uint64 // how far the agent has applied the log
-	Note        []byte // of the parts above, at most MostNote bytes
+	Note        []byte // of the parts above, at most MaxNoteBytes bytes
 }
 
-// MostNote is how long a note is at the most, in bytes.
-const MostNote = 64
+// MaxNoteBytes is how long a note is at the most, in bytes.
+const MaxNoteBytes = 64
 
 // Grant is a voter's answer.
 type Grant struct {
 	_          struct{} `cbor:",toarray"`
 	Nonce      uint64
 	Epoch, Seq uint64 // what the holder has to have applied
-	Refused    bool
-	Unix       time.Duration // the voter's clock as it granted; see Holder.ClockOff
+	Rejected   bool
+	Unix       time.Duration // the voter's clock as it granted; see Holder.IsClockOff
 }
 
 // Encode returns the message's bytes, fewer than 60 and the note.
@@ -39,8 +39,8 @@
 
 // DecodeRequest gives an error for what is no Request.
 func DecodeRequest(data []byte) (r Request, err error) {
-	if err = compact.Unmarshal(data, &r); err == nil && len(r.Note) > MostNote {
-		err = errNote
+	if err = compact.Unmarshal(data, &r); err == nil && len(r.Note) > MaxNoteBytes {
+		err = errNoteTooLong
 	}
 	return r, err
 }
--- a/fleet/machines_test.go
+++ b/fleet/machines_test.go
@@ -32,8 +32,8 @@
 // the others.
 func earlier(of *[5]bool) (l *fleetlab.Lab, books *[5]*book) {
 	books = &[5]*book{}
-	l = fleetlab.New(fleetlab.Options{Agents: 5, Voters: 3, Seed: 8, Upper: func(set *fleet.Settings, _ fleet.Reading) {
-		books[set.Self], set.Rate, set.Burst = nil, 4<<20, 2<<20
+	l = fleetlab.New(fleetlab.Options{Agents: 5, Voters: 3, Seed: 8, Application: func(set *fleet.Settings, _ fleet.ClockReading) {
+		books[set.Self], set.BytesPerSecond, set.BurstBytes = nil, 4<<20, 2<<20
 		if !of[set.Self] {
 			books[set.Self] = &book{}
 			set.Machines = append(set.Machines, books[set.Self])
@@ -47,15 +47,15 @@
 // say proposes records one after the other.
 func say(t *testing.T, l *fleetlab.Lab, machine uint8, records ...string) {
 	for _, r := range records {
-		before := l.Node(2).At().Seq
+		before := l.Node(2).Applied().Seq
 		require.True(t, l.ProposeRecord(2, machine, []byte(r)))
 		for range 300 {
-			if l.Node(2).At().Seq > before {
+			if l.Node(2).Applied().Seq > before {
 				break
 			}
 			l.Run(10 * time.Millisecond)
 		}
-		require.Greater(t, l.Node(2).At().Seq, before)
+		require.Greater(t, l.Node(2).Applied().Seq, before)
 	}
 }
 
@@ -105,7 +105,7 @@
 	for a := range 5 {
 		require.Equal(t, want, books[a].said, a)
 	}
-	require.Empty(t, l.Breaches())
+	require.Empty(t, l.Violations())
 }
 
 // Where there is no room to keep more of it, a voter of an earlier build makes no snapshot, and stands down once its log is
--- a/fleet/node.go
+++ b/fleet/node.go
@@ -20,43 +20,43 @@
 	"dunestep/fleet/spread"
 )
 
-// Reading is what the machine's clocks show; see lease.Reading.
-type Reading = lease.Reading
+// ClockReading is what the machine's clocks show; see lease.ClockReading.
+type ClockReading = lease.ClockReading
 
 // Settings are one agent's; Agents, Voters, Terms and Machines have to be the same at all.
 type Settings struct {
 	Self, Agents int
 	Voters       []int // agents that keep the log; none: the node does nothing
-	// NoVote says that this agent is named as a voter and is none: its store can't be used. It follows.
-	NoVote bool
+	// NonVoting says that this agent is named as a voter and is none: its store can't be used. It follows.
+	NonVoting bool
 	// Incarnation numbers this process: its start in Unix milliseconds, or anything higher than before.
 	Incarnation uint64
 	Seed        uint64 // another one at each process
 	Terms       lease.Terms
-	// Ready is after how long an agent that has heard of no log, or reaches nobody who has it, says that it is
+	// ReadyTimeout is after how long an agent that has heard of no log, or reaches nobody who has it, says that it is
 	// ready all the same; 2 s.
-	Ready time.Duration
-	// Lasts says that what Persist asks for is written to a folder that outlives the process. Else a
+	ReadyTimeout time.Duration
+	// IsDurable says that what Persist asks for is written to a folder that outlives the process. Else a
 	// voter that starts again is a new one.
-	Lasts  bool
-	Stored consensus.Stored // what that folder has
-	// Memory bounds what messages on their way may take, in bytes; Rate and Burst pace what is sent, in
+	IsDurable bool
+	Stored    consensus.Stored // what that folder has
+	// MemoryBytes bounds what messages on their way may take, in bytes; BytesPerSecond and BurstBytes pace what is sent, in
 	// bytes a second and at once. Zero: as package pieces has them.
-	Memory, Rate, Burst int
-	Machines            []Machine // by their number in records; those of a later build come after them
-	Above               Above     // nil: there is nothing
+	MemoryBytes, BytesPerSecond, BurstBytes int
+	Machines                                []StateMachine // by their number in records; those of a later build come after them
+	Application                             Application    // nil: there is nothing
 }
 
 // The channels of messages between nodes.
 const (
-	channelVoters = iota + 1
-	channelSpread
-	channelLease
-	channelGrant
-	channelPropose
-	channelOutcome
-	channelAbove
-	channelAboveAnswer
+	channelRaft = iota + 1
+	channelGossip
+	channelLeaseRequest
+	channelLeaseGrant
+	channelProposal
+	channelProposalReply
+	channelApplication
+	channelApplicationReply
 )
 
 // EventKind names what is worth telling staff.
@@ -64,88 +64,88 @@
 
 // The events, with the fields of Event that each one uses.
 const (
-	Leads      EventKind = iota // At: this agent leads the voters from now on
-	LeadsNot                    // it does not any more
-	Began                       // At: a log that began anew, under a higher epoch, has replaced the one before
-	Differs                     // At, Agent, Err: another agent has other records under the same numbers
-	Stopped                     // Err: this voter takes no part any more
-	LeaseHeld                   // a lease holds again, or for the first time
-	LeaseEnded                  // none does
-	Unknown                     // At, Err: others agree on something that this build does not know
+	LeadershipGained EventKind = iota // Position: this agent leads the voters from now on
+	LeadershipLost                    // it does not any more
+	LogRestarted                      // Position: a log that began anew, under a higher epoch, has replaced the one before
+	LogDiverged                       // Position, Agent, Err: another agent has other records under the same numbers
+	VoterStopped                      // Err: this voter takes no part any more
+	LeaseAcquired                     // a lease holds again, or for the first time
+	LeaseLost                         // none does
+	UnknownRecord                     // Position, Err: others agree on something that this build does not know
 )
 
 // Event is one of those.
 type Event struct {
-	Kind  EventKind
-	Agent int
-	At    chronicle.Position
-	Err   error
+	Kind     EventKind
+	Agent    int
+	Position chronicle.Position
+	Err      error
 }
 
 // Output is what is to be done.
 type Output struct {
-	Datagrams []pieces.Datagram
-	Persist   *consensus.Persist // to be written, and its token told by Persisted
-	Events    []Event
-	Applied   bool // records were applied: what follows from the machines may have changed
+	Datagrams  []pieces.Datagram
+	Persist    *consensus.Persist // to be written, and its token told by Persisted
+	Events     []Event
+	HasApplied bool // records were applied: what follows from the machines may have changed
 }
 
 // Node is one agent's. It is not safe for concurrent use.
 type Node struct {
-	set        Settings
-	random     *rand.Rand
-	carrier    *pieces.Carrier
-	log        *chronicle.Log
-	machines   machines
-	at         chronicle.Position // what the machines have
-	spread     *spread.Spreader
-	roster     *roster.Roster
-	spreads    chronicle.Position // what others were told of
-	holder     *lease.Holder
-	voter      *consensus.Voter // nil: not named as one
-	granter    *lease.Granter
-	given      uint64 // records that the voters' log has given out, as numbered by the chronicle
-	fresh      time.Time
-	proposals  proposals
-	own        []told // messages to itself
-	aboveNext  time.Duration
-	leading    bool
-	holding    bool
-	stopped    bool
-	standsDown bool         // see there
-	differs    map[int]bool // agents of which it was told that they differ
-	dropped    uint64
-	began      time.Duration // by the steady clock
-	out        Output
+	settings        Settings
+	rng             *rand.Rand
+	transport       *pieces.Transport
+	log             *chronicle.Log
+	machines        stateMachines
+	applied         chronicle.Position // what the machines have
+	gossip          *spread.Replicator
+	members         *roster.List
+	lastGossiped    chronicle.Position // what others were told of
+	holder          *lease.Holder
+	voter           *consensus.Voter // nil: not named as one
+	granter         *lease.Granter
+	delivered       uint64 // records that the voters' log has given out, as numbered by the chronicle
+	freshAsOf       time.Time
+	proposals       proposals
+	selfMessages    []selfMessage // messages to itself
+	applicationNext time.Duration
+	isLeading       bool
+	isHolding       bool
+	isStopped       bool
+	mustStandDown   bool         // see there
+	diverged        map[int]bool // agents of which it was told that they differ
+	dropped         uint64
+	startedAt       time.Duration // by the steady clock
+	output          Output
 }
 
 // told is a message from an agent to itself.
-type told struct {
+type selfMessage struct {
 	channel uint8
 	bytes   []byte
 }
 
 // New returns the node of a process that starts.
-func New(set Settings, now Reading) (*Node, error) {
-	set.Terms = set.Terms.Usual()
-	if set.Ready <= 0 {
-		set.Ready = 2 * time.Second
+func New(set Settings, now ClockReading) (*Node, error) {
+	set.Terms = set.Terms.WithDefaults()
+	if set.ReadyTimeout <= 0 {
+		set.ReadyTimeout = 2 * time.Second
 	}
-	if err := set.Check(); err != nil {
+	if err := set.Validate(); err != nil {
 		return nil, err
 	}
 	n := &Node{
-		set: set, began: now.Mono, differs: map[int]bool{},
-		random: rand.New(rand.NewPCG(set.Seed, set.Incarnation)),
+		settings: set, startedAt: now.Mono, diverged: map[int]bool{},
+		rng: rand.New(rand.NewPCG(set.Seed, set.Incarnation)),
 	}
 	n.machines.known = set.Machines
-	n.proposals = newProposals(n.random.Uint64())
-	n.carrier = pieces.New(pieces.Config{
-		Agents: set.Agents, Incarnation: set.Incarnation, Memory: set.Memory,
-		Rate: set.Rate, Burst: set.Burst,
+	n.proposals = newProposals(n.rng.Uint64())
+	n.transport = pieces.New(pieces.Config{
+		Agents: set.Agents, Incarnation: set.Incarnation, MemoryBytes: set.MemoryBytes,
+		BytesPerSecond: set.BytesPerSecond, BurstBytes: set.BurstBytes,
 	})
 	var err error
-	limits := chronicle.Limits{Snapshot: consensus.MaxSnapshot}
+	limits := chronicle.Limits{MaxSnapshotBytes: consensus.MaxSnapshotBytes}
 	if n.log, err = chronicle.New(chronicle.Snapshot{}, limits); err != nil {
 		return nil, err
 	}
@@ -154,25 +154,25 @@
 		Incarnation: set.Incarnation,
 		Voters:      set.Voters, Seed: set.Seed,
 	}, now)
-	if set.Votes() {
+	if set.IsVoter() {
 		if err := n.startVoter(now); err != nil {
 			return nil, err
 		}
 	}
-	n.roster = roster.New(roster.Settings{
+	n.members = roster.New(roster.Settings{
 		Agents: set.Agents, Self: set.Self,
-		Started: time.Duration(set.Incarnation) * time.Millisecond, Seed: set.Seed,
+		StartedAt: time.Duration(set.Incarnation) * time.Millisecond, Seed: set.Seed,
 	}, now.Mono)
-	n.startSpread(now)
-	n.turn(now)
+	n.startGossip(now)
+	n.runDue(now)
 	return n, nil
 }
 
-// Votes tells whether this agent is one of the voters, and can be.
-func (s Settings) Votes() bool { return slices.Contains(s.Voters, s.Self) && !s.NoVote }
+// IsVoter tells whether this agent is one of the voters, and can be.
+func (s Settings) IsVoter() bool { return slices.Contains(s.Voters, s.Self) && !s.NonVoting }
 
-// Check tells what is wrong with the settings.
-func (s Settings) Check() error {
+// Validate tells what is wrong with the settings.
+func (s Settings) Validate() error {
 	if s.Agents < 1 || s.Self < 0 || s.Self >= s.Agents {
 		return fmt.Errorf("fleet: agent %d of %d", s.Self, s.Agents)
 	}
@@ -184,90 +184,90 @@
 	if n := len(s.Voters); n > 0 && n%2 == 0 || n > 7 {
 		return fmt.Errorf("fleet: %d voters are named: 1, 3, 5 or 7 agree", n)
 	}
-	return s.Terms.Usual().Check()
+	return s.Terms.WithDefaults().Validate()
 }
 
 // steady is the machine's steady clock as the parts below have it.
-func steady(now Reading) time.Time { return time.Unix(0, int64(now.Mono)) }
+func steadyTime(now ClockReading) time.Time { return time.Unix(0, int64(now.Mono)) }
 
-func mono(t time.Time) time.Duration { return time.Duration(t.UnixNano()) }
+func steadyReading(t time.Time) time.Duration { return time.Duration(t.UnixNano()) }
 
 // Receive takes a datagram of another agent's. What is not of this kind is dropped and counted.
-func (n *Node) Receive(now Reading, from int, datagram []byte) {
-	for _, m := range n.carrier.Receive(steady(now), uint32(from), datagram) {
-		n.hear(now, int(m.From), m.Channel, m.Bytes)
+func (n *Node) Receive(now ClockReading, from int, datagram []byte) {
+	for _, m := range n.transport.Receive(steadyTime(now), uint32(from), datagram) {
+		n.handleMessage(now, int(m.From), m.Channel, m.Bytes)
 	}
-	n.turn(now)
+	n.runDue(now)
 }
 
 // Wake does what is due by time: see Next.
-func (n *Node) Wake(now Reading) { n.turn(now) }
+func (n *Node) Wake(now ClockReading) { n.runDue(now) }
 
 // Persisted tells that a Persist is safe on disk.
-func (n *Node) Persisted(now Reading, token uint64) {
+func (n *Node) Persisted(now ClockReading, token uint64) {
 	if n.voter != nil {
-		n.vote(now, consensus.Persisted{Token: token})
+		n.stepVoter(now, consensus.Persisted{Token: token})
 	}
-	n.turn(now)
+	n.runDue(now)
 }
 
 // Out is what is to be done since it was last called.
-func (n *Node) Out(now Reading) Output {
-	out := n.out
-	out.Datagrams = n.carrier.Out(steady(now))
-	n.out = Output{}
+func (n *Node) Out(now ClockReading) Output {
+	out := n.output
+	out.Datagrams = n.transport.Out(steadyTime(now))
+	n.output = Output{}
 	return out
 }
 
 // Next is when Wake is due, by the steady clock.
 func (n *Node) Next() time.Duration {
-	next := min(n.holder.Next(), n.spread.Next())
-	if t := n.carrier.Next(); !t.IsZero() {
-		next = min(next, mono(t))
+	next := min(n.holder.Next(), n.gossip.Next())
+	if t := n.transport.Next(); !t.IsZero() {
+		next = min(next, steadyReading(t))
 	}
 	if n.voter != nil {
-		next = min(next, mono(n.voter.Next()))
+		next = min(next, steadyReading(n.voter.Next()))
 	}
-	if n.set.Above != nil {
-		next = min(next, n.aboveNext)
+	if n.settings.Application != nil {
+		next = min(next, n.applicationNext)
 	}
-	for _, p := range n.proposals.waiting {
-		next = min(next, p.next)
+	for _, p := range n.proposals.pending {
+		next = min(next, p.nextAttempt)
 	}
 	return next
 }
 
-// mostWord is what a message may carry beside of who is there; voters, who hear all agents, say more in
-// grants, in fleets of up to largeFleet agents: the more there are, the more grants a voter's pace has to
+// maxUpdateBytes is what a message may carry beside of who is there; voters, who hear all agents, say more in
+// grants, in fleets of up to largeFleetAgents agents: the more there are, the more grants a voter's pace has to
 // bear.
-const mostWord, mostGrantWord, largeFleet = 64, 200, 1000
+const maxUpdateBytes, maxGrantUpdateBytes, largeFleetAgents = 64, 200, 1000
 
-// grantWord is the same for a grant.
-func (s Settings) grantWord() int {
-	return max(min(mostGrantWord, mostGrantWord*largeFleet/s.Agents), mostWord)
+// grantUpdateBytes is the same for a grant.
+func (s Settings) grantUpdateBytes() int {
+	return max(min(maxGrantUpdateBytes, maxGrantUpdateBytes*largeFleetAgents/s.Agents), maxUpdateBytes)
 }
 
 // say sends a message with a word of who is there before it.
-func (n *Node) say(now Reading, to int, channel uint8, b []byte) {
-	if to == n.set.Self {
-		n.tell(now, to, channel, b)
+func (n *Node) sendWithUpdate(now ClockReading, to int, channel uint8, b []byte) {
+	if to == n.settings.Self {
+		n.send(now, to, channel, b)
 		return
 	}
-	most := mostWord
-	if channel == channelGrant {
-		most = n.set.grantWord()
+	most := maxUpdateBytes
+	if channel == channelLeaseGrant {
+		most = n.settings.grantUpdateBytes()
 	}
-	if room := pieces.MaxShort - 1 - len(b); room > 0 {
+	if room := pieces.MaxShortBytes - 1 - len(b); room > 0 {
 		most = min(most, room) // a message that fits into one datagram still does
 	}
-	n.roster.Sent(now.Mono, to)
-	word := n.roster.Word(now.Mono, to, most)
-	n.tell(now, to, channel, slices.Concat([]byte{byte(len(word))}, word, b))
+	n.members.NoteSent(now.Mono, to)
+	word := n.members.Update(now.Mono, to, most)
+	n.send(now, to, channel, slices.Concat([]byte{byte(len(word))}, word, b))
 }
 
 // said takes the word off a message.
-func (n *Node) said(now Reading, from int, b []byte) (rest []byte, ok bool) {
-	if from == n.set.Self {
+func (n *Node) takeUpdate(now ClockReading, from int, b []byte) (rest []byte, ok bool) {
+	if from == n.settings.Self {
 		return b, true
 	}
 	if len(b) == 0 || len(b) < 1+int(b[0]) {
@@ -275,8 +275,8 @@
 		return nil, false
 	}
 	if word := b[1 : 1+b[0]]; len(word) == 0 {
-		n.roster.Heard(now.Mono, from)
-	} else if n.roster.Take(now.Mono, from, word) != nil {
+		n.members.NoteReceived(now.Mono, from)
+	} else if n.members.ApplyUpdate(now.Mono, from, word) != nil {
 		n.dropped++
 	}
 	return b[1+b[0]:], true
@@ -284,51 +284,51 @@
 
 // tell sends a message, or has this agent hear it itself. One for which there is no room is lost, like any
 // other.
-func (n *Node) tell(now Reading, to int, channel uint8, b []byte) {
-	if to == n.set.Self {
-		n.own = append(n.own, told{channel, b})
+func (n *Node) send(now ClockReading, to int, channel uint8, b []byte) {
+	if to == n.settings.Self {
+		n.selfMessages = append(n.selfMessages, selfMessage{channel, b})
 		return
 	}
-	if err := n.carrier.Send(steady(now), uint32(to), channel, b); err != nil {
+	if err := n.transport.Send(steadyTime(now), uint32(to), channel, b); err != nil {
 		n.dropped++
 	}
 }
 
-func (n *Node) hear(now Reading, from int, channel uint8, b []byte) {
-	if channel == channelSpread || channel == channelLease || channel == channelGrant {
+func (n *Node) handleMessage(now ClockReading, from int, channel uint8, b []byte) {
+	if channel == channelGossip || channel == channelLeaseRequest || channel == channelLeaseGrant {
 		var ok bool
-		if b, ok = n.said(now, from, b); !ok {
+		if b, ok = n.takeUpdate(now, from, b); !ok {
 			return
 		}
 	}
 	switch channel {
-	case channelVoters:
+	case channelRaft:
 		if n.voter != nil {
-			n.vote(now, consensus.Received{From: uint32(from), Bytes: b})
+			n.stepVoter(now, consensus.MessageReceived{From: uint32(from), Bytes: b})
 		}
-	case channelSpread:
-		n.spreadHeard(now, from, b)
-	case channelLease:
-		n.asked(now, from, b)
-	case channelGrant:
+	case channelGossip:
+		n.handleGossip(now, from, b)
+	case channelLeaseRequest:
+		n.handleLeaseRequest(now, from, b)
+	case channelLeaseGrant:
 		if g, err := lease.DecodeGrant(b); err == nil {
-			n.holder.Answered(now, from, g)
+			n.holder.HandleGrant(now, from, g)
 		} else {
 			n.dropped++
 		}
-	case channelPropose:
-		n.proposed(now, from, b)
-	case channelOutcome:
-		n.answered(now, b)
-	case channelAbove:
-		if n.set.Above == nil {
+	case channelProposal:
+		n.handleProposal(now, from, b)
+	case channelProposalReply:
+		n.handleProposalReply(now, b)
+	case channelApplication:
+		if n.settings.Application == nil {
 			n.dropped++
-		} else if answer := n.set.Above.Heard(now, from, b); answer != nil {
-			n.tell(now, from, channelAboveAnswer, answer)
+		} else if answer := n.settings.Application.HandleMessage(now, from, b); answer != nil {
+			n.send(now, from, channelApplicationReply, answer)
 		}
-	case channelAboveAnswer:
-		if n.set.Above != nil {
-			n.set.Above.Answered(now, from, b)
+	case channelApplicationReply:
+		if n.settings.Application != nil {
+			n.settings.Application.HandleReply(now, from, b)
 		}
 	default:
 		n.dropped++
@@ -336,111 +336,111 @@
 }
 
 // turn does what is due, until nothing is.
-func (n *Node) turn(now Reading) {
+func (n *Node) runDue(now ClockReading) {
 	if n.voter != nil {
-		n.vote(now, consensus.Passed{})
+		n.stepVoter(now, consensus.TimePassed{})
 	}
-	n.spreadTurn(now)
-	n.apply(now)
-	n.above(now)
+	n.runGossip(now)
+	n.applyNew(now)
+	n.runApplication(now)
 	if to, r, send := n.holder.Tick(now); send {
-		if n.set.Above != nil {
-			r.Note = n.set.Above.Note()
+		if n.settings.Application != nil {
+			r.Note = n.settings.Application.LeaseNote()
 		}
-		n.say(now, to, channelLease, r.Encode())
+		n.sendWithUpdate(now, to, channelLeaseRequest, r.Encode())
 	}
-	n.propose(now)
-	for len(n.own) > 0 {
-		own := n.own
-		n.own = nil
+	n.sendDueProposals(now)
+	for len(n.selfMessages) > 0 {
+		own := n.selfMessages
+		n.selfMessages = nil
 		for _, m := range own {
-			n.hear(now, n.set.Self, m.channel, m.bytes)
+			n.handleMessage(now, n.settings.Self, m.channel, m.bytes)
 		}
-		n.propose(now)
+		n.sendDueProposals(now)
 	}
-	n.apply(now)
-	n.watch(now)
+	n.applyNew(now)
+	n.reportLeaseChange(now)
 }
 
 // watch tells of changes that staff want to know of.
-func (n *Node) watch(now Reading) {
-	if holds := n.holder.Holds(now); holds != n.holding {
-		n.holding = holds
-		kind := LeaseEnded
+func (n *Node) reportLeaseChange(now ClockReading) {
+	if holds := n.holder.Holds(now); holds != n.isHolding {
+		n.isHolding = holds
+		kind := LeaseLost
 		if holds {
-			kind = LeaseHeld
+			kind = LeaseAcquired
 		}
-		n.event(Event{Kind: kind, At: n.at})
+		n.addEvent(Event{Kind: kind, Position: n.applied})
 	}
 }
 
 // event keeps one to be told; without a reader they do not pile up.
-func (n *Node) event(e Event) {
-	if len(n.out.Events) < 64 {
-		n.out.Events = append(n.out.Events, e)
+func (n *Node) addEvent(e Event) {
+	if len(n.output.Events) < 64 {
+		n.output.Events = append(n.output.Events, e)
 	}
 }
 
 // apply gives the machines what the copy of the log has and they do not.
-func (n *Node) apply(now Reading) {
-	if n.log.Last() == n.at {
+func (n *Node) applyNew(now ClockReading) {
+	if n.log.Last() == n.applied {
 		return
 	}
-	epoch := n.at.Epoch
-	if s := n.log.Snapshot(); s.Epoch != n.at.Epoch || s.Seq > n.at.Seq {
-		n.restore(s)
+	epoch := n.applied.Epoch
+	if s := n.log.Snapshot(); s.Epoch != n.applied.Epoch || s.Seq > n.applied.Seq {
+		n.restoreMachines(s)
 	}
-	for n.at.Seq < n.log.Last().Seq {
-		r, ok := n.log.Record(n.at.Seq + 1)
+	for n.applied.Seq < n.log.Last().Seq {
+		r, ok := n.log.Record(n.applied.Seq + 1)
 		if !ok {
 			break
 		}
-		n.applyOne(r)
+		n.applyRecord(r)
 	}
-	n.at = n.log.Last()
-	if n.set.Above != nil {
-		n.set.Above.Learn(now, n.at.Epoch != epoch)
-		n.aboveNext = 0
+	n.applied = n.log.Last()
+	if n.settings.Application != nil {
+		n.settings.Application.RecordsApplied(now, n.applied.Epoch != epoch)
+		n.applicationNext = 0
 	}
-	n.holder.Applied(n.at)
-	n.out.Applied = true
-	n.compact()
+	n.holder.SetApplied(n.applied)
+	n.output.HasApplied = true
+	n.compactIfFull()
 }
 
-func (n *Node) applyOne(r chronicle.Record) {
-	n.at.Seq = r.Seq
+func (n *Node) applyRecord(r chronicle.Record) {
+	n.applied.Seq = r.Seq
 	if err := n.machines.apply(r.Seq, r.Data); err != nil {
-		n.event(Event{Kind: Unknown, At: n.at, Err: err})
+		n.addEvent(Event{Kind: UnknownRecord, Position: n.applied, Err: err})
 	}
 	if _, t, _, ok := decodeRecord(r.Data); ok && t.origin == n.proposals.origin {
-		n.proposals.settle(t.number, Taken)
+		n.proposals.settle(t.number, Committed)
 	}
 }
 
 // restore has the machines go on from a snapshot. One that can't be read leaves them at the beginning: it
 // came from agents that know more than this program, which says so.
-func (n *Node) restore(s chronicle.Snapshot) {
-	if s.Epoch > n.at.Epoch && n.at.Epoch > 0 {
-		n.event(Event{Kind: Began, At: s.At()})
+func (n *Node) restoreMachines(s chronicle.Snapshot) {
+	if s.Epoch > n.applied.Epoch && n.applied.Epoch > 0 {
+		n.addEvent(Event{Kind: LogRestarted, Position: s.Position()})
 	}
 	if err := n.machines.restore(s.Data); err != nil {
-		n.event(Event{Kind: Stopped, Err: err})
+		n.addEvent(Event{Kind: VoterStopped, Err: err})
 		_ = n.machines.restore(nil)
 	}
-	n.at = s.At()
+	n.applied = s.Position()
 }
 
-// compactAt is the part of a log's bounds from which on it is compacted.
-const compactAt = 0.75
+// compactThreshold is the part of a log's bounds from which on it is compacted.
+const compactThreshold = 0.75
 
 // compact lets go of records once there are many: the machines' state stands for them.
-func (n *Node) compact() {
+func (n *Node) compactIfFull() {
 	l := n.log.Limits()
-	few := float64(n.log.Len()) < compactAt*float64(l.Records)
-	if few && float64(n.log.Bytes()) < compactAt*float64(l.Bytes) {
+	few := float64(n.log.Len()) < compactThreshold*float64(l.MaxRecords)
+	if few && float64(n.log.Bytes()) < compactThreshold*float64(l.MaxRecordBytes) {
 		return
 	}
 	if data, err := n.machines.snapshot(); err == nil {
-		_ = n.log.Compact(chronicle.Snapshot{Epoch: n.at.Epoch, Seq: n.at.Seq, Sum: n.at.Sum, Data: data})
+		_ = n.log.Compact(chronicle.Snapshot{Epoch: n.applied.Epoch, Seq: n.applied.Seq, Sum: n.applied.Sum, Data: data})
 	}
 }
--- a/fleet/orders/orders.go
+++ b/fleet/orders/orders.go
@@ -16,142 +16,146 @@
 )
 
 const (
-	// MostBytes is what the orders may take, each by its server's id and PerOrder more: the log's
+	// MaxBytes is what the orders may take, each by its server's id and OverheadBytes more: the log's
 	// snapshot is bounded. Of servers that were put back the order is forgotten first.
-	MostBytes = 32 << 10
-	PerOrder  = 32
-	// MostID is how long a server's id may be, in bytes.
-	MostID = 256
-	format = 1
+	MaxBytes      = 32 << 10
+	OverheadBytes = 32
+	// MaxServerIDBytes is how long a server's id may be, in bytes.
+	MaxServerIDBytes = 256
+	stateFormat      = 1
 )
 
-// Order is the last word on a server.
-type Order struct {
-	Server string
-	Down   bool
-	By     int           // the agent at which it was said
-	At     time.Duration // Unix time, by that agent's clock
+// Command is the last word on a server.
+type Command struct {
+	Server   string
+	Down     bool
+	IssuedBy int           // the agent at which it was said
+	IssuedAt time.Duration // Unix time, by that agent's clock
 }
 
 // Errors of Encode and Restore.
 var (
-	ErrOrder  = errors.New("orders: an id of 1 to 256 bytes and a time are needed")
-	ErrFormat = errors.New("orders: a state that this program can't read")
+	ErrInvalidCommand = errors.New("orders: an id of 1 to 256 bytes and a time are needed")
+	ErrFormat         = errors.New("orders: a state that this program can't read")
 )
 
-// wireOrder is an order in a record, and in the state.
-type wireOrder struct {
-	Server string `cbor:"1,keyasint"`
-	Down   bool   `cbor:"2,keyasint,omitempty"`
-	By     int    `cbor:"3,keyasint"`
-	At     int64  `cbor:"4,keyasint"` // nanoseconds
+// wireCommand is an order in a record, and in the state.
+type wireCommand struct {
+	Server   string `cbor:"1,keyasint"`
+	Down     bool   `cbor:"2,keyasint,omitempty"`
+	IssuedBy int    `cbor:"3,keyasint"`
+	IssuedAt int64  `cbor:"4,keyasint"` // nanoseconds
 }
 
 type wireState struct {
-	Format int         `cbor:"1,keyasint"`
-	Orders []wireOrder `cbor:"2,keyasint"`
+	Format   int           `cbor:"1,keyasint"`
+	Commands []wireCommand `cbor:"2,keyasint"`
 }
 
-func (o Order) check() bool { return o.Server != "" && len(o.Server) <= MostID && o.At > 0 }
+func (o Command) isValid() bool {
+	return o.Server != "" && len(o.Server) <= MaxServerIDBytes && o.IssuedAt > 0
+}
 
 // Encode is the record that says an order.
-func (o Order) Encode() ([]byte, error) {
-	if !o.check() {
-		return nil, ErrOrder
+func (o Command) Encode() ([]byte, error) {
+	if !o.isValid() {
+		return nil, ErrInvalidCommand
 	}
-	return cbor.Marshal(wireOrder{o.Server, o.Down, o.By, int64(o.At)})
+	return cbor.Marshal(wireCommand{o.Server, o.Down, o.IssuedBy, int64(o.IssuedAt)})
 }
 
-func (w wireOrder) order() Order { return Order{w.Server, w.Down, w.By, time.Duration(w.At)} }
+func (w wireCommand) command() Command {
+	return Command{w.Server, w.Down, w.IssuedBy, time.Duration(w.IssuedAt)}
+}
 
-// Book holds them. Its zero value has none.
-type Book struct {
-	latest map[string]Order
-	bytes  int
-	unread uint64
+// List holds them. Its zero value has none.
+type List struct {
+	byServer   map[string]Command
+	usedBytes  int
+	unreadable uint64
 }
 
-// Apply implements fleet.Machine. The log's order is what counts: the record that comes later is the last
+// Apply implements fleet.StateMachine. The log's order is what counts: the record that comes later is the last
 // word, whatever its time. Where there is no room for a further server the order is passed over, alike at
 // all agents.
-func (b *Book) Apply(_ uint64, data []byte) {
-	var w wireOrder
-	if err := cbor.Unmarshal(data, &w); err != nil || !w.order().check() {
-		b.unread++
+func (b *List) Apply(_ uint64, data []byte) {
+	var w wireCommand
+	if err := cbor.Unmarshal(data, &w); err != nil || !w.command().isValid() {
+		b.unreadable++
 		return
 	}
-	if b.latest == nil {
-		b.latest = map[string]Order{}
+	if b.byServer == nil {
+		b.byServer = map[string]Command{}
 	}
-	o := w.order()
-	if before, is := b.latest[o.Server]; is {
-		o.At = max(o.At, before.At+1) // later than what it replaces, also where two agents' clocks differ
+	o := w.command()
+	if before, is := b.byServer[o.Server]; is {
+		o.IssuedAt = max(o.IssuedAt, before.IssuedAt+1) // later than what it replaces, also where two agents' clocks differ
 	} else {
-		for b.bytes+room(o) > MostBytes {
-			if !b.forget() {
+		for b.usedBytes+costBytes(o) > MaxBytes {
+			if !b.evictOldestUp() {
 				return
 			}
 		}
-		b.bytes += room(o)
+		b.usedBytes += costBytes(o)
 	}
-	b.latest[o.Server] = o
+	b.byServer[o.Server] = o
 }
 
-func room(o Order) int { return len(o.Server) + PerOrder }
+func costBytes(o Command) int { return len(o.Server) + OverheadBytes }
 
 // forget drops the order of the server that was put back longest ago.
-func (b *Book) forget() bool {
-	var oldest *Order
+func (b *List) evictOldestUp() bool {
+	var oldest *Command
 	for _, o := range b.All() {
-		if !o.Down && (oldest == nil || o.At < oldest.At) {
+		if !o.Down && (oldest == nil || o.IssuedAt < oldest.IssuedAt) {
 			oldest = &o
 		}
 	}
 	if oldest != nil {
-		b.bytes -= room(*oldest)
-		delete(b.latest, oldest.Server)
+		b.usedBytes -= costBytes(*oldest)
+		delete(b.byServer, oldest.Server)
 	}
 	return oldest != nil
 }
 
 // All are the orders, by their servers.
-func (b *Book) All() []Order {
-	byServer := func(o, p Order) int { return cmp.Compare(o.Server, p.Server) }
-	return slices.SortedFunc(maps.Values(b.latest), byServer)
+func (b *List) All() []Command {
+	byServer := func(o, p Command) int { return cmp.Compare(o.Server, p.Server) }
+	return slices.SortedFunc(maps.Values(b.byServer), byServer)
 }
 
-// Unread is how many records could not be read.
-func (b *Book) Unread() uint64 { return b.unread }
+// Unreadable is how many records could not be read.
+func (b *List) Unreadable() uint64 { return b.unreadable }
 
-// Snapshot implements fleet.Machine.
-func (b *Book) Snapshot() []byte {
-	s := wireState{Format: format}
+// Snapshot implements fleet.StateMachine.
+func (b *List) Snapshot() []byte {
+	s := wireState{Format: stateFormat}
 	for _, o := range b.All() {
-		s.Orders = append(s.Orders, wireOrder{o.Server, o.Down, o.By, int64(o.At)})
+		s.Commands = append(s.Commands, wireCommand{o.Server, o.Down, o.IssuedBy, int64(o.IssuedAt)})
 	}
 	raw, _ := cbor.Marshal(s) // of plain values: it can't fail
 	return raw
 }
 
-// Restore implements fleet.Machine.
-func (b *Book) Restore(data []byte) error {
-	latest, bytes := map[string]Order{}, 0
+// Restore implements fleet.StateMachine.
+func (b *List) Restore(data []byte) error {
+	latest, bytes := map[string]Command{}, 0
 	if data != nil {
 		var s wireState
-		if err := cbor.Unmarshal(data, &s); err != nil || s.Format != format {
+		if err := cbor.Unmarshal(data, &s); err != nil || s.Format != stateFormat {
 			return ErrFormat
 		}
-		for _, w := range s.Orders {
-			if !w.order().check() {
+		for _, w := range s.Commands {
+			if !w.command().isValid() {
 				return ErrFormat
 			}
-			latest[w.Server] = w.order()
-			bytes += room(w.order())
+			latest[w.Server] = w.command()
+			bytes += costBytes(w.command())
 		}
 	}
-	if bytes > MostBytes {
+	if bytes > MaxBytes {
 		return ErrFormat
 	}
-	b.latest, b.bytes = latest, bytes
+	b.byServer, b.usedBytes = latest, bytes
 	return nil
 }
--- a/fleet/orders/orders_test.go
+++ b/fleet/orders/orders_test.go
@@ -14,12 +14,12 @@
 // snapshot in between; the last word on a server holds, and memory is bounded.
 func TestBook(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		one, other := &Book{}, &Book{}
+		one, other := &List{}, &List{}
 		last := map[string]bool{}
 		for i := range rapid.IntRange(0, 60).Draw(t, "orders") {
-			o := Order{
+			o := Command{
 				Server: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "server"),
-				Down:   rapid.Bool().Draw(t, "down"), At: time.Duration(rapid.IntRange(1, 50).Draw(t, "at")),
+				Down:   rapid.Bool().Draw(t, "down"), IssuedAt: time.Duration(rapid.IntRange(1, 50).Draw(t, "at")),
 			}
 			raw, err := o.Encode()
 			require.NoError(t, err)
@@ -32,7 +32,7 @@
 			last[o.Server] = o.Down
 			one.Apply(uint64(i), raw)
 			if i%7 == 3 {
-				fresh := &Book{}
+				fresh := &List{}
 				require.NoError(t, fresh.Restore(other.Snapshot()))
 				other = fresh
 			}
@@ -49,27 +49,27 @@
 
 // A book is bounded: what was put back is forgotten for what is taken out, and nothing that is out for anything.
 func TestFull(t *testing.T) {
-	b := &Book{}
+	b := &List{}
 	say := func(server string, down bool, at int) {
-		raw, err := Order{Server: server, Down: down, At: time.Duration(at)}.Encode()
+		raw, err := Command{Server: server, Down: down, IssuedAt: time.Duration(at)}.Encode()
 		require.NoError(t, err)
 		b.Apply(0, raw)
 	}
-	id := func(i int) string { return fmt.Sprintf("s-%0*d", 256-PerOrder-2, i) }
-	for i := range MostBytes / 256 {
+	id := func(i int) string { return fmt.Sprintf("s-%0*d", 256-OverheadBytes-2, i) }
+	for i := range MaxBytes / 256 {
 		say(id(i), true, 1)
 	}
 	say("further", true, 2)
-	require.Len(t, b.All(), MostBytes/256)
+	require.Len(t, b.All(), MaxBytes/256)
 	require.NotContains(t, fmt.Sprint(b.All()), "further")
 	say(id(7), false, 1) // not later by its clock, and the last word all the same
-	require.Equal(t, time.Duration(2), b.latest[id(7)].At)
+	require.Equal(t, time.Duration(2), b.byServer[id(7)].IssuedAt)
 	say("further", true, 3)
-	require.Len(t, b.All(), MostBytes/256)
-	require.True(t, b.latest["further"].Down)
-	require.NotContains(t, b.latest, id(7))
+	require.Len(t, b.All(), MaxBytes/256)
+	require.True(t, b.byServer["further"].Down)
+	require.NotContains(t, b.byServer, id(7))
 	require.Less(t, len(b.Snapshot()), 48<<10)
 	require.Error(t, b.Restore([]byte("no")))
-	_, err := Order{Server: strings.Repeat("x", MostID+1), At: 1}.Encode()
-	require.ErrorIs(t, err, ErrOrder)
+	_, err := Command{Server: strings.Repeat("x", MaxServerIDBytes+1), IssuedAt: 1}.Encode()
+	require.ErrorIs(t, err, ErrInvalidCommand)
 }
--- a/fleet/pieces/example_test.go
+++ b/fleet/pieces/example_test.go
@@ -10,7 +10,7 @@
 // A message of 10,000 bytes goes from agent 0 to agent 1, and each tenth datagram is lost.
 func Example() {
 	now := time.Unix(1_800_000_000, 0)
-	var ends [2]*pieces.Carrier
+	var ends [2]*pieces.Transport
 	for i := range ends {
 		ends[i] = pieces.New(pieces.Config{Agents: 2, Incarnation: uint64(now.UnixMilli())})
 	}
--- a/fleet/pieces/golden_test.go
+++ b/fleet/pieces/golden_test.go
@@ -29,14 +29,14 @@
 	case kindShort:
 		return append([]byte{kindShort, f.channel, byte(len(f.data))}, f.data...)
 	case kindAck:
-		return ackFrame(f, f.data)
+		return encodeAck(f, f.data)
 	}
-	return pieceFrame(f.kind, f.channel, f)
+	return encodeFragment(f.kind, f.channel, f)
 }
 
 // TestGolden: each form of datagram keeps its bytes, and is read from them as it was.
 func TestGolden(t *testing.T) {
-	long := make([]byte, 2*pieceSize+30)
+	long := make([]byte, 2*fragmentBytes+30)
 	for i := range long {
 		long[i] = byte(i * 7)
 	}
@@ -68,7 +68,7 @@
 
 	for name, d := range datagrams {
 		file := golden.Bytes(t, name, d)
-		require.Equal(t, []byte{First, Version}, file[:2], name)
+		require.Equal(t, []byte{FirstByte, Version}, file[:2], name)
 		var back []byte
 		for _, f := range frames(t, file) {
 			back = append(back, encodeFrame(f)...)
--- a/fleet/pieces/pieces.go
+++ b/fleet/pieces/pieces.go
@@ -12,7 +12,7 @@
 // that what was begun before a restart is not mixed with what comes after.
 //
 // It does no input or output, and knows no clock: every call brings the time, Out returns what is to be sent.
-// The same calls give the same answers. Memory is bounded by Config. A Carrier is not safe for concurrent
+// The same calls give the same answers. MemoryBytes is bounded by Config. A Transport is not safe for concurrent
 // use.
 package pieces
 
@@ -24,73 +24,73 @@
 )
 
 const (
-	// First is the first byte of each datagram: others between agents begin with other bytes, and agents that
+	// FirstByte is the first byte of each datagram: others between agents begin with other bytes, and agents that
 	// do not know it drop it.
-	First = 0xF1
+	FirstByte = 0xF1
 	// Version is the second byte. What has another is dropped and counted.
 	Version = 1
-	// MaxDatagram is the longest datagram, in bytes.
-	MaxDatagram = 256
+	// MaxDatagramBytes is the longest datagram, in bytes.
+	MaxDatagramBytes = 256
 
-	headSize  = 2 + 4 // First, Version, checksum of the rest
-	shortHead = 3     // kind, channel, length
-	pieceHead = shortHead + 8 + 4 + 2 + 2 + 4
-	ackHead   = shortHead + 8 + 4
-	// pieceSize is what a piece carries; all but the last are full.
-	pieceSize = MaxDatagram - headSize - pieceHead
-	// MaxShort is the longest message that goes in one datagram.
-	MaxShort = MaxDatagram - headSize - shortHead
-	// MaxMessage is the longest message, in bytes.
-	MaxMessage = 160 << 10
-	maxCount   = (MaxMessage + pieceSize - 1) / pieceSize
+	headerBytes         = 2 + 4 // FirstByte, Version, checksum of the rest
+	shortHeaderBytes    = 3     // kind, channel, length
+	fragmentHeaderBytes = shortHeaderBytes + 8 + 4 + 2 + 2 + 4
+	ackHeaderBytes      = shortHeaderBytes + 8 + 4
+	// fragmentBytes is what a piece carries; all but the last are full.
+	fragmentBytes = MaxDatagramBytes - headerBytes - fragmentHeaderBytes
+	// MaxShortBytes is the longest message that goes in one datagram.
+	MaxShortBytes = MaxDatagramBytes - headerBytes - shortHeaderBytes
+	// MaxMessageBytes is the longest message, in bytes.
+	MaxMessageBytes = 160 << 10
+	maxFragments    = (MaxMessageBytes + fragmentBytes - 1) / fragmentBytes
 
-	kindShort = 0
-	kindPiece = 1
-	kindAsk   = 2 // a piece whose receiver is to say at once what it has
-	kindAck   = 3
+	kindShort      = 0
+	kindFragment   = 1
+	kindAckRequest = 2 // a piece whose receiver is to say at once what it has
+	kindAck        = 3
 )
 
-// ErrTooLong is returned for a message of more than MaxMessage bytes, ErrEmpty for one of none.
+// ErrTooLong is returned for a message of more than MaxMessageBytes bytes, ErrEmpty for one of none.
 var (
-	ErrTooLong = errors.New("pieces: message too long")
-	ErrEmpty   = errors.New("pieces: empty message")
-	ErrPeer    = errors.New("pieces: no such agent")
-	ErrFull    = errors.New("pieces: too much is waiting to be sent")
+	ErrTooLong      = errors.New("pieces: message too long")
+	ErrEmpty        = errors.New("pieces: empty message")
+	ErrUnknownAgent = errors.New("pieces: no such agent")
+	ErrQueueFull    = errors.New("pieces: too much is waiting to be sent")
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Config bounds what a Carrier holds and sends. Zero fields stand for the defaults.
+// Config bounds what a Transport holds and sends. Zero fields stand for the defaults.
 type Config struct {
 	// Agents is how many there may be: peers are numbered below it.
 	Agents int
 	// Incarnation numbers this process, higher at each start: the time of it in milliseconds will do.
 	Incarnation uint64
-	// Memory is the most that messages being sent and received may take, in bytes, half for each. Default 1 MiB.
-	Memory int
-	// Rate and Burst pace what is sent: bytes a second and at once. Defaults 128 KiB and 64 KiB.
-	Rate, Burst int
-	// Resend is how long nothing may be heard of a long message before it is asked for again, less where answers
+	// MemoryBytes is the most that messages being sent and received may take, in bytes, half for each. Default 1 MiB.
+	MemoryBytes int
+	// BytesPerSecond and BurstBytes pace what is sent: bytes a second and at once. Defaults 128 KiB and 64 KiB.
+	BytesPerSecond, BurstBytes int
+	// ResendAfter is how long nothing may be heard of a long message before it is asked for again, less where answers
 	// come sooner; it doubles with each time. Default 200 ms.
-	Resend time.Duration
-	// GiveUp is how long a long message is tried. Default 10 s.
-	GiveUp time.Duration
+	ResendAfter time.Duration
+	// GiveUpAfter is how long a long message is tried. Default 10 s.
+	GiveUpAfter time.Duration
 }
 
-func (c Config) filled() Config {
+func (c Config) withDefaults() Config {
 	fill := func(v *int, d int) {
 		if *v <= 0 {
 			*v = d
 		}
 	}
-	fill(&c.Memory, 1<<20)
-	fill(&c.Rate, 128<<10)
-	fill(&c.Burst, 64<<10)
-	if c.Resend <= 0 {
-		c.Resend = 200 * time.Millisecond
+	fill(&c.MemoryBytes, 1<<20)
+	fill(&c.BytesPerSecond, 128<<10)
+	fill(&c.BurstBytes, 64<<10)
+	if c.ResendAfter <= 0 {
+		c.ResendAfter = 200 * time.Millisecond
 	}
-	if c.GiveUp <= 0 {
-		c.GiveUp = 10 * time.Second
+	if c.GiveUpAfter <= 0 {
+		c.GiveUpAfter = 10 * time.Second
 	}
 	return c
 }
@@ -108,102 +108,102 @@
 	Bytes []byte
 }
 
-// Counts is what was given up or dropped since the start.
-type Counts struct {
-	Damaged  uint64 // datagrams that cannot be read
-	Old      uint64 // of a process that has been restarted since
-	Repeated uint64 // pieces of messages that were delivered or given up
-	NoRoom   uint64 // messages given up, on either side, for want of memory
-	Late     uint64 // long messages given up after GiveUp
-	Paced    uint64 // short messages not sent, as the pace was exceeded twice over
+// Stats is what was given up or dropped since the start.
+type Stats struct {
+	Damaged          uint64 // datagrams that cannot be read
+	StaleIncarnation uint64 // of a process that has been restarted since
+	Duplicates       uint64 // pieces of messages that were delivered or given up
+	OutOfMemory      uint64 // messages given up, on either side, for want of memory
+	Expired          uint64 // long messages given up after GiveUpAfter
+	RateLimited      uint64 // short messages not sent, as the pace was exceeded twice over
 }
 
-// Carrier is one agent's.
-type Carrier struct {
-	cfg     Config
-	counts  Counts
-	bucket  bucket
-	shorts  batches
-	out     outbox
-	in      inbox
+// Transport is one agent's.
+type Transport struct {
+	config  Config
+	stats   Stats
+	pacer   tokenBucket
+	batches batches
+	outbox  outbox
+	inbox   inbox
 	pending []Datagram
 }
 
-// New returns the Carrier of a process that has just started.
-func New(cfg Config) *Carrier {
-	cfg = cfg.filled()
-	return &Carrier{
-		cfg: cfg, bucket: newBucket(cfg), out: newOutbox(), in: newInbox(),
-		shorts: batches{open: map[uint32][]byte{}},
+// New returns the Transport of a process that has just started.
+func New(cfg Config) *Transport {
+	cfg = cfg.withDefaults()
+	return &Transport{
+		config: cfg, pacer: newTokenBucket(cfg), outbox: newOutbox(), inbox: newInbox(),
+		batches: batches{open: map[uint32][]byte{}},
 	}
 }
 
-// Counts returns what was given up or dropped.
-func (c *Carrier) Counts() Counts { return c.counts }
+// Stats returns what was given up or dropped.
+func (c *Transport) Stats() Stats { return c.stats }
 
-// Held returns the bytes of messages on their way out and in.
-func (c *Carrier) Held() (out, in int) { return c.out.bytes, c.in.bytes }
+// InFlightBytes returns the bytes of messages on their way out and in.
+func (c *Transport) InFlightBytes() (out, in int) { return c.outbox.bytes, c.inbox.bytes }
 
 // Send takes a message for an agent; the channel tells the parts above from each other. The message is
 // copied.
-func (c *Carrier) Send(now time.Time, to uint32, channel uint8, msg []byte) error {
+func (c *Transport) Send(now time.Time, to uint32, channel uint8, msg []byte) error {
 	switch {
-	case int64(to) >= int64(c.cfg.Agents):
-		return ErrPeer
+	case int64(to) >= int64(c.config.Agents):
+		return ErrUnknownAgent
 	case len(msg) == 0:
 		return ErrEmpty
-	case len(msg) > MaxMessage:
+	case len(msg) > MaxMessageBytes:
 		return ErrTooLong
-	case len(msg) <= MaxShort:
-		c.frame(now, to, append([]byte{kindShort, channel, byte(len(msg))}, msg...))
+	case len(msg) <= MaxShortBytes:
+		c.queueFrame(now, to, append([]byte{kindShort, channel, byte(len(msg))}, msg...))
 		return nil
 	}
-	if cut(len(msg))*pieceSize > c.cfg.Memory/2 {
-		return ErrFull
+	if fragmentCount(len(msg))*fragmentBytes > c.config.MemoryBytes/2 {
+		return ErrQueueFull
 	}
-	for c.out.bytes+len(msg) > c.cfg.Memory/2 || c.out.peer[to] >= perPeer {
-		c.out.dropOldest(to, c.out.peer[to] >= perPeer)
-		c.counts.NoRoom++
+	for c.outbox.bytes+len(msg) > c.config.MemoryBytes/2 || c.outbox.perAgent[to] >= maxPerAgent {
+		c.outbox.dropOldest(to, c.outbox.perAgent[to] >= maxPerAgent)
+		c.stats.OutOfMemory++
 	}
-	c.out.add(now, to, channel, msg, c.cfg)
+	c.outbox.add(now, to, channel, msg, c.config)
 	return nil
 }
 
 // frame puts one into the datagram that is open to an agent, which goes out with the next Out: what is sent
 // to the same agent in one step shares datagrams. Short ones are not held back by the pace, as they are worth
 // nothing later; they are not sent at all where it is exceeded twice over.
-func (c *Carrier) frame(now time.Time, to uint32, frame []byte) {
-	if !c.bucket.owe(now, len(frame)+headSize) {
-		c.counts.Paced++
+func (c *Transport) queueFrame(now time.Time, to uint32, frame []byte) {
+	if !c.pacer.takeWithDebt(now, len(frame)+headerBytes) {
+		c.stats.RateLimited++
 		return
 	}
-	if full := c.shorts.add(to, frame); full != nil {
+	if full := c.batches.add(to, frame); full != nil {
 		c.pending = append(c.pending, Datagram{to, full})
 	}
 }
 
 // Out returns what is to be sent now, and empties it.
-func (c *Carrier) Out(now time.Time) []Datagram {
+func (c *Transport) Out(now time.Time) []Datagram {
 	c.expire(now)
-	c.pieces(now)
-	c.pending = c.shorts.flush(c.pending)
+	c.sendFragments(now)
+	c.pending = c.batches.flush(c.pending)
 	out := c.pending
 	c.pending = nil
 	return out
 }
 
 // Next returns when Out is to be called without other cause; the zero time, if not at all.
-func (c *Carrier) Next() time.Time {
-	if len(c.pending) > 0 || len(c.shorts.order) > 0 {
-		return c.bucket.at
+func (c *Transport) Next() time.Time {
+	if len(c.pending) > 0 || len(c.batches.order) > 0 {
+		return c.pacer.updatedAt
 	}
-	next := c.in.next(c.cfg.GiveUp)
-	for _, m := range c.out.all {
-		at := c.bucket.ready(MaxDatagram)
-		if !m.sending() && m.wait.After(at) {
-			at = m.wait
+	next := c.inbox.nextExpiry(c.config.GiveUpAfter)
+	for _, m := range c.outbox.messages {
+		at := c.pacer.availableAt(MaxDatagramBytes)
+		if !m.isInPass() && m.resendAt.After(at) {
+			at = m.resendAt
 		}
-		if give := m.began.Add(c.cfg.GiveUp); give.Before(at) {
+		if give := m.startedAt.Add(c.config.GiveUpAfter); give.Before(at) {
 			at = give
 		}
 		if next.IsZero() || at.Before(next) {
@@ -213,83 +213,83 @@
 	return next
 }
 
-func (c *Carrier) expire(now time.Time) {
-	late := c.out.expire(now, c.cfg.GiveUp) + c.in.expire(now, c.cfg.GiveUp)
-	c.counts.Late += uint64(late)
+func (c *Transport) expire(now time.Time) {
+	late := c.outbox.expire(now, c.config.GiveUpAfter) + c.inbox.expire(now, c.config.GiveUpAfter)
+	c.stats.Expired += uint64(late)
 }
 
 // pieces sends what the pace allows, one piece of each message in turn.
-func (c *Carrier) pieces(now time.Time) {
+func (c *Transport) sendFragments(now time.Time) {
 	for sent := true; sent; {
 		sent = false
-		for _, m := range c.out.all {
-			m.wake(now)
-			if !m.sending() {
+		for _, m := range c.outbox.messages {
+			m.resendIfDue(now)
+			if !m.isInPass() {
 				continue
 			}
-			if !c.bucket.take(now, MaxDatagram) {
+			if !c.pacer.take(now, MaxDatagramBytes) {
 				return
 			}
-			c.pending = append(c.pending, Datagram{m.to, seal(m.next(now))})
+			c.pending = append(c.pending, Datagram{m.to, seal(m.nextFragment(now))})
 			sent = true
 		}
 	}
 }
 
 // Receive takes a datagram from an agent, and returns the messages that it completes.
-func (c *Carrier) Receive(now time.Time, from uint32, datagram []byte) []Message {
+func (c *Transport) Receive(now time.Time, from uint32, datagram []byte) []Message {
 	body, ok := unseal(datagram)
-	if !ok || int64(from) >= int64(c.cfg.Agents) {
-		c.counts.Damaged++
+	if !ok || int64(from) >= int64(c.config.Agents) {
+		c.stats.Damaged++
 		return nil
 	}
 	var got []Message
 	for len(body) > 0 {
 		f, rest, ok := readFrame(body)
 		if !ok {
-			c.counts.Damaged++
+			c.stats.Damaged++
 			return got
 		}
 		body = rest
-		if m, ok := c.take(now, from, f); ok {
+		if m, ok := c.handleFrame(now, from, f); ok {
 			got = append(got, m)
 		}
 	}
 	return got
 }
 
-func (c *Carrier) take(now time.Time, from uint32, f frame) (Message, bool) {
+func (c *Transport) handleFrame(now time.Time, from uint32, f frame) (Message, bool) {
 	switch f.kind {
 	case kindShort:
 		return Message{from, f.channel, append([]byte(nil), f.data...)}, true
 	case kindAck:
-		if f.incarnation == c.cfg.Incarnation {
-			c.out.acked(now, from, f)
+		if f.incarnation == c.config.Incarnation {
+			c.outbox.handleAck(now, from, f)
 		}
 		return Message{}, false
 	}
-	res := c.in.piece(now, from, f, c.cfg.Memory/2)
-	c.counts.Old += res.old
-	c.counts.Repeated += res.repeated
-	c.counts.NoRoom += res.noRoom
+	res := c.inbox.handleFragment(now, from, f, c.config.MemoryBytes/2)
+	c.stats.StaleIncarnation += res.staleIncarnation
+	c.stats.Duplicates += res.duplicates
+	c.stats.OutOfMemory += res.outOfMemory
 	if res.ack != nil {
-		c.frame(now, from, res.ack)
+		c.queueFrame(now, from, res.ack)
 	}
-	return Message{from, f.channel, res.whole}, res.whole != nil
+	return Message{from, f.channel, res.message}, res.message != nil
 }
 
 func seal(frames []byte) []byte {
-	d := make([]byte, headSize, headSize+len(frames))
-	d[0], d[1] = First, Version
+	d := make([]byte, headerBytes, headerBytes+len(frames))
+	d[0], d[1] = FirstByte, Version
 	binary.BigEndian.PutUint32(d[2:], crc32.Checksum(frames, castagnoli))
 	return append(d, frames...)
 }
 
 func unseal(d []byte) (body []byte, ok bool) {
-	if len(d) <= headSize || len(d) > MaxDatagram || d[0] != First || d[1] != Version {
+	if len(d) <= headerBytes || len(d) > MaxDatagramBytes || d[0] != FirstByte || d[1] != Version {
 		return nil, false
 	}
-	body = d[headSize:]
+	body = d[headerBytes:]
 	return body, crc32.Checksum(body, castagnoli) == binary.BigEndian.Uint32(d[2:])
 }
 
@@ -305,7 +305,7 @@
 	if !is {
 		b.order = append(b.order, to)
 	}
-	if len(d)+len(frame) > MaxDatagram-headSize {
+	if len(d)+len(frame) > MaxDatagramBytes-headerBytes {
 		full, d = seal(d), nil
 	}
 	b.open[to] = append(d, frame...)
--- a/fleet/pieces/pieces_test.go
+++ b/fleet/pieces/pieces_test.go
@@ -79,10 +79,10 @@
 		w.shift = rapid.SampledFrom([]float64{0, 0.2}).Draw(t, "shift")
 		restarts := rapid.Bool().Draw(t, "restarts")
 		const memory = 200 << 10
-		fresh := func(inc uint64) *Carrier {
-			return New(Config{Agents: 2, Incarnation: inc, Memory: memory, GiveUp: 30 * time.Second})
+		fresh := func(inc uint64) *Transport {
+			return New(Config{Agents: 2, Incarnation: inc, MemoryBytes: memory, GiveUpAfter: 30 * time.Second})
 		}
-		at := []*Carrier{fresh(1), fresh(1)}
+		at := []*Transport{fresh(1), fresh(1)}
 		sent, times, long := map[uint32]uint32{}, map[uint32]int{}, 0
 		for step := range 2000 {
 			now := start.Add(time.Duration(step) * 20 * time.Millisecond)
@@ -93,7 +93,7 @@
 					require.Equal(t, f.from, m.From)
 					require.Equal(t, uint8(n), m.Channel)
 					require.Contains(t, sent, n)
-					if len(m.Bytes) > MaxShort {
+					if len(m.Bytes) > MaxShortBytes {
 						times[n]++
 						require.Equal(t, 1, times[n], "a long message came twice")
 					}
@@ -101,27 +101,27 @@
 			}
 			if step < 300 && step%10 == 0 {
 				n := uint32(step)
-				from, size := w.r.IntN(2), []int{10, MaxShort, MaxShort + 1, 5000, 30000}[w.r.IntN(5)]
+				from, size := w.r.IntN(2), []int{10, MaxShortBytes, MaxShortBytes + 1, 5000, 30000}[w.r.IntN(5)]
 				require.NoError(t, at[from].Send(now, uint32(1-from), uint8(n), body(n, size)))
-				if sent[n] = uint32(size); size > MaxShort {
+				if sent[n] = uint32(size); size > MaxShortBytes {
 					long++
 				}
 			}
 			if restarts && step%97 == 50 {
 				// The receiver of this test remembers over its restarts what came, so only senders restart.
-				at[0] = New(Config{Agents: 2, Incarnation: uint64(step), Memory: memory, GiveUp: 30 * time.Second})
-				at[0].in = newInbox()
+				at[0] = New(Config{Agents: 2, Incarnation: uint64(step), MemoryBytes: memory, GiveUpAfter: 30 * time.Second})
+				at[0].inbox = newInbox()
 				times = map[uint32]int{}
 			}
 			for i, c := range at {
 				w.put(now, uint32(i), c.Out(now))
-				out, in := c.Held()
+				out, in := c.InFlightBytes()
 				require.LessOrEqual(t, out, memory/2)
 				require.LessOrEqual(t, in, memory/2)
 			}
 		}
-		if !restarts && w.loss < 0.5 && at[0].Counts().NoRoom+at[1].Counts().NoRoom == 0 {
-			require.Len(t, times, long, "%+v %+v", at[0].Counts(), at[1].Counts())
+		if !restarts && w.loss < 0.5 && at[0].Stats().OutOfMemory+at[1].Stats().OutOfMemory == 0 {
+			require.Len(t, times, long, "%+v %+v", at[0].Stats(), at[1].Stats())
 		}
 	})
 }
@@ -131,7 +131,7 @@
 	receiver := New(Config{Agents: 2})
 	cutUp := func(inc uint64, n uint32) []Datagram {
 		c := New(Config{Agents: 2, Incarnation: inc})
-		require.NoError(t, c.Send(start, 1, 7, body(n, 3*pieceSize)))
+		require.NoError(t, c.Send(start, 1, 7, body(n, 3*fragmentBytes)))
 		return c.Out(start)
 	}
 	old, young := cutUp(1, 100), cutUp(2, 200)
@@ -142,13 +142,13 @@
 	require.Empty(t, receiver.Receive(start, 0, young[0].Bytes))
 	got := receiver.Receive(start, 0, young[2].Bytes)
 	require.Len(t, got, 1)
-	require.Equal(t, body(200, 3*pieceSize), got[0].Bytes)
-	require.EqualValues(t, 2, receiver.Counts().Old)
+	require.Equal(t, body(200, 3*fragmentBytes), got[0].Bytes)
+	require.EqualValues(t, 2, receiver.Stats().StaleIncarnation)
 }
 
 // The pace: long messages never exceed the burst and the rate, short ones in a step share datagrams.
 func TestPace(t *testing.T) {
-	c := New(Config{Agents: 9, Rate: 10_000, Burst: 2_000})
+	c := New(Config{Agents: 9, BytesPerSecond: 10_000, BurstBytes: 2_000})
 	require.NoError(t, c.Send(start, 1, 1, body(1, 100_000)))
 	bytes, now := 0, start
 	for range 100 {
@@ -169,7 +169,7 @@
 		now = c.Next()
 	}
 
-	c = New(Config{Agents: 9, Rate: 1000, Burst: 1000})
+	c = New(Config{Agents: 9, BytesPerSecond: 1000, BurstBytes: 1000})
 	for range 20 {
 		require.NoError(t, c.Send(start, 3, 1, body(1, 20)))
 	}
@@ -177,20 +177,20 @@
 	for range 200 {
 		require.NoError(t, c.Send(start, 3, 1, body(1, 20)))
 	}
-	require.Greater(t, c.Counts().Paced, uint64(100))
+	require.Greater(t, c.Stats().RateLimited, uint64(100))
 }
 
 func TestRefused(t *testing.T) {
-	c := New(Config{Agents: 2, Memory: 100_000})
-	require.ErrorIs(t, c.Send(start, 2, 0, []byte{1}), ErrPeer)
+	c := New(Config{Agents: 2, MemoryBytes: 100_000})
+	require.ErrorIs(t, c.Send(start, 2, 0, []byte{1}), ErrUnknownAgent)
 	require.ErrorIs(t, c.Send(start, 1, 0, nil), ErrEmpty)
-	require.ErrorIs(t, c.Send(start, 1, 0, make([]byte, MaxMessage+1)), ErrTooLong)
-	require.ErrorIs(t, c.Send(start, 1, 0, make([]byte, 60_000)), ErrFull)
-	require.Less(t, ackHead+len(newBits(maxCount))+headSize, MaxDatagram)
-	for _, bad := range [][]byte{nil, {First}, {First, Version, 0, 0, 0, 0, 1}, make([]byte, 300), seal([]byte{9, 9, 9})} {
+	require.ErrorIs(t, c.Send(start, 1, 0, make([]byte, MaxMessageBytes+1)), ErrTooLong)
+	require.ErrorIs(t, c.Send(start, 1, 0, make([]byte, 60_000)), ErrQueueFull)
+	require.Less(t, ackHeaderBytes+len(newFragmentSet(maxFragments))+headerBytes, MaxDatagramBytes)
+	for _, bad := range [][]byte{nil, {FirstByte}, {FirstByte, Version, 0, 0, 0, 0, 1}, make([]byte, 300), seal([]byte{9, 9, 9})} {
 		require.Empty(t, c.Receive(start, 1, bad))
 	}
-	require.EqualValues(t, 5, c.Counts().Damaged)
+	require.EqualValues(t, 5, c.Stats().Damaged)
 }
 
 // FuzzReceive: nothing that comes makes it panic, or hold more than it may.
@@ -199,15 +199,15 @@
 	_ = c.Send(start, 1, 3, body(1, 1000))
 	_ = c.Send(start, 1, 3, body(1, 10))
 	for _, d := range c.Out(start) {
-		f.Add(d.Bytes[headSize:])
+		f.Add(d.Bytes[headerBytes:])
 	}
-	f.Add(ackFrame(frame{number: 1}, []byte{1}))
+	f.Add(encodeAck(frame{number: 1}, []byte{1}))
 	f.Fuzz(func(t *testing.T, frames []byte) {
-		c := New(Config{Agents: 2, Memory: 64 << 10})
+		c := New(Config{Agents: 2, MemoryBytes: 64 << 10})
 		_ = c.Send(start, 1, 3, body(1, 1000))
 		c.Receive(start, 1, seal(frames))
 		c.Out(start.Add(time.Second))
-		_, in := c.Held()
+		_, in := c.InFlightBytes()
 		require.LessOrEqual(t, in, 32<<10)
 	})
 }
--- a/fleet/roster/example_test.go
+++ b/fleet/roster/example_test.go
@@ -9,18 +9,18 @@
 
 // Agent 2 is heard by agent 1 alone, whose word of it reaches agent 0; then agent 2 leaves.
 func Example() {
-	var agents [3]*roster.Roster
+	var agents [3]*roster.List
 	for i := range agents {
-		agents[i] = roster.New(roster.Settings{Agents: 3, Self: i, Started: 1_800_000_000 * time.Second, Seed: 1}, 0)
+		agents[i] = roster.New(roster.Settings{Agents: 3, Self: i, StartedAt: 1_800_000_000 * time.Second, Seed: 1}, 0)
 	}
 	tell := func(now time.Duration, from, to int) {
-		if err := agents[to].Take(now, from, agents[from].Word(now, to, 64)); err != nil {
+		if err := agents[to].ApplyUpdate(now, from, agents[from].Update(now, to, 64)); err != nil {
 			fmt.Println(err)
 		}
 	}
 	tell(time.Second, 2, 1)
 	tell(2*time.Second, 1, 0)
-	fmt.Println(agents[0].Status(2*time.Second, 2) == roster.Here)
+	fmt.Println(agents[0].Status(2*time.Second, 2) == roster.Alive)
 	agents[2].Leave()
 	tell(3*time.Second, 2, 1)
 	tell(4*time.Second, 1, 0)
--- a/fleet/roster/golden_test.go
+++ b/fleet/roster/golden_test.go
@@ -11,18 +11,18 @@
 
 // TestGolden: a word keeps its bytes, and is read from them as it was, by the encoder of its own and by the general one.
 func TestGolden(t *testing.T) {
-	born := uint64(1_800_000_000)<<wordBits | 3
-	for name, w := range map[string]word{
-		"word":         {Incarnation: born, HeardYou: 7, Start: 300, Ages: []byte{0, 1, 23, 24, 254, 255}},
-		"word-leaving": {Incarnation: born, Leaving: true, HeardYou: unknown, Ages: []byte{5}},
-		"word-events": {Incarnation: born, HeardYou: 24, Start: 2, Ages: []byte{9}, Events: []event{
+	born := uint64(1_800_000_000)<<refutationBits | 3
+	for name, w := range map[string]update{
+		"word":         {Incarnation: born, ReceivedAge: 7, FirstAgent: 300, Ages: []byte{0, 1, 23, 24, 254, 255}},
+		"word-leaving": {Incarnation: born, Leaving: true, ReceivedAge: ageUnknown, Ages: []byte{5}},
+		"word-events": {Incarnation: born, ReceivedAge: 24, FirstAgent: 2, Ages: []byte{9}, Events: []event{
 			{Agent: 299, Incarnation: born, Left: true, By: 299},
-			{Agent: 4, Incarnation: 1 << 8, By: 260, Ago: 200},
+			{Agent: 4, Incarnation: 1 << 8, By: 260, Age: 200},
 			{Agent: 23, By: 23},
 		}},
 	} {
 		file := golden.Bytes(t, name, w.encode(200))
-		var back word
+		var back update
 		require.NoError(t, compact.Unmarshal(file, &back), name)
 		require.Equal(t, w, back, name)
 		require.Equal(t, file, back.encode(200), name)
@@ -30,17 +30,17 @@
 	}
 }
 
-// TestGoldenFirstWord: what a Roster says first is the same for the same settings.
+// TestGoldenFirstWord: what a List says first is the same for the same settings.
 func TestGoldenFirstWord(t *testing.T) {
-	r := New(Settings{Agents: 30, Self: 2, Started: 1_800_000_000e9, Seed: 5}, 0)
-	r.Heard(1e9, 7)
-	golden.Bytes(t, "first-word", r.Word(2e9, 7, 64))
+	r := New(Settings{Agents: 30, Self: 2, StartedAt: 1_800_000_000e9, Seed: 5}, 0)
+	r.NoteReceived(1e9, 7)
+	golden.Bytes(t, "first-word", r.Update(2e9, 7, 64))
 }
 
 // TestGoldenStatuses: staff's commands and pages show these words.
 func TestGoldenStatuses(t *testing.T) {
 	require.Equal(t, []string{"unheard", "here", "doubted", "cut off on one side", "silent", "left", "left"}, []string{
-		Unheard.String(), Here.String(), Doubted.String(), OneSided.String(), Silent.String(), Left.String(),
+		Unknown.String(), Alive.String(), Suspect.String(), OneWay.String(), Silent.String(), Left.String(),
 		Status(200).String(),
 	})
 }
--- a/fleet/roster/roster.go
+++ b/fleet/roster/roster.go
@@ -14,14 +14,14 @@
 //
 // A way can be closed in one direction. Each word tells its receiver how long ago it was heard; one who has
 // sent some messages, hears the other, and is not heard by it, says so. An agent that two others say does not
-// hear them is cut off on that side. One that is heard by nobody sees it in what others say of it (Self).
+// hear them is cut off on that side. One that is heard by nobody sees it in what others say of it (Connection).
 //
 // What a lie can do: as long as it is told, an agent that is gone seems to be there, or one that is there to
 // have left; the first ends with it, the second is refuted by the agent itself. It can't bring in an agent
 // beyond the fleet's numbers, nor take memory: that is some 120 bytes for each number.
 //
 // It does no input or output, and knows no clock: time is that of one steady clock. The same settings and
-// calls give the same words. A Roster is not safe for concurrent use.
+// calls give the same words. A List is not safe for concurrent use.
 package roster
 
 import (
@@ -38,14 +38,14 @@
 type Status uint8
 
 const (
-	// Unheard: nothing was heard of it, and not enough time has passed to call it silent.
-	Unheard Status = iota
-	// Here: it was heard lately.
-	Here
-	// Doubted: it was not heard for half of the time after which it is silent.
-	Doubted
-	// OneSided: it is heard, and does not hear.
-	OneSided
+	// Unknown: nothing was heard of it, and not enough time has passed to call it silent.
+	Unknown Status = iota
+	// Alive: it was heard lately.
+	Alive
+	// Suspect: it was not heard for half of the time after which it is silent.
+	Suspect
+	// OneWay: it is heard, and does not hear.
+	OneWay
 	// Silent: nothing was heard of it for long.
 	Silent
 	// Left: it has told that it goes.
@@ -57,228 +57,228 @@
 }
 
 // present tells whether one with this status has to be counted with.
-func (s Status) present() bool { return s < Silent }
+func (s Status) isPresent() bool { return s < Silent }
 
-// Standing is what an agent knows of its own connection.
-type Standing uint8
+// Connection is what an agent knows of its own connection.
+type Connection uint8
 
 const (
 	// Connected: it hears others, and is heard.
-	Connected Standing = iota
-	// Unsaid: it hears others, and nobody says that it was heard lately.
-	Unsaid
-	// Deaf: it hears nobody.
-	Deaf
+	Connected Connection = iota
+	// Unconfirmed: it hears others, and nobody says that it was heard lately.
+	Unconfirmed
+	// Isolated: it hears nobody.
+	Isolated
 )
 
 // Settings are one agent's. Zero values are the defaults.
 type Settings struct {
-	Agents  int // numbers 0 to Agents-1, 65535 at most
-	Self    int
-	Started time.Duration // of the process, in Unix time: its incarnation
-	Seed    uint64
-	Silence time.Duration // after which an agent is silent; 25 s and 200 ms for each agent
-	Hold    time.Duration // how long fewer have to be there until Here tells so; 10 s
+	Agents         int // numbers 0 to Agents-1, 65535 at most
+	Self           int
+	StartedAt      time.Duration // of the process, in Unix time: its incarnation
+	Seed           uint64
+	SilenceTimeout time.Duration // after which an agent is silent; 25 s and 200 ms for each agent
+	ShrinkDelay    time.Duration // how long fewer have to be there until Alive tells so; 10 s
 }
 
-// Figures count since the start.
-type Figures struct {
+// Stats count since the start.
+type Stats struct {
 	Dropped  uint64 // words that were malformed, or from or of numbers that there are not
 	Refuted  uint64 // wrong words about this agent
 	Restarts uint64 // of others, seen
 }
 
 const (
-	// wordBits are those of an incarnation in which an agent refutes; the others are its start in Unix seconds.
-	wordBits = 8
-	// aheadSeconds is how far in the future another's start may be: clocks may be off by that.
-	aheadSeconds = 3600
+	// refutationBits are those of an incarnation in which an agent refutes; the others are its start in Unix seconds.
+	refutationBits = 8
+	// maxAheadSeconds is how far in the future another's start may be: clocks may be off by that.
+	maxAheadSeconds = 3600
 	// unit is that of ages; unknown stands for those that are longer than it can tell.
-	unit    = 500 * time.Millisecond
-	unknown = 255
-	tenth   = 100 * time.Millisecond
-	// unheardSends is how many messages in a row another must not have heard, the first of them unheardTime
+	ageUnit    = 500 * time.Millisecond
+	ageUnknown = 255
+	sentUnit   = 100 * time.Millisecond
+	// closedAfterSends is how many messages in a row another must not have heard, the first of them closedAfter
 	// after what it heard last, until the way to it counts as closed.
-	unheardSends = 8
-	unheardTime  = 3 * time.Second
-	// leftGrace is for how long one that has left may still be heard.
-	leftGrace = 10 * time.Second
-	// firstTimes is how often one that was not known yet is told of: when all begin, there is nothing else.
-	firstTimes = 1
+	closedAfterSends = 8
+	closedAfter      = 3 * time.Second
+	// leaveGrace is for how long one that has left may still be heard.
+	leaveGrace = 10 * time.Second
+	// firstAnnouncements is how often one that was not known yet is told of: when all begin, there is nothing else.
+	firstAnnouncements = 1
 )
 
 // heard is what each word tells of many agents: it lies side by side.
-type heard struct {
-	at    time.Duration // the latest that anybody heard it; below zero: never
-	known bool          // it was heard of in this incarnation, or an earlier one
-	left  bool
+type contact struct {
+	lastContact time.Duration // the latest that anybody heard it; below zero: never
+	known       bool          // it was heard of in this incarnation, or an earlier one
+	left        bool
 }
 
 type agent struct {
-	incarnation uint64
-	leftAt      time.Duration // when that became known here
-	ways        *ways         // nil: nothing went between the two, nor was said of them
-	tell        uint8         // how often news of it is still to be told
+	incarnation   uint64
+	leftAt        time.Duration // when that became known here
+	path          *path         // nil: nothing went between the two, nor was said of them
+	announcements uint8         // how often news of it is still to be told
 }
 
 // ways is what is known of those between this agent and another. In a large fleet most agents have had
 // nothing
 // to do with each other for long.
-type ways struct {
-	direct      time.Duration // the latest that this agent heard it
-	heardDirect bool
-	next        uint8
-	sent        [unheardSends]uint32 // when the last messages went to it, in tenths of a second, oldest at next
-	accusers    [2]accuser
+type path struct {
+	lastReceived time.Duration // the latest that this agent heard it
+	hasReceived  bool
+	nextSent     uint8
+	sentAt       [closedAfterSends]uint32 // when the last messages went to it, in tenths of a second, oldest at next
+	reports      [2]oneWayReport
 }
 
 // none stands for ways of which nothing is known; it is not written to.
-var none ways
+var emptyPath path
 
-func (a *agent) seen() *ways {
-	if a.ways == nil {
-		return &none
+func (a *agent) pathOrEmpty() *path {
+	if a.path == nil {
+		return &emptyPath
 	}
-	return a.ways
+	return a.path
 }
 
-func (a *agent) own() *ways {
-	if a.ways == nil {
-		a.ways = &ways{}
+func (a *agent) ownPath() *path {
+	if a.path == nil {
+		a.path = &path{}
 	}
-	return a.ways
+	return a.path
 }
 
 // accuser is one that hears an agent, and is not heard by it.
-type accuser struct {
-	by   uint16
-	at   time.Duration
-	is   bool
-	tell uint8
-}
-
-// Roster is one agent's.
-type Roster struct {
-	set     Settings
-	rng     *rand.Rand
-	fig     Figures
-	begun   time.Duration
-	leaving bool
-	said    time.Duration // the latest that others say they heard this agent
-	agents  []agent
-	heard   []heard  // by agent
-	news    []uint64 // a bit for each agent of which something may still be to be told
-	times   uint8    // how often news is told by each
-	ages    []byte   // room for those of a word
-
-	told  int // by Here
-	below time.Duration
-	most  int // since then
-	fewer bool
-}
-
-// New returns a Roster that knows of nobody.
-func New(set Settings, now time.Duration) *Roster {
+type oneWayReport struct {
+	by            uint16
+	reportedAt    time.Duration
+	isSet         bool
+	announcements uint8
+}
+
+// List is one agent's.
+type List struct {
+	settings        Settings
+	rng             *rand.Rand
+	stats           Stats
+	startedAt       time.Duration
+	isLeaving       bool
+	selfConfirmedAt time.Duration // the latest that others say they heard this agent
+	agents          []agent
+	contacts        []contact // by agent
+	pendingNews     []uint64  // a bit for each agent of which something may still be to be told
+	announceTimes   uint8     // how often news is told by each
+	ageBuffer       []byte    // room for those of a word
+
+	presentCount   int // by Alive
+	shrinkSeenAt   time.Duration
+	maxSinceShrink int // since then
+	isShrinking    bool
+}
+
+// New returns a List that knows of nobody.
+func New(set Settings, now time.Duration) *List {
 	set.Agents = min(max(set.Agents, 1), 1<<16-1)
 	set.Self = min(max(set.Self, 0), set.Agents-1)
-	if set.Silence <= 0 {
-		set.Silence = 25*time.Second + time.Duration(set.Agents)*200*time.Millisecond
+	if set.SilenceTimeout <= 0 {
+		set.SilenceTimeout = 25*time.Second + time.Duration(set.Agents)*200*time.Millisecond
 	}
-	if set.Hold <= 0 {
-		set.Hold = 10 * time.Second
+	if set.ShrinkDelay <= 0 {
+		set.ShrinkDelay = 10 * time.Second
 	}
-	r := &Roster{
-		set: set, rng: rand.New(rand.NewPCG(set.Seed, uint64(set.Self))), begun: now, said: now,
-		agents: make([]agent, set.Agents), heard: make([]heard, set.Agents),
-		news: make([]uint64, (set.Agents+63)/64), told: set.Agents, times: 3,
+	r := &List{
+		settings: set, rng: rand.New(rand.NewPCG(set.Seed, uint64(set.Self))), startedAt: now, selfConfirmedAt: now,
+		agents: make([]agent, set.Agents), contacts: make([]contact, set.Agents),
+		pendingNews: make([]uint64, (set.Agents+63)/64), presentCount: set.Agents, announceTimes: 3,
 	}
 	for n := set.Agents; n > 1; n /= 2 {
-		r.times += 4
+		r.announceTimes += 4
 	}
-	r.agents[set.Self].incarnation = uint64(max(set.Started, 0)/time.Second) << wordBits
-	r.heard[set.Self].known = true
-	r.tell(set.Self, r.times)
+	r.agents[set.Self].incarnation = uint64(max(set.StartedAt, 0)/time.Second) << refutationBits
+	r.contacts[set.Self].known = true
+	r.announce(set.Self, r.announceTimes)
 	return r
 }
 
-// Figures are counts since the start.
-func (r *Roster) Figures() Figures { return r.fig }
+// Stats are counts since the start.
+func (r *List) Stats() Stats { return r.stats }
 
 // Incarnation is the agent's own.
-func (r *Roster) Incarnation() uint64 { return r.agents[r.set.Self].incarnation }
+func (r *List) Incarnation() uint64 { return r.agents[r.settings.Self].incarnation }
 
 // Leave has all further words say that this process goes.
-func (r *Roster) Leave() { r.leaving = true }
+func (r *List) Leave() { r.isLeaving = true }
 
-// Sent tells of a message that goes to another agent, whether or not with a word.
-func (r *Roster) Sent(now time.Duration, to int) {
-	if !r.other(to) {
+// NoteSent tells of a message that goes to another agent, whether or not with a word.
+func (r *List) NoteSent(now time.Duration, to int) {
+	if !r.isOther(to) {
 		return
 	}
-	a := r.agents[to].own()
-	a.sent[a.next] = uint32((now-r.begun)/tenth) + 1
-	a.next = (a.next + 1) % unheardSends
+	a := r.agents[to].ownPath()
+	a.sentAt[a.nextSent] = uint32((now-r.startedAt)/sentUnit) + 1
+	a.nextSent = (a.nextSent + 1) % closedAfterSends
 }
 
-// Heard tells of a message of another agent's that came without a word.
-func (r *Roster) Heard(now time.Duration, from int) {
-	if r.other(from) {
-		a := r.agents[from].own()
-		a.heardDirect, a.direct = true, max(a.direct, now)
-		r.heardOf(from, now)
+// NoteReceived tells of a message of another agent's that came without a word.
+func (r *List) NoteReceived(now time.Duration, from int) {
+	if r.isOther(from) {
+		a := r.agents[from].ownPath()
+		a.hasReceived, a.lastReceived = true, max(a.lastReceived, now)
+		r.noteContact(from, now)
 	}
 }
 
-func (r *Roster) other(number int) bool {
-	return number >= 0 && number < len(r.agents) && number != r.set.Self
+func (r *List) isOther(number int) bool {
+	return number >= 0 && number < len(r.agents) && number != r.settings.Self
 }
 
 // age is how long ago in units, rounded up.
-func age(now, then time.Duration, known bool) byte {
+func encodeAge(now, then time.Duration, known bool) byte {
 	if !known {
-		return unknown
+		return ageUnknown
 	}
-	return byte(min((max(now-then, 0)+unit-1)/unit, unknown))
+	return byte(min((max(now-then, 0)+ageUnit-1)/ageUnit, ageUnknown))
 }
 
-// Word returns what to put into a message to another agent, of at most so many bytes; nil where that is too
+// Update returns what to put into a message to another agent, of at most so many bytes; nil where that is too
 // few. 64 tell of some 40 agents. Words in voters' grants should be longer, of some 200 bytes: voters hear
 // all agents, and all hear them.
-func (r *Roster) Word(now time.Duration, to, most int) []byte {
-	if !r.other(to) || most < headBytes {
+func (r *List) Update(now time.Duration, to, most int) []byte {
+	if !r.isOther(to) || most < headerBytes {
 		return nil
 	}
-	r.heard[r.set.Self].at = now
-	w := word{
-		Incarnation: r.Incarnation(), Leaving: r.leaving,
-		HeardYou: age(now, r.agents[to].seen().direct, r.agents[to].seen().heardDirect),
+	r.contacts[r.settings.Self].lastContact = now
+	w := update{
+		Incarnation: r.Incarnation(), Leaving: r.isLeaving,
+		ReceivedAge: encodeAge(now, r.agents[to].pathOrEmpty().lastReceived, r.agents[to].pathOrEmpty().hasReceived),
 	}
-	w.Events = r.events(now, min(mostEvents, (most-headBytes)/eventBytes))
+	w.Events = r.pickEvents(now, min(maxEvents, (most-headerBytes)/eventBytes))
 	start := r.rng.IntN(len(r.agents))
-	w.Start = uint16(start)
+	w.FirstAgent = uint16(start)
 	for i := range min(len(r.agents), most) {
-		if i += start; i >= len(r.heard) {
-			i -= len(r.heard)
+		if i += start; i >= len(r.contacts) {
+			i -= len(r.contacts)
 		}
-		h := &r.heard[i]
-		r.ages = append(r.ages, age(now, h.at, h.known && !h.left))
+		h := &r.contacts[i]
+		r.ageBuffer = append(r.ageBuffer, encodeAge(now, h.lastContact, h.known && !h.left))
 	}
-	w.Ages, r.ages = r.ages, r.ages[:0]
+	w.Ages, r.ageBuffer = r.ageBuffer, r.ageBuffer[:0]
 	return w.encode(most)
 }
 
 // tell has news of an agent be told so often from now on.
-func (r *Roster) tell(number int, times uint8) {
-	r.agents[number].tell = times
-	r.hasNews(number)
+func (r *List) announce(number int, times uint8) {
+	r.agents[number].announcements = times
+	r.markNews(number)
 }
 
-func (r *Roster) hasNews(number int) { r.news[number/64] |= 1 << (number % 64) }
+func (r *List) markNews(number int) { r.pendingNews[number/64] |= 1 << (number % 64) }
 
 // nextNews is the next agent from a number on of which something may be to be told; at the end len(agents).
-func (r *Roster) nextNews(from int) int {
-	for i := from / 64; i < len(r.news); i++ {
-		set := r.news[i]
+func (r *List) nextNews(from int) int {
+	for i := from / 64; i < len(r.pendingNews); i++ {
+		set := r.pendingNews[i]
 		if i == from/64 {
 			set &= ^uint64(0) << (from % 64)
 		}
@@ -292,271 +292,273 @@
 // events are those that are still to be told, in half of the room, what is new of agents that were known
 // before others, each from a place drawn at random on; and at times one that is no news, for who has missed
 // it.
-func (r *Roster) events(now time.Duration, most int) (out []event) {
+func (r *List) pickEvents(now time.Duration, most int) (out []event) {
 	start := r.rng.IntN(len(r.agents))
 	news := (most + 1) / 2
 	for _, urgent := range []bool{true, false} {
 		for i := r.nextNews(start); i < len(r.agents) && len(out) < news; i = r.nextNews(i + 1) {
-			out = r.newsOf(now, i, urgent, out, news)
+			out = r.appendNews(now, i, urgent, out, news)
 		}
 		for i := r.nextNews(0); i < start && len(out) < news; i = r.nextNews(i + 1) {
-			out = r.newsOf(now, i, urgent, out, news)
+			out = r.appendNews(now, i, urgent, out, news)
 		}
 	}
-	if a, h := &r.agents[start], r.heard[start]; h.known && len(out) < most && r.rng.IntN(4) == 0 {
+	if a, h := &r.agents[start], r.contacts[start]; h.known && len(out) < most && r.rng.IntN(4) == 0 {
 		out = append(out, event{Agent: uint16(start), Incarnation: a.incarnation, Left: h.left, By: uint16(start)})
 	}
 	return out
 }
 
-// newsOf appends what is still to be told of an agent.
-func (r *Roster) newsOf(now time.Duration, i int, urgent bool, out []event, most int) []event {
-	number, a, left := uint16(i), &r.agents[i], r.heard[i].left
-	if a.tell > 0 && (left || a.tell > firstTimes) == urgent {
-		a.tell--
+// appendNews appends what is still to be told of an agent.
+func (r *List) appendNews(now time.Duration, i int, urgent bool, out []event, most int) []event {
+	number, a, left := uint16(i), &r.agents[i], r.contacts[i].left
+	if a.announcements > 0 && (left || a.announcements > firstAnnouncements) == urgent {
+		a.announcements--
 		out = append(out, event{Agent: number, Incarnation: a.incarnation, Left: left, By: number})
 	}
-	by := &a.seen().accusers
+	by := &a.pathOrEmpty().reports
 	for c := range by {
-		if acc := &by[c]; urgent && acc.tell > 0 && r.fresh(now, *acc) && len(out) < most {
-			acc.tell--
+		if acc := &by[c]; urgent && acc.announcements > 0 && r.isRecent(now, *acc) && len(out) < most {
+			acc.announcements--
 			out = append(out, event{
 				Agent: number, Incarnation: a.incarnation, By: acc.by,
-				Ago: age(now, acc.at, true),
+				Age: encodeAge(now, acc.reportedAt, true),
 			})
 		}
 	}
-	if a.tell == 0 && by[0].tell == 0 && by[1].tell == 0 {
-		r.news[i/64] &^= 1 << (i % 64)
+	if a.announcements == 0 && by[0].announcements == 0 && by[1].announcements == 0 {
+		r.pendingNews[i/64] &^= 1 << (i % 64)
 	}
 	return out
 }
 
-func (r *Roster) fresh(now time.Duration, a accuser) bool { return a.is && now-a.at <= 2*r.set.Silence }
+func (r *List) isRecent(now time.Duration, a oneWayReport) bool {
+	return a.isSet && now-a.reportedAt <= 2*r.settings.SilenceTimeout
+}
 
-// ErrWord: what came is no word, or from nobody.
-var ErrWord = errors.New("not an agent's word")
+// ErrInvalidUpdate: what came is no word, or from nobody.
+var ErrInvalidUpdate = errors.New("not an agent's word")
 
-// Take takes the word of a message that came from another agent.
-func (r *Roster) Take(now time.Duration, from int, data []byte) error {
-	var w word
+// ApplyUpdate takes the word of a message that came from another agent.
+func (r *List) ApplyUpdate(now time.Duration, from int, data []byte) error {
+	var w update
 	err := compact.Unmarshal(data, &w)
-	if err != nil || !r.other(from) || len(w.Events) > mostEvents || !r.plausible(now, w.Incarnation) ||
-		int(w.Start) >= len(r.agents) || len(w.Ages) > len(r.agents) {
-		r.fig.Dropped++
-		return errors.Join(ErrWord, err)
+	if err != nil || !r.isOther(from) || len(w.Events) > maxEvents || !r.isPlausible(now, w.Incarnation) ||
+		int(w.FirstAgent) >= len(r.agents) || len(w.Ages) > len(r.agents) {
+		r.stats.Dropped++
+		return errors.Join(ErrInvalidUpdate, err)
 	}
 	if w.Incarnation >= r.agents[from].incarnation {
-		r.Heard(now, from)
-		r.reborn(now, from, w.Incarnation, w.Leaving)
-		r.heardBy(now, from, w.HeardYou)
+		r.NoteReceived(now, from)
+		r.noteIncarnation(now, from, w.Incarnation, w.Leaving)
+		r.checkReachable(now, from, w.ReceivedAge)
 	}
-	number := int(w.Start)
+	number := int(w.FirstAgent)
 	for _, units := range w.Ages {
-		if units != unknown {
-			r.heardOf(number, now-time.Duration(units)*unit)
+		if units != ageUnknown {
+			r.noteContact(number, now-time.Duration(units)*ageUnit)
 		}
 		if number++; number == len(r.agents) {
 			number = 0
 		}
 	}
 	for _, e := range w.Events {
-		r.event(now, e)
+		r.applyEvent(now, e)
 	}
 	return nil
 }
 
-// heardOf takes that somebody has heard an agent at a time.
-func (r *Roster) heardOf(number int, at time.Duration) {
-	h := &r.heard[number]
-	if number == r.set.Self {
-		r.said = max(r.said, at)
+// noteContact takes that somebody has heard an agent at a time.
+func (r *List) noteContact(number int, at time.Duration) {
+	h := &r.contacts[number]
+	if number == r.settings.Self {
+		r.selfConfirmedAt = max(r.selfConfirmedAt, at)
 	}
-	if !h.known || at > h.at {
-		h.at = at
+	if !h.known || at > h.lastContact {
+		h.lastContact = at
 	}
 	h.known = true
-	// Heard after it left, it has begun anew, by an incarnation that is not known yet.
-	if h.left && at > r.agents[number].leftAt+leftGrace {
+	// NoteReceived after it left, it has begun anew, by an incarnation that is not known yet.
+	if h.left && at > r.agents[number].leftAt+leaveGrace {
 		h.left = false
 		r.agents[number].incarnation++
-		r.tell(number, r.times)
+		r.announce(number, r.announceTimes)
 	}
 }
 
 // plausible: a start that is not far in the future.
-func (r *Roster) plausible(now time.Duration, incarnation uint64) bool {
-	seconds := uint64(max((r.set.Started+now-r.begun)/time.Second, 0))
-	return incarnation>>wordBits <= seconds+aheadSeconds
+func (r *List) isPlausible(now time.Duration, incarnation uint64) bool {
+	seconds := uint64(max((r.settings.StartedAt+now-r.startedAt)/time.Second, 0))
+	return incarnation>>refutationBits <= seconds+maxAheadSeconds
 }
 
 // reborn takes a later incarnation, or that the present one has left.
-func (r *Roster) reborn(now time.Duration, number int, incarnation uint64, left bool) {
-	a, h := &r.agents[number], &r.heard[number]
+func (r *List) noteIncarnation(now time.Duration, number int, incarnation uint64, left bool) {
+	a, h := &r.agents[number], &r.contacts[number]
 	if incarnation < a.incarnation || incarnation == a.incarnation && (!left || h.left) {
 		return
 	}
-	r.tell(number, r.times)
+	r.announce(number, r.announceTimes)
 	if a.incarnation == 0 && !left {
-		a.tell = firstTimes
-	} else if incarnation>>wordBits != a.incarnation>>wordBits {
-		r.fig.Restarts++
+		a.announcements = firstAnnouncements
+	} else if incarnation>>refutationBits != a.incarnation>>refutationBits {
+		r.stats.Restarts++
 	}
 	if incarnation > a.incarnation {
-		if a.ways != nil {
-			a.ways.accusers, a.ways.sent = [2]accuser{}, [unheardSends]uint32{}
+		if a.path != nil {
+			a.path.reports, a.path.sentAt = [2]oneWayReport{}, [closedAfterSends]uint32{}
 		}
 	}
 	a.incarnation, h.left, a.leftAt = incarnation, left, now
 }
 
-// heardBy looks whether the other hears what is sent to it: by now it has heard something so long ago.
-func (r *Roster) heardBy(now time.Duration, from int, units byte) {
+// checkReachable looks whether the other hears what is sent to it: by now it has heard something so long ago.
+func (r *List) checkReachable(now time.Duration, from int, units byte) {
 	a := &r.agents[from]
-	heard := now - time.Duration(units)*unit // or earlier
-	if units != unknown {
-		r.said = max(r.said, heard)
+	heard := now - time.Duration(units)*ageUnit // or earlier
+	if units != ageUnknown {
+		r.selfConfirmedAt = max(r.selfConfirmedAt, heard)
 	}
-	w := a.seen()
-	if oldest := w.sent[w.next]; oldest > 0 && r.begun+time.Duration(oldest)*tenth > heard+unheardTime {
-		r.accuse(from, uint16(r.set.Self), now)
+	w := a.pathOrEmpty()
+	if oldest := w.sentAt[w.nextSent]; oldest > 0 && r.startedAt+time.Duration(oldest)*sentUnit > heard+closedAfter {
+		r.addReport(from, uint16(r.settings.Self), now)
 		return
 	}
-	by := &a.seen().accusers
+	by := &a.pathOrEmpty().reports
 	for i := range by {
-		if c := &by[i]; c.is && int(c.by) == r.set.Self && now-heard < r.set.Silence/2 {
-			c.is = false
+		if c := &by[i]; c.isSet && int(c.by) == r.settings.Self && now-heard < r.settings.SilenceTimeout/2 {
+			c.isSet = false
 		}
 	}
 }
 
 // accuse notes that one was not heard by an agent at a time, in place of the older of two others. What was
 // told of the same time before is no news: it would be told in a circle.
-func (r *Roster) accuse(number int, by uint16, at time.Duration) {
-	accusers := &r.agents[number].own().accusers
+func (r *List) addReport(number int, by uint16, at time.Duration) {
+	accusers := &r.agents[number].ownPath().reports
 	place := 0
 	for i, c := range accusers {
-		if c.is && c.by == by {
+		if c.isSet && c.by == by {
 			place = i
 			break
 		}
-		if old := accusers[place]; old.is && (!c.is || c.at < old.at) {
+		if old := accusers[place]; old.isSet && (!c.isSet || c.reportedAt < old.reportedAt) {
 			place = i
 		}
 	}
-	if old := accusers[place]; old.is && at-old.at < r.set.Silence/2 {
+	if old := accusers[place]; old.isSet && at-old.reportedAt < r.settings.SilenceTimeout/2 {
 		return
 	}
-	accusers[place] = accuser{by: by, at: at, is: true, tell: r.times}
-	r.hasNews(number)
+	accusers[place] = oneWayReport{by: by, reportedAt: at, isSet: true, announcements: r.announceTimes}
+	r.markNews(number)
 }
 
 // event takes what another tells of an agent.
-func (r *Roster) event(now time.Duration, e event) {
+func (r *List) applyEvent(now time.Duration, e event) {
 	number := int(e.Agent)
-	if number >= len(r.agents) || int(e.By) >= len(r.agents) || !r.plausible(now, e.Incarnation) {
-		r.fig.Dropped++
+	if number >= len(r.agents) || int(e.By) >= len(r.agents) || !r.isPlausible(now, e.Incarnation) {
+		r.stats.Dropped++
 		return
 	}
-	if number == r.set.Self {
-		r.aboutSelf(e)
+	if number == r.settings.Self {
+		r.refute(e)
 		return
 	}
-	if h := &r.heard[number]; !h.known {
-		h.known, h.at = true, now-r.set.Silence/2 // it was there at some time
+	if h := &r.contacts[number]; !h.known {
+		h.known, h.lastContact = true, now-r.settings.SilenceTimeout/2 // it was there at some time
 	}
 	if e.By == e.Agent {
-		r.reborn(now, number, e.Incarnation, e.Left)
-	} else if e.Incarnation >= r.agents[number].incarnation && int(e.By) != r.set.Self {
-		r.accuse(number, e.By, now-time.Duration(e.Ago)*unit)
+		r.noteIncarnation(now, number, e.Incarnation, e.Left)
+	} else if e.Incarnation >= r.agents[number].incarnation && int(e.By) != r.settings.Self {
+		r.addReport(number, e.By, now-time.Duration(e.Age)*ageUnit)
 	}
 }
 
-// aboutSelf refutes what is wrong of this agent.
-func (r *Roster) aboutSelf(e event) {
-	self := &r.agents[r.set.Self]
-	if e.Incarnation > self.incarnation || e.Incarnation == self.incarnation && e.Left && !r.leaving {
+// refute refutes what is wrong of this agent.
+func (r *List) refute(e event) {
+	self := &r.agents[r.settings.Self]
+	if e.Incarnation > self.incarnation || e.Incarnation == self.incarnation && e.Left && !r.isLeaving {
 		self.incarnation = e.Incarnation + 1
-		r.tell(r.set.Self, r.times)
-		r.fig.Refuted++
+		r.announce(r.settings.Self, r.announceTimes)
+		r.stats.Refuted++
 	}
 }
 
-// Status is what is known of an agent by now. This agent is Here to itself until it leaves.
-func (r *Roster) Status(now time.Duration, number int) Status {
+// Status is what is known of an agent by now. This agent is Alive to itself until it leaves.
+func (r *List) Status(now time.Duration, number int) Status {
 	if number < 0 || number >= len(r.agents) {
 		return Silent
 	}
-	h := r.heard[number]
-	silent := now-h.at > r.set.Silence
+	h := r.contacts[number]
+	silent := now-h.lastContact > r.settings.SilenceTimeout
 	switch {
-	case number == r.set.Self && r.leaving, h.left:
+	case number == r.settings.Self && r.isLeaving, h.left:
 		return Left
-	case number == r.set.Self:
-		return Here
-	case !h.known && now-r.begun <= r.set.Silence:
-		return Unheard
+	case number == r.settings.Self:
+		return Alive
+	case !h.known && now-r.startedAt <= r.settings.SilenceTimeout:
+		return Unknown
 	case !h.known || silent:
 		return Silent
-	case r.cut(now, &r.agents[number]):
-		return OneSided
-	case now-h.at > r.set.Silence/2:
-		return Doubted
+	case r.isOneWay(now, &r.agents[number]):
+		return OneWay
+	case now-h.lastContact > r.settings.SilenceTimeout/2:
+		return Suspect
 	}
-	return Here
+	return Alive
 }
 
 // cut: two have seen it.
-func (r *Roster) cut(now time.Duration, a *agent) bool {
-	return r.fresh(now, a.seen().accusers[0]) && r.fresh(now, a.seen().accusers[1])
+func (r *List) isOneWay(now time.Duration, a *agent) bool {
+	return r.isRecent(now, a.pathOrEmpty().reports[0]) && r.isRecent(now, a.pathOrEmpty().reports[1])
 }
 
-// Closed tells whether this agent hears another, and is not heard by it: of the one way alone.
-func (r *Roster) Closed(now time.Duration, number int) bool {
-	if !r.other(number) {
+// IsPathClosed tells whether this agent hears another, and is not heard by it: of the one way alone.
+func (r *List) IsPathClosed(now time.Duration, number int) bool {
+	if !r.isOther(number) {
 		return false
 	}
-	return slices.ContainsFunc(r.agents[number].seen().accusers[:], func(c accuser) bool {
-		return int(c.by) == r.set.Self && r.fresh(now, c)
+	return slices.ContainsFunc(r.agents[number].pathOrEmpty().reports[:], func(c oneWayReport) bool {
+		return int(c.by) == r.settings.Self && r.isRecent(now, c)
 	})
 }
 
-// Self is what the agent knows of its own connection.
-func (r *Roster) Self(now time.Duration) Standing {
-	hears := now-r.begun <= r.set.Silence
+// Connection is what the agent knows of its own connection.
+func (r *List) Connection(now time.Duration) Connection {
+	hears := now-r.startedAt <= r.settings.SilenceTimeout
 	for i := range r.agents {
 		a := &r.agents[i]
-		hears = hears || i != r.set.Self && a.seen().heardDirect && now-a.seen().direct <= r.set.Silence
+		hears = hears || i != r.settings.Self && a.pathOrEmpty().hasReceived && now-a.pathOrEmpty().lastReceived <= r.settings.SilenceTimeout
 	}
 	switch {
 	case !hears:
-		return Deaf
-	case now-r.said > r.set.Silence:
-		return Unsaid
+		return Isolated
+	case now-r.selfConfirmedAt > r.settings.SilenceTimeout:
+		return Unconfirmed
 	}
 	return Connected
 }
 
-// Here is how many agents have to be counted with, this one included: those that were heard lately, and at
+// Alive is how many agents have to be counted with, this one included: those that were heard lately, and at
 // the beginning all of whom nothing is known yet. More are told at once, fewer only when they have been fewer
 // for a while, so that nobody takes a larger part for a moment's silence.
-func (r *Roster) Here(now time.Duration) int {
+func (r *List) PresentCount(now time.Duration) int {
 	count := 0
 	for i := range r.agents {
-		if r.Status(now, i).present() {
+		if r.Status(now, i).isPresent() {
 			count++
 		}
 	}
 	switch {
-	case count >= r.told:
-		r.told, r.fewer = count, false
-	case !r.fewer:
-		r.fewer, r.below, r.most = true, now, count
+	case count >= r.presentCount:
+		r.presentCount, r.isShrinking = count, false
+	case !r.isShrinking:
+		r.isShrinking, r.shrinkSeenAt, r.maxSinceShrink = true, now, count
 	default:
-		r.most = max(r.most, count)
-		if now-r.below >= r.set.Hold {
-			r.told, r.fewer = max(r.most, 1), false
+		r.maxSinceShrink = max(r.maxSinceShrink, count)
+		if now-r.shrinkSeenAt >= r.settings.ShrinkDelay {
+			r.presentCount, r.isShrinking = max(r.maxSinceShrink, 1), false
 		}
 	}
-	return r.told
+	return r.presentCount
 }
--- a/fleet/roster/roster_test.go
+++ b/fleet/roster/roster_test.go
@@ -14,8 +14,8 @@
 // lab plays what an agent sends anyway: a digest to another one each 1.5 s, and a request to one of five voters each
 // 2 s, which is answered.
 type lab struct {
-	*lossy.World
-	rosters []*Roster
+	*lossy.Network
+	rosters []*List
 	down    []bool
 	turn    []int
 }
@@ -28,29 +28,29 @@
 
 func newLab(seed uint64, agents int, loss float64) *lab {
 	faults := lossy.Faults{
-		Loss: loss, Double: loss / 10, Least: time.Millisecond, Most: 10 * time.Millisecond, Late: loss / 10,
-		LateBy: 2 * time.Second,
+		Loss: loss, Duplicate: loss / 10, MinDelay: time.Millisecond, MaxDelay: 10 * time.Millisecond, Late: loss / 10,
+		Lateness: 2 * time.Second,
 	}
 	l := &lab{
-		World: lossy.New(seed, agents, time.Hour, faults), rosters: make([]*Roster, agents), down: make([]bool, agents),
+		Network: lossy.NewNetwork(seed, agents, time.Hour, faults), rosters: make([]*List, agents), down: make([]bool, agents),
 		turn: make([]int, agents),
 	}
-	l.Deliver = func(to, from int, data []byte) {
+	l.OnMessage = func(to, from int, data []byte) {
 		if l.down[to] {
 			return
 		}
-		if err := l.rosters[to].Take(l.Mono(to), from, data[1:]); err != nil {
+		if err := l.rosters[to].ApplyUpdate(l.SteadyTime(to), from, data[1:]); err != nil {
 			panic(err)
 		}
 		if data[0] == 'r' {
 			l.send(to, from, 'g')
 		}
 	}
-	l.Tick = func(node int) {
+	l.OnTimer = func(node int) {
 		if l.down[node] {
 			return
 		}
-		l.rosters[node].Here(l.Mono(node))
+		l.rosters[node].PresentCount(l.SteadyTime(node))
 		if l.turn[node]++; l.turn[node]%7 < 4 { // four digests and three requests in 6 s
 			if to := l.Rand().IntN(agents); to != node {
 				l.send(node, to, 'd')
@@ -58,7 +58,7 @@
 		} else if to := l.turn[node] % voters; to != node {
 			l.send(node, to, 'r')
 		}
-		l.Wake(node, l.Mono(node)+857*time.Millisecond)
+		l.SetTimer(node, l.SteadyTime(node)+857*time.Millisecond)
 	}
 	for a := range agents {
 		l.start(a)
@@ -68,9 +68,9 @@
 
 func (l *lab) start(a int) {
 	l.down[a] = false
-	l.rosters[a] = New(Settings{Agents: len(l.rosters), Self: a, Started: l.Now(), Seed: uint64(l.Now()) + uint64(a)}, l.Mono(a))
+	l.rosters[a] = New(Settings{Agents: len(l.rosters), Self: a, StartedAt: l.Now(), Seed: uint64(l.Now()) + uint64(a)}, l.SteadyTime(a))
 	l.turn[a] = l.Rand().IntN(100)
-	l.Wake(a, l.Mono(a)+time.Duration(l.Rand().Int64N(int64(time.Second))))
+	l.SetTimer(a, l.SteadyTime(a)+time.Duration(l.Rand().Int64N(int64(time.Second))))
 }
 
 func (l *lab) send(from, to int, kind byte) {
@@ -78,15 +78,15 @@
 	if kind == 'g' {
 		most = grantBytes
 	}
-	l.Send(from, to, append([]byte{kind}, l.rosters[from].Word(l.Mono(from), to, most)...))
-	l.rosters[from].Sent(l.Mono(from), to)
+	l.Send(from, to, append([]byte{kind}, l.rosters[from].Update(l.SteadyTime(from), to, most)...))
+	l.rosters[from].NoteSent(l.SteadyTime(from), to)
 }
 
 // saying is how many agents say something of one.
 func (l *lab) saying(of int, status ...Status) (count int) {
 	for a, r := range l.rosters {
 		for _, s := range status {
-			if a != of && !l.down[a] && r.Status(l.Mono(a), of) == s {
+			if a != of && !l.down[a] && r.Status(l.SteadyTime(a), of) == s {
 				count++
 			}
 		}
@@ -108,7 +108,7 @@
 
 func (l *lab) wrong() (count int) {
 	for of := range l.rosters {
-		count += l.saying(of, Silent, Left, OneSided)
+		count += l.saying(of, Silent, Left, OneWay)
 	}
 	return count
 }
@@ -118,13 +118,13 @@
 	for _, n := range []int{6, 50, 300} {
 		for _, loss := range []float64{0, 0.3} {
 			l := newLab(uint64(n), n, loss)
-			silence := l.rosters[0].set.Silence
+			silence := l.rosters[0].settings.SilenceTimeout
 			for range 6 {
 				l.Run(l.Now() + silence/2)
 				require.Zero(t, l.wrong(), "%d agents, loss %v", n, loss)
 			}
 			for a := range n {
-				require.Equal(t, n, l.rosters[a].Here(l.Mono(a)))
+				require.Equal(t, n, l.rosters[a].PresentCount(l.SteadyTime(a)))
 			}
 			all := n - 1
 			l.rosters[n-1].Leave()
@@ -134,7 +134,7 @@
 			l.down[n-1] = true
 			left := l.until(n-1, all, Left)
 			l.start(n - 1)
-			back := l.until(n-1, all, Here, Doubted)
+			back := l.until(n-1, all, Alive, Suspect)
 			l.Run(l.Now() + 20*time.Second)
 			l.down[n-2] = true // without a word
 			half := l.until(n-2, (all+1)/2, Silent)
@@ -145,7 +145,7 @@
 			require.Less(t, back, time.Minute)
 			require.Less(t, gone, silence*3/2)
 			l.Run(l.Now() + 15*time.Second)
-			require.Equal(t, all, l.rosters[0].Here(l.Mono(0)))
+			require.Equal(t, all, l.rosters[0].PresentCount(l.SteadyTime(0)))
 		}
 	}
 }
@@ -157,28 +157,28 @@
 	l.Run(l.Now() + time.Minute)
 	const deaf, mute, single = 20, 21, 22
 	for a := range 50 {
-		l.Cut(a, deaf, true)
-		l.Cut(mute, a, true)
+		l.SetCut(a, deaf, true)
+		l.SetCut(mute, a, true)
 	}
-	l.Cut(1, single, true)
-	took := l.until(deaf, 48, OneSided)
+	l.SetCut(1, single, true)
+	took := l.until(deaf, 48, OneWay)
 	t.Logf("deaf: known to all but the mute after %v", took)
 	require.Less(t, took, 3*time.Minute)
-	require.Equal(t, Deaf, l.rosters[deaf].Self(l.Mono(deaf)))
+	require.Equal(t, Isolated, l.rosters[deaf].Connection(l.SteadyTime(deaf)))
 	require.Less(t, l.until(mute, 48, Silent), time.Minute)
-	require.Equal(t, Unsaid, l.rosters[mute].Self(l.Mono(mute)))
-	require.Equal(t, Connected, l.rosters[5].Self(l.Mono(5)))
+	require.Equal(t, Unconfirmed, l.rosters[mute].Connection(l.SteadyTime(mute)))
+	require.Equal(t, Connected, l.rosters[5].Connection(l.SteadyTime(5)))
 	l.Run(l.Now() + time.Minute)
-	require.Zero(t, l.saying(single, OneSided))
-	require.True(t, l.rosters[1].Closed(l.Mono(1), single))
-	require.False(t, l.rosters[2].Closed(l.Mono(2), single))
+	require.Zero(t, l.saying(single, OneWay))
+	require.True(t, l.rosters[1].IsPathClosed(l.SteadyTime(1), single))
+	require.False(t, l.rosters[2].IsPathClosed(l.SteadyTime(2), single))
 	for a := range 50 {
-		l.Cut(a, deaf, false)
-		l.Cut(mute, a, false)
+		l.SetCut(a, deaf, false)
+		l.SetCut(mute, a, false)
 	}
-	l.Cut(1, single, false)
+	l.SetCut(1, single, false)
 	l.Run(l.Now() + 2*time.Minute)
-	require.False(t, l.rosters[1].Closed(l.Mono(1), single))
+	require.False(t, l.rosters[1].IsPathClosed(l.SteadyTime(1), single))
 	require.Zero(t, l.wrong())
 }
 
@@ -189,8 +189,8 @@
 	l.Run(l.Now() + time.Minute)
 	seen := 0
 	for i := range 60 {
-		of := l.rosters[9].Incarnation() + uint64(i%3)<<wordBits
-		lie := word{Incarnation: l.rosters[7].Incarnation(), Events: []event{{Agent: 9, Incarnation: of, Left: true, By: 9}}}
+		of := l.rosters[9].Incarnation() + uint64(i%3)<<refutationBits
+		lie := update{Incarnation: l.rosters[7].Incarnation(), Events: []event{{Agent: 9, Incarnation: of, Left: true, By: 9}}}
 		l.Send(7, 8+i%20, append([]byte{'d'}, lie.encode(bytes)...))
 		l.Run(l.Now() + 500*time.Millisecond)
 		seen += l.saying(9, Left)
@@ -198,7 +198,7 @@
 	require.Positive(t, seen)
 	l.Run(l.Now() + time.Minute)
 	require.Zero(t, l.wrong())
-	require.Positive(t, l.rosters[9].Figures().Refuted)
+	require.Positive(t, l.rosters[9].Stats().Refuted)
 	l.start(9) // its start is before what it had refuted with
 	l.Run(l.Now() + time.Minute)
 	require.Zero(t, l.wrong())
@@ -206,75 +206,75 @@
 
 // TestHereFallsLate: fewer are told only after a while, more at once, and at the beginning all are counted with.
 func TestHereFallsLate(t *testing.T) {
-	r := New(Settings{Agents: 4, Silence: 20 * time.Second}, 0)
-	require.Equal(t, 4, r.Here(0))
+	r := New(Settings{Agents: 4, SilenceTimeout: 20 * time.Second}, 0)
+	require.Equal(t, 4, r.PresentCount(0))
 	at := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 	for _, c := range []struct {
 		now   float64
 		heard int
 		here  int
 	}{{15, 1, 4}, {21, 1, 4}, {30, 1, 4}, {31.5, 2, 3}, {32, 3, 4}, {51.6, 1, 4}, {55, 2, 4}, {61.6, 1, 3}, {75, 1, 3}, {86, 1, 3}, {97, 1, 2}} {
-		r.Heard(at(c.now), c.heard)
-		require.Equal(t, c.here, r.Here(at(c.now)), "%v", c.now)
+		r.NoteReceived(at(c.now), c.heard)
+		require.Equal(t, c.here, r.PresentCount(at(c.now)), "%v", c.now)
 	}
 }
 
 // TestWhatAWordSays goes through what is taken of a word, and what is not.
 func TestWhatAWordSays(t *testing.T) {
 	s := time.Second
-	r := New(Settings{Agents: 6, Silence: 40 * s, Started: 1000 * s}, 0)
-	life := func(n uint64) uint64 { return (1000 + n) << wordBits }
-	take := func(now time.Duration, from int, w word) {
+	r := New(Settings{Agents: 6, SilenceTimeout: 40 * s, StartedAt: 1000 * s}, 0)
+	life := func(n uint64) uint64 { return (1000 + n) << refutationBits }
+	take := func(now time.Duration, from int, w update) {
 		if w.Incarnation == 0 {
 			w.Incarnation = life(0)
 		}
-		require.NoError(t, r.Take(now, from, w.encode(200)))
+		require.NoError(t, r.ApplyUpdate(now, from, w.encode(200)))
 	}
 	left := func(of uint64) []event { return []event{{Agent: 2, By: 2, Incarnation: of, Left: true}} }
 	ages := []byte{0, 0, 0}
 
-	take(1*s, 1, word{Incarnation: life(5), Ages: ages, HeardYou: unknown})
-	take(10*s, 1, word{Incarnation: life(5), Events: left(life(0)), HeardYou: unknown})
-	take(12*s, 1, word{Incarnation: life(5), Ages: ages, HeardYou: unknown})
+	take(1*s, 1, update{Incarnation: life(5), Ages: ages, ReceivedAge: ageUnknown})
+	take(10*s, 1, update{Incarnation: life(5), Events: left(life(0)), ReceivedAge: ageUnknown})
+	take(12*s, 1, update{Incarnation: life(5), Ages: ages, ReceivedAge: ageUnknown})
 	require.Equal(t, Left, r.Status(12*s, 2), "may be heard as it goes")
-	take(25*s, 1, word{Incarnation: life(5), Ages: ages, HeardYou: unknown})
-	take(26*s, 1, word{Incarnation: life(5), Events: left(life(0)), HeardYou: unknown})
-	require.Equal(t, Here, r.Status(26*s, 2), "heard after that: a later one, of which this says nothing")
-	take(30*s, 1, word{Incarnation: life(5), Events: left(life(9)), HeardYou: unknown})
+	take(25*s, 1, update{Incarnation: life(5), Ages: ages, ReceivedAge: ageUnknown})
+	take(26*s, 1, update{Incarnation: life(5), Events: left(life(0)), ReceivedAge: ageUnknown})
+	require.Equal(t, Alive, r.Status(26*s, 2), "heard after that: a later one, of which this says nothing")
+	take(30*s, 1, update{Incarnation: life(5), Events: left(life(9)), ReceivedAge: ageUnknown})
 	require.Equal(t, Left, r.Status(30*s, 2))
-	take(31*s, 1, word{Incarnation: life(4), HeardYou: 0})
-	require.Equal(t, 30*s, r.agents[1].ways.direct, "an earlier incarnation's word came late")
+	take(31*s, 1, update{Incarnation: life(4), ReceivedAge: 0})
+	require.Equal(t, 30*s, r.agents[1].path.lastReceived, "an earlier incarnation's word came late")
 
-	take(31*s, 1, word{Incarnation: life(5), Events: []event{{Incarnation: r.Incarnation(), Left: true}}, HeardYou: unknown})
+	take(31*s, 1, update{Incarnation: life(5), Events: []event{{Incarnation: r.Incarnation(), Left: true}}, ReceivedAge: ageUnknown})
 	require.Greater(t, r.Incarnation(), life(0))
-	take(31*s, 1, word{Incarnation: life(5), Events: left(life(5000)), HeardYou: unknown})
-	take(31*s, 1, word{Incarnation: life(5), Events: []event{{Agent: 6}}, HeardYou: unknown})
-	require.ErrorIs(t, r.Take(31*s, 1, word{Incarnation: life(5000)}.encode(200)), ErrWord)
-	require.ErrorIs(t, r.Take(31*s, 1, word{Incarnation: life(5), Start: 6}.encode(200)), ErrWord)
-	require.ErrorIs(t, r.Take(31*s, 1, word{Incarnation: life(5), Ages: make([]byte, 7)}.encode(200)), ErrWord)
-	require.Equal(t, uint64(5), r.Figures().Dropped)
+	take(31*s, 1, update{Incarnation: life(5), Events: left(life(5000)), ReceivedAge: ageUnknown})
+	take(31*s, 1, update{Incarnation: life(5), Events: []event{{Agent: 6}}, ReceivedAge: ageUnknown})
+	require.ErrorIs(t, r.ApplyUpdate(31*s, 1, update{Incarnation: life(5000)}.encode(200)), ErrInvalidUpdate)
+	require.ErrorIs(t, r.ApplyUpdate(31*s, 1, update{Incarnation: life(5), FirstAgent: 6}.encode(200)), ErrInvalidUpdate)
+	require.ErrorIs(t, r.ApplyUpdate(31*s, 1, update{Incarnation: life(5), Ages: make([]byte, 7)}.encode(200)), ErrInvalidUpdate)
+	require.Equal(t, uint64(5), r.Stats().Dropped)
 
-	take(49*s, 3, word{HeardYou: unknown})
-	for range unheardSends {
-		r.Sent(50*s, 3)
+	take(49*s, 3, update{ReceivedAge: ageUnknown})
+	for range closedAfterSends {
+		r.NoteSent(50*s, 3)
 	}
-	take(51*s, 3, word{HeardYou: 2})
-	require.False(t, r.Closed(51*s, 3), "on the way")
-	take(60*s, 3, word{HeardYou: 30})
-	require.True(t, r.Closed(60*s, 3))
-	r.agents[3].ways.accusers[0].tell = 0
-	take(61*s, 3, word{HeardYou: 32})
-	require.Zero(t, r.agents[3].ways.accusers[0].tell, "no news")
-	take(62*s, 3, word{HeardYou: 0})
-	require.False(t, r.Closed(62*s, 3))
+	take(51*s, 3, update{ReceivedAge: 2})
+	require.False(t, r.IsPathClosed(51*s, 3), "on the way")
+	take(60*s, 3, update{ReceivedAge: 30})
+	require.True(t, r.IsPathClosed(60*s, 3))
+	r.agents[3].path.reports[0].announcements = 0
+	take(61*s, 3, update{ReceivedAge: 32})
+	require.Zero(t, r.agents[3].path.reports[0].announcements, "no news")
+	take(62*s, 3, update{ReceivedAge: 0})
+	require.False(t, r.IsPathClosed(62*s, 3))
 
-	r = New(Settings{Agents: 4, Silence: 20 * s}, 0)
+	r = New(Settings{Agents: 4, SilenceTimeout: 20 * s}, 0)
 	for _, c := range []struct {
 		now         time.Duration
 		heard, here int
 	}{{15 * s, 1, 4}, {21 * s, 1, 4}, {25 * s, 2, 4}, {26 * s, 2, 4}, {44 * s, 2, 3}} {
-		r.Heard(c.now, c.heard)
-		require.Equal(t, c.here, r.Here(c.now), "the most that were there meanwhile; at %v", c.now)
+		r.NoteReceived(c.now, c.heard)
+		require.Equal(t, c.here, r.PresentCount(c.now), "the most that were there meanwhile; at %v", c.now)
 	}
 }
 
@@ -282,16 +282,16 @@
 func TestNobodysWordsDoHarm(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.SampledFrom([]int{1, 2, 10, 300, 65535}).Draw(t, "agents")
-		r := New(Settings{Agents: n, Self: n / 2, Started: time.Duration(1 << 60)}, 0)
+		r := New(Settings{Agents: n, Self: n / 2, StartedAt: time.Duration(1 << 60)}, 0)
 		number := rapid.SampledFrom([]uint16{0, 1, 9, 10, 299, 65535})
 		incarnation := rapid.SampledFrom([]uint64{0, 1, r.Incarnation(), r.Incarnation() + 1<<20, 1<<64 - 1})
 		for i := range 30 {
 			now := time.Duration(i) * time.Second
 			data := rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(t, "data")
 			if rapid.Bool().Draw(t, "formed") {
-				w := word{
+				w := update{
 					Incarnation: incarnation.Draw(t, "inc"), Leaving: rapid.Bool().Draw(t, "leaving"),
-					HeardYou: rapid.Byte().Draw(t, "heard"), Start: number.Draw(t, "start"), Ages: append([]byte{}, data...),
+					ReceivedAge: rapid.Byte().Draw(t, "heard"), FirstAgent: number.Draw(t, "start"), Ages: append([]byte{}, data...),
 					Events: []event{{
 						Agent: number.Draw(t, "agent"), Incarnation: incarnation.Draw(t, "inc"),
 						Left: rapid.Bool().Draw(t, "left"), By: number.Draw(t, "by"),
@@ -301,18 +301,18 @@
 				require.Equal(t, compact.Marshal(w), data)
 			}
 			from := rapid.IntRange(-1, 400).Draw(t, "from")
-			err := r.Take(now, from, data)
+			err := r.ApplyUpdate(now, from, data)
 			if from < 0 || from >= n {
-				require.ErrorIs(t, err, ErrWord)
+				require.ErrorIs(t, err, ErrInvalidUpdate)
 			}
-			r.Sent(now, from)
+			r.NoteSent(now, from)
 			most := rapid.IntRange(0, 200).Draw(t, "most")
-			require.LessOrEqual(t, len(r.Word(now, from, most)), most)
+			require.LessOrEqual(t, len(r.Update(now, from, most)), most)
 			require.Less(t, r.Incarnation(), uint64(1<<64-1))
-			require.LessOrEqual(t, r.Here(now), n)
-			require.GreaterOrEqual(t, r.Here(now), 1)
+			require.LessOrEqual(t, r.PresentCount(now), n)
+			require.GreaterOrEqual(t, r.PresentCount(now), 1)
 		}
 	})
-	r := New(Settings{Agents: 300, Started: 1 << 60}, 0)
-	require.Greater(t, len(r.Word(0, 1, bytes)), bytes-eventBytes, "what has room is used")
+	r := New(Settings{Agents: 300, StartedAt: 1 << 60}, 0)
+	require.Greater(t, len(r.Update(0, 1, bytes)), bytes-eventBytes, "what has room is used")
 }
--- a/fleet/spread/bounds.go
+++ b/fleet/spread/bounds.go
@@ -8,25 +8,25 @@
 )
 
 // bucket bounds bytes a second; what was not used is kept for a second.
-type bucket struct {
-	rate, left float64
-	least      float64 // room for one message at least
-	at         time.Duration
+type byteBudget struct {
+	rate, available float64
+	burst           float64 // room for one message at least
+	updatedAt       time.Duration
 }
 
-func newBucket(set Settings, now time.Duration) bucket {
-	most := float64(max(set.BytesPerSecond, 2*set.MessageBytes))
-	return bucket{rate: float64(set.BytesPerSecond), left: most, least: most, at: now}
+func newByteBudget(set Settings, now time.Duration) byteBudget {
+	most := float64(max(set.BytesPerSecond, 2*set.MaxMessageBytes))
+	return byteBudget{rate: float64(set.BytesPerSecond), available: most, burst: most, updatedAt: now}
 }
 
-func (b *bucket) refill(now time.Duration) {
-	b.left = min(b.left+b.rate*(now-b.at).Seconds(), b.least)
-	b.at = now
+func (b *byteBudget) refill(now time.Duration) {
+	b.available = min(b.available+b.rate*(now-b.updatedAt).Seconds(), b.burst)
+	b.updatedAt = now
 }
 
-func (b *bucket) has(bytes int) bool { return b.left >= float64(bytes) }
+func (b *byteBudget) has(bytes int) bool { return b.available >= float64(bytes) }
 
-func (b *bucket) pay(bytes int) bool {
+func (b *byteBudget) spend(bytes int) bool {
 	if !b.has(bytes) {
 		return false
 	}
@@ -35,56 +35,56 @@
 }
 
 // charge takes what has come in any case; the debt is bounded, so that others cannot stop an agent for long.
-func (b *bucket) charge(bytes int) { b.left = max(b.left-float64(bytes), -b.least) }
+func (b *byteBudget) charge(bytes int) { b.available = max(b.available-float64(bytes), -b.burst) }
 
-func (b *bucket) wait(bytes int) time.Duration {
-	return time.Duration((float64(bytes)-b.left)/b.rate*float64(time.Second)) + time.Millisecond
+func (b *byteBudget) waitFor(bytes int) time.Duration {
+	return time.Duration((float64(bytes)-b.available)/b.rate*float64(time.Second)) + time.Millisecond
 }
 
 // assembly is what has come of a record or a snapshot in pieces, from the first byte on.
-type assembly struct {
-	is    bool
-	of    piece // without its data
-	data  []byte
-	other bool // the last piece that came was of something else
+type partialItem struct {
+	isStarted bool
+	header    chunk // without its data
+	data      []byte
+	hasOther  bool // the last piece that came was of something else
 }
 
-func (s *Spreader) piece(from int, p piece) {
-	if s.set.GiveOnly {
+func (s *Replicator) handleChunk(from int, p chunk) {
+	if s.settings.NeverPull {
 		return
 	}
 	limits := s.log.Limits()
-	most := limits.Bytes
+	most := limits.MaxRecordBytes
 	if p.Snapshot {
-		most = limits.Snapshot
+		most = limits.MaxSnapshotBytes
 	}
-	if p.Size < 0 || p.Size > most || p.Offset < 0 || p.Offset > p.Size || len(p.Data) > p.Size-p.Offset ||
-		len(p.Data) == 0 && p.Size > 0 || !s.follows(p) {
-		s.fig.Refused++
-		s.got(from, len(p.Data), p.Epoch, p.Last, false)
+	if p.ItemBytes < 0 || p.ItemBytes > most || p.Offset < 0 || p.Offset > p.ItemBytes || len(p.Data) > p.ItemBytes-p.Offset ||
+		len(p.Data) == 0 && p.ItemBytes > 0 || !s.extendsLog(p) {
+		s.stats.Rejected++
+		s.endPull(from, len(p.Data), p.Epoch, p.LastSeq, false)
 		return
 	}
-	if !s.begun.is || p.Offset == 0 && s.begun.of.Check != p.Check && s.begun.other {
-		s.begun = assembly{is: true, of: p}
-		s.begun.of.Data = nil
+	if !s.partial.isStarted || p.Offset == 0 && s.partial.header.ItemSum != p.ItemSum && s.partial.hasOther {
+		s.partial = partialItem{isStarted: true, header: p}
+		s.partial.header.Data = nil
 	}
-	a := &s.begun
-	grows := a.of.Check == p.Check && a.of.Size == p.Size && a.of.Snapshot == p.Snapshot && a.of.Seq == p.Seq &&
-		a.of.Epoch == p.Epoch && a.of.Sum == p.Sum && p.Offset == len(a.data)
+	a := &s.partial
+	grows := a.header.ItemSum == p.ItemSum && a.header.ItemBytes == p.ItemBytes && a.header.Snapshot == p.Snapshot && a.header.Seq == p.Seq &&
+		a.header.Epoch == p.Epoch && a.header.PriorSum == p.PriorSum && p.Offset == len(a.data)
 	if grows {
 		a.data = append(a.data, p.Data...)
 	}
-	a.other = a.of.Check != p.Check
-	if grows && len(a.data) == a.of.Size {
-		s.whole(from)
+	a.hasOther = a.header.ItemSum != p.ItemSum
+	if grows && len(a.data) == a.header.ItemBytes {
+		s.completeItem(from)
 	}
-	more := !s.log.Last().Covers(chronicle.Position{Epoch: p.Epoch, Seq: p.Last})
-	s.got(from, len(p.Data), p.Epoch, p.Last, grows && more)
+	more := !s.log.Last().Covers(chronicle.Position{Epoch: p.Epoch, Seq: p.LastSeq})
+	s.endPull(from, len(p.Data), p.Epoch, p.LastSeq, grows && more)
 }
 
 // follows tells whether a whole one of these could be taken: by it nothing is gathered that was asked for
 // before, and came late.
-func (s *Spreader) follows(p piece) bool {
+func (s *Replicator) extendsLog(p chunk) bool {
 	last := s.log.Last()
 	if p.Snapshot {
 		return !last.Covers(chronicle.Position{Epoch: p.Epoch, Seq: p.Seq})
@@ -93,35 +93,35 @@
 }
 
 // whole takes what has come in pieces.
-func (s *Spreader) whole(from int) {
-	of, data := s.begun.of, s.begun.data
-	s.begun = assembly{}
+func (s *Replicator) completeItem(from int) {
+	of, data := s.partial.header, s.partial.data
+	s.partial = partialItem{}
 	if !of.Snapshot {
-		_, err := s.log.Take(chronicle.Part{
-			Epoch: of.Epoch, First: of.Seq, Prior: of.Sum, After: of.Check,
+		_, err := s.log.AppendSegment(chronicle.Segment{
+			Epoch: of.Epoch, First: of.Seq, PriorSum: of.PriorSum, Sum: of.ItemSum,
 			Records: [][]byte{data},
 		})
-		s.wrong(from, err)
+		s.noteTakeError(from, err)
 		return
 	}
-	snap := chronicle.Snapshot{Epoch: of.Epoch, Seq: of.Seq, Sum: of.Sum, Data: data}
-	if snap.Digest() != of.Check {
-		s.fig.Refused++
+	snap := chronicle.Snapshot{Epoch: of.Epoch, Seq: of.Seq, Sum: of.PriorSum, Data: data}
+	if snap.Digest() != of.ItemSum {
+		s.stats.Rejected++
 		return
 	}
 	taken, err := s.log.Install(snap)
-	s.wrong(from, err)
+	s.noteTakeError(from, err)
 	if taken {
-		s.fig.Snapshots++
-		s.out.Anew = true
+		s.stats.Snapshots++
+		s.output.IsRestarted = true
 	}
 }
 
-func (s *Spreader) wrong(from int, err error) {
+func (s *Replicator) noteTakeError(from int, err error) {
 	switch {
 	case errors.Is(err, chronicle.ErrDiverged):
-		s.diverged(from)
+		s.noteDiverged(from)
 	case err != nil:
-		s.fig.Refused++
+		s.stats.Rejected++
 	}
 }
--- a/fleet/spread/example_test.go
+++ b/fleet/spread/example_test.go
@@ -11,30 +11,30 @@
 // Agent 0 is a voter with two records, agent 1 has just started.
 func Example() {
 	var logs [2]*chronicle.Log
-	var agents [2]*spread.Spreader
+	var agents [2]*spread.Replicator
 	for i := range agents {
-		logs[i], _ = chronicle.New(chronicle.Beginning(1), chronicle.Limits{})
-		set := spread.Settings{Agents: 2, Self: i, Voters: []int{0}, Seed: uint64(i), GiveOnly: i == 0}
+		logs[i], _ = chronicle.New(chronicle.InitialSnapshot(1), chronicle.Limits{})
+		set := spread.Settings{Agents: 2, Self: i, Voters: []int{0}, Seed: uint64(i), NeverPull: i == 0}
 		agents[i] = spread.New(set, logs[i], 0)
 	}
 	for seq := range uint64(2) {
 		_ = logs[0].Append(chronicle.Record{Seq: seq + 1, Data: []byte("agreed")})
 	}
-	agents[0].Vouch()
+	agents[0].MarkCaughtUp()
 	now := time.Duration(0)
 	var carry func(from int, out spread.Output)
 	carry = func(from int, out spread.Output) {
-		for _, s := range out.Sends {
+		for _, s := range out.Messages {
 			carry(s.To, agents[s.To].Step(now, from, s.Data))
 		}
 	}
-	carry(0, agents[0].News(now))
-	for ; agents[1].CaughtUp(now) != spread.CaughtUp && now < time.Minute; now += 50 * time.Millisecond {
+	carry(0, agents[0].RecordsAdded(now))
+	for ; agents[1].CatchUpState(now) != spread.CaughtUp && now < time.Minute; now += 50 * time.Millisecond {
 		for i := range agents {
 			carry(i, agents[i].Tick(now))
 		}
 	}
-	fmt.Println(agents[1].CaughtUp(now), logs[1].Last() == logs[0].Last())
+	fmt.Println(agents[1].CatchUpState(now), logs[1].Last() == logs[0].Last())
 	// Output:
 	// caught up true
 }
--- a/fleet/spread/golden_test.go
+++ b/fleet/spread/golden_test.go
@@ -15,13 +15,13 @@
 		message any
 	}{
 		"digest":   {kindDigest, digest{Epoch: 1_800_000_000_000, Seq: 300, Sum: 1 << 63}},
-		"question": {kindDigest, digest{Epoch: 1, Seq: 2, Sum: 3, Ask: 1 << 31}},
-		"answer":   {kindDigest, digest{Epoch: 1, Seq: 2, Sum: 3, Answer: 1 << 31, Ready: true}},
+		"question": {kindDigest, digest{Epoch: 1, Seq: 2, Sum: 3, Question: 1 << 31}},
+		"answer":   {kindDigest, digest{Epoch: 1, Seq: 2, Sum: 3, AnswerTo: 1 << 31, Trusted: true}},
 		"pull":     {kindPull, pull{Epoch: 1, Seq: 24, Sum: 3}},
-		"pull-on":  {kindPull, pull{Epoch: 1, Seq: 24, Sum: 3, Check: 1 << 40, Offset: 1024}},
-		"part":     {kindPart, part{Epoch: 1, First: 25, Prior: 3, After: 4, Records: [][]byte{[]byte("one"), {0, 255}}, Last: 40}},
-		"piece":    {kindPiece, piece{Epoch: 1, Seq: 25, Sum: 3, Check: 4, Size: 5000, Offset: 1024, Data: []byte("record"), Last: 40}},
-		"snapshot": {kindPiece, piece{Snapshot: true, Epoch: 1, Seq: 25, Sum: 3, Check: 4, Size: 4, Data: []byte("snap"), Last: 25}},
+		"pull-on":  {kindPull, pull{Epoch: 1, Seq: 24, Sum: 3, PartialSum: 1 << 40, Offset: 1024}},
+		"part":     {kindSegment, segment{Epoch: 1, First: 25, PriorSum: 3, Sum: 4, Records: [][]byte{[]byte("one"), {0, 255}}, LastSeq: 40}},
+		"piece":    {kindChunk, chunk{Epoch: 1, Seq: 25, PriorSum: 3, ItemSum: 4, ItemBytes: 5000, Offset: 1024, Data: []byte("record"), LastSeq: 40}},
+		"snapshot": {kindChunk, chunk{Snapshot: true, Epoch: 1, Seq: 25, PriorSum: 3, ItemSum: 4, ItemBytes: 4, Data: []byte("snap"), LastSeq: 25}},
 	} {
 		file := golden.Bytes(t, name, encode(c.kind, c.message))
 		back, err := decode(file)
@@ -34,5 +34,5 @@
 // TestGoldenStarts: logs and tests show these words.
 func TestGoldenStarts(t *testing.T) {
 	require.Equal(t, []string{"asking", "caught up", "late", "alone", "alone"},
-		[]string{Asking.String(), CaughtUp.String(), Late.String(), Alone.String(), Start(200).String()})
+		[]string{Asking.String(), CaughtUp.String(), Late.String(), Alone.String(), CatchUpState(200).String()})
 }
--- a/fleet/spread/messages.go
+++ b/fleet/spread/messages.go
@@ -7,22 +7,22 @@
 
 // The kinds of message: the first byte.
 const (
-	kindDigest = 'd'
-	kindPull   = 'p'
-	kindPart   = 'r'
-	kindPiece  = 's'
+	kindDigest  = 'd'
+	kindPull    = 'p'
+	kindSegment = 'r'
+	kindChunk   = 's'
 )
 
 // digest tells how far a copy goes.
 type digest struct {
 	_               struct{} `cbor:",toarray"`
 	Epoch, Seq, Sum uint64
-	Ask             uint32 // not zero: an answer is wanted, with this number
-	Answer          uint32 // the number of the question that this answers
-	Ready           bool   // the sender had caught up: its word counts for those who start
+	Question        uint32 // not zero: an answer is wanted, with this number
+	AnswerTo        uint32 // the number of the question that this answers
+	Trusted         bool   // the sender had caught up: its word counts for those who start
 }
 
-func (d digest) at() chronicle.Position {
+func (d digest) position() chronicle.Position {
 	return chronicle.Position{Epoch: d.Epoch, Seq: d.Seq, Sum: d.Sum}
 }
 
@@ -30,30 +30,30 @@
 type pull struct {
 	_               struct{} `cbor:",toarray"`
 	Epoch, Seq, Sum uint64   // what the sender has
-	Check           uint64   // of what it has the beginning of; zero: of nothing
+	PartialSum      uint64   // of what it has the beginning of; zero: of nothing
 	Offset          int
 }
 
 // part is some whole records.
-type part struct {
-	_            struct{} `cbor:",toarray"`
-	Epoch, First uint64
-	Prior, After uint64
-	Records      [][]byte
-	Last         uint64 // how far the sender's copy goes
+type segment struct {
+	_             struct{} `cbor:",toarray"`
+	Epoch, First  uint64
+	PriorSum, Sum uint64
+	Records       [][]byte
+	LastSeq       uint64 // how far the sender's copy goes
 }
 
 // piece is some of the bytes of a record or a snapshot that is larger than a message.
-type piece struct {
+type chunk struct {
 	_          struct{} `cbor:",toarray"`
 	Snapshot   bool
 	Epoch, Seq uint64
-	Sum        uint64 // of the log: before a record, at a snapshot
-	Check      uint64 // of the log after a record; of all of a snapshot
-	Size       int    // of the whole
+	PriorSum   uint64 // of the log: before a record, at a snapshot
+	ItemSum    uint64 // of the log after a record; of all of a snapshot
+	ItemBytes  int    // of the whole
 	Offset     int
 	Data       []byte
-	Last       uint64
+	LastSeq    uint64
 }
 
 func encode(kind byte, message any) []byte { return append([]byte{kind}, compact.Marshal(message)...) }
@@ -65,18 +65,18 @@
 	}
 	switch data[0] {
 	case kindDigest:
-		return into[digest](data[1:])
+		return decodeAs[digest](data[1:])
 	case kindPull:
-		return into[pull](data[1:])
-	case kindPart:
-		return into[part](data[1:])
-	case kindPiece:
-		return into[piece](data[1:])
+		return decodeAs[pull](data[1:])
+	case kindSegment:
+		return decodeAs[segment](data[1:])
+	case kindChunk:
+		return decodeAs[chunk](data[1:])
 	}
 	return nil, compact.ErrMalformed
 }
 
-func into[T any](data []byte) (any, error) {
+func decodeAs[T any](data []byte) (any, error) {
 	var message T
 	err := compact.Unmarshal(data, &message)
 	return message, err
--- a/fleet/spread/spread_test.go
+++ b/fleet/spread/spread_test.go
@@ -14,11 +14,11 @@
 
 // lab plays a fleet whose first five agents are voters: what is committed is in all of their logs at once.
 type lab struct {
-	*lossy.World
+	*lossy.Network
 	set    Settings
 	limits chronicle.Limits
 	logs   []*chronicle.Log
-	agents []*Spreader
+	agents []*Replicator
 	lives  uint64
 	truth  *chronicle.Log
 	sums   map[uint64]uint64 // of the truth, by record
@@ -30,32 +30,32 @@
 
 func newLab(seed uint64, agents int, faults lossy.Faults, set Settings) *lab {
 	l := &lab{
-		World: lossy.New(seed, agents, time.Hour, faults), set: set, logs: make([]*chronicle.Log, agents),
-		agents: make([]*Spreader, agents), truth: empty(chronicle.Limits{}), sums: map[uint64]uint64{},
+		Network: lossy.NewNetwork(seed, agents, time.Hour, faults), set: set, logs: make([]*chronicle.Log, agents),
+		agents: make([]*Replicator, agents), truth: empty(chronicle.Limits{}), sums: map[uint64]uint64{},
 		had: make([]chronicle.Position, agents),
 	}
 	l.set.Agents, l.set.Voters = agents, []int{0, 1, 2, 3, 4}
-	l.Deliver = func(to, from int, data []byte) {
+	l.OnMessage = func(to, from int, data []byte) {
 		if l.agents[to] != nil {
-			l.done(to, l.agents[to].Step(l.Mono(to), from, data))
+			l.done(to, l.agents[to].Step(l.SteadyTime(to), from, data))
 		}
 	}
-	l.Tick = func(node int) {
+	l.OnTimer = func(node int) {
 		if l.agents[node] != nil {
-			l.done(node, l.agents[node].Tick(l.Mono(node)))
+			l.done(node, l.agents[node].Tick(l.SteadyTime(node)))
 		}
 	}
 	for a := range agents {
 		l.restart(a)
 		if a < voters {
-			l.agents[a].Vouch()
+			l.agents[a].MarkCaughtUp()
 		}
 	}
 	return l
 }
 
 func empty(limits chronicle.Limits) *chronicle.Log {
-	log, err := chronicle.New(chronicle.Beginning(1), limits)
+	log, err := chronicle.New(chronicle.InitialSnapshot(1), limits)
 	if err != nil {
 		panic(err)
 	}
@@ -65,26 +65,26 @@
 func (l *lab) restart(a int) {
 	set := l.set
 	l.lives++
-	set.Self, set.Seed, set.GiveOnly = a, l.lives, a < voters
+	set.Self, set.Seed, set.NeverPull = a, l.lives, a < voters
 	if l.logs[a] = empty(l.limits); a < voters {
 		l.logs[a] = l.truth
 	}
 	l.had[a] = l.logs[a].Last()
-	l.agents[a] = New(set, l.logs[a], l.Mono(a))
-	l.Wake(a, l.agents[a].Next())
+	l.agents[a] = New(set, l.logs[a], l.SteadyTime(a))
+	l.SetTimer(a, l.agents[a].Next())
 }
 
 func (l *lab) done(node int, out Output) {
-	for _, m := range out.Sends {
+	for _, m := range out.Messages {
 		l.Send(node, m.To, m.Data)
 	}
-	l.Wake(node, l.agents[node].Next())
-	if s := l.logs[node].Snapshot(); node >= voters && !out.Anew && !l.had[node].Covers(s.At()) {
+	l.SetTimer(node, l.agents[node].Next())
+	if s := l.logs[node].Snapshot(); node >= voters && !out.IsRestarted && !l.had[node].Covers(s.Position()) {
 		l.breach = "a state machine is not told to go on from a snapshot"
 	}
 	l.had[node] = l.logs[node].Last()
 	l.compact(l.logs[node])
-	if last := l.logs[node].Last(); last.Epoch == l.truth.Last().Epoch && last.Seq > 0 && l.sums[last.Seq] != last.Sum || out.Diverged {
+	if last := l.logs[node].Last(); last.Epoch == l.truth.Last().Epoch && last.Seq > 0 && l.sums[last.Seq] != last.Sum || out.HasDiverged {
 		l.breach = "a copy is not the beginning of what was agreed"
 	}
 }
@@ -109,7 +109,7 @@
 	l.sums[seq] = l.truth.Last().Sum
 	l.compact(l.truth)
 	for v := range voters {
-		l.done(v, l.agents[v].News(l.Mono(v)))
+		l.done(v, l.agents[v].RecordsAdded(l.SteadyTime(v)))
 	}
 }
 
@@ -129,7 +129,7 @@
 }
 
 func ways(loss float64) lossy.Faults {
-	return lossy.Faults{Loss: loss, Double: loss / 10, Least: time.Millisecond, Most: 10 * time.Millisecond}
+	return lossy.Faults{Loss: loss, Duplicate: loss / 10, MinDelay: time.Millisecond, MaxDelay: 10 * time.Millisecond}
 }
 
 // TestTimeAndPrice: how long news takes to reach agents, and what it costs when there are none; the table of
@@ -139,13 +139,13 @@
 		for _, loss := range []float64{0, 0.1, 0.3} {
 			l := newLab(uint64(n), n, ways(loss), Settings{})
 			l.Run(l.Now() + 10*time.Second)
-			sent, bytes := sum(l.Sent), sum(l.Bytes)
+			sent, bytes := sum(l.SentMessages), sum(l.SentBytes)
 			l.Run(l.Now() + 20*time.Second)
-			quiet, quietBytes := float64(sum(l.Sent)-sent)/float64(20*n), float64(sum(l.Bytes)-bytes)/float64(20*n)
+			quiet, quietBytes := float64(sum(l.SentMessages)-sent)/float64(20*n), float64(sum(l.SentBytes)-bytes)/float64(20*n)
 			require.Less(t, quiet, 1.0)
 			require.Less(t, quietBytes, 150.0)
 			var took [3]time.Duration
-			sent = sum(l.Sent)
+			sent = sum(l.SentMessages)
 			const times = 3
 			for range times {
 				l.commit(200)
@@ -156,7 +156,7 @@
 				}
 				l.Run(begin + 5*time.Second)
 			}
-			extra := (float64(sum(l.Sent)-sent)/float64(n) - quiet*5*times) / times
+			extra := (float64(sum(l.SentMessages)-sent)/float64(n) - quiet*5*times) / times
 			t.Logf("%4d agents, loss %2.0f%%: 50%% %v, 99%% %v, all %v; quiet %.2f messages/s, %.0f bytes/s; news %.1f "+
 				"messages an agent", n, loss*100, took[0], took[1], took[2], quiet, quietBytes, extra)
 			require.Less(t, took[2], map[float64]time.Duration{0: time.Second, 0.1: time.Second, 0.3: 1200 * time.Millisecond}[loss])
@@ -177,8 +177,8 @@
 func TestCopiesThroughAllFaults(t *testing.T) {
 	for seed := range uint64(30) {
 		faults := lossy.Faults{
-			Loss: 0.2, Double: 0.1, Least: time.Millisecond, Most: 20 * time.Millisecond, Late: 0.1,
-			LateBy: 3 * time.Second,
+			Loss: 0.2, Duplicate: 0.1, MinDelay: time.Millisecond, MaxDelay: 20 * time.Millisecond, Late: 0.1,
+			Lateness: 3 * time.Second,
 		}
 		l := newLab(seed, 20, faults, Settings{})
 		rng, begun := l.Rand(), make([]uint64, 20)
@@ -192,16 +192,16 @@
 				case 0:
 					l.Pause(node, l.Now()+time.Duration(rng.Int64N(int64(5*time.Second))))
 				case 1, 2, 3, 4:
-					l.Cut(node, other, rng.IntN(3) > 0)
+					l.SetCut(node, other, rng.IntN(3) > 0)
 				case 5, 6, 7, 8:
-					l.Cut(other, node, rng.IntN(3) > 0)
+					l.SetCut(other, node, rng.IntN(3) > 0)
 				case 9:
 					l.restart(node)
 					begun[node] = l.truth.Last().Seq
 				}
 				for a := voters; a < 20; a++ {
-					asked := l.agents[a].start // several agents that vouch may all be behind
-					if asked.state == CaughtUp && asked.voter && l.logs[a].Last().Seq < begun[a] {
+					asked := l.agents[a].catchUp // several agents that vouch may all be behind
+					if asked.state == CaughtUp && asked.hasVoterReply && l.logs[a].Last().Seq < begun[a] {
 						l.breach = "one says that it has caught up, and has not"
 					}
 				}
@@ -210,7 +210,7 @@
 		l.Run(time.Hour + 30*time.Second)
 		l.Faults = ways(0)
 		for i := range 400 {
-			l.Cut(i/20, i%20, false)
+			l.SetCut(i/20, i%20, false)
 		}
 		l.Run(l.Now() + 5*time.Second) // pauses end
 		require.Less(t, l.until(20, 10*time.Second), 5*time.Second, "seed %d", seed)
@@ -224,39 +224,39 @@
 	told := func(size int) (out Output, log *chronicle.Log) {
 		log = empty(chronicle.Limits{})
 		s := New(Settings{Agents: 2, Seed: 1}, log, 0)
-		s.Vouch()
+		s.MarkCaughtUp()
 		for seq := range uint64(9) {
 			require.NoError(t, log.Append(chronicle.Record{Seq: seq + 1, Data: make([]byte, size)}))
 		}
-		s.News(time.Second)
+		s.RecordsAdded(time.Second)
 		return s.Tick(s.Next()), log
 	}
 	out, log := told(60)
-	require.Len(t, out.Sends, 1)
-	require.LessOrEqual(t, len(out.Sends[0].Data), 200)
+	require.Len(t, out.Messages, 1)
+	require.LessOrEqual(t, len(out.Messages[0].Data), 200)
 	for _, has := range []uint64{8, 3} {
 		mine := empty(chronicle.Limits{})
 		for seq := range has {
 			require.NoError(t, mine.Append(chronicle.Record{Seq: seq + 1, Data: make([]byte, 60)}))
 		}
 		s := New(Settings{Agents: 2, Self: 1, Seed: 1}, mine, 0)
-		s.Vouch()
-		asked := s.Step(time.Second, 0, out.Sends[0].Data)
+		s.MarkCaughtUp()
+		asked := s.Step(time.Second, 0, out.Messages[0].Data)
 		if has == 8 {
 			require.Equal(t, log.Last(), mine.Last())
-			require.Empty(t, asked.Sends)
+			require.Empty(t, asked.Messages)
 			continue
 		}
 		require.Equal(t, has, mine.Last().Seq)
-		require.Equal(t, byte(kindPull), asked.Sends[0].Data[0])
+		require.Equal(t, byte(kindPull), asked.Messages[0].Data[0])
 		require.Equal(t, time.Second+150*time.Millisecond, s.Next(), "no answer came yet")
-		s.took(10 * time.Millisecond)
+		s.noteRoundTrip(10 * time.Millisecond)
 		again := s.Tick(s.Next())
-		require.Equal(t, byte(kindPull), again.Sends[0].Data[0])
+		require.Equal(t, byte(kindPull), again.Messages[0].Data[0])
 		require.Equal(t, time.Second+190*time.Millisecond, s.Next())
 	}
 	out, _ = told(400)
-	require.Equal(t, byte(kindDigest), out.Sends[0].Data[0])
+	require.Equal(t, byte(kindDigest), out.Messages[0].Data[0])
 }
 
 // TestReturning: one that begins has all before it says so, from agents alone too; a fleet in which nobody knows
@@ -271,38 +271,38 @@
 	l.Run(l.Now() + 5*time.Second)
 	for v := range voters { // no voter is to be had
 		for a := range 12 {
-			l.Cut(v, a, true)
+			l.SetCut(v, a, true)
 		}
 	}
 	for a := voters; a < 11; a++ {
-		l.agents[a].Vouching(false)
+		l.agents[a].SetTrusted(false)
 	}
 	l.restart(11)
 	l.Run(l.Now() + 1500*time.Millisecond)
-	require.Equal(t, Asking, l.agents[11].CaughtUp(l.Mono(11)))
+	require.Equal(t, Asking, l.agents[11].CatchUpState(l.SteadyTime(11)))
 	for a := voters; a < 11; a++ {
-		l.agents[a].Vouching(true)
+		l.agents[a].SetTrusted(true)
 	}
 	l.Run(l.Now() + 30*time.Second)
-	require.Equal(t, CaughtUp, l.agents[11].CaughtUp(l.Mono(11)))
+	require.Equal(t, CaughtUp, l.agents[11].CatchUpState(l.SteadyTime(11)))
 	require.Equal(t, l.truth.Last(), l.logs[11].Last())
-	require.Positive(t, l.agents[11].Figures().Snapshots)
+	require.Positive(t, l.agents[11].Stats().Snapshots)
 
 	l.restart(11)
-	l.agents[11].Step(l.Mono(11), 0, encode(kindDigest, digest{Epoch: 1, Ready: true, Answer: 1}))
-	require.Equal(t, Asking, l.agents[11].CaughtUp(l.Mono(11)), "an answer to a question of before")
+	l.agents[11].Step(l.SteadyTime(11), 0, encode(kindDigest, digest{Epoch: 1, Trusted: true, AnswerTo: 1}))
+	require.Equal(t, Asking, l.agents[11].CatchUpState(l.SteadyTime(11)), "an answer to a question of before")
 	for a := voters; a < 12; a++ {
 		l.restart(a)
-		l.Cut(a, 11, true)
+		l.SetCut(a, 11, true)
 	}
 	l.Run(l.Now() + 4*time.Second)
-	require.Equal(t, Late, l.agents[5].CaughtUp(l.Mono(5)))
-	require.Equal(t, Alone, l.agents[11].CaughtUp(l.Mono(11)))
+	require.Equal(t, Late, l.agents[5].CatchUpState(l.SteadyTime(5)))
+	require.Equal(t, Alone, l.agents[11].CatchUpState(l.SteadyTime(11)))
 	for v := range voters {
-		l.Cut(v, 5, false)
+		l.SetCut(v, 5, false)
 	}
 	l.Run(l.Now() + 10*time.Second)
-	require.Equal(t, CaughtUp, l.agents[5].CaughtUp(l.Mono(5)))
+	require.Equal(t, CaughtUp, l.agents[5].CatchUpState(l.SteadyTime(5)))
 	require.Equal(t, l.truth.Last(), l.logs[5].Last())
 }
 
@@ -313,15 +313,15 @@
 		l.commit(1000)
 	}
 	for range 20 {
-		before := slices.Clone(l.Bytes)
+		before := slices.Clone(l.SentBytes)
 		l.Run(l.Now() + time.Second)
 		for a := range before {
-			require.Less(t, l.Bytes[a]-before[a], 3*4<<10)
+			require.Less(t, l.SentBytes[a]-before[a], 3*4<<10)
 		}
 	}
 	var unhelped uint64
 	for _, a := range l.agents {
-		unhelped += a.Figures().Unhelped
+		unhelped += a.Stats().Throttled
 	}
 	require.Positive(t, unhelped)
 	require.Less(t, l.until(40, time.Minute), time.Minute)
@@ -343,19 +343,19 @@
 	far := encode(kindDigest, digest{Epoch: 1, Seq: 50})
 	for from := 2; from < 15; from++ {
 		s.Step(0, from, far)
-		require.LessOrEqual(t, len(s.ahead), mostAhead)
+		require.LessOrEqual(t, len(s.aheadPeers), maxAheadPeers)
 	}
-	asked := s.from
+	asked := s.pullPeer
 	s.Step(0, asked, far)
-	s.Step(0, asked, encode(kindPart, part{
-		Epoch: 1, First: 1, Prior: chronicle.Beginning(1).Sum,
-		After: chronicle.Beginning(1).Sum, Last: 50,
+	s.Step(0, asked, encode(kindSegment, segment{
+		Epoch: 1, First: 1, PriorSum: chronicle.InitialSnapshot(1).Sum,
+		Sum: chronicle.InitialSnapshot(1).Sum, LastSeq: 50,
 	}))
-	for _, p := range s.ahead {
-		require.NotEqual(t, asked, p.number)
+	for _, p := range s.aheadPeers {
+		require.NotEqual(t, asked, p.agent)
 	}
-	s.Step(0, 3, encode(kindPiece, piece{Epoch: 1, Seq: 5, Size: 100, Data: []byte{1}}))
-	require.False(t, s.begun.is, "it would not follow")
+	s.Step(0, 3, encode(kindChunk, chunk{Epoch: 1, Seq: 5, ItemBytes: 100, Data: []byte{1}}))
+	require.False(t, s.partial.isStarted, "it would not follow")
 }
 
 // TestALogThatBeganAnew: a later epoch replaces the former at every agent, also while it is empty, and by its
@@ -368,11 +368,11 @@
 		}
 		require.Less(t, l.until(20, time.Minute), 10*time.Second)
 		l.Pause(19, l.Now()+3*time.Second)
-		taken, err := l.truth.Install(chronicle.Beginning(2))
+		taken, err := l.truth.Install(chronicle.InitialSnapshot(2))
 		require.True(t, taken && err == nil)
 		l.sums = map[uint64]uint64{}
 		for v := range voters {
-			l.done(v, l.agents[v].News(l.Mono(v)))
+			l.done(v, l.agents[v].RecordsAdded(l.SteadyTime(v)))
 		}
 		for range commits {
 			l.commit(100)
@@ -388,16 +388,16 @@
 	require.NoError(t, logs[1].Append(chronicle.Record{Seq: 2}))
 	one, two := New(Settings{Agents: 2, Seed: 1}, logs[0], 0), New(Settings{Agents: 2, Self: 1, Seed: 1}, logs[1], 0)
 	before := logs[0].Last()
-	out := one.Step(0, 1, encode(kindDigest, two.mine()))
-	require.False(t, out.Diverged, "what is ahead can't be compared")
-	out = two.Step(0, 0, out.Sends[0].Data)
-	require.True(t, out.Diverged && out.With == 0)
-	records, _ := logs[1].Part(2, 100)
-	out = one.Step(0, 1, encode(kindPart, part{
-		Epoch: 1, First: 2, Prior: records.Prior, After: records.After,
-		Records: records.Records, Last: 2,
+	out := one.Step(0, 1, encode(kindDigest, two.ownDigest()))
+	require.False(t, out.HasDiverged, "what is ahead can't be compared")
+	out = two.Step(0, 0, out.Messages[0].Data)
+	require.True(t, out.HasDiverged && out.DivergedFrom == 0)
+	records, _ := logs[1].Segment(2, 100)
+	out = one.Step(0, 1, encode(kindSegment, segment{
+		Epoch: 1, First: 2, PriorSum: records.PriorSum, Sum: records.Sum,
+		Records: records.Records, LastSeq: 2,
 	}))
-	require.True(t, out.Diverged)
+	require.True(t, out.HasDiverged)
 	require.Equal(t, before, logs[0].Last())
 }
 
@@ -406,8 +406,8 @@
 	s := New(Settings{Agents: 9, Self: 1, Voters: []int{0}, Seed: 1}, empty(chronicle.Limits{}), 0)
 	tell := func(now time.Duration, from int, seq uint64) {
 		s.Step(now, from, encode(kindDigest, digest{
-			Epoch: 1, Seq: seq, Sum: chronicle.Beginning(1).Sum,
-			Answer: s.start.ask, Ready: true,
+			Epoch: 1, Seq: seq, Sum: chronicle.InitialSnapshot(1).Sum,
+			AnswerTo: s.catchUp.question, Trusted: true,
 		}))
 	}
 	tell(0, 5, 1<<60)
@@ -415,14 +415,14 @@
 		s.Tick(now)
 		tell(now, 0, 0)
 	}
-	require.Equal(t, CaughtUp, s.CaughtUp(time.Minute))
+	require.Equal(t, CaughtUp, s.CatchUpState(time.Minute))
 }
 
 // TestNobodysMessagesDoHarm: bytes of any kind, and messages that are well formed and lie, bring no panic, no
 // record that does not follow, and no memory beyond the bounds.
 func TestNobodysMessagesDoHarm(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		log := empty(chronicle.Limits{Records: 10, Bytes: 5000, Snapshot: 5000})
+		log := empty(chronicle.Limits{MaxRecords: 10, MaxRecordBytes: 5000, MaxSnapshotBytes: 5000})
 		s := New(Settings{Agents: 20, Self: 1, Voters: []int{0}, Seed: 1}, log, 0)
 		any64 := func(name string) uint64 {
 			return rapid.SampledFrom([]uint64{0, 1, 2, 1 << 63, 1<<64 - 1}).Draw(t, name)
@@ -436,30 +436,30 @@
 			case 0:
 				data = encode(kindDigest, digest{
 					Epoch: any64("e"), Seq: any64("s"), Sum: any64("sum"),
-					Ask: uint32(any64("ask")), Answer: s.start.ask, Ready: true,
+					Question: uint32(any64("ask")), AnswerTo: s.catchUp.question, Trusted: true,
 				})
 			case 1:
 				data = encode(kindPull, pull{
-					Epoch: any64("e"), Seq: any64("s"), Sum: any64("sum"), Check: any64("c"),
+					Epoch: any64("e"), Seq: any64("s"), Sum: any64("sum"), PartialSum: any64("c"),
 					Offset: size("o"),
 				})
 			case 2:
-				data = encode(kindPart, part{
-					Epoch: any64("e"), First: any64("f"), Prior: any64("p"), After: any64("a"),
-					Records: [][]byte{data}, Last: any64("l"),
+				data = encode(kindSegment, segment{
+					Epoch: any64("e"), First: any64("f"), PriorSum: any64("p"), Sum: any64("a"),
+					Records: [][]byte{data}, LastSeq: any64("l"),
 				})
 			case 3:
-				data = encode(kindPiece, piece{
+				data = encode(kindChunk, chunk{
 					Snapshot: rapid.Bool().Draw(t, "snap"), Epoch: any64("e"), Seq: any64("s"),
-					Size: size("size"), Offset: size("o"), Data: data, Check: any64("c"), Last: any64("l"),
+					ItemBytes: size("size"), Offset: size("o"), Data: data, ItemSum: any64("c"), LastSeq: any64("l"),
 				})
 			}
 			now := time.Duration(i) * 100 * time.Millisecond
 			out := s.Step(now, rapid.IntRange(-1, 21).Draw(t, "from"), data)
-			require.LessOrEqual(t, len(out.Sends), 2)
+			require.LessOrEqual(t, len(out.Messages), 2)
 			s.Tick(now)
-			require.LessOrEqual(t, len(s.ahead), mostAhead)
-			require.LessOrEqual(t, cap(s.begun.data), 20000)
+			require.LessOrEqual(t, len(s.aheadPeers), maxAheadPeers)
+			require.LessOrEqual(t, cap(s.partial.data), 20000)
 			require.Greater(t, s.Next(), now-time.Second)
 			require.Zero(t, log.Last().Seq)
 		}
--- a/fleet/spreading.go
+++ b/fleet/spreading.go
@@ -5,74 +5,74 @@
 	"dunestep/fleet/spread"
 )
 
-// startSpread begins to exchange records with other agents. A voter does too: until it belongs to a log
+// startGossip begins to exchange records with other agents. A voter does too: until it belongs to a log
 // again, others have what it lacks.
-func (n *Node) startSpread(now Reading) {
-	n.spread = spread.New(spread.Settings{
-		Agents: n.set.Agents, Self: n.set.Self, Voters: n.set.Voters,
-		Seed: n.set.Seed, Deadline: n.set.Ready,
+func (n *Node) startGossip(now ClockReading) {
+	n.gossip = spread.New(spread.Settings{
+		Agents: n.settings.Agents, Self: n.settings.Self, Voters: n.settings.Voters,
+		Seed: n.settings.Seed, CatchUpDeadline: n.settings.ReadyTimeout,
 	}, n.log, now.Mono)
-	n.spreads = n.log.Last()
+	n.lastGossiped = n.log.Last()
 }
 
-func (n *Node) spreadHeard(now Reading, from int, b []byte) {
-	n.spreadDo(now, n.spread.Step(now.Mono, from, b))
+func (n *Node) handleGossip(now ClockReading, from int, b []byte) {
+	n.carryOutGossip(now, n.gossip.Step(now.Mono, from, b))
 }
 
-// spreadTurn tells others of what the voters' log has brought, and does what is due.
-func (n *Node) spreadTurn(now Reading) {
-	n.spread.Vouching(n.holder.Holds(now))
-	if n.log.Last() != n.spreads {
-		n.spreads = n.log.Last()
-		n.spreadDo(now, n.spread.News(now.Mono))
+// runGossip tells others of what the voters' log has brought, and does what is due.
+func (n *Node) runGossip(now ClockReading) {
+	n.gossip.SetTrusted(n.holder.Holds(now))
+	if n.log.Last() != n.lastGossiped {
+		n.lastGossiped = n.log.Last()
+		n.carryOutGossip(now, n.gossip.RecordsAdded(now.Mono))
 	}
-	if now.Mono >= n.spread.Next() {
-		n.spreadDo(now, n.spread.Tick(now.Mono))
+	if now.Mono >= n.gossip.Next() {
+		n.carryOutGossip(now, n.gossip.Tick(now.Mono))
 	}
 }
 
-func (n *Node) spreadDo(now Reading, out spread.Output) {
-	for _, s := range out.Sends {
-		n.say(now, s.To, channelSpread, s.Data)
+func (n *Node) carryOutGossip(now ClockReading, out spread.Output) {
+	for _, s := range out.Messages {
+		n.sendWithUpdate(now, s.To, channelGossip, s.Data)
 	}
-	if out.Diverged && !n.differs[out.With] {
-		n.differs[out.With] = true
-		n.event(Event{Kind: Differs, Agent: out.With, At: n.log.Last()})
+	if out.HasDiverged && !n.diverged[out.DivergedFrom] {
+		n.diverged[out.DivergedFrom] = true
+		n.addEvent(Event{Kind: LogDiverged, Agent: out.DivergedFrom, Position: n.log.Last()})
 	}
-	n.spreads = n.log.Last()
+	n.lastGossiped = n.log.Last()
 }
 
-// Ready tells whether a process that starts may say that it is ready: it has what others have, and a
+// ReadyTimeout tells whether a process that starts may say that it is ready: it has what others have, and a
 // lease where something above acts by it, or the time for that is over. CaughtUp is false in that case.
-func (n *Node) Ready(now Reading) (ready, caughtUp bool) {
-	caughtUp = n.spread.CaughtUp(now.Mono) == spread.CaughtUp
-	if n.set.Above != nil {
+func (n *Node) Ready(now ClockReading) (ready, caughtUp bool) {
+	caughtUp = n.gossip.CatchUpState(now.Mono) == spread.CaughtUp
+	if n.settings.Application != nil {
 		caughtUp = caughtUp && n.holder.Holds(now)
 	}
-	bound := n.set.Ready
+	bound := n.settings.ReadyTimeout
 	if n.voter != nil {
-		caughtUp = caughtUp && n.belongs()
-		if !n.set.Lasts {
-			bound *= voterPatience
+		caughtUp = caughtUp && n.isSettledVoter()
+		if !n.settings.IsDurable {
+			bound *= voterReadyFactor
 		}
 	}
-	return caughtUp || now.Mono-n.began >= bound, caughtUp
+	return caughtUp || now.Mono-n.startedAt >= bound, caughtUp
 }
 
-// Knows tells whether a process that starts has what others have, or the time for that is over; a lease, or a
+// IsCaughtUp tells whether a process that starts has what others have, or the time for that is over; a lease, or a
 // place among the voters, may still be to come.
-func (n *Node) Knows(now Reading) bool {
-	return n.spread.CaughtUp(now.Mono) == spread.CaughtUp || now.Mono-n.began >= n.set.Ready
+func (n *Node) IsCaughtUp(now ClockReading) bool {
+	return n.gossip.CatchUpState(now.Mono) == spread.CaughtUp || now.Mono-n.startedAt >= n.settings.ReadyTimeout
 }
 
-// voterPatience is how many times longer a voter that keeps nothing waits. A fleet is restarted one agent
+// voterReadyFactor is how many times longer a voter that keeps nothing waits. A fleet is restarted one agent
 // after the other as each says that it is ready: one that said so before the others had taken it back would
 // have the next one go, and with a majority of the voters the log.
-const voterPatience = 5
+const voterReadyFactor = 5
 
 // belongs tells whether this voter has its place in the log, and no other is to be taken back or replaced.
-func (n *Node) belongs() bool {
-	s := n.status()
+func (n *Node) isSettledVoter() bool {
+	s := n.voterStatus()
 	in := s.Phase == consensus.Voting || s.Phase == consensus.Leading
-	return in && !s.Joint && len(s.Members) == len(n.set.Voters)
+	return in && !s.IsJointConfig && len(s.Members) == len(n.settings.Voters)
 }
--- a/fleet/stack.go
+++ b/fleet/stack.go
@@ -3,9 +3,9 @@
 import "time"
 
 // stack is several Aboves at one node.
-type stack struct {
-	first Above
-	more  []Above // nil: that place is empty
+type applicationStack struct {
+	first  Application
+	others []Application // nil: that place is empty
 }
 
 // Messages of those after the first begin with a byte for their place, which none of the first one's does: a
@@ -13,100 +13,100 @@
 // zeros end it: it is filled up to be longer than anything that an agent without a stack reads, of the
 // build before or of other settings. Such a one drops it.
 const (
-	firstPlace  = 0x80
-	leastPlaced = 8 + 64 + 1 // more than an incarnation with the longest note
+	firstSlot       = 0x80
+	minSlottedBytes = 8 + 64 + 1 // more than an incarnation with the longest note
 )
 
-// Stack puts several on one node: all are told of what is applied, in this order, all have to agree to a
+// StackApplications puts several on one node: all are told of what is applied, in this order, all have to agree to a
 // lease, and the first one's note goes with requests. The first one's messages stay as they are, so that
 // agents that have it alone understand them; it must not send any that begin with a byte over 127. A later
 // one may be nil: its place, by which it is known at others, stays empty. There are 64 places at most.
-func Stack(aboves ...Above) Above {
+func StackApplications(aboves ...Application) Application {
 	if len(aboves) == 0 {
 		return nil
 	}
-	return &stack{aboves[0], aboves[1:min(len(aboves), 64)]}
+	return &applicationStack{aboves[0], aboves[1:min(len(aboves), 64)]}
 }
 
 // each goes through all that are there, in order.
-func (s *stack) each(do func(a Above, wrap func([]byte) []byte)) {
+func (s *applicationStack) forEach(do func(a Application, wrap func([]byte) []byte)) {
 	do(s.first, func(data []byte) []byte { return data })
-	for i, a := range s.more {
+	for i, a := range s.others {
 		if a != nil {
-			do(a, func(data []byte) []byte { return place(i, data) })
+			do(a, func(data []byte) []byte { return encodeSlot(i, data) })
 		}
 	}
 }
 
-// Learn implements Above.
-func (s *stack) Learn(now Reading, anew bool) {
-	s.each(func(a Above, _ func([]byte) []byte) { a.Learn(now, anew) })
+// RecordsApplied implements Application.
+func (s *applicationStack) RecordsApplied(now ClockReading, anew bool) {
+	s.forEach(func(a Application, _ func([]byte) []byte) { a.RecordsApplied(now, anew) })
 }
 
-// Note implements Above.
-func (s *stack) Note() []byte { return s.first.Note() }
+// LeaseNote implements Application.
+func (s *applicationStack) LeaseNote() []byte { return s.first.LeaseNote() }
 
-// May implements Above. The first is asked last, and only if the others agree: it counts what is granted.
-func (s *stack) May(now Reading, agent int, incarnation uint64, note []byte) bool {
-	for _, a := range s.more {
-		if a != nil && !a.May(now, agent, incarnation, note) {
+// MayGrantLease implements Application. The first is asked last, and only if the others agree: it counts what is granted.
+func (s *applicationStack) MayGrantLease(now ClockReading, agent int, incarnation uint64, note []byte) bool {
+	for _, a := range s.others {
+		if a != nil && !a.MayGrantLease(now, agent, incarnation, note) {
 			return false
 		}
 	}
-	return s.first.May(now, agent, incarnation, note)
+	return s.first.MayGrantLease(now, agent, incarnation, note)
 }
 
-// Heard implements Above.
-func (s *stack) Heard(now Reading, from int, data []byte) (answer []byte) {
-	if !placed(data) {
-		return s.first.Heard(now, from, data)
+// HandleMessage implements Application.
+func (s *applicationStack) HandleMessage(now ClockReading, from int, data []byte) (answer []byte) {
+	if !isSlotted(data) {
+		return s.first.HandleMessage(now, from, data)
 	}
-	if i, a, rest := s.of(data); a != nil {
-		if answer = a.Heard(now, from, rest); answer != nil {
-			return place(i, answer)
+	if i, a, rest := s.decodeSlot(data); a != nil {
+		if answer = a.HandleMessage(now, from, rest); answer != nil {
+			return encodeSlot(i, answer)
 		}
 	}
 	return nil
 }
 
-// Answered implements Above.
-func (s *stack) Answered(now Reading, from int, data []byte) {
-	if !placed(data) {
-		s.first.Answered(now, from, data)
-	} else if _, a, rest := s.of(data); a != nil {
-		a.Answered(now, from, rest)
+// HandleReply implements Application.
+func (s *applicationStack) HandleReply(now ClockReading, from int, data []byte) {
+	if !isSlotted(data) {
+		s.first.HandleReply(now, from, data)
+	} else if _, a, rest := s.decodeSlot(data); a != nil {
+		a.HandleReply(now, from, rest)
 	}
 }
 
-// Due implements Above.
-func (s *stack) Due(now Reading, v Voting) (due Due) {
+// NextActions implements Application.
+func (s *applicationStack) NextActions(now ClockReading, v VoterState) (due Actions) {
 	due.Next = now.Mono + time.Hour
-	s.each(func(a Above, wrap func([]byte) []byte) {
-		one := a.Due(now, v)
-		for _, m := range one.Sends {
-			due.Sends = append(due.Sends, Send{To: m.To, Data: wrap(m.Data)})
+	s.forEach(func(a Application, wrap func([]byte) []byte) {
+		one := a.NextActions(now, v)
+		for _, m := range one.Messages {
+			due.Messages = append(due.Messages, Message{To: m.To, Data: wrap(m.Data)})
 		}
-		due.Records = append(due.Records, one.Records...)
+		due.Proposals = append(due.Proposals, one.Proposals...)
 		due.Next = min(due.Next, one.Next)
 	})
 	return due
 }
 
-func placed(data []byte) bool { return len(data) > 0 && data[0] >= firstPlace }
+func isSlotted(data []byte) bool { return len(data) > 0 && data[0] >= firstSlot }
 
 // place writes a message of one after the first.
-func place(i int, data []byte) []byte {
-	zeros := max(leastPlaced-2-len(data), 0)
+func encodeSlot(i int, data []byte) []byte {
+	zeros := max(minSlottedBytes-2-len(data), 0)
 	out := make([]byte, 2, 2+len(data)+zeros)
-	out[0], out[1] = byte(firstPlace+i), byte(zeros)
+	out[0], out[1] = byte(firstSlot+i), byte(zeros)
 	return append(append(out, data...), make([]byte, zeros)...)
 }
 
 // of finds whose a message is, and what it says; nil: nobody's here, or it is none.
-func (s *stack) of(data []byte) (i int, a Above, rest []byte) {
-	i = int(data[0] - firstPlace)
-	if i >= len(s.more) || len(data) < leastPlaced || int(data[1]) > len(data)-2 {
+func (s *applicationStack) decodeSlot(data []byte) (i int, a Application, rest []byte) {
+	i = int(data[0] - firstSlot)
+	if i >= len(s.others) || len(data) < minSlottedBytes || int(data[1]) > len(data)-2 {
 		return 0, nil, nil
 	}
-	return i, s.more[i], data[2 : len(data)-int(data[1])]
+	return i, s.others[i], data[2 : len(data)-int(data[1])]
 }
--- a/fleet/stack_test.go
+++ b/fleet/stack_test.go
@@ -24,16 +24,18 @@
 }
 
 func newShouter() *shouter {
-	words := append(make([]byte, 6), policy.Note{Version: 1, Code: policy.Unreadable, Text: "no"}.Encode()...)
+	words := append(make([]byte, 6), policy.Answer{Version: 1, Code: policy.UnreadableDocument, Text: "no"}.Encode()...)
 	return &shouter{words: words, heard: map[int]int{}, answered: map[int]int{}}
 }
 
-func (s *shouter) Learn(fleet.Reading, bool)                       { s.learned++ }
-func (s *shouter) Note() []byte                                    { return []byte("never asked for") }
-func (s *shouter) May(fleet.Reading, int, uint64, []byte) bool     { return !s.no }
-func (s *shouter) Answered(_ fleet.Reading, from int, data []byte) { s.take(s.answered, from, data) }
+func (s *shouter) RecordsApplied(fleet.ClockReading, bool)                    { s.learned++ }
+func (s *shouter) LeaseNote() []byte                                          { return []byte("never asked for") }
+func (s *shouter) MayGrantLease(fleet.ClockReading, int, uint64, []byte) bool { return !s.no }
+func (s *shouter) HandleReply(_ fleet.ClockReading, from int, data []byte) {
+	s.take(s.answered, from, data)
+}
 
-func (s *shouter) Heard(_ fleet.Reading, from int, d []byte) []byte {
+func (s *shouter) HandleMessage(_ fleet.ClockReading, from int, d []byte) []byte {
 	s.take(s.heard, from, d)
 	return d
 }
@@ -44,9 +46,9 @@
 	}
 }
 
-func (s *shouter) Due(now fleet.Reading, _ fleet.Voting) (due fleet.Due) {
+func (s *shouter) NextActions(now fleet.ClockReading, _ fleet.VoterState) (due fleet.Actions) {
 	for to := range 6 {
-		due.Sends = append(due.Sends, fleet.Send{To: to, Data: s.words})
+		due.Messages = append(due.Messages, fleet.Message{To: to, Data: s.words})
 	}
 	due.Next = now.Mono + 50*time.Millisecond
 	return due
@@ -56,34 +58,34 @@
 // reaches those that have it, at the same place, and does nothing to the two, also where it looks like a refusal; and
 // policies take hold at all.
 func TestStack(t *testing.T) {
-	own := policy.Own{InVain: 0.25, Settings: decide.Settings{
-		Tenants: []decide.Tenant{{Name: "east", QuotaPerS: 60}},
+	own := policy.LocalSettings{MaxFailedRatio: 0.25, Settings: decide.Settings{
+		Tenants: []decide.Tenant{{Name: "east", QuotaPerSecond: 60}},
 		Classes: []decide.Class{{Name: "find"}}, Limits: decide.Limits{MaxAttempts: 3},
 	}}
-	var seats [6]*seat.Seat
+	var seats [6]*seat.Adapter
 	var tops [6]*shouter
-	l := fleetlab.New(fleetlab.Options{Agents: 6, Voters: 3, Seed: 5, Upper: func(set *fleet.Settings, now fleet.Reading) {
+	l := fleetlab.New(fleetlab.Options{Agents: 6, Voters: 3, Seed: 5, Application: func(set *fleet.Settings, now fleet.ClockReading) {
 		s := seat.New(seat.Settings{
-			Self: set.Self, Votes: set.Votes(), Incarnation: set.Incarnation,
-			Machine: uint8(len(set.Machines)), Own: own, Times: policy.Times{Terms: set.Terms},
+			Self: set.Self, IsVoter: set.IsVoter(), Incarnation: set.Incarnation,
+			MachineNumber: uint8(len(set.Machines)), Local: own, Times: policy.Times{Terms: set.Terms},
 		}, now)
 		seats[set.Self] = s
-		set.Machines, set.Above = append(set.Machines, s), s
+		set.Machines, set.Application = append(set.Machines, s), s
 		if set.Self < 4 {
 			tops[set.Self] = newShouter()
-			set.Above = fleet.Stack(s, nil, tops[set.Self])
+			set.Application = fleet.StackApplications(s, nil, tops[set.Self])
 		}
 	}})
 	l.StartAll()
 	l.Run(10 * time.Second)
 	now := l.Reading(1)
-	record, err := seats[1].Record(now, "p", []byte("format = 1\n[classes.find]\nattempts = 2\n"), now.Unix+time.Second)
+	record, err := seats[1].EncodeProposal(now, "p", []byte("format = 1\n[classes.find]\nattempts = 2\n"), now.Unix+time.Second)
 	require.NoError(t, err)
 	l.ProposeRecord(1, 1, record)
 	l.Run(5 * time.Second)
 	for a, s := range seats {
-		require.Equal(t, policy.Taken, s.Outcome("p").End, a)
-		require.EqualValues(t, 1, s.Acting(l.Reading(a), l.Node(a).Standing(l.Reading(a))).Version)
+		require.Equal(t, policy.StatusAccepted, s.Outcome("p").Status, a)
+		require.EqualValues(t, 1, s.Active(l.Reading(a), l.Node(a).Standing(l.Reading(a))).Version)
 		if top := tops[a]; top != nil {
 			require.Len(t, top.heard, 4)
 			require.Len(t, top.answered, 4)
@@ -97,7 +99,7 @@
 	l.Kill(4)
 	l.Run(10 * time.Second)
 	require.Equal(t, lease.Floor, l.Node(0).Standing(l.Reading(0)), "all have to agree to a lease")
-	require.Empty(t, l.Breaches())
+	require.Empty(t, l.Violations())
 }
 
 // What is no message of its kind does nothing.
@@ -105,8 +107,8 @@
 	f.Add([]byte{0x80, 0})
 	f.Add(append([]byte{0x81, 70}, make([]byte, 71)...))
 	f.Fuzz(func(_ *testing.T, data []byte) {
-		s := fleet.Stack(newShouter(), nil, newShouter())
-		s.Heard(fleet.Reading{}, 1, data)
-		s.Answered(fleet.Reading{}, 1, data)
+		s := fleet.StackApplications(newShouter(), nil, newShouter())
+		s.HandleMessage(fleet.ClockReading{}, 1, data)
+		s.HandleReply(fleet.ClockReading{}, 1, data)
 	})
 }
--- a/fleet/status.go
+++ b/fleet/status.go
@@ -12,83 +12,85 @@
 
 // Status is what a node knows of itself and of the others, for staff.
 type Status struct {
-	Self, Agents int
-	Incarnation  uint64
-	Voters       []int
-	At           chronicle.Position // what is applied here
-	Standing     lease.Standing
-	ClockOff     bool          // the Unix clock differs from those of most voters
-	LeaseLeft    time.Duration // zero: no lease holds
-	Ready        bool
-	Connection   roster.Standing   // what it knows of its own way to others
-	Voter        *consensus.Status // nil: this agent is none
-	Here         int               // agents that take part, this one included
-	Others       []Peer            // those of which anything is known, by number
-	Dropped      uint64            // messages that could not be read or had no room
-	Carried      pieces.Counts
-	Leases       lease.HolderFigures
+	Self, Agents   int
+	Incarnation    uint64
+	Voters         []int
+	Applied        chronicle.Position // what is applied here
+	Standing       lease.Standing
+	IsClockOff     bool          // the Unix clock differs from those of most voters
+	LeaseRemaining time.Duration // zero: no lease holds
+	Ready          bool
+	Connection     roster.Connection // what it knows of its own way to others
+	Voter          *consensus.Status // nil: this agent is none
+	PresentAgents  int               // agents that take part, this one included
+	Peers          []Peer            // those of which anything is known, by number
+	Dropped        uint64            // messages that could not be read or had no room
+	Transport      pieces.Stats
+	Leases         lease.HolderStats
 }
 
 // Peer is what is known of another agent.
 type Peer struct {
 	Agent int
 	State roster.Status
-	// Closed: this agent hears it, and is not heard by it.
-	Closed bool
+	// IsPathClosed: this agent hears it, and is not heard by it.
+	IsPathClosed bool
 }
 
 // Status returns what the node knows now.
-func (n *Node) Status(now Reading) Status {
+func (n *Node) Status(now ClockReading) Status {
 	ready, _ := n.Ready(now)
 	s := Status{
-		Self: n.set.Self, Agents: n.set.Agents, Incarnation: n.set.Incarnation, Voters: n.set.Voters,
-		At: n.at, Standing: n.Standing(now), ClockOff: n.holder.ClockOff(now),
-		LeaseLeft: n.holder.Left(now), Ready: ready,
-		Dropped: n.dropped, Carried: n.carrier.Counts(), Leases: n.holder.Figures(),
+		Self: n.settings.Self, Agents: n.settings.Agents, Incarnation: n.settings.Incarnation, Voters: n.settings.Voters,
+		Applied: n.applied, Standing: n.Standing(now), IsClockOff: n.holder.IsClockOff(now),
+		LeaseRemaining: n.holder.Remaining(now), Ready: ready,
+		Dropped: n.dropped, Transport: n.transport.Stats(), Leases: n.holder.Stats(),
 	}
 	if n.voter != nil {
 		v := n.voter.Status()
 		s.Voter = &v
 	}
-	s.Here, s.Others = n.present(now)
-	s.Connection = n.roster.Self(now.Mono)
+	s.PresentAgents, s.Peers = n.peers(now)
+	s.Connection = n.members.Connection(now.Mono)
 	return s
 }
 
 // present is who is there by now.
-func (n *Node) present(now Reading) (here int, others []Peer) {
-	for a := range n.set.Agents {
-		if state := n.roster.Status(now.Mono, a); a != n.set.Self && state != roster.Unheard {
-			others = append(others, Peer{Agent: a, State: state, Closed: n.roster.Closed(now.Mono, a)})
+func (n *Node) peers(now ClockReading) (here int, others []Peer) {
+	for a := range n.settings.Agents {
+		if state := n.members.Status(now.Mono, a); a != n.settings.Self && state != roster.Unknown {
+			others = append(others, Peer{Agent: a, State: state, IsPathClosed: n.members.IsPathClosed(now.Mono, a)})
 		}
 	}
-	return n.roster.Here(now.Mono), others
+	return n.members.PresentCount(now.Mono), others
 }
 
-// Here is how many agents have to be counted with, this one included, as far as it is known; zero: this agent
+// PresentAgents is how many agents have to be counted with, this one included, as far as it is known; zero: this agent
 // holds no lease or is cut off on a side, and what it hears tells nothing of who is there.
-func (n *Node) Here(now Reading) int {
-	if n.Standing(now) != lease.Full || n.roster.Self(now.Mono) != roster.Connected {
+func (n *Node) PresentAgents(now ClockReading) int {
+	if n.Standing(now) != lease.Full || n.members.Connection(now.Mono) != roster.Connected {
 		return 0
 	}
-	return n.roster.Here(now.Mono)
+	return n.members.PresentCount(now.Mono)
 }
 
 // Leave has the others told that this process goes.
-func (n *Node) Leave() { n.roster.Leave() }
+func (n *Node) Leave() { n.members.Leave() }
 
-// Passed tells whether no agent acts any more without what was seen to be taken at a reading.
-func (n *Node) Passed(taken, now Reading) bool { return n.set.Terms.Passed(taken, now) }
+// FencePassed tells whether no agent acts any more without what was seen to be taken at a reading.
+func (n *Node) FencePassed(taken, now ClockReading) bool {
+	return n.settings.Terms.FencePassed(taken, now)
+}
 
 // Standing is how the agent may act; now is read for this decision. Where something above goes by Unix
 // time an agent whose clock is off acts within the floor only.
-func (n *Node) Standing(now Reading) lease.Standing {
+func (n *Node) Standing(now ClockReading) lease.Standing {
 	s := n.holder.Standing(now)
-	if s == lease.Full && n.set.Above != nil && n.holder.ClockOff(now) {
+	if s == lease.Full && n.settings.Application != nil && n.holder.IsClockOff(now) {
 		return lease.Floor
 	}
 	return s
 }
 
-// At is what is applied here.
-func (n *Node) At() chronicle.Position { return n.at }
+// Position is what is applied here.
+func (n *Node) Applied() chronicle.Position { return n.applied }
--- a/fleet/voting.go
+++ b/fleet/voting.go
@@ -9,159 +9,161 @@
 )
 
 // startVoter makes this agent one of those that keep the log.
-func (n *Node) startVoter(now Reading) (err error) {
-	voters := make([]uint32, 0, len(n.set.Voters))
-	for _, v := range n.set.Voters {
+func (n *Node) startVoter(now ClockReading) (err error) {
+	voters := make([]uint32, 0, len(n.settings.Voters))
+	for _, v := range n.settings.Voters {
 		voters = append(voters, uint32(v))
 	}
 	n.voter, err = consensus.New(consensus.Config{
-		Agent: uint32(n.set.Self), Voters: voters,
-		Nonce: n.set.Incarnation, Seed: n.set.Seed, Volatile: !n.set.Lasts,
-	}, steady(now), n.set.Stored)
+		Agent: uint32(n.settings.Self), Voters: voters,
+		Nonce: n.settings.Incarnation, Seed: n.settings.Seed, Volatile: !n.settings.IsDurable,
+	}, steadyTime(now), n.settings.Stored)
 	n.granter = lease.NewGranter(lease.GranterSettings{
-		Terms: n.set.Terms, Agents: n.set.Agents,
-		May: func(now Reading, from int, r lease.Request) bool { return n.may(now, from, r.Incarnation, r.Note) },
+		Terms: n.settings.Terms, Agents: n.settings.Agents,
+		MayGrant: func(now ClockReading, from int, r lease.Request) bool {
+			return n.mayGrantLease(now, from, r.Incarnation, r.Note)
+		},
 	})
 	return err
 }
 
 // status is the voter's.
-func (n *Node) status() consensus.Status { return n.voter.Status() }
+func (n *Node) voterStatus() consensus.Status { return n.voter.Status() }
 
 // vote gives the voter an input, and does what follows from it.
-func (n *Node) vote(now Reading, in consensus.Input) {
+func (n *Node) stepVoter(now ClockReading, in consensus.Input) {
 	for in != nil {
-		out := n.voter.Step(steady(now), in)
+		out := n.voter.Step(steadyTime(now), in)
 		in = nil
 		for _, m := range out.Messages {
-			n.tell(now, int(m.To), channelVoters, m.Bytes)
+			n.send(now, int(m.To), channelRaft, m.Bytes)
 		}
 		if out.Restore != nil {
-			n.restored(out.Restore)
+			n.handleRestore(out.Restore)
 		}
 		for _, e := range out.Committed {
-			n.committed(now, e)
+			n.handleCommitted(now, e)
 		}
 		if out.Persist != nil {
-			if n.set.Lasts {
-				n.out.Persist = out.Persist
+			if n.settings.IsDurable {
+				n.output.Persist = out.Persist
 			} else {
 				in = consensus.Persisted{Token: out.Persist.Token}
 			}
 		}
-		if out.WantSnapshot && in == nil {
-			in = n.compactVoters(now)
+		if out.SnapshotWanted && in == nil {
+			in = n.voterSnapshot(now)
 		}
 	}
-	if n.standsDown {
+	if n.mustStandDown {
 		n.standDown()
 		return
 	}
-	n.confirm(now)
+	n.confirmLeases(now)
 }
 
 // standDown ends this agent's part among the voters: it can't follow the log any more, so it must not grant
 // leases on it. It goes on as an agent that is behind, within the floor, until it is of a later build.
 func (n *Node) standDown() {
 	if n.voter != nil {
-		n.event(Event{Kind: Stopped, At: n.at, Err: errTooOld})
+		n.addEvent(Event{Kind: VoterStopped, Position: n.applied, Err: errUnknownRecordsFull})
 	}
-	n.voter, n.granter, n.stopped = nil, nil, true
+	n.voter, n.granter, n.isStopped = nil, nil, true
 }
 
 // restored takes the state above that the log goes on from.
-func (n *Node) restored(r *consensus.Restore) {
-	s := chronicle.Beginning(r.Epoch)
+func (n *Node) handleRestore(r *consensus.Restore) {
+	s := chronicle.InitialSnapshot(r.Epoch)
 	if len(r.Data) > 0 {
 		var err error
 		if s, err = decodeSnapshot(r.Data); err != nil {
-			n.event(Event{Kind: Stopped, Err: err})
+			n.addEvent(Event{Kind: VoterStopped, Err: err})
 			return
 		}
 	}
-	n.given = s.Seq
+	n.delivered = s.Seq
 	if _, err := n.log.Install(s); err != nil {
-		n.event(Event{Kind: Differs, Agent: n.set.Self, At: s.At(), Err: err})
+		n.addEvent(Event{Kind: LogDiverged, Agent: n.settings.Self, Position: s.Position(), Err: err})
 	}
 }
 
 // committed takes a record that the voters agreed on. The copy may have it already, from others.
-func (n *Node) committed(now Reading, e consensus.Entry) {
-	n.given++
-	if n.log.Last().Epoch != n.status().Identity.Epoch {
+func (n *Node) handleCommitted(now ClockReading, e consensus.Entry) {
+	n.delivered++
+	if n.log.Last().Epoch != n.voterStatus().Identity.Epoch {
 		return // a later log has replaced this one here already, which this voter belongs to no more soon
 	}
-	err := n.log.Append(chronicle.Record{Seq: n.given, Data: e.Data})
-	if errors.Is(err, chronicle.ErrFull) && n.machines.full {
-		n.standsDown = true
+	err := n.log.Append(chronicle.Record{Seq: n.delivered, Data: e.Data})
+	if errors.Is(err, chronicle.ErrFull) && n.machines.isFull {
+		n.mustStandDown = true
 		return
 	}
 	if err != nil {
-		n.event(Event{Kind: Differs, Agent: n.set.Self, At: n.log.Last(), Err: err})
+		n.addEvent(Event{Kind: LogDiverged, Agent: n.settings.Self, Position: n.log.Last(), Err: err})
 		return
 	}
-	if n.log.Len() >= n.log.Limits().Records {
-		n.apply(now)
+	if n.log.Len() >= n.log.Limits().MaxRecords {
+		n.applyNew(now)
 	}
 }
 
-// compactVoters is the state above as of the last record that the log gave out, where that is what the
+// voterSnapshot is the state above as of the last record that the log gave out, where that is what the
 // machines have.
-func (n *Node) compactVoters(now Reading) consensus.Input {
-	n.apply(now)
-	if n.at.Seq != n.given || n.at.Epoch != n.status().Identity.Epoch {
+func (n *Node) voterSnapshot(now ClockReading) consensus.Input {
+	n.applyNew(now)
+	if n.applied.Seq != n.delivered || n.applied.Epoch != n.voterStatus().Identity.Epoch {
 		return nil
 	}
 	data, err := n.machines.snapshot()
 	if err != nil {
 		return nil
 	}
-	s := chronicle.Snapshot{Epoch: n.at.Epoch, Seq: n.at.Seq, Sum: n.at.Sum, Data: data}
-	return consensus.Compact{Index: n.status().Applied, Data: encodeSnapshot(s)}
+	s := chronicle.Snapshot{Epoch: n.applied.Epoch, Seq: n.applied.Seq, Sum: n.applied.Sum, Data: data}
+	return consensus.Compact{Index: n.voterStatus().AppliedIndex, Data: encodeSnapshot(s)}
 }
 
 // confirm takes what the voter knows for sure to whoever waits for a lease, and tells of changes of the
 // leader.
-func (n *Node) confirm(now Reading) {
-	s := n.status()
-	if leads := s.Phase == consensus.Leading; leads != n.leading {
-		n.leading = leads
-		kind := LeadsNot
+func (n *Node) confirmLeases(now ClockReading) {
+	s := n.voterStatus()
+	if leads := s.Phase == consensus.Leading; leads != n.isLeading {
+		n.isLeading = leads
+		kind := LeadershipLost
 		if leads {
-			kind = Leads
+			kind = LeadershipGained
 		}
-		n.event(Event{Kind: kind, At: n.at})
+		n.addEvent(Event{Kind: kind, Position: n.applied})
 	}
-	if s.Phase == consensus.Broken && !n.stopped {
-		n.stopped = true
-		n.event(Event{Kind: Stopped, Err: s.Err})
+	if s.Phase == consensus.Broken && !n.isStopped {
+		n.isStopped = true
+		n.addEvent(Event{Kind: VoterStopped, Err: s.Err})
 	}
-	if !s.Fresh.After(n.fresh) || s.Identity.Epoch == 0 {
+	if !s.FreshAsOf.After(n.freshAsOf) || s.Identity.Epoch == 0 {
 		return
 	}
-	n.fresh = s.Fresh
+	n.freshAsOf = s.FreshAsOf
 	if n.log.Last().Epoch == s.Identity.Epoch {
-		n.spread.Vouch()
+		n.gossip.MarkCaughtUp()
 	}
-	age := now.Mono - mono(s.Fresh)
-	asked := Reading{Unix: now.Unix - age, Mono: now.Mono - age}
-	at := chronicle.Position{Epoch: s.Identity.Epoch, Seq: n.given}
-	n.apply(now) // what stands above has to know of all that a grant names
-	for _, a := range n.granter.Confirmed(now, asked, at) {
-		n.say(now, a.To, channelGrant, a.Grant.Encode())
+	age := now.Mono - steadyReading(s.FreshAsOf)
+	asked := ClockReading{Unix: now.Unix - age, Mono: now.Mono - age}
+	at := chronicle.Position{Epoch: s.Identity.Epoch, Seq: n.delivered}
+	n.applyNew(now) // what stands above has to know of all that a grant names
+	for _, a := range n.granter.HandleConfirmed(now, asked, at) {
+		n.sendWithUpdate(now, a.To, channelLeaseGrant, a.Grant.Encode())
 	}
 }
 
 // asked takes an agent's request for a lease. Only a voter of a log that goes on answers; who asks
 // another one asks the next.
-func (n *Node) asked(now Reading, from int, b []byte) {
+func (n *Node) handleLeaseRequest(now ClockReading, from int, b []byte) {
 	r, err := lease.DecodeRequest(b)
 	if err != nil || n.voter == nil {
 		n.dropped++
 		return
 	}
-	out, _ := n.granter.Requested(now, from, r)
+	out, _ := n.granter.HandleRequest(now, from, r)
 	for _, a := range out {
-		n.say(now, a.To, channelGrant, a.Grant.Encode())
+		n.sendWithUpdate(now, a.To, channelLeaseGrant, a.Grant.Encode())
 	}
 }
