--- a/internal/core/bans_test.go
+++ b/internal/core/bans_test.go
@@ -18,26 +18,26 @@
 func TestBans(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now, version := 100*time.Hour, int64(1)
-		l := NewList(here, protocol.PoolConfig{}, nil)
-		l.Subscribe()
-		said := map[string]protocol.PoolServer{}  // by discovery
-		heard := map[string]protocol.PoolServer{} // by the module
+		l := NewListTracker(here, protocol.EndpointList{}, nil)
+		l.Watch()
+		said := map[string]protocol.Endpoint{}  // by discovery
+		heard := map[string]protocol.Endpoint{} // by the module
 		bans := map[string]bool{}
 		ever := map[string]bool{}
 		hear := func(out []ListOutput) {
 			for _, o := range out {
-				if o.Kind != News {
+				if o.Kind != ListUpdate {
 					continue
 				}
-				if o.Sync == decide.SyncFull || o.Sync == decide.SyncSaved {
+				if o.Update == decide.UpdateFull || o.Update == decide.UpdateCached {
 					clear(heard)
 				}
-				for _, s := range o.Config.Servers {
+				for _, s := range o.List.Endpoints {
 					if heard[s.ID] = s; s.State == decide.Gone {
 						delete(heard, s.ID)
 					}
 				}
-				require.Equal(t, o.Word.Local, !o.Confirms && len(o.Told.Servers) == 0)
+				require.Equal(t, o.Watch.Local, !o.Confirms && len(o.DiscoveryList.Endpoints) == 0)
 			}
 		}
 		ids := rapid.SampledFrom([]string{"a", "b", "c", "d"})
@@ -45,27 +45,27 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"says": func(t *rapid.T) {
 				version++
-				c := protocol.PoolConfig{Version: version, Full: rapid.Bool().Draw(t, "full")}
+				c := protocol.EndpointList{Version: version, Full: rapid.Bool().Draw(t, "full")}
 				if c.Full {
 					clear(said)
 				}
 				for _, id := range rapid.SliceOfNDistinct(ids, 0, 4, rapid.ID).Draw(t, "ids") {
-					s := protocol.PoolServer{Server: decide.Server{
+					s := protocol.Endpoint{Server: decide.Server{
 						ID: id, State: state.Draw(t, "state"),
-						Started: time.Duration(rapid.IntRange(0, 2).Draw(t, "started")),
+						StartedAt: time.Duration(rapid.IntRange(0, 2).Draw(t, "started")),
 					}}
 					if said[id] = s; s.State == decide.Gone {
 						delete(said, id)
 					} else {
 						ever[id] = true
 					}
-					c.Servers = append(c.Servers, s)
+					c.Endpoints = append(c.Endpoints, s)
 				}
-				hear(l.CallSays(1, c))
+				hear(l.CallReceived(1, c))
 			},
 			"ban": func(t *rapid.T) {
 				id := ids.Draw(t, "id")
-				out, listed, err := l.Ban(id, now)
+				out, listed, err := l.Disable(id, now)
 				hear(out)
 				require.NoError(t, err)
 				require.Equal(t, ever[id], listed)
@@ -76,30 +76,30 @@
 			"lift": func(t *rapid.T) {
 				now += time.Second
 				id := ids.Draw(t, "id")
-				out, listed := l.Lift(id, now)
+				out, listed := l.Enable(id, now)
 				hear(out)
 				require.Equal(t, ever[id], listed)
 				if bans[id] && heard[id].State == decide.Ready {
-					require.Contains(t, []time.Duration{now, said[id].Started}, heard[id].Started)
+					require.Contains(t, []time.Duration{now, said[id].StartedAt}, heard[id].StartedAt)
 				}
 				delete(bans, id)
 			},
-			"other process": func(t *rapid.T) { hear(l.JoinBans(l.Bans())) },
+			"other process": func(t *rapid.T) { hear(l.MergeDisabled(l.Disabled())) },
 			"upgrade": func(*rapid.T) {
-				list := protocol.PoolConfig{Version: version, Full: true}
+				list := protocol.EndpointList{Version: version, Full: true}
 				for _, id := range sorted(said) {
-					list.Servers = append(list.Servers, said[id])
+					list.Endpoints = append(list.Endpoints, said[id])
 				}
-				l = NewList(here, list, l.Bans())
-				l.Subscribe()
+				l = NewListTracker(here, list, l.Disabled())
+				l.Watch()
 				clear(heard)
-				hear([]ListOutput{{Kind: News, Sync: decide.SyncSaved, Config: l.Known(list), Confirms: true}})
+				hear([]ListOutput{{Kind: ListUpdate, Update: decide.UpdateCached, List: l.ApplyDisabled(list), Confirms: true}})
 				for id := range ever { // what neither is listed nor out is not known any more
-					ever[id] = l.seen[id]
+					ever[id] = l.knownIDs[id]
 				}
 			},
 			"": func(t *rapid.T) {
-				own := l.Servers()
+				own := l.Endpoints()
 				require.Len(t, own, len(said))
 				for _, s := range own {
 					require.Equal(t, heard[s.ID].State, s.State)
@@ -117,28 +117,28 @@
 	})
 }
 
-// Bans are bounded, and what has been put back makes room.
+// Disabled are bounded, and what has been put back makes room.
 func TestBansAreBounded(t *testing.T) {
-	l := NewList(here, protocol.PoolConfig{}, nil)
-	for i := range mostBans + 1 {
-		l.see(fmt.Sprint(i))
+	l := NewListTracker(here, protocol.EndpointList{}, nil)
+	for i := range maxDisabled + 1 {
+		l.rememberID(fmt.Sprint(i))
 	}
 	ban := func(i int) error {
-		_, listed, err := l.Ban(fmt.Sprint(i), time.Hour)
+		_, listed, err := l.Disable(fmt.Sprint(i), time.Hour)
 		require.True(t, listed)
 		return err
 	}
-	for i := range mostBans {
+	for i := range maxDisabled {
 		require.NoError(t, ban(i))
 	}
-	require.ErrorIs(t, ban(mostBans), ErrTooManyBans)
-	l.Lift("7", time.Hour)
-	require.NoError(t, ban(mostBans))
-	for i := range 2 * mostSeen {
-		l.see(fmt.Sprint("s-", i))
+	require.ErrorIs(t, ban(maxDisabled), ErrTooManyDisabled)
+	l.Enable("7", time.Hour)
+	require.NoError(t, ban(maxDisabled))
+	for i := range 2 * maxRememberedIDs {
+		l.rememberID(fmt.Sprint("s-", i))
 	}
-	require.Len(t, l.seen, mostSeen)
-	require.Len(t, l.order, mostSeen)
+	require.Len(t, l.knownIDs, maxRememberedIDs)
+	require.Len(t, l.knownOrder, maxRememberedIDs)
 }
 
 // Two processes of one agent are told different things by hand, hear of one another late and in any order, and one
@@ -147,44 +147,44 @@
 	rapid.Check(t, func(t *rapid.T) {
 		now := 100 * time.Hour
 		ids := []string{"a", "b", "c"}
-		var known protocol.PoolConfig
+		var known protocol.EndpointList
 		for _, id := range ids {
-			known.Servers = append(known.Servers, protocol.PoolServer{Server: decide.Server{ID: id, State: decide.Ready}})
+			known.Endpoints = append(known.Endpoints, protocol.Endpoint{Server: decide.Server{ID: id, State: decide.Ready}})
 		}
-		lists := []*List{NewList(here, known, nil), NewList(here, known, nil)}
-		var notes [][]Ban // on their way
+		lists := []*ListTracker{NewListTracker(here, known, nil), NewListTracker(here, known, nil)}
+		var notes [][]DisabledEndpoint // on their way
 		last := map[string]bool{}
 		which := rapid.IntRange(0, 1)
 		t.Repeat(map[string]func(*rapid.T){
 			"told": func(t *rapid.T) {
 				now += time.Millisecond
 				l, id := lists[which.Draw(t, "process")], rapid.SampledFrom(ids).Draw(t, "id")
-				if ban := rapid.Bool().Draw(t, "ban"); ban && !l.banned(id) {
-					_, _, err := l.Ban(id, now)
+				if ban := rapid.Bool().Draw(t, "ban"); ban && !l.isDisabled(id) {
+					_, _, err := l.Disable(id, now)
 					require.NoError(t, err)
 					last[id] = true
-				} else if !ban && l.banned(id) {
-					l.Lift(id, now)
+				} else if !ban && l.isDisabled(id) {
+					l.Enable(id, now)
 					last[id] = false
 				}
-				notes = append(notes, l.Bans())
+				notes = append(notes, l.Disabled())
 			},
 			"heard": func(t *rapid.T) {
 				if n := len(notes); n > 0 {
-					lists[which.Draw(t, "process")].JoinBans(notes[rapid.IntRange(0, n-1).Draw(t, "note")])
+					lists[which.Draw(t, "process")].MergeDisabled(notes[rapid.IntRange(0, n-1).Draw(t, "note")])
 				}
 			},
 			"starts anew": func(t *rapid.T) {
 				from := which.Draw(t, "process")
-				lists[1-from] = NewList(here, known, MergeBans(lists[1-from].Bans(), lists[from].Bans()))
+				lists[1-from] = NewListTracker(here, known, MergeDisabled(lists[1-from].Disabled(), lists[from].Disabled()))
 			},
 			"": func(t *rapid.T) {
-				one, other := NewList(here, known, lists[0].Bans()), NewList(here, known, lists[1].Bans())
-				one.JoinBans(lists[1].Bans())
-				other.JoinBans(lists[0].Bans())
-				require.Equal(t, one.Bans(), other.Bans())
+				one, other := NewListTracker(here, known, lists[0].Disabled()), NewListTracker(here, known, lists[1].Disabled())
+				one.MergeDisabled(lists[1].Disabled())
+				other.MergeDisabled(lists[0].Disabled())
+				require.Equal(t, one.Disabled(), other.Disabled())
 				for _, id := range ids {
-					require.Equal(t, last[id], one.banned(id), id)
+					require.Equal(t, last[id], one.isDisabled(id), id)
 				}
 			},
 		})
@@ -193,13 +193,13 @@
 
 // What another process tells is bounded too, whatever it tells, and what the bound drops is passed on as it is now.
 func TestJoinedBansAreBounded(t *testing.T) {
-	l := NewList(here, protocol.PoolConfig{}, nil)
+	l := NewListTracker(here, protocol.EndpointList{}, nil)
 	for i := 4; i > 0; i-- { // those that come later stand first by their ids
-		var told []Ban
-		for n := range mostBans {
-			told = append(told, Ban{ID: fmt.Sprintf("%d-%04d", i, n), Set: 1})
+		var told []DisabledEndpoint
+		for n := range maxDisabled {
+			told = append(told, DisabledEndpoint{ID: fmt.Sprintf("%d-%04d", i, n), DisabledAt: 1})
 		}
-		l.JoinBans(told)
-		require.Len(t, l.Bans(), mostBans)
+		l.MergeDisabled(told)
+		require.Len(t, l.Disabled(), maxDisabled)
 	}
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -8,10 +8,10 @@
 //
 //   - Router, the module's actor: operations, their numbers, route steps, one answer each, servers' standing.
 //   - Pool, a booking server's actor: its connections. IdleLimit says how long they are used.
-//   - List, the pool config's actor: version, order, and the handover from one watch to the next.
+//   - ListTracker, the pool config's actor: version, order, and the handover from one watch to the next.
 //   - Descriptors: the shares of the front socket and of the connections to booking servers.
-//   - Drain: what a planned restart does when.
-//   - Sighting: what was seen of a route step, and what it became; Progress: of an answer that began.
+//   - ShutdownPlan: what a planned restart does when.
+//   - AttemptResult: what was seen of a route step, and what it became; ResponseProgress: of an answer that began.
 package core
 
 import (
@@ -27,61 +27,61 @@
 
 // The kinds of output, with the fields of Output that each one uses.
 const (
-	// Answer gives the operation its one final answer: Operation, Result, After (a busy reply's advice),
-	// OverShare, Quota, Text (for whoever reads a failure). Where Result is protocol.Served, it is the answer to
-	// the route step Attempt, which was told of just now. Where Begins is true too, only the beginning is there:
-	// the rest follows as it comes, and the step's time is over: MayGoOn says what holds from now on.
-	Answer OutputKind = iota
-	// StartStep sends the operation to a booking server: Operation, Attempt, Server, At (when it is given up),
-	// Deadline, Begins (its answer is passed on from the first byte on), After (how long it is waited for from
+	// Respond gives the operation its one final answer: Request, Result, After (a busy reply's advice),
+	// OverQuota, Quota, Text (for whoever reads a failure). Where Result is protocol.Served, it is the answer to
+	// the route step Attempt, which was told of just now. Where Streaming is true too, only the beginning is there:
+	// the rest follows as it comes, and the step's time is over: CheckLimits says what holds from now on.
+	Respond OutputKind = iota
+	// StartAttempt sends the operation to a booking server: Request, Attempt, Endpoint, PhaseAt (when it is given up),
+	// Deadline, Streaming (its answer is passed on from the first byte on), After (how long it is waited for from
 	// the operation's last byte on, where that has not come; else zero).
-	StartStep
-	// RetimeStep sets anew when a route step is given up, since its operation has come whole: Operation,
-	// Attempt, At, Deadline.
-	RetimeStep
-	// CancelStep gives a route step up now: Operation, Attempt, Why. Its end is told as any other.
-	CancelStep
-	// UnwantStep tells that a route step is not to be sent on any more where that has not begun: the operation
-	// has its answer, or its client has gone: Operation, Attempt. One that waits for a connection ends at once,
-	// as CalledOff; one that is being written, or has been, goes on.
-	UnwantStep
-	// Forget tells that nothing more is asked about the operation, nor taken in: Operation.
-	Forget
-	// SetTimer asks for TimerDue: At, Tag.
+	StartAttempt
+	// RescheduleAttempt sets anew when a route step is given up, since its operation has come whole: Request,
+	// Attempt, PhaseAt, Deadline.
+	RescheduleAttempt
+	// CancelAttempt gives a route step up now: Request, Attempt, Why. Its end is told as any other.
+	CancelAttempt
+	// CancelIfUnsent tells that a route step is not to be sent on any more where that has not begun: the operation
+	// has its answer, or its client has gone: Request, Attempt. One that waits for a connection ends at once,
+	// as Canceled; one that is being written, or has been, goes on.
+	CancelIfUnsent
+	// ForgetRequest tells that nothing more is asked about the operation, nor taken in: Request.
+	ForgetRequest
+	// SetTimer asks for TimerDue: PhaseAt, Tag.
 	SetTimer
-	// Tell sends a datagram to another agent: Peer, Data.
-	Tell
-	// Subscribe has the list watched from now on.
-	Subscribe
-	// Fetch has the whole list asked for once.
-	Fetch
-	// OpenServer begins with a booking server: Server, Addr.
-	OpenServer
-	// MoveServer has new connections go to another address: Server, Addr. It may be the present one.
-	MoveServer
-	// RetireServer ends with a booking server: Server. What is out there goes on to its end.
-	RetireServer
-	// RestServer has all idle connections to a booking server closed, and those that fall idle, until the next
-	// MoveServer: Server.
-	RestServer
-	// LetGo has half of a booking server's idle connections closed: Server.
-	LetGo
-	// Log writes what the module says: Text.
-	Log
-	// ProbeUnheard tells that the module asked for a probe of Server, which is a defect: see Permitted.
-	ProbeUnheard
+	// SendDatagram sends a datagram to another agent: Peer, Data.
+	SendDatagram
+	// WatchList has the list watched from now on.
+	WatchList
+	// FetchList has the whole list asked for once.
+	FetchList
+	// OpenEndpoint begins with a booking server: Endpoint, Addr.
+	OpenEndpoint
+	// SetEndpointAddress has new connections go to another address: Endpoint, Addr. It may be the present one.
+	SetEndpointAddress
+	// RemoveEndpoint ends with a booking server: Endpoint. What is out there goes on to its end.
+	RemoveEndpoint
+	// DrainEndpoint has all idle connections to a booking server closed, and those that fall idle, until the next
+	// SetEndpointAddress: Endpoint.
+	DrainEndpoint
+	// ReleaseIdle has half of a booking server's idle connections closed: Endpoint.
+	ReleaseIdle
+	// LogDecision writes what the module says: Text.
+	LogDecision
+	// UnsupportedProbe tells that the module asked for a probe of Endpoint, which is a defect: see Permitted.
+	UnsupportedProbe
 )
 
 // Output is one thing that a Router wants done.
 type Output struct {
 	Kind      OutputKind
-	Operation uint32
+	Request   uint32
 	Attempt   int
-	Result    protocol.AnswerKind
-	Begins    bool
-	Server    string
+	Result    protocol.ResponseKind
+	Streaming bool
+	Endpoint  string
 	Addr      netip.AddrPort
-	Why       Ending
+	Why       EndReason
 	At        time.Duration // on the clock
 	Deadline  time.Duration // of the operation's final answer
 	After     time.Duration
@@ -89,6 +89,6 @@
 	Peer      int
 	Data      []byte
 	Text      string
-	OverShare bool         // of a busy reply: the tenant is beyond its share
+	OverQuota bool         // of a busy reply: the tenant is beyond its share
 	Quota     decide.Quota // of the tenant, for a busy reply to tell of
 }
--- a/internal/core/day_test.go
+++ b/internal/core/day_test.go
@@ -20,15 +20,15 @@
 
 func deployment() decide.Settings {
 	return decide.Settings{
-		Balancers: 2, Zone: "a", Tick: 5 * time.Millisecond, OnRequest: true, MarksRetry: true,
+		Balancers: 2, Zone: "a", Tick: 5 * time.Millisecond, DiscoveryOnDemand: true, ClientsMarkRetries: true,
 		Classes: []decide.Class{
-			{Name: safe, Aim: wait, Deadline: 2500 * time.Millisecond, Worth: 1},
-			{Name: fragile, Aim: wait, Deadline: time.Second, Effect: decide.Unsafe, Worth: 2},
+			{Name: safe, LatencyObjective: wait, Deadline: 2500 * time.Millisecond, PriorityWeight: 1},
+			{Name: fragile, LatencyObjective: wait, Deadline: time.Second, Idempotency: decide.NotIdempotent, PriorityWeight: 2},
 		},
-		Limits: decide.Limits{MaxAttempts: 3, Cancel: true, Peers: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second},
+		Limits: decide.Limits{MaxAttempts: 3, Cancel: true, Gossip: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second},
 		Rules: decide.Rules{
-			DrainGrace: 3 * time.Second, AskWithin: 10 * time.Second, ColdShare: 0.3,
-			ColdFor: 9 * time.Second, FallMultiple: 3, FallWindow: 3 * time.Second,
+			DrainGrace: 3 * time.Second, MaxPollInterval: 10 * time.Second, SlowStartCapacity: 0.3,
+			SlowStartDuration: 9 * time.Second, OverloadMultiple: 3, OverloadWindow: 3 * time.Second,
 		},
 	}
 }
@@ -38,18 +38,18 @@
 	after  time.Duration
 	waits  time.Duration // for its connection, before it is sent on
 	begins time.Duration // of the answer; zero: it comes at once
-	saw    Sighting
+	saw    AttemptResult
 	close  bool
 	ended  bool // the connection, by the time that the pool gets it back
 }
 
 func whole(o decide.Outcome) reaction {
-	return reaction{after: 10 * time.Millisecond, saw: Sighting{Phase: Answering, Ending: Completed, Reply: o}}
+	return reaction{after: 10 * time.Millisecond, saw: AttemptResult{Phase: Responding, EndReason: Completed, Response: o}}
 }
 
 // broke is a step that came so far and no further.
-func broke(p Phase) reaction {
-	return reaction{after: 10 * time.Millisecond, saw: Sighting{Phase: p, Ending: BrokenOff}}
+func broke(p AttemptPhase) reaction {
+	return reaction{after: 10 * time.Millisecond, saw: AttemptResult{Phase: p, EndReason: BrokenByEndpoint}}
 }
 
 var silent = reaction{after: time.Hour}
@@ -104,7 +104,7 @@
 	stepRef
 	server  string
 	pool    *Pool[int]
-	lease   Lease[int]
+	lease   Checkout[int]
 	conn    int
 	sent    time.Duration
 	until   time.Duration
@@ -128,42 +128,42 @@
 		forgot: map[uint32]int{}, open: map[int]bool{},
 		react: func(*attempted) reaction { return whole(decide.Served) },
 	}
-	d.list(decide.SyncSaved, servers, decide.Ready)
+	d.list(decide.UpdateCached, servers, decide.Ready)
 	return d
 }
 
 // list tells of the first n servers, all in one state.
-func (d *day) list(kind decide.SyncKind, n int, state decide.ServerState) {
-	var c protocol.PoolConfig
+func (d *day) list(kind decide.UpdateKind, n int, state decide.ServerState) {
+	var c protocol.EndpointList
 	for i := range n {
-		c.Servers = append(c.Servers, entry(i, state))
+		c.Endpoints = append(c.Endpoints, entry(i, state))
 	}
-	d.do(d.router.PoolNews(d.now, kind, c, decide.Word{}))
+	d.do(d.router.ListUpdated(d.now, kind, c, decide.WatchStatus{}))
 }
 
-func entry(i int, state decide.ServerState) protocol.PoolServer {
-	return protocol.PoolServer{
+func entry(i int, state decide.ServerState) protocol.Endpoint {
+	return protocol.Endpoint{
 		Addr:   netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), uint16(1000+i)),
-		Server: decide.Server{ID: fmt.Sprint("s-", i), Zone: "a", Kind: "k", State: state, Weight: 1},
+		Server: decide.Server{ID: fmt.Sprint("s-", i), Zone: "a", MachineKind: "k", State: state, Weight: 1},
 	}
 }
 
 func (d *day) arrive(class, id string) uint32 { return d.arriveIn(class, id, 900*time.Millisecond) }
 
 func (d *day) arriveIn(class, id string, left time.Duration) uint32 {
-	return d.come(&protocol.Operation{CorrelationID: id, Class: class, Key: id, TimeLeft: left}, 0)
+	return d.come(&protocol.Request{CorrelationID: id, Class: class, Key: id, TimeLeft: left}, 0)
 }
 
 // come has an operation arrive that was sent some time ago.
-func (d *day) come(op *protocol.Operation, age time.Duration) uint32 {
+func (d *day) come(op *protocol.Request, age time.Duration) uint32 {
 	d.until[d.router.lastID+1] = d.now - age + op.TimeLeft
-	n, out := d.router.Arrive(d.now, op, d.now-age)
+	n, out := d.router.RequestArrived(d.now, op, d.now-age)
 	d.do(out)
 	return n
 }
 
 // ask has one operation carried out, and returns its answer and the number of its route steps.
-func (d *day) ask(class string) (protocol.AnswerKind, int) {
+func (d *day) ask(class string) (protocol.ResponseKind, int) {
 	before := len(d.sent)
 	n := d.arrive(class, fmt.Sprint(class, d.now))
 	d.run(time.Second)
@@ -173,40 +173,40 @@
 func (d *day) do(out []Output) {
 	for _, o := range out {
 		d.text = append(d.text, fmt.Sprint(d.now, o))
-		ref := stepRef{o.Operation, o.Attempt}
+		ref := stepRef{o.Request, o.Attempt}
 		switch o.Kind {
-		case Answer:
-			d.require(d.module.adds != nil || d.now <= d.until[o.Operation], "answered when its client had left")
-			d.answers[o.Operation] = append(d.answers[o.Operation], o)
-		case Forget:
-			d.forgot[o.Operation]++
-		case StartStep:
-			d.start(&attempted{stepRef: ref, server: o.Server, sent: d.now, until: o.At})
-		case CancelStep:
+		case Respond:
+			d.require(d.module.adds != nil || d.now <= d.until[o.Request], "answered when its client had left")
+			d.answers[o.Request] = append(d.answers[o.Request], o)
+		case ForgetRequest:
+			d.forgot[o.Request]++
+		case StartAttempt:
+			d.start(&attempted{stepRef: ref, server: o.Endpoint, sent: d.now, until: o.At})
+		case CancelAttempt:
 			s := d.steps[ref]
 			d.require(s != nil && !s.ended, "a step cancelled that is not out")
-			d.after(0, func() { d.finish(s, reaction{saw: Sighting{Phase: Waiting, Ending: o.Why}}) })
-		case UnwantStep:
+			d.after(0, func() { d.finish(s, reaction{saw: AttemptResult{Phase: AwaitingResponse, EndReason: o.Why}}) })
+		case CancelIfUnsent:
 			s := d.steps[ref]
 			d.require(s != nil && !s.ended, "a step unwanted that is not out")
 			if s.unwanted = true; !s.sentOn {
-				d.after(0, func() { d.finish(s, reaction{saw: Sighting{Phase: Connecting, Ending: CalledOff}}) })
+				d.after(0, func() { d.finish(s, reaction{saw: AttemptResult{Phase: Connecting, EndReason: Canceled}}) })
 			}
 		case SetTimer:
 			d.after(o.At-d.now, func() { d.do(d.router.TimerDue(d.now, o.Tag)) })
-		case Subscribe:
+		case WatchList:
 			d.subs++
-		case OpenServer:
-			d.require(d.pools[o.Server] == nil, "opened twice")
-			d.pools[o.Server] = NewPool[int](o.Addr, d.limit, SettleTime)
-		case MoveServer:
-			d.close(d.pools[o.Server].Move(o.Addr))
-		case RetireServer:
-			d.close(d.pools[o.Server].Retire())
-			d.retired = append(d.retired, d.pools[o.Server])
-			delete(d.pools, o.Server)
-		case LetGo:
-			d.close(d.pools[o.Server].LetGo())
+		case OpenEndpoint:
+			d.require(d.pools[o.Endpoint] == nil, "opened twice")
+			d.pools[o.Endpoint] = NewPool[int](o.Addr, d.limit, ReuseDelay)
+		case SetEndpointAddress:
+			d.close(d.pools[o.Endpoint].SetAddress(o.Addr))
+		case RemoveEndpoint:
+			d.close(d.pools[o.Endpoint].Retire())
+			d.retired = append(d.retired, d.pools[o.Endpoint])
+			delete(d.pools, o.Endpoint)
+		case ReleaseIdle:
+			d.close(d.pools[o.Endpoint].CloseIdleHalf())
 		}
 	}
 }
@@ -219,11 +219,11 @@
 	d.require(s.until > d.now && s.until <= d.until[s.id] && s.attempt < 3, "sent in vain")
 	d.steps[s.stepRef] = s
 	d.sent = append(d.sent, s)
-	lease, closing := s.pool.Begin(d.now)
+	lease, closing := s.pool.Acquire(d.now)
 	d.close(closing)
 	s.lease, s.conn = lease, lease.Conn
 	if !s.lease.Reused {
-		if !d.descriptors.TakeUpstream() {
+		if !d.descriptors.AcquireUpstream() {
 			d.after(0, func() { d.finish(s, reaction{}) })
 			return
 		}
@@ -232,7 +232,7 @@
 		d.open[s.conn] = true
 	}
 	r := d.react(s)
-	r.waits = max(r.waits, lease.Settles)
+	r.waits = max(r.waits, lease.WriteDelay)
 	if s.sentOn = r.waits == 0; !s.sentOn {
 		r.after, r.begins = r.after+r.waits, 0
 		d.after(r.waits, func() {
@@ -241,17 +241,17 @@
 			}
 		})
 	}
-	r.saw.Reused, r.saw.Stood = s.lease.Reused, s.lease.Stood
+	r.saw.Reused, r.saw.IdleFor = s.lease.Reused, s.lease.IdleFor
 	if r.begins > 0 && r.begins < s.until-d.now {
 		d.after(r.begins, func() {
 			if !s.ended {
-				r.saw.Begun = true
-				d.do(d.router.StepBegan(d.now, s.id, s.attempt))
+				r.saw.Streamed = true
+				d.do(d.router.ResponseStarted(d.now, s.id, s.attempt))
 			}
 		})
 	}
 	if r.after >= s.until-d.now {
-		r = reaction{after: s.until - d.now, saw: Sighting{Phase: Waiting, Ending: OutOfTime}}
+		r = reaction{after: s.until - d.now, saw: AttemptResult{Phase: AwaitingResponse, EndReason: TimedOut}}
 	}
 	d.after(r.after, func() { d.finish(s, r) })
 }
@@ -262,31 +262,31 @@
 	}
 	saw := r.saw
 	s.ended, s.outcome = true, saw.Outcome()
-	if stood, lost, counts := saw.Connection(); counts {
-		d.limit.Note(d.now, stood, lost)
+	if stood, lost, counts := saw.IdleEvidence(); counts {
+		d.limit.Record(d.now, stood, lost)
 	}
 	saw.Latency = d.now - s.sent
-	d.do(d.router.StepEnded(d.now, s.id, s.attempt, saw))
+	d.do(d.router.AttemptEnded(d.now, s.id, s.attempt, saw))
 	if s.lease.Reused && !s.sentOn { // it goes back as it was
-		d.close(s.pool.Unused(s.lease, r.ended))
+		d.close(s.pool.ReturnUnused(s.lease, r.ended))
 		d.expire(s.pool)
 		return
 	}
-	if r.close || saw.Ending != Completed {
-		s.pool.OverClosed()
+	if r.close || saw.EndReason != Completed {
+		s.pool.ReleaseClosed()
 		if s.conn != 0 {
 			d.close([]int{s.conn})
 		}
 		return
 	}
-	d.close(s.pool.Over(d.now, s.conn, s.lease.Addr, r.ended))
+	d.close(s.pool.Release(d.now, s.conn, s.lease.Addr, r.ended))
 	d.expire(s.pool)
 }
 
 // expire closes a pool's connections whose time is up, now and as they come due.
 func (d *day) expire(p *Pool[int]) {
 	d.close(p.Expire(d.now))
-	if at, any := p.Due(); any {
+	if at, any := p.NextExpiry(); any {
 		d.after(at-d.now, func() { d.expire(p) })
 	}
 }
--- a/internal/core/idle.go
+++ b/internal/core/idle.go
@@ -6,42 +6,42 @@
 )
 
 const (
-	// idleShare of the time after which the other machine closes an idle connection: a route step that crosses
+	// idleFraction of the time after which the other machine closes an idle connection: a route step that crosses
 	// such a close ends as a reset, which an unsafe operation does not survive.
-	idleShare = 0.6
-	// idleForget is how soon half of what was seen is forgotten, so that a limit is put to the test again.
-	idleForget = 30 * time.Second
-	// idlePrice is what a new connection costs, in lost route steps.
-	idlePrice = 0.05
-	// idleProof is how many losses must be saved before connections are given up for it.
-	idleProof = 3.0
+	idleFraction = 0.6
+	// idleHalfLife is how soon half of what was seen is forgotten, so that a limit is put to the test again.
+	idleHalfLife = 30 * time.Second
+	// newConnectionCost is what a new connection costs, in lost route steps.
+	newConnectionCost = 0.05
+	// minSavedLosses is how many losses must be saved before connections are given up for it.
+	minSavedLosses = 3.0
 )
 
 // IdleLimit learns after how long an idle connection had better not be used again. Guards against machines on
 // the way that forget idle connections sooner than the settings say, and tell nobody: the next route step is
 // lost, and an unsafe one is not repeated.
 type IdleLimit struct {
-	most  time.Duration
+	max   time.Duration
 	limit time.Duration
 	since time.Duration
-	// By how long the connection had stood idle, in steps of a quarter of a power of two: see idleStep.
+	// By how long the connection had stood idle, in steps of a quarter of a power of two: see idleBucketOf.
 	used, lost [128]float64
 }
 
 // NewIdleLimit begins with the most that the settings allow, where the other machine closes an idle
 // connection after connIdle.
 func NewIdleLimit(now, connIdle time.Duration) *IdleLimit {
-	most := time.Duration(idleShare * float64(connIdle))
-	return &IdleLimit{most: most, limit: most, since: now}
+	most := time.Duration(idleFraction * float64(connIdle))
+	return &IdleLimit{max: most, limit: most, since: now}
 }
 
 // Limit is how long a connection may have stood idle to be used.
 func (l *IdleLimit) Limit() time.Duration { return l.limit }
 
-// Note takes in how a route step ended on a connection that had stood idle for so long; zero: a new one.
-// Which ends count is for Sighting.Connection to say.
-func (l *IdleLimit) Note(now, stood time.Duration, lost bool) {
-	forget := now-l.since > idleForget
+// Record takes in how a route step ended on a connection that had stood idle for so long; zero: a new one.
+// Which ends count is for AttemptResult.IdleEvidence to say.
+func (l *IdleLimit) Record(now, stood time.Duration, lost bool) {
+	forget := now-l.since > idleHalfLife
 	if forget {
 		l.since = now
 		for i := range l.used {
@@ -49,7 +49,7 @@
 			l.lost[i] /= 2
 		}
 	}
-	step := idleStep(stood)
+	step := idleBucketOf(stood)
 	l.used[step]++
 	if lost {
 		l.lost[step]++
@@ -67,11 +67,11 @@
 		above += l.used[i]
 		lostAbove += l.lost[i]
 	}
-	limit, saves := l.most, idleProof
+	limit, saves := l.max, minSavedLosses
 	for i := range l.used {
 		if used > 0 {
-			if s := lostAbove - (lost/used+idlePrice)*above; s > saves {
-				limit, saves = min(idleTime(i), l.most), s
+			if s := lostAbove - (lost/used+newConnectionCost)*above; s > saves {
+				limit, saves = min(idleBucketStart(i), l.max), s
 			}
 		}
 		used, lost = used+l.used[i], lost+l.lost[i]
@@ -80,8 +80,8 @@
 	return limit
 }
 
-// idleStep numbers a time by its highest bit and the two below it; idleTime is where a step begins.
-func idleStep(d time.Duration) int {
+// idleBucketOf numbers a time by its highest bit and the two below it; idleBucketStart is where a step begins.
+func idleBucketOf(d time.Duration) int {
 	us := uint64(max(d.Microseconds(), 0))
 	if us < 4 {
 		return 0
@@ -90,7 +90,7 @@
 	return min(4*(high-1)+int(us>>(high-2)&3), 127)
 }
 
-func idleTime(step int) time.Duration {
+func idleBucketStart(step int) time.Duration {
 	if step < 4 {
 		return 0
 	}
--- a/internal/core/list.go
+++ b/internal/core/list.go
@@ -12,460 +12,462 @@
 	"dunestep/internal/protocol"
 )
 
-// ListOutputKind names what a List wants done.
+// ListOutputKind names what a ListTracker wants done.
 type ListOutputKind uint8
 
 // The kinds of output, with the fields of ListOutput that each one uses.
 const (
-	// BeginCall calls discovery: Call, Addr, Form. Its beginning, its objects and its end are told, with Call.
-	BeginCall ListOutputKind = iota
+	// StartCall calls discovery: Call, Addr, Request. Its beginning, its objects and its end are told, with Call.
+	StartCall ListOutputKind = iota
 	// EndCall ends a call: Call. Its end is told as any other.
 	EndCall
-	// News is for the Router's PoolNews: Sync, Config, Told, Word, Confirms.
-	News
-	// OutOfOrder is for the log: Version, Known.
-	OutOfOrder
+	// ListUpdate is for the Router's ListUpdated: Update, List, DiscoveryList, Watch, Confirms.
+	ListUpdate
+	// ListOutOfOrder is for the log: Version, KnownVersion.
+	ListOutOfOrder
 	// CallFailed is for the log: Err.
 	CallFailed
 )
 
-// ListOutput is one thing that a List wants done.
+// ListOutput is one thing that a ListTracker wants done.
 type ListOutput struct {
-	Kind   ListOutputKind
-	Call   int
-	Addr   netip.AddrPort
-	Form   protocol.ListCall
-	Sync   decide.SyncKind
-	Config protocol.PoolConfig // with the bans over it
-	Told   protocol.PoolConfig // as discovery told it
-	// Word says whether a ban or a lift has brought it, and how a call ended.
-	Word decide.Word
+	Kind          ListOutputKind
+	Call          int
+	Addr          netip.AddrPort
+	Request       protocol.ListRequest
+	Update        decide.UpdateKind
+	List          protocol.EndpointList // with the bans over it
+	DiscoveryList protocol.EndpointList // as discovery told it
+	// Watch says whether a ban or a lift has brought it, and how a call ended.
+	Watch decide.WatchStatus
 	// Confirms: by this discovery has said what the whole list is.
-	Confirms bool
-	Version  int64
-	Known    int64
-	Err      error
+	Confirms     bool
+	Version      int64
+	KnownVersion int64
+	Err          error
 }
 
-// Ban is a booking server that staff have taken out by hand, or have put back since.
-type Ban struct {
+// DisabledEndpoint is a booking server that staff have taken out by hand, or have put back since.
+type DisabledEndpoint struct {
 	ID string `json:"id"`
-	// Started is when it had started by the list of then, in Unix time; zero: long ago, or it was not listed.
-	Started time.Duration `json:"started_ns"`
-	// Set is when staff took it out, in Unix time.
-	Set time.Duration `json:"set_ns,omitempty"`
-	// Lifted is when it was put back, in Unix time; zero: it is out. It stands for the start until discovery
-	// tells of another one than Started.
-	Lifted time.Duration `json:"lifted_ns,omitempty"`
+	// StartedAt is when it had started by the list of then, in Unix time; zero: long ago, or it was not listed.
+	StartedAt time.Duration `json:"started_ns"`
+	// DisabledAt is when staff took it out, in Unix time.
+	DisabledAt time.Duration `json:"set_ns,omitempty"`
+	// EnabledAt is when it was put back, in Unix time; zero: it is out. It stands for the start until discovery
+	// tells of another one than StartedAt.
+	EnabledAt time.Duration `json:"lifted_ns,omitempty"`
 }
 
 // said is when staff last said something of it.
-func (b Ban) said() time.Duration { return max(b.Set, b.Lifted) }
+func (b DisabledEndpoint) changedAt() time.Duration { return max(b.DisabledAt, b.EnabledAt) }
 
-// MergeBans is what holds where two processes of one agent were told different things: of each booking
+// MergeDisabled is what holds where two processes of one agent were told different things: of each booking
 // server what was said last, and that it is out where both were said at once. By id; at most as many as a
-// List holds, those that are out before the others.
-func MergeBans(one, other []Ban) []Ban {
-	latest := map[string]Ban{}
+// ListTracker holds, those that are out before the others.
+func MergeDisabled(one, other []DisabledEndpoint) []DisabledEndpoint {
+	latest := map[string]DisabledEndpoint{}
 	for _, b := range slices.Concat(one, other) {
-		if known, is := latest[b.ID]; !is || b.said() > known.said() || b.said() == known.said() && b.Lifted == 0 {
+		if known, is := latest[b.ID]; !is || b.changedAt() > known.changedAt() || b.changedAt() == known.changedAt() && b.EnabledAt == 0 {
 			latest[b.ID] = b
 		}
 	}
-	if len(latest) > mostBans {
-		maps.DeleteFunc(latest, func(_ string, b Ban) bool { return b.Lifted > 0 })
+	if len(latest) > maxDisabled {
+		maps.DeleteFunc(latest, func(_ string, b DisabledEndpoint) bool { return b.EnabledAt > 0 })
 	}
-	bans := make([]Ban, 0, len(latest))
+	bans := make([]DisabledEndpoint, 0, len(latest))
 	for _, id := range sorted(latest) {
 		bans = append(bans, latest[id])
 	}
-	return bans[:min(len(bans), mostBans)]
+	return bans[:min(len(bans), maxDisabled)]
 }
 
 const (
-	// mostBans is how many booking servers can be out by hand at once, those that have left the list included.
-	mostBans = 1024
-	// mostSeen is how many ids that were once listed are remembered; the oldest are forgotten first.
-	mostSeen = 8192
+	// maxDisabled is how many booking servers can be out by hand at once, those that have left the list included.
+	maxDisabled = 1024
+	// maxRememberedIDs is how many ids that were once listed are remembered; the oldest are forgotten first.
+	maxRememberedIDs = 8192
 )
 
-// ErrTooManyBans means that no further booking server can be taken out by hand.
-var ErrTooManyBans = errors.New("too many booking servers are out by hand")
+// ErrTooManyDisabled means that no further booking server can be taken out by hand.
+var ErrTooManyDisabled = errors.New("too many booking servers are out by hand")
 
-// List is the pool config's actor without its mailbox: it holds the version and the calls to discovery,
+// ListTracker is the pool config's actor without its mailbox: it holds the version and the calls to discovery,
 // and says FAILED as soon as a call ends. When to call again is the module's to say. Inputs return what
 // is to be done, in order, valid until the next input; what comes of a call that is not waited for any
 // more is passed over.
-type List struct {
-	addr    netip.AddrPort
-	version int64
-	calls   int                            // begun so far
-	present int                            // the watch, by its number; zero: none yet
-	begun   bool                           // discovery has taken it up, and it has not ended
-	moved   bool                           // it is the first call to another address
-	former  int                            // the watch at the address before, until the present one has begun
-	undone  bool                           // the present watch was out of order: the rest of it is passed over
-	fetches map[int]bool                   // those that are out
-	entries map[string]protocol.PoolServer // by discovery's word, without the bans
-	seen    map[string]bool                // ids that were ever listed
-	order   []string                       // the same, as they came
-	bans    map[string]Ban
-	out     []ListOutput
+type ListTracker struct {
+	addr           netip.AddrPort
+	version        int64
+	calls          int                          // begun so far
+	watchCall      int                          // the watch, by its number; zero: none yet
+	accepted       bool                         // discovery has taken it up, and it has not ended
+	addressChanged bool                         // it is the first call to another address
+	formerWatch    int                          // the watch at the address before, until the present one has begun
+	outOfOrder     bool                         // the present watch was out of order: the rest of it is passed over
+	fetches        map[int]bool                 // those that are out
+	entries        map[string]protocol.Endpoint // by discovery's word, without the bans
+	knownIDs       map[string]bool              // ids that were ever listed
+	knownOrder     []string                     // the same, as they came
+	disabled       map[string]DisabledEndpoint
+	out            []ListOutput
 }
 
-// NewList returns a List that knows a list, and where discovery is. The bans hold from the start.
-func NewList(addr netip.AddrPort, known protocol.PoolConfig, bans []Ban) *List {
-	l := &List{
-		addr: addr, version: known.Version, fetches: map[int]bool{}, bans: map[string]Ban{},
-		seen: map[string]bool{}, entries: map[string]protocol.PoolServer{},
+// NewListTracker returns a ListTracker that knows a list, and where discovery is. The bans hold from the start.
+func NewListTracker(addr netip.AddrPort, known protocol.EndpointList, bans []DisabledEndpoint) *ListTracker {
+	l := &ListTracker{
+		addr: addr, version: known.Version, fetches: map[int]bool{}, disabled: map[string]DisabledEndpoint{},
+		knownIDs: map[string]bool{}, entries: map[string]protocol.Endpoint{},
 	}
-	for _, b := range bans[:min(len(bans), mostBans)] {
-		l.bans[b.ID] = b
-		l.see(b.ID)
+	for _, b := range bans[:min(len(bans), maxDisabled)] {
+		l.disabled[b.ID] = b
+		l.rememberID(b.ID)
 	}
-	l.note(decide.SyncFull, known)
+	l.recordList(decide.UpdateFull, known)
 	return l
 }
 
-// Known is the list as it is known, for the start, with the bans over it.
-func (l *List) Known(known protocol.PoolConfig) protocol.PoolConfig { return l.overlay(known) }
+// KnownVersion is the list as it is known, for the start, with the bans over it.
+func (l *ListTracker) ApplyDisabled(known protocol.EndpointList) protocol.EndpointList {
+	return l.overlayDisabled(known)
+}
 
-// Ban takes a booking server out until Lift, whatever discovery says of it; listed is false where no list
+// DisabledEndpoint takes a booking server out until Enable, whatever discovery says of it; listed is false where no list
 // ever had it. One that is out stays so. Now is Unix time.
-func (l *List) Ban(id string, now time.Duration) (out []ListOutput, listed bool, err error) {
+func (l *ListTracker) Disable(id string, now time.Duration) (out []ListOutput, listed bool, err error) {
 	l.out = l.out[:0]
 	switch {
-	case !l.seen[id]:
+	case !l.knownIDs[id]:
 		return nil, false, nil
-	case l.banned(id):
+	case l.isDisabled(id):
 		return nil, true, nil
-	case len(l.bans) >= mostBans && !l.forgetLifted():
-		return nil, true, ErrTooManyBans
+	case len(l.disabled) >= maxDisabled && !l.forgetEnabled():
+		return nil, true, ErrTooManyDisabled
 	}
-	l.bans[id] = Ban{ID: id, Started: l.entries[id].Started, Set: max(now, l.bans[id].said()+1)}
-	l.renew(id)
+	l.disabled[id] = DisabledEndpoint{ID: id, StartedAt: l.entries[id].StartedAt, DisabledAt: max(now, l.disabled[id].changedAt()+1)}
+	l.publishEndpoint(id)
 	return l.out, true, nil
 }
 
-// Lift ends the ban of a booking server. What discovery has told since counts; where that is no further
+// Enable ends the ban of a booking server. What discovery has told since counts; where that is no further
 // start, the server counts as started now, in Unix time: it is taken out to be restarted, and discovery is
 // late.
-func (l *List) Lift(id string, now time.Duration) (out []ListOutput, listed bool) {
+func (l *ListTracker) Enable(id string, now time.Duration) (out []ListOutput, listed bool) {
 	l.out = l.out[:0]
-	if !l.banned(id) {
-		return nil, l.seen[id]
+	if !l.isDisabled(id) {
+		return nil, l.knownIDs[id]
 	}
-	b := l.bans[id]
-	b.Lifted = max(now, b.said()+1) // also where the clock was set back: the later word must look later
-	l.bans[id] = b
-	l.renew(id)
+	b := l.disabled[id]
+	b.EnabledAt = max(now, b.changedAt()+1) // also where the clock was set back: the later word must look later
+	l.disabled[id] = b
+	l.publishEndpoint(id)
 	return l.out, true
 }
 
-// JoinBans takes in what another process of this agent was told, as far as the bound on bans allows.
-func (l *List) JoinBans(bans []Ban) []ListOutput {
+// MergeDisabled takes in what another process of this agent was told, as far as the bound on bans allows.
+func (l *ListTracker) MergeDisabled(bans []DisabledEndpoint) []ListOutput {
 	l.out = l.out[:0]
-	before := l.bans
-	l.bans = make(map[string]Ban, len(before))
-	for _, b := range MergeBans(slices.Collect(maps.Values(before)), bans) {
-		if b.Started == 0 { // it was said where that is not known, as for a whole fleet
-			b.Started = l.startedAt(b.ID, before)
+	before := l.disabled
+	l.disabled = make(map[string]DisabledEndpoint, len(before))
+	for _, b := range MergeDisabled(slices.Collect(maps.Values(before)), bans) {
+		if b.StartedAt == 0 { // it was said where that is not known, as for a whole fleet
+			b.StartedAt = l.startedAt(b.ID, before)
 		}
-		l.bans[b.ID] = b
-		l.see(b.ID)
+		l.disabled[b.ID] = b
+		l.rememberID(b.ID)
 	}
-	changed := maps.Clone(l.bans)
+	changed := maps.Clone(l.disabled)
 	maps.Copy(changed, before)
 	for _, id := range sorted(changed) {
-		if l.bans[id] != before[id] {
-			l.renew(id)
+		if l.disabled[id] != before[id] {
+			l.publishEndpoint(id)
 		}
 	}
 	return l.out
 }
 
 // startedAt is when a booking server had started as it was taken out, as far as it was noted here.
-func (l *List) startedAt(id string, before map[string]Ban) time.Duration {
+func (l *ListTracker) startedAt(id string, before map[string]DisabledEndpoint) time.Duration {
 	if b, is := before[id]; is {
-		return b.Started
+		return b.StartedAt
 	}
-	return l.entries[id].Started
+	return l.entries[id].StartedAt
 }
 
-// Listed tells whether a list ever had an id.
-func (l *List) Listed(id string) bool { return l.seen[id] }
+// WasListed tells whether a list ever had an id.
+func (l *ListTracker) WasListed(id string) bool { return l.knownIDs[id] }
 
-// Bans are those that hold, and those that were lifted while discovery has told of no further start; by id.
-func (l *List) Bans() []Ban {
-	bans := make([]Ban, 0, len(l.bans))
-	for _, id := range sorted(l.bans) {
-		bans = append(bans, l.bans[id])
+// Disabled are those that hold, and those that were lifted while discovery has told of no further start; by id.
+func (l *ListTracker) Disabled() []DisabledEndpoint {
+	bans := make([]DisabledEndpoint, 0, len(l.disabled))
+	for _, id := range sorted(l.disabled) {
+		bans = append(bans, l.disabled[id])
 	}
 	return bans
 }
 
 // banned tells whether a booking server is out by hand.
-func (l *List) banned(id string) bool {
-	b, is := l.bans[id]
-	return is && b.Lifted == 0
+func (l *ListTracker) isDisabled(id string) bool {
+	b, is := l.disabled[id]
+	return is && b.EnabledAt == 0
 }
 
-// forgetLifted drops the bans that are over, and tells whether there were any.
-func (l *List) forgetLifted() bool {
-	before := len(l.bans)
-	maps.DeleteFunc(l.bans, func(_ string, b Ban) bool { return b.Lifted > 0 })
-	return len(l.bans) < before
+// forgetEnabled drops the bans that are over, and tells whether there were any.
+func (l *ListTracker) forgetEnabled() bool {
+	before := len(l.disabled)
+	maps.DeleteFunc(l.disabled, func(_ string, b DisabledEndpoint) bool { return b.EnabledAt > 0 })
+	return len(l.disabled) < before
 }
 
 // Size tells how many booking servers are listed, and how many of these are out by hand.
-func (l *List) Size() (listed, banned int) {
+func (l *ListTracker) Size() (listed, banned int) {
 	for id := range l.entries {
-		if l.banned(id) {
+		if l.isDisabled(id) {
 			banned++
 		}
 	}
 	return len(l.entries), banned
 }
 
-// Servers are those that are listed, by id, as the bans leave them.
-func (l *List) Servers() (all []decide.Server) {
-	c := protocol.PoolConfig{}
+// Endpoints are those that are listed, by id, as the bans leave them.
+func (l *ListTracker) Endpoints() (all []decide.Server) {
+	c := protocol.EndpointList{}
 	for _, id := range sorted(l.entries) {
-		c.Servers = append(c.Servers, l.entries[id])
+		c.Endpoints = append(c.Endpoints, l.entries[id])
 	}
-	for _, s := range l.overlay(c).Servers {
+	for _, s := range l.overlayDisabled(c).Endpoints {
 		all = append(all, s.Server)
 	}
 	return all
 }
 
 // renew passes on what holds of one booking server now.
-func (l *List) renew(id string) {
+func (l *ListTracker) publishEndpoint(id string) {
 	s, listed := l.entries[id]
 	if !listed {
 		return
 	}
-	c := l.overlay(protocol.PoolConfig{Version: l.version, Servers: []protocol.PoolServer{s}})
-	l.put(ListOutput{Kind: News, Sync: decide.SyncChange, Config: c, Word: decide.Word{Local: true}})
+	c := l.overlayDisabled(protocol.EndpointList{Version: l.version, Endpoints: []protocol.Endpoint{s}})
+	l.emit(ListOutput{Kind: ListUpdate, Update: decide.UpdateIncremental, List: c, Watch: decide.WatchStatus{Local: true}})
 }
 
 // overlay is what holds of a list: a booking server that is out by hand drains, and one that was put back
 // has started then, unless discovery tells of a start since it was taken out.
-func (l *List) overlay(c protocol.PoolConfig) protocol.PoolConfig {
-	if len(l.bans) == 0 {
+func (l *ListTracker) overlayDisabled(c protocol.EndpointList) protocol.EndpointList {
+	if len(l.disabled) == 0 {
 		return c
 	}
-	c.Servers = slices.Clone(c.Servers)
-	for i := range c.Servers {
-		s := &c.Servers[i]
-		b, is := l.bans[s.ID]
+	c.Endpoints = slices.Clone(c.Endpoints)
+	for i := range c.Endpoints {
+		s := &c.Endpoints[i]
+		b, is := l.disabled[s.ID]
 		switch {
 		case !is || s.State != decide.Ready:
-		case b.Lifted == 0:
+		case b.EnabledAt == 0:
 			s.State = decide.Draining
-		case s.Started == b.Started:
-			s.Started = b.Lifted
+		case s.StartedAt == b.StartedAt:
+			s.StartedAt = b.EnabledAt
 		}
 	}
 	return c
 }
 
 // note keeps what discovery says, without the bans.
-func (l *List) note(kind decide.SyncKind, c protocol.PoolConfig) {
-	if kind == decide.SyncFull {
+func (l *ListTracker) recordList(kind decide.UpdateKind, c protocol.EndpointList) {
+	if kind == decide.UpdateFull {
 		clear(l.entries)
 	}
-	for _, s := range c.Servers {
-		if b := l.bans[s.ID]; b.Lifted > 0 && s.Started != b.Started {
-			delete(l.bans, s.ID) // what was missed is told
+	for _, s := range c.Endpoints {
+		if b := l.disabled[s.ID]; b.EnabledAt > 0 && s.StartedAt != b.StartedAt {
+			delete(l.disabled, s.ID) // what was missed is told
 		}
 		if s.State == decide.Gone {
 			delete(l.entries, s.ID)
 			continue
 		}
 		l.entries[s.ID] = s
-		l.see(s.ID)
+		l.rememberID(s.ID)
 	}
 }
 
 // see remembers that an id was listed.
-func (l *List) see(id string) {
-	if l.seen[id] {
+func (l *ListTracker) rememberID(id string) {
+	if l.knownIDs[id] {
 		return
 	}
-	l.seen[id] = true
-	l.order = append(l.order, id)
-	for len(l.seen) > mostSeen {
-		delete(l.seen, l.order[0])
-		l.order = l.order[1:]
+	l.knownIDs[id] = true
+	l.knownOrder = append(l.knownOrder, id)
+	for len(l.knownIDs) > maxRememberedIDs {
+		delete(l.knownIDs, l.knownOrder[0])
+		l.knownOrder = l.knownOrder[1:]
 	}
 }
 
-// Subscribe has the list watched anew, from the version that is known. A watch at the address before goes
+// WatchList has the list watched anew, from the version that is known. A watch at the address before goes
 // on: the module asks again also where the new address can't be reached.
-func (l *List) Subscribe() []ListOutput {
+func (l *ListTracker) Watch() []ListOutput {
 	l.out = l.out[:0]
-	if l.present != 0 {
-		l.put(ListOutput{Kind: EndCall, Call: l.present})
+	if l.watchCall != 0 {
+		l.emit(ListOutput{Kind: EndCall, Call: l.watchCall})
 	}
-	l.watch()
+	l.startWatch()
 	return l.out
 }
 
-// Relocate has the list watched at another address. The watch at the old one goes on until the new one has
+// SetAddress has the list watched at another address. The watch at the old one goes on until the new one has
 // begun: nothing is missed between the two.
-func (l *List) Relocate(addr netip.AddrPort) []ListOutput {
+func (l *ListTracker) SetAddress(addr netip.AddrPort) []ListOutput {
 	l.out = l.out[:0]
 	if addr != l.addr {
 		l.addr = addr
-		l.endFormer()
-		l.former = l.present
-		l.watch()
-		l.moved = true
+		l.endFormerWatch()
+		l.formerWatch = l.watchCall
+		l.startWatch()
+		l.addressChanged = true
 	}
 	return l.out
 }
 
-// Fetch has the whole list asked for once.
-func (l *List) Fetch() []ListOutput {
+// FetchList has the whole list asked for once.
+func (l *ListTracker) Fetch() []ListOutput {
 	l.out = l.out[:0]
 	l.calls++
 	l.fetches[l.calls] = true
-	l.put(ListOutput{Kind: BeginCall, Call: l.calls, Addr: l.addr})
+	l.emit(ListOutput{Kind: StartCall, Call: l.calls, Addr: l.addr})
 	return l.out
 }
 
-// CallBegun takes in that discovery has accepted a call.
-func (l *List) CallBegun(call int) []ListOutput {
+// CallAccepted takes in that discovery has accepted a call.
+func (l *ListTracker) CallAccepted(call int) []ListOutput {
 	l.out = l.out[:0]
-	if call == l.present { // the answer to the module's call, also where nothing was missed
-		l.begun = true
-		l.endFormer()
-		l.put(ListOutput{Kind: News, Sync: decide.SyncChange, Word: decide.Word{Begun: true}})
+	if call == l.watchCall { // the answer to the module's call, also where nothing was missed
+		l.accepted = true
+		l.endFormerWatch()
+		l.emit(ListOutput{Kind: ListUpdate, Update: decide.UpdateIncremental, Watch: decide.WatchStatus{Opened: true}})
 	}
 	return l.out
 }
 
-// CallSays takes in an object that a call brought.
-func (l *List) CallSays(call int, config protocol.PoolConfig) []ListOutput {
+// CallReceived takes in an object that a call brought.
+func (l *ListTracker) CallReceived(call int, config protocol.EndpointList) []ListOutput {
 	l.out = l.out[:0]
 	fetched := l.fetches[call]
 	switch {
 	case fetched && config.Version < l.version: // the watch has told more since
-		l.news(decide.SyncChange, protocol.PoolConfig{})
-	case fetched || call == l.present && !l.undone || call == l.former:
-		l.take(config)
+		l.publish(decide.UpdateIncremental, protocol.EndpointList{})
+	case fetched || call == l.watchCall && !l.outOfOrder || call == l.formerWatch:
+		l.acceptList(config)
 	}
 	return l.out
 }
 
-// CallQuiet takes in that a call was accepted and has brought nothing since, for longer than what it had to
+// CallIdle takes in that a call was accepted and has brought nothing since, for longer than what it had to
 // bring would have taken: the list that is known is the present one.
-func (l *List) CallQuiet(call int) []ListOutput {
+func (l *ListTracker) CallIdle(call int) []ListOutput {
 	l.out = l.out[:0]
-	if call == l.present && l.begun && !l.undone {
-		l.put(ListOutput{Kind: News, Sync: decide.SyncChange, Confirms: true})
+	if call == l.watchCall && l.accepted && !l.outOfOrder {
+		l.emit(ListOutput{Kind: ListUpdate, Update: decide.UpdateIncremental, Confirms: true})
 	}
 	return l.out
 }
 
 // CallEnded takes in the end of a call, with nil only for a fetch that came whole.
-func (l *List) CallEnded(call int, err error) []ListOutput {
+func (l *ListTracker) CallEnded(call int, err error) []ListOutput {
 	l.out = l.out[:0]
 	fetched := l.fetches[call]
 	delete(l.fetches, call)
 	switch {
-	case call == l.former:
-		l.former = 0 // the present one is still being tried
-		if word := ended(err, true); word.End == asking.Silent && l.present != 0 {
-			word.Waiting = true
-			l.put(ListOutput{Kind: News, Sync: decide.SyncFailed, Word: word})
+	case call == l.formerWatch:
+		l.formerWatch = 0 // the present one is still being tried
+		if word := watchEnd(err, true); word.End == asking.Silent && l.watchCall != 0 {
+			word.Replaced = true
+			l.emit(ListOutput{Kind: ListUpdate, Update: decide.UpdateFailed, Watch: word})
 		}
-	case call == l.present || fetched && err != nil:
-		l.put(ListOutput{Kind: CallFailed, Err: err})
-		word := ended(err, call == l.present && l.begun)
+	case call == l.watchCall || fetched && err != nil:
+		l.emit(ListOutput{Kind: CallFailed, Err: err})
+		word := watchEnd(err, call == l.watchCall && l.accepted)
 		switch {
-		case call == l.present && l.undone:
+		case call == l.watchCall && l.outOfOrder:
 			word.End = asking.Unread
-		case call == l.present && l.moved && word.End == asking.Refused:
+		case call == l.watchCall && l.addressChanged && word.End == asking.Refused:
 			word.End = asking.Moved
 		}
-		if call == l.present { // nothing more is to be concluded from its silence
-			l.begun = false
+		if call == l.watchCall { // nothing more is to be concluded from its silence
+			l.accepted = false
 		}
-		l.put(ListOutput{Kind: News, Sync: decide.SyncFailed, Word: word})
+		l.emit(ListOutput{Kind: ListUpdate, Update: decide.UpdateFailed, Watch: word})
 	}
 	return l.out
 }
 
-// Silence is how a call ends on which nothing came any more.
-type Silence struct{ For time.Duration }
+// SilenceError is how a call ends on which nothing came any more.
+type SilenceError struct{ Duration time.Duration }
 
 // Error implements error.
-func (s *Silence) Error() string { return "discovery has been silent for too long" }
+func (s *SilenceError) Error() string { return "discovery has been silent for too long" }
 
-// Unread is how a call ends that has brought what can't be used.
-type Unread struct{ Err error }
+// UnreadableError is how a call ends that has brought what can't be used.
+type UnreadableError struct{ Err error }
 
 // Error implements error.
-func (u *Unread) Error() string { return u.Err.Error() }
+func (u *UnreadableError) Error() string { return u.Err.Error() }
 
 // ended tells the module how a call has ended; begun: discovery had taken it up.
-func ended(err error, begun bool) decide.Word {
-	var silence *Silence
-	var unread *Unread
+func watchEnd(err error, begun bool) decide.WatchStatus {
+	var silence *SilenceError
+	var unread *UnreadableError
 	switch {
 	case errors.As(err, &unread):
-		return decide.Word{End: asking.Unread}
+		return decide.WatchStatus{End: asking.Unread}
 	case !begun:
-		return decide.Word{End: asking.Refused}
+		return decide.WatchStatus{End: asking.Refused}
 	case errors.As(err, &silence):
-		return decide.Word{End: asking.Silent, Quiet: silence.For}
+		return decide.WatchStatus{End: asking.Silent, SilentFor: silence.Duration}
 	}
-	return decide.Word{End: asking.Lost}
+	return decide.WatchStatus{End: asking.Lost}
 }
 
 // watch begins a watch, from the version that is known.
-func (l *List) watch() {
+func (l *ListTracker) startWatch() {
 	l.calls++
-	l.present, l.begun, l.undone, l.moved = l.calls, false, false, false
-	l.put(ListOutput{
-		Kind: BeginCall, Call: l.present, Addr: l.addr,
-		Form: protocol.ListCall{Watch: true, From: l.version},
+	l.watchCall, l.accepted, l.outOfOrder, l.addressChanged = l.calls, false, false, false
+	l.emit(ListOutput{
+		Kind: StartCall, Call: l.watchCall, Addr: l.addr,
+		Request: protocol.ListRequest{Watch: true, FromVersion: l.version},
 	})
 }
 
 // take passes an object on. Changes that are older than what is known are out of order: they would undo
 // later ones, so the next watch asks for the whole list. What the present one says until its end must not
 // make it ask for less.
-func (l *List) take(c protocol.PoolConfig) {
+func (l *ListTracker) acceptList(c protocol.EndpointList) {
 	if !c.Full && c.Version < l.version {
-		l.put(ListOutput{Kind: OutOfOrder, Version: c.Version, Known: l.version})
-		l.version, l.undone = 0, true
-		l.endFormer()
-		if l.present != 0 {
-			l.put(ListOutput{Kind: EndCall, Call: l.present}) // its end is told
+		l.emit(ListOutput{Kind: ListOutOfOrder, Version: c.Version, KnownVersion: l.version})
+		l.version, l.outOfOrder = 0, true
+		l.endFormerWatch()
+		if l.watchCall != 0 {
+			l.emit(ListOutput{Kind: EndCall, Call: l.watchCall}) // its end is told
 		}
 		return
 	}
 	l.version = c.Version
-	kind := decide.SyncChange
+	kind := decide.UpdateIncremental
 	if c.Full {
-		kind = decide.SyncFull
+		kind = decide.UpdateFull
 	}
-	l.note(kind, c)
-	l.put(ListOutput{Kind: News, Sync: kind, Config: l.overlay(c), Told: c, Confirms: true})
+	l.recordList(kind, c)
+	l.emit(ListOutput{Kind: ListUpdate, Update: kind, List: l.overlayDisabled(c), DiscoveryList: c, Confirms: true})
 }
 
-func (l *List) endFormer() {
-	if l.former != 0 {
-		l.put(ListOutput{Kind: EndCall, Call: l.former})
+func (l *ListTracker) endFormerWatch() {
+	if l.formerWatch != 0 {
+		l.emit(ListOutput{Kind: EndCall, Call: l.formerWatch})
 	}
-	l.former = 0
+	l.formerWatch = 0
 }
 
-func (l *List) news(kind decide.SyncKind, c protocol.PoolConfig) {
-	l.put(ListOutput{Kind: News, Sync: kind, Config: c})
+func (l *ListTracker) publish(kind decide.UpdateKind, c protocol.EndpointList) {
+	l.emit(ListOutput{Kind: ListUpdate, Update: kind, List: c})
 }
 
-func (l *List) put(o ListOutput) { l.out = append(l.out, o) }
+func (l *ListTracker) emit(o ListOutput) { l.out = append(l.out, o) }
--- a/internal/core/parts_test.go
+++ b/internal/core/parts_test.go
@@ -23,7 +23,7 @@
 func TestPool(t *testing.T) {
 	p := NewPool[string](here, NewIdleLimit(0, 10*time.Second), 0) // 6 s are allowed
 	begin := func(now time.Duration, reuses string, closes ...string) {
-		lease, closing := p.Begin(now)
+		lease, closing := p.Acquire(now)
 		require.Equal(t, reuses, lease.Conn)
 		require.Equal(t, reuses != "", lease.Reused)
 		require.ElementsMatch(t, closes, closing)
@@ -32,36 +32,36 @@
 		begin(0, "")
 	}
 	for i, c := range []string{"a", "b", "c"} {
-		require.Empty(t, p.Over(time.Duration(i), c, here, false))
+		require.Empty(t, p.Release(time.Duration(i), c, here, false))
 	}
 	begin(time.Second, "c")
-	require.Empty(t, p.Over(time.Second, "c", here, false))
-	due, _ := p.Due()
+	require.Empty(t, p.Release(time.Second, "c", here, false))
+	due, _ := p.NextExpiry()
 	require.Equal(t, 6*time.Second, due)
 	require.Equal(t, []string{"a"}, p.Expire(due))
-	require.Equal(t, []string{"b"}, p.Ended("b"))
-	require.Empty(t, p.Ended("b"))
+	require.Equal(t, []string{"b"}, p.ConnectionEnded("b"))
+	require.Empty(t, p.ConnectionEnded("b"))
 	begin(7*time.Second+1, "", "c")
-	_, any := p.Due()
+	_, any := p.NextExpiry()
 	require.False(t, any)
-	require.Equal(t, []string{"d"}, p.Over(0, "d", here, true), "ended before it came back")
+	require.Equal(t, []string{"d"}, p.Release(0, "d", here, true), "ended before it came back")
 	for range 4 {
 		begin(0, "")
 	}
 	for _, c := range []string{"e", "f", "g"} {
-		p.Over(0, c, here, false)
+		p.Release(0, c, here, false)
 	}
-	require.Equal(t, []string{"e", "f"}, p.LetGo())
-	require.Empty(t, p.Move(here))
-	require.Equal(t, []string{"g"}, p.Move(there))
-	require.Equal(t, []string{"h"}, p.Over(0, "h", here, false))
+	require.Equal(t, []string{"e", "f"}, p.CloseIdleHalf())
+	require.Empty(t, p.SetAddress(here))
+	require.Equal(t, []string{"g"}, p.SetAddress(there))
+	require.Equal(t, []string{"h"}, p.Release(0, "h", here, false))
 	begin(0, "")
 	begin(0, "")
-	require.Empty(t, p.Over(0, "i", there, false))
+	require.Empty(t, p.Release(0, "i", there, false))
 	require.Equal(t, []string{"i"}, p.Retire())
-	require.False(t, p.Done())
-	require.Equal(t, []string{"j"}, p.Over(0, "j", there, false))
-	require.True(t, p.Done())
+	require.False(t, p.IsDone())
+	require.Equal(t, []string{"j"}, p.Release(0, "j", there, false))
+	require.True(t, p.IsDone())
 }
 
 // Guards against idle connections that are forgotten on the way long before the settings say, of which only the
@@ -72,8 +72,8 @@
 	require.Equal(t, 9*time.Second, most)
 	forgets := 20 * time.Millisecond
 	d.react = func(s *attempted) reaction {
-		if s.lease.Reused && s.lease.Stood > forgets {
-			return broke(Waiting)
+		if s.lease.Reused && s.lease.IdleFor > forgets {
+			return broke(AwaitingResponse)
 		}
 		return whole(decide.Served)
 	}
@@ -89,7 +89,7 @@
 	require.Greater(t, lost, 2, "what was seen is all that there is to go by")
 	require.LessOrEqual(t, d.limit.Limit(), 2*forgets)
 	for range 600 { // half of it is forgotten every 30 s
-		d.limit.Note(d.now, 0, false)
+		d.limit.Record(d.now, 0, false)
 		d.now += time.Second
 	}
 	require.Equal(t, most, d.limit.Limit())
@@ -97,70 +97,70 @@
 
 // The list on the watch: what comes of which call, and the handover to another address.
 func TestList(t *testing.T) {
-	cut, mute := errors.New("cut"), &Silence{time.Second}
-	at := func(v int64, full bool) protocol.PoolConfig { return protocol.PoolConfig{Version: v, Full: full} }
+	cut, mute := errors.New("cut"), &SilenceError{time.Second}
+	at := func(v int64, full bool) protocol.EndpointList { return protocol.EndpointList{Version: v, Full: full} }
 	begins := func(call int, from int64, addr netip.AddrPort) ListOutput {
-		return ListOutput{Kind: BeginCall, Call: call, Addr: addr, Form: protocol.ListCall{Watch: true, From: from}}
+		return ListOutput{Kind: StartCall, Call: call, Addr: addr, Request: protocol.ListRequest{Watch: true, FromVersion: from}}
 	}
-	failed := func(call error, end asking.End, w decide.Word) []ListOutput {
+	failed := func(call error, end asking.End, w decide.WatchStatus) []ListOutput {
 		w.End = end
-		return []ListOutput{{Kind: CallFailed, Err: call}, {Kind: News, Sync: decide.SyncFailed, Word: w}}
+		return []ListOutput{{Kind: CallFailed, Err: call}, {Kind: ListUpdate, Update: decide.UpdateFailed, Watch: w}}
 	}
-	news := func(kind decide.SyncKind, c protocol.PoolConfig) ListOutput {
-		return ListOutput{Kind: News, Sync: kind, Config: c, Told: c, Confirms: c.Version > 0}
+	news := func(kind decide.UpdateKind, c protocol.EndpointList) ListOutput {
+		return ListOutput{Kind: ListUpdate, Update: kind, List: c, DiscoveryList: c, Confirms: c.Version > 0}
 	}
-	none := protocol.PoolConfig{}
-	takenUp := ListOutput{Kind: News, Sync: decide.SyncChange, Word: decide.Word{Begun: true}}
+	none := protocol.EndpointList{}
+	takenUp := ListOutput{Kind: ListUpdate, Update: decide.UpdateIncremental, Watch: decide.WatchStatus{Opened: true}}
 	ends := func(call int) ListOutput { return ListOutput{Kind: EndCall, Call: call} }
-	l := NewList(here, protocol.PoolConfig{Version: 41}, nil)
+	l := NewListTracker(here, protocol.EndpointList{Version: 41}, nil)
 	k := slices.Clone[[]ListOutput]
 	for i, c := range []struct{ got, want []ListOutput }{
-		{k(l.Subscribe()), []ListOutput{begins(1, 41, here)}},
-		{k(l.CallBegun(1)), []ListOutput{takenUp}},
-		{k(l.CallQuiet(1)), []ListOutput{{Kind: News, Sync: decide.SyncChange, Confirms: true}}},
-		{k(l.CallQuiet(7)), nil},
-		{k(l.CallSays(1, at(43, false))), []ListOutput{news(decide.SyncChange, at(43, false))}},
-		{k(l.CallSays(1, at(7, true))), []ListOutput{news(decide.SyncFull, at(7, true))}},
-		{k(l.CallSays(1, at(44, false))), []ListOutput{news(decide.SyncChange, at(44, false))}},
-		{k(l.Subscribe()), []ListOutput{ends(1), begins(2, 44, here)}},
-		{k(l.CallSays(1, at(50, false))), nil}, // not waited for any more
+		{k(l.Watch()), []ListOutput{begins(1, 41, here)}},
+		{k(l.CallAccepted(1)), []ListOutput{takenUp}},
+		{k(l.CallIdle(1)), []ListOutput{{Kind: ListUpdate, Update: decide.UpdateIncremental, Confirms: true}}},
+		{k(l.CallIdle(7)), nil},
+		{k(l.CallReceived(1, at(43, false))), []ListOutput{news(decide.UpdateIncremental, at(43, false))}},
+		{k(l.CallReceived(1, at(7, true))), []ListOutput{news(decide.UpdateFull, at(7, true))}},
+		{k(l.CallReceived(1, at(44, false))), []ListOutput{news(decide.UpdateIncremental, at(44, false))}},
+		{k(l.Watch()), []ListOutput{ends(1), begins(2, 44, here)}},
+		{k(l.CallReceived(1, at(50, false))), nil}, // not waited for any more
 		{k(l.CallEnded(1, cut)), nil},
-		{k(l.CallEnded(2, cut)), failed(cut, asking.Refused, decide.Word{})},
-		{k(l.Subscribe()), []ListOutput{ends(2), begins(3, 44, here)}},
-		{k(l.Relocate(here)), nil},
-		{k(l.Relocate(there)), []ListOutput{begins(4, 44, there)}},
-		{k(l.CallSays(3, at(45, false))), []ListOutput{news(decide.SyncChange, at(45, false))}}, // until the new one begins
-		{k(l.CallEnded(4, cut)), failed(cut, asking.Moved, decide.Word{})},
-		{k(l.Subscribe()), []ListOutput{ends(4), begins(5, 45, there)}},                         // the module tries again
-		{k(l.CallSays(3, at(46, false))), []ListOutput{news(decide.SyncChange, at(46, false))}}, // still
-		{k(l.Relocate(here)), []ListOutput{ends(3), begins(6, 46, here)}},
-		{k(l.Relocate(there)), []ListOutput{ends(5), begins(7, 46, there)}},
+		{k(l.CallEnded(2, cut)), failed(cut, asking.Refused, decide.WatchStatus{})},
+		{k(l.Watch()), []ListOutput{ends(2), begins(3, 44, here)}},
+		{k(l.SetAddress(here)), nil},
+		{k(l.SetAddress(there)), []ListOutput{begins(4, 44, there)}},
+		{k(l.CallReceived(3, at(45, false))), []ListOutput{news(decide.UpdateIncremental, at(45, false))}}, // until the new one begins
+		{k(l.CallEnded(4, cut)), failed(cut, asking.Moved, decide.WatchStatus{})},
+		{k(l.Watch()), []ListOutput{ends(4), begins(5, 45, there)}},                                        // the module tries again
+		{k(l.CallReceived(3, at(46, false))), []ListOutput{news(decide.UpdateIncremental, at(46, false))}}, // still
+		{k(l.SetAddress(here)), []ListOutput{ends(3), begins(6, 46, here)}},
+		{k(l.SetAddress(there)), []ListOutput{ends(5), begins(7, 46, there)}},
 		{k(l.CallEnded(6, cut)), nil},
-		{k(l.CallBegun(7)), []ListOutput{takenUp}},
-		{k(l.Relocate(here)), []ListOutput{begins(8, 46, here)}},
-		{k(l.CallBegun(8)), []ListOutput{ends(7), takenUp}},
-		{k(l.CallSays(8, at(12, false))), []ListOutput{{Kind: OutOfOrder, Version: 12, Known: 46}, ends(8)}},
-		{k(l.CallSays(8, at(47, false))), nil}, // it would make the next watch ask for what comes after only
-		{k(l.CallQuiet(8)), nil},               // what it would confirm is not known
-		{k(l.CallEnded(8, cut)), failed(cut, asking.Unread, decide.Word{})},
-		{k(l.Subscribe()), []ListOutput{ends(8), begins(9, 0, here)}},
-		{k(l.CallSays(9, at(45, true))), []ListOutput{news(decide.SyncFull, at(45, true))}},
-		{k(l.Fetch()), []ListOutput{{Kind: BeginCall, Call: 10, Addr: here}}},
-		{k(l.CallBegun(10)), nil},
-		{k(l.CallSays(10, at(44, true))), []ListOutput{news(decide.SyncChange, none)}}, // the watch has told more since
+		{k(l.CallAccepted(7)), []ListOutput{takenUp}},
+		{k(l.SetAddress(here)), []ListOutput{begins(8, 46, here)}},
+		{k(l.CallAccepted(8)), []ListOutput{ends(7), takenUp}},
+		{k(l.CallReceived(8, at(12, false))), []ListOutput{{Kind: ListOutOfOrder, Version: 12, KnownVersion: 46}, ends(8)}},
+		{k(l.CallReceived(8, at(47, false))), nil}, // it would make the next watch ask for what comes after only
+		{k(l.CallIdle(8)), nil}, // what it would confirm is not known
+		{k(l.CallEnded(8, cut)), failed(cut, asking.Unread, decide.WatchStatus{})},
+		{k(l.Watch()), []ListOutput{ends(8), begins(9, 0, here)}},
+		{k(l.CallReceived(9, at(45, true))), []ListOutput{news(decide.UpdateFull, at(45, true))}},
+		{k(l.Fetch()), []ListOutput{{Kind: StartCall, Call: 10, Addr: here}}},
+		{k(l.CallAccepted(10)), nil},
+		{k(l.CallReceived(10, at(44, true))), []ListOutput{news(decide.UpdateIncremental, none)}}, // the watch has told more since
 		{k(l.CallEnded(10, nil)), nil},
-		{k(l.CallBegun(9)), []ListOutput{takenUp}},
-		{k(l.Relocate(there)), []ListOutput{begins(11, 45, there)}},
+		{k(l.CallAccepted(9)), []ListOutput{takenUp}},
+		{k(l.SetAddress(there)), []ListOutput{begins(11, 45, there)}},
 		{k(l.CallEnded(9, mute)), []ListOutput{{
-			Kind: News, Sync: decide.SyncFailed,
-			Word: decide.Word{End: asking.Silent, Quiet: time.Second, Waiting: true},
+			Kind: ListUpdate, Update: decide.UpdateFailed,
+			Watch: decide.WatchStatus{End: asking.Silent, SilentFor: time.Second, Replaced: true},
 		}}}, // the clock runs from there on
-		{k(l.CallBegun(11)), []ListOutput{takenUp}},
-		{k(l.CallEnded(11, mute)), failed(mute, asking.Silent, decide.Word{Quiet: time.Second})},
-		{k(l.Subscribe()), []ListOutput{ends(11), begins(12, 45, there)}},
-		{k(l.CallBegun(12)), []ListOutput{takenUp}},
-		{k(l.CallEnded(12, cut)), failed(cut, asking.Lost, decide.Word{})},
-		{k(l.CallQuiet(12)), nil}, // it ended instead of telling
+		{k(l.CallAccepted(11)), []ListOutput{takenUp}},
+		{k(l.CallEnded(11, mute)), failed(mute, asking.Silent, decide.WatchStatus{SilentFor: time.Second})},
+		{k(l.Watch()), []ListOutput{ends(11), begins(12, 45, there)}},
+		{k(l.CallAccepted(12)), []ListOutput{takenUp}},
+		{k(l.CallEnded(12, cut)), failed(cut, asking.Lost, decide.WatchStatus{})},
+		{k(l.CallIdle(12)), nil}, // it ended instead of telling
 	} {
 		require.ElementsMatch(t, c.want, c.got, i)
 	}
@@ -175,23 +175,23 @@
 		often := rapid.IntRange(1, 9).Draw(t, "front")
 		for _, who := range rapid.SliceOfN(rapid.IntRange(0, 9), 80, 200).Draw(t, "who") {
 			if who < often {
-				ok, full := d.TakeFront()
+				ok, full := d.AcquireDownstream()
 				require.Equal(t, front < total*5/8 && front+upstream < total, ok)
 				require.Equal(t, ok && front+1 > total/6 || !ok && front >= total*5/8, full)
 				if ok {
 					front++
 				}
-			} else if d.TakeUpstream() {
+			} else if d.AcquireUpstream() {
 				upstream++
 			} else {
 				require.GreaterOrEqual(t, upstream+max(front, total/8), total)
 			}
 			require.LessOrEqual(t, upstream+max(front, total/8), total)
-			crowded, pressing := d.Crowded()
+			crowded, pressing := d.Pressure()
 			require.Equal(t, []bool{front > total/6, front > total/4}, []bool{crowded, pressing})
 		}
 		for ; front > 0; front-- {
-			d.ReleaseFront()
+			d.ReleaseDownstream()
 		}
 		for ; upstream > 0; upstream-- {
 			d.ReleaseUpstream()
@@ -208,17 +208,17 @@
 		time.Hour: {750 * ms, 3400 * ms, 3550 * ms},
 		100 * ms:  {500 * ms, 500 * ms, 650 * ms},
 	} {
-		d, now := NewDrain(epoch, []decide.Class{{Deadline: deadline}, {Deadline: ms}}), epoch
+		d, now := NewShutdownPlan(epoch, []decide.Class{{Deadline: deadline}, {Deadline: ms}}), epoch
 		for phase, end := range until {
 			if now < epoch+end { // else no time is left for it
-				got, next := d.At(now)
-				require.Equal(t, DrainPhase(phase), got)
+				got, next := d.PhaseAt(now)
+				require.Equal(t, ShutdownPhase(phase), got)
 				require.Equal(t, epoch+end, next)
 				now = next
 			}
 		}
-		got, _ := d.At(now)
-		require.Equal(t, Over, got)
+		got, _ := d.PhaseAt(now)
+		require.Equal(t, ShutdownOver, got)
 	}
 }
 
@@ -227,59 +227,59 @@
 func TestAnswersGoOn(t *testing.T) {
 	ms := time.Millisecond
 	for i, c := range []struct {
-		p                 Progress
+		p                 ResponseProgress
 		sent, left, quiet time.Duration
-		want              Ending
+		want              EndReason
 		outcome           decide.Outcome
 	}{
-		{Progress{Length: 70000, Came: 1, Coming: 200 * ms}, 200 * ms, ms, 999 * ms, GoesOn, 0},
-		{Progress{Length: 70000, Came: 1, Coming: 200 * ms}, 200 * ms, -999 * ms, 2999 * ms, GoesOn, 0},
-		{Progress{Length: 70000, Came: 1, Coming: 200 * ms}, 200 * ms, 1 * ms, 3001 * ms, GoesOn, 0},
-		{Progress{Length: 70000, Came: 1, Coming: 200 * ms}, 200 * ms, 0, 3001 * ms, OutOfTime, decide.NoAnswer},
-		{Progress{Length: -1, Came: 70000, Coming: 200 * ms}, 200 * ms, 0, 3001 * ms, OutOfTime, decide.NoAnswer},
-		{Progress{Length: -1, Came: 70000, Coming: 200 * ms}, 200 * ms, -999 * ms, 2999 * ms, GoesOn, 0},
+		{ResponseProgress{Length: 70000, Received: 1, Receiving: 200 * ms}, 200 * ms, ms, 999 * ms, NotEnded, 0},
+		{ResponseProgress{Length: 70000, Received: 1, Receiving: 200 * ms}, 200 * ms, -999 * ms, 2999 * ms, NotEnded, 0},
+		{ResponseProgress{Length: 70000, Received: 1, Receiving: 200 * ms}, 200 * ms, 1 * ms, 3001 * ms, NotEnded, 0},
+		{ResponseProgress{Length: 70000, Received: 1, Receiving: 200 * ms}, 200 * ms, 0, 3001 * ms, TimedOut, decide.TimedOut},
+		{ResponseProgress{Length: -1, Received: 70000, Receiving: 200 * ms}, 200 * ms, 0, 3001 * ms, TimedOut, decide.TimedOut},
+		{ResponseProgress{Length: -1, Received: 70000, Receiving: 200 * ms}, 200 * ms, -999 * ms, 2999 * ms, NotEnded, 0},
 		// A short one is of use in its time alone, and lost to its client half a second later.
-		{Progress{Length: 1000, Came: 1, Coming: 200 * ms}, 200 * ms, ms, 999 * ms, GoesOn, 0},
-		{Progress{Length: 1000, Came: 1, Coming: 200 * ms}, 200 * ms, 0, 200 * ms, GoesOn, 0},
-		{Progress{Length: 1000, Came: 1, Coming: 200 * ms}, 200 * ms, 0, 201 * ms, OutOfTime, decide.NoAnswer},
-		{Progress{Length: 65536, Came: 1, Coming: 200 * ms}, 200 * ms, -400 * ms, 0, GoesOn, 0},
-		{Progress{Length: 65536, Came: 1, Coming: 200 * ms}, 200 * ms, -401 * ms, 0, OutOfTime, decide.NoAnswer},
+		{ResponseProgress{Length: 1000, Received: 1, Receiving: 200 * ms}, 200 * ms, ms, 999 * ms, NotEnded, 0},
+		{ResponseProgress{Length: 1000, Received: 1, Receiving: 200 * ms}, 200 * ms, 0, 200 * ms, NotEnded, 0},
+		{ResponseProgress{Length: 1000, Received: 1, Receiving: 200 * ms}, 200 * ms, 0, 201 * ms, TimedOut, decide.TimedOut},
+		{ResponseProgress{Length: 65536, Received: 1, Receiving: 200 * ms}, 200 * ms, -400 * ms, 0, NotEnded, 0},
+		{ResponseProgress{Length: 65536, Received: 1, Receiving: 200 * ms}, 200 * ms, -401 * ms, 0, TimedOut, decide.TimedOut},
 		// One whose length was not told may turn out to be long: what its server still gives is not cut off.
-		{Progress{Length: -1, Came: 1000, Coming: 200 * ms}, 200 * ms, -401 * ms, 2999 * ms, GoesOn, 0},
-		{Progress{Length: -1, Came: 1000, Coming: 200 * ms}, 200 * ms, -401 * ms, 3001 * ms, OutOfTime, decide.NoAnswer},
-		{Progress{Length: 1000, Came: 1, Coming: 200 * ms, Stream: true}, 200 * ms, -999 * ms, 2999 * ms, GoesOn, 0},
-		{Progress{Length: 1000, Came: 1, Coming: 200 * ms, Stream: true}, 200 * ms, 0, 3001 * ms, OutOfTime, decide.NoAnswer},
-		{Progress{Length: -1, Came: 1, Coming: time.Hour}, time.Hour, -restMost - 1, 0, OutOfTime, decide.NoAnswer},
+		{ResponseProgress{Length: -1, Received: 1000, Receiving: 200 * ms}, 200 * ms, -401 * ms, 2999 * ms, NotEnded, 0},
+		{ResponseProgress{Length: -1, Received: 1000, Receiving: 200 * ms}, 200 * ms, -401 * ms, 3001 * ms, TimedOut, decide.TimedOut},
+		{ResponseProgress{Length: 1000, Received: 1, Receiving: 200 * ms, Stream: true}, 200 * ms, -999 * ms, 2999 * ms, NotEnded, 0},
+		{ResponseProgress{Length: 1000, Received: 1, Receiving: 200 * ms, Stream: true}, 200 * ms, 0, 3001 * ms, TimedOut, decide.TimedOut},
+		{ResponseProgress{Length: -1, Received: 1, Receiving: time.Hour}, time.Hour, -maxLongOverrun - 1, 0, TimedOut, decide.TimedOut},
 		{
-			Progress{Length: 1000, Came: 1, Coming: 99 * ms, HeldUp: 100 * ms},
-			999 * ms, 0, 3001 * ms, OutOfTime,
-			decide.CalledOff,
+			ResponseProgress{Length: 1000, Received: 1, Receiving: 99 * ms, Blocked: 100 * ms},
+			999 * ms, 0, 3001 * ms, TimedOut,
+			decide.Canceled,
 		},
-		{Progress{Whole: true}, 99 * ms, -time.Hour, 0, GoesOn, 0},
-		{Progress{Length: -1, Came: 1, HeldUp: 300 * ms}, 500 * ms, ms, 0, GoesOn, 0}, // 200 of its own and 100 more
-		{Progress{Length: -1, Came: 1, HeldUp: 301 * ms}, 500 * ms, ms, 0, ClientLags, decide.CalledOff},
-		{Progress{Length: -1, Came: 9000, HeldUp: 500 * ms}, 501 * ms, ms, 0, GoesOn, 0}, // it takes a fair number
-		{Progress{Length: -1, Came: 1, HeldUp: 300 * ms, Before: ms}, 500 * ms, ms, 0, ClientLags, decide.CalledOff},
-		{Progress{Whole: true, HeldUp: 900 * ms}, 500 * ms, ms, 0, GoesOn, 0},
+		{ResponseProgress{Complete: true}, 99 * ms, -time.Hour, 0, NotEnded, 0},
+		{ResponseProgress{Length: -1, Received: 1, Blocked: 300 * ms}, 500 * ms, ms, 0, NotEnded, 0}, // 200 of its own and 100 more
+		{ResponseProgress{Length: -1, Received: 1, Blocked: 301 * ms}, 500 * ms, ms, 0, ClientTooSlow, decide.Canceled},
+		{ResponseProgress{Length: -1, Received: 9000, Blocked: 500 * ms}, 501 * ms, ms, 0, NotEnded, 0}, // it takes a fair number
+		{ResponseProgress{Length: -1, Received: 1, Blocked: 300 * ms, DelayBefore: ms}, 500 * ms, ms, 0, ClientTooSlow, decide.Canceled},
+		{ResponseProgress{Complete: true, Blocked: 900 * ms}, 500 * ms, ms, 0, NotEnded, 0},
 	} {
-		why := c.p.MayGoOn(c.sent, c.left, c.quiet, 100*ms)
+		why := c.p.CheckLimits(c.sent, c.left, c.quiet, 100*ms)
 		require.Equal(t, c.want, why, i)
-		if why != GoesOn {
-			require.Equal(t, c.outcome, Sighting{Phase: Answering, Ending: why, Begun: true, Body: c.p}.Outcome(), i)
+		if why != NotEnded {
+			require.Equal(t, c.outcome, AttemptResult{Phase: Responding, EndReason: why, Streamed: true, Progress: c.p}.Outcome(), i)
 		}
 	}
-	require.Equal(t, decide.CalledOff, Sighting{Phase: Waiting, Ending: OutOfTime, Body: Progress{Whole: true}}.Outcome())
-	for saw, phase := range map[Sighting]health.Phase{
-		{Ending: OutOfTime}:                 health.Connecting,
-		{Phase: Writing, Ending: BrokenOff}: health.Writing, {Phase: Waiting, Ending: OutOfTime}: health.Awaiting,
-		{Phase: Answering, Ending: Completed, Reply: decide.ServerError}: health.Awaiting, // a whole 500 is not spoilt
-		{Phase: Answering, Ending: Spoilt}:                               health.Answering,
-		{Phase: Answering, Ending: BrokenOff}:                            health.Answering,
+	require.Equal(t, decide.Canceled, AttemptResult{Phase: AwaitingResponse, EndReason: TimedOut, Progress: ResponseProgress{Complete: true}}.Outcome())
+	for saw, phase := range map[AttemptResult]health.Phase{
+		{EndReason: TimedOut}:                         health.Connecting,
+		{Phase: Writing, EndReason: BrokenByEndpoint}: health.Writing, {Phase: AwaitingResponse, EndReason: TimedOut}: health.Awaiting,
+		{Phase: Responding, EndReason: Completed, Response: decide.ServerError}: health.Awaiting, // a whole 500 is not spoilt
+		{Phase: Responding, EndReason: InvalidResponse}:                         health.Answering,
+		{Phase: Responding, EndReason: BrokenByEndpoint}:                        health.Answering,
 	} {
-		saw.Reused, saw.Stood, saw.Refused, saw.Ours, saw.Late = true, 1, true, true, 2
+		saw.Reused, saw.IdleFor, saw.Refused, saw.LocalFault, saw.LocalDelay = true, 1, true, true, 2
 		require.Equal(t, health.Evidence{Phase: phase, Reused: true, Idle: 1, Refused: true, Ours: true, Late: 2},
 			saw.Evidence())
 	}
-	_, lost, counts := Sighting{Phase: Answering, Ending: BrokenOff, Begun: true}.Connection()
+	_, lost, counts := AttemptResult{Phase: Responding, EndReason: BrokenByEndpoint, Streamed: true}.IdleEvidence()
 	require.Equal(t, []bool{false, true}, []bool{lost, counts}, "it did carry")
 }
--- a/internal/core/pool.go
+++ b/internal/core/pool.go
@@ -7,122 +7,122 @@
 	"time"
 )
 
-// SettleTime is how long a connection rests after its answer before the next route step is written on it. A
+// ReuseDelay is how long a connection rests after its answer before the next route step is written on it. A
 // booking server may answer twice, the second time some milliseconds late, and nothing in an answer tells
 // which request it is for: what comes while no step is on the connection ends it, what comes later would be
 // taken for the next one's answer. Some milliseconds are under ten. What it costs grows with its square, as
 // more steps wait and each for longer; a connection in its place would cost both sides a handshake, and is
 // priced.
-const SettleTime = 10 * time.Millisecond
+const ReuseDelay = 10 * time.Millisecond
 
 // Pool is a booking server's actor without its mailbox: it owns the connections that wait for their next
 // route step, and knows how many route steps are out. C is a connection as its owner knows it. Inputs return
 // the connections to be closed, valid until the next input.
 type Pool[C comparable] struct {
-	limit   Limiter
-	settle  time.Duration
-	addr    netip.AddrPort
-	idle    []pooled[C] // the one used last at the end
-	busy    int
-	retired bool
-	resting bool // connections are not kept
-	closing []C
+	limit      Limiter
+	reuseDelay time.Duration
+	addr       netip.AddrPort
+	idle       []idleConnection[C] // the one used last at the end
+	inUse      int
+	retired    bool
+	noReuse    bool // connections are not kept
+	closing    []C
 }
 
 // Limiter says how long a connection may have stood idle to be used: an IdleLimit, which pools share.
 type Limiter interface{ Limit() time.Duration }
 
 // pooled is a connection that waits for its next route step.
-type pooled[C comparable] struct {
+type idleConnection[C comparable] struct {
 	conn  C
 	since time.Duration
 	until time.Duration // to be closed then
 }
 
-// Lease is what a route step gets to go out on.
-type Lease[C comparable] struct {
-	Reused  bool
-	Conn    C             // where Reused
-	Settles time.Duration // how long the step waits until it may be written, where Reused
-	Stood   time.Duration // how long the connection will have been idle then, where Reused
-	Addr    netip.AddrPort
+// Checkout is what a route step gets to go out on.
+type Checkout[C comparable] struct {
+	Reused     bool
+	Conn       C             // where Reused
+	WriteDelay time.Duration // how long the step waits until it may be written, where Reused
+	IdleFor    time.Duration // how long the connection will have been idle then, where Reused
+	Addr       netip.AddrPort
 
-	from pooled[C] // the pool's, where Reused
+	from idleConnection[C] // the pool's, where Reused
 }
 
 // NewPool returns the pool of a booking server at an address. A connection rests for settle after its answer;
-// see SettleTime.
+// see ReuseDelay.
 func NewPool[C comparable](addr netip.AddrPort, limit Limiter, settle time.Duration) *Pool[C] {
-	return &Pool[C]{limit: limit, addr: addr, settle: settle}
+	return &Pool[C]{limit: limit, addr: addr, reuseDelay: settle}
 }
 
-// Begin takes a route step in, and says on which connection it goes out: of those that have settled the one
+// Acquire takes a route step in, and says on which connection it goes out: of those that have settled the one
 // used last, since the longest unused are the likeliest to have been forgotten on the way; else the one that
-// settles first; else a new one. Over tells of its end.
-func (p *Pool[C]) Begin(now time.Duration) (Lease[C], []C) {
-	p.busy++
+// settles first; else a new one. ShutdownOver tells of its end.
+func (p *Pool[C]) Acquire(now time.Duration) (Checkout[C], []C) {
+	p.inUse++
 	p.closing = p.closing[:0]
 	limit := p.limit.Limit()
-	p.drop(func(c pooled[C]) bool { return max(now-c.since, p.settle) > limit })
+	p.takeMatching(func(c idleConnection[C]) bool { return max(now-c.since, p.reuseDelay) > limit })
 	if len(p.idle) == 0 {
-		return Lease[C]{Addr: p.addr}, p.closing
+		return Checkout[C]{Addr: p.addr}, p.closing
 	}
 	at := len(p.idle) - 1
-	for at > 0 && now-p.idle[at].since < p.settle {
+	for at > 0 && now-p.idle[at].since < p.reuseDelay {
 		at--
 	}
 	from := p.idle[at]
 	p.idle = slices.Delete(p.idle, at, at+1)
 	stood := now - from.since
-	settles := max(p.settle-stood, 0)
-	return Lease[C]{
-		Reused: true, Conn: from.conn, Settles: settles, Stood: stood + settles, Addr: p.addr,
+	settles := max(p.reuseDelay-stood, 0)
+	return Checkout[C]{
+		Reused: true, Conn: from.conn, WriteDelay: settles, IdleFor: stood + settles, Addr: p.addr,
 		from: from,
 	}, p.closing
 }
 
-// Unused takes the end of a route step in that was not written on the connection of its lease, which has
-// stood idle all along. Ended tells that it has ended since.
-func (p *Pool[C]) Unused(lease Lease[C], ended bool) []C {
-	p.busy--
+// StaleConnection takes the end of a route step in that was not written on the connection of its lease, which has
+// stood idle all along. ConnectionEnded tells that it has ended since.
+func (p *Pool[C]) ReturnUnused(lease Checkout[C], ended bool) []C {
+	p.inUse--
 	p.closing = p.closing[:0]
-	if p.retired || p.resting || lease.Addr != p.addr || ended {
+	if p.retired || p.noReuse || lease.Addr != p.addr || ended {
 		p.closing = append(p.closing, lease.Conn)
 		return p.closing
 	}
-	at, _ := slices.BinarySearchFunc(p.idle, lease.from.since, func(c pooled[C], since time.Duration) int {
+	at, _ := slices.BinarySearchFunc(p.idle, lease.from.since, func(c idleConnection[C], since time.Duration) int {
 		return cmp.Compare(c.since, since)
 	})
 	p.idle = slices.Insert(p.idle, at, lease.from)
 	return p.closing
 }
 
-// OverClosed takes the end of a route step in whose connection is closed, or never was.
-func (p *Pool[C]) OverClosed() { p.busy-- }
+// ReleaseClosed takes the end of a route step in whose connection is closed, or never was.
+func (p *Pool[C]) ReleaseClosed() { p.inUse-- }
 
-// OverSilent takes the end of a route step in that went out on a reused connection and got no answer. Guards
+// ReleaseUnanswered takes the end of a route step in that went out on a reused connection and got no answer. Guards
 // against losing a step to each of the others, where a machine that was cut off for a while has left them
 // open and silent: those that have not been used since it was sent are not used again.
-func (p *Pool[C]) OverSilent(sent time.Duration) []C {
-	p.busy--
-	return p.dropThose(func(c pooled[C]) bool { return c.since < sent })
+func (p *Pool[C]) ReleaseUnanswered(sent time.Duration) []C {
+	p.inUse--
+	return p.closeMatching(func(c idleConnection[C]) bool { return c.since < sent })
 }
 
-// Over takes the end of a route step in whose connection can carry another. To is the address that it leads
+// ShutdownOver takes the end of a route step in whose connection can carry another. To is the address that it leads
 // to; ended tells that the connection has ended since, which may have been told before this.
-func (p *Pool[C]) Over(now time.Duration, conn C, to netip.AddrPort, ended bool) []C {
-	p.busy--
+func (p *Pool[C]) Release(now time.Duration, conn C, to netip.AddrPort, ended bool) []C {
+	p.inUse--
 	p.closing = p.closing[:0]
-	if p.retired || p.resting || to != p.addr || ended {
+	if p.retired || p.noReuse || to != p.addr || ended {
 		p.closing = append(p.closing, conn)
 	} else {
-		p.idle = append(p.idle, pooled[C]{conn: conn, since: now, until: now + p.limit.Limit()})
+		p.idle = append(p.idle, idleConnection[C]{conn: conn, since: now, until: now + p.limit.Limit()})
 	}
 	return p.closing
 }
 
-// Due tells when Expire is to be called next; false while nothing is idle.
-func (p *Pool[C]) Due() (at time.Duration, any bool) {
+// NextExpiry tells when Expire is to be called next; false while nothing is idle.
+func (p *Pool[C]) NextExpiry() (at time.Duration, any bool) {
 	for i := range p.idle {
 		if !any || p.idle[i].until < at {
 			at, any = p.idle[i].until, true
@@ -133,50 +133,50 @@
 
 // Expire closes those connections that have stood idle for as long as was allowed when they were put back.
 func (p *Pool[C]) Expire(now time.Duration) []C {
-	return p.dropThose(func(c pooled[C]) bool { return c.until <= now })
+	return p.closeMatching(func(c idleConnection[C]) bool { return c.until <= now })
 }
 
-// Ended takes in that a connection has ended while no route step was on it.
-func (p *Pool[C]) Ended(conn C) []C {
-	return p.dropThose(func(c pooled[C]) bool { return c.conn == conn })
+// ConnectionEnded takes in that a connection has ended while no route step was on it.
+func (p *Pool[C]) ConnectionEnded(conn C) []C {
+	return p.closeMatching(func(c idleConnection[C]) bool { return c.conn == conn })
 }
 
-// Move has what comes go to another address. What is out goes on.
-func (p *Pool[C]) Move(addr netip.AddrPort) []C {
+// SetAddress has what comes go to another address. What is out goes on.
+func (p *Pool[C]) SetAddress(addr netip.AddrPort) []C {
 	moved := addr != p.addr
-	p.addr, p.resting = addr, false
-	return p.dropThose(func(pooled[C]) bool { return moved })
+	p.addr, p.noReuse = addr, false
+	return p.closeMatching(func(idleConnection[C]) bool { return moved })
 }
 
-// Rest closes the idle connections, and keeps none until the next Move.
-func (p *Pool[C]) Rest() []C {
-	p.resting = true
-	return p.dropThose(func(pooled[C]) bool { return true })
+// StopReuse closes the idle connections, and keeps none until the next SetAddress.
+func (p *Pool[C]) StopReuse() []C {
+	p.noReuse = true
+	return p.closeMatching(func(idleConnection[C]) bool { return true })
 }
 
-// LetGo closes the longer idle half of the connections.
-func (p *Pool[C]) LetGo() []C {
+// ReleaseIdle closes the longer idle half of the connections.
+func (p *Pool[C]) CloseIdleHalf() []C {
 	longest := (len(p.idle) + 1) / 2
-	return p.dropThose(func(pooled[C]) bool { longest--; return longest >= 0 })
+	return p.closeMatching(func(idleConnection[C]) bool { longest--; return longest >= 0 })
 }
 
 // Retire takes in that the booking server has left.
 func (p *Pool[C]) Retire() []C {
 	p.retired = true
-	return p.dropThose(func(pooled[C]) bool { return true })
+	return p.closeMatching(func(idleConnection[C]) bool { return true })
 }
 
-// Done tells whether the booking server has left and nothing is out there any more.
-func (p *Pool[C]) Done() bool { return p.retired && p.busy == 0 }
+// IsDone tells whether the booking server has left and nothing is out there any more.
+func (p *Pool[C]) IsDone() bool { return p.retired && p.inUse == 0 }
 
-func (p *Pool[C]) dropThose(match func(pooled[C]) bool) []C {
+func (p *Pool[C]) closeMatching(match func(idleConnection[C]) bool) []C {
 	p.closing = p.closing[:0]
-	p.drop(match)
+	p.takeMatching(match)
 	return p.closing
 }
 
 // drop takes out those idle connections that match, to be closed.
-func (p *Pool[C]) drop(match func(pooled[C]) bool) {
+func (p *Pool[C]) takeMatching(match func(idleConnection[C]) bool) {
 	kept := p.idle[:0]
 	for _, c := range p.idle {
 		if match(c) {
--- a/internal/core/roster.go
+++ b/internal/core/roster.go
@@ -7,51 +7,51 @@
 	"dunestep/internal/protocol"
 )
 
-// Roster is the list as it was last had, for whoever keeps it over a restart, and what came of it since.
-type Roster struct {
+// SavedList is the list as it was last had, for whoever keeps it over a restart, and what came of it since.
+type SavedList struct {
 	version   int64
-	servers   map[string]protocol.PoolServer
-	sorted    []protocol.PoolServer // the same, by id; nil: not put in order since they changed
-	confirmed time.Duration         // by discovery, on the clock; zero: not that anyone knows
-	told      bool                  // since the start
-	live      bool                  // discovery would say so, were it not so any more
+	servers   map[string]protocol.Endpoint
+	sorted    []protocol.Endpoint // the same, by id; nil: not put in order since they changed
+	confirmed time.Duration       // by discovery, on the clock; zero: not that anyone knows
+	told      bool                // since the start
+	live      bool                // discovery would say so, were it not so any more
 }
 
-// NewRoster begins with the list that an agent starts from, and when discovery last said that this is it, on
+// NewSavedList begins with the list that an agent starts from, and when discovery last said that this is it, on
 // the clock; zero: nobody knows.
-func NewRoster(saved protocol.PoolConfig, confirmed time.Duration) *Roster {
-	r := &Roster{servers: map[string]protocol.PoolServer{}, confirmed: confirmed}
-	r.Take(0, decide.SyncSaved, saved, false)
+func NewSavedList(saved protocol.EndpointList, confirmed time.Duration) *SavedList {
+	r := &SavedList{servers: map[string]protocol.Endpoint{}, confirmed: confirmed}
+	r.Update(0, decide.UpdateCached, saved, false)
 	return r
 }
 
-// Take takes news of the list in. Confirms: by them discovery has said what the list is, and it will say what
+// Update takes news of the list in. Confirms: by them discovery has said what the list is, and it will say what
 // changes. It returns those servers that turn out to be others than the list of the start had under their
 // names, by address or start: what was learned before the start is not of them.
-func (r *Roster) Take(now time.Duration, kind decide.SyncKind, config protocol.PoolConfig,
+func (r *SavedList) Update(now time.Duration, kind decide.UpdateKind, config protocol.EndpointList,
 	confirms bool,
 ) (replaced []string) {
 	if confirms || r.live {
 		r.confirmed = now
 	}
-	r.live = confirms || r.live && kind != decide.SyncFailed
-	if kind == decide.SyncFailed {
+	r.live = confirms || r.live && kind != decide.UpdateFailed
+	if kind == decide.UpdateFailed {
 		return nil
 	}
 	old := r.servers
-	if kind != decide.SyncChange {
-		r.servers = make(map[string]protocol.PoolServer, len(config.Servers))
+	if kind != decide.UpdateIncremental {
+		r.servers = make(map[string]protocol.Endpoint, len(config.Endpoints))
 	}
 	if config.Full {
 		r.version = config.Version
 	}
 	r.version = max(r.version, config.Version)
-	if len(config.Servers) > 0 || kind != decide.SyncChange {
+	if len(config.Endpoints) > 0 || kind != decide.UpdateIncremental {
 		r.sorted = nil
 	}
-	for _, s := range config.Servers {
+	for _, s := range config.Endpoints {
 		before, known := old[s.ID]
-		if known && !r.told && (before.Started != s.Started || s.Addr.IsValid() && before.Addr != s.Addr) {
+		if known && !r.told && (before.StartedAt != s.StartedAt || s.Addr.IsValid() && before.Addr != s.Addr) {
 			replaced = append(replaced, s.ID)
 		}
 		if s.State == decide.Gone {
@@ -67,11 +67,11 @@
 	return replaced
 }
 
-// Told tells whether discovery has said what the list is since the start.
-func (r *Roster) Told() bool { return r.told }
+// DiscoveryList tells whether discovery has said what the list is since the start.
+func (r *SavedList) WasConfirmed() bool { return r.told }
 
-// Confirmed is when discovery last said what the list is, on the clock; zero: nobody knows.
-func (r *Roster) Confirmed(now time.Duration) time.Duration {
+// ConfirmedAt is when discovery last said what the list is, on the clock; zero: nobody knows.
+func (r *SavedList) ConfirmedAt(now time.Duration) time.Duration {
 	if r.live {
 		return now
 	}
@@ -79,15 +79,15 @@
 }
 
 // Version is the version of the list as it is known.
-func (r *Roster) Version() int64 { return r.version }
+func (r *SavedList) Version() int64 { return r.version }
 
-// Config returns the whole list as it is known, by id. It is not to be changed.
-func (r *Roster) Config() protocol.PoolConfig {
+// List returns the whole list as it is known, by id. It is not to be changed.
+func (r *SavedList) List() protocol.EndpointList {
 	if r.sorted == nil {
-		r.sorted = make([]protocol.PoolServer, 0, len(r.servers))
+		r.sorted = make([]protocol.Endpoint, 0, len(r.servers))
 		for _, id := range sorted(r.servers) {
 			r.sorted = append(r.sorted, r.servers[id])
 		}
 	}
-	return protocol.PoolConfig{Version: r.version, Full: true, Servers: r.sorted}
+	return protocol.EndpointList{Version: r.version, Full: true, Endpoints: r.sorted}
 }
--- a/internal/core/router_test.go
+++ b/internal/core/router_test.go
@@ -33,7 +33,7 @@
 // module astray says more than it should: then only what does not rest on it is looked at.
 func play(script []uint64, stays, astray bool, sockets int) *day {
 	set := deployment()
-	set.Rules.OnlyDrainingBind = stays
+	set.Rules.GoneUsable = stays
 	d := newDay(set, 4)
 	d.descriptors.SetLimit(sockets)
 	told := map[string]time.Duration{} // when a server was told to drain or to be gone
@@ -64,23 +64,23 @@
 		d.require(!abandoned, "sent after the end")
 		for _, e := range d.sent {
 			if e.id == s.id && e != s && class[s.id] != safe {
-				d.require(astray || e.ended && e.outcome.NeverRan(), "an unsafe operation that may have run is sent again")
+				d.require(astray || e.ended && e.outcome.Unprocessed(), "an unsafe operation that may have run is sent again")
 			}
 		}
 		dice = dice*6364136223846793005 + 1442695040888963407
 		n := int(dice >> 33)
 		r := reaction{
 			after: time.Duration(n%700) * time.Millisecond, close: n%3 == 0, ended: n%17 == 0,
-			saw: Sighting{Phase: Phase(n / 7 % 6), Ending: []Ending{BrokenOff, Spoilt}[n/5%2]},
+			saw: AttemptResult{Phase: AttemptPhase(n / 7 % 6), EndReason: []EndReason{BrokenByEndpoint, InvalidResponse}[n/5%2]},
 		}
-		if r.saw.Phase > Answering {
-			r.saw.Phase, r.saw.Ending = Answering, Completed
-			r.saw.Reply = []decide.Outcome{decide.Served, decide.TurnedAway, decide.ServerError}[n/11%3]
+		if r.saw.Phase > Responding {
+			r.saw.Phase, r.saw.EndReason = Responding, Completed
+			r.saw.Response = []decide.Outcome{decide.Served, decide.Rejected, decide.ServerError}[n/11%3]
 		}
 		if !s.lease.Reused && n/19%3 == 0 {
 			r.waits = time.Duration(n / 23 % 500 * int(time.Millisecond))
 		}
-		if r.saw.Phase == Answering && r.saw.Reply == decide.Served {
+		if r.saw.Phase == Responding && r.saw.Response == decide.Served {
 			r.begins = r.after * time.Duration(n/13%2) / 2
 		}
 		return r
@@ -91,7 +91,7 @@
 		if delete(told, e.ID); s != decide.Ready && !(stays && s == decide.Gone) {
 			told[e.ID] = d.now
 		}
-		d.do(d.router.PoolNews(d.now, decide.SyncChange, protocol.PoolConfig{Servers: []protocol.PoolServer{e}}, decide.Word{}))
+		d.do(d.router.ListUpdated(d.now, decide.UpdateIncremental, protocol.EndpointList{Endpoints: []protocol.Endpoint{e}}, decide.WatchStatus{}))
 	}
 	for i, n := range script {
 		dice ^= n
@@ -110,26 +110,26 @@
 			state(arg, decide.ServerState(arg>>4%3))
 		case 8:
 			told = map[string]time.Duration{"s-2": d.now, "s-3": d.now, "s-4": d.now}
-			d.list(decide.SyncFull, 2, decide.Ready)
+			d.list(decide.UpdateFull, 2, decide.Ready)
 		case 9:
-			d.do(d.router.Reclaim())
+			d.do(d.router.ReleaseIdle())
 		case 10:
-			d.do(d.router.PeerSays(d.now, protocol.Datagram{Agent: arg % 4, Data: make([]byte, arg%7)}))
+			d.do(d.router.DatagramReceived(d.now, protocol.Datagram{Agent: arg % 4, Data: make([]byte, arg%7)}))
 		case 11:
-			d.do(d.router.PoolNews(d.now, decide.SyncFailed, protocol.PoolConfig{}, decide.Word{}))
+			d.do(d.router.ListUpdated(d.now, decide.UpdateFailed, protocol.EndpointList{}, decide.WatchStatus{}))
 		case 12:
 			if i > len(script)/2 {
 				abandoned = true
-				d.do(d.router.Abandon())
+				d.do(d.router.FailAll())
 			}
 		case 13: // ends that nobody waits for, or that come too early
 			if s := d.steps[stepRef{uint32(arg), arg%4 - 1}]; s != nil {
 				s.unwanted = true // the router takes it for over
 			}
-			d.do(d.router.StepEnded(d.now, uint32(arg), arg%4-1, whole(decide.Served).saw))
+			d.do(d.router.AttemptEnded(d.now, uint32(arg), arg%4-1, whole(decide.Served).saw))
 		case 14:
 			if p := d.pools[fmt.Sprint("s-", arg%4)]; p != nil && len(p.idle) > 0 {
-				d.close(p.Ended(p.idle[arg%len(p.idle)].conn))
+				d.close(p.ConnectionEnded(p.idle[arg%len(p.idle)].conn))
 			}
 		default:
 			d.run(time.Duration(arg*arg) * 20 * time.Microsecond)
@@ -148,14 +148,14 @@
 		d.require(n == 1 || n == 0 && !owed, fmt.Sprint(n, " answers"))
 		d.require(d.forgot[id+1] == 1 || d.forgot[id+1] == 0 && d.module.adds != nil, "not forgotten once")
 	}
-	left := len(d.router.operations) + len(d.router.ids)
+	left := len(d.router.requests) + len(d.router.correlationIDs)
 	d.require(left == 0 || d.module.adds != nil, "operations are left")
 	d.require(len(d.open) == 0 && d.descriptors.upstream == 0, "connections are left")
 	for id, p := range d.pools {
-		d.require(p.busy == 0 && len(p.idle) == 0, "steps are left at "+id)
+		d.require(p.inUse == 0 && len(p.idle) == 0, "steps are left at "+id)
 	}
 	for _, p := range d.retired {
-		d.require(p.Done() && len(p.idle) == 0, "steps are left at one that has left")
+		d.require(p.IsDone() && len(p.idle) == 0, "steps are left at one that has left")
 	}
 }
 
@@ -169,12 +169,12 @@
 	}{
 		"served":          {whole(decide.Served), false, decide.Served},
 		"error":           {whole(decide.ServerError), false, decide.ServerError},
-		"turned away":     {whole(decide.TurnedAway), true, decide.TurnedAway},
-		"no connection":   {broke(Connecting), true, decide.NoConnection},
-		"not written":     {broke(Writing), true, decide.NoConnection},
-		"no answer begun": {broke(Waiting), false, decide.ConnectionLost},
-		"cut":             {broke(Answering), false, decide.ConnectionLost},
-		"spoilt":          {reaction{saw: Sighting{Phase: Answering, Ending: Spoilt}}, false, decide.ServerError},
+		"turned away":     {whole(decide.Rejected), true, decide.Rejected},
+		"no connection":   {broke(Connecting), true, decide.ConnectFailed},
+		"not written":     {broke(Writing), true, decide.ConnectFailed},
+		"no answer begun": {broke(AwaitingResponse), false, decide.ConnectionLost},
+		"cut":             {broke(Responding), false, decide.ConnectionLost},
+		"spoilt":          {reaction{saw: AttemptResult{Phase: Responding, EndReason: InvalidResponse}}, false, decide.ServerError},
 	} {
 		d := newDay(deployment(), 3)
 		for _, class := range []string{safe, fragile} {
@@ -201,7 +201,7 @@
 	}
 }
 
-// Silence is given up at the aim and answered at once; a client's time counts from its sending, not from when its
+// SilenceError is given up at the aim and answered at once; a client's time counts from its sending, not from when its
 // request was read; without a server, or abandoned, it is answered without a step.
 func TestAnswersInTime(t *testing.T) {
 	var at []time.Duration
@@ -209,19 +209,19 @@
 	for _, c := range []struct {
 		class string
 		age   time.Duration
-		kind  protocol.AnswerKind
-	}{{safe, 0, protocol.BusyReply}, {fragile, 0, protocol.Failed}, {fragile, 700 * time.Millisecond, protocol.Failed}} {
+		kind  protocol.ResponseKind
+	}{{safe, 0, protocol.Rejected}, {fragile, 0, protocol.Failed}, {fragile, 700 * time.Millisecond, protocol.Failed}} {
 		d = newDay(deployment(), 1)
 		d.react = func(*attempted) reaction { return silent }
-		id := d.come(&protocol.Operation{CorrelationID: "1", Class: c.class, TimeLeft: 900 * time.Millisecond}, c.age)
+		id := d.come(&protocol.Request{CorrelationID: "1", Class: c.class, TimeLeft: 900 * time.Millisecond}, c.age)
 		for len(d.answers[id]) == 0 {
 			d.run(time.Millisecond)
 		}
 		at = append(at, d.now-epoch)
 		require.Len(t, d.sent, 1)
-		require.Equal(t, decide.NoAnswer, d.sent[0].outcome)
+		require.Equal(t, decide.TimedOut, d.sent[0].outcome)
 		require.Equal(t, c.kind, d.answers[id][0].Result)
-		require.Equal(t, c.kind == protocol.BusyReply, d.answers[id][0].After > 0)
+		require.Equal(t, c.kind == protocol.Rejected, d.answers[id][0].After > 0)
 	}
 	require.Equal(t, []time.Duration{495 * time.Millisecond, 495 * time.Millisecond, 195 * time.Millisecond}, at)
 
@@ -229,24 +229,24 @@
 	for i := range uint32(9) {
 		require.Equal(t, i+1, d.arrive(safe, fmt.Sprint(i)))
 	}
-	for i, o := range d.router.Abandon() { // in the order in which they came
-		want := Output{Kind: UnwantStep, Operation: uint32(i/2 + 1)}
+	for i, o := range d.router.FailAll() { // in the order in which they came
+		want := Output{Kind: CancelIfUnsent, Request: uint32(i/2 + 1)}
 		if i%2 == 1 {
-			want = Output{Kind: Answer, Operation: want.Operation, Result: protocol.Failed, Text: failedText}
+			want = Output{Kind: Respond, Request: want.Request, Result: protocol.Failed, Text: failedText}
 		}
 		require.Equal(t, want, o)
 	}
-	require.Equal(t, protocol.BusyReply, d.answers[d.arrive(safe, "late")][0].Result)
+	require.Equal(t, protocol.Rejected, d.answers[d.arrive(safe, "late")][0].Result)
 
 	d = newDay(deployment(), 0)
-	require.False(t, d.router.Ready())
+	require.False(t, d.router.HasReadyEndpoint())
 	require.Equal(t, 1, d.subs)
 	kind, _ := d.ask(safe)
-	require.Equal(t, protocol.BusyReply, kind)
-	d.list(decide.SyncChange, 1, decide.Ready)
-	require.True(t, d.router.Ready())
-	d.list(decide.SyncChange, 1, decide.Draining)
-	require.False(t, d.router.Ready())
+	require.Equal(t, protocol.Rejected, kind)
+	d.list(decide.UpdateIncremental, 1, decide.Ready)
+	require.True(t, d.router.HasReadyEndpoint())
+	d.list(decide.UpdateIncremental, 1, decide.Draining)
+	require.False(t, d.router.HasReadyEndpoint())
 	require.Empty(t, d.broken)
 }
 
@@ -278,25 +278,25 @@
 func TestAnswerThatBegins(t *testing.T) {
 	for _, c := range []struct {
 		ends func(*day, uint32)
-		end  Ending
+		end  EndReason
 		want decide.Outcome
 	}{
 		{func(*day, uint32) {}, Completed, decide.Served},
-		{func(*day, uint32) {}, BrokenOff, decide.ConnectionLost},
-		{(*day).leave, Completed, decide.CalledOff},
-		{func(d *day, _ uint32) { d.do(d.router.Abandon()) }, Completed, decide.CalledOff},
+		{func(*day, uint32) {}, BrokenByEndpoint, decide.ConnectionLost},
+		{(*day).leave, Completed, decide.Canceled},
+		{func(d *day, _ uint32) { d.do(d.router.FailAll()) }, Completed, decide.Canceled},
 	} {
 		d := newDay(deployment(), 2)
 		d.react = func(*attempted) reaction {
 			return reaction{
 				begins: 10 * time.Millisecond, after: 100 * time.Millisecond,
-				saw: Sighting{Phase: Answering, Ending: c.end},
+				saw: AttemptResult{Phase: Responding, EndReason: c.end},
 			}
 		}
 		n := d.arrive(safe, "a")
 		d.run(50 * time.Millisecond)
 		require.Len(t, d.answers[n], 1)
-		require.True(t, d.answers[n][0].Begins)
+		require.True(t, d.answers[n][0].Streaming)
 		c.ends(d, n)
 		c.ends(d, n)
 		d.run(time.Second)
@@ -304,7 +304,7 @@
 		require.Equal(t, c.want, d.sent[0].outcome)
 		heard := strings.Join(d.module.heard, "\n")
 		require.Contains(t, heard, fmt.Sprintf("StreamStarted&{ID:%d Attempt:0}", n))
-		require.Contains(t, heard, "Finished:true")
+		require.Contains(t, heard, "RequestDone:true")
 		d.run(time.Minute)
 		d.finished()
 		require.Empty(t, d.broken)
@@ -326,7 +326,7 @@
 		d.leave(n)
 		d.run(time.Second)
 		require.Len(t, d.sent, 1)
-		require.Equal(t, decide.CalledOff, d.sent[0].outcome)
+		require.Equal(t, decide.Canceled, d.sent[0].outcome)
 		require.False(t, d.sent[0].sentOn && !d.sent[0].ended)
 		d.finished()
 		require.Empty(t, d.broken)
@@ -338,8 +338,8 @@
 func BenchmarkOperation(b *testing.B) {
 	d := newDay(deployment(), 0)
 	d.router = NewRouter(deployment(), d.module.Balancer) // nobody listens
-	d.list(decide.SyncSaved, 13, decide.Ready)
-	op := &protocol.Operation{
+	d.list(decide.UpdateCached, 13, decide.Ready)
+	op := &protocol.Request{
 		CorrelationID: "9b1f03aa5c7e2d41", Class: safe, Key: "7f3a9c21e0b4d655",
 		TimeLeft: 900 * time.Millisecond,
 	}
@@ -347,15 +347,15 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		now += 3 * time.Millisecond
-		id, out := d.router.Arrive(now, op, now)
-		pool := d.pools[out[0].Server]
-		lease, _ := pool.Begin(now)
-		d.limit.Note(now, lease.Stood, false)
-		d.router.StepEnded(now+time.Millisecond, id, 0, Sighting{
-			Phase: Answering, Ending: Completed,
+		id, out := d.router.RequestArrived(now, op, now)
+		pool := d.pools[out[0].Endpoint]
+		lease, _ := pool.Acquire(now)
+		d.limit.Record(now, lease.IdleFor, false)
+		d.router.AttemptEnded(now+time.Millisecond, id, 0, AttemptResult{
+			Phase: Responding, EndReason: Completed,
 			Latency: time.Millisecond,
 		})
-		pool.Over(now+time.Millisecond, 1, lease.Addr, false)
+		pool.Release(now+time.Millisecond, 1, lease.Addr, false)
 	}
 }
 
@@ -372,31 +372,31 @@
 		return found
 	}
 	arrive := func(id string) (uint32, Output) {
-		op := &protocol.Operation{
+		op := &protocol.Request{
 			CorrelationID: id, Class: fragile, Length: -1, TimeLeft: 900 * time.Millisecond,
 			Rest: flow.New(-1, memory.Grant{}, 0),
 		}
-		n, out := d.router.Arrive(d.now, op, d.now)
-		starts := kinds(out, StartStep)
+		n, out := d.router.RequestArrived(d.now, op, d.now)
+		starts := kinds(out, StartAttempt)
 		require.Len(t, starts, 1)
 		return n, starts[0]
 	}
 	n, start := arrive("a")
-	require.Equal(t, d.now+comesWithin, start.At)
+	require.Equal(t, d.now+maxBodyTime, start.At)
 	require.Positive(t, start.After)
 	require.LessOrEqual(t, start.After, 900*time.Millisecond)
 	d.now += time.Minute
-	retimed := kinds(d.router.Whole(d.now, n), RetimeStep)
+	retimed := kinds(d.router.BodyComplete(d.now, n), RescheduleAttempt)
 	require.Len(t, retimed, 1)
-	require.Equal(t, []time.Duration{d.now + 900*time.Millisecond - AnswerMargin, d.now + min(start.After, 895*time.Millisecond)},
+	require.Equal(t, []time.Duration{d.now + 900*time.Millisecond - ResponseMargin, d.now + min(start.After, 895*time.Millisecond)},
 		[]time.Duration{retimed[0].Deadline, retimed[0].At})
-	require.Empty(t, d.router.Whole(d.now, n), "once")
-	out := d.router.StepEnded(d.now, n, 0, Sighting{Phase: Answering, Ending: Completed, Reply: decide.Served})
-	require.Equal(t, protocol.Served, kinds(out, Answer)[0].Result)
+	require.Empty(t, d.router.BodyComplete(d.now, n), "once")
+	out := d.router.AttemptEnded(d.now, n, 0, AttemptResult{Phase: Responding, EndReason: Completed, Response: decide.Served})
+	require.Equal(t, protocol.Served, kinds(out, Respond)[0].Result)
 
 	n, _ = arrive("b")
-	out = d.router.StepEnded(d.now, n, 0, Sighting{Phase: Writing, Ending: BrokenOff, Spent: true})
-	require.Empty(t, kinds(out, StartStep))
-	require.Equal(t, protocol.BusyReply, kinds(out, Answer)[0].Result)
-	require.Empty(t, d.router.Whole(d.now, n), "it is forgotten")
+	out = d.router.AttemptEnded(d.now, n, 0, AttemptResult{Phase: Writing, EndReason: BrokenByEndpoint, BodyConsumed: true})
+	require.Empty(t, kinds(out, StartAttempt))
+	require.Equal(t, protocol.Rejected, kinds(out, Respond)[0].Result)
+	require.Empty(t, d.router.BodyComplete(d.now, n), "it is forgotten")
 }
--- a/internal/core/standing.go
+++ b/internal/core/standing.go
@@ -10,63 +10,63 @@
 	"dunestep/internal/protocol"
 )
 
-// PoolNews takes news of the booking servers in, brings their actors in line and tells the module. Where the
-// kind is decide.SyncFailed or nothing has changed, the config is empty.
-func (r *Router) PoolNews(now time.Duration, kind decide.SyncKind, config protocol.PoolConfig,
-	word decide.Word,
+// ListUpdated takes news of the booking servers in, brings their actors in line and tells the module. Where the
+// kind is decide.UpdateFailed or nothing has changed, the config is empty.
+func (r *Router) ListUpdated(now time.Duration, kind decide.UpdateKind, config protocol.EndpointList,
+	word decide.WatchStatus,
 ) []Output {
 	r.out = r.out[:0]
-	listed := make(map[string]bool, len(config.Servers))
-	servers := make([]decide.Server, 0, len(config.Servers))
-	for _, s := range config.Servers {
+	listed := make(map[string]bool, len(config.Endpoints))
+	servers := make([]decide.Server, 0, len(config.Endpoints))
+	for _, s := range config.Endpoints {
 		listed[s.ID] = true
 		servers = append(servers, s.Server)
-		r.place(s)
+		r.updateEndpoint(s)
 	}
-	if kind == decide.SyncFull || kind == decide.SyncSaved {
-		for _, id := range sorted(r.servers) {
-			if !listed[id] && r.servers[id].state != decide.Gone {
-				r.place(protocol.PoolServer{Server: decide.Server{ID: id, State: decide.Gone}})
+	if kind == decide.UpdateFull || kind == decide.UpdateCached {
+		for _, id := range sorted(r.endpoints) {
+			if !listed[id] && r.endpoints[id].state != decide.Gone {
+				r.updateEndpoint(protocol.Endpoint{Server: decide.Server{ID: id, State: decide.Gone}})
 			}
 		}
 	}
-	r.step(now, &decide.Membership{Kind: kind, Servers: servers, Word: word})
+	r.decide(now, &decide.ServerListUpdate{Kind: kind, Servers: servers, Watch: word})
 	return r.out
 }
 
 // place keeps one server's actor in line. One that has left is kept where the module may still send to it.
-func (r *Router) place(s protocol.PoolServer) {
-	known := r.servers[s.ID]
+func (r *Router) updateEndpoint(s protocol.Endpoint) {
+	known := r.endpoints[s.ID]
 	switch {
 	case s.State == decide.Gone && known == nil:
 		return
-	case s.State == decide.Gone && !(r.stays && known.open):
-		delete(r.servers, s.ID)
+	case s.State == decide.Gone && !(r.sendsToRemoved && known.open):
+		delete(r.endpoints, s.ID)
 		if known.open {
-			r.put(Output{Kind: RetireServer, Server: s.ID})
+			r.emit(Output{Kind: RemoveEndpoint, Endpoint: s.ID})
 		}
 		return
 	case known == nil:
-		known = &standing{}
-		r.servers[s.ID] = known
+		known = &endpointState{}
+		r.endpoints[s.ID] = known
 	}
 	known.state = s.State
 	switch {
 	case s.State == decide.Gone || !s.Addr.IsValid(): // it only drains, or has left: the address stays
 	case known.open:
-		r.put(Output{Kind: MoveServer, Server: s.ID, Addr: s.Addr})
+		r.emit(Output{Kind: SetEndpointAddress, Endpoint: s.ID, Addr: s.Addr})
 	default:
 		known.open = true
-		r.put(Output{Kind: OpenServer, Server: s.ID, Addr: s.Addr})
+		r.emit(Output{Kind: OpenEndpoint, Endpoint: s.ID, Addr: s.Addr})
 	}
 	if known.open && s.State == decide.Draining { // nothing new goes there
-		r.put(Output{Kind: RestServer, Server: s.ID})
+		r.emit(Output{Kind: DrainEndpoint, Endpoint: s.ID})
 	}
 }
 
-// Ready tells whether a booking server is known that takes operations.
-func (r *Router) Ready() bool {
-	for _, s := range r.servers {
+// HasReadyEndpoint tells whether a booking server is known that takes operations.
+func (r *Router) HasReadyEndpoint() bool {
+	for _, s := range r.endpoints {
 		if s.state == decide.Ready {
 			return true
 		}
--- a/internal/fleetstore/disk.go
+++ b/internal/fleetstore/disk.go
@@ -11,14 +11,14 @@
 )
 
 // disk is a folder, and what can go wrong with it. Tests put others in its place.
-type disk interface {
+type directory interface {
 	read(name string, most int64) ([]byte, error)
 	open(name string) (file, error)
 	create(name string) (file, error)
 	rename(from, to string) error
 	remove(name string) error
 	touch(name string) error
-	sync() error // names
+	syncNames() error // names
 	close()
 }
 
@@ -31,12 +31,12 @@
 func isMissing(err error) bool { return errors.Is(err, fs.ErrNotExist) }
 
 // folder is a real one, with a lock.
-type folder struct {
+type lockedDirectory struct {
 	path string
 	lock *os.File
 }
 
-func openFolder(path string) (*folder, error) {
+func lockDirectory(path string) (*lockedDirectory, error) {
 	lock, err := os.OpenFile(filepath.Join(path, "fleet.lock"), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, err
@@ -48,42 +48,44 @@
 		}
 		return nil, err
 	}
-	return &folder{path, lock}, nil
+	return &lockedDirectory{path, lock}, nil
 }
 
-func (f *folder) at(name string) string { return filepath.Join(f.path, name) }
+func (f *lockedDirectory) join(name string) string { return filepath.Join(f.path, name) }
 
-func (f *folder) read(name string, most int64) ([]byte, error) {
-	r, err := os.Open(f.at(name))
+func (f *lockedDirectory) read(name string, most int64) ([]byte, error) {
+	r, err := os.Open(f.join(name))
 	if err != nil {
 		return nil, err
 	}
 	defer r.Close()
 	b, err := io.ReadAll(io.LimitReader(r, most+1))
 	if err == nil && int64(len(b)) > most {
-		return nil, fmt.Errorf("%w: longer than %d bytes", ErrForeign, most)
+		return nil, fmt.Errorf("%w: longer than %d bytes", ErrNotAStore, most)
 	}
 	return b, err
 }
 
-func (f *folder) open(name string) (file, error) { return os.OpenFile(f.at(name), os.O_RDWR, 0o600) }
+func (f *lockedDirectory) open(name string) (file, error) {
+	return os.OpenFile(f.join(name), os.O_RDWR, 0o600)
+}
 
-func (f *folder) create(name string) (file, error) {
-	return os.OpenFile(f.at(name), os.O_CREATE|os.O_TRUNC|os.O_RDWR, 0o600)
+func (f *lockedDirectory) create(name string) (file, error) {
+	return os.OpenFile(f.join(name), os.O_CREATE|os.O_TRUNC|os.O_RDWR, 0o600)
 }
 
-func (f *folder) rename(from, to string) error { return os.Rename(f.at(from), f.at(to)) }
-func (f *folder) remove(name string) error     { return os.Remove(f.at(name)) }
+func (f *lockedDirectory) rename(from, to string) error { return os.Rename(f.join(from), f.join(to)) }
+func (f *lockedDirectory) remove(name string) error     { return os.Remove(f.join(name)) }
 
-func (f *folder) touch(name string) error {
-	t, err := os.OpenFile(f.at(name), os.O_CREATE|os.O_RDWR, 0o600)
+func (f *lockedDirectory) touch(name string) error {
+	t, err := os.OpenFile(f.join(name), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return err
 	}
 	return errors.Join(t.Sync(), t.Close())
 }
 
-func (f *folder) sync() error {
+func (f *lockedDirectory) syncNames() error {
 	d, err := os.Open(f.path)
 	if err != nil {
 		return err
@@ -91,4 +93,4 @@
 	return errors.Join(d.Sync(), d.Close())
 }
 
-func (f *folder) close() { _ = f.lock.Close() }
+func (f *lockedDirectory) close() { _ = f.lock.Close() }
--- a/internal/fleetstore/fleetstore_test.go
+++ b/internal/fleetstore/fleetstore_test.go
@@ -21,30 +21,30 @@
 )
 
 // write is the n-th of a voter's: a record at index n, now and then a snapshot, sometimes another vote.
-func write(n uint64) *consensus.Persist {
+func voterWrite(n uint64) *consensus.Persist {
 	p := &consensus.Persist{
-		Hard:    &raftpb.HardState{Term: new(n/10 + 1), Vote: new(n % 3), Commit: new(n - 1)},
-		Entries: []*raftpb.Entry{{Index: new(n), Term: new(n/10 + 1), Data: bytes.Repeat([]byte{byte(n)}, int(n*37%3000))}},
+		HardState: &raftpb.HardState{Term: new(n/10 + 1), Vote: new(n % 3), Commit: new(n - 1)},
+		Entries:   []*raftpb.Entry{{Index: new(n), Term: new(n/10 + 1), Data: bytes.Repeat([]byte{byte(n)}, int(n*37%3000))}},
 	}
 	if n == 1 {
-		p.Identity, p.Reset = &consensus.Identity{Nonce: 7, Epoch: 8, ID: 9, Promise: 10, Seen: 11}, true
+		p.Identity, p.Reset = &consensus.Identity{Nonce: 7, Epoch: 8, ID: 9, PromisedNonce: 10, HighestEpochSeen: 11}, true
 	}
 	if n%100 == 0 {
 		p.Snapshot = &raftpb.Snapshot{Data: make([]byte, 900), Metadata: &raftpb.SnapshotMetadata{Index: new(n - 1)}}
-		p.DropTo = n - 20
+		p.DropThrough = n - 20
 	}
 	return p
 }
 
 // want is what is stored after n writes.
-func want(n uint64) (s consensus.Stored) {
+func storedAfter(n uint64) (s consensus.Stored) {
 	for i := uint64(1); i <= n; i++ {
-		apply(&s, write(i))
+		applyWrite(&s, voterWrite(i))
 	}
 	return s
 }
 
-func last(s consensus.Stored) uint64 {
+func lastIndex(s consensus.Stored) uint64 {
 	if len(s.Entries) == 0 {
 		return 0
 	}
@@ -53,36 +53,36 @@
 
 func requireSame(t *testing.T, want, got consensus.Stored, msg ...any) {
 	body := func(s consensus.Stored) []byte {
-		b, err := encode(&consensus.Persist{Identity: &s.Identity, Hard: s.Hard, Snapshot: s.Snapshot, Entries: s.Entries})
+		b, err := encode(&consensus.Persist{Identity: &s.Identity, HardState: s.HardState, Snapshot: s.Snapshot, Entries: s.Entries})
 		require.NoError(t, err)
 		return b
 	}
 	require.True(t, bytes.Equal(body(want), body(got)), msg...)
 }
 
-func filled(t *testing.T, n uint64) string {
+func filledFolder(t *testing.T, n uint64) string {
 	dir := t.TempDir()
 	s, err := Open(dir)
 	require.NoError(t, err)
 	require.Zero(t, s.Stored().Identity)
 	for i := uint64(1); i <= n; i++ {
-		require.NoError(t, s.Write(write(i)))
+		require.NoError(t, s.Write(voterWrite(i)))
 	}
-	requireSame(t, want(n), s.Stored())
+	requireSame(t, storedAfter(n), s.Stored())
 	require.NoError(t, s.Close())
 	return dir
 }
 
 func TestWhatIsWrittenIsThere(t *testing.T) {
 	for _, n := range []uint64{0, 1, 2, 150, 1500} {
-		dir := filled(t, n)
+		dir := filledFolder(t, n)
 		s, err := Open(dir)
 		require.NoError(t, err)
-		requireSame(t, want(n), s.Stored())
-		require.NoError(t, s.Write(write(n+1)))
+		requireSame(t, storedAfter(n), s.Stored())
+		require.NoError(t, s.Write(voterWrite(n+1)))
 		info, err := os.Stat(filepath.Join(dir, logName))
 		require.NoError(t, err)
-		require.LessOrEqual(t, info.Size(), int64(2*rewriteAfter))
+		require.LessOrEqual(t, info.Size(), int64(2*rewriteThresholdBytes))
 		require.NoError(t, s.Close())
 	}
 }
@@ -94,65 +94,65 @@
 		do   func(b []byte) []byte
 		want error
 	}{
-		"foreign":          {func(b []byte) []byte { return []byte("[settings]\n") }, ErrForeign},
-		"empty":            {func(b []byte) []byte { return nil }, ErrForeign},
+		"foreign":          {func(b []byte) []byte { return []byte("[settings]\n") }, ErrNotAStore},
+		"empty":            {func(b []byte) []byte { return nil }, ErrNotAStore},
 		"head":             {func(b []byte) []byte { return at(b, 15, 1) }, ErrDamaged},
 		"cut short":        {func(b []byte) []byte { return b[:len(b)-1] }, ErrDamaged},
-		"cut to the head":  {func(b []byte) []byte { return b[:headSize] }, ErrDamaged},
-		"a record's body":  {func(b []byte) []byte { return at(b, bodyFrom+recordHead+20, 1) }, ErrDamaged},
-		"a record's size":  {func(b []byte) []byte { return at(b, bodyFrom+17, 200) }, ErrDamaged},
+		"cut to the head":  {func(b []byte) []byte { return b[:headerBytes] }, ErrDamaged},
+		"a record's body":  {func(b []byte) []byte { return at(b, firstRecordOffset+recordHeaderBytes+20, 1) }, ErrDamaged},
+		"a record's size":  {func(b []byte) []byte { return at(b, firstRecordOffset+17, 200) }, ErrDamaged},
 		"the last record":  {func(b []byte) []byte { return at(b, lastByte(b), 1) }, ErrDamaged},
-		"the rest is gone": {func(b []byte) []byte { clear(b[bodyFrom+300:]); return b }, ErrDamaged},
+		"the rest is gone": {func(b []byte) []byte { clear(b[firstRecordOffset+300:]); return b }, ErrDamaged},
 		"a record, and the mark was lost": {func(b []byte) []byte {
-			clear(b[headSize : headSize+markSize])
-			second := bodyFrom + recordHead + int(binary.BigEndian.Uint32(b[bodyFrom+16:]))
-			return at(b, second+recordHead+5, 1)
+			clear(b[headerBytes : headerBytes+commitMarkBytes])
+			second := firstRecordOffset + recordHeaderBytes + int(binary.BigEndian.Uint32(b[firstRecordOffset+16:]))
+			return at(b, second+recordHeaderBytes+5, 1)
 		}, ErrDamaged},
-		"newer": {func(b []byte) []byte { return otherVersion(b, version+1) }, ErrVersion},
-		"older": {func(b []byte) []byte { return otherVersion(b, version-1) }, ErrVersion},
+		"newer": {func(b []byte) []byte { return otherVersion(b, formatVersion+1) }, ErrVersion},
+		"older": {func(b []byte) []byte { return otherVersion(b, formatVersion-1) }, ErrVersion},
 	} {
-		dir := filled(t, 50)
+		dir := filledFolder(t, 50)
 		path := filepath.Join(dir, logName)
 		b, err := os.ReadFile(path)
 		require.NoError(t, err)
 		require.NoError(t, os.WriteFile(path, c.do(b), 0o600))
 		_, err = Open(dir)
 		require.ErrorIs(t, err, c.want, name)
-		require.NoError(t, Discard(dir))
+		require.NoError(t, SetAside(dir))
 		s, err := Open(dir)
 		require.NoError(t, err, name)
 		require.Zero(t, s.Stored().Identity)
 		require.NoError(t, s.Close())
 	}
-	dir := filled(t, 5)
+	dir := filledFolder(t, 5)
 	require.NoError(t, os.Remove(filepath.Join(dir, logName)))
 	_, err := Open(dir)
-	require.ErrorIs(t, err, ErrLost)
+	require.ErrorIs(t, err, ErrMissing)
 }
 
 func lastByte(b []byte) int { return len(bytes.TrimRight(b, "\x00")) - 1 }
 
 func otherVersion(b []byte, v byte) []byte {
 	b[11] = v
-	h := crcOf(b[:headSize-4])
-	copy(b[headSize-4:], h)
+	h := crcOf(b[:headerBytes-4])
+	copy(b[headerBytes-4:], h)
 	return b
 }
 
 func crcOf(b []byte) []byte {
-	s := sum(nil, b)
+	s := checksum(nil, b)
 	return []byte{byte(s >> 24), byte(s >> 16), byte(s >> 8), byte(s)}
 }
 
 func TestLocked(t *testing.T) {
-	dir := filled(t, 1)
+	dir := filledFolder(t, 1)
 	s, err := Open(dir)
 	require.NoError(t, err)
 	_, err = Open(dir)
 	require.ErrorIs(t, err, ErrLocked)
-	require.ErrorIs(t, Discard(dir), ErrLocked)
+	require.ErrorIs(t, SetAside(dir), ErrLocked)
 	require.NoError(t, s.Close())
-	require.ErrorIs(t, s.Write(write(2)), ErrBroken)
+	require.ErrorIs(t, s.Write(voterWrite(2)), ErrClosed)
 }
 
 var (
@@ -162,21 +162,21 @@
 
 // fragile is a disk whose power is cut at a step, or that is full from some size on. Of what was not synced any
 // sectors are kept, and any of the names.
-type fragile struct {
+type faultyDirectory struct {
 	r     *rand.Rand
-	names map[string]*ffile
-	old   map[string]*ffile // as they are safe
+	names map[string]*faultyFile
+	old   map[string]*faultyFile // as they are safe
 	steps int
 	room  int
 }
 
-type ffile struct {
-	d         *fragile
+type faultyFile struct {
+	d         *faultyDirectory
 	now, safe []byte
 	own       bool // now is not safe's own bytes
 }
 
-func (d *fragile) step() error {
+func (d *faultyDirectory) step() error {
 	if d.steps--; d.steps == 0 {
 		for name, f := range d.names {
 			if d.old[name] != f && d.r.IntN(2) == 0 {
@@ -194,7 +194,7 @@
 	return nil
 }
 
-func (f *ffile) tear() {
+func (f *faultyFile) tear() {
 	b := append([]byte(nil), f.safe...)
 	if len(f.now) > len(b) && f.d.r.IntN(2) == 0 {
 		b = append(b, make([]byte, f.d.r.IntN(len(f.now)-len(b)))...)
@@ -207,21 +207,21 @@
 	f.now, f.safe, f.own = b, b, false
 }
 
-func (d *fragile) read(name string, _ int64) ([]byte, error) {
+func (d *faultyDirectory) read(name string, _ int64) ([]byte, error) {
 	if f, is := d.names[name]; is {
 		return append([]byte(nil), f.now...), nil
 	}
 	return nil, fs.ErrNotExist
 }
 
-func (d *fragile) open(name string) (file, error) { return d.names[name], nil }
-func (d *fragile) create(name string) (file, error) {
-	f := &ffile{d: d}
+func (d *faultyDirectory) open(name string) (file, error) { return d.names[name], nil }
+func (d *faultyDirectory) create(name string) (file, error) {
+	f := &faultyFile{d: d}
 	d.names[name] = f
 	return f, d.step()
 }
 
-func (d *fragile) rename(from, to string) error {
+func (d *faultyDirectory) rename(from, to string) error {
 	if err := d.step(); err != nil {
 		return err
 	}
@@ -230,27 +230,27 @@
 	return nil
 }
 
-func (d *fragile) remove(name string) error { delete(d.names, name); return nil }
-func (d *fragile) touch(name string) error {
+func (d *faultyDirectory) remove(name string) error { delete(d.names, name); return nil }
+func (d *faultyDirectory) touch(name string) error {
 	if d.names[name] == nil {
-		d.names[name] = &ffile{d: d}
+		d.names[name] = &faultyFile{d: d}
 	}
 	return d.step()
 }
 
-func (d *fragile) sync() error {
+func (d *faultyDirectory) syncNames() error {
 	if err := d.step(); err != nil {
 		return err
 	}
-	d.old = map[string]*ffile{}
+	d.old = map[string]*faultyFile{}
 	for n, f := range d.names {
 		d.old[n] = f
 	}
 	return nil
 }
-func (d *fragile) close() {}
+func (d *faultyDirectory) close() {}
 
-func (f *ffile) WriteAt(b []byte, at int64) (int, error) {
+func (f *faultyFile) WriteAt(b []byte, at int64) (int, error) {
 	if end := int(at) + len(b); f.d.room > 0 && end > f.d.room {
 		return 0, errNone
 	}
@@ -264,54 +264,54 @@
 	return len(b), f.d.step()
 }
 
-func (f *ffile) Sync() error {
+func (f *faultyFile) Sync() error {
 	if err := f.d.step(); err != nil {
 		return err
 	}
 	f.safe, f.own = f.now, false
 	return nil
 }
-func (f *ffile) Close() error { return nil }
+func (f *faultyFile) Close() error { return nil }
 
 // Whenever the power is cut, what was told as safe is there, and at most one write more; and it goes on.
 func TestPowerCut(t *testing.T) {
 	for seed := range uint64(60) {
 		r := rand.New(rand.NewPCG(seed, 3))
-		d := &fragile{r: r, names: map[string]*ffile{}, old: map[string]*ffile{}}
+		d := &faultyDirectory{r: r, names: map[string]*faultyFile{}, old: map[string]*faultyFile{}}
 		told := uint64(0)
 		for range 4 {
 			d.steps = 1 + r.IntN(300)
-			s, err := open(d)
+			s, err := openStore(d)
 			require.NoError(t, err, "seed %d after %d", seed, told)
-			n := last(s.Stored())
+			n := lastIndex(s.Stored())
 			require.GreaterOrEqual(t, n, told, "seed %d", seed)
 			require.LessOrEqual(t, n, told+1, "seed %d", seed)
-			requireSame(t, want(n), s.Stored(), "seed %d", seed)
-			for told = n; s.Write(write(told+1)) == nil; told++ {
+			requireSame(t, storedAfter(n), s.Stored(), "seed %d", seed)
+			for told = n; s.Write(voterWrite(told+1)) == nil; told++ {
 				require.Positive(t, d.steps)
 			}
-			require.ErrorIs(t, s.Write(write(told+1)), ErrBroken)
+			require.ErrorIs(t, s.Write(voterWrite(told+1)), ErrClosed)
 		}
 	}
 }
 
 // A full disk is an error, after which nothing is written, and what was told is there.
 func TestFull(t *testing.T) {
-	for _, room := range []int{1000, chunk, chunk + 1, 2 * chunk} {
-		d := &fragile{names: map[string]*ffile{}, steps: 1 << 30, room: room}
-		s, err := open(d)
+	for _, room := range []int{1000, growBytes, growBytes + 1, 2 * growBytes} {
+		d := &faultyDirectory{names: map[string]*faultyFile{}, steps: 1 << 30, room: room}
+		s, err := openStore(d)
 		require.NoError(t, err)
 		n := uint64(0)
 		for err == nil {
-			if err = s.Write(write(n + 1)); err == nil {
+			if err = s.Write(voterWrite(n + 1)); err == nil {
 				n++
 			}
 		}
 		require.ErrorIs(t, err, errNone)
-		require.ErrorIs(t, s.Write(write(n+1)), ErrBroken)
-		s, err = open(d)
+		require.ErrorIs(t, s.Write(voterWrite(n+1)), ErrClosed)
+		s, err = openStore(d)
 		require.NoError(t, err)
-		require.Equal(t, n, last(s.Stored()))
+		require.Equal(t, n, lastIndex(s.Stored()))
 	}
 }
 
@@ -320,8 +320,8 @@
 	if dir := os.Getenv("FLEETSTORE_TEST_DIR"); dir != "" {
 		s, err := Open(dir)
 		require.NoError(t, err)
-		for n := last(s.Stored()) + 1; ; n++ {
-			require.NoError(t, s.Write(write(n)))
+		for n := lastIndex(s.Stored()) + 1; ; n++ {
+			require.NoError(t, s.Write(voterWrite(n)))
 			_, _ = os.Stdout.WriteString("told " + strconv.FormatUint(n, 10) + "\n")
 		}
 	}
@@ -343,9 +343,9 @@
 		_ = c.Wait()
 		s, err := Open(dir)
 		require.NoError(t, err)
-		require.GreaterOrEqual(t, last(s.Stored()), told)
+		require.GreaterOrEqual(t, lastIndex(s.Stored()), told)
 		require.Positive(t, told)
-		requireSame(t, want(last(s.Stored())), s.Stored())
+		requireSame(t, storedAfter(lastIndex(s.Stored())), s.Stored())
 		require.NoError(t, s.Close())
 	}
 }
--- a/internal/fleetstore/golden_test.go
+++ b/internal/fleetstore/golden_test.go
@@ -29,16 +29,16 @@
 		}}
 	}
 	return []*consensus.Persist{
-		{Reset: true, Identity: &consensus.Identity{Nonce: 7, Epoch: 8, ID: 9, Promise: 10, Seen: 11}},
-		{Hard: &raftpb.HardState{Term: new(uint64(2)), Vote: new(uint64(12)), Commit: new(uint64(0))}},
+		{Reset: true, Identity: &consensus.Identity{Nonce: 7, Epoch: 8, ID: 9, PromisedNonce: 10, HighestEpochSeen: 11}},
+		{HardState: &raftpb.HardState{Term: new(uint64(2)), Vote: new(uint64(12)), Commit: new(uint64(0))}},
 		{Entries: []*raftpb.Entry{entry(1, 2, "one"), entry(2, 2, "two"), entry(3, 2, "three")}},
 		{
-			Hard:    &raftpb.HardState{Term: new(uint64(3)), Vote: new(uint64(9)), Commit: new(uint64(2))},
-			Entries: []*raftpb.Entry{entry(3, 3, "another three"), entry(4, 3, "")},
+			HardState: &raftpb.HardState{Term: new(uint64(3)), Vote: new(uint64(9)), Commit: new(uint64(2))},
+			Entries:   []*raftpb.Entry{entry(3, 3, "another three"), entry(4, 3, "")},
 		},
-		{DropTo: 2, Snapshot: snapshot(2, 2, "state after two")},
-		{Replace: true, Snapshot: snapshot(20, 3, "another voter's"), Entries: []*raftpb.Entry{entry(21, 3, "on")}},
-		{Identity: &consensus.Identity{Nonce: 7, Epoch: 8, ID: 9, Promise: 13, Seen: 15}, Entries: []*raftpb.Entry{entry(22, 3, "last")}},
+		{DropThrough: 2, Snapshot: snapshot(2, 2, "state after two")},
+		{ReplaceEntries: true, Snapshot: snapshot(20, 3, "another voter's"), Entries: []*raftpb.Entry{entry(21, 3, "on")}},
+		{Identity: &consensus.Identity{Nonce: 7, Epoch: 8, ID: 9, PromisedNonce: 13, HighestEpochSeen: 15}, Entries: []*raftpb.Entry{entry(22, 3, "last")}},
 	}
 }
 
@@ -66,19 +66,19 @@
 	require.NoError(t, err)
 	var want consensus.Stored
 	for _, p := range goldenWrites() {
-		apply(&want, p)
+		applyWrite(&want, p)
 	}
-	require.Equal(t, uint64(13), s.Stored().Identity.Promise)
+	require.Equal(t, uint64(13), s.Stored().Identity.PromisedNonce)
 	require.Equal(t, "another voter's", string(s.Stored().Snapshot.GetData()))
 	require.Len(t, s.Stored().Entries, 2)
 	requireSame(t, want, s.Stored())
 
 	head := binary.BigEndian.AppendUint32([]byte("DSFLEET\n"), 1)
 	require.Equal(t, head, raw[:len(head)])
-	at := int64(bodyFrom)
+	at := int64(firstRecordOffset)
 	for i, p := range goldenWrites() {
 		// The first write is a file's first record, which has all that is stored then.
-		body, found := s.record(raw, at, uint64(i+1))
+		body, found := s.readRecord(raw, at, uint64(i+1))
 		require.True(t, found, "record %d", i+1)
 		var read *consensus.Persist
 		read, err = decode(body)
@@ -87,12 +87,12 @@
 			again, encodeErr := encode(one)
 			require.NoError(t, encodeErr)
 			require.Equal(t, body, again, "record %d, %s", i+1, which)
-			require.Equal(t, raw[at:at+recordHead+int64(len(body))], s.frame(uint64(i+1), again), "record %d, %s", i+1, which)
+			require.Equal(t, raw[at:at+recordHeaderBytes+int64(len(body))], s.encodeRecord(uint64(i+1), again), "record %d, %s", i+1, which)
 		}
-		at += recordHead + int64(len(body))
+		at += recordHeaderBytes + int64(len(body))
 	}
-	require.Equal(t, s.end, at)
-	require.NoError(t, s.mark())
+	require.Equal(t, s.nextOffset, at)
+	require.NoError(t, s.writeCommitMark())
 	unchanged, err := os.ReadFile(filepath.Join(path, "fleet.log"))
 	require.NoError(t, err)
 	require.Equal(t, raw, unchanged, "the mark")
@@ -102,7 +102,7 @@
 	require.NoError(t, s.Close())
 	s, err = Open(path)
 	require.NoError(t, err)
-	apply(&want, more)
+	applyWrite(&want, more)
 	requireSame(t, want, s.Stored())
 	require.NoError(t, s.Close())
 }
--- a/internal/graphql/graphql.go
+++ b/internal/graphql/graphql.go
@@ -85,23 +85,23 @@
 		trusted: map[string]*document{},
 	}
 	var errs []error
-	named := func(name string, effect decide.Effect, what string) int {
+	named := func(name string, effect decide.Idempotency, what string) int {
 		i := slices.IndexFunc(r.Classes, func(k decide.Class) bool {
-			return k.Effect == effect && (name == "" || k.Name == name)
+			return k.Idempotency == effect && (name == "" || k.Name == name)
 		})
 		if i < 0 {
 			errs = append(errs, fmt.Errorf("no class %q in the settings is %s to repeat", name, what))
 		}
 		return i
 	}
-	c.safe, c.unsafe = named(r.Safe, decide.Safe, "safe"), named(r.Unsafe, decide.Unsafe, "unsafe")
+	c.safe, c.unsafe = named(r.Safe, decide.Idempotent, "safe"), named(r.Unsafe, decide.NotIdempotent, "unsafe")
 	table := func(from map[string]string, to map[string]int, mutation bool) {
 		for _, field := range slices.Sorted(maps.Keys(from)) {
 			i := slices.IndexFunc(r.Classes, func(k decide.Class) bool { return k.Name == from[field] })
 			switch {
 			case i < 0:
 				errs = append(errs, fmt.Errorf("%s: the settings have no class %q", field, from[field]))
-			case mutation && r.Classes[i].Effect == decide.Safe:
+			case mutation && r.Classes[i].Idempotency == decide.Idempotent:
 				errs = append(errs, fmt.Errorf("%s: a mutation must not have class %q, which is safe to repeat",
 					field, from[field]))
 			}
@@ -124,12 +124,12 @@
 	switch x, y := c.class(a), c.class(b); {
 	case a == b:
 		return a
-	case x.Effect != y.Effect:
-		if x.Effect > y.Effect {
+	case x.Idempotency != y.Idempotency:
+		if x.Idempotency > y.Idempotency {
 			return a
 		}
 		return b
-	case x.Effect == decide.Keyed:
+	case x.Idempotency == decide.IdempotentWithKey:
 		return c.unsafe
 	case cmp.Or(cmp.Compare(x.Deadline, y.Deadline), cmp.Compare(a, b)) < 0:
 		return a
--- a/internal/graphql/graphql_test.go
+++ b/internal/graphql/graphql_test.go
@@ -20,11 +20,11 @@
 func rules() Rules {
 	return Rules{
 		Classes: []decide.Class{
-			{Name: "consult", Effect: decide.Safe, Deadline: 2 * time.Second},
-			{Name: "rezervare", Effect: decide.Unsafe, Deadline: time.Second},
-			{Name: "report", Effect: decide.Safe, Deadline: 5 * time.Second},
-			{Name: "notify", Effect: decide.Keyed, Deadline: time.Second},
-			{Name: "note", Effect: decide.Keyed},
+			{Name: "consult", Idempotency: decide.Idempotent, Deadline: 2 * time.Second},
+			{Name: "rezervare", Idempotency: decide.NotIdempotent, Deadline: time.Second},
+			{Name: "report", Idempotency: decide.Idempotent, Deadline: 5 * time.Second},
+			{Name: "notify", Idempotency: decide.IdempotentWithKey, Deadline: time.Second},
+			{Name: "note", Idempotency: decide.IdempotentWithKey},
 		},
 		Queries:   map[string]string{"holdSlot": "rezervare", "report": "report"},
 		Mutations: map[string]string{"remind": "notify", "note": "note"},
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -28,17 +28,17 @@
 	return raw
 }
 
-func goldenHand() Hand {
-	return Hand{
-		Bans:    []core.Ban{{ID: "s-0", Started: 5, Set: 6}, {ID: "s-1", Started: 7, Set: 8, Lifted: 9}},
-		Drained: true, DrainSet: 10,
+func goldenHand() ManualSettings {
+	return ManualSettings{
+		Disabled: []core.DisabledEndpoint{{ID: "s-0", StartedAt: 5, DisabledAt: 6}, {ID: "s-1", StartedAt: 7, DisabledAt: 8, EnabledAt: 9}},
+		Draining: true, DrainSetAt: 10,
 	}
 }
 
 // The file in testdata/golden was written by the build of commit 3bec2d9, under the name that it has there.
 func TestGoldenBansFile(t *testing.T) {
 	folder := t.TempDir()
-	b := NewBans(folder, "n0", at)
+	b := NewSettingsFile(folder, "n0", at)
 	require.Equal(t, "dunestep-a9bba507c866b909.json", filepath.Base(b.path))
 	_, err := b.Update(goldenHand(), 11)
 	require.NoError(t, err)
@@ -92,15 +92,15 @@
 // The frames in testdata/golden were sent by the build of commit 3bec2d9.
 func TestGoldenFrames(t *testing.T) {
 	hand := goldenHand()
-	require.Equal(t, "dunestep-a9bba507c866b909.sock", filepath.Base(place("", "n0", at, "sock")))
-	checkGoldenFrame(t, "hello.frame", hello{Format: format, Agent: "n0"})
+	require.Equal(t, "dunestep-a9bba507c866b909.sock", filepath.Base(pathOf("", "n0", at, "sock")))
+	checkGoldenFrame(t, "hello.frame", hello{Format: protocolFormat, Agent: "n0"})
 	checkGoldenFrame(t, "offer.frame", Offer{
-		Hand: hand, Sockets: 9, MemoryMB: 8, State: []byte("learned"), Fleet: []byte("agreed"),
-		Handed: []string{"tcp 127.0.0.1:9000", "udp 127.0.0.1:9000"},
+		Manual: hand, Descriptors: 9, MemoryMB: 8, State: []byte("learned"), FleetState: []byte("agreed"),
+		SocketNames: []string{"tcp 127.0.0.1:9000", "udp 127.0.0.1:9000"},
 	})
-	checkGoldenFrame(t, "offer-without-fleet.frame", Offer{Sockets: 9, MemoryMB: 8, State: []byte{}, Handed: []string{}})
-	checkGoldenFrame(t, "note-ready.frame", Note{Ready: true})
-	checkGoldenFrame(t, "note-hand.frame", Note{Hand: &hand})
-	checkGoldenFrame(t, "note-sockets.frame", Note{Sockets: 7})
-	checkGoldenFrame(t, "note-empty.frame", Note{})
+	checkGoldenFrame(t, "offer-without-fleet.frame", Offer{Descriptors: 9, MemoryMB: 8, State: []byte{}, SocketNames: []string{}})
+	checkGoldenFrame(t, "note-ready.frame", Notification{Ready: true})
+	checkGoldenFrame(t, "note-hand.frame", Notification{Manual: &hand})
+	checkGoldenFrame(t, "note-sockets.frame", Notification{Descriptors: 7})
+	checkGoldenFrame(t, "note-empty.frame", Notification{})
 }
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -23,25 +23,25 @@
 
 // What is written is read; nothing is nothing.
 func TestBansFile(t *testing.T) {
-	b := NewBans(t.TempDir(), "n0", at)
+	b := NewSettingsFile(t.TempDir(), "n0", at)
 	h, err := b.Read()
 	require.NoError(t, err)
 	require.Empty(t, h)
-	want := Hand{Drained: true, Bans: []core.Ban{{ID: "s-0", Started: 5}, {ID: "s-1", Lifted: 7}}}
+	want := ManualSettings{Draining: true, Disabled: []core.DisabledEndpoint{{ID: "s-0", StartedAt: 5}, {ID: "s-1", EnabledAt: 7}}}
 	h, err = b.Update(want, 8)
 	require.NoError(t, err)
 	require.Equal(t, want, h)
 	h, err = b.Read()
 	require.NoError(t, err)
 	require.Equal(t, want, h)
-	h, err = b.Update(Hand{Bans: []core.Ban{{ID: "s-0", Lifted: 9}}}, 9+liftedFor)
+	h, err = b.Update(ManualSettings{Disabled: []core.DisabledEndpoint{{ID: "s-0", EnabledAt: 9}}}, 9+enabledRetention)
 	require.NoError(t, err)
-	require.Equal(t, Hand{Bans: []core.Ban{{ID: "s-0", Lifted: 9}}}, h, "a lift is forgotten in time, and no drain is taken over")
+	require.Equal(t, ManualSettings{Disabled: []core.DisabledEndpoint{{ID: "s-0", EnabledAt: 9}}}, h, "a lift is forgotten in time, and no drain is taken over")
 	require.NoError(t, os.WriteFile(b.path, []byte("{"), 0o600))
 	h, err = b.Update(want, 8)
 	require.NoError(t, err, "what can't be read is replaced")
 	require.Equal(t, want, h)
-	other := &Bans{path: b.path, agent: "n1"}
+	other := &SettingsFile{path: b.path, agent: "n1"}
 	_, err = other.Read()
 	require.ErrorContains(t, err, `it is of agent "n0"`)
 }
@@ -53,38 +53,38 @@
 	const each = 40
 	for process := range 2 {
 		told.Go(func() {
-			b, set := NewBans(folder, "n0", at), Hand{}
+			b, set := NewSettingsFile(folder, "n0", at), ManualSettings{}
 			for i := range each {
-				set.Bans = core.MergeBans(set.Bans, []core.Ban{{ID: fmt.Sprint(process, "-", i), Set: 1}})
+				set.Disabled = core.MergeDisabled(set.Disabled, []core.DisabledEndpoint{{ID: fmt.Sprint(process, "-", i), DisabledAt: 1}})
 				_, err := b.Update(set, 2)
 				require.NoError(t, err)
 			}
 		})
 	}
 	told.Wait()
-	h, err := NewBans(folder, "n0", at).Read()
+	h, err := NewSettingsFile(folder, "n0", at).Read()
 	require.NoError(t, err)
-	require.Len(t, h.Bans, 2*each)
+	require.Len(t, h.Disabled, 2*each)
 }
 
 // A note that is told before the offer comes after it.
 func TestNotesWaitForTheOffer(t *testing.T) {
 	folder := t.TempDir()
-	m, err := Await(folder, "n0", at)
+	m, err := Listen(folder, "n0", at)
 	require.NoError(t, err)
 	go m.Serve(func(error) {}, func(p *Peer) bool {
-		p.Tell(Note{Sockets: 7})
-		_ = p.Give(Offer{Sockets: 9, MemoryMB: 8}, nil)
-		p.Tell(Note{Sockets: 6})
-		p.Listen(func(Note) {})
+		p.Notify(Notification{Descriptors: 7})
+		_ = p.SendOffer(Offer{Descriptors: 9, MemoryMB: 8}, nil)
+		p.Notify(Notification{Descriptors: 6})
+		p.Receive(func(Notification) {})
 		return false
 	})
-	p, offer, _, err := Meet(folder, "n0", at)
+	p, offer, _, err := Connect(folder, "n0", at)
 	require.NoError(t, err)
-	require.Equal(t, 9, offer.Sockets)
+	require.Equal(t, 9, offer.Descriptors)
 	var notes []int
-	p.Listen(func(n Note) {
-		if notes = append(notes, n.Sockets); len(notes) == 2 {
+	p.Receive(func(n Notification) {
+		if notes = append(notes, n.Descriptors); len(notes) == 2 {
 			p.Close()
 		}
 	})
@@ -94,41 +94,41 @@
 // Two processes meet: the offer comes with its sockets, which both listen at, and notes go both ways.
 func TestMeeting(t *testing.T) {
 	folder := t.TempDir()
-	_, _, _, err := Meet(folder, "n0", at)
-	require.ErrorIs(t, err, ErrAlone)
-	m, err := Await(folder, "n0", at)
+	_, _, _, err := Connect(folder, "n0", at)
+	require.ErrorIs(t, err, ErrNoPeer)
+	m, err := Listen(folder, "n0", at)
 	require.NoError(t, err)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
 	offer := Offer{
-		Hand: Hand{Bans: []core.Ban{{ID: "s-0"}}}, Sockets: 9, MemoryMB: 8, State: []byte("learned"),
-		Handed: []string{"tcp x"},
+		Manual: ManualSettings{Disabled: []core.DisabledEndpoint{{ID: "s-0"}}}, Descriptors: 9, MemoryMB: 8, State: []byte("learned"),
+		SocketNames: []string{"tcp x"},
 	}
-	refused, heard, served := make(chan error, 1), make(chan Note, 1), make(chan struct{})
+	refused, heard, served := make(chan error, 1), make(chan Notification, 1), make(chan struct{})
 	go func() {
 		defer close(served)
 		first := true
 		m.Serve(func(err error) { refused <- err }, func(p *Peer) bool {
 			if !first {
-				_ = p.Give(Offer{Sockets: 9, MemoryMB: 8}, nil)
+				_ = p.SendOffer(Offer{Descriptors: 9, MemoryMB: 8}, nil)
 				return false
 			}
 			first = false
-			_ = p.Give(offer, []syscall.Conn{l.(*net.TCPListener)})
-			p.Listen(func(n Note) {
+			_ = p.SendOffer(offer, []syscall.Conn{l.(*net.TCPListener)})
+			p.Receive(func(n Notification) {
 				heard <- n
-				p.Tell(Note{Sockets: 7})
+				p.Notify(Notification{Descriptors: 7})
 			})
 			return true
 		})
 	}()
-	stranger, err := net.Dial("unix", place(folder, "n0", at, "sock"))
+	stranger, err := net.Dial("unix", pathOf(folder, "n0", at, "sock"))
 	require.NoError(t, err)
 	_, _ = stranger.Write([]byte("\xff\xff\xff\xff"))
 	require.Error(t, <-refused)
 	_ = stranger.Close()
-	p, got, sockets, err := Meet(folder, "n0", at)
+	p, got, sockets, err := Connect(folder, "n0", at)
 	require.NoError(t, err)
 	require.Equal(t, offer, got)
 	inherited, err := net.FileListener(sockets["tcp x"])
@@ -140,18 +140,18 @@
 	require.NoError(t, err)
 	_ = c.Close()
 	_ = inherited.Close()
-	p.Tell(Note{Ready: true})
-	require.Equal(t, Note{Ready: true}, <-heard)
+	p.Notify(Notification{Ready: true})
+	require.Equal(t, Notification{Ready: true}, <-heard)
 	// The one that took over took the place too, and died: it is the first one's again.
-	dead := &Meeting{path: m.path, agent: "n0"}
-	require.NoError(t, dead.claim())
+	dead := &Listener{path: m.path, agent: "n0"}
+	require.NoError(t, dead.bind())
 	_ = dead.listener.Close()
-	p.Listen(func(n Note) {
-		require.Equal(t, Note{Sockets: 7}, n)
+	p.Receive(func(n Notification) {
+		require.Equal(t, Notification{Descriptors: 7}, n)
 		p.Close()
 	})
 	require.Eventually(t, func() bool {
-		p, _, sockets, err := Meet(folder, "n0", at)
+		p, _, sockets, err := Connect(folder, "n0", at)
 		if err == nil {
 			require.Empty(t, sockets)
 			p.Close()
@@ -166,7 +166,7 @@
 	f.Add([]byte(`{"format":1,"agent":"n0","bans":[{"id":"s-0","started_ns":5}],"drained":true}`))
 	f.Add([]byte(`{"format":1,"agent":"n0","bans":[{"id":""}]}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		if h, err := decodeHand(raw, "n0"); err == nil {
+		if h, err := decodeSettings(raw, "n0"); err == nil {
 			require.NoError(t, h.check())
 		}
 	})
@@ -192,8 +192,8 @@
 		_ = ends[0].CloseWrite()
 		_ = ends[1].SetDeadline(time.Now().Add(time.Second))
 		p := &Peer{conn: ends[1]}
-		if offer, sockets, err := p.ask("n0"); err == nil {
-			require.Positive(t, offer.Sockets)
+		if offer, sockets, err := p.receiveOffer("n0"); err == nil {
+			require.Positive(t, offer.Descriptors)
 			require.Empty(t, sockets)
 		}
 	})
@@ -202,8 +202,8 @@
 // A name that is too long for a socket is told, not cut.
 func TestLongFolder(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "a-folder-whose-name-is-far-too-long-for-the-name-of-a-socket-in-any-system-that-we-know-of")
-	_, err := Await(folder, "n0", at)
+	_, err := Listen(folder, "n0", at)
 	require.ErrorContains(t, err, "too long")
-	_, _, _, err = Meet(folder, "n0", at)
+	_, _, _, err = Connect(folder, "n0", at)
 	require.ErrorContains(t, err, "too long")
 }
--- a/internal/handover/meeting.go
+++ b/internal/handover/meeting.go
@@ -15,39 +15,39 @@
 )
 
 const (
-	format = 1
-	// maxFrame bounds what one side may make the other hold.
-	maxFrame = 8 << 20
-	// meetWait is how long a meeting may take: the new process has a few seconds to be ready in.
-	meetWait = 1500 * time.Millisecond
-	// noteWait is how long the other side has to take a note.
-	noteWait = time.Second
-	// mostSockets is how many sockets are handed over.
-	mostSockets = 16
-	// longestPath is what a Unix socket's name holds.
-	longestPath = 100
+	protocolFormat = 1
+	// maxFrameBytes bounds what one side may make the other hold.
+	maxFrameBytes = 8 << 20
+	// handshakeTimeout is how long a meeting may take: the new process has a few seconds to be ready in.
+	handshakeTimeout = 1500 * time.Millisecond
+	// notifyTimeout is how long the other side has to take a note.
+	notifyTimeout = time.Second
+	// maxSockets is how many sockets are handed over.
+	maxSockets = 16
+	// maxSocketPath is what a Unix socket's name holds.
+	maxSocketPath = 100
 )
 
-// ErrAlone means that no other process of this agent is there.
-var ErrAlone = errors.New("no other process of this agent is there")
+// ErrNoPeer means that no other process of this agent is there.
+var ErrNoPeer = errors.New("no other process of this agent is there")
 
 // Offer is what a process gives to the one that takes over.
 type Offer struct {
-	Hand     Hand   `json:"hand"`
-	Sockets  int    `json:"sockets"`   // descriptors that the new process may hold for now
-	MemoryMB int64  `json:"memory_mb"` // and memory
-	State    []byte `json:"state"`     // what was learned, as internal/state lays it out; empty: nothing
-	// Fleet is what the agents of the fleet had agreed on, as the program lays it out; empty: nothing.
-	Fleet []byte `json:"fleet,omitempty"`
-	// Handed names the sockets that come with it, in order: by their addresses, with the network before.
-	Handed []string `json:"handed"`
+	Manual      ManualSettings `json:"hand"`
+	Descriptors int            `json:"sockets"`   // descriptors that the new process may hold for now
+	MemoryMB    int64          `json:"memory_mb"` // and memory
+	State       []byte         `json:"state"`     // what was learned, as internal/state lays it out; empty: nothing
+	// FleetState is what the agents of the fleet had agreed on, as the program lays it out; empty: nothing.
+	FleetState []byte `json:"fleet,omitempty"`
+	// SocketNames names the sockets that come with it, in order: by their addresses, with the network before.
+	SocketNames []string `json:"handed"`
 }
 
-// Note is what two processes tell one another while both run. Absent fields say nothing.
-type Note struct {
-	Ready   bool  `json:"ready,omitempty"`   // the new process takes clients
-	Hand    *Hand `json:"hand,omitempty"`    // staff have set something
-	Sockets int   `json:"sockets,omitempty"` // descriptors that the other may hold from now on
+// Notification is what two processes tell one another while both run. Absent fields say nothing.
+type Notification struct {
+	Ready       bool            `json:"ready,omitempty"`   // the new process takes clients
+	Manual      *ManualSettings `json:"hand,omitempty"`    // staff have set something
+	Descriptors int             `json:"sockets,omitempty"` // descriptors that the other may hold from now on
 }
 
 // hello is what a new process begins with.
@@ -58,42 +58,42 @@
 
 // Peer is the other process, while both run.
 type Peer struct {
-	conn *net.UnixConn
-	mu   sync.Mutex // one frame after the other
-	owed bool       // the offer, which comes before any note
-	kept []Note     // until then
+	conn         *net.UnixConn
+	mu           sync.Mutex     // one frame after the other
+	offerPending bool           // the offer, which comes before any note
+	queued       []Notification // until then
 }
 
-// Tell sends a note; one that can't be sent ends the meeting. Guards against a note that comes before the
+// Notify sends a note; one that can't be sent ends the meeting. Guards against a note that comes before the
 // offer and would be taken for it: it waits for the offer.
-func (p *Peer) Tell(n Note) {
+func (p *Peer) Notify(n Notification) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.owed {
-		p.kept = append(p.kept, n)
+	if p.offerPending {
+		p.queued = append(p.queued, n)
 		return
 	}
 	p.send(n)
 }
 
 // send sends a note; mu is held.
-func (p *Peer) send(n Note) {
-	_ = p.conn.SetWriteDeadline(time.Now().Add(noteWait))
+func (p *Peer) send(n Notification) {
+	_ = p.conn.SetWriteDeadline(time.Now().Add(notifyTimeout))
 	if err := writeFrame(p.conn, n, nil); err != nil {
 		p.Close()
 	}
 }
 
-// Listen hands every note to told, until the other process ends or says what can't be understood.
-func (p *Peer) Listen(told func(Note)) {
+// Receive hands every note to told, until the other process ends or says what can't be understood.
+func (p *Peer) Receive(told func(Notification)) {
 	defer p.Close()
 	_ = p.conn.SetReadDeadline(time.Time{})
 	for {
-		var n Note
+		var n Notification
 		if err := readFrame(p.conn, &n); err != nil {
 			return
 		}
-		if n.Sockets < 0 || n.Hand != nil && n.Hand.check() != nil {
+		if n.Descriptors < 0 || n.Manual != nil && n.Manual.check() != nil {
 			return
 		}
 		told(n)
@@ -103,22 +103,22 @@
 // Close ends the meeting.
 func (p *Peer) Close() { _ = p.conn.Close() }
 
-// Meet goes to the process that runs, takes its offer and the sockets that come with it. ErrAlone: there is
+// Connect goes to the process that runs, takes its offer and the sockets that come with it. ErrNoPeer: there is
 // none. Any other error says why the two can't get on; nothing has been taken then.
-func Meet(folder, agent string, listen netip.AddrPort) (*Peer, Offer, map[string]*os.File, error) {
-	path := place(folder, agent, listen, "sock")
-	if len(path) > longestPath {
+func Connect(folder, agent string, listen netip.AddrPort) (*Peer, Offer, map[string]*os.File, error) {
+	path := pathOf(folder, agent, listen, "sock")
+	if len(path) > maxSocketPath {
 		return nil, Offer{}, nil, fmt.Errorf("the name is too long for a socket: %s", path)
 	}
-	conn, err := net.DialTimeout("unix", path, meetWait)
+	conn, err := net.DialTimeout("unix", path, handshakeTimeout)
 	if errors.Is(err, syscall.ENOENT) || errors.Is(err, syscall.ECONNREFUSED) {
-		return nil, Offer{}, nil, ErrAlone
+		return nil, Offer{}, nil, ErrNoPeer
 	}
 	if err != nil {
 		return nil, Offer{}, nil, err
 	}
 	p := &Peer{conn: conn.(*net.UnixConn)}
-	offer, sockets, err := p.ask(agent)
+	offer, sockets, err := p.receiveOffer(agent)
 	if err != nil {
 		p.Close()
 		return nil, Offer{}, nil, err
@@ -126,20 +126,20 @@
 	return p, offer, sockets, nil
 }
 
-func (p *Peer) ask(agent string) (offer Offer, sockets map[string]*os.File, err error) {
-	_ = p.conn.SetDeadline(time.Now().Add(meetWait))
+func (p *Peer) receiveOffer(agent string) (offer Offer, sockets map[string]*os.File, err error) {
+	_ = p.conn.SetDeadline(time.Now().Add(handshakeTimeout))
 	if err := sameUser(p.conn); err != nil {
 		return offer, nil, err
 	}
-	if err := writeFrame(p.conn, hello{Format: format, Agent: agent}, nil); err != nil {
+	if err := writeFrame(p.conn, hello{Format: protocolFormat, Agent: agent}, nil); err != nil {
 		return offer, nil, err
 	}
-	files, err := receive(p.conn, &offer)
-	if err == nil && (offer.Sockets <= 0 || offer.MemoryMB <= 0 || len(files) != len(offer.Handed)) {
+	files, err := readFrameWithFiles(p.conn, &offer)
+	if err == nil && (offer.Descriptors <= 0 || offer.MemoryMB <= 0 || len(files) != len(offer.SocketNames)) {
 		err = errors.New("the offer does not fit together")
 	}
 	if err == nil {
-		err = offer.Hand.check()
+		err = offer.Manual.check()
 	}
 	if err != nil {
 		for _, f := range files {
@@ -149,28 +149,28 @@
 	}
 	sockets = map[string]*os.File{}
 	for i, f := range files {
-		sockets[offer.Handed[i]] = f
+		sockets[offer.SocketNames[i]] = f
 	}
 	return offer, sockets, nil
 }
 
-// Meeting is where a running process can be met.
-type Meeting struct {
+// Listener is where a running process can be met.
+type Listener struct {
 	listener    *net.UnixListener
 	path, agent string
 }
 
-// Await has this process be met at the agent's place from now on, in place of any that was there.
-func Await(folder, agent string, listen netip.AddrPort) (*Meeting, error) {
-	m := &Meeting{path: place(folder, agent, listen, "sock"), agent: agent}
-	if len(m.path) > longestPath {
+// Receive has this process be met at the agent's place from now on, in place of any that was there.
+func Listen(folder, agent string, listen netip.AddrPort) (*Listener, error) {
+	m := &Listener{path: pathOf(folder, agent, listen, "sock"), agent: agent}
+	if len(m.path) > maxSocketPath {
 		return nil, fmt.Errorf("the name is too long for a socket: %s", m.path)
 	}
-	return m, m.claim()
+	return m, m.bind()
 }
 
 // claim takes the place.
-func (m *Meeting) claim() error {
+func (m *Listener) bind() error {
 	own := fmt.Sprintf("%s.%d", m.path, os.Getpid())
 	_ = os.Remove(own)
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: own, Net: "unix"})
@@ -192,14 +192,14 @@
 // Serve meets new processes, one after the other: heir is called with each, and returns when it has gone,
 // with true where this process goes on: then the place, which that one may have taken, is this one's again.
 // It returns otherwise, or when no place is to be had. A stranger, or one that says nothing, is sent away.
-func (m *Meeting) Serve(refused func(error), heir func(*Peer) (goesOn bool)) {
+func (m *Listener) Serve(refused func(error), heir func(*Peer) (goesOn bool)) {
 	for {
 		conn, err := m.listener.AcceptUnix()
 		if err != nil {
 			return
 		}
-		p := &Peer{conn: conn, owed: true}
-		if err := p.greeted(m.agent); err != nil {
+		p := &Peer{conn: conn, offerPending: true}
+		if err := p.receiveHello(m.agent); err != nil {
 			refused(err)
 			p.Close()
 			continue
@@ -210,15 +210,15 @@
 			_ = m.listener.Close()
 			return
 		}
-		if err := m.claim(); err != nil {
+		if err := m.bind(); err != nil {
 			refused(err)
 			return
 		}
 	}
 }
 
-func (p *Peer) greeted(agent string) error {
-	_ = p.conn.SetDeadline(time.Now().Add(meetWait))
+func (p *Peer) receiveHello(agent string) error {
+	_ = p.conn.SetDeadline(time.Now().Add(handshakeTimeout))
 	var h hello
 	if err := sameUser(p.conn); err != nil {
 		return err
@@ -226,14 +226,14 @@
 	if err := readFrame(p.conn, &h); err != nil {
 		return err
 	}
-	if h.Format != format || h.Agent != agent {
+	if h.Format != protocolFormat || h.Agent != agent {
 		return fmt.Errorf("format %d, agent %q", h.Format, h.Agent)
 	}
 	return nil
 }
 
-// Give sends the offer, with the sockets that it names. They stay this process's too.
-func (p *Peer) Give(o Offer, sockets []syscall.Conn) error {
+// SendOffer sends the offer, with the sockets that it names. They stay this process's too.
+func (p *Peer) SendOffer(o Offer, sockets []syscall.Conn) error {
 	var own []int
 	defer func() {
 		for _, fd := range own {
@@ -249,12 +249,12 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	_ = p.conn.SetDeadline(time.Now().Add(meetWait))
+	_ = p.conn.SetDeadline(time.Now().Add(handshakeTimeout))
 	err := writeFrame(p.conn, o, own)
-	for _, n := range p.kept {
+	for _, n := range p.queued {
 		p.send(n)
 	}
-	p.owed, p.kept = false, nil
+	p.offerPending, p.queued = false, nil
 	return err
 }
 
@@ -304,7 +304,7 @@
 	if err != nil {
 		return err
 	}
-	if len(raw) > maxFrame {
+	if len(raw) > maxFrameBytes {
 		return errors.New("too long")
 	}
 	head := binary.BigEndian.AppendUint32(nil, uint32(len(raw)))
@@ -320,7 +320,7 @@
 }
 
 func readFrame(c *net.UnixConn, v any) error {
-	files, err := receive(c, v)
+	files, err := readFrameWithFiles(c, v)
 	for _, f := range files { // none belongs there
 		_ = f.Close()
 	}
@@ -328,13 +328,13 @@
 }
 
 // receive reads a value and the descriptors that come with it, which are the caller's to close.
-func receive(c *net.UnixConn, v any) ([]*os.File, error) {
-	head, rights := make([]byte, 4), make([]byte, syscall.CmsgSpace(4*mostSockets))
+func readFrameWithFiles(c *net.UnixConn, v any) ([]*os.File, error) {
+	head, rights := make([]byte, 4), make([]byte, syscall.CmsgSpace(4*maxSockets))
 	n, m, flags, _, err := c.ReadMsgUnix(head, rights)
 	if err != nil {
 		return nil, err
 	}
-	files, err := take(rights[:m])
+	files, err := filesOf(rights[:m])
 	if err != nil {
 		return files, err
 	}
@@ -345,7 +345,7 @@
 		return files, err
 	}
 	length := binary.BigEndian.Uint32(head)
-	if length > maxFrame {
+	if length > maxFrameBytes {
 		return files, fmt.Errorf("%d bytes are too long", length)
 	}
 	raw, err := io.ReadAll(io.LimitReader(c, int64(length))) // as it comes: a length alone costs no memory
@@ -359,7 +359,7 @@
 }
 
 // take finds the descriptors in what came beside a frame.
-func take(rights []byte) (files []*os.File, err error) {
+func filesOf(rights []byte) (files []*os.File, err error) {
 	messages, err := syscall.ParseSocketControlMessage(rights)
 	if err != nil {
 		return nil, err
--- a/internal/protocol/config.go
+++ b/internal/protocol/config.go
@@ -16,11 +16,11 @@
 	Seed      uint64
 	Limits    Limits
 	// PeerListen, Peers and PeersAll are set where the settings let agents talk to one another.
-	PeerListen netip.AddrPort
-	Peers      []netip.AddrPort // by the agents' numbers, this one's own included
-	PeersAll   netip.AddrPort
-	Known      PoolConfig // the booking servers as last had; may be old
-	Settings   Settings
+	PeerListen     netip.AddrPort
+	Peers          []netip.AddrPort // by the agents' numbers, this one's own included
+	PeersAll       netip.AddrPort
+	KnownEndpoints EndpointList // the booking servers as last had; may be old
+	Settings       Settings
 }
 
 // Limits is what the agent's machine gives it.
@@ -44,7 +44,7 @@
 
 // decodeConfig decodes the configuration file and notes all that is wrong with its values; the error is
 // that it can't be read.
-func decodeConfig(raw []byte) (Config, []wrong, error) {
+func decodeConfig(raw []byte) (Config, []configError, error) {
 	var f struct {
 		Name      string `json:"name"`
 		Listen    string `json:"listen"`
@@ -66,9 +66,9 @@
 		return Config{}, nil, fmt.Errorf("config: %w", err)
 	}
 	c := Config{Name: f.Name, Limits: Limits(f.Limits)}
-	var errs []wrong
+	var errs []configError
 	note := func(path, format string, args ...any) {
-		errs = append(errs, wrong{path, fmt.Errorf("config: "+format, args...)})
+		errs = append(errs, configError{path, fmt.Errorf("config: "+format, args...)})
 	}
 	addr := func(key, text string, needed bool) (a netip.AddrPort) {
 		if text == "" && !needed {
@@ -96,7 +96,7 @@
 	}
 	bad := func(err error) { note("known", "known: %w", err) }
 	if len(f.Known) > 0 {
-		if c.Known, err = DecodePoolConfig(f.Known, bad); err != nil {
+		if c.KnownEndpoints, err = DecodeEndpointList(f.Known, bad); err != nil {
 			note("known", "known: %w", err)
 		}
 	}
@@ -104,7 +104,7 @@
 		note("settings", "no settings")
 	} else if c.Settings, err = DecodeSettings(f.Settings); err != nil {
 		note("settings", "%w", err)
-	} else if s := c.Settings; s.ConnIdle <= 0 || s.ConnectTimeout <= 0 {
+	} else if s := c.Settings; s.ConnIdleTimeout <= 0 || s.ConnectTimeout <= 0 {
 		note("settings.bounds", "settings: bounds: connIdle and connectTimeout must be above zero")
 	}
 	return c, errs, nil
--- a/internal/protocol/configcheck.go
+++ b/internal/protocol/configcheck.go
@@ -19,13 +19,13 @@
 func (p ConfigProblem) String() string { return fmt.Sprintf("%d:%d: %s", p.Line, p.Column, p.Text) }
 
 // wrong is a value that can't be used, by its path in the file.
-type wrong struct {
+type configError struct {
 	path string
 	err  error
 }
 
-// mostProblems are told of a file. Guards against a file that is not a configuration at all.
-const mostProblems = 50
+// maxProblems are told of a file. Guards against a file that is not a configuration at all.
+const maxProblems = 50
 
 // CheckConfig tells all that is wrong with a configuration file, in the order of the file. Further looks at
 // what could be read, and tells by which key a further problem is.
@@ -38,7 +38,7 @@
 	var odd []string // values of the wrong type, of which each ends a reading: it goes on without them
 	text, now := raw, places
 	c, errs, err := decodeConfig(text)
-	for len(odd) < mostProblems {
+	for len(odd) < maxProblems {
 		v, kind, found := now.mistyped(err, errs)
 		if !found {
 			break
@@ -73,7 +73,7 @@
 }
 
 // mistyped finds the value that a reading's error, or one of a part's, says to be of the wrong type.
-func (p valuePlaces) mistyped(err error, errs []wrong) (v valuePlace, kind string, found bool) {
+func (p valuePlaces) mistyped(err error, errs []configError) (v valuePlace, kind string, found bool) {
 	var m *json.UnmarshalTypeError
 	if errors.As(err, &m) {
 		return p.at(m.Offset), m.Value, true
--- a/internal/protocol/datagram.go
+++ b/internal/protocol/datagram.go
@@ -23,16 +23,16 @@
 	errStranger = errors.New("the sender is not among the peers")
 )
 
-// Agents turns agents' numbers into addresses and back.
-type Agents struct {
+// PeerAddresses turns agents' numbers into addresses and back.
+type PeerAddresses struct {
 	peers  []netip.AddrPort
 	all    netip.AddrPort
 	number map[netip.AddrPort]int
 }
 
-// NewAgents takes the addresses of the configuration.
-func NewAgents(peers []netip.AddrPort, all netip.AddrPort) *Agents {
-	a := &Agents{peers: peers, all: all, number: make(map[netip.AddrPort]int, len(peers))}
+// NewPeerAddresses takes the addresses of the configuration.
+func NewPeerAddresses(peers []netip.AddrPort, all netip.AddrPort) *PeerAddresses {
+	a := &PeerAddresses{peers: peers, all: all, number: make(map[netip.AddrPort]int, len(peers))}
 	for i, p := range peers {
 		a.number[p] = i
 	}
@@ -40,7 +40,7 @@
 }
 
 // Decode tells who sent the bytes; the data is a copy.
-func (a *Agents) Decode(from netip.AddrPort, data []byte) (Datagram, error) {
+func (a *PeerAddresses) Decode(from netip.AddrPort, data []byte) (Datagram, error) {
 	n, ok := a.number[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
 	if !ok {
 		return Datagram{}, errStranger
@@ -52,7 +52,7 @@
 }
 
 // Encode tells where a datagram goes.
-func (a *Agents) Encode(d Datagram) (netip.AddrPort, []byte, error) {
+func (a *PeerAddresses) Encode(d Datagram) (netip.AddrPort, []byte, error) {
 	to := a.all
 	if d.Agent != AllAgents {
 		if d.Agent < 0 || d.Agent >= len(a.peers) {
--- a/internal/protocol/golden_discovery_test.go
+++ b/internal/protocol/golden_discovery_test.go
@@ -43,21 +43,21 @@
 }
 
 // list adds a list of servers by the keys that discovery writes.
-func (g *golden) list(key string, p PoolConfig) {
+func (g *golden) list(key string, p EndpointList) {
 	g.add(key+"version", p.Version)
 	g.add(key+"full", p.Full)
-	for i, s := range p.Servers {
+	for i, s := range p.Endpoints {
 		at := fmt.Sprintf("%sservers[%d].", key, i)
 		g.add(at+"id", s.ID)
 		g.add(at+"addr", s.Addr)
 		g.add(at+"zone", s.Zone)
-		g.add(at+"kind", s.Kind)
+		g.add(at+"kind", s.MachineKind)
 		g.add(at+"cell", s.Cell)
 		g.add(at+"state", map[decide.ServerState]string{
 			decide.Ready: "active", decide.Draining: "leaving", decide.Gone: "left",
 		}[s.State])
 		g.add(at+"weight", s.Weight)
-		g.add(at+"started", s.Started)
+		g.add(at+"started", s.StartedAt)
 	}
 }
 
@@ -67,59 +67,59 @@
 	g.add("ordinal", s.Self)
 	g.add("zone", s.Zone)
 	g.add("resolution", s.Tick)
-	g.add("overShareWorth", s.OverShareWorth)
-	g.add("discovery: on_request", s.OnRequest)
-	g.add("clientHabits.marksRetry", s.MarksRetry)
+	g.add("overShareWorth", s.OverQuotaWeight)
+	g.add("discovery: on_request", s.DiscoveryOnDemand)
+	g.add("clientHabits.marksRetry", s.ClientsMarkRetries)
 	for i, c := range s.Classes {
 		at := fmt.Sprintf("categories[%d].", i)
 		g.add(at+"name", c.Name)
-		g.add(at+"effect", map[decide.Effect]string{
-			decide.Safe: "retryable", decide.Keyed: "dedup", decide.Unsafe: "once",
-		}[c.Effect])
-		g.add(at+"keyScope", map[decide.Scope]string{
-			decide.ScopeAll: "all", decide.ScopeZone: "zone", decide.ScopeCell: "cell",
-		}[c.Scope])
-		g.add(at+"aim", c.Aim)
+		g.add(at+"effect", map[decide.Idempotency]string{
+			decide.Idempotent: "retryable", decide.IdempotentWithKey: "dedup", decide.NotIdempotent: "once",
+		}[c.Idempotency])
+		g.add(at+"keyScope", map[decide.DedupScope]string{
+			decide.DedupScopeAll: "all", decide.DedupScopeZone: "zone", decide.DedupScopeCell: "cell",
+		}[c.DedupScope])
+		g.add(at+"aim", c.LatencyObjective)
 		g.add(at+"deadline", c.Deadline)
-		g.add(at+"memorySpan", c.Memory)
-		g.add(at+"aimStretch", c.AimStretch)
-		g.add(at+"lateWorth", c.LateWorth)
-		g.add(at+"value", c.Worth)
-		g.add(at+"stream", c.Stream)
+		g.add(at+"memorySpan", c.DedupWindow)
+		g.add(at+"aimStretch", c.ObjectivePerWork)
+		g.add(at+"lateWorth", c.LateWeight)
+		g.add(at+"value", c.PriorityWeight)
+		g.add(at+"stream", c.Streaming)
 	}
 	for i, t := range s.Tenants {
 		at := fmt.Sprintf("customers[%d].", i)
 		g.add(at+"name", t.Name)
-		g.add(at+"quotaPerS", t.QuotaPerS)
+		g.add(at+"quotaPerS", t.QuotaPerSecond)
 		g.add(at+"share", t.Share)
 	}
 	g.add("bounds.cancel", s.Limits.Cancel)
-	g.add("bounds.mayTell", s.Limits.Peers)
+	g.add("bounds.mayTell", s.Limits.Gossip)
 	g.add("bounds.probes", s.Limits.Probes)
 	g.add("bounds.retryAfter", s.Limits.RetryAfter)
-	g.add("bounds.secondCopies", s.Limits.SecondCopies)
+	g.add("bounds.secondCopies", s.Limits.Hedging)
 	g.add("bounds.sendCap", s.Limits.MaxAttempts)
 	g.add("bounds.maxRetryAfter", s.Limits.MaxRetryAfter)
-	g.add("bounds.connIdle", s.ConnIdle)
+	g.add("bounds.connIdle", s.ConnIdleTimeout)
 	g.add("bounds.connectTimeout", s.ConnectTimeout)
-	g.add("rules.askWithin", s.Rules.AskWithin)
-	g.add("rules.cold", s.Rules.ColdFor)
-	g.add("rules.fall", s.Rules.FallWindow)
+	g.add("rules.askWithin", s.Rules.MaxPollInterval)
+	g.add("rules.cold", s.Rules.SlowStartDuration)
+	g.add("rules.fall", s.Rules.OverloadWindow)
 	g.add("rules.stopSendingWithin", s.Rules.DrainGrace)
-	g.add("rules.fallMultiple", s.Rules.FallMultiple)
-	g.add("rules.startCapacity", s.Rules.ColdShare)
-	g.add("rules.onlyDrainingBinds", s.Rules.OnlyDrainingBind)
-	g.add("prices.crossZone", s.Prices.CrossZone)
-	g.add("prices.waste", s.Prices.Waste)
-	g.add("prices.probe", s.Prices.Probe)
-	g.add("prices.peer", s.Prices.Peer)
-	g.add("prices.lateFail", s.Prices.LateFail)
-	g.add("goal.whole", s.Goal.Whole)
-	g.add("goal.worstWindow", s.Goal.WorstWindow)
-	g.add("goal.worstClass", s.Goal.WorstClass)
-	g.add("goal.worstTenant", s.Goal.WorstTenant)
-	g.add("goal.slowEnd", s.Goal.SlowEnd)
-	g.add("goal.tailMiss", s.Goal.TailMiss)
+	g.add("rules.fallMultiple", s.Rules.OverloadMultiple)
+	g.add("rules.startCapacity", s.Rules.SlowStartCapacity)
+	g.add("rules.onlyDrainingBinds", s.Rules.GoneUsable)
+	g.add("prices.crossZone", s.Costs.CrossZone)
+	g.add("prices.waste", s.Costs.WastedWork)
+	g.add("prices.probe", s.Costs.Probe)
+	g.add("prices.peer", s.Costs.PeerMessage)
+	g.add("prices.lateFail", s.Costs.LateFailure)
+	g.add("goal.whole", s.ScoreWeights.Total)
+	g.add("goal.worstWindow", s.ScoreWeights.WorstWindow)
+	g.add("goal.worstClass", s.ScoreWeights.WorstClass)
+	g.add("goal.worstTenant", s.ScoreWeights.WorstTenant)
+	g.add("goal.slowEnd", s.ScoreWeights.TailLatency)
+	g.add("goal.tailMiss", s.ScoreWeights.TailMissRatio)
 }
 
 // TestConfigGolden: what each key of LB_CONFIG comes to, and what is said where it is wrong.
@@ -142,7 +142,7 @@
 				g.add(fmt.Sprintf("peers[%d]", i), p)
 			}
 			g.add("peers_all", c.PeersAll)
-			g.list("known.", c.Known)
+			g.list("known.", c.KnownEndpoints)
 			g.settings(c.Settings)
 			g.check(t, name+".txt")
 		})
@@ -165,7 +165,7 @@
 	for line := range strings.Lines(string(readGolden(t, "discovery.jsonl"))) {
 		n++
 		dropped := 0
-		p, err := DecodePoolConfig([]byte(line), func(err error) {
+		p, err := DecodeEndpointList([]byte(line), func(err error) {
 			require.Error(t, err)
 			dropped++
 		})
@@ -183,8 +183,8 @@
 // TestDiscoveryCallGolden: the calls to discovery, byte for byte, and the heads of its answers.
 func TestDiscoveryCallGolden(t *testing.T) {
 	var b []byte
-	for _, c := range []ListCall{{}, {Watch: true}, {Watch: true, From: 1234567890123}, {Watch: true, From: -1}} {
-		b = AppendListCall(b, "127.0.0.1:9002", c)
+	for _, c := range []ListRequest{{}, {Watch: true}, {Watch: true, FromVersion: 1234567890123}, {Watch: true, FromVersion: -1}} {
+		b = AppendListRequest(b, "127.0.0.1:9002", c)
 	}
 	if path := filepath.Join("testdata", "golden", "calls.http"); *update {
 		require.NoError(t, os.WriteFile(path, b, 0o600))
@@ -204,7 +204,7 @@
 		"no HTTP":    {"hello\r\n\r\n", "", true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			body, err := ReadListHead(bufio.NewReader(strings.NewReader(c.head)))
+			body, err := ReadListHeader(bufio.NewReader(strings.NewReader(c.head)))
 			if c.refused {
 				require.Error(t, err)
 				return
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -17,7 +17,7 @@
 // The paths, methods and queries of the operators' door as of commit 3bec2d9. Each is the form of one call.
 func TestGoldenOpsCalls(t *testing.T) {
 	const window = `{"nodes":["s-1"],"tenants":["*"],"from":"2026-12-03T10:00:00Z","to":"2026-12-03T12:00:00Z","pace":0.5}`
-	asked := WindowAsk{
+	asked := WindowRequest{
 		Nodes: []string{"s-1"}, Tenants: []string{"*"}, From: time.Date(2026, 12, 3, 10, 0, 0, 0, time.UTC),
 		To: time.Date(2026, 12, 3, 12, 0, 0, 0, time.UTC), Pace: 0.5,
 	}
@@ -28,8 +28,8 @@
 	}{
 		{"GET", "/ops/readiness", "", OpsCall{Kind: OpsReadiness}, false},
 		{"GET", "/ops/stats", "", OpsCall{Kind: OpsStats}, false},
-		{"POST", "/ops/booking-servers/down", "s-0\n", OpsCall{Kind: OpsDown, ID: "s-0"}, false},
-		{"POST", "/ops/booking-servers/up", "s-0", OpsCall{Kind: OpsUp, ID: "s-0"}, false},
+		{"POST", "/ops/booking-servers/down", "s-0\n", OpsCall{Kind: OpsDisable, ID: "s-0"}, false},
+		{"POST", "/ops/booking-servers/up", "s-0", OpsCall{Kind: OpsEnable, ID: "s-0"}, false},
 		{"POST", "/ops/drain/start", "", OpsCall{Kind: OpsDrainStart}, false},
 		{"POST", "/ops/drain/stop", "", OpsCall{Kind: OpsDrainStop}, false},
 		{"GET", "/ops/fleet/status", "", OpsCall{Kind: OpsFleetStatus}, true},
@@ -37,18 +37,18 @@
 		{"GET", "/ops/fleet/policy", "", OpsCall{Kind: OpsPolicy}, true},
 		{
 			"POST", "/ops/fleet/policy/propose?id=a&within_ms=1500", "text",
-			OpsCall{Kind: OpsPolicyPropose, ID: "a", Within: 1500 * time.Millisecond, Document: []byte("text")},
+			OpsCall{Kind: OpsPolicyPropose, ID: "a", EffectiveIn: 1500 * time.Millisecond, Document: []byte("text")},
 			true,
 		},
 		{"GET", "/ops/fleet/policy/outcome?id=a", "", OpsCall{Kind: OpsPolicyOutcome, ID: "a"}, true},
 		{"GET", "/ops/fleet/policy/document?version=3", "", OpsCall{Kind: OpsPolicyDocument, Version: 3}, true},
 		{"GET", "/ops/fleet/windows", "", OpsCall{Kind: OpsWindows}, true},
-		{"POST", "/ops/fleet/windows/ask?id=w", window, OpsCall{Kind: OpsWindowAsk, ID: "w", Window: asked}, true},
+		{"POST", "/ops/fleet/windows/ask?id=w", window, OpsCall{Kind: OpsWindowRequest, ID: "w", Window: asked}, true},
 		{"POST", "/ops/fleet/windows/check", window, OpsCall{Kind: OpsWindowCheck, Window: asked}, true},
 		{"POST", "/ops/fleet/windows/stop?id=w", "", OpsCall{Kind: OpsWindowStop, ID: "w"}, true},
 		{"GET", "/ops/fleet/windows/outcome?id=w", "", OpsCall{Kind: OpsWindowOutcome, ID: "w"}, true},
-		{"POST", "/ops/fleet/booking-servers/down", "s-0", OpsCall{Kind: OpsFleetDown, ID: "s-0"}, true},
-		{"POST", "/ops/fleet/booking-servers/up", "s-0", OpsCall{Kind: OpsFleetUp, ID: "s-0"}, true},
+		{"POST", "/ops/fleet/booking-servers/down", "s-0", OpsCall{Kind: OpsFleetDisable, ID: "s-0"}, true},
+		{"POST", "/ops/fleet/booking-servers/up", "s-0", OpsCall{Kind: OpsFleetEnable, ID: "s-0"}, true},
 	}
 	require.Len(t, opsCalls, len(calls), "each call is checked here")
 	for _, c := range calls {
@@ -56,15 +56,15 @@
 			got, status := DecodeOpsCall(httptest.NewRequest(c.method, c.target, strings.NewReader(c.body)))
 			require.Equal(t, http.StatusOK, status)
 			require.Equal(t, c.want, got)
-			require.Equal(t, c.fleet, got.Fleet())
+			require.Equal(t, c.fleet, got.IsFleetCall())
 			other := map[string]string{"GET": "POST", "POST": "GET"}[c.method]
 			_, status = DecodeOpsCall(httptest.NewRequest(other, c.target, strings.NewReader(c.body)))
 			require.Equal(t, http.StatusMethodNotAllowed, status)
 		})
 	}
 	require.Equal(t, []int64{14<<10 + 1, 48<<10 + 1, 48<<10 + 1, 260}, []int64{
-		MaxOpsBody("/ops/fleet/policy/propose"), MaxOpsBody("/ops/fleet/windows/ask"),
-		MaxOpsBody("/ops/fleet/windows/check"), MaxOpsBody("/ops/stats"),
+		MaxOpsBodyBytes("/ops/fleet/policy/propose"), MaxOpsBodyBytes("/ops/fleet/windows/ask"),
+		MaxOpsBodyBytes("/ops/fleet/windows/check"), MaxOpsBodyBytes("/ops/stats"),
 	})
 }
 
@@ -80,11 +80,11 @@
 	require.Equal(t, string(want), string(stats))
 	at := time.Date(2026, 12, 3, 10, 0, 0, 0, time.UTC)
 	for want, value := range map[string]any{
-		`{"ticket":8,"result":"taken","in_force":true}`: FleetProposed{Ticket: 8, Result: "taken", InForce: true},
-		`{"zone":"a","tenants":["x"],"from":"2026-12-03T10:00:00Z","to":"2026-12-03T11:00:00Z"}`: WindowAsk{
+		`{"ticket":8,"result":"taken","in_force":true}`: FleetProposal{Ticket: 8, Result: "taken", InForce: true},
+		`{"zone":"a","tenants":["x"],"from":"2026-12-03T10:00:00Z","to":"2026-12-03T11:00:00Z"}`: WindowRequest{
 			Zone: "a", Tenants: []string{"x"}, From: at, To: at.Add(time.Hour),
 		},
-		`{"nodes":["s"],"tenants":["x"],"from":"2026-12-03T10:00:00Z","to":"2026-12-03T11:00:00Z","pace":0.5}`: WindowAsk{
+		`{"nodes":["s"],"tenants":["x"],"from":"2026-12-03T10:00:00Z","to":"2026-12-03T11:00:00Z","pace":0.5}`: WindowRequest{
 			Nodes: []string{"s"}, Tenants: []string{"x"}, From: at, To: at.Add(time.Hour), Pace: 0.5,
 		},
 	} {
--- a/internal/protocol/graphql.go
+++ b/internal/protocol/graphql.go
@@ -13,7 +13,7 @@
 	"dunestep/internal/graphql"
 )
 
-// GraphQL is how operations come as GraphQL over HTTP, and answers go.
+// IsGraphQL is how operations come as IsGraphQL over HTTP, and answers go.
 type GraphQL struct {
 	Path    string // of requests
 	Classer *graphql.Classer
@@ -23,7 +23,7 @@
 	DefaultTenant             string
 }
 
-// Source is where a value is found in a GraphQL request. The zero one finds none.
+// Source is where a value is found in an IsGraphQL request. The zero one finds none.
 type Source struct {
 	kind sourceKind
 	name string
@@ -77,7 +77,7 @@
 	return ""
 }
 
-// Everywhere is the form for a socket on which only GraphQL comes.
+// Everywhere is the form for a socket on which only IsGraphQL comes.
 func (g *GraphQL) Everywhere(r *http.Request) Exchange {
 	return &graphQLExchange{form: g, request: r, media: graphql.PlainJSON}
 }
@@ -99,7 +99,7 @@
 	refused *graphql.Error // why it was not sent on
 }
 
-func (x *graphQLExchange) Decode(room Room) (*Operation, error) {
+func (x *graphQLExchange) Decode(room ReserveMemory) (*Request, error) {
 	op, err := x.decode(room)
 	if err != nil {
 		_ = errors.As(err, &x.refused)
@@ -112,7 +112,7 @@
 }
 
 // decode checks what can be told by the head first. What the class depends on is read by the classer alone.
-func (x *graphQLExchange) decode(room Room) (*Operation, error) {
+func (x *graphQLExchange) decode(room ReserveMemory) (*Request, error) {
 	g, r := x.form, x.request
 	path, query, _ := strings.Cut(r.RequestURI, "?")
 	media, acceptable := graphql.Accepted(r.Header["Accept"])
@@ -133,14 +133,14 @@
 	if err := request.CheckHead(); err != nil {
 		return nil, err
 	}
-	op := &Operation{
-		Repeat: r.Header.Get("X-Repeat") == "1", Method: r.Method, Target: r.RequestURI,
-		Host: r.Host, ContentType: r.Header.Get("Content-Type"), GraphQL: true,
+	op := &Request{
+		IsRetry: r.Header.Get("X-Repeat") == "1", Method: r.Method, Target: r.RequestURI,
+		Host: r.Host, ContentType: r.Header.Get("Content-Type"), IsGraphQL: true,
 		Accept: strings.Join(r.Header["Accept"], ", "), IdempotencyKeys: r.Header[idempotencyKey],
-		Work: work(r.Header.Get("X-Facts")),
+		WorkHint: workHint(r.Header.Get("X-Facts")),
 	}
 	op.TimeLeft = g.leastTimeLeft(r)
-	if err := op.read(r, room, MaxBody); err != nil {
+	if err := op.readBody(r, room, MaxBufferedBody); err != nil {
 		return nil, err
 	}
 	request.Body = op.Body
@@ -167,7 +167,7 @@
 }
 
 // describe finds what the application's headers would say of an operation.
-func (x *graphQLExchange) describe(op *Operation) error {
+func (x *graphQLExchange) describe(op *Request) error {
 	g, r, variables := x.form, x.request, x.verdict.Variables
 	op.Key, op.Tenant = g.Key.find(r, variables), g.Tenant.find(r, variables)
 	if op.Tenant == "" {
@@ -191,9 +191,9 @@
 	return nil
 }
 
-func (x *graphQLExchange) Encode(w http.ResponseWriter, a Answer) error {
+func (x *graphQLExchange) Encode(w http.ResponseWriter, a Response) error {
 	if a.Kind == Served {
-		return plain{}.Encode(w, a)
+		return plainExchange{}.Encode(w, a)
 	}
 	e := x.own(a)
 	h := w.Header()
@@ -210,12 +210,12 @@
 	return write(w, e.StatusFor(x.media), string(x.media)+"; charset=utf-8", int64(len(body)), body)
 }
 
-// own is what an answer of the agent's own says in GraphQL.
-func (x *graphQLExchange) own(a Answer) *graphql.Error {
+// own is what an answer of the agent's own says in IsGraphQL.
+func (x *graphQLExchange) own(a Response) *graphql.Error {
 	switch {
-	case a.Kind == BusyReply:
+	case a.Kind == Rejected:
 		return &graphql.Error{
-			Code: graphql.CodeBusy, Status: busyStatus(a),
+			Code: graphql.CodeBusy, Status: rejectionStatus(a),
 			RetryAfter: a.RetryAfter, Message: "busy: it was not executed",
 		}
 	case a.Kind == Failed:
@@ -226,7 +226,7 @@
 	case a.Kind == TooLong:
 		return &graphql.Error{
 			Code: graphql.CodeLimit, Status: http.StatusRequestEntityTooLarge,
-			Message: ErrTooLong.Error(),
+			Message: ErrBodyTooLong.Error(),
 		}
 	case x.refused != nil:
 		return x.refused
--- a/internal/protocol/ops.go
+++ b/internal/protocol/ops.go
@@ -20,20 +20,20 @@
 const (
 	OpsReadiness OpsKind = iota
 	OpsStats
-	OpsDown // OpsCall.ID
-	OpsUp   // OpsCall.ID
+	OpsDisable // OpsCall.ID
+	OpsEnable  // OpsCall.ID
 	OpsDrainStart
 	OpsDrainStop
 	OpsFleetStatus
-	OpsFleetDown   // OpsCall.ID
-	OpsFleetUp     // OpsCall.ID
-	OpsFleetTicket // OpsCall.Ticket
+	OpsFleetDisable // OpsCall.ID
+	OpsFleetEnable  // OpsCall.ID
+	OpsFleetTicket  // OpsCall.Ticket
 	OpsPolicy
-	OpsPolicyPropose  // OpsCall.ID, Within, Document
+	OpsPolicyPropose  // OpsCall.ID, EffectiveIn, Document
 	OpsPolicyOutcome  // OpsCall.ID
 	OpsPolicyDocument // OpsCall.Version
 	OpsWindows
-	OpsWindowAsk     // OpsCall.ID, Window
+	OpsWindowRequest // OpsCall.ID, Window
 	OpsWindowCheck   // OpsCall.Window
 	OpsWindowStop    // OpsCall.ID
 	OpsWindowOutcome // OpsCall.ID
@@ -44,34 +44,34 @@
 	Kind   OpsKind
 	ID     string // of a booking server
 	Ticket uint64 // of what was proposed to the fleet
-	// Document is a policy, to take hold Within; Version is one's number.
-	Document []byte
-	Within   time.Duration
-	Version  uint64
+	// Document is a policy, to take hold EffectiveIn; Version is one's number.
+	Document    []byte
+	EffectiveIn time.Duration
+	Version     uint64
 	// Window is what is asked for servers' maintenance.
-	Window WindowAsk
+	Window WindowRequest
 }
 
-// MaxPolicy is how many bytes a policy's document has at most.
-const MaxPolicy = 14 << 10
+// MaxPolicyBytes is how many bytes a policy's document has at most.
+const MaxPolicyBytes = 14 << 10
 
-// MaxOpsBody is how many bytes the body of a call at a path may have.
-func MaxOpsBody(path string) int64 {
+// MaxOpsBodyBytes is how many bytes the body of a call at a path may have.
+func MaxOpsBodyBytes(path string) int64 {
 	switch opsCalls[path].kind {
 	case OpsPolicyPropose:
-		return MaxPolicy + 1
-	case OpsWindowAsk, OpsWindowCheck:
+		return MaxPolicyBytes + 1
+	case OpsWindowRequest, OpsWindowCheck:
 		return maxWindowAsk + 1
 	}
-	return MaxServerID + 4
+	return MaxEndpointID + 4
 }
 
-// Fleet tells whether the call is about what the agents of a fleet agree on: there are such paths only
+// IsFleetCall tells whether the call is about what the agents of a fleet agree on: there are such paths only
 // where an agent takes part.
-func (c OpsCall) Fleet() bool { return c.Kind >= OpsFleetStatus }
+func (c OpsCall) IsFleetCall() bool { return c.Kind >= OpsFleetStatus }
 
-// FleetProposed answers a call that was proposed to the fleet, and one that asks what became of it.
-type FleetProposed struct {
+// FleetProposal answers a call that was proposed to the fleet, and one that asks what became of it.
+type FleetProposal struct {
 	Ticket uint64 `json:"ticket"`
 	// Result is waiting, taken, not taken or ask again.
 	Result string `json:"result"`
@@ -79,8 +79,8 @@
 	InForce bool `json:"in_force"`
 }
 
-// MaxServerID is how many bytes the id of a booking server has at most.
-const MaxServerID = 256
+// MaxEndpointID is how many bytes the id of a booking server has at most.
+const MaxEndpointID = 256
 
 // opsCalls are the calls by their paths.
 var opsCalls = map[string]struct {
@@ -89,8 +89,8 @@
 }{
 	"/ops/readiness":            {http.MethodGet, OpsReadiness},
 	"/ops/stats":                {http.MethodGet, OpsStats},
-	"/ops/booking-servers/down": {http.MethodPost, OpsDown},
-	"/ops/booking-servers/up":   {http.MethodPost, OpsUp},
+	"/ops/booking-servers/down": {http.MethodPost, OpsDisable},
+	"/ops/booking-servers/up":   {http.MethodPost, OpsEnable},
 	"/ops/drain/start":          {http.MethodPost, OpsDrainStart},
 	"/ops/drain/stop":           {http.MethodPost, OpsDrainStop},
 
@@ -101,12 +101,12 @@
 	"/ops/fleet/policy/outcome":       {http.MethodGet, OpsPolicyOutcome},
 	"/ops/fleet/policy/document":      {http.MethodGet, OpsPolicyDocument},
 	"/ops/fleet/windows":              {http.MethodGet, OpsWindows},
-	"/ops/fleet/windows/ask":          {http.MethodPost, OpsWindowAsk},
+	"/ops/fleet/windows/ask":          {http.MethodPost, OpsWindowRequest},
 	"/ops/fleet/windows/check":        {http.MethodPost, OpsWindowCheck},
 	"/ops/fleet/windows/stop":         {http.MethodPost, OpsWindowStop},
 	"/ops/fleet/windows/outcome":      {http.MethodGet, OpsWindowOutcome},
-	"/ops/fleet/booking-servers/down": {http.MethodPost, OpsFleetDown},
-	"/ops/fleet/booking-servers/up":   {http.MethodPost, OpsFleetUp},
+	"/ops/fleet/booking-servers/down": {http.MethodPost, OpsFleetDisable},
+	"/ops/fleet/booking-servers/up":   {http.MethodPost, OpsFleetEnable},
 }
 
 // DecodeOpsCall decodes a call. A status other than 200 says why it is none.
@@ -126,11 +126,11 @@
 		return decodePolicyCall(r, call)
 	}
 	// A line's end beyond the longest id, and one byte that shows that there is more.
-	body, err := io.ReadAll(io.LimitReader(r.Body, MaxServerID+3))
+	body, err := io.ReadAll(io.LimitReader(r.Body, MaxEndpointID+3))
 	switch {
 	case err != nil:
 		return call, http.StatusBadRequest
-	case len(body) > MaxServerID+2:
+	case len(body) > MaxEndpointID+2:
 		return call, http.StatusRequestEntityTooLarge
 	case call.Kind == OpsFleetTicket:
 		if call.Ticket, err = strconv.ParseUint(r.URL.Query().Get("n"), 10, 64); err != nil {
@@ -167,13 +167,13 @@
 		return call, http.StatusOK
 	case OpsPolicyPropose:
 		ms, bad := strconv.ParseInt(q.Get("within_ms"), 10, 32)
-		call.Within = time.Duration(ms) * time.Millisecond
-		if bad != nil || call.Within < 0 || call.Within > mostWithin {
+		call.EffectiveIn = time.Duration(ms) * time.Millisecond
+		if bad != nil || call.EffectiveIn < 0 || call.EffectiveIn > mostWithin {
 			return call, http.StatusBadRequest
 		}
-		if call.Document, err = io.ReadAll(io.LimitReader(r.Body, MaxPolicy+1)); err != nil {
+		if call.Document, err = io.ReadAll(io.LimitReader(r.Body, MaxPolicyBytes+1)); err != nil {
 			return call, http.StatusBadRequest
-		} else if len(call.Document) > MaxPolicy {
+		} else if len(call.Document) > MaxPolicyBytes {
 			return call, http.StatusRequestEntityTooLarge
 		}
 	}
@@ -184,7 +184,7 @@
 }
 
 func (k OpsKind) namesServer() bool {
-	return k == OpsDown || k == OpsUp || k == OpsFleetDown || k == OpsFleetUp
+	return k == OpsDisable || k == OpsEnable || k == OpsFleetDisable || k == OpsFleetEnable
 }
 
 func readableID(id string) bool {
--- a/internal/protocol/ops_test.go
+++ b/internal/protocol/ops_test.go
@@ -32,7 +32,7 @@
 		require.Equal(t, known.method, method)
 		if call.Kind.namesServer() {
 			require.NotEmpty(t, call.ID)
-			require.LessOrEqual(t, len(call.ID), MaxServerID+2)
+			require.LessOrEqual(t, len(call.ID), MaxEndpointID+2)
 			require.NotContains(t, call.ID, "\n")
 		}
 	})
@@ -59,7 +59,7 @@
 	require.Equal(t, http.StatusOK, status)
 	require.Equal(t, "a", got.ID)
 	require.Equal(t, []string{"s-1"}, got.Window.Nodes)
-	require.True(t, got.Fleet())
+	require.True(t, got.IsFleetCall())
 	for _, path := range []string{"", "/check", "/stop?id=a", "/outcome?id=a"} {
 		_, status := call(path, good)
 		require.Equal(t, http.StatusOK, status, path)
--- a/internal/protocol/opswindows.go
+++ b/internal/protocol/opswindows.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// WindowAsk is what staff ask for servers' maintenance, in JSON.
-type WindowAsk struct {
+// WindowRequest is what staff ask for servers' maintenance, in JSON.
+type WindowRequest struct {
 	// Nodes are servers by id, or Zone names one of which all are meant.
 	Nodes []string `json:"nodes,omitempty"`
 	Zone  string   `json:"zone,omitempty"`
@@ -23,10 +23,10 @@
 	Pace float64 `json:"pace,omitempty"`
 }
 
-// The bounds of what is asked for. MostWindowNames is of servers and of tenants each.
+// The bounds of what is asked for. MaxWindowNames is of servers and of tenants each.
 const (
-	maxWindowAsk    = 48 << 10
-	MostWindowNames = 64
+	maxWindowAsk   = 48 << 10
+	MaxWindowNames = 64
 )
 
 // errAsk: what is asked for makes no sense in itself.
@@ -40,7 +40,7 @@
 			return call, http.StatusBadRequest
 		}
 	}
-	if call.Kind != OpsWindowAsk && call.Kind != OpsWindowCheck {
+	if call.Kind != OpsWindowRequest && call.Kind != OpsWindowCheck {
 		return call, http.StatusOK
 	}
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxWindowAsk+1))
@@ -57,7 +57,7 @@
 }
 
 // decodeWindowAsk reads what is asked for, and nothing beside it.
-func decodeWindowAsk(body []byte) (a WindowAsk, err error) {
+func decodeWindowAsk(body []byte) (a WindowRequest, err error) {
 	d := json.NewDecoder(bytes.NewReader(body))
 	d.DisallowUnknownFields()
 	if err = d.Decode(&a); err != nil {
@@ -72,7 +72,7 @@
 // farthest bounds the times that can be named: what is outside is a slip, and overflows nothing later.
 const farthest = 400 * 24 * time.Hour
 
-func (a WindowAsk) sound() bool {
+func (a WindowRequest) sound() bool {
 	if len(a.Nodes) > 0 == (a.Zone != "") || len(a.Tenants) == 0 {
 		return false
 	}
@@ -90,7 +90,7 @@
 
 // soundNames tells whether there are at most so many, each once.
 func soundNames(names []string) bool {
-	if len(names) > MostWindowNames {
+	if len(names) > MaxWindowNames {
 		return false
 	}
 	for i, n := range names {
@@ -101,4 +101,4 @@
 	return true
 }
 
-func soundName(n string) bool { return len(n) <= MaxServerID && readableID(n) }
+func soundName(n string) bool { return len(n) <= MaxEndpointID && readableID(n) }
--- a/internal/protocol/routestep.go
+++ b/internal/protocol/routestep.go
@@ -14,9 +14,9 @@
 	"dunestep/internal/graphql"
 )
 
-// AppendRouteStep writes a route step of the operation as the HTTP request to a booking server, up to the
+// AppendUpstreamRequest writes a route step of the operation as the HTTP request to a booking server, up to the
 // body; wait is how long this agent waits for the answer.
-func AppendRouteStep(b []byte, op *Operation, wait time.Duration) []byte {
+func AppendUpstreamRequest(b []byte, op *Request, wait time.Duration) []byte {
 	field := func(name, value string) {
 		b = append(append(append(append(b, name...), ": "...), value...), "\r\n"...)
 	}
@@ -44,8 +44,8 @@
 	return append(b, "\r\n"...)
 }
 
-// Reply is a booking server's answer to a route step.
-type Reply struct {
+// UpstreamResponse is a booking server's answer to a route step.
+type UpstreamResponse struct {
 	Outcome     decide.Outcome
 	ContentType string
 	Status      int        // zero: 200
@@ -53,51 +53,51 @@
 	Flow        *flow.Flow // the body of an answer that is served
 }
 
-// Incoming is a body that is still to be read; without a Reader there is none. It is not to be closed: that
+// UnreadBody is a body that is still to be read; without a Reader there is none. It is not to be closed: that
 // would read on, for as long as the other side cares to send.
-type Incoming struct {
+type UnreadBody struct {
 	io.Reader
 	Length int64 // below zero: not announced
 }
 
-// ErrLongAnswer means that an answer is longer than its bound, or is said to be.
-var ErrLongAnswer = errors.New("the answer is too long")
+// ErrResponseTooLong means that an answer is longer than its bound, or is said to be.
+var ErrResponseTooLong = errors.New("the answer is too long")
 
 // maxUnused is how much of a body that is not passed on is read, so that its connection can be used again.
 const maxUnused = 64 << 10
 
-// ReadReply reads a booking server's answer up to the body of a 200, which is the caller's to read; any
-// other is read to the end. Where the operation is GraphQL, a 4xx that is a GraphQL answer counts like a
+// ReadUpstreamResponse reads a booking server's answer up to the body of a 200, which is the caller's to read; any
+// other is read to the end. Where the operation is IsGraphQL, a 4xx that is an IsGraphQL answer counts like a
 // 200: the client asked for what can't be had, and no other server would have it. An answer that is said to
 // be longer than longest bytes is refused by its head. An error means that the connection broke, or that
 // what came is not an answer: either way it is of no more use.
-func ReadReply(r *bufio.Reader, longest int64, graphQL bool) (Reply, Incoming, error) {
+func ReadUpstreamResponse(r *bufio.Reader, longest int64, graphQL bool) (UpstreamResponse, UnreadBody, error) {
 	resp, err := http.ReadResponse(r, nil)
 	for err == nil && resp.StatusCode < http.StatusOK { // 1xx announces the answer
 		resp, err = http.ReadResponse(r, nil)
 	}
 	if err != nil {
-		return Reply{}, Incoming{}, err
+		return UpstreamResponse{}, UnreadBody{}, err
 	}
 	if resp.ContentLength > longest {
-		return Reply{}, Incoming{}, ErrLongAnswer
+		return UpstreamResponse{}, UnreadBody{}, ErrResponseTooLong
 	}
-	out := Reply{Outcome: decide.ServerError, Close: resp.Close}
+	out := UpstreamResponse{Outcome: decide.ServerError, Close: resp.Close}
 	contentType := resp.Header.Get("Content-Type")
 	switch {
 	case resp.StatusCode == http.StatusOK, graphQL && refusesGraphQL(resp.StatusCode, contentType):
 		out.Outcome, out.ContentType, out.Status = decide.Served, contentType, resp.StatusCode
-		return out, Incoming{resp.Body, resp.ContentLength}, nil
+		return out, UnreadBody{resp.Body, resp.ContentLength}, nil
 	case resp.StatusCode == http.StatusServiceUnavailable, resp.StatusCode == http.StatusGatewayTimeout:
 		// Without the mark it may have run: only the mark proves otherwise.
 		if resp.Header.Get("X-Unprocessed") == "1" {
-			out.Outcome = decide.TurnedAway
+			out.Outcome = decide.Rejected
 		}
 	}
-	return out, Incoming{}, skip(resp.Body)
+	return out, UnreadBody{}, skip(resp.Body)
 }
 
-// refusesGraphQL tells whether an answer is a GraphQL server's to a client's mistake. Statuses that may be
+// refusesGraphQL tells whether an answer is an IsGraphQL server's to a client's mistake. Statuses that may be
 // another one at another time or place are none.
 func refusesGraphQL(status int, contentType string) bool {
 	switch status {
@@ -112,7 +112,7 @@
 func skip(body io.Reader) error {
 	n, err := io.Copy(io.Discard, io.LimitReader(body, maxUnused+1))
 	if err == nil && n > maxUnused {
-		return ErrLongAnswer
+		return ErrResponseTooLong
 	}
 	return err
 }
