--- a/internal/protocol/settings.go
+++ b/internal/protocol/settings.go
@@ -8,7 +8,7 @@
 	"dunestep/decide"
 )
 
-type env struct {
+type settingsForm struct {
 	Balancers  int    `json:"balancers"`
 	Ordinal    int    `json:"ordinal"`
 	Zone       string `json:"zone"`
@@ -75,70 +75,70 @@
 // Settings is what an agent is told of its deployment: what the module goes by, and what sockets go by.
 type Settings struct {
 	decide.Settings
-	ConnIdle       time.Duration // an idle connection is closed by the other machine after this
-	ConnectTimeout time.Duration // a connection that is not up by then has failed
+	ConnIdleTimeout time.Duration // an idle connection is closed by the other machine after this
+	ConnectTimeout  time.Duration // a connection that is not up by then has failed
 }
 
 // DecodeSettings decodes an instance's settings; those it does not know are passed over. The simulator's
 // adapter and the real agent both read them here.
 func DecodeSettings(raw []byte) (Settings, error) {
-	var e env
+	var e settingsForm
 	if err := json.Unmarshal(raw, &e); err != nil {
 		return Settings{}, fmt.Errorf("settings: %w", err)
 	}
 	s := decide.Settings{
-		Self: e.Ordinal, Balancers: e.Balancers, Zone: e.Zone, OverShareWorth: e.OverShareWorth,
+		Self: e.Ordinal, Balancers: e.Balancers, Zone: e.Zone, OverQuotaWeight: e.OverShareWorth,
 		Limits: decide.Limits{
-			MaxAttempts: e.Bounds.SendCap, SecondCopies: e.Bounds.SecondCopies,
-			Cancel: e.Bounds.Cancel, Probes: e.Bounds.Probes, Peers: e.Bounds.MayTell,
-			RetryAfter: e.Bounds.RetryAfter, MaxRetryAfter: micros(e.Bounds.MaxRetryAfter),
+			MaxAttempts: e.Bounds.SendCap, Hedging: e.Bounds.SecondCopies,
+			Cancel: e.Bounds.Cancel, Probes: e.Bounds.Probes, Gossip: e.Bounds.MayTell,
+			RetryAfter: e.Bounds.RetryAfter, MaxRetryAfter: microseconds(e.Bounds.MaxRetryAfter),
 		},
 		Rules: decide.Rules{
-			DrainGrace: micros(e.Rules.StopSendingWithin), AskWithin: micros(e.Rules.AskWithin),
-			ColdShare: e.Rules.StartCapacity, ColdFor: micros(e.Rules.Cold), FallMultiple: e.Rules.FallMultiple,
-			FallWindow: micros(e.Rules.Fall), OnlyDrainingBind: e.Rules.OnlyDrainingBinds,
+			DrainGrace: microseconds(e.Rules.StopSendingWithin), MaxPollInterval: microseconds(e.Rules.AskWithin),
+			SlowStartCapacity: e.Rules.StartCapacity, SlowStartDuration: microseconds(e.Rules.Cold), OverloadMultiple: e.Rules.FallMultiple,
+			OverloadWindow: microseconds(e.Rules.Fall), GoneUsable: e.Rules.OnlyDrainingBinds,
 		},
-		Prices: decide.Prices{
-			CrossZone: e.Prices.CrossZone, Waste: e.Prices.Waste, Probe: e.Prices.Probe,
-			Peer: e.Prices.Peer, LateFail: e.Prices.LateFail,
+		Costs: decide.Costs{
+			CrossZone: e.Prices.CrossZone, WastedWork: e.Prices.Waste, Probe: e.Prices.Probe,
+			PeerMessage: e.Prices.Peer, LateFailure: e.Prices.LateFail,
 		},
-		Goal: decide.Goal{
-			Whole: e.Goal.Whole, WorstWindow: e.Goal.WorstWindow,
+		ScoreWeights: decide.ScoreWeights{
+			Total: e.Goal.Whole, WorstWindow: e.Goal.WorstWindow,
 			WorstClass: e.Goal.WorstClass, WorstTenant: e.Goal.WorstTenant,
-			SlowEnd: e.Goal.SlowEnd, TailMiss: e.Goal.TailMiss,
+			TailLatency: e.Goal.SlowEnd, TailMissRatio: e.Goal.TailMiss,
 		},
-		OnRequest: e.Discovery == "on_request", MarksRetry: e.ClientHabits.MarksRetry, Tick: micros(e.Resolution),
+		DiscoveryOnDemand: e.Discovery == "on_request", ClientsMarkRetries: e.ClientHabits.MarksRetry, Tick: microseconds(e.Resolution),
 	}
 	for _, c := range e.Categories {
 		k := decide.Class{
-			Name: c.Name, Aim: micros(c.Aim), AimStretch: c.AimStretch, Deadline: micros(c.Deadline),
-			LateWorth: c.LateWorth, Memory: micros(c.MemorySpan), Worth: c.Value, Stream: c.Stream,
+			Name: c.Name, LatencyObjective: microseconds(c.Aim), ObjectivePerWork: c.AimStretch, Deadline: microseconds(c.Deadline),
+			LateWeight: c.LateWorth, DedupWindow: microseconds(c.MemorySpan), PriorityWeight: c.Value, Streaming: c.Stream,
 		}
 		switch c.Effect {
 		case "retryable":
-			k.Effect = decide.Safe
+			k.Idempotency = decide.Idempotent
 		case "dedup":
-			k.Effect = decide.Keyed
+			k.Idempotency = decide.IdempotentWithKey
 		default: // what is not known to be repeatable is not repeated
-			k.Effect = decide.Unsafe
+			k.Idempotency = decide.NotIdempotent
 		}
 		switch c.KeyScope {
 		case "all":
-			k.Scope = decide.ScopeAll
+			k.DedupScope = decide.DedupScopeAll
 		case "zone":
-			k.Scope = decide.ScopeZone
+			k.DedupScope = decide.DedupScopeZone
 		default:
-			k.Scope = decide.ScopeCell
+			k.DedupScope = decide.DedupScopeCell
 		}
 		s.Classes = append(s.Classes, k)
 	}
 	for _, t := range e.Customers {
-		s.Tenants = append(s.Tenants, decide.Tenant{Name: t.Name, QuotaPerS: t.QuotaPerS, Share: t.Share})
+		s.Tenants = append(s.Tenants, decide.Tenant{Name: t.Name, QuotaPerSecond: t.QuotaPerS, Share: t.Share})
 	}
 	return Settings{
-		Settings: s, ConnIdle: micros(e.Bounds.ConnIdle),
-		ConnectTimeout: micros(e.Bounds.ConnectTimeout),
+		Settings: s, ConnIdleTimeout: microseconds(e.Bounds.ConnIdle),
+		ConnectTimeout: microseconds(e.Bounds.ConnectTimeout),
 	}, nil
 }
 
-func micros(v int64) time.Duration { return time.Duration(v) * time.Microsecond }
+func microseconds(v int64) time.Duration { return time.Duration(v) * time.Microsecond }
--- a/internal/protocol/settings_test.go
+++ b/internal/protocol/settings_test.go
@@ -16,13 +16,13 @@
 		t.Fatal(err)
 	}
 	a := s.Classes[0]
-	if a.Effect != decide.Keyed || a.Scope != decide.ScopeZone || a.Memory != 3*time.Second || a.Worth != 10 {
+	if a.Idempotency != decide.IdempotentWithKey || a.DedupScope != decide.DedupScopeZone || a.DedupWindow != 3*time.Second || a.PriorityWeight != 10 {
 		t.Errorf("%+v", a)
 	}
-	if s.Classes[1].Effect != decide.Unsafe {
+	if s.Classes[1].Idempotency != decide.NotIdempotent {
 		t.Error("an unknown effect must not be repeated")
 	}
-	if !s.OnRequest || !s.Rules.OnlyDrainingBind || s.Rules.ColdFor != 8800*time.Millisecond || s.Tick != 5*time.Millisecond {
+	if !s.DiscoveryOnDemand || !s.Rules.GoneUsable || s.Rules.SlowStartDuration != 8800*time.Millisecond || s.Tick != 5*time.Millisecond {
 		t.Errorf("%+v", s)
 	}
 	if _, err := DecodeSettings([]byte(`[1`)); err == nil {
--- a/internal/rehearsal/graphql_test.go
+++ b/internal/rehearsal/graphql_test.go
@@ -63,7 +63,7 @@
 			for _, c := range set.Classes {
 				x.unsafe = append(x.unsafe, c.Effect == scenario.Unsafe)
 			}
-			require.NoError(t, world.Play(t.Context(), set, seed+1, x, world.Options{Figures: decide.DefaultFigures()}))
+			require.NoError(t, world.Play(t.Context(), set, seed+1, x, world.Options{Figures: decide.DefaultTuning()}))
 			for chain, n := range x.unsafely {
 				require.LessOrEqual(t, n, 1, "request %d on day %d", chain, seed+1)
 				executed += n
--- a/internal/rehearsal/lab/deployment.go
+++ b/internal/rehearsal/lab/deployment.go
@@ -17,21 +17,21 @@
 // tell one another; times that a busy machine keeps.
 func Deployment() *protocol.Settings {
 	return &protocol.Settings{
-		ConnIdle: 15 * time.Second, ConnectTimeout: time.Second,
+		ConnIdleTimeout: 15 * time.Second, ConnectTimeout: time.Second,
 		Settings: decide.Settings{
-			Zone: "a", Tick: 5 * time.Millisecond, MarksRetry: true,
+			Zone: "a", Tick: 5 * time.Millisecond, ClientsMarkRetries: true,
 			Classes: []decide.Class{
-				{Name: "consult", Aim: time.Second, Deadline: 5 * time.Second, Worth: 1, Effect: decide.Safe},
-				{Name: "rezervare", Aim: time.Second, Deadline: 5 * time.Second, Worth: 2, Effect: decide.Unsafe},
+				{Name: "consult", LatencyObjective: time.Second, Deadline: 5 * time.Second, PriorityWeight: 1, Idempotency: decide.Idempotent},
+				{Name: "rezervare", LatencyObjective: time.Second, Deadline: 5 * time.Second, PriorityWeight: 2, Idempotency: decide.NotIdempotent},
 			},
-			Tenants: []decide.Tenant{{Name: "acme", QuotaPerS: 1000, Share: 1}},
+			Tenants: []decide.Tenant{{Name: "acme", QuotaPerSecond: 1000, Share: 1}},
 			Limits: decide.Limits{
-				MaxAttempts: 3, SecondCopies: true, Cancel: true, Peers: true, RetryAfter: true,
+				MaxAttempts: 3, Hedging: true, Cancel: true, Gossip: true, RetryAfter: true,
 				MaxRetryAfter: 2 * time.Second,
 			},
 			Rules: decide.Rules{
-				DrainGrace: 3 * time.Second, AskWithin: 10 * time.Second, ColdShare: 0.31,
-				ColdFor: 9 * time.Second, FallMultiple: 3, FallWindow: 3 * time.Second,
+				DrainGrace: 3 * time.Second, MaxPollInterval: 10 * time.Second, SlowStartCapacity: 0.31,
+				SlowStartDuration: 9 * time.Second, OverloadMultiple: 3, OverloadWindow: 3 * time.Second,
 			},
 		},
 	}
@@ -51,7 +51,7 @@
 		"limits": program.Object{"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "known": known,
 		"settings": program.SettingsObject(set),
 	}
-	if set.Limits.Peers {
+	if set.Limits.Gossip {
 		file["peer_listen"] = a.Addr
 		file["peers"], file["peers_all"] = l.network.Addrs(a.Number)
 	}
--- a/internal/rehearsal/late/late.go
+++ b/internal/rehearsal/late/late.go
@@ -115,7 +115,7 @@
 	p.acts = p.acts[:0]
 	switch e := ev.(type) {
 	case *decide.Request:
-		r := &request{class: p.classes[e.Class], until: now + e.Budget}
+		r := &request{class: p.classes[e.Class], until: now + e.ClientTimeout}
 		p.requests[e.ID] = r
 		p.send(now, e.ID, r)
 	case *decide.AttemptDone:
@@ -128,7 +128,7 @@
 			}
 			delete(p.requests, e.ID)
 		}
-	case *decide.Membership:
+	case *decide.ServerListUpdate:
 		p.listed(e)
 	case *decide.TimerDue:
 		p.acts = append(p.acts, decide.Action{Kind: decide.Subscribe})
@@ -136,17 +136,17 @@
 	return p.acts
 }
 
-func (p *Policy) listed(e *decide.Membership) {
+func (p *Policy) listed(e *decide.ServerListUpdate) {
 	if !p.asked {
 		p.asked = true
 		p.acts = append(p.acts, decide.Action{Kind: decide.Subscribe})
 	}
 	switch e.Kind {
-	case decide.SyncFailed:
+	case decide.UpdateFailed:
 		wait := time.Duration(float64(askAgain) * (1 + 2*p.rng.Float64()))
 		p.acts = append(p.acts, decide.Action{Kind: decide.SetTimer, After: wait, Tag: tagAsk})
 		return
-	case decide.SyncFull, decide.SyncSaved:
+	case decide.UpdateFull, decide.UpdateCached:
 		clear(p.ready)
 	}
 	for i := range e.Servers {
@@ -160,8 +160,8 @@
 		best = p.choose(r)
 	}
 	if best == nil {
-		kind := decide.Refuse
-		if len(r.tried) > 0 && r.class.Effect == decide.Safe {
+		kind := decide.Reject
+		if len(r.tried) > 0 && r.class.Idempotency == decide.Idempotent {
 			kind = decide.Fail // an attempt of it may have run
 		}
 		p.finish(id, kind)
@@ -193,7 +193,7 @@
 			continue
 		}
 		held := max(s.Held, float64(p.out[s.ID])) + 1
-		if time.Duration(max(held, s.Cores)*float64(p.work)/s.Speed) <= r.class.Aim/partOfAim {
+		if time.Duration(max(held, s.Cores)*float64(p.work)/s.Speed) <= r.class.LatencyObjective/partOfAim {
 			return s
 		}
 		full++
@@ -217,14 +217,14 @@
 	r := p.requests[e.ID]
 	switch {
 	case r == nil:
-	case e.Outcome == decide.Served || e.Finished:
+	case e.Outcome == decide.Served || e.RequestDone:
 		delete(p.requests, e.ID)
-	case !e.Outcome.NeverRan() && r.class.Effect != decide.Safe:
+	case !e.Outcome.Unprocessed() && r.class.Idempotency != decide.Idempotent:
 		p.finish(e.ID, decide.Fail)
 	case len(r.tried) >= min(p.set.Limits.MaxAttempts, mostTries) || now >= r.until:
 		kind := decide.Fail
-		if e.Outcome.NeverRan() && r.class.Effect != decide.Safe {
-			kind = decide.Refuse
+		if e.Outcome.Unprocessed() && r.class.Idempotency != decide.Idempotent {
+			kind = decide.Reject
 		}
 		p.finish(e.ID, kind)
 	default:
--- a/internal/rehearsal/late/late_test.go
+++ b/internal/rehearsal/late/late_test.go
@@ -19,17 +19,17 @@
 		{ID: "silent", Capacity: 100, Speed: 100, Cores: 1},
 	}, 7)
 	set := decide.Settings{Limits: decide.Limits{MaxAttempts: 3}, Classes: []decide.Class{
-		{Name: "consult", Aim: time.Second}, {Name: "rezervare", Aim: time.Second, Effect: decide.Unsafe},
+		{Name: "consult", LatencyObjective: time.Second}, {Name: "rezervare", LatencyObjective: time.Second, Idempotency: decide.NotIdempotent},
 	}}
 	p := New(set, 100*time.Millisecond, 1, func() *Sight { return sight })
-	var list decide.Membership
+	var list decide.ServerListUpdate
 	for _, id := range []string{"a", "b", "full", "silent"} {
 		list.Servers = append(list.Servers, decide.Server{ID: id})
 	}
 	require.Equal(t, []decide.Action{{Kind: decide.Subscribe}}, p.Step(0, &list))
 	sent, refused := map[string]int{}, 0
 	for id := range uint32(1000) {
-		acts := p.Step(0, &decide.Request{ID: id, Class: "consult", Budget: time.Second})
+		acts := p.Step(0, &decide.Request{ID: id, Class: "consult", ClientTimeout: time.Second})
 		require.Len(t, acts, 1)
 		if acts[0].Kind != decide.Send {
 			refused++
@@ -44,11 +44,11 @@
 	require.Empty(t, p.requests)
 
 	sight.room = 1
-	first := p.Step(0, &decide.Request{ID: 1, Class: "consult", Budget: time.Second})[0].Server
+	first := p.Step(0, &decide.Request{ID: 1, Class: "consult", ClientTimeout: time.Second})[0].Server
 	again := p.Step(0, &decide.AttemptDone{ID: 1, Server: first, Outcome: decide.ServerError})[0]
 	require.Equal(t, decide.Send, again.Kind)
 	require.NotEqual(t, first, again.Server)
-	first = p.Step(0, &decide.Request{ID: 2, Class: "rezervare", Budget: time.Second})[0].Server
+	first = p.Step(0, &decide.Request{ID: 2, Class: "rezervare", ClientTimeout: time.Second})[0].Server
 	require.Equal(t, []decide.Action{{Kind: decide.Fail, ID: 2}},
-		p.Step(0, &decide.AttemptDone{ID: 2, Server: first, Outcome: decide.NoAnswer}))
+		p.Step(0, &decide.AttemptDone{ID: 2, Server: first, Outcome: decide.TimedOut}))
 }
--- a/internal/rehearsal/live/bench.go
+++ b/internal/rehearsal/live/bench.go
@@ -219,20 +219,20 @@
 		})
 	}
 	set := protocol.Settings{
-		ConnIdle: 15 * time.Second, ConnectTimeout: 250 * time.Millisecond,
+		ConnIdleTimeout: 15 * time.Second, ConnectTimeout: 250 * time.Millisecond,
 		Settings: decide.Settings{
 			Balancers: 1, Zone: "a", Tick: 5 * time.Millisecond,
 			Classes: []decide.Class{{
-				Name: "any", Aim: time.Second, Deadline: 2 * time.Second, Worth: 1,
-				Effect: decide.Safe,
+				Name: "any", LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1,
+				Idempotency: decide.Idempotent,
 			}},
 			Limits: decide.Limits{
-				MaxAttempts: 3, SecondCopies: true, Cancel: true, RetryAfter: true,
+				MaxAttempts: 3, Hedging: true, Cancel: true, RetryAfter: true,
 				MaxRetryAfter: 2 * time.Second,
 			},
 			Rules: decide.Rules{
-				DrainGrace: 3 * time.Second, AskWithin: 10 * time.Second, ColdShare: 0.31,
-				ColdFor: 9 * time.Second, FallMultiple: 3, FallWindow: 3 * time.Second,
+				DrainGrace: 3 * time.Second, MaxPollInterval: 10 * time.Second, SlowStartCapacity: 0.31,
+				SlowStartDuration: 9 * time.Second, OverloadMultiple: 3, OverloadWindow: 3 * time.Second,
 			},
 		},
 	}
--- a/internal/rehearsal/live/benchload.go
+++ b/internal/rehearsal/live/benchload.go
@@ -91,7 +91,7 @@
 func (w *quickWire) Gate(int, netip.AddrPort, world.Gate) {}
 
 // Start implements world.Wire.
-func (w *quickWire) Start(number, run int, _ protocol.PoolConfig) { w.day.AgentReady(number, run) }
+func (w *quickWire) Start(number, run int, _ protocol.EndpointList) { w.day.AgentReady(number, run) }
 
 // counting counts what a load comes to.
 type counting struct{ asked, answered int }
--- a/internal/rehearsal/live/wire.go
+++ b/internal/rehearsal/live/wire.go
@@ -192,7 +192,7 @@
 
 func (c *listConn) Begin() { c.call.Begin(http.StatusOK) }
 
-func (c *listConn) Say(config protocol.PoolConfig) {
+func (c *listConn) Say(config protocol.EndpointList) {
 	c.call.Say(program.Line(program.ListObject(config, c.around.where, c.wire.day.StartedMS)))
 }
 
@@ -285,7 +285,7 @@
 }
 
 // Start implements world.Wire.
-func (w *wire) Start(number, run int, known protocol.PoolConfig) {
+func (w *wire) Start(number, run int, known protocol.EndpointList) {
 	s := w.agents[number]
 	deployment := w.day.Deployment(number)
 	config := program.Object{
--- a/internal/rehearsal/rehearsal.go
+++ b/internal/rehearsal/rehearsal.go
@@ -22,43 +22,43 @@
 // Protections are the agent's protections that a rehearsal can take out, each by its figures.
 var Protections = []struct {
 	Name, Text string
-	takeOut    func(*decide.Figures, *storm.Figures)
+	takeOut    func(*decide.Tuning, *storm.Figures)
 }{
 	{
 		"damping", "flapping servers are left alone for a while",
-		func(f *decide.Figures, _ *storm.Figures) { f.SuppressLimit = never },
+		func(f *decide.Tuning, _ *storm.Figures) { f.SuppressLimit = never },
 	},
 	{
 		"cold-budget", "a starting server gets no more than its part",
-		func(f *decide.Figures, _ *storm.Figures) { f.ColdMargin, f.ColdMost = never, never },
+		func(f *decide.Tuning, _ *storm.Figures) { f.SlowStartMargin, f.SlowStartMax = never, never },
 	},
 	{
 		"spill", "an owner over the bounded load passes its keys on",
-		func(f *decide.Figures, _ *storm.Figures) { f.BoundedLoad = never },
+		func(f *decide.Tuning, _ *storm.Figures) { f.BoundedLoadFactor = never },
 	},
 	{
 		"retry-budget", "an agent's further sends are a part of its requests",
-		func(f *decide.Figures, _ *storm.Figures) {
-			f.RetryRatio, f.RetryReserve, f.SpareRatio, f.SpareReserve = never, never, never, never
+		func(f *decide.Tuning, _ *storm.Figures) {
+			f.RetryRatio, f.RetryBurst, f.UnprocessedRetryRatio, f.UnprocessedRetryBurst = never, never, never, never
 		},
 	},
 	{
 		"quota", "traffic beyond a tenant's share waits in shorter queues only",
-		func(f *decide.Figures, _ *storm.Figures) { f.LowShare = 1 },
+		func(f *decide.Tuning, _ *storm.Figures) { f.OverQuotaQueueFraction = 1 },
 	},
 	{
 		"throttle", "an agent of a large fleet lets in little more than what is answered",
-		func(_ *decide.Figures, f *storm.Figures) { f.InVain = never },
+		func(_ *decide.Tuning, f *storm.Figures) { f.InVain = never },
 	},
 	{
 		"storm", "slow spells are purged, and storms and returning servers met with fewer sends",
-		func(_ *decide.Figures, f *storm.Figures) { f.Off = true },
+		func(_ *decide.Tuning, f *storm.Figures) { f.Off = true },
 	},
 }
 
 // figuresWithout are the figures of the module and of the gate before it, with protections taken out.
-func figuresWithout(names []string) (decide.Figures, storm.Figures, error) {
-	f, gate := decide.DefaultFigures(), storm.DefaultFigures()
+func figuresWithout(names []string) (decide.Tuning, storm.Figures, error) {
+	f, gate := decide.DefaultTuning(), storm.DefaultFigures()
 	for _, name := range names {
 		known := false
 		for _, p := range Protections {
--- a/internal/rehearsal/world/byhand.go
+++ b/internal/rehearsal/world/byhand.go
@@ -21,7 +21,7 @@
 		return
 	}
 	for _, s := range servers {
-		news, known, err := l.list.Ban(s.id, l.clock())
+		news, known, err := l.list.Disable(s.id, l.clock())
 		if !known || err != nil {
 			continue // no list of this agent's ever had it
 		}
@@ -32,7 +32,7 @@
 		l.writes([]listed{s.entry(decide.Ready)}, false)
 		l.heed(news)
 	}
-	a.bans = l.list.Bans()
+	a.bans = l.list.Disabled()
 }
 
 // putBack ends the bans of the servers. An agent that does not run now keeps them, as its folder does.
@@ -46,11 +46,11 @@
 			continue
 		}
 		delete(a.out, s)
-		news, _ := l.list.Lift(s.id, l.clock())
+		news, _ := l.list.Enable(s.id, l.clock())
 		l.writes([]listed{s.entry(s.standing())}, false)
 		l.heed(news)
 	}
-	a.bans = l.list.Bans()
+	a.bans = l.list.Disabled()
 }
 
 // restartByHand ends the processes of the servers that staff have taken out; they start again at its end.
--- a/internal/rehearsal/world/client.go
+++ b/internal/rehearsal/world/client.go
@@ -173,7 +173,7 @@
 	for len(f.waiting) > 0 {
 		t := f.waiting[0]
 		if !t.over {
-			if ok, _ := l.descriptors.TakeFront(); !ok {
+			if ok, _ := l.descriptors.AcquireDownstream(); !ok {
 				return
 			}
 		}
@@ -199,7 +199,7 @@
 // answer sends the router's one final answer to the client, and closes the connection where clients crowd
 // the agent.
 func (l *life) answer(o *core.Output) {
-	t := l.operations[o.Operation].try
+	t := l.operations[o.Request].try
 	if t.told { // the judge is to see it: the client, with one answer, would wait for no other
 		l.w.record.answered(t)
 		return
@@ -208,13 +208,13 @@
 	switch o.Result {
 	case protocol.Served:
 		t.answer, t.attempt = record.Served, o.Attempt
-	case protocol.BusyReply:
+	case protocol.Rejected:
 		t.answer, t.advice = record.Refused, o.After
 	default:
 		t.answer = record.Failed
 	}
 	f := t.conn
-	crowded, pressing := l.descriptors.Crowded()
+	crowded, pressing := l.descriptors.Pressure()
 	if pressing || crowded && !f.answered || l.end.closing || l.away {
 		f.close()
 	}
@@ -233,7 +233,7 @@
 	}
 	if f.counted && !f.life.dead {
 		f.counted = false
-		f.life.descriptors.ReleaseFront()
+		f.life.descriptors.ReleaseDownstream()
 		f.life.clients.held--
 		f.life.clients.freed(f.life)
 		f.life.endIfEmpty()
@@ -279,7 +279,7 @@
 // mayRest is how long the connection may stand idle as things are.
 func (f *frontConn) mayRest() time.Duration {
 	most := min(f.client.w.set.Clients.KeepIdle, agentIdle)
-	if crowded, _ := f.life.descriptors.Crowded(); crowded {
+	if crowded, _ := f.life.descriptors.Pressure(); crowded {
 		most = min(most, crowdedIdle)
 	}
 	return most
--- a/internal/rehearsal/world/client_test.go
+++ b/internal/rehearsal/world/client_test.go
@@ -152,7 +152,7 @@
 		conn: &frontConn{client: l.agents[0].client, life: life},
 	}
 	life.operations = map[uint32]*operation{7: {try: tried}}
-	answer := core.Output{Kind: core.Answer, Operation: 7, Result: protocol.Failed}
+	answer := core.Output{Kind: core.Respond, Request: 7, Result: protocol.Failed}
 	life.answer(&answer)
 	l.run(time.Second)
 	require.Len(t, l.diary.of(record.Answered), 1)
--- a/internal/rehearsal/world/conn.go
+++ b/internal/rehearsal/world/conn.go
@@ -94,7 +94,7 @@
 	if c.life.still(e) || c.closed || c.wire != nil { // a real agent writes when it likes
 		return
 	}
-	c.life.connects.Up(c.link.w.now - c.usedAt)
+	c.life.connects.Connected(c.link.w.now - c.usedAt)
 	c.usedAt = c.link.w.now
 	c.write()
 }
@@ -103,7 +103,7 @@
 func (c *conn) write() {
 	w := c.link.w
 	s := c.step
-	s.phase = core.Waiting
+	s.phase = core.AwaitingResponse
 	w.record.sent(s)
 	if c.lost {
 		return
@@ -195,10 +195,10 @@
 		return
 	}
 	if s := c.step; s != nil && !s.ended {
-		s.end(core.BrokenOff)
+		s.end(core.BrokenByEndpoint)
 		return
 	}
-	closeAll(c.pool.pool.Ended(c))
+	closeAll(c.pool.pool.ConnectionEnded(c))
 }
 
 // answer sends a process's answer to the agent, unless the connection is over.
--- a/internal/rehearsal/world/cutoff_test.go
+++ b/internal/rehearsal/world/cutoff_test.go
@@ -85,18 +85,18 @@
 
 // effects are those of the settings as they are, of the new policy, and of its floor.
 func effects(t *testing.T, set *scenario.Scenario, quotas []float64) (before, after, floor *policy.Effect) {
-	own := policy.Own{InVain: 0.25, Settings: decide.Settings{Limits: decide.Limits{
-		MaxAttempts:  set.Allow.MaxAttempts,
-		SecondCopies: set.Allow.SecondCopies,
+	own := policy.LocalSettings{MaxFailedRatio: 0.25, Settings: decide.Settings{Limits: decide.Limits{
+		MaxAttempts: set.Allow.MaxAttempts,
+		Hedging:     set.Allow.SecondCopies,
 	}}}
 	for i := range set.Tenants {
-		own.Settings.Tenants = append(own.Settings.Tenants, decide.Tenant{Name: set.Tenants[i].Name, QuotaPerS: quotas[i]})
+		own.Settings.Tenants = append(own.Settings.Tenants, decide.Tenant{Name: set.Tenants[i].Name, QuotaPerSecond: quotas[i]})
 	}
 	for i := range set.Classes {
 		own.Settings.Classes = append(own.Settings.Classes, decide.Class{Name: set.Classes[i].Name})
 	}
 	effect := func(text string) (*policy.Effect, *policy.Effect) {
-		d, err := policy.Read("day", []byte(text))
+		d, err := policy.ParseDocument("day", []byte(text))
 		require.NoError(t, err)
 		e, err := d.Effect(own)
 		require.NoError(t, err)
--- a/internal/rehearsal/world/discovery.go
+++ b/internal/rehearsal/world/discovery.go
@@ -36,7 +36,7 @@
 	freeAt                                              time.Duration
 	calls                                               []*call // waiting or watching, in the order they came
 	flushing                                            bool
-	whole                                               protocol.PoolConfig // put together last
+	whole                                               protocol.EndpointList // put together last
 }
 
 // change is an entry of the list as it changed with a version.
@@ -213,24 +213,24 @@
 
 // config is a list, or what changed, in the form that agents get. A whole list leaves out what is gone;
 // agents that get the same one share it.
-func (d *discovery) config(list []listed, version int64, full bool) protocol.PoolConfig {
+func (d *discovery) config(list []listed, version int64, full bool) protocol.EndpointList {
 	if full && d.whole.Version == version {
 		return d.whole
 	}
-	config := protocol.PoolConfig{Version: version, Full: full}
+	config := protocol.EndpointList{Version: version, Full: full}
 	for _, l := range list {
 		if l.server == nil || full && l.state == decide.Gone {
 			continue
 		}
 		s := l.server
 		e := decide.Server{
-			ID: s.id, Zone: d.w.set.Network.Zones[s.zone], Kind: s.machine.kind, Cell: s.cell,
+			ID: s.id, Zone: d.w.set.Network.Zones[s.zone], MachineKind: s.machine.kind, Cell: s.cell,
 			State: l.state, Weight: s.weight,
 		}
 		if l.started > 0 {
-			e.Started = clockStart + l.started
+			e.StartedAt = clockStart + l.started
 		}
-		config.Servers = append(config.Servers, protocol.PoolServer{Server: e, Addr: s.addr})
+		config.Endpoints = append(config.Endpoints, protocol.Endpoint{Server: e, Addr: s.addr})
 	}
 	if full {
 		d.whole = config
--- a/internal/rehearsal/world/lab_test.go
+++ b/internal/rehearsal/world/lab_test.go
@@ -328,7 +328,7 @@
 		s := l.send(1.5, 0)
 		s.ended, s.life, s.operation = false, alive, &operation{}
 		s.pool = &upstream{life: alive, pool: core.NewPool[*conn](l.server.addr, idle, noSettling)}
-		s.phase, s.conn.life, s.conn.closed = core.Waiting, alive, false
+		s.phase, s.conn.life, s.conn.closed = core.AwaitingResponse, alive, false
 		alive.open = []*conn{s.conn}
 		over.conn = s.conn
 		l.run(time.Minute)
--- a/internal/rehearsal/world/life.go
+++ b/internal/rehearsal/world/life.go
@@ -34,7 +34,7 @@
 
 	toDiscovery, toServers hindrance // of its streams
 	disk                   []byte    // that outlives it: the file as it was last written whole
-	bans                   []core.Ban
+	bans                   []core.DisabledEndpoint
 	out                    map[*server]bool // of the bans: those that hold
 }
 
@@ -57,10 +57,10 @@
 	dead        bool
 	remote      bool // the program is real: of what follows, it has the most itself
 	router      *core.Router
-	list        *core.List
+	list        *core.ListTracker
 	idle        *core.IdleLimit
-	connects    core.Connects
-	session     *state.Session // nil: nothing is kept, and no list is doubted
+	connects    core.ConnectTimeouts
+	session     *state.Recorder // nil: nothing is kept, and no list is doubted
 	descriptors *core.Descriptors
 	upstreams   map[string]*upstream
 	operations  map[uint32]*operation
@@ -77,13 +77,13 @@
 	held        []happening // that wait until it goes on
 	away        bool        // clients are sent away by hand
 	awayFrom    time.Duration
-	taken       uint64             // operations so far, for their ids on the socket
-	wire        protocol.Operation // used again: the router keeps none
+	taken       uint64           // operations so far, for their ids on the socket
+	wire        protocol.Request // used again: the router keeps none
 	actsOn      *policy.Effect
-	ring        *placement.Agent // nil: it places by its own list alone
-	placed      *decide.Placed   // that the router goes by
-	heard       time.Duration    // when it was last not cut off from the voters
-	avoids      *decide.Avoid    // that the router goes by
+	ring        *placement.Agent       // nil: it places by its own list alone
+	placed      *decide.RingAssignment // that the router goes by
+	heard       time.Duration          // when it was last not cut off from the voters
+	avoids      *decide.Exclusions     // that the router goes by
 }
 
 // operation is a client's try that the agent has taken.
@@ -106,13 +106,13 @@
 	life    *life
 	number  int // of a call
 	err     error
-	sync    decide.SyncKind
-	word    decide.Word
-	config  protocol.PoolConfig
+	sync    decide.UpdateKind
+	word    decide.WatchStatus
+	config  protocol.EndpointList
 	proves  bool // that the list is so
 	id      uint32
 	attempt int
-	saw     core.Sighting
+	saw     core.AttemptResult
 	tag     uint64
 	from    int
 	data    []byte
@@ -160,7 +160,7 @@
 	list, version := w.discovery.asOf(max(w.now-age, 0))
 	known := w.discovery.config(list, version, true)
 	start := a.recall(known)
-	if start.FromFile {
+	if start.IsFromFile {
 		known = start.List
 		list = w.discovery.asOfVersion(known.Version)
 	}
@@ -170,7 +170,7 @@
 	}
 	l := &life{
 		w: w, agent: a, router: core.NewRouter(set, module),
-		list:        core.NewList(serverAddr(0), known, a.bans),
+		list:        core.NewListTracker(serverAddr(0), known, a.bans),
 		idle:        core.NewIdleLimit(clockStart+w.now, w.set.Connections.Idle),
 		descriptors: core.NewDescriptors(w.set.Agents.Sockets), upstreams: map[string]*upstream{},
 		operations: map[uint32]*operation{}, calls: map[int]*call{},
@@ -178,15 +178,15 @@
 	a.life = l
 	l.joinRing()
 	if s := &w.set.Agents; w.sights == nil && (s.KeepEvery > 0 || s.ProvesList || w.upgrades()) {
-		l.session = state.NewSession(start, balancer, gate, l.idle,
-			state.Proof{Wanted: s.ProvesList, Deploy: s.DeployTakes})
+		l.session = state.NewRecorder(start, balancer, gate, l.idle,
+			state.ProbationSettings{Enabled: s.ProvesList, FullDeploy: s.DeployTakes})
 	}
 	if every := w.set.Agents.KeepEvery; every > 0 {
 		w.after(every, rankTimer, (*keeps)(l))
 	}
 	w.record.agent(record.AgentUp, a)
 	l.writes(list, true)
-	l.post(message{kind: poolNews, sync: decide.SyncSaved, config: l.list.Known(known)})
+	l.post(message{kind: poolNews, sync: decide.UpdateCached, config: l.list.ApplyDisabled(known)})
 	return nil
 }
 
@@ -258,7 +258,7 @@
 	if acting := l.w.o.Acting; acting != nil {
 		if e := acting(l.agent.number, l.w.now); e != l.actsOn {
 			l.actsOn = e
-			l.router.Agree(e)
+			l.router.SetFleetPolicy(e)
 		}
 	}
 }
@@ -270,15 +270,15 @@
 	l.keepsOff()
 	switch now := l.clock(); m.kind {
 	case poolNews:
-		l.carry(l.router.PoolNews(now, m.sync, m.config, m.word))
+		l.carry(l.router.ListUpdated(now, m.sync, m.config, m.word))
 		l.remember(&m)
 	case callBegun:
-		l.heed(l.list.CallBegun(m.number))
+		l.heed(l.list.CallAccepted(m.number))
 		l.w.after(quietWait, rankTimer, &message{kind: callQuiet, life: l, number: m.number})
 	case callQuiet:
-		l.heed(l.list.CallQuiet(m.number))
+		l.heed(l.list.CallIdle(m.number))
 	case callSays:
-		l.heed(l.list.CallSays(m.number, m.config))
+		l.heed(l.list.CallReceived(m.number, m.config))
 	case callEnded:
 		delete(l.calls, m.number)
 		l.heed(l.list.CallEnded(m.number, m.err))
@@ -289,15 +289,15 @@
 			l.carry(l.router.ClientGone(now, m.try.operation.id))
 		}
 	case stepEnded:
-		l.carry(l.router.StepEnded(now, m.id, m.attempt, m.saw))
+		l.carry(l.router.AttemptEnded(now, m.id, m.attempt, m.saw))
 	case timerDue:
 		l.carry(l.router.TimerDue(now, m.tag))
 	case datagramCame:
-		l.carry(l.router.PeerSays(now, protocol.Datagram{Agent: m.from, Data: m.data}))
+		l.carry(l.router.DatagramReceived(now, protocol.Datagram{Agent: m.from, Data: m.data}))
 	case reclaim:
-		l.carry(l.router.Reclaim())
+		l.carry(l.router.ReleaseIdle())
 	case abandon:
-		l.carry(l.router.Abandon())
+		l.carry(l.router.FailAll())
 	}
 }
 
@@ -307,9 +307,9 @@
 	q := t.request
 	l.taken++
 	op := &l.wire
-	*op = protocol.Operation{
+	*op = protocol.Request{
 		CorrelationID: wireID(l.taken), Class: q.told(),
-		Repeat: t.nth > 0 && w.set.Clients.MarksRetry, TimeLeft: (t.leaves - t.asked).Truncate(time.Millisecond),
+		IsRetry: t.nth > 0 && w.set.Clients.MarksRetry, TimeLeft: (t.leaves - t.asked).Truncate(time.Millisecond),
 	}
 	if q.key > 0 {
 		op.Key = w.keyNames[q.key-1]
@@ -319,7 +319,7 @@
 	}
 	o := &operation{try: t}
 	t.operation = o
-	id, out := l.router.Arrive(l.clock(), op, l.clock())
+	id, out := l.router.RequestArrived(l.clock(), op, l.clock())
 	o.id = id
 	l.operations[id] = o
 	l.carry(out)
@@ -342,48 +342,48 @@
 	for i := range outputs {
 		o := &outputs[i]
 		switch o.Kind {
-		case core.Answer:
+		case core.Respond:
 			l.answer(o)
-		case core.StartStep:
+		case core.StartAttempt:
 			l.startStep(o)
-		case core.CancelStep:
-			if s := l.operations[o.Operation].step(o.Attempt); s != nil && !s.ended {
+		case core.CancelAttempt:
+			if s := l.operations[o.Request].step(o.Attempt); s != nil && !s.ended {
 				s.end(o.Why)
 			}
-		case core.UnwantStep:
-			if s := l.operations[o.Operation].step(o.Attempt); s != nil && !s.ended && s.phase == core.Connecting {
-				s.end(core.CalledOff)
+		case core.CancelIfUnsent:
+			if s := l.operations[o.Request].step(o.Attempt); s != nil && !s.ended && s.phase == core.Connecting {
+				s.end(core.Canceled)
 			}
-		case core.Forget:
-			delete(l.operations, o.Operation)
+		case core.ForgetRequest:
+			delete(l.operations, o.Request)
 		case core.SetTimer:
 			w.enter(o.At-clockStart, rankTimer, &message{kind: timerDue, life: l, tag: o.Tag})
-		case core.Tell:
+		case core.SendDatagram:
 			if !l.replaced { // one process speaks for the agent
 				l.tell(o.Peer, o.Data)
 			}
-		case core.Subscribe:
-			l.heed(l.list.Subscribe())
-		case core.Fetch:
+		case core.WatchList:
+			l.heed(l.list.Watch())
+		case core.FetchList:
 			l.heed(l.list.Fetch())
-		case core.OpenServer:
-			l.upstreams[o.Server] = &upstream{life: l, pool: core.NewPool[*conn](o.Addr, l.idle, noSettling)}
-		case core.MoveServer:
-			closeAll(l.upstreams[o.Server].pool.Move(o.Addr))
-		case core.RetireServer:
-			closeAll(l.upstreams[o.Server].pool.Retire())
-			delete(l.upstreams, o.Server)
-		case core.RestServer:
-			closeAll(l.upstreams[o.Server].pool.Rest())
-		case core.LetGo:
-			closeAll(l.upstreams[o.Server].pool.LetGo())
-		case core.Log:
+		case core.OpenEndpoint:
+			l.upstreams[o.Endpoint] = &upstream{life: l, pool: core.NewPool[*conn](o.Addr, l.idle, noSettling)}
+		case core.SetEndpointAddress:
+			closeAll(l.upstreams[o.Endpoint].pool.SetAddress(o.Addr))
+		case core.RemoveEndpoint:
+			closeAll(l.upstreams[o.Endpoint].pool.Retire())
+			delete(l.upstreams, o.Endpoint)
+		case core.DrainEndpoint:
+			closeAll(l.upstreams[o.Endpoint].pool.StopReuse())
+		case core.ReleaseIdle:
+			closeAll(l.upstreams[o.Endpoint].pool.CloseIdleHalf())
+		case core.LogDecision:
 			if w.o.Log != nil {
 				w.o.Log(w.now, l.agent.name, o.Text)
 			}
-		case core.ProbeUnheard:
+		case core.UnsupportedProbe:
 			if w.o.Log != nil {
-				w.o.Log(w.now, l.agent.name, "not allowed: probe "+o.Server)
+				w.o.Log(w.now, l.agent.name, "not allowed: probe "+o.Endpoint)
 			}
 		}
 	}
@@ -402,8 +402,8 @@
 func (l *life) heed(outputs []core.ListOutput) {
 	for i := range outputs {
 		switch o := &outputs[i]; o.Kind {
-		case core.BeginCall:
-			c := &call{d: l.w.discovery, life: l, number: o.Call, watch: o.Form.Watch, told: o.Form.From}
+		case core.StartCall:
+			c := &call{d: l.w.discovery, life: l, number: o.Call, watch: o.Request.Watch, told: o.Request.FromVersion}
 			c.lag = time.Duration(l.agent.chance.Float64() * float64(c.d.spread))
 			l.calls[o.Call] = c
 			l.w.enter(l.agent.callArrives(c.d), rankArrival, (*callReaches)(c))
@@ -412,8 +412,8 @@
 				c.forget()
 				l.w.after(0, rankArrival, &message{kind: callEnded, life: l, number: o.Call, err: errCancelled})
 			}
-		case core.News:
-			l.post(message{kind: poolNews, sync: o.Sync, config: o.Config, word: o.Word, proves: o.Confirms})
+		case core.ListUpdate:
+			l.post(message{kind: poolNews, sync: o.Update, config: o.List, word: o.Watch, proves: o.Confirms})
 		}
 	}
 }
--- a/internal/rehearsal/world/live.go
+++ b/internal/rehearsal/world/live.go
@@ -30,7 +30,7 @@
 	// Datagram hands an agent what another has sent.
 	Datagram(from, to int, data []byte)
 	// Start starts an agent's program, for the run of a number; Kill ends it at once, Drain tells it to end.
-	Start(agent, run int, known protocol.PoolConfig)
+	Start(agent, run int, known protocol.EndpointList)
 	Kill(agent int)
 	Drain(agent int)
 	// Pause has an agent's process stand still, Resume go on.
@@ -78,10 +78,10 @@
 
 // A ListConn is an agent's call to discovery, as the wire has it.
 type ListConn interface {
-	Begin()                         // the call is accepted
-	Say(config protocol.PoolConfig) // an object of the list
-	End(ok bool)                    // the call is over; false: it has failed
-	Silence()                       // nothing more comes on it, and it stays open
+	Begin()                           // the call is accepted
+	Say(config protocol.EndpointList) // an object of the list
+	End(ok bool)                      // the call is over; false: it has failed
+	Silence()                         // nothing more comes on it, and it stays open
 }
 
 // Query is a client's try, for the wire.
@@ -182,7 +182,7 @@
 func (v *Live) Deployment(agent int) protocol.Settings {
 	c := &v.w.set.Connections
 	return protocol.Settings{
-		Settings: v.w.deployment(v.w.agents[agent]), ConnIdle: c.Idle,
+		Settings: v.w.deployment(v.w.agents[agent]), ConnIdleTimeout: c.Idle,
 		ConnectTimeout: c.ConnectTimeout,
 	}
 }
--- a/internal/rehearsal/world/memory.go
+++ b/internal/rehearsal/world/memory.go
@@ -16,14 +16,14 @@
 
 // recall puts together what an agent starts from: the known list and its disk. What can't be read is left
 // out.
-func (a *agent) recall(known protocol.PoolConfig) state.Beginning {
+func (a *agent) recall(known protocol.EndpointList) state.Initial {
 	var file *state.File
 	if a.disk != nil {
 		if f, err := state.Decode(a.disk); err == nil && f.Owner == a.owner() {
 			file = f
 		}
 	}
-	start, _ := state.Begin(known, file, a.w.wallClock())
+	start, _ := state.NewInitial(known, file, a.w.wallClock())
 	return start
 }
 
@@ -34,10 +34,10 @@
 func (l *life) remember(m *message) {
 	switch {
 	case l.session == nil:
-	case m.sync == decide.SyncSaved:
-		l.session.Began(l.clock())
+	case m.sync == decide.UpdateCached:
+		l.session.RestoreLearned(l.clock())
 	default:
-		l.session.News(l.clock(), m.sync, m.config, m.proves)
+		l.session.ListUpdated(l.clock(), m.sync, m.config, m.proves)
 	}
 }
 
@@ -68,7 +68,7 @@
 func (l *life) content() *state.File {
 	return &state.File{
 		Content: l.session.Snapshot(l.clock()).Content(),
-		Header:  state.Header{Owner: l.agent.owner(), Written: l.w.wallClock().UnixMilli()},
+		Header:  state.Header{Owner: l.agent.owner(), WrittenMS: l.w.wallClock().UnixMilli()},
 	}
 }
 
--- a/internal/rehearsal/world/placed.go
+++ b/internal/rehearsal/world/placed.go
@@ -33,9 +33,9 @@
 // generations makes a day's generations of the ring.
 type generations struct {
 	w       *world
-	figures placement.Figures
-	machine *placement.Machine // never changed once others have it
-	council *placement.Council
+	figures placement.Parameters
+	machine *placement.StateMachine // never changed once others have it
+	council *placement.Proposer
 	leader  *life
 	mark    placement.Mark // of the present one
 	allHave time.Duration  // since when all that hold a lease have it; zero: they don't
@@ -44,14 +44,14 @@
 }
 
 func newGenerations(w *world) *generations {
-	f, r := decide.DefaultFigures(), &w.set.Rules
+	f, r := decide.DefaultTuning(), &w.set.Rules
 	g := &generations{
-		w: w, machine: placement.NewMachine(), chance: newStream(w.seed, "generations"),
+		w: w, machine: placement.NewStateMachine(), chance: newStream(w.seed, "generations"),
 		sizes: map[string]float64{},
 	}
-	g.figures.Cold = cold.Terms{
+	g.figures.SlowStart = cold.Terms{
 		Share: r.ColdShare, For: r.ColdFor, FallMultiple: r.FallMultiple,
-		FallWindow: r.FallWindow, Margin: f.ColdMargin, Most: f.ColdMost, Balancers: w.set.Agents.Count,
+		FallWindow: r.FallWindow, Margin: f.SlowStartMargin, Most: f.SlowStartMax, Balancers: w.set.Agents.Count,
 	}
 	mean := 0.0
 	for i := range w.set.Kinds {
@@ -66,8 +66,8 @@
 }
 
 // reading is what clocks show now: all machines' are right.
-func (w *world) reading() lease.Reading {
-	return lease.Reading{Unix: clockStart + w.now, Mono: steadyFrom + w.now}
+func (w *world) reading() lease.ClockReading {
+	return lease.ClockReading{Unix: clockStart + w.now, Mono: steadyFrom + w.now}
 }
 
 // settle has a calm pass before the day, with the servers that run when it begins.
@@ -75,19 +75,19 @@
 	var view placement.View
 	for _, l := range g.w.discovery.known {
 		view.Servers = append(view.Servers, g.seen(decide.Server{
-			ID: l.server.id, Kind: l.server.machine.kind,
+			ID: l.server.id, MachineKind: l.server.machine.kind,
 			Zone: g.w.set.Network.Zones[l.server.zone],
 		}))
 	}
-	at := func(t time.Duration) lease.Reading {
-		return lease.Reading{Unix: clockStart - t, Mono: steadyFrom - t}
+	at := func(t time.Duration) lease.ClockReading {
+		return lease.ClockReading{Unix: clockStart - t, Mono: steadyFrom - t}
 	}
-	council := placement.NewCouncil(g.figures, at(ringSettles))
-	council.Members(at(ringSettles), g.members(), 1)
+	council := placement.NewProposer(g.figures, at(ringSettles))
+	council.SetMembers(at(ringSettles), g.members(), 1)
 	for left := ringSettles; left > 0; left -= ringSettleStep {
 		now := at(left)
 		view.Now = now.Unix
-		council.See(now, view)
+		council.SetView(now, view)
 		records, _ := council.Due(now)
 		for _, r := range records {
 			g.machine.Apply(0, r)
@@ -105,7 +105,7 @@
 func (g *generations) note() {
 	all := placement.NewAgent()
 	all.Learn(g.machine)
-	g.mark, g.allHave = all.Has(), 0
+	g.mark, g.allHave = all.Applied(), 0
 }
 
 // report has the council know that all who hold a lease have the present generation, as soon as they have
@@ -118,24 +118,24 @@
 		case l == nil || l.ring == nil:
 		case !g.cut(a) && l.pauses == 0:
 			l.heard = w.now
-			have = have && l.ring.Has() == g.mark
+			have = have && l.ring.Applied() == g.mark
 		default: // its lease may hold
-			have = have && (l.ring.Has() == g.mark || w.now-l.heard > ringLeases)
+			have = have && (l.ring.Applied() == g.mark || w.now-l.heard > ringLeases)
 		}
 	}
 	if g.allHave == 0 && have {
 		g.allHave = w.now
 	}
 	if g.allHave > 0 && w.now-g.allHave >= ringTells {
-		g.council.Reported(0, g.mark)
+		g.council.ReportReceived(0, g.mark)
 	}
 }
 
 // seen is how a server of an agent's list is told the council.
-func (g *generations) seen(s decide.Server) placement.Seen {
-	return placement.Seen{
-		ID: s.ID, Zone: s.Zone, Kind: s.Kind, Ready: s.State == decide.Ready,
-		Draining: s.State == decide.Draining, Started: s.Started, Capacity: g.sizes[s.Kind],
+func (g *generations) seen(s decide.Server) placement.Server {
+	return placement.Server{
+		ID: s.ID, Zone: s.Zone, Kind: s.MachineKind, Ready: s.State == decide.Ready,
+		Draining: s.State == decide.Draining, StartedAt: s.StartedAt, Capacity: g.sizes[s.MachineKind],
 	}
 }
 
@@ -146,11 +146,11 @@
 	if !g.leads() {
 		return
 	}
-	view := placement.View{Now: now.Unix, Emptied: window.Emptied(w.avoid, w.tenantNames())}
-	for _, s := range g.leader.list.Servers() {
+	view := placement.View{Now: now.Unix, FullyDrained: window.FullyDrained(w.avoid, w.tenantNames())}
+	for _, s := range g.leader.list.Endpoints() {
 		view.Servers = append(view.Servers, g.seen(s))
 	}
-	g.council.See(now, view)
+	g.council.SetView(now, view)
 	g.report()
 	records, _ := g.council.Due(now)
 	for _, r := range records {
@@ -174,8 +174,8 @@
 	}
 	for _, a := range g.w.agents[:min(ringVoters, len(g.w.agents))] {
 		if can(a.life) {
-			g.leader, g.council = a.life, placement.NewCouncil(g.figures, g.w.reading())
-			g.council.Members(g.w.reading(), g.members(), uint64(a.number)+2)
+			g.leader, g.council = a.life, placement.NewProposer(g.figures, g.w.reading())
+			g.council.SetMembers(g.w.reading(), g.members(), uint64(a.number)+2)
 			g.council.Learn(g.w.reading(), g.machine)
 			return true
 		}
@@ -189,7 +189,7 @@
 // ringTold is when an agent learns of a generation, once it is not cut off.
 type ringTold struct {
 	agent   *agent
-	machine *placement.Machine
+	machine *placement.StateMachine
 }
 
 func (t *ringTold) happen() {
@@ -214,9 +214,9 @@
 	if l.w.rings.cut(l.agent) {
 		standing = lease.Floor
 	}
-	if p := l.ring.Placed(l.w.reading(), standing); p != l.placed {
+	if p := l.ring.Assignment(l.w.reading(), standing); p != l.placed {
 		l.placed = p
-		l.router.Place(p)
+		l.router.SetRingAssignment(p)
 	}
 }
 
--- a/internal/rehearsal/world/placed_test.go
+++ b/internal/rehearsal/world/placed_test.go
@@ -33,12 +33,12 @@
 	d := &diary{}
 	w, err := begin(set, 3, d, Options{})
 	require.NoError(t, err)
-	before := w.agents[0].life.ring.Placed(w.reading(), 0)
+	before := w.agents[0].life.ring.Assignment(w.reading(), 0)
 	require.Nil(t, before, "without a standing there is none")
 	at := w.rings.machine.State()
-	require.Len(t, at.Nodes, 13)
+	require.Len(t, at.Members, 13)
 	for _, s := range w.servers {
-		for _, n := range at.Nodes {
+		for _, n := range at.Members {
 			if n.ID == s.id {
 				require.InDelta(t, 200*w.rings.sizes[s.machine.kind], n.OnRing(), 25, "settled on the kind's size")
 			}
@@ -47,7 +47,7 @@
 	require.NoError(t, w.run(context.Background()))
 	requireWhole(t, d)
 	require.Greater(t, w.rings.machine.State().Number, at.Number+2)
-	var last *decide.Placed
+	var last *decide.RingAssignment
 	for _, a := range w.agents {
 		require.NotNil(t, a.life.placed)
 		if last == nil {
--- a/internal/rehearsal/world/restart.go
+++ b/internal/rehearsal/world/restart.go
@@ -12,7 +12,7 @@
 
 // draining is a life's planned end.
 type draining struct {
-	course  core.Drain
+	course  core.ShutdownPlan
 	told    bool
 	arrives time.Duration // until when clients open connections to it
 	over    bool          // it ended by itself
@@ -30,7 +30,7 @@
 		return
 	}
 	l.end = draining{
-		course: core.NewDrain(l.clock(), l.w.deployment(l.agent).Classes), told: true,
+		course: core.NewShutdownPlan(l.clock(), l.w.deployment(l.agent).Classes), told: true,
 		arrives: l.w.now + lateClients,
 	}
 	l.keep()
@@ -47,15 +47,15 @@
 	if l.dead || l.still(d) {
 		return
 	}
-	phase, until := l.end.course.At(l.clock())
+	phase, until := l.end.course.PhaseAt(l.clock())
 	switch phase {
-	case core.Closing:
+	case core.ShutdownClosing:
 		l.end.closing = true
 		l.closeIdle()
 		l.endIfEmpty()
-	case core.Abandoning:
+	case core.ShutdownFailing:
 		l.post(message{kind: abandon})
-	case core.Over:
+	case core.ShutdownOver:
 		(*lifeOver)(l).happen()
 		return
 	}
--- a/internal/rehearsal/world/silence.go
+++ b/internal/rehearsal/world/silence.go
@@ -64,6 +64,6 @@
 	c := (*call)(g)
 	if !c.over {
 		c.forget()
-		c.life.post(message{kind: callEnded, number: c.number, err: &core.Silence{For: silenceWait}})
+		c.life.post(message{kind: callEnded, number: c.number, err: &core.SilenceError{Duration: silenceWait}})
 	}
 }
--- a/internal/rehearsal/world/step.go
+++ b/internal/rehearsal/world/step.go
@@ -32,8 +32,8 @@
 	work      float64
 	begun     time.Duration
 	until     time.Duration // when the agent gives it up, as it tells the booking server
-	lease     core.Lease[*conn]
-	phase     core.Phase
+	lease     core.Checkout[*conn]
+	phase     core.AttemptPhase
 	ended     bool // at the agent
 	reply     replyKind
 
@@ -89,9 +89,9 @@
 		s.answerWire()
 		return
 	}
-	s.phase = core.Answering
+	s.phase = core.Responding
 	if s.reply == replySpoilt {
-		s.end(core.Spoilt)
+		s.end(core.InvalidResponse)
 	} else {
 		s.end(core.Completed)
 	}
@@ -102,7 +102,7 @@
 	case replyServed:
 		return decide.Served
 	case replyUnprocessed:
-		return decide.TurnedAway
+		return decide.Rejected
 	}
 	return decide.ServerError
 }
@@ -110,23 +110,23 @@
 func (o *stepOver) happen() {
 	s := (*step)(o)
 	if !s.life.still(o) && !s.ended && !s.life.dead {
-		s.end(core.OutOfTime)
+		s.end(core.TimedOut)
 	}
 }
 
 func (u *stepUnheard) happen() {
 	s := (*step)(u)
 	if !s.life.still(u) && !s.ended && !s.life.dead && s.phase == core.Connecting {
-		s.life.connects.Unheard()
-		s.end(core.OutOfTime)
+		s.life.connects.GaveUp()
+		s.end(core.TimedOut)
 	}
 }
 
 // startStep sends an operation to a booking server, on a connection that is idle or a new one.
 func (l *life) startStep(o *core.Output) {
 	w := l.w
-	op := l.operations[o.Operation]
-	u := l.upstreams[o.Server]
+	op := l.operations[o.Request]
+	u := l.upstreams[o.Endpoint]
 	t := op.try
 	s := &step{
 		w: w, life: l, operation: op, try: t, attempt: o.Attempt, pool: u, begun: w.now,
@@ -136,7 +136,7 @@
 	s.work = t.request.work * lognormal(w.noise[t.request.class], lotNormalOf(w.seed, s.number))
 	op.steps = append(op.steps, s)
 	w.open++
-	lease, closing := u.pool.Begin(l.clock())
+	lease, closing := u.pool.Acquire(l.clock())
 	closeAll(closing)
 	s.lease = lease
 	w.enter(s.until, rankTimer, (*stepOver)(s))
@@ -152,9 +152,9 @@
 // dial opens a connection for a route step.
 func (l *life) dial(s *step) {
 	w := l.w
-	if !l.descriptors.TakeUpstream() {
+	if !l.descriptors.AcquireUpstream() {
 		l.post(message{kind: reclaim})
-		s.end(core.BrokenOff)
+		s.end(core.BrokenByEndpoint)
 		return
 	}
 	to := w.at[s.lease.Addr]
@@ -165,7 +165,7 @@
 	l.open = append(l.open, c)
 	s.conn = c
 	c.open()
-	wait := l.connects.Wait(w.set.Connections.ConnectTimeout, s.until-w.now)
+	wait := l.connects.Timeout(w.set.Connections.ConnectTimeout, s.until-w.now)
 	w.enter(min(w.now+wait, s.until), rankTimer, (*stepUnheard)(s))
 }
 
@@ -187,27 +187,27 @@
 }
 
 // end ends a route step at the agent. The connection is closed, unless it can carry another.
-func (s *step) end(how core.Ending) {
+func (s *step) end(how core.EndReason) {
 	l := s.life
-	saw := core.Sighting{
-		Phase: s.phase, Ending: how, Reply: s.reply.outcome(), Latency: s.w.now - s.begun,
-		Reused: s.lease.Reused, Stood: s.lease.Stood,
+	saw := core.AttemptResult{
+		Phase: s.phase, EndReason: how, Response: s.reply.outcome(), Latency: s.w.now - s.begun,
+		Reused: s.lease.Reused, IdleFor: s.lease.IdleFor,
 	}
-	if s.phase == core.Connecting && how == core.BrokenOff {
-		saw.Refused, saw.Ours = s.conn != nil, s.conn == nil
+	if s.phase == core.Connecting && how == core.BrokenByEndpoint {
+		saw.Refused, saw.LocalFault = s.conn != nil, s.conn == nil
 	}
-	if stood, lost, counts := saw.Connection(); counts {
-		l.idle.Note(l.clock(), stood, lost)
+	if stood, lost, counts := saw.IdleEvidence(); counts {
+		l.idle.Record(l.clock(), stood, lost)
 	}
 	s.over(wireOutcome(saw))
 	if c := s.conn; how == core.Completed {
-		closeAll(s.pool.pool.Over(l.clock(), c, s.lease.Addr, false))
+		closeAll(s.pool.pool.Release(l.clock(), c, s.lease.Addr, false))
 		s.pool.planExpiry()
 	} else {
-		if saw.Silent() {
-			closeAll(s.pool.pool.OverSilent(l.clock() - (s.w.now - s.begun)))
+		if saw.IsUnanswered() {
+			closeAll(s.pool.pool.ReleaseUnanswered(l.clock() - (s.w.now - s.begun)))
 		} else {
-			s.pool.pool.OverClosed()
+			s.pool.pool.ReleaseClosed()
 		}
 		if c != nil {
 			c.close()
@@ -224,19 +224,19 @@
 }
 
 // wireOutcome is what passed on the wire, whatever the agent makes of it.
-func wireOutcome(saw core.Sighting) record.Outcome {
+func wireOutcome(saw core.AttemptResult) record.Outcome {
 	switch {
 	case saw.Phase <= core.Writing:
 		return record.NoConnection
-	case saw.Ending == core.BrokenOff:
+	case saw.EndReason == core.BrokenByEndpoint:
 		return record.Broken
-	case saw.Ending == core.Spoilt:
+	case saw.EndReason == core.InvalidResponse:
 		return record.SpoiltAnswer
-	case saw.Ending != core.Completed:
+	case saw.EndReason != core.Completed:
 		return record.GivenUp
-	case saw.Reply == decide.Served:
+	case saw.Response == decide.Served:
 		return record.OK
-	case saw.Reply == decide.TurnedAway:
+	case saw.Response == decide.Rejected:
 		return record.TurnedAway
 	}
 	return record.Error
@@ -244,7 +244,7 @@
 
 // planExpiry has the idle connections looked at when the first has stood for as long as it may.
 func (u *upstream) planExpiry() {
-	at, any := u.pool.Due()
+	at, any := u.pool.NextExpiry()
 	if at -= clockStart; any && (u.expiry == 0 || at < u.expiry) {
 		u.expiry = at
 		u.life.w.enter(at, rankTimer, (*idleDue)(u))
--- a/internal/rehearsal/world/window.go
+++ b/internal/rehearsal/world/window.go
@@ -25,7 +25,7 @@
 	from, to := clockStart+t.at, clockStart+t.at+t.lasts
 	return &window.Window{
 		ID: t.name, Tenants: t.set.Tenants, Steps: windowSteps, From: from,
-		Drained: from + moves, Back: to - moves, To: to,
+		DrainedAt: from + moves, ReturnFrom: to - moves, To: to,
 	}
 }
 
@@ -36,9 +36,9 @@
 	for i := range t.w.set.Classes {
 		longest = max(longest, t.w.set.Classes[i].Deadline)
 	}
-	if free := t.window.Drained + longest + windowLingers; free < t.window.Back {
+	if free := t.window.DrainedAt + longest + windowLingers; free < t.window.ReturnFrom {
 		t.w.enter(free-clockStart, rankTrouble, (*windowEmptied)(t))
-		t.w.enter(t.window.Back-clockStart, rankTrouble, (*windowReturns)(t))
+		t.w.enter(t.window.ReturnFrom-clockStart, rankTrouble, (*windowReturns)(t))
 	}
 	(*windowStep)(t).happen()
 }
@@ -53,7 +53,7 @@
 	w, p := s.w, s.window
 	w.keepOff()
 	if clockStart+w.now < p.To {
-		w.after((p.Drained-p.From)/windowSteps, rankTrouble, s)
+		w.after((p.DrainedAt-p.From)/windowSteps, rankTrouble, s)
 	}
 }
 
@@ -76,7 +76,7 @@
 		if t.window == nil {
 			continue
 		}
-		part := t.window.Planned(clockStart + w.now)
+		part := t.window.PlannedFraction(clockStart + w.now)
 		below := uint32(math.MaxUint32) // all
 		if part < 1 {
 			below = uint32(part * (1 << 32))
@@ -85,7 +85,7 @@
 			continue
 		}
 		if w.avoid == nil {
-			w.avoid = &decide.Avoid{Tenants: map[string]map[string]uint32{}}
+			w.avoid = &decide.Exclusions{Tenants: map[string]map[string]uint32{}}
 		}
 		for _, name := range w.movedBy(t.set) {
 			if w.avoid.Tenants[name] == nil {
@@ -101,11 +101,11 @@
 // movedBy are the tenants of a window.
 func (w *world) movedBy(set *scenario.Trouble) (names []string) {
 	for _, name := range set.Tenants {
-		if name != window.All {
+		if name != window.AllTenants {
 			names = append(names, name)
 			continue
 		}
-		names = append(append(names, w.tenantNames()...), window.Rest)
+		names = append(append(names, w.tenantNames()...), window.NoTenant)
 	}
 	return names
 }
@@ -121,6 +121,6 @@
 func (l *life) keepsOff() {
 	if v := l.w.avoid; v != l.avoids {
 		l.avoids = v
-		l.router.Avoid(v)
+		l.router.SetExclusions(v)
 	}
 }
--- a/internal/rehearsal/world/world.go
+++ b/internal/rehearsal/world/world.go
@@ -36,7 +36,7 @@
 	// Progress is told the day's time once each of its seconds; nil: nobody is.
 	Progress func(at time.Duration)
 	// Figures replace the module's own; zero: those that ship.
-	Figures decide.Figures
+	Figures decide.Tuning
 	// Storm are the figures of the gate before the module; zero: those that ship.
 	Storm storm.Figures
 	// Late has the agents go by late.Policy, which sees the servers' true state so long after; zero: by the code
@@ -96,13 +96,13 @@
 
 	// Of a day that is played in real time.
 	live   *Live
-	wire   Wire            // nil: the agents are their code, and the network is a model
-	tries  map[uint32]*try // that booking servers may see
-	failed error           // why the day can't be played on
-	sights *sights         // nil: the agents' own code decides
-	rings  *generations    // nil: each agent places by its own list
-	avoid  *decide.Avoid   // by the windows that are on; nil: none moves anything
-	plan   *Plan           // that is drawn: nothing is played
+	wire   Wire               // nil: the agents are their code, and the network is a model
+	tries  map[uint32]*try    // that booking servers may see
+	failed error              // why the day can't be played on
+	sights *sights            // nil: the agents' own code decides
+	rings  *generations       // nil: each agent places by its own list
+	avoid  *decide.Exclusions // by the windows that are on; nil: none moves anything
+	plan   *Plan              // that is drawn: nothing is played
 
 	ops  uint32 // tries so far
 	open int    // tries and route steps that are out or to come
@@ -372,38 +372,38 @@
 	s := w.set
 	set := decide.Settings{
 		Self: a.number, Balancers: len(w.agents), Zone: s.Network.Zones[a.zone],
-		OverShareWorth: s.Load.OverShareWorth, OnRequest: true, MarksRetry: s.Clients.MarksRetry,
-		Tick: s.Agents.Tick, Figures: w.o.Figures,
+		OverQuotaWeight: s.Load.OverShareWorth, DiscoveryOnDemand: true, ClientsMarkRetries: s.Clients.MarksRetry,
+		Tick: s.Agents.Tick, Tuning: w.o.Figures,
 		Limits: decide.Limits{
-			MaxAttempts: s.Allow.MaxAttempts, SecondCopies: s.Allow.SecondCopies,
-			Cancel: s.Allow.Cancel, Peers: s.Allow.Peers, RetryAfter: s.Allow.RetryAfter,
+			MaxAttempts: s.Allow.MaxAttempts, Hedging: s.Allow.SecondCopies,
+			Cancel: s.Allow.Cancel, Gossip: s.Allow.Peers, RetryAfter: s.Allow.RetryAfter,
 			MaxRetryAfter: s.Allow.MaxRetryAfter,
 		},
 		Rules: decide.Rules{
-			DrainGrace: s.Rules.DrainGrace, AskWithin: s.Rules.AskWithin,
-			ColdShare: s.Rules.ColdShare, ColdFor: s.Rules.ColdFor, FallMultiple: s.Rules.FallMultiple,
-			FallWindow: s.Rules.FallWindow,
+			DrainGrace: s.Rules.DrainGrace, MaxPollInterval: s.Rules.AskWithin,
+			SlowStartCapacity: s.Rules.ColdShare, SlowStartDuration: s.Rules.ColdFor, OverloadMultiple: s.Rules.FallMultiple,
+			OverloadWindow: s.Rules.FallWindow,
 		},
-		Prices: decide.Prices{
-			CrossZone: s.Prices.CrossZone, Waste: s.Prices.Waste, Peer: s.Prices.Peer,
-			LateFail: s.Prices.LateFail,
+		Costs: decide.Costs{
+			CrossZone: s.Prices.CrossZone, WastedWork: s.Prices.Waste, PeerMessage: s.Prices.Peer,
+			LateFailure: s.Prices.LateFail,
 		},
-		Goal: decide.Goal{
-			Whole: s.Goal.Whole, WorstWindow: s.Goal.WorstWindow, WorstClass: s.Goal.WorstClass,
+		ScoreWeights: decide.ScoreWeights{
+			Total: s.Goal.Whole, WorstWindow: s.Goal.WorstWindow, WorstClass: s.Goal.WorstClass,
 			WorstTenant: s.Goal.WorstTenant,
 		},
 	}
 	for i := range s.Classes {
 		c := &s.Classes[i]
-		k := decide.Class{Name: c.Name, Aim: c.Aim, Deadline: c.Deadline, Worth: c.Worth, Effect: decide.Unsafe}
+		k := decide.Class{Name: c.Name, LatencyObjective: c.Aim, Deadline: c.Deadline, PriorityWeight: c.Worth, Idempotency: decide.NotIdempotent}
 		if c.Effect == scenario.Safe {
-			k.Effect = decide.Safe
+			k.Idempotency = decide.Idempotent
 		}
 		set.Classes = append(set.Classes, k)
 	}
 	for i := range s.Tenants {
 		set.Tenants = append(set.Tenants, decide.Tenant{
-			Name: s.Tenants[i].Name, QuotaPerS: w.quotas[i],
+			Name: s.Tenants[i].Name, QuotaPerSecond: w.quotas[i],
 			Share: s.Tenants[i].Share,
 		})
 	}
--- a/internal/routing/agents.go
+++ b/internal/routing/agents.go
@@ -11,25 +11,25 @@
 const maxDatagramsWaiting = 256
 
 // agents is the actor of the other agents: it owns the sending of datagrams.
-type agents struct {
+type peerSender struct {
 	mail   *mailbox[protocol.Datagram]
 	socket *transport.Datagrams
 }
 
-func startAgents(socket *transport.Datagrams) *agents {
-	a := &agents{mail: newMailbox[protocol.Datagram](), socket: socket}
+func startPeerSender(socket *transport.Datagrams) *peerSender {
+	a := &peerSender{mail: newMailbox[protocol.Datagram](), socket: socket}
 	go a.mail.receive(a.send)
 	return a
 }
 
 // tell sends a datagram, or drops it where too many wait.
-func (a *agents) tell(d protocol.Datagram) {
+func (a *peerSender) enqueue(d protocol.Datagram) {
 	if a.mail.waiting() < maxDatagramsWaiting {
 		a.mail.put(d)
 	}
 }
 
-func (a *agents) send(d protocol.Datagram) bool {
+func (a *peerSender) send(d protocol.Datagram) bool {
 	if err := a.socket.Send(d); err != nil {
 		slog.Warn("datagram not sent", "agent", d.Agent, "error", err)
 	}
--- a/internal/routing/agreed_test.go
+++ b/internal/routing/agreed_test.go
@@ -21,28 +21,32 @@
 	return nil
 }
 
-func (n *noting) Agree(quota []float64, classes []decide.Agreed, inVain float64) {
+func (n *noting) Agree(quota []float64, classes []decide.RetryPolicy, inVain float64) {
 	n.notes = append(n.notes, fmt.Sprint(quota, classes, inVain))
 }
 
-func (n *noting) Avoid(a *decide.Avoid) { n.notes = append(n.notes, fmt.Sprintf("avoid %v", a != nil)) }
+func (n *noting) Avoid(a *decide.Exclusions) {
+	n.notes = append(n.notes, fmt.Sprintf("avoid %v", a != nil))
+}
 
-func (n *noting) Place(p *decide.Placed) {
+func (n *noting) Place(p *decide.RingAssignment) {
 	n.notes = append(n.notes, fmt.Sprintf("place %v", p != nil))
 }
 
-func (n *noting) Strain() []decide.Strain { return []decide.Strain{{Tenant: "a", Asked: 7}} }
+func (n *noting) Strain() []decide.TenantStats {
+	return []decide.TenantStats{{Tenant: "a", Requests: 7}}
+}
 
 // What is to be kept off, and how the ring is placed, is looked at before each message, and told where it has
 // changed.
 func TestAvoiding(t *testing.T) {
-	module, avoid, placed := &noting{}, (*decide.Avoid)(nil), (*decide.Placed)(nil)
+	module, avoid, placed := &noting{}, (*decide.Exclusions)(nil), (*decide.RingAssignment)(nil)
 	a := &Agent{
 		mail: newMailbox[any](), clock: newClock(), router: core.NewRouter(decide.Settings{}, module),
-		avoiding: func() *decide.Avoid { return avoid }, placed: func() *decide.Placed { return placed },
+		exclusions: func() *decide.Exclusions { return avoid }, ringAssignment: func() *decide.RingAssignment { return placed },
 	}
 	a.handle(timerDue{1})
-	avoid, placed = &decide.Avoid{}, &decide.Placed{}
+	avoid, placed = &decide.Exclusions{}, &decide.RingAssignment{}
 	a.handle(timerDue{2})
 	a.handle(timerDue{3})
 	avoid, placed = nil, nil
@@ -53,12 +57,12 @@
 	}, module.notes)
 	ctx, cancel := context.WithCancel(t.Context())
 	go a.mail.receive(func(m any) bool { return m != nil && a.handle(m) })
-	strain, damps := a.Strain(ctx)
+	strain, damps := a.TenantStats(ctx)
 	require.Equal(t, module.Strain(), strain)
 	require.False(t, damps)
 	a.mail.put(nil)
 	cancel()
-	strain, _ = a.Strain(ctx)
+	strain, _ = a.TenantStats(ctx)
 	require.Nil(t, strain, "an agent that has ended")
 }
 
@@ -68,14 +72,14 @@
 	module := &noting{}
 	a := &Agent{mail: newMailbox[any](), clock: newClock(), router: core.NewRouter(decide.Settings{}, module)}
 	a.mail.put(timerDue{1})
-	a.Agree(&policy.Effect{
-		Quota: []float64{3}, InVain: 0.2,
-		Classes: []policy.ClassEffect{{Attempts: 2, Copies: true, Pace: time.Millisecond}},
+	a.SetFleetPolicy(&policy.Effect{
+		Quota: []float64{3}, MaxFailedRatio: 0.2,
+		Classes: []policy.ClassEffect{{MaxAttempts: 2, Hedging: true, MinAttemptInterval: time.Millisecond}},
 	})
 	a.mail.put(timerDue{2})
-	a.Agree(nil)
+	a.SetFleetPolicy(nil)
 	a.mail.put(nil)
 	a.mail.receive(func(m any) bool { return m != nil && a.handle(m) })
 	require.Equal(t, []string{"*decide.TimerDue", "[3] [{2 true 1ms}] 0.2", "*decide.TimerDue", "[] [] 0"}, module.notes)
-	newStage(1).handle(agreed{})
+	newStage(1).handle(fleetPolicyChanged{})
 }
--- a/internal/routing/answered_test.go
+++ b/internal/routing/answered_test.go
@@ -45,16 +45,16 @@
 	}()
 	k := newClock()
 	reports := make(chan any, 4)
-	b := startBooking(upstreamSettings{
-		clock: k, connectTimeout: time.Minute, settle: core.SettleTime, connects: &connects{},
+	b := startUpstream(upstreamSettings{
+		clock: k, connectTimeout: time.Minute, reuseDelay: core.ReuseDelay, connectTimeouts: &connectTimeouts{},
 		idleLimit:   &idleLimit{core: core.NewIdleLimit(k.now(), time.Hour)},
-		descriptors: transport.NewDescriptors(16, func() {}), figures: figures.New(nil),
-		bodies: transport.NewBodies(1<<20, transport.BodyRules{Longest: 1 << 20, Stall: time.Second, Lag: time.Second}),
+		descriptors: transport.NewDescriptors(16, func() {}), metrics: figures.New(nil),
+		bodies: transport.NewBodyLimits(1<<20, transport.BodyRules{MaxBytes: 1 << 20, ClientStall: time.Second, ClientLag: time.Second}),
 	},
 		l.Addr().(*net.TCPAddr).AddrPort(), func(m any) { reports <- m })
 	step := func(id string) *attempt {
 		until := k.now() + time.Minute
-		return newAttempt(&operation{Operation: &protocol.Operation{
+		return newAttempt(&request{Request: &protocol.Request{
 			Method: http.MethodGet, Target: "/consult",
 			CorrelationID: id, Class: "consult", TimeLeft: time.Minute,
 		}}, core.Output{At: until, Deadline: until}, k)
@@ -62,24 +62,24 @@
 	late := step("000000000000000a")
 	late.unwanted = true // as if the answer had crossed the connection's coming up
 	b.mail.put(late)
-	require.Equal(t, decide.CalledOff, (<-reports).(attemptEnded).saw.Outcome())
+	require.Equal(t, decide.Canceled, (<-reports).(attemptEnded).result.Outcome())
 	b.mail.put(step("000000000000000b"))
-	require.Equal(t, decide.Served, (<-reports).(attemptEnded).saw.Outcome())
+	require.Equal(t, decide.Served, (<-reports).(attemptEnded).result.Outcome())
 	require.Equal(t, "000000000000000b", <-came, "and nothing before it")
 
 	// Its end comes while its connection is being opened: by order of events, since the moment between the two is not
 	// to be had from outside. What has begun goes on.
 	crossed := step("000000000000000d")
-	crossed.unwritten()
-	crossed.unwant()
+	crossed.resetWritten()
+	crossed.cancelIfUnsent()
 	require.False(t, crossed.mayWrite())
 	begun := step("000000000000000e")
 	require.True(t, begun.mayWrite())
-	begun.unwant()
+	begun.cancelIfUnsent()
 	require.NoError(t, begun.ctx.Err())
 
 	waits := step("000000000000000c")
-	waits.unwant()
+	waits.cancelIfUnsent()
 	require.Error(t, waits.ctx.Err(), "it does not wait for its connection any longer")
 	b.mail.put(retire{})
 }
--- a/internal/routing/answers_test.go
+++ b/internal/routing/answers_test.go
@@ -41,12 +41,12 @@
 	set := decide.Settings{Classes: []decide.Class{{Name: "consult"}}, Limits: decide.Limits{MaxAttempts: n}}
 	a := &Agent{
 		mail: newMailbox[any](), clock: newClock(), router: core.NewRouter(set, copies(n)),
-		servers: map[string]*booking{}, operations: map[uint32]*operation{},
+		upstreams: map[string]*upstream{}, requests: map[uint32]*request{},
 	}
-	a.do(a.router.PoolNews(0, decide.SyncFull, protocol.PoolConfig{Servers: []protocol.PoolServer{{
+	a.carryOutAll(a.router.ListUpdated(0, decide.UpdateFull, protocol.EndpointList{Endpoints: []protocol.Endpoint{{
 		Server: decide.Server{ID: "s-0"}, Addr: netip.MustParseAddrPort("127.0.0.1:1"),
-	}}}, decide.Word{}))
-	a.servers["s-0"] = &booking{mail: newMailbox[any]()} // nobody reads it
+	}}}, decide.WatchStatus{}))
+	a.upstreams["s-0"] = &upstream{mail: newMailbox[any]()} // nobody reads it
 	return &stage{Agent: a, pool: memory.NewPool(1 << 20)}
 }
 
@@ -67,26 +67,26 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 3).Draw(t, "steps")
 		s := newStage(n)
-		o := &operation{answer: make(chan protocol.Answer, 1), Operation: &protocol.Operation{
+		o := &request{response: make(chan protocol.Response, 1), Request: &protocol.Request{
 			Class:         "consult",
-			CorrelationID: "1", Sent: time.Now(), TimeLeft: time.Minute, Release: func() { s.released++ },
+			CorrelationID: "1", ArrivedAt: time.Now(), TimeLeft: time.Minute, Release: func() { s.released++ },
 		}}
 		s.handle(o)
 		var flows []*flow.Flow
 		begun, over := make([]*flow.Flow, n), make([]bool, n)
-		var taken []protocol.Answer
+		var taken []protocol.Response
 		gone := false
-		end := func(i int, f *flow.Flow, saw core.Sighting) {
+		end := func(i int, f *flow.Flow, saw core.AttemptResult) {
 			over[i] = true
-			saw.Phase = core.Answering
-			s.handle(attemptEnded{attempt: o.attempts[i], saw: saw, reply: protocol.Reply{Flow: f}})
+			saw.Phase = core.Responding
+			s.handle(attemptEnded{attempt: o.attempts[i], result: saw, response: protocol.UpstreamResponse{Flow: f}})
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"begin": func(t *rapid.T) {
 				if i := rapid.IntRange(0, n-1).Draw(t, "i"); !over[i] && begun[i] == nil {
 					begun[i] = s.body(t)
 					flows = append(flows, begun[i])
-					s.handle(attemptBegan{o.attempts[i], protocol.Reply{Flow: begun[i]}})
+					s.handle(responseStarted{o.attempts[i], protocol.UpstreamResponse{Flow: begun[i]}})
 				}
 			},
 			"end": func(t *rapid.T) {
@@ -101,9 +101,9 @@
 					f := s.body(t)
 					f.End(io.EOF)
 					flows = append(flows, f)
-					end(i, f, core.Sighting{Ending: core.Completed})
+					end(i, f, core.AttemptResult{EndReason: core.Completed})
 				default:
-					end(i, nil, core.Sighting{Ending: core.BrokenOff})
+					end(i, nil, core.AttemptResult{EndReason: core.BrokenByEndpoint})
 				}
 			},
 			"take": func(*rapid.T) {
@@ -111,7 +111,7 @@
 					return
 				}
 				select {
-				case a := <-o.answer:
+				case a := <-o.response:
 					taken = append(taken, a)
 				default:
 				}
@@ -122,12 +122,12 @@
 					s.handle(clientGone{o})
 				}
 			},
-			"abandon": func(*rapid.T) { s.handle(abandon{}) },
+			"abandon": func(*rapid.T) { s.handle(failAll{}) },
 		})
 		// All comes to its end.
 		if !gone && len(taken) == 0 {
-			s.handle(abandon{})
-			taken = append(taken, <-o.answer)
+			s.handle(failAll{})
+			taken = append(taken, <-o.response)
 		}
 		for i, f := range begun {
 			if f != nil && !over[i] {
@@ -142,46 +142,46 @@
 		for i, f := range begun {
 			if f != nil {
 				<-f.Over()
-				end(i, nil, core.Sighting{Begun: true, Ending: endingOf(f.Result(), o.attempts[i].ctx)})
+				end(i, nil, core.AttemptResult{Streamed: true, EndReason: endReasonOf(f.Result(), o.attempts[i].ctx)})
 			} else if !over[i] {
-				end(i, nil, core.Sighting{Ending: core.OutOfTime})
+				end(i, nil, core.AttemptResult{EndReason: core.TimedOut})
 			}
 		}
 		require.LessOrEqual(t, len(taken), 1)
-		require.Empty(t, o.answer)
+		require.Empty(t, o.response)
 		for _, f := range flows {
 			_, err := f.Next()
 			require.Error(t, err, "closed")
 		}
 		require.Zero(t, s.pool.Used())
 		require.Positive(t, s.released)
-		require.Empty(t, s.operations)
+		require.Empty(t, s.requests)
 	})
 }
 
 // What is not the server's doing is not taken for its breaking off.
 func TestEndingOf(t *testing.T) {
 	c := newClock()
-	s := newAttempt(&operation{}, core.Output{At: c.now() + time.Minute}, c)
-	for err, want := range map[error]core.Ending{
-		nil: core.Completed, io.ErrUnexpectedEOF: core.BrokenOff,
-		flow.ErrLeft: core.ClientLeft, transport.ErrSpoilt: core.Spoilt, memory.ErrFull: core.NoMemory,
+	s := newAttempt(&request{}, core.Output{At: c.now() + time.Minute}, c)
+	for err, want := range map[error]core.EndReason{
+		nil: core.Completed, io.ErrUnexpectedEOF: core.BrokenByEndpoint,
+		flow.ErrLeft: core.ClientLeft, transport.ErrInvalidResponse: core.InvalidResponse, memory.ErrFull: core.NoMemory,
 	} {
-		require.Equal(t, want, endingOf(err, s.ctx))
+		require.Equal(t, want, endReasonOf(err, s.ctx))
 	}
-	s.cancel(core.ClientLags)
-	require.Equal(t, core.ClientLags, endingOf(errors.New("use of closed network connection"), s.ctx))
-	require.Equal(t, core.NoMemory, endingOf(memory.ErrFull, s.ctx))
+	s.cancel(core.ClientTooSlow)
+	require.Equal(t, core.ClientTooSlow, endReasonOf(errors.New("use of closed network connection"), s.ctx))
+	require.Equal(t, core.NoMemory, endReasonOf(memory.ErrFull, s.ctx))
 }
 
 // The time that this side held a body up is not the booking server's.
 func TestServerTime(t *testing.T) {
 	sent := time.Now()
 	p := flow.Progress{Whole: true, LastCame: sent.Add(9 * time.Second), Before: time.Second, HeldUp: 2 * time.Second}
-	require.Equal(t, 6*time.Second, serverTime(p, false, sent, sent.Add(time.Hour)))
+	require.Equal(t, 6*time.Second, endpointLatency(p, false, sent, sent.Add(time.Hour)))
 	p.Coming = time.Second
-	require.Equal(t, 5*time.Second, serverTime(p, true, sent, sent.Add(time.Hour)), "its beginning is timed")
+	require.Equal(t, 5*time.Second, endpointLatency(p, true, sent, sent.Add(time.Hour)), "its beginning is timed")
 	p.Whole = false
-	require.Equal(t, time.Hour-3*time.Second, serverTime(p, false, sent, sent.Add(time.Hour)))
-	require.Equal(t, time.Hour, serverTime(flow.Progress{}, false, sent, sent.Add(time.Hour)))
+	require.Equal(t, time.Hour-3*time.Second, endpointLatency(p, false, sent, sent.Add(time.Hour)))
+	require.Equal(t, time.Hour, endpointLatency(flow.Progress{}, false, sent, sent.Add(time.Hour)))
 }
--- a/internal/routing/bench_test.go
+++ b/internal/routing/bench_test.go
@@ -58,28 +58,28 @@
 // agentBefore serves in this process before servers, for operations that are to be answered in a time.
 func agentBefore(b testing.TB, aim time.Duration, servers ...string) string {
 	descriptors := transport.NewDescriptors(1024, func() {})
-	bodies := transport.NewBodies(24<<20, transport.BodyRules{Longest: 4 << 20, Stall: 2 * time.Second, Lag: time.Second})
-	class := decide.Class{Name: "consult", Aim: aim, Deadline: aim}
-	list := protocol.PoolConfig{Version: 1, Full: true}
+	bodies := transport.NewBodyLimits(24<<20, transport.BodyRules{MaxBytes: 4 << 20, ClientStall: 2 * time.Second, ClientLag: time.Second})
+	class := decide.Class{Name: "consult", LatencyObjective: aim, Deadline: aim}
+	list := protocol.EndpointList{Version: 1, Full: true}
 	for i, s := range servers {
-		list.Servers = append(list.Servers, protocol.PoolServer{
+		list.Endpoints = append(list.Endpoints, protocol.Endpoint{
 			Server: decide.Server{ID: fmt.Sprint("s-", i), Weight: 1}, Addr: netip.MustParseAddrPort(s),
 		})
 	}
 	a, err := routing.Start(routing.Settings{
 		Seed: 1, Descriptors: descriptors, Bodies: bodies,
-		Deployment: protocol.Settings{ConnIdle: time.Hour, ConnectTimeout: time.Minute, Settings: decide.Settings{
+		Deployment: protocol.Settings{ConnIdleTimeout: time.Hour, ConnectTimeout: time.Minute, Settings: decide.Settings{
 			Balancers: 1, Classes: []decide.Class{class}, Tick: time.Millisecond,
 			Limits: decide.Limits{MaxAttempts: 3},
 		}},
-		Start: state.Beginning{ListAge: -1, List: list},
+		Initial: state.Initial{ListAge: -1, List: list},
 	})
 	require.NoError(b, err)
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(b, err)
 	addr := free.Addr().(*net.TCPAddr).AddrPort()
 	require.NoError(b, free.Close())
-	front := transport.NewFront(descriptors, bodies, figures.New(nil), a)
+	front := transport.NewListener(descriptors, bodies, figures.New(nil), a)
 	require.NoError(b, front.Listen(addr, protocol.HTTP))
 	go func() { _ = front.Serve() }()
 	b.Cleanup(front.Close)
--- a/internal/routing/booking.go
+++ b/internal/routing/booking.go
@@ -18,32 +18,32 @@
 	"dunestep/internal/transport"
 )
 
-// watchEvery is how often it is looked whether an answer that has begun may go on.
-const watchEvery = 50 * time.Millisecond
+// progressCheckInterval is how often it is looked whether an answer that has begun may go on.
+const progressCheckInterval = 50 * time.Millisecond
 
-// attemptBegan tells the module's actor that an attempt's answer is longer than what is held whole.
-type attemptBegan struct {
-	attempt *attempt
-	reply   protocol.Reply
+// responseStarted tells the module's actor that an attempt's answer is longer than what is held whole.
+type responseStarted struct {
+	attempt  *attempt
+	response protocol.UpstreamResponse
 }
 
 // attemptEnded tells the module's actor how an attempt ended.
 type attemptEnded struct {
-	attempt *attempt
-	saw     core.Sighting
-	reply   protocol.Reply
+	attempt  *attempt
+	result   core.AttemptResult
+	response protocol.UpstreamResponse
 }
 
 // upstreamSettings is what a booking server's actor goes by.
 type upstreamSettings struct {
-	clock          clock
-	connectTimeout time.Duration
-	settle         time.Duration // see core.SettleTime
-	idleLimit      *idleLimit
-	connects       *connects
-	descriptors    *transport.Descriptors
-	bodies         *transport.Bodies
-	figures        *figures.Figures
+	clock           clock
+	connectTimeout  time.Duration
+	reuseDelay      time.Duration // see core.ReuseDelay
+	idleLimit       *idleLimit
+	connectTimeouts *connectTimeouts
+	descriptors     *transport.Descriptors
+	bodies          *transport.BodyLimits
+	metrics         *figures.Figures
 }
 
 // idleLimit is the core's, which all booking servers' actors share.
@@ -58,117 +58,117 @@
 	return l.core.Limit()
 }
 
-func (l *idleLimit) note(now time.Duration, saw core.Sighting) {
-	if stood, lost, counts := saw.Connection(); counts {
+func (l *idleLimit) record(now time.Duration, saw core.AttemptResult) {
+	if stood, lost, counts := saw.IdleEvidence(); counts {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.core.Note(now, stood, lost)
+		l.core.Record(now, stood, lost)
 	}
 }
 
 // connects is the core's, which all booking servers' actors share.
-type connects struct {
+type connectTimeouts struct {
 	mu   sync.Mutex
-	core core.Connects
+	core core.ConnectTimeouts
 }
 
-func (c *connects) wait(most, left time.Duration) time.Duration {
+func (c *connectTimeouts) timeout(most, left time.Duration) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.core.Wait(most, left)
+	return c.core.Timeout(most, left)
 }
 
 // ended takes in how a connect ended that was begun at a time; one that was called off or refused says
 // nothing of how long they take.
-func (c *connects) ended(began time.Time, err error) {
+func (c *connectTimeouts) ended(began time.Time, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err == nil {
-		c.core.Up(time.Since(began))
+		c.core.Connected(time.Since(began))
 	} else if slow := net.Error(nil); errors.As(err, &slow) && slow.Timeout() {
-		c.core.Unheard()
+		c.core.GaveUp()
 	}
 }
 
 // booking is the actor of one booking server, with its pool of connections; the reading and writing of each
 // runs beside it.
-type booking struct {
-	set    upstreamSettings
-	mail   *mailbox[any]
-	report func(any) // attemptBegan and attemptEnded
-	pool   *core.Pool[*transport.Upstream]
-	expiry *time.Timer   // until the next idle connection is to be closed
-	due    time.Duration // when that is; zero: nothing is waited for
+type upstream struct {
+	settings upstreamSettings
+	mail     *mailbox[any]
+	report   func(any) // responseStarted and attemptEnded
+	pool     *core.Pool[*transport.UpstreamConn]
+	expiry   *time.Timer   // until the next idle connection is to be closed
+	due      time.Duration // when that is; zero: nothing is waited for
 }
 
 // The messages of a booking server's actor, beside *attempt.
 type (
-	moved       struct{ addr netip.AddrPort }
-	attemptOver struct {
-		lease  core.Lease[*transport.Upstream]
-		conn   *transport.Upstream // nil: closed
-		unused bool                // it is the lease's, and nothing was written on it
-		sent   time.Duration       // where it was reused and gave no answer, of its attempt; else zero
+	addressChanged     struct{ addr netip.AddrPort }
+	connectionReturned struct {
+		checkout        core.Checkout[*transport.UpstreamConn]
+		conn            *transport.UpstreamConn // nil: closed
+		unused          bool                    // it is the lease's, and nothing was written on it
+		unansweredSince time.Duration           // where it was reused and gave no answer, of its attempt; else zero
 	}
-	idleOver  struct{}
-	connEnded struct{ conn *transport.Upstream }
-	rest      struct{} // keep no idle connections
-	letGo     struct{} // close half of the idle connections
-	retire    struct{} // the server has left: end when nothing is out
+	idleExpired     struct{}
+	connectionEnded struct{ conn *transport.UpstreamConn }
+	stopReuse       struct{} // keep no idle connections
+	closeIdleHalf   struct{} // close half of the idle connections
+	retire          struct{} // the server has left: end when nothing is out
 )
 
-func startBooking(set upstreamSettings, addr netip.AddrPort, report func(any)) *booking {
-	b := &booking{
-		set: set, mail: newMailbox[any](), report: report,
-		pool: core.NewPool[*transport.Upstream](addr, set.idleLimit, set.settle),
+func startUpstream(set upstreamSettings, addr netip.AddrPort, report func(any)) *upstream {
+	b := &upstream{
+		settings: set, mail: newMailbox[any](), report: report,
+		pool: core.NewPool[*transport.UpstreamConn](addr, set.idleLimit, set.reuseDelay),
 	}
 	go b.mail.receive(b.handle)
 	return b
 }
 
-func (b *booking) handle(m any) bool {
-	now := b.set.clock.now()
-	var closing []*transport.Upstream
+func (b *upstream) handle(m any) bool {
+	now := b.settings.clock.now()
+	var closing []*transport.UpstreamConn
 	switch m := m.(type) {
 	case *attempt:
-		var lease core.Lease[*transport.Upstream]
-		lease, closing = b.pool.Begin(now)
-		go b.carry(m, lease)
-	case attemptOver:
+		var lease core.Checkout[*transport.UpstreamConn]
+		lease, closing = b.pool.Acquire(now)
+		go b.carryOut(m, lease)
+	case connectionReturned:
 		switch {
-		case m.sent != 0:
-			closing = b.pool.OverSilent(m.sent)
+		case m.unansweredSince != 0:
+			closing = b.pool.ReleaseUnanswered(m.unansweredSince)
 		case m.conn == nil:
-			b.pool.OverClosed()
+			b.pool.ReleaseClosed()
 		case m.unused:
-			closing = b.pool.Unused(m.lease, m.conn.Ended())
+			closing = b.pool.ReturnUnused(m.checkout, m.conn.HasEnded())
 		default:
-			closing = b.pool.Over(now, m.conn, m.lease.Addr, m.conn.Ended())
+			closing = b.pool.Release(now, m.conn, m.checkout.Addr, m.conn.HasEnded())
 		}
-	case idleOver:
+	case idleExpired:
 		b.due = 0
 		closing = b.pool.Expire(now)
-	case connEnded:
-		closing = b.pool.Ended(m.conn)
-	case moved:
-		closing = b.pool.Move(m.addr)
-	case rest:
-		closing = b.pool.Rest()
-	case letGo:
-		closing = b.pool.LetGo()
+	case connectionEnded:
+		closing = b.pool.ConnectionEnded(m.conn)
+	case addressChanged:
+		closing = b.pool.SetAddress(m.addr)
+	case stopReuse:
+		closing = b.pool.StopReuse()
+	case closeIdleHalf:
+		closing = b.pool.CloseIdleHalf()
 	case retire:
 		closing = b.pool.Retire()
 	}
 	for _, conn := range closing {
 		conn.Close()
 	}
-	b.expire()
-	return !b.pool.Done()
+	b.scheduleExpiry()
+	return !b.pool.IsDone()
 }
 
 // expire waits until the next idle connection is to be closed.
-func (b *booking) expire() {
-	at, any := b.pool.Due()
+func (b *upstream) scheduleExpiry() {
+	at, any := b.pool.NextExpiry()
 	if !any || b.due != 0 && b.due <= at { // one that is due sooner than any is left says so itself
 		return
 	}
@@ -176,140 +176,140 @@
 	if b.expiry != nil {
 		b.expiry.Stop()
 	}
-	b.expiry = time.AfterFunc(b.set.clock.until(at), func() { b.mail.put(idleOver{}) })
+	b.expiry = time.AfterFunc(b.settings.clock.until(at), func() { b.mail.put(idleExpired{}) })
 }
 
 // carry carries an attempt out, on the connection of its lease or a new one, and reports how it ended. It
 // runs beside the actor.
-func (b *booking) carry(attempt *attempt, lease core.Lease[*transport.Upstream]) {
+func (b *upstream) carryOut(attempt *attempt, lease core.Checkout[*transport.UpstreamConn]) {
 	defer attempt.cancel(nil)
 	conn := lease.Conn
 	var begun *flow.Flow
-	exchange := func() (protocol.Reply, bool, error) {
+	exchange := func() (protocol.UpstreamResponse, bool, error) {
 		if !attempt.mayWrite() {
-			return protocol.Reply{}, true, transport.ErrUnused // the connection is as good as before
+			return protocol.UpstreamResponse{}, true, transport.ErrStaleConnection // the connection is as good as before
 		}
-		op, wait := attempt.operation.Operation, attempt.times.Load().wait() // after the dial
-		return conn.Exchange(attempt.ctx, transport.Step{
-			Head: protocol.AppendRouteStep(nil, op, wait),
+		op, wait := attempt.request.Request, attempt.times.Load().announcedTimeout() // after the dial
+		return conn.RoundTrip(attempt.ctx, transport.UpstreamRequest{
+			Head: protocol.AppendUpstreamRequest(nil, op, wait),
 			Body: op.Body, Rest: op.Rest, Chunked: op.Length < 0,
-			AtOnce: attempt.streamed, GraphQL: op.GraphQL,
-			Written: func() { attempt.written = time.Now(); b.set.figures.Tried() },
-			Begun: func(r protocol.Reply) {
+			Streamed: attempt.streams, IsGraphQL: op.IsGraphQL,
+			OnWritten: func() { attempt.written = time.Now(); b.settings.metrics.Tried() },
+			OnResponseStart: func(r protocol.UpstreamResponse) {
 				begun = r.Flow
-				b.begin(attempt, r)
+				b.startStreaming(attempt, r)
 			},
 		})
 	}
-	saw := core.Sighting{Phase: core.Unused, Reused: lease.Reused, Stood: lease.Stood}
-	var reply protocol.Reply
+	saw := core.AttemptResult{Phase: core.StaleConnection, Reused: lease.Reused, IdleFor: lease.IdleFor}
+	var reply protocol.UpstreamResponse
 	var reuse bool
 	var err error
 	if lease.Reused {
-		attempt.settles(conn, lease.Settles)
+		attempt.waitUntilWritable(conn, lease.WriteDelay)
 		reply, reuse, err = exchange()
 		saw.Phase = phaseOf(err)
 	}
-	if saw.Again() && !reuse { // else it was called off before it was written
-		attempt.unwritten()
-		saw = core.Sighting{Phase: core.Connecting}
+	if saw.NeedsResend() && !reuse { // else it was called off before it was written
+		attempt.resetWritten()
+		saw = core.AttemptResult{Phase: core.Connecting}
 		began := time.Now()
-		wait := b.set.connects.wait(b.set.connectTimeout, time.Until(attempt.times.Load().until))
+		wait := b.settings.connectTimeouts.timeout(b.settings.connectTimeout, time.Until(attempt.times.Load().giveUpAt))
 		conn, err = transport.DialUpstream(attempt.ctx, attempt.server, lease.Addr, wait,
-			b.set.descriptors, b.set.bodies, func(u *transport.Upstream) { b.mail.put(connEnded{u}) })
-		if b.set.connects.ended(began, err); err == nil {
+			b.settings.descriptors, b.settings.bodies, func(u *transport.UpstreamConn) { b.mail.put(connectionEnded{u}) })
+		if b.settings.connectTimeouts.ended(began, err); err == nil {
 			reply, reuse, err = exchange()
 			saw.Phase = phaseOf(err)
 		} else {
 			saw.Refused = errors.Is(err, syscall.ECONNREFUSED)
-			saw.Ours = errors.Is(err, transport.ErrNoDescriptor) || errors.Is(err, syscall.EMFILE)
+			saw.LocalFault = errors.Is(err, transport.ErrNoDescriptor) || errors.Is(err, syscall.EMFILE)
 		}
 	}
-	saw.Spent = attempt.operation.Rest != nil && attempt.operation.Rest.Progress().Taken
-	saw.Ours = saw.Ours || saw.Phase == core.Writing && errors.Is(err, transport.ErrClient) ||
-		saw.Phase == core.Unused && reuse // nothing was tried
-	over := attemptOver{lease: lease}
+	saw.BodyConsumed = attempt.request.Rest != nil && attempt.request.Rest.Progress().Taken
+	saw.LocalFault = saw.LocalFault || saw.Phase == core.Writing && errors.Is(err, transport.ErrClientStopped) ||
+		saw.Phase == core.StaleConnection && reuse // nothing was tried
+	over := connectionReturned{checkout: lease}
 	if reuse {
-		over.conn, over.unused = conn, saw.Phase == core.Unused && conn == lease.Conn
+		over.conn, over.unused = conn, saw.Phase == core.StaleConnection && conn == lease.Conn
 	}
-	if saw.Ending = endingOf(err, attempt.ctx); saw.Ending == core.OutOfTime {
-		saw.Late = max(time.Since(attempt.times.Load().until), 0)
+	if saw.EndReason = endReasonOf(err, attempt.ctx); saw.EndReason == core.TimedOut {
+		saw.LocalDelay = max(time.Since(attempt.times.Load().giveUpAt), 0)
 	}
-	if saw.Silent() && begun == nil {
-		over.sent = b.set.clock.now() - time.Since(attempt.sent)
+	if saw.IsUnanswered() && begun == nil {
+		over.unansweredSince = b.settings.clock.now() - time.Since(attempt.sent)
 	}
 	b.mail.put(over)
-	b.report(b.judge(attempt, saw, reply, begun, err))
+	b.report(b.result(attempt, saw, reply, begun, err))
 }
 
 // phaseOf tells how far an attempt came, by its error.
-func phaseOf(err error) core.Phase {
+func phaseOf(err error) core.AttemptPhase {
 	switch {
-	case errors.Is(err, transport.ErrUnused):
-		return core.Unused
-	case errors.Is(err, transport.ErrUnwritten):
+	case errors.Is(err, transport.ErrStaleConnection):
+		return core.StaleConnection
+	case errors.Is(err, transport.ErrNotWritten):
 		return core.Writing
-	case err == nil || errors.Is(err, transport.ErrSpoilt):
-		return core.Answering
+	case err == nil || errors.Is(err, transport.ErrInvalidResponse):
+		return core.Responding
 	}
-	return core.Waiting
+	return core.AwaitingResponse
 }
 
 // begin has an answer begin: from then on it is looked whether it may go on.
-func (b *booking) begin(attempt *attempt, r protocol.Reply) {
+func (b *upstream) startStreaming(attempt *attempt, r protocol.UpstreamResponse) {
 	context.AfterFunc(attempt.ctx, func() { r.Flow.Cut(context.Cause(attempt.ctx)) })
 	var watch *time.Timer
 	watch = time.AfterFunc(time.Hour, func() {
 		if attempt.ctx.Err() != nil {
 			return
 		}
-		p, left, lag := r.Flow.Progress(), time.Until(attempt.times.Load().deadline), b.set.bodies.Rules().Lag
+		p, left, lag := r.Flow.Progress(), time.Until(attempt.times.Load().deadline), b.settings.bodies.Rules().ClientLag
 		body := progress(p)
-		body.Stream = attempt.streamed
-		if why := body.MayGoOn(time.Since(attempt.sent), left, p.Quiet, lag); why != core.GoesOn {
+		body.Stream = attempt.streams
+		if why := body.CheckLimits(time.Since(attempt.sent), left, p.Quiet, lag); why != core.NotEnded {
 			attempt.cancel(why)
 			return
 		}
-		watch.Reset(watchEvery)
+		watch.Reset(progressCheckInterval)
 	})
-	watch.Reset(watchEvery)
-	b.report(attemptBegan{attempt, r})
+	watch.Reset(progressCheckInterval)
+	b.report(responseStarted{attempt, r})
 }
 
 // progress is what the core goes by.
-func progress(p flow.Progress) core.Progress {
-	return core.Progress{
-		Length: p.Length, Came: p.Came, Before: p.Before, HeldUp: p.HeldUp, Coming: p.Coming,
-		Whole: p.Whole,
+func progress(p flow.Progress) core.ResponseProgress {
+	return core.ResponseProgress{
+		Length: p.Length, Received: p.Came, DelayBefore: p.Before, Blocked: p.HeldUp, Receiving: p.Coming,
+		Complete: p.Whole,
 	}
 }
 
 // judge tells how an attempt ended. For an answer that had begun it waits until nobody takes it any more.
-func (b *booking) judge(attempt *attempt, saw core.Sighting, reply protocol.Reply, begun *flow.Flow,
+func (b *upstream) result(attempt *attempt, saw core.AttemptResult, reply protocol.UpstreamResponse, begun *flow.Flow,
 	err error,
 ) attemptEnded {
-	ended := attemptEnded{attempt: attempt, reply: reply}
+	ended := attemptEnded{attempt: attempt, response: reply}
 	var p flow.Progress
 	if begun != nil {
-		ended.reply.Flow = nil // somebody has it
+		ended.response.Flow = nil // somebody has it
 		<-begun.Over()
 		if p, err = begun.Progress(), begun.Result(); errors.Is(err, io.EOF) {
 			err = nil
 		}
-		saw.Phase, saw.Begun = core.Answering, true
+		saw.Phase, saw.Streamed = core.Responding, true
 	} else if reply.Flow != nil {
 		p = reply.Flow.Progress()
 	}
-	saw.Ending, saw.Reply, saw.Body = endingOf(err, attempt.ctx), reply.Outcome, progress(p)
-	saw.Latency = serverTime(p, begun != nil, attempt.began(), time.Now())
-	b.set.idleLimit.note(b.set.clock.now(), saw)
-	ended.saw = saw
+	saw.EndReason, saw.Response, saw.Progress = endReasonOf(err, attempt.ctx), reply.Outcome, progress(p)
+	saw.Latency = endpointLatency(p, begun != nil, attempt.timedFrom(), time.Now())
+	b.settings.idleLimit.record(b.settings.clock.now(), saw)
+	ended.result = saw
 	return ended
 }
 
-// serverTime is how long the booking server took for what came of its answer, without what this side held
+// endpointLatency is how long the booking server took for what came of its answer, without what this side held
 // it up.
-func serverTime(p flow.Progress, begun bool, sent, ended time.Time) time.Duration {
+func endpointLatency(p flow.Progress, begun bool, sent, ended time.Time) time.Duration {
 	if p.Whole && !p.LastCame.IsZero() { // else it was waited for until the end
 		ended = p.LastCame
 	}
@@ -319,10 +319,10 @@
 	return ended.Sub(sent) - p.Before - p.HeldUp
 }
 
-// endingOf tells how an attempt ended by its error and its context. This agent's own reason to end it
+// endReasonOf tells how an attempt ended by its error and its context. This agent's own reason to end it
 // counts: what the connection says then follows from it.
-func endingOf(err error, ctx context.Context) core.Ending {
-	var own core.Ending
+func endReasonOf(err error, ctx context.Context) core.EndReason {
+	var own core.EndReason
 	switch {
 	case err == nil:
 		return core.Completed
@@ -332,8 +332,8 @@
 		return own
 	case errors.Is(err, flow.ErrLeft):
 		return core.ClientLeft
-	case errors.Is(err, transport.ErrSpoilt):
-		return core.Spoilt
+	case errors.Is(err, transport.ErrInvalidResponse):
+		return core.InvalidResponse
 	}
-	return core.BrokenOff
+	return core.BrokenByEndpoint
 }
--- a/internal/routing/crossings_test.go
+++ b/internal/routing/crossings_test.go
@@ -25,7 +25,7 @@
 type scene struct {
 	t       *testing.T
 	clock   clock
-	booking *booking
+	booking *upstream
 	reports chan any
 }
 
@@ -49,18 +49,18 @@
 	})
 	s := &scene{t: t, clock: newClock(), reports: make(chan any, 16)}
 	set := upstreamSettings{
-		clock: s.clock, connectTimeout: time.Minute, connects: &connects{},
+		clock: s.clock, connectTimeout: time.Minute, connectTimeouts: &connectTimeouts{},
 		idleLimit:   &idleLimit{core: core.NewIdleLimit(s.clock.now(), time.Hour)},
-		descriptors: transport.NewDescriptors(1024, func() {}), figures: figures.New(nil),
-		bodies: transport.NewBodies(1<<20, transport.BodyRules{
-			Longest: 1 << 20, Whole: 1 << 20, Stall: time.Minute,
-			Lag: time.Minute,
+		descriptors: transport.NewDescriptors(1024, func() {}), metrics: figures.New(nil),
+		bodies: transport.NewBodyLimits(1<<20, transport.BodyRules{
+			MaxBytes: 1 << 20, BufferedBytes: 1 << 20, ClientStall: time.Minute,
+			ClientLag: time.Minute,
 		}),
 	}
 	if edit != nil {
 		edit(&set)
 	}
-	s.booking = startBooking(set, l.Addr().(*net.TCPAddr).AddrPort(), func(m any) { s.reports <- m })
+	s.booking = startUpstream(set, l.Addr().(*net.TCPAddr).AddrPort(), func(m any) { s.reports <- m })
 	t.Cleanup(func() {
 		require.NoError(t, l.Close())
 		s.booking.mail.put(retire{})
@@ -72,7 +72,7 @@
 // step prepares an attempt that has a minute.
 func (s *scene) step(id string) *attempt {
 	until := s.clock.now() + time.Minute
-	return newAttempt(&operation{Operation: &protocol.Operation{
+	return newAttempt(&request{Request: &protocol.Request{
 		Method: http.MethodGet, Target: "/consult",
 		CorrelationID: id, Class: "consult", TimeLeft: time.Minute,
 	}}, core.Output{At: until, Deadline: until}, s.clock)
@@ -84,11 +84,11 @@
 	select {
 	case m := <-s.reports:
 		end := m.(attemptEnded)
-		if end.reply.Flow == nil {
+		if end.response.Flow == nil {
 			return end, ""
 		}
-		defer end.reply.Flow.Close()
-		body, err := end.reply.Flow.Next()
+		defer end.response.Flow.Close()
+		body, err := end.response.Flow.Next()
 		require.NoError(s.t, err)
 		return end, string(body)
 	case <-time.After(time.Minute):
@@ -143,13 +143,13 @@
 			_, _ = io.WriteString(c, own)
 			<-came // it is closed
 		}
-	}, func(set *upstreamSettings) { set.settle = time.Minute })
+	}, func(set *upstreamSettings) { set.reuseDelay = time.Minute })
 	s.booking.mail.put(s.step("000000000000000a"))
 	_, body := s.ended()
 	require.Equal(t, "000000000000000a", body)
 	s.booking.mail.put(s.step("000000000000000b"))
 	end, body := s.ended()
-	require.Equal(t, decide.Served, end.saw.Outcome())
+	require.Equal(t, decide.Served, end.result.Outcome())
 	require.Equal(t, "000000000000000b", body, "not another's")
 }
 
@@ -159,23 +159,23 @@
 	came := make(chan string, 4)
 	s := play(t, func(_ int, c *net.TCPConn) {
 		answerAll(c, func(r *http.Request) { came <- r.Header.Get("X-Correlation-Id") })
-	}, func(set *upstreamSettings) { set.settle = time.Minute })
+	}, func(set *upstreamSettings) { set.reuseDelay = time.Minute })
 	s.booking.mail.put(s.step("000000000000000a"))
 	s.ended()
 	for _, c := range []struct {
 		end  func(*attempt)
 		want decide.Outcome
 	}{
-		{(*attempt).unwant, decide.CalledOff},
-		{func(r *attempt) { r.cancel(core.CalledOff) }, decide.CalledOff},
-		{func(r *attempt) { r.cancel(core.OutOfTime) }, decide.NoConnection},
+		{(*attempt).cancelIfUnsent, decide.Canceled},
+		{func(r *attempt) { r.cancel(core.Canceled) }, decide.Canceled},
+		{func(r *attempt) { r.cancel(core.TimedOut) }, decide.ConnectFailed},
 	} {
 		step := s.step("000000000000000b")
 		s.booking.mail.put(step)
 		c.end(step)
 		end, _ := s.ended()
-		require.Equal(t, c.want, end.saw.Outcome())
-		require.True(t, end.saw.Ours || c.want == decide.CalledOff, "no fault of the booking server")
+		require.Equal(t, c.want, end.result.Outcome())
+		require.True(t, end.result.LocalFault || c.want == decide.Canceled, "no fault of the booking server")
 	}
 	require.Len(t, came, 1)
 }
@@ -191,14 +191,14 @@
 		rest := flow.New(-1, memory.Grant{}, 0)
 		rest.End(io.EOF)
 		until := s.clock.now() + 15*time.Minute // it may come for so long
-		step := newAttempt(&operation{Operation: &protocol.Operation{
+		step := newAttempt(&request{Request: &protocol.Request{
 			Method: http.MethodPost, Target: "/rezervare",
 			CorrelationID: "000000000000000a", Class: "rezervare", TimeLeft: time.Minute, Length: -1, Rest: rest,
 		}},
 			core.Output{At: until, Deadline: until, After: time.Minute}, s.clock)
 		if comesWhole { // and so much of its time is left
 			until := s.clock.time(s.clock.now() + left)
-			step.retime(until, until)
+			step.reschedule(until, until)
 		}
 		s.booking.mail.put(step)
 		_, err := fmt.Sscan(<-told, &ms)
@@ -215,9 +215,9 @@
 func TestNotBegunAgainForNobody(t *testing.T) {
 	s := play(t, func(int, *net.TCPConn) {}, nil)
 	for name, cross := range map[string]func(*attempt){
-		"before it is written":        func(r *attempt) { r.unwant(); r.mayWrite(); r.unwritten() },
-		"as it is written":            func(r *attempt) { r.mayWrite(); r.unwant(); r.unwritten() },
-		"as a new connection is made": func(r *attempt) { r.mayWrite(); r.unwritten(); r.unwant() },
+		"before it is written":        func(r *attempt) { r.cancelIfUnsent(); r.mayWrite(); r.resetWritten() },
+		"as it is written":            func(r *attempt) { r.mayWrite(); r.cancelIfUnsent(); r.resetWritten() },
+		"as a new connection is made": func(r *attempt) { r.mayWrite(); r.resetWritten(); r.cancelIfUnsent() },
 	} {
 		step := s.step("000000000000000a")
 		cross(step)
@@ -243,7 +243,7 @@
 				return
 			}
 		}
-	}, func(set *upstreamSettings) { set.settle = 2 * time.Minute })
+	}, func(set *upstreamSettings) { set.reuseDelay = 2 * time.Minute })
 	for _, id := range []string{"000000000000000a", "000000000000000b", "000000000000000c"} {
 		s.booking.mail.put(s.step(id))
 		if id != "000000000000000b" {
@@ -254,8 +254,8 @@
 	}
 	close(end)
 	b, body := s.ended()
-	require.Equal(t, decide.Served, b.saw.Outcome())
+	require.Equal(t, decide.Served, b.result.Outcome())
 	require.Equal(t, "000000000000000b", body)
-	require.False(t, b.saw.Reused, "it went out on a new one")
+	require.False(t, b.result.Reused, "it went out on a new one")
 	require.Len(t, came, 1, "once")
 }
--- a/internal/routing/fleet.go
+++ b/internal/routing/fleet.go
@@ -23,28 +23,28 @@
 	Close() error
 }
 
-// FleetSettings is what a Fleet goes by.
+// FleetSettings is what a FleetActor goes by.
 type FleetSettings struct {
 	Node      fleet.Settings
 	Store     FleetStore // nil: the voter keeps nothing, or this is none
 	Datagrams *transport.Datagrams
-	// Applied is told, from the actor, that records were applied; nil: nobody is.
-	Applied func()
+	// OnApplied is told, from the actor, that records were applied; nil: nobody is.
+	OnApplied func()
 }
 
-// Fleet is the actor of what the agents agree on. It carries out what its node says.
-type Fleet struct {
-	mail    *mailbox[any]
-	store   FleetStore
-	agents  *agents
-	applied func()
-	mu      sync.Mutex  // of node, for those who look beside the actor: what it does takes microseconds
-	node    *fleet.Node // the actor's
-	wake    *time.Timer
-	due     time.Duration // by the steady clock: when wake ends
-	knows   atomic.Bool
-	ready   atomic.Bool
-	began   time.Time
+// FleetActor is the actor of what the agents agree on. It carries out what its node says.
+type FleetActor struct {
+	mail      *mailbox[any]
+	store     FleetStore
+	peers     *peerSender
+	onApplied func()
+	mu        sync.Mutex  // of node, for those who look beside the actor: what it does takes microseconds
+	node      *fleet.Node // the actor's
+	wake      *time.Timer
+	wakeAt    time.Duration // by the steady clock: when wake ends
+	caughtUp  atomic.Bool
+	ready     atomic.Bool
+	startedAt time.Time
 }
 
 // The messages of the actor, beside protocol.Datagram.
@@ -54,21 +54,21 @@
 		token uint64
 		err   error
 	}
-	fleetAsk struct {
-		do   func(*fleet.Node, fleet.Reading)
+	fleetCall struct {
+		do   func(*fleet.Node, fleet.ClockReading)
 		done chan<- struct{}
 	}
 )
 
 // StartFleet starts the actor.
-func StartFleet(set FleetSettings) (*Fleet, error) {
+func StartFleet(set FleetSettings) (*FleetActor, error) {
 	node, err := fleet.New(set.Node, ReadClocks())
 	if err != nil {
 		return nil, err
 	}
-	f := &Fleet{
-		mail: newMailbox[any](), store: set.Store, agents: startAgents(set.Datagrams), node: node,
-		applied: set.Applied, began: time.Now(),
+	f := &FleetActor{
+		mail: newMailbox[any](), store: set.Store, peers: startPeerSender(set.Datagrams), node: node,
+		onApplied: set.OnApplied, startedAt: time.Now(),
 	}
 	f.wake = time.AfterFunc(time.Hour, func() { f.mail.put(fleetWake{}) })
 	go f.mail.receive(f.handle)
@@ -78,32 +78,32 @@
 
 // ReadClocks reads the machine's clocks: Unix time, and one that runs on while the process and the
 // machine stand still.
-func ReadClocks() fleet.Reading {
+func ReadClocks() fleet.ClockReading {
 	var t unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &t) != nil {
 		_ = unix.ClockGettime(unix.CLOCK_MONOTONIC, &t)
 	}
-	return fleet.Reading{Unix: time.Duration(time.Now().UnixNano()), Mono: time.Duration(t.Nano())}
+	return fleet.ClockReading{Unix: time.Duration(time.Now().UnixNano()), Mono: time.Duration(t.Nano())}
 }
 
-// Hear takes another agent's datagram in, or drops it where too many messages wait.
-func (f *Fleet) Hear(d protocol.Datagram) {
+// ReceiveDatagram takes another agent's datagram in, or drops it where too many messages wait.
+func (f *FleetActor) ReceiveDatagram(d protocol.Datagram) {
 	if f.mail.waiting() < maxDatagramsWaiting {
 		f.mail.put(d)
 	}
 }
 
-// Ready tells whether this process has what was agreed, as far as it can be had; it stays so.
-func (f *Fleet) Ready() bool { return f.ready.Load() }
+// IsReady tells whether this process has what was agreed, as far as it can be had; it stays so.
+func (f *FleetActor) IsReady() bool { return f.ready.Load() }
 
-// Knows tells whether this process has what others have agreed on, or has tried for long enough; it stays so.
-func (f *Fleet) Knows() bool { return f.knows.Load() }
+// FleetCaughtUp tells whether this process has what others have agreed on, or has tried for long enough; it stays so.
+func (f *FleetActor) IsCaughtUp() bool { return f.caughtUp.Load() }
 
 // Do has something done with the node, in its actor. False: ctx has ended before; it may be done all the
 // same.
-func (f *Fleet) Do(ctx context.Context, do func(*fleet.Node, fleet.Reading)) bool {
+func (f *FleetActor) Do(ctx context.Context, do func(*fleet.Node, fleet.ClockReading)) bool {
 	done := make(chan struct{}, 1)
-	f.mail.put(fleetAsk{do, done})
+	f.mail.put(fleetCall{do, done})
 	select {
 	case <-done:
 		return true
@@ -112,18 +112,20 @@
 	}
 }
 
-// Look has something read of the node at this moment, beside the actor. It must not change anything that
+// Read has something read of the node at this moment, beside the actor. It must not change anything that
 // is sent or written.
-func (f *Fleet) Look(do func(*fleet.Node, fleet.Reading)) {
+func (f *FleetActor) Read(do func(*fleet.Node, fleet.ClockReading)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	do(f.node, ReadClocks())
 }
 
-// Standing is how this agent may act, for what the node itself calls: in Do and Look it is the node's to say.
-func (f *Fleet) Standing(now fleet.Reading) lease.Standing { return f.node.Standing(now) }
+// LeaseStanding is how this agent may act, for what the node itself calls: in Do and Read it is the node's to say.
+func (f *FleetActor) LeaseStanding(now fleet.ClockReading) lease.Standing {
+	return f.node.Standing(now)
+}
 
-func (f *Fleet) handle(m any) bool {
+func (f *FleetActor) handle(m any) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := ReadClocks()
@@ -133,21 +135,21 @@
 	case fleetWake:
 		// The timer has ended. Where it was early by a hair nothing was due, and Next says the same again:
 		// unless it is set anew the node sleeps until somebody else says something.
-		f.due = -1
+		f.wakeAt = -1
 		f.node.Wake(now)
 	case fleetPersisted:
 		f.persisted(now, m)
-	case fleetAsk:
+	case fleetCall:
 		m.do(f.node, now)
 		m.done <- struct{}{}
 	}
-	f.carry(now)
+	f.carryOut(now)
 	return true
 }
 
 // persisted passes on that what the voter asked for is safe. Where it could not be written the voter
 // waits for good: it says nothing more that it might have to take back.
-func (f *Fleet) persisted(now fleet.Reading, m fleetPersisted) {
+func (f *FleetActor) persisted(now fleet.ClockReading, m fleetPersisted) {
 	if m.err != nil {
 		slog.Error("fleet: the voter's log can't be written, it takes no part until the next start", "error", m.err)
 		return
@@ -156,63 +158,63 @@
 }
 
 // carry does what the node says.
-func (f *Fleet) carry(now fleet.Reading) {
+func (f *FleetActor) carryOut(now fleet.ClockReading) {
 	out := f.node.Out(now)
 	for _, d := range out.Datagrams {
-		f.agents.tell(protocol.Datagram{Agent: int(d.To), Data: d.Bytes})
+		f.peers.enqueue(protocol.Datagram{Agent: int(d.To), Data: d.Bytes})
 	}
 	if p := out.Persist; p != nil {
 		go func() { f.mail.put(fleetPersisted{p.Token, f.store.Write(p)}) }()
 	}
 	for _, e := range out.Events {
-		logFleet(e)
+		logFleetEvent(e)
 	}
-	if out.Applied && f.applied != nil {
-		f.applied()
+	if out.HasApplied && f.onApplied != nil {
+		f.onApplied()
 	}
-	f.settle(now)
-	if next := f.node.Next(); next != f.due {
-		f.due = next
+	f.updateReadiness(now)
+	if next := f.node.Next(); next != f.wakeAt {
+		f.wakeAt = next
 		f.wake.Reset(max(next-now.Mono, 0))
 	}
 }
 
 // settle sees when the process is ready.
-func (f *Fleet) settle(now fleet.Reading) {
+func (f *FleetActor) updateReadiness(now fleet.ClockReading) {
 	if f.ready.Load() {
 		return
 	}
-	if f.node.Knows(now) {
-		f.knows.Store(true)
+	if f.node.IsCaughtUp(now) {
+		f.caughtUp.Store(true)
 	}
 	if ready, caughtUp := f.node.Ready(now); ready {
 		f.ready.Store(true)
 		s := f.node.Status(now)
-		slog.Info("fleet: ready", "caught_up", caughtUp, "epoch", s.At.Epoch, "record", s.At.Seq,
-			"after", time.Since(f.began).Round(time.Millisecond))
+		slog.Info("fleet: ready", "caught_up", caughtUp, "epoch", s.Applied.Epoch, "record", s.Applied.Seq,
+			"after", time.Since(f.startedAt).Round(time.Millisecond))
 	}
 }
 
-// logFleet tells staff of what the node has seen.
-func logFleet(e fleet.Event) {
+// logFleetEvent tells staff of what the node has seen.
+func logFleetEvent(e fleet.Event) {
 	switch e.Kind {
-	case fleet.Leads:
-		slog.Info("fleet: this agent leads the voters", "record", e.At.Seq)
-	case fleet.LeadsNot:
-		slog.Info("fleet: this agent leads the voters no more", "record", e.At.Seq)
-	case fleet.Began:
-		slog.Warn("fleet: the log began anew, what was agreed before is gone", "epoch", e.At.Epoch)
-	case fleet.Differs:
-		slog.Error("fleet: the log differs from another agent's", "agent", e.Agent, "record", e.At.Seq,
+	case fleet.LeadershipGained:
+		slog.Info("fleet: this agent leads the voters", "record", e.Position.Seq)
+	case fleet.LeadershipLost:
+		slog.Info("fleet: this agent leads the voters no more", "record", e.Position.Seq)
+	case fleet.LogRestarted:
+		slog.Warn("fleet: the log began anew, what was agreed before is gone", "epoch", e.Position.Epoch)
+	case fleet.LogDiverged:
+		slog.Error("fleet: the log differs from another agent's", "agent", e.Agent, "record", e.Position.Seq,
 			"error", e.Err)
-	case fleet.Stopped:
+	case fleet.VoterStopped:
 		slog.Error("fleet: the voter has stopped", "error", e.Err)
-	case fleet.Unknown:
+	case fleet.UnknownRecord:
 		slog.Warn("fleet: others agree on something that this build does not know, it is kept for them",
-			"record", e.At.Seq, "error", e.Err)
-	case fleet.LeaseHeld:
-		slog.Info("fleet: a lease holds", "epoch", e.At.Epoch, "record", e.At.Seq)
-	case fleet.LeaseEnded:
-		slog.Warn("fleet: no lease holds, within the floor only", "epoch", e.At.Epoch, "record", e.At.Seq)
+			"record", e.Position.Seq, "error", e.Err)
+	case fleet.LeaseAcquired:
+		slog.Info("fleet: a lease holds", "epoch", e.Position.Epoch, "record", e.Position.Seq)
+	case fleet.LeaseLost:
+		slog.Warn("fleet: no lease holds, within the floor only", "epoch", e.Position.Epoch, "record", e.Position.Seq)
 	}
 }
--- a/internal/routing/kept.go
+++ b/internal/routing/kept.go
@@ -11,48 +11,48 @@
 )
 
 // kept is the module's actor's part in what is kept over a restart.
-type kept struct {
-	session *state.Session
-	clock   clock
-	changed func()
-	proves  bool
-	alone   bool // it was told that discovery has not been heard since the start
+type stateRecorder struct {
+	session       *state.Recorder
+	clock         clock
+	changed       func()
+	usesProbation bool
+	warnedUnheard bool // it was told that discovery has not been heard since the start
 }
 
 // news comes right after the core was told news of the list.
-func (k *kept) news(now time.Duration, n poolNews) {
-	if n.word.Local { // the list that is kept is discovery's
+func (k *stateRecorder) listUpdated(now time.Duration, n listUpdate) {
+	if n.watch.Local { // the list that is kept is discovery's
 		return
 	}
-	if n.kind == decide.SyncSaved {
-		k.session.Began(now)
+	if n.kind == decide.UpdateCached {
+		k.session.RestoreLearned(now)
 		return
 	}
-	if n.kind == decide.SyncFailed && !k.alone && !k.session.Confirmed() {
-		k.alone = true
+	if n.kind == decide.UpdateFailed && !k.warnedUnheard && !k.session.IsListConfirmed() {
+		k.warnedUnheard = true
 		slog.Warn("discovery not heard since the start, going on with the list of the start", "version",
-			k.session.ListVersion(), "proving", k.proves)
+			k.session.ListVersion(), "proving", k.usesProbation)
 	}
-	if k.session.News(now, n.kind, n.told, n.confirms) {
+	if k.session.ListUpdated(now, n.kind, n.discoveryList, n.confirms) {
 		slog.Info("discovery has confirmed the list", "version", k.session.ListVersion(),
 			"after", time.Since(k.clock.began))
 	}
-	if len(n.config.Servers) > 0 {
-		k.change()
+	if len(n.list.Endpoints) > 0 {
+		k.stateChanged()
 	}
 }
 
 // change tells that something of weight has changed.
-func (k *kept) change() {
+func (k *stateRecorder) stateChanged() {
 	if k.changed != nil {
 		k.changed()
 	}
 }
 
-// Remember asks for what is to be kept over a restart; false where that does not come before ctx ends.
-func (a *Agent) Remember(ctx context.Context) (state.Content, bool) {
+// Snapshot asks for what is to be kept over a restart; false where that does not come before ctx ends.
+func (a *Agent) Snapshot(ctx context.Context) (state.Content, bool) {
 	now := make(chan state.Snapshot, 1)
-	a.mail.put(remember{now})
+	a.mail.put(snapshotQuery{now})
 	select {
 	case s := <-now:
 		return s.Content(), true
@@ -61,16 +61,16 @@
 	}
 }
 
-// Remember returns what was learned.
-func (l *idleLimit) Remember(now time.Duration) core.IdleMemory {
+// Snapshot returns what was learned.
+func (l *idleLimit) Snapshot(now time.Duration) core.IdleSnapshot {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.core.Remember(now)
+	return l.core.Snapshot(now)
 }
 
-// Recall takes back what was learned so long ago.
-func (l *idleLimit) Recall(m core.IdleMemory, age time.Duration) {
+// Restore takes back what was learned so long ago.
+func (l *idleLimit) Restore(m core.IdleSnapshot, age time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.core.Recall(m, age)
+	l.core.Restore(m, age)
 }
--- a/internal/routing/module.go
+++ b/internal/routing/module.go
@@ -21,132 +21,134 @@
 type Settings struct {
 	Deployment  protocol.Settings
 	Seed        uint64
-	Storm       storm.Figures
+	Overload    storm.Figures
 	Discovery   netip.AddrPort
-	Start       state.Beginning // the list, and what was learned before a restart
-	Proof       state.Proof
+	Initial     state.Initial // the list, and what was learned before a restart
+	Probation   state.ProbationSettings
 	Descriptors *transport.Descriptors
-	Bodies      *transport.Bodies
-	Figures     *figures.Figures
-	Bans        []core.Ban           // that hold from the start
-	Datagrams   *transport.Datagrams // nil where agents do not talk to one another
-	// Awaits tells whether this agent has what it has to have beside the list before it says that it is
+	Bodies      *transport.BodyLimits
+	Metrics     *figures.Figures
+	Disabled    []core.DisabledEndpoint // that hold from the start
+	Datagrams   *transport.Datagrams    // nil where agents do not talk to one another
+	// FleetReady tells whether this agent has what it has to have beside the list before it says that it is
 	// ready; nil: there is nothing.
-	Awaits func() bool
-	// Knows tells whether this process knows what its fleet has agreed on, as far as it can be known; operations
-	// wait for that a little: see Agent.Operate. Nil: there is nothing to know.
-	Knows func() bool
-	// Acting tells, at each moment, what the fleet has agreed on that this agent goes by; nil: there is
+	FleetReady func() bool
+	// FleetCaughtUp tells whether this process knows what its fleet has agreed on, as far as it can be known; operations
+	// wait for that a little: see Agent.HandleRequest. Nil: there is nothing to know.
+	FleetCaughtUp func() bool
+	// FleetPolicy tells, at each moment, what the fleet has agreed on that this agent goes by; nil: there is
 	// nothing. The same pointer stands for the same effect.
-	Acting func() *policy.Effect
-	// Avoiding tells, at each moment, which servers tenants' keys keep off; nil: there is nothing. The same
+	FleetPolicy func() *policy.Effect
+	// Exclusions tells, at each moment, which servers tenants' keys keep off; nil: there is nothing. The same
 	// pointer stands for the same.
-	Avoiding func() *decide.Avoid
-	// Placed tells, at each moment, the generation of the ring that the fleet goes by; nil: each agent goes by
+	Exclusions func() *decide.Exclusions
+	// RingAssignment tells, at each moment, the generation of the ring that the fleet goes by; nil: each agent goes by
 	// its own list. The same pointer stands for the same.
-	Placed func() *decide.Placed
-	// Changed is told, from the module's actor, that something of weight has changed in what is kept; nil:
+	RingAssignment func() *decide.RingAssignment
+	// OnStateChange is told, from the module's actor, that something of weight has changed in what is kept; nil:
 	// nobody is.
-	Changed func()
+	OnStateChange func()
 }
 
 // Agent is the module's actor, with the actors that it tells what to do.
 type Agent struct {
-	upstream upstreamSettings
-	mail     *mailbox[any]
-	clock    clock
-	ready    atomic.Bool
-	awaits   func() bool
-	knows    func() bool
-	acting   func() *policy.Effect
-	actsOn   *policy.Effect // the actor's: what it goes by
-	avoiding func() *decide.Avoid
-	avoids   *decide.Avoid // the actor's, too
-	placed   func() *decide.Placed
-	placedBy *decide.Placed // the actor's, too
+	upstreamSettings  upstreamSettings
+	mail              *mailbox[any]
+	clock             clock
+	ready             atomic.Bool
+	fleetReady        func() bool
+	fleetCaughtUp     func() bool
+	fleetPolicy       func() *policy.Effect
+	appliedPolicy     *policy.Effect // the actor's: what it goes by
+	exclusions        func() *decide.Exclusions
+	appliedExclusions *decide.Exclusions // the actor's, too
+	ringAssignment    func() *decide.RingAssignment
+	appliedAssignment *decide.RingAssignment // the actor's, too
 
 	// Owned by the actor.
-	gate       *storm.Gate // before the decision module
-	balancer   *decide.Balancer
-	figures    *figures.Figures
-	viewed     time.Duration // when the module's view was last told to the figures
-	router     *core.Router
-	kept       kept
-	list       *list
-	agents     *agents
-	servers    map[string]*booking
-	operations map[uint32]*operation
-	reply      protocol.Reply // of the attempt that the core is being told of
+	gate                *storm.Gate // before the decision module
+	balancer            *decide.Balancer
+	metrics             *figures.Figures
+	ejectionsReportedAt time.Duration // when the module's view was last told to the figures
+	router              *core.Router
+	recorder            stateRecorder
+	list                *listActor
+	peers               *peerSender
+	upstreams           map[string]*upstream
+	requests            map[uint32]*request
+	response            protocol.UpstreamResponse // of the attempt that the core is being told of
 }
 
 // operation is an operation that the core knows, under its number. All but answer is the module's actor's.
-type operation struct {
-	*protocol.Operation
+type request struct {
+	*protocol.Request
 	id       uint32
-	answer   chan protocol.Answer
+	response chan protocol.Response
 	attempts []*attempt // by their numbers; nil: not started
 }
 
-// The messages of the module's actor, beside *operation, attemptBegan, attemptEnded, poolNews and
+// The messages of the module's actor, beside *operation, responseStarted, attemptEnded, listUpdate and
 // protocol.Datagram.
 type (
-	clientGone struct{ operation *operation }
-	cameWhole  struct{ operation *operation }
-	abandon    struct{}
-	timerDue   struct{ tag uint64 }
-	reclaim    struct{}
-	remember   struct{ to chan<- state.Snapshot }
-	weather    struct{ figures storm.Figures }
-	agreed     struct{ effect *policy.Effect }
-	strained   struct{ to chan<- strain }
-	quickened  struct{ to chan<- []decide.Quick }
-	present    struct {
-		decide.Present
-		storm int
+	clientGone         struct{ operation *request }
+	bodyComplete       struct{ operation *request }
+	failAll            struct{}
+	timerDue           struct{ tag uint64 }
+	releaseIdle        struct{}
+	snapshotQuery      struct{ to chan<- state.Snapshot }
+	overloadChanged    struct{ figures storm.Figures }
+	fleetPolicyChanged struct{ effect *policy.Effect }
+	tenantStatsQuery   struct{ to chan<- tenantStatsReply }
+	baselineQuery      struct {
+		to chan<- []decide.BaselineLatency
+	}
+	fleetSizeChanged struct {
+		decide.FleetSize
+		overload int
 	}
 )
 
 // strain is how the tenants' requests have fared, and whether some are held back for a storm.
-type strain struct {
-	all   []decide.Strain
-	damps bool
+type tenantStatsReply struct {
+	all       []decide.TenantStats
+	holdsBack bool
 }
 
-// Start starts the actors. The module learns the known list at once and asks discovery for news.
+// Initial starts the actors. The module learns the known list at once and asks discovery for news.
 func Start(set Settings) (*Agent, error) {
-	if set.Figures == nil {
-		set.Figures = figures.New(nil)
+	if set.Metrics == nil {
+		set.Metrics = figures.New(nil)
 	}
 	permitted := core.Permitted(set.Deployment.Settings)
 	balancer, err := decide.New(permitted, set.Seed)
 	if err != nil {
 		return nil, err
 	}
-	gate, err := storm.New(permitted, set.Storm, balancer, set.Seed)
+	gate, err := storm.New(permitted, set.Overload, balancer, set.Seed)
 	if err != nil {
 		return nil, err
 	}
 	a := &Agent{
-		mail: newMailbox[any](), clock: newClock(), gate: gate, balancer: balancer, figures: set.Figures,
-		router: core.NewRouter(permitted, gate), servers: map[string]*booking{},
-		operations: map[uint32]*operation{}, awaits: set.Awaits, knows: set.Knows,
-		acting: set.Acting, avoiding: set.Avoiding, placed: set.Placed,
+		mail: newMailbox[any](), clock: newClock(), gate: gate, balancer: balancer, metrics: set.Metrics,
+		router: core.NewRouter(permitted, gate), upstreams: map[string]*upstream{},
+		requests: map[uint32]*request{}, fleetReady: set.FleetReady, fleetCaughtUp: set.FleetCaughtUp,
+		fleetPolicy: set.FleetPolicy, exclusions: set.Exclusions, ringAssignment: set.RingAssignment,
 	}
-	limit := &idleLimit{core: core.NewIdleLimit(a.clock.now(), set.Deployment.ConnIdle)}
-	a.upstream = upstreamSettings{
+	limit := &idleLimit{core: core.NewIdleLimit(a.clock.now(), set.Deployment.ConnIdleTimeout)}
+	a.upstreamSettings = upstreamSettings{
 		clock: a.clock, connectTimeout: connectWait(set.Deployment),
-		settle:    core.SettleTime,
-		idleLimit: limit, connects: &connects{}, descriptors: set.Descriptors, bodies: set.Bodies,
-		figures: set.Figures,
+		reuseDelay: core.ReuseDelay,
+		idleLimit:  limit, connectTimeouts: &connectTimeouts{}, descriptors: set.Descriptors, bodies: set.Bodies,
+		metrics: set.Metrics,
 	}
-	a.kept = kept{
-		session: state.NewSession(set.Start, balancer, gate, limit, set.Proof),
-		proves:  set.Proof.Wanted, changed: set.Changed, clock: a.clock,
+	a.recorder = stateRecorder{
+		session:       state.NewRecorder(set.Initial, balancer, gate, limit, set.Probation),
+		usesProbation: set.Probation.Enabled, changed: set.OnStateChange, clock: a.clock,
 	}
-	a.list = startList(set.Discovery, set.Start.List, set.Bans, a.clock, set.Figures,
-		func(n poolNews) { a.mail.put(n) })
+	a.list = startList(set.Discovery, set.Initial.List, set.Disabled, a.clock, set.Metrics,
+		func(n listUpdate) { a.mail.put(n) })
 	if set.Datagrams != nil {
-		a.agents = startAgents(set.Datagrams)
+		a.peers = startPeerSender(set.Datagrams)
 	}
 	go a.mail.receive(a.handle)
 	return a, nil
@@ -161,54 +163,54 @@
 	return set.ConnectTimeout
 }
 
-// Ready tells whether a booking server is known that takes operations, and what has to be there beside it
+// IsReady tells whether a booking server is known that takes operations, and what has to be there beside it
 // is.
-func (a *Agent) Ready() bool { return a.ready.Load() && (a.awaits == nil || a.awaits()) }
+func (a *Agent) Ready() bool { return a.ready.Load() && (a.fleetReady == nil || a.fleetReady()) }
 
-// Operate carries an operation out and returns its final answer; false where the client left before. In a
+// HandleRequest carries an operation out and returns its final answer; false where the client left before. In a
 // process that just began it may wait first, see learn.
-func (a *Agent) Operate(ctx context.Context, op *protocol.Operation) (protocol.Answer, bool) {
-	if !a.learn(ctx, op.TimeLeft) {
+func (a *Agent) HandleRequest(ctx context.Context, op *protocol.Request) (protocol.Response, bool) {
+	if !a.waitForFleetState(ctx, op.TimeLeft) {
 		op.Release()
-		return protocol.Answer{}, false
+		return protocol.Response{}, false
 	}
-	o := &operation{Operation: op, answer: make(chan protocol.Answer, 1)}
+	o := &request{Request: op, response: make(chan protocol.Response, 1)}
 	a.mail.put(o)
-	whole := op.Whole
+	whole := op.BodyComplete
 	for {
 		select {
-		case answer := <-o.answer:
+		case answer := <-o.response:
 			return answer, true
 		case <-whole:
 			whole = nil
-			a.mail.put(cameWhole{o})
+			a.mail.put(bodyComplete{o})
 		case <-ctx.Done():
 			a.mail.put(clientGone{o})
-			return protocol.Answer{}, false
+			return protocol.Response{}, false
 		}
 	}
 }
 
 const (
-	// learnShare of its client's time, and learnMost, is how long an operation waits in a process that just
-	// began, which does not know yet what its fleet has agreed on; learnEvery is how often it is looked.
-	learnShare = 0.5
-	learnMost  = time.Second
-	learnEvery = 2 * time.Millisecond
+	// fleetWaitFraction of its client's time, and maxFleetWait, is how long an operation waits in a process that just
+	// began, which does not know yet what its fleet has agreed on; fleetPollInterval is how often it is looked.
+	fleetWaitFraction = 0.5
+	maxFleetWait      = time.Second
+	fleetPollInterval = 2 * time.Millisecond
 )
 
 // learn has an operation that comes before this process has caught up with its fleet wait a little: sent on
 // at once it could reach a booking server that staff were told is free of such requests. False: the client
 // has left.
-func (a *Agent) learn(ctx context.Context, timeLeft time.Duration) bool {
-	if a.knows == nil || a.knows() {
+func (a *Agent) waitForFleetState(ctx context.Context, timeLeft time.Duration) bool {
+	if a.fleetCaughtUp == nil || a.fleetCaughtUp() {
 		return true
 	}
-	enough := time.NewTimer(min(time.Duration(learnShare*float64(timeLeft)), learnMost))
+	enough := time.NewTimer(min(time.Duration(fleetWaitFraction*float64(timeLeft)), maxFleetWait))
 	defer enough.Stop()
-	again := time.NewTicker(learnEvery)
+	again := time.NewTicker(fleetPollInterval)
 	defer again.Stop()
-	for !a.knows() {
+	for !a.fleetCaughtUp() {
 		select {
 		case <-again.C:
 		case <-enough.C:
@@ -220,45 +222,45 @@
 	return true
 }
 
-// Hear takes another agent's datagram in, or drops it where too many messages wait.
-func (a *Agent) Hear(d protocol.Datagram) {
+// ReceiveDatagram takes another agent's datagram in, or drops it where too many messages wait.
+func (a *Agent) ReceiveDatagram(d protocol.Datagram) {
 	if a.mail.waiting() < maxDatagramsWaiting {
 		a.mail.put(d)
 	}
 }
 
-// Rediscover has the pool config watched at another address from now on.
-func (a *Agent) Rediscover(addr netip.AddrPort) { a.list.mail.put(relocate{addr}) }
+// SetDiscovery has the pool config watched at another address from now on.
+func (a *Agent) SetDiscovery(addr netip.AddrPort) { a.list.mail.put(discoveryMoved{addr}) }
 
-// SetStorm has the gate before the module go by other figures.
-func (a *Agent) SetStorm(f storm.Figures) { a.mail.put(weather{f}) }
+// SetOverload has the gate before the module go by other figures.
+func (a *Agent) SetOverload(f storm.Figures) { a.mail.put(overloadChanged{f}) }
 
-// Agree has the agent go by what its fleet has agreed on, from what is handled next on; nil: by its
-// settings alone. The effect is not to be changed any more. It holds until the next Agree, also over
-// SetStorm.
-func (a *Agent) Agree(effect *policy.Effect) { a.mail.put(agreed{effect}) }
+// SetFleetPolicy has the agent go by what its fleet has agreed on, from what is handled next on; nil: by its
+// settings alone. The effect is not to be changed any more. It holds until the next SetFleetPolicy, also over
+// SetOverload.
+func (a *Agent) SetFleetPolicy(effect *policy.Effect) { a.mail.put(fleetPolicyChanged{effect}) }
 
-// Present has the module, and the gate before it, divide by how many agents are there; see decide.Present and
+// SetFleetSize has the module, and the gate before it, divide by how many agents are there; see decide.FleetSize and
 // storm.Gate.
-func (a *Agent) Present(p decide.Present, storm int) { a.mail.put(present{p, storm}) }
+func (a *Agent) SetFleetSize(p decide.FleetSize, storm int) { a.mail.put(fleetSizeChanged{p, storm}) }
 
-// Strain tells how the tenants' requests have fared since the start, in the order of the settings and first
+// TenantStats tells how the tenants' requests have fared since the start, in the order of the settings and first
 // those of none, nil where ctx ends before; and whether requests are held back for a storm.
-func (a *Agent) Strain(ctx context.Context) (all []decide.Strain, damps bool) {
-	to := make(chan strain, 1)
-	a.mail.put(strained{to})
+func (a *Agent) TenantStats(ctx context.Context) (all []decide.TenantStats, damps bool) {
+	to := make(chan tenantStatsReply, 1)
+	a.mail.put(tenantStatsQuery{to})
 	select {
 	case s := <-to:
-		return s.all, s.damps
+		return s.all, s.holdsBack
 	case <-ctx.Done():
 		return nil, false
 	}
 }
 
-// Quicks tells how quick the kinds of servers were; nil where ctx ends before.
-func (a *Agent) Quicks(ctx context.Context) []decide.Quick {
-	to := make(chan []decide.Quick, 1)
-	a.mail.put(quickened{to})
+// BaselineLatencies tells how quick the kinds of servers were; nil where ctx ends before.
+func (a *Agent) BaselineLatencies(ctx context.Context) []decide.BaselineLatency {
+	to := make(chan []decide.BaselineLatency, 1)
+	a.mail.put(baselineQuery{to})
 	select {
 	case all := <-to:
 		return all
@@ -267,123 +269,123 @@
 	}
 }
 
-// Abandon fails every operation that is still unanswered: the agent is about to end.
-func (a *Agent) Abandon() { a.mail.put(abandon{}) }
+// FailAll fails every operation that is still unanswered: the agent is about to end.
+func (a *Agent) FailAll() { a.mail.put(failAll{}) }
 
-// Reclaim has idle connections to booking servers closed.
-func (a *Agent) Reclaim() { a.mail.put(reclaim{}) }
+// ReleaseIdle has idle connections to booking servers closed.
+func (a *Agent) ReleaseIdle() { a.mail.put(releaseIdle{}) }
 
 // follow has the core go by what is agreed at this moment, before it is told of anything: a lease that
 // has run out, as while the process stood still, is seen before the next decision.
-func (a *Agent) follow() {
-	if a.acting != nil {
-		if e := a.acting(); e != a.actsOn {
-			a.actsOn = e
-			a.router.Agree(e)
+func (a *Agent) applyFleetState() {
+	if a.fleetPolicy != nil {
+		if e := a.fleetPolicy(); e != a.appliedPolicy {
+			a.appliedPolicy = e
+			a.router.SetFleetPolicy(e)
 		}
 	}
-	if a.avoiding != nil {
-		if v := a.avoiding(); v != a.avoids {
-			a.avoids = v
-			a.router.Avoid(v)
+	if a.exclusions != nil {
+		if v := a.exclusions(); v != a.appliedExclusions {
+			a.appliedExclusions = v
+			a.router.SetExclusions(v)
 		}
 	}
-	if a.placed != nil {
-		if p := a.placed(); p != a.placedBy {
-			a.placedBy = p
-			a.router.Place(p)
+	if a.ringAssignment != nil {
+		if p := a.ringAssignment(); p != a.appliedAssignment {
+			a.appliedAssignment = p
+			a.router.SetRingAssignment(p)
 		}
 	}
 }
 
 func (a *Agent) handle(m any) bool {
-	a.follow()
+	a.applyFleetState()
 	now := a.clock.now()
 	switch m := m.(type) {
-	case *operation:
-		a.begin(now, m)
-	case attemptBegan:
-		a.began(now, m)
+	case *request:
+		a.startRequest(now, m)
+	case responseStarted:
+		a.responseStarted(now, m)
 	case attemptEnded:
-		a.reply = m.reply
-		a.do(a.router.StepEnded(now, m.attempt.operation.id, m.attempt.number, m.saw))
-		a.drop()
+		a.response = m.response
+		a.carryOutAll(a.router.AttemptEnded(now, m.attempt.request.id, m.attempt.number, m.result))
+		a.closeUnusedResponse()
 	case clientGone:
-		a.do(a.router.ClientGone(now, m.operation.id))
-		m.operation.takeBack()
-	case cameWhole:
-		a.do(a.router.Whole(now, m.operation.id))
+		a.carryOutAll(a.router.ClientGone(now, m.operation.id))
+		m.operation.closeUntakenResponse()
+	case bodyComplete:
+		a.carryOutAll(a.router.BodyComplete(now, m.operation.id))
 	case timerDue:
-		a.do(a.router.TimerDue(now, m.tag))
-	case poolNews:
-		a.do(a.router.PoolNews(now, m.kind, m.config, m.word))
-		a.kept.news(now, m)
-		a.ready.Store(a.router.Ready())
+		a.carryOutAll(a.router.TimerDue(now, m.tag))
+	case listUpdate:
+		a.carryOutAll(a.router.ListUpdated(now, m.kind, m.list, m.watch))
+		a.recorder.listUpdated(now, m)
+		a.ready.Store(a.router.HasReadyEndpoint())
 	case protocol.Datagram:
-		a.do(a.router.PeerSays(now, m))
-	case weather:
+		a.carryOutAll(a.router.DatagramReceived(now, m))
+	case overloadChanged:
 		if err := a.gate.Set(m.figures); err != nil {
 			slog.Warn("figures not taken over", "error", err)
 		}
-	case agreed:
-		a.router.Agree(m.effect)
-	case present:
-		a.balancer.Present(m.Present)
-		a.gate.Present(m.storm)
-	case strained:
-		m.to <- strain{a.router.Strain(), a.gate != nil && a.gate.Damps()}
-	case quickened:
-		m.to <- a.balancer.Quicks()
-	case abandon:
-		a.do(a.router.Abandon())
-	case remember:
-		m.to <- a.kept.session.Snapshot(now)
-	case reclaim:
-		a.do(a.router.Reclaim())
-	}
-	a.view(now)
+	case fleetPolicyChanged:
+		a.router.SetFleetPolicy(m.effect)
+	case fleetSizeChanged:
+		a.balancer.SetFleetSize(m.FleetSize)
+		a.gate.Present(m.overload)
+	case tenantStatsQuery:
+		m.to <- tenantStatsReply{a.router.TenantStats(), a.gate != nil && a.gate.Damps()}
+	case baselineQuery:
+		m.to <- a.balancer.BaselineLatencies()
+	case failAll:
+		a.carryOutAll(a.router.FailAll())
+	case snapshotQuery:
+		m.to <- a.recorder.session.Snapshot(now)
+	case releaseIdle:
+		a.carryOutAll(a.router.ReleaseIdle())
+	}
+	a.reportEjections(now)
 	return true
 }
 
-// viewEvery is how often the figures are told whom the module avoids, at most.
-const viewEvery = 100 * time.Millisecond
+// ejectionReportInterval is how often the figures are told whom the module avoids, at most.
+const ejectionReportInterval = 100 * time.Millisecond
 
 // view tells the figures whom the module avoids. It comes with what is handled anyway: the module's
 // rounds at the latest.
-func (a *Agent) view(now time.Duration) {
-	if a.balancer != nil && now-a.viewed >= viewEvery {
-		a.viewed = now
-		a.figures.SetAvoided(a.balancer.Avoided())
+func (a *Agent) reportEjections(now time.Duration) {
+	if a.balancer != nil && now-a.ejectionsReportedAt >= ejectionReportInterval {
+		a.ejectionsReportedAt = now
+		a.metrics.SetAvoided(a.balancer.EjectedServers())
 	}
 }
 
-// Ban takes a booking server out by hand, Lift puts it back. Listed is false where no list ever had the id;
+// DisableEndpoint takes a booking server out by hand, EnableEndpoint puts it back. WasListed is false where no list ever had the id;
 // bans are all that hold after it.
-func (a *Agent) Ban(ctx context.Context, id string) (bans []core.Ban, listed bool, err error) {
-	return a.ban(ctx, ban{id: id})
+func (a *Agent) DisableEndpoint(ctx context.Context, id string) (bans []core.DisabledEndpoint, listed bool, err error) {
+	return a.setDisabled(ctx, setDisabled{id: id})
 }
 
-// Lift puts a booking server back; see Ban.
-func (a *Agent) Lift(ctx context.Context, id string) (bans []core.Ban, listed bool, err error) {
-	return a.ban(ctx, ban{id: id, lift: true})
+// EnableEndpoint puts a booking server back; see DisableEndpoint.
+func (a *Agent) EnableEndpoint(ctx context.Context, id string) (bans []core.DisabledEndpoint, listed bool, err error) {
+	return a.setDisabled(ctx, setDisabled{id: id, enable: true})
 }
 
-func (a *Agent) ban(ctx context.Context, m ban) ([]core.Ban, bool, error) {
-	done := make(chan banned, 1)
+func (a *Agent) setDisabled(ctx context.Context, m setDisabled) ([]core.DisabledEndpoint, bool, error) {
+	done := make(chan disableResult, 1)
 	m.done = done
 	a.list.mail.put(m)
 	select {
 	case b := <-done:
-		return b.bans, b.listed, b.err
+		return b.disabled, b.listed, b.err
 	case <-ctx.Done():
 		return nil, false, ctx.Err()
 	}
 }
 
-// Listed tells whether a list ever had a booking server; false where that is not known before ctx ends.
-func (a *Agent) Listed(ctx context.Context, id string) bool {
+// WasListed tells whether a list ever had a booking server; false where that is not known before ctx ends.
+func (a *Agent) WasListed(ctx context.Context, id string) bool {
 	done := make(chan bool, 1)
-	a.list.mail.put(isListed{id, done})
+	a.list.mail.put(listedQuery{id, done})
 	select {
 	case is := <-done:
 		return is
@@ -392,11 +394,11 @@
 	}
 }
 
-// Servers are those on this agent's own list, as staff's word leaves them; false: that is not known before
+// Endpoints are those on this agent's own list, as staff's word leaves them; false: that is not known before
 // ctx ends.
-func (a *Agent) Servers(ctx context.Context) ([]decide.Server, bool) {
+func (a *Agent) Endpoints(ctx context.Context) ([]decide.Server, bool) {
 	done := make(chan []decide.Server, 1)
-	a.list.mail.put(servers{done})
+	a.list.mail.put(endpointsQuery{done})
 	select {
 	case all := <-done:
 		return all, true
@@ -405,38 +407,38 @@
 	}
 }
 
-// JoinBans takes in what another process of this agent was told by hand.
-func (a *Agent) JoinBans(bans []core.Ban) { a.list.mail.put(joinBans{bans}) }
+// MergeDisabled takes in what another process of this agent was told by hand.
+func (a *Agent) MergeDisabled(bans []core.DisabledEndpoint) { a.list.mail.put(mergeDisabled{bans}) }
 
 // begin hands an operation to the core, which gives it its number.
-func (a *Agent) begin(now time.Duration, o *operation) {
-	id, out := a.router.Arrive(now, o.Operation, a.clock.at(o.Sent))
+func (a *Agent) startRequest(now time.Duration, o *request) {
+	id, out := a.router.RequestArrived(now, o.Request, a.clock.at(o.ArrivedAt))
 	o.id = id
-	a.operations[id] = o
-	a.do(out)
+	a.requests[id] = o
+	a.carryOutAll(out)
 }
 
 // began takes an answer that is longer than what is held whole.
-func (a *Agent) began(now time.Duration, m attemptBegan) {
-	a.reply = m.reply
+func (a *Agent) responseStarted(now time.Duration, m responseStarted) {
+	a.response = m.response
 	if m.attempt.timer.Stop() { // else its time is up, and its end will be told
-		a.do(a.router.StepBegan(now, m.attempt.operation.id, m.attempt.number))
+		a.carryOutAll(a.router.ResponseStarted(now, m.attempt.request.id, m.attempt.number))
 	}
-	a.drop()
+	a.closeUnusedResponse()
 }
 
 // drop gives up the reply in hand where it has become nobody's answer.
-func (a *Agent) drop() {
-	if a.reply.Flow != nil {
-		a.reply.Flow.Close()
+func (a *Agent) closeUnusedResponse() {
+	if a.response.Flow != nil {
+		a.response.Flow.Close()
 	}
-	a.reply = protocol.Reply{}
+	a.response = protocol.UpstreamResponse{}
 }
 
-// takeBack gives up an answer that crossed the client's leaving.
-func (o *operation) takeBack() {
+// closeUntakenResponse gives up an answer that crossed the client's leaving.
+func (o *request) closeUntakenResponse() {
 	select {
-	case answer := <-o.answer:
+	case answer := <-o.response:
 		if answer.Flow != nil {
 			answer.Flow.Close()
 		}
@@ -445,76 +447,76 @@
 }
 
 // do carries out what the core says.
-func (a *Agent) do(out []core.Output) {
+func (a *Agent) carryOutAll(out []core.Output) {
 	for i := range out {
-		a.act(&out[i])
+		a.carryOut(&out[i])
 	}
 }
 
-func (a *Agent) act(out *core.Output) {
-	o := a.operations[out.Operation]
+func (a *Agent) carryOut(out *core.Output) {
+	o := a.requests[out.Request]
 	switch out.Kind {
-	case core.Answer:
-		a.answer(o, out)
-	case core.StartStep:
+	case core.Respond:
+		a.respond(o, out)
+	case core.StartAttempt:
 		s := newAttempt(o, *out, a.clock)
 		for len(o.attempts) <= out.Attempt {
 			o.attempts = append(o.attempts, nil)
 		}
 		o.attempts[out.Attempt] = s
-		a.servers[out.Server].mail.put(s)
-	case core.RetimeStep:
-		o.attempts[out.Attempt].retime(a.clock.time(out.At), a.clock.time(out.Deadline))
-	case core.CancelStep:
+		a.upstreams[out.Endpoint].mail.put(s)
+	case core.RescheduleAttempt:
+		o.attempts[out.Attempt].reschedule(a.clock.time(out.At), a.clock.time(out.Deadline))
+	case core.CancelAttempt:
 		o.attempts[out.Attempt].cancel(out.Why)
-	case core.UnwantStep:
-		o.attempts[out.Attempt].unwant()
-	case core.Forget:
+	case core.CancelIfUnsent:
+		o.attempts[out.Attempt].cancelIfUnsent()
+	case core.ForgetRequest:
 		o.Release()
-		delete(a.operations, out.Operation)
+		delete(a.requests, out.Request)
 	case core.SetTimer:
 		tag := out.Tag
 		time.AfterFunc(a.clock.until(out.At), func() { a.mail.put(timerDue{tag}) })
-	case core.Tell:
-		if a.agents != nil {
-			a.agents.tell(protocol.Datagram{Agent: out.Peer, Data: out.Data})
+	case core.SendDatagram:
+		if a.peers != nil {
+			a.peers.enqueue(protocol.Datagram{Agent: out.Peer, Data: out.Data})
 		}
-	case core.Subscribe:
-		a.list.mail.put(subscribe{})
-	case core.Fetch:
-		a.list.mail.put(fetch{})
-	case core.OpenServer:
-		a.servers[out.Server] = startBooking(a.upstream, out.Addr, func(m any) { a.mail.put(m) })
-	case core.MoveServer:
-		a.servers[out.Server].mail.put(moved{out.Addr})
-	case core.RetireServer:
-		a.servers[out.Server].mail.put(retire{})
-		delete(a.servers, out.Server)
-	case core.RestServer:
-		a.servers[out.Server].mail.put(rest{})
-	case core.LetGo:
-		a.servers[out.Server].mail.put(letGo{})
-	case core.Log:
+	case core.WatchList:
+		a.list.mail.put(watchList{})
+	case core.FetchList:
+		a.list.mail.put(fetchList{})
+	case core.OpenEndpoint:
+		a.upstreams[out.Endpoint] = startUpstream(a.upstreamSettings, out.Addr, func(m any) { a.mail.put(m) })
+	case core.SetEndpointAddress:
+		a.upstreams[out.Endpoint].mail.put(addressChanged{out.Addr})
+	case core.RemoveEndpoint:
+		a.upstreams[out.Endpoint].mail.put(retire{})
+		delete(a.upstreams, out.Endpoint)
+	case core.DrainEndpoint:
+		a.upstreams[out.Endpoint].mail.put(stopReuse{})
+	case core.ReleaseIdle:
+		a.upstreams[out.Endpoint].mail.put(closeIdleHalf{})
+	case core.LogDecision:
 		slog.Info("module", "says", out.Text)
-		a.kept.change() // what the module says is what changes its mind
-	case core.ProbeUnheard:
-		slog.Error("the module wants to probe, which is not allowed", "server", out.Server)
+		a.recorder.stateChanged() // what the module says is what changes its mind
+	case core.UnsupportedProbe:
+		slog.Error("the module wants to probe, which is not allowed", "server", out.Endpoint)
 	}
 }
 
 // answer gives the one final answer; a good one is the reply in hand.
-func (a *Agent) answer(o *operation, out *core.Output) {
-	answer := protocol.Answer{
-		Kind: out.Result, RetryAfter: out.After, OverShare: out.OverShare,
+func (a *Agent) respond(o *request, out *core.Output) {
+	answer := protocol.Response{
+		Kind: out.Result, RetryAfter: out.After, OverQuota: out.OverQuota,
 		Quota: out.Quota, Body: []byte(out.Text),
 	}
 	if out.Result == protocol.Served {
-		answer = protocol.Answer{
-			Kind: protocol.Served, Flow: a.reply.Flow, ContentType: a.reply.ContentType,
-			Status: a.reply.Status,
+		answer = protocol.Response{
+			Kind: protocol.Served, Flow: a.response.Flow, ContentType: a.response.ContentType,
+			Status: a.response.Status,
 		}
-		a.reply.Flow = nil
+		a.response.Flow = nil
 	}
-	answer.Begins = out.Begins
-	o.answer <- answer
+	answer.Streaming = out.Streaming
+	o.response <- answer
 }
--- a/internal/state/beginning.go
+++ b/internal/state/beginning.go
@@ -10,52 +10,52 @@
 	"dunestep/storm"
 )
 
-// Beginning is what an agent starts from.
-type Beginning struct {
-	// List is the file's or the configuration's, whichever is newer.
-	List     protocol.PoolConfig
-	FromFile bool
-	// Confirmed is when discovery last said that this is the list, or one that came before it, in Unix time;
+// Initial is what an agent starts from.
+type Initial struct {
+	// StoredList is the file's or the configuration's, whichever is newer.
+	List       protocol.EndpointList
+	IsFromFile bool
+	// ConfirmedAt is when discovery last said that this is the list, or one that came before it, in Unix time;
 	// zero: nobody knows. ListAge is how long ago that was; negative: not known, or not to be believed.
-	Confirmed time.Duration
-	ListAge   time.Duration
-	// Module, Storm and Idle are what was learned, taken so long ago; nil: nothing.
-	Module *decide.Memory
-	Storm  *storm.Memory
-	Idle   *core.IdleMemory
-	Age    time.Duration
+	ConfirmedAt time.Duration
+	ListAge     time.Duration
+	// Balancer, Overload and IdleConnections are what was learned, taken so long ago; nil: nothing.
+	Balancer        *decide.Snapshot
+	Overload        *storm.Memory
+	IdleConnections *core.IdleSnapshot
+	Age             time.Duration
 }
 
-// Begin puts together what an agent starts from: the list that its configuration has, and its file, which may
+// NewInitial puts together what an agent starts from: the list that its configuration has, and its file, which may
 // be nil. What the file says of a server holds only for one with the same start and address in that list. The
 // error tells of a list in the file that can't be used; all else can be.
-func Begin(known protocol.PoolConfig, f *File, now time.Time) (Beginning, error) {
-	b := Beginning{List: known, ListAge: -1}
+func NewInitial(known protocol.EndpointList, f *File, now time.Time) (Initial, error) {
+	b := Initial{List: known, ListAge: -1}
 	if f == nil {
 		return b, nil
 	}
-	b.Module, b.Storm, b.Idle, b.Age = f.Module, f.Storm, f.Idle, f.Age(now)
-	var kept protocol.PoolConfig
+	b.Balancer, b.Overload, b.IdleConnections, b.Age = f.Balancer, f.Overload, f.IdleConnections, f.Age(now)
+	var kept protocol.EndpointList
 	if f.List != nil {
 		var err error
-		if kept, err = f.List.Config(); err != nil {
-			return Beginning{List: known, ListAge: -1}, err
+		if kept, err = f.List.EndpointList(); err != nil {
+			return Initial{List: known, ListAge: -1}, err
 		}
 	}
 	if f.List != nil && kept.Version > known.Version {
-		b.List, b.FromFile = kept, true
+		b.List, b.IsFromFile = kept, true
 	}
 	// A list that is newer than the one in the file was made after that was confirmed, so it is no older.
-	if f.List != nil && f.List.Confirmed > 0 {
-		b.Confirmed = time.Duration(f.List.Confirmed) * time.Millisecond
-		b.ListAge = now.Sub(time.UnixMilli(f.List.Confirmed))
+	if f.List != nil && f.List.ConfirmedMS > 0 {
+		b.ConfirmedAt = time.Duration(f.List.ConfirmedMS) * time.Millisecond
+		b.ListAge = now.Sub(time.UnixMilli(f.List.ConfirmedMS))
 	}
-	b.Module = sameServers(f.Module, kept, b.List)
+	b.Balancer = keepSameServers(f.Balancer, kept, b.List)
 	return b, nil
 }
 
-// sameServers leaves out of a module's memory the servers that are not the same in both lists.
-func sameServers(m *decide.Memory, kept, now protocol.PoolConfig) *decide.Memory {
+// keepSameServers leaves out of a module's memory the servers that are not the same in both lists.
+func keepSameServers(m *decide.Snapshot, kept, now protocol.EndpointList) *decide.Snapshot {
 	if m == nil {
 		return nil
 	}
@@ -64,16 +64,16 @@
 		started time.Duration
 	}
 	was, is := map[string]process{}, map[string]process{}
-	for _, s := range kept.Servers {
-		was[s.ID] = process{s.Addr, s.Started}
+	for _, s := range kept.Endpoints {
+		was[s.ID] = process{s.Addr, s.StartedAt}
 	}
-	for _, s := range now.Servers {
-		is[s.ID] = process{s.Addr, s.Started}
+	for _, s := range now.Endpoints {
+		is[s.ID] = process{s.Addr, s.StartedAt}
 	}
 	same := *m
 	same.Servers = nil
 	for _, s := range m.Servers {
-		if p, listed := was[s.ID]; listed && p == is[s.ID] && p.started == s.Started {
+		if p, listed := was[s.ID]; listed && p == is[s.ID] && p.started == s.StartedAt {
 			same.Servers = append(same.Servers, s)
 		}
 	}
--- a/internal/state/beginning_test.go
+++ b/internal/state/beginning_test.go
@@ -16,12 +16,12 @@
 )
 
 // config is a list whose servers are written as id, port and start.
-func config(version int64, servers ...[3]int) protocol.PoolConfig {
-	c := protocol.PoolConfig{Version: version, Full: true}
+func config(version int64, servers ...[3]int) protocol.EndpointList {
+	c := protocol.EndpointList{Version: version, Full: true}
 	for _, s := range servers {
-		c.Servers = append(c.Servers, protocol.PoolServer{Server: decide.Server{
+		c.Endpoints = append(c.Endpoints, protocol.Endpoint{Server: decide.Server{
 			ID: fmt.Sprintf("s-%d", s[0]), Weight: 1,
-			Started: time.Duration(s[2]),
+			StartedAt: time.Duration(s[2]),
 		}, Addr: netip.MustParseAddrPort(fmt.Sprintf("10.0.0.1:%d", s[1]))})
 	}
 	return c
@@ -32,14 +32,14 @@
 	now := time.UnixMilli(1_796_000_000_000)
 	kept := config(41, [3]int{1, 9001}, [3]int{2, 9002}, [3]int{3, 9003, 7})
 	f := &File{
-		Header: Header{Written: now.Add(-time.Minute).UnixMilli()},
+		Header: Header{WrittenMS: now.Add(-time.Minute).UnixMilli()},
 		Content: Content{
-			List: NewList(kept, now.Add(-2*time.Minute).UnixMilli()), Idle: &core.IdleMemory{},
-			Module: &decide.Memory{Servers: []decide.ServerMemory{{ID: "s-1"}, {ID: "s-2"}, {ID: "s-3", Started: 7}}},
+			List: NewStoredList(kept, now.Add(-2*time.Minute).UnixMilli()), IdleConnections: &core.IdleSnapshot{},
+			Balancer: &decide.Snapshot{Servers: []decide.ServerSnapshot{{ID: "s-1"}, {ID: "s-2"}, {ID: "s-3", StartedAt: 7}}},
 		},
 	}
 	for name, c := range map[string]struct {
-		known protocol.PoolConfig
+		known protocol.EndpointList
 		list  int64
 		file  bool
 		holds []string
@@ -52,37 +52,37 @@
 		},
 		"newer, two the same": {config(42, [3]int{2, 9002}, [3]int{3, 9003, 7}), 42, false, []string{"s-2", "s-3"}},
 	} {
-		b, err := Begin(c.known, f, now)
+		b, err := NewInitial(c.known, f, now)
 		require.NoError(t, err)
 		require.Equal(t, c.list, b.List.Version, name)
-		require.Equal(t, c.file, b.FromFile, name)
+		require.Equal(t, c.file, b.IsFromFile, name)
 		require.Equal(t, 2*time.Minute, b.ListAge)
 		require.Equal(t, time.Minute, b.Age)
 		var holds []string
-		for _, s := range b.Module.Servers {
+		for _, s := range b.Balancer.Servers {
 			holds = append(holds, s.ID)
 		}
 		require.Equal(t, c.holds, holds, name)
 	}
-	back, err := Begin(kept, f, now.AddDate(-1, 0, 0))
+	back, err := NewInitial(kept, f, now.AddDate(-1, 0, 0))
 	require.NoError(t, err)
 	require.Negative(t, back.Age)
 	require.Negative(t, back.ListAge)
 
-	f.List.Servers[1].Addr = "nowhere"
-	none, err := Begin(kept, f, now)
+	f.List.Endpoints[1].Addr = "nowhere"
+	none, err := NewInitial(kept, f, now)
 	require.Error(t, err)
-	require.Equal(t, Beginning{List: kept, ListAge: -1}, none)
-	none, err = Begin(kept, nil, now)
+	require.Equal(t, Initial{List: kept, ListAge: -1}, none)
+	none, err = NewInitial(kept, nil, now)
 	require.NoError(t, err)
-	require.Equal(t, Beginning{List: kept, ListAge: -1}, none)
+	require.Equal(t, Initial{List: kept, ListAge: -1}, none)
 }
 
 // spy is a module that notes what it is told.
 type spy struct{ told []string }
 
-func (s *spy) Remember(time.Duration) decide.Memory { return decide.Memory{Rate: 7} }
-func (s *spy) Recall(time.Duration, decide.Memory, time.Duration) {
+func (s *spy) Snapshot(time.Duration) decide.Snapshot { return decide.Snapshot{SendRate: 7} }
+func (s *spy) Restore(time.Duration, decide.Snapshot, time.Duration) {
 	s.told = append(s.told, "recall")
 }
 
@@ -94,62 +94,62 @@
 	g.age = age + time.Duration(m.Crowd)
 }
 
-func (s *spy) Disown(id string)    { s.told = append(s.told, "disown "+id) }
-func (s *spy) Doubt(trust float64) { s.told = append(s.told, fmt.Sprint("doubt ", trust)) }
-func (s *spy) Confirm()            { s.told = append(s.told, "confirm") }
+func (s *spy) ForgetServer(id string)       { s.told = append(s.told, "disown "+id) }
+func (s *spy) StartProbation(trust float64) { s.told = append(s.told, fmt.Sprint("doubt ", trust)) }
+func (s *spy) ConfirmServerList()           { s.told = append(s.told, "confirm") }
 
 // Until discovery confirms the list, what it tells may show that a server is another one than was known; after
 // that nothing more comes of it. What is kept is the list as it is by then, and when it was last confirmed.
 func TestSession(t *testing.T) {
 	m, gate, idle := &spy{}, &spyGate{}, core.NewIdleLimit(0, 10*time.Second)
-	s := NewSession(Beginning{
-		List: config(41, [3]int{1, 9001}, [3]int{2, 9002}, [3]int{3, 9003}), Module: &decide.Memory{},
-		Storm: &storm.Memory{Crowd: 7}, Age: time.Minute, Confirmed: 5 * time.Millisecond, ListAge: 30 * time.Second,
+	s := NewRecorder(Initial{
+		List: config(41, [3]int{1, 9001}, [3]int{2, 9002}, [3]int{3, 9003}), Balancer: &decide.Snapshot{},
+		Overload: &storm.Memory{Crowd: 7}, Age: time.Minute, ConfirmedAt: 5 * time.Millisecond, ListAge: 30 * time.Second,
 	},
-		m, gate, idle, Proof{Wanted: true, Deploy: time.Minute})
-	s.Began(time.Second)
+		m, gate, idle, ProbationSettings{Enabled: true, FullDeploy: time.Minute})
+	s.RestoreLearned(time.Second)
 	require.Equal(t, time.Minute+7, gate.age)
-	require.False(t, s.News(2*time.Second, decide.SyncFailed, protocol.PoolConfig{}, false))
-	require.False(t, s.News(3*time.Second, decide.SyncChange, protocol.PoolConfig{}, false)) // a call has begun
-	require.Equal(t, int64(5), s.Snapshot(4*time.Second).Content().List.Confirmed)
+	require.False(t, s.ListUpdated(2*time.Second, decide.UpdateFailed, protocol.EndpointList{}, false))
+	require.False(t, s.ListUpdated(3*time.Second, decide.UpdateIncremental, protocol.EndpointList{}, false)) // a call has begun
+	require.Equal(t, int64(5), s.Snapshot(4*time.Second).Content().List.ConfirmedMS)
 	news := config(43, [3]int{1, 9009}, [3]int{2, 9002, 6}, [3]int{4, 9001})
 	news.Full = false
-	left := protocol.PoolServer{Server: decide.Server{ID: "s-3", State: decide.Gone}}
-	news.Servers = append(news.Servers, left)
-	require.True(t, s.News(5*time.Second, decide.SyncChange, news, true))
+	left := protocol.Endpoint{Server: decide.Server{ID: "s-3", State: decide.Gone}}
+	news.Endpoints = append(news.Endpoints, left)
+	require.True(t, s.ListUpdated(5*time.Second, decide.UpdateIncremental, news, true))
 	require.Equal(t, []string{"recall", "doubt 0.5", "disown s-1", "disown s-2", "confirm"}, m.told)
-	require.False(t, s.News(6*time.Second, decide.SyncFull, config(44, [3]int{1, 9010}), true))
+	require.False(t, s.ListUpdated(6*time.Second, decide.UpdateFull, config(44, [3]int{1, 9010}), true))
 	require.Len(t, m.told, 5)
 
 	c := s.Snapshot(9 * time.Second).Content()
 	require.Equal(t, int64(44), c.List.Version)
-	require.Equal(t, 5.0, c.Storm.Crowd)
-	require.Equal(t, int64(9000), c.List.Confirmed, "the watch goes on")
+	require.Equal(t, 5.0, c.Overload.Crowd)
+	require.Equal(t, int64(9000), c.List.ConfirmedMS, "the watch goes on")
 	ids := []string{}
-	for _, s := range c.List.Servers {
+	for _, s := range c.List.Endpoints {
 		ids = append(ids, s.ID+" "+s.Addr)
 	}
 	require.Equal(t, []string{"s-1 10.0.0.1:9010"}, slices.Compact(ids), "the last list was a whole one")
-	s.News(10*time.Second, decide.SyncFailed, protocol.PoolConfig{}, false)
-	require.Equal(t, int64(10000), s.Snapshot(20*time.Second).Content().List.Confirmed)
+	s.ListUpdated(10*time.Second, decide.UpdateFailed, protocol.EndpointList{}, false)
+	require.Equal(t, int64(10000), s.Snapshot(20*time.Second).Content().List.ConfirmedMS)
 }
 
 // The limit on idle connections that was learned is there again, and fades as it would have.
 func TestIdleIsTakenBack(t *testing.T) {
 	l := core.NewIdleLimit(0, 15*time.Second)
 	for range 20 {
-		l.Note(time.Second, 100*time.Millisecond, false)
-		l.Note(time.Second, 2*time.Second, true)
+		l.Record(time.Second, 100*time.Millisecond, false)
+		l.Record(time.Second, 2*time.Second, true)
 	}
 	learned := l.Limit()
 	require.Less(t, learned, 3*time.Second)
-	m := l.Remember(2 * time.Second)
+	m := l.Snapshot(2 * time.Second)
 	for age, want := range map[time.Duration]time.Duration{
 		0: learned, 20 * time.Second: learned,
 		10 * time.Minute: 9 * time.Second, -time.Second: 9 * time.Second,
 	} {
 		again := core.NewIdleLimit(time.Hour, 15*time.Second)
-		again.Recall(m, age)
+		again.Restore(m, age)
 		require.Equal(t, want, again.Limit(), age)
 	}
 }
@@ -163,13 +163,13 @@
 	list := config(1, servers...)
 	set := decide.Settings{Tick: time.Millisecond, Classes: []decide.Class{{Deadline: time.Second}}}
 	module, _ := decide.New(set, 1)
-	news := &decide.Membership{Kind: decide.SyncFull}
-	for _, s := range list.Servers {
+	news := &decide.ServerListUpdate{Kind: decide.UpdateFull}
+	for _, s := range list.Endpoints {
 		news.Servers = append(news.Servers, s.Server)
 	}
 	gate, _ := storm.New(set, storm.Figures{}, module, 1)
 	gate.Step(time.Hour, news)
-	s := NewSession(Beginning{List: list}, module, gate, core.NewIdleLimit(0, time.Second), Proof{})
+	s := NewRecorder(Initial{List: list}, module, gate, core.NewIdleLimit(0, time.Second), ProbationSettings{})
 	for b.Loop() {
 		s.Snapshot(time.Hour)
 	}
--- a/internal/state/folder/crash_test.go
+++ b/internal/state/folder/crash_test.go
@@ -66,7 +66,7 @@
 	return nil, fs.ErrNotExist
 }
 
-func (d *crashDisk) begin(name string) (pending, error) {
+func (d *crashDisk) create(name string) (pending, error) {
 	if err := d.next(); err != nil {
 		return nil, err
 	}
@@ -91,8 +91,8 @@
 	return nil
 }
 
-func (d *crashDisk) tidy() error  { return nil }
-func (d *crashDisk) close() error { return nil }
+func (d *crashDisk) removeLeftovers() error { return nil }
+func (d *crashDisk) close() error           { return nil }
 
 // crashFile is a file that is being written, with the steps of a renameio.PendingFile.
 type crashFile struct {
@@ -171,7 +171,7 @@
 var owner = state.Owner{Deployment: "d", Agent: "n0"}
 
 func numbered(n int) state.Content {
-	return state.Content{List: &state.List{Version: int64(n)}}
+	return state.Content{List: &state.StoredList{Version: int64(n)}}
 }
 
 // story is what a writer did to a file that one reader may read at any time: which write lasts for certain,
--- a/internal/state/folder/disk.go
+++ b/internal/state/folder/disk.go
@@ -14,17 +14,17 @@
 	"dunestep/internal/state"
 )
 
-// disk is what a Folder needs of a file system. The real one is a rootDisk; the tests have one that loses,
+// disk is what a Folder needs of a file system. The real one is a rootDirectory; the tests have one that loses,
 // tears and reorders what was not made to last.
-type disk interface {
-	// read returns a file, or its first state.MaxFile+1 bytes.
+type directory interface {
+	// read returns a file, or its first state.MaxFileBytes+1 bytes.
 	read(name string) ([]byte, error)
 	// begin begins with a file that will replace the one of that name, if any.
-	begin(name string) (pending, error)
+	create(name string) (pending, error)
 	// sync makes the replacements last.
 	sync() error
 	// tidy removes what writes that were cut short have left.
-	tidy() error
+	removeLeftovers() error
 	close() error
 }
 
@@ -42,22 +42,22 @@
 
 const lockName = "lock"
 
-// rootDisk is a folder by its handle, not its path: what comes to lie there instead is not written to.
-type rootDisk struct {
+// rootDirectory is a folder by its handle, not its path: what comes to lie there instead is not written to.
+type rootDirectory struct {
 	root *os.Root
 	lock *os.File // nil: could not be had, since nothing can be written here
 }
 
-// openDisk opens a folder and locks it, for as long as this process lives at the most. Where there is no
+// openDirectory opens a folder and locks it, for as long as this process lives at the most. Where there is no
 // writing, the folder can still be read, and the second error tells why.
-func openDisk(path string) (d *rootDisk, unwritable, err error) {
+func openDirectory(path string) (d *rootDirectory, unwritable, err error) {
 	root, err := os.OpenRoot(path)
 	if err != nil {
 		return nil, nil, fmt.Errorf("state: %w", err)
 	}
 	lock, err := root.OpenFile(lockName, os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
-		return &rootDisk{root: root}, fmt.Errorf("state: %w", err), nil
+		return &rootDirectory{root: root}, fmt.Errorf("state: %w", err), nil
 	}
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		_ = lock.Close()
@@ -67,19 +67,19 @@
 		}
 		return nil, nil, fmt.Errorf("state: lock: %w", err)
 	}
-	return &rootDisk{root: root, lock: lock}, nil, nil
+	return &rootDirectory{root: root, lock: lock}, nil, nil
 }
 
-func (d *rootDisk) read(name string) ([]byte, error) {
+func (d *rootDirectory) read(name string) ([]byte, error) {
 	f, err := d.root.Open(name)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	return io.ReadAll(io.LimitReader(f, state.MaxFile+1))
+	return io.ReadAll(io.LimitReader(f, state.MaxFileBytes+1))
 }
 
-func (d *rootDisk) begin(name string) (pending, error) {
+func (d *rootDirectory) create(name string) (pending, error) {
 	f, err := renameio.NewPendingFile(name, renameio.WithRoot(d.root), renameio.WithStaticPermissions(0o600))
 	if err != nil {
 		return nil, err
@@ -88,7 +88,7 @@
 }
 
 // sync makes the names last; renameio leaves that to its caller.
-func (d *rootDisk) sync() error {
+func (d *rootDirectory) sync() error {
 	f, err := d.root.Open(".")
 	if err != nil {
 		return err
@@ -97,7 +97,7 @@
 }
 
 // tidy removes what renameio has begun under a name of its own: a point, the name and a number.
-func (d *rootDisk) tidy() error {
+func (d *rootDirectory) removeLeftovers() error {
 	left, err := fs.ReadDir(d.root.FS(), ".")
 	for _, entry := range left {
 		for _, name := range slots {
@@ -109,7 +109,7 @@
 	return err
 }
 
-func (d *rootDisk) close() error {
+func (d *rootDirectory) close() error {
 	err := d.root.Close()
 	if d.lock != nil {
 		err = errors.Join(err, d.lock.Close())
--- a/internal/state/folder/folder_test.go
+++ b/internal/state/folder/folder_test.go
@@ -43,7 +43,7 @@
 	if file, _ := folder.Load(); file != nil {
 		last = int(file.List.Version)
 	}
-	content := state.Content{List: &state.List{Servers: make([]state.Server, 3000)}}
+	content := state.Content{List: &state.StoredList{Endpoints: make([]state.StoredEndpoint, 3000)}}
 	for {
 		last++
 		content.List.Version = int64(last)
@@ -89,7 +89,7 @@
 		file, wrong := folder.Load()
 		require.Empty(t, wrong)
 		require.NotNil(t, file)
-		require.Len(t, file.List.Servers, 3000)
+		require.Len(t, file.List.Endpoints, 3000)
 		n := int(file.List.Version)
 		require.GreaterOrEqual(t, n, max(last, begun))
 		if last > 0 {
@@ -124,8 +124,8 @@
 		file, wrong = second.Load()
 		require.Nil(t, file)
 		require.Len(t, wrong, 2)
-		require.ErrorIs(t, wrong[0], state.ErrOther)
-		require.ErrorIs(t, second.Save(numbered(3), time.Now()), state.ErrOther)
+		require.ErrorIs(t, wrong[0], state.ErrOtherOwner)
+		require.ErrorIs(t, second.Save(numbered(3), time.Now()), state.ErrOtherOwner)
 		require.NoError(t, second.Close())
 	}
 
@@ -136,7 +136,7 @@
 	require.NoError(t, again.Save(numbered(3), time.Now().AddDate(-1, 0, 0)))
 	file, _ = again.Load()
 	require.Equal(t, int64(3), file.List.Version)
-	require.NoError(t, os.WriteFile(filepath.Join(path, slots[1-again.next]), []byte("DUNESTEP but not whole"), 0o600))
+	require.NoError(t, os.WriteFile(filepath.Join(path, slots[1-again.nextSlot]), []byte("DUNESTEP but not whole"), 0o600))
 	file, wrong = again.Load()
 	require.Equal(t, int64(2), file.List.Version)
 	require.Len(t, wrong, 1)
@@ -193,11 +193,11 @@
 }
 
 // keep starts a keeper on a disk; what it takes is numbered.
-func keep(d disk, age time.Duration) (*Keeper, *atomic.Int64) {
+func keep(d directory, age time.Duration) (*Writer, *atomic.Int64) {
 	taken := &atomic.Int64{}
-	return Keep(Keeping{
-		Path: "nowhere", Owner: owner, Period: 10 * time.Second, Gap: 5 * time.Second,
-		Take: func(context.Context) (state.Content, bool) { return numbered(int(taken.Add(1))), true },
+	return StartWriter(WriterSettings{
+		Path: "nowhere", Owner: owner, Period: 10 * time.Second, MinInterval: 5 * time.Second,
+		Collect: func(context.Context) (state.Content, bool) { return numbered(int(taken.Add(1))), true },
 	},
 		newFolder(d, owner, nil), age), taken
 }
@@ -208,13 +208,13 @@
 		d := newSlowDisk(0)
 		k, taken := keep(d, time.Second)
 		began := time.Now()
-		k.Poke()
+		k.RequestWrite()
 		time.Sleep(4*time.Second + 1)
 		synctest.Wait()
 		require.Len(t, d.syncs(), 1)
 		require.Equal(t, 4*time.Second, d.syncs()[0].Sub(began), "the last file was a second old")
 		for range 600 {
-			k.Poke()
+			k.RequestWrite()
 			time.Sleep(100 * time.Millisecond)
 		}
 		synctest.Wait()
@@ -236,7 +236,7 @@
 		k, _ := keep(d, time.Minute)
 		for range 300 {
 			began := time.Now()
-			k.Poke()
+			k.RequestWrite()
 			require.Zero(t, time.Since(began))
 			time.Sleep(100 * time.Millisecond)
 		}
@@ -246,7 +246,7 @@
 		defer cancel()
 		k.Finish(ctx)
 		require.Zero(t, time.Since(began), "it would not be done in time")
-		<-k.over
+		<-k.done
 		file, _ := newFolder(d, owner, nil).Load()
 		require.NotNil(t, file)
 	})
@@ -266,14 +266,14 @@
 		require.Equal(t, int64(29), taken.Load())
 		require.Equal(t, 1, strings.Count(log.String(), "state not kept"), log.String())
 		k.stop()
-		<-k.over
+		<-k.done
 	})
 	path := t.TempDir() // the folder is gone, and comes back
 	folder, err := Open(path, owner)
 	require.NoError(t, err)
-	k := Keep(Keeping{
-		Path: path, Owner: owner, Period: time.Millisecond, Gap: time.Millisecond,
-		Take: func(context.Context) (state.Content, bool) { return numbered(1), true },
+	k := StartWriter(WriterSettings{
+		Path: path, Owner: owner, Period: time.Millisecond, MinInterval: time.Millisecond,
+		Collect: func(context.Context) (state.Content, bool) { return numbered(1), true },
 	}, folder, time.Minute)
 	kept := func() bool { return len(glob(path)) > 0 }
 	require.Eventually(t, kept, 10*time.Second, time.Millisecond)
@@ -298,9 +298,9 @@
 func BenchmarkSave(b *testing.B) {
 	folder, err := Open(b.TempDir(), owner)
 	require.NoError(b, err)
-	content := state.Content{List: &state.List{Servers: make([]state.Server, 1000)}}
-	for i := range content.List.Servers {
-		content.List.Servers[i].ID = strings.Repeat("s", 200)
+	content := state.Content{List: &state.StoredList{Endpoints: make([]state.StoredEndpoint, 1000)}}
+	for i := range content.List.Endpoints {
+		content.List.Endpoints[i].ID = strings.Repeat("s", 200)
 	}
 	used := func() time.Duration {
 		var r syscall.Rusage
--- a/internal/state/folder/golden_test.go
+++ b/internal/state/folder/golden_test.go
@@ -20,8 +20,8 @@
 var goldenWritten = time.UnixMilli(1_796_115_624_558)
 
 func goldenContent(version int64) state.Content {
-	return state.Content{List: &state.List{Version: version, Confirmed: 1_796_115_624_000, Servers: []state.Server{
-		{ID: "s-0", Addr: "10.1.0.10:9000", Zone: "buc-pipera", Kind: "rapid", Cell: 1, Weight: 1.25, Started: time.Hour},
+	return state.Content{List: &state.StoredList{Version: version, ConfirmedMS: 1_796_115_624_000, Endpoints: []state.StoredEndpoint{
+		{ID: "s-0", Addr: "10.1.0.10:9000", Zone: "buc-pipera", Kind: "rapid", Cell: 1, Weight: 1.25, StartedAt: time.Hour},
 	}}}
 }
 
--- a/internal/state/format.go
+++ b/internal/state/format.go
@@ -28,13 +28,13 @@
 // Format 1 had no generation, so that the time told which of two files was the later one, which a clock that
 // was set back turned round; and its content had no sections, so that one part could not change without all.
 const (
-	magic     = "DUNESTEP"
-	format    = 2
-	fixed     = 24
-	fixed1    = 16 // of format 1
-	sumLength = 4
-	// MaxFile is the longest file in bytes that is written or read: several times what 5,000 servers need.
-	MaxFile = 4 << 20
+	magic             = "DUNESTEP"
+	currentFormat     = 2
+	fixedBytes        = 24
+	fixedBytesFormat1 = 16 // of format 1
+	checksumBytes     = 4
+	// MaxFileBytes is the longest file in bytes that is written or read: several times what 5,000 servers need.
+	MaxFileBytes = 4 << 20
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -47,8 +47,8 @@
 
 // Header is what a file says of itself.
 type Header struct {
-	Owner   Owner `cbor:"1,keyasint" json:"owner"`
-	Written int64 `cbor:"2,keyasint" json:"written_ms"` // Unix milliseconds
+	Owner     Owner `cbor:"1,keyasint" json:"owner"`
+	WrittenMS int64 `cbor:"2,keyasint" json:"written_ms"` // Unix milliseconds
 	// Generation is one more than that of the file before.
 	Generation uint64 `cbor:"-" json:"generation"`
 }
@@ -59,21 +59,21 @@
 	Content `json:"content"`
 	// Format is the version that the file had when it was read.
 	Format int `json:"format"`
-	// Skipped tells of the sections that a later build wrote and this one does not know how to read.
-	Skipped []string `json:"skipped,omitempty"`
+	// SkippedSections tells of the sections that a later build wrote and this one does not know how to read.
+	SkippedSections []string `json:"skipped,omitempty"`
 }
 
 // What can be wrong with a file.
 var (
-	// ErrForeign is of a file that this program never wrote.
-	ErrForeign = errors.New("state: not a file of this program")
+	// ErrNotAStateFile is of a file that this program never wrote.
+	ErrNotAStateFile = errors.New("state: not a file of this program")
 	// ErrDamaged is of a file that is not as it was written.
 	ErrDamaged = errors.New("state: damaged")
 	// ErrNewer is of a file that a later build wrote.
 	ErrNewer = errors.New("state: written by a later build")
-	// ErrOther is of a file with the memory of another agent, or of this one in another deployment.
-	ErrOther = errors.New("state: another agent's, or another deployment's")
-	// ErrTooLong is of content that does not fit into MaxFile.
+	// ErrOtherOwner is of a file with the memory of another agent, or of this one in another deployment.
+	ErrOtherOwner = errors.New("state: another agent's, or another deployment's")
+	// ErrTooLong is of content that does not fit into MaxFileBytes.
 	ErrTooLong = errors.New("state: more than a file may hold")
 )
 
@@ -104,17 +104,17 @@
 	if err != nil {
 		return nil, fmt.Errorf("state: %w", err)
 	}
-	content, err := f.Content.encode()
+	content, err := f.Content.encodeSections()
 	if err != nil {
 		return nil, fmt.Errorf("state: %w", err)
 	}
-	whole := fixed + len(header) + len(content) + sumLength
-	if whole > MaxFile || len(header) > 1<<16-1 {
+	whole := fixedBytes + len(header) + len(content) + checksumBytes
+	if whole > MaxFileBytes || len(header) > 1<<16-1 {
 		return nil, fmt.Errorf("%w: %d bytes", ErrTooLong, whole)
 	}
 	raw := make([]byte, 0, whole)
 	raw = append(raw, magic...)
-	raw = binary.BigEndian.AppendUint16(raw, format)
+	raw = binary.BigEndian.AppendUint16(raw, currentFormat)
 	raw = binary.BigEndian.AppendUint16(raw, uint16(len(header)))
 	raw = binary.BigEndian.AppendUint32(raw, uint32(len(content)))
 	raw = binary.BigEndian.AppendUint64(raw, f.Generation)
@@ -126,23 +126,23 @@
 // of an earlier format is turned into the present one.
 func Decode(raw []byte) (*File, error) {
 	if len(raw) < len(magic) || string(raw[:len(magic)]) != magic {
-		return nil, ErrForeign
+		return nil, ErrNotAStateFile
 	}
-	if len(raw) < fixed1+sumLength || len(raw) > MaxFile {
+	if len(raw) < fixedBytesFormat1+checksumBytes || len(raw) > MaxFileBytes {
 		return nil, fmt.Errorf("%w: %d bytes", ErrDamaged, len(raw))
 	}
-	sum := len(raw) - sumLength
+	sum := len(raw) - checksumBytes
 	if crc32.Checksum(raw[:sum], castagnoli) != binary.BigEndian.Uint32(raw[sum:]) {
 		return nil, fmt.Errorf("%w: the checksum is wrong", ErrDamaged)
 	}
 	f := &File{Format: int(binary.BigEndian.Uint16(raw[8:]))}
-	begin, read := fixed, f.decode
+	begin, read := fixedBytes, f.decodeSections
 	switch {
-	case f.Format > format:
-		return nil, fmt.Errorf("%w: format %d, known are up to %d", ErrNewer, f.Format, format)
+	case f.Format > currentFormat:
+		return nil, fmt.Errorf("%w: format %d, known are up to %d", ErrNewer, f.Format, currentFormat)
 	case f.Format == 1:
-		begin, read = fixed1, f.decode1
-	case f.Format < 1 || sum < fixed:
+		begin, read = fixedBytesFormat1, f.decodeFormat1
+	case f.Format < 1 || sum < fixedBytes:
 		return nil, fmt.Errorf("%w: format %d", ErrDamaged, f.Format)
 	default:
 		f.Generation = binary.BigEndian.Uint64(raw[16:])
@@ -162,12 +162,12 @@
 }
 
 // Age is how old a file is. Below zero: it is from the future, as the clock says, so its age is not known.
-func (h *Header) Age(now time.Time) time.Duration { return now.Sub(time.UnixMilli(h.Written)) }
+func (h *Header) Age(now time.Time) time.Duration { return now.Sub(time.UnixMilli(h.WrittenMS)) }
 
-// Later tells which of two files was written later. Files of format 1 have only the time to tell.
-func (f *File) Later(than *File) bool {
+// IsNewerThan tells which of two files was written later. Files of format 1 have only the time to tell.
+func (f *File) IsNewerThan(than *File) bool {
 	if f.Generation != than.Generation {
 		return f.Generation > than.Generation
 	}
-	return f.Written > than.Written
+	return f.WrittenMS > than.WrittenMS
 }
--- a/internal/state/format_test.go
+++ b/internal/state/format_test.go
@@ -23,32 +23,32 @@
 
 // sample is a file as an agent that knows n servers writes it.
 func sample(n int) *File {
-	config := protocol.PoolConfig{Version: 41, Full: true}
-	m := decide.Memory{Latency: 0.0517342, Rate: 43.1234}
+	config := protocol.EndpointList{Version: 41, Full: true}
+	m := decide.Snapshot{MeanLatency: 0.0517342, SendRate: 43.1234}
 	for i := range n {
 		s := decide.Server{
-			ID: fmt.Sprintf("s-%08x", i*2654435761), Zone: "buc-pipera", Kind: "rapid", Cell: i / 4,
-			Weight: 1.25, Started: time.Duration(1_760_000_000_000+i) * time.Millisecond, State: decide.ServerState(i % 2),
+			ID: fmt.Sprintf("s-%08x", i*2654435761), Zone: "buc-pipera", MachineKind: "rapid", Cell: i / 4,
+			Weight: 1.25, StartedAt: time.Duration(1_760_000_000_000+i) * time.Millisecond, State: decide.ServerState(i % 2),
 		}
-		config.Servers = append(config.Servers, protocol.PoolServer{
+		config.Endpoints = append(config.Endpoints, protocol.Endpoint{
 			Server: s,
 			Addr:   netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(i >> 8), byte(i)}), 9000),
 		})
-		m.Servers = append(m.Servers, decide.ServerMemory{
-			ID: s.ID, Started: s.Started, Latency: 0.01 * float64(i+1) / 3,
-			LatencyAtN: 3.3 / float64(i+1), SampledAgo: time.Duration(i+1) * 1234567, Penalty: 0.7123 / float64(i+1),
-			Health: health.Memory{
+		m.Servers = append(m.Servers, decide.ServerSnapshot{
+			ID: s.ID, StartedAt: s.StartedAt, Latency: 0.01 * float64(i+1) / 3,
+			LatencyInFlight: 3.3 / float64(i+1), SampledAgo: time.Duration(i+1) * 1234567, FlapPenalty: 0.7123 / float64(i+1),
+			Outlier: health.Memory{
 				All: 12.345, Down: i%5 == 0, Mute: true, Asked: 1,
 				Because: "6 of 6 unanswered, usual 2%", By: make([]float64, 9),
 			},
 		})
 	}
 	return &File{
-		Format: format, Header: Header{Owner: owner, Written: 1_796_115_624_558, Generation: 7},
+		Format: currentFormat, Header: Header{Owner: owner, WrittenMS: 1_796_115_624_558, Generation: 7},
 		Content: Content{
-			List: NewList(config, 1_796_115_624_000), Module: &m,
-			Idle: &core.IdleMemory{Steps: []core.IdleStep{{Number: 3, Used: 1.5, Lost: 0.25}}, Ago: time.Second},
-			Storm: &storm.Memory{Kinds: []storm.KindMemory{{Name: "rapid", Steps: []storm.PaceMemory{{
+			List: NewStoredList(config, 1_796_115_624_000), Balancer: &m,
+			IdleConnections: &core.IdleSnapshot{Buckets: []core.IdleBucket{{Index: 3, Used: 1.5, Lost: 0.25}}, SinceDecay: time.Second},
+			Overload: &storm.Memory{Kinds: []storm.KindMemory{{Name: "rapid", Steps: []storm.PaceMemory{{
 				Step: 3, Log: -2.5,
 				Answers: 70,
 			}}}}, Crowd: 1.5, Servers: 13, NoPurge: time.Second},
@@ -90,22 +90,22 @@
 	f, err := Decode(raw)
 	require.NoError(t, err)
 	require.Equal(t, 1, f.Format)
-	require.Equal(t, Header{Owner: Owner{"carpatica-programari", "n3"}, Written: 1796115624558}, f.Header)
-	config, err := f.List.Config()
+	require.Equal(t, Header{Owner: Owner{"carpatica-programari", "n3"}, WrittenMS: 1796115624558}, f.Header)
+	config, err := f.List.EndpointList()
 	require.NoError(t, err)
 	require.Equal(t, int64(41), config.Version)
-	require.Equal(t, "s-3 10.1.0.13:9000", config.Servers[3].ID+" "+config.Servers[3].Addr.String())
-	require.Len(t, f.Module.Servers, 4)
-	require.True(t, f.Module.Servers[1].Health.Down)
-	require.InDelta(t, 0.05537775699135778, f.Module.Latency, 0)
-	require.Equal(t, 392.0, f.Module.Kinds[0].Pace.Answers)
+	require.Equal(t, "s-3 10.1.0.13:9000", config.Endpoints[3].ID+" "+config.Endpoints[3].Addr.String())
+	require.Len(t, f.Balancer.Servers, 4)
+	require.True(t, f.Balancer.Servers[1].Outlier.Down)
+	require.InDelta(t, 0.05537775699135778, f.Balancer.MeanLatency, 0)
+	require.Equal(t, 392.0, f.Balancer.Kinds[0].BaselineLatency.Samples)
 
 	again, err := Encode(f)
 	require.NoError(t, err)
 	g, err := Decode(again)
 	require.NoError(t, err)
 	require.Equal(t, f.Content, g.Content)
-	require.Equal(t, format, g.Format)
+	require.Equal(t, currentFormat, g.Format)
 }
 
 // framed puts a header and a content between a beginning and a checksum that fit them.
@@ -128,34 +128,34 @@
 	_, err = Decode(framed(0, header, nil))
 	require.ErrorIs(t, err, ErrDamaged)
 	_, err = Decode([]byte("#!/bin/sh\necho some other file here\n"))
-	require.ErrorIs(t, err, ErrForeign)
+	require.ErrorIs(t, err, ErrNotAStateFile)
 
 	// A section of a later version is left out, and so is one that an earlier build did not write; the others
 	// are read.
-	list, err := encoding.Marshal(List{Version: 9})
+	list, err := encoding.Marshal(StoredList{Version: 9})
 	require.NoError(t, err)
 	content, err := encoding.Marshal(map[int]any{1: []any{1, cbor.RawMessage(list)}, 2: []any{99, "?"}, 77: []any{1, 2}})
 	require.NoError(t, err)
 	f, err := Decode(framed(2, header, content))
 	require.NoError(t, err)
 	require.Equal(t, int64(9), f.List.Version)
-	require.Nil(t, f.Module)
-	require.Nil(t, f.Storm)
-	require.Len(t, f.Skipped, 1)
-	require.Contains(t, f.Skipped[0], "module: version 99")
+	require.Nil(t, f.Balancer)
+	require.Nil(t, f.Overload)
+	require.Len(t, f.SkippedSections, 1)
+	require.Contains(t, f.SkippedSections[0], "module: version 99")
 }
 
 // Whatever is inside a file that is whole: it is read or it is not, and what is read can be used.
 func FuzzDecode(f *testing.F) {
 	for version, raw := range map[int][]byte{1: must(os.ReadFile("testdata/format-1.state")), 2: must(Encode(sample(3)))} {
-		begin := map[int]int{1: fixed1, 2: fixed}[version]
+		begin := map[int]int{1: fixedBytesFormat1, 2: fixedBytes}[version]
 		header := begin + int(binary.BigEndian.Uint16(raw[10:]))
-		f.Add(uint8(version), raw[begin:header], raw[header:len(raw)-sumLength])
+		f.Add(uint8(version), raw[begin:header], raw[header:len(raw)-checksumBytes])
 	}
 	set := decide.Settings{
 		Tick: time.Millisecond, Balancers: 3, Classes: []decide.Class{{Name: "consult", Deadline: time.Second}},
-		Tenants: []decide.Tenant{{Name: "acme", QuotaPerS: 10}}, Limits: decide.Limits{MaxAttempts: 2},
-		Rules: decide.Rules{ColdFor: time.Second, FallWindow: time.Second, FallMultiple: 3},
+		Tenants: []decide.Tenant{{Name: "acme", QuotaPerSecond: 10}}, Limits: decide.Limits{MaxAttempts: 2},
+		Rules: decide.Rules{SlowStartDuration: time.Second, OverloadWindow: time.Second, OverloadMultiple: 3},
 	}
 	f.Fuzz(func(t *testing.T, version uint8, header, content []byte) {
 		file, err := Decode(framed(int(version), header, content))
@@ -169,40 +169,40 @@
 		b, _ := decide.New(set, 1)
 		gate, _ := storm.New(set, storm.Figures{}, b, 1)
 		if file.List != nil {
-			config, err := file.List.Config()
+			config, err := file.List.EndpointList()
 			if err != nil {
 				return
 			}
 			var servers []decide.Server
-			for _, s := range config.Servers {
+			for _, s := range config.Endpoints {
 				servers = append(servers, s.Server)
 			}
-			gate.Step(now, &decide.Membership{Kind: decide.SyncSaved, Servers: servers})
+			gate.Step(now, &decide.ServerListUpdate{Kind: decide.UpdateCached, Servers: servers})
 		}
-		if file.Module != nil {
-			b.Recall(now, *file.Module, file.Age(time.Now()))
+		if file.Balancer != nil {
+			b.Restore(now, *file.Balancer, file.Age(time.Now()))
 		}
-		if file.Storm != nil {
-			gate.Recall(now, *file.Storm, file.Age(time.Now()))
+		if file.Overload != nil {
+			gate.Recall(now, *file.Overload, file.Age(time.Now()))
 		}
-		if file.Idle != nil {
+		if file.IdleConnections != nil {
 			l := core.NewIdleLimit(now, 15*time.Second)
-			l.Recall(*file.Idle, file.Age(time.Now()))
+			l.Restore(*file.IdleConnections, file.Age(time.Now()))
 			if l.Limit() < 0 || l.Limit() > 15*time.Second {
 				t.Fatal(l.Limit())
 			}
 		}
 		for id := range uint32(20) {
 			now += 100 * time.Millisecond
-			for _, a := range gate.Step(now, &decide.Request{ID: id, Class: "consult", Key: "k", Budget: time.Second}) {
+			for _, a := range gate.Step(now, &decide.Request{ID: id, Class: "consult", Key: "k", ClientTimeout: time.Second}) {
 				if a.Kind == decide.Send {
-					gate.Step(now, &decide.AttemptDone{ID: id, Server: a.Server, Outcome: decide.Served, Latency: 1e6, Finished: true})
+					gate.Step(now, &decide.AttemptDone{ID: id, Server: a.Server, Outcome: decide.Served, Latency: 1e6, RequestDone: true})
 					break
 				}
 			}
 			b.Step(now, &decide.TimerDue{})
 		}
-		b.Remember(now)
+		b.Snapshot(now)
 	})
 }
 
@@ -237,7 +237,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		if _, err = Begin(protocol.PoolConfig{}, f, time.Now()); err != nil {
+		if _, err = NewInitial(protocol.EndpointList{}, f, time.Now()); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -73,10 +73,10 @@
 	if *updateGolden {
 		n := 0
 		f := sample(3)
-		f.Module, f.Idle, f.Storm = &decide.Memory{}, &core.IdleMemory{}, &storm.Memory{}
-		fillDistinct(reflect.ValueOf(f.Module).Elem(), &n)
-		fillDistinct(reflect.ValueOf(f.Idle).Elem(), &n)
-		fillDistinct(reflect.ValueOf(f.Storm).Elem(), &n)
+		f.Balancer, f.IdleConnections, f.Overload = &decide.Snapshot{}, &core.IdleSnapshot{}, &storm.Memory{}
+		fillDistinct(reflect.ValueOf(f.Balancer).Elem(), &n)
+		fillDistinct(reflect.ValueOf(f.IdleConnections).Elem(), &n)
+		fillDistinct(reflect.ValueOf(f.Overload).Elem(), &n)
 		raw, err := Encode(f)
 		require.NoError(t, err)
 		golden(t, "format-2.state", raw)
@@ -85,7 +85,7 @@
 	require.NoError(t, err)
 	f, err := Decode(raw)
 	require.NoError(t, err)
-	require.Empty(t, f.Skipped)
+	require.Empty(t, f.SkippedSections)
 	require.Equal(t, owner, f.Owner)
 	require.Equal(t, uint64(7), f.Generation)
 	require.Equal(t, sample(3).List, f.List)
--- a/internal/state/sections.go
+++ b/internal/state/sections.go
@@ -26,24 +26,24 @@
 // sections is the content as it is laid out; any may be absent. Their numbers are never used for anything
 // else.
 type sections struct {
-	List   *section `cbor:"1,keyasint,omitempty"`
-	Module *section `cbor:"2,keyasint,omitempty"`
-	Idle   *section `cbor:"3,keyasint,omitempty"`
-	Storm  *section `cbor:"4,keyasint,omitempty"`
+	List            *section `cbor:"1,keyasint,omitempty"`
+	Balancer        *section `cbor:"2,keyasint,omitempty"`
+	IdleConnections *section `cbor:"3,keyasint,omitempty"`
+	Overload        *section `cbor:"4,keyasint,omitempty"`
 }
 
 // encode lays out the content.
-func (c *Content) encode() ([]byte, error) {
+func (c *Content) encodeSections() ([]byte, error) {
 	var all sections
-	err := errors.Join(put(&all.List, listVersion, c.List), put(&all.Module, decide.MemoryVersion, c.Module),
-		put(&all.Idle, idleVersion, c.Idle), put(&all.Storm, storm.MemoryVersion, c.Storm))
+	err := errors.Join(encodeSection(&all.List, listVersion, c.List), encodeSection(&all.Balancer, decide.SnapshotVersion, c.Balancer),
+		encodeSection(&all.IdleConnections, idleVersion, c.IdleConnections), encodeSection(&all.Overload, storm.MemoryVersion, c.Overload))
 	if err != nil {
 		return nil, err
 	}
 	return encoding.Marshal(all)
 }
 
-func put[T any](to **section, version int, value *T) error {
+func encodeSection[T any](to **section, version int, value *T) error {
 	if value == nil {
 		return nil
 	}
@@ -53,25 +53,25 @@
 }
 
 // decode reads the content of the present format.
-func (f *File) decode(raw []byte) error {
+func (f *File) decodeSections(raw []byte) error {
 	var all sections
 	if err := decoding.Unmarshal(raw, &all); err != nil {
 		return err
 	}
-	return errors.Join(take(f, "list", all.List, listVersion, &f.List),
-		take(f, "module", all.Module, decide.MemoryVersion, &f.Module, (*decide.Memory).FromVersion1),
-		take(f, "idle", all.Idle, idleVersion, &f.Idle),
-		take(f, "storm", all.Storm, storm.MemoryVersion, &f.Storm))
+	return errors.Join(decodeSection(f, "list", all.List, listVersion, &f.List),
+		decodeSection(f, "module", all.Balancer, decide.SnapshotVersion, &f.Balancer, (*decide.Snapshot).MigrateFromVersion1),
+		decodeSection(f, "idle", all.IdleConnections, idleVersion, &f.IdleConnections),
+		decodeSection(f, "storm", all.Overload, storm.MemoryVersion, &f.Overload))
 }
 
 // take reads a section. What an earlier version left is turned into the present one by the steps from version
 // 1 on; a later version is left out, and told.
-func take[T any](f *File, name string, from *section, version int, to **T, steps ...func(*T)) error {
+func decodeSection[T any](f *File, name string, from *section, version int, to **T, steps ...func(*T)) error {
 	switch {
 	case from == nil:
 		return nil
 	case from.Version < version-len(steps) || from.Version > version:
-		f.Skipped = append(f.Skipped, fmt.Sprintf("%s: version %d, known is %d", name, from.Version, version))
+		f.SkippedSections = append(f.SkippedSections, fmt.Sprintf("%s: version %d, known is %d", name, from.Version, version))
 		return nil
 	}
 	value := new(T)
@@ -86,14 +86,14 @@
 }
 
 // decode1 reads the content of format 1, which had the first versions of these two parts.
-func (f *File) decode1(raw []byte) error {
+func (f *File) decodeFormat1(raw []byte) error {
 	var c struct {
-		List   *List          `cbor:"1,keyasint,omitempty"`
-		Module *decide.Memory `cbor:"2,keyasint,omitempty"`
+		List   *StoredList      `cbor:"1,keyasint,omitempty"`
+		Module *decide.Snapshot `cbor:"2,keyasint,omitempty"`
 	}
 	err := decoding.Unmarshal(raw, &c)
-	if f.List, f.Module = c.List, c.Module; f.Module != nil {
-		f.Module.FromVersion1()
+	if f.List, f.Balancer = c.List, c.Module; f.Balancer != nil {
+		f.Balancer.MigrateFromVersion1()
 	}
 	return err
 }
--- a/internal/state/session.go
+++ b/internal/state/session.go
@@ -10,80 +10,80 @@
 	"dunestep/storm"
 )
 
-// Module is the part of decide.Balancer that is kept.
-type Module interface {
-	Remember(now time.Duration) decide.Memory
-	Recall(now time.Duration, m decide.Memory, age time.Duration)
-	Disown(id string)
-	Doubt(trust float64)
-	Confirm()
+// Balancer is the part of decide.Balancer that is kept.
+type Balancer interface {
+	Snapshot(now time.Duration) decide.Snapshot
+	Restore(now time.Duration, m decide.Snapshot, age time.Duration)
+	ForgetServer(id string)
+	StartProbation(trust float64)
+	ConfirmServerList()
 }
 
-// Gate is the part of storm.Gate that is kept.
-type Gate interface {
+// OverloadGate is the part of storm.OverloadGate that is kept.
+type OverloadGate interface {
 	Remember(now time.Duration) storm.Memory
 	Recall(now time.Duration, m storm.Memory, age time.Duration)
 }
 
-// Idle is the limit on idle connections, as it is kept: core.IdleLimit.
-type Idle interface {
-	Remember(now time.Duration) core.IdleMemory
-	Recall(m core.IdleMemory, age time.Duration)
+// IdleConnections is the limit on idle connections, as it is kept: core.IdleLimit.
+type IdleLimiter interface {
+	Snapshot(now time.Duration) core.IdleSnapshot
+	Restore(m core.IdleSnapshot, age time.Duration)
 }
 
-// Session ties what is kept to the parts of a running agent that know it. It is the module's actor's.
-type Session struct {
-	module Module
-	gate   Gate
-	idle   Idle
-	roster *core.Roster
-	begin  Beginning
-	trust  float64
-	proves bool
+// Recorder ties what is kept to the parts of a running agent that know it. It is the module's actor's.
+type Recorder struct {
+	balancer      Balancer
+	gate          OverloadGate
+	idle          IdleLimiter
+	savedList     *core.SavedList
+	initial       Initial
+	listTrust     float64
+	usesProbation bool
 }
 
-// Proof says how servers of a list that is not confirmed are tried.
-type Proof struct {
-	Wanted bool
-	Deploy time.Duration // how long a full deploy takes: a list as old as that is all suspicion
+// ProbationSettings says how servers of a list that is not confirmed are tried.
+type ProbationSettings struct {
+	Enabled    bool
+	FullDeploy time.Duration // how long a full deploy takes: a list as old as that is all suspicion
 }
 
-// NewSession begins with what Begin has put together.
-func NewSession(b Beginning, module Module, gate Gate, idle Idle, p Proof) *Session {
-	return &Session{
-		module: module, gate: gate, idle: idle, roster: core.NewRoster(b.List, b.Confirmed),
-		begin: b, trust: proving.Trust(b.ListAge, p.Deploy), proves: p.Wanted,
+// NewRecorder begins with what NewInitial has put together.
+func NewRecorder(b Initial, module Balancer, gate OverloadGate, idle IdleLimiter, p ProbationSettings) *Recorder {
+	return &Recorder{
+		balancer: module, gate: gate, idle: idle, savedList: core.NewSavedList(b.List, b.ConfirmedAt),
+		initial: b, listTrust: proving.Trust(b.ListAge, p.FullDeploy), usesProbation: p.Enabled,
 	}
 }
 
-// Began comes right after the module was told the list of the start, and before the first operation.
-func (s *Session) Began(now time.Duration) {
-	if s.begin.Module != nil {
-		s.module.Recall(now, *s.begin.Module, s.begin.Age)
+// RestoreLearned comes right after the module was told the list of the start, and before the first operation.
+func (s *Recorder) RestoreLearned(now time.Duration) {
+	if s.initial.Balancer != nil {
+		s.balancer.Restore(now, *s.initial.Balancer, s.initial.Age)
 	}
-	if s.begin.Storm != nil {
-		s.gate.Recall(now, *s.begin.Storm, s.begin.Age)
+	if s.initial.Overload != nil {
+		s.gate.Recall(now, *s.initial.Overload, s.initial.Age)
 	}
-	if s.begin.Idle != nil {
-		s.idle.Recall(*s.begin.Idle, s.begin.Age)
+	if s.initial.IdleConnections != nil {
+		s.idle.Restore(*s.initial.IdleConnections, s.initial.Age)
 	}
-	if s.proves {
-		s.module.Doubt(s.trust)
+	if s.usesProbation {
+		s.balancer.StartProbation(s.listTrust)
 	}
-	s.begin = Beginning{} // it is not needed any more
+	s.initial = Initial{} // it is not needed any more
 }
 
-// News comes right after the module was told news of the list, from core.List. It tells whether discovery has
+// ListUpdated comes right after the module was told news of the list, from core.StoredList. It tells whether discovery has
 // confirmed the list for the first time by that.
-func (s *Session) News(now time.Duration, kind decide.SyncKind, config protocol.PoolConfig,
+func (s *Recorder) ListUpdated(now time.Duration, kind decide.UpdateKind, config protocol.EndpointList,
 	confirms bool,
 ) (first bool) {
-	first = confirms && !s.roster.Told()
-	for _, id := range s.roster.Take(now, kind, config, confirms) {
-		s.module.Disown(id)
+	first = confirms && !s.savedList.WasConfirmed()
+	for _, id := range s.savedList.Update(now, kind, config, confirms) {
+		s.balancer.ForgetServer(id)
 	}
 	if first {
-		s.module.Confirm()
+		s.balancer.ConfirmServerList()
 	}
 	return first
 }
@@ -91,31 +91,31 @@
 // Snapshot is what was known at a time. It shares nothing that changes, so that it can be worked on
 // elsewhere.
 type Snapshot struct {
-	list      protocol.PoolConfig
-	confirmed time.Duration
-	module    decide.Memory
-	storm     storm.Memory
-	idle      core.IdleMemory
+	list        protocol.EndpointList
+	confirmedAt time.Duration
+	balancer    decide.Snapshot
+	overload    storm.Memory
+	idle        core.IdleSnapshot
 }
 
 // Snapshot is what is known now.
-func (s *Session) Snapshot(now time.Duration) Snapshot {
+func (s *Recorder) Snapshot(now time.Duration) Snapshot {
 	return Snapshot{
-		list: s.roster.Config(), confirmed: s.roster.Confirmed(now), module: s.module.Remember(now),
-		storm: s.gate.Remember(now), idle: s.idle.Remember(now),
+		list: s.savedList.List(), confirmedAt: s.savedList.ConfirmedAt(now), balancer: s.balancer.Snapshot(now),
+		overload: s.gate.Remember(now), idle: s.idle.Snapshot(now),
 	}
 }
 
 // Content is the snapshot in the form that is kept.
 func (s Snapshot) Content() Content {
 	return Content{
-		List: NewList(s.list, s.confirmed.Milliseconds()), Module: &s.module, Storm: &s.storm,
-		Idle: &s.idle,
+		List: NewStoredList(s.list, s.confirmedAt.Milliseconds()), Balancer: &s.balancer, Overload: &s.overload,
+		IdleConnections: &s.idle,
 	}
 }
 
 // ListVersion is the version of the list as it is known.
-func (s *Session) ListVersion() int64 { return s.roster.Version() }
+func (s *Recorder) ListVersion() int64 { return s.savedList.Version() }
 
-// Confirmed tells whether discovery has confirmed the list since the start.
-func (s *Session) Confirmed() bool { return s.roster.Told() }
+// ConfirmedAt tells whether discovery has confirmed the list since the start.
+func (s *Recorder) IsListConfirmed() bool { return s.savedList.WasConfirmed() }
--- a/internal/transport/bodies.go
+++ b/internal/transport/bodies.go
@@ -25,50 +25,50 @@
 
 // BodyRules is what the sockets go by for bodies.
 type BodyRules struct {
-	Longest int64         // bytes of an answer: what is longer, or is said to be, is spoilt
-	Whole   int64         // an answer up to this long is held until it has come whole; zero: 64 KiB
-	Hold    time.Duration // and one not known to be as short at most so long after its first byte
-	Stall   time.Duration // a client that takes nothing of its answer for so long is cut off
-	Lag     time.Duration // how much longer than the server needs a client may hold up the server's connection
+	MaxBytes      int64         // bytes of an answer: what is longer, or is said to be, is spoilt
+	BufferedBytes int64         // an answer up to this long is held until it has come whole; zero: 64 KiB
+	MaxBuffering  time.Duration // and one not known to be as short at most so long after its first byte
+	ClientStall   time.Duration // a client that takes nothing of its answer for so long is cut off
+	ClientLag     time.Duration // how much longer than the server needs a client may hold up the server's connection
 }
 
-// Bodies is what bodies share, both ways: memory, and rules that may change while they are in use.
-type Bodies struct {
+// BodyLimits is what bodies share, both ways: memory, and rules that may change while they are in use.
+type BodyLimits struct {
 	Memory *memory.Pool
 	rules  atomic.Pointer[BodyRules]
 }
 
-// NewBodies shares out limit bytes.
-func NewBodies(limit int64, r BodyRules) *Bodies {
-	b := &Bodies{Memory: memory.NewPool(limit)}
+// NewBodyLimits shares out limit bytes.
+func NewBodyLimits(limit int64, r BodyRules) *BodyLimits {
+	b := &BodyLimits{Memory: memory.NewPool(limit)}
 	b.rules.Store(&r)
 	return b
 }
 
 // Set changes the memory and the rules for what begins from now on.
-func (b *Bodies) Set(limit int64, r BodyRules) {
+func (b *BodyLimits) Set(limit int64, r BodyRules) {
 	b.Memory.SetLimit(limit)
 	b.rules.Store(&r)
 }
 
 // Rules is what holds now.
-func (b *Bodies) Rules() BodyRules {
+func (b *BodyLimits) Rules() BodyRules {
 	r := *b.rules.Load()
 	limit := b.Memory.Limit()
-	if r.Whole == 0 {
-		r.Whole = defaultWhole
+	if r.BufferedBytes == 0 {
+		r.BufferedBytes = defaultWhole
 	}
-	r.Whole = min(r.Whole, r.Longest, limit/wholePart)
+	r.BufferedBytes = min(r.BufferedBytes, r.MaxBytes, limit/wholePart)
 	return r
 }
 
 // window is how many bytes an answer needs at the least, and how many it may fill. One that is not held whole
 // gets a chunk beyond what is: so it shows that it is longer before it begins.
-func (b *Bodies) window(length int64, r BodyRules) (least, most int64) {
-	if length >= 0 && length <= r.Whole {
+func (b *BodyLimits) window(length int64, r BodyRules) (least, most int64) {
+	if length >= 0 && length <= r.BufferedBytes {
 		return length, length
 	}
-	least = r.Whole + flow.Chunk
+	least = r.BufferedBytes + flow.Chunk
 	most = max(least, min(b.Memory.Limit()/wholePart, mostAhead))
 	if length >= 0 {
 		least, most = min(least, length), min(most, length)
--- a/internal/transport/datagrams.go
+++ b/internal/transport/datagrams.go
@@ -15,16 +15,16 @@
 
 // Datagrams is the socket on which agents talk to one another.
 type Datagrams struct {
-	conn   *net.UDPConn
-	agents *protocol.Agents
-	drops  dropLog
-	speaks atomic.Bool
-	mu     sync.Mutex
-	again  chan struct{} // closed when it speaks again; nil: it always has
+	conn    *net.UDPConn
+	agents  *protocol.PeerAddresses
+	drops   dropLog
+	active  atomic.Bool
+	mu      sync.Mutex
+	resumed chan struct{} // closed when it speaks again; nil: it always has
 }
 
 // ListenDatagrams opens the socket. Datagrams leave from it too: a peer knows the sender by its address.
-func ListenDatagrams(addr netip.AddrPort, agents *protocol.Agents) (*Datagrams, error) {
+func ListenDatagrams(addr netip.AddrPort, agents *protocol.PeerAddresses) (*Datagrams, error) {
 	c, err := shared.ListenPacket(context.Background(), "udp", addr.String())
 	if err != nil {
 		return nil, err
@@ -33,25 +33,25 @@
 }
 
 // NewDatagrams takes over a socket that is open.
-func NewDatagrams(c *net.UDPConn, agents *protocol.Agents) *Datagrams {
+func NewDatagrams(c *net.UDPConn, agents *protocol.PeerAddresses) *Datagrams {
 	d := &Datagrams{conn: c, agents: agents}
-	d.speaks.Store(true)
+	d.active.Store(true)
 	return d
 }
 
-// Speak has this process send and receive for its agent, or leave that to another process that has the socket
+// SetActive has this process send and receive for its agent, or leave that to another process that has the socket
 // too. Guards against datagrams that one half of the agent hears and the other half needed.
-func (d *Datagrams) Speak(on bool) {
+func (d *Datagrams) SetActive(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.speaks.Swap(on) == on {
+	if d.active.Swap(on) == on {
 		return
 	}
 	if on {
 		_ = d.conn.SetReadDeadline(time.Time{})
-		close(d.again)
+		close(d.resumed)
 	} else {
-		d.again = make(chan struct{})
+		d.resumed = make(chan struct{})
 		_ = d.conn.SetReadDeadline(time.Now())
 	}
 }
@@ -59,9 +59,9 @@
 // wait returns when this process speaks for its agent.
 func (d *Datagrams) wait() {
 	d.mu.Lock()
-	again := d.again
+	again := d.resumed
 	d.mu.Unlock()
-	if !d.speaks.Load() {
+	if !d.active.Load() {
 		<-again
 	}
 }
@@ -95,7 +95,7 @@
 // Send sends one datagram; it may be lost like any other.
 func (d *Datagrams) Send(dg protocol.Datagram) error {
 	to, data, err := d.agents.Encode(dg)
-	if err == nil && d.speaks.Load() {
+	if err == nil && d.active.Load() {
 		_, err = d.conn.WriteToUDPAddrPort(data, to)
 	}
 	if errors.Is(err, net.ErrClosed) { // the program is ending
@@ -107,5 +107,5 @@
 // Close ends Receive.
 func (d *Datagrams) Close() {
 	_ = d.conn.Close()
-	d.Speak(true)
+	d.SetActive(true)
 }
