--- a/internal/transport/descriptors.go
+++ b/internal/transport/descriptors.go
@@ -9,17 +9,17 @@
 	"dunestep/internal/core"
 )
 
-// evictAgain is how soon it is looked again for a client's connection to close.
-const evictAgain = 20 * time.Millisecond
+// evictRetryInterval is how soon it is looked again for a client's connection to close.
+const evictRetryInterval = 20 * time.Millisecond
 
 // Descriptors shares the process's file descriptors between the front socket and the upstream connections, as
 // the core says. It is safe for concurrent use.
 type Descriptors struct {
-	mu                      sync.Mutex
-	core                    *core.Descriptors
-	freed                   chan struct{}
-	reclaim                 func() // asks for idle upstream connections to be closed
-	frontFull, upstreamFull dropLog
+	mu                           sync.Mutex
+	core                         *core.Descriptors
+	freed                        chan struct{}
+	reclaim                      func() // asks for idle upstream connections to be closed
+	downstreamFull, upstreamFull dropLog
 }
 
 // NewDescriptors shares out what a process that may hold limit descriptors has for connections.
@@ -34,34 +34,34 @@
 	d.core.SetLimit(limit)
 }
 
-// Held is how many descriptors the process holds, those that are no connection included.
-func (d *Descriptors) Held() int {
+// InUse is how many descriptors the process holds, those that are no connection included.
+func (d *Descriptors) InUse() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.core.Held()
+	return d.core.InUse()
 }
 
-func (d *Descriptors) tryFront() (ok, full bool) {
+func (d *Descriptors) tryDownstream() (ok, full bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.core.TakeFront()
+	return d.core.AcquireDownstream()
 }
 
-func (d *Descriptors) frontCrowded() (crowded, pressing bool) {
+func (d *Descriptors) downstreamPressure() (crowded, pressing bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.core.Crowded()
+	return d.core.Pressure()
 }
 
-// takeFront waits until the front may hold one more, or closed is. Evict ends a client's connection on which
+// acquireDownstream waits until the front may hold one more, or closed is. Evict ends a client's connection on which
 // nothing is open, and is told whether descriptors are so short that one that just stands there must do.
-func (d *Descriptors) takeFront(closed <-chan struct{}, evict func(short bool) bool) bool {
+func (d *Descriptors) acquireDownstream(closed <-chan struct{}, evict func(short bool) bool) bool {
 	for {
 		select {
-		case <-d.freed: // told of what tryFront sees
+		case <-d.freed: // told of what tryDownstream sees
 		default:
 		}
-		ok, full := d.tryFront()
+		ok, full := d.tryDownstream()
 		if ok {
 			if full {
 				evict(false)
@@ -69,12 +69,12 @@
 			return true
 		}
 		if !evict(true) {
-			d.frontFull.warn("no descriptor is free", "for", "a client")
+			d.downstreamFull.warn("no descriptor is free", "for", "a client")
 			if !full {
 				d.reclaim()
 			}
 		}
-		again := time.NewTimer(evictAgain) // by then another connection may be old enough, or one has to do
+		again := time.NewTimer(evictRetryInterval) // by then another connection may be old enough, or one has to do
 		select {
 		case <-d.freed:
 		case <-again.C:
@@ -86,17 +86,17 @@
 	}
 }
 
-func (d *Descriptors) releaseFront() {
+func (d *Descriptors) releaseDownstream() {
 	d.mu.Lock()
-	d.core.ReleaseFront()
+	d.core.ReleaseDownstream()
 	d.mu.Unlock()
 	d.signal()
 }
 
-// TryUpstream tells whether one more upstream connection may be held; if so, ReleaseUpstream gives it back.
-func (d *Descriptors) TryUpstream() bool {
+// AcquireUpstream tells whether one more upstream connection may be held; if so, ReleaseUpstream gives it back.
+func (d *Descriptors) AcquireUpstream() bool {
 	d.mu.Lock()
-	ok := d.core.TakeUpstream()
+	ok := d.core.AcquireUpstream()
 	d.mu.Unlock()
 	if !ok {
 		d.upstreamFull.warn("no descriptor is free", "for", "a booking server")
@@ -105,7 +105,7 @@
 	return ok
 }
 
-// ReleaseUpstream gives back what TryUpstream took.
+// ReleaseUpstream gives back what AcquireUpstream took.
 func (d *Descriptors) ReleaseUpstream() {
 	d.mu.Lock()
 	d.core.ReleaseUpstream()
--- a/internal/transport/discovery.go
+++ b/internal/transport/discovery.go
@@ -17,29 +17,29 @@
 )
 
 const (
-	// listWait is how long discovery may take to begin its answer, connecting included; it fails a call that
+	// listTimeout is how long discovery may take to begin its answer, connecting included; it fails a call that
 	// waited longer itself. Not longer: see asking, which counts on so much.
-	listWait = 2 * time.Second
-	// silenceWait is one and a half of the empty lines that come every 2 s. Guards against a watch that is cut
+	listTimeout = 2 * time.Second
+	// watchSilence is one and a half of the empty lines that come every 2 s. Guards against a watch that is cut
 	// off, of which nothing else tells: 6 s after a change the agent counts as told of it.
-	silenceWait = 3 * time.Second
-	// restWait is how long an object may stand still that has begun to come.
-	restWait  = 750 * time.Millisecond
-	maxObject = 4 << 20
+	watchSilence = 3 * time.Second
+	// objectStall is how long an object may stand still that has begun to come.
+	objectStall    = 750 * time.Millisecond
+	maxObjectBytes = 4 << 20
 )
 
-var errTooLong = errors.New("discovery's list is too long")
+var errListTooLong = errors.New("discovery's list is too long")
 
 // CallDiscovery makes one call for the pool config: a watch, from a version on, or the list once. It returns
-// when the call has ended, with nil only for a list that came whole. Begun is called when discovery has
+// when the call has ended, with nil only for a list that came whole. OnResponseStart is called when discovery has
 // accepted the call; object is called for each object of the answer, whose bytes are its own only until it
 // returns.
-func CallDiscovery(ctx context.Context, addr netip.AddrPort, call protocol.ListCall, begun func(),
+func CallDiscovery(ctx context.Context, addr netip.AddrPort, call protocol.ListRequest, begun func(),
 	object func([]byte),
 ) error {
 	began := time.Now()
 	var dialer net.Dialer
-	dialCtx, cancel := context.WithTimeout(ctx, listWait)
+	dialCtx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	conn, err := dialer.DialContext(dialCtx, "tcp", addr.String())
 	if err != nil {
@@ -47,44 +47,44 @@
 	}
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
-	silence := newQuiet(listWait-time.Since(began), func() { conn.Close() })
+	silence := newQuiet(listTimeout-time.Since(began), func() { conn.Close() })
 	defer silence.timer.Stop()
 	err = func() error {
-		if _, err := conn.Write(protocol.AppendListCall(nil, addr.String(), call)); err != nil {
+		if _, err := conn.Write(protocol.AppendListRequest(nil, addr.String(), call)); err != nil {
 			return err
 		}
-		body, err := protocol.ReadListHead(bufio.NewReader(conn))
+		body, err := protocol.ReadListHeader(bufio.NewReader(conn))
 		if err != nil {
 			return err
 		}
 		defer body.Close()
-		silence.bound(silenceWait)
+		silence.bound(watchSilence)
 		begun()
 		if !call.Watch {
-			list, err := io.ReadAll(io.LimitReader(body, maxObject))
+			list, err := io.ReadAll(io.LimitReader(body, maxObjectBytes))
 			if err == nil {
 				object(list)
 			}
 			return err
 		}
-		return readObjects(&pieces{Reader: body, silence: silence}, object)
+		return readObjects(&watchBody{Reader: body, silence: silence}, object)
 	}()
 	if silence.over.Load() {
-		return &core.Silence{For: time.Duration(silence.wait.Load())}
+		return &core.SilenceError{Duration: time.Duration(silence.wait.Load())}
 	}
 	return err
 }
 
 // readObjects reads the objects of a watch, which has no good end. Each should stand on a line of its own,
 // and one that is laid out over several counts the same: else no drain of such a list would be heard of.
-func readObjects(in *pieces, object func([]byte)) error {
+func readObjects(in *watchBody, object func([]byte)) error {
 	objects := json.NewDecoder(in)
 	var raw json.RawMessage
 	for {
 		if err := objects.Decode(&raw); err != nil {
 			var syntax *json.SyntaxError
-			if errors.As(err, &syntax) || errors.Is(err, errTooLong) {
-				err = &core.Unread{Err: err}
+			if errors.As(err, &syntax) || errors.Is(err, errListTooLong) {
+				err = &core.UnreadableError{Err: err}
 			}
 			return err
 		}
@@ -97,17 +97,17 @@
 // pieces is a watch's body as it comes. It ends the call when the rest of an object does not come. Guards
 // against waiting out the whole silence for one that stopped short: until the next watch no drain and no new
 // server is heard of.
-type pieces struct {
+type watchBody struct {
 	io.Reader
-	silence *quiet
+	silence *silenceTimer
 	given   int64 // bytes that were handed on; without the empty lines, which would pile up unread
 	solid   int64 // the same up to the last one that is no blank
 	taken   int64 // the same up to the end of the latest object
 }
 
-func (p *pieces) Read(b []byte) (int, error) {
-	if p.given-p.taken >= maxObject {
-		return 0, errTooLong
+func (p *watchBody) Read(b []byte) (int, error) {
+	if p.given-p.taken >= maxObjectBytes {
+		return 0, errListTooLong
 	}
 	for {
 		n, err := p.Reader.Read(b)
@@ -126,30 +126,30 @@
 }
 
 // rearm gives what comes next its time.
-func (p *pieces) rearm() {
+func (p *watchBody) rearm() {
 	if p.solid > p.taken {
-		p.silence.bound(restWait)
+		p.silence.bound(objectStall)
 	} else {
-		p.silence.bound(silenceWait)
+		p.silence.bound(watchSilence)
 	}
 }
 
 // quiet ends a call on which nothing comes for a time, and knows for how long that was.
-type quiet struct {
+type silenceTimer struct {
 	timer *time.Timer
 	wait  atomic.Int64 // nanoseconds
 	over  atomic.Bool
 }
 
-func newQuiet(wait time.Duration, end func()) *quiet {
-	q := &quiet{}
+func newQuiet(wait time.Duration, end func()) *silenceTimer {
+	q := &silenceTimer{}
 	q.wait.Store(int64(wait))
 	q.timer = time.AfterFunc(wait, func() { q.over.Store(true); end() })
 	return q
 }
 
 // bound gives what comes next a time from now on.
-func (q *quiet) bound(wait time.Duration) {
+func (q *silenceTimer) bound(wait time.Duration) {
 	q.wait.Store(int64(wait))
 	q.timer.Reset(wait)
 }
--- a/internal/transport/discovery_test.go
+++ b/internal/transport/discovery_test.go
@@ -45,22 +45,22 @@
 	var objects []string
 	began := time.Now()
 	err = CallDiscovery(context.Background(), netip.MustParseAddrPort(l.Addr().String()),
-		protocol.ListCall{Watch: true}, func() {}, func(raw []byte) { objects = append(objects, string(raw)) })
-	var silence *core.Silence
+		protocol.ListRequest{Watch: true}, func() {}, func(raw []byte) { objects = append(objects, string(raw)) })
+	var silence *core.SilenceError
 	require.ErrorAs(t, err, &silence)
-	require.Equal(t, restWait, silence.For)
+	require.Equal(t, objectStall, silence.Duration)
 	require.Equal(t, []string{`{"version":43}`, "{\n  \"version\": 44\n}", `{"version":45}`, `{"version":46}`}, objects)
-	require.Less(t, time.Since(began), silenceWait-500*time.Millisecond)
+	require.Less(t, time.Since(began), watchSilence-500*time.Millisecond)
 }
 
 // A list without end is not read into memory.
 func TestObjectWithoutEnd(t *testing.T) {
 	endless := io.MultiReader(strings.NewReader("{"), endlessBlanks{})
 	silence := newQuiet(time.Hour, func() {})
-	err := readObjects(&pieces{Reader: endless, silence: silence}, func([]byte) {})
-	var unread *core.Unread
+	err := readObjects(&watchBody{Reader: endless, silence: silence}, func([]byte) {})
+	var unread *core.UnreadableError
 	require.ErrorAs(t, err, &unread)
-	require.ErrorIs(t, unread.Err, errTooLong)
+	require.ErrorIs(t, unread.Err, errListTooLong)
 }
 
 type endlessBlanks struct{}
--- a/internal/transport/front.go
+++ b/internal/transport/front.go
@@ -22,10 +22,10 @@
 	"dunestep/internal/protocol"
 )
 
-// Operator carries operations out.
-type Operator interface {
-	// Operate returns the final answer; false where the client has gone and none is owed.
-	Operate(ctx context.Context, op *protocol.Operation) (protocol.Answer, bool)
+// RequestHandler carries operations out.
+type RequestHandler interface {
+	// HandleRequest returns the final answer; false where the client has gone and none is owed.
+	HandleRequest(ctx context.Context, op *protocol.Request) (protocol.Response, bool)
 	// Ready tells whether operations can be served.
 	Ready() bool
 }
@@ -35,28 +35,28 @@
 	maxHeader = 16 << 10
 )
 
-// Front is the front socket: the client's side.
-type Front struct {
+// Listener is the front socket: the client's side.
+type Listener struct {
 	server    *http.Server
-	listeners []*frontListener
+	listeners []*downstreamListener
 	inherited map[netip.AddrPort]*net.TCPListener
-	clients   *clients
-	operator  Operator
-	bodies    *Bodies
-	figures   *figures.Figures
-	leaving   leaving
+	clients   *downstreamConns
+	handler   RequestHandler
+	bodies    *BodyLimits
+	metrics   *figures.Figures
+	drain     drainState
 }
 
-// NewFront returns a front that listens nowhere yet.
-func NewFront(d *Descriptors, bodies *Bodies, counts *figures.Figures, o Operator) *Front {
-	f := &Front{operator: o, bodies: bodies, figures: counts, clients: &clients{
+// NewListener returns a front that listens nowhere yet.
+func NewListener(d *Descriptors, bodies *BodyLimits, counts *figures.Figures, o RequestHandler) *Listener {
+	f := &Listener{handler: o, bodies: bodies, metrics: counts, clients: &downstreamConns{
 		descriptors: d,
-		conns:       map[*frontConn]struct{}{}, empty: make(chan struct{}, 1),
+		conns:       map[*downstreamConn]struct{}{}, empty: make(chan struct{}, 1),
 	}}
 	f.server = &http.Server{
 		// Not a ServeMux: it would clean paths and redirect, and an operation's target goes on unchanged.
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			conn := r.Context().Value(connKey{}).(*frontConn)
+			conn := r.Context().Value(connKey{}).(*downstreamConn)
 			x := exchange(conn.forms, r)
 			until, framed := conn.begin()
 			health := r.URL.Path == "/health/ready" || r.URL.Path == "/health/live"
@@ -72,14 +72,14 @@
 			}
 			switch {
 			case framed == framedTwice:
-				f.answer(w, r, x, protocol.Answer{Kind: protocol.Malformed, Body: []byte("two lengths\n")}, nil)
+				f.writeResponse(w, r, x, protocol.Response{Kind: protocol.Malformed, Body: []byte("two lengths\n")}, nil)
 			case r.URL.Path == "/health/ready":
-				f.closeWith(conn, w.Header())
-				f.ready(w)
+				f.announceClose(conn, w.Header())
+				f.serveReadiness(w)
 			case r.URL.Path == "/health/live":
-				f.closeWith(conn, w.Header())
+				f.announceClose(conn, w.Header())
 			default:
-				f.operate(w, r, x, until)
+				f.serveRequest(w, r, x, until)
 			}
 		}),
 		// No ReadTimeout: it would end an operation that takes longer as if its client had gone.
@@ -90,7 +90,7 @@
 		},
 		ConnState: func(c net.Conn, s http.ConnState) {
 			if s == http.StateIdle {
-				c.(*frontConn).idle()
+				c.(*downstreamConn).idle()
 			}
 		},
 		ErrorLog: slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug),
@@ -100,7 +100,7 @@
 
 // Listen opens a socket; Serve begins to accept there. Requests on it come in the first of forms that takes
 // them; the last one takes all.
-func (f *Front) Listen(addr netip.AddrPort, forms ...protocol.Form) error {
+func (f *Listener) Listen(addr netip.AddrPort, forms ...protocol.Format) error {
 	l, inherited := f.inherited[addr]
 	if !inherited {
 		var err error
@@ -108,8 +108,8 @@
 			return err
 		}
 	}
-	f.listeners = append(f.listeners, &frontListener{
-		Listener: l, addr: addr, clients: f.clients, forms: forms,
+	f.listeners = append(f.listeners, &downstreamListener{
+		Listener: l, addr: addr, downstreamConns: f.clients, forms: forms,
 		closed: make(chan struct{}),
 	})
 	return nil
@@ -117,10 +117,10 @@
 
 // Inherit has Listen use these sockets at their addresses, which another process of this agent listens at
 // too.
-func (f *Front) Inherit(sockets map[netip.AddrPort]*net.TCPListener) { f.inherited = sockets }
+func (f *Listener) Inherit(sockets map[netip.AddrPort]*net.TCPListener) { f.inherited = sockets }
 
 // Sockets are those it listens at, by the addresses that Listen was told.
-func (f *Front) Sockets() map[netip.AddrPort]*net.TCPListener {
+func (f *Listener) Sockets() map[netip.AddrPort]*net.TCPListener {
 	all := map[netip.AddrPort]*net.TCPListener{}
 	for _, l := range f.listeners {
 		all[l.addr] = l.Listener.(*net.TCPListener)
@@ -146,7 +146,7 @@
 }
 
 // exchange begins an exchange in the first form that takes the request.
-func exchange(forms []protocol.Form, r *http.Request) protocol.Exchange {
+func exchange(forms []protocol.Format, r *http.Request) protocol.Exchange {
 	last := len(forms) - 1
 	for _, form := range forms[:last] {
 		if x := form(r); x != nil {
@@ -157,7 +157,7 @@
 }
 
 // Serve accepts until StopListening, or until a socket fails.
-func (f *Front) Serve() error {
+func (f *Listener) Serve() error {
 	ended := make(chan error, len(f.listeners))
 	for _, l := range f.listeners {
 		go func() { ended <- f.server.Serve(l) }()
@@ -170,8 +170,8 @@
 	return nil
 }
 
-func (f *Front) operate(w http.ResponseWriter, r *http.Request, x protocol.Exchange, until time.Time) {
-	conn := r.Context().Value(connKey{}).(*frontConn)
+func (f *Listener) serveRequest(w http.ResponseWriter, r *http.Request, x protocol.Exchange, until time.Time) {
+	conn := r.Context().Value(connKey{}).(*downstreamConn)
 	body := &pacedBody{control: http.NewResponseController(w), until: until}
 	if r.ContentLength != 0 {
 		body.ReadCloser = http.MaxBytesReader(w, r.Body, protocol.MaxUpload)
@@ -181,7 +181,7 @@
 	op, err := x.Decode(func(bytes int64, timeLeft time.Duration) (keep func(int64), err error) {
 		asked := time.Now()
 		conn.hold(true)
-		grant, err = f.room(r, bytes, conn.began().Add(timeLeft-core.AnswerMargin))
+		grant, err = f.reserveMemory(r, bytes, conn.began().Add(timeLeft-core.ResponseMargin))
 		conn.hold(false)
 		body.heldUp(time.Since(asked))
 		return func(n int64) { grant.Shrink(n) }, err
@@ -190,51 +190,51 @@
 	if op != nil {
 		class = op.Class
 	}
-	counted := f.figures.Await(class)
+	counted := f.metrics.Await(class)
 	defer counted.End(figures.Abandoned)
 	if err != nil {
-		f.answer(w, r, x, unread(err), counted)
+		f.writeResponse(w, r, x, unread(err), counted)
 		return
 	}
 	if op.Length != 0 {
-		f.passOn(w, r, x, op, body, grant.Split(flow.Chunk), counted)
+		f.serveUpload(w, r, x, op, body, grant.Split(flow.Chunk), counted)
 		return
 	}
 	counted.Taken()
-	op.Sent = conn.taken()
+	op.ArrivedAt = conn.taken()
 	if r.ContentLength != 0 {
 		_ = body.control.SetReadDeadline(time.Time{})
 	}
-	answer, owed := f.operator.Operate(r.Context(), op)
+	answer, owed := f.handler.HandleRequest(r.Context(), op)
 	if !owed {
 		panic(http.ErrAbortHandler) // closes the connection: a return would write an empty 200
 	}
-	f.closeWith(conn, w.Header())
-	f.answer(w, r, x, answer, counted)
+	f.announceClose(conn, w.Header())
+	f.writeResponse(w, r, x, answer, counted)
 }
 
 // unread is the answer to a request that could not be read.
-func unread(err error) protocol.Answer {
+func unread(err error) protocol.Response {
 	var tooLong *http.MaxBytesError
 	switch {
-	case errors.Is(err, protocol.ErrTooLong) || errors.As(err, &tooLong):
-		return protocol.Answer{Kind: protocol.TooLong, Body: []byte(protocol.ErrTooLong.Error() + "\n")}
+	case errors.Is(err, protocol.ErrBodyTooLong) || errors.As(err, &tooLong):
+		return protocol.Response{Kind: protocol.TooLong, Body: []byte(protocol.ErrBodyTooLong.Error() + "\n")}
 	case errors.Is(err, memory.ErrFull):
-		return protocol.Answer{Kind: protocol.BusyReply, Body: []byte("busy\n")}
+		return protocol.Response{Kind: protocol.Rejected, Body: []byte("busy\n")}
 	}
-	return protocol.Answer{Kind: protocol.Malformed, Body: []byte(err.Error() + "\n")}
+	return protocol.Response{Kind: protocol.Malformed, Body: []byte(err.Error() + "\n")}
 }
 
-// passOn carries an operation out whose body is passed on as it comes.
-func (f *Front) passOn(w http.ResponseWriter, r *http.Request, x protocol.Exchange, op *protocol.Operation,
+// serveUpload carries an operation out whose body is passed on as it comes.
+func (f *Listener) serveUpload(w http.ResponseWriter, r *http.Request, x protocol.Exchange, op *protocol.Request,
 	body *pacedBody, grant memory.Grant, counted *figures.Operation,
 ) {
-	conn := r.Context().Value(connKey{}).(*frontConn)
+	conn := r.Context().Value(connKey{}).(*downstreamConn)
 	ctx, failed := context.WithCancel(r.Context())
 	defer failed()
-	op.Sent = time.Now()
+	op.ArrivedAt = time.Now()
 	up := startUpload(op, body, grant, conn, counted, failed)
-	answer, owed := f.operator.Operate(ctx, op)
+	answer, owed := f.handler.HandleRequest(ctx, op)
 	defer conn.restore()
 	whole, err := up.stop()
 	if whole {
@@ -250,8 +250,8 @@
 	if !whole { // what is left of it is not waited for
 		w.Header().Set("Connection", "close")
 	}
-	f.closeWith(conn, w.Header())
-	f.answer(w, r, x, answer, counted)
+	f.announceClose(conn, w.Header())
+	f.writeResponse(w, r, x, answer, counted)
 }
 
 // sentWrong tells a body that did not come as it must from a client that has gone.
@@ -260,8 +260,8 @@
 }
 
 // room waits for memory for a request's body, until it is too late for the request.
-func (f *Front) room(r *http.Request, bytes int64, until time.Time) (memory.Grant, error) {
-	if bytes > protocol.MaxBody { // its time counts from its last byte, which is far
+func (f *Listener) reserveMemory(r *http.Request, bytes int64, until time.Time) (memory.Grant, error) {
+	if bytes > protocol.MaxBufferedBody { // its time counts from its last byte, which is far
 		until = time.Now().Add(roomWait)
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), until)
@@ -272,15 +272,15 @@
 
 // answer writes an answer, and closes the connection where that can't be done to the end: what was written
 // may look whole. It counts how the operation ended.
-func (f *Front) answer(w http.ResponseWriter, r *http.Request, x protocol.Exchange, a protocol.Answer,
+func (f *Listener) writeResponse(w http.ResponseWriter, r *http.Request, x protocol.Exchange, a protocol.Response,
 	counted *figures.Operation,
 ) {
 	if a.Kind == protocol.Malformed || a.Kind == protocol.TooLong {
 		w.Header().Set("Connection", "close") // and what is left of the request is not waited for
 	}
 	out := &answerWriter{
-		ResponseWriter: w, control: http.NewResponseController(w), begins: a.Begins,
-		stall: f.bodies.Rules().Stall,
+		ResponseWriter: w, control: http.NewResponseController(w), begins: a.Streaming,
+		stall: f.bodies.Rules().ClientStall,
 	}
 	out.renew()
 	err := x.Encode(out, a)
@@ -294,7 +294,7 @@
 	if err != nil {
 		// HTTP/1.0 has no chunks: but for a reset, what broke off would look whole.
 		if errors.Is(err, os.ErrDeadlineExceeded) || !r.ProtoAtLeast(1, 1) {
-			r.Context().Value(connKey{}).(*frontConn).forsake()
+			r.Context().Value(connKey{}).(*downstreamConn).forsake()
 		}
 		slog.Debug("answer not passed on", "error", err)
 		panic(http.ErrAbortHandler)
@@ -303,7 +303,7 @@
 
 // ending is how an operation ended by its answer, and why that could not be written to the end. Lost: the
 // client takes no more of it.
-func ending(kind protocol.AnswerKind, err error, lost bool) figures.Ending {
+func ending(kind protocol.ResponseKind, err error, lost bool) figures.Ending {
 	switch {
 	case err != nil && lost:
 		return figures.Abandoned
@@ -311,7 +311,7 @@
 		return figures.Error
 	case kind == protocol.Served:
 		return figures.OK
-	case kind == protocol.BusyReply:
+	case kind == protocol.Rejected:
 		return figures.Shed
 	}
 	return figures.Error
--- a/internal/transport/front_crossings_test.go
+++ b/internal/transport/front_crossings_test.go
@@ -39,7 +39,7 @@
 	*net.TCPConn
 	reads   chan struct{} // is told that a read is held
 	crosses atomic.Pointer[func()]
-	front   *frontConn
+	front   *downstreamConn
 	unread  atomic.Pointer[chan struct{}] // nothing is read of it, standing idle, until this is closed
 	shut    atomic.Bool
 	closed  chan struct{}
@@ -88,16 +88,16 @@
 
 // heldListener hands on the connections that it accepts, held.
 type heldListener struct {
-	*frontListener
-	accepted chan *frontConn
+	*downstreamListener
+	accepted chan *downstreamConn
 }
 
 func (l *heldListener) Accept() (net.Conn, error) {
-	c, err := l.frontListener.Accept()
+	c, err := l.downstreamListener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	front := c.(*frontConn)
+	front := c.(*downstreamConn)
 	front.Conn = &heldConn{
 		TCPConn: front.Conn.(*net.TCPConn), front: front, reads: make(chan struct{}, 1),
 		closed: make(chan struct{}),
@@ -110,14 +110,14 @@
 type asked struct {
 	count  atomic.Int32
 	sent   atomic.Pointer[time.Time] // since when the latest one's client counts its time
-	answer protocol.Answer
+	answer protocol.Response
 	came   chan struct{} // nil: nobody waits for one
 	may    chan struct{} // nil: at once
 }
 
-func (a *asked) Operate(ctx context.Context, op *protocol.Operation) (protocol.Answer, bool) {
+func (a *asked) HandleRequest(ctx context.Context, op *protocol.Request) (protocol.Response, bool) {
 	a.count.Add(1)
-	a.sent.Store(&op.Sent)
+	a.sent.Store(&op.ArrivedAt)
 	if a.came != nil {
 		a.came <- struct{}{}
 	}
@@ -125,7 +125,7 @@
 		select {
 		case <-a.may:
 		case <-ctx.Done():
-			return protocol.Answer{}, false
+			return protocol.Response{}, false
 		}
 	}
 	return a.answer, true
@@ -136,25 +136,25 @@
 // crossing is a front socket whose connections' closing is held.
 type crossing struct {
 	t        *testing.T
-	front    *Front
+	front    *Listener
 	operator *asked
 	listener *heldListener
 }
 
-func newCrossing(t *testing.T, descriptors int, operator *asked, edits ...func(*Front)) *crossing {
+func newCrossing(t *testing.T, descriptors int, operator *asked, edits ...func(*Listener)) *crossing {
 	t.Parallel()
 	if operator.answer.Kind == 0 {
 		operator.answer = busy()
 	}
-	f := NewFront(NewDescriptors(descriptors, func() {}),
-		NewBodies(1<<20, BodyRules{Longest: 1 << 20, Stall: time.Minute}), figures.New(nil), operator)
+	f := NewListener(NewDescriptors(descriptors, func() {}),
+		NewBodyLimits(1<<20, BodyRules{MaxBytes: 1 << 20, ClientStall: time.Minute}), figures.New(nil), operator)
 	for _, edit := range edits {
 		edit(f)
 	}
 	require.NoError(t, f.Listen(netip.MustParseAddrPort("127.0.0.1:0"), protocol.HTTP))
 	x := &crossing{
 		t: t, front: f, operator: operator,
-		listener: &heldListener{f.listeners[0], make(chan *frontConn, 64)},
+		listener: &heldListener{f.listeners[0], make(chan *downstreamConn, 64)},
 	}
 	served := make(chan struct{})
 	go func() { defer close(served); _ = f.server.Serve(x.listener) }()
@@ -169,7 +169,7 @@
 type client struct {
 	*net.TCPConn
 	in    *bufio.Reader
-	front *frontConn
+	front *downstreamConn
 	held  *heldConn
 }
 
@@ -232,7 +232,7 @@
 	x.until("idle", func() bool { return c.front.is(connIdle) })
 }
 
-func (c *frontConn) is(s connState) bool {
+func (c *downstreamConn) is(s connState) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.state == s
@@ -284,21 +284,21 @@
 // never a reset, has the answer before whole however late it takes it, and the request, which it sends again elsewhere,
 // is not carried out here.
 func TestCloseCrossesTheNextRequest(t *testing.T) {
-	long := protocol.Answer{Kind: protocol.BusyReply, Body: []byte(strings.Repeat("chair 4, Monday\n", 10_000))}
+	long := protocol.Response{Kind: protocol.Rejected, Body: []byte(strings.Repeat("chair 4, Monday\n", 10_000))}
 	for name, c := range map[string]struct {
 		descriptors int
-		edit        func(*Front)
+		edit        func(*Listener)
 		close       func(*crossing, *client)
 	}{
-		"Connection: close": {1024, func(f *Front) { f.Leave(time.Hour, true) }, func(x *crossing, c *client) {
+		"Connection: close": {1024, func(f *Listener) { f.StartDrain(time.Hour, true) }, func(x *crossing, c *client) {
 			x.send(c, crossingRequest)
 		}},
 		"sweep": {1024, nil, func(x *crossing, c *client) {
 			x.send(c, crossingRequest)
 			x.idle(c)
-			x.front.Leave(0, true)
+			x.front.StartDrain(0, true)
 		}},
-		"idle for long": {1024, func(f *Front) { f.server.IdleTimeout = time.Millisecond }, func(x *crossing, c *client) {
+		"idle for long": {1024, func(f *Listener) { f.server.IdleTimeout = time.Millisecond }, func(x *crossing, c *client) {
 			x.send(c, crossingRequest)
 		}},
 		"stood": {fewDescriptors, nil, func(x *crossing, c *client) {
@@ -318,7 +318,7 @@
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			x := newCrossing(t, c.descriptors, &asked{answer: long}, func(f *Front) {
+			x := newCrossing(t, c.descriptors, &asked{answer: long}, func(f *Listener) {
 				if c.edit != nil {
 					c.edit(f)
 				}
@@ -340,7 +340,7 @@
 func TestCloseMeetsARequestThatHasCome(t *testing.T) {
 	for name, end := range map[string]func(*crossing, *client){
 		"sweep": func(x *crossing, c *client) {
-			x.front.Leave(0, true)
+			x.front.StartDrain(0, true)
 			x.until("to be ended", c.front.ends)
 		},
 		"evicted": func(_ *crossing, c *client) {
@@ -367,7 +367,7 @@
 func TestPipelinedRequestsAreServedBeforeTheClose(t *testing.T) {
 	x := newCrossing(t, 1024, &asked{came: make(chan struct{}, 2), may: make(chan struct{})})
 	c := x.connect()
-	x.front.Leave(time.Hour, true)
+	x.front.StartDrain(time.Hour, true)
 	x.send(c, crossingRequest)
 	waitFor(t, x.operator.came)
 	x.send(c, crossingRequest)
@@ -391,7 +391,7 @@
 	defer inner.Close()
 	raw, err := inner.(*net.TCPConn).SyscallConn()
 	require.NoError(t, err)
-	front := &frontConn{Conn: inner, raw: raw, state: connBusy}
+	front := &downstreamConn{Conn: inner, raw: raw, state: connBusy}
 	require.False(t, front.nextCame())
 	_, err = io.WriteString(conn, crossingRequest)
 	require.NoError(t, err)
@@ -434,7 +434,7 @@
 			half := len(crossingRequest) / 2
 			x.send(c, crossingRequest[:half])
 			x.until("reading", func() bool { return c.front.is(connReading) })
-			x.front.Leave(0, true)
+			x.front.StartDrain(0, true)
 			x.front.clients.endIdle(true)
 			require.False(t, c.front.ends())
 			x.send(c, crossingRequest[half:])
@@ -457,7 +457,7 @@
 		defer c.front.mu.Unlock()
 		return c.front.held
 	})
-	x.front.Leave(0, true)
+	x.front.StartDrain(0, true)
 	x.front.clients.endIdle(true)
 	require.False(t, c.front.ends())
 	require.Zero(t, x.operator.count.Load())
@@ -468,7 +468,7 @@
 }
 
 // ends tells whether the connection is to be ended.
-func (c *frontConn) ends() bool {
+func (c *downstreamConn) ends() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.gentle
@@ -525,13 +525,13 @@
 	c := x.connect()
 	x.send(c, crossingRequest)
 	x.answer(c)
-	x.front.Leave(time.Hour, true)
+	x.front.StartDrain(time.Hour, true)
 	c.front.mu.Lock()
 	require.True(t, c.front.shut())
 	require.NoError(t, c.front.Conn.SetReadDeadline(time.Now().Add(time.Hour)))
 	c.front.mu.Unlock()
 	x.ends(c)
-	x.front.Leave(0, true)
+	x.front.StartDrain(0, true)
 	waitFor(t, c.held.closed)
 }
 
@@ -550,7 +550,7 @@
 	raw, err := inner.(*net.TCPConn).SyscallConn()
 	require.NoError(t, err)
 	since := time.Now().Add(-time.Hour)
-	front := &frontConn{Conn: inner, raw: raw, state: connEnding, since: since, gaveWay: true}
+	front := &downstreamConn{Conn: inner, raw: raw, state: connEnding, since: since, gaveWay: true}
 	rank, _, _ := front.spare(time.Now())
 	require.Zero(t, rank)
 	_, err = io.WriteString(conn, crossingRequest)
--- a/internal/transport/front_test.go
+++ b/internal/transport/front_test.go
@@ -24,24 +24,26 @@
 )
 
 // agent answers every operation alike.
-type agent func() protocol.Answer
+type agent func() protocol.Response
 
-func (a agent) Operate(context.Context, *protocol.Operation) (protocol.Answer, bool) {
+func (a agent) HandleRequest(context.Context, *protocol.Request) (protocol.Response, bool) {
 	return a(), true
 }
 
 func (agent) Ready() bool { return true }
 
-func busy() protocol.Answer { return protocol.Answer{Kind: protocol.BusyReply, Body: []byte("busy\n")} }
+func busy() protocol.Response {
+	return protocol.Response{Kind: protocol.Rejected, Body: []byte("busy\n")}
+}
 
 // serveFront serves a front socket and returns a way to connect to it.
-func serveFront(t *testing.T, a agent, bodies *Bodies, forms ...protocol.Form) (dial func() net.Conn) {
+func serveFront(t *testing.T, a agent, bodies *BodyLimits, forms ...protocol.Format) (dial func() net.Conn) {
 	return serveFew(t, 1024, a, bodies, forms...)
 }
 
 // serveFew is the same with so many descriptors.
-func serveFew(t *testing.T, descriptors int, a agent, bodies *Bodies, forms ...protocol.Form) (dial func() net.Conn) {
-	f := NewFront(NewDescriptors(descriptors, func() {}), bodies, figures.New(nil), a)
+func serveFew(t *testing.T, descriptors int, a agent, bodies *BodyLimits, forms ...protocol.Format) (dial func() net.Conn) {
+	f := NewListener(NewDescriptors(descriptors, func() {}), bodies, figures.New(nil), a)
 	require.NoError(t, f.Listen(netip.MustParseAddrPort("127.0.0.1:0"), forms...))
 	served := make(chan struct{})
 	go func() { defer close(served); _ = f.Serve() }()
@@ -61,7 +63,7 @@
 // Guards against clients whose requests never end: whatever they ask for, they are answered and their connection
 // is closed.
 func TestRequestsThatNeverEnd(t *testing.T) {
-	dial := serveFront(t, busy, NewBodies(1<<20, BodyRules{Longest: 1 << 20, Stall: time.Minute}), protocol.HTTP)
+	dial := serveFront(t, busy, NewBodyLimits(1<<20, BodyRules{MaxBytes: 1 << 20, ClientStall: time.Minute}), protocol.HTTP)
 	for name, c := range map[string]struct {
 		request string
 		status  int
@@ -90,12 +92,12 @@
 // may take to come is told sooner.
 func TestNoMemoryInTheClientsTime(t *testing.T) {
 	const deadline = 300 * time.Millisecond
-	bodies := NewBodies(1<<20, BodyRules{Longest: 1 << 20, Stall: time.Minute})
+	bodies := NewBodyLimits(1<<20, BodyRules{MaxBytes: 1 << 20, ClientStall: time.Minute})
 	_, err := bodies.Memory.Take(t.Context(), memory.Holder{Name: "s-0"}, 1<<20) // all of it
 	require.NoError(t, err)
 	classes := []decide.Class{
-		{Name: "consult", Deadline: time.Second, Effect: decide.Safe},
-		{Name: "rezervare", Deadline: deadline, Effect: decide.Unsafe},
+		{Name: "consult", Deadline: time.Second, Idempotency: decide.Idempotent},
+		{Name: "rezervare", Deadline: deadline, Idempotency: decide.NotIdempotent},
 	}
 	classer, err := graphql.NewClasser(graphql.Rules{Classes: classes})
 	require.NoError(t, err)
@@ -127,7 +129,7 @@
 // came.
 func TestWaitForMemoryIsTheClientsTime(t *testing.T) {
 	came := time.Now().Add(-time.Second)
-	c := &frontConn{state: connReading, since: came, came: came, inBody: true}
+	c := &downstreamConn{state: connReading, since: came, came: came, inBody: true}
 	c.hold(true)
 	require.False(t, c.stuck(time.Now().Add(time.Minute)), "it is this side that waits")
 	c.hold(false)
@@ -139,7 +141,7 @@
 // Guards against a body that waits for memory on this side and is given up as one that does not get on, where
 // descriptors are short: its client sends all that it is asked for.
 func TestBodyThatWaitsForMemoryIsNotGivenUp(t *testing.T) {
-	bodies := NewBodies(1<<20, BodyRules{Longest: 1 << 20, Stall: time.Minute})
+	bodies := NewBodyLimits(1<<20, BodyRules{MaxBytes: 1 << 20, ClientStall: time.Minute})
 	_, err := bodies.Memory.Take(t.Context(), memory.Holder{Name: "s-0"}, 1<<20) // all of it
 	require.NoError(t, err)
 	dial := serveFew(t, 64, busy, bodies, protocol.HTTP)
@@ -180,8 +182,8 @@
 
 // Guards against an answer that broke off and looks whole: one without a length ends as such in any version of HTTP.
 func TestBrokenOffWithoutLength(t *testing.T) {
-	bodies := NewBodies(1<<20, BodyRules{Longest: 1 << 20, Stall: time.Minute})
-	dial := serveFront(t, func() protocol.Answer {
+	bodies := NewBodyLimits(1<<20, BodyRules{MaxBytes: 1 << 20, ClientStall: time.Minute})
+	dial := serveFront(t, func() protocol.Response {
 		grant, err := bodies.Memory.Take(context.Background(), memory.Holder{Name: "s-0"}, flow.Chunk)
 		require.NoError(t, err)
 		f := flow.New(-1, grant, flow.Chunk)
@@ -189,7 +191,7 @@
 		require.NoError(t, err)
 		f.Came(20_000) // more than the library holds back
 		f.End(io.ErrUnexpectedEOF)
-		return protocol.Answer{Flow: f, Begins: true}
+		return protocol.Response{Flow: f, Streaming: true}
 	}, bodies, protocol.HTTP)
 	for _, version := range []string{"1.0", "1.1"} {
 		conn := dial()
@@ -217,7 +219,7 @@
 		defer client.Close()
 		inner, err := l.Accept()
 		require.NoError(t, err)
-		c := &frontConn{Conn: inner}
+		c := &downstreamConn{Conn: inner}
 		defer inner.Close()
 		text := "POST / HTTP/1.1\r\nContent-Length: 5\r\n\r\n" + sent
 		_, err = io.WriteString(client, text)
@@ -260,7 +262,7 @@
 		defer inner.Close()
 		raw, err := inner.(*net.TCPConn).SyscallConn()
 		require.NoError(t, err)
-		c := &frontConn{Conn: inner, raw: raw, state: connIdle}
+		c := &downstreamConn{Conn: inner, raw: raw, state: connIdle}
 		_, err = io.WriteString(client, sent)
 		require.NoError(t, err)
 		require.Eventually(t, func() (is bool) {
--- a/internal/transport/frontconn.go
+++ b/internal/transport/frontconn.go
@@ -44,11 +44,11 @@
 	connClosed
 )
 
-// frontConn is a client's connection: it knows what it is at, and how the requests on it are framed.
-type frontConn struct {
+// downstreamConn is a client's connection: it knows what it is at, and how the requests on it are framed.
+type downstreamConn struct {
 	net.Conn
-	front  *clients
-	forms  []protocol.Form // in which requests may come on it
+	front  *downstreamConns
+	forms  []protocol.Format // in which requests may come on it
 	opened time.Time
 	raw    syscall.RawConn
 
@@ -74,7 +74,7 @@
 
 // Read follows the framing of what comes. A connection whose client was told that no more comes gives nothing
 // any more: a request that crosses that was never read, and its client sends it again.
-func (c *frontConn) Read(b []byte) (int, error) {
+func (c *downstreamConn) Read(b []byte) (int, error) {
 	waited := c.waits()
 	n, err := c.Conn.Read(b)
 	for n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && (c.cutInVain() || !c.endsGently()) {
@@ -97,7 +97,7 @@
 }
 
 // waits tells whether something that came before it was turned to waits to be read.
-func (c *frontConn) waits() bool {
+func (c *downstreamConn) waits() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.behind && c.hasInput()
@@ -105,7 +105,7 @@
 
 // arrived notes when what was read has come: now, or, where it waited to be read, since all before it was
 // read; mu is held.
-func (c *frontConn) arrived(waited, all bool) {
+func (c *downstreamConn) arrived(waited, all bool) {
 	c.came = time.Now()
 	now := c.came
 	if waited {
@@ -119,7 +119,7 @@
 }
 
 // enter changes the state; mu is held.
-func (c *frontConn) enter(s connState) {
+func (c *downstreamConn) enter(s connState) {
 	if c.state != connClosed && c.state != connEnding {
 		c.state, c.since, c.inBody = s, time.Now(), false
 	}
@@ -127,7 +127,7 @@
 
 // begin tells that a request's head was read, until when its last byte must come where it comes no quicker
 // than it must, and how its end is told.
-func (c *frontConn) begin() (until time.Time, framed framed) {
+func (c *downstreamConn) begin() (until time.Time, framed framed) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.inBody = true
@@ -142,7 +142,7 @@
 // hold tells that nothing is read for now, or that it goes on. Guards against giving up a request that does
 // not get on because this side does not take it. When the last bytes came is as before: the client's time
 // runs from there.
-func (c *frontConn) hold(on bool) {
+func (c *downstreamConn) hold(on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.held = on; !on {
@@ -151,7 +151,7 @@
 }
 
 // stuck tells whether a request has begun and does not get on, through its client's fault; mu is held.
-func (c *frontConn) stuck(now time.Time) bool {
+func (c *downstreamConn) stuck(now time.Time) bool {
 	if c.state != connReading || c.held || now.Sub(c.since) < stuckBefore {
 		return false
 	}
@@ -159,14 +159,14 @@
 }
 
 // began is when the present request began to come.
-func (c *frontConn) began() time.Time {
+func (c *downstreamConn) began() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.since
 }
 
 // cutBody has nobody wait for what is left of a body, until restore.
-func (c *frontConn) cutBody() {
+func (c *downstreamConn) cutBody() {
 	c.mu.Lock()
 	c.cut = true
 	c.mu.Unlock()
@@ -174,7 +174,7 @@
 }
 
 // restore tells that the answer was written. From then on a read's time is the library's matter again.
-func (c *frontConn) restore() {
+func (c *downstreamConn) restore() {
 	c.mu.Lock()
 	c.cut = false
 	c.mu.Unlock()
@@ -183,7 +183,7 @@
 // cutInVain tells, where a Read's time is up, whether that was meant for a body that has come whole since.
 // Guards against a long answer that is cut off by the end of its request's body: once that is read the
 // library reads on, to notice a client that leaves, and takes this Read's time for one that has.
-func (c *frontConn) cutInVain() bool {
+func (c *downstreamConn) cutInVain() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.cut || c.gentle || c.framing.framed != framedByLength || c.framing.body > 0 {
@@ -194,7 +194,7 @@
 
 // taken tells that a request came whole, and when its last bytes came: from then on its client counts its
 // time.
-func (c *frontConn) taken() (began time.Time) {
+func (c *downstreamConn) taken() (began time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	began = c.came
@@ -208,8 +208,8 @@
 // givesWay tells whether the connection is to be closed after its answer. Guards against clients that ask
 // once and keep their connection: where they come in numbers, there is no time to let each stand idle first.
 // Clients that have asked again keep theirs for longer.
-func (c *frontConn) givesWay() bool {
-	crowded, pressing := c.front.descriptors.frontCrowded()
+func (c *downstreamConn) givesWay() bool {
+	crowded, pressing := c.front.descriptors.downstreamPressure()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return pressing || crowded && c.framing.heads <= 1
@@ -217,23 +217,23 @@
 
 // nextCame tells whether something of the request after the present one has come. Guards against a close
 // after an answer that takes a pipelined request along.
-func (c *frontConn) nextCame() bool {
+func (c *downstreamConn) nextCame() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.nextRead() || c.framing.body == 0 && c.hasInput()
 }
 
 // nextRead tells whether something of the request after the present one was read; mu is held.
-func (c *frontConn) nextRead() bool { return c.framing.heads > c.handled }
+func (c *downstreamConn) nextRead() bool { return c.framing.heads > c.handled }
 
 // hasInput tells whether the machine has something from the client that was not read, its end included.
-func (c *frontConn) hasInput() (has bool) {
+func (c *downstreamConn) hasInput() (has bool) {
 	err := c.raw.Control(func(fd uintptr) { has = readable(fd) })
 	return err == nil && has
 }
 
 // idle tells that an answer was written.
-func (c *frontConn) idle() {
+func (c *downstreamConn) idle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.framing.ends) > 0 {
@@ -256,11 +256,11 @@
 }
 
 // stood closes the connection if it has stood idle for long enough and clients crowd the front socket.
-func (c *frontConn) stood() {
+func (c *downstreamConn) stood() {
 	c.mu.Lock()
 	since, longEnough := c.since, c.state == connIdle && time.Since(c.since) >= idleBefore
 	c.mu.Unlock()
-	if crowded, _ := c.front.descriptors.frontCrowded(); crowded && longEnough {
+	if crowded, _ := c.front.descriptors.downstreamPressure(); crowded && longEnough {
 		c.evict(connIdle, since)
 	}
 }
@@ -268,7 +268,7 @@
 // Close ends the connection. Guards against an answer that never arrives: a close over unread input resets
 // the connection, and the client's machine throws the answer away. So the client is told that no more comes,
 // and what it still sends is read, for a while.
-func (c *frontConn) Close() error {
+func (c *downstreamConn) Close() error {
 	c.mu.Lock()
 	lingers := c.shut()
 	c.mu.Unlock()
@@ -282,7 +282,7 @@
 
 // shut tells the client that no more comes, and has what it still sends be no request; mu is held. False: the
 // connection is closed, or to be closed at once.
-func (c *frontConn) shut() bool {
+func (c *downstreamConn) shut() bool {
 	if c.hasty || c.state == connClosed {
 		return false
 	}
@@ -295,7 +295,7 @@
 
 // forsake has the close throw away what is written and not yet taken. Guards against a client that does not
 // read: the kernel would hold that for as long as the client pleases.
-func (c *frontConn) forsake() {
+func (c *downstreamConn) forsake() {
 	c.hurry()
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -303,21 +303,21 @@
 }
 
 // hurry has Close wait for nothing.
-func (c *frontConn) hurry() {
+func (c *downstreamConn) hurry() {
 	c.mu.Lock()
 	c.hasty = true
 	c.mu.Unlock()
 }
 
 // CloseWrite is there for the library, which calls it before it waits a while and closes.
-func (c *frontConn) CloseWrite() error {
+func (c *downstreamConn) CloseWrite() error {
 	if tcp, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return tcp.CloseWrite()
 	}
 	return nil
 }
 
-func (c *frontConn) forget() {
+func (c *downstreamConn) forget() {
 	c.mu.Lock()
 	again := c.state == connClosed
 	c.state = connClosed
@@ -332,7 +332,7 @@
 
 // evict ends the connection if it is still as it was when it was chosen, and nothing has come on it: first
 // its client is told that no more comes, and if it does not end it then, it is closed.
-func (c *frontConn) evict(s connState, since time.Time) bool {
+func (c *downstreamConn) evict(s connState, since time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
@@ -350,14 +350,14 @@
 }
 
 // finish has the reader of a connection whose client was told to end it close it; mu is held.
-func (c *frontConn) finish() {
+func (c *downstreamConn) finish() {
 	c.hasty = true
 	_ = c.Conn.SetReadDeadline(time.Now())
 }
 
 // spare tells how readily the connection can be given up, if at all, and what it is at. Above zero only where
 // descriptors are short.
-func (c *frontConn) spare(now time.Time) (rank int, s connState, since time.Time) {
+func (c *downstreamConn) spare(now time.Time) (rank int, s connState, since time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	age := now.Sub(c.since)
@@ -378,13 +378,13 @@
 	return rank, c.state, c.since
 }
 
-// frontListener accepts clients while there are descriptors for them, and closes the connections of those
+// downstreamListener accepts clients while there are descriptors for them, and closes the connections of those
 // that have nothing open where there are not.
-type frontListener struct {
+type downstreamListener struct {
 	net.Listener
-	*clients
+	*downstreamConns
 	addr   netip.AddrPort
-	forms  []protocol.Form
+	forms  []protocol.Format
 	closed chan struct{}
 	once   sync.Once
 	err    error
@@ -392,31 +392,31 @@
 
 // clients are the connections of all listeners of a front: whichever listener is short of descriptors, those
 // that are missed least give way.
-type clients struct {
+type downstreamConns struct {
 	descriptors *Descriptors
 	mu          sync.Mutex
-	conns       map[*frontConn]struct{}
+	conns       map[*downstreamConn]struct{}
 	empty       chan struct{} // is told when the last one has gone
 }
 
-func (l *frontListener) Accept() (net.Conn, error) {
-	if !l.descriptors.takeFront(l.closed, l.evict) {
+func (l *downstreamListener) Accept() (net.Conn, error) {
+	if !l.descriptors.acquireDownstream(l.closed, l.evict) {
 		return nil, net.ErrClosed
 	}
 	conn, err := l.Listener.Accept()
 	if err != nil {
-		l.descriptors.releaseFront()
+		l.descriptors.releaseDownstream()
 		return nil, err
 	}
 	_ = conn.(*net.TCPConn).SetWriteBuffer(kernelBuffer)
 	raw, err := conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		_ = conn.Close()
-		l.descriptors.releaseFront()
+		l.descriptors.releaseDownstream()
 		return nil, err
 	}
 	now := time.Now()
-	c := &frontConn{Conn: conn, raw: raw, front: l.clients, forms: l.forms, opened: now, since: now}
+	c := &downstreamConn{Conn: conn, raw: raw, front: l.downstreamConns, forms: l.forms, opened: now, since: now}
 	l.mu.Lock()
 	l.conns[c] = struct{}{}
 	l.mu.Unlock()
@@ -427,8 +427,8 @@
 // once its client has ended it too, or has had the time to. Guards against clients that connect and say
 // nothing, ask once and stay, or never finish: they would keep all others out. With short false, only those
 // count that have stood idle.
-func (l *clients) evict(short bool) bool {
-	passed := map[*frontConn]bool{} // something has come on them meanwhile
+func (l *downstreamConns) evict(short bool) bool {
+	passed := map[*downstreamConn]bool{} // something has come on them meanwhile
 	for {
 		c, state, since := l.missedLeast(short, passed)
 		if c == nil || c.evict(state, since) {
@@ -439,7 +439,7 @@
 }
 
 // missedLeast chooses the connection that evict is to end, if any.
-func (l *clients) missedLeast(short bool, but map[*frontConn]bool) (chosen *frontConn, state connState,
+func (l *downstreamConns) missedLeast(short bool, but map[*downstreamConn]bool) (chosen *downstreamConn, state connState,
 	since time.Time,
 ) {
 	now, lowest := time.Now(), 1
@@ -457,7 +457,7 @@
 	return chosen, state, since
 }
 
-func (l *clients) forget(c *frontConn) {
+func (l *downstreamConns) forget(c *downstreamConn) {
 	l.mu.Lock()
 	delete(l.conns, c)
 	last := len(l.conns) == 0
@@ -468,10 +468,10 @@
 		default:
 		}
 	}
-	l.descriptors.releaseFront()
+	l.descriptors.releaseDownstream()
 }
 
-func (l *frontListener) Close() error {
+func (l *downstreamListener) Close() error {
 	l.once.Do(func() { close(l.closed); l.err = l.Listener.Close() })
 	return l.err
 }
--- a/internal/transport/leaving.go
+++ b/internal/transport/leaving.go
@@ -17,39 +17,39 @@
 
 // leaving is the one state in which clients are sent away, by hand or before the process ends: not ready,
 // Connection: close with every answer, connections closed as they stand idle.
-type leaving struct {
-	mu     sync.Mutex
-	since  time.Time     // zero: clients are taken
-	by     time.Duration // after since, all idle connections are closed, however short they have stood so
-	ending bool          // there is no way back
-	sweep  *time.Timer
+type drainState struct {
+	mu           sync.Mutex
+	since        time.Time     // zero: clients are taken
+	idleDeadline time.Duration // after since, all idle connections are closed, however short they have stood so
+	ending       bool          // there is no way back
+	sweep        *time.Timer
 }
 
 // on tells whether clients are sent away.
-func (l *leaving) on() bool {
+func (l *drainState) on() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return !l.since.IsZero()
 }
 
-// Leave sends clients away: by then, no connection stands idle any more. New ones are served meanwhile, and
-// closed after their answer. Where ending is true, Return does nothing from now on.
-func (f *Front) Leave(by time.Duration, ending bool) {
-	l := &f.leaving
+// StartDrain sends clients away: by then, no connection stands idle any more. New ones are served meanwhile, and
+// closed after their answer. Where ending is true, StopDrain does nothing from now on.
+func (f *Listener) StartDrain(by time.Duration, ending bool) {
+	l := &f.drain
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.ending = l.ending || ending
 	if l.since.IsZero() {
-		l.since, l.by = time.Now(), by
+		l.since, l.idleDeadline = time.Now(), by
 		l.sweep = time.AfterFunc(0, f.sweep)
 		return
 	}
-	l.by = min(l.by, time.Since(l.since)+by)
+	l.idleDeadline = min(l.idleDeadline, time.Since(l.since)+by)
 }
 
-// Return takes clients again. A connection that is about to be closed is closed all the same.
-func (f *Front) Return() {
-	l := &f.leaving
+// StopDrain takes clients again. A connection that is about to be closed is closed all the same.
+func (f *Listener) StopDrain() {
+	l := &f.drain
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.since.IsZero() && !l.ending {
@@ -58,18 +58,18 @@
 	}
 }
 
-// Leaving tells whether clients are sent away.
-func (f *Front) Leaving() bool { return f.leaving.on() }
+// IsDraining tells whether clients are sent away.
+func (f *Listener) IsDraining() bool { return f.drain.on() }
 
 // sweep ends the connections that have stood idle for long enough.
-func (f *Front) sweep() {
-	l := &f.leaving
+func (f *Listener) sweep() {
+	l := &f.drain
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.since.IsZero() {
 		return
 	}
-	over := time.Since(l.since) >= l.by
+	over := time.Since(l.since) >= l.idleDeadline
 	f.clients.endIdle(over)
 	if over && !l.ending {
 		l.sweep.Reset(sweepSeldom)
@@ -80,14 +80,14 @@
 
 // StopListening has no further client connect. It does not end the sockets where another process has them
 // too.
-func (f *Front) StopListening() {
+func (f *Listener) StopListening() {
 	for _, l := range f.listeners {
 		_ = l.Close()
 	}
 }
 
-// Gone waits, after Leave and StopListening, until all client connections are closed, or ctx ends.
-func (f *Front) Gone(ctx context.Context) error {
+// WaitClosed waits, after StartDrain and StopListening, until all client connections are closed, or ctx ends.
+func (f *Listener) WaitClosed(ctx context.Context) error {
 	for f.clients.count() > 0 {
 		select {
 		case <-f.clients.empty:
@@ -99,29 +99,29 @@
 }
 
 // Close ends all at once.
-func (f *Front) Close() {
+func (f *Listener) Close() {
 	f.StopListening()
 	f.clients.hurry()
 	_ = f.server.Close()
 }
 
-// closeWith announces a close with the answer where the connection is to give way, or clients are sent away,
+// announceClose announces a close with the answer where the connection is to give way, or clients are sent away,
 // unless its next request is already coming: that one is served before.
-func (f *Front) closeWith(c *frontConn, answer http.Header) {
-	if (f.Leaving() || c.givesWay()) && !c.nextCame() {
+func (f *Listener) announceClose(c *downstreamConn, answer http.Header) {
+	if (f.IsDraining() || c.givesWay()) && !c.nextCame() {
 		answer.Set("Connection", "close")
 	}
 }
 
-func (f *Front) ready(w http.ResponseWriter) {
-	if f.Leaving() || !f.operator.Ready() {
+func (f *Listener) serveReadiness(w http.ResponseWriter) {
+	if f.IsDraining() || !f.handler.Ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
 // endIdle ends the connections that have stood idle; all, where all is true, but those that have only just
 // connected.
-func (l *clients) endIdle(all bool) {
+func (l *downstreamConns) endIdle(all bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for c := range l.conns {
@@ -130,7 +130,7 @@
 }
 
 // hurry has every connection's Close wait for nothing.
-func (l *clients) hurry() {
+func (l *downstreamConns) hurry() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for c := range l.conns {
@@ -138,7 +138,7 @@
 	}
 }
 
-func (l *clients) count() int {
+func (l *downstreamConns) count() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.conns)
@@ -147,7 +147,7 @@
 // endIdle has the connection's reader end it, unless something has come. Guards against a close that crosses
 // a request: what the machine has of one by now is served. Where all are to go, a client that was told and
 // does not end its connection is not waited for longer than one that gives way.
-func (c *frontConn) endIdle(all bool) {
+func (c *downstreamConn) endIdle(all bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	age := time.Since(c.since)
@@ -164,7 +164,7 @@
 
 // endsGently tells, where a Read's time is up, whether that is the end of the connection: not if it was to
 // end only where nothing has come, and something has.
-func (c *frontConn) endsGently() bool {
+func (c *downstreamConn) endsGently() bool {
 	c.mu.Lock()
 	gentle := c.gentle
 	c.gentle = false
--- a/internal/transport/ops.go
+++ b/internal/transport/ops.go
@@ -25,39 +25,39 @@
 	opsAnswer = 800 * time.Millisecond
 )
 
-// Operations is what operators may ask for.
-type Operations interface {
-	// Readiness tells whether this process takes clients.
-	Readiness() bool
-	Figures() figures.Reading
-	// Ban takes a booking server out, Lift puts it back; listed is false where the list never had that id. The
+// OpsHandler is what operators may ask for.
+type OpsHandler interface {
+	// IsReady tells whether this process takes clients.
+	IsReady() bool
+	Metrics() figures.Reading
+	// DisableEndpoint takes a booking server out, EnableEndpoint puts it back; listed is false where the list never had that id. The
 	// error says why it can't be done.
-	Ban(ctx context.Context, id string) (listed bool, err error)
-	Lift(ctx context.Context, id string) (listed bool, err error)
-	// Drain sends clients away, or takes them again.
-	Drain(on bool)
-	// Fleet answers a call about what the agents of the fleet agree on, as JSON; a status other than 200
+	DisableEndpoint(ctx context.Context, id string) (listed bool, err error)
+	EnableEndpoint(ctx context.Context, id string) (listed bool, err error)
+	// SetDraining sends clients away, or takes them again.
+	SetDraining(on bool)
+	// HandleFleetCall answers a call about what the agents of the fleet agree on, as JSON; a status other than 200
 	// and 202 says no, in a line. Where this agent takes no part there is no such call: 404.
-	Fleet(ctx context.Context, call protocol.OpsCall) (status int, body []byte)
+	HandleFleetCall(ctx context.Context, call protocol.OpsCall) (status int, body []byte)
 }
 
-// OpsSocket is the operators' own door. Its descriptors are set aside, and nothing that it does waits for
+// OpsServer is the operators' own door. Its descriptors are set aside, and nothing that it does waits for
 // clients' work.
-type OpsSocket struct {
+type OpsServer struct {
 	server   *http.Server
 	listener net.Listener
 }
 
 // ListenOps opens the socket; Serve begins to answer there.
-func ListenOps(addr netip.AddrPort, o Operations) (*OpsSocket, error) {
+func ListenOps(addr netip.AddrPort, o OpsHandler) (*OpsServer, error) {
 	l, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(addr))
 	if err != nil {
 		return nil, err
 	}
 	callers := &opsListener{Listener: l, open: map[*opsConn]struct{}{}}
-	s := &OpsSocket{listener: callers, server: &http.Server{
+	s := &OpsServer{listener: callers, server: &http.Server{
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			r.Body = http.MaxBytesReader(w, r.Body, protocol.MaxOpsBody(r.URL.Path))
+			r.Body = http.MaxBytesReader(w, r.Body, protocol.MaxOpsBodyBytes(r.URL.Path))
 			answerOps(w, r, o)
 		}),
 		ReadTimeout: opsWait, WriteTimeout: 2 * opsWait, MaxHeaderBytes: maxHeader,
@@ -72,15 +72,15 @@
 }
 
 // Addr is where it listens.
-func (s *OpsSocket) Addr() net.Addr { return s.listener.Addr() }
+func (s *OpsServer) Addr() net.Addr { return s.listener.Addr() }
 
 // Serve answers until Close, or until the socket fails.
-func (s *OpsSocket) Serve() error { return s.server.Serve(s.listener) }
+func (s *OpsServer) Serve() error { return s.server.Serve(s.listener) }
 
 // Close ends Serve and all calls.
-func (s *OpsSocket) Close() { _ = s.server.Close() }
+func (s *OpsServer) Close() { _ = s.server.Close() }
 
-func answerOps(w http.ResponseWriter, r *http.Request, o Operations) {
+func answerOps(w http.ResponseWriter, r *http.Request, o OpsHandler) {
 	call, status := protocol.DecodeOpsCall(r)
 	r.Context().Value(connKey{}).(*opsConn).whole()
 	ctx, cancel := context.WithTimeout(r.Context(), opsAnswer)
@@ -88,27 +88,27 @@
 	text := ""
 	switch {
 	case status != http.StatusOK:
-	case call.Fleet():
+	case call.IsFleetCall():
 		var body []byte
-		if status, body = o.Fleet(ctx, call); status < http.StatusMultipleChoices {
+		if status, body = o.HandleFleetCall(ctx, call); status < http.StatusMultipleChoices {
 			w.Header().Set("Content-Type", "application/json")
 		}
 		text = string(body)
-	case call.Kind == protocol.OpsReadiness && !o.Readiness():
+	case call.Kind == protocol.OpsReadiness && !o.IsReady():
 		status = http.StatusServiceUnavailable
 	case call.Kind == protocol.OpsStats:
-		raw, err := protocol.EncodeOpsStats(o.Figures())
+		raw, err := protocol.EncodeOpsStats(o.Metrics())
 		if err != nil {
 			status = http.StatusInternalServerError
 		}
 		w.Header().Set("Content-Type", "application/json")
 		text = string(raw) + "\n"
-	case call.Kind == protocol.OpsDown:
-		status, text = banned(o.Ban(ctx, call.ID))
-	case call.Kind == protocol.OpsUp:
-		status, text = banned(o.Lift(ctx, call.ID))
+	case call.Kind == protocol.OpsDisable:
+		status, text = banned(o.DisableEndpoint(ctx, call.ID))
+	case call.Kind == protocol.OpsEnable:
+		status, text = banned(o.EnableEndpoint(ctx, call.ID))
 	case call.Kind == protocol.OpsDrainStart, call.Kind == protocol.OpsDrainStop:
-		o.Drain(call.Kind == protocol.OpsDrainStart)
+		o.SetDraining(call.Kind == protocol.OpsDrainStart)
 	}
 	if text == "" {
 		text = http.StatusText(status) + "\n"
--- a/internal/transport/upload.go
+++ b/internal/transport/upload.go
@@ -58,7 +58,7 @@
 	body    *pacedBody
 	rest    *flow.Flow
 	counted *figures.Operation
-	conn    *frontConn
+	conn    *downstreamConn
 	failed  context.CancelFunc // ends the operation: its client sends no more
 	whole   chan struct{}
 	done    chan struct{}
@@ -71,7 +71,7 @@
 
 // startUpload begins to read the rest of an operation's body, in memory that was asked for with the
 // beginning's.
-func startUpload(op *protocol.Operation, body *pacedBody, grant memory.Grant, conn *frontConn,
+func startUpload(op *protocol.Request, body *pacedBody, grant memory.Grant, conn *downstreamConn,
 	counted *figures.Operation, failed context.CancelFunc,
 ) *upload {
 	length := int64(-1)
@@ -82,7 +82,7 @@
 		body: body, rest: flow.New(length, grant, mostAhead), conn: conn, counted: counted,
 		failed: failed, whole: make(chan struct{}), done: make(chan struct{}),
 	}
-	op.Rest, op.Whole = u.rest, u.whole
+	op.Rest, op.BodyComplete = u.rest, u.whole
 	release := op.Release
 	op.Release = func() { u.rest.Close(); release() }
 	go u.read()
--- a/internal/transport/upstream.go
+++ b/internal/transport/upstream.go
@@ -19,41 +19,41 @@
 	"dunestep/internal/protocol"
 )
 
-// ErrUnused means that a connection had ended before anything was written to it.
-var ErrUnused = errors.New("the connection had ended before it was used")
+// ErrStaleConnection means that a connection had ended before anything was written to it.
+var ErrStaleConnection = errors.New("the connection had ended before it was used")
 
-// ErrUnwritten means that a route step was not written whole: it never ran.
-var ErrUnwritten = errors.New("the connection broke before the last byte was written")
+// ErrNotWritten means that a route step was not written whole: it never ran.
+var ErrNotWritten = errors.New("the connection broke before the last byte was written")
 
 // ErrNoDescriptor means that this agent may open no further connection: no fault of the booking server.
 var ErrNoDescriptor = errors.New("no descriptor is free for a further connection")
 
-// ErrClient means that the rest of a route step did not come from its client.
-var ErrClient = errors.New("the rest of the operation did not come")
+// ErrClientStopped means that the rest of a route step did not come from its client.
+var ErrClientStopped = errors.New("the rest of the operation did not come")
 
 // maxReply bounds what is read for one answer beside the body of a 200.
 const maxReply = 80 << 10
 
-// ErrSpoilt means that what came back cannot be an answer to the route step. It has run, or may have.
-var ErrSpoilt = errors.New("the answer is spoilt")
+// ErrInvalidResponse means that what came back cannot be an answer to the route step. It has run, or may have.
+var ErrInvalidResponse = errors.New("the answer is spoilt")
 
-// Upstream is a connection to a booking server. It carries one route step at a time, and one goroutine
+// UpstreamConn is a connection to a booking server. It carries one route step at a time, and one goroutine
 // waits on it all along: so the end of an idle connection is noticed when it comes.
-type Upstream struct {
+type UpstreamConn struct {
 	conn    net.Conn
 	raw     syscall.RawConn
 	server  string // whose connection it is, for the memory that its answers hold
-	bodies  *Bodies
+	bodies  *BodyLimits
 	source  source
 	limit   io.LimitedReader // of the source
 	in      *bufio.Reader
 	replies chan reply
-	ended   func(*Upstream)
+	ended   func(*UpstreamConn)
 	over    chan struct{} // closed when nothing is read any more
 	release func()
 
 	mu     sync.Mutex
-	step   *Step // that is on it; nil: none
+	step   *UpstreamRequest // that is on it; nil: none
 	broken bool
 }
 
@@ -71,37 +71,37 @@
 	return n, s.err
 }
 
-// Step is a route step to be carried out.
-type Step struct {
+// UpstreamRequest is a route step to be carried out.
+type UpstreamRequest struct {
 	Head, Body []byte
 	// Rest is what follows Body as it comes; nil: nothing does. Chunked: its length is not told.
 	Rest    *flow.Flow
 	Chunked bool
-	// AtOnce has the answer passed on from its first byte on.
-	AtOnce bool
-	// GraphQL is the operation's.
-	GraphQL bool
-	// Written is called when its last byte has been written.
-	Written func()
-	// Begun is called, from the goroutine of Exchange, when the answer is longer than what is held whole. The
-	// reply's flow is to be closed by whoever takes it, also where Exchange returns an error.
-	Begun func(protocol.Reply)
+	// Streamed has the answer passed on from its first byte on.
+	Streamed bool
+	// IsGraphQL is the operation's.
+	IsGraphQL bool
+	// OnWritten is called when its last byte has been written.
+	OnWritten func()
+	// OnResponseStart is called, from the goroutine of RoundTrip, when the answer is longer than what is held whole. The
+	// reply's flow is to be closed by whoever takes it, also where RoundTrip returns an error.
+	OnResponseStart func(protocol.UpstreamResponse)
 
 	ctx context.Context
 }
 
 type reply struct {
-	protocol.Reply
+	protocol.UpstreamResponse
 	err   error
 	begun bool // and not yet ended
 }
 
-// DialUpstream connects to a server. Ended is called, from another goroutine, if the connection ends while no
+// DialUpstream connects to a server. HasEnded is called, from another goroutine, if the connection ends while no
 // route step is on it.
 func DialUpstream(ctx context.Context, server string, addr netip.AddrPort, wait time.Duration, d *Descriptors,
-	bodies *Bodies, ended func(*Upstream),
-) (*Upstream, error) {
-	if !d.TryUpstream() {
+	bodies *BodyLimits, ended func(*UpstreamConn),
+) (*UpstreamConn, error) {
+	if !d.AcquireUpstream() {
 		return nil, ErrNoDescriptor
 	}
 	dialer := net.Dialer{Timeout: wait, KeepAlive: -1} // it would not notice what the idle limit ends anyway
@@ -115,10 +115,10 @@
 }
 
 // newUpstream begins to wait on a connection; release is called once when it is closed.
-func newUpstream(conn net.Conn, server string, bodies *Bodies, release func(),
-	ended func(*Upstream),
-) (*Upstream, error) {
-	u := &Upstream{
+func newUpstream(conn net.Conn, server string, bodies *BodyLimits, release func(),
+	ended func(*UpstreamConn),
+) (*UpstreamConn, error) {
+	u := &UpstreamConn{
 		conn: conn, server: server, bodies: bodies, ended: ended, replies: make(chan reply, 1),
 		over: make(chan struct{}), release: sync.OnceFunc(release), source: source{conn: conn},
 	}
@@ -134,29 +134,29 @@
 }
 
 // Close ends the connection; a booking server takes that as giving the route step up.
-func (u *Upstream) Close() {
+func (u *UpstreamConn) Close() {
 	_ = u.conn.Close()
 	u.release()
 }
 
-// Over is closed once the connection has ended, or something has come on it while no route step was.
-func (u *Upstream) Over() <-chan struct{} { return u.over }
+// Done is closed once the connection has ended, or something has come on it while no route step was.
+func (u *UpstreamConn) Done() <-chan struct{} { return u.over }
 
-// Ended tells whether the connection has ended while no route step was on it.
-func (u *Upstream) Ended() bool {
+// HasEnded tells whether the connection has ended while no route step was on it.
+func (u *UpstreamConn) HasEnded() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.broken
 }
 
-// Exchange writes a route step and waits for the end of its answer, or until ctx ends, which closes the
-// connection. After ErrUnused and ErrUnwritten the booking server cannot have begun it. Unless reuse is
+// RoundTrip writes a route step and waits for the end of its answer, or until ctx ends, which closes the
+// connection. After ErrStaleConnection and ErrNotWritten the booking server cannot have begun it. Unless reuse is
 // true, the connection is closed on return. The reply's flow is the caller's to close, unless it has begun.
-func (u *Upstream) Exchange(ctx context.Context, s Step) (r protocol.Reply, reuse bool, err error) {
+func (u *UpstreamConn) RoundTrip(ctx context.Context, s UpstreamRequest) (r protocol.UpstreamResponse, reuse bool, err error) {
 	s.ctx = ctx
 	if !u.begin(&s) { // what is written from here on proves nothing
 		u.Close()
-		return r, false, ErrUnused
+		return r, false, ErrStaleConnection
 	}
 	stop := context.AfterFunc(ctx, u.Close)
 	first, whole, err := u.write(&s)
@@ -164,15 +164,15 @@
 		stop()
 		u.Close()
 		go u.throwAway()
-		return r, false, errors.Join(ErrUnwritten, err)
+		return r, false, errors.Join(ErrNotWritten, err)
 	}
 	if !whole {
 		stop()
 		u.Close()
-		return first.Reply, false, first.err
+		return first.UpstreamResponse, false, first.err
 	}
-	if s.Written != nil {
-		s.Written()
+	if s.OnWritten != nil {
+		s.OnWritten()
 	}
 	if first == nil { // the reader ends with the answer or with the connection, which ctx closes
 		got := <-u.replies
@@ -182,20 +182,20 @@
 	wanted := func() bool { return true }
 	if got.begun {
 		wanted = got.Flow.OnStop(u.Close)
-		s.Begun(got.Reply)
+		s.OnResponseStart(got.UpstreamResponse)
 		got = <-u.replies
 	}
 	// Who stopped it may be about to close the connection, though the answer came whole just then.
 	if !stop() || !wanted() || got.err != nil || got.Close {
 		u.Close()
-		return got.Reply, false, got.err
+		return got.UpstreamResponse, false, got.err
 	}
-	return got.Reply, true, nil
+	return got.UpstreamResponse, true, nil
 }
 
 // write writes a route step. Got is an answer that came before it was known that the step was written whole:
 // where it was not, the rest of it is not wanted.
-func (u *Upstream) write(s *Step) (got *reply, whole bool, err error) {
+func (u *UpstreamConn) write(s *UpstreamRequest) (got *reply, whole bool, err error) {
 	if s.Rest == nil {
 		bytes := net.Buffers{s.Head, s.Body}
 		_, err = bytes.WriteTo(u.conn)
@@ -219,7 +219,7 @@
 // early takes an answer that came while a route step was being written, and tells whether that was written
 // whole all the same, which was told late. The answer is not put back among the replies: its end may stand
 // there already, and nobody would ever take either.
-func (u *Upstream) early(s *Step, got reply, wrote <-chan error) (first *reply, whole bool) {
+func (u *UpstreamConn) early(s *UpstreamRequest, got reply, wrote <-chan error) (first *reply, whole bool) {
 	after := time.NewTimer(earlyWait)
 	defer after.Stop()
 	select {
@@ -239,17 +239,17 @@
 		got.Flow.Close()
 		got = <-u.replies
 	}
-	if got.err == nil && got.Outcome == decide.TurnedAway { // the one thing that may come before the end
+	if got.err == nil && got.Outcome == decide.Rejected { // the one thing that may come before the end
 		return &got, false
 	}
 	if got.Flow != nil {
 		got.Flow.Close()
 	}
-	return &reply{err: errors.Join(ErrUnwritten, ErrSpoilt, got.err)}, false
+	return &reply{err: errors.Join(ErrNotWritten, ErrInvalidResponse, got.err)}, false
 }
 
 // writeRest writes a route step whose body is still coming.
-func writeRest(w io.Writer, s *Step) error {
+func writeRest(w io.Writer, s *UpstreamRequest) error {
 	write := func(b []byte) error {
 		parts := net.Buffers{b}
 		if s.Chunked {
@@ -273,7 +273,7 @@
 		case errors.Is(err, io.EOF):
 			return nil
 		case err != nil:
-			return errors.Join(ErrClient, err)
+			return errors.Join(ErrClientStopped, err)
 		}
 		if err := write(b); err != nil {
 			return err
@@ -287,7 +287,7 @@
 // throwAway takes what the reader still has of a route step that was not written whole. Guards against a
 // server that answers before it has read all: nobody would take that answer, which would hold its memory for
 // good.
-func (u *Upstream) throwAway() {
+func (u *UpstreamConn) throwAway() {
 	got := <-u.replies
 	if got.begun {
 		got.Flow.Close()
@@ -299,7 +299,7 @@
 
 // begin makes the connection busy, unless it has ended or something has come on it. Guards against taking for
 // an answer what came before its route step was written: a second copy of the last answer, say, or noise.
-func (u *Upstream) begin(step *Step) bool {
+func (u *UpstreamConn) begin(step *UpstreamRequest) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if !u.broken {
@@ -322,7 +322,7 @@
 
 // read passes on one reply for each route step. What comes or ends at another time breaks the connection; it
 // is not read, so that begin sees it too, however late this goroutine runs.
-func (u *Upstream) read() {
+func (u *UpstreamConn) read() {
 	defer close(u.over)
 	for {
 		err := u.raw.Read(readable)
@@ -336,7 +336,7 @@
 		}
 		var r reply
 		if r.err = err; err == nil {
-			r.Reply, r.err = u.readReply(step)
+			r.UpstreamResponse, r.err = u.readReply(step)
 		}
 		u.mu.Lock()
 		u.step = nil
@@ -349,19 +349,19 @@
 }
 
 // readReply reads an answer, and tells one that broke off with its connection from one that is spoilt.
-func (u *Upstream) readReply(step *Step) (protocol.Reply, error) {
+func (u *UpstreamConn) readReply(step *UpstreamRequest) (protocol.UpstreamResponse, error) {
 	u.limit.N = maxReply
 	rules := u.bodies.Rules()
-	r, body, err := protocol.ReadReply(u.in, rules.Longest, step.GraphQL)
+	r, body, err := protocol.ReadUpstreamResponse(u.in, rules.MaxBytes, step.IsGraphQL)
 	if err == nil && u.limit.N <= 0 && u.in.Buffered() == 0 { // what ends at the limit may not have ended
-		err = ErrSpoilt
+		err = ErrInvalidResponse
 	}
 	if err == nil && body.Reader != nil {
 		u.limit.N = math.MaxInt64 // the body's bytes are counted themselves
 		err = u.takeBody(step, &r, body, rules)
 	}
 	if err != nil {
-		return protocol.Reply{}, u.reason(err)
+		return protocol.UpstreamResponse{}, u.reason(err)
 	}
 	// More than the answer: the next route step must not take it for its own.
 	r.Close = r.Close || u.in.Buffered() > 0
@@ -369,20 +369,20 @@
 }
 
 // reason tells what broke off with its connection, or was not wanted, from what is spoilt.
-func (u *Upstream) reason(err error) error {
+func (u *UpstreamConn) reason(err error) error {
 	switch {
 	case errors.Is(err, memory.ErrFull), errors.Is(err, flow.ErrLeft):
 		return err
 	case u.limit.N > 0 && u.source.err != nil:
 		return err
 	}
-	return errors.Join(ErrSpoilt, err)
+	return errors.Join(ErrInvalidResponse, err)
 }
 
 // takeBody reads the body of an answer to its end, in memory that it waits for first. What comes in time is
 // held until the body is whole; when it is longer than what may be held so, or takes longer and is not known
 // to be short, the answer begins.
-func (u *Upstream) takeBody(step *Step, r *protocol.Reply, body protocol.Incoming, rules BodyRules) error {
+func (u *UpstreamConn) takeBody(step *UpstreamRequest, r *protocol.UpstreamResponse, body protocol.UnreadBody, rules BodyRules) error {
 	least, most := u.bodies.window(body.Length, rules)
 	asked := time.Now()
 	grant, err := u.bodies.Memory.Take(step.ctx, memory.Holder{Name: u.server}, least)
@@ -394,30 +394,30 @@
 	r.Flow = f
 	b := beginning{begin: func() {
 		f.Begun()
-		u.replies <- reply{Reply: protocol.Reply{
+		u.replies <- reply{UpstreamResponse: protocol.UpstreamResponse{
 			Outcome: r.Outcome, ContentType: r.ContentType, Status: r.Status,
 			Flow: f,
 		}, begun: true}
 	}}
-	short := body.Length >= 0 && body.Length <= rules.Whole
+	short := body.Length >= 0 && body.Length <= rules.BufferedBytes
 	for came := int64(0); err == nil && came != body.Length; {
 		var room []byte
 		if room, err = f.Room(); err != nil { // only after it has begun
 			break
 		}
 		var n int
-		n, err = body.Read(room[:min(int64(len(room)), rules.Longest+1-came)])
-		if came += int64(n); came > rules.Longest { // also where it has ended just there
-			err = protocol.ErrLongAnswer
+		n, err = body.Read(room[:min(int64(len(room)), rules.MaxBytes+1-came)])
+		if came += int64(n); came > rules.MaxBytes { // also where it has ended just there
+			err = protocol.ErrResponseTooLong
 			break
 		}
 		f.Came(n)
 		switch {
 		case err != nil || came == body.Length:
-		case step.AtOnce || came > rules.Whole:
+		case step.Streamed || came > rules.BufferedBytes:
 			b.now()
 		case !short:
-			b.within(rules.Hold)
+			b.within(rules.MaxBuffering)
 		}
 	}
 	begun := b.end()
--- a/internal/transport/upstream_crossings_test.go
+++ b/internal/transport/upstream_crossings_test.go
@@ -19,7 +19,7 @@
 )
 
 // tcpPair is a connection to a booking server by TCP, and the server's side of it.
-func tcpPair(t *testing.T) (u *Upstream, bodies *Bodies, server *net.TCPConn) {
+func tcpPair(t *testing.T) (u *UpstreamConn, bodies *BodyLimits, server *net.TCPConn) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
@@ -28,8 +28,8 @@
 	c, err := l.Accept()
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = c.Close() })
-	bodies = NewBodies(1<<20, BodyRules{Longest: 1 << 20, Whole: 1 << 20, Stall: time.Minute, Hold: time.Minute})
-	u, err = newUpstream(ours, "s-0", bodies, func() {}, func(*Upstream) {})
+	bodies = NewBodyLimits(1<<20, BodyRules{MaxBytes: 1 << 20, BufferedBytes: 1 << 20, ClientStall: time.Minute, MaxBuffering: time.Minute})
+	u, err = newUpstream(ours, "s-0", bodies, func() {}, func(*UpstreamConn) {})
 	require.NoError(t, err)
 	t.Cleanup(u.Close)
 	return u, bodies, c.(*net.TCPConn)
@@ -48,15 +48,15 @@
 }
 
 // over waits until a connection without a step on it is known to have ended.
-func over(t *testing.T, u *Upstream) {
+func over(t *testing.T, u *UpstreamConn) {
 	select {
-	case <-u.Over():
+	case <-u.Done():
 	case <-time.After(15 * time.Second):
 		require.Fail(t, "it does not end")
 	}
 }
 
-var getStep = Step{Head: []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n")}
+var getStep = UpstreamRequest{Head: []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n")}
 
 const lengthless = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
 
@@ -91,8 +91,8 @@
 						end()
 					}()
 					s := getStep
-					s.AtOnce = !held
-					s.Begun = func(r protocol.Reply) {
+					s.Streamed = !held
+					s.OnResponseStart = func(r protocol.UpstreamResponse) {
 						go func() {
 							defer r.Flow.Close()
 							for n := 0; n < came; {
@@ -109,13 +109,13 @@
 							taken <- err
 						}()
 					}
-					r, reuse, err := u.Exchange(bounded(t), s)
+					r, reuse, err := u.RoundTrip(bounded(t), s)
 					<-wrote
 					require.False(t, reuse)
 					if resets {
 						require.Error(t, err)
-						require.NotErrorIs(t, err, ErrUnwritten, "it may have run")
-						require.NotErrorIs(t, err, ErrUnused, "it may have run")
+						require.NotErrorIs(t, err, ErrNotWritten, "it may have run")
+						require.NotErrorIs(t, err, ErrStaleConnection, "it may have run")
 					} else {
 						require.NoError(t, err)
 					}
@@ -150,11 +150,11 @@
 				_, _ = io.WriteString(server, text[:len(text)-missing])
 				reset(t, server)
 			}()
-			r, reuse, err := u.Exchange(bounded(t), getStep)
+			r, reuse, err := u.RoundTrip(bounded(t), getStep)
 			if missing > 0 {
 				require.Error(t, err)
-				require.NotErrorIs(t, err, ErrSpoilt)
-				require.NotErrorIs(t, err, ErrUnwritten)
+				require.NotErrorIs(t, err, ErrInvalidResponse)
+				require.NotErrorIs(t, err, ErrNotWritten)
 				return
 			}
 			require.NoError(t, err)
@@ -165,9 +165,9 @@
 			r.Flow.Close()
 			if reuse { // the reset was not seen yet
 				over(t, u)
-				require.True(t, u.Ended())
-				_, _, err = u.Exchange(bounded(t), getStep)
-				require.ErrorIs(t, err, ErrUnused, "nothing was written on it")
+				require.True(t, u.HasEnded())
+				_, _, err = u.RoundTrip(bounded(t), getStep)
+				require.ErrorIs(t, err, ErrStaleConnection, "nothing was written on it")
 			}
 		})
 	}
@@ -192,8 +192,8 @@
 					u.broken = false
 					u.mu.Unlock()
 				}
-				_, reuse, err := u.Exchange(bounded(t), getStep)
-				require.ErrorIs(t, err, ErrUnused)
+				_, reuse, err := u.RoundTrip(bounded(t), getStep)
+				require.ErrorIs(t, err, ErrStaleConnection)
 				require.False(t, reuse)
 			})
 		}
@@ -208,8 +208,8 @@
 		_, _ = io.ReadFull(server, make([]byte, 1)) // it is being written
 		reset(t, server)
 	}()
-	_, reuse, err := u.Exchange(bounded(t), Step{Head: make([]byte, 32<<20)})
-	require.ErrorIs(t, err, ErrUnwritten)
+	_, reuse, err := u.RoundTrip(bounded(t), UpstreamRequest{Head: make([]byte, 32<<20)})
+	require.ErrorIs(t, err, ErrNotWritten)
 	require.False(t, reuse)
 
 	for name, ends := range map[string]func(*testing.T, *net.TCPConn){
@@ -222,10 +222,10 @@
 				_, _ = http.ReadRequest(bufio.NewReader(server))
 				ends(t, server)
 			}()
-			_, reuse, err := u.Exchange(bounded(t), getStep)
+			_, reuse, err := u.RoundTrip(bounded(t), getStep)
 			require.Error(t, err)
 			require.False(t, reuse)
-			for _, never := range []error{ErrUnused, ErrUnwritten, ErrSpoilt} {
+			for _, never := range []error{ErrStaleConnection, ErrNotWritten, ErrInvalidResponse} {
 				require.NotErrorIs(t, err, never, "it may have run")
 			}
 		})
@@ -242,7 +242,7 @@
 		_, _ = rest.Next() // until it is given up, once the wait is over
 		wrote <- nil
 	}()
-	first, whole := u.early(&Step{Rest: rest}, reply{Reply: protocol.Reply{Outcome: decide.Served}}, wrote)
+	first, whole := u.early(&UpstreamRequest{Rest: rest}, reply{UpstreamResponse: protocol.UpstreamResponse{Outcome: decide.Served}}, wrote)
 	require.True(t, whole, "it may have run")
 	require.NoError(t, first.err)
 	require.True(t, first.Close, "its connection was given up")
@@ -256,12 +256,12 @@
 		ends   bool
 		want   error // nil: the answer is taken
 	}{
-		"resets":                       {"", true, ErrUnwritten},
-		"serves and goes on":           {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", false, ErrSpoilt},
-		"serves and resets":            {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", true, ErrUnwritten},
-		"serves, no length, and ends":  {lengthless + "ok", true, ErrUnwritten},
+		"resets":                       {"", true, ErrNotWritten},
+		"serves and goes on":           {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", false, ErrInvalidResponse},
+		"serves and resets":            {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", true, ErrNotWritten},
+		"serves, no length, and ends":  {lengthless + "ok", true, ErrNotWritten},
 		"turns away":                   {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", false, nil},
-		"fails, which is not believed": {"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", false, ErrSpoilt},
+		"fails, which is not believed": {"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", false, ErrInvalidResponse},
 	} {
 		t.Run(name, func(t *testing.T) {
 			u, bodies, server := tcpPair(t)
@@ -288,15 +288,15 @@
 					reset(t, server)
 				}
 			}()
-			r, reuse, err := u.Exchange(bounded(t), Step{
+			r, reuse, err := u.RoundTrip(bounded(t), UpstreamRequest{
 				Head: []byte("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n\r\n"),
-				Rest: rest, Begun: func(protocol.Reply) { require.Fail(t, "begun") },
+				Rest: rest, OnResponseStart: func(protocol.UpstreamResponse) { require.Fail(t, "begun") },
 			})
 			<-ended
 			require.False(t, reuse)
 			if c.want == nil {
 				require.NoError(t, err)
-				require.Equal(t, decide.TurnedAway, r.Outcome)
+				require.Equal(t, decide.Rejected, r.Outcome)
 			} else {
 				require.ErrorIs(t, err, c.want)
 			}
--- a/internal/transport/upstream_test.go
+++ b/internal/transport/upstream_test.go
@@ -102,7 +102,7 @@
 	const longest, held = 9000, 4000
 	second := []byte(head + "Content-Length: 6\r\n\r\nsecond")
 	f.Fuzz(func(t *testing.T, text []byte, leaves uint16, atOnce bool) {
-		bodies := NewBodies(1<<20, BodyRules{Longest: longest, Whole: held, Stall: time.Second})
+		bodies := NewBodyLimits(1<<20, BodyRules{MaxBytes: longest, BufferedBytes: held, ClientStall: time.Second})
 		want, whole, stays := oracle(text, longest)
 		texts := [][]byte{text}
 		if stays {
@@ -111,12 +111,12 @@
 		conn := scripted(t, texts...)
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 		defer cancel()
-		u, err := newUpstream(conn, "s-0", bodies, func() {}, func(*Upstream) {})
+		u, err := newUpstream(conn, "s-0", bodies, func() {}, func(*UpstreamConn) {})
 		require.NoError(t, err)
 		defer u.Close()
 		var taken []byte
 		var end error
-		take := func(r protocol.Reply) {
+		take := func(r protocol.UpstreamResponse) {
 			defer r.Flow.Close()
 			for end == nil && len(taken) <= int(leaves) {
 				var b []byte
@@ -128,9 +128,9 @@
 			}
 		}
 		begun := false
-		r, reuse, err := u.Exchange(ctx, Step{
-			Head: []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"), AtOnce: atOnce,
-			Begun: func(r protocol.Reply) { begun = true; take(r) },
+		r, reuse, err := u.RoundTrip(ctx, UpstreamRequest{
+			Head: []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"), Streamed: atOnce,
+			OnResponseStart: func(r protocol.UpstreamResponse) { begun = true; take(r) },
 		})
 		if !begun && r.Flow != nil {
 			take(r)
@@ -146,9 +146,9 @@
 		require.LessOrEqual(t, len(taken), longest)
 		if reuse {
 			taken, end, leaves = nil, nil, 60000
-			r, _, err = u.Exchange(ctx, Step{Head: []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n")})
+			r, _, err = u.RoundTrip(ctx, UpstreamRequest{Head: []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n")})
 			// What came late, after the answer, ended the connection before it was used again.
-			if !errors.Is(err, ErrUnused) {
+			if !errors.Is(err, ErrStaleConnection) {
 				require.NoError(t, err)
 				take(r)
 				require.Equal(t, "second", string(taken))
@@ -170,10 +170,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Cleanup(func() { goleak.VerifyNone(t) })
-			bodies := NewBodies(1<<20, BodyRules{Longest: 1 << 20, Whole: 4000, Stall: time.Second})
+			bodies := NewBodyLimits(1<<20, BodyRules{MaxBytes: 1 << 20, BufferedBytes: 4000, ClientStall: time.Second})
 			ours, server := socketPair(t)
 			t.Cleanup(func() { _ = server.Close() })
-			u, err := newUpstream(ours, "s-0", bodies, func() {}, func(*Upstream) {})
+			u, err := newUpstream(ours, "s-0", bodies, func() {}, func(*UpstreamConn) {})
 			require.NoError(t, err)
 			go func() { // answers once the first byte is there, and goes when the answer is read
 				_, _ = io.ReadFull(server, make([]byte, 1))
@@ -184,10 +184,10 @@
 				_ = server.Close()
 			}()
 			// More than the sockets hold, of which the server reads nothing.
-			_, _, err = u.Exchange(t.Context(), Step{Head: make([]byte, 8<<20), Begun: func(protocol.Reply) {
+			_, _, err = u.RoundTrip(t.Context(), UpstreamRequest{Head: make([]byte, 8<<20), OnResponseStart: func(protocol.UpstreamResponse) {
 				require.Fail(t, "begun")
 			}})
-			require.ErrorIs(t, err, ErrUnwritten)
+			require.ErrorIs(t, err, ErrNotWritten)
 			require.Eventually(t, func() bool { return bodies.Memory.Used() == 0 }, 10*time.Second, time.Millisecond)
 		})
 	}
@@ -198,17 +198,17 @@
 func TestClientLeavesWithTheLastBytes(t *testing.T) {
 	body := strings.Repeat("0123456789", 1000)
 	head := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(body))
-	bodies := NewBodies(1<<20, BodyRules{Longest: 1 << 20, Whole: 4000, Stall: time.Second})
+	bodies := NewBodyLimits(1<<20, BodyRules{MaxBytes: 1 << 20, BufferedBytes: 4000, ClientStall: time.Second})
 	for i := range 300 {
 		ours, server := socketPair(t)
-		u, err := newUpstream(ours, "s-0", bodies, func() {}, func(*Upstream) {})
+		u, err := newUpstream(ours, "s-0", bodies, func() {}, func(*UpstreamConn) {})
 		require.NoError(t, err)
 		go func() {
 			in := bufio.NewReader(server)
 			_, _ = http.ReadRequest(in)
 			_, _ = io.WriteString(server, head+body[:9990])
 		}()
-		step := Step{Head: []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"), Begun: func(r protocol.Reply) {
+		step := UpstreamRequest{Head: []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"), OnResponseStart: func(r protocol.UpstreamResponse) {
 			for r.Flow.Progress().Came < 9990 {
 				runtime.Gosched()
 			}
@@ -219,7 +219,7 @@
 			}
 			r.Flow.Close() // the client leaves
 		}}
-		_, reuse, err := u.Exchange(t.Context(), step)
+		_, reuse, err := u.RoundTrip(t.Context(), step)
 		if reuse {
 			require.NoError(t, err)
 			time.Sleep(time.Millisecond)
@@ -233,13 +233,13 @@
 
 // An answer may begin and end before it is told that its route step was written whole: both are still to be had.
 func TestAnswerBeforeItsStepIsKnownToBeWritten(t *testing.T) {
-	u := &Upstream{replies: make(chan reply, 1)}
+	u := &UpstreamConn{replies: make(chan reply, 1)}
 	u.replies <- reply{} // its end
 	wrote := make(chan error, 1)
 	wrote <- nil
 	ended := make(chan bool, 1)
 	go func() {
-		first, whole := u.early(&Step{}, reply{begun: true}, wrote)
+		first, whole := u.early(&UpstreamRequest{}, reply{begun: true}, wrote)
 		ended <- whole && first.begun && !(<-u.replies).begun
 	}()
 	select {
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -41,7 +41,7 @@
 func quoted(s string) string { return string(AppendString(nil, s)) }
 
 // encoded is the item that a message was decoded from, by what was read.
-func encoded(m *Msg) string {
+func encoded(m *Message) string {
 	var f fields
 	f.add("kind", quoted(m.Kind))
 	if m.Agent != "" {
@@ -50,7 +50,7 @@
 	switch m.Kind {
 	case "REQUEST":
 		f.add("call", m.ID)
-		f.add("weightHint", m.Work)
+		f.add("weightHint", m.WorkHint)
 		f.add("subject", quoted(m.Key))
 		if m.Tenant == "" {
 			f.add("org", 0)
@@ -58,8 +58,8 @@
 			f.add("org", quoted(m.Tenant))
 		}
 		f.add("class", quoted(m.Class))
-		f.add("budget", m.Budget)
-		f.add("isRetry", m.Retry)
+		f.add("budget", m.ClientTimeout)
+		f.add("isRetry", m.ClientRetry)
 	case "DONE", "CHECKED":
 		if m.Kind == "DONE" {
 			f.add("call", m.ID)
@@ -71,8 +71,8 @@
 		if m.Kind == "DONE" {
 			f.add("complete", m.Complete)
 		}
-		if m.HasLoad {
-			f.add("stats", encodedLoad(m.Load))
+		if m.HasLoadReport {
+			f.add("stats", encodedLoad(m.LoadReport))
 		}
 	case "STREAMING":
 		f.add("call", m.ID)
@@ -86,23 +86,23 @@
 		f.add("tag", m.Tag)
 	case "SYNC":
 		f.add("mode", quoted(m.Mode))
-		f.add("sheet", m.Sheet)
+		f.add("sheet", m.List)
 	case "POOL":
-		f.add("sheet", m.Sheet)
-		f.add("members", encodedServers(m.Members))
+		f.add("sheet", m.List)
+		f.add("members", encodedServers(m.Servers))
 	case "NEW_INSTANCE":
 		f.add("prng", m.Seed)
-		f.add("env", string(m.Env))
+		f.add("env", string(m.Settings))
 	}
 	return f.String()
 }
 
-func encodedLoad(l decide.Load) string {
+func encodedLoad(l decide.LoadReport) string {
 	var f fields
 	for _, x := range []struct {
 		name  string
 		value float64
-	}{{"rif", l.InFlight}, {"lat_ms", l.Latency * 1e3}, {"rate", l.Rate}, {"fail_rate", l.Errors}} {
+	}{{"rif", l.InFlight}, {"lat_ms", l.Latency * 1e3}, {"rate", l.Rate}, {"fail_rate", l.ErrorRatio}} {
 		if x.value >= 0 {
 			f.add(x.name, x.value)
 		}
@@ -116,11 +116,11 @@
 		var f fields
 		f.add("backend", quoted(s.ID))
 		f.add("campus", quoted(s.Zone))
-		f.add("machine", quoted(s.Kind))
+		f.add("machine", quoted(s.MachineKind))
 		f.add("cohort", s.Cell)
 		f.add("availability", quoted(availabilities[s.State]))
 		f.add("heft", s.Weight)
-		f.add("startedAt", s.Started.Microseconds())
+		f.add("startedAt", s.StartedAt.Microseconds())
 		all = append(all, f.String())
 	}
 	return "[" + strings.Join(all, ",") + "]"
@@ -134,14 +134,14 @@
 	kinds := map[string]bool{}
 	for lines.Scan() {
 		var items []string
-		now, err := decoder.Batch(lines.Bytes(), func(_ time.Duration, m *Msg) error {
+		now, err := decoder.DecodeBatch(lines.Bytes(), func(_ time.Duration, m *Message) error {
 			kinds[m.Kind] = true
 			items = append(items, encoded(m))
 			if m.Outcome != "" {
-				require.Equal(t, m.Outcome, dispositions[Outcome(m.Outcome)])
+				require.Equal(t, m.Outcome, dispositions[ParseOutcome(m.Outcome)])
 			}
 			if m.Mode != "" {
-				kind, err := SyncKind(m.Mode)
+				kind, err := ParseUpdateKind(m.Mode)
 				require.NoError(t, err)
 				require.Equal(t, m.Mode, modes[kind])
 			}
@@ -162,13 +162,13 @@
 		{Kind: decide.Send, ID: 1, Server: "backend_abuevth", After: 80 * time.Millisecond},
 		{Kind: decide.Send, ID: math.MaxUint32, Server: "a\"b\\c\td", After: time.Hour},
 		{Kind: decide.Fail, ID: 2},
-		{Kind: decide.Refuse, ID: 3},
-		{Kind: decide.Refuse, ID: 4, After: 1500 * time.Microsecond},
-		{Kind: decide.Refuse, ID: 5, OverShare: true},
+		{Kind: decide.Reject, ID: 3},
+		{Kind: decide.Reject, ID: 4, After: 1500 * time.Microsecond},
+		{Kind: decide.Reject, ID: 5, OverQuota: true},
 		{Kind: decide.Cancel, ID: 6, Attempt: 1},
 		{Kind: decide.Probe, Server: "s1"},
-		{Kind: decide.Tell, Peer: 3, Data: []byte{'q', 1, 2, 3, 4, 5}},
-		{Kind: decide.Tell, Peer: 0},
+		{Kind: decide.SendToPeer, Peer: 3, Data: []byte{'q', 1, 2, 3, 4, 5}},
+		{Kind: decide.SendToPeer, Peer: 0},
 		{Kind: decide.SetTimer, After: time.Second, Tag: math.MaxUint64},
 		{Kind: decide.Subscribe},
 		{Kind: decide.Fetch},
@@ -176,7 +176,7 @@
 	} {
 		made.Write(append(AppendAction(nil, "agent-3", &a), '\n'))
 	}
-	made.Write(append(AppendFault(nil, "agent-3", "no request classes"), '\n'))
+	made.Write(append(AppendFatal(nil, "agent-3", "no request classes"), '\n'))
 	path := filepath.Join("testdata", "golden", "actions.txt")
 	if *updateGolden {
 		require.NoError(t, os.WriteFile(path, made.Bytes(), 0o644))
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -13,57 +13,57 @@
 	"dunestep/decide"
 )
 
-// Msg is one decoded item; which fields are set depends on Kind.
-type Msg struct {
-	Kind     string
-	Agent    string
-	ID       uint32
-	Work     int64
-	Key      string
-	Tenant   string
-	Class    string
-	Budget   int64
-	Retry    bool
-	Attempt  int
-	Server   string
-	Outcome  string
-	Latency  int64
-	Complete bool
-	Load     decide.Load
-	HasLoad  bool
-	From     int
-	Data     []byte
-	Tag      uint64
-	Mode     string
-	Sheet    int
-	Members  []decide.Server
-	Seed     uint64
-	Env      []byte
+// Message is one decoded item; which fields are set depends on Kind.
+type Message struct {
+	Kind          string
+	Agent         string
+	ID            uint32
+	WorkHint      int64
+	Key           string
+	Tenant        string
+	Class         string
+	ClientTimeout int64
+	ClientRetry   bool
+	Attempt       int
+	Server        string
+	Outcome       string
+	Latency       int64
+	Complete      bool
+	LoadReport    decide.LoadReport
+	HasLoadReport bool
+	From          int
+	Data          []byte
+	Tag           uint64
+	Mode          string
+	List          int
+	Servers       []decide.Server
+	Seed          uint64
+	Settings      []byte
 }
 
 // Decoder reads batches; the strings it repeats are kept once.
-type Decoder struct{ names map[string]string }
+type Decoder struct{ interned map[string]string }
 
 // NewDecoder returns an empty Decoder.
-func NewDecoder() *Decoder { return &Decoder{names: map[string]string{}} }
+func NewDecoder() *Decoder { return &Decoder{interned: map[string]string{}} }
 
-func (d *Decoder) name(l *jlexer.Lexer) string {
+func (d *Decoder) intern(l *jlexer.Lexer) string {
 	b := l.UnsafeBytes()
-	if s, ok := d.names[string(b)]; ok {
+	if s, ok := d.interned[string(b)]; ok {
 		return s
 	}
 	s := string(b)
-	if len(d.names) < 1<<16 {
-		d.names[s] = s
+	if len(d.interned) < 1<<16 {
+		d.interned[s] = s
 	}
 	return s
 }
 
-// Batch decodes a line and calls f for each item in order. The message is reused between calls.
-func (d *Decoder) Batch(line []byte, f func(now time.Duration, m *Msg) error) (time.Duration, error) {
+// DecodeBatch decodes a line and calls f for each item in order. The message is reused between calls.
+func (d *Decoder) DecodeBatch(line []byte, f func(now time.Duration, m *Message) error) (time.Duration, error) {
 	l := &jlexer.Lexer{Data: line}
 	var now int64
-	var m Msg
+	var m Message
 	seenTime, seenItems := false, false
 	l.Delim('{')
 	for !l.IsDelim('}') {
@@ -79,8 +79,8 @@
 			seenItems = true
 			l.Delim('[')
 			for !l.IsDelim(']') {
-				m = Msg{}
-				d.item(l, &m)
+				m = Message{}
+				d.decodeMessage(l, &m)
 				if err := l.Error(); err != nil {
 					return 0, err
 				}
@@ -106,7 +106,7 @@
 	return time.Duration(now) * time.Microsecond, nil
 }
 
-func (d *Decoder) item(l *jlexer.Lexer, m *Msg) {
+func (d *Decoder) decodeMessage(l *jlexer.Lexer, m *Message) {
 	l.Delim('{')
 	for !l.IsDelim('}') {
 		key := l.UnsafeFieldName(false)
@@ -118,52 +118,52 @@
 		}
 		switch key {
 		case "kind":
-			m.Kind = d.name(l)
+			m.Kind = d.intern(l)
 		case "agentId":
-			m.Agent = d.name(l)
+			m.Agent = d.intern(l)
 		case "call":
 			m.ID = l.Uint32()
 		case "weightHint":
-			m.Work = l.Int64()
+			m.WorkHint = l.Int64()
 		case "subject":
-			m.Key = d.name(l)
+			m.Key = d.intern(l)
 		case "org":
-			m.Tenant = d.scalar(l)
+			m.Tenant = d.optionalName(l)
 		case "class":
-			m.Class = d.name(l)
+			m.Class = d.intern(l)
 		case "budget":
-			m.Budget = l.Int64()
+			m.ClientTimeout = l.Int64()
 		case "isRetry":
-			m.Retry = l.Bool()
+			m.ClientRetry = l.Bool()
 		case "go":
 			m.Attempt = l.Int()
 		case "backend":
-			m.Server = d.name(l)
+			m.Server = d.intern(l)
 		case "disposition":
-			m.Outcome = d.name(l)
+			m.Outcome = d.intern(l)
 		case "latency":
 			m.Latency = l.Int64()
 		case "complete":
 			m.Complete = l.Bool()
 		case "stats":
-			m.HasLoad = true
-			m.Load = load(l)
+			m.HasLoadReport = true
+			m.LoadReport = decodeLoadReport(l)
 		case "by":
 			m.From = l.Int()
 		case "body":
-			m.Data, _ = hex.DecodeString(d.name(l))
+			m.Data, _ = hex.DecodeString(d.intern(l))
 		case "tag":
 			m.Tag = l.Uint64()
 		case "mode":
-			m.Mode = d.name(l)
+			m.Mode = d.intern(l)
 		case "sheet":
-			m.Sheet = l.Int()
+			m.List = l.Int()
 		case "members":
-			m.Members = d.members(l)
+			m.Servers = d.decodeServers(l)
 		case "prng":
 			m.Seed = l.Uint64()
 		case "env":
-			m.Env = l.Raw()
+			m.Settings = l.Raw()
 		default:
 			l.SkipRecursive()
 		}
@@ -173,17 +173,17 @@
 }
 
 // scalar reads a name that may also come as the number 0, which means none.
-func (d *Decoder) scalar(l *jlexer.Lexer) string {
+func (d *Decoder) optionalName(l *jlexer.Lexer) string {
 	raw := l.Raw()
 	if len(raw) >= 2 && raw[0] == '"' {
 		sub := jlexer.Lexer{Data: raw}
-		return d.name(&sub)
+		return d.intern(&sub)
 	}
 	return ""
 }
 
-func load(l *jlexer.Lexer) decide.Load {
-	out := decide.Load{InFlight: -1, Latency: -1, Rate: -1, Errors: -1}
+func decodeLoadReport(l *jlexer.Lexer) decide.LoadReport {
+	out := decide.LoadReport{InFlight: -1, Latency: -1, Rate: -1, ErrorRatio: -1}
 	l.Delim('{')
 	for !l.IsDelim('}') {
 		key := l.UnsafeFieldName(false)
@@ -196,7 +196,7 @@
 		case "rate":
 			out.Rate = l.Float64()
 		case "fail_rate":
-			out.Errors = l.Float64()
+			out.ErrorRatio = l.Float64()
 		default:
 			l.SkipRecursive()
 		}
@@ -206,7 +206,7 @@
 	return out
 }
 
-func (d *Decoder) members(l *jlexer.Lexer) []decide.Server {
+func (d *Decoder) decodeServers(l *jlexer.Lexer) []decide.Server {
 	out := []decide.Server{}
 	l.Delim('[')
 	for !l.IsDelim(']') {
@@ -222,15 +222,15 @@
 			}
 			switch key {
 			case "backend":
-				s.ID = d.name(l)
+				s.ID = d.intern(l)
 			case "campus":
-				s.Zone = d.name(l)
+				s.Zone = d.intern(l)
 			case "machine":
-				s.Kind = d.name(l)
+				s.MachineKind = d.intern(l)
 			case "cohort":
 				s.Cell = l.Int()
 			case "availability":
-				switch d.name(l) {
+				switch d.intern(l) {
 				case "terminating":
 					s.State = decide.Draining
 				case "terminated":
@@ -239,7 +239,7 @@
 			case "heft":
 				s.Weight = l.Float64()
 			case "startedAt":
-				s.Started = Micros(l.Int64())
+				s.StartedAt = Micros(l.Int64())
 			default:
 				l.SkipRecursive()
 			}
@@ -256,28 +256,28 @@
 // Micros is the wire's unit of time.
 func Micros(v int64) time.Duration { return time.Duration(v) * time.Microsecond }
 
-var outcomes = map[string]decide.Outcome{
-	"served": decide.Served, "server_error": decide.ServerError, "turned_away": decide.TurnedAway,
-	"no_answer": decide.NoAnswer, "no_connection": decide.NoConnection,
-	"connection_lost": decide.ConnectionLost, "called_off": decide.CalledOff, "not_sent": decide.NotSent,
+var outcomesByName = map[string]decide.Outcome{
+	"served": decide.Served, "server_error": decide.ServerError, "turned_away": decide.Rejected,
+	"no_answer": decide.TimedOut, "no_connection": decide.ConnectFailed,
+	"connection_lost": decide.ConnectionLost, "called_off": decide.Canceled, "not_sent": decide.NotSent,
 }
 
-var syncKinds = map[string]decide.SyncKind{
-	"INCREMENTAL": decide.SyncChange, "FULL": decide.SyncFull,
-	"SAVED": decide.SyncSaved, "FAILED": decide.SyncFailed,
+var updateKindsByName = map[string]decide.UpdateKind{
+	"INCREMENTAL": decide.UpdateIncremental, "FULL": decide.UpdateFull,
+	"SAVED": decide.UpdateCached, "FAILED": decide.UpdateFailed,
 }
 
-// Outcome maps a disposition; an unknown one counts as an error that may have run.
-func Outcome(s string) decide.Outcome {
-	if o, ok := outcomes[s]; ok {
+// ParseOutcome maps a disposition; an unknown one counts as an error that may have run.
+func ParseOutcome(s string) decide.Outcome {
+	if o, ok := outcomesByName[s]; ok {
 		return o
 	}
 	return decide.ServerError
 }
 
-// SyncKind maps a SYNC's mode.
-func SyncKind(s string) (decide.SyncKind, error) {
-	k, ok := syncKinds[s]
+// ParseUpdateKind maps a SYNC's mode.
+func ParseUpdateKind(s string) (decide.UpdateKind, error) {
+	k, ok := updateKindsByName[s]
 	if !ok {
 		return 0, fmt.Errorf("unknown SYNC mode %q", s)
 	}
@@ -292,13 +292,13 @@
 		kind = "HAND_OFF"
 	case decide.Fail:
 		kind = "GIVE_UP"
-	case decide.Refuse:
+	case decide.Reject:
 		kind = "REFUSE"
 	case decide.Cancel:
 		kind = "REVOKE"
 	case decide.Probe:
 		kind = "CHECK"
-	case decide.Tell:
+	case decide.SendToPeer:
 		kind = "NOTIFY"
 	case decide.SetTimer:
 		kind = "SET_TIMER"
@@ -320,7 +320,7 @@
 		b = strconv.AppendInt(b, v, 10)
 	}
 	switch a.Kind {
-	case decide.Send, decide.Fail, decide.Refuse, decide.Cancel:
+	case decide.Send, decide.Fail, decide.Reject, decide.Cancel:
 		num("call", int64(a.ID))
 	}
 	switch a.Kind {
@@ -328,7 +328,7 @@
 		b = append(b, `,"backend":`...)
 		b = AppendString(b, a.Server)
 		num("limit", a.After.Microseconds())
-	case decide.Refuse:
+	case decide.Reject:
 		if a.After > 0 {
 			num("stayAway", a.After.Microseconds())
 		}
@@ -337,7 +337,7 @@
 	case decide.Probe:
 		b = append(b, `,"backend":`...)
 		b = AppendString(b, a.Server)
-	case decide.Tell:
+	case decide.SendToPeer:
 		num("dest", int64(a.Peer))
 		b = append(b, `,"body":"`...)
 		b = hex.AppendEncode(b, a.Data)
@@ -355,8 +355,8 @@
 	return append(b, '}')
 }
 
-// AppendFault writes the message that the decision code has broken.
-func AppendFault(b []byte, agent, text string) []byte {
+// AppendFatal writes the message that the decision code has broken.
+func AppendFatal(b []byte, agent, text string) []byte {
 	b = append(b, `{"kind":"FATAL","agentId":`...)
 	b = AppendString(b, agent)
 	b = append(b, `,"reasonText":`...)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -18,15 +18,15 @@
 			`{"kind":"HAND_OFF","agentId":"agent-1","call":4294967295,"backend":"s\"1","limit":1000000}`,
 		},
 		{decide.Action{Kind: decide.Fail, ID: 2}, `{"kind":"GIVE_UP","agentId":"agent-1","call":2}`},
-		{decide.Action{Kind: decide.Refuse, ID: 2}, `{"kind":"REFUSE","agentId":"agent-1","call":2}`},
+		{decide.Action{Kind: decide.Reject, ID: 2}, `{"kind":"REFUSE","agentId":"agent-1","call":2}`},
 		{
-			decide.Action{Kind: decide.Refuse, ID: 2, After: time.Millisecond},
+			decide.Action{Kind: decide.Reject, ID: 2, After: time.Millisecond},
 			`{"kind":"REFUSE","agentId":"agent-1","call":2,"stayAway":1000}`,
 		},
 		{decide.Action{Kind: decide.Cancel, ID: 2, Attempt: 1}, `{"kind":"REVOKE","agentId":"agent-1","call":2,"go":1}`},
 		{decide.Action{Kind: decide.Probe, Server: "s"}, `{"kind":"CHECK","agentId":"agent-1","backend":"s"}`},
 		{
-			decide.Action{Kind: decide.Tell, Peer: -1, Data: []byte{0, 255}},
+			decide.Action{Kind: decide.SendToPeer, Peer: -1, Data: []byte{0, 255}},
 			`{"kind":"NOTIFY","agentId":"agent-1","dest":-1,"body":"00ff"}`,
 		},
 		{
@@ -48,16 +48,16 @@
 	line := `{"time":12,"items":[{"kind":"DONE","agentId":"agent-2","call":9,"go":2,"backend":"b","disposition":"served",` +
 		`"latency":77,"complete":true,"stats":{"rif":2,"lat_ms":5.5,"zzz":{}}},{"kind":"REQUEST","org":"t","isRetry":true,` +
 		`"subject":null,"weightHint":12},{"kind":"NEIGHBOUR_SAYS","by":3,"body":"6869"}]}`
-	var got []Msg
-	now, err := NewDecoder().Batch([]byte(line), func(_ time.Duration, m *Msg) error { got = append(got, *m); return nil })
+	var got []Message
+	now, err := NewDecoder().DecodeBatch([]byte(line), func(_ time.Duration, m *Message) error { got = append(got, *m); return nil })
 	if err != nil || now != 12*time.Microsecond || len(got) != 3 {
 		t.Fatalf("%v %v %d", now, err, len(got))
 	}
-	if m := got[0]; m.ID != 9 || m.Attempt != 2 || !m.Complete || !m.HasLoad || m.Load.InFlight != 2 ||
-		m.Load.Latency != 0.0055 || m.Load.Rate != -1 {
+	if m := got[0]; m.ID != 9 || m.Attempt != 2 || !m.Complete || !m.HasLoadReport || m.LoadReport.InFlight != 2 ||
+		m.LoadReport.Latency != 0.0055 || m.LoadReport.Rate != -1 {
 		t.Errorf("%+v", m)
 	}
-	if m := got[1]; m.Tenant != "t" || !m.Retry || m.Key != "" || m.Work != 12 || m.Complete {
+	if m := got[1]; m.Tenant != "t" || !m.ClientRetry || m.Key != "" || m.WorkHint != 12 || m.Complete {
 		t.Errorf("%+v", m)
 	}
 	if m := got[2]; m.From != 3 || string(m.Data) != "hi" {
--- a/placement/agent.go
+++ b/placement/agent.go
@@ -7,73 +7,73 @@
 	"dunestep/fleet/lease"
 )
 
-// StandFor is for how long an agent without a lease stands still on the generation that it has. After that it
+// StandstillLimit is for how long an agent without a lease stands still on the generation that it has. After that it
 // places by its own list, as without generations: what it has may name few of the servers that are left.
-const StandFor = 15 * time.Minute
+const StandstillLimit = 15 * time.Minute
 
 // Agent is what each agent has: by which generation it places at a moment.
 type Agent struct {
-	now, coming *taken
-	has         Mark // that was learnt last
-	held        bool // it has held a lease
-	lastly      lease.Reading
+	current, coming *usedGeneration
+	applied         Mark // that was learnt last
+	hadLease        bool // it has held a lease
+	lastLeased      lease.ClockReading
 }
 
 // taken is a generation as it is used.
-type taken struct {
-	by     time.Duration
-	placed *decide.Placed // nil: as without generations
+type usedGeneration struct {
+	effectiveAt time.Duration
+	assignment  *decide.RingAssignment // nil: as without generations
 }
 
 // NewAgent returns an Agent that knows nothing yet. A log that began anew needs a new one.
-func NewAgent() *Agent { return &Agent{now: &taken{}} }
+func NewAgent() *Agent { return &Agent{current: &usedGeneration{}} }
 
 // Learn takes what the log says now: after records were applied, and after a snapshot. One that has missed
 // generations, or had none, takes up what it learns at once: what it has may be too old to go by any longer.
-func (a *Agent) Learn(m *Machine) {
-	st := &m.st
-	if st.Number == a.has.Number {
+func (a *Agent) Learn(m *StateMachine) {
+	st := &m.state
+	if st.Number == a.applied.Number {
 		return
 	}
-	next := &taken{by: st.By, placed: placed(st)}
+	next := &usedGeneration{effectiveAt: st.EffectiveAt, assignment: newAssignment(st)}
 	if a.coming != nil {
-		a.now = a.coming
+		a.current = a.coming
 	}
-	if a.coming = next; st.Number != a.has.Number+1 || a.has.Number == 0 && !a.held {
-		a.now, a.coming = next, nil
+	if a.coming = next; st.Number != a.applied.Number+1 || a.applied.Number == 0 && !a.hadLease {
+		a.current, a.coming = next, nil
 	}
-	a.has = st.mark()
+	a.applied = st.mark()
 }
 
-// Has is the generation that was learnt last, to be told to voters.
-func (a *Agent) Has() Mark { return a.has }
+// Applied is the generation that was learnt last, to be told to voters.
+func (a *Agent) Applied() Mark { return a.applied }
 
-func placed(st *State) *decide.Placed {
-	if st.Off || st.Number == 0 {
+func newAssignment(st *State) *decide.RingAssignment {
+	if st.Suspended || st.Number == 0 {
 		return nil
 	}
-	p := &decide.Placed{Number: st.Number, Points: map[string]int{}}
-	for i := range st.Nodes {
-		if n := st.Nodes[i].OnRing(); n > 0 {
-			p.Points[st.Nodes[i].ID] = n
+	p := &decide.RingAssignment{Generation: st.Number, Points: map[string]int{}}
+	for i := range st.Members {
+		if n := st.Members[i].OnRing(); n > 0 {
+			p.Points[st.Members[i].ID] = n
 		}
 	}
 	return p
 }
 
-// Placed is the generation to place by; nil: none, as without. Now is read for this decision, and the
+// Assignment is the generation to place by; nil: none, as without. Now is read for this decision, and the
 // standing by it. It is the same pointer while nothing changes. Without a lease the generation stands still.
-func (a *Agent) Placed(now lease.Reading, standing lease.Standing) *decide.Placed {
+func (a *Agent) Assignment(now lease.ClockReading, standing lease.Standing) *decide.RingAssignment {
 	switch {
 	case standing == lease.New:
 		return nil
 	case standing == lease.Full:
-		a.held, a.lastly = true, now
-	case !a.held || now.Since(a.lastly) >= StandFor:
+		a.hadLease, a.lastLeased = true, now
+	case !a.hadLease || now.Since(a.lastLeased) >= StandstillLimit:
 		return nil
 	}
-	if a.coming != nil && now.Unix >= a.coming.by {
-		a.now, a.coming = a.coming, nil
+	if a.coming != nil && now.Unix >= a.coming.effectiveAt {
+		a.current, a.coming = a.coming, nil
 	}
-	return a.now.placed
+	return a.current.assignment
 }
--- a/placement/example_test.go
+++ b/placement/example_test.go
@@ -10,28 +10,28 @@
 
 // A leader sees two servers, proposes the first generation, and an agent takes it up at its time.
 func Example() {
-	clock := lease.Reading{Unix: 1_000 * time.Hour}
-	later := func(d time.Duration) lease.Reading {
+	clock := lease.ClockReading{Unix: 1_000 * time.Hour}
+	later := func(d time.Duration) lease.ClockReading {
 		clock.Unix, clock.Mono = clock.Unix+d, clock.Mono+d
 		return clock
 	}
-	machine, agent := placement.NewMachine(), placement.NewAgent()
-	council := placement.NewCouncil(placement.Figures{}, clock)
-	agent.Placed(clock, lease.Full)
+	machine, agent := placement.NewStateMachine(), placement.NewAgent()
+	council := placement.NewProposer(placement.Parameters{}, clock)
+	agent.Assignment(clock, lease.Full)
 
 	now := later(6 * time.Second)
-	council.See(now, placement.View{Now: now.Unix, Servers: []placement.Seen{
+	council.SetView(now, placement.View{Now: now.Unix, Servers: []placement.Server{
 		{ID: "s-1", Ready: true, Capacity: 1.8}, {ID: "s-2", Ready: true, Capacity: 0.9},
 	}})
 	council.Due(now)
 	records, _ := council.Due(later(time.Second))
 	machine.Apply(1, records[0])
 	agent.Learn(machine)
-	fmt.Println("before:", agent.Placed(clock, lease.Full))
-	p := agent.Placed(later(time.Second), lease.Full)
-	fmt.Println("at its time:", p.Number, p.Points)
-	for _, n := range machine.State().Nodes {
-		fmt.Println(n.ID, n.Phase, "on the way from", n.Points, "to", n.Full)
+	fmt.Println("before:", agent.Assignment(clock, lease.Full))
+	p := agent.Assignment(later(time.Second), lease.Full)
+	fmt.Println("at its time:", p.Generation, p.Points)
+	for _, n := range machine.State().Members {
+		fmt.Println(n.ID, n.Phase, "on the way from", n.Points, "to", n.FullPoints)
 	}
 	// Output:
 	// before: <nil>
--- a/placement/golden_test.go
+++ b/placement/golden_test.go
@@ -50,13 +50,13 @@
 
 const goldenNow = 1800000000 * time.Second // Unix time
 
-func goldenNodes() []Node {
-	return []Node{
-		{ID: "a-1", Phase: Whole, Points: 200},
-		{ID: "a-2", Phase: Expected, Full: 200, Since: 1799999990},
-		{ID: "b-1", Phase: Joining, Points: 40, Full: 360, Since: 1799999991, Penalty: 100},
-		{ID: "b-2", Phase: Suspect, Points: 200, Full: 180, Since: 1799999992, Penalty: 150},
-		{ID: "c-1", Phase: Away, Full: 200, Since: 1799999993, Penalty: 20},
+func goldenNodes() []Member {
+	return []Member{
+		{ID: "a-1", Phase: Complete, Points: 200},
+		{ID: "a-2", Phase: Expected, FullPoints: 200, Since: 1799999990},
+		{ID: "b-1", Phase: Joining, Points: 40, FullPoints: 360, Since: 1799999991, Penalty: 100},
+		{ID: "b-2", Phase: Suspect, Points: 200, FullPoints: 180, Since: 1799999992, Penalty: 150},
+		{ID: "c-1", Phase: Away, FullPoints: 200, Since: 1799999993, Penalty: 20},
 		{ID: "c-2", Phase: Gone, Since: 1799999994, Penalty: 2000},
 	}
 }
@@ -68,18 +68,18 @@
 		Change
 	}{
 		{"full", Change{
-			Base: 3, Now: goldenNow, By: goldenNow + 500*time.Millisecond, Nodes: goldenNodes(),
-			Drop: []string{"d-1", "d-2"}, Owed: 80, Lost: 1799999992,
-			Paces: []Pace{{Kind: "lent", Per: 90}, {Kind: "own", Per: 110}},
+			Base: 3, Now: goldenNow, EffectiveAt: goldenNow + 500*time.Millisecond, Members: goldenNodes(),
+			Forgotten: []string{"d-1", "d-2"}, OwedPoints: 80, LostAt: 1799999992,
+			Paces: []Pace{{Kind: "lent", Percent: 90}, {Kind: "own", Percent: 110}},
 		}},
-		{"off", Change{Base: 4, Now: goldenNow, By: goldenNow + 500*time.Millisecond, Off: true}},
+		{"off", Change{Base: 4, Now: goldenNow, EffectiveAt: goldenNow + 500*time.Millisecond, Suspend: true}},
 	}
 	var forms []goldenForm
 	for _, c := range changes {
 		with := c.Change
-		with.Moves, with.Hurry = true, true // no part of the record
-		require.Equal(t, c.Record(), with.Record())
-		forms = append(forms, goldenForm{c.name, c.Record()})
+		with.MovesKeys, with.Urgent = true, true // no part of the record
+		require.Equal(t, c.Encode(), with.Encode())
+		forms = append(forms, goldenForm{c.name, c.Encode()})
 	}
 	stored := requireGolden(t, "records.txt", forms)
 	for _, c := range changes {
@@ -92,27 +92,27 @@
 // TestGoldenSnapshots: the agreed generation in all its parts.
 func TestGoldenSnapshots(t *testing.T) {
 	full := State{
-		Number: 4, By: goldenNow, Off: true, Nodes: goldenNodes(), Owed: 80, Lost: 1799999992,
-		Paces: []Pace{{Kind: "lent", Per: 90}}, Paced: 1799990000,
+		Number: 4, EffectiveAt: goldenNow, Suspended: true, Members: goldenNodes(), OwedPoints: 80, LostAt: 1799999992,
+		Paces: []Pace{{Kind: "lent", Percent: 90}}, PacesChangedAt: 1799990000,
 	}
-	applied := NewMachine()
+	applied := NewStateMachine()
 	for _, c := range []Change{
-		{Now: goldenNow - time.Minute, By: goldenNow - time.Minute, Nodes: append(goldenNodes(), Node{ID: "d-1", Points: 9})},
+		{Now: goldenNow - time.Minute, EffectiveAt: goldenNow - time.Minute, Members: append(goldenNodes(), Member{ID: "d-1", Points: 9})},
 		{
-			Base: 1, Now: goldenNow, By: goldenNow + time.Second, Drop: []string{"d-1"}, Owed: 200, Lost: 1800000000,
-			Nodes: []Node{{ID: "a-1", Phase: Suspect, Points: 200, Since: 1800000000, Penalty: 100}},
-			Paces: []Pace{{Kind: "own", Per: 110}},
+			Base: 1, Now: goldenNow, EffectiveAt: goldenNow + time.Second, Forgotten: []string{"d-1"}, OwedPoints: 200, LostAt: 1800000000,
+			Members: []Member{{ID: "a-1", Phase: Suspect, Points: 200, Since: 1800000000, Penalty: 100}},
+			Paces:   []Pace{{Kind: "own", Percent: 110}},
 		},
 	} {
-		applied.Apply(0, c.Record())
+		applied.Apply(0, c.Encode())
 	}
 	stored := requireGolden(t, "snapshots.txt", []goldenForm{
-		{"new", NewMachine().Snapshot()},
-		{"full", (&Machine{st: full}).Snapshot()},
+		{"new", NewStateMachine().Snapshot()},
+		{"full", (&StateMachine{state: full}).Snapshot()},
 		{"applied", applied.Snapshot()},
 	})
 	for name, state := range map[string]State{"new": {}, "full": full, "applied": applied.State()} {
-		m := NewMachine()
+		m := NewStateMachine()
 		require.NoError(t, m.Restore(stored[name]), name)
 		require.Equal(t, state, m.State(), name)
 		require.Equal(t, stored[name], m.Snapshot(), name)
@@ -121,24 +121,24 @@
 
 // TestGoldenMessages: what agents and voters tell each other.
 func TestGoldenMessages(t *testing.T) {
-	mark := Mark{Number: 4, By: goldenNow}
-	word := Word(map[string]float64{"own": 1.1, "lent": 0.9, "strange": -1})
+	mark := Mark{Number: 4, EffectiveAt: goldenNow}
+	word := EncodePaceReport(map[string]float64{"own": 1.1, "lent": 0.9, "strange": -1})
 	stored := requireGolden(t, "messages.txt", []goldenForm{
-		{"mark", mark.Encode(nil)}, {"word", word}, {"word-of-none", Word(nil)},
+		{"mark", mark.Encode(nil)}, {"word", word}, {"word-of-none", EncodePaceReport(nil)},
 	})
 	read, ok := DecodeMark(stored["mark"])
 	require.True(t, ok)
 	require.Equal(t, mark, read)
-	c := NewCouncil(Figures{Paces: true}, lease.Reading{Unix: goldenNow})
-	require.True(t, c.Hear(lease.Reading{Unix: goldenNow}, 1, stored["word"]))
-	require.Equal(t, 1, c.Tell(lease.Reading{Unix: goldenNow}))
+	c := NewProposer(Parameters{UsePaces: true}, lease.ClockReading{Unix: goldenNow})
+	require.True(t, c.PaceReportReceived(lease.ClockReading{Unix: goldenNow}, 1, stored["word"]))
+	require.Equal(t, 1, c.PaceReporters(lease.ClockReading{Unix: goldenNow}))
 }
 
 // TestGoldenNumbersAndWords: numbers that are in what agents share, and words that operators' tools read.
 func TestGoldenNumbersAndWords(t *testing.T) {
-	require.Equal(t, []Phase{0, 1, 2, 3, 5, 6}, []Phase{Whole, Expected, Joining, Suspect, Away, Gone})
+	require.Equal(t, []Phase{0, 1, 2, 3, 5, 6}, []Phase{Complete, Expected, Joining, Suspect, Away, Gone})
 	for phase, word := range map[Phase]string{
-		Whole: "whole", Expected: "expected", Joining: "joining", Suspect: "suspect", Away: "away", Gone: "gone",
+		Complete: "whole", Expected: "expected", Joining: "joining", Suspect: "suspect", Away: "away", Gone: "gone",
 	} {
 		require.Equal(t, word, phase.String())
 	}
--- a/placement/judge/judge.go
+++ b/placement/judge/judge.go
@@ -38,18 +38,18 @@
 	Steady(agent int, server int32, from, to time.Duration) bool
 }
 
-// Breach is a sample that should not have been.
-type Breach struct {
+// Violation is a sample that should not have been.
+type Violation struct {
 	Sample
-	Text string
+	Reason string
 }
 
-func (b Breach) String() string {
-	return fmt.Sprintf("%v: agent %d, generation %d: %s", b.At, b.Agent, b.Number, b.Text)
+func (b Violation) String() string {
+	return fmt.Sprintf("%v: agent %d, generation %d: %s", b.At, b.Agent, b.Number, b.Reason)
 }
 
-// maxBreaches are kept; all are counted.
-const maxBreaches = 20
+// maxViolations are kept; all are counted.
+const maxViolations = 20
 
 // Settings are what is promised.
 type Settings struct {
@@ -61,9 +61,9 @@
 
 // Judge hears of one fleet.
 type Judge struct {
-	// Breaches are the first ones, Count is how many there were.
-	Breaches []Breach
-	Count    int
+	// Violations are the first ones, Count is how many there were.
+	Violations []Violation
+	Count      int
 	// Moved are the parts of all keys that each agent has moved in all, and Needed those of them whose server
 	// was lost.
 	Moved, Needed map[int]float64
@@ -250,7 +250,7 @@
 }
 
 func (j *Judge) breach(s Sample, text string) {
-	if j.Count++; len(j.Breaches) < maxBreaches {
-		j.Breaches = append(j.Breaches, Breach{s, text})
+	if j.Count++; len(j.Violations) < maxViolations {
+		j.Violations = append(j.Violations, Violation{s, text})
 	}
 }
--- a/placement/judge/paces.go
+++ b/placement/judge/paces.go
@@ -8,8 +8,8 @@
 // Paces tells from the outside whether a kind's measured pace enters as promised: from how many keys that
 // kind has for its capacity, against the others.
 type Paces struct {
-	// Breaches are the first ones, Count is how many there were. First and Last are what was heard.
-	Breaches    []string
+	// Violations are the first ones, Count is how many there were. First and Last are what was heard.
+	Violations  []string
 	Count       int
 	First, Last float64
 
@@ -54,7 +54,7 @@
 }
 
 func (p *Paces) breach(format string, args ...any) {
-	if p.Count++; len(p.Breaches) < maxBreaches {
-		p.Breaches = append(p.Breaches, fmt.Sprintf(format, args...))
+	if p.Count++; len(p.Violations) < maxViolations {
+		p.Violations = append(p.Violations, fmt.Sprintf(format, args...))
 	}
 }
--- a/placement/lab/course.go
+++ b/placement/lab/course.go
@@ -138,8 +138,8 @@
 	l := New(Setup{
 		Seed: seed, Agents: agents, Servers: 20, Keys: 1000, Warm: warm, Without: without,
 		Faults: lossy.Faults{
-			Loss: 0.1, Double: 0.1, Least: time.Millisecond, Most: 20 * time.Millisecond,
-			Late: 0.05, LateBy: 3 * time.Second,
+			Loss: 0.1, Duplicate: 0.1, MinDelay: time.Millisecond, MaxDelay: 20 * time.Millisecond,
+			Late: 0.05, Lateness: 3 * time.Second,
 		},
 	})
 	begin := l.Now()
@@ -250,7 +250,7 @@
 		}
 	case 5:
 		t := l.terms
-		l.SetClock(n, time.Duration((2*rng.Float64()-1)*float64(t.Clocks)), 1+(2*rng.Float64()-1)*t.Drift)
+		l.SetClock(n, time.Duration((2*rng.Float64()-1)*float64(t.MaxClockError)), 1+(2*rng.Float64()-1)*t.MaxDrift)
 	case 6:
 		l.restart(n, until)
 	}
@@ -313,8 +313,8 @@
 	if from == to {
 		return
 	}
-	l.Cut(from, to, true)
-	l.At(until, func() { l.Cut(from, to, false) })
+	l.SetCut(from, to, true)
+	l.At(until, func() { l.SetCut(from, to, false) })
 }
 
 // heal has all run and reach each other, and all servers that are listed be ready.
@@ -325,11 +325,11 @@
 			l.Start(n, false)
 		}
 		for i := range l.nodes {
-			l.Cut(n, i, false)
+			l.SetCut(n, i, false)
 		}
 		l.nodes[n].late = min(l.nodes[n].late, mostLate)
 	}
-	l.Faults = lossy.Faults{Loss: 0.01, Least: time.Millisecond, Most: 20 * time.Millisecond}
+	l.Faults = lossy.Faults{Loss: 0.01, MinDelay: time.Millisecond, MaxDelay: 20 * time.Millisecond}
 }
 
 // Settled tells what is not as it should be at the end; empty: all have one generation, in which all servers
@@ -337,7 +337,7 @@
 func (l *Lab) Settled() string {
 	st := l.State()
 	for i, nd := range l.nodes {
-		if p := nd.agent.Placed(l.reading(i), l.standing(nd)); p == nil || p.Number != st.Number {
+		if p := nd.agent.Assignment(l.reading(i), l.standing(nd)); p == nil || p.Generation != st.Number {
 			return fmt.Sprint("agent ", i, " is not on generation ", st.Number)
 		}
 	}
@@ -347,10 +347,10 @@
 			ready[s.name] = true
 		}
 	}
-	for _, n := range st.Nodes {
+	for _, n := range st.Members {
 		switch {
-		case ready[n.ID] && (n.Phase != placement.Whole || n.Full != 0):
-			return fmt.Sprintf("%s is %v with %d points of %d", n.ID, n.Phase, n.Points, n.Full)
+		case ready[n.ID] && (n.Phase != placement.Complete || n.FullPoints != 0):
+			return fmt.Sprintf("%s is %v with %d points of %d", n.ID, n.Phase, n.Points, n.FullPoints)
 		case !ready[n.ID] && n.OnRing() > 0:
 			return fmt.Sprintf("%s is %v with %d points, and is not ready", n.ID, n.Phase, n.Points)
 		}
@@ -365,7 +365,7 @@
 // Fullest is how much the fullest server has of its part by capacity at an agent, over so many keys.
 func (l *Lab) Fullest(agent, keys int) float64 {
 	nd := l.nodes[agent]
-	p := nd.agent.Placed(l.reading(agent), l.standing(nd))
+	p := nd.agent.Assignment(l.reading(agent), l.standing(nd))
 	if l.set.Without == All {
 		p = nil
 	}
--- a/placement/lab/lab.go
+++ b/placement/lab/lab.go
@@ -28,9 +28,9 @@
 	Servers int
 	Keys    int
 	Faults  lossy.Faults
-	Figures placement.Figures // zero: Usual
-	Warm    time.Duration     // how long servers take to be warm; zero: 9 s
-	Without string            // a protection that is taken out: one of Protections, or All
+	Figures placement.Parameters // zero: Usual
+	Warm    time.Duration        // how long servers take to be warm; zero: 9 s
+	Without string               // a protection that is taken out: one of Protections, or All
 }
 
 // All has agents place by their own lists alone, as without generations.
@@ -68,14 +68,14 @@
 
 // Lab is one course.
 type Lab struct {
-	*lossy.World
+	*lossy.Network
 	Judge *judge.Judge
 
 	set      Setup
-	f        placement.Figures
-	terms    lease.Terms        // by which leases are granted, whatever is taken out
-	ref      *placement.Machine // of all that is agreed
-	planned  *window.Machine    // the same
+	f        placement.Parameters
+	terms    lease.Terms             // by which leases are granted, whatever is taken out
+	ref      *placement.StateMachine // of all that is agreed
+	planned  *window.StateMachine    // the same
 	log      []agreed
 	nodes    []*node
 	messages []message
@@ -104,10 +104,10 @@
 	life    int // zero: none runs
 	lives   int
 	known   int // records
-	machine *placement.Machine
+	machine *placement.StateMachine
 	agent   *placement.Agent
-	council *placement.Council // nil: not a voter
-	windows *window.Machine
+	council *placement.Proposer // nil: not a voter
+	windows *window.StateMachine
 	keeps   *window.Agent // off servers in windows
 	paced   paced
 	leases  []granted
@@ -167,31 +167,31 @@
 // New returns a course at its beginning: all run, no generation yet.
 func New(set Setup) *Lab {
 	f := set.Figures
-	f.Cold = set.Cold()
-	judged := f.Usual()
+	f.SlowStart = set.Cold()
+	judged := f.WithDefaults()
 	switch set.Without {
 	case "hold-down":
-		f.Steady, f.Half = time.Nanosecond, time.Nanosecond
+		f.MinReadyTime, f.PenaltyHalfLife = time.Nanosecond, time.Nanosecond
 	case "fence":
-		f.Terms.Length, f.Terms.Heard = 400*time.Millisecond, 100*time.Millisecond
+		f.Terms.Duration, f.Terms.MaxKnowledgeAge = 400*time.Millisecond, 100*time.Millisecond
 	case "bound":
-		f.Rate = 1000
+		f.MaxMoveRate = 1000
 	case "warmth":
-		f.Cold.For = 0
+		f.SlowStart.For = 0
 	case "hysteresis":
-		f.Settle, f.Differs = time.Nanosecond, 0.01
+		f.CapacitySettleTime, f.MinCapacityChange = time.Nanosecond, 0.01
 	}
 	l := &Lab{
-		World: lossy.New(set.Seed, set.Agents, 1e6*time.Second, set.Faults), set: set,
-		speed: 1, f: f.Usual(), terms: judged.Terms,
-		ref: placement.NewMachine(), planned: newWindows(),
+		Network: lossy.NewNetwork(set.Seed, set.Agents, 1e6*time.Second, set.Faults), set: set,
+		speed: 1, f: f.WithDefaults(), terms: judged.Terms,
+		ref: placement.NewStateMachine(), planned: newWindows(),
 	}
 	l.rings = rings{lab: l, owners: map[owning]*judge.Owners{}}
 	l.Judge = judge.New(judge.Settings{
-		Rate: judged.Rate, Burst: judged.Burst, Owed: judged.Owed,
+		Rate: judged.MaxMoveRate, Burst: judged.MaxMoveBurst, Owed: judged.OwedValidity,
 		Slack: 1.2 / math.Sqrt(float64(set.Keys)),
 	}, truth{l})
-	l.Deliver, l.Tick = l.deliver, l.tick
+	l.OnMessage, l.OnTimer = l.deliver, l.tick
 	for i := range set.Servers {
 		s := server{name: name(i), zone: string(rune('a' + i%3)), capacity: 0.9, listed: true, ready: true}
 		if i%9 < 4 {
@@ -214,7 +214,9 @@
 // name is one of which none is the beginning of another, as the points of these would fall together.
 func name(i int) string { return fmt.Sprintf("s-%08x", uint32(i+1)*2654435761) }
 
-func (l *Lab) reading(n int) lease.Reading { return lease.Reading{Unix: l.Unix(n), Mono: l.Mono(n)} }
+func (l *Lab) reading(n int) lease.ClockReading {
+	return lease.ClockReading{Unix: l.UnixTime(n), Mono: l.SteadyTime(n)}
+}
 
 // Stop ends an agent's process.
 func (l *Lab) Stop(n int) {
@@ -228,7 +230,7 @@
 	nd.lives++
 	was := nd.machine
 	windows := nd.windows
-	nd.life, nd.machine, nd.agent = nd.lives, placement.NewMachine(), placement.NewAgent()
+	nd.life, nd.machine, nd.agent = nd.lives, placement.NewStateMachine(), placement.NewAgent()
 	nd.windows, nd.keeps = newWindows(), window.NewAgent(0)
 	nd.leases, nd.held, nd.council = nil, false, nil
 	if !keeps || was == nil {
@@ -239,14 +241,14 @@
 	if n < voters {
 		begin := now
 		if l.set.Without == "begin" {
-			begin = lease.Reading{Unix: now.Unix - time.Minute, Mono: now.Mono - time.Minute}
+			begin = lease.ClockReading{Unix: now.Unix - time.Minute, Mono: now.Mono - time.Minute}
 		}
-		nd.council = placement.NewCouncil(l.f, begin)
-		nd.council.Members(begin, []int{0, 1, 2}, 1)
+		nd.council = placement.NewProposer(l.f, begin)
+		nd.council.SetMembers(begin, []int{0, 1, 2}, 1)
 	}
 	l.hears(nd, len(l.lists)-1)
 	l.learned(nd)
-	l.Wake(n, now.Mono)
+	l.SetTimer(n, now.Mono)
 }
 
 func (l *Lab) send(from, to int, m message) {
@@ -267,22 +269,22 @@
 			l.send(to, from, message{n: nd.known})
 		}
 	case told:
-		nd.council.Told(l.reading(to), from, uint64(m.life), m.mark)
+		nd.council.MarkReceived(l.reading(to), from, uint64(m.life), m.mark)
 		l.send(to, from, message{kind: heard, mark: m.mark})
 	case heard:
-		if m.mark == nd.agent.Has() {
+		if m.mark == nd.agent.Applied() {
 			nd.heard[from] = true
 		}
 	case report:
-		nd.council.Reported(from, m.mark)
+		nd.council.ReportReceived(from, m.mark)
 	case word:
 		l.hearWord(nd, from, m.word)
 	}
 }
 
 // marks has a node tell voters what it has, and a voter the others that all have.
-func (l *Lab) marks(nd *node, now lease.Reading) {
-	has := nd.agent.Has()
+func (l *Lab) marks(nd *node, now lease.ClockReading) {
+	has := nd.agent.Applied()
 	if has != nd.has {
 		nd.has, nd.since, nd.heard = has, now.Mono, [voters]bool{}
 	}
@@ -319,7 +321,7 @@
 }
 
 // restore has a process go on from what its former one had.
-func (nd *node) restore(ring *placement.Machine, windows *window.Machine) {
+func (nd *node) restore(ring *placement.StateMachine, windows *window.StateMachine) {
 	err := errors.Join(nd.machine.Restore(ring.Snapshot()), nd.windows.Restore(windows.Snapshot()))
 	if err != nil {
 		panic(err) // of its own
@@ -327,7 +329,7 @@
 }
 
 // apply has the machine that a record is for apply it.
-func apply(a agreed, seq uint64, ring *placement.Machine, windows *window.Machine) {
+func apply(a agreed, seq uint64, ring *placement.StateMachine, windows *window.StateMachine) {
 	if a.window {
 		windows.Apply(seq, a.data)
 	} else {
@@ -353,31 +355,31 @@
 		l.send(n, l.Rand().IntN(len(l.nodes)), message{n: nd.known, more: true})
 	}
 	if now.Mono >= nd.asks {
-		nd.asks = now.Mono + l.terms.Length/4
+		nd.asks = now.Mono + l.terms.Duration/4
 		l.lease(nd, now)
 	}
 	l.marks(nd, now)
-	if l.f.Paces {
+	if l.f.UsePaces {
 		l.paces(nd, now.Mono)
 	}
 	if nd.council != nil {
 		l.council(nd, now)
 	}
-	l.Wake(n, now.Mono+100*time.Millisecond)
+	l.SetTimer(n, now.Mono+100*time.Millisecond)
 }
 
 // lease has an agent ask some voter, which has heard of the leader some time before.
-func (l *Lab) lease(nd *node, now lease.Reading) {
+func (l *Lab) lease(nd *node, now lease.ClockReading) {
 	v := l.Rand().IntN(voters)
 	reached := nd.number == v || !l.IsCut(nd.number, v) && !l.IsCut(v, nd.number)
-	if !reached || l.nodes[v].life == 0 || l.Paused(v) || !l.majority() || !l.linked(v, l.leader) {
+	if !reached || l.nodes[v].life == 0 || l.IsPaused(v) || !l.majority() || !l.linked(v, l.leader) {
 		return
 	}
-	at, covers := l.Now()-time.Duration(l.Rand().Int64N(int64(l.terms.Heard))), len(l.log)
+	at, covers := l.Now()-time.Duration(l.Rand().Int64N(int64(l.terms.MaxKnowledgeAge))), len(l.log)
 	for covers > 0 && l.log[covers-1].at > at {
 		covers--
 	}
-	l.nodes[v].council.Granted(l.reading(v), nd.number, uint64(nd.life))
+	l.nodes[v].council.LeaseGranted(l.reading(v), nd.number, uint64(nd.life))
 	nd.leases = append(nd.leases, granted{now.Mono, covers})
 	if len(nd.leases) > 8 {
 		nd.leases = nd.leases[1:]
@@ -385,9 +387,9 @@
 }
 
 func (l *Lab) standing(nd *node) lease.Standing {
-	now := l.Mono(nd.number)
+	now := l.SteadyTime(nd.number)
 	for _, g := range nd.leases {
-		if now-g.asked < l.terms.Length && nd.known >= g.covers {
+		if now-g.asked < l.terms.Duration && nd.known >= g.covers {
 			nd.held = true
 			return lease.Full
 		}
@@ -399,7 +401,7 @@
 }
 
 // council has a voter look, and the leader propose.
-func (l *Lab) council(nd *node, now lease.Reading) {
+func (l *Lab) council(nd *node, now lease.ClockReading) {
 	if now.Mono-nd.told >= time.Second {
 		l.see(nd)
 	}
@@ -416,10 +418,10 @@
 func (l *Lab) see(nd *node) {
 	now := l.reading(nd.number)
 	nd.told = now.Mono
-	v := placement.View{Now: now.Unix, Emptied: l.emptied(nd)}
-	taken := v.Emptied
+	v := placement.View{Now: now.Unix, FullyDrained: l.emptied(nd)}
+	taken := v.FullyDrained
 	if l.set.Without == "emptied" || l.set.Without == "stays" {
-		v.Emptied = nil
+		v.FullyDrained = nil
 	}
 	for i, s := range l.lists[nd.seen] {
 		if !s.listed {
@@ -429,21 +431,21 @@
 		if l.wild && l.Rand().IntN(2) == 0 {
 			capacity *= []float64{0.5, 2}[l.Rand().IntN(2)]
 		}
-		v.Servers = append(v.Servers, placement.Seen{
+		v.Servers = append(v.Servers, placement.Server{
 			ID: s.name, Zone: s.zone, Kind: kindOf(s.capacity),
-			Ready:    s.ready,
-			Draining: s.draining || l.set.Without == "stays" && taken[s.name] || l.thought != nil && l.thought(i),
-			Started:  s.started, Capacity: capacity,
+			Ready:     s.ready,
+			Draining:  s.draining || l.set.Without == "stays" && taken[s.name] || l.thought != nil && l.thought(i),
+			StartedAt: s.started, Capacity: capacity,
 		})
 	}
-	nd.council.See(now, v)
+	nd.council.SetView(now, v)
 }
 
 // commit has a record agreed after some time, if the leader is there still and reaches a majority.
 func (l *Lab) commit(by *node, data []byte, window bool) {
 	life := by.life
 	l.At(l.Now()+time.Duration(2+l.Rand().IntN(15))*time.Millisecond, func() {
-		if by.number != l.leader || by.life != life || l.Paused(by.number) || !l.majority() {
+		if by.number != l.leader || by.life != life || l.IsPaused(by.number) || !l.majority() {
 			return
 		}
 		l.log = append(l.log, agreed{data, l.Now(), window})
@@ -463,12 +465,12 @@
 func (l *Lab) majority() bool { return l.leader >= 0 && l.reaches(l.leader) }
 
 func (l *Lab) reaches(n int) bool {
-	if l.nodes[n].life == 0 || l.Paused(n) {
+	if l.nodes[n].life == 0 || l.IsPaused(n) {
 		return false
 	}
 	count := 0
 	for i := range voters {
-		if l.nodes[i].life > 0 && !l.Paused(i) && l.linked(n, i) {
+		if l.nodes[i].life > 0 && !l.IsPaused(i) && l.linked(n, i) {
 			count++
 		}
 	}
@@ -503,17 +505,17 @@
 // Sample has the judge hear of every agent that runs.
 func (l *Lab) Sample() {
 	for i, nd := range l.nodes {
-		if nd.life == 0 || l.Paused(i) {
+		if nd.life == 0 || l.IsPaused(i) {
 			continue
 		}
 		standing := l.standing(nd)
-		p := nd.agent.Placed(l.reading(i), standing)
+		p := nd.agent.Assignment(l.reading(i), standing)
 		s := judge.Sample{At: l.Now(), Agent: i, Leased: standing == lease.Full}
 		if l.set.Without == All {
 			p = nil
 		}
 		if p != nil {
-			s.Number = p.Number
+			s.Number = p.Generation
 		}
 		s.Owners = l.rings.of(p, nd.seen, l.avoid(nd))
 		l.Judge.Heard(s)
--- a/placement/lab/lab_test.go
+++ b/placement/lab/lab_test.go
@@ -41,7 +41,7 @@
 	generations := 0
 	play := func(seed uint64) *Lab { return Course(seed, r.Agents, "") }
 	inParallel(r.From, r.To, play, func(seed uint64, l *Lab) bool {
-		require.Zero(t, l.Judge.Count, "seed %d: %v", seed, l.Judge.Breaches)
+		require.Zero(t, l.Judge.Count, "seed %d: %v", seed, l.Judge.Violations)
 		require.Empty(t, l.Settled(), "seed %d", seed)
 		generations += int(l.State().Number)
 		for i, n := range l.Judge.Behind {
@@ -71,7 +71,7 @@
 	if os.Getenv("LONG_TESTS") != "" {
 		rows = []hunting.Row{{Agents: 5, To: 1000}, {Agents: 50, To: 1000}, {Agents: 300, To: 1000}}
 	}
-	for _, r := range hunting.Asked(rows) {
+	for _, r := range hunting.SelectRows(rows) {
 		t.Run(fmt.Sprint(r.Agents, " agents"), func(t *testing.T) { hunt(t, r) })
 	}
 }
@@ -92,7 +92,7 @@
 			found := false
 			inParallel(0, 200, func(seed uint64) *Lab { return Course(seed, 5, without) }, func(seed uint64, l *Lab) bool {
 				if found = l.Judge.Count > 0; found {
-					t.Logf("found by seed %d: %v", seed, l.Judge.Breaches[0])
+					t.Logf("found by seed %d: %v", seed, l.Judge.Violations[0])
 				}
 				return !found
 			})
--- a/placement/lab/measure.go
+++ b/placement/lab/measure.go
@@ -36,7 +36,7 @@
 func Measure(seed uint64, agents, servers int, without, event string) Result {
 	l := New(Setup{
 		Seed: seed, Agents: agents, Servers: servers, Keys: 5000, Without: without,
-		Faults: lossy.Faults{Loss: 0.01, Least: time.Millisecond, Most: 10 * time.Millisecond},
+		Faults: lossy.Faults{Loss: 0.01, MinDelay: time.Millisecond, MaxDelay: 10 * time.Millisecond},
 	})
 	l.Run(l.Now() + settles)
 	l.Sample()
@@ -161,7 +161,7 @@
 
 func (m *meter) owners() judge.Owners {
 	nd := m.l.nodes[m.agent]
-	p := nd.agent.Placed(m.l.reading(m.agent), m.l.standing(nd))
+	p := nd.agent.Assignment(m.l.reading(m.agent), m.l.standing(nd))
 	if m.l.set.Without != All {
 		return *m.l.rings.of(p, nd.seen, m.l.avoid(nd))
 	}
--- a/placement/lab/paces.go
+++ b/placement/lab/paces.go
@@ -29,7 +29,7 @@
 
 // paced is what an agent does about paces.
 type paced struct {
-	gauge placement.Gauge
+	gauge placement.PaceMeter
 	seen  time.Duration // answers until then, true time
 	had   float64       // answers
 	word  []byte
@@ -49,7 +49,7 @@
 	p := &nd.paced
 	if mono >= p.gauged {
 		p.gauged = mono + gaugeEvery
-		p.word = placement.Word(l.says(nd, p.gauge.Look(mono, l.answered(nd), l.listed(nd))))
+		p.word = placement.EncodePaceReport(l.says(nd, p.gauge.Measure(mono, l.answered(nd), l.listed(nd))))
 	}
 	if mono >= p.told && len(p.word) > 1 {
 		p.told = mono + wordEvery
@@ -73,7 +73,7 @@
 }
 
 // answered is what a balancer has seen of the kinds.
-func (l *Lab) answered(nd *node) (all []decide.Quick) {
+func (l *Lab) answered(nd *node) (all []decide.BaselineLatency) {
 	p, rate := &nd.paced, answers
 	if l.few(nd) {
 		rate = 0.02
@@ -88,21 +88,21 @@
 		if l.few(nd) && kind == lent {
 			took *= 3
 		}
-		all = append(all, decide.Quick{
-			Kind: kind, Took: time.Duration(took * float64(20*time.Millisecond)),
-			Answers: p.had,
+		all = append(all, decide.BaselineLatency{
+			MachineKind: kind, Latency: time.Duration(took * float64(20*time.Millisecond)),
+			Samples: p.had,
 		})
 	}
 	return all
 }
 
 // listed is an agent's own list, as it sees it.
-func (l *Lab) listed(nd *node) (all []placement.Seen) {
+func (l *Lab) listed(nd *node) (all []placement.Server) {
 	for _, s := range l.lists[nd.seen] {
 		if s.listed {
-			all = append(all, placement.Seen{
+			all = append(all, placement.Server{
 				ID: s.name, Zone: s.zone, Kind: kindOf(s.capacity), Ready: s.ready,
-				Draining: s.draining, Started: s.started, Capacity: s.capacity,
+				Draining: s.draining, StartedAt: s.started, Capacity: s.capacity,
 			})
 		}
 	}
@@ -112,10 +112,10 @@
 // hearWord has a voter hear what an agent says of the kinds.
 func (l *Lab) hearWord(nd *node, from int, data []byte) {
 	now := l.reading(nd.number)
-	nd.council.Hear(now, from, data)
+	nd.council.PaceReportReceived(now, from, data)
 	for i := range 3 {
 		if l.set.Without == "median" && from == len(l.nodes)-1 {
-			nd.council.Hear(now, 100*i+from, data)
+			nd.council.PaceReportReceived(now, 100*i+from, data)
 		}
 	}
 }
@@ -125,14 +125,14 @@
 func Paces(seed uint64, without string, lasts time.Duration) (l *Lab, j *judge.Paces) {
 	set := Setup{
 		Seed: seed, Agents: 5, Servers: 20, Keys: 4000, Without: without,
-		Faults: lossy.Faults{Loss: 0.1, Double: 0.1, Least: time.Millisecond, Most: 20 * time.Millisecond},
+		Faults: lossy.Faults{Loss: 0.1, Duplicate: 0.1, MinDelay: time.Millisecond, MaxDelay: 20 * time.Millisecond},
 	}
-	set.Figures.Paces = true
+	set.Figures.UsePaces = true
 	l = New(set)
 	l.lies = true
 	if without == "samples" {
 		for _, nd := range l.nodes {
-			nd.paced.gauge.Least = 1
+			nd.paced.gauge.MinAnswers = 1
 		}
 	}
 	j = &judge.Paces{}
@@ -156,8 +156,8 @@
 func (l *Lab) density() float64 {
 	st := l.ref.State()
 	points := map[string]int{}
-	for i := range st.Nodes {
-		points[st.Nodes[i].ID] = st.Nodes[i].OnRing()
+	for i := range st.Members {
+		points[st.Members[i].ID] = st.Members[i].OnRing()
 	}
 	owners := l.rings.place(points, nil)
 	keys, capacity := map[string]float64{}, map[string]float64{}
--- a/placement/lab/paces_test.go
+++ b/placement/lab/paces_test.go
@@ -21,8 +21,8 @@
 	}
 	for seed := range uint64(2) {
 		l, j := Paces(seed, "", 14*time.Minute)
-		require.Zero(t, j.Count, j.Breaches)
-		require.Zero(t, l.Judge.Count, l.Judge.Breaches)
+		require.Zero(t, j.Count, j.Violations)
+		require.Zero(t, l.Judge.Count, l.Judge.Violations)
 		require.Len(t, l.State().Paces, 1)
 		t.Logf("seed %d: density %.2f of %.2f, paces %v, %d generations", seed, j.Last, j.First, l.State().Paces, l.State().Number)
 		require.Less(t, j.Last, 0.87*j.First)
@@ -30,6 +30,6 @@
 	for _, without := range PaceProtections {
 		_, j := Paces(0, without, time.Second)
 		require.NotZero(t, j.Count, without)
-		t.Logf("without %s: %s", without, j.Breaches[0])
+		t.Logf("without %s: %s", without, j.Violations[0])
 	}
 }
--- a/placement/lab/windows.go
+++ b/placement/lab/windows.go
@@ -19,7 +19,7 @@
 	windowMoves  = 4 * time.Second // that keys take to leave, and to return
 )
 
-func newWindows() *window.Machine { return window.NewMachine(func() uint64 { return 0 }) }
+func newWindows() *window.StateMachine { return window.NewStateMachine(func() uint64 { return 0 }) }
 
 // quiet is how long windows have servers without keys: enough to be warm again by the end.
 func (l *Lab) quiet() time.Duration { return 2*l.set.Cold().For + 20*time.Second }
@@ -31,19 +31,19 @@
 		return
 	}
 	w := &window.Window{
-		ID: fmt.Sprint("w", len(l.log), "-", of[0]), Tenants: []string{window.Rest}, Steps: 8,
-		From: l.Now() + ahead, Drained: l.Now() + ahead + windowMoves,
+		ID: fmt.Sprint("w", len(l.log), "-", of[0]), Tenants: []string{window.NoTenant}, Steps: 8,
+		From: l.Now() + ahead, DrainedAt: l.Now() + ahead + windowMoves,
 	}
-	w.Back = w.Drained + quiet
-	w.To = w.Back + windowMoves
+	w.ReturnFrom = w.DrainedAt + quiet
+	w.To = w.ReturnFrom + windowMoves
 	for _, i := range of {
 		l.list[i].window = true
 		w.Nodes = append(w.Nodes, l.list[i].name)
 	}
 	slices.Sort(w.Nodes)
-	r, err := window.Accept(window.Asking{
-		Window: w, Now: l.Unix(l.leader), Revision: l.planned.Revision(),
-		Notice: windowNotice,
+	r, err := window.EncodeProposal(window.Proposal{
+		Window: w, Now: l.UnixTime(l.leader), Revision: l.planned.Revision(),
+		MinNotice: windowNotice,
 	})
 	if err != nil {
 		panic(err) // of its own
@@ -53,39 +53,39 @@
 	each := (quiet - l.set.Cold().For - 3*time.Second) / time.Duration(anew)
 	for n := range anew {
 		for _, i := range of {
-			l.At(w.Drained+2*time.Second+time.Duration(n)*each, func() { l.Vanish(i) })
-			l.At(w.Drained+2*time.Second+time.Duration(n)*each+each/2, func() { l.Back(i, true) })
+			l.At(w.DrainedAt+2*time.Second+time.Duration(n)*each, func() { l.Vanish(i) })
+			l.At(w.DrainedAt+2*time.Second+time.Duration(n)*each+each/2, func() { l.Back(i, true) })
 		}
 	}
 }
 
 // follow has the judge look at a window that was agreed on.
 func (l *Lab) follow(w *window.Window, of []int) {
-	if l.planned.Outcome(w.ID).End != policy.Taken {
+	if l.planned.Outcome(w.ID).Status != policy.StatusAccepted {
 		return
 	}
 	for _, i := range of {
-		l.Judge.Planned(judge.Window{Server: int32(i), From: w.From, Drained: w.Drained, Back: w.Back, To: w.To})
+		l.Judge.Planned(judge.Window{Server: int32(i), From: w.From, Drained: w.DrainedAt, Back: w.ReturnFrom, To: w.To})
 	}
 }
 
 // avoid is what an agent keeps off now.
-func (l *Lab) avoid(nd *node) *decide.Avoid {
-	return nd.keeps.Avoid(l.reading(nd.number), l.standing(nd), policy.Acting{})
+func (l *Lab) avoid(nd *node) *decide.Exclusions {
+	return nd.keeps.Exclusions(l.reading(nd.number), l.standing(nd), policy.Active{})
 }
 
-func (l *Lab) emptied(nd *node) map[string]bool { return window.Emptied(l.avoid(nd), nil) }
+func (l *Lab) emptied(nd *node) map[string]bool { return window.FullyDrained(l.avoid(nd), nil) }
 
 // below are by server the keys that keep off it, of all tenants alike.
-func below(a *decide.Avoid) map[string]uint32 {
+func below(a *decide.Exclusions) map[string]uint32 {
 	if a == nil {
 		return nil
 	}
-	return a.Tenants[window.Rest]
+	return a.Tenants[window.NoTenant]
 }
 
 // named tells what is kept off apart from anything else.
-func named(a *decide.Avoid) string {
+func named(a *decide.Exclusions) string {
 	var b strings.Builder
 	for _, id := range slices.Sorted(maps.Keys(below(a))) {
 		fmt.Fprint(&b, id, below(a)[id], " ")
@@ -94,5 +94,5 @@
 }
 
 func keepsOff(below uint32, hash uint32, server string) bool {
-	return below == math.MaxUint32 || below > 0 && decide.Lot(hash, server) < below
+	return below == math.MaxUint32 || below > 0 && decide.KeyRank(hash, server) < below
 }
--- a/placement/seat/golden_test.go
+++ b/placement/seat/golden_test.go
@@ -51,26 +51,26 @@
 
 // TestGoldenMessages: what an agent and a voter tell voters, by kinds.
 func TestGoldenMessages(t *testing.T) {
-	now := fleet.Reading{Unix: 1800000000 * time.Second, Mono: time.Hour}
-	s := New(Settings{Votes: true, Incarnation: 1800000000123, Machine: 3}, now)
+	now := fleet.ClockReading{Unix: 1800000000 * time.Second, Mono: time.Hour}
+	s := New(Settings{IsVoter: true, Incarnation: 1800000000123, MachineNumber: 3}, now)
 	record := placement.Change{
-		Now: now.Unix, By: now.Unix, Nodes: []placement.Node{{ID: "a-1", Points: 200}},
-	}.Record()
-	s.Measured(map[string]float64{"lent": 0.9})
+		Now: now.Unix, EffectiveAt: now.Unix, Members: []placement.Member{{ID: "a-1", Points: 200}},
+	}.Encode()
+	s.SetPaces(map[string]float64{"lent": 0.9})
 	s.Apply(1, record)
-	now = fleet.Reading{Unix: now.Unix + 10*time.Second, Mono: now.Mono + 10*time.Second}
-	s.Learn(now, false)
-	now = fleet.Reading{Unix: now.Unix + 2*time.Second, Mono: now.Mono + 2*time.Second}
-	due := s.Due(now, fleet.Voting{Votes: true, Voters: []int{1}, Members: []int{1}, Generation: 5})
-	require.Len(t, due.Sends, 3)
-	require.Equal(t, []byte{aMark, aReport, aWord},
-		[]byte{due.Sends[0].Data[0], due.Sends[1].Data[0], due.Sends[2].Data[0]})
+	now = fleet.ClockReading{Unix: now.Unix + 10*time.Second, Mono: now.Mono + 10*time.Second}
+	s.RecordsApplied(now, false)
+	now = fleet.ClockReading{Unix: now.Unix + 2*time.Second, Mono: now.Mono + 2*time.Second}
+	due := s.NextActions(now, fleet.VoterState{IsVoter: true, Voters: []int{1}, Members: []int{1}, Generation: 5})
+	require.Len(t, due.Messages, 3)
+	require.Equal(t, []byte{messageMark, messageVoterReport, messagePaceReport},
+		[]byte{due.Messages[0].Data[0], due.Messages[1].Data[0], due.Messages[2].Data[0]})
 	stored := requireGolden(t, "messages.txt", []goldenForm{
-		{"mark", due.Sends[0].Data},
-		{"report", due.Sends[1].Data},
-		{"word", due.Sends[2].Data},
+		{"mark", due.Messages[0].Data},
+		{"report", due.Messages[1].Data},
+		{"word", due.Messages[2].Data},
 		{"snapshot", s.Snapshot()},
 	})
-	require.Equal(t, stored["mark"], s.Heard(now, 1, stored["mark"]))
-	require.Nil(t, s.Heard(now, 1, stored["report"]))
+	require.Equal(t, stored["mark"], s.HandleMessage(now, 1, stored["mark"]))
+	require.Nil(t, s.HandleMessage(now, 1, stored["report"]))
 }
--- a/placement/seat/seat.go
+++ b/placement/seat/seat.go
@@ -14,215 +14,215 @@
 	"dunestep/placement"
 )
 
-// Seat is one process's. It is called by its node alone, as a fleet.Machine and as fleet.Above; See,
-// Measured, Placed and State from where the node is called.
-type Seat struct {
-	set     Settings
-	machine *placement.Machine
-	agent   *placement.Agent
-	council *placement.Council // nil: not a voter
-	word    []byte             // of the kinds, for voters; nil: none
-	tell    time.Duration
-
-	told         placement.Mark // what voters are told that this agent has
-	heard        []int          // of them
-	since, again time.Duration
+// Adapter is one process's. It is called by its node alone, as a fleet.StateMachine and as fleet.Application; SetView,
+// SetPaces, Assignment and State from where the node is called.
+type Adapter struct {
+	settings     Settings
+	machine      *placement.StateMachine
+	agent        *placement.Agent
+	proposer     *placement.Proposer // nil: not a voter
+	paceReport   []byte              // of the kinds, for voters; nil: none
+	paceReportAt time.Duration
+
+	notifiedMark            placement.Mark // what voters are told that this agent has
+	acknowledgedBy          []int          // of them
+	notifiedSince, notifyAt time.Duration
 }
 
 // Settings are one agent's.
 type Settings struct {
-	Votes       bool
-	Incarnation uint64 // the node's
-	Machine     uint8  // its number in records
-	Figures     placement.Figures
+	IsVoter       bool
+	Incarnation   uint64 // the node's
+	MachineNumber uint8  // its number in records
+	Parameters    placement.Parameters
 }
 
 // New returns the seat of a process that starts.
-func New(set Settings, now fleet.Reading) *Seat {
-	s := &Seat{set: set, machine: placement.NewMachine(), agent: placement.NewAgent()}
-	if set.Votes {
-		s.council = placement.NewCouncil(set.Figures, now)
+func New(set Settings, now fleet.ClockReading) *Adapter {
+	s := &Adapter{settings: set, machine: placement.NewStateMachine(), agent: placement.NewAgent()}
+	if set.IsVoter {
+		s.proposer = placement.NewProposer(set.Parameters, now)
 	}
 	return s
 }
 
-// Apply implements fleet.Machine.
-func (s *Seat) Apply(seq uint64, data []byte) { s.machine.Apply(seq, data) }
+// Apply implements fleet.StateMachine.
+func (s *Adapter) Apply(seq uint64, data []byte) { s.machine.Apply(seq, data) }
 
-// Snapshot implements fleet.Machine.
-func (s *Seat) Snapshot() []byte { return s.machine.Snapshot() }
+// Snapshot implements fleet.StateMachine.
+func (s *Adapter) Snapshot() []byte { return s.machine.Snapshot() }
 
-// Restore implements fleet.Machine.
-func (s *Seat) Restore(data []byte) error { return s.machine.Restore(data) }
+// Restore implements fleet.StateMachine.
+func (s *Adapter) Restore(data []byte) error { return s.machine.Restore(data) }
 
-// Learn implements fleet.Above. A log that began anew is another one, with other generations.
-func (s *Seat) Learn(now fleet.Reading, anew bool) {
+// RecordsApplied implements fleet.Application. A log that began anew is another one, with other generations.
+func (s *Adapter) RecordsApplied(now fleet.ClockReading, anew bool) {
 	if anew {
 		s.agent = placement.NewAgent()
-		if s.council != nil {
-			s.council = placement.NewCouncil(s.set.Figures, now)
+		if s.proposer != nil {
+			s.proposer = placement.NewProposer(s.settings.Parameters, now)
 		}
 	}
 	s.agent.Learn(s.machine)
-	if s.council != nil {
-		s.council.Learn(now, s.machine)
+	if s.proposer != nil {
+		s.proposer.Learn(now, s.machine)
 	}
 }
 
-// Note implements fleet.Above: leases need none.
-func (s *Seat) Note() []byte { return nil }
+// LeaseNote implements fleet.Application: leases need none.
+func (s *Adapter) LeaseNote() []byte { return nil }
 
-// May implements fleet.Above: nothing here stands in the way of a lease. Above others that do, it counts
+// MayGrantLease implements fleet.Application: nothing here stands in the way of a lease. Above others that do, it counts
 // some that were refused; these only have the next generation wait for the fence.
-func (s *Seat) May(now fleet.Reading, agent int, incarnation uint64, _ []byte) bool {
-	if s.council != nil {
-		s.council.Granted(now, agent, incarnation)
+func (s *Adapter) MayGrantLease(now fleet.ClockReading, agent int, incarnation uint64, _ []byte) bool {
+	if s.proposer != nil {
+		s.proposer.LeaseGranted(now, agent, incarnation)
 	}
 	return true
 }
 
 // The kinds of messages: their first byte.
 const (
-	aWord   byte = 1 // how quick an agent finds the kinds of servers; a placement.Word begins with it
-	aMark   byte = 2 // an agent's incarnation, and the generation that it has; answered with the same
-	aReport byte = 3 // a voter's: all that go by its leases have a generation
+	messagePaceReport  byte = 1 // how quick an agent finds the kinds of servers; a placement.EncodePaceReport begins with it
+	messageMark        byte = 2 // an agent's incarnation, and the generation that it has; answered with the same
+	messageVoterReport byte = 3 // a voter's: all that go by its leases have a generation
 )
 
-// Heard implements fleet.Above.
-func (s *Seat) Heard(now fleet.Reading, from int, data []byte) []byte {
-	if s.council == nil || len(data) == 0 {
+// HandleMessage implements fleet.Application.
+func (s *Adapter) HandleMessage(now fleet.ClockReading, from int, data []byte) []byte {
+	if s.proposer == nil || len(data) == 0 {
 		return nil
 	}
 	switch data[0] {
-	case aWord:
-		s.council.Hear(now, from, data)
-	case aMark:
+	case messagePaceReport:
+		s.proposer.PaceReportReceived(now, from, data)
+	case messageMark:
 		if len(data) == 1+8+placement.MarkSize {
 			m, _ := placement.DecodeMark(data[9:])
-			s.council.Told(now, from, binary.BigEndian.Uint64(data[1:]), m)
+			s.proposer.MarkReceived(now, from, binary.BigEndian.Uint64(data[1:]), m)
 			return data
 		}
-	case aReport:
+	case messageVoterReport:
 		if m, ok := placement.DecodeMark(data[1:]); ok {
-			s.council.Reported(from, m)
+			s.proposer.ReportReceived(from, m)
 		}
 	}
 	return nil
 }
 
-// Answered implements fleet.Above: a voter has heard what this agent has.
-func (s *Seat) Answered(_ fleet.Reading, from int, data []byte) {
-	if bytes.Equal(data, s.mark()) && !slices.Contains(s.heard, from) {
-		s.heard = append(s.heard, from)
+// HandleReply implements fleet.Application: a voter has heard what this agent has.
+func (s *Adapter) HandleReply(_ fleet.ClockReading, from int, data []byte) {
+	if bytes.Equal(data, s.encodedMark()) && !slices.Contains(s.acknowledgedBy, from) {
+		s.acknowledgedBy = append(s.acknowledgedBy, from)
 	}
 }
 
-func (s *Seat) mark() []byte {
-	return s.agent.Has().Encode(binary.BigEndian.AppendUint64([]byte{aMark}, s.set.Incarnation))
+func (s *Adapter) encodedMark() []byte {
+	return s.agent.Applied().Encode(binary.BigEndian.AppendUint64([]byte{messageMark}, s.settings.Incarnation))
 }
 
 const (
-	// tellEvery is after how long voters are told again of paces.
-	tellEvery = 30 * time.Second
-	// markEvery is after how long they are told again what this agent has, and reports are, as long as that
-	// helps: for markFor. After that the fence has passed.
-	markEvery = 200 * time.Millisecond
-	markFor   = 5 * time.Second
+	// paceReportInterval is after how long voters are told again of paces.
+	paceReportInterval = 30 * time.Second
+	// markInterval is after how long they are told again what this agent has, and reports are, as long as that
+	// helps: for markPeriod. After that the fence has passed.
+	markInterval = 200 * time.Millisecond
+	markPeriod   = 5 * time.Second
 )
 
-// Due implements fleet.Above.
-func (s *Seat) Due(now fleet.Reading, v fleet.Voting) (due fleet.Due) {
+// NextActions implements fleet.Application.
+func (s *Adapter) NextActions(now fleet.ClockReading, v fleet.VoterState) (due fleet.Actions) {
 	due.Next = now.Mono + time.Hour
-	if s.council != nil {
-		s.council.Members(now, v.Members, v.Generation)
+	if s.proposer != nil {
+		s.proposer.SetMembers(now, v.Members, v.Generation)
 	}
-	if s.council != nil && v.Leads {
+	if s.proposer != nil && v.IsLeader {
 		var records [][]byte
-		records, due.Next = s.council.Due(now)
+		records, due.Next = s.proposer.Due(now)
 		for _, r := range records {
-			due.Records = append(due.Records, fleet.Proposal{Machine: s.set.Machine, Data: r})
+			due.Proposals = append(due.Proposals, fleet.Proposal{Machine: s.settings.MachineNumber, Data: r})
 		}
-	} else if s.council != nil {
+	} else if s.proposer != nil {
 		due.Next = now.Mono + time.Second // it may lead by then
 	}
-	due.Next = min(due.Next, s.marks(now, v, &due))
-	if s.word != nil && now.Mono >= s.tell {
-		s.tell = now.Mono + tellEvery
+	due.Next = min(due.Next, s.sendMarks(now, v, &due))
+	if s.paceReport != nil && now.Mono >= s.paceReportAt {
+		s.paceReportAt = now.Mono + paceReportInterval
 		for _, voter := range v.Voters {
-			due.Sends = append(due.Sends, fleet.Send{To: voter, Data: s.word})
+			due.Messages = append(due.Messages, fleet.Message{To: voter, Data: s.paceReport})
 		}
 	}
-	if s.word != nil {
-		due.Next = min(due.Next, s.tell)
+	if s.paceReport != nil {
+		due.Next = min(due.Next, s.paceReportAt)
 	} else {
-		due.Next = min(due.Next, now.Mono+tellEvery)
+		due.Next = min(due.Next, now.Mono+paceReportInterval)
 	}
 	return due
 }
 
 // marks tells voters what this agent has, and other voters what all have that hold leases from here.
-func (s *Seat) marks(now fleet.Reading, v fleet.Voting, due *fleet.Due) (next time.Duration) {
-	if has := s.agent.Has(); has != s.told {
-		s.told, s.heard, s.since, s.again = has, nil, now.Mono, now.Mono
+func (s *Adapter) sendMarks(now fleet.ClockReading, v fleet.VoterState, due *fleet.Actions) (next time.Duration) {
+	if has := s.agent.Applied(); has != s.notifiedMark {
+		s.notifiedMark, s.acknowledgedBy, s.notifiedSince, s.notifyAt = has, nil, now.Mono, now.Mono
 	}
-	if s.told.Number == 0 || now.Mono-s.since >= markFor {
+	if s.notifiedMark.Number == 0 || now.Mono-s.notifiedSince >= markPeriod {
 		return now.Mono + time.Hour
 	}
-	if now.Mono < s.again {
-		return s.again
+	if now.Mono < s.notifyAt {
+		return s.notifyAt
 	}
-	s.again = now.Mono + markEvery
+	s.notifyAt = now.Mono + markInterval
 	for _, voter := range v.Voters {
-		if !slices.Contains(s.heard, voter) {
-			due.Sends = append(due.Sends, fleet.Send{To: voter, Data: s.mark()})
+		if !slices.Contains(s.acknowledgedBy, voter) {
+			due.Messages = append(due.Messages, fleet.Message{To: voter, Data: s.encodedMark()})
 		}
 	}
-	if s.council != nil {
-		if m, tell := s.council.Report(now); tell {
+	if s.proposer != nil {
+		if m, tell := s.proposer.Report(now); tell {
 			for _, voter := range v.Members {
-				due.Sends = append(due.Sends, fleet.Send{To: voter, Data: m.Encode([]byte{aReport})})
+				due.Messages = append(due.Messages, fleet.Message{To: voter, Data: m.Encode([]byte{messageVoterReport})})
 			}
 		}
-	} else if len(s.heard) == len(v.Voters) {
+	} else if len(s.acknowledgedBy) == len(v.Voters) {
 		return now.Mono + time.Hour
 	}
-	return s.again
+	return s.notifyAt
 }
 
-// See takes what this agent sees of the servers: on each change, and every few seconds. Only a leader's
-// counts, and none that is older than Figures.Stale.
-func (s *Seat) See(now fleet.Reading, v placement.View) {
-	if s.council != nil {
-		s.council.See(now, v)
+// SetView takes what this agent sees of the servers: on each change, and every few seconds. Only a leader's
+// counts, and none that is older than Parameters.Stale.
+func (s *Adapter) SetView(now fleet.ClockReading, v placement.View) {
+	if s.proposer != nil {
+		s.proposer.SetView(now, v)
 	}
 }
 
-// Measured takes how quick this agent finds each kind of server against its agreed capacity, 1 being just
+// SetPaces takes how quick this agent finds each kind of server against its agreed capacity, 1 being just
 // so: what a few requests show is left out. Voters are told every 30 s.
-func (s *Seat) Measured(paces map[string]float64) {
-	s.word = nil
+func (s *Adapter) SetPaces(paces map[string]float64) {
+	s.paceReport = nil
 	if len(paces) > 0 {
-		s.word = placement.Word(paces)
+		s.paceReport = placement.EncodePaceReport(paces)
 	}
 }
 
-// Placed is the generation to place by now; nil: none, as without. The same pointer while nothing changes.
-func (s *Seat) Placed(now fleet.Reading, standing lease.Standing) *decide.Placed {
-	return s.agent.Placed(now, standing)
+// Assignment is the generation to place by now; nil: none, as without. The same pointer while nothing changes.
+func (s *Adapter) Assignment(now fleet.ClockReading, standing lease.Standing) *decide.RingAssignment {
+	return s.agent.Assignment(now, standing)
 }
 
-// Tell is how many agents have told this voter of late how quick they find the kinds of servers; zero: it is
+// PaceReporters is how many agents have told this voter of late how quick they find the kinds of servers; zero: it is
 // none.
-func (s *Seat) Tell(now fleet.Reading) int {
-	if s.council == nil {
+func (s *Adapter) PaceReporters(now fleet.ClockReading) int {
+	if s.proposer == nil {
 		return 0
 	}
-	return s.council.Tell(now)
+	return s.proposer.PaceReporters(now)
 }
 
 // State is the present generation, for staff. It is not to be changed.
-func (s *Seat) State() placement.State {
+func (s *Adapter) State() placement.State {
 	st := s.machine.State()
-	st.Nodes = slices.Clone(st.Nodes)
+	st.Members = slices.Clone(st.Members)
 	return st
 }
--- a/placement/seat/seat_test.go
+++ b/placement/seat/seat_test.go
@@ -18,40 +18,40 @@
 type played struct {
 	*fleetlab.Lab
 	t      *testing.T
-	seats  []*Seat
-	list   map[string]placement.Seen
+	seats  []*Adapter
+	list   map[string]placement.Server
 	saw    []time.Time
-	placed []*decide.Placed
+	placed []*decide.RingAssignment
 	newest uint64 // used with a lease
 	began  map[uint64]time.Time
 }
 
 func play(t *testing.T, o fleetlab.Options, servers int) *played {
 	p := &played{
-		t: t, seats: make([]*Seat, o.Agents), list: map[string]placement.Seen{}, began: map[uint64]time.Time{},
-		saw: make([]time.Time, o.Agents), placed: make([]*decide.Placed, o.Agents),
+		t: t, seats: make([]*Adapter, o.Agents), list: map[string]placement.Server{}, began: map[uint64]time.Time{},
+		saw: make([]time.Time, o.Agents), placed: make([]*decide.RingAssignment, o.Agents),
 	}
 	for i := range servers {
 		id := fmt.Sprintf("s-%04x", 40503*(i+1)%65536)
-		p.list[id] = placement.Seen{ID: id, Kind: "rapid", Ready: true, Capacity: 1}
+		p.list[id] = placement.Server{ID: id, Kind: "rapid", Ready: true, Capacity: 1}
 	}
-	o.Upper = func(set *fleet.Settings, now fleet.Reading) {
+	o.Application = func(set *fleet.Settings, now fleet.ClockReading) {
 		s := New(Settings{
-			Votes: set.Votes(), Incarnation: set.Incarnation, Machine: uint8(len(set.Machines)),
-			Figures: placement.Figures{Terms: set.Terms, Paces: true},
+			IsVoter: set.IsVoter(), Incarnation: set.Incarnation, MachineNumber: uint8(len(set.Machines)),
+			Parameters: placement.Parameters{Terms: set.Terms, UsePaces: true},
 		}, now)
-		set.Machines, set.Above = append(set.Machines, s), s
-		s.Measured(map[string]float64{"rapid": 0.8})
+		set.Machines, set.Application = append(set.Machines, s), s
+		s.SetPaces(map[string]float64{"rapid": 0.8})
 		p.seats[set.Self] = s
 	}
-	o.Decided = p.decided
+	o.OnDecision = p.decided
 	p.Lab = fleetlab.New(o)
 	p.StartAll()
 	p.Run(20 * time.Second)
 	return p
 }
 
-func (p *played) decided(agent int, at time.Time, now fleet.Reading, n *fleet.Node) {
+func (p *played) decided(agent int, at time.Time, now fleet.ClockReading, n *fleet.Node) {
 	s := p.seats[agent]
 	if s == nil {
 		return
@@ -62,17 +62,17 @@
 		for _, e := range p.list {
 			v.Servers = append(v.Servers, e)
 		}
-		s.See(now, v)
+		s.SetView(now, v)
 	}
 	standing := n.Standing(now)
-	g := s.Placed(now, standing)
+	g := s.Assignment(now, standing)
 	if p.placed[agent] = g; g == nil || standing != lease.Full {
 		return
 	}
-	if p.newest = max(p.newest, g.Number); p.began[g.Number].IsZero() {
-		p.began[g.Number] = at
+	if p.newest = max(p.newest, g.Generation); p.began[g.Generation].IsZero() {
+		p.began[g.Generation] = at
 	}
-	require.LessOrEqual(p.t, p.newest, g.Number+1, "agent %d", agent)
+	require.LessOrEqual(p.t, p.newest, g.Generation+1, "agent %d", agent)
 }
 
 // all checks that all agents that run go by one generation, with so many servers on it.
@@ -80,7 +80,7 @@
 	for a := range p.seats {
 		if p.Node(a) != nil {
 			require.NotNil(p.t, p.placed[a], "agent %d", a)
-			require.Equal(p.t, p.newest, p.placed[a].Number)
+			require.Equal(p.t, p.newest, p.placed[a].Generation)
 			require.Len(p.t, p.placed[a].Points, servers)
 		}
 	}
@@ -93,20 +93,20 @@
 	p.Run(2 * time.Minute)
 	p.all(20)
 	was := p.newest
-	p.list["new"] = placement.Seen{ID: "new", Kind: "rapid", Ready: true, Capacity: 1}
+	p.list["new"] = placement.Server{ID: "new", Kind: "rapid", Ready: true, Capacity: 1}
 	p.Run(3 * time.Second)
 	p.all(21)
 	require.Contains(t, p.began, was+1)
 
 	p.Kill(p.Leader())
 	delete(p.list, "new")
-	p.list["other"] = placement.Seen{ID: "other", Kind: "rapid", Ready: true, Capacity: 1}
+	p.list["other"] = placement.Server{ID: "other", Kind: "rapid", Ready: true, Capacity: 1}
 	p.Run(40 * time.Second)
 	p.all(21)
 
 	// Paces change by agreement, slowly.
 	p.Run(time.Minute)
-	require.Equal(t, []placement.Pace{{Kind: "rapid", Per: 90}}, p.seats[p.Leader()].State().Paces)
+	require.Equal(t, []placement.Pace{{Kind: "rapid", Percent: 90}}, p.seats[p.Leader()].State().Paces)
 }
 
 // The next generation does not wait for the fence where all run, and does where one is cut off that holds a
@@ -121,7 +121,7 @@
 		was := p.newest
 		for i := range 8 { // one each second
 			id := fmt.Sprint("new-", i)
-			p.list[id] = placement.Seen{ID: id, Kind: "rapid", Ready: true, Capacity: 1}
+			p.list[id] = placement.Server{ID: id, Kind: "rapid", Ready: true, Capacity: 1}
 			p.Run(time.Second)
 		}
 		between := p.began[was+2].Sub(p.began[was+1])
@@ -135,9 +135,9 @@
 
 // What agents say that is none of theirs is passed over.
 func TestStrangeMessages(t *testing.T) {
-	s := New(Settings{Votes: true}, fleet.Reading{})
-	for _, data := range [][]byte{nil, {}, {aMark}, {aMark, 1}, {aReport, 1}, {aWord, 1}, {9, 9, 9}} {
-		require.Nil(t, s.Heard(fleet.Reading{}, 1, data))
+	s := New(Settings{IsVoter: true}, fleet.ClockReading{})
+	for _, data := range [][]byte{nil, {}, {messageMark}, {messageMark, 1}, {messageVoterReport, 1}, {messagePaceReport, 1}, {9, 9, 9}} {
+		require.Nil(t, s.HandleMessage(fleet.ClockReading{}, 1, data))
 	}
-	require.NotNil(t, s.Heard(fleet.Reading{}, 1, s.mark()))
+	require.NotNil(t, s.HandleMessage(fleet.ClockReading{}, 1, s.encodedMark()))
 }
--- a/policy/effect.go
+++ b/policy/effect.go
@@ -8,9 +8,9 @@
 
 // Effect is what a policy means to one agent. It is not to be changed.
 type Effect struct {
-	Quota   []float64     // by the settings' tenants: requests a second over the fleet; none is never exceeded
-	Classes []ClassEffect // by the settings' classes
-	InVain  float64       // the throttle's: storm.Figures.InVain; 1: it lets all in
+	Quota          []float64     // by the settings' tenants: requests a second over the fleet; none is never exceeded
+	Classes        []ClassEffect // by the settings' classes
+	MaxFailedRatio float64       // the throttle's: storm.Figures.MaxFailedRatio; 1: it lets all in
 	// Contracts and Capacity are of the version that is acted on, or whose floor it is: none by the bottom and
 	// by version 0, and nil too where a floor's document cannot be read here. A tenant without a contract ("-":
 	// requests of none of the settings' tenants) may never be moved.
@@ -20,21 +20,21 @@
 
 // Capacity is what is agreed on what servers can do. Its tags are those of the document's table.
 type Capacity struct {
-	// Load is the part of the whole fleet's capacity that all tenants use at their peak.
-	Load float64 `toml:"load" range:"0.05..1" default:"0.7"`
-	// Most is how much of a server may be used in a maintenance window.
-	Most float64 `toml:"most" range:"0.1..1" default:"0.9"`
-	// Kinds are by a server's kind, as a multiple of a usual one; Servers by id go before them.
-	Kinds   map[string]float64 `toml:"kinds" range:"0.01..100"`
-	Servers map[string]float64 `toml:"servers" range:"0.01..100"`
+	// PeakLoad is the part of the whole fleet's capacity that all tenants use at their peak.
+	PeakLoad float64 `toml:"load" range:"0.05..1" default:"0.7"`
+	// MaxUtilization is how much of a server may be used in a maintenance window.
+	MaxUtilization float64 `toml:"most" range:"0.1..1" default:"0.9"`
+	// ByKind are by a server's kind, as a multiple of a usual one; ByServer by id go before them.
+	ByKind   map[string]float64 `toml:"kinds" range:"0.01..100"`
+	ByServer map[string]float64 `toml:"servers" range:"0.01..100"`
 }
 
 // Of is a server's capacity as a multiple of a usual one's: its own, else its kind's, else 1.
 func (c Capacity) Of(id, kind string) float64 {
-	if own, is := c.Servers[id]; is {
+	if own, is := c.ByServer[id]; is {
 		return own
 	}
-	if its, is := c.Kinds[kind]; is {
+	if its, is := c.ByKind[kind]; is {
 		return its
 	}
 	return 1
@@ -42,66 +42,68 @@
 
 // ClassEffect is what a policy means for one class.
 type ClassEffect struct {
-	Attempts int           // of a request, at most
-	Copies   bool          // whether two of them may be out at once
-	Pace     time.Duration // the least time from an attempt's beginning to the one after it has failed
+	MaxAttempts        int           // of a request, at most
+	Hedging            bool          // whether two of them may be out at once
+	MinAttemptInterval time.Duration // the least time from an attempt's beginning to the one after it has failed
 }
 
-// Floor is what every later version has to allow, so that an agent that is cut off can do it. Its tags are
+// FloorValidity is what every later version has to allow, so that an agent that is cut off can do it. Its tags are
 // those of the document's table; the defaults are the floor of version 0, the settings as they are.
 type Floor struct {
 	_ struct{} `cbor:",toarray"`
-	// Share is the part of its quota in the settings that each tenant keeps.
-	Share float64 `toml:"share" range:"0.001..1" default:"0.5"`
-	// Attempts of a request, as far as the settings permit them.
-	Attempts int `toml:"attempts" range:"1..10" default:"2"`
-	// Copies says whether second copies have to be allowed, where the settings do.
-	Copies bool `toml:"copies"`
-	// Pace is the longest wait before a further attempt that a policy may ask for.
-	Pace time.Duration `toml:"pace_ms" range:"0..1000" default:"100"`
-	// InVain is the lowest that a policy may ask for.
-	InVain float64 `toml:"in_vain" range:"0.05..1" default:"0.1"`
+	// QuotaShare is the part of its quota in the settings that each tenant keeps.
+	QuotaShare float64 `toml:"share" range:"0.001..1" default:"0.5"`
+	// MaxAttempts of a request, as far as the settings permit them.
+	MaxAttempts int `toml:"attempts" range:"1..10" default:"2"`
+	// Hedging says whether second copies have to be allowed, where the settings do.
+	Hedging bool `toml:"copies"`
+	// MinAttemptInterval is the longest wait before a further attempt that a policy may ask for.
+	MinAttemptInterval time.Duration `toml:"pace_ms" range:"0..1000" default:"100"`
+	// MaxFailedRatio is the lowest that a policy may ask for.
+	MaxFailedRatio float64 `toml:"in_vain" range:"0.05..1" default:"0.1"`
 }
 
-// Beginning is the floor before any was agreed.
-func Beginning() Floor {
-	return Floor{Share: 0.5, Attempts: 2, Pace: 100 * time.Millisecond, InVain: 0.1}
+// InitialFloor is the floor before any was agreed.
+func InitialFloor() Floor {
+	return Floor{QuotaShare: 0.5, MaxAttempts: 2, MinAttemptInterval: 100 * time.Millisecond, MaxFailedRatio: 0.1}
 }
 
 // bottom is what no document can forbid, by the ranges of its keys.
-func bottom() Floor { return Floor{Share: 0.001, Attempts: 1, Pace: time.Second, InVain: 0.05} }
+func lowestFloor() Floor {
+	return Floor{QuotaShare: 0.001, MaxAttempts: 1, MinAttemptInterval: time.Second, MaxFailedRatio: 0.05}
+}
 
 // plain is what the settings permit.
-func (o Own) plain() *Effect {
-	e := &Effect{InVain: o.inVain()}
+func (o LocalSettings) unrestricted() *Effect {
+	e := &Effect{MaxFailedRatio: o.maxFailedRatio()}
 	for _, t := range o.Settings.Tenants {
-		e.Quota = append(e.Quota, t.QuotaPerS)
+		e.Quota = append(e.Quota, t.QuotaPerSecond)
 	}
 	for range o.Settings.Classes {
-		e.Classes = append(e.Classes, ClassEffect{Attempts: o.tries(), Copies: o.Settings.Limits.SecondCopies})
+		e.Classes = append(e.Classes, ClassEffect{MaxAttempts: o.maxAttempts(), Hedging: o.Settings.Limits.Hedging})
 	}
 	return e
 }
 
 // Effect is what an agent does that goes by the floor alone.
-func (f Floor) Effect(own Own) *Effect {
-	e := own.plain()
+func (f Floor) Effect(own LocalSettings) *Effect {
+	e := own.unrestricted()
 	for i := range e.Quota {
 		if e.Quota[i] > 0 {
-			e.Quota[i] *= f.Share
+			e.Quota[i] *= f.QuotaShare
 		}
 	}
 	for i := range e.Classes {
 		c := &e.Classes[i]
-		c.Attempts, c.Copies, c.Pace = min(c.Attempts, f.Attempts), c.Copies && f.Copies, f.Pace
+		c.MaxAttempts, c.Hedging, c.MinAttemptInterval = min(c.MaxAttempts, f.MaxAttempts), c.Hedging && f.Hedging, f.MinAttemptInterval
 	}
-	e.InVain = min(e.InVain, f.InVain)
+	e.MaxFailedRatio = min(e.MaxFailedRatio, f.MaxFailedRatio)
 	return e
 }
 
 // within is the effect of the floor of a version with this document (nil: one that this build cannot read).
 // What it says of contracts and capacities holds, also where it cannot be used otherwise.
-func (f Floor) within(d *Document, own Own) *Effect {
+func (f Floor) withDocument(d *Document, own LocalSettings) *Effect {
 	e := f.Effect(own)
 	if d != nil {
 		e.Contracts, e.Capacity = d.contracts, d.file.Capacity
@@ -109,7 +111,7 @@
 	return e
 }
 
-func (e *Effect) tenants(own Own) (names []string) {
+func (e *Effect) tenantNames(own LocalSettings) (names []string) {
 	for _, t := range own.Settings.Tenants {
 		names = append(names, t.Name)
 	}
@@ -119,35 +121,35 @@
 // Allows tells whether all that an agent does by another effect, with the same settings, is allowed by e.
 func (e *Effect) Allows(other *Effect) bool {
 	for i, q := range other.Quota {
-		if e.Quota[i] > 0 && (q <= 0 || q > e.Quota[i]*(1+rounding)) {
+		if e.Quota[i] > 0 && (q <= 0 || q > e.Quota[i]*(1+shareTolerance)) {
 			return false
 		}
 	}
 	for i, c := range other.Classes {
-		if mine := e.Classes[i]; c.Attempts > mine.Attempts || c.Copies && !mine.Copies || c.Pace < mine.Pace {
+		if mine := e.Classes[i]; c.MaxAttempts > mine.MaxAttempts || c.Hedging && !mine.Hedging || c.MinAttemptInterval < mine.MinAttemptInterval {
 			return false
 		}
 	}
-	return other.InVain <= e.InVain
+	return other.MaxFailedRatio <= e.MaxFailedRatio
 }
 
 // lacks tells what of a floor's effect is not allowed; empty: all is.
-func (e *Effect) lacks(own Own, floor *Effect) string {
+func (e *Effect) firstViolated(own LocalSettings, floor *Effect) string {
 	if e.Allows(floor) {
 		return ""
 	}
 	for i, t := range own.Settings.Tenants {
-		if e.Quota[i] > 0 && floor.Quota[i] > e.Quota[i]*(1+rounding) {
+		if e.Quota[i] > 0 && floor.Quota[i] > e.Quota[i]*(1+shareTolerance) {
 			return "the share of tenant " + t.Name
 		}
 	}
 	for i, c := range own.Settings.Classes {
 		switch mine, its := e.Classes[i], floor.Classes[i]; {
-		case its.Attempts > mine.Attempts:
+		case its.MaxAttempts > mine.MaxAttempts:
 			return "attempts of class " + c.Name
-		case its.Copies && !mine.Copies:
+		case its.Hedging && !mine.Hedging:
 			return "second copies of class " + c.Name
-		case its.Pace < mine.Pace:
+		case its.MinAttemptInterval < mine.MinAttemptInterval:
 			return "pace_ms of class " + c.Name
 		}
 	}
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -9,8 +9,8 @@
 
 // An agent holds documents against its settings and the floor before it says yes.
 func Example() {
-	own := policy.Own{InVain: 0.25, Settings: decide.Settings{
-		Tenants: []decide.Tenant{{Name: "east", QuotaPerS: 60}, {Name: "west", QuotaPerS: 40}},
+	own := policy.LocalSettings{MaxFailedRatio: 0.25, Settings: decide.Settings{
+		Tenants: []decide.Tenant{{Name: "east", QuotaPerSecond: 60}, {Name: "west", QuotaPerSecond: 40}},
 		Classes: []decide.Class{{Name: "find"}}, Limits: decide.Limits{MaxAttempts: 3},
 	}}
 	for _, text := range []string{
@@ -18,7 +18,7 @@
 		"format = 1\n[classes.find]\nattempts = 4\n",
 		"format = 1\n[classes.find]\ntries = 2\n",
 	} {
-		fmt.Println(policy.Check([]byte(text), own, policy.Beginning()))
+		fmt.Println(policy.CheckDocument([]byte(text), own, policy.InitialFloor()))
 	}
 	// Output:
 	// <nil>
--- a/policy/explore.go
+++ b/policy/explore.go
@@ -15,55 +15,55 @@
 // Fork returns a copy that goes its own way.
 func (a *Agent) Fork() *Agent {
 	b := *a
-	b.told = slices.Clone(a.told)
+	b.acknowledgedBy = slices.Clone(a.acknowledgedBy)
 	return &b
 }
 
 // Fork returns a copy that goes its own way.
 func (v *Voter) Fork() *Voter {
 	w := *v
-	w.agents = make(map[int][]holder, len(v.agents))
-	for agent, all := range v.agents {
-		w.agents[agent] = slices.Clone(all)
+	w.holders = make(map[int][]holder, len(v.holders))
+	for agent, all := range v.holders {
+		w.holders[agent] = slices.Clone(all)
 	}
 	return &w
 }
 
 // Fork returns a copy that goes its own way.
-func (c *Council) Fork() *Council { d := *c; return &d }
+func (c *Proposer) Fork() *Proposer { d := *c; return &d }
 
-// Hurry has the voter propose again at once what it proposed: time stands still between a search's steps.
-func (v *Voter) Hurry() { v.asked, v.again = 0, 0 }
+// ResetRetries has the voter propose again at once what it proposed: time stands still between a search's steps.
+func (v *Voter) ResetRetries() { v.proposedFor, v.retryAt = 0, 0 }
 
-// Hurry has the council propose again at once what it proposed.
-func (c *Council) Hurry() { c.last, c.again = proposal{}, 0 }
+// ResetRetries has the council propose again at once what it proposed.
+func (c *Proposer) ResetRetries() { c.last, c.retryAt = lastProposal{}, 0 }
 
 // Fingerprint appends what tells the agent from others that have learnt the same records, as long as no floor
 // that it knows runs out.
 func (a *Agent) Fingerprint(b []byte) []byte {
-	return append(b, byte(a.note.Version), byte(a.note.Code), byte(a.reached), bit(a.held))
+	return append(b, byte(a.lastAnswer.Version), byte(a.lastAnswer.Code), byte(a.newestEffective), bit(a.hadLease))
 }
 
 // Fingerprint appends what tells the voter from others that have learnt the same records.
-func (v *Voter) Fingerprint(now lease.Reading, b []byte) []byte {
-	b = age(b, v.begin, now, v.times.mayLast())
-	b = append(b, byte(v.no.agent), byte(v.no.note.Version))
-	for _, agent := range slices.Sorted(maps.Keys(v.agents)) {
-		for _, h := range v.agents[agent] {
-			if h.note.Code == Yes && since(h.granted, now) >= v.times.mayLast() {
+func (v *Voter) Fingerprint(now lease.ClockReading, b []byte) []byte {
+	b = age(b, v.startedAt, now, v.times.maxLeaseAge())
+	b = append(b, byte(v.rejection.agent), byte(v.rejection.answer.Version))
+	for _, agent := range slices.Sorted(maps.Keys(v.holders)) {
+		for _, h := range v.holders[agent] {
+			if h.answer.Code == Accepted && minElapsed(h.grantedAt, now) >= v.times.maxLeaseAge() {
 				continue // it plays no part any more
 			}
-			b = append(age(b, h.granted, now, v.times.mayLast()), byte(agent), byte(h.incarnation),
-				byte(h.note.Version), byte(h.note.Code))
+			b = append(age(b, h.grantedAt, now, v.times.maxLeaseAge()), byte(agent), byte(h.incarnation),
+				byte(h.answer.Version), byte(h.answer.Code))
 		}
 	}
 	return b
 }
 
 // Fingerprint appends what tells the council from others that have learnt the same records.
-func (c *Council) Fingerprint(now lease.Reading, b []byte) []byte {
-	wait := c.times.Terms.Wait()
-	return age(age(append(b, byte(c.open)), c.set, now, wait), c.opened, now, wait)
+func (c *Proposer) Fingerprint(now lease.ClockReading, b []byte) []byte {
+	wait := c.times.Terms.FenceWait()
+	return age(age(append(b, byte(c.openNumber)), c.votersSince, now, wait), c.openSince, now, wait)
 }
 
 func bit(is bool) byte {
@@ -74,6 +74,6 @@
 }
 
 // age appends how old a reading is, as far as that counts.
-func age(b []byte, r, now lease.Reading, most time.Duration) []byte {
-	return binary.AppendVarint(b, int64(min(since(r, now), most)))
+func age(b []byte, r, now lease.ClockReading, most time.Duration) []byte {
+	return binary.AppendVarint(b, int64(min(minElapsed(r, now), most)))
 }
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -52,7 +52,7 @@
 const goldenDocument = "format = 1\nnote = \"golden\"\n[tenants.east]\nshare = 0.55\n"
 
 func goldenFloor() []byte {
-	return Floor{Share: 0.25, Attempts: 2, Copies: true, Pace: 80 * time.Millisecond, InVain: 0.125}.encode()
+	return Floor{QuotaShare: 0.25, MaxAttempts: 2, Hedging: true, MinAttemptInterval: 80 * time.Millisecond, MaxFailedRatio: 0.125}.encode()
 }
 
 // TestGoldenRecords: the records of the agreed log have the bytes that every build reads.
@@ -62,14 +62,14 @@
 		record
 	}{
 		{"proposed", record{
-			Kind: proposed, ID: "p-1", Who: 3, Base: 7, Now: 1800000000 * time.Second,
-			By: 1800000002 * time.Second, Document: []byte(goldenDocument), Floor: goldenFloor(),
+			Kind: kindProposed, ID: "p-1", Agent: 3, BaseVersion: 7, Now: 1800000000 * time.Second,
+			EffectiveAt: 1800000002 * time.Second, Document: []byte(goldenDocument), Floor: goldenFloor(),
 		}},
-		{"answered", record{Kind: answered, Version: 8, Who: 2}},
-		{"abandoned", record{Kind: abandoned, Version: 8, Who: 5, Code: OverTotal, Text: "tenants together get 1.1"}},
-		{"postponed", record{Kind: postponed, Version: 8, By: 1800000003 * time.Second}},
-		{"activated", record{Kind: activated, Version: 8}},
-		{"settled", record{Kind: settled, Version: 9}},
+		{"answered", record{Kind: kindPromised, Version: 8, Agent: 2}},
+		{"abandoned", record{Kind: kindAbandoned, Version: 8, Agent: 5, Code: SharesExceedTotal, Text: "tenants together get 1.1"}},
+		{"postponed", record{Kind: kindPostponed, Version: 8, EffectiveAt: 1800000003 * time.Second}},
+		{"activated", record{Kind: kindActivated, Version: 8}},
+		{"settled", record{Kind: kindFloorReleased, Version: 9}},
 	}
 	var forms []goldenForm
 	for _, r := range records {
@@ -85,71 +85,71 @@
 		var read record
 		require.NoError(t, decoding.Unmarshal(stored[r.name], &read), r.name)
 		require.Equal(t, r.record, read, r.name)
-		require.Equal(t, r.name == "postponed", Postpones(stored[r.name]))
-		require.Equal(t, r.name == "answered", Reports(stored[r.name]))
+		require.Equal(t, r.name == "postponed", IsPostponement(stored[r.name]))
+		require.Equal(t, r.name == "answered", IsPromiseReport(stored[r.name]))
 	}
 }
 
 // TestGoldenProposal: a proposal, as an agent's operators make it, is the record with the document's floor.
 func TestGoldenProposal(t *testing.T) {
 	document := "format = 1\n[floor]\nshare = 0.25\nattempts = 1\ncopies = true\npace_ms = 80\nin_vain = 0.125\n"
-	data, err := Propose(Proposal{
-		ID: "p-1", Who: 3, Base: 7, Now: 1800000000 * time.Second, By: 1800000002 * time.Second,
+	data, err := EncodeProposal(Proposal{
+		ID: "p-1", Agent: 3, BaseVersion: 7, Now: 1800000000 * time.Second, EffectiveAt: 1800000002 * time.Second,
 		Document: []byte(document),
 	})
 	require.NoError(t, err)
-	requireGolden(t, "proposal.txt", []goldenForm{{"proposal", data}, {"floor-of-version-0", Beginning().encode()}})
+	requireGolden(t, "proposal.txt", []goldenForm{{"proposal", data}, {"floor-of-version-0", InitialFloor().encode()}})
 }
 
 // TestGoldenSnapshot: the agreed state in all its parts.
 func TestGoldenSnapshot(t *testing.T) {
 	const at = 1800000000 * time.Second
 	first := Version{
-		Number: 1, By: at, ID: "p-1", Who: 3, Document: []byte(goldenDocument),
-		Floor: Beginning().encode(),
+		Number: 1, EffectiveAt: at, ProposalID: "p-1", ProposedBy: 3, Document: []byte(goldenDocument),
+		Floor: InitialFloor().encode(),
 	}
 	full := State{
-		Last: 3,
-		Now: Version{
-			Number: 2, By: at + time.Minute, ID: "p-2", Who: 4, Document: []byte(goldenDocument),
+		LastNumber: 3,
+		InForce: Version{
+			Number: 2, EffectiveAt: at + time.Minute, ProposalID: "p-2", ProposedBy: 4, Document: []byte(goldenDocument),
 			Floor: goldenFloor(),
 		},
-		Past: []Version{first, {Floor: Beginning().encode()}},
-		Open: &Change{Base: 2, Yes: []int{0, 2}, Version: Version{
-			Number: 3, By: at + time.Hour, ID: "p-3", Who: 5, Document: []byte("format = 1\n"),
+		Past: []Version{first, {Floor: InitialFloor().encode()}},
+		OpenChange: &Change{BaseVersion: 2, PromisedVoters: []int{0, 2}, Version: Version{
+			Number: 3, EffectiveAt: at + time.Hour, ProposalID: "p-3", ProposedBy: 5, Document: []byte("format = 1\n"),
 			Floor: goldenFloor(),
 		}},
-		Former: &Former{Floor: Beginning().encode(), Since: 2, SinceBy: at + time.Minute},
+		FormerFloor: &FormerFloor{Floor: InitialFloor().encode(), ReplacedBy: 2, ReplacedAt: at + time.Minute},
 		Outcomes: []Outcome{
-			{ID: "p-1", End: Taken, Version: 1, By: at, Who: 3},
-			{ID: "p-2", End: Taken, Version: 2, By: at + time.Minute, Who: 4},
-			{ID: "p-0", End: NotTaken, Why: OldBase, Other: 2, Who: 1},
-			{ID: "p-4", End: NotTaken, Version: 4, Why: Refused, Who: 6, Code: UnknownTenant, Text: "tenant north"},
-			{ID: "p-3", End: AskAgain, Version: 3, Who: 5},
+			{ID: "p-1", Status: StatusAccepted, Version: 1, EffectiveAt: at, Agent: 3},
+			{ID: "p-2", Status: StatusAccepted, Version: 2, EffectiveAt: at + time.Minute, Agent: 4},
+			{ID: "p-0", Status: StatusRejected, Cause: StaleBase, BlockingVersion: 2, Agent: 1},
+			{ID: "p-4", Status: StatusRejected, Version: 4, Cause: RejectedByAgent, Agent: 6, Code: UnknownTenant, Text: "tenant north"},
+			{ID: "p-3", Status: StatusUnknown, Version: 3, Agent: 5},
 		},
 	}
-	begun, applied := NewMachine(), NewMachine()
+	begun, applied := NewStateMachine(), NewStateMachine()
 	for _, r := range []record{
-		{Kind: proposed, ID: "p-1", Who: 3, Now: at, By: at, Document: []byte(goldenDocument), Floor: goldenFloor()},
-		{Kind: answered, Version: 1, Who: 2},
-		{Kind: postponed, Version: 1, By: at + time.Second},
-		{Kind: activated, Version: 1},
+		{Kind: kindProposed, ID: "p-1", Agent: 3, Now: at, EffectiveAt: at, Document: []byte(goldenDocument), Floor: goldenFloor()},
+		{Kind: kindPromised, Version: 1, Agent: 2},
+		{Kind: kindPostponed, Version: 1, EffectiveAt: at + time.Second},
+		{Kind: kindActivated, Version: 1},
 		{
-			Kind: proposed, ID: "p-2", Who: 4, Base: 1, Now: at + time.Minute, By: at + time.Minute,
+			Kind: kindProposed, ID: "p-2", Agent: 4, BaseVersion: 1, Now: at + time.Minute, EffectiveAt: at + time.Minute,
 			Document: []byte(goldenDocument), Floor: goldenFloor(),
 		},
-		{Kind: abandoned, Version: 2, Who: 5, Code: BelowFloor, Text: "allows less"},
-		{Kind: proposed, ID: "p-3", Who: 4, Base: 0, Now: at + time.Minute, By: at + time.Minute, Document: []byte("x")},
+		{Kind: kindAbandoned, Version: 2, Agent: 5, Code: BelowFloor, Text: "allows less"},
+		{Kind: kindProposed, ID: "p-3", Agent: 4, BaseVersion: 0, Now: at + time.Minute, EffectiveAt: at + time.Minute, Document: []byte("x")},
 	} {
 		applied.Apply(0, marshal(r))
 	}
 	stored := requireGolden(t, "snapshots.txt", []goldenForm{
 		{"new", begun.Snapshot()},
-		{"full", (&Machine{st: full}).Snapshot()},
+		{"full", (&StateMachine{state: full}).Snapshot()},
 		{"applied", applied.Snapshot()},
 	})
 	for name, state := range map[string]State{"new": begun.State(), "full": full, "applied": applied.State()} {
-		m := NewMachine()
+		m := NewStateMachine()
 		require.NoError(t, m.Restore(stored[name]), name)
 		require.Equal(t, state, m.State(), name)
 		require.Equal(t, stored[name], m.Snapshot(), name)
@@ -158,11 +158,11 @@
 
 // TestGoldenNotes: agents' answers, as they go with their requests for leases.
 func TestGoldenNotes(t *testing.T) {
-	notes := []Note{
+	notes := []Answer{
 		{Version: 1},
-		{Version: 300, Code: OverTotal, Text: "tenants together get 1.1"},
-		{Version: 1 << 40, Code: FloorUnlike, Text: strings.Repeat("x", MaxNote-10-2)},
-		{Version: 2, Code: Unreadable, Text: "ä"},
+		{Version: 300, Code: SharesExceedTotal, Text: "tenants together get 1.1"},
+		{Version: 1 << 40, Code: FloorMismatch, Text: strings.Repeat("x", MaxAnswerSize-10-2)},
+		{Version: 2, Code: UnreadableDocument, Text: "ä"},
 	}
 	var forms []goldenForm
 	for _, n := range notes {
@@ -170,7 +170,7 @@
 	}
 	stored := requireGolden(t, "notes.txt", forms)
 	for i, n := range notes {
-		read, ok := DecodeNote(stored[forms[i].name])
+		read, ok := DecodeAnswer(stored[forms[i].name])
 		require.True(t, ok)
 		require.Equal(t, n, read)
 	}
@@ -178,57 +178,57 @@
 
 // TestGoldenNumbersAndWords: numbers that are in what agents share, and words that operators' tools read.
 func TestGoldenNumbersAndWords(t *testing.T) {
-	require.Equal(t, []Code{0, 1, 2, 3, 4, 5, 6, 7, 8, 9}, []Code{
-		Yes, Unreadable, UnknownTenant, UnknownClass, OverTotal, TooManyTries, CopiesForbid, BelowFloor,
-		BelowOwnFloor, FloorUnlike,
+	require.Equal(t, []AnswerCode{0, 1, 2, 3, 4, 5, 6, 7, 8, 9}, []AnswerCode{
+		Accepted, UnreadableDocument, UnknownTenant, UnknownClass, SharesExceedTotal, TooManyAttempts, HedgingForbidden, BelowFloor,
+		BelowOwnFloor, FloorMismatch,
 	})
-	require.Equal(t, []Why{0, 1, 2, 3, 4, 5, 6, 7}, []Why{
-		NoReason, OtherOpen, OldBase, TooSoon, FloorOpen, Unfit, Refused, TimeIsLost,
+	require.Equal(t, []RejectionCause{0, 1, 2, 3, 4, 5, 6, 7}, []RejectionCause{
+		NotRejected, OtherChangeOpen, StaleBase, VersionNotEffective, FormerFloorInUse, Malformed, RejectedByAgent, ImplausibleTime,
 	})
-	require.Equal(t, []End{0, 1, 2}, []End{AskAgain, Taken, NotTaken})
+	require.Equal(t, []ProposalStatus{0, 1, 2}, []ProposalStatus{StatusUnknown, StatusAccepted, StatusRejected})
 	require.Equal(t, []string{"ask again", "taken", "not taken"},
-		[]string{AskAgain.String(), Taken.String(), NotTaken.String()})
-	require.Equal(t, []How{0, 1, 2}, []How{Bottom, Within, Full})
-	require.Equal(t, []string{"bottom", "floor", "full"}, []string{Bottom.String(), Within.String(), Full.String()})
+		[]string{StatusUnknown.String(), StatusAccepted.String(), StatusRejected.String()})
+	require.Equal(t, []Mode{0, 1, 2}, []Mode{ModeBottom, ModeFloor, ModeFull})
+	require.Equal(t, []string{"bottom", "floor", "full"}, []string{ModeBottom.String(), ModeFloor.String(), ModeFull.String()})
 }
 
 // TestGoldenDocument: each key of a document, and what it means with an agent's settings.
 func TestGoldenDocument(t *testing.T) {
 	text, err := os.ReadFile("testdata/golden/document.toml")
 	require.NoError(t, err)
-	own := Own{InVain: 0.9, Settings: decide.Settings{
-		Tenants: []decide.Tenant{{Name: "east", QuotaPerS: 60}, {Name: "west", QuotaPerS: 40}, {Name: "free"}},
+	own := LocalSettings{MaxFailedRatio: 0.9, Settings: decide.Settings{
+		Tenants: []decide.Tenant{{Name: "east", QuotaPerSecond: 60}, {Name: "west", QuotaPerSecond: 40}, {Name: "free"}},
 		Classes: []decide.Class{{Name: "find"}, {Name: "book"}},
-		Limits:  decide.Limits{MaxAttempts: 3, SecondCopies: true},
+		Limits:  decide.Limits{MaxAttempts: 3, Hedging: true},
 	}}
-	d, err := Read("document.toml", text)
+	d, err := ParseDocument("document.toml", text)
 	require.NoError(t, err)
 	e, err := d.Effect(own)
 	require.NoError(t, err)
 	floor := d.Floor()
 	classes := []any{}
 	for _, c := range e.Classes {
-		classes = append(classes, map[string]any{"attempts": c.Attempts, "copies": c.Copies, "pace": c.Pace.String()})
+		classes = append(classes, map[string]any{"attempts": c.MaxAttempts, "copies": c.Hedging, "pace": c.MinAttemptInterval.String()})
 	}
 	contracts := map[string]any{}
 	for name, c := range e.Contracts {
-		begins, ends, ok := c.Next(1800000000 * time.Second)
+		begins, ends, ok := c.NextRun(1800000000 * time.Second)
 		contracts[name] = map[string]any{
-			"notice": c.Notice().String(), "longest": c.Longest().String(), "monthly": c.Monthly(),
-			"keep": c.Keep(), "served": c.Served(), "until": c.Until().String(),
+			"notice": c.MinNotice().String(), "longest": c.MaxLength().String(), "monthly": c.MaxPerMonth(),
+			"keep": c.KeptCapacity(), "served": c.MinServed(), "until": c.RulesEnd().String(),
 			"next": []any{begins.String(), ends.String(), ok},
 		}
 	}
 	got, err := json.MarshalIndent(map[string]any{
-		"note": d.Note(), "quota": e.Quota, "in_vain": e.InVain, "classes": classes, "contracts": contracts,
+		"note": d.Note(), "quota": e.Quota, "in_vain": e.MaxFailedRatio, "classes": classes, "contracts": contracts,
 		"capacity": map[string]any{
-			"load": e.Capacity.Load, "most": e.Capacity.Most, "kinds": e.Capacity.Kinds, "servers": e.Capacity.Servers,
+			"load": e.Capacity.PeakLoad, "most": e.Capacity.MaxUtilization, "kinds": e.Capacity.ByKind, "servers": e.Capacity.ByServer,
 		},
 		"floor": map[string]any{
-			"share": floor.Share, "attempts": floor.Attempts, "copies": floor.Copies, "pace": floor.Pace.String(),
-			"in_vain": floor.InVain,
+			"share": floor.QuotaShare, "attempts": floor.MaxAttempts, "copies": floor.Hedging, "pace": floor.MinAttemptInterval.String(),
+			"in_vain": floor.MaxFailedRatio,
 		},
-		"zone_without_rules": d.unruled,
+		"zone_without_rules": d.zoneWithoutRules,
 	}, "", "  ")
 	require.NoError(t, err)
 	const path = "testdata/golden/document.json"
@@ -244,7 +244,7 @@
 // never changes, so that the machine's zone data do not count.
 func TestGoldenFill(t *testing.T) {
 	const text = "format = 1\n[contracts.east]\nzone = 'Etc/GMT-2'\nhours = ['mon-fri 20:00-06:00']\n"
-	filled, err := Fill([]byte(text), time.Unix(1800000000, 0))
+	filled, err := AddZoneRules([]byte(text), time.Unix(1800000000, 0))
 	require.NoError(t, err)
 	const path = "testdata/golden/filled.toml"
 	if *update {
@@ -253,7 +253,7 @@
 	want, err := os.ReadFile(path)
 	require.NoError(t, err)
 	require.Equal(t, string(want), string(filled))
-	again, err := Fill(want, time.Unix(1800000000, 0))
+	again, err := AddZoneRules(want, time.Unix(1800000000, 0))
 	require.NoError(t, err)
 	require.Equal(t, string(want), string(again))
 }
--- a/policy/judge/history.go
+++ b/policy/judge/history.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// Explained tells whether one register explains all that was seen.
-func (h *History) Explained() bool {
+// IsLinearizable tells whether one register explains all that was seen.
+func (h *History) IsLinearizable() bool {
 	ops := append([]porcupine.Operation{}, h.ops...)
 	for version, all := range h.reads {
 		for _, r := range []seenRead{all.first, all.last} {
--- a/policy/judge/history_test.go
+++ b/policy/judge/history_test.go
@@ -64,6 +64,6 @@
 	} {
 		h := NewHistory(200 * time.Millisecond)
 		c.play(h)
-		require.Equal(t, c.is, h.Explained(), name)
+		require.Equal(t, c.is, h.IsLinearizable(), name)
 	}
 }
--- a/policy/judge/judge.go
+++ b/policy/judge/judge.go
@@ -12,41 +12,41 @@
 // Decision is one of an agent's, at a true time. Decisions are to be told in the order of their times.
 type Decision struct {
 	At time.Duration
-	// Till is the latest at which it can have been made, where it was seen from outside only, and not before At;
+	// LatestAt is the latest at which it can have been made, where it was seen from outside only, and not before At;
 	// zero: it was made at At.
-	Till    time.Duration
-	Agent   int
-	How     policy.How
-	Version uint64 // acted on, or whose floor it was
+	LatestAt time.Duration
+	Agent    int
+	Mode     policy.Mode
+	Version  uint64 // acted on, or whose floor it was
 }
 
 // Version is one that was activated.
 type Version struct {
 	Number        uint64
-	By            time.Duration  // when it was to take hold
+	EffectiveAt   time.Duration  // when it was to take hold
 	Effect, Floor *policy.Effect // with the settings of all agents
 }
 
-// Breach is a decision that should not have been made.
-type Breach struct {
+// Violation is a decision that should not have been made.
+type Violation struct {
 	Decision
-	Text string
+	Reason string
 }
 
-func (b Breach) String() string {
-	return fmt.Sprintf("%v: agent %d, %v of version %d: %s", b.At, b.Agent, b.How, b.Version, b.Text)
+func (b Violation) String() string {
+	return fmt.Sprintf("%v: agent %d, %v of version %d: %s", b.At, b.Agent, b.Mode, b.Version, b.Reason)
 }
 
-// maxBreaches are kept; all are counted.
-const maxBreaches = 20
+// maxViolations are kept; all are counted.
+const maxViolations = 20
 
 // Judge hears of one fleet.
 type Judge struct {
-	// Breaches are the first ones, Count is how many there were.
-	Breaches []Breach
-	Count    int
+	// Violations are the first ones, Count is how many there were.
+	Violations []Violation
+	Count      int
 	// Decisions are counted by how they were made.
-	Decisions [policy.Full + 1]int
+	Decisions [policy.ModeFull + 1]int
 
 	slack    time.Duration
 	versions []*version // by number
@@ -72,19 +72,19 @@
 
 // Decided hears of a decision, and tells whether it breaks no promise.
 func (j *Judge) Decided(d Decision) bool {
-	j.Decisions[min(d.How, policy.Full)]++
+	j.Decisions[min(d.Mode, policy.ModeFull)]++
 	text := ""
-	switch d.How {
-	case policy.Full:
+	switch d.Mode {
+	case policy.ModeFull:
 		text = j.full(d)
-	case policy.Within:
+	case policy.ModeFloor:
 		text = j.within(d)
 	}
 	if text == "" {
 		return true
 	}
-	if j.Count++; len(j.Breaches) < maxBreaches {
-		j.Breaches = append(j.Breaches, Breach{d, text})
+	if j.Count++; len(j.Violations) < maxViolations {
+		j.Violations = append(j.Violations, Violation{d, text})
 	}
 	return false
 }
@@ -99,11 +99,11 @@
 }
 
 func (j *Judge) full(d Decision) string {
-	v, till := j.find(d.Version), max(d.At, d.Till)
+	v, till := j.find(d.Version), max(d.At, d.LatestAt)
 	switch {
 	case v == nil:
 		return "the version was never activated"
-	case till < v.By-j.slack:
+	case till < v.EffectiveAt-j.slack:
 		return "before the version takes hold"
 	}
 	for i := len(j.versions) - 1; i >= 0 && j.versions[i].Number > d.Version; i-- {
@@ -125,7 +125,7 @@
 	}
 	for i := len(j.versions) - 1; i >= 0; i-- {
 		in := j.versions[i]
-		if begins := max(in.By, in.at); d.At < begins-j.slack {
+		if begins := max(in.EffectiveAt, in.at); d.At < begins-j.slack {
 			continue
 		} else if in.Effect.Allows(v.Floor) {
 			return ""
