--- a/policy/lab/beside.go
+++ b/policy/lab/beside.go
@@ -9,13 +9,13 @@
 )
 
 // Beside is what stands beside the policy in one process, with records of its own in the same log: a
-// fleet.Machine, and the parts of a fleet.Above that the lab plays.
+// fleet.StateMachine, and the parts of a fleet.Application that the lab plays.
 type Beside interface {
-	fleet.Machine
-	Learn(now lease.Reading, anew bool)
-	May(now lease.Reading, agent int, incarnation uint64, note []byte) bool
-	Heard(now lease.Reading, from int, data []byte) []byte
-	Due(now lease.Reading, v fleet.Voting) fleet.Due
+	fleet.StateMachine
+	RecordsApplied(now lease.ClockReading, anew bool)
+	MayGrantLease(now lease.ClockReading, agent int, incarnation uint64, note []byte) bool
+	HandleMessage(now lease.ClockReading, from int, data []byte) []byte
+	NextActions(now lease.ClockReading, v fleet.VoterState) fleet.Actions
 }
 
 // besides is the first byte of its records; the policy's never begin with it.
@@ -24,7 +24,7 @@
 // ofBeside is a record of it, for the log.
 func ofBeside(data []byte) []byte { return append([]byte{besides}, data...) }
 
-func (l *Lab) startBeside(nd *node, now lease.Reading) {
+func (l *Lab) startBeside(nd *node, now lease.ClockReading) {
 	if l.set.Beside == nil {
 		return
 	}
@@ -38,19 +38,19 @@
 }
 
 // dueBeside does what is due at a node, and tells when it is again.
-func (l *Lab) dueBeside(nd *node, now lease.Reading) time.Duration {
+func (l *Lab) dueBeside(nd *node, now lease.ClockReading) time.Duration {
 	if nd.beside == nil {
 		return now.Mono + time.Hour
 	}
 	votes := nd.number < len(l.voters)
-	due := nd.beside.Due(now, fleet.Voting{
-		Votes: votes, Leads: votes && nd.number == l.leader,
+	due := nd.beside.NextActions(now, fleet.VoterState{
+		IsVoter: votes, IsLeader: votes && nd.number == l.leader,
 		Voters: l.voterNumbers(),
 	})
-	for _, r := range due.Records {
+	for _, r := range due.Proposals {
 		l.submit(nd.number, ofBeside(r.Data))
 	}
-	for _, s := range due.Sends {
+	for _, s := range due.Messages {
 		l.send(nd.number, s.To, message{kind: aside, data: s.Data})
 	}
 	return due.Next
@@ -58,7 +58,7 @@
 
 // look is how often a node looks at what is open; seldom while nothing is, in courses of days.
 func (l *Lab) look(nd *node) time.Duration {
-	if l.set.Beside != nil && nd.member.Machine.State().Open == nil {
+	if l.set.Beside != nil && nd.member.StateMachine.State().OpenChange == nil {
 		return 500 * time.Millisecond
 	}
 	return 100 * time.Millisecond
@@ -66,7 +66,7 @@
 
 // Submit has a node ask the leader for a record of what stands beside, once.
 func (l *Lab) Submit(n int, data []byte) {
-	if l.node(n).life > 0 && !l.Paused(n) {
+	if l.node(n).life > 0 && !l.IsPaused(n) {
 		l.submit(n, ofBeside(data))
 	}
 }
@@ -83,27 +83,27 @@
 func (l *Lab) Agreed() Beside { return l.beside }
 
 // Acting is how a node's process acts now; a voter counts as one with a lease while it reaches the leader.
-func (l *Lab) Acting(n int) (lease.Standing, policy.Acting) {
+func (l *Lab) Acting(n int) (lease.Standing, policy.Active) {
 	nd, now, standing := l.node(n), l.reading(n), lease.Floor
 	if n >= len(l.voters) {
 		standing = l.agents[n-len(l.voters)].holder.Standing(now)
 	} else if n == l.leader && l.majority() {
 		standing = lease.Full
 	}
-	return standing, nd.member.Agent.Acting(now, standing)
+	return standing, nd.member.Agent.Active(now, standing)
 }
 
 // Reading is a node's clocks.
-func (l *Lab) Reading(n int) lease.Reading { return l.reading(n) }
+func (l *Lab) Reading(n int) lease.ClockReading { return l.reading(n) }
 
 // Machine is a node's, of the policy.
-func (l *Lab) Machine(n int) *policy.Machine { return l.node(n).member.Machine }
+func (l *Lab) Machine(n int) *policy.StateMachine { return l.node(n).member.StateMachine }
 
 // Leader is the voter that leads; below zero: none does.
 func (l *Lab) Leader() int { return l.leader }
 
-// Life tells processes of a node apart; zero: none runs.
-func (l *Lab) Life(n int) int { return l.node(n).life }
+// Incarnation tells processes of a node apart; zero: none runs.
+func (l *Lab) Incarnation(n int) int { return l.node(n).life }
 
 // CutOff closes all ways from and to a node, until a true time.
 func (l *Lab) CutOff(n int, until time.Duration) { l.cutOff(n, until) }
--- a/policy/lab/course.go
+++ b/policy/lab/course.go
@@ -14,9 +14,9 @@
 // Terms are those of the courses: short, so that much happens in little time.
 func Terms() policy.Times {
 	return policy.Times{Terms: lease.Terms{
-		Length: 2 * time.Second, Heard: 500 * time.Millisecond,
-		Clocks: 100 * time.Millisecond, Drift: 0.01,
-	}, Ahead: 300 * time.Millisecond, Floor: 2 * time.Second}
+		Duration: 2 * time.Second, MaxKnowledgeAge: 500 * time.Millisecond,
+		MaxClockError: 100 * time.Millisecond, MaxDrift: 0.01,
+	}, ActivationLead: 300 * time.Millisecond, FloorValidity: 2 * time.Second}
 }
 
 const (
@@ -40,10 +40,10 @@
 // Course plays changes among all faults, and then a while without.
 func Course(seed uint64, agents int, without string) *Lab {
 	l := New(Setup{
-		Seed: seed, Voters: 3, Agents: agents, Times: Terms(), Within: 800 * time.Millisecond,
+		Seed: seed, Voters: 3, Agents: agents, Times: Terms(), LeadTime: 800 * time.Millisecond,
 		Without: without, Faults: lossy.Faults{
-			Loss: 0.1, Double: 0.1, Least: time.Millisecond,
-			Most: 20 * time.Millisecond, Late: 0.05, LateBy: 3 * time.Second,
+			Loss: 0.1, Duplicate: 0.1, MinDelay: time.Millisecond,
+			MaxDelay: 20 * time.Millisecond, Late: 0.05, Lateness: 3 * time.Second,
 		},
 	})
 	begin := l.Now()
@@ -73,7 +73,7 @@
 // askForOne has some node ask for a change.
 func (l *Lab) askForOne() {
 	n := l.Rand().IntN(len(l.voters) + len(l.agents))
-	if l.node(n).life == 0 || l.Paused(n) {
+	if l.node(n).life == 0 || l.IsPaused(n) {
 		return
 	}
 	tries := max(1, l.Rand().IntN(4)) // one attempt, less than some floors: half of the time
@@ -81,7 +81,7 @@
 	switch {
 	case l.theme == forgotten: // all can use it
 		floor, tries = 2, 2
-	case l.theme == narrowed && l.State().Now.Number == 0:
+	case l.theme == narrowed && l.State().InForce.Number == 0:
 		floor, tries = 1, 2
 	case l.theme == narrowed:
 		floor, tries = 1, 1
@@ -120,7 +120,7 @@
 		l.cutOff(n, min(l.Now()+time.Duration(rng.Int64N(int64(15*time.Second))), end))
 	case 4:
 		t := l.set.Times.Terms
-		l.SetClock(n, time.Duration((2*rng.Float64()-1)*float64(t.Clocks)), 1+(2*rng.Float64()-1)*t.Drift)
+		l.SetClock(n, time.Duration((2*rng.Float64()-1)*float64(t.MaxClockError)), 1+(2*rng.Float64()-1)*t.MaxDrift)
 	case 5:
 		l.restart(n, until)
 	case 6:
@@ -180,8 +180,8 @@
 }
 
 func (l *Lab) cut(from, to int, until time.Duration) {
-	l.Cut(from, to, true)
-	l.At(until, func() { l.Cut(from, to, false) })
+	l.SetCut(from, to, true)
+	l.At(until, func() { l.SetCut(from, to, false) })
 }
 
 // heal has all run and reach each other.
@@ -192,10 +192,10 @@
 			l.Start(n, false)
 		}
 		for i := range len(l.voters) + len(l.agents) {
-			l.Cut(n, i, false)
+			l.SetCut(n, i, false)
 		}
 	}
-	l.Faults = lossy.Faults{Loss: 0.01, Least: time.Millisecond, Most: 20 * time.Millisecond}
+	l.Faults = lossy.Faults{Loss: 0.01, MinDelay: time.Millisecond, MaxDelay: 20 * time.Millisecond}
 }
 
 // Spread is how long a change took, from the call, until parts of the agents that run first acted on it;
@@ -210,8 +210,8 @@
 // Measure plays one change and tells how long it took.
 func Measure(seed uint64, agents int, loss float64, within time.Duration, trouble Trouble) Spread {
 	l := New(Setup{
-		Seed: seed, Voters: 3, Agents: agents, Within: within,
-		Faults: lossy.Faults{Loss: loss, Least: time.Millisecond, Most: 10 * time.Millisecond},
+		Seed: seed, Voters: 3, Agents: agents, LeadTime: within,
+		Faults: lossy.Faults{Loss: loss, MinDelay: time.Millisecond, MaxDelay: 10 * time.Millisecond},
 	})
 	// Voters report early only once they have run for longer than a lease.
 	l.Run(l.Now() + 12*time.Second)
@@ -225,8 +225,8 @@
 			continue
 		}
 		for other := range len(l.voters) + agents {
-			l.Cut(n, other, true)
-			l.Cut(other, n, true)
+			l.SetCut(n, other, true)
+			l.SetCut(other, n, true)
 		}
 	}
 	l.Propose(0, Document(2, 2, 0.5))
--- a/policy/lab/lab.go
+++ b/policy/lab/lab.go
@@ -25,11 +25,11 @@
 	Begin          time.Duration // true time, which is Unix time; 1e6 s
 	Faults         lossy.Faults
 	Times          policy.Times
-	Within         time.Duration // how far ahead changes are made
+	LeadTime       time.Duration // how far ahead changes are made
 	Without        string        // a protection that is taken out: one of Protections
 	// Beside, where set, makes what stands beside the policy in a node's process; below zero: in none, to follow
 	// what is agreed.
-	Beside func(n int, now lease.Reading) Beside
+	Beside func(n int, now lease.ClockReading) Beside
 }
 
 // Protections can be taken out, to see that the judge finds it.
@@ -48,7 +48,7 @@
 
 // Lab is one course.
 type Lab struct {
-	*lossy.World
+	*lossy.Network
 	Judge *judge.Judge
 	// Acted is when each agent first acted on a version, by version and agent; since true time zero.
 	Acted map[uint64]map[int]time.Duration
@@ -58,7 +58,7 @@
 	Longest time.Duration
 
 	// Decided is told of each decision, OnBeside of each record of what stands beside.
-	Decided  func(agent int, now lease.Reading, standing lease.Standing, acting policy.Acting)
+	Decided  func(agent int, now lease.ClockReading, standing lease.Standing, acting policy.Active)
 	OnBeside func()
 
 	set      Setup
@@ -67,7 +67,7 @@
 	beside   Beside        // of all that is agreed
 	theme    theme
 	log      [][]byte
-	ref      *policy.Machine // of all that is agreed
+	ref      *policy.StateMachine // of all that is agreed
 	voters   []*voter
 	agents   []*agent
 	messages []message
@@ -84,7 +84,7 @@
 	life   int // of its process; zero: none runs
 	lives  int
 	known  int // records
-	member *policy.Member
+	member *policy.Replica
 	beside Beside
 	pull   time.Duration
 }
@@ -99,7 +99,7 @@
 type agent struct {
 	node
 	holder *lease.Holder
-	own    policy.Own
+	own    policy.LocalSettings
 }
 
 // call is a change that somebody asks for, again and again until it is settled.
@@ -107,7 +107,7 @@
 	node int
 	id   string
 	data []byte
-	end  policy.End
+	end  policy.ProposalStatus
 }
 
 type kind uint8
@@ -133,37 +133,37 @@
 	r     lease.Request
 	g     lease.Grant
 	data  []byte
-	asked lease.Reading
+	asked lease.ClockReading
 }
 
 // Own are the settings of all agents.
-func Own() policy.Own {
-	return policy.Own{InVain: 0.25, Settings: decide.Settings{
-		Tenants: []decide.Tenant{{Name: "east", QuotaPerS: 60}, {Name: "west", QuotaPerS: 40}},
+func Own() policy.LocalSettings {
+	return policy.LocalSettings{MaxFailedRatio: 0.25, Settings: decide.Settings{
+		Tenants: []decide.Tenant{{Name: "east", QuotaPerSecond: 60}, {Name: "west", QuotaPerSecond: 40}},
 		Classes: []decide.Class{{Name: "find"}, {Name: "book"}},
-		Limits:  decide.Limits{MaxAttempts: 3, SecondCopies: true},
+		Limits:  decide.Limits{MaxAttempts: 3, Hedging: true},
 	}}
 }
 
 // New returns a course at its beginning, with all nodes running and version 0.
 func New(set Setup) *Lab {
-	set.Times = set.Times.Usual()
+	set.Times = set.Times.WithDefaults()
 	if set.Begin == 0 {
 		set.Begin = 1e6 * time.Second
 	}
 	l := &Lab{
-		World: lossy.New(set.Seed, set.Voters+set.Agents, set.Begin, set.Faults), set: set,
-		ref: policy.NewMachine(), Acted: map[uint64]map[int]time.Duration{},
+		Network: lossy.NewNetwork(set.Seed, set.Voters+set.Agents, set.Begin, set.Faults), set: set,
+		ref: policy.NewStateMachine(), Acted: map[uint64]map[int]time.Duration{},
 	}
 	own := Own()
 	plain, err := mean(own, "format = 1\n")
 	if err != nil {
 		panic(err) // of constants
 	}
-	l.Judge = judge.New(2*set.Times.Terms.Clocks+time.Millisecond, plain)
-	l.Deliver, l.Tick = l.deliver, l.tick
+	l.Judge = judge.New(2*set.Times.Terms.MaxClockError+time.Millisecond, plain)
+	l.OnMessage, l.OnTimer = l.deliver, l.tick
 	if set.Beside != nil {
-		l.beside = set.Beside(-1, lease.Reading{})
+		l.beside = set.Beside(-1, lease.ClockReading{})
 	}
 	for i := range set.Voters {
 		l.voters = append(l.voters, &voter{node: node{number: i}})
@@ -179,8 +179,8 @@
 }
 
 // mean is what a document does at an agent with these settings.
-func mean(own policy.Own, document string) (v judge.Version, err error) {
-	d, err := policy.Read("lab", []byte(document))
+func mean(own policy.LocalSettings, document string) (v judge.Version, err error) {
+	d, err := policy.ParseDocument("lab", []byte(document))
 	if err != nil {
 		return v, err
 	}
@@ -191,7 +191,9 @@
 	return v, nil
 }
 
-func (l *Lab) reading(n int) lease.Reading { return lease.Reading{Unix: l.Unix(n), Mono: l.Mono(n)} }
+func (l *Lab) reading(n int) lease.ClockReading {
+	return lease.ClockReading{Unix: l.UnixTime(n), Mono: l.SteadyTime(n)}
+}
 
 func (l *Lab) node(n int) *node {
 	if n < len(l.voters) {
@@ -205,7 +207,7 @@
 	own := Own()
 	own.Settings.Limits.MaxAttempts = 2
 	l.agents[agent].own = own
-	l.agents[agent].member.Agent.Change(own)
+	l.agents[agent].member.Agent.SetLocalSettings(own)
 }
 
 // Stop ends a node's process.
@@ -230,18 +232,18 @@
 		}, now)
 		times := l.set.Times
 		if l.set.Without == "run out" {
-			times.Floor = time.Hour
+			times.FloorValidity = time.Hour
 		}
-		a.member = policy.NewMember(n, false, a.own, times, now)
+		a.member = policy.NewReplica(n, false, a.own, times, now)
 	}
 	if nd.known > 0 {
-		if err := nd.member.Machine.Restore(was.Machine.Snapshot()); err != nil {
+		if err := nd.member.StateMachine.Restore(was.StateMachine.Snapshot()); err != nil {
 			panic(err) // of its own
 		}
 	}
 	l.startBeside(nd, now)
 	l.learned(n)
-	l.Wake(n, now.Mono)
+	l.SetTimer(n, now.Mono)
 }
 
 func (l *Lab) voterNumbers() (all []int) {
@@ -251,25 +253,25 @@
 	return all
 }
 
-func (l *Lab) startVoter(v *voter, now lease.Reading) {
+func (l *Lab) startVoter(v *voter, now lease.ClockReading) {
 	times, councils, begin := l.set.Times, l.set.Times, now
 	switch l.set.Without {
 	case "prepare":
-		councils.Terms.Length, councils.Terms.Heard = 1, 1
+		councils.Terms.Duration, councils.Terms.MaxKnowledgeAge = 1, 1
 	case "fence":
-		councils.Terms.Length, councils.Terms.Heard = times.Terms.Length/10, times.Terms.Heard/10
+		councils.Terms.Duration, councils.Terms.MaxKnowledgeAge = times.Terms.Duration/10, times.Terms.MaxKnowledgeAge/10
 	case "settle":
-		councils.Terms.Length, councils.Terms.Heard, councils.Floor = 1, 1, 1
+		councils.Terms.Duration, councils.Terms.MaxKnowledgeAge, councils.FloorValidity = 1, 1, 1
 	case "outstanding":
-		times.Terms.Length = 1
+		times.Terms.Duration = 1
 	case "begin":
-		begin = lease.Reading{}
+		begin = lease.ClockReading{}
 	}
 	v.granter = lease.NewGranter(lease.GranterSettings{Terms: l.set.Times.Terms, Agents: l.set.Agents})
-	v.member = policy.NewMember(v.number, true, Own(), l.set.Times, now)
+	v.member = policy.NewReplica(v.number, true, Own(), l.set.Times, now)
 	v.member.Voter = policy.NewVoter(v.number, times, begin)
-	v.member.Council = policy.NewCouncil(v.number, councils)
-	v.member.Council.Voters(now, l.voterNumbers(), 1)
+	v.member.Proposer = policy.NewProposer(v.number, councils)
+	v.member.Proposer.SetVoters(now, l.voterNumbers(), 1)
 	v.reads, v.requests = nil, map[uint64]message{}
 }
 
@@ -290,7 +292,7 @@
 	m := l.messages[int(i)-l.pruned]
 	switch m.kind {
 	case aside:
-		nd.beside.Heard(l.reading(to), from, m.data)
+		nd.beside.HandleMessage(l.reading(to), from, m.data)
 		return
 	case news, have:
 		l.learn(to, m.n)
@@ -324,7 +326,7 @@
 		if data := l.log[nd.known]; data[0] == besides {
 			nd.beside.Apply(uint64(nd.known+1), data[1:])
 		} else {
-			nd.member.Machine.Apply(uint64(nd.known+1), data)
+			nd.member.StateMachine.Apply(uint64(nd.known+1), data)
 		}
 	}
 	l.learned(n)
@@ -337,18 +339,18 @@
 	now := l.reading(n)
 	l.node(n).member.Learn(now)
 	if b := l.node(n).beside; b != nil {
-		b.Learn(now, false)
+		b.RecordsApplied(now, false)
 	}
 	if n < len(l.voters) {
 		v := l.voters[n]
 		if l.set.Without == "own" || l.set.Without == "check" {
-			v.member.Council.Learn(now, v.member.Machine, yes(v.member.Agent.Note()))
+			v.member.Proposer.Learn(now, v.member.StateMachine, yes(v.member.Agent.EncodedAnswer()))
 		}
 		l.confirm(v)
 		return
 	}
 	a := l.agents[n-len(l.voters)]
-	a.holder.Applied(at(a.known))
+	a.holder.SetApplied(at(a.known))
 	l.tell(a, now)
 }
 
@@ -372,25 +374,25 @@
 		l.tell(a, now)
 		next = min(next, a.holder.Next())
 	}
-	l.Wake(n, max(min(next, l.dueBeside(nd, now)), now.Mono+time.Millisecond))
+	l.SetTimer(n, max(min(next, l.dueBeside(nd, now)), now.Mono+time.Millisecond))
 }
 
 // note is the agent's, or yes to all where agents do not look.
 func (l *Lab) note(a *agent) []byte {
 	if l.set.Without == "check" {
-		return yes(a.member.Agent.Note())
+		return yes(a.member.Agent.EncodedAnswer())
 	}
-	return a.member.Agent.Note()
+	return a.member.Agent.EncodedAnswer()
 }
 
 // yes is the same note, but for the answer.
 func yes(note []byte) []byte {
-	n, _ := policy.DecodeNote(note)
-	return policy.Note{Version: n.Version}.Encode()
+	n, _ := policy.DecodeAnswer(note)
+	return policy.Answer{Version: n.Version}.Encode()
 }
 
-func (l *Lab) tell(a *agent, now lease.Reading) {
-	for _, v := range a.member.Agent.Tell(now, l.voterNumbers()) {
+func (l *Lab) tell(a *agent, now lease.ClockReading) {
+	for _, v := range a.member.Agent.VotersToNotify(now, l.voterNumbers()) {
 		l.send(a.number, v, message{kind: told, note: l.note(a)})
 	}
 }
@@ -399,11 +401,11 @@
 	now := l.reading(a.number)
 	switch m.kind {
 	case grant:
-		a.holder.Answered(now, from, m.g)
+		a.holder.HandleGrant(now, from, m.g)
 	case heard:
-		a.member.Agent.Told(from, m.note)
+		a.member.Agent.Acknowledged(from, m.note)
 	}
-	l.Wake(a.number, now.Mono)
+	l.SetTimer(a.number, now.Mono)
 }
 
 func (l *Lab) toVoter(v *voter, from int, m message) {
@@ -411,14 +413,14 @@
 	switch m.kind {
 	case request:
 		v.requests[m.r.Nonce] = m
-		out, ask := v.granter.Requested(now, who, m.r)
+		out, ask := v.granter.HandleRequest(now, who, m.r)
 		l.grants(v, now, out)
 		if ask {
 			l.ask(v, now)
 		}
 	case told:
 		if l.set.Without != "decline" {
-			v.member.Voter.Heard(who, uint64(m.life), m.note)
+			v.member.Voter.AnswerReceived(who, uint64(m.life), m.note)
 		}
 		l.send(v.number, from, message{kind: heard, note: m.note})
 		l.propose(v, now)
@@ -428,7 +430,7 @@
 	}
 }
 
-func (l *Lab) ask(v *voter, now lease.Reading) {
+func (l *Lab) ask(v *voter, now lease.ClockReading) {
 	life := v.life
 	if v.number != l.leader {
 		for i := range 3 { // as a leader's beats come again and again
@@ -456,34 +458,34 @@
 			later = append(later, m)
 			continue
 		}
-		l.grants(v, now, v.granter.Confirmed(now, m.asked, at(m.n)))
+		l.grants(v, now, v.granter.HandleConfirmed(now, m.asked, at(m.n)))
 	}
 	v.reads = later
 }
 
-func (l *Lab) grants(v *voter, now lease.Reading, out []lease.Answer) {
+func (l *Lab) grants(v *voter, now lease.ClockReading, out []lease.Reply) {
 	for _, a := range out {
 		r := v.requests[a.Grant.Nonce]
 		delete(v.requests, a.Grant.Nonce)
-		if !a.Grant.Refused && !l.mayGrant(v, now, a.To, r) {
-			a.Grant = lease.Grant{Nonce: a.Grant.Nonce, Refused: true}
+		if !a.Grant.Rejected && !l.mayGrant(v, now, a.To, r) {
+			a.Grant = lease.Grant{Nonce: a.Grant.Nonce, Rejected: true}
 		}
 		l.send(v.number, len(l.voters)+a.To, message{kind: grant, g: a.Grant})
 	}
 }
 
-func (l *Lab) mayGrant(v *voter, now lease.Reading, to int, r message) bool {
+func (l *Lab) mayGrant(v *voter, now lease.ClockReading, to int, r message) bool {
 	if l.set.Without == "decline" {
-		if open := v.member.Machine.State().Open; open != nil {
-			r.note = policy.Note{Version: open.Number}.Encode()
+		if open := v.member.StateMachine.State().OpenChange; open != nil {
+			r.note = policy.Answer{Version: open.Number}.Encode()
 		}
 	}
-	return v.member.Grant(now, to, r.r.Incarnation, r.note) &&
-		(v.beside == nil || v.beside.May(now, len(l.voters)+to, r.r.Incarnation, r.note))
+	return v.member.AllowLease(now, to, r.r.Incarnation, r.note) &&
+		(v.beside == nil || v.beside.MayGrantLease(now, len(l.voters)+to, r.r.Incarnation, r.note))
 }
 
 // propose does what is due at a voter, and tells when it is again.
-func (l *Lab) propose(v *voter, now lease.Reading) (next time.Duration) {
+func (l *Lab) propose(v *voter, now lease.ClockReading) (next time.Duration) {
 	records, next := v.member.Due(now, v.number == l.leader)
 	for _, data := range records {
 		l.submit(v.number, data)
@@ -504,7 +506,7 @@
 func (l *Lab) commit(by int, data []byte) {
 	life := l.node(by).life
 	l.At(l.Now()+time.Duration(2+l.Rand().IntN(15))*time.Millisecond, func() {
-		if by != l.leader || l.node(by).life != life || l.Paused(by) || !l.majority() {
+		if by != l.leader || l.node(by).life != life || l.IsPaused(by) || !l.majority() {
 			return
 		}
 		l.log = append(l.log, data)
@@ -526,30 +528,30 @@
 	before := l.ref.State()
 	l.ref.Apply(uint64(len(l.log)), l.log[len(l.log)-1])
 	st := l.ref.State()
-	if before.Open == nil && st.Open != nil {
+	if before.OpenChange == nil && st.OpenChange != nil {
 		l.opened = l.Now()
 	}
-	if before.Open != nil && st.Open == nil {
+	if before.OpenChange != nil && st.OpenChange == nil {
 		l.Longest = max(l.Longest, l.Now()-l.opened)
 	}
-	if st.Now.Number != before.Now.Number {
-		v, err := mean(Own(), string(st.Now.Document))
+	if st.InForce.Number != before.InForce.Number {
+		v, err := mean(Own(), string(st.InForce.Document))
 		if err != nil {
 			panic(fmt.Sprint("an agent has said yes to what none can use: ", err))
 		}
-		v.Number, v.By = st.Now.Number, st.Now.By
+		v.Number, v.EffectiveAt = st.InForce.Number, st.InForce.EffectiveAt
 		l.Judge.Activated(l.Now(), v)
-		l.countUnfit(st.Now.Document)
+		l.countUnfit(st.InForce.Document)
 	}
 	if l.onRecord != nil {
-		l.onRecord(st.Open != nil)
+		l.onRecord(st.OpenChange != nil)
 	}
 }
 
 func (l *Lab) countUnfit(document []byte) {
 	for _, a := range l.agents {
 		acts := a.life > 0 && a.holder.Standing(l.reading(a.number)) == lease.Full
-		if acts && policy.Check(document, a.own) != nil {
+		if acts && policy.CheckDocument(document, a.own) != nil {
 			l.Unfit++
 		}
 	}
@@ -559,12 +561,12 @@
 func (l *Lab) majority() bool { return l.leader >= 0 && l.reaches(l.leader) }
 
 func (l *Lab) reaches(n int) bool {
-	if l.voters[n].life == 0 || l.Paused(n) {
+	if l.voters[n].life == 0 || l.IsPaused(n) {
 		return false
 	}
 	count := 0
 	for i, v := range l.voters {
-		if v.life > 0 && !l.Paused(i) && !l.IsCut(n, i) && !l.IsCut(i, n) {
+		if v.life > 0 && !l.IsPaused(i) && !l.IsCut(n, i) && !l.IsCut(i, n) {
 			count++
 		}
 	}
@@ -596,12 +598,12 @@
 
 // Propose asks for a change at a node, until it is settled.
 func (l *Lab) Propose(n int, document string) {
-	st := l.node(n).member.Machine.State()
+	st := l.node(n).member.StateMachine.State()
 	c := &call{node: n, id: fmt.Sprint("change ", len(l.calls))}
-	now := l.Unix(n)
-	data, err := policy.Propose(policy.Proposal{
-		ID: c.id, Who: n, Base: st.Now.Number, Now: now,
-		By: now + l.set.Within, Document: []byte(document),
+	now := l.UnixTime(n)
+	data, err := policy.EncodeProposal(policy.Proposal{
+		ID: c.id, Agent: n, BaseVersion: st.InForce.Number, Now: now,
+		EffectiveAt: now + l.set.LeadTime, Document: []byte(document),
 	})
 	if err != nil {
 		panic(err)
@@ -612,10 +614,10 @@
 }
 
 func (l *Lab) call(c *call) {
-	if c.end = l.node(c.node).member.Machine.Outcome(c.id).End; c.end != policy.AskAgain {
+	if c.end = l.node(c.node).member.StateMachine.Outcome(c.id).Status; c.end != policy.StatusUnknown {
 		return
 	}
-	if l.node(c.node).life > 0 && !l.Paused(c.node) {
+	if l.node(c.node).life > 0 && !l.IsPaused(c.node) {
 		l.submit(c.node, c.data)
 	}
 	l.At(l.Now()+500*time.Millisecond, func() { l.call(c) })
@@ -624,7 +626,7 @@
 // Decide has every agent that runs make a decision.
 func (l *Lab) Decide() {
 	for i, a := range l.agents {
-		if a.life > 0 && !l.Paused(a.number) {
+		if a.life > 0 && !l.IsPaused(a.number) {
 			l.decide(i, a)
 		}
 	}
@@ -633,16 +635,16 @@
 func (l *Lab) decide(i int, a *agent) {
 	now := l.reading(a.number)
 	standing := a.holder.Standing(now)
-	act := a.member.Agent.Acting(now, standing)
+	act := a.member.Agent.Active(now, standing)
 	if l.Decided != nil {
 		l.Decided(i, now, standing, act)
 	}
-	bound := standing == lease.Full && act.How == policy.Within && a.member.Agent.Usable()
+	bound := standing == lease.Full && act.Mode == policy.ModeFloor && a.member.Agent.IsUsable()
 	if bound && l.set.Without == "promise" {
-		act.How = policy.Full
+		act.Mode = policy.ModeFull
 	}
-	l.Judge.Decided(judge.Decision{At: l.Now(), Agent: i, How: act.How, Version: act.Version})
-	if act.How != policy.Full {
+	l.Judge.Decided(judge.Decision{At: l.Now(), Agent: i, Mode: act.Mode, Version: act.Version})
+	if act.Mode != policy.ModeFull {
 		return
 	}
 	acted := l.Acted[act.Version]
@@ -661,7 +663,7 @@
 // Unsettled counts the changes that were asked for of which it is not known how they ended.
 func (l *Lab) Unsettled() (n int) {
 	for _, c := range l.calls {
-		if l.ref.Outcome(c.id).End == policy.AskAgain {
+		if l.ref.Outcome(c.id).Status == policy.StatusUnknown {
 			n++
 		}
 	}
--- a/policy/lab/lab_test.go
+++ b/policy/lab/lab_test.go
@@ -44,14 +44,14 @@
 		seeds = 20000
 	}
 	inParallel(seeds, func(seed uint64) *Lab { return Course(seed, 5, "") }, func(seed uint64, l *Lab) bool {
-		require.Zero(t, l.Judge.Count, "seed %d: %v", seed, l.Judge.Breaches)
-		require.Nil(t, l.State().Open, "seed %d: neither the one end nor the other", seed)
+		require.Zero(t, l.Judge.Count, "seed %d: %v", seed, l.Judge.Violations)
+		require.Nil(t, l.State().OpenChange, "seed %d: neither the one end nor the other", seed)
 		require.Zero(t, l.Unsettled(), "seed %d", seed)
 		require.Zero(t, l.Unfit, "seed %d: an agent that acts cannot use what takes hold", seed)
 		longest = max(longest, l.Longest)
-		versions += int(l.State().Now.Number)
+		versions += int(l.State().InForce.Number)
 		d := l.Judge.Decisions
-		full, all = full+d[policy.Full], all+d[policy.Bottom]+d[policy.Within]+d[policy.Full]
+		full, all = full+d[policy.ModeFull], all+d[policy.ModeBottom]+d[policy.ModeFloor]+d[policy.ModeFull]
 		return true
 	})
 	t.Logf("longest open %v, versions %d, full %.3f of %d", longest, versions, float64(full)/float64(all), all)
@@ -68,8 +68,8 @@
 				if found = l.Unfit > 0 && without == "decline"; found {
 					t.Logf("found by seed %d: it takes hold though an agent that acts cannot use it", seed)
 				}
-				for _, b := range l.Judge.Breaches {
-					if !found && (without != "check" || b.How == policy.Within) {
+				for _, b := range l.Judge.Violations {
+					if !found && (without != "check" || b.Mode == policy.ModeFloor) {
 						found = true
 						t.Logf("found by seed %d: %v", seed, b)
 					}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -15,9 +15,9 @@
 	"dunestep/fleet/lease"
 )
 
-func own() Own {
-	return Own{InVain: 0.25, Settings: decide.Settings{
-		Tenants: []decide.Tenant{{Name: "east", QuotaPerS: 60}, {Name: "west", QuotaPerS: 40}, {Name: "free"}},
+func own() LocalSettings {
+	return LocalSettings{MaxFailedRatio: 0.25, Settings: decide.Settings{
+		Tenants: []decide.Tenant{{Name: "east", QuotaPerSecond: 60}, {Name: "west", QuotaPerSecond: 40}, {Name: "free"}},
 		Classes: []decide.Class{{Name: "find"}, {Name: "book"}}, Limits: decide.Limits{MaxAttempts: 3},
 	}}
 }
@@ -54,34 +54,34 @@
 		"[capacity]\nkinds = {lent = 1.8}\nservers.a-1 = 1.2": "",
 		"note = 1":   "policy:2:1: note: must be a string",
 		"format = 2": "policy:2:1:",
-		"note = '" + strings.Repeat("x", MaxDocument) + "'": "is longer than",
+		"note = '" + strings.Repeat("x", MaxDocumentSize) + "'": "is longer than",
 	} {
-		whole, err := Fill([]byte("format = 1\n"+text), time.Unix(1.8e9, 0))
+		whole, err := AddZoneRules([]byte("format = 1\n"+text), time.Unix(1.8e9, 0))
 		require.NoError(t, err)
-		err = Check(whole, own(), Beginning())
+		err = CheckDocument(whole, own(), InitialFloor())
 		if want == "" {
 			require.NoError(t, err, text)
 			continue
 		}
 		require.ErrorContains(t, err, want, text)
-		require.ErrorAs(t, err, &Refusal{})
+		require.ErrorAs(t, err, &Rejection{})
 	}
 	both := own()
-	both.Settings.Limits.SecondCopies = true
-	doubled := Beginning()
-	doubled.Copies = true
-	require.ErrorContains(t, Check([]byte("format = 1\n[classes.find]\ncopies = false\n"), both, doubled),
+	both.Settings.Limits.Hedging = true
+	doubled := InitialFloor()
+	doubled.Hedging = true
+	require.ErrorContains(t, CheckDocument([]byte("format = 1\n[classes.find]\ncopies = false\n"), both, doubled),
 		"second copies of class find")
-	require.NoError(t, Check([]byte("format = 1\n[classes.find]\ncopies = true\n"), both, Beginning()))
-	d, err := Read("p", []byte("format = 1\n[tenants.east]\nshare = 0.5\n[classes.book]\nattempts = 2\ncopies = false\npace_ms = 5\n"+
+	require.NoError(t, CheckDocument([]byte("format = 1\n[classes.find]\ncopies = true\n"), both, InitialFloor()))
+	d, err := ParseDocument("p", []byte("format = 1\n[tenants.east]\nshare = 0.5\n[classes.book]\nattempts = 2\ncopies = false\npace_ms = 5\n"+
 		"[throttle]\nin_vain = 0.5"))
 	require.NoError(t, err)
 	e, err := d.Effect(own())
 	require.NoError(t, err)
 	require.Equal(t, &Effect{
-		Quota: []float64{50, 40, 0}, InVain: 0.25, Capacity: Capacity{Load: 0.7, Most: 0.9},
+		Quota: []float64{50, 40, 0}, MaxFailedRatio: 0.25, Capacity: Capacity{PeakLoad: 0.7, MaxUtilization: 0.9},
 		Contracts: map[string]*contract.Contract{},
-		Classes:   []ClassEffect{{Attempts: 3}, {Attempts: 2, Pace: 5 * time.Millisecond}},
+		Classes:   []ClassEffect{{MaxAttempts: 3}, {MaxAttempts: 2, MinAttemptInterval: 5 * time.Millisecond}},
 	}, e)
 }
 
@@ -90,29 +90,29 @@
 	rapid.Check(t, func(t *rapid.T) {
 		set := own()
 		set.Settings.Limits.MaxAttempts = rapid.IntRange(0, 4).Draw(t, "settings")
-		set.Settings.Limits.SecondCopies = rapid.Bool().Draw(t, "copies")
+		set.Settings.Limits.Hedging = rapid.Bool().Draw(t, "copies")
 		num := func(name string, least, most float64) float64 { return rapid.Float64Range(least, most).Draw(t, name) }
 		text := fmt.Sprintf("format = 1\n[tenants.east]\nshare = %f\n[classes.find]\nattempts = %d\ncopies = %t\npace_ms = %f\n"+
 			"[throttle]\nin_vain = %f\n[floor]\nshare = %f\nattempts = %d\npace_ms = %f\nin_vain = %f\n",
 			num("share", 0.001, 1), rapid.IntRange(1, 4).Draw(t, "attempts"), rapid.Bool().Draw(t, "doubled"),
 			num("pace", 0, 1000), num("in vain", 0.05, 1), num("floor's share", 0.001, 1),
 			rapid.IntRange(1, 4).Draw(t, "floor's attempts"), num("floor's pace", 0, 1000), num("floor's in vain", 0.05, 1))
-		d, err := Read("p", []byte(text))
+		d, err := ParseDocument("p", []byte(text))
 		require.NoError(t, err)
 		e, err := d.Effect(set)
 		if err != nil {
 			return
 		}
-		require.True(t, e.Allows(bottom().Effect(set)), "%s", text)
+		require.True(t, e.Allows(lowestFloor().Effect(set)), "%s", text)
 		require.True(t, e.Allows(d.Floor().Effect(set)), "%s", text)
-		require.True(t, d.Floor().Effect(set).Allows(bottom().Effect(set)), "%s", text)
-		require.True(t, set.plain().Allows(Beginning().Effect(set)))
+		require.True(t, d.Floor().Effect(set).Allows(lowestFloor().Effect(set)), "%s", text)
+		require.True(t, set.unrestricted().Allows(InitialFloor().Effect(set)))
 	})
 }
 
 func change(t require.TestingT, id string, base uint64, floor int) []byte {
-	data, err := Propose(Proposal{
-		ID: id, Base: base, Now: time.Hour, By: time.Hour + time.Second,
+	data, err := EncodeProposal(Proposal{
+		ID: id, BaseVersion: base, Now: time.Hour, EffectiveAt: time.Hour + time.Second,
 		Document: fmt.Appendf(nil, "format = 1\n[floor]\nattempts = %d\n", floor),
 	})
 	require.NoError(t, err)
@@ -121,41 +121,41 @@
 
 // TestOneOfTwo: what becomes of proposals, in the order of the log.
 func TestOneOfTwo(t *testing.T) {
-	m := NewMachine()
+	m := NewStateMachine()
 	apply := func(data []byte) { m.Apply(0, data) }
-	end := func(id string) string { o := m.Outcome(id); return o.End.String() + ": " + o.Reason() }
+	end := func(id string) string { o := m.Outcome(id); return o.Status.String() + ": " + o.Reason() }
 	require.Equal(t, "ask again: ", end("a"))
 	apply(change(t, "a", 0, 2))
 	apply(change(t, "b", 0, 2))
 	require.Equal(t, "ask again: ", end("a"))
 	require.Equal(t, "not taken: another change, version 1, is open", end("b"))
-	apply(marshal(record{Kind: activated, Version: 1}))
-	apply(marshal(record{Kind: abandoned, Version: 1, Code: Unreadable, Text: "late"}))
+	apply(marshal(record{Kind: kindActivated, Version: 1}))
+	apply(marshal(record{Kind: kindAbandoned, Version: 1, Code: UnreadableDocument, Text: "late"}))
 	require.Equal(t, "taken: ", end("a"))
 	before := m.Snapshot()
 	apply(change(t, "a", 0, 2)) // the same call again, and one that was made from what is not in force
 	require.Equal(t, before, m.Snapshot())
 	apply(change(t, "c", 0, 2))
 	require.Equal(t, "not taken: version 1 is in force, not the one that it was made from", end("c"))
-	early, _ := Propose(Proposal{ID: "d", Base: 1, Now: time.Hour, By: time.Hour, Document: []byte("format = 1")})
+	early, _ := EncodeProposal(Proposal{ID: "d", BaseVersion: 1, Now: time.Hour, EffectiveAt: time.Hour, Document: []byte("format = 1")})
 	apply(early)
 	require.Equal(t, "not taken: version 1 has not taken hold yet", end("d"))
 	late := func(id string, base uint64, floor int) {
-		data, _ := Propose(Proposal{
-			ID: id, Base: base, Now: 2 * time.Hour, By: 2 * time.Hour,
+		data, _ := EncodeProposal(Proposal{
+			ID: id, BaseVersion: base, Now: 2 * time.Hour, EffectiveAt: 2 * time.Hour,
 			Document: fmt.Appendf(nil, "format = 1\n[floor]\nattempts = %d\n", floor),
 		})
 		apply(data)
 	}
 	late("e", 1, 1)
-	apply(marshal(record{Kind: abandoned, Version: 2, Who: 7, Code: UnknownClass, Text: "no such class"}))
+	apply(marshal(record{Kind: kindAbandoned, Version: 2, Agent: 7, Code: UnknownClass, Text: "no such class"}))
 	require.Equal(t, "not taken: agent 7 cannot use it: no such class", end("e"))
-	require.Equal(t, uint64(1), m.State().Now.Number)
+	require.Equal(t, uint64(1), m.State().InForce.Number)
 	late("f", 1, 1)
-	apply(marshal(record{Kind: activated, Version: 3}))
+	apply(marshal(record{Kind: kindActivated, Version: 3}))
 	late("g", 3, 2)
 	require.Equal(t, "not taken: agents that are cut off may still go by the floor that version 3 replaced", end("g"))
-	apply(marshal(record{Kind: settled, Version: 3}))
+	apply(marshal(record{Kind: kindFloorReleased, Version: 3}))
 	late("h", 3, 2)
 	require.Equal(t, "ask again: ", end("h"))
 	doc, ok := m.Document(1)
@@ -166,17 +166,17 @@
 // TestAnyRecords: a log of anything makes the same state at all, within bounds, over any snapshot.
 func TestAnyRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m, other := NewMachine(), NewMachine()
+		m, other := NewStateMachine(), NewStateMachine()
 		for i := range rapid.IntRange(0, 120).Draw(t, "records") {
 			data := rapid.SliceOfN(rapid.Byte(), 0, 40).Draw(t, "bytes")
 			if kind := rapid.IntRange(0, 9).Draw(t, "kind"); kind > 0 {
 				st := m.State()
 				data = marshal(record{
-					Kind: activated, Version: st.Last, ID: fmt.Sprint(i), Base: st.Now.Number, Now: time.Duration(i),
-					By: time.Duration(i), Document: make([]byte, rapid.IntRange(0, MaxDocument+1).Draw(t, "length")),
+					Kind: kindActivated, Version: st.LastNumber, ID: fmt.Sprint(i), BaseVersion: st.InForce.Number, Now: time.Duration(i),
+					EffectiveAt: time.Duration(i), Document: make([]byte, rapid.IntRange(0, MaxDocumentSize+1).Draw(t, "length")),
 				})
-				if kind > 1 && st.Open == nil {
-					data[1] = byte(proposed)
+				if kind > 1 && st.OpenChange == nil {
+					data[1] = byte(kindProposed)
 				} else {
 					data[1] = byte(rapid.IntRange(1, 7).Draw(t, "any"))
 				}
@@ -190,62 +190,64 @@
 		require.Equal(t, m.Snapshot(), other.Snapshot())
 		require.Less(t, len(m.Snapshot()), 50<<10)
 		_ = other.Restore(rapid.SliceOf(rapid.Byte()).Draw(t, "snapshot"))
-		n, ok := DecodeNote(rapid.SliceOf(rapid.Byte()).Draw(t, "note"))
-		if again, is := DecodeNote(n.Encode()); ok {
+		n, ok := DecodeAnswer(rapid.SliceOf(rapid.Byte()).Draw(t, "note"))
+		if again, is := DecodeAnswer(n.Encode()); ok {
 			require.True(t, is)
 			require.Equal(t, n.Version, again.Version)
-			require.LessOrEqual(t, len(n.Encode()), MaxNote)
+			require.LessOrEqual(t, len(n.Encode()), MaxAnswerSize)
 		}
 	})
 }
 
 // TestAgent: what it acts by, and what it answers.
 func TestAgent(t *testing.T) {
-	at := func(d time.Duration) lease.Reading { return lease.Reading{Unix: time.Hour + d, Mono: time.Hour + d} }
-	a, m := NewAgent(own(), Times{Floor: time.Minute}), NewMachine()
+	at := func(d time.Duration) lease.ClockReading {
+		return lease.ClockReading{Unix: time.Hour + d, Mono: time.Hour + d}
+	}
+	a, m := NewAgent(own(), Times{FloorValidity: time.Minute}), NewStateMachine()
 	acts := func(d time.Duration, s lease.Standing) string {
-		act := a.Acting(at(d), s)
-		return fmt.Sprint(act.How, " ", act.Version)
+		act := a.Active(at(d), s)
+		return fmt.Sprint(act.Mode, " ", act.Version)
 	}
 	learn := func(data []byte) { m.Apply(0, data); a.Learn(m) }
 	require.Equal(t, "bottom 0", acts(0, lease.New))
 	require.Equal(t, "full 0", acts(0, lease.Full))
-	require.Empty(t, a.Tell(at(0), []int{1}))
+	require.Empty(t, a.VotersToNotify(at(0), []int{1}))
 	learn(change(t, "a", 0, 1))
-	require.Equal(t, []int{1, 2}, a.Tell(at(0), []int{1, 2}))
-	a.Told(2, a.Note())
-	a.Told(1, Note{Version: 9}.Encode()) // of another change
-	require.Empty(t, a.Tell(at(time.Millisecond), []int{1, 2}), "not at once again")
-	require.Equal(t, []int{1}, a.Tell(at(time.Second), []int{1, 2}))
+	require.Equal(t, []int{1, 2}, a.VotersToNotify(at(0), []int{1, 2}))
+	a.Acknowledged(2, a.EncodedAnswer())
+	a.Acknowledged(1, Answer{Version: 9}.Encode()) // of another change
+	require.Empty(t, a.VotersToNotify(at(time.Millisecond), []int{1, 2}), "not at once again")
+	require.Equal(t, []int{1}, a.VotersToNotify(at(time.Second), []int{1, 2}))
 	require.Equal(t, "full 0", acts(999*time.Millisecond, lease.Full))
 	require.Equal(t, "floor 0", acts(time.Second, lease.Full), "it has promised")
-	learn(marshal(record{Kind: postponed, Version: 1, By: time.Hour + 2*time.Second}))
+	learn(marshal(record{Kind: kindPostponed, Version: 1, EffectiveAt: time.Hour + 2*time.Second}))
 	require.Equal(t, "full 0", acts(time.Second, lease.Full))
-	learn(marshal(record{Kind: activated, Version: 1}))
+	learn(marshal(record{Kind: kindActivated, Version: 1}))
 	require.Equal(t, "full 0", acts(time.Second, lease.Full))
 	require.Equal(t, "floor 0", acts(time.Second, lease.Floor))
 	require.Equal(t, "full 1", acts(2*time.Second, lease.Full))
 	require.Equal(t, "full 1", acts(time.Second, lease.Full), "its time does not go back")
 	require.Equal(t, "floor 1", acts(30*time.Second, lease.Floor))
 	require.Equal(t, "bottom 0", acts(2*time.Minute, lease.Floor))
-	require.Same(t, a.Acting(at(time.Minute), lease.Full).Effect, a.Acting(at(time.Minute), lease.Full).Effect)
+	require.Same(t, a.Active(at(time.Minute), lease.Full).Effect, a.Active(at(time.Minute), lease.Full).Effect)
 
 	narrow := own()
 	narrow.Settings.Classes = narrow.Settings.Classes[:1]
 	b := NewAgent(narrow, Times{})
-	bad, _ := Propose(Proposal{
-		ID: "b", Base: 1, Now: 2 * time.Hour, By: 2 * time.Hour,
+	bad, _ := EncodeProposal(Proposal{
+		ID: "b", BaseVersion: 1, Now: 2 * time.Hour, EffectiveAt: 2 * time.Hour,
 		Document: []byte("format = 1\n[floor]\nattempts = 1\n[classes.book]\nattempts = 2"),
 	})
 	m.Apply(0, bad)
 	b.Learn(m)
-	n, ok := DecodeNote(b.Note())
+	n, ok := DecodeAnswer(b.EncodedAnswer())
 	require.True(t, ok)
-	require.Equal(t, Note{Version: 2, Code: UnknownClass, Text: "not in the settings: class book"}, n)
-	m.Apply(0, marshal(record{Kind: activated, Version: 2})) // while it was down, say
+	require.Equal(t, Answer{Version: 2, Code: UnknownClass, Text: "not in the settings: class book"}, n)
+	m.Apply(0, marshal(record{Kind: kindActivated, Version: 2})) // while it was down, say
 	b.Learn(m)
-	require.False(t, b.Usable())
-	require.Equal(t, Within, b.Acting(at(3*time.Hour), lease.Full).How)
+	require.False(t, b.IsUsable())
+	require.Equal(t, ModeFloor, b.Active(at(3*time.Hour), lease.Full).Mode)
 }
 
 // TestDocs: the example in the page for staff can be used, and its floor is the one that holds without any.
@@ -255,28 +257,30 @@
 	_, rest, found := strings.Cut(string(page), "```toml policy\n")
 	require.True(t, found)
 	example, _, _ := strings.Cut(rest, "```")
-	require.NoError(t, Check([]byte(example), own(), Beginning()))
-	d, err := Read("example", []byte(example))
+	require.NoError(t, CheckDocument([]byte(example), own(), InitialFloor()))
+	d, err := ParseDocument("example", []byte(example))
 	require.NoError(t, err)
-	require.Equal(t, Beginning(), d.Floor())
-	plain, err := Read("plain", []byte("format = 1"))
+	require.Equal(t, InitialFloor(), d.Floor())
+	plain, err := ParseDocument("plain", []byte("format = 1"))
 	require.NoError(t, err)
-	require.Equal(t, Beginning(), plain.Floor())
+	require.Equal(t, InitialFloor(), plain.Floor())
 }
 
 // TestVoter: who is granted a lease while a change is open, and when that all have promised is reported.
 func TestVoter(t *testing.T) {
-	at := func(d time.Duration) lease.Reading { return lease.Reading{Unix: time.Hour + d, Mono: time.Hour + d} }
-	yes, no := Note{Version: 1}.Encode(), Note{Version: 1, Code: OverTotal, Text: "too much"}.Encode()
-	begin := func() (*Voter, *Machine) {
-		v, m := NewVoter(3, Times{}, at(-time.Minute)), NewMachine()
-		require.True(t, v.Grant(at(0), 5, 1, nil))
-		require.True(t, v.Grant(at(0), 5, 2, nil), "the process that takes over")
+	at := func(d time.Duration) lease.ClockReading {
+		return lease.ClockReading{Unix: time.Hour + d, Mono: time.Hour + d}
+	}
+	yes, no := Answer{Version: 1}.Encode(), Answer{Version: 1, Code: SharesExceedTotal, Text: "too much"}.Encode()
+	begin := func() (*Voter, *StateMachine) {
+		v, m := NewVoter(3, Times{}, at(-time.Minute)), NewStateMachine()
+		require.True(t, v.AllowLease(at(0), 5, 1, nil))
+		require.True(t, v.AllowLease(at(0), 5, 2, nil), "the process that takes over")
 		m.Apply(0, change(t, "a", 0, 2))
 		v.Learn(m)
 		return v, m
 	}
-	due := func(v *Voter, d time.Duration) (kinds []kind) {
+	due := func(v *Voter, d time.Duration) (kinds []recordKind) {
 		records, next := v.Due(at(d))
 		require.Greater(t, next, at(d).Mono)
 		for _, data := range records {
@@ -287,82 +291,84 @@
 		return kinds
 	}
 	v, m := begin()
-	require.False(t, v.Grant(at(0), 6, 1, nil), "has not learnt it")
-	require.False(t, v.Grant(at(0), 6, 1, make([]byte, 99)))
+	require.False(t, v.AllowLease(at(0), 6, 1, nil), "has not learnt it")
+	require.False(t, v.AllowLease(at(0), 6, 1, make([]byte, 99)))
 	require.Empty(t, due(v, 0))
-	v.Heard(5, 1, yes)
+	v.AnswerReceived(5, 1, yes)
 	require.Empty(t, due(v, 0), "the other process has not")
-	v.Heard(5, 2, yes)
-	require.Equal(t, []kind{answered}, due(v, 0))
+	v.AnswerReceived(5, 2, yes)
+	require.Equal(t, []recordKind{kindPromised}, due(v, 0))
 	require.Empty(t, due(v, 0), "it is on its way")
-	m.Apply(0, marshal(record{Kind: answered, Version: 1, Who: 3}))
+	m.Apply(0, marshal(record{Kind: kindPromised, Version: 1, Agent: 3}))
 	v.Learn(m)
 	require.Empty(t, due(v, time.Minute))
 
 	v = NewVoter(3, Times{}, at(-time.Minute))
-	require.True(t, v.Grant(at(0), 5, 1, nil))
-	v.Heard(5, 1, yes)
-	require.True(t, v.Grant(at(0), 5, 1, nil), "an older request, overtaken, at a voter that has not learnt it yet")
-	m = NewMachine()
+	require.True(t, v.AllowLease(at(0), 5, 1, nil))
+	v.AnswerReceived(5, 1, yes)
+	require.True(t, v.AllowLease(at(0), 5, 1, nil), "an older request, overtaken, at a voter that has not learnt it yet")
+	m = NewStateMachine()
 	m.Apply(0, change(t, "a", 0, 2))
 	v.Learn(m)
-	require.Equal(t, []kind{answered}, due(v, 0), "what it said before holds")
+	require.Equal(t, []recordKind{kindPromised}, due(v, 0), "what it said before holds")
 
 	v, _ = begin()
 	require.Empty(t, due(v, 3*time.Second))
-	require.Equal(t, []kind{answered}, due(v, 5*time.Second), "their leases are over")
+	require.Equal(t, []recordKind{kindPromised}, due(v, 5*time.Second), "their leases are over")
 	v, _ = begin()
-	v.Left(5, 1)
-	v.Left(5, 2)
-	require.Equal(t, []kind{answered}, due(v, 0))
+	v.ProcessStopped(5, 1)
+	v.ProcessStopped(5, 2)
+	require.Equal(t, []recordKind{kindPromised}, due(v, 0))
 	v, _ = begin()
-	v.begin = at(0)
-	v.Left(5, 1)
-	v.Left(5, 2)
+	v.startedAt = at(0)
+	v.ProcessStopped(5, 1)
+	v.ProcessStopped(5, 2)
 	require.Empty(t, due(v, 3*time.Second), "a former process of the voter's may have granted some")
 
 	v, m = begin()
-	require.False(t, v.Grant(at(0), 5, 1, no))
-	require.Equal(t, []kind{abandoned}, due(v, 0))
+	require.False(t, v.AllowLease(at(0), 5, 1, no))
+	require.Equal(t, []recordKind{kindAbandoned}, due(v, 0))
 	v = NewVoter(3, Times{}, at(0))
-	require.True(t, v.Grant(at(0), 5, 1, no), "of a change that the voter has not learnt yet")
+	require.True(t, v.AllowLease(at(0), 5, 1, no), "of a change that the voter has not learnt yet")
 	v.Learn(m)
-	require.Equal(t, []kind{abandoned}, due(v, 0))
+	require.Equal(t, []recordKind{kindAbandoned}, due(v, 0))
 }
 
 // TestCouncil: when a change is activated, put off or abandoned.
 func TestCouncil(t *testing.T) {
-	at := func(d time.Duration) lease.Reading { return lease.Reading{Unix: time.Hour + d, Mono: time.Hour + d} }
-	yes := Note{Version: 1}.Encode()
+	at := func(d time.Duration) lease.ClockReading {
+		return lease.ClockReading{Unix: time.Hour + d, Mono: time.Hour + d}
+	}
+	yes := Answer{Version: 1}.Encode()
 	for name, c := range map[string]struct {
 		note   []byte
 		voters []int
 		since  time.Duration // of the voters
 		floor  int
 		at     time.Duration
-		want   []kind
+		want   []recordKind
 	}{
-		"all have reported":       {yes, []int{3}, -time.Minute, 2, 0, []kind{activated}},
+		"all have reported":       {yes, []int{3}, -time.Minute, 2, 0, []recordKind{kindActivated}},
 		"one has not":             {yes, []int{3, 4}, -time.Minute, 2, 0, nil},
-		"nor in time":             {yes, []int{3, 4}, -time.Minute, 2, 700 * time.Millisecond, []kind{postponed}},
-		"late":                    {yes, []int{3}, -time.Minute, 2, 700 * time.Millisecond, []kind{postponed, activated}},
+		"nor in time":             {yes, []int{3, 4}, -time.Minute, 2, 700 * time.Millisecond, []recordKind{kindPostponed}},
+		"late":                    {yes, []int{3}, -time.Minute, 2, 700 * time.Millisecond, []recordKind{kindPostponed, kindActivated}},
 		"the voters just changed": {yes, []int{3}, -time.Second, 2, 0, nil},
 		"nobody knows the voters": {yes, nil, 0, 2, 0, nil},
-		"at the fence":            {yes, []int{3, 4}, 0, 2, 6 * time.Second, []kind{postponed, activated}},
+		"at the fence":            {yes, []int{3, 4}, 0, 2, 6 * time.Second, []recordKind{kindPostponed, kindActivated}},
 		"not looked at here":      {nil, []int{3}, -time.Minute, 2, 0, nil},
-		"not usable here":         {Note{Version: 1, Code: BelowFloor}.Encode(), []int{3}, -time.Minute, 2, 0, []kind{abandoned}},
+		"not usable here":         {Answer{Version: 1, Code: BelowFloor}.Encode(), []int{3}, -time.Minute, 2, 0, []recordKind{kindAbandoned}},
 	} {
-		m, council := NewMachine(), NewCouncil(3, Times{})
+		m, council := NewStateMachine(), NewProposer(3, Times{})
 		if c.voters != nil {
-			council.Voters(at(c.since-time.Minute), c.voters, 1)
-			council.Voters(at(c.since), c.voters, 2)
+			council.SetVoters(at(c.since-time.Minute), c.voters, 1)
+			council.SetVoters(at(c.since), c.voters, 2)
 		}
 		m.Apply(0, change(t, "a", 0, c.floor))
-		m.Apply(0, marshal(record{Kind: answered, Version: 1, Who: 3}))
+		m.Apply(0, marshal(record{Kind: kindPromised, Version: 1, Agent: 3}))
 		council.Learn(at(0), m, c.note)
 		records, next := council.Due(at(c.at))
 		require.Greater(t, next, at(c.at).Mono)
-		var kinds []kind
+		var kinds []recordKind
 		for _, data := range records {
 			var r record
 			require.NoError(t, decoding.Unmarshal(data, &r))
@@ -377,32 +383,32 @@
 // TestWhatIsAgreedOnServersHoldsOnTheFloor: contracts and capacities are the same with a lease and without one,
 // and where settings that changed later cannot use the document; the bottom and version 0 have none.
 func TestWhatIsAgreedOnServersHoldsOnTheFloor(t *testing.T) {
-	at := lease.Reading{Unix: 2 * time.Hour, Mono: time.Hour}
-	m := NewMachine()
+	at := lease.ClockReading{Unix: 2 * time.Hour, Mono: time.Hour}
+	m := NewStateMachine()
 	apply := func(document string) {
-		data, err := Propose(Proposal{ID: "a", Now: time.Hour, By: time.Hour, Document: []byte("format = 1\n" + document)})
+		data, err := EncodeProposal(Proposal{ID: "a", Now: time.Hour, EffectiveAt: time.Hour, Document: []byte("format = 1\n" + document)})
 		require.NoError(t, err)
 		m.Apply(0, data)
 	}
 	learned, started := NewAgent(own(), Times{}), NewAgent(own(), Times{})
-	require.Zero(t, learned.Acting(at, lease.Full).Effect.Capacity)
+	require.Zero(t, learned.Active(at, lease.Full).Effect.Capacity)
 	apply("[contracts.east]\nzone = 'UTC'\nhours = ['mon 01:00-02:00']\nkeep = 0.8\n[capacity]\nkinds = {lent = 2}\nservers = {a = 3}")
 	learned.Learn(m) // checks it while it is open
-	m.Apply(0, marshal(record{Kind: activated, Version: 1}))
+	m.Apply(0, marshal(record{Kind: kindActivated, Version: 1}))
 	for _, a := range []*Agent{learned, started} {
 		a.Learn(m)
 		for _, standing := range []lease.Standing{lease.Full, lease.Floor} {
-			e := a.Acting(at, standing).Effect
-			require.Equal(t, 0.8, e.Contracts["east"].Keep())
+			e := a.Active(at, standing).Effect
+			require.Equal(t, 0.8, e.Contracts["east"].KeptCapacity())
 			require.Nil(t, e.Contracts["west"])
 			require.Equal(t, []float64{3, 2, 1}, []float64{e.Capacity.Of("a", "lent"), e.Capacity.Of("b", "lent"), e.Capacity.Of("b", "")})
 		}
 		narrow := own()
 		narrow.Settings.Tenants = nil
-		a.Change(narrow)
-		require.Equal(t, Within, a.Acting(at, lease.Full).How)
-		require.Contains(t, a.Acting(at, lease.Full).Effect.Contracts, "east")
-		require.Nil(t, a.Acting(at, lease.New).Effect.Contracts)
+		a.SetLocalSettings(narrow)
+		require.Equal(t, ModeFloor, a.Active(at, lease.Full).Mode)
+		require.Contains(t, a.Active(at, lease.Full).Effect.Contracts, "east")
+		require.Nil(t, a.Active(at, lease.New).Effect.Contracts)
 	}
 }
 
@@ -411,34 +417,34 @@
 func TestZonesAreAgreed(t *testing.T) {
 	const contracts = "format = 1\n[contracts.east]\nzone = 'Europe/Bucharest'\nhours = ['mon-fri 20:00-06:00']\n"
 	first, later := time.Unix(1.8e9, 0), time.Unix(1.9e9, 0)
-	require.ErrorContains(t, Check([]byte(contracts), own(), Beginning()), "does not say what clocks show in Europe/Bucharest")
-	whole, err := Fill([]byte(contracts), first)
+	require.ErrorContains(t, CheckDocument([]byte(contracts), own(), InitialFloor()), "does not say what clocks show in Europe/Bucharest")
+	whole, err := AddZoneRules([]byte(contracts), first)
 	require.NoError(t, err)
-	require.NoError(t, Check(whole, own(), Beginning()))
-	again, err := Fill(whole, later)
+	require.NoError(t, CheckDocument(whole, own(), InitialFloor()))
+	again, err := AddZoneRules(whole, later)
 	require.NoError(t, err)
-	fresh, err := Fill([]byte(contracts), later)
+	fresh, err := AddZoneRules([]byte(contracts), later)
 	require.NoError(t, err)
 	require.Equal(t, string(fresh), string(again))
 	require.NotEqual(t, string(fresh), string(whole))
 	after := string(whole) + "[classes.find]\nattempts = 2\n" // what stands after it is not lost
-	kept, err := Fill([]byte(after), later)
+	kept, err := AddZoneRules([]byte(after), later)
 	require.NoError(t, err)
 	require.Equal(t, after, string(kept))
 
 	const law = "[zones.'Europe/Bucharest']\nchanges = ['2026-01-01T00:00:00Z +02:00', '2031-01-01T00:00:00Z end']\n"
-	said, err := Fill([]byte(contracts+law+"[contracts.-]\nzone = 'Asia/Tokyo'\nhours = ['mon 01:00-02:00']\n"), first)
+	said, err := AddZoneRules([]byte(contracts+law+"[contracts.-]\nzone = 'Asia/Tokyo'\nhours = ['mon 01:00-02:00']\n"), first)
 	require.NoError(t, err)
-	d, err := Read("said", said)
+	d, err := ParseDocument("said", said)
 	require.NoError(t, err)
-	require.ErrorContains(t, d.Unlike(), "Europe/Bucharest: ")
-	require.NotContains(t, d.Unlike().Error(), "Tokyo")
+	require.ErrorContains(t, d.ZoneDifferences(), "Europe/Bucharest: ")
+	require.NotContains(t, d.ZoneDifferences().Error(), "Tokyo")
 	summer := time.Duration(time.Date(2027, 7, 1, 17, 30, 0, 0, time.UTC).UnixNano()) // 19:30, and 20:30 by the law until now
 	require.False(t, d.contracts["east"].Allows(summer))
-	ruled, err := Read("whole", whole)
+	ruled, err := ParseDocument("whole", whole)
 	require.NoError(t, err)
-	require.NoError(t, ruled.Unlike())
+	require.NoError(t, ruled.ZoneDifferences())
 	require.True(t, ruled.contracts["east"].Allows(summer))
-	_, err = Read("wrong", []byte(strings.Replace(contracts+law, "+02:00", "", 1)))
+	_, err = ParseDocument("wrong", []byte(strings.Replace(contracts+law, "+02:00", "", 1)))
 	require.ErrorContains(t, err, "contracts.east.zone: ")
 }
--- a/policy/records.go
+++ b/policy/records.go
@@ -9,38 +9,38 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-type kind uint8
+type recordKind uint8
 
 const (
-	proposed kind = iota + 1
-	answered
-	abandoned
-	postponed
-	activated
-	settled
+	kindProposed recordKind = iota + 1
+	kindPromised
+	kindAbandoned
+	kindPostponed
+	kindActivated
+	kindFloorReleased
 )
 
 // record is one of the log's. What a kind does not need is zero.
 type record struct {
-	_        struct{} `cbor:",toarray"`
-	Kind     kind
-	Version  uint64
-	ID       string
-	Who      int
-	Base     uint64
-	Now, By  time.Duration // Unix time
-	Code     Code
-	Text     string
-	Document []byte
-	Floor    []byte
+	_                struct{} `cbor:",toarray"`
+	Kind             recordKind
+	Version          uint64
+	ID               string
+	Agent            int
+	BaseVersion      uint64
+	Now, EffectiveAt time.Duration // Unix time
+	Code             AnswerCode
+	Text             string
+	Document         []byte
+	Floor            []byte
 }
 
 const (
-	maxID   = 64 // bytes
-	maxText = 80 // bytes of a reason
+	maxIDSize   = 64 // bytes
+	maxTextSize = 80 // bytes of a reason
 	// furthest is how far ahead a change may be made: guards against a proposer whose clock is years off, whose
 	// change would stand in the way of all others until then.
-	furthest = time.Hour
+	maxLeadTime = time.Hour
 )
 
 var encoding, decoding = modes()
@@ -75,59 +75,59 @@
 
 // Proposal is a change that somebody asks for.
 type Proposal struct {
-	ID       string // chosen by the caller; the same one again is the same change
-	Who      int    // the agent
-	Base     uint64 // the version in force that it was made from
-	Now, By  time.Duration
-	Document []byte
+	ID               string // chosen by the caller; the same one again is the same change
+	Agent            int    // the agent
+	BaseVersion      uint64 // the version in force that it was made from
+	Now, EffectiveAt time.Duration
+	Document         []byte
 }
 
 // ErrProposal: the fields of a Proposal are not such that it could ever be taken.
 var ErrProposal = errors.New("policy: no such change")
 
-// Propose returns the record of a change, for the log. The error is strict.Problems or ErrProposal.
-func Propose(p Proposal) ([]byte, error) {
-	d, err := Read("policy", p.Document)
+// EncodeProposal returns the record of a change, for the log. The error is strict.Problems or ErrProposal.
+func EncodeProposal(p Proposal) ([]byte, error) {
+	d, err := ParseDocument("policy", p.Document)
 	if err != nil {
 		return nil, err
 	}
-	if p.ID == "" || len(p.ID) > maxID || !utf8.ValidString(p.ID) || p.By < p.Now || p.By > p.Now+furthest {
-		return nil, fmt.Errorf("%w: a name of 1 to %d bytes, and a time within an hour", ErrProposal, maxID)
+	if p.ID == "" || len(p.ID) > maxIDSize || !utf8.ValidString(p.ID) || p.EffectiveAt < p.Now || p.EffectiveAt > p.Now+maxLeadTime {
+		return nil, fmt.Errorf("%w: a name of 1 to %d bytes, and a time within an hour", ErrProposal, maxIDSize)
 	}
 	return marshal(record{
-		Kind: proposed, ID: p.ID, Who: p.Who, Base: p.Base, Now: p.Now, By: p.By,
+		Kind: kindProposed, ID: p.ID, Agent: p.Agent, BaseVersion: p.BaseVersion, Now: p.Now, EffectiveAt: p.EffectiveAt,
 		Document: p.Document, Floor: d.Floor().encode(),
 	}), nil
 }
 
-// Postpones tells whether a record only puts a change off.
-func Postpones(data []byte) bool {
+// IsPostponement tells whether a record only puts a change off.
+func IsPostponement(data []byte) bool {
 	var r record
-	return decoding.Unmarshal(data, &r) == nil && r.Kind == postponed
+	return decoding.Unmarshal(data, &r) == nil && r.Kind == kindPostponed
 }
 
-// Reports tells whether a record is a voter's report that all its holders have promised.
-func Reports(data []byte) bool {
+// IsPromiseReport tells whether a record is a voter's report that all its holders have promised.
+func IsPromiseReport(data []byte) bool {
 	var r record
-	return decoding.Unmarshal(data, &r) == nil && r.Kind == answered
+	return decoding.Unmarshal(data, &r) == nil && r.Kind == kindPromised
 }
 
-// Note is an agent's answer to a change, as it goes with its requests for leases.
-type Note struct {
+// EncodedAnswer is an agent's answer to a change, as it goes with its requests for leases.
+type Answer struct {
 	Version uint64 // the newest one that it was asked about; zero: none yet
-	Code    Code
+	Code    AnswerCode
 	Text    string
 }
 
-// MaxNote is the most bytes that a Note has.
-const MaxNote = 64
+// MaxAnswerSize is the most bytes that an EncodedAnswer has.
+const MaxAnswerSize = 64
 
-// Encode returns the note's bytes, none for the zero Note.
-func (n Note) Encode() []byte {
+// Encode returns the note's bytes, none for the zero EncodedAnswer.
+func (n Answer) Encode() []byte {
 	if n.Version == 0 {
 		return nil
 	}
-	n.Text = clip(n.Text, MaxNote-10-2)
+	n.Text = truncate(n.Text, MaxAnswerSize-10-2)
 	data := []byte{byte(n.Code)}
 	for v := n.Version; ; v >>= 7 {
 		if v < 0x80 {
@@ -139,18 +139,18 @@
 	return append(data, n.Text...)
 }
 
-// DecodeNote reads a note; ok is false where it is none.
-func DecodeNote(data []byte) (n Note, ok bool) {
+// DecodeAnswer reads a note; ok is false where it is none.
+func DecodeAnswer(data []byte) (n Answer, ok bool) {
 	if len(data) == 0 {
-		return Note{}, true
+		return Answer{}, true
 	}
-	if len(data) > MaxNote {
-		return Note{}, false
+	if len(data) > MaxAnswerSize {
+		return Answer{}, false
 	}
-	n.Code = Code(data[0])
+	n.Code = AnswerCode(data[0])
 	for i, b := range data[1:] {
 		if i == 9 && b > 1 || i > 9 {
-			return Note{}, false
+			return Answer{}, false
 		}
 		n.Version |= uint64(b&0x7f) << (7 * i)
 		if b < 0x80 {
@@ -158,11 +158,11 @@
 			return n, n.Version > 0 && utf8.ValidString(n.Text)
 		}
 	}
-	return Note{}, false
+	return Answer{}, false
 }
 
 // clip cuts a text to so many bytes, not within a letter.
-func clip(text string, most int) string {
+func truncate(text string, most int) string {
 	if len(text) <= most {
 		return text
 	}
--- a/policy/search/search.go
+++ b/policy/search/search.go
@@ -42,12 +42,12 @@
 
 // Found is what a search has come to.
 type Found struct {
-	States   int
-	Apart    int      // of a whole search: those that are told apart where what can't matter is left out
-	Breach   string   // empty: none
-	Steps    []string // that lead to it
-	Taken    int      // states in which the change is activated
-	NotTaken int      // and abandoned
+	States    int
+	Apart     int      // of a whole search: those that are told apart where what can't matter is left out
+	Violation string   // empty: none
+	Steps     []string // that lead to it
+	Accepted  int      // states in which the change is activated
+	Rejected  int      // and abandoned
 }
 
 const (
@@ -56,13 +56,13 @@
 	second                         = time.Second + 10*time.Microsecond
 )
 
-var times = policy.Times{Ahead: time.Second / 2, Terms: lease.Terms{
-	Length: length * time.Second,
-	Heard:  heard * time.Second, Pause: time.Hour, Clocks: time.Nanosecond, Drift: 1e-6,
+var times = policy.Times{ActivationLead: time.Second / 2, Terms: lease.Terms{
+	Duration:        length * time.Second,
+	MaxKnowledgeAge: heard * time.Second, MaxPause: time.Hour, MaxClockError: time.Nanosecond, MaxDrift: 1e-6,
 }}
 
-func reading(s int) lease.Reading {
-	return lease.Reading{Unix: time.Duration(1000+s) * second, Mono: time.Duration(1000+s) * second}
+func reading(s int) lease.ClockReading {
+	return lease.ClockReading{Unix: time.Duration(1000+s) * second, Mono: time.Duration(1000+s) * second}
 }
 
 // grant is a lease, as its agent has it.
@@ -82,7 +82,7 @@
 	known         int8
 	sum, councils uint64
 	part          *policy.Voter
-	council       *policy.Council
+	council       *policy.Proposer
 }
 
 // place is one in a log, with the state there. Records that change nothing are left out, and a report takes
@@ -92,9 +92,9 @@
 	id      uint16
 	depth   int8
 	before  *place
-	machine *policy.Machine
+	machine *policy.StateMachine
 	open    bool
-	end     policy.End
+	end     policy.ProposalStatus
 	next    map[*proposal]*place
 }
 
@@ -136,8 +136,8 @@
 	taken, notTaken atomic.Int64
 }
 
-func own(attempts int) policy.Own {
-	return policy.Own{Settings: decide.Settings{
+func own(attempts int) policy.LocalSettings {
+	return policy.LocalSettings{Settings: decide.Settings{
 		Classes: []decide.Class{{Name: "find"}},
 		Limits:  decide.Limits{MaxAttempts: attempts},
 	}}
@@ -153,7 +153,7 @@
 	}
 	s := &search{
 		set: set, all: []int{0, 1, 2}[:set.Voters], seed: maphash.MakeSeed(), seen: explore.NewStates(),
-		apart: explore.NewStates(), proposals: map[string]*proposal{}, root: &place{machine: policy.NewMachine()},
+		apart: explore.NewStates(), proposals: map[string]*proposal{}, root: &place{machine: policy.NewStateMachine()},
 	}
 	var began []job
 	for _, age := range [][mostVoters]int{{0, 0, 0}, {0, 2, 1}, {1, 1, 2}, {2, 1, 0}} {
@@ -167,7 +167,7 @@
 		}
 	})
 	s.found.States, s.found.Apart = s.seen.Count(), s.apart.Count()
-	s.found.Taken, s.found.NotTaken = int(s.taken.Load()), int(s.notTaken.Load())
+	s.found.Accepted, s.found.Rejected = int(s.taken.Load()), int(s.notTaken.Load())
 	return s.found
 }
 
@@ -179,12 +179,12 @@
 	for v := range s.all {
 		n := voter{
 			part:    policy.NewVoter(v, s.voterTimes(), reading(-100)),
-			council: policy.NewCouncil(v, s.councilTimes()),
+			council: policy.NewProposer(v, s.councilTimes()),
 		}
-		n.council.Voters(reading(-100), s.all, 1)
+		n.council.SetVoters(reading(-100), s.all, 1)
 		s.learns(&n, s.root, 0)
 		for i := range w.agents {
-			n.part.Grant(reading(-age[v]), i, 0, nil)
+			n.part.AllowLease(reading(-age[v]), i, 0, nil)
 		}
 		s.sums(&n, 0)
 		w.voters[v] = n
@@ -197,8 +197,8 @@
 		}
 		w.agents[i] = a
 	}
-	data, err := policy.Propose(policy.Proposal{
-		ID: "change", Now: reading(0).Unix, By: reading(2).Unix,
+	data, err := policy.EncodeProposal(policy.Proposal{
+		ID: "change", Now: reading(0).Unix, EffectiveAt: reading(2).Unix,
 		Document: []byte("format = 1\n[classes.find]\nattempts = 3\n"),
 	})
 	if err != nil {
@@ -212,9 +212,9 @@
 	t := times
 	switch s.set.Without {
 	case "prepare":
-		t.Terms.Length, t.Terms.Heard = 1, 1
+		t.Terms.Duration, t.Terms.MaxKnowledgeAge = 1, 1
 	case "fence":
-		t.Terms.Length, t.Terms.Heard = time.Second/2, time.Second/2
+		t.Terms.Duration, t.Terms.MaxKnowledgeAge = time.Second/2, time.Second/2
 	}
 	return t
 }
@@ -222,7 +222,7 @@
 func (s *search) voterTimes() policy.Times {
 	t := times
 	if s.set.Without == "outstanding" {
-		t.Terms.Length = 1
+		t.Terms.Duration = 1
 	}
 	return t
 }
@@ -232,8 +232,8 @@
 	p := s.proposals[string(data)]
 	if p == nil {
 		p = &proposal{
-			id: uint16(len(s.proposals) + 1), data: data, reports: policy.Reports(data),
-			postpones: policy.Postpones(data),
+			id: uint16(len(s.proposals) + 1), data: data, reports: policy.IsPromiseReport(data),
+			postpones: policy.IsPostponement(data),
 		}
 		s.proposals[string(data)] = p
 	}
@@ -246,7 +246,7 @@
 	if next != nil {
 		return next
 	}
-	m := policy.NewMachine()
+	m := policy.NewStateMachine()
 	if err := m.Restore(last.machine.Snapshot()); err != nil {
 		panic(err) // of its own
 	}
@@ -254,8 +254,8 @@
 	if next = last; !bytes.Equal(m.Snapshot(), last.machine.Snapshot()) {
 		s.places++
 		next = &place{
-			id: s.places, depth: last.depth + 1, before: last, machine: m, open: m.State().Open != nil,
-			end: m.Outcome("change").End,
+			id: s.places, depth: last.depth + 1, before: last, machine: m, open: m.State().OpenChange != nil,
+			end: m.Outcome("change").Status,
 		}
 		if p.reports {
 			next.depth, next.before = last.depth, last.before
@@ -307,9 +307,9 @@
 }
 
 // answer is that of the agent in a voter's process, which takes no other part here.
-func answer(m *policy.Machine) []byte {
-	if open := m.State().Open; open != nil {
-		return policy.Note{Version: open.Number}.Encode()
+func answer(m *policy.StateMachine) []byte {
+	if open := m.State().OpenChange; open != nil {
+		return policy.Answer{Version: open.Number}.Encode()
 	}
 	return nil
 }
@@ -319,8 +319,8 @@
 	if s.set.Without == "begin" {
 		begin = reading(-100)
 	}
-	v := voter{council: policy.NewCouncil(i, s.councilTimes()), part: policy.NewVoter(i, s.voterTimes(), begin)}
-	v.council.Voters(reading(now), s.all, 1)
+	v := voter{council: policy.NewProposer(i, s.councilTimes()), part: policy.NewVoter(i, s.voterTimes(), begin)}
+	v.council.SetVoters(reading(now), s.all, 1)
 	s.learns(&v, p, now)
 	return v
 }
@@ -350,11 +350,11 @@
 // asked has a voter be asked by an agent for a lease.
 func (s *search) asked(v voter, p *place, i int, a agent, now int) (h hears) {
 	v = v.fork()
-	note := a.part.Note()
-	if open := p.machine.State().Open; s.set.Without == "decline" && open != nil {
-		note = policy.Note{Version: open.Number}.Encode()
+	note := a.part.EncodedAnswer()
+	if open := p.machine.State().OpenChange; s.set.Without == "decline" && open != nil {
+		note = policy.Answer{Version: open.Number}.Encode()
 	}
-	h.granted = v.part.Grant(reading(now), i, uint64(a.life), note)
+	h.granted = v.part.AllowLease(reading(now), i, uint64(a.life), note)
 	s.sums(&v, now)
 	h.voter = v
 	return h
@@ -363,7 +363,7 @@
 func (s *search) hears(v voter, i int, a agent, now int) (h hears) {
 	was := v.sum
 	v = v.fork()
-	v.part.Heard(i, uint64(a.life), a.part.Note())
+	v.part.AnswerReceived(i, uint64(a.life), a.part.EncodedAnswer())
 	s.sums(&v, now)
 	h.voter, h.changed = v, v.sum != was
 	return h
@@ -371,19 +371,19 @@
 
 // decided is how an agent acts.
 type decided struct {
-	how     policy.How
+	how     policy.Mode
 	version int8
 	after   agent
 }
 
 func (s *search) decides(a agent, now int, standing lease.Standing) (d decided) {
 	a.part = a.part.Fork()
-	act := a.part.Acting(reading(now), standing)
-	if s.set.Without == "promise" && act.How == policy.Within && a.part.Usable() {
-		act.How = policy.Full
+	act := a.part.Active(reading(now), standing)
+	if s.set.Without == "promise" && act.Mode == policy.ModeFloor && a.part.IsUsable() {
+		act.Mode = policy.ModeFull
 	}
 	a.sum = s.agentSum(a.part)
-	return decided{act.How, int8(act.Version), a}
+	return decided{act.Mode, int8(act.Version), a}
 }
 
 // ends has the rest go well: it tells whether the change has come to an end then.
@@ -393,7 +393,7 @@
 	now += length + heard + 1
 	for range 3 {
 		records, _ := v.council.Due(reading(now))
-		v.council.Hurry()
+		v.council.ResetRetries()
 		for _, r := range records {
 			p = s.agree(p, s.proposal(r))
 		}
@@ -410,7 +410,7 @@
 	if s.broken.Swap(true) {
 		return
 	}
-	s.found.Breach = text
+	s.found.Violation = text
 	for _, t := range steps {
 		s.found.Steps = append(s.found.Steps, t.String())
 	}
--- a/policy/search/search_test.go
+++ b/policy/search/search_test.go
@@ -41,10 +41,10 @@
 			set.Workers = runtime.GOMAXPROCS(0)
 			began := time.Now()
 			f := Run(set)
-			t.Logf("%+v: %d states in %v, taken in %d, not taken in %d", set, f.States, time.Since(began), f.Taken, f.NotTaken)
-			require.Empty(t, f.Breach, "%v", f.Steps)
-			require.NotZero(t, f.Taken+f.NotTaken)
-			require.Equal(t, set.Odd, f.NotTaken > 0)
+			t.Logf("%+v: %d states in %v, taken in %d, not taken in %d", set, f.States, time.Since(began), f.Accepted, f.Rejected)
+			require.Empty(t, f.Violation, "%v", f.Steps)
+			require.NotZero(t, f.Accepted+f.Rejected)
+			require.Equal(t, set.Odd, f.Rejected > 0)
 		})
 	}
 }
@@ -78,8 +78,8 @@
 				set.Grants, set.Odd = 2, true
 			}
 			f := Run(set)
-			require.NotEmpty(t, f.Breach)
-			t.Logf("found after %d states, %d steps: %s", f.States, len(f.Steps), f.Breach)
+			require.NotEmpty(t, f.Violation)
+			t.Logf("found after %d states, %d steps: %s", f.States, len(f.Steps), f.Violation)
 		})
 	}
 }
--- a/policy/search/worker.go
+++ b/policy/search/worker.go
@@ -182,9 +182,9 @@
 		return
 	}
 	switch w.log.end {
-	case policy.Taken:
+	case policy.StatusAccepted:
 		k.search.taken.Add(1)
-	case policy.NotTaken:
+	case policy.StatusRejected:
 		k.notTaken.Add(1)
 	}
 	k.follow(w)
@@ -407,10 +407,10 @@
 		d := remembered(k, k.decided, key, func() decided { return k.decides(*a, int(w.now), standing) })
 		a.part, a.sum = d.after.part, d.after.sum
 		switch {
-		case d.how != policy.Full:
+		case d.how != policy.ModeFull:
 		case d.version < w.acted:
 			return fmt.Sprintf("agent %d acts on version %d after another acted on %d", i, d.version, w.acted)
-		case uint64(d.version) > w.log.machine.State().Now.Number:
+		case uint64(d.version) > w.log.machine.State().InForce.Number:
 			return fmt.Sprintf("agent %d acts on version %d, which was never activated", i, d.version)
 		default:
 			w.acted = d.version
--- a/policy/seat/golden_test.go
+++ b/policy/seat/golden_test.go
@@ -52,24 +52,24 @@
 // TestGoldenMessages: an agent's answer to an open change, as voters are told it and tell it back, and the
 // record of a document that is proposed.
 func TestGoldenMessages(t *testing.T) {
-	now := fleet.Reading{Unix: 1800000000 * time.Second, Mono: time.Hour}
-	s := New(Settings{Self: 3, Votes: true, Incarnation: 1800000000123, Machine: 1, Own: own}, now)
-	record, err := s.Record(now, "p-1", []byte("format = 1\n[tenants.east]\nshare = 0.5\n"), now.Unix+2*time.Second)
+	now := fleet.ClockReading{Unix: 1800000000 * time.Second, Mono: time.Hour}
+	s := New(Settings{Self: 3, IsVoter: true, Incarnation: 1800000000123, MachineNumber: 1, Local: own}, now)
+	record, err := s.EncodeProposal(now, "p-1", []byte("format = 1\n[tenants.east]\nshare = 0.5\n"), now.Unix+2*time.Second)
 	require.NoError(t, err)
 	s.Apply(1, record)
-	s.Learn(now, false)
-	due := s.Due(now, fleet.Voting{Voters: []int{1, 3}})
-	require.Len(t, due.Sends, 2)
-	require.Equal(t, due.Sends[0].Data, due.Sends[1].Data)
+	s.RecordsApplied(now, false)
+	due := s.NextActions(now, fleet.VoterState{Voters: []int{1, 3}})
+	require.Len(t, due.Messages, 2)
+	require.Equal(t, due.Messages[0].Data, due.Messages[1].Data)
 	stored := requireGolden(t, "messages.txt", []goldenForm{
 		{"record", record},
-		{"answer", due.Sends[0].Data},
-		{"heard", s.Heard(now, 2, due.Sends[0].Data)},
-		{"note", s.Note()},
+		{"answer", due.Messages[0].Data},
+		{"heard", s.HandleMessage(now, 2, due.Messages[0].Data)},
+		{"note", s.LeaseNote()},
 		{"snapshot", s.Snapshot()},
 	})
-	require.Equal(t, stored["heard"], s.Heard(now, 2, stored["answer"]))
-	note, ok := policy.DecodeNote(stored["heard"])
+	require.Equal(t, stored["heard"], s.HandleMessage(now, 2, stored["answer"]))
+	note, ok := policy.DecodeAnswer(stored["heard"])
 	require.True(t, ok)
-	require.Equal(t, policy.Note{Version: 1}, note)
+	require.Equal(t, policy.Answer{Version: 1}, note)
 }
--- a/policy/seat/measure_test.go
+++ b/policy/seat/measure_test.go
@@ -36,8 +36,8 @@
 			took[i] = at[n]
 		}
 	}
-	require.Empty(t, p.judge.Breaches)
-	require.Empty(t, p.Breaches())
+	require.Empty(t, p.judge.Violations)
+	require.Empty(t, p.Violations())
 	return took
 }
 
--- a/policy/seat/seat.go
+++ b/policy/seat/seat.go
@@ -11,131 +11,135 @@
 	"dunestep/policy"
 )
 
-// lookAtVoters is how often a voter looks who the voters are while nothing else is due: reports count only
+// voterCheckInterval is how often a voter looks who the voters are while nothing else is due: reports count only
 // from a fence after that was first seen, so a change would wait for all leases where it was seen late.
-const lookAtVoters = time.Second
+const voterCheckInterval = time.Second
 
-// Seat is one process's. It is called by its node alone, as a fleet.Machine and as fleet.Above; Acting,
+// Adapter is one process's. It is called by its node alone, as a fleet.StateMachine and as fleet.Application; Active,
 // Propose and the others from where the node is called.
-type Seat struct {
-	set    Settings
-	member *policy.Member
+type Adapter struct {
+	settings Settings
+	replica  *policy.Replica
 }
 
 // Settings are one agent's.
 type Settings struct {
-	Self        int
-	Votes       bool
-	Incarnation uint64 // the node's
-	Machine     uint8  // its number in records
-	Own         policy.Own
-	Times       policy.Times
+	Self          int
+	IsVoter       bool
+	Incarnation   uint64 // the node's
+	MachineNumber uint8  // its number in records
+	Local         policy.LocalSettings
+	Times         policy.Times
 }
 
 // New returns the seat of a process that starts.
-func New(set Settings, now fleet.Reading) *Seat {
-	set.Times = set.Times.Usual()
-	return &Seat{set: set, member: policy.NewMember(set.Self, set.Votes, set.Own, set.Times, now)}
+func New(set Settings, now fleet.ClockReading) *Adapter {
+	set.Times = set.Times.WithDefaults()
+	return &Adapter{settings: set, replica: policy.NewReplica(set.Self, set.IsVoter, set.Local, set.Times, now)}
 }
 
-// Apply implements fleet.Machine.
-func (s *Seat) Apply(seq uint64, data []byte) { s.member.Machine.Apply(seq, data) }
+// Apply implements fleet.StateMachine.
+func (s *Adapter) Apply(seq uint64, data []byte) { s.replica.StateMachine.Apply(seq, data) }
 
-// Snapshot implements fleet.Machine.
-func (s *Seat) Snapshot() []byte { return s.member.Machine.Snapshot() }
+// Snapshot implements fleet.StateMachine.
+func (s *Adapter) Snapshot() []byte { return s.replica.StateMachine.Snapshot() }
 
-// Restore implements fleet.Machine.
-func (s *Seat) Restore(data []byte) error {
+// Restore implements fleet.StateMachine.
+func (s *Adapter) Restore(data []byte) error {
 	if len(data) == 0 {
 		data = nil
 	}
-	return s.member.Machine.Restore(data)
+	return s.replica.StateMachine.Restore(data)
 }
 
-// Learn implements fleet.Above. A log that began anew is another one: nothing that was promised in the
+// RecordsApplied implements fleet.Application. A log that began anew is another one: nothing that was promised in the
 // former counts.
-func (s *Seat) Learn(now fleet.Reading, anew bool) {
+func (s *Adapter) RecordsApplied(now fleet.ClockReading, anew bool) {
 	if anew {
-		machine := s.member.Machine
-		s.member = policy.NewMember(s.set.Self, s.set.Votes, s.set.Own, s.set.Times, now)
-		s.member.Machine = machine
+		machine := s.replica.StateMachine
+		s.replica = policy.NewReplica(s.settings.Self, s.settings.IsVoter, s.settings.Local, s.settings.Times, now)
+		s.replica.StateMachine = machine
 	}
-	s.member.Learn(now)
+	s.replica.Learn(now)
 }
 
-// Note implements fleet.Above.
-func (s *Seat) Note() []byte { return s.member.Agent.Note() }
+// LeaseNote implements fleet.Application.
+func (s *Adapter) LeaseNote() []byte { return s.replica.Agent.EncodedAnswer() }
 
-// May implements fleet.Above.
-func (s *Seat) May(now fleet.Reading, agent int, incarnation uint64, note []byte) bool {
-	return s.member.Grant(now, agent, incarnation, note)
+// MayGrantLease implements fleet.Application.
+func (s *Adapter) MayGrantLease(now fleet.ClockReading, agent int, incarnation uint64, note []byte) bool {
+	return s.replica.AllowLease(now, agent, incarnation, note)
 }
 
-// Heard implements fleet.Above: a voter is told an agent's answer, and says that it was.
-func (s *Seat) Heard(_ fleet.Reading, from int, data []byte) []byte {
-	if s.member.Voter == nil || len(data) < 8 || len(data) > 8+lease.MostNote {
+// HandleMessage implements fleet.Application: a voter is told an agent's answer, and says that it was.
+func (s *Adapter) HandleMessage(_ fleet.ClockReading, from int, data []byte) []byte {
+	if s.replica.Voter == nil || len(data) < 8 || len(data) > 8+lease.MaxNoteBytes {
 		return nil
 	}
-	s.member.Voter.Heard(from, binary.BigEndian.Uint64(data), data[8:])
+	s.replica.Voter.AnswerReceived(from, binary.BigEndian.Uint64(data), data[8:])
 	return data[8:]
 }
 
-// Answered implements fleet.Above.
-func (s *Seat) Answered(_ fleet.Reading, from int, data []byte) { s.member.Agent.Told(from, data) }
+// HandleReply implements fleet.Application.
+func (s *Adapter) HandleReply(_ fleet.ClockReading, from int, data []byte) {
+	s.replica.Agent.Acknowledged(from, data)
+}
 
-// Due implements fleet.Above.
-func (s *Seat) Due(now fleet.Reading, v fleet.Voting) (due fleet.Due) {
-	if s.member.Council != nil {
-		s.member.Council.Voters(now, v.Members, v.Generation)
+// NextActions implements fleet.Application.
+func (s *Adapter) NextActions(now fleet.ClockReading, v fleet.VoterState) (due fleet.Actions) {
+	if s.replica.Proposer != nil {
+		s.replica.Proposer.SetVoters(now, v.Members, v.Generation)
 	}
-	records, next := s.member.Due(now, v.Leads)
-	if s.member.Council != nil {
-		next = min(next, now.Mono+lookAtVoters)
+	records, next := s.replica.Due(now, v.IsLeader)
+	if s.replica.Proposer != nil {
+		next = min(next, now.Mono+voterCheckInterval)
 	}
 	for _, r := range records {
-		due.Records = append(due.Records, fleet.Proposal{Machine: s.set.Machine, Data: r})
+		due.Proposals = append(due.Proposals, fleet.Proposal{Machine: s.settings.MachineNumber, Data: r})
 	}
 	due.Next = next
-	if s.member.Machine.State().Open == nil {
+	if s.replica.StateMachine.State().OpenChange == nil {
 		return due
 	}
-	word := append(binary.BigEndian.AppendUint64(nil, s.set.Incarnation), s.Note()...)
-	for _, voter := range s.member.Agent.Tell(now, v.Voters) {
-		due.Sends = append(due.Sends, fleet.Send{To: voter, Data: word})
+	word := append(binary.BigEndian.AppendUint64(nil, s.settings.Incarnation), s.LeaseNote()...)
+	for _, voter := range s.replica.Agent.VotersToNotify(now, v.Voters) {
+		due.Messages = append(due.Messages, fleet.Message{To: voter, Data: word})
 	}
-	due.Next = min(next, s.member.Agent.TellAt())
+	due.Next = min(next, s.replica.Agent.NextNotification())
 	return due
 }
 
-// Change takes in that what this agent holds documents against has changed.
-func (s *Seat) Change(own policy.Own) {
-	s.set.Own = own
-	s.member.Agent.Change(own)
+// SetLocalSettings takes in that what this agent holds documents against has changed.
+func (s *Adapter) SetLocalSettings(own policy.LocalSettings) {
+	s.settings.Local = own
+	s.replica.Agent.SetLocalSettings(own)
 }
 
-// Acting is how one decision is to be made; both are read for it.
-func (s *Seat) Acting(now fleet.Reading, standing lease.Standing) policy.Acting {
-	return s.member.Agent.Acting(now, standing)
+// Active is how one decision is to be made; both are read for it.
+func (s *Adapter) Active(now fleet.ClockReading, standing lease.Standing) policy.Active {
+	return s.replica.Agent.Active(now, standing)
 }
 
 // State is what is agreed. It is not to be changed.
-func (s *Seat) State() policy.State { return s.member.Machine.State() }
+func (s *Adapter) State() policy.State { return s.replica.StateMachine.State() }
 
 // Document is a version's, as far as it is kept.
-func (s *Seat) Document(version uint64) ([]byte, bool) { return s.member.Machine.Document(version) }
+func (s *Adapter) Document(version uint64) ([]byte, bool) {
+	return s.replica.StateMachine.Document(version)
+}
 
 // Outcome is what is known of a proposal.
-func (s *Seat) Outcome(id string) policy.Outcome { return s.member.Machine.Outcome(id) }
+func (s *Adapter) Outcome(id string) policy.Outcome { return s.replica.StateMachine.Outcome(id) }
 
-// Record is what proposes a document, made from the version in force here, to take hold at a Unix time.
+// EncodeProposal is what proposes a document, made from the version in force here, to take hold at a Unix time.
 // It is checked against this agent's own settings first.
-func (s *Seat) Record(now fleet.Reading, id string, document []byte, by time.Duration) ([]byte, error) {
-	if err := policy.Check(document, s.set.Own); err != nil {
+func (s *Adapter) EncodeProposal(now fleet.ClockReading, id string, document []byte, by time.Duration) ([]byte, error) {
+	if err := policy.CheckDocument(document, s.settings.Local); err != nil {
 		return nil, err
 	}
-	return policy.Propose(policy.Proposal{
-		ID: id, Who: s.set.Self, Base: s.State().Now.Number,
-		Now: now.Unix, By: by,
+	return policy.EncodeProposal(policy.Proposal{
+		ID: id, Agent: s.settings.Self, BaseVersion: s.State().InForce.Number,
+		Now: now.Unix, EffectiveAt: by,
 		Document: document,
 	})
 }
--- a/policy/seat/seat_test.go
+++ b/policy/seat/seat_test.go
@@ -24,7 +24,7 @@
 type played struct {
 	*fleetlab.Lab
 	t        *testing.T
-	seats    []*Seat
+	seats    []*Adapter
 	judge    *judge.Judge
 	history  *judge.History
 	known    uint64 // versions that the judge was told of
@@ -34,10 +34,10 @@
 	course   uint64                       // a sum over all decisions: another course has another
 }
 
-var own = policy.Own{InVain: 0.25, Settings: decide.Settings{
-	Tenants: []decide.Tenant{{Name: "east", QuotaPerS: 60}, {Name: "west", QuotaPerS: 40}},
+var own = policy.LocalSettings{MaxFailedRatio: 0.25, Settings: decide.Settings{
+	Tenants: []decide.Tenant{{Name: "east", QuotaPerSecond: 60}, {Name: "west", QuotaPerSecond: 40}},
 	Classes: []decide.Class{{Name: "find"}, {Name: "book"}},
-	Limits:  decide.Limits{MaxAttempts: 3, SecondCopies: true},
+	Limits:  decide.Limits{MaxAttempts: 3, Hedging: true},
 }}
 
 func document(n int) string {
@@ -46,38 +46,38 @@
 }
 
 func version(t *testing.T, v policy.Version) judge.Version {
-	d, err := policy.Read("test", v.Document)
+	d, err := policy.ParseDocument("test", v.Document)
 	require.NoError(t, err)
 	effect, err := d.Effect(own)
 	require.NoError(t, err)
-	return judge.Version{Number: v.Number, By: v.By, Effect: effect, Floor: d.Floor().Effect(own)}
+	return judge.Version{Number: v.Number, EffectiveAt: v.EffectiveAt, Effect: effect, Floor: d.Floor().Effect(own)}
 }
 
-func play(t *testing.T, o fleetlab.Options, weaken func(agent int) policy.Own) *played {
-	floor := policy.Beginning()
-	whole, err := policy.Read("test", []byte("format = 1\n"))
+func play(t *testing.T, o fleetlab.Options, weaken func(agent int) policy.LocalSettings) *played {
+	floor := policy.InitialFloor()
+	whole, err := policy.ParseDocument("test", []byte("format = 1\n"))
 	require.NoError(t, err)
 	effect, err := whole.Effect(own)
 	require.NoError(t, err)
 	// Clocks may be off by 100 ms each, and by what the judge hears of late.
 	p := &played{
-		t: t, seats: make([]*Seat, o.Agents), first: map[uint64]map[int]time.Time{},
+		t: t, seats: make([]*Adapter, o.Agents), first: map[uint64]map[int]time.Time{},
 		history: judge.NewHistory(200 * time.Millisecond),
 		judge:   judge.New(200*time.Millisecond, judge.Version{Effect: effect, Floor: floor.Effect(own)}),
 	}
-	o.Upper = func(set *fleet.Settings, now fleet.Reading) {
+	o.Application = func(set *fleet.Settings, now fleet.ClockReading) {
 		mine := own
 		if weaken != nil {
 			mine = weaken(set.Self)
 		}
 		s := New(Settings{
-			Self: set.Self, Votes: set.Votes(), Incarnation: set.Incarnation,
-			Machine: uint8(len(set.Machines)), Own: mine, Times: policy.Times{Terms: set.Terms},
+			Self: set.Self, IsVoter: set.IsVoter(), Incarnation: set.Incarnation,
+			MachineNumber: uint8(len(set.Machines)), Local: mine, Times: policy.Times{Terms: set.Terms},
 		}, now)
-		set.Machines, set.Above = append(set.Machines, s), s
+		set.Machines, set.Application = append(set.Machines, s), s
 		p.seats[set.Self] = s
 	}
-	o.Decided = p.decided
+	o.OnDecision = p.decided
 	o.Act = func(agent int) { p.propose(agent, 1500*time.Millisecond) }
 	p.Lab = fleetlab.New(o)
 	p.StartAll()
@@ -85,19 +85,19 @@
 	return p
 }
 
-func (p *played) decided(agent int, at time.Time, now fleet.Reading, n *fleet.Node) {
+func (p *played) decided(agent int, at time.Time, now fleet.ClockReading, n *fleet.Node) {
 	s := p.seats[agent]
 	if s == nil {
 		return
 	}
-	if v := s.State().Now; v.Number > p.known {
+	if v := s.State().InForce; v.Number > p.known {
 		p.known = v.Number
 		p.judge.Activated(time.Duration(at.UnixNano()), version(p.t, v))
 	}
-	a := s.Acting(now, n.Standing(now))
-	p.judge.Decided(judge.Decision{At: time.Duration(at.UnixNano()), Agent: agent, How: a.How, Version: a.Version})
-	p.course = (p.course^uint64(at.UnixNano())^uint64(agent)<<48^uint64(a.How)<<40^a.Version)*0x9e3779b97f4a7c15 + 1
-	if a.How == policy.Full {
+	a := s.Active(now, n.Standing(now))
+	p.judge.Decided(judge.Decision{At: time.Duration(at.UnixNano()), Agent: agent, Mode: a.Mode, Version: a.Version})
+	p.course = (p.course^uint64(at.UnixNano())^uint64(agent)<<48^uint64(a.Mode)<<40^a.Version)*0x9e3779b97f4a7c15 + 1
+	if a.Mode == policy.ModeFull {
 		p.history.Read(time.Duration(at.UnixNano()), time.Duration(at.UnixNano()), a.Version)
 		if p.first[a.Version] == nil {
 			p.first[a.Version] = map[int]time.Time{}
@@ -120,7 +120,7 @@
 	p.proposed++
 	id = fmt.Sprint("p", p.proposed)
 	now := p.Reading(agent)
-	record, err := p.seats[agent].Record(now, id, []byte(text), now.Unix+within)
+	record, err := p.seats[agent].EncodeProposal(now, id, []byte(text), now.Unix+within)
 	require.NoError(p.t, err)
 	p.history.Called(time.Duration(p.World.Now().UnixNano()), id)
 	p.waiting = append(p.waiting, id)
@@ -138,9 +138,9 @@
 			o = p.seats[agent].Outcome(id)
 		}
 		switch now := time.Duration(p.World.Now().UnixNano()); {
-		case o.End == policy.Taken:
-			p.history.Answered(now, id, o.Version, o.By)
-		case o.End == policy.NotTaken || end:
+		case o.Status == policy.StatusAccepted:
+			p.history.Answered(now, id, o.Version, o.EffectiveAt)
+		case o.Status == policy.StatusRejected || end:
 			p.history.Answered(now, id, 0, 0)
 		default:
 			left = append(left, id)
@@ -167,7 +167,7 @@
 			p.Run(10 * time.Millisecond)
 			p.Decide()
 		}
-		require.Equal(t, policy.Taken, p.seats[2].Outcome(id).End, name)
+		require.Equal(t, policy.StatusAccepted, p.seats[2].Outcome(id).Status, name)
 		last := time.Duration(0)
 		for agent, at := range p.first[1] {
 			if hurt == nil || agent%5 != 1 {
@@ -187,14 +187,14 @@
 		p.Settle(10 * time.Second)
 		p.Decide()
 		require.Len(t, p.first[1], 30, name)
-		require.Empty(t, p.judge.Breaches, name)
-		require.Empty(t, p.Breaches(), name)
+		require.Empty(t, p.judge.Violations, name)
+		require.Empty(t, p.Violations(), name)
 	}
 }
 
 // One live agent that cannot use a document, with its reason, and it takes hold nowhere.
 func TestNowhere(t *testing.T) {
-	p := play(t, fleetlab.Options{Agents: 12, Voters: 3, Seed: 3}, func(agent int) policy.Own {
+	p := play(t, fleetlab.Options{Agents: 12, Voters: 3, Seed: 3}, func(agent int) policy.LocalSettings {
 		o := own
 		if agent == 7 {
 			o.Settings.Limits.MaxAttempts = 1
@@ -204,11 +204,11 @@
 	id := p.propose(2, time.Second)
 	p.Run(8 * time.Second)
 	o := p.seats[2].Outcome(id)
-	require.Equal(t, policy.NotTaken, o.End)
-	require.Equal(t, 7, o.Who)
+	require.Equal(t, policy.StatusRejected, o.Status)
+	require.Equal(t, 7, o.Agent)
 	require.Contains(t, o.Reason(), "attempts")
 	require.Empty(t, p.first[1])
-	require.Empty(t, p.judge.Breaches)
+	require.Empty(t, p.judge.Violations)
 }
 
 // An agent whose clock is set to five seconds more or less acts within the floor until it is right again, and no other
@@ -221,7 +221,7 @@
 			if leads {
 				agent = p.Leader()
 			}
-			p.World.Clock(uint32(agent), off)
+			p.World.SetClock(uint32(agent), off)
 			p.Decide()
 			p.propose((agent+1)%9, time.Second)
 			for range 800 {
@@ -233,7 +233,7 @@
 			p.Settle(10 * time.Second)
 			p.Decide()
 			require.Len(t, p.first[1], 9)
-			require.Empty(t, p.judge.Breaches)
+			require.Empty(t, p.judge.Violations)
 		}
 	}
 }
@@ -243,7 +243,7 @@
 	o.ClocksWithin = 100 * time.Millisecond
 	p := play(t, o, nil)
 	for range rounds {
-		p.Do(fleetlab.Fault{Kind: fleetlab.Upper, Agent: int(o.Seed+uint64(p.proposed)) % o.Agents})
+		p.Do(fleetlab.Fault{Kind: fleetlab.ApplicationAct, Agent: int(o.Seed+uint64(p.proposed)) % o.Agents})
 		p.Hunt(4 * time.Second)
 		p.ask(false)
 	}
@@ -258,7 +258,7 @@
 	if os.Getenv("LONG_TESTS") != "" {
 		rows = []hunting.Row{{Agents: 5, To: 1000}, {Agents: 50, To: 1000}, {Agents: 300, To: 1000}}
 	}
-	for _, r := range hunting.Asked(rows) {
+	for _, r := range hunting.SelectRows(rows) {
 		taken, full, voters := 0, 0, 3
 		if r.Agents >= 50 {
 			voters = 5
@@ -267,14 +267,14 @@
 			p := hunt(t, fleetlab.Options{Agents: r.Agents, Voters: voters, Seed: seed}, 12)
 			p.Settle(40 * time.Second)
 			p.ask(true)
-			require.Empty(t, p.Breaches(), seed)
-			require.Empty(t, p.judge.Breaches, seed)
-			require.True(t, p.history.Explained(), seed)
-			require.Nil(t, p.seats[0].State().Open, seed)
-			taken += int(p.seats[0].State().Now.Number)
-			full += p.judge.Decisions[policy.Full]
-			r.Log(t, seed, "%d changes, %d decisions, course %x", p.seats[0].State().Now.Number,
-				p.judge.Decisions[policy.Full], p.course)
+			require.Empty(t, p.Violations(), seed)
+			require.Empty(t, p.judge.Violations, seed)
+			require.True(t, p.history.IsLinearizable(), seed)
+			require.Nil(t, p.seats[0].State().OpenChange, seed)
+			taken += int(p.seats[0].State().InForce.Number)
+			full += p.judge.Decisions[policy.ModeFull]
+			r.Log(t, seed, "%d changes, %d decisions, course %x", p.seats[0].State().InForce.Number,
+				p.judge.Decisions[policy.ModeFull], p.course)
 		}
 		t.Logf("%d agents: seeds %d to %d, 12 changes tried in each, numbers up to %d in all, %d decisions in full", r.Agents,
 			r.From, r.To-1, taken, full)
@@ -284,8 +284,8 @@
 
 // weaknesses are protections that whole nodes go without.
 var weaknesses = map[string]func(*fleet.Settings){
-	"leases last longer than agreed": func(s *fleet.Settings) { s.Terms.Length = 12 * time.Second },
-	"voters grant on what they knew": func(s *fleet.Settings) { s.Terms.Heard, s.Terms.Pause = time.Minute, time.Hour },
+	"leases last longer than agreed": func(s *fleet.Settings) { s.Terms.Duration = 12 * time.Second },
+	"voters grant on what they knew": func(s *fleet.Settings) { s.Terms.MaxKnowledgeAge, s.Terms.MaxPause = time.Minute, time.Hour },
 }
 
 // A protection that whole nodes go without is missed within 200 seeds, by the judge of decisions and by the history.
@@ -297,8 +297,8 @@
 			p := hunt(t, fleetlab.Options{Agents: 5, Voters: 3, Seed: seed, Weaken: weaken}, 12)
 			p.Settle(40 * time.Second)
 			p.ask(true)
-			judged = judged || len(p.judge.Breaches) > 0
-			explained = explained && p.history.Explained()
+			judged = judged || len(p.judge.Violations) > 0
+			explained = explained && p.history.IsLinearizable()
 		}
 		t.Logf("%s: missed by both within %d seeds", name, seed)
 		require.True(t, judged && !explained, name)
@@ -324,10 +324,10 @@
 		p.Run(200 * time.Millisecond)
 		p.Decide()
 	}
-	if len(p.judge.Breaches) == 0 {
+	if len(p.judge.Violations) == 0 {
 		return ""
 	}
-	return p.judge.Breaches[0].Text
+	return p.judge.Violations[0].Reason
 }
 
 func file(name string) string {
--- a/policy/zones.go
+++ b/policy/zones.go
@@ -13,35 +13,35 @@
 )
 
 const (
-	// agreedBefore is from how long ago on rules are filled in: windows of the month are counted.
-	agreedBefore = 100 * 24 * time.Hour
-	// agreedAhead is for how long they are. Beyond nothing is moved until the policy is proposed anew.
-	agreedAhead = 5 * 366 * 24 * time.Hour
+	// rulesBefore is from how long ago on rules are filled in: windows of the month are counted.
+	rulesBefore = 100 * 24 * time.Hour
+	// rulesAhead is for how long they are. Beyond nothing is moved until the policy is proposed anew.
+	rulesAhead = 5 * 366 * 24 * time.Hour
 )
 
-const filledIn = "# Filled in as it was proposed; it is made anew whenever the document is proposed again.\n"
+const zonesHeader = "# Filled in as it was proposed; it is made anew whenever the document is proposed again.\n"
 
-// filled is what Fill has written, up to the document's end: nothing that anybody wrote after it is lost.
-var filled = regexp.MustCompile(`(?:\A|\n)` + regexp.QuoteMeta(filledIn) +
+// filled is what AddZoneRules has written, up to the document's end: nothing that anybody wrote after it is lost.
+var zonesSection = regexp.MustCompile(`(?:\A|\n)` + regexp.QuoteMeta(zonesHeader) +
 	`(?:\[zones\."[^"\n]*"\]\nchanges = \[[^\]]*\]\n)*\z`)
 
-// Fill returns a document with what clocks show in its contracts' zones added, by this machine's zone data,
+// AddZoneRules returns a document with what clocks show in its contracts' zones added, by this machine's zone data,
 // so that all agents go by the same. What the document says of a zone by itself stays. One that cannot be
 // read is returned as it is: it is refused for that.
-func Fill(document []byte, now time.Time) ([]byte, error) {
-	if at := filled.FindIndex(document); at != nil {
+func AddZoneRules(document []byte, now time.Time) ([]byte, error) {
+	if at := zonesSection.FindIndex(document); at != nil {
 		document = document[:at[0]]
 	}
-	d, err := Read("policy", document)
+	d, err := ParseDocument("policy", document)
 	if err != nil {
 		return document, nil
 	}
 	text := ""
-	for _, zone := range d.zones() {
-		if _, said := d.file.Zones[zone]; said || contract.Fixed(zone) {
+	for _, zone := range d.contractZones() {
+		if _, said := d.file.Zones[zone]; said || contract.IsFixedZone(zone) {
 			continue
 		}
-		rules, err := contract.RulesOf(zone, now.Add(-agreedBefore), now.Add(agreedAhead))
+		rules, err := contract.ZoneRules(zone, now.Add(-rulesBefore), now.Add(rulesAhead))
 		if err != nil {
 			return nil, err
 		}
@@ -50,11 +50,11 @@
 	if text == "" {
 		return document, nil
 	}
-	return slices.Concat(document, []byte("\n"+filledIn+text)), nil
+	return slices.Concat(document, []byte("\n"+zonesHeader+text)), nil
 }
 
 // zones are those of the contracts, each once.
-func (d *Document) zones() (all []string) {
+func (d *Document) contractZones() (all []string) {
 	for _, t := range d.file.Contracts {
 		all = append(all, t.Zone)
 	}
@@ -62,11 +62,11 @@
 	return slices.Compact(all)
 }
 
-// Unlike tells of each zone whose rules, as the document says them, differ from this machine's zone data, by
+// ZoneDifferences tells of each zone whose rules, as the document says them, differ from this machine's zone data, by
 // names in order; nil: none.
-func (d *Document) Unlike() (err error) {
+func (d *Document) ZoneDifferences() (err error) {
 	for _, zone := range slices.Sorted(maps.Keys(d.file.Zones)) {
-		if differs := contract.Unlike(zone, d.file.Zones[zone].Changes); differs != nil {
+		if differs := contract.CompareZoneData(zone, d.file.Zones[zone].Changes); differs != nil {
 			err = errors.Join(err, fmt.Errorf("%s: %w", zone, differs))
 		}
 	}
--- a/storm/agreed_test.go
+++ b/storm/agreed_test.go
@@ -15,7 +15,7 @@
 // back.
 func TestAgreed(t *testing.T) {
 	l := newLab(2, 4, func(set *decide.Settings) {
-		set.Tenants = []decide.Tenant{{Name: "a", QuotaPerS: 40}, {Name: "b"}}
+		set.Tenants = []decide.Tenant{{Name: "a", QuotaPerSecond: 40}, {Name: "b"}}
 	})
 	g, id := l.gates[0], uint32(0)
 	over := func(tenant string) (n int) { // of 100 in 5 s; the module says that a quarter of the share is here
@@ -24,20 +24,20 @@
 			id++
 			acts := g.Step(l.now, &decide.Request{
 				ID: id, Key: fmt.Sprint(id), Tenant: tenant, Class: "consult",
-				Budget: time.Second,
+				ClientTimeout: time.Second,
 			})
 			require.NotEmpty(t, acts)
 			if r := g.requests[id]; r != nil && r.over {
 				n++
 			}
-			g.Step(l.now, &decide.AttemptDone{ID: id, Outcome: decide.Served, Latency: time.Millisecond, Finished: true})
+			g.Step(l.now, &decide.AttemptDone{ID: id, Outcome: decide.Served, Latency: time.Millisecond, RequestDone: true})
 		}
 		return n
 	}
 	over("a") // its bucket is empty from here on
 	require.Equal(t, 50, over("a"))
 	require.Zero(t, over("b"))
-	classes := []decide.Agreed{{Attempts: 1}}
+	classes := []decide.RetryPolicy{{MaxAttempts: 1}}
 	g.Agree([]float64{8, 20}, classes, 0.2)
 	require.Equal(t, classes, l.modules[0].agreed)
 	require.Equal(t, 88, over("a"), "2 a second, and a bucket of 3 that is as full as the one of 10 was")
@@ -67,30 +67,30 @@
 // Servers to be kept off reach the module, repeats keep their tenant on the way there, and what the gate turns
 // away itself is among what the module tells.
 func TestAvoid(t *testing.T) {
-	l := newLab(1, 4, func(set *decide.Settings) { set.Tenants = []decide.Tenant{{Name: "a", QuotaPerS: 40}} })
+	l := newLab(1, 4, func(set *decide.Settings) { set.Tenants = []decide.Tenant{{Name: "a", QuotaPerSecond: 40}} })
 	g, m := l.gates[0], l.modules[0]
-	a := &decide.Avoid{}
+	a := &decide.Exclusions{}
 	g.Avoid(a)
 	require.Same(t, a, m.avoid)
-	p := &decide.Placed{}
+	p := &decide.RingAssignment{}
 	g.Place(p)
 	require.Same(t, p, m.placed)
 	for _, retry := range []bool{false, true} {
 		if retry {
 			g.damper.phase, g.damper.trials = outage, trialMost // only then they count once
 		}
-		e := g.admit(&decide.Request{ID: 1, Tenant: "a", Class: "consult", Budget: time.Second, Retry: retry})
+		e := g.admit(&decide.Request{ID: 1, Tenant: "a", Class: "consult", ClientTimeout: time.Second, ClientRetry: retry})
 		require.Equal(t, "a", e.(*decide.Request).Tenant)
-		require.Equal(t, retry, e.(*decide.Request).Counted)
+		require.Equal(t, retry, e.(*decide.Request).QuotaCounted)
 		g.answered(1)
 	}
-	m.strain = []decide.Strain{{Tenant: decide.NoTenant, Asked: 1, Failed: 1}, {Tenant: "a", Asked: 9, Served: 9}}
+	m.strain = []decide.TenantStats{{Tenant: decide.NoTenant, Requests: 1, Failed: 1}, {Tenant: "a", Requests: 9, Served: 9}}
 	for _, tenant := range []string{"a", "a", "", "invented", "invented too"} {
 		g.refuse(&decide.Request{ID: 2, Tenant: tenant}, 0, false)
 	}
 	require.Len(t, g.turned, 2)
-	require.Equal(t, []decide.Strain{
-		{Tenant: decide.NoTenant, Asked: 4, Refused: 3, Failed: 1},
-		{Tenant: "a", Asked: 11, Served: 9, Refused: 2},
+	require.Equal(t, []decide.TenantStats{
+		{Tenant: decide.NoTenant, Requests: 4, Rejected: 3, Failed: 1},
+		{Tenant: "a", Requests: 11, Served: 9, Rejected: 2},
 	}, g.Strain())
 }
--- a/storm/avoid.go
+++ b/storm/avoid.go
@@ -2,21 +2,21 @@
 
 import "dunestep/decide"
 
-// Avoid has the module keep tenants' keys off servers, from the next Step on: see decide.Balancer. The gate
+// SetExclusions has the module keep tenants' keys off servers, from the next Step on: see decide.Balancer. The gate
 // lets in as many as before.
-func (g *Gate) Avoid(a *decide.Avoid) { g.module.Avoid(a) }
+func (g *Gate) Avoid(a *decide.Exclusions) { g.module.SetExclusions(a) }
 
-// Place has the module go by an agreed generation of the ring, from the next Step on: see decide.Balancer.
+// SetRingAssignment has the module go by an agreed generation of the ring, from the next Step on: see decide.Balancer.
 // The gate goes on reckoning with all servers of the list.
-func (g *Gate) Place(p *decide.Placed) { g.module.Place(p) }
+func (g *Gate) Place(p *decide.RingAssignment) { g.module.SetRingAssignment(p) }
 
-// Strain is the module's, and with it the requests that the gate itself turned away.
-func (g *Gate) Strain() []decide.Strain {
-	all := g.module.Strain()
+// TenantStats is the module's, and with it the requests that the gate itself turned away.
+func (g *Gate) Strain() []decide.TenantStats {
+	all := g.module.TenantStats()
 	for i := range all {
 		n := g.turned[all[i].Tenant]
-		all[i].Asked += n
-		all[i].Refused += n
+		all[i].Requests += n
+		all[i].Rejected += n
 	}
 	return all
 }
--- a/storm/bench_test.go
+++ b/storm/bench_test.go
@@ -26,9 +26,9 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			news := &decide.Membership{Kind: decide.SyncFull}
+			news := &decide.ServerListUpdate{Kind: decide.UpdateFull}
 			for i := range 13 {
-				news.Servers = append(news.Servers, decide.Server{ID: fmt.Sprint("s-", i), Kind: "k", Weight: 1})
+				news.Servers = append(news.Servers, decide.Server{ID: fmt.Sprint("s-", i), MachineKind: "k", Weight: 1})
 			}
 			step.Step(epoch, news)
 			keys := make([]string, 1000)
@@ -39,10 +39,10 @@
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				now += 2 * time.Millisecond
-				req := decide.Request{ID: uint32(i + 1), Class: "consult", Key: keys[i%1000], Budget: time.Second}
+				req := decide.Request{ID: uint32(i + 1), Class: "consult", Key: keys[i%1000], ClientTimeout: time.Second}
 				for _, a := range step.Step(now, &req) {
 					if a.Kind == decide.Send {
-						done := decide.AttemptDone{ID: a.ID, Server: a.Server, Latency: 50 * time.Millisecond, Finished: true}
+						done := decide.AttemptDone{ID: a.ID, Server: a.Server, Latency: 50 * time.Millisecond, RequestDone: true}
 						step.Step(now, &done)
 						break
 					}
@@ -64,6 +64,6 @@
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		now += 50 * time.Microsecond
-		g.Step(now, &decide.Request{ID: uint32(i + 1), Class: "rezervare", Key: keys[i%len(keys)], Budget: time.Second})
+		g.Step(now, &decide.Request{ID: uint32(i + 1), Class: "rezervare", Key: keys[i%len(keys)], ClientTimeout: time.Second})
 	}
 }
--- a/storm/gate.go
+++ b/storm/gate.go
@@ -22,19 +22,19 @@
 // Module makes the decisions about what is let in: decide.Balancer.
 type Module interface {
 	Step(now time.Duration, ev decide.Event) []decide.Action
-	// Part is this agent's part of all arrivals, from 0 to 1.
-	Part() float64
+	// ArrivalFraction is this agent's part of all arrivals, from 0 to 1.
+	ArrivalFraction() float64
 	// Sparse tells whether it is one of so many that its own requests in flight bound nothing.
 	Sparse() bool
-	// Agree has it go by what the fleet has agreed on: see decide.Balancer.
-	Agree(quota []float64, classes []decide.Agreed)
-	// Full says whether the servers that are warm are full.
-	Full(on bool)
-	// Avoid has it keep tenants' keys off servers, Strain tells how tenants fared: see decide.Balancer.
-	Avoid(a *decide.Avoid)
-	Strain() []decide.Strain
-	// Place has it go by an agreed generation of the ring: see decide.Balancer.
-	Place(p *decide.Placed)
+	// ApplyFleetPolicy has it go by what the fleet has agreed on: see decide.Balancer.
+	ApplyFleetPolicy(quota []float64, classes []decide.RetryPolicy)
+	// SetWarmServersSaturated says whether the servers that are warm are full.
+	SetWarmServersSaturated(on bool)
+	// SetExclusions has it keep tenants' keys off servers, TenantStats tells how tenants fared: see decide.Balancer.
+	SetExclusions(a *decide.Exclusions)
+	TenantStats() []decide.TenantStats
+	// SetRingAssignment has it go by an agreed generation of the ring: see decide.Balancer.
+	SetRingAssignment(p *decide.RingAssignment)
 }
 
 // Gate lets requests through to a Module, or refuses them.
@@ -149,11 +149,11 @@
 	}
 	g.told = newTold(g.rng.Uint64())
 	for _, c := range set.Classes {
-		g.longestAim = max(g.longestAim, c.Aim)
-		g.hasSafe = g.hasSafe || c.Effect != decide.Unsafe
+		g.longestAim = max(g.longestAim, c.LatencyObjective)
+		g.hasSafe = g.hasSafe || c.Idempotency != decide.NotIdempotent
 	}
 	for _, t := range set.Tenants {
-		g.shares[t.Name], g.turned[t.Name] = newShare(t.QuotaPerS), 0
+		g.shares[t.Name], g.turned[t.Name] = newShare(t.QuotaPerSecond), 0
 	}
 	return g, nil
 }
@@ -179,20 +179,20 @@
 	return nil
 }
 
-// Agree has the gate and its module go by what the fleet has agreed on, from the next Step on: see
+// ApplyFleetPolicy has the gate and its module go by what the fleet has agreed on, from the next Step on: see
 // decide.Balancer for the tenants' quotas and the classes, and Figures.InVain for inVain, which holds until
-// the next Agree, whatever Set says; only a lower figure of the operator's own stays. An inVain that is not
-// above zero leaves it to the operator's, and Agree(nil, nil, 0) takes all back.
-func (g *Gate) Agree(quota []float64, classes []decide.Agreed, inVain float64) {
-	part := g.module.Part()
+// the next ApplyFleetPolicy, whatever Set says; only a lower figure of the operator's own stays. An inVain that is not
+// above zero leaves it to the operator's, and ApplyFleetPolicy(nil, nil, 0) takes all back.
+func (g *Gate) Agree(quota []float64, classes []decide.RetryPolicy, inVain float64) {
+	part := g.module.ArrivalFraction()
 	for i, t := range g.set.Tenants {
-		perS := t.QuotaPerS
+		perS := t.QuotaPerSecond
 		if i < len(quota) {
 			perS = quota[i]
 		}
 		g.shares[t.Name].set(g.now, perS, part)
 	}
-	g.module.Agree(quota, classes)
+	g.module.ApplyFleetPolicy(quota, classes)
 	if g.inVain = 0; inVain > 0 {
 		g.inVain = inVain
 	}
@@ -200,9 +200,9 @@
 }
 
 // Present has the gate divide what all agents together send in an outage by another number of them than the
-// settings name, from now on; zero: by theirs. As decide.Counted has it, together they send half as much
+// settings name, from now on; zero: by theirs. As decide.QuotaCounted has it, together they send half as much
 // again at the most, however wrong it is.
-func (g *Gate) Present(agents int) { g.there = decide.Counted(agents, g.set.Balancers) }
+func (g *Gate) Present(agents int) { g.there = decide.EffectiveFleetSize(agents, g.set.Balancers) }
 
 // combine finds the figures that hold.
 func (g *Gate) combine() {
@@ -237,7 +237,7 @@
 		}
 	case *decide.ClientGone:
 		g.answered(e.ID)
-	case *decide.Membership:
+	case *decide.ServerListUpdate:
 		g.fleet() // before it changes
 		ev = g.listed(e)
 	case *decide.PeerMessage:
@@ -256,7 +256,7 @@
 
 // pass hands an event to the module and takes in what it does.
 func (g *Gate) pass(ev decide.Event) {
-	g.module.Full(g.throttle.on) // a sparse one sees it nowhere else
+	g.module.SetWarmServersSaturated(g.throttle.on) // a sparse one sees it nowhere else
 	for _, a := range g.module.Step(g.now, ev) {
 		if g.watch(&a) {
 			g.acts = append(g.acts, a)
@@ -276,7 +276,7 @@
 	}
 	who := g.told.who(e.Key, e.Tenant, e.Class)
 	back := g.told.find(g.now, who)
-	repeat := e.Retry || back != nil && !g.set.MarksRetry
+	repeat := e.ClientRetry || back != nil && !g.set.ClientsMarkRetries
 	over, counts := g.overShare(e.Tenant, repeat)
 	late := back != nil && repeat && (g.now < back.due-toldEarly || back.times >= 3)
 	tier := g.order.tier(e.Class, over, late)
@@ -301,7 +301,7 @@
 	g.enter(e, who, over)
 	if !counts && !over {
 		g.again = *e
-		g.again.Counted = true
+		g.again.QuotaCounted = true
 		return &g.again
 	}
 	return e
@@ -315,7 +315,7 @@
 	class, known := g.order.classes[e.Class]
 	*r = request{
 		who: who, tenant: e.Tenant, over: over, attempts: r.attempts[:0],
-		streams: known && g.set.Classes[class].Stream,
+		streams: known && g.set.Classes[class].Streaming,
 	}
 	g.requests[e.ID] = r
 }
@@ -331,7 +331,7 @@
 func (g *Gate) refuse(e *decide.Request, who uint64, over bool) {
 	g.noteTurned(e.Tenant)
 	g.acts = append(g.acts, decide.Action{
-		Kind: decide.Refuse, ID: e.ID, After: g.advise(who), OverShare: over,
+		Kind: decide.Reject, ID: e.ID, After: g.advise(who), OverQuota: over,
 		Quota: g.quota(e.Tenant),
 	})
 }
@@ -367,12 +367,12 @@
 		return r == nil || g.sends(a, r)
 	case decide.Cancel:
 		return r == nil || r.renumber(a)
-	case decide.Refuse, decide.Fail:
+	case decide.Reject, decide.Fail:
 		if r == nil {
 			return true
 		}
-		if a.Kind == decide.Refuse {
-			a.OverShare, a.Quota = r.over && !g.fig.Off, g.quota(r.tenant)
+		if a.Kind == decide.Reject {
+			a.OverQuota, a.Quota = r.over && !g.fig.Off, g.quota(r.tenant)
 			if g.damper.phase != calm || g.inPurge() {
 				a.After = g.advise(r.who)
 			} else if a.After > 0 {
@@ -402,7 +402,7 @@
 	if g.holdsBack(r, s) {
 		g.next = append(g.next, &decide.AttemptDone{
 			ID: a.ID, Attempt: number, Server: a.Server,
-			Outcome: decide.NotSent, Finished: r.answered,
+			Outcome: decide.NotSent, RequestDone: r.answered,
 		})
 		return false
 	}
@@ -487,12 +487,12 @@
 	if !e.Evidence.Ours { // what this agent is short of says nothing of its servers
 		g.noteEnd(a.server, e.Outcome)
 	}
-	r.answered = r.answered || e.Finished
+	r.answered = r.answered || e.RequestDone
 	g.forget(e.ID, r)
 	g.end = *e
 	g.end.Attempt = a.number
-	if g.damper.phase == outage && !e.Outcome.NeverRan() {
-		g.end.Outcome = decide.CalledOff
+	if g.damper.phase == outage && !e.Outcome.Unprocessed() {
+		g.end.Outcome = decide.Canceled
 	}
 	return &g.end
 }
@@ -516,7 +516,7 @@
 
 // cold tells whether a server is slow because it just started.
 func (g *Gate) cold(s *server) bool {
-	return s.entry.Started > s.renewed && g.now-s.entry.Started < g.set.Rules.ColdFor
+	return s.entry.StartedAt > s.renewed && g.now-s.entry.StartedAt < g.set.Rules.SlowStartDuration
 }
 
 // compare sets an answer's time against the usual one.
@@ -599,11 +599,11 @@
 
 // listed takes news of the server list in, and returns what the module is to see of it: the starts of servers
 // that were renewed are not the list's.
-func (g *Gate) listed(e *decide.Membership) decide.Event {
-	if e.Kind == decide.SyncFailed {
+func (g *Gate) listed(e *decide.ServerListUpdate) decide.Event {
+	if e.Kind == decide.UpdateFailed {
 		return e
 	}
-	news := &decide.Membership{Kind: e.Kind, Word: e.Word, Servers: slices.Clone(e.Servers)}
+	news := &decide.ServerListUpdate{Kind: e.Kind, Watch: e.Watch, Servers: slices.Clone(e.Servers)}
 	seen := make(map[string]bool, len(e.Servers))
 	for i := range news.Servers {
 		l := &news.Servers[i]
@@ -613,10 +613,10 @@
 			continue
 		}
 		s := g.server(l.ID)
-		l.Started += s.renewed
-		s.entry, s.kind, s.ready = *l, g.kind(l.Kind), l.State == decide.Ready
+		l.StartedAt += s.renewed
+		s.entry, s.kind, s.ready = *l, g.kind(l.MachineKind), l.State == decide.Ready
 	}
-	if e.Kind != decide.SyncChange {
+	if e.Kind != decide.UpdateIncremental {
 		for _, s := range slices.Clone(g.inOrder) {
 			if !seen[s.entry.ID] {
 				g.drop(s.entry.ID)
--- a/storm/gate_test.go
+++ b/storm/gate_test.go
@@ -34,8 +34,8 @@
 
 func newPlayer(t *rapid.T, fig Figures) *player {
 	set := deployment(3, 0)
-	set.Tenants = []decide.Tenant{{Name: "t0", QuotaPerS: 5, Share: 0.5}, {Name: "t1", QuotaPerS: 50, Share: 0.5}}
-	set.Limits.SecondCopies = true
+	set.Tenants = []decide.Tenant{{Name: "t0", QuotaPerSecond: 5, Share: 0.5}, {Name: "t1", QuotaPerSecond: 50, Share: 0.5}}
+	set.Limits.Hedging = true
 	g, err := Build(set, fig, 3)
 	require.NoError(t, err)
 	return &player{gate: g, now: epoch, open: map[uint32]*played{}, timers: map[uint64]time.Duration{}, t: t}
@@ -54,11 +54,11 @@
 				p.t.Fatalf("sends an unsafe request again that may have run: %v", a)
 			}
 			r.out = append(r.out, a.Server)
-		case decide.Refuse, decide.Fail:
+		case decide.Reject, decide.Fail:
 			if r == nil || r.final {
 				p.t.Fatalf("a second answer: %v", a)
 			}
-			if a.Kind == decide.Refuse && r.class == "rezervare" && r.ran {
+			if a.Kind == decide.Reject && r.class == "rezervare" && r.ran {
 				p.t.Fatalf("refuses an unsafe request that may have run: %v", a)
 			}
 			r.final = true
@@ -87,7 +87,7 @@
 func (p *player) end(id uint32, r *played, attempt int, o decide.Outcome) {
 	server := r.out[attempt]
 	r.out[attempt] = ""
-	if !o.NeverRan() {
+	if !o.Unprocessed() {
 		r.ran = true
 	}
 	finished := r.final
@@ -96,7 +96,7 @@
 	}
 	p.step(&decide.AttemptDone{
 		ID: id, Attempt: attempt, Server: server, Outcome: o,
-		Latency: time.Duration(rapid.IntRange(1, 600).Draw(p.t, "ms")) * time.Millisecond, Finished: finished,
+		Latency: time.Duration(rapid.IntRange(1, 600).Draw(p.t, "ms")) * time.Millisecond, RequestDone: finished,
 	})
 }
 
@@ -109,9 +109,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		p := newPlayer(t, Figures{})
 		list := func(n int) {
-			news := &decide.Membership{Kind: decide.SyncFull}
+			news := &decide.ServerListUpdate{Kind: decide.UpdateFull}
 			for i := range n {
-				news.Servers = append(news.Servers, decide.Server{ID: fmt.Sprint("s-", i), Kind: "k", Weight: 1})
+				news.Servers = append(news.Servers, decide.Server{ID: fmt.Sprint("s-", i), MachineKind: "k", Weight: 1})
 			}
 			p.step(news)
 		}
@@ -120,7 +120,7 @@
 		for range rapid.IntRange(1, 8).Draw(t, "phases") {
 			served := rapid.SampledFrom([]int{0, 0, 50, 98}).Draw(t, "served in 100")
 			failure := rapid.SampledFrom([]decide.Outcome{
-				decide.NoAnswer, decide.TurnedAway, decide.NoConnection,
+				decide.TimedOut, decide.Rejected, decide.ConnectFailed,
 				decide.ConnectionLost, decide.ServerError,
 			}).Draw(t, "else")
 			for range rapid.IntRange(20, 250).Draw(t, "events") {
@@ -138,7 +138,7 @@
 					p.open[ids] = &played{class: []string{"consult", "rezervare"}[ids%2]}
 					p.step(&decide.Request{
 						ID: ids, Class: p.open[ids].class, Key: fmt.Sprint(ids % 7),
-						Tenant: fmt.Sprint("t", ids%3), Budget: time.Second, Retry: ids%5 == 0,
+						Tenant: fmt.Sprint("t", ids%3), ClientTimeout: time.Second, ClientRetry: ids%5 == 0,
 					})
 					for id := ids - min(ids-1, 30); id <= ids; id++ {
 						r := p.open[id]
@@ -166,7 +166,7 @@
 				r := p.open[id]
 				for n := range r.out {
 					if r.out[n] != "" {
-						p.end(id, r, n, decide.TurnedAway)
+						p.end(id, r, n, decide.Rejected)
 					}
 				}
 			}
@@ -208,10 +208,10 @@
 		bare, err := decide.New(set, 3)
 		require.NoError(t, err)
 		for i := range uint32(200) {
-			var ev decide.Event = &decide.Request{ID: i, Class: "consult", Key: fmt.Sprint(i % 9), Budget: time.Second}
+			var ev decide.Event = &decide.Request{ID: i, Class: "consult", Key: fmt.Sprint(i % 9), ClientTimeout: time.Second}
 			switch {
 			case i == 0:
-				ev = &decide.Membership{Kind: decide.SyncFull, Servers: []decide.Server{{ID: "a", Weight: 1}, {ID: "b", Weight: 1}}}
+				ev = &decide.ServerListUpdate{Kind: decide.UpdateFull, Servers: []decide.Server{{ID: "a", Weight: 1}, {ID: "b", Weight: 1}}}
 			case i%2 == 0:
 				ev = &decide.AttemptDone{
 					ID: i - 1, Server: "a", Latency: 50 * time.Millisecond,
--- a/storm/lab_test.go
+++ b/storm/lab_test.go
@@ -16,16 +16,16 @@
 
 func deployment(agents, self int) decide.Settings {
 	return decide.Settings{
-		Self: self, Balancers: agents, Zone: "a", Tick: step, MarksRetry: true,
+		Self: self, Balancers: agents, Zone: "a", Tick: step, ClientsMarkRetries: true,
 		Classes: []decide.Class{
-			{Name: "consult", Aim: 500 * time.Millisecond, Deadline: 2500 * time.Millisecond, Worth: 1},
-			{Name: "rezervare", Aim: 500 * time.Millisecond, Deadline: time.Second, Effect: decide.Unsafe, Worth: 2},
+			{Name: "consult", LatencyObjective: 500 * time.Millisecond, Deadline: 2500 * time.Millisecond, PriorityWeight: 1},
+			{Name: "rezervare", LatencyObjective: 500 * time.Millisecond, Deadline: time.Second, Idempotency: decide.NotIdempotent, PriorityWeight: 2},
 		},
 		Limits: decide.Limits{
-			MaxAttempts: 3, Cancel: true, Peers: true, RetryAfter: true,
+			MaxAttempts: 3, Cancel: true, Gossip: true, RetryAfter: true,
 			MaxRetryAfter: 2 * time.Second,
 		},
-		Rules: decide.Rules{ColdFor: 9 * time.Second},
+		Rules: decide.Rules{SlowStartDuration: 9 * time.Second},
 	}
 }
 
@@ -82,10 +82,10 @@
 	out, most, turn, servers int  // most: in flight
 	sparse, full             bool // full: the gate has said so
 	acts                     []decide.Action
-	agreed                   []decide.Agreed
-	avoid                    *decide.Avoid
-	placed                   *decide.Placed
-	strain                   []decide.Strain
+	agreed                   []decide.RetryPolicy
+	avoid                    *decide.Exclusions
+	placed                   *decide.RingAssignment
+	strain                   []decide.TenantStats
 }
 
 func (m *roomy) Step(_ time.Duration, ev decide.Event) []decide.Action {
@@ -93,31 +93,31 @@
 	switch e := ev.(type) {
 	case *decide.Request:
 		if m.out >= m.most {
-			m.acts = append(m.acts, decide.Action{Kind: decide.Refuse, ID: e.ID, After: 300 * time.Millisecond})
+			m.acts = append(m.acts, decide.Action{Kind: decide.Reject, ID: e.ID, After: 300 * time.Millisecond})
 			break
 		}
 		m.out++
 		m.turn++
 		m.acts = append(m.acts, decide.Action{Kind: decide.Send, ID: e.ID, Server: fmt.Sprint("s-", m.turn%m.servers)})
 	case *decide.AttemptDone:
-		if m.out--; !e.Finished {
-			m.acts = append(m.acts, decide.Action{Kind: decide.Refuse, ID: e.ID})
+		if m.out--; !e.RequestDone {
+			m.acts = append(m.acts, decide.Action{Kind: decide.Reject, ID: e.ID})
 		}
 	}
 	return m.acts
 }
 
-func (m *roomy) Part() float64 { return 0.25 }
-func (m *roomy) Sparse() bool  { return m.sparse }
-func (m *roomy) Full(on bool)  { m.full = m.full || on }
+func (m *roomy) ArrivalFraction() float64        { return 0.25 }
+func (m *roomy) Sparse() bool                    { return m.sparse }
+func (m *roomy) SetWarmServersSaturated(on bool) { m.full = m.full || on }
 
-func (m *roomy) Agree(_ []float64, classes []decide.Agreed) { m.agreed = classes }
+func (m *roomy) ApplyFleetPolicy(_ []float64, classes []decide.RetryPolicy) { m.agreed = classes }
 
-func (m *roomy) Avoid(a *decide.Avoid) { m.avoid = a }
+func (m *roomy) SetExclusions(a *decide.Exclusions) { m.avoid = a }
 
-func (m *roomy) Place(p *decide.Placed) { m.placed = p }
+func (m *roomy) SetRingAssignment(p *decide.RingAssignment) { m.placed = p }
 
-func (m *roomy) Strain() []decide.Strain { return slices.Clone(m.strain) }
+func (m *roomy) TenantStats() []decide.TenantStats { return slices.Clone(m.strain) }
 
 func newLab(agents, servers int, change func(*decide.Settings)) *lab {
 	l := &lab{now: epoch, rng: rand.New(rand.NewPCG(1, 2)), servers: servers, slow: 1, said: map[uint32]string{}}
@@ -132,9 +132,9 @@
 			panic(err)
 		}
 		l.gates, l.modules = append(l.gates, g), append(l.modules, m)
-		list := &decide.Membership{Kind: decide.SyncFull}
+		list := &decide.ServerListUpdate{Kind: decide.UpdateFull}
 		for s := range servers {
-			list.Servers = append(list.Servers, decide.Server{ID: fmt.Sprint("s-", s), Kind: "k", Weight: 1})
+			list.Servers = append(list.Servers, decide.Server{ID: fmt.Sprint("s-", s), MachineKind: "k", Weight: 1})
 		}
 		l.do(i, g.Step(l.now, list))
 	}
@@ -151,12 +151,12 @@
 			work := time.Duration((0.5 + l.rng.Float64()) * float64(mean))
 			l.sentWork += work.Seconds()
 			l.jobs = append(l.jobs, &job{agent: agent, server: n, id: a.ID, left: work, began: l.now})
-		case decide.Refuse:
+		case decide.Reject:
 			l.refused++
 			if l.repeats && a.ID&1 == 0 {
 				l.again = append(l.again, agent)
 			}
-		case decide.Tell:
+		case decide.SendToPeer:
 			if l.rng.Float64() >= l.lost {
 				l.post = append(l.post, letter{l.now + time.Duration(l.rng.IntN(30))*time.Millisecond, agent, a.Peer, a.Data})
 			}
@@ -175,11 +175,11 @@
 	}
 	l.asked++
 	key := fmt.Sprint("k", l.rng.IntN(500))
-	l.do(agent, l.gates[agent].Step(l.now, &decide.Request{ID: l.ids, Class: class, Budget: time.Second, Key: key}))
+	l.do(agent, l.gates[agent].Step(l.now, &decide.Request{ID: l.ids, Class: class, ClientTimeout: time.Second, Key: key}))
 	for _, at := range l.again {
 		l.do(at, l.gates[at].Step(l.now, &decide.Request{
-			ID: l.ids + 1, Class: class, Budget: time.Second, Key: key,
-			Retry: true,
+			ID: l.ids + 1, Class: class, ClientTimeout: time.Second, Key: key,
+			ClientRetry: true,
 		}))
 	}
 	l.again = l.again[:0]
@@ -245,7 +245,7 @@
 		l.served++
 		l.do(j.agent, l.gates[j.agent].Step(l.now, &decide.AttemptDone{
 			ID: j.id, Server: fmt.Sprint("s-", j.server),
-			Outcome: decide.Served, Latency: l.now + step - j.began, Finished: true,
+			Outcome: decide.Served, Latency: l.now + step - j.began, RequestDone: true,
 		}))
 	}
 }
@@ -253,10 +253,10 @@
 // fails tells whether an attempt has failed.
 func (l *lab) fails(j *job) (bool, decide.Outcome) {
 	if l.refuses {
-		return true, decide.TurnedAway
+		return true, decide.Rejected
 	}
 	if l.down {
-		return true, decide.NoConnection
+		return true, decide.ConnectFailed
 	}
-	return (l.silent || l.hurried) && l.now-j.began > 500*time.Millisecond, decide.NoAnswer
+	return (l.silent || l.hurried) && l.now-j.began > 500*time.Millisecond, decide.TimedOut
 }
--- a/storm/memory_test.go
+++ b/storm/memory_test.go
@@ -16,7 +16,7 @@
 // is usual. It rests on less the older it is, and nothing is taken of an unknown age or of what can't be.
 func TestMemory(t *testing.T) {
 	fresh := func() *Gate {
-		g, err := Build(decide.Settings{Tick: time.Millisecond, Classes: []decide.Class{{Aim: time.Second, Deadline: time.Second}}},
+		g, err := Build(decide.Settings{Tick: time.Millisecond, Classes: []decide.Class{{LatencyObjective: time.Second, Deadline: time.Second}}},
 			Figures{}, 1)
 		require.NoError(t, err)
 		return g
--- a/storm/order.go
+++ b/storm/order.go
@@ -29,7 +29,7 @@
 	for i, c := range classes {
 		o.classes[c.Name], by[i] = i, i
 	}
-	slices.SortStableFunc(by, func(p, q int) int { return cmp.Compare(classes[q].Worth, classes[p].Worth) })
+	slices.SortStableFunc(by, func(p, q int) int { return cmp.Compare(classes[q].PriorityWeight, classes[p].PriorityWeight) })
 	for place, class := range by {
 		o.place[class] = place
 	}
--- a/storm/outage.go
+++ b/storm/outage.go
@@ -78,7 +78,7 @@
 func (g *Gate) noteEnd(s *server, o decide.Outcome) {
 	d := &g.damper
 	switch o {
-	case decide.CalledOff, decide.NotSent:
+	case decide.Canceled, decide.NotSent:
 		return
 	case decide.Served:
 		d.good.add(g.now, 1)
@@ -97,12 +97,12 @@
 		s.failed, s.lost = 0, 0
 		return
 	}
-	if s.failed++; o != decide.TurnedAway { // which a server does that is merely full
+	if s.failed++; o != decide.Rejected { // which a server does that is merely full
 		s.lost++
 	}
 	d.ends.add(g.now, 1)
 	d.failed++
-	if o == decide.NoConnection || o == decide.ConnectionLost {
+	if o == decide.ConnectFailed || o == decide.ConnectionLost {
 		d.ended++
 	}
 	s.until = g.now + coldHold*time.Duration(g.there)
@@ -117,7 +117,7 @@
 	d := &g.damper
 	wait := settledAfter
 	if d.ended > 0 {
-		wait = max(wait, g.set.Rules.ColdFor)
+		wait = max(wait, g.set.Rules.SlowStartDuration)
 	}
 	return d.phase == calm || d.phase == returning && g.now > d.back+wait
 }
@@ -244,17 +244,17 @@
 // repeatable tells whether a failed attempt of a class leaves the client something to do.
 func (g *Gate) repeatable(class string) bool {
 	i, known := g.order.classes[class]
-	return known && g.set.Classes[i].Effect != decide.Unsafe
+	return known && g.set.Classes[i].Idempotency != decide.NotIdempotent
 }
 
 // renew tells the module that servers are as if started anew, without being any colder: what was seen of them
 // is of the outage.
 func (g *Gate) renew(servers ...*server) {
-	news := &decide.Membership{Kind: decide.SyncChange, Word: decide.Word{Local: true}}
+	news := &decide.ServerListUpdate{Kind: decide.UpdateIncremental, Watch: decide.WatchStatus{Local: true}}
 	for _, s := range servers {
 		if s.ready && !g.cold(s) { // what just started is new to the module
 			s.renewed++
-			s.entry.Started++
+			s.entry.StartedAt++
 			news.Servers = append(news.Servers, s.entry)
 		}
 	}
--- a/storm/outage_test.go
+++ b/storm/outage_test.go
@@ -73,16 +73,16 @@
 		started time.Duration
 		most    int // in a second
 	}{
-		"turns away": {decide.TurnedAway, epoch, 5}, "serves": {decide.Served, epoch, 40},
+		"turns away": {decide.Rejected, epoch, 5}, "serves": {decide.Served, epoch, 40},
 		"is warm": {decide.Served, 0, 140},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g, err := New(deployment(4, 0), Figures{}, &roomy{most: 100, servers: 1}, 1)
 			require.NoError(t, err)
 			list := func(n int) {
-				news := &decide.Membership{Kind: decide.SyncFull}
+				news := &decide.ServerListUpdate{Kind: decide.UpdateFull}
 				for i := range n {
-					news.Servers = append(news.Servers, decide.Server{ID: fmt.Sprint("s-", i), Started: c.started})
+					news.Servers = append(news.Servers, decide.Server{ID: fmt.Sprint("s-", i), StartedAt: c.started})
 				}
 				g.Step(epoch, news)
 			}
@@ -91,7 +91,7 @@
 			sent, out := 0, []uint32{}
 			for i := range uint32(1000) {
 				now := epoch + time.Duration(i)*time.Millisecond
-				for _, a := range g.Step(now, &decide.Request{ID: i, Class: "consult", Budget: time.Second}) {
+				for _, a := range g.Step(now, &decide.Request{ID: i, Class: "consult", ClientTimeout: time.Second}) {
 					if a.Kind == decide.Send {
 						sent++
 						out = append(out, a.ID)
@@ -100,7 +100,7 @@
 				if len(out) > 0 && (c.outcome != decide.Served || i%25 == 0) { // it serves 40 a second
 					g.Step(now, &decide.AttemptDone{
 						ID: out[0], Server: "s-0", Outcome: c.outcome,
-						Latency: 50 * time.Millisecond, Finished: c.outcome == decide.Served,
+						Latency: 50 * time.Millisecond, RequestDone: c.outcome == decide.Served,
 					})
 					out = out[1:]
 				}
@@ -155,8 +155,8 @@
 	for i := range 500 {
 		id := uint32(1e6 + 2*i)
 		var after time.Duration
-		for _, a := range g.Step(l.now, &decide.Request{ID: id, Class: "rezervare", Key: fmt.Sprint("c", i), Budget: time.Second}) {
-			if a.Kind == decide.Refuse && a.ID == id {
+		for _, a := range g.Step(l.now, &decide.Request{ID: id, Class: "rezervare", Key: fmt.Sprint("c", i), ClientTimeout: time.Second}) {
+			if a.Kind == decide.Reject && a.ID == id {
 				after = a.After
 			}
 		}
@@ -201,13 +201,13 @@
 	g, err := Build(deployment(1, 0), Figures{}, 1)
 	require.NoError(t, err)
 	now := epoch
-	g.Step(now, &decide.Membership{Kind: decide.SyncFull, Servers: []decide.Server{{ID: "a", Weight: 1}, {ID: "b", Weight: 1}}})
+	g.Step(now, &decide.ServerListUpdate{Kind: decide.UpdateFull, Servers: []decide.Server{{ID: "a", Weight: 1}, {ID: "b", Weight: 1}}})
 	for id := range uint32(200) {
 		now += 10 * time.Millisecond
-		for _, a := range g.Step(now, &decide.Request{ID: id, Class: "consult", Budget: time.Second}) {
+		for _, a := range g.Step(now, &decide.Request{ID: id, Class: "consult", ClientTimeout: time.Second}) {
 			if a.Kind == decide.Send {
 				g.Step(now, &decide.AttemptDone{
-					ID: id, Server: a.Server, Outcome: decide.NoConnection,
+					ID: id, Server: a.Server, Outcome: decide.ConnectFailed,
 					Evidence: health.Evidence{Phase: health.Connecting, Ours: true},
 				})
 			}
@@ -221,13 +221,13 @@
 // started anew is no word from discovery, whose watch was lost before and must be opened again.
 func TestOutageIsNoWordFromDiscovery(t *testing.T) {
 	set := deployment(1, 0)
-	set.OnRequest = true
+	set.DiscoveryOnDemand = true
 	g, err := Build(set, Figures{}, 1)
 	require.NoError(t, err)
 	now := epoch
-	g.Step(now, &decide.Membership{Kind: decide.SyncFull, Servers: []decide.Server{{ID: "a", Weight: 1}, {ID: "b", Weight: 1}}})
+	g.Step(now, &decide.ServerListUpdate{Kind: decide.UpdateFull, Servers: []decide.Server{{ID: "a", Weight: 1}, {ID: "b", Weight: 1}}})
 	var again *decide.Action
-	for _, a := range g.Step(now, &decide.Membership{Kind: decide.SyncFailed, Word: decide.Word{End: asking.Lost}}) {
+	for _, a := range g.Step(now, &decide.ServerListUpdate{Kind: decide.UpdateFailed, Watch: decide.WatchStatus{End: asking.Lost}}) {
 		if a.Kind == decide.SetTimer {
 			again = &a
 		}
@@ -241,7 +241,7 @@
 		if passed[outage] {
 			outcome = decide.Served
 		}
-		for _, a := range g.Step(now, &decide.Request{ID: id, Class: "consult", Budget: time.Second}) {
+		for _, a := range g.Step(now, &decide.Request{ID: id, Class: "consult", ClientTimeout: time.Second}) {
 			if a.Kind == decide.Send {
 				g.Step(now, &decide.AttemptDone{ID: id, Server: a.Server, Outcome: outcome, Latency: 5 * time.Millisecond})
 			}
--- a/storm/share.go
+++ b/storm/share.go
@@ -53,7 +53,7 @@
 	if s == nil || s.perSecond <= 0 {
 		return false, true
 	}
-	s.save(g.now, s.perSecond*g.module.Part())
+	s.save(g.now, s.perSecond*g.module.ArrivalFraction())
 	over = s.bucket < 1
 	if !repeat {
 		s.first.add(g.now, 1)
@@ -76,5 +76,5 @@
 	if !g.fig.TellQuota || s == nil || s.perSecond <= 0 {
 		return decide.Quota{}
 	}
-	return decide.Quota{PerSecond: s.perSecond * g.module.Part(), Left: max(s.bucket, 0)}
+	return decide.Quota{PerSecond: s.perSecond * g.module.ArrivalFraction(), Remaining: max(s.bucket, 0)}
 }
--- a/storm/spell.go
+++ b/storm/spell.go
@@ -221,8 +221,8 @@
 			continue
 		}
 		warmth := 1.0
-		if age, cold := g.now-s.entry.Started, g.set.Rules.ColdFor; s.entry.Started > 0 && age < cold {
-			from := g.set.Rules.ColdShare
+		if age, cold := g.now-s.entry.StartedAt, g.set.Rules.SlowStartDuration; s.entry.StartedAt > 0 && age < cold {
+			from := g.set.Rules.SlowStartCapacity
 			warmth = from + (1-from)*max(float64(age)/float64(cold), 0)
 		}
 		can += warmth
@@ -337,7 +337,7 @@
 // tellSpell tells other agents, a few of a large fleet at a time.
 func (g *Gate) tellSpell(says byte) {
 	others := g.set.Balancers - 1
-	if !g.set.Limits.Peers || others < 1 {
+	if !g.set.Limits.Gossip || others < 1 {
 		return
 	}
 	s := &g.spell
@@ -350,7 +350,7 @@
 	first := g.rng.IntN(others)
 	for i := range min(peersTold, others) {
 		peer := (g.set.Self + 1 + (first+i)%others) % g.set.Balancers
-		g.acts = append(g.acts, decide.Action{Kind: decide.Tell, Peer: peer, Data: data})
+		g.acts = append(g.acts, decide.Action{Kind: decide.SendToPeer, Peer: peer, Data: data})
 	}
 }
 
--- a/storm/spell_test.go
+++ b/storm/spell_test.go
@@ -33,7 +33,7 @@
 		"agents talk":           {within: 4500 * time.Millisecond},
 		"half the messages":     {lost: 0.5, within: 5 * time.Second},
 		"no message gets there": {lost: 1, within: 8 * time.Second},
-		"agents may not talk":   {change: func(s *decide.Settings) { s.Limits.Peers = false }, within: 8 * time.Second},
+		"agents may not talk":   {change: func(s *decide.Settings) { s.Limits.Gossip = false }, within: 8 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := newLab(4, 12, c.change)
@@ -109,10 +109,10 @@
 		var news []decide.Server
 		for _, s := range g.inOrder[:6] {
 			e := s.entry
-			e.State, e.Started = state, started
+			e.State, e.StartedAt = state, started
 			news = append(news, e)
 		}
-		l.do(0, g.Step(l.now, &decide.Membership{Kind: decide.SyncChange, Servers: news}))
+		l.do(0, g.Step(l.now, &decide.ServerListUpdate{Kind: decide.UpdateIncremental, Servers: news}))
 	}
 	l.run(time.Second)
 	require.InDelta(t, 1, g.able(), 0.01)
@@ -120,7 +120,7 @@
 	require.InDelta(t, 0.5, g.able(), 0.01)
 	cold := g.set.Rules
 	tell(decide.Ready, l.now)
-	require.InDelta(t, 0.5+0.5*cold.ColdShare, g.able(), 0.01)
-	l.run(cold.ColdFor + time.Second)
+	require.InDelta(t, 0.5+0.5*cold.SlowStartCapacity, g.able(), 0.01)
+	l.run(cold.SlowStartDuration + time.Second)
 	require.InDelta(t, 1, g.able(), 0.01)
 }
--- a/storm/throttle.go
+++ b/storm/throttle.go
@@ -41,7 +41,7 @@
 	switch o {
 	case decide.Served:
 		t.answered.add(now, 1)
-	case decide.NoAnswer, decide.TurnedAway:
+	case decide.TimedOut, decide.Rejected:
 		t.vain.add(now, 1)
 	}
 }
--- a/window/agent.go
+++ b/window/agent.go
@@ -18,25 +18,25 @@
 // does. Only what can't be taken back counts then: that a window returns early. At the bottom it may not know
 // of a window at all, and keeps off the servers whose turn it is besides.
 type Agent struct {
-	turns Turns
-	forms []*form
-	told  uint64 // rises with what is learnt
-
-	last  *decide.Avoid
-	turn  int // that last keeps off; below zero: none
-	made  basis
-	until time.Duration // Unix time
+	turns    Turns
+	windows  []*storedWindow
+	revision uint64 // rises with what is learnt
+
+	last       *decide.Exclusions
+	turn       int // that last keeps off; below zero: none
+	basis      exclusionBasis
+	validUntil time.Duration // Unix time
 }
 
 // basis is what the last answer was made from.
-type basis struct {
-	is      bool
-	told    uint64
-	from    time.Duration
-	lease   bool
-	how     policy.How
-	version uint64
-	effect  *policy.Effect
+type exclusionBasis struct {
+	valid    bool
+	revision uint64
+	from     time.Duration
+	lease    bool
+	mode     policy.Mode
+	version  uint64
+	effect   *policy.Effect
 }
 
 // NewAgent returns an Agent that knows nothing yet; turns are the same at all agents, zero: none.
@@ -44,75 +44,75 @@
 
 // Learn takes what the log says now: after records were applied, and after a snapshot, before a lease holds
 // that names them.
-func (a *Agent) Learn(m *Machine) {
-	a.forms = m.st.Windows
-	a.told++
+func (a *Agent) Learn(m *StateMachine) {
+	a.windows = m.state.Windows
+	a.revision++
 }
 
-// Avoid is what to keep off now; the same one while nothing changes, nil: nothing is moved. The reading,
+// Exclusions is what to keep off now; the same one while nothing changes, nil: nothing is moved. The reading,
 // the standing by it and how to act are to be read for this decision, so that a process that was paused
 // sees where it stands now.
-func (a *Agent) Avoid(now lease.Reading, standing lease.Standing, acting policy.Acting) *decide.Avoid {
-	b := basis{
-		is: true, told: a.told, lease: standing == lease.Full, how: acting.How,
+func (a *Agent) Exclusions(now lease.ClockReading, standing lease.Standing, acting policy.Active) *decide.Exclusions {
+	b := exclusionBasis{
+		valid: true, revision: a.revision, lease: standing == lease.Full, mode: acting.Mode,
 		version: acting.Version, effect: acting.Effect,
 	}
-	same := a.made
+	same := a.basis
 	same.from = 0
-	if same == b && now.Unix >= a.made.from && now.Unix < a.until {
+	if same == b && now.Unix >= a.basis.from && now.Unix < a.validUntil {
 		return a.last
 	}
 	fresh, turn := a.compute(now.Unix, b)
 	b.from = now.Unix
-	if a.made = b; turn != a.turn || !alike(fresh, a.last) {
+	if a.basis = b; turn != a.turn || !haveSameTenants(fresh, a.last) {
 		a.last, a.turn = fresh, turn
 	}
 	return a.last
 }
 
-// avoiding is a decide.Avoid in the making, and until when it holds.
-type avoiding struct {
+// avoiding is a decide.Exclusions in the making, and until when it holds.
+type exclusionBuilder struct {
 	tenants map[string]map[string]uint32
 	until   time.Duration
 }
 
-func (a *Agent) compute(at time.Duration, b basis) (out *decide.Avoid, turn int) {
-	v := avoiding{until: at + time.Hour}
-	for _, f := range a.forms {
+func (a *Agent) compute(at time.Duration, b exclusionBasis) (out *decide.Exclusions, turn int) {
+	v := exclusionBuilder{until: at + time.Hour}
+	for _, f := range a.windows {
 		if at < f.To {
-			v.add(f, at, b)
+			v.addWindow(f, at, b)
 		}
 	}
-	out, turn = &decide.Avoid{Tenants: v.tenants}, -1
-	if b.how == policy.Bottom && a.turns > 0 {
+	out, turn = &decide.Exclusions{Tenants: v.tenants}, -1
+	if b.mode == policy.ModeBottom && a.turns > 0 {
 		var until time.Duration
 		turn, until = a.turns.At(at)
 		v.until = min(v.until, until)
-		out.Turn = turnOf(a.turns, turn)
+		out.AllTenants = isInTurn(a.turns, turn)
 	}
-	a.until = v.until
-	if len(out.Tenants) == 0 && out.Turn == nil {
+	a.validUntil = v.until
+	if len(out.Tenants) == 0 && out.AllTenants == nil {
 		out = nil
 	}
 	return out, turn
 }
 
-func turnOf(turns Turns, turn int) func(server, zone string) bool {
+func isInTurn(turns Turns, turn int) func(server, zone string) bool {
 	return func(server, zone string) bool { return turns.Of(server, zone) == turn }
 }
 
-func (v *avoiding) add(f *form, at time.Duration, b basis) {
-	v.until = min(v.until, f.next(at))
-	steps := f.final(at)
+func (v *exclusionBuilder) addWindow(f *storedWindow, at time.Duration, b exclusionBasis) {
+	v.until = min(v.until, f.nextChange(at))
+	steps := f.movedStepsWithoutLease(at)
 	if b.lease {
-		steps = f.moved(at)
+		steps = f.movedSteps(at)
 	}
 	if steps == 0 {
 		return
 	}
 	for _, t := range f.Tenants {
-		if v.allowed(t, at, b) {
-			v.move(t, f, steps)
+		if v.isAllowed(t, at, b) {
+			v.exclude(t, f, steps)
 		}
 	}
 }
@@ -120,31 +120,31 @@
 // allowed tells whether the contract that binds here lets a tenant be moved. At the bottom there is none to
 // go by, and on the floor of a version whose document cannot be read here none is known: what was accepted,
 // under a contract, is followed to its end then.
-func (v *avoiding) allowed(tenant string, at time.Duration, b basis) bool {
-	unknown := b.effect == nil || b.how == policy.Within && b.effect.Contracts == nil
-	if b.how == policy.Bottom || unknown {
+func (v *exclusionBuilder) isAllowed(tenant string, at time.Duration, b exclusionBasis) bool {
+	unknown := b.effect == nil || b.mode == policy.ModeFloor && b.effect.Contracts == nil
+	if b.mode == policy.ModeBottom || unknown {
 		return true
 	}
 	c := b.effect.Contracts[tenant]
 	if c == nil {
 		return false
 	}
-	v.until = min(v.until, edge(c, at))
+	v.until = min(v.until, nextHoursEdge(c, at))
 	return c.Allows(at)
 }
 
 // edge is when the hours begin or end next.
-func edge(c *contract.Contract, at time.Duration) time.Duration {
-	if _, to, ok := c.Run(at); ok {
+func nextHoursEdge(c *contract.Contract, at time.Duration) time.Duration {
+	if _, to, ok := c.RunAt(at); ok {
 		return to
 	}
-	if from, _, ok := c.Next(at); ok {
+	if from, _, ok := c.NextRun(at); ok {
 		return from
 	}
 	return at + time.Hour
 }
 
-func (v *avoiding) move(tenant string, f *form, steps int) {
+func (v *exclusionBuilder) exclude(tenant string, f *storedWindow, steps int) {
 	below := uint32(math.MaxUint32)
 	if steps < f.Steps {
 		below = uint32(uint64(steps) << 32 / uint64(f.Steps))
@@ -161,7 +161,7 @@
 }
 
 // alike tells whether two say the same, but for turns.
-func alike(x, y *decide.Avoid) bool {
+func haveSameTenants(x, y *decide.Exclusions) bool {
 	if x == nil || y == nil {
 		return x == y
 	}
--- a/window/council.go
+++ b/window/council.go
@@ -8,204 +8,206 @@
 	"dunestep/policy"
 )
 
-// Council brings windows through their course. Each voter has one, and the leader proposes what its says;
+// Proposer brings windows through their course. Each voter has one, and the leader proposes what its says;
 // whoever becomes leader goes on from the log, and from when it applied things itself.
-type Council struct {
-	set     CouncilSettings
-	begin   lease.Reading
-	forms   []*form
-	learnt  map[string]learnt
-	hearing hearing
-	whole   float64 // the most capacity that was listed while windows were known
-	last    map[string]proposed
+type Proposer struct {
+	settings      ProposerSettings
+	startedAt     lease.ClockReading
+	windows       []*storedWindow
+	progress      map[string]windowProgress
+	reports       reportLog
+	totalCapacity float64 // the most capacity that was listed while windows were known
+	lastProposed  map[string]lastRecord
 }
 
-// CouncilSettings are the same at all voters.
-type CouncilSettings struct {
+// ProposerSettings are the same at all voters.
+type ProposerSettings struct {
 	Times policy.Times
-	// Linger is the longest that a request may still be on its way; 30 s.
-	Linger time.Duration
-	// Margin is waited for beside, for clocks that differ; 10 s.
-	Margin time.Duration
+	// MaxInFlight is the longest that a request may still be on its way; 30 s.
+	MaxInFlight time.Duration
+	// ClockMargin is waited for beside, for clocks that differ; 10 s.
+	ClockMargin time.Duration
 }
 
-// Usual returns the settings with the defaults for what is zero.
-func (s CouncilSettings) Usual() CouncilSettings {
-	s.Times = s.Times.Usual()
-	if s.Linger == 0 {
-		s.Linger = 30 * time.Second
+// WithDefaults returns the settings with the defaults for what is zero.
+func (s ProposerSettings) WithDefaults() ProposerSettings {
+	s.Times = s.Times.WithDefaults()
+	if s.MaxInFlight == 0 {
+		s.MaxInFlight = 30 * time.Second
 	}
-	if s.Margin == 0 {
-		s.Margin = 10 * time.Second
+	if s.ClockMargin == 0 {
+		s.ClockMargin = 10 * time.Second
 	}
 	return s
 }
 
 // learnt is when a window was applied here, as it is now, and what has come of it since.
-type learnt struct {
-	changes  uint64
-	at       lease.Reading
-	trouble  string
-	first    bool          // the trouble is that no other server is left
-	troubled lease.Reading // since when there has been some
-	calm     lease.Reading // since when there has been none
+type windowProgress struct {
+	changeCount  uint64
+	appliedAt    lease.ClockReading
+	fault        string
+	overridden   bool               // the trouble is that no other server is left
+	faultSince   lease.ClockReading // since when there has been some
+	healthySince lease.ClockReading // since when there has been none
 }
 
 // proposed is what was proposed last: not again before a while.
-type proposed struct {
-	kind    kind
-	changes uint64
-	again   time.Duration
+type lastRecord struct {
+	kind        recordKind
+	changeCount uint64
+	retryAt     time.Duration
 }
 
-// View is what the leader's own process sees.
-type View struct {
-	Standing lease.Standing
-	Acting   policy.Acting // by it
-	InForce  uint64        // the newest version that was activated
-	Open     bool          // a change of policy is open
-	Nodes    []Node        // its own list; those that are not ready are Absent, or left out
+// LeaderView is what the leader's own process sees.
+type LeaderView struct {
+	Standing   lease.Standing
+	Active     policy.Active // by it
+	InForce    uint64        // the newest version that was activated
+	ChangeOpen bool          // a change of policy is open
+	Servers    []Server      // its own list; those that are not ready are Absent, or left out
 }
 
 const (
-	// proposeAgain is after how long what was proposed and is not in the log is proposed again; lookAgain how
-	// often windows that move something are looked at, lookAhead the others.
-	proposeAgain = 200 * time.Millisecond
-	lookAgain    = 250 * time.Millisecond
-	lookAhead    = 5 * time.Second
+	// proposeRetryInterval is after how long what was proposed and is not in the log is proposed again; recheckInterval how
+	// often windows that move something are looked at, idleRecheckInterval the others.
+	proposeRetryInterval = 200 * time.Millisecond
+	recheckInterval      = 250 * time.Millisecond
+	idleRecheckInterval  = 5 * time.Second
 	// patience is for how long there may be trouble until a window returns, calmed how long there has to be none
 	// until one that was paused goes on.
-	patience = 30 * time.Second
-	calmed   = 10 * time.Second
+	maxFaultTime = 30 * time.Second
+	recoveryTime = 10 * time.Second
 	// restless is how often a window may change: one that is paused ever again returns.
-	restless = 24
+	maxChanges = 24
 )
 
-// NewCouncil returns the Council of a process that begins now.
-func NewCouncil(set CouncilSettings, now lease.Reading) *Council {
-	set = set.Usual()
-	return &Council{
-		set: set, begin: now, learnt: map[string]learnt{}, last: map[string]proposed{},
-		hearing: hearing{
-			agents: map[int][]told{}, leases: map[int]lease.Reading{},
-			length: set.Times.Terms.Length,
+// NewProposer returns the Proposer of a process that begins now.
+func NewProposer(set ProposerSettings, now lease.ClockReading) *Proposer {
+	set = set.WithDefaults()
+	return &Proposer{
+		settings: set, startedAt: now, progress: map[string]windowProgress{}, lastProposed: map[string]lastRecord{},
+		reports: reportLog{
+			agents: map[int][]receivedReport{}, leases: map[int]lease.ClockReading{},
+			leaseLength: set.Times.Terms.Duration,
 		},
 	}
 }
 
 // Learn takes what the log says now, as soon as records were applied, by any voter.
-func (c *Council) Learn(now lease.Reading, m *Machine) {
-	c.forms = m.st.Windows
-	known := map[string]learnt{}
-	for _, f := range c.forms {
-		l, was := c.learnt[f.ID]
-		if !was || l.changes != f.Changes {
-			l.changes, l.at = f.Changes, now
+func (c *Proposer) Learn(now lease.ClockReading, m *StateMachine) {
+	c.windows = m.state.Windows
+	known := map[string]windowProgress{}
+	for _, f := range c.windows {
+		l, was := c.progress[f.ID]
+		if !was || l.changeCount != f.ChangeCount {
+			l.changeCount, l.appliedAt = f.ChangeCount, now
 		}
 		known[f.ID] = l
 	}
-	c.learnt = known
-	for id := range c.last {
+	c.progress = known
+	for id := range c.lastProposed {
 		if _, is := known[id]; !is {
-			delete(c.last, id)
+			delete(c.lastProposed, id)
 		}
 	}
 	if len(known) == 0 {
-		c.whole = 0
+		c.totalCapacity = 0
 	}
 }
 
-// Heard takes what an agent told.
-func (c *Council) Heard(now lease.Reading, agent int, data []byte) { c.hearing.heard(now, agent, data) }
+// ReportReceived takes what an agent told.
+func (c *Proposer) ReportReceived(now lease.ClockReading, agent int, data []byte) {
+	c.reports.add(now, agent, data)
+}
 
-// Granted takes that this voter has granted an agent a lease.
-func (c *Council) Granted(now lease.Reading, agent int) {
-	if !c.Idle() {
-		c.hearing.granted(now, agent)
+// LeaseGranted takes that this voter has granted an agent a lease.
+func (c *Proposer) LeaseGranted(now lease.ClockReading, agent int) {
+	if !c.IsIdle() {
+		c.reports.leaseGranted(now, agent)
 	}
 }
 
-// Idle tells whether no window is ahead or under way.
-func (c *Council) Idle() bool {
-	return !slices.ContainsFunc(c.forms, func(f *form) bool { return !f.over() })
+// IsIdle tells whether no window is ahead or under way.
+func (c *Proposer) IsIdle() bool {
+	return !slices.ContainsFunc(c.windows, func(f *storedWindow) bool { return !f.isOver() })
 }
 
 // Due returns what the leader is to propose to the log, and when to ask again at the latest, by the steady
 // clock. See is asked only where there are windows.
-func (c *Council) Due(now lease.Reading, see func() View) (records [][]byte, next time.Duration) {
-	if c.Idle() {
-		return nil, now.Mono + lookAhead
+func (c *Proposer) Due(now lease.ClockReading, see func() LeaderView) (records [][]byte, next time.Duration) {
+	if c.IsIdle() {
+		return nil, now.Mono + idleRecheckInterval
 	}
-	next = now.Mono + lookAhead
-	c.hearing.forget(now)
+	next = now.Mono + idleRecheckInterval
+	c.reports.dropExpired(now)
 	v := see()
-	c.whole = max(c.whole, capacity(v.Nodes))
-	for _, f := range c.forms {
-		if f.over() {
+	c.totalCapacity = max(c.totalCapacity, sumCapacity(v.Servers))
+	for _, f := range c.windows {
+		if f.isOver() {
 			continue
 		}
-		if now.Unix >= f.From-lookAhead {
-			next = min(next, now.Mono+lookAgain)
+		if now.Unix >= f.From-idleRecheckInterval {
+			next = min(next, now.Mono+recheckInterval)
 		}
-		if r, is := c.step(now, v, f); is {
-			if data := c.once(now, f, r); data != nil {
+		if r, is := c.nextRecord(now, v, f); is {
+			if data := c.encodeOnce(now, f, r); data != nil {
 				records = append(records, data)
 			}
-			next = min(next, now.Mono+proposeAgain)
+			next = min(next, now.Mono+proposeRetryInterval)
 		}
 	}
 	return records, next
 }
 
 // once gives the record, unless it may be on its way.
-func (c *Council) once(now lease.Reading, f *form, r record) []byte {
-	p := proposed{kind: r.Kind, changes: f.Changes}
-	if was := c.last[f.ID]; was.kind == p.kind && was.changes == p.changes && now.Mono < was.again {
+func (c *Proposer) encodeOnce(now lease.ClockReading, f *storedWindow, r record) []byte {
+	p := lastRecord{kind: r.Kind, changeCount: f.ChangeCount}
+	if was := c.lastProposed[f.ID]; was.kind == p.kind && was.changeCount == p.changeCount && now.Mono < was.retryAt {
 		return nil
 	}
-	p.again = now.Mono + proposeAgain
-	c.last[f.ID] = p
-	r.ID, r.Changes = f.ID, f.Changes
+	p.retryAt = now.Mono + proposeRetryInterval
+	c.lastProposed[f.ID] = p
+	r.ID, r.ChangeCount = f.ID, f.ChangeCount
 	return marshal(r)
 }
 
 // step is what is to become of a window next; is false: nothing yet.
-func (c *Council) step(now lease.Reading, v View, f *form) (r record, is bool) {
-	l := c.learnt[f.ID]
+func (c *Proposer) nextRecord(now lease.ClockReading, v LeaderView, f *storedWindow) (r record, is bool) {
+	l := c.progress[f.ID]
 	r.Now = now.Unix
 	switch {
-	case f.Noted == 0:
-		r.Kind, r.Now = noted, l.at.Unix
+	case f.ConfirmedAt == 0:
+		r.Kind, r.Now = kindConfirmed, l.appliedAt.Unix
 		return r, true
-	case now.Unix >= f.To+c.set.Margin, f.State == Returning && f.moved(now.Unix) == 0:
-		r.Kind = ended
-		return r, now.Unix >= f.To || now.Unix >= f.Since+c.set.Margin
+	case now.Unix >= f.To+c.settings.ClockMargin, f.State == Returning && f.movedSteps(now.Unix) == 0:
+		r.Kind = kindEnded
+		return r, now.Unix >= f.To || now.Unix >= f.StateSince+c.settings.ClockMargin
 	}
-	if reason := c.forbidden(now.Unix, v, f); reason != "" && f.State != Returning {
-		r.Kind, r.Reason = returned, reason
+	if reason := c.contractViolation(now.Unix, v, f); reason != "" && f.State != Returning {
+		r.Kind, r.Reason = kindReturned, reason
 		return r, true
 	}
-	if now.Unix < f.From || now.Unix >= f.Back || f.State == Returning {
+	if now.Unix < f.From || now.Unix >= f.ReturnFrom || f.State == Returning {
 		return r, false
 	}
-	c.look(now, v, f, &l)
-	c.learnt[f.ID] = l
-	return c.under(now, v, f, l, r)
+	c.observe(now, v, f, &l)
+	c.progress[f.ID] = l
+	return c.nextInProgress(now, v, f, l, r)
 }
 
 // under is what is to become of one that is under way.
-func (c *Council) under(now lease.Reading, v View, f *form, l learnt, r record) (record, bool) {
+func (c *Proposer) nextInProgress(now lease.ClockReading, v LeaderView, f *storedWindow, l windowProgress, r record) (record, bool) {
 	switch {
-	case l.first && f.State == Free:
-		r.Kind, r.Reason = returned, l.trouble // it is not true any more
-	case l.trouble != "" && (f.Changes >= restless || since(l.troubled, now) >= patience && f.State != Planned):
-		r.Kind, r.Reason = returned, l.trouble
-	case l.trouble != "" && f.State == Planned && f.planned(now.Unix) > 0:
-		r.Kind, r.Reason = paused, l.trouble
-	case l.trouble == "" && f.State == Paused && since(l.calm, now) >= calmed:
-		r.Kind = resumed
-	case l.trouble == "" && f.State == Planned && c.clear(now, v, f, l):
-		r.Kind = freed
+	case l.overridden && f.State == Free:
+		r.Kind, r.Reason = kindReturned, l.fault // it is not true any more
+	case l.fault != "" && (f.ChangeCount >= maxChanges || minElapsed(l.faultSince, now) >= maxFaultTime && f.State != Planned):
+		r.Kind, r.Reason = kindReturned, l.fault
+	case l.fault != "" && f.State == Planned && f.plannedSteps(now.Unix) > 0:
+		r.Kind, r.Reason = kindPaused, l.fault
+	case l.fault == "" && f.State == Paused && minElapsed(l.healthySince, now) >= recoveryTime:
+		r.Kind = kindResumed
+	case l.fault == "" && f.State == Planned && c.isTrafficFree(now, v, f, l):
+		r.Kind = kindTrafficFree
 	default:
 		return r, false
 	}
@@ -213,18 +215,18 @@
 }
 
 // forbidden tells why a contract does not allow the rest of a window any more; empty: all do.
-func (c *Council) forbidden(at time.Duration, v View, f *form) string {
-	if v.Standing != lease.Full || v.Acting.How == policy.Bottom || v.Acting.Version < f.Policy ||
-		v.Acting.Effect == nil || v.Acting.How == policy.Within && v.Acting.Effect.Contracts == nil {
+func (c *Proposer) contractViolation(at time.Duration, v LeaderView, f *storedWindow) string {
+	if v.Standing != lease.Full || v.Active.Mode == policy.ModeBottom || v.Active.Version < f.PolicyVersion ||
+		v.Active.Effect == nil || v.Active.Mode == policy.ModeFloor && v.Active.Effect.Contracts == nil {
 		return "" // not known here
 	}
 	at = max(at, f.From)
 	for _, t := range f.Tenants {
-		k := v.Acting.Effect.Contracts[t]
+		k := v.Active.Effect.Contracts[t]
 		if k == nil {
 			return "tenant " + t + " has no contract any more"
 		}
-		if _, to, ok := k.Run(at); at < f.To && (!ok || to < f.To) {
+		if _, to, ok := k.RunAt(at); at < f.To && (!ok || to < f.To) {
 			return "the contract of tenant " + t + " does not allow it any more"
 		}
 	}
@@ -232,34 +234,34 @@
 }
 
 // look notes whether there is trouble, and since when.
-func (c *Council) look(now lease.Reading, v View, f *form, l *learnt) {
-	was := l.trouble
-	l.trouble, l.first = c.trouble(now, v, f), false
-	if c.first(f) {
-		l.trouble, l.first = "requests were sent there, as no other server was left", true
+func (c *Proposer) observe(now lease.ClockReading, v LeaderView, f *storedWindow, l *windowProgress) {
+	was := l.fault
+	l.fault, l.overridden = c.findFault(now, v, f), false
+	if c.exclusionsOverridden(f) {
+		l.fault, l.overridden = "requests were sent there, as no other server was left", true
 	}
-	if l.trouble != "" && was == "" {
-		l.troubled = now
+	if l.fault != "" && was == "" {
+		l.faultSince = now
 	}
-	if l.trouble == "" && (was != "" || l.calm == (lease.Reading{})) {
-		l.calm = now
+	if l.fault == "" && (was != "" || l.healthySince == (lease.ClockReading{})) {
+		l.healthySince = now
 	}
 }
 
 // trouble tells what is wrong while a window is under way; empty: nothing.
-func (c *Council) trouble(now lease.Reading, v View, f *form) string {
-	if len(c.hearing.agents) > 0 && c.hearing.storms() {
+func (c *Proposer) findFault(now lease.ClockReading, v LeaderView, f *storedWindow) string {
+	if len(c.reports.agents) > 0 && c.reports.isOverloaded() {
 		return "a storm"
 	}
 	for _, t := range f.Tenants {
 		var least, keep float64
-		if v.Acting.Effect != nil && v.Acting.Effect.Contracts[t] != nil {
-			least, keep = v.Acting.Effect.Contracts[t].Served(), v.Acting.Effect.Contracts[t].Keep()
+		if v.Active.Effect != nil && v.Active.Effect.Contracts[t] != nil {
+			least, keep = v.Active.Effect.Contracts[t].MinServed(), v.Active.Effect.Contracts[t].KeptCapacity()
 		}
-		if s := c.hearing.sum(t); s.Asked >= enough && float64(s.Served) < least*float64(s.Served+s.Failed) {
+		if s := c.reports.sum(t); s.Requests >= minRequests && float64(s.Served) < least*float64(s.Served+s.Failed) {
 			return "tenant " + t + " is served less than its contract keeps"
 		}
-		if left := c.left(now.Unix, v, t); left < keep*c.whole*(1-1e-9) {
+		if left := c.remainingCapacity(now.Unix, v, t); left < keep*c.totalCapacity*(1-1e-9) {
 			return "less capacity remains for tenant " + t + " than its contract keeps"
 		}
 	}
@@ -267,7 +269,7 @@
 }
 
 // capacity is the fleet's, what is not ready with it.
-func capacity(nodes []Node) (sum float64) {
+func sumCapacity(nodes []Server) (sum float64) {
 	for _, n := range nodes {
 		sum += n.Capacity
 	}
@@ -275,16 +277,16 @@
 }
 
 // left is the capacity that a tenant has, without nodes that a window holds.
-func (c *Council) left(at time.Duration, v View, tenant string) (sum float64) {
+func (c *Proposer) remainingCapacity(at time.Duration, v LeaderView, tenant string) (sum float64) {
 	held := map[string]bool{}
-	for _, f := range c.forms {
-		if !f.over() && f.planned(at) > 0 && slices.Contains(f.Tenants, tenant) {
+	for _, f := range c.windows {
+		if !f.isOver() && f.plannedSteps(at) > 0 && slices.Contains(f.Tenants, tenant) {
 			for _, n := range f.Nodes {
 				held[n] = true
 			}
 		}
 	}
-	for _, n := range v.Nodes {
+	for _, n := range v.Servers {
 		if !held[n.ID] && !n.Absent {
 			sum += n.Capacity
 		}
@@ -294,28 +296,28 @@
 
 // clear tells whether no request of its tenants can arrive at the nodes any more.
 //
-// All has been moved, by the clock, for longer than clocks differ and a request may be on its way. An agent
+// AllTenants has been moved, by the clock, for longer than clocks differ and a request may be on its way. An agent
 // with a lease knows what has been agreed since the fence, so also that a paused window went on; one without
 // goes by the plan, and knows the window, as it was noted long before; one at the bottom keeps off by turns.
 // So nobody needs to be asked. But an agent of a build that knows no windows does none of it: it is found by
 // its leases, as it tells nothing.
-func (c *Council) clear(now lease.Reading, v View, f *form, l learnt) bool {
-	full, ok := f.full()
-	if !ok || now.Unix < full+c.set.Margin+c.set.Linger {
+func (c *Proposer) isTrafficFree(now lease.ClockReading, v LeaderView, f *storedWindow, l windowProgress) bool {
+	full, ok := f.fullyMovedAt()
+	if !ok || now.Unix < full+c.settings.ClockMargin+c.settings.MaxInFlight {
 		return false
 	}
-	if since(l.at, now) < c.set.Times.Terms.Wait()+c.set.Linger {
+	if minElapsed(l.appliedAt, now) < c.settings.Times.Terms.FenceWait()+c.settings.MaxInFlight {
 		return false
 	}
-	if v.Standing != lease.Full || v.Acting.How != policy.Full || v.Open || v.Acting.Version != v.InForce ||
-		!c.hearing.whole(now) {
+	if v.Standing != lease.Full || v.Active.Mode != policy.ModeFull || v.ChangeOpen || v.Active.Version != v.InForce ||
+		!c.reports.isComplete(now) {
 		return false
 	}
-	_, strange := c.hearing.stranger(now)
-	return !strange && !c.first(f)
+	_, strange := c.reports.silentHolder(now)
+	return !strange && !c.exclusionsOverridden(f)
 }
 
 // first tells whether serving went first of late.
-func (c *Council) first(f *form) bool {
-	return slices.ContainsFunc(f.Tenants, func(t string) bool { return c.hearing.sum(t).First > 0 })
+func (c *Proposer) exclusionsOverridden(f *storedWindow) bool {
+	return slices.ContainsFunc(f.Tenants, func(t string) bool { return c.reports.sum(t).ExclusionOverrides > 0 })
 }
--- a/window/emptied.go
+++ b/window/emptied.go
@@ -6,14 +6,14 @@
 	"dunestep/decide"
 )
 
-// Emptied are the servers that all tenants' keys keep off altogether, with Rest's, by one window or several
-// together, by id; nil: none. Tenants are those of the settings. What is kept off for its turn is not among
+// FullyDrained are the servers that all tenants' keys keep off altogether, with NoTenant's, by one window or several
+// together, by id; nil: none. TenantLoads are those of the settings. What is kept off for its turn is not among
 // them: only an agent at the bottom does that.
-func Emptied(a *decide.Avoid, tenants []string) (all map[string]bool) {
+func FullyDrained(a *decide.Exclusions, tenants []string) (all map[string]bool) {
 	if a == nil {
 		return nil
 	}
-	for id, below := range a.Tenants[Rest] {
+	for id, below := range a.Tenants[NoTenant] {
 		whole := below == math.MaxUint32
 		for _, t := range tenants {
 			whole = whole && a.Tenants[t][id] == math.MaxUint32
--- a/window/example_test.go
+++ b/window/example_test.go
@@ -13,12 +13,14 @@
 // A window that was accepted is followed by each agent's own clock.
 func Example() {
 	const monday = 1798459200 * time.Second // noon, UTC
-	at := func(after time.Duration) lease.Reading { return lease.Reading{Unix: monday + after, Mono: after} }
-	m := window.NewMachine(func() uint64 { return 7 })
-	record, err := window.Accept(window.Asking{Now: monday, Policy: 7, Window: &window.Window{
+	at := func(after time.Duration) lease.ClockReading {
+		return lease.ClockReading{Unix: monday + after, Mono: after}
+	}
+	m := window.NewStateMachine(func() uint64 { return 7 })
+	record, err := window.EncodeProposal(window.Proposal{Now: monday, PolicyVersion: 7, Window: &window.Window{
 		ID:    "disk of n1",
 		Nodes: []string{"n1"}, Tenants: []string{"clinics"}, From: monday + 9*time.Hour, Steps: 100,
-		Drained: monday + 9*time.Hour + 100*time.Second, Back: monday + 11*time.Hour,
+		DrainedAt: monday + 9*time.Hour + 100*time.Second, ReturnFrom: monday + 11*time.Hour,
 		To: monday + 11*time.Hour + 100*time.Second,
 	}})
 	if err != nil {
@@ -26,20 +28,20 @@
 	}
 	m.Apply(1, record)
 	hours, err := contract.Table{
-		Zone: "UTC", Hours: []string{"mon-fri 20:00-06:00"}, NoticeMin: 20, LongestMin: 240,
-		Monthly: 4, Keep: 0.5, Served: 0.9,
+		Zone: "UTC", Hours: []string{"mon-fri 20:00-06:00"}, NoticeMin: 20, MaxLengthMin: 240,
+		MaxPerMonth: 4, KeptCapacity: 0.5, MinServed: 0.9,
 	}.Contract()
 	if err != nil {
 		panic(err)
 	}
 	agent := window.NewAgent(4)
 	agent.Learn(m)
-	acting := policy.Acting{
-		How: policy.Full, Version: 7,
+	acting := policy.Active{
+		Mode: policy.ModeFull, Version: 7,
 		Effect: &policy.Effect{Contracts: map[string]*contract.Contract{"clinics": hours}},
 	}
 	for _, after := range []time.Duration{8 * time.Hour, 9*time.Hour + 25*time.Second, 10 * time.Hour} {
-		avoid := agent.Avoid(at(after), lease.Full, acting)
+		avoid := agent.Exclusions(at(after), lease.Full, acting)
 		if avoid == nil {
 			fmt.Println("nothing is moved")
 			continue
--- a/window/explore.go
+++ b/window/explore.go
@@ -12,36 +12,36 @@
 // and told apart by their fingerprints.
 
 // Fork returns a copy that goes its own way.
-func (c *Council) Fork() *Council {
+func (c *Proposer) Fork() *Proposer {
 	d := *c
-	d.learnt, d.last = maps.Clone(c.learnt), maps.Clone(c.last)
-	d.hearing.agents, d.hearing.leases = maps.Clone(c.hearing.agents), maps.Clone(c.hearing.leases)
+	d.progress, d.lastProposed = maps.Clone(c.progress), maps.Clone(c.lastProposed)
+	d.reports.agents, d.reports.leases = maps.Clone(c.reports.agents), maps.Clone(c.reports.leases)
 	return &d
 }
 
-// Hurry has the council propose again at once what it proposed, and forget what it heard: time stands still
+// ResetRetries has the council propose again at once what it proposed, and forget what it heard: time stands still
 // between a search's steps.
-func (c *Council) Hurry() {
-	c.last, c.hearing = map[string]proposed{}, hearing{
-		agents: map[int][]told{}, leases: map[int]lease.Reading{},
-		length: c.hearing.length,
+func (c *Proposer) ResetRetries() {
+	c.lastProposed, c.reports = map[string]lastRecord{}, reportLog{
+		agents: map[int][]receivedReport{}, leases: map[int]lease.ClockReading{},
+		leaseLength: c.reports.leaseLength,
 	}
 }
 
-// Told has the council have heard one agent for long, which tells this now.
-func (c *Council) Told(now lease.Reading, counts []Count) {
-	ago := max(HeardFor*c.hearing.length, Summed)
-	c.hearing.any, c.hearing.last = true, now
-	c.hearing.since = lease.Reading{Unix: now.Unix - ago, Mono: now.Mono - ago}
-	c.hearing.agents = map[int][]told{0: {{word{Counts: counts}, now}}}
+// SetReports has the council have heard one agent for long, which tells this now.
+func (c *Proposer) SetReports(now lease.ClockReading, counts []TenantCounts) {
+	ago := max(MinReportLeases*c.reports.leaseLength, SumPeriod)
+	c.reports.started, c.reports.last = true, now
+	c.reports.since = lease.ClockReading{Unix: now.Unix - ago, Mono: now.Mono - ago}
+	c.reports.agents = map[int][]receivedReport{0: {{loadReport{Counts: counts}, now}}}
 }
 
-// Detail is how much a fingerprint tells.
-type Detail uint8
+// FingerprintDetail is how much a fingerprint tells.
+type FingerprintDetail uint8
 
 const (
 	// Everything there is.
-	Everything Detail = iota
+	Everything FingerprintDetail = iota
 	// Alive leaves out what can't matter any more to one that knows all that is agreed: when what is not planned
 	// was applied, how long all has been well where it can't be paused any more, and everything once it returns.
 	Alive
@@ -53,50 +53,50 @@
 	Quiet
 	// QuietLagging is both, where it may be paused.
 	QuietLagging
-	Details
+	FingerprintDetails
 )
 
 // Fingerprint appends what tells the council from others that have learnt the same records and have hurried.
-// Most is the longest that it waits after records.
-func (c *Council) Fingerprint(now lease.Reading, most time.Duration, d Detail, b []byte) []byte {
-	for _, f := range c.forms {
-		l := c.learnt[f.ID]
-		if d != Everything && (f.State == Returning || f.over()) {
+// MaxUtilization is the longest that it waits after records.
+func (c *Proposer) Fingerprint(now lease.ClockReading, most time.Duration, d FingerprintDetail, b []byte) []byte {
+	for _, f := range c.windows {
+		l := c.progress[f.ID]
+		if d != Everything && (f.State == Returning || f.isOver()) {
 			continue
 		}
 		if d == Everything || (d == Alive || d == Quiet) && f.State == Planned {
-			b = age(b, l.at, now, most)
+			b = age(b, l.appliedAt, now, most)
 		}
 		if d >= Quiet {
 			if d == QuietLagging || f.State == Paused {
-				b = l.calmed(b, now)
+				b = l.appendHealthy(b, now)
 			}
 			continue
 		}
-		if b = append(b, byte(len(l.trouble))); l.trouble != "" {
-			b = age(b, l.troubled, now, patience)
+		if b = append(b, byte(len(l.fault))); l.fault != "" {
+			b = age(b, l.faultSince, now, maxFaultTime)
 		} else if d == Everything || f.State != Free {
-			b = l.calmed(b, now)
+			b = l.appendHealthy(b, now)
 		}
 	}
 	return b
 }
 
 // calmed appends since when all is well, or that the next look without trouble is the first.
-func (l *learnt) calmed(b []byte, now lease.Reading) []byte {
-	if l.trouble != "" || l.calm == (lease.Reading{}) {
+func (l *windowProgress) appendHealthy(b []byte, now lease.ClockReading) []byte {
+	if l.fault != "" || l.healthySince == (lease.ClockReading{}) {
 		return append(b, 0xff)
 	}
-	return age(b, l.calm, now, calmed)
+	return age(b, l.healthySince, now, recoveryTime)
 }
 
 // age appends how old a reading is, as far as that counts.
-func age(b []byte, r, now lease.Reading, most time.Duration) []byte {
-	return binary.AppendVarint(b, int64(min(since(r, now), most)))
+func age(b []byte, r, now lease.ClockReading, most time.Duration) []byte {
+	return binary.AppendVarint(b, int64(min(minElapsed(r, now), most)))
 }
 
-// Frees tells whether a record has a window be free.
-func Frees(data []byte) bool {
+// IsTrafficFreeRecord tells whether a record has a window be free.
+func IsTrafficFreeRecord(data []byte) bool {
 	var r record
-	return decoding.Unmarshal(data, &r) == nil && r.Kind == freed
+	return decoding.Unmarshal(data, &r) == nil && r.Kind == kindTrafficFree
 }
--- a/window/fit_example_test.go
+++ b/window/fit_example_test.go
@@ -10,39 +10,39 @@
 )
 
 // What staff ask for is met, or refused with the reason and the first time at which it would be met.
-func ExampleFit() {
+func ExamplePlan() {
 	hours, err := contract.Table{Zone: "Europe/Bucharest", Hours: []string{"mon-fri 20:00-06:00"}}.Contract()
 	if err != nil {
 		panic(err)
 	}
 	noon := time.Date(2026, 10, 23, 12, 0, 0, 0, time.UTC) // a Friday
-	scene := window.Scene{
-		Now: time.Duration(noon.UnixNano()), Policy: 7, Load: 0.5,
-		Tenants:   map[string]float64{"east": 0.6},
-		Contracts: map[string]*contract.Contract{"east": hours},
+	scene := window.PlanInput{
+		Now: time.Duration(noon.UnixNano()), PolicyVersion: 7, PeakLoad: 0.5,
+		TenantLoads: map[string]float64{"east": 0.6},
+		Contracts:   map[string]*contract.Contract{"east": hours},
 	}
 	for _, id := range []string{"booking-1", "booking-2", "booking-3", "booking-4"} {
-		scene.Nodes = append(scene.Nodes, window.Node{ID: id, Capacity: 1})
+		scene.Servers = append(scene.Servers, window.Server{ID: id, Capacity: 1})
 	}
-	ask := window.Ask{
+	ask := window.WindowRequest{
 		ID: "disks", Nodes: []string{"booking-1"}, Tenants: []string{"east"},
 		From: scene.Now + 26*time.Hour, To: scene.Now + 27*time.Hour,
 	}
-	_, err = window.Fit(ask, scene)
+	_, err = window.Plan(ask, scene)
 	fmt.Println(err)
-	if m := (window.Misfit{}); errors.As(err, &m) {
-		fmt.Println("it would fit from", hours.Local(m.Next).Format(time.RFC1123), "on")
-		ask.From, ask.To = m.Next, m.Next+time.Hour
+	if m := (window.Conflict{}); errors.As(err, &m) {
+		fmt.Println("it would fit from", hours.InZone(m.NextFit).Format(time.RFC1123), "on")
+		ask.From, ask.To = m.NextFit, m.NextFit+time.Hour
 	}
-	w, err := window.Fit(ask, scene)
+	w, err := window.Plan(ask, scene)
 	if err != nil {
 		panic(err)
 	}
-	fmt.Println("drained after", w.Drained-w.From, "and until", w.Back-w.From)
-	fmt.Println(w.Planned(w.From+42*time.Second), "of the keys are moved after 42 s")
+	fmt.Println("drained after", w.DrainedAt-w.From, "and until", w.ReturnFrom-w.From)
+	fmt.Println(w.PlannedFraction(w.From+42*time.Second), "of the keys are moved after 42 s")
 	ask.ID, ask.Nodes = "memory", []string{"booking-2"}
 	scene.Windows = append(scene.Windows, w)
-	_, err = window.Fit(ask, scene)
+	_, err = window.Plan(ask, scene)
 	fmt.Println(err)
 	// Output:
 	// tenant east: its contract's hours do not allow Sat 2026-10-24 17:00:00 EEST
--- a/window/judge/judge.go
+++ b/window/judge/judge.go
@@ -25,19 +25,19 @@
 	Kept    []string // servers that it would have gone to before, and was kept off
 	First   bool     // serving went first: it should have kept off the server
 	Listed  int      // servers that the agent's list has
-	How     policy.How
+	How     policy.Mode
 	Version uint64
 }
 
-// Breach is a request that should not have been.
-type Breach struct {
+// Violation is a request that should not have been.
+type Violation struct {
 	Request
-	Text string
+	Reason string
 }
 
-func (b Breach) String() string {
+func (b Violation) String() string {
 	return fmt.Sprintf("%v: agent %d, %v of version %d, tenant %s, server %q, kept off %v: %s", clock(b.At),
-		b.Agent, b.How, b.Version, b.Tenant, b.Server, b.Kept, b.Text)
+		b.Agent, b.How, b.Version, b.Tenant, b.Server, b.Kept, b.Reason)
 }
 
 func clock(at time.Duration) string {
@@ -55,9 +55,9 @@
 
 // Judge hears of one fleet.
 type Judge struct {
-	// Breaches are the first ones, Count is how many there were.
-	Breaches []Breach
-	Count    int
+	// Violations are the first ones, Count is how many there were.
+	Violations []Violation
+	Count      int
 	// Moved counts requests that were kept off a node, Freed those that arrived anywhere while one was free.
 	Moved, Freed int
 
@@ -78,7 +78,7 @@
 	under     []Request // that arrive later than it was known that the window is free
 }
 
-const maxBreaches = 20
+const maxViolations = 20
 
 // New returns a Judge.
 func New(set Settings) *Judge {
@@ -115,8 +115,8 @@
 }
 
 func (j *Judge) breach(r Request, text string) {
-	if j.Count++; len(j.Breaches) < maxBreaches {
-		j.Breaches = append(j.Breaches, Breach{r, text})
+	if j.Count++; len(j.Violations) < maxViolations {
+		j.Violations = append(j.Violations, Violation{r, text})
 	}
 }
 
@@ -148,15 +148,15 @@
 			continue
 		}
 		version := r.Version
-		if r.How == policy.Bottom {
-			version = w.Policy
+		if r.How == policy.ModeBottom {
+			version = w.PolicyVersion
 		}
 		if j.allowed(version, r.Tenant, r.At) {
 			return ""
 		}
 		text = "outside the hours of its contract"
 	}
-	if turn, _ := j.set.Turns.At(r.At); r.How == policy.Bottom && j.set.Turns > 0 {
+	if turn, _ := j.set.Turns.At(r.At); r.How == policy.ModeBottom && j.set.Turns > 0 {
 		before, _ := j.set.Turns.At(r.At - j.set.Slack)
 		after, _ := j.set.Turns.At(r.At + j.set.Slack)
 		if of := j.set.Turns.Of(node, ""); of == turn || of == before || of == after {
@@ -174,7 +174,7 @@
 
 // arrives holds a request against `free`.
 func (j *Judge) arrives(w *accepted, r Request) {
-	if at := slices.Contains(w.Nodes, r.Server); w.free == 0 && r.At >= w.Drained {
+	if at := slices.Contains(w.Nodes, r.Server); w.free == 0 && r.At >= w.DrainedAt {
 		// Who serves first now has told so when this is over.
 		if !r.First || !at {
 			w.asked[r.Agent] = true
@@ -196,7 +196,7 @@
 }
 
 func (j *Judge) freed(w *accepted, r Request) {
-	if w.free == 0 || r.Arrives < w.free || r.Arrives >= w.Back-j.set.Slack ||
+	if w.free == 0 || r.Arrives < w.free || r.Arrives >= w.ReturnFrom-j.set.Slack ||
 		w.withdrawn > 0 && r.Arrives >= w.withdrawn {
 		return
 	}
@@ -204,7 +204,7 @@
 	if !slices.Contains(w.Nodes, r.Server) || r.First {
 		return
 	}
-	if r.How != policy.Bottom && !j.allowed(r.Version, r.Tenant, r.At) {
+	if r.How != policy.ModeBottom && !j.allowed(r.Version, r.Tenant, r.At) {
 		return // the contract was changed, which binds at once
 	}
 	j.breach(r, fmt.Sprintf("arrives at %v, after %s was free at %v", clock(r.Arrives), w.ID, clock(w.free)))
--- a/window/judge/judge_test.go
+++ b/window/judge/judge_test.go
@@ -16,8 +16,8 @@
 // TestJudge: each thing that must not be is told, and what lies next to it is not.
 func TestJudge(t *testing.T) {
 	c, err := contract.Table{
-		Zone: "UTC", Hours: []string{"mon-sun 21:00-23:30"}, NoticeMin: 20, LongestMin: 300,
-		Monthly: 31, Keep: 0.5, Served: 0.9,
+		Zone: "UTC", Hours: []string{"mon-sun 21:00-23:30"}, NoticeMin: 20, MaxLengthMin: 300,
+		MaxPerMonth: 31, KeptCapacity: 0.5, MinServed: 0.9,
 	}.Contract()
 	require.NoError(t, err)
 	at := func(s int) time.Duration { return from + time.Duration(s)*time.Second }
@@ -37,7 +37,7 @@
 		"just in time":        {Request{At: at(80), Arrives: at(99), Server: "n"}, true},
 		"serving first":       {Request{At: at(200), Server: "n", First: true}, true},
 		"bound by a change":   {Request{At: at(200), Server: "n", Version: 2}, true},
-		"the bottom is not":   {Request{At: at(200), Server: "n", Version: 2, How: policy.Bottom}, false},
+		"the bottom is not":   {Request{At: at(200), Server: "n", Version: 2, How: policy.ModeBottom}, false},
 		"it returns":          {Request{At: at(3500), Server: "n"}, true},
 		"no server":           {Request{At: at(200), Listed: 1}, false},
 		"none is there":       {Request{At: at(200)}, true},
@@ -46,8 +46,8 @@
 		j.Contracts(1, map[string]*contract.Contract{"east": c, "west": c})
 		j.Contracts(2, map[string]*contract.Contract{"west": c})
 		j.Accepted(&window.Window{
-			ID: "w", Nodes: []string{"n"}, Tenants: []string{"east"}, From: from, Drained: at(50),
-			Back: at(3500), To: at(3600), Steps: 10, Policy: 1,
+			ID: "w", Nodes: []string{"n"}, Tenants: []string{"east"}, From: from, DrainedAt: at(50),
+			ReturnFrom: at(3500), To: at(3600), Steps: 10, PolicyVersion: 1,
 		}, 0.02)
 		r := x.r
 		if r.Version == 0 {
@@ -59,9 +59,9 @@
 		if r.Arrives == 0 {
 			r.Arrives = r.At
 		}
-		r.How = max(r.How, policy.Bottom)
+		r.How = max(r.How, policy.ModeBottom)
 		if name != "the bottom is not" {
-			r.How = policy.Full
+			r.How = policy.ModeFull
 		}
 		if r.At < at(100) {
 			j.Sent(r)
@@ -70,7 +70,7 @@
 			j.Free(at(100), "w", true)
 			j.Sent(r)
 		}
-		require.Equal(t, x.right, j.Count == 0, "%s: %v", name, j.Breaches)
+		require.Equal(t, x.right, j.Count == 0, "%s: %v", name, j.Violations)
 	}
 }
 
@@ -85,17 +85,17 @@
 		j := New(Settings{Keys: 50})
 		j.Accepted(&window.Window{
 			ID: "w", Nodes: []string{"n"}, Tenants: []string{"east"}, From: from,
-			Drained: from + 50*time.Second, Back: from + time.Hour, To: from + 2*time.Hour, Steps: 50,
+			DrainedAt: from + 50*time.Second, ReturnFrom: from + time.Hour, To: from + 2*time.Hour, Steps: 50,
 		}, 0.02)
 		for k := range uint32(50) {
-			j.Sent(Request{At: from, Tenant: "east", Hash: k, Server: "n", How: policy.Full})
+			j.Sent(Request{At: from, Tenant: "east", Hash: k, Server: "n", How: policy.ModeFull})
 		}
 		for k := range uint32(50) {
 			at := from + time.Second
 			if x.life == 0 {
 				at += time.Duration(k) * x.every
 			}
-			j.moves(j.windows[0], Request{At: at, Life: x.life, Tenant: "east", Hash: k, Kept: []string{"n"}, How: policy.Full})
+			j.moves(j.windows[0], Request{At: at, Life: x.life, Tenant: "east", Hash: k, Kept: []string{"n"}, How: policy.ModeFull})
 		}
 		require.Equal(t, x.right, j.Count == 0, name)
 	}
--- a/window/judge/pace.go
+++ b/window/judge/pace.go
@@ -21,7 +21,7 @@
 // takes one.
 type pace struct {
 	life    int
-	how     policy.How
+	how     policy.Mode
 	version uint64
 	at      time.Duration
 	fresh   bool // just begun: what an agent does at once when it starts, wakes, or gets or loses a lease
@@ -65,7 +65,7 @@
 	}
 	was, known := p.keys[r.Hash]
 	p.keys[r.Hash] = moved
-	if !known || was == moved || p.fresh || r.How != policy.Full && !moved {
+	if !known || was == moved || p.fresh || r.How != policy.ModeFull && !moved {
 		return
 	}
 	if p.room--; p.room < 0 {
--- a/window/judge/plan.go
+++ b/window/judge/plan.go
@@ -12,10 +12,10 @@
 )
 
 // Plan tells whether an ask fits into a scene by going through each rule at each moment. It goes by the
-// tables of the contracts and by what they allow at a moment, and has nothing else from window.Fit. Moments
+// tables of the contracts and by what they allow at a moment, and has nothing else from window.Plan. Moments
 // are multiples of Grid, and so have to be all times in it.
 type Plan struct {
-	Scene  window.Scene // with its Margin
+	Scene  window.PlanInput // with its Margin
 	Tables map[string]contract.Table
 	Begun  []*window.Window // all, over or not
 	Grid   time.Duration
@@ -38,21 +38,21 @@
 )
 
 // Breaks is the rule that an ask breaks; empty: it fits.
-func (p Plan) Breaks(a window.Ask) Rule {
+func (p Plan) Breaks(a window.WindowRequest) Rule {
 	tenants := p.tenants(a)
-	steps := math.Ceil(1/cmp.Or(a.Pace, 0.01) - 1e-9)
-	if a.To-a.From < 2*time.Duration(steps)*time.Second+cmp.Or(p.Scene.Drained, window.LeastDrained) {
+	steps := math.Ceil(1/cmp.Or(a.MoveRate, 0.01) - 1e-9)
+	if a.To-a.From < 2*time.Duration(steps)*time.Second+cmp.Or(p.Scene.MinDrained, window.MinDrained) {
 		return Short
 	}
 	for _, name := range tenants {
 		if table, is := p.Tables[name]; !is {
 			return Contract
-		} else if a.To-a.From > time.Duration(cmp.Or(table.LongestMin, 480))*time.Minute {
+		} else if a.To-a.From > time.Duration(cmp.Or(table.MaxLengthMin, 480))*time.Minute {
 			return Longest
 		}
 	}
 	for _, name := range tenants {
-		least := max(time.Duration(p.Tables[name].NoticeMin)*time.Minute, window.LeastNotice)
+		least := max(time.Duration(p.Tables[name].NoticeMin)*time.Minute, window.MinNotice)
 		if a.From-p.Scene.Now < least {
 			return Notice
 		}
@@ -64,7 +64,7 @@
 	}
 	nodes := p.nodes(a)
 	for _, n := range nodes {
-		if p.Scene.Turn != nil && !p.Scene.Turn(n, a.From, a.To) {
+		if p.Scene.IsInTurn != nil && !p.Scene.IsInTurn(n, a.From, a.To) {
 			return Turn
 		}
 	}
@@ -76,12 +76,12 @@
 	return ""
 }
 
-func (p Plan) tenants(a window.Ask) []string {
-	if a.Tenants[0] != window.All {
+func (p Plan) tenants(a window.WindowRequest) []string {
+	if a.Tenants[0] != window.AllTenants {
 		return a.Tenants
 	}
-	all := map[string]bool{window.Rest: true}
-	for name := range p.Scene.Tenants {
+	all := map[string]bool{window.NoTenant: true}
+	for name := range p.Scene.TenantLoads {
 		all[name] = true
 	}
 	for name := range p.Tables {
@@ -90,8 +90,8 @@
 	return slices.Sorted(maps.Keys(all))
 }
 
-func (p Plan) nodes(a window.Ask) (nodes []window.Node) {
-	for _, n := range p.Scene.Nodes {
+func (p Plan) nodes(a window.WindowRequest) (nodes []window.Server) {
+	for _, n := range p.Scene.Servers {
 		if slices.Contains(a.Nodes, n.ID) || a.Zone != "" && n.Zone == a.Zone {
 			nodes = append(nodes, n)
 		}
@@ -100,8 +100,8 @@
 }
 
 // calendar goes through what a tenant's contract says of times.
-func (p Plan) calendar(a window.Ask, tenant string) Rule {
-	for at := a.From - p.Scene.Margin; at < a.To+p.Scene.Margin; at += p.Grid {
+func (p Plan) calendar(a window.WindowRequest, tenant string) Rule {
+	for at := a.From - p.Scene.ClockMargin; at < a.To+p.Scene.ClockMargin; at += p.Grid {
 		if !p.Scene.Contracts[tenant].Allows(at) {
 			return Hours
 		}
@@ -117,18 +117,18 @@
 			count++
 		}
 	}
-	if count >= cmp.Or(p.Tables[tenant].Monthly, 4) {
+	if count >= cmp.Or(p.Tables[tenant].MaxPerMonth, 4) {
 		return Monthly
 	}
 	return ""
 }
 
 // moment looks at what each node carries at one.
-func (p Plan) moment(at time.Duration, tenants []string, asked []window.Node) Rule {
+func (p Plan) moment(at time.Duration, tenants []string, asked []window.Server) Rule {
 	listed, total := p.listed()
 	used := map[string]float64{} // part of what a node can do
 	for tenant, share := range p.shares(tenants) {
-		var mine []window.Node
+		var mine []window.Server
 		if slices.Contains(tenants, tenant) {
 			mine = asked
 		}
@@ -137,16 +137,16 @@
 			return broken
 		}
 		capacity := sum(left)
-		if mine != nil && capacity < total*cmp.Or(p.Tables[tenant].Keep, 0.7)-1e-6 ||
+		if mine != nil && capacity < total*cmp.Or(p.Tables[tenant].KeptCapacity, 0.7)-1e-6 ||
 			capacity < 1e-6 && (mine != nil || share > 0) {
 			return Capacity
 		}
 		for _, n := range left {
-			used[n.ID] += share * cmp.Or(p.Scene.Load, 0.7) * total / capacity
+			used[n.ID] += share * cmp.Or(p.Scene.PeakLoad, 0.7) * total / capacity
 		}
 	}
 	for _, n := range listed {
-		if n.Capacity > 0 && used[n.ID] > cmp.Or(p.Scene.Most, 0.9)+1e-6 {
+		if n.Capacity > 0 && used[n.ID] > cmp.Or(p.Scene.MaxUtilization, 0.9)+1e-6 {
 			return Capacity
 		}
 	}
@@ -159,28 +159,28 @@
 	for _, name := range tenants {
 		all[name] = 0
 	}
-	for name, share := range p.Scene.Tenants {
+	for name, share := range p.Scene.TenantLoads {
 		all[name], rest = share, rest-share
 	}
-	all[window.Rest] = rest
+	all[window.NoTenant] = rest
 	return all
 }
 
 // listed are the nodes that the fleet has: those of the list, and those that windows hold.
-func (p Plan) listed() (all []window.Node, total float64) {
-	all = slices.Clone(p.Scene.Nodes)
+func (p Plan) listed() (all []window.Server, total float64) {
+	all = slices.Clone(p.Scene.Servers)
 	usual := sum(all) / float64(len(all))
 	for _, w := range p.Scene.Windows {
 		for _, id := range w.Nodes {
-			if !slices.ContainsFunc(all, func(n window.Node) bool { return n.ID == id }) {
-				all = append(all, window.Node{ID: id, Capacity: usual})
+			if !slices.ContainsFunc(all, func(n window.Server) bool { return n.ID == id }) {
+				all = append(all, window.Server{ID: id, Capacity: usual})
 			}
 		}
 	}
 	return all, sum(all)
 }
 
-func sum(nodes []window.Node) (total float64) {
+func sum(nodes []window.Server) (total float64) {
 	for _, n := range nodes {
 		total += n.Capacity
 	}
@@ -188,8 +188,8 @@
 }
 
 // left are the nodes that a tenant may go to at a moment, beside those asked for.
-func (p Plan) left(at time.Duration, tenant string, listed, asked []window.Node) ([]window.Node, Rule) {
-	var left []window.Node
+func (p Plan) left(at time.Duration, tenant string, listed, asked []window.Server) ([]window.Server, Rule) {
+	var left []window.Server
 	for _, n := range listed {
 		off, held := false, false
 		for _, w := range p.Scene.Windows {
--- a/window/judge/plan_test.go
+++ b/window/judge/plan_test.go
@@ -29,24 +29,24 @@
 	s := &p.Scene
 	begin := time.Date(2026, pick(t, "month", time.March, time.October), 20, 0, 0, 0, 0, time.UTC)
 	s.Now = time.Duration(begin.UnixNano()) + time.Duration(rapid.IntRange(0, 10*288).Draw(t, "now"))*grid
-	s.Margin, s.Load, s.Most = grid, pick(t, "load", 0, 0.3, 0.6), pick(t, "most", 0, 0.8, 1)
+	s.ClockMargin, s.PeakLoad, s.MaxUtilization = grid, pick(t, "load", 0, 0.3, 0.6), pick(t, "most", 0, 0.8, 1)
 	for i := range pick(t, "nodes", 6, 5, 9, 4, 2) {
-		s.Nodes = append(s.Nodes, window.Node{
+		s.Servers = append(s.Servers, window.Server{
 			ID: fmt.Sprint("n", i), Zone: pick(t, "zone", "a", "b", ""), Capacity: pick(t, "capacity", 1, 1.8, 1, 1, 0.9, 0),
 			Absent: rapid.IntRange(0, 7).Draw(t, "absent") == 7,
 		})
 	}
-	s.Tenants, s.Contracts = map[string]float64{}, map[string]*contract.Contract{}
-	for _, name := range []string{"east", "west", window.Rest} {
-		if name != window.Rest && pick(t, "load", true, true, true, false) {
-			s.Tenants[name] = pick(t, "share", 0, 0.1, 0.45)
+	s.TenantLoads, s.Contracts = map[string]float64{}, map[string]*contract.Contract{}
+	for _, name := range []string{"east", "west", window.NoTenant} {
+		if name != window.NoTenant && pick(t, "load", true, true, true, false) {
+			s.TenantLoads[name] = pick(t, "share", 0, 0.1, 0.45)
 		}
 		if pick(t, "contract", true, true, true, true, true, true, true, false) {
 			table := contract.Table{
-				Zone: pick(t, "hours' zone", "Europe/Bucharest", "UTC"), DayAfter: rapid.Bool().Draw(t, "day after"),
+				Zone: pick(t, "hours' zone", "Europe/Bucharest", "UTC"), ExcludeDayAfter: rapid.Bool().Draw(t, "day after"),
 				Hours:    [][]string{{"mon-sun 00:00-24:00"}, {"mon-sun 00:00-24:00"}, {"mon-fri 20:00-06:00", "sat,sun 00:00-24:00"}, {"sun 02:00-05:00", "tue 01:00-02:30"}}[pick(t, "hours", 0, 1, 2, 3)],
 				Excluded: pick(t, "excluded", nil, []string{"2026-10-25"}, []string{"2026-03-28", "2026-10-27", "2026-04-01"}), NoticeMin: pick(t, "notice", 0, 0, 60, 1440),
-				LongestMin: pick(t, "longest", 0, 0, 1440, 60), Monthly: pick(t, "monthly", 9, 0, 2, 1), Keep: pick(t, "keep", 0.05, 0.3, 0.5, 0, 0.9),
+				MaxLengthMin: pick(t, "longest", 0, 0, 1440, 60), MaxPerMonth: pick(t, "monthly", 9, 0, 2, 1), KeptCapacity: pick(t, "keep", 0.05, 0.3, 0.5, 0, 0.9),
 			}
 			c, err := table.Contract()
 			require.NoError(t, err)
@@ -56,14 +56,14 @@
 	for i := range pick(t, "windows", 3, 6, 9, 0) {
 		one := &window.Window{
 			ID: fmt.Sprint("w", i), From: s.Now + time.Duration(rapid.IntRange(0, 288).Draw(t, "from")*pick(t, "days", 1, 2, 10)-10)*grid,
-			Nodes: []string{pick(t, "node", "n0", "n1", "n2", "gone")}, Tenants: []string{pick(t, "tenant", "east", "west", window.Rest, "gone")},
+			Nodes: []string{pick(t, "node", "n0", "n1", "n2", "gone")}, Tenants: []string{pick(t, "tenant", "east", "west", window.NoTenant, "gone")},
 		}
 		one.To = one.From + time.Duration(pick(t, "length", 36, 12, 100, 6, 288))*grid
 		if p.Begun = append(p.Begun, one); one.To > s.Now {
 			s.Windows = append(s.Windows, one)
 		}
 	}
-	s.Moved = func(tenant string, from, to time.Duration) (count int) {
+	s.CountWindows = func(tenant string, from, to time.Duration) (count int) {
 		for _, one := range p.Begun {
 			if slices.Contains(one.Tenants, tenant) && from <= one.From && one.From < to {
 				count++
@@ -73,27 +73,27 @@
 	}
 	if rapid.IntRange(0, 3).Draw(t, "turns") == 0 {
 		slot := func(at time.Duration) int { return int((at - 12*time.Hour) / (24 * time.Hour)) }
-		s.Turn = func(n window.Node, from, to time.Duration) bool {
+		s.IsInTurn = func(n window.Server, from, to time.Duration) bool {
 			return slot(from) == slot(to) && slot(from)%2 == int(n.ID[1])%2
 		}
 	}
 	return p
 }
 
-func (p *Plan) drawAsk(t *rapid.T) window.Ask {
-	a := window.Ask{ID: "ask", Pace: pick(t, "pace", 0, 0.05, 0.003), From: p.Scene.Now + time.Duration((rapid.IntRange(0, 288).Draw(t, "from")*pick(t, "days", 1, 2, 10)+pick(t, "ahead", 4, 12, 0)))*grid}
+func (p *Plan) drawAsk(t *rapid.T) window.WindowRequest {
+	a := window.WindowRequest{ID: "ask", MoveRate: pick(t, "pace", 0, 0.05, 0.003), From: p.Scene.Now + time.Duration((rapid.IntRange(0, 288).Draw(t, "from")*pick(t, "days", 1, 2, 10)+pick(t, "ahead", 4, 12, 0)))*grid}
 	if all := p.Scene.Windows; len(all) > 0 && rapid.Bool().Draw(t, "beside another") {
 		a.From = max(all[0].From, p.Scene.Now)
 	}
 	a.To = a.From + time.Duration(pick(t, "length", 12, 6, 24, 48, 2))*grid
-	a.Tenants = pick(t, "tenants", []string{"east"}, []string{"west", "east"}, []string{window.Rest}, []string{window.All})
+	a.Tenants = pick(t, "tenants", []string{"east"}, []string{"west", "east"}, []string{window.NoTenant}, []string{window.AllTenants})
 	if a.Nodes = pick(t, "nodes", []string{"n0"}, []string{"n1", "n0"}, nil); a.Nodes == nil {
-		a.Zone = p.Scene.Nodes[0].Zone
+		a.Zone = p.Scene.Servers[0].Zone
 	}
 	return a
 }
 
-func moved(a window.Ask, from time.Duration) window.Ask {
+func moved(a window.WindowRequest, from time.Duration) window.WindowRequest {
 	a.From, a.To = from, from+a.To-a.From
 	return a
 }
@@ -106,20 +106,20 @@
 		p := drawPlan(t)
 		for range 10 {
 			a := p.drawAsk(t)
-			made, err := window.Fit(a, p.Scene)
-			var m window.Misfit
+			made, err := window.Plan(a, p.Scene)
+			var m window.Conflict
 			if err != nil && !errors.As(err, &m) {
 				count["no sense"]++
 				require.True(t, a.Zone == "" && !errors.As(err, &m), "%v", err)
-				require.Condition(t, func() bool { return len(a.Nodes) == 0 || a.Nodes[0] >= fmt.Sprint("n", len(p.Scene.Nodes)) }, "%v", err)
+				require.Condition(t, func() bool { return len(a.Nodes) == 0 || a.Nodes[0] >= fmt.Sprint("n", len(p.Scene.Servers)) }, "%v", err)
 				continue
 			}
 			why := p.Breaks(a)
 			count[why]++
 			require.Equal(t, why == "", err == nil, "%s: %v", why, err)
 			if err == nil {
-				require.True(t, made.From == a.From && made.To == a.To && made.Drained-made.From == made.To-made.Back && made.Back-made.Drained >= window.LeastDrained)
-				require.LessOrEqual(t, 1/float64(made.Steps), cmp.Or(a.Pace, 0.01)+1e-9)
+				require.True(t, made.From == a.From && made.To == a.To && made.DrainedAt-made.From == made.To-made.ReturnFrom && made.ReturnFrom-made.DrainedAt >= window.MinDrained)
+				require.LessOrEqual(t, 1/float64(made.Steps), cmp.Or(a.MoveRate, 0.01)+1e-9)
 				continue
 			}
 			require.NotEmpty(t, m.Reason)
@@ -132,21 +132,21 @@
 	}
 }
 
-func (p *Plan) checkNext(t *rapid.T, a window.Ask, m window.Misfit, count map[Rule]int) {
+func (p *Plan) checkNext(t *rapid.T, a window.WindowRequest, m window.Conflict, count map[Rule]int) {
 	last := min(a.From+60*day, p.Scene.Now+62*day)
-	if m.Next != 0 {
+	if m.NextFit != 0 {
 		count["next"]++
-		last = m.Next
-		require.GreaterOrEqual(t, m.Next, a.From)
-		require.Empty(t, p.Breaks(moved(a, m.Next)), "%v", m)
-		_, err := window.Fit(moved(a, m.Next), p.Scene)
+		last = m.NextFit
+		require.GreaterOrEqual(t, m.NextFit, a.From)
+		require.Empty(t, p.Breaks(moved(a, m.NextFit)), "%v", m)
+		_, err := window.Plan(moved(a, m.NextFit), p.Scene)
 		require.NoError(t, err)
 	} else {
 		count["none"]++
 	}
-	lead := window.LeastNotice
+	lead := window.MinNotice
 	for name, table := range p.Tables {
-		if slices.Contains(a.Tenants, name) || a.Tenants[0] == window.All {
+		if slices.Contains(a.Tenants, name) || a.Tenants[0] == window.AllTenants {
 			lead = max(lead, time.Duration(table.NoticeMin)*time.Minute)
 		}
 	}
@@ -157,7 +157,7 @@
 			i = rapid.IntRange(0, steps-1).Draw(t, "tried")
 		}
 		at := first + time.Duration(i)*grid
-		require.NotEmpty(t, p.Breaks(moved(a, at)), "%v would do, %v was named", at, m.Next)
+		require.NotEmpty(t, p.Breaks(moved(a, at)), "%v would do, %v was named", at, m.NextFit)
 	}
 }
 
@@ -172,15 +172,15 @@
 			one, at := number.Draw(t, "number"), time.Duration(moment.Draw(t, "moment"))
 			switch rapid.IntRange(0, 12).Draw(t, "change") {
 			case 0:
-				s.Nodes[0].Capacity = one
+				s.Servers[0].Capacity = one
 			case 1:
-				s.Tenants["east"] = one
+				s.TenantLoads["east"] = one
 			case 2:
-				s.Load = one
+				s.PeakLoad = one
 			case 3:
-				s.Most = one
+				s.MaxUtilization = one
 			case 4:
-				a.Pace = one
+				a.MoveRate = one
 			case 5:
 				a.From = at
 			case 6:
@@ -188,25 +188,25 @@
 			case 7:
 				s.Now = at
 			case 8:
-				s.Margin = max(at%time.Hour, 0)
+				s.ClockMargin = max(at%time.Hour, 0)
 			case 9:
 				s.Windows = append(s.Windows, &window.Window{From: at, To: time.Duration(moment.Draw(t, "to")), Nodes: a.Nodes, Tenants: a.Tenants})
 			case 10:
-				s.Nodes = append(s.Nodes, s.Nodes...)
+				s.Servers = append(s.Servers, s.Servers...)
 			case 11:
-				s.Notice = at
+				s.MinNotice = at
 			case 12:
-				s.Nodes, a.Tenants = s.Nodes[:1], append(a.Tenants, rapid.String().Draw(t, "name"))
+				s.Servers, a.Tenants = s.Servers[:1], append(a.Tenants, rapid.String().Draw(t, "name"))
 			}
 		}
-		made, err := window.Fit(a, *s)
+		made, err := window.Plan(a, *s)
 		if err != nil {
 			require.NotEmpty(t, err.Error())
 			return
 		}
-		require.True(t, made.From >= s.Now+window.LeastNotice || s.Notice != 0)
-		require.True(t, made.From < made.Drained && made.Drained < made.Back && made.Back < made.To && made.Steps >= 1 && made.Steps <= window.MaxSteps)
-		_, err = window.Accept(window.Asking{Window: made, Now: s.Now, Policy: 1, Notice: 1})
+		require.True(t, made.From >= s.Now+window.MinNotice || s.MinNotice != 0)
+		require.True(t, made.From < made.DrainedAt && made.DrainedAt < made.ReturnFrom && made.ReturnFrom < made.To && made.Steps >= 1 && made.Steps <= window.MaxSteps)
+		_, err = window.EncodeProposal(window.Proposal{Window: made, Now: s.Now, PolicyVersion: 1, MinNotice: 1})
 		require.NoError(t, err)
 	})
 }
--- a/window/lab/course.go
+++ b/window/lab/course.go
@@ -66,7 +66,7 @@
 
 // contracts are a document as an agent proposes it, with one of east's hours.
 func (l *Lab) contracts(of int) string {
-	text, err := policy.Fill(fmt.Appendf(nil, document, hours[of]), time.Unix(0, int64(l.monday)))
+	text, err := policy.AddZoneRules(fmt.Appendf(nil, document, hours[of]), time.Unix(0, int64(l.monday)))
 	if err != nil {
 		panic(err) // of constants
 	}
@@ -95,7 +95,7 @@
 	rng := l.Rand()
 	l.scene(midnight+11*time.Hour, 8*time.Second, nil, l.heal)
 	from := midnight + 18*time.Hour + time.Duration(rng.Int64N(int64(9*time.Hour)))
-	asks := []window.Ask{l.anAsk(from)}
+	asks := []window.WindowRequest{l.anAsk(from)}
 	if rng.IntN(2) == 0 {
 		asks = append(asks, l.anAsk(from+time.Duration(rng.Int64N(int64(2*time.Hour)))))
 	}
@@ -124,9 +124,9 @@
 }
 
 // anAsk is for one server or some, one tenant or both.
-func (l *Lab) anAsk(from time.Duration) window.Ask {
+func (l *Lab) anAsk(from time.Duration) window.WindowRequest {
 	rng := l.Rand()
-	a := window.Ask{From: from, Pace: 0.02}
+	a := window.WindowRequest{From: from, MoveRate: 0.02}
 	a.To = from + 10*time.Minute + time.Duration(rng.Int64N(int64(2*time.Hour)))
 	turn, _ := window.Turns(turns).At(from)
 	for _, s := range rng.Perm(servers) {
@@ -160,15 +160,15 @@
 func (l *Lab) next(after time.Duration) (s span, ok bool) {
 	var all []span
 	for _, w := range live(l.windows()) {
-		middle := (w.Drained + w.Back) / 2
+		middle := (w.DrainedAt + w.ReturnFrom) / 2
 		end := w.To
 		if w.State == window.Returning {
-			end = w.Since + w.To - w.Back
+			end = w.StateSince + w.To - w.ReturnFrom
 		}
 		for _, s := range []span{
-			{w.From - 12*time.Second, w.Drained + margin + linger + 35*time.Second},
+			{w.From - 12*time.Second, w.DrainedAt + margin + linger + 35*time.Second},
 			{middle, middle + 25*time.Second},
-			{w.Back - 12*time.Second, w.To + margin + 8*time.Second},
+			{w.ReturnFrom - 12*time.Second, w.To + margin + 8*time.Second},
 			{end, end + margin + 8*time.Second},
 		} {
 			if s.to > after {
@@ -239,8 +239,8 @@
 		l.restart(max(l.Leader(), 0), until)
 	case 7:
 		for i := range voters { // one way
-			l.Cut(i, n, true)
-			l.At(until, func() { l.Cut(i, n, false) })
+			l.SetCut(i, n, true)
+			l.At(until, func() { l.SetCut(i, n, false) })
 		}
 	}
 }
@@ -262,18 +262,18 @@
 			l.CutOff(voters+rng.IntN(l.set.Agents), w.To+time.Duration(rng.Int64N(int64(time.Hour))))
 		}
 	case changed:
-		if rng.IntN(6) == 0 && l.State().Open == nil {
+		if rng.IntN(6) == 0 && l.State().OpenChange == nil {
 			l.Propose(rng.IntN(voters), l.contracts(rng.IntN(len(hours))))
 			if rng.IntN(2) == 0 {
 				l.restart(max(l.Leader(), 0), l.Now()+10*time.Second)
 			}
 		}
 	case rough:
-		if w.State == window.Planned && l.Now() < w.Drained && l.Now() > w.Drained-10*time.Second {
+		if w.State == window.Planned && l.Now() < w.DrainedAt && l.Now() > w.DrainedAt-10*time.Second {
 			l.bad[w.Tenants[0]] = l.Now() + 3*time.Second
 		}
 	case scarce:
-		if l.Now() > w.Drained && l.Now() < w.Drained+20*time.Second && w.State == window.Planned {
+		if l.Now() > w.DrainedAt && l.Now() < w.DrainedAt+20*time.Second && w.State == window.Planned {
 			l.allFail(w)
 		}
 	case cramped:
@@ -289,7 +289,7 @@
 			l.failing[server(i)] = l.Now() + 90*time.Second
 		}
 	}
-	at := w.Drained + margin + linger + time.Duration(l.Rand().Int64N(int64(5*time.Second)))
+	at := w.DrainedAt + margin + linger + time.Duration(l.Rand().Int64N(int64(5*time.Second)))
 	for n := range voters {
 		l.Stop(n)
 		l.At(at, func() { l.begin(n, true) })
@@ -297,7 +297,7 @@
 }
 
 func (l *Lab) begin(n int, keeps bool) {
-	if l.Life(n) == 0 {
+	if l.Incarnation(n) == 0 {
 		l.Start(n, keeps)
 	}
 }
@@ -309,7 +309,7 @@
 	case 0:
 		n := rng.IntN(voters)
 		if l.runs(n) {
-			l.Submit(n, l.Beside(n).(*part).Stop(l.Reading(n), w.ID, "staff have had enough"))
+			l.Submit(n, l.Beside(n).(*part).EncodeStop(l.Reading(n), w.ID, "staff have had enough"))
 		}
 	case 1, 2:
 		for range 4 {
@@ -356,7 +356,7 @@
 	for n := range voters + l.set.Agents {
 		l.begin(n, true)
 		for i := range voters + l.set.Agents {
-			l.Cut(n, i, false)
+			l.SetCut(n, i, false)
 		}
 	}
 }
