--- a/window/lab/lab.go
+++ b/window/lab/lab.go
@@ -71,9 +71,9 @@
 	failing map[string]time.Duration // listed, and known to be down
 	bad     map[string]time.Duration // tenants that are served badly
 	stormy  map[int]time.Duration
-	counts  []map[string]*window.Count // by agent, since it told last
+	counts  []map[string]*window.TenantCounts // by agent, since it told last
 	told    []time.Duration
-	leased  []lease.Reading // when each agent held a lease last
+	leased  []lease.ClockReading // when each agent held a lease last
 	onState func(id string, was, is window.State)
 }
 
@@ -94,36 +94,36 @@
 
 // part is what stands beside the policy at a node.
 type part struct {
-	*seat.Seat
+	*seat.Adapter
 	lab *Lab
 	n   int
 }
 
-// Due is the seat's; of an older build there is none.
-func (p *part) Due(now lease.Reading, v fleet.Voting) fleet.Due {
+// NextActions is the seat's; of an older build there is none.
+func (p *part) NextActions(now lease.ClockReading, v fleet.VoterState) fleet.Actions {
 	if p.lab.theme == older && p.n == voters {
-		return fleet.Due{Next: now.Mono + time.Hour}
+		return fleet.Actions{Next: now.Mono + time.Hour}
 	}
-	return p.Seat.Due(now, v)
+	return p.Adapter.NextActions(now, v)
 }
 
-// May is the seat's.
-func (p *part) May(now lease.Reading, agent int, incarnation uint64, note []byte) bool {
-	return p.lab.set.Without == "strangers" || p.Seat.May(now, agent, incarnation, note)
+// MayGrantLease is the seat's.
+func (p *part) MayGrantLease(now lease.ClockReading, agent int, incarnation uint64, note []byte) bool {
+	return p.lab.set.Without == "strangers" || p.Adapter.MayGrantLease(now, agent, incarnation, note)
 }
 
-// Learn is the seat's. Without notice, what was agreed is told to be so since long ago, as without a voter's
+// RecordsApplied is the seat's. Without notice, what was agreed is told to be so since long ago, as without a voter's
 // begin.
-func (p *part) Learn(now lease.Reading, anew bool) {
+func (p *part) RecordsApplied(now lease.ClockReading, anew bool) {
 	if p.n >= 0 && p.n < voters {
 		switch p.lab.set.Without {
 		case "notice":
-			now.Unix -= window.LeastNotice
+			now.Unix -= window.MinNotice
 		case "begin":
 			now.Unix, now.Mono = now.Unix-time.Hour, now.Mono-time.Hour
 		}
 	}
-	p.Seat.Learn(now, anew)
+	p.Adapter.RecordsApplied(now, anew)
 }
 
 // New returns a week at its beginning.
@@ -136,24 +136,24 @@
 		Reasons: map[string]int{}, last: map[string]window.State{},
 		paces: map[string]float64{}, orders: map[string][]key{}, lost: map[string]time.Duration{},
 		failing: map[string]time.Duration{}, bad: map[string]time.Duration{}, stormy: map[int]time.Duration{},
-		told: make([]time.Duration, set.Agents), leased: make([]lease.Reading, set.Agents),
+		told: make([]time.Duration, set.Agents), leased: make([]lease.ClockReading, set.Agents),
 	}
-	times := policy.Times{}.Usual()
+	times := policy.Times{}.WithDefaults()
 	l.Lab = policylab.New(policylab.Setup{
 		Seed: set.Seed, Voters: voters, Agents: set.Agents, Begin: begin,
-		Times: times, Within: 2 * time.Second, Beside: l.part,
+		Times: times, LeadTime: 2 * time.Second, Beside: l.part,
 		Faults: lossy.Faults{
-			Loss: 0.05, Double: 0.05, Least: time.Millisecond, Most: 20 * time.Millisecond,
-			Late: 0.02, LateBy: 3 * time.Second,
+			Loss: 0.05, Duplicate: 0.05, MinDelay: time.Millisecond, MaxDelay: 20 * time.Millisecond,
+			Late: 0.02, Lateness: 3 * time.Second,
 		},
 	})
 	l.Judge = judge.New(judge.Settings{
-		Slack: 2*times.Terms.Clocks + time.Millisecond, Turns: turns,
-		Late: times.Terms.Wait(), Keys: set.Keys, Report: 12 * time.Second,
+		Slack: 2*times.Terms.MaxClockError + time.Millisecond, Turns: turns,
+		Late: times.Terms.FenceWait(), Keys: set.Keys, Report: 12 * time.Second,
 	})
 	l.Decided, l.OnBeside = l.decided, l.follow
 	for range set.Agents {
-		l.counts = append(l.counts, map[string]*window.Count{})
+		l.counts = append(l.counts, map[string]*window.TenantCounts{})
 	}
 	for _, t := range tenants {
 		for range set.Keys {
@@ -170,27 +170,27 @@
 func server(i int) string { return fmt.Sprint("s", i) }
 
 // part makes what stands beside the policy in a process.
-func (l *Lab) part(n int, now lease.Reading) policylab.Beside {
+func (l *Lab) part(n int, now lease.ClockReading) policylab.Beside {
 	set := seat.Settings{
-		Self: n, Votes: n >= 0 && n < voters, Incarnation: uint64(now.Mono) + 1, Machine: 2,
-		Turns: turns, Linger: linger, Margin: margin, InForce: func() uint64 { return l.inForce(n) },
-		See: func(fleet.Reading) window.View { return l.view(n) },
+		Self: n, IsVoter: n >= 0 && n < voters, Incarnation: uint64(now.Mono) + 1, MachineNumber: 2,
+		Turns: turns, MaxInFlight: linger, ClockMargin: margin, InForce: func() uint64 { return l.inForce(n) },
+		View: func(fleet.ClockReading) window.LeaderView { return l.view(n) },
 	}
 	switch l.set.Without {
 	case "linger":
-		set.Linger = 1
+		set.MaxInFlight = 1
 	case "fence":
-		set.Margin, set.Times.Terms = 1, lease.Terms{Length: 1, Heard: 1, Clocks: 1}
+		set.ClockMargin, set.Times.Terms = 1, lease.Terms{Duration: 1, MaxKnowledgeAge: 1, MaxClockError: 1}
 	case "turns":
 		if n >= voters {
 			set.Turns = 0
 		}
 	}
-	p := &part{Seat: seat.New(set, now), lab: l, n: n}
+	p := &part{Adapter: seat.New(set, now), lab: l, n: n}
 	if l.set.Without == "begin" {
 		for i := range uint64(31) { // of nobody
 			at := time.Duration(30-i) * time.Second
-			p.Heard(lease.Reading{Unix: now.Unix - at, Mono: now.Mono - at}, 99, window.Tell(1, i, nil, false))
+			p.HandleMessage(lease.ClockReading{Unix: now.Unix - at, Mono: now.Mono - at}, 99, window.EncodeReport(1, i, nil, false))
 		}
 	}
 	return p
@@ -198,23 +198,23 @@
 
 func (l *Lab) inForce(n int) uint64 {
 	if n < 0 {
-		return l.State().Now.Number
+		return l.State().InForce.Number
 	}
-	return l.Machine(n).State().Now.Number
+	return l.Machine(n).State().InForce.Number
 }
 
 // view is what a voter's process sees.
-func (l *Lab) view(n int) window.View {
-	v := window.View{InForce: l.inForce(n), Open: l.Machine(n).State().Open != nil}
-	v.Standing, v.Acting = l.Acting(n)
-	v.Nodes = l.nodes()
+func (l *Lab) view(n int) window.LeaderView {
+	v := window.LeaderView{InForce: l.inForce(n), ChangeOpen: l.Machine(n).State().OpenChange != nil}
+	v.Standing, v.Active = l.Acting(n)
+	v.Servers = l.nodes()
 	return v
 }
 
-func (l *Lab) nodes() (all []window.Node) {
+func (l *Lab) nodes() (all []window.Server) {
 	for i := range servers {
 		if l.lost[server(i)] <= l.Now() {
-			all = append(all, window.Node{ID: server(i), Capacity: 1})
+			all = append(all, window.Server{ID: server(i), Capacity: 1})
 		}
 	}
 	return all
@@ -253,27 +253,27 @@
 }
 
 // windows are those that were agreed, with the states that were.
-func (l *Lab) windows() []*window.Window { return l.Agreed().(*part).Agreed() }
+func (l *Lab) windows() []*window.Window { return l.Agreed().(*part).AgreedWindows() }
 
 // learnContracts tells the judge those of a version that somebody acts on.
-func (l *Lab) learnContracts(act policy.Acting) {
-	if act.How == policy.Full && act.Version > l.version {
+func (l *Lab) learnContracts(act policy.Active) {
+	if act.Mode == policy.ModeFull && act.Version > l.version {
 		l.version = act.Version
 	}
-	if act.How != policy.Bottom && act.Effect != nil {
+	if act.Mode != policy.ModeBottom && act.Effect != nil {
 		l.Judge.Contracts(act.Version, act.Effect.Contracts)
 	}
 }
 
 // decided has an agent send a round of requests.
-func (l *Lab) decided(i int, now lease.Reading, standing lease.Standing, act policy.Acting) {
+func (l *Lab) decided(i int, now lease.ClockReading, standing lease.Standing, act policy.Active) {
 	n := voters + i
 	l.learnContracts(act)
 	if standing == lease.Full {
 		l.leased[i] = now
 	}
 	p := l.Beside(n).(*part)
-	avoid := p.Avoid(l.tamper(i, now, &act), standing, act)
+	avoid := p.Exclusions(l.tamper(i, now, &act), standing, act)
 	if l.theme == older && i == 0 {
 		avoid = nil
 	}
@@ -286,18 +286,18 @@
 }
 
 // tamper takes out what an agent goes by.
-func (l *Lab) tamper(i int, now lease.Reading, act *policy.Acting) lease.Reading {
+func (l *Lab) tamper(i int, now lease.ClockReading, act *policy.Active) lease.ClockReading {
 	switch l.set.Without {
 	case "own clock":
 		now.Unix = l.leased[i].Unix
 	case "early return":
 		for _, w := range l.windows() {
-			if now.Unix >= w.Back && now.Unix < 2*w.To-w.Back {
-				now.Unix -= w.To - w.Back
+			if now.Unix >= w.ReturnFrom && now.Unix < 2*w.To-w.ReturnFrom {
+				now.Unix -= w.To - w.ReturnFrom
 			}
 		}
 	case "contract":
-		if act.How != policy.Bottom {
+		if act.Mode != policy.ModeBottom {
 			e := *act.Effect
 			e.Contracts = map[string]*contract.Contract{}
 			for _, t := range tenants {
@@ -311,8 +311,8 @@
 
 var anytime = func() *contract.Contract {
 	c, err := contract.Table{
-		Zone: "UTC", Hours: []string{"mon-sun 00:00-24:00"}, NoticeMin: 20, LongestMin: 600,
-		Monthly: 31, Keep: 0.1, Served: 0.9,
+		Zone: "UTC", Hours: []string{"mon-sun 00:00-24:00"}, NoticeMin: 20, MaxLengthMin: 600,
+		MaxPerMonth: 31, KeptCapacity: 0.1, MinServed: 0.9,
 	}.Contract()
 	if err != nil {
 		panic(err) // of constants
@@ -322,11 +322,11 @@
 
 // request is one: to the first of its key's servers that is listed, not known to be down, and not to be kept
 // off; and where there is none, to the first that is listed and not down, or listed.
-func (l *Lab) request(i int, tenant string, k key, act policy.Acting, avoid *decide.Avoid) {
+func (l *Lab) request(i int, tenant string, k key, act policy.Active, avoid *decide.Exclusions) {
 	l.Requests++
 	r := judge.Request{
-		At: l.Now(), Arrives: l.Now() + 20*time.Millisecond, Agent: i, Life: l.Life(voters + i),
-		Tenant: tenant, Hash: k.hash, How: act.How, Version: act.Version,
+		At: l.Now(), Arrives: l.Now() + 20*time.Millisecond, Agent: i, Life: l.Incarnation(voters + i),
+		Tenant: tenant, Hash: k.hash, How: act.Mode, Version: act.Version,
 	}
 	if l.Rand().IntN(10) == 0 {
 		r.Arrives = l.Now() + time.Duration(l.Rand().Int64N(int64(linger)))
@@ -363,22 +363,22 @@
 	l.count(i, r)
 }
 
-func keepsOff(a *decide.Avoid, tenant string, hash uint32, server string) bool {
+func keepsOff(a *decide.Exclusions, tenant string, hash uint32, server string) bool {
 	if a == nil {
 		return false
 	}
 	below := a.Tenants[tenant][server]
-	return below > 0 && (below == 1<<32-1 || decide.Lot(hash, server) < below) ||
-		a.Turn != nil && a.Turn(server, "")
+	return below > 0 && (below == 1<<32-1 || decide.KeyRank(hash, server) < below) ||
+		a.AllTenants != nil && a.AllTenants(server, "")
 }
 
 func (l *Lab) count(i int, r judge.Request) {
 	c := l.counts[i][r.Tenant]
 	if c == nil {
-		c = &window.Count{Tenant: r.Tenant}
+		c = &window.TenantCounts{Tenant: r.Tenant}
 		l.counts[i][r.Tenant] = c
 	}
-	c.Asked++
+	c.Requests++
 	switch {
 	case r.Server == "" || l.failing[r.Server] > l.Now() || l.bad[r.Tenant] > l.Now() && r.Hash%2 == 0:
 		c.Failed++
@@ -387,35 +387,35 @@
 		c.Served++
 	}
 	if r.First {
-		c.First++
+		c.ExclusionOverrides++
 		l.First++
 	}
 }
 
 // tell has an agent's counts be told.
-func (l *Lab) tell(i int, now lease.Reading, p *part) {
-	if now.Mono < l.told[i]+window.TellEvery && now.Mono >= l.told[i] {
+func (l *Lab) tell(i int, now lease.ClockReading, p *part) {
+	if now.Mono < l.told[i]+window.ReportInterval && now.Mono >= l.told[i] {
 		return
 	}
 	l.told[i] = now.Mono
-	var all []window.Count
+	var all []window.TenantCounts
 	for _, t := range tenants {
 		if c := l.counts[i][t]; c != nil {
 			all = append(all, *c)
 		}
 	}
-	l.counts[i] = map[string]*window.Count{}
-	p.Counts(now, all, l.stormy[i] > l.Now())
+	l.counts[i] = map[string]*window.TenantCounts{}
+	p.AddCounts(now, all, l.stormy[i] > l.Now())
 }
 
 // runs is whether a node takes part now.
-func (l *Lab) runs(n int) bool { return l.Life(n) > 0 && !l.Paused(n) }
+func (l *Lab) runs(n int) bool { return l.Incarnation(n) > 0 && !l.IsPaused(n) }
 
 // Ask has some node that can ask for a window, until it is known what became of it.
-func (l *Lab) Ask(ask window.Ask) {
+func (l *Lab) Ask(ask window.WindowRequest) {
 	l.asks++
 	ask.ID = fmt.Sprint("window ", l.asks)
-	l.paces[ask.ID] = ask.Pace
+	l.paces[ask.ID] = ask.MoveRate
 	tries := 0
 	var again func()
 	again = func() {
@@ -428,32 +428,32 @@
 }
 
 func (l *Lab) known(id string) bool {
-	return l.Agreed().(*part).Outcome(id).End != policy.AskAgain
+	return l.Agreed().(*part).Outcome(id).Status != policy.StatusUnknown
 }
 
 // propose has one node that holds a lease ask. Where it does not fit, it asks for the next time that it is
 // told, if that is in the same night.
-func (l *Lab) propose(ask *window.Ask) (again bool) {
+func (l *Lab) propose(ask *window.WindowRequest) (again bool) {
 	n := l.Rand().IntN(voters)
 	if !l.runs(n) {
 		return true
 	}
 	standing, act := l.Acting(n)
-	if standing != lease.Full || act.How != policy.Full {
+	if standing != lease.Full || act.Mode != policy.ModeFull {
 		return true
 	}
 	p, now := l.Beside(n).(*part), l.Reading(n)
 	if l.set.Without == "notice" {
-		now.Unix -= window.LeastNotice
+		now.Unix -= window.MinNotice
 	}
-	data, _, err := p.Record(now, *ask, window.Scene{
-		Nodes: l.nodes(), Contracts: act.Effect.Contracts,
-		Load: 0.5, Tenants: map[string]float64{"east": 0.5, "west": 0.3}, Policy: act.Version, Margin: margin,
+	data, _, err := p.EncodeProposal(now, *ask, window.PlanInput{
+		Servers: l.nodes(), Contracts: act.Effect.Contracts,
+		PeakLoad: 0.5, TenantLoads: map[string]float64{"east": 0.5, "west": 0.3}, PolicyVersion: act.Version, ClockMargin: margin,
 	})
-	var misfit window.Misfit
+	var misfit window.Conflict
 	if errors.As(err, &misfit) {
 		l.Refused[misfit.Tenant]++
-		if d := misfit.Next - ask.From; misfit.Next > 0 && d < 8*time.Hour {
+		if d := misfit.NextFit - ask.From; misfit.NextFit > 0 && d < 8*time.Hour {
 			ask.From, ask.To = ask.From+d, ask.To+d
 			return true
 		}
--- a/window/lab/lab_test.go
+++ b/window/lab/lab_test.go
@@ -44,7 +44,7 @@
 	if os.Getenv("LONG_TESTS") != "" {
 		rows = []hunting.Row{{Agents: 5, To: 1000}, {Agents: 50, To: 1000}, {Agents: 300, To: 1000}}
 	}
-	for _, r := range hunting.Asked(rows) {
+	for _, r := range hunting.SelectRows(rows) {
 		t.Run(fmt.Sprint(r.Agents, " agents"), func(t *testing.T) { hunt(t, r) })
 	}
 }
@@ -71,7 +71,7 @@
 		return Week(Setup{Seed: seed, Agents: set.Agents, Days: set.Days, Keys: set.Keys})
 	},
 		func(seed uint64, l *Lab) bool {
-			require.Zero(t, l.Judge.Count, "seed %d, %v: %v", seed, l.theme, l.Judge.Breaches)
+			require.Zero(t, l.Judge.Count, "seed %d, %v: %v", seed, l.theme, l.Judge.Violations)
 			for _, w := range l.windows() {
 				require.Contains(t, []window.State{window.Ended, window.Stopped}, w.State, "seed %d", seed)
 			}
@@ -108,8 +108,8 @@
 			found := false
 			inParallel(0, 200, func(seed uint64) *Lab { return Week(Setup{Seed: seed, Agents: 5, Days: 2, Without: without}) },
 				func(seed uint64, l *Lab) bool {
-					for _, b := range l.Judge.Breaches {
-						if !found && strings.Contains(b.Text, breaks[without]) {
+					for _, b := range l.Judge.Violations {
+						if !found && strings.Contains(b.Reason, breaks[without]) {
 							found = true
 							t.Logf("found by seed %d, %v: %v", seed, l.theme, b)
 						}
--- a/window/plan_test.go
+++ b/window/plan_test.go
@@ -16,7 +16,7 @@
 
 // TestReasons: staff are told what is in the way, and from when it no longer is.
 func TestReasons(t *testing.T) {
-	hours := contract.Table{Zone: "Europe/Bucharest", Hours: []string{"mon-fri 20:00-06:00"}, Monthly: 2, LongestMin: 120}
+	hours := contract.Table{Zone: "Europe/Bucharest", Hours: []string{"mon-fri 20:00-06:00"}, MaxPerMonth: 2, MaxLengthMin: 120}
 	c, err := hours.Contract()
 	require.NoError(t, err)
 	at := func(text string) time.Duration {
@@ -25,11 +25,11 @@
 		return time.Duration(one.UnixNano())
 	}
 	other := &Window{ID: "w1", From: at("20 18:30:00"), To: at("20 19:00:00"), Nodes: []string{"a", "b"}, Tenants: []string{"east"}}
-	scene := Scene{
-		Now: at("20 12:00:00"), Windows: []*Window{other}, Tenants: map[string]float64{"east": 0.5, "west": 0.2},
+	scene := PlanInput{
+		Now: at("20 12:00:00"), Windows: []*Window{other}, TenantLoads: map[string]float64{"east": 0.5, "west": 0.2},
 		Contracts: map[string]*contract.Contract{"east": c},
-		Nodes:     []Node{{ID: "a", Zone: "z", Capacity: 1}, {ID: "b", Zone: "z", Capacity: 1}, {ID: "c", Zone: "y", Capacity: 1}, {ID: "d", Zone: "y", Capacity: 1}, {ID: "e", Capacity: 1}, {ID: "f", Capacity: 1}, {ID: "g", Capacity: 1}},
-		Moved: func(_ string, from, to time.Duration) int {
+		Servers:   []Server{{ID: "a", Zone: "z", Capacity: 1}, {ID: "b", Zone: "z", Capacity: 1}, {ID: "c", Zone: "y", Capacity: 1}, {ID: "d", Zone: "y", Capacity: 1}, {ID: "e", Capacity: 1}, {ID: "f", Capacity: 1}, {ID: "g", Capacity: 1}},
+		CountWindows: func(_ string, from, to time.Duration) int {
 			if from <= at("21 00:00:00") && at("21 00:00:00") < to {
 				return 1
 			}
@@ -38,115 +38,119 @@
 	}
 	const none = time.Duration(0)
 	for name, one := range map[string]struct {
-		change func(*Ask, *Scene)
+		change func(*WindowRequest, *PlanInput)
 		want   string
 		next   time.Duration
 	}{
-		"fits":            {func(*Ask, *Scene) {}, "", none},
-		"touches another": {func(a *Ask, _ *Scene) { a.From, a.To = other.To, other.To+time.Hour }, "", none},
-		"touches one after it": {func(a *Ask, _ *Scene) {
+		"fits":            {func(*WindowRequest, *PlanInput) {}, "", none},
+		"touches another": {func(a *WindowRequest, _ *PlanInput) { a.From, a.To = other.To, other.To+time.Hour }, "", none},
+		"touches one after it": {func(a *WindowRequest, _ *PlanInput) {
 			a.Nodes, a.From, a.To = []string{"c", "d"}, other.From-time.Hour, other.From
 		}, "", none},
 		"at the far edge": {
-			func(a *Ask, _ *Scene) { a.From, a.To = at("21 02:00:00"), at("21 02:59:55") },
+			func(a *WindowRequest, _ *PlanInput) { a.From, a.To = at("21 02:00:00"), at("21 02:59:55") },
 			"tenant east: its contract's hours are Tue 2026-10-20 20:00:00 EEST to Wed 2026-10-21 06:00:00 EEST", at("21 17:00:10"),
 		},
 		"without a node": {
-			func(a *Ask, s *Scene) { a.Nodes, a.Zone, s.Nodes = nil, "z", s.Nodes[:2] },
+			func(a *WindowRequest, s *PlanInput) { a.Nodes, a.Zone, s.Servers = nil, "z", s.Servers[:2] },
 			"tenant east: is left without a node", none,
 		},
-		"a zone":            {func(a *Ask, _ *Scene) { a.Nodes, a.Zone = nil, "z" }, "", none},
-		"no contract":       {func(a *Ask, _ *Scene) { a.Tenants = []string{"west"} }, "tenant west: has no contract, so it may not be moved", none},
-		"all":               {func(a *Ask, _ *Scene) { a.Tenants = []string{All} }, "tenant -: has no contract", none},
-		"on the list twice": {func(_ *Ask, s *Scene) { s.Nodes = append(s.Nodes, Node{ID: "a"}) }, "node a is listed twice", none},
-		"short":             {func(a *Ask, _ *Scene) { a.To = a.From + 4*time.Minute }, "4m0s is too short: keys take 1m40s to leave", none},
-		"long":              {func(a *Ask, _ *Scene) { a.To = a.From + 3*time.Hour }, "tenant east: by its contract a window lasts 2h0m0s at most", none},
-		"late":              {func(_ *Ask, s *Scene) { s.Now = at("20 19:45:01") }, "tenant east: a window has to be asked for 20m0s ahead", at("20 20:08:00")},
+		"a zone":            {func(a *WindowRequest, _ *PlanInput) { a.Nodes, a.Zone = nil, "z" }, "", none},
+		"no contract":       {func(a *WindowRequest, _ *PlanInput) { a.Tenants = []string{"west"} }, "tenant west: has no contract, so it may not be moved", none},
+		"all":               {func(a *WindowRequest, _ *PlanInput) { a.Tenants = []string{AllTenants} }, "tenant -: has no contract", none},
+		"on the list twice": {func(_ *WindowRequest, s *PlanInput) { s.Servers = append(s.Servers, Server{ID: "a"}) }, "node a is listed twice", none},
+		"short":             {func(a *WindowRequest, _ *PlanInput) { a.To = a.From + 4*time.Minute }, "4m0s is too short: keys take 1m40s to leave", none},
+		"long":              {func(a *WindowRequest, _ *PlanInput) { a.To = a.From + 3*time.Hour }, "tenant east: by its contract a window lasts 2h0m0s at most", none},
+		"late":              {func(_ *WindowRequest, s *PlanInput) { s.Now = at("20 19:45:01") }, "tenant east: a window has to be asked for 20m0s ahead", at("20 20:08:00")},
 		"by day": {
-			func(a *Ask, _ *Scene) { a.From, a.To = at("21 08:00:00"), at("21 09:00:00") },
+			func(a *WindowRequest, _ *PlanInput) { a.From, a.To = at("21 08:00:00"), at("21 09:00:00") },
 			"tenant east: its contract's hours do not allow Wed 2026-10-21 11:00:00 EEST", at("21 17:00:10"),
 		},
 		"at the edge": {
-			func(a *Ask, _ *Scene) { a.From, a.To = at("21 17:00:00"), at("21 18:00:00") },
+			func(a *WindowRequest, _ *PlanInput) { a.From, a.To = at("21 17:00:00"), at("21 18:00:00") },
 			"tenant east: its contract's hours are Wed 2026-10-21 20:00:00 EEST to Thu 2026-10-22 06:00:00 EEST, and 10s of them are left at both ends", at("21 17:00:10"),
 		},
-		"monthly": {func(_ *Ask, s *Scene) { s.Moved = func(string, time.Duration, time.Duration) int { return 2 } }, "tenant east: it has its 2 windows of 2026-10", none},
+		"monthly": {func(_ *WindowRequest, s *PlanInput) {
+			s.CountWindows = func(string, time.Duration, time.Duration) int { return 2 }
+		}, "tenant east: it has its 2 windows of 2026-10", none},
 		"twice": {
-			func(a *Ask, _ *Scene) { a.From, a.To = at("20 18:00:00"), at("20 19:00:00") },
+			func(a *WindowRequest, _ *PlanInput) { a.From, a.To = at("20 18:00:00"), at("20 19:00:00") },
 			"tenant east: is off node a by window w1 until 2026-10-20 19:00:00 UTC", other.To,
 		},
 		"kept": {
-			func(a *Ask, _ *Scene) { a.Nodes, a.From, a.To = []string{"c"}, at("20 18:00:00"), at("20 19:00:00") },
+			func(a *WindowRequest, _ *PlanInput) {
+				a.Nodes, a.From, a.To = []string{"c"}, at("20 18:00:00"), at("20 19:00:00")
+			},
 			"tenant east: 0.571 of the capacity remains, its contract keeps 0.7, with windows w1", other.To,
 		},
-		"too full": {func(_ *Ask, s *Scene) { s.Load = 0.89 }, "node b is used to 0.964 of what it can, 0.9 at most may be", none},
+		"too full": {func(_ *WindowRequest, s *PlanInput) { s.PeakLoad = 0.89 }, "node b is used to 0.964 of what it can, 0.9 at most may be", none},
 		"one is down": {
-			func(a *Ask, s *Scene) { a.Nodes, s.Nodes[6].Absent = []string{"c", "d"}, true },
+			func(a *WindowRequest, s *PlanInput) { a.Nodes, s.Servers[6].Absent = []string{"c", "d"}, true },
 			"tenant east: 0.571 of the capacity remains", none,
 		},
-		"one is down that a window holds": {func(a *Ask, s *Scene) {
-			a.Nodes, s.Nodes[6].Absent = []string{"c", "d"}, true
+		"one is down that a window holds": {func(a *WindowRequest, s *PlanInput) {
+			a.Nodes, s.Servers[6].Absent = []string{"c", "d"}, true
 			s.Windows = []*Window{{ID: "w0", From: s.Now, To: a.From, Nodes: []string{"g", "on no list"}}}
 		}, "", none},
-		"beside one that is down by a window": {func(a *Ask, s *Scene) {
-			a.Nodes, s.Nodes = []string{"c", "d"}, s.Nodes[:6]
+		"beside one that is down by a window": {func(a *WindowRequest, s *PlanInput) {
+			a.Nodes, s.Servers = []string{"c", "d"}, s.Servers[:6]
 			s.Windows = []*Window{{ID: "w0", From: s.Now, To: a.To, Nodes: []string{"g"}, Tenants: []string{"east"}}}
 		}, "tenant east: 0.571 of the capacity remains", at("20 21:00:00")},
-		"no turn": {func(_ *Ask, s *Scene) {
-			s.Turn = func(n Node, from, _ time.Duration) bool { return n.ID != "a" || from >= at("22 12:00:00") }
+		"no turn": {func(_ *WindowRequest, s *PlanInput) {
+			s.IsInTurn = func(n Server, from, _ time.Duration) bool { return n.ID != "a" || from >= at("22 12:00:00") }
 		}, "node a is not in its turn then", at("22 17:00:10")},
-		"unknown node":   {func(a *Ask, _ *Scene) { a.Nodes = []string{"a", "q"} }, "not a listed node: q", none},
-		"empty zone":     {func(a *Ask, _ *Scene) { a.Zone = "w"; a.Nodes = nil }, "no listed node is in zone w", none},
-		"nothing":        {func(a *Ask, _ *Scene) { a.Nodes = nil }, "a window needs a node or a zone", none},
-		"no tenant":      {func(a *Ask, _ *Scene) { a.Tenants = nil }, "a window needs a tenant", none},
-		"turned round":   {func(a *Ask, _ *Scene) { a.To = a.From }, "a window ends after it begins", none},
-		"years ahead":    {func(a *Ask, _ *Scene) { a.From += 2000 * time.Hour; a.To += 2000 * time.Hour }, "a window begins within 62 days", none},
-		"slow":           {func(a *Ask, _ *Scene) { a.Pace = 0.0001 }, "the pace is a part of the keys", none},
-		"no number":      {func(a *Ask, _ *Scene) { a.Pace = math.NaN() }, "the pace is a part of the keys", none},
-		"nameless":       {func(a *Ask, _ *Scene) { a.ID = "" }, "a window needs a name of 1 to 64 bytes", none},
-		"names too long": {func(a *Ask, _ *Scene) { a.Tenants = append(a.Tenants, strings.Repeat("x", maxNames)) }, "names of 2048 bytes", none},
+		"unknown node":   {func(a *WindowRequest, _ *PlanInput) { a.Nodes = []string{"a", "q"} }, "not a listed node: q", none},
+		"empty zone":     {func(a *WindowRequest, _ *PlanInput) { a.Zone = "w"; a.Nodes = nil }, "no listed node is in zone w", none},
+		"nothing":        {func(a *WindowRequest, _ *PlanInput) { a.Nodes = nil }, "a window needs a node or a zone", none},
+		"no tenant":      {func(a *WindowRequest, _ *PlanInput) { a.Tenants = nil }, "a window needs a tenant", none},
+		"turned round":   {func(a *WindowRequest, _ *PlanInput) { a.To = a.From }, "a window ends after it begins", none},
+		"years ahead":    {func(a *WindowRequest, _ *PlanInput) { a.From += 2000 * time.Hour; a.To += 2000 * time.Hour }, "a window begins within 62 days", none},
+		"slow":           {func(a *WindowRequest, _ *PlanInput) { a.MoveRate = 0.0001 }, "the pace is a part of the keys", none},
+		"no number":      {func(a *WindowRequest, _ *PlanInput) { a.MoveRate = math.NaN() }, "the pace is a part of the keys", none},
+		"nameless":       {func(a *WindowRequest, _ *PlanInput) { a.ID = "" }, "a window needs a name of 1 to 64 bytes", none},
+		"names too long": {func(a *WindowRequest, _ *PlanInput) { a.Tenants = append(a.Tenants, strings.Repeat("x", maxNamesSize)) }, "names of 2048 bytes", none},
 	} {
-		a, s := Ask{ID: "w2", Nodes: []string{"a"}, Tenants: []string{"east"}, From: at("20 20:00:00"), To: at("20 21:00:00")}, scene
-		s.Nodes = slices.Clone(s.Nodes)
+		a, s := WindowRequest{ID: "w2", Nodes: []string{"a"}, Tenants: []string{"east"}, From: at("20 20:00:00"), To: at("20 21:00:00")}, scene
+		s.Servers = slices.Clone(s.Servers)
 		one.change(&a, &s)
-		w, err := Fit(a, s)
+		w, err := Plan(a, s)
 		if one.want == "" {
 			require.NoError(t, err, name)
-			require.Equal(t, time.Duration(w.Steps)*time.Second, w.Drained-w.From, name)
+			require.Equal(t, time.Duration(w.Steps)*time.Second, w.DrainedAt-w.From, name)
 			require.Equal(t, []float64{0, 0, 0.01, 0.5, 1, 1, 1, 0.5, 0.01, 0}, []float64{
-				w.Planned(w.From - 1), w.Planned(w.From),
-				w.Planned(w.From + time.Second), w.Planned(w.From + 50*time.Second), w.Planned(w.Drained), w.Planned(w.Back - 1),
-				w.Planned(w.Back), w.Planned(w.To - 50*time.Second), w.Planned(w.To - 1), w.Planned(w.To),
+				w.PlannedFraction(w.From - 1), w.PlannedFraction(w.From),
+				w.PlannedFraction(w.From + time.Second), w.PlannedFraction(w.From + 50*time.Second), w.PlannedFraction(w.DrainedAt), w.PlannedFraction(w.ReturnFrom - 1),
+				w.PlannedFraction(w.ReturnFrom), w.PlannedFraction(w.To - 50*time.Second), w.PlannedFraction(w.To - 1), w.PlannedFraction(w.To),
 			})
 			continue
 		}
 		require.ErrorContains(t, err, one.want, name)
-		var m Misfit
+		var m Conflict
 		errors.As(err, &m)
-		require.Equal(t, time.Unix(0, int64(one.next)).UTC(), time.Unix(0, int64(m.Next)).UTC(), name)
+		require.Equal(t, time.Unix(0, int64(one.next)).UTC(), time.Unix(0, int64(m.NextFit)).UTC(), name)
 	}
 }
 
 // TestNextWhereAnotherBegins: of three nodes one is asked for, and the second has what other tenants bring from the
 // third; only once a window begins on the second too is there room. Found by a random scene of the judge's.
 func TestNextWhereAnotherBegins(t *testing.T) {
-	c, err := contract.Table{Zone: "UTC", Hours: []string{"mon-sun 00:00-24:00"}, Keep: 0.5}.Contract()
+	c, err := contract.Table{Zone: "UTC", Hours: []string{"mon-sun 00:00-24:00"}, KeptCapacity: 0.5}.Contract()
 	require.NoError(t, err)
 	now := time.Duration(time.Date(2026, 3, 23, 12, 0, 0, 0, time.UTC).UnixNano())
-	scene := Scene{
-		Now: now, Most: 1, Tenants: map[string]float64{"east": 0.1, "west": 0.1}, Contracts: map[string]*contract.Contract{Rest: c},
-		Nodes: []Node{{ID: "a", Capacity: 1}, {ID: "b", Capacity: 1}, {ID: "c", Capacity: 1}},
+	scene := PlanInput{
+		Now: now, MaxUtilization: 1, TenantLoads: map[string]float64{"east": 0.1, "west": 0.1}, Contracts: map[string]*contract.Contract{NoTenant: c},
+		Servers: []Server{{ID: "a", Capacity: 1}, {ID: "b", Capacity: 1}, {ID: "c", Capacity: 1}},
 		Windows: []*Window{
 			{ID: "east", From: now, To: now + day, Nodes: []string{"c"}, Tenants: []string{"east"}},
 			{ID: "west", From: now + 20*time.Hour, To: now + 21*time.Hour, Nodes: []string{"b"}, Tenants: []string{"west"}},
 		},
 	}
-	_, err = Fit(Ask{ID: "ask", Nodes: []string{"a"}, Tenants: []string{Rest}, From: now + 2*time.Hour, To: now + 150*time.Minute}, scene)
+	_, err = Plan(WindowRequest{ID: "ask", Nodes: []string{"a"}, Tenants: []string{NoTenant}, From: now + 2*time.Hour, To: now + 150*time.Minute}, scene)
 	require.ErrorContains(t, err, "node b is used to 1.01 of what it can, 1 at most may be, with windows east")
-	require.Equal(t, 20*time.Hour, err.(Misfit).Next-now)
+	require.Equal(t, 20*time.Hour, err.(Conflict).NextFit-now)
 }
 
-func moved(a Ask, from time.Duration) Ask {
+func moved(a WindowRequest, from time.Duration) WindowRequest {
 	a.From, a.To = from, from+a.To-a.From
 	return a
 }
@@ -155,37 +159,37 @@
 // it is looked for.
 func BenchmarkFit(b *testing.B) {
 	begin := time.Duration(time.Date(2026, 10, 19, 12, 0, 0, 0, time.UTC).UnixNano())
-	s := Scene{Now: begin, Tenants: map[string]float64{}, Contracts: map[string]*contract.Contract{}, Load: 0.6}
+	s := PlanInput{Now: begin, TenantLoads: map[string]float64{}, Contracts: map[string]*contract.Contract{}, PeakLoad: 0.6}
 	for i := range 300 {
-		s.Nodes = append(s.Nodes, Node{ID: fmt.Sprint("booking-", i), Zone: fmt.Sprint("z", i%3), Capacity: []float64{1.8, 0.9}[i%2]})
+		s.Servers = append(s.Servers, Server{ID: fmt.Sprint("booking-", i), Zone: fmt.Sprint("z", i%3), Capacity: []float64{1.8, 0.9}[i%2]})
 	}
 	for i := range 20 {
 		c, err := contract.Table{
-			Zone: "Europe/Bucharest", Monthly: 100,
+			Zone: "Europe/Bucharest", MaxPerMonth: 100,
 			Hours: []string{fmt.Sprintf("mon-fri %d:00-06:00", 19+i%4), "sat,sun 00:00-24:00"},
 		}.Contract()
 		require.NoError(b, err)
-		s.Tenants[fmt.Sprint("t", i)], s.Contracts[fmt.Sprint("t", i)] = 0.04, c
+		s.TenantLoads[fmt.Sprint("t", i)], s.Contracts[fmt.Sprint("t", i)] = 0.04, c
 	}
-	s.Contracts[Rest] = s.Contracts["t0"]
+	s.Contracts[NoTenant] = s.Contracts["t0"]
 	for i := range 50 {
-		w := &Window{ID: fmt.Sprint("w", i), From: begin + time.Duration(10+i)*time.Hour, Tenants: []string{fmt.Sprint("t", i%20), Rest}}
+		w := &Window{ID: fmt.Sprint("w", i), From: begin + time.Duration(10+i)*time.Hour, Tenants: []string{fmt.Sprint("t", i%20), NoTenant}}
 		for n := range 20 {
 			w.Nodes = append(w.Nodes, fmt.Sprint("booking-", (i*20+n)%300))
 		}
 		w.To = w.From + 4*time.Hour
 		s.Windows = append(s.Windows, w)
 	}
-	ask := Ask{ID: "w", Tenants: []string{All}, Nodes: s.Windows[7].Nodes, From: begin + 88*time.Hour, To: begin + 90*time.Hour}
+	ask := WindowRequest{ID: "w", Tenants: []string{AllTenants}, Nodes: s.Windows[7].Nodes, From: begin + 88*time.Hour, To: begin + 90*time.Hour}
 	for name, from := range map[string]time.Duration{"fits": begin + 105*time.Hour, "next": begin + 12*time.Hour} {
 		b.Run(name, func(b *testing.B) {
 			for b.Loop() {
-				if _, err := Fit(moved(ask, from), s); (err == nil) != (name == "fits") {
+				if _, err := Plan(moved(ask, from), s); (err == nil) != (name == "fits") {
 					b.Fatal(err)
 				}
 			}
 		})
 	}
-	_, err := Fit(moved(ask, begin+12*time.Hour), s)
-	b.Log(err, err.(Misfit).Next-begin)
+	_, err := Plan(moved(ask, begin+12*time.Hour), s)
+	b.Log(err, err.(Conflict).NextFit-begin)
 }
--- a/window/records.go
+++ b/window/records.go
@@ -9,67 +9,67 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-type kind uint8
+type recordKind uint8
 
 const (
-	asked    kind = iota + 1 // and accepted, if nothing was agreed since it was looked at
-	noted                    // a leader has applied the acceptance
-	freed                    // no request arrives any more
-	paused                   // what is moved stays as it is
-	resumed                  // it goes on
-	returned                 // early: from now on it falls
-	stopped                  // the same, by staff
-	ended                    // nothing is moved any more
+	kindAccepted    recordKind = iota + 1 // and accepted, if nothing was agreed since it was looked at
+	kindConfirmed                         // a leader has applied the acceptance
+	kindTrafficFree                       // no request arrives any more
+	kindPaused                            // what is moved stays as it is
+	kindResumed                           // it goes on
+	kindReturned                          // early: from now on it falls
+	kindStopped                           // the same, by staff
+	kindEnded                             // nothing is moved any more
 )
 
 // record is one of the log's. What a kind does not need is zero.
 type record struct {
-	_        struct{} `cbor:",toarray"`
-	Kind     kind
-	ID       string
-	Who      int
-	Now      time.Duration // Unix time of who proposes it
-	Changes  uint64        // how often the window had changed as it was proposed
-	Policy   uint64        // asked: the version in force by which it fits
-	Revision uint64        // asked: State.Revision then
-	Reason   string
-	Window   *form
+	_             struct{} `cbor:",toarray"`
+	Kind          recordKind
+	ID            string
+	Agent         int
+	Now           time.Duration // Unix time of who proposes it
+	ChangeCount   uint64        // how often the window had changed as it was proposed
+	PolicyVersion uint64        // asked: the version in force by which it fits
+	Revision      uint64        // asked: State.Revision then
+	Reason        string
+	Window        *storedWindow
 }
 
 // form is a window as records and snapshots have it: fields are only added at the end.
-type form struct {
-	_                       struct{} `cbor:",toarray"`
-	ID                      string
-	Who                     int
-	Nodes, Tenants          []string
-	From, Drained, Back, To time.Duration
-	Steps                   int
-	Policy                  uint64
-	State                   State
-	Since                   time.Duration
-	Held                    int // slices
-	Reason                  string
-	Changes                 uint64
-	Noted                   time.Duration
-	Notice                  time.Duration // that the asker's fleet has
+type storedWindow struct {
+	_                               struct{} `cbor:",toarray"`
+	ID                              string
+	Agent                           int
+	Nodes, Tenants                  []string
+	From, DrainedAt, ReturnFrom, To time.Duration
+	Steps                           int
+	PolicyVersion                   uint64
+	State                           State
+	StateSince                      time.Duration
+	HeldSteps                       int // slices
+	Reason                          string
+	ChangeCount                     uint64
+	ConfirmedAt                     time.Duration
+	MinNotice                       time.Duration // that the asker's fleet has
 }
 
 const (
-	maxID    = 64 // bytes, of a window's name, a node's and a tenant's
-	maxText  = 80 // bytes of a reason
-	maxNames = 2 << 10
-	// MaxNodes and MaxSteps are the most that a window may have.
-	MaxNodes = 64
-	MaxSteps = 1000
+	maxNameSize   = 64 // bytes, of a window's name, a node's and a tenant's
+	maxReasonSize = 80 // bytes of a reason
+	maxNamesSize  = 2 << 10
+	// MaxServers and MaxSteps are the most that a window may have.
+	MaxServers = 64
+	MaxSteps   = 1000
 
 	maxTenants = 64
 	// furthest is how far ahead a window may be.
-	furthest = 62 * 24 * time.Hour
+	maxLeadTime = 62 * 24 * time.Hour
 	// longest is the longest that any window may be.
-	longest = 48 * time.Hour
-	// agreedBy is how much of the notice, one part in so many, may pass until a leader has applied the
+	maxLength = 48 * time.Hour
+	// confirmFraction is how much of the notice, one part in so many, may pass until a leader has applied the
 	// acceptance: what is left has to be longer than anyone goes by the floor that it knows.
-	agreedBy = 10
+	confirmFraction = 10
 )
 
 var encoding, decoding = modes()
@@ -97,67 +97,67 @@
 	return data
 }
 
-// ErrRecord: a window or its name is such that it could never be accepted.
-var ErrRecord = errors.New("window: no such window")
-
-// Asking is a window that fits, by what its asker knows.
-type Asking struct {
-	Window   *Window
-	Who      int           // the agent
-	Now      time.Duration // Unix time
-	Policy   uint64        // the version in force that Fit went by
-	Revision uint64        // State.Revision that it went by
-	// Notice is the least one of the fleet; zero: LeastNotice. It goes with the record, so that the state does
+// ErrInvalidWindow: a window or its name is such that it could never be accepted.
+var ErrInvalidWindow = errors.New("window: no such window")
+
+// Proposal is a window that fits, by what its asker knows.
+type Proposal struct {
+	Window        *Window
+	Agent         int           // the agent
+	Now           time.Duration // Unix time
+	PolicyVersion uint64        // the version in force that Plan went by
+	Revision      uint64        // State.Revision that it went by
+	// MinNotice is the least one of the fleet; zero: MinNotice. It goes with the record, so that the state does
 	// not depend on anybody's settings. Nine tenths of it have to be longer than policy.Times.Floor, the fence
 	// and the clocks' errors together.
-	Notice time.Duration
+	MinNotice time.Duration
 }
 
-// Accept returns the record that has a window accepted, where nothing was agreed since it was looked at that
+// EncodeProposal returns the record that has a window accepted, where nothing was agreed since it was looked at that
 // it would have to be looked at again for.
-func Accept(a Asking) ([]byte, error) {
-	f := formOf(a.Window)
-	f.Policy, f.Who, f.Notice = a.Policy, a.Who, a.Notice
-	if f.Notice == 0 {
-		f.Notice = LeastNotice
+func EncodeProposal(a Proposal) ([]byte, error) {
+	f := newStoredWindow(a.Window)
+	f.PolicyVersion, f.Agent, f.MinNotice = a.PolicyVersion, a.Agent, a.MinNotice
+	if f.MinNotice == 0 {
+		f.MinNotice = MinNotice
 	}
 	r := record{
-		Kind: asked, ID: a.Window.ID, Who: a.Who, Now: a.Now, Policy: a.Policy, Revision: a.Revision,
+		Kind: kindAccepted, ID: a.Window.ID, Agent: a.Agent, Now: a.Now, PolicyVersion: a.PolicyVersion, Revision: a.Revision,
 		Window: f,
 	}
-	if why := unfit(&r); why != "" {
-		return nil, fmt.Errorf("%w: %s", ErrRecord, why)
+	if why := invalidReason(&r); why != "" {
+		return nil, fmt.Errorf("%w: %s", ErrInvalidWindow, why)
 	}
 	return marshal(r), nil
 }
 
-// Stop returns the record by which staff end a window, or have it return.
-func Stop(id string, who int, now time.Duration, reason string) []byte {
-	return marshal(record{Kind: stopped, ID: id, Who: who, Now: now, Reason: clip(reason, maxText)})
+// EncodeStop returns the record by which staff end a window, or have it return.
+func EncodeStop(id string, who int, now time.Duration, reason string) []byte {
+	return marshal(record{Kind: kindStopped, ID: id, Agent: who, Now: now, Reason: truncate(reason, maxReasonSize)})
 }
 
 // unfit tells why a window could never be followed; empty: it could.
-func unfit(r *record) string {
+func invalidReason(r *record) string {
 	w := r.Window
 	switch {
-	case w == nil || w.ID != r.ID || !named(r.ID):
-		return fmt.Sprintf("a name of 1 to %d bytes", maxID)
-	case len(w.Nodes) == 0 || len(w.Nodes) > MaxNodes || len(w.Tenants) == 0 || len(w.Tenants) > maxTenants ||
-		!allNamed(w.Nodes, w.Tenants) || !rising(w.Nodes) || !rising(w.Tenants):
-		return fmt.Sprintf("1 to %d nodes and 1 to %d tenants, with names of %d bytes together", MaxNodes,
-			maxTenants, maxNames)
-	case w.From >= w.Drained || w.Drained > w.Back || w.Back >= w.To || w.To-w.From > longest:
+	case w == nil || w.ID != r.ID || !isValidName(r.ID):
+		return fmt.Sprintf("a name of 1 to %d bytes", maxNameSize)
+	case len(w.Nodes) == 0 || len(w.Nodes) > MaxServers || len(w.Tenants) == 0 || len(w.Tenants) > maxTenants ||
+		!areValidNames(w.Nodes, w.Tenants) || !isSortedSet(w.Nodes) || !isSortedSet(w.Tenants):
+		return fmt.Sprintf("1 to %d nodes and 1 to %d tenants, with names of %d bytes together", MaxServers,
+			maxTenants, maxNamesSize)
+	case w.From >= w.DrainedAt || w.DrainedAt > w.ReturnFrom || w.ReturnFrom >= w.To || w.To-w.From > maxLength:
 		return "its times make no sense"
 	case w.Steps < 1 || w.Steps > MaxSteps:
 		return fmt.Sprintf("1 to %d steps", MaxSteps)
-	case w.Notice <= 0 || w.Notice > furthest || w.From < r.Now+w.Notice || w.From > r.Now+furthest:
-		return fmt.Sprintf("it has to begin %v to %v ahead", w.Notice, furthest)
+	case w.MinNotice <= 0 || w.MinNotice > maxLeadTime || w.From < r.Now+w.MinNotice || w.From > r.Now+maxLeadTime:
+		return fmt.Sprintf("it has to begin %v to %v ahead", w.MinNotice, maxLeadTime)
 	}
 	return ""
 }
 
 // rising tells whether names are sorted, each there once.
-func rising(names []string) bool {
+func isSortedSet(names []string) bool {
 	for i := range names {
 		if i > 0 && names[i] <= names[i-1] {
 			return false
@@ -166,23 +166,23 @@
 	return true
 }
 
-func named(s string) bool { return s != "" && len(s) <= maxID && utf8.ValidString(s) }
+func isValidName(s string) bool { return s != "" && len(s) <= maxNameSize && utf8.ValidString(s) }
 
-func allNamed(lists ...[]string) bool {
+func areValidNames(lists ...[]string) bool {
 	size := 0
 	for _, names := range lists {
 		for _, n := range names {
-			if !named(n) {
+			if !isValidName(n) {
 				return false
 			}
 			size += len(n)
 		}
 	}
-	return size <= maxNames
+	return size <= maxNamesSize
 }
 
 // clip cuts a text to so many bytes, not within a letter.
-func clip(text string, most int) string {
+func truncate(text string, most int) string {
 	if len(text) <= most {
 		return text
 	}
@@ -192,18 +192,18 @@
 	return text[:most]
 }
 
-func formOf(w *Window) *form {
-	return &form{
-		ID: w.ID, Who: w.Who, Nodes: w.Nodes, Tenants: w.Tenants, From: w.From, Drained: w.Drained,
-		Back: w.Back, To: w.To, Steps: w.Steps, Policy: w.Policy,
+func newStoredWindow(w *Window) *storedWindow {
+	return &storedWindow{
+		ID: w.ID, Agent: w.Agent, Nodes: w.Nodes, Tenants: w.Tenants, From: w.From, DrainedAt: w.DrainedAt,
+		ReturnFrom: w.ReturnFrom, To: w.To, Steps: w.Steps, PolicyVersion: w.PolicyVersion,
 	}
 }
 
 // window is the form as others see it.
-func (f *form) window() *Window {
+func (f *storedWindow) window() *Window {
 	return &Window{
-		ID: f.ID, Who: f.Who, Nodes: f.Nodes, Tenants: f.Tenants, From: f.From, Drained: f.Drained,
-		Back: f.Back, To: f.To, Steps: f.Steps, Policy: f.Policy, State: f.State, Since: f.Since,
-		Held: float64(f.Held) / float64(max(f.Steps, 1)), Reason: f.Reason,
+		ID: f.ID, Agent: f.Agent, Nodes: f.Nodes, Tenants: f.Tenants, From: f.From, DrainedAt: f.DrainedAt,
+		ReturnFrom: f.ReturnFrom, To: f.To, Steps: f.Steps, PolicyVersion: f.PolicyVersion, State: f.State, StateSince: f.StateSince,
+		HeldFraction: float64(f.HeldSteps) / float64(max(f.Steps, 1)), Reason: f.Reason,
 	}
 }
--- a/window/search/search.go
+++ b/window/search/search.go
@@ -43,11 +43,11 @@
 
 // Found is what a search has come to.
 type Found struct {
-	States int
-	Apart  int      // of a whole search: those that are told apart where what can't matter is left out
-	Breach string   // empty: none
-	Steps  []string // that lead to it
-	Free   int      // states in which the window is free
+	States    int
+	Apart     int      // of a whole search: those that are told apart where what can't matter is left out
+	Violation string   // empty: none
+	Steps     []string // that lead to it
+	Free      int      // states in which the window is free
 }
 
 // Times are steps.
@@ -64,13 +64,13 @@
 )
 
 var terms = lease.Terms{
-	Length: length * 12 * time.Second, Heard: heard * 12 * time.Second, Pause: time.Hour,
-	Clocks: time.Nanosecond, Drift: 1e-6,
+	Duration: length * 12 * time.Second, MaxKnowledgeAge: heard * 12 * time.Second, MaxPause: time.Hour,
+	MaxClockError: time.Nanosecond, MaxDrift: 1e-6,
 }
 
-func reading(s int) lease.Reading {
+func reading(s int) lease.ClockReading {
 	at := 1798459200*time.Second + time.Duration(s)*step
-	return lease.Reading{Unix: at, Mono: at}
+	return lease.ClockReading{Unix: at, Mono: at}
 }
 
 // most voters, agents and leases at one of them that there is room for.
@@ -93,17 +93,17 @@
 type voter struct {
 	known   int8
 	sums    sums
-	council *window.Council
+	council *window.Proposer
 }
 
-type sums [window.Details]uint64
+type sums [window.FingerprintDetails]uint64
 
 // place is one in a log, with the state there. Records that change nothing are left out.
 type place struct {
 	id      uint16
 	depth   int8
 	before  *place
-	machine *window.Machine
+	machine *window.StateMachine
 	state   window.State
 	next    map[*proposal]*place
 	part    *window.Agent // of one that has learnt so far
@@ -134,7 +134,7 @@
 	seed   maphash.Seed
 	seen   *explore.States
 	apart  *explore.States // of a whole search
-	acting [policy.Full + 1]policy.Acting
+	acting [policy.ModeFull + 1]policy.Active
 	began  []job
 
 	sync.Mutex // of what follows, and of all parts that are asked what they do
@@ -158,19 +158,19 @@
 		set: set, seed: maphash.MakeSeed(), proposals: map[string]*proposal{},
 		seen: explore.NewStates(), apart: explore.NewStates(),
 	}
-	s.root = &place{machine: window.NewMachine(func() uint64 { return 1 })}
+	s.root = &place{machine: window.NewStateMachine(func() uint64 { return 1 })}
 	always, err := contract.Table{
 		Zone: "UTC", Hours: []string{"mon-sun 00:00-24:00"}, NoticeMin: 1,
-		LongestMin: 600, Monthly: 31, Keep: 0.1, Served: 0.9,
+		MaxLengthMin: 600, MaxPerMonth: 31, KeptCapacity: 0.1, MinServed: 0.9,
 	}.Contract()
 	if err != nil {
 		panic(err) // of constants
 	}
 	effect := &policy.Effect{Contracts: map[string]*contract.Contract{"east": always}}
-	s.acting = [...]policy.Acting{
-		policy.Bottom: {Effect: &policy.Effect{}},
-		policy.Within: {How: policy.Within, Version: 1, Effect: effect},
-		policy.Full:   {How: policy.Full, Version: 1, Effect: effect},
+	s.acting = [...]policy.Active{
+		policy.ModeBottom: {Effect: &policy.Effect{}},
+		policy.ModeFloor:  {Mode: policy.ModeFloor, Version: 1, Effect: effect},
+		policy.ModeFull:   {Mode: policy.ModeFull, Version: 1, Effect: effect},
 	}
 	s.begin(nil)
 	explore.Run(set.Workers, s.began, func(jobs *explore.Jobs[job]) func(job) {
@@ -216,18 +216,18 @@
 func (s *search) first(agents []agent) (w world, can bool) {
 	w = world{log: s.root, sent: never, troubles: int8(s.set.Troubles), restarts: int8(s.set.Restarts)}
 	at := reading(s.asked())
-	data, err := window.Accept(window.Asking{
-		Now: at.Unix, Policy: 1, Notice: reading(from).Unix - at.Unix,
+	data, err := window.EncodeProposal(window.Proposal{
+		Now: at.Unix, PolicyVersion: 1, MinNotice: reading(from).Unix - at.Unix,
 		Window: &window.Window{
 			ID: "w", Nodes: []string{"n"}, Tenants: []string{"east"}, Steps: 2,
-			From: reading(from).Unix, Drained: reading(drained).Unix, Back: reading(back).Unix, To: reading(to).Unix,
+			From: reading(from).Unix, DrainedAt: reading(drained).Unix, ReturnFrom: reading(back).Unix, To: reading(to).Unix,
 		},
 	})
 	if err != nil {
 		panic(err) // of constants
 	}
 	w.log = s.agree(w.log, s.proposal(data))
-	council := window.NewCouncil(s.council(), at)
+	council := window.NewProposer(s.council(), at)
 	council.Learn(at, w.log.machine)
 	led := s.leads(council, s.asked(), false)
 	for _, p := range led.records {
@@ -249,7 +249,7 @@
 		w.agents[i] = a
 	}
 	for i := range s.set.Voters {
-		w.voters[i] = s.learns(window.NewCouncil(s.council(), at), w.log, s.asked(), 0)
+		w.voters[i] = s.learns(window.NewProposer(s.council(), at), w.log, s.asked(), 0)
 	}
 	if s.set.Voters > 0 {
 		w.voters[0] = s.learns(led.council, w.log, s.asked(), 0)
@@ -258,16 +258,16 @@
 }
 
 // council has the settings of each voter's.
-func (s *search) council() window.CouncilSettings {
-	set := window.CouncilSettings{
-		Times: policy.Times{Terms: terms}, Linger: lingers * 12 * time.Second,
-		Margin: margin * 12 * time.Second,
+func (s *search) council() window.ProposerSettings {
+	set := window.ProposerSettings{
+		Times: policy.Times{Terms: terms}, MaxInFlight: lingers * 12 * time.Second,
+		ClockMargin: margin * 12 * time.Second,
 	}
 	switch s.set.Without {
 	case "linger":
-		set.Linger = 1
+		set.MaxInFlight = 1
 	case "fence":
-		set.Times.Terms.Length, set.Times.Terms.Heard = 1, 1
+		set.Times.Terms.Duration, set.Times.Terms.MaxKnowledgeAge = 1, 1
 	}
 	return set
 }
@@ -276,7 +276,7 @@
 func (s *search) proposal(data []byte) *proposal {
 	p := s.proposals[string(data)]
 	if p == nil {
-		p = &proposal{id: uint16(len(s.proposals) + 1), data: data, frees: window.Frees(data)}
+		p = &proposal{id: uint16(len(s.proposals) + 1), data: data, frees: window.IsTrafficFreeRecord(data)}
 		s.proposals[string(data)] = p
 	}
 	return p
@@ -288,7 +288,7 @@
 	if next != nil {
 		return next
 	}
-	m := window.NewMachine(func() uint64 { return 1 })
+	m := window.NewStateMachine(func() uint64 { return 1 })
 	if err := m.Restore(last.machine.Snapshot()); err != nil {
 		panic(err) // of its own
 	}
@@ -316,43 +316,43 @@
 }
 
 // learns has a council learn what is agreed, at a time, and be looked at later.
-func (s *search) learns(c *window.Council, p *place, now, later int) voter {
+func (s *search) learns(c *window.Proposer, p *place, now, later int) voter {
 	c = c.Fork()
 	c.Learn(reading(now), p.machine)
 	return voter{known: p.depth, sums: s.sums(c, later), council: c}
 }
 
-func (s *search) sums(c *window.Council, now int) (all sums) {
+func (s *search) sums(c *window.Proposer, now int) (all sums) {
 	for d := range all {
-		all[d] = maphash.Bytes(s.seed, c.Fingerprint(reading(now), most*step, window.Detail(d), nil))
+		all[d] = maphash.Bytes(s.seed, c.Fingerprint(reading(now), most*step, window.FingerprintDetail(d), nil))
 	}
 	return all
 }
 
 // led is what comes of a look.
 type led struct {
-	council *window.Council
+	council *window.Proposer
 	sums    sums
 	changed bool // the council itself
 	records []*proposal
 }
 
 // leads has a council look, and propose.
-func (s *search) leads(c *window.Council, at int, trouble bool) (l led) {
+func (s *search) leads(c *window.Proposer, at int, trouble bool) (l led) {
 	c, now := c.Fork(), reading(at)
 	was := s.sums(c, at)
-	count := window.Count{Tenant: "east", Asked: 100, Served: 100}
+	count := window.TenantCounts{Tenant: "east", Requests: 100, Served: 100}
 	if trouble {
 		count.Served, count.Failed = 50, 50
 	}
-	c.Told(now, []window.Count{count})
-	records, _ := c.Due(now, func() window.View {
-		return window.View{
-			Standing: lease.Full, Acting: s.acting[policy.Full], InForce: 1,
-			Nodes: []window.Node{{ID: "n", Capacity: 1}, {ID: "m", Capacity: 9}},
+	c.SetReports(now, []window.TenantCounts{count})
+	records, _ := c.Due(now, func() window.LeaderView {
+		return window.LeaderView{
+			Standing: lease.Full, Active: s.acting[policy.ModeFull], InForce: 1,
+			Servers: []window.Server{{ID: "n", Capacity: 1}, {ID: "m", Capacity: 9}},
 		}
 	})
-	c.Hurry()
+	c.ResetRetries()
 	l.council, l.sums = c, s.sums(c, at)
 	l.changed = l.sums != was
 	for _, r := range records {
@@ -361,7 +361,7 @@
 	return l
 }
 
-func (s *search) part(m *window.Machine) *window.Agent {
+func (s *search) part(m *window.StateMachine) *window.Agent {
 	turns := 1 // each server has its turn: the window is in it
 	if s.set.Without == "turns" {
 		turns = 0
@@ -378,7 +378,7 @@
 	if s.broken.Swap(true) {
 		return
 	}
-	s.found.Breach = text
+	s.found.Violation = text
 	for _, t := range steps {
 		s.found.Steps = append(s.found.Steps, t.String())
 	}
--- a/window/search/search_test.go
+++ b/window/search/search_test.go
@@ -43,7 +43,7 @@
 			began := time.Now()
 			f := Run(set)
 			t.Logf("%+v: %d states in %v, free in %d", set, f.States, time.Since(began), f.Free)
-			require.Empty(t, f.Breach, "%v", f.Steps)
+			require.Empty(t, f.Violation, "%v", f.Steps)
 			require.NotZero(t, f.Free)
 		})
 	}
@@ -83,8 +83,8 @@
 				set.Grants, set.Troubles, set.Restarts = 1, 1, 1
 			}
 			f := Run(set)
-			require.NotEmpty(t, f.Breach)
-			t.Logf("found after %d states, %d steps: %s %v", f.States, len(f.Steps), f.Breach, f.Steps)
+			require.NotEmpty(t, f.Violation)
+			t.Logf("found after %d states, %d steps: %s %v", f.States, len(f.Steps), f.Violation, f.Steps)
 		})
 	}
 }
--- a/window/search/worker.go
+++ b/window/search/worker.go
@@ -92,7 +92,7 @@
 	p        *place
 	at       int8
 	standing lease.Standing
-	how      policy.How
+	how      policy.Mode
 }
 
 // kept is what an agent keeps off.
@@ -283,7 +283,7 @@
 	}
 	p := w.log.up(v.known)
 	return remembered(k, k.learnt, learning{0, p, w.now}, func() voter {
-		return k.learns(window.NewCouncil(k.council(), reading(at)), p, at, int(w.now))
+		return k.learns(window.NewProposer(k.council(), reading(at)), p, at, int(w.now))
 	})
 }
 
@@ -331,17 +331,17 @@
 }
 
 // how is how an agent acts now.
-func (w *world) how(a *agent) policy.How {
+func (w *world) how(a *agent) policy.Mode {
 	for _, g := range a.grants[:a.count] {
 		if w.now-g.asked < length && a.known >= g.covers {
 			a.last = w.now
-			return policy.Full
+			return policy.ModeFull
 		}
 	}
 	if a.last != never && w.now-a.last < floor {
-		return policy.Within
+		return policy.ModeFloor
 	}
-	return policy.Bottom
+	return policy.ModeBottom
 }
 
 // decide has each agent send a request, and tells what is wrong with it.
@@ -350,7 +350,7 @@
 		a := &w.agents[i]
 		how := w.how(a)
 		p, off := w.log.up(a.known), kept{}
-		if p.part != nil || how == policy.Bottom {
+		if p.part != nil || how == policy.ModeBottom {
 			off = k.keepsOff(w, a, p, how)
 		}
 		if text := k.sends(w, i, off); text != "" {
@@ -364,7 +364,7 @@
 }
 
 // keepsOff is what an agent keeps off, as the protections leave it.
-func (k *worker) keepsOff(w *world, a *agent, p *place, how policy.How) kept {
+func (k *worker) keepsOff(w *world, a *agent, p *place, how policy.Mode) kept {
 	at := w.now
 	switch {
 	case k.set.Without == "own clock":
@@ -373,7 +373,7 @@
 		at -= to - back
 	}
 	standing := lease.Floor
-	if how == policy.Full {
+	if how == policy.ModeFull {
 		standing = lease.Full
 	} else if a.last == never {
 		standing = lease.New
@@ -383,11 +383,11 @@
 		if part == nil {
 			part = k.part(k.root.machine)
 		}
-		avoid := part.Avoid(reading(int(at)), standing, k.acting[how])
+		avoid := part.Exclusions(reading(int(at)), standing, k.acting[how])
 		if avoid == nil {
 			return kept{}
 		}
-		return kept{avoid.Tenants["east"]["n"], avoid.Turn != nil && avoid.Turn("n", "")}
+		return kept{avoid.Tenants["east"]["n"], avoid.AllTenants != nil && avoid.AllTenants("n", "")}
 	})
 }
 
--- a/window/seat/golden_test.go
+++ b/window/seat/golden_test.go
@@ -53,26 +53,26 @@
 // tells voters while it moves something.
 func TestGoldenMessages(t *testing.T) {
 	w := begin(t)
-	w.set.Incarnation = 1800000000123
-	ask := window.Ask{
-		ID: "a", Who: 3, Nodes: []string{"n1"}, Tenants: []string{"east"}, From: noon + 9*time.Hour,
+	w.settings.Incarnation = 1800000000123
+	ask := window.WindowRequest{
+		ID: "a", Agent: 3, Nodes: []string{"n1"}, Tenants: []string{"east"}, From: noon + 9*time.Hour,
 		To: noon + 11*time.Hour,
 	}
-	record, _, err := w.Record(at(0), ask, window.Scene{
-		Nodes: w.nodes, Contracts: w.acting.Effect.Contracts,
-		Tenants: map[string]float64{"east": 0.5}, Load: 0.5, Policy: 1,
+	record, _, err := w.EncodeProposal(at(0), ask, window.PlanInput{
+		Servers: w.nodes, Contracts: w.acting.Effect.Contracts,
+		TenantLoads: map[string]float64{"east": 0.5}, PeakLoad: 0.5, PolicyVersion: 1,
 	})
 	require.NoError(t, err)
 	w.Apply(1, record)
-	w.Learn(at(0), false)
+	w.RecordsApplied(at(0), false)
 	moving := at(9*time.Hour + time.Second)
-	w.Counts(moving, []window.Count{{Tenant: "east", Asked: 100, Served: 80, Failed: 15, First: 5}}, true)
-	due := w.Due(moving, fleet.Voting{Voters: []int{1}})
-	require.Len(t, due.Sends, 1)
+	w.AddCounts(moving, []window.TenantCounts{{Tenant: "east", Requests: 100, Served: 80, Failed: 15, ExclusionOverrides: 5}}, true)
+	due := w.NextActions(moving, fleet.VoterState{Voters: []int{1}})
+	require.Len(t, due.Messages, 1)
 	requireGolden(t, "messages.txt", []goldenForm{
 		{"ask", record},
-		{"stop", w.Stop(moving, "a", "by staff")},
-		{"word", due.Sends[0].Data},
+		{"stop", w.EncodeStop(moving, "a", "by staff")},
+		{"word", due.Messages[0].Data},
 		{"snapshot", w.Snapshot()},
 	})
 }
--- a/window/seat/seat_test.go
+++ b/window/seat/seat_test.go
@@ -16,76 +16,76 @@
 // noon is a Monday's, UTC.
 const noon = 1798459200 * time.Second
 
-func at(after time.Duration) fleet.Reading {
-	return fleet.Reading{Unix: noon + after, Mono: time.Hour + after}
+func at(after time.Duration) fleet.ClockReading {
+	return fleet.ClockReading{Unix: noon + after, Mono: time.Hour + after}
 }
 
 // world is a seat that leads, its log, and what it sees.
 type world struct {
-	*Seat
-	acting policy.Acting
-	nodes  []window.Node
+	*Adapter
+	acting policy.Active
+	nodes  []window.Server
 }
 
 func contracts(t *testing.T, hours string) map[string]*contract.Contract {
 	c, err := contract.Table{
-		Zone: "UTC", Hours: []string{hours}, NoticeMin: 20, LongestMin: 240, Monthly: 2, Keep: 0.5,
-		Served: 0.9,
+		Zone: "UTC", Hours: []string{hours}, NoticeMin: 20, MaxLengthMin: 240, MaxPerMonth: 2, KeptCapacity: 0.5,
+		MinServed: 0.9,
 	}.Contract()
 	require.NoError(t, err)
 	return map[string]*contract.Contract{"east": c}
 }
 
 func begin(t *testing.T) *world {
-	w := &world{acting: policy.Acting{How: policy.Full, Version: 1, Effect: &policy.Effect{
+	w := &world{acting: policy.Active{Mode: policy.ModeFull, Version: 1, Effect: &policy.Effect{
 		Contracts: contracts(t, "mon-sun 20:00-06:00"),
 	}}}
 	for _, id := range []string{"n1", "n2", "n3"} {
-		w.nodes = append(w.nodes, window.Node{ID: id, Capacity: 1})
+		w.nodes = append(w.nodes, window.Server{ID: id, Capacity: 1})
 	}
-	w.Seat = New(Settings{
-		Votes: true, Machine: 2, InForce: func() uint64 { return 1 },
-		See: func(fleet.Reading) window.View {
-			return window.View{Standing: lease.Full, Acting: w.acting, InForce: 1, Nodes: w.nodes}
+	w.Adapter = New(Settings{
+		IsVoter: true, MachineNumber: 2, InForce: func() uint64 { return 1 },
+		View: func(fleet.ClockReading) window.LeaderView {
+			return window.LeaderView{Standing: lease.Full, Active: w.acting, InForce: 1, Servers: w.nodes}
 		},
 	}, at(0))
 	return w
 }
 
 // run plays the leader's part, with agents that tell how a tenant's requests fare.
-func (w *world) run(from, to time.Duration, c window.Count, agents int) {
+func (w *world) run(from, to time.Duration, c window.TenantCounts, agents int) {
 	for d := from; d < to; d += time.Second {
 		for i := range agents {
-			w.Heard(at(d), i, window.Tell(1, uint64(d), []window.Count{c}, false))
+			w.HandleMessage(at(d), i, window.EncodeReport(1, uint64(d), []window.TenantCounts{c}, false))
 		}
-		for _, r := range w.Due(at(d), fleet.Voting{Votes: true, Leads: true, Voters: []int{0}}).Records {
+		for _, r := range w.NextActions(at(d), fleet.VoterState{IsVoter: true, IsLeader: true, Voters: []int{0}}).Proposals {
 			w.Apply(0, r.Data)
-			w.Learn(at(d), false)
+			w.RecordsApplied(at(d), false)
 		}
 	}
 }
 
 func (w *world) ask(t *testing.T) *window.Window {
-	ask := window.Ask{
+	ask := window.WindowRequest{
 		ID: "a", Nodes: []string{"n1"}, Tenants: []string{"east"}, From: noon + 9*time.Hour,
 		To: noon + 11*time.Hour,
 	}
-	data, win, err := w.Record(at(0), ask, window.Scene{
-		Nodes: w.nodes, Contracts: w.acting.Effect.Contracts,
-		Tenants: map[string]float64{"east": 0.5}, Load: 0.5, Policy: 1,
+	data, win, err := w.EncodeProposal(at(0), ask, window.PlanInput{
+		Servers: w.nodes, Contracts: w.acting.Effect.Contracts,
+		TenantLoads: map[string]float64{"east": 0.5}, PeakLoad: 0.5, PolicyVersion: 1,
 	})
 	require.NoError(t, err)
 	w.Apply(1, data)
-	w.Learn(at(0), false)
-	w.run(0, 2*time.Second, window.Count{}, 1)
+	w.RecordsApplied(at(0), false)
+	w.run(0, 2*time.Second, window.TenantCounts{}, 1)
 	return win
 }
 
-var fine = window.Count{Tenant: "east", Asked: 100, Served: 100}
+var fine = window.TenantCounts{Tenant: "east", Requests: 100, Served: 100}
 
 func TestCourse(t *testing.T) {
 	const open = 9 * time.Hour
-	state := func(w *world, d time.Duration) window.State { return w.State(at(d))[0].State }
+	state := func(w *world, d time.Duration) window.State { return w.Windows(at(d))[0].State }
 	for name, x := range map[string]func(t *testing.T, w *world, drained time.Duration){
 		"free, and to its end": func(t *testing.T, w *world, drained time.Duration) {
 			w.run(open, drained+39*time.Second, fine, 3)
@@ -94,20 +94,20 @@
 			require.Equal(t, window.Free, state(w, drained+42*time.Second))
 			require.Equal(t, window.Returning, state(w, 2*time.Hour+open-time.Second))
 			w.run(2*time.Hour+open, 2*time.Hour+open+11*time.Second, fine, 3)
-			require.Equal(t, window.Ended, w.Agreed()[0].State)
+			require.Equal(t, window.Ended, w.AgreedWindows()[0].State)
 		},
 		"nobody tells": func(t *testing.T, w *world, drained time.Duration) {
 			w.run(open, drained+90*time.Second, fine, 0)
 			require.Equal(t, window.Drained, state(w, drained+90*time.Second))
 		},
 		"paused, and goes on": func(t *testing.T, w *world, drained time.Duration) {
-			w.run(open, open+15*time.Second, window.Count{Tenant: "east", Asked: 100, Served: 80, Failed: 20}, 3)
+			w.run(open, open+15*time.Second, window.TenantCounts{Tenant: "east", Requests: 100, Served: 80, Failed: 20}, 3)
 			require.Equal(t, window.Paused, state(w, open+15*time.Second))
 			w.run(open+15*time.Second, open+50*time.Second, fine, 3)
 			require.Equal(t, window.Draining, state(w, open+50*time.Second))
 		},
 		"paused, and returns": func(t *testing.T, w *world, drained time.Duration) {
-			w.run(open, open+35*time.Second, window.Count{Tenant: "east", Asked: 100, Served: 80, Failed: 20}, 3)
+			w.run(open, open+35*time.Second, window.TenantCounts{Tenant: "east", Requests: 100, Served: 80, Failed: 20}, 3)
 			require.Equal(t, window.Returning, state(w, open+35*time.Second))
 		},
 		"servers are lost": func(t *testing.T, w *world, drained time.Duration) {
@@ -119,7 +119,7 @@
 		"serving went first": func(t *testing.T, w *world, drained time.Duration) {
 			w.run(open, drained+60*time.Second, fine, 3)
 			require.Equal(t, window.Free, state(w, drained+60*time.Second))
-			w.run(drained+60*time.Second, drained+62*time.Second, window.Count{Tenant: "east", Asked: 9, First: 1}, 1)
+			w.run(drained+60*time.Second, drained+62*time.Second, window.TenantCounts{Tenant: "east", Requests: 9, ExclusionOverrides: 1}, 1)
 			require.Equal(t, window.Returning, state(w, drained+62*time.Second))
 		},
 		"the contract changed": func(t *testing.T, w *world, drained time.Duration) {
@@ -129,13 +129,13 @@
 			require.Equal(t, window.Returning, state(w, drained+61*time.Second))
 		},
 		"stopped before it begins": func(t *testing.T, w *world, drained time.Duration) {
-			w.Apply(0, w.Stop(at(time.Hour), "a", "no"))
+			w.Apply(0, w.EncodeStop(at(time.Hour), "a", "no"))
 			require.Equal(t, window.Stopped, state(w, time.Hour))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := begin(t)
-			x(t, w, w.ask(t).Drained-noon)
+			x(t, w, w.ask(t).DrainedAt-noon)
 		})
 	}
 }
@@ -143,18 +143,18 @@
 // TestQuiet: nothing is told but while a window moves something, and then what the others' requests do not.
 func TestQuiet(t *testing.T) {
 	w := begin(t)
-	voting := fleet.Voting{Voters: []int{0, 1, 2}}
-	require.Empty(t, w.Due(at(0), voting).Sends)
+	voting := fleet.VoterState{Voters: []int{0, 1, 2}}
+	require.Empty(t, w.NextActions(at(0), voting).Messages)
 	w.ask(t)
-	due := w.Due(at(time.Hour), voting)
-	require.Empty(t, due.Sends)
-	require.False(t, w.Moving(at(time.Hour)))
+	due := w.NextActions(at(time.Hour), voting)
+	require.Empty(t, due.Messages)
+	require.False(t, w.MovesTraffic(at(time.Hour)))
 	now := at(9*time.Hour + time.Second)
-	require.True(t, w.Moving(now))
-	w.Counts(now, []window.Count{fine, {Tenant: "west", Asked: 5}}, true)
-	require.Len(t, w.Due(now, voting).Sends, 3)
-	require.Empty(t, w.Due(now, voting).Sends, "not again for a while")
-	_, _, err := w.Record(now, window.Ask{ID: "b"}, window.Scene{Policy: 2})
-	require.ErrorIs(t, err, ErrPolicy)
-	require.Nil(t, w.Heard(now, 5, []byte("nonsense")))
+	require.True(t, w.MovesTraffic(now))
+	w.AddCounts(now, []window.TenantCounts{fine, {Tenant: "west", Requests: 5}}, true)
+	require.Len(t, w.NextActions(now, voting).Messages, 3)
+	require.Empty(t, w.NextActions(now, voting).Messages, "not again for a while")
+	_, _, err := w.EncodeProposal(now, window.WindowRequest{ID: "b"}, window.PlanInput{PolicyVersion: 2})
+	require.ErrorIs(t, err, ErrPolicyChanged)
+	require.Nil(t, w.HandleMessage(now, 5, []byte("nonsense")))
 }
--- a/window/turns.go
+++ b/window/turns.go
@@ -42,7 +42,7 @@
 	return int(days % time.Duration(t)), (days+1)*day + noon
 }
 
-// Covers tells whether a server may be in a window all the time from one moment to another: Scene.Turn.
+// Covers tells whether a server may be in a window all the time from one moment to another: PlanInput.IsInTurn.
 func (t Turns) Covers(id, zone string, from, to time.Duration) bool {
 	if t < 1 {
 		return true
--- a/window/use.go
+++ b/window/use.go
@@ -12,55 +12,55 @@
 
 // use is what nodes carry while the ask's window and others are on. It changes only where one of the others
 // begins or ends, so each time between two such edges is looked at once.
-type use struct {
-	p       *planner
-	edges   []time.Duration
-	known   []bool // by the time between edges: the first is before all of them
-	wrong   []*Misfit
-	names   []string // all tenants
-	share   []float64
-	total   float64 // capacity of all nodes
-	here    float64 // and of those that are not absent
-	tenants map[string]int
-	nodes   map[string]int
-	off     []bool    // by tenant and node: moved away
-	left    []float64 // capacity, by tenant
+type utilization struct {
+	planner         *planner
+	edges           []time.Duration
+	checked         []bool // by the time between edges: the first is before all of them
+	conflicts       []*Conflict
+	tenantNames     []string // all tenants
+	loadShares      []float64
+	totalCapacity   float64 // capacity of all nodes
+	presentCapacity float64 // and of those that are not absent
+	tenantIndex     map[string]int
+	serverIndex     map[string]int
+	moved           []bool    // by tenant and node: moved away
+	remaining       []float64 // capacity, by tenant
 }
 
-func newUse(p *planner) use {
-	u := use{p: p, tenants: map[string]int{}, nodes: map[string]int{}}
-	for _, w := range p.scene.Windows {
+func newUtilization(p *planner) utilization {
+	u := utilization{planner: p, tenantIndex: map[string]int{}, serverIndex: map[string]int{}}
+	for _, w := range p.input.Windows {
 		u.edges = append(u.edges, w.From, w.To)
 	}
 	slices.Sort(u.edges)
 	u.edges = slices.Compact(u.edges)
-	u.known, u.wrong = make([]bool, len(u.edges)+1), make([]*Misfit, len(u.edges)+1)
+	u.checked, u.conflicts = make([]bool, len(u.edges)+1), make([]*Conflict, len(u.edges)+1)
 	rest := 1.0
-	u.names = append(slices.Collect(maps.Keys(p.scene.Tenants)), p.tenants...)
-	u.names = append(u.names, Rest)
-	slices.Sort(u.names)
-	u.names = slices.Compact(u.names)
-	for i, name := range u.names {
-		u.tenants[name] = i
-		share := sound(p.scene.Tenants[name])
-		if name == Rest {
+	u.tenantNames = append(slices.Collect(maps.Keys(p.input.TenantLoads)), p.tenants...)
+	u.tenantNames = append(u.tenantNames, NoTenant)
+	slices.Sort(u.tenantNames)
+	u.tenantNames = slices.Compact(u.tenantNames)
+	for i, name := range u.tenantNames {
+		u.tenantIndex[name] = i
+		share := finiteOrZero(p.input.TenantLoads[name])
+		if name == NoTenant {
 			share = 0
 		}
-		u.share, rest = append(u.share, share), rest-share
+		u.loadShares, rest = append(u.loadShares, share), rest-share
 	}
-	u.share[u.tenants[Rest]] = max(rest, 0)
-	for i, n := range p.scene.Nodes {
-		u.nodes[n.ID] = i
-		if u.total += n.Capacity; !n.Absent {
-			u.here += n.Capacity
+	u.loadShares[u.tenantIndex[NoTenant]] = max(rest, 0)
+	for i, n := range p.input.Servers {
+		u.serverIndex[n.ID] = i
+		if u.totalCapacity += n.Capacity; !n.Absent {
+			u.presentCapacity += n.Capacity
 		}
 	}
-	u.off, u.left = make([]bool, len(u.names)*len(p.scene.Nodes)), make([]float64, len(u.names))
+	u.moved, u.remaining = make([]bool, len(u.tenantNames)*len(p.input.Servers)), make([]float64, len(u.tenantNames))
 	return u
 }
 
 // misfit is the first thing that is wrong in a time; nil: nothing is.
-func (u *use) misfit(from, to time.Duration) *Misfit {
+func (u *utilization) conflictDuring(from, to time.Duration) *Conflict {
 	after := func(edge, at time.Duration) int {
 		if edge <= at {
 			return -1
@@ -68,12 +68,12 @@
 		return 1
 	}
 	i, _ := slices.BinarySearchFunc(u.edges, from, after) // the time up to the first edge after from
-	for ; i < len(u.known); i++ {
-		if !u.known[i] {
-			u.known[i], u.wrong[i] = true, u.look(i)
+	for ; i < len(u.checked); i++ {
+		if !u.checked[i] {
+			u.checked[i], u.conflicts[i] = true, u.checkBefore(i)
 		}
-		if u.wrong[i] != nil {
-			return u.wrong[i]
+		if u.conflicts[i] != nil {
+			return u.conflicts[i]
 		}
 		if i == len(u.edges) || u.edges[i] >= to {
 			break
@@ -83,19 +83,19 @@
 }
 
 // look tells what is wrong in the time before an edge.
-func (u *use) look(before int) *Misfit {
+func (u *utilization) checkBefore(before int) *Conflict {
 	var open []*Window
 	if before > 0 {
 		at := u.edges[before-1]
-		for _, w := range u.p.scene.Windows {
+		for _, w := range u.planner.input.Windows {
 			if w.From <= at && at < w.To {
 				open = append(open, w)
 			}
 		}
 	}
-	clear(u.off)
-	for i := range u.left {
-		u.left[i] = u.here
+	clear(u.moved)
+	for i := range u.remaining {
+		u.remaining[i] = u.presentCapacity
 	}
 	for _, w := range open {
 		for _, tenant := range w.Tenants {
@@ -104,79 +104,79 @@
 			}
 		}
 	}
-	for _, i := range u.p.asked {
-		id := u.p.scene.Nodes[i].ID
-		for _, tenant := range u.p.tenants {
+	for _, i := range u.planner.requestedServers {
+		id := u.planner.input.Servers[i].ID
+		for _, tenant := range u.planner.tenants {
 			if !u.move(tenant, id) {
-				return u.twice(open, tenant, id)
+				return u.doubleMove(open, tenant, id)
 			}
 		}
 	}
-	return cmp.Or(u.kept(open), u.most(open))
+	return cmp.Or(u.keptCapacityConflict(open), u.utilizationConflict(open))
 }
 
 // move takes a tenant off a node. False: it is off already.
-func (u *use) move(tenant, id string) bool {
-	t, known := u.tenants[tenant]
-	n, there := u.nodes[id]
+func (u *utilization) move(tenant, id string) bool {
+	t, known := u.tenantIndex[tenant]
+	n, there := u.serverIndex[id]
 	if !known || !there {
 		return true
 	}
-	at := t*len(u.p.scene.Nodes) + n
-	if u.off[at] {
+	at := t*len(u.planner.input.Servers) + n
+	if u.moved[at] {
 		return false
 	}
-	u.off[at] = true
-	if node := u.p.scene.Nodes[n]; !node.Absent {
-		u.left[t] -= node.Capacity
+	u.moved[at] = true
+	if node := u.planner.input.Servers[n]; !node.Absent {
+		u.remaining[t] -= node.Capacity
 	}
 	return true
 }
 
-func (u *use) twice(open []*Window, tenant, id string) *Misfit {
+func (u *utilization) doubleMove(open []*Window, tenant, id string) *Conflict {
 	for _, w := range open {
 		if slices.Contains(w.Tenants, tenant) && slices.Contains(w.Nodes, id) {
 			until := time.Unix(0, int64(w.To)).UTC().Format(time.DateTime + " MST")
-			return &Misfit{Tenant: tenant, Reason: fmt.Sprintf("tenant %s: is off node %s by window %s until %s",
+			return &Conflict{Tenant: tenant, Reason: fmt.Sprintf("tenant %s: is off node %s by window %s until %s",
 				tenant, id, w.ID, until)}
 		}
 	}
-	return &Misfit{Tenant: tenant, Reason: fmt.Sprintf("node %s is listed twice", id)}
+	return &Conflict{Tenant: tenant, Reason: fmt.Sprintf("node %s is listed twice", id)}
 }
 
 // kept tells which tenant has less capacity left than its contract keeps.
-func (u *use) kept(open []*Window) *Misfit {
-	for i, tenant := range u.p.tenants {
-		left := u.left[u.tenants[tenant]]
-		if left <= u.total*slack {
-			return u.p.of(i, "is left without a node%s", beside(open))
+func (u *utilization) keptCapacityConflict(open []*Window) *Conflict {
+	for i, tenant := range u.planner.tenants {
+		left := u.remaining[u.tenantIndex[tenant]]
+		if left <= u.totalCapacity*tolerance {
+			return u.planner.tenantConflict(i, "is left without a node%s", withWindows(open))
 		}
-		if part, keep := left/u.total, u.p.contracts[i].Keep(); part < keep-slack {
-			return u.p.of(i, "%.3g of the capacity remains, its contract keeps %.3g%s", part, keep, beside(open))
+		if part, keep := left/u.totalCapacity, u.planner.contracts[i].KeptCapacity(); part < keep-tolerance {
+			return u.planner.tenantConflict(i, "%.3g of the capacity remains, its contract keeps %.3g%s", part, keep, withWindows(open))
 		}
 	}
 	return nil
 }
 
 // most tells which node is used too much.
-func (u *use) most(open []*Window) *Misfit {
-	per := make([]float64, len(u.share)) // of a node's capacity, by tenant
+func (u *utilization) utilizationConflict(open []*Window) *Conflict {
+	per := make([]float64, len(u.loadShares)) // of a node's capacity, by tenant
 	all := 0.0
-	for t, share := range u.share {
+	for t, share := range u.loadShares {
 		if share == 0 {
 			continue
 		}
-		if u.left[t] <= u.total*slack {
-			return &Misfit{Tenant: u.names[t], Reason: "tenant " + u.names[t] + ": has no node left" + beside(open)}
+		if u.remaining[t] <= u.totalCapacity*tolerance {
+			return &Conflict{Tenant: u.tenantNames[t], Reason: "tenant " + u.tenantNames[t] + ": has no node left" + withWindows(open)}
 		}
-		per[t] = share * u.p.scene.Load * u.total / u.left[t]
+		per[t] = share * u.planner.input.PeakLoad * u.totalCapacity / u.remaining[t]
 		all += per[t]
 	}
 	fullest, id := math.Inf(-1), ""
-	for n, node := range u.p.scene.Nodes {
+	for n, node := range u.planner.input.Servers {
 		used := all
 		for t := range per {
-			if u.off[t*len(u.p.scene.Nodes)+n] {
+			if u.moved[t*len(u.planner.input.Servers)+n] {
 				used -= per[t]
 			}
 		}
@@ -184,15 +184,15 @@
 			fullest, id = used, node.ID
 		}
 	}
-	if fullest > u.p.scene.Most+slack {
-		return &Misfit{Reason: fmt.Sprintf("node %s is used to %.3g of what it can, %.3g at most may be%s", id,
-			fullest, u.p.scene.Most, beside(open))}
+	if fullest > u.planner.input.MaxUtilization+tolerance {
+		return &Conflict{Reason: fmt.Sprintf("node %s is used to %.3g of what it can, %.3g at most may be%s", id,
+			fullest, u.planner.input.MaxUtilization, withWindows(open))}
 	}
 	return nil
 }
 
 // beside names other windows, some of them.
-func beside(open []*Window) string {
+func withWindows(open []*Window) string {
 	var names []string
 	for i, w := range open {
 		if i == 4 {
