--- a/asking/example_test.go
+++ b/asking/example_test.go
@@ -9,11 +9,11 @@
 
 // A watch ends, and the call after it is refused twice.
 func Example() {
-	clock := asking.New(asking.Terms{Agents: 300, AskWithin: 10 * time.Second, DrainGrace: 3 * time.Second})
+	clock := asking.New(asking.Settings{Agents: 300, MaxPollInterval: 10 * time.Second, DrainGrace: 3 * time.Second})
 	clock.Answered(true)
 	now := time.Minute
-	for _, end := range []asking.End{asking.Lost, asking.Refused, asking.Refused} {
-		wait := clock.Ended(now, end, 0.5) // the draw that spreads agents
+	for _, end := range []asking.CallResult{asking.WatchLost, asking.CallFailed, asking.CallFailed} {
+		wait := clock.CallEnded(now, end, 0.5) // the draw that spreads agents
 		fmt.Println("call again after", wait)
 		now += wait
 	}
--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -28,7 +28,7 @@
 
 type host struct {
 	decoder   *wire.Decoder
-	instances map[string]*storm.Gate
+	instances map[string]*storm.Controller
 	lists     map[int][]decide.Server
 	out       []byte
 	first     bool
@@ -41,7 +41,7 @@
 func run(in io.Reader, out io.Writer) error {
 	r := bufio.NewReaderSize(in, 1<<20)
 	h := &host{
-		decoder: wire.NewDecoder(), instances: map[string]*storm.Gate{},
+		decoder: wire.NewDecoder(), instances: map[string]*storm.Controller{},
 		lists: map[int][]decide.Server{},
 	}
 	var long []byte
@@ -80,9 +80,9 @@
 		return nil
 	case "NEW_INSTANCE":
 		s, err := protocol.DecodeSettings(m.Settings)
-		var g *storm.Gate
+		var g *storm.Controller
 		if err == nil {
-			g, err = storm.Build(s.Settings, storm.DefaultFigures(), m.Seed)
+			g, err = storm.NewWithBalancer(s.Settings, storm.DefaultConfig(), m.Seed)
 		}
 		if err != nil {
 			h.separate()
--- a/cmd/dunestep/fleet.go
+++ b/cmd/dunestep/fleet.go
@@ -202,7 +202,7 @@
 
 // policyOwn is what this agent holds policies against.
 func (s settings) policyOwn() policy.LocalSettings {
-	return policy.LocalSettings{Settings: core.Permitted(s.Settings.Settings), MaxFailedRatio: s.storm().InVain}
+	return policy.LocalSettings{Settings: core.Permitted(s.Settings.Settings), MaxFailedRatio: s.storm().WastedFraction}
 }
 
 // reload takes in what SIGHUP has changed of that.
--- a/cmd/dunestep/main.go
+++ b/cmd/dunestep/main.go
@@ -90,15 +90,15 @@
 }
 
 // storm is what is set for slow spells, outages and storms of repeats.
-func (s settings) storm() storm.Figures {
+func (s settings) storm() storm.Config {
 	t := s.operator.Storm
-	return storm.Figures{
-		Off: !t.On, TellQuota: t.RateLimitFields, SpellFactor: t.SpellFactor,
-		PurgeShare: t.PurgeShare,
-		PurgeFor:   time.Duration(t.PurgeMS) * time.Millisecond,
-		PurgeLeast: time.Duration(t.PurgeLeastMS) * time.Millisecond,
-		PurgeAgain: time.Duration(t.PurgeAgainS) * time.Second, TrialShare: t.TrialShare, ReturnMore: t.ReturnMore,
-		InVain: t.InVain, PurgeSparse: t.PurgeSparse, Turn: time.Duration(t.TurnS) * time.Second,
+	return storm.Config{
+		Disabled: !t.On, ReportQuota: t.RateLimitFields, EpisodeFactor: t.SpellFactor,
+		SheddingFraction: t.PurgeShare,
+		MaxShedding:      time.Duration(t.PurgeMS) * time.Millisecond,
+		MinShedding:      time.Duration(t.PurgeLeastMS) * time.Millisecond,
+		SheddingBackoff:  time.Duration(t.PurgeAgainS) * time.Second, TrialFraction: t.TrialShare, RecoveryHeadroom: t.ReturnMore,
+		WastedFraction: t.InVain, SheddingWhenSparse: t.PurgeSparse, FairnessRotation: time.Duration(t.TurnS) * time.Second,
 	}
 }
 
--- a/cmd/dunestep/placement.go
+++ b/cmd/dunestep/placement.go
@@ -47,11 +47,11 @@
 }
 
 // cold is what the settings let cold servers have, as the module goes by it.
-func (s settings) cold() cold.Terms {
+func (s settings) cold() cold.Params {
 	rules, f := s.Settings.Rules, decide.DefaultTuning()
-	return cold.Terms{
-		Share: rules.SlowStartCapacity, For: rules.SlowStartDuration, FallMultiple: rules.OverloadMultiple,
-		FallWindow: rules.OverloadWindow, Margin: f.SlowStartMargin, Most: f.SlowStartMax, Balancers: s.Settings.Balancers,
+	return cold.Params{
+		InitialCapacity: rules.SlowStartCapacity, Duration: rules.SlowStartDuration, OverloadMultiple: rules.OverloadMultiple,
+		OverloadWindow: rules.OverloadWindow, Margin: f.SlowStartMargin, MaxOfWarm: f.SlowStartMax, Balancers: s.Settings.Balancers,
 	}
 }
 
--- a/cmd/dunestep/restart_test.go
+++ b/cmd/dunestep/restart_test.go
@@ -229,7 +229,7 @@
 	f := newest(t, path)
 	require.Equal(t, "n0", f.Owner.Agent)
 	require.Equal(t, int64(77), f.List.Version)
-	require.True(t, f.Balancer.Servers[0].Outlier.Down)
+	require.True(t, f.Balancer.Servers[0].Outlier.Ejected)
 	out, err := exec.Command(binary, "state", "show", filepath.Join(path, "state-a")).CombinedOutput()
 	require.NoError(t, err, string(out))
 	require.Contains(t, string(out), w.servers[1].socket.Addr())
--- a/cmd/dunestep/state.go
+++ b/cmd/dunestep/state.go
@@ -121,8 +121,8 @@
 	if m.Latency > 0 {
 		words = append(words, fmt.Sprintf("%.0f ms", 1000*m.Latency))
 	}
-	if m.Outlier.Down {
-		words = append(words, "down: "+m.Outlier.Because)
+	if m.Outlier.Ejected {
+		words = append(words, "down: "+m.Outlier.Reason)
 	}
 	if m.DampedFor > 0 {
 		words = append(words, fmt.Sprintf("damped for %v", m.DampedFor.Round(time.Second)))
--- a/decide/agreed.go
+++ b/decide/agreed.go
@@ -23,7 +23,7 @@
 		if i < len(quota) {
 			perS = quota[i]
 		}
-		b.quotas.Set(b.now, t.Name, perS)
+		b.quotas.SetRate(b.now, t.Name, perS)
 	}
 	for _, c := range b.classes { // in any order: each by itself
 		c.applyPolicy(b.settings.Limits, classes)
@@ -46,7 +46,7 @@
 func (b *Balancer) retryDelay(r *request, aims float64) time.Duration {
 	wait := time.Duration(aims * float64(r.class.LatencyObjective))
 	if r.class.minAttemptInterval > 0 {
-		r.notBefore = r.attempts[len(r.attempts)-1].outlier.At + r.class.minAttemptInterval
+		r.notBefore = r.attempts[len(r.attempts)-1].outlier.StartedAt + r.class.minAttemptInterval
 		wait = max(wait, r.notBefore-b.now)
 	}
 	return wait
--- a/decide/agreed_test.go
+++ b/decide/agreed_test.go
@@ -106,7 +106,7 @@
 			} else {
 				b.turn(s, true)
 				b.sendRate = 10
-				s.slowStart.Begin(b.now, 1)
+				s.slowStart.Start(b.now, 1)
 			}
 			b.ApplyFleetPolicy(nil, []RetryPolicy{{MaxAttempts: 1}})
 			b.ApplyFleetPolicy(nil, c.agreed)
--- a/decide/api.go
+++ b/decide/api.go
@@ -201,11 +201,11 @@
 
 // Watch is how a ServerListUpdate has come; zero where that is not known, as in the simulator.
 type WatchStatus struct {
-	End       asking.End    // of UpdateFailed: how the call ended
-	SilentFor time.Duration // of asking.Silent: how long nothing had come
-	Replaced  bool          // of asking.Silent: another call is out in its place
-	Local     bool          // this agent's own, as staff's word is: discovery has said nothing
-	Opened    bool          // discovery has taken a call up, and has said nothing yet
+	End       asking.CallResult // of UpdateFailed: how the call ended
+	SilentFor time.Duration     // of asking.WatchSilent: how long nothing had come
+	Replaced  bool              // of asking.WatchSilent: another call is out in its place
+	Local     bool              // this agent's own, as staff's word is: discovery has said nothing
+	Opened    bool              // discovery has taken a call up, and has said nothing yet
 }
 
 // ProbeDone reports the end of a probe.
--- a/decide/avoid.go
+++ b/decide/avoid.go
@@ -151,7 +151,7 @@
 			at %= len(members)
 		}
 		s := members[at]
-		if b.isListed(s) && !isExcluded(r, s) && b.detector.Verdict(s.outlier, r.class.index) != health.Down {
+		if b.isListed(s) && !isExcluded(r, s) && b.detector.Verdict(s.outlier, r.class.index) != health.Ejected {
 			b.exclusions.lastFound = at
 			return true
 		}
--- a/decide/avoid_test.go
+++ b/decide/avoid_test.go
@@ -51,9 +51,9 @@
 	any, left := false, false
 	for _, s := range w.b.servers {
 		lane := w.b.classes[e.Class].index
-		down := w.b.detector.Verdict(s.outlier, lane) == health.Down
+		down := w.b.detector.Verdict(s.outlier, lane) == health.Ejected
 		any = any || off(s)
-		left = left || s.ringPlace.Member() && !w.drained[s.ID] && !down && !off(s)
+		left = left || s.ringPlace.IsMember() && !w.drained[s.ID] && !down && !off(s)
 	}
 	if any {
 		w.kept++
@@ -112,7 +112,7 @@
 	for name, way := range map[string]func(b *Balancer, s *server){
 		"owner":     func(*Balancer, *server) {},
 		"own zone":  func(b *Balancer, s *server) { b.settings.Costs.CrossZone, b.settings.Zone = 1, s.Zone },
-		"trial":     func(b *Balancer, s *server) { b.turn(s, true); b.sendRate = 10; s.slowStart.Begin(b.now, 1) },
+		"trial":     func(b *Balancer, s *server) { b.turn(s, true); b.sendRate = 10; s.slowStart.Start(b.now, 1) },
 		"unproved":  func(b *Balancer, s *server) { b.StartProbation(0.5) },
 		"mute ones": func(b *Balancer, s *server) { mute(b) },
 	} {
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -100,7 +100,7 @@
 	case purpose == timerRound && b.started:
 		b.endRound()
 	case purpose == timerPoll:
-		if b.pollScheduled = false; b.discovery.Missing() { // else it is watched again, as at another address
+		if b.pollScheduled = false; b.discovery.IsMissingChanges() { // else it is watched again, as at another address
 			b.pollDiscovery()
 		}
 	case r == nil || r.closed:
@@ -147,14 +147,14 @@
 
 // onWatchEnded asks again where a call has ended: the old list holds, and is soon wrong.
 func (b *Balancer) onWatchEnded(w *WatchStatus) {
-	if w.End == asking.Silent {
-		b.discovery.Fell(b.now, w.SilentFor)
+	if w.End == asking.WatchSilent {
+		b.discovery.WatchFellSilent(b.now, w.SilentFor)
 	}
 	if w.Replaced {
 		return
 	}
 	b.pollAgainAt = 0
-	wait := b.discovery.Ended(b.now, w.End, b.rng.Float64())
+	wait := b.discovery.CallEnded(b.now, w.End, b.rng.Float64())
 	if !b.pollScheduled {
 		b.pollScheduled = true
 		b.setTimer(wait, 0, timerPoll)
@@ -165,11 +165,11 @@
 // grow with every release for as long as the balancer runs; a flap within that time finds its penalty kept.
 func (b *Balancer) forgetGoneServers() {
 	maps.DeleteFunc(b.servers, func(_ string, s *server) bool {
-		gone := s.State == Gone && !s.ringPlace.Member() && s.inFlight == 0 && b.now-s.leftRingAt > forgetAfter
+		gone := s.State == Gone && !s.ringPlace.IsMember() && s.inFlight == 0 && b.now-s.leftRingAt > forgetAfter
 		if gone {
-			b.detector.Forget(s.outlier)
-			b.ring.Forget(s.ringPlace)
-			b.outsideRing.Forget(s.outsidePlace)
+			b.detector.RemoveServer(s.outlier)
+			b.ring.Remove(s.ringPlace)
+			b.outsideRing.Remove(s.outsidePlace)
 			if b.byHash[s.hash] == s {
 				delete(b.byHash, s.hash)
 			}
@@ -183,7 +183,7 @@
 	if s == nil {
 		s = &server{
 			hash: ring.Hash(e.ID), flapPenalty: b.meanPenalty(), flapPenaltyAt: b.now,
-			outlier: b.detector.Join(),
+			outlier: b.detector.AddServer(),
 		}
 		s.State, s.ID = Gone, e.ID
 		b.servers[e.ID], b.byHash[s.hash] = s, s
@@ -191,8 +191,8 @@
 	changed = s.State != e.State
 	if e.StartedAt != s.StartedAt || s.ringPlace == nil { // restarted or new: what was known of it is of another process
 		s.latency, s.latencyInFlight = 0, 0
-		b.detector.Restarted(s.outlier)
-		s.slowStart.Begin(b.now, b.rng.Float64())
+		b.detector.ServerRestarted(s.outlier)
+		s.slowStart.Start(b.now, b.rng.Float64())
 	}
 	s.Server, s.kindBaseline = *e, b.kindBaseline(e.MachineKind)
 	b.applyExclusions(s)
@@ -246,7 +246,7 @@
 			r.hedgedProbe = cmp.Or(r.hedgedProbe, s)
 			return true
 		case try:
-		case s.outlier.NotNow(b.now):
+		case s.outlier.IsAvoided(b.now):
 			if passed == nil && t <= limit {
 				passed = s
 			}
@@ -340,7 +340,7 @@
 	for _, s := range b.ring.Members() {
 		b.largestWeight, b.anyWarmingUp = max(b.largestWeight, b.effectiveWeight(s)), b.anyWarmingUp || b.warmth(s) < 1
 		b.maxMemberPoints = max(b.maxMemberPoints, s.ringPlace.Points())
-		if !s.outlier.IsDown() && b.now >= s.dampedUntil {
+		if !s.outlier.IsEjected() && b.now >= s.dampedUntil {
 			b.weightSum += b.trafficWeight(s)
 		}
 	}
@@ -360,7 +360,7 @@
 		if a.unprocessed || r.class.Idempotency == Idempotent {
 			continue
 		}
-		if r.class.Idempotency == NotIdempotent || b.now-a.outlier.At >= r.class.DedupWindow-b.settings.Tick {
+		if r.class.Idempotency == NotIdempotent || b.now-a.outlier.StartedAt >= r.class.DedupWindow-b.settings.Tick {
 			return false
 		}
 		if r.class.DedupScope == DedupScopeZone && s.Zone != a.server.Zone ||
@@ -495,7 +495,7 @@
 	if e.Key != "" {
 		r.hasKey, r.hash = true, ring.Hash(e.Key)
 	}
-	r.overQuota = b.quotas.Over(b.now, e.quotaTenant())
+	r.overQuota = b.quotas.IsOverQuota(b.now, e.quotaTenant())
 	b.retryTokens = min(b.retryTokens+b.tuning.RetryRatio, b.tuning.RetryBurst)
 	b.unprocessedRetryTokens = min(b.unprocessedRetryTokens+b.tuning.UnprocessedRetryRatio, b.tuning.UnprocessedRetryBurst)
 	b.requests[e.ID] = r
@@ -548,7 +548,7 @@
 // while probes wait little on the whole, else it is refused.
 func (b *Balancer) needsProbe(r *request, s *server) bool {
 	return b.settings.Limits.Probes && b.settings.Costs.Probe <= b.settings.Costs.LateFailure && b.falseProbeFraction <= maxFalseProbeFraction &&
-		b.now-s.lastResponseAt >= r.class.LatencyObjective/2 && !r.ignoresProbes && (b.hasFewObservations() || s.outlier.IsDown())
+		b.now-s.lastResponseAt >= r.class.LatencyObjective/2 && !r.ignoresProbes && (b.hasFewObservations() || s.outlier.IsEjected())
 }
 
 func (b *Balancer) sendAttempt(r *request, s *server) {
@@ -569,7 +569,7 @@
 	}
 	r.attempts = append(r.attempts, attempt{
 		server: s, inFlightAtSend: int32(s.inFlight), reportedInFlight: held,
-		failedProbeLatency: despite, outlier: b.detector.Start(b.now, s.outlier, r.class.index, limit),
+		failedProbeLatency: despite, outlier: b.detector.AttemptStarted(b.now, s.outlier, r.class.index, limit),
 	})
 	r.openAttempts++
 	if s.inFlight == 0 {
@@ -578,8 +578,8 @@
 	b.addInFlight(&r.attempts[len(r.attempts)-1], 1)
 	b.sentThisRound += r.workUnits
 	s.slowStart.Spend(r.workUnits)
-	b.zoneReach.Tried(b.now, s.Zone)
-	b.accounts.Sent(&s.account, r.workUnits)
+	b.zoneReach.RecordTrial(b.now, s.Zone)
+	b.accounts.RequestSent(&s.account, r.workUnits)
 	b.emit(Action{Kind: Send, ID: r.id, Server: s.ID, After: limit})
 	b.countOverride(r, s)
 }
@@ -630,7 +630,7 @@
 	switch {
 	case !r.needsRetryToken:
 		return true
-	case r.lastUnprocessed && b.detector.Verdict(s.outlier, r.class.index) == health.Well:
+	case r.lastUnprocessed && b.detector.Verdict(s.outlier, r.class.index) == health.Healthy:
 		budget = &b.unprocessedRetryTokens
 	}
 	if *budget < 1 {
@@ -647,7 +647,7 @@
 	answer := Action{Kind: Reject, ID: r.id}
 	for i := range r.attempts {
 		a, c := &r.attempts[i], r.class
-		anywhere := c.Idempotency == IdempotentWithKey && c.DedupScope == DedupScopeAll && b.now-a.outlier.At < c.DedupWindow
+		anywhere := c.Idempotency == IdempotentWithKey && c.DedupScope == DedupScopeAll && b.now-a.outlier.StartedAt < c.DedupWindow
 		if !a.unprocessed && c.Idempotency != Idempotent && !anywhere {
 			answer.Kind = Fail
 		}
@@ -675,7 +675,7 @@
 			b.falseProbeFraction += falseProbeGain
 		}
 	}
-	if e.Outcome == NotSent || e.Outcome == Canceled || e.Evidence.Ours { // on this side, or by the client
+	if e.Outcome == NotSent || e.Outcome == Canceled || e.Evidence.LocalShortage { // on this side, or by the client
 		b.observeEnd(s, a, e, r.class)
 		return
 	}
@@ -700,47 +700,47 @@
 		return
 	}
 	b.failureFraction += failureGain * (1 - b.failureFraction)
-	if r.hasKey && e.Outcome != ConnectFailed && b.blameKey(r.hash, s, a.outlier.At) {
-		b.detector.End(b.now, s.outlier, a.outlier, health.Void, e.Latency, &e.Evidence)
+	if r.hasKey && e.Outcome != ConnectFailed && b.blameKey(r.hash, s, a.outlier.StartedAt) {
+		b.detector.AttemptEnded(b.now, s.outlier, a.outlier, health.NoEvidence, e.Latency, &e.Evidence)
 		return
 	}
 	// A failure counts as an answer near the aim. Guards against servers that fail quickly and so look idle.
-	b.recordLatency(s, max(seconds(e.Latency), failureLatencyFraction*seconds(min(r.class.LatencyObjective, r.deadline-a.outlier.At))), int(a.inFlightAtSend))
+	b.recordLatency(s, max(seconds(e.Latency), failureLatencyFraction*seconds(min(r.class.LatencyObjective, r.deadline-a.outlier.StartedAt))), int(a.inFlightAtSend))
 	b.observeEnd(s, a, e, r.class)
 }
 
 // found tells the detector how an attempt ended.
 func (b *Balancer) observeEnd(s *server, a *attempt, e *AttemptDone, c *class) {
-	b.onOutlierChange(s, b.detector.End(b.now, s.outlier, a.outlier, outlierEnds[e.Outcome], e.Latency, &e.Evidence), c)
+	b.onOutlierChange(s, b.detector.AttemptEnded(b.now, s.outlier, a.outlier, outlierEnds[e.Outcome], e.Latency, &e.Evidence), c)
 }
 
 // judged takes in what the detector found. A server that was down or comes back gets its cold budget anew.
 func (b *Balancer) onOutlierChange(s *server, found health.Change, c *class) {
 	switch found {
-	case health.Same:
+	case health.Unchanged:
 		return
-	case health.ClassDown:
-		b.logf("down %s for %s: %s", s.ID, c.Name, s.outlier.Because())
+	case health.ClassEjected:
+		b.logf("down %s for %s: %s", s.ID, c.Name, s.outlier.Reason())
 		return
-	case health.ClassUp:
-		b.logf("up %s for %s: %s", s.ID, c.Name, s.outlier.Because())
+	case health.ClassReadmitted:
+		b.logf("up %s for %s: %s", s.ID, c.Name, s.outlier.Reason())
 		return
-	case health.WentDown:
-		b.logf("down %s: %s", s.ID, s.outlier.Because())
-	case health.CameUp:
-		if s.outlier.Absent() {
+	case health.ServerEjected:
+		b.logf("down %s: %s", s.ID, s.outlier.Reason())
+	case health.ServerReadmitted:
+		if s.outlier.IsNotListening() {
 			s.recoveredAt = b.now
 		}
-		b.logf("up %s: %s", s.ID, s.outlier.Because())
+		b.logf("up %s: %s", s.ID, s.outlier.Reason())
 	}
-	s.slowStart.Begin(b.now, b.rng.Float64())
+	s.slowStart.Start(b.now, b.rng.Float64())
 	b.logDoubt()
 }
 
 // swing raises the penalty of a server that is not in the state of the round before: what went down and came
 // back inside a round has not swung. Nor has what one cause near this balancer takes down with most others.
 func (b *Balancer) countFlap(s *server) {
-	if down := s.outlier.IsDown(); down != s.wasDown && b.detector.Doubt() == "" {
+	if down := s.outlier.IsEjected(); down != s.wasDown && b.detector.DistrustReason() == "" {
 		s.wasDown = down
 		s.flapPenalty, s.flapPenaltyAt = s.decayedPenalty(b.now)+flapPenaltyStep, b.now
 		if s.flapPenalty > b.tuning.SuppressLimit && b.now >= s.dampedUntil {
@@ -752,9 +752,9 @@
 // endRound judges each server by the round's sends and starts the next round.
 func (b *Balancer) endRound() {
 	b.setTimer(roundInterval, 0, timerRound)
-	b.detector.Round()
+	b.detector.EndRound()
 	for _, s := range b.ring.Members() {
-		b.onOutlierChange(s, b.detector.Judge(b.now, s.outlier), nil)
+		b.onOutlierChange(s, b.detector.Reevaluate(b.now, s.outlier), nil)
 		b.countFlap(s)
 	}
 	// Up fast and down slowly: what is held back because servers look slow or cold must not make it look as if a
@@ -771,7 +771,7 @@
 	}
 	b.inFlightSeconds, b.sentThisRound = 0, 0
 	b.falseProbeFraction *= math.Exp2(-float64(roundInterval) / float64(flapPenaltyHalfLife)) // so that they are asked again
-	if mean, tell := b.quotas.Round(); tell {
+	if mean, tell := b.quotas.EndRound(); tell {
 		b.gossip(encodeRateMessage(mean))
 	}
 	maps.DeleteFunc(b.blamedKeys, func(_ uint32, k *blamedKey) bool { return b.now > max(k.lastFailureAt+poisonDuration, k.until) })
@@ -790,24 +790,24 @@
 func (b *Balancer) checkHealth(r *request, s *server) (ok, trial bool) {
 	damped := b.now < s.dampedUntil
 	if b.isZoneCutOff(s) {
-		due := r.class.Idempotency != NotIdempotent && b.zoneReach.Due(b.now, s.Zone)
+		due := r.class.Idempotency != NotIdempotent && b.zoneReach.IsTrialDue(b.now, s.Zone)
 		return due, due
 	}
-	if b.detector.Doubt() != "" || !damped && b.detector.Verdict(s.outlier, r.class.index) != health.Down {
+	if b.detector.DistrustReason() != "" || !damped && b.detector.Verdict(s.outlier, r.class.index) != health.Ejected {
 		return true, false
 	}
 	// What listens there next may be another server, of which a list that can't be heard would have told.
-	if s.outlier.Absent() && b.discovery.Deaf(b.now) {
+	if s.outlier.IsNotListening() && b.discovery.IsStale(b.now) {
 		return false, false
 	}
 	// With probes it is asked first; one that hangs on a class alone can prove itself by that class only.
-	cheap := !damped && (r.class.Idempotency != NotIdempotent || b.settings.Limits.Probes || !s.outlier.IsDown())
+	cheap := !damped && (r.class.Idempotency != NotIdempotent || b.settings.Limits.Probes || !s.outlier.IsEjected())
 	return cheap, cheap
 }
 
 // suspect tells whether others should be asked first with what must not run twice.
 func (b *Balancer) isSuspect(r *request, s *server) bool {
-	return b.detector.Verdict(s.outlier, r.class.index) == health.Suspect && b.detector.Doubt() == ""
+	return b.detector.Verdict(s.outlier, r.class.index) == health.Suspect && b.detector.DistrustReason() == ""
 }
 
 // copies tells whether a trial of the request may be a second copy, so that it costs the client nothing.
@@ -853,7 +853,7 @@
 // warmth is the share of its capacity that a server surely has: by its listed start, or by its return after
 // no connection came up, since a process that was gone likely comes back cold whatever the list says.
 func (b *Balancer) warmth(s *server) float64 {
-	return b.slowStart.Warmth(b.now, max(s.recoveredAt, s.StartedAt))
+	return b.slowStart.CapacityFraction(b.now, max(s.recoveredAt, s.StartedAt))
 }
 
 // hasSlowStartCapacity keeps to this balancer's part of a cold server's budget, of which a down one's trials come too.
@@ -863,7 +863,7 @@
 	if b.largestWeight > 0 {
 		size = s.Weight / b.largestWeight
 	}
-	return w >= 1 && !trial || s.slowStart.Room(b.slowStartTerms(), b.now, w, b.sendRate/b.memberCount(), size, trial)
+	return w >= 1 && !trial || s.slowStart.HasCapacity(b.slowStartTerms(), b.now, w, b.sendRate/b.memberCount(), size, trial)
 }
 
 // setLatencyLimits sets how long an expected time each class accepts. All wait in the same queues, so the one that
@@ -908,7 +908,7 @@
 // before the rules take this balancer as told of what it has not heard.
 func (b *Balancer) pollDiscovery() {
 	if b.settings.DiscoveryOnDemand {
-		b.discovery.Called(b.now)
+		b.discovery.CallStarted(b.now)
 		b.pollAgainAt = b.now + max(b.settings.Rules.MaxPollInterval/4, roundInterval)
 		b.emit(Action{Kind: Subscribe})
 	}
@@ -965,12 +965,12 @@
 		return
 	}
 	if m.kind == messageArrivalRate {
-		b.quotas.Heard(m.score)
+		b.quotas.RecordPeerMean(m.score)
 		return
 	}
 	s := b.byHash[m.hash]
 	switch {
-	case s == nil || !s.ringPlace.Member():
+	case s == nil || !s.ringPlace.IsMember():
 	case m.kind == messageDampRequest:
 		b.emit(Action{Kind: SendToPeer, Peer: e.From, Data: encodeDampMessage(messageDampResponse, s, b.now)})
 	case m.kind == messageDampResponse && s.dampRequestedAt > 0 && b.now-s.dampRequestedAt <= roundInterval && b.now >= s.dampedUntil &&
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -92,7 +92,7 @@
 
 // learnOf has an attempt at a server end so, with all that goes with it.
 func (b *Balancer) learnOf(s *server, o Outcome) {
-	noted := b.detector.Start(b.now, s.outlier, 0, time.Second)
+	noted := b.detector.AttemptStarted(b.now, s.outlier, 0, time.Second)
 	b.observeAttempt(&request{class: b.classes["safe"]}, &attempt{server: s, outlier: noted},
 		&AttemptDone{Outcome: o, Latency: 10 * ms})
 }
@@ -101,11 +101,11 @@
 func (b *Balancer) turn(s *server, down bool) {
 	outcome := map[bool]Outcome{true: ConnectFailed, false: Served}[down]
 	for range 20 {
-		if s.outlier.IsDown() != down {
+		if s.outlier.IsEjected() != down {
 			b.learnOf(s, outcome)
 		}
 	}
-	b.detector.Round()
+	b.detector.EndRound()
 	b.countFlap(s)
 }
 
@@ -520,7 +520,7 @@
 	b := start(t, settings(), list(6))
 	s := b.ring.Owner(ring.Hash("k"))
 	now := time.Second
-	for id := uint32(1); !s.outlier.IsDown(); id++ {
+	for id := uint32(1); !s.outlier.IsEjected(); id++ {
 		if id > 10 {
 			t.Fatal("never taken down")
 		}
@@ -534,7 +534,7 @@
 		t.Fatal("a down server gets an ordinary request")
 	}
 	b.sendRate = 10
-	s.slowStart.Begin(b.now, 1)
+	s.slowStart.Start(b.now, 1)
 	trial := mustSend(t, b.Step(now, &Request{ID: 91, Class: "safe", Key: "k", ClientTimeout: time.Second}))
 	if trial.Server != s.ID {
 		t.Fatalf("no trial; sent to %s", trial.Server)
@@ -543,9 +543,9 @@
 		t.Error("two trials from one part of the budget")
 	}
 	b.Step(now+10*ms, &AttemptDone{ID: 91, Server: s.ID, Outcome: Served, Latency: 10 * ms, RequestDone: true})
-	assert.True(t, s.outlier.IsDown(), "two swings in a round")
+	assert.True(t, s.outlier.IsEjected(), "two swings in a round")
 	b.Step(now+20*ms, &TimerDue{Tag: timerRound})
-	assert.False(t, s.outlier.IsDown())
+	assert.False(t, s.outlier.IsEjected())
 	assert.Less(t, b.warmth(s), 1.0)
 }
 
@@ -557,7 +557,7 @@
 			for range 5 {
 				b.learnOf(s, outcome)
 			}
-			require.True(t, s.outlier.IsDown())
+			require.True(t, s.outlier.IsEjected())
 			ok, _ := b.checkHealth(&request{class: b.classes["unsafe"]}, s)
 			assert.Equal(t, i+1 >= from, ok, "outcome %d, %d of 4 down", outcome, i+1)
 		}
@@ -573,7 +573,7 @@
 	s := b.ring.Owner(ring.Hash("k"))
 	b.turn(s, true)
 	b.sendRate = 10
-	s.slowStart.Begin(b.now, 1)
+	s.slowStart.Start(b.now, 1)
 	acts := b.Step(time.Second, &Request{ID: 1, Class: "safe", Key: "k", ClientTimeout: time.Second})
 	var sent []string
 	for _, a := range acts {
@@ -687,7 +687,7 @@
 		if i%20 == 0 {
 			b.Step(time.Duration(i)*ms*50, &TimerDue{Tag: timerRound})
 		}
-		if b.quotas.Over(b.now, "b") {
+		if b.quotas.IsOverQuota(b.now, "b") {
 			low++
 		}
 	}
@@ -701,7 +701,7 @@
 		t.Error("traffic beyond a quota waits as long as the rest")
 	}
 	// each one told moves halfway to its peer's mean
-	b.quotas.Recall(0, 0, 10)
+	b.quotas.Restore(0, 0, 10)
 	b.Step(time.Minute, &PeerMessage{From: 1, Data: encodeRateMessage(30)})
 	if _, mean := b.quotas.Rates(); mean != 20 {
 		t.Errorf("mean %v", mean)
@@ -758,7 +758,7 @@
 	b.Step(0, &ServerListUpdate{Kind: UpdateCached})
 	for i, heard := range []bool{true, false} {
 		lost := time.Duration(i+1) * time.Minute
-		again := find(b.Step(lost, &ServerListUpdate{Kind: UpdateFailed, Watch: WatchStatus{End: asking.Lost}}), SetTimer)
+		again := find(b.Step(lost, &ServerListUpdate{Kind: UpdateFailed, Watch: WatchStatus{End: asking.WatchLost}}), SetTimer)
 		require.NotNil(t, again)
 		b.Step(lost+ms, &ServerListUpdate{Kind: UpdateIncremental, Watch: WatchStatus{Opened: true}})
 		b.Step(lost+2*ms, &ServerListUpdate{Kind: UpdateIncremental, Watch: WatchStatus{Local: !heard}})
@@ -1331,12 +1331,12 @@
 		for range 5 {
 			b.learnOf(s, outcome)
 		}
-		assert.True(t, s.outlier.IsDown(), "outcome %d", outcome)
+		assert.True(t, s.outlier.IsEjected(), "outcome %d", outcome)
 		for range 8 {
 			b.learnOf(s, Served)
 		}
 		b.Step(b.now, &TimerDue{Tag: timerRound})
-		assert.False(t, s.outlier.IsDown(), "outcome %d", outcome)
+		assert.False(t, s.outlier.IsEjected(), "outcome %d", outcome)
 		assert.Equal(t, cold, b.warmth(s) < 1, "outcome %d", outcome)
 	}
 }
@@ -1509,13 +1509,13 @@
 		a := mustSend(t, b.Step(time.Duration(id)*ms, &Request{ID: id, Class: "safe", ClientTimeout: time.Second}))
 		b.Step(time.Duration(id)*ms+1, &AttemptDone{
 			ID: id, Server: a.Server, Outcome: ConnectFailed, Latency: ms,
-			Evidence: health.Evidence{Phase: health.Connecting, Ours: true},
+			Evidence: health.Evidence{Phase: health.PhaseConnecting, LocalShortage: true},
 		})
 	}
 	require.Zero(t, b.failureFraction)
 	for _, s := range b.ring.Members() {
 		require.Zero(t, s.latency)
-		require.False(t, s.outlier.IsDown())
+		require.False(t, s.outlier.IsEjected())
 	}
 }
 
--- a/decide/full.go
+++ b/decide/full.go
@@ -19,7 +19,7 @@
 
 // terms are what this balancer may send cold servers. Where points are agreed on, a cold one has few: they
 // bound what all balancers send it together, and the budget only what others pass on.
-func (b *Balancer) slowStartTerms() *cold.Terms {
+func (b *Balancer) slowStartTerms() *cold.Params {
 	if b.warmSaturated || b.activeAssignment != nil {
 		return &b.slowStartSaturated
 	}
@@ -27,17 +27,17 @@
 }
 
 // setSlowStartTerms takes the terms in for both times.
-func (b *Balancer) setSlowStartTerms(t cold.Terms) {
+func (b *Balancer) setSlowStartTerms(t cold.Params) {
 	b.slowStart, b.slowStartSaturated = t, t
 	b.slowStartSaturated.Margin *= saturatedMargin
-	b.slowStartSaturated.Most *= saturatedMargin
+	b.slowStartSaturated.MaxOfWarm *= saturatedMargin
 }
 
 // relieves tells whether a cold server takes a request from warm ones that are full, whatever its account
 // says: its budget bounds it already, and its account holds most balancers of a sparse fleet back for longer
 // than it is cold. One of a zone that was not heard last is no relief.
 func (b *Balancer) relievesWarmServers(s *server) bool {
-	return b.warmSaturated && b.warmth(s) < 1 && !b.zoneReach.Doubtful(s.Zone)
+	return b.warmSaturated && b.warmth(s) < 1 && !b.zoneReach.IsDoubtful(s.Zone)
 }
 
 // searches tells whether a warm server that would do is passed over, in search of a cold one with room.
--- a/decide/memory.go
+++ b/decide/memory.go
@@ -72,17 +72,17 @@
 
 // ServerSnapshot is what was learned of one run of a server: the one that had started then.
 type ServerSnapshot struct {
-	ID               string        `cbor:"1,keyasint" json:"id"`
-	StartedAt        time.Duration `cbor:"2,keyasint,omitempty" json:"started_ns"`
-	Latency          float64       `cbor:"3,keyasint,omitempty" json:"latency_s"` // at so many in flight
-	LatencyInFlight  float64       `cbor:"4,keyasint,omitempty" json:"latency_at_n"`
-	SampledAgo       time.Duration `cbor:"5,keyasint,omitempty" json:"sampled_ago_ns"`
-	ReportedInFlight float64       `cbor:"6,keyasint,omitempty" json:"held"` // by its own report
-	ReportedAgo      time.Duration `cbor:"7,keyasint,omitempty" json:"held_ago_ns"`
-	FlapPenalty      float64       `cbor:"11,keyasint,omitempty" json:"penalty"`
-	DampedFor        time.Duration `cbor:"12,keyasint,omitempty" json:"damped_for_ns"` // from then on
-	RecoveredAgo     time.Duration `cbor:"13,keyasint,omitempty" json:"back_ago_ns"`   // cold since; zero: not
-	Outlier          health.Memory `cbor:"14,keyasint" json:"health"`                  // classes by their place
+	ID               string          `cbor:"1,keyasint" json:"id"`
+	StartedAt        time.Duration   `cbor:"2,keyasint,omitempty" json:"started_ns"`
+	Latency          float64         `cbor:"3,keyasint,omitempty" json:"latency_s"` // at so many in flight
+	LatencyInFlight  float64         `cbor:"4,keyasint,omitempty" json:"latency_at_n"`
+	SampledAgo       time.Duration   `cbor:"5,keyasint,omitempty" json:"sampled_ago_ns"`
+	ReportedInFlight float64         `cbor:"6,keyasint,omitempty" json:"held"` // by its own report
+	ReportedAgo      time.Duration   `cbor:"7,keyasint,omitempty" json:"held_ago_ns"`
+	FlapPenalty      float64         `cbor:"11,keyasint,omitempty" json:"penalty"`
+	DampedFor        time.Duration   `cbor:"12,keyasint,omitempty" json:"damped_for_ns"` // from then on
+	RecoveredAgo     time.Duration   `cbor:"13,keyasint,omitempty" json:"back_ago_ns"`   // cold since; zero: not
+	Outlier          health.Snapshot `cbor:"14,keyasint" json:"health"`                  // classes by their place
 
 	// Of version 1, from which version 2 was made of them: what the module counted itself then.
 	Failures1 float64 `cbor:"8,keyasint,omitempty" json:"-"`
@@ -95,9 +95,9 @@
 	const toDown = 3 // failures that took a server down then, by the module's own count
 	for i := range m.Servers {
 		s := &m.Servers[i]
-		s.Outlier = health.Memory{
-			Down: s.Down1, Mute: s.Down1 && s.Rejected1 == 0, Absent: s.Rejected1 > 1,
-			Dead: 4 * min(max(s.Failures1, 0), toDown),
+		s.Outlier = health.Snapshot{
+			Ejected: s.Down1, Silent: s.Down1 && s.Rejected1 == 0, NotListening: s.Rejected1 > 1,
+			DeadEvidence: 4 * min(max(s.Failures1, 0), toDown),
 		}
 		s.Failures1, s.Rejected1, s.Down1 = 0, 0, false
 	}
@@ -138,7 +138,7 @@
 		m.Classes = append(m.Classes, ClassSnapshot{name, b.classes[name].maxClientTimeout})
 	}
 	for _, t := range b.settings.Tenants {
-		saved, at := b.quotas.Saved(t.Name)
+		saved, at := b.quotas.Tokens(t.Name)
 		m.Tenants = append(m.Tenants, TenantSnapshot{t.Name, saved, b.now - at})
 	}
 	slices.SortFunc(m.Tenants, func(p, q TenantSnapshot) int { return cmp.Compare(p.Name, q.Name) })
@@ -164,10 +164,10 @@
 func (b *Balancer) snapshotServer(s *server, names []string) ServerSnapshot {
 	m := ServerSnapshot{
 		ID: s.ID, StartedAt: s.StartedAt, Latency: s.latency, LatencyInFlight: s.latencyInFlight,
-		DampedFor: max(s.dampedUntil-b.now, 0), Outlier: b.detector.Remember(b.now, s.outlier),
+		DampedFor: max(s.dampedUntil-b.now, 0), Outlier: b.detector.Snapshot(b.now, s.outlier),
 	}
-	for i := range m.Outlier.Lanes {
-		m.Outlier.Lanes[i].Class = slices.Index(names, b.className(m.Outlier.Lanes[i].Class))
+	for i := range m.Outlier.Classes {
+		m.Outlier.Classes[i].Class = slices.Index(names, b.className(m.Outlier.Classes[i].Class))
 	}
 	if s.latency > 0 {
 		m.SampledAgo = b.now - s.latencyAt
@@ -200,7 +200,7 @@
 	b.failureFraction = trouble * min(validAmount(m.FailureRatio), 1)
 	b.sendRate = traffic * validAmount(m.SendRate)
 	b.typicalInFlight = blend(traffic, m.TypicalInFlight, b.typicalInFlight)
-	b.quotas.Recall(b.now, traffic*validAmount(m.ArrivalRate), traffic*validAmount(m.MeanArrivalRate))
+	b.quotas.Restore(b.now, traffic*validAmount(m.ArrivalRate), traffic*validAmount(m.MeanArrivalRate))
 	b.meanWork, b.meanReportedInFlight = validAmount(m.MeanWork), trouble*validAmount(m.MeanReportedInFlight)
 	b.retryTokens = min(b.retryTokens, blend(trouble, m.RetryTokens, b.retryTokens))
 	for _, k := range m.Kinds {
@@ -219,10 +219,10 @@
 		}
 	}
 	for _, t := range m.Tenants {
-		b.quotas.Save(t.Name, validAmount(t.Tokens), b.now-validAge(t.UpdatedAgo)-age)
+		b.quotas.SetTokens(t.Name, validAmount(t.Tokens), b.now-validAge(t.UpdatedAgo)-age)
 	}
 	for i := range m.Servers {
-		if s := b.servers[m.Servers[i].ID]; s != nil && s.ringPlace.Member() && s.StartedAt == m.Servers[i].StartedAt {
+		if s := b.servers[m.Servers[i].ID]; s != nil && s.ringPlace.IsMember() && s.StartedAt == m.Servers[i].StartedAt {
 			b.restoreServer(s, &m.Servers[i], m.Classes, age)
 		}
 	}
@@ -247,16 +247,16 @@
 		s.dampedUntil = b.now + left
 	}
 	known := m.Outlier
-	known.Lanes = nil
-	for _, l := range m.Outlier.Lanes {
+	known.Classes = nil
+	for _, l := range m.Outlier.Classes {
 		if l.Class >= 0 && l.Class < len(classes) && b.classes[classes[l.Class].Name] != nil {
 			l.Class = b.classes[classes[l.Class].Name].index
-			known.Lanes = append(known.Lanes, l)
+			known.Classes = append(known.Classes, l)
 		}
 	}
-	b.detector.Recall(b.now, s.outlier, known, age)
-	if s.wasDown = s.outlier.IsDown(); s.wasDown {
-		s.slowStart.Begin(b.now, 1) // the first trial comes at once: it may be well by now
+	b.detector.Restore(b.now, s.outlier, known, age)
+	if s.wasDown = s.outlier.IsEjected(); s.wasDown {
+		s.slowStart.Start(b.now, 1) // the first trial comes at once: it may be well by now
 	}
 	if m.RecoveredAgo > 0 {
 		s.recoveredAt = max(b.now-validAge(m.RecoveredAgo)-age, 1)
@@ -269,10 +269,10 @@
 	if s == nil {
 		return
 	}
-	b.detector.Forget(s.outlier)
-	s.outlier, s.wasDown = b.detector.Join(), false
+	b.detector.RemoveServer(s.outlier)
+	s.outlier, s.wasDown = b.detector.AddServer(), false
 	s.latency, s.latencyInFlight, s.flapPenalty, s.dampedUntil, s.recoveredAt, s.reportedInFlight, s.reportedAt = 0, 0, 0, 0, 0, 0, 0
-	s.slowStart.Begin(b.now, b.rng.Float64())
+	s.slowStart.Start(b.now, b.rng.Float64())
 	b.updateDetector()
 }
 
--- a/decide/memory_test.go
+++ b/decide/memory_test.go
@@ -81,7 +81,7 @@
 			require.InDelta(t, fresh.TypicalInFlight, old.TypicalInFlight, 1e-9)
 			old.TypicalInFlight, old.MeanWork = fresh.TypicalInFlight, fresh.MeanWork
 			for i := range old.Servers { // what is left of evidence rounds to none
-				require.Less(t, old.Servers[i].Outlier.Dead+old.Servers[i].Outlier.All, 1e-9)
+				require.Less(t, old.Servers[i].Outlier.DeadEvidence+old.Servers[i].Outlier.Ends, 1e-9)
 				old.Servers[i] = ServerSnapshot{ID: old.Servers[i].ID}
 			}
 			require.InDelta(t, 0, old.SendRate+old.ArrivalRate+old.MeanArrivalRate+old.FailureRatio+old.MeanReportedInFlight, 1e-9)
@@ -114,7 +114,7 @@
 		{time.Minute, false, false, false},
 	} {
 		then := recalled(t, m, noon, c.age, list(4))
-		require.Equal(t, c.down, then.servers["s1"].outlier.IsDown(), c.age)
+		require.Equal(t, c.down, then.servers["s1"].outlier.IsEjected(), c.age)
 		require.Equal(t, c.damped, noon < then.servers["s2"].dampedUntil, c.age)
 		require.LessOrEqual(t, then.servers["s2"].dampedUntil, noon+dampingDuration-c.age)
 		require.Equal(t, c.blamed, then.isPoisoned(7), c.age)
@@ -123,12 +123,12 @@
 	restarted := list(4)
 	restarted[1].StartedAt = noon - time.Second
 	then := recalled(t, m, noon, time.Second, restarted[:2])
-	require.False(t, then.servers["s1"].outlier.IsDown())
+	require.False(t, then.servers["s1"].outlier.IsEjected())
 	then = recalled(t, m, noon, time.Second, list(4))
 	then.ForgetServer("s1")
 	then.ForgetServer("s2")
 	then.ForgetServer("nobody")
-	require.False(t, then.servers["s1"].outlier.IsDown())
+	require.False(t, then.servers["s1"].outlier.IsEjected())
 	require.Zero(t, then.servers["s2"].dampedUntil)
 	require.Equal(t, recalled(t, Snapshot{}, noon, -1, list(4)).Snapshot(noon).Servers, then.Snapshot(noon).Servers)
 }
--- a/decide/place.go
+++ b/decide/place.go
@@ -37,7 +37,7 @@
 		b.outsideRing.Leave(s.outsidePlace)
 		if b.ring.Leave(s.ringPlace) {
 			s.leftRingAt = b.now
-			b.detector.Place(s.outlier, false, b.now < s.dampedUntil)
+			b.detector.SetPlacement(s.outlier, false, b.now < s.dampedUntil)
 		}
 	}
 	b.updateWeights()
@@ -46,12 +46,12 @@
 
 // join has a server take part with so many points; with none it is outside the generation.
 func (b *Balancer) joinRing(s *server, points int) {
-	if !s.ringPlace.Member() || s.ringPlace.Points() != points {
-		s.ringPlace = b.ring.JoinWith(s.ID, s, points)
+	if !s.ringPlace.IsMember() || s.ringPlace.Points() != points {
+		s.ringPlace = b.ring.JoinWithPoints(s.ID, s, points)
 	}
 	if points > 0 {
 		b.outsideRing.Leave(s.outsidePlace)
-	} else if !s.outsidePlace.Member() {
+	} else if !s.outsidePlace.IsMember() {
 		s.outsidePlace = b.outsideRing.Join(s.ID, s)
 	}
 }
@@ -79,7 +79,7 @@
 	any, named, usable, others := false, false, false, false
 	for _, s := range b.servers {
 		if s.State == Ready {
-			in, up := b.ringPoints(s) > 0, !s.outlier.IsDown()
+			in, up := b.ringPoints(s) > 0, !s.outlier.IsEjected()
 			any, named, usable, others = true, named || in, usable || in && up, others || !in && up
 		}
 	}
@@ -121,7 +121,7 @@
 
 // takes tells whether a server that is trusted takes a request at once.
 func (b *Balancer) acceptsNow(r *request, s *server, t, limit float64) bool {
-	return b.isPermitted(r, s) && b.hasSlowStartCapacity(s, false) && !b.isSaturated(r, s, t, limit) && !s.outlier.NotNow(b.now) &&
+	return b.isPermitted(r, s) && b.hasSlowStartCapacity(s, false) && !b.isSaturated(r, s, t, limit) && !s.outlier.IsAvoided(b.now) &&
 		(r.class.Idempotency != NotIdempotent || !b.isSuspect(r, s))
 }
 
--- a/decide/present.go
+++ b/decide/present.go
@@ -18,7 +18,7 @@
 func (b *Balancer) SetFleetSize(p FleetSize) {
 	b.slowStart.Balancers = EffectiveFleetSize(p.ProbeRequests, b.settings.Balancers)
 	b.slowStartSaturated.Balancers = b.slowStart.Balancers
-	b.quotas.Count(EffectiveFleetSize(p.Quotas, b.settings.Balancers))
+	b.quotas.SetBalancers(EffectiveFleetSize(p.Quotas, b.settings.Balancers))
 }
 
 // QuotaCounted is how many agents count of so many that the settings name, where so many are said to be there:
--- a/decide/present_test.go
+++ b/decide/present_test.go
@@ -28,16 +28,16 @@
 // named, where so many are said to be there.
 func trials(agents, said int) float64 {
 	const length = 10 * time.Minute
-	terms := cold.Terms{
-		Share: 0.3, For: 9 * time.Second, FallMultiple: 3, FallWindow: 3 * time.Second, Margin: 0.5, Most: 1,
+	terms := cold.Params{
+		InitialCapacity: 0.3, Duration: 9 * time.Second, OverloadMultiple: 3, OverloadWindow: 3 * time.Second, Margin: 0.5, MaxOfWarm: 1,
 		Balancers: EffectiveFleetSize(said, 300),
 	}
 	rng, sent := rand.New(rand.NewPCG(1, 2)), 0
 	for range agents {
 		var b cold.Budget
-		b.Begin(0, rng.Float64())
+		b.Start(0, rng.Float64())
 		for at := time.Duration(0); at < length; at += time.Second {
-			if b.Room(&terms, at, 1, 0.01, 1, true) {
+			if b.HasCapacity(&terms, at, 1, 0.01, 1, true) {
 				b.Spend(1)
 				sent++
 			}
@@ -61,17 +61,17 @@
 func beyond(agents, said int, load float64) float64 {
 	const perS = 600.0
 	rng := rand.New(rand.NewPCG(3, 4))
-	books := make([]*quota.Book, agents)
+	books := make([]*quota.Tracker, agents)
 	for i := range books {
 		books[i] = quota.New(60, true)
 		books[i].Add("acme", perS)
-		books[i].Count(EffectiveFleetSize(said, 60))
+		books[i].SetBalancers(EffectiveFleetSize(said, 60))
 	}
 	over, asked := 0, 0
 	for second := range 120 {
 		for i := range int(perS * load) {
 			now := time.Duration(second)*time.Second + time.Duration(float64(i)/(perS*load)*1e9)
-			is := books[rng.IntN(agents)].Over(now, "acme")
+			is := books[rng.IntN(agents)].IsOverQuota(now, "acme")
 			if second >= 30 {
 				asked++
 				if is {
@@ -80,8 +80,8 @@
 			}
 		}
 		for _, b := range books {
-			if mean, tell := b.Round(); tell {
-				books[rng.IntN(agents)].Heard(mean)
+			if mean, tell := b.EndRound(); tell {
+				books[rng.IntN(agents)].RecordPeerMean(mean)
 			}
 		}
 	}
--- a/decide/state.go
+++ b/decide/state.go
@@ -37,14 +37,14 @@
 	byHash               map[uint32]*server
 	ring                 *ring.Ring[*server] // its members are the ready servers: see seat
 	latencyLimitFraction float64             // of the aim: see setLatencyLimits
-	slowStart            cold.Terms
-	slowStartSaturated   cold.Terms // while full
-	warmSaturated        bool       // the warm servers are: see SetWarmServersSaturated
-	anyWarmingUp         bool       // member is
-	accounts             ledger.Book
-	zoneReach            reach.Zones
+	slowStart            cold.Params
+	slowStartSaturated   cold.Params // while full
+	warmSaturated        bool        // the warm servers are: see SetWarmServersSaturated
+	anyWarmingUp         bool        // member is
+	accounts             ledger.Accounts
+	zoneReach            reach.Tracker
 	detector             *health.Detector
-	probation            proving.Book
+	probation            proving.List
 	loggedDoubt          string // as last logged
 	inFlight             int
 
@@ -54,9 +54,9 @@
 	unprocessedRetryTokens float64 // for those whose last one never ran
 
 	started                                  bool
-	pollAgainAt                              time.Duration // zero: not to be asked again
-	pollScheduled                            bool          // a call is about to be made
-	discovery                                asking.Clock  // what became of the calls
+	pollAgainAt                              time.Duration   // zero: not to be asked again
+	pollScheduled                            bool            // a call is about to be made
+	discovery                                asking.Schedule // what became of the calls
 	zoneReports                              map[string]*zoneReport
 	kindBaselines                            map[string]*baselineLatency // of machine, as listed
 	meanReportedInFlight                     float64                     // of the servers' reports
@@ -72,7 +72,7 @@
 	sendRate, sentThisRound                  float64                     // work units sent a second, and in this round
 	typicalInFlight, inFlightSeconds         float64                     // usual mean in flight at a server; time in flight of a round
 	inFlightSecondsAt                        time.Duration
-	quotas                                   *quota.Book
+	quotas                                   *quota.Tracker
 	exclusions                               exclusionState      // servers that tenants keep off: see Exclusions
 	givenAssignment, activeAssignment        *RingAssignment     // generation as told, and what holds of it: see SetRingAssignment
 	maxMemberPoints                          int                 // the most points of a member; one at the least
@@ -93,15 +93,15 @@
 		kindBaselines: map[string]*baselineLatency{}, typicalInFlight: initialInFlight / float64(set.Balancers),
 		retryTokens: set.Tuning.RetryBurst, unprocessedRetryTokens: set.Tuning.UnprocessedRetryBurst, exclusions: newExclusionState(set.Tenants),
 	}
-	b.discovery = asking.New(asking.Terms{
-		Agents: set.Balancers, AskWithin: set.Rules.MaxPollInterval,
+	b.discovery = asking.New(asking.Settings{
+		Agents: set.Balancers, MaxPollInterval: set.Rules.MaxPollInterval,
 		DrainGrace: set.Rules.DrainGrace,
 	})
 	b.quotas = quota.New(set.Balancers, set.Limits.Gossip)
-	b.setSlowStartTerms(cold.Terms{
-		Share: set.Rules.SlowStartCapacity, For: set.Rules.SlowStartDuration,
-		FallMultiple: set.Rules.OverloadMultiple, FallWindow: set.Rules.OverloadWindow, Margin: b.tuning.SlowStartMargin,
-		Most: b.tuning.SlowStartMax, Balancers: set.Balancers,
+	b.setSlowStartTerms(cold.Params{
+		InitialCapacity: set.Rules.SlowStartCapacity, Duration: set.Rules.SlowStartDuration,
+		OverloadMultiple: set.Rules.OverloadMultiple, OverloadWindow: set.Rules.OverloadWindow, Margin: b.tuning.SlowStartMargin,
+		MaxOfWarm: b.tuning.SlowStartMax, Balancers: set.Balancers,
 	})
 	shortest := set.Classes[0].LatencyObjective
 	for i, c := range set.Classes {
@@ -139,7 +139,7 @@
 }
 
 // ArrivalFraction is this balancer's part of all arrivals, from 0 to 1.
-func (b *Balancer) ArrivalFraction() float64 { return b.quotas.Part(b.now) }
+func (b *Balancer) ArrivalFraction() float64 { return b.quotas.ArrivalFraction(b.now) }
 
 // memberCount is the number of servers on the ring, for taking means; never zero.
 func (b *Balancer) memberCount() float64 { return float64(max(len(b.ring.Members()), 1)) }
@@ -187,24 +187,24 @@
 // updateDetector tells the detector which servers take part, and which of them are damped.
 func (b *Balancer) updateDetector() {
 	for _, s := range b.ring.Members() {
-		b.detector.Place(s.outlier, true, b.now < s.dampedUntil)
+		b.detector.SetPlacement(s.outlier, true, b.now < s.dampedUntil)
 	}
 }
 
 // doubted logs when the detector begins or ends to doubt what it sees.
 func (b *Balancer) logDoubt() {
-	if d := b.detector.Doubt(); d != b.loggedDoubt {
+	if d := b.detector.DistrustReason(); d != b.loggedDoubt {
 		b.loggedDoubt = d
 		b.logf("many at once: %s", cmp.Or(d, "over"))
 	}
 }
 
 // ends are the outcomes as the detector knows them.
-var outlierEnds = [...]health.End{
-	Served: health.Answered, ServerError: health.Errored,
-	Rejected: health.TurnedAway, TimedOut: health.TimedOut, ConnectFailed: health.Unsent,
-	ConnectionLost: health.Lost,
-	Canceled:       health.Void, NotSent: health.Void,
+var outlierEnds = [...]health.Outcome{
+	Served: health.Answered, ServerError: health.ServerError,
+	Rejected: health.Rejected, TimedOut: health.TimedOut, ConnectFailed: health.NotSent,
+	ConnectionLost: health.ConnectionLost,
+	Canceled:       health.NoEvidence, NotSent: health.NoEvidence,
 }
 
 // zone holds what a zone's reports of requests held have been worth: the wait that followed for each. Reports
@@ -244,7 +244,7 @@
 	if e.Outcome != Served && e.Outcome != TimedOut {
 		took = max(took, failureLatencyFraction*seconds(r.class.LatencyObjective))
 	}
-	b.accounts.Ended(&s.account, took)
+	b.accounts.RequestEnded(&s.account, took)
 }
 
 func (b *Balancer) sendProbe(s *server) {
--- a/decide/unproved.go
+++ b/decide/unproved.go
@@ -13,7 +13,7 @@
 // StartProbation has the servers that are listed now prove themselves by requests, until ConfirmServerList. Trust is how far the
 // list is trusted, from 0 to 1: see proving.Trust.
 func (b *Balancer) StartProbation(trust float64) {
-	b.probation.Doubt(trust)
+	b.probation.Start(trust)
 	for _, s := range b.ring.Members() {
 		s.probation = b.probation.Add()
 	}
@@ -24,15 +24,15 @@
 	for _, s := range b.servers {
 		s.probation = nil
 	}
-	b.probation.Confirm()
+	b.probation.ListConfirmed()
 }
 
 // probationRequest is what counts of a request at a server that is not proved.
 func (r *request) probationRequest() proving.Request {
 	return proving.Request{
-		Aim: r.class.LatencyObjective, Safe: r.class.Idempotency == Idempotent, Copies: r.class.hedging,
-		Attempts: len(r.attempts), Most: r.class.maxAttempts, By: r.probationUntil,
-		Ended: slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.done }),
+		LatencyObjective: r.class.LatencyObjective, Idempotent: r.class.Idempotency == Idempotent, MayHedge: r.class.hedging,
+		Attempts: len(r.attempts), MaxAttempts: r.class.maxAttempts, WaitUntil: r.probationUntil,
+		HasEndedAttempt: slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.done }),
 	}
 }
 
@@ -41,12 +41,12 @@
 	if s.probation == nil {
 		return b.checkHealth(r, s)
 	}
-	return s.probation.Room(b.now, r.probationRequest().Careful(b.now)), false
+	return s.probation.HasCapacity(b.now, r.probationRequest().NeedsAnsweringServer(b.now)), false
 }
 
 // dispatch sends a request on, and where its server's proof asks for that, to one more at once.
 func (b *Balancer) dispatch(r *request, s *server) {
-	twice := s.probation != nil && s.probation.Twice(r.probationRequest())
+	twice := s.probation != nil && s.probation.ShouldHedge(r.probationRequest())
 	b.sendAttempt(r, s)
 	if !twice {
 		return
@@ -63,13 +63,13 @@
 	if s.probation == nil {
 		return limit
 	}
-	s.probation.Sent()
-	return s.probation.Limit(r.probationRequest(), limit, time.Duration(b.baseline.seconds*float64(time.Second)))
+	s.probation.AttemptSent()
+	return s.probation.AttemptTimeout(r.probationRequest(), limit, time.Duration(b.baseline.seconds*float64(time.Second)))
 }
 
 // hear takes what an outcome says of a server that is not proved, and then as of any other.
 func (b *Balancer) onAttemptEnd(r *request, a *attempt, e *AttemptDone) {
-	if s := a.server; s.probation != nil && b.probation.Ended(s.probation, b.now, probationEnd(e.Outcome)) {
+	if s := a.server; s.probation != nil && b.probation.AttemptEnded(s.probation, b.now, probationEnd(e.Outcome)) {
 		s.probation = nil
 	}
 	b.observeAttempt(r, a, e)
@@ -78,27 +78,27 @@
 	}
 }
 
-func probationEnd(o Outcome) proving.End {
+func probationEnd(o Outcome) proving.Outcome {
 	switch o {
 	case Served:
 		return proving.Served
 	case Rejected:
-		return proving.Turned
+		return proving.Rejected
 	case NotSent, Canceled:
-		return proving.Void
+		return proving.NoEvidence
 	}
 	return proving.Failed
 }
 
 // await has a request wait for a server to prove itself, where one may in time, and else gives it up.
 func (b *Balancer) waitForProbation(r *request) {
-	r.probationUntil = b.probation.By(r.probationRequest(), b.now, r.deadline-2*b.settings.Tick)
+	r.probationUntil = b.probation.WaitDeadline(r.probationRequest(), b.now, r.deadline-2*b.settings.Tick)
 	ask := r.probationRequest()
-	if !b.probation.Worth(ask, b.now) || !b.mayProveInTime(r) {
+	if !b.probation.ShouldWait(ask, b.now) || !b.mayProveInTime(r) {
 		b.rejectOrFail(r)
 		return
 	}
-	wait := ask.Pause(b.now, b.settings.Tick)
+	wait := ask.RecheckDelay(b.now, b.settings.Tick)
 	r.waiting, r.waitUntil = true, b.now+wait
 	b.setTimer(wait, r.id, timerRetry)
 }
@@ -107,7 +107,7 @@
 func (b *Balancer) mayProveInTime(r *request) bool {
 	var seen proving.Outlook
 	for _, s := range b.ring.Members() {
-		seen.See(s.probation, s.probation == nil || b.isPermitted(r, s), r.probationUntil)
+		seen.Add(s.probation, s.probation == nil || b.isPermitted(r, s), r.probationUntil)
 	}
-	return seen.Hope()
+	return seen.MayHaveCapacity()
 }
--- a/decide/view.go
+++ b/decide/view.go
@@ -6,7 +6,7 @@
 // damped, or passed over for turning requests away. What drains or is gone is not among them.
 func (b *Balancer) EjectedServers() (n int) {
 	for _, s := range b.servers {
-		if s.State == Ready && (s.outlier.IsDown() || b.now < s.dampedUntil || s.outlier.NotNow(b.now)) {
+		if s.State == Ready && (s.outlier.IsEjected() || b.now < s.dampedUntil || s.outlier.IsAvoided(b.now)) {
 			n++
 		}
 	}
--- a/decide/view_test.go
+++ b/decide/view_test.go
@@ -17,14 +17,14 @@
 		set.Balancers = balancers
 		b := start(t, set, list(6))
 		now, wait := time.Minute, time.Duration(0)
-		for range asking.Doubled + 1 {
+		for range asking.MaxDoublings + 1 {
 			now += time.Hour
 			timer := find(b.Step(now, &ServerListUpdate{Kind: UpdateFailed}), SetTimer)
 			require.NotNil(t, timer)
 			wait = timer.After
 			b.Step(now+wait, &TimerDue{Tag: timer.Tag})
 		}
-		most := each * float64(asking.Least<<asking.Doubled)
+		most := each * float64(asking.MinDelay<<asking.MaxDoublings)
 		require.GreaterOrEqual(t, float64(wait), most/2)
 		require.LessOrEqual(t, float64(wait), most*3/2)
 	}
--- a/decide/zones_test.go
+++ b/decide/zones_test.go
@@ -76,9 +76,9 @@
 		}
 	}
 	end("z0", AttemptDone{Outcome: Served})
-	end("z1", AttemptDone{Outcome: ConnectFailed, Evidence: health.Evidence{Refused: true}})
-	end("z1", AttemptDone{Outcome: ConnectFailed, Evidence: health.Evidence{Ours: true}})
-	require.False(t, b.zoneReach.Doubtful("z1"))
+	end("z1", AttemptDone{Outcome: ConnectFailed, Evidence: health.Evidence{ConnectionRefused: true}})
+	end("z1", AttemptDone{Outcome: ConnectFailed, Evidence: health.Evidence{LocalShortage: true}})
+	require.False(t, b.zoneReach.IsDoubtful("z1"))
 	end("z1", AttemptDone{Outcome: ConnectFailed})
-	require.True(t, b.zoneReach.Cut("z1"))
+	require.True(t, b.zoneReach.IsUnreachable("z1"))
 }
--- a/health/evidence.go
+++ b/health/evidence.go
@@ -8,18 +8,18 @@
 
 import "time"
 
-// End is how an attempt ended, as its outcome alone tells.
-type End uint8
+// Outcome is how an attempt ended, as its outcome alone tells.
+type Outcome uint8
 
 // The ends.
 const (
-	Answered   End = iota
-	Errored        // the server said that it failed
-	TurnedAway     // the server would not begin it: never ran
-	TimedOut       // no answer when its time was up
-	Unsent         // no connection came up, or it broke before the last byte was written: never ran
-	Lost           // the connection ended after that
-	Void           // called off, or never tried: says nothing
+	Answered       Outcome = iota
+	ServerError            // the server said that it failed
+	Rejected               // the server would not begin it: never ran
+	TimedOut               // no answer when its time was up
+	NotSent                // no connection came up, or it broke before the last byte was written: never ran
+	ConnectionLost         // the connection ended after that
+	NoEvidence             // called off, or never tried: says nothing
 )
 
 // Phase is how far an attempt came.
@@ -27,86 +27,86 @@
 
 // The phases.
 const (
-	Unknown    Phase = iota
-	Connecting       // no connection came up
-	Writing          // it was not written whole
-	Awaiting         // written whole, and nothing of an answer came
-	Answering        // within the answer
+	PhaseUnknown    Phase = iota
+	PhaseConnecting       // no connection came up
+	PhaseWriting          // it was not written whole
+	PhaseAwaiting         // written whole, and nothing of an answer came
+	PhaseAnswering        // within the answer
 )
 
 // Evidence is what the transport knows of an attempt beyond its outcome. The zero value says nothing, as the
 // simulator's adapter must.
 type Evidence struct {
-	Phase   Phase
-	Reused  bool          // the connection had carried an attempt before
-	Idle    time.Duration // for how long it had then stood idle
-	Refused bool          // the machine answered that nothing listens there
-	Ours    bool          // the agent itself was short of something, such as descriptors
-	Late    time.Duration // by how much the agent was late to act when the attempt's time was up
+	Phase             Phase
+	ConnectionReused  bool          // the connection had carried an attempt before
+	IdleFor           time.Duration // for how long it had then stood idle
+	ConnectionRefused bool          // the machine answered that nothing listens there
+	LocalShortage     bool          // the agent itself was short of something, such as descriptors
+	ActedLateBy       time.Duration // by how much the agent was late to act when the attempt's time was up
 }
 
 // cause is what an attempt's end is evidence of. The causes are weighed apart.
 type cause uint8
 
 const (
-	refused     cause = iota // a dead process on a live machine: hardly ever by chance
-	unconnected              // a connect that never came up
-	stale                    // a reset of a reused connection that had stood idle: likely the connection's fault
-	reset                    // the connection broke on the way or in the answer
-	errored
-	spoilt
-	silent  // no answer to anything, for longer than its answers take
-	waiting // no answer in time, by a server that answers others, or answers slowly
-	turned
-	causes
-	none // no evidence against the server: answered, void, or the agent's own fault
+	causeConnectionRefused cause = iota // a dead process on a live machine: hardly ever by chance
+	causeConnectTimeout                 // a connect that never came up
+	causeStaleConnection                // a reset of a reused connection that had stood idle: likely the connection's fault
+	causeConnectionReset                // the connection broke on the way or in the answer
+	causeServerError
+	causeInvalidResponse
+	causeNoResponse   // no answer to anything, for longer than its answers take
+	causeLateResponse // no answer in time, by a server that answers others, or answers slowly
+	causeRejected
+	causeCount
+	causeNone // no evidence against the server: answered, void, or the agent's own fault
 )
 
 // Below these shares nothing is taken for usual, so that the first failures after a quiet hour prove little
 // by themselves: two refused connects, or three failures of another cause, take a server down.
-var leastUsual = [causes]float64{
-	refused: 0.0008, unconnected: 0.007, stale: 0.3, reset: 0.007,
-	errored: 0.007, spoilt: 0.007, silent: 0.007, waiting: 0.02, turned: 0.02,
+var minUsualRatio = [causeCount]float64{
+	causeConnectionRefused: 0.0008, causeConnectTimeout: 0.007, causeStaleConnection: 0.3, causeConnectionReset: 0.007,
+	causeServerError: 0.007, causeInvalidResponse: 0.007, causeNoResponse: 0.007, causeLateResponse: 0.02, causeRejected: 0.02,
 }
 
-var words = [causes]string{
-	refused: "refused", unconnected: "not connected", stale: "lost while idle",
-	reset: "reset", errored: "failed", spoilt: "spoilt", silent: "unanswered", waiting: "late",
-	turned: "turned away",
+var causeNames = [causeCount]string{
+	causeConnectionRefused: "refused", causeConnectTimeout: "not connected", causeStaleConnection: "lost while idle",
+	causeConnectionReset: "reset", causeServerError: "failed", causeInvalidResponse: "spoilt", causeNoResponse: "unanswered", causeLateResponse: "late",
+	causeRejected: "turned away",
 }
 
 const (
-	staleIdle = 50 * time.Millisecond  // a connection that stood idle for less was surely still alive
-	lateMost  = 100 * time.Millisecond // an agent that wakes up later than this proves nothing about others
-	quickPart = 0.25                   // of the wait allowed: a connect that failed sooner was refused
+	staleAfterIdle       = 50 * time.Millisecond  // a connection that stood idle for less was surely still alive
+	maxLateness          = 100 * time.Millisecond // an agent that wakes up later than this proves nothing about others
+	quickFailureFraction = 0.25                   // of the wait allowed: a connect that failed sooner was refused
 )
 
 // cause weighs the end of an attempt. Without word from the transport a quick failure to connect is taken for
 // a refused one. Whether a time-out is silence or waiting is for the detector
 // to tell. The times are in seconds.
-func (e *Evidence) cause(end End, took, allowed float64) cause {
+func (e *Evidence) cause(end Outcome, took, allowed float64) cause {
 	switch {
-	case e.Ours || e.Late > lateMost:
-		return none
-	case end == Errored && e.Phase == Answering:
-		return spoilt
-	case end == Errored:
-		return errored
-	case end == TurnedAway:
-		return turned
-	case end == TimedOut && e.Phase == Connecting:
-		return unconnected
+	case e.LocalShortage || e.ActedLateBy > maxLateness:
+		return causeNone
+	case end == ServerError && e.Phase == PhaseAnswering:
+		return causeInvalidResponse
+	case end == ServerError:
+		return causeServerError
+	case end == Rejected:
+		return causeRejected
+	case end == TimedOut && e.Phase == PhaseConnecting:
+		return causeConnectTimeout
 	case end == TimedOut:
-		return silent
-	case end == Unsent && e.Phase == Writing || end == Lost:
-		if e.Reused && e.Idle >= staleIdle && e.Phase != Answering {
-			return stale
+		return causeNoResponse
+	case end == NotSent && e.Phase == PhaseWriting || end == ConnectionLost:
+		if e.ConnectionReused && e.IdleFor >= staleAfterIdle && e.Phase != PhaseAnswering {
+			return causeStaleConnection
 		}
-		return reset
-	case end == Unsent && (e.Refused || e.Phase == Unknown && took < quickPart*allowed):
-		return refused
-	case end == Unsent:
-		return unconnected
+		return causeConnectionReset
+	case end == NotSent && (e.ConnectionRefused || e.Phase == PhaseUnknown && took < quickFailureFraction*allowed):
+		return causeConnectionRefused
+	case end == NotSent:
+		return causeConnectTimeout
 	}
-	return none
+	return causeNone
 }
--- a/health/golden_test.go
+++ b/health/golden_test.go
@@ -28,14 +28,14 @@
 }
 
 // goldenMemory has a value in every field.
-func goldenMemory() Memory {
-	return Memory{
+func goldenMemory() Snapshot {
+	return Snapshot{
 		6.5,
 		[2]float64{1.25, 2.5},
 		true, true, true, 90 * time.Second, 3, "3 of 3 refused, usual 0%", 4.75,
 		400 * time.Millisecond, 250 * time.Millisecond, 120.5,
 		[]float64{1, 2, 3, 4, 5, 6, 7, 8, 9},
-		[]LaneMemory{{1, 3.5, 2, false}, {4, 18.25, 7, true}},
+		[]ClassSnapshot{{1, 3.5, 2, false}, {4, 18.25, 7, true}},
 	}
 }
 
@@ -44,21 +44,21 @@
 func TestMemoryGolden(t *testing.T) {
 	enc, err := cbor.EncOptions{Sort: cbor.SortCoreDeterministic, ShortestFloat: cbor.ShortestFloat16}.EncMode()
 	require.NoError(t, err)
-	for name, m := range map[string]Memory{"memory": goldenMemory(), "memory-empty": {}} {
+	for name, m := range map[string]Snapshot{"memory": goldenMemory(), "memory-empty": {}} {
 		t.Run(name, func(t *testing.T) {
 			raw, err := enc.Marshal(m)
 			require.NoError(t, err)
-			var back Memory
+			var back Snapshot
 			require.NoError(t, cbor.Unmarshal(checkGolden(t, name+".cbor", raw), &back))
 			require.Equal(t, m, back)
 			shown, err := json.MarshalIndent(m, "", " ")
 			require.NoError(t, err)
-			back = Memory{}
+			back = Snapshot{}
 			require.NoError(t, json.Unmarshal(checkGolden(t, name+".json", append(shown, '\n')), &back))
 			require.Equal(t, m, back)
 		})
 	}
 	// The order of the causes is that of ends_by_cause.
 	require.Equal(t, []cause{0, 1, 2, 3, 4, 5, 6, 7, 8, 9},
-		[]cause{refused, unconnected, stale, reset, errored, spoilt, silent, waiting, turned, causes})
+		[]cause{causeConnectionRefused, causeConnectTimeout, causeStaleConnection, causeConnectionReset, causeServerError, causeInvalidResponse, causeNoResponse, causeLateResponse, causeRejected, causeCount})
 }
--- a/health/health_test.go
+++ b/health/health_test.go
@@ -27,7 +27,7 @@
 	down         bool
 }
 
-func (c *counting) end(now, at time.Duration, end End) (changed bool) {
+func (c *counting) end(now, at time.Duration, end Outcome) (changed bool) {
 	c.sent++
 	if end == Answered {
 		c.lastServed, c.failures = now, 0
@@ -35,7 +35,7 @@
 		return changed
 	}
 	c.failed++
-	if c.failures++; end == Lost || end == Unsent {
+	if c.failures++; end == ConnectionLost || end == NotSent {
 		c.failures += 0.5
 	}
 	if !c.down && c.failures >= 3 && c.lastServed <= at {
@@ -57,7 +57,7 @@
 type stream struct {
 	rate, noise float64
 	trouble     time.Duration
-	bad         func(rng *rand.Rand) (End, time.Duration)
+	bad         func(rng *rand.Rand) (Outcome, time.Duration)
 	silent      bool
 }
 
@@ -70,17 +70,17 @@
 	var records [servers]*Server
 	var counts [servers]counting
 	for i := range records {
-		records[i] = d.Join()
-		d.Place(records[i], true, false)
+		records[i] = d.AddServer()
+		d.SetPlacement(records[i], true, false)
 	}
 	step := time.Duration(float64(time.Second) / st.rate / servers)
 	round := time.Second
 	for now := time.Duration(0); now < long; now += step {
 		if now >= round {
 			round += time.Second
-			d.Round()
+			d.EndRound()
 			for i, s := range records {
-				downs := d.Judge(now, s) == WentDown
+				downs := d.Reevaluate(now, s) == ServerEjected
 				if old {
 					downs = counts[i].round(now)
 				}
@@ -92,7 +92,7 @@
 		i := rng.IntN(servers)
 		s, c := records[i], &counts[i]
 		troubled := i == 0 && st.bad != nil && now >= st.trouble
-		down := s.down
+		down := s.isEjected
 		if old {
 			down = c.down
 		}
@@ -107,7 +107,7 @@
 		}
 		end, lasted := Answered, time.Duration(rng.ExpFloat64()*float64(60*ms))+5*ms
 		if rng.Float64() < st.noise {
-			end = Lost
+			end = ConnectionLost
 		} else if lasted > limit {
 			end, lasted = TimedOut, limit
 		}
@@ -118,8 +118,8 @@
 			}
 		}
 		if !old {
-			a := Attempt{At: now - lasted, allowed: 0.5}
-			if ch := d.End(now, s, a, end, lasted, &Evidence{}); ch == WentDown && !troubled {
+			a := Attempt{StartedAt: now - lasted, timeout: 0.5}
+			if ch := d.AttemptEnded(now, s, a, end, lasted, &Evidence{}); ch == ServerEjected && !troubled {
 				falseDowns++
 			}
 		} else if c.end(now, now-lasted, end) && c.down && !troubled {
@@ -132,11 +132,11 @@
 // The table of the design note: false downs for each server and hour, and how soon a server in trouble is found,
 // by the counting of before and by the detector. -v prints it.
 func TestTableOfEvidence(t *testing.T) {
-	silence := func(*rand.Rand) (End, time.Duration) { return TimedOut, limit }
-	refusal := func(*rand.Rand) (End, time.Duration) { return Unsent, ms }
-	third := func(rng *rand.Rand) (End, time.Duration) {
+	silence := func(*rand.Rand) (Outcome, time.Duration) { return TimedOut, limit }
+	refusal := func(*rand.Rand) (Outcome, time.Duration) { return NotSent, ms }
+	third := func(rng *rand.Rand) (Outcome, time.Duration) {
 		if rng.Float64() < 0.36 {
-			return Errored, 3 * ms
+			return ServerError, 3 * ms
 		}
 		return Answered, 0
 	}
@@ -152,7 +152,7 @@
 				if !old && noise <= 0.08 {
 					assert.LessOrEqual(t, perHour, 1.0, "%s false downs", row)
 				}
-				for i, bad := range []func(*rand.Rand) (End, time.Duration){silence, refusal, third} {
+				for i, bad := range []func(*rand.Rand) (Outcome, time.Duration){silence, refusal, third} {
 					name := []string{"silent", "refuses", "36%"}[i]
 					worst, sum, seconds := 0, 0, 0.0
 					for seed := range uint64(20) {
@@ -202,7 +202,7 @@
 	at    time.Duration
 	to    *place
 	noted Attempt
-	end   End
+	end   Outcome
 	ev    Evidence
 }
 
@@ -221,8 +221,8 @@
 func newFleet(n int, rate float64) *fleet {
 	f := &fleet{d: New(limit, 2), rng: rand.New(rand.NewPCG(3, 4)), rate: rate, swings: map[*place]int{}}
 	for range n {
-		p := &place{Server: f.d.Join(), speed: 1}
-		f.d.Place(p.Server, true, false)
+		p := &place{Server: f.d.AddServer(), speed: 1}
+		f.d.SetPlacement(p.Server, true, false)
 		f.servers = append(f.servers, p)
 	}
 	return f
@@ -233,12 +233,12 @@
 	class := f.rng.IntN(4) / 3
 	p := f.servers[f.rng.IntN(len(f.servers))]
 	for range 50 {
-		if f.d.Verdict(p.Server, class) != Down || f.d.Doubt() != "" || f.rng.Float64() < 0.05 {
+		if f.d.Verdict(p.Server, class) != Ejected || f.d.DistrustReason() != "" || f.rng.Float64() < 0.05 {
 			break
 		}
 		p = f.servers[f.rng.IntN(len(f.servers))]
 	}
-	o := outcome{to: p, noted: f.d.Start(f.now, p.Server, class, limit)}
+	o := outcome{to: p, noted: f.d.AttemptStarted(f.now, p.Server, class, limit)}
 	core := &p.free[0]
 	for i := range p.free {
 		if p.free[i] < *core {
@@ -249,17 +249,17 @@
 	o.at, o.end = done, Answered
 	switch {
 	case p.refuse != nil && p.refuse(f.now):
-		o.at, o.end, o.ev = f.now+ms, Unsent, Evidence{Phase: Connecting, Refused: true}
+		o.at, o.end, o.ev = f.now+ms, NotSent, Evidence{Phase: PhaseConnecting, ConnectionRefused: true}
 	case p.silent != nil && (p.silent(f.now, class) || p.silent(done, class)):
-		o.at, o.end, o.ev = f.now+limit, TimedOut, Evidence{Phase: Awaiting}
+		o.at, o.end, o.ev = f.now+limit, TimedOut, Evidence{Phase: PhaseAwaiting}
 	case f.rng.Float64() < f.noise:
-		o.at, o.end, o.ev = f.now+20*ms, Lost, Evidence{Phase: Awaiting}
+		o.at, o.end, o.ev = f.now+20*ms, ConnectionLost, Evidence{Phase: PhaseAwaiting}
 	case f.rng.Float64() < p.fails:
-		o.at, o.end = f.now+3*ms, Errored
+		o.at, o.end = f.now+3*ms, ServerError
 	default:
 		*core = done
 		if done-f.now > limit {
-			o.at, o.end, o.ev = f.now+limit, TimedOut, Evidence{Phase: Awaiting}
+			o.at, o.end, o.ev = f.now+limit, TimedOut, Evidence{Phase: PhaseAwaiting}
 		}
 	}
 	heap.Push(&f.pending, o)
@@ -272,7 +272,7 @@
 		for len(f.pending) > 0 && f.pending[0].at <= next {
 			o := heap.Pop(&f.pending).(outcome)
 			f.turn(o.at)
-			if ch := f.d.End(o.at, o.to.Server, o.noted, o.end, o.at-o.noted.At, &o.ev); ch == WentDown {
+			if ch := f.d.AttemptEnded(o.at, o.to.Server, o.noted, o.end, o.at-o.noted.StartedAt, &o.ev); ch == ServerEjected {
 				f.swings[o.to]++
 			}
 		}
@@ -287,9 +287,9 @@
 // turn ends a round where a second is over.
 func (f *fleet) turn(now time.Duration) {
 	if int(now/time.Second) >= f.d.round {
-		f.d.Round()
+		f.d.EndRound()
 		for _, p := range f.servers {
-			if f.d.Judge(now, p.Server) == WentDown {
+			if f.d.Reevaluate(now, p.Server) == ServerEjected {
 				f.swings[p]++
 			}
 		}
@@ -298,7 +298,7 @@
 
 func (f *fleet) downs() (n int) {
 	for _, p := range f.servers {
-		n += one(p.down)
+		n += countTrue(p.isEjected)
 	}
 	return n
 }
@@ -327,7 +327,7 @@
 	require.Zero(t, f.downs())
 	f.until(11500*ms, nil)
 	for _, p := range f.servers[:3] {
-		assert.True(t, p.down)
+		assert.True(t, p.isEjected)
 	}
 	worst, sum := 0, 0
 	f.until(30*time.Second, func() { worst, sum = max(worst, f.downs()), sum+f.downs() })
@@ -349,22 +349,22 @@
 	f.until(10*time.Second, nil)
 	f.servers[0].fails = 0.36
 	f.until(14*time.Second, nil)
-	require.True(t, f.servers[0].down)
-	assert.Greater(t, f.servers[0].asked, 2, "one served trial proves nothing about two failures in five")
+	require.True(t, f.servers[0].isEjected)
+	assert.Greater(t, f.servers[0].probesRequired, 2, "one served trial proves nothing about two failures in five")
 	f.servers[0].fails = 0
 	f.until(40*time.Second, nil)
-	assert.False(t, f.servers[0].down)
+	assert.False(t, f.servers[0].isEjected)
 }
 
 func TestHangsOnOneClass(t *testing.T) {
 	f := newFleet(13, 13*15)
 	f.servers[0].silent = func(at time.Duration, class int) bool { return class == 1 && at > 10*time.Second }
 	f.until(16*time.Second, nil)
-	assert.Equal(t, Down, f.d.Verdict(f.servers[0].Server, 1))
-	assert.NotEqual(t, Down, f.d.Verdict(f.servers[0].Server, 0))
+	assert.Equal(t, Ejected, f.d.Verdict(f.servers[0].Server, 1))
+	assert.NotEqual(t, Ejected, f.d.Verdict(f.servers[0].Server, 0))
 	f.servers[0].silent = nil
 	f.until(40*time.Second, nil)
-	assert.NotEqual(t, Down, f.d.Verdict(f.servers[0].Server, 1))
+	assert.NotEqual(t, Ejected, f.d.Verdict(f.servers[0].Server, 1))
 }
 
 // A zone cut off, and all at once, by an agent that sends little and by one that sends much.
@@ -377,13 +377,13 @@
 			}
 			f.until(31*time.Second, nil)
 			if n == 15 {
-				assert.Contains(t, f.d.Doubt(), "silent at once", "rate %v", rate)
+				assert.Contains(t, f.d.DistrustReason(), "silent at once", "rate %v", rate)
 			} else {
-				assert.Empty(t, f.d.Doubt())
+				assert.Empty(t, f.d.DistrustReason())
 				assert.GreaterOrEqual(t, f.downs(), 3, "rate %v", rate)
 			}
 			f.until(time.Minute, nil)
-			assert.Empty(t, f.d.Doubt())
+			assert.Empty(t, f.d.DistrustReason())
 			assert.LessOrEqual(t, f.downs(), 1, "%d silent, rate %v: still down long after", n, rate)
 		}
 	}
@@ -397,15 +397,15 @@
 	}
 	f.until(10*time.Second, nil)
 	assert.Equal(t, 9, f.downs())
-	assert.Empty(t, f.d.Doubt())
+	assert.Empty(t, f.d.DistrustReason())
 
 	d := New(limit, 1)
-	s := d.Join()
+	s := d.AddServer()
 	for range 100 {
-		d.End(time.Second, s, Attempt{}, Unsent, ms, &Evidence{Ours: true})
-		d.End(time.Second, s, Attempt{}, TimedOut, limit, &Evidence{Late: time.Second})
+		d.AttemptEnded(time.Second, s, Attempt{}, NotSent, ms, &Evidence{LocalShortage: true})
+		d.AttemptEnded(time.Second, s, Attempt{}, TimedOut, limit, &Evidence{ActedLateBy: time.Second})
 	}
-	assert.Equal(t, Well, d.Verdict(s, 0))
+	assert.Equal(t, Healthy, d.Verdict(s, 0))
 }
 
 // Dies, comes back and dies; then restarts at its address: the evidence of the last process is forgotten.
@@ -414,70 +414,72 @@
 	p := f.servers[0]
 	p.refuse = func(at time.Duration) bool { return at > 5*time.Second && at < 9*time.Second || at > 20*time.Second }
 	f.until(6*time.Second, nil)
-	require.True(t, p.down)
-	assert.Contains(t, p.Because(), "refused")
+	require.True(t, p.isEjected)
+	assert.Contains(t, p.Reason(), "refused")
 	f.until(19*time.Second, nil)
-	require.False(t, p.down)
+	require.False(t, p.isEjected)
 	f.until(21*time.Second, nil)
-	require.True(t, p.down)
-	f.d.Restarted(p.Server)
+	require.True(t, p.isEjected)
+	f.d.ServerRestarted(p.Server)
 	p.refuse = nil
-	a := f.d.Start(f.now, p.Server, 0, limit)
+	a := f.d.AttemptStarted(f.now, p.Server, 0, limit)
 	f.turn(f.now + 2*time.Second)
-	assert.Equal(t, CameUp, f.d.End(f.now+2*time.Second, p.Server, a, Answered, 20*ms, &Evidence{}))
-	assert.Zero(t, p.dead)
+	assert.Equal(t, ServerReadmitted, f.d.AttemptEnded(f.now+2*time.Second, p.Server, a, Answered, 20*ms, &Evidence{}))
+	assert.Zero(t, p.deadEvidence)
 }
 
 func TestTurnedAwayIsNotNow(t *testing.T) {
 	d := New(limit, 1)
-	s, other := d.Join(), d.Join()
+	s, other := d.AddServer(), d.AddServer()
 	now := time.Second
-	end := func(s *Server, e End) { d.End(now, s, d.Start(now, s, 0, limit), e, ms, &Evidence{}) }
-	end(s, TurnedAway)
-	assert.False(t, s.NotNow(now), "once is nothing")
-	end(s, TurnedAway)
-	require.True(t, s.NotNow(now))
-	assert.Equal(t, Well, d.Verdict(s, 0), "it is not dead")
+	end := func(s *Server, e Outcome) {
+		d.AttemptEnded(now, s, d.AttemptStarted(now, s, 0, limit), e, ms, &Evidence{})
+	}
+	end(s, Rejected)
+	assert.False(t, s.IsAvoided(now), "once is nothing")
+	end(s, Rejected)
+	require.True(t, s.IsAvoided(now))
+	assert.Equal(t, Healthy, d.Verdict(s, 0), "it is not dead")
 	for _, hold := range []time.Duration{200 * ms, 400 * ms, 800 * ms, 1600 * ms, 2 * time.Second, 2 * time.Second} {
-		assert.True(t, s.NotNow(now+hold-1))
-		require.False(t, s.NotNow(now+hold))
+		assert.True(t, s.IsAvoided(now+hold-1))
+		require.False(t, s.IsAvoided(now+hold))
 		now += hold
-		trial := d.Start(now, s, 0, limit)
-		assert.True(t, s.NotNow(now), "while the trial is out")
-		d.End(now, s, trial, TurnedAway, ms, &Evidence{})
+		trial := d.AttemptStarted(now, s, 0, limit)
+		assert.True(t, s.IsAvoided(now), "while the trial is out")
+		d.AttemptEnded(now, s, trial, Rejected, ms, &Evidence{})
 	}
 	now += 2 * time.Second
 	for range 8 {
 		end(s, Answered)
 	}
-	assert.False(t, s.NotNow(now))
+	assert.False(t, s.IsAvoided(now))
 	end(other, Answered)
-	assert.False(t, other.NotNow(now))
+	assert.False(t, other.IsAvoided(now))
 }
 
 // Every cause is weighed apart: how many in a row take a server down at a quiet time.
 func TestCausesWeighDifferently(t *testing.T) {
-	idle := Evidence{Phase: Awaiting, Reused: true, Idle: 3 * time.Second}
+	idle := Evidence{Phase: PhaseAwaiting, ConnectionReused: true, IdleFor: 3 * time.Second}
 	for _, c := range []struct {
 		name   string
-		end    End
+		end    Outcome
 		ev     Evidence
 		needed int
 	}{
-		{"refused", Unsent, Evidence{Phase: Connecting, Refused: true}, 2},
-		{"a connect that never comes up", Unsent, Evidence{Phase: Connecting}, 3},
-		{"reset in the answer", Lost, Evidence{Phase: Answering, Reused: true, Idle: time.Second}, 3},
-		{"reset after standing idle", Lost, idle, 12},
-		{"an error", Errored, Evidence{Phase: Awaiting}, 3},
-		{"spoilt", Errored, Evidence{Phase: Answering}, 3},
-		{"silence", TimedOut, Evidence{Phase: Awaiting}, 3},
+		{"refused", NotSent, Evidence{Phase: PhaseConnecting, ConnectionRefused: true}, 2},
+		{"a connect that never comes up", NotSent, Evidence{Phase: PhaseConnecting}, 3},
+		{"reset in the answer", ConnectionLost, Evidence{Phase: PhaseAnswering, ConnectionReused: true, IdleFor: time.Second}, 3},
+		{"reset after standing idle", ConnectionLost, idle, 12},
+		{"an error", ServerError, Evidence{Phase: PhaseAwaiting}, 3},
+		{"spoilt", ServerError, Evidence{Phase: PhaseAnswering}, 3},
+		{"silence", TimedOut, Evidence{Phase: PhaseAwaiting}, 3},
 	} {
 		d := New(limit, 1)
-		s := d.Join()
-		d.End(time.Second, s, d.Start(time.Second-50*ms, s, 0, limit), Answered, 50*ms, &Evidence{})
+		s := d.AddServer()
+		d.AttemptEnded(time.Second, s, d.AttemptStarted(time.Second-50*ms, s, 0, limit), Answered, 50*ms, &Evidence{})
 		n, now := 0, 2*time.Second
-		for ; !s.down && n < 50; n++ {
-			d.End(now+limit, s, d.Start(now, s, 0, limit), c.end, limit, &c.ev)
+		for ; !s.isEjected && n < 50; n++ {
+			d.AttemptEnded(now+limit, s, d.AttemptStarted(now, s, 0, limit), c.end, limit, &c.ev)
 			now += limit
 		}
 		assert.Equal(t, c.needed, n, c.name)
@@ -490,26 +492,26 @@
 	for range rapid.IntRange(0, 300).Draw(t, "events") {
 		now += time.Duration(rapid.IntRange(0, 400).Draw(t, "wait")) * ms
 		if rapid.IntRange(0, 9).Draw(t, "round") == 0 {
-			d.Round()
-			each(nil, Same)
+			d.EndRound()
+			each(nil, Unchanged)
 			for _, s := range servers {
-				each(s, d.Judge(now, s))
+				each(s, d.Reevaluate(now, s))
 			}
 			continue
 		}
 		s := rapid.SampledFrom(servers).Draw(t, "server")
-		a := d.Start(now-time.Duration(rapid.IntRange(1, 500).Draw(t, "took"))*ms, s, rapid.IntRange(-1, 2).Draw(t, "class"), limit)
-		ev := Evidence{Phase: Phase(rapid.IntRange(0, 4).Draw(t, "phase")), Refused: rapid.Bool().Draw(t, "refused")}
-		each(s, d.End(now, s, a, End(rapid.IntRange(0, int(Void)).Draw(t, "end")), now-a.At, &ev))
+		a := d.AttemptStarted(now-time.Duration(rapid.IntRange(1, 500).Draw(t, "took"))*ms, s, rapid.IntRange(-1, 2).Draw(t, "class"), limit)
+		ev := Evidence{Phase: Phase(rapid.IntRange(0, 4).Draw(t, "phase")), ConnectionRefused: rapid.Bool().Draw(t, "refused")}
+		each(s, d.AttemptEnded(now, s, a, Outcome(rapid.IntRange(0, int(NoEvidence)).Draw(t, "end")), now-a.StartedAt, &ev))
 	}
 	return now
 }
 
 func few() (*Detector, []*Server) {
 	d := New(limit, 2)
-	servers := []*Server{d.Join(), d.Join(), d.Join(), d.Join()}
+	servers := []*Server{d.AddServer(), d.AddServer(), d.AddServer(), d.AddServer()}
 	for _, s := range servers {
-		d.Place(s, true, false)
+		d.SetPlacement(s, true, false)
 	}
 	return d, servers
 }
@@ -522,17 +524,17 @@
 			if s == nil {
 				clear(swung)
 			}
-			if ch == WentDown || ch == CameUp {
+			if ch == ServerEjected || ch == ServerReadmitted {
 				require.False(t, swung[s], "two swings in a round")
 				swung[s] = true
 			}
 		})
 		for i := range 20 {
-			d.Round()
+			d.EndRound()
 			for _, s := range servers {
-				ch := d.Judge(now, s)
-				require.True(t, i == 0 || ch == Same, "a change without evidence")
-				d.End(now, s, d.Start(now, s, 0, limit), Void, ms, &Evidence{})
+				ch := d.Reevaluate(now, s)
+				require.True(t, i == 0 || ch == Unchanged, "a change without evidence")
+				d.AttemptEnded(now, s, d.AttemptStarted(now, s, 0, limit), NoEvidence, ms, &Evidence{})
 			}
 		}
 	}))
@@ -541,34 +543,34 @@
 		now := history(t, d, servers, func(*Server, Change) {})
 		s := servers[0]
 		for range 30 {
-			before, part := d.Verdict(s, 0), s.part
-			end := rapid.SampledFrom([]End{Errored, TimedOut, Unsent, Lost}).Draw(t, "end")
-			d.End(now, s, d.Start(now-limit, s, 0, limit), end, limit, &Evidence{})
+			before, part := d.Verdict(s, 0), s.partialEvidence
+			end := rapid.SampledFrom([]Outcome{ServerError, TimedOut, NotSent, ConnectionLost}).Draw(t, "end")
+			d.AttemptEnded(now, s, d.AttemptStarted(now-limit, s, 0, limit), end, limit, &Evidence{})
 			require.GreaterOrEqual(t, d.Verdict(s, 0), before)
-			require.False(t, s.part[0] < part[0] || s.part[1] < part[1])
+			require.False(t, s.partialEvidence[0] < part[0] || s.partialEvidence[1] < part[1])
 		}
 	}))
 	t.Run("what is gone is forgotten", rapid.MakeCheck(func(t *rapid.T) {
 		d, servers := few()
 		now := history(t, d, servers, func(*Server, Change) {})
 		gone, rest := servers[0], servers[1:]
-		late := d.Start(now, gone, 0, limit)
-		d.Forget(gone)
-		var sum shares
+		late := d.AttemptStarted(now, gone, 0, limit)
+		d.RemoveServer(gone)
+		var sum decayingCounts
 		for _, s := range rest {
-			sum.all += s.recent.all
+			sum.total += s.recent.total
 		}
-		require.InDelta(t, sum.all, d.fleet.all, 1e-6)
+		require.InDelta(t, sum.total, d.fleet.total, 1e-6)
 		copies := make([]Server, len(rest))
 		for i, s := range rest {
 			copies[i] = *s
 		}
 		fleet := d.fleet
-		require.Equal(t, Same, d.End(now, gone, late, Lost, ms, &Evidence{}))
+		require.Equal(t, Unchanged, d.AttemptEnded(now, gone, late, ConnectionLost, ms, &Evidence{}))
 		require.Equal(t, fleet, d.fleet)
 		for i, s := range rest {
 			require.True(t, reflect.DeepEqual(copies[i], *s))
 		}
-		require.Equal(t, Well, d.Verdict(d.Join(), 0))
+		require.Equal(t, Healthy, d.Verdict(d.AddServer(), 0))
 	}))
 }
--- a/internal/core/ending.go
+++ b/internal/core/ending.go
@@ -88,15 +88,15 @@
 // Evidence is what the route step tells the module beyond its outcome.
 func (s AttemptResult) Evidence() health.Evidence {
 	phase := [...]health.Phase{
-		Connecting: health.Connecting, StaleConnection: health.Connecting, Writing: health.Writing,
-		AwaitingResponse: health.Awaiting, Responding: health.Answering,
+		Connecting: health.PhaseConnecting, StaleConnection: health.PhaseConnecting, Writing: health.PhaseWriting,
+		AwaitingResponse: health.PhaseAwaiting, Responding: health.PhaseAnswering,
 	}[s.Phase]
 	if s.EndReason == Completed { // a whole answer that says 500 is an error, not a spoilt answer
-		phase = health.Awaiting
+		phase = health.PhaseAwaiting
 	}
 	return health.Evidence{
-		Phase: phase, Reused: s.Reused, Idle: s.IdleFor, Refused: s.Refused, Ours: s.LocalFault,
-		Late: s.LocalDelay,
+		Phase: phase, ConnectionReused: s.Reused, IdleFor: s.IdleFor, ConnectionRefused: s.Refused, LocalShortage: s.LocalFault,
+		ActedLateBy: s.LocalDelay,
 	}
 }
 
--- a/internal/core/list.go
+++ b/internal/core/list.go
@@ -379,7 +379,7 @@
 	switch {
 	case call == l.formerWatch:
 		l.formerWatch = 0 // the present one is still being tried
-		if word := watchEnd(err, true); word.End == asking.Silent && l.watchCall != 0 {
+		if word := watchEnd(err, true); word.End == asking.WatchSilent && l.watchCall != 0 {
 			word.Replaced = true
 			l.emit(ListOutput{Kind: ListUpdate, Update: decide.UpdateFailed, Watch: word})
 		}
@@ -388,9 +388,9 @@
 		word := watchEnd(err, call == l.watchCall && l.accepted)
 		switch {
 		case call == l.watchCall && l.outOfOrder:
-			word.End = asking.Unread
-		case call == l.watchCall && l.addressChanged && word.End == asking.Refused:
-			word.End = asking.Moved
+			word.End = asking.Unreadable
+		case call == l.watchCall && l.addressChanged && word.End == asking.CallFailed:
+			word.End = asking.AddressMoved
 		}
 		if call == l.watchCall { // nothing more is to be concluded from its silence
 			l.accepted = false
@@ -418,13 +418,13 @@
 	var unread *UnreadableError
 	switch {
 	case errors.As(err, &unread):
-		return decide.WatchStatus{End: asking.Unread}
+		return decide.WatchStatus{End: asking.Unreadable}
 	case !begun:
-		return decide.WatchStatus{End: asking.Refused}
+		return decide.WatchStatus{End: asking.CallFailed}
 	case errors.As(err, &silence):
-		return decide.WatchStatus{End: asking.Silent, SilentFor: silence.Duration}
+		return decide.WatchStatus{End: asking.WatchSilent, SilentFor: silence.Duration}
 	}
-	return decide.WatchStatus{End: asking.Lost}
+	return decide.WatchStatus{End: asking.WatchLost}
 }
 
 // watch begins a watch, from the version that is known.
--- a/internal/core/parts_test.go
+++ b/internal/core/parts_test.go
@@ -102,7 +102,7 @@
 	begins := func(call int, from int64, addr netip.AddrPort) ListOutput {
 		return ListOutput{Kind: StartCall, Call: call, Addr: addr, Request: protocol.ListRequest{Watch: true, FromVersion: from}}
 	}
-	failed := func(call error, end asking.End, w decide.WatchStatus) []ListOutput {
+	failed := func(call error, end asking.CallResult, w decide.WatchStatus) []ListOutput {
 		w.End = end
 		return []ListOutput{{Kind: CallFailed, Err: call}, {Kind: ListUpdate, Update: decide.UpdateFailed, Watch: w}}
 	}
@@ -125,12 +125,12 @@
 		{k(l.Watch()), []ListOutput{ends(1), begins(2, 44, here)}},
 		{k(l.CallReceived(1, at(50, false))), nil}, // not waited for any more
 		{k(l.CallEnded(1, cut)), nil},
-		{k(l.CallEnded(2, cut)), failed(cut, asking.Refused, decide.WatchStatus{})},
+		{k(l.CallEnded(2, cut)), failed(cut, asking.CallFailed, decide.WatchStatus{})},
 		{k(l.Watch()), []ListOutput{ends(2), begins(3, 44, here)}},
 		{k(l.SetAddress(here)), nil},
 		{k(l.SetAddress(there)), []ListOutput{begins(4, 44, there)}},
 		{k(l.CallReceived(3, at(45, false))), []ListOutput{news(decide.UpdateIncremental, at(45, false))}}, // until the new one begins
-		{k(l.CallEnded(4, cut)), failed(cut, asking.Moved, decide.WatchStatus{})},
+		{k(l.CallEnded(4, cut)), failed(cut, asking.AddressMoved, decide.WatchStatus{})},
 		{k(l.Watch()), []ListOutput{ends(4), begins(5, 45, there)}},                                        // the module tries again
 		{k(l.CallReceived(3, at(46, false))), []ListOutput{news(decide.UpdateIncremental, at(46, false))}}, // still
 		{k(l.SetAddress(here)), []ListOutput{ends(3), begins(6, 46, here)}},
@@ -142,7 +142,7 @@
 		{k(l.CallReceived(8, at(12, false))), []ListOutput{{Kind: ListOutOfOrder, Version: 12, KnownVersion: 46}, ends(8)}},
 		{k(l.CallReceived(8, at(47, false))), nil}, // it would make the next watch ask for what comes after only
 		{k(l.CallIdle(8)), nil}, // what it would confirm is not known
-		{k(l.CallEnded(8, cut)), failed(cut, asking.Unread, decide.WatchStatus{})},
+		{k(l.CallEnded(8, cut)), failed(cut, asking.Unreadable, decide.WatchStatus{})},
 		{k(l.Watch()), []ListOutput{ends(8), begins(9, 0, here)}},
 		{k(l.CallReceived(9, at(45, true))), []ListOutput{news(decide.UpdateFull, at(45, true))}},
 		{k(l.Fetch()), []ListOutput{{Kind: StartCall, Call: 10, Addr: here}}},
@@ -153,13 +153,13 @@
 		{k(l.SetAddress(there)), []ListOutput{begins(11, 45, there)}},
 		{k(l.CallEnded(9, mute)), []ListOutput{{
 			Kind: ListUpdate, Update: decide.UpdateFailed,
-			Watch: decide.WatchStatus{End: asking.Silent, SilentFor: time.Second, Replaced: true},
+			Watch: decide.WatchStatus{End: asking.WatchSilent, SilentFor: time.Second, Replaced: true},
 		}}}, // the clock runs from there on
 		{k(l.CallAccepted(11)), []ListOutput{takenUp}},
-		{k(l.CallEnded(11, mute)), failed(mute, asking.Silent, decide.WatchStatus{SilentFor: time.Second})},
+		{k(l.CallEnded(11, mute)), failed(mute, asking.WatchSilent, decide.WatchStatus{SilentFor: time.Second})},
 		{k(l.Watch()), []ListOutput{ends(11), begins(12, 45, there)}},
 		{k(l.CallAccepted(12)), []ListOutput{takenUp}},
-		{k(l.CallEnded(12, cut)), failed(cut, asking.Lost, decide.WatchStatus{})},
+		{k(l.CallEnded(12, cut)), failed(cut, asking.WatchLost, decide.WatchStatus{})},
 		{k(l.CallIdle(12)), nil}, // it ended instead of telling
 	} {
 		require.ElementsMatch(t, c.want, c.got, i)
@@ -270,14 +270,14 @@
 	}
 	require.Equal(t, decide.Canceled, AttemptResult{Phase: AwaitingResponse, EndReason: TimedOut, Progress: ResponseProgress{Complete: true}}.Outcome())
 	for saw, phase := range map[AttemptResult]health.Phase{
-		{EndReason: TimedOut}:                         health.Connecting,
-		{Phase: Writing, EndReason: BrokenByEndpoint}: health.Writing, {Phase: AwaitingResponse, EndReason: TimedOut}: health.Awaiting,
-		{Phase: Responding, EndReason: Completed, Response: decide.ServerError}: health.Awaiting, // a whole 500 is not spoilt
-		{Phase: Responding, EndReason: InvalidResponse}:                         health.Answering,
-		{Phase: Responding, EndReason: BrokenByEndpoint}:                        health.Answering,
+		{EndReason: TimedOut}:                         health.PhaseConnecting,
+		{Phase: Writing, EndReason: BrokenByEndpoint}: health.PhaseWriting, {Phase: AwaitingResponse, EndReason: TimedOut}: health.PhaseAwaiting,
+		{Phase: Responding, EndReason: Completed, Response: decide.ServerError}: health.PhaseAwaiting, // a whole 500 is not spoilt
+		{Phase: Responding, EndReason: InvalidResponse}:                         health.PhaseAnswering,
+		{Phase: Responding, EndReason: BrokenByEndpoint}:                        health.PhaseAnswering,
 	} {
 		saw.Reused, saw.IdleFor, saw.Refused, saw.LocalFault, saw.LocalDelay = true, 1, true, true, 2
-		require.Equal(t, health.Evidence{Phase: phase, Reused: true, Idle: 1, Refused: true, Ours: true, Late: 2},
+		require.Equal(t, health.Evidence{Phase: phase, ConnectionReused: true, IdleFor: 1, ConnectionRefused: true, LocalShortage: true, ActedLateBy: 2},
 			saw.Evidence())
 	}
 	_, lost, counts := AttemptResult{Phase: Responding, EndReason: BrokenByEndpoint, Streamed: true}.IdleEvidence()
--- a/internal/core/router.go
+++ b/internal/core/router.go
@@ -21,20 +21,20 @@
 	Step(now time.Duration, ev decide.Event) []decide.Action
 }
 
-// agreeing is a Module that takes over what the fleet has agreed on: storm.Gate.
+// agreeing is a Module that takes over what the fleet has agreed on: storm.Controller.
 type fleetPolicyUser interface {
-	Agree(quota []float64, classes []decide.RetryPolicy, inVain float64)
+	ApplyFleetPolicy(quota []float64, classes []decide.RetryPolicy, inVain float64)
 }
 
-// avoiding is a Module that keeps tenants' keys off servers, and tells how tenants fared: storm.Gate.
+// avoiding is a Module that keeps tenants' keys off servers, and tells how tenants fared: storm.Controller.
 type exclusionUser interface {
-	Avoid(a *decide.Exclusions)
-	Strain() []decide.TenantStats
+	SetExclusions(a *decide.Exclusions)
+	TenantStats() []decide.TenantStats
 }
 
-// placing is a Module that goes by an agreed generation of the ring: storm.Gate.
+// placing is a Module that goes by an agreed generation of the ring: storm.Controller.
 type ringAssignmentUser interface {
-	Place(p *decide.RingAssignment)
+	SetRingAssignment(p *decide.RingAssignment)
 }
 
 // Permitted takes from a deployment's settings what cannot be had here: booking servers may not be probed,
@@ -338,14 +338,14 @@
 	for _, c := range e.Classes {
 		classes = append(classes, decide.RetryPolicy{MaxAttempts: c.MaxAttempts, Hedging: c.Hedging, MinAttemptInterval: c.MinAttemptInterval})
 	}
-	module.Agree(e.Quota, classes, e.MaxFailedRatio)
+	module.ApplyFleetPolicy(e.Quota, classes, e.MaxFailedRatio)
 }
 
 // SetExclusions has the module keep tenants' keys off servers, from the next input on; nil: off none. A module
 // without such a thing passes it over.
 func (r *Router) SetExclusions(a *decide.Exclusions) {
 	if module, can := r.module.(exclusionUser); can {
-		module.Avoid(a)
+		module.SetExclusions(a)
 	}
 }
 
@@ -353,14 +353,14 @@
 // alone. A module without such a thing passes it over.
 func (r *Router) SetRingAssignment(p *decide.RingAssignment) {
 	if module, can := r.module.(ringAssignmentUser); can {
-		module.Place(p)
+		module.SetRingAssignment(p)
 	}
 }
 
 // TenantStats tells how the tenants' requests have fared; nil where the module doesn't know.
 func (r *Router) TenantStats() []decide.TenantStats {
 	if module, can := r.module.(exclusionUser); can {
-		return module.Strain()
+		return module.TenantStats()
 	}
 	return nil
 }
--- a/internal/rehearsal/world/placed.go
+++ b/internal/rehearsal/world/placed.go
@@ -49,9 +49,9 @@
 		w: w, machine: placement.NewStateMachine(), chance: newStream(w.seed, "generations"),
 		sizes: map[string]float64{},
 	}
-	g.figures.SlowStart = cold.Terms{
-		Share: r.ColdShare, For: r.ColdFor, FallMultiple: r.FallMultiple,
-		FallWindow: r.FallWindow, Margin: f.SlowStartMargin, Most: f.SlowStartMax, Balancers: w.set.Agents.Count,
+	g.figures.SlowStart = cold.Params{
+		InitialCapacity: r.ColdShare, Duration: r.ColdFor, OverloadMultiple: r.FallMultiple,
+		OverloadWindow: r.FallWindow, Margin: f.SlowStartMargin, MaxOfWarm: f.SlowStartMax, Balancers: w.set.Agents.Count,
 	}
 	mean := 0.0
 	for i := range w.set.Kinds {
--- a/internal/rehearsal/world/trouble_test.go
+++ b/internal/rehearsal/world/trouble_test.go
@@ -27,7 +27,7 @@
 		change(set)
 	}
 	// The module alone: what the storm gate makes of a trouble is not the world's.
-	d := play(t, set, 7, Options{Storm: storm.Figures{Off: true}})
+	d := play(t, set, 7, Options{Storm: storm.Config{Disabled: true}})
 	requireWhole(t, d)
 	return d
 }
--- a/internal/rehearsal/world/world.go
+++ b/internal/rehearsal/world/world.go
@@ -38,7 +38,7 @@
 	// Figures replace the module's own; zero: those that ship.
 	Figures decide.Tuning
 	// Storm are the figures of the gate before the module; zero: those that ship.
-	Storm storm.Figures
+	Storm storm.Config
 	// Late has the agents go by late.Policy, which sees the servers' true state so long after; zero: by the code
 	// that ships.
 	Late time.Duration
--- a/internal/routing/agreed_test.go
+++ b/internal/routing/agreed_test.go
@@ -21,19 +21,19 @@
 	return nil
 }
 
-func (n *noting) Agree(quota []float64, classes []decide.RetryPolicy, inVain float64) {
+func (n *noting) ApplyFleetPolicy(quota []float64, classes []decide.RetryPolicy, inVain float64) {
 	n.notes = append(n.notes, fmt.Sprint(quota, classes, inVain))
 }
 
-func (n *noting) Avoid(a *decide.Exclusions) {
+func (n *noting) SetExclusions(a *decide.Exclusions) {
 	n.notes = append(n.notes, fmt.Sprintf("avoid %v", a != nil))
 }
 
-func (n *noting) Place(p *decide.RingAssignment) {
+func (n *noting) SetRingAssignment(p *decide.RingAssignment) {
 	n.notes = append(n.notes, fmt.Sprintf("place %v", p != nil))
 }
 
-func (n *noting) Strain() []decide.TenantStats {
+func (n *noting) TenantStats() []decide.TenantStats {
 	return []decide.TenantStats{{Tenant: "a", Requests: 7}}
 }
 
@@ -58,7 +58,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	go a.mail.receive(func(m any) bool { return m != nil && a.handle(m) })
 	strain, damps := a.TenantStats(ctx)
-	require.Equal(t, module.Strain(), strain)
+	require.Equal(t, module.TenantStats(), strain)
 	require.False(t, damps)
 	a.mail.put(nil)
 	cancel()
--- a/internal/routing/module.go
+++ b/internal/routing/module.go
@@ -21,7 +21,7 @@
 type Settings struct {
 	Deployment  protocol.Settings
 	Seed        uint64
-	Overload    storm.Figures
+	Overload    storm.Config
 	Discovery   netip.AddrPort
 	Initial     state.Initial // the list, and what was learned before a restart
 	Probation   state.ProbationSettings
@@ -66,7 +66,7 @@
 	appliedAssignment *decide.RingAssignment // the actor's, too
 
 	// Owned by the actor.
-	gate                *storm.Gate // before the decision module
+	gate                *storm.Controller // before the decision module
 	balancer            *decide.Balancer
 	metrics             *figures.Figures
 	ejectionsReportedAt time.Duration // when the module's view was last told to the figures
@@ -96,7 +96,7 @@
 	timerDue           struct{ tag uint64 }
 	releaseIdle        struct{}
 	snapshotQuery      struct{ to chan<- state.Snapshot }
-	overloadChanged    struct{ figures storm.Figures }
+	overloadChanged    struct{ figures storm.Config }
 	fleetPolicyChanged struct{ effect *policy.Effect }
 	tenantStatsQuery   struct{ to chan<- tenantStatsReply }
 	baselineQuery      struct {
@@ -233,7 +233,7 @@
 func (a *Agent) SetDiscovery(addr netip.AddrPort) { a.list.mail.put(discoveryMoved{addr}) }
 
 // SetOverload has the gate before the module go by other figures.
-func (a *Agent) SetOverload(f storm.Figures) { a.mail.put(overloadChanged{f}) }
+func (a *Agent) SetOverload(f storm.Config) { a.mail.put(overloadChanged{f}) }
 
 // SetFleetPolicy has the agent go by what its fleet has agreed on, from what is handled next on; nil: by its
 // settings alone. The effect is not to be changed any more. It holds until the next SetFleetPolicy, also over
@@ -241,7 +241,7 @@
 func (a *Agent) SetFleetPolicy(effect *policy.Effect) { a.mail.put(fleetPolicyChanged{effect}) }
 
 // SetFleetSize has the module, and the gate before it, divide by how many agents are there; see decide.FleetSize and
-// storm.Gate.
+// storm.Controller.
 func (a *Agent) SetFleetSize(p decide.FleetSize, storm int) { a.mail.put(fleetSizeChanged{p, storm}) }
 
 // TenantStats tells how the tenants' requests have fared since the start, in the order of the settings and first
@@ -324,16 +324,16 @@
 	case protocol.Datagram:
 		a.carryOutAll(a.router.DatagramReceived(now, m))
 	case overloadChanged:
-		if err := a.gate.Set(m.figures); err != nil {
+		if err := a.gate.SetConfig(m.figures); err != nil {
 			slog.Warn("figures not taken over", "error", err)
 		}
 	case fleetPolicyChanged:
 		a.router.SetFleetPolicy(m.effect)
 	case fleetSizeChanged:
 		a.balancer.SetFleetSize(m.FleetSize)
-		a.gate.Present(m.overload)
+		a.gate.SetFleetSize(m.overload)
 	case tenantStatsQuery:
-		m.to <- tenantStatsReply{a.router.TenantStats(), a.gate != nil && a.gate.Damps()}
+		m.to <- tenantStatsReply{a.router.TenantStats(), a.gate != nil && a.gate.IsShedding()}
 	case baselineQuery:
 		m.to <- a.balancer.BaselineLatencies()
 	case failAll:
--- a/internal/state/beginning.go
+++ b/internal/state/beginning.go
@@ -21,7 +21,7 @@
 	ListAge     time.Duration
 	// Balancer, Overload and IdleConnections are what was learned, taken so long ago; nil: nothing.
 	Balancer        *decide.Snapshot
-	Overload        *storm.Memory
+	Overload        *storm.Snapshot
 	IdleConnections *core.IdleSnapshot
 	Age             time.Duration
 }
--- a/internal/state/beginning_test.go
+++ b/internal/state/beginning_test.go
@@ -89,9 +89,9 @@
 // spyGate is a gate that notes what it takes back.
 type spyGate struct{ age time.Duration }
 
-func (g *spyGate) Remember(time.Duration) storm.Memory { return storm.Memory{Crowd: 5} }
-func (g *spyGate) Recall(_ time.Duration, m storm.Memory, age time.Duration) {
-	g.age = age + time.Duration(m.Crowd)
+func (g *spyGate) Snapshot(time.Duration) storm.Snapshot { return storm.Snapshot{InFlight: 5} }
+func (g *spyGate) Restore(_ time.Duration, m storm.Snapshot, age time.Duration) {
+	g.age = age + time.Duration(m.InFlight)
 }
 
 func (s *spy) ForgetServer(id string)       { s.told = append(s.told, "disown "+id) }
@@ -104,7 +104,7 @@
 	m, gate, idle := &spy{}, &spyGate{}, core.NewIdleLimit(0, 10*time.Second)
 	s := NewRecorder(Initial{
 		List: config(41, [3]int{1, 9001}, [3]int{2, 9002}, [3]int{3, 9003}), Balancer: &decide.Snapshot{},
-		Overload: &storm.Memory{Crowd: 7}, Age: time.Minute, ConfirmedAt: 5 * time.Millisecond, ListAge: 30 * time.Second,
+		Overload: &storm.Snapshot{InFlight: 7}, Age: time.Minute, ConfirmedAt: 5 * time.Millisecond, ListAge: 30 * time.Second,
 	},
 		m, gate, idle, ProbationSettings{Enabled: true, FullDeploy: time.Minute})
 	s.RestoreLearned(time.Second)
@@ -123,7 +123,7 @@
 
 	c := s.Snapshot(9 * time.Second).Content()
 	require.Equal(t, int64(44), c.List.Version)
-	require.Equal(t, 5.0, c.Overload.Crowd)
+	require.Equal(t, 5.0, c.Overload.InFlight)
 	require.Equal(t, int64(9000), c.List.ConfirmedMS, "the watch goes on")
 	ids := []string{}
 	for _, s := range c.List.Endpoints {
@@ -167,7 +167,7 @@
 	for _, s := range list.Endpoints {
 		news.Servers = append(news.Servers, s.Server)
 	}
-	gate, _ := storm.New(set, storm.Figures{}, module, 1)
+	gate, _ := storm.New(set, storm.Config{}, module, 1)
 	gate.Step(time.Hour, news)
 	s := NewRecorder(Initial{List: list}, module, gate, core.NewIdleLimit(0, time.Second), ProbationSettings{})
 	for b.Loop() {
--- a/internal/state/content.go
+++ b/internal/state/content.go
@@ -22,7 +22,7 @@
 	List            *StoredList        `json:"list,omitempty"`
 	Balancer        *decide.Snapshot   `json:"module,omitempty"`
 	IdleConnections *core.IdleSnapshot `json:"idle,omitempty"`
-	Overload        *storm.Memory      `json:"storm,omitempty"`
+	Overload        *storm.Snapshot    `json:"storm,omitempty"`
 }
 
 // StoredList is discovery's list as it was last had.
--- a/internal/state/format_test.go
+++ b/internal/state/format_test.go
@@ -37,9 +37,9 @@
 		m.Servers = append(m.Servers, decide.ServerSnapshot{
 			ID: s.ID, StartedAt: s.StartedAt, Latency: 0.01 * float64(i+1) / 3,
 			LatencyInFlight: 3.3 / float64(i+1), SampledAgo: time.Duration(i+1) * 1234567, FlapPenalty: 0.7123 / float64(i+1),
-			Outlier: health.Memory{
-				All: 12.345, Down: i%5 == 0, Mute: true, Asked: 1,
-				Because: "6 of 6 unanswered, usual 2%", By: make([]float64, 9),
+			Outlier: health.Snapshot{
+				Ends: 12.345, Ejected: i%5 == 0, Silent: true, ProbesRequired: 1,
+				Reason: "6 of 6 unanswered, usual 2%", EndsByCause: make([]float64, 9),
 			},
 		})
 	}
@@ -48,10 +48,10 @@
 		Content: Content{
 			List: NewStoredList(config, 1_796_115_624_000), Balancer: &m,
 			IdleConnections: &core.IdleSnapshot{Buckets: []core.IdleBucket{{Index: 3, Used: 1.5, Lost: 0.25}}, SinceDecay: time.Second},
-			Overload: &storm.Memory{Kinds: []storm.KindMemory{{Name: "rapid", Steps: []storm.PaceMemory{{
-				Step: 3, Log: -2.5,
-				Answers: 70,
-			}}}}, Crowd: 1.5, Servers: 13, NoPurge: time.Second},
+			Overload: &storm.Snapshot{Kinds: []storm.KindSnapshot{{Name: "rapid", Steps: []storm.ServiceTimeSnapshot{{
+				Step: 3, LogSeconds: -2.5,
+				Samples: 70,
+			}}}}, InFlight: 1.5, Servers: 13, NoSheddingFor: time.Second},
 		},
 	}
 }
@@ -96,7 +96,7 @@
 	require.Equal(t, int64(41), config.Version)
 	require.Equal(t, "s-3 10.1.0.13:9000", config.Endpoints[3].ID+" "+config.Endpoints[3].Addr.String())
 	require.Len(t, f.Balancer.Servers, 4)
-	require.True(t, f.Balancer.Servers[1].Outlier.Down)
+	require.True(t, f.Balancer.Servers[1].Outlier.Ejected)
 	require.InDelta(t, 0.05537775699135778, f.Balancer.MeanLatency, 0)
 	require.Equal(t, 392.0, f.Balancer.Kinds[0].BaselineLatency.Samples)
 
@@ -167,7 +167,7 @@
 		}
 		now := time.Duration(time.Now().UnixNano())
 		b, _ := decide.New(set, 1)
-		gate, _ := storm.New(set, storm.Figures{}, b, 1)
+		gate, _ := storm.New(set, storm.Config{}, b, 1)
 		if file.List != nil {
 			config, err := file.List.EndpointList()
 			if err != nil {
@@ -183,7 +183,7 @@
 			b.Restore(now, *file.Balancer, file.Age(time.Now()))
 		}
 		if file.Overload != nil {
-			gate.Recall(now, *file.Overload, file.Age(time.Now()))
+			gate.Restore(now, *file.Overload, file.Age(time.Now()))
 		}
 		if file.IdleConnections != nil {
 			l := core.NewIdleLimit(now, 15*time.Second)
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -73,7 +73,7 @@
 	if *updateGolden {
 		n := 0
 		f := sample(3)
-		f.Balancer, f.IdleConnections, f.Overload = &decide.Snapshot{}, &core.IdleSnapshot{}, &storm.Memory{}
+		f.Balancer, f.IdleConnections, f.Overload = &decide.Snapshot{}, &core.IdleSnapshot{}, &storm.Snapshot{}
 		fillDistinct(reflect.ValueOf(f.Balancer).Elem(), &n)
 		fillDistinct(reflect.ValueOf(f.IdleConnections).Elem(), &n)
 		fillDistinct(reflect.ValueOf(f.Overload).Elem(), &n)
--- a/internal/state/sections.go
+++ b/internal/state/sections.go
@@ -36,7 +36,7 @@
 func (c *Content) encodeSections() ([]byte, error) {
 	var all sections
 	err := errors.Join(encodeSection(&all.List, listVersion, c.List), encodeSection(&all.Balancer, decide.SnapshotVersion, c.Balancer),
-		encodeSection(&all.IdleConnections, idleVersion, c.IdleConnections), encodeSection(&all.Overload, storm.MemoryVersion, c.Overload))
+		encodeSection(&all.IdleConnections, idleVersion, c.IdleConnections), encodeSection(&all.Overload, storm.SnapshotVersion, c.Overload))
 	if err != nil {
 		return nil, err
 	}
@@ -61,7 +61,7 @@
 	return errors.Join(decodeSection(f, "list", all.List, listVersion, &f.List),
 		decodeSection(f, "module", all.Balancer, decide.SnapshotVersion, &f.Balancer, (*decide.Snapshot).MigrateFromVersion1),
 		decodeSection(f, "idle", all.IdleConnections, idleVersion, &f.IdleConnections),
-		decodeSection(f, "storm", all.Overload, storm.MemoryVersion, &f.Overload))
+		decodeSection(f, "storm", all.Overload, storm.SnapshotVersion, &f.Overload))
 }
 
 // take reads a section. What an earlier version left is turned into the present one by the steps from version
--- a/internal/state/session.go
+++ b/internal/state/session.go
@@ -21,8 +21,8 @@
 
 // OverloadGate is the part of storm.OverloadGate that is kept.
 type OverloadGate interface {
-	Remember(now time.Duration) storm.Memory
-	Recall(now time.Duration, m storm.Memory, age time.Duration)
+	Snapshot(now time.Duration) storm.Snapshot
+	Restore(now time.Duration, m storm.Snapshot, age time.Duration)
 }
 
 // IdleConnections is the limit on idle connections, as it is kept: core.IdleLimit.
@@ -62,7 +62,7 @@
 		s.balancer.Restore(now, *s.initial.Balancer, s.initial.Age)
 	}
 	if s.initial.Overload != nil {
-		s.gate.Recall(now, *s.initial.Overload, s.initial.Age)
+		s.gate.Restore(now, *s.initial.Overload, s.initial.Age)
 	}
 	if s.initial.IdleConnections != nil {
 		s.idle.Restore(*s.initial.IdleConnections, s.initial.Age)
@@ -94,7 +94,7 @@
 	list        protocol.EndpointList
 	confirmedAt time.Duration
 	balancer    decide.Snapshot
-	overload    storm.Memory
+	overload    storm.Snapshot
 	idle        core.IdleSnapshot
 }
 
@@ -102,7 +102,7 @@
 func (s *Recorder) Snapshot(now time.Duration) Snapshot {
 	return Snapshot{
 		list: s.savedList.List(), confirmedAt: s.savedList.ConfirmedAt(now), balancer: s.balancer.Snapshot(now),
-		overload: s.gate.Remember(now), idle: s.idle.Snapshot(now),
+		overload: s.gate.Snapshot(now), idle: s.idle.Snapshot(now),
 	}
 }
 
--- a/ledger/example_test.go
+++ b/ledger/example_test.go
@@ -8,7 +8,7 @@
 
 // Of two servers with an equal part one takes ten times as long: it is sent fewer.
 func Example() {
-	var book ledger.Book
+	var book ledger.Accounts
 	var quick, slow ledger.Account
 	book.Open(&quick, 0.5)
 	book.Open(&slow, 0.5)
@@ -18,8 +18,8 @@
 		if book.Credit(&slow, 0.5) > book.Credit(&quick, 0.5) {
 			to, took = &slow, 0.2
 		}
-		book.Sent(to, 1)
-		book.Ended(to, took)
+		book.RequestSent(to, 1)
+		book.RequestEnded(to, took)
 		sent[to]++
 	}
 	fmt.Println("quick", sent[&quick], "slow", sent[&slow])
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -12,71 +12,71 @@
 // Credit comes with what is sent, not with the time: books need no rate, follow a burst at once, and rest
 // where nothing is sent.
 //
-// It does no input or output, and knows no clock. The same calls give the same answers. A Book is not safe
+// It does no input or output, and knows no clock. The same calls give the same answers. A Accounts is not safe
 // for concurrent use.
 package ledger
 
 const (
 	// over is what accounts are credited beyond their part: room for keys to stay with their owners, where
 	// owners are not as even as keys are. Also the most by which one is loaded above the mean in the long run.
-	over = 1.3
+	creditFactor = 1.3
 	// most is what can be saved up, in usual requests: a server that was left alone is not owed a burst, by
 	// each of hundreds of balancers.
-	most = 1.5
+	maxCredit = 1.5
 	// least bounds the debt, so that what was long ago does not shut a server out.
-	least = -8.0
-	// extraLeast and extraMost bound what a request's time adds to the one that it is charged when it is
+	minCredit = -8.0
+	// minExtraCharge and maxExtraCharge bound what a request's time adds to the one that it is charged when it is
 	// sent, in usual requests: one that was served at once was a request all the same, and a long wait says
 	// no more than that there is trouble.
-	extraLeast, extraMost = -0.7, 8.0
-	// usualOf is how many ends the usual time is the mean of, faded.
-	usualOf = 100.0
+	minExtraCharge, maxExtraCharge = -0.7, 8.0
+	// meanSamples is how many ends the usual time is the mean of, faded.
+	meanSamples = 100.0
 )
 
-// Book is one balancer's. Its zero value is empty and ready.
-type Book struct {
-	charged float64 // to all accounts, in usual requests
-	usual   float64 // seconds that a request takes
-	ends    float64 // of which, up to usualOf
+// Accounts is one balancer's. Its zero value is empty and ready.
+type Accounts struct {
+	charged     float64 // to all accounts, in usual requests
+	meanSeconds float64 // seconds that a request takes
+	samples     float64 // of which, up to meanSamples
 }
 
 // Account is one server's. Its zero value is not open yet.
 type Account struct {
-	credit float64 // usual requests
-	seen   float64 // of what was charged to all
-	open   bool
+	credit      float64 // usual requests
+	chargedSeen float64 // of what was charged to all
+	isOpen      bool
 }
 
 // Open gives an account what it begins with: a random lot from 0 to 1, so that many balancers do not turn to
 // the same server with their first requests.
-func (b *Book) Open(a *Account, lot float64) {
-	if !a.open {
-		*a = Account{credit: most * lot, seen: b.charged, open: true}
+func (b *Accounts) Open(a *Account, lot float64) {
+	if !a.isOpen {
+		*a = Account{credit: maxCredit * lot, chargedSeen: b.charged, isOpen: true}
 	}
 }
 
 // Credit returns what the account has left, in usual requests: one or more has room for a request. Part is
 // the server's part of what all that can be sent to are able to do, from 0 to 1.
-func (b *Book) Credit(a *Account, part float64) float64 {
-	a.credit = max(min(a.credit+over*part*(b.charged-a.seen), most), least)
-	a.seen = b.charged
+func (b *Accounts) Credit(a *Account, part float64) float64 {
+	a.credit = max(min(a.credit+creditFactor*part*(b.charged-a.chargedSeen), maxCredit), minCredit)
+	a.chargedSeen = b.charged
 	return a.credit
 }
 
-// Sent charges a request, by its work in usual requests.
-func (b *Book) Sent(a *Account, units float64) { b.charge(a, units) }
+// RequestSent charges a request, by its work in usual requests.
+func (b *Accounts) RequestSent(a *Account, units float64) { b.charge(a, units) }
 
-// Ended charges what a request took beyond the usual, or gives back what it took less, in seconds.
-func (b *Book) Ended(a *Account, took float64) {
+// RequestEnded charges what a request took beyond the usual, or gives back what it took less, in seconds.
+func (b *Accounts) RequestEnded(a *Account, took float64) {
 	if !(took > 0) {
 		return
 	}
-	b.ends = min(b.ends+1, usualOf)
-	b.usual += (took - b.usual) / b.ends
-	b.charge(a, min(max(took/b.usual-1, extraLeast), extraMost))
+	b.samples = min(b.samples+1, meanSamples)
+	b.meanSeconds += (took - b.meanSeconds) / b.samples
+	b.charge(a, min(max(took/b.meanSeconds-1, minExtraCharge), maxExtraCharge))
 }
 
-func (b *Book) charge(a *Account, units float64) {
+func (b *Accounts) charge(a *Account, units float64) {
 	a.credit -= units
 	b.charged += units
 }
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -17,7 +17,7 @@
 		for _, p := range parts {
 			sum += p
 		}
-		var book Book
+		var book Accounts
 		accounts, sent := make([]Account, len(parts)), make([]float64, len(parts))
 		for i := range accounts {
 			book.Open(&accounts[i], rapid.Float64Range(0, 1).Draw(t, "lot"))
@@ -31,7 +31,7 @@
 			if looked == len(parts) {
 				forced[at]++ // as at the beginning, when no account has a whole request
 			}
-			book.Sent(&accounts[at], 1)
+			book.RequestSent(&accounts[at], 1)
 			sent[at]++
 		}
 		total := 0.0
@@ -39,7 +39,7 @@
 			total += n
 		}
 		for i, n := range sent {
-			require.LessOrEqual(t, n, over*parts[i]/sum*total+most+forced[i]+1e-9)
+			require.LessOrEqual(t, n, creditFactor*parts[i]/sum*total+maxCredit+forced[i]+1e-9)
 		}
 	})
 }
@@ -48,7 +48,7 @@
 // time out gets less still. Guards against balancers that each see a slow server too seldom to leave it.
 func TestSlowServersGetLess(t *testing.T) {
 	for _, c := range []struct{ took, least, most float64 }{{1, 1, 1}, {3, 0.28, 0.55}, {8, 0.1, 0.25}} {
-		var book Book
+		var book Accounts
 		accounts, sent := make([]Account, 10), make([]int, 10)
 		for range 20000 {
 			at := 0
@@ -59,13 +59,13 @@
 					break
 				}
 			}
-			book.Sent(&accounts[at], 1)
+			book.RequestSent(&accounts[at], 1)
 			sent[at]++
 			took := 0.1
 			if at == 0 {
 				took *= c.took
 			}
-			book.Ended(&accounts[at], took)
+			book.RequestEnded(&accounts[at], took)
 		}
 		share := float64(sent[0]) / float64(sent[1])
 		require.True(t, share >= c.least-0.02 && share <= c.most+0.02, "%v times as long: %v", c.took, share)
@@ -74,22 +74,22 @@
 
 // What can't be counted with changes nothing, and neither debts nor savings grow without bound.
 func TestBooksStayBounded(t *testing.T) {
-	var book Book
+	var book Accounts
 	var a Account
 	book.Open(&a, 0.5)
 	for _, took := range []float64{0, -1, math.NaN()} {
-		book.Ended(&a, took)
+		book.RequestEnded(&a, took)
 	}
 	require.InDelta(t, 0.75, book.Credit(&a, 1), 1e-9)
 	for range 1000 {
-		book.Ended(&a, 1e9)
-		book.Ended(&a, 1e-9)
-		book.Sent(&a, 5)
+		book.RequestEnded(&a, 1e9)
+		book.RequestEnded(&a, 1e-9)
+		book.RequestSent(&a, 5)
 	}
-	require.GreaterOrEqual(t, book.Credit(&a, 0), least)
+	require.GreaterOrEqual(t, book.Credit(&a, 0), minCredit)
 	var other Account
-	book.Sent(&other, 1e6)
-	require.LessOrEqual(t, book.Credit(&a, 1), most)
+	book.RequestSent(&other, 1e6)
+	require.LessOrEqual(t, book.Credit(&a, 1), maxCredit)
 	opened := a
 	book.Open(&a, 1)
 	require.Equal(t, opened, a, "an account is opened once")
--- a/placement/lab/lab.go
+++ b/placement/lab/lab.go
@@ -58,12 +58,12 @@
 )
 
 // Cold are the terms on cold servers.
-func (s *Setup) Cold() cold.Terms {
+func (s *Setup) Cold() cold.Params {
 	warm := s.Warm
 	if warm == 0 {
 		warm = 9 * time.Second
 	}
-	return cold.Terms{Share: 0.31, For: warm, FallMultiple: 3, FallWindow: 3 * time.Second, Margin: 0.4, Most: 1}
+	return cold.Params{InitialCapacity: 0.31, Duration: warm, OverloadMultiple: 3, OverloadWindow: 3 * time.Second, Margin: 0.4, MaxOfWarm: 1}
 }
 
 // Lab is one course.
@@ -177,7 +177,7 @@
 	case "bound":
 		f.MaxMoveRate = 1000
 	case "warmth":
-		f.SlowStart.For = 0
+		f.SlowStart.Duration = 0
 	case "hysteresis":
 		f.CapacitySettleTime, f.MinCapacityChange = time.Nanosecond, 0.01
 	}
--- a/placement/lab/measure_test.go
+++ b/placement/lab/measure_test.go
@@ -79,7 +79,7 @@
 				}
 				capacity, sum = append(capacity, c), sum+c
 				plain.Join(name(1000*set+i), i)
-				r.JoinWith(name(1000*set+i), i, int(math.Round(unit*c)))
+				r.JoinWithPoints(name(1000*set+i), i, int(math.Round(unit*c)))
 			}
 			counts, was, fullest := make([]float64, 100), owners(plain), 0.0
 			for k, o := range owners(r) {
--- a/placement/lab/rings.go
+++ b/placement/lab/rings.go
@@ -87,10 +87,10 @@
 		n := points[s.name]
 		switch {
 		case r.lab.set.Without == "nested": // points depend on how many there are
-			r.ring.Forget(r.places[s.name])
-			r.places[s.name] = r.ring.JoinWith(fmt.Sprint(s.name, "/", n, "/"), int32(i), n)
+			r.ring.Remove(r.places[s.name])
+			r.places[s.name] = r.ring.JoinWithPoints(fmt.Sprint(s.name, "/", n, "/"), int32(i), n)
 		case n > 0:
-			r.places[s.name] = r.ring.JoinWith(s.name, int32(i), n)
+			r.places[s.name] = r.ring.JoinWithPoints(s.name, int32(i), n)
 		default:
 			r.ring.Leave(r.places[s.name])
 		}
@@ -143,7 +143,7 @@
 
 // Steady goes by when the server was lost, and began anew.
 func (t truth) Steady(agent int, i int32, from, to time.Duration) bool {
-	s, warm := &t.l.list[i], t.l.set.Cold().For+3*time.Second
+	s, warm := &t.l.list[i], t.l.set.Cold().Duration+3*time.Second
 	if _, missing := t.l.nodes[agent].missing[i]; missing || !s.there() || s.started > to-warm {
 		return false
 	}
@@ -163,5 +163,5 @@
 	if s.started == 0 || s.started > made-2*time.Second-t.l.slow {
 		return 1
 	}
-	return min(1, c.Margin*c.FallMultiple*c.Warmth(t.l.Now(), s.started))
+	return min(1, c.Margin*c.OverloadMultiple*c.CapacityFraction(t.l.Now(), s.started))
 }
--- a/placement/lab/windows.go
+++ b/placement/lab/windows.go
@@ -22,7 +22,7 @@
 func newWindows() *window.StateMachine { return window.NewStateMachine(func() uint64 { return 0 }) }
 
 // quiet is how long windows have servers without keys: enough to be warm again by the end.
-func (l *Lab) quiet() time.Duration { return 2*l.set.Cold().For + 20*time.Second }
+func (l *Lab) quiet() time.Duration { return 2*l.set.Cold().Duration + 20*time.Second }
 
 // Window has a window planned that takes servers for all tenants, so long ahead, free of keys for a while,
 // within which all of them begin anew a number of times. Where it can't be agreed on, staff do so without.
@@ -50,7 +50,7 @@
 	}
 	l.commit(l.nodes[l.leader], r, true)
 	l.At(l.Now()+time.Second, func() { l.follow(w, of) })
-	each := (quiet - l.set.Cold().For - 3*time.Second) / time.Duration(anew)
+	each := (quiet - l.set.Cold().Duration - 3*time.Second) / time.Duration(anew)
 	for n := range anew {
 		for _, i := range of {
 			l.At(w.DrainedAt+2*time.Second+time.Duration(n)*each, func() { l.Vanish(i) })
--- a/placement/next.go
+++ b/placement/next.go
@@ -204,11 +204,11 @@
 
 // part is what the rule on cold servers lets one have, of what a warm one has.
 func (x *builder) slowStartFraction(s *ObservedServer) float64 {
-	if s.StartedAt <= 0 || x.params.SlowStart.For <= 0 {
+	if s.StartedAt <= 0 || x.params.SlowStart.Duration <= 0 {
 		return 1
 	}
 	t := &x.params.SlowStart
-	return min(t.Margin*t.FallMultiple*t.Warmth(x.effectiveAt, s.StartedAt), t.Most, 1)
+	return min(t.Margin*t.OverloadMultiple*t.CapacityFraction(x.effectiveAt, s.StartedAt), t.MaxOfWarm, 1)
 }
 
 // warm is twice the part that all that are ready may have together, 1 at the most: where hardly any server is
--- a/placement/next_test.go
+++ b/placement/next_test.go
@@ -28,7 +28,7 @@
 
 func begin(t *testing.T, servers int) *fleet {
 	x := &fleet{t: t, now: 1e6 * time.Hour, list: map[string]*Server{}, machine: NewStateMachine(), f: Parameters{
-		SlowStart: cold.Terms{Share: 0.31, For: 9 * time.Second, FallMultiple: 3, Margin: 0.4, Most: 1},
+		SlowStart: cold.Params{InitialCapacity: 0.31, Duration: 9 * time.Second, OverloadMultiple: 3, Margin: 0.4, MaxOfWarm: 1},
 	}.WithDefaults()}
 	for i := range servers {
 		x.list[fmt.Sprint("s-", 10+i)] = &Server{ID: fmt.Sprint("s-", 10+i), Ready: true, Capacity: 1}
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -59,7 +59,7 @@
 // Parameters are the rules' numbers. Only the leader's count for a generation; they are no part of the state.
 type Parameters struct {
 	Terms     lease.Terms
-	SlowStart cold.Terms // what the settings let cold servers have; Margin and Most are the balancers' figures
+	SlowStart cold.Params // what the settings let cold servers have; Margin and Most are the balancers' figures
 
 	PointsPerCapacity  float64       // points of a server of capacity 1; 200
 	MaxMoveRate        float64       // part of all keys that may move a second without need; 0.01
--- a/policy/document.go
+++ b/policy/document.go
@@ -154,7 +154,7 @@
 func (d *Document) Floor() Floor { return d.file.Floor }
 
 // LocalSettings is what an agent holds a document against: what its settings permit, and its own figure of the throttle
-// (storm.Figures.MaxFailedRatio; zero: none).
+// (storm.Config.MaxFailedRatio; zero: none).
 type LocalSettings struct {
 	Settings       decide.Settings
 	MaxFailedRatio float64
--- a/policy/effect.go
+++ b/policy/effect.go
@@ -10,7 +10,7 @@
 type Effect struct {
 	Quota          []float64     // by the settings' tenants: requests a second over the fleet; none is never exceeded
 	Classes        []ClassEffect // by the settings' classes
-	MaxFailedRatio float64       // the throttle's: storm.Figures.MaxFailedRatio; 1: it lets all in
+	MaxFailedRatio float64       // the throttle's: storm.Config.MaxFailedRatio; 1: it lets all in
 	// Contracts and Capacity are of the version that is acted on, or whose floor it is: none by the bottom and
 	// by version 0, and nil too where a floor's document cannot be read here. A tenant without a contract ("-":
 	// requests of none of the settings' tenants) may never be moved.
--- a/proving/example_test.go
+++ b/proving/example_test.go
@@ -9,21 +9,21 @@
 
 // An old list of one server that answers: it is sent one request at a time, then more, and is proved by four.
 func Example() {
-	var book proving.Book
-	book.Doubt(proving.Trust(time.Hour, 15*time.Minute))
+	var book proving.List
+	book.Start(proving.Trust(time.Hour, 15*time.Minute))
 	s := book.Add()
-	write := proving.Request{Aim: 500 * time.Millisecond, Most: 3}
-	fmt.Println("for what must not run twice:", s.Room(0, write.Careful(0)))
+	write := proving.Request{LatencyObjective: 500 * time.Millisecond, MaxAttempts: 3}
+	fmt.Println("for what must not run twice:", s.HasCapacity(0, write.NeedsAnsweringServer(0)))
 	for n := 1; ; n++ {
-		s.Sent()
-		if book.Ended(s, 0, proving.Served) {
+		s.AttemptSent()
+		if book.AttemptEnded(s, 0, proving.Served) {
 			fmt.Println("proved by", n)
 			break
 		}
-		fmt.Println("for what must not run twice:", s.Room(0, write.Careful(0)))
+		fmt.Println("for what must not run twice:", s.HasCapacity(0, write.NeedsAnsweringServer(0)))
 	}
-	write.By = book.By(write, 0, time.Second)
-	fmt.Println("worth waiting for:", book.Worth(write, 0))
+	write.WaitUntil = book.WaitDeadline(write, 0, time.Second)
+	fmt.Println("worth waiting for:", book.ShouldWait(write, 0))
 	// Output:
 	// for what must not run twice: false
 	// for what must not run twice: true
--- a/quota/example_test.go
+++ b/quota/example_test.go
@@ -15,9 +15,9 @@
 	for i := range 400 {
 		now := time.Duration(i) * 25 * time.Millisecond
 		if i%40 == 0 {
-			book.Round()
+			book.EndRound()
 		}
-		if book.Over(now, "acme") {
+		if book.IsOverQuota(now, "acme") {
 			over++
 		}
 	}
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -17,37 +17,37 @@
 	rapid.Check(t, func(t *rapid.T) {
 		start := rapid.Float64Range(-1, 1000).Draw(t, "first share")
 		book, same := quota.New(2, true), quota.New(2, true)
-		for _, b := range []*quota.Book{book, same} {
+		for _, b := range []*quota.Tracker{book, same} {
 			b.Add("acme", start)
 			b.Add("other", 7)
 		}
 		now, rate := time.Duration(0), start
-		most := func(share float64) float64 { return max(share*book.Part(now), 3) }
+		most := func(share float64) float64 { return max(share*book.ArrivalFraction(now), 3) }
 		for range rapid.IntRange(1, 20).Draw(t, "sets") {
 			now += time.Duration(rapid.IntRange(0, 5000).Draw(t, "wait")) * time.Millisecond
 			for range rapid.IntRange(0, 30).Draw(t, "requests") {
-				book.Over(now, "acme")
+				book.IsOverQuota(now, "acme")
 			}
-			book.Set(now, "acme", rate)
-			book.Set(now, "acme", math.NaN())
-			book.Set(now, "acme", math.Inf(1))
-			book.Set(now, "nobody", 5)
+			book.SetRate(now, "acme", rate)
+			book.SetRate(now, "acme", math.NaN())
+			book.SetRate(now, "acme", math.Inf(1))
+			book.SetRate(now, "nobody", 5)
 			share := rapid.Float64Range(-1, 1000).Draw(t, "share")
-			before, at := book.Saved("acme")
-			full := min(before+rate*book.Part(now)*(now-at).Seconds(), most(rate)) / most(rate)
+			before, at := book.Tokens("acme")
+			full := min(before+rate*book.ArrivalFraction(now)*(now-at).Seconds(), most(rate)) / most(rate)
 			if rate <= 0 {
 				full = 1
 			}
-			book.Set(now, "acme", share)
-			if after, at := book.Saved("acme"); share != rate {
+			book.SetRate(now, "acme", share)
+			if after, at := book.Tokens("acme"); share != rate {
 				require.Equal(t, now, at)
 				require.InDelta(t, full*most(share), after, 1e-6)
 			}
 			rate = share
 		}
 		for i := range 100 { // one that was told what it knew goes on as one that was told nothing
-			same.Set(now+time.Duration(i)*time.Millisecond, "acme", start)
-			same.Set(now+time.Duration(i)*time.Millisecond, "other", math.NaN())
+			same.SetRate(now+time.Duration(i)*time.Millisecond, "acme", start)
+			same.SetRate(now+time.Duration(i)*time.Millisecond, "other", math.NaN())
 		}
 		fresh := quota.New(2, true)
 		fresh.Add("acme", start)
@@ -62,12 +62,12 @@
 	book.Add("acme", 10)
 	book.Add("other", 10)
 	for range 10 {
-		book.Over(0, "other")
+		book.IsOverQuota(0, "other")
 	}
-	book.Round()
-	before := book.Part(0)
-	book.Set(0, "acme", 30)
-	require.InDelta(t, before/2, book.Part(0), 1e-9)
-	book.Set(0, "acme", 10)
-	require.Equal(t, before, book.Part(0))
+	book.EndRound()
+	before := book.ArrivalFraction(0)
+	book.SetRate(0, "acme", 30)
+	require.InDelta(t, before/2, book.ArrivalFraction(0), 1e-9)
+	book.SetRate(0, "acme", 10)
+	require.Equal(t, before, book.ArrivalFraction(0))
 }
--- a/reach/example_test.go
+++ b/reach/example_test.go
@@ -8,16 +8,16 @@
 )
 
 func Example() {
-	var z reach.Zones
-	z.Heard(time.Second, "north")
-	z.Heard(time.Second, "south")
+	var z reach.Tracker
+	z.Answered(time.Second, "north")
+	z.Answered(time.Second, "south")
 	for i, server := range []string{"s-1", "s-2", "s-3"} {
-		z.Unheard(time.Duration(2+i)*time.Second, "north", server)
-		z.Heard(time.Duration(2+i)*time.Second, "south")
+		z.Unanswered(time.Duration(2+i)*time.Second, "north", server)
+		z.Answered(time.Duration(2+i)*time.Second, "south")
 	}
-	fmt.Println(z.Cut("north"), z.Cut("south"))
-	z.Heard(6*time.Second, "north")
-	fmt.Println(z.Cut("north"))
+	fmt.Println(z.IsUnreachable("north"), z.IsUnreachable("south"))
+	z.Answered(6*time.Second, "north")
+	fmt.Println(z.IsUnreachable("north"))
 	// Output:
 	// true false
 	// false
--- a/reach/reach.go
+++ b/reach/reach.go
@@ -8,7 +8,7 @@
 // answers, and the zone is cut. It is tried again now and then, and whatever is heard from it ends that.
 //
 // It does no input or output, and knows no clock: every call brings the time. The same calls give the same
-// answers. Zones is not safe for concurrent use.
+// answers. Tracker is not safe for concurrent use.
 package reach
 
 import (
@@ -19,76 +19,78 @@
 const (
 	// enough unheard servers in a row: where one attempt in ten is unheard everywhere, chance brings them once
 	// in a thousand.
-	enough = 3
-	// tryEvery is how often a zone that is cut is tried.
-	tryEvery = 500 * time.Millisecond
+	unreachableAfter = 3
+	// trialInterval is how often a zone that is cut is tried.
+	trialInterval = 500 * time.Millisecond
 	// most zones known at a time: beyond that all are forgotten, which costs a few attempts. Guards against
 	// lists whose zones are never the same.
-	most = 64
+	maxZones = 64
 )
 
-// Zones are those that one balancer sends to. The zero value knows none and is ready.
-type Zones struct {
-	known map[string]*zone
+// Tracker are those that one balancer sends to. The zero value knows none and is ready.
+type Tracker struct {
+	zones map[string]*zoneState
 }
 
-type zone struct {
-	heard time.Duration
-	since time.Duration // the first of those unheard was sent
-	mute  []string      // servers that were not heard, in a row
-	tried time.Duration
+type zoneState struct {
+	lastResponseAt    time.Duration
+	firstUnansweredAt time.Duration // the first of those unheard was sent
+	unansweredServers []string      // servers that were not heard, in a row
+	lastTrialAt       time.Duration
 }
 
-func (z *Zones) zone(name string) *zone {
-	if z.known[name] == nil {
-		if z.known == nil || len(z.known) >= most {
-			z.known = map[string]*zone{}
+func (z *Tracker) state(name string) *zoneState {
+	if z.zones[name] == nil {
+		if z.zones == nil || len(z.zones) >= maxZones {
+			z.zones = map[string]*zoneState{}
 		}
-		z.known[name] = &zone{heard: -1}
+		z.zones[name] = &zoneState{lastResponseAt: -1}
 	}
-	return z.known[name]
+	return z.zones[name]
 }
 
-// Heard takes in that a server of the zone answered.
-func (z *Zones) Heard(now time.Duration, name string) {
-	at := z.zone(name)
-	at.heard, at.mute = now, at.mute[:0]
+// Answered takes in that a server of the zone answered.
+func (z *Tracker) Answered(now time.Duration, name string) {
+	at := z.state(name)
+	at.lastResponseAt, at.unansweredServers = now, at.unansweredServers[:0]
 }
 
-// Unheard takes in that an attempt that was sent at a time got no connection, or no answer.
-func (z *Zones) Unheard(sent time.Duration, name, server string) {
-	at := z.zone(name)
-	if at.heard >= sent || len(at.mute) >= enough || slices.Contains(at.mute, server) {
+// Unanswered takes in that an attempt that was sent at a time got no connection, or no answer.
+func (z *Tracker) Unanswered(sent time.Duration, name, server string) {
+	at := z.state(name)
+	if at.lastResponseAt >= sent || len(at.unansweredServers) >= unreachableAfter || slices.Contains(at.unansweredServers, server) {
 		return
 	}
-	if len(at.mute) == 0 {
-		at.since = sent
+	if len(at.unansweredServers) == 0 {
+		at.firstUnansweredAt = sent
 	}
-	at.mute = append(at.mute, server)
+	at.unansweredServers = append(at.unansweredServers, server)
 }
 
-// Doubtful tells whether the last that is known of the zone is an attempt that was not heard.
-func (z *Zones) Doubtful(name string) bool {
-	at := z.known[name]
-	return at != nil && len(at.mute) > 0
+// IsDoubtful tells whether the last that is known of the zone is an attempt that was not heard.
+func (z *Tracker) IsDoubtful(name string) bool {
+	at := z.zones[name]
+	return at != nil && len(at.unansweredServers) > 0
 }
 
-// Cut tells whether the zone is not reached while another one is.
-func (z *Zones) Cut(name string) bool {
-	at := z.known[name]
-	if at == nil || len(at.mute) < enough {
+// IsUnreachable tells whether the zone is not reached while another one is.
+func (z *Tracker) IsUnreachable(name string) bool {
+	at := z.zones[name]
+	if at == nil || len(at.unansweredServers) < unreachableAfter {
 		return false
 	}
-	for _, other := range z.known {
-		if len(other.mute) < enough && other.heard >= at.since {
+	for _, other := range z.zones {
+		if len(other.unansweredServers) < unreachableAfter && other.lastResponseAt >= at.firstUnansweredAt {
 			return true
 		}
 	}
 	return false
 }
 
-// Due tells whether a zone that is cut is to be tried.
-func (z *Zones) Due(now time.Duration, name string) bool { return now-z.zone(name).tried >= tryEvery }
+// IsTrialDue tells whether a zone that is cut is to be tried.
+func (z *Tracker) IsTrialDue(now time.Duration, name string) bool {
+	return now-z.state(name).lastTrialAt >= trialInterval
+}
 
-// Tried takes in that something was sent to the zone.
-func (z *Zones) Tried(now time.Duration, name string) { z.zone(name).tried = now }
+// RecordTrial takes in that something was sent to the zone.
+func (z *Tracker) RecordTrial(now time.Duration, name string) { z.state(name).lastTrialAt = now }
--- a/ring/ring.go
+++ b/ring/ring.go
@@ -25,26 +25,26 @@
 
 // Ring is a ring whose members stand for values.
 type Ring[V any] struct {
-	replicas int
-	byName   map[string]*Place[V]
-	places   []*Place[V] // by number
-	free     []uint32    // numbers that were given up
-	names    []string    // of the members, sorted
-	members  []V         // in the same order
-	arcs     [][]point   // equal parts of the ring, as many as a power of two, each sorted
-	shift    int         // of a hash to the number of its arc
-	points   int         // of all that have a place
-	walks    uint64
-}
-
-// Place is what a ring knows of one name, from when it joins first until Forget.
+	pointsPerMember int
+	byName          map[string]*Place[V]
+	places          []*Place[V] // by number
+	freeNumbers     []uint32    // numbers that were given up
+	names           []string    // of the members, sorted
+	members         []V         // in the same order
+	arcs            [][]point   // equal parts of the ring, as many as a power of two, each sorted
+	shift           int         // of a hash to the number of its arc
+	points          int         // of all that have a place
+	walkCount       uint64
+}
+
+// Place is what a ring knows of one name, from when it joins first until Remove.
 type Place[V any] struct {
-	value  V
-	name   string
-	number uint32
-	points int
-	member bool
-	walk   uint64 // the last one that came by
+	value    V
+	name     string
+	number   uint32
+	points   int
+	isMember bool
+	lastWalk uint64 // the last one that came by
 }
 
 // A point is a place on the ring and below it the number of whose it is: one word, as a ring of 5,000 members
@@ -60,7 +60,7 @@
 // New returns a ring without members, each of which will have so many points where it joins by Join.
 func New[V any](replicas int) *Ring[V] {
 	return &Ring[V]{
-		replicas: max(replicas, 1), byName: map[string]*Place[V]{},
+		pointsPerMember: max(replicas, 1), byName: map[string]*Place[V]{},
 		arcs: make([][]point, 1), shift: 32,
 	}
 }
@@ -69,39 +69,39 @@
 func (r *Ring[V]) Join(name string, value V) *Place[V] {
 	p := r.byName[name]
 	if p == nil {
-		p = r.add(name, value, r.replicas)
+		p = r.addPlace(name, value, r.pointsPerMember)
 	}
 	return r.join(p)
 }
 
-// JoinWith is Join with so many points, whatever it had before. A member without points is one that no walk
+// JoinWithPoints is Join with so many points, whatever it had before. A member without points is one that no walk
 // comes by; fewer than none are none.
-func (r *Ring[V]) JoinWith(name string, value V, points int) *Place[V] {
+func (r *Ring[V]) JoinWithPoints(name string, value V, points int) *Place[V] {
 	p := r.byName[name]
 	if p == nil {
-		p = r.add(name, value, max(points, 0))
+		p = r.addPlace(name, value, max(points, 0))
 	} else {
-		r.Resize(p, points)
+		r.SetPoints(p, points)
 	}
 	return r.join(p)
 }
 
-// Resize gives a place so many points, member or not. Of those that it had the first ones stay.
-func (r *Ring[V]) Resize(p *Place[V], points int) {
+// SetPoints gives a place so many points, member or not. Of those that it had the first ones stay.
+func (r *Ring[V]) SetPoints(p *Place[V], points int) {
 	if p == nil || r.places[p.number] != p {
 		return
 	}
 	points = max(points, 0)
 	was := p.points
 	p.points = points
-	r.put(p, was, points)
-	r.take(p, points, was)
+	r.addPoints(p, was, points)
+	r.removePoints(p, points, was)
 }
 
 func (r *Ring[V]) join(p *Place[V]) *Place[V] {
 	name := p.name
-	if !p.member {
-		p.member = true
+	if !p.isMember {
+		p.isMember = true
 		i, _ := slices.BinarySearch(r.names, name)
 		r.names, r.members = slices.Insert(r.names, i, name), slices.Insert(r.members, i, p.value)
 	}
@@ -109,21 +109,21 @@
 }
 
 // add puts the points of a new name on the ring.
-func (r *Ring[V]) add(name string, value V, points int) *Place[V] {
+func (r *Ring[V]) addPlace(name string, value V, points int) *Place[V] {
 	p := &Place[V]{value: value, name: name, number: uint32(len(r.places)), points: points}
-	if n := len(r.free); n > 0 {
-		p.number, r.free = r.free[n-1], r.free[:n-1]
+	if n := len(r.freeNumbers); n > 0 {
+		p.number, r.freeNumbers = r.freeNumbers[n-1], r.freeNumbers[:n-1]
 		r.places[p.number] = p
 	} else {
 		r.places = append(r.places, p)
 	}
 	r.byName[name] = p
-	r.put(p, 0, points)
+	r.addPoints(p, 0, points)
 	return p
 }
 
 // put puts points of a place on the ring, from one number up to another.
-func (r *Ring[V]) put(p *Place[V], from, to int) {
+func (r *Ring[V]) addPoints(p *Place[V], from, to int) {
 	r.points += max(to-from, 0)
 	for r.points > arcPoints*len(r.arcs) {
 		r.split()
@@ -136,7 +136,7 @@
 }
 
 // take takes points of a place off the ring, from one number up to another.
-func (r *Ring[V]) take(p *Place[V], from, to int) {
+func (r *Ring[V]) removePoints(p *Place[V], from, to int) {
 	r.points -= max(to-from, 0)
 	r.eachPoint(p, from, to, func(q point) {
 		arc := &r.arcs[r.arcOf(q.hash())]
@@ -149,28 +149,28 @@
 // Leave has a place take no part until it joins again; its points stay where they are, to be passed over.
 // It tells whether it was a member.
 func (r *Ring[V]) Leave(p *Place[V]) bool {
-	if !p.Member() {
+	if !p.IsMember() {
 		return false
 	}
-	p.member = false
+	p.isMember = false
 	i, _ := slices.BinarySearch(r.names, p.name)
 	r.names, r.members = slices.Delete(r.names, i, i+1), slices.Delete(r.members, i, i+1)
 	return true
 }
 
-// Forget gives a place up, with its points. Guards against a ring that grows with every name there ever was.
-func (r *Ring[V]) Forget(p *Place[V]) {
+// Remove gives a place up, with its points. Guards against a ring that grows with every name there ever was.
+func (r *Ring[V]) Remove(p *Place[V]) {
 	if p == nil || r.places[p.number] != p {
 		return
 	}
 	r.Leave(p)
 	delete(r.byName, p.name)
-	r.take(p, 0, p.points)
-	r.places[p.number], r.free = nil, append(r.free, p.number)
+	r.removePoints(p, 0, p.points)
+	r.places[p.number], r.freeNumbers = nil, append(r.freeNumbers, p.number)
 }
 
-// Member tells whether a place takes part; none does not.
-func (p *Place[V]) Member() bool { return p != nil && p.member }
+// IsMember tells whether a place takes part; none does not.
+func (p *Place[V]) IsMember() bool { return p != nil && p.isMember }
 
 // Members are the values of the members, by name: valid until the next one comes or goes, and not to be
 // changed.
@@ -190,7 +190,7 @@
 // Walk visits the distinct members clockwise from a hash until visit returns false. Visit must not change
 // the ring or begin another walk.
 func (r *Ring[V]) Walk(hash uint32, visit func(V) bool) {
-	r.walks++
+	r.walkCount++
 	left := len(r.members)
 	first := r.arcOf(hash)
 	from, _ := slices.BinarySearch(r.arcs[first], point(hash)<<32)
@@ -198,10 +198,10 @@
 	for i := 0; i <= len(r.arcs) && left > 0; i++ {
 		for _, q := range r.arcs[(first+i)&(len(r.arcs)-1)][from:] {
 			p := r.places[q.number()]
-			if p.walk == r.walks || !p.member {
+			if p.lastWalk == r.walkCount || !p.isMember {
 				continue
 			}
-			p.walk = r.walks
+			p.lastWalk = r.walkCount
 			if left--; !visit(p.value) || left == 0 {
 				return
 			}
--- a/ring/ring_test.go
+++ b/ring/ring_test.go
@@ -46,22 +46,22 @@
 				places[n], members[n] = r.Join(n, n), true
 			case "join with":
 				points[n] = rapid.IntRange(0, 80).Draw(t, "points")
-				places[n], members[n] = r.JoinWith(n, n, points[n]), true
+				places[n], members[n] = r.JoinWithPoints(n, n, points[n]), true
 			case "resize":
 				to := rapid.IntRange(-1, 80).Draw(t, "points")
 				if _, known := points[n]; known {
 					points[n] = max(to, 0)
 				}
-				r.Resize(places[n], to) // also one that was forgotten, or never was
+				r.SetPoints(places[n], to) // also one that was forgotten, or never was
 			case "leave":
 				require.Equal(t, members[n], r.Leave(places[n]))
 				delete(members, n)
 			case "forget":
-				r.Forget(places[n]) // also one that was forgotten before
+				r.Remove(places[n]) // also one that was forgotten before
 				delete(members, n)
 				delete(points, n)
 			}
-			require.Equal(t, members[n], places[n].Member())
+			require.Equal(t, members[n], places[n].IsMember())
 		}
 		sum, onArcs := 0, 0
 		for _, n := range points {
@@ -72,7 +72,7 @@
 		}
 		require.Equal(t, sum, r.Points())
 		require.Equal(t, sum, onArcs)
-		require.Equal(t, len(points), len(r.places)-len(r.free))
+		require.Equal(t, len(points), len(r.places)-len(r.freeNumbers))
 		now := append([]string{}, r.Members()...)
 		require.True(t, slices.IsSorted(now))
 		require.Len(t, members, len(now))
@@ -154,7 +154,7 @@
 		if i%2 == 0 {
 			places = append(places, r.Join(name, i))
 		} else {
-			places = append(places, r.JoinWith(name, i, 100))
+			places = append(places, r.JoinWithPoints(name, i, 100))
 		}
 	}
 	owners := func() (owners [keys]int) {
@@ -166,7 +166,7 @@
 	require.Equal(t, uint64(16089435016658132731), walks(r))
 	before := owners()
 	for _, points := range []int{180, 100, 50, 0, 100} {
-		r.Resize(places[7], points)
+		r.SetPoints(places[7], points)
 		require.Equal(t, points, places[7].Points())
 		for k, o := range owners() {
 			if o != before[k] {
--- a/storm/agreed_test.go
+++ b/storm/agreed_test.go
@@ -13,11 +13,11 @@
 
 // What is agreed reaches the gate and its module, an operator's new figures leave it in force, and it can be taken
 // back.
-func TestAgreed(t *testing.T) {
-	l := newLab(2, 4, func(set *decide.Settings) {
+func TestFleetPolicy(t *testing.T) {
+	l := newFleetSimulation(2, 4, func(set *decide.Settings) {
 		set.Tenants = []decide.Tenant{{Name: "a", QuotaPerSecond: 40}, {Name: "b"}}
 	})
-	g, id := l.gates[0], uint32(0)
+	g, id := l.controllers[0], uint32(0)
 	over := func(tenant string) (n int) { // of 100 in 5 s; the module says that a quarter of the share is here
 		for range 100 {
 			l.now += 50 * time.Millisecond
@@ -27,7 +27,7 @@
 				ClientTimeout: time.Second,
 			})
 			require.NotEmpty(t, acts)
-			if r := g.requests[id]; r != nil && r.over {
+			if r := g.requests[id]; r != nil && r.overQuota {
 				n++
 			}
 			g.Step(l.now, &decide.AttemptDone{ID: id, Outcome: decide.Served, Latency: time.Millisecond, RequestDone: true})
@@ -38,27 +38,27 @@
 	require.Equal(t, 50, over("a"))
 	require.Zero(t, over("b"))
 	classes := []decide.RetryPolicy{{MaxAttempts: 1}}
-	g.Agree([]float64{8, 20}, classes, 0.2)
-	require.Equal(t, classes, l.modules[0].agreed)
+	g.ApplyFleetPolicy([]float64{8, 20}, classes, 0.2)
+	require.Equal(t, classes, l.balancers[0].agreed)
 	require.Equal(t, 88, over("a"), "2 a second, and a bucket of 3 that is as full as the one of 10 was")
 	require.InDelta(t, 75, over("b"), 5, "it begins with a full bucket")
 
-	s := newShare(40)
-	s.bucket = 5 // of 10
-	s.set(0, 80, 0.25)
-	require.Equal(t, 10.0, s.bucket, "of 20")
+	s := newTenantQuota(40)
+	s.tokens = 5 // of 10
+	s.setRate(0, 80, 0.25)
+	require.Equal(t, 10.0, s.tokens, "of 20")
 
-	require.Equal(t, 0.2, g.fig.InVain)
-	fig := DefaultFigures()
+	require.Equal(t, 0.2, g.config.WastedFraction)
+	fig := DefaultConfig()
 	for _, c := range []struct{ own, agreed, holds float64 }{
 		{0.25, 0.2, 0.2}, {0.15, 0.2, 0.15}, {0.3, 0, 0.3}, {0.3, math.NaN(), 0.3}, {0.3, -1, 0.3}, {0.25, 1, 0.25},
 	} {
-		g.Agree(nil, nil, c.agreed)
-		fig.InVain = c.own
-		require.NoError(t, g.Set(fig))
-		require.Equal(t, c.holds, g.fig.InVain, "%+v", c)
+		g.ApplyFleetPolicy(nil, nil, c.agreed)
+		fig.WastedFraction = c.own
+		require.NoError(t, g.SetConfig(fig))
+		require.Equal(t, c.holds, g.config.WastedFraction, "%+v", c)
 	}
-	require.Nil(t, l.modules[0].agreed)
+	require.Nil(t, l.balancers[0].agreed)
 	over("a")
 	require.Equal(t, 50, over("a"))
 	require.Zero(t, over("b"))
@@ -66,31 +66,31 @@
 
 // Servers to be kept off reach the module, repeats keep their tenant on the way there, and what the gate turns
 // away itself is among what the module tells.
-func TestAvoid(t *testing.T) {
-	l := newLab(1, 4, func(set *decide.Settings) { set.Tenants = []decide.Tenant{{Name: "a", QuotaPerSecond: 40}} })
-	g, m := l.gates[0], l.modules[0]
+func TestExclusionsAndAssignmentArePassedOn(t *testing.T) {
+	l := newFleetSimulation(1, 4, func(set *decide.Settings) { set.Tenants = []decide.Tenant{{Name: "a", QuotaPerSecond: 40}} })
+	g, m := l.controllers[0], l.balancers[0]
 	a := &decide.Exclusions{}
-	g.Avoid(a)
+	g.SetExclusions(a)
 	require.Same(t, a, m.avoid)
 	p := &decide.RingAssignment{}
-	g.Place(p)
+	g.SetRingAssignment(p)
 	require.Same(t, p, m.placed)
 	for _, retry := range []bool{false, true} {
 		if retry {
-			g.damper.phase, g.damper.trials = outage, trialMost // only then they count once
+			g.outage.phase, g.outage.trialTokens = phaseOutage, maxSavedTrials // only then they count once
 		}
 		e := g.admit(&decide.Request{ID: 1, Tenant: "a", Class: "consult", ClientTimeout: time.Second, ClientRetry: retry})
 		require.Equal(t, "a", e.(*decide.Request).Tenant)
 		require.Equal(t, retry, e.(*decide.Request).QuotaCounted)
-		g.answered(1)
+		g.onFinalAnswer(1)
 	}
 	m.strain = []decide.TenantStats{{Tenant: decide.NoTenant, Requests: 1, Failed: 1}, {Tenant: "a", Requests: 9, Served: 9}}
 	for _, tenant := range []string{"a", "a", "", "invented", "invented too"} {
-		g.refuse(&decide.Request{ID: 2, Tenant: tenant}, 0, false)
+		g.reject(&decide.Request{ID: 2, Tenant: tenant}, 0, false)
 	}
-	require.Len(t, g.turned, 2)
+	require.Len(t, g.rejected, 2)
 	require.Equal(t, []decide.TenantStats{
 		{Tenant: decide.NoTenant, Requests: 4, Rejected: 3, Failed: 1},
 		{Tenant: "a", Requests: 11, Served: 9, Rejected: 2},
-	}, g.Strain())
+	}, g.TenantStats())
 }
--- a/storm/bench_test.go
+++ b/storm/bench_test.go
@@ -13,7 +13,7 @@
 func BenchmarkServed(b *testing.B) {
 	for _, off := range []bool{true, false} {
 		b.Run(fmt.Sprintf("gate=%v", !off), func(b *testing.B) {
-			var m Module
+			var m Balancer
 			set := deployment(4, 0)
 			balancer, err := decide.New(set, 1)
 			m = balancer
@@ -21,7 +21,7 @@
 				Step(time.Duration, decide.Event) []decide.Action
 			})
 			if !off && err == nil {
-				step, err = New(set, Figures{}, m, 1)
+				step, err = New(set, Config{}, m, 1)
 			}
 			if err != nil {
 				b.Fatal(err)
@@ -52,10 +52,10 @@
 	}
 }
 
-// BenchmarkRefused is a request that is turned away in an outage, each from another client.
-func BenchmarkRefused(b *testing.B) {
-	g, _ := New(deployment(4, 0), Figures{}, &roomy{most: 100, servers: 13}, 1)
-	g.damper.phase, g.damper.last = outage, epoch
+// BenchmarkRejected is a request that is turned away in an outage, each from another client.
+func BenchmarkRejected(b *testing.B) {
+	g, _ := New(deployment(4, 0), Config{}, &fakeBalancer{most: 100, servers: 13}, 1)
+	g.outage.phase, g.outage.lastSuccessAt = phaseOutage, epoch
 	keys := make([]string, 100_000)
 	for i := range keys {
 		keys[i] = fmt.Sprint("client-", i)
--- a/storm/gate.go
+++ b/storm/gate.go
@@ -1,10 +1,10 @@
 // Package storm stands before the decision module and turns away what would make trouble worse: in slow
 // spells, while nothing is served, and when what was down comes back.
 //
-// It does no input or output. A Gate is fed the module's events in order and hands on those that the module
+// It does no input or output. A Controller is fed the module's events in order and hands on those that the module
 // is to see; each call of Step returns the actions to carry out, its own and the module's. Time is that of
 // package decide, and should be the same at every agent. The same settings, seed and events always give the
-// same actions. A Gate is not safe for concurrent use.
+// same actions. A Controller is not safe for concurrent use.
 package storm
 
 import (
@@ -19,8 +19,8 @@
 	"dunestep/decide"
 )
 
-// Module makes the decisions about what is let in: decide.Balancer.
-type Module interface {
+// Balancer makes the decisions about what is let in: decide.Balancer.
+type Balancer interface {
 	Step(now time.Duration, ev decide.Event) []decide.Action
 	// ArrivalFraction is this agent's part of all arrivals, from 0 to 1.
 	ArrivalFraction() float64
@@ -37,99 +37,99 @@
 	SetRingAssignment(p *decide.RingAssignment)
 }
 
-// Gate lets requests through to a Module, or refuses them.
-type Gate struct {
-	module Module
-	set    decide.Settings
-	own    Figures // the operator's
-	inVain float64 // as agreed: no figure above it; zero: nothing is
-	fig    Figures // what holds: own, within what is agreed
-	there  int     // agents, as far as is known
-	rng    *rand.Rand
-	now    time.Duration
-	acts   []decide.Action
-	next   []decide.Event // for the module, once it has taken in the present one
-
-	requests   map[uint32]*request
-	spare      []*request
-	servers    map[string]*server
-	inOrder    []*server // by id
-	kinds      map[string]*pace
-	longestAim time.Duration
-	hasSafe    bool // there is a class that may be repeated
-
-	crowd  level // requests of this agent at servers
-	order  order
-	shares map[string]*share
-	turned map[string]uint64 // requests turned away here, by the settings' tenants, or decide.NoTenant
-	told   told
-
-	came        faded // requests
-	sent        faded // of these, sent on
-	served      faded // answers
-	usual       faded // the same, over a longer time
-	most        faded // servers that take requests
-	firstAnswer time.Duration
-
-	spell    spell
-	damper   damper
-	repeats  repeats
-	throttle throttle
-	further  float64       // attempts beyond the first that may be made in an outage
-	slot     time.Duration // of the last client that was told when to come back
+// Controller lets requests through to a Balancer, or refuses them.
+type Controller struct {
+	balancer             Balancer
+	settings             decide.Settings
+	configured           Config  // the operator's
+	agreedWastedFraction float64 // as agreed: no figure above it; zero: nothing is
+	config               Config  // what holds: own, within what is agreed
+	agents               int     // agents, as far as is known
+	rng                  *rand.Rand
+	now                  time.Duration
+	actions              []decide.Action
+	pendingEvents        []decide.Event // for the module, once it has taken in the present one
+
+	requests           map[uint32]*request
+	freeRequests       []*request
+	servers            map[string]*server
+	serversByID        []*server // by id
+	serviceTimes       map[string]*serviceTimeEstimate
+	longestObjective   time.Duration
+	hasRepeatableClass bool // there is a class that may be repeated
+
+	inFlight    meanCount // requests of this agent at servers
+	fairness    fairnessOrder
+	quotas      map[string]*tenantQuota
+	rejected    map[string]uint64 // requests turned away here, by the settings' tenants, or decide.NoTenant
+	retryAfters retryAfterTable
+
+	arrivals        decayingSum // requests
+	forwarded       decayingSum // of these, sent on
+	successes       decayingSum // answers
+	usualSuccesses  decayingSum // the same, over a longer time
+	peakServers     decayingSum // servers that take requests
+	firstResponseAt time.Duration
+
+	episode        episode
+	outage         outageState
+	retryStorm     retryStorm
+	throttle       adaptiveThrottle
+	retryBudget    float64       // attempts beyond the first that may be made in an outage
+	lastReturnSlot time.Duration // of the last client that was told when to come back
 
 	// Used again for each event: the module keeps none.
-	again  decide.Request
-	end    decide.AttemptDone
-	stream decide.StreamStarted
+	requestEvent       decide.Request
+	attemptDoneEvent   decide.AttemptDone
+	streamStartedEvent decide.StreamStarted
 }
 
 // request is what is kept of one that was let in.
 type request struct {
-	who      uint64
-	tenant   string
-	over     bool
-	attempts []attempt
-	sends    int // by the module; some were held back
-	open     int
-	answered bool
-	streams  bool // its class: servers work until the end of the answer
+	client           uint64
+	tenant           string
+	overQuota        bool
+	attempts         []attempt
+	balancerAttempts int // by the module; some were held back
+	openAttempts     int
+	isAnswered       bool
+	isStreaming      bool // its class: servers work until the end of the answer
 }
 
 type attempt struct {
-	number int // by the module's count, which has those that were held back
-	server *server
-	crowd  float64 // in flight at its start
-	done   bool
-	begun  bool // its answer
+	balancerNumber  int // by the module's count, which has those that were held back
+	server          *server
+	concurrency     float64 // in flight at its start
+	hasEnded        bool
+	responseStarted bool // its answer
 }
 
 // server is a booking server and how its answers compare with the usual.
 type server struct {
-	entry   decide.Server
-	kind    *pace
-	ready   bool
-	renewed time.Duration // added to its start, for the module to take it for a new one
-	log     faded         // logarithms of the factors, and below how many
-	answers faded
-	heard   time.Duration
-	window  float64 // requests that may be in flight in all while it proves itself
-	proven  time.Duration
-	failed  int           // attempts in a row
-	lost    int           // of these, not turned away
-	out     int           // requests of this agent
-	until   time.Duration // it failed one: where it is cold, no more before
+	entry               decide.Server
+	serviceTime         *serviceTimeEstimate
+	isReady             bool
+	startOffset         time.Duration // added to its start, for the module to take it for a new one
+	logFactors          decayingSum   // logarithms of the factors, and below how many
+	samples             decayingSum
+	lastResponseAt      time.Duration
+	inFlightLimit       float64 // requests that may be in flight in all while it proves itself
+	lastSuccessAt       time.Duration
+	consecutiveFailures int           // attempts in a row
+	consecutiveFaults   int           // of these, not turned away
+	inFlight            int           // requests of this agent
+	holdUntil           time.Duration // it failed one: where it is cold, no more before
 }
 
 const (
-	serverHalf = time.Second
-	fleetHalf  = time.Minute
-	failedOut  = 3 // attempts in a row: nothing is expected of the server
+	serverHalfLife      = time.Second
+	peakServersHalfLife = time.Minute
+	deadAfterFailures   = 3 // attempts in a row: nothing is expected of the server
 )
 
-// New returns a Gate before a module that was built with the same settings.
-func New(set decide.Settings, fig Figures, module Module, seed uint64) (*Gate, error) {
-	fig, err := fig.orDefaults()
+// New returns a Controller before a module that was built with the same settings.
+func New(set decide.Settings, fig Config, module Balancer, seed uint64) (*Controller, error) {
+	fig, err := fig.withDefaults()
 	if err != nil {
 		return nil, err
 	}
@@ -137,29 +137,29 @@
 		return nil, errors.New("storm: no request classes")
 	}
 	set.Balancers = max(set.Balancers, 1)
-	g := &Gate{
-		module: module, set: set, there: set.Balancers, own: fig, fig: fig,
+	g := &Controller{
+		balancer: module, settings: set, agents: set.Balancers, configured: fig, config: fig,
 		rng:      rand.New(rand.NewPCG(seed, 0x73746f72)),
-		requests: map[uint32]*request{}, servers: map[string]*server{}, kinds: map[string]*pace{},
-		crowd: level{faded: faded{half: factorHalf}}, order: newOrder(set.Classes), shares: map[string]*share{},
-		turned: map[string]uint64{decide.NoTenant: 0},
-		came:   faded{half: rateHalf}, sent: faded{half: rateHalf}, served: faded{half: rateHalf},
-		usual: faded{half: usualHalf}, most: faded{half: fleetHalf},
-		spell: newSpell(), damper: newDamper(), repeats: newRepeats(), throttle: newThrottle(),
-	}
-	g.told = newTold(g.rng.Uint64())
+		requests: map[uint32]*request{}, servers: map[string]*server{}, serviceTimes: map[string]*serviceTimeEstimate{},
+		inFlight: meanCount{decayingSum: decayingSum{halfLife: factorHalfLife}}, fairness: newFairnessOrder(set.Classes), quotas: map[string]*tenantQuota{},
+		rejected: map[string]uint64{decide.NoTenant: 0},
+		arrivals: decayingSum{halfLife: rateHalfLife}, forwarded: decayingSum{halfLife: rateHalfLife}, successes: decayingSum{halfLife: rateHalfLife},
+		usualSuccesses: decayingSum{halfLife: usualRateHalfLife}, peakServers: decayingSum{halfLife: peakServersHalfLife},
+		episode: newEpisode(), outage: newOutageState(), retryStorm: newRetryStorm(), throttle: newAdaptiveThrottle(),
+	}
+	g.retryAfters = newRetryAfterTable(g.rng.Uint64())
 	for _, c := range set.Classes {
-		g.longestAim = max(g.longestAim, c.LatencyObjective)
-		g.hasSafe = g.hasSafe || c.Idempotency != decide.NotIdempotent
+		g.longestObjective = max(g.longestObjective, c.LatencyObjective)
+		g.hasRepeatableClass = g.hasRepeatableClass || c.Idempotency != decide.NotIdempotent
 	}
 	for _, t := range set.Tenants {
-		g.shares[t.Name], g.turned[t.Name] = newShare(t.QuotaPerSecond), 0
+		g.quotas[t.Name], g.rejected[t.Name] = newTenantQuota(t.QuotaPerSecond), 0
 	}
 	return g, nil
 }
 
-// Build returns a Gate before a decide.Balancer of its own.
-func Build(set decide.Settings, fig Figures, seed uint64) (*Gate, error) {
+// NewWithBalancer returns a Controller before a decide.Balancer of its own.
+func NewWithBalancer(set decide.Settings, fig Config, seed uint64) (*Controller, error) {
 	balancer, err := decide.New(set, seed)
 	if err != nil {
 		return nil, err
@@ -167,227 +167,229 @@
 	return New(set, fig, balancer, seed)
 }
 
-// Set changes the figures; what is under way goes on by the new ones. Figures that can't be counted with
+// SetConfig changes the figures; what is under way goes on by the new ones. Config that can't be counted with
 // change nothing.
-func (g *Gate) Set(fig Figures) error {
-	fig, err := fig.orDefaults()
+func (g *Controller) SetConfig(fig Config) error {
+	fig, err := fig.withDefaults()
 	if err != nil {
 		return err
 	}
-	g.own = fig
-	g.combine()
+	g.configured = fig
+	g.updateConfig()
 	return nil
 }
 
 // ApplyFleetPolicy has the gate and its module go by what the fleet has agreed on, from the next Step on: see
-// decide.Balancer for the tenants' quotas and the classes, and Figures.InVain for inVain, which holds until
-// the next ApplyFleetPolicy, whatever Set says; only a lower figure of the operator's own stays. An inVain that is not
+// decide.Balancer for the tenants' quotas and the classes, and Config.WastedFraction for agreedWastedFraction, which holds until
+// the next ApplyFleetPolicy, whatever SetConfig says; only a lower figure of the operator's own stays. An agreedWastedFraction that is not
 // above zero leaves it to the operator's, and ApplyFleetPolicy(nil, nil, 0) takes all back.
-func (g *Gate) Agree(quota []float64, classes []decide.RetryPolicy, inVain float64) {
-	part := g.module.ArrivalFraction()
-	for i, t := range g.set.Tenants {
+func (g *Controller) ApplyFleetPolicy(quota []float64, classes []decide.RetryPolicy, inVain float64) {
+	part := g.balancer.ArrivalFraction()
+	for i, t := range g.settings.Tenants {
 		perS := t.QuotaPerSecond
 		if i < len(quota) {
 			perS = quota[i]
 		}
-		g.shares[t.Name].set(g.now, perS, part)
+		g.quotas[t.Name].setRate(g.now, perS, part)
 	}
-	g.module.ApplyFleetPolicy(quota, classes)
-	if g.inVain = 0; inVain > 0 {
-		g.inVain = inVain
+	g.balancer.ApplyFleetPolicy(quota, classes)
+	if g.agreedWastedFraction = 0; inVain > 0 {
+		g.agreedWastedFraction = inVain
 	}
-	g.combine()
+	g.updateConfig()
 }
 
-// Present has the gate divide what all agents together send in an outage by another number of them than the
+// SetFleetSize has the gate divide what all agents together send in an outage by another number of them than the
 // settings name, from now on; zero: by theirs. As decide.QuotaCounted has it, together they send half as much
 // again at the most, however wrong it is.
-func (g *Gate) Present(agents int) { g.there = decide.EffectiveFleetSize(agents, g.set.Balancers) }
+func (g *Controller) SetFleetSize(agents int) {
+	g.agents = decide.EffectiveFleetSize(agents, g.settings.Balancers)
+}
 
 // combine finds the figures that hold.
-func (g *Gate) combine() {
-	if g.fig = g.own; g.inVain > 0 {
-		g.fig.InVain = min(g.own.InVain, g.inVain)
+func (g *Controller) updateConfig() {
+	if g.config = g.configured; g.agreedWastedFraction > 0 {
+		g.config.WastedFraction = min(g.configured.WastedFraction, g.agreedWastedFraction)
 	}
-	if g.fig.Off {
-		g.spell.purging, g.spell.called, g.damper.phase, g.repeats.on = false, 0, calm, false
+	if g.config.Disabled {
+		g.episode.isShedding, g.episode.announcedStart, g.outage.phase, g.retryStorm.isActive = false, 0, phaseNormal, false
 	}
 }
 
 // Step takes an event in and returns the actions to take, valid until the next Step.
-func (g *Gate) Step(now time.Duration, ev decide.Event) []decide.Action {
-	g.acts, g.next = g.acts[:0], g.next[:0]
+func (g *Controller) Step(now time.Duration, ev decide.Event) []decide.Action {
+	g.actions, g.pendingEvents = g.actions[:0], g.pendingEvents[:0]
 	g.now = max(g.now, now)
-	if !g.fig.Off {
-		g.watchSpell()
-		g.watchOutage()
+	if !g.config.Disabled {
+		g.updateEpisode()
+		g.updateOutage()
 	}
 	switch e := ev.(type) {
 	case *decide.Request:
 		if ev = g.admit(e); ev == nil {
-			return g.acts
+			return g.actions
 		}
 	case *decide.AttemptDone:
-		ev = g.ended(e)
+		ev = g.onAttemptDone(e)
 	case *decide.StreamStarted:
 		if r := g.requests[e.ID]; r != nil && e.Attempt >= 0 && e.Attempt < len(r.attempts) {
-			g.begun(r, &r.attempts[e.Attempt])
-			g.stream = decide.StreamStarted{ID: e.ID, Attempt: r.attempts[e.Attempt].number}
-			ev = &g.stream
+			g.onResponseStarted(r, &r.attempts[e.Attempt])
+			g.streamStartedEvent = decide.StreamStarted{ID: e.ID, Attempt: r.attempts[e.Attempt].balancerNumber}
+			ev = &g.streamStartedEvent
 		}
 	case *decide.ClientGone:
-		g.answered(e.ID)
+		g.onFinalAnswer(e.ID)
 	case *decide.ServerListUpdate:
-		g.fleet() // before it changes
-		ev = g.listed(e)
+		g.recentPeakServers() // before it changes
+		ev = g.onServerListUpdate(e)
 	case *decide.PeerMessage:
-		if len(e.Data) > 0 && e.Data[0] == msgStorm {
-			g.heardPeer(e.From, e.Data)
-			return g.acts
+		if len(e.Data) > 0 && e.Data[0] == messageOverload {
+			g.onPeerMessage(e.From, e.Data)
+			return g.actions
 		}
 	}
-	g.pass(ev)
-	for len(g.next) > 0 {
-		ev, g.next = g.next[0], g.next[1:]
-		g.pass(ev)
+	g.stepBalancer(ev)
+	for len(g.pendingEvents) > 0 {
+		ev, g.pendingEvents = g.pendingEvents[0], g.pendingEvents[1:]
+		g.stepBalancer(ev)
 	}
-	return g.acts
+	return g.actions
 }
 
 // pass hands an event to the module and takes in what it does.
-func (g *Gate) pass(ev decide.Event) {
-	g.module.SetWarmServersSaturated(g.throttle.on) // a sparse one sees it nowhere else
-	for _, a := range g.module.Step(g.now, ev) {
-		if g.watch(&a) {
-			g.acts = append(g.acts, a)
+func (g *Controller) stepBalancer(ev decide.Event) {
+	g.balancer.SetWarmServersSaturated(g.throttle.isActive) // a sparse one sees it nowhere else
+	for _, a := range g.balancer.Step(g.now, ev) {
+		if g.onAction(&a) {
+			g.actions = append(g.actions, a)
 		}
 	}
 }
 
-func (g *Gate) log(format string, args ...any) {
-	g.acts = append(g.acts, decide.Action{Kind: decide.Log, Text: fmt.Sprintf(format, args...)})
+func (g *Controller) logf(format string, args ...any) {
+	g.actions = append(g.actions, decide.Action{Kind: decide.Log, Text: fmt.Sprintf(format, args...)})
 }
 
 // admit returns what the module is to see of a request that is let in, or refuses it and returns nil.
-func (g *Gate) admit(e *decide.Request) decide.Event {
-	g.came.add(g.now, 1)
-	if g.damper.asked++; g.requests[e.ID] != nil {
+func (g *Controller) admit(e *decide.Request) decide.Event {
+	g.arrivals.add(g.now, 1)
+	if g.outage.requestsSinceSuccess++; g.requests[e.ID] != nil {
 		return nil // it is known already
 	}
-	who := g.told.who(e.Key, e.Tenant, e.Class)
-	back := g.told.find(g.now, who)
-	repeat := e.ClientRetry || back != nil && !g.set.ClientsMarkRetries
-	over, counts := g.overShare(e.Tenant, repeat)
-	late := back != nil && repeat && (g.now < back.due-toldEarly || back.times >= 3)
-	tier := g.order.tier(e.Class, over, late)
-	g.order.offer(g.now, tier)
-	if g.noteTry(repeat, late) {
-		g.refuse(e, who, over)
+	who := g.retryAfters.clientID(e.Key, e.Tenant, e.Class)
+	back := g.retryAfters.find(g.now, who)
+	repeat := e.ClientRetry || back != nil && !g.settings.ClientsMarkRetries
+	over, counts := g.checkQuota(e.Tenant, repeat)
+	late := back != nil && repeat && (g.now < back.returnAt-retryAfterTolerance || back.rejections >= 3)
+	tier := g.fairness.tier(e.Class, over, late)
+	g.fairness.add(g.now, tier)
+	if g.recordArrival(repeat, late) {
+		g.reject(e, who, over)
 		return nil
 	}
-	if g.throttled(e, tier) {
-		g.refuse(e, who, over)
+	if g.isThrottled(e, tier) {
+		g.reject(e, who, over)
 		return nil
 	}
-	if g.inPurge() || g.damper.phase != calm {
-		before := g.order.before(g.now, tier, g.lot(e))
-		if g.inPurge() && before >= g.purgeRoom() || !g.letIn(e, before) {
-			g.damper.turned.add(g.now, 1)
-			g.damper.refused++
-			g.refuse(e, who, over)
+	if g.isSheddingNow() || g.outage.phase != phaseNormal {
+		before := g.fairness.fractionBefore(g.now, tier, g.fairnessRank(e))
+		if g.isSheddingNow() && before >= g.sheddingAdmittedFraction() || !g.admitsInOutage(e, before) {
+			g.outage.rejections.add(g.now, 1)
+			g.outage.rejectedCount++
+			g.reject(e, who, over)
 			return nil
 		}
 	}
-	g.enter(e, who, over)
+	g.addRequest(e, who, over)
 	if !counts && !over {
-		g.again = *e
-		g.again.QuotaCounted = true
-		return &g.again
+		g.requestEvent = *e
+		g.requestEvent.QuotaCounted = true
+		return &g.requestEvent
 	}
 	return e
 }
 
-func (g *Gate) enter(e *decide.Request, who uint64, over bool) {
+func (g *Controller) addRequest(e *decide.Request, who uint64, over bool) {
 	r := &request{}
-	if n := len(g.spare); n > 0 {
-		r, g.spare = g.spare[n-1], g.spare[:n-1]
+	if n := len(g.freeRequests); n > 0 {
+		r, g.freeRequests = g.freeRequests[n-1], g.freeRequests[:n-1]
 	}
-	class, known := g.order.classes[e.Class]
+	class, known := g.fairness.classIndex[e.Class]
 	*r = request{
-		who: who, tenant: e.Tenant, over: over, attempts: r.attempts[:0],
-		streams: known && g.set.Classes[class].Streaming,
+		client: who, tenant: e.Tenant, overQuota: over, attempts: r.attempts[:0],
+		isStreaming: known && g.settings.Classes[class].Streaming,
 	}
 	g.requests[e.ID] = r
 }
 
-func (g *Gate) lot(e *decide.Request) float64 {
+func (g *Controller) fairnessRank(e *decide.Request) float64 {
 	if e.Key == "" {
 		return g.rng.Float64()
 	}
-	return lot(e.Key, g.now, g.fig.Turn)
+	return keyRank(e.Key, g.now, g.config.FairnessRotation)
 }
 
 // refuse turns a request away at once.
-func (g *Gate) refuse(e *decide.Request, who uint64, over bool) {
-	g.noteTurned(e.Tenant)
-	g.acts = append(g.acts, decide.Action{
-		Kind: decide.Reject, ID: e.ID, After: g.advise(who), OverQuota: over,
-		Quota: g.quota(e.Tenant),
+func (g *Controller) reject(e *decide.Request, who uint64, over bool) {
+	g.countRejected(e.Tenant)
+	g.actions = append(g.actions, decide.Action{
+		Kind: decide.Reject, ID: e.ID, After: g.retryAfter(who), OverQuota: over,
+		Quota: g.reportedQuota(e.Tenant),
 	})
 }
 
 // advise says when a client that is turned away is to come back: those that were told come back one after
 // another, as fast as there is room for them, and no two at once.
-func (g *Gate) advise(who uint64) time.Duration {
-	if !g.set.Limits.RetryAfter {
+func (g *Controller) retryAfter(who uint64) time.Duration {
+	if !g.settings.Limits.RetryAfter {
 		return 0
 	}
-	most := g.set.Limits.MaxRetryAfter
-	gap := time.Duration(float64(time.Second) / max(g.usual.perSecond(g.now), 1))
-	g.slot = max(g.slot, g.now+adviceLeast) + gap
-	after := g.slot - g.now
+	most := g.settings.Limits.MaxRetryAfter
+	gap := time.Duration(float64(time.Second) / max(g.usualSuccesses.perSecond(g.now), 1))
+	g.lastReturnSlot = max(g.lastReturnSlot, g.now+minRetryAfter) + gap
+	after := g.lastReturnSlot - g.now
 	if after > most { // the queue is longer than may be said: they spread over the later half
-		g.slot = g.now + most
+		g.lastReturnSlot = g.now + most
 		after = most - time.Duration(g.rng.Float64()/2*float64(most))
 	}
-	g.told.note(g.now, who, g.now+after)
+	g.retryAfters.record(g.now, who, g.now+after)
 	return after
 }
 
 const (
-	adviceLeast = 100 * time.Millisecond
-	toldEarly   = 20 * time.Millisecond // what the way takes off
+	minRetryAfter       = 100 * time.Millisecond
+	retryAfterTolerance = 20 * time.Millisecond // what the way takes off
 )
 
 // watch takes in what the module does, and tells whether it is to be carried out.
-func (g *Gate) watch(a *decide.Action) bool {
+func (g *Controller) onAction(a *decide.Action) bool {
 	r := g.requests[a.ID]
 	switch a.Kind {
 	case decide.Send:
-		return r == nil || g.sends(a, r)
+		return r == nil || g.onSend(a, r)
 	case decide.Cancel:
-		return r == nil || r.renumber(a)
+		return r == nil || r.renumberAttempt(a)
 	case decide.Reject, decide.Fail:
 		if r == nil {
 			return true
 		}
 		if a.Kind == decide.Reject {
-			a.OverQuota, a.Quota = r.over && !g.fig.Off, g.quota(r.tenant)
-			if g.damper.phase != calm || g.inPurge() {
-				a.After = g.advise(r.who)
+			a.OverQuota, a.Quota = r.overQuota && !g.config.Disabled, g.reportedQuota(r.tenant)
+			if g.outage.phase != phaseNormal || g.isSheddingNow() {
+				a.After = g.retryAfter(r.client)
 			} else if a.After > 0 {
-				g.told.note(g.now, r.who, g.now+a.After)
+				g.retryAfters.record(g.now, r.client, g.now+a.After)
 			}
 		}
-		g.answered(a.ID)
+		g.onFinalAnswer(a.ID)
 	}
 	return true
 }
 
 // renumber gives an action the number that its attempt has outside, or tells that it was held back.
-func (r *request) renumber(a *decide.Action) bool {
+func (r *request) renumberAttempt(a *decide.Action) bool {
 	for i := range r.attempts {
-		if r.attempts[i].number == a.Attempt {
+		if r.attempts[i].balancerNumber == a.Attempt {
 			a.Attempt = i
 			return true
 		}
@@ -396,152 +398,154 @@
 }
 
 // sends notes an attempt, unless it is held back: the module is told then that it was not sent.
-func (g *Gate) sends(a *decide.Action, r *request) bool {
-	number, s := r.sends, g.server(a.Server)
-	r.sends++
-	if g.holdsBack(r, s) {
-		g.next = append(g.next, &decide.AttemptDone{
+func (g *Controller) onSend(a *decide.Action, r *request) bool {
+	number, s := r.balancerAttempts, g.server(a.Server)
+	r.balancerAttempts++
+	if g.suppressesAttempt(r, s) {
+		g.pendingEvents = append(g.pendingEvents, &decide.AttemptDone{
 			ID: a.ID, Attempt: number, Server: a.Server,
-			Outcome: decide.NotSent, RequestDone: r.answered,
+			Outcome: decide.NotSent, RequestDone: r.isAnswered,
 		})
 		return false
 	}
 	if len(r.attempts) == 0 {
-		g.sent.add(g.now, 1)
-		g.further = min(g.further+furtherShare, furtherMost)
-	}
-	g.damper.sent = g.now
-	r.attempts = append(r.attempts, attempt{number: number, server: s, crowd: g.crowding()})
-	r.open++
-	s.out++
-	g.crowd.change(g.now, 1)
+		g.forwarded.add(g.now, 1)
+		g.retryBudget = min(g.retryBudget+retryBudgetFraction, maxRetryBudget)
+	}
+	g.outage.lastSentAt = g.now
+	r.attempts = append(r.attempts, attempt{balancerNumber: number, server: s, concurrency: g.concurrency()})
+	r.openAttempts++
+	s.inFlight++
+	g.inFlight.add(g.now, 1)
 	return true
 }
 
-// holdsBack tells whether an attempt is not to be made. While an outage is not over, those beyond the first
+// suppressesAttempt tells whether an attempt is not to be made. While an outage is not over, those beyond the first
 // come out of one small budget, for retries and second copies of all classes. And a cold server that has to
 // carry what others can't gets no more than it proves: each agent's part of its budget is small, but all turn
 // to it at once.
-func (g *Gate) holdsBack(r *request, s *server) bool {
-	if g.fig.Off {
+func (g *Controller) suppressesAttempt(r *request, s *server) bool {
+	if g.config.Disabled {
 		return false
 	}
-	troubled := g.damper.phase != calm
-	if (troubled || 2*float64(g.working()) < g.fleet()) && g.cold(s) &&
-		(g.now < s.until || float64(s.out) >= max(s.window, 1)) {
+	troubled := g.outage.phase != phaseNormal
+	if (troubled || 2*float64(g.workingServers()) < g.recentPeakServers()) && g.isWarmingUp(s) &&
+		(g.now < s.holdUntil || float64(s.inFlight) >= max(s.inFlightLimit, 1)) {
 		return true
 	}
 	if !troubled || len(r.attempts) == 0 {
 		return false
 	}
-	if g.damper.phase == outage || g.further < 1 {
+	if g.outage.phase == phaseOutage || g.retryBudget < 1 {
 		return true
 	}
-	g.further--
+	g.retryBudget--
 	return false
 }
 
 const (
-	furtherShare = 0.1 // of the requests that are sent on
-	furtherMost  = 5.0
+	retryBudgetFraction = 0.1 // of the requests that are sent on
+	maxRetryBudget      = 5.0
 )
 
 // answered notes that a request has its answer, or needs none.
-func (g *Gate) answered(id uint32) {
+func (g *Controller) onFinalAnswer(id uint32) {
 	if r := g.requests[id]; r != nil {
-		r.answered = true
-		g.forget(id, r)
+		r.isAnswered = true
+		g.releaseRequest(id, r)
 	}
 }
 
-func (g *Gate) forget(id uint32, r *request) {
-	if r.answered && r.open == 0 {
+func (g *Controller) releaseRequest(id uint32, r *request) {
+	if r.isAnswered && r.openAttempts == 0 {
 		delete(g.requests, id)
-		g.spare = append(g.spare, r)
+		g.freeRequests = append(g.freeRequests, r)
 	}
 }
 
 // ended notes the end of an attempt, and returns what the module is to see of it. That a trial in an outage
 // fails says nothing of its server: to the module it was called off, or it would find every server down on
 // its own account and owe each its own proof when they are back.
-func (g *Gate) ended(e *decide.AttemptDone) decide.Event {
+func (g *Controller) onAttemptDone(e *decide.AttemptDone) decide.Event {
 	r := g.requests[e.ID]
-	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || r.attempts[e.Attempt].done {
+	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || r.attempts[e.Attempt].hasEnded {
 		return e
 	}
 	a := &r.attempts[e.Attempt]
-	a.done = true
-	r.open--
-	g.noLonger(a)
-	if !e.Evidence.Ours {
-		g.throttle.ended(g.now, e.Outcome)
+	a.hasEnded = true
+	r.openAttempts--
+	g.leaveInFlight(a)
+	if !e.Evidence.LocalShortage {
+		g.throttle.recordAttemptEnd(g.now, e.Outcome)
 	}
 	if e.Outcome == decide.Served {
-		g.served.add(g.now, 1)
-		g.usual.add(g.now, 1)
-		if g.settled() && !g.cold(a.server) {
-			g.compare(a, max(e.Latency, time.Microsecond))
+		g.successes.add(g.now, 1)
+		g.usualSuccesses.add(g.now, 1)
+		if g.isSettled() && !g.isWarmingUp(a.server) {
+			g.recordServiceTime(a, max(e.Latency, time.Microsecond))
 		}
-		g.told.forget(g.now, r.who)
+		g.retryAfters.forget(g.now, r.client)
 	}
-	if !e.Evidence.Ours { // what this agent is short of says nothing of its servers
-		g.noteEnd(a.server, e.Outcome)
+	if !e.Evidence.LocalShortage { // what this agent is short of says nothing of its servers
+		g.recordAttemptEnd(a.server, e.Outcome)
 	}
-	r.answered = r.answered || e.RequestDone
-	g.forget(e.ID, r)
-	g.end = *e
-	g.end.Attempt = a.number
-	if g.damper.phase == outage && !e.Outcome.Unprocessed() {
-		g.end.Outcome = decide.Canceled
+	r.isAnswered = r.isAnswered || e.RequestDone
+	g.releaseRequest(e.ID, r)
+	g.attemptDoneEvent = *e
+	g.attemptDoneEvent.Attempt = a.balancerNumber
+	if g.outage.phase == phaseOutage && !e.Outcome.Unprocessed() {
+		g.attemptDoneEvent.Outcome = decide.Canceled
 	}
-	return &g.end
+	return &g.attemptDoneEvent
 }
 
 // begun takes in that an answer has begun: where its class does not stream, its server's work is done,
 // however slowly the client takes it.
-func (g *Gate) begun(r *request, a *attempt) {
-	if !a.done && !r.streams {
-		g.noLonger(a)
-		a.begun = true
+func (g *Controller) onResponseStarted(r *request, a *attempt) {
+	if !a.hasEnded && !r.isStreaming {
+		g.leaveInFlight(a)
+		a.responseStarted = true
 	}
 }
 
-// noLonger takes an attempt off the crowd, once.
-func (g *Gate) noLonger(a *attempt) {
-	if !a.begun {
-		a.server.out--
-		g.crowd.change(g.now, -1)
+// leaveInFlight takes an attempt off the crowd, once.
+func (g *Controller) leaveInFlight(a *attempt) {
+	if !a.responseStarted {
+		a.server.inFlight--
+		g.inFlight.add(g.now, -1)
 	}
 }
 
 // cold tells whether a server is slow because it just started.
-func (g *Gate) cold(s *server) bool {
-	return s.entry.StartedAt > s.renewed && g.now-s.entry.StartedAt < g.set.Rules.SlowStartDuration
+func (g *Controller) isWarmingUp(s *server) bool {
+	return s.entry.StartedAt > s.startOffset && g.now-s.entry.StartedAt < g.settings.Rules.SlowStartDuration
 }
 
 // compare sets an answer's time against the usual one.
-func (g *Gate) compare(a *attempt, took time.Duration) {
+func (g *Controller) recordServiceTime(a *attempt, took time.Duration) {
 	s, log := a.server, math.Log(took.Seconds())
-	g.firstAnswer = cmp.Or(g.firstAnswer, g.now)
-	usual, known := s.kind.usual(a.crowd)
+	g.firstResponseAt = cmp.Or(g.firstResponseAt, g.now)
+	usual, known := s.serviceTime.usual(a.concurrency)
 	if known {
-		g.spell.answered(g.now, log-usual)
-		s.log.fade(g.now)
-		s.log.weight += log - usual
-		s.answers.add(g.now, 1)
-		s.heard = g.now
+		g.episode.observe(g.now, log-usual)
+		s.logFactors.decay(g.now)
+		s.logFactors.weight += log - usual
+		s.samples.add(g.now, 1)
+		s.lastResponseAt = g.now
 	}
-	s.kind.learn(a.crowd, log, known && g.spell.own.weight >= ownLeast && g.spell.own.factor() > unusual)
+	s.serviceTime.observe(a.concurrency, log, known && g.episode.own.weight >= minOwnWeight && g.episode.own.factor() > unusualFactor)
 }
 
 // crowding is how many requests this agent has in flight of late at ten servers: where some answer nothing,
 // or are gone, the others are more crowded.
-func (g *Gate) crowding() float64 { return g.crowd.mean(g.now) * 10 / float64(max(g.working(), 1)) }
+func (g *Controller) concurrency() float64 {
+	return g.inFlight.mean(g.now) * 10 / float64(max(g.workingServers(), 1))
+}
 
 // working counts the servers that take requests and do not fail them all.
-func (g *Gate) working() (n int) {
-	for _, s := range g.inOrder {
-		if s.ready && s.failed < failedOut {
+func (g *Controller) workingServers() (n int) {
+	for _, s := range g.serversByID {
+		if s.isReady && s.consecutiveFailures < deadAfterFailures {
 			n++
 		}
 	}
@@ -549,21 +553,21 @@
 }
 
 // fleet is how many servers there were of late, at most.
-func (g *Gate) fleet() float64 {
-	g.most.fade(g.now)
-	g.most.weight = max(g.most.weight, float64(g.ready()))
-	return g.most.weight
+func (g *Controller) recentPeakServers() float64 {
+	g.peakServers.decay(g.now)
+	g.peakServers.weight = max(g.peakServers.weight, float64(g.readyServers()))
+	return g.peakServers.weight
 }
 
-// slowShare is the part of the servers heard of late that are slow.
-func (g *Gate) slowShare() float64 {
+// slowServerFraction is the part of the servers heard of late that are slow.
+func (g *Controller) slowServerFraction() float64 {
 	slow, all := 0.0, 0.0
-	for _, s := range g.inOrder {
-		if !s.ready || s.heard == 0 || g.now-s.heard >= heardLately {
+	for _, s := range g.serversByID {
+		if !s.isReady || s.lastResponseAt == 0 || g.now-s.lastResponseAt >= recentResponse {
 			continue
 		}
 		all++
-		if s.log.weight > s.answers.weight*math.Log(slowServer) { // they fade alike
+		if s.logFactors.weight > s.samples.weight*math.Log(slowServerFactor) { // they fade alike
 			slow++
 		}
 	}
@@ -571,35 +575,37 @@
 }
 
 // carried is the part of what comes that the module finds room for.
-func (g *Gate) carried() float64 { return g.sent.perSecond(g.now) / max(g.came.perSecond(g.now), 1) }
+func (g *Controller) forwardedFraction() float64 {
+	return g.forwarded.perSecond(g.now) / max(g.arrivals.perSecond(g.now), 1)
+}
 
-func (g *Gate) server(id string) *server {
+func (g *Controller) server(id string) *server {
 	s := g.servers[id]
 	if s == nil {
 		s = &server{
-			entry: decide.Server{ID: id}, kind: g.kind(""), log: faded{half: serverHalf},
-			answers: faded{half: serverHalf},
+			entry: decide.Server{ID: id}, serviceTime: g.serviceTimeOf(""), logFactors: decayingSum{halfLife: serverHalfLife},
+			samples: decayingSum{halfLife: serverHalfLife},
 		}
 		g.servers[id] = s
-		at, _ := slices.BinarySearchFunc(g.inOrder, id,
+		at, _ := slices.BinarySearchFunc(g.serversByID, id,
 			func(s *server, id string) int { return cmp.Compare(s.entry.ID, id) })
-		g.inOrder = slices.Insert(g.inOrder, at, s)
+		g.serversByID = slices.Insert(g.serversByID, at, s)
 	}
 	return s
 }
 
-func (g *Gate) kind(name string) *pace {
-	k := g.kinds[name]
+func (g *Controller) serviceTimeOf(name string) *serviceTimeEstimate {
+	k := g.serviceTimes[name]
 	if k == nil {
-		k = &pace{}
-		g.kinds[name] = k
+		k = &serviceTimeEstimate{}
+		g.serviceTimes[name] = k
 	}
 	return k
 }
 
 // listed takes news of the server list in, and returns what the module is to see of it: the starts of servers
 // that were renewed are not the list's.
-func (g *Gate) listed(e *decide.ServerListUpdate) decide.Event {
+func (g *Controller) onServerListUpdate(e *decide.ServerListUpdate) decide.Event {
 	if e.Kind == decide.UpdateFailed {
 		return e
 	}
@@ -609,35 +615,35 @@
 		l := &news.Servers[i]
 		seen[l.ID] = true
 		if l.State == decide.Gone {
-			g.drop(l.ID)
+			g.removeServer(l.ID)
 			continue
 		}
 		s := g.server(l.ID)
-		l.StartedAt += s.renewed
-		s.entry, s.kind, s.ready = *l, g.kind(l.MachineKind), l.State == decide.Ready
+		l.StartedAt += s.startOffset
+		s.entry, s.serviceTime, s.isReady = *l, g.serviceTimeOf(l.MachineKind), l.State == decide.Ready
 	}
 	if e.Kind != decide.UpdateIncremental {
-		for _, s := range slices.Clone(g.inOrder) {
+		for _, s := range slices.Clone(g.serversByID) {
 			if !seen[s.entry.ID] {
-				g.drop(s.entry.ID)
+				g.removeServer(s.entry.ID)
 			}
 		}
 	}
 	return news
 }
 
-func (g *Gate) drop(id string) {
+func (g *Controller) removeServer(id string) {
 	if s := g.servers[id]; s != nil {
-		s.ready = false
+		s.isReady = false
 		delete(g.servers, id)
-		g.inOrder = slices.DeleteFunc(g.inOrder, func(o *server) bool { return o == s })
+		g.serversByID = slices.DeleteFunc(g.serversByID, func(o *server) bool { return o == s })
 	}
 }
 
 // ready counts the servers that take requests.
-func (g *Gate) ready() (n int) {
-	for _, s := range g.inOrder {
-		if s.ready {
+func (g *Controller) readyServers() (n int) {
+	for _, s := range g.serversByID {
+		if s.isReady {
 			n++
 		}
 	}
--- a/storm/gate_test.go
+++ b/storm/gate_test.go
@@ -16,33 +16,33 @@
 
 // player plays any day before a gate with the real module, and holds it to what is owed to clients and
 // servers.
-type player struct {
-	gate    *Gate
-	now     time.Duration
-	open    map[uint32]*played
-	timers  map[uint64]time.Duration
-	history string
-	t       *rapid.T
+type propertyRun struct {
+	controller *Controller
+	now        time.Duration
+	open       map[uint32]*playedRequest
+	timers     map[uint64]time.Duration
+	history    string
+	t          *rapid.T
 }
 
-type played struct {
+type playedRequest struct {
 	class string
 	out   []string // servers of its attempts, by number; empty: it has ended
 	ran   bool     // or may have
 	final bool
 }
 
-func newPlayer(t *rapid.T, fig Figures) *player {
+func newPropertyRun(t *rapid.T, fig Config) *propertyRun {
 	set := deployment(3, 0)
 	set.Tenants = []decide.Tenant{{Name: "t0", QuotaPerSecond: 5, Share: 0.5}, {Name: "t1", QuotaPerSecond: 50, Share: 0.5}}
 	set.Limits.Hedging = true
-	g, err := Build(set, fig, 3)
+	g, err := NewWithBalancer(set, fig, 3)
 	require.NoError(t, err)
-	return &player{gate: g, now: epoch, open: map[uint32]*played{}, timers: map[uint64]time.Duration{}, t: t}
+	return &propertyRun{controller: g, now: epoch, open: map[uint32]*playedRequest{}, timers: map[uint64]time.Duration{}, t: t}
 }
 
-func (p *player) step(ev decide.Event) {
-	for _, a := range p.gate.Step(p.now, ev) {
+func (p *propertyRun) step(ev decide.Event) {
+	for _, a := range p.controller.Step(p.now, ev) {
 		p.history += fmt.Sprintln(p.now, a)
 		r := p.open[a.ID]
 		switch a.Kind {
@@ -73,7 +73,7 @@
 }
 
 // pass lets time pass, and timers come due.
-func (p *player) pass(span time.Duration) {
+func (p *propertyRun) advance(span time.Duration) {
 	p.now += span
 	for _, tag := range slices.Sorted(maps.Keys(p.timers)) {
 		if p.timers[tag] <= p.now {
@@ -84,7 +84,7 @@
 }
 
 // end ends an attempt that is out.
-func (p *player) end(id uint32, r *played, attempt int, o decide.Outcome) {
+func (p *propertyRun) endAttempt(id uint32, r *playedRequest, attempt int, o decide.Outcome) {
 	server := r.out[attempt]
 	r.out[attempt] = ""
 	if !o.Unprocessed() {
@@ -100,14 +100,14 @@
 	})
 }
 
-// TestAnyDay: whatever comes, in calm, in outages and after them, each request has one answer, what may have
+// TestAnyCourseOfEvents: whatever comes, in calm, in outages and after them, each request has one answer, what may have
 // run is neither sent again nor refused where it must not run twice, nothing is left over, and the same day
 // again brings the same actions.
-func TestAnyDay(t *testing.T) {
+func TestAnyCourseOfEvents(t *testing.T) {
 	met := map[string]int{}
 	defer func() { require.Len(t, met, 2, "the days must have outages, and ends of them") }()
 	rapid.Check(t, func(t *rapid.T) {
-		p := newPlayer(t, Figures{})
+		p := newPropertyRun(t, Config{})
 		list := func(n int) {
 			news := &decide.ServerListUpdate{Kind: decide.UpdateFull}
 			for i := range n {
@@ -124,18 +124,18 @@
 				decide.ConnectionLost, decide.ServerError,
 			}).Draw(t, "else")
 			for range rapid.IntRange(20, 250).Draw(t, "events") {
-				p.pass(10 * time.Millisecond)
+				p.advance(10 * time.Millisecond)
 				switch rapid.IntRange(0, 99).Draw(t, "what") {
 				case 0:
 					list(rapid.IntRange(0, 5).Draw(t, "servers"))
 				case 1:
 					p.step(&decide.PeerMessage{From: 1, Data: message{
-						says: byte(rapid.IntRange(0, 2).Draw(t, "says")),
-						log:  1, weight: 50, begins: p.now + 50*time.Millisecond,
+						kind:      byte(rapid.IntRange(0, 2).Draw(t, "says")),
+						logFactor: 1, weight: 50, startsAt: p.now + 50*time.Millisecond,
 					}.encode()})
 				default:
 					ids++
-					p.open[ids] = &played{class: []string{"consult", "rezervare"}[ids%2]}
+					p.open[ids] = &playedRequest{class: []string{"consult", "rezervare"}[ids%2]}
 					p.step(&decide.Request{
 						ID: ids, Class: p.open[ids].class, Key: fmt.Sprint(ids % 7),
 						Tenant: fmt.Sprint("t", ids%3), ClientTimeout: time.Second, ClientRetry: ids%5 == 0,
@@ -151,9 +151,9 @@
 								continue
 							}
 							if rapid.IntRange(1, 100).Draw(t, "luck") <= served {
-								p.end(id, r, n, decide.Served)
+								p.endAttempt(id, r, n, decide.Served)
 							} else {
-								p.end(id, r, n, failure)
+								p.endAttempt(id, r, n, failure)
 							}
 						}
 					}
@@ -166,18 +166,18 @@
 				r := p.open[id]
 				for n := range r.out {
 					if r.out[n] != "" {
-						p.end(id, r, n, decide.Rejected)
+						p.endAttempt(id, r, n, decide.Rejected)
 					}
 				}
 			}
-			p.pass(200 * time.Millisecond)
+			p.advance(200 * time.Millisecond)
 		}
 		for id, r := range p.open {
 			if !r.final {
 				t.Fatalf("request %d has no answer", id)
 			}
 		}
-		if n := len(p.gate.requests); n > 0 {
+		if n := len(p.controller.requests); n > 0 {
 			t.Fatalf("%d requests are kept after their end", n)
 		}
 		for _, what := range []string{"nothing is served", "served again"} {
@@ -185,25 +185,25 @@
 				met[what]++
 			}
 		}
-		if p.gate.crowd.count != 0 {
-			t.Fatalf("%d attempts are counted that have ended", p.gate.crowd.count)
+		if p.controller.inFlight.count != 0 {
+			t.Fatalf("%d attempts are counted that have ended", p.controller.inFlight.count)
 		}
-		for _, s := range p.gate.inOrder {
-			if s.out != 0 {
-				t.Fatalf("%d attempts are counted at %s that have ended", s.out, s.entry.ID)
+		for _, s := range p.controller.serversByID {
+			if s.inFlight != 0 {
+				t.Fatalf("%d attempts are counted at %s that have ended", s.inFlight, s.entry.ID)
 			}
 		}
 	})
 }
 
-// TestOffLetsAllThrough: switched off, the gate does what the module does alone.
-func TestOffLetsAllThrough(t *testing.T) {
+// TestDisabledForwardsEverything: switched off, the gate does what the module does alone.
+func TestDisabledForwardsEverything(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := deployment(3, 0)
 		alone, err := decide.New(set, 3)
 		require.NoError(t, err)
-		p := newPlayer(t, Figures{Off: true})
-		g, err := New(set, p.gate.fig, alone, 3)
+		p := newPropertyRun(t, Config{Disabled: true})
+		g, err := New(set, p.controller.config, alone, 3)
 		require.NoError(t, err)
 		bare, err := decide.New(set, 3)
 		require.NoError(t, err)
@@ -225,16 +225,16 @@
 	})
 }
 
-// TestFigures: what can't be counted with is refused, at the start and later.
-func TestFigures(t *testing.T) {
-	bad := DefaultFigures()
-	bad.SpellFactor = 0
-	_, err := Build(deployment(1, 0), bad, 1)
-	require.ErrorContains(t, err, "SpellFactor")
-	g, err := Build(deployment(1, 0), Figures{}, 1)
+// TestConfigValidation: what can't be counted with is refused, at the start and later.
+func TestConfigValidation(t *testing.T) {
+	bad := DefaultConfig()
+	bad.EpisodeFactor = 0
+	_, err := NewWithBalancer(deployment(1, 0), bad, 1)
+	require.ErrorContains(t, err, "EpisodeFactor")
+	g, err := NewWithBalancer(deployment(1, 0), Config{}, 1)
 	require.NoError(t, err)
-	require.Error(t, g.Set(bad))
-	require.Equal(t, DefaultFigures(), g.fig)
-	_, err = New(decide.Settings{}, Figures{}, nil, 1)
+	require.Error(t, g.SetConfig(bad))
+	require.Equal(t, DefaultConfig(), g.config)
+	_, err = New(decide.Settings{}, Config{}, nil, 1)
 	require.Error(t, err)
 }
--- a/storm/golden_test.go
+++ b/storm/golden_test.go
@@ -33,11 +33,11 @@
 func TestMessageGolden(t *testing.T) {
 	var text strings.Builder
 	for _, m := range []message{
-		{saysEvidence, 0.5, 12.5, 0},
-		{saysEvidence, -1.25, 0, 0},
-		{saysEvidence, 9, 1000, 0},
-		{saysPurge, 0.693, 60, 1234567891011 * time.Millisecond},
-		{saysServed, 0, 3.1, 0},
+		{messageEvidence, 0.5, 12.5, 0},
+		{messageEvidence, -1.25, 0, 0},
+		{messageEvidence, 9, 1000, 0},
+		{messageShedding, 0.693, 60, 1234567891011 * time.Millisecond},
+		{messageServedAgain, 0, 3.1, 0},
 	} {
 		text.WriteString(hex.EncodeToString(m.encode()) + "\n")
 	}
@@ -51,10 +51,10 @@
 }
 
 // goldenMemory has a value in every field.
-func goldenMemory() Memory {
-	return Memory{
-		[]KindMemory{
-			{"lent", []PaceMemory{{3, -2.25, 40}, {7, -1.5, 25.75}}}, {"rapid", nil},
+func goldenMemory() Snapshot {
+	return Snapshot{
+		[]KindSnapshot{
+			{"lent", []ServiceTimeSnapshot{{3, -2.25, 40}, {7, -1.5, 25.75}}}, {"rapid", nil},
 		}, 12.5, 13, 20 * time.Second, 3500 * time.Millisecond,
 	}
 }
@@ -63,19 +63,19 @@
 func TestMemoryGolden(t *testing.T) {
 	enc, err := cbor.EncOptions{Sort: cbor.SortCoreDeterministic, ShortestFloat: cbor.ShortestFloat16}.EncMode()
 	require.NoError(t, err)
-	for name, m := range map[string]Memory{"memory": goldenMemory(), "memory-empty": {}} {
+	for name, m := range map[string]Snapshot{"memory": goldenMemory(), "memory-empty": {}} {
 		t.Run(name, func(t *testing.T) {
 			raw, err := enc.Marshal(m)
 			require.NoError(t, err)
-			var back Memory
+			var back Snapshot
 			require.NoError(t, cbor.Unmarshal(checkGolden(t, name+".cbor", raw), &back))
 			require.Equal(t, m, back)
 			shown, err := json.MarshalIndent(m, "", " ")
 			require.NoError(t, err)
-			back = Memory{}
+			back = Snapshot{}
 			require.NoError(t, json.Unmarshal(checkGolden(t, name+".json", append(shown, '\n')), &back))
 			require.Equal(t, m, back)
 		})
 	}
-	require.Equal(t, 1, MemoryVersion)
+	require.Equal(t, 1, SnapshotVersion)
 }
--- a/storm/message.go
+++ b/storm/message.go
@@ -9,46 +9,46 @@
 // A message to another agent is the letter 's', what it is, the logarithm of the factor and its weight, and
 // for a purge when it begins, on the clock that all machines read.
 const (
-	msgStorm = 's'
-	msgSize  = 14
+	messageOverload = 's'
+	messageSize     = 14
 
-	saysEvidence = 0
-	saysPurge    = 1
-	saysServed   = 2 // again, after an outage
+	messageEvidence    = 0
+	messageShedding    = 1
+	messageServedAgain = 2 // again, after an outage
 
-	mostFactor = 8.0  // what is said beyond is not believed
-	mostWeight = 60.0 // answers: no agent's evidence counts for more
+	maxFactor = 8.0  // what is said beyond is not believed
+	maxWeight = 60.0 // answers: no agent's evidence counts for more
 )
 
 type message struct {
-	says   byte
-	log    float64
-	weight float64
-	begins time.Duration
+	kind      byte
+	logFactor float64
+	weight    float64
+	startsAt  time.Duration
 }
 
 func (m message) encode() []byte {
-	d := make([]byte, 0, msgSize)
-	d = append(d, msgStorm, m.says)
-	d = binary.BigEndian.AppendUint16(d, uint16(int16(clamp(m.log, mostFactor)*1000)))
-	d = binary.BigEndian.AppendUint16(d, uint16(min(m.weight, mostWeight)*10))
-	return binary.BigEndian.AppendUint64(d, uint64(m.begins))
+	d := make([]byte, 0, messageSize)
+	d = append(d, messageOverload, m.kind)
+	d = binary.BigEndian.AppendUint16(d, uint16(int16(clampLog(m.logFactor, maxFactor)*1000)))
+	d = binary.BigEndian.AppendUint16(d, uint16(min(m.weight, maxWeight)*10))
+	return binary.BigEndian.AppendUint64(d, uint64(m.startsAt))
 }
 
 // decodeMessage takes a message apart; a garbled one is not ok.
 func decodeMessage(d []byte) (m message, ok bool) {
-	if len(d) != msgSize || d[0] != msgStorm || d[1] > saysServed {
+	if len(d) != messageSize || d[0] != messageOverload || d[1] > messageServedAgain {
 		return m, false
 	}
 	m = message{
-		says: d[1], log: float64(int16(binary.BigEndian.Uint16(d[2:]))) / 1000,
-		weight: float64(binary.BigEndian.Uint16(d[4:])) / 10, begins: time.Duration(binary.BigEndian.Uint64(d[6:])),
+		kind: d[1], logFactor: float64(int16(binary.BigEndian.Uint16(d[2:]))) / 1000,
+		weight: float64(binary.BigEndian.Uint16(d[4:])) / 10, startsAt: time.Duration(binary.BigEndian.Uint64(d[6:])),
 	}
-	m.log, m.weight = clamp(m.log, mostFactor), min(m.weight, mostWeight)
+	m.logFactor, m.weight = clampLog(m.logFactor, maxFactor), min(m.weight, maxWeight)
 	return m, true
 }
 
 // clamp keeps a logarithm within a factor both ways.
-func clamp(log, factor float64) float64 {
+func clampLog(log, factor float64) float64 {
 	return min(max(log, -math.Log(factor)), math.Log(factor))
 }
