--- a/storm/outage_test.go
+++ b/storm/outage_test.go
@@ -18,32 +18,32 @@
 // more than it can do, warm or cold.
 func TestOutage(t *testing.T) {
 	for name, c := range map[string]struct {
-		begin func(l *lab)
+		begin func(l *fleetSimulation)
 		slow  float64 // when it is back
 		rate  float64
 		sends float64 // for each first try, at most
 	}{
-		"silent":     {func(l *lab) { l.silent = true }, 1, 300, 0.25},
-		"refusing":   {func(l *lab) { l.refuses = true }, 1, 300, 0.25},
-		"down, cold": {func(l *lab) { l.down = true }, 3, 100, 0.25},
+		"silent":     {func(l *fleetSimulation) { l.neverAnswers = true }, 1, 300, 0.25},
+		"refusing":   {func(l *fleetSimulation) { l.rejectsAll = true }, 1, 300, 0.25},
+		"down, cold": {func(l *fleetSimulation) { l.connectFails = true }, 3, 100, 0.25},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l := newLab(4, 12, nil)
-			l.rate, l.repeats = c.rate, true
+			l := newFleetSimulation(4, 12, nil)
+			l.rate, l.clientsRetry = c.rate, true
 			l.run(20 * time.Second)
 			require.Empty(t, l.logs)
 			c.begin(l)
-			asked, sent := l.asked, l.sent
+			asked, sent := l.requests, l.sent
 			l.run(20 * time.Second)
-			require.Less(t, float64(l.sent-sent)/float64(l.asked-asked), c.sends, "%v", l.logs)
-			l.silent, l.refuses, l.down, l.slow = false, false, false, c.slow
+			require.Less(t, float64(l.sent-sent)/float64(l.requests-asked), c.sends, "%v", l.logs)
+			l.neverAnswers, l.rejectsAll, l.connectFails, l.slow = false, false, false, c.slow
 			for second := range 10 {
-				work, done, asked, served := l.sentWork, l.done, l.asked, l.served
+				work, done, asked, served := l.sentWork, l.done, l.requests, l.served
 				l.run(time.Second)
 				able := max(l.done-done, cores*float64(l.servers)/l.slow*0.9)
 				require.Less(t, l.sentWork-work, 1.1*able, "second %d", second)
 				if second >= 4 {
-					require.Greater(t, float64(l.served-served), 0.8*float64(l.asked-asked), "second %d: %v", second, l.logs)
+					require.Greater(t, float64(l.served-served), 0.8*float64(l.requests-asked), "second %d: %v", second, l.logs)
 				}
 			}
 			require.Equal(t, 4, count(l.logs, "outage over"), "%v", l.logs)
@@ -51,23 +51,23 @@
 	}
 }
 
-// TestOutageAtTheStart: an agent that starts in the middle of it, knowing nothing, neither adds to it nor
+// TestOutageAtStart: an agent that starts in the middle of it, knowing nothing, neither adds to it nor
 // misses its end.
-func TestOutageAtTheStart(t *testing.T) {
-	l := newLab(2, 6, nil)
-	l.rate, l.refuses = 100, true
+func TestOutageAtStart(t *testing.T) {
+	l := newFleetSimulation(2, 6, nil)
+	l.rate, l.rejectsAll = 100, true
 	l.run(10 * time.Second)
-	require.Less(t, float64(l.sent), 0.25*float64(l.asked))
-	l.refuses = false
+	require.Less(t, float64(l.sent), 0.25*float64(l.requests))
+	l.rejectsAll = false
 	l.run(3 * time.Second)
-	asked, served := l.asked, l.served
+	asked, served := l.requests, l.served
 	l.run(3 * time.Second)
-	require.Greater(t, float64(l.served-served), 0.95*float64(l.asked-asked), "%v", l.logs)
+	require.Greater(t, float64(l.served-served), 0.95*float64(l.requests-asked), "%v", l.logs)
 }
 
-// TestColdServerIsHeldToItsProof: one that just started and is turned to by all, because the others are gone, is not
+// TestWarmingUpServerIsHeldToItsLimit: one that just started and is turned to by all, because the others are gone, is not
 // pushed over: not by what it serves, nor by what it turns away.
-func TestColdServerIsHeldToItsProof(t *testing.T) {
+func TestWarmingUpServerIsHeldToItsLimit(t *testing.T) {
 	for name, c := range map[string]struct {
 		outcome decide.Outcome
 		started time.Duration
@@ -77,7 +77,7 @@
 		"is warm": {decide.Served, 0, 140},
 	} {
 		t.Run(name, func(t *testing.T) {
-			g, err := New(deployment(4, 0), Figures{}, &roomy{most: 100, servers: 1}, 1)
+			g, err := New(deployment(4, 0), Config{}, &fakeBalancer{most: 100, servers: 1}, 1)
 			require.NoError(t, err)
 			list := func(n int) {
 				news := &decide.ServerListUpdate{Kind: decide.UpdateFull}
@@ -111,9 +111,9 @@
 	}
 }
 
-// TestOrder: who is let in first.
-func TestOrder(t *testing.T) {
-	o := newOrder(deployment(1, 0).Classes)
+// TestFairnessOrder: who is let in first.
+func TestFairnessOrder(t *testing.T) {
+	o := newFairnessOrder(deployment(1, 0).Classes)
 	first := []int{
 		o.tier("rezervare", false, false), o.tier("rezervare", false, true), o.tier("consult", false, false),
 		o.tier("consult", false, true), o.tier("rezervare", true, false), o.tier("consult", true, true),
@@ -121,17 +121,17 @@
 	require.IsIncreasing(t, first)
 	require.Equal(t, o.tier("consult", false, false), o.tier("unheard of", false, false))
 	for _, tier := range first {
-		o.offer(epoch, tier)
+		o.add(epoch, tier)
 	}
 	last := -1.0
 	for _, tier := range first {
-		before := o.before(epoch, tier, 0.5)
+		before := o.fractionBefore(epoch, tier, 0.5)
 		require.Greater(t, before, last)
 		last = before
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		key, now := rapid.String().Draw(t, "key"), epoch+time.Duration(rapid.Int64Range(0, 1e12).Draw(t, "now"))
-		a, b := lot(key, now, time.Minute), lot(key, now+20*time.Second, time.Minute)
+		a, b := keyRank(key, now, time.Minute), keyRank(key, now+20*time.Second, time.Minute)
 		moved := b - a
 		if moved < 0 {
 			moved++
@@ -142,14 +142,14 @@
 	})
 }
 
-// TestAdvice: clients that are told come back one after another, within the bound; who heeds it is let in
+// TestRetryAfterSchedule: clients that are told come back one after another, within the bound; who heeds it is let in
 // before who does not.
-func TestAdvice(t *testing.T) {
-	l := newLab(1, 6, nil)
+func TestRetryAfterSchedule(t *testing.T) {
+	l := newFleetSimulation(1, 6, nil)
 	l.rate = 100
 	l.run(5 * time.Second)
-	g := l.gates[0]
-	g.damper.phase, g.damper.began = outage, l.now
+	g := l.controllers[0]
+	g.outage.phase, g.outage.startedAt = phaseOutage, l.now
 	var last time.Duration
 	seen := map[time.Duration]bool{}
 	for i := range 500 {
@@ -161,44 +161,44 @@
 			}
 		}
 		require.Positive(t, after)
-		require.LessOrEqual(t, after, g.set.Limits.MaxRetryAfter)
+		require.LessOrEqual(t, after, g.settings.Limits.MaxRetryAfter)
 		require.False(t, seen[after], "two told the same")
 		if seen[after] = true; i < 100 {
 			require.Greater(t, after, last)
 			last = after
 		}
 	}
-	who := g.told.who("c1", "", "rezervare")
-	p := g.told.find(l.now, who)
+	who := g.retryAfters.clientID("c1", "", "rezervare")
+	p := g.retryAfters.find(l.now, who)
 	require.NotNil(t, p)
-	require.Greater(t, p.due, l.now+adviceLeast)
-	require.Nil(t, g.told.find(p.due+toldGrace+1, who), "it is remembered for a while only")
+	require.Greater(t, p.returnAt, l.now+minRetryAfter)
+	require.Nil(t, g.retryAfters.find(p.returnAt+retryAfterGrace+1, who), "it is remembered for a while only")
 }
 
-// TestToldIsBounded: however many clients are told, and whatever their keys, the memory is that of the start.
-func TestToldIsBounded(t *testing.T) {
-	told := newTold(7)
-	require.LessOrEqual(t, len(told.places)*24, 2<<20)
+// TestRetryAfterTableIsBounded: however many clients are told, and whatever their keys, the memory is that of the start.
+func TestRetryAfterTableIsBounded(t *testing.T) {
+	told := newRetryAfterTable(7)
+	require.LessOrEqual(t, len(told.entries)*24, 2<<20)
 	missed := 0
 	for i := range 100_000 { // a minute's, told two seconds at most
 		now := epoch + time.Duration(i)*600*time.Microsecond
-		who := told.who(fmt.Sprint("k", i), "t", "consult")
-		told.note(now, who, now+2*time.Second)
+		who := told.clientID(fmt.Sprint("k", i), "t", "consult")
+		told.record(now, who, now+2*time.Second)
 		if i >= 3000 {
-			if told.find(now, told.who(fmt.Sprint("k", i-3000), "t", "consult")) == nil {
+			if told.find(now, told.clientID(fmt.Sprint("k", i-3000), "t", "consult")) == nil {
 				missed++
 			}
 		}
 	}
 	require.Less(t, missed, 100)
-	n := testing.AllocsPerRun(100, func() { told.note(epoch, 12345, epoch); told.find(epoch, 77) })
+	n := testing.AllocsPerRun(100, func() { told.record(epoch, 12345, epoch); told.find(epoch, 77) })
 	require.Zero(t, n)
 }
 
 // Guards against an outage that is this agent's own: where it has no descriptors for further connections, its servers
 // are as well as before.
-func TestOwnShortageIsNoOutage(t *testing.T) {
-	g, err := Build(deployment(1, 0), Figures{}, 1)
+func TestLocalShortageIsNoOutage(t *testing.T) {
+	g, err := NewWithBalancer(deployment(1, 0), Config{}, 1)
 	require.NoError(t, err)
 	now := epoch
 	g.Step(now, &decide.ServerListUpdate{Kind: decide.UpdateFull, Servers: []decide.Server{{ID: "a", Weight: 1}, {ID: "b", Weight: 1}}})
@@ -208,26 +208,26 @@
 			if a.Kind == decide.Send {
 				g.Step(now, &decide.AttemptDone{
 					ID: id, Server: a.Server, Outcome: decide.ConnectFailed,
-					Evidence: health.Evidence{Phase: health.Connecting, Ours: true},
+					Evidence: health.Evidence{Phase: health.PhaseConnecting, LocalShortage: true},
 				})
 			}
 		}
 	}
-	require.Equal(t, calm, g.damper.phase)
-	require.Equal(t, 2, g.working())
+	require.Equal(t, phaseNormal, g.outage.phase)
+	require.Equal(t, 2, g.workingServers())
 }
 
 // Guards against a list that is never asked for again: what the gate tells the module of servers that are as if
 // started anew is no word from discovery, whose watch was lost before and must be opened again.
-func TestOutageIsNoWordFromDiscovery(t *testing.T) {
+func TestOutageDoesNotConfirmServerList(t *testing.T) {
 	set := deployment(1, 0)
 	set.DiscoveryOnDemand = true
-	g, err := Build(set, Figures{}, 1)
+	g, err := NewWithBalancer(set, Config{}, 1)
 	require.NoError(t, err)
 	now := epoch
 	g.Step(now, &decide.ServerListUpdate{Kind: decide.UpdateFull, Servers: []decide.Server{{ID: "a", Weight: 1}, {ID: "b", Weight: 1}}})
 	var again *decide.Action
-	for _, a := range g.Step(now, &decide.ServerListUpdate{Kind: decide.UpdateFailed, Watch: decide.WatchStatus{End: asking.Lost}}) {
+	for _, a := range g.Step(now, &decide.ServerListUpdate{Kind: decide.UpdateFailed, Watch: decide.WatchStatus{End: asking.WatchLost}}) {
 		if a.Kind == decide.SetTimer {
 			again = &a
 		}
@@ -236,9 +236,9 @@
 	passed := map[phase]bool{}
 	for id := range uint32(2000) {
 		now += 10 * time.Millisecond
-		passed[g.damper.phase] = true
+		passed[g.outage.phase] = true
 		outcome := decide.ServerError
-		if passed[outage] {
+		if passed[phaseOutage] {
 			outcome = decide.Served
 		}
 		for _, a := range g.Step(now, &decide.Request{ID: id, Class: "consult", ClientTimeout: time.Second}) {
@@ -247,7 +247,7 @@
 			}
 		}
 	}
-	require.True(t, passed[returning], "the gate has told of servers as if started anew")
+	require.True(t, passed[phaseRecovering], "the gate has told of servers as if started anew")
 	asks := slices.ContainsFunc(g.Step(now, &decide.TimerDue{Tag: again.Tag}),
 		func(a decide.Action) bool { return a.Kind == decide.Subscribe })
 	require.True(t, asks)
--- a/storm/repeats.go
+++ b/storm/repeats.go
@@ -6,70 +6,70 @@
 // all. A peak of first tries is none. While it lasts, those who ignore when to come back, and those who come
 // a fourth time, are turned away before others wait for them.
 const (
-	repeatsHalf  = time.Second
-	stormRepeats = 1.0 // for each first try
-	stormCarried = 0.5 // of what comes: room for less
-	stormSteady  = time.Second
-	calmRepeats  = 0.5
-	calmCarried  = 0.8
-	calmSteady   = 2 * time.Second
-	stormGrows   = 2.0 // times the repeats that were told of last
+	retryRateHalfLife       = time.Second
+	stormRetryRatio         = 1.0 // for each first try
+	stormForwardedFraction  = 0.5 // of what comes: room for less
+	stormConfirmedAfter     = time.Second
+	normalRetryRatio        = 0.5
+	normalForwardedFraction = 0.8
+	normalConfirmedAfter    = 2 * time.Second
+	stormGrowthFactor       = 2.0 // times the repeats that were told of last
 )
 
-const repeatsText = "storm of repeats%s: %.0f a second to %.0f first tries, room for %.0f%%"
+const retryStormText = "storm of repeats%s: %.0f a second to %.0f first tries, room for %.0f%%"
 
-type repeats struct {
-	first, again faded
-	turns        time.Duration // since when it looks otherwise than it is; zero: it doesn't
-	on           bool
-	began        time.Duration
-	told         float64 // repeats a second, when last told of
-	refused      int
+type retryStorm struct {
+	firstAttempts, retries decayingSum
+	changingSince          time.Duration // since when it looks otherwise than it is; zero: it doesn't
+	isActive               bool
+	startedAt              time.Duration
+	loggedRate             float64 // repeats a second, when last told of
+	rejectedCount          int
 }
 
-func newRepeats() repeats {
-	return repeats{first: faded{half: repeatsHalf}, again: faded{half: repeatsHalf}}
+func newRetryStorm() retryStorm {
+	return retryStorm{firstAttempts: decayingSum{halfLife: retryRateHalfLife}, retries: decayingSum{halfLife: retryRateHalfLife}}
 }
 
-// noteTry counts a request in, and tells whether it is to be turned away at once.
-func (g *Gate) noteTry(repeat, late bool) (away bool) {
-	r := &g.repeats
+// recordArrival counts a request in, and tells whether it is to be turned away at once.
+func (g *Controller) recordArrival(repeat, late bool) (away bool) {
+	r := &g.retryStorm
 	if repeat {
-		r.again.add(g.now, 1)
+		r.retries.add(g.now, 1)
 	} else {
-		r.first.add(g.now, 1)
+		r.firstAttempts.add(g.now, 1)
 	}
-	if away = r.on && late && g.damper.phase == calm && g.carried() < carriedMost; away {
-		r.refused++
+	if away = r.isActive && late && g.outage.phase == phaseNormal && g.forwardedFraction() < maxForwardedFraction; away {
+		r.rejectedCount++
 	}
 	return away
 }
 
-// watchRepeats begins and ends a storm of repeats.
-func (g *Gate) watchRepeats() {
-	r := &g.repeats
-	first, again, carried := r.first.perSecond(g.now), r.again.perSecond(g.now), g.carried()
-	turns := again > stormRepeats*first && again >= 1 && carried < stormCarried && g.damper.phase == calm
-	steady := stormSteady
-	if r.on {
-		turns = again < calmRepeats*first || carried > calmCarried
-		steady = calmSteady
+// updateRetryStorm begins and ends a storm of repeats.
+func (g *Controller) updateRetryStorm() {
+	r := &g.retryStorm
+	first, again, carried := r.firstAttempts.perSecond(g.now), r.retries.perSecond(g.now), g.forwardedFraction()
+	turns := again > stormRetryRatio*first && again >= 1 && carried < stormForwardedFraction && g.outage.phase == phaseNormal
+	steady := stormConfirmedAfter
+	if r.isActive {
+		turns = again < normalRetryRatio*first || carried > normalForwardedFraction
+		steady = normalConfirmedAfter
 	}
 	switch {
 	case !turns:
-		r.turns = 0
-	case r.turns == 0:
-		r.turns = g.now
-	case g.now-r.turns >= steady && r.on:
-		r.on, r.turns = false, 0
-		g.log("storm of repeats over after %v, %d were turned away at once",
-			(g.now - r.began).Round(time.Millisecond), r.refused)
-	case g.now-r.turns >= steady:
-		r.on, r.turns, r.began, r.refused, r.told = true, 0, g.now, 0, again
-		g.log(repeatsText, "", again, first, 100*carried)
+		r.changingSince = 0
+	case r.changingSince == 0:
+		r.changingSince = g.now
+	case g.now-r.changingSince >= steady && r.isActive:
+		r.isActive, r.changingSince = false, 0
+		g.logf("storm of repeats over after %v, %d were turned away at once",
+			(g.now - r.startedAt).Round(time.Millisecond), r.rejectedCount)
+	case g.now-r.changingSince >= steady:
+		r.isActive, r.changingSince, r.startedAt, r.rejectedCount, r.loggedRate = true, 0, g.now, 0, again
+		g.logf(retryStormText, "", again, first, 100*carried)
 	}
-	if r.on && again > stormGrows*r.told {
-		r.told = again
-		g.log(repeatsText, " grows", again, first, 100*carried)
+	if r.isActive && again > stormGrowthFactor*r.loggedRate {
+		r.loggedRate = again
+		g.logf(retryStormText, " grows", again, first, 100*carried)
 	}
 }
--- a/storm/spell_test.go
+++ b/storm/spell_test.go
@@ -22,9 +22,9 @@
 	return n
 }
 
-// TestSlowSpellThatEndsOnceServersRest: all agents purge in the same seconds, by what they tell one another
+// TestSheddingEndsEpisode: all agents purge in the same seconds, by what they tell one another
 // or by the clock, and the spell ends. Without the gate it would last.
-func TestSlowSpellThatEndsOnceServersRest(t *testing.T) {
+func TestSheddingEndsEpisode(t *testing.T) {
 	for name, c := range map[string]struct {
 		lost   float64
 		change func(*decide.Settings)
@@ -36,11 +36,11 @@
 		"agents may not talk":   {change: func(s *decide.Settings) { s.Limits.Gossip = false }, within: 8 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l := newLab(4, 12, c.change)
+			l := newFleetSimulation(4, 12, c.change)
 			l.lost, l.rate = c.lost, 320
 			l.run(20 * time.Second)
 			require.Empty(t, l.logs)
-			l.slow, l.heals = 2.4, 2200*time.Millisecond
+			l.slow, l.healsAfter = 2.4, 2200*time.Millisecond
 			l.run(c.within)
 			require.Equal(t, 1.0, l.slow, "%v", l.logs)
 			l.run(3 * time.Second)
@@ -51,9 +51,9 @@
 	}
 }
 
-// TestSpellThatRunsItsCourseIsPurgedOnce: what a purge did not end is left alone.
-func TestSpellThatRunsItsCourseIsPurgedOnce(t *testing.T) {
-	l := newLab(4, 12, nil)
+// TestEpisodeThatSheddingDoesNotEndIsShedOnce: what a purge did not end is left alone.
+func TestEpisodeThatSheddingDoesNotEndIsShedOnce(t *testing.T) {
+	l := newFleetSimulation(4, 12, nil)
 	l.rate = 320
 	l.run(20 * time.Second)
 	l.slow = 2.4
@@ -62,9 +62,9 @@
 	require.Equal(t, 4, count(l.logs, "goes on"), "%v", l.logs)
 }
 
-// TestMoreWorkIsNoSpell: neither plain overload, nor some slow servers, nor one that is far slower.
-func TestMoreWorkIsNoSpell(t *testing.T) {
-	l := newLab(4, 12, nil)
+// TestMoreWorkIsNoEpisode: neither plain overload, nor some slow servers, nor one that is far slower.
+func TestMoreWorkIsNoEpisode(t *testing.T) {
+	l := newFleetSimulation(4, 12, nil)
 	l.rate = usualRate
 	l.run(20 * time.Second)
 	l.rate = 700
@@ -73,54 +73,54 @@
 	require.Empty(t, l.logs)
 }
 
-// TestForgedMessagesRefuseNothing: whatever others say, an agent whose own answers are as usual lets all in.
-func TestForgedMessagesRefuseNothing(t *testing.T) {
+// TestForgedMessagesRejectNothing: whatever others say, an agent whose own answers are as usual lets all in.
+func TestForgedMessagesRejectNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := newLab(3, 6, nil)
+		l := newFleetSimulation(3, 6, nil)
 		l.rate = 60
 		l.run(5 * time.Second)
 		for range 40 {
 			data := rapid.OneOf(
-				rapid.Map(rapid.SliceOfN(rapid.Byte(), 0, 20), func(b []byte) []byte { return append([]byte{msgStorm}, b...) }),
+				rapid.Map(rapid.SliceOfN(rapid.Byte(), 0, 20), func(b []byte) []byte { return append([]byte{messageOverload}, b...) }),
 				rapid.Custom(func(t *rapid.T) []byte {
 					return message{
-						says: byte(rapid.IntRange(0, 1).Draw(t, "says")), log: rapid.Float64Range(-9, 9).Draw(t, "log"),
-						weight: rapid.Float64Range(0, 1e4).Draw(t, "weight"),
-						begins: l.now + time.Duration(rapid.IntRange(-5, 5).Draw(t, "in"))*100*time.Millisecond,
+						kind: byte(rapid.IntRange(0, 1).Draw(t, "says")), logFactor: rapid.Float64Range(-9, 9).Draw(t, "log"),
+						weight:   rapid.Float64Range(0, 1e4).Draw(t, "weight"),
+						startsAt: l.now + time.Duration(rapid.IntRange(-5, 5).Draw(t, "in"))*100*time.Millisecond,
 					}.encode()
 				})).Draw(t, "data")
 			from := rapid.IntRange(-1, 4).Draw(t, "from")
-			l.do(0, l.gates[0].Step(l.now, &decide.PeerMessage{From: from, Data: data}))
+			l.carryOut(0, l.controllers[0].Step(l.now, &decide.PeerMessage{From: from, Data: data}))
 			l.run(50 * time.Millisecond)
 		}
-		if l.refused > 0 {
-			t.Fatalf("refused %d: %v", l.refused, l.logs)
+		if l.rejected > 0 {
+			t.Fatalf("refused %d: %v", l.rejected, l.logs)
 		}
 	})
 }
 
 // Guards against a purge where servers are missing: with half of them out or cold, work must be slower by as much
 // more to be a spell.
-func TestMissingServersAreNoSpell(t *testing.T) {
-	l := newLab(1, 12, nil)
+func TestMissingServersAreNoEpisode(t *testing.T) {
+	l := newFleetSimulation(1, 12, nil)
 	l.rate = 60
-	g := l.gates[0]
+	g := l.controllers[0]
 	tell := func(state decide.ServerState, started time.Duration) {
 		var news []decide.Server
-		for _, s := range g.inOrder[:6] {
+		for _, s := range g.serversByID[:6] {
 			e := s.entry
 			e.State, e.StartedAt = state, started
 			news = append(news, e)
 		}
-		l.do(0, g.Step(l.now, &decide.ServerListUpdate{Kind: decide.UpdateIncremental, Servers: news}))
+		l.carryOut(0, g.Step(l.now, &decide.ServerListUpdate{Kind: decide.UpdateIncremental, Servers: news}))
 	}
 	l.run(time.Second)
-	require.InDelta(t, 1, g.able(), 0.01)
+	require.InDelta(t, 1, g.serverCapacityFraction(), 0.01)
 	tell(decide.Draining, 0)
-	require.InDelta(t, 0.5, g.able(), 0.01)
-	cold := g.set.Rules
+	require.InDelta(t, 0.5, g.serverCapacityFraction(), 0.01)
+	cold := g.settings.Rules
 	tell(decide.Ready, l.now)
-	require.InDelta(t, 0.5+0.5*cold.SlowStartCapacity, g.able(), 0.01)
+	require.InDelta(t, 0.5+0.5*cold.SlowStartCapacity, g.serverCapacityFraction(), 0.01)
 	l.run(cold.SlowStartDuration + time.Second)
-	require.InDelta(t, 1, g.able(), 0.01)
+	require.InDelta(t, 1, g.serverCapacityFraction(), 0.01)
 }
--- a/storm/throttle_test.go
+++ b/storm/throttle_test.go
@@ -13,24 +13,24 @@
 // of a small fleet has none.
 func TestThrottle(t *testing.T) {
 	served := func(inVain float64, sparse bool) (during, after int, logs string) {
-		l := newLab(40, 20, nil)
-		l.hurried = true
-		for i, g := range l.gates {
-			fig := DefaultFigures()
-			fig.InVain = inVain
-			require.NoError(t, g.Set(fig))
-			l.modules[i].most, l.modules[i].sparse = 1e6, sparse
+		l := newFleetSimulation(40, 20, nil)
+		l.timesOut = true
+		for i, g := range l.controllers {
+			fig := DefaultConfig()
+			fig.WastedFraction = inVain
+			require.NoError(t, g.SetConfig(fig))
+			l.balancers[i].most, l.balancers[i].sparse = 1e6, sparse
 		}
 		l.rate = 0.75 * 20 * cores / mean.Seconds()
 		l.run(6 * time.Second)
 		l.slow, l.served = 3, 0
 		l.run(8 * time.Second)
 		during, l.slow = l.served, 1
-		require.Equal(t, inVain < 1 && sparse, l.modules[0].full, "the module is told")
+		require.Equal(t, inVain < 1 && sparse, l.balancers[0].full, "the module is told")
 		l.run(2 * time.Second)
-		l.refused = 0
+		l.rejected = 0
 		l.run(4 * time.Second)
-		return during, l.refused, strings.Join(l.logs, "\n")
+		return during, l.rejected, strings.Join(l.logs, "\n")
 	}
 	with, refused, logs := served(0.25, true)
 	without, _, _ := served(1, true)
--- a/storm/told.go
+++ b/storm/told.go
@@ -6,29 +6,31 @@
 
 // told remembers which clients were turned away, how often, and when they were to come back: in a table of
 // fixed size, where a new entry takes the place of the one that is due first among its few neighbours.
-type told struct {
-	places []toldPlace
-	salt   uint64
+type retryAfterTable struct {
+	entries []retryAfterEntry
+	salt    uint64
 }
 
-// toldPlace is a client that was turned away, by the hash of its key, tenant and class; zero: free.
-type toldPlace struct {
-	who   uint64
-	due   time.Duration
-	times uint8
+// retryAfterEntry is a client that was turned away, by the hash of its key, tenant and class; zero: free.
+type retryAfterEntry struct {
+	client     uint64
+	returnAt   time.Duration
+	rejections uint8
 }
 
 const (
-	toldPlaces    = 1 << 15 // 24 bytes each: 100,000 clients a minute that are told 2 s at most need a fifth
-	toldNeighbour = 8
-	toldGrace     = 4 * time.Second // after it was due, until who comes is new
+	retryAfterEntries    = 1 << 15 // 24 bytes each: 100,000 clients a minute that are told 2 s at most need a fifth
+	retryAfterNeighbours = 8
+	retryAfterGrace      = 4 * time.Second // after it was due, until who comes is new
 )
 
-func newTold(salt uint64) told { return told{places: make([]toldPlace, toldPlaces), salt: salt} }
+func newRetryAfterTable(salt uint64) retryAfterTable {
+	return retryAfterTable{entries: make([]retryAfterEntry, retryAfterEntries), salt: salt}
+}
 
 // who is a client as it can be told from others: by what it asks about. The salt keeps others from choosing
 // keys that meet.
-func (t *told) who(key, tenant, class string) uint64 {
+func (t *retryAfterTable) clientID(key, tenant, class string) uint64 {
 	h := t.salt
 	for _, s := range [...]string{key, tenant, class} {
 		for i := range len(s) {
@@ -40,11 +42,11 @@
 }
 
 // find returns the place of a client that was turned away of late, or nil.
-func (t *told) find(now time.Duration, who uint64) *toldPlace {
-	first := int(who>>32) % (len(t.places) - toldNeighbour)
-	for i := first; i < first+toldNeighbour; i++ {
-		if p := &t.places[i]; p.who == who {
-			if now > p.due+toldGrace {
+func (t *retryAfterTable) find(now time.Duration, who uint64) *retryAfterEntry {
+	first := int(who>>32) % (len(t.entries) - retryAfterNeighbours)
+	for i := first; i < first+retryAfterNeighbours; i++ {
+		if p := &t.entries[i]; p.client == who {
+			if now > p.returnAt+retryAfterGrace {
 				return nil
 			}
 			return p
@@ -54,29 +56,29 @@
 }
 
 // note remembers that a client was turned away until it is due.
-func (t *told) note(now time.Duration, who uint64, due time.Duration) {
-	first := int(who>>32) % (len(t.places) - toldNeighbour)
-	best := &t.places[first]
-	for i := first; i < first+toldNeighbour; i++ {
-		p := &t.places[i]
-		if p.who == who {
+func (t *retryAfterTable) record(now time.Duration, who uint64, due time.Duration) {
+	first := int(who>>32) % (len(t.entries) - retryAfterNeighbours)
+	best := &t.entries[first]
+	for i := first; i < first+retryAfterNeighbours; i++ {
+		p := &t.entries[i]
+		if p.client == who {
 			best = p
 			break
 		}
-		if p.due < best.due {
+		if p.returnAt < best.returnAt {
 			best = p
 		}
 	}
 	times := uint8(1)
-	if best.who == who && now <= best.due+toldGrace {
-		times = min(best.times, 254) + 1
+	if best.client == who && now <= best.returnAt+retryAfterGrace {
+		times = min(best.rejections, 254) + 1
 	}
-	*best = toldPlace{who: who, due: due, times: times}
+	*best = retryAfterEntry{client: who, returnAt: due, rejections: times}
 }
 
 // forget drops a client that was served.
-func (t *told) forget(now time.Duration, who uint64) {
+func (t *retryAfterTable) forget(now time.Duration, who uint64) {
 	if p := t.find(now, who); p != nil {
-		*p = toldPlace{}
+		*p = retryAfterEntry{}
 	}
 }
