--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -12,10 +12,10 @@
 	"runtime/debug"
 	"time"
 
-	"dunestep/decide"
+	"dunestep/internal/balancer"
+	"dunestep/internal/overload"
 	"dunestep/internal/protocol"
 	"dunestep/internal/wire"
-	"dunestep/storm"
 )
 
 func main() {
@@ -28,21 +28,21 @@
 
 type host struct {
 	decoder   *wire.Decoder
-	instances map[string]*storm.Controller
-	lists     map[int][]decide.Server
+	instances map[string]*overload.Controller
+	lists     map[int][]balancer.Server
 	out       []byte
 	first     bool
 	// events are reused: a step does not keep them
-	request     decide.Request
-	attemptDone decide.AttemptDone
-	loadReport  decide.LoadReport
+	request     balancer.Request
+	attemptDone balancer.AttemptDone
+	loadReport  balancer.LoadReport
 }
 
 func run(in io.Reader, out io.Writer) error {
 	r := bufio.NewReaderSize(in, 1<<20)
 	h := &host{
-		decoder: wire.NewDecoder(), instances: map[string]*storm.Controller{},
-		lists: map[int][]decide.Server{},
+		decoder: wire.NewDecoder(), instances: map[string]*overload.Controller{},
+		lists: map[int][]balancer.Server{},
 	}
 	var long []byte
 	for n := 1; ; n++ {
@@ -80,9 +80,9 @@
 		return nil
 	case "NEW_INSTANCE":
 		s, err := protocol.DecodeSettings(m.Settings)
-		var g *storm.Controller
+		var g *overload.Controller
 		if err == nil {
-			g, err = storm.NewWithBalancer(s.Settings, storm.DefaultConfig(), m.Seed)
+			g, err = overload.NewWithBalancer(s.Settings, overload.DefaultConfig(), m.Seed)
 		}
 		if err != nil {
 			h.separate()
@@ -96,16 +96,16 @@
 		delete(h.instances, m.Agent)
 		return nil
 	}
-	var ev decide.Event
+	var ev balancer.Event
 	switch m.Kind {
 	case "REQUEST":
-		h.request = decide.Request{
+		h.request = balancer.Request{
 			ID: m.ID, WorkHint: wire.Micros(m.WorkHint), Key: m.Key, Tenant: m.Tenant, Class: m.Class,
 			ClientTimeout: wire.Micros(m.ClientTimeout), ClientRetry: m.ClientRetry,
 		}
 		ev = &h.request
 	case "DONE":
-		h.attemptDone = decide.AttemptDone{
+		h.attemptDone = balancer.AttemptDone{
 			ID: m.ID, Attempt: m.Attempt, Server: m.Server,
 			Outcome: wire.ParseOutcome(m.Outcome), Latency: wire.Micros(m.Latency), RequestDone: m.Complete,
 		}
@@ -120,28 +120,28 @@
 			return err
 		}
 		list, ok := h.lists[m.List]
-		if !ok && kind != decide.UpdateFailed {
+		if !ok && kind != balancer.UpdateFailed {
 			return fmt.Errorf("SYNC names list %d, which is not known", m.List)
 		}
-		if kind == decide.UpdateFailed {
+		if kind == balancer.UpdateFailed {
 			list = nil
 		}
-		ev = &decide.ServerListUpdate{Kind: kind, Servers: list}
+		ev = &balancer.ServerListUpdate{Kind: kind, Servers: list}
 	case "TIMER":
-		ev = &decide.TimerDue{Tag: m.Tag}
+		ev = &balancer.TimerDue{Tag: m.Tag}
 	case "CHECKED":
-		p := &decide.ProbeDone{Server: m.Server, Outcome: wire.ParseOutcome(m.Outcome), Latency: wire.Micros(m.Latency)}
+		p := &balancer.ProbeDone{Server: m.Server, Outcome: wire.ParseOutcome(m.Outcome), Latency: wire.Micros(m.Latency)}
 		if m.HasLoadReport {
 			h.loadReport = m.LoadReport
 			p.LoadReport = &h.loadReport
 		}
 		ev = p
 	case "STREAMING":
-		ev = &decide.StreamStarted{ID: m.ID, Attempt: m.Attempt}
+		ev = &balancer.StreamStarted{ID: m.ID, Attempt: m.Attempt}
 	case "TIMED_OUT_CLIENT":
-		ev = &decide.ClientGone{ID: m.ID}
+		ev = &balancer.ClientGone{ID: m.ID}
 	case "NEIGHBOUR_SAYS":
-		ev = &decide.PeerMessage{From: m.From, Data: m.Data}
+		ev = &balancer.PeerMessage{From: m.From, Data: m.Data}
 	case "":
 		return errors.New("an item without a kind")
 	default:
--- a/cmd/dunestep/check.go
+++ b/cmd/dunestep/check.go
@@ -9,10 +9,10 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"dunestep/decide"
-	"dunestep/internal/core"
+	"dunestep/internal/balancer"
 	"dunestep/internal/operator"
 	"dunestep/internal/protocol"
+	"dunestep/internal/routing"
 )
 
 // badFiles is the exit code of a check that has found something.
@@ -96,7 +96,7 @@
 
 // checkSettings tells whether the module can serve the settings.
 func checkSettings(c protocol.Config) (key string, err error) {
-	_, err = decide.New(core.Permitted(c.Settings.Settings), c.Seed)
+	_, err = balancer.New(routing.Permitted(c.Settings.Settings), c.Seed)
 	return "settings", err
 }
 
--- a/cmd/dunestep/fleet.go
+++ b/cmd/dunestep/fleet.go
@@ -10,21 +10,21 @@
 	"sync/atomic"
 	"time"
 
-	"dunestep/decide"
-	"dunestep/fleet"
-	"dunestep/fleet/lease"
-	"dunestep/fleet/orders"
-	"dunestep/fleet/pieces"
-	"dunestep/internal/core"
+	"dunestep/internal/agent"
+	"dunestep/internal/balancer"
+	"dunestep/internal/control/maintenance"
+	"dunestep/internal/control/policy"
+	"dunestep/internal/control/policy/policylog"
+	"dunestep/internal/control/ringassignment"
+	"dunestep/internal/fleet"
+	"dunestep/internal/fleet/fragment"
+	"dunestep/internal/fleet/lease"
+	"dunestep/internal/fleet/operatorcommand"
 	"dunestep/internal/fleetstore"
 	"dunestep/internal/handover"
 	"dunestep/internal/protocol"
 	"dunestep/internal/routing"
 	"dunestep/internal/transport"
-	"dunestep/placement"
-	"dunestep/policy"
-	"dunestep/policy/seat"
-	"dunestep/window"
 )
 
 // The machines of the fleet's log, by their number in records.
@@ -48,20 +48,20 @@
 type fleetMember struct {
 	told      settings
 	datagrams *transport.Datagrams
-	actor     atomic.Pointer[routing.FleetActor] // nil: not begun
+	actor     atomic.Pointer[agent.FleetActor] // nil: not begun
 
 	mu      sync.Mutex
 	hand    *manualControl
 	tickets map[uint64]*ticket // by the node's
 	latest  []uint64
 
-	orders   *orders.List    // the actor's
-	seat     *seat.Adapter   // the same; nil: policies do not hold here
-	compared uint64          // the version whose zones were last compared; the same
-	servers  []decide.Server // this agent's own list, as it was last looked at; the same
-	windows  *windowControl  // the same; nil: maintenance windows do not
-	places   *ringControl    // the same; nil: generations of the ring do not
-	inherits *inheritedState // the module's actor's; nil: nothing
+	orders   *operatorcommand.List // the actor's
+	seat     *policylog.Adapter    // the same; nil: policies do not hold here
+	compared uint64                // the version whose zones were last compared; the same
+	servers  []balancer.Server     // this agent's own list, as it was last looked at; the same
+	windows  *windowControl        // the same; nil: maintenance windows do not
+	places   *ringControl          // the same; nil: generations of the ring do not
+	inherits *inheritedState       // the module's actor's; nil: nothing
 }
 
 // ticket is a proposal of staff's.
@@ -78,7 +78,7 @@
 	if d == nil {
 		return nil, errors.New("fleet: the configuration has no way between agents: mayTell, peers and peer_listen")
 	}
-	p := &fleetMember{told: c, datagrams: d, orders: &orders.List{}, tickets: map[uint64]*ticket{}}
+	p := &fleetMember{told: c, datagrams: d, orders: &operatorcommand.List{}, tickets: map[uint64]*ticket{}}
 	return p, p.settings().Validate()
 }
 
@@ -116,14 +116,14 @@
 		return nil
 	}
 	p.hand = h
-	set := routing.FleetSettings{Node: p.settings(), Datagrams: p.datagrams, OnApplied: p.applied}
+	set := agent.FleetSettings{Node: p.settings(), Datagrams: p.datagrams, OnApplied: p.applied}
 	p.openStore(&set)
 	if p.told.operator.Fleet.Policy {
 		p.sit(&set.Node)
 	} else {
 		p.keepStates(&set.Node)
 	}
-	actor, err := routing.StartFleet(set)
+	actor, err := agent.StartFleet(set)
 	if err != nil {
 		return err
 	}
@@ -140,7 +140,7 @@
 // openStore opens a voter's store. Where it can't be used, torn or of another version or gone, this agent
 // follows and has no vote: that is no reason to turn booking away, and a voter that took its store for an
 // empty one could break the log.
-func (p *fleetMember) openStore(set *routing.FleetSettings) {
+func (p *fleetMember) openStore(set *agent.FleetSettings) {
 	folder := p.told.operator.Fleet.Folder
 	if folder == "" || !set.Node.IsVoter() {
 		return
@@ -160,17 +160,17 @@
 func (p *fleetMember) keepStates(n *fleet.Settings) {
 	policies := policy.NewStateMachine()
 	n.Machines = append(n.Machines, policies,
-		window.NewStateMachine(func() uint64 { return policies.State().InForce.Number }), placement.NewStateMachine())
+		maintenance.NewStateMachine(func() uint64 { return policies.State().InForce.Number }), ringassignment.NewStateMachine())
 }
 
 // sit has policies hold here.
 func (p *fleetMember) sit(n *fleet.Settings) {
-	p.seat = seat.New(seat.Settings{
+	p.seat = policylog.New(policylog.Settings{
 		Self: n.Self, IsVoter: n.IsVoter(), Incarnation: n.Incarnation,
 		MachineNumber: policyMachine,
 		Local:         p.told.policyOwn(),
 		Times:         p.policyTimes(n.Terms),
-	}, routing.ReadClocks())
+	}, agent.ReadClocks())
 	p.stack(n)
 }
 
@@ -178,8 +178,8 @@
 // an agent at which they are off keeps their state too, or a snapshot of its would have others forget it.
 func (p *fleetMember) stack(n *fleet.Settings) {
 	var above [2]fleet.Application
-	var windows fleet.StateMachine = window.NewStateMachine(p.inForce)
-	var places fleet.StateMachine = placement.NewStateMachine()
+	var windows fleet.StateMachine = maintenance.NewStateMachine(p.inForce)
+	var places fleet.StateMachine = ringassignment.NewStateMachine()
 	if p.told.operator.Fleet.Windows {
 		s := p.sitWindows(n)
 		windows, above[0] = s, s
@@ -202,7 +202,7 @@
 
 // policyOwn is what this agent holds policies against.
 func (s settings) policyOwn() policy.LocalSettings {
-	return policy.LocalSettings{Settings: core.Permitted(s.Settings.Settings), MaxFailedRatio: s.storm().WastedFraction}
+	return policy.LocalSettings{Settings: routing.Permitted(s.Settings.Settings), MaxFailedRatio: s.storm().WastedFraction}
 }
 
 // reload takes in what SIGHUP has changed of that.
@@ -223,7 +223,7 @@
 func (p *fleetMember) hear(module func(protocol.Datagram)) func(protocol.Datagram) {
 	return func(d protocol.Datagram) {
 		switch actor := p.actor.Load(); {
-		case d.Data[0] != pieces.FirstByte:
+		case d.Data[0] != fragment.FirstByte:
 			module(d)
 		case actor != nil:
 			actor.ReceiveDatagram(d)
@@ -268,11 +268,11 @@
 func (p *fleetMember) applied() {
 	p.tellWindows()
 	p.tellZones()
-	var bans []core.DisabledEndpoint
+	var bans []routing.DisabledEndpoint
 	for _, o := range p.orders.All() {
-		b := core.DisabledEndpoint{ID: o.Server, DisabledAt: o.IssuedAt}
+		b := routing.DisabledEndpoint{ID: o.Server, DisabledAt: o.IssuedAt}
 		if !o.Down {
-			b = core.DisabledEndpoint{ID: o.Server, EnabledAt: o.IssuedAt}
+			b = routing.DisabledEndpoint{ID: o.Server, EnabledAt: o.IssuedAt}
 		}
 		bans = append(bans, b)
 	}
@@ -307,9 +307,9 @@
 	return http.StatusNotFound, nil // of a part that is off
 }
 
-func (p *fleetMember) status(ctx context.Context, actor *routing.FleetActor) (int, []byte) {
+func (p *fleetMember) status(ctx context.Context, actor *agent.FleetActor) (int, []byte) {
 	var s fleet.Status
-	var book []orders.Command
+	var book []operatorcommand.Command
 	var ring *ringStatus
 	if !actor.Do(ctx, func(n *fleet.Node, now fleet.ClockReading) {
 		s, book, ring = n.Status(now), p.orders.All(), p.ringStatus(n, now)
@@ -332,11 +332,11 @@
 }
 
 // order proposes an order to the fleet. What became of it is asked for by its ticket.
-func (p *fleetMember) order(ctx context.Context, actor *routing.FleetActor, call protocol.OpsCall) (int, []byte) {
+func (p *fleetMember) order(ctx context.Context, actor *agent.FleetActor, call protocol.OpsCall) (int, []byte) {
 	if !p.hand.agent.WasListed(ctx, call.ID) {
 		return http.StatusNotFound, []byte("no such booking server was ever listed\n")
 	}
-	raw, err := orders.Command{
+	raw, err := operatorcommand.Command{
 		Server: call.ID, Down: call.Kind == protocol.OpsFleetDisable,
 		IssuedBy: p.told.Settings.Self, IssuedAt: unixNow(),
 	}.Encode()
@@ -374,7 +374,7 @@
 }
 
 // ask tells what became of a proposal.
-func (p *fleetMember) ask(ctx context.Context, actor *routing.FleetActor, number uint64) (int, []byte) {
+func (p *fleetMember) ask(ctx context.Context, actor *agent.FleetActor, number uint64) (int, []byte) {
 	p.mu.Lock()
 	t := p.tickets[number]
 	p.mu.Unlock()
--- a/cmd/dunestep/fleetcommands.go
+++ b/cmd/dunestep/fleetcommands.go
@@ -12,17 +12,17 @@
 	"text/tabwriter"
 	"time"
 
-	"dunestep/fleet"
-	"dunestep/fleet/consensus"
-	"dunestep/fleet/orders"
-	"dunestep/fleet/roster"
+	"dunestep/internal/fleet"
+	"dunestep/internal/fleet/membership"
+	"dunestep/internal/fleet/operatorcommand"
+	"dunestep/internal/fleet/raftlog"
 	"dunestep/internal/protocol"
 )
 
 // connections are the words for what an agent knows of its own way to others.
-var connections = map[roster.Connection]string{
-	roster.Connected: "connected", roster.Unconfirmed: "unsaid",
-	roster.Isolated: "deaf",
+var connections = map[membership.Connection]string{
+	membership.Connected: "connected", membership.Unconfirmed: "unsaid",
+	membership.Isolated: "deaf",
 }
 
 // fleetStatus is what staff see of the fleet at one agent.
@@ -68,7 +68,7 @@
 	At     time.Time `json:"at"`
 }
 
-func statusOf(s fleet.Status, book []orders.Command) fleetStatus {
+func statusOf(s fleet.Status, book []operatorcommand.Command) fleetStatus {
 	out := fleetStatus{
 		Agent: s.Self, Agents: s.Agents, Incarnation: s.Incarnation, Epoch: s.Applied.Epoch,
 		Record: s.Applied.Seq, Standing: s.Standing.String(),
@@ -87,7 +87,7 @@
 	return out
 }
 
-func voterOf(v *consensus.Status) *voterStatus {
+func voterOf(v *raftlog.Status) *voterStatus {
 	out := &voterStatus{Phase: v.Phase.String(), Term: v.Term, Members: []int{}}
 	if v.HasLeader {
 		leader := int(v.Leader)
--- a/cmd/dunestep/fleetstates_test.go
+++ b/cmd/dunestep/fleetstates_test.go
@@ -5,8 +5,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/fleet"
-	"dunestep/policy"
+	"dunestep/internal/control/policy"
+	"dunestep/internal/fleet"
 )
 
 // An agent at which policies are off keeps their state, the windows' and the ring's, as who goes on from its snapshot
--- a/cmd/dunestep/golden_test.go
+++ b/cmd/dunestep/golden_test.go
@@ -14,13 +14,13 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/fleet"
-	"dunestep/fleet/consensus"
-	"dunestep/fleet/lease"
-	"dunestep/fleet/roster"
-	"dunestep/placement"
-	"dunestep/policy"
-	"dunestep/window"
+	"dunestep/internal/control/maintenance"
+	"dunestep/internal/control/policy"
+	"dunestep/internal/control/ringassignment"
+	"dunestep/internal/fleet"
+	"dunestep/internal/fleet/lease"
+	"dunestep/internal/fleet/membership"
+	"dunestep/internal/fleet/raftlog"
 )
 
 var updateGolden = flag.Bool("update", false, "write the golden files anew")
@@ -205,29 +205,29 @@
 	for _, c := range []struct{ want, got []string }{
 		{
 			[]string{"connected", "unsaid", "deaf"},
-			[]string{connections[roster.Connected], connections[roster.Unconfirmed], connections[roster.Isolated]},
+			[]string{connections[membership.Connected], connections[membership.Unconfirmed], connections[membership.Isolated]},
 		},
 		{[]string{"new", "floor", "full"}, words(lease.New, lease.Floor, lease.Full)},
 		{
 			[]string{"unheard", "here", "doubted", "cut off on one side", "silent", "left"},
-			words(roster.Unknown, roster.Alive, roster.Suspect, roster.OneWay, roster.Silent, roster.Left),
+			words(membership.Unknown, membership.Alive, membership.Suspect, membership.OneWay, membership.Silent, membership.Left),
 		},
 		{[]string{"waiting", "taken", "not taken", "ask again"}, words(fleet.Pending, fleet.Committed, fleet.NotCommitted, fleet.Indeterminate)},
 		{[]string{"bottom", "floor", "full"}, words(policy.ModeBottom, policy.ModeFloor, policy.ModeFull)},
 		{[]string{"ask again", "taken", "not taken"}, words(policy.StatusUnknown, policy.StatusAccepted, policy.StatusRejected)},
 		{
 			[]string{"planned", "draining", "drained", "free", "paused", "returning", "ended", "stopped"},
-			words(window.Planned, window.Draining, window.Drained, window.Free, window.Paused, window.Returning,
-				window.Ended, window.Stopped),
+			words(maintenance.Planned, maintenance.Draining, maintenance.Drained, maintenance.Free, maintenance.Paused, maintenance.Returning,
+				maintenance.Ended, maintenance.Stopped),
 		},
 		{
 			[]string{"whole", "expected", "joining", "suspect", "", "away", "gone"},
-			words(placement.Complete, placement.Expected, placement.Joining, placement.Suspect, placement.Phase(4), placement.Away, placement.Gone),
+			words(ringassignment.Complete, ringassignment.Expected, ringassignment.Joining, ringassignment.Suspect, ringassignment.Phase(4), ringassignment.Away, ringassignment.Gone),
 		},
 		{
 			[]string{"seeking", "learning", "voting", "leading", "leaderless", "stuck", "broken"},
-			words(consensus.Seeking, consensus.Learning, consensus.Voting, consensus.Leading, consensus.Leaderless, consensus.Stuck,
-				consensus.Broken),
+			words(raftlog.Seeking, raftlog.Learning, raftlog.Voting, raftlog.Leading, raftlog.Leaderless, raftlog.Stuck,
+				raftlog.Broken),
 		},
 		{[]string{"a policy takes hold: ask again in a moment", "fits"}, []string{takesHold, endFits}},
 	} {
--- a/cmd/dunestep/graphql.go
+++ b/cmd/dunestep/graphql.go
@@ -10,7 +10,7 @@
 	"slices"
 	"strings"
 
-	"dunestep/decide"
+	"dunestep/internal/balancer"
 	"dunestep/internal/graphql"
 	"dunestep/internal/operator"
 	"dunestep/internal/protocol"
@@ -71,7 +71,7 @@
 		},
 	})
 	first, _, _ := strings.Cut(g.Path[1:], "/")
-	taken := slices.ContainsFunc(s.Settings.Classes, func(c decide.Class) bool { return c.Name == first })
+	taken := slices.ContainsFunc(s.Settings.Classes, func(c balancer.Class) bool { return c.Name == first })
 	if taken && g.Listen == operator.OnFront {
 		err = errors.Join(err, fmt.Errorf("path %s is that of a class on the front socket", g.Path))
 	}
--- a/cmd/dunestep/hand.go
+++ b/cmd/dunestep/hand.go
@@ -7,9 +7,9 @@
 	"sync"
 	"time"
 
-	"dunestep/internal/core"
-	"dunestep/internal/figures"
+	"dunestep/internal/agent"
 	"dunestep/internal/handover"
+	"dunestep/internal/metrics"
 	"dunestep/internal/routing"
 	"dunestep/internal/transport"
 )
@@ -20,9 +20,9 @@
 
 // hand carries out what staff ask for at the ops socket.
 type manualControl struct {
-	agent   *routing.Agent
+	agent   *agent.Agent
 	front   *transport.Listener
-	counts  *figures.Figures
+	counts  *metrics.Figures
 	file    *handover.SettingsFile
 	changed func(handover.ManualSettings) // something was set, and lies in the file
 	fleet   *fleetMember                  // nil: this agent takes no part
@@ -62,7 +62,7 @@
 }
 
 // Metrics are what the agent has done.
-func (h *manualControl) Metrics() figures.Reading { return h.counts.Read() }
+func (h *manualControl) Metrics() metrics.Reading { return h.counts.Read() }
 
 // DisableEndpoint takes a booking server out. It lies in the file before the yes.
 func (h *manualControl) DisableEndpoint(ctx context.Context, id string) (bool, error) {
@@ -75,7 +75,7 @@
 }
 
 func (h *manualControl) change(ctx context.Context, id, what string,
-	do func(context.Context, string) ([]core.DisabledEndpoint, bool, error),
+	do func(context.Context, string) ([]routing.DisabledEndpoint, bool, error),
 ) (bool, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -83,7 +83,7 @@
 	if err != nil || !listed {
 		return listed, err
 	}
-	h.set.Disabled = core.MergeDisabled(h.set.Disabled, bans)
+	h.set.Disabled = routing.MergeDisabled(h.set.Disabled, bans)
 	slog.Info(what, "server", id)
 	return true, h.keep()
 }
--- a/cmd/dunestep/inherited.go
+++ b/cmd/dunestep/inherited.go
@@ -6,13 +6,13 @@
 	"log/slog"
 	"time"
 
-	"dunestep/decide"
-	"dunestep/fleet"
-	"dunestep/fleet/lease"
-	"dunestep/internal/routing"
-	"dunestep/placement"
-	"dunestep/policy"
-	"dunestep/window"
+	"dunestep/internal/agent"
+	"dunestep/internal/balancer"
+	"dunestep/internal/control/maintenance"
+	"dunestep/internal/control/policy"
+	"dunestep/internal/control/ringassignment"
+	"dunestep/internal/fleet"
+	"dunestep/internal/fleet/lease"
 )
 
 // agreed is what the fleet had agreed on, as one process of an agent hands it to the next: snapshots of the
@@ -61,8 +61,8 @@
 // module's actor's.
 type inheritedState struct {
 	policy  *policy.Agent
-	windows *window.Agent
-	places  *placement.Agent
+	windows *maintenance.Agent
+	places  *ringassignment.Agent
 }
 
 // inherit takes in what was handed over; nil: nothing.
@@ -84,14 +84,14 @@
 	h := &inheritedState{policy: policy.NewAgent(p.told.policyOwn(), p.policyTimes(p.settings().Terms))}
 	h.policy.Learn(m)
 	h.policy.Active(now, lease.Full) // the floor counts from here
-	windows := window.NewStateMachine(func() uint64 { return m.State().InForce.Number })
+	windows := maintenance.NewStateMachine(func() uint64 { return m.State().InForce.Number })
 	if f := p.told.operator.Fleet; f.Windows && windows.Restore(a.Windows) == nil {
-		h.windows = window.NewAgent(int(f.Turns))
+		h.windows = maintenance.NewAgent(int(f.Turns))
 		h.windows.Learn(windows)
 	}
-	places := placement.NewStateMachine()
+	places := ringassignment.NewStateMachine()
 	if p.told.operator.Fleet.Placement && places.Restore(a.Placement) == nil {
-		h.places = placement.NewAgent()
+		h.places = ringassignment.NewAgent()
 		h.places.Learn(places)
 		h.places.Assignment(now, lease.Full)
 	}
@@ -119,33 +119,33 @@
 		return nil
 	}
 	if p.standing(func(now fleet.ClockReading, standing lease.Standing) { e = p.seat.Active(now, standing).Effect }) {
-		return p.inherits.policy.Active(routing.ReadClocks(), lease.Floor).Effect
+		return p.inherits.policy.Active(agent.ReadClocks(), lease.Floor).Effect
 	}
 	return e
 }
 
 // avoiding is what requests keep off at this moment; nil: nothing.
-func (p *fleetMember) avoiding() (a *decide.Exclusions) {
+func (p *fleetMember) avoiding() (a *balancer.Exclusions) {
 	if p == nil || !p.told.operator.Fleet.Windows {
 		return nil
 	}
 	if p.standing(func(now fleet.ClockReading, standing lease.Standing) {
 		a = p.windows.seat.Exclusions(now, standing, p.seat.Active(now, standing))
 	}) && p.inherits.windows != nil {
-		now := routing.ReadClocks()
+		now := agent.ReadClocks()
 		return p.inherits.windows.Exclusions(now, lease.Floor, p.inherits.policy.Active(now, lease.Floor))
 	}
 	return a
 }
 
 // placed is the generation of the ring to place by at this moment; nil: none.
-func (p *fleetMember) placed() (g *decide.RingAssignment) {
+func (p *fleetMember) placed() (g *balancer.RingAssignment) {
 	if p == nil || !p.told.operator.Fleet.Placement {
 		return nil
 	}
 	look := func(now fleet.ClockReading, standing lease.Standing) { g = p.places.seat.Assignment(now, standing) }
 	if p.standing(look) && p.inherits.places != nil {
-		return p.inherits.places.Assignment(routing.ReadClocks(), lease.Floor)
+		return p.inherits.places.Assignment(agent.ReadClocks(), lease.Floor)
 	}
 	return g
 }
--- a/cmd/dunestep/keep.go
+++ b/cmd/dunestep/keep.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"dunestep/internal/routing"
+	"dunestep/internal/agent"
 	"dunestep/internal/state"
 	"dunestep/internal/state/folder"
 )
@@ -19,7 +19,7 @@
 	keeper *folder.Writer // nil: nothing is kept
 
 	began chan struct{} // closed once there is an agent
-	agent *routing.Agent
+	agent *agent.Agent
 }
 
 // owner is whose files this agent's are.
@@ -102,7 +102,7 @@
 }
 
 // serves tells of the agent, which is asked from then on.
-func (m *stateKeeper) serves(agent *routing.Agent) {
+func (m *stateKeeper) serves(agent *agent.Agent) {
 	m.agent = agent
 	close(m.began)
 }
--- a/cmd/dunestep/main.go
+++ b/cmd/dunestep/main.go
@@ -18,11 +18,11 @@
 
 	"github.com/alecthomas/kong"
 
-	"dunestep/internal/figures"
+	"dunestep/internal/metrics"
 	"dunestep/internal/operator"
+	"dunestep/internal/overload"
 	"dunestep/internal/protocol"
 	"dunestep/internal/transport"
-	"dunestep/storm"
 )
 
 const (
@@ -90,9 +90,9 @@
 }
 
 // storm is what is set for slow spells, outages and storms of repeats.
-func (s settings) storm() storm.Config {
+func (s settings) storm() overload.Config {
 	t := s.operator.Storm
-	return storm.Config{
+	return overload.Config{
 		Disabled: !t.On, ReportQuota: t.RateLimitFields, EpisodeFactor: t.SpellFactor,
 		SheddingFraction: t.PurgeShare,
 		MaxShedding:      time.Duration(t.PurgeMS) * time.Millisecond,
@@ -120,7 +120,7 @@
 	}
 	logging.set(c.operator.Log)
 	slog.SetDefault(slog.New(logging))
-	p := &process{told: c, counts: figures.New(classNames(c.Settings.Classes))}
+	p := &process{told: c, counts: metrics.New(classNames(c.Settings.Classes))}
 	if err := p.start(); err != nil {
 		return err
 	}
--- a/cmd/dunestep/placement.go
+++ b/cmd/dunestep/placement.go
@@ -9,21 +9,21 @@
 	"slices"
 	"time"
 
-	"dunestep/cold"
-	"dunestep/decide"
-	"dunestep/fleet"
-	"dunestep/internal/routing"
-	"dunestep/placement"
-	placementseat "dunestep/placement/seat"
-	"dunestep/policy"
-	"dunestep/window"
+	"dunestep/internal/agent"
+	"dunestep/internal/balancer"
+	"dunestep/internal/balancer/slowstart"
+	"dunestep/internal/control/maintenance"
+	"dunestep/internal/control/policy"
+	"dunestep/internal/control/ringassignment"
+	placementseat "dunestep/internal/control/ringassignment/assignmentlog"
+	"dunestep/internal/fleet"
 )
 
 // ringControl is what this agent has for generations of the ring; nil: each agent places by its own list.
 type ringControl struct {
 	seat  *placementseat.Adapter
 	votes bool // it may lead, and make generations by its own list
-	gauge placement.PaceMeter
+	gauge ringassignment.PaceMeter
 	paces map[string]uint16 // that were last seen to be agreed, by kind
 	looks time.Time         // when kinds are measured next
 }
@@ -38,18 +38,18 @@
 		IsVoter:       n.IsVoter(),
 		Incarnation:   n.Incarnation,
 		MachineNumber: placementMachine,
-		Parameters: placement.Parameters{
+		Parameters: ringassignment.Parameters{
 			Terms: n.Terms, SlowStart: p.told.cold(),
 			UsePaces: p.told.operator.Fleet.Paces,
 		},
-	}, routing.ReadClocks())}
+	}, agent.ReadClocks())}
 	return p.places.seat
 }
 
 // cold is what the settings let cold servers have, as the module goes by it.
-func (s settings) cold() cold.Params {
-	rules, f := s.Settings.Rules, decide.DefaultTuning()
-	return cold.Params{
+func (s settings) cold() slowstart.Params {
+	rules, f := s.Settings.Rules, balancer.DefaultTuning()
+	return slowstart.Params{
 		InitialCapacity: rules.SlowStartCapacity, Duration: rules.SlowStartDuration, OverloadMultiple: rules.OverloadMultiple,
 		OverloadWindow: rules.OverloadWindow, Margin: f.SlowStartMargin, MaxOfWarm: f.SlowStartMax, Balancers: s.Settings.Balancers,
 	}
@@ -119,7 +119,7 @@
 func (p *fleetMember) see(n *fleet.Node, now fleet.ClockReading) {
 	if p.places != nil {
 		acting := p.seat.Active(now, n.Standing(now))
-		p.places.seat.SetView(now, placement.View{
+		p.places.seat.SetView(now, ringassignment.View{
 			Now: now.Unix, Servers: seen(p.servers, acting.Effect.Capacity),
 			FullyDrained: p.emptied(n, now),
 		})
@@ -136,14 +136,14 @@
 	for _, t := range p.told.Settings.Tenants {
 		tenants = append(tenants, t.Name)
 	}
-	return window.FullyDrained(p.windows.seat.Exclusions(now, standing, p.seat.Active(now, standing)), tenants)
+	return maintenance.FullyDrained(p.windows.seat.Exclusions(now, standing, p.seat.Active(now, standing)), tenants)
 }
 
 // gaugeEvery is how often it is looked at how quick kinds of servers are.
 const gaugeEvery = 10 * time.Second
 
 // tellPaces measures how quick the kinds of servers are, for voters, and writes to the log what is agreed on.
-func (p *fleetMember) tellPaces(actor *routing.FleetActor) {
+func (p *fleetMember) tellPaces(actor *agent.FleetActor) {
 	if p.places == nil || !p.told.operator.Fleet.Paces || time.Now().Before(p.places.looks) {
 		return
 	}
@@ -174,7 +174,7 @@
 }
 
 // lookAtRing tells the seat of a voter what has changed on its list, until a time.
-func (p *fleetMember) lookAtRing(actor *routing.FleetActor, until time.Time) {
+func (p *fleetMember) lookAtRing(actor *agent.FleetActor, until time.Time) {
 	for time.Now().Add(ringEvery).Before(until) {
 		time.Sleep(ringEvery)
 		if p.places != nil && p.places.votes {
@@ -184,7 +184,7 @@
 	time.Sleep(time.Until(until))
 }
 
-func (p *fleetMember) lookForChange(actor *routing.FleetActor) {
+func (p *fleetMember) lookForChange(actor *agent.FleetActor) {
 	ctx, cancel := context.WithTimeout(context.Background(), watchEvery)
 	defer cancel()
 	servers, known := p.hand.agent.Endpoints(ctx)
@@ -200,11 +200,11 @@
 }
 
 // seen is this agent's own list, as a leader makes generations of it.
-func seen(servers []decide.Server, c policy.Capacity) (all []placement.Server) {
+func seen(servers []balancer.Server, c policy.Capacity) (all []ringassignment.Server) {
 	for _, s := range servers {
-		all = append(all, placement.Server{
-			ID: s.ID, Zone: s.Zone, Kind: s.MachineKind, Ready: s.State == decide.Ready,
-			Draining: s.State == decide.Draining, StartedAt: s.StartedAt, Capacity: c.Of(s.ID, s.MachineKind),
+		all = append(all, ringassignment.Server{
+			ID: s.ID, Zone: s.Zone, Kind: s.MachineKind, Ready: s.State == balancer.Ready,
+			Draining: s.State == balancer.Draining, StartedAt: s.StartedAt, Capacity: c.Of(s.ID, s.MachineKind),
 		})
 	}
 	return all
--- a/cmd/dunestep/placement_test.go
+++ b/cmd/dunestep/placement_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/decide"
+	"dunestep/internal/balancer"
 	"dunestep/internal/rehearsal/lab"
 	"dunestep/internal/standin"
 )
@@ -109,7 +109,7 @@
 	program, err := plain()
 	require.NoError(t, err)
 	set := lab.Deployment()
-	set.Tenants = []decide.Tenant{{Name: "east", QuotaPerSecond: 1000, Share: 1}}
+	set.Tenants = []balancer.Tenant{{Name: "east", QuotaPerSecond: 1000, Share: 1}}
 	r := &windowRig{t: t}
 	r.Lab = lab.Open(t, lab.Options{
 		Agents: 5, Servers: 4, Program: program, Ops: true, Seed: 17, Settings: set,
--- a/cmd/dunestep/policy.go
+++ b/cmd/dunestep/policy.go
@@ -7,10 +7,10 @@
 	"net/http"
 	"time"
 
-	"dunestep/fleet"
+	"dunestep/internal/agent"
+	"dunestep/internal/control/policy"
+	"dunestep/internal/fleet"
 	"dunestep/internal/protocol"
-	"dunestep/internal/routing"
-	"dunestep/policy"
 )
 
 // policyState is what staff see of the policies at one agent.
@@ -58,7 +58,7 @@
 }
 
 // policy answers a call about policies.
-func (p *fleetMember) policy(ctx context.Context, actor *routing.FleetActor, call protocol.OpsCall) (status int,
+func (p *fleetMember) policy(ctx context.Context, actor *agent.FleetActor, call protocol.OpsCall) (status int,
 	body []byte,
 ) {
 	if !p.told.operator.Fleet.Policy {
--- a/cmd/dunestep/policy_test.go
+++ b/cmd/dunestep/policy_test.go
@@ -12,14 +12,14 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/decide"
-	"dunestep/fleet"
-	"dunestep/fleet/lease"
+	"dunestep/internal/balancer"
+	"dunestep/internal/control/policy"
+	"dunestep/internal/control/policy/policylog"
+	"dunestep/internal/fleet"
+	"dunestep/internal/fleet/lease"
 	"dunestep/internal/rehearsal/lab"
 	"dunestep/internal/rehearsal/mishap"
 	"dunestep/internal/standin"
-	"dunestep/policy"
-	"dunestep/policy/seat"
 )
 
 // tries counts the route steps of each agent's latest request, at booking servers that turn the first two away unheard
@@ -204,11 +204,11 @@
 func TestPolicyAndReload(t *testing.T) {
 	own := settings{}
 	own.Settings.Limits.MaxAttempts = 3
-	own.Settings.Classes = []decide.Class{{Name: "consult"}}
+	own.Settings.Classes = []balancer.Class{{Name: "consult"}}
 	own.operator.Fleet.Policy = true
 	own.operator.Storm.InVain = 0.5
 	require.InDelta(t, 0.5, own.policyOwn().MaxFailedRatio, 1e-9)
-	s := seat.New(seat.Settings{Local: own.policyOwn(), Times: policy.Times{}.WithDefaults()}, fleet.ClockReading{})
+	s := policylog.New(policylog.Settings{Local: own.policyOwn(), Times: policy.Times{}.WithDefaults()}, fleet.ClockReading{})
 	before := s.Active(fleet.ClockReading{}, lease.Full).Effect
 	require.InDelta(t, 0.5, before.MaxFailedRatio, 1e-9)
 	own.operator.Storm.InVain = 0.3
--- a/cmd/dunestep/policycommands.go
+++ b/cmd/dunestep/policycommands.go
@@ -11,7 +11,7 @@
 	"text/tabwriter"
 	"time"
 
-	"dunestep/policy"
+	"dunestep/internal/control/policy"
 )
 
 // policyCommands ask a running agent at its operators' door, but for check.
--- a/cmd/dunestep/policyfaults_test.go
+++ b/cmd/dunestep/policyfaults_test.go
@@ -14,10 +14,10 @@
 
 	"github.com/stretchr/testify/require"
 
+	"dunestep/internal/control/policy"
 	"dunestep/internal/rehearsal/lab"
 	"dunestep/internal/rehearsal/mishap"
 	"dunestep/internal/rehearsal/scenario"
-	"dunestep/policy"
 )
 
 // voterFolder is where a voter keeps the log, over all runs of a test.
--- a/cmd/dunestep/present.go
+++ b/cmd/dunestep/present.go
@@ -5,16 +5,16 @@
 	"log/slog"
 	"time"
 
-	"dunestep/decide"
-	"dunestep/fleet"
-	"dunestep/internal/routing"
+	"dunestep/internal/agent"
+	"dunestep/internal/balancer"
+	"dunestep/internal/fleet"
 )
 
 // presentEvery is how often it is looked how many agents are there.
 const presentEvery = time.Second
 
 // countPresent tells the module how many agents are there, until the process ends.
-func (p *fleetMember) countPresent(actor *routing.FleetActor) {
+func (p *fleetMember) countPresent(actor *agent.FleetActor) {
 	told := 0
 	for range time.Tick(presentEvery) {
 		here := 0 // where there is no answer in time: as many as the settings name
@@ -24,14 +24,14 @@
 		if here != told {
 			told = here
 			slog.Info("fleet: divides by agents that are there", "there", here, "counted",
-				decide.EffectiveFleetSize(here, p.told.Settings.Balancers))
+				balancer.EffectiveFleetSize(here, p.told.Settings.Balancers))
 			p.hand.agent.SetFleetSize(p.counts(here))
 		}
 	}
 }
 
 // counts is what each part divides by that is to go by who is there.
-func (p *fleetMember) counts(here int) (module decide.FleetSize, storm int) {
+func (p *fleetMember) counts(here int) (module balancer.FleetSize, storm int) {
 	f := p.told.operator.Fleet
 	if f.HereCold {
 		module.ProbeRequests = here
--- a/cmd/dunestep/process.go
+++ b/cmd/dunestep/process.go
@@ -8,26 +8,26 @@
 	"sync"
 	"time"
 
-	"dunestep/decide"
-	"dunestep/internal/core"
-	"dunestep/internal/figures"
+	"dunestep/internal/agent"
+	"dunestep/internal/balancer"
+	"dunestep/internal/control/policy"
 	"dunestep/internal/handover"
+	"dunestep/internal/metrics"
 	"dunestep/internal/protocol"
 	"dunestep/internal/routing"
 	"dunestep/internal/state"
 	"dunestep/internal/transport"
-	"dunestep/policy"
 )
 
 // process is the running agent: its parts, and what they were told.
 type process struct {
 	told        settings
-	counts      *figures.Figures
+	counts      *metrics.Figures
 	descriptors *transport.Descriptors
 	bodies      *transport.BodyLimits
 	kept        *stateKeeper
 	datagrams   *transport.Datagrams // nil: agents don't talk to one another
-	agent       *routing.Agent
+	agent       *agent.Agent
 	front       *transport.Listener
 	hand        *manualControl
 	fleet       *fleetMember         // nil: it takes no part
@@ -37,7 +37,7 @@
 	up          upgrade
 }
 
-func classNames(classes []decide.Class) (names []string) {
+func classNames(classes []balancer.Class) (names []string) {
 	for _, c := range classes {
 		names = append(names, c.Name)
 	}
@@ -83,7 +83,7 @@
 func (p *process) startAgent(got takeover) (err error) {
 	c := p.told
 	p.kept = recall(c, got.file)
-	set := routing.Settings{
+	set := agent.Settings{
 		Deployment: c.Settings, Seed: c.Seed, Discovery: c.Discovery, Initial: p.kept.start,
 		Probation:   state.ProbationSettings{Enabled: c.operator.State.ProveList, FullDeploy: seconds(c.operator.State.DeployS)},
 		Descriptors: p.descriptors, Bodies: p.bodies, Metrics: p.counts, Disabled: got.hand.Disabled,
@@ -92,11 +92,11 @@
 	if c.operator.Fleet.On && c.operator.Fleet.Policy {
 		set.FleetPolicy = func() *policy.Effect { return p.fleet.effect() }
 		if c.operator.Fleet.Windows {
-			set.Exclusions = func() *decide.Exclusions { return p.fleet.avoiding() }
+			set.Exclusions = func() *balancer.Exclusions { return p.fleet.avoiding() }
 			set.FleetCaughtUp = func() bool { return p.fleet.knows() }
 		}
 		if c.operator.Fleet.Placement {
-			set.RingAssignment = func() *decide.RingAssignment { return p.fleet.placed() }
+			set.RingAssignment = func() *balancer.RingAssignment { return p.fleet.placed() }
 		}
 	}
 	if c.Settings.Limits.Gossip && c.PeerListen.IsValid() {
@@ -109,9 +109,9 @@
 		return err
 	}
 	if p.fleet != nil {
-		p.fleet.inherits = p.fleet.inherit(got.fleet, routing.ReadClocks())
+		p.fleet.inherits = p.fleet.inherit(got.fleet, agent.ReadClocks())
 	}
-	if p.agent, err = routing.Start(set); err != nil {
+	if p.agent, err = agent.Start(set); err != nil {
 		return err
 	}
 	p.kept.serves(p.agent)
@@ -172,7 +172,7 @@
 func (p *process) stop() {
 	p.hand.ends()
 	p.fleet.leave()
-	written := p.kept.finish(core.NewShutdownPlan(0, p.told.Settings.Classes).Deadline())
+	written := p.kept.finish(routing.NewShutdownPlan(0, p.told.Settings.Classes).Deadline())
 	drain(p.front, p.agent, p.told.Settings.Classes, p.ends())
 	<-written
 }
@@ -188,9 +188,9 @@
 
 // drain goes through the phases of a planned restart. It returns when all that was taken has been answered,
 // or when the time for it is over. Taken: another process takes the clients that come.
-func drain(front *transport.Listener, agent *routing.Agent, classes []decide.Class, taken bool) {
+func drain(front *transport.Listener, agent *agent.Agent, classes []balancer.Class, taken bool) {
 	began := time.Now()
-	course := core.NewShutdownPlan(0, classes)
+	course := routing.NewShutdownPlan(0, classes)
 	abandon := sync.OnceFunc(func() {
 		slog.Warn("drain cut short: what is unanswered fails now")
 		agent.FailAll()
@@ -203,15 +203,15 @@
 	for {
 		phase, until := course.PhaseAt(time.Since(began))
 		switch phase {
-		case core.ShutdownAccepting:
+		case routing.ShutdownAccepting:
 			if !taken {
 				<-time.NewTimer(until - time.Since(began)).C
 				front.StopListening()
 				continue
 			}
-		case core.ShutdownFailing:
+		case routing.ShutdownFailing:
 			abandon()
-		case core.ShutdownOver:
+		case routing.ShutdownOver:
 			abandon() // where the machine has kept it waiting for all of that phase
 			return
 		}
--- a/cmd/dunestep/state.go
+++ b/cmd/dunestep/state.go
@@ -9,7 +9,7 @@
 	"text/tabwriter"
 	"time"
 
-	"dunestep/decide"
+	"dunestep/internal/balancer"
 	"dunestep/internal/state"
 )
 
@@ -84,7 +84,7 @@
 		return err
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	known := map[string]*decide.ServerSnapshot{}
+	known := map[string]*balancer.ServerSnapshot{}
 	if m := f.Balancer; m != nil {
 		fmt.Fprintf(w, "\nmodule\tmean answer %.0f ms\tfailing %.1f%%\tsent %.1f/s\n", 1000*m.MeanLatency,
 			100*m.FailureRatio, m.SendRate)
@@ -110,9 +110,9 @@
 }
 
 // standing says in words what was known of a server.
-func standing(s state.StoredEndpoint, m *decide.ServerSnapshot) string {
+func standing(s state.StoredEndpoint, m *balancer.ServerSnapshot) string {
 	var words []string
-	if s.State == decide.Draining {
+	if s.State == balancer.Draining {
 		words = append(words, "leaving")
 	}
 	if m == nil {
--- a/cmd/dunestep/upgrade.go
+++ b/cmd/dunestep/upgrade.go
@@ -12,9 +12,9 @@
 	"syscall"
 	"time"
 
-	"dunestep/internal/core"
 	"dunestep/internal/handover"
 	"dunestep/internal/protocol"
+	"dunestep/internal/routing"
 	"dunestep/internal/state"
 	"dunestep/internal/transport"
 )
@@ -85,7 +85,7 @@
 	p.up.old = old
 	p.up.share = share{offer.Descriptors, offer.MemoryMB}
 	got.hand, got.fleet = offer.Manual, offer.FleetState
-	got.hand.Disabled = core.MergeDisabled(offer.Manual.Disabled, kept.Disabled)
+	got.hand.Disabled = routing.MergeDisabled(offer.Manual.Disabled, kept.Disabled)
 	if got.file, err = state.Decode(offer.State); err == nil && got.file.Owner != p.told.owner() {
 		err = state.ErrOtherOwner
 	}
--- a/cmd/dunestep/window.go
+++ b/cmd/dunestep/window.go
@@ -10,25 +10,25 @@
 	"slices"
 	"time"
 
-	"dunestep/decide"
-	"dunestep/fleet"
-	"dunestep/fleet/lease"
+	"dunestep/internal/agent"
+	"dunestep/internal/balancer"
+	"dunestep/internal/control/maintenance"
+	windowseat "dunestep/internal/control/maintenance/maintenancelog"
+	"dunestep/internal/control/policy"
+	"dunestep/internal/fleet"
+	"dunestep/internal/fleet/lease"
 	"dunestep/internal/protocol"
-	"dunestep/internal/routing"
-	"dunestep/policy"
-	"dunestep/window"
-	windowseat "dunestep/window/seat"
 )
 
 // windowControl is what this agent has for maintenance windows; nil: they do not hold here.
 type windowControl struct {
 	seat   *windowseat.Adapter
-	before map[string]decide.TenantStats // what was counted when it was last looked at
-	told   map[string]toldOf             // what the log has of each window
+	before map[string]balancer.TenantStats // what was counted when it was last looked at
+	told   map[string]toldOf               // what the log has of each window
 }
 
 type toldOf struct {
-	state  window.State
+	state  maintenance.State
 	reason string
 }
 
@@ -39,7 +39,7 @@
 // sitWindows has maintenance windows hold here.
 func (p *fleetMember) sitWindows(n *fleet.Settings) *windowseat.Adapter {
 	f := p.told.operator.Fleet
-	p.windows = &windowControl{told: map[string]toldOf{}, before: map[string]decide.TenantStats{}}
+	p.windows = &windowControl{told: map[string]toldOf{}, before: map[string]balancer.TenantStats{}}
 	p.windows.seat = windowseat.New(windowseat.Settings{
 		Self: n.Self, IsVoter: n.IsVoter(),
 		Incarnation: n.Incarnation, MachineNumber: windowMachine, Times: p.policyTimes(n.Terms), Turns: int(f.Turns),
@@ -47,14 +47,14 @@
 		ClockMargin: seconds(f.MarginS), MinNotice: seconds(f.NoticeS),
 		InForce: p.inForce,
 		View:    p.view,
-	}, routing.ReadClocks())
+	}, agent.ReadClocks())
 	return p.windows.seat
 }
 
 // view is what the leader's council sees here. It is asked by the actor.
-func (p *fleetMember) view(now fleet.ClockReading) window.LeaderView {
+func (p *fleetMember) view(now fleet.ClockReading) maintenance.LeaderView {
 	s := p.seat.State()
-	v := window.LeaderView{InForce: s.InForce.Number, ChangeOpen: s.OpenChange != nil}
+	v := maintenance.LeaderView{InForce: s.InForce.Number, ChangeOpen: s.OpenChange != nil}
 	if actor := p.actor.Load(); actor != nil {
 		v.Standing = actor.LeaseStanding(now)
 	}
@@ -64,12 +64,12 @@
 }
 
 // nodes are the servers of the own list that are not gone.
-func (p *fleetMember) nodes(e *policy.Effect) (nodes []window.Server) {
+func (p *fleetMember) nodes(e *policy.Effect) (nodes []maintenance.Server) {
 	for _, s := range p.servers {
-		if s.State != decide.Gone {
-			nodes = append(nodes, window.Server{
+		if s.State != balancer.Gone {
+			nodes = append(nodes, maintenance.Server{
 				ID: s.ID, Zone: s.Zone, Capacity: e.Capacity.Of(s.ID, s.MachineKind),
-				Absent: s.State != decide.Ready,
+				Absent: s.State != balancer.Ready,
 			})
 		}
 	}
@@ -77,7 +77,7 @@
 }
 
 // watch tells what stands above the node what this agent sees, again and again.
-func (p *fleetMember) watch(actor *routing.FleetActor) {
+func (p *fleetMember) watch(actor *agent.FleetActor) {
 	for {
 		p.lookOnce(actor)
 		p.tellPaces(actor)
@@ -85,7 +85,7 @@
 	}
 }
 
-func (p *fleetMember) lookOnce(actor *routing.FleetActor) {
+func (p *fleetMember) lookOnce(actor *agent.FleetActor) {
 	ctx, cancel := context.WithTimeout(context.Background(), watchEvery)
 	defer cancel()
 	servers, known := p.hand.agent.Endpoints(ctx)
@@ -106,7 +106,7 @@
 }
 
 // tellStrain tells how the tenants' requests fare.
-func (p *fleetMember) tellStrain(ctx context.Context, actor *routing.FleetActor) {
+func (p *fleetMember) tellStrain(ctx context.Context, actor *agent.FleetActor) {
 	strain, damps := p.hand.agent.TenantStats(ctx)
 	if strain == nil {
 		return
@@ -116,7 +116,7 @@
 }
 
 // counts are what came since it was last called; of the first call while something moves: nothing.
-func (w *windowControl) counts(all []decide.TenantStats) (counts []window.TenantCounts) {
+func (w *windowControl) counts(all []balancer.TenantStats) (counts []maintenance.TenantCounts) {
 	first := len(w.before) == 0
 	for _, s := range all {
 		b := w.before[s.Tenant]
@@ -124,7 +124,7 @@
 			continue
 		}
 		since := func(now, before uint64) uint32 { return uint32(min(now-before, math.MaxUint32)) }
-		counts = append(counts, window.TenantCounts{
+		counts = append(counts, maintenance.TenantCounts{
 			Tenant: s.Tenant, Requests: since(s.Requests, b.Requests),
 			Served: since(s.Served, b.Served), ExclusionOverrides: since(s.ExclusionOverrides, b.ExclusionOverrides),
 			Failed: since(s.Failed, b.Failed) + since(s.Rejected, b.Rejected),
@@ -140,7 +140,7 @@
 		return
 	}
 	known := map[string]toldOf{}
-	for _, w := range p.windows.seat.Windows(routing.ReadClocks()) {
+	for _, w := range p.windows.seat.Windows(agent.ReadClocks()) {
 		now := toldOf{w.State, w.Reason}
 		known[w.ID] = now
 		if was, is := p.windows.told[w.ID]; is && was == now {
@@ -166,7 +166,7 @@
 }
 
 // windowsCall answers a call about windows.
-func (p *fleetMember) windowsCall(ctx context.Context, actor *routing.FleetActor, call protocol.OpsCall) (status int,
+func (p *fleetMember) windowsCall(ctx context.Context, actor *agent.FleetActor, call protocol.OpsCall) (status int,
 	body []byte,
 ) {
 	if p.windows == nil {
@@ -218,7 +218,7 @@
 	case acting.Mode != policy.ModeFull: // between two versions
 		return answerJSON(http.StatusOK, windowOutcome{End: policy.StatusUnknown.String(), Reason: takesHold})
 	}
-	ask := window.WindowRequest{
+	ask := maintenance.WindowRequest{
 		ID: call.ID, Agent: p.told.Settings.Self, Nodes: call.Window.Nodes, Zone: call.Window.Zone,
 		Tenants: call.Window.Tenants, From: time.Duration(call.Window.From.UnixNano()),
 		To: time.Duration(call.Window.To.UnixNano()), MoveRate: call.Window.Pace,
@@ -239,8 +239,8 @@
 }
 
 // planned answers with a window that fits, or with why there is none.
-func (p *fleetMember) planned(end string, now fleet.ClockReading, w *window.Window, err error) (int, []byte) {
-	var misfit window.Conflict
+func (p *fleetMember) planned(end string, now fleet.ClockReading, w *maintenance.Window, err error) (int, []byte) {
+	var misfit maintenance.Conflict
 	switch {
 	case errors.As(err, &misfit):
 		return answerJSON(http.StatusOK, windowOutcome{
@@ -257,9 +257,9 @@
 }
 
 // scene is what a plan depends on, as this agent sees it.
-func (p *fleetMember) scene(acting policy.Active) window.PlanInput {
+func (p *fleetMember) scene(acting policy.Active) maintenance.PlanInput {
 	e, f := acting.Effect, p.told.operator.Fleet
-	return window.PlanInput{
+	return maintenance.PlanInput{
 		Servers: p.nodes(e), Contracts: e.Contracts, TenantLoads: p.loads(e), PeakLoad: e.Capacity.PeakLoad,
 		MaxUtilization: e.Capacity.MaxUtilization, ClockMargin: seconds(f.MarginS), MinNotice: seconds(f.NoticeS),
 		MinDrained: drainedMargins * seconds(f.MarginS), PolicyVersion: acting.Version,
@@ -292,12 +292,12 @@
 // stopWindow has a window end early.
 func (p *fleetMember) stopWindow(n *fleet.Node, now fleet.ClockReading, id string) (int, []byte) {
 	all := p.windows.seat.Windows(now)
-	i := slices.IndexFunc(all, func(w *window.Window) bool { return w.ID == id })
+	i := slices.IndexFunc(all, func(w *maintenance.Window) bool { return w.ID == id })
 	if i < 0 {
 		return http.StatusNotFound, []byte("no such window\n")
 	}
 	switch all[i].State {
-	case window.Returning, window.Ended, window.Stopped:
+	case maintenance.Returning, maintenance.Ended, maintenance.Stopped:
 		return answerJSON(http.StatusOK, windowOutcome{ID: id, End: policy.StatusAccepted.String()})
 	}
 	record := p.windows.seat.EncodeStop(now, id, fmt.Sprintf("stopped at agent %d", p.told.Settings.Self))
@@ -341,7 +341,7 @@
 }
 
 // movedOf is the least part of the keys that keeps off any of a window's servers here.
-func movedOf(w *window.Window, a *decide.Exclusions) float64 {
+func movedOf(w *maintenance.Window, a *balancer.Exclusions) float64 {
 	least := uint32(math.MaxUint32)
 	for _, t := range w.Tenants {
 		for _, n := range w.Nodes {
@@ -355,30 +355,30 @@
 	return float64(least) / math.MaxUint32
 }
 
-func windowOf(w *window.Window, now fleet.ClockReading) windowState {
+func windowOf(w *maintenance.Window, now fleet.ClockReading) windowState {
 	s := windowState{
 		ID: w.ID, Who: w.Agent, Nodes: w.Nodes, Tenants: w.Tenants, From: unixTime(w.From),
 		Drained: unixTime(w.DrainedAt), Back: unixTime(w.ReturnFrom), To: unixTime(w.To), State: w.State.String(),
 		Since: unixTime(w.StateSince), Reason: w.Reason, Waits: waitsFor(w),
 	}
-	if w.State == window.Free {
+	if w.State == maintenance.Free {
 		s.FreeUntil = unixTime(w.ReturnFrom)
 	}
 	return s
 }
 
 // waitsFor is what a window waits for, for staff.
-func waitsFor(w *window.Window) string {
+func waitsFor(w *maintenance.Window) string {
 	switch w.State {
-	case window.Planned:
+	case maintenance.Planned:
 		return "its beginning"
-	case window.Draining:
+	case maintenance.Draining:
 		return "the traffic to leave, until " + local(unixTime(w.DrainedAt))
-	case window.Drained:
+	case maintenance.Drained:
 		return "what may be on its way, and all agents' leases"
-	case window.Paused:
+	case maintenance.Paused:
 		return "enough to be served elsewhere"
-	case window.Returning:
+	case maintenance.Returning:
 		return "the traffic to be back"
 	}
 	return ""
--- a/cmd/dunestep/window_test.go
+++ b/cmd/dunestep/window_test.go
@@ -14,7 +14,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/decide"
+	"dunestep/internal/balancer"
 	"dunestep/internal/rehearsal/lab"
 	"dunestep/internal/rehearsal/mishap"
 	"dunestep/internal/rehearsal/scenario"
@@ -56,7 +56,7 @@
 	program, err := plain()
 	require.NoError(t, err)
 	set := lab.Deployment()
-	set.Tenants = []decide.Tenant{{Name: "east", QuotaPerSecond: 1000, Share: 0.5}, {Name: "west", QuotaPerSecond: 1000, Share: 0.5}}
+	set.Tenants = []balancer.Tenant{{Name: "east", QuotaPerSecond: 1000, Share: 0.5}, {Name: "west", QuotaPerSecond: 1000, Share: 0.5}}
 	o.Servers, o.Program, o.Ops, o.Seed, o.Settings, o.Answer = 4, program, true, 11, set, r.answer
 	o.Patience = max(o.Patience, 3*time.Minute)
 	o.Shape = func(c *lab.Config) {
--- a/cmd/dunestep/windowcommands.go
+++ b/cmd/dunestep/windowcommands.go
@@ -13,8 +13,8 @@
 	"text/tabwriter"
 	"time"
 
+	"dunestep/internal/control/policy"
 	"dunestep/internal/protocol"
-	"dunestep/policy"
 )
 
 // windowsState is what staff see of the maintenance windows at one agent.
--- a/cmd/dunestep/windowfaults_test.go
+++ b/cmd/dunestep/windowfaults_test.go
@@ -13,9 +13,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"dunestep/internal/control/maintenance"
 	"dunestep/internal/rehearsal/lab"
 	"dunestep/internal/rehearsal/mishap"
-	"dunestep/window"
 )
 
 // anotherLaw is a folder of zone data by which clocks in Bucharest always show nine hours more than UTC's.
@@ -221,13 +221,13 @@
 	folders := t.TempDir()
 	var zones []string
 	if turns > 0 { // the first server alone is in its turn now
-		now, until := window.Turns(turns).At(unix())
+		now, until := maintenance.Turns(turns).At(unix())
 		if until < unix()+15*time.Minute {
 			t.Skip("a turn ends too soon")
 		}
 		for n := 0; len(zones) < 4; n++ {
 			zone := fmt.Sprint("z", n)
-			if server := len(zones); (window.Turns(turns).Of("", zone) == now) == (server == 0) {
+			if server := len(zones); (maintenance.Turns(turns).Of("", zone) == now) == (server == 0) {
 				zones = append(zones, zone)
 			}
 		}
--- a/cmd/dunestep/witness_test.go
+++ b/cmd/dunestep/witness_test.go
@@ -15,11 +15,11 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/decide"
+	"dunestep/internal/balancer"
+	"dunestep/internal/control/policy"
+	"dunestep/internal/control/policy/judge"
 	"dunestep/internal/rehearsal/lab"
 	"dunestep/internal/standin"
-	"dunestep/policy"
-	"dunestep/policy/judge"
 )
 
 // Marks: how many attempts agents make for a request that is turned away everywhere tells what they act on. Version 0
@@ -72,7 +72,7 @@
 	}
 	set := lab.Deployment()
 	set.Limits.MaxAttempts = markAtFirst
-	set.Classes = append(set.Classes, decide.Class{Name: inHand, LatencyObjective: 10 * time.Second, PriorityWeight: 1, Idempotency: decide.Idempotent})
+	set.Classes = append(set.Classes, balancer.Class{Name: inHand, LatencyObjective: 10 * time.Second, PriorityWeight: 1, Idempotency: balancer.Idempotent})
 	for i := range set.Classes { // that nothing ends for want of time
 		set.Classes[i].Deadline = 60 * time.Second
 	}
@@ -357,9 +357,9 @@
 }
 
 func (w *witness) version(n uint64, by time.Duration) judge.Version {
-	own := policy.LocalSettings{MaxFailedRatio: 0.25, Settings: decide.Settings{
-		Classes: []decide.Class{{Name: "consult"}, {Name: inHand}},
-		Limits:  decide.Limits{MaxAttempts: markAtFirst, Hedging: true},
+	own := policy.LocalSettings{MaxFailedRatio: 0.25, Settings: balancer.Settings{
+		Classes: []balancer.Class{{Name: "consult"}, {Name: inHand}},
+		Limits:  balancer.Limits{MaxAttempts: markAtFirst, Hedging: true},
 	}}
 	text := "format = 1\n"
 	if n > 0 {
--- a/docs/pages_test.go
+++ b/docs/pages_test.go
@@ -10,11 +10,11 @@
 	"github.com/rogpeppe/go-internal/testscript"
 	"github.com/stretchr/testify/require"
 
+	"dunestep/internal/control/policy"
+	"dunestep/internal/doctest"
 	"dunestep/internal/operator"
-	"dunestep/internal/pages"
 	"dunestep/internal/rehearsal/scenario"
 	"dunestep/internal/standin/program"
-	"dunestep/policy"
 )
 
 // notRun is how many blocks of commands the pages have that are not run, each with its reason. It may only
@@ -22,8 +22,8 @@
 const notRun = 3
 
 // readers are for the tables in pages, by what they are of.
-func readers(t *testing.T) map[string]pages.Reader {
-	return map[string]pages.Reader{
+func readers(t *testing.T) map[string]doctest.Reader {
+	return map[string]doctest.Reader{
 		"operator": func(text string) error {
 			file := filepath.Join(t.TempDir(), "operator.toml")
 			require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
@@ -43,13 +43,13 @@
 
 // Guards against pages that tell readers to do what does not work, or does something else.
 func TestPages(t *testing.T) {
-	var all []pages.Page
+	var all []doctest.Page
 	count := 0
 	for _, pattern := range []string{"README.md", "example/README.md", "docs/*.md", "docs/design/*.md"} {
 		found, err := filepath.Glob(filepath.Join("..", pattern))
 		require.NoError(t, err)
 		for _, path := range found {
-			page, problems := pages.Read(filepath.ToSlash(strings.TrimPrefix(path, "../")), path)
+			page, problems := doctest.Read(filepath.ToSlash(strings.TrimPrefix(path, "../")), path)
 			for _, problem := range append(problems, page.Check("..", readers(t))...) {
 				t.Error(problem)
 			}
@@ -62,7 +62,7 @@
 		t.Errorf("%d blocks are not run, where %d are noted: fewer are a lower number here, more are a page "+
 			"that promises what nobody has tried", count, notRun)
 	}
-	player := &pages.Player{Root: ".."}
+	player := &doctest.Player{Root: ".."}
 	require.NoError(t, program.Sources())
 	require.NoError(t, player.Build(t.TempDir()))
 	params, err := player.Params(t.TempDir(), all)
--- a/internal/routing/agreed_test.go
+++ b/internal/agent/agreed_test.go
@@ -1,4 +1,4 @@
-package routing
+package agent
 
 import (
 	"context"
@@ -8,45 +8,45 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/decide"
-	"dunestep/internal/core"
-	"dunestep/policy"
+	"dunestep/internal/balancer"
+	"dunestep/internal/control/policy"
+	"dunestep/internal/routing"
 )
 
 // noting is a module that notes what it is told, in order.
 type noting struct{ notes []string }
 
-func (n *noting) Step(_ time.Duration, ev decide.Event) []decide.Action {
+func (n *noting) Step(_ time.Duration, ev balancer.Event) []balancer.Action {
 	n.notes = append(n.notes, fmt.Sprintf("%T", ev))
 	return nil
 }
 
-func (n *noting) ApplyFleetPolicy(quota []float64, classes []decide.RetryPolicy, inVain float64) {
+func (n *noting) ApplyFleetPolicy(quota []float64, classes []balancer.RetryPolicy, inVain float64) {
 	n.notes = append(n.notes, fmt.Sprint(quota, classes, inVain))
 }
 
-func (n *noting) SetExclusions(a *decide.Exclusions) {
+func (n *noting) SetExclusions(a *balancer.Exclusions) {
 	n.notes = append(n.notes, fmt.Sprintf("avoid %v", a != nil))
 }
 
-func (n *noting) SetRingAssignment(p *decide.RingAssignment) {
+func (n *noting) SetRingAssignment(p *balancer.RingAssignment) {
 	n.notes = append(n.notes, fmt.Sprintf("place %v", p != nil))
 }
 
-func (n *noting) TenantStats() []decide.TenantStats {
-	return []decide.TenantStats{{Tenant: "a", Requests: 7}}
+func (n *noting) TenantStats() []balancer.TenantStats {
+	return []balancer.TenantStats{{Tenant: "a", Requests: 7}}
 }
 
 // What is to be kept off, and how the ring is placed, is looked at before each message, and told where it has
 // changed.
 func TestAvoiding(t *testing.T) {
-	module, avoid, placed := &noting{}, (*decide.Exclusions)(nil), (*decide.RingAssignment)(nil)
+	module, avoid, placed := &noting{}, (*balancer.Exclusions)(nil), (*balancer.RingAssignment)(nil)
 	a := &Agent{
-		mail: newMailbox[any](), clock: newClock(), router: core.NewRouter(decide.Settings{}, module),
-		exclusions: func() *decide.Exclusions { return avoid }, ringAssignment: func() *decide.RingAssignment { return placed },
+		mail: newMailbox[any](), clock: newClock(), router: routing.NewRouter(balancer.Settings{}, module),
+		exclusions: func() *balancer.Exclusions { return avoid }, ringAssignment: func() *balancer.RingAssignment { return placed },
 	}
 	a.handle(timerDue{1})
-	avoid, placed = &decide.Exclusions{}, &decide.RingAssignment{}
+	avoid, placed = &balancer.Exclusions{}, &balancer.RingAssignment{}
 	a.handle(timerDue{2})
 	a.handle(timerDue{3})
 	avoid, placed = nil, nil
@@ -70,7 +70,7 @@
 // over is not harmed.
 func TestAgreed(t *testing.T) {
 	module := &noting{}
-	a := &Agent{mail: newMailbox[any](), clock: newClock(), router: core.NewRouter(decide.Settings{}, module)}
+	a := &Agent{mail: newMailbox[any](), clock: newClock(), router: routing.NewRouter(balancer.Settings{}, module)}
 	a.mail.put(timerDue{1})
 	a.SetFleetPolicy(&policy.Effect{
 		Quota: []float64{3}, MaxFailedRatio: 0.2,
--- a/internal/routing/answered_test.go
+++ b/internal/agent/answered_test.go
@@ -1,4 +1,4 @@
-package routing
+package agent
 
 import (
 	"bufio"
@@ -9,10 +9,10 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/decide"
-	"dunestep/internal/core"
-	"dunestep/internal/figures"
+	"dunestep/internal/balancer"
+	"dunestep/internal/metrics"
 	"dunestep/internal/protocol"
+	"dunestep/internal/routing"
 	"dunestep/internal/transport"
 )
 
@@ -46,9 +46,9 @@
 	k := newClock()
 	reports := make(chan any, 4)
 	b := startUpstream(upstreamSettings{
-		clock: k, connectTimeout: time.Minute, reuseDelay: core.ReuseDelay, connectTimeouts: &connectTimeouts{},
-		idleLimit:   &idleLimit{core: core.NewIdleLimit(k.now(), time.Hour)},
-		descriptors: transport.NewDescriptors(16, func() {}), metrics: figures.New(nil),
+		clock: k, connectTimeout: time.Minute, reuseDelay: routing.ReuseDelay, connectTimeouts: &connectTimeouts{},
+		idleLimit:   &idleLimit{core: routing.NewIdleLimit(k.now(), time.Hour)},
+		descriptors: transport.NewDescriptors(16, func() {}), metrics: metrics.New(nil),
 		bodies: transport.NewBodyLimits(1<<20, transport.BodyRules{MaxBytes: 1 << 20, ClientStall: time.Second, ClientLag: time.Second}),
 	},
 		l.Addr().(*net.TCPAddr).AddrPort(), func(m any) { reports <- m })
@@ -57,14 +57,14 @@
 		return newAttempt(&request{Request: &protocol.Request{
 			Method: http.MethodGet, Target: "/consult",
 			CorrelationID: id, Class: "consult", TimeLeft: time.Minute,
-		}}, core.Output{At: until, Deadline: until}, k)
+		}}, routing.Output{At: until, Deadline: until}, k)
 	}
 	late := step("000000000000000a")
 	late.unwanted = true // as if the answer had crossed the connection's coming up
 	b.mail.put(late)
-	require.Equal(t, decide.Canceled, (<-reports).(attemptEnded).result.Outcome())
+	require.Equal(t, balancer.Canceled, (<-reports).(attemptEnded).result.Outcome())
 	b.mail.put(step("000000000000000b"))
-	require.Equal(t, decide.Served, (<-reports).(attemptEnded).result.Outcome())
+	require.Equal(t, balancer.Served, (<-reports).(attemptEnded).result.Outcome())
 	require.Equal(t, "000000000000000b", <-came, "and nothing before it")
 
 	// Its end comes while its connection is being opened: by order of events, since the moment between the two is not
--- a/internal/routing/answers_test.go
+++ b/internal/agent/answers_test.go
@@ -1,4 +1,4 @@
-package routing
+package agent
 
 import (
 	"errors"
@@ -10,51 +10,51 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"dunestep/decide"
-	"dunestep/internal/core"
-	"dunestep/internal/flow"
-	"dunestep/internal/memory"
+	"dunestep/internal/balancer"
+	"dunestep/internal/bodystream"
+	"dunestep/internal/bytebudget"
 	"dunestep/internal/protocol"
+	"dunestep/internal/routing"
 	"dunestep/internal/transport"
 )
 
 // stage is the module's actor with nobody round it: the test brings the messages, in any order.
 type stage struct {
 	*Agent
-	pool     *memory.Pool
+	pool     *bytebudget.Pool
 	released int
 }
 
 // copies is a module that sends every operation several times at once, and says nothing else.
 type copies int
 
-func (n copies) Step(_ time.Duration, ev decide.Event) (acts []decide.Action) {
-	if r, ok := ev.(*decide.Request); ok {
+func (n copies) Step(_ time.Duration, ev balancer.Event) (acts []balancer.Action) {
+	if r, ok := ev.(*balancer.Request); ok {
 		for range n {
-			acts = append(acts, decide.Action{Kind: decide.Send, ID: r.ID, Server: "s-0"})
+			acts = append(acts, balancer.Action{Kind: balancer.Send, ID: r.ID, Server: "s-0"})
 		}
 	}
 	return acts
 }
 
 func newStage(n int) *stage {
-	set := decide.Settings{Classes: []decide.Class{{Name: "consult"}}, Limits: decide.Limits{MaxAttempts: n}}
+	set := balancer.Settings{Classes: []balancer.Class{{Name: "consult"}}, Limits: balancer.Limits{MaxAttempts: n}}
 	a := &Agent{
-		mail: newMailbox[any](), clock: newClock(), router: core.NewRouter(set, copies(n)),
+		mail: newMailbox[any](), clock: newClock(), router: routing.NewRouter(set, copies(n)),
 		upstreams: map[string]*upstream{}, requests: map[uint32]*request{},
 	}
-	a.carryOutAll(a.router.ListUpdated(0, decide.UpdateFull, protocol.EndpointList{Endpoints: []protocol.Endpoint{{
-		Server: decide.Server{ID: "s-0"}, Addr: netip.MustParseAddrPort("127.0.0.1:1"),
-	}}}, decide.WatchStatus{}))
+	a.carryOutAll(a.router.ListUpdated(0, balancer.UpdateFull, protocol.EndpointList{Endpoints: []protocol.Endpoint{{
+		Server: balancer.Server{ID: "s-0"}, Addr: netip.MustParseAddrPort("127.0.0.1:1"),
+	}}}, balancer.WatchStatus{}))
 	a.upstreams["s-0"] = &upstream{mail: newMailbox[any]()} // nobody reads it
-	return &stage{Agent: a, pool: memory.NewPool(1 << 20)}
+	return &stage{Agent: a, pool: bytebudget.NewPool(1 << 20)}
 }
 
 // body is a flow with something in it.
-func (s *stage) body(t *rapid.T) *flow.Flow {
-	grant, err := s.pool.Take(t.Context(), memory.Holder{Name: "s-0"}, 100)
+func (s *stage) body(t *rapid.T) *bodystream.Flow {
+	grant, err := s.pool.Take(t.Context(), bytebudget.Holder{Name: "s-0"}, 100)
 	require.NoError(t, err)
-	f := flow.New(100, grant, 100)
+	f := bodystream.New(100, grant, 100)
 	_, err = f.Room()
 	require.NoError(t, err)
 	f.Came(50)
@@ -72,13 +72,13 @@
 			CorrelationID: "1", ArrivedAt: time.Now(), TimeLeft: time.Minute, Release: func() { s.released++ },
 		}}
 		s.handle(o)
-		var flows []*flow.Flow
-		begun, over := make([]*flow.Flow, n), make([]bool, n)
+		var flows []*bodystream.Flow
+		begun, over := make([]*bodystream.Flow, n), make([]bool, n)
 		var taken []protocol.Response
 		gone := false
-		end := func(i int, f *flow.Flow, saw core.AttemptResult) {
+		end := func(i int, f *bodystream.Flow, saw routing.AttemptResult) {
 			over[i] = true
-			saw.Phase = core.Responding
+			saw.Phase = routing.Responding
 			s.handle(attemptEnded{attempt: o.attempts[i], result: saw, response: protocol.UpstreamResponse{Flow: f}})
 		}
 		t.Repeat(map[string]func(*rapid.T){
@@ -101,9 +101,9 @@
 					f := s.body(t)
 					f.End(io.EOF)
 					flows = append(flows, f)
-					end(i, f, core.AttemptResult{EndReason: core.Completed})
+					end(i, f, routing.AttemptResult{EndReason: routing.Completed})
 				default:
-					end(i, nil, core.AttemptResult{EndReason: core.BrokenByEndpoint})
+					end(i, nil, routing.AttemptResult{EndReason: routing.BrokenByEndpoint})
 				}
 			},
 			"take": func(*rapid.T) {
@@ -142,9 +142,9 @@
 		for i, f := range begun {
 			if f != nil {
 				<-f.Over()
-				end(i, nil, core.AttemptResult{Streamed: true, EndReason: endReasonOf(f.Result(), o.attempts[i].ctx)})
+				end(i, nil, routing.AttemptResult{Streamed: true, EndReason: endReasonOf(f.Result(), o.attempts[i].ctx)})
 			} else if !over[i] {
-				end(i, nil, core.AttemptResult{EndReason: core.TimedOut})
+				end(i, nil, routing.AttemptResult{EndReason: routing.TimedOut})
 			}
 		}
 		require.LessOrEqual(t, len(taken), 1)
@@ -162,26 +162,26 @@
 // What is not the server's doing is not taken for its breaking off.
 func TestEndingOf(t *testing.T) {
 	c := newClock()
-	s := newAttempt(&request{}, core.Output{At: c.now() + time.Minute}, c)
-	for err, want := range map[error]core.EndReason{
-		nil: core.Completed, io.ErrUnexpectedEOF: core.BrokenByEndpoint,
-		flow.ErrLeft: core.ClientLeft, transport.ErrInvalidResponse: core.InvalidResponse, memory.ErrFull: core.NoMemory,
+	s := newAttempt(&request{}, routing.Output{At: c.now() + time.Minute}, c)
+	for err, want := range map[error]routing.EndReason{
+		nil: routing.Completed, io.ErrUnexpectedEOF: routing.BrokenByEndpoint,
+		bodystream.ErrLeft: routing.ClientLeft, transport.ErrInvalidResponse: routing.InvalidResponse, bytebudget.ErrFull: routing.NoMemory,
 	} {
 		require.Equal(t, want, endReasonOf(err, s.ctx))
 	}
-	s.cancel(core.ClientTooSlow)
-	require.Equal(t, core.ClientTooSlow, endReasonOf(errors.New("use of closed network connection"), s.ctx))
-	require.Equal(t, core.NoMemory, endReasonOf(memory.ErrFull, s.ctx))
+	s.cancel(routing.ClientTooSlow)
+	require.Equal(t, routing.ClientTooSlow, endReasonOf(errors.New("use of closed network connection"), s.ctx))
+	require.Equal(t, routing.NoMemory, endReasonOf(bytebudget.ErrFull, s.ctx))
 }
 
 // The time that this side held a body up is not the booking server's.
 func TestServerTime(t *testing.T) {
 	sent := time.Now()
-	p := flow.Progress{Whole: true, LastCame: sent.Add(9 * time.Second), Before: time.Second, HeldUp: 2 * time.Second}
+	p := bodystream.Progress{Whole: true, LastCame: sent.Add(9 * time.Second), Before: time.Second, HeldUp: 2 * time.Second}
 	require.Equal(t, 6*time.Second, endpointLatency(p, false, sent, sent.Add(time.Hour)))
 	p.Coming = time.Second
 	require.Equal(t, 5*time.Second, endpointLatency(p, true, sent, sent.Add(time.Hour)), "its beginning is timed")
 	p.Whole = false
 	require.Equal(t, time.Hour-3*time.Second, endpointLatency(p, false, sent, sent.Add(time.Hour)))
-	require.Equal(t, time.Hour, endpointLatency(flow.Progress{}, false, sent, sent.Add(time.Hour)))
+	require.Equal(t, time.Hour, endpointLatency(bodystream.Progress{}, false, sent, sent.Add(time.Hour)))
 }
--- a/internal/routing/attempt.go
+++ b/internal/agent/attempt.go
@@ -1,4 +1,4 @@
-package routing
+package agent
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"sync/atomic"
 	"time"
 
-	"dunestep/internal/core"
+	"dunestep/internal/routing"
 	"dunestep/internal/transport"
 )
 
@@ -20,7 +20,7 @@
 	sent    time.Time
 	written time.Time // its last byte; zero: not yet
 	times   atomic.Pointer[attemptDeadlines]
-	ctx     context.Context // ends when the attempt is given up; the cause is a core.EndReason
+	ctx     context.Context // ends when the attempt is given up; the cause is a routing.EndReason
 	cancel  context.CancelCauseFunc
 	timer   *time.Timer // gives it up; the module's actor's
 
@@ -52,7 +52,7 @@
 	defer a.mu.Unlock()
 	a.writes = !a.unwanted && a.ctx.Err() == nil
 	if a.unwanted {
-		a.cancel(core.Canceled)
+		a.cancel(routing.Canceled)
 	}
 	return a.writes
 }
@@ -63,7 +63,7 @@
 	defer a.mu.Unlock()
 	a.writes = false
 	if a.unwanted {
-		a.cancel(core.Canceled)
+		a.cancel(routing.Canceled)
 	}
 }
 
@@ -74,7 +74,7 @@
 	defer a.mu.Unlock()
 	a.unwanted = true
 	if !a.writes {
-		a.cancel(core.Canceled)
+		a.cancel(routing.Canceled)
 	}
 }
 
@@ -102,7 +102,7 @@
 }
 
 // newAttempt prepares an attempt that the core has asked for.
-func newAttempt(o *request, start core.Output, c clock) *attempt {
+func newAttempt(o *request, start routing.Output, c clock) *attempt {
 	a := &attempt{
 		request: o, number: start.Attempt, server: start.Endpoint, streams: start.Streaming,
 		sent: time.Now(),
@@ -111,7 +111,7 @@
 	a.times.Store(&attemptDeadlines{until, c.time(start.Deadline), start.After})
 	ctx, cancel := context.WithCancelCause(context.Background())
 	a.ctx = ctx
-	a.timer = time.AfterFunc(until.Sub(a.sent), func() { cancel(core.TimedOut) })
+	a.timer = time.AfterFunc(until.Sub(a.sent), func() { cancel(routing.TimedOut) })
 	a.cancel = func(why error) { a.timer.Stop(); cancel(why) }
 	return a
 }
--- a/internal/routing/bench_test.go
+++ b/internal/agent/bench_test.go
@@ -1,4 +1,4 @@
-package routing_test
+package agent_test
 
 import (
 	"bufio"
@@ -15,10 +15,10 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/decide"
-	"dunestep/internal/figures"
+	"dunestep/internal/agent"
+	"dunestep/internal/balancer"
+	"dunestep/internal/metrics"
 	"dunestep/internal/protocol"
-	"dunestep/internal/routing"
 	"dunestep/internal/state"
 	"dunestep/internal/transport"
 )
@@ -53,24 +53,24 @@
 }
 
 // agent serves in this process, before the stand-in.
-func agent(b *testing.B, server string) string { return agentBefore(b, time.Minute, server) }
+func startAgent(b *testing.B, server string) string { return agentBefore(b, time.Minute, server) }
 
 // agentBefore serves in this process before servers, for operations that are to be answered in a time.
 func agentBefore(b testing.TB, aim time.Duration, servers ...string) string {
 	descriptors := transport.NewDescriptors(1024, func() {})
 	bodies := transport.NewBodyLimits(24<<20, transport.BodyRules{MaxBytes: 4 << 20, ClientStall: 2 * time.Second, ClientLag: time.Second})
-	class := decide.Class{Name: "consult", LatencyObjective: aim, Deadline: aim}
+	class := balancer.Class{Name: "consult", LatencyObjective: aim, Deadline: aim}
 	list := protocol.EndpointList{Version: 1, Full: true}
 	for i, s := range servers {
 		list.Endpoints = append(list.Endpoints, protocol.Endpoint{
-			Server: decide.Server{ID: fmt.Sprint("s-", i), Weight: 1}, Addr: netip.MustParseAddrPort(s),
+			Server: balancer.Server{ID: fmt.Sprint("s-", i), Weight: 1}, Addr: netip.MustParseAddrPort(s),
 		})
 	}
-	a, err := routing.Start(routing.Settings{
+	a, err := agent.Start(agent.Settings{
 		Seed: 1, Descriptors: descriptors, Bodies: bodies,
-		Deployment: protocol.Settings{ConnIdleTimeout: time.Hour, ConnectTimeout: time.Minute, Settings: decide.Settings{
-			Balancers: 1, Classes: []decide.Class{class}, Tick: time.Millisecond,
-			Limits: decide.Limits{MaxAttempts: 3},
+		Deployment: protocol.Settings{ConnIdleTimeout: time.Hour, ConnectTimeout: time.Minute, Settings: balancer.Settings{
+			Balancers: 1, Classes: []balancer.Class{class}, Tick: time.Millisecond,
+			Limits: balancer.Limits{MaxAttempts: 3},
 		}},
 		Initial: state.Initial{ListAge: -1, List: list},
 	})
@@ -79,7 +79,7 @@
 	require.NoError(b, err)
 	addr := free.Addr().(*net.TCPAddr).AddrPort()
 	require.NoError(b, free.Close())
-	front := transport.NewListener(descriptors, bodies, figures.New(nil), a)
+	front := transport.NewListener(descriptors, bodies, metrics.New(nil), a)
 	require.NoError(b, front.Listen(addr, protocol.HTTP))
 	go func() { _ = front.Serve() }()
 	b.Cleanup(front.Close)
@@ -99,7 +99,7 @@
 // stand-in are in it too, the same for both.
 func BenchmarkAnswers(b *testing.B) {
 	for _, size := range []int{300, 8_000, 400_000} {
-		for name, through := range map[string]func(*testing.B, string) string{"agent": agent, "ReverseProxy": reverseProxy} {
+		for name, through := range map[string]func(*testing.B, string) string{"agent": startAgent, "ReverseProxy": reverseProxy} {
 			b.Run(fmt.Sprintf("%s/%d", name, size), func(b *testing.B) {
 				c, err := net.Dial("tcp", through(b, standIn(b, size)))
 				require.NoError(b, err)
--- a/internal/routing/booking.go
+++ b/internal/agent/booking.go
@@ -1,4 +1,4 @@
-package routing
+package agent
 
 import (
 	"context"
@@ -10,11 +10,11 @@
 	"syscall"
 	"time"
 
-	"dunestep/internal/core"
-	"dunestep/internal/figures"
-	"dunestep/internal/flow"
-	"dunestep/internal/memory"
+	"dunestep/internal/bodystream"
+	"dunestep/internal/bytebudget"
+	"dunestep/internal/metrics"
 	"dunestep/internal/protocol"
+	"dunestep/internal/routing"
 	"dunestep/internal/transport"
 )
 
@@ -30,7 +30,7 @@
 // attemptEnded tells the module's actor how an attempt ended.
 type attemptEnded struct {
 	attempt  *attempt
-	result   core.AttemptResult
+	result   routing.AttemptResult
 	response protocol.UpstreamResponse
 }
 
@@ -38,18 +38,18 @@
 type upstreamSettings struct {
 	clock           clock
 	connectTimeout  time.Duration
-	reuseDelay      time.Duration // see core.ReuseDelay
+	reuseDelay      time.Duration // see routing.ReuseDelay
 	idleLimit       *idleLimit
 	connectTimeouts *connectTimeouts
 	descriptors     *transport.Descriptors
 	bodies          *transport.BodyLimits
-	metrics         *figures.Figures
+	metrics         *metrics.Figures
 }
 
 // idleLimit is the core's, which all booking servers' actors share.
 type idleLimit struct {
 	mu   sync.Mutex
-	core *core.IdleLimit
+	core *routing.IdleLimit
 }
 
 func (l *idleLimit) Limit() time.Duration {
@@ -58,7 +58,7 @@
 	return l.core.Limit()
 }
 
-func (l *idleLimit) record(now time.Duration, saw core.AttemptResult) {
+func (l *idleLimit) record(now time.Duration, saw routing.AttemptResult) {
 	if stood, lost, counts := saw.IdleEvidence(); counts {
 		l.mu.Lock()
 		defer l.mu.Unlock()
@@ -69,7 +69,7 @@
 // connects is the core's, which all booking servers' actors share.
 type connectTimeouts struct {
 	mu   sync.Mutex
-	core core.ConnectTimeouts
+	core routing.ConnectTimeouts
 }
 
 func (c *connectTimeouts) timeout(most, left time.Duration) time.Duration {
@@ -96,7 +96,7 @@
 	settings upstreamSettings
 	mail     *mailbox[any]
 	report   func(any) // responseStarted and attemptEnded
-	pool     *core.Pool[*transport.UpstreamConn]
+	pool     *routing.Pool[*transport.UpstreamConn]
 	expiry   *time.Timer   // until the next idle connection is to be closed
 	due      time.Duration // when that is; zero: nothing is waited for
 }
@@ -105,7 +105,7 @@
 type (
 	addressChanged     struct{ addr netip.AddrPort }
 	connectionReturned struct {
-		checkout        core.Checkout[*transport.UpstreamConn]
+		checkout        routing.Checkout[*transport.UpstreamConn]
 		conn            *transport.UpstreamConn // nil: closed
 		unused          bool                    // it is the lease's, and nothing was written on it
 		unansweredSince time.Duration           // where it was reused and gave no answer, of its attempt; else zero
@@ -120,7 +120,7 @@
 func startUpstream(set upstreamSettings, addr netip.AddrPort, report func(any)) *upstream {
 	b := &upstream{
 		settings: set, mail: newMailbox[any](), report: report,
-		pool: core.NewPool[*transport.UpstreamConn](addr, set.idleLimit, set.reuseDelay),
+		pool: routing.NewPool[*transport.UpstreamConn](addr, set.idleLimit, set.reuseDelay),
 	}
 	go b.mail.receive(b.handle)
 	return b
@@ -131,7 +131,7 @@
 	var closing []*transport.UpstreamConn
 	switch m := m.(type) {
 	case *attempt:
-		var lease core.Checkout[*transport.UpstreamConn]
+		var lease routing.Checkout[*transport.UpstreamConn]
 		lease, closing = b.pool.Acquire(now)
 		go b.carryOut(m, lease)
 	case connectionReturned:
@@ -181,10 +181,10 @@
 
 // carry carries an attempt out, on the connection of its lease or a new one, and reports how it ended. It
 // runs beside the actor.
-func (b *upstream) carryOut(attempt *attempt, lease core.Checkout[*transport.UpstreamConn]) {
+func (b *upstream) carryOut(attempt *attempt, lease routing.Checkout[*transport.UpstreamConn]) {
 	defer attempt.cancel(nil)
 	conn := lease.Conn
-	var begun *flow.Flow
+	var begun *bodystream.Flow
 	exchange := func() (protocol.UpstreamResponse, bool, error) {
 		if !attempt.mayWrite() {
 			return protocol.UpstreamResponse{}, true, transport.ErrStaleConnection // the connection is as good as before
@@ -201,7 +201,7 @@
 			},
 		})
 	}
-	saw := core.AttemptResult{Phase: core.StaleConnection, Reused: lease.Reused, IdleFor: lease.IdleFor}
+	saw := routing.AttemptResult{Phase: routing.StaleConnection, Reused: lease.Reused, IdleFor: lease.IdleFor}
 	var reply protocol.UpstreamResponse
 	var reuse bool
 	var err error
@@ -212,7 +212,7 @@
 	}
 	if saw.NeedsResend() && !reuse { // else it was called off before it was written
 		attempt.resetWritten()
-		saw = core.AttemptResult{Phase: core.Connecting}
+		saw = routing.AttemptResult{Phase: routing.Connecting}
 		began := time.Now()
 		wait := b.settings.connectTimeouts.timeout(b.settings.connectTimeout, time.Until(attempt.times.Load().giveUpAt))
 		conn, err = transport.DialUpstream(attempt.ctx, attempt.server, lease.Addr, wait,
@@ -226,13 +226,13 @@
 		}
 	}
 	saw.BodyConsumed = attempt.request.Rest != nil && attempt.request.Rest.Progress().Taken
-	saw.LocalFault = saw.LocalFault || saw.Phase == core.Writing && errors.Is(err, transport.ErrClientStopped) ||
-		saw.Phase == core.StaleConnection && reuse // nothing was tried
+	saw.LocalFault = saw.LocalFault || saw.Phase == routing.Writing && errors.Is(err, transport.ErrClientStopped) ||
+		saw.Phase == routing.StaleConnection && reuse // nothing was tried
 	over := connectionReturned{checkout: lease}
 	if reuse {
-		over.conn, over.unused = conn, saw.Phase == core.StaleConnection && conn == lease.Conn
+		over.conn, over.unused = conn, saw.Phase == routing.StaleConnection && conn == lease.Conn
 	}
-	if saw.EndReason = endReasonOf(err, attempt.ctx); saw.EndReason == core.TimedOut {
+	if saw.EndReason = endReasonOf(err, attempt.ctx); saw.EndReason == routing.TimedOut {
 		saw.LocalDelay = max(time.Since(attempt.times.Load().giveUpAt), 0)
 	}
 	if saw.IsUnanswered() && begun == nil {
@@ -243,16 +243,16 @@
 }
 
 // phaseOf tells how far an attempt came, by its error.
-func phaseOf(err error) core.AttemptPhase {
+func phaseOf(err error) routing.AttemptPhase {
 	switch {
 	case errors.Is(err, transport.ErrStaleConnection):
-		return core.StaleConnection
+		return routing.StaleConnection
 	case errors.Is(err, transport.ErrNotWritten):
-		return core.Writing
+		return routing.Writing
 	case err == nil || errors.Is(err, transport.ErrInvalidResponse):
-		return core.Responding
+		return routing.Responding
 	}
-	return core.AwaitingResponse
+	return routing.AwaitingResponse
 }
 
 // begin has an answer begin: from then on it is looked whether it may go on.
@@ -266,7 +266,7 @@
 		p, left, lag := r.Flow.Progress(), time.Until(attempt.times.Load().deadline), b.settings.bodies.Rules().ClientLag
 		body := progress(p)
 		body.Stream = attempt.streams
-		if why := body.CheckLimits(time.Since(attempt.sent), left, p.Quiet, lag); why != core.NotEnded {
+		if why := body.CheckLimits(time.Since(attempt.sent), left, p.Quiet, lag); why != routing.NotEnded {
 			attempt.cancel(why)
 			return
 		}
@@ -277,26 +277,26 @@
 }
 
 // progress is what the core goes by.
-func progress(p flow.Progress) core.ResponseProgress {
-	return core.ResponseProgress{
+func progress(p bodystream.Progress) routing.ResponseProgress {
+	return routing.ResponseProgress{
 		Length: p.Length, Received: p.Came, DelayBefore: p.Before, Blocked: p.HeldUp, Receiving: p.Coming,
 		Complete: p.Whole,
 	}
 }
 
 // judge tells how an attempt ended. For an answer that had begun it waits until nobody takes it any more.
-func (b *upstream) result(attempt *attempt, saw core.AttemptResult, reply protocol.UpstreamResponse, begun *flow.Flow,
+func (b *upstream) result(attempt *attempt, saw routing.AttemptResult, reply protocol.UpstreamResponse, begun *bodystream.Flow,
 	err error,
 ) attemptEnded {
 	ended := attemptEnded{attempt: attempt, response: reply}
-	var p flow.Progress
+	var p bodystream.Progress
 	if begun != nil {
 		ended.response.Flow = nil // somebody has it
 		<-begun.Over()
 		if p, err = begun.Progress(), begun.Result(); errors.Is(err, io.EOF) {
 			err = nil
 		}
-		saw.Phase, saw.Streamed = core.Responding, true
+		saw.Phase, saw.Streamed = routing.Responding, true
 	} else if reply.Flow != nil {
 		p = reply.Flow.Progress()
 	}
@@ -309,7 +309,7 @@
 
 // endpointLatency is how long the booking server took for what came of its answer, without what this side held
 // it up.
-func endpointLatency(p flow.Progress, begun bool, sent, ended time.Time) time.Duration {
+func endpointLatency(p bodystream.Progress, begun bool, sent, ended time.Time) time.Duration {
 	if p.Whole && !p.LastCame.IsZero() { // else it was waited for until the end
 		ended = p.LastCame
 	}
@@ -321,19 +321,19 @@
 
 // endReasonOf tells how an attempt ended by its error and its context. This agent's own reason to end it
 // counts: what the connection says then follows from it.
-func endReasonOf(err error, ctx context.Context) core.EndReason {
-	var own core.EndReason
+func endReasonOf(err error, ctx context.Context) routing.EndReason {
+	var own routing.EndReason
 	switch {
 	case err == nil:
-		return core.Completed
-	case errors.Is(err, memory.ErrFull):
-		return core.NoMemory
+		return routing.Completed
+	case errors.Is(err, bytebudget.ErrFull):
+		return routing.NoMemory
 	case errors.As(context.Cause(ctx), &own):
 		return own
-	case errors.Is(err, flow.ErrLeft):
-		return core.ClientLeft
+	case errors.Is(err, bodystream.ErrLeft):
+		return routing.ClientLeft
 	case errors.Is(err, transport.ErrInvalidResponse):
-		return core.InvalidResponse
+		return routing.InvalidResponse
 	}
-	return core.BrokenByEndpoint
+	return routing.BrokenByEndpoint
 }
--- a/internal/routing/clock.go
+++ b/internal/agent/clock.go
@@ -1,4 +1,4 @@
-package routing
+package agent
 
 import "time"
 
--- /dev/null
+++ b/internal/agent/connects_test.go
@@ -0,0 +1,54 @@
+package agent_test
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+)
+
+// mute is the address of a machine from which nothing comes back: the queue of connections is full.
+func mute(t *testing.T) string {
+	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
+	require.NoError(t, err)
+	t.Cleanup(func() { _ = syscall.Close(fd) })
+	require.NoError(t, syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
+	require.NoError(t, syscall.Listen(fd, 0))
+	name, err := syscall.Getsockname(fd)
+	require.NoError(t, err)
+	addr := fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port)
+	for {
+		c, err := net.DialTimeout("tcp", addr, 200*time.Millisecond)
+		if err != nil {
+			var slow net.Error
+			require.ErrorAs(t, err, &slow)
+			require.True(t, slow.Timeout())
+			return addr
+		}
+		t.Cleanup(func() { _ = c.Close() })
+	}
+}
+
+// What waits for a connection that does not come up goes elsewhere while there is time for it, though the
+// settings would wait for longer than the operation lasts.
+func TestOperationGoesElsewhereWhenNoConnectionComesUp(t *testing.T) {
+	t.Parallel()
+	const aim = 4 * time.Second
+	addr := agentBefore(t, aim, mute(t), standIn(t, 100))
+	for i := range 12 {
+		r, err := http.NewRequest(http.MethodGet, "http://"+addr+"/consult", nil)
+		require.NoError(t, err)
+		r.Header.Set("X-Correlation-Id", fmt.Sprintf("%016x", i+1))
+		r.Header.Set("X-Time-Left-Ms", fmt.Sprint(aim.Milliseconds()))
+		resp, err := http.DefaultClient.Do(r)
+		require.NoError(t, err)
+		_, _ = io.Copy(io.Discard, resp.Body)
+		require.NoError(t, resp.Body.Close())
+		require.Equal(t, http.StatusOK, resp.StatusCode, i)
+	}
+}
--- a/internal/routing/fleet.go
+++ b/internal/agent/fleet.go
@@ -1,4 +1,4 @@
-package routing
+package agent
 
 import (
 	"context"
@@ -9,9 +9,9 @@
 
 	"golang.org/x/sys/unix"
 
-	"dunestep/fleet"
-	"dunestep/fleet/consensus"
-	"dunestep/fleet/lease"
+	"dunestep/internal/fleet"
+	"dunestep/internal/fleet/lease"
+	"dunestep/internal/fleet/raftlog"
 	"dunestep/internal/protocol"
 	"dunestep/internal/transport"
 )
@@ -19,7 +19,7 @@
 // FleetStore keeps a voter's part of the log; see package fleetstore.
 type FleetStore interface {
 	// Write writes what a voter asks for as one, and returns once it is safe on disk.
-	Write(*consensus.Persist) error
+	Write(*raftlog.Persist) error
 	Close() error
 }
 
--- a/internal/routing/kept.go
+++ b/internal/agent/kept.go
@@ -1,12 +1,12 @@
-package routing
+package agent
 
 import (
 	"context"
 	"log/slog"
 	"time"
 
-	"dunestep/decide"
-	"dunestep/internal/core"
+	"dunestep/internal/balancer"
+	"dunestep/internal/routing"
 	"dunestep/internal/state"
 )
 
@@ -24,11 +24,11 @@
 	if n.watch.Local { // the list that is kept is discovery's
 		return
 	}
-	if n.kind == decide.UpdateCached {
+	if n.kind == balancer.UpdateCached {
 		k.session.RestoreLearned(now)
 		return
 	}
-	if n.kind == decide.UpdateFailed && !k.warnedUnheard && !k.session.IsListConfirmed() {
+	if n.kind == balancer.UpdateFailed && !k.warnedUnheard && !k.session.IsListConfirmed() {
 		k.warnedUnheard = true
 		slog.Warn("discovery not heard since the start, going on with the list of the start", "version",
 			k.session.ListVersion(), "proving", k.usesProbation)
@@ -62,14 +62,14 @@
 }
 
 // Snapshot returns what was learned.
-func (l *idleLimit) Snapshot(now time.Duration) core.IdleSnapshot {
+func (l *idleLimit) Snapshot(now time.Duration) routing.IdleSnapshot {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.core.Snapshot(now)
 }
 
 // Restore takes back what was learned so long ago.
-func (l *idleLimit) Restore(m core.IdleSnapshot, age time.Duration) {
+func (l *idleLimit) Restore(m routing.IdleSnapshot, age time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.core.Restore(m, age)
--- a/internal/routing/mailbox.go
+++ b/internal/agent/mailbox.go
@@ -1,7 +1,7 @@
-// Package routing carries out what the decision module decides. Its parts are actors, each with a mailbox:
+// Package agent carries out what the decision module decides. Its parts are actors, each with a mailbox:
 // one for the module, one for the pool config, one for each booking server and one for the other agents. It
 // knows no protocol: operations, answers and lists are typed values here.
-package routing
+package agent
 
 import "sync"
 
--- a/internal/routing/module.go
+++ b/internal/agent/module.go
@@ -1,4 +1,4 @@
-package routing
+package agent
 
 import (
 	"context"
@@ -7,29 +7,29 @@
 	"sync/atomic"
 	"time"
 
-	"dunestep/decide"
-	"dunestep/internal/core"
-	"dunestep/internal/figures"
+	"dunestep/internal/balancer"
+	"dunestep/internal/control/policy"
+	"dunestep/internal/metrics"
+	"dunestep/internal/overload"
 	"dunestep/internal/protocol"
+	"dunestep/internal/routing"
 	"dunestep/internal/state"
 	"dunestep/internal/transport"
-	"dunestep/policy"
-	"dunestep/storm"
 )
 
 // Settings is what an Agent goes by.
 type Settings struct {
 	Deployment  protocol.Settings
 	Seed        uint64
-	Overload    storm.Config
+	Overload    overload.Config
 	Discovery   netip.AddrPort
 	Initial     state.Initial // the list, and what was learned before a restart
 	Probation   state.ProbationSettings
 	Descriptors *transport.Descriptors
 	Bodies      *transport.BodyLimits
-	Metrics     *figures.Figures
-	Disabled    []core.DisabledEndpoint // that hold from the start
-	Datagrams   *transport.Datagrams    // nil where agents do not talk to one another
+	Metrics     *metrics.Figures
+	Disabled    []routing.DisabledEndpoint // that hold from the start
+	Datagrams   *transport.Datagrams       // nil where agents do not talk to one another
 	// FleetReady tells whether this agent has what it has to have beside the list before it says that it is
 	// ready; nil: there is nothing.
 	FleetReady func() bool
@@ -41,10 +41,10 @@
 	FleetPolicy func() *policy.Effect
 	// Exclusions tells, at each moment, which servers tenants' keys keep off; nil: there is nothing. The same
 	// pointer stands for the same.
-	Exclusions func() *decide.Exclusions
+	Exclusions func() *balancer.Exclusions
 	// RingAssignment tells, at each moment, the generation of the ring that the fleet goes by; nil: each agent goes by
 	// its own list. The same pointer stands for the same.
-	RingAssignment func() *decide.RingAssignment
+	RingAssignment func() *balancer.RingAssignment
 	// OnStateChange is told, from the module's actor, that something of weight has changed in what is kept; nil:
 	// nobody is.
 	OnStateChange func()
@@ -60,17 +60,17 @@
 	fleetCaughtUp     func() bool
 	fleetPolicy       func() *policy.Effect
 	appliedPolicy     *policy.Effect // the actor's: what it goes by
-	exclusions        func() *decide.Exclusions
-	appliedExclusions *decide.Exclusions // the actor's, too
-	ringAssignment    func() *decide.RingAssignment
-	appliedAssignment *decide.RingAssignment // the actor's, too
+	exclusions        func() *balancer.Exclusions
+	appliedExclusions *balancer.Exclusions // the actor's, too
+	ringAssignment    func() *balancer.RingAssignment
+	appliedAssignment *balancer.RingAssignment // the actor's, too
 
 	// Owned by the actor.
-	gate                *storm.Controller // before the decision module
-	balancer            *decide.Balancer
-	metrics             *figures.Figures
+	gate                *overload.Controller // before the decision module
+	balancer            *balancer.Balancer
+	metrics             *metrics.Figures
 	ejectionsReportedAt time.Duration // when the module's view was last told to the figures
-	router              *core.Router
+	router              *routing.Router
 	recorder            stateRecorder
 	list                *listActor
 	peers               *peerSender
@@ -96,48 +96,48 @@
 	timerDue           struct{ tag uint64 }
 	releaseIdle        struct{}
 	snapshotQuery      struct{ to chan<- state.Snapshot }
-	overloadChanged    struct{ figures storm.Config }
+	overloadChanged    struct{ figures overload.Config }
 	fleetPolicyChanged struct{ effect *policy.Effect }
 	tenantStatsQuery   struct{ to chan<- tenantStatsReply }
 	baselineQuery      struct {
-		to chan<- []decide.BaselineLatency
+		to chan<- []balancer.BaselineLatency
 	}
 	fleetSizeChanged struct {
-		decide.FleetSize
+		balancer.FleetSize
 		overload int
 	}
 )
 
 // strain is how the tenants' requests have fared, and whether some are held back for a storm.
 type tenantStatsReply struct {
-	all       []decide.TenantStats
+	all       []balancer.TenantStats
 	holdsBack bool
 }
 
 // Initial starts the actors. The module learns the known list at once and asks discovery for news.
 func Start(set Settings) (*Agent, error) {
 	if set.Metrics == nil {
-		set.Metrics = figures.New(nil)
+		set.Metrics = metrics.New(nil)
 	}
-	permitted := core.Permitted(set.Deployment.Settings)
-	balancer, err := decide.New(permitted, set.Seed)
+	permitted := routing.Permitted(set.Deployment.Settings)
+	balancer, err := balancer.New(permitted, set.Seed)
 	if err != nil {
 		return nil, err
 	}
-	gate, err := storm.New(permitted, set.Overload, balancer, set.Seed)
+	gate, err := overload.New(permitted, set.Overload, balancer, set.Seed)
 	if err != nil {
 		return nil, err
 	}
 	a := &Agent{
 		mail: newMailbox[any](), clock: newClock(), gate: gate, balancer: balancer, metrics: set.Metrics,
-		router: core.NewRouter(permitted, gate), upstreams: map[string]*upstream{},
+		router: routing.NewRouter(permitted, gate), upstreams: map[string]*upstream{},
 		requests: map[uint32]*request{}, fleetReady: set.FleetReady, fleetCaughtUp: set.FleetCaughtUp,
 		fleetPolicy: set.FleetPolicy, exclusions: set.Exclusions, ringAssignment: set.RingAssignment,
 	}
-	limit := &idleLimit{core: core.NewIdleLimit(a.clock.now(), set.Deployment.ConnIdleTimeout)}
+	limit := &idleLimit{core: routing.NewIdleLimit(a.clock.now(), set.Deployment.ConnIdleTimeout)}
 	a.upstreamSettings = upstreamSettings{
 		clock: a.clock, connectTimeout: connectWait(set.Deployment),
-		reuseDelay: core.ReuseDelay,
+		reuseDelay: routing.ReuseDelay,
 		idleLimit:  limit, connectTimeouts: &connectTimeouts{}, descriptors: set.Descriptors, bodies: set.Bodies,
 		metrics: set.Metrics,
 	}
@@ -233,20 +233,20 @@
 func (a *Agent) SetDiscovery(addr netip.AddrPort) { a.list.mail.put(discoveryMoved{addr}) }
 
 // SetOverload has the gate before the module go by other figures.
-func (a *Agent) SetOverload(f storm.Config) { a.mail.put(overloadChanged{f}) }
+func (a *Agent) SetOverload(f overload.Config) { a.mail.put(overloadChanged{f}) }
 
 // SetFleetPolicy has the agent go by what its fleet has agreed on, from what is handled next on; nil: by its
 // settings alone. The effect is not to be changed any more. It holds until the next SetFleetPolicy, also over
 // SetOverload.
 func (a *Agent) SetFleetPolicy(effect *policy.Effect) { a.mail.put(fleetPolicyChanged{effect}) }
 
-// SetFleetSize has the module, and the gate before it, divide by how many agents are there; see decide.FleetSize and
-// storm.Controller.
-func (a *Agent) SetFleetSize(p decide.FleetSize, storm int) { a.mail.put(fleetSizeChanged{p, storm}) }
+// SetFleetSize has the module, and the gate before it, divide by how many agents are there; see balancer.FleetSize and
+// overload.Controller.
+func (a *Agent) SetFleetSize(p balancer.FleetSize, storm int) { a.mail.put(fleetSizeChanged{p, storm}) }
 
 // TenantStats tells how the tenants' requests have fared since the start, in the order of the settings and first
 // those of none, nil where ctx ends before; and whether requests are held back for a storm.
-func (a *Agent) TenantStats(ctx context.Context) (all []decide.TenantStats, damps bool) {
+func (a *Agent) TenantStats(ctx context.Context) (all []balancer.TenantStats, damps bool) {
 	to := make(chan tenantStatsReply, 1)
 	a.mail.put(tenantStatsQuery{to})
 	select {
@@ -258,8 +258,8 @@
 }
 
 // BaselineLatencies tells how quick the kinds of servers were; nil where ctx ends before.
-func (a *Agent) BaselineLatencies(ctx context.Context) []decide.BaselineLatency {
-	to := make(chan []decide.BaselineLatency, 1)
+func (a *Agent) BaselineLatencies(ctx context.Context) []balancer.BaselineLatency {
+	to := make(chan []balancer.BaselineLatency, 1)
 	a.mail.put(baselineQuery{to})
 	select {
 	case all := <-to:
@@ -361,16 +361,16 @@
 
 // DisableEndpoint takes a booking server out by hand, EnableEndpoint puts it back. WasListed is false where no list ever had the id;
 // bans are all that hold after it.
-func (a *Agent) DisableEndpoint(ctx context.Context, id string) (bans []core.DisabledEndpoint, listed bool, err error) {
+func (a *Agent) DisableEndpoint(ctx context.Context, id string) (bans []routing.DisabledEndpoint, listed bool, err error) {
 	return a.setDisabled(ctx, setDisabled{id: id})
 }
 
 // EnableEndpoint puts a booking server back; see DisableEndpoint.
-func (a *Agent) EnableEndpoint(ctx context.Context, id string) (bans []core.DisabledEndpoint, listed bool, err error) {
+func (a *Agent) EnableEndpoint(ctx context.Context, id string) (bans []routing.DisabledEndpoint, listed bool, err error) {
 	return a.setDisabled(ctx, setDisabled{id: id, enable: true})
 }
 
-func (a *Agent) setDisabled(ctx context.Context, m setDisabled) ([]core.DisabledEndpoint, bool, error) {
+func (a *Agent) setDisabled(ctx context.Context, m setDisabled) ([]routing.DisabledEndpoint, bool, error) {
 	done := make(chan disableResult, 1)
 	m.done = done
 	a.list.mail.put(m)
@@ -396,8 +396,8 @@
 
 // Endpoints are those on this agent's own list, as staff's word leaves them; false: that is not known before
 // ctx ends.
-func (a *Agent) Endpoints(ctx context.Context) ([]decide.Server, bool) {
-	done := make(chan []decide.Server, 1)
+func (a *Agent) Endpoints(ctx context.Context) ([]balancer.Server, bool) {
+	done := make(chan []balancer.Server, 1)
 	a.list.mail.put(endpointsQuery{done})
 	select {
 	case all := <-done:
@@ -408,7 +408,7 @@
 }
 
 // MergeDisabled takes in what another process of this agent was told by hand.
-func (a *Agent) MergeDisabled(bans []core.DisabledEndpoint) { a.list.mail.put(mergeDisabled{bans}) }
+func (a *Agent) MergeDisabled(bans []routing.DisabledEndpoint) { a.list.mail.put(mergeDisabled{bans}) }
 
 // begin hands an operation to the core, which gives it its number.
 func (a *Agent) startRequest(now time.Duration, o *request) {
@@ -447,65 +447,65 @@
 }
 
 // do carries out what the core says.
-func (a *Agent) carryOutAll(out []core.Output) {
+func (a *Agent) carryOutAll(out []routing.Output) {
 	for i := range out {
 		a.carryOut(&out[i])
 	}
 }
 
-func (a *Agent) carryOut(out *core.Output) {
+func (a *Agent) carryOut(out *routing.Output) {
 	o := a.requests[out.Request]
 	switch out.Kind {
-	case core.Respond:
+	case routing.Respond:
 		a.respond(o, out)
-	case core.StartAttempt:
+	case routing.StartAttempt:
 		s := newAttempt(o, *out, a.clock)
 		for len(o.attempts) <= out.Attempt {
 			o.attempts = append(o.attempts, nil)
 		}
 		o.attempts[out.Attempt] = s
 		a.upstreams[out.Endpoint].mail.put(s)
-	case core.RescheduleAttempt:
+	case routing.RescheduleAttempt:
 		o.attempts[out.Attempt].reschedule(a.clock.time(out.At), a.clock.time(out.Deadline))
-	case core.CancelAttempt:
+	case routing.CancelAttempt:
 		o.attempts[out.Attempt].cancel(out.Why)
-	case core.CancelIfUnsent:
+	case routing.CancelIfUnsent:
 		o.attempts[out.Attempt].cancelIfUnsent()
-	case core.ForgetRequest:
+	case routing.ForgetRequest:
 		o.Release()
 		delete(a.requests, out.Request)
-	case core.SetTimer:
+	case routing.SetTimer:
 		tag := out.Tag
 		time.AfterFunc(a.clock.until(out.At), func() { a.mail.put(timerDue{tag}) })
-	case core.SendDatagram:
+	case routing.SendDatagram:
 		if a.peers != nil {
 			a.peers.enqueue(protocol.Datagram{Agent: out.Peer, Data: out.Data})
 		}
-	case core.WatchList:
+	case routing.WatchList:
 		a.list.mail.put(watchList{})
-	case core.FetchList:
+	case routing.FetchList:
 		a.list.mail.put(fetchList{})
-	case core.OpenEndpoint:
+	case routing.OpenEndpoint:
 		a.upstreams[out.Endpoint] = startUpstream(a.upstreamSettings, out.Addr, func(m any) { a.mail.put(m) })
-	case core.SetEndpointAddress:
+	case routing.SetEndpointAddress:
 		a.upstreams[out.Endpoint].mail.put(addressChanged{out.Addr})
-	case core.RemoveEndpoint:
+	case routing.RemoveEndpoint:
 		a.upstreams[out.Endpoint].mail.put(retire{})
 		delete(a.upstreams, out.Endpoint)
-	case core.DrainEndpoint:
+	case routing.DrainEndpoint:
 		a.upstreams[out.Endpoint].mail.put(stopReuse{})
-	case core.ReleaseIdle:
+	case routing.ReleaseIdle:
 		a.upstreams[out.Endpoint].mail.put(closeIdleHalf{})
-	case core.LogDecision:
+	case routing.LogDecision:
 		slog.Info("module", "says", out.Text)
 		a.recorder.stateChanged() // what the module says is what changes its mind
-	case core.UnsupportedProbe:
+	case routing.UnsupportedProbe:
 		slog.Error("the module wants to probe, which is not allowed", "server", out.Endpoint)
 	}
 }
 
 // answer gives the one final answer; a good one is the reply in hand.
-func (a *Agent) respond(o *request, out *core.Output) {
+func (a *Agent) respond(o *request, out *routing.Output) {
 	answer := protocol.Response{
 		Kind: out.Result, RetryAfter: out.After, OverQuota: out.OverQuota,
 		Quota: out.Quota, Body: []byte(out.Text),
--- a/decide/agreed_test.go
+++ b/internal/balancer/agreed_test.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 import (
 	"math"
@@ -7,7 +7,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/ring"
+	"dunestep/internal/balancer/ring"
 )
 
 // Days with a neutral agreement told over and over are the days without any; with another one they differ, and
--- a/decide/api.go
+++ b/internal/balancer/api.go
@@ -1,17 +1,17 @@
-// Package decide makes the decisions of a client-side load balancer: which server gets a request, when an
+// Package balancer makes the decisions of a client-side load balancer: which server gets a request, when an
 // attempt is given up or repeated, what is refused, and which servers are left alone.
 //
 // It does no input or output. The caller builds a Balancer with New and feeds it events in order; each call
 // of Step returns the actions to carry out, in order. Time is virtual: a time.Duration since any fixed point,
 // never running backwards. The same settings, seed and events always give the same actions. A Balancer is
 // not safe for concurrent use.
-package decide
+package balancer
 
 import (
 	"time"
 
-	"dunestep/asking"
-	"dunestep/health"
+	"dunestep/internal/balancer/outlier"
+	"dunestep/internal/discovery/backoff"
 )
 
 // Idempotency says what repeating a request may do.
@@ -169,7 +169,7 @@
 	Latency     time.Duration
 	RequestDone bool
 	LoadReport  *LoadReport
-	Evidence    health.Evidence // what the transport knows beyond the outcome; empty: nothing
+	Evidence    outlier.Evidence // what the transport knows beyond the outcome; empty: nothing
 }
 
 // StreamStarted tells that an attempt's answer has begun to stream.
@@ -201,11 +201,11 @@
 
 // Watch is how a ServerListUpdate has come; zero where that is not known, as in the simulator.
 type WatchStatus struct {
-	End       asking.CallResult // of UpdateFailed: how the call ended
-	SilentFor time.Duration     // of asking.WatchSilent: how long nothing had come
-	Replaced  bool              // of asking.WatchSilent: another call is out in its place
-	Local     bool              // this agent's own, as staff's word is: discovery has said nothing
-	Opened    bool              // discovery has taken a call up, and has said nothing yet
+	End       backoff.CallResult // of UpdateFailed: how the call ended
+	SilentFor time.Duration      // of backoff.WatchSilent: how long nothing had come
+	Replaced  bool               // of backoff.WatchSilent: another call is out in its place
+	Local     bool               // this agent's own, as staff's word is: discovery has said nothing
+	Opened    bool               // discovery has taken a call up, and has said nothing yet
 }
 
 // ProbeDone reports the end of a probe.
--- a/decide/avoid.go
+++ b/internal/balancer/avoid.go
@@ -1,11 +1,11 @@
-package decide
+package balancer
 
 import (
 	"math"
 	"time"
 
-	"dunestep/health"
-	"dunestep/ring"
+	"dunestep/internal/balancer/outlier"
+	"dunestep/internal/balancer/ring"
 )
 
 // Some tenants' keys keep off some servers for a while, as a fleet has agreed on that: a window in which
@@ -151,7 +151,7 @@
 			at %= len(members)
 		}
 		s := members[at]
-		if b.isListed(s) && !isExcluded(r, s) && b.detector.Verdict(s.outlier, r.class.index) != health.Ejected {
+		if b.isListed(s) && !isExcluded(r, s) && b.detector.Verdict(s.outlier, r.class.index) != outlier.Ejected {
 			b.exclusions.lastFound = at
 			return true
 		}
--- a/decide/avoid_test.go
+++ b/internal/balancer/avoid_test.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 import (
 	"fmt"
@@ -9,8 +9,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/health"
-	"dunestep/ring"
+	"dunestep/internal/balancer/outlier"
+	"dunestep/internal/balancer/ring"
 )
 
 // Uniform over the keys at each server, and another order at each: at two servers half of the keys keep off a
@@ -51,7 +51,7 @@
 	any, left := false, false
 	for _, s := range w.b.servers {
 		lane := w.b.classes[e.Class].index
-		down := w.b.detector.Verdict(s.outlier, lane) == health.Ejected
+		down := w.b.detector.Verdict(s.outlier, lane) == outlier.Ejected
 		any = any || off(s)
 		left = left || s.ringPlace.IsMember() && !w.drained[s.ID] && !down && !off(s)
 	}
--- a/decide/decide.go
+++ b/internal/balancer/decide.go
@@ -3,7 +3,7 @@
 // "Why this server?": route asks pick, pick walks the ring from the key's point, and each server on the way
 // is asked lawful (may it?), trusted (is it well?), hasSlowStartCapacity (is it warm enough?) and crowded (has it room?).
 
-package decide
+package balancer
 
 import (
 	"cmp"
@@ -12,9 +12,9 @@
 	"slices"
 	"time"
 
-	"dunestep/asking"
-	"dunestep/health"
-	"dunestep/ring"
+	"dunestep/internal/balancer/outlier"
+	"dunestep/internal/balancer/ring"
+	"dunestep/internal/discovery/backoff"
 )
 
 // The other open figures of the design: see Tuning. Times that depend on a deployment are derived from its
@@ -147,7 +147,7 @@
 
 // onWatchEnded asks again where a call has ended: the old list holds, and is soon wrong.
 func (b *Balancer) onWatchEnded(w *WatchStatus) {
-	if w.End == asking.WatchSilent {
+	if w.End == backoff.WatchSilent {
 		b.discovery.WatchFellSilent(b.now, w.SilentFor)
 	}
 	if w.Replaced {
@@ -630,7 +630,7 @@
 	switch {
 	case !r.needsRetryToken:
 		return true
-	case r.lastUnprocessed && b.detector.Verdict(s.outlier, r.class.index) == health.Healthy:
+	case r.lastUnprocessed && b.detector.Verdict(s.outlier, r.class.index) == outlier.Healthy:
 		budget = &b.unprocessedRetryTokens
 	}
 	if *budget < 1 {
@@ -701,7 +701,7 @@
 	}
 	b.failureFraction += failureGain * (1 - b.failureFraction)
 	if r.hasKey && e.Outcome != ConnectFailed && b.blameKey(r.hash, s, a.outlier.StartedAt) {
-		b.detector.AttemptEnded(b.now, s.outlier, a.outlier, health.NoEvidence, e.Latency, &e.Evidence)
+		b.detector.AttemptEnded(b.now, s.outlier, a.outlier, outlier.NoEvidence, e.Latency, &e.Evidence)
 		return
 	}
 	// A failure counts as an answer near the aim. Guards against servers that fail quickly and so look idle.
@@ -715,19 +715,19 @@
 }
 
 // judged takes in what the detector found. A server that was down or comes back gets its cold budget anew.
-func (b *Balancer) onOutlierChange(s *server, found health.Change, c *class) {
+func (b *Balancer) onOutlierChange(s *server, found outlier.Change, c *class) {
 	switch found {
-	case health.Unchanged:
+	case outlier.Unchanged:
 		return
-	case health.ClassEjected:
+	case outlier.ClassEjected:
 		b.logf("down %s for %s: %s", s.ID, c.Name, s.outlier.Reason())
 		return
-	case health.ClassReadmitted:
+	case outlier.ClassReadmitted:
 		b.logf("up %s for %s: %s", s.ID, c.Name, s.outlier.Reason())
 		return
-	case health.ServerEjected:
+	case outlier.ServerEjected:
 		b.logf("down %s: %s", s.ID, s.outlier.Reason())
-	case health.ServerReadmitted:
+	case outlier.ServerReadmitted:
 		if s.outlier.IsNotListening() {
 			s.recoveredAt = b.now
 		}
@@ -793,7 +793,7 @@
 		due := r.class.Idempotency != NotIdempotent && b.zoneReach.IsTrialDue(b.now, s.Zone)
 		return due, due
 	}
-	if b.detector.DistrustReason() != "" || !damped && b.detector.Verdict(s.outlier, r.class.index) != health.Ejected {
+	if b.detector.DistrustReason() != "" || !damped && b.detector.Verdict(s.outlier, r.class.index) != outlier.Ejected {
 		return true, false
 	}
 	// What listens there next may be another server, of which a list that can't be heard would have told.
@@ -807,7 +807,7 @@
 
 // suspect tells whether others should be asked first with what must not run twice.
 func (b *Balancer) isSuspect(r *request, s *server) bool {
-	return b.detector.Verdict(s.outlier, r.class.index) == health.Suspect && b.detector.DistrustReason() == ""
+	return b.detector.Verdict(s.outlier, r.class.index) == outlier.Suspect && b.detector.DistrustReason() == ""
 }
 
 // copies tells whether a trial of the request may be a second copy, so that it costs the client nothing.
--- a/decide/decide_test.go
+++ b/internal/balancer/decide_test.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 import (
 	"fmt"
@@ -13,9 +13,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"dunestep/asking"
-	"dunestep/health"
-	"dunestep/ring"
+	"dunestep/internal/balancer/outlier"
+	"dunestep/internal/balancer/ring"
+	"dunestep/internal/discovery/backoff"
 )
 
 const ms = time.Millisecond
@@ -758,7 +758,7 @@
 	b.Step(0, &ServerListUpdate{Kind: UpdateCached})
 	for i, heard := range []bool{true, false} {
 		lost := time.Duration(i+1) * time.Minute
-		again := find(b.Step(lost, &ServerListUpdate{Kind: UpdateFailed, Watch: WatchStatus{End: asking.WatchLost}}), SetTimer)
+		again := find(b.Step(lost, &ServerListUpdate{Kind: UpdateFailed, Watch: WatchStatus{End: backoff.WatchLost}}), SetTimer)
 		require.NotNil(t, again)
 		b.Step(lost+ms, &ServerListUpdate{Kind: UpdateIncremental, Watch: WatchStatus{Opened: true}})
 		b.Step(lost+2*ms, &ServerListUpdate{Kind: UpdateIncremental, Watch: WatchStatus{Local: !heard}})
@@ -1509,7 +1509,7 @@
 		a := mustSend(t, b.Step(time.Duration(id)*ms, &Request{ID: id, Class: "safe", ClientTimeout: time.Second}))
 		b.Step(time.Duration(id)*ms+1, &AttemptDone{
 			ID: id, Server: a.Server, Outcome: ConnectFailed, Latency: ms,
-			Evidence: health.Evidence{Phase: health.PhaseConnecting, LocalShortage: true},
+			Evidence: outlier.Evidence{Phase: outlier.PhaseConnecting, LocalShortage: true},
 		})
 	}
 	require.Zero(t, b.failureFraction)
--- a/decide/example_test.go
+++ b/internal/balancer/example_test.go
@@ -1,40 +1,40 @@
-package decide_test
+package balancer_test
 
 import (
 	"fmt"
 	"time"
 
-	"dunestep/decide"
+	"dunestep/internal/balancer"
 )
 
 // A process embeds one Balancer, feeds it what happens and carries out the actions that come back.
 func Example() {
-	b, err := decide.New(decide.Settings{
+	b, err := balancer.New(balancer.Settings{
 		Balancers: 1,
 		Zone:      "a",
 		Tick:      time.Millisecond,
-		Classes: []decide.Class{{
+		Classes: []balancer.Class{{
 			Name: "read", LatencyObjective: 300 * time.Millisecond, Deadline: time.Second,
-			Idempotency: decide.Idempotent, PriorityWeight: 1,
+			Idempotency: balancer.Idempotent, PriorityWeight: 1,
 		}},
-		Limits: decide.Limits{MaxAttempts: 3},
-		Rules:  decide.Rules{SlowStartCapacity: 0.3, SlowStartDuration: 8 * time.Second, OverloadMultiple: 3, OverloadWindow: 2 * time.Second},
+		Limits: balancer.Limits{MaxAttempts: 3},
+		Rules:  balancer.Rules{SlowStartCapacity: 0.3, SlowStartDuration: 8 * time.Second, OverloadMultiple: 3, OverloadWindow: 2 * time.Second},
 	}, 42)
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
-	b.Step(0, &decide.ServerListUpdate{Kind: decide.UpdateFull, Servers: []decide.Server{
+	b.Step(0, &balancer.ServerListUpdate{Kind: balancer.UpdateFull, Servers: []balancer.Server{
 		{ID: "server-1", Zone: "a", Weight: 1}, {ID: "server-2", Zone: "a", Weight: 1},
 	}})
 	now := 10 * time.Millisecond
-	for _, a := range b.Step(now, &decide.Request{ID: 1, Class: "read", Key: "user-7", ClientTimeout: time.Second}) {
-		if a.Kind == decide.Send {
+	for _, a := range b.Step(now, &balancer.Request{ID: 1, Class: "read", Key: "user-7", ClientTimeout: time.Second}) {
+		if a.Kind == balancer.Send {
 			fmt.Println("send request", a.ID, "to", a.Server)
 			// ... and when it failed before it ran:
-			done := &decide.AttemptDone{ID: a.ID, Server: a.Server, Outcome: decide.ConnectFailed}
+			done := &balancer.AttemptDone{ID: a.ID, Server: a.Server, Outcome: balancer.ConnectFailed}
 			for _, next := range b.Step(now+time.Millisecond, done) {
-				if next.Kind == decide.Send {
+				if next.Kind == balancer.Send {
 					fmt.Println("then to", next.Server)
 				}
 			}
--- a/decide/figures.go
+++ b/internal/balancer/figures.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 // Tuning are the open figures that the protections rest on. A rehearsal may set them beside their defaults,
 // and take a protection out by a figure so large (1e9) or, for OverQuotaQueueFraction, so plain (1) that it never binds.
--- a/decide/full.go
+++ b/internal/balancer/full.go
@@ -1,6 +1,6 @@
-package decide
+package balancer
 
-import "dunestep/cold"
+import "dunestep/internal/balancer/slowstart"
 
 // While the warm servers are full, what is sent to one more of them is in vain, and a cold one with room
 // likely serves it. In a fleet that is large enough for sparse() a balancer has nothing in flight by which
@@ -19,7 +19,7 @@
 
 // terms are what this balancer may send cold servers. Where points are agreed on, a cold one has few: they
 // bound what all balancers send it together, and the budget only what others pass on.
-func (b *Balancer) slowStartTerms() *cold.Params {
+func (b *Balancer) slowStartTerms() *slowstart.Params {
 	if b.warmSaturated || b.activeAssignment != nil {
 		return &b.slowStartSaturated
 	}
@@ -27,7 +27,7 @@
 }
 
 // setSlowStartTerms takes the terms in for both times.
-func (b *Balancer) setSlowStartTerms(t cold.Params) {
+func (b *Balancer) setSlowStartTerms(t slowstart.Params) {
 	b.slowStart, b.slowStartSaturated = t, t
 	b.slowStartSaturated.Margin *= saturatedMargin
 	b.slowStartSaturated.MaxOfWarm *= saturatedMargin
--- a/ledger/example_test.go
+++ b/internal/balancer/inflight/example_test.go
@@ -1,18 +1,18 @@
-package ledger_test
+package inflight_test
 
 import (
 	"fmt"
 
-	"dunestep/ledger"
+	"dunestep/internal/balancer/inflight"
 )
 
 // Of two servers with an equal part one takes ten times as long: it is sent fewer.
 func Example() {
-	var book ledger.Accounts
-	var quick, slow ledger.Account
+	var book inflight.Accounts
+	var quick, slow inflight.Account
 	book.Open(&quick, 0.5)
 	book.Open(&slow, 0.5)
-	sent := map[*ledger.Account]int{}
+	sent := map[*inflight.Account]int{}
 	for range 1000 {
 		to, took := &quick, 0.02
 		if book.Credit(&slow, 0.5) > book.Credit(&quick, 0.5) {
--- a/ledger/ledger.go
+++ b/internal/balancer/inflight/ledger.go
@@ -1,4 +1,4 @@
-// Package ledger keeps even what one balancer of many has its requests wait for at each booking server.
+// Package inflight keeps even what one balancer of many has its requests wait for at each booking server.
 //
 // A balancer that sees a server less than once in a while has nothing in flight there when it looks, however
 // crowded the server is by what the others send: a limit on its own requests in flight at the moment never
@@ -14,7 +14,7 @@
 //
 // It does no input or output, and knows no clock. The same calls give the same answers. A Accounts is not safe
 // for concurrent use.
-package ledger
+package inflight
 
 const (
 	// over is what accounts are credited beyond their part: room for keys to stay with their owners, where
--- a/decide/memory.go
+++ b/internal/balancer/memory.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 import (
 	"cmp"
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"dunestep/health"
+	"dunestep/internal/balancer/outlier"
 )
 
 // What a Balancer has learned, as plain values that can be kept over a restart. Nothing here decides; what is
@@ -72,17 +72,17 @@
 
 // ServerSnapshot is what was learned of one run of a server: the one that had started then.
 type ServerSnapshot struct {
-	ID               string          `cbor:"1,keyasint" json:"id"`
-	StartedAt        time.Duration   `cbor:"2,keyasint,omitempty" json:"started_ns"`
-	Latency          float64         `cbor:"3,keyasint,omitempty" json:"latency_s"` // at so many in flight
-	LatencyInFlight  float64         `cbor:"4,keyasint,omitempty" json:"latency_at_n"`
-	SampledAgo       time.Duration   `cbor:"5,keyasint,omitempty" json:"sampled_ago_ns"`
-	ReportedInFlight float64         `cbor:"6,keyasint,omitempty" json:"held"` // by its own report
-	ReportedAgo      time.Duration   `cbor:"7,keyasint,omitempty" json:"held_ago_ns"`
-	FlapPenalty      float64         `cbor:"11,keyasint,omitempty" json:"penalty"`
-	DampedFor        time.Duration   `cbor:"12,keyasint,omitempty" json:"damped_for_ns"` // from then on
-	RecoveredAgo     time.Duration   `cbor:"13,keyasint,omitempty" json:"back_ago_ns"`   // cold since; zero: not
-	Outlier          health.Snapshot `cbor:"14,keyasint" json:"health"`                  // classes by their place
+	ID               string           `cbor:"1,keyasint" json:"id"`
+	StartedAt        time.Duration    `cbor:"2,keyasint,omitempty" json:"started_ns"`
+	Latency          float64          `cbor:"3,keyasint,omitempty" json:"latency_s"` // at so many in flight
+	LatencyInFlight  float64          `cbor:"4,keyasint,omitempty" json:"latency_at_n"`
+	SampledAgo       time.Duration    `cbor:"5,keyasint,omitempty" json:"sampled_ago_ns"`
+	ReportedInFlight float64          `cbor:"6,keyasint,omitempty" json:"held"` // by its own report
+	ReportedAgo      time.Duration    `cbor:"7,keyasint,omitempty" json:"held_ago_ns"`
+	FlapPenalty      float64          `cbor:"11,keyasint,omitempty" json:"penalty"`
+	DampedFor        time.Duration    `cbor:"12,keyasint,omitempty" json:"damped_for_ns"` // from then on
+	RecoveredAgo     time.Duration    `cbor:"13,keyasint,omitempty" json:"back_ago_ns"`   // cold since; zero: not
+	Outlier          outlier.Snapshot `cbor:"14,keyasint" json:"health"`                  // classes by their place
 
 	// Of version 1, from which version 2 was made of them: what the module counted itself then.
 	Failures1 float64 `cbor:"8,keyasint,omitempty" json:"-"`
@@ -95,7 +95,7 @@
 	const toDown = 3 // failures that took a server down then, by the module's own count
 	for i := range m.Servers {
 		s := &m.Servers[i]
-		s.Outlier = health.Snapshot{
+		s.Outlier = outlier.Snapshot{
 			Ejected: s.Down1, Silent: s.Down1 && s.Rejected1 == 0, NotListening: s.Rejected1 > 1,
 			DeadEvidence: 4 * min(max(s.Failures1, 0), toDown),
 		}
--- a/health/evidence.go
+++ b/internal/balancer/outlier/evidence.go
@@ -1,10 +1,10 @@
-// Package health tells which booking servers are well, suspect or down, by how attempts at them end.
+// Package outlier tells which booking servers are well, suspect or down, by how attempts at them end.
 //
 // It does no input or output, and knows no clock: every call brings the time. A Detector is told of each
 // attempt's start and end, and judges a server against what is usual over the fleet at the time, cause by
 // cause: what all suffer is no server's fault. The same calls give the same verdicts. A Detector is not safe
 // for concurrent use.
-package health
+package outlier
 
 import "time"
 
--- a/health/golden_test.go
+++ b/internal/balancer/outlier/golden_test.go
@@ -1,4 +1,4 @@
-package health
+package outlier
 
 import (
 	"encoding/json"
--- a/decide/place.go
+++ b/internal/balancer/place.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 // RingAssignment is an agreed generation of the ring: which servers take part, and with how many points. It is not to
 // be changed once given.
--- a/decide/place_test.go
+++ b/internal/balancer/place_test.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/ring"
+	"dunestep/internal/balancer/ring"
 )
 
 // Days by a generation that gives each server the usual points are the days without; those by other generations
--- a/decide/present.go
+++ b/internal/balancer/present.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 // FleetSize is how many agents are there, as far as is known, for what divides by their number; zero: as many
 // as the settings name. It comes from what agents hear of one another, so it may be wrong, or a lie: see
--- a/decide/present_test.go
+++ b/internal/balancer/present_test.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 import (
 	"math/rand/v2"
@@ -7,8 +7,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/cold"
-	"dunestep/quota"
+	"dunestep/internal/balancer/quota"
+	"dunestep/internal/balancer/slowstart"
 )
 
 // Whatever agents are told, two thirds of those that are named count, so that no sum over them grows by more than half.
@@ -28,13 +28,13 @@
 // named, where so many are said to be there.
 func trials(agents, said int) float64 {
 	const length = 10 * time.Minute
-	terms := cold.Params{
+	terms := slowstart.Params{
 		InitialCapacity: 0.3, Duration: 9 * time.Second, OverloadMultiple: 3, OverloadWindow: 3 * time.Second, Margin: 0.5, MaxOfWarm: 1,
 		Balancers: EffectiveFleetSize(said, 300),
 	}
 	rng, sent := rand.New(rand.NewPCG(1, 2)), 0
 	for range agents {
-		var b cold.Budget
+		var b slowstart.Budget
 		b.Start(0, rng.Float64())
 		for at := time.Duration(0); at < length; at += time.Second {
 			if b.HasCapacity(&terms, at, 1, 0.01, 1, true) {
--- a/proving/book_test.go
+++ b/internal/balancer/probation/book_test.go
@@ -1,4 +1,4 @@
-package proving
+package probation
 
 import (
 	"testing"
--- a/proving/example_test.go
+++ b/internal/balancer/probation/example_test.go
@@ -1,22 +1,22 @@
-package proving_test
+package probation_test
 
 import (
 	"fmt"
 	"time"
 
-	"dunestep/proving"
+	"dunestep/internal/balancer/probation"
 )
 
 // An old list of one server that answers: it is sent one request at a time, then more, and is proved by four.
 func Example() {
-	var book proving.List
-	book.Start(proving.Trust(time.Hour, 15*time.Minute))
+	var book probation.List
+	book.Start(probation.Trust(time.Hour, 15*time.Minute))
 	s := book.Add()
-	write := proving.Request{LatencyObjective: 500 * time.Millisecond, MaxAttempts: 3}
+	write := probation.Request{LatencyObjective: 500 * time.Millisecond, MaxAttempts: 3}
 	fmt.Println("for what must not run twice:", s.HasCapacity(0, write.NeedsAnsweringServer(0)))
 	for n := 1; ; n++ {
 		s.AttemptSent()
-		if book.AttemptEnded(s, 0, proving.Served) {
+		if book.AttemptEnded(s, 0, probation.Served) {
 			fmt.Println("proved by", n)
 			break
 		}
--- a/proving/proving.go
+++ b/internal/balancer/probation/proving.go
@@ -1,4 +1,4 @@
-// Package proving says what may be sent to the servers of a list that nobody has confirmed: one kept from
+// Package probation says what may be sent to the servers of a list that nobody has confirmed: one kept from
 // before a restart, while discovery can't be asked. Any of them may be gone, silent, cold or another program
 // by now.
 //
@@ -8,7 +8,7 @@
 //
 // It does no input or output, and knows no clock: every call brings the time. The same calls give the same
 // answers. A Server is not safe for concurrent use.
-package proving
+package probation
 
 import "time"
 
--- a/quota/example_test.go
+++ b/internal/balancer/quota/example_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"dunestep/quota"
+	"dunestep/internal/balancer/quota"
 )
 
 // A tenant with a share of 10 requests a second sends 40, at the only balancer that there is.
--- a/quota/quota_test.go
+++ b/internal/balancer/quota/quota_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"dunestep/quota"
+	"dunestep/internal/balancer/quota"
 )
 
 // Whatever shares a tenant is given at whatever times, its bucket is as full after each as it was before, and a
--- a/ring/example_test.go
+++ b/internal/balancer/ring/example_test.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"dunestep/ring"
+	"dunestep/internal/balancer/ring"
 )
 
 // A member that leaves gives its keys to the next one on the way, and has them again when it is back.
--- a/cold/cold.go
+++ b/internal/balancer/slowstart/cold.go
@@ -1,4 +1,4 @@
-// Package cold says how much of its traffic one balancer may send to a booking server that just started, or
+// Package slowstart says how much of its traffic one balancer may send to a booking server that just started, or
 // that is down and tried, so that all balancers together do not make it fall over.
 //
 // Each balancer keeps a budget of its own for each such server, filled by what it sends a warm one. No
@@ -7,7 +7,7 @@
 //
 // It does no input or output, and knows no clock: every call brings the time. The same calls give the same
 // answers. A Budget is not safe for concurrent use.
-package cold
+package slowstart
 
 import "time"
 
--- a/decide/state.go
+++ b/internal/balancer/state.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 import (
 	"cmp"
@@ -11,14 +11,14 @@
 	"slices"
 	"time"
 
-	"dunestep/asking"
-	"dunestep/cold"
-	"dunestep/health"
-	"dunestep/ledger"
-	"dunestep/proving"
-	"dunestep/quota"
-	"dunestep/reach"
-	"dunestep/ring"
+	"dunestep/internal/balancer/inflight"
+	"dunestep/internal/balancer/outlier"
+	"dunestep/internal/balancer/probation"
+	"dunestep/internal/balancer/quota"
+	"dunestep/internal/balancer/ring"
+	"dunestep/internal/balancer/slowstart"
+	"dunestep/internal/balancer/zonereach"
+	"dunestep/internal/discovery/backoff"
 )
 
 // What a Balancer keeps: its counts, classes, tenants, servers, requests and keys, and the form of its peer
@@ -37,14 +37,14 @@
 	byHash               map[uint32]*server
 	ring                 *ring.Ring[*server] // its members are the ready servers: see seat
 	latencyLimitFraction float64             // of the aim: see setLatencyLimits
-	slowStart            cold.Params
-	slowStartSaturated   cold.Params // while full
-	warmSaturated        bool        // the warm servers are: see SetWarmServersSaturated
-	anyWarmingUp         bool        // member is
-	accounts             ledger.Accounts
-	zoneReach            reach.Tracker
-	detector             *health.Detector
-	probation            proving.List
+	slowStart            slowstart.Params
+	slowStartSaturated   slowstart.Params // while full
+	warmSaturated        bool             // the warm servers are: see SetWarmServersSaturated
+	anyWarmingUp         bool             // member is
+	accounts             inflight.Accounts
+	zoneReach            zonereach.Tracker
+	detector             *outlier.Detector
+	probation            probation.List
 	loggedDoubt          string // as last logged
 	inFlight             int
 
@@ -54,9 +54,9 @@
 	unprocessedRetryTokens float64 // for those whose last one never ran
 
 	started                                  bool
-	pollAgainAt                              time.Duration   // zero: not to be asked again
-	pollScheduled                            bool            // a call is about to be made
-	discovery                                asking.Schedule // what became of the calls
+	pollAgainAt                              time.Duration    // zero: not to be asked again
+	pollScheduled                            bool             // a call is about to be made
+	discovery                                backoff.Schedule // what became of the calls
 	zoneReports                              map[string]*zoneReport
 	kindBaselines                            map[string]*baselineLatency // of machine, as listed
 	meanReportedInFlight                     float64                     // of the servers' reports
@@ -93,12 +93,12 @@
 		kindBaselines: map[string]*baselineLatency{}, typicalInFlight: initialInFlight / float64(set.Balancers),
 		retryTokens: set.Tuning.RetryBurst, unprocessedRetryTokens: set.Tuning.UnprocessedRetryBurst, exclusions: newExclusionState(set.Tenants),
 	}
-	b.discovery = asking.New(asking.Settings{
+	b.discovery = backoff.New(backoff.Settings{
 		Agents: set.Balancers, MaxPollInterval: set.Rules.MaxPollInterval,
 		DrainGrace: set.Rules.DrainGrace,
 	})
 	b.quotas = quota.New(set.Balancers, set.Limits.Gossip)
-	b.setSlowStartTerms(cold.Params{
+	b.setSlowStartTerms(slowstart.Params{
 		InitialCapacity: set.Rules.SlowStartCapacity, Duration: set.Rules.SlowStartDuration,
 		OverloadMultiple: set.Rules.OverloadMultiple, OverloadWindow: set.Rules.OverloadWindow, Margin: b.tuning.SlowStartMargin,
 		MaxOfWarm: b.tuning.SlowStartMax, Balancers: set.Balancers,
@@ -109,7 +109,7 @@
 		b.classes[c.Name].applyPolicy(set.Limits, nil)
 		b.longestObjective, shortest = max(b.longestObjective, c.LatencyObjective), min(shortest, c.LatencyObjective)
 	}
-	b.detector = health.New(shortest, len(set.Classes))
+	b.detector = outlier.New(shortest, len(set.Classes))
 	b.observationHalfLife = min(time.Duration(halfLifeObjectives*float64(b.longestObjective)), maxObservationHalfLife)
 	b.setLatencyLimits()
 	for _, t := range set.Tenants {
@@ -200,11 +200,11 @@
 }
 
 // ends are the outcomes as the detector knows them.
-var outlierEnds = [...]health.Outcome{
-	Served: health.Answered, ServerError: health.ServerError,
-	Rejected: health.Rejected, TimedOut: health.TimedOut, ConnectFailed: health.NotSent,
-	ConnectionLost: health.ConnectionLost,
-	Canceled:       health.NoEvidence, NotSent: health.NoEvidence,
+var outlierEnds = [...]outlier.Outcome{
+	Served: outlier.Answered, ServerError: outlier.ServerError,
+	Rejected: outlier.Rejected, TimedOut: outlier.TimedOut, ConnectFailed: outlier.NotSent,
+	ConnectionLost: outlier.ConnectionLost,
+	Canceled:       outlier.NoEvidence, NotSent: outlier.NoEvidence,
 }
 
 // zone holds what a zone's reports of requests held have been worth: the wait that followed for each. Reports
@@ -334,7 +334,7 @@
 	latencyInFlight float64
 	latencyAt       time.Duration
 
-	outlier          *health.Server
+	outlier          *outlier.Server
 	wasDown          bool    // at the last round's end
 	reportedInFlight float64 // requests, by its own report
 	reportedAt       time.Duration
@@ -351,10 +351,10 @@
 	dampedUntil      time.Duration
 	dampRequestedAt  time.Duration // damp-req sent
 
-	slowStart cold.Budget
-	account   ledger.Account
+	slowStart slowstart.Budget
+	account   inflight.Account
 
-	probation *proving.Server // nil: needs none
+	probation *probation.Server // nil: needs none
 
 	outsidePlace *ring.Place[*server] // outside the generation; nil: it never was
 
@@ -392,7 +392,7 @@
 
 type attempt struct {
 	server             *server
-	outlier            health.Attempt
+	outlier            outlier.Attempt
 	reportedInFlight   float64       // reported when it was sent; below zero: not known
 	failedProbeLatency time.Duration // sent in spite of a probe that failed in this time
 	inFlightAtSend     int32
--- a/decide/unproved.go
+++ b/internal/balancer/unproved.go
@@ -1,17 +1,17 @@
-package decide
+package balancer
 
 import (
 	"slices"
 	"time"
 
-	"dunestep/proving"
+	"dunestep/internal/balancer/probation"
 )
 
 // The servers of a list that nobody has confirmed yet, between the parts of decide.go that ask it and package
 // proving, which decides: here its words are put into this package's. See docs/design/restart.md.
 
 // StartProbation has the servers that are listed now prove themselves by requests, until ConfirmServerList. Trust is how far the
-// list is trusted, from 0 to 1: see proving.Trust.
+// list is trusted, from 0 to 1: see probation.Trust.
 func (b *Balancer) StartProbation(trust float64) {
 	b.probation.Start(trust)
 	for _, s := range b.ring.Members() {
@@ -28,8 +28,8 @@
 }
 
 // probationRequest is what counts of a request at a server that is not proved.
-func (r *request) probationRequest() proving.Request {
-	return proving.Request{
+func (r *request) probationRequest() probation.Request {
+	return probation.Request{
 		LatencyObjective: r.class.LatencyObjective, Idempotent: r.class.Idempotency == Idempotent, MayHedge: r.class.hedging,
 		Attempts: len(r.attempts), MaxAttempts: r.class.maxAttempts, WaitUntil: r.probationUntil,
 		HasEndedAttempt: slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.done }),
@@ -78,16 +78,16 @@
 	}
 }
 
-func probationEnd(o Outcome) proving.Outcome {
+func probationEnd(o Outcome) probation.Outcome {
 	switch o {
 	case Served:
-		return proving.Served
+		return probation.Served
 	case Rejected:
-		return proving.Rejected
+		return probation.Rejected
 	case NotSent, Canceled:
-		return proving.NoEvidence
+		return probation.NoEvidence
 	}
-	return proving.Failed
+	return probation.Failed
 }
 
 // await has a request wait for a server to prove itself, where one may in time, and else gives it up.
@@ -105,7 +105,7 @@
 
 // hope tells whether a server that may have the request can have room for it by then.
 func (b *Balancer) mayProveInTime(r *request) bool {
-	var seen proving.Outlook
+	var seen probation.Outlook
 	for _, s := range b.ring.Members() {
 		seen.Add(s.probation, s.probation == nil || b.isPermitted(r, s), r.probationUntil)
 	}
--- a/decide/view_test.go
+++ b/internal/balancer/view_test.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 import (
 	"testing"
@@ -6,7 +6,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/asking"
+	"dunestep/internal/discovery/backoff"
 )
 
 // Guards against a fleet that keeps an overbooked discovery so busy that no call has its turn: what all its agents
@@ -17,14 +17,14 @@
 		set.Balancers = balancers
 		b := start(t, set, list(6))
 		now, wait := time.Minute, time.Duration(0)
-		for range asking.MaxDoublings + 1 {
+		for range backoff.MaxDoublings + 1 {
 			now += time.Hour
 			timer := find(b.Step(now, &ServerListUpdate{Kind: UpdateFailed}), SetTimer)
 			require.NotNil(t, timer)
 			wait = timer.After
 			b.Step(now+wait, &TimerDue{Tag: timer.Tag})
 		}
-		most := each * float64(asking.MinDelay<<asking.MaxDoublings)
+		most := each * float64(backoff.MinDelay<<backoff.MaxDoublings)
 		require.GreaterOrEqual(t, float64(wait), most/2)
 		require.LessOrEqual(t, float64(wait), most*3/2)
 	}
--- a/reach/example_test.go
+++ b/internal/balancer/zonereach/example_test.go
@@ -1,14 +1,14 @@
-package reach_test
+package zonereach_test
 
 import (
 	"fmt"
 	"time"
 
-	"dunestep/reach"
+	"dunestep/internal/balancer/zonereach"
 )
 
 func Example() {
-	var z reach.Tracker
+	var z zonereach.Tracker
 	z.Answered(time.Second, "north")
 	z.Answered(time.Second, "south")
 	for i, server := range []string{"s-1", "s-2", "s-3"} {
--- a/reach/reach.go
+++ b/internal/balancer/zonereach/reach.go
@@ -1,4 +1,4 @@
-// Package reach tells which zones one balancer does not reach, while it reaches others: the network between
+// Package zonereach tells which zones one balancer does not reach, while it reaches others: the network between
 // them is cut, or the whole zone is gone.
 //
 // What a balancer knows of single servers comes too late there: one of many that each send little meets a
@@ -9,7 +9,7 @@
 //
 // It does no input or output, and knows no clock: every call brings the time. The same calls give the same
 // answers. Tracker is not safe for concurrent use.
-package reach
+package zonereach
 
 import (
 	"slices"
--- a/reach/reach_test.go
+++ b/internal/balancer/zonereach/reach_test.go
@@ -1,4 +1,4 @@
-package reach
+package zonereach
 
 import (
 	"fmt"
--- a/decide/zones.go
+++ b/internal/balancer/zones.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 // Of a zone that is cut off a sparse balancer would learn server by server: package reach has it learn by
 // zone.
--- a/decide/zones_test.go
+++ b/internal/balancer/zones_test.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 import (
 	"testing"
@@ -6,7 +6,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/health"
+	"dunestep/internal/balancer/outlier"
 )
 
 // One balancer of many finds out a zone that is cut off by a few requests, not by one at each of its servers,
@@ -76,8 +76,8 @@
 		}
 	}
 	end("z0", AttemptDone{Outcome: Served})
-	end("z1", AttemptDone{Outcome: ConnectFailed, Evidence: health.Evidence{ConnectionRefused: true}})
-	end("z1", AttemptDone{Outcome: ConnectFailed, Evidence: health.Evidence{LocalShortage: true}})
+	end("z1", AttemptDone{Outcome: ConnectFailed, Evidence: outlier.Evidence{ConnectionRefused: true}})
+	end("z1", AttemptDone{Outcome: ConnectFailed, Evidence: outlier.Evidence{LocalShortage: true}})
 	require.False(t, b.zoneReach.IsDoubtful("z1"))
 	end("z1", AttemptDone{Outcome: ConnectFailed})
 	require.True(t, b.zoneReach.IsUnreachable("z1"))
--- a/internal/flow/flow.go
+++ b/internal/bodystream/flow.go
@@ -1,6 +1,6 @@
-// Package flow carries a body from the connection that brings it to the one that takes it, in budgeted
+// Package bodystream carries a body from the connection that brings it to the one that takes it, in budgeted
 // memory.
-package flow
+package bodystream
 
 import (
 	"errors"
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"dunestep/internal/memory"
+	"dunestep/internal/bytebudget"
 )
 
 // Chunk is into how many bytes a body's memory is divided. One that is known to be shorter takes no more than
@@ -31,7 +31,7 @@
 
 	mu        sync.Mutex
 	moved     sync.Cond // something came, was taken or ended
-	grant     memory.Grant
+	grant     bytebudget.Grant
 	allocated int64 // of the grant
 	queue     [][]byte
 	first     [2][]byte // where the queue begins
@@ -65,7 +65,7 @@
 
 // New makes the flow of a body of length bytes (below zero: not known) in the memory of a grant, which is the
 // flow's from now on. It may grow up to most bytes while the body is taken more slowly than it comes.
-func New(length int64, grant memory.Grant, most int64) *Flow {
+func New(length int64, grant bytebudget.Grant, most int64) *Flow {
 	f := &Flow{grant: grant, least: grant.Size(), most: most, length: length}
 	f.moved.L = &f.mu
 	f.queue = f.first[:0]
--- a/internal/flow/flow_test.go
+++ b/internal/bodystream/flow_test.go
@@ -1,4 +1,4 @@
-package flow
+package bodystream
 
 import (
 	"bytes"
@@ -11,7 +11,7 @@
 	"go.uber.org/goleak"
 	"pgregory.net/rapid"
 
-	"dunestep/internal/memory"
+	"dunestep/internal/bytebudget"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -21,7 +21,7 @@
 // none in the end.
 func TestFlow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		pool := memory.NewPool(1 << 20)
+		pool := bytebudget.NewPool(1 << 20)
 		size := rapid.IntRange(0, 5*Chunk).Draw(t, "size")
 		body := make([]byte, size)
 		for i := range body {
@@ -34,7 +34,7 @@
 		} else {
 			length = -1
 		}
-		grant, err := pool.Take(t.Context(), memory.Holder{Name: "s-0"}, least)
+		grant, err := pool.Take(t.Context(), bytebudget.Holder{Name: "s-0"}, least)
 		require.NoError(t, err)
 		most := least + rapid.SampledFrom([]int64{0, Chunk, 9 * Chunk}).Draw(t, "more")
 		f := New(length, grant, most)
@@ -95,8 +95,8 @@
 
 // Guards against taking a slow client's time for the server's, and against a bringer that nobody wakes.
 func TestHeldUp(t *testing.T) {
-	pool := memory.NewPool(1 << 20)
-	grant, err := pool.Take(t.Context(), memory.Holder{Name: "s-0"}, Chunk)
+	pool := bytebudget.NewPool(1 << 20)
+	grant, err := pool.Take(t.Context(), bytebudget.Holder{Name: "s-0"}, Chunk)
 	require.NoError(t, err)
 	f := New(-1, grant, Chunk)
 	f.HeldUp(time.Hour)
--- a/window/agent.go
+++ b/internal/control/maintenance/agent.go
@@ -1,14 +1,14 @@
-package window
+package maintenance
 
 import (
 	"maps"
 	"math"
 	"time"
 
-	"dunestep/contract"
-	"dunestep/decide"
-	"dunestep/fleet/lease"
-	"dunestep/policy"
+	"dunestep/internal/balancer"
+	"dunestep/internal/control/maintenance/contract"
+	"dunestep/internal/control/policy"
+	"dunestep/internal/fleet/lease"
 )
 
 // Agent is what one process goes by.
@@ -22,7 +22,7 @@
 	windows  []*storedWindow
 	revision uint64 // rises with what is learnt
 
-	last       *decide.Exclusions
+	last       *balancer.Exclusions
 	turn       int // that last keeps off; below zero: none
 	basis      exclusionBasis
 	validUntil time.Duration // Unix time
@@ -52,7 +52,7 @@
 // Exclusions is what to keep off now; the same one while nothing changes, nil: nothing is moved. The reading,
 // the standing by it and how to act are to be read for this decision, so that a process that was paused
 // sees where it stands now.
-func (a *Agent) Exclusions(now lease.ClockReading, standing lease.Standing, acting policy.Active) *decide.Exclusions {
+func (a *Agent) Exclusions(now lease.ClockReading, standing lease.Standing, acting policy.Active) *balancer.Exclusions {
 	b := exclusionBasis{
 		valid: true, revision: a.revision, lease: standing == lease.Full, mode: acting.Mode,
 		version: acting.Version, effect: acting.Effect,
@@ -70,20 +70,20 @@
 	return a.last
 }
 
-// avoiding is a decide.Exclusions in the making, and until when it holds.
+// avoiding is a balancer.Exclusions in the making, and until when it holds.
 type exclusionBuilder struct {
 	tenants map[string]map[string]uint32
 	until   time.Duration
 }
 
-func (a *Agent) compute(at time.Duration, b exclusionBasis) (out *decide.Exclusions, turn int) {
+func (a *Agent) compute(at time.Duration, b exclusionBasis) (out *balancer.Exclusions, turn int) {
 	v := exclusionBuilder{until: at + time.Hour}
 	for _, f := range a.windows {
 		if at < f.To {
 			v.addWindow(f, at, b)
 		}
 	}
-	out, turn = &decide.Exclusions{Tenants: v.tenants}, -1
+	out, turn = &balancer.Exclusions{Tenants: v.tenants}, -1
 	if b.mode == policy.ModeBottom && a.turns > 0 {
 		var until time.Duration
 		turn, until = a.turns.At(at)
@@ -161,7 +161,7 @@
 }
 
 // alike tells whether two say the same, but for turns.
-func haveSameTenants(x, y *decide.Exclusions) bool {
+func haveSameTenants(x, y *balancer.Exclusions) bool {
 	if x == nil || y == nil {
 		return x == y
 	}
--- a/contract/example_test.go
+++ b/internal/control/maintenance/contract/example_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"dunestep/contract"
+	"dunestep/internal/control/maintenance/contract"
 )
 
 func Example() {
--- a/contract/golden_test.go
+++ b/internal/control/maintenance/contract/golden_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/internal/strict"
+	"dunestep/internal/stricttoml"
 )
 
 // update has the golden files written anew. They were made by the build before the packages were renamed: a
@@ -43,7 +43,7 @@
 		Contracts map[string]Table    `toml:"contracts"`
 		Rules     map[string][]string `toml:"rules"`
 	}
-	require.NoError(t, strict.Read("contracts.toml", text, &file, func(*strict.Document) {}))
+	require.NoError(t, stricttoml.Read("contracts.toml", text, &file, func(*stricttoml.Document) {}))
 	described := map[string]any{}
 	for name, table := range file.Contracts {
 		var c *Contract
--- a/window/council.go
+++ b/internal/control/maintenance/council.go
@@ -1,11 +1,11 @@
-package window
+package maintenance
 
 import (
 	"slices"
 	"time"
 
-	"dunestep/fleet/lease"
-	"dunestep/policy"
+	"dunestep/internal/control/policy"
+	"dunestep/internal/fleet/lease"
 )
 
 // Proposer brings windows through their course. Each voter has one, and the leader proposes what its says;
--- a/window/counts.go
+++ b/internal/control/maintenance/counts.go
@@ -1,11 +1,11 @@
-package window
+package maintenance
 
 import (
 	"maps"
 	"slices"
 	"time"
 
-	"dunestep/fleet/lease"
+	"dunestep/internal/fleet/lease"
 )
 
 // TenantCounts is how a tenant's requests fared at one agent since it told last.
--- a/window/emptied.go
+++ b/internal/control/maintenance/emptied.go
@@ -1,15 +1,15 @@
-package window
+package maintenance
 
 import (
 	"math"
 
-	"dunestep/decide"
+	"dunestep/internal/balancer"
 )
 
 // FullyDrained are the servers that all tenants' keys keep off altogether, with NoTenant's, by one window or several
 // together, by id; nil: none. TenantLoads are those of the settings. What is kept off for its turn is not among
 // them: only an agent at the bottom does that.
-func FullyDrained(a *decide.Exclusions, tenants []string) (all map[string]bool) {
+func FullyDrained(a *balancer.Exclusions, tenants []string) (all map[string]bool) {
 	if a == nil {
 		return nil
 	}
--- a/window/example_test.go
+++ b/internal/control/maintenance/example_test.go
@@ -1,13 +1,13 @@
-package window_test
+package maintenance_test
 
 import (
 	"fmt"
 	"time"
 
-	"dunestep/contract"
-	"dunestep/fleet/lease"
-	"dunestep/policy"
-	"dunestep/window"
+	"dunestep/internal/control/maintenance"
+	"dunestep/internal/control/maintenance/contract"
+	"dunestep/internal/control/policy"
+	"dunestep/internal/fleet/lease"
 )
 
 // A window that was accepted is followed by each agent's own clock.
@@ -16,8 +16,8 @@
 	at := func(after time.Duration) lease.ClockReading {
 		return lease.ClockReading{Unix: monday + after, Mono: after}
 	}
-	m := window.NewStateMachine(func() uint64 { return 7 })
-	record, err := window.EncodeProposal(window.Proposal{Now: monday, PolicyVersion: 7, Window: &window.Window{
+	m := maintenance.NewStateMachine(func() uint64 { return 7 })
+	record, err := maintenance.EncodeProposal(maintenance.Proposal{Now: monday, PolicyVersion: 7, Window: &maintenance.Window{
 		ID:    "disk of n1",
 		Nodes: []string{"n1"}, Tenants: []string{"clinics"}, From: monday + 9*time.Hour, Steps: 100,
 		DrainedAt: monday + 9*time.Hour + 100*time.Second, ReturnFrom: monday + 11*time.Hour,
@@ -34,7 +34,7 @@
 	if err != nil {
 		panic(err)
 	}
-	agent := window.NewAgent(4)
+	agent := maintenance.NewAgent(4)
 	agent.Learn(m)
 	acting := policy.Active{
 		Mode: policy.ModeFull, Version: 7,
--- a/window/explore.go
+++ b/internal/control/maintenance/explore.go
@@ -1,11 +1,11 @@
-package window
+package maintenance
 
 import (
 	"encoding/binary"
 	"maps"
 	"time"
 
-	"dunestep/fleet/lease"
+	"dunestep/internal/fleet/lease"
 )
 
 // For searches that try all that can happen (package search): parts of a world are copied before each step,
--- a/window/fit_example_test.go
+++ b/internal/control/maintenance/fit_example_test.go
@@ -1,12 +1,12 @@
-package window_test
+package maintenance_test
 
 import (
 	"errors"
 	"fmt"
 	"time"
 
-	"dunestep/contract"
-	"dunestep/window"
+	"dunestep/internal/control/maintenance"
+	"dunestep/internal/control/maintenance/contract"
 )
 
 // What staff ask for is met, or refused with the reason and the first time at which it would be met.
@@ -16,25 +16,25 @@
 		panic(err)
 	}
 	noon := time.Date(2026, 10, 23, 12, 0, 0, 0, time.UTC) // a Friday
-	scene := window.PlanInput{
+	scene := maintenance.PlanInput{
 		Now: time.Duration(noon.UnixNano()), PolicyVersion: 7, PeakLoad: 0.5,
 		TenantLoads: map[string]float64{"east": 0.6},
 		Contracts:   map[string]*contract.Contract{"east": hours},
 	}
 	for _, id := range []string{"booking-1", "booking-2", "booking-3", "booking-4"} {
-		scene.Servers = append(scene.Servers, window.Server{ID: id, Capacity: 1})
+		scene.Servers = append(scene.Servers, maintenance.Server{ID: id, Capacity: 1})
 	}
-	ask := window.WindowRequest{
+	ask := maintenance.WindowRequest{
 		ID: "disks", Nodes: []string{"booking-1"}, Tenants: []string{"east"},
 		From: scene.Now + 26*time.Hour, To: scene.Now + 27*time.Hour,
 	}
-	_, err = window.Plan(ask, scene)
+	_, err = maintenance.Plan(ask, scene)
 	fmt.Println(err)
-	if m := (window.Conflict{}); errors.As(err, &m) {
+	if m := (maintenance.Conflict{}); errors.As(err, &m) {
 		fmt.Println("it would fit from", hours.InZone(m.NextFit).Format(time.RFC1123), "on")
 		ask.From, ask.To = m.NextFit, m.NextFit+time.Hour
 	}
-	w, err := window.Plan(ask, scene)
+	w, err := maintenance.Plan(ask, scene)
 	if err != nil {
 		panic(err)
 	}
@@ -42,7 +42,7 @@
 	fmt.Println(w.PlannedFraction(w.From+42*time.Second), "of the keys are moved after 42 s")
 	ask.ID, ask.Nodes = "memory", []string{"booking-2"}
 	scene.Windows = append(scene.Windows, w)
-	_, err = window.Plan(ask, scene)
+	_, err = maintenance.Plan(ask, scene)
 	fmt.Println(err)
 	// Output:
 	// tenant east: its contract's hours do not allow Sat 2026-10-24 17:00:00 EEST
--- a/window/golden_test.go
+++ b/internal/control/maintenance/golden_test.go
@@ -1,4 +1,4 @@
-package window
+package maintenance
 
 import (
 	"encoding/hex"
@@ -11,8 +11,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/contract"
-	"dunestep/policy"
+	"dunestep/internal/control/maintenance/contract"
+	"dunestep/internal/control/policy"
 )
 
 // update has the golden files written anew. They were made by the build before the packages were renamed: a
--- a/window/judge/judge.go
+++ b/internal/control/maintenance/judge/judge.go
@@ -8,9 +8,9 @@
 	"slices"
 	"time"
 
-	"dunestep/contract"
-	"dunestep/policy"
-	"dunestep/window"
+	"dunestep/internal/control/maintenance"
+	"dunestep/internal/control/maintenance/contract"
+	"dunestep/internal/control/policy"
 )
 
 // Request is one that an agent decided on. They are to be told in the order of their times.
@@ -46,11 +46,11 @@
 
 // Settings are what the promises are held to.
 type Settings struct {
-	Slack  time.Duration // how far a Unix clock may be off
-	Turns  window.Turns  // of agents at the bottom
-	Late   time.Duration // by how much an agent may learn later what has become of a window: the fence
-	Keys   int           // how many keys of a tenant are told of again and again
-	Report time.Duration // for how long before a `free` those who serve first count as having told so
+	Slack  time.Duration     // how far a Unix clock may be off
+	Turns  maintenance.Turns // of agents at the bottom
+	Late   time.Duration     // by how much an agent may learn later what has become of a window: the fence
+	Keys   int               // how many keys of a tenant are told of again and again
+	Report time.Duration     // for how long before a `free` those who serve first count as having told so
 }
 
 // Judge hears of one fleet.
@@ -68,7 +68,7 @@
 }
 
 type accepted struct {
-	*window.Window
+	*maintenance.Window
 	pace      float64
 	free      time.Duration // zero: never
 	withdrawn time.Duration // zero: never
@@ -86,7 +86,7 @@
 }
 
 // Accepted tells of a window, and the part of a node's keys that was to be moved in a second at most.
-func (j *Judge) Accepted(w *window.Window, pace float64) {
+func (j *Judge) Accepted(w *maintenance.Window, pace float64) {
 	j.windows = append(j.windows, &accepted{Window: w, pace: pace, first: map[int]bool{}, asked: map[int]bool{}})
 }
 
--- a/window/judge/judge_test.go
+++ b/internal/control/maintenance/judge/judge_test.go
@@ -6,9 +6,9 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/contract"
-	"dunestep/policy"
-	"dunestep/window"
+	"dunestep/internal/control/maintenance"
+	"dunestep/internal/control/maintenance/contract"
+	"dunestep/internal/control/policy"
 )
 
 const from = 1798495200 * time.Second // a Monday, 22:00 UTC
@@ -45,7 +45,7 @@
 		j := New(Settings{Slack: 100 * time.Millisecond, Keys: 10})
 		j.Contracts(1, map[string]*contract.Contract{"east": c, "west": c})
 		j.Contracts(2, map[string]*contract.Contract{"west": c})
-		j.Accepted(&window.Window{
+		j.Accepted(&maintenance.Window{
 			ID: "w", Nodes: []string{"n"}, Tenants: []string{"east"}, From: from, DrainedAt: at(50),
 			ReturnFrom: at(3500), To: at(3600), Steps: 10, PolicyVersion: 1,
 		}, 0.02)
@@ -83,7 +83,7 @@
 		right bool
 	}{"slowly": {time.Second, 0, true}, "at once": {time.Millisecond, 0, false}, "a new process": {time.Millisecond, 1, true}} {
 		j := New(Settings{Keys: 50})
-		j.Accepted(&window.Window{
+		j.Accepted(&maintenance.Window{
 			ID: "w", Nodes: []string{"n"}, Tenants: []string{"east"}, From: from,
 			DrainedAt: from + 50*time.Second, ReturnFrom: from + time.Hour, To: from + 2*time.Hour, Steps: 50,
 		}, 0.02)
--- a/window/judge/pace.go
+++ b/internal/control/maintenance/judge/pace.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"dunestep/policy"
+	"dunestep/internal/control/policy"
 )
 
 // place is where keys leave or come back, as one agent does it.
--- a/window/judge/plan.go
+++ b/internal/control/maintenance/judge/plan.go
@@ -7,17 +7,17 @@
 	"slices"
 	"time"
 
-	"dunestep/contract"
-	"dunestep/window"
+	"dunestep/internal/control/maintenance"
+	"dunestep/internal/control/maintenance/contract"
 )
 
 // Plan tells whether an ask fits into a scene by going through each rule at each moment. It goes by the
-// tables of the contracts and by what they allow at a moment, and has nothing else from window.Plan. Moments
+// tables of the contracts and by what they allow at a moment, and has nothing else from maintenance.Plan. Moments
 // are multiples of Grid, and so have to be all times in it.
 type Plan struct {
-	Scene  window.PlanInput // with its Margin
+	Scene  maintenance.PlanInput // with its Margin
 	Tables map[string]contract.Table
-	Begun  []*window.Window // all, over or not
+	Begun  []*maintenance.Window // all, over or not
 	Grid   time.Duration
 }
 
@@ -38,10 +38,10 @@
 )
 
 // Breaks is the rule that an ask breaks; empty: it fits.
-func (p Plan) Breaks(a window.WindowRequest) Rule {
+func (p Plan) Breaks(a maintenance.WindowRequest) Rule {
 	tenants := p.tenants(a)
 	steps := math.Ceil(1/cmp.Or(a.MoveRate, 0.01) - 1e-9)
-	if a.To-a.From < 2*time.Duration(steps)*time.Second+cmp.Or(p.Scene.MinDrained, window.MinDrained) {
+	if a.To-a.From < 2*time.Duration(steps)*time.Second+cmp.Or(p.Scene.MinDrained, maintenance.MinDrained) {
 		return Short
 	}
 	for _, name := range tenants {
@@ -52,7 +52,7 @@
 		}
 	}
 	for _, name := range tenants {
-		least := max(time.Duration(p.Tables[name].NoticeMin)*time.Minute, window.MinNotice)
+		least := max(time.Duration(p.Tables[name].NoticeMin)*time.Minute, maintenance.MinNotice)
 		if a.From-p.Scene.Now < least {
 			return Notice
 		}
@@ -76,11 +76,11 @@
 	return ""
 }
 
-func (p Plan) tenants(a window.WindowRequest) []string {
-	if a.Tenants[0] != window.AllTenants {
+func (p Plan) tenants(a maintenance.WindowRequest) []string {
+	if a.Tenants[0] != maintenance.AllTenants {
 		return a.Tenants
 	}
-	all := map[string]bool{window.NoTenant: true}
+	all := map[string]bool{maintenance.NoTenant: true}
 	for name := range p.Scene.TenantLoads {
 		all[name] = true
 	}
@@ -90,7 +90,7 @@
 	return slices.Sorted(maps.Keys(all))
 }
 
-func (p Plan) nodes(a window.WindowRequest) (nodes []window.Server) {
+func (p Plan) nodes(a maintenance.WindowRequest) (nodes []maintenance.Server) {
 	for _, n := range p.Scene.Servers {
 		if slices.Contains(a.Nodes, n.ID) || a.Zone != "" && n.Zone == a.Zone {
 			nodes = append(nodes, n)
@@ -100,7 +100,7 @@
 }
 
 // calendar goes through what a tenant's contract says of times.
-func (p Plan) calendar(a window.WindowRequest, tenant string) Rule {
+func (p Plan) calendar(a maintenance.WindowRequest, tenant string) Rule {
 	for at := a.From - p.Scene.ClockMargin; at < a.To+p.Scene.ClockMargin; at += p.Grid {
 		if !p.Scene.Contracts[tenant].Allows(at) {
 			return Hours
@@ -124,11 +124,11 @@
 }
 
 // moment looks at what each node carries at one.
-func (p Plan) moment(at time.Duration, tenants []string, asked []window.Server) Rule {
+func (p Plan) moment(at time.Duration, tenants []string, asked []maintenance.Server) Rule {
 	listed, total := p.listed()
 	used := map[string]float64{} // part of what a node can do
 	for tenant, share := range p.shares(tenants) {
-		var mine []window.Server
+		var mine []maintenance.Server
 		if slices.Contains(tenants, tenant) {
 			mine = asked
 		}
@@ -162,25 +162,25 @@
 	for name, share := range p.Scene.TenantLoads {
 		all[name], rest = share, rest-share
 	}
-	all[window.NoTenant] = rest
+	all[maintenance.NoTenant] = rest
 	return all
 }
 
 // listed are the nodes that the fleet has: those of the list, and those that windows hold.
-func (p Plan) listed() (all []window.Server, total float64) {
+func (p Plan) listed() (all []maintenance.Server, total float64) {
 	all = slices.Clone(p.Scene.Servers)
 	usual := sum(all) / float64(len(all))
 	for _, w := range p.Scene.Windows {
 		for _, id := range w.Nodes {
-			if !slices.ContainsFunc(all, func(n window.Server) bool { return n.ID == id }) {
-				all = append(all, window.Server{ID: id, Capacity: usual})
+			if !slices.ContainsFunc(all, func(n maintenance.Server) bool { return n.ID == id }) {
+				all = append(all, maintenance.Server{ID: id, Capacity: usual})
 			}
 		}
 	}
 	return all, sum(all)
 }
 
-func sum(nodes []window.Server) (total float64) {
+func sum(nodes []maintenance.Server) (total float64) {
 	for _, n := range nodes {
 		total += n.Capacity
 	}
@@ -188,8 +188,8 @@
 }
 
 // left are the nodes that a tenant may go to at a moment, beside those asked for.
-func (p Plan) left(at time.Duration, tenant string, listed, asked []window.Server) ([]window.Server, Rule) {
-	var left []window.Server
+func (p Plan) left(at time.Duration, tenant string, listed, asked []maintenance.Server) ([]maintenance.Server, Rule) {
+	var left []maintenance.Server
 	for _, n := range listed {
 		off, held := false, false
 		for _, w := range p.Scene.Windows {
--- a/window/judge/plan_test.go
+++ b/internal/control/maintenance/judge/plan_test.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"dunestep/contract"
-	"dunestep/window"
+	"dunestep/internal/control/maintenance"
+	"dunestep/internal/control/maintenance/contract"
 )
 
 // grid is what all times in these scenes are multiples of, so that nothing changes within it.
@@ -31,14 +31,14 @@
 	s.Now = time.Duration(begin.UnixNano()) + time.Duration(rapid.IntRange(0, 10*288).Draw(t, "now"))*grid
 	s.ClockMargin, s.PeakLoad, s.MaxUtilization = grid, pick(t, "load", 0, 0.3, 0.6), pick(t, "most", 0, 0.8, 1)
 	for i := range pick(t, "nodes", 6, 5, 9, 4, 2) {
-		s.Servers = append(s.Servers, window.Server{
+		s.Servers = append(s.Servers, maintenance.Server{
 			ID: fmt.Sprint("n", i), Zone: pick(t, "zone", "a", "b", ""), Capacity: pick(t, "capacity", 1, 1.8, 1, 1, 0.9, 0),
 			Absent: rapid.IntRange(0, 7).Draw(t, "absent") == 7,
 		})
 	}
 	s.TenantLoads, s.Contracts = map[string]float64{}, map[string]*contract.Contract{}
-	for _, name := range []string{"east", "west", window.NoTenant} {
-		if name != window.NoTenant && pick(t, "load", true, true, true, false) {
+	for _, name := range []string{"east", "west", maintenance.NoTenant} {
+		if name != maintenance.NoTenant && pick(t, "load", true, true, true, false) {
 			s.TenantLoads[name] = pick(t, "share", 0, 0.1, 0.45)
 		}
 		if pick(t, "contract", true, true, true, true, true, true, true, false) {
@@ -54,9 +54,9 @@
 		}
 	}
 	for i := range pick(t, "windows", 3, 6, 9, 0) {
-		one := &window.Window{
+		one := &maintenance.Window{
 			ID: fmt.Sprint("w", i), From: s.Now + time.Duration(rapid.IntRange(0, 288).Draw(t, "from")*pick(t, "days", 1, 2, 10)-10)*grid,
-			Nodes: []string{pick(t, "node", "n0", "n1", "n2", "gone")}, Tenants: []string{pick(t, "tenant", "east", "west", window.NoTenant, "gone")},
+			Nodes: []string{pick(t, "node", "n0", "n1", "n2", "gone")}, Tenants: []string{pick(t, "tenant", "east", "west", maintenance.NoTenant, "gone")},
 		}
 		one.To = one.From + time.Duration(pick(t, "length", 36, 12, 100, 6, 288))*grid
 		if p.Begun = append(p.Begun, one); one.To > s.Now {
@@ -73,27 +73,27 @@
 	}
 	if rapid.IntRange(0, 3).Draw(t, "turns") == 0 {
 		slot := func(at time.Duration) int { return int((at - 12*time.Hour) / (24 * time.Hour)) }
-		s.IsInTurn = func(n window.Server, from, to time.Duration) bool {
+		s.IsInTurn = func(n maintenance.Server, from, to time.Duration) bool {
 			return slot(from) == slot(to) && slot(from)%2 == int(n.ID[1])%2
 		}
 	}
 	return p
 }
 
-func (p *Plan) drawAsk(t *rapid.T) window.WindowRequest {
-	a := window.WindowRequest{ID: "ask", MoveRate: pick(t, "pace", 0, 0.05, 0.003), From: p.Scene.Now + time.Duration((rapid.IntRange(0, 288).Draw(t, "from")*pick(t, "days", 1, 2, 10)+pick(t, "ahead", 4, 12, 0)))*grid}
+func (p *Plan) drawAsk(t *rapid.T) maintenance.WindowRequest {
+	a := maintenance.WindowRequest{ID: "ask", MoveRate: pick(t, "pace", 0, 0.05, 0.003), From: p.Scene.Now + time.Duration((rapid.IntRange(0, 288).Draw(t, "from")*pick(t, "days", 1, 2, 10)+pick(t, "ahead", 4, 12, 0)))*grid}
 	if all := p.Scene.Windows; len(all) > 0 && rapid.Bool().Draw(t, "beside another") {
 		a.From = max(all[0].From, p.Scene.Now)
 	}
 	a.To = a.From + time.Duration(pick(t, "length", 12, 6, 24, 48, 2))*grid
-	a.Tenants = pick(t, "tenants", []string{"east"}, []string{"west", "east"}, []string{window.NoTenant}, []string{window.AllTenants})
+	a.Tenants = pick(t, "tenants", []string{"east"}, []string{"west", "east"}, []string{maintenance.NoTenant}, []string{maintenance.AllTenants})
 	if a.Nodes = pick(t, "nodes", []string{"n0"}, []string{"n1", "n0"}, nil); a.Nodes == nil {
 		a.Zone = p.Scene.Servers[0].Zone
 	}
 	return a
 }
 
-func moved(a window.WindowRequest, from time.Duration) window.WindowRequest {
+func moved(a maintenance.WindowRequest, from time.Duration) maintenance.WindowRequest {
 	a.From, a.To = from, from+a.To-a.From
 	return a
 }
@@ -106,8 +106,8 @@
 		p := drawPlan(t)
 		for range 10 {
 			a := p.drawAsk(t)
-			made, err := window.Plan(a, p.Scene)
-			var m window.Conflict
+			made, err := maintenance.Plan(a, p.Scene)
+			var m maintenance.Conflict
 			if err != nil && !errors.As(err, &m) {
 				count["no sense"]++
 				require.True(t, a.Zone == "" && !errors.As(err, &m), "%v", err)
@@ -118,7 +118,7 @@
 			count[why]++
 			require.Equal(t, why == "", err == nil, "%s: %v", why, err)
 			if err == nil {
-				require.True(t, made.From == a.From && made.To == a.To && made.DrainedAt-made.From == made.To-made.ReturnFrom && made.ReturnFrom-made.DrainedAt >= window.MinDrained)
+				require.True(t, made.From == a.From && made.To == a.To && made.DrainedAt-made.From == made.To-made.ReturnFrom && made.ReturnFrom-made.DrainedAt >= maintenance.MinDrained)
 				require.LessOrEqual(t, 1/float64(made.Steps), cmp.Or(a.MoveRate, 0.01)+1e-9)
 				continue
 			}
@@ -132,21 +132,21 @@
 	}
 }
 
-func (p *Plan) checkNext(t *rapid.T, a window.WindowRequest, m window.Conflict, count map[Rule]int) {
+func (p *Plan) checkNext(t *rapid.T, a maintenance.WindowRequest, m maintenance.Conflict, count map[Rule]int) {
 	last := min(a.From+60*day, p.Scene.Now+62*day)
 	if m.NextFit != 0 {
 		count["next"]++
 		last = m.NextFit
 		require.GreaterOrEqual(t, m.NextFit, a.From)
 		require.Empty(t, p.Breaks(moved(a, m.NextFit)), "%v", m)
-		_, err := window.Plan(moved(a, m.NextFit), p.Scene)
+		_, err := maintenance.Plan(moved(a, m.NextFit), p.Scene)
 		require.NoError(t, err)
 	} else {
 		count["none"]++
 	}
-	lead := window.MinNotice
+	lead := maintenance.MinNotice
 	for name, table := range p.Tables {
-		if slices.Contains(a.Tenants, name) || a.Tenants[0] == window.AllTenants {
+		if slices.Contains(a.Tenants, name) || a.Tenants[0] == maintenance.AllTenants {
 			lead = max(lead, time.Duration(table.NoticeMin)*time.Minute)
 		}
 	}
@@ -190,7 +190,7 @@
 			case 8:
 				s.ClockMargin = max(at%time.Hour, 0)
 			case 9:
-				s.Windows = append(s.Windows, &window.Window{From: at, To: time.Duration(moment.Draw(t, "to")), Nodes: a.Nodes, Tenants: a.Tenants})
+				s.Windows = append(s.Windows, &maintenance.Window{From: at, To: time.Duration(moment.Draw(t, "to")), Nodes: a.Nodes, Tenants: a.Tenants})
 			case 10:
 				s.Servers = append(s.Servers, s.Servers...)
 			case 11:
@@ -199,14 +199,14 @@
 				s.Servers, a.Tenants = s.Servers[:1], append(a.Tenants, rapid.String().Draw(t, "name"))
 			}
 		}
-		made, err := window.Plan(a, *s)
+		made, err := maintenance.Plan(a, *s)
 		if err != nil {
 			require.NotEmpty(t, err.Error())
 			return
 		}
-		require.True(t, made.From >= s.Now+window.MinNotice || s.MinNotice != 0)
-		require.True(t, made.From < made.DrainedAt && made.DrainedAt < made.ReturnFrom && made.ReturnFrom < made.To && made.Steps >= 1 && made.Steps <= window.MaxSteps)
-		_, err = window.EncodeProposal(window.Proposal{Window: made, Now: s.Now, PolicyVersion: 1, MinNotice: 1})
+		require.True(t, made.From >= s.Now+maintenance.MinNotice || s.MinNotice != 0)
+		require.True(t, made.From < made.DrainedAt && made.DrainedAt < made.ReturnFrom && made.ReturnFrom < made.To && made.Steps >= 1 && made.Steps <= maintenance.MaxSteps)
+		_, err = maintenance.EncodeProposal(maintenance.Proposal{Window: made, Now: s.Now, PolicyVersion: 1, MinNotice: 1})
 		require.NoError(t, err)
 	})
 }
--- a/window/lab/course.go
+++ b/internal/control/maintenance/lab/course.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"dunestep/policy"
-	"dunestep/window"
+	"dunestep/internal/control/maintenance"
+	"dunestep/internal/control/policy"
 )
 
 // theme is what a week has more of than others.
@@ -95,7 +95,7 @@
 	rng := l.Rand()
 	l.scene(midnight+11*time.Hour, 8*time.Second, nil, l.heal)
 	from := midnight + 18*time.Hour + time.Duration(rng.Int64N(int64(9*time.Hour)))
-	asks := []window.WindowRequest{l.anAsk(from)}
+	asks := []maintenance.WindowRequest{l.anAsk(from)}
 	if rng.IntN(2) == 0 {
 		asks = append(asks, l.anAsk(from+time.Duration(rng.Int64N(int64(2*time.Hour)))))
 	}
@@ -124,13 +124,13 @@
 }
 
 // anAsk is for one server or some, one tenant or both.
-func (l *Lab) anAsk(from time.Duration) window.WindowRequest {
+func (l *Lab) anAsk(from time.Duration) maintenance.WindowRequest {
 	rng := l.Rand()
-	a := window.WindowRequest{From: from, MoveRate: 0.02}
+	a := maintenance.WindowRequest{From: from, MoveRate: 0.02}
 	a.To = from + 10*time.Minute + time.Duration(rng.Int64N(int64(2*time.Hour)))
-	turn, _ := window.Turns(turns).At(from)
+	turn, _ := maintenance.Turns(turns).At(from)
 	for _, s := range rng.Perm(servers) {
-		if id := server(s); len(a.Nodes) < 3 && window.Turns(turns).Of(id, "") == turn {
+		if id := server(s); len(a.Nodes) < 3 && maintenance.Turns(turns).Of(id, "") == turn {
 			if a.Nodes = append(a.Nodes, id); rng.IntN(2) == 0 {
 				break
 			}
@@ -162,7 +162,7 @@
 	for _, w := range live(l.windows()) {
 		middle := (w.DrainedAt + w.ReturnFrom) / 2
 		end := w.To
-		if w.State == window.Returning {
+		if w.State == maintenance.Returning {
 			end = w.StateSince + w.To - w.ReturnFrom
 		}
 		for _, s := range []span{
@@ -269,11 +269,11 @@
 			}
 		}
 	case rough:
-		if w.State == window.Planned && l.Now() < w.DrainedAt && l.Now() > w.DrainedAt-10*time.Second {
+		if w.State == maintenance.Planned && l.Now() < w.DrainedAt && l.Now() > w.DrainedAt-10*time.Second {
 			l.bad[w.Tenants[0]] = l.Now() + 3*time.Second
 		}
 	case scarce:
-		if l.Now() > w.DrainedAt && l.Now() < w.DrainedAt+20*time.Second && w.State == window.Planned {
+		if l.Now() > w.DrainedAt && l.Now() < w.DrainedAt+20*time.Second && w.State == maintenance.Planned {
 			l.allFail(w)
 		}
 	case cramped:
@@ -283,7 +283,7 @@
 
 // allFail has all servers but a window's be down while there are no voters, who begin anew when it would be
 // free else: nobody has told them.
-func (l *Lab) allFail(w *window.Window) {
+func (l *Lab) allFail(w *maintenance.Window) {
 	for i := range servers {
 		if !slices.Contains(w.Nodes, server(i)) {
 			l.failing[server(i)] = l.Now() + 90*time.Second
@@ -302,7 +302,7 @@
 	}
 }
 
-func (l *Lab) cramp(w *window.Window) {
+func (l *Lab) cramp(w *maintenance.Window) {
 	rng := l.Rand()
 	until := l.Now() + time.Duration(rng.Int64N(int64(time.Minute)))
 	switch rng.IntN(12) {
@@ -333,9 +333,9 @@
 // atSteps has things go wrong right after one of a window's records: the leader ends, or an agent is cut off
 // which still holds a lease.
 func (l *Lab) atSteps() {
-	l.onState = func(_ string, was, is window.State) {
+	l.onState = func(_ string, was, is maintenance.State) {
 		rng := l.Rand()
-		goesOn := was == window.Paused && is == window.Planned
+		goesOn := was == maintenance.Paused && is == maintenance.Planned
 		if goesOn {
 			l.slow = l.Now() + 8*time.Second
 		}
--- a/window/lab/lab.go
+++ b/internal/control/maintenance/lab/lab.go
@@ -12,16 +12,16 @@
 	"slices"
 	"time"
 
-	"dunestep/contract"
-	"dunestep/decide"
-	"dunestep/fleet"
-	"dunestep/fleet/lease"
-	"dunestep/fleet/lossy"
-	"dunestep/policy"
-	policylab "dunestep/policy/lab"
-	"dunestep/window"
-	"dunestep/window/judge"
-	"dunestep/window/seat"
+	"dunestep/internal/balancer"
+	"dunestep/internal/control/maintenance"
+	"dunestep/internal/control/maintenance/contract"
+	"dunestep/internal/control/maintenance/judge"
+	"dunestep/internal/control/maintenance/maintenancelog"
+	"dunestep/internal/control/policy"
+	policylab "dunestep/internal/control/policy/lab"
+	"dunestep/internal/fleet"
+	"dunestep/internal/fleet/lease"
+	"dunestep/internal/simnet/lossy"
 )
 
 // Protections can be taken out, to see that the judge finds it.
@@ -63,7 +63,7 @@
 	monday  time.Duration // when it begins
 	slow    time.Duration // until when requests take as long as they may
 	version uint64        // whose contracts the judge knows
-	last    map[string]window.State
+	last    map[string]maintenance.State
 	paces   map[string]float64
 	asks    int
 	orders  map[string][]key // by tenant
@@ -71,10 +71,10 @@
 	failing map[string]time.Duration // listed, and known to be down
 	bad     map[string]time.Duration // tenants that are served badly
 	stormy  map[int]time.Duration
-	counts  []map[string]*window.TenantCounts // by agent, since it told last
+	counts  []map[string]*maintenance.TenantCounts // by agent, since it told last
 	told    []time.Duration
 	leased  []lease.ClockReading // when each agent held a lease last
-	onState func(id string, was, is window.State)
+	onState func(id string, was, is maintenance.State)
 }
 
 // Setup is one week. The same one is the same week.
@@ -94,7 +94,7 @@
 
 // part is what stands beside the policy at a node.
 type part struct {
-	*seat.Adapter
+	*maintenancelog.Adapter
 	lab *Lab
 	n   int
 }
@@ -118,7 +118,7 @@
 	if p.n >= 0 && p.n < voters {
 		switch p.lab.set.Without {
 		case "notice":
-			now.Unix -= window.MinNotice
+			now.Unix -= maintenance.MinNotice
 		case "begin":
 			now.Unix, now.Mono = now.Unix-time.Hour, now.Mono-time.Hour
 		}
@@ -133,7 +133,7 @@
 	}
 	l := &Lab{
 		set: set, monday: begin, Refused: map[string]int{},
-		Reasons: map[string]int{}, last: map[string]window.State{},
+		Reasons: map[string]int{}, last: map[string]maintenance.State{},
 		paces: map[string]float64{}, orders: map[string][]key{}, lost: map[string]time.Duration{},
 		failing: map[string]time.Duration{}, bad: map[string]time.Duration{}, stormy: map[int]time.Duration{},
 		told: make([]time.Duration, set.Agents), leased: make([]lease.ClockReading, set.Agents),
@@ -153,7 +153,7 @@
 	})
 	l.Decided, l.OnBeside = l.decided, l.follow
 	for range set.Agents {
-		l.counts = append(l.counts, map[string]*window.TenantCounts{})
+		l.counts = append(l.counts, map[string]*maintenance.TenantCounts{})
 	}
 	for _, t := range tenants {
 		for range set.Keys {
@@ -171,10 +171,10 @@
 
 // part makes what stands beside the policy in a process.
 func (l *Lab) part(n int, now lease.ClockReading) policylab.Beside {
-	set := seat.Settings{
+	set := maintenancelog.Settings{
 		Self: n, IsVoter: n >= 0 && n < voters, Incarnation: uint64(now.Mono) + 1, MachineNumber: 2,
 		Turns: turns, MaxInFlight: linger, ClockMargin: margin, InForce: func() uint64 { return l.inForce(n) },
-		View: func(fleet.ClockReading) window.LeaderView { return l.view(n) },
+		View: func(fleet.ClockReading) maintenance.LeaderView { return l.view(n) },
 	}
 	switch l.set.Without {
 	case "linger":
@@ -186,11 +186,11 @@
 			set.Turns = 0
 		}
 	}
-	p := &part{Adapter: seat.New(set, now), lab: l, n: n}
+	p := &part{Adapter: maintenancelog.New(set, now), lab: l, n: n}
 	if l.set.Without == "begin" {
 		for i := range uint64(31) { // of nobody
 			at := time.Duration(30-i) * time.Second
-			p.HandleMessage(lease.ClockReading{Unix: now.Unix - at, Mono: now.Mono - at}, 99, window.EncodeReport(1, i, nil, false))
+			p.HandleMessage(lease.ClockReading{Unix: now.Unix - at, Mono: now.Mono - at}, 99, maintenance.EncodeReport(1, i, nil, false))
 		}
 	}
 	return p
@@ -204,17 +204,17 @@
 }
 
 // view is what a voter's process sees.
-func (l *Lab) view(n int) window.LeaderView {
-	v := window.LeaderView{InForce: l.inForce(n), ChangeOpen: l.Machine(n).State().OpenChange != nil}
+func (l *Lab) view(n int) maintenance.LeaderView {
+	v := maintenance.LeaderView{InForce: l.inForce(n), ChangeOpen: l.Machine(n).State().OpenChange != nil}
 	v.Standing, v.Active = l.Acting(n)
 	v.Servers = l.nodes()
 	return v
 }
 
-func (l *Lab) nodes() (all []window.Server) {
+func (l *Lab) nodes() (all []maintenance.Server) {
 	for i := range servers {
 		if l.lost[server(i)] <= l.Now() {
-			all = append(all, window.Server{ID: server(i), Capacity: 1})
+			all = append(all, maintenance.Server{ID: server(i), Capacity: 1})
 		}
 	}
 	return all
@@ -236,13 +236,13 @@
 			l.Reasons[w.Reason]++
 		}
 		switch w.State {
-		case window.Free:
+		case maintenance.Free:
 			l.Freed++
 			l.Judge.Free(l.Now(), w.ID, true)
-		case window.Returning:
+		case maintenance.Returning:
 			l.Back++
 			l.Judge.Free(l.Now(), w.ID, false)
-		case window.Ended, window.Stopped:
+		case maintenance.Ended, maintenance.Stopped:
 			l.Ended++
 			l.Judge.Free(l.Now(), w.ID, false)
 		}
@@ -253,7 +253,7 @@
 }
 
 // windows are those that were agreed, with the states that were.
-func (l *Lab) windows() []*window.Window { return l.Agreed().(*part).AgreedWindows() }
+func (l *Lab) windows() []*maintenance.Window { return l.Agreed().(*part).AgreedWindows() }
 
 // learnContracts tells the judge those of a version that somebody acts on.
 func (l *Lab) learnContracts(act policy.Active) {
@@ -322,7 +322,7 @@
 
 // request is one: to the first of its key's servers that is listed, not known to be down, and not to be kept
 // off; and where there is none, to the first that is listed and not down, or listed.
-func (l *Lab) request(i int, tenant string, k key, act policy.Active, avoid *decide.Exclusions) {
+func (l *Lab) request(i int, tenant string, k key, act policy.Active, avoid *balancer.Exclusions) {
 	l.Requests++
 	r := judge.Request{
 		At: l.Now(), Arrives: l.Now() + 20*time.Millisecond, Agent: i, Life: l.Incarnation(voters + i),
@@ -363,19 +363,19 @@
 	l.count(i, r)
 }
 
-func keepsOff(a *decide.Exclusions, tenant string, hash uint32, server string) bool {
+func keepsOff(a *balancer.Exclusions, tenant string, hash uint32, server string) bool {
 	if a == nil {
 		return false
 	}
 	below := a.Tenants[tenant][server]
-	return below > 0 && (below == 1<<32-1 || decide.KeyRank(hash, server) < below) ||
+	return below > 0 && (below == 1<<32-1 || balancer.KeyRank(hash, server) < below) ||
 		a.AllTenants != nil && a.AllTenants(server, "")
 }
 
 func (l *Lab) count(i int, r judge.Request) {
 	c := l.counts[i][r.Tenant]
 	if c == nil {
-		c = &window.TenantCounts{Tenant: r.Tenant}
+		c = &maintenance.TenantCounts{Tenant: r.Tenant}
 		l.counts[i][r.Tenant] = c
 	}
 	c.Requests++
@@ -394,17 +394,17 @@
 
 // tell has an agent's counts be told.
 func (l *Lab) tell(i int, now lease.ClockReading, p *part) {
-	if now.Mono < l.told[i]+window.ReportInterval && now.Mono >= l.told[i] {
+	if now.Mono < l.told[i]+maintenance.ReportInterval && now.Mono >= l.told[i] {
 		return
 	}
 	l.told[i] = now.Mono
-	var all []window.TenantCounts
+	var all []maintenance.TenantCounts
 	for _, t := range tenants {
 		if c := l.counts[i][t]; c != nil {
 			all = append(all, *c)
 		}
 	}
-	l.counts[i] = map[string]*window.TenantCounts{}
+	l.counts[i] = map[string]*maintenance.TenantCounts{}
 	p.AddCounts(now, all, l.stormy[i] > l.Now())
 }
 
@@ -412,7 +412,7 @@
 func (l *Lab) runs(n int) bool { return l.Incarnation(n) > 0 && !l.IsPaused(n) }
 
 // Ask has some node that can ask for a window, until it is known what became of it.
-func (l *Lab) Ask(ask window.WindowRequest) {
+func (l *Lab) Ask(ask maintenance.WindowRequest) {
 	l.asks++
 	ask.ID = fmt.Sprint("window ", l.asks)
 	l.paces[ask.ID] = ask.MoveRate
@@ -433,7 +433,7 @@
 
 // propose has one node that holds a lease ask. Where it does not fit, it asks for the next time that it is
 // told, if that is in the same night.
-func (l *Lab) propose(ask *window.WindowRequest) (again bool) {
+func (l *Lab) propose(ask *maintenance.WindowRequest) (again bool) {
 	n := l.Rand().IntN(voters)
 	if !l.runs(n) {
 		return true
@@ -444,13 +444,13 @@
 	}
 	p, now := l.Beside(n).(*part), l.Reading(n)
 	if l.set.Without == "notice" {
-		now.Unix -= window.MinNotice
+		now.Unix -= maintenance.MinNotice
 	}
-	data, _, err := p.EncodeProposal(now, *ask, window.PlanInput{
+	data, _, err := p.EncodeProposal(now, *ask, maintenance.PlanInput{
 		Servers: l.nodes(), Contracts: act.Effect.Contracts,
 		PeakLoad: 0.5, TenantLoads: map[string]float64{"east": 0.5, "west": 0.3}, PolicyVersion: act.Version, ClockMargin: margin,
 	})
-	var misfit window.Conflict
+	var misfit maintenance.Conflict
 	if errors.As(err, &misfit) {
 		l.Refused[misfit.Tenant]++
 		if d := misfit.NextFit - ask.From; misfit.NextFit > 0 && d < 8*time.Hour {
@@ -466,8 +466,8 @@
 }
 
 // after tells whether a list of windows has one that is not over.
-func live(all []*window.Window) []*window.Window {
-	return slices.DeleteFunc(all, func(w *window.Window) bool {
-		return w.State == window.Ended || w.State == window.Stopped
+func live(all []*maintenance.Window) []*maintenance.Window {
+	return slices.DeleteFunc(all, func(w *maintenance.Window) bool {
+		return w.State == maintenance.Ended || w.State == maintenance.Stopped
 	})
 }
--- a/window/lab/lab_test.go
+++ b/internal/control/maintenance/lab/lab_test.go
@@ -11,8 +11,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/fleet/hunting"
-	"dunestep/window"
+	"dunestep/internal/control/maintenance"
+	"dunestep/internal/fleet/hunting"
 )
 
 // TestMain: what is kept is small and what is made on the way is much.
@@ -73,7 +73,7 @@
 		func(seed uint64, l *Lab) bool {
 			require.Zero(t, l.Judge.Count, "seed %d, %v: %v", seed, l.theme, l.Judge.Violations)
 			for _, w := range l.windows() {
-				require.Contains(t, []window.State{window.Ended, window.Stopped}, w.State, "seed %d", seed)
+				require.Contains(t, []maintenance.State{maintenance.Ended, maintenance.Stopped}, w.State, "seed %d", seed)
 			}
 			accepted, freed, back = accepted+l.Accepted, freed+l.Freed, back+l.Back
 			moved, arrived, requests, first = moved+l.Judge.Moved, arrived+l.Judge.Freed, requests+l.Requests, first+l.First
--- a/window/machine.go
+++ b/internal/control/maintenance/machine.go
@@ -1,4 +1,4 @@
-package window
+package maintenance
 
 import (
 	"errors"
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"dunestep/policy"
+	"dunestep/internal/control/policy"
 )
 
 // RejectionCause is why a window was not accepted.
--- a/window/seat/golden_test.go
+++ b/internal/control/maintenance/maintenancelog/golden_test.go
@@ -1,4 +1,4 @@
-package seat
+package maintenancelog
 
 import (
 	"encoding/hex"
@@ -11,8 +11,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/fleet"
-	"dunestep/window"
+	"dunestep/internal/control/maintenance"
+	"dunestep/internal/fleet"
 )
 
 // update has the golden files written anew. They were made by the build before the packages were renamed: a
@@ -54,11 +54,11 @@
 func TestGoldenMessages(t *testing.T) {
 	w := begin(t)
 	w.settings.Incarnation = 1800000000123
-	ask := window.WindowRequest{
+	ask := maintenance.WindowRequest{
 		ID: "a", Agent: 3, Nodes: []string{"n1"}, Tenants: []string{"east"}, From: noon + 9*time.Hour,
 		To: noon + 11*time.Hour,
 	}
-	record, _, err := w.EncodeProposal(at(0), ask, window.PlanInput{
+	record, _, err := w.EncodeProposal(at(0), ask, maintenance.PlanInput{
 		Servers: w.nodes, Contracts: w.acting.Effect.Contracts,
 		TenantLoads: map[string]float64{"east": 0.5}, PeakLoad: 0.5, PolicyVersion: 1,
 	})
@@ -66,7 +66,7 @@
 	w.Apply(1, record)
 	w.RecordsApplied(at(0), false)
 	moving := at(9*time.Hour + time.Second)
-	w.AddCounts(moving, []window.TenantCounts{{Tenant: "east", Requests: 100, Served: 80, Failed: 15, ExclusionOverrides: 5}}, true)
+	w.AddCounts(moving, []maintenance.TenantCounts{{Tenant: "east", Requests: 100, Served: 80, Failed: 15, ExclusionOverrides: 5}}, true)
 	due := w.NextActions(moving, fleet.VoterState{Voters: []int{1}})
 	require.Len(t, due.Messages, 1)
 	requireGolden(t, "messages.txt", []goldenForm{
--- a/window/seat/seat.go
+++ b/internal/control/maintenance/maintenancelog/seat.go
@@ -1,28 +1,28 @@
-// Package seat gives package window its place above a fleet.Node: it is the machine of the log's records that
+// Package maintenancelog gives package window its place above a fleet.Node: it is the machine of the log's records that
 // are about windows, says what to keep off, and brings windows through their course where its voter leads.
-package seat
+package maintenancelog
 
 import (
 	"errors"
 	"slices"
 	"time"
 
-	"dunestep/decide"
-	"dunestep/fleet"
-	"dunestep/fleet/lease"
-	"dunestep/policy"
-	"dunestep/window"
+	"dunestep/internal/balancer"
+	"dunestep/internal/control/maintenance"
+	"dunestep/internal/control/policy"
+	"dunestep/internal/fleet"
+	"dunestep/internal/fleet/lease"
 )
 
 // Adapter is one process's. It is called by its node alone, as a fleet.StateMachine and as fleet.Application; Exclusions, EncodeProposal
 // and the others from where the node is called.
 type Adapter struct {
 	settings Settings
-	machine  *window.StateMachine
-	agent    *window.Agent
-	proposer *window.Proposer // nil: not a voter
+	machine  *maintenance.StateMachine
+	agent    *maintenance.Agent
+	proposer *maintenance.Proposer // nil: not a voter
 
-	counts       []window.TenantCounts
+	counts       []maintenance.TenantCounts
 	overloaded   bool
 	reportNumber uint64
 	reportAt     time.Duration
@@ -37,26 +37,26 @@
 	Times         policy.Times
 	Turns         int // the same at all agents; zero: none
 	// MaxInFlight is the longest that a request may still be on its way, 30 s; ClockMargin what is waited for beside, 10
-	// s; MinNotice the least one of a window, window.MinNotice: see window.Proposal.
+	// s; MinNotice the least one of a window, maintenance.MinNotice: see maintenance.Proposal.
 	MaxInFlight, ClockMargin, MinNotice time.Duration
 	// InForce is the newest version of the policy that was activated, by the records applied so far: the
 	// policy's seat is to be a machine before this one.
 	InForce func() uint64
 	// View is what this process sees now; asked at a voter that leads, while there are windows.
-	View func(now fleet.ClockReading) window.LeaderView
+	View func(now fleet.ClockReading) maintenance.LeaderView
 }
 
 // New returns the seat of a process that starts.
 func New(set Settings, now fleet.ClockReading) *Adapter {
-	s := &Adapter{settings: set, machine: window.NewStateMachine(set.InForce)}
+	s := &Adapter{settings: set, machine: maintenance.NewStateMachine(set.InForce)}
 	s.start(now)
 	return s
 }
 
 func (s *Adapter) start(now fleet.ClockReading) {
-	s.agent = window.NewAgent(s.settings.Turns)
+	s.agent = maintenance.NewAgent(s.settings.Turns)
 	if s.settings.IsVoter {
-		s.proposer = window.NewProposer(window.ProposerSettings{
+		s.proposer = maintenance.NewProposer(maintenance.ProposerSettings{
 			Times: s.settings.Times, MaxInFlight: s.settings.MaxInFlight,
 			ClockMargin: s.settings.ClockMargin,
 		}, now)
@@ -108,14 +108,14 @@
 // NextActions implements fleet.Application. Nothing is sent while no window moves anything.
 func (s *Adapter) NextActions(now fleet.ClockReading, v fleet.VoterState) (due fleet.Actions) {
 	moves, next := s.machine.MovesTraffic(now.Unix)
-	due.Next = now.Mono + min(max(next-now.Unix, window.ReportInterval/4), time.Minute)
+	due.Next = now.Mono + min(max(next-now.Unix, maintenance.ReportInterval/4), time.Minute)
 	if moves && now.Mono >= s.reportAt {
 		s.reportNumber++
-		data := window.EncodeReport(s.settings.Incarnation, s.reportNumber, s.takeCounts(), s.overloaded)
+		data := maintenance.EncodeReport(s.settings.Incarnation, s.reportNumber, s.takeCounts(), s.overloaded)
 		for _, voter := range v.Voters {
 			due.Messages = append(due.Messages, fleet.Message{To: voter, Data: data})
 		}
-		s.reportAt = now.Mono + window.ReportInterval
+		s.reportAt = now.Mono + maintenance.ReportInterval
 	}
 	if moves {
 		due.Next = min(due.Next, s.reportAt)
@@ -123,7 +123,7 @@
 	if s.proposer == nil || !v.IsLeader || s.proposer.IsIdle() {
 		return due
 	}
-	records, again := s.proposer.Due(now, func() window.LeaderView { return s.view(now) })
+	records, again := s.proposer.Due(now, func() maintenance.LeaderView { return s.view(now) })
 	for _, r := range records {
 		due.Proposals = append(due.Proposals, fleet.Proposal{Machine: s.settings.MachineNumber, Data: r})
 	}
@@ -131,22 +131,22 @@
 	return due
 }
 
-func (s *Adapter) view(now fleet.ClockReading) window.LeaderView {
+func (s *Adapter) view(now fleet.ClockReading) maintenance.LeaderView {
 	if s.settings.View == nil {
-		return window.LeaderView{}
+		return maintenance.LeaderView{}
 	}
 	return s.settings.View(now)
 }
 
 // taken are the counts of the tenants that windows move, which are told now.
-func (s *Adapter) takeCounts() (counts []window.TenantCounts) {
+func (s *Adapter) takeCounts() (counts []maintenance.TenantCounts) {
 	counts, s.counts = s.counts, nil
 	return counts
 }
 
 // Exclusions is what requests keep off now; all three are read for this decision. The same one while nothing
 // changes; nil: nothing.
-func (s *Adapter) Exclusions(now fleet.ClockReading, standing lease.Standing, acting policy.Active) *decide.Exclusions {
+func (s *Adapter) Exclusions(now fleet.ClockReading, standing lease.Standing, acting policy.Active) *balancer.Exclusions {
 	return s.agent.Exclusions(now, standing, acting)
 }
 
@@ -158,14 +158,14 @@
 
 // AddCounts takes how tenants' requests have fared since it was called last, and whether the storm gate is on.
 // Those of tenants that no window moves are left out.
-func (s *Adapter) AddCounts(now fleet.ClockReading, counts []window.TenantCounts, storm bool) {
+func (s *Adapter) AddCounts(now fleet.ClockReading, counts []maintenance.TenantCounts, storm bool) {
 	s.overloaded = storm
 	for _, c := range counts {
 		if !s.machine.AffectsTenant(c.Tenant, now.Unix) {
 			continue
 		}
-		i := slices.IndexFunc(s.counts, func(o window.TenantCounts) bool { return o.Tenant == c.Tenant })
-		if i < 0 && len(s.counts) < window.MaxCounts {
+		i := slices.IndexFunc(s.counts, func(o maintenance.TenantCounts) bool { return o.Tenant == c.Tenant })
+		if i < 0 && len(s.counts) < maintenance.MaxCounts {
 			s.counts = append(s.counts, c)
 		} else if i >= 0 {
 			s.counts[i].Requests, s.counts[i].Served = s.counts[i].Requests+c.Requests, s.counts[i].Served+c.Served
@@ -176,7 +176,7 @@
 
 // Windows is the windows that are known, as they stand now; those that are over for a day. They are not to be
 // changed.
-func (s *Adapter) Windows(now fleet.ClockReading) []*window.Window {
+func (s *Adapter) Windows(now fleet.ClockReading) []*maintenance.Window {
 	all := s.machine.Windows()
 	for _, w := range all {
 		w.State = w.StateAt(now.Unix)
@@ -185,35 +185,35 @@
 }
 
 // AgreedWindows are the same, in the states that were agreed, whatever the clock shows.
-func (s *Adapter) AgreedWindows() []*window.Window { return s.machine.Windows() }
+func (s *Adapter) AgreedWindows() []*maintenance.Window { return s.machine.Windows() }
 
 // Revision is what the next ask is made from.
 func (s *Adapter) Revision() uint64 { return s.machine.Revision() }
 
 // Outcome is what is known of an ask.
-func (s *Adapter) Outcome(id string) window.Outcome { return s.machine.Outcome(id) }
+func (s *Adapter) Outcome(id string) maintenance.Outcome { return s.machine.Outcome(id) }
 
 // Outcomes are the asks that are remembered, the newest last.
-func (s *Adapter) Outcomes() []window.Outcome { return s.machine.Outcomes() }
+func (s *Adapter) Outcomes() []maintenance.Outcome { return s.machine.Outcomes() }
 
 // Plan is the window that an ask would be, by this agent's scene, in which it sets Now, Windows, Moved,
-// Turn, MinNotice and ClockMargin; the contracts have to be those of the scene's Policy. The error is window.Plan's.
-func (s *Adapter) Plan(now fleet.ClockReading, ask window.WindowRequest, scene window.PlanInput) (*window.Window, error) {
+// Turn, MinNotice and ClockMargin; the contracts have to be those of the scene's Policy. The error is maintenance.Plan's.
+func (s *Adapter) Plan(now fleet.ClockReading, ask maintenance.WindowRequest, scene maintenance.PlanInput) (*maintenance.Window, error) {
 	scene.Now, scene.Windows, scene.CountWindows = now.Unix, s.openWindows(), s.machine.CountWindows
 	scene.MinNotice, scene.ClockMargin = s.settings.MinNotice, s.settings.ClockMargin
-	if turns := window.Turns(s.settings.Turns); turns > 0 {
-		scene.IsInTurn = func(n window.Server, from, to time.Duration) bool {
+	if turns := maintenance.Turns(s.settings.Turns); turns > 0 {
+		scene.IsInTurn = func(n maintenance.Server, from, to time.Duration) bool {
 			return turns.Covers(n.ID, n.Zone, from, to)
 		}
 	}
-	return window.Plan(ask, scene)
+	return maintenance.Plan(ask, scene)
 }
 
 // ErrPolicyChanged: a newer version of the policy was activated than the one that this agent acts on.
 var ErrPolicyChanged = errors.New("window: a newer policy takes hold; ask again in a moment")
 
 // EncodeProposal is what proposes an ask, as the window that it would be.
-func (s *Adapter) EncodeProposal(now fleet.ClockReading, ask window.WindowRequest, scene window.PlanInput) ([]byte, *window.Window, error) {
+func (s *Adapter) EncodeProposal(now fleet.ClockReading, ask maintenance.WindowRequest, scene maintenance.PlanInput) ([]byte, *maintenance.Window, error) {
 	if scene.PolicyVersion != s.settings.InForce() {
 		return nil, nil, ErrPolicyChanged
 	}
@@ -221,7 +221,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	data, err := window.EncodeProposal(window.Proposal{
+	data, err := maintenance.EncodeProposal(maintenance.Proposal{
 		Window: w, Agent: s.settings.Self, Now: now.Unix, PolicyVersion: scene.PolicyVersion,
 		Revision: s.machine.Revision(), MinNotice: s.settings.MinNotice,
 	})
@@ -230,11 +230,11 @@
 
 // EncodeStop is what proposes that a window returns at once, or, before it has begun, is not to be.
 func (s *Adapter) EncodeStop(now fleet.ClockReading, id, reason string) []byte {
-	return window.EncodeStop(id, s.settings.Self, now.Unix, reason)
+	return maintenance.EncodeStop(id, s.settings.Self, now.Unix, reason)
 }
 
-func (s *Adapter) openWindows() []*window.Window {
-	return slices.DeleteFunc(s.machine.Windows(), func(w *window.Window) bool {
-		return w.State == window.Ended || w.State == window.Stopped
+func (s *Adapter) openWindows() []*maintenance.Window {
+	return slices.DeleteFunc(s.machine.Windows(), func(w *maintenance.Window) bool {
+		return w.State == maintenance.Ended || w.State == maintenance.Stopped
 	})
 }
--- a/window/next.go
+++ b/internal/control/maintenance/next.go
@@ -1,10 +1,10 @@
-package window
+package maintenance
 
 import (
 	"slices"
 	"time"
 
-	"dunestep/contract"
+	"dunestep/internal/control/maintenance/contract"
 )
 
 // stretch is a time from its first moment to its last, both of it.
--- a/window/plan.go
+++ b/internal/control/maintenance/plan.go
@@ -1,4 +1,4 @@
-package window
+package maintenance
 
 import (
 	"cmp"
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"dunestep/contract"
+	"dunestep/internal/control/maintenance/contract"
 )
 
 // Server is a booking server as the asking agent's own list has it.
--- a/window/plan_test.go
+++ b/internal/control/maintenance/plan_test.go
@@ -1,4 +1,4 @@
-package window
+package maintenance
 
 import (
 	"errors"
@@ -11,7 +11,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/contract"
+	"dunestep/internal/control/maintenance/contract"
 )
 
 // TestReasons: staff are told what is in the way, and from when it no longer is.
--- a/window/records.go
+++ b/internal/control/maintenance/records.go
@@ -1,4 +1,4 @@
-package window
+package maintenance
 
 import (
 	"errors"
--- a/window/search/search.go
+++ b/internal/control/maintenance/search/search.go
@@ -20,11 +20,11 @@
 	"sync/atomic"
 	"time"
 
-	"dunestep/contract"
-	"dunestep/fleet/lease"
-	"dunestep/internal/explore"
-	"dunestep/policy"
-	"dunestep/window"
+	"dunestep/internal/control/maintenance"
+	"dunestep/internal/control/maintenance/contract"
+	"dunestep/internal/control/policy"
+	"dunestep/internal/fleet/lease"
+	"dunestep/internal/modelcheck"
 )
 
 // Setup is a search.
@@ -93,20 +93,20 @@
 type voter struct {
 	known   int8
 	sums    sums
-	council *window.Proposer
+	council *maintenance.Proposer
 }
 
-type sums [window.FingerprintDetails]uint64
+type sums [maintenance.FingerprintDetails]uint64
 
 // place is one in a log, with the state there. Records that change nothing are left out.
 type place struct {
 	id      uint16
 	depth   int8
 	before  *place
-	machine *window.StateMachine
-	state   window.State
+	machine *maintenance.StateMachine
+	state   maintenance.State
 	next    map[*proposal]*place
-	part    *window.Agent // of one that has learnt so far
+	part    *maintenance.Agent // of one that has learnt so far
 }
 
 // proposal is a record, the same one for the same bytes.
@@ -132,8 +132,8 @@
 type search struct {
 	set    Setup
 	seed   maphash.Seed
-	seen   *explore.States
-	apart  *explore.States // of a whole search
+	seen   *modelcheck.States
+	apart  *modelcheck.States // of a whole search
 	acting [policy.ModeFull + 1]policy.Active
 	began  []job
 
@@ -156,9 +156,9 @@
 	}
 	s := &search{
 		set: set, seed: maphash.MakeSeed(), proposals: map[string]*proposal{},
-		seen: explore.NewStates(), apart: explore.NewStates(),
+		seen: modelcheck.NewStates(), apart: modelcheck.NewStates(),
 	}
-	s.root = &place{machine: window.NewStateMachine(func() uint64 { return 1 })}
+	s.root = &place{machine: maintenance.NewStateMachine(func() uint64 { return 1 })}
 	always, err := contract.Table{
 		Zone: "UTC", Hours: []string{"mon-sun 00:00-24:00"}, NoticeMin: 1,
 		MaxLengthMin: 600, MaxPerMonth: 31, KeptCapacity: 0.1, MinServed: 0.9,
@@ -173,7 +173,7 @@
 		policy.ModeFull:   {Mode: policy.ModeFull, Version: 1, Effect: effect},
 	}
 	s.begin(nil)
-	explore.Run(set.Workers, s.began, func(jobs *explore.Jobs[job]) func(job) {
+	modelcheck.Run(set.Workers, s.began, func(jobs *modelcheck.Jobs[job]) func(job) {
 		k := newWorker(s, jobs)
 		return func(j job) {
 			k.steps = j.steps
@@ -216,9 +216,9 @@
 func (s *search) first(agents []agent) (w world, can bool) {
 	w = world{log: s.root, sent: never, troubles: int8(s.set.Troubles), restarts: int8(s.set.Restarts)}
 	at := reading(s.asked())
-	data, err := window.EncodeProposal(window.Proposal{
+	data, err := maintenance.EncodeProposal(maintenance.Proposal{
 		Now: at.Unix, PolicyVersion: 1, MinNotice: reading(from).Unix - at.Unix,
-		Window: &window.Window{
+		Window: &maintenance.Window{
 			ID: "w", Nodes: []string{"n"}, Tenants: []string{"east"}, Steps: 2,
 			From: reading(from).Unix, DrainedAt: reading(drained).Unix, ReturnFrom: reading(back).Unix, To: reading(to).Unix,
 		},
@@ -227,7 +227,7 @@
 		panic(err) // of constants
 	}
 	w.log = s.agree(w.log, s.proposal(data))
-	council := window.NewProposer(s.council(), at)
+	council := maintenance.NewProposer(s.council(), at)
 	council.Learn(at, w.log.machine)
 	led := s.leads(council, s.asked(), false)
 	for _, p := range led.records {
@@ -249,7 +249,7 @@
 		w.agents[i] = a
 	}
 	for i := range s.set.Voters {
-		w.voters[i] = s.learns(window.NewProposer(s.council(), at), w.log, s.asked(), 0)
+		w.voters[i] = s.learns(maintenance.NewProposer(s.council(), at), w.log, s.asked(), 0)
 	}
 	if s.set.Voters > 0 {
 		w.voters[0] = s.learns(led.council, w.log, s.asked(), 0)
@@ -258,8 +258,8 @@
 }
 
 // council has the settings of each voter's.
-func (s *search) council() window.ProposerSettings {
-	set := window.ProposerSettings{
+func (s *search) council() maintenance.ProposerSettings {
+	set := maintenance.ProposerSettings{
 		Times: policy.Times{Terms: terms}, MaxInFlight: lingers * 12 * time.Second,
 		ClockMargin: margin * 12 * time.Second,
 	}
@@ -276,7 +276,7 @@
 func (s *search) proposal(data []byte) *proposal {
 	p := s.proposals[string(data)]
 	if p == nil {
-		p = &proposal{id: uint16(len(s.proposals) + 1), data: data, frees: window.IsTrafficFreeRecord(data)}
+		p = &proposal{id: uint16(len(s.proposals) + 1), data: data, frees: maintenance.IsTrafficFreeRecord(data)}
 		s.proposals[string(data)] = p
 	}
 	return p
@@ -288,7 +288,7 @@
 	if next != nil {
 		return next
 	}
-	m := window.NewStateMachine(func() uint64 { return 1 })
+	m := maintenance.NewStateMachine(func() uint64 { return 1 })
 	if err := m.Restore(last.machine.Snapshot()); err != nil {
 		panic(err) // of its own
 	}
@@ -316,40 +316,40 @@
 }
 
 // learns has a council learn what is agreed, at a time, and be looked at later.
-func (s *search) learns(c *window.Proposer, p *place, now, later int) voter {
+func (s *search) learns(c *maintenance.Proposer, p *place, now, later int) voter {
 	c = c.Fork()
 	c.Learn(reading(now), p.machine)
 	return voter{known: p.depth, sums: s.sums(c, later), council: c}
 }
 
-func (s *search) sums(c *window.Proposer, now int) (all sums) {
+func (s *search) sums(c *maintenance.Proposer, now int) (all sums) {
 	for d := range all {
-		all[d] = maphash.Bytes(s.seed, c.Fingerprint(reading(now), most*step, window.FingerprintDetail(d), nil))
+		all[d] = maphash.Bytes(s.seed, c.Fingerprint(reading(now), most*step, maintenance.FingerprintDetail(d), nil))
 	}
 	return all
 }
 
 // led is what comes of a look.
 type led struct {
-	council *window.Proposer
+	council *maintenance.Proposer
 	sums    sums
 	changed bool // the council itself
 	records []*proposal
 }
 
 // leads has a council look, and propose.
-func (s *search) leads(c *window.Proposer, at int, trouble bool) (l led) {
+func (s *search) leads(c *maintenance.Proposer, at int, trouble bool) (l led) {
 	c, now := c.Fork(), reading(at)
 	was := s.sums(c, at)
-	count := window.TenantCounts{Tenant: "east", Requests: 100, Served: 100}
+	count := maintenance.TenantCounts{Tenant: "east", Requests: 100, Served: 100}
 	if trouble {
 		count.Served, count.Failed = 50, 50
 	}
-	c.SetReports(now, []window.TenantCounts{count})
-	records, _ := c.Due(now, func() window.LeaderView {
-		return window.LeaderView{
+	c.SetReports(now, []maintenance.TenantCounts{count})
+	records, _ := c.Due(now, func() maintenance.LeaderView {
+		return maintenance.LeaderView{
 			Standing: lease.Full, Active: s.acting[policy.ModeFull], InForce: 1,
-			Servers: []window.Server{{ID: "n", Capacity: 1}, {ID: "m", Capacity: 9}},
+			Servers: []maintenance.Server{{ID: "n", Capacity: 1}, {ID: "m", Capacity: 9}},
 		}
 	})
 	c.ResetRetries()
@@ -361,12 +361,12 @@
 	return l
 }
 
-func (s *search) part(m *window.StateMachine) *window.Agent {
+func (s *search) part(m *maintenance.StateMachine) *maintenance.Agent {
 	turns := 1 // each server has its turn: the window is in it
 	if s.set.Without == "turns" {
 		turns = 0
 	}
-	a := window.NewAgent(turns)
+	a := maintenance.NewAgent(turns)
 	a.Learn(m)
 	return a
 }
