--- a/window/search/worker.go
+++ b/internal/control/maintenance/search/worker.go
@@ -8,10 +8,10 @@
 	"math"
 	"slices"
 
-	"dunestep/fleet/lease"
-	"dunestep/internal/explore"
-	"dunestep/policy"
-	"dunestep/window"
+	"dunestep/internal/control/maintenance"
+	"dunestep/internal/control/policy"
+	"dunestep/internal/fleet/lease"
+	"dunestep/internal/modelcheck"
 )
 
 // job is a state from which a worker is to go on.
@@ -55,7 +55,7 @@
 // worker has what it has asked parts for.
 type worker struct {
 	*search
-	jobs   *explore.Jobs[job]
+	jobs   *modelcheck.Jobs[job]
 	steps  []taken
 	agreed map[agreeing]*place
 	learnt map[learning]voter
@@ -101,7 +101,7 @@
 	turn  bool
 }
 
-func newWorker(s *search, jobs *explore.Jobs[job]) *worker {
+func newWorker(s *search, jobs *modelcheck.Jobs[job]) *worker {
 	return &worker{
 		search: s, jobs: jobs, agreed: map[agreeing]*place{}, learnt: map[learning]voter{},
 		led:    map[leading]led{},
@@ -144,7 +144,7 @@
 	if !k.seen.Note(k.key(w, k.set.Whole)) {
 		return
 	}
-	if w.log.state == window.Free && w.now < back {
+	if w.log.state == maintenance.Free && w.now < back {
 		k.free.Add(1)
 	}
 	k.follow(w)
@@ -153,9 +153,9 @@
 // sum tells what a council does from what others do.
 func (k *worker) sum(v *voter) uint64 {
 	if k.set.Whole {
-		return v.sums[window.Everything]
+		return v.sums[maintenance.Everything]
 	}
-	return v.sums[window.Alive]
+	return v.sums[maintenance.Alive]
 }
 
 // forget leaves out what cannot matter any more: of leases, those for which another stands; where the window
@@ -166,7 +166,7 @@
 		w.agents[i].forget()
 	}
 	state := w.log.state
-	returns := state == window.Returning || state == window.Ended || state == window.Stopped
+	returns := state == maintenance.Returning || state == maintenance.Ended || state == maintenance.Stopped
 	if !returns && w.now < back {
 		return
 	}
@@ -283,7 +283,7 @@
 	}
 	p := w.log.up(v.known)
 	return remembered(k, k.learnt, learning{0, p, w.now}, func() voter {
-		return k.learns(window.NewProposer(k.council(), reading(at)), p, at, int(w.now))
+		return k.learns(maintenance.NewProposer(k.council(), reading(at)), p, at, int(w.now))
 	})
 }
 
@@ -357,7 +357,7 @@
 			return text
 		}
 	}
-	if w.log.state == window.Free && w.now < back && w.now < w.sent+lingers {
+	if w.log.state == maintenance.Free && w.now < back && w.now < w.sent+lingers {
 		return fmt.Sprintf("what was sent at %d arrives while the node is free", w.sent)
 	}
 	return ""
@@ -400,7 +400,7 @@
 	if off.below == math.MaxUint32 || off.turn {
 		return ""
 	}
-	if w.now < back && w.log.state == window.Free {
+	if w.now < back && w.log.state == maintenance.Free {
 		return fmt.Sprintf("agent %d sends to the node while it is free", i)
 	}
 	w.sent = w.now
@@ -412,17 +412,17 @@
 	lags := v.known < w.log.depth
 	switch {
 	case whole:
-		return v.sums[window.Everything]
+		return v.sums[maintenance.Everything]
 	case w.troubles > 0 && lags:
-		return v.sums[window.Lagging]
+		return v.sums[maintenance.Lagging]
 	case w.troubles > 0:
-		return v.sums[window.Alive]
-	case lags && w.log.state == window.Paused:
-		return v.sums[window.QuietLagging]
+		return v.sums[maintenance.Alive]
+	case lags && w.log.state == maintenance.Paused:
+		return v.sums[maintenance.QuietLagging]
 	case lags:
 		return 0
 	}
-	return v.sums[window.Quiet]
+	return v.sums[maintenance.Quiet]
 }
 
 // key is a hash of the state. Agents, and voters, that have changed places are the same.
--- a/window/window.go
+++ b/internal/control/maintenance/window.go
@@ -1,7 +1,7 @@
-// Package window has maintenance windows: a tenant's traffic leaves nodes for a while, only in the hours that
+// Package maintenance has maintenance windows: a tenant's traffic leaves nodes for a while, only in the hours that
 // its contract allows, and by a plan in absolute time, so that no agent needs a calendar, or anybody's word,
 // to end it.
-package window
+package maintenance
 
 import (
 	"time"
--- a/window/window_test.go
+++ b/internal/control/maintenance/window_test.go
@@ -1,4 +1,4 @@
-package window
+package maintenance
 
 import (
 	"fmt"
@@ -9,10 +9,10 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"dunestep/contract"
-	"dunestep/decide"
-	"dunestep/fleet/lease"
-	"dunestep/policy"
+	"dunestep/internal/balancer"
+	"dunestep/internal/control/maintenance/contract"
+	"dunestep/internal/control/policy"
+	"dunestep/internal/fleet/lease"
 )
 
 // begin is a Monday noon, UTC.
@@ -174,7 +174,7 @@
 	at := func(d time.Duration) lease.ClockReading { return lease.ClockReading{Unix: from + d, Mono: d} }
 	require.Nil(t, a.Exclusions(at(-time.Second), lease.Full, full))
 	held := a.Exclusions(at(99*time.Second), lease.Full, full)
-	require.Equal(t, &decide.Exclusions{Tenants: map[string]map[string]uint32{"east": {"n1": 1 << 31, "n2": 1 << 31}}}, held)
+	require.Equal(t, &balancer.Exclusions{Tenants: map[string]map[string]uint32{"east": {"n1": 1 << 31, "n2": 1 << 31}}}, held)
 	require.Same(t, held, a.Exclusions(at(2000*time.Second), lease.Full, full))
 	a.Learn(m)
 	require.Same(t, held, a.Exclusions(at(2001*time.Second), lease.Full, full), "nothing has changed")
--- a/policy/agent.go
+++ b/internal/control/policy/agent.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"dunestep/fleet/lease"
+	"dunestep/internal/fleet/lease"
 )
 
 // Mode is what an agent goes by.
--- a/policy/council.go
+++ b/internal/control/policy/council.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"dunestep/fleet/lease"
+	"dunestep/internal/fleet/lease"
 )
 
 // Proposer brings a change to its end. Each voter has one, and the leader proposes what its says; whoever
--- a/policy/document.go
+++ b/internal/control/policy/document.go
@@ -8,9 +8,9 @@
 	"strings"
 	"time"
 
-	"dunestep/contract"
-	"dunestep/decide"
-	"dunestep/internal/strict"
+	"dunestep/internal/balancer"
+	"dunestep/internal/control/maintenance/contract"
+	"dunestep/internal/stricttoml"
 )
 
 const (
@@ -88,13 +88,13 @@
 	MaxFailedRatio float64 `toml:"in_vain" range:"0.05..1" default:"1"`
 }
 
-// ParseDocument reads a document. The error is strict.Problems, with lines and columns.
+// ParseDocument reads a document. The error is stricttoml.Problems, with lines and columns.
 func ParseDocument(name string, data []byte) (*Document, error) {
 	if len(data) > MaxDocumentSize {
-		return nil, strict.Problems{{File: name, Text: fmt.Sprintf("is longer than %d bytes", MaxDocumentSize)}}
+		return nil, stricttoml.Problems{{File: name, Text: fmt.Sprintf("is longer than %d bytes", MaxDocumentSize)}}
 	}
 	d := &Document{hedgingRequested: map[string]bool{}}
-	err := strict.Read(name, data, &d.file, func(doc *strict.Document) {
+	err := stricttoml.Read(name, data, &d.file, func(doc *stricttoml.Document) {
 		for class, a := range d.file.Classes {
 			d.hedgingRequested[class] = a.Hedging && doc.Has("classes."+class, "copies")
 		}
@@ -114,7 +114,7 @@
 }
 
 // parseContracts checks what the tags of a contract cannot say.
-func (d *Document) parseContracts(doc *strict.Document) {
+func (d *Document) parseContracts(doc *stricttoml.Document) {
 	d.contracts = map[string]*contract.Contract{} // never nil, so that none is told from not known
 	for _, name := range slices.Sorted(maps.Keys(d.file.Contracts)) {
 		path := "contracts." + name
@@ -154,9 +154,9 @@
 func (d *Document) Floor() Floor { return d.file.Floor }
 
 // LocalSettings is what an agent holds a document against: what its settings permit, and its own figure of the throttle
-// (storm.Config.MaxFailedRatio; zero: none).
+// (overload.Config.MaxFailedRatio; zero: none).
 type LocalSettings struct {
-	Settings       decide.Settings
+	Settings       balancer.Settings
 	MaxFailedRatio float64
 }
 
--- a/policy/effect.go
+++ b/internal/control/policy/effect.go
@@ -3,14 +3,14 @@
 import (
 	"time"
 
-	"dunestep/contract"
+	"dunestep/internal/control/maintenance/contract"
 )
 
 // Effect is what a policy means to one agent. It is not to be changed.
 type Effect struct {
 	Quota          []float64     // by the settings' tenants: requests a second over the fleet; none is never exceeded
 	Classes        []ClassEffect // by the settings' classes
-	MaxFailedRatio float64       // the throttle's: storm.Config.MaxFailedRatio; 1: it lets all in
+	MaxFailedRatio float64       // the throttle's: overload.Config.MaxFailedRatio; 1: it lets all in
 	// Contracts and Capacity are of the version that is acted on, or whose floor it is: none by the bottom and
 	// by version 0, and nil too where a floor's document cannot be read here. A tenant without a contract ("-":
 	// requests of none of the settings' tenants) may never be moved.
--- a/policy/example_test.go
+++ b/internal/control/policy/example_test.go
@@ -3,15 +3,15 @@
 import (
 	"fmt"
 
-	"dunestep/decide"
-	"dunestep/policy"
+	"dunestep/internal/balancer"
+	"dunestep/internal/control/policy"
 )
 
 // An agent holds documents against its settings and the floor before it says yes.
 func Example() {
-	own := policy.LocalSettings{MaxFailedRatio: 0.25, Settings: decide.Settings{
-		Tenants: []decide.Tenant{{Name: "east", QuotaPerSecond: 60}, {Name: "west", QuotaPerSecond: 40}},
-		Classes: []decide.Class{{Name: "find"}}, Limits: decide.Limits{MaxAttempts: 3},
+	own := policy.LocalSettings{MaxFailedRatio: 0.25, Settings: balancer.Settings{
+		Tenants: []balancer.Tenant{{Name: "east", QuotaPerSecond: 60}, {Name: "west", QuotaPerSecond: 40}},
+		Classes: []balancer.Class{{Name: "find"}}, Limits: balancer.Limits{MaxAttempts: 3},
 	}}
 	for _, text := range []string{
 		"format = 1\n[tenants.east]\nshare = 0.55\n[tenants.west]\nshare = 0.45\n",
--- a/policy/explore.go
+++ b/internal/control/policy/explore.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"dunestep/fleet/lease"
+	"dunestep/internal/fleet/lease"
 )
 
 // For searches that try all that can happen (package search): parts of a world are copied before each step,
--- a/policy/golden_test.go
+++ b/internal/control/policy/golden_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/decide"
+	"dunestep/internal/balancer"
 )
 
 // update has the golden files written anew. They were made by the build before the packages were renamed: a
@@ -196,10 +196,10 @@
 func TestGoldenDocument(t *testing.T) {
 	text, err := os.ReadFile("testdata/golden/document.toml")
 	require.NoError(t, err)
-	own := LocalSettings{MaxFailedRatio: 0.9, Settings: decide.Settings{
-		Tenants: []decide.Tenant{{Name: "east", QuotaPerSecond: 60}, {Name: "west", QuotaPerSecond: 40}, {Name: "free"}},
-		Classes: []decide.Class{{Name: "find"}, {Name: "book"}},
-		Limits:  decide.Limits{MaxAttempts: 3, Hedging: true},
+	own := LocalSettings{MaxFailedRatio: 0.9, Settings: balancer.Settings{
+		Tenants: []balancer.Tenant{{Name: "east", QuotaPerSecond: 60}, {Name: "west", QuotaPerSecond: 40}, {Name: "free"}},
+		Classes: []balancer.Class{{Name: "find"}, {Name: "book"}},
+		Limits:  balancer.Limits{MaxAttempts: 3, Hedging: true},
 	}}
 	d, err := ParseDocument("document.toml", text)
 	require.NoError(t, err)
--- a/policy/judge/judge.go
+++ b/internal/control/policy/judge/judge.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"time"
 
-	"dunestep/policy"
+	"dunestep/internal/control/policy"
 )
 
 // Decision is one of an agent's, at a true time. Decisions are to be told in the order of their times.
--- a/policy/judge/judge_test.go
+++ b/internal/control/policy/judge/judge_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/policy"
+	"dunestep/internal/control/policy"
 )
 
 func TestJudge(t *testing.T) {
--- a/policy/lab/beside.go
+++ b/internal/control/policy/lab/beside.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"dunestep/fleet"
-	"dunestep/fleet/lease"
-	"dunestep/policy"
+	"dunestep/internal/control/policy"
+	"dunestep/internal/fleet"
+	"dunestep/internal/fleet/lease"
 )
 
 // Beside is what stands beside the policy in one process, with records of its own in the same log: a
--- a/policy/lab/course.go
+++ b/internal/control/policy/lab/course.go
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
-	"dunestep/fleet/lease"
-	"dunestep/fleet/lossy"
-	"dunestep/policy"
+	"dunestep/internal/control/policy"
+	"dunestep/internal/fleet/lease"
+	"dunestep/internal/simnet/lossy"
 )
 
 // Terms are those of the courses: short, so that much happens in little time.
--- a/policy/lab/lab.go
+++ b/internal/control/policy/lab/lab.go
@@ -10,12 +10,12 @@
 	"fmt"
 	"time"
 
-	"dunestep/decide"
-	"dunestep/fleet/chronicle"
-	"dunestep/fleet/lease"
-	"dunestep/fleet/lossy"
-	"dunestep/policy"
-	"dunestep/policy/judge"
+	"dunestep/internal/balancer"
+	"dunestep/internal/control/policy"
+	"dunestep/internal/control/policy/judge"
+	"dunestep/internal/fleet/lease"
+	"dunestep/internal/fleet/replica"
+	"dunestep/internal/simnet/lossy"
 )
 
 // Setup is one course. The same one is the same course.
@@ -138,10 +138,10 @@
 
 // Own are the settings of all agents.
 func Own() policy.LocalSettings {
-	return policy.LocalSettings{MaxFailedRatio: 0.25, Settings: decide.Settings{
-		Tenants: []decide.Tenant{{Name: "east", QuotaPerSecond: 60}, {Name: "west", QuotaPerSecond: 40}},
-		Classes: []decide.Class{{Name: "find"}, {Name: "book"}},
-		Limits:  decide.Limits{MaxAttempts: 3, Hedging: true},
+	return policy.LocalSettings{MaxFailedRatio: 0.25, Settings: balancer.Settings{
+		Tenants: []balancer.Tenant{{Name: "east", QuotaPerSecond: 60}, {Name: "west", QuotaPerSecond: 40}},
+		Classes: []balancer.Class{{Name: "find"}, {Name: "book"}},
+		Limits:  balancer.Limits{MaxAttempts: 3, Hedging: true},
 	}}
 }
 
@@ -275,7 +275,7 @@
 	v.reads, v.requests = nil, map[uint64]message{}
 }
 
-func at(n int) chronicle.Position { return chronicle.Position{Epoch: 1, Seq: uint64(n)} }
+func at(n int) replica.Position { return replica.Position{Epoch: 1, Seq: uint64(n)} }
 
 func (l *Lab) send(from, to int, m message) {
 	m.life = l.node(from).life
--- a/policy/lab/lab_test.go
+++ b/internal/control/policy/lab/lab_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/policy"
+	"dunestep/internal/control/policy"
 )
 
 // TestMain: what is kept is small and what is made on the way is much.
--- a/policy/member.go
+++ b/internal/control/policy/member.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"dunestep/fleet/lease"
+	"dunestep/internal/fleet/lease"
 )
 
 // Replica is one agent's part in all of it: the state, the agent's side, and at a voter the voter's and the
--- a/policy/policy.go
+++ b/internal/control/policy/policy.go
@@ -41,7 +41,7 @@
 	"math"
 	"time"
 
-	"dunestep/fleet/lease"
+	"dunestep/internal/fleet/lease"
 )
 
 // Times are the same at all agents of a fleet.
--- a/policy/policy_test.go
+++ b/internal/control/policy/policy_test.go
@@ -10,15 +10,15 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"dunestep/contract"
-	"dunestep/decide"
-	"dunestep/fleet/lease"
+	"dunestep/internal/balancer"
+	"dunestep/internal/control/maintenance/contract"
+	"dunestep/internal/fleet/lease"
 )
 
 func own() LocalSettings {
-	return LocalSettings{MaxFailedRatio: 0.25, Settings: decide.Settings{
-		Tenants: []decide.Tenant{{Name: "east", QuotaPerSecond: 60}, {Name: "west", QuotaPerSecond: 40}, {Name: "free"}},
-		Classes: []decide.Class{{Name: "find"}, {Name: "book"}}, Limits: decide.Limits{MaxAttempts: 3},
+	return LocalSettings{MaxFailedRatio: 0.25, Settings: balancer.Settings{
+		Tenants: []balancer.Tenant{{Name: "east", QuotaPerSecond: 60}, {Name: "west", QuotaPerSecond: 40}, {Name: "free"}},
+		Classes: []balancer.Class{{Name: "find"}, {Name: "book"}}, Limits: balancer.Limits{MaxAttempts: 3},
 	}}
 }
 
@@ -252,7 +252,7 @@
 
 // TestDocs: the example in the page for staff can be used, and its floor is the one that holds without any.
 func TestDocs(t *testing.T) {
-	page, err := os.ReadFile("../docs/policy.md")
+	page, err := os.ReadFile("../../../docs/policy.md")
 	require.NoError(t, err)
 	_, rest, found := strings.Cut(string(page), "```toml policy\n")
 	require.True(t, found)
--- a/policy/seat/golden_test.go
+++ b/internal/control/policy/policylog/golden_test.go
@@ -1,4 +1,4 @@
-package seat
+package policylog
 
 import (
 	"encoding/hex"
@@ -11,8 +11,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/fleet"
-	"dunestep/policy"
+	"dunestep/internal/control/policy"
+	"dunestep/internal/fleet"
 )
 
 // update has the golden files written anew. They were made by the build before the packages were renamed: a
--- a/policy/seat/measure_test.go
+++ b/internal/control/policy/policylog/measure_test.go
@@ -1,4 +1,4 @@
-package seat
+package policylog
 
 import (
 	"math"
@@ -10,7 +10,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/fleet/fleetlab"
+	"dunestep/internal/fleet/fleetlab"
 )
 
 // inForce plays one change in a fleet of whole nodes whose ways lose a part of all datagrams, and gives how long it took
--- a/policy/seat/seat.go
+++ b/internal/control/policy/policylog/seat.go
@@ -1,14 +1,14 @@
-// Package seat gives package policy its place above a fleet.Node: it is the machine of the log's records
+// Package policylog gives package policy its place above a fleet.Node: it is the machine of the log's records
 // that are about policies, and has its say in leases.
-package seat
+package policylog
 
 import (
 	"encoding/binary"
 	"time"
 
-	"dunestep/fleet"
-	"dunestep/fleet/lease"
-	"dunestep/policy"
+	"dunestep/internal/control/policy"
+	"dunestep/internal/fleet"
+	"dunestep/internal/fleet/lease"
 )
 
 // voterCheckInterval is how often a voter looks who the voters are while nothing else is due: reports count only
--- a/policy/seat/seat_test.go
+++ b/internal/control/policy/policylog/seat_test.go
@@ -1,4 +1,4 @@
-package seat
+package policylog
 
 import (
 	"encoding/json"
@@ -11,13 +11,13 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/decide"
-	"dunestep/fleet"
-	"dunestep/fleet/fleetlab"
-	"dunestep/fleet/hunting"
-	"dunestep/fleet/lease"
-	"dunestep/policy"
-	"dunestep/policy/judge"
+	"dunestep/internal/balancer"
+	"dunestep/internal/control/policy"
+	"dunestep/internal/control/policy/judge"
+	"dunestep/internal/fleet"
+	"dunestep/internal/fleet/fleetlab"
+	"dunestep/internal/fleet/hunting"
+	"dunestep/internal/fleet/lease"
 )
 
 // played is a fleet of whole nodes with policies above, and the judge of what they decide.
@@ -34,10 +34,10 @@
 	course   uint64                       // a sum over all decisions: another course has another
 }
 
-var own = policy.LocalSettings{MaxFailedRatio: 0.25, Settings: decide.Settings{
-	Tenants: []decide.Tenant{{Name: "east", QuotaPerSecond: 60}, {Name: "west", QuotaPerSecond: 40}},
-	Classes: []decide.Class{{Name: "find"}, {Name: "book"}},
-	Limits:  decide.Limits{MaxAttempts: 3, Hedging: true},
+var own = policy.LocalSettings{MaxFailedRatio: 0.25, Settings: balancer.Settings{
+	Tenants: []balancer.Tenant{{Name: "east", QuotaPerSecond: 60}, {Name: "west", QuotaPerSecond: 40}},
+	Classes: []balancer.Class{{Name: "find"}, {Name: "book"}},
+	Limits:  balancer.Limits{MaxAttempts: 3, Hedging: true},
 }}
 
 func document(n int) string {
--- a/policy/records.go
+++ b/internal/control/policy/records.go
@@ -85,7 +85,7 @@
 // ErrProposal: the fields of a Proposal are not such that it could ever be taken.
 var ErrProposal = errors.New("policy: no such change")
 
-// EncodeProposal returns the record of a change, for the log. The error is strict.Problems or ErrProposal.
+// EncodeProposal returns the record of a change, for the log. The error is stricttoml.Problems or ErrProposal.
 func EncodeProposal(p Proposal) ([]byte, error) {
 	d, err := ParseDocument("policy", p.Document)
 	if err != nil {
--- a/policy/search/search.go
+++ b/internal/control/policy/search/search.go
@@ -18,10 +18,10 @@
 	"sync/atomic"
 	"time"
 
-	"dunestep/decide"
-	"dunestep/fleet/lease"
-	"dunestep/internal/explore"
-	"dunestep/policy"
+	"dunestep/internal/balancer"
+	"dunestep/internal/control/policy"
+	"dunestep/internal/fleet/lease"
+	"dunestep/internal/modelcheck"
 )
 
 // Setup is a search.
@@ -123,8 +123,8 @@
 	set   Setup
 	all   []int // voters
 	seed  maphash.Seed
-	seen  *explore.States
-	apart *explore.States // of a whole search
+	seen  *modelcheck.States
+	apart *modelcheck.States // of a whole search
 
 	sync.Mutex // of what follows, and of all parts that are asked what they do
 	root       *place
@@ -137,9 +137,9 @@
 }
 
 func own(attempts int) policy.LocalSettings {
-	return policy.LocalSettings{Settings: decide.Settings{
-		Classes: []decide.Class{{Name: "find"}},
-		Limits:  decide.Limits{MaxAttempts: attempts},
+	return policy.LocalSettings{Settings: balancer.Settings{
+		Classes: []balancer.Class{{Name: "find"}},
+		Limits:  balancer.Limits{MaxAttempts: attempts},
 	}}
 }
 
@@ -152,14 +152,14 @@
 		panic(fmt.Sprintf("%+v: there is no room for so many", set))
 	}
 	s := &search{
-		set: set, all: []int{0, 1, 2}[:set.Voters], seed: maphash.MakeSeed(), seen: explore.NewStates(),
-		apart: explore.NewStates(), proposals: map[string]*proposal{}, root: &place{machine: policy.NewStateMachine()},
+		set: set, all: []int{0, 1, 2}[:set.Voters], seed: maphash.MakeSeed(), seen: modelcheck.NewStates(),
+		apart: modelcheck.NewStates(), proposals: map[string]*proposal{}, root: &place{machine: policy.NewStateMachine()},
 	}
 	var began []job
 	for _, age := range [][mostVoters]int{{0, 0, 0}, {0, 2, 1}, {1, 1, 2}, {2, 1, 0}} {
 		began = append(began, job{w: s.begin(age)})
 	}
-	explore.Run(set.Workers, began, func(jobs *explore.Jobs[job]) func(job) {
+	modelcheck.Run(set.Workers, began, func(jobs *modelcheck.Jobs[job]) func(job) {
 		k := newWorker(s, jobs)
 		return func(j job) {
 			k.steps = j.steps
--- a/policy/search/worker.go
+++ b/internal/control/policy/search/worker.go
@@ -6,9 +6,9 @@
 	"hash/maphash"
 	"slices"
 
-	"dunestep/fleet/lease"
-	"dunestep/internal/explore"
-	"dunestep/policy"
+	"dunestep/internal/control/policy"
+	"dunestep/internal/fleet/lease"
+	"dunestep/internal/modelcheck"
 )
 
 // job is a state from which a worker is to go on.
@@ -59,7 +59,7 @@
 // worker has what it has asked parts for.
 type worker struct {
 	*search
-	jobs    *explore.Jobs[job]
+	jobs    *modelcheck.Jobs[job]
 	steps   []taken
 	agreed  map[agreeing]*place
 	voters  map[voterAsked]voter
@@ -100,7 +100,7 @@
 	p        *place
 }
 
-func newWorker(s *search, jobs *explore.Jobs[job]) *worker {
+func newWorker(s *search, jobs *modelcheck.Jobs[job]) *worker {
 	return &worker{
 		search: s, jobs: jobs, agreed: map[agreeing]*place{}, voters: map[voterAsked]voter{},
 		records: map[voterAsked][]*proposal{}, met: map[meeting]hears{}, learnt: map[agentAsked]agent{},
--- a/policy/voter.go
+++ b/internal/control/policy/voter.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"dunestep/fleet/lease"
+	"dunestep/internal/fleet/lease"
 )
 
 // Voter is a voter's side of a change, beside its lease.Granter: who may be granted a lease while one is
--- a/policy/zones.go
+++ b/internal/control/policy/zones.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"dunestep/contract"
+	"dunestep/internal/control/maintenance/contract"
 )
 
 const (
--- a/placement/agent.go
+++ b/internal/control/ringassignment/agent.go
@@ -1,10 +1,10 @@
-package placement
+package ringassignment
 
 import (
 	"time"
 
-	"dunestep/decide"
-	"dunestep/fleet/lease"
+	"dunestep/internal/balancer"
+	"dunestep/internal/fleet/lease"
 )
 
 // StandstillLimit is for how long an agent without a lease stands still on the generation that it has. After that it
@@ -22,7 +22,7 @@
 // taken is a generation as it is used.
 type usedGeneration struct {
 	effectiveAt time.Duration
-	assignment  *decide.RingAssignment // nil: as without generations
+	assignment  *balancer.RingAssignment // nil: as without generations
 }
 
 // NewAgent returns an Agent that knows nothing yet. A log that began anew needs a new one.
@@ -48,11 +48,11 @@
 // Applied is the generation that was learnt last, to be told to voters.
 func (a *Agent) Applied() Mark { return a.applied }
 
-func newAssignment(st *State) *decide.RingAssignment {
+func newAssignment(st *State) *balancer.RingAssignment {
 	if st.Suspended || st.Number == 0 {
 		return nil
 	}
-	p := &decide.RingAssignment{Generation: st.Number, Points: map[string]int{}}
+	p := &balancer.RingAssignment{Generation: st.Number, Points: map[string]int{}}
 	for i := range st.Members {
 		if n := st.Members[i].OnRing(); n > 0 {
 			p.Points[st.Members[i].ID] = n
@@ -63,7 +63,7 @@
 
 // Assignment is the generation to place by; nil: none, as without. Now is read for this decision, and the
 // standing by it. It is the same pointer while nothing changes. Without a lease the generation stands still.
-func (a *Agent) Assignment(now lease.ClockReading, standing lease.Standing) *decide.RingAssignment {
+func (a *Agent) Assignment(now lease.ClockReading, standing lease.Standing) *balancer.RingAssignment {
 	switch {
 	case standing == lease.New:
 		return nil
--- a/placement/seat/golden_test.go
+++ b/internal/control/ringassignment/assignmentlog/golden_test.go
@@ -1,4 +1,4 @@
-package seat
+package assignmentlog
 
 import (
 	"encoding/hex"
@@ -11,8 +11,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/fleet"
-	"dunestep/placement"
+	"dunestep/internal/control/ringassignment"
+	"dunestep/internal/fleet"
 )
 
 // update has the golden files written anew. They were made by the build before the packages were renamed: a
@@ -53,8 +53,8 @@
 func TestGoldenMessages(t *testing.T) {
 	now := fleet.ClockReading{Unix: 1800000000 * time.Second, Mono: time.Hour}
 	s := New(Settings{IsVoter: true, Incarnation: 1800000000123, MachineNumber: 3}, now)
-	record := placement.Change{
-		Now: now.Unix, EffectiveAt: now.Unix, Members: []placement.Member{{ID: "a-1", Points: 200}},
+	record := ringassignment.Change{
+		Now: now.Unix, EffectiveAt: now.Unix, Members: []ringassignment.Member{{ID: "a-1", Points: 200}},
 	}.Encode()
 	s.SetPaces(map[string]float64{"lent": 0.9})
 	s.Apply(1, record)
--- a/placement/seat/seat.go
+++ b/internal/control/ringassignment/assignmentlog/seat.go
@@ -1,6 +1,6 @@
-// Package seat gives package placement its place above a fleet.Node: it is the machine of the log's records
+// Package assignmentlog gives package placement its place above a fleet.Node: it is the machine of the log's records
 // that are about generations of the ring, and at the leader proposes them.
-package seat
+package assignmentlog
 
 import (
 	"bytes"
@@ -8,24 +8,24 @@
 	"slices"
 	"time"
 
-	"dunestep/decide"
-	"dunestep/fleet"
-	"dunestep/fleet/lease"
-	"dunestep/placement"
+	"dunestep/internal/balancer"
+	"dunestep/internal/control/ringassignment"
+	"dunestep/internal/fleet"
+	"dunestep/internal/fleet/lease"
 )
 
 // Adapter is one process's. It is called by its node alone, as a fleet.StateMachine and as fleet.Application; SetView,
 // SetPaces, Assignment and State from where the node is called.
 type Adapter struct {
 	settings     Settings
-	machine      *placement.StateMachine
-	agent        *placement.Agent
-	proposer     *placement.Proposer // nil: not a voter
-	paceReport   []byte              // of the kinds, for voters; nil: none
+	machine      *ringassignment.StateMachine
+	agent        *ringassignment.Agent
+	proposer     *ringassignment.Proposer // nil: not a voter
+	paceReport   []byte                   // of the kinds, for voters; nil: none
 	paceReportAt time.Duration
 
-	notifiedMark            placement.Mark // what voters are told that this agent has
-	acknowledgedBy          []int          // of them
+	notifiedMark            ringassignment.Mark // what voters are told that this agent has
+	acknowledgedBy          []int               // of them
 	notifiedSince, notifyAt time.Duration
 }
 
@@ -34,14 +34,14 @@
 	IsVoter       bool
 	Incarnation   uint64 // the node's
 	MachineNumber uint8  // its number in records
-	Parameters    placement.Parameters
+	Parameters    ringassignment.Parameters
 }
 
 // New returns the seat of a process that starts.
 func New(set Settings, now fleet.ClockReading) *Adapter {
-	s := &Adapter{settings: set, machine: placement.NewStateMachine(), agent: placement.NewAgent()}
+	s := &Adapter{settings: set, machine: ringassignment.NewStateMachine(), agent: ringassignment.NewAgent()}
 	if set.IsVoter {
-		s.proposer = placement.NewProposer(set.Parameters, now)
+		s.proposer = ringassignment.NewProposer(set.Parameters, now)
 	}
 	return s
 }
@@ -58,9 +58,9 @@
 // RecordsApplied implements fleet.Application. A log that began anew is another one, with other generations.
 func (s *Adapter) RecordsApplied(now fleet.ClockReading, anew bool) {
 	if anew {
-		s.agent = placement.NewAgent()
+		s.agent = ringassignment.NewAgent()
 		if s.proposer != nil {
-			s.proposer = placement.NewProposer(s.settings.Parameters, now)
+			s.proposer = ringassignment.NewProposer(s.settings.Parameters, now)
 		}
 	}
 	s.agent.Learn(s.machine)
@@ -83,7 +83,7 @@
 
 // The kinds of messages: their first byte.
 const (
-	messagePaceReport  byte = 1 // how quick an agent finds the kinds of servers; a placement.EncodePaceReport begins with it
+	messagePaceReport  byte = 1 // how quick an agent finds the kinds of servers; a ringassignment.EncodePaceReport begins with it
 	messageMark        byte = 2 // an agent's incarnation, and the generation that it has; answered with the same
 	messageVoterReport byte = 3 // a voter's: all that go by its leases have a generation
 )
@@ -97,13 +97,13 @@
 	case messagePaceReport:
 		s.proposer.PaceReportReceived(now, from, data)
 	case messageMark:
-		if len(data) == 1+8+placement.MarkSize {
-			m, _ := placement.DecodeMark(data[9:])
+		if len(data) == 1+8+ringassignment.MarkSize {
+			m, _ := ringassignment.DecodeMark(data[9:])
 			s.proposer.MarkReceived(now, from, binary.BigEndian.Uint64(data[1:]), m)
 			return data
 		}
 	case messageVoterReport:
-		if m, ok := placement.DecodeMark(data[1:]); ok {
+		if m, ok := ringassignment.DecodeMark(data[1:]); ok {
 			s.proposer.ReportReceived(from, m)
 		}
 	}
@@ -191,7 +191,7 @@
 
 // SetView takes what this agent sees of the servers: on each change, and every few seconds. Only a leader's
 // counts, and none that is older than Parameters.Stale.
-func (s *Adapter) SetView(now fleet.ClockReading, v placement.View) {
+func (s *Adapter) SetView(now fleet.ClockReading, v ringassignment.View) {
 	if s.proposer != nil {
 		s.proposer.SetView(now, v)
 	}
@@ -202,12 +202,12 @@
 func (s *Adapter) SetPaces(paces map[string]float64) {
 	s.paceReport = nil
 	if len(paces) > 0 {
-		s.paceReport = placement.EncodePaceReport(paces)
+		s.paceReport = ringassignment.EncodePaceReport(paces)
 	}
 }
 
 // Assignment is the generation to place by now; nil: none, as without. The same pointer while nothing changes.
-func (s *Adapter) Assignment(now fleet.ClockReading, standing lease.Standing) *decide.RingAssignment {
+func (s *Adapter) Assignment(now fleet.ClockReading, standing lease.Standing) *balancer.RingAssignment {
 	return s.agent.Assignment(now, standing)
 }
 
@@ -221,7 +221,7 @@
 }
 
 // State is the present generation, for staff. It is not to be changed.
-func (s *Adapter) State() placement.State {
+func (s *Adapter) State() ringassignment.State {
 	st := s.machine.State()
 	st.Members = slices.Clone(st.Members)
 	return st
--- a/placement/seat/seat_test.go
+++ b/internal/control/ringassignment/assignmentlog/seat_test.go
@@ -1,4 +1,4 @@
-package seat
+package assignmentlog
 
 import (
 	"fmt"
@@ -7,11 +7,11 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/decide"
-	"dunestep/fleet"
-	"dunestep/fleet/fleetlab"
-	"dunestep/fleet/lease"
-	"dunestep/placement"
+	"dunestep/internal/balancer"
+	"dunestep/internal/control/ringassignment"
+	"dunestep/internal/fleet"
+	"dunestep/internal/fleet/fleetlab"
+	"dunestep/internal/fleet/lease"
 )
 
 // played is a fleet of whole nodes with generations above, and a list that all see alike.
@@ -19,26 +19,26 @@
 	*fleetlab.Lab
 	t      *testing.T
 	seats  []*Adapter
-	list   map[string]placement.Server
+	list   map[string]ringassignment.Server
 	saw    []time.Time
-	placed []*decide.RingAssignment
+	placed []*balancer.RingAssignment
 	newest uint64 // used with a lease
 	began  map[uint64]time.Time
 }
 
 func play(t *testing.T, o fleetlab.Options, servers int) *played {
 	p := &played{
-		t: t, seats: make([]*Adapter, o.Agents), list: map[string]placement.Server{}, began: map[uint64]time.Time{},
-		saw: make([]time.Time, o.Agents), placed: make([]*decide.RingAssignment, o.Agents),
+		t: t, seats: make([]*Adapter, o.Agents), list: map[string]ringassignment.Server{}, began: map[uint64]time.Time{},
+		saw: make([]time.Time, o.Agents), placed: make([]*balancer.RingAssignment, o.Agents),
 	}
 	for i := range servers {
 		id := fmt.Sprintf("s-%04x", 40503*(i+1)%65536)
-		p.list[id] = placement.Server{ID: id, Kind: "rapid", Ready: true, Capacity: 1}
+		p.list[id] = ringassignment.Server{ID: id, Kind: "rapid", Ready: true, Capacity: 1}
 	}
 	o.Application = func(set *fleet.Settings, now fleet.ClockReading) {
 		s := New(Settings{
 			IsVoter: set.IsVoter(), Incarnation: set.Incarnation, MachineNumber: uint8(len(set.Machines)),
-			Parameters: placement.Parameters{Terms: set.Terms, UsePaces: true},
+			Parameters: ringassignment.Parameters{Terms: set.Terms, UsePaces: true},
 		}, now)
 		set.Machines, set.Application = append(set.Machines, s), s
 		s.SetPaces(map[string]float64{"rapid": 0.8})
@@ -58,7 +58,7 @@
 	}
 	if at.Sub(p.saw[agent]) > 200*time.Millisecond {
 		p.saw[agent] = at
-		v := placement.View{Now: now.Unix}
+		v := ringassignment.View{Now: now.Unix}
 		for _, e := range p.list {
 			v.Servers = append(v.Servers, e)
 		}
@@ -93,20 +93,20 @@
 	p.Run(2 * time.Minute)
 	p.all(20)
 	was := p.newest
-	p.list["new"] = placement.Server{ID: "new", Kind: "rapid", Ready: true, Capacity: 1}
+	p.list["new"] = ringassignment.Server{ID: "new", Kind: "rapid", Ready: true, Capacity: 1}
 	p.Run(3 * time.Second)
 	p.all(21)
 	require.Contains(t, p.began, was+1)
 
 	p.Kill(p.Leader())
 	delete(p.list, "new")
-	p.list["other"] = placement.Server{ID: "other", Kind: "rapid", Ready: true, Capacity: 1}
+	p.list["other"] = ringassignment.Server{ID: "other", Kind: "rapid", Ready: true, Capacity: 1}
 	p.Run(40 * time.Second)
 	p.all(21)
 
 	// Paces change by agreement, slowly.
 	p.Run(time.Minute)
-	require.Equal(t, []placement.Pace{{Kind: "rapid", Percent: 90}}, p.seats[p.Leader()].State().Paces)
+	require.Equal(t, []ringassignment.Pace{{Kind: "rapid", Percent: 90}}, p.seats[p.Leader()].State().Paces)
 }
 
 // The next generation does not wait for the fence where all run, and does where one is cut off that holds a
@@ -121,7 +121,7 @@
 		was := p.newest
 		for i := range 8 { // one each second
 			id := fmt.Sprint("new-", i)
-			p.list[id] = placement.Server{ID: id, Kind: "rapid", Ready: true, Capacity: 1}
+			p.list[id] = ringassignment.Server{ID: id, Kind: "rapid", Ready: true, Capacity: 1}
 			p.Run(time.Second)
 		}
 		between := p.began[was+2].Sub(p.began[was+1])
--- a/placement/council.go
+++ b/internal/control/ringassignment/council.go
@@ -1,9 +1,9 @@
-package placement
+package ringassignment
 
 import (
 	"time"
 
-	"dunestep/fleet/lease"
+	"dunestep/internal/fleet/lease"
 )
 
 // Proposer proposes generations. Each voter has one; the leader's does. Whoever becomes leader goes on from
--- a/placement/early.go
+++ b/internal/control/ringassignment/early.go
@@ -1,4 +1,4 @@
-package placement
+package ringassignment
 
 import (
 	"encoding/binary"
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"dunestep/fleet/lease"
+	"dunestep/internal/fleet/lease"
 )
 
 // Mark is a generation, as agents tell voters that they have applied it, and voters each other that all have
--- a/placement/example_test.go
+++ b/internal/control/ringassignment/example_test.go
@@ -1,11 +1,11 @@
-package placement_test
+package ringassignment_test
 
 import (
 	"fmt"
 	"time"
 
-	"dunestep/fleet/lease"
-	"dunestep/placement"
+	"dunestep/internal/control/ringassignment"
+	"dunestep/internal/fleet/lease"
 )
 
 // A leader sees two servers, proposes the first generation, and an agent takes it up at its time.
@@ -15,12 +15,12 @@
 		clock.Unix, clock.Mono = clock.Unix+d, clock.Mono+d
 		return clock
 	}
-	machine, agent := placement.NewStateMachine(), placement.NewAgent()
-	council := placement.NewProposer(placement.Parameters{}, clock)
+	machine, agent := ringassignment.NewStateMachine(), ringassignment.NewAgent()
+	council := ringassignment.NewProposer(ringassignment.Parameters{}, clock)
 	agent.Assignment(clock, lease.Full)
 
 	now := later(6 * time.Second)
-	council.SetView(now, placement.View{Now: now.Unix, Servers: []placement.Server{
+	council.SetView(now, ringassignment.View{Now: now.Unix, Servers: []ringassignment.Server{
 		{ID: "s-1", Ready: true, Capacity: 1.8}, {ID: "s-2", Ready: true, Capacity: 0.9},
 	}})
 	council.Due(now)
--- a/placement/gauge.go
+++ b/internal/control/ringassignment/gauge.go
@@ -1,11 +1,11 @@
-package placement
+package ringassignment
 
 import (
 	"cmp"
 	"slices"
 	"time"
 
-	"dunestep/decide"
+	"dunestep/internal/balancer"
 )
 
 // PaceMeter finds how quick one agent's answers show the kinds of servers to be, against what is agreed that they
@@ -41,7 +41,7 @@
 // to say. What it says of a kind is against the kind in the middle, by capacity: of a single kind nothing can
 // be said, nor where half of the fleet is not known. It is to be called every few seconds; now is of the
 // steady clock.
-func (g *PaceMeter) Measure(now time.Duration, quick []decide.BaselineLatency, servers []Server) map[string]float64 {
+func (g *PaceMeter) Measure(now time.Duration, quick []balancer.BaselineLatency, servers []Server) map[string]float64 {
 	kinds, all := map[string]*kindStats{}, 0.0
 	for i := range servers {
 		s := &servers[i]
@@ -62,7 +62,7 @@
 }
 
 // count tells how many answers came of late.
-func (g *PaceMeter) recentAnswers(now time.Duration, quick []decide.BaselineLatency, kinds map[string]*kindStats) map[string]float64 {
+func (g *PaceMeter) recentAnswers(now time.Duration, quick []balancer.BaselineLatency, kinds map[string]*kindStats) map[string]float64 {
 	turns := g.started && now-g.turnBegan >= meterTurn
 	if turns || !g.started {
 		g.turnBegan, g.started = now, true
--- a/placement/gauge_test.go
+++ b/internal/control/ringassignment/gauge_test.go
@@ -1,4 +1,4 @@
-package placement
+package ringassignment
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"dunestep/decide"
+	"dunestep/internal/balancer"
 )
 
 func kinds(capacity ...float64) (all []Server) {
@@ -18,9 +18,9 @@
 	return all
 }
 
-func took(answers float64, ms ...float64) (all []decide.BaselineLatency) {
+func took(answers float64, ms ...float64) (all []balancer.BaselineLatency) {
 	for i, m := range ms {
-		all = append(all, decide.BaselineLatency{MachineKind: fmt.Sprint("k", i), Latency: time.Duration(m * float64(time.Millisecond)), Samples: answers})
+		all = append(all, balancer.BaselineLatency{MachineKind: fmt.Sprint("k", i), Latency: time.Duration(m * float64(time.Millisecond)), Samples: answers})
 	}
 	return all
 }
--- a/placement/golden_test.go
+++ b/internal/control/ringassignment/golden_test.go
@@ -1,4 +1,4 @@
-package placement
+package ringassignment
 
 import (
 	"encoding/hex"
@@ -11,7 +11,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/fleet/lease"
+	"dunestep/internal/fleet/lease"
 )
 
 // update has the golden files written anew. They were made by the build before the packages were renamed: a
--- a/placement/lab/course.go
+++ b/internal/control/ringassignment/lab/course.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"dunestep/fleet/lossy"
-	"dunestep/placement"
+	"dunestep/internal/control/ringassignment"
+	"dunestep/internal/simnet/lossy"
 )
 
 const (
@@ -349,7 +349,7 @@
 	}
 	for _, n := range st.Members {
 		switch {
-		case ready[n.ID] && (n.Phase != placement.Complete || n.FullPoints != 0):
+		case ready[n.ID] && (n.Phase != ringassignment.Complete || n.FullPoints != 0):
 			return fmt.Sprintf("%s is %v with %d points of %d", n.ID, n.Phase, n.Points, n.FullPoints)
 		case !ready[n.ID] && n.OnRing() > 0:
 			return fmt.Sprintf("%s is %v with %d points, and is not ready", n.ID, n.Phase, n.Points)
--- a/placement/lab/lab.go
+++ b/internal/control/ringassignment/lab/lab.go
@@ -13,12 +13,12 @@
 	"math"
 	"time"
 
-	"dunestep/cold"
-	"dunestep/fleet/lease"
-	"dunestep/fleet/lossy"
-	"dunestep/placement"
-	"dunestep/placement/judge"
-	"dunestep/window"
+	"dunestep/internal/balancer/slowstart"
+	"dunestep/internal/control/maintenance"
+	"dunestep/internal/control/ringassignment"
+	"dunestep/internal/control/ringassignment/judge"
+	"dunestep/internal/fleet/lease"
+	"dunestep/internal/simnet/lossy"
 )
 
 // Setup is one course. The same one is the same course.
@@ -28,9 +28,9 @@
 	Servers int
 	Keys    int
 	Faults  lossy.Faults
-	Figures placement.Parameters // zero: Usual
-	Warm    time.Duration        // how long servers take to be warm; zero: 9 s
-	Without string               // a protection that is taken out: one of Protections, or All
+	Figures ringassignment.Parameters // zero: Usual
+	Warm    time.Duration             // how long servers take to be warm; zero: 9 s
+	Without string                    // a protection that is taken out: one of Protections, or All
 }
 
 // All has agents place by their own lists alone, as without generations.
@@ -58,12 +58,12 @@
 )
 
 // Cold are the terms on cold servers.
-func (s *Setup) Cold() cold.Params {
+func (s *Setup) Cold() slowstart.Params {
 	warm := s.Warm
 	if warm == 0 {
 		warm = 9 * time.Second
 	}
-	return cold.Params{InitialCapacity: 0.31, Duration: warm, OverloadMultiple: 3, OverloadWindow: 3 * time.Second, Margin: 0.4, MaxOfWarm: 1}
+	return slowstart.Params{InitialCapacity: 0.31, Duration: warm, OverloadMultiple: 3, OverloadWindow: 3 * time.Second, Margin: 0.4, MaxOfWarm: 1}
 }
 
 // Lab is one course.
@@ -72,10 +72,10 @@
 	Judge *judge.Judge
 
 	set      Setup
-	f        placement.Parameters
-	terms    lease.Terms             // by which leases are granted, whatever is taken out
-	ref      *placement.StateMachine // of all that is agreed
-	planned  *window.StateMachine    // the same
+	f        ringassignment.Parameters
+	terms    lease.Terms                  // by which leases are granted, whatever is taken out
+	ref      *ringassignment.StateMachine // of all that is agreed
+	planned  *maintenance.StateMachine    // the same
 	log      []agreed
 	nodes    []*node
 	messages []message
@@ -104,11 +104,11 @@
 	life    int // zero: none runs
 	lives   int
 	known   int // records
-	machine *placement.StateMachine
-	agent   *placement.Agent
-	council *placement.Proposer // nil: not a voter
-	windows *window.StateMachine
-	keeps   *window.Agent // off servers in windows
+	machine *ringassignment.StateMachine
+	agent   *ringassignment.Agent
+	council *ringassignment.Proposer // nil: not a voter
+	windows *maintenance.StateMachine
+	keeps   *maintenance.Agent // off servers in windows
 	paced   paced
 	leases  []granted
 	held    bool
@@ -118,7 +118,7 @@
 	deaf    bool                    // it hears of none
 	seen    int                     // the list that it has
 	missing map[int32]time.Duration // since when its list says of a server that it is not ready
-	has     placement.Mark
+	has     ringassignment.Mark
 	since   time.Duration
 	heard   [voters]bool  // of the mark
 	told    time.Duration // when it last gave its council a view
@@ -134,7 +134,7 @@
 	n    int
 	more bool // the sender asks for more
 	life int  // of the sender
-	mark placement.Mark
+	mark ringassignment.Mark
 	word []byte
 }
 
@@ -184,7 +184,7 @@
 	l := &Lab{
 		Network: lossy.NewNetwork(set.Seed, set.Agents, 1e6*time.Second, set.Faults), set: set,
 		speed: 1, f: f.WithDefaults(), terms: judged.Terms,
-		ref: placement.NewStateMachine(), planned: newWindows(),
+		ref: ringassignment.NewStateMachine(), planned: newWindows(),
 	}
 	l.rings = rings{lab: l, owners: map[owning]*judge.Owners{}}
 	l.Judge = judge.New(judge.Settings{
@@ -230,8 +230,8 @@
 	nd.lives++
 	was := nd.machine
 	windows := nd.windows
-	nd.life, nd.machine, nd.agent = nd.lives, placement.NewStateMachine(), placement.NewAgent()
-	nd.windows, nd.keeps = newWindows(), window.NewAgent(0)
+	nd.life, nd.machine, nd.agent = nd.lives, ringassignment.NewStateMachine(), ringassignment.NewAgent()
+	nd.windows, nd.keeps = newWindows(), maintenance.NewAgent(0)
 	nd.leases, nd.held, nd.council = nil, false, nil
 	if !keeps || was == nil {
 		nd.known = 0
@@ -243,7 +243,7 @@
 		if l.set.Without == "begin" {
 			begin = lease.ClockReading{Unix: now.Unix - time.Minute, Mono: now.Mono - time.Minute}
 		}
-		nd.council = placement.NewProposer(l.f, begin)
+		nd.council = ringassignment.NewProposer(l.f, begin)
 		nd.council.SetMembers(begin, []int{0, 1, 2}, 1)
 	}
 	l.hears(nd, len(l.lists)-1)
@@ -321,7 +321,7 @@
 }
 
 // restore has a process go on from what its former one had.
-func (nd *node) restore(ring *placement.StateMachine, windows *window.StateMachine) {
+func (nd *node) restore(ring *ringassignment.StateMachine, windows *maintenance.StateMachine) {
 	err := errors.Join(nd.machine.Restore(ring.Snapshot()), nd.windows.Restore(windows.Snapshot()))
 	if err != nil {
 		panic(err) // of its own
@@ -329,7 +329,7 @@
 }
 
 // apply has the machine that a record is for apply it.
-func apply(a agreed, seq uint64, ring *placement.StateMachine, windows *window.StateMachine) {
+func apply(a agreed, seq uint64, ring *ringassignment.StateMachine, windows *maintenance.StateMachine) {
 	if a.window {
 		windows.Apply(seq, a.data)
 	} else {
@@ -418,7 +418,7 @@
 func (l *Lab) see(nd *node) {
 	now := l.reading(nd.number)
 	nd.told = now.Mono
-	v := placement.View{Now: now.Unix, FullyDrained: l.emptied(nd)}
+	v := ringassignment.View{Now: now.Unix, FullyDrained: l.emptied(nd)}
 	taken := v.FullyDrained
 	if l.set.Without == "emptied" || l.set.Without == "stays" {
 		v.FullyDrained = nil
@@ -431,7 +431,7 @@
 		if l.wild && l.Rand().IntN(2) == 0 {
 			capacity *= []float64{0.5, 2}[l.Rand().IntN(2)]
 		}
-		v.Servers = append(v.Servers, placement.Server{
+		v.Servers = append(v.Servers, ringassignment.Server{
 			ID: s.name, Zone: s.zone, Kind: kindOf(s.capacity),
 			Ready:     s.ready,
 			Draining:  s.draining || l.set.Without == "stays" && taken[s.name] || l.thought != nil && l.thought(i),
@@ -500,7 +500,7 @@
 }
 
 // State is that of all that is agreed.
-func (l *Lab) State() placement.State { return l.ref.State() }
+func (l *Lab) State() ringassignment.State { return l.ref.State() }
 
 // Sample has the judge hear of every agent that runs.
 func (l *Lab) Sample() {
--- a/placement/lab/lab_test.go
+++ b/internal/control/ringassignment/lab/lab_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/fleet/hunting"
+	"dunestep/internal/fleet/hunting"
 )
 
 // TestMain: what is kept is small and what is made on the way is much.
--- a/placement/lab/measure.go
+++ b/internal/control/ringassignment/lab/measure.go
@@ -4,8 +4,8 @@
 	"slices"
 	"time"
 
-	"dunestep/fleet/lossy"
-	"dunestep/placement/judge"
+	"dunestep/internal/control/ringassignment/judge"
+	"dunestep/internal/simnet/lossy"
 )
 
 // Events are what Measure can have happen to a quiet fleet.
--- a/placement/lab/measure_test.go
+++ b/internal/control/ringassignment/lab/measure_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/ring"
+	"dunestep/internal/balancer/ring"
 )
 
 // What events may move, and what they would without the protection against that.
--- a/placement/lab/paces.go
+++ b/internal/control/ringassignment/lab/paces.go
@@ -3,10 +3,10 @@
 import (
 	"time"
 
-	"dunestep/decide"
-	"dunestep/fleet/lossy"
-	"dunestep/placement"
-	"dunestep/placement/judge"
+	"dunestep/internal/balancer"
+	"dunestep/internal/control/ringassignment"
+	"dunestep/internal/control/ringassignment/judge"
+	"dunestep/internal/simnet/lossy"
 )
 
 // PaceProtections can be taken out of a course of paces, to see that the judge finds it.
@@ -29,7 +29,7 @@
 
 // paced is what an agent does about paces.
 type paced struct {
-	gauge placement.PaceMeter
+	gauge ringassignment.PaceMeter
 	seen  time.Duration // answers until then, true time
 	had   float64       // answers
 	word  []byte
@@ -49,7 +49,7 @@
 	p := &nd.paced
 	if mono >= p.gauged {
 		p.gauged = mono + gaugeEvery
-		p.word = placement.EncodePaceReport(l.says(nd, p.gauge.Measure(mono, l.answered(nd), l.listed(nd))))
+		p.word = ringassignment.EncodePaceReport(l.says(nd, p.gauge.Measure(mono, l.answered(nd), l.listed(nd))))
 	}
 	if mono >= p.told && len(p.word) > 1 {
 		p.told = mono + wordEvery
@@ -73,7 +73,7 @@
 }
 
 // answered is what a balancer has seen of the kinds.
-func (l *Lab) answered(nd *node) (all []decide.BaselineLatency) {
+func (l *Lab) answered(nd *node) (all []balancer.BaselineLatency) {
 	p, rate := &nd.paced, answers
 	if l.few(nd) {
 		rate = 0.02
@@ -88,7 +88,7 @@
 		if l.few(nd) && kind == lent {
 			took *= 3
 		}
-		all = append(all, decide.BaselineLatency{
+		all = append(all, balancer.BaselineLatency{
 			MachineKind: kind, Latency: time.Duration(took * float64(20*time.Millisecond)),
 			Samples: p.had,
 		})
@@ -97,10 +97,10 @@
 }
 
 // listed is an agent's own list, as it sees it.
-func (l *Lab) listed(nd *node) (all []placement.Server) {
+func (l *Lab) listed(nd *node) (all []ringassignment.Server) {
 	for _, s := range l.lists[nd.seen] {
 		if s.listed {
-			all = append(all, placement.Server{
+			all = append(all, ringassignment.Server{
 				ID: s.name, Zone: s.zone, Kind: kindOf(s.capacity), Ready: s.ready,
 				Draining: s.draining, StartedAt: s.started, Capacity: s.capacity,
 			})
--- a/placement/lab/rings.go
+++ b/internal/control/ringassignment/lab/rings.go
@@ -4,10 +4,10 @@
 	"fmt"
 	"time"
 
-	"dunestep/decide"
-	"dunestep/placement"
-	"dunestep/placement/judge"
-	"dunestep/ring"
+	"dunestep/internal/balancer"
+	"dunestep/internal/balancer/ring"
+	"dunestep/internal/control/ringassignment"
+	"dunestep/internal/control/ringassignment/judge"
 )
 
 // rings are who owns which keys, by a generation and a list.
@@ -25,9 +25,9 @@
 	kept   string // off: see named
 }
 
-// of is what an agent does with a generation, its own list and what it keeps off: see decide.RingAssignment and
-// decide.Exclusions. It is the same pointer for the same owners.
-func (r *rings) of(p *decide.RingAssignment, list int, a *decide.Exclusions) *judge.Owners {
+// of is what an agent does with a generation, its own list and what it keeps off: see balancer.RingAssignment and
+// balancer.Exclusions. It is the same pointer for the same owners.
+func (r *rings) of(p *balancer.RingAssignment, list int, a *balancer.Exclusions) *judge.Owners {
 	key := owning{list: list, kept: named(a)}
 	if p != nil {
 		key.number = p.Generation
@@ -57,13 +57,13 @@
 }
 
 // points are those that are usable by the list.
-func (r *rings) points(p *decide.RingAssignment, list []server) map[string]int {
+func (r *rings) points(p *balancer.RingAssignment, list []server) map[string]int {
 	usable := map[string]int{}
 	for _, s := range list {
 		ready := s.listed && s.ready && !s.draining
 		switch {
 		case p == nil && ready:
-			usable[s.name] = placement.DefaultPoints
+			usable[s.name] = ringassignment.DefaultPoints
 		case p != nil && (ready || r.lab.set.Without == "own list"):
 			usable[s.name] = p.Points[s.name]
 		}
@@ -79,9 +79,9 @@
 }
 
 // place is the owners of all keys. The ring is kept from one call to the next, as balancers keep theirs.
-func (r *rings) place(points map[string]int, a *decide.Exclusions) judge.Owners {
+func (r *rings) place(points map[string]int, a *balancer.Exclusions) judge.Owners {
 	if r.ring == nil {
-		r.ring, r.places = ring.New[int32](placement.DefaultPoints), map[string]*ring.Place[int32]{}
+		r.ring, r.places = ring.New[int32](ringassignment.DefaultPoints), map[string]*ring.Place[int32]{}
 	}
 	for i, s := range r.lab.list {
 		n := points[s.name]
@@ -102,7 +102,7 @@
 }
 
 // open tells which keys need not keep off a server.
-func (r *rings) open(a *decide.Exclusions) func(key int, o int32) bool {
+func (r *rings) open(a *balancer.Exclusions) func(key int, o int32) bool {
 	kept := below(a)
 	return func(key int, o int32) bool {
 		id := r.lab.list[o].name
--- a/placement/lab/windows.go
+++ b/internal/control/ringassignment/lab/windows.go
@@ -8,10 +8,10 @@
 	"strings"
 	"time"
 
-	"dunestep/decide"
-	"dunestep/placement/judge"
-	"dunestep/policy"
-	"dunestep/window"
+	"dunestep/internal/balancer"
+	"dunestep/internal/control/maintenance"
+	"dunestep/internal/control/policy"
+	"dunestep/internal/control/ringassignment/judge"
 )
 
 const (
@@ -19,7 +19,9 @@
 	windowMoves  = 4 * time.Second // that keys take to leave, and to return
 )
 
-func newWindows() *window.StateMachine { return window.NewStateMachine(func() uint64 { return 0 }) }
+func newWindows() *maintenance.StateMachine {
+	return maintenance.NewStateMachine(func() uint64 { return 0 })
+}
 
 // quiet is how long windows have servers without keys: enough to be warm again by the end.
 func (l *Lab) quiet() time.Duration { return 2*l.set.Cold().Duration + 20*time.Second }
@@ -30,8 +32,8 @@
 	if l.leader < 0 {
 		return
 	}
-	w := &window.Window{
-		ID: fmt.Sprint("w", len(l.log), "-", of[0]), Tenants: []string{window.NoTenant}, Steps: 8,
+	w := &maintenance.Window{
+		ID: fmt.Sprint("w", len(l.log), "-", of[0]), Tenants: []string{maintenance.NoTenant}, Steps: 8,
 		From: l.Now() + ahead, DrainedAt: l.Now() + ahead + windowMoves,
 	}
 	w.ReturnFrom = w.DrainedAt + quiet
@@ -41,7 +43,7 @@
 		w.Nodes = append(w.Nodes, l.list[i].name)
 	}
 	slices.Sort(w.Nodes)
-	r, err := window.EncodeProposal(window.Proposal{
+	r, err := maintenance.EncodeProposal(maintenance.Proposal{
 		Window: w, Now: l.UnixTime(l.leader), Revision: l.planned.Revision(),
 		MinNotice: windowNotice,
 	})
@@ -60,7 +62,7 @@
 }
 
 // follow has the judge look at a window that was agreed on.
-func (l *Lab) follow(w *window.Window, of []int) {
+func (l *Lab) follow(w *maintenance.Window, of []int) {
 	if l.planned.Outcome(w.ID).Status != policy.StatusAccepted {
 		return
 	}
@@ -70,22 +72,22 @@
 }
 
 // avoid is what an agent keeps off now.
-func (l *Lab) avoid(nd *node) *decide.Exclusions {
+func (l *Lab) avoid(nd *node) *balancer.Exclusions {
 	return nd.keeps.Exclusions(l.reading(nd.number), l.standing(nd), policy.Active{})
 }
 
-func (l *Lab) emptied(nd *node) map[string]bool { return window.FullyDrained(l.avoid(nd), nil) }
+func (l *Lab) emptied(nd *node) map[string]bool { return maintenance.FullyDrained(l.avoid(nd), nil) }
 
 // below are by server the keys that keep off it, of all tenants alike.
-func below(a *decide.Exclusions) map[string]uint32 {
+func below(a *balancer.Exclusions) map[string]uint32 {
 	if a == nil {
 		return nil
 	}
-	return a.Tenants[window.NoTenant]
+	return a.Tenants[maintenance.NoTenant]
 }
 
 // named tells what is kept off apart from anything else.
-func named(a *decide.Exclusions) string {
+func named(a *balancer.Exclusions) string {
 	var b strings.Builder
 	for _, id := range slices.Sorted(maps.Keys(below(a))) {
 		fmt.Fprint(&b, id, below(a)[id], " ")
@@ -94,5 +96,5 @@
 }
 
 func keepsOff(below uint32, hash uint32, server string) bool {
-	return below == math.MaxUint32 || below > 0 && decide.KeyRank(hash, server) < below
+	return below == math.MaxUint32 || below > 0 && balancer.KeyRank(hash, server) < below
 }
--- a/placement/next.go
+++ b/internal/control/ringassignment/next.go
@@ -1,4 +1,4 @@
-package placement
+package ringassignment
 
 import (
 	"cmp"
--- a/placement/next_test.go
+++ b/internal/control/ringassignment/next_test.go
@@ -1,4 +1,4 @@
-package placement
+package ringassignment
 
 import (
 	"fmt"
@@ -9,10 +9,10 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"dunestep/cold"
-	"dunestep/fleet/consensus"
-	"dunestep/fleet/lease"
-	"dunestep/fleet/orders"
+	"dunestep/internal/balancer/slowstart"
+	"dunestep/internal/fleet/lease"
+	"dunestep/internal/fleet/operatorcommand"
+	"dunestep/internal/fleet/raftlog"
 )
 
 // fleet plays a leader's part alone: a clock, a list, the machine.
@@ -28,7 +28,7 @@
 
 func begin(t *testing.T, servers int) *fleet {
 	x := &fleet{t: t, now: 1e6 * time.Hour, list: map[string]*Server{}, machine: NewStateMachine(), f: Parameters{
-		SlowStart: cold.Params{InitialCapacity: 0.31, Duration: 9 * time.Second, OverloadMultiple: 3, Margin: 0.4, MaxOfWarm: 1},
+		SlowStart: slowstart.Params{InitialCapacity: 0.31, Duration: 9 * time.Second, OverloadMultiple: 3, Margin: 0.4, MaxOfWarm: 1},
 	}.WithDefaults()}
 	for i := range servers {
 		x.list[fmt.Sprint("s-", 10+i)] = &Server{ID: fmt.Sprint("s-", 10+i), Ready: true, Capacity: 1}
@@ -247,7 +247,7 @@
 	}
 	require.True(t, m.state.isValid())
 	require.Less(t, len(m.Snapshot()), MaxServersSize+100)
-	require.LessOrEqual(t, 50<<10+orders.MaxBytes+16<<10+MaxServersSize+1<<10, consensus.MaxSnapshotBytes)
+	require.LessOrEqual(t, 50<<10+operatorcommand.MaxBytes+16<<10+MaxServersSize+1<<10, raftlog.MaxSnapshotBytes)
 }
 
 // Whatever records come, the state stays one that could be, and a snapshot makes the same of it.
--- a/placement/opinions.go
+++ b/internal/control/ringassignment/opinions.go
@@ -1,4 +1,4 @@
-package placement
+package ringassignment
 
 import (
 	"encoding/binary"
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"dunestep/fleet/lease"
-	"dunestep/ring"
+	"dunestep/internal/balancer/ring"
+	"dunestep/internal/fleet/lease"
 )
 
 // MaxPaceReportSize is the most bytes that an EncodePaceReport has.
--- a/placement/placement.go
+++ b/internal/control/ringassignment/placement.go
@@ -1,4 +1,4 @@
-// Package placement keeps the fleet's consistent-hash ring the same everywhere, and stable: which servers are
+// Package ringassignment keeps the fleet's consistent-hash ring the same everywhere, and stable: which servers are
 // on it and with how many points is an agreed generation, and the next one follows from it, from what the
 // voters' leader sees and from the time, by rules that can be read (rules in rules.go).
 //
@@ -29,13 +29,13 @@
 //
 // It does no input or output, and knows no clock. Types are not safe for concurrent use. The design is told
 // in docs/design/placement.md.
-package placement
+package ringassignment
 
 import (
 	"time"
 
-	"dunestep/cold"
-	"dunestep/fleet/lease"
+	"dunestep/internal/balancer/slowstart"
+	"dunestep/internal/fleet/lease"
 )
 
 // Phase is a server's state. Their numbers are part of the state that all agents share.
@@ -59,7 +59,7 @@
 // Parameters are the rules' numbers. Only the leader's count for a generation; they are no part of the state.
 type Parameters struct {
 	Terms     lease.Terms
-	SlowStart cold.Params // what the settings let cold servers have; Margin and Most are the balancers' figures
+	SlowStart slowstart.Params // what the settings let cold servers have; Margin and Most are the balancers' figures
 
 	PointsPerCapacity  float64       // points of a server of capacity 1; 200
 	MaxMoveRate        float64       // part of all keys that may move a second without need; 0.01
--- a/placement/rules_test.go
+++ b/internal/control/ringassignment/rules_test.go
@@ -1,4 +1,4 @@
-package placement
+package ringassignment
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 
 // The page tells the rules as they are.
 func TestRulesAreTold(t *testing.T) {
-	page, err := os.ReadFile("../docs/design/placement.md")
+	page, err := os.ReadFile("../../../docs/design/placement.md")
 	require.NoError(t, err)
 	table := "| from | when | to |\n| --- | --- | --- |\n"
 	for _, r := range Rules() {
--- a/asking/asking.go
+++ b/internal/discovery/backoff/asking.go
@@ -1,4 +1,4 @@
-// Package asking says when discovery is called again after a call to it has ended. It does no input or
+// Package backoff says when discovery is called again after a call to it has ended. It does no input or
 // output; the time comes with each input.
 //
 // Two things pull at it. A discovery with too many callers answers none of them in time, so that a large
@@ -6,7 +6,7 @@
 // anything or not, and however its calls ended: what was changed while discovery could be reached counts as
 // told a fixed time later. So the first thing that is kept is since when changes may have been missed; a
 // call follows that early that a further one still fits before what was missed binds.
-package asking
+package backoff
 
 import "time"
 
--- a/asking/asking_test.go
+++ b/internal/discovery/backoff/asking_test.go
@@ -1,4 +1,4 @@
-package asking
+package backoff
 
 import (
 	"testing"
--- a/asking/example_test.go
+++ b/internal/discovery/backoff/example_test.go
@@ -1,18 +1,18 @@
-package asking_test
+package backoff_test
 
 import (
 	"fmt"
 	"time"
 
-	"dunestep/asking"
+	"dunestep/internal/discovery/backoff"
 )
 
 // A watch ends, and the call after it is refused twice.
 func Example() {
-	clock := asking.New(asking.Settings{Agents: 300, MaxPollInterval: 10 * time.Second, DrainGrace: 3 * time.Second})
+	clock := backoff.New(backoff.Settings{Agents: 300, MaxPollInterval: 10 * time.Second, DrainGrace: 3 * time.Second})
 	clock.Answered(true)
 	now := time.Minute
-	for _, end := range []asking.CallResult{asking.WatchLost, asking.CallFailed, asking.CallFailed} {
+	for _, end := range []backoff.CallResult{backoff.WatchLost, backoff.CallFailed, backoff.CallFailed} {
 		wait := clock.CallEnded(now, end, 0.5) // the draw that spreads agents
 		fmt.Println("call again after", wait)
 		now += wait
--- a/internal/pages/check.go
+++ b/internal/doctest/check.go
@@ -1,4 +1,4 @@
-package pages
+package doctest
 
 import (
 	"encoding/json"
--- a/internal/pages/pages.go
+++ b/internal/doctest/pages.go
@@ -1,7 +1,7 @@
-// Package pages does with the pages of the documentation what a reader would: their blocks of commands are
+// Package doctest does with the pages of the documentation what a reader would: their blocks of commands are
 // run, their tables and objects are read by the code that reads them in earnest. How a block says what it is
 // stands in docs/design/pages.md.
-package pages
+package doctest
 
 import (
 	"bytes"
--- a/internal/agenda/agenda_test.go
+++ b/internal/eventqueue/agenda_test.go
@@ -1,4 +1,4 @@
-package agenda
+package eventqueue
 
 import (
 	"cmp"
--- a/fleet/above.go
+++ b/internal/fleet/above.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"dunestep/fleet/consensus"
+	"dunestep/internal/fleet/raftlog"
 )
 
 // Application is what stands on the ground at one agent, as the policy does: its machines are among the
@@ -81,7 +81,7 @@
 		return v
 	}
 	s := n.voter.Status()
-	v.IsLeader = s.Phase == consensus.Leading
+	v.IsLeader = s.Phase == raftlog.Leading
 	for _, m := range s.Members {
 		v.Members = append(v.Members, int(m.Agent))
 		v.Generation = v.Generation*0x100000001b3 ^ m.ID<<20 ^ m.Nonce
--- a/fleet/fleetlab/judge.go
+++ b/internal/fleet/fleetlab/judge.go
@@ -7,10 +7,10 @@
 	"slices"
 	"time"
 
-	"dunestep/fleet"
-	"dunestep/fleet/arena"
-	"dunestep/fleet/chronicle"
-	"dunestep/fleet/lease"
+	"dunestep/internal/fleet"
+	"dunestep/internal/fleet/lease"
+	"dunestep/internal/fleet/replica"
+	"dunestep/internal/simnet"
 )
 
 // tally is the machine that is played: it counts what was applied, so that what is done twice shows.
@@ -49,8 +49,8 @@
 	lab        *Lab
 	sums       map[[2]uint64]uint64 // by epoch and number
 	observed   []observedRecord     // records, as they were first agreed, in order of time
-	binding    chronicle.Position   // what nobody may act without any more
-	newest     chronicle.Position
+	binding    replica.Position     // what nobody may act without any more
+	newest     replica.Position
 	proposals  map[uint64]*trackedProposal
 	last       uint64
 	violations []string
@@ -58,7 +58,7 @@
 }
 
 type observedRecord struct {
-	position  chronicle.Position
+	position  replica.Position
 	firstSeen time.Time
 }
 
@@ -164,7 +164,7 @@
 func (l *Lab) Propose(a int) bool {
 	j := &l.judge
 	h := l.hosts[a]
-	return l.World.Call(uint32(a), func(_ arena.Process, now time.Time) {
+	return l.World.Call(uint32(a), func(_ simnet.Process, now time.Time) {
 		j.last++
 		t, err := h.node.Propose(h.reading(now), 0, binary.BigEndian.AppendUint64(nil, j.last), 3*time.Second)
 		if err == nil {
@@ -176,7 +176,7 @@
 // ProposeRecord has an agent propose a record of what is above, and looks no further; false: it does not
 // run.
 func (l *Lab) ProposeRecord(a int, machine uint8, data []byte) (asked bool) {
-	l.World.Call(uint32(a), func(_ arena.Process, now time.Time) {
+	l.World.Call(uint32(a), func(_ simnet.Process, now time.Time) {
 		_, err := l.hosts[a].node.Propose(l.hosts[a].reading(now), machine, data, 3*time.Second)
 		asked = err == nil
 	})
--- a/fleet/fleetlab/lab.go
+++ b/internal/fleet/fleetlab/lab.go
@@ -12,10 +12,10 @@
 
 	"go.etcd.io/raft/v3/raftpb"
 
-	"dunestep/fleet"
-	"dunestep/fleet/arena"
-	"dunestep/fleet/consensus"
-	"dunestep/fleet/lease"
+	"dunestep/internal/fleet"
+	"dunestep/internal/fleet/lease"
+	"dunestep/internal/fleet/raftlog"
+	"dunestep/internal/simnet"
 )
 
 // Options say what is played.
@@ -40,7 +40,7 @@
 
 // Lab is a fleet that is played.
 type Lab struct {
-	World  *arena.Cluster
+	World  *simnet.Cluster
 	opts   Options
 	random *rand.Rand
 	hosts  []*host
@@ -54,10 +54,10 @@
 	lab         *Lab
 	self        int
 	incarnation uint64
-	disk        consensus.Stored
+	disk        raftlog.Stored
 	node        *fleet.Node // nil: no process
 	tally       *tally
-	writing     *consensus.Persist
+	writing     *raftlog.Persist
 	writes      uint64 // so far, over all lives
 }
 
@@ -75,7 +75,7 @@
 		l.hosts = append(l.hosts, &host{lab: l, self: i})
 	}
 	l.judge = newJudge(l)
-	l.World = arena.NewCluster(o.Seed, l.begin, o.Agents, l.process)
+	l.World = simnet.NewCluster(o.Seed, l.begin, o.Agents, l.process)
 	l.World.AfterStep = func(a uint32) { l.judge.check(l.hosts[a]) }
 	l.Calm()
 	return l
@@ -83,15 +83,15 @@
 
 // Calm ends what ails the network: one to five milliseconds each way, nothing lost.
 func (l *Lab) Calm() {
-	l.World.ChangeAll(func(k *arena.Link) {
-		*k = arena.Link{Delay: time.Millisecond, Jitter: 4 * time.Millisecond}
+	l.World.ChangeAll(func(k *simnet.Link) {
+		*k = simnet.Link{Delay: time.Millisecond, Jitter: 4 * time.Millisecond}
 	})
 }
 
 // Lossy has all ways lose and double a part, and be late by up to a time.
 func (l *Lab) Lossy(loss, double float64, late time.Duration) {
-	l.World.ChangeAll(func(k *arena.Link) {
-		*k = arena.Link{
+	l.World.ChangeAll(func(k *simnet.Link) {
+		*k = simnet.Link{
 			Cut: k.Cut, Loss: loss, Duplicate: double, Delay: time.Millisecond,
 			Jitter: 4 * time.Millisecond,
 			Late:   0.1, Lateness: late,
@@ -117,7 +117,7 @@
 	return v
 }
 
-func (l *Lab) process(a uint32, now time.Time) arena.Process {
+func (l *Lab) process(a uint32, now time.Time) simnet.Process {
 	h := l.hosts[a]
 	h.incarnation++
 	h.tally = &tally{}
@@ -151,26 +151,26 @@
 	return fleet.ClockReading{Unix: time.Duration(now.UnixNano()), Mono: steady}
 }
 
-// Receive implements arena.Process.
+// Receive implements simnet.Process.
 func (h *host) Receive(now time.Time, from uint32, b []byte) {
 	h.node.Receive(h.reading(now), int(from), b)
 }
 
-// Wake implements arena.Process.
+// Wake implements simnet.Process.
 func (h *host) Wake(now time.Time) { h.node.Wake(h.reading(now)) }
 
-// Next implements arena.Process.
+// Next implements simnet.Process.
 func (h *host) Next() time.Time {
 	now := h.lab.World.Now()
 	ahead := h.node.Next() - h.reading(now).Mono
 	return now.Add(max(ahead, 0) + h.lab.World.ClockOffset(uint32(h.self)))
 }
 
-// Out implements arena.Process.
-func (h *host) Out(now time.Time) (sent []arena.Datagram) {
+// Out implements simnet.Process.
+func (h *host) Out(now time.Time) (sent []simnet.Datagram) {
 	out := h.node.Out(h.reading(now))
 	for _, d := range out.Datagrams {
-		sent = append(sent, arena.Datagram{To: d.To, Bytes: d.Bytes})
+		sent = append(sent, simnet.Datagram{To: d.To, Bytes: d.Bytes})
 	}
 	if out.Persist != nil {
 		h.write(out.Persist)
@@ -180,7 +180,7 @@
 }
 
 // write puts something on the disk after a while, and tells the process if it still runs.
-func (h *host) write(p *consensus.Persist) {
+func (h *host) write(p *raftlog.Persist) {
 	life := h.incarnation
 	h.writing = p
 	took := time.Duration(h.lab.random.Int64N(int64(maxWriteTime)))
@@ -198,7 +198,7 @@
 	if h.incarnation != life {
 		return
 	}
-	if !h.lab.World.Call(uint32(h.self), func(_ arena.Process, now time.Time) {
+	if !h.lab.World.Call(uint32(h.self), func(_ simnet.Process, now time.Time) {
 		h.node.Persisted(h.reading(now), token)
 	}) && h.lab.World.IsPaused(uint32(h.self)) {
 		h.lab.World.At(h.lab.World.Now().Add(50*time.Millisecond), func() { h.notifyWritten(life, token) })
@@ -211,7 +211,7 @@
 	h.writing = nil
 	h.writes++
 	if p.Reset {
-		*s = consensus.Stored{Identity: s.Identity}
+		*s = raftlog.Stored{Identity: s.Identity}
 	}
 	if p.Identity != nil {
 		s.Identity = *p.Identity
@@ -243,7 +243,7 @@
 // Lose ends a process and takes its disk.
 func (l *Lab) Lose(a int) {
 	l.Kill(a)
-	l.hosts[a].disk = consensus.Stored{}
+	l.hosts[a].disk = raftlog.Stored{}
 }
 
 // Node is an agent's, while its process runs; nil otherwise.
@@ -258,7 +258,7 @@
 func (l *Lab) Leader() int {
 	leader := -1
 	for _, v := range l.voters() {
-		if n := l.hosts[v].node; n != nil && n.Status(l.Reading(v)).Voter.Phase == consensus.Leading {
+		if n := l.hosts[v].node; n != nil && n.Status(l.Reading(v)).Voter.Phase == raftlog.Leading {
 			if leader >= 0 {
 				return -1
 			}
@@ -270,7 +270,7 @@
 
 // Isolate cuts an agent off from all others, in both directions, or ends that.
 func (l *Lab) Isolate(a int, cut bool) {
-	l.World.ChangeEach(func(from, to uint32, k *arena.Link) {
+	l.World.ChangeEach(func(from, to uint32, k *simnet.Link) {
 		if int(from) == a || int(to) == a {
 			k.Cut = cut
 		}
@@ -279,7 +279,7 @@
 
 // Partition cuts some agents off from all others.
 func (l *Lab) Partition(some []int, cut bool) {
-	l.World.ChangeEach(func(from, to uint32, k *arena.Link) {
+	l.World.ChangeEach(func(from, to uint32, k *simnet.Link) {
 		if slices.Contains(some, int(from)) != slices.Contains(some, int(to)) {
 			k.Cut = cut
 		}
--- a/fleet/fleetlab/lab_test.go
+++ b/internal/fleet/fleetlab/lab_test.go
@@ -7,9 +7,9 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/fleet"
-	"dunestep/fleet/arena"
-	"dunestep/fleet/lease"
+	"dunestep/internal/fleet"
+	"dunestep/internal/fleet/lease"
+	"dunestep/internal/simnet"
 )
 
 func play(o Options) *Lab {
@@ -58,7 +58,7 @@
 			l := play(Options{Agents: agents, Voters: voters, Seed: 1})
 			l.Run(20 * time.Second)
 			const length = 20
-			before := make([][2]arena.Traffic, agents)
+			before := make([][2]simnet.Traffic, agents)
 			for a := range before {
 				before[a][0], before[a][1] = l.World.TrafficOf(uint32(a))
 			}
@@ -70,7 +70,7 @@
 					of = 1
 				}
 				sent, heard := l.World.TrafficOf(uint32(a))
-				for i, c := range []arena.Traffic{sent, heard} {
+				for i, c := range []simnet.Traffic{sent, heard} {
 					rates[of][2*i] += float64(c.Datagrams-before[a][i].Datagrams) / length
 					rates[of][2*i+1] += float64(c.Bytes-before[a][i].Bytes) / length
 				}
--- a/fleet/fleetlab/script.go
+++ b/internal/fleet/fleetlab/script.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"dunestep/fleet/arena"
+	"dunestep/internal/simnet"
 )
 
 // Kind is what a Fault is.
@@ -76,7 +76,7 @@
 	case Lossy:
 		l.Lossy(f.Loss, f.Duplicate, 3*time.Second)
 	case Damage:
-		l.World.ChangeAll(func(k *arena.Link) { k.Corrupt = 0.05 })
+		l.World.ChangeAll(func(k *simnet.Link) { k.Corrupt = 0.05 })
 	case Pause:
 		l.World.Pause(a)
 		l.after(f.Lasts, func() { l.World.Resume(a) })
--- a/fleet/pieces/example_test.go
+++ b/internal/fleet/fragment/example_test.go
@@ -1,18 +1,18 @@
-package pieces_test
+package fragment_test
 
 import (
 	"fmt"
 	"time"
 
-	"dunestep/fleet/pieces"
+	"dunestep/internal/fleet/fragment"
 )
 
 // A message of 10,000 bytes goes from agent 0 to agent 1, and each tenth datagram is lost.
 func Example() {
 	now := time.Unix(1_800_000_000, 0)
-	var ends [2]*pieces.Transport
+	var ends [2]*fragment.Transport
 	for i := range ends {
-		ends[i] = pieces.New(pieces.Config{Agents: 2, Incarnation: uint64(now.UnixMilli())})
+		ends[i] = fragment.New(fragment.Config{Agents: 2, Incarnation: uint64(now.UnixMilli())})
 	}
 	if err := ends[0].Send(now, 1, 7, make([]byte, 10_000)); err != nil {
 		fmt.Println(err)
--- a/fleet/pieces/golden_test.go
+++ b/internal/fleet/fragment/golden_test.go
@@ -1,4 +1,4 @@
-package pieces
+package fragment
 
 import (
 	"bytes"
@@ -7,7 +7,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/fleet/internal/golden"
+	"dunestep/internal/fleet/internal/golden"
 )
 
 // frames reads the frames of a datagram.
--- a/fleet/pieces/in.go
+++ b/internal/fleet/fragment/in.go
@@ -1,4 +1,4 @@
-package pieces
+package fragment
 
 import (
 	"math"
--- a/fleet/pieces/pieces.go
+++ b/internal/fleet/fragment/pieces.go
@@ -1,4 +1,4 @@
-// Package pieces carries messages of up to 160 KiB between agents in datagrams of at most 256 bytes that may
+// Package fragment carries messages of up to 160 KiB between agents in datagrams of at most 256 bytes that may
 // be lost, late, doubled, reordered or corrupted.
 //
 // A message that fits into one datagram is sent once and forgotten: it may be lost, and come twice. A longer
@@ -14,7 +14,7 @@
 // It does no input or output, and knows no clock: every call brings the time, Out returns what is to be sent.
 // The same calls give the same answers. MemoryBytes is bounded by Config. A Transport is not safe for concurrent
 // use.
-package pieces
+package fragment
 
 import (
 	"encoding/binary"
--- a/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -6,10 +6,10 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/fleet/chronicle"
-	"dunestep/fleet/consensus"
-	"dunestep/fleet/internal/golden"
-	"dunestep/fleet/pieces"
+	"dunestep/internal/fleet/fragment"
+	"dunestep/internal/fleet/internal/golden"
+	"dunestep/internal/fleet/raftlog"
+	"dunestep/internal/fleet/replica"
 )
 
 // tape is a machine whose state is all that it was told.
@@ -33,7 +33,7 @@
 	require.Equal(t, name, back)
 	require.Equal(t, file, encodeRecord(machine, back, data))
 
-	s := chronicle.Snapshot{Epoch: 1_800_000_000_000, Seq: 300, Sum: 1 << 62, Data: []byte("states")}
+	s := replica.Snapshot{Epoch: 1_800_000_000_000, Seq: 300, Sum: 1 << 62, Data: []byte("states")}
 	file = golden.Bytes(t, "snapshot", encodeSnapshot(s))
 	read, err := decodeSnapshot(file)
 	require.NoError(t, err)
@@ -82,7 +82,7 @@
 		n.Wake(now)
 		n.Out(now)
 	}
-	require.Equal(t, consensus.Leading, n.voter.Status().Phase)
+	require.Equal(t, raftlog.Leading, n.voter.Status().Phase)
 	return n, now
 }
 
@@ -118,7 +118,7 @@
 	n = other
 	answered("outcome-no-leader", based)
 	require.Equal(t, []byte{replyUnknown, replyCommitted, replyNotCommitted, replyForgotten}, []byte{
-		replyFor(consensus.Unknown), replyFor(consensus.Committed), replyFor(consensus.NotCommitted), replyFor(consensus.Forgotten),
+		replyFor(raftlog.Unknown), replyFor(raftlog.Committed), replyFor(raftlog.NotCommitted), replyFor(raftlog.Forgotten),
 	})
 	golden.Bytes(t, "outcomes", []byte{
 		replyBase, replyUnknown, replyCommitted, replyNotCommitted, replyForgotten, replyNoLeader,
@@ -141,7 +141,7 @@
 	require.Len(t, sent, 4)
 	for i, name := range []string{"datagram-spread", "datagram-lease", "datagram-grant", "datagram-propose"} {
 		file := golden.Bytes(t, name, sent[i].Bytes)
-		other := pieces.New(pieces.Config{Agents: 30, Incarnation: 5})
+		other := fragment.New(fragment.Config{Agents: 30, Incarnation: 5})
 		got := other.Receive(steadyTime(now), 0, file)
 		require.Len(t, got, 1)
 		if name == "datagram-propose" {
--- a/fleet/spread/bounds.go
+++ b/internal/fleet/gossip/bounds.go
@@ -1,10 +1,10 @@
-package spread
+package gossip
 
 import (
 	"errors"
 	"time"
 
-	"dunestep/fleet/chronicle"
+	"dunestep/internal/fleet/replica"
 )
 
 // bucket bounds bytes a second; what was not used is kept for a second.
@@ -78,7 +78,7 @@
 	if grows && len(a.data) == a.header.ItemBytes {
 		s.completeItem(from)
 	}
-	more := !s.log.Last().Covers(chronicle.Position{Epoch: p.Epoch, Seq: p.LastSeq})
+	more := !s.log.Last().Covers(replica.Position{Epoch: p.Epoch, Seq: p.LastSeq})
 	s.endPull(from, len(p.Data), p.Epoch, p.LastSeq, grows && more)
 }
 
@@ -87,7 +87,7 @@
 func (s *Replicator) extendsLog(p chunk) bool {
 	last := s.log.Last()
 	if p.Snapshot {
-		return !last.Covers(chronicle.Position{Epoch: p.Epoch, Seq: p.Seq})
+		return !last.Covers(replica.Position{Epoch: p.Epoch, Seq: p.Seq})
 	}
 	return p.Epoch == last.Epoch && p.Seq == last.Seq+1 || p.Epoch > last.Epoch && p.Seq == 1
 }
@@ -97,14 +97,14 @@
 	of, data := s.partial.header, s.partial.data
 	s.partial = partialItem{}
 	if !of.Snapshot {
-		_, err := s.log.AppendSegment(chronicle.Segment{
+		_, err := s.log.AppendSegment(replica.Segment{
 			Epoch: of.Epoch, First: of.Seq, PriorSum: of.PriorSum, Sum: of.ItemSum,
 			Records: [][]byte{data},
 		})
 		s.noteTakeError(from, err)
 		return
 	}
-	snap := chronicle.Snapshot{Epoch: of.Epoch, Seq: of.Seq, Sum: of.PriorSum, Data: data}
+	snap := replica.Snapshot{Epoch: of.Epoch, Seq: of.Seq, Sum: of.PriorSum, Data: data}
 	if snap.Digest() != of.ItemSum {
 		s.stats.Rejected++
 		return
@@ -119,7 +119,7 @@
 
 func (s *Replicator) noteTakeError(from int, err error) {
 	switch {
-	case errors.Is(err, chronicle.ErrDiverged):
+	case errors.Is(err, replica.ErrDiverged):
 		s.noteDiverged(from)
 	case err != nil:
 		s.stats.Rejected++
--- a/fleet/spread/golden_test.go
+++ b/internal/fleet/gossip/golden_test.go
@@ -1,11 +1,11 @@
-package spread
+package gossip
 
 import (
 	"testing"
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/fleet/internal/golden"
+	"dunestep/internal/fleet/internal/golden"
 )
 
 // TestGolden: each kind of message keeps its bytes, and is read from them as it was.
--- a/fleet/spread/messages.go
+++ b/internal/fleet/gossip/messages.go
@@ -1,8 +1,8 @@
-package spread
+package gossip
 
 import (
-	"dunestep/fleet/chronicle"
-	"dunestep/fleet/internal/compact"
+	"dunestep/internal/fleet/internal/compact"
+	"dunestep/internal/fleet/replica"
 )
 
 // The kinds of message: the first byte.
@@ -22,8 +22,8 @@
 	Trusted         bool   // the sender had caught up: its word counts for those who start
 }
 
-func (d digest) position() chronicle.Position {
-	return chronicle.Position{Epoch: d.Epoch, Seq: d.Seq, Sum: d.Sum}
+func (d digest) position() replica.Position {
+	return replica.Position{Epoch: d.Epoch, Seq: d.Seq, Sum: d.Sum}
 }
 
 // pull asks for what follows a place, or for more of what comes in pieces.
--- a/fleet/spread/spread.go
+++ b/internal/fleet/gossip/spread.go
@@ -1,4 +1,4 @@
-// Package spread brings the agreed records from agent to agent, so that no voter talks to hundreds of them.
+// Package gossip brings the agreed records from agent to agent, so that no voter talks to hundreds of them.
 //
 // Who has something new tells a few others, drawn at random, how far its copy goes (a digest of some 40
 // bytes); who is behind asks one that is ahead for what follows, and is given a bounded part; then it has
@@ -17,7 +17,7 @@
 //
 // It does no input or output, and knows no clock: time is that of one steady clock. The same settings and
 // calls give the same messages. A Replicator is not safe for concurrent use.
-package spread
+package gossip
 
 import (
 	"errors"
@@ -25,7 +25,7 @@
 	"slices"
 	"time"
 
-	"dunestep/fleet/chronicle"
+	"dunestep/internal/fleet/replica"
 )
 
 // Settings are one agent's. Zero values are the defaults.
@@ -110,12 +110,12 @@
 // Replicator is one agent's part in it.
 type Replicator struct {
 	settings      Settings
-	log           *chronicle.Log
+	log           *replica.Log
 	rng           *rand.Rand
 	stats         Stats
 	output        Output
 	now           time.Duration
-	lastAnnounced chronicle.Position // that was told of
+	lastAnnounced replica.Position // that was told of
 
 	pushInterval time.Duration // until the push after the next
 	nextPush     time.Duration
@@ -137,12 +137,12 @@
 
 type aheadPeer struct {
 	agent    int
-	position chronicle.Position
+	position replica.Position
 	attempts int // in a row, in vain
 }
 
 // New returns a Replicator for a log, which has to be told of what others append to it (RecordsAdded). It asks at once.
-func New(set Settings, log *chronicle.Log, now time.Duration) *Replicator {
+func New(set Settings, log *replica.Log, now time.Duration) *Replicator {
 	set = set.withDefaults()
 	s := &Replicator{
 		settings: set, log: log, rng: rand.New(rand.NewPCG(set.Seed, uint64(set.Self))), now: now,
@@ -341,7 +341,7 @@
 }
 
 // remember keeps a partner that has more; the oldest gives way.
-func (s *Replicator) rememberPeer(from int, at chronicle.Position) {
+func (s *Replicator) rememberPeer(from int, at replica.Position) {
 	s.forgetPeer(from)
 	if s.settings.NeverPull || s.log.Last().Covers(at) {
 		return
@@ -405,7 +405,7 @@
 	}
 	s.forgetPeer(from) // one that brings nothing is not asked again until it tells of itself
 	if more {
-		s.rememberPeer(from, chronicle.Position{Epoch: epoch, Seq: last})
+		s.rememberPeer(from, replica.Position{Epoch: epoch, Seq: last})
 	}
 	if more && !s.isPulling && s.receiveBudget.has(s.settings.MaxMessageBytes) && len(s.aheadPeers) > 0 {
 		s.sendPull(from)
@@ -428,16 +428,16 @@
 	if s.settings.NeverPull {
 		return
 	}
-	taken, err := s.log.AppendSegment(chronicle.Segment{
+	taken, err := s.log.AppendSegment(replica.Segment{
 		Epoch: p.Epoch, First: p.First, PriorSum: p.PriorSum, Sum: p.Sum,
 		Records: p.Records,
 	})
 	switch {
-	case errors.Is(err, chronicle.ErrDiverged):
+	case errors.Is(err, replica.ErrDiverged):
 		s.noteDiverged(from)
-	case told && (errors.Is(err, chronicle.ErrGap) || errors.Is(err, chronicle.ErrNewEpoch)):
+	case told && (errors.Is(err, replica.ErrGap) || errors.Is(err, replica.ErrNewEpoch)):
 		return // more than what follows is missing: the digest has it asked for
-	case err != nil && !errors.Is(err, chronicle.ErrFull):
+	case err != nil && !errors.Is(err, replica.ErrFull):
 		s.stats.Rejected++
 	}
 	if taken > 0 {
@@ -446,7 +446,7 @@
 	last := s.log.Last()
 	more := taken > 0 && p.Epoch == last.Epoch && p.LastSeq > last.Seq
 	s.endPull(from, totalBytes(p.Records), p.Epoch, p.LastSeq, more && err == nil)
-	if errors.Is(err, chronicle.ErrFull) {
+	if errors.Is(err, replica.ErrFull) {
 		s.pullUntil = s.now + s.settings.ReplyTimeout
 	}
 }
--- a/fleet/spread/spread_test.go
+++ b/internal/fleet/gossip/spread_test.go
@@ -1,4 +1,4 @@
-package spread
+package gossip
 
 import (
 	"slices"
@@ -8,31 +8,31 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"dunestep/fleet/chronicle"
-	"dunestep/fleet/lossy"
+	"dunestep/internal/fleet/replica"
+	"dunestep/internal/simnet/lossy"
 )
 
 // lab plays a fleet whose first five agents are voters: what is committed is in all of their logs at once.
 type lab struct {
 	*lossy.Network
 	set    Settings
-	limits chronicle.Limits
-	logs   []*chronicle.Log
+	limits replica.Limits
+	logs   []*replica.Log
 	agents []*Replicator
 	lives  uint64
-	truth  *chronicle.Log
+	truth  *replica.Log
 	sums   map[uint64]uint64 // of the truth, by record
 	breach string
-	had    []chronicle.Position // after the last input
+	had    []replica.Position // after the last input
 }
 
 const voters = 5
 
 func newLab(seed uint64, agents int, faults lossy.Faults, set Settings) *lab {
 	l := &lab{
-		Network: lossy.NewNetwork(seed, agents, time.Hour, faults), set: set, logs: make([]*chronicle.Log, agents),
-		agents: make([]*Replicator, agents), truth: empty(chronicle.Limits{}), sums: map[uint64]uint64{},
-		had: make([]chronicle.Position, agents),
+		Network: lossy.NewNetwork(seed, agents, time.Hour, faults), set: set, logs: make([]*replica.Log, agents),
+		agents: make([]*Replicator, agents), truth: empty(replica.Limits{}), sums: map[uint64]uint64{},
+		had: make([]replica.Position, agents),
 	}
 	l.set.Agents, l.set.Voters = agents, []int{0, 1, 2, 3, 4}
 	l.OnMessage = func(to, from int, data []byte) {
@@ -54,8 +54,8 @@
 	return l
 }
 
-func empty(limits chronicle.Limits) *chronicle.Log {
-	log, err := chronicle.New(chronicle.InitialSnapshot(1), limits)
+func empty(limits replica.Limits) *replica.Log {
+	log, err := replica.New(replica.InitialSnapshot(1), limits)
 	if err != nil {
 		panic(err)
 	}
@@ -90,11 +90,11 @@
 }
 
 // compact is the state machine's part: every 40 records a snapshot that is larger than a message.
-func (l *lab) compact(log *chronicle.Log) {
+func (l *lab) compact(log *replica.Log) {
 	for log.Len() >= 60 {
 		seq := log.Snapshot().Seq + 40
 		sum, _ := log.SumAt(seq)
-		s := chronicle.Snapshot{Epoch: log.Last().Epoch, Seq: seq, Sum: sum, Data: slices.Repeat([]byte{byte(seq)}, 3000+int(seq))}
+		s := replica.Snapshot{Epoch: log.Last().Epoch, Seq: seq, Sum: sum, Data: slices.Repeat([]byte{byte(seq)}, 3000+int(seq))}
 		if err := log.Compact(s); err != nil {
 			panic(err)
 		}
@@ -103,7 +103,7 @@
 
 func (l *lab) commit(size int) {
 	seq := l.truth.Last().Seq + 1
-	if err := l.truth.Append(chronicle.Record{Seq: seq, Data: slices.Repeat([]byte{byte(seq)}, size)}); err != nil {
+	if err := l.truth.Append(replica.Record{Seq: seq, Data: slices.Repeat([]byte{byte(seq)}, size)}); err != nil {
 		panic(err)
 	}
 	l.sums[seq] = l.truth.Last().Sum
@@ -221,12 +221,12 @@
 // TestNewsBringsRecords: a record that fits is told, not only told of; one message less may be lost. Where more is
 // missing, or it does not fit, the rest is asked for, and again soon where answers come soon.
 func TestNewsBringsRecords(t *testing.T) {
-	told := func(size int) (out Output, log *chronicle.Log) {
-		log = empty(chronicle.Limits{})
+	told := func(size int) (out Output, log *replica.Log) {
+		log = empty(replica.Limits{})
 		s := New(Settings{Agents: 2, Seed: 1}, log, 0)
 		s.MarkCaughtUp()
 		for seq := range uint64(9) {
-			require.NoError(t, log.Append(chronicle.Record{Seq: seq + 1, Data: make([]byte, size)}))
+			require.NoError(t, log.Append(replica.Record{Seq: seq + 1, Data: make([]byte, size)}))
 		}
 		s.RecordsAdded(time.Second)
 		return s.Tick(s.Next()), log
@@ -235,9 +235,9 @@
 	require.Len(t, out.Messages, 1)
 	require.LessOrEqual(t, len(out.Messages[0].Data), 200)
 	for _, has := range []uint64{8, 3} {
-		mine := empty(chronicle.Limits{})
+		mine := empty(replica.Limits{})
 		for seq := range has {
-			require.NoError(t, mine.Append(chronicle.Record{Seq: seq + 1, Data: make([]byte, 60)}))
+			require.NoError(t, mine.Append(replica.Record{Seq: seq + 1, Data: make([]byte, 60)}))
 		}
 		s := New(Settings{Agents: 2, Self: 1, Seed: 1}, mine, 0)
 		s.MarkCaughtUp()
@@ -339,7 +339,7 @@
 	l.restart(9)
 	require.Greater(t, l.until(10, time.Minute), 8*time.Second)
 
-	s := New(Settings{Agents: 20, Self: 1, Seed: 1}, empty(chronicle.Limits{}), 0)
+	s := New(Settings{Agents: 20, Self: 1, Seed: 1}, empty(replica.Limits{}), 0)
 	far := encode(kindDigest, digest{Epoch: 1, Seq: 50})
 	for from := 2; from < 15; from++ {
 		s.Step(0, from, far)
@@ -348,8 +348,8 @@
 	asked := s.pullPeer
 	s.Step(0, asked, far)
 	s.Step(0, asked, encode(kindSegment, segment{
-		Epoch: 1, First: 1, PriorSum: chronicle.InitialSnapshot(1).Sum,
-		Sum: chronicle.InitialSnapshot(1).Sum, LastSeq: 50,
+		Epoch: 1, First: 1, PriorSum: replica.InitialSnapshot(1).Sum,
+		Sum: replica.InitialSnapshot(1).Sum, LastSeq: 50,
 	}))
 	for _, p := range s.aheadPeers {
 		require.NotEqual(t, asked, p.agent)
@@ -368,7 +368,7 @@
 		}
 		require.Less(t, l.until(20, time.Minute), 10*time.Second)
 		l.Pause(19, l.Now()+3*time.Second)
-		taken, err := l.truth.Install(chronicle.InitialSnapshot(2))
+		taken, err := l.truth.Install(replica.InitialSnapshot(2))
 		require.True(t, taken && err == nil)
 		l.sums = map[uint64]uint64{}
 		for v := range voters {
@@ -380,12 +380,12 @@
 		require.Less(t, l.until(20, time.Minute), 15*time.Second, "%d records", commits)
 		require.Empty(t, l.breach)
 	}
-	var logs []*chronicle.Log
+	var logs []*replica.Log
 	for _, data := range []string{"a", "b"} {
-		logs = append(logs, empty(chronicle.Limits{}))
-		require.NoError(t, logs[len(logs)-1].Append(chronicle.Record{Seq: 1, Data: []byte(data)}))
+		logs = append(logs, empty(replica.Limits{}))
+		require.NoError(t, logs[len(logs)-1].Append(replica.Record{Seq: 1, Data: []byte(data)}))
 	}
-	require.NoError(t, logs[1].Append(chronicle.Record{Seq: 2}))
+	require.NoError(t, logs[1].Append(replica.Record{Seq: 2}))
 	one, two := New(Settings{Agents: 2, Seed: 1}, logs[0], 0), New(Settings{Agents: 2, Self: 1, Seed: 1}, logs[1], 0)
 	before := logs[0].Last()
 	out := one.Step(0, 1, encode(kindDigest, two.ownDigest()))
@@ -403,10 +403,10 @@
 
 // TestALieAtTheStartEnds: one that says it had caught up, with what nobody has, is believed for a while only.
 func TestALieAtTheStartEnds(t *testing.T) {
-	s := New(Settings{Agents: 9, Self: 1, Voters: []int{0}, Seed: 1}, empty(chronicle.Limits{}), 0)
+	s := New(Settings{Agents: 9, Self: 1, Voters: []int{0}, Seed: 1}, empty(replica.Limits{}), 0)
 	tell := func(now time.Duration, from int, seq uint64) {
 		s.Step(now, from, encode(kindDigest, digest{
-			Epoch: 1, Seq: seq, Sum: chronicle.InitialSnapshot(1).Sum,
+			Epoch: 1, Seq: seq, Sum: replica.InitialSnapshot(1).Sum,
 			AnswerTo: s.catchUp.question, Trusted: true,
 		}))
 	}
@@ -422,7 +422,7 @@
 // record that does not follow, and no memory beyond the bounds.
 func TestNobodysMessagesDoHarm(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		log := empty(chronicle.Limits{MaxRecords: 10, MaxRecordBytes: 5000, MaxSnapshotBytes: 5000})
+		log := empty(replica.Limits{MaxRecords: 10, MaxRecordBytes: 5000, MaxSnapshotBytes: 5000})
 		s := New(Settings{Agents: 20, Self: 1, Voters: []int{0}, Seed: 1}, log, 0)
 		any64 := func(name string) uint64 {
 			return rapid.SampledFrom([]uint64{0, 1, 2, 1 << 63, 1<<64 - 1}).Draw(t, name)
--- a/fleet/spread/start.go
+++ b/internal/fleet/gossip/start.go
@@ -1,10 +1,10 @@
-package spread
+package gossip
 
 import (
 	"slices"
 	"time"
 
-	"dunestep/fleet/chronicle"
+	"dunestep/internal/fleet/replica"
 )
 
 // CatchUpState is how far an agent that began is with catching up.
@@ -39,7 +39,7 @@
 	isUntrusted   bool // its word does not count for others
 	hasVoterReply bool
 	agents        []int // whose word counts, up to Settings.AgentQuorum
-	newest        chronicle.Position
+	newest        replica.Position
 }
 
 // CatchUpState tells how far the agent is: before Asking has ended, it is not to say that it is ready. Late and
@@ -79,7 +79,7 @@
 		}
 	}
 	if st.state == Late && st.attempts%8 == 0 { // what was told before may have been wrong
-		st.hasVoterReply, st.agents, st.newest = false, nil, chronicle.Position{}
+		st.hasVoterReply, st.agents, st.newest = false, nil, replica.Position{}
 	}
 	question := s.ownDigest()
 	question.Question = st.question
--- a/fleet/lease/example_test.go
+++ b/internal/fleet/lease/example_test.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"time"
 
-	"dunestep/fleet/chronicle"
-	"dunestep/fleet/lease"
+	"dunestep/internal/fleet/lease"
+	"dunestep/internal/fleet/replica"
 )
 
 // An agent asks a voter, which asks the leader first. Then the voter is cut off, and the lease runs out.
@@ -16,12 +16,12 @@
 	terms := lease.Terms{}.WithDefaults()
 	voter := lease.NewGranter(lease.GranterSettings{Terms: terms, Agents: 300})
 	agent := lease.NewHolder(lease.HolderSettings{Terms: terms, Self: 17, Voters: []int{0}, Seed: 1}, at(0))
-	agent.SetApplied(chronicle.Position{Epoch: 1, Seq: 5})
+	agent.SetApplied(replica.Position{Epoch: 1, Seq: 5})
 	asked := agent.Next()
 	_, request, _ := agent.Tick(at(asked))
 	_, ask := voter.HandleRequest(at(asked), 17, request)
 	fmt.Println("the leader is asked:", ask)
-	for _, answer := range voter.HandleConfirmed(at(asked+time.Millisecond), at(asked), chronicle.Position{Epoch: 1, Seq: 5}) {
+	for _, answer := range voter.HandleConfirmed(at(asked+time.Millisecond), at(asked), replica.Position{Epoch: 1, Seq: 5}) {
 		agent.HandleGrant(at(asked+2*time.Millisecond), 0, answer.Grant)
 	}
 	for _, after := range []time.Duration{time.Second, terms.Duration - 1, terms.Duration} {
--- a/fleet/lease/golden_test.go
+++ b/internal/fleet/lease/golden_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/fleet/internal/golden"
+	"dunestep/internal/fleet/internal/golden"
 )
 
 // TestGolden: each message keeps its bytes, and is read from them as it was.
--- a/fleet/lease/granter.go
+++ b/internal/fleet/lease/granter.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"dunestep/fleet/chronicle"
+	"dunestep/internal/fleet/replica"
 )
 
 // GranterSettings are one voter's.
@@ -32,7 +32,7 @@
 type ActiveHolder struct {
 	Agent       int
 	Incarnation uint64
-	Applied     chronicle.Position // by its own word, without the sum, as it asked
+	Applied     replica.Position // by its own word, without the sum, as it asked
 	GrantedAt   ClockReading
 }
 
@@ -46,7 +46,7 @@
 
 	isConfirmed    bool
 	confirmedAsOf  ClockReading // when the leader was asked that has confirmed this place
-	position       chronicle.Position
+	position       replica.Position
 	isReadPending  bool
 	readStarted    ClockReading
 	lastReadFailed bool // the last time that the leader was asked brought nothing
@@ -118,7 +118,7 @@
 	g.stats.Granted++
 	g.holders[to] = ActiveHolder{
 		Agent: to, Incarnation: r.Incarnation, GrantedAt: now,
-		Applied: chronicle.Position{Epoch: r.Epoch, Seq: r.Seq},
+		Applied: replica.Position{Epoch: r.Epoch, Seq: r.Seq},
 	}
 	return Reply{To: to, Grant: Grant{
 		Nonce: r.Nonce, Epoch: g.position.Epoch, Seq: g.position.Seq,
@@ -129,7 +129,7 @@
 // HandleConfirmed tells that a linearizable read which began at a reading has ended, and that this voter has
 // applied all that it named, up to at. Requests is the reading before the read began, never that of its end. A
 // read that a fallen leader or a lost message ended is not told. What waited is granted.
-func (g *Granter) HandleConfirmed(now, asked ClockReading, at chronicle.Position) (out []Reply) {
+func (g *Granter) HandleConfirmed(now, asked ClockReading, at replica.Position) (out []Reply) {
 	g.noteInput(now)
 	if g.isConfirmed && asked.Mono < g.confirmedAsOf.Mono || now.Since(asked) > g.settings.Terms.MaxKnowledgeAge {
 		return nil
--- a/fleet/lease/holder.go
+++ b/internal/fleet/lease/holder.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"time"
 
-	"dunestep/fleet/chronicle"
+	"dunestep/internal/fleet/replica"
 )
 
 // Standing is how an agent may act.
@@ -51,7 +51,7 @@
 	successRate       float64       // of requests that brought a lease, smoothed: the rest is what ways and voters lose
 	outstanding       [maxOutstanding]outstandingRequest
 	requestCount      int
-	applied           chronicle.Position
+	applied           replica.Position
 	current           leaseGrant    // one that is, or was, covered by what is applied
 	pending           leaseGrant    // a newer one that is not covered yet
 	unixOffset        time.Duration // the Unix clock of the steady one, when a voter's grant last bore it out
@@ -81,7 +81,7 @@
 // grant holds from when it was asked for.
 type leaseGrant struct {
 	requestedAt ClockReading
-	position    chronicle.Position
+	position    replica.Position
 	isSet       bool
 }
 
@@ -179,7 +179,7 @@
 }
 
 func (h *Holder) handleGrant(now ClockReading, o outstandingRequest, g Grant) {
-	at := chronicle.Position{Epoch: g.Epoch, Seq: g.Seq}
+	at := replica.Position{Epoch: g.Epoch, Seq: g.Seq}
 	h.noteRoundTrip(now.Mono - o.sent.Mono)
 	switch {
 	case g.Rejected:
@@ -243,7 +243,7 @@
 }
 
 // SetApplied tells how far the agent's own records go that it acts on.
-func (h *Holder) SetApplied(at chronicle.Position) {
+func (h *Holder) SetApplied(at replica.Position) {
 	h.applied = at
 	h.adoptPending()
 }
@@ -289,6 +289,6 @@
 }
 
 // Behind tells that a voter has named records that are not applied here: where the log should be asked for.
-func (h *Holder) Behind() (at chronicle.Position, behind bool) {
+func (h *Holder) Behind() (at replica.Position, behind bool) {
 	return h.pending.position, h.pending.isSet
 }
--- a/fleet/lease/lease_test.go
+++ b/internal/fleet/lease/lease_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"dunestep/fleet/chronicle"
-	"dunestep/fleet/lossy"
+	"dunestep/internal/fleet/replica"
+	"dunestep/internal/simnet/lossy"
 )
 
 // lab plays voters, whose leader is node 0, and agents. What was committed, and when, is told by the lab: the
@@ -70,7 +70,7 @@
 		Terms: l.terms, Self: a, Incarnation: incarnation,
 		Voters: []int{0, 1, 2}, Seed: uint64(a) + 7,
 	}, l.reading(voters+a))
-	l.holders[a].SetApplied(chronicle.Position{Epoch: 1, Seq: l.known[a]})
+	l.holders[a].SetApplied(replica.Position{Epoch: 1, Seq: l.known[a]})
 	l.SetTimer(voters+a, l.holders[a].Next())
 }
 
@@ -145,7 +145,7 @@
 			if l.without == "asked" { // take the answer's coming for what it is as new as
 				r.asked = now
 			}
-			l.answer(voter, l.granters[voter].HandleConfirmed(now, r.asked, chronicle.Position{Epoch: 1, Seq: r.committed}))
+			l.answer(voter, l.granters[voter].HandleConfirmed(now, r.asked, replica.Position{Epoch: 1, Seq: r.committed}))
 		}
 		confirm()
 	})
@@ -180,7 +180,7 @@
 		}
 		l.At(l.Now()+wait, func() {
 			l.known[a] = max(l.known[a], n)
-			l.holders[a].SetApplied(chronicle.Position{Epoch: 1, Seq: l.known[a]})
+			l.holders[a].SetApplied(replica.Position{Epoch: 1, Seq: l.known[a]})
 		})
 	}
 }
@@ -198,7 +198,7 @@
 			now = l.lastInput[a]
 		}
 		if l.without == "applied" {
-			h.SetApplied(chronicle.Position{Epoch: 1, Seq: math.MaxUint64})
+			h.SetApplied(replica.Position{Epoch: 1, Seq: math.MaxUint64})
 		}
 		l.decisions++
 		if !h.Holds(now) {
@@ -332,7 +332,7 @@
 	require.Equal(t, New, h.Standing(at(0.6)), "of another voter, for another request")
 	h.HandleGrant(at(0.6), to, Grant{Nonce: r.Nonce, Epoch: 1, Seq: 5})
 	require.Equal(t, New, h.Standing(at(0.7)), "not applied")
-	h.SetApplied(chronicle.Position{Epoch: 1, Seq: 5})
+	h.SetApplied(replica.Position{Epoch: 1, Seq: 5})
 	require.Equal(t, Full, h.Standing(at(4.4)))
 	ahead := at(0.7)
 	ahead.Unix += 5 * time.Second
@@ -396,7 +396,7 @@
 // TestAnswersOutOfOrder: an older lease never takes the place of a newer one, nor an earlier epoch's of a later.
 func TestAnswersOutOfOrder(t *testing.T) {
 	h := NewHolder(HolderSettings{Voters: []int{4}, Seed: 9}, ClockReading{})
-	h.SetApplied(chronicle.Position{Epoch: 2, Seq: 5})
+	h.SetApplied(replica.Position{Epoch: 2, Seq: 5})
 	ask := func(s float64) Request {
 		h.nextRequest = 0
 		_, r, _ := h.Tick(at(s))
@@ -425,7 +425,7 @@
 	out, ask := g.HandleRequest(at(1), 1, Request{Agent: 1, Nonce: 7})
 	require.True(t, ask)
 	require.Empty(t, out, "waits for the leader's word")
-	place := chronicle.Position{Epoch: 1, Seq: 3}
+	place := replica.Position{Epoch: 1, Seq: 3}
 	require.Equal(t, []Reply{{To: 1, Grant: Grant{Nonce: 7, Epoch: 1, Seq: 3}}}, g.HandleConfirmed(at(1.1), at(1), place))
 	require.Len(t, g.ActiveHolders(at(5)), 1)
 	require.Empty(t, g.ActiveHolders(at(5.2)))
@@ -452,7 +452,7 @@
 
 	g = NewGranter(GranterSettings{Agents: 1, Terms: Terms{MaxPause: 200 * time.Millisecond}})
 	g.HandleConfirmed(at(1), at(0.9), place)
-	g.HandleConfirmed(at(1.1), at(0.5), chronicle.Position{Epoch: 1, Seq: 2})
+	g.HandleConfirmed(at(1.1), at(0.5), replica.Position{Epoch: 1, Seq: 2})
 	out, _ = g.HandleRequest(at(1.2), 0, Request{})
 	require.Equal(t, uint64(3), out[0].Grant.Seq, "an older word came later")
 	out, _ = g.HandleRequest(at(1.5), 0, Request{})
@@ -499,7 +499,7 @@
 		require.NoError(t, err)
 		voter := ClockReading{Unix: now.Unix + c.off, Mono: now.Mono}
 		g.HandleRequest(voter, 3, decoded)
-		answers := g.HandleConfirmed(voter, voter, chronicle.Position{Epoch: 1})
+		answers := g.HandleConfirmed(voter, voter, replica.Position{Epoch: 1})
 		require.Len(t, answers, 1)
 		grant, err := DecodeGrant(answers[0].Grant.Encode())
 		require.NoError(t, err)
--- a/fleet/lease/messages.go
+++ b/internal/fleet/lease/messages.go
@@ -4,7 +4,7 @@
 	"errors"
 	"time"
 
-	"dunestep/fleet/internal/compact"
+	"dunestep/internal/fleet/internal/compact"
 )
 
 var errNoteTooLong = errors.New("the note of a request for a lease is too long")
--- a/fleet/machines.go
+++ b/internal/fleet/machines.go
@@ -5,8 +5,8 @@
 	"errors"
 	"fmt"
 
-	"dunestep/fleet/chronicle"
-	"dunestep/fleet/consensus"
+	"dunestep/internal/fleet/raftlog"
+	"dunestep/internal/fleet/replica"
 )
 
 // machines are those that this build knows, and what is kept for agents that know more. A snapshot of this
@@ -16,7 +16,7 @@
 	// beyond are the states of the machines after those, as of the snapshot that this process went on from, and
 	// kept are their records since, bytes long in a snapshot.
 	unknownStates  [][]byte
-	unknownRecords []chronicle.Record
+	unknownRecords []replica.Record
 	unknownBytes   int
 	isFull         bool // there is no room for more: no snapshot is made any more, and the log stays as it is
 	reported       map[uint8]bool
@@ -24,7 +24,7 @@
 
 const (
 	// maxStateBytes is what a snapshot may have above a voter's log.
-	maxStateBytes = consensus.MaxSnapshotBytes - snapshotHeaderBytes
+	maxStateBytes = raftlog.MaxSnapshotBytes - snapshotHeaderBytes
 	// unknownRecordsMark stands in place of a state's length: what follows are kept records. Builds that do not know of
 	// them stop reading after their own machines' states, which come before.
 	unknownRecordsMark       = ^uint32(0)
@@ -53,7 +53,7 @@
 		m.unknownRecords, m.isFull = nil, true
 	}
 	if !m.isFull {
-		m.unknownRecords = append(m.unknownRecords, chronicle.Record{Seq: seq, Data: data})
+		m.unknownRecords = append(m.unknownRecords, replica.Record{Seq: seq, Data: data})
 	}
 	if m.reported[machine] {
 		return nil
--- a/fleet/machines_test.go
+++ b/internal/fleet/machines_test.go
@@ -9,9 +9,9 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/fleet"
-	"dunestep/fleet/fleetlab"
-	"dunestep/fleet/lease"
+	"dunestep/internal/fleet"
+	"dunestep/internal/fleet/fleetlab"
+	"dunestep/internal/fleet/lease"
 )
 
 // book is a machine that notes the beginnings of what it is told.
--- a/fleet/roster/example_test.go
+++ b/internal/fleet/membership/example_test.go
@@ -1,17 +1,17 @@
-package roster_test
+package membership_test
 
 import (
 	"fmt"
 	"time"
 
-	"dunestep/fleet/roster"
+	"dunestep/internal/fleet/membership"
 )
 
 // Agent 2 is heard by agent 1 alone, whose word of it reaches agent 0; then agent 2 leaves.
 func Example() {
-	var agents [3]*roster.List
+	var agents [3]*membership.List
 	for i := range agents {
-		agents[i] = roster.New(roster.Settings{Agents: 3, Self: i, StartedAt: 1_800_000_000 * time.Second, Seed: 1}, 0)
+		agents[i] = membership.New(membership.Settings{Agents: 3, Self: i, StartedAt: 1_800_000_000 * time.Second, Seed: 1}, 0)
 	}
 	tell := func(now time.Duration, from, to int) {
 		if err := agents[to].ApplyUpdate(now, from, agents[from].Update(now, to, 64)); err != nil {
@@ -20,11 +20,11 @@
 	}
 	tell(time.Second, 2, 1)
 	tell(2*time.Second, 1, 0)
-	fmt.Println(agents[0].Status(2*time.Second, 2) == roster.Alive)
+	fmt.Println(agents[0].Status(2*time.Second, 2) == membership.Alive)
 	agents[2].Leave()
 	tell(3*time.Second, 2, 1)
 	tell(4*time.Second, 1, 0)
-	fmt.Println(agents[0].Status(4*time.Second, 2) == roster.Left)
+	fmt.Println(agents[0].Status(4*time.Second, 2) == membership.Left)
 	// Output:
 	// true
 	// true
--- a/fleet/roster/golden_test.go
+++ b/internal/fleet/membership/golden_test.go
@@ -1,12 +1,12 @@
-package roster
+package membership
 
 import (
 	"testing"
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/fleet/internal/compact"
-	"dunestep/fleet/internal/golden"
+	"dunestep/internal/fleet/internal/compact"
+	"dunestep/internal/fleet/internal/golden"
 )
 
 // TestGolden: a word keeps its bytes, and is read from them as it was, by the encoder of its own and by the general one.
--- a/fleet/roster/messages.go
+++ b/internal/fleet/membership/messages.go
@@ -1,4 +1,4 @@
-package roster
+package membership
 
 import "encoding/binary"
 
--- a/fleet/roster/roster.go
+++ b/internal/fleet/membership/roster.go
@@ -1,4 +1,4 @@
-// Package roster says who of a fleet is there: from what an agent hears itself, and from what others say that
+// Package membership says who of a fleet is there: from what an agent hears itself, and from what others say that
 // they hear.
 //
 // It sends nothing. Into messages that go to other agents anyway it puts a word of a bounded number of bytes:
@@ -22,7 +22,7 @@
 //
 // It does no input or output, and knows no clock: time is that of one steady clock. The same settings and
 // calls give the same words. A List is not safe for concurrent use.
-package roster
+package membership
 
 import (
 	"errors"
@@ -31,7 +31,7 @@
 	"slices"
 	"time"
 
-	"dunestep/fleet/internal/compact"
+	"dunestep/internal/fleet/internal/compact"
 )
 
 // Status is what is known of an agent.
--- a/fleet/roster/roster_test.go
+++ b/internal/fleet/membership/roster_test.go
@@ -1,4 +1,4 @@
-package roster
+package membership
 
 import (
 	"testing"
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"dunestep/fleet/internal/compact"
-	"dunestep/fleet/lossy"
+	"dunestep/internal/fleet/internal/compact"
+	"dunestep/internal/simnet/lossy"
 )
 
 // lab plays what an agent sends anyway: a digest to another one each 1.5 s, and a request to one of five voters each
--- a/fleet/node.go
+++ b/internal/fleet/node.go
@@ -12,12 +12,12 @@
 	"slices"
 	"time"
 
-	"dunestep/fleet/chronicle"
-	"dunestep/fleet/consensus"
-	"dunestep/fleet/lease"
-	"dunestep/fleet/pieces"
-	"dunestep/fleet/roster"
-	"dunestep/fleet/spread"
+	"dunestep/internal/fleet/fragment"
+	"dunestep/internal/fleet/gossip"
+	"dunestep/internal/fleet/lease"
+	"dunestep/internal/fleet/membership"
+	"dunestep/internal/fleet/raftlog"
+	"dunestep/internal/fleet/replica"
 )
 
 // ClockReading is what the machine's clocks show; see lease.ClockReading.
@@ -39,7 +39,7 @@
 	// IsDurable says that what Persist asks for is written to a folder that outlives the process. Else a
 	// voter that starts again is a new one.
 	IsDurable bool
-	Stored    consensus.Stored // what that folder has
+	Stored    raftlog.Stored // what that folder has
 	// MemoryBytes bounds what messages on their way may take, in bytes; BytesPerSecond and BurstBytes pace what is sent, in
 	// bytes a second and at once. Zero: as package pieces has them.
 	MemoryBytes, BytesPerSecond, BurstBytes int
@@ -78,14 +78,14 @@
 type Event struct {
 	Kind     EventKind
 	Agent    int
-	Position chronicle.Position
+	Position replica.Position
 	Err      error
 }
 
 // Output is what is to be done.
 type Output struct {
-	Datagrams  []pieces.Datagram
-	Persist    *consensus.Persist // to be written, and its token told by Persisted
+	Datagrams  []fragment.Datagram
+	Persist    *raftlog.Persist // to be written, and its token told by Persisted
 	Events     []Event
 	HasApplied bool // records were applied: what follows from the machines may have changed
 }
@@ -94,15 +94,15 @@
 type Node struct {
 	settings        Settings
 	rng             *rand.Rand
-	transport       *pieces.Transport
-	log             *chronicle.Log
+	transport       *fragment.Transport
+	log             *replica.Log
 	machines        stateMachines
-	applied         chronicle.Position // what the machines have
-	gossip          *spread.Replicator
-	members         *roster.List
-	lastGossiped    chronicle.Position // what others were told of
+	applied         replica.Position // what the machines have
+	gossip          *gossip.Replicator
+	members         *membership.List
+	lastGossiped    replica.Position // what others were told of
 	holder          *lease.Holder
-	voter           *consensus.Voter // nil: not named as one
+	voter           *raftlog.Voter // nil: not named as one
 	granter         *lease.Granter
 	delivered       uint64 // records that the voters' log has given out, as numbered by the chronicle
 	freshAsOf       time.Time
@@ -140,13 +140,13 @@
 	}
 	n.machines.known = set.Machines
 	n.proposals = newProposals(n.rng.Uint64())
-	n.transport = pieces.New(pieces.Config{
+	n.transport = fragment.New(fragment.Config{
 		Agents: set.Agents, Incarnation: set.Incarnation, MemoryBytes: set.MemoryBytes,
 		BytesPerSecond: set.BytesPerSecond, BurstBytes: set.BurstBytes,
 	})
 	var err error
-	limits := chronicle.Limits{MaxSnapshotBytes: consensus.MaxSnapshotBytes}
-	if n.log, err = chronicle.New(chronicle.Snapshot{}, limits); err != nil {
+	limits := replica.Limits{MaxSnapshotBytes: raftlog.MaxSnapshotBytes}
+	if n.log, err = replica.New(replica.Snapshot{}, limits); err != nil {
 		return nil, err
 	}
 	n.holder = lease.NewHolder(lease.HolderSettings{
@@ -159,7 +159,7 @@
 			return nil, err
 		}
 	}
-	n.members = roster.New(roster.Settings{
+	n.members = membership.New(membership.Settings{
 		Agents: set.Agents, Self: set.Self,
 		StartedAt: time.Duration(set.Incarnation) * time.Millisecond, Seed: set.Seed,
 	}, now.Mono)
@@ -206,7 +206,7 @@
 // Persisted tells that a Persist is safe on disk.
 func (n *Node) Persisted(now ClockReading, token uint64) {
 	if n.voter != nil {
-		n.stepVoter(now, consensus.Persisted{Token: token})
+		n.stepVoter(now, raftlog.Persisted{Token: token})
 	}
 	n.runDue(now)
 }
@@ -257,7 +257,7 @@
 	if channel == channelLeaseGrant {
 		most = n.settings.grantUpdateBytes()
 	}
-	if room := pieces.MaxShortBytes - 1 - len(b); room > 0 {
+	if room := fragment.MaxShortBytes - 1 - len(b); room > 0 {
 		most = min(most, room) // a message that fits into one datagram still does
 	}
 	n.members.NoteSent(now.Mono, to)
@@ -304,7 +304,7 @@
 	switch channel {
 	case channelRaft:
 		if n.voter != nil {
-			n.stepVoter(now, consensus.MessageReceived{From: uint32(from), Bytes: b})
+			n.stepVoter(now, raftlog.MessageReceived{From: uint32(from), Bytes: b})
 		}
 	case channelGossip:
 		n.handleGossip(now, from, b)
@@ -338,7 +338,7 @@
 // turn does what is due, until nothing is.
 func (n *Node) runDue(now ClockReading) {
 	if n.voter != nil {
-		n.stepVoter(now, consensus.TimePassed{})
+		n.stepVoter(now, raftlog.TimePassed{})
 	}
 	n.runGossip(now)
 	n.applyNew(now)
@@ -407,7 +407,7 @@
 	n.compactIfFull()
 }
 
-func (n *Node) applyRecord(r chronicle.Record) {
+func (n *Node) applyRecord(r replica.Record) {
 	n.applied.Seq = r.Seq
 	if err := n.machines.apply(r.Seq, r.Data); err != nil {
 		n.addEvent(Event{Kind: UnknownRecord, Position: n.applied, Err: err})
@@ -419,7 +419,7 @@
 
 // restore has the machines go on from a snapshot. One that can't be read leaves them at the beginning: it
 // came from agents that know more than this program, which says so.
-func (n *Node) restoreMachines(s chronicle.Snapshot) {
+func (n *Node) restoreMachines(s replica.Snapshot) {
 	if s.Epoch > n.applied.Epoch && n.applied.Epoch > 0 {
 		n.addEvent(Event{Kind: LogRestarted, Position: s.Position()})
 	}
@@ -441,6 +441,6 @@
 		return
 	}
 	if data, err := n.machines.snapshot(); err == nil {
-		_ = n.log.Compact(chronicle.Snapshot{Epoch: n.applied.Epoch, Seq: n.applied.Seq, Sum: n.applied.Sum, Data: data})
+		_ = n.log.Compact(replica.Snapshot{Epoch: n.applied.Epoch, Seq: n.applied.Seq, Sum: n.applied.Sum, Data: data})
 	}
 }
--- a/fleet/orders/golden_test.go
+++ b/internal/fleet/operatorcommand/golden_test.go
@@ -1,4 +1,4 @@
-package orders
+package operatorcommand
 
 import (
 	"testing"
@@ -6,7 +6,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/fleet/internal/golden"
+	"dunestep/internal/fleet/internal/golden"
 )
 
 // TestGolden: records and the state keep their bytes, and are read from them as they were.
--- a/fleet/orders/orders.go
+++ b/internal/fleet/operatorcommand/orders.go
@@ -1,9 +1,9 @@
-// Package orders is what staff have told the whole fleet by hand: which booking servers are out. It is a
+// Package operatorcommand is what staff have told the whole fleet by hand: which booking servers are out. It is a
 // machine of the fleet's log; what an agent does about an order is the agent's.
 //
 // An order only takes away: it makes no server known, and no agent sends where its own list does not let
 // it. Without a lease an agent keeps to the orders that it has.
-package orders
+package operatorcommand
 
 import (
 	"cmp"
--- a/fleet/orders/orders_test.go
+++ b/internal/fleet/operatorcommand/orders_test.go
@@ -1,4 +1,4 @@
-package orders
+package operatorcommand
 
 import (
 	"fmt"
--- a/fleet/proposing.go
+++ b/internal/fleet/proposing.go
@@ -5,8 +5,8 @@
 	"errors"
 	"time"
 
-	"dunestep/fleet/consensus"
-	"dunestep/fleet/pieces"
+	"dunestep/internal/fleet/fragment"
+	"dunestep/internal/fleet/raftlog"
 )
 
 // Any agent may propose. It asks the voters in turn: each answers what is known of the proposal, the same
@@ -109,7 +109,7 @@
 
 func (n *Node) startProposal(now ClockReading, machine uint8, data []byte, within time.Duration) (Ticket, error) {
 	switch {
-	case len(data) > consensus.MaxProposalBytes-recordHeaderBytes:
+	case len(data) > raftlog.MaxProposalBytes-recordHeaderBytes:
 		return 0, ErrTooLong
 	case len(n.proposals.pending) >= maxPendingProposals:
 		return 0, ErrTooMany
@@ -155,7 +155,7 @@
 		case now.Mono >= p.nextAttempt:
 			ask := p.encode()
 			p.nextAttempt = now.Mono + proposalRetryAfter
-			if p.attempts++; p.attempts <= proposalFastRetries && len(ask) <= pieces.MaxShortBytes {
+			if p.attempts++; p.attempts <= proposalFastRetries && len(ask) <= fragment.MaxShortBytes {
 				p.nextAttempt = now.Mono + proposalFastRetryAfter
 			}
 			p.voterTurn = (p.voterTurn + 1) % len(n.settings.Voters)
@@ -203,7 +203,7 @@
 		n.dropped++
 		return
 	}
-	id := consensus.ProposalID{
+	id := raftlog.ProposalID{
 		Origin: binary.BigEndian.Uint64(b), Number: binary.BigEndian.Uint64(b[8:]),
 		Base: binary.BigEndian.Uint64(b[16:]),
 	}
@@ -216,21 +216,21 @@
 	}
 	status := n.voterStatus()
 	switch {
-	case status.Phase != consensus.Voting && status.Phase != consensus.Leading:
+	case status.Phase != raftlog.Voting && status.Phase != raftlog.Leading:
 		answer(replyNoLeader, id.Base)
 		return
 	case id.Base == 0 && ask == requestPropose:
 		answer(replyBase, max(status.AppliedIndex, 1))
 		return
 	}
-	if outcome, _ := n.voter.Outcome(id); outcome != consensus.Unknown {
+	if outcome, _ := n.voter.Outcome(id); outcome != raftlog.Unknown {
 		answer(replyFor(outcome), id.Base)
 		return
 	}
 	if ask == requestWithdraw {
-		n.stepVoter(now, consensus.Withdraw{ID: id})
+		n.stepVoter(now, raftlog.Withdraw{ID: id})
 	} else if len(data) >= recordHeaderBytes {
-		n.stepVoter(now, consensus.Propose{ID: id, Data: data})
+		n.stepVoter(now, raftlog.Propose{ID: id, Data: data})
 	}
 	if n.voter == nil {
 		return // it has just stood down
@@ -239,7 +239,7 @@
 	answer(replyFor(outcome), id.Base)
 }
 
-func replyFor(o consensus.Outcome) byte {
+func replyFor(o raftlog.Outcome) byte {
 	return [...]byte{replyUnknown, replyCommitted, replyNotCommitted, replyForgotten}[o]
 }
 
--- a/fleet/consensus/golden_test.go
+++ b/internal/fleet/raftlog/golden_test.go
@@ -1,4 +1,4 @@
-package consensus
+package raftlog
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"dunestep/fleet/internal/golden"
+	"dunestep/internal/fleet/internal/golden"
 )
 
 // TestGoldenMessages: each kind of message between voters keeps its bytes, and is read from them as it was.
--- a/fleet/consensus/table.go
+++ b/internal/fleet/raftlog/table.go
@@ -1,4 +1,4 @@
-package consensus
+package raftlog
 
 import (
 	"encoding/binary"
--- a/fleet/consensus/voter.go
+++ b/internal/fleet/raftlog/voter.go
@@ -1,4 +1,4 @@
-// Package consensus is a voter of the fleet's log: a few named agents that agree on one order of records.
+// Package raftlog is a voter of the fleet's log: a few named agents that agree on one order of records.
 //
 // The agreement is go.etcd.io/raft's (pre-vote, check-quorum, joint changes of voters). This package drives
 // it without clock, network, disk or randomness of its own making: Step takes one input with its time, and
@@ -25,7 +25,7 @@
 //
 // Memory is bounded. Messages from outside are checked; one that raft itself can't bear stops the
 // voter (Status says Broken), not the process. A Voter is not safe for concurrent use.
-package consensus
+package raftlog
 
 import (
 	"errors"
--- a/fleet/consensus/voterlab/faults.go
+++ b/internal/fleet/raftlog/voterlab/faults.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"dunestep/fleet/arena"
+	"dunestep/internal/simnet"
 )
 
 // Hunt plays faults by the seed for a time: losses, delays, doubles, corruption, cuts of one direction or
@@ -53,8 +53,8 @@
 func (l *Lab) degradeNetwork() {
 	loss, double, late := l.random.Float64()*0.4, l.random.Float64()*0.3, l.random.Float64()*0.3
 	corrupt := l.random.Float64() * 0.02
-	l.World.ChangeAll(func(k *arena.Link) {
-		*k = arena.Link{
+	l.World.ChangeAll(func(k *simnet.Link) {
+		*k = simnet.Link{
 			Cut: k.Cut, Loss: loss, Duplicate: double, Late: late, Lateness: 3 * time.Second, Corrupt: corrupt,
 			Delay: time.Millisecond, Jitter: 30 * time.Millisecond,
 		}
@@ -62,7 +62,7 @@
 }
 
 func (l *Lab) isolate(a uint32, cut bool) {
-	l.World.ChangeEach(func(from, to uint32, k *arena.Link) {
+	l.World.ChangeEach(func(from, to uint32, k *simnet.Link) {
 		if from == a || to == a {
 			k.Cut = cut
 		}
--- a/fleet/consensus/voterlab/figures_test.go
+++ b/internal/fleet/raftlog/voterlab/figures_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/fleet/consensus"
+	"dunestep/internal/fleet/raftlog"
 )
 
 // The figures of docs/design/fleet-log.md: what voters cost when nothing happens, and how long they take to
@@ -63,7 +63,7 @@
 			id, _ := l.Ask(leader, 0, 1)
 			from := l.World.Now()
 			took := wait(func() bool {
-				return l.Outcome(leader, id) == consensus.Committed || l.World.Now().Sub(from) > 10*time.Second
+				return l.Outcome(leader, id) == raftlog.Committed || l.World.Now().Sub(from) > 10*time.Second
 			})
 			commit = append(commit, took)
 		}
--- a/fleet/consensus/voterlab/host.go
+++ b/internal/fleet/raftlog/voterlab/host.go
@@ -9,21 +9,21 @@
 	"slices"
 	"time"
 
-	"dunestep/fleet/arena"
-	"dunestep/fleet/consensus"
-	"dunestep/fleet/pieces"
+	"dunestep/internal/fleet/fragment"
+	"dunestep/internal/fleet/raftlog"
+	"dunestep/internal/simnet"
 
 	"go.etcd.io/raft/v3/raftpb"
 )
 
 // Disk is what an agent's process has written, and survives it.
-type Disk struct{ stored consensus.Stored }
+type Disk struct{ stored raftlog.Stored }
 
 // write does what fleetstore does to a file.
-func (d *Disk) write(p *consensus.Persist) {
+func (d *Disk) write(p *raftlog.Persist) {
 	s := &d.stored
 	if p.Reset {
-		*s = consensus.Stored{Identity: s.Identity}
+		*s = raftlog.Stored{Identity: s.Identity}
 	}
 	if p.Identity != nil {
 		s.Identity = *p.Identity
@@ -47,10 +47,10 @@
 type host struct {
 	lab     *Lab
 	agent   uint32
-	voter   *consensus.Voter
-	carrier *pieces.Transport
+	voter   *raftlog.Voter
+	carrier *fragment.Transport
 	disk    *Disk
-	writing *consensus.Persist
+	writing *raftlog.Persist
 	written time.Time
 	state   registers
 	epoch   uint64
@@ -87,7 +87,7 @@
 	return r
 }
 
-func (l *Lab) start(agent uint32, now time.Time) arena.Process {
+func (l *Lab) start(agent uint32, now time.Time) simnet.Process {
 	l.incarnations++
 	life := uint64(l.World.Now().UnixNano()) + l.incarnations
 	d := l.disks[agent]
@@ -95,42 +95,42 @@
 		d = &Disk{}
 	}
 	l.disks[agent] = d
-	v, err := consensus.New(consensus.Config{
+	v, err := raftlog.New(raftlog.Config{
 		Agent: agent, Voters: l.named, Nonce: life, Seed: l.opts.Seed + l.incarnations,
 		Volatile: l.opts.Volatile,
 	}, now, d.stored)
 	if err != nil {
 		l.addViolation("agent %d does not start: %v", agent, err)
-		empty := consensus.Config{Agent: agent, Voters: l.named, Nonce: l.incarnations}
-		v, _ = consensus.New(empty, now, consensus.Stored{})
+		empty := raftlog.Config{Agent: agent, Voters: l.named, Nonce: l.incarnations}
+		v, _ = raftlog.New(empty, now, raftlog.Stored{})
 	}
-	h := &host{lab: l, agent: agent, voter: v, disk: d, named: l.named, carrier: pieces.New(pieces.Config{
+	h := &host{lab: l, agent: agent, voter: v, disk: d, named: l.named, carrier: fragment.New(fragment.Config{
 		Agents: l.opts.Agents, Incarnation: life,
 	})}
 	l.hosts[agent] = h
-	h.step(now, consensus.TimePassed{})
+	h.step(now, raftlog.TimePassed{})
 	return h
 }
 
 // Receive, Wake, Next and Out make it a process of the arena.
 func (h *host) Receive(now time.Time, from uint32, datagram []byte) {
 	for _, m := range h.carrier.Receive(now, from, datagram) {
-		h.step(now, consensus.MessageReceived{From: from, Bytes: m.Bytes})
+		h.step(now, raftlog.MessageReceived{From: from, Bytes: m.Bytes})
 	}
 }
 
 func (h *host) Wake(now time.Time) {
 	if !slices.Equal(h.named, h.lab.named) {
 		h.named = h.lab.named
-		_ = h.step(now, consensus.SetVoters{Voters: h.named})
+		_ = h.step(now, raftlog.SetVoters{Voters: h.named})
 	}
 	if h.writing != nil && !now.Before(h.written) {
 		p := h.writing
 		h.writing = nil
 		h.disk.write(p)
-		h.step(now, consensus.Persisted{Token: p.Token})
+		h.step(now, raftlog.Persisted{Token: p.Token})
 	}
-	h.step(now, consensus.TimePassed{})
+	h.step(now, raftlog.TimePassed{})
 }
 
 func (h *host) Next() time.Time {
@@ -144,14 +144,14 @@
 	return next
 }
 
-func (h *host) Out(now time.Time) (out []arena.Datagram) {
+func (h *host) Out(now time.Time) (out []simnet.Datagram) {
 	for _, d := range h.carrier.Out(now) {
-		out = append(out, arena.Datagram{To: d.To, Bytes: d.Bytes})
+		out = append(out, simnet.Datagram{To: d.To, Bytes: d.Bytes})
 	}
 	return out
 }
 
-func (h *host) step(now time.Time, in consensus.Input) error {
+func (h *host) step(now time.Time, in raftlog.Input) error {
 	out := h.voter.Step(now, in)
 	if out.Persist != nil {
 		if h.writing != nil {
@@ -167,9 +167,9 @@
 		}
 	}
 	h.take(out)
-	if out.SnapshotWanted || h.since > h.lab.opts.SnapshotAfter && h.voter.Status().Phase != consensus.Seeking {
+	if out.SnapshotWanted || h.since > h.lab.opts.SnapshotAfter && h.voter.Status().Phase != raftlog.Seeking {
 		h.since = 0
-		next := h.voter.Step(now, consensus.Compact{Index: h.index(), Data: h.state.encode()})
+		next := h.voter.Step(now, raftlog.Compact{Index: h.index(), Data: h.state.encode()})
 		if next.Err != nil {
 			h.lab.addViolation("agent %d: snapshot: %v", h.agent, next.Err)
 		}
@@ -179,7 +179,7 @@
 }
 
 // again takes the output of a snapshot.
-func (h *host) again(now time.Time, out consensus.Output) {
+func (h *host) again(now time.Time, out raftlog.Output) {
 	if out.Persist != nil {
 		if h.writing != nil {
 			h.lab.addViolation("agent %d: a write before the last one was done", h.agent)
@@ -194,7 +194,7 @@
 
 func (h *host) index() uint64 { return h.voter.Status().AppliedIndex }
 
-func (h *host) take(out consensus.Output) {
+func (h *host) take(out raftlog.Output) {
 	if r := out.Restore; r != nil {
 		h.epoch, h.state = r.Epoch, decodeRegisters(r.Index, r.Data)
 		h.lab.restored(h)
@@ -205,7 +205,7 @@
 	}
 }
 
-func (h *host) apply(e consensus.Entry) {
+func (h *host) apply(e raftlog.Entry) {
 	if e.Index <= h.state.index {
 		h.lab.addViolation("agent %d: record %d after %d", h.agent, e.Index, h.state.index)
 	}
--- a/fleet/consensus/voterlab/judge.go
+++ b/internal/fleet/raftlog/voterlab/judge.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"dunestep/fleet/consensus"
+	"dunestep/internal/fleet/raftlog"
 )
 
 // check looks at an agent after each of its steps.
@@ -13,7 +13,7 @@
 	if s.Err != nil {
 		l.addViolation("agent %d broke: %v", a, s.Err)
 	}
-	if s.Phase == consensus.Leading {
+	if s.Phase == raftlog.Leading {
 		at := place{s.Identity.Epoch, s.Term}
 		if id, is := l.leaders[at]; is && id != s.Identity.ID {
 			l.addViolation("epoch %d has two leaders in term %d: %d and %d", at.epoch, at.at, id, s.Identity.ID)
@@ -30,7 +30,7 @@
 func clockOffset(a uint32) time.Duration { return -time.Duration(a) * 10 * 365 * 24 * time.Hour }
 
 // checkFresh: what was told as taken before the instant is applied here.
-func (l *Lab) checkFresh(h *host, s consensus.Status) {
+func (l *Lab) checkFresh(h *host, s raftlog.Status) {
 	if s.FreshAsOf.IsZero() {
 		return
 	}
@@ -45,7 +45,7 @@
 }
 
 // applied compares a record with what others have at its index.
-func (l *Lab) applied(h *host, e consensus.Entry, value uint64) {
+func (l *Lab) applied(h *host, e raftlog.Entry, value uint64) {
 	l.epochs[h.epoch] = true
 	at := place{h.epoch, e.Index}
 	if c, is := l.chains[at]; is && c != h.state.chain {
@@ -54,7 +54,7 @@
 	l.chains[at] = h.state.chain
 	epoch := place{epoch: h.epoch}
 	if l.done[epoch] == nil {
-		l.done[epoch] = map[consensus.ProposalID]uint64{}
+		l.done[epoch] = map[raftlog.ProposalID]uint64{}
 	}
 	if i, is := l.done[epoch][e.ID]; is && i != e.Index {
 		l.addViolation("proposal %v is done twice: at %d and %d", e.ID, i, e.Index)
@@ -121,7 +121,7 @@
 	l.calls = append(l.calls, c)
 	l.World.Run(l.World.Now().Add(5 * time.Second))
 	for _, a := range l.named {
-		if l.Outcome(a, id) != consensus.Committed {
+		if l.Outcome(a, id) != raftlog.Committed {
 			l.addViolation("agent %d does not have a proposal after 5 s: %v", a, err)
 			l.explain()
 		}
--- a/fleet/consensus/voterlab/lab.go
+++ b/internal/fleet/raftlog/voterlab/lab.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"dunestep/fleet/arena"
-	"dunestep/fleet/consensus"
+	"dunestep/internal/fleet/raftlog"
+	"dunestep/internal/simnet"
 
 	"github.com/anishathalye/porcupine"
 )
@@ -30,7 +30,7 @@
 
 // Lab is a run.
 type Lab struct {
-	World *arena.Cluster
+	World *simnet.Cluster
 
 	opts         Options
 	random       *rand.Rand
@@ -41,10 +41,10 @@
 	messages     uint64
 	violations   []string
 
-	chains       map[place]uint64                          // of the record at an index
-	results      map[consensus.ProposalID]uint64           // what a read found
-	leaders      map[place]uint64                          // ids, by epoch and term
-	done         map[place]map[consensus.ProposalID]uint64 // indexes, by epoch
+	chains       map[place]uint64                        // of the record at an index
+	results      map[raftlog.ProposalID]uint64           // what a read found
+	leaders      map[place]uint64                        // ids, by epoch and term
+	done         map[place]map[raftlog.ProposalID]uint64 // indexes, by epoch
 	acknowledged []acknowledged
 	calls        []*call
 	epochs       map[uint64]bool
@@ -62,7 +62,7 @@
 // call is a client's.
 type call struct {
 	op           op
-	id           consensus.ProposalID
+	id           raftlog.ProposalID
 	client       int
 	from, to     time.Time
 	done, absent bool
@@ -91,13 +91,13 @@
 	}
 	l := &Lab{
 		opts: o, random: rand.New(rand.NewPCG(o.Seed, 0x1ab)), disks: make([]*Disk, o.Agents),
-		hosts: make([]*host, o.Agents), chains: map[place]uint64{}, results: map[consensus.ProposalID]uint64{},
-		leaders: map[place]uint64{}, done: map[place]map[consensus.ProposalID]uint64{}, epochs: map[uint64]bool{},
+		hosts: make([]*host, o.Agents), chains: map[place]uint64{}, results: map[raftlog.ProposalID]uint64{},
+		leaders: map[place]uint64{}, done: map[place]map[raftlog.ProposalID]uint64{}, epochs: map[uint64]bool{},
 	}
 	for a := range o.Voters {
 		l.named = append(l.named, uint32(a))
 	}
-	l.World = arena.NewCluster(o.Seed, Start, o.Agents, l.start)
+	l.World = simnet.NewCluster(o.Seed, Start, o.Agents, l.start)
 	l.World.AfterStep = l.check
 	l.Calm()
 	for a := range uint32(o.Agents) {
@@ -116,8 +116,8 @@
 
 // Calm ends all faults of the network but the loss that the options ask for.
 func (l *Lab) Calm() {
-	l.World.ChangeAll(func(k *arena.Link) {
-		*k = arena.Link{Loss: l.opts.Loss, Delay: 500 * time.Microsecond, Jitter: time.Millisecond}
+	l.World.ChangeAll(func(k *simnet.Link) {
+		*k = simnet.Link{Loss: l.opts.Loss, Delay: 500 * time.Microsecond, Jitter: time.Millisecond}
 	})
 }
 
@@ -138,7 +138,7 @@
 func (l *Lab) Messages() uint64 { return l.messages }
 
 // Status returns what an agent's voter says; ok is false if there is none.
-func (l *Lab) Status(a uint32) (s consensus.Status, ok bool) {
+func (l *Lab) Status(a uint32) (s raftlog.Status, ok bool) {
 	if !l.World.IsRunning(a) {
 		return s, false
 	}
@@ -147,10 +147,10 @@
 
 // Leader returns the agent that leads in the highest epoch and term, if it is not paused.
 func (l *Lab) Leader() (agent uint32, ok bool) {
-	var best consensus.Status
+	var best raftlog.Status
 	for a := range l.hosts {
 		s, is := l.Status(uint32(a))
-		if is && s.Phase == consensus.Leading && !l.World.IsPaused(uint32(a)) &&
+		if is && s.Phase == raftlog.Leading && !l.World.IsPaused(uint32(a)) &&
 			(s.Identity.Epoch > best.Identity.Epoch || s.Identity.Epoch == best.Identity.Epoch && s.Term > best.Term) {
 			agent, best, ok = uint32(a), s, true
 		}
@@ -161,13 +161,13 @@
 // Healthy says whether all that are named are voters of one log, with a leader, and nobody else is, and
 // each of them knows that.
 func (l *Lab) Healthy() bool {
-	var first consensus.Status
+	var first raftlog.Status
 	for i, a := range l.named {
 		s, ok := l.Status(a)
 		if i == 0 {
 			first = s
 		}
-		if !ok || s.Phase != consensus.Voting && s.Phase != consensus.Leading || len(s.Members) != len(l.named) ||
+		if !ok || s.Phase != raftlog.Voting && s.Phase != raftlog.Leading || len(s.Members) != len(l.named) ||
 			s.Identity.Epoch != first.Identity.Epoch || !slices.Equal(s.Members, first.Members) {
 			return false
 		}
@@ -195,19 +195,19 @@
 }
 
 // Ask has an agent propose a write, and returns its ID; call Propose again with it to ask again.
-func (l *Lab) Ask(a uint32, key uint8, value uint64) (id consensus.ProposalID, err error) {
+func (l *Lab) Ask(a uint32, key uint8, value uint64) (id raftlog.ProposalID, err error) {
 	l.number++
-	id = consensus.ProposalID{Origin: 99, Number: l.number, Base: l.hosts[a].index()}
-	l.World.Call(a, func(p arena.Process, now time.Time) {
-		err = p.(*host).step(now, consensus.Propose{ID: id, Data: op{true, key, value}.encode()})
+	id = raftlog.ProposalID{Origin: 99, Number: l.number, Base: l.hosts[a].index()}
+	l.World.Call(a, func(p simnet.Process, now time.Time) {
+		err = p.(*host).step(now, raftlog.Propose{ID: id, Data: op{true, key, value}.encode()})
 	})
 	return id, err
 }
 
 // Outcome is what an agent's voter knows of a proposal.
-func (l *Lab) Outcome(a uint32, id consensus.ProposalID) consensus.Outcome {
+func (l *Lab) Outcome(a uint32, id raftlog.ProposalID) raftlog.Outcome {
 	if !l.World.IsRunning(a) {
-		return consensus.Unknown
+		return raftlog.Unknown
 	}
 	o, _ := l.hosts[a].voter.Outcome(id)
 	return o
@@ -224,7 +224,7 @@
 		l.World.At(l.World.Now().Add(l.opts.Pace), func() { l.client(n) })
 		return
 	}
-	c.id = consensus.ProposalID{Origin: uint64(n), Number: l.number, Base: l.hosts[a].index()}
+	c.id = raftlog.ProposalID{Origin: uint64(n), Number: l.number, Base: l.hosts[a].index()}
 	l.calls = append(l.calls, c)
 	l.ask(c, a, 0)
 }
@@ -237,23 +237,23 @@
 
 func (l *Lab) ask(c *call, a uint32, times int) {
 	again := func() { l.client(c.client) }
-	var o consensus.Outcome
+	var o raftlog.Outcome
 	var index uint64
-	l.World.Call(a, func(p arena.Process, now time.Time) {
+	l.World.Call(a, func(p simnet.Process, now time.Time) {
 		h := p.(*host)
 		if times%10 == 0 {
-			_ = h.step(now, consensus.Propose{ID: c.id, Data: c.op.encode()})
+			_ = h.step(now, raftlog.Propose{ID: c.id, Data: c.op.encode()})
 		} else if times == 45 {
-			_ = h.step(now, consensus.Withdraw{ID: c.id})
+			_ = h.step(now, raftlog.Withdraw{ID: c.id})
 		}
-		if o, index = h.voter.Outcome(c.id); o == consensus.Committed {
+		if o, index = h.voter.Outcome(c.id); o == raftlog.Committed {
 			l.acknowledged = append(l.acknowledged, acknowledged{l.World.Now(), place{h.epoch, index}})
 		}
 	})
 	switch {
-	case o == consensus.Committed:
+	case o == raftlog.Committed:
 		c.done, c.result = true, l.results[c.id]
-	case o == consensus.NotCommitted:
+	case o == raftlog.NotCommitted:
 		c.done, c.absent = true, true
 	case times >= askMost:
 	default:
--- a/fleet/consensus/voterlab/voterlab_test.go
+++ b/internal/fleet/raftlog/voterlab/voterlab_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"dunestep/fleet/arena"
-	"dunestep/fleet/consensus"
+	"dunestep/internal/fleet/raftlog"
+	"dunestep/internal/simnet"
 
 	"github.com/stretchr/testify/require"
 )
@@ -68,19 +68,19 @@
 		l.World.Run(Start.Add(5 * time.Second))
 		old, ok := l.Leader()
 		require.True(t, ok)
-		l.World.ChangeEach(func(from, to uint32, k *arena.Link) {
+		l.World.ChangeEach(func(from, to uint32, k *simnet.Link) {
 			k.Cut = from == old || to == old && seed%2 == 0 // every other time it still hears the others
 		})
 		l.World.Run(l.World.Now().Add(4 * time.Second))
 		s, _ := l.Status(old)
-		require.NotEqual(t, consensus.Leading, s.Phase)
+		require.NotEqual(t, raftlog.Leading, s.Phase)
 		now, ok := l.Leader()
 		require.True(t, ok)
 		require.NotEqual(t, old, now)
 		id, err := l.Ask(now, 1, 5)
 		require.NoError(t, err)
 		l.World.Run(l.World.Now().Add(time.Second))
-		require.Equal(t, consensus.Committed, l.Outcome(now, id))
+		require.Equal(t, raftlog.Committed, l.Outcome(now, id))
 		l.Settle(10 * time.Second)
 		require.Empty(t, l.Violations())
 	}
--- a/fleet/records.go
+++ b/internal/fleet/records.go
@@ -3,7 +3,7 @@
 import (
 	"encoding/binary"
 
-	"dunestep/fleet/chronicle"
+	"dunestep/internal/fleet/replica"
 )
 
 // StateMachine is what records of one kind mean: its state follows from them alone, and is the same at every
@@ -47,7 +47,7 @@
 // which counts changes of voters and empty ones too.
 const snapshotHeaderBytes = 3 * 8
 
-func encodeSnapshot(s chronicle.Snapshot) []byte {
+func encodeSnapshot(s replica.Snapshot) []byte {
 	b := make([]byte, 0, snapshotHeaderBytes+len(s.Data))
 	for _, n := range [...]uint64{s.Epoch, s.Seq, s.Sum} {
 		b = binary.BigEndian.AppendUint64(b, n)
@@ -55,11 +55,11 @@
 	return append(b, s.Data...)
 }
 
-func decodeSnapshot(b []byte) (s chronicle.Snapshot, err error) {
+func decodeSnapshot(b []byte) (s replica.Snapshot, err error) {
 	if len(b) < snapshotHeaderBytes {
 		return s, errStateFormat
 	}
-	return chronicle.Snapshot{
+	return replica.Snapshot{
 		Epoch: binary.BigEndian.Uint64(b), Seq: binary.BigEndian.Uint64(b[8:]),
 		Sum: binary.BigEndian.Uint64(b[16:]), Data: b[snapshotHeaderBytes:],
 	}, nil
--- a/fleet/chronicle/chronicle.go
+++ b/internal/fleet/replica/chronicle.go
@@ -1,4 +1,4 @@
-// Package chronicle keeps an agent's copy of what the fleet has agreed on: records one after the other, from
+// Package replica keeps an agent's copy of what the fleet has agreed on: records one after the other, from
 // a snapshot on.
 //
 // Each record has a sum over itself and all before it, so two copies are the same up to a record exactly
@@ -12,7 +12,7 @@
 // that makes up a whole epoch: who may speak is the concern of those who hand in messages.
 //
 // It does no input or output, and knows no clock. A Log is not safe for concurrent use.
-package chronicle
+package replica
 
 import (
 	"crypto/sha256"
--- a/fleet/chronicle/chronicle_test.go
+++ b/internal/fleet/replica/chronicle_test.go
@@ -1,4 +1,4 @@
-package chronicle
+package replica
 
 import (
 	"fmt"
--- a/fleet/chronicle/example_test.go
+++ b/internal/fleet/replica/example_test.go
@@ -1,18 +1,18 @@
-package chronicle_test
+package replica_test
 
 import (
 	"errors"
 	"fmt"
 
-	"dunestep/fleet/chronicle"
+	"dunestep/internal/fleet/replica"
 )
 
 // An agent takes what it lacks from another one, and does not take what cannot follow from what it has.
 func Example() {
-	copyOf := func(records ...string) *chronicle.Log {
-		log, err := chronicle.New(chronicle.InitialSnapshot(1), chronicle.Limits{})
+	copyOf := func(records ...string) *replica.Log {
+		log, err := replica.New(replica.InitialSnapshot(1), replica.Limits{})
 		for i, r := range records {
-			err = errors.Join(err, log.Append(chronicle.Record{Seq: uint64(i + 1), Data: []byte(r)}))
+			err = errors.Join(err, log.Append(replica.Record{Seq: uint64(i + 1), Data: []byte(r)}))
 		}
 		if err != nil {
 			fmt.Println(err)
--- a/fleet/chronicle/golden_test.go
+++ b/internal/fleet/replica/golden_test.go
@@ -1,4 +1,4 @@
-package chronicle
+package replica
 
 import (
 	"encoding/binary"
@@ -6,7 +6,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/fleet/internal/golden"
+	"dunestep/internal/fleet/internal/golden"
 )
 
 // TestGoldenSums: the sums of the same records are the same in each build, as copies are compared by them.
--- a/fleet/spreading.go
+++ b/internal/fleet/spreading.go
@@ -1,14 +1,14 @@
 package fleet
 
 import (
-	"dunestep/fleet/consensus"
-	"dunestep/fleet/spread"
+	"dunestep/internal/fleet/gossip"
+	"dunestep/internal/fleet/raftlog"
 )
 
 // startGossip begins to exchange records with other agents. A voter does too: until it belongs to a log
 // again, others have what it lacks.
 func (n *Node) startGossip(now ClockReading) {
-	n.gossip = spread.New(spread.Settings{
+	n.gossip = gossip.New(gossip.Settings{
 		Agents: n.settings.Agents, Self: n.settings.Self, Voters: n.settings.Voters,
 		Seed: n.settings.Seed, CatchUpDeadline: n.settings.ReadyTimeout,
 	}, n.log, now.Mono)
@@ -31,7 +31,7 @@
 	}
 }
 
-func (n *Node) carryOutGossip(now ClockReading, out spread.Output) {
+func (n *Node) carryOutGossip(now ClockReading, out gossip.Output) {
 	for _, s := range out.Messages {
 		n.sendWithUpdate(now, s.To, channelGossip, s.Data)
 	}
@@ -45,7 +45,7 @@
 // ReadyTimeout tells whether a process that starts may say that it is ready: it has what others have, and a
 // lease where something above acts by it, or the time for that is over. CaughtUp is false in that case.
 func (n *Node) Ready(now ClockReading) (ready, caughtUp bool) {
-	caughtUp = n.gossip.CatchUpState(now.Mono) == spread.CaughtUp
+	caughtUp = n.gossip.CatchUpState(now.Mono) == gossip.CaughtUp
 	if n.settings.Application != nil {
 		caughtUp = caughtUp && n.holder.Holds(now)
 	}
@@ -62,7 +62,7 @@
 // IsCaughtUp tells whether a process that starts has what others have, or the time for that is over; a lease, or a
 // place among the voters, may still be to come.
 func (n *Node) IsCaughtUp(now ClockReading) bool {
-	return n.gossip.CatchUpState(now.Mono) == spread.CaughtUp || now.Mono-n.startedAt >= n.settings.ReadyTimeout
+	return n.gossip.CatchUpState(now.Mono) == gossip.CaughtUp || now.Mono-n.startedAt >= n.settings.ReadyTimeout
 }
 
 // voterReadyFactor is how many times longer a voter that keeps nothing waits. A fleet is restarted one agent
@@ -73,6 +73,6 @@
 // belongs tells whether this voter has its place in the log, and no other is to be taken back or replaced.
 func (n *Node) isSettledVoter() bool {
 	s := n.voterStatus()
-	in := s.Phase == consensus.Voting || s.Phase == consensus.Leading
+	in := s.Phase == raftlog.Voting || s.Phase == raftlog.Leading
 	return in && !s.IsJointConfig && len(s.Members) == len(n.settings.Voters)
 }
--- a/fleet/stack_test.go
+++ b/internal/fleet/stack_test.go
@@ -7,12 +7,12 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/decide"
-	"dunestep/fleet"
-	"dunestep/fleet/fleetlab"
-	"dunestep/fleet/lease"
-	"dunestep/policy"
-	"dunestep/policy/seat"
+	"dunestep/internal/balancer"
+	"dunestep/internal/control/policy"
+	"dunestep/internal/control/policy/policylog"
+	"dunestep/internal/fleet"
+	"dunestep/internal/fleet/fleetlab"
+	"dunestep/internal/fleet/lease"
 )
 
 // shouter says the same to all and counts what comes: a refusal of the policy that is open, for who takes it for one.
@@ -58,14 +58,14 @@
 // reaches those that have it, at the same place, and does nothing to the two, also where it looks like a refusal; and
 // policies take hold at all.
 func TestStack(t *testing.T) {
-	own := policy.LocalSettings{MaxFailedRatio: 0.25, Settings: decide.Settings{
-		Tenants: []decide.Tenant{{Name: "east", QuotaPerSecond: 60}},
-		Classes: []decide.Class{{Name: "find"}}, Limits: decide.Limits{MaxAttempts: 3},
+	own := policy.LocalSettings{MaxFailedRatio: 0.25, Settings: balancer.Settings{
+		Tenants: []balancer.Tenant{{Name: "east", QuotaPerSecond: 60}},
+		Classes: []balancer.Class{{Name: "find"}}, Limits: balancer.Limits{MaxAttempts: 3},
 	}}
-	var seats [6]*seat.Adapter
+	var seats [6]*policylog.Adapter
 	var tops [6]*shouter
 	l := fleetlab.New(fleetlab.Options{Agents: 6, Voters: 3, Seed: 5, Application: func(set *fleet.Settings, now fleet.ClockReading) {
-		s := seat.New(seat.Settings{
+		s := policylog.New(policylog.Settings{
 			Self: set.Self, IsVoter: set.IsVoter(), Incarnation: set.Incarnation,
 			MachineNumber: uint8(len(set.Machines)), Local: own, Times: policy.Times{Terms: set.Terms},
 		}, now)
--- a/fleet/status.go
+++ b/internal/fleet/status.go
@@ -3,11 +3,11 @@
 import (
 	"time"
 
-	"dunestep/fleet/chronicle"
-	"dunestep/fleet/consensus"
-	"dunestep/fleet/lease"
-	"dunestep/fleet/pieces"
-	"dunestep/fleet/roster"
+	"dunestep/internal/fleet/fragment"
+	"dunestep/internal/fleet/lease"
+	"dunestep/internal/fleet/membership"
+	"dunestep/internal/fleet/raftlog"
+	"dunestep/internal/fleet/replica"
 )
 
 // Status is what a node knows of itself and of the others, for staff.
@@ -15,24 +15,24 @@
 	Self, Agents   int
 	Incarnation    uint64
 	Voters         []int
-	Applied        chronicle.Position // what is applied here
+	Applied        replica.Position // what is applied here
 	Standing       lease.Standing
 	IsClockOff     bool          // the Unix clock differs from those of most voters
 	LeaseRemaining time.Duration // zero: no lease holds
 	Ready          bool
-	Connection     roster.Connection // what it knows of its own way to others
-	Voter          *consensus.Status // nil: this agent is none
-	PresentAgents  int               // agents that take part, this one included
-	Peers          []Peer            // those of which anything is known, by number
-	Dropped        uint64            // messages that could not be read or had no room
-	Transport      pieces.Stats
+	Connection     membership.Connection // what it knows of its own way to others
+	Voter          *raftlog.Status       // nil: this agent is none
+	PresentAgents  int                   // agents that take part, this one included
+	Peers          []Peer                // those of which anything is known, by number
+	Dropped        uint64                // messages that could not be read or had no room
+	Transport      fragment.Stats
 	Leases         lease.HolderStats
 }
 
 // Peer is what is known of another agent.
 type Peer struct {
 	Agent int
-	State roster.Status
+	State membership.Status
 	// IsPathClosed: this agent hears it, and is not heard by it.
 	IsPathClosed bool
 }
@@ -58,7 +58,7 @@
 // present is who is there by now.
 func (n *Node) peers(now ClockReading) (here int, others []Peer) {
 	for a := range n.settings.Agents {
-		if state := n.members.Status(now.Mono, a); a != n.settings.Self && state != roster.Unknown {
+		if state := n.members.Status(now.Mono, a); a != n.settings.Self && state != membership.Unknown {
 			others = append(others, Peer{Agent: a, State: state, IsPathClosed: n.members.IsPathClosed(now.Mono, a)})
 		}
 	}
@@ -68,7 +68,7 @@
 // PresentAgents is how many agents have to be counted with, this one included, as far as it is known; zero: this agent
 // holds no lease or is cut off on a side, and what it hears tells nothing of who is there.
 func (n *Node) PresentAgents(now ClockReading) int {
-	if n.Standing(now) != lease.Full || n.members.Connection(now.Mono) != roster.Connected {
+	if n.Standing(now) != lease.Full || n.members.Connection(now.Mono) != membership.Connected {
 		return 0
 	}
 	return n.members.PresentCount(now.Mono)
@@ -93,4 +93,4 @@
 }
 
 // Position is what is applied here.
-func (n *Node) Applied() chronicle.Position { return n.applied }
+func (n *Node) Applied() replica.Position { return n.applied }
--- a/fleet/voting.go
+++ b/internal/fleet/voting.go
@@ -3,9 +3,9 @@
 import (
 	"errors"
 
-	"dunestep/fleet/chronicle"
-	"dunestep/fleet/consensus"
-	"dunestep/fleet/lease"
+	"dunestep/internal/fleet/lease"
+	"dunestep/internal/fleet/raftlog"
+	"dunestep/internal/fleet/replica"
 )
 
 // startVoter makes this agent one of those that keep the log.
@@ -14,7 +14,7 @@
 	for _, v := range n.settings.Voters {
 		voters = append(voters, uint32(v))
 	}
-	n.voter, err = consensus.New(consensus.Config{
+	n.voter, err = raftlog.New(raftlog.Config{
 		Agent: uint32(n.settings.Self), Voters: voters,
 		Nonce: n.settings.Incarnation, Seed: n.settings.Seed, Volatile: !n.settings.IsDurable,
 	}, steadyTime(now), n.settings.Stored)
@@ -28,10 +28,10 @@
 }
 
 // status is the voter's.
-func (n *Node) voterStatus() consensus.Status { return n.voter.Status() }
+func (n *Node) voterStatus() raftlog.Status { return n.voter.Status() }
 
 // vote gives the voter an input, and does what follows from it.
-func (n *Node) stepVoter(now ClockReading, in consensus.Input) {
+func (n *Node) stepVoter(now ClockReading, in raftlog.Input) {
 	for in != nil {
 		out := n.voter.Step(steadyTime(now), in)
 		in = nil
@@ -48,7 +48,7 @@
 			if n.settings.IsDurable {
 				n.output.Persist = out.Persist
 			} else {
-				in = consensus.Persisted{Token: out.Persist.Token}
+				in = raftlog.Persisted{Token: out.Persist.Token}
 			}
 		}
 		if out.SnapshotWanted && in == nil {
@@ -72,8 +72,8 @@
 }
 
 // restored takes the state above that the log goes on from.
-func (n *Node) handleRestore(r *consensus.Restore) {
-	s := chronicle.InitialSnapshot(r.Epoch)
+func (n *Node) handleRestore(r *raftlog.Restore) {
+	s := replica.InitialSnapshot(r.Epoch)
 	if len(r.Data) > 0 {
 		var err error
 		if s, err = decodeSnapshot(r.Data); err != nil {
@@ -88,13 +88,13 @@
 }
 
 // committed takes a record that the voters agreed on. The copy may have it already, from others.
-func (n *Node) handleCommitted(now ClockReading, e consensus.Entry) {
+func (n *Node) handleCommitted(now ClockReading, e raftlog.Entry) {
 	n.delivered++
 	if n.log.Last().Epoch != n.voterStatus().Identity.Epoch {
 		return // a later log has replaced this one here already, which this voter belongs to no more soon
 	}
-	err := n.log.Append(chronicle.Record{Seq: n.delivered, Data: e.Data})
-	if errors.Is(err, chronicle.ErrFull) && n.machines.isFull {
+	err := n.log.Append(replica.Record{Seq: n.delivered, Data: e.Data})
+	if errors.Is(err, replica.ErrFull) && n.machines.isFull {
 		n.mustStandDown = true
 		return
 	}
@@ -109,7 +109,7 @@
 
 // voterSnapshot is the state above as of the last record that the log gave out, where that is what the
 // machines have.
-func (n *Node) voterSnapshot(now ClockReading) consensus.Input {
+func (n *Node) voterSnapshot(now ClockReading) raftlog.Input {
 	n.applyNew(now)
 	if n.applied.Seq != n.delivered || n.applied.Epoch != n.voterStatus().Identity.Epoch {
 		return nil
@@ -118,15 +118,15 @@
 	if err != nil {
 		return nil
 	}
-	s := chronicle.Snapshot{Epoch: n.applied.Epoch, Seq: n.applied.Seq, Sum: n.applied.Sum, Data: data}
-	return consensus.Compact{Index: n.voterStatus().AppliedIndex, Data: encodeSnapshot(s)}
+	s := replica.Snapshot{Epoch: n.applied.Epoch, Seq: n.applied.Seq, Sum: n.applied.Sum, Data: data}
+	return raftlog.Compact{Index: n.voterStatus().AppliedIndex, Data: encodeSnapshot(s)}
 }
 
 // confirm takes what the voter knows for sure to whoever waits for a lease, and tells of changes of the
 // leader.
 func (n *Node) confirmLeases(now ClockReading) {
 	s := n.voterStatus()
-	if leads := s.Phase == consensus.Leading; leads != n.isLeading {
+	if leads := s.Phase == raftlog.Leading; leads != n.isLeading {
 		n.isLeading = leads
 		kind := LeadershipLost
 		if leads {
@@ -134,7 +134,7 @@
 		}
 		n.addEvent(Event{Kind: kind, Position: n.applied})
 	}
-	if s.Phase == consensus.Broken && !n.isStopped {
+	if s.Phase == raftlog.Broken && !n.isStopped {
 		n.isStopped = true
 		n.addEvent(Event{Kind: VoterStopped, Err: s.Err})
 	}
@@ -147,7 +147,7 @@
 	}
 	age := now.Mono - steadyReading(s.FreshAsOf)
 	asked := ClockReading{Unix: now.Unix - age, Mono: now.Mono - age}
-	at := chronicle.Position{Epoch: s.Identity.Epoch, Seq: n.delivered}
+	at := replica.Position{Epoch: s.Identity.Epoch, Seq: n.delivered}
 	n.applyNew(now) // what stands above has to know of all that a grant names
 	for _, a := range n.granter.HandleConfirmed(now, asked, at) {
 		n.sendWithUpdate(now, a.To, channelLeaseGrant, a.Grant.Encode())
--- a/internal/fleetstore/fleetstore.go
+++ b/internal/fleetstore/fleetstore.go
@@ -1,4 +1,4 @@
-// Package fleetstore keeps what a voter of the fleet's log has written (consensus.Persist) in a folder that
+// Package fleetstore keeps what a voter of the fleet's log has written (raftlog.Persist) in a folder that
 // lasts: who it is, its votes, its records and the last snapshot.
 //
 // It is one file that grows by records, each a Persist as a whole, with a checksum; and is written anew,
@@ -25,7 +25,7 @@
 	"math/rand/v2"
 	"slices"
 
-	"dunestep/fleet/consensus"
+	"dunestep/internal/fleet/raftlog"
 
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
@@ -74,7 +74,7 @@
 type Store struct {
 	dir        directory
 	file       file
-	stored     consensus.Stored
+	stored     raftlog.Stored
 	fileID     uint64
 	lastRecord uint64 // of the last record
 	nextOffset int64  // where the next one begins
@@ -114,7 +114,7 @@
 }
 
 // Stored returns what was written.
-func (s *Store) Stored() consensus.Stored { return s.stored }
+func (s *Store) Stored() raftlog.Stored { return s.stored }
 
 // Close lets go of the folder.
 func (s *Store) Close() error {
@@ -232,7 +232,7 @@
 }
 
 // Write writes, and returns when it is safe on disk.
-func (s *Store) Write(p *consensus.Persist) error {
+func (s *Store) Write(p *raftlog.Persist) error {
 	if s.failure != nil {
 		return s.failure
 	}
@@ -305,8 +305,8 @@
 }
 
 // rewrite writes all anew in a file beside, and puts it in the place of the old one.
-func (s *Store) rewrite(st consensus.Stored) error {
-	body, err := encode(&consensus.Persist{
+func (s *Store) rewrite(st raftlog.Stored) error {
+	body, err := encode(&raftlog.Persist{
 		Reset: true, Identity: &st.Identity, HardState: st.HardState, Snapshot: st.Snapshot, Entries: st.Entries,
 	})
 	if err != nil {
@@ -353,9 +353,9 @@
 }
 
 // apply does to what is stored what a Persist says.
-func applyWrite(s *consensus.Stored, p *consensus.Persist) {
+func applyWrite(s *raftlog.Stored, p *raftlog.Persist) {
 	if p.Reset {
-		*s = consensus.Stored{Identity: s.Identity}
+		*s = raftlog.Stored{Identity: s.Identity}
 	}
 	if p.Identity != nil {
 		s.Identity = *p.Identity
@@ -389,7 +389,7 @@
 	hasSnapshot
 )
 
-func encode(p *consensus.Persist) ([]byte, error) {
+func encode(p *raftlog.Persist) ([]byte, error) {
 	b := []byte{0}
 	b = binary.BigEndian.AppendUint64(b, p.DropThrough)
 	flag := func(bit byte, set bool) {
@@ -429,12 +429,12 @@
 
 var errTruncated = errors.New("too short")
 
-func decode(b []byte) (*consensus.Persist, error) {
+func decode(b []byte) (*raftlog.Persist, error) {
 	if len(b) < 9 {
 		return nil, errTruncated
 	}
 	flags := b[0]
-	p := &consensus.Persist{
+	p := &raftlog.Persist{
 		Reset: flags&hasReset != 0, ReplaceEntries: flags&hasReplace != 0, DropThrough: binary.BigEndian.Uint64(b[1:]),
 	}
 	b = b[9:]
@@ -443,7 +443,7 @@
 			return nil, errTruncated
 		}
 		n := func(i int) uint64 { return binary.BigEndian.Uint64(b[8*i:]) }
-		p.Identity = &consensus.Identity{Nonce: n(0), Epoch: n(1), ID: n(2), PromisedNonce: n(3), HighestEpochSeen: n(4)}
+		p.Identity = &raftlog.Identity{Nonce: n(0), Epoch: n(1), ID: n(2), PromisedNonce: n(3), HighestEpochSeen: n(4)}
 		b = b[40:]
 	}
 	var err error
--- a/internal/fleetstore/fleetstore_test.go
+++ b/internal/fleetstore/fleetstore_test.go
@@ -17,17 +17,17 @@
 	"github.com/stretchr/testify/require"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"dunestep/fleet/consensus"
+	"dunestep/internal/fleet/raftlog"
 )
 
 // write is the n-th of a voter's: a record at index n, now and then a snapshot, sometimes another vote.
-func voterWrite(n uint64) *consensus.Persist {
-	p := &consensus.Persist{
+func voterWrite(n uint64) *raftlog.Persist {
+	p := &raftlog.Persist{
 		HardState: &raftpb.HardState{Term: new(n/10 + 1), Vote: new(n % 3), Commit: new(n - 1)},
 		Entries:   []*raftpb.Entry{{Index: new(n), Term: new(n/10 + 1), Data: bytes.Repeat([]byte{byte(n)}, int(n*37%3000))}},
 	}
 	if n == 1 {
-		p.Identity, p.Reset = &consensus.Identity{Nonce: 7, Epoch: 8, ID: 9, PromisedNonce: 10, HighestEpochSeen: 11}, true
+		p.Identity, p.Reset = &raftlog.Identity{Nonce: 7, Epoch: 8, ID: 9, PromisedNonce: 10, HighestEpochSeen: 11}, true
 	}
 	if n%100 == 0 {
 		p.Snapshot = &raftpb.Snapshot{Data: make([]byte, 900), Metadata: &raftpb.SnapshotMetadata{Index: new(n - 1)}}
@@ -37,23 +37,23 @@
 }
 
 // want is what is stored after n writes.
-func storedAfter(n uint64) (s consensus.Stored) {
+func storedAfter(n uint64) (s raftlog.Stored) {
 	for i := uint64(1); i <= n; i++ {
 		applyWrite(&s, voterWrite(i))
 	}
 	return s
 }
 
-func lastIndex(s consensus.Stored) uint64 {
+func lastIndex(s raftlog.Stored) uint64 {
 	if len(s.Entries) == 0 {
 		return 0
 	}
 	return s.Entries[len(s.Entries)-1].GetIndex()
 }
 
-func requireSame(t *testing.T, want, got consensus.Stored, msg ...any) {
-	body := func(s consensus.Stored) []byte {
-		b, err := encode(&consensus.Persist{Identity: &s.Identity, HardState: s.HardState, Snapshot: s.Snapshot, Entries: s.Entries})
+func requireSame(t *testing.T, want, got raftlog.Stored, msg ...any) {
+	body := func(s raftlog.Stored) []byte {
+		b, err := encode(&raftlog.Persist{Identity: &s.Identity, HardState: s.HardState, Snapshot: s.Snapshot, Entries: s.Entries})
 		require.NoError(t, err)
 		return b
 	}
--- a/internal/fleetstore/golden_test.go
+++ b/internal/fleetstore/golden_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"dunestep/fleet/consensus"
+	"dunestep/internal/fleet/raftlog"
 )
 
 var updateGolden = flag.Bool("update", false, "write the golden files anew")
@@ -19,7 +19,7 @@
 
 // goldenWrites are a voter's, with each part of one: its identity, votes, entries, a snapshot of its own, and
 // one that came from another voter.
-func goldenWrites() []*consensus.Persist {
+func goldenWrites() []*raftlog.Persist {
 	entry := func(index, term uint64, data string) *raftpb.Entry {
 		return &raftpb.Entry{Index: new(index), Term: new(term), Data: []byte(data)}
 	}
@@ -28,8 +28,8 @@
 			Index: new(index), Term: new(term), ConfState: &raftpb.ConfState{Voters: []uint64{9, 12}, Learners: []uint64{14}},
 		}}
 	}
-	return []*consensus.Persist{
-		{Reset: true, Identity: &consensus.Identity{Nonce: 7, Epoch: 8, ID: 9, PromisedNonce: 10, HighestEpochSeen: 11}},
+	return []*raftlog.Persist{
+		{Reset: true, Identity: &raftlog.Identity{Nonce: 7, Epoch: 8, ID: 9, PromisedNonce: 10, HighestEpochSeen: 11}},
 		{HardState: &raftpb.HardState{Term: new(uint64(2)), Vote: new(uint64(12)), Commit: new(uint64(0))}},
 		{Entries: []*raftpb.Entry{entry(1, 2, "one"), entry(2, 2, "two"), entry(3, 2, "three")}},
 		{
@@ -38,7 +38,7 @@
 		},
 		{DropThrough: 2, Snapshot: snapshot(2, 2, "state after two")},
 		{ReplaceEntries: true, Snapshot: snapshot(20, 3, "another voter's"), Entries: []*raftpb.Entry{entry(21, 3, "on")}},
-		{Identity: &consensus.Identity{Nonce: 7, Epoch: 8, ID: 9, PromisedNonce: 13, HighestEpochSeen: 15}, Entries: []*raftpb.Entry{entry(22, 3, "last")}},
+		{Identity: &raftlog.Identity{Nonce: 7, Epoch: 8, ID: 9, PromisedNonce: 13, HighestEpochSeen: 15}, Entries: []*raftpb.Entry{entry(22, 3, "last")}},
 	}
 }
 
@@ -64,7 +64,7 @@
 
 	s, err := Open(path)
 	require.NoError(t, err)
-	var want consensus.Stored
+	var want raftlog.Stored
 	for _, p := range goldenWrites() {
 		applyWrite(&want, p)
 	}
@@ -80,10 +80,10 @@
 		// The first write is a file's first record, which has all that is stored then.
 		body, found := s.readRecord(raw, at, uint64(i+1))
 		require.True(t, found, "record %d", i+1)
-		var read *consensus.Persist
+		var read *raftlog.Persist
 		read, err = decode(body)
 		require.NoError(t, err)
-		for which, one := range map[string]*consensus.Persist{"read": read, "made": p} {
+		for which, one := range map[string]*raftlog.Persist{"read": read, "made": p} {
 			again, encodeErr := encode(one)
 			require.NoError(t, encodeErr)
 			require.Equal(t, body, again, "record %d, %s", i+1, which)
@@ -97,7 +97,7 @@
 	require.NoError(t, err)
 	require.Equal(t, raw, unchanged, "the mark")
 
-	more := &consensus.Persist{Entries: []*raftpb.Entry{{Index: new(uint64(23)), Term: new(uint64(3))}}}
+	more := &raftlog.Persist{Entries: []*raftpb.Entry{{Index: new(uint64(23)), Term: new(uint64(3))}}}
 	require.NoError(t, s.Write(more))
 	require.NoError(t, s.Close())
 	s, err = Open(path)
--- a/internal/graphql/graphql.go
+++ b/internal/graphql/graphql.go
@@ -14,12 +14,12 @@
 	"maps"
 	"slices"
 
-	"dunestep/decide"
+	"dunestep/internal/balancer"
 )
 
 // Rules is what a Classer goes by.
 type Rules struct {
-	Classes []decide.Class // of the deployment's settings
+	Classes []balancer.Class // of the deployment's settings
 	// Safe and Unsafe name the classes of queries, and of mutations and what cannot be told; empty: the first of
 	// Classes that is safe, or unsafe, to repeat.
 	Safe, Unsafe string
@@ -85,8 +85,8 @@
 		trusted: map[string]*document{},
 	}
 	var errs []error
-	named := func(name string, effect decide.Idempotency, what string) int {
-		i := slices.IndexFunc(r.Classes, func(k decide.Class) bool {
+	named := func(name string, effect balancer.Idempotency, what string) int {
+		i := slices.IndexFunc(r.Classes, func(k balancer.Class) bool {
 			return k.Idempotency == effect && (name == "" || k.Name == name)
 		})
 		if i < 0 {
@@ -94,14 +94,14 @@
 		}
 		return i
 	}
-	c.safe, c.unsafe = named(r.Safe, decide.Idempotent, "safe"), named(r.Unsafe, decide.NotIdempotent, "unsafe")
+	c.safe, c.unsafe = named(r.Safe, balancer.Idempotent, "safe"), named(r.Unsafe, balancer.NotIdempotent, "unsafe")
 	table := func(from map[string]string, to map[string]int, mutation bool) {
 		for _, field := range slices.Sorted(maps.Keys(from)) {
-			i := slices.IndexFunc(r.Classes, func(k decide.Class) bool { return k.Name == from[field] })
+			i := slices.IndexFunc(r.Classes, func(k balancer.Class) bool { return k.Name == from[field] })
 			switch {
 			case i < 0:
 				errs = append(errs, fmt.Errorf("%s: the settings have no class %q", field, from[field]))
-			case mutation && r.Classes[i].Idempotency == decide.Idempotent:
+			case mutation && r.Classes[i].Idempotency == balancer.Idempotent:
 				errs = append(errs, fmt.Errorf("%s: a mutation must not have class %q, which is safe to repeat",
 					field, from[field]))
 			}
@@ -116,7 +116,7 @@
 	return c, errors.Join(errs...)
 }
 
-func (c *Classer) class(i int) decide.Class { return c.rules.Classes[i] }
+func (c *Classer) class(i int) balancer.Class { return c.rules.Classes[i] }
 
 // strictest is the class that is repeated least readily of two. Two classes whose servers drop repeats may
 // have them dropped by different servers, so together they are unsafe.
@@ -129,7 +129,7 @@
 			return a
 		}
 		return b
-	case x.Idempotency == decide.IdempotentWithKey:
+	case x.Idempotency == balancer.IdempotentWithKey:
 		return c.unsafe
 	case cmp.Or(cmp.Compare(x.Deadline, y.Deadline), cmp.Compare(a, b)) < 0:
 		return a
--- a/internal/graphql/graphql_test.go
+++ b/internal/graphql/graphql_test.go
@@ -13,18 +13,18 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/decide"
+	"dunestep/internal/balancer"
 )
 
 // rules are those of a deployment with a class of each kind.
 func rules() Rules {
 	return Rules{
-		Classes: []decide.Class{
-			{Name: "consult", Idempotency: decide.Idempotent, Deadline: 2 * time.Second},
-			{Name: "rezervare", Idempotency: decide.NotIdempotent, Deadline: time.Second},
-			{Name: "report", Idempotency: decide.Idempotent, Deadline: 5 * time.Second},
-			{Name: "notify", Idempotency: decide.IdempotentWithKey, Deadline: time.Second},
-			{Name: "note", Idempotency: decide.IdempotentWithKey},
+		Classes: []balancer.Class{
+			{Name: "consult", Idempotency: balancer.Idempotent, Deadline: 2 * time.Second},
+			{Name: "rezervare", Idempotency: balancer.NotIdempotent, Deadline: time.Second},
+			{Name: "report", Idempotency: balancer.Idempotent, Deadline: 5 * time.Second},
+			{Name: "notify", Idempotency: balancer.IdempotentWithKey, Deadline: time.Second},
+			{Name: "note", Idempotency: balancer.IdempotentWithKey},
 		},
 		Queries:   map[string]string{"holdSlot": "rezervare", "report": "report"},
 		Mutations: map[string]string{"remind": "notify", "note": "note"},
--- a/internal/graphql/property_test.go
+++ b/internal/graphql/property_test.go
@@ -12,7 +12,7 @@
 	"github.com/vektah/gqlparser/v2/parser"
 	"pgregory.net/rapid"
 
-	"dunestep/decide"
+	"dunestep/internal/balancer"
 )
 
 // drawn is a document of which it is known what it holds, since it was made so.
@@ -81,7 +81,7 @@
 		runs := d.executes(strings.TrimPrefix(name, "-"), name != "-")
 		for _, r := range []Request{post(body), {Method: "GET", URLQuery: query}, post("[" + body + "]")} {
 			v, err := c.Class(r)
-			if err == nil && effect(v.Class) == decide.Idempotent {
+			if err == nil && effect(v.Class) == balancer.Idempotent {
 				safe++
 				if runs != "query" && (runs != "" || name != "") { // an empty name may be none
 					t.Fatalf("%s as %q executes %q and has class %s", d.text, name, runs, v.Class)
@@ -104,13 +104,13 @@
 	require.NotZero(t, safe, "queries are to be found safe too")
 }
 
-func effect(class string) decide.Idempotency {
+func effect(class string) balancer.Idempotency {
 	for _, c := range rules().Classes {
 		if c.Name == class {
 			return c.Idempotency
 		}
 	}
-	return decide.NotIdempotent
+	return balancer.NotIdempotent
 }
 
 // Whatever comes: no panic, an *Error or a class, and a safe class only for what another reader of the JSON
@@ -141,7 +141,7 @@
 		if err != nil && !errors.As(err, &e) {
 			t.Fatalf("%T", err)
 		}
-		if err != nil || effect(v.Class) != decide.Idempotent {
+		if err != nil || effect(v.Class) != balancer.Idempotent {
 			return
 		}
 		var asked []request
--- a/internal/handover/bans.go
+++ b/internal/handover/bans.go
@@ -20,8 +20,8 @@
 
 	"github.com/google/renameio/v2"
 
-	"dunestep/internal/core"
 	"dunestep/internal/protocol"
+	"dunestep/internal/routing"
 )
 
 const (
@@ -47,8 +47,8 @@
 
 // ManualSettings is what staff have set by hand.
 type ManualSettings struct {
-	Disabled []core.DisabledEndpoint `json:"bans"`
-	Draining bool                    `json:"drained"` // clients are sent away
+	Disabled []routing.DisabledEndpoint `json:"bans"`
+	Draining bool                       `json:"drained"` // clients are sent away
 	// DrainSetAt is when that was said last, in Unix time.
 	DrainSetAt time.Duration `json:"drain_set_ns,omitempty"`
 }
@@ -60,7 +60,7 @@
 	if other.DrainSetAt > one.DrainSetAt {
 		h.Draining, h.DrainSetAt = other.Draining, other.DrainSetAt
 	}
-	h.Disabled = slices.DeleteFunc(core.MergeDisabled(one.Disabled, other.Disabled), func(b core.DisabledEndpoint) bool {
+	h.Disabled = slices.DeleteFunc(routing.MergeDisabled(one.Disabled, other.Disabled), func(b routing.DisabledEndpoint) bool {
 		return b.EnabledAt > 0 && now-b.EnabledAt > enabledRetention
 	})
 	return h
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/internal/core"
+	"dunestep/internal/routing"
 )
 
 var updateGolden = flag.Bool("update", false, "write the golden files anew")
@@ -30,7 +30,7 @@
 
 func goldenHand() ManualSettings {
 	return ManualSettings{
-		Disabled: []core.DisabledEndpoint{{ID: "s-0", StartedAt: 5, DisabledAt: 6}, {ID: "s-1", StartedAt: 7, DisabledAt: 8, EnabledAt: 9}},
+		Disabled: []routing.DisabledEndpoint{{ID: "s-0", StartedAt: 5, DisabledAt: 6}, {ID: "s-1", StartedAt: 7, DisabledAt: 8, EnabledAt: 9}},
 		Draining: true, DrainSetAt: 10,
 	}
 }
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 	"go.uber.org/goleak"
 
-	"dunestep/internal/core"
+	"dunestep/internal/routing"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -27,16 +27,16 @@
 	h, err := b.Read()
 	require.NoError(t, err)
 	require.Empty(t, h)
-	want := ManualSettings{Draining: true, Disabled: []core.DisabledEndpoint{{ID: "s-0", StartedAt: 5}, {ID: "s-1", EnabledAt: 7}}}
+	want := ManualSettings{Draining: true, Disabled: []routing.DisabledEndpoint{{ID: "s-0", StartedAt: 5}, {ID: "s-1", EnabledAt: 7}}}
 	h, err = b.Update(want, 8)
 	require.NoError(t, err)
 	require.Equal(t, want, h)
 	h, err = b.Read()
 	require.NoError(t, err)
 	require.Equal(t, want, h)
-	h, err = b.Update(ManualSettings{Disabled: []core.DisabledEndpoint{{ID: "s-0", EnabledAt: 9}}}, 9+enabledRetention)
+	h, err = b.Update(ManualSettings{Disabled: []routing.DisabledEndpoint{{ID: "s-0", EnabledAt: 9}}}, 9+enabledRetention)
 	require.NoError(t, err)
-	require.Equal(t, ManualSettings{Disabled: []core.DisabledEndpoint{{ID: "s-0", EnabledAt: 9}}}, h, "a lift is forgotten in time, and no drain is taken over")
+	require.Equal(t, ManualSettings{Disabled: []routing.DisabledEndpoint{{ID: "s-0", EnabledAt: 9}}}, h, "a lift is forgotten in time, and no drain is taken over")
 	require.NoError(t, os.WriteFile(b.path, []byte("{"), 0o600))
 	h, err = b.Update(want, 8)
 	require.NoError(t, err, "what can't be read is replaced")
@@ -55,7 +55,7 @@
 		told.Go(func() {
 			b, set := NewSettingsFile(folder, "n0", at), ManualSettings{}
 			for i := range each {
-				set.Disabled = core.MergeDisabled(set.Disabled, []core.DisabledEndpoint{{ID: fmt.Sprint(process, "-", i), DisabledAt: 1}})
+				set.Disabled = routing.MergeDisabled(set.Disabled, []routing.DisabledEndpoint{{ID: fmt.Sprint(process, "-", i), DisabledAt: 1}})
 				_, err := b.Update(set, 2)
 				require.NoError(t, err)
 			}
@@ -102,7 +102,7 @@
 	require.NoError(t, err)
 	defer l.Close()
 	offer := Offer{
-		Manual: ManualSettings{Disabled: []core.DisabledEndpoint{{ID: "s-0"}}}, Descriptors: 9, MemoryMB: 8, State: []byte("learned"),
+		Manual: ManualSettings{Disabled: []routing.DisabledEndpoint{{ID: "s-0"}}}, Descriptors: 9, MemoryMB: 8, State: []byte("learned"),
 		SocketNames: []string{"tcp x"},
 	}
 	refused, heard, served := make(chan error, 1), make(chan Notification, 1), make(chan struct{})
--- a/internal/figures/figures.go
+++ b/internal/metrics/figures.go
@@ -1,6 +1,6 @@
-// Package figures counts what an agent does, once, where it ends. It does no input or output; the ops socket
+// Package metrics counts what an agent does, once, where it ends. It does no input or output; the ops socket
 // reads it, and whatever else is to tell the same. All of it is safe for concurrent use, and nothing waits.
-package figures
+package metrics
 
 import "sync/atomic"
 
--- a/internal/explore/explore.go
+++ b/internal/modelcheck/explore.go
@@ -1,7 +1,7 @@
-// Package explore is for searches that try all that can happen in a small world: the states that were met,
+// Package modelcheck is for searches that try all that can happen in a small world: the states that were met,
 // and
 // workers that share what is to be gone on from.
-package explore
+package modelcheck
 
 import (
 	"sync"
--- a/internal/operator/read.go
+++ b/internal/operator/read.go
@@ -3,7 +3,7 @@
 import (
 	"reflect"
 
-	"dunestep/internal/strict"
+	"dunestep/internal/stricttoml"
 )
 
 // Read reads an operator file; without a path, all is as by default. The file is checked as a whole: the
@@ -13,14 +13,14 @@
 	if path == "" {
 		return file, nil
 	}
-	if err := strict.ReadFile(path, &file, file.check); err != nil {
+	if err := stricttoml.ReadFile(path, &file, file.check); err != nil {
 		return File{}, err
 	}
 	return file, nil
 }
 
 // check has each table that is right key by key look for what is wrong between its keys.
-func (f *File) check(d *strict.Document) {
+func (f *File) check(d *stricttoml.Document) {
 	tables := reflect.ValueOf(f).Elem()
 	for i := range tables.NumField() {
 		name := tables.Type().Field(i).Tag.Get("toml")
--- a/storm/bench_test.go
+++ b/internal/overload/bench_test.go
@@ -1,11 +1,11 @@
-package storm
+package overload
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"dunestep/decide"
+	"dunestep/internal/balancer"
 )
 
 // BenchmarkServed is a request that is let in, sent and served, through the gate and the real module; without
@@ -15,10 +15,10 @@
 		b.Run(fmt.Sprintf("gate=%v", !off), func(b *testing.B) {
 			var m Balancer
 			set := deployment(4, 0)
-			balancer, err := decide.New(set, 1)
-			m = balancer
+			decisions, err := balancer.New(set, 1)
+			m = decisions
 			step := m.(interface {
-				Step(time.Duration, decide.Event) []decide.Action
+				Step(time.Duration, balancer.Event) []balancer.Action
 			})
 			if !off && err == nil {
 				step, err = New(set, Config{}, m, 1)
@@ -26,9 +26,9 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			news := &decide.ServerListUpdate{Kind: decide.UpdateFull}
+			news := &balancer.ServerListUpdate{Kind: balancer.UpdateFull}
 			for i := range 13 {
-				news.Servers = append(news.Servers, decide.Server{ID: fmt.Sprint("s-", i), MachineKind: "k", Weight: 1})
+				news.Servers = append(news.Servers, balancer.Server{ID: fmt.Sprint("s-", i), MachineKind: "k", Weight: 1})
 			}
 			step.Step(epoch, news)
 			keys := make([]string, 1000)
@@ -39,10 +39,10 @@
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				now += 2 * time.Millisecond
-				req := decide.Request{ID: uint32(i + 1), Class: "consult", Key: keys[i%1000], ClientTimeout: time.Second}
+				req := balancer.Request{ID: uint32(i + 1), Class: "consult", Key: keys[i%1000], ClientTimeout: time.Second}
 				for _, a := range step.Step(now, &req) {
-					if a.Kind == decide.Send {
-						done := decide.AttemptDone{ID: a.ID, Server: a.Server, Latency: 50 * time.Millisecond, RequestDone: true}
+					if a.Kind == balancer.Send {
+						done := balancer.AttemptDone{ID: a.ID, Server: a.Server, Latency: 50 * time.Millisecond, RequestDone: true}
 						step.Step(now, &done)
 						break
 					}
@@ -64,6 +64,6 @@
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		now += 50 * time.Microsecond
-		g.Step(now, &decide.Request{ID: uint32(i + 1), Class: "rezervare", Key: keys[i%len(keys)], ClientTimeout: time.Second})
+		g.Step(now, &balancer.Request{ID: uint32(i + 1), Class: "rezervare", Key: keys[i%len(keys)], ClientTimeout: time.Second})
 	}
 }
--- a/storm/gate.go
+++ b/internal/overload/gate.go
@@ -1,11 +1,11 @@
-// Package storm stands before the decision module and turns away what would make trouble worse: in slow
+// Package overload stands before the decision module and turns away what would make trouble worse: in slow
 // spells, while nothing is served, and when what was down comes back.
 //
 // It does no input or output. A Controller is fed the module's events in order and hands on those that the module
 // is to see; each call of Step returns the actions to carry out, its own and the module's. Time is that of
 // package decide, and should be the same at every agent. The same settings, seed and events always give the
 // same actions. A Controller is not safe for concurrent use.
-package storm
+package overload
 
 import (
 	"cmp"
@@ -16,39 +16,39 @@
 	"slices"
 	"time"
 
-	"dunestep/decide"
+	"dunestep/internal/balancer"
 )
 
-// Balancer makes the decisions about what is let in: decide.Balancer.
+// Balancer makes the decisions about what is let in: balancer.Balancer.
 type Balancer interface {
-	Step(now time.Duration, ev decide.Event) []decide.Action
+	Step(now time.Duration, ev balancer.Event) []balancer.Action
 	// ArrivalFraction is this agent's part of all arrivals, from 0 to 1.
 	ArrivalFraction() float64
 	// Sparse tells whether it is one of so many that its own requests in flight bound nothing.
 	Sparse() bool
-	// ApplyFleetPolicy has it go by what the fleet has agreed on: see decide.Balancer.
-	ApplyFleetPolicy(quota []float64, classes []decide.RetryPolicy)
+	// ApplyFleetPolicy has it go by what the fleet has agreed on: see balancer.Balancer.
+	ApplyFleetPolicy(quota []float64, classes []balancer.RetryPolicy)
 	// SetWarmServersSaturated says whether the servers that are warm are full.
 	SetWarmServersSaturated(on bool)
-	// SetExclusions has it keep tenants' keys off servers, TenantStats tells how tenants fared: see decide.Balancer.
-	SetExclusions(a *decide.Exclusions)
-	TenantStats() []decide.TenantStats
-	// SetRingAssignment has it go by an agreed generation of the ring: see decide.Balancer.
-	SetRingAssignment(p *decide.RingAssignment)
+	// SetExclusions has it keep tenants' keys off servers, TenantStats tells how tenants fared: see balancer.Balancer.
+	SetExclusions(a *balancer.Exclusions)
+	TenantStats() []balancer.TenantStats
+	// SetRingAssignment has it go by an agreed generation of the ring: see balancer.Balancer.
+	SetRingAssignment(p *balancer.RingAssignment)
 }
 
 // Controller lets requests through to a Balancer, or refuses them.
 type Controller struct {
 	balancer             Balancer
-	settings             decide.Settings
+	settings             balancer.Settings
 	configured           Config  // the operator's
 	agreedWastedFraction float64 // as agreed: no figure above it; zero: nothing is
 	config               Config  // what holds: own, within what is agreed
 	agents               int     // agents, as far as is known
 	rng                  *rand.Rand
 	now                  time.Duration
-	actions              []decide.Action
-	pendingEvents        []decide.Event // for the module, once it has taken in the present one
+	actions              []balancer.Action
+	pendingEvents        []balancer.Event // for the module, once it has taken in the present one
 
 	requests           map[uint32]*request
 	freeRequests       []*request
@@ -61,7 +61,7 @@
 	inFlight    meanCount // requests of this agent at servers
 	fairness    fairnessOrder
 	quotas      map[string]*tenantQuota
-	rejected    map[string]uint64 // requests turned away here, by the settings' tenants, or decide.NoTenant
+	rejected    map[string]uint64 // requests turned away here, by the settings' tenants, or balancer.NoTenant
 	retryAfters retryAfterTable
 
 	arrivals        decayingSum // requests
@@ -79,9 +79,9 @@
 	lastReturnSlot time.Duration // of the last client that was told when to come back
 
 	// Used again for each event: the module keeps none.
-	requestEvent       decide.Request
-	attemptDoneEvent   decide.AttemptDone
-	streamStartedEvent decide.StreamStarted
+	requestEvent       balancer.Request
+	attemptDoneEvent   balancer.AttemptDone
+	streamStartedEvent balancer.StreamStarted
 }
 
 // request is what is kept of one that was let in.
@@ -106,7 +106,7 @@
 
 // server is a booking server and how its answers compare with the usual.
 type server struct {
-	entry               decide.Server
+	entry               balancer.Server
 	serviceTime         *serviceTimeEstimate
 	isReady             bool
 	startOffset         time.Duration // added to its start, for the module to take it for a new one
@@ -128,7 +128,7 @@
 )
 
 // New returns a Controller before a module that was built with the same settings.
-func New(set decide.Settings, fig Config, module Balancer, seed uint64) (*Controller, error) {
+func New(set balancer.Settings, fig Config, module Balancer, seed uint64) (*Controller, error) {
 	fig, err := fig.withDefaults()
 	if err != nil {
 		return nil, err
@@ -142,7 +142,7 @@
 		rng:      rand.New(rand.NewPCG(seed, 0x73746f72)),
 		requests: map[uint32]*request{}, servers: map[string]*server{}, serviceTimes: map[string]*serviceTimeEstimate{},
 		inFlight: meanCount{decayingSum: decayingSum{halfLife: factorHalfLife}}, fairness: newFairnessOrder(set.Classes), quotas: map[string]*tenantQuota{},
-		rejected: map[string]uint64{decide.NoTenant: 0},
+		rejected: map[string]uint64{balancer.NoTenant: 0},
 		arrivals: decayingSum{halfLife: rateHalfLife}, forwarded: decayingSum{halfLife: rateHalfLife}, successes: decayingSum{halfLife: rateHalfLife},
 		usualSuccesses: decayingSum{halfLife: usualRateHalfLife}, peakServers: decayingSum{halfLife: peakServersHalfLife},
 		episode: newEpisode(), outage: newOutageState(), retryStorm: newRetryStorm(), throttle: newAdaptiveThrottle(),
@@ -150,7 +150,7 @@
 	g.retryAfters = newRetryAfterTable(g.rng.Uint64())
 	for _, c := range set.Classes {
 		g.longestObjective = max(g.longestObjective, c.LatencyObjective)
-		g.hasRepeatableClass = g.hasRepeatableClass || c.Idempotency != decide.NotIdempotent
+		g.hasRepeatableClass = g.hasRepeatableClass || c.Idempotency != balancer.NotIdempotent
 	}
 	for _, t := range set.Tenants {
 		g.quotas[t.Name], g.rejected[t.Name] = newTenantQuota(t.QuotaPerSecond), 0
@@ -158,9 +158,9 @@
 	return g, nil
 }
 
-// NewWithBalancer returns a Controller before a decide.Balancer of its own.
-func NewWithBalancer(set decide.Settings, fig Config, seed uint64) (*Controller, error) {
-	balancer, err := decide.New(set, seed)
+// NewWithBalancer returns a Controller before a balancer.Balancer of its own.
+func NewWithBalancer(set balancer.Settings, fig Config, seed uint64) (*Controller, error) {
+	balancer, err := balancer.New(set, seed)
 	if err != nil {
 		return nil, err
 	}
@@ -180,10 +180,10 @@
 }
 
 // ApplyFleetPolicy has the gate and its module go by what the fleet has agreed on, from the next Step on: see
-// decide.Balancer for the tenants' quotas and the classes, and Config.WastedFraction for agreedWastedFraction, which holds until
+// balancer.Balancer for the tenants' quotas and the classes, and Config.WastedFraction for agreedWastedFraction, which holds until
 // the next ApplyFleetPolicy, whatever SetConfig says; only a lower figure of the operator's own stays. An agreedWastedFraction that is not
 // above zero leaves it to the operator's, and ApplyFleetPolicy(nil, nil, 0) takes all back.
-func (g *Controller) ApplyFleetPolicy(quota []float64, classes []decide.RetryPolicy, inVain float64) {
+func (g *Controller) ApplyFleetPolicy(quota []float64, classes []balancer.RetryPolicy, inVain float64) {
 	part := g.balancer.ArrivalFraction()
 	for i, t := range g.settings.Tenants {
 		perS := t.QuotaPerSecond
@@ -200,10 +200,10 @@
 }
 
 // SetFleetSize has the gate divide what all agents together send in an outage by another number of them than the
-// settings name, from now on; zero: by theirs. As decide.QuotaCounted has it, together they send half as much
+// settings name, from now on; zero: by theirs. As balancer.QuotaCounted has it, together they send half as much
 // again at the most, however wrong it is.
 func (g *Controller) SetFleetSize(agents int) {
-	g.agents = decide.EffectiveFleetSize(agents, g.settings.Balancers)
+	g.agents = balancer.EffectiveFleetSize(agents, g.settings.Balancers)
 }
 
 // combine finds the figures that hold.
@@ -217,7 +217,7 @@
 }
 
 // Step takes an event in and returns the actions to take, valid until the next Step.
-func (g *Controller) Step(now time.Duration, ev decide.Event) []decide.Action {
+func (g *Controller) Step(now time.Duration, ev balancer.Event) []balancer.Action {
 	g.actions, g.pendingEvents = g.actions[:0], g.pendingEvents[:0]
 	g.now = max(g.now, now)
 	if !g.config.Disabled {
@@ -225,24 +225,24 @@
 		g.updateOutage()
 	}
 	switch e := ev.(type) {
-	case *decide.Request:
+	case *balancer.Request:
 		if ev = g.admit(e); ev == nil {
 			return g.actions
 		}
-	case *decide.AttemptDone:
+	case *balancer.AttemptDone:
 		ev = g.onAttemptDone(e)
-	case *decide.StreamStarted:
+	case *balancer.StreamStarted:
 		if r := g.requests[e.ID]; r != nil && e.Attempt >= 0 && e.Attempt < len(r.attempts) {
 			g.onResponseStarted(r, &r.attempts[e.Attempt])
-			g.streamStartedEvent = decide.StreamStarted{ID: e.ID, Attempt: r.attempts[e.Attempt].balancerNumber}
+			g.streamStartedEvent = balancer.StreamStarted{ID: e.ID, Attempt: r.attempts[e.Attempt].balancerNumber}
 			ev = &g.streamStartedEvent
 		}
-	case *decide.ClientGone:
+	case *balancer.ClientGone:
 		g.onFinalAnswer(e.ID)
-	case *decide.ServerListUpdate:
+	case *balancer.ServerListUpdate:
 		g.recentPeakServers() // before it changes
 		ev = g.onServerListUpdate(e)
-	case *decide.PeerMessage:
+	case *balancer.PeerMessage:
 		if len(e.Data) > 0 && e.Data[0] == messageOverload {
 			g.onPeerMessage(e.From, e.Data)
 			return g.actions
@@ -257,7 +257,7 @@
 }
 
 // pass hands an event to the module and takes in what it does.
-func (g *Controller) stepBalancer(ev decide.Event) {
+func (g *Controller) stepBalancer(ev balancer.Event) {
 	g.balancer.SetWarmServersSaturated(g.throttle.isActive) // a sparse one sees it nowhere else
 	for _, a := range g.balancer.Step(g.now, ev) {
 		if g.onAction(&a) {
@@ -267,11 +267,11 @@
 }
 
 func (g *Controller) logf(format string, args ...any) {
-	g.actions = append(g.actions, decide.Action{Kind: decide.Log, Text: fmt.Sprintf(format, args...)})
+	g.actions = append(g.actions, balancer.Action{Kind: balancer.Log, Text: fmt.Sprintf(format, args...)})
 }
 
 // admit returns what the module is to see of a request that is let in, or refuses it and returns nil.
-func (g *Controller) admit(e *decide.Request) decide.Event {
+func (g *Controller) admit(e *balancer.Request) balancer.Event {
 	g.arrivals.add(g.now, 1)
 	if g.outage.requestsSinceSuccess++; g.requests[e.ID] != nil {
 		return nil // it is known already
@@ -309,7 +309,7 @@
 	return e
 }
 
-func (g *Controller) addRequest(e *decide.Request, who uint64, over bool) {
+func (g *Controller) addRequest(e *balancer.Request, who uint64, over bool) {
 	r := &request{}
 	if n := len(g.freeRequests); n > 0 {
 		r, g.freeRequests = g.freeRequests[n-1], g.freeRequests[:n-1]
@@ -322,7 +322,7 @@
 	g.requests[e.ID] = r
 }
 
-func (g *Controller) fairnessRank(e *decide.Request) float64 {
+func (g *Controller) fairnessRank(e *balancer.Request) float64 {
 	if e.Key == "" {
 		return g.rng.Float64()
 	}
@@ -330,10 +330,10 @@
 }
 
 // refuse turns a request away at once.
-func (g *Controller) reject(e *decide.Request, who uint64, over bool) {
+func (g *Controller) reject(e *balancer.Request, who uint64, over bool) {
 	g.countRejected(e.Tenant)
-	g.actions = append(g.actions, decide.Action{
-		Kind: decide.Reject, ID: e.ID, After: g.retryAfter(who), OverQuota: over,
+	g.actions = append(g.actions, balancer.Action{
+		Kind: balancer.Reject, ID: e.ID, After: g.retryAfter(who), OverQuota: over,
 		Quota: g.reportedQuota(e.Tenant),
 	})
 }
@@ -362,18 +362,18 @@
 )
 
 // watch takes in what the module does, and tells whether it is to be carried out.
-func (g *Controller) onAction(a *decide.Action) bool {
+func (g *Controller) onAction(a *balancer.Action) bool {
 	r := g.requests[a.ID]
 	switch a.Kind {
-	case decide.Send:
+	case balancer.Send:
 		return r == nil || g.onSend(a, r)
-	case decide.Cancel:
+	case balancer.Cancel:
 		return r == nil || r.renumberAttempt(a)
-	case decide.Reject, decide.Fail:
+	case balancer.Reject, balancer.Fail:
 		if r == nil {
 			return true
 		}
-		if a.Kind == decide.Reject {
+		if a.Kind == balancer.Reject {
 			a.OverQuota, a.Quota = r.overQuota && !g.config.Disabled, g.reportedQuota(r.tenant)
 			if g.outage.phase != phaseNormal || g.isSheddingNow() {
 				a.After = g.retryAfter(r.client)
@@ -387,7 +387,7 @@
 }
 
 // renumber gives an action the number that its attempt has outside, or tells that it was held back.
-func (r *request) renumberAttempt(a *decide.Action) bool {
+func (r *request) renumberAttempt(a *balancer.Action) bool {
 	for i := range r.attempts {
 		if r.attempts[i].balancerNumber == a.Attempt {
 			a.Attempt = i
@@ -398,13 +398,13 @@
 }
 
 // sends notes an attempt, unless it is held back: the module is told then that it was not sent.
-func (g *Controller) onSend(a *decide.Action, r *request) bool {
+func (g *Controller) onSend(a *balancer.Action, r *request) bool {
 	number, s := r.balancerAttempts, g.server(a.Server)
 	r.balancerAttempts++
 	if g.suppressesAttempt(r, s) {
-		g.pendingEvents = append(g.pendingEvents, &decide.AttemptDone{
+		g.pendingEvents = append(g.pendingEvents, &balancer.AttemptDone{
 			ID: a.ID, Attempt: number, Server: a.Server,
-			Outcome: decide.NotSent, RequestDone: r.isAnswered,
+			Outcome: balancer.NotSent, RequestDone: r.isAnswered,
 		})
 		return false
 	}
@@ -466,7 +466,7 @@
 // ended notes the end of an attempt, and returns what the module is to see of it. That a trial in an outage
 // fails says nothing of its server: to the module it was called off, or it would find every server down on
 // its own account and owe each its own proof when they are back.
-func (g *Controller) onAttemptDone(e *decide.AttemptDone) decide.Event {
+func (g *Controller) onAttemptDone(e *balancer.AttemptDone) balancer.Event {
 	r := g.requests[e.ID]
 	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || r.attempts[e.Attempt].hasEnded {
 		return e
@@ -478,7 +478,7 @@
 	if !e.Evidence.LocalShortage {
 		g.throttle.recordAttemptEnd(g.now, e.Outcome)
 	}
-	if e.Outcome == decide.Served {
+	if e.Outcome == balancer.Served {
 		g.successes.add(g.now, 1)
 		g.usualSuccesses.add(g.now, 1)
 		if g.isSettled() && !g.isWarmingUp(a.server) {
@@ -494,7 +494,7 @@
 	g.attemptDoneEvent = *e
 	g.attemptDoneEvent.Attempt = a.balancerNumber
 	if g.outage.phase == phaseOutage && !e.Outcome.Unprocessed() {
-		g.attemptDoneEvent.Outcome = decide.Canceled
+		g.attemptDoneEvent.Outcome = balancer.Canceled
 	}
 	return &g.attemptDoneEvent
 }
@@ -583,7 +583,7 @@
 	s := g.servers[id]
 	if s == nil {
 		s = &server{
-			entry: decide.Server{ID: id}, serviceTime: g.serviceTimeOf(""), logFactors: decayingSum{halfLife: serverHalfLife},
+			entry: balancer.Server{ID: id}, serviceTime: g.serviceTimeOf(""), logFactors: decayingSum{halfLife: serverHalfLife},
 			samples: decayingSum{halfLife: serverHalfLife},
 		}
 		g.servers[id] = s
@@ -605,24 +605,24 @@
 
 // listed takes news of the server list in, and returns what the module is to see of it: the starts of servers
 // that were renewed are not the list's.
-func (g *Controller) onServerListUpdate(e *decide.ServerListUpdate) decide.Event {
-	if e.Kind == decide.UpdateFailed {
+func (g *Controller) onServerListUpdate(e *balancer.ServerListUpdate) balancer.Event {
+	if e.Kind == balancer.UpdateFailed {
 		return e
 	}
-	news := &decide.ServerListUpdate{Kind: e.Kind, Watch: e.Watch, Servers: slices.Clone(e.Servers)}
+	news := &balancer.ServerListUpdate{Kind: e.Kind, Watch: e.Watch, Servers: slices.Clone(e.Servers)}
 	seen := make(map[string]bool, len(e.Servers))
 	for i := range news.Servers {
 		l := &news.Servers[i]
 		seen[l.ID] = true
-		if l.State == decide.Gone {
+		if l.State == balancer.Gone {
 			g.removeServer(l.ID)
 			continue
 		}
 		s := g.server(l.ID)
 		l.StartedAt += s.startOffset
-		s.entry, s.serviceTime, s.isReady = *l, g.serviceTimeOf(l.MachineKind), l.State == decide.Ready
+		s.entry, s.serviceTime, s.isReady = *l, g.serviceTimeOf(l.MachineKind), l.State == balancer.Ready
 	}
-	if e.Kind != decide.UpdateIncremental {
+	if e.Kind != balancer.UpdateIncremental {
 		for _, s := range slices.Clone(g.serversByID) {
 			if !seen[s.entry.ID] {
 				g.removeServer(s.entry.ID)
--- a/storm/gate_test.go
+++ b/internal/overload/gate_test.go
@@ -1,4 +1,4 @@
-package storm
+package overload
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"dunestep/decide"
+	"dunestep/internal/balancer"
 )
 
 // player plays any day before a gate with the real module, and holds it to what is owed to clients and
@@ -34,19 +34,19 @@
 
 func newPropertyRun(t *rapid.T, fig Config) *propertyRun {
 	set := deployment(3, 0)
-	set.Tenants = []decide.Tenant{{Name: "t0", QuotaPerSecond: 5, Share: 0.5}, {Name: "t1", QuotaPerSecond: 50, Share: 0.5}}
+	set.Tenants = []balancer.Tenant{{Name: "t0", QuotaPerSecond: 5, Share: 0.5}, {Name: "t1", QuotaPerSecond: 50, Share: 0.5}}
 	set.Limits.Hedging = true
 	g, err := NewWithBalancer(set, fig, 3)
 	require.NoError(t, err)
 	return &propertyRun{controller: g, now: epoch, open: map[uint32]*playedRequest{}, timers: map[uint64]time.Duration{}, t: t}
 }
 
-func (p *propertyRun) step(ev decide.Event) {
+func (p *propertyRun) step(ev balancer.Event) {
 	for _, a := range p.controller.Step(p.now, ev) {
 		p.history += fmt.Sprintln(p.now, a)
 		r := p.open[a.ID]
 		switch a.Kind {
-		case decide.Send:
+		case balancer.Send:
 			if r == nil || r.final {
 				p.t.Fatalf("sends what is answered: %v", a)
 			}
@@ -54,17 +54,17 @@
 				p.t.Fatalf("sends an unsafe request again that may have run: %v", a)
 			}
 			r.out = append(r.out, a.Server)
-		case decide.Reject, decide.Fail:
+		case balancer.Reject, balancer.Fail:
 			if r == nil || r.final {
 				p.t.Fatalf("a second answer: %v", a)
 			}
-			if a.Kind == decide.Reject && r.class == "rezervare" && r.ran {
+			if a.Kind == balancer.Reject && r.class == "rezervare" && r.ran {
 				p.t.Fatalf("refuses an unsafe request that may have run: %v", a)
 			}
 			r.final = true
-		case decide.SetTimer:
+		case balancer.SetTimer:
 			p.timers[a.Tag] = p.now + a.After
-		case decide.Cancel:
+		case balancer.Cancel:
 			if r != nil && a.Attempt >= len(r.out) {
 				p.t.Fatalf("cancels what was never sent: %v", a)
 			}
@@ -78,23 +78,23 @@
 	for _, tag := range slices.Sorted(maps.Keys(p.timers)) {
 		if p.timers[tag] <= p.now {
 			delete(p.timers, tag)
-			p.step(&decide.TimerDue{Tag: tag})
+			p.step(&balancer.TimerDue{Tag: tag})
 		}
 	}
 }
 
 // end ends an attempt that is out.
-func (p *propertyRun) endAttempt(id uint32, r *playedRequest, attempt int, o decide.Outcome) {
+func (p *propertyRun) endAttempt(id uint32, r *playedRequest, attempt int, o balancer.Outcome) {
 	server := r.out[attempt]
 	r.out[attempt] = ""
 	if !o.Unprocessed() {
 		r.ran = true
 	}
 	finished := r.final
-	if o == decide.Served && !r.final {
+	if o == balancer.Served && !r.final {
 		r.final, finished = true, true
 	}
-	p.step(&decide.AttemptDone{
+	p.step(&balancer.AttemptDone{
 		ID: id, Attempt: attempt, Server: server, Outcome: o,
 		Latency: time.Duration(rapid.IntRange(1, 600).Draw(p.t, "ms")) * time.Millisecond, RequestDone: finished,
 	})
@@ -109,9 +109,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		p := newPropertyRun(t, Config{})
 		list := func(n int) {
-			news := &decide.ServerListUpdate{Kind: decide.UpdateFull}
+			news := &balancer.ServerListUpdate{Kind: balancer.UpdateFull}
 			for i := range n {
-				news.Servers = append(news.Servers, decide.Server{ID: fmt.Sprint("s-", i), MachineKind: "k", Weight: 1})
+				news.Servers = append(news.Servers, balancer.Server{ID: fmt.Sprint("s-", i), MachineKind: "k", Weight: 1})
 			}
 			p.step(news)
 		}
@@ -119,9 +119,9 @@
 		var ids uint32
 		for range rapid.IntRange(1, 8).Draw(t, "phases") {
 			served := rapid.SampledFrom([]int{0, 0, 50, 98}).Draw(t, "served in 100")
-			failure := rapid.SampledFrom([]decide.Outcome{
-				decide.TimedOut, decide.Rejected, decide.ConnectFailed,
-				decide.ConnectionLost, decide.ServerError,
+			failure := rapid.SampledFrom([]balancer.Outcome{
+				balancer.TimedOut, balancer.Rejected, balancer.ConnectFailed,
+				balancer.ConnectionLost, balancer.ServerError,
 			}).Draw(t, "else")
 			for range rapid.IntRange(20, 250).Draw(t, "events") {
 				p.advance(10 * time.Millisecond)
@@ -129,14 +129,14 @@
 				case 0:
 					list(rapid.IntRange(0, 5).Draw(t, "servers"))
 				case 1:
-					p.step(&decide.PeerMessage{From: 1, Data: message{
+					p.step(&balancer.PeerMessage{From: 1, Data: message{
 						kind:      byte(rapid.IntRange(0, 2).Draw(t, "says")),
 						logFactor: 1, weight: 50, startsAt: p.now + 50*time.Millisecond,
 					}.encode()})
 				default:
 					ids++
 					p.open[ids] = &playedRequest{class: []string{"consult", "rezervare"}[ids%2]}
-					p.step(&decide.Request{
+					p.step(&balancer.Request{
 						ID: ids, Class: p.open[ids].class, Key: fmt.Sprint(ids % 7),
 						Tenant: fmt.Sprint("t", ids%3), ClientTimeout: time.Second, ClientRetry: ids%5 == 0,
 					})
@@ -145,13 +145,13 @@
 						for n := range r.out {
 							if r.out[n] != "" && !r.final && rapid.IntRange(0, 9).Draw(t, "begins") == 0 {
 								r.final, r.ran = true, true // it is the answer, however it ends
-								p.step(&decide.StreamStarted{ID: id, Attempt: n})
+								p.step(&balancer.StreamStarted{ID: id, Attempt: n})
 							}
 							if r.out[n] == "" || rapid.IntRange(0, 2).Draw(t, "ends") > 0 {
 								continue
 							}
 							if rapid.IntRange(1, 100).Draw(t, "luck") <= served {
-								p.endAttempt(id, r, n, decide.Served)
+								p.endAttempt(id, r, n, balancer.Served)
 							} else {
 								p.endAttempt(id, r, n, failure)
 							}
@@ -166,7 +166,7 @@
 				r := p.open[id]
 				for n := range r.out {
 					if r.out[n] != "" {
-						p.endAttempt(id, r, n, decide.Rejected)
+						p.endAttempt(id, r, n, balancer.Rejected)
 					}
 				}
 			}
@@ -200,22 +200,22 @@
 func TestDisabledForwardsEverything(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := deployment(3, 0)
-		alone, err := decide.New(set, 3)
+		alone, err := balancer.New(set, 3)
 		require.NoError(t, err)
 		p := newPropertyRun(t, Config{Disabled: true})
 		g, err := New(set, p.controller.config, alone, 3)
 		require.NoError(t, err)
-		bare, err := decide.New(set, 3)
+		bare, err := balancer.New(set, 3)
 		require.NoError(t, err)
 		for i := range uint32(200) {
-			var ev decide.Event = &decide.Request{ID: i, Class: "consult", Key: fmt.Sprint(i % 9), ClientTimeout: time.Second}
+			var ev balancer.Event = &balancer.Request{ID: i, Class: "consult", Key: fmt.Sprint(i % 9), ClientTimeout: time.Second}
 			switch {
 			case i == 0:
-				ev = &decide.ServerListUpdate{Kind: decide.UpdateFull, Servers: []decide.Server{{ID: "a", Weight: 1}, {ID: "b", Weight: 1}}}
+				ev = &balancer.ServerListUpdate{Kind: balancer.UpdateFull, Servers: []balancer.Server{{ID: "a", Weight: 1}, {ID: "b", Weight: 1}}}
 			case i%2 == 0:
-				ev = &decide.AttemptDone{
+				ev = &balancer.AttemptDone{
 					ID: i - 1, Server: "a", Latency: 50 * time.Millisecond,
-					Outcome: decide.Outcome(rapid.IntRange(0, 5).Draw(t, "outcome")),
+					Outcome: balancer.Outcome(rapid.IntRange(0, 5).Draw(t, "outcome")),
 				}
 			}
 			now := epoch + time.Duration(i)*20*time.Millisecond
@@ -235,6 +235,6 @@
 	require.NoError(t, err)
 	require.Error(t, g.SetConfig(bad))
 	require.Equal(t, DefaultConfig(), g.config)
-	_, err = New(decide.Settings{}, Config{}, nil, 1)
+	_, err = New(balancer.Settings{}, Config{}, nil, 1)
 	require.Error(t, err)
 }
