--- a/storm/lab_test.go
+++ b/internal/overload/lab_test.go
@@ -1,4 +1,4 @@
-package storm
+package overload
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"dunestep/decide"
+	"dunestep/internal/balancer"
 )
 
 const (
@@ -14,18 +14,18 @@
 	epoch = 480_000 * time.Hour
 )
 
-func deployment(agents, self int) decide.Settings {
-	return decide.Settings{
+func deployment(agents, self int) balancer.Settings {
+	return balancer.Settings{
 		Self: self, Balancers: agents, Zone: "a", Tick: step, ClientsMarkRetries: true,
-		Classes: []decide.Class{
+		Classes: []balancer.Class{
 			{Name: "consult", LatencyObjective: 500 * time.Millisecond, Deadline: 2500 * time.Millisecond, PriorityWeight: 1},
-			{Name: "rezervare", LatencyObjective: 500 * time.Millisecond, Deadline: time.Second, Idempotency: decide.NotIdempotent, PriorityWeight: 2},
+			{Name: "rezervare", LatencyObjective: 500 * time.Millisecond, Deadline: time.Second, Idempotency: balancer.NotIdempotent, PriorityWeight: 2},
 		},
-		Limits: decide.Limits{
+		Limits: balancer.Limits{
 			MaxAttempts: 3, Cancel: true, Gossip: true, RetryAfter: true,
 			MaxRetryAfter: 2 * time.Second,
 		},
-		Rules: decide.Rules{SlowStartDuration: 9 * time.Second},
+		Rules: balancer.Rules{SlowStartDuration: 9 * time.Second},
 	}
 }
 
@@ -81,27 +81,27 @@
 type fakeBalancer struct {
 	out, most, turn, servers int  // most: in flight
 	sparse, full             bool // full: the gate has said so
-	acts                     []decide.Action
-	agreed                   []decide.RetryPolicy
-	avoid                    *decide.Exclusions
-	placed                   *decide.RingAssignment
-	strain                   []decide.TenantStats
+	acts                     []balancer.Action
+	agreed                   []balancer.RetryPolicy
+	avoid                    *balancer.Exclusions
+	placed                   *balancer.RingAssignment
+	strain                   []balancer.TenantStats
 }
 
-func (m *fakeBalancer) Step(_ time.Duration, ev decide.Event) []decide.Action {
+func (m *fakeBalancer) Step(_ time.Duration, ev balancer.Event) []balancer.Action {
 	m.acts = m.acts[:0]
 	switch e := ev.(type) {
-	case *decide.Request:
+	case *balancer.Request:
 		if m.out >= m.most {
-			m.acts = append(m.acts, decide.Action{Kind: decide.Reject, ID: e.ID, After: 300 * time.Millisecond})
+			m.acts = append(m.acts, balancer.Action{Kind: balancer.Reject, ID: e.ID, After: 300 * time.Millisecond})
 			break
 		}
 		m.out++
 		m.turn++
-		m.acts = append(m.acts, decide.Action{Kind: decide.Send, ID: e.ID, Server: fmt.Sprint("s-", m.turn%m.servers)})
-	case *decide.AttemptDone:
+		m.acts = append(m.acts, balancer.Action{Kind: balancer.Send, ID: e.ID, Server: fmt.Sprint("s-", m.turn%m.servers)})
+	case *balancer.AttemptDone:
 		if m.out--; !e.RequestDone {
-			m.acts = append(m.acts, decide.Action{Kind: decide.Reject, ID: e.ID})
+			m.acts = append(m.acts, balancer.Action{Kind: balancer.Reject, ID: e.ID})
 		}
 	}
 	return m.acts
@@ -111,17 +111,17 @@
 func (m *fakeBalancer) Sparse() bool                    { return m.sparse }
 func (m *fakeBalancer) SetWarmServersSaturated(on bool) { m.full = m.full || on }
 
-func (m *fakeBalancer) ApplyFleetPolicy(_ []float64, classes []decide.RetryPolicy) {
+func (m *fakeBalancer) ApplyFleetPolicy(_ []float64, classes []balancer.RetryPolicy) {
 	m.agreed = classes
 }
 
-func (m *fakeBalancer) SetExclusions(a *decide.Exclusions) { m.avoid = a }
+func (m *fakeBalancer) SetExclusions(a *balancer.Exclusions) { m.avoid = a }
 
-func (m *fakeBalancer) SetRingAssignment(p *decide.RingAssignment) { m.placed = p }
+func (m *fakeBalancer) SetRingAssignment(p *balancer.RingAssignment) { m.placed = p }
 
-func (m *fakeBalancer) TenantStats() []decide.TenantStats { return slices.Clone(m.strain) }
+func (m *fakeBalancer) TenantStats() []balancer.TenantStats { return slices.Clone(m.strain) }
 
-func newFleetSimulation(agents, servers int, change func(*decide.Settings)) *fleetSimulation {
+func newFleetSimulation(agents, servers int, change func(*balancer.Settings)) *fleetSimulation {
 	l := &fleetSimulation{now: epoch, rng: rand.New(rand.NewPCG(1, 2)), servers: servers, slow: 1, retryAfterOf: map[uint32]string{}}
 	for i := range agents {
 		set := deployment(agents, i)
@@ -134,35 +134,35 @@
 			panic(err)
 		}
 		l.controllers, l.balancers = append(l.controllers, g), append(l.balancers, m)
-		list := &decide.ServerListUpdate{Kind: decide.UpdateFull}
+		list := &balancer.ServerListUpdate{Kind: balancer.UpdateFull}
 		for s := range servers {
-			list.Servers = append(list.Servers, decide.Server{ID: fmt.Sprint("s-", s), MachineKind: "k", Weight: 1})
+			list.Servers = append(list.Servers, balancer.Server{ID: fmt.Sprint("s-", s), MachineKind: "k", Weight: 1})
 		}
 		l.carryOut(i, g.Step(l.now, list))
 	}
 	return l
 }
 
-func (l *fleetSimulation) carryOut(agent int, acts []decide.Action) {
+func (l *fleetSimulation) carryOut(agent int, acts []balancer.Action) {
 	for _, a := range acts {
 		switch a.Kind {
-		case decide.Send:
+		case balancer.Send:
 			var n int
 			_, _ = fmt.Sscanf(a.Server, "s-%d", &n)
 			l.sent++
 			work := time.Duration((0.5 + l.rng.Float64()) * float64(mean))
 			l.sentWork += work.Seconds()
 			l.jobs = append(l.jobs, &job{agent: agent, server: n, id: a.ID, left: work, began: l.now})
-		case decide.Reject:
+		case balancer.Reject:
 			l.rejected++
 			if l.clientsRetry && a.ID&1 == 0 {
 				l.retryAgents = append(l.retryAgents, agent)
 			}
-		case decide.SendToPeer:
+		case balancer.SendToPeer:
 			if l.rng.Float64() >= l.lost {
 				l.deliveries = append(l.deliveries, peerDelivery{l.now + time.Duration(l.rng.IntN(30))*time.Millisecond, agent, a.Peer, a.Data})
 			}
-		case decide.Log:
+		case balancer.Log:
 			l.logs = append(l.logs, fmt.Sprintf("%.2f [%d] %s", (l.now-epoch).Seconds(), agent, a.Text))
 		}
 	}
@@ -177,9 +177,9 @@
 	}
 	l.requests++
 	key := fmt.Sprint("k", l.rng.IntN(500))
-	l.carryOut(agent, l.controllers[agent].Step(l.now, &decide.Request{ID: l.ids, Class: class, ClientTimeout: time.Second, Key: key}))
+	l.carryOut(agent, l.controllers[agent].Step(l.now, &balancer.Request{ID: l.ids, Class: class, ClientTimeout: time.Second, Key: key}))
 	for _, at := range l.retryAgents {
-		l.carryOut(at, l.controllers[at].Step(l.now, &decide.Request{
+		l.carryOut(at, l.controllers[at].Step(l.now, &balancer.Request{
 			ID: l.ids + 1, Class: class, ClientTimeout: time.Second, Key: key,
 			ClientRetry: true,
 		}))
@@ -198,7 +198,7 @@
 				l.deliveries = append(l.deliveries, m)
 				continue
 			}
-			l.carryOut(m.to, l.controllers[m.to].Step(l.now, &decide.PeerMessage{From: m.from, Data: m.data}))
+			l.carryOut(m.to, l.controllers[m.to].Step(l.now, &balancer.PeerMessage{From: m.from, Data: m.data}))
 		}
 		for n := l.rate * step.Seconds(); n > 0; n-- {
 			if n >= 1 || l.rng.Float64() < n {
@@ -229,7 +229,7 @@
 	l.jobs = nil
 	for _, j := range jobs {
 		if end, outcome := l.fails(j); end {
-			l.carryOut(j.agent, l.controllers[j.agent].Step(l.now, &decide.AttemptDone{
+			l.carryOut(j.agent, l.controllers[j.agent].Step(l.now, &balancer.AttemptDone{
 				ID: j.id, Server: fmt.Sprint("s-", j.server),
 				Outcome: outcome, Latency: l.now - j.began,
 			}))
@@ -245,20 +245,20 @@
 			continue
 		}
 		l.served++
-		l.carryOut(j.agent, l.controllers[j.agent].Step(l.now, &decide.AttemptDone{
+		l.carryOut(j.agent, l.controllers[j.agent].Step(l.now, &balancer.AttemptDone{
 			ID: j.id, Server: fmt.Sprint("s-", j.server),
-			Outcome: decide.Served, Latency: l.now + step - j.began, RequestDone: true,
+			Outcome: balancer.Served, Latency: l.now + step - j.began, RequestDone: true,
 		}))
 	}
 }
 
 // fails tells whether an attempt has failed.
-func (l *fleetSimulation) fails(j *job) (bool, decide.Outcome) {
+func (l *fleetSimulation) fails(j *job) (bool, balancer.Outcome) {
 	if l.rejectsAll {
-		return true, decide.Rejected
+		return true, balancer.Rejected
 	}
 	if l.connectFails {
-		return true, decide.ConnectFailed
+		return true, balancer.ConnectFailed
 	}
-	return (l.neverAnswers || l.timesOut) && l.now-j.began > 500*time.Millisecond, decide.TimedOut
+	return (l.neverAnswers || l.timesOut) && l.now-j.began > 500*time.Millisecond, balancer.TimedOut
 }
--- a/storm/memory_test.go
+++ b/internal/overload/memory_test.go
@@ -1,4 +1,4 @@
-package storm
+package overload
 
 import (
 	"fmt"
@@ -9,14 +9,14 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/decide"
+	"dunestep/internal/balancer"
 )
 
 // What is usual is taken back as it was, so that a spell in which the agent is restarted is not taken for what
 // is usual. It rests on less the older it is, and nothing is taken of an unknown age or of what can't be.
 func TestSnapshotRestore(t *testing.T) {
 	fresh := func() *Controller {
-		g, err := NewWithBalancer(decide.Settings{Tick: time.Millisecond, Classes: []decide.Class{{LatencyObjective: time.Second, Deadline: time.Second}}},
+		g, err := NewWithBalancer(balancer.Settings{Tick: time.Millisecond, Classes: []balancer.Class{{LatencyObjective: time.Second, Deadline: time.Second}}},
 			Config{}, 1)
 		require.NoError(t, err)
 		return g
--- a/storm/order.go
+++ b/internal/overload/order.go
@@ -1,4 +1,4 @@
-package storm
+package overload
 
 import (
 	"cmp"
@@ -8,7 +8,7 @@
 
 	farm "github.com/dgryski/go-farm"
 
-	"dunestep/decide"
+	"dunestep/internal/balancer"
 )
 
 // order is who is let in first when not all can be: what is within its tenant's share; then by the worth of
@@ -23,7 +23,7 @@
 
 const offeredHalfLife = 2 * time.Second
 
-func newFairnessOrder(classes []decide.Class) fairnessOrder {
+func newFairnessOrder(classes []balancer.Class) fairnessOrder {
 	o := fairnessOrder{classIndex: map[string]int{}, classRank: make([]int, len(classes))}
 	by := make([]int, len(classes))
 	for i, c := range classes {
--- a/storm/outage.go
+++ b/internal/overload/outage.go
@@ -1,9 +1,9 @@
-package storm
+package overload
 
 import (
 	"time"
 
-	"dunestep/decide"
+	"dunestep/internal/balancer"
 )
 
 // While nothing is served little is sent, and what comes back is let prove itself.
@@ -75,12 +75,12 @@
 }
 
 // recordAttemptEnd takes in how an attempt ended at a server.
-func (g *Controller) recordAttemptEnd(s *server, o decide.Outcome) {
+func (g *Controller) recordAttemptEnd(s *server, o balancer.Outcome) {
 	d := &g.outage
 	switch o {
-	case decide.Canceled, decide.NotSent:
+	case balancer.Canceled, balancer.NotSent:
 		return
-	case decide.Served:
+	case balancer.Served:
 		d.successes.add(g.now, 1)
 		d.attemptEnds.add(g.now, 1)
 		if d.resetSinceSuccess(g.now); d.phase == phaseNormal {
@@ -97,12 +97,12 @@
 		s.consecutiveFailures, s.consecutiveFaults = 0, 0
 		return
 	}
-	if s.consecutiveFailures++; o != decide.Rejected { // which a server does that is merely full
+	if s.consecutiveFailures++; o != balancer.Rejected { // which a server does that is merely full
 		s.consecutiveFaults++
 	}
 	d.attemptEnds.add(g.now, 1)
 	d.failuresSinceSuccess++
-	if o == decide.ConnectFailed || o == decide.ConnectionLost {
+	if o == balancer.ConnectFailed || o == balancer.ConnectionLost {
 		d.connectionFaults++
 	}
 	s.holdUntil = g.now + warmingUpHold*time.Duration(g.agents)
@@ -207,7 +207,7 @@
 }
 
 // admitsInOutage tells whether a request may pass while an outage is not over.
-func (g *Controller) admitsInOutage(e *decide.Request, before float64) bool {
+func (g *Controller) admitsInOutage(e *balancer.Request, before float64) bool {
 	d := &g.outage
 	switch d.phase {
 	case phaseNormal:
@@ -227,7 +227,7 @@
 }
 
 // trial lets a few requests through, of classes that may be repeated where there are any.
-func (g *Controller) admitTrial(e *decide.Request) bool {
+func (g *Controller) admitTrial(e *balancer.Request) bool {
 	d := &g.outage
 	rate := max(g.config.TrialFraction*g.retryStorm.firstAttempts.perSecond(g.now), minTrialsPerSecond)
 	d.trialTokens = min(d.trialTokens+rate*(g.now-d.trialTokensAt).Seconds(), maxSavedTrials)
@@ -246,13 +246,13 @@
 // repeatable tells whether a failed attempt of a class leaves the client something to do.
 func (g *Controller) isRepeatable(class string) bool {
 	i, known := g.fairness.classIndex[class]
-	return known && g.settings.Classes[i].Idempotency != decide.NotIdempotent
+	return known && g.settings.Classes[i].Idempotency != balancer.NotIdempotent
 }
 
 // renew tells the module that servers are as if started anew, without being any colder: what was seen of them
 // is of the outage.
 func (g *Controller) resetServers(servers ...*server) {
-	news := &decide.ServerListUpdate{Kind: decide.UpdateIncremental, Watch: decide.WatchStatus{Local: true}}
+	news := &balancer.ServerListUpdate{Kind: balancer.UpdateIncremental, Watch: balancer.WatchStatus{Local: true}}
 	for _, s := range servers {
 		if s.isReady && !g.isWarmingUp(s) { // what just started is new to the module
 			s.startOffset++
--- a/storm/outage_test.go
+++ b/internal/overload/outage_test.go
@@ -1,4 +1,4 @@
-package storm
+package overload
 
 import (
 	"fmt"
@@ -9,9 +9,9 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"dunestep/asking"
-	"dunestep/decide"
-	"dunestep/health"
+	"dunestep/internal/balancer"
+	"dunestep/internal/balancer/outlier"
+	"dunestep/internal/discovery/backoff"
 )
 
 // TestOutage: while nothing is served little is sent, and what comes back is used within three seconds, by no
@@ -69,20 +69,20 @@
 // pushed over: not by what it serves, nor by what it turns away.
 func TestWarmingUpServerIsHeldToItsLimit(t *testing.T) {
 	for name, c := range map[string]struct {
-		outcome decide.Outcome
+		outcome balancer.Outcome
 		started time.Duration
 		most    int // in a second
 	}{
-		"turns away": {decide.Rejected, epoch, 5}, "serves": {decide.Served, epoch, 40},
-		"is warm": {decide.Served, 0, 140},
+		"turns away": {balancer.Rejected, epoch, 5}, "serves": {balancer.Served, epoch, 40},
+		"is warm": {balancer.Served, 0, 140},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g, err := New(deployment(4, 0), Config{}, &fakeBalancer{most: 100, servers: 1}, 1)
 			require.NoError(t, err)
 			list := func(n int) {
-				news := &decide.ServerListUpdate{Kind: decide.UpdateFull}
+				news := &balancer.ServerListUpdate{Kind: balancer.UpdateFull}
 				for i := range n {
-					news.Servers = append(news.Servers, decide.Server{ID: fmt.Sprint("s-", i), StartedAt: c.started})
+					news.Servers = append(news.Servers, balancer.Server{ID: fmt.Sprint("s-", i), StartedAt: c.started})
 				}
 				g.Step(epoch, news)
 			}
@@ -91,16 +91,16 @@
 			sent, out := 0, []uint32{}
 			for i := range uint32(1000) {
 				now := epoch + time.Duration(i)*time.Millisecond
-				for _, a := range g.Step(now, &decide.Request{ID: i, Class: "consult", ClientTimeout: time.Second}) {
-					if a.Kind == decide.Send {
+				for _, a := range g.Step(now, &balancer.Request{ID: i, Class: "consult", ClientTimeout: time.Second}) {
+					if a.Kind == balancer.Send {
 						sent++
 						out = append(out, a.ID)
 					}
 				}
-				if len(out) > 0 && (c.outcome != decide.Served || i%25 == 0) { // it serves 40 a second
-					g.Step(now, &decide.AttemptDone{
+				if len(out) > 0 && (c.outcome != balancer.Served || i%25 == 0) { // it serves 40 a second
+					g.Step(now, &balancer.AttemptDone{
 						ID: out[0], Server: "s-0", Outcome: c.outcome,
-						Latency: 50 * time.Millisecond, RequestDone: c.outcome == decide.Served,
+						Latency: 50 * time.Millisecond, RequestDone: c.outcome == balancer.Served,
 					})
 					out = out[1:]
 				}
@@ -155,8 +155,8 @@
 	for i := range 500 {
 		id := uint32(1e6 + 2*i)
 		var after time.Duration
-		for _, a := range g.Step(l.now, &decide.Request{ID: id, Class: "rezervare", Key: fmt.Sprint("c", i), ClientTimeout: time.Second}) {
-			if a.Kind == decide.Reject && a.ID == id {
+		for _, a := range g.Step(l.now, &balancer.Request{ID: id, Class: "rezervare", Key: fmt.Sprint("c", i), ClientTimeout: time.Second}) {
+			if a.Kind == balancer.Reject && a.ID == id {
 				after = a.After
 			}
 		}
@@ -201,14 +201,14 @@
 	g, err := NewWithBalancer(deployment(1, 0), Config{}, 1)
 	require.NoError(t, err)
 	now := epoch
-	g.Step(now, &decide.ServerListUpdate{Kind: decide.UpdateFull, Servers: []decide.Server{{ID: "a", Weight: 1}, {ID: "b", Weight: 1}}})
+	g.Step(now, &balancer.ServerListUpdate{Kind: balancer.UpdateFull, Servers: []balancer.Server{{ID: "a", Weight: 1}, {ID: "b", Weight: 1}}})
 	for id := range uint32(200) {
 		now += 10 * time.Millisecond
-		for _, a := range g.Step(now, &decide.Request{ID: id, Class: "consult", ClientTimeout: time.Second}) {
-			if a.Kind == decide.Send {
-				g.Step(now, &decide.AttemptDone{
-					ID: id, Server: a.Server, Outcome: decide.ConnectFailed,
-					Evidence: health.Evidence{Phase: health.PhaseConnecting, LocalShortage: true},
+		for _, a := range g.Step(now, &balancer.Request{ID: id, Class: "consult", ClientTimeout: time.Second}) {
+			if a.Kind == balancer.Send {
+				g.Step(now, &balancer.AttemptDone{
+					ID: id, Server: a.Server, Outcome: balancer.ConnectFailed,
+					Evidence: outlier.Evidence{Phase: outlier.PhaseConnecting, LocalShortage: true},
 				})
 			}
 		}
@@ -225,10 +225,10 @@
 	g, err := NewWithBalancer(set, Config{}, 1)
 	require.NoError(t, err)
 	now := epoch
-	g.Step(now, &decide.ServerListUpdate{Kind: decide.UpdateFull, Servers: []decide.Server{{ID: "a", Weight: 1}, {ID: "b", Weight: 1}}})
-	var again *decide.Action
-	for _, a := range g.Step(now, &decide.ServerListUpdate{Kind: decide.UpdateFailed, Watch: decide.WatchStatus{End: asking.WatchLost}}) {
-		if a.Kind == decide.SetTimer {
+	g.Step(now, &balancer.ServerListUpdate{Kind: balancer.UpdateFull, Servers: []balancer.Server{{ID: "a", Weight: 1}, {ID: "b", Weight: 1}}})
+	var again *balancer.Action
+	for _, a := range g.Step(now, &balancer.ServerListUpdate{Kind: balancer.UpdateFailed, Watch: balancer.WatchStatus{End: backoff.WatchLost}}) {
+		if a.Kind == balancer.SetTimer {
 			again = &a
 		}
 	}
@@ -237,18 +237,18 @@
 	for id := range uint32(2000) {
 		now += 10 * time.Millisecond
 		passed[g.outage.phase] = true
-		outcome := decide.ServerError
+		outcome := balancer.ServerError
 		if passed[phaseOutage] {
-			outcome = decide.Served
+			outcome = balancer.Served
 		}
-		for _, a := range g.Step(now, &decide.Request{ID: id, Class: "consult", ClientTimeout: time.Second}) {
-			if a.Kind == decide.Send {
-				g.Step(now, &decide.AttemptDone{ID: id, Server: a.Server, Outcome: outcome, Latency: 5 * time.Millisecond})
+		for _, a := range g.Step(now, &balancer.Request{ID: id, Class: "consult", ClientTimeout: time.Second}) {
+			if a.Kind == balancer.Send {
+				g.Step(now, &balancer.AttemptDone{ID: id, Server: a.Server, Outcome: outcome, Latency: 5 * time.Millisecond})
 			}
 		}
 	}
 	require.True(t, passed[phaseRecovering], "the gate has told of servers as if started anew")
-	asks := slices.ContainsFunc(g.Step(now, &decide.TimerDue{Tag: again.Tag}),
-		func(a decide.Action) bool { return a.Kind == decide.Subscribe })
+	asks := slices.ContainsFunc(g.Step(now, &balancer.TimerDue{Tag: again.Tag}),
+		func(a balancer.Action) bool { return a.Kind == balancer.Subscribe })
 	require.True(t, asks)
 }
--- a/storm/repeats.go
+++ b/internal/overload/repeats.go
@@ -1,4 +1,4 @@
-package storm
+package overload
 
 import "time"
 
--- a/storm/share.go
+++ b/internal/overload/share.go
@@ -1,10 +1,10 @@
-package storm
+package overload
 
 import (
 	"math"
 	"time"
 
-	"dunestep/decide"
+	"dunestep/internal/balancer"
 )
 
 // share is a tenant's share of the service, as a bucket of this agent's part of it. After an outage repeats
@@ -71,10 +71,10 @@
 }
 
 // quota is what a refusal tells of a tenant's share, where that is switched on.
-func (g *Controller) reportedQuota(tenant string) decide.Quota {
+func (g *Controller) reportedQuota(tenant string) balancer.Quota {
 	s := g.quotas[tenant]
 	if !g.config.ReportQuota || s == nil || s.perSecond <= 0 {
-		return decide.Quota{}
+		return balancer.Quota{}
 	}
-	return decide.Quota{PerSecond: s.perSecond * g.balancer.ArrivalFraction(), Remaining: max(s.tokens, 0)}
+	return balancer.Quota{PerSecond: s.perSecond * g.balancer.ArrivalFraction(), Remaining: max(s.tokens, 0)}
 }
--- a/storm/spell.go
+++ b/internal/overload/spell.go
@@ -1,9 +1,9 @@
-package storm
+package overload
 
 import (
 	"time"
 
-	"dunestep/decide"
+	"dunestep/internal/balancer"
 )
 
 const (
@@ -352,7 +352,7 @@
 	first := g.rng.IntN(others)
 	for i := range min(peersPerMessage, others) {
 		peer := (g.settings.Self + 1 + (first+i)%others) % g.settings.Balancers
-		g.actions = append(g.actions, decide.Action{Kind: decide.SendToPeer, Peer: peer, Data: data})
+		g.actions = append(g.actions, balancer.Action{Kind: balancer.SendToPeer, Peer: peer, Data: data})
 	}
 }
 
--- a/storm/spell_test.go
+++ b/internal/overload/spell_test.go
@@ -1,4 +1,4 @@
-package storm
+package overload
 
 import (
 	"strings"
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"dunestep/decide"
+	"dunestep/internal/balancer"
 )
 
 const usualRate = 180 // of the 12 servers' 400 a second
@@ -27,13 +27,13 @@
 func TestSheddingEndsEpisode(t *testing.T) {
 	for name, c := range map[string]struct {
 		lost   float64
-		change func(*decide.Settings)
+		change func(*balancer.Settings)
 		within time.Duration
 	}{
 		"agents talk":           {within: 4500 * time.Millisecond},
 		"half the messages":     {lost: 0.5, within: 5 * time.Second},
 		"no message gets there": {lost: 1, within: 8 * time.Second},
-		"agents may not talk":   {change: func(s *decide.Settings) { s.Limits.Gossip = false }, within: 8 * time.Second},
+		"agents may not talk":   {change: func(s *balancer.Settings) { s.Limits.Gossip = false }, within: 8 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := newFleetSimulation(4, 12, c.change)
@@ -90,7 +90,7 @@
 					}.encode()
 				})).Draw(t, "data")
 			from := rapid.IntRange(-1, 4).Draw(t, "from")
-			l.carryOut(0, l.controllers[0].Step(l.now, &decide.PeerMessage{From: from, Data: data}))
+			l.carryOut(0, l.controllers[0].Step(l.now, &balancer.PeerMessage{From: from, Data: data}))
 			l.run(50 * time.Millisecond)
 		}
 		if l.rejected > 0 {
@@ -105,21 +105,21 @@
 	l := newFleetSimulation(1, 12, nil)
 	l.rate = 60
 	g := l.controllers[0]
-	tell := func(state decide.ServerState, started time.Duration) {
-		var news []decide.Server
+	tell := func(state balancer.ServerState, started time.Duration) {
+		var news []balancer.Server
 		for _, s := range g.serversByID[:6] {
 			e := s.entry
 			e.State, e.StartedAt = state, started
 			news = append(news, e)
 		}
-		l.carryOut(0, g.Step(l.now, &decide.ServerListUpdate{Kind: decide.UpdateIncremental, Servers: news}))
+		l.carryOut(0, g.Step(l.now, &balancer.ServerListUpdate{Kind: balancer.UpdateIncremental, Servers: news}))
 	}
 	l.run(time.Second)
 	require.InDelta(t, 1, g.serverCapacityFraction(), 0.01)
-	tell(decide.Draining, 0)
+	tell(balancer.Draining, 0)
 	require.InDelta(t, 0.5, g.serverCapacityFraction(), 0.01)
 	cold := g.settings.Rules
-	tell(decide.Ready, l.now)
+	tell(balancer.Ready, l.now)
 	require.InDelta(t, 0.5+0.5*cold.SlowStartCapacity, g.serverCapacityFraction(), 0.01)
 	l.run(cold.SlowStartDuration + time.Second)
 	require.InDelta(t, 1, g.serverCapacityFraction(), 0.01)
--- a/storm/throttle.go
+++ b/internal/overload/throttle.go
@@ -1,9 +1,9 @@
-package storm
+package overload
 
 import (
 	"time"
 
-	"dunestep/decide"
+	"dunestep/internal/balancer"
 )
 
 // Throttle of an agent of a large fleet. What such an agent has in flight says nothing of how busy the
@@ -37,11 +37,11 @@
 
 // ended takes the end of an attempt in. That no connection came up, or one was lost, says nothing of want
 // of room.
-func (t *adaptiveThrottle) recordAttemptEnd(now time.Duration, o decide.Outcome) {
+func (t *adaptiveThrottle) recordAttemptEnd(now time.Duration, o balancer.Outcome) {
 	switch o {
-	case decide.Served:
+	case balancer.Served:
 		t.answered.add(now, 1)
-	case decide.TimedOut, decide.Rejected:
+	case balancer.TimedOut, balancer.Rejected:
 		t.wasted.add(now, 1)
 	}
 }
@@ -62,7 +62,7 @@
 
 // throttled tells whether a request finds no room at an agent of a large fleet: the first things first, as
 // in a purge. In a purge and in an outage others decide.
-func (g *Controller) isThrottled(e *decide.Request, tier int) bool {
+func (g *Controller) isThrottled(e *balancer.Request, tier int) bool {
 	t := &g.throttle
 	t.arrivals.add(g.now, 1)
 	if g.config.Disabled || g.config.WastedFraction >= 1 || g.isSheddingNow() || g.outage.phase != phaseNormal || !g.balancer.Sparse() {
--- a/internal/protocol/golden_discovery_test.go
+++ b/internal/protocol/golden_discovery_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/decide"
+	"dunestep/internal/balancer"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
@@ -53,8 +53,8 @@
 		g.add(at+"zone", s.Zone)
 		g.add(at+"kind", s.MachineKind)
 		g.add(at+"cell", s.Cell)
-		g.add(at+"state", map[decide.ServerState]string{
-			decide.Ready: "active", decide.Draining: "leaving", decide.Gone: "left",
+		g.add(at+"state", map[balancer.ServerState]string{
+			balancer.Ready: "active", balancer.Draining: "leaving", balancer.Gone: "left",
 		}[s.State])
 		g.add(at+"weight", s.Weight)
 		g.add(at+"started", s.StartedAt)
@@ -73,11 +73,11 @@
 	for i, c := range s.Classes {
 		at := fmt.Sprintf("categories[%d].", i)
 		g.add(at+"name", c.Name)
-		g.add(at+"effect", map[decide.Idempotency]string{
-			decide.Idempotent: "retryable", decide.IdempotentWithKey: "dedup", decide.NotIdempotent: "once",
+		g.add(at+"effect", map[balancer.Idempotency]string{
+			balancer.Idempotent: "retryable", balancer.IdempotentWithKey: "dedup", balancer.NotIdempotent: "once",
 		}[c.Idempotency])
-		g.add(at+"keyScope", map[decide.DedupScope]string{
-			decide.DedupScopeAll: "all", decide.DedupScopeZone: "zone", decide.DedupScopeCell: "cell",
+		g.add(at+"keyScope", map[balancer.DedupScope]string{
+			balancer.DedupScopeAll: "all", balancer.DedupScopeZone: "zone", balancer.DedupScopeCell: "cell",
 		}[c.DedupScope])
 		g.add(at+"aim", c.LatencyObjective)
 		g.add(at+"deadline", c.Deadline)
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/internal/figures"
+	"dunestep/internal/metrics"
 )
 
 // The paths, methods and queries of the operators' door as of commit 3bec2d9. Each is the form of one call.
@@ -70,9 +70,9 @@
 
 // What is written in answers and calls at the operators' door, byte for byte as of commit 3bec2d9.
 func TestGoldenOpsBodies(t *testing.T) {
-	stats, err := EncodeOpsStats(figures.Reading{
+	stats, err := EncodeOpsStats(metrics.Reading{
 		Tries: 1, Active: 2, Listed: 3, Ejected: 4,
-		Responses: map[string]figures.Counts{"consult": {OK: 5, Shed: 6, Errors: 7}},
+		Responses: map[string]metrics.Counts{"consult": {OK: 5, Shed: 6, Errors: 7}},
 	})
 	require.NoError(t, err)
 	want, err := os.ReadFile("testdata/golden/ops-stats.json")
--- a/internal/protocol/graphql.go
+++ b/internal/protocol/graphql.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"dunestep/decide"
+	"dunestep/internal/balancer"
 	"dunestep/internal/graphql"
 )
 
@@ -17,7 +17,7 @@
 type GraphQL struct {
 	Path    string // of requests
 	Classer *graphql.Classer
-	Classes []decide.Class // of the settings, for their deadlines
+	Classes []balancer.Class // of the settings, for their deadlines
 	// Where an operation's key, tenant, deadline (in milliseconds) and correlation id are.
 	Key, Tenant, Deadline, ID Source
 	DefaultTenant             string
--- a/internal/protocol/operation.go
+++ b/internal/protocol/operation.go
@@ -11,8 +11,8 @@
 	"strings"
 	"time"
 
-	"dunestep/decide"
-	"dunestep/internal/flow"
+	"dunestep/internal/balancer"
+	"dunestep/internal/bodystream"
 )
 
 // MaxBufferedBody is up to how many bytes the body of a request is held whole; MaxUpload is how long it may be at the
@@ -44,7 +44,7 @@
 	// Length is the whole body's where that is longer than Body; below zero: not told; zero: Body is all of it.
 	Length int64
 	// Rest is what follows Body, as it comes; nil: Body is all. BodyComplete is closed when it has come to its end.
-	Rest         *flow.Flow
+	Rest         *bodystream.Flow
 	BodyComplete <-chan struct{}
 
 	// IsGraphQL has a booking server's answer with a status of 4xx passed on, where it is one in IsGraphQL.
@@ -141,7 +141,7 @@
 	}
 	most := r.ContentLength
 	if most < 0 || most > MaxBufferedBody { // not told, or not held whole
-		most = MaxBufferedBody + flow.Chunk
+		most = MaxBufferedBody + bodystream.Chunk
 	}
 	keep, err := room(most, op.TimeLeft)
 	if err != nil {
@@ -218,14 +218,14 @@
 // Response is the one final answer of an operation.
 type Response struct {
 	Kind        ResponseKind
-	Body        []byte     // a plain line for whoever reads it
-	Flow        *flow.Flow // of a booking server's 200, in place of Body
+	Body        []byte           // a plain line for whoever reads it
+	Flow        *bodystream.Flow // of a booking server's 200, in place of Body
 	ContentType string
-	Status      int           // of a booking server's answer; zero: 200
-	RetryAfter  time.Duration // of a busy reply; zero: no advice
-	OverQuota   bool          // a busy reply for being beyond the tenant's share
-	Quota       decide.Quota  // of the tenant, for a busy reply to tell of; zero: it doesn't
-	Streaming   bool          // the rest of the flow follows as it comes; false: it is whole
+	Status      int            // of a booking server's answer; zero: 200
+	RetryAfter  time.Duration  // of a busy reply; zero: no advice
+	OverQuota   bool           // a busy reply for being beyond the tenant's share
+	Quota       balancer.Quota // of the tenant, for a busy reply to tell of; zero: it doesn't
+	Streaming   bool           // the rest of the flow follows as it comes; false: it is whole
 }
 
 // rejectionStatus tells who is beyond his share from a service that has no room.
--- a/internal/protocol/ops.go
+++ b/internal/protocol/ops.go
@@ -10,7 +10,7 @@
 	"unicode"
 	"unicode/utf8"
 
-	"dunestep/internal/figures"
+	"dunestep/internal/metrics"
 )
 
 // OpsKind names a call of the operators'.
@@ -199,7 +199,7 @@
 }
 
 // EncodeOpsStats writes the figures as JSON.
-func EncodeOpsStats(r figures.Reading) ([]byte, error) {
+func EncodeOpsStats(r metrics.Reading) ([]byte, error) {
 	out := struct {
 		Responses   map[string]classCounts `json:"responses"`
 		Tries       int64                  `json:"tries"`
--- a/internal/protocol/poolconfig.go
+++ b/internal/protocol/poolconfig.go
@@ -12,7 +12,7 @@
 	"strconv"
 	"time"
 
-	"dunestep/decide"
+	"dunestep/internal/balancer"
 )
 
 // EndpointList is discovery's list of booking servers, or the changes since the list before it.
@@ -24,7 +24,7 @@
 
 // Endpoint is an entry of the list: what the module sees, and where the server listens.
 type Endpoint struct {
-	decide.Server
+	balancer.Server
 	Addr netip.AddrPort
 }
 
@@ -54,8 +54,8 @@
 	return p, nil
 }
 
-var states = map[string]decide.ServerState{
-	"active": decide.Ready, "leaving": decide.Draining, "left": decide.Gone,
+var states = map[string]balancer.ServerState{
+	"active": balancer.Ready, "leaving": balancer.Draining, "left": balancer.Gone,
 }
 
 func decodeEndpoint(raw []byte) (Endpoint, error) {
@@ -72,14 +72,14 @@
 	if err := json.Unmarshal(raw, &f); err != nil {
 		return Endpoint{}, fmt.Errorf("server: %w", err)
 	}
-	s := Endpoint{Server: decide.Server{ID: f.ID, Zone: f.Zone, MachineKind: f.Kind, Cell: f.Cell, Weight: 1}}
+	s := Endpoint{Server: balancer.Server{ID: f.ID, Zone: f.Zone, MachineKind: f.Kind, Cell: f.Cell, Weight: 1}}
 	var known bool
 	if s.State, known = states[f.State]; !known || f.ID == "" {
 		return Endpoint{}, fmt.Errorf("server %q: no id, or unknown state %q", f.ID, f.State)
 	}
 	// Only one that is sent to needs an address.
 	addr, err := netip.ParseAddrPort(f.Addr)
-	if s.State == decide.Ready && (err != nil || addr.Port() == 0) {
+	if s.State == balancer.Ready && (err != nil || addr.Port() == 0) {
 		return Endpoint{}, fmt.Errorf("server %q: bad address %q", f.ID, f.Addr)
 	}
 	if f.Weight != nil {
--- a/internal/protocol/routestep.go
+++ b/internal/protocol/routestep.go
@@ -9,8 +9,8 @@
 	"strings"
 	"time"
 
-	"dunestep/decide"
-	"dunestep/internal/flow"
+	"dunestep/internal/balancer"
+	"dunestep/internal/bodystream"
 	"dunestep/internal/graphql"
 )
 
@@ -46,11 +46,11 @@
 
 // UpstreamResponse is a booking server's answer to a route step.
 type UpstreamResponse struct {
-	Outcome     decide.Outcome
+	Outcome     balancer.Outcome
 	ContentType string
-	Status      int        // zero: 200
-	Close       bool       // the connection carries no further route step
-	Flow        *flow.Flow // the body of an answer that is served
+	Status      int              // zero: 200
+	Close       bool             // the connection carries no further route step
+	Flow        *bodystream.Flow // the body of an answer that is served
 }
 
 // UnreadBody is a body that is still to be read; without a Reader there is none. It is not to be closed: that
@@ -82,16 +82,16 @@
 	if resp.ContentLength > longest {
 		return UpstreamResponse{}, UnreadBody{}, ErrResponseTooLong
 	}
-	out := UpstreamResponse{Outcome: decide.ServerError, Close: resp.Close}
+	out := UpstreamResponse{Outcome: balancer.ServerError, Close: resp.Close}
 	contentType := resp.Header.Get("Content-Type")
 	switch {
 	case resp.StatusCode == http.StatusOK, graphQL && refusesGraphQL(resp.StatusCode, contentType):
-		out.Outcome, out.ContentType, out.Status = decide.Served, contentType, resp.StatusCode
+		out.Outcome, out.ContentType, out.Status = balancer.Served, contentType, resp.StatusCode
 		return out, UnreadBody{resp.Body, resp.ContentLength}, nil
 	case resp.StatusCode == http.StatusServiceUnavailable, resp.StatusCode == http.StatusGatewayTimeout:
 		// Without the mark it may have run: only the mark proves otherwise.
 		if resp.Header.Get("X-Unprocessed") == "1" {
-			out.Outcome = decide.Rejected
+			out.Outcome = balancer.Rejected
 		}
 	}
 	return out, UnreadBody{}, skip(resp.Body)
--- a/internal/protocol/settings.go
+++ b/internal/protocol/settings.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"time"
 
-	"dunestep/decide"
+	"dunestep/internal/balancer"
 )
 
 type settingsForm struct {
@@ -74,7 +74,7 @@
 
 // Settings is what an agent is told of its deployment: what the module goes by, and what sockets go by.
 type Settings struct {
-	decide.Settings
+	balancer.Settings
 	ConnIdleTimeout time.Duration // an idle connection is closed by the other machine after this
 	ConnectTimeout  time.Duration // a connection that is not up by then has failed
 }
@@ -86,23 +86,23 @@
 	if err := json.Unmarshal(raw, &e); err != nil {
 		return Settings{}, fmt.Errorf("settings: %w", err)
 	}
-	s := decide.Settings{
+	s := balancer.Settings{
 		Self: e.Ordinal, Balancers: e.Balancers, Zone: e.Zone, OverQuotaWeight: e.OverShareWorth,
-		Limits: decide.Limits{
+		Limits: balancer.Limits{
 			MaxAttempts: e.Bounds.SendCap, Hedging: e.Bounds.SecondCopies,
 			Cancel: e.Bounds.Cancel, Probes: e.Bounds.Probes, Gossip: e.Bounds.MayTell,
 			RetryAfter: e.Bounds.RetryAfter, MaxRetryAfter: microseconds(e.Bounds.MaxRetryAfter),
 		},
-		Rules: decide.Rules{
+		Rules: balancer.Rules{
 			DrainGrace: microseconds(e.Rules.StopSendingWithin), MaxPollInterval: microseconds(e.Rules.AskWithin),
 			SlowStartCapacity: e.Rules.StartCapacity, SlowStartDuration: microseconds(e.Rules.Cold), OverloadMultiple: e.Rules.FallMultiple,
 			OverloadWindow: microseconds(e.Rules.Fall), GoneUsable: e.Rules.OnlyDrainingBinds,
 		},
-		Costs: decide.Costs{
+		Costs: balancer.Costs{
 			CrossZone: e.Prices.CrossZone, WastedWork: e.Prices.Waste, Probe: e.Prices.Probe,
 			PeerMessage: e.Prices.Peer, LateFailure: e.Prices.LateFail,
 		},
-		ScoreWeights: decide.ScoreWeights{
+		ScoreWeights: balancer.ScoreWeights{
 			Total: e.Goal.Whole, WorstWindow: e.Goal.WorstWindow,
 			WorstClass: e.Goal.WorstClass, WorstTenant: e.Goal.WorstTenant,
 			TailLatency: e.Goal.SlowEnd, TailMissRatio: e.Goal.TailMiss,
@@ -110,30 +110,30 @@
 		DiscoveryOnDemand: e.Discovery == "on_request", ClientsMarkRetries: e.ClientHabits.MarksRetry, Tick: microseconds(e.Resolution),
 	}
 	for _, c := range e.Categories {
-		k := decide.Class{
+		k := balancer.Class{
 			Name: c.Name, LatencyObjective: microseconds(c.Aim), ObjectivePerWork: c.AimStretch, Deadline: microseconds(c.Deadline),
 			LateWeight: c.LateWorth, DedupWindow: microseconds(c.MemorySpan), PriorityWeight: c.Value, Streaming: c.Stream,
 		}
 		switch c.Effect {
 		case "retryable":
-			k.Idempotency = decide.Idempotent
+			k.Idempotency = balancer.Idempotent
 		case "dedup":
-			k.Idempotency = decide.IdempotentWithKey
+			k.Idempotency = balancer.IdempotentWithKey
 		default: // what is not known to be repeatable is not repeated
-			k.Idempotency = decide.NotIdempotent
+			k.Idempotency = balancer.NotIdempotent
 		}
 		switch c.KeyScope {
 		case "all":
-			k.DedupScope = decide.DedupScopeAll
+			k.DedupScope = balancer.DedupScopeAll
 		case "zone":
-			k.DedupScope = decide.DedupScopeZone
+			k.DedupScope = balancer.DedupScopeZone
 		default:
-			k.DedupScope = decide.DedupScopeCell
+			k.DedupScope = balancer.DedupScopeCell
 		}
 		s.Classes = append(s.Classes, k)
 	}
 	for _, t := range e.Customers {
-		s.Tenants = append(s.Tenants, decide.Tenant{Name: t.Name, QuotaPerSecond: t.QuotaPerS, Share: t.Share})
+		s.Tenants = append(s.Tenants, balancer.Tenant{Name: t.Name, QuotaPerSecond: t.QuotaPerS, Share: t.Share})
 	}
 	return Settings{
 		Settings: s, ConnIdleTimeout: microseconds(e.Bounds.ConnIdle),
--- a/internal/protocol/settings_test.go
+++ b/internal/protocol/settings_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"dunestep/decide"
+	"dunestep/internal/balancer"
 )
 
 func TestSettings(t *testing.T) {
@@ -16,10 +16,10 @@
 		t.Fatal(err)
 	}
 	a := s.Classes[0]
-	if a.Idempotency != decide.IdempotentWithKey || a.DedupScope != decide.DedupScopeZone || a.DedupWindow != 3*time.Second || a.PriorityWeight != 10 {
+	if a.Idempotency != balancer.IdempotentWithKey || a.DedupScope != balancer.DedupScopeZone || a.DedupWindow != 3*time.Second || a.PriorityWeight != 10 {
 		t.Errorf("%+v", a)
 	}
-	if s.Classes[1].Idempotency != decide.NotIdempotent {
+	if s.Classes[1].Idempotency != balancer.NotIdempotent {
 		t.Error("an unknown effect must not be repeated")
 	}
 	if !s.DiscoveryOnDemand || !s.Rules.GoneUsable || s.Rules.SlowStartDuration != 8800*time.Millisecond || s.Tick != 5*time.Millisecond {
--- a/internal/rehearsal/graphql_test.go
+++ b/internal/rehearsal/graphql_test.go
@@ -5,7 +5,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/decide"
+	"dunestep/internal/balancer"
 	"dunestep/internal/rehearsal/judge"
 	"dunestep/internal/rehearsal/record"
 	"dunestep/internal/rehearsal/scenario"
@@ -63,7 +63,7 @@
 			for _, c := range set.Classes {
 				x.unsafe = append(x.unsafe, c.Effect == scenario.Unsafe)
 			}
-			require.NoError(t, world.Play(t.Context(), set, seed+1, x, world.Options{Figures: decide.DefaultTuning()}))
+			require.NoError(t, world.Play(t.Context(), set, seed+1, x, world.Options{Figures: balancer.DefaultTuning()}))
 			for chain, n := range x.unsafely {
 				require.LessOrEqual(t, n, 1, "request %d on day %d", chain, seed+1)
 				executed += n
--- a/internal/rehearsal/lab/deployment.go
+++ b/internal/rehearsal/lab/deployment.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"dunestep/decide"
+	"dunestep/internal/balancer"
 	"dunestep/internal/protocol"
 	"dunestep/internal/standin"
 	"dunestep/internal/standin/program"
@@ -18,18 +18,18 @@
 func Deployment() *protocol.Settings {
 	return &protocol.Settings{
 		ConnIdleTimeout: 15 * time.Second, ConnectTimeout: time.Second,
-		Settings: decide.Settings{
+		Settings: balancer.Settings{
 			Zone: "a", Tick: 5 * time.Millisecond, ClientsMarkRetries: true,
-			Classes: []decide.Class{
-				{Name: "consult", LatencyObjective: time.Second, Deadline: 5 * time.Second, PriorityWeight: 1, Idempotency: decide.Idempotent},
-				{Name: "rezervare", LatencyObjective: time.Second, Deadline: 5 * time.Second, PriorityWeight: 2, Idempotency: decide.NotIdempotent},
+			Classes: []balancer.Class{
+				{Name: "consult", LatencyObjective: time.Second, Deadline: 5 * time.Second, PriorityWeight: 1, Idempotency: balancer.Idempotent},
+				{Name: "rezervare", LatencyObjective: time.Second, Deadline: 5 * time.Second, PriorityWeight: 2, Idempotency: balancer.NotIdempotent},
 			},
-			Tenants: []decide.Tenant{{Name: "acme", QuotaPerSecond: 1000, Share: 1}},
-			Limits: decide.Limits{
+			Tenants: []balancer.Tenant{{Name: "acme", QuotaPerSecond: 1000, Share: 1}},
+			Limits: balancer.Limits{
 				MaxAttempts: 3, Hedging: true, Cancel: true, Gossip: true, RetryAfter: true,
 				MaxRetryAfter: 2 * time.Second,
 			},
-			Rules: decide.Rules{
+			Rules: balancer.Rules{
 				DrainGrace: 3 * time.Second, MaxPollInterval: 10 * time.Second, SlowStartCapacity: 0.31,
 				SlowStartDuration: 9 * time.Second, OverloadMultiple: 3, OverloadWindow: 3 * time.Second,
 			},
--- a/internal/rehearsal/late/late.go
+++ b/internal/rehearsal/late/late.go
@@ -14,7 +14,7 @@
 	"sort"
 	"time"
 
-	"dunestep/decide"
+	"dunestep/internal/balancer"
 )
 
 // Server is a booking server's true state.
@@ -77,20 +77,20 @@
 
 // Policy is one agent that goes by what it sees late. It implements the routing core's Module.
 type Policy struct {
-	set      decide.Settings
+	set      balancer.Settings
 	sight    func() *Sight
 	work     time.Duration // a request's, on the mean
 	rng      *rand.Rand
 	ready    map[string]bool
 	out      map[string]int // this agent's requests at each server
 	requests map[uint32]*request
-	classes  map[string]decide.Class
-	acts     []decide.Action
+	classes  map[string]balancer.Class
+	acts     []balancer.Action
 	asked    bool
 }
 
 type request struct {
-	class decide.Class
+	class balancer.Class
 	until time.Duration
 	tried []string
 	over  bool
@@ -98,11 +98,11 @@
 
 // New returns a Policy that sees by sight, which returns how the servers stood some time ago. Work is the
 // mean work of a request on a standard core.
-func New(set decide.Settings, work time.Duration, seed uint64, sight func() *Sight) *Policy {
+func New(set balancer.Settings, work time.Duration, seed uint64, sight func() *Sight) *Policy {
 	p := &Policy{
 		set: set, sight: sight, work: work, rng: rand.New(rand.NewPCG(seed, 0x6c617465)),
 		ready: map[string]bool{}, out: map[string]int{}, requests: map[uint32]*request{},
-		classes: map[string]decide.Class{},
+		classes: map[string]balancer.Class{},
 	}
 	for _, c := range set.Classes {
 		p.classes[c.Name] = c
@@ -111,46 +111,46 @@
 }
 
 // Step takes an event in and returns the actions to take, valid until the next Step.
-func (p *Policy) Step(now time.Duration, ev decide.Event) []decide.Action {
+func (p *Policy) Step(now time.Duration, ev balancer.Event) []balancer.Action {
 	p.acts = p.acts[:0]
 	switch e := ev.(type) {
-	case *decide.Request:
+	case *balancer.Request:
 		r := &request{class: p.classes[e.Class], until: now + e.ClientTimeout}
 		p.requests[e.ID] = r
 		p.send(now, e.ID, r)
-	case *decide.AttemptDone:
+	case *balancer.AttemptDone:
 		p.ended(now, e)
-	case *decide.ClientGone:
+	case *balancer.ClientGone:
 		if r := p.requests[e.ID]; r != nil {
 			r.over = true
 			for i := range r.tried {
-				p.acts = append(p.acts, decide.Action{Kind: decide.Cancel, ID: e.ID, Attempt: i})
+				p.acts = append(p.acts, balancer.Action{Kind: balancer.Cancel, ID: e.ID, Attempt: i})
 			}
 			delete(p.requests, e.ID)
 		}
-	case *decide.ServerListUpdate:
+	case *balancer.ServerListUpdate:
 		p.listed(e)
-	case *decide.TimerDue:
-		p.acts = append(p.acts, decide.Action{Kind: decide.Subscribe})
+	case *balancer.TimerDue:
+		p.acts = append(p.acts, balancer.Action{Kind: balancer.Subscribe})
 	}
 	return p.acts
 }
 
-func (p *Policy) listed(e *decide.ServerListUpdate) {
+func (p *Policy) listed(e *balancer.ServerListUpdate) {
 	if !p.asked {
 		p.asked = true
-		p.acts = append(p.acts, decide.Action{Kind: decide.Subscribe})
+		p.acts = append(p.acts, balancer.Action{Kind: balancer.Subscribe})
 	}
 	switch e.Kind {
-	case decide.UpdateFailed:
+	case balancer.UpdateFailed:
 		wait := time.Duration(float64(askAgain) * (1 + 2*p.rng.Float64()))
-		p.acts = append(p.acts, decide.Action{Kind: decide.SetTimer, After: wait, Tag: tagAsk})
+		p.acts = append(p.acts, balancer.Action{Kind: balancer.SetTimer, After: wait, Tag: tagAsk})
 		return
-	case decide.UpdateFull, decide.UpdateCached:
+	case balancer.UpdateFull, balancer.UpdateCached:
 		clear(p.ready)
 	}
 	for i := range e.Servers {
-		p.ready[e.Servers[i].ID] = e.Servers[i].State == decide.Ready
+		p.ready[e.Servers[i].ID] = e.Servers[i].State == balancer.Ready
 	}
 }
 
@@ -160,24 +160,24 @@
 		best = p.choose(r)
 	}
 	if best == nil {
-		kind := decide.Reject
-		if len(r.tried) > 0 && r.class.Idempotency == decide.Idempotent {
-			kind = decide.Fail // an attempt of it may have run
+		kind := balancer.Reject
+		if len(r.tried) > 0 && r.class.Idempotency == balancer.Idempotent {
+			kind = balancer.Fail // an attempt of it may have run
 		}
 		p.finish(id, kind)
 		return
 	}
 	r.tried = append(r.tried, best.ID)
 	p.out[best.ID]++
-	p.acts = append(p.acts, decide.Action{
-		Kind: decide.Send, ID: id, Attempt: len(r.tried) - 1, Server: best.ID,
+	p.acts = append(p.acts, balancer.Action{
+		Kind: balancer.Send, ID: id, Attempt: len(r.tried) - 1, Server: best.ID,
 		After: r.until - now,
 	})
 }
 
-func (p *Policy) finish(id uint32, kind decide.ActionKind) {
+func (p *Policy) finish(id uint32, kind balancer.ActionKind) {
 	delete(p.requests, id)
-	p.acts = append(p.acts, decide.Action{Kind: kind, ID: id})
+	p.acts = append(p.acts, balancer.Action{Kind: kind, ID: id})
 }
 
 // choose draws a server where the request would likely be done in time; nil: none was found. Few full ones
@@ -210,21 +210,21 @@
 	return false
 }
 
-func (p *Policy) ended(now time.Duration, e *decide.AttemptDone) {
+func (p *Policy) ended(now time.Duration, e *balancer.AttemptDone) {
 	if p.out[e.Server]--; p.out[e.Server] <= 0 {
 		delete(p.out, e.Server)
 	}
 	r := p.requests[e.ID]
 	switch {
 	case r == nil:
-	case e.Outcome == decide.Served || e.RequestDone:
+	case e.Outcome == balancer.Served || e.RequestDone:
 		delete(p.requests, e.ID)
-	case !e.Outcome.Unprocessed() && r.class.Idempotency != decide.Idempotent:
-		p.finish(e.ID, decide.Fail)
+	case !e.Outcome.Unprocessed() && r.class.Idempotency != balancer.Idempotent:
+		p.finish(e.ID, balancer.Fail)
 	case len(r.tried) >= min(p.set.Limits.MaxAttempts, mostTries) || now >= r.until:
-		kind := decide.Fail
-		if e.Outcome.Unprocessed() && r.class.Idempotency != decide.Idempotent {
-			kind = decide.Reject
+		kind := balancer.Fail
+		if e.Outcome.Unprocessed() && r.class.Idempotency != balancer.Idempotent {
+			kind = balancer.Reject
 		}
 		p.finish(e.ID, kind)
 	default:
--- a/internal/rehearsal/live/bench.go
+++ b/internal/rehearsal/live/bench.go
@@ -16,7 +16,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"dunestep/decide"
+	"dunestep/internal/balancer"
 	"dunestep/internal/protocol"
 	"dunestep/internal/standin"
 	"dunestep/internal/standin/program"
@@ -220,17 +220,17 @@
 	}
 	set := protocol.Settings{
 		ConnIdleTimeout: 15 * time.Second, ConnectTimeout: 250 * time.Millisecond,
-		Settings: decide.Settings{
+		Settings: balancer.Settings{
 			Balancers: 1, Zone: "a", Tick: 5 * time.Millisecond,
-			Classes: []decide.Class{{
+			Classes: []balancer.Class{{
 				Name: "any", LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1,
-				Idempotency: decide.Idempotent,
+				Idempotency: balancer.Idempotent,
 			}},
-			Limits: decide.Limits{
+			Limits: balancer.Limits{
 				MaxAttempts: 3, Hedging: true, Cancel: true, RetryAfter: true,
 				MaxRetryAfter: 2 * time.Second,
 			},
-			Rules: decide.Rules{
+			Rules: balancer.Rules{
 				DrainGrace: 3 * time.Second, MaxPollInterval: 10 * time.Second, SlowStartCapacity: 0.31,
 				SlowStartDuration: 9 * time.Second, OverloadMultiple: 3, OverloadWindow: 3 * time.Second,
 			},
--- a/internal/rehearsal/rehearsal.go
+++ b/internal/rehearsal/rehearsal.go
@@ -7,13 +7,13 @@
 	"fmt"
 	"time"
 
-	"dunestep/decide"
+	"dunestep/internal/balancer"
+	"dunestep/internal/overload"
 	"dunestep/internal/rehearsal/judge"
 	"dunestep/internal/rehearsal/report"
 	"dunestep/internal/rehearsal/scenario"
 	"dunestep/internal/rehearsal/timeline"
 	"dunestep/internal/rehearsal/world"
-	"dunestep/storm"
 )
 
 // never is a figure so large that what it limits is never limited.
@@ -22,43 +22,43 @@
 // Protections are the agent's protections that a rehearsal can take out, each by its figures.
 var Protections = []struct {
 	Name, Text string
-	takeOut    func(*decide.Tuning, *storm.Config)
+	takeOut    func(*balancer.Tuning, *overload.Config)
 }{
 	{
 		"damping", "flapping servers are left alone for a while",
-		func(f *decide.Tuning, _ *storm.Config) { f.SuppressLimit = never },
+		func(f *balancer.Tuning, _ *overload.Config) { f.SuppressLimit = never },
 	},
 	{
 		"cold-budget", "a starting server gets no more than its part",
-		func(f *decide.Tuning, _ *storm.Config) { f.SlowStartMargin, f.SlowStartMax = never, never },
+		func(f *balancer.Tuning, _ *overload.Config) { f.SlowStartMargin, f.SlowStartMax = never, never },
 	},
 	{
 		"spill", "an owner over the bounded load passes its keys on",
-		func(f *decide.Tuning, _ *storm.Config) { f.BoundedLoadFactor = never },
+		func(f *balancer.Tuning, _ *overload.Config) { f.BoundedLoadFactor = never },
 	},
 	{
 		"retry-budget", "an agent's further sends are a part of its requests",
-		func(f *decide.Tuning, _ *storm.Config) {
+		func(f *balancer.Tuning, _ *overload.Config) {
 			f.RetryRatio, f.RetryBurst, f.UnprocessedRetryRatio, f.UnprocessedRetryBurst = never, never, never, never
 		},
 	},
 	{
 		"quota", "traffic beyond a tenant's share waits in shorter queues only",
-		func(f *decide.Tuning, _ *storm.Config) { f.OverQuotaQueueFraction = 1 },
+		func(f *balancer.Tuning, _ *overload.Config) { f.OverQuotaQueueFraction = 1 },
 	},
 	{
 		"throttle", "an agent of a large fleet lets in little more than what is answered",
-		func(_ *decide.Tuning, f *storm.Config) { f.WastedFraction = never },
+		func(_ *balancer.Tuning, f *overload.Config) { f.WastedFraction = never },
 	},
 	{
 		"storm", "slow spells are purged, and storms and returning servers met with fewer sends",
-		func(_ *decide.Tuning, f *storm.Config) { f.Disabled = true },
+		func(_ *balancer.Tuning, f *overload.Config) { f.Disabled = true },
 	},
 }
 
 // figuresWithout are the figures of the module and of the gate before it, with protections taken out.
-func figuresWithout(names []string) (decide.Tuning, storm.Config, error) {
-	f, gate := decide.DefaultTuning(), storm.DefaultConfig()
+func figuresWithout(names []string) (balancer.Tuning, overload.Config, error) {
+	f, gate := balancer.DefaultTuning(), overload.DefaultConfig()
 	for _, name := range names {
 		known := false
 		for _, p := range Protections {
--- a/internal/rehearsal/scenario/check.go
+++ b/internal/rehearsal/scenario/check.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"dunestep/internal/strict"
+	"dunestep/internal/stricttoml"
 )
 
 // The most that a day may hold. Guards against a day that no machine plays to its end.
@@ -19,7 +19,7 @@
 )
 
 // check looks for figures that are fine one by one and make no sense together.
-func (s *Scenario) check(d *strict.Document) {
+func (s *Scenario) check(d *stricttoml.Document) {
 	if !d.Sound("") {
 		return
 	}
@@ -33,7 +33,7 @@
 	}
 }
 
-func checkSize(d *strict.Document, s *Scenario) {
+func checkSize(d *stricttoml.Document, s *Scenario) {
 	if s.Day.From >= s.Day.Length {
 		d.Complain("day.from_s", "must be before the day ends")
 	}
@@ -68,7 +68,7 @@
 	return perS * s.Day.Length.Seconds() * surge
 }
 
-func checkLoad(d *strict.Document, s *Scenario) {
+func checkLoad(d *stricttoml.Document, s *Scenario) {
 	if d.Has("load", "per_s") == d.Has("load", "of_capacity") {
 		d.Complain("load", "needs either per_s or of_capacity")
 	} else if s.Load.PerS.Low <= 0 && s.Load.OfCapacity.Low <= 0 {
@@ -87,7 +87,7 @@
 
 const shareSlack = 0.001 // for shares that are rounded
 
-func checkShares(d *strict.Document, s *Scenario) {
+func checkShares(d *stricttoml.Document, s *Scenario) {
 	sums := map[string]float64{}
 	for _, k := range s.Kinds {
 		sums["kind"] += k.Share
@@ -114,7 +114,7 @@
 // fileName is what a scenario's name must be: a hunt names files by it.
 var fileName = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,99}$`)
 
-func checkNames(d *strict.Document, s *Scenario) {
+func checkNames(d *stricttoml.Document, s *Scenario) {
 	if !fileName.MatchString(s.Name) {
 		d.Complain("name", "must be at most 100 small letters, digits and -, _ or ., as a file may be named")
 	}
@@ -134,7 +134,7 @@
 	checkList(d, "network.zones", s.Network.Zones, true)
 }
 
-func checkList(d *strict.Document, path string, names []string, need bool) {
+func checkList(d *stricttoml.Document, path string, names []string, need bool) {
 	if need && len(names) == 0 {
 		d.Complain(path, "there must be one at least")
 	}
@@ -150,7 +150,7 @@
 	}
 }
 
-func checkClasses(d *strict.Document, s *Scenario) {
+func checkClasses(d *stricttoml.Document, s *Scenario) {
 	has := func(e Effect) bool {
 		return slices.ContainsFunc(s.Classes, func(c Class) bool { return c.Effect == e })
 	}
@@ -174,7 +174,7 @@
 	}
 }
 
-func checkTrouble(d *strict.Document, s *Scenario, path string, t *Trouble) {
+func checkTrouble(d *stricttoml.Document, s *Scenario, path string, t *Trouble) {
 	fields, known := troubleKinds[t.Kind]
 	if !known {
 		var all []string
@@ -227,7 +227,7 @@
 }
 
 // checkWindow looks for tenants that are not there, and for a window that is over before all have left.
-func checkWindow(d *strict.Document, s *Scenario, path string, t *Trouble) {
+func checkWindow(d *stricttoml.Document, s *Scenario, path string, t *Trouble) {
 	for i, name := range t.Tenants {
 		known := slices.ContainsFunc(s.Tenants, func(t Tenant) bool { return t.Name == name })
 		if !known && name != "-" && name != "*" {
@@ -243,7 +243,7 @@
 }
 
 // checkFault looks for what makes no sense in a fault between agents or of their processes.
-func checkFault(d *strict.Document, path string, t *Trouble) {
+func checkFault(d *stricttoml.Document, path string, t *Trouble) {
 	switch {
 	case t.Kind == AgentsPaused && !d.Has(path, "on_s") && t.For.High > LongestPause:
 		d.Complain(path+".for_s", "an agent is paused for %v at the most", LongestPause)
@@ -256,7 +256,7 @@
 	}
 }
 
-func checkTroubleKeys(d *strict.Document, path string, kind TroubleKind, fields troubleFields) {
+func checkTroubleKeys(d *stricttoml.Document, path string, kind TroubleKind, fields troubleFields) {
 	allowed := slices.Concat([]string{"kind", "at_s", "for_s"}, fields.need, fields.oneOf, fields.may)
 	for _, key := range fields.need {
 		if !d.Has(path, key) {
--- a/internal/rehearsal/scenario/load.go
+++ b/internal/rehearsal/scenario/load.go
@@ -1,20 +1,20 @@
 package scenario
 
-import "dunestep/internal/strict"
+import "dunestep/internal/stricttoml"
 
-// Load reads a scenario's file. The error is strict.Problems where the file could be read.
+// Load reads a scenario's file. The error is stricttoml.Problems where the file could be read.
 func Load(name string) (*Scenario, error) {
 	s := &Scenario{}
-	if err := strict.ReadFile(name, s, s.check); err != nil {
+	if err := stricttoml.ReadFile(name, s, s.check); err != nil {
 		return nil, err
 	}
 	return s, nil
 }
 
-// Parse reads a scenario. The name is for the errors, which are strict.Problems.
+// Parse reads a scenario. The name is for the errors, which are stricttoml.Problems.
 func Parse(name string, data []byte) (*Scenario, error) {
 	s := &Scenario{}
-	if err := strict.Read(name, data, s, s.check); err != nil {
+	if err := stricttoml.Read(name, data, s, s.check); err != nil {
 		return nil, err
 	}
 	return s, nil
@@ -22,4 +22,4 @@
 
 // Encode writes a scenario as a file that Parse reads back into the same value. What is at its default is
 // left out.
-func Encode(s *Scenario) ([]byte, error) { return strict.Write(s) }
+func Encode(s *Scenario) ([]byte, error) { return stricttoml.Write(s) }
--- a/internal/rehearsal/scenario/load_test.go
+++ b/internal/rehearsal/scenario/load_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/internal/strict"
+	"dunestep/internal/stricttoml"
 )
 
 const small = `schema = 1
@@ -84,7 +84,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := Parse("day.toml", []byte(test.text))
-			var problems strict.Problems
+			var problems stricttoml.Problems
 			require.True(t, errors.As(err, &problems), "%v", err)
 			require.Contains(t, err.Error(), test.want)
 		})
@@ -157,7 +157,7 @@
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
 		s, err := Parse("fuzz", text)
-		var problems strict.Problems
+		var problems stricttoml.Problems
 		if err != nil {
 			require.True(t, errors.As(err, &problems))
 			require.NotEmpty(t, err.Error())
--- a/internal/rehearsal/world/byhand.go
+++ b/internal/rehearsal/world/byhand.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"dunestep/decide"
+	"dunestep/internal/balancer"
 	"dunestep/internal/rehearsal/scenario"
 	"dunestep/internal/state"
 )
@@ -29,7 +29,7 @@
 			a.out = map[*server]bool{}
 		}
 		a.out[s] = true
-		l.writes([]listed{s.entry(decide.Ready)}, false)
+		l.writes([]listed{s.entry(balancer.Ready)}, false)
 		l.heed(news)
 	}
 	a.bans = l.list.Disabled()
--- a/internal/rehearsal/world/calendar.go
+++ b/internal/rehearsal/world/calendar.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"dunestep/internal/agenda"
+	"dunestep/internal/eventqueue"
 )
 
 // A happening is something that takes place at an instant: a piece of work ends, a message arrives, a
@@ -28,16 +28,16 @@
 
 // calendar holds what is still to take place, and the time.
 type calendar struct {
-	now                      time.Duration
-	entered                  uint64
-	agenda.Agenda[happening] // ordered by the rank in the highest bits, then the sequence
+	now                          time.Duration
+	entered                      uint64
+	eventqueue.Agenda[happening] // ordered by the rank in the highest bits, then the sequence
 }
 
 // enter has a happening take place; one in the past takes place now, after all of its rank that are due
 // now.
 func (c *calendar) enter(at time.Duration, r rank, what happening) {
 	c.entered++
-	c.Add(agenda.Item[happening]{At: max(at, c.now), Order: uint64(r)<<(64-rankBits) | c.entered, Do: what})
+	c.Add(eventqueue.Item[happening]{At: max(at, c.now), Order: uint64(r)<<(64-rankBits) | c.entered, Do: what})
 }
 
 // after has a happening take place so much later.
--- a/internal/rehearsal/world/client.go
+++ b/internal/rehearsal/world/client.go
@@ -6,10 +6,10 @@
 	"slices"
 	"time"
 
-	"dunestep/internal/core"
 	"dunestep/internal/protocol"
 	"dunestep/internal/rehearsal/record"
 	"dunestep/internal/rehearsal/scenario"
+	"dunestep/internal/routing"
 )
 
 // agentIdle is how long an agent leaves a client's connection idle; crowdedIdle, where clients hold many.
@@ -198,7 +198,7 @@
 
 // answer sends the router's one final answer to the client, and closes the connection where clients crowd
 // the agent.
-func (l *life) answer(o *core.Output) {
+func (l *life) answer(o *routing.Output) {
 	t := l.operations[o.Request].try
 	if t.told { // the judge is to see it: the client, with one answer, would wait for no other
 		l.w.record.answered(t)
--- a/internal/rehearsal/world/client_test.go
+++ b/internal/rehearsal/world/client_test.go
@@ -11,10 +11,10 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/internal/core"
 	"dunestep/internal/protocol"
 	"dunestep/internal/rehearsal/record"
 	"dunestep/internal/rehearsal/scenario"
+	"dunestep/internal/routing"
 )
 
 // TestTraffic: the first tries come as often as the scenario says, over the day and in its course.
@@ -144,7 +144,7 @@
 // A second answer to one operation is put on record, though the client has its answer: the judge is to find it.
 func TestSecondAnswerIsOnRecord(t *testing.T) {
 	l := newLab(func(*scenario.Scenario, *machine) {})
-	life := &life{w: l.world, agent: l.agents[0], descriptors: core.NewDescriptors(1024)}
+	life := &life{w: l.world, agent: l.agents[0], descriptors: routing.NewDescriptors(1024)}
 	l.agents[0].client = &client{w: l.world, agent: l.agents[0]}
 	q := &request{client: l.agents[0].client}
 	tried := &try{
@@ -152,7 +152,7 @@
 		conn: &frontConn{client: l.agents[0].client, life: life},
 	}
 	life.operations = map[uint32]*operation{7: {try: tried}}
-	answer := core.Output{Kind: core.Respond, Request: 7, Result: protocol.Failed}
+	answer := routing.Output{Kind: routing.Respond, Request: 7, Result: protocol.Failed}
 	life.answer(&answer)
 	l.run(time.Second)
 	require.Len(t, l.diary.of(record.Answered), 1)
--- a/internal/rehearsal/world/conn.go
+++ b/internal/rehearsal/world/conn.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"dunestep/internal/core"
 	"dunestep/internal/rehearsal/record"
 	"dunestep/internal/rehearsal/scenario"
+	"dunestep/internal/routing"
 )
 
 // readsSlowly is how much later a slow reader has a request.
@@ -103,7 +103,7 @@
 func (c *conn) write() {
 	w := c.link.w
 	s := c.step
-	s.phase = core.AwaitingResponse
+	s.phase = routing.AwaitingResponse
 	w.record.sent(s)
 	if c.lost {
 		return
@@ -195,7 +195,7 @@
 		return
 	}
 	if s := c.step; s != nil && !s.ended {
-		s.end(core.BrokenByEndpoint)
+		s.end(routing.BrokenByEndpoint)
 		return
 	}
 	closeAll(c.pool.pool.ConnectionEnded(c))
--- a/internal/rehearsal/world/cutoff_test.go
+++ b/internal/rehearsal/world/cutoff_test.go
@@ -8,10 +8,10 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/decide"
+	"dunestep/internal/balancer"
+	"dunestep/internal/control/policy"
 	"dunestep/internal/rehearsal/record"
 	"dunestep/internal/rehearsal/scenario"
-	"dunestep/policy"
 )
 
 // Of five agents the last is cut off from the fleet, but not from its clients and servers, for 30 s; its lease is over
@@ -85,15 +85,15 @@
 
 // effects are those of the settings as they are, of the new policy, and of its floor.
 func effects(t *testing.T, set *scenario.Scenario, quotas []float64) (before, after, floor *policy.Effect) {
-	own := policy.LocalSettings{MaxFailedRatio: 0.25, Settings: decide.Settings{Limits: decide.Limits{
+	own := policy.LocalSettings{MaxFailedRatio: 0.25, Settings: balancer.Settings{Limits: balancer.Limits{
 		MaxAttempts: set.Allow.MaxAttempts,
 		Hedging:     set.Allow.SecondCopies,
 	}}}
 	for i := range set.Tenants {
-		own.Settings.Tenants = append(own.Settings.Tenants, decide.Tenant{Name: set.Tenants[i].Name, QuotaPerSecond: quotas[i]})
+		own.Settings.Tenants = append(own.Settings.Tenants, balancer.Tenant{Name: set.Tenants[i].Name, QuotaPerSecond: quotas[i]})
 	}
 	for i := range set.Classes {
-		own.Settings.Classes = append(own.Settings.Classes, decide.Class{Name: set.Classes[i].Name})
+		own.Settings.Classes = append(own.Settings.Classes, balancer.Class{Name: set.Classes[i].Name})
 	}
 	effect := func(text string) (*policy.Effect, *policy.Effect) {
 		d, err := policy.ParseDocument("day", []byte(text))
--- a/internal/rehearsal/world/discovery.go
+++ b/internal/rehearsal/world/discovery.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"dunestep/decide"
+	"dunestep/internal/balancer"
 	"dunestep/internal/protocol"
 	"dunestep/internal/rehearsal/record"
 )
@@ -14,7 +14,7 @@
 // listed is a booking server as discovery lists it.
 type listed struct {
 	server  *server
-	state   decide.ServerState
+	state   balancer.ServerState
 	started time.Duration // zero: long ago
 }
 
@@ -84,7 +84,7 @@
 func (d *discovery) begin() {
 	for _, s := range d.w.servers {
 		d.room(s)
-		d.known[s.number] = s.entry(decide.Ready)
+		d.known[s.number] = s.entry(balancer.Ready)
 		d.listing[s.number] = d.known[s.number]
 		d.log = append(d.log, change{listed: d.known[s.number], version: d.version})
 	}
@@ -93,7 +93,7 @@
 // room makes room for a server; until it is known it counts as gone.
 func (d *discovery) room(s *server) {
 	for len(d.known) <= s.number {
-		gone := listed{server: d.w.servers[len(d.known)], state: decide.Gone}
+		gone := listed{server: d.w.servers[len(d.known)], state: balancer.Gone}
 		d.known, d.listing = append(d.known, gone), append(d.listing, gone)
 		d.learnt, d.news = append(d.learnt, 0), append(d.news, 0)
 	}
@@ -129,8 +129,8 @@
 func (d *discovery) empty() {
 	d.emptied++
 	for _, l := range d.listing {
-		if l.state != decide.Gone {
-			l.state = decide.Gone
+		if l.state != balancer.Gone {
+			l.state = balancer.Gone
 			d.publish(l)
 		}
 	}
@@ -219,11 +219,11 @@
 	}
 	config := protocol.EndpointList{Version: version, Full: full}
 	for _, l := range list {
-		if l.server == nil || full && l.state == decide.Gone {
+		if l.server == nil || full && l.state == balancer.Gone {
 			continue
 		}
 		s := l.server
-		e := decide.Server{
+		e := balancer.Server{
 			ID: s.id, Zone: d.w.set.Network.Zones[s.zone], MachineKind: s.machine.kind, Cell: s.cell,
 			State: l.state, Weight: s.weight,
 		}
@@ -353,10 +353,10 @@
 		for len(l.told) <= e.server.number {
 			l.told = append(l.told, false)
 		}
-		if e.state == decide.Ready && l.agent.out[e.server] {
-			e.state = decide.Draining
+		if e.state == balancer.Ready && l.agent.out[e.server] {
+			e.state = balancer.Draining
 		}
-		had, there := l.told[e.server.number], e.state != decide.Gone
+		had, there := l.told[e.server.number], e.state != balancer.Gone
 		l.told[e.server.number] = there
 		if !full || there || had {
 			l.w.record.listed(record.Told, l.agent, e)
--- a/internal/rehearsal/world/graphql.go
+++ b/internal/rehearsal/world/graphql.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"dunestep/decide"
+	"dunestep/internal/balancer"
 	"dunestep/internal/graphql"
 )
 
@@ -40,7 +40,7 @@
 	for i := len(rules.Classes) - 1; i >= 0; i-- {
 		c, field := rules.Classes[i], fmt.Sprintf("field%d", i)
 		kind, table := "query", rules.Queries
-		if c.Idempotency == decide.NotIdempotent {
+		if c.Idempotency == balancer.NotIdempotent {
 			kind, table = "mutation", rules.Mutations
 			w.graphQL.opaque = i
 		}
--- a/internal/rehearsal/world/hardship_test.go
+++ b/internal/rehearsal/world/hardship_test.go
@@ -6,10 +6,10 @@
 
 	"github.com/stretchr/testify/require"
 
+	"dunestep/internal/overload"
 	"dunestep/internal/rehearsal/record"
 	"dunestep/internal/rehearsal/scenario"
 	"dunestep/internal/rehearsal/timeline"
-	"dunestep/storm"
 )
 
 func by(agent int32) func(record.Event) bool {
@@ -139,7 +139,7 @@
 		Kind: scenario.Datagrams, At: ms(1000, 1000), For: ms(500, 500),
 		From: []int{0, 2}, Loss: span(0.5, 0.5),
 	}}
-	play(t, set, 1, Options{Storm: storm.Config{Disabled: true}, Timeline: &line})
+	play(t, set, 1, Options{Storm: overload.Config{Disabled: true}, Timeline: &line})
 	marks, dropped := line.Marks()
 	require.Zero(t, dropped)
 	require.Equal(t, []timeline.Mark{
--- a/internal/rehearsal/world/lab_test.go
+++ b/internal/rehearsal/world/lab_test.go
@@ -10,10 +10,10 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"dunestep/decide"
-	"dunestep/internal/core"
+	"dunestep/internal/balancer"
 	"dunestep/internal/rehearsal/record"
 	"dunestep/internal/rehearsal/scenario"
+	"dunestep/internal/routing"
 )
 
 // lab is a world of one booking server, to which a test sends route steps by hand.
@@ -303,7 +303,7 @@
 	l := newLab(func(*scenario.Scenario, *machine) {})
 	a := l.agents[0]
 	a.client = &client{w: l.world, agent: a}
-	alive := &life{w: l.world, agent: a, descriptors: core.NewDescriptors(1024)}
+	alive := &life{w: l.world, agent: a, descriptors: routing.NewDescriptors(1024)}
 	asked := &try{
 		request: &request{client: a.client, deadline: time.Hour}, agent: a, life: alive, op: 1,
 		conn: &frontConn{client: a.client, life: alive}, taken: true,
@@ -318,17 +318,17 @@
 	stepEnds := func(timeOut time.Duration) record.Event {
 		l := newLab(func(*scenario.Scenario, *machine) {})
 		l.server.start(false)
-		idle := core.NewIdleLimit(0, time.Minute)
+		idle := routing.NewIdleLimit(0, time.Minute)
 		alive := &life{
-			w: l.world, agent: l.agents[0], idle: idle, descriptors: core.NewDescriptors(1024),
-			router: core.NewRouter(decide.Settings{}, nil),
+			w: l.world, agent: l.agents[0], idle: idle, descriptors: routing.NewDescriptors(1024),
+			router: routing.NewRouter(balancer.Settings{}, nil),
 		}
 		over := &step{}
 		l.enter(timeOut, rankTimer, (*lateStep)(over))
 		s := l.send(1.5, 0)
 		s.ended, s.life, s.operation = false, alive, &operation{}
-		s.pool = &upstream{life: alive, pool: core.NewPool[*conn](l.server.addr, idle, noSettling)}
-		s.phase, s.conn.life, s.conn.closed = core.AwaitingResponse, alive, false
+		s.pool = &upstream{life: alive, pool: routing.NewPool[*conn](l.server.addr, idle, noSettling)}
+		s.phase, s.conn.life, s.conn.closed = routing.AwaitingResponse, alive, false
 		alive.open = []*conn{s.conn}
 		over.conn = s.conn
 		l.run(time.Minute)
--- a/internal/rehearsal/world/life.go
+++ b/internal/rehearsal/world/life.go
@@ -3,14 +3,14 @@
 import (
 	"time"
 
-	"dunestep/decide"
-	"dunestep/internal/core"
+	"dunestep/internal/balancer"
+	"dunestep/internal/control/policy"
+	"dunestep/internal/control/ringassignment"
+	"dunestep/internal/overload"
 	"dunestep/internal/protocol"
 	"dunestep/internal/rehearsal/record"
+	"dunestep/internal/routing"
 	"dunestep/internal/state"
-	"dunestep/placement"
-	"dunestep/policy"
-	"dunestep/storm"
 )
 
 // clockStart is where the agents' clock, Unix time, stands when a day begins: a Monday after Easter,
@@ -34,7 +34,7 @@
 
 	toDiscovery, toServers hindrance // of its streams
 	disk                   []byte    // that outlives it: the file as it was last written whole
-	bans                   []core.DisabledEndpoint
+	bans                   []routing.DisabledEndpoint
 	out                    map[*server]bool // of the bans: those that hold
 }
 
@@ -56,12 +56,12 @@
 	agent       *agent
 	dead        bool
 	remote      bool // the program is real: of what follows, it has the most itself
-	router      *core.Router
-	list        *core.ListTracker
-	idle        *core.IdleLimit
-	connects    core.ConnectTimeouts
+	router      *routing.Router
+	list        *routing.ListTracker
+	idle        *routing.IdleLimit
+	connects    routing.ConnectTimeouts
 	session     *state.Recorder // nil: nothing is kept, and no list is doubted
-	descriptors *core.Descriptors
+	descriptors *routing.Descriptors
 	upstreams   map[string]*upstream
 	operations  map[uint32]*operation
 	calls       map[int]*call
@@ -80,10 +80,10 @@
 	taken       uint64           // operations so far, for their ids on the socket
 	wire        protocol.Request // used again: the router keeps none
 	actsOn      *policy.Effect
-	ring        *placement.Agent       // nil: it places by its own list alone
-	placed      *decide.RingAssignment // that the router goes by
-	heard       time.Duration          // when it was last not cut off from the voters
-	avoids      *decide.Exclusions     // that the router goes by
+	ring        *ringassignment.Agent    // nil: it places by its own list alone
+	placed      *balancer.RingAssignment // that the router goes by
+	heard       time.Duration            // when it was last not cut off from the voters
+	avoids      *balancer.Exclusions     // that the router goes by
 }
 
 // operation is a client's try that the agent has taken.
@@ -96,7 +96,7 @@
 // upstream is a booking server as the agent knows it, with its connections.
 type upstream struct {
 	life   *life
-	pool   *core.Pool[*conn]
+	pool   *routing.Pool[*conn]
 	expiry time.Duration // when idle connections are looked at; zero: not entered
 }
 
@@ -106,13 +106,13 @@
 	life    *life
 	number  int // of a call
 	err     error
-	sync    decide.UpdateKind
-	word    decide.WatchStatus
+	sync    balancer.UpdateKind
+	word    balancer.WatchStatus
 	config  protocol.EndpointList
 	proves  bool // that the list is so
 	id      uint32
 	attempt int
-	saw     core.AttemptResult
+	saw     routing.AttemptResult
 	tag     uint64
 	from    int
 	data    []byte
@@ -145,14 +145,14 @@
 		a.beginRemote()
 		return nil
 	}
-	set := core.Permitted(w.deployment(a))
+	set := routing.Permitted(w.deployment(a))
 	a.starts++
 	seed := nameSeed(w.seed, a.name) + uint64(a.starts)
-	balancer, err := decide.New(set, seed)
+	decisions, err := balancer.New(set, seed)
 	if err != nil {
 		return err
 	}
-	gate, err := storm.New(set, w.o.Storm, balancer, seed)
+	gate, err := overload.New(set, w.o.Storm, decisions, seed)
 	if err != nil {
 		return err
 	}
@@ -164,21 +164,21 @@
 		known = start.List
 		list = w.discovery.asOfVersion(known.Version)
 	}
-	module := core.Module(gate)
+	module := routing.Module(gate)
 	if w.sights != nil {
 		module = w.sights.policy(set, seed)
 	}
 	l := &life{
-		w: w, agent: a, router: core.NewRouter(set, module),
-		list:        core.NewListTracker(serverAddr(0), known, a.bans),
-		idle:        core.NewIdleLimit(clockStart+w.now, w.set.Connections.Idle),
-		descriptors: core.NewDescriptors(w.set.Agents.Sockets), upstreams: map[string]*upstream{},
+		w: w, agent: a, router: routing.NewRouter(set, module),
+		list:        routing.NewListTracker(serverAddr(0), known, a.bans),
+		idle:        routing.NewIdleLimit(clockStart+w.now, w.set.Connections.Idle),
+		descriptors: routing.NewDescriptors(w.set.Agents.Sockets), upstreams: map[string]*upstream{},
 		operations: map[uint32]*operation{}, calls: map[int]*call{},
 	}
 	a.life = l
 	l.joinRing()
 	if s := &w.set.Agents; w.sights == nil && (s.KeepEvery > 0 || s.ProvesList || w.upgrades()) {
-		l.session = state.NewRecorder(start, balancer, gate, l.idle,
+		l.session = state.NewRecorder(start, decisions, gate, l.idle,
 			state.ProbationSettings{Enabled: s.ProvesList, FullDeploy: s.DeployTakes})
 	}
 	if every := w.set.Agents.KeepEvery; every > 0 {
@@ -186,7 +186,7 @@
 	}
 	w.record.agent(record.AgentUp, a)
 	l.writes(list, true)
-	l.post(message{kind: poolNews, sync: decide.UpdateCached, config: l.list.ApplyDisabled(known)})
+	l.post(message{kind: poolNews, sync: balancer.UpdateCached, config: l.list.ApplyDisabled(known)})
 	return nil
 }
 
@@ -253,7 +253,7 @@
 	l.still(&m)
 }
 
-// follow has the router go by what is agreed at this moment, as routing.Agent does before each message.
+// follow has the router go by what is agreed at this moment, as agent.Agent does before each message.
 func (l *life) follow() {
 	if acting := l.w.o.Acting; acting != nil {
 		if e := acting(l.agent.number, l.w.now); e != l.actsOn {
@@ -337,51 +337,51 @@
 }
 
 // carry does what the router wants done.
-func (l *life) carry(outputs []core.Output) {
+func (l *life) carry(outputs []routing.Output) {
 	w := l.w
 	for i := range outputs {
 		o := &outputs[i]
 		switch o.Kind {
-		case core.Respond:
+		case routing.Respond:
 			l.answer(o)
-		case core.StartAttempt:
+		case routing.StartAttempt:
 			l.startStep(o)
-		case core.CancelAttempt:
+		case routing.CancelAttempt:
 			if s := l.operations[o.Request].step(o.Attempt); s != nil && !s.ended {
 				s.end(o.Why)
 			}
-		case core.CancelIfUnsent:
-			if s := l.operations[o.Request].step(o.Attempt); s != nil && !s.ended && s.phase == core.Connecting {
-				s.end(core.Canceled)
+		case routing.CancelIfUnsent:
+			if s := l.operations[o.Request].step(o.Attempt); s != nil && !s.ended && s.phase == routing.Connecting {
+				s.end(routing.Canceled)
 			}
-		case core.ForgetRequest:
+		case routing.ForgetRequest:
 			delete(l.operations, o.Request)
-		case core.SetTimer:
+		case routing.SetTimer:
 			w.enter(o.At-clockStart, rankTimer, &message{kind: timerDue, life: l, tag: o.Tag})
-		case core.SendDatagram:
+		case routing.SendDatagram:
 			if !l.replaced { // one process speaks for the agent
 				l.tell(o.Peer, o.Data)
 			}
-		case core.WatchList:
+		case routing.WatchList:
 			l.heed(l.list.Watch())
-		case core.FetchList:
+		case routing.FetchList:
 			l.heed(l.list.Fetch())
-		case core.OpenEndpoint:
-			l.upstreams[o.Endpoint] = &upstream{life: l, pool: core.NewPool[*conn](o.Addr, l.idle, noSettling)}
-		case core.SetEndpointAddress:
+		case routing.OpenEndpoint:
+			l.upstreams[o.Endpoint] = &upstream{life: l, pool: routing.NewPool[*conn](o.Addr, l.idle, noSettling)}
+		case routing.SetEndpointAddress:
 			closeAll(l.upstreams[o.Endpoint].pool.SetAddress(o.Addr))
-		case core.RemoveEndpoint:
+		case routing.RemoveEndpoint:
 			closeAll(l.upstreams[o.Endpoint].pool.Retire())
 			delete(l.upstreams, o.Endpoint)
-		case core.DrainEndpoint:
+		case routing.DrainEndpoint:
 			closeAll(l.upstreams[o.Endpoint].pool.StopReuse())
-		case core.ReleaseIdle:
+		case routing.ReleaseIdle:
 			closeAll(l.upstreams[o.Endpoint].pool.CloseIdleHalf())
-		case core.LogDecision:
+		case routing.LogDecision:
 			if w.o.Log != nil {
 				w.o.Log(w.now, l.agent.name, o.Text)
 			}
-		case core.UnsupportedProbe:
+		case routing.UnsupportedProbe:
 			if w.o.Log != nil {
 				w.o.Log(w.now, l.agent.name, "not allowed: probe "+o.Endpoint)
 			}
@@ -399,20 +399,20 @@
 }
 
 // heed does what the list wants done.
-func (l *life) heed(outputs []core.ListOutput) {
+func (l *life) heed(outputs []routing.ListOutput) {
 	for i := range outputs {
 		switch o := &outputs[i]; o.Kind {
-		case core.StartCall:
+		case routing.StartCall:
 			c := &call{d: l.w.discovery, life: l, number: o.Call, watch: o.Request.Watch, told: o.Request.FromVersion}
 			c.lag = time.Duration(l.agent.chance.Float64() * float64(c.d.spread))
 			l.calls[o.Call] = c
 			l.w.enter(l.agent.callArrives(c.d), rankArrival, (*callReaches)(c))
-		case core.EndCall:
+		case routing.EndCall:
 			if c := l.calls[o.Call]; c != nil && !c.over {
 				c.forget()
 				l.w.after(0, rankArrival, &message{kind: callEnded, life: l, number: o.Call, err: errCancelled})
 			}
-		case core.ListUpdate:
+		case routing.ListUpdate:
 			l.post(message{kind: poolNews, sync: o.Update, config: o.List, word: o.Watch, proves: o.Confirms})
 		}
 	}
--- a/internal/rehearsal/world/memory.go
+++ b/internal/rehearsal/world/memory.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"dunestep/decide"
+	"dunestep/internal/balancer"
 	"dunestep/internal/protocol"
 	"dunestep/internal/state"
 )
@@ -34,7 +34,7 @@
 func (l *life) remember(m *message) {
 	switch {
 	case l.session == nil:
-	case m.sync == decide.UpdateCached:
+	case m.sync == balancer.UpdateCached:
 		l.session.RestoreLearned(l.clock())
 	default:
 		l.session.ListUpdated(l.clock(), m.sync, m.config, m.proves)
--- a/internal/rehearsal/world/placed.go
+++ b/internal/rehearsal/world/placed.go
@@ -3,11 +3,11 @@
 import (
 	"time"
 
-	"dunestep/cold"
-	"dunestep/decide"
-	"dunestep/fleet/lease"
-	"dunestep/placement"
-	"dunestep/window"
+	"dunestep/internal/balancer"
+	"dunestep/internal/balancer/slowstart"
+	"dunestep/internal/control/maintenance"
+	"dunestep/internal/control/ringassignment"
+	"dunestep/internal/fleet/lease"
 )
 
 // Agreed generations of the ring (package placement) over a day: the council of a voter makes them out of
@@ -33,23 +33,23 @@
 // generations makes a day's generations of the ring.
 type generations struct {
 	w       *world
-	figures placement.Parameters
-	machine *placement.StateMachine // never changed once others have it
-	council *placement.Proposer
+	figures ringassignment.Parameters
+	machine *ringassignment.StateMachine // never changed once others have it
+	council *ringassignment.Proposer
 	leader  *life
-	mark    placement.Mark // of the present one
-	allHave time.Duration  // since when all that hold a lease have it; zero: they don't
+	mark    ringassignment.Mark // of the present one
+	allHave time.Duration       // since when all that hold a lease have it; zero: they don't
 	chance  stream
 	sizes   map[string]float64 // agreed capacities, by kind
 }
 
 func newGenerations(w *world) *generations {
-	f, r := decide.DefaultTuning(), &w.set.Rules
+	f, r := balancer.DefaultTuning(), &w.set.Rules
 	g := &generations{
-		w: w, machine: placement.NewStateMachine(), chance: newStream(w.seed, "generations"),
+		w: w, machine: ringassignment.NewStateMachine(), chance: newStream(w.seed, "generations"),
 		sizes: map[string]float64{},
 	}
-	g.figures.SlowStart = cold.Params{
+	g.figures.SlowStart = slowstart.Params{
 		InitialCapacity: r.ColdShare, Duration: r.ColdFor, OverloadMultiple: r.FallMultiple,
 		OverloadWindow: r.FallWindow, Margin: f.SlowStartMargin, MaxOfWarm: f.SlowStartMax, Balancers: w.set.Agents.Count,
 	}
@@ -72,9 +72,9 @@
 
 // settle has a calm pass before the day, with the servers that run when it begins.
 func (g *generations) settle() {
-	var view placement.View
+	var view ringassignment.View
 	for _, l := range g.w.discovery.known {
-		view.Servers = append(view.Servers, g.seen(decide.Server{
+		view.Servers = append(view.Servers, g.seen(balancer.Server{
 			ID: l.server.id, MachineKind: l.server.machine.kind,
 			Zone: g.w.set.Network.Zones[l.server.zone],
 		}))
@@ -82,7 +82,7 @@
 	at := func(t time.Duration) lease.ClockReading {
 		return lease.ClockReading{Unix: clockStart - t, Mono: steadyFrom - t}
 	}
-	council := placement.NewProposer(g.figures, at(ringSettles))
+	council := ringassignment.NewProposer(g.figures, at(ringSettles))
 	council.SetMembers(at(ringSettles), g.members(), 1)
 	for left := ringSettles; left > 0; left -= ringSettleStep {
 		now := at(left)
@@ -103,7 +103,7 @@
 
 // note takes in that the present generation is another one.
 func (g *generations) note() {
-	all := placement.NewAgent()
+	all := ringassignment.NewAgent()
 	all.Learn(g.machine)
 	g.mark, g.allHave = all.Applied(), 0
 }
@@ -132,10 +132,10 @@
 }
 
 // seen is how a server of an agent's list is told the council.
-func (g *generations) seen(s decide.Server) placement.Server {
-	return placement.Server{
-		ID: s.ID, Zone: s.Zone, Kind: s.MachineKind, Ready: s.State == decide.Ready,
-		Draining: s.State == decide.Draining, StartedAt: s.StartedAt, Capacity: g.sizes[s.MachineKind],
+func (g *generations) seen(s balancer.Server) ringassignment.Server {
+	return ringassignment.Server{
+		ID: s.ID, Zone: s.Zone, Kind: s.MachineKind, Ready: s.State == balancer.Ready,
+		Draining: s.State == balancer.Draining, StartedAt: s.StartedAt, Capacity: g.sizes[s.MachineKind],
 	}
 }
 
@@ -146,7 +146,7 @@
 	if !g.leads() {
 		return
 	}
-	view := placement.View{Now: now.Unix, FullyDrained: window.FullyDrained(w.avoid, w.tenantNames())}
+	view := ringassignment.View{Now: now.Unix, FullyDrained: maintenance.FullyDrained(w.avoid, w.tenantNames())}
 	for _, s := range g.leader.list.Endpoints() {
 		view.Servers = append(view.Servers, g.seen(s))
 	}
@@ -174,7 +174,7 @@
 	}
 	for _, a := range g.w.agents[:min(ringVoters, len(g.w.agents))] {
 		if can(a.life) {
-			g.leader, g.council = a.life, placement.NewProposer(g.figures, g.w.reading())
+			g.leader, g.council = a.life, ringassignment.NewProposer(g.figures, g.w.reading())
 			g.council.SetMembers(g.w.reading(), g.members(), uint64(a.number)+2)
 			g.council.Learn(g.w.reading(), g.machine)
 			return true
@@ -189,7 +189,7 @@
 // ringTold is when an agent learns of a generation, once it is not cut off.
 type ringTold struct {
 	agent   *agent
-	machine *placement.StateMachine
+	machine *ringassignment.StateMachine
 }
 
 func (t *ringTold) happen() {
@@ -223,7 +223,7 @@
 // joinRing gives an agent that begins the present generation: it waits for that before it is ready.
 func (l *life) joinRing() {
 	if l.w.rings != nil {
-		l.ring = placement.NewAgent()
+		l.ring = ringassignment.NewAgent()
 		l.ring.Learn(l.w.rings.machine)
 	}
 }
--- a/internal/rehearsal/world/placed_test.go
+++ b/internal/rehearsal/world/placed_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/decide"
+	"dunestep/internal/balancer"
 	"dunestep/internal/rehearsal/record"
 	"dunestep/internal/rehearsal/scenario"
 )
@@ -47,7 +47,7 @@
 	require.NoError(t, w.run(context.Background()))
 	requireWhole(t, d)
 	require.Greater(t, w.rings.machine.State().Number, at.Number+2)
-	var last *decide.RingAssignment
+	var last *balancer.RingAssignment
 	for _, a := range w.agents {
 		require.NotNil(t, a.life.placed)
 		if last == nil {
--- a/internal/rehearsal/world/record.go
+++ b/internal/rehearsal/world/record.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"dunestep/decide"
+	"dunestep/internal/balancer"
 	"dunestep/internal/rehearsal/record"
 )
 
@@ -92,9 +92,9 @@
 		ev.Agent = int32(a.number)
 	}
 	switch l.state {
-	case decide.Draining:
+	case balancer.Draining:
 		ev.State = record.Leaving
-	case decide.Gone:
+	case balancer.Gone:
 		ev.State = record.Gone
 	}
 	r.take(ev)
--- a/internal/rehearsal/world/remote.go
+++ b/internal/rehearsal/world/remote.go
@@ -4,9 +4,9 @@
 	"net/netip"
 	"time"
 
-	"dunestep/internal/core"
 	"dunestep/internal/rehearsal/record"
 	"dunestep/internal/rehearsal/scenario"
+	"dunestep/internal/routing"
 )
 
 // This file is what stands in place of an agent's code where the agents are real: it tells the wire what the
@@ -20,7 +20,7 @@
 	age := w.set.Discovery.KnownAge.Draw(a.chance.Rand)
 	list, version := w.discovery.asOf(max(w.now-age, 0))
 	l := &life{
-		w: w, agent: a, remote: true, descriptors: core.NewDescriptors(w.set.Agents.Sockets),
+		w: w, agent: a, remote: true, descriptors: routing.NewDescriptors(w.set.Agents.Sockets),
 		operations: map[uint32]*operation{}, calls: map[int]*call{},
 	}
 	a.coming = l
--- a/internal/rehearsal/world/restart.go
+++ b/internal/rehearsal/world/restart.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"dunestep/internal/core"
 	"dunestep/internal/rehearsal/record"
+	"dunestep/internal/routing"
 )
 
 // lateClients is how long clients still open connections to an agent that was told to end.
@@ -12,7 +12,7 @@
 
 // draining is a life's planned end.
 type draining struct {
-	course  core.ShutdownPlan
+	course  routing.ShutdownPlan
 	told    bool
 	arrives time.Duration // until when clients open connections to it
 	over    bool          // it ended by itself
@@ -30,7 +30,7 @@
 		return
 	}
 	l.end = draining{
-		course: core.NewShutdownPlan(l.clock(), l.w.deployment(l.agent).Classes), told: true,
+		course: routing.NewShutdownPlan(l.clock(), l.w.deployment(l.agent).Classes), told: true,
 		arrives: l.w.now + lateClients,
 	}
 	l.keep()
@@ -49,13 +49,13 @@
 	}
 	phase, until := l.end.course.PhaseAt(l.clock())
 	switch phase {
-	case core.ShutdownClosing:
+	case routing.ShutdownClosing:
 		l.end.closing = true
 		l.closeIdle()
 		l.endIfEmpty()
-	case core.ShutdownFailing:
+	case routing.ShutdownFailing:
 		l.post(message{kind: abandon})
-	case core.ShutdownOver:
+	case routing.ShutdownOver:
 		(*lifeOver)(l).happen()
 		return
 	}
--- a/internal/rehearsal/world/server.go
+++ b/internal/rehearsal/world/server.go
@@ -6,7 +6,7 @@
 	"net/netip"
 	"time"
 
-	"dunestep/decide"
+	"dunestep/internal/balancer"
 	"dunestep/internal/rehearsal/record"
 	"dunestep/internal/rehearsal/scenario"
 )
@@ -148,7 +148,7 @@
 func (s *server) stop() {
 	s.w.record.server(record.ServerDown, s.process)
 	s.process.die()
-	s.w.discovery.hears(s.entry(decide.Gone), s.w.discovery.notice)
+	s.w.discovery.hears(s.entry(balancer.Gone), s.w.discovery.notice)
 }
 
 // leave has the process take nothing new.
@@ -163,14 +163,14 @@
 func (s *server) running() bool { return s.process != nil && s.process.state == processUp && !s.left }
 
 // standing is how the list should have the server.
-func (s *server) standing() decide.ServerState {
+func (s *server) standing() balancer.ServerState {
 	if s.left {
-		return decide.Draining
+		return balancer.Draining
 	}
-	return decide.Ready
+	return balancer.Ready
 }
 
 // entry is how discovery lists the server.
-func (s *server) entry(state decide.ServerState) listed {
+func (s *server) entry(state balancer.ServerState) listed {
 	return listed{server: s, state: state, started: s.process.started}
 }
--- a/internal/rehearsal/world/sight.go
+++ b/internal/rehearsal/world/sight.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"dunestep/decide"
-	"dunestep/internal/core"
+	"dunestep/internal/balancer"
 	"dunestep/internal/rehearsal/late"
+	"dunestep/internal/routing"
 )
 
 const (
@@ -54,6 +54,6 @@
 func (s *sights) late() *late.Sight { return s.looks[0] }
 
 // policy is an agent's module on a day of agents that see the true state late.
-func (s *sights) policy(set decide.Settings, seed uint64) core.Module {
+func (s *sights) policy(set balancer.Settings, seed uint64) routing.Module {
 	return late.New(set, s.w.set.MeanWork(s.w.meanWork), seed, s.late)
 }
--- a/internal/rehearsal/world/silence.go
+++ b/internal/rehearsal/world/silence.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"dunestep/internal/core"
 	"dunestep/internal/rehearsal/record"
+	"dunestep/internal/routing"
 )
 
 const (
@@ -64,6 +64,6 @@
 	c := (*call)(g)
 	if !c.over {
 		c.forget()
-		c.life.post(message{kind: callEnded, number: c.number, err: &core.SilenceError{Duration: silenceWait}})
+		c.life.post(message{kind: callEnded, number: c.number, err: &routing.SilenceError{Duration: silenceWait}})
 	}
 }
--- a/internal/rehearsal/world/step.go
+++ b/internal/rehearsal/world/step.go
@@ -3,10 +3,10 @@
 import (
 	"time"
 
-	"dunestep/decide"
-	"dunestep/internal/core"
+	"dunestep/internal/balancer"
 	"dunestep/internal/rehearsal/record"
 	"dunestep/internal/rehearsal/scenario"
+	"dunestep/internal/routing"
 )
 
 // replyKind is what a process answers.
@@ -32,8 +32,8 @@
 	work      float64
 	begun     time.Duration
 	until     time.Duration // when the agent gives it up, as it tells the booking server
-	lease     core.Checkout[*conn]
-	phase     core.AttemptPhase
+	lease     routing.Checkout[*conn]
+	phase     routing.AttemptPhase
 	ended     bool // at the agent
 	reply     replyKind
 
@@ -89,41 +89,41 @@
 		s.answerWire()
 		return
 	}
-	s.phase = core.Responding
+	s.phase = routing.Responding
 	if s.reply == replySpoilt {
-		s.end(core.InvalidResponse)
+		s.end(routing.InvalidResponse)
 	} else {
-		s.end(core.Completed)
+		s.end(routing.Completed)
 	}
 }
 
-func (k replyKind) outcome() decide.Outcome {
+func (k replyKind) outcome() balancer.Outcome {
 	switch k {
 	case replyServed:
-		return decide.Served
+		return balancer.Served
 	case replyUnprocessed:
-		return decide.Rejected
+		return balancer.Rejected
 	}
-	return decide.ServerError
+	return balancer.ServerError
 }
 
 func (o *stepOver) happen() {
 	s := (*step)(o)
 	if !s.life.still(o) && !s.ended && !s.life.dead {
-		s.end(core.TimedOut)
+		s.end(routing.TimedOut)
 	}
 }
 
 func (u *stepUnheard) happen() {
 	s := (*step)(u)
-	if !s.life.still(u) && !s.ended && !s.life.dead && s.phase == core.Connecting {
+	if !s.life.still(u) && !s.ended && !s.life.dead && s.phase == routing.Connecting {
 		s.life.connects.GaveUp()
-		s.end(core.TimedOut)
+		s.end(routing.TimedOut)
 	}
 }
 
 // startStep sends an operation to a booking server, on a connection that is idle or a new one.
-func (l *life) startStep(o *core.Output) {
+func (l *life) startStep(o *routing.Output) {
 	w := l.w
 	op := l.operations[o.Request]
 	u := l.upstreams[o.Endpoint]
@@ -154,7 +154,7 @@
 	w := l.w
 	if !l.descriptors.AcquireUpstream() {
 		l.post(message{kind: reclaim})
-		s.end(core.BrokenByEndpoint)
+		s.end(routing.BrokenByEndpoint)
 		return
 	}
 	to := w.at[s.lease.Addr]
@@ -187,20 +187,20 @@
 }
 
 // end ends a route step at the agent. The connection is closed, unless it can carry another.
-func (s *step) end(how core.EndReason) {
+func (s *step) end(how routing.EndReason) {
 	l := s.life
-	saw := core.AttemptResult{
+	saw := routing.AttemptResult{
 		Phase: s.phase, EndReason: how, Response: s.reply.outcome(), Latency: s.w.now - s.begun,
 		Reused: s.lease.Reused, IdleFor: s.lease.IdleFor,
 	}
-	if s.phase == core.Connecting && how == core.BrokenByEndpoint {
+	if s.phase == routing.Connecting && how == routing.BrokenByEndpoint {
 		saw.Refused, saw.LocalFault = s.conn != nil, s.conn == nil
 	}
 	if stood, lost, counts := saw.IdleEvidence(); counts {
 		l.idle.Record(l.clock(), stood, lost)
 	}
 	s.over(wireOutcome(saw))
-	if c := s.conn; how == core.Completed {
+	if c := s.conn; how == routing.Completed {
 		closeAll(s.pool.pool.Release(l.clock(), c, s.lease.Addr, false))
 		s.pool.planExpiry()
 	} else {
@@ -224,19 +224,19 @@
 }
 
 // wireOutcome is what passed on the wire, whatever the agent makes of it.
-func wireOutcome(saw core.AttemptResult) record.Outcome {
+func wireOutcome(saw routing.AttemptResult) record.Outcome {
 	switch {
-	case saw.Phase <= core.Writing:
+	case saw.Phase <= routing.Writing:
 		return record.NoConnection
-	case saw.EndReason == core.BrokenByEndpoint:
+	case saw.EndReason == routing.BrokenByEndpoint:
 		return record.Broken
-	case saw.EndReason == core.InvalidResponse:
+	case saw.EndReason == routing.InvalidResponse:
 		return record.SpoiltAnswer
-	case saw.EndReason != core.Completed:
+	case saw.EndReason != routing.Completed:
 		return record.GivenUp
-	case saw.Response == decide.Served:
+	case saw.Response == balancer.Served:
 		return record.OK
-	case saw.Response == decide.Rejected:
+	case saw.Response == balancer.Rejected:
 		return record.TurnedAway
 	}
 	return record.Error
--- a/internal/rehearsal/world/trouble.go
+++ b/internal/rehearsal/world/trouble.go
@@ -8,11 +8,11 @@
 	"slices"
 	"time"
 
-	"dunestep/decide"
+	"dunestep/internal/balancer"
+	"dunestep/internal/control/maintenance"
 	"dunestep/internal/rehearsal/mishap"
 	"dunestep/internal/rehearsal/record"
 	"dunestep/internal/rehearsal/scenario"
-	"dunestep/window"
 )
 
 // healStep is how often it is looked whether a shared slowdown heals.
@@ -37,13 +37,13 @@
 	servers         []*server // that it has come over
 	processes       []*process
 	over            bool
-	batch, replaced int             // of a deploy, or of agents that are restarted in turn
-	calm            time.Duration   // for which the servers have been less busy
-	busy            map[int]float64 // of each server's process, when last looked at
-	fault           mishap.Fault    // between agents
-	fate            int             // its number in the network
-	lives           []*life         // that it has paused
-	window          *window.Window  // that it is
+	batch, replaced int                 // of a deploy, or of agents that are restarted in turn
+	calm            time.Duration       // for which the servers have been less busy
+	busy            map[int]float64     // of each server's process, when last looked at
+	fault           mishap.Fault        // between agents
+	fate            int                 // its number in the network
+	lives           []*life             // that it has paused
+	window          *maintenance.Window // that it is
 }
 
 // newTrouble draws a trouble. Its name is its kind and how many of that kind came before, so that others
@@ -99,7 +99,7 @@
 		t.servers = t.pick()
 		for _, s := range t.servers {
 			s.cutUntil = max(s.cutUntil, w.now+t.lasts)
-			w.discovery.hears(s.entry(decide.Gone), w.discovery.silentNotice)
+			w.discovery.hears(s.entry(balancer.Gone), w.discovery.silentNotice)
 		}
 	case scenario.Crashed:
 		t.servers, t.processes = t.pick(), nil
@@ -224,7 +224,7 @@
 	for i, s := range t.servers[:len(t.processes)] {
 		if s.process == t.processes[i] && !s.left {
 			s.start(true)
-			t.w.discovery.hears(s.entry(decide.Ready), t.w.discovery.join)
+			t.w.discovery.hears(s.entry(balancer.Ready), t.w.discovery.join)
 		}
 	}
 }
@@ -352,7 +352,7 @@
 		t.replaced++
 		if s.running() {
 			s.leave()
-			w.discovery.hears(s.entry(decide.Draining), w.discovery.notice)
+			w.discovery.hears(s.entry(balancer.Draining), w.discovery.notice)
 			w.after(t.drain, rankTrouble, &successor{trouble: t, server: s})
 		}
 	}
@@ -395,7 +395,7 @@
 	}
 	s := w.newServer(old.zone, old.machine, addr)
 	s.start(true)
-	w.discovery.hears(s.entry(decide.Ready), w.discovery.join)
+	w.discovery.hears(s.entry(balancer.Ready), w.discovery.join)
 }
 
 // healLook looks how busy the servers are. A slowdown that heals ends when they have been less busy than
--- a/internal/rehearsal/world/trouble_test.go
+++ b/internal/rehearsal/world/trouble_test.go
@@ -6,9 +6,9 @@
 
 	"github.com/stretchr/testify/require"
 
+	"dunestep/internal/overload"
 	"dunestep/internal/rehearsal/record"
 	"dunestep/internal/rehearsal/scenario"
-	"dunestep/storm"
 )
 
 // The troubles of these days come after 10 s and last 12.
@@ -27,7 +27,7 @@
 		change(set)
 	}
 	// The module alone: what the storm gate makes of a trouble is not the world's.
-	d := play(t, set, 7, Options{Storm: storm.Config{Disabled: true}})
+	d := play(t, set, 7, Options{Storm: overload.Config{Disabled: true}})
 	requireWhole(t, d)
 	return d
 }
--- a/internal/rehearsal/world/window.go
+++ b/internal/rehearsal/world/window.go
@@ -4,10 +4,10 @@
 	"math"
 	"time"
 
-	"dunestep/decide"
+	"dunestep/internal/balancer"
+	"dunestep/internal/control/maintenance"
 	"dunestep/internal/rehearsal/record"
 	"dunestep/internal/rehearsal/scenario"
-	"dunestep/window"
 )
 
 // Maintenance windows: each agent goes by the plan alone, which it has known for long, by a clock that is
@@ -21,9 +21,9 @@
 )
 
 // planWindow is the plan of the trouble that is a window.
-func (t *trouble) planWindow(moves time.Duration) *window.Window {
+func (t *trouble) planWindow(moves time.Duration) *maintenance.Window {
 	from, to := clockStart+t.at, clockStart+t.at+t.lasts
-	return &window.Window{
+	return &maintenance.Window{
 		ID: t.name, Tenants: t.set.Tenants, Steps: windowSteps, From: from,
 		DrainedAt: from + moves, ReturnFrom: to - moves, To: to,
 	}
@@ -85,7 +85,7 @@
 			continue
 		}
 		if w.avoid == nil {
-			w.avoid = &decide.Exclusions{Tenants: map[string]map[string]uint32{}}
+			w.avoid = &balancer.Exclusions{Tenants: map[string]map[string]uint32{}}
 		}
 		for _, name := range w.movedBy(t.set) {
 			if w.avoid.Tenants[name] == nil {
@@ -101,11 +101,11 @@
 // movedBy are the tenants of a window.
 func (w *world) movedBy(set *scenario.Trouble) (names []string) {
 	for _, name := range set.Tenants {
-		if name != window.AllTenants {
+		if name != maintenance.AllTenants {
 			names = append(names, name)
 			continue
 		}
-		names = append(append(names, w.tenantNames()...), window.NoTenant)
+		names = append(append(names, w.tenantNames()...), maintenance.NoTenant)
 	}
 	return names
 }
--- a/internal/rehearsal/world/world.go
+++ b/internal/rehearsal/world/world.go
@@ -15,13 +15,13 @@
 	"net/netip"
 	"time"
 
-	"dunestep/decide"
+	"dunestep/internal/balancer"
+	"dunestep/internal/control/policy"
+	"dunestep/internal/overload"
 	"dunestep/internal/rehearsal/mishap"
 	"dunestep/internal/rehearsal/record"
 	"dunestep/internal/rehearsal/scenario"
 	"dunestep/internal/rehearsal/timeline"
-	"dunestep/policy"
-	"dunestep/storm"
 )
 
 const (
@@ -36,13 +36,13 @@
 	// Progress is told the day's time once each of its seconds; nil: nobody is.
 	Progress func(at time.Duration)
 	// Figures replace the module's own; zero: those that ship.
-	Figures decide.Tuning
+	Figures balancer.Tuning
 	// Storm are the figures of the gate before the module; zero: those that ship.
-	Storm storm.Config
+	Storm overload.Config
 	// Late has the agents go by late.Policy, which sees the servers' true state so long after; zero: by the code
 	// that ships.
 	Late time.Duration
-	// Acting tells at each moment what its fleet has agreed on that an agent goes by, as routing.Settings has
+	// Acting tells at each moment what its fleet has agreed on that an agent goes by, as agent.Settings has
 	// it; nil: there is nothing.
 	Acting func(agent int, at time.Duration) *policy.Effect
 	// Placed has the agents place by agreed generations, whatever the scenario says.
@@ -96,13 +96,13 @@
 
 	// Of a day that is played in real time.
 	live   *Live
-	wire   Wire               // nil: the agents are their code, and the network is a model
-	tries  map[uint32]*try    // that booking servers may see
-	failed error              // why the day can't be played on
-	sights *sights            // nil: the agents' own code decides
-	rings  *generations       // nil: each agent places by its own list
-	avoid  *decide.Exclusions // by the windows that are on; nil: none moves anything
-	plan   *Plan              // that is drawn: nothing is played
+	wire   Wire                 // nil: the agents are their code, and the network is a model
+	tries  map[uint32]*try      // that booking servers may see
+	failed error                // why the day can't be played on
+	sights *sights              // nil: the agents' own code decides
+	rings  *generations         // nil: each agent places by its own list
+	avoid  *balancer.Exclusions // by the windows that are on; nil: none moves anything
+	plan   *Plan                // that is drawn: nothing is played
 
 	ops  uint32 // tries so far
 	open int    // tries and route steps that are out or to come
@@ -368,41 +368,41 @@
 }
 
 // deployment is what an agent is told of its deployment.
-func (w *world) deployment(a *agent) decide.Settings {
+func (w *world) deployment(a *agent) balancer.Settings {
 	s := w.set
-	set := decide.Settings{
+	set := balancer.Settings{
 		Self: a.number, Balancers: len(w.agents), Zone: s.Network.Zones[a.zone],
 		OverQuotaWeight: s.Load.OverShareWorth, DiscoveryOnDemand: true, ClientsMarkRetries: s.Clients.MarksRetry,
 		Tick: s.Agents.Tick, Tuning: w.o.Figures,
-		Limits: decide.Limits{
+		Limits: balancer.Limits{
 			MaxAttempts: s.Allow.MaxAttempts, Hedging: s.Allow.SecondCopies,
 			Cancel: s.Allow.Cancel, Gossip: s.Allow.Peers, RetryAfter: s.Allow.RetryAfter,
 			MaxRetryAfter: s.Allow.MaxRetryAfter,
 		},
-		Rules: decide.Rules{
+		Rules: balancer.Rules{
 			DrainGrace: s.Rules.DrainGrace, MaxPollInterval: s.Rules.AskWithin,
 			SlowStartCapacity: s.Rules.ColdShare, SlowStartDuration: s.Rules.ColdFor, OverloadMultiple: s.Rules.FallMultiple,
 			OverloadWindow: s.Rules.FallWindow,
 		},
-		Costs: decide.Costs{
+		Costs: balancer.Costs{
 			CrossZone: s.Prices.CrossZone, WastedWork: s.Prices.Waste, PeerMessage: s.Prices.Peer,
 			LateFailure: s.Prices.LateFail,
 		},
-		ScoreWeights: decide.ScoreWeights{
+		ScoreWeights: balancer.ScoreWeights{
 			Total: s.Goal.Whole, WorstWindow: s.Goal.WorstWindow, WorstClass: s.Goal.WorstClass,
 			WorstTenant: s.Goal.WorstTenant,
 		},
 	}
 	for i := range s.Classes {
 		c := &s.Classes[i]
-		k := decide.Class{Name: c.Name, LatencyObjective: c.Aim, Deadline: c.Deadline, PriorityWeight: c.Worth, Idempotency: decide.NotIdempotent}
+		k := balancer.Class{Name: c.Name, LatencyObjective: c.Aim, Deadline: c.Deadline, PriorityWeight: c.Worth, Idempotency: balancer.NotIdempotent}
 		if c.Effect == scenario.Safe {
-			k.Idempotency = decide.Idempotent
+			k.Idempotency = balancer.Idempotent
 		}
 		set.Classes = append(set.Classes, k)
 	}
 	for i := range s.Tenants {
-		set.Tenants = append(set.Tenants, decide.Tenant{
+		set.Tenants = append(set.Tenants, balancer.Tenant{
 			Name: s.Tenants[i].Name, QuotaPerSecond: w.quotas[i],
 			Share: s.Tenants[i].Share,
 		})
--- a/internal/core/bans_test.go
+++ b/internal/routing/bans_test.go
@@ -1,4 +1,4 @@
-package core
+package routing
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"dunestep/decide"
+	"dunestep/internal/balancer"
 	"dunestep/internal/protocol"
 )
 
@@ -29,11 +29,11 @@
 				if o.Kind != ListUpdate {
 					continue
 				}
-				if o.Update == decide.UpdateFull || o.Update == decide.UpdateCached {
+				if o.Update == balancer.UpdateFull || o.Update == balancer.UpdateCached {
 					clear(heard)
 				}
 				for _, s := range o.List.Endpoints {
-					if heard[s.ID] = s; s.State == decide.Gone {
+					if heard[s.ID] = s; s.State == balancer.Gone {
 						delete(heard, s.ID)
 					}
 				}
@@ -41,7 +41,7 @@
 			}
 		}
 		ids := rapid.SampledFrom([]string{"a", "b", "c", "d"})
-		state := rapid.SampledFrom([]decide.ServerState{decide.Ready, decide.Ready, decide.Draining, decide.Gone})
+		state := rapid.SampledFrom([]balancer.ServerState{balancer.Ready, balancer.Ready, balancer.Draining, balancer.Gone})
 		t.Repeat(map[string]func(*rapid.T){
 			"says": func(t *rapid.T) {
 				version++
@@ -50,11 +50,11 @@
 					clear(said)
 				}
 				for _, id := range rapid.SliceOfNDistinct(ids, 0, 4, rapid.ID).Draw(t, "ids") {
-					s := protocol.Endpoint{Server: decide.Server{
+					s := protocol.Endpoint{Server: balancer.Server{
 						ID: id, State: state.Draw(t, "state"),
 						StartedAt: time.Duration(rapid.IntRange(0, 2).Draw(t, "started")),
 					}}
-					if said[id] = s; s.State == decide.Gone {
+					if said[id] = s; s.State == balancer.Gone {
 						delete(said, id)
 					} else {
 						ever[id] = true
@@ -79,7 +79,7 @@
 				out, listed := l.Enable(id, now)
 				hear(out)
 				require.Equal(t, ever[id], listed)
-				if bans[id] && heard[id].State == decide.Ready {
+				if bans[id] && heard[id].State == balancer.Ready {
 					require.Contains(t, []time.Duration{now, said[id].StartedAt}, heard[id].StartedAt)
 				}
 				delete(bans, id)
@@ -93,7 +93,7 @@
 				l = NewListTracker(here, list, l.Disabled())
 				l.Watch()
 				clear(heard)
-				hear([]ListOutput{{Kind: ListUpdate, Update: decide.UpdateCached, List: l.ApplyDisabled(list), Confirms: true}})
+				hear([]ListOutput{{Kind: ListUpdate, Update: balancer.UpdateCached, List: l.ApplyDisabled(list), Confirms: true}})
 				for id := range ever { // what neither is listed nor out is not known any more
 					ever[id] = l.knownIDs[id]
 				}
@@ -105,8 +105,8 @@
 					require.Equal(t, heard[s.ID].State, s.State)
 				}
 				for id, s := range said {
-					drains := bans[id] || s.State == decide.Draining
-					require.Equal(t, drains, heard[id].State == decide.Draining, id)
+					drains := bans[id] || s.State == balancer.Draining
+					require.Equal(t, drains, heard[id].State == balancer.Draining, id)
 				}
 				require.Len(t, heard, len(said))
 				listed, out := l.Size()
@@ -149,7 +149,7 @@
 		ids := []string{"a", "b", "c"}
 		var known protocol.EndpointList
 		for _, id := range ids {
-			known.Endpoints = append(known.Endpoints, protocol.Endpoint{Server: decide.Server{ID: id, State: decide.Ready}})
+			known.Endpoints = append(known.Endpoints, protocol.Endpoint{Server: balancer.Server{ID: id, State: balancer.Ready}})
 		}
 		lists := []*ListTracker{NewListTracker(here, known, nil), NewListTracker(here, known, nil)}
 		var notes [][]DisabledEndpoint // on their way
--- a/internal/core/core.go
+++ b/internal/routing/core.go
@@ -1,4 +1,4 @@
-// Package core is the routing of an agent without its input and output: state machines, one for each actor
+// Package routing is the routing of an agent without its input and output: state machines, one for each actor
 // of internal/routing, that are told what happened and say what is to be done. The daemon's actors carry that
 // out on sockets; a rehearsal does in virtual time.
 //
@@ -12,13 +12,13 @@
 //   - Descriptors: the shares of the front socket and of the connections to booking servers.
 //   - ShutdownPlan: what a planned restart does when.
 //   - AttemptResult: what was seen of a route step, and what it became; ResponseProgress: of an answer that began.
-package core
+package routing
 
 import (
 	"net/netip"
 	"time"
 
-	"dunestep/decide"
+	"dunestep/internal/balancer"
 	"dunestep/internal/protocol"
 )
 
@@ -89,6 +89,6 @@
 	Peer      int
 	Data      []byte
 	Text      string
-	OverQuota bool         // of a busy reply: the tenant is beyond its share
-	Quota     decide.Quota // of the tenant, for a busy reply to tell of
+	OverQuota bool           // of a busy reply: the tenant is beyond its share
+	Quota     balancer.Quota // of the tenant, for a busy reply to tell of
 }
--- a/internal/routing/crossings_test.go
+++ b/internal/routing/crossings_test.go
@@ -1,261 +1,61 @@
 package routing
 
 import (
-	"bufio"
-	"fmt"
-	"io"
-	"net"
-	"net/http"
-	"sync"
 	"testing"
 	"time"
 
 	"github.com/stretchr/testify/require"
-
-	"dunestep/decide"
-	"dunestep/internal/core"
-	"dunestep/internal/figures"
-	"dunestep/internal/flow"
-	"dunestep/internal/memory"
-	"dunestep/internal/protocol"
-	"dunestep/internal/transport"
 )
 
-// scene is a booking server's actor before a server that the test plays.
-type scene struct {
-	t       *testing.T
-	clock   clock
-	booking *upstream
-	reports chan any
-}
-
-// play begins a scene. The server's side of each connection is served by a goroutine of its own, which is told its
-// number, from 1 on; edit changes what the actor goes by.
-func play(t *testing.T, serve func(n int, c *net.TCPConn), edit func(*upstreamSettings)) *scene {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	require.NoError(t, err)
-	var served sync.WaitGroup
-	served.Go(func() {
-		for n := 1; ; n++ {
-			c, err := l.Accept()
-			if err != nil {
-				return
-			}
-			served.Go(func() {
-				defer c.Close()
-				serve(n, c.(*net.TCPConn))
-			})
-		}
-	})
-	s := &scene{t: t, clock: newClock(), reports: make(chan any, 16)}
-	set := upstreamSettings{
-		clock: s.clock, connectTimeout: time.Minute, connectTimeouts: &connectTimeouts{},
-		idleLimit:   &idleLimit{core: core.NewIdleLimit(s.clock.now(), time.Hour)},
-		descriptors: transport.NewDescriptors(1024, func() {}), metrics: figures.New(nil),
-		bodies: transport.NewBodyLimits(1<<20, transport.BodyRules{
-			MaxBytes: 1 << 20, BufferedBytes: 1 << 20, ClientStall: time.Minute,
-			ClientLag: time.Minute,
-		}),
-	}
-	if edit != nil {
-		edit(&set)
-	}
-	s.booking = startUpstream(set, l.Addr().(*net.TCPAddr).AddrPort(), func(m any) { s.reports <- m })
-	t.Cleanup(func() {
-		require.NoError(t, l.Close())
-		s.booking.mail.put(retire{})
-		served.Wait()
-	})
-	return s
-}
-
-// step prepares an attempt that has a minute.
-func (s *scene) step(id string) *attempt {
-	until := s.clock.now() + time.Minute
-	return newAttempt(&request{Request: &protocol.Request{
-		Method: http.MethodGet, Target: "/consult",
-		CorrelationID: id, Class: "consult", TimeLeft: time.Minute,
-	}}, core.Output{At: until, Deadline: until}, s.clock)
-}
-
-// ended waits for the end of an attempt, and returns it with the answer's body.
-func (s *scene) ended() (attemptEnded, string) {
-	s.t.Helper()
-	select {
-	case m := <-s.reports:
-		end := m.(attemptEnded)
-		if end.response.Flow == nil {
-			return end, ""
-		}
-		defer end.response.Flow.Close()
-		body, err := end.response.Flow.Next()
-		require.NoError(s.t, err)
-		return end, string(body)
-	case <-time.After(time.Minute):
-		require.Fail(s.t, "the step does not end")
-		return attemptEnded{}, ""
-	}
-}
-
-const answerHead = "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s"
-
-func answerOf(id string) string { return fmt.Sprintf(answerHead, len(id), id) }
-
-// answerAll answers the requests of a connection by their ids, until it ends. Came is told each, before its body has come.
-func answerAll(c *net.TCPConn, came func(*http.Request)) {
-	for in := bufio.NewReader(c); ; {
-		r, err := http.ReadRequest(in)
-		if err != nil {
-			return
-		}
-		came(r)
-		_, _ = io.Copy(io.Discard, r.Body)
-		_, _ = io.WriteString(c, answerOf(r.Header.Get("X-Correlation-Id")))
-	}
-}
-
-// A second answer comes late, when the next attempt has got its connection already: it is nobody's. The next one
-// waits until the connection has settled, and goes out on another one when something comes meanwhile. The server
-// writes the second answer as soon as it has read the next request, else so much later.
-func TestSecondAnswerComesLate(t *testing.T) {
-	const late = 100 * time.Millisecond
-	s := play(t, func(n int, c *net.TCPConn) {
-		in := bufio.NewReader(c)
-		r, err := http.ReadRequest(in)
-		if err != nil {
-			return
-		}
-		own := answerOf(r.Header.Get("X-Correlation-Id"))
-		_, _ = io.WriteString(c, own)
-		if n > 1 {
-			return
-		}
-		came := make(chan struct{})
-		go func() {
-			defer close(came)
-			if r, err := http.ReadRequest(in); err == nil {
-				_, _ = io.WriteString(c, own+answerOf(r.Header.Get("X-Correlation-Id")))
-			}
-		}()
-		select {
-		case <-came:
-		case <-time.After(late):
-			_, _ = io.WriteString(c, own)
-			<-came // it is closed
-		}
-	}, func(set *upstreamSettings) { set.reuseDelay = time.Minute })
-	s.booking.mail.put(s.step("000000000000000a"))
-	_, body := s.ended()
-	require.Equal(t, "000000000000000a", body)
-	s.booking.mail.put(s.step("000000000000000b"))
-	end, body := s.ended()
-	require.Equal(t, decide.Served, end.result.Outcome())
-	require.Equal(t, "000000000000000b", body, "not another's")
-}
-
-// An attempt that is given up while its connection settles is not sent on, and the connection stays as it was: the
-// time that it has stood idle goes on.
-func TestGivenUpWhileTheConnectionSettles(t *testing.T) {
-	came := make(chan string, 4)
-	s := play(t, func(_ int, c *net.TCPConn) {
-		answerAll(c, func(r *http.Request) { came <- r.Header.Get("X-Correlation-Id") })
-	}, func(set *upstreamSettings) { set.reuseDelay = time.Minute })
-	s.booking.mail.put(s.step("000000000000000a"))
-	s.ended()
-	for _, c := range []struct {
-		end  func(*attempt)
-		want decide.Outcome
-	}{
-		{(*attempt).cancelIfUnsent, decide.Canceled},
-		{func(r *attempt) { r.cancel(core.Canceled) }, decide.Canceled},
-		{func(r *attempt) { r.cancel(core.TimedOut) }, decide.ConnectFailed},
-	} {
-		step := s.step("000000000000000b")
-		s.booking.mail.put(step)
-		c.end(step)
-		end, _ := s.ended()
-		require.Equal(t, c.want, end.result.Outcome())
-		require.True(t, end.result.LocalFault || c.want == decide.Canceled, "no fault of the booking server")
-	}
-	require.Len(t, came, 1)
-}
-
-// A long request comes whole while its connection is still coming up, or settling: the booking server is told what is
-// left by then, and not the time that counts from a last byte which is long past.
-func TestTimeToldOfARequestThatCameWhole(t *testing.T) {
-	told := make(chan string, 1)
-	s := play(t, func(_ int, c *net.TCPConn) {
-		answerAll(c, func(r *http.Request) { told <- r.Header.Get("X-Time-Left-Ms") })
-	}, nil)
-	step := func(left time.Duration, comesWhole bool) (ms int) {
-		rest := flow.New(-1, memory.Grant{}, 0)
-		rest.End(io.EOF)
-		until := s.clock.now() + 15*time.Minute // it may come for so long
-		step := newAttempt(&request{Request: &protocol.Request{
-			Method: http.MethodPost, Target: "/rezervare",
-			CorrelationID: "000000000000000a", Class: "rezervare", TimeLeft: time.Minute, Length: -1, Rest: rest,
-		}},
-			core.Output{At: until, Deadline: until, After: time.Minute}, s.clock)
-		if comesWhole { // and so much of its time is left
-			until := s.clock.time(s.clock.now() + left)
-			step.reschedule(until, until)
-		}
-		s.booking.mail.put(step)
-		_, err := fmt.Sscan(<-told, &ms)
-		require.NoError(t, err)
-		s.ended()
-		return ms
-	}
-	require.Equal(t, 60_000, step(0, false))
-	require.LessOrEqual(t, step(30*time.Second, true), 30_000)
-}
-
-// A step whose client leaves, or whose operation is answered, while it is found out that its reused connection had
-// ended is not begun again on a new one, whichever of the two is told first.
-func TestNotBegunAgainForNobody(t *testing.T) {
-	s := play(t, func(int, *net.TCPConn) {}, nil)
-	for name, cross := range map[string]func(*attempt){
-		"before it is written":        func(r *attempt) { r.cancelIfUnsent(); r.mayWrite(); r.resetWritten() },
-		"as it is written":            func(r *attempt) { r.mayWrite(); r.cancelIfUnsent(); r.resetWritten() },
-		"as a new connection is made": func(r *attempt) { r.mayWrite(); r.resetWritten(); r.cancelIfUnsent() },
-	} {
-		step := s.step("000000000000000a")
-		cross(step)
-		require.Error(t, step.ctx.Err(), name)
-		require.False(t, step.mayWrite(), name)
-	}
-}
-
-// A booking server closes its idle connection once the next step has been given it: the step goes out on a new one,
-// and this is the first time that it is sent. That it has the connection is known by the step after it, which gets none.
-func TestReusedConnectionHadEnded(t *testing.T) {
-	came, end := make(chan string, 4), make(chan struct{})
-	s := play(t, func(n int, c *net.TCPConn) {
-		for in := bufio.NewReader(c); ; {
-			r, err := http.ReadRequest(in)
-			if err != nil {
-				return
-			}
-			came <- r.Header.Get("X-Correlation-Id")
-			_, _ = io.WriteString(c, answerOf(r.Header.Get("X-Correlation-Id")))
-			if n == 1 {
-				<-end
-				return
-			}
-		}
-	}, func(set *upstreamSettings) { set.reuseDelay = 2 * time.Minute })
-	for _, id := range []string{"000000000000000a", "000000000000000b", "000000000000000c"} {
-		s.booking.mail.put(s.step(id))
-		if id != "000000000000000b" {
-			_, body := s.ended()
-			require.Equal(t, id, body)
-			require.Equal(t, id, <-came)
-		}
-	}
-	close(end)
-	b, body := s.ended()
-	require.Equal(t, decide.Served, b.result.Outcome())
-	require.Equal(t, "000000000000000b", body)
-	require.False(t, b.result.Reused, "it went out on a new one")
-	require.Len(t, came, 1, "once")
-}
+// A connection is not written on before it has settled after its answer: of those that have, the one used last is
+// taken; else the one that settles first, and its step waits for that. One that would have stood too long by then is
+// not taken.
+func TestConnectionsSettle(t *testing.T) {
+	const ms = time.Millisecond
+	p := NewPool[string](here, NewIdleLimit(0, 10*time.Second), 25*ms) // 6 s are allowed
+	for range 4 {
+		p.Acquire(0)
+	}
+	for at, c := range []string{"a", "b", "c", "d"} {
+		p.Release(time.Duration(at)*10*ms, c, here, false)
+	}
+	take := func(now time.Duration, conn string, settles, stood time.Duration) Checkout[string] {
+		lease, closing := p.Acquire(now)
+		require.Empty(t, closing)
+		require.Equal(t, []any{conn, conn != "", settles, stood},
+			[]any{lease.Conn, lease.Reused, lease.WriteDelay, lease.IdleFor})
+		return lease
+	}
+	b := take(35*ms, "b", 0, 25*ms)
+	take(36*ms, "a", 0, 36*ms)
+	take(36*ms, "c", 9*ms, 25*ms)
+	d := take(36*ms, "d", 19*ms, 25*ms)
+	take(36*ms, "", 0, 0)
+
+	// What was not written on goes back as it was, however long that took.
+	require.Empty(t, p.ReturnUnused(d, false))
+	require.Empty(t, p.ReturnUnused(b, false))
+	d = take(60*ms, "d", 0, 30*ms)
+	require.Equal(t, []string{"d"}, p.ReturnUnused(d, true), "it has ended meanwhile")
+	b = take(61*ms, "b", 0, 51*ms)
+	require.Empty(t, p.ReturnUnused(b, false))
+	due, _ := p.NextExpiry()
+	require.Equal(t, 10*ms+6*time.Second, due)
+	b = take(62*ms, "b", 0, 52*ms)
+	p.StopReuse()
+	require.Equal(t, []string{"b"}, p.ReturnUnused(b, false))
+	p.SetAddress(here)
+
+	// A machine on the way that forgets connections sooner than they settle leaves none to be used again.
+	p = NewPool[string](here, limitOf(24*ms), 25*ms)
+	p.Acquire(0)
+	p.Release(0, "a", here, false)
+	lease, closing := p.Acquire(ms)
+	require.False(t, lease.Reused)
+	require.Equal(t, []string{"a"}, closing)
+}
+
+// limitOf is a limit that is known.
+type limitOf time.Duration
+
+func (l limitOf) Limit() time.Duration { return time.Duration(l) }
--- a/internal/core/day_test.go
+++ b/internal/routing/day_test.go
@@ -1,4 +1,4 @@
-package core
+package routing
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"sort"
 	"time"
 
-	"dunestep/decide"
+	"dunestep/internal/balancer"
 	"dunestep/internal/protocol"
 )
 
@@ -18,15 +18,15 @@
 	safe    = "consult"
 )
 
-func deployment() decide.Settings {
-	return decide.Settings{
+func deployment() balancer.Settings {
+	return balancer.Settings{
 		Balancers: 2, Zone: "a", Tick: 5 * time.Millisecond, DiscoveryOnDemand: true, ClientsMarkRetries: true,
-		Classes: []decide.Class{
+		Classes: []balancer.Class{
 			{Name: safe, LatencyObjective: wait, Deadline: 2500 * time.Millisecond, PriorityWeight: 1},
-			{Name: fragile, LatencyObjective: wait, Deadline: time.Second, Idempotency: decide.NotIdempotent, PriorityWeight: 2},
+			{Name: fragile, LatencyObjective: wait, Deadline: time.Second, Idempotency: balancer.NotIdempotent, PriorityWeight: 2},
 		},
-		Limits: decide.Limits{MaxAttempts: 3, Cancel: true, Gossip: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second},
-		Rules: decide.Rules{
+		Limits: balancer.Limits{MaxAttempts: 3, Cancel: true, Gossip: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second},
+		Rules: balancer.Rules{
 			DrainGrace: 3 * time.Second, MaxPollInterval: 10 * time.Second, SlowStartCapacity: 0.3,
 			SlowStartDuration: 9 * time.Second, OverloadMultiple: 3, OverloadWindow: 3 * time.Second,
 		},
@@ -43,7 +43,7 @@
 	ended  bool // the connection, by the time that the pool gets it back
 }
 
-func whole(o decide.Outcome) reaction {
+func whole(o balancer.Outcome) reaction {
 	return reaction{after: 10 * time.Millisecond, saw: AttemptResult{Phase: Responding, EndReason: Completed, Response: o}}
 }
 
@@ -56,12 +56,12 @@
 
 // ear is the module that ships, with what it was told of, and what a test has it say besides.
 type ear struct {
-	*decide.Balancer
+	*balancer.Balancer
 	heard []string
-	adds  func(decide.Event) []decide.Action
+	adds  func(balancer.Event) []balancer.Action
 }
 
-func (e *ear) Step(now time.Duration, ev decide.Event) []decide.Action {
+func (e *ear) Step(now time.Duration, ev balancer.Event) []balancer.Action {
 	e.heard = append(e.heard, fmt.Sprintf("%T%+v", ev, ev))
 	acts := e.Balancer.Step(now, ev)
 	if e.adds != nil {
@@ -110,41 +110,41 @@
 	until   time.Duration
 	sentOn  bool
 	ended   bool
-	outcome decide.Outcome
+	outcome balancer.Outcome
 
 	unwanted bool
 }
 
-func newDay(set decide.Settings, servers int) *day {
-	balancer, err := decide.New(Permitted(set), 7)
+func newDay(set balancer.Settings, servers int) *day {
+	decisions, err := balancer.New(Permitted(set), 7)
 	if err != nil {
 		panic(err)
 	}
-	module := &ear{Balancer: balancer}
+	module := &ear{Balancer: decisions}
 	d := &day{
 		now: epoch, module: module, router: NewRouter(set, module), limit: NewIdleLimit(epoch, 15*time.Second),
 		descriptors: NewDescriptors(1024), pools: map[string]*Pool[int]{}, steps: map[stepRef]*attempted{},
 		answers: map[uint32][]Output{}, gone: map[uint32]bool{}, until: map[uint32]time.Duration{},
 		forgot: map[uint32]int{}, open: map[int]bool{},
-		react: func(*attempted) reaction { return whole(decide.Served) },
+		react: func(*attempted) reaction { return whole(balancer.Served) },
 	}
-	d.list(decide.UpdateCached, servers, decide.Ready)
+	d.list(balancer.UpdateCached, servers, balancer.Ready)
 	return d
 }
 
 // list tells of the first n servers, all in one state.
-func (d *day) list(kind decide.UpdateKind, n int, state decide.ServerState) {
+func (d *day) list(kind balancer.UpdateKind, n int, state balancer.ServerState) {
 	var c protocol.EndpointList
 	for i := range n {
 		c.Endpoints = append(c.Endpoints, entry(i, state))
 	}
-	d.do(d.router.ListUpdated(d.now, kind, c, decide.WatchStatus{}))
+	d.do(d.router.ListUpdated(d.now, kind, c, balancer.WatchStatus{}))
 }
 
-func entry(i int, state decide.ServerState) protocol.Endpoint {
+func entry(i int, state balancer.ServerState) protocol.Endpoint {
 	return protocol.Endpoint{
 		Addr:   netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), uint16(1000+i)),
-		Server: decide.Server{ID: fmt.Sprint("s-", i), Zone: "a", MachineKind: "k", State: state, Weight: 1},
+		Server: balancer.Server{ID: fmt.Sprint("s-", i), Zone: "a", MachineKind: "k", State: state, Weight: 1},
 	}
 }
 
--- a/internal/core/descriptors.go
+++ b/internal/routing/descriptors.go
@@ -1,4 +1,4 @@
-package core
+package routing
 
 // reservedDescriptors are those that are no connection: standard streams, listeners, the poller, discovery.
 const reservedDescriptors = 32
--- a/internal/core/drain.go
+++ b/internal/routing/drain.go
@@ -1,9 +1,9 @@
-package core
+package routing
 
 import (
 	"time"
 
-	"dunestep/decide"
+	"dunestep/internal/balancer"
 )
 
 const (
@@ -35,7 +35,7 @@
 type ShutdownPlan struct{ arriving, closing, abandoning time.Duration }
 
 // NewShutdownPlan begins a drain that is over before the agent could be killed, by its classes' deadlines.
-func NewShutdownPlan(now time.Duration, classes []decide.Class) ShutdownPlan {
+func NewShutdownPlan(now time.Duration, classes []balancer.Class) ShutdownPlan {
 	var longest time.Duration
 	for _, c := range classes {
 		longest = max(longest, c.Deadline)
--- a/internal/core/ending.go
+++ b/internal/routing/ending.go
@@ -1,10 +1,10 @@
-package core
+package routing
 
 import (
 	"time"
 
-	"dunestep/decide"
-	"dunestep/health"
+	"dunestep/internal/balancer"
+	"dunestep/internal/balancer/outlier"
 	"dunestep/internal/protocol"
 )
 
@@ -68,8 +68,8 @@
 type AttemptResult struct {
 	Phase        AttemptPhase
 	EndReason    EndReason
-	Response     decide.Outcome // what an answer says that came whole and had not begun before
-	Streamed     bool           // the answer was being passed on as it came
+	Response     balancer.Outcome // what an answer says that came whole and had not begun before
+	Streamed     bool             // the answer was being passed on as it came
 	Progress     ResponseProgress
 	Latency      time.Duration // the time that the booking server took, or that it was given
 	Reused       bool          // else the connection was a new one
@@ -86,15 +86,15 @@
 }
 
 // Evidence is what the route step tells the module beyond its outcome.
-func (s AttemptResult) Evidence() health.Evidence {
-	phase := [...]health.Phase{
-		Connecting: health.PhaseConnecting, StaleConnection: health.PhaseConnecting, Writing: health.PhaseWriting,
-		AwaitingResponse: health.PhaseAwaiting, Responding: health.PhaseAnswering,
+func (s AttemptResult) Evidence() outlier.Evidence {
+	phase := [...]outlier.Phase{
+		Connecting: outlier.PhaseConnecting, StaleConnection: outlier.PhaseConnecting, Writing: outlier.PhaseWriting,
+		AwaitingResponse: outlier.PhaseAwaiting, Responding: outlier.PhaseAnswering,
 	}[s.Phase]
 	if s.EndReason == Completed { // a whole answer that says 500 is an error, not a spoilt answer
-		phase = health.PhaseAwaiting
+		phase = outlier.PhaseAwaiting
 	}
-	return health.Evidence{
+	return outlier.Evidence{
 		Phase: phase, ConnectionReused: s.Reused, IdleFor: s.IdleFor, ConnectionRefused: s.Refused, LocalShortage: s.LocalFault,
 		ActedLateBy: s.LocalDelay,
 	}
@@ -105,24 +105,24 @@
 
 // Outcome is what the module hears of the route step. Served is only what came whole and was taken whole. The
 // booking server is not blamed for what the client or this agent did, nor for time that the client took.
-func (s AttemptResult) Outcome() decide.Outcome {
+func (s AttemptResult) Outcome() balancer.Outcome {
 	switch {
 	case s.Phase <= Writing && s.EndReason == Canceled: // which says nothing of the booking server
-		return decide.Canceled
+		return balancer.Canceled
 	case s.Phase <= Writing:
-		return decide.ConnectFailed
+		return balancer.ConnectFailed
 	case s.EndReason == Completed && !s.Streamed:
 		return s.Response
 	case s.EndReason == Completed:
-		return decide.Served
+		return balancer.Served
 	case s.EndReason == BrokenByEndpoint:
-		return decide.ConnectionLost
+		return balancer.ConnectionLost
 	case s.EndReason == InvalidResponse:
-		return decide.ServerError
+		return balancer.ServerError
 	case s.EndReason == TimedOut && !s.Progress.Complete && s.Progress.Blocked <= s.Progress.Receiving:
-		return decide.TimedOut
+		return balancer.TimedOut
 	}
-	return decide.Canceled
+	return balancer.Canceled
 }
 
 // IdleEvidence is what the route step proves of connections that stood idle for so long, for IdleLimit.Record:
--- a/internal/core/parts_test.go
+++ b/internal/routing/parts_test.go
@@ -1,4 +1,4 @@
-package core
+package routing
 
 import (
 	"errors"
@@ -10,9 +10,9 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"dunestep/asking"
-	"dunestep/decide"
-	"dunestep/health"
+	"dunestep/internal/balancer"
+	"dunestep/internal/balancer/outlier"
+	"dunestep/internal/discovery/backoff"
 	"dunestep/internal/protocol"
 )
 
@@ -75,7 +75,7 @@
 		if s.lease.Reused && s.lease.IdleFor > forgets {
 			return broke(AwaitingResponse)
 		}
-		return whole(decide.Served)
+		return whole(balancer.Served)
 	}
 	lost := 0
 	for i := range 60 {
@@ -102,37 +102,37 @@
 	begins := func(call int, from int64, addr netip.AddrPort) ListOutput {
 		return ListOutput{Kind: StartCall, Call: call, Addr: addr, Request: protocol.ListRequest{Watch: true, FromVersion: from}}
 	}
-	failed := func(call error, end asking.CallResult, w decide.WatchStatus) []ListOutput {
+	failed := func(call error, end backoff.CallResult, w balancer.WatchStatus) []ListOutput {
 		w.End = end
-		return []ListOutput{{Kind: CallFailed, Err: call}, {Kind: ListUpdate, Update: decide.UpdateFailed, Watch: w}}
+		return []ListOutput{{Kind: CallFailed, Err: call}, {Kind: ListUpdate, Update: balancer.UpdateFailed, Watch: w}}
 	}
-	news := func(kind decide.UpdateKind, c protocol.EndpointList) ListOutput {
+	news := func(kind balancer.UpdateKind, c protocol.EndpointList) ListOutput {
 		return ListOutput{Kind: ListUpdate, Update: kind, List: c, DiscoveryList: c, Confirms: c.Version > 0}
 	}
 	none := protocol.EndpointList{}
-	takenUp := ListOutput{Kind: ListUpdate, Update: decide.UpdateIncremental, Watch: decide.WatchStatus{Opened: true}}
+	takenUp := ListOutput{Kind: ListUpdate, Update: balancer.UpdateIncremental, Watch: balancer.WatchStatus{Opened: true}}
 	ends := func(call int) ListOutput { return ListOutput{Kind: EndCall, Call: call} }
 	l := NewListTracker(here, protocol.EndpointList{Version: 41}, nil)
 	k := slices.Clone[[]ListOutput]
 	for i, c := range []struct{ got, want []ListOutput }{
 		{k(l.Watch()), []ListOutput{begins(1, 41, here)}},
 		{k(l.CallAccepted(1)), []ListOutput{takenUp}},
-		{k(l.CallIdle(1)), []ListOutput{{Kind: ListUpdate, Update: decide.UpdateIncremental, Confirms: true}}},
+		{k(l.CallIdle(1)), []ListOutput{{Kind: ListUpdate, Update: balancer.UpdateIncremental, Confirms: true}}},
 		{k(l.CallIdle(7)), nil},
-		{k(l.CallReceived(1, at(43, false))), []ListOutput{news(decide.UpdateIncremental, at(43, false))}},
-		{k(l.CallReceived(1, at(7, true))), []ListOutput{news(decide.UpdateFull, at(7, true))}},
-		{k(l.CallReceived(1, at(44, false))), []ListOutput{news(decide.UpdateIncremental, at(44, false))}},
+		{k(l.CallReceived(1, at(43, false))), []ListOutput{news(balancer.UpdateIncremental, at(43, false))}},
+		{k(l.CallReceived(1, at(7, true))), []ListOutput{news(balancer.UpdateFull, at(7, true))}},
+		{k(l.CallReceived(1, at(44, false))), []ListOutput{news(balancer.UpdateIncremental, at(44, false))}},
 		{k(l.Watch()), []ListOutput{ends(1), begins(2, 44, here)}},
 		{k(l.CallReceived(1, at(50, false))), nil}, // not waited for any more
 		{k(l.CallEnded(1, cut)), nil},
-		{k(l.CallEnded(2, cut)), failed(cut, asking.CallFailed, decide.WatchStatus{})},
+		{k(l.CallEnded(2, cut)), failed(cut, backoff.CallFailed, balancer.WatchStatus{})},
 		{k(l.Watch()), []ListOutput{ends(2), begins(3, 44, here)}},
 		{k(l.SetAddress(here)), nil},
 		{k(l.SetAddress(there)), []ListOutput{begins(4, 44, there)}},
-		{k(l.CallReceived(3, at(45, false))), []ListOutput{news(decide.UpdateIncremental, at(45, false))}}, // until the new one begins
-		{k(l.CallEnded(4, cut)), failed(cut, asking.AddressMoved, decide.WatchStatus{})},
-		{k(l.Watch()), []ListOutput{ends(4), begins(5, 45, there)}},                                        // the module tries again
-		{k(l.CallReceived(3, at(46, false))), []ListOutput{news(decide.UpdateIncremental, at(46, false))}}, // still
+		{k(l.CallReceived(3, at(45, false))), []ListOutput{news(balancer.UpdateIncremental, at(45, false))}}, // until the new one begins
+		{k(l.CallEnded(4, cut)), failed(cut, backoff.AddressMoved, balancer.WatchStatus{})},
+		{k(l.Watch()), []ListOutput{ends(4), begins(5, 45, there)}},                                          // the module tries again
+		{k(l.CallReceived(3, at(46, false))), []ListOutput{news(balancer.UpdateIncremental, at(46, false))}}, // still
 		{k(l.SetAddress(here)), []ListOutput{ends(3), begins(6, 46, here)}},
 		{k(l.SetAddress(there)), []ListOutput{ends(5), begins(7, 46, there)}},
 		{k(l.CallEnded(6, cut)), nil},
@@ -142,24 +142,24 @@
 		{k(l.CallReceived(8, at(12, false))), []ListOutput{{Kind: ListOutOfOrder, Version: 12, KnownVersion: 46}, ends(8)}},
 		{k(l.CallReceived(8, at(47, false))), nil}, // it would make the next watch ask for what comes after only
 		{k(l.CallIdle(8)), nil}, // what it would confirm is not known
-		{k(l.CallEnded(8, cut)), failed(cut, asking.Unreadable, decide.WatchStatus{})},
+		{k(l.CallEnded(8, cut)), failed(cut, backoff.Unreadable, balancer.WatchStatus{})},
 		{k(l.Watch()), []ListOutput{ends(8), begins(9, 0, here)}},
-		{k(l.CallReceived(9, at(45, true))), []ListOutput{news(decide.UpdateFull, at(45, true))}},
+		{k(l.CallReceived(9, at(45, true))), []ListOutput{news(balancer.UpdateFull, at(45, true))}},
 		{k(l.Fetch()), []ListOutput{{Kind: StartCall, Call: 10, Addr: here}}},
 		{k(l.CallAccepted(10)), nil},
-		{k(l.CallReceived(10, at(44, true))), []ListOutput{news(decide.UpdateIncremental, none)}}, // the watch has told more since
+		{k(l.CallReceived(10, at(44, true))), []ListOutput{news(balancer.UpdateIncremental, none)}}, // the watch has told more since
 		{k(l.CallEnded(10, nil)), nil},
 		{k(l.CallAccepted(9)), []ListOutput{takenUp}},
 		{k(l.SetAddress(there)), []ListOutput{begins(11, 45, there)}},
 		{k(l.CallEnded(9, mute)), []ListOutput{{
-			Kind: ListUpdate, Update: decide.UpdateFailed,
-			Watch: decide.WatchStatus{End: asking.WatchSilent, SilentFor: time.Second, Replaced: true},
+			Kind: ListUpdate, Update: balancer.UpdateFailed,
+			Watch: balancer.WatchStatus{End: backoff.WatchSilent, SilentFor: time.Second, Replaced: true},
 		}}}, // the clock runs from there on
 		{k(l.CallAccepted(11)), []ListOutput{takenUp}},
-		{k(l.CallEnded(11, mute)), failed(mute, asking.WatchSilent, decide.WatchStatus{SilentFor: time.Second})},
+		{k(l.CallEnded(11, mute)), failed(mute, backoff.WatchSilent, balancer.WatchStatus{SilentFor: time.Second})},
 		{k(l.Watch()), []ListOutput{ends(11), begins(12, 45, there)}},
 		{k(l.CallAccepted(12)), []ListOutput{takenUp}},
-		{k(l.CallEnded(12, cut)), failed(cut, asking.WatchLost, decide.WatchStatus{})},
+		{k(l.CallEnded(12, cut)), failed(cut, backoff.WatchLost, balancer.WatchStatus{})},
 		{k(l.CallIdle(12)), nil}, // it ended instead of telling
 	} {
 		require.ElementsMatch(t, c.want, c.got, i)
@@ -208,7 +208,7 @@
 		time.Hour: {750 * ms, 3400 * ms, 3550 * ms},
 		100 * ms:  {500 * ms, 500 * ms, 650 * ms},
 	} {
-		d, now := NewShutdownPlan(epoch, []decide.Class{{Deadline: deadline}, {Deadline: ms}}), epoch
+		d, now := NewShutdownPlan(epoch, []balancer.Class{{Deadline: deadline}, {Deadline: ms}}), epoch
 		for phase, end := range until {
 			if now < epoch+end { // else no time is left for it
 				got, next := d.PhaseAt(now)
@@ -230,36 +230,36 @@
 		p                 ResponseProgress
 		sent, left, quiet time.Duration
 		want              EndReason
-		outcome           decide.Outcome
+		outcome           balancer.Outcome
 	}{
 		{ResponseProgress{Length: 70000, Received: 1, Receiving: 200 * ms}, 200 * ms, ms, 999 * ms, NotEnded, 0},
 		{ResponseProgress{Length: 70000, Received: 1, Receiving: 200 * ms}, 200 * ms, -999 * ms, 2999 * ms, NotEnded, 0},
 		{ResponseProgress{Length: 70000, Received: 1, Receiving: 200 * ms}, 200 * ms, 1 * ms, 3001 * ms, NotEnded, 0},
-		{ResponseProgress{Length: 70000, Received: 1, Receiving: 200 * ms}, 200 * ms, 0, 3001 * ms, TimedOut, decide.TimedOut},
-		{ResponseProgress{Length: -1, Received: 70000, Receiving: 200 * ms}, 200 * ms, 0, 3001 * ms, TimedOut, decide.TimedOut},
+		{ResponseProgress{Length: 70000, Received: 1, Receiving: 200 * ms}, 200 * ms, 0, 3001 * ms, TimedOut, balancer.TimedOut},
+		{ResponseProgress{Length: -1, Received: 70000, Receiving: 200 * ms}, 200 * ms, 0, 3001 * ms, TimedOut, balancer.TimedOut},
 		{ResponseProgress{Length: -1, Received: 70000, Receiving: 200 * ms}, 200 * ms, -999 * ms, 2999 * ms, NotEnded, 0},
 		// A short one is of use in its time alone, and lost to its client half a second later.
 		{ResponseProgress{Length: 1000, Received: 1, Receiving: 200 * ms}, 200 * ms, ms, 999 * ms, NotEnded, 0},
 		{ResponseProgress{Length: 1000, Received: 1, Receiving: 200 * ms}, 200 * ms, 0, 200 * ms, NotEnded, 0},
-		{ResponseProgress{Length: 1000, Received: 1, Receiving: 200 * ms}, 200 * ms, 0, 201 * ms, TimedOut, decide.TimedOut},
+		{ResponseProgress{Length: 1000, Received: 1, Receiving: 200 * ms}, 200 * ms, 0, 201 * ms, TimedOut, balancer.TimedOut},
 		{ResponseProgress{Length: 65536, Received: 1, Receiving: 200 * ms}, 200 * ms, -400 * ms, 0, NotEnded, 0},
-		{ResponseProgress{Length: 65536, Received: 1, Receiving: 200 * ms}, 200 * ms, -401 * ms, 0, TimedOut, decide.TimedOut},
+		{ResponseProgress{Length: 65536, Received: 1, Receiving: 200 * ms}, 200 * ms, -401 * ms, 0, TimedOut, balancer.TimedOut},
 		// One whose length was not told may turn out to be long: what its server still gives is not cut off.
 		{ResponseProgress{Length: -1, Received: 1000, Receiving: 200 * ms}, 200 * ms, -401 * ms, 2999 * ms, NotEnded, 0},
-		{ResponseProgress{Length: -1, Received: 1000, Receiving: 200 * ms}, 200 * ms, -401 * ms, 3001 * ms, TimedOut, decide.TimedOut},
+		{ResponseProgress{Length: -1, Received: 1000, Receiving: 200 * ms}, 200 * ms, -401 * ms, 3001 * ms, TimedOut, balancer.TimedOut},
 		{ResponseProgress{Length: 1000, Received: 1, Receiving: 200 * ms, Stream: true}, 200 * ms, -999 * ms, 2999 * ms, NotEnded, 0},
-		{ResponseProgress{Length: 1000, Received: 1, Receiving: 200 * ms, Stream: true}, 200 * ms, 0, 3001 * ms, TimedOut, decide.TimedOut},
-		{ResponseProgress{Length: -1, Received: 1, Receiving: time.Hour}, time.Hour, -maxLongOverrun - 1, 0, TimedOut, decide.TimedOut},
+		{ResponseProgress{Length: 1000, Received: 1, Receiving: 200 * ms, Stream: true}, 200 * ms, 0, 3001 * ms, TimedOut, balancer.TimedOut},
+		{ResponseProgress{Length: -1, Received: 1, Receiving: time.Hour}, time.Hour, -maxLongOverrun - 1, 0, TimedOut, balancer.TimedOut},
 		{
 			ResponseProgress{Length: 1000, Received: 1, Receiving: 99 * ms, Blocked: 100 * ms},
 			999 * ms, 0, 3001 * ms, TimedOut,
-			decide.Canceled,
+			balancer.Canceled,
 		},
 		{ResponseProgress{Complete: true}, 99 * ms, -time.Hour, 0, NotEnded, 0},
 		{ResponseProgress{Length: -1, Received: 1, Blocked: 300 * ms}, 500 * ms, ms, 0, NotEnded, 0}, // 200 of its own and 100 more
-		{ResponseProgress{Length: -1, Received: 1, Blocked: 301 * ms}, 500 * ms, ms, 0, ClientTooSlow, decide.Canceled},
+		{ResponseProgress{Length: -1, Received: 1, Blocked: 301 * ms}, 500 * ms, ms, 0, ClientTooSlow, balancer.Canceled},
 		{ResponseProgress{Length: -1, Received: 9000, Blocked: 500 * ms}, 501 * ms, ms, 0, NotEnded, 0}, // it takes a fair number
-		{ResponseProgress{Length: -1, Received: 1, Blocked: 300 * ms, DelayBefore: ms}, 500 * ms, ms, 0, ClientTooSlow, decide.Canceled},
+		{ResponseProgress{Length: -1, Received: 1, Blocked: 300 * ms, DelayBefore: ms}, 500 * ms, ms, 0, ClientTooSlow, balancer.Canceled},
 		{ResponseProgress{Complete: true, Blocked: 900 * ms}, 500 * ms, ms, 0, NotEnded, 0},
 	} {
 		why := c.p.CheckLimits(c.sent, c.left, c.quiet, 100*ms)
@@ -268,16 +268,16 @@
 			require.Equal(t, c.outcome, AttemptResult{Phase: Responding, EndReason: why, Streamed: true, Progress: c.p}.Outcome(), i)
 		}
 	}
-	require.Equal(t, decide.Canceled, AttemptResult{Phase: AwaitingResponse, EndReason: TimedOut, Progress: ResponseProgress{Complete: true}}.Outcome())
-	for saw, phase := range map[AttemptResult]health.Phase{
-		{EndReason: TimedOut}:                         health.PhaseConnecting,
-		{Phase: Writing, EndReason: BrokenByEndpoint}: health.PhaseWriting, {Phase: AwaitingResponse, EndReason: TimedOut}: health.PhaseAwaiting,
-		{Phase: Responding, EndReason: Completed, Response: decide.ServerError}: health.PhaseAwaiting, // a whole 500 is not spoilt
-		{Phase: Responding, EndReason: InvalidResponse}:                         health.PhaseAnswering,
-		{Phase: Responding, EndReason: BrokenByEndpoint}:                        health.PhaseAnswering,
+	require.Equal(t, balancer.Canceled, AttemptResult{Phase: AwaitingResponse, EndReason: TimedOut, Progress: ResponseProgress{Complete: true}}.Outcome())
+	for saw, phase := range map[AttemptResult]outlier.Phase{
+		{EndReason: TimedOut}:                         outlier.PhaseConnecting,
+		{Phase: Writing, EndReason: BrokenByEndpoint}: outlier.PhaseWriting, {Phase: AwaitingResponse, EndReason: TimedOut}: outlier.PhaseAwaiting,
+		{Phase: Responding, EndReason: Completed, Response: balancer.ServerError}: outlier.PhaseAwaiting, // a whole 500 is not spoilt
+		{Phase: Responding, EndReason: InvalidResponse}:                           outlier.PhaseAnswering,
+		{Phase: Responding, EndReason: BrokenByEndpoint}:                          outlier.PhaseAnswering,
 	} {
 		saw.Reused, saw.IdleFor, saw.Refused, saw.LocalFault, saw.LocalDelay = true, 1, true, true, 2
-		require.Equal(t, health.Evidence{Phase: phase, ConnectionReused: true, IdleFor: 1, ConnectionRefused: true, LocalShortage: true, ActedLateBy: 2},
+		require.Equal(t, outlier.Evidence{Phase: phase, ConnectionReused: true, IdleFor: 1, ConnectionRefused: true, LocalShortage: true, ActedLateBy: 2},
 			saw.Evidence())
 	}
 	_, lost, counts := AttemptResult{Phase: Responding, EndReason: BrokenByEndpoint, Streamed: true}.IdleEvidence()
--- a/internal/core/pool.go
+++ b/internal/routing/pool.go
@@ -1,4 +1,4 @@
-package core
+package routing
 
 import (
 	"cmp"
--- a/internal/core/roster.go
+++ b/internal/routing/roster.go
@@ -1,9 +1,9 @@
-package core
+package routing
 
 import (
 	"time"
 
-	"dunestep/decide"
+	"dunestep/internal/balancer"
 	"dunestep/internal/protocol"
 )
 
@@ -21,32 +21,32 @@
 // the clock; zero: nobody knows.
 func NewSavedList(saved protocol.EndpointList, confirmed time.Duration) *SavedList {
 	r := &SavedList{servers: map[string]protocol.Endpoint{}, confirmed: confirmed}
-	r.Update(0, decide.UpdateCached, saved, false)
+	r.Update(0, balancer.UpdateCached, saved, false)
 	return r
 }
 
 // Update takes news of the list in. Confirms: by them discovery has said what the list is, and it will say what
 // changes. It returns those servers that turn out to be others than the list of the start had under their
 // names, by address or start: what was learned before the start is not of them.
-func (r *SavedList) Update(now time.Duration, kind decide.UpdateKind, config protocol.EndpointList,
+func (r *SavedList) Update(now time.Duration, kind balancer.UpdateKind, config protocol.EndpointList,
 	confirms bool,
 ) (replaced []string) {
 	if confirms || r.live {
 		r.confirmed = now
 	}
-	r.live = confirms || r.live && kind != decide.UpdateFailed
-	if kind == decide.UpdateFailed {
+	r.live = confirms || r.live && kind != balancer.UpdateFailed
+	if kind == balancer.UpdateFailed {
 		return nil
 	}
 	old := r.servers
-	if kind != decide.UpdateIncremental {
+	if kind != balancer.UpdateIncremental {
 		r.servers = make(map[string]protocol.Endpoint, len(config.Endpoints))
 	}
 	if config.Full {
 		r.version = config.Version
 	}
 	r.version = max(r.version, config.Version)
-	if len(config.Endpoints) > 0 || kind != decide.UpdateIncremental {
+	if len(config.Endpoints) > 0 || kind != balancer.UpdateIncremental {
 		r.sorted = nil
 	}
 	for _, s := range config.Endpoints {
@@ -54,7 +54,7 @@
 		if known && !r.told && (before.StartedAt != s.StartedAt || s.Addr.IsValid() && before.Addr != s.Addr) {
 			replaced = append(replaced, s.ID)
 		}
-		if s.State == decide.Gone {
+		if s.State == balancer.Gone {
 			delete(r.servers, s.ID)
 			continue
 		}
--- a/internal/core/router.go
+++ b/internal/routing/router.go
@@ -1,13 +1,13 @@
-package core
+package routing
 
 import (
 	"slices"
 	"time"
 
-	"dunestep/decide"
-	"dunestep/health"
+	"dunestep/internal/balancer"
+	"dunestep/internal/balancer/outlier"
+	"dunestep/internal/control/policy"
 	"dunestep/internal/protocol"
-	"dunestep/policy"
 )
 
 // ResponseMargin is taken off the client's time, so that the final answer is there before the client leaves.
@@ -16,31 +16,31 @@
 // maxBodyTime bounds how long an operation may be coming; that it gets on is the front socket's to see.
 const maxBodyTime = 15 * time.Minute
 
-// Module makes the decisions: decide.Balancer, or a test's.
+// Module makes the decisions: balancer.Balancer, or a test's.
 type Module interface {
-	Step(now time.Duration, ev decide.Event) []decide.Action
+	Step(now time.Duration, ev balancer.Event) []balancer.Action
 }
 
-// agreeing is a Module that takes over what the fleet has agreed on: storm.Controller.
+// agreeing is a Module that takes over what the fleet has agreed on: overload.Controller.
 type fleetPolicyUser interface {
-	ApplyFleetPolicy(quota []float64, classes []decide.RetryPolicy, inVain float64)
+	ApplyFleetPolicy(quota []float64, classes []balancer.RetryPolicy, inVain float64)
 }
 
-// avoiding is a Module that keeps tenants' keys off servers, and tells how tenants fared: storm.Controller.
+// avoiding is a Module that keeps tenants' keys off servers, and tells how tenants fared: overload.Controller.
 type exclusionUser interface {
-	SetExclusions(a *decide.Exclusions)
-	TenantStats() []decide.TenantStats
+	SetExclusions(a *balancer.Exclusions)
+	TenantStats() []balancer.TenantStats
 }
 
-// placing is a Module that goes by an agreed generation of the ring: storm.Controller.
+// placing is a Module that goes by an agreed generation of the ring: overload.Controller.
 type ringAssignmentUser interface {
-	SetRingAssignment(p *decide.RingAssignment)
+	SetRingAssignment(p *balancer.RingAssignment)
 }
 
 // Permitted takes from a deployment's settings what cannot be had here: booking servers may not be probed,
 // and there is no form for it; and discovery tells nothing unless it is called, also where it is said to push
 // lists. The module is built with what is left.
-func Permitted(set decide.Settings) decide.Settings {
+func Permitted(set balancer.Settings) balancer.Settings {
 	set.Limits.Probes = false
 	set.DiscoveryOnDemand = true
 	return set
@@ -51,9 +51,9 @@
 // to be done, in order, valid until the next input.
 type Router struct {
 	module         Module
-	maxAttempts    int                     // attempts at an operation
-	sendsToRemoved bool                    // a server that has left may still be sent to
-	classes        map[string]decide.Class // those of the settings
+	maxAttempts    int                       // attempts at an operation
+	sendsToRemoved bool                      // a server that has left may still be sent to
+	classes        map[string]balancer.Class // those of the settings
 
 	requests       map[uint32]*requestState
 	correlationIDs map[string]uint32 // of the operations by their ids on the socket
@@ -66,8 +66,8 @@
 	reusable   []*requestState // forgotten ones, to be used again
 
 	// Used again for each event: the module keeps none.
-	arrival     decide.Request
-	attemptDone decide.AttemptDone
+	arrival     balancer.Request
+	attemptDone balancer.AttemptDone
 }
 
 // operation is an operation that the module knows.
@@ -99,16 +99,16 @@
 
 // standing is what the list says of a booking server that is sent to, or may be.
 type endpointState struct {
-	state decide.ServerState
+	state balancer.ServerState
 	open  bool // it has an actor
 }
 
 // NewRouter returns a Router that knows no servers yet: the known list is told by ListUpdated, as SyncSaved. The
 // module was built with the same settings.
-func NewRouter(set decide.Settings, module Module) *Router {
+func NewRouter(set balancer.Settings, module Module) *Router {
 	r := &Router{
 		module: module, maxAttempts: max(set.Limits.MaxAttempts, 1), sendsToRemoved: set.Rules.GoneUsable,
-		classes: map[string]decide.Class{}, requests: map[uint32]*requestState{}, correlationIDs: map[string]uint32{},
+		classes: map[string]balancer.Class{}, requests: map[uint32]*requestState{}, correlationIDs: map[string]uint32{},
 		endpoints: map[string]*endpointState{},
 	}
 	for _, c := range set.Classes {
@@ -139,7 +139,7 @@
 		r.reject(o, protocol.Rejected, busyText)
 	default:
 		r.correlationIDs[op.CorrelationID] = o.id
-		r.arrival = decide.Request{
+		r.arrival = balancer.Request{
 			ID: o.id, WorkHint: op.WorkHint, Key: op.Key, Tenant: op.Tenant, Class: op.Class,
 			ClientTimeout: max(min(o.deadline-now, op.TimeLeft), 0), ClientRetry: op.IsRetry,
 		}
@@ -205,7 +205,7 @@
 	}
 	o.streamingAttempt = attempt + 1
 	r.respond(o, Output{Result: protocol.Served, Attempt: attempt, Streaming: true})
-	r.decide(now, &decide.StreamStarted{ID: id, Attempt: attempt})
+	r.decide(now, &balancer.StreamStarted{ID: id, Attempt: attempt})
 	return r.out
 }
 
@@ -221,16 +221,16 @@
 	return r.out
 }
 
-func (r *Router) attemptOver(now time.Duration, o *requestState, attempt int, outcome decide.Outcome,
-	latency time.Duration, known health.Evidence,
+func (r *Router) attemptOver(now time.Duration, o *requestState, attempt int, outcome balancer.Outcome,
+	latency time.Duration, known outlier.Evidence,
 ) {
-	r.attemptDone = decide.AttemptDone{
+	r.attemptDone = balancer.AttemptDone{
 		ID: o.id, Attempt: attempt, Server: o.attempts[attempt].server, Outcome: outcome,
 		Latency: latency, Evidence: known,
 	}
 	o.openAttempts--
 	switch {
-	case outcome == decide.Served && !o.answered:
+	case outcome == balancer.Served && !o.answered:
 		r.respond(o, Output{Result: protocol.Served, Attempt: attempt})
 	case o.bodyConsumed && outcome.Unprocessed() && !o.answered && o.openAttempts == 0: // no other step is possible
 		r.respond(o, Output{Result: protocol.Rejected, Text: busyText})
@@ -263,7 +263,7 @@
 		o.answered = true
 		r.cancelUnsent(o)
 		r.forgetIfDone(o)
-		r.decide(now, &decide.ClientGone{ID: id})
+		r.decide(now, &balancer.ClientGone{ID: id})
 	}
 	return r.out
 }
@@ -283,14 +283,14 @@
 // TimerDue takes in that a timer is due.
 func (r *Router) TimerDue(now time.Duration, tag uint64) []Output {
 	r.out = r.out[:0]
-	r.decide(now, &decide.TimerDue{Tag: tag})
+	r.decide(now, &balancer.TimerDue{Tag: tag})
 	return r.out
 }
 
 // DatagramReceived takes another agent's datagram in.
 func (r *Router) DatagramReceived(now time.Duration, d protocol.Datagram) []Output {
 	r.out = r.out[:0]
-	r.decide(now, &decide.PeerMessage{From: d.Agent, Data: d.Data})
+	r.decide(now, &balancer.PeerMessage{From: d.Agent, Data: d.Data})
 	return r.out
 }
 
@@ -334,16 +334,16 @@
 	if e == nil {
 		e = &policy.Effect{}
 	}
-	classes := make([]decide.RetryPolicy, 0, len(e.Classes))
+	classes := make([]balancer.RetryPolicy, 0, len(e.Classes))
 	for _, c := range e.Classes {
-		classes = append(classes, decide.RetryPolicy{MaxAttempts: c.MaxAttempts, Hedging: c.Hedging, MinAttemptInterval: c.MinAttemptInterval})
+		classes = append(classes, balancer.RetryPolicy{MaxAttempts: c.MaxAttempts, Hedging: c.Hedging, MinAttemptInterval: c.MinAttemptInterval})
 	}
 	module.ApplyFleetPolicy(e.Quota, classes, e.MaxFailedRatio)
 }
 
 // SetExclusions has the module keep tenants' keys off servers, from the next input on; nil: off none. A module
 // without such a thing passes it over.
-func (r *Router) SetExclusions(a *decide.Exclusions) {
+func (r *Router) SetExclusions(a *balancer.Exclusions) {
 	if module, can := r.module.(exclusionUser); can {
 		module.SetExclusions(a)
 	}
@@ -351,14 +351,14 @@
 
 // SetRingAssignment has the module go by an agreed generation of the ring, from the next input on; nil: by its own list
 // alone. A module without such a thing passes it over.
-func (r *Router) SetRingAssignment(p *decide.RingAssignment) {
+func (r *Router) SetRingAssignment(p *balancer.RingAssignment) {
 	if module, can := r.module.(ringAssignmentUser); can {
 		module.SetRingAssignment(p)
 	}
 }
 
 // TenantStats tells how the tenants' requests have fared; nil where the module doesn't know.
-func (r *Router) TenantStats() []decide.TenantStats {
+func (r *Router) TenantStats() []balancer.TenantStats {
 	if module, can := r.module.(exclusionUser); can {
 		return module.TenantStats()
 	}
@@ -367,43 +367,43 @@
 
 // step is the only place that has the module act. Buckets that could not be started end right after the actions
 // that asked for them, before any other input.
-func (r *Router) decide(now time.Duration, ev decide.Event) {
+func (r *Router) decide(now time.Duration, ev balancer.Event) {
 	for _, act := range r.module.Step(now, ev) {
 		r.carryOut(now, act)
 	}
 	for len(r.notStarted) > 0 {
 		s := r.notStarted[0]
 		r.notStarted = slices.Delete(r.notStarted, 0, 1)
-		r.attemptOver(now, s.operation, s.attempt, decide.NotSent, 0, health.Evidence{})
+		r.attemptOver(now, s.operation, s.attempt, balancer.NotSent, 0, outlier.Evidence{})
 	}
 }
 
-func (r *Router) carryOut(now time.Duration, act decide.Action) {
+func (r *Router) carryOut(now time.Duration, act balancer.Action) {
 	switch act.Kind {
-	case decide.Send:
+	case balancer.Send:
 		r.startAttempt(now, act)
-	case decide.Fail:
+	case balancer.Fail:
 		r.respondOnce(act.ID, Output{Result: protocol.Failed, Text: failedText})
-	case decide.Reject:
+	case balancer.Reject:
 		r.respondOnce(act.ID, Output{
 			Result: protocol.Rejected, After: act.After, OverQuota: act.OverQuota,
 			Quota: act.Quota, Text: busyText,
 		})
-	case decide.Cancel:
+	case balancer.Cancel:
 		if o := r.runningAttempt(act.ID, act.Attempt); o != nil {
 			r.cancel(o, act.Attempt, Canceled)
 		}
-	case decide.SetTimer:
+	case balancer.SetTimer:
 		r.emit(Output{Kind: SetTimer, At: now + act.After, Tag: act.Tag})
-	case decide.SendToPeer:
+	case balancer.SendToPeer:
 		r.emit(Output{Kind: SendDatagram, Peer: act.Peer, Data: act.Data})
-	case decide.Subscribe:
+	case balancer.Subscribe:
 		r.emit(Output{Kind: WatchList})
-	case decide.Fetch:
+	case balancer.Fetch:
 		r.emit(Output{Kind: FetchList})
-	case decide.Log:
+	case balancer.Log:
 		r.emit(Output{Kind: LogDecision, Text: act.Text})
-	case decide.Probe:
+	case balancer.Probe:
 		r.emit(Output{Kind: UnsupportedProbe, Endpoint: act.Server})
 	}
 }
@@ -448,7 +448,7 @@
 }
 
 // send starts a route step, where that is still of use.
-func (r *Router) startAttempt(now time.Duration, act decide.Action) {
+func (r *Router) startAttempt(now time.Duration, act balancer.Action) {
 	o := r.requests[act.ID]
 	if o == nil {
 		return
--- a/internal/core/router_test.go
+++ b/internal/routing/router_test.go
@@ -1,4 +1,4 @@
-package core
+package routing
 
 import (
 	"fmt"
@@ -10,9 +10,9 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"dunestep/decide"
-	"dunestep/internal/flow"
-	"dunestep/internal/memory"
+	"dunestep/internal/balancer"
+	"dunestep/internal/bodystream"
+	"dunestep/internal/bytebudget"
 	"dunestep/internal/protocol"
 )
 
@@ -41,16 +41,16 @@
 	abandoned := false
 	var dice uint64
 	if astray {
-		d.module.adds = func(ev decide.Event) []decide.Action {
-			if _, ended := ev.(*decide.AttemptDone); ended {
+		d.module.adds = func(ev balancer.Event) []balancer.Action {
+			if _, ended := ev.(*balancer.AttemptDone); ended {
 				return nil
 			}
-			var acts []decide.Action
+			var acts []balancer.Action
 			for range 4 {
 				dice = dice*6364136223846793005 + 1442695040888963407
 				n := int(dice >> 33)
-				acts = append(acts, decide.Action{
-					Kind: decide.ActionKind(max(n%7-2, 0)), ID: d.router.lastID - uint32(n/7%3),
+				acts = append(acts, balancer.Action{
+					Kind: balancer.ActionKind(max(n%7-2, 0)), ID: d.router.lastID - uint32(n/7%3),
 					Attempt: n / 21 % 4, Server: fmt.Sprint("s-", n/84%5),
 					After: time.Duration(n/420%2000-500) * time.Millisecond,
 				})
@@ -75,23 +75,23 @@
 		}
 		if r.saw.Phase > Responding {
 			r.saw.Phase, r.saw.EndReason = Responding, Completed
-			r.saw.Response = []decide.Outcome{decide.Served, decide.Rejected, decide.ServerError}[n/11%3]
+			r.saw.Response = []balancer.Outcome{balancer.Served, balancer.Rejected, balancer.ServerError}[n/11%3]
 		}
 		if !s.lease.Reused && n/19%3 == 0 {
 			r.waits = time.Duration(n / 23 % 500 * int(time.Millisecond))
 		}
-		if r.saw.Phase == Responding && r.saw.Response == decide.Served {
+		if r.saw.Phase == Responding && r.saw.Response == balancer.Served {
 			r.begins = r.after * time.Duration(n/13%2) / 2
 		}
 		return r
 	}
-	state := func(i int, s decide.ServerState) {
+	state := func(i int, s balancer.ServerState) {
 		e := entry(i%5, s)
 		e.Addr = netip.AddrPortFrom(e.Addr.Addr(), e.Addr.Port()+uint16(i>>7)) // it moves
-		if delete(told, e.ID); s != decide.Ready && !(stays && s == decide.Gone) {
+		if delete(told, e.ID); s != balancer.Ready && !(stays && s == balancer.Gone) {
 			told[e.ID] = d.now
 		}
-		d.do(d.router.ListUpdated(d.now, decide.UpdateIncremental, protocol.EndpointList{Endpoints: []protocol.Endpoint{e}}, decide.WatchStatus{}))
+		d.do(d.router.ListUpdated(d.now, balancer.UpdateIncremental, protocol.EndpointList{Endpoints: []protocol.Endpoint{e}}, balancer.WatchStatus{}))
 	}
 	for i, n := range script {
 		dice ^= n
@@ -105,18 +105,18 @@
 		case 4, 5:
 			d.leave(last[uint32(arg>>3)])
 		case 6:
-			state(arg, decide.Ready)
+			state(arg, balancer.Ready)
 		case 7:
-			state(arg, decide.ServerState(arg>>4%3))
+			state(arg, balancer.ServerState(arg>>4%3))
 		case 8:
 			told = map[string]time.Duration{"s-2": d.now, "s-3": d.now, "s-4": d.now}
-			d.list(decide.UpdateFull, 2, decide.Ready)
+			d.list(balancer.UpdateFull, 2, balancer.Ready)
 		case 9:
 			d.do(d.router.ReleaseIdle())
 		case 10:
 			d.do(d.router.DatagramReceived(d.now, protocol.Datagram{Agent: arg % 4, Data: make([]byte, arg%7)}))
 		case 11:
-			d.do(d.router.ListUpdated(d.now, decide.UpdateFailed, protocol.EndpointList{}, decide.WatchStatus{}))
+			d.do(d.router.ListUpdated(d.now, balancer.UpdateFailed, protocol.EndpointList{}, balancer.WatchStatus{}))
 		case 12:
 			if i > len(script)/2 {
 				abandoned = true
@@ -126,7 +126,7 @@
 			if s := d.steps[stepRef{uint32(arg), arg%4 - 1}]; s != nil {
 				s.unwanted = true // the router takes it for over
 			}
-			d.do(d.router.AttemptEnded(d.now, uint32(arg), arg%4-1, whole(decide.Served).saw))
+			d.do(d.router.AttemptEnded(d.now, uint32(arg), arg%4-1, whole(balancer.Served).saw))
 		case 14:
 			if p := d.pools[fmt.Sprint("s-", arg%4)]; p != nil && len(p.idle) > 0 {
 				d.close(p.ConnectionEnded(p.idle[arg%len(p.idle)].conn))
@@ -165,16 +165,16 @@
 	for name, c := range map[string]struct {
 		first    reaction
 		neverRan bool
-		becomes  decide.Outcome
+		becomes  balancer.Outcome
 	}{
-		"served":          {whole(decide.Served), false, decide.Served},
-		"error":           {whole(decide.ServerError), false, decide.ServerError},
-		"turned away":     {whole(decide.Rejected), true, decide.Rejected},
-		"no connection":   {broke(Connecting), true, decide.ConnectFailed},
-		"not written":     {broke(Writing), true, decide.ConnectFailed},
-		"no answer begun": {broke(AwaitingResponse), false, decide.ConnectionLost},
-		"cut":             {broke(Responding), false, decide.ConnectionLost},
-		"spoilt":          {reaction{saw: AttemptResult{Phase: Responding, EndReason: InvalidResponse}}, false, decide.ServerError},
+		"served":          {whole(balancer.Served), false, balancer.Served},
+		"error":           {whole(balancer.ServerError), false, balancer.ServerError},
+		"turned away":     {whole(balancer.Rejected), true, balancer.Rejected},
+		"no connection":   {broke(Connecting), true, balancer.ConnectFailed},
+		"not written":     {broke(Writing), true, balancer.ConnectFailed},
+		"no answer begun": {broke(AwaitingResponse), false, balancer.ConnectionLost},
+		"cut":             {broke(Responding), false, balancer.ConnectionLost},
+		"spoilt":          {reaction{saw: AttemptResult{Phase: Responding, EndReason: InvalidResponse}}, false, balancer.ServerError},
 	} {
 		d := newDay(deployment(), 3)
 		for _, class := range []string{safe, fragile} {
@@ -184,10 +184,10 @@
 					first = false
 					return c.first
 				}
-				return whole(decide.Served)
+				return whole(balancer.Served)
 			}
 			want, steps := protocol.Served, 2
-			if c.becomes == decide.Served {
+			if c.becomes == balancer.Served {
 				steps = 1
 			} else if class == fragile && !c.neverRan {
 				want, steps = protocol.Failed, 1
@@ -219,7 +219,7 @@
 		}
 		at = append(at, d.now-epoch)
 		require.Len(t, d.sent, 1)
-		require.Equal(t, decide.TimedOut, d.sent[0].outcome)
+		require.Equal(t, balancer.TimedOut, d.sent[0].outcome)
 		require.Equal(t, c.kind, d.answers[id][0].Result)
 		require.Equal(t, c.kind == protocol.Rejected, d.answers[id][0].After > 0)
 	}
@@ -243,9 +243,9 @@
 	require.Equal(t, 1, d.subs)
 	kind, _ := d.ask(safe)
 	require.Equal(t, protocol.Rejected, kind)
-	d.list(decide.UpdateIncremental, 1, decide.Ready)
+	d.list(balancer.UpdateIncremental, 1, balancer.Ready)
 	require.True(t, d.router.HasReadyEndpoint())
-	d.list(decide.UpdateIncremental, 1, decide.Draining)
+	d.list(balancer.UpdateIncremental, 1, balancer.Draining)
 	require.False(t, d.router.HasReadyEndpoint())
 	require.Empty(t, d.broken)
 }
@@ -279,12 +279,12 @@
 	for _, c := range []struct {
 		ends func(*day, uint32)
 		end  EndReason
-		want decide.Outcome
+		want balancer.Outcome
 	}{
-		{func(*day, uint32) {}, Completed, decide.Served},
-		{func(*day, uint32) {}, BrokenByEndpoint, decide.ConnectionLost},
-		{(*day).leave, Completed, decide.Canceled},
-		{func(d *day, _ uint32) { d.do(d.router.FailAll()) }, Completed, decide.Canceled},
+		{func(*day, uint32) {}, Completed, balancer.Served},
+		{func(*day, uint32) {}, BrokenByEndpoint, balancer.ConnectionLost},
+		{(*day).leave, Completed, balancer.Canceled},
+		{func(d *day, _ uint32) { d.do(d.router.FailAll()) }, Completed, balancer.Canceled},
 	} {
 		d := newDay(deployment(), 2)
 		d.react = func(*attempted) reaction {
@@ -317,7 +317,7 @@
 	for _, class := range []string{safe, fragile} {
 		d := newDay(deployment(), 2)
 		d.react = func(*attempted) reaction {
-			r := whole(decide.Served)
+			r := whole(balancer.Served)
 			r.waits = 300 * time.Millisecond
 			return r
 		}
@@ -326,7 +326,7 @@
 		d.leave(n)
 		d.run(time.Second)
 		require.Len(t, d.sent, 1)
-		require.Equal(t, decide.Canceled, d.sent[0].outcome)
+		require.Equal(t, balancer.Canceled, d.sent[0].outcome)
 		require.False(t, d.sent[0].sentOn && !d.sent[0].ended)
 		d.finished()
 		require.Empty(t, d.broken)
@@ -338,7 +338,7 @@
 func BenchmarkOperation(b *testing.B) {
 	d := newDay(deployment(), 0)
 	d.router = NewRouter(deployment(), d.module.Balancer) // nobody listens
-	d.list(decide.UpdateCached, 13, decide.Ready)
+	d.list(balancer.UpdateCached, 13, balancer.Ready)
 	op := &protocol.Request{
 		CorrelationID: "9b1f03aa5c7e2d41", Class: safe, Key: "7f3a9c21e0b4d655",
 		TimeLeft: 900 * time.Millisecond,
@@ -374,7 +374,7 @@
 	arrive := func(id string) (uint32, Output) {
 		op := &protocol.Request{
 			CorrelationID: id, Class: fragile, Length: -1, TimeLeft: 900 * time.Millisecond,
-			Rest: flow.New(-1, memory.Grant{}, 0),
+			Rest: bodystream.New(-1, bytebudget.Grant{}, 0),
 		}
 		n, out := d.router.RequestArrived(d.now, op, d.now)
 		starts := kinds(out, StartAttempt)
@@ -391,7 +391,7 @@
 	require.Equal(t, []time.Duration{d.now + 900*time.Millisecond - ResponseMargin, d.now + min(start.After, 895*time.Millisecond)},
 		[]time.Duration{retimed[0].Deadline, retimed[0].At})
 	require.Empty(t, d.router.BodyComplete(d.now, n), "once")
-	out := d.router.AttemptEnded(d.now, n, 0, AttemptResult{Phase: Responding, EndReason: Completed, Response: decide.Served})
+	out := d.router.AttemptEnded(d.now, n, 0, AttemptResult{Phase: Responding, EndReason: Completed, Response: balancer.Served})
 	require.Equal(t, protocol.Served, kinds(out, Respond)[0].Result)
 
 	n, _ = arrive("b")
--- a/internal/core/standing.go
+++ b/internal/routing/standing.go
@@ -1,4 +1,4 @@
-package core
+package routing
 
 import (
 	"cmp"
@@ -6,31 +6,31 @@
 	"slices"
 	"time"
 
-	"dunestep/decide"
+	"dunestep/internal/balancer"
 	"dunestep/internal/protocol"
 )
 
 // ListUpdated takes news of the booking servers in, brings their actors in line and tells the module. Where the
-// kind is decide.UpdateFailed or nothing has changed, the config is empty.
-func (r *Router) ListUpdated(now time.Duration, kind decide.UpdateKind, config protocol.EndpointList,
-	word decide.WatchStatus,
+// kind is balancer.UpdateFailed or nothing has changed, the config is empty.
+func (r *Router) ListUpdated(now time.Duration, kind balancer.UpdateKind, config protocol.EndpointList,
+	word balancer.WatchStatus,
 ) []Output {
 	r.out = r.out[:0]
 	listed := make(map[string]bool, len(config.Endpoints))
-	servers := make([]decide.Server, 0, len(config.Endpoints))
+	servers := make([]balancer.Server, 0, len(config.Endpoints))
 	for _, s := range config.Endpoints {
 		listed[s.ID] = true
 		servers = append(servers, s.Server)
 		r.updateEndpoint(s)
 	}
-	if kind == decide.UpdateFull || kind == decide.UpdateCached {
+	if kind == balancer.UpdateFull || kind == balancer.UpdateCached {
 		for _, id := range sorted(r.endpoints) {
-			if !listed[id] && r.endpoints[id].state != decide.Gone {
-				r.updateEndpoint(protocol.Endpoint{Server: decide.Server{ID: id, State: decide.Gone}})
+			if !listed[id] && r.endpoints[id].state != balancer.Gone {
+				r.updateEndpoint(protocol.Endpoint{Server: balancer.Server{ID: id, State: balancer.Gone}})
 			}
 		}
 	}
-	r.decide(now, &decide.ServerListUpdate{Kind: kind, Servers: servers, Watch: word})
+	r.decide(now, &balancer.ServerListUpdate{Kind: kind, Servers: servers, Watch: word})
 	return r.out
 }
 
@@ -38,9 +38,9 @@
 func (r *Router) updateEndpoint(s protocol.Endpoint) {
 	known := r.endpoints[s.ID]
 	switch {
-	case s.State == decide.Gone && known == nil:
+	case s.State == balancer.Gone && known == nil:
 		return
-	case s.State == decide.Gone && !(r.sendsToRemoved && known.open):
+	case s.State == balancer.Gone && !(r.sendsToRemoved && known.open):
 		delete(r.endpoints, s.ID)
 		if known.open {
 			r.emit(Output{Kind: RemoveEndpoint, Endpoint: s.ID})
@@ -52,14 +52,14 @@
 	}
 	known.state = s.State
 	switch {
-	case s.State == decide.Gone || !s.Addr.IsValid(): // it only drains, or has left: the address stays
+	case s.State == balancer.Gone || !s.Addr.IsValid(): // it only drains, or has left: the address stays
 	case known.open:
 		r.emit(Output{Kind: SetEndpointAddress, Endpoint: s.ID, Addr: s.Addr})
 	default:
 		known.open = true
 		r.emit(Output{Kind: OpenEndpoint, Endpoint: s.ID, Addr: s.Addr})
 	}
-	if known.open && s.State == decide.Draining { // nothing new goes there
+	if known.open && s.State == balancer.Draining { // nothing new goes there
 		r.emit(Output{Kind: DrainEndpoint, Endpoint: s.ID})
 	}
 }
@@ -67,7 +67,7 @@
 // HasReadyEndpoint tells whether a booking server is known that takes operations.
 func (r *Router) HasReadyEndpoint() bool {
 	for _, s := range r.endpoints {
-		if s.state == decide.Ready {
+		if s.state == balancer.Ready {
 			return true
 		}
 	}
--- a/fleet/arena/arena.go
+++ b/internal/simnet/arena.go
@@ -1,17 +1,17 @@
-// Package arena plays processes of agents in virtual time, with a network between each pair that fails on
+// Package simnet plays processes of agents in virtual time, with a network between each pair that fails on
 // purpose, one direction at a time, and processes that are paused, killed and started again.
 //
 // A process is anything that has Process's four methods: a voter with its pieces, or a whole agent. The arena
 // has one clock, from which each agent's may be off; nothing in it depends on the machine. The same seed and
 // calls give the same run.
-package arena
+package simnet
 
 import (
 	"math/rand/v2"
 	"slices"
 	"time"
 
-	"dunestep/internal/agenda"
+	"dunestep/internal/eventqueue"
 )
 
 // Datagram is one to be sent.
@@ -62,9 +62,9 @@
 	now         time.Time
 	start       func(agent uint32, now time.Time) Process
 	agents      []agent
-	defaultLink Link                  // of all directions, as long as none is another one
-	links       []Link                // nil: all are usual
-	events      agenda.Agenda[func()] // by the time since the beginning
+	defaultLink Link                      // of all directions, as long as none is another one
+	links       []Link                    // nil: all are usual
+	events      eventqueue.Agenda[func()] // by the time since the beginning
 	serial      uint64
 	traffic     Traffic
 }
@@ -180,7 +180,7 @@
 // At has something done at a time, or now if that is past.
 func (w *Cluster) At(at time.Time, do func()) {
 	w.serial++
-	w.events.Add(agenda.Item[func()]{At: at.Sub(w.begin), Order: w.serial, Do: do})
+	w.events.Add(eventqueue.Item[func()]{At: at.Sub(w.begin), Order: w.serial, Do: do})
 }
 
 // Call calls a process from outside (as a client does), unless it is killed or paused, and says whether it did.
--- a/fleet/arena/arena_test.go
+++ b/internal/simnet/arena_test.go
@@ -1,4 +1,4 @@
-package arena
+package simnet
 
 import (
 	"testing"
--- a/fleet/lossy/lossy.go
+++ b/internal/simnet/lossy/lossy.go
@@ -8,7 +8,7 @@
 	"math/rand/v2"
 	"time"
 
-	"dunestep/internal/agenda"
+	"dunestep/internal/eventqueue"
 )
 
 // Faults are those of every way.
@@ -30,7 +30,7 @@
 
 	rng       *rand.Rand
 	now       time.Duration
-	queue     agenda.Agenda[event]
+	queue     eventqueue.Agenda[event]
 	lastOrder uint64
 	cut       []bool          // by from and to
 	paused    []time.Duration // until when
@@ -75,7 +75,7 @@
 
 func (w *Network) add(at time.Duration, node int, do func()) {
 	w.lastOrder++
-	w.queue.Add(agenda.Item[event]{At: max(at, w.now), Order: w.lastOrder, Do: event{node, do}})
+	w.queue.Add(eventqueue.Item[event]{At: max(at, w.now), Order: w.lastOrder, Do: event{node, do}})
 }
 
 // Send puts a message on its way.
--- a/internal/standin/program/config.go
+++ b/internal/standin/program/config.go
@@ -6,7 +6,7 @@
 	"net/netip"
 	"time"
 
-	"dunestep/decide"
+	"dunestep/internal/balancer"
 	"dunestep/internal/protocol"
 )
 
@@ -18,7 +18,7 @@
 	var classes, tenants []Object
 	for _, c := range s.Classes {
 		effect := "fragile"
-		if c.Idempotency == decide.Idempotent {
+		if c.Idempotency == balancer.Idempotent {
 			effect = "retryable"
 		}
 		classes = append(classes, Object{
@@ -54,8 +54,8 @@
 	}
 }
 
-var stateWords = map[decide.ServerState]string{
-	decide.Ready: "active", decide.Draining: "leaving", decide.Gone: "left",
+var stateWords = map[balancer.ServerState]string{
+	balancer.Ready: "active", balancer.Draining: "leaving", balancer.Gone: "left",
 }
 
 // ListObject writes discovery's object. Where tells at which address an agent finds a booking server, since
--- a/internal/state/beginning.go
+++ b/internal/state/beginning.go
@@ -4,10 +4,10 @@
 	"net/netip"
 	"time"
 
-	"dunestep/decide"
-	"dunestep/internal/core"
+	"dunestep/internal/balancer"
+	"dunestep/internal/overload"
 	"dunestep/internal/protocol"
-	"dunestep/storm"
+	"dunestep/internal/routing"
 )
 
 // Initial is what an agent starts from.
@@ -20,9 +20,9 @@
 	ConfirmedAt time.Duration
 	ListAge     time.Duration
 	// Balancer, Overload and IdleConnections are what was learned, taken so long ago; nil: nothing.
-	Balancer        *decide.Snapshot
-	Overload        *storm.Snapshot
-	IdleConnections *core.IdleSnapshot
+	Balancer        *balancer.Snapshot
+	Overload        *overload.Snapshot
+	IdleConnections *routing.IdleSnapshot
 	Age             time.Duration
 }
 
@@ -55,7 +55,7 @@
 }
 
 // keepSameServers leaves out of a module's memory the servers that are not the same in both lists.
-func keepSameServers(m *decide.Snapshot, kept, now protocol.EndpointList) *decide.Snapshot {
+func keepSameServers(m *balancer.Snapshot, kept, now protocol.EndpointList) *balancer.Snapshot {
 	if m == nil {
 		return nil
 	}
--- a/internal/state/beginning_test.go
+++ b/internal/state/beginning_test.go
@@ -9,17 +9,17 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/decide"
-	"dunestep/internal/core"
+	"dunestep/internal/balancer"
+	"dunestep/internal/overload"
 	"dunestep/internal/protocol"
-	"dunestep/storm"
+	"dunestep/internal/routing"
 )
 
 // config is a list whose servers are written as id, port and start.
 func config(version int64, servers ...[3]int) protocol.EndpointList {
 	c := protocol.EndpointList{Version: version, Full: true}
 	for _, s := range servers {
-		c.Endpoints = append(c.Endpoints, protocol.Endpoint{Server: decide.Server{
+		c.Endpoints = append(c.Endpoints, protocol.Endpoint{Server: balancer.Server{
 			ID: fmt.Sprintf("s-%d", s[0]), Weight: 1,
 			StartedAt: time.Duration(s[2]),
 		}, Addr: netip.MustParseAddrPort(fmt.Sprintf("10.0.0.1:%d", s[1]))})
@@ -34,8 +34,8 @@
 	f := &File{
 		Header: Header{WrittenMS: now.Add(-time.Minute).UnixMilli()},
 		Content: Content{
-			List: NewStoredList(kept, now.Add(-2*time.Minute).UnixMilli()), IdleConnections: &core.IdleSnapshot{},
-			Balancer: &decide.Snapshot{Servers: []decide.ServerSnapshot{{ID: "s-1"}, {ID: "s-2"}, {ID: "s-3", StartedAt: 7}}},
+			List: NewStoredList(kept, now.Add(-2*time.Minute).UnixMilli()), IdleConnections: &routing.IdleSnapshot{},
+			Balancer: &balancer.Snapshot{Servers: []balancer.ServerSnapshot{{ID: "s-1"}, {ID: "s-2"}, {ID: "s-3", StartedAt: 7}}},
 		},
 	}
 	for name, c := range map[string]struct {
@@ -81,16 +81,17 @@
 // spy is a module that notes what it is told.
 type spy struct{ told []string }
 
-func (s *spy) Snapshot(time.Duration) decide.Snapshot { return decide.Snapshot{SendRate: 7} }
-func (s *spy) Restore(time.Duration, decide.Snapshot, time.Duration) {
+func (s *spy) Snapshot(time.Duration) balancer.Snapshot { return balancer.Snapshot{SendRate: 7} }
+func (s *spy) Restore(time.Duration, balancer.Snapshot, time.Duration) {
 	s.told = append(s.told, "recall")
 }
 
 // spyGate is a gate that notes what it takes back.
 type spyGate struct{ age time.Duration }
 
-func (g *spyGate) Snapshot(time.Duration) storm.Snapshot { return storm.Snapshot{InFlight: 5} }
-func (g *spyGate) Restore(_ time.Duration, m storm.Snapshot, age time.Duration) {
+func (g *spyGate) Snapshot(time.Duration) overload.Snapshot { return overload.Snapshot{InFlight: 5} }
+
+func (g *spyGate) Restore(_ time.Duration, m overload.Snapshot, age time.Duration) {
 	g.age = age + time.Duration(m.InFlight)
 }
 
@@ -101,24 +102,24 @@
 // Until discovery confirms the list, what it tells may show that a server is another one than was known; after
 // that nothing more comes of it. What is kept is the list as it is by then, and when it was last confirmed.
 func TestSession(t *testing.T) {
-	m, gate, idle := &spy{}, &spyGate{}, core.NewIdleLimit(0, 10*time.Second)
+	m, gate, idle := &spy{}, &spyGate{}, routing.NewIdleLimit(0, 10*time.Second)
 	s := NewRecorder(Initial{
-		List: config(41, [3]int{1, 9001}, [3]int{2, 9002}, [3]int{3, 9003}), Balancer: &decide.Snapshot{},
-		Overload: &storm.Snapshot{InFlight: 7}, Age: time.Minute, ConfirmedAt: 5 * time.Millisecond, ListAge: 30 * time.Second,
+		List: config(41, [3]int{1, 9001}, [3]int{2, 9002}, [3]int{3, 9003}), Balancer: &balancer.Snapshot{},
+		Overload: &overload.Snapshot{InFlight: 7}, Age: time.Minute, ConfirmedAt: 5 * time.Millisecond, ListAge: 30 * time.Second,
 	},
 		m, gate, idle, ProbationSettings{Enabled: true, FullDeploy: time.Minute})
 	s.RestoreLearned(time.Second)
 	require.Equal(t, time.Minute+7, gate.age)
-	require.False(t, s.ListUpdated(2*time.Second, decide.UpdateFailed, protocol.EndpointList{}, false))
-	require.False(t, s.ListUpdated(3*time.Second, decide.UpdateIncremental, protocol.EndpointList{}, false)) // a call has begun
+	require.False(t, s.ListUpdated(2*time.Second, balancer.UpdateFailed, protocol.EndpointList{}, false))
+	require.False(t, s.ListUpdated(3*time.Second, balancer.UpdateIncremental, protocol.EndpointList{}, false)) // a call has begun
 	require.Equal(t, int64(5), s.Snapshot(4*time.Second).Content().List.ConfirmedMS)
 	news := config(43, [3]int{1, 9009}, [3]int{2, 9002, 6}, [3]int{4, 9001})
 	news.Full = false
-	left := protocol.Endpoint{Server: decide.Server{ID: "s-3", State: decide.Gone}}
+	left := protocol.Endpoint{Server: balancer.Server{ID: "s-3", State: balancer.Gone}}
 	news.Endpoints = append(news.Endpoints, left)
-	require.True(t, s.ListUpdated(5*time.Second, decide.UpdateIncremental, news, true))
+	require.True(t, s.ListUpdated(5*time.Second, balancer.UpdateIncremental, news, true))
 	require.Equal(t, []string{"recall", "doubt 0.5", "disown s-1", "disown s-2", "confirm"}, m.told)
-	require.False(t, s.ListUpdated(6*time.Second, decide.UpdateFull, config(44, [3]int{1, 9010}), true))
+	require.False(t, s.ListUpdated(6*time.Second, balancer.UpdateFull, config(44, [3]int{1, 9010}), true))
 	require.Len(t, m.told, 5)
 
 	c := s.Snapshot(9 * time.Second).Content()
@@ -130,13 +131,13 @@
 		ids = append(ids, s.ID+" "+s.Addr)
 	}
 	require.Equal(t, []string{"s-1 10.0.0.1:9010"}, slices.Compact(ids), "the last list was a whole one")
-	s.ListUpdated(10*time.Second, decide.UpdateFailed, protocol.EndpointList{}, false)
+	s.ListUpdated(10*time.Second, balancer.UpdateFailed, protocol.EndpointList{}, false)
 	require.Equal(t, int64(10000), s.Snapshot(20*time.Second).Content().List.ConfirmedMS)
 }
 
 // The limit on idle connections that was learned is there again, and fades as it would have.
 func TestIdleIsTakenBack(t *testing.T) {
-	l := core.NewIdleLimit(0, 15*time.Second)
+	l := routing.NewIdleLimit(0, 15*time.Second)
 	for range 20 {
 		l.Record(time.Second, 100*time.Millisecond, false)
 		l.Record(time.Second, 2*time.Second, true)
@@ -148,7 +149,7 @@
 		0: learned, 20 * time.Second: learned,
 		10 * time.Minute: 9 * time.Second, -time.Second: 9 * time.Second,
 	} {
-		again := core.NewIdleLimit(time.Hour, 15*time.Second)
+		again := routing.NewIdleLimit(time.Hour, 15*time.Second)
 		again.Restore(m, age)
 		require.Equal(t, want, again.Limit(), age)
 	}
@@ -161,15 +162,15 @@
 		servers = append(servers, [3]int{i, 9000 + i})
 	}
 	list := config(1, servers...)
-	set := decide.Settings{Tick: time.Millisecond, Classes: []decide.Class{{Deadline: time.Second}}}
-	module, _ := decide.New(set, 1)
-	news := &decide.ServerListUpdate{Kind: decide.UpdateFull}
+	set := balancer.Settings{Tick: time.Millisecond, Classes: []balancer.Class{{Deadline: time.Second}}}
+	module, _ := balancer.New(set, 1)
+	news := &balancer.ServerListUpdate{Kind: balancer.UpdateFull}
 	for _, s := range list.Endpoints {
 		news.Servers = append(news.Servers, s.Server)
 	}
-	gate, _ := storm.New(set, storm.Config{}, module, 1)
+	gate, _ := overload.New(set, overload.Config{}, module, 1)
 	gate.Step(time.Hour, news)
-	s := NewRecorder(Initial{List: list}, module, gate, core.NewIdleLimit(0, time.Second), ProbationSettings{})
+	s := NewRecorder(Initial{List: list}, module, gate, routing.NewIdleLimit(0, time.Second), ProbationSettings{})
 	for b.Loop() {
 		s.Snapshot(time.Hour)
 	}
--- a/internal/state/content.go
+++ b/internal/state/content.go
@@ -11,18 +11,18 @@
 	"net/netip"
 	"time"
 
-	"dunestep/decide"
-	"dunestep/internal/core"
+	"dunestep/internal/balancer"
+	"dunestep/internal/overload"
 	"dunestep/internal/protocol"
-	"dunestep/storm"
+	"dunestep/internal/routing"
 )
 
 // Content is what is kept. A part that is not there is nil.
 type Content struct {
-	List            *StoredList        `json:"list,omitempty"`
-	Balancer        *decide.Snapshot   `json:"module,omitempty"`
-	IdleConnections *core.IdleSnapshot `json:"idle,omitempty"`
-	Overload        *storm.Snapshot    `json:"storm,omitempty"`
+	List            *StoredList           `json:"list,omitempty"`
+	Balancer        *balancer.Snapshot    `json:"module,omitempty"`
+	IdleConnections *routing.IdleSnapshot `json:"idle,omitempty"`
+	Overload        *overload.Snapshot    `json:"storm,omitempty"`
 }
 
 // StoredList is discovery's list as it was last had.
@@ -35,14 +35,14 @@
 
 // StoredEndpoint is an entry of the list.
 type StoredEndpoint struct {
-	ID        string             `cbor:"1,keyasint" json:"id"`
-	Addr      string             `cbor:"2,keyasint,omitempty" json:"addr"`
-	Zone      string             `cbor:"3,keyasint,omitempty" json:"zone"`
-	Kind      string             `cbor:"4,keyasint,omitempty" json:"kind"`
-	Cell      int                `cbor:"5,keyasint,omitempty" json:"cell"`
-	State     decide.ServerState `cbor:"6,keyasint,omitempty" json:"state"`
-	Weight    float64            `cbor:"7,keyasint,omitempty" json:"weight"`
-	StartedAt time.Duration      `cbor:"8,keyasint,omitempty" json:"started_ns"` // Unix time; zero: long ago
+	ID        string               `cbor:"1,keyasint" json:"id"`
+	Addr      string               `cbor:"2,keyasint,omitempty" json:"addr"`
+	Zone      string               `cbor:"3,keyasint,omitempty" json:"zone"`
+	Kind      string               `cbor:"4,keyasint,omitempty" json:"kind"`
+	Cell      int                  `cbor:"5,keyasint,omitempty" json:"cell"`
+	State     balancer.ServerState `cbor:"6,keyasint,omitempty" json:"state"`
+	Weight    float64              `cbor:"7,keyasint,omitempty" json:"weight"`
+	StartedAt time.Duration        `cbor:"8,keyasint,omitempty" json:"started_ns"` // Unix time; zero: long ago
 }
 
 // NewStoredList returns a pool config in the form that is kept.
@@ -66,14 +66,14 @@
 func (l *StoredList) EndpointList() (protocol.EndpointList, error) {
 	c := protocol.EndpointList{Version: l.Version, Full: true}
 	for _, s := range l.Endpoints {
-		entry := protocol.Endpoint{Server: decide.Server{
+		entry := protocol.Endpoint{Server: balancer.Server{
 			ID: s.ID, Zone: s.Zone, MachineKind: s.Kind, Cell: s.Cell,
 			State: s.State, Weight: s.Weight, StartedAt: s.StartedAt,
 		}}
 		addr, err := netip.ParseAddrPort(s.Addr)
 		switch {
-		case s.ID == "" || s.State > decide.Draining || !(s.Weight >= 0) || s.StartedAt < 0,
-			s.State == decide.Ready && (err != nil || addr.Port() == 0):
+		case s.ID == "" || s.State > balancer.Draining || !(s.Weight >= 0) || s.StartedAt < 0,
+			s.State == balancer.Ready && (err != nil || addr.Port() == 0):
 			return protocol.EndpointList{}, fmt.Errorf("state: no list has such a server: %q at %q", s.ID, s.Addr)
 		}
 		entry.Addr = addr
--- a/internal/state/format_test.go
+++ b/internal/state/format_test.go
@@ -12,11 +12,11 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/stretchr/testify/require"
 
-	"dunestep/decide"
-	"dunestep/health"
-	"dunestep/internal/core"
+	"dunestep/internal/balancer"
+	"dunestep/internal/balancer/outlier"
+	"dunestep/internal/overload"
 	"dunestep/internal/protocol"
-	"dunestep/storm"
+	"dunestep/internal/routing"
 )
 
 var owner = Owner{Deployment: "d", Agent: "n0"}
@@ -24,20 +24,20 @@
 // sample is a file as an agent that knows n servers writes it.
 func sample(n int) *File {
 	config := protocol.EndpointList{Version: 41, Full: true}
-	m := decide.Snapshot{MeanLatency: 0.0517342, SendRate: 43.1234}
+	m := balancer.Snapshot{MeanLatency: 0.0517342, SendRate: 43.1234}
 	for i := range n {
-		s := decide.Server{
+		s := balancer.Server{
 			ID: fmt.Sprintf("s-%08x", i*2654435761), Zone: "buc-pipera", MachineKind: "rapid", Cell: i / 4,
-			Weight: 1.25, StartedAt: time.Duration(1_760_000_000_000+i) * time.Millisecond, State: decide.ServerState(i % 2),
+			Weight: 1.25, StartedAt: time.Duration(1_760_000_000_000+i) * time.Millisecond, State: balancer.ServerState(i % 2),
 		}
 		config.Endpoints = append(config.Endpoints, protocol.Endpoint{
 			Server: s,
 			Addr:   netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(i >> 8), byte(i)}), 9000),
 		})
-		m.Servers = append(m.Servers, decide.ServerSnapshot{
+		m.Servers = append(m.Servers, balancer.ServerSnapshot{
 			ID: s.ID, StartedAt: s.StartedAt, Latency: 0.01 * float64(i+1) / 3,
 			LatencyInFlight: 3.3 / float64(i+1), SampledAgo: time.Duration(i+1) * 1234567, FlapPenalty: 0.7123 / float64(i+1),
-			Outlier: health.Snapshot{
+			Outlier: outlier.Snapshot{
 				Ends: 12.345, Ejected: i%5 == 0, Silent: true, ProbesRequired: 1,
 				Reason: "6 of 6 unanswered, usual 2%", EndsByCause: make([]float64, 9),
 			},
@@ -47,8 +47,8 @@
 		Format: currentFormat, Header: Header{Owner: owner, WrittenMS: 1_796_115_624_558, Generation: 7},
 		Content: Content{
 			List: NewStoredList(config, 1_796_115_624_000), Balancer: &m,
-			IdleConnections: &core.IdleSnapshot{Buckets: []core.IdleBucket{{Index: 3, Used: 1.5, Lost: 0.25}}, SinceDecay: time.Second},
-			Overload: &storm.Snapshot{Kinds: []storm.KindSnapshot{{Name: "rapid", Steps: []storm.ServiceTimeSnapshot{{
+			IdleConnections: &routing.IdleSnapshot{Buckets: []routing.IdleBucket{{Index: 3, Used: 1.5, Lost: 0.25}}, SinceDecay: time.Second},
+			Overload: &overload.Snapshot{Kinds: []overload.KindSnapshot{{Name: "rapid", Steps: []overload.ServiceTimeSnapshot{{
 				Step: 3, LogSeconds: -2.5,
 				Samples: 70,
 			}}}}, InFlight: 1.5, Servers: 13, NoSheddingFor: time.Second},
@@ -152,10 +152,10 @@
 		header := begin + int(binary.BigEndian.Uint16(raw[10:]))
 		f.Add(uint8(version), raw[begin:header], raw[header:len(raw)-checksumBytes])
 	}
-	set := decide.Settings{
-		Tick: time.Millisecond, Balancers: 3, Classes: []decide.Class{{Name: "consult", Deadline: time.Second}},
-		Tenants: []decide.Tenant{{Name: "acme", QuotaPerSecond: 10}}, Limits: decide.Limits{MaxAttempts: 2},
-		Rules: decide.Rules{SlowStartDuration: time.Second, OverloadWindow: time.Second, OverloadMultiple: 3},
+	set := balancer.Settings{
+		Tick: time.Millisecond, Balancers: 3, Classes: []balancer.Class{{Name: "consult", Deadline: time.Second}},
+		Tenants: []balancer.Tenant{{Name: "acme", QuotaPerSecond: 10}}, Limits: balancer.Limits{MaxAttempts: 2},
+		Rules: balancer.Rules{SlowStartDuration: time.Second, OverloadWindow: time.Second, OverloadMultiple: 3},
 	}
 	f.Fuzz(func(t *testing.T, version uint8, header, content []byte) {
 		file, err := Decode(framed(int(version), header, content))
@@ -166,18 +166,18 @@
 			t.Fatal(err)
 		}
 		now := time.Duration(time.Now().UnixNano())
-		b, _ := decide.New(set, 1)
-		gate, _ := storm.New(set, storm.Config{}, b, 1)
+		b, _ := balancer.New(set, 1)
+		gate, _ := overload.New(set, overload.Config{}, b, 1)
 		if file.List != nil {
 			config, err := file.List.EndpointList()
 			if err != nil {
 				return
 			}
-			var servers []decide.Server
+			var servers []balancer.Server
 			for _, s := range config.Endpoints {
 				servers = append(servers, s.Server)
 			}
-			gate.Step(now, &decide.ServerListUpdate{Kind: decide.UpdateCached, Servers: servers})
+			gate.Step(now, &balancer.ServerListUpdate{Kind: balancer.UpdateCached, Servers: servers})
 		}
 		if file.Balancer != nil {
 			b.Restore(now, *file.Balancer, file.Age(time.Now()))
@@ -186,7 +186,7 @@
 			gate.Restore(now, *file.Overload, file.Age(time.Now()))
 		}
 		if file.IdleConnections != nil {
-			l := core.NewIdleLimit(now, 15*time.Second)
+			l := routing.NewIdleLimit(now, 15*time.Second)
 			l.Restore(*file.IdleConnections, file.Age(time.Now()))
 			if l.Limit() < 0 || l.Limit() > 15*time.Second {
 				t.Fatal(l.Limit())
@@ -194,13 +194,13 @@
 		}
 		for id := range uint32(20) {
 			now += 100 * time.Millisecond
-			for _, a := range gate.Step(now, &decide.Request{ID: id, Class: "consult", Key: "k", ClientTimeout: time.Second}) {
-				if a.Kind == decide.Send {
-					gate.Step(now, &decide.AttemptDone{ID: id, Server: a.Server, Outcome: decide.Served, Latency: 1e6, RequestDone: true})
+			for _, a := range gate.Step(now, &balancer.Request{ID: id, Class: "consult", Key: "k", ClientTimeout: time.Second}) {
+				if a.Kind == balancer.Send {
+					gate.Step(now, &balancer.AttemptDone{ID: id, Server: a.Server, Outcome: balancer.Served, Latency: 1e6, RequestDone: true})
 					break
 				}
 			}
-			b.Step(now, &decide.TimerDue{})
+			b.Step(now, &balancer.TimerDue{})
 		}
 		b.Snapshot(now)
 	})
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -10,9 +10,9 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/decide"
-	"dunestep/internal/core"
-	"dunestep/storm"
+	"dunestep/internal/balancer"
+	"dunestep/internal/overload"
+	"dunestep/internal/routing"
 )
 
 var updateGolden = flag.Bool("update", false, "write the golden files anew")
@@ -73,7 +73,7 @@
 	if *updateGolden {
 		n := 0
 		f := sample(3)
-		f.Balancer, f.IdleConnections, f.Overload = &decide.Snapshot{}, &core.IdleSnapshot{}, &storm.Snapshot{}
+		f.Balancer, f.IdleConnections, f.Overload = &balancer.Snapshot{}, &routing.IdleSnapshot{}, &overload.Snapshot{}
 		fillDistinct(reflect.ValueOf(f.Balancer).Elem(), &n)
 		fillDistinct(reflect.ValueOf(f.IdleConnections).Elem(), &n)
 		fillDistinct(reflect.ValueOf(f.Overload).Elem(), &n)
--- a/internal/state/sections.go
+++ b/internal/state/sections.go
@@ -6,8 +6,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"dunestep/decide"
-	"dunestep/storm"
+	"dunestep/internal/balancer"
+	"dunestep/internal/overload"
 )
 
 // The versions of the sections that this package itself gives a meaning.
@@ -35,8 +35,8 @@
 // encode lays out the content.
 func (c *Content) encodeSections() ([]byte, error) {
 	var all sections
-	err := errors.Join(encodeSection(&all.List, listVersion, c.List), encodeSection(&all.Balancer, decide.SnapshotVersion, c.Balancer),
-		encodeSection(&all.IdleConnections, idleVersion, c.IdleConnections), encodeSection(&all.Overload, storm.SnapshotVersion, c.Overload))
+	err := errors.Join(encodeSection(&all.List, listVersion, c.List), encodeSection(&all.Balancer, balancer.SnapshotVersion, c.Balancer),
+		encodeSection(&all.IdleConnections, idleVersion, c.IdleConnections), encodeSection(&all.Overload, overload.SnapshotVersion, c.Overload))
 	if err != nil {
 		return nil, err
 	}
@@ -59,9 +59,9 @@
 		return err
 	}
 	return errors.Join(decodeSection(f, "list", all.List, listVersion, &f.List),
-		decodeSection(f, "module", all.Balancer, decide.SnapshotVersion, &f.Balancer, (*decide.Snapshot).MigrateFromVersion1),
+		decodeSection(f, "module", all.Balancer, balancer.SnapshotVersion, &f.Balancer, (*balancer.Snapshot).MigrateFromVersion1),
 		decodeSection(f, "idle", all.IdleConnections, idleVersion, &f.IdleConnections),
-		decodeSection(f, "storm", all.Overload, storm.SnapshotVersion, &f.Overload))
+		decodeSection(f, "storm", all.Overload, overload.SnapshotVersion, &f.Overload))
 }
 
 // take reads a section. What an earlier version left is turned into the present one by the steps from version
@@ -88,8 +88,8 @@
 // decode1 reads the content of format 1, which had the first versions of these two parts.
 func (f *File) decodeFormat1(raw []byte) error {
 	var c struct {
-		List   *StoredList      `cbor:"1,keyasint,omitempty"`
-		Module *decide.Snapshot `cbor:"2,keyasint,omitempty"`
+		List   *StoredList        `cbor:"1,keyasint,omitempty"`
+		Module *balancer.Snapshot `cbor:"2,keyasint,omitempty"`
 	}
 	err := decoding.Unmarshal(raw, &c)
 	if f.List, f.Balancer = c.List, c.Module; f.Balancer != nil {
--- a/internal/state/session.go
+++ b/internal/state/session.go
@@ -3,32 +3,32 @@
 import (
 	"time"
 
-	"dunestep/decide"
-	"dunestep/internal/core"
+	"dunestep/internal/balancer"
+	"dunestep/internal/balancer/probation"
+	"dunestep/internal/overload"
 	"dunestep/internal/protocol"
-	"dunestep/proving"
-	"dunestep/storm"
+	"dunestep/internal/routing"
 )
 
-// Balancer is the part of decide.Balancer that is kept.
+// Balancer is the part of balancer.Balancer that is kept.
 type Balancer interface {
-	Snapshot(now time.Duration) decide.Snapshot
-	Restore(now time.Duration, m decide.Snapshot, age time.Duration)
+	Snapshot(now time.Duration) balancer.Snapshot
+	Restore(now time.Duration, m balancer.Snapshot, age time.Duration)
 	ForgetServer(id string)
 	StartProbation(trust float64)
 	ConfirmServerList()
 }
 
-// OverloadGate is the part of storm.OverloadGate that is kept.
+// OverloadGate is the part of overload.OverloadGate that is kept.
 type OverloadGate interface {
-	Snapshot(now time.Duration) storm.Snapshot
-	Restore(now time.Duration, m storm.Snapshot, age time.Duration)
+	Snapshot(now time.Duration) overload.Snapshot
+	Restore(now time.Duration, m overload.Snapshot, age time.Duration)
 }
 
-// IdleConnections is the limit on idle connections, as it is kept: core.IdleLimit.
+// IdleConnections is the limit on idle connections, as it is kept: routing.IdleLimit.
 type IdleLimiter interface {
-	Snapshot(now time.Duration) core.IdleSnapshot
-	Restore(m core.IdleSnapshot, age time.Duration)
+	Snapshot(now time.Duration) routing.IdleSnapshot
+	Restore(m routing.IdleSnapshot, age time.Duration)
 }
 
 // Recorder ties what is kept to the parts of a running agent that know it. It is the module's actor's.
@@ -36,7 +36,7 @@
 	balancer      Balancer
 	gate          OverloadGate
 	idle          IdleLimiter
-	savedList     *core.SavedList
+	savedList     *routing.SavedList
 	initial       Initial
 	listTrust     float64
 	usesProbation bool
@@ -51,8 +51,8 @@
 // NewRecorder begins with what NewInitial has put together.
 func NewRecorder(b Initial, module Balancer, gate OverloadGate, idle IdleLimiter, p ProbationSettings) *Recorder {
 	return &Recorder{
-		balancer: module, gate: gate, idle: idle, savedList: core.NewSavedList(b.List, b.ConfirmedAt),
-		initial: b, listTrust: proving.Trust(b.ListAge, p.FullDeploy), usesProbation: p.Enabled,
+		balancer: module, gate: gate, idle: idle, savedList: routing.NewSavedList(b.List, b.ConfirmedAt),
+		initial: b, listTrust: probation.Trust(b.ListAge, p.FullDeploy), usesProbation: p.Enabled,
 	}
 }
 
@@ -73,9 +73,9 @@
 	s.initial = Initial{} // it is not needed any more
 }
 
-// ListUpdated comes right after the module was told news of the list, from core.StoredList. It tells whether discovery has
+// ListUpdated comes right after the module was told news of the list, from routing.StoredList. It tells whether discovery has
 // confirmed the list for the first time by that.
-func (s *Recorder) ListUpdated(now time.Duration, kind decide.UpdateKind, config protocol.EndpointList,
+func (s *Recorder) ListUpdated(now time.Duration, kind balancer.UpdateKind, config protocol.EndpointList,
 	confirms bool,
 ) (first bool) {
 	first = confirms && !s.savedList.WasConfirmed()
@@ -93,9 +93,9 @@
 type Snapshot struct {
 	list        protocol.EndpointList
 	confirmedAt time.Duration
-	balancer    decide.Snapshot
-	overload    storm.Snapshot
-	idle        core.IdleSnapshot
+	balancer    balancer.Snapshot
+	overload    overload.Snapshot
+	idle        routing.IdleSnapshot
 }
 
 // Snapshot is what is known now.
--- a/internal/strict/bind.go
+++ b/internal/stricttoml/bind.go
@@ -1,4 +1,4 @@
-package strict
+package stricttoml
 
 import (
 	"fmt"
--- a/internal/strict/read.go
+++ b/internal/stricttoml/read.go
@@ -1,4 +1,4 @@
-// Package strict reads TOML documents into tagged structs, and tells all that is wrong with a document at
+// Package stricttoml reads TOML documents into tagged structs, and tells all that is wrong with a document at
 // once, each problem with its line, its column and what is allowed. The documents come from people's files:
 // they are bounded in size, and no nesting, repeating or long name makes one cost more memory than that.
 //
@@ -13,7 +13,7 @@
 // in _ms or _s), a span (a struct of Low and High, both of one of these two: a number in the document, or an
 // array of two), a table (a struct), an array of any of these, or a map of any of these by names that the
 // document chooses.
-package strict
+package stricttoml
 
 import (
 	"cmp"
--- a/internal/transport/bodies.go
+++ b/internal/transport/bodies.go
@@ -4,8 +4,8 @@
 	"sync/atomic"
 	"time"
 
-	"dunestep/internal/flow"
-	"dunestep/internal/memory"
+	"dunestep/internal/bodystream"
+	"dunestep/internal/bytebudget"
 )
 
 // defaultWhole is the length up to which an answer is held whole, where no rule says it: of a longer one the
@@ -34,13 +34,13 @@
 
 // BodyLimits is what bodies share, both ways: memory, and rules that may change while they are in use.
 type BodyLimits struct {
-	Memory *memory.Pool
+	Memory *bytebudget.Pool
 	rules  atomic.Pointer[BodyRules]
 }
 
 // NewBodyLimits shares out limit bytes.
 func NewBodyLimits(limit int64, r BodyRules) *BodyLimits {
-	b := &BodyLimits{Memory: memory.NewPool(limit)}
+	b := &BodyLimits{Memory: bytebudget.NewPool(limit)}
 	b.rules.Store(&r)
 	return b
 }
@@ -68,7 +68,7 @@
 	if length >= 0 && length <= r.BufferedBytes {
 		return length, length
 	}
-	least = r.BufferedBytes + flow.Chunk
+	least = r.BufferedBytes + bodystream.Chunk
 	most = max(least, min(b.Memory.Limit()/wholePart, mostAhead))
 	if length >= 0 {
 		least, most = min(least, length), min(most, length)
--- a/internal/transport/descriptors.go
+++ b/internal/transport/descriptors.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"dunestep/internal/core"
+	"dunestep/internal/routing"
 )
 
 // evictRetryInterval is how soon it is looked again for a client's connection to close.
@@ -16,7 +16,7 @@
 // the core says. It is safe for concurrent use.
 type Descriptors struct {
 	mu                           sync.Mutex
-	core                         *core.Descriptors
+	core                         *routing.Descriptors
 	freed                        chan struct{}
 	reclaim                      func() // asks for idle upstream connections to be closed
 	downstreamFull, upstreamFull dropLog
@@ -24,7 +24,7 @@
 
 // NewDescriptors shares out what a process that may hold limit descriptors has for connections.
 func NewDescriptors(limit int, reclaim func()) *Descriptors {
-	return &Descriptors{core: core.NewDescriptors(limit), freed: make(chan struct{}, 1), reclaim: reclaim}
+	return &Descriptors{core: routing.NewDescriptors(limit), freed: make(chan struct{}, 1), reclaim: reclaim}
 }
 
 // SetLimit changes how many descriptors the process may hold; what is open stays open.
--- a/internal/transport/discovery.go
+++ b/internal/transport/discovery.go
@@ -12,8 +12,8 @@
 	"sync/atomic"
 	"time"
 
-	"dunestep/internal/core"
 	"dunestep/internal/protocol"
+	"dunestep/internal/routing"
 )
 
 const (
@@ -70,7 +70,7 @@
 		return readObjects(&watchBody{Reader: body, silence: silence}, object)
 	}()
 	if silence.over.Load() {
-		return &core.SilenceError{Duration: time.Duration(silence.wait.Load())}
+		return &routing.SilenceError{Duration: time.Duration(silence.wait.Load())}
 	}
 	return err
 }
@@ -84,7 +84,7 @@
 		if err := objects.Decode(&raw); err != nil {
 			var syntax *json.SyntaxError
 			if errors.As(err, &syntax) || errors.Is(err, errListTooLong) {
-				err = &core.UnreadableError{Err: err}
+				err = &routing.UnreadableError{Err: err}
 			}
 			return err
 		}
