--- a/internal/transport/discovery_test.go
+++ b/internal/transport/discovery_test.go
@@ -11,8 +11,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/internal/core"
 	"dunestep/internal/protocol"
+	"dunestep/internal/routing"
 )
 
 // What a watch brings counts however it is laid out. The rest of an object is not waited for as long as the next
@@ -46,7 +46,7 @@
 	began := time.Now()
 	err = CallDiscovery(context.Background(), netip.MustParseAddrPort(l.Addr().String()),
 		protocol.ListRequest{Watch: true}, func() {}, func(raw []byte) { objects = append(objects, string(raw)) })
-	var silence *core.SilenceError
+	var silence *routing.SilenceError
 	require.ErrorAs(t, err, &silence)
 	require.Equal(t, objectStall, silence.Duration)
 	require.Equal(t, []string{`{"version":43}`, "{\n  \"version\": 44\n}", `{"version":45}`, `{"version":46}`}, objects)
@@ -58,7 +58,7 @@
 	endless := io.MultiReader(strings.NewReader("{"), endlessBlanks{})
 	silence := newQuiet(time.Hour, func() {})
 	err := readObjects(&watchBody{Reader: endless, silence: silence}, func([]byte) {})
-	var unread *core.UnreadableError
+	var unread *routing.UnreadableError
 	require.ErrorAs(t, err, &unread)
 	require.ErrorIs(t, unread.Err, errListTooLong)
 }
--- a/internal/transport/front.go
+++ b/internal/transport/front.go
@@ -15,11 +15,11 @@
 
 	"golang.org/x/sys/unix"
 
-	"dunestep/internal/core"
-	"dunestep/internal/figures"
-	"dunestep/internal/flow"
-	"dunestep/internal/memory"
+	"dunestep/internal/bodystream"
+	"dunestep/internal/bytebudget"
+	"dunestep/internal/metrics"
 	"dunestep/internal/protocol"
+	"dunestep/internal/routing"
 )
 
 // RequestHandler carries operations out.
@@ -43,12 +43,12 @@
 	clients   *downstreamConns
 	handler   RequestHandler
 	bodies    *BodyLimits
-	metrics   *figures.Figures
+	metrics   *metrics.Figures
 	drain     drainState
 }
 
 // NewListener returns a front that listens nowhere yet.
-func NewListener(d *Descriptors, bodies *BodyLimits, counts *figures.Figures, o RequestHandler) *Listener {
+func NewListener(d *Descriptors, bodies *BodyLimits, counts *metrics.Figures, o RequestHandler) *Listener {
 	f := &Listener{handler: o, bodies: bodies, metrics: counts, clients: &downstreamConns{
 		descriptors: d,
 		conns:       map[*downstreamConn]struct{}{}, empty: make(chan struct{}, 1),
@@ -177,11 +177,11 @@
 		body.ReadCloser = http.MaxBytesReader(w, r.Body, protocol.MaxUpload)
 		r.Body = body
 	}
-	var grant memory.Grant
+	var grant bytebudget.Grant
 	op, err := x.Decode(func(bytes int64, timeLeft time.Duration) (keep func(int64), err error) {
 		asked := time.Now()
 		conn.hold(true)
-		grant, err = f.reserveMemory(r, bytes, conn.began().Add(timeLeft-core.ResponseMargin))
+		grant, err = f.reserveMemory(r, bytes, conn.began().Add(timeLeft-routing.ResponseMargin))
 		conn.hold(false)
 		body.heldUp(time.Since(asked))
 		return func(n int64) { grant.Shrink(n) }, err
@@ -191,13 +191,13 @@
 		class = op.Class
 	}
 	counted := f.metrics.Await(class)
-	defer counted.End(figures.Abandoned)
+	defer counted.End(metrics.Abandoned)
 	if err != nil {
 		f.writeResponse(w, r, x, unread(err), counted)
 		return
 	}
 	if op.Length != 0 {
-		f.serveUpload(w, r, x, op, body, grant.Split(flow.Chunk), counted)
+		f.serveUpload(w, r, x, op, body, grant.Split(bodystream.Chunk), counted)
 		return
 	}
 	counted.Taken()
@@ -219,7 +219,7 @@
 	switch {
 	case errors.Is(err, protocol.ErrBodyTooLong) || errors.As(err, &tooLong):
 		return protocol.Response{Kind: protocol.TooLong, Body: []byte(protocol.ErrBodyTooLong.Error() + "\n")}
-	case errors.Is(err, memory.ErrFull):
+	case errors.Is(err, bytebudget.ErrFull):
 		return protocol.Response{Kind: protocol.Rejected, Body: []byte("busy\n")}
 	}
 	return protocol.Response{Kind: protocol.Malformed, Body: []byte(err.Error() + "\n")}
@@ -227,7 +227,7 @@
 
 // serveUpload carries an operation out whose body is passed on as it comes.
 func (f *Listener) serveUpload(w http.ResponseWriter, r *http.Request, x protocol.Exchange, op *protocol.Request,
-	body *pacedBody, grant memory.Grant, counted *figures.Operation,
+	body *pacedBody, grant bytebudget.Grant, counted *metrics.Operation,
 ) {
 	conn := r.Context().Value(connKey{}).(*downstreamConn)
 	ctx, failed := context.WithCancel(r.Context())
@@ -256,24 +256,24 @@
 
 // sentWrong tells a body that did not come as it must from a client that has gone.
 func sentWrong(err error) bool {
-	return err != nil && !errors.Is(err, flow.ErrLeft) && !errors.Is(err, io.ErrUnexpectedEOF)
+	return err != nil && !errors.Is(err, bodystream.ErrLeft) && !errors.Is(err, io.ErrUnexpectedEOF)
 }
 
 // room waits for memory for a request's body, until it is too late for the request.
-func (f *Listener) reserveMemory(r *http.Request, bytes int64, until time.Time) (memory.Grant, error) {
+func (f *Listener) reserveMemory(r *http.Request, bytes int64, until time.Time) (bytebudget.Grant, error) {
 	if bytes > protocol.MaxBufferedBody { // its time counts from its last byte, which is far
 		until = time.Now().Add(roomWait)
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), until)
 	defer cancel()
 	client, _, _ := net.SplitHostPort(r.RemoteAddr)
-	return f.bodies.Memory.Take(ctx, memory.Holder{Name: client, Request: true}, bytes)
+	return f.bodies.Memory.Take(ctx, bytebudget.Holder{Name: client, Request: true}, bytes)
 }
 
 // answer writes an answer, and closes the connection where that can't be done to the end: what was written
 // may look whole. It counts how the operation ended.
 func (f *Listener) writeResponse(w http.ResponseWriter, r *http.Request, x protocol.Exchange, a protocol.Response,
-	counted *figures.Operation,
+	counted *metrics.Operation,
 ) {
 	if a.Kind == protocol.Malformed || a.Kind == protocol.TooLong {
 		w.Header().Set("Connection", "close") // and what is left of the request is not waited for
@@ -303,18 +303,18 @@
 
 // ending is how an operation ended by its answer, and why that could not be written to the end. Lost: the
 // client takes no more of it.
-func ending(kind protocol.ResponseKind, err error, lost bool) figures.Ending {
+func ending(kind protocol.ResponseKind, err error, lost bool) metrics.Ending {
 	switch {
 	case err != nil && lost:
-		return figures.Abandoned
+		return metrics.Abandoned
 	case err != nil:
-		return figures.Error
+		return metrics.Error
 	case kind == protocol.Served:
-		return figures.OK
+		return metrics.OK
 	case kind == protocol.Rejected:
-		return figures.Shed
+		return metrics.Shed
 	}
-	return figures.Error
+	return metrics.Error
 }
 
 // answerWriter writes an answer to a client that gets on with taking it.
@@ -354,13 +354,13 @@
 }
 
 // pass writes a body as it comes, and returns when the client's machine has all of it.
-func (o *answerWriter) pass(ctx context.Context, f *flow.Flow) error {
+func (o *answerWriter) pass(ctx context.Context, f *bodystream.Flow) error {
 	began := false // the client has something, and waits for more
 	for {
 		if !f.Ready() {
 			if !began {
 				began = true
-				defer context.AfterFunc(ctx, func() { f.Cut(flow.ErrLeft) })()
+				defer context.AfterFunc(ctx, func() { f.Cut(bodystream.ErrLeft) })()
 			}
 			if err := o.flush(); err != nil {
 				return err
--- a/internal/transport/front_crossings_test.go
+++ b/internal/transport/front_crossings_test.go
@@ -18,8 +18,8 @@
 	"github.com/stretchr/testify/require"
 	"golang.org/x/sys/unix"
 
-	"dunestep/internal/figures"
-	"dunestep/internal/memory"
+	"dunestep/internal/bytebudget"
+	"dunestep/internal/metrics"
 	"dunestep/internal/protocol"
 )
 
@@ -147,7 +147,7 @@
 		operator.answer = busy()
 	}
 	f := NewListener(NewDescriptors(descriptors, func() {}),
-		NewBodyLimits(1<<20, BodyRules{MaxBytes: 1 << 20, ClientStall: time.Minute}), figures.New(nil), operator)
+		NewBodyLimits(1<<20, BodyRules{MaxBytes: 1 << 20, ClientStall: time.Minute}), metrics.New(nil), operator)
 	for _, edit := range edits {
 		edit(f)
 	}
@@ -447,7 +447,7 @@
 // The same where it waits for memory on this side: nothing is read of it for a while, and it is not closed.
 func TestRequestThatWaitsForMemoryIsNotSentAway(t *testing.T) {
 	x := newCrossing(t, 1024, &asked{})
-	all, err := x.front.bodies.Memory.Take(t.Context(), memory.Holder{Name: "s-0"}, 1<<20) // all of it
+	all, err := x.front.bodies.Memory.Take(t.Context(), bytebudget.Holder{Name: "s-0"}, 1<<20) // all of it
 	require.NoError(t, err)
 	c := x.connect()
 	x.send(c, strings.Replace(crossingRequest, "GET", "POST", 1)[:len(crossingRequest)-1]+
--- a/internal/transport/front_test.go
+++ b/internal/transport/front_test.go
@@ -15,11 +15,11 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/decide"
-	"dunestep/internal/figures"
-	"dunestep/internal/flow"
+	"dunestep/internal/balancer"
+	"dunestep/internal/bodystream"
+	"dunestep/internal/bytebudget"
 	"dunestep/internal/graphql"
-	"dunestep/internal/memory"
+	"dunestep/internal/metrics"
 	"dunestep/internal/protocol"
 )
 
@@ -43,7 +43,7 @@
 
 // serveFew is the same with so many descriptors.
 func serveFew(t *testing.T, descriptors int, a agent, bodies *BodyLimits, forms ...protocol.Format) (dial func() net.Conn) {
-	f := NewListener(NewDescriptors(descriptors, func() {}), bodies, figures.New(nil), a)
+	f := NewListener(NewDescriptors(descriptors, func() {}), bodies, metrics.New(nil), a)
 	require.NoError(t, f.Listen(netip.MustParseAddrPort("127.0.0.1:0"), forms...))
 	served := make(chan struct{})
 	go func() { defer close(served); _ = f.Serve() }()
@@ -93,11 +93,11 @@
 func TestNoMemoryInTheClientsTime(t *testing.T) {
 	const deadline = 300 * time.Millisecond
 	bodies := NewBodyLimits(1<<20, BodyRules{MaxBytes: 1 << 20, ClientStall: time.Minute})
-	_, err := bodies.Memory.Take(t.Context(), memory.Holder{Name: "s-0"}, 1<<20) // all of it
+	_, err := bodies.Memory.Take(t.Context(), bytebudget.Holder{Name: "s-0"}, 1<<20) // all of it
 	require.NoError(t, err)
-	classes := []decide.Class{
-		{Name: "consult", Deadline: time.Second, Idempotency: decide.Idempotent},
-		{Name: "rezervare", Deadline: deadline, Idempotency: decide.NotIdempotent},
+	classes := []balancer.Class{
+		{Name: "consult", Deadline: time.Second, Idempotency: balancer.Idempotent},
+		{Name: "rezervare", Deadline: deadline, Idempotency: balancer.NotIdempotent},
 	}
 	classer, err := graphql.NewClasser(graphql.Rules{Classes: classes})
 	require.NoError(t, err)
@@ -142,7 +142,7 @@
 // descriptors are short: its client sends all that it is asked for.
 func TestBodyThatWaitsForMemoryIsNotGivenUp(t *testing.T) {
 	bodies := NewBodyLimits(1<<20, BodyRules{MaxBytes: 1 << 20, ClientStall: time.Minute})
-	_, err := bodies.Memory.Take(t.Context(), memory.Holder{Name: "s-0"}, 1<<20) // all of it
+	_, err := bodies.Memory.Take(t.Context(), bytebudget.Holder{Name: "s-0"}, 1<<20) // all of it
 	require.NoError(t, err)
 	dial := serveFew(t, 64, busy, bodies, protocol.HTTP)
 	conn, began := dial(), time.Now()
@@ -184,9 +184,9 @@
 func TestBrokenOffWithoutLength(t *testing.T) {
 	bodies := NewBodyLimits(1<<20, BodyRules{MaxBytes: 1 << 20, ClientStall: time.Minute})
 	dial := serveFront(t, func() protocol.Response {
-		grant, err := bodies.Memory.Take(context.Background(), memory.Holder{Name: "s-0"}, flow.Chunk)
+		grant, err := bodies.Memory.Take(context.Background(), bytebudget.Holder{Name: "s-0"}, bodystream.Chunk)
 		require.NoError(t, err)
-		f := flow.New(-1, grant, flow.Chunk)
+		f := bodystream.New(-1, grant, bodystream.Chunk)
 		_, err = f.Room()
 		require.NoError(t, err)
 		f.Came(20_000) // more than the library holds back
--- a/internal/transport/ops.go
+++ b/internal/transport/ops.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"dunestep/internal/figures"
+	"dunestep/internal/metrics"
 	"dunestep/internal/protocol"
 )
 
@@ -29,7 +29,7 @@
 type OpsHandler interface {
 	// IsReady tells whether this process takes clients.
 	IsReady() bool
-	Metrics() figures.Reading
+	Metrics() metrics.Reading
 	// DisableEndpoint takes a booking server out, EnableEndpoint puts it back; listed is false where the list never had that id. The
 	// error says why it can't be done.
 	DisableEndpoint(ctx context.Context, id string) (listed bool, err error)
--- a/internal/transport/upload.go
+++ b/internal/transport/upload.go
@@ -9,9 +9,9 @@
 	"sync"
 	"time"
 
-	"dunestep/internal/figures"
-	"dunestep/internal/flow"
-	"dunestep/internal/memory"
+	"dunestep/internal/bodystream"
+	"dunestep/internal/bytebudget"
+	"dunestep/internal/metrics"
 	"dunestep/internal/protocol"
 )
 
@@ -56,8 +56,8 @@
 // upload is the rest of a body that is passed on as it comes.
 type upload struct {
 	body    *pacedBody
-	rest    *flow.Flow
-	counted *figures.Operation
+	rest    *bodystream.Flow
+	counted *metrics.Operation
 	conn    *downstreamConn
 	failed  context.CancelFunc // ends the operation: its client sends no more
 	whole   chan struct{}
@@ -71,15 +71,15 @@
 
 // startUpload begins to read the rest of an operation's body, in memory that was asked for with the
 // beginning's.
-func startUpload(op *protocol.Request, body *pacedBody, grant memory.Grant, conn *downstreamConn,
-	counted *figures.Operation, failed context.CancelFunc,
+func startUpload(op *protocol.Request, body *pacedBody, grant bytebudget.Grant, conn *downstreamConn,
+	counted *metrics.Operation, failed context.CancelFunc,
 ) *upload {
 	length := int64(-1)
 	if op.Length > 0 {
 		length = op.Length - int64(len(op.Body))
 	}
 	u := &upload{
-		body: body, rest: flow.New(length, grant, mostAhead), conn: conn, counted: counted,
+		body: body, rest: bodystream.New(length, grant, mostAhead), conn: conn, counted: counted,
 		failed: failed, whole: make(chan struct{}), done: make(chan struct{}),
 	}
 	op.Rest, op.BodyComplete = u.rest, u.whole
@@ -122,7 +122,7 @@
 	u.rest.End(err)
 	u.mu.Lock()
 	u.err = err
-	wanted := !u.cut && !errors.Is(err, flow.ErrLeft)
+	wanted := !u.cut && !errors.Is(err, bodystream.ErrLeft)
 	u.mu.Unlock()
 	if wanted {
 		u.failed()
@@ -134,7 +134,7 @@
 	u.mu.Lock()
 	u.cut = true
 	u.mu.Unlock()
-	u.rest.Cut(flow.ErrLeft)
+	u.rest.Cut(bodystream.ErrLeft)
 	u.conn.cutBody()
 	<-u.done
 	return u.came, u.err
--- a/internal/transport/upstream.go
+++ b/internal/transport/upstream.go
@@ -13,9 +13,9 @@
 	"syscall"
 	"time"
 
-	"dunestep/decide"
-	"dunestep/internal/flow"
-	"dunestep/internal/memory"
+	"dunestep/internal/balancer"
+	"dunestep/internal/bodystream"
+	"dunestep/internal/bytebudget"
 	"dunestep/internal/protocol"
 )
 
@@ -75,7 +75,7 @@
 type UpstreamRequest struct {
 	Head, Body []byte
 	// Rest is what follows Body as it comes; nil: nothing does. Chunked: its length is not told.
-	Rest    *flow.Flow
+	Rest    *bodystream.Flow
 	Chunked bool
 	// Streamed has the answer passed on from its first byte on.
 	Streamed bool
@@ -201,7 +201,7 @@
 		_, err = bytes.WriteTo(u.conn)
 		return nil, true, err
 	}
-	defer context.AfterFunc(s.ctx, func() { s.Rest.Cut(flow.ErrLeft) })()
+	defer context.AfterFunc(s.ctx, func() { s.Rest.Cut(bodystream.ErrLeft) })()
 	wrote := make(chan error, 1)
 	go func() { wrote <- writeRest(u.conn, s) }()
 	select {
@@ -228,7 +228,7 @@
 			return &got, true
 		}
 	case <-after.C:
-		s.Rest.Cut(flow.ErrLeft)
+		s.Rest.Cut(bodystream.ErrLeft)
 		u.Close()
 		if err := <-wrote; err == nil { // it may have run, whatever becomes of the answer
 			got.Close = true
@@ -239,7 +239,7 @@
 		got.Flow.Close()
 		got = <-u.replies
 	}
-	if got.err == nil && got.Outcome == decide.Rejected { // the one thing that may come before the end
+	if got.err == nil && got.Outcome == balancer.Rejected { // the one thing that may come before the end
 		return &got, false
 	}
 	if got.Flow != nil {
@@ -371,7 +371,7 @@
 // reason tells what broke off with its connection, or was not wanted, from what is spoilt.
 func (u *UpstreamConn) reason(err error) error {
 	switch {
-	case errors.Is(err, memory.ErrFull), errors.Is(err, flow.ErrLeft):
+	case errors.Is(err, bytebudget.ErrFull), errors.Is(err, bodystream.ErrLeft):
 		return err
 	case u.limit.N > 0 && u.source.err != nil:
 		return err
@@ -385,11 +385,11 @@
 func (u *UpstreamConn) takeBody(step *UpstreamRequest, r *protocol.UpstreamResponse, body protocol.UnreadBody, rules BodyRules) error {
 	least, most := u.bodies.window(body.Length, rules)
 	asked := time.Now()
-	grant, err := u.bodies.Memory.Take(step.ctx, memory.Holder{Name: u.server}, least)
+	grant, err := u.bodies.Memory.Take(step.ctx, bytebudget.Holder{Name: u.server}, least)
 	if err != nil {
 		return err
 	}
-	f := flow.New(body.Length, grant, most)
+	f := bodystream.New(body.Length, grant, most)
 	f.HeldUp(time.Since(asked))
 	r.Flow = f
 	b := beginning{begin: func() {
--- a/internal/transport/upstream_crossings_test.go
+++ b/internal/transport/upstream_crossings_test.go
@@ -12,9 +12,9 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/decide"
-	"dunestep/internal/flow"
-	"dunestep/internal/memory"
+	"dunestep/internal/balancer"
+	"dunestep/internal/bodystream"
+	"dunestep/internal/bytebudget"
 	"dunestep/internal/protocol"
 )
 
@@ -158,7 +158,7 @@
 				return
 			}
 			require.NoError(t, err)
-			require.Equal(t, decide.Served, r.Outcome)
+			require.Equal(t, balancer.Served, r.Outcome)
 			got, err := r.Flow.Next()
 			require.NoError(t, err)
 			require.Equal(t, body, string(got))
@@ -237,12 +237,12 @@
 func TestStepIsToldLateToBeWritten(t *testing.T) {
 	u, _, _ := tcpPair(t)
 	wrote := make(chan error, 1)
-	rest := flow.New(-1, memory.Grant{}, 0)
+	rest := bodystream.New(-1, bytebudget.Grant{}, 0)
 	go func() {
 		_, _ = rest.Next() // until it is given up, once the wait is over
 		wrote <- nil
 	}()
-	first, whole := u.early(&UpstreamRequest{Rest: rest}, reply{UpstreamResponse: protocol.UpstreamResponse{Outcome: decide.Served}}, wrote)
+	first, whole := u.early(&UpstreamRequest{Rest: rest}, reply{UpstreamResponse: protocol.UpstreamResponse{Outcome: balancer.Served}}, wrote)
 	require.True(t, whole, "it may have run")
 	require.NoError(t, first.err)
 	require.True(t, first.Close, "its connection was given up")
@@ -265,9 +265,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			u, bodies, server := tcpPair(t)
-			grant, err := bodies.Memory.Take(t.Context(), memory.Holder{Name: "s-0"}, 4)
+			grant, err := bodies.Memory.Take(t.Context(), bytebudget.Holder{Name: "s-0"}, 4)
 			require.NoError(t, err)
-			rest := flow.New(4, grant, 4)
+			rest := bodystream.New(4, grant, 4)
 			room, err := rest.Room()
 			require.NoError(t, err)
 			copy(room, "ab")
@@ -296,7 +296,7 @@
 			require.False(t, reuse)
 			if c.want == nil {
 				require.NoError(t, err)
-				require.Equal(t, decide.Rejected, r.Outcome)
+				require.Equal(t, balancer.Rejected, r.Outcome)
 			} else {
 				require.ErrorIs(t, err, c.want)
 			}
--- a/internal/transport/upstream_test.go
+++ b/internal/transport/upstream_test.go
@@ -19,7 +19,7 @@
 	"github.com/stretchr/testify/require"
 	"go.uber.org/goleak"
 
-	"dunestep/decide"
+	"dunestep/internal/balancer"
 	"dunestep/internal/protocol"
 )
 
@@ -140,7 +140,7 @@
 			require.True(t, whole)
 			require.Len(t, taken, len(want))
 		}
-		if err == nil && !begun && r.Outcome == decide.Served {
+		if err == nil && !begun && r.Outcome == balancer.Served {
 			require.True(t, whole)
 		}
 		require.LessOrEqual(t, len(taken), longest)
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -15,7 +15,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dunestep/decide"
+	"dunestep/internal/balancer"
 )
 
 var updateGolden = flag.Bool("update", false, "write testdata/golden/actions.txt anew")
@@ -97,7 +97,7 @@
 	return f.String()
 }
 
-func encodedLoad(l decide.LoadReport) string {
+func encodedLoad(l balancer.LoadReport) string {
 	var f fields
 	for _, x := range []struct {
 		name  string
@@ -110,7 +110,7 @@
 	return f.String()
 }
 
-func encodedServers(servers []decide.Server) string {
+func encodedServers(servers []balancer.Server) string {
 	var all []string
 	for _, s := range servers {
 		var f fields
@@ -158,21 +158,21 @@
 // Each line of the file is an action as it is written.
 func TestGoldenActions(t *testing.T) {
 	var made bytes.Buffer
-	for _, a := range []decide.Action{
-		{Kind: decide.Send, ID: 1, Server: "backend_abuevth", After: 80 * time.Millisecond},
-		{Kind: decide.Send, ID: math.MaxUint32, Server: "a\"b\\c\td", After: time.Hour},
-		{Kind: decide.Fail, ID: 2},
-		{Kind: decide.Reject, ID: 3},
-		{Kind: decide.Reject, ID: 4, After: 1500 * time.Microsecond},
-		{Kind: decide.Reject, ID: 5, OverQuota: true},
-		{Kind: decide.Cancel, ID: 6, Attempt: 1},
-		{Kind: decide.Probe, Server: "s1"},
-		{Kind: decide.SendToPeer, Peer: 3, Data: []byte{'q', 1, 2, 3, 4, 5}},
-		{Kind: decide.SendToPeer, Peer: 0},
-		{Kind: decide.SetTimer, After: time.Second, Tag: math.MaxUint64},
-		{Kind: decide.Subscribe},
-		{Kind: decide.Fetch},
-		{Kind: decide.Log, Text: "two servers known"},
+	for _, a := range []balancer.Action{
+		{Kind: balancer.Send, ID: 1, Server: "backend_abuevth", After: 80 * time.Millisecond},
+		{Kind: balancer.Send, ID: math.MaxUint32, Server: "a\"b\\c\td", After: time.Hour},
+		{Kind: balancer.Fail, ID: 2},
+		{Kind: balancer.Reject, ID: 3},
+		{Kind: balancer.Reject, ID: 4, After: 1500 * time.Microsecond},
+		{Kind: balancer.Reject, ID: 5, OverQuota: true},
+		{Kind: balancer.Cancel, ID: 6, Attempt: 1},
+		{Kind: balancer.Probe, Server: "s1"},
+		{Kind: balancer.SendToPeer, Peer: 3, Data: []byte{'q', 1, 2, 3, 4, 5}},
+		{Kind: balancer.SendToPeer, Peer: 0},
+		{Kind: balancer.SetTimer, After: time.Second, Tag: math.MaxUint64},
+		{Kind: balancer.Subscribe},
+		{Kind: balancer.Fetch},
+		{Kind: balancer.Log, Text: "two servers known"},
 	} {
 		made.Write(append(AppendAction(nil, "agent-3", &a), '\n'))
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -10,7 +10,7 @@
 
 	"github.com/mailru/easyjson/jlexer"
 
-	"dunestep/decide"
+	"dunestep/internal/balancer"
 )
 
 // Message is one decoded item; which fields are set depends on Kind.
@@ -29,14 +29,14 @@
 	Outcome       string
 	Latency       int64
 	Complete      bool
-	LoadReport    decide.LoadReport
+	LoadReport    balancer.LoadReport
 	HasLoadReport bool
 	From          int
 	Data          []byte
 	Tag           uint64
 	Mode          string
 	List          int
-	Servers       []decide.Server
+	Servers       []balancer.Server
 	Seed          uint64
 	Settings      []byte
 }
@@ -182,8 +182,8 @@
 	return ""
 }
 
-func decodeLoadReport(l *jlexer.Lexer) decide.LoadReport {
-	out := decide.LoadReport{InFlight: -1, Latency: -1, Rate: -1, ErrorRatio: -1}
+func decodeLoadReport(l *jlexer.Lexer) balancer.LoadReport {
+	out := balancer.LoadReport{InFlight: -1, Latency: -1, Rate: -1, ErrorRatio: -1}
 	l.Delim('{')
 	for !l.IsDelim('}') {
 		key := l.UnsafeFieldName(false)
@@ -206,11 +206,11 @@
 	return out
 }
 
-func (d *Decoder) decodeServers(l *jlexer.Lexer) []decide.Server {
-	out := []decide.Server{}
+func (d *Decoder) decodeServers(l *jlexer.Lexer) []balancer.Server {
+	out := []balancer.Server{}
 	l.Delim('[')
 	for !l.IsDelim(']') {
-		s := decide.Server{Weight: 1}
+		s := balancer.Server{Weight: 1}
 		l.Delim('{')
 		for !l.IsDelim('}') {
 			key := l.UnsafeFieldName(false)
@@ -232,9 +232,9 @@
 			case "availability":
 				switch d.intern(l) {
 				case "terminating":
-					s.State = decide.Draining
+					s.State = balancer.Draining
 				case "terminated":
-					s.State = decide.Gone
+					s.State = balancer.Gone
 				}
 			case "heft":
 				s.Weight = l.Float64()
@@ -256,27 +256,27 @@
 // Micros is the wire's unit of time.
 func Micros(v int64) time.Duration { return time.Duration(v) * time.Microsecond }
 
-var outcomesByName = map[string]decide.Outcome{
-	"served": decide.Served, "server_error": decide.ServerError, "turned_away": decide.Rejected,
-	"no_answer": decide.TimedOut, "no_connection": decide.ConnectFailed,
-	"connection_lost": decide.ConnectionLost, "called_off": decide.Canceled, "not_sent": decide.NotSent,
+var outcomesByName = map[string]balancer.Outcome{
+	"served": balancer.Served, "server_error": balancer.ServerError, "turned_away": balancer.Rejected,
+	"no_answer": balancer.TimedOut, "no_connection": balancer.ConnectFailed,
+	"connection_lost": balancer.ConnectionLost, "called_off": balancer.Canceled, "not_sent": balancer.NotSent,
 }
 
-var updateKindsByName = map[string]decide.UpdateKind{
-	"INCREMENTAL": decide.UpdateIncremental, "FULL": decide.UpdateFull,
-	"SAVED": decide.UpdateCached, "FAILED": decide.UpdateFailed,
+var updateKindsByName = map[string]balancer.UpdateKind{
+	"INCREMENTAL": balancer.UpdateIncremental, "FULL": balancer.UpdateFull,
+	"SAVED": balancer.UpdateCached, "FAILED": balancer.UpdateFailed,
 }
 
 // ParseOutcome maps a disposition; an unknown one counts as an error that may have run.
-func ParseOutcome(s string) decide.Outcome {
+func ParseOutcome(s string) balancer.Outcome {
 	if o, ok := outcomesByName[s]; ok {
 		return o
 	}
-	return decide.ServerError
+	return balancer.ServerError
 }
 
 // ParseUpdateKind maps a SYNC's mode.
-func ParseUpdateKind(s string) (decide.UpdateKind, error) {
+func ParseUpdateKind(s string) (balancer.UpdateKind, error) {
 	k, ok := updateKindsByName[s]
 	if !ok {
 		return 0, fmt.Errorf("unknown SYNC mode %q", s)
@@ -285,28 +285,28 @@
 }
 
 // AppendAction writes one action of an instance.
-func AppendAction(b []byte, agent string, a *decide.Action) []byte {
+func AppendAction(b []byte, agent string, a *balancer.Action) []byte {
 	kind := ""
 	switch a.Kind {
-	case decide.Send:
+	case balancer.Send:
 		kind = "HAND_OFF"
-	case decide.Fail:
+	case balancer.Fail:
 		kind = "GIVE_UP"
-	case decide.Reject:
+	case balancer.Reject:
 		kind = "REFUSE"
-	case decide.Cancel:
+	case balancer.Cancel:
 		kind = "REVOKE"
-	case decide.Probe:
+	case balancer.Probe:
 		kind = "CHECK"
-	case decide.SendToPeer:
+	case balancer.SendToPeer:
 		kind = "NOTIFY"
-	case decide.SetTimer:
+	case balancer.SetTimer:
 		kind = "SET_TIMER"
-	case decide.Subscribe:
+	case balancer.Subscribe:
 		kind = "SUBSCRIBE"
-	case decide.Fetch:
+	case balancer.Fetch:
 		kind = "REFRESH"
-	case decide.Log:
+	case balancer.Log:
 		kind = "SAY_LOG"
 	}
 	b = append(b, `{"kind":"`...)
@@ -320,35 +320,35 @@
 		b = strconv.AppendInt(b, v, 10)
 	}
 	switch a.Kind {
-	case decide.Send, decide.Fail, decide.Reject, decide.Cancel:
+	case balancer.Send, balancer.Fail, balancer.Reject, balancer.Cancel:
 		num("call", int64(a.ID))
 	}
 	switch a.Kind {
-	case decide.Send:
+	case balancer.Send:
 		b = append(b, `,"backend":`...)
 		b = AppendString(b, a.Server)
 		num("limit", a.After.Microseconds())
-	case decide.Reject:
+	case balancer.Reject:
 		if a.After > 0 {
 			num("stayAway", a.After.Microseconds())
 		}
-	case decide.Cancel:
+	case balancer.Cancel:
 		num("go", int64(a.Attempt))
-	case decide.Probe:
+	case balancer.Probe:
 		b = append(b, `,"backend":`...)
 		b = AppendString(b, a.Server)
-	case decide.SendToPeer:
+	case balancer.SendToPeer:
 		num("dest", int64(a.Peer))
 		b = append(b, `,"body":"`...)
 		b = hex.AppendEncode(b, a.Data)
 		b = append(b, '"')
-	case decide.SetTimer:
+	case balancer.SetTimer:
 		num("offset", a.After.Microseconds())
 		b = append(b, `,"tag":`...)
 		b = strconv.AppendUint(b, a.Tag, 10)
-	case decide.Subscribe:
+	case balancer.Subscribe:
 		b = append(b, `,"want":true`...)
-	case decide.Log:
+	case balancer.Log:
 		b = append(b, `,"reasonText":`...)
 		b = AppendString(b, a.Text)
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -5,37 +5,37 @@
 	"testing"
 	"time"
 
-	"dunestep/decide"
+	"dunestep/internal/balancer"
 )
 
 func TestActionsAreStrict(t *testing.T) {
 	for _, c := range []struct {
-		a    decide.Action
+		a    balancer.Action
 		want string
 	}{
 		{
-			decide.Action{Kind: decide.Send, ID: 4294967295, Server: `s"1`, After: time.Second},
+			balancer.Action{Kind: balancer.Send, ID: 4294967295, Server: `s"1`, After: time.Second},
 			`{"kind":"HAND_OFF","agentId":"agent-1","call":4294967295,"backend":"s\"1","limit":1000000}`,
 		},
-		{decide.Action{Kind: decide.Fail, ID: 2}, `{"kind":"GIVE_UP","agentId":"agent-1","call":2}`},
-		{decide.Action{Kind: decide.Reject, ID: 2}, `{"kind":"REFUSE","agentId":"agent-1","call":2}`},
+		{balancer.Action{Kind: balancer.Fail, ID: 2}, `{"kind":"GIVE_UP","agentId":"agent-1","call":2}`},
+		{balancer.Action{Kind: balancer.Reject, ID: 2}, `{"kind":"REFUSE","agentId":"agent-1","call":2}`},
 		{
-			decide.Action{Kind: decide.Reject, ID: 2, After: time.Millisecond},
+			balancer.Action{Kind: balancer.Reject, ID: 2, After: time.Millisecond},
 			`{"kind":"REFUSE","agentId":"agent-1","call":2,"stayAway":1000}`,
 		},
-		{decide.Action{Kind: decide.Cancel, ID: 2, Attempt: 1}, `{"kind":"REVOKE","agentId":"agent-1","call":2,"go":1}`},
-		{decide.Action{Kind: decide.Probe, Server: "s"}, `{"kind":"CHECK","agentId":"agent-1","backend":"s"}`},
+		{balancer.Action{Kind: balancer.Cancel, ID: 2, Attempt: 1}, `{"kind":"REVOKE","agentId":"agent-1","call":2,"go":1}`},
+		{balancer.Action{Kind: balancer.Probe, Server: "s"}, `{"kind":"CHECK","agentId":"agent-1","backend":"s"}`},
 		{
-			decide.Action{Kind: decide.SendToPeer, Peer: -1, Data: []byte{0, 255}},
+			balancer.Action{Kind: balancer.SendToPeer, Peer: -1, Data: []byte{0, 255}},
 			`{"kind":"NOTIFY","agentId":"agent-1","dest":-1,"body":"00ff"}`,
 		},
 		{
-			decide.Action{Kind: decide.SetTimer, After: time.Second, Tag: 1 << 40},
+			balancer.Action{Kind: balancer.SetTimer, After: time.Second, Tag: 1 << 40},
 			`{"kind":"SET_TIMER","agentId":"agent-1","offset":1000000,"tag":1099511627776}`,
 		},
-		{decide.Action{Kind: decide.Subscribe}, `{"kind":"SUBSCRIBE","agentId":"agent-1","want":true}`},
-		{decide.Action{Kind: decide.Fetch}, `{"kind":"REFRESH","agentId":"agent-1"}`},
-		{decide.Action{Kind: decide.Log, Text: "a\nb"}, `{"kind":"SAY_LOG","agentId":"agent-1","reasonText":"a\u000ab"}`},
+		{balancer.Action{Kind: balancer.Subscribe}, `{"kind":"SUBSCRIBE","agentId":"agent-1","want":true}`},
+		{balancer.Action{Kind: balancer.Fetch}, `{"kind":"REFRESH","agentId":"agent-1"}`},
+		{balancer.Action{Kind: balancer.Log, Text: "a\nb"}, `{"kind":"SAY_LOG","agentId":"agent-1","reasonText":"a\u000ab"}`},
 	} {
 		got := string(AppendAction(nil, "agent-1", &c.a))
 		if got != c.want || !json.Valid([]byte(got)) {
