--- a/cmd/dunestep/names_test.go
+++ b/cmd/dunestep/names_test.go
@@ -42,8 +42,8 @@
 		[]string{"buc-pipera", "buc-militari", "cluj-est", "brasov-nord"},
 		"the zones of a rehearsal that names none: each delay is drawn by a zone's name, so all days' figures rest on them",
 	},
-	{"placement/lab/paces.go", []string{"rapid", "lent"}, "two kinds of machine in virtual time"},
-	{"placement/lab/lab.go", []string{"rapid"}, "tells of the same"},
+	{"internal/control/ringassignment/lab/paces.go", []string{"rapid", "lent"}, "two kinds of machine in virtual time"},
+	{"internal/control/ringassignment/lab/lab.go", []string{"rapid"}, "tells of the same"},
 }
 
 // siteNames are the names in a site file for the bench.
