--- a/internal/bytebudget/budget.go
+++ b/internal/bytebudget/budget.go
@@ -1,5 +1,5 @@
-// Package bytebudget shares out what bodies may occupy: requests and answers, both ways, from one budget that is
-// counted by the byte. Budget decides and does nothing else; Pool is the same for goroutines that wait.
+// Package bytebudget shares out what bodies may occupy: requests and answers, both ways, from one budget that
+// is counted by the byte. Budget decides and does nothing else; Pool is the same for goroutines that wait.
 //
 // Nobody waits for ever: whoever carries a body asks once, before the body is read, for what it needs at
 // the least to reach its end, and only tries for what it wants beyond that. An operation that holds its
--- a/internal/eventqueue/agenda.go
+++ b/internal/eventqueue/agenda.go
@@ -1,5 +1,6 @@
-// Package eventqueue keeps what is to be done at some time, for worlds in virtual time. It is the inner loop of
-// each: a heap of plain values, of four children a node, flatter than one of two, so that fewer are touched.
+// Package eventqueue keeps what is to be done at some time, for worlds in virtual time. It is the inner loop
+// of each: a heap of plain values, of four children a node, flatter than one of two, so that fewer are
+// touched.
 package eventqueue
 
 import "time"
--- a/internal/graphql/graphql.go
+++ b/internal/graphql/graphql.go
@@ -94,7 +94,15 @@
 		}
 		return i
 	}
-	c.safe, c.unsafe = named(r.Safe, balancer.Idempotent, "safe"), named(r.Unsafe, balancer.NotIdempotent, "unsafe")
+	c.safe, c.unsafe = named(
+		r.Safe,
+		balancer.Idempotent,
+		"safe",
+	), named(
+		r.Unsafe,
+		balancer.NotIdempotent,
+		"unsafe",
+	)
 	table := func(from map[string]string, to map[string]int, mutation bool) {
 		for _, field := range slices.Sorted(maps.Keys(from)) {
 			i := slices.IndexFunc(r.Classes, func(k balancer.Class) bool { return k.Name == from[field] })
--- a/internal/rehearsal/lab/deployment.go
+++ b/internal/rehearsal/lab/deployment.go
@@ -21,8 +21,20 @@
 		Settings: balancer.Settings{
 			Zone: "a", Tick: 5 * time.Millisecond, ClientsMarkRetries: true,
 			Classes: []balancer.Class{
-				{Name: "consult", LatencyObjective: time.Second, Deadline: 5 * time.Second, PriorityWeight: 1, Idempotency: balancer.Idempotent},
-				{Name: "rezervare", LatencyObjective: time.Second, Deadline: 5 * time.Second, PriorityWeight: 2, Idempotency: balancer.NotIdempotent},
+				{
+					Name:             "consult",
+					LatencyObjective: time.Second,
+					Deadline:         5 * time.Second,
+					PriorityWeight:   1,
+					Idempotency:      balancer.Idempotent,
+				},
+				{
+					Name:             "rezervare",
+					LatencyObjective: time.Second,
+					Deadline:         5 * time.Second,
+					PriorityWeight:   2,
+					Idempotency:      balancer.NotIdempotent,
+				},
 			},
 			Tenants: []balancer.Tenant{{Name: "acme", QuotaPerSecond: 1000, Share: 1}},
 			Limits: balancer.Limits{
--- a/internal/rehearsal/scenario/trouble.go
+++ b/internal/rehearsal/scenario/trouble.go
@@ -38,8 +38,8 @@
 }
 
 // Check checks troubles that a program has put together as those of a file are checked, for a fleet of so
-// many agents. It returns them with their defaults filled in; the error is stricttoml.Problems, whose keys tell
-// where.
+// many agents. It returns them with their defaults filled in; the error is stricttoml.Problems, whose keys
+// tell where.
 func Check(agents int, troubles []Trouble) ([]Trouble, error) {
 	s, err := Parse("troubles", []byte(checkDay))
 	if err != nil {
--- a/internal/rehearsal/world/placed.go
+++ b/internal/rehearsal/world/placed.go
@@ -50,8 +50,13 @@
 		sizes: map[string]float64{},
 	}
 	g.figures.SlowStart = slowstart.Params{
-		InitialCapacity: r.ColdShare, Duration: r.ColdFor, OverloadMultiple: r.FallMultiple,
-		OverloadWindow: r.FallWindow, Margin: f.SlowStartMargin, MaxOfWarm: f.SlowStartMax, Balancers: w.set.Agents.Count,
+		InitialCapacity:  r.ColdShare,
+		Duration:         r.ColdFor,
+		OverloadMultiple: r.FallMultiple,
+		OverloadWindow:   r.FallWindow,
+		Margin:           f.SlowStartMargin,
+		MaxOfWarm:        f.SlowStartMax,
+		Balancers:        w.set.Agents.Count,
 	}
 	mean := 0.0
 	for i := range w.set.Kinds {
--- a/internal/rehearsal/world/world.go
+++ b/internal/rehearsal/world/world.go
@@ -380,9 +380,12 @@
 			MaxRetryAfter: s.Allow.MaxRetryAfter,
 		},
 		Rules: balancer.Rules{
-			DrainGrace: s.Rules.DrainGrace, MaxPollInterval: s.Rules.AskWithin,
-			SlowStartCapacity: s.Rules.ColdShare, SlowStartDuration: s.Rules.ColdFor, OverloadMultiple: s.Rules.FallMultiple,
-			OverloadWindow: s.Rules.FallWindow,
+			DrainGrace:        s.Rules.DrainGrace,
+			MaxPollInterval:   s.Rules.AskWithin,
+			SlowStartCapacity: s.Rules.ColdShare,
+			SlowStartDuration: s.Rules.ColdFor,
+			OverloadMultiple:  s.Rules.FallMultiple,
+			OverloadWindow:    s.Rules.FallWindow,
 		},
 		Costs: balancer.Costs{
 			CrossZone: s.Prices.CrossZone, WastedWork: s.Prices.Waste, PeerMessage: s.Prices.Peer,
@@ -395,7 +398,13 @@
 	}
 	for i := range s.Classes {
 		c := &s.Classes[i]
-		k := balancer.Class{Name: c.Name, LatencyObjective: c.Aim, Deadline: c.Deadline, PriorityWeight: c.Worth, Idempotency: balancer.NotIdempotent}
+		k := balancer.Class{
+			Name:             c.Name,
+			LatencyObjective: c.Aim,
+			Deadline:         c.Deadline,
+			PriorityWeight:   c.Worth,
+			Idempotency:      balancer.NotIdempotent,
+		}
 		if c.Effect == scenario.Safe {
 			k.Idempotency = balancer.Idempotent
 		}
--- a/internal/standin/program/config.go
+++ b/internal/standin/program/config.go
@@ -31,10 +31,15 @@
 	}
 	l, r, p, g := s.Limits, s.Rules, s.Costs, s.ScoreWeights
 	return Object{
-		"balancers": s.Balancers, "ordinal": s.Self, "zone": s.Zone,
-		"resolution": s.Tick.Microseconds(), "categories": classes, "customers": tenants,
-		"overShareWorth": s.OverQuotaWeight, "discovery": "on_request",
-		"clientHabits": Object{"marksRetry": s.ClientsMarkRetries},
+		"balancers":      s.Balancers,
+		"ordinal":        s.Self,
+		"zone":           s.Zone,
+		"resolution":     s.Tick.Microseconds(),
+		"categories":     classes,
+		"customers":      tenants,
+		"overShareWorth": s.OverQuotaWeight,
+		"discovery":      "on_request",
+		"clientHabits":   Object{"marksRetry": s.ClientsMarkRetries},
 		"bounds": Object{
 			"cancel": l.Cancel, "mayTell": l.Gossip, "retryAfter": l.RetryAfter,
 			"secondCopies": l.Hedging, "sendCap": l.MaxAttempts,
@@ -46,7 +51,12 @@
 			"fall": r.OverloadWindow.Microseconds(), "stopSendingWithin": r.DrainGrace.Microseconds(),
 			"fallMultiple": r.OverloadMultiple, "startCapacity": r.SlowStartCapacity,
 		},
-		"prices": Object{"crossZone": p.CrossZone, "waste": p.WastedWork, "peer": p.PeerMessage, "lateFail": p.LateFailure},
+		"prices": Object{
+			"crossZone": p.CrossZone,
+			"waste":     p.WastedWork,
+			"peer":      p.PeerMessage,
+			"lateFail":  p.LateFailure,
+		},
 		"goal": Object{
 			"whole": g.Total, "worstWindow": g.WorstWindow, "worstClass": g.WorstClass,
 			"worstTenant": g.WorstTenant,
