--- a/internal/fleet/internal/golden/golden.go
+++ b/internal/fleet/internal/golden/golden.go
@@ -1,5 +1,5 @@
-// Package golden holds encoded forms against files, for tests of what must not change: what agents of other builds
-// send, write and read.
+// Package golden compares encoded forms with files, for tests of what must not change: what agents of other
+// builds send, write and read. It is for tests only.
 package golden
 
 import (
@@ -18,8 +18,8 @@
 // lineBytes is how many bytes a line of a file shows, in hexadecimal digits.
 const lineBytes = 40
 
-// Bytes requires that encoded is what testdata/golden/NAME.hex holds, and returns the file's bytes, to be decoded.
-// With -update it writes the file first.
+// Bytes requires that encoded is what testdata/golden/NAME.hex holds, and returns the file's bytes, to be
+// decoded. With -update it writes the file first.
 func Bytes(t *testing.T, name string, encoded []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name+".hex")
--- a/internal/fleet/lease/example_test.go
+++ b/internal/fleet/lease/example_test.go
@@ -8,7 +8,8 @@
 	"dunestep/internal/fleet/replica"
 )
 
-// An agent asks a voter, which asks the leader first. Then the voter is cut off, and the lease runs out.
+// An agent requests a lease from a voter, which first confirms its position with the leader. Then the voter is cut off,
+// and the lease expires.
 func Example() {
 	at := func(d time.Duration) lease.ClockReading {
 		return lease.ClockReading{Unix: 1_800_000_000*time.Second + d, Mono: d}
@@ -17,22 +18,22 @@
 	voter := lease.NewGranter(lease.GranterSettings{Terms: terms, Agents: 300})
 	agent := lease.NewHolder(lease.HolderSettings{Terms: terms, Self: 17, Voters: []int{0}, Seed: 1}, at(0))
 	agent.SetApplied(replica.Position{Epoch: 1, Seq: 5})
-	asked := agent.Next()
-	_, request, _ := agent.Tick(at(asked))
-	_, ask := voter.HandleRequest(at(asked), 17, request)
-	fmt.Println("the leader is asked:", ask)
-	for _, answer := range voter.HandleConfirmed(at(asked+time.Millisecond), at(asked), replica.Position{Epoch: 1, Seq: 5}) {
-		agent.HandleGrant(at(asked+2*time.Millisecond), 0, answer.Grant)
+	requestedAt := agent.Next()
+	_, request, _ := agent.Tick(at(requestedAt))
+	_, startRead := voter.HandleRequest(at(requestedAt), 17, request)
+	fmt.Println("a read is started:", startRead)
+	for _, reply := range voter.HandleConfirmed(at(requestedAt+time.Millisecond), at(requestedAt), replica.Position{Epoch: 1, Seq: 5}) {
+		agent.HandleGrant(at(requestedAt+2*time.Millisecond), 0, reply.Grant)
 	}
 	for _, after := range []time.Duration{time.Second, terms.Duration - 1, terms.Duration} {
-		fmt.Println(after, agent.Standing(at(asked+after)))
+		fmt.Println(after, agent.Standing(at(requestedAt+after)))
 	}
-	committed := at(asked).Unix
-	fmt.Println("nobody acts without it", (terms.Fence(committed) - committed).Round(time.Millisecond), "later")
+	committed := at(requestedAt).Unix
+	fmt.Println("no agent acts without it after", (terms.Fence(committed) - committed).Round(time.Millisecond))
 	// Output:
-	// the leader is asked: true
+	// a read is started: true
 	// 1s full
 	// 3.999999999s full
 	// 4s floor
-	// nobody acts without it 5.205s later
+	// no agent acts without it after 5.205s
 }
--- a/internal/fleet/lease/granter.go
+++ b/internal/fleet/lease/granter.go
@@ -7,64 +7,65 @@
 	"dunestep/internal/fleet/replica"
 )
 
-// GranterSettings are one voter's.
+// GranterSettings are the settings of one voter.
 type GranterSettings struct {
 	Terms  Terms
-	Agents int // numbers 0 to Agents-1 can ask; others are dropped and counted
-	// MayGrant is asked at the moment of each grant whether the parts above let this agent have one; nil: they
-	// do. Who may not is refused.
+	Agents int // agents 0 to Agents-1 may request leases; requests of others are dropped and counted
+	// MayGrant is called at the time of each grant: false rejects the request. nil: all requests may be granted.
 	MayGrant func(now ClockReading, from int, r Request) bool
 }
 
-// GranterStats count since the start.
+// GranterStats counts since the start.
 type GranterStats struct {
 	Granted, Rejected, Dropped uint64
-	Pauses                     uint64 // times between two inputs that were longer than Terms.MaxPause
+	Pauses                     uint64 // times between two inputs that exceeded Terms.MaxPause
 }
 
-// Reply is what to send to an agent.
+// Reply is a grant to be sent to an agent.
 type Reply struct {
 	To    int
 	Grant Grant
 }
 
-// ActiveHolder is an agent that was granted a lease here which may still hold.
+// ActiveHolder is an agent that was granted a lease here which may still be unexpired.
 type ActiveHolder struct {
 	Agent       int
 	Incarnation uint64
-	Applied     replica.Position // by its own word, without the sum, as it asked
+	Applied     replica.Position // as the agent requested the lease; without the sum
 	GrantedAt   ClockReading
 }
 
-// Granter is the voter's side. It holds no promise but its table, which is for ActiveHolders alone: a voter that
-// lost all may grant as soon as it has asked the leader again.
+// Granter is the voter's side of leases. Its grants need no memory but the table of ActiveHolders: a voter
+// that lost its state may grant as soon as the leader has confirmed a read.
 type Granter struct {
 	settings  GranterSettings
 	stats     GranterStats
-	lastInput ClockReading // of the last input
-	hasInput  bool         // there was one
+	lastInput ClockReading
+	hasInput  bool // lastInput is set
 
 	isConfirmed    bool
-	confirmedAsOf  ClockReading // when the leader was asked that has confirmed this place
+	confirmedAsOf  ClockReading // the start of the read that confirmed the position
 	position       replica.Position
 	isReadPending  bool
 	readStarted    ClockReading
-	lastReadFailed bool // the last time that the leader was asked brought nothing
+	lastReadFailed bool
 
-	holders []ActiveHolder
+	holders []ActiveHolder // by the agent's number
 	pending map[int]Request
 }
 
-// NewGranter returns a Granter that knows nothing yet.
-func NewGranter(set GranterSettings) *Granter {
-	set.Terms = set.Terms.WithDefaults()
-	return &Granter{settings: set, holders: make([]ActiveHolder, max(set.Agents, 0)), pending: map[int]Request{}}
+// NewGranter returns a Granter that knows no position yet.
+func NewGranter(settings GranterSettings) *Granter {
+	settings.Terms = settings.Terms.WithDefaults()
+	return &Granter{
+		settings: settings, holders: make([]ActiveHolder, max(settings.Agents, 0)), pending: map[int]Request{},
+	}
 }
 
-// Stats are counts since the start.
+// Stats returns the counters since the start.
 func (g *Granter) Stats() GranterStats { return g.stats }
 
-// input sees pauses: what was known before one is not used after it.
+// noteInput detects pauses of the process, and reads that brought no answer.
 func (g *Granter) noteInput(now ClockReading) {
 	if g.hasInput && now.Since(g.lastInput) > g.settings.Terms.MaxPause {
 		g.stats.Pauses++
@@ -76,10 +77,10 @@
 	}
 }
 
-// HandleRequest takes an agent's request. Now has to be read after the request was taken from the way. It is
-// answered at once, or with the leader's next confirmation: ask is true where a linearizable read is to begin
-// now, whose end is for HandleConfirmed.
-func (g *Granter) HandleRequest(now ClockReading, from int, r Request) (out []Reply, ask bool) {
+// HandleRequest processes an agent's request. The clocks have to be read after the request was received. It
+// is answered at once, or with the leader's next confirmation. startRead reports that a linearizable read is
+// to be started now; its end is reported by HandleConfirmed.
+func (g *Granter) HandleRequest(now ClockReading, from int, r Request) (replies []Reply, startRead bool) {
 	g.noteInput(now)
 	if from < 0 || from >= len(g.holders) || r.Agent != from {
 		g.stats.Dropped++
@@ -87,17 +88,17 @@
 	}
 	switch {
 	case g.isFresh(now):
-		out = append(out, g.grant(now, from, r))
+		replies = append(replies, g.grant(now, from, r))
 	case g.lastReadFailed:
-		g.stats.Rejected++
-		out = append(out, Reply{To: from, Grant: Grant{Nonce: r.Nonce, Rejected: true}})
+		replies = append(replies, g.reject(from, r))
 	default:
 		g.pending[from] = r
 	}
-	return out, g.startRead(now)
+	return replies, g.startRead(now)
 }
 
-// ask begins to ask the leader where what is known is not from the last half of MaxKnowledgeAge.
+// startRead starts a read unless one is pending or the position was confirmed within the last half of
+// MaxKnowledgeAge.
 func (g *Granter) startRead(now ClockReading) bool {
 	if g.isReadPending || g.isConfirmed && now.Since(g.confirmedAsOf) < g.settings.Terms.MaxKnowledgeAge/2 {
 		return false
@@ -106,14 +107,19 @@
 	return true
 }
 
+// isFresh reports whether the position is recent enough to grant leases on it.
 func (g *Granter) isFresh(now ClockReading) bool {
 	return g.isConfirmed && now.Since(g.confirmedAsOf) <= g.settings.Terms.MaxKnowledgeAge
 }
 
+func (g *Granter) reject(to int, r Request) Reply {
+	g.stats.Rejected++
+	return Reply{To: to, Grant: Grant{Nonce: r.Nonce, Rejected: true}}
+}
+
 func (g *Granter) grant(now ClockReading, to int, r Request) Reply {
 	if g.settings.MayGrant != nil && !g.settings.MayGrant(now, to, r) {
-		g.stats.Rejected++
-		return Reply{To: to, Grant: Grant{Nonce: r.Nonce, Rejected: true}}
+		return g.reject(to, r)
 	}
 	g.stats.Granted++
 	g.holders[to] = ActiveHolder{
@@ -126,35 +132,36 @@
 	}}
 }
 
-// HandleConfirmed tells that a linearizable read which began at a reading has ended, and that this voter has
-// applied all that it named, up to at. Requests is the reading before the read began, never that of its end. A
-// read that a fallen leader or a lost message ended is not told. What waited is granted.
-func (g *Granter) HandleConfirmed(now, asked ClockReading, at replica.Position) (out []Reply) {
+// HandleConfirmed reports that a linearizable read has ended and that this voter has applied everything that
+// it named, up to position. startedAt is the reading before the read started, never that of its end. A read
+// that ended without an answer is not reported. Pending requests are granted.
+func (g *Granter) HandleConfirmed(now, startedAt ClockReading, position replica.Position) (replies []Reply) {
 	g.noteInput(now)
-	if g.isConfirmed && asked.Mono < g.confirmedAsOf.Mono || now.Since(asked) > g.settings.Terms.MaxKnowledgeAge {
+	isOlder := g.isConfirmed && startedAt.Mono < g.confirmedAsOf.Mono
+	if isOlder || now.Since(startedAt) > g.settings.Terms.MaxKnowledgeAge {
 		return nil
 	}
-	g.isConfirmed, g.confirmedAsOf, g.position, g.lastReadFailed = true, asked, at, false
-	if asked.Mono >= g.readStarted.Mono {
+	g.isConfirmed, g.confirmedAsOf, g.position, g.lastReadFailed = true, startedAt, position, false
+	if startedAt.Mono >= g.readStarted.Mono {
 		g.isReadPending = false
 	}
 	for to := range g.holders {
-		if r, is := g.pending[to]; is {
-			out = append(out, g.grant(now, to, r))
+		if r, isPending := g.pending[to]; isPending {
+			replies = append(replies, g.grant(now, to, r))
 		}
 	}
 	clear(g.pending)
-	return out
+	return replies
 }
 
-// ActiveHolders are the agents that may still hold a lease which was granted here, by number.
+// ActiveHolders returns the agents that may still hold a lease which was granted here, by their numbers.
 func (g *Granter) ActiveHolders(now ClockReading) []ActiveHolder {
 	return slices.DeleteFunc(slices.Clone(g.holders), func(h ActiveHolder) bool {
 		return h.GrantedAt == (ClockReading{}) || now.Since(h.GrantedAt) >= g.maxHolding()
 	})
 }
 
-// maxHolding is how long after a grant its holder may still act, by the granter's clock.
+// maxHolding returns how long after a grant its holder may still act, by the granter's clock.
 func (g *Granter) maxHolding() time.Duration {
 	t := g.settings.Terms
 	return time.Duration(float64(t.Duration) * (1 + t.MaxDrift) / (1 - t.MaxDrift))
--- a/internal/fleet/lease/lease_test.go
+++ b/internal/fleet/lease/lease_test.go
@@ -12,35 +12,35 @@
 	"dunestep/internal/simnet/lossy"
 )
 
-// lab plays voters, whose leader is node 0, and agents. What was committed, and when, is told by the lab: the
-// leader answers each question with what is committed as it answers.
+// lab simulates voters, whose leader is node 0, and agents. The lab itself knows what was committed and when: the leader
+// answers each read with what is committed as it answers.
 type lab struct {
 	*lossy.Network
-	terms     Terms
-	granters  []*Granter
-	holders   []*Holder
-	known     []uint64 // records, by agent
-	lastInput []ClockReading
-	commits   []ClockReading // of the leader's clocks, by record
-	without   string         // a protection
-	decisions int
-	full      int
-	breach    string
+	terms      Terms
+	granters   []*Granter
+	holders    []*Holder
+	applied    []uint64 // the last record by the agent
+	lastInput  []ClockReading
+	commits    []ClockReading // of the leader's clocks, by the record
+	without    string         // the protection that is left out; empty: none
+	decisions  int
+	underLease int
+	violation  string
 }
 
 const (
 	voters = 3
-	// suspended is an agent whose steady clock stands nearly still when it is paused, and whose Unix time is right.
+	// suspended is an agent whose steady clock stands nearly still while it is paused, and whose Unix time is right.
 	suspended = voters
 )
 
 func newLab(seed uint64, agents int, faults lossy.Faults, terms Terms, without string) *lab {
 	l := &lab{
 		Network: lossy.NewNetwork(seed, voters+agents, 1e6*time.Second, faults), terms: terms.WithDefaults(), without: without,
-		known: make([]uint64, agents), lastInput: make([]ClockReading, agents),
+		applied: make([]uint64, agents), lastInput: make([]ClockReading, agents),
 	}
 	granting := l.terms
-	if without == "heard" {
+	if without == "knowledge age" {
 		granting.MaxKnowledgeAge, granting.MaxPause = time.Hour, time.Hour
 	}
 	l.OnMessage, l.OnTimer = l.deliver, l.tick
@@ -70,7 +70,7 @@
 		Terms: l.terms, Self: a, Incarnation: incarnation,
 		Voters: []int{0, 1, 2}, Seed: uint64(a) + 7,
 	}, l.reading(voters+a))
-	l.holders[a].SetApplied(replica.Position{Epoch: 1, Seq: l.known[a]})
+	l.holders[a].SetApplied(replica.Position{Epoch: 1, Seq: l.applied[a]})
 	l.SetTimer(voters+a, l.holders[a].Next())
 }
 
@@ -86,7 +86,7 @@
 
 // read is a linearizable read on its way between a voter and the leader.
 type read struct {
-	asked     ClockReading
+	startedAt ClockReading
 	committed uint64
 }
 
@@ -98,10 +98,10 @@
 		if err != nil {
 			panic(err)
 		}
-		out, ask := l.granters[to].HandleRequest(now, from-voters, r)
-		l.answer(to, out)
-		if ask {
-			l.ask(to, now)
+		replies, startRead := l.granters[to].HandleRequest(now, from-voters, r)
+		l.reply(to, replies)
+		if startRead {
+			l.startRead(to, now)
 		}
 	case to >= voters && data[0] == 'g':
 		g, err := DecodeGrant(data[1:])
@@ -109,7 +109,7 @@
 			panic(err)
 		}
 		a := to - voters
-		if l.without == "sending" { // measure from when the grant comes
+		if l.without == "request time" { // count from when the grant came
 			for i := range l.holders[a].outstanding {
 				l.holders[a].outstanding[i].sent = now
 			}
@@ -120,21 +120,21 @@
 	}
 }
 
-// ask goes to the leader and back over the same ways as all else, with messages of its own.
-func (l *lab) ask(voter int, asked ClockReading) {
+// startRead has a voter do a linearizable read at the leader, over the same network as everything else.
+func (l *lab) startRead(voter int, startedAt ClockReading) {
 	w := l.Network
-	question := func(done func(read)) {
-		if l.gone(voter, 0) {
+	exchange := func(done func(read)) {
+		if l.isLost(voter, 0) {
 			return
 		}
 		w.At(w.Now()+l.delay(), func() {
-			answer := read{asked: asked, committed: uint64(len(l.commits))}
-			if !l.gone(0, voter) {
+			answer := read{startedAt: startedAt, committed: uint64(len(l.commits))}
+			if !l.isLost(0, voter) {
 				w.At(w.Now()+l.delay(), func() { done(answer) })
 			}
 		})
 	}
-	question(func(r read) {
+	exchange(func(r read) {
 		var confirm func()
 		confirm = func() {
 			if w.IsPaused(voter) {
@@ -142,16 +142,16 @@
 				return
 			}
 			now := l.reading(voter)
-			if l.without == "asked" { // take the answer's coming for what it is as new as
-				r.asked = now
+			if l.without == "read start" { // count from when the answer came
+				r.startedAt = now
 			}
-			l.answer(voter, l.granters[voter].HandleConfirmed(now, r.asked, replica.Position{Epoch: 1, Seq: r.committed}))
+			l.reply(voter, l.granters[voter].HandleConfirmed(now, r.startedAt, replica.Position{Epoch: 1, Seq: r.committed}))
 		}
 		confirm()
 	})
 }
 
-func (l *lab) gone(from, to int) bool {
+func (l *lab) isLost(from, to int) bool {
 	return from != to && (l.Rand().Float64() < l.Faults.Loss || l.IsCut(from, to))
 }
 
@@ -163,9 +163,9 @@
 	return d
 }
 
-func (l *lab) answer(voter int, out []Reply) {
-	for _, a := range out {
-		l.Send(voter, voters+a.To, append([]byte{'g'}, a.Grant.Encode()...))
+func (l *lab) reply(voter int, replies []Reply) {
+	for _, r := range replies {
+		l.Send(voter, voters+r.To, append([]byte{'g'}, r.Grant.Encode()...))
 	}
 }
 
@@ -179,14 +179,14 @@
 			wait = time.Duration(l.Rand().Int64N(int64(40 * time.Second)))
 		}
 		l.At(l.Now()+wait, func() {
-			l.known[a] = max(l.known[a], n)
-			l.holders[a].SetApplied(replica.Position{Epoch: 1, Seq: l.known[a]})
+			l.applied[a] = max(l.applied[a], n)
+			l.holders[a].SetApplied(replica.Position{Epoch: 1, Seq: l.applied[a]})
 		})
 	}
 }
 
-// decide has every agent that runs make a decision, and looks whether it may: by the leader's own clocks, and
-// by the Unix time of another machine.
+// decide has every running agent make a decision, and checks whether it may: by the leader's own clocks, and by the Unix
+// time of another machine.
 func (l *lab) decide() {
 	leader, other := l.reading(0), l.UnixTime(l.Rand().IntN(voters))
 	for a, h := range l.holders {
@@ -194,7 +194,7 @@
 			continue
 		}
 		now := l.reading(voters + a)
-		if l.without == "decision" { // no look at the clock for the decision itself
+		if l.without == "decision time" { // the clocks are not read for the decision itself
 			now = l.lastInput[a]
 		}
 		if l.without == "applied" {
@@ -204,20 +204,20 @@
 		if !h.Holds(now) {
 			continue
 		}
-		l.full++
+		l.underLease++
 		for i, committed := range l.commits {
-			if l.known[a] > uint64(i) {
+			if l.applied[a] > uint64(i) {
 				continue
 			}
 			if l.terms.FencePassed(committed, leader) || other >= l.terms.Fence(committed.Unix) {
-				l.breach = "an agent acts without a record after its fence"
+				l.violation = "an agent acts without a record after its fence"
 			}
 		}
 	}
 }
 
-// course plays 90 s with all faults.
-func course(seed uint64, without string) *lab {
+// simulate runs 90 s with all kinds of faults.
+func simulate(seed uint64, without string) *lab {
 	terms := Terms{Duration: 2 * time.Second, MaxKnowledgeAge: 500 * time.Millisecond, MaxClockError: 400 * time.Millisecond, MaxDrift: 0.01}
 	l := newLab(seed, 6, lossy.Faults{
 		Loss: 0.1, Duplicate: 0.1, MinDelay: time.Millisecond, MaxDelay: 20 * time.Millisecond,
@@ -238,7 +238,7 @@
 				l.SetClock(node, 0, 0.01)
 				l.At(until, func() { l.SetClock(node, 0, 1) })
 			}
-		case 1: // one way, for a while
+		case 1: // one direction, for a while
 			other := rng.IntN(voters)
 			l.SetCut(node, other, true)
 			l.At(l.Now()+8*time.Second, func() { l.SetCut(node, other, false) })
@@ -246,13 +246,13 @@
 			other := rng.IntN(voters)
 			l.SetCut(other, node, true)
 			l.At(l.Now()+8*time.Second, func() { l.SetCut(other, node, false) })
-		case 3: // within the terms; an agent's Unix time may be off by more, as nobody else goes by it
-			off := (2*rng.Float64() - 1) * float64(terms.MaxClockError)
+		case 3: // within the terms; an agent's Unix time may be off by more, as nobody else depends on it
+			offset := (2*rng.Float64() - 1) * float64(terms.MaxClockError)
 			if node >= voters {
-				off *= 10
+				offset *= 10
 			}
 			if node != suspended {
-				l.SetClock(node, time.Duration(off), 1+(2*rng.Float64()-1)*terms.MaxDrift)
+				l.SetClock(node, time.Duration(offset), 1+(2*rng.Float64()-1)*terms.MaxDrift)
 			}
 		case 4:
 			if node >= voters {
@@ -271,54 +271,55 @@
 	}
 }
 
+// No agent acts without a record after its fence.
 func TestNobodyActsWithoutARecordAfterItsFence(t *testing.T) {
-	decisions, full := 0, 0
+	decisions, underLease := 0, 0
 	for seed := range uint64(200) {
-		l := course(seed, "")
-		require.Empty(t, l.breach, "seed %d", seed)
-		decisions, full = decisions+l.decisions, full+l.full
+		l := simulate(seed, "")
+		require.Empty(t, l.violation, "seed %d", seed)
+		decisions, underLease = decisions+l.decisions, underLease+l.underLease
 	}
-	require.Greater(t, float64(full)/float64(decisions), 0.25, "the property would hold if nobody ever acted")
-	t.Logf("%d decisions, %.2f of them under a lease", decisions, float64(full)/float64(decisions))
+	require.Greater(t, float64(underLease)/float64(decisions), 0.25, "the property would hold if nobody ever acted")
+	t.Logf("%d decisions, %.2f of them under a lease", decisions, float64(underLease)/float64(decisions))
 }
 
+// Each protection is needed: without it, a violation is found.
 func TestEachProtectionIsNeeded(t *testing.T) {
-	for _, without := range []string{"heard", "sending", "decision", "asked", "applied", "steady clock", "Unix time"} {
+	for _, without := range []string{"knowledge age", "request time", "decision time", "read start", "applied", "steady clock", "Unix time"} {
 		t.Run(without, func(t *testing.T) {
 			for seed := range uint64(200) {
-				if course(seed, without).breach != "" {
+				if simulate(seed, without).violation != "" {
 					t.Logf("found by seed %d", seed)
 					return
 				}
 			}
-			t.Error("taken out, and not found within 200 seeds")
+			t.Error("no violation within 200 seeds without this protection")
 		})
 	}
 }
 
-// TestAgentsKeepTheirLeases: without other faults than loss, an agent is hardly ever without, and the voters'
-// work is spread.
-func TestAgentsKeepTheirLeases(t *testing.T) {
+// With loss as the only fault, an agent hardly ever lacks a lease, and the voters share the load.
+func TestLeasesAreKeptUnderLoss(t *testing.T) {
 	for _, c := range []struct {
-		loss, full, perVoter float64
-		dead                 bool // one of the three voters
+		loss, leased, perVoter float64
+		isVoterDown            bool // one of the three
 	}{{0, 1, 52, false}, {0.1, 0.999, 75, false}, {0.3, 0.98, 110, false}, {0, 1, 80, true}, {0.1, 0.99, 110, true}} {
 		l := newLab(1, 300, lossy.Faults{Loss: c.loss, MinDelay: time.Millisecond, MaxDelay: 5 * time.Millisecond}, Terms{}, "")
 		l.Run(l.Now() + 5*time.Second)
-		if c.dead {
+		if c.isVoterDown {
 			l.Pause(2, l.Now()+time.Hour)
 		}
 		begin, sent := l.Now(), l.SentMessages[0]
 		every(l, begin, begin+60*time.Second, 200*time.Millisecond, l.decide)
 		l.Run(begin + 60*time.Second)
-		share, rate := float64(l.full)/float64(l.decisions), float64(l.SentMessages[0]-sent)/60
-		t.Logf("loss %.0f%%, one dead %v: full %.4f, a voter of 3 sends %.0f/s", c.loss*100, c.dead, share, rate)
-		require.GreaterOrEqual(t, share, c.full)
+		leased, rate := float64(l.underLease)/float64(l.decisions), float64(l.SentMessages[0]-sent)/60
+		t.Logf("loss %.0f%%, one of 3 voters down %v: under a lease %.4f, a voter sends %.0f/s", c.loss*100, c.isVoterDown, leased, rate)
+		require.GreaterOrEqual(t, leased, c.leased)
 		require.Less(t, rate, c.perVoter)
 	}
 }
 
-// TestHolder: what counts as a lease and what does not.
+// TestHolder checks which grants count as a lease and until when.
 func TestHolder(t *testing.T) {
 	at := func(s float64) ClockReading { // with both clocks
 		return ClockReading{Unix: 1e6*time.Second + time.Duration(s*1e9), Mono: time.Duration(s * 1e9)}
@@ -329,36 +330,36 @@
 	require.True(t, send)
 	h.HandleGrant(at(0.6), to+1, Grant{Nonce: r.Nonce})
 	h.HandleGrant(at(0.6), to, Grant{Nonce: r.Nonce + 1})
-	require.Equal(t, New, h.Standing(at(0.6)), "of another voter, for another request")
+	require.Equal(t, New, h.Standing(at(0.6)), "from another voter, for another request")
 	h.HandleGrant(at(0.6), to, Grant{Nonce: r.Nonce, Epoch: 1, Seq: 5})
 	require.Equal(t, New, h.Standing(at(0.7)), "not applied")
 	h.SetApplied(replica.Position{Epoch: 1, Seq: 5})
 	require.Equal(t, Full, h.Standing(at(4.4)))
-	ahead := at(0.7)
-	ahead.Unix += 5 * time.Second
-	require.Equal(t, Floor, h.Standing(ahead), "a clock was set forward")
-	require.Equal(t, Floor, h.Standing(at(0.7)), "and back: what ran out does not come again")
+	setForward := at(0.7)
+	setForward.Unix += 5 * time.Second
+	require.Equal(t, Floor, h.Standing(setForward), "a clock was set forward")
+	require.Equal(t, Floor, h.Standing(at(0.7)), "and back: an expired lease does not come back")
 
 	_, r, send = h.Tick(at(5))
 	require.True(t, send)
-	back := at(8.9)
-	back.Unix -= time.Hour
-	h.HandleGrant(back, to, Grant{Nonce: r.Nonce, Epoch: 1, Seq: 4})
-	require.Equal(t, Full, h.Standing(back), "a clock that was set back counts for nothing")
-	back.Mono += 200 * time.Millisecond
-	require.Equal(t, Floor, h.Standing(back))
+	setBack := at(8.9)
+	setBack.Unix -= time.Hour
+	h.HandleGrant(setBack, to, Grant{Nonce: r.Nonce, Epoch: 1, Seq: 4})
+	require.Equal(t, Full, h.Standing(setBack), "a clock that was set back does not count")
+	setBack.Mono += 200 * time.Millisecond
+	require.Equal(t, Floor, h.Standing(setBack))
 	_, r, _ = h.Tick(at(10))
 	h.HandleGrant(at(14), to, Grant{Nonce: r.Nonce, Epoch: 1, Seq: 4})
 	require.Equal(t, HolderStats{Requests: 3, Granted: 2, Late: 1, Unmatched: 2}, h.Stats())
 }
 
-// TestPatience: a voter is waited for as long as answers take, and all of them are taken to be away after as many
-// requests as the way's loss explains, not before.
-func TestPatience(t *testing.T) {
-	for _, lost := range []int{0, 2} { // requests before each one that is answered
+// A voter is waited for as long as replies take, and the voters count as unreachable after as many requests as the
+// known loss explains, not before.
+func TestRetrySchedule(t *testing.T) {
+	for _, lost := range []int{0, 2} { // requests that are lost before each one that is answered
 		h := NewHolder(HolderSettings{Voters: []int{4, 5, 6}, Seed: 9}, ClockReading{})
 		now := ClockReading{}
-		ask := func() (int, Request, time.Duration) {
+		request := func() (int, Request, time.Duration) {
 			since := now.Mono
 			now.Mono = h.Next()
 			now.Unix = now.Mono
@@ -366,100 +367,102 @@
 			require.True(t, send)
 			return to, r, now.Mono - since
 		}
-		ask()
-		_, _, first := ask()
-		require.Greater(t, first, 200*time.Millisecond, "no answer came yet")
+		request()
+		_, _, first := request()
+		require.Greater(t, first, 200*time.Millisecond, "no reply came yet")
 		for range 60 {
 			for range lost {
-				ask()
+				request()
 			}
-			to, r, _ := ask()
+			to, r, _ := request()
 			now.Mono, now.Unix = now.Mono+5*time.Millisecond, now.Unix+5*time.Millisecond
 			h.HandleGrant(now, to, Grant{Nonce: r.Nonce})
 		}
 		var waits []time.Duration
-		ask()
+		request()
 		for range 40 {
-			_, _, wait := ask()
+			_, _, wait := request()
 			waits = append(waits, wait)
 		}
 		require.Less(t, waits[0]+waits[1]+waits[2], 150*time.Millisecond)
-		soon := 0
-		for soon < len(waits) && waits[soon] < 300*time.Millisecond {
-			soon++
+		eager := 0
+		for eager < len(waits) && waits[eager] < 300*time.Millisecond {
+			eager++
 		}
-		require.InDelta(t, 16+6*lost, soon, 1, "lost %d", lost)
+		require.InDelta(t, 16+6*lost, eager, 1, "lost %d", lost)
 		require.Greater(t, waits[39], 1700*time.Millisecond)
 	}
 }
 
-// TestAnswersOutOfOrder: an older lease never takes the place of a newer one, nor an earlier epoch's of a later.
-func TestAnswersOutOfOrder(t *testing.T) {
+// An older grant never replaces a newer one, nor one of an earlier epoch one of a later.
+func TestGrantsOutOfOrder(t *testing.T) {
 	h := NewHolder(HolderSettings{Voters: []int{4}, Seed: 9}, ClockReading{})
 	h.SetApplied(replica.Position{Epoch: 2, Seq: 5})
-	ask := func(s float64) Request {
+	request := func(s float64) Request {
 		h.nextRequest = 0
 		_, r, _ := h.Tick(at(s))
 		return r
 	}
-	first, second, third := ask(1), ask(2), ask(2.5)
+	first, second, third := request(1), request(2), request(2.5)
 	h.HandleGrant(at(2.6), 4, Grant{Nonce: third.Nonce, Epoch: 1, Seq: 9})
 	require.Equal(t, New, h.Standing(at(2.6)))
 	h.HandleGrant(at(2.6), 4, Grant{Nonce: second.Nonce, Epoch: 2, Seq: 5})
 	h.HandleGrant(at(2.7), 4, Grant{Nonce: first.Nonce, Epoch: 2, Seq: 5})
 	require.Equal(t, 3300*time.Millisecond, h.Remaining(at(2.7)))
-	h.HandleGrant(at(3), 4, Grant{Nonce: ask(3).Nonce, Epoch: 2, Seq: 6})
-	behind, is := h.Behind()
-	require.True(t, is && behind.Seq == 6 && h.Holds(at(5.9)) && !h.Holds(at(6)), "the former holds until its end")
+	h.HandleGrant(at(3), 4, Grant{Nonce: request(3).Nonce, Epoch: 2, Seq: 6})
+	behind, isBehind := h.Behind()
+	require.True(t, isBehind && behind.Seq == 6 && h.Holds(at(5.9)) && !h.Holds(at(6)), "the former grant holds until it expires")
 
-	refused := ask(4)
+	rejected := request(4)
 	before := h.nextRequest
-	h.HandleGrant(at(4), 4, Grant{Nonce: refused.Nonce, Rejected: true})
-	require.Equal(t, before, h.nextRequest, "a voter that refuses is not asked at once again where it is the only one")
+	h.HandleGrant(at(4), 4, Grant{Nonce: rejected.Nonce, Rejected: true})
+	require.Equal(t, before, h.nextRequest, "the only voter is not asked again at once after it rejected")
 }
 
 func at(s float64) ClockReading { return ClockReading{Mono: time.Duration(s * 1e9)} }
 
+// TestGranter checks when requests wait, are granted and are rejected.
 func TestGranter(t *testing.T) {
 	g := NewGranter(GranterSettings{Agents: 2})
-	out, ask := g.HandleRequest(at(1), 1, Request{Agent: 1, Nonce: 7})
-	require.True(t, ask)
-	require.Empty(t, out, "waits for the leader's word")
-	place := replica.Position{Epoch: 1, Seq: 3}
-	require.Equal(t, []Reply{{To: 1, Grant: Grant{Nonce: 7, Epoch: 1, Seq: 3}}}, g.HandleConfirmed(at(1.1), at(1), place))
+	out, startRead := g.HandleRequest(at(1), 1, Request{Agent: 1, Nonce: 7})
+	require.True(t, startRead)
+	require.Empty(t, out, "waits for the leader's confirmation")
+	position := replica.Position{Epoch: 1, Seq: 3}
+	require.Equal(t, []Reply{{To: 1, Grant: Grant{Nonce: 7, Epoch: 1, Seq: 3}}}, g.HandleConfirmed(at(1.1), at(1), position))
 	require.Len(t, g.ActiveHolders(at(5)), 1)
 	require.Empty(t, g.ActiveHolders(at(5.2)))
 	for _, c := range []struct {
-		now     float64
-		refused bool
-		ask     bool
+		now        float64
+		isRejected bool
+		startRead  bool
 	}{{1.3, false, false}, {1.9, false, true}, {2.1, true, false}, {2.6, true, true}, {4, true, true}} {
-		out, ask = g.HandleRequest(at(c.now), 0, Request{})
-		require.Equal(t, c.ask, ask, "%v", c.now)
-		if c.now != 2.1 { // that one waits: the leader was asked a short while ago
-			require.Equal(t, c.refused, out[0].Grant.Rejected, "%v", c.now)
+		out, startRead = g.HandleRequest(at(c.now), 0, Request{})
+		require.Equal(t, c.startRead, startRead, "%v", c.now)
+		if c.now != 2.1 { // that one waits: a read was started a short while ago
+			require.Equal(t, c.isRejected, out[0].Grant.Rejected, "%v", c.now)
 		} else {
 			require.Empty(t, out)
 		}
 	}
-	require.Empty(t, g.HandleConfirmed(at(5.5), at(4), place), "too old a word")
+	require.Empty(t, g.HandleConfirmed(at(5.5), at(4), position), "the read started too long ago")
 	_, _ = g.HandleRequest(at(5.6), 7, Request{Agent: 7})
 	_, _ = g.HandleRequest(at(5.6), 0, Request{Agent: 1})
 	require.Equal(t, uint64(2), g.Stats().Dropped)
-	_ = g.HandleConfirmed(at(5.7), at(5.6), place)
-	g.HandleConfirmed(at(7.5), at(7.4), place)
+	_ = g.HandleConfirmed(at(5.7), at(5.6), position)
+	g.HandleConfirmed(at(7.5), at(7.4), position)
 	require.Equal(t, uint64(3), g.Stats().Pauses)
 
 	g = NewGranter(GranterSettings{Agents: 1, Terms: Terms{MaxPause: 200 * time.Millisecond}})
-	g.HandleConfirmed(at(1), at(0.9), place)
+	g.HandleConfirmed(at(1), at(0.9), position)
 	g.HandleConfirmed(at(1.1), at(0.5), replica.Position{Epoch: 1, Seq: 2})
 	out, _ = g.HandleRequest(at(1.2), 0, Request{})
-	require.Equal(t, uint64(3), out[0].Grant.Seq, "an older word came later")
+	require.Equal(t, uint64(3), out[0].Grant.Seq, "an older confirmation came later")
 	out, _ = g.HandleRequest(at(1.5), 0, Request{})
 	require.Empty(t, out, "what was known before a pause is not used")
 }
 
-func TestNoBytesAreTooStrange(t *testing.T) {
+// TestDecodeAnyBytes checks that decoding accepts only what encodes within the bounds, and the bounds of Terms.
+func TestDecodeAnyBytes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		data := rapid.SliceOf(rapid.Byte()).Draw(t, "data")
 		r, err := DecodeRequest(data)
@@ -469,20 +472,20 @@
 		_, _ = DecodeGrant(data)
 	})
 	r := Request{Agent: 7, Incarnation: math.MaxUint64, Nonce: 1, Epoch: 2, Seq: 3}
-	again, err := DecodeRequest(r.Encode())
+	decoded, err := DecodeRequest(r.Encode())
 	require.NoError(t, err)
-	require.Equal(t, r, again)
+	require.Equal(t, r, decoded)
 	require.ErrorIs(t, Terms{Duration: 1, MaxKnowledgeAge: 1}.Validate(), ErrInvalidTerms)
 	require.NoError(t, Terms{}.WithDefaults().Validate())
 }
 
-// A clock that is off from most voters' is told, by the time that lies between request and grant and no more; who may
-// not have a lease by the parts above is refused, with its note before them, at the moment of the grant.
-func TestClockOffAndMay(t *testing.T) {
+// A clock that is off from most voters' clocks is detected, within the time between request and grant. An agent that may
+// not have a lease is rejected, by its note, at the time of the grant.
+func TestClockCheckAndMayGrant(t *testing.T) {
 	terms := Terms{}.WithDefaults()
-	var asked []string
+	var notes []string
 	g := NewGranter(GranterSettings{Terms: terms, Agents: 4, MayGrant: func(_ ClockReading, from int, r Request) bool {
-		asked = append(asked, string(r.Note))
+		notes = append(notes, string(r.Note))
 		return string(r.Note) != "no"
 	}})
 	h := NewHolder(HolderSettings{Terms: terms, Self: 3, Voters: []int{0, 1, 2}, Seed: 1}, ClockReading{})
@@ -509,7 +512,7 @@
 		set := ClockReading{Unix: now.Unix + 5*time.Second, Mono: now.Mono}
 		require.True(t, h.IsClockOff(set), "set since")
 	}
-	require.Len(t, asked, 6)
+	require.Len(t, notes, 6)
 	long, err := DecodeRequest(Request{Note: make([]byte, MaxNoteBytes+1)}.Encode())
 	require.Error(t, err, long)
 }
--- a/internal/fleet/lease/messages.go
+++ b/internal/fleet/lease/messages.go
@@ -2,51 +2,58 @@
 
 import (
 	"errors"
+	"fmt"
 	"time"
 
 	"dunestep/internal/fleet/internal/compact"
 )
 
-var errNoteTooLong = errors.New("the note of a request for a lease is too long")
+// MaxNoteBytes is the maximum size of a request's note.
+const MaxNoteBytes = 64
+
+var errNoteTooLong = errors.New("the note of a lease request is too long")
 
 // Request asks a voter for a lease.
 type Request struct {
 	_           struct{} `cbor:",toarray"`
 	Agent       int
-	Incarnation uint64
-	Nonce       uint64 // told again in the Grant
+	Incarnation uint64 // of the agent's process
+	Nonce       uint64 // returned in the Grant
 	Epoch, Seq  uint64 // how far the agent has applied the log
-	Note        []byte // of the parts above, at most MaxNoteBytes bytes
+	Note        []byte // of the application, at most MaxNoteBytes
 }
 
-// MaxNoteBytes is how long a note is at the most, in bytes.
-const MaxNoteBytes = 64
-
-// Grant is a voter's answer.
+// Grant is a voter's reply to a request.
 type Grant struct {
 	_          struct{} `cbor:",toarray"`
 	Nonce      uint64
 	Epoch, Seq uint64 // what the holder has to have applied
 	Rejected   bool
-	Unix       time.Duration // the voter's clock as it granted; see Holder.IsClockOff
+	Unix       time.Duration // the voter's Unix clock as it granted; see Holder.IsClockOff
 }
 
-// Encode returns the message's bytes, fewer than 60 and the note.
+// Encode returns the encoded message: fewer than 60 bytes and the note.
 func (r Request) Encode() []byte { return compact.Marshal(r) }
 
-// Encode returns the message's bytes, fewer than 50.
+// Encode returns the encoded message: fewer than 50 bytes.
 func (g Grant) Encode() []byte { return compact.Marshal(g) }
 
-// DecodeRequest gives an error for what is no Request.
+// DecodeRequest decodes a Request. It returns an error wrapping compact.ErrMalformed for other data, and an
+// error for a note that is too long.
 func DecodeRequest(data []byte) (r Request, err error) {
-	if err = compact.Unmarshal(data, &r); err == nil && len(r.Note) > MaxNoteBytes {
-		err = errNoteTooLong
+	if err = compact.Unmarshal(data, &r); err != nil {
+		return r, fmt.Errorf("cannot decode a lease request: %w", err)
+	}
+	if len(r.Note) > MaxNoteBytes {
+		return r, errNoteTooLong
 	}
-	return r, err
+	return r, nil
 }
 
-// DecodeGrant gives an error for what is no Grant.
+// DecodeGrant decodes a Grant. It returns an error wrapping compact.ErrMalformed for other data.
 func DecodeGrant(data []byte) (g Grant, err error) {
-	err = compact.Unmarshal(data, &g)
-	return g, err
+	if err = compact.Unmarshal(data, &g); err != nil {
+		return g, fmt.Errorf("cannot decode a lease grant: %w", err)
+	}
+	return g, nil
 }
--- /dev/null
+++ b/internal/fleet/raftlog/founding.go
@@ -0,0 +1,82 @@
+package raftlog
+
+import "go.etcd.io/raft/v3/raftpb"
+
+// How a log is founded.
+//
+// A log is founded by the configured voter with the lowest number, and only when every configured voter
+// recently said that it has no log and has promised itself to this very process, and no live log was observed
+// (LiveLogSeen) for Config.FoundingQuietPeriod. A voter keeps to its last promise, accepts only the log that
+// this founder begins, and belongs to at most one log. Hence, with the same configuration everywhere, two
+// logs cannot both have a majority, and none is founded while there are voters of one that can continue, as
+// those have a log.
+//
+// Not covered: agents with different configurations may found two logs if the voters configured in one can
+// reach none of the other's voters, nor an agent that knows of its log. Each log has its epoch; all others
+// follow the highest one.
+
+// notePromise binds a store without a log to the process that may found a log with it.
+func (v *Voter) notePromise(from uint32, h hello) {
+	isFounder := from == v.config.Voters[0]
+	if v.raftNode == nil && isFounder && h.state == noLog && h.nonce != v.identity.PromisedNonce {
+		v.identity.PromisedNonce, v.isIdentityUnwritten = h.nonce, true
+	}
+}
+
+// handleLiveLogSeen postpones the founding of a log.
+func (v *Voter) handleLiveLogSeen(in LiveLogSeen) {
+	if v.isPlausibleEpoch(in.Epoch) {
+		v.noteEpoch(in.Epoch)
+		v.joining.liveLogSeenAt = v.now
+	}
+}
+
+// isQuiet reports whether no live log was observed for the quiet period.
+func (v *Voter) isQuiet() bool {
+	return v.now.Sub(v.joining.liveLogSeenAt) >= v.config.FoundingQuietPeriod
+}
+
+// foundLog founds a log if this is the founder and all configured voters are ready for it.
+func (v *Voter) foundLog() {
+	if v.config.Voters[0] != v.config.Agent || !v.isQuiet() {
+		return
+	}
+	founders, isComplete := v.founders()
+	if !isComplete {
+		return
+	}
+	epoch := max(v.identity.Nonce, v.identity.HighestEpochSeen+1)
+	if v.joinLog(welcome{nonce: v.identity.Nonce, epoch: epoch, id: founders[0].id, founders: founders}) != nil {
+		return
+	}
+	for _, m := range founders[1:] {
+		v.deferMessage(m.agent, welcome{nonce: m.nonce, epoch: epoch, id: m.id, founders: founders}.encode())
+	}
+}
+
+// founders returns the members of a log that this voter founds, itself first. It is incomplete unless each
+// configured voter has no log and has promised itself to this process.
+func (v *Voter) founders() (founders []member, isComplete bool) {
+	founders = []member{{1, v.config.Agent, v.identity.Nonce}}
+	for i, a := range v.config.Voters[1:] {
+		h, isKnown := v.joining.hellos[a]
+		if !isKnown || !v.isRecent(h) || h.state != noLog || h.promisedNonce != v.identity.Nonce {
+			return nil, false
+		}
+		founders = append(founders, member{uint64(i) + 2, a, h.nonce})
+	}
+	return founders, true
+}
+
+// foundingSnapshot is the beginning of a log, the same at all its founders.
+func foundingSnapshot(founders []member) *raftpb.Snapshot {
+	s := logState{founders: founders, members: founders, nextID: uint64(len(founders)) + 1}
+	conf := &raftpb.ConfState{}
+	for _, m := range founders {
+		conf.Voters = append(conf.Voters, m.id)
+	}
+	return &raftpb.Snapshot{
+		Data:     s.encode(nil),
+		Metadata: &raftpb.SnapshotMetadata{ConfState: conf, Index: new(uint64(1)), Term: new(uint64(1))},
+	}
+}
--- a/internal/fleet/raftlog/golden_test.go
+++ b/internal/fleet/raftlog/golden_test.go
@@ -22,7 +22,7 @@
 		require.Equal(t, []byte{wireVersion, wireHello}, encoded[:2])
 		r := &reader{b: encoded[2:]}
 		back := readHello(r)
-		require.False(t, r.tooShort || len(r.b) > 0)
+		require.False(t, r.isTooShort || len(r.b) > 0)
 		require.Equal(t, h, back)
 		require.Equal(t, encoded, back.encode())
 	}
@@ -30,7 +30,7 @@
 	require.Equal(t, []byte{wireVersion, wireRelay}, file[:2])
 	r := &reader{b: file[2:]}
 	from, back := r.u32(), readHello(r)
-	require.False(t, r.tooShort || len(r.b) > 0)
+	require.False(t, r.isTooShort || len(r.b) > 0)
 	require.Equal(t, file, back.encodeRelay(from))
 
 	for name, w := range map[string]welcome{
@@ -41,15 +41,15 @@
 		require.Equal(t, []byte{wireVersion, wireWelcome}, encoded[:2])
 		body := &reader{b: encoded[2:]}
 		read := readWelcome(body)
-		require.False(t, body.tooShort || len(body.b) > 0)
+		require.False(t, body.isTooShort || len(body.b) > 0)
 		require.Equal(t, w, read)
 		require.Equal(t, encoded, read.encode())
 	}
 	file = golden.Bytes(t, "gone", removed{epoch, 9}.encode())
 	require.Equal(t, []byte{wireVersion, wireRemoved}, file[:2])
 	r = &reader{b: file[2:]}
-	require.Equal(t, file, removed{r.u64(), r.u64()}.encode())
-	require.False(t, r.tooShort || len(r.b) > 0)
+	require.Equal(t, file, readRemoved(r).encode())
+	require.False(t, r.isTooShort || len(r.b) > 0)
 }
 
 // rewritten is a message of raft's that was read and written again.
@@ -57,10 +57,10 @@
 	t.Helper()
 	require.Equal(t, []byte{wireVersion, wireRaft}, file[:2])
 	r := &reader{b: file[2:]}
-	e := envelope{r.u64(), r.u64(), r.u64(), r.u64(), r.u64()}
+	e := readEnvelope(r)
 	m := &raftpb.Message{}
 	require.NoError(t, proto.Unmarshal(r.b, m))
-	back, err := proto.MarshalOptions{Deterministic: true}.MarshalAppend(e.append(nil), m)
+	back, err := proto.MarshalOptions{Deterministic: true}.MarshalAppend(e.encode(), m)
 	require.NoError(t, err)
 	return back
 }
@@ -89,11 +89,11 @@
 	leader := tr.leader()
 	id := ProposalID{7, 1, tr.voters[0].Status().AppliedIndex}
 	follower := (leader + 1) % 3
-	require.NoError(t, tr.step(follower, Propose{id, []byte("a record")}))
-	require.NoError(t, tr.step(leader, Withdraw{ProposalID{7, 2, id.Base}}))
+	require.NoError(t, tr.try(follower, Propose{id, []byte("a record")}))
+	require.NoError(t, tr.try(leader, Withdraw{ProposalID{7, 2, id.Base}}))
 	tr.run(time.Second)
-	require.NoError(t, tr.step(leader, Compact{tr.voters[leader].Status().AppliedIndex, []byte("above")}))
-	tr.voters[follower] = fresh(t, follower, 1000, tr.now, false)
+	require.NoError(t, tr.try(leader, Compact{tr.voters[leader].Status().AppliedIndex, []byte("above")}))
+	tr.voters[follower] = newVoter(t, follower, 1000, tr.now, false)
 	tr.run(20 * time.Second)
 	require.GreaterOrEqual(t, len(first), 12)
 	for name, b := range first {
@@ -105,16 +105,17 @@
 // TestGoldenLog: what the log and its snapshots hold keeps its bytes, and is read from them as it was.
 func TestGoldenLog(t *testing.T) {
 	id := ProposalID{1 << 60, 300, 70_000}
-	for kind, name := range map[byte]string{kindProposal: "record", kindWithdrawal: "record-withdrawal"} {
+	for kind, name := range map[recordKind]string{kindProposal: "record", kindWithdrawal: "record-withdrawal"} {
 		file := golden.Bytes(t, name, encodeRecord(kind, id, []byte("data")))
-		require.Equal(t, id, readID(file[1:]))
-		require.Equal(t, file, encodeRecord(file[0], readID(file[1:]), file[recordHeaderBytes:]))
+		decodedKind, decodedID, data := decodeRecord(file)
+		require.Equal(t, id, decodedID)
+		require.Equal(t, file, encodeRecord(decodedKind, decodedID, data))
 	}
 	const epoch = 1_800_000_000_000
 	ms := []member{{1, 0, epoch}, {2, 100, epoch + 1}, {4, 299, epoch + 2}}
 	tb := logState{founders: ms[:2], members: ms, nextID: 5}
-	tb.settle(ProposalID{1, 2, 3}, 4, true)
-	tb.settle(ProposalID{1, 3, 3}, 5, false)
+	tb.settle(ProposalID{1, 2, 3}, 4, kindProposal)
+	tb.settle(ProposalID{1, 3, 3}, 5, kindWithdrawal)
 	for name, tb := range map[string]logState{"snapshot": tb, "snapshot-first": {founders: ms, members: ms, nextID: 4}} {
 		file := golden.Bytes(t, name, tb.encode([]byte("state above")))
 		back, above, err := decodeLogState(file)
--- /dev/null
+++ b/internal/fleet/raftlog/outputs.go
@@ -0,0 +1,68 @@
+package raftlog
+
+import "go.etcd.io/raft/v3/raftpb"
+
+// Identity identifies a store to the other voters. Its zero value is that of an unused store.
+type Identity struct {
+	Nonce uint64 // unique among all stores of all agents
+	Epoch uint64 // of the log that the store belongs to; 0: none
+	ID    uint64 // the store's raft ID in that log
+	// PromisedNonce is the nonce of the only voter that may found a log with this store while it has none.
+	PromisedNonce uint64
+	// HighestEpochSeen is the highest epoch of which this store was informed.
+	HighestEpochSeen uint64
+}
+
+// Stored is what was written before the process ended. Its zero value is a new store, or a volatile one.
+type Stored struct {
+	Identity  Identity
+	HardState *raftpb.HardState
+	Snapshot  *raftpb.Snapshot
+	Entries   []*raftpb.Entry // contiguous; entries covered by the snapshot may be missing
+}
+
+// Persist requests one atomic write. Persisted with its token has to follow once the write is durable, or at
+// once where nothing is stored; no other Persist is returned before.
+type Persist struct {
+	Token     uint64
+	Identity  *Identity // nil: unchanged
+	Reset     bool      // everything written before is void
+	HardState *raftpb.HardState
+	Snapshot  *raftpb.Snapshot
+	// ReplaceEntries reports that all entries written before are void: the snapshot came from another voter.
+	ReplaceEntries bool
+	// DropThrough is the index up to which entries are void, as the snapshot covers them.
+	DropThrough uint64
+	// Entries are appended; entries written before at the index of the first one or above are void.
+	Entries []*raftpb.Entry
+}
+
+// Message is a message to the voter of another agent.
+type Message struct {
+	To    uint32 // the agent
+	Bytes []byte
+}
+
+// Entry is a committed record.
+type Entry struct {
+	Index, Term uint64
+	ID          ProposalID
+	Data        []byte
+}
+
+// Restore replaces the application's state: at a start, and where a voter was too far behind to be sent the
+// records.
+type Restore struct {
+	Epoch, Index uint64
+	Data         []byte // nil: the empty state of a log that begins
+}
+
+// Output is what follows from an input. Restore takes effect before Committed.
+type Output struct {
+	Persist        *Persist
+	Messages       []Message
+	Restore        *Restore
+	Committed      []Entry
+	SnapshotWanted bool  // a Compact is requested
+	Err            error // why the input was rejected: one of this package's errors, or the voter's failure
+}
--- a/internal/fleet/raftlog/consensus_test.go
+++ b/internal/fleet/raftlog/voter_test.go
@@ -12,31 +12,35 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-// trio is three voters whose messages and writes are done at once, but for what drop says.
+// trio is three voters whose messages are delivered and whose writes are done at once, except for what drop drops.
 type trio struct {
 	t         require.TestingT
 	now       time.Time
 	voters    []*Voter
 	committed [][]Entry
-	drop      func(from, to uint32) bool
-	sent      func(b []byte) // told of each message; nil: nobody is
+	drop      func(from, to uint32) bool // nil: nothing is dropped
+	sent      func(b []byte)             // called with each message; nil: not used
 }
 
 func newTrio(t require.TestingT, volatile bool) *trio {
 	tr := &trio{t: t, now: start, committed: make([][]Entry, 3)}
 	for a := range uint32(3) {
-		tr.voters = append(tr.voters, fresh(t, a, uint64(a)+100, tr.now, volatile))
+		tr.voters = append(tr.voters, newVoter(t, a, uint64(a)+100, tr.now, volatile))
 	}
 	return tr
 }
 
-func fresh(t require.TestingT, a uint32, nonce uint64, now time.Time, volatile bool) *Voter {
+func newVoter(t require.TestingT, a uint32, nonce uint64, now time.Time, volatile bool) *Voter {
 	v, err := New(Config{Agent: a, Voters: []uint32{0, 1, 2}, Nonce: nonce, Volatile: volatile}, now, Stored{})
 	require.NoError(t, err)
 	return v
 }
 
-func (tr *trio) step(a uint32, in Input) error {
+// step has a voter process an input whose rejection does not matter to the test.
+func (tr *trio) step(a uint32, in Input) { _ = tr.try(a, in) }
+
+// try has a voter process an input, and delivers what it sends.
+func (tr *trio) try(a uint32, in Input) error {
 	out := tr.voters[a].Step(tr.now, in)
 	tr.committed[a] = append(tr.committed[a], out.Committed...)
 	if out.Persist != nil {
@@ -81,21 +85,21 @@
 	return p
 }
 
-func cutOff(a uint32) func(from, to uint32) bool {
+func isolate(a uint32) func(from, to uint32) bool {
 	return func(from, to uint32) bool { return from == a || to == a }
 }
 
-// A log is begun only when all that are named are there, and once.
-func TestBeginsOnceAndWithAll(t *testing.T) {
+// A log is founded once, and only when all configured voters are reachable.
+func TestFoundsOneLogWithAllVoters(t *testing.T) {
 	tr := newTrio(t, false)
-	tr.drop = cutOff(2)
+	tr.drop = isolate(2)
 	tr.run(20 * time.Second)
 	require.Equal(t, []Phase{Seeking, Seeking, Seeking}, tr.phases())
 	tr.drop = nil
 	tr.run(5 * time.Second)
 	require.NotContains(t, tr.phases(), Seeking)
 	epoch := tr.voters[0].Status().Identity.Epoch
-	tr.drop = cutOff(0)
+	tr.drop = isolate(0)
 	tr.run(20 * time.Second)
 	tr.drop = nil
 	tr.run(5 * time.Second)
@@ -104,10 +108,10 @@
 	}
 }
 
-// A founder begins with those that are promised to it alone.
+// A founder needs the promises of all other voters.
 func TestFounderNeedsPromises(t *testing.T) {
 	for _, promise := range []uint64{0, 99, 100} {
-		v := fresh(t, 0, 100, start, false)
+		v := newVoter(t, 0, 100, start, false)
 		v.Step(start, Persisted{v.Step(start, TimePassed{}).Persist.Token})
 		for a := range uint32(2) {
 			v.Step(start, MessageReceived{a + 1, hello{nonce: 5, promisedNonce: promise, isReply: true}.encode()})
@@ -117,43 +121,42 @@
 	}
 }
 
-// A promise binds: the log that an earlier founder began is not taken after one was made to a later one.
+// A store that promised itself to a later founder does not join the log of an earlier one.
 func TestPromiseBinds(t *testing.T) {
-	v := fresh(t, 1, 100, start, false)
-	say := func(h hello) { v.Step(start, MessageReceived{0, h.encode()}) }
-	done := func() { v.Step(start, Persisted{v.writeToken}) }
+	v := newVoter(t, 1, 100, start, false)
+	receive := func(h hello) { v.Step(start, MessageReceived{0, h.encode()}) }
+	written := func() { v.Step(start, Persisted{v.writeToken}) }
 	v.Step(start, TimePassed{})
-	done()
-	say(hello{nonce: 7, isReply: true})
-	done()
-	say(hello{nonce: 8, isReply: true})
+	written()
+	receive(hello{nonce: 7, isReply: true})
+	written()
+	receive(hello{nonce: 8, isReply: true})
 	require.EqualValues(t, 8, v.Status().Identity.PromisedNonce)
-	done()
-	began := func(founder uint64) welcome {
-		ms := []member{{1, 0, founder}, {2, 1, 100}, {3, 2, 9}}
-		return welcome{nonce: 100, epoch: uint64(start.UnixMilli()), id: 2, founders: ms}
+	written()
+	foundedBy := func(founder uint64) welcome {
+		members := []member{{1, 0, founder}, {2, 1, 100}, {3, 2, 9}}
+		return welcome{nonce: 100, epoch: uint64(start.UnixMilli()), id: 2, founders: members}
 	}
-	v.Step(start, MessageReceived{0, began(7).encode()})
+	v.Step(start, MessageReceived{0, foundedBy(7).encode()})
 	require.Equal(t, Seeking, v.Status().Phase)
-	v.Step(start, MessageReceived{0, began(8).encode()})
+	v.Step(start, MessageReceived{0, foundedBy(8).encode()})
 	require.Equal(t, Leaderless, v.Status().Phase)
 }
 
-// A majority that is gone for good ends a volatile log, and another is begun; one with disks waits for
-// staff.
+// A volatile log that lost its majority for good is replaced by a new one; a durable one waits for an operator.
 func TestMajorityGone(t *testing.T) {
 	for _, volatile := range []bool{true, false} {
 		tr := newTrio(t, volatile)
 		tr.run(5 * time.Second)
 		epoch := tr.voters[0].Status().Identity.Epoch
-		tr.voters[1], tr.voters[2] = fresh(t, 1, 1000, tr.now, volatile), fresh(t, 2, 1000, tr.now, volatile)
+		tr.voters[1], tr.voters[2] = newVoter(t, 1, 1000, tr.now, volatile), newVoter(t, 2, 1000, tr.now, volatile)
 		tr.run(20 * time.Second)
 		if !volatile {
 			require.Equal(t, []Phase{Stuck, Seeking, Seeking}, tr.phases())
 			tr.step(0, LiveLogSeen{epoch})
 			tr.step(0, AbandonLog{})
 			tr.run(5 * time.Second)
-			require.Equal(t, Stuck, tr.phases()[0], "given up though it was heard of")
+			require.Equal(t, Stuck, tr.phases()[0], "abandoned though a live log was seen")
 			tr.run(20 * time.Second)
 		}
 		require.NotContains(t, tr.phases(), Seeking)
@@ -162,8 +165,8 @@
 	}
 }
 
-// A log is not given up while another voter says that it has one that goes on.
-func TestNotGivenUpWhileAnotherHasIt(t *testing.T) {
+// A log is not abandoned while another voter reports that its log can continue.
+func TestLogNotAbandonedWhileLiveElsewhere(t *testing.T) {
 	for _, other := range []storeState{hasLog, stuckLog} {
 		tr := newTrio(t, true)
 		tr.run(5 * time.Second)
@@ -179,13 +182,13 @@
 	}
 }
 
-// One that was cut off and comes back ends nobody's term.
-func TestReturnDisturbsNobody(t *testing.T) {
+// A voter that was isolated and returns does not disturb the leader.
+func TestReturningVoterKeepsLeader(t *testing.T) {
 	tr := newTrio(t, false)
 	tr.run(5 * time.Second)
 	leader := tr.leader()
 	term := tr.voters[leader].Status().Term
-	tr.drop = cutOff((leader + 1) % 3)
+	tr.drop = isolate((leader + 1) % 3)
 	tr.run(10 * time.Second)
 	tr.drop = nil
 	tr.run(5 * time.Second)
@@ -193,11 +196,11 @@
 	require.Equal(t, leader, tr.leader())
 }
 
-// One that lost its disk comes back under a new number.
-func TestNumberIsNotUsedAgain(t *testing.T) {
+// A voter that lost its store returns under a new raft ID.
+func TestRaftIDIsNotReused(t *testing.T) {
 	tr := newTrio(t, false)
 	tr.run(5 * time.Second)
-	tr.voters[2] = fresh(t, 2, 1000, tr.now, false)
+	tr.voters[2] = newVoter(t, 2, 1000, tr.now, false)
 	tr.run(10 * time.Second)
 	for _, v := range tr.voters {
 		ids := []uint64{}
@@ -209,20 +212,20 @@
 	}
 }
 
-// A proposal that is asked for again, by any voter, is done once; one that was withdrawn first, never.
-func TestProposals(t *testing.T) {
+// A proposal that is repeated, at any voter, is committed once; one that was withdrawn before, never.
+func TestProposalOutcomes(t *testing.T) {
 	tr := newTrio(t, false)
-	require.ErrorIs(t, tr.step(0, Propose{ProposalID{1, 1, 0}, nil}), ErrNoLeader)
+	require.ErrorIs(t, tr.try(0, Propose{ProposalID{1, 1, 0}, nil}), ErrNoLeader)
 	tr.run(5 * time.Second)
 	base := tr.voters[0].Status().AppliedIndex
 	id := ProposalID{1, 1, base}
 	for a := range uint32(3) {
-		require.NoError(t, tr.step(a, Propose{id, []byte("x")}))
+		require.NoError(t, tr.try(a, Propose{id, []byte("x")}))
 	}
-	require.NoError(t, tr.step(0, Withdraw{ProposalID{1, 2, base}}))
+	require.NoError(t, tr.try(0, Withdraw{ProposalID{1, 2, base}}))
 	tr.run(time.Second)
-	require.ErrorIs(t, tr.step(1, Propose{ProposalID{1, 2, base}, []byte("y")}), ErrTooOld)
-	require.ErrorIs(t, tr.step(1, Propose{ProposalID{1, 3, base}, make([]byte, MaxProposalBytes+1)}), ErrTooLong)
+	require.ErrorIs(t, tr.try(1, Propose{ProposalID{1, 2, base}, []byte("y")}), ErrTooOld)
+	require.ErrorIs(t, tr.try(1, Propose{ProposalID{1, 3, base}, make([]byte, MaxProposalBytes+1)}), ErrTooLong)
 	tr.run(time.Second)
 	for a, v := range tr.voters {
 		require.Len(t, tr.committed[a], 1)
@@ -234,83 +237,83 @@
 	}
 }
 
-// The table forgets only what can't be asked for any more, and what it says of a proposal stays true.
-func TestTableIsBounded(t *testing.T) {
+// Only outcomes of proposals whose window has passed are forgotten, and an outcome once reported does not change.
+func TestRememberedOutcomesAreBounded(t *testing.T) {
 	var tb logState
 	r := rand.New(rand.NewPCG(1, 1))
-	did, never := map[ProposalID]uint64{}, map[ProposalID]bool{}
+	applied, never := map[ProposalID]uint64{}, map[ProposalID]bool{}
 	for i := uint64(1); i < 5000; i++ {
 		id := ProposalID{1, r.Uint64N(50), i - 1 - min(i-1, r.Uint64N(4*ProposalWindow))/64*64}
 		id.Base -= id.Base % 64
-		if tb.settle(id, i, true) {
-			require.NotContains(t, did, id)
+		if tb.settle(id, i, kindProposal) {
+			require.NotContains(t, applied, id)
 			require.False(t, never[id])
-			did[id] = i
+			applied[id] = i
 		}
 		require.LessOrEqual(t, len(tb.settledOrder), rememberedRecords)
-		o, where := tb.outcome(id, i)
+		o, index := tb.outcome(id, i)
 		never[id] = never[id] || o == NotCommitted
 		if o == Committed {
-			require.Equal(t, did[id], where)
+			require.Equal(t, applied[id], index)
 		}
 		if i%1000 == 0 {
-			back, above, err := decodeLogState(tb.encode([]byte("above")))
+			decoded, application, err := decodeLogState(tb.encode([]byte("state")))
 			require.NoError(t, err)
-			require.Equal(t, "above", string(above))
-			require.Equal(t, tb.settled, back.settled)
-			tb = back
+			require.Equal(t, "state", string(application))
+			require.Equal(t, tb.settled, decoded.settled)
+			tb = decoded
 		}
 	}
 	require.NotEmpty(t, never)
 }
 
-// Of a change of voters only what fits is done: no number twice, none that is not there, nothing in between.
-func TestChangeThatDoesNotFit(t *testing.T) {
-	tb := logState{members: []member{{1, 0, 1}, {2, 1, 1}, {4, 3, 1}}, nextID: 5}
+// Invalid configuration changes are ignored: an ID used twice, an unknown ID, a change during another one.
+func TestInvalidConfChangesAreIgnored(t *testing.T) {
+	state := logState{members: []member{{1, 0, 1}, {2, 1, 1}, {4, 3, 1}}, nextID: 5}
 	conf := &raftpb.ConfState{Voters: []uint64{1, 2}, Learners: []uint64{4}}
 	joint := &raftpb.ConfState{Voters: []uint64{1, 4}, VotersOutgoing: []uint64{1, 2}}
 	ctx := make([]byte, changeContextBytes)
 	const add, learn, remove = raftpb.ConfChangeAddNode, raftpb.ConfChangeAddLearnerNode, raftpb.ConfChangeRemoveNode
 	for name, c := range map[string]struct {
-		conf *raftpb.ConfState
-		c    *raftpb.ConfChangeV2
-		fits bool
+		conf    *raftpb.ConfState
+		change  *raftpb.ConfChangeV2
+		isValid bool
 	}{
-		"next number":     {conf, confChange(ctx, singleChange(learn, 5)), true},
-		"used number":     {conf, confChange(ctx, singleChange(learn, 3)), false},
-		"number left out": {conf, confChange(ctx, singleChange(learn, 6)), false},
-		"without a store": {conf, confChange(nil, singleChange(learn, 5)), false},
-		"learner votes":   {conf, confChange(nil, singleChange(add, 4), singleChange(remove, 2)), true},
-		"not a learner":   {conf, confChange(nil, singleChange(add, 5)), false},
-		"not there":       {conf, confChange(nil, singleChange(remove, 3)), false},
-		"nobody left":     {conf, confChange(nil, singleChange(remove, 1), singleChange(remove, 2)), false},
-		"in between":      {joint, confChange(ctx, singleChange(learn, 5)), false},
-		"leave":           {joint, confChange(nil), true},
-		"nothing to do":   {conf, confChange(nil), false},
+		"next ID":               {conf, confChange(ctx, singleChange(learn, 5)), true},
+		"used ID":               {conf, confChange(ctx, singleChange(learn, 3)), false},
+		"skipped ID":            {conf, confChange(ctx, singleChange(learn, 6)), false},
+		"without a nonce":       {conf, confChange(nil, singleChange(learn, 5)), false},
+		"learner becomes voter": {conf, confChange(nil, singleChange(add, 4), singleChange(remove, 2)), true},
+		"not a learner":         {conf, confChange(nil, singleChange(add, 5)), false},
+		"unknown ID":            {conf, confChange(nil, singleChange(remove, 3)), false},
+		"no voter left":         {conf, confChange(nil, singleChange(remove, 1), singleChange(remove, 2)), false},
+		"during another change": {joint, confChange(ctx, singleChange(learn, 5)), false},
+		"leave joint":           {joint, confChange(nil), true},
+		"empty change":          {conf, confChange(nil), false},
 	} {
-		require.Equal(t, c.fits, tb.isValidChange(c.c, c.conf), name)
+		require.Equal(t, c.isValid, state.isValidChange(c.change, c.conf), name)
 	}
 }
 
-// A voter is fresh by when the leader began to ask, not by when answers came; one that is cut off is not.
-func TestFresh(t *testing.T) {
+// A voter is fresh as of when the leader began a round, not as of its answers; an isolated voter does not advance.
+func TestFreshness(t *testing.T) {
 	tr := newTrio(t, false)
 	tr.run(5 * time.Second)
 	leader := tr.leader()
 	for _, v := range tr.voters {
 		require.Less(t, tr.now.Sub(v.Status().FreshAsOf), time.Second)
 	}
-	lone := (leader + 1) % 3
-	cut := tr.now
-	tr.drop = cutOff(lone)
+	isolated := (leader + 1) % 3
+	isolatedAt := tr.now
+	tr.drop = isolate(isolated)
 	tr.run(2 * time.Second)
-	require.False(t, tr.voters[lone].Status().FreshAsOf.After(cut))
+	require.False(t, tr.voters[isolated].Status().FreshAsOf.After(isolatedAt))
 	require.Less(t, tr.now.Sub(tr.voters[leader].Status().FreshAsOf), time.Second)
-	tr.drop = cutOff(leader)
-	cut = tr.now
-	tr.run(600 * time.Millisecond) // it still leads
+	tr.drop = isolate(leader)
+	isolatedAt = tr.now
+	tr.run(600 * time.Millisecond) // still the leader
 	require.Equal(t, Leading, tr.voters[leader].Status().Phase)
-	require.False(t, tr.voters[leader].Status().FreshAsOf.After(cut))
+	require.False(t, tr.voters[leader].Status().FreshAsOf.After(isolatedAt))
 
 	f := &freshness{}
 	f.beginTerm(3)
@@ -321,14 +324,14 @@
 	require.Equal(t, heartbeatRound{10, 5}, f.confirmed)
 	conf.VotersOutgoing = []uint64{1, 4, 5}
 	f.noteAck(1, 2, 20, conf)
-	require.Equal(t, heartbeatRound{10, 5}, f.confirmed, "both halves of a joint configuration count")
+	require.Equal(t, heartbeatRound{10, 5}, f.confirmed, "needs both majorities of a joint configuration")
 	f.noteAck(1, 5, 20, conf)
 	require.Equal(t, heartbeatRound{20, 6}, f.confirmed)
 }
 
-// What is written is enough to go on from, and nothing is sent before it is.
-func TestNothingBeforeItIsWritten(t *testing.T) {
-	v := fresh(t, 1, 100, start, false)
+// Nothing is sent before what it rests on is written, and an incomplete store is rejected.
+func TestMessagesWaitForWrites(t *testing.T) {
+	v := newVoter(t, 1, 100, start, false)
 	out := v.Step(start, MessageReceived{0, hello{nonce: 7}.encode()})
 	require.NotNil(t, out.Persist)
 	require.Empty(t, out.Messages)
@@ -342,49 +345,49 @@
 	require.ErrorContains(t, err, "missing")
 }
 
-// A single voter agrees with itself, and is fresh.
-func TestAlone(t *testing.T) {
+// A single voter commits and is fresh.
+func TestSingleVoter(t *testing.T) {
 	v, err := New(Config{Agent: 4, Voters: []uint32{4}, Nonce: 1}, start, Stored{})
 	require.NoError(t, err)
 	tr := &trio{t: t, now: start, voters: []*Voter{v}, committed: make([][]Entry, 1)}
 	tr.run(5 * time.Second)
-	require.NoError(t, tr.step(0, Propose{ProposalID{1, 1, v.Status().AppliedIndex}, []byte("x")}))
+	require.NoError(t, tr.try(0, Propose{ProposalID{1, 1, v.Status().AppliedIndex}, []byte("x")}))
 	tr.run(time.Second)
 	require.Len(t, tr.committed[0], 1)
 	require.Less(t, tr.now.Sub(v.Status().FreshAsOf), time.Second)
 }
 
-// FuzzReceived: nothing that comes ends the process.
+// FuzzReceived checks that no message ends the process.
 func FuzzReceived(f *testing.F) {
 	f.Add(uint8(0), []byte{1, 2, 3})
 	m, _ := proto.Marshal(&raftpb.Message{
 		Type: raftpb.MsgApp.Enum(), To: new(uint64(2)), From: new(uint64(1)),
 		Term: new(uint64(5)), Commit: new(uint64(9)), Index: new(uint64(1)), LogTerm: new(uint64(1)),
 	})
-	f.Add(uint8(1), append(envelope{}.append(nil)[2:], m...))
+	f.Add(uint8(1), append(envelope{}.encode()[2:], m...))
 	f.Add(uint8(2), hello{nonce: 5}.encode()[2:])
 	f.Add(uint8(3), welcome{nonce: 5, epoch: 1, id: 1}.encode()[2:])
 	f.Fuzz(func(t *testing.T, kind uint8, b []byte) {
 		tr := newTrio(t, false)
 		tr.run(3 * time.Second)
 		if e := tr.voters[1].Status().Identity.Epoch; kind == wireRaft && len(b) >= 8 {
-			b = append(envelope{epoch: e}.append(nil)[2:10], b[8:]...)
+			b = append(envelope{epoch: e}.encode()[2:10], b[8:]...)
 		}
 		tr.step(1, MessageReceived{0, append([]byte{wireVersion, kind}, b...)})
 		tr.run(time.Second)
 	})
 }
 
-// Long records are not sent again while their pieces are on the way.
-func TestUnderway(t *testing.T) {
-	v := fresh(t, 0, 100, start, false)
-	at := func(index uint64, size int, after time.Duration) bool {
+// A long append is not repeated while its fragments are in flight.
+func TestLongAppendIsNotRepeated(t *testing.T) {
+	v := newVoter(t, 0, 100, start, false)
+	isInFlight := func(index uint64, size int, after time.Duration) bool {
 		v.now = start.Add(after)
 		return v.isLongAppendInFlight(&raftpb.Message{To: new(uint64(2)), Index: &index}, size)
 	}
-	require.False(t, at(7, longMessageBytes, 0))
-	require.True(t, at(7, longMessageBytes, 400*time.Millisecond))
-	require.False(t, at(7, longMessageBytes-1, 400*time.Millisecond), "short")
-	require.False(t, at(7, longMessageBytes, 600*time.Millisecond), "it may be lost")
-	require.False(t, at(8, longMessageBytes, 650*time.Millisecond), "others")
+	require.False(t, isInFlight(7, longMessageBytes, 0))
+	require.True(t, isInFlight(7, longMessageBytes, 400*time.Millisecond))
+	require.False(t, isInFlight(7, longMessageBytes-1, 400*time.Millisecond), "short")
+	require.False(t, isInFlight(7, longMessageBytes, 600*time.Millisecond), "it may be lost by now")
+	require.False(t, isInFlight(8, longMessageBytes, 650*time.Millisecond), "other entries")
 }
--- a/internal/fleet/raftlog/voterlab/host.go
+++ b/internal/fleet/raftlog/voterlab/host.go
@@ -1,5 +1,7 @@
-// Package voterlab plays voters of the fleet's log in an arena: with their pieces, a disk that is slow and
-// may be lost, clients that ask again, and faults by a seed. It judges from the outside what was promised.
+// Package voterlab runs voters of the fleet's log in a simulated cluster: with the transport, disks that are
+// slow and may be lost, clients that repeat their calls, and fault injection by a seed. It checks from the
+// outside what is guaranteed. A run is determined by its options and calls. It is for tests only, and not
+// safe for concurrent use.
 package voterlab
 
 import (
@@ -16,10 +18,10 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// Disk is what an agent's process has written, and survives it.
+// Disk is what an agent's process has written; it outlives the process.
 type Disk struct{ stored raftlog.Stored }
 
-// write does what fleetstore does to a file.
+// write applies a write, as package fleetstore does to a file.
 func (d *Disk) write(p *raftlog.Persist) {
 	s := &d.stored
 	if p.Reset {
@@ -43,22 +45,22 @@
 	s.Entries = append(s.Entries, p.Entries...)
 }
 
-// host is a voter's process: what the daemon's actor will be. Its state is a few registers.
+// host is the process of a voter. Its state machine is a few registers.
 type host struct {
-	lab     *Lab
-	agent   uint32
-	voter   *raftlog.Voter
-	carrier *fragment.Transport
-	disk    *Disk
-	writing *raftlog.Persist
-	written time.Time
-	state   registers
-	epoch   uint64
-	since   int // records since the last snapshot
-	named   []uint32
-}
-
-// registers are the state above the log.
+	lab        *Lab
+	agent      uint32
+	voter      *raftlog.Voter
+	transport  *fragment.Transport
+	disk       *Disk
+	writing    *raftlog.Persist
+	written    time.Time
+	state      registers
+	epoch      uint64
+	since      int      // records since the last snapshot
+	configured []uint32 // the voters, as last seen
+}
+
+// registers are the state of the state machine.
 type registers struct {
 	index  uint64
 	chain  uint64 // over all records
@@ -72,7 +74,7 @@
 	for _, v := range r.values {
 		b = binary.BigEndian.AppendUint64(b, v)
 	}
-	// Long enough for several pieces.
+	// Long enough for several fragments.
 	return append(b, make([]byte, 600)...)
 }
 
@@ -89,40 +91,42 @@
 
 func (l *Lab) start(agent uint32, now time.Time) simnet.Process {
 	l.incarnations++
-	life := uint64(l.World.Now().UnixNano()) + l.incarnations
+	incarnation := uint64(l.World.Now().UnixNano()) + l.incarnations
 	d := l.disks[agent]
 	if l.opts.Volatile || d == nil {
 		d = &Disk{}
 	}
 	l.disks[agent] = d
 	v, err := raftlog.New(raftlog.Config{
-		Agent: agent, Voters: l.named, Nonce: life, Seed: l.opts.Seed + l.incarnations,
+		Agent: agent, Voters: l.configured, Nonce: incarnation, Seed: l.opts.Seed + l.incarnations,
 		Volatile: l.opts.Volatile,
 	}, now, d.stored)
 	if err != nil {
 		l.addViolation("agent %d does not start: %v", agent, err)
-		empty := raftlog.Config{Agent: agent, Voters: l.named, Nonce: l.incarnations}
+		empty := raftlog.Config{Agent: agent, Voters: l.configured, Nonce: l.incarnations}
 		v, _ = raftlog.New(empty, now, raftlog.Stored{})
 	}
-	h := &host{lab: l, agent: agent, voter: v, disk: d, named: l.named, carrier: fragment.New(fragment.Config{
-		Agents: l.opts.Agents, Incarnation: life,
-	})}
+	h := &host{
+		lab: l, agent: agent, voter: v, disk: d, configured: l.configured,
+		transport: fragment.New(fragment.Config{Agents: l.opts.Agents, Incarnation: incarnation}),
+	}
 	l.hosts[agent] = h
 	h.step(now, raftlog.TimePassed{})
 	return h
 }
 
-// Receive, Wake, Next and Out make it a process of the arena.
+// Receive implements simnet.Process.
 func (h *host) Receive(now time.Time, from uint32, datagram []byte) {
-	for _, m := range h.carrier.Receive(now, from, datagram) {
+	for _, m := range h.transport.Receive(now, from, datagram) {
 		h.step(now, raftlog.MessageReceived{From: from, Bytes: m.Bytes})
 	}
 }
 
+// Wake implements simnet.Process.
 func (h *host) Wake(now time.Time) {
-	if !slices.Equal(h.named, h.lab.named) {
-		h.named = h.lab.named
-		_ = h.step(now, raftlog.SetVoters{Voters: h.named})
+	if !slices.Equal(h.configured, h.lab.configured) {
+		h.configured = h.lab.configured
+		h.step(now, raftlog.SetVoters{Voters: h.configured})
 	}
 	if h.writing != nil && !now.Before(h.written) {
 		p := h.writing
@@ -133,9 +137,10 @@
 	h.step(now, raftlog.TimePassed{})
 }
 
+// Next implements simnet.Process.
 func (h *host) Next() time.Time {
 	next := h.voter.Next()
-	if at := h.carrier.Next(); !at.IsZero() && at.Before(next) {
+	if at := h.transport.Next(); !at.IsZero() && at.Before(next) {
 		next = at
 	}
 	if h.writing != nil && h.written.Before(next) {
@@ -144,14 +149,19 @@
 	return next
 }
 
+// Out implements simnet.Process.
 func (h *host) Out(now time.Time) (out []simnet.Datagram) {
-	for _, d := range h.carrier.Out(now) {
+	for _, d := range h.transport.Out(now) {
 		out = append(out, simnet.Datagram{To: d.To, Bytes: d.Bytes})
 	}
 	return out
 }
 
-func (h *host) step(now time.Time, in raftlog.Input) error {
+// step gives the voter an input whose rejection does not matter.
+func (h *host) step(now time.Time, in raftlog.Input) { _ = h.try(now, in) }
+
+// try gives the voter an input, and returns why it was rejected.
+func (h *host) try(now time.Time, in raftlog.Input) error {
 	out := h.voter.Step(now, in)
 	if out.Persist != nil {
 		if h.writing != nil {
@@ -162,7 +172,7 @@
 	}
 	for _, m := range out.Messages {
 		h.lab.messages++
-		if err := h.carrier.Send(now, m.To, 1, m.Bytes); err != nil {
+		if err := h.transport.Send(now, m.To, 1, m.Bytes); err != nil {
 			h.lab.addViolation("agent %d: %d bytes for %d: %v", h.agent, len(m.Bytes), m.To, err)
 		}
 	}
@@ -173,13 +183,13 @@
 		if next.Err != nil {
 			h.lab.addViolation("agent %d: snapshot: %v", h.agent, next.Err)
 		}
-		h.again(now, next)
+		h.takeCompacted(now, next)
 	}
 	return out.Err
 }
 
-// again takes the output of a snapshot.
-func (h *host) again(now time.Time, out raftlog.Output) {
+// takeCompacted processes the output of a snapshot.
+func (h *host) takeCompacted(now time.Time, out raftlog.Output) {
 	if out.Persist != nil {
 		if h.writing != nil {
 			h.lab.addViolation("agent %d: a write before the last one was done", h.agent)
@@ -187,7 +197,7 @@
 		h.writing, h.written = out.Persist, now.Add(h.lab.writeTime())
 	}
 	for _, m := range out.Messages {
-		_ = h.carrier.Send(now, m.To, 1, m.Bytes)
+		_ = h.transport.Send(now, m.To, 1, m.Bytes)
 	}
 	h.take(out)
 }
@@ -197,7 +207,7 @@
 func (h *host) take(out raftlog.Output) {
 	if r := out.Restore; r != nil {
 		h.epoch, h.state = r.Epoch, decodeRegisters(r.Index, r.Data)
-		h.lab.restored(h)
+		h.lab.checkRestored(h)
 	}
 	for _, e := range out.Committed {
 		h.since++
@@ -211,16 +221,17 @@
 	}
 	h.state.index = e.Index
 	sum := fnv.New64a()
-	fmt.Fprint(sum, h.state.chain, e.Index, e.Term, e.ID, e.Data)
+	// A hash returns no errors.
+	_, _ = fmt.Fprintf(sum, "%d %d %d %v %v", h.state.chain, e.Index, e.Term, e.ID, e.Data)
 	h.state.chain = sum.Sum64()
 	op := readOp(e.Data)
 	if op.write {
 		h.state.values[op.key] = op.value
 	}
-	h.lab.applied(h, e, h.state.values[op.key])
+	h.lab.checkApplied(h, e, h.state.values[op.key])
 }
 
-// op is a client's: one register written, or read by a record of its own.
+// op is a client's operation: it writes one register, or reads it by a record of its own.
 type op struct {
 	write bool
 	key   uint8
@@ -232,7 +243,7 @@
 	if o.write {
 		b[0] = 1
 	}
-	// Long enough for several pieces, now and then.
+	// Now and then long enough for several fragments.
 	return append(binary.BigEndian.AppendUint64(b, o.value), make([]byte, o.value%5*100)...)
 }
 
--- a/internal/fleet/raftlog/voterlab/lab.go
+++ b/internal/fleet/raftlog/voterlab/lab.go
@@ -12,19 +12,18 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// Options say what is played. Zero fields stand for the defaults.
+// Options determine a run. Zero fields stand for the defaults.
 type Options struct {
-	Seed   uint64
-	Voters int // default 3
-	Agents int // of which the first are voters; default Voters and one that may be named later
-	// Volatile: nothing is kept over a restart.
-	Volatile bool
-	Loss     float64 // between all, from 0 to 1
-	// WriteTime is how long a write takes at the most. Default 5 ms.
+	Seed     uint64
+	Voters   int     // default 3
+	Agents   int     // of which the first are voters; default Voters and one that may be configured later
+	Volatile bool    // stores do not outlive processes
+	Loss     float64 // between all agents, from 0 to 1
+	// WriteTime is the maximum duration of a write; default 5 ms.
 	WriteTime time.Duration
-	// SnapshotAfter records. Default 20.
+	// SnapshotAfter is the number of records after which a snapshot is made; default 20.
 	SnapshotAfter int
-	// Pace is the mean time between a client's calls. Default 200 ms; below 0: no clients.
+	// Pace is the mean time between two calls of a client; default 200 ms, negative: no clients.
 	Pace time.Duration
 }
 
@@ -33,39 +32,40 @@
 	World *simnet.Cluster
 
 	opts         Options
-	random       *rand.Rand
-	named        []uint32
+	rng          *rand.Rand
+	configured   []uint32 // the voters
 	disks        []*Disk
 	hosts        []*host
 	incarnations uint64
 	messages     uint64
 	violations   []string
 
-	chains       map[place]uint64                        // of the record at an index
-	results      map[raftlog.ProposalID]uint64           // what a read found
-	leaders      map[place]uint64                        // ids, by epoch and term
-	done         map[place]map[raftlog.ProposalID]uint64 // indexes, by epoch
-	acknowledged []acknowledged
-	calls        []*call
-	epochs       map[uint64]bool
-	number       uint64
+	chains           map[place]uint64                        // the hash over all records at an index
+	results          map[raftlog.ProposalID]uint64           // what a read returned
+	leaders          map[place]uint64                        // IDs by the epoch and the term
+	applied          map[place]map[raftlog.ProposalID]uint64 // indexes by the epoch
+	acknowledgements []acknowledged
+	calls            []*call
+	epochs           map[uint64]bool
+	lastNumber       uint64 // of the proposals
 }
 
+// place is an index or a term of an epoch.
 type place struct{ epoch, at uint64 }
 
-// told is what a client was told as taken, and when.
+// acknowledged is a proposal that was reported to a client as committed, and when.
 type acknowledged struct {
 	at time.Time
 	place
 }
 
-// call is a client's.
+// call is an operation of a client.
 type call struct {
 	op           op
 	id           raftlog.ProposalID
 	client       int
 	from, to     time.Time
-	done, absent bool
+	done, absent bool // it has a known outcome, and was not committed
 	result       uint64
 }
 
@@ -90,12 +90,12 @@
 		o.Pace = 200 * time.Millisecond
 	}
 	l := &Lab{
-		opts: o, random: rand.New(rand.NewPCG(o.Seed, 0x1ab)), disks: make([]*Disk, o.Agents),
+		opts: o, rng: rand.New(rand.NewPCG(o.Seed, 0x1ab)), disks: make([]*Disk, o.Agents),
 		hosts: make([]*host, o.Agents), chains: map[place]uint64{}, results: map[raftlog.ProposalID]uint64{},
-		leaders: map[place]uint64{}, done: map[place]map[raftlog.ProposalID]uint64{}, epochs: map[uint64]bool{},
+		leaders: map[place]uint64{}, applied: map[place]map[raftlog.ProposalID]uint64{}, epochs: map[uint64]bool{},
 	}
 	for a := range o.Voters {
-		l.named = append(l.named, uint32(a))
+		l.configured = append(l.configured, uint32(a))
 	}
 	l.World = simnet.NewCluster(o.Seed, Start, o.Agents, l.start)
 	l.World.AfterStep = l.check
@@ -103,7 +103,7 @@
 	for a := range uint32(o.Agents) {
 		l.World.SetClock(a, clockOffset(a))
 	}
-	for _, a := range l.named {
+	for _, a := range l.configured {
 		l.World.Start(a)
 	}
 	if o.Pace > 0 {
@@ -114,7 +114,7 @@
 	return l
 }
 
-// Calm ends all faults of the network but the loss that the options ask for.
+// Calm ends all faults of the network except for the loss of the options.
 func (l *Lab) Calm() {
 	l.World.ChangeAll(func(k *simnet.Link) {
 		*k = simnet.Link{Loss: l.opts.Loss, Delay: 500 * time.Microsecond, Jitter: time.Millisecond}
@@ -122,7 +122,7 @@
 }
 
 func (l *Lab) writeTime() time.Duration {
-	return time.Duration(l.random.Int64N(int64(l.opts.WriteTime))) + time.Microsecond
+	return time.Duration(l.rng.Int64N(int64(l.opts.WriteTime))) + time.Microsecond
 }
 
 func (l *Lab) addViolation(format string, args ...any) {
@@ -131,48 +131,50 @@
 	}
 }
 
-// Violations are what was seen of promises that were not kept, with their times.
+// Violations returns descriptions of what violated a guarantee, with the times.
 func (l *Lab) Violations() []string { return l.violations }
 
 // Messages returns how many messages voters have sent each other.
 func (l *Lab) Messages() uint64 { return l.messages }
 
-// Status returns what an agent's voter says; ok is false if there is none.
-func (l *Lab) Status(a uint32) (s raftlog.Status, ok bool) {
+// Status returns the status of an agent's voter; false: it is not running.
+func (l *Lab) Status(a uint32) (s raftlog.Status, isRunning bool) {
 	if !l.World.IsRunning(a) {
 		return s, false
 	}
 	return l.hosts[a].voter.Status(), true
 }
 
-// Leader returns the agent that leads in the highest epoch and term, if it is not paused.
-func (l *Lab) Leader() (agent uint32, ok bool) {
+// Leader returns the agent that leads in the highest epoch and term, of those that are not paused; false:
+// there is none.
+func (l *Lab) Leader() (agent uint32, hasLeader bool) {
 	var best raftlog.Status
 	for a := range l.hosts {
-		s, is := l.Status(uint32(a))
-		if is && s.Phase == raftlog.Leading && !l.World.IsPaused(uint32(a)) &&
+		s, isRunning := l.Status(uint32(a))
+		if isRunning && s.Phase == raftlog.Leading && !l.World.IsPaused(uint32(a)) &&
 			(s.Identity.Epoch > best.Identity.Epoch || s.Identity.Epoch == best.Identity.Epoch && s.Term > best.Term) {
-			agent, best, ok = uint32(a), s, true
+			agent, best, hasLeader = uint32(a), s, true
 		}
 	}
-	return agent, ok
+	return agent, hasLeader
 }
 
-// Healthy says whether all that are named are voters of one log, with a leader, and nobody else is, and
-// each of them knows that.
+// Healthy reports whether exactly the configured voters are voters of one log with a leader, and each of them
+// knows that.
 func (l *Lab) Healthy() bool {
 	var first raftlog.Status
-	for i, a := range l.named {
-		s, ok := l.Status(a)
+	for i, a := range l.configured {
+		s, isRunning := l.Status(a)
 		if i == 0 {
 			first = s
 		}
-		if !ok || s.Phase != raftlog.Voting && s.Phase != raftlog.Leading || len(s.Members) != len(l.named) ||
+		isInLog := s.Phase == raftlog.Voting || s.Phase == raftlog.Leading
+		if !isRunning || !isInLog || len(s.Members) != len(l.configured) ||
 			s.Identity.Epoch != first.Identity.Epoch || !slices.Equal(s.Members, first.Members) {
 			return false
 		}
 		for _, m := range s.Members {
-			if !m.Votes || !slices.Contains(l.named, m.Agent) {
+			if !m.Votes || !slices.Contains(l.configured, m.Agent) {
 				return false
 			}
 		}
@@ -180,31 +182,31 @@
 	return true
 }
 
-// Name names the voters anew; each agent sees that when it next runs.
-func (l *Lab) Name(voters []uint32) {
-	l.named = voters
+// Configure replaces the configured voters; each agent sees that when it next runs.
+func (l *Lab) Configure(voters []uint32) {
+	l.configured = voters
 	for _, a := range voters {
 		l.World.Start(a)
 	}
 }
 
-// Lose takes an agent's disk away, and its process.
+// Lose ends an agent's process and deletes its disk.
 func (l *Lab) Lose(a uint32) {
 	l.World.Kill(a)
 	l.disks[a] = nil
 }
 
-// Ask has an agent propose a write, and returns its ID; call Propose again with it to ask again.
-func (l *Lab) Ask(a uint32, key uint8, value uint64) (id raftlog.ProposalID, err error) {
-	l.number++
-	id = raftlog.ProposalID{Origin: 99, Number: l.number, Base: l.hosts[a].index()}
+// Propose has an agent propose a write, and returns its ID.
+func (l *Lab) Propose(a uint32, key uint8, value uint64) (id raftlog.ProposalID, err error) {
+	l.lastNumber++
+	id = raftlog.ProposalID{Origin: 99, Number: l.lastNumber, Base: l.hosts[a].index()}
 	l.World.Call(a, func(p simnet.Process, now time.Time) {
-		err = p.(*host).step(now, raftlog.Propose{ID: id, Data: op{true, key, value}.encode()})
+		err = p.(*host).try(now, raftlog.Propose{ID: id, Data: op{true, key, value}.encode()})
 	})
 	return id, err
 }
 
-// Outcome is what an agent's voter knows of a proposal.
+// Outcome returns what an agent's voter knows of a proposal.
 func (l *Lab) Outcome(a uint32, id raftlog.ProposalID) raftlog.Outcome {
 	if !l.World.IsRunning(a) {
 		return raftlog.Unknown
@@ -213,41 +215,47 @@
 	return o
 }
 
-// client makes one call after another, as long as the run lasts. It asks again at one agent after the other.
+// client makes one call after another while the run lasts. It repeats a call at one agent after the other.
 func (l *Lab) client(n int) {
-	l.number++
+	l.lastNumber++
 	c := &call{
-		op: op{l.random.IntN(3) > 0, uint8(l.random.IntN(keys)), l.number}, client: n, from: l.World.Now(),
+		op: op{l.rng.IntN(3) > 0, uint8(l.rng.IntN(keys)), l.lastNumber}, client: n, from: l.World.Now(),
 	}
-	a := l.named[l.random.IntN(len(l.named))]
+	a := l.configured[l.rng.IntN(len(l.configured))]
 	if !l.World.IsRunning(a) || l.hosts[a].epoch == 0 {
 		l.World.At(l.World.Now().Add(l.opts.Pace), func() { l.client(n) })
 		return
 	}
-	c.id = raftlog.ProposalID{Origin: uint64(n), Number: l.number, Base: l.hosts[a].index()}
+	c.id = raftlog.ProposalID{Origin: uint64(n), Number: l.lastNumber, Base: l.hosts[a].index()}
 	l.calls = append(l.calls, c)
-	l.ask(c, a, 0)
+	l.poll(c, a, 0)
 }
 
 const (
-	askEvery = 100 * time.Millisecond
-	// askMost times it is asked; then the client goes on, and does not know.
-	askMost = 60
+	// pollInterval is the time between two polls of a call's outcome.
+	pollInterval = 20 * time.Millisecond
+	// maxPolls is the number of polls after which the client continues without knowing the outcome.
+	maxPolls = 60
+	// pollsPerAgent is the number of polls at an agent before the call is repeated at another one.
+	pollsPerAgent = 10
+	// withdrawAtPoll is the poll at which the call is withdrawn.
+	withdrawAtPoll = 45
 )
 
-func (l *Lab) ask(c *call, a uint32, times int) {
+// poll proposes a call if that is due, and polls its outcome.
+func (l *Lab) poll(c *call, a uint32, polls int) {
 	again := func() { l.client(c.client) }
 	var o raftlog.Outcome
 	var index uint64
 	l.World.Call(a, func(p simnet.Process, now time.Time) {
 		h := p.(*host)
-		if times%10 == 0 {
-			_ = h.step(now, raftlog.Propose{ID: c.id, Data: c.op.encode()})
-		} else if times == 45 {
-			_ = h.step(now, raftlog.Withdraw{ID: c.id})
+		if polls%pollsPerAgent == 0 {
+			h.step(now, raftlog.Propose{ID: c.id, Data: c.op.encode()})
+		} else if polls == withdrawAtPoll {
+			h.step(now, raftlog.Withdraw{ID: c.id})
 		}
 		if o, index = h.voter.Outcome(c.id); o == raftlog.Committed {
-			l.acknowledged = append(l.acknowledged, acknowledged{l.World.Now(), place{h.epoch, index}})
+			l.acknowledgements = append(l.acknowledgements, acknowledged{l.World.Now(), place{h.epoch, index}})
 		}
 	})
 	switch {
@@ -255,35 +263,36 @@
 		c.done, c.result = true, l.results[c.id]
 	case o == raftlog.NotCommitted:
 		c.done, c.absent = true, true
-	case times >= askMost:
+	case polls >= maxPolls:
 	default:
-		if times%10 == 9 {
-			a = l.named[l.random.IntN(len(l.named))]
+		if polls%pollsPerAgent == pollsPerAgent-1 {
+			a = l.configured[l.rng.IntN(len(l.configured))]
 		}
-		l.World.At(l.World.Now().Add(askEvery/5), func() { l.ask(c, a, times+1) })
+		l.World.At(l.World.Now().Add(pollInterval), func() { l.poll(c, a, polls+1) })
 		return
 	}
 	c.to = l.World.Now()
-	wait := time.Duration(l.random.Int64N(int64(2 * l.opts.Pace)))
+	wait := time.Duration(l.rng.Int64N(int64(2 * l.opts.Pace)))
 	l.World.At(l.World.Now().Add(wait), again)
 }
 
-// Taken returns how many calls were told as taken, not taken, and not known.
-func (l *Lab) Taken() (taken, not, unknown int) {
+// Outcomes returns how many calls were reported as committed and as not committed, and how many have no known
+// outcome.
+func (l *Lab) Outcomes() (committed, notCommitted, unknown int) {
 	for _, c := range l.calls {
 		switch {
 		case c.done && !c.absent:
-			taken++
+			committed++
 		case c.done:
-			not++
+			notCommitted++
 		default:
 			unknown++
 		}
 	}
-	return taken, not, unknown
+	return committed, notCommitted, unknown
 }
 
-// Latencies returns how long the calls that were taken took.
+// Latencies returns how long the committed calls took.
 func (l *Lab) Latencies() (all []time.Duration) {
 	for _, c := range l.calls {
 		if c.done && !c.absent {
@@ -293,7 +302,7 @@
 	return all
 }
 
-// Epochs returns how many logs were begun.
+// Epochs returns how many logs were founded.
 func (l *Lab) Epochs() int { return len(l.epochs) }
 
 type input struct {
@@ -302,7 +311,7 @@
 	value uint64
 }
 
-// register is a model of one register.
+// register is the model of one register.
 var register = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		parts := make([][]porcupine.Operation, keys)
@@ -321,8 +330,8 @@
 	},
 }
 
-// Linearizable says whether clients saw what one register after the other would have shown them. It is of
-// no use where a log was lost.
+// Linearizable reports whether the registers were linearizable for the clients. It means nothing if a log was
+// lost.
 func (l *Lab) Linearizable() bool {
 	var history []porcupine.Operation
 	end := l.World.Now().Add(time.Hour).Sub(Start)
--- a/internal/fleet/raftlog/voterlab/voterlab_test.go
+++ b/internal/fleet/raftlog/voterlab/voterlab_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// seeds is how many runs of a hunt there are: a few, or as many as LONG_TESTS asks for.
+// seeds returns the number of runs: few, or many with LONG_TESTS.
 func seeds(few, many int) int {
 	if os.Getenv("LONG_TESTS") != "" {
 		return many
@@ -20,13 +20,15 @@
 	return few
 }
 
-func hunt(o Options, length time.Duration) *Lab {
+// simulate runs a Hunt and settles.
+func simulate(o Options, length time.Duration) *Lab {
 	l := New(o)
 	l.Hunt(length)
 	l.Settle(40 * time.Second)
 	return l
 }
 
+// The guarantees hold under all faults, for durable and volatile voters.
 func TestHunt(t *testing.T) {
 	for _, c := range []struct {
 		voters   int
@@ -37,7 +39,7 @@
 			t.Parallel()
 			for seed := range seeds(c.few, 30*c.few) {
 				o := Options{Seed: uint64(seed), Voters: c.voters, Volatile: c.volatile}
-				l := hunt(o, time.Duration(seeds(20, 40))*time.Second)
+				l := simulate(o, time.Duration(seeds(20, 40))*time.Second)
 				require.Empty(t, l.Violations(), "seed %d", seed)
 				require.Equal(t, 1, l.Epochs(), "seed %d", seed)
 				require.True(t, l.Linearizable(), "seed %d", seed)
@@ -46,22 +48,22 @@
 	}
 }
 
-// The same seed gives the same run: elections too, though raft draws their times from a source of its own.
+// The same seed gives the same run, including elections, though raft draws their times from a source of its own.
 func TestSameSeedSameRun(t *testing.T) {
-	play := func(seed uint64) (string, int) {
-		l := hunt(Options{Seed: seed, Voters: 5}, 30*time.Second)
-		taken, not, unknown := l.Taken()
-		return fmt.Sprint(l.World.Now(), l.World.Traffic(), l.leaders, l.acknowledged, not, unknown), taken
+	run := func(seed uint64) (string, int) {
+		l := simulate(Options{Seed: seed, Voters: 5}, 30*time.Second)
+		committed, notCommitted, unknown := l.Outcomes()
+		return fmt.Sprint(l.World.Now(), l.World.Traffic(), l.leaders, l.acknowledgements, notCommitted, unknown), committed
 	}
-	first, taken := play(3)
-	require.Greater(t, taken, 50)
+	first, committed := run(3)
+	require.Greater(t, committed, 50)
 	for range 3 {
-		again, _ := play(3)
+		again, _ := run(3)
 		require.Equal(t, first, again)
 	}
 }
 
-// A minority that is cut off, one way or both, stops nothing; a leader that is cut off is replaced in time.
+// A minority that is cut off in one or both directions stops nothing; a leader that is cut off is replaced in time.
 func TestLeaderCutOff(t *testing.T) {
 	for seed := range uint64(10) {
 		l := New(Options{Seed: seed, Voters: 5, Pace: -1})
@@ -69,7 +71,7 @@
 		old, ok := l.Leader()
 		require.True(t, ok)
 		l.World.ChangeEach(func(from, to uint32, k *simnet.Link) {
-			k.Cut = from == old || to == old && seed%2 == 0 // every other time it still hears the others
+			k.Cut = from == old || to == old && seed%2 == 0 // every other time it still receives from the others
 		})
 		l.World.Run(l.World.Now().Add(4 * time.Second))
 		s, _ := l.Status(old)
@@ -77,7 +79,7 @@
 		now, ok := l.Leader()
 		require.True(t, ok)
 		require.NotEqual(t, old, now)
-		id, err := l.Ask(now, 1, 5)
+		id, err := l.Propose(now, 1, 5)
 		require.NoError(t, err)
 		l.World.Run(l.World.Now().Add(time.Second))
 		require.Equal(t, raftlog.Committed, l.Outcome(now, id))
@@ -86,9 +88,8 @@
 	}
 }
 
-// Volatile voters of which a majority ends at once begin a new log, higher than the one that is lost; with their
-// disks they go on with the one that they had.
-func TestAllEndAtOnce(t *testing.T) {
+// Volatile voters of which a majority ends at once found a new log of a higher epoch; durable ones continue with theirs.
+func TestAllRestartAtOnce(t *testing.T) {
 	for _, volatile := range []bool{false, true} {
 		l := New(Options{Seed: 5, Voters: 3, Agents: 3, Volatile: volatile})
 		l.World.Run(Start.Add(5 * time.Second))
