--- a/internal/fleet/replica/example_test.go
+++ b/internal/fleet/replica/example_test.go
@@ -7,9 +7,9 @@
 	"dunestep/internal/fleet/replica"
 )
 
-// An agent takes what it lacks from another one, and does not take what cannot follow from what it has.
+// An agent appends the records that it lacks from another replica, and rejects those that do not follow from its own.
 func Example() {
-	copyOf := func(records ...string) *replica.Log {
+	replicaOf := func(records ...string) *replica.Log {
 		log, err := replica.New(replica.InitialSnapshot(1), replica.Limits{})
 		for i, r := range records {
 			err = errors.Join(err, log.Append(replica.Record{Seq: uint64(i + 1), Data: []byte(r)}))
@@ -19,13 +19,13 @@
 		}
 		return log
 	}
-	ahead, behind := copyOf("a", "b", "c"), copyOf("a")
-	part, _ := ahead.Segment(behind.Last().Seq+1, 1000)
-	taken, err := behind.AppendSegment(part)
-	fmt.Println(taken, err, behind.Last() == ahead.Last())
-	_, err = copyOf("x").AppendSegment(part)
+	ahead, behind := replicaOf("a", "b", "c"), replicaOf("a")
+	segment, _ := ahead.Segment(behind.Last().Seq+1, 1000)
+	appended, err := behind.AppendSegment(segment)
+	fmt.Println(appended, err, behind.Last() == ahead.Last())
+	_, err = replicaOf("x").AppendSegment(segment)
 	fmt.Println(err)
 	// Output:
 	// 2 <nil> true
-	// two copies of the log differ in the same record
+	// two replicas of the log differ in the same record
 }
--- a/internal/fleet/replica/chronicle_test.go
+++ b/internal/fleet/replica/log_test.go
@@ -18,48 +18,50 @@
 	return l
 }
 
-func TestWhatDoesNotFollowIsNotTaken(t *testing.T) {
-	part := func(l *Log, first uint64) Segment { p, _ := l.Segment(first, 1<<20); return p }
+// A segment that does not follow from the log is rejected, and the log is unchanged.
+func TestAppendSegment(t *testing.T) {
+	segment := func(l *Log, first uint64) Segment { s, _ := l.Segment(first, 1<<20); return s }
 	abc := filled(t, 2, Limits{}, "a", "b", "c")
-	torn := part(abc, 2)
-	torn.Records = [][]byte{[]byte("b"), []byte("C")}
+	corrupt := segment(abc, 2)
+	corrupt.Records = [][]byte{[]byte("b"), []byte("C")}
 	for name, c := range map[string]struct {
-		part  Segment
-		taken int
-		err   error
+		segment  Segment
+		appended int
+		err      error
 	}{
-		"all":                {part(abc, 1), 2, nil},
-		"the rest":           {part(abc, 2), 2, nil},
-		"a gap":              {part(abc, 3), 0, ErrGap},
-		"torn":               {torn, 0, ErrCorrupt},
-		"another past":       {part(filled(t, 2, Limits{}, "x", "b", "c"), 2), 0, ErrDiverged},
-		"differs in between": {part(filled(t, 2, Limits{}, "x", "b", "c"), 1), 0, ErrDiverged},
-		"an earlier epoch":   {part(filled(t, 1, Limits{}, "a", "b", "c"), 1), 0, ErrOldEpoch},
-		"a later one":        {part(filled(t, 3, Limits{}, "a", "b", "c"), 1), 3, nil},
-		"its beginning not":  {part(filled(t, 3, Limits{}, "a", "b", "c"), 2), 0, ErrNewEpoch},
-		"numbers run over":   {Segment{Epoch: 2, First: 1<<64 - 1, Records: [][]byte{nil, nil}}, 0, ErrCorrupt},
-		"number zero":        {Segment{Epoch: 2}, 0, ErrCorrupt},
+		"all records":                       {segment(abc, 1), 2, nil},
+		"only the new records":              {segment(abc, 2), 2, nil},
+		"gap":                               {segment(abc, 3), 0, ErrGap},
+		"wrong sums":                        {corrupt, 0, ErrCorrupt},
+		"other earlier records":             {segment(filled(t, 2, Limits{}, "x", "b", "c"), 2), 0, ErrDiverged},
+		"other record inside":               {segment(filled(t, 2, Limits{}, "x", "b", "c"), 1), 0, ErrDiverged},
+		"earlier epoch":                     {segment(filled(t, 1, Limits{}, "a", "b", "c"), 1), 0, ErrOldEpoch},
+		"later epoch":                       {segment(filled(t, 3, Limits{}, "a", "b", "c"), 1), 3, nil},
+		"later epoch without its beginning": {segment(filled(t, 3, Limits{}, "a", "b", "c"), 2), 0, ErrNewEpoch},
+		"numbers overflow":                  {Segment{Epoch: 2, First: 1<<64 - 1, Records: [][]byte{nil, nil}}, 0, ErrCorrupt},
+		"number zero":                       {Segment{Epoch: 2}, 0, ErrCorrupt},
 	} {
 		l := filled(t, 2, Limits{}, "a")
 		before := l.Last()
-		taken, err := l.AppendSegment(c.part)
+		appended, err := l.AppendSegment(c.segment)
 		require.ErrorIs(t, err, c.err, name)
-		require.Equal(t, c.taken, taken, name)
+		require.Equal(t, c.appended, appended, name)
 		if err != nil {
 			require.Equal(t, before, l.Last(), name)
 		} else {
-			require.Equal(t, c.part.Sum, l.Last().Sum, name)
+			require.Equal(t, c.segment.Sum, l.Last().Sum, name)
 		}
 	}
-	ahead, err := abc.Compare(Position{Epoch: 2, Seq: 9, Sum: 7})
+	order, err := abc.Compare(Position{Epoch: 2, Seq: 9, Sum: 7})
 	require.NoError(t, err)
-	require.Positive(t, ahead)
+	require.Positive(t, order)
 	_, err = abc.Compare(Position{Epoch: 2, Seq: 2, Sum: 7})
 	require.ErrorIs(t, err, ErrDiverged)
 	require.ErrorIs(t, abc.Append(Record{Seq: 2, Data: []byte("x")}), ErrDiverged)
 }
 
-func TestBoundsAndCompaction(t *testing.T) {
+// TestLimitsAndCompaction checks the limits, Compact and Install.
+func TestLimitsAndCompaction(t *testing.T) {
 	l := filled(t, 1, Limits{MaxRecords: 3, MaxRecordBytes: 4, MaxSnapshotBytes: 2}, "a", "b")
 	require.ErrorIs(t, l.Append(Record{Seq: 3, Data: []byte("ccc")}), ErrFull)
 	require.ErrorIs(t, l.Append(Record{Seq: 3, Data: []byte("ccccc")}), ErrTooLarge)
@@ -73,19 +75,19 @@
 	require.Equal(t, 4, l.Bytes())
 
 	behind := filled(t, 1, Limits{})
-	taken, err := behind.Install(l.Snapshot())
+	isInstalled, err := behind.Install(l.Snapshot())
 	require.NoError(t, err)
-	require.True(t, taken)
-	taken, err = behind.Install(filled(t, 1, Limits{}).Snapshot())
+	require.True(t, isInstalled)
+	isInstalled, err = behind.Install(filled(t, 1, Limits{}).Snapshot())
 	require.NoError(t, err)
-	require.False(t, taken, "a snapshot never takes back")
+	require.False(t, isInstalled, "an older snapshot is not installed")
 	_, err = behind.Install(InitialSnapshot(0))
 	require.ErrorIs(t, err, ErrOldEpoch)
 }
 
-// TestCopiesOfOneLogStayItsBeginnings: whatever parts and snapshots of two epochs come in whatever order, a copy
-// is always the beginning of the newest epoch that it has seen, and stays in its bounds.
-func TestCopiesOfOneLogStayItsBeginnings(t *testing.T) {
+// Whatever segments and snapshots of two epochs come in whatever order, a replica is always a prefix of the newest epoch
+// that it has seen, and stays within its limits.
+func TestReplicaIsAPrefixOfTheNewestEpoch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var sources []*Log
 		for epoch := range uint64(2) {
@@ -104,12 +106,12 @@
 			snap := Snapshot{Epoch: src.snapshot.Epoch, Seq: seq, Sum: sum}
 			switch rapid.IntRange(0, 2).Draw(t, "input") {
 			case 0:
-				p, _ := src.Segment(seq, rapid.IntRange(1, 20).Draw(t, "bytes"))
-				if len(p.Records) > 0 && rapid.Bool().Draw(t, "corrupt") {
-					p.Records = slices.Clone(p.Records)
-					p.Records[0] = append(slices.Clone(p.Records[0]), '!')
+				s, _ := src.Segment(seq, rapid.IntRange(1, 20).Draw(t, "bytes"))
+				if len(s.Records) > 0 && rapid.Bool().Draw(t, "corrupt") {
+					s.Records = slices.Clone(s.Records)
+					s.Records[0] = append(slices.Clone(s.Records[0]), '!')
 				}
-				_, err := l.AppendSegment(p)
+				_, err := l.AppendSegment(s)
 				require.NotErrorIs(t, err, ErrDiverged)
 			case 1:
 				_, _ = l.Install(snap)
@@ -118,8 +120,8 @@
 			}
 			last := l.Last()
 			require.True(t, last.Covers(before))
-			sum, ok := sources[last.Epoch-1].SumAt(last.Seq)
-			require.True(t, ok && sum == last.Sum)
+			sum, isKnown := sources[last.Epoch-1].SumAt(last.Seq)
+			require.True(t, isKnown && sum == last.Sum)
 			require.LessOrEqual(t, l.Len(), 5)
 		}
 	})
