--- a/internal/fleet/gossip/example_test.go
+++ b/internal/fleet/gossip/example_test.go
@@ -14,8 +14,8 @@
 	var agents [2]*gossip.Replicator
 	for i := range agents {
 		logs[i], _ = replica.New(replica.InitialSnapshot(1), replica.Limits{})
-		set := gossip.Settings{Agents: 2, Self: i, Voters: []int{0}, Seed: uint64(i), NeverPull: i == 0}
-		agents[i] = gossip.New(set, logs[i], 0)
+		settings := gossip.Settings{Agents: 2, Self: i, Voters: []int{0}, Seed: uint64(i), NeverPull: i == 0}
+		agents[i] = gossip.New(settings, logs[i], 0)
 	}
 	for seq := range uint64(2) {
 		_ = logs[0].Append(replica.Record{Seq: seq + 1, Data: []byte("agreed")})
--- a/internal/fleet/gossip/golden_test.go
+++ b/internal/fleet/gossip/golden_test.go
@@ -8,20 +8,20 @@
 	"dunestep/internal/fleet/internal/golden"
 )
 
-// TestGolden: each kind of message keeps its bytes, and is read from them as it was.
+// TestGolden checks that each kind of message is encoded as ever, and decoded to the same.
 func TestGolden(t *testing.T) {
 	for name, c := range map[string]struct {
 		kind    byte
 		message any
 	}{
-		"digest":   {kindDigest, digest{Epoch: 1_800_000_000_000, Seq: 300, Sum: 1 << 63}},
-		"question": {kindDigest, digest{Epoch: 1, Seq: 2, Sum: 3, Question: 1 << 31}},
-		"answer":   {kindDigest, digest{Epoch: 1, Seq: 2, Sum: 3, AnswerTo: 1 << 31, Trusted: true}},
-		"pull":     {kindPull, pull{Epoch: 1, Seq: 24, Sum: 3}},
-		"pull-on":  {kindPull, pull{Epoch: 1, Seq: 24, Sum: 3, PartialSum: 1 << 40, Offset: 1024}},
-		"part":     {kindSegment, segment{Epoch: 1, First: 25, PriorSum: 3, Sum: 4, Records: [][]byte{[]byte("one"), {0, 255}}, LastSeq: 40}},
-		"piece":    {kindChunk, chunk{Epoch: 1, Seq: 25, PriorSum: 3, ItemSum: 4, ItemBytes: 5000, Offset: 1024, Data: []byte("record"), LastSeq: 40}},
-		"snapshot": {kindChunk, chunk{Snapshot: true, Epoch: 1, Seq: 25, PriorSum: 3, ItemSum: 4, ItemBytes: 4, Data: []byte("snap"), LastSeq: 25}},
+		"digest":         {kindDigest, digest{Epoch: 1_800_000_000_000, Seq: 300, Sum: 1 << 63}},
+		"question":       {kindDigest, digest{Epoch: 1, Seq: 2, Sum: 3, Question: 1 << 31}},
+		"answer":         {kindDigest, digest{Epoch: 1, Seq: 2, Sum: 3, AnswerTo: 1 << 31, Trusted: true}},
+		"pull":           {kindPull, pull{Epoch: 1, Seq: 24, Sum: 3}},
+		"pull-partial":   {kindPull, pull{Epoch: 1, Seq: 24, Sum: 3, PartialSum: 1 << 40, Offset: 1024}},
+		"segment":        {kindSegment, segment{Epoch: 1, First: 25, PriorSum: 3, Sum: 4, Records: [][]byte{[]byte("one"), {0, 255}}, LastSeq: 40}},
+		"chunk":          {kindChunk, chunk{Epoch: 1, Seq: 25, PriorSum: 3, ItemSum: 4, ItemBytes: 5000, Offset: 1024, Data: []byte("record"), LastSeq: 40}},
+		"chunk-snapshot": {kindChunk, chunk{Snapshot: true, Epoch: 1, Seq: 25, PriorSum: 3, ItemSum: 4, ItemBytes: 4, Data: []byte("snap"), LastSeq: 25}},
 	} {
 		file := golden.Bytes(t, name, encode(c.kind, c.message))
 		back, err := decode(file)
@@ -31,8 +31,8 @@
 	}
 }
 
-// TestGoldenStarts: logs and tests show these words.
-func TestGoldenStarts(t *testing.T) {
+// TestGoldenCatchUpStates checks the names that logs show.
+func TestGoldenCatchUpStates(t *testing.T) {
 	require.Equal(t, []string{"asking", "caught up", "late", "alone", "alone"},
 		[]string{Asking.String(), CaughtUp.String(), Late.String(), Alone.String(), CatchUpState(200).String()})
 }
--- a/internal/fleet/gossip/messages.go
+++ b/internal/fleet/gossip/messages.go
@@ -5,7 +5,7 @@
 	"dunestep/internal/fleet/replica"
 )
 
-// The kinds of message: the first byte.
+// The first byte of a message is its kind; what follows is the compact form of its struct.
 const (
 	kindDigest  = 'd'
 	kindPull    = 'p'
@@ -13,52 +13,52 @@
 	kindChunk   = 's'
 )
 
-// digest tells how far a copy goes.
+// digest states how far a replica goes.
 type digest struct {
 	_               struct{} `cbor:",toarray"`
 	Epoch, Seq, Sum uint64
-	Question        uint32 // not zero: an answer is wanted, with this number
-	AnswerTo        uint32 // the number of the question that this answers
-	Trusted         bool   // the sender had caught up: its word counts for those who start
+	Question        uint32 // not 0: a digest is requested in reply, with this number as AnswerTo
+	AnswerTo        uint32 // the number of the question that this answers; 0: none
+	Trusted         bool   // the sender has caught up: agents that start may rely on it
 }
 
 func (d digest) position() replica.Position {
 	return replica.Position{Epoch: d.Epoch, Seq: d.Seq, Sum: d.Sum}
 }
 
-// pull asks for what follows a place, or for more of what comes in pieces.
+// pull requests what follows a position, or the next chunk of a partial item.
 type pull struct {
 	_               struct{} `cbor:",toarray"`
-	Epoch, Seq, Sum uint64   // what the sender has
-	PartialSum      uint64   // of what it has the beginning of; zero: of nothing
-	Offset          int
+	Epoch, Seq, Sum uint64   // the sender's position
+	PartialSum      uint64   // the ItemSum of the partial item; 0: none
+	Offset          int      // the bytes of it that the sender has
 }
 
-// part is some whole records.
+// segment carries some complete records.
 type segment struct {
 	_             struct{} `cbor:",toarray"`
 	Epoch, First  uint64
 	PriorSum, Sum uint64
 	Records       [][]byte
-	LastSeq       uint64 // how far the sender's copy goes
+	LastSeq       uint64 // the last record of the sender's replica
 }
 
-// piece is some of the bytes of a record or a snapshot that is larger than a message.
+// chunk carries some bytes of an item, a record or a snapshot, that is larger than a message.
 type chunk struct {
 	_          struct{} `cbor:",toarray"`
-	Snapshot   bool
+	Snapshot   bool     // else a record
 	Epoch, Seq uint64
-	PriorSum   uint64 // of the log: before a record, at a snapshot
-	ItemSum    uint64 // of the log after a record; of all of a snapshot
-	ItemBytes  int    // of the whole
+	PriorSum   uint64 // of the log: before the record, or at the snapshot
+	ItemSum    uint64 // of the log after the record, or the snapshot's digest
+	ItemBytes  int    // of the complete item
 	Offset     int
 	Data       []byte
-	LastSeq    uint64
+	LastSeq    uint64 // the last record of the sender's replica
 }
 
 func encode(kind byte, message any) []byte { return append([]byte{kind}, compact.Marshal(message)...) }
 
-// decode gives the message by its kind, or an error.
+// decode returns a digest, pull, segment or chunk, or an error wrapping compact.ErrMalformed.
 func decode(data []byte) (any, error) {
 	if len(data) == 0 {
 		return nil, compact.ErrMalformed
--- a/internal/fleet/spreading.go
+++ b/internal/fleet/spreading.go
@@ -21,7 +21,7 @@
 
 // runGossip tells others of what the voters' log has brought, and does what is due.
 func (n *Node) runGossip(now ClockReading) {
-	n.gossip.SetTrusted(n.holder.Holds(now))
+	n.gossip.SetTrust(gossip.Trust(n.holder.Holds(now)))
 	if n.log.Last() != n.lastGossiped {
 		n.lastGossiped = n.log.Last()
 		n.carryOutGossip(now, n.gossip.RecordsAdded(now.Mono))
