--- a/internal/fleetstore/golden_test.go
+++ b/internal/fleetstore/golden_test.go
@@ -18,7 +18,7 @@
 const goldenFolder = "testdata/golden/voter"
 
 // goldenWrites are a voter's, with each part of one: its identity, votes, entries, a snapshot of its own, and
-// one that came from another voter.
+// one that another voter sent.
 func goldenWrites() []*raftlog.Persist {
 	entry := func(index, term uint64, data string) *raftpb.Entry {
 		return &raftpb.Entry{Index: new(index), Term: new(term), Data: []byte(data)}
