--- a/cmd/dunestep/state.go
+++ b/cmd/dunestep/state.go
@@ -103,7 +103,7 @@
 		}
 		fmt.Fprintf(w, "list\tversion %d\t%d servers\tconfirmed %s\n\n", l.Version, len(l.Endpoints), confirmed)
 		for _, s := range l.Endpoints {
-			fmt.Fprintf(w, "%s\t%s\t%s %s\t%s\n", s.ID, s.Addr, s.Zone, s.Kind, standing(s, known[s.ID]))
+			fmt.Fprintf(w, "%s\t%s\t%s %s\t%s\n", s.ID, s.Addr, s.Zone, s.MachineKind, standing(s, known[s.ID]))
 		}
 	}
 	return w.Flush()
--- a/internal/agent/kept.go
+++ b/internal/agent/kept.go
@@ -33,7 +33,7 @@
 		slog.Warn("discovery not heard since the start, going on with the list of the start", "version",
 			k.session.ListVersion(), "proving", k.usesProbation)
 	}
-	if k.session.ListUpdated(now, n.kind, n.discoveryList, n.confirms) {
+	if k.session.ListUpdated(now, n.kind, n.discoveryList, routing.Confirmation(n.confirms)) {
 		slog.Info("discovery has confirmed the list", "version", k.session.ListVersion(),
 			"after", time.Since(k.clock.began))
 	}
--- a/internal/rehearsal/world/memory.go
+++ b/internal/rehearsal/world/memory.go
@@ -5,6 +5,7 @@
 
 	"dunestep/internal/balancer"
 	"dunestep/internal/protocol"
+	"dunestep/internal/routing"
 	"dunestep/internal/state"
 )
 
@@ -37,7 +38,7 @@
 	case m.sync == balancer.UpdateCached:
 		l.session.RestoreLearned(l.clock())
 	default:
-		l.session.ListUpdated(l.clock(), m.sync, m.config, m.proves)
+		l.session.ListUpdated(l.clock(), m.sync, m.config, routing.Confirmation(m.proves))
 	}
 }
 
--- a/internal/state/folder/golden_test.go
+++ b/internal/state/folder/golden_test.go
@@ -21,7 +21,7 @@
 
 func goldenContent(version int64) state.Content {
 	return state.Content{List: &state.StoredList{Version: version, ConfirmedMS: 1_796_115_624_000, Endpoints: []state.StoredEndpoint{
-		{ID: "s-0", Addr: "10.1.0.10:9000", Zone: "buc-pipera", Kind: "rapid", Cell: 1, Weight: 1.25, StartedAt: time.Hour},
+		{ID: "s-0", Addr: "10.1.0.10:9000", Zone: "buc-pipera", MachineKind: "rapid", Cell: 1, Weight: 1.25, StartedAt: time.Hour},
 	}}}
 }
 
--- a/internal/state/format.go
+++ b/internal/state/format.go
@@ -5,12 +5,11 @@
 	"errors"
 	"fmt"
 	"hash/crc32"
-	"time"
 
 	"github.com/fxamacker/cbor/v2"
 )
 
-// A file is a fixed beginning, a header, the content and a checksum over all that is before it:
+// A file is a fixed part, a header, the content and a checksum over all that is before it:
 //
 //	8 bytes  magic
 //	2        version of the format
@@ -20,99 +19,82 @@
 //	         header and content, as CBOR
 //	4        CRC-32C
 //
-// All numbers are big-endian. CRC-32C finds every change of up to 32 bits in a row, so every damaged byte,
-// for certain; a hash of 64 bits only in all likelihood. It comes with the standard library, and the
-// processor has an instruction for it. Magic, version and checksum stand where they are in every version of
-// the format.
+// All numbers are big-endian. Magic, version and checksum stand where they are in every version of the format. The
+// checksum finds every change of up to 32 bits in a row, so each damaged byte for certain.
 //
-// Format 1 had no generation, so that the time told which of two files was the later one, which a clock that
-// was set back turned round; and its content had no sections, so that one part could not change without all.
+// Format 1 had no generation, and its content had no sections. It is read, and never written.
 const (
 	magic             = "DUNESTEP"
 	currentFormat     = 2
 	fixedBytes        = 24
-	fixedBytesFormat1 = 16 // of format 1
+	fixedBytesFormat1 = 16
 	checksumBytes     = 4
-	// MaxFileBytes is the longest file in bytes that is written or read: several times what 5,000 servers need.
+	maxHeaderBytes    = 1<<16 - 1
+	// MaxFileBytes is the longest file that is written or read.
 	MaxFileBytes = 4 << 20
 )
 
-var castagnoli = crc32.MakeTable(crc32.Castagnoli)
-
-// Owner is whose memory a file holds.
-type Owner struct {
-	Deployment string `cbor:"1,keyasint" json:"deployment"`
-	Agent      string `cbor:"2,keyasint" json:"agent"`
-}
-
-// Header is what a file says of itself.
-type Header struct {
-	Owner     Owner `cbor:"1,keyasint" json:"owner"`
-	WrittenMS int64 `cbor:"2,keyasint" json:"written_ms"` // Unix milliseconds
-	// Generation is one more than that of the file before.
-	Generation uint64 `cbor:"-" json:"generation"`
-}
-
-// File is a whole file.
-type File struct {
-	Header  `json:"header"`
-	Content `json:"content"`
-	// Format is the version that the file had when it was read.
-	Format int `json:"format"`
-	// SkippedSections tells of the sections that a later build wrote and this one does not know how to read.
-	SkippedSections []string `json:"skipped,omitempty"`
-}
+// Bounds of the CBOR that is read.
+const (
+	maxArrayElements = 1 << 16
+	maxMapPairs      = 1 << 10
+	maxNesting       = 16
+)
 
-// What can be wrong with a file.
+// The ways in which a file can't be read or written.
 var (
-	// ErrNotAStateFile is of a file that this program never wrote.
+	// ErrNotAStateFile means that this program never wrote the file.
 	ErrNotAStateFile = errors.New("state: not a file of this program")
-	// ErrDamaged is of a file that is not as it was written.
+	// ErrDamaged means that the file is not as it was written.
 	ErrDamaged = errors.New("state: damaged")
-	// ErrNewer is of a file that a later build wrote.
+	// ErrNewer means that a later build wrote the file, in a format that this one can't read.
 	ErrNewer = errors.New("state: written by a later build")
-	// ErrOtherOwner is of a file with the memory of another agent, or of this one in another deployment.
-	ErrOtherOwner = errors.New("state: another agent's, or another deployment's")
-	// ErrTooLong is of content that does not fit into MaxFileBytes.
-	ErrTooLong = errors.New("state: more than a file may hold")
+	// ErrOtherOwner means that the file is another agent's, or this agent's in another deployment.
+	ErrOtherOwner = errors.New("state: of another agent or another deployment")
+	// ErrTooLong means that the content does not fit into MaxFileBytes.
+	ErrTooLong = errors.New("state: longer than a file may be")
 )
 
-var encoding, decoding = codec()
+var castagnoli = crc32.MakeTable(crc32.Castagnoli) // never changed
+
+var encoding, decoding = newCodec() // never changed, and safe for concurrent use
 
-func codec() (cbor.EncMode, cbor.DecMode) {
+// newCodec returns the modes in which CBOR is written and read.
+func newCodec() (cbor.EncMode, cbor.DecMode) {
 	enc, err := cbor.EncOptions{
 		Sort: cbor.SortCoreDeterministic, ShortestFloat: cbor.ShortestFloat16,
 		IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden,
 	}.EncMode()
 	if err != nil {
-		panic(err) // the options above are wrong
+		panic(err) // the options above are invalid
 	}
-	// What a later build of the same version adds is passed over; all else that is odd is an error.
+	// Keys that a later build of the same version added are ignored; anything else unexpected is an error.
 	dec, err := cbor.DecOptions{
 		DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden,
-		TagsMd: cbor.TagsForbidden, MaxArrayElements: 1 << 16, MaxMapPairs: 1 << 10, MaxNestedLevels: 16,
+		TagsMd: cbor.TagsForbidden, MaxArrayElements: maxArrayElements, MaxMapPairs: maxMapPairs,
+		MaxNestedLevels: maxNesting,
 	}.DecMode()
 	if err != nil {
-		panic(err)
+		panic(err) // the options above are invalid
 	}
 	return enc, dec
 }
 
-// Encode returns a file as bytes.
+// Encode returns the bytes of a file, in the current format. ErrTooLong: it has more than MaxFileBytes.
 func Encode(f *File) ([]byte, error) {
 	header, err := encoding.Marshal(f.Header)
 	if err != nil {
-		return nil, fmt.Errorf("state: %w", err)
+		return nil, fmt.Errorf("state: cannot encode the header: %w", err)
 	}
-	content, err := f.Content.encodeSections()
+	content, err := f.encodeSections()
 	if err != nil {
-		return nil, fmt.Errorf("state: %w", err)
+		return nil, fmt.Errorf("state: cannot encode the content: %w", err)
 	}
-	whole := fixedBytes + len(header) + len(content) + checksumBytes
-	if whole > MaxFileBytes || len(header) > 1<<16-1 {
-		return nil, fmt.Errorf("%w: %d bytes", ErrTooLong, whole)
+	length := fixedBytes + len(header) + len(content) + checksumBytes
+	if length > MaxFileBytes || len(header) > maxHeaderBytes {
+		return nil, fmt.Errorf("%w: %d bytes", ErrTooLong, length)
 	}
-	raw := make([]byte, 0, whole)
+	raw := make([]byte, 0, length)
 	raw = append(raw, magic...)
 	raw = binary.BigEndian.AppendUint16(raw, currentFormat)
 	raw = binary.BigEndian.AppendUint16(raw, uint16(len(header)))
@@ -122,52 +104,50 @@
 	return binary.BigEndian.AppendUint32(raw, crc32.Checksum(raw, castagnoli)), nil
 }
 
-// Decode reads a file from its bytes: all of it or, with an error that wraps one of those above, nothing. One
-// of an earlier format is turned into the present one.
+// Decode reads a file from its bytes: all of it or, with an error that wraps one of those above, nothing. A file of an
+// earlier format is converted to the current one.
 func Decode(raw []byte) (*File, error) {
-	if len(raw) < len(magic) || string(raw[:len(magic)]) != magic {
-		return nil, ErrNotAStateFile
-	}
-	if len(raw) < fixedBytesFormat1+checksumBytes || len(raw) > MaxFileBytes {
-		return nil, fmt.Errorf("%w: %d bytes", ErrDamaged, len(raw))
-	}
-	sum := len(raw) - checksumBytes
-	if crc32.Checksum(raw[:sum], castagnoli) != binary.BigEndian.Uint32(raw[sum:]) {
-		return nil, fmt.Errorf("%w: the checksum is wrong", ErrDamaged)
+	body, err := checkFrame(raw)
+	if err != nil {
+		return nil, err
 	}
 	f := &File{Format: int(binary.BigEndian.Uint16(raw[8:]))}
-	begin, read := fixedBytes, f.decodeSections
+	headerStart, decodeContent := fixedBytes, f.decodeSections
 	switch {
 	case f.Format > currentFormat:
-		return nil, fmt.Errorf("%w: format %d, known are up to %d", ErrNewer, f.Format, currentFormat)
+		return nil, fmt.Errorf("%w: format %d, this build reads up to %d", ErrNewer, f.Format, currentFormat)
 	case f.Format == 1:
-		begin, read = fixedBytesFormat1, f.decodeFormat1
-	case f.Format < 1 || sum < fixedBytes:
+		headerStart, decodeContent = fixedBytesFormat1, f.decodeFormat1
+	case f.Format < 1 || len(body) < fixedBytes:
 		return nil, fmt.Errorf("%w: format %d", ErrDamaged, f.Format)
 	default:
 		f.Generation = binary.BigEndian.Uint64(raw[16:])
 	}
-	header, content := int(binary.BigEndian.Uint16(raw[10:])), int(binary.BigEndian.Uint32(raw[12:]))
-	if begin+header+content != sum {
-		return nil, fmt.Errorf("%w: the lengths are wrong", ErrDamaged)
+	headerLength, contentLength := int(binary.BigEndian.Uint16(raw[10:])), int(binary.BigEndian.Uint32(raw[12:]))
+	if headerStart+headerLength+contentLength != len(body) {
+		return nil, fmt.Errorf("%w: the lengths of header and content are wrong", ErrDamaged)
 	}
-	err := decoding.Unmarshal(raw[begin:begin+header], &f.Header)
-	if err == nil {
-		err = read(raw[begin+header : sum])
+	contentStart := headerStart + headerLength
+	if err := decoding.Unmarshal(body[headerStart:contentStart], &f.Header); err != nil {
+		return nil, fmt.Errorf("%w: cannot decode the header: %w", ErrDamaged, err)
 	}
-	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrDamaged, err)
+	if err := decodeContent(body[contentStart:]); err != nil {
+		return nil, fmt.Errorf("%w: cannot decode the content: %w", ErrDamaged, err)
 	}
 	return f, nil
 }
 
-// Age is how old a file is. Below zero: it is from the future, as the clock says, so its age is not known.
-func (h *Header) Age(now time.Time) time.Duration { return now.Sub(time.UnixMilli(h.WrittenMS)) }
-
-// IsNewerThan tells which of two files was written later. Files of format 1 have only the time to tell.
-func (f *File) IsNewerThan(than *File) bool {
-	if f.Generation != than.Generation {
-		return f.Generation > than.Generation
+// checkFrame checks magic, length and checksum of a file, and returns what the checksum covers.
+func checkFrame(raw []byte) (body []byte, err error) {
+	if len(raw) < len(magic) || string(raw[:len(magic)]) != magic {
+		return nil, ErrNotAStateFile
+	}
+	if len(raw) < fixedBytesFormat1+checksumBytes || len(raw) > MaxFileBytes {
+		return nil, fmt.Errorf("%w: %d bytes", ErrDamaged, len(raw))
+	}
+	body = raw[:len(raw)-checksumBytes]
+	if crc32.Checksum(body, castagnoli) != binary.BigEndian.Uint32(raw[len(body):]) {
+		return nil, fmt.Errorf("%w: the checksum is wrong", ErrDamaged)
 	}
-	return f.WrittenMS > than.WrittenMS
+	return body, nil
 }
--- a/internal/state/format_test.go
+++ b/internal/state/format_test.go
@@ -21,7 +21,7 @@
 
 var owner = Owner{Deployment: "d", Agent: "n0"}
 
-// sample is a file as an agent that knows n servers writes it.
+// sample is a file of an agent that knows n servers.
 func sample(n int) *File {
 	config := protocol.EndpointList{Version: 41, Full: true}
 	m := balancer.Snapshot{MeanLatency: 0.0517342, SendRate: 43.1234}
@@ -56,25 +56,25 @@
 	}
 }
 
-// Whatever byte of a file is changed, wherever it is cut and whatever comes after it: nothing of it is taken.
-func TestEveryDamageIsFound(t *testing.T) {
+// Whichever byte of a file is changed, wherever it is cut and whatever follows it: Decode returns nothing of it.
+func TestEveryDamageIsDetected(t *testing.T) {
 	raw, err := Encode(sample(5))
 	require.NoError(t, err)
-	whole, err := Decode(raw)
+	decoded, err := Decode(raw)
 	require.NoError(t, err)
-	require.Equal(t, sample(5), whole)
+	require.Equal(t, sample(5), decoded)
 	old, err := os.ReadFile("testdata/format-1.state")
 	require.NoError(t, err)
 	for _, raw := range [][]byte{raw, old} {
 		for i := range raw {
 			for change := 1; change < 256; change++ {
 				raw[i] ^= byte(change)
-				f, err := Decode(raw)
-				require.True(t, f == nil && err != nil, "byte %d changed by %02x", i, change)
+				f, decodeErr := Decode(raw)
+				require.True(t, f == nil && decodeErr != nil, "byte %d changed by %02x", i, change)
 				raw[i] ^= byte(change)
 			}
-			f, err := Decode(raw[:i])
-			require.True(t, f == nil && err != nil, "cut at %d", i)
+			f, decodeErr := Decode(raw[:i])
+			require.True(t, f == nil && decodeErr != nil, "cut at %d", i)
 		}
 		for _, more := range []string{"\x00", "\n", string(raw)} {
 			_, err = Decode(append(raw[:len(raw):len(raw)], more...))
@@ -83,8 +83,8 @@
 	}
 }
 
-// The file was written by the first build that kept anything: it is read, and nothing of it is lost.
-func TestEarlierFormat(t *testing.T) {
+// A file of format 1 is read with all that it has, and written in the current format.
+func TestFormat1IsRead(t *testing.T) {
 	raw, err := os.ReadFile("testdata/format-1.state")
 	require.NoError(t, err)
 	f, err := Decode(raw)
@@ -98,7 +98,7 @@
 	require.Len(t, f.Balancer.Servers, 4)
 	require.True(t, f.Balancer.Servers[1].Outlier.Ejected)
 	require.InDelta(t, 0.05537775699135778, f.Balancer.MeanLatency, 0)
-	require.Equal(t, 392.0, f.Balancer.Kinds[0].BaselineLatency.Samples)
+	require.InDelta(t, 392.0, f.Balancer.Kinds[0].BaselineLatency.Samples, 0)
 
 	again, err := Encode(f)
 	require.NoError(t, err)
@@ -108,7 +108,7 @@
 	require.Equal(t, currentFormat, g.Format)
 }
 
-// framed puts a header and a content between a beginning and a checksum that fit them.
+// framed puts a header and a content between a fixed part and a checksum that fit them.
 func framed(version int, header, content []byte) []byte {
 	raw := binary.BigEndian.AppendUint16([]byte(magic), uint16(version))
 	raw = binary.BigEndian.AppendUint16(raw, uint16(len(header)))
@@ -120,7 +120,7 @@
 	return binary.BigEndian.AppendUint32(raw, crc32.Checksum(raw, castagnoli))
 }
 
-func TestOtherVersions(t *testing.T) {
+func TestUnknownVersionsAreRefusedOrSkipped(t *testing.T) {
 	header, err := encoding.Marshal(Header{Owner: owner})
 	require.NoError(t, err)
 	_, err = Decode(framed(3, header, nil))
@@ -130,8 +130,7 @@
 	_, err = Decode([]byte("#!/bin/sh\necho some other file here\n"))
 	require.ErrorIs(t, err, ErrNotAStateFile)
 
-	// A section of a later version is left out, and so is one that an earlier build did not write; the others
-	// are read.
+	// A section of a later version is skipped, and so is one that is unknown; the others are read.
 	list, err := encoding.Marshal(StoredList{Version: 9})
 	require.NoError(t, err)
 	content, err := encoding.Marshal(map[int]any{1: []any{1, cbor.RawMessage(list)}, 2: []any{99, "?"}, 77: []any{1, 2}})
@@ -145,7 +144,7 @@
 	require.Contains(t, f.SkippedSections[0], "module: version 99")
 }
 
-// Whatever is inside a file that is whole: it is read or it is not, and what is read can be used.
+// Whatever a complete file has in it: Decode refuses it, or what it returns can be used.
 func FuzzDecode(f *testing.F) {
 	for version, raw := range map[int][]byte{1: must(os.ReadFile("testdata/format-1.state")), 2: must(Encode(sample(3)))} {
 		begin := map[int]int{1: fixedBytesFormat1, 2: fixedBytes}[version]
@@ -213,7 +212,7 @@
 	return v
 }
 
-// What a thousand servers come to: under 256 KB, whatever is known of each.
+// A file with all that can be known of a thousand servers has under 256 KB.
 func TestLengthOfAThousandServers(t *testing.T) {
 	raw, err := Encode(sample(1000))
 	require.NoError(t, err)
--- a/internal/state/sections.go
+++ b/internal/state/sections.go
@@ -23,8 +23,7 @@
 	Value   cbor.RawMessage
 }
 
-// sections is the content as it is laid out; any may be absent. Their numbers are never used for anything
-// else.
+// sections is the content as it is laid out; any may be absent. A key is never used again for something else.
 type sections struct {
 	List            *section `cbor:"1,keyasint,omitempty"`
 	Balancer        *section `cbor:"2,keyasint,omitempty"`
@@ -32,67 +31,76 @@
 	Overload        *section `cbor:"4,keyasint,omitempty"`
 }
 
-// encode lays out the content.
+// encodeSections encodes the content.
 func (c *Content) encodeSections() ([]byte, error) {
 	var all sections
-	err := errors.Join(encodeSection(&all.List, listVersion, c.List), encodeSection(&all.Balancer, balancer.SnapshotVersion, c.Balancer),
-		encodeSection(&all.IdleConnections, idleVersion, c.IdleConnections), encodeSection(&all.Overload, overload.SnapshotVersion, c.Overload))
+	err := errors.Join(
+		encodeSection(&all.List, listVersion, c.List),
+		encodeSection(&all.Balancer, balancer.SnapshotVersion, c.Balancer),
+		encodeSection(&all.IdleConnections, idleVersion, c.IdleConnections),
+		encodeSection(&all.Overload, overload.SnapshotVersion, c.Overload))
 	if err != nil {
 		return nil, err
 	}
 	return encoding.Marshal(all)
 }
 
-func encodeSection[T any](to **section, version int, value *T) error {
+// encodeSection encodes a value into a section; nil: the section is absent.
+func encodeSection[T any](into **section, version int, value *T) error {
 	if value == nil {
 		return nil
 	}
 	raw, err := encoding.Marshal(value)
-	*to = &section{Version: version, Value: raw}
-	return err
+	if err != nil {
+		return fmt.Errorf("cannot encode a %T: %w", value, err)
+	}
+	*into = &section{Version: version, Value: raw}
+	return nil
 }
 
-// decode reads the content of the present format.
+// decodeSections decodes content of the current format.
 func (f *File) decodeSections(raw []byte) error {
 	var all sections
 	if err := decoding.Unmarshal(raw, &all); err != nil {
 		return err
 	}
 	return errors.Join(decodeSection(f, "list", all.List, listVersion, &f.List),
-		decodeSection(f, "module", all.Balancer, balancer.SnapshotVersion, &f.Balancer, (*balancer.Snapshot).MigrateFromVersion1),
+		decodeSection(f, "module", all.Balancer, balancer.SnapshotVersion, &f.Balancer,
+			(*balancer.Snapshot).MigrateFromVersion1),
 		decodeSection(f, "idle", all.IdleConnections, idleVersion, &f.IdleConnections),
 		decodeSection(f, "storm", all.Overload, overload.SnapshotVersion, &f.Overload))
 }
 
-// take reads a section. What an earlier version left is turned into the present one by the steps from version
-// 1 on; a later version is left out, and told.
-func decodeSection[T any](f *File, name string, from *section, version int, to **T, steps ...func(*T)) error {
+// decodeSection decodes a section of the version that this build writes, or of an earlier one, which the migrations
+// from version 1 on convert. Any other version is skipped, and noted in the file. The name is the JSON's.
+func decodeSection[T any](f *File, name string, from *section, version int, into **T, migrations ...func(*T)) error {
 	switch {
 	case from == nil:
 		return nil
-	case from.Version < version-len(steps) || from.Version > version:
-		f.SkippedSections = append(f.SkippedSections, fmt.Sprintf("%s: version %d, known is %d", name, from.Version, version))
+	case from.Version < version-len(migrations) || from.Version > version:
+		skipped := fmt.Sprintf("%s: version %d, known is %d", name, from.Version, version)
+		f.SkippedSections = append(f.SkippedSections, skipped)
 		return nil
 	}
 	value := new(T)
 	if err := decoding.Unmarshal(from.Value, value); err != nil {
-		return fmt.Errorf("%s: %w", name, err)
+		return fmt.Errorf("section %s: %w", name, err)
 	}
-	for _, step := range steps[from.Version-1:] {
-		step(value)
+	for _, migrate := range migrations[from.Version-1:] {
+		migrate(value)
 	}
-	*to = value
+	*into = value
 	return nil
 }
 
-// decode1 reads the content of format 1, which had the first versions of these two parts.
+// decodeFormat1 decodes the content of format 1: the first versions of two sections, without their version.
 func (f *File) decodeFormat1(raw []byte) error {
 	var c struct {
-		List   *StoredList        `cbor:"1,keyasint,omitempty"`
-		Module *balancer.Snapshot `cbor:"2,keyasint,omitempty"`
+		List     *StoredList        `cbor:"1,keyasint,omitempty"`
+		Balancer *balancer.Snapshot `cbor:"2,keyasint,omitempty"`
 	}
 	err := decoding.Unmarshal(raw, &c)
-	if f.List, f.Balancer = c.List, c.Module; f.Balancer != nil {
+	if f.List, f.Balancer = c.List, c.Balancer; f.Balancer != nil {
 		f.Balancer.MigrateFromVersion1()
 	}
 	return err
