--- a/cmd/dunestep/keep.go
+++ b/cmd/dunestep/keep.go
@@ -84,7 +84,7 @@
 	}
 	f, err := folder.Open(set.Folder, m.told.owner())
 	if err != nil {
-		slog.Warn("state not kept", "folder", set.Folder, "error", err)
+		slog.Warn("state cannot be written", "folder", set.Folder, "error", err)
 		return nil, nil
 	}
 	file, wrong := f.Load()
--- a/internal/state/folder/crash_test.go
+++ b/internal/state/folder/crash_test.go
@@ -14,12 +14,12 @@
 	"dunestep/internal/state"
 )
 
-// The file system of these tests keeps what was made to last, and of the rest anything: a power cut leaves
-// any part of the bytes that were not synced, and any of the names that were not, in whatever order.
+// The file system of these tests keeps what was synced. Of the rest a power cut leaves any part of the bytes, and any
+// of the names, in any order.
 
 var (
-	errCut   = errors.New("the power is cut")
-	errFault = errors.New("no space left")
+	errPowerCut = errors.New("the power is cut")
+	errFault    = errors.New("no space left")
 )
 
 // inode is a file's bytes, whatever its name.
@@ -28,52 +28,52 @@
 	synced bool
 }
 
-// rename is a change of a name that was not made to last.
+// rename is a change of a name that was not synced.
 type rename struct {
 	name string
 	to   *inode
 }
 
-// crashDisk does one thing at each step. From the step cut on nothing is done any more; at the step fault an
-// error is returned, and that thing is not done, or half.
-type crashDisk struct {
-	lasting, now map[string]*inode
+// crashDirectory does one thing at each step. From the step cut on it does nothing; the step fault returns an error, and
+// is not done, or half.
+type crashDirectory struct {
+	durable, now map[string]*inode
 	unsynced     []rename
 	lost         []rename // by a sync that failed: a later one does not bring them back
 	step         int
 	cut, fault   int
 	each         func() // called before each step
-	// Faults of the writer that the tests are to find.
+	// Faults of a writer that the search has to find.
 	noFileSync, noNameSync bool
 }
 
-func (d *crashDisk) next() error {
+func (d *crashDirectory) next() error {
 	d.each()
 	d.step++
 	switch {
 	case d.step >= d.cut:
-		return errCut
+		return errPowerCut
 	case d.step == d.fault:
 		return errFault
 	}
 	return nil
 }
 
-func (d *crashDisk) read(name string) ([]byte, error) {
+func (d *crashDirectory) read(name string) ([]byte, error) {
 	if i := d.now[name]; i != nil {
 		return i.data, nil
 	}
 	return nil, fs.ErrNotExist
 }
 
-func (d *crashDisk) create(name string) (pending, error) {
+func (d *crashDirectory) create(name string) (pending, error) {
 	if err := d.next(); err != nil {
 		return nil, err
 	}
 	return &crashFile{d, name, &inode{}}, nil
 }
 
-func (d *crashDisk) sync() error {
+func (d *crashDirectory) sync() error {
 	err := d.next()
 	if err != nil {
 		d.lost = append(d.lost, d.unsynced...)
@@ -84,19 +84,19 @@
 		return nil
 	}
 	for _, r := range d.unsynced {
-		d.lasting[r.name] = r.to
+		d.durable[r.name] = r.to
 		d.lost = slices.DeleteFunc(d.lost, func(old rename) bool { return old.name == r.name })
 	}
 	d.unsynced = nil
 	return nil
 }
 
-func (d *crashDisk) removeLeftovers() error { return nil }
-func (d *crashDisk) close() error           { return nil }
+func (d *crashDirectory) removeLeftovers() error { return nil }
+func (d *crashDirectory) close() error           { return nil }
 
 // crashFile is a file that is being written, with the steps of a renameio.PendingFile.
 type crashFile struct {
-	disk *crashDisk
+	dir  *crashDirectory
 	name string
 	file *inode
 }
@@ -104,7 +104,7 @@
 // Write writes in two steps.
 func (f *crashFile) Write(raw []byte) (int, error) {
 	for i, part := range [][]byte{raw[:len(raw)/3], raw[len(raw)/3:]} {
-		if err := f.disk.next(); err != nil {
+		if err := f.dir.next(); err != nil {
 			return i * len(raw) / 3, err
 		}
 		f.file.data = append(f.file.data, part...)
@@ -113,21 +113,21 @@
 }
 
 func (f *crashFile) CloseAtomicallyReplace() error {
-	if err := f.disk.next(); err != nil {
+	if err := f.dir.next(); err != nil {
 		return err
 	}
-	f.file.synced = !f.disk.noFileSync
-	if err := f.disk.next(); err != nil {
+	f.file.synced = !f.dir.noFileSync
+	if err := f.dir.next(); err != nil {
 		return err
 	}
-	f.disk.now[f.name] = f.file
-	f.disk.unsynced = append(f.disk.unsynced, rename{f.name, f.file})
+	f.dir.now[f.name] = f.file
+	f.dir.unsynced = append(f.dir.unsynced, rename{f.name, f.file})
 	return nil
 }
 
-func (f *crashFile) Cleanup() error { return f.disk.next() }
+func (f *crashFile) Cleanup() error { return f.dir.next() }
 
-// torn is what may be there of bytes that were not synced.
+// torn returns what a power cut may leave of bytes that were not synced.
 func torn(data []byte) [][]byte {
 	half := append([]byte(nil), data...)
 	clear(half[len(half)/2:])
@@ -136,11 +136,11 @@
 	return [][]byte{data, {}, data[:len(data)/2], half, back, data[:max(len(data)-1, 0)]}
 }
 
-// afterCut calls with each state that the power cut can leave.
-func (d *crashDisk) afterCut(each func(*crashDisk)) {
+// afterCut calls each with every state that the power cut can leave.
+func (d *crashDirectory) afterCut(each func(*crashDirectory)) {
 	loose := append(append([]rename(nil), d.lost...), d.unsynced...)
 	for some := range 1 << len(loose) {
-		left := maps.Clone(d.lasting)
+		left := maps.Clone(d.durable)
 		for i, r := range loose {
 			if some>>i&1 == 1 {
 				left[r.name] = r.to
@@ -150,10 +150,10 @@
 	}
 }
 
-// tear goes through what may be left of the files' bytes.
-func (d *crashDisk) tear(left map[string]*inode, names []string, each func(*crashDisk)) {
+// tear calls each with everything that may be left of the files' bytes.
+func (d *crashDirectory) tear(left map[string]*inode, names []string, each func(*crashDirectory)) {
 	if len(names) == 0 {
-		each(&crashDisk{lasting: left, now: maps.Clone(left), noFileSync: d.noFileSync, noNameSync: d.noNameSync})
+		each(&crashDirectory{durable: left, now: maps.Clone(left), noFileSync: d.noFileSync, noNameSync: d.noNameSync})
 		return
 	}
 	i := left[names[0]]
@@ -174,25 +174,25 @@
 	return state.Content{List: &state.StoredList{Version: int64(n)}}
 }
 
-// story is what a writer did to a file that one reader may read at any time: which write lasts for certain,
-// and which is the last that was begun. Any reading must be of one between the two, and none is of the first:
-// the file is a register that can be linearized, with a cut write done or not done.
-type story struct{ acked, begun int }
+// history is what a writer did to a file that one reader may read at any time: the last write that was acknowledged,
+// and the last that was begun. Any reading must be of one between the two: the file is a linearizable register, in
+// which an interrupted write is done or not done.
+type history struct{ acked, begun int }
 
-func (s story) check(f *Folder) (read int, err error) {
+func (s history) check(f *Folder) (read int, err error) {
 	file, _ := f.Load()
 	if file != nil {
 		read = int(file.List.Version)
 	}
 	if read < s.acked || read > s.begun {
-		return read, fmt.Errorf("read %d, where %d lasts and %d was the last begun", read, s.acked, s.begun)
+		return read, fmt.Errorf("read %d, where %d was acknowledged and %d was the last begun", read, s.acked, s.begun)
 	}
 	return read, nil
 }
 
-// write writes a few times from what is there, with the power cut at a step and a fault at another, and
-// checks every reading meanwhile. It tells whether the steps were enough for the cut to come.
-func (s *story) write(d *crashDisk, times, cut, fault int) (came bool, err error) {
+// write writes a few times, with the power cut at a step and a fault at another, and checks a reading at each step. It
+// tells whether there were enough steps for the power cut.
+func (s *history) write(d *crashDirectory, times, cut, fault int) (reached bool, err error) {
 	d.cut, d.fault, d.each = cut, fault, func() {}
 	folder := newFolder(d, owner, nil)
 	folder.Load()
@@ -211,34 +211,34 @@
 	return d.step >= cut, err
 }
 
-// crash searches through every step at which the power can be cut, with every step at which something fails
-// before that, and everything that can be left; and does so once more from each of these.
-func crash(first *crashDisk, s story, times, depth int) (states int, err error) {
+// crash searches every step at which the power can be cut, with every step at which something fails before that, and
+// everything that can be left; and again from each of these, depth times.
+func crash(first *crashDirectory, s history, times, depth int) (states int, err error) {
 	for fault := 0; ; fault++ {
 		for cut := fault + 1; ; cut++ {
-			d := &crashDisk{
-				lasting: maps.Clone(first.lasting), now: maps.Clone(first.now),
+			d := &crashDirectory{
+				durable: maps.Clone(first.durable), now: maps.Clone(first.now),
 				noFileSync: first.noFileSync, noNameSync: first.noNameSync,
 			}
 			after := s
-			came, wrong := after.write(d, times, cut, fault)
+			reached, wrong := after.write(d, times, cut, fault)
 			if err = errors.Join(err, wrong); err != nil {
 				return states, fmt.Errorf("fault at %d: %w", fault, err)
 			}
-			if !came {
+			if !reached {
 				if cut == fault+1 {
 					return states, nil
 				}
 				break
 			}
-			d.afterCut(func(left *crashDisk) {
+			d.afterCut(func(left *crashDirectory) {
 				states++
 				left.cut, left.each = 1<<30, func() {}
 				found, wrong := after.check(newFolder(left, owner, nil))
 				if wrong != nil {
 					err = errors.Join(err, fmt.Errorf("fault at %d, cut at %d: %w", fault, cut, wrong))
 				} else if depth > 0 {
-					more, wrong := crash(left, story{found, max(after.begun, found)}, 2, depth-1)
+					more, wrong := crash(left, history{found, max(after.begun, found)}, 2, depth-1)
 					states += more
 					err = errors.Join(err, wrong)
 				}
@@ -250,24 +250,24 @@
 	}
 }
 
-func empty() *crashDisk {
-	return &crashDisk{lasting: map[string]*inode{}, now: map[string]*inode{}}
+func empty() *crashDirectory {
+	return &crashDirectory{durable: map[string]*inode{}, now: map[string]*inode{}}
 }
 
-// A power cut at any step of three writes, with a fault at any step before it, and again in two writes after
-// that: what is read is always whole and never older than what lasts.
-func TestPowerCuts(t *testing.T) {
-	states, err := crash(empty(), story{}, 3, 1)
+// A power cut at any step of three writes, with a fault at any step before it, and again in two writes after that: what
+// is read is always complete, and never older than what was acknowledged.
+func TestPowerCutsKeepAcknowledgedWrites(t *testing.T) {
+	states, err := crash(empty(), history{}, 3, 1)
 	require.NoError(t, err)
 	require.Greater(t, states, 10000)
 	t.Log(states, "states")
 }
 
-// The search finds a writer that syncs too little.
-func TestPowerCutsAreFound(t *testing.T) {
-	for name, d := range map[string]*crashDisk{"bytes": {noFileSync: true}, "names": {noNameSync: true}} {
-		d.lasting, d.now = map[string]*inode{}, map[string]*inode{}
-		_, err := crash(d, story{}, 3, 0)
+// The search finds a writer that does not sync the bytes, or the names.
+func TestPowerCutSearchFindsMissingSyncs(t *testing.T) {
+	for name, d := range map[string]*crashDirectory{"bytes": {noFileSync: true}, "names": {noNameSync: true}} {
+		d.durable, d.now = map[string]*inode{}, map[string]*inode{}
+		_, err := crash(d, history{}, 3, 0)
 		require.Error(t, err, name)
 	}
 }
--- a/internal/state/folder/disk.go
+++ b/internal/state/folder/directory.go
@@ -14,58 +14,57 @@
 	"dunestep/internal/state"
 )
 
-// disk is what a Folder needs of a file system. The real one is a rootDirectory; the tests have one that loses,
-// tears and reorders what was not made to last.
+// directory is what a Folder needs of a file system: a rootDirectory. Tests implement one that loses, tears and
+// reorders what was not synced.
 type directory interface {
 	// read returns a file, or its first state.MaxFileBytes+1 bytes.
 	read(name string) ([]byte, error)
-	// begin begins with a file that will replace the one of that name, if any.
+	// create begins a file that will replace the one of that name, if any.
 	create(name string) (pending, error)
-	// sync makes the replacements last.
+	// sync makes the replacements durable.
 	sync() error
-	// tidy removes what writes that were cut short have left.
+	// removeLeftovers removes the files of interrupted writes.
 	removeLeftovers() error
 	close() error
 }
 
-// pending is a file that has no name yet, a renameio.PendingFile.
+// pending is a file that has no name yet: a renameio.PendingFile.
 type pending interface {
 	io.Writer
-	// CloseAtomicallyReplace makes the bytes last, and then gives them the name in one step.
+	// CloseAtomicallyReplace syncs the bytes, and then gives the file its name in one step.
 	CloseAtomicallyReplace() error
 	// Cleanup removes the file, if it was not given the name.
 	Cleanup() error
 }
 
-// ErrInUse is of a folder that another agent holds.
+// ErrInUse means that another agent holds the folder.
 var ErrInUse = errors.New("state: the folder is in use by another agent")
 
 const lockName = "lock"
 
-// rootDirectory is a folder by its handle, not its path: what comes to lie there instead is not written to.
+// rootDirectory is a folder by its handle: a folder that later takes its path is not written to.
 type rootDirectory struct {
 	root *os.Root
-	lock *os.File // nil: could not be had, since nothing can be written here
+	lock *os.File // nil: could not be created, since the folder is read-only
 }
 
-// openDirectory opens a folder and locks it, for as long as this process lives at the most. Where there is no
-// writing, the folder can still be read, and the second error tells why.
-func openDirectory(path string) (d *rootDirectory, unwritable, err error) {
+// openDirectory opens a folder and locks it until close, or the end of the process. Where it can be read and not
+// written, the second error says why.
+func openDirectory(path string) (d *rootDirectory, readOnly, err error) {
 	root, err := os.OpenRoot(path)
 	if err != nil {
-		return nil, nil, fmt.Errorf("state: %w", err)
+		return nil, nil, fmt.Errorf("state: cannot open the folder: %w", err)
 	}
 	lock, err := root.OpenFile(lockName, os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
-		return &rootDirectory{root: root}, fmt.Errorf("state: %w", err), nil
+		return &rootDirectory{root: root}, fmt.Errorf("state: cannot create the lock file in %q: %w", path, err), nil
 	}
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		_ = lock.Close()
-		_ = root.Close()
+		_, _ = lock.Close(), root.Close() // nothing was written
 		if errors.Is(err, syscall.EWOULDBLOCK) {
 			return nil, nil, ErrInUse
 		}
-		return nil, nil, fmt.Errorf("state: lock: %w", err)
+		return nil, nil, fmt.Errorf("state: cannot lock %q: %w", path, err)
 	}
 	return &rootDirectory{root: root, lock: lock}, nil, nil
 }
@@ -75,7 +74,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // it was only read
 	return io.ReadAll(io.LimitReader(f, state.MaxFileBytes+1))
 }
 
@@ -87,7 +86,7 @@
 	return f, nil
 }
 
-// sync makes the names last; renameio leaves that to its caller.
+// sync syncs the names, which renameio leaves to its caller.
 func (d *rootDirectory) sync() error {
 	f, err := d.root.Open(".")
 	if err != nil {
@@ -96,10 +95,10 @@
 	return errors.Join(f.Sync(), f.Close())
 }
 
-// tidy removes what renameio has begun under a name of its own: a point, the name and a number.
+// removeLeftovers removes pending files of renameio, whose names are a dot, the file's name and a number.
 func (d *rootDirectory) removeLeftovers() error {
-	left, err := fs.ReadDir(d.root.FS(), ".")
-	for _, entry := range left {
+	entries, err := fs.ReadDir(d.root.FS(), ".")
+	for _, entry := range entries {
 		for _, name := range slots {
 			if strings.HasPrefix(entry.Name(), "."+name) {
 				err = errors.Join(err, d.root.Remove(entry.Name()))
--- a/internal/state/folder/folder.go
+++ b/internal/state/folder/folder.go
@@ -1,5 +1,8 @@
-// Package folder keeps an agent's memory in a folder that lasts, whatever cuts a write short: Folder knows
-// where its generations lie, Writer when they are written.
+// Package folder stores an agent's state in a folder, so that an interrupted write loses at most that write.
+//
+// It owns the folder's two state files and its lock, by which one process at a time uses it. A Folder reads and
+// replaces the files; it is not safe for concurrent use. A Writer is the goroutine that decides when to write; its
+// methods are safe for concurrent use.
 package folder
 
 import (
@@ -11,58 +14,59 @@
 	"dunestep/internal/state"
 )
 
-// slots are the names of the two generations that are kept. A write replaces the older one, so that the newer
-// one is not touched until the next write has lasted, whatever becomes of this one.
-var slots = [2]string{"state-a", "state-b"}
+// slots are the names of the two generations that are stored. A write replaces the older one: the newer one is not
+// touched until the next write is durable.
+var slots = [2]string{"state-a", "state-b"} // never changed
 
-// Folder is where an agent's memory lies. It is not safe for concurrent use.
+// Folder is the folder of one agent's state. It is not safe for concurrent use.
 type Folder struct {
 	dir        directory
 	owner      state.Owner
 	readOnly   error  // why nothing can be written; nil: it can
 	generation uint64 // of the newest file that was read or written
-	nextSlot   int    // the slot to be written
+	nextSlot   int    // index of the slot that is written next
 }
 
-// Open opens a folder for one agent. ErrInUse: another one holds it, so that this one must go on without.
-// Where the folder can be read but not written, Save tells why.
+// Open opens a folder, which must exist, for one agent. ErrInUse: another process holds it. Where the folder can be
+// read and not written, Save says why.
 func Open(path string, owner state.Owner) (*Folder, error) {
-	d, unwritable, err := openDirectory(path)
+	dir, readOnly, err := openDirectory(path)
 	if err != nil {
 		return nil, err
 	}
-	return newFolder(d, owner, unwritable), nil
+	return newFolder(dir, owner, readOnly), nil
 }
 
-func newFolder(d directory, owner state.Owner, unwritable error) *Folder {
-	if unwritable == nil {
-		unwritable = d.removeLeftovers()
+func newFolder(dir directory, owner state.Owner, readOnly error) *Folder {
+	if readOnly == nil {
+		readOnly = dir.removeLeftovers()
 	}
-	return &Folder{dir: d, owner: owner, readOnly: unwritable}
+	return &Folder{dir: dir, owner: owner, readOnly: readOnly}
 }
 
-// Close gives the folder back.
+// Close releases the folder.
 func (f *Folder) Close() error { return f.dir.close() }
 
-// Load returns the newest file that is whole and this agent's, or nil, and what was wrong with others. It
-// comes before Save.
-func (f *Folder) Load() (newest *state.File, wrong []error) {
-	for i, name := range slots {
+// Load returns the newest file that is complete and this agent's, or nil, and what was wrong with others. It comes
+// before Save, which goes on from its generation. Another agent's file is never replaced: Save fails from then on.
+func (f *Folder) Load() (newest *state.File, unusable []error) {
+	for slot, name := range slots {
 		file, err := f.read(name)
 		switch {
 		case errors.Is(err, fs.ErrNotExist):
 		case err != nil:
-			wrong = append(wrong, fmt.Errorf("%s: %w", name, err))
-			if errors.Is(err, state.ErrOtherOwner) { // which that agent may come back for
+			unusable = append(unusable, fmt.Errorf("%s: %w", name, err))
+			if errors.Is(err, state.ErrOtherOwner) {
 				f.readOnly = err
 			}
 		case newest == nil || file.IsNewerThan(newest):
-			newest, f.generation, f.nextSlot = file, file.Generation, 1-i
+			newest, f.generation, f.nextSlot = file, file.Generation, 1-slot
 		}
 	}
-	return newest, wrong
+	return newest, unusable
 }
 
+// read reads one file and checks whose it is.
 func (f *Folder) read(name string) (*state.File, error) {
 	raw, err := f.dir.read(name)
 	if err != nil {
@@ -78,27 +82,28 @@
 	return file, nil
 }
 
-// Save writes a new generation, and returns once that lasts. After an error the one before is still there.
-func (f *Folder) Save(c state.Content, now time.Time) error {
+// Save writes a new generation, and returns once it is durable. After an error the one before is still there.
+func (f *Folder) Save(content state.Content, now time.Time) error {
 	if f.readOnly != nil {
 		return f.readOnly
 	}
-	f.generation++ // also where this one fails: it may be there all the same
+	f.generation++ // also where this write fails: the file may be there all the same
 	raw, err := state.Encode(&state.File{
-		Content: c,
+		Content: content,
 		Header:  state.Header{Owner: f.owner, WrittenMS: now.UnixMilli(), Generation: f.generation},
 	})
 	if err != nil {
 		return err
 	}
-	if err := f.write(slots[f.nextSlot], raw); err != nil {
-		return fmt.Errorf("state: %w", err)
+	if err := f.replace(slots[f.nextSlot], raw); err != nil {
+		return fmt.Errorf("state: cannot write generation %d to %s: %w", f.generation, slots[f.nextSlot], err)
 	}
 	f.nextSlot = 1 - f.nextSlot
 	return nil
 }
 
-func (f *Folder) write(name string, raw []byte) error {
+// replace replaces one file as a whole.
+func (f *Folder) replace(name string, raw []byte) error {
 	file, err := f.dir.create(name)
 	if err != nil {
 		return err
