--- a/internal/core/day_test.go
+++ b/internal/core/day_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"net/netip"
+	"reflect"
 	"slices"
 	"sort"
 	"time"
@@ -57,12 +58,14 @@
 // ear is the module that ships, with what it was told of, and what a test has it say besides.
 type ear struct {
 	*decide.Balancer
-	heard []string
+	heard []decide.Event // copies: the router uses some again
 	adds  func(decide.Event) []decide.Action
 }
 
 func (e *ear) Step(now time.Duration, ev decide.Event) []decide.Action {
-	e.heard = append(e.heard, fmt.Sprintf("%T%+v", ev, ev))
+	heard := reflect.New(reflect.TypeOf(ev).Elem())
+	heard.Elem().Set(reflect.ValueOf(ev).Elem())
+	e.heard = append(e.heard, heard.Interface().(decide.Event))
 	acts := e.Balancer.Step(now, ev)
 	if e.adds != nil {
 		acts = append(acts, e.adds(ev)...)
--- a/internal/core/router_test.go
+++ b/internal/core/router_test.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 	"net/netip"
-	"strings"
+	"slices"
 	"testing"
 	"time"
 
@@ -263,7 +263,7 @@
 	require.Equal(t, protocol.Malformed, d.answers[d.arrive(safe, "1111111100000007")][0].Result)
 	d.run(time.Second)
 	require.Empty(t, d.answers[n], "its client has gone")
-	require.Contains(t, strings.Join(d.module.heard, "\n"), fmt.Sprintf("ClientGone&{ID:%d}", n))
+	require.Contains(t, d.module.heard, &decide.ClientGone{ID: n})
 	require.Len(t, d.answers[other], 1)
 	require.Len(t, d.sent, 2)
 	d.arrive(safe, "1111111100000007")
@@ -302,9 +302,11 @@
 		d.run(time.Second)
 		require.Len(t, d.sent, 1, "not tried again")
 		require.Equal(t, c.want, d.sent[0].outcome)
-		heard := strings.Join(d.module.heard, "\n")
-		require.Contains(t, heard, fmt.Sprintf("StreamStarted&{ID:%d Attempt:0}", n))
-		require.Contains(t, heard, "Finished:true")
+		require.Contains(t, d.module.heard, &decide.StreamStarted{ID: n})
+		require.True(t, slices.ContainsFunc(d.module.heard, func(ev decide.Event) bool {
+			done, is := ev.(*decide.AttemptDone)
+			return is && done.Finished
+		}))
 		d.run(time.Minute)
 		d.finished()
 		require.Empty(t, d.broken)
--- a/internal/routing/agreed_test.go
+++ b/internal/routing/agreed_test.go
@@ -13,6 +13,9 @@
 	"dunestep/policy"
 )
 
+// timer is the note of a timer that is due.
+var timer = fmt.Sprintf("%T", &decide.TimerDue{})
+
 // noting is a module that notes what it is told, in order.
 type noting struct{ notes []string }
 
@@ -48,8 +51,8 @@
 	avoid, placed = nil, nil
 	a.handle(timerDue{4})
 	require.Equal(t, []string{
-		"*decide.TimerDue", "avoid true", "place true", "*decide.TimerDue", "*decide.TimerDue", "avoid false",
-		"place false", "*decide.TimerDue",
+		timer, "avoid true", "place true", timer, timer, "avoid false",
+		"place false", timer,
 	}, module.notes)
 	ctx, cancel := context.WithCancel(t.Context())
 	go a.mail.receive(func(m any) bool { return m != nil && a.handle(m) })
@@ -76,6 +79,6 @@
 	a.Agree(nil)
 	a.mail.put(nil)
 	a.mail.receive(func(m any) bool { return m != nil && a.handle(m) })
-	require.Equal(t, []string{"*decide.TimerDue", "[3] [{2 true 1ms}] 0.2", "*decide.TimerDue", "[] [] 0"}, module.notes)
+	require.Equal(t, []string{timer, "[3] [{2 true 1ms}] 0.2", timer, "[] [] 0"}, module.notes)
 	newStage(1).handle(agreed{})
 }
