--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -28,7 +28,7 @@
 	return raw
 }
 
-func goldenHand() ManualSettings {
+func goldenSettings() ManualSettings {
 	return ManualSettings{
 		Disabled: []routing.DisabledEndpoint{{ID: "s-0", StartedAt: 5, DisabledAt: 6}, {ID: "s-1", StartedAt: 7, DisabledAt: 8, EnabledAt: 9}},
 		Draining: true, DrainSetAt: 10,
@@ -36,11 +36,11 @@
 }
 
 // The file in testdata/golden was written by the build of commit 3bec2d9, under the name that it has there.
-func TestGoldenBansFile(t *testing.T) {
+func TestGoldenSettingsFile(t *testing.T) {
 	folder := t.TempDir()
-	b := NewSettingsFile(folder, "n0", at)
+	b := NewSettingsFile(folder, "n0", listenAt)
 	require.Equal(t, "dunestep-a9bba507c866b909.json", filepath.Base(b.path))
-	_, err := b.Update(goldenHand(), 11)
+	_, err := b.Update(goldenSettings(), 11)
 	require.NoError(t, err)
 	made, err := os.ReadFile(b.path)
 	require.NoError(t, err)
@@ -51,7 +51,7 @@
 	require.NoError(t, os.WriteFile(b.path, want, 0o600))
 	h, err := b.Read()
 	require.NoError(t, err)
-	require.Equal(t, goldenHand(), h)
+	require.Equal(t, goldenSettings(), h)
 }
 
 // socketPair is two ends of a connection.
@@ -91,16 +91,16 @@
 
 // The frames in testdata/golden were sent by the build of commit 3bec2d9.
 func TestGoldenFrames(t *testing.T) {
-	hand := goldenHand()
-	require.Equal(t, "dunestep-a9bba507c866b909.sock", filepath.Base(pathOf("", "n0", at, "sock")))
+	settings := goldenSettings()
+	require.Equal(t, "dunestep-a9bba507c866b909.sock", filepath.Base(pathOf("", "n0", listenAt, socketSuffix)))
 	checkGoldenFrame(t, "hello.frame", hello{Format: protocolFormat, Agent: "n0"})
 	checkGoldenFrame(t, "offer.frame", Offer{
-		Manual: hand, Descriptors: 9, MemoryMB: 8, State: []byte("learned"), FleetState: []byte("agreed"),
+		Manual: settings, Descriptors: 9, MemoryMB: 8, State: []byte("learned"), FleetState: []byte("agreed"),
 		SocketNames: []string{"tcp 127.0.0.1:9000", "udp 127.0.0.1:9000"},
 	})
 	checkGoldenFrame(t, "offer-without-fleet.frame", Offer{Descriptors: 9, MemoryMB: 8, State: []byte{}, SocketNames: []string{}})
 	checkGoldenFrame(t, "note-ready.frame", Notification{Ready: true})
-	checkGoldenFrame(t, "note-hand.frame", Notification{Manual: &hand})
+	checkGoldenFrame(t, "note-hand.frame", Notification{Manual: &settings})
 	checkGoldenFrame(t, "note-sockets.frame", Notification{Descriptors: 7})
 	checkGoldenFrame(t, "note-empty.frame", Notification{})
 }
