--- a/internal/fleet/membership/example_test.go
+++ b/internal/fleet/membership/example_test.go
@@ -7,23 +7,23 @@
 	"dunestep/internal/fleet/membership"
 )
 
-// Agent 2 is heard by agent 1 alone, whose word of it reaches agent 0; then agent 2 leaves.
+// Agent 2 is received by agent 1 alone, whose update about it reaches agent 0; then agent 2 leaves.
 func Example() {
 	var agents [3]*membership.List
 	for i := range agents {
 		agents[i] = membership.New(membership.Settings{Agents: 3, Self: i, StartedAt: 1_800_000_000 * time.Second, Seed: 1}, 0)
 	}
-	tell := func(now time.Duration, from, to int) {
+	send := func(now time.Duration, from, to int) {
 		if err := agents[to].ApplyUpdate(now, from, agents[from].Update(now, to, 64)); err != nil {
 			fmt.Println(err)
 		}
 	}
-	tell(time.Second, 2, 1)
-	tell(2*time.Second, 1, 0)
+	send(time.Second, 2, 1)
+	send(2*time.Second, 1, 0)
 	fmt.Println(agents[0].Status(2*time.Second, 2) == membership.Alive)
 	agents[2].Leave()
-	tell(3*time.Second, 2, 1)
-	tell(4*time.Second, 1, 0)
+	send(3*time.Second, 2, 1)
+	send(4*time.Second, 1, 0)
 	fmt.Println(agents[0].Status(4*time.Second, 2) == membership.Left)
 	// Output:
 	// true
--- a/internal/fleet/membership/messages.go
+++ b/internal/fleet/membership/messages.go
@@ -2,90 +2,92 @@
 
 import "encoding/binary"
 
-// word is what is put into another message.
+// update is what is added to a message for another agent.
 type update struct {
 	_           struct{} `cbor:",toarray"`
 	Incarnation uint64
 	Leaving     bool
-	ReceivedAge byte   // how long ago the one it is for was heard directly
-	FirstAgent  uint16 // the number of the first of Ages
-	Ages        []byte // how long ago each was heard by anybody
+	ReceivedAge byte   // of what was last received from the addressee
+	FirstAgent  uint16 // the agent of the first of Ages; those of the others follow
+	Ages        []byte // of the last contact of each agent
 	Events      []event
 }
 
-// event tells of what does not fit an age.
+// event is what an age does not express of an agent.
 type event struct {
 	_           struct{} `cbor:",toarray"`
 	Agent       uint16
 	Incarnation uint64
 	Left        bool
-	By          uint16 // who said that it hears the agent, and is not heard by it; the agent itself: nobody
-	Age         byte   // how long ago that was
+	By          uint16 // the agent that reports a closed path; Agent itself: it is no such report
+	Age         byte   // of the report
 }
 
 const (
-	// headerBytes is what a word takes at most beside ages and events; one event takes eventBytes at most.
+	// headerBytes is the maximum size of an update without ages and events, eventBytes that of an event.
 	headerBytes, eventBytes = 22, 20
-	// maxEvents bounds those of one word.
+	// maxEvents bounds the events of one update.
 	maxEvents = 4
 )
 
-// encode returns at most so many bytes: the events, and as many ages as have room; nil where the events have
-// none. It is what compact.Marshal makes, by reflection, which took a sixth of all that an agent does for its
-// fleet.
-func (w update) encode(most int) []byte {
-	b := append(make([]byte, 0, most), arrayType|6)
-	b = appendNumber(b, uintType, w.Incarnation)
-	b = append(b, cborBool(w.Leaving))
-	b = appendNumber(b, uintType, uint64(w.ReceivedAge))
-	b = appendNumber(b, uintType, uint64(w.FirstAgent))
-	events := w.encodeEvents()
-	room := most - len(b) - 1 - len(events) - 2 // for the number of ages
-	if room < 0 {
+// encode returns an update of at most maxBytes: the events, and as many ages as fit; nil: the events do not
+// fit. The bytes are those of compact.Marshal, which is slower as it uses reflection.
+func (u update) encode(maxBytes int) []byte {
+	b := append(make([]byte, 0, maxBytes), cborArray|6)
+	b = appendNumber(b, cborUint, u.Incarnation)
+	b = append(b, cborBool(u.Leaving))
+	b = appendNumber(b, cborUint, uint64(u.ReceivedAge))
+	b = appendNumber(b, cborUint, uint64(u.FirstAgent))
+	events := u.encodeEvents()
+	capacity := maxBytes - len(b) - 1 - len(events) - 2 // 1 and 2 bytes for the length of the ages
+	if capacity < 0 {
 		return nil
 	}
-	ages := w.Ages[:min(len(w.Ages), room)]
-	b = append(appendNumber(b, bytesType, uint64(len(ages))), ages...)
+	ages := u.Ages[:min(len(u.Ages), capacity)]
+	b = append(appendNumber(b, cborBytes, uint64(len(ages))), ages...)
 	return append(b, events...)
 }
 
-func (w update) encodeEvents() []byte {
-	if len(w.Events) == 0 {
+func (u update) encodeEvents() []byte {
+	if len(u.Events) == 0 {
 		return []byte{cborNull}
 	}
-	b := append(make([]byte, 0, maxEvents*eventBytes), arrayType|byte(len(w.Events)))
-	for _, e := range w.Events {
-		b = appendNumber(append(b, arrayType|5), uintType, uint64(e.Agent))
-		b = appendNumber(b, uintType, e.Incarnation)
-		b = appendNumber(append(b, cborBool(e.Left)), uintType, uint64(e.By))
-		b = appendNumber(b, uintType, uint64(e.Age))
+	b := append(make([]byte, 0, maxEvents*eventBytes), cborArray|byte(len(u.Events)))
+	for _, e := range u.Events {
+		b = appendNumber(append(b, cborArray|5), cborUint, uint64(e.Agent))
+		b = appendNumber(b, cborUint, e.Incarnation)
+		b = appendNumber(append(b, cborBool(e.Left)), cborUint, uint64(e.By))
+		b = appendNumber(b, cborUint, uint64(e.Age))
 	}
 	return b
 }
 
-// CBOR's first bytes: a type with a number, and values.
+// The first bytes of CBOR items: the types that are followed by a number, and simple values.
 const (
-	uintType, bytesType, arrayType = 0 << 5, 2 << 5, 4 << 5
-	cborNull                       = 0xf6
+	cborUint, cborBytes, cborArray = 0 << 5, 2 << 5, 4 << 5
+
+	cborFalse, cborTrue, cborNull = 0xf4, 0xf5, 0xf6
 )
 
-func cborBool(is bool) byte {
-	if is {
-		return 0xf5
+//nolint:revive // flag-parameter: the parameter is the value to be encoded.
+func cborBool(value bool) byte {
+	if value {
+		return cborTrue
 	}
-	return 0xf4
+	return cborFalse
 }
 
-func appendNumber(b []byte, kind byte, n uint64) []byte {
+// appendNumber appends an item of a type with a number, in the shortest form.
+func appendNumber(b []byte, cborType byte, n uint64) []byte {
 	switch {
 	case n < 24:
-		return append(b, kind|byte(n))
+		return append(b, cborType|byte(n))
 	case n < 1<<8:
-		return append(b, kind|24, byte(n))
+		return append(b, cborType|24, byte(n))
 	case n < 1<<16:
-		return binary.BigEndian.AppendUint16(append(b, kind|25), uint16(n))
+		return binary.BigEndian.AppendUint16(append(b, cborType|25), uint16(n))
 	case n < 1<<32:
-		return binary.BigEndian.AppendUint32(append(b, kind|26), uint32(n))
+		return binary.BigEndian.AppendUint32(append(b, cborType|26), uint32(n))
 	}
-	return binary.BigEndian.AppendUint64(append(b, kind|27), n)
+	return binary.BigEndian.AppendUint64(append(b, cborType|27), n)
 }
