--- a/internal/fleet/fragment/frame.go
+++ b/internal/fleet/fragment/frame.go
@@ -5,20 +5,75 @@
 	"hash/crc32"
 )
 
-// frame is one of the parts of a datagram: kind, channel, length, then for a long message the sender's
-// incarnation, the message's number, the piece's and how many there are, and the checksum of the whole. An
-// acknowledgement has the same beginning, and a bit for each piece that is there, or nothing if all are.
+// A datagram has a header (FirstByte, Version, the checksum of the rest) and one or more frames. A frame has
+// a kind, a channel, the length of its data, then for a fragment the sender's incarnation, the message's
+// number, the fragment's index and count, and the checksum of the complete message. An acknowledgement has
+// the same beginning up to the number; its data has a bit for each fragment that arrived, or is empty if all
+// have.
+
+const (
+	// FirstByte is the first byte of each datagram: other datagrams between agents begin with other bytes, and
+	// agents that do not know it drop it.
+	FirstByte = 0xF1
+	// Version is the second byte. Datagrams with another one are dropped and counted.
+	Version = 1
+	// MaxDatagramBytes is the maximum size of a datagram.
+	MaxDatagramBytes = 256
+	// MaxShortBytes is the maximum size of a message that fits into one datagram.
+	MaxShortBytes = MaxDatagramBytes - headerBytes - shortHeaderBytes
+	// MaxMessageBytes is the maximum size of a message.
+	MaxMessageBytes = 160 << 10
+
+	headerBytes         = 2 + 4
+	shortHeaderBytes    = 3
+	fragmentHeaderBytes = shortHeaderBytes + 8 + 4 + 2 + 2 + 4
+	ackHeaderBytes      = shortHeaderBytes + 8 + 4
+	// fragmentBytes is the size of the data of all fragments but the last.
+	fragmentBytes = MaxDatagramBytes - headerBytes - fragmentHeaderBytes
+	maxFragments  = (MaxMessageBytes + fragmentBytes - 1) / fragmentBytes
+)
+
+// The kinds of frames.
+const (
+	kindShort      = 0 // a complete message
+	kindFragment   = 1
+	kindAckRequest = 2 // a fragment that is to be acknowledged at once
+	kindAck        = 3
+)
+
+var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+
+func checksum(b []byte) uint32 { return crc32.Checksum(b, castagnoli) }
+
+// seal returns the datagram of some frames.
+func seal(frames []byte) []byte {
+	d := make([]byte, headerBytes, headerBytes+len(frames))
+	d[0], d[1] = FirstByte, Version
+	binary.BigEndian.PutUint32(d[2:], checksum(frames))
+	return append(d, frames...)
+}
+
+// unseal returns the frames of a datagram.
+func unseal(d []byte) (frames []byte, isIntact bool) {
+	if len(d) <= headerBytes || len(d) > MaxDatagramBytes || d[0] != FirstByte || d[1] != Version {
+		return nil, false
+	}
+	frames = d[headerBytes:]
+	return frames, checksum(frames) == binary.BigEndian.Uint32(d[2:])
+}
+
+// frame is a decoded frame; its data lies in the datagram.
 type frame struct {
 	kind, channel byte
-	incarnation   uint64
-	number        uint32
-	index, count  uint16
-	checksum      uint32
+	incarnation   uint64 // of the sender of the message
+	number        uint32 // of the message
+	index, count  uint16 // of the fragment
+	checksum      uint32 // of the message
 	data          []byte
 }
 
-// readFrame takes one off the front; data lies in b.
-func readFrame(b []byte) (f frame, rest []byte, ok bool) {
+// readFrame decodes the first frame of b.
+func readFrame(b []byte) (f frame, rest []byte, isValid bool) {
 	if len(b) < shortHeaderBytes {
 		return f, nil, false
 	}
@@ -27,7 +82,7 @@
 	b = b[shortHeaderBytes:]
 	switch f.kind {
 	case kindShort:
-		ok = n > 0
+		isValid = n > 0
 	case kindFragment, kindAckRequest:
 		if len(b) < fragmentHeaderBytes-shortHeaderBytes {
 			return f, nil, false
@@ -36,23 +91,29 @@
 		f.index, f.count = binary.BigEndian.Uint16(b[12:]), binary.BigEndian.Uint16(b[14:])
 		f.checksum = binary.BigEndian.Uint32(b[16:])
 		b = b[fragmentHeaderBytes-shortHeaderBytes:]
-		last := f.index+1 == f.count
-		ok = f.index < f.count && f.count > 1 && f.count <= maxFragments && n > 0 && (last || n == fragmentBytes)
+		isLast := f.index+1 == f.count
+		isValid = f.index < f.count && f.count > 1 && f.count <= maxFragments &&
+			n > 0 && (isLast || n == fragmentBytes)
 	case kindAck:
 		if len(b) < ackHeaderBytes-shortHeaderBytes {
 			return f, nil, false
 		}
 		f.incarnation, f.number = binary.BigEndian.Uint64(b), binary.BigEndian.Uint32(b[8:])
 		b = b[ackHeaderBytes-shortHeaderBytes:]
-		ok = true
+		isValid = true
 	}
-	if !ok || len(b) < n {
+	if !isValid || len(b) < n {
 		return f, nil, false
 	}
 	f.data = b[:n]
 	return f, b[n:], true
 }
 
+func encodeShort(channel byte, msg []byte) []byte {
+	return append([]byte{kindShort, channel, byte(len(msg))}, msg...)
+}
+
+// encodeFragment encodes a fragment, of kindFragment or kindAckRequest.
 func encodeFragment(kind, channel byte, f frame) []byte {
 	b := append(make([]byte, 0, fragmentHeaderBytes+len(f.data)), kind, channel, byte(len(f.data)))
 	b = binary.BigEndian.AppendUint64(b, f.incarnation)
@@ -63,29 +124,32 @@
 	return append(b, f.data...)
 }
 
-func encodeAck(f frame, have []byte) []byte {
-	b := append(make([]byte, 0, ackHeaderBytes+len(have)), kindAck, f.channel, byte(len(have)))
+// encodeAck encodes the acknowledgement of a fragment's message; nil: it has arrived completely.
+func encodeAck(f frame, arrived []byte) []byte {
+	b := append(make([]byte, 0, ackHeaderBytes+len(arrived)), kindAck, f.channel, byte(len(arrived)))
 	b = binary.BigEndian.AppendUint64(b, f.incarnation)
 	b = binary.BigEndian.AppendUint32(b, f.number)
-	return append(b, have...)
+	return append(b, arrived...)
 }
 
-// cut returns how many pieces a message of n bytes has.
+// fragmentCount returns the number of fragments of a message of n bytes.
 func fragmentCount(n int) int { return (n + fragmentBytes - 1) / fragmentBytes }
 
-func checksum(msg []byte) uint32 { return crc32.Checksum(msg, castagnoli) }
-
-// bits is a set of pieces.
+// fragmentSet is a set of fragments, a bit for each.
 type fragmentSet []byte
 
 func newFragmentSet(n int) fragmentSet { return make(fragmentSet, (n+7)/8) }
-func (b fragmentSet) has(i int) bool   { return i/8 < len(b) && b[i/8]&(1<<(i%8)) != 0 }
-func (b fragmentSet) set(i int)        { b[i/8] |= 1 << (i % 8) }
-func (b fragmentSet) count(of int) (n int) {
-	for i := range of {
-		if b.has(i) {
-			n++
+
+func (s fragmentSet) has(i int) bool { return i/8 < len(s) && s[i/8]&(1<<(i%8)) != 0 }
+
+func (s fragmentSet) set(i int) { s[i/8] |= 1 << (i % 8) }
+
+// count returns how many of the first n fragments are in the set.
+func (s fragmentSet) count(n int) (count int) {
+	for i := range n {
+		if s.has(i) {
+			count++
 		}
 	}
-	return n
+	return count
 }
--- a/internal/fleet/fragment/golden_test.go
+++ b/internal/fleet/fragment/golden_test.go
@@ -27,14 +27,14 @@
 func encodeFrame(f frame) []byte {
 	switch f.kind {
 	case kindShort:
-		return append([]byte{kindShort, f.channel, byte(len(f.data))}, f.data...)
+		return encodeShort(f.channel, f.data)
 	case kindAck:
 		return encodeAck(f, f.data)
 	}
 	return encodeFragment(f.kind, f.channel, f)
 }
 
-// TestGolden: each form of datagram keeps its bytes, and is read from them as it was.
+// TestGolden checks that each form of datagram is encoded as ever, and decoded to the same.
 func TestGolden(t *testing.T) {
 	long := make([]byte, 2*fragmentBytes+30)
 	for i := range long {
@@ -48,7 +48,7 @@
 	datagrams := map[string][]byte{}
 	sent := one.Out(start)
 	require.Len(t, sent, 4)
-	for i, name := range []string{"piece-first", "piece-second", "piece-last-asks", "short-two"} {
+	for i, name := range []string{"fragment-first", "fragment-second", "fragment-ack-request", "short-two"} {
 		datagrams[name] = sent[i].Bytes
 	}
 	other.Receive(start, 7, sent[0].Bytes)
@@ -59,7 +59,7 @@
 	require.Empty(t, one.Receive(start, 299, some[0].Bytes))
 	again := one.Out(start)
 	require.Len(t, again, 1)
-	datagrams["piece-again"] = again[0].Bytes
+	datagrams["fragment-resent"] = again[0].Bytes
 	got := other.Receive(start, 7, again[0].Bytes)
 	require.Equal(t, []Message{{7, 5, long}}, got)
 	all := other.Out(start.Add(time.Millisecond))
--- a/internal/fleet/fragment/out.go
+++ b/internal/fleet/fragment/outbox.go
@@ -2,24 +2,47 @@
 
 import "time"
 
-// maxPerAgent is how many long messages may be on their way to one agent. It is well under completedWindow, so that
-// the receiver still knows of each whether it has had it.
-const maxPerAgent = 8
-
-// outbox are the long messages on their way out, in the order in which they were given.
+const (
+	// maxPerAgent bounds the long messages in flight to one agent. It is well below completedWindow, so that the
+	// receiver still knows of each whether it was delivered.
+	maxPerAgent = 8
+	// minResendDivisor is the part of Config.ResendAfter after which a message is resent at the earliest.
+	minResendDivisor = 6
+	// maxResendFactor is the multiple of Config.ResendAfter after which a message is resent at the latest.
+	maxResendFactor = 8
+	// roundTripSmoothing is the divisor by which a new sample moves the round trip.
+	roundTripSmoothing = 8
+)
+
+// outbox holds the long messages being sent, in the order in which they were queued.
 type outbox struct {
 	messages   []*outMessage
 	bytes      int
-	lastNumber map[uint32]uint32 // the last message's, by agent
-	perAgent   map[uint32]int    // how many are on their way
-	roundTrip  time.Duration     // from a piece that asks to its answer, smoothed; zero: none came yet
+	lastNumber map[uint32]uint32 // of the messages to an agent
+	perAgent   map[uint32]int    // the messages in flight
+	roundTrip  time.Duration     // from a requested acknowledgement to its arrival, smoothed; 0: none came yet
 }
 
-// minResendDivisor is how long an answer is waited for at the least, as a part of Config.ResendAfter: a receiver may be
-// busy for a moment.
-const minResendDivisor = 6
+// outMessage is a long message being sent. It is sent in passes: all fragments that are not acknowledged, the
+// last of which requests an acknowledgement. If none comes, one fragment requests it again.
+type outMessage struct {
+	to          uint32
+	channel     byte
+	data        []byte
+	header      frame // of its fragments
+	acked       fragmentSet
+	cursor, end int // the next fragment of the pass, and the one after its last
+	startedAt   time.Time
+	passEndedAt time.Time
+	resendAt    time.Time
+	resendAfter time.Duration
+	minResend   time.Duration
+	maxResend   time.Duration
+}
 
-// resend is how long the first answer of a message is waited for: for as long as answers take.
+func newOutbox() outbox { return outbox{lastNumber: map[uint32]uint32{}, perAgent: map[uint32]int{}} }
+
+// initialResend returns after what time a message is first resent: four round trips, within bounds.
 func (o *outbox) initialResend(cfg Config) time.Duration {
 	if o.roundTrip == 0 {
 		return cfg.ResendAfter
@@ -27,50 +50,32 @@
 	return min(max(4*o.roundTrip, cfg.ResendAfter/minResendDivisor), cfg.ResendAfter)
 }
 
-// took takes in how long an answer took.
 func (o *outbox) noteRoundTrip(d time.Duration) {
 	if o.roundTrip == 0 {
 		o.roundTrip = d
 	}
-	o.roundTrip = max(o.roundTrip+(d-o.roundTrip)/8, 1)
+	o.roundTrip = max(o.roundTrip+(d-o.roundTrip)/roundTripSmoothing, 1)
 }
 
-// sending is one of them. It goes in passes: all pieces that the receiver is not known to have, the last of
-// which asks it for what it has. If no answer comes, one piece asks again.
-type outMessage struct {
-	to          uint32
-	channel     byte
-	data        []byte
-	header      frame
-	acked       fragmentSet
-	cursor      int // the next piece of the pass
-	end         int // one after its last
-	startedAt   time.Time
-	passEndedAt time.Time // when a pass has ended
-	resendAt    time.Time // for an answer, after a pass
-	resendAfter time.Duration
-	minResend   time.Duration
-	maxResend   time.Duration
-}
-
-func newOutbox() outbox { return outbox{lastNumber: map[uint32]uint32{}, perAgent: map[uint32]int{}} }
+func (o *outbox) isFullFor(agent uint32) bool { return o.perAgent[agent] >= maxPerAgent }
 
 func (o *outbox) add(now time.Time, to uint32, channel uint8, msg []byte, cfg Config) {
 	o.lastNumber[to]++
 	count := fragmentCount(len(msg))
 	m := &outMessage{
-		to: to, channel: channel, data: append([]byte(nil), msg...), acked: newFragmentSet(count), end: count, startedAt: now,
+		to: to, channel: channel, data: append([]byte(nil), msg...), acked: newFragmentSet(count), end: count,
+		startedAt: now,
 		header: frame{
 			incarnation: cfg.Incarnation, number: o.lastNumber[to], count: uint16(count), checksum: checksum(msg),
 		},
-		resendAfter: o.initialResend(cfg), minResend: o.initialResend(cfg), maxResend: 8 * cfg.ResendAfter,
+		resendAfter: o.initialResend(cfg), minResend: o.initialResend(cfg),
+		maxResend: maxResendFactor * cfg.ResendAfter,
 	}
 	o.messages = append(o.messages, m)
 	o.bytes += len(msg)
 	o.perAgent[to]++
 }
 
-// remove takes the one at i out.
 func (o *outbox) remove(i int) {
 	m := o.messages[i]
 	o.bytes -= len(m.data)
@@ -80,16 +85,24 @@
 	o.messages = append(o.messages[:i], o.messages[i+1:]...)
 }
 
-// dropOldest gives up the oldest message, or the oldest to one agent.
-func (o *outbox) dropOldest(to uint32, only bool) {
+// dropOldest gives up the oldest message, if there is one.
+func (o *outbox) dropOldest() {
+	if len(o.messages) > 0 {
+		o.remove(0)
+	}
+}
+
+// dropOldestTo gives up the oldest message to an agent, if there is one.
+func (o *outbox) dropOldestTo(agent uint32) {
 	for i, m := range o.messages {
-		if !only || m.to == to {
+		if m.to == agent {
 			o.remove(i)
 			return
 		}
 	}
 }
 
+// expire gives up the messages that have been tried for long enough, and returns how many.
 func (o *outbox) expire(now time.Time, after time.Duration) (n int) {
 	for i := 0; i < len(o.messages); {
 		if now.Before(o.messages[i].startedAt.Add(after)) {
@@ -102,8 +115,9 @@
 	return n
 }
 
-// acked takes what the receiver says it has: it may be less than before, where it had to make room. An answer
-// in the middle of a pass begins no new one, as it may be older than what was sent since.
+// handleAck processes an acknowledgement. It may list fewer fragments than before, where the receiver lacked
+// memory. One that comes in the middle of a pass begins no new pass, as it may be older than what was sent
+// since.
 func (o *outbox) handleAck(now time.Time, from uint32, f frame) {
 	for i, m := range o.messages {
 		if m.to != from || m.header.number != f.number {
@@ -116,8 +130,9 @@
 			o.remove(i)
 			return
 		}
-		if have := fragmentSet(f.data); len(have) != len(m.acked) || have.count(int(m.header.count)) == int(m.header.count) {
-			return
+		acked, count := fragmentSet(f.data), int(m.header.count)
+		if len(acked) != len(m.acked) || acked.count(count) == count {
+			return // not of this message
 		}
 		copy(m.acked, f.data)
 		if !m.isInPass() {
@@ -129,14 +144,14 @@
 
 func (m *outMessage) isInPass() bool { return m.cursor < m.end }
 
-// pass begins one with all pieces that are missing.
+// beginPass begins a pass of all fragments that are not acknowledged.
 func (m *outMessage) beginPass(now time.Time) {
 	m.cursor, m.end = m.nextMissing(0), int(m.header.count)
 	m.resendAfter = max(m.resendAfter/2, m.minResend)
 	m.resendAt = now
 }
 
-// wake asks again, with the first piece that is missing, if no answer came in time.
+// resendIfDue begins a pass of one fragment if no acknowledgement came in time.
 func (m *outMessage) resendIfDue(now time.Time) {
 	if m.isInPass() || now.Before(m.resendAt) {
 		return
@@ -146,7 +161,7 @@
 	m.resendAfter = min(2*m.resendAfter, m.maxResend)
 }
 
-// missing returns the first piece from i on that the receiver is not known to have.
+// nextMissing returns the first fragment from i on that is not acknowledged.
 func (m *outMessage) nextMissing(i int) int {
 	for i < int(m.header.count) && m.acked.has(i) {
 		i++
@@ -154,12 +169,12 @@
 	return i
 }
 
-// next returns the next piece of the pass, as a frame.
+// nextFragment returns the frame of the next fragment of the pass.
 func (m *outMessage) nextFragment(now time.Time) []byte {
 	f := m.header
 	f.index = uint16(m.cursor)
-	lo := m.cursor * fragmentBytes
-	f.data = m.data[lo:min(lo+fragmentBytes, len(m.data))]
+	from := m.cursor * fragmentBytes
+	f.data = m.data[from:min(from+fragmentBytes, len(m.data))]
 	kind := byte(kindFragment)
 	if m.cursor = m.nextMissing(m.cursor + 1); m.cursor >= m.end {
 		kind = kindAckRequest
