--- a/internal/fleet/operatorcommand/example_test.go
+++ b/internal/fleet/operatorcommand/example_test.go
@@ -7,16 +7,16 @@
 	"dunestep/internal/fleet/operatorcommand"
 )
 
-// Staff take a booking server out at one agent; all that apply the log know it.
+// An operator takes a server out at one agent; all agents that apply the log know it.
 func Example() {
 	record, err := operatorcommand.Command{Server: "s-1", Down: true, IssuedBy: 17, IssuedAt: 1_800_000_000 * time.Second}.Encode()
 	if err != nil {
 		fmt.Println(err)
 	}
-	var book operatorcommand.List
-	book.Apply(1, record)
-	for _, o := range book.All() {
-		fmt.Println(o.Server, "down:", o.Down, "by agent", o.IssuedBy)
+	var list operatorcommand.List
+	list.Apply(1, record)
+	for _, c := range list.All() {
+		fmt.Println(c.Server, "down:", c.Down, "by agent", c.IssuedBy)
 	}
 	// Output:
 	// s-1 down: true by agent 17
