--- a/internal/fleet/voting.go
+++ b/internal/fleet/voting.go
@@ -2,68 +2,76 @@
 
 import (
 	"errors"
+	"fmt"
 
 	"dunestep/internal/fleet/lease"
 	"dunestep/internal/fleet/raftlog"
 	"dunestep/internal/fleet/replica"
 )
 
-// startVoter makes this agent one of those that keep the log.
-func (n *Node) startVoter(now ClockReading) (err error) {
+// startVoter makes this agent one of the voters.
+func (n *Node) startVoter(now ClockReading) error {
 	voters := make([]uint32, 0, len(n.settings.Voters))
 	for _, v := range n.settings.Voters {
 		voters = append(voters, uint32(v))
 	}
-	n.voter, err = raftlog.New(raftlog.Config{
+	voter, err := raftlog.New(raftlog.Config{
 		Agent: uint32(n.settings.Self), Voters: voters,
 		Nonce: n.settings.Incarnation, Seed: n.settings.Seed, Volatile: !n.settings.IsDurable,
 	}, steadyTime(now), n.settings.Stored)
+	if err != nil {
+		return fmt.Errorf("fleet: cannot start the voter: %w", err)
+	}
+	n.voter = voter
 	n.granter = lease.NewGranter(lease.GranterSettings{
-		Terms: n.settings.Terms, Agents: n.settings.Agents,
-		MayGrant: func(now ClockReading, from int, r lease.Request) bool {
-			return n.mayGrantLease(now, from, r.Incarnation, r.Note)
-		},
+		Terms: n.settings.Terms, Agents: n.settings.Agents, MayGrant: n.mayGrantLease,
 	})
-	return err
+	return nil
 }
 
-// status is the voter's.
 func (n *Node) voterStatus() raftlog.Status { return n.voter.Status() }
 
-// vote gives the voter an input, and does what follows from it.
+// stepVoter gives the voter an input, and carries out what follows from it.
 func (n *Node) stepVoter(now ClockReading, in raftlog.Input) {
 	for in != nil {
 		out := n.voter.Step(steadyTime(now), in)
-		in = nil
-		for _, m := range out.Messages {
-			n.send(now, int(m.To), channelRaft, m.Bytes)
-		}
-		if out.Restore != nil {
-			n.handleRestore(out.Restore)
-		}
-		for _, e := range out.Committed {
-			n.handleCommitted(now, e)
-		}
-		if out.Persist != nil {
-			if n.settings.IsDurable {
-				n.output.Persist = out.Persist
-			} else {
-				in = raftlog.Persisted{Token: out.Persist.Token}
-			}
-		}
-		if out.SnapshotWanted && in == nil {
-			in = n.voterSnapshot(now)
-		}
+		in = n.carryOut(now, out)
 	}
 	if n.mustStandDown {
 		n.standDown()
 		return
 	}
-	n.confirmLeases(now)
+	s := n.voterStatus()
+	n.reportVoterChange(s)
+	n.confirmLeases(now, s)
+}
+
+// carryOut does what the voter asks for, and returns its next input; nil: none. Rejected inputs need no
+// handling: their senders repeat them.
+func (n *Node) carryOut(now ClockReading, out raftlog.Output) (next raftlog.Input) {
+	for _, m := range out.Messages {
+		n.send(now, int(m.To), channelRaft, m.Bytes)
+	}
+	if out.Restore != nil {
+		n.handleRestore(out.Restore)
+	}
+	for _, e := range out.Committed {
+		n.handleCommitted(now, e)
+	}
+	if out.Persist != nil {
+		if !n.settings.IsDurable {
+			return raftlog.Persisted{Token: out.Persist.Token}
+		}
+		n.output.Persist = out.Persist
+	}
+	if out.SnapshotWanted {
+		return n.voterSnapshot(now)
+	}
+	return nil
 }
 
-// standDown ends this agent's part among the voters: it can't follow the log any more, so it must not grant
-// leases on it. It goes on as an agent that is behind, within the floor, until it is of a later build.
+// standDown ends this agent's part as a voter: it cannot follow the log any more, so it must not grant leases
+// on it. It continues as an agent that is behind, within the floor, until it runs a later build.
 func (n *Node) standDown() {
 	if n.voter != nil {
 		n.addEvent(Event{Kind: VoterStopped, Position: n.applied, Err: errUnknownRecordsFull})
@@ -71,7 +79,7 @@
 	n.voter, n.granter, n.isStopped = nil, nil, true
 }
 
-// restored takes the state above that the log goes on from.
+// handleRestore replaces the replica by the state from which the voters' log continues.
 func (n *Node) handleRestore(r *raftlog.Restore) {
 	s := replica.InitialSnapshot(r.Epoch)
 	if len(r.Data) > 0 {
@@ -87,11 +95,12 @@
 	}
 }
 
-// committed takes a record that the voters agreed on. The copy may have it already, from others.
+// handleCommitted appends a record that the voters committed. The replica may have received it from others
+// already.
 func (n *Node) handleCommitted(now ClockReading, e raftlog.Entry) {
 	n.delivered++
 	if n.log.Last().Epoch != n.voterStatus().Identity.Epoch {
-		return // a later log has replaced this one here already, which this voter belongs to no more soon
+		return // a later log, to which this voter does not belong yet, has replaced this one in the replica
 	}
 	err := n.log.Append(replica.Record{Seq: n.delivered, Data: e.Data})
 	if errors.Is(err, replica.ErrFull) && n.machines.isFull {
@@ -107,8 +116,8 @@
 	}
 }
 
-// voterSnapshot is the state above as of the last record that the log gave out, where that is what the
-// machines have.
+// voterSnapshot returns the state as of the last record that the voters' log delivered; nil: the state
+// machines are not there.
 func (n *Node) voterSnapshot(now ClockReading) raftlog.Input {
 	n.applyNew(now)
 	if n.applied.Seq != n.delivered || n.applied.Epoch != n.voterStatus().Identity.Epoch {
@@ -116,54 +125,8 @@
 	}
 	data, err := n.machines.snapshot()
 	if err != nil {
-		return nil
+		return nil // too large: none is made
 	}
 	s := replica.Snapshot{Epoch: n.applied.Epoch, Seq: n.applied.Seq, Sum: n.applied.Sum, Data: data}
 	return raftlog.Compact{Index: n.voterStatus().AppliedIndex, Data: encodeSnapshot(s)}
 }
-
-// confirm takes what the voter knows for sure to whoever waits for a lease, and tells of changes of the
-// leader.
-func (n *Node) confirmLeases(now ClockReading) {
-	s := n.voterStatus()
-	if leads := s.Phase == raftlog.Leading; leads != n.isLeading {
-		n.isLeading = leads
-		kind := LeadershipLost
-		if leads {
-			kind = LeadershipGained
-		}
-		n.addEvent(Event{Kind: kind, Position: n.applied})
-	}
-	if s.Phase == raftlog.Broken && !n.isStopped {
-		n.isStopped = true
-		n.addEvent(Event{Kind: VoterStopped, Err: s.Err})
-	}
-	if !s.FreshAsOf.After(n.freshAsOf) || s.Identity.Epoch == 0 {
-		return
-	}
-	n.freshAsOf = s.FreshAsOf
-	if n.log.Last().Epoch == s.Identity.Epoch {
-		n.gossip.MarkCaughtUp()
-	}
-	age := now.Mono - steadyReading(s.FreshAsOf)
-	asked := ClockReading{Unix: now.Unix - age, Mono: now.Mono - age}
-	at := replica.Position{Epoch: s.Identity.Epoch, Seq: n.delivered}
-	n.applyNew(now) // what stands above has to know of all that a grant names
-	for _, a := range n.granter.HandleConfirmed(now, asked, at) {
-		n.sendWithUpdate(now, a.To, channelLeaseGrant, a.Grant.Encode())
-	}
-}
-
-// asked takes an agent's request for a lease. Only a voter of a log that goes on answers; who asks
-// another one asks the next.
-func (n *Node) handleLeaseRequest(now ClockReading, from int, b []byte) {
-	r, err := lease.DecodeRequest(b)
-	if err != nil || n.voter == nil {
-		n.dropped++
-		return
-	}
-	out, _ := n.granter.HandleRequest(now, from, r)
-	for _, a := range out {
-		n.sendWithUpdate(now, a.To, channelLeaseGrant, a.Grant.Encode())
-	}
-}
