--- a/internal/control/maintenance/lab/lab.go
+++ b/internal/control/maintenance/lab/lab.go
@@ -21,7 +21,7 @@
 	policylab "dunestep/internal/control/policy/lab"
 	"dunestep/internal/fleet"
 	"dunestep/internal/fleet/lease"
-	"dunestep/internal/simnet/lossy"
+	"dunestep/internal/simnet"
 )
 
 // Protections can be taken out, to see that the judge finds it.
@@ -142,7 +142,7 @@
 	l.Lab = policylab.New(policylab.Setup{
 		Seed: set.Seed, Voters: voters, Agents: set.Agents, Begin: begin,
 		Times: times, LeadTime: 2 * time.Second, Beside: l.part,
-		Faults: lossy.Faults{
+		Faults: simnet.Faults{
 			Loss: 0.05, Duplicate: 0.05, MinDelay: time.Millisecond, MaxDelay: 20 * time.Millisecond,
 			Late: 0.02, Lateness: 3 * time.Second,
 		},
--- a/internal/control/policy/lab/course.go
+++ b/internal/control/policy/lab/course.go
@@ -8,7 +8,7 @@
 
 	"dunestep/internal/control/policy"
 	"dunestep/internal/fleet/lease"
-	"dunestep/internal/simnet/lossy"
+	"dunestep/internal/simnet"
 )
 
 // Terms are those of the courses: short, so that much happens in little time.
@@ -41,7 +41,7 @@
 func Course(seed uint64, agents int, without string) *Lab {
 	l := New(Setup{
 		Seed: seed, Voters: 3, Agents: agents, Times: Terms(), LeadTime: 800 * time.Millisecond,
-		Without: without, Faults: lossy.Faults{
+		Without: without, Faults: simnet.Faults{
 			Loss: 0.1, Duplicate: 0.1, MinDelay: time.Millisecond,
 			MaxDelay: 20 * time.Millisecond, Late: 0.05, Lateness: 3 * time.Second,
 		},
@@ -195,7 +195,7 @@
 			l.SetCut(n, i, false)
 		}
 	}
-	l.Faults = lossy.Faults{Loss: 0.01, MinDelay: time.Millisecond, MaxDelay: 20 * time.Millisecond}
+	l.Faults = simnet.Faults{Loss: 0.01, MinDelay: time.Millisecond, MaxDelay: 20 * time.Millisecond}
 }
 
 // Spread is how long a change took, from the call, until parts of the agents that run first acted on it;
@@ -211,7 +211,7 @@
 func Measure(seed uint64, agents int, loss float64, within time.Duration, trouble Trouble) Spread {
 	l := New(Setup{
 		Seed: seed, Voters: 3, Agents: agents, LeadTime: within,
-		Faults: lossy.Faults{Loss: loss, MinDelay: time.Millisecond, MaxDelay: 10 * time.Millisecond},
+		Faults: simnet.Faults{Loss: loss, MinDelay: time.Millisecond, MaxDelay: 10 * time.Millisecond},
 	})
 	// Voters report early only once they have run for longer than a lease.
 	l.Run(l.Now() + 12*time.Second)
--- a/internal/control/policy/lab/lab.go
+++ b/internal/control/policy/lab/lab.go
@@ -15,7 +15,7 @@
 	"dunestep/internal/control/policy/judge"
 	"dunestep/internal/fleet/lease"
 	"dunestep/internal/fleet/replica"
-	"dunestep/internal/simnet/lossy"
+	"dunestep/internal/simnet"
 )
 
 // Setup is one course. The same one is the same course.
@@ -23,7 +23,7 @@
 	Seed           uint64
 	Voters, Agents int
 	Begin          time.Duration // true time, which is Unix time; 1e6 s
-	Faults         lossy.Faults
+	Faults         simnet.Faults
 	Times          policy.Times
 	LeadTime       time.Duration // how far ahead changes are made
 	Without        string        // a protection that is taken out: one of Protections
@@ -48,7 +48,7 @@
 
 // Lab is one course.
 type Lab struct {
-	*lossy.Network
+	*simnet.Network
 	Judge *judge.Judge
 	// Acted is when each agent first acted on a version, by version and agent; since true time zero.
 	Acted map[uint64]map[int]time.Duration
@@ -152,7 +152,7 @@
 		set.Begin = 1e6 * time.Second
 	}
 	l := &Lab{
-		Network: lossy.NewNetwork(set.Seed, set.Voters+set.Agents, set.Begin, set.Faults), set: set,
+		Network: simnet.NewNetwork(set.Seed, set.Voters+set.Agents, set.Begin, set.Faults), set: set,
 		ref: policy.NewStateMachine(), Acted: map[uint64]map[int]time.Duration{},
 	}
 	own := Own()
--- a/internal/control/ringassignment/lab/course.go
+++ b/internal/control/ringassignment/lab/course.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"dunestep/internal/control/ringassignment"
-	"dunestep/internal/simnet/lossy"
+	"dunestep/internal/simnet"
 )
 
 const (
@@ -137,7 +137,7 @@
 	}
 	l := New(Setup{
 		Seed: seed, Agents: agents, Servers: 20, Keys: 1000, Warm: warm, Without: without,
-		Faults: lossy.Faults{
+		Faults: simnet.Faults{
 			Loss: 0.1, Duplicate: 0.1, MinDelay: time.Millisecond, MaxDelay: 20 * time.Millisecond,
 			Late: 0.05, Lateness: 3 * time.Second,
 		},
@@ -329,7 +329,7 @@
 		}
 		l.nodes[n].late = min(l.nodes[n].late, mostLate)
 	}
-	l.Faults = lossy.Faults{Loss: 0.01, MinDelay: time.Millisecond, MaxDelay: 20 * time.Millisecond}
+	l.Faults = simnet.Faults{Loss: 0.01, MinDelay: time.Millisecond, MaxDelay: 20 * time.Millisecond}
 }
 
 // Settled tells what is not as it should be at the end; empty: all have one generation, in which all servers
--- a/internal/control/ringassignment/lab/lab.go
+++ b/internal/control/ringassignment/lab/lab.go
@@ -18,7 +18,7 @@
 	"dunestep/internal/control/ringassignment"
 	"dunestep/internal/control/ringassignment/judge"
 	"dunestep/internal/fleet/lease"
-	"dunestep/internal/simnet/lossy"
+	"dunestep/internal/simnet"
 )
 
 // Setup is one course. The same one is the same course.
@@ -27,7 +27,7 @@
 	Agents  int // the first three of them vote
 	Servers int
 	Keys    int
-	Faults  lossy.Faults
+	Faults  simnet.Faults
 	Figures ringassignment.Parameters // zero: Usual
 	Warm    time.Duration             // how long servers take to be warm; zero: 9 s
 	Without string                    // a protection that is taken out: one of Protections, or All
@@ -68,7 +68,7 @@
 
 // Lab is one course.
 type Lab struct {
-	*lossy.Network
+	*simnet.Network
 	Judge *judge.Judge
 
 	set      Setup
@@ -182,7 +182,7 @@
 		f.CapacitySettleTime, f.MinCapacityChange = time.Nanosecond, 0.01
 	}
 	l := &Lab{
-		Network: lossy.NewNetwork(set.Seed, set.Agents, 1e6*time.Second, set.Faults), set: set,
+		Network: simnet.NewNetwork(set.Seed, set.Agents, 1e6*time.Second, set.Faults), set: set,
 		speed: 1, f: f.WithDefaults(), terms: judged.Terms,
 		ref: ringassignment.NewStateMachine(), planned: newWindows(),
 	}
--- a/internal/control/ringassignment/lab/measure.go
+++ b/internal/control/ringassignment/lab/measure.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"dunestep/internal/control/ringassignment/judge"
-	"dunestep/internal/simnet/lossy"
+	"dunestep/internal/simnet"
 )
 
 // Events are what Measure can have happen to a quiet fleet.
@@ -36,7 +36,7 @@
 func Measure(seed uint64, agents, servers int, without, event string) Result {
 	l := New(Setup{
 		Seed: seed, Agents: agents, Servers: servers, Keys: 5000, Without: without,
-		Faults: lossy.Faults{Loss: 0.01, MinDelay: time.Millisecond, MaxDelay: 10 * time.Millisecond},
+		Faults: simnet.Faults{Loss: 0.01, MinDelay: time.Millisecond, MaxDelay: 10 * time.Millisecond},
 	})
 	l.Run(l.Now() + settles)
 	l.Sample()
--- a/internal/control/ringassignment/lab/paces.go
+++ b/internal/control/ringassignment/lab/paces.go
@@ -6,7 +6,7 @@
 	"dunestep/internal/balancer"
 	"dunestep/internal/control/ringassignment"
 	"dunestep/internal/control/ringassignment/judge"
-	"dunestep/internal/simnet/lossy"
+	"dunestep/internal/simnet"
 )
 
 // PaceProtections can be taken out of a course of paces, to see that the judge finds it.
@@ -125,7 +125,7 @@
 func Paces(seed uint64, without string, lasts time.Duration) (l *Lab, j *judge.Paces) {
 	set := Setup{
 		Seed: seed, Agents: 5, Servers: 20, Keys: 4000, Without: without,
-		Faults: lossy.Faults{Loss: 0.1, Duplicate: 0.1, MinDelay: time.Millisecond, MaxDelay: 20 * time.Millisecond},
+		Faults: simnet.Faults{Loss: 0.1, Duplicate: 0.1, MinDelay: time.Millisecond, MaxDelay: 20 * time.Millisecond},
 	}
 	set.Figures.UsePaces = true
 	l = New(set)
--- a/internal/fleet/gossip/replicator_test.go
+++ b/internal/fleet/gossip/replicator_test.go
@@ -9,12 +9,12 @@
 	"pgregory.net/rapid"
 
 	"dunestep/internal/fleet/replica"
-	"dunestep/internal/simnet/lossy"
+	"dunestep/internal/simnet"
 )
 
 // lab simulates a fleet whose first five agents are voters: what is committed is in all of their logs at once.
 type lab struct {
-	*lossy.Network
+	*simnet.Network
 	settings      Settings
 	limits        replica.Limits
 	logs          []*replica.Log
@@ -28,9 +28,9 @@
 
 const voters = 5
 
-func newLab(seed uint64, agents int, faults lossy.Faults, set Settings) *lab {
+func newLab(seed uint64, agents int, faults simnet.Faults, set Settings) *lab {
 	l := &lab{
-		Network: lossy.NewNetwork(seed, agents, time.Hour, faults), settings: set, logs: make([]*replica.Log, agents),
+		Network: simnet.NewNetwork(seed, agents, time.Hour, faults), settings: set, logs: make([]*replica.Log, agents),
 		agents: make([]*Replicator, agents), truth: newLog(replica.Limits{}), sums: map[uint64]uint64{},
 		lastPositions: make([]replica.Position, agents),
 	}
@@ -128,8 +128,8 @@
 	}
 }
 
-func faultsOf(loss float64) lossy.Faults {
-	return lossy.Faults{Loss: loss, Duplicate: loss / 10, MinDelay: time.Millisecond, MaxDelay: 10 * time.Millisecond}
+func faultsOf(loss float64) simnet.Faults {
+	return simnet.Faults{Loss: loss, Duplicate: loss / 10, MinDelay: time.Millisecond, MaxDelay: 10 * time.Millisecond}
 }
 
 // TestLatencyAndCost bounds how long a record takes to reach all agents, and what an idle fleet sends: the table of
@@ -176,7 +176,7 @@
 // soon.
 func TestReplicasUnderFaults(t *testing.T) {
 	for seed := range uint64(30) {
-		faults := lossy.Faults{
+		faults := simnet.Faults{
 			Loss: 0.2, Duplicate: 0.1, MinDelay: time.Millisecond, MaxDelay: 20 * time.Millisecond, Late: 0.1,
 			Lateness: 3 * time.Second,
 		}
--- a/internal/fleet/lease/lease_test.go
+++ b/internal/fleet/lease/lease_test.go
@@ -9,13 +9,13 @@
 	"pgregory.net/rapid"
 
 	"dunestep/internal/fleet/replica"
-	"dunestep/internal/simnet/lossy"
+	"dunestep/internal/simnet"
 )
 
 // lab simulates voters, whose leader is node 0, and agents. The lab itself knows what was committed and when: the leader
 // answers each read with what is committed as it answers.
 type lab struct {
-	*lossy.Network
+	*simnet.Network
 	terms      Terms
 	granters   []*Granter
 	holders    []*Holder
@@ -34,9 +34,9 @@
 	suspended = voters
 )
 
-func newLab(seed uint64, agents int, faults lossy.Faults, terms Terms, without string) *lab {
+func newLab(seed uint64, agents int, faults simnet.Faults, terms Terms, without string) *lab {
 	l := &lab{
-		Network: lossy.NewNetwork(seed, voters+agents, 1e6*time.Second, faults), terms: terms.WithDefaults(), without: without,
+		Network: simnet.NewNetwork(seed, voters+agents, 1e6*time.Second, faults), terms: terms.WithDefaults(), without: without,
 		applied: make([]uint64, agents), lastInput: make([]ClockReading, agents),
 	}
 	granting := l.terms
@@ -219,7 +219,7 @@
 // simulate runs 90 s with all kinds of faults.
 func simulate(seed uint64, without string) *lab {
 	terms := Terms{Duration: 2 * time.Second, MaxKnowledgeAge: 500 * time.Millisecond, MaxClockError: 400 * time.Millisecond, MaxDrift: 0.01}
-	l := newLab(seed, 6, lossy.Faults{
+	l := newLab(seed, 6, simnet.Faults{
 		Loss: 0.1, Duplicate: 0.1, MinDelay: time.Millisecond, MaxDelay: 20 * time.Millisecond,
 		Late: 0.1, Lateness: 4 * time.Second,
 	}, terms, without)
@@ -304,7 +304,7 @@
 		loss, leased, perVoter float64
 		isVoterDown            bool // one of the three
 	}{{0, 1, 52, false}, {0.1, 0.999, 75, false}, {0.3, 0.98, 110, false}, {0, 1, 80, true}, {0.1, 0.99, 110, true}} {
-		l := newLab(1, 300, lossy.Faults{Loss: c.loss, MinDelay: time.Millisecond, MaxDelay: 5 * time.Millisecond}, Terms{}, "")
+		l := newLab(1, 300, simnet.Faults{Loss: c.loss, MinDelay: time.Millisecond, MaxDelay: 5 * time.Millisecond}, Terms{}, "")
 		l.Run(l.Now() + 5*time.Second)
 		if c.isVoterDown {
 			l.Pause(2, l.Now()+time.Hour)
--- a/internal/fleet/membership/list_test.go
+++ b/internal/fleet/membership/list_test.go
@@ -8,13 +8,13 @@
 	"pgregory.net/rapid"
 
 	"dunestep/internal/fleet/internal/compact"
-	"dunestep/internal/simnet/lossy"
+	"dunestep/internal/simnet"
 )
 
 // lab simulates what agents send anyway: a digest to another agent each 1.5 s, and a request to one of five voters each
 // 2 s, which is answered.
 type lab struct {
-	*lossy.Network
+	*simnet.Network
 	lists []*List
 	down  []bool
 	turn  []int
@@ -27,12 +27,12 @@
 )
 
 func newLab(seed uint64, agents int, loss float64) *lab {
-	faults := lossy.Faults{
+	faults := simnet.Faults{
 		Loss: loss, Duplicate: loss / 10, MinDelay: time.Millisecond, MaxDelay: 10 * time.Millisecond, Late: loss / 10,
 		Lateness: 2 * time.Second,
 	}
 	l := &lab{
-		Network: lossy.NewNetwork(seed, agents, time.Hour, faults), lists: make([]*List, agents), down: make([]bool, agents),
+		Network: simnet.NewNetwork(seed, agents, time.Hour, faults), lists: make([]*List, agents), down: make([]bool, agents),
 		turn: make([]int, agents),
 	}
 	l.OnMessage = func(to, from int, data []byte) {
