--- a/internal/fleet/fleetlab/judge.go
+++ b/internal/fleet/fleetlab/judge.go
@@ -13,7 +13,7 @@
 	"dunestep/internal/simnet"
 )
 
-// tally is the machine that is played: it counts what was applied, so that what is done twice shows.
+// tally is the lab's state machine: it counts how often each proposal was applied.
 type tally struct{ times map[uint64]uint32 }
 
 // Apply implements fleet.StateMachine.
@@ -44,15 +44,15 @@
 	return nil
 }
 
-// judge sees all agents from the outside, with the true time.
+// judge observes all agents from the outside, with the true time.
 type judge struct {
 	lab        *Lab
-	sums       map[[2]uint64]uint64 // by epoch and number
-	observed   []observedRecord     // records, as they were first agreed, in order of time
-	binding    replica.Position     // what nobody may act without any more
+	sums       map[[2]uint64]uint64 // by the epoch and the number
+	observed   []observedRecord     // positions as they were first applied, in order of time
+	binding    replica.Position     // no agent may act without it any more
 	newest     replica.Position
 	proposals  map[uint64]*trackedProposal
-	last       uint64
+	lastNumber uint64 // of the proposals
 	violations []string
 	decisions  struct{ Full, Floor, New uint64 }
 }
@@ -62,14 +62,14 @@
 	firstSeen time.Time
 }
 
-// asked is a proposal.
+// trackedProposal is a proposal whose outcome is checked.
 type trackedProposal struct {
 	number      uint64
 	host        *host
 	incarnation uint64
 	ticket      fleet.Ticket
 	result      fleet.Result
-	epoch       uint64 // of the log as it was seen to be taken
+	epoch       uint64 // of the log when its result became known
 	at          time.Time
 	took        time.Duration
 }
@@ -87,17 +87,17 @@
 	}
 }
 
-// Violations are what was promised and not kept, in words; none: all was.
+// Violations returns descriptions of what violated a guarantee.
 func (l *Lab) Violations() []string { return l.judge.violations }
 
-// Decisions are how many were looked at, by what the agent could act on.
-func (l *Lab) Decisions() (full, floor, fresh uint64) {
+// Decisions returns how many decisions were checked, by the standing of the agent.
+func (l *Lab) Decisions() (full, floor, none uint64) {
 	d := l.judge.decisions
 	return d.Full, d.Floor, d.New
 }
 
-// events takes what a node tells staff: that logs differ is never to be.
-func (j *judge) events(h *host, events []fleet.Event) {
+// checkEvents checks what a node reports to operators: logs must never diverge.
+func (j *judge) checkEvents(h *host, events []fleet.Event) {
 	for _, e := range events {
 		switch e.Kind {
 		case fleet.LogDiverged:
@@ -108,41 +108,42 @@
 	}
 }
 
-// look follows each step of an agent: its log, and as it could decide at any moment, what it could act on.
+// check is called after each step of an agent: it checks its log and, as it could decide at any time, a
+// decision.
 func (j *judge) check(h *host) {
 	if h.node == nil {
 		return
 	}
-	at := h.node.Applied()
-	key := [2]uint64{at.Epoch, at.Seq}
-	if sum, is := j.sums[key]; !is {
-		j.sums[key] = at.Sum
-	} else if sum != at.Sum {
-		j.addViolation("agent %d has another record %d of epoch %d", h.self, at.Seq, at.Epoch)
+	applied := h.node.Applied()
+	key := [2]uint64{applied.Epoch, applied.Seq}
+	if sum, isKnown := j.sums[key]; !isKnown {
+		j.sums[key] = applied.Sum
+	} else if sum != applied.Sum {
+		j.addViolation("agent %d has another record %d of epoch %d", h.self, applied.Seq, applied.Epoch)
 	}
-	if now := j.lab.World.Now(); at.Covers(j.newest) && at != j.newest {
-		j.newest = at
-		j.observed = append(j.observed, observedRecord{at, now})
+	if now := j.lab.World.Now(); applied.Covers(j.newest) && applied != j.newest {
+		j.newest = applied
+		j.observed = append(j.observed, observedRecord{applied, now})
 	}
 	j.checkDecision(h)
 }
 
-// decide has an agent decide, and holds it against what binds.
+// checkDecision has an agent make a decision, and checks it against what binds.
 func (j *judge) checkDecision(h *host) {
 	now := j.lab.World.Now()
 	for len(j.observed) > 0 && now.Sub(j.observed[0].firstSeen) > j.lab.opts.Terms.FenceWait() {
 		j.binding = j.observed[0].position
 		j.observed = j.observed[1:]
 	}
-	if decided := j.lab.opts.OnDecision; decided != nil {
-		decided(h.self, now, j.lab.Reading(h.self), h.node)
+	if onDecision := j.lab.opts.OnDecision; onDecision != nil {
+		onDecision(h.self, now, j.lab.Reading(h.self), h.node)
 	}
 	switch h.node.Standing(j.lab.Reading(h.self)) {
 	case lease.Full:
 		j.decisions.Full++
 		if !h.node.Applied().Covers(j.binding) {
-			j.addViolation("agent %d acts on record %d of epoch %d, where %d of %d binds", h.self, h.node.Applied().Seq,
-				h.node.Applied().Epoch, j.binding.Seq, j.binding.Epoch)
+			j.addViolation("agent %d acts on record %d of epoch %d, where %d of %d binds", h.self,
+				h.node.Applied().Seq, h.node.Applied().Epoch, j.binding.Seq, j.binding.Epoch)
 		}
 	case lease.Floor:
 		j.decisions.Floor++
@@ -151,7 +152,7 @@
 	}
 }
 
-// Decide has all agents that run decide now, beside what they do by themselves.
+// Decide has all running agents make a decision now.
 func (l *Lab) Decide() {
 	for a, h := range l.hosts {
 		if h.node != nil && !l.World.IsPaused(uint32(a)) {
@@ -160,30 +161,32 @@
 	}
 }
 
-// Propose has an agent propose something, and follows what becomes of it; false: it does not run.
+// Propose has an agent propose something whose outcome is checked; false: the agent is not running.
 func (l *Lab) Propose(a int) bool {
 	j := &l.judge
 	h := l.hosts[a]
 	return l.World.Call(uint32(a), func(_ simnet.Process, now time.Time) {
-		j.last++
-		t, err := h.node.Propose(h.reading(now), 0, binary.BigEndian.AppendUint64(nil, j.last), 3*time.Second)
+		j.lastNumber++
+		t, err := h.node.Propose(h.reading(now), 0, binary.BigEndian.AppendUint64(nil, j.lastNumber), 3*time.Second)
 		if err == nil {
-			j.proposals[j.last] = &trackedProposal{number: j.last, host: h, incarnation: h.incarnation, ticket: t, at: l.World.Now()}
+			j.proposals[j.lastNumber] = &trackedProposal{
+				number: j.lastNumber, host: h, incarnation: h.incarnation, ticket: t, at: l.World.Now(),
+			}
 		}
 	})
 }
 
-// ProposeRecord has an agent propose a record of what is above, and looks no further; false: it does not
-// run.
-func (l *Lab) ProposeRecord(a int, machine uint8, data []byte) (asked bool) {
+// ProposeRecord has an agent propose a record of a state machine, whose outcome is not checked; false: the
+// agent is not running.
+func (l *Lab) ProposeRecord(a int, machine uint8, data []byte) (isProposed bool) {
 	l.World.Call(uint32(a), func(_ simnet.Process, now time.Time) {
 		_, err := l.hosts[a].node.Propose(l.hosts[a].reading(now), machine, data, 3*time.Second)
-		asked = err == nil
+		isProposed = err == nil
 	})
-	return asked
+	return isProposed
 }
 
-// UpdateOutcomes looks what became of all proposals.
+// UpdateOutcomes asks for the results of all pending proposals.
 func (l *Lab) UpdateOutcomes() {
 	for _, p := range l.judge.proposals {
 		if p.result == fleet.Pending && p.host.node != nil && p.host.incarnation == p.incarnation {
@@ -194,7 +197,7 @@
 	}
 }
 
-// Results counts proposals by what became of them.
+// Results counts the proposals by their results.
 func (l *Lab) Results() map[fleet.Result]int {
 	l.UpdateOutcomes()
 	counts := map[fleet.Result]int{}
@@ -204,8 +207,8 @@
 	return counts
 }
 
-// Settle ends all troubles, waits for so long, and judges the end: all agents are alike, hold leases and
-// are ready, and what was told of each proposal is true.
+// Settle ends all faults, runs for a time, and checks the final state: all agents have applied the same, hold
+// leases and are ready, and the reported result of each proposal is true.
 func (l *Lab) Settle(within time.Duration) {
 	l.Calm()
 	for a := range l.hosts {
@@ -219,30 +222,30 @@
 	for a, h := range l.hosts {
 		s := h.node.Status(l.Reading(a))
 		if s.Standing != lease.Full || !s.Ready || s.Applied != l.hosts[0].node.Applied() {
-			j.addViolation("agent %d at the end: %v, ready %t, at %v, agent 0 at %v", a, s.Standing, s.Ready, s.Applied,
-				l.hosts[0].node.Applied())
+			j.addViolation("agent %d at the end: %v, ready %t, at %v, agent 0 at %v", a, s.Standing, s.Ready,
+				s.Applied, l.hosts[0].node.Applied())
 			if s.Voter != nil {
 				j.addViolation("agent %d: voter %v %v", a, s.Voter.Phase, s.Voter.Identity)
 			}
 		}
 	}
-	j.end(l.hosts[0])
+	j.checkResults(l.hosts[0])
 }
 
-// end holds what was told of proposals against an agent's tally. Where a log was lost, only what the
-// present one has can be held against anything.
-func (j *judge) end(h *host) {
+// checkResults checks the reported results of proposals against an agent's tally. If a log was lost, only
+// those of the current one can be checked.
+func (j *judge) checkResults(h *host) {
 	for n, times := range h.tally.times {
 		if times > 1 {
-			j.addViolation("proposal %d was done %d times", n, times)
+			j.addViolation("proposal %d was applied %d times", n, times)
 		}
 		if p := j.proposals[n]; p != nil && p.result == fleet.NotCommitted {
-			j.addViolation("proposal %d was told not taken, and is in the log", n)
+			j.addViolation("proposal %d was reported as not committed, and is in the log", n)
 		}
 	}
 	for _, p := range j.proposals {
 		if p.result == fleet.Committed && p.epoch == h.node.Applied().Epoch && h.tally.times[p.number] == 0 {
-			j.addViolation("proposal %d was told taken, and is not in the log", p.number)
+			j.addViolation("proposal %d was reported as committed, and is not in the log", p.number)
 		}
 	}
 }
--- a/internal/fleet/fleetlab/lab.go
+++ b/internal/fleet/fleetlab/lab.go
@@ -1,7 +1,7 @@
-// Package fleetlab plays whole agents of a fleet in virtual time: voters, followers, leases, what is
-// proposed, with a network between each pair that fails on purpose, clocks that are off, disks that are
-// slow or lost, and processes that are paused, ended and started again. It judges from the outside what
-// was promised: see Lab.Violations.
+// Package fleetlab runs complete nodes of a fleet in virtual time: voters, followers, leases and proposals,
+// with fault injection in the network, the clocks, the disks and the processes. It checks from the outside
+// what is guaranteed: see Lab.Violations. A run is determined by its options and calls. It is for tests and
+// searches only, and not safe for concurrent use.
 package fleetlab
 
 import (
@@ -18,38 +18,37 @@
 	"dunestep/internal/simnet"
 )
 
-// Options say what is played.
+// Options determine a run.
 type Options struct {
 	Agents, Voters int
-	Volatile       bool // voters keep nothing
+	Volatile       bool // voters store nothing
 	Seed           uint64
 	Terms          lease.Terms
-	// ClocksWithin is how far the Unix clocks may be off in a hunt; 5 s.
+	// ClocksWithin is how far the Unix clocks may be off in a Hunt; default 5 s.
 	ClocksWithin time.Duration
-	// Weaken takes a protection out, to see that it is missed; nil: none.
+	// Weaken removes a protection, to check that violations are found; nil: none.
 	Weaken func(*fleet.Settings)
-	// Application puts something above a process that starts, with machines of its own after the lab's; nil:
-	// nothing.
+	// Application adds an application to a process that starts, with state machines after the lab's; nil: none.
 	Application func(set *fleet.Settings, now fleet.ClockReading)
-	// OnDecision is told of each moment at which an agent could decide: as often as it does anything, and by
-	// Decide; nil: nobody is.
+	// OnDecision is called whenever an agent could decide: after each of its steps, and by Decide; nil: not
+	// used.
 	OnDecision func(agent int, at time.Time, now fleet.ClockReading, n *fleet.Node)
-	// Act has what is above an agent do something: a script's Application.
+	// Act has the application of an agent do something: the fault ApplicationAct.
 	Act func(agent int)
 }
 
-// Lab is a fleet that is played.
+// Lab is a simulated fleet.
 type Lab struct {
 	World  *simnet.Cluster
 	opts   Options
-	random *rand.Rand
+	rng    *rand.Rand
 	hosts  []*host
 	judge  judge
 	begin  time.Time
 	script []Fault
 }
 
-// host is an agent's machine: it outlives processes.
+// host is the machine of an agent; it outlives processes.
 type host struct {
 	lab         *Lab
 	self        int
@@ -58,15 +57,15 @@
 	node        *fleet.Node // nil: no process
 	tally       *tally
 	writing     *raftlog.Persist
-	writes      uint64 // so far, over all lives
+	writes      uint64 // so far, of all processes
 }
 
-// maxWriteTime is how long a write takes at the most.
+// maxWriteTime is the maximum duration of a write.
 const maxWriteTime = 8 * time.Millisecond
 
-// New returns a fleet of which no process runs yet.
+// New returns a fleet without running processes.
 func New(o Options) *Lab {
-	l := &Lab{opts: o, random: rand.New(rand.NewPCG(o.Seed, 0xf1ee7)), begin: time.Unix(1_700_000_000, 0)}
+	l := &Lab{opts: o, rng: rand.New(rand.NewPCG(o.Seed, 0xf1ee7)), begin: time.Unix(1_700_000_000, 0)}
 	l.opts.Terms = o.Terms.WithDefaults()
 	if o.ClocksWithin == 0 {
 		l.opts.ClocksWithin = 5 * time.Second
@@ -81,35 +80,35 @@
 	return l
 }
 
-// Calm ends what ails the network: one to five milliseconds each way, nothing lost.
+// Calm ends all faults of the network: one to five milliseconds in each direction, no loss.
 func (l *Lab) Calm() {
 	l.World.ChangeAll(func(k *simnet.Link) {
 		*k = simnet.Link{Delay: time.Millisecond, Jitter: 4 * time.Millisecond}
 	})
 }
 
-// Lossy has all ways lose and double a part, and be late by up to a time.
-func (l *Lab) Lossy(loss, double float64, late time.Duration) {
+// Lossy has all directions lose and duplicate fractions of the datagrams, and delay a tenth by up to a time.
+func (l *Lab) Lossy(loss, duplicate float64, lateness time.Duration) {
 	l.World.ChangeAll(func(k *simnet.Link) {
 		*k = simnet.Link{
-			Cut: k.Cut, Loss: loss, Duplicate: double, Delay: time.Millisecond,
+			Cut: k.Cut, Loss: loss, Duplicate: duplicate, Delay: time.Millisecond,
 			Jitter: 4 * time.Millisecond,
-			Late:   0.1, Lateness: late,
+			Late:   0.1, Lateness: lateness,
 		}
 	})
 }
 
-// StartAll starts all processes that do not run.
+// StartAll starts all processes that are not running.
 func (l *Lab) StartAll() {
 	for a := range l.hosts {
 		l.World.Start(uint32(a))
 	}
 }
 
-// Run plays for a time.
+// Run runs the fleet for a time.
 func (l *Lab) Run(length time.Duration) { l.World.Run(l.World.Now().Add(length)) }
 
-// voters are spread over the agents' numbers, as over zones.
+// voters returns the voters, which are spread over the agents' numbers as over zones.
 func (l *Lab) voters() (v []int) {
 	for i := range l.opts.Voters {
 		v = append(v, i*l.opts.Agents/l.opts.Voters)
@@ -125,7 +124,8 @@
 	set := fleet.Settings{
 		Self: h.self, Agents: l.opts.Agents, Voters: l.voters(),
 		Seed:        l.opts.Seed*7919 + uint64(h.self),
-		Incarnation: h.incarnation, Terms: l.opts.Terms, IsDurable: !l.opts.Volatile, Machines: []fleet.StateMachine{h.tally},
+		Incarnation: h.incarnation, Terms: l.opts.Terms, IsDurable: !l.opts.Volatile,
+		Machines: []fleet.StateMachine{h.tally},
 	}
 	if !l.opts.Volatile {
 		set.Stored = h.disk
@@ -144,8 +144,8 @@
 	return h
 }
 
-// reading is what the machine's clocks show: the Unix time is off by what the arena says, the steady one
-// begins at another moment at each machine.
+// reading returns what the machine's clocks show: the Unix time has the offset that the cluster has set, and
+// the steady clock has another origin at each machine.
 func (h *host) reading(now time.Time) fleet.ClockReading {
 	steady := h.lab.World.Now().Sub(h.lab.begin) + time.Duration(h.self+1)*time.Hour
 	return fleet.ClockReading{Unix: time.Duration(now.UnixNano()), Mono: steady}
@@ -162,8 +162,8 @@
 // Next implements simnet.Process.
 func (h *host) Next() time.Time {
 	now := h.lab.World.Now()
-	ahead := h.node.Next() - h.reading(now).Mono
-	return now.Add(max(ahead, 0) + h.lab.World.ClockOffset(uint32(h.self)))
+	delay := h.node.Next() - h.reading(now).Mono
+	return now.Add(max(delay, 0) + h.lab.World.ClockOffset(uint32(h.self)))
 }
 
 // Out implements simnet.Process.
@@ -175,37 +175,37 @@
 	if out.Persist != nil {
 		h.write(out.Persist)
 	}
-	h.lab.judge.events(h, out.Events)
+	h.lab.judge.checkEvents(h, out.Events)
 	return sent
 }
 
-// write puts something on the disk after a while, and tells the process if it still runs.
+// write writes to the disk after a while, and notifies the process if it still runs.
 func (h *host) write(p *raftlog.Persist) {
-	life := h.incarnation
+	incarnation := h.incarnation
 	h.writing = p
-	took := time.Duration(h.lab.random.Int64N(int64(maxWriteTime)))
+	took := time.Duration(h.lab.rng.Int64N(int64(maxWriteTime)))
 	h.lab.World.At(h.lab.World.Now().Add(took), func() {
-		if h.incarnation != life || h.writing != p || !h.lab.World.IsRunning(uint32(h.self)) {
+		if h.incarnation != incarnation || h.writing != p || !h.lab.World.IsRunning(uint32(h.self)) {
 			return
 		}
 		h.flush()
-		h.notifyWritten(life, p.Token)
+		h.notifyWritten(incarnation, p.Token)
 	})
 }
 
-// told passes on that a write is safe, once the process is not paused.
-func (h *host) notifyWritten(life, token uint64) {
-	if h.incarnation != life {
+// notifyWritten reports to the process that a write is durable, once the process is not paused.
+func (h *host) notifyWritten(incarnation, token uint64) {
+	if h.incarnation != incarnation {
 		return
 	}
 	if !h.lab.World.Call(uint32(h.self), func(_ simnet.Process, now time.Time) {
 		h.node.Persisted(h.reading(now), token)
 	}) && h.lab.World.IsPaused(uint32(h.self)) {
-		h.lab.World.At(h.lab.World.Now().Add(50*time.Millisecond), func() { h.notifyWritten(life, token) })
+		h.lab.World.At(h.lab.World.Now().Add(50*time.Millisecond), func() { h.notifyWritten(incarnation, token) })
 	}
 }
 
-// flush does to the stored log what a file does.
+// flush applies the write to the disk, as package fleetstore does to a file.
 func (h *host) flush() {
 	p, s := h.writing, &h.disk
 	h.writing = nil
@@ -231,30 +231,30 @@
 	s.Entries = append(s.Entries, p.Entries...)
 }
 
-// Kill ends a process at once. A write that was under way may be done, and nobody was told.
+// Kill ends a process at once. A write in progress may be completed without being reported.
 func (l *Lab) Kill(a int) {
-	if h := l.hosts[a]; h.writing != nil && l.random.IntN(2) == 0 {
+	if h := l.hosts[a]; h.writing != nil && l.rng.IntN(2) == 0 {
 		h.flush()
 	}
 	l.World.Kill(uint32(a))
 	l.hosts[a].node = nil
 }
 
-// Lose ends a process and takes its disk.
+// Lose ends a process and deletes its disk.
 func (l *Lab) Lose(a int) {
 	l.Kill(a)
 	l.hosts[a].disk = raftlog.Stored{}
 }
 
-// Node is an agent's, while its process runs; nil otherwise.
+// Node returns an agent's node; nil: its process is not running.
 func (l *Lab) Node(a int) *fleet.Node { return l.hosts[a].node }
 
-// Reading is what an agent's clocks show now.
+// Reading returns what an agent's clocks show now.
 func (l *Lab) Reading(a int) fleet.ClockReading {
 	return l.hosts[a].reading(l.World.Now().Add(l.World.ClockOffset(uint32(a))))
 }
 
-// Leader is the agent that leads the voters; below zero: none, or several say so.
+// Leader returns the agent that leads the voters; negative: none does, or several take themselves for it.
 func (l *Lab) Leader() int {
 	leader := -1
 	for _, v := range l.voters() {
@@ -268,7 +268,7 @@
 	return leader
 }
 
-// Isolate cuts an agent off from all others, in both directions, or ends that.
+// Isolate cuts an agent off from all others, in both directions, or reconnects it.
 func (l *Lab) Isolate(a int, cut bool) {
 	l.World.ChangeEach(func(from, to uint32, k *simnet.Link) {
 		if int(from) == a || int(to) == a {
--- a/internal/fleet/fleetlab/lab_test.go
+++ b/internal/fleet/fleetlab/lab_test.go
@@ -12,23 +12,24 @@
 	"dunestep/internal/simnet"
 )
 
-func play(o Options) *Lab {
+// start returns a fleet that has run for 10 s.
+func start(o Options) *Lab {
 	l := New(o)
 	l.StartAll()
 	l.Run(10 * time.Second)
 	return l
 }
 
-// A fleet that nothing ails agrees, holds leases and says little.
-func TestCalm(t *testing.T) {
+// A fleet without faults agrees, holds leases and sends little.
+func TestWithoutFaults(t *testing.T) {
 	for _, agents := range []int{5, 50, 300} {
-		l := play(Options{Agents: agents, Voters: 3, Seed: 1})
+		l := start(Options{Agents: agents, Voters: 3, Seed: 1})
 		l.Run(10 * time.Second)
 		before := l.World.Traffic()
 		l.Run(20 * time.Second)
-		said := l.World.Traffic()
-		datagrams := float64(said.Datagrams-before.Datagrams) / float64(agents) / 20
-		bytes := float64(said.Bytes-before.Bytes) / float64(agents) / 20
+		sent := l.World.Traffic()
+		datagrams := float64(sent.Datagrams-before.Datagrams) / float64(agents) / 20
+		bytes := float64(sent.Bytes-before.Bytes) / float64(agents) / 20
 		require.Less(t, datagrams, 6.0)
 		require.Less(t, bytes, 600.0)
 		for a := range min(agents, 12) {
@@ -36,10 +37,10 @@
 		}
 		began := l.World.Now()
 		var all time.Duration
-		for all = 0; all < 3*time.Second && l.have() < agents; all = l.World.Now().Sub(began) {
+		for all = 0; all < 3*time.Second && l.countUpToDate() < agents; all = l.World.Now().Sub(began) {
 			l.Run(10 * time.Millisecond)
 		}
-		t.Logf("%d agents: quiet %.2f datagrams, %.0f bytes an agent and second; 12 records at all after %v", agents,
+		t.Logf("%d agents: idle %.2f datagrams, %.0f bytes per agent and second; 12 records at all agents after %v", agents,
 			datagrams, bytes, all)
 		l.Settle(5 * time.Second)
 		require.Equal(t, map[fleet.Result]int{fleet.Committed: min(agents, 12)}, l.Results())
@@ -47,15 +48,15 @@
 	}
 }
 
-// What followers and voters send and are sent when nothing happens, a second. With LONG_TESTS in fleets of up to 5,000.
-func TestPrice(t *testing.T) {
+// What followers and voters of an idle fleet send and receive per second. With LONG_TESTS in fleets of up to 5,000.
+func TestIdleTraffic(t *testing.T) {
 	fleets := []int{5, 50}
 	if os.Getenv("LONG_TESTS") != "" {
 		fleets = []int{5, 50, 300, 1000, 5000}
 	}
 	for _, agents := range fleets {
 		for _, voters := range []int{3, 5} {
-			l := play(Options{Agents: agents, Voters: voters, Seed: 1})
+			l := start(Options{Agents: agents, Voters: voters, Seed: 1})
 			l.Run(20 * time.Second)
 			const length = 20
 			before := make([][2]simnet.Traffic, agents)
@@ -63,33 +64,33 @@
 				before[a][0], before[a][1] = l.World.TrafficOf(uint32(a))
 			}
 			l.Run(length * time.Second)
-			var rates [2][4]float64 // followers, voters: datagrams and bytes sent, and the same heard
+			var rates [2][4]float64 // followers, voters: datagrams and bytes sent, and the same received
 			for a := range before {
-				of := 0
-				if l.votes(a) {
-					of = 1
+				role := 0
+				if l.isVoter(a) {
+					role = 1
 				}
-				sent, heard := l.World.TrafficOf(uint32(a))
-				for i, c := range []simnet.Traffic{sent, heard} {
-					rates[of][2*i] += float64(c.Datagrams-before[a][i].Datagrams) / length
-					rates[of][2*i+1] += float64(c.Bytes-before[a][i].Bytes) / length
+				sent, received := l.World.TrafficOf(uint32(a))
+				for i, c := range []simnet.Traffic{sent, received} {
+					rates[role][2*i] += float64(c.Datagrams-before[a][i].Datagrams) / length
+					rates[role][2*i+1] += float64(c.Bytes-before[a][i].Bytes) / length
 				}
 			}
 			for i := range 4 {
 				rates[0][i] /= max(float64(agents-voters), 1)
 				rates[1][i] /= float64(voters)
 			}
-			t.Logf("%d agents, %d voters, datagrams and bytes a second sent, heard: a follower %.1f, a voter %.1f", agents, voters,
+			t.Logf("%d agents, %d voters, datagrams and bytes per second sent, received: a follower %.1f, a voter %.1f", agents, voters,
 				rates[0], rates[1])
 			require.Less(t, rates[0][0], 4.0)
 			require.Less(t, rates[1][0], 20+0.4*float64(agents)/float64(voters)*2)
-			require.Less(t, rates[1][2], 20+0.4*float64(agents)/float64(voters)*2, "who gets no answer asks more")
+			require.Less(t, rates[1][2], 20+0.4*float64(agents)/float64(voters)*2, "agents without a reply would request more")
 		}
 	}
 }
 
-// have is how many agents have all 12 records of a calm fleet, or as many as there are agents.
-func (l *Lab) have() (n int) {
+// countUpToDate returns how many agents have applied 12 records, or as many as there are agents.
+func (l *Lab) countUpToDate() (n int) {
 	for a := range l.hosts {
 		if l.Node(a).Applied().Seq >= uint64(min(len(l.hosts), 12)) {
 			n++
@@ -98,7 +99,7 @@
 	return n
 }
 
-// Whatever happens to the network, the processes, their clocks and disks, what is promised holds.
+// The guarantees hold under all faults of the network, the processes, their clocks and disks.
 func TestHunt(t *testing.T) {
 	seeds, agents := uint64(40), []int{5, 9}
 	if os.Getenv("LONG_TESTS") != "" {
@@ -106,7 +107,7 @@
 	}
 	for _, n := range agents {
 		for seed := range seeds {
-			l := play(Options{Agents: n, Voters: min(n/2|1, 5), Seed: seed})
+			l := start(Options{Agents: n, Voters: min(n/2|1, 5), Seed: seed})
 			l.Hunt(60 * time.Second)
 			l.Settle(40 * time.Second)
 			require.Empty(t, l.Violations(), l.Report())
@@ -114,44 +115,44 @@
 	}
 }
 
-// Each protection that is taken out is missed within 200 seeds: the judge can fail.
-func TestProtectionsAreMissed(t *testing.T) {
+// Each removed protection leads to a violation within 200 seeds: the checks can fail.
+func TestProtectionsAreNeeded(t *testing.T) {
 	for name, weaken := range map[string]func(*fleet.Settings){
 		"leases last longer than agreed": func(s *fleet.Settings) { s.Terms.Duration = 12 * time.Second },
-		"voters grant on what they knew": func(s *fleet.Settings) { s.Terms.MaxKnowledgeAge, s.Terms.MaxPause = time.Minute, time.Hour },
+		"voters grant on old knowledge":  func(s *fleet.Settings) { s.Terms.MaxKnowledgeAge, s.Terms.MaxPause = time.Minute, time.Hour },
 	} {
-		missed := false
-		for seed := uint64(0); seed < 200 && !missed; seed++ {
-			l := play(Options{Agents: 7, Voters: 3, Seed: seed, Weaken: weaken})
+		isFound := false
+		for seed := uint64(0); seed < 200 && !isFound; seed++ {
+			l := start(Options{Agents: 7, Voters: 3, Seed: seed, Weaken: weaken})
 			l.Hunt(60 * time.Second)
-			missed = len(l.Violations()) > 0
+			isFound = len(l.Violations()) > 0
 		}
-		require.True(t, missed, name)
+		require.True(t, isFound, name)
 	}
 }
 
-// An agent that was paused for a minute, across a record that the others agreed on, sees by itself that its lease ran
-// out, before it decides anything.
-func TestPausedAcrossARecord(t *testing.T) {
-	l := play(Options{Agents: 5, Voters: 3, Seed: 3})
+// An agent that was paused for a minute, while the others agreed on a record, sees by itself that its lease expired, before
+// it decides anything.
+func TestPauseDuringACommit(t *testing.T) {
+	l := start(Options{Agents: 5, Voters: 3, Seed: 3})
 	const paused = 2
 	require.Equal(t, lease.Full, l.Node(paused).Standing(l.Reading(paused)))
 	l.World.Pause(paused)
 	l.Run(time.Second)
 	require.True(t, l.Propose(0))
 	l.Run(59 * time.Second)
-	require.Equal(t, lease.Floor, l.Node(paused).Standing(l.Reading(paused)), "before it has heard anything")
+	require.Equal(t, lease.Floor, l.Node(paused).Standing(l.Reading(paused)), "before it receives anything")
 	require.Zero(t, l.Node(paused).Applied().Seq)
 	l.World.Resume(paused)
 	l.Settle(5 * time.Second)
 	require.Empty(t, l.Violations())
 }
 
-// The smaller half of a fleet is cut off, with one voter: it comes to the floor and agrees on nothing; the larger goes
-// on, also where the leader was cut off with the smaller one.
-func TestSmallerHalfCutOff(t *testing.T) {
+// The minority of a fleet, with one voter, is cut off: it falls back to the floor and agrees on nothing; the majority
+// continues, also if the leader is in the minority.
+func TestMinorityCutOff(t *testing.T) {
 	for _, withLeader := range []bool{false, true} {
-		l := play(Options{Agents: 9, Voters: 3, Seed: 5})
+		l := start(Options{Agents: 9, Voters: 3, Seed: 5})
 		leader := l.Leader()
 		require.GreaterOrEqual(t, leader, 0)
 		cut := []int{1, 2}
@@ -165,7 +166,7 @@
 		for _, a := range cut {
 			require.Equal(t, lease.Floor, l.Node(a).Standing(l.Reading(a)))
 		}
-		require.True(t, l.Propose(1), "on the smaller side")
+		require.True(t, l.Propose(1), "in the minority")
 		require.True(t, l.Propose(8))
 		l.Run(6 * time.Second)
 		require.Equal(t, map[fleet.Result]int{fleet.NotCommitted: 1, fleet.Committed: 1}, l.Results())
@@ -175,9 +176,9 @@
 	}
 }
 
-// All processes end at once, and come back with their disks: nothing that was told as taken is lost.
-func TestAllAtOnce(t *testing.T) {
-	l := play(Options{Agents: 9, Voters: 3, Seed: 6})
+// All processes end at once and return with their disks: nothing that was reported as committed is lost.
+func TestAllRestartAtOnce(t *testing.T) {
+	l := start(Options{Agents: 9, Voters: 3, Seed: 6})
 	for a := range 9 {
 		l.Propose(a)
 	}
@@ -192,11 +193,11 @@
 	require.Len(t, l.hosts[8].tally.times, 9)
 }
 
-// All agents are restarted one after the other, each as the one before says that it is ready, and voters keep nothing: the
-// log is not lost.
-func TestRoll(t *testing.T) {
+// All agents are restarted one after the other, each when the one before reports that it is ready, and voters store nothing:
+// the log is not lost.
+func TestRollingRestart(t *testing.T) {
 	for seed := range uint64(20) {
-		l := play(Options{Agents: 5, Voters: 3, Volatile: true, Seed: seed})
+		l := start(Options{Agents: 5, Voters: 3, Volatile: true, Seed: seed})
 		require.True(t, l.Propose(0))
 		l.Run(time.Second)
 		before := l.Node(0).Applied()
--- a/internal/fleet/fleetlab/script.go
+++ b/internal/fleet/fleetlab/script.go
@@ -7,46 +7,46 @@
 	"dunestep/internal/simnet"
 )
 
-// Kind is what a Fault is.
+// Kind is the kind of a Fault.
 type Kind string
 
 // The kinds, with the fields of Fault that each one uses.
 const (
-	Calm           Kind = "calm"    // what ails the network ends
-	Cut            Kind = "cut"     // Agent, Other, Lasts: that direction
+	Calm           Kind = "calm"    // ends all faults of the network
+	Cut            Kind = "cut"     // Agent, Other, Lasts: the direction from the one to the other
 	Isolate        Kind = "isolate" // Agent, Lasts
 	Partition      Kind = "part"    // Agents, Lasts
 	Lossy          Kind = "lossy"   // Loss, Double
 	Damage         Kind = "damage"
 	Pause          Kind = "pause" // Agent, Lasts
-	Clock          Kind = "clock" // Agent, Lasts: by how much it is ahead
-	Kill           Kind = "kill"  // Agent, Lasts: until it is started again
-	Lose           Kind = "lose"  // Agent: its disk, where all voters are well
+	Clock          Kind = "clock" // Agent, Lasts: the offset of its Unix time
+	Kill           Kind = "kill"  // Agent, Lasts: until it is restarted
+	Lose           Kind = "lose"  // Agent: its disk, if all voters are healthy
 	Propose        Kind = "propose"
 	ApplicationAct Kind = "upper" // Agent: Options.Act
 )
 
-// Fault is one step of a script. The same options and script are the same course.
+// Fault is one step of a script. The same options and script give the same run.
 type Fault struct {
-	At        time.Duration `json:"at"` // since the beginning; times are in nanoseconds
+	At        time.Duration `json:"at"` // since the beginning, in nanoseconds
 	Kind      Kind          `json:"kind"`
 	Agent     int           `json:"agent,omitempty"`
 	Other     int           `json:"other,omitempty"`
 	Agents    []int         `json:"some,omitempty"`
 	Lasts     time.Duration `json:"lasts,omitempty"`
 	Loss      float64       `json:"loss,omitempty"`
-	Duplicate float64       `json:"twice,omitempty"` // the part that is doubled
+	Duplicate float64       `json:"twice,omitempty"` // the fraction that is duplicated
 }
 
-// Script is what was done so far.
+// Script returns the faults that were injected so far.
 func (l *Lab) Script() []Fault { return l.script }
 
-// Play plays a script, in the order of its times, with a look at all agents every 200 ms.
+// Play injects the faults of a script, in the order of their times, and has all agents decide every 200 ms.
 func (l *Lab) Play(script []Fault) {
-	const look = 200 * time.Millisecond
+	const interval = 200 * time.Millisecond
 	for _, f := range script {
 		for at := l.begin.Add(f.At); l.World.Now().Before(at); l.Decide() {
-			l.Run(min(look, at.Sub(l.World.Now())))
+			l.Run(min(interval, at.Sub(l.World.Now())))
 		}
 		l.Do(f)
 	}
@@ -57,7 +57,7 @@
 	l.script = append(l.script, f)
 }
 
-// Do has a fault be now, and notes it.
+// Do injects a fault now, and adds it to the script.
 func (l *Lab) Do(f Fault) {
 	l.note(f)
 	a := uint32(f.Agent)
@@ -97,24 +97,24 @@
 	}
 }
 
-// Shorten leaves out what a script fails without, and has times be round, as long as it fails still: at first
-// halves, then less and less.
+// Shorten removes the faults of a failing script that are not needed for the failure, and rounds its times:
+// at first half of the faults at a time, then fewer and fewer.
 func Shorten(script []Fault, fails func([]Fault) bool) []Fault {
-	for part := (len(script) + 1) / 2; part > 0; {
-		less := false
+	for size := (len(script) + 1) / 2; size > 0; {
+		isShorter := false
 		for from := 0; from < len(script); {
-			to := min(from+part, len(script))
+			to := min(from+size, len(script))
 			if without := slices.Delete(slices.Clone(script), from, to); fails(without) {
-				script, less = without, true
+				script, isShorter = without, true
 			} else {
 				from = to
 			}
 		}
-		if part == 1 && !less {
+		if size == 1 && !isShorter {
 			break
 		}
-		if !less || part > 1 {
-			part = max(part/2, 1)
+		if !isShorter || size > 1 {
+			size = max(size/2, 1)
 		}
 	}
 	for _, unit := range []time.Duration{time.Second, 100 * time.Millisecond, 10 * time.Millisecond} {
--- a/internal/fleet/internal/compact/compact.go
+++ b/internal/fleet/internal/compact/compact.go
@@ -1,6 +1,6 @@
-// Package compact is the form in which the fleet's own messages go from agent to agent: CBOR arrays, without
-// names. What comes from the way is decoded strictly and within bounds: nothing that another agent sends
-// makes it set aside more than some times the message's own length.
+// Package compact encodes the fleet's own messages between agents: CBOR arrays without names. Data of other
+// agents is decoded strictly and within bounds: nothing that an agent sends makes it allocate more than a few
+// times the size of the message. It has no state and is safe for concurrent use.
 package compact
 
 import (
@@ -10,22 +10,26 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// ErrMalformed: a message is not of the form expected.
+// ErrMalformed reports that a message cannot be decoded.
 var ErrMalformed = errors.New("malformed message")
 
-// mostElements bounds the arrays of a message.
-const mostElements = 1 << 12
+// Bounds of a message.
+const (
+	maxArrayElements = 1 << 12
+	maxMapPairs      = 16
+	maxNestedLevels  = 6
+)
 
 var encoding, decoding = modes()
 
 func modes() (cbor.EncMode, cbor.DecMode) {
 	enc, err := cbor.EncOptions{IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden}.EncMode()
 	if err != nil {
-		panic(err) // of constants
+		panic(err) // the options are constants
 	}
 	dec, err := cbor.DecOptions{
 		IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden,
-		MaxArrayElements: mostElements, MaxMapPairs: 16, MaxNestedLevels: 6,
+		MaxArrayElements: maxArrayElements, MaxMapPairs: maxMapPairs, MaxNestedLevels: maxNestedLevels,
 	}.DecMode()
 	if err != nil {
 		panic(err)
@@ -33,7 +37,8 @@
 	return enc, dec
 }
 
-// Marshal encodes a struct whose fields are marked as an array's ("toarray"): numbers, bytes and structs.
+// Marshal encodes a struct with the tag "toarray", of numbers, bytes and such structs. It panics for other
+// types.
 func Marshal(message any) []byte {
 	data, err := encoding.Marshal(message)
 	if err != nil {
@@ -42,7 +47,7 @@
 	return data
 }
 
-// Unmarshal decodes all of data into a struct of Marshal's, or gives ErrMalformed.
+// Unmarshal decodes all of data into a struct of Marshal. It returns an error wrapping ErrMalformed.
 func Unmarshal(data []byte, message any) error {
 	if err := decoding.Unmarshal(data, message); err != nil {
 		return fmt.Errorf("%w: %w", ErrMalformed, err)
