--- /dev/null
+++ b/internal/overload/attempts.go
@@ -0,0 +1,241 @@
+package overload
+
+import (
+	"cmp"
+	"math"
+	"time"
+
+	"dunestep/internal/balancer"
+)
+
+const (
+	retryBudgetFraction = 0.1 // attempts beyond the first for each request forwarded
+	maxRetryBudget      = 5.0 // attempts
+)
+
+// request is what is kept of an admitted request until it is answered and its attempts have ended.
+type request struct {
+	client           clientID
+	tenant           string
+	overQuota        bool
+	attempts         []attempt // those that were sent, by the caller's number
+	balancerAttempts int       // attempts by the balancer's count, which has those that were suppressed
+	openAttempts     int
+	isAnswered       bool
+	isStreaming      bool // its class streams: servers work until the end of the response
+}
+
+// attempt is an attempt at a request that was sent.
+type attempt struct {
+	balancerNumber  int // by the balancer's count
+	server          *server
+	concurrency     float64 // at its start
+	hasEnded        bool
+	responseStarted bool // and the server's work is done
+}
+
+func (c *Controller) addRequest(e *balancer.Request, a arrival) {
+	r := &request{}
+	if n := len(c.freeRequests); n > 0 {
+		r, c.freeRequests = c.freeRequests[n-1], c.freeRequests[:n-1]
+	}
+	class, known := c.fairness.classIndex[e.Class]
+	*r = request{
+		client: a.client, tenant: e.Tenant, overQuota: a.overQuota, attempts: r.attempts[:0],
+		isStreaming: known && c.settings.Classes[class].Streaming,
+	}
+	c.requests[e.ID] = r
+}
+
+// onAction takes in an action of the balancer, and tells whether it is to be carried out.
+func (c *Controller) onAction(a *balancer.Action) bool {
+	r := c.requests[a.ID]
+	switch a.Kind {
+	case balancer.Send:
+		return r == nil || c.onSend(a, r)
+	case balancer.Cancel:
+		return r == nil || r.renumberAttempt(a)
+	case balancer.Reject, balancer.Fail:
+		if r == nil {
+			return true
+		}
+		if a.Kind == balancer.Reject {
+			c.onBalancerReject(a, r)
+		}
+		c.onFinalAnswer(a.ID)
+	}
+	return true
+}
+
+// onBalancerReject completes a rejection by the balancer, and remembers when the client is to come back.
+func (c *Controller) onBalancerReject(a *balancer.Action, r *request) {
+	a.OverQuota, a.Quota = r.overQuota && !c.config.Disabled, c.reportedQuota(r.tenant)
+	if c.outage.phase != phaseNormal || c.isSheddingNow() {
+		a.After = c.retryAfter(r.client)
+	} else if a.After > 0 {
+		c.retryAfters.record(c.now, r.client, c.now+a.After)
+	}
+}
+
+// renumberAttempt gives an action the number that the caller knows its attempt by; false: it was suppressed.
+func (r *request) renumberAttempt(a *balancer.Action) bool {
+	for i := range r.attempts {
+		if r.attempts[i].balancerNumber == a.Attempt {
+			a.Attempt = i
+			return true
+		}
+	}
+	return false
+}
+
+// onSend records an attempt, unless it is suppressed: then the balancer is told that it was not sent.
+func (c *Controller) onSend(a *balancer.Action, r *request) bool {
+	number, s := r.balancerAttempts, c.server(a.Server)
+	r.balancerAttempts++
+	if c.checkAttempt(r, s) != notSuppressed {
+		c.pendingEvents = append(c.pendingEvents, &balancer.AttemptDone{
+			ID: a.ID, Attempt: number, Server: a.Server,
+			Outcome: balancer.NotSent, RequestDone: r.isAnswered,
+		})
+		return false
+	}
+	if len(r.attempts) == 0 {
+		c.forwarded.add(c.now, 1)
+		c.retryBudget = min(c.retryBudget+retryBudgetFraction, maxRetryBudget)
+	}
+	c.outage.lastSentAt = c.now
+	r.attempts = append(r.attempts, attempt{balancerNumber: number, server: s, concurrency: c.concurrency()})
+	r.openAttempts++
+	s.inFlight++
+	c.inFlight.changeBy(c.now, 1)
+	return true
+}
+
+// suppressReason is why an attempt of the balancer is not made.
+type suppressReason uint8
+
+const (
+	notSuppressed       suppressReason = iota
+	suppressWarmingUp                  // its server warms up and has proved no more
+	suppressOutage                     // during an outage each trial has one attempt
+	suppressRetryBudget                // during recovery: the budget for further attempts is spent
+)
+
+// checkAttempt decides whether an attempt is made, step by step; the first reason to suppress it holds. A
+// server that warms up and has to take over what others cannot serve gets no more than it proves to serve:
+// each agent's own slow-start budget is small, but all agents turn to that server at once.
+func (c *Controller) checkAttempt(r *request, s *server) suppressReason {
+	if c.config.Disabled {
+		return notSuppressed
+	}
+	inOutage := c.outage.phase != phaseNormal
+	fewServers := inOutage || 2*float64(c.workingServers()) < c.recentPeakServers()
+	if fewServers && c.isWarmingUp(s) && c.isAtProvenLimit(s) {
+		return suppressWarmingUp
+	}
+	if !inOutage || len(r.attempts) == 0 {
+		return notSuppressed
+	}
+	if c.outage.phase == phaseOutage {
+		return suppressOutage
+	}
+	if c.retryBudget < 1 {
+		return suppressRetryBudget
+	}
+	c.retryBudget--
+	return notSuppressed
+}
+
+// onStreamStarted takes in that a response has started, and returns the event with the balancer's number.
+func (c *Controller) onStreamStarted(e *balancer.StreamStarted) balancer.Event {
+	r := c.requests[e.ID]
+	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) {
+		return e
+	}
+	a := &r.attempts[e.Attempt]
+	if !a.hasEnded && !r.isStreaming { // the server's work is done, however slowly the client reads
+		c.leaveInFlight(a)
+		a.responseStarted = true
+	}
+	c.streamStartedEvent = balancer.StreamStarted{ID: e.ID, Attempt: a.balancerNumber}
+	return &c.streamStartedEvent
+}
+
+// onAttemptDone takes in the end of an attempt, and returns what the balancer is to see of it. The failure of
+// a trial in an outage says nothing of its server: to the balancer it was canceled, or it would eject every
+// server, and have each prove itself on its own once they respond again.
+func (c *Controller) onAttemptDone(e *balancer.AttemptDone) balancer.Event {
+	r := c.requests[e.ID]
+	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || r.attempts[e.Attempt].hasEnded {
+		return e
+	}
+	a := &r.attempts[e.Attempt]
+	a.hasEnded = true
+	r.openAttempts--
+	c.leaveInFlight(a)
+	if !e.Evidence.LocalShortage {
+		c.throttle.recordAttemptEnd(c.now, e.Outcome)
+	}
+	if e.Outcome == balancer.Served {
+		c.successes.add(c.now, 1)
+		c.usualSuccesses.add(c.now, 1)
+		if c.isSettled() && !c.isWarmingUp(a.server) {
+			c.recordServiceTime(a, max(e.Latency, time.Microsecond))
+		}
+		c.retryAfters.forget(c.now, r.client)
+	}
+	if !e.Evidence.LocalShortage { // what this agent is short of says nothing of its servers
+		c.recordAttemptEnd(a.server, e.Outcome)
+	}
+	r.isAnswered = r.isAnswered || e.RequestDone
+	c.releaseRequest(e.ID, r)
+	c.attemptDoneEvent = *e
+	c.attemptDoneEvent.Attempt = a.balancerNumber
+	if c.outage.phase == phaseOutage && !e.Outcome.Unprocessed() {
+		c.attemptDoneEvent.Outcome = balancer.Canceled
+	}
+	return &c.attemptDoneEvent
+}
+
+// leaveInFlight takes an attempt out of what is in flight, once.
+func (c *Controller) leaveInFlight(a *attempt) {
+	if !a.responseStarted {
+		a.server.inFlight--
+		c.inFlight.changeBy(c.now, -1)
+	}
+}
+
+// recordServiceTime compares a response's latency with the usual service time, and learns from it.
+func (c *Controller) recordServiceTime(a *attempt, latency time.Duration) {
+	s, logSeconds := a.server, math.Log(latency.Seconds())
+	c.firstResponseAt = cmp.Or(c.firstResponseAt, c.now)
+	usual, known := s.serviceTime.usual(a.concurrency)
+	if known {
+		c.episode.observe(c.now, logSeconds-usual)
+		s.logFactors.decay(c.now)
+		s.logFactors.weight += logSeconds - usual
+		s.samples.add(c.now, 1)
+		s.lastResponseAt = c.now
+	}
+	gain := estimateGain
+	if known && c.episode.own.weight >= minOwnWeight && c.episode.own.factor() > unusualFactor {
+		gain = episodeEstimateGain
+	}
+	s.serviceTime.observe(a.concurrency, logSeconds, gain)
+}
+
+// onFinalAnswer notes that a request has its answer, or needs none any more.
+func (c *Controller) onFinalAnswer(id uint32) {
+	if r := c.requests[id]; r != nil {
+		r.isAnswered = true
+		c.releaseRequest(id, r)
+	}
+}
+
+// releaseRequest drops a request that is answered and has no attempt left.
+func (c *Controller) releaseRequest(id uint32, r *request) {
+	if r.isAnswered && r.openAttempts == 0 {
+		delete(c.requests, id)
+		c.freeRequests = append(c.freeRequests, r)
+	}
+}
--- a/internal/overload/bench_test.go
+++ b/internal/overload/bench_test.go
@@ -8,29 +8,29 @@
 	"dunestep/internal/balancer"
 )
 
-// BenchmarkServed is a request that is let in, sent and served, through the gate and the real module; without
-// the gate beside it.
+// BenchmarkServed is a request that is admitted, sent and served, through the controller and the real
+// balancer; and without the controller.
 func BenchmarkServed(b *testing.B) {
 	for _, off := range []bool{true, false} {
 		b.Run(fmt.Sprintf("gate=%v", !off), func(b *testing.B) {
-			var m Balancer
+			var next Balancer
 			set := deployment(4, 0)
 			decisions, err := balancer.New(set, 1)
-			m = decisions
-			step := m.(interface {
+			next = decisions
+			step := next.(interface {
 				Step(time.Duration, balancer.Event) []balancer.Action
 			})
 			if !off && err == nil {
-				step, err = New(set, Config{}, m, 1)
+				step, err = New(set, Config{}, next, 1)
 			}
 			if err != nil {
 				b.Fatal(err)
 			}
-			news := &balancer.ServerListUpdate{Kind: balancer.UpdateFull}
+			update := &balancer.ServerListUpdate{Kind: balancer.UpdateFull}
 			for i := range 13 {
-				news.Servers = append(news.Servers, balancer.Server{ID: fmt.Sprint("s-", i), MachineKind: "k", Weight: 1})
+				update.Servers = append(update.Servers, balancer.Server{ID: fmt.Sprint("s-", i), MachineKind: "k", Weight: 1})
 			}
-			step.Step(epoch, news)
+			step.Step(epoch, update)
 			keys := make([]string, 1000)
 			for i := range keys {
 				keys[i] = fmt.Sprint("k", i)
@@ -52,10 +52,10 @@
 	}
 }
 
-// BenchmarkRejected is a request that is turned away in an outage, each from another client.
+// BenchmarkRejected is a request that is rejected in an outage, each from another client.
 func BenchmarkRejected(b *testing.B) {
-	g, _ := New(deployment(4, 0), Config{}, &fakeBalancer{most: 100, servers: 13}, 1)
-	g.outage.phase, g.outage.lastSuccessAt = phaseOutage, epoch
+	c, _ := New(deployment(4, 0), Config{}, &fakeBalancer{maxInFlight: 100, servers: 13}, 1)
+	c.outage.phase, c.outage.lastSuccessAt = phaseOutage, epoch
 	keys := make([]string, 100_000)
 	for i := range keys {
 		keys[i] = fmt.Sprint("client-", i)
@@ -64,6 +64,6 @@
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		now += 50 * time.Microsecond
-		g.Step(now, &balancer.Request{ID: uint32(i + 1), Class: "rezervare", Key: keys[i%len(keys)], ClientTimeout: time.Second})
+		c.Step(now, &balancer.Request{ID: uint32(i + 1), Class: "rezervare", Key: keys[i%len(keys)], ClientTimeout: time.Second})
 	}
 }
--- a/internal/overload/gate_test.go
+++ b/internal/overload/controller_test.go
@@ -14,8 +14,8 @@
 	"dunestep/internal/balancer"
 )
 
-// player plays any day before a gate with the real module, and holds it to what is owed to clients and
-// servers.
+// propertyRun feeds any course of events to a controller with the real balancer, and checks what is owed to
+// clients and servers.
 type propertyRun struct {
 	controller *Controller
 	now        time.Duration
@@ -25,20 +25,21 @@
 	t          *rapid.T
 }
 
+// playedRequest is a request of a propertyRun.
 type playedRequest struct {
 	class string
-	out   []string // servers of its attempts, by number; empty: it has ended
-	ran   bool     // or may have
+	out   []string // servers of its attempts, by number; empty: the attempt has ended
+	ran   bool     // or may have run
 	final bool
 }
 
-func newPropertyRun(t *rapid.T, fig Config) *propertyRun {
+func newPropertyRun(t *rapid.T, config Config) *propertyRun {
 	set := deployment(3, 0)
 	set.Tenants = []balancer.Tenant{{Name: "t0", QuotaPerSecond: 5, Share: 0.5}, {Name: "t1", QuotaPerSecond: 50, Share: 0.5}}
 	set.Limits.Hedging = true
-	g, err := NewWithBalancer(set, fig, 3)
+	c, err := NewWithBalancer(set, config, 3)
 	require.NoError(t, err)
-	return &propertyRun{controller: g, now: epoch, open: map[uint32]*playedRequest{}, timers: map[uint64]time.Duration{}, t: t}
+	return &propertyRun{controller: c, now: epoch, open: map[uint32]*playedRequest{}, timers: map[uint64]time.Duration{}, t: t}
 }
 
 func (p *propertyRun) step(ev balancer.Event) {
@@ -48,10 +49,10 @@
 		switch a.Kind {
 		case balancer.Send:
 			if r == nil || r.final {
-				p.t.Fatalf("sends what is answered: %v", a)
+				p.t.Fatalf("sends a request that is answered: %v", a)
 			}
 			if r.class == "rezervare" && r.ran {
-				p.t.Fatalf("sends an unsafe request again that may have run: %v", a)
+				p.t.Fatalf("retries a request that is not idempotent and may have run: %v", a)
 			}
 			r.out = append(r.out, a.Server)
 		case balancer.Reject, balancer.Fail:
@@ -59,20 +60,20 @@
 				p.t.Fatalf("a second answer: %v", a)
 			}
 			if a.Kind == balancer.Reject && r.class == "rezervare" && r.ran {
-				p.t.Fatalf("refuses an unsafe request that may have run: %v", a)
+				p.t.Fatalf("rejects a request that is not idempotent and may have run: %v", a)
 			}
 			r.final = true
 		case balancer.SetTimer:
 			p.timers[a.Tag] = p.now + a.After
 		case balancer.Cancel:
 			if r != nil && a.Attempt >= len(r.out) {
-				p.t.Fatalf("cancels what was never sent: %v", a)
+				p.t.Fatalf("cancels an attempt that was never sent: %v", a)
 			}
 		}
 	}
 }
 
-// pass lets time pass, and timers come due.
+// advance lets time pass, and timers come due.
 func (p *propertyRun) advance(span time.Duration) {
 	p.now += span
 	for _, tag := range slices.Sorted(maps.Keys(p.timers)) {
@@ -83,37 +84,37 @@
 	}
 }
 
-// end ends an attempt that is out.
-func (p *propertyRun) endAttempt(id uint32, r *playedRequest, attempt int, o balancer.Outcome) {
+// endAttempt ends an attempt that is in flight.
+func (p *propertyRun) endAttempt(id uint32, r *playedRequest, attempt int, outcome balancer.Outcome) {
 	server := r.out[attempt]
 	r.out[attempt] = ""
-	if !o.Unprocessed() {
+	if !outcome.Unprocessed() {
 		r.ran = true
 	}
 	finished := r.final
-	if o == balancer.Served && !r.final {
+	if outcome == balancer.Served && !r.final {
 		r.final, finished = true, true
 	}
 	p.step(&balancer.AttemptDone{
-		ID: id, Attempt: attempt, Server: server, Outcome: o,
+		ID: id, Attempt: attempt, Server: server, Outcome: outcome,
 		Latency: time.Duration(rapid.IntRange(1, 600).Draw(p.t, "ms")) * time.Millisecond, RequestDone: finished,
 	})
 }
 
-// TestAnyCourseOfEvents: whatever comes, in calm, in outages and after them, each request has one answer, what may have
-// run is neither sent again nor refused where it must not run twice, nothing is left over, and the same day
-// again brings the same actions.
+// TestAnyCourseOfEvents: whatever comes, in normal times, in outages and after them, each request has one
+// answer; one that is not idempotent and may have run is neither retried nor rejected; and nothing is left
+// over.
 func TestAnyCourseOfEvents(t *testing.T) {
 	met := map[string]int{}
-	defer func() { require.Len(t, met, 2, "the days must have outages, and ends of them") }()
+	defer func() { require.Len(t, met, 2, "the runs must have outages, and ends of them") }()
 	rapid.Check(t, func(t *rapid.T) {
 		p := newPropertyRun(t, Config{})
 		list := func(n int) {
-			news := &balancer.ServerListUpdate{Kind: balancer.UpdateFull}
+			update := &balancer.ServerListUpdate{Kind: balancer.UpdateFull}
 			for i := range n {
-				news.Servers = append(news.Servers, balancer.Server{ID: fmt.Sprint("s-", i), MachineKind: "k", Weight: 1})
+				update.Servers = append(update.Servers, balancer.Server{ID: fmt.Sprint("s-", i), MachineKind: "k", Weight: 1})
 			}
-			p.step(news)
+			p.step(update)
 		}
 		list(4)
 		var ids uint32
@@ -130,7 +131,7 @@
 					list(rapid.IntRange(0, 5).Draw(t, "servers"))
 				case 1:
 					p.step(&balancer.PeerMessage{From: 1, Data: message{
-						kind:      byte(rapid.IntRange(0, 2).Draw(t, "says")),
+						kind:      messageKind(rapid.IntRange(0, 2).Draw(t, "says")),
 						logFactor: 1, weight: 50, startsAt: p.now + 50*time.Millisecond,
 					}.encode()})
 				default:
@@ -161,7 +162,7 @@
 			}
 		}
 		seen := p.history
-		for range 4 * 3 { // all that is out ends, and what follows from that
+		for range 4 * 3 { // all attempts in flight end, and those that follow from that
 			for id := uint32(1); id <= ids; id++ {
 				r := p.open[id]
 				for n := range r.out {
@@ -180,7 +181,7 @@
 		if n := len(p.controller.requests); n > 0 {
 			t.Fatalf("%d requests are kept after their end", n)
 		}
-		for _, what := range []string{"nothing is served", "served again"} {
+		for _, what := range []string{"nothing was served", "served again"} {
 			if strings.Contains(seen, what) {
 				met[what]++
 			}
@@ -196,14 +197,14 @@
 	})
 }
 
-// TestDisabledForwardsEverything: switched off, the gate does what the module does alone.
+// TestDisabledForwardsEverything: a disabled controller does what the balancer does alone.
 func TestDisabledForwardsEverything(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := deployment(3, 0)
 		alone, err := balancer.New(set, 3)
 		require.NoError(t, err)
 		p := newPropertyRun(t, Config{Disabled: true})
-		g, err := New(set, p.controller.config, alone, 3)
+		c, err := New(set, p.controller.config, alone, 3)
 		require.NoError(t, err)
 		bare, err := balancer.New(set, 3)
 		require.NoError(t, err)
@@ -220,21 +221,21 @@
 			}
 			now := epoch + time.Duration(i)*20*time.Millisecond
 			want := fmt.Sprint(bare.Step(now, ev))
-			require.Equal(t, want, fmt.Sprint(g.Step(now, ev)))
+			require.Equal(t, want, fmt.Sprint(c.Step(now, ev)))
 		}
 	})
 }
 
-// TestConfigValidation: what can't be counted with is refused, at the start and later.
+// TestConfigValidation: a number that cannot be used is an error, at the start and later.
 func TestConfigValidation(t *testing.T) {
 	bad := DefaultConfig()
 	bad.EpisodeFactor = 0
 	_, err := NewWithBalancer(deployment(1, 0), bad, 1)
 	require.ErrorContains(t, err, "EpisodeFactor")
-	g, err := NewWithBalancer(deployment(1, 0), Config{}, 1)
+	c, err := NewWithBalancer(deployment(1, 0), Config{}, 1)
 	require.NoError(t, err)
-	require.Error(t, g.SetConfig(bad))
-	require.Equal(t, DefaultConfig(), g.config)
+	require.Error(t, c.SetConfig(bad))
+	require.Equal(t, DefaultConfig(), c.config)
 	_, err = New(balancer.Settings{}, Config{}, nil, 1)
 	require.Error(t, err)
 }
--- /dev/null
+++ b/internal/overload/decay.go
@@ -0,0 +1,58 @@
+package overload
+
+import (
+	"math"
+	"time"
+)
+
+// decayingSum is a sum that loses half of its weight in each half-life. It must not be updated backwards in
+// time: an earlier time than the last one leaves it as it is.
+type decayingSum struct {
+	halfLife  time.Duration
+	updatedAt time.Duration
+	weight    float64
+}
+
+// decay brings the weight up to date, and returns the factor by which it shrank.
+func (s *decayingSum) decay(now time.Duration) float64 {
+	if now <= s.updatedAt {
+		return 1
+	}
+	factor := math.Exp2(-float64(now-s.updatedAt) / float64(s.halfLife))
+	s.updatedAt = now
+	s.weight *= factor
+	return factor
+}
+
+func (s *decayingSum) add(now time.Duration, n float64) {
+	s.decay(now)
+	s.weight += n
+}
+
+// perSecond is the rate that the weight stands for.
+func (s *decayingSum) perSecond(now time.Duration) float64 {
+	s.decay(now)
+	return s.weight * math.Ln2 / s.halfLife.Seconds()
+}
+
+// trackMean makes the weight a decaying mean of the values that it is given.
+func (s *decayingSum) trackMean(now time.Duration, value float64) {
+	factor := s.decay(now)
+	s.weight += value * (1 - factor)
+}
+
+// meanCount is the decaying mean of a count that changes in steps.
+type meanCount struct {
+	decayingSum
+	count int
+}
+
+func (m *meanCount) changeBy(now time.Duration, n int) {
+	m.mean(now)
+	m.count += n
+}
+
+func (m *meanCount) mean(now time.Duration) float64 {
+	m.trackMean(now, float64(m.count))
+	return m.weight
+}
--- /dev/null
+++ b/internal/overload/fairness.go
@@ -0,0 +1,104 @@
+package overload
+
+import (
+	"cmp"
+	"math"
+	"slices"
+	"time"
+
+	farm "github.com/dgryski/go-farm"
+
+	"dunestep/internal/balancer"
+)
+
+// fairnessOrder is the order in which requests are admitted when not all can be: first by tier, then by the
+// rank of the key. A tier is made up of, most important first: within or beyond the tenant's quota, the
+// class's priority weight, and whether the client kept to its Retry-After. The same keys come first at every
+// agent, so that what is admitted finds warm caches, and with time every key has its turn.
+type fairnessOrder struct {
+	classIndex map[string]int // in the settings, by name
+	classRank  []int          // by index: 0 is the class with the highest priority weight
+	offered    []decayingSum  // requests that came of late, by tier
+}
+
+const offeredHalfLife = 2 * time.Second
+
+// standing is what counts for a request's tier beside its class.
+type standing struct {
+	overQuota bool // beyond its tenant's quota
+	heedless  bool // came back before its Retry-After was over, or was rejected several times already
+}
+
+func newFairnessOrder(classes []balancer.Class) fairnessOrder {
+	f := fairnessOrder{classIndex: map[string]int{}, classRank: make([]int, len(classes))}
+	byPriority := make([]int, len(classes))
+	for i, class := range classes {
+		f.classIndex[class.Name], byPriority[i] = i, i
+	}
+	slices.SortStableFunc(byPriority, func(p, q int) int {
+		return cmp.Compare(classes[q].PriorityWeight, classes[p].PriorityWeight)
+	})
+	for rank, index := range byPriority {
+		f.classRank[index] = rank
+	}
+	f.offered = make([]decayingSum, 4*len(classes))
+	for i := range f.offered {
+		f.offered[i].halfLife = offeredHalfLife
+	}
+	return f
+}
+
+// tier is the tier of a request; a class that is not known counts as the one with the lowest priority.
+func (f *fairnessOrder) tier(class string, s standing) int {
+	rank := len(f.classRank) - 1
+	if i, known := f.classIndex[class]; known {
+		rank = f.classRank[i]
+	}
+	tier := 2 * rank
+	if s.heedless {
+		tier++
+	}
+	if s.overQuota {
+		tier += 2 * len(f.classRank)
+	}
+	return tier
+}
+
+// add counts a request that came.
+func (f *fairnessOrder) add(now time.Duration, tier int) { f.offered[tier].add(now, 1) }
+
+// fractionBefore is the fraction of all requests of late that come before a request of the tier, from 0 to 1.
+// The rank, from 0 to 1, is its place within the tier.
+func (f *fairnessOrder) fractionBefore(now time.Duration, tier int, rank float64) float64 {
+	before, all := 0.0, 0.0
+	for i := range f.offered {
+		f.offered[i].decay(now)
+		all += f.offered[i].weight
+		if i < tier {
+			before += f.offered[i].weight
+		}
+	}
+	if all == 0 {
+		return 0
+	}
+	return (before + rank*f.offered[tier].weight) / all
+}
+
+// fairnessRank is a request's place within its tier, from 0 to 1: by its key, at random where it has none.
+func (c *Controller) fairnessRank(e *balancer.Request) float64 {
+	if e.Key == "" {
+		return c.rng.Float64()
+	}
+	return keyRank(e.Key, c.now, c.config.FairnessRotation)
+}
+
+// rankSpread scatters hashes, as the ring's points are of the same hash: without it, keys of one server would
+// have neighbouring ranks.
+const rankSpread = 0x9E3779B1
+
+// keyRank is a key's rank, from 0 to 1, which moves on evenly once round in each rotation.
+func keyRank(key string, now, rotation time.Duration) float64 {
+	spread := farm.Fingerprint32([]byte(key)) * rankSpread
+	rank := float64(spread)/(1<<32) + float64(now%rotation)/float64(rotation)
+	return rank - math.Floor(rank)
+}
--- /dev/null
+++ b/internal/overload/peers.go
@@ -0,0 +1,103 @@
+package overload
+
+import (
+	"time"
+
+	"dunestep/internal/balancer"
+)
+
+const (
+	peerEvidenceValidFor = 400 * time.Millisecond
+	maxPeerEvidence      = 16 // agents whose evidence is kept
+	peersPerMessage      = 8  // agents that a message goes to
+	evidenceInterval     = 150 * time.Millisecond
+	maxLateStart         = 200 * time.Millisecond // an announced start that is longer past is passed over
+	maxEarlyStart        = time.Second            // the same for one that is further ahead
+)
+
+// peerEvidence is the latest evidence of another agent; receivedAt zero: none.
+type peerEvidence struct {
+	from              int
+	logFactor, weight float64
+	receivedAt        time.Duration
+}
+
+func (p *peerEvidence) isFresh(now time.Duration) bool {
+	return p.receivedAt > 0 && now-p.receivedAt < peerEvidenceValidFor
+}
+
+// hearsNoPeer tells whether no other agent was heard of late.
+func (e *episode) hearsNoPeer(now time.Duration) bool {
+	for i := range e.peers {
+		if e.peers[i].isFresh(now) {
+			return false
+		}
+	}
+	return true
+}
+
+// recordPeer keeps an agent's evidence, in place of its last one or of the oldest.
+func (e *episode) recordPeer(now time.Duration, from int, m message) {
+	place := &e.peers[0]
+	for i := range e.peers {
+		p := &e.peers[i]
+		if p.receivedAt > 0 && p.from == from {
+			place = p
+			break
+		}
+		if p.receivedAt < place.receivedAt {
+			place = p
+		}
+	}
+	*place = peerEvidence{from: from, logFactor: m.logFactor, weight: m.weight, receivedAt: now}
+}
+
+// sendToPeers sends other agents this one's evidence: a few of a large fleet at a time, drawn at random.
+func (c *Controller) sendToPeers(kind messageKind) {
+	others := c.settings.Balancers - 1
+	if !c.settings.Limits.Gossip || others < 1 {
+		return
+	}
+	e := &c.episode
+	e.sentAt = c.now
+	m := message{kind: kind, logFactor: e.own.logSum / max(e.own.weight, 1e-9), weight: e.own.weight}
+	if kind == messageShedding {
+		m.startsAt = e.sheddingFrom
+	}
+	data := m.encode()
+	first := c.rng.IntN(others)
+	for i := range min(peersPerMessage, others) {
+		peer := (c.settings.Self + 1 + (first+i)%others) % c.settings.Balancers
+		c.actions = append(c.actions, balancer.Action{Kind: balancer.SendToPeer, Peer: peer, Data: data})
+	}
+}
+
+// onPeerMessage takes in another agent's message; a malformed one is dropped. Shedding that it announces is
+// joined where this agent's own responses support it; during shedding, a later start extends it, once.
+func (c *Controller) onPeerMessage(from int, data []byte) {
+	m, ok := decodeMessage(data)
+	if !ok || from < 0 || from >= c.settings.Balancers || from == c.settings.Self {
+		return
+	}
+	e := &c.episode
+	if e.recordPeer(c.now, from, m); c.config.Disabled {
+		return
+	}
+	if m.kind == messageServedAgain && c.outage.phase == phaseOutage {
+		c.outage.trialTokens = max(c.outage.trialTokens, 1) // worth a trial at once,
+		c.outage.lastSentAt = 0                             // by what the balancer sees anew
+	}
+	if e.own.weight >= minSparseWeight && c.now >= e.sentAt+evidenceInterval {
+		c.sendToPeers(messageEvidence) // that service is as usual here counts too
+	}
+	if m.kind != messageShedding || m.startsAt <= c.now-maxLateStart || m.startsAt >= c.now+maxEarlyStart {
+		return
+	}
+	if e.isShedding && !e.isExtended && m.startsAt > e.sheddingFrom+episodeOverAfter && e.supports(c.now) {
+		e.isExtended, e.sheddingUntil = true, m.startsAt+c.config.MaxShedding
+	}
+	if !e.isShedding {
+		e.announcedStart = m.startsAt
+		c.joinShedding()
+	}
+}
--- /dev/null
+++ b/internal/overload/retrystorm.go
@@ -0,0 +1,85 @@
+package overload
+
+import "time"
+
+const (
+	retryRateHalfLife       = time.Second
+	stormRetryRatio         = 1.0 // retries for each first attempt: from more on it is a storm
+	stormForwardedFraction  = 0.5 // of what comes: where less is forwarded it is a storm
+	stormConfirmedAfter     = time.Second
+	normalRetryRatio        = 0.5
+	normalForwardedFraction = 0.8
+	normalConfirmedAfter    = 2 * time.Second
+	stormGrowthFactor       = 2.0 // times the retries that were logged last: logged again
+)
+
+const retryStormText = "retry storm%s: %.0f retries a second to %.0f first attempts, " +
+	"%.0f%% of requests are forwarded"
+
+// retryStorm notices that more client retries than first attempts come while most find no capacity; a peak of
+// first attempts is none. While it lasts, heedless clients are rejected at once, before others wait for them.
+type retryStorm struct {
+	firstAttempts, retries decayingSum
+	changingSince          time.Duration // since when it looks otherwise than it is; zero: it does not
+	isActive               bool
+	startedAt              time.Duration
+	loggedRate             float64 // retries a second, when last logged
+	rejectedCount          int
+}
+
+func newRetryStorm() retryStorm {
+	sum := decayingSum{halfLife: retryRateHalfLife}
+	return retryStorm{firstAttempts: sum, retries: sum}
+}
+
+// recordArrival counts a request.
+func (r *retryStorm) recordArrival(now time.Duration, kind arrivalKind) {
+	if kind == clientRetry {
+		r.retries.add(now, 1)
+	} else {
+		r.firstAttempts.add(now, 1)
+	}
+}
+
+// rejectsHeedless tells whether a heedless client is rejected at once: in a retry storm, unless an outage
+// decides or nearly everything is forwarded.
+func (c *Controller) rejectsHeedless(s standing) bool {
+	r := &c.retryStorm
+	if !r.isActive || !s.heedless || c.outage.phase != phaseNormal ||
+		c.forwardedFraction() >= maxForwardedFraction {
+		return false
+	}
+	r.rejectedCount++
+	return true
+}
+
+// updateRetryStorm begins and ends a retry storm once what it goes by has stood for a while.
+func (c *Controller) updateRetryStorm() {
+	r := &c.retryStorm
+	first, retries := r.firstAttempts.perSecond(c.now), r.retries.perSecond(c.now)
+	forwarded := c.forwardedFraction()
+	changes := retries > stormRetryRatio*first && retries >= 1 && forwarded < stormForwardedFraction &&
+		c.outage.phase == phaseNormal
+	confirmedAfter := stormConfirmedAfter
+	if r.isActive {
+		changes = retries < normalRetryRatio*first || forwarded > normalForwardedFraction
+		confirmedAfter = normalConfirmedAfter
+	}
+	switch {
+	case !changes:
+		r.changingSince = 0
+	case r.changingSince == 0:
+		r.changingSince = c.now
+	case c.now-r.changingSince >= confirmedAfter && r.isActive:
+		r.isActive, r.changingSince = false, 0
+		c.logf("retry storm over after %v, %d requests were rejected at once",
+			(c.now - r.startedAt).Round(time.Millisecond), r.rejectedCount)
+	case c.now-r.changingSince >= confirmedAfter:
+		r.isActive, r.changingSince, r.startedAt, r.rejectedCount, r.loggedRate = true, 0, c.now, 0, retries
+		c.logf(retryStormText, "", retries, first, 100*forwarded)
+	}
+	if r.isActive && retries > stormGrowthFactor*r.loggedRate {
+		r.loggedRate = retries
+		c.logf(retryStormText, " grows", retries, first, 100*forwarded)
+	}
+}
