--- a/internal/balancer/outlier/health_test.go
+++ b/internal/balancer/outlier/detector_test.go
@@ -18,52 +18,60 @@
 	limit = 500 * ms
 )
 
-// counting is how servers were judged before this package: failures one after another, a lost connection counting
-// one and a half, and the majority of a round. It stands beside the detector in the table.
+// counting is a simple detector for comparison: failures one after another, a lost connection counting one and a half,
+// and the majority of a round.
 type counting struct {
 	failures     float64
 	lastServed   time.Duration
 	sent, failed int
-	down         bool
+	isEjected    bool
 }
 
-func (c *counting) end(now, at time.Duration, end Outcome) (changed bool) {
+func (c *counting) end(now, at time.Duration, end Outcome) (hasChanged bool) {
 	c.sent++
 	if end == Answered {
 		c.lastServed, c.failures = now, 0
-		changed, c.down = c.down, false
-		return changed
+		hasChanged, c.isEjected = c.isEjected, false
+		return hasChanged
 	}
 	c.failed++
 	if c.failures++; end == ConnectionLost || end == NotSent {
 		c.failures += 0.5
 	}
-	if !c.down && c.failures >= 3 && c.lastServed <= at {
-		c.down = true
+	if !c.isEjected && c.failures >= 3 && c.lastServed <= at {
+		c.isEjected = true
 		return true
 	}
 	return false
 }
 
-func (c *counting) round(now time.Duration) (changed bool) {
-	changed = !c.down && 2*c.failed > c.sent && c.failed > 1 && c.lastServed < now-time.Second/2
-	c.down = c.down || changed
+func (c *counting) round(now time.Duration) (hasChanged bool) {
+	hasChanged = !c.isEjected && 2*c.failed > c.sent && c.failed > 1 && c.lastServed < now-time.Second/2
+	c.isEjected = c.isEjected || hasChanged
 	c.sent, c.failed = 0, 0
-	return changed
+	return hasChanged
 }
 
-// stream is one agent's evidence of 13 servers, each met at a rate, where a share of the attempts is reset
-// whatever the server. From trouble on, the first server's attempts end as bad says.
+// stream is one agent's evidence of 13 servers, each met at a rate, where a fraction of the attempts is reset whatever the
+// server. From faultAt on, the first server's attempts end as bad says.
 type stream struct {
 	rate, noise float64
-	trouble     time.Duration
+	faultAt     time.Duration
 	bad         func(rng *rand.Rand) (Outcome, time.Duration)
 	silent      bool
 }
 
-// play returns the swings of healthy servers from well to down, and after how many attempts and how long the
-// troubled one was taken down, by the detector or by the counting of before.
-func (st stream) play(seed uint64, long time.Duration, old bool) (falseDowns, tries int, took time.Duration) {
+// judge is which of the two judges a stream.
+type judge uint8
+
+const (
+	byDetector judge = iota
+	byCounting
+)
+
+// play returns how often healthy servers were ejected, and after how many attempts and how long the faulty one was, by the
+// detector or by counting.
+func (st stream) play(seed uint64, duration time.Duration, by judge) (falseEjections, tries int, took time.Duration) {
 	const servers = 13
 	rng := rand.New(rand.NewPCG(seed, 7))
 	d := New(limit, 1)
@@ -75,35 +83,35 @@
 	}
 	step := time.Duration(float64(time.Second) / st.rate / servers)
 	round := time.Second
-	for now := time.Duration(0); now < long; now += step {
+	for now := time.Duration(0); now < duration; now += step {
 		if now >= round {
 			round += time.Second
 			d.EndRound()
 			for i, s := range records {
-				downs := d.Reevaluate(now, s) == ServerEjected
-				if old {
-					downs = counts[i].round(now)
+				ejects := d.Reevaluate(now, s) == ServerEjected
+				if by == byCounting {
+					ejects = counts[i].round(now)
 				}
-				if downs && (i > 0 || now < st.trouble) {
-					falseDowns++
+				if ejects && (i > 0 || now < st.faultAt) {
+					falseEjections++
 				}
 			}
 		}
 		i := rng.IntN(servers)
 		s, c := records[i], &counts[i]
-		troubled := i == 0 && st.bad != nil && now >= st.trouble
-		down := s.isEjected
-		if old {
-			down = c.down
+		isFaulty := i == 0 && st.bad != nil && now >= st.faultAt
+		isEjected := s.isEjected
+		if by == byCounting {
+			isEjected = c.isEjected
 		}
-		if down && (troubled || rng.Float64() > 0.05) {
-			if troubled {
-				return falseDowns, tries, now - st.trouble
+		if isEjected && (isFaulty || rng.Float64() > 0.05) {
+			if isFaulty {
+				return falseEjections, tries, now - st.faultAt
 			}
-			continue // it gets trials only
+			continue // it gets probes only
 		}
-		if troubled && st.silent && now < st.trouble+limit {
-			continue // nothing ends before its time is up
+		if isFaulty && st.silent && now < st.faultAt+limit {
+			continue // nothing ends before it times out
 		}
 		end, lasted := Answered, time.Duration(rng.ExpFloat64()*float64(60*ms))+5*ms
 		if rng.Float64() < st.noise {
@@ -111,26 +119,26 @@
 		} else if lasted > limit {
 			end, lasted = TimedOut, limit
 		}
-		if troubled {
+		if isFaulty {
 			tries++
 			if e, l := st.bad(rng); e != Answered {
 				end, lasted = e, l
 			}
 		}
-		if !old {
+		if by == byDetector {
 			a := Attempt{StartedAt: now - lasted, timeout: 0.5}
-			if ch := d.AttemptEnded(now, s, a, end, lasted, &Evidence{}); ch == ServerEjected && !troubled {
-				falseDowns++
+			if ch := d.AttemptEnded(now, s, a, end, lasted, &Evidence{}); ch == ServerEjected && !isFaulty {
+				falseEjections++
 			}
-		} else if c.end(now, now-lasted, end) && c.down && !troubled {
-			falseDowns++
+		} else if c.end(now, now-lasted, end) && c.isEjected && !isFaulty {
+			falseEjections++
 		}
 	}
-	return falseDowns, tries, long
+	return falseEjections, tries, duration
 }
 
-// The table of the design note: false downs for each server and hour, and how soon a server in trouble is found,
-// by the counting of before and by the detector. -v prints it.
+// TestTableOfEvidence: false ejections for each server and hour, and how soon a faulty server is found, by counting and by
+// the detector. -v prints the table.
 func TestTableOfEvidence(t *testing.T) {
 	silence := func(*rand.Rand) (Outcome, time.Duration) { return TimedOut, limit }
 	refusal := func(*rand.Rand) (Outcome, time.Duration) { return NotSent, ms }
@@ -144,24 +152,24 @@
 	for _, rate := range []float64{3, 30, 300} {
 		for _, noise := range []float64{0, 0.02, 0.08, 0.2} {
 			row := fmt.Sprintf("%3.0f/s %2.0f%%:", rate, 100*noise)
-			for _, old := range []bool{true, false} {
-				long := hours[rate]
-				downs, _, _ := stream{rate: rate, noise: noise}.play(1, long, old)
-				perHour := float64(downs) / (13 * long.Hours())
+			for _, by := range []judge{byCounting, byDetector} {
+				duration := hours[rate]
+				ejections, _, _ := stream{rate: rate, noise: noise}.play(1, duration, by)
+				perHour := float64(ejections) / (13 * duration.Hours())
 				row += fmt.Sprintf("  %8.2f false", perHour)
-				if !old && noise <= 0.08 {
-					assert.LessOrEqual(t, perHour, 1.0, "%s false downs", row)
+				if by == byDetector && noise <= 0.08 {
+					assert.LessOrEqual(t, perHour, 1.0, "%s false ejections", row)
 				}
 				for i, bad := range []func(*rand.Rand) (Outcome, time.Duration){silence, refusal, third} {
 					name := []string{"silent", "refuses", "36%"}[i]
 					worst, sum, seconds := 0, 0, 0.0
 					for seed := range uint64(20) {
-						_, tries, took := stream{rate, noise, 20 * time.Second, bad, name == "silent"}.play(seed, 15*time.Minute, old)
+						_, tries, took := stream{rate, noise, 20 * time.Second, bad, name == "silent"}.play(seed, 15*time.Minute, by)
 						worst, sum, seconds = max(worst, tries), sum+tries, seconds+took.Seconds()
 					}
 					row += fmt.Sprintf(", %s %.1f tries %.2f s", name, float64(sum)/20, seconds/20)
 					switch {
-					case old:
+					case by == byCounting:
 					case name == "silent":
 						assert.LessOrEqual(t, worst, 3, "%s: unanswered", row)
 					case name == "refuses":
@@ -176,60 +184,60 @@
 	}
 }
 
-// A fleet of servers with three cores each and one agent that sends to those not down, at random: evidence with
-// queues, for the hard cases.
-type fleet struct {
+// fleetSimulation is a fleet of servers with three cores each and one agent that sends to those not ejected, at random:
+// evidence with queues, for the hard cases.
+type fleetSimulation struct {
 	d       *Detector
 	rng     *rand.Rand
 	now     time.Duration
-	servers []*place
-	pending ends
-	rate    float64 // steps a second
+	servers []*simulatedServer
+	pending endHeap
+	rate    float64 // attempts a second
 	noise   float64
-	swings  map[*place]int
+	ejected map[*simulatedServer]int // how often
 }
 
-type place struct {
+type simulatedServer struct {
 	*Server
-	free   [3]time.Duration
-	speed  float64
-	fails  float64
-	silent func(at time.Duration, class int) bool
-	refuse func(at time.Duration) bool
+	free    [3]time.Duration
+	speed   float64
+	fails   float64
+	silent  func(at time.Duration, class int) bool
+	refuses func(at time.Duration) bool
 }
 
-type outcome struct {
+type pendingEnd struct {
 	at    time.Duration
-	to    *place
+	to    *simulatedServer
 	noted Attempt
 	end   Outcome
 	ev    Evidence
 }
 
-type ends []outcome
+type endHeap []pendingEnd
 
-func (e ends) Len() int           { return len(e) }
-func (e ends) Less(i, j int) bool { return e[i].at < e[j].at }
-func (e ends) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-func (e *ends) Push(x any)        { *e = append(*e, x.(outcome)) }
-func (e *ends) Pop() any {
+func (e endHeap) Len() int           { return len(e) }
+func (e endHeap) Less(i, j int) bool { return e[i].at < e[j].at }
+func (e endHeap) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
+func (e *endHeap) Push(x any)        { *e = append(*e, x.(pendingEnd)) }
+func (e *endHeap) Pop() any {
 	x := (*e)[len(*e)-1]
 	*e = (*e)[:len(*e)-1]
 	return x
 }
 
-func newFleet(n int, rate float64) *fleet {
-	f := &fleet{d: New(limit, 2), rng: rand.New(rand.NewPCG(3, 4)), rate: rate, swings: map[*place]int{}}
+func newFleetSimulation(n int, rate float64) *fleetSimulation {
+	f := &fleetSimulation{d: New(limit, 2), rng: rand.New(rand.NewPCG(3, 4)), rate: rate, ejected: map[*simulatedServer]int{}}
 	for range n {
-		p := &place{Server: f.d.AddServer(), speed: 1}
+		p := &simulatedServer{Server: f.d.AddServer(), speed: 1}
 		f.d.SetPlacement(p.Server, true, false)
 		f.servers = append(f.servers, p)
 	}
 	return f
 }
 
-// send makes a step to a server that is not down, or now and then to any.
-func (f *fleet) send() {
+// send makes an attempt at a server that is not ejected, or now and then at any.
+func (f *fleetSimulation) send() {
 	class := f.rng.IntN(4) / 3
 	p := f.servers[f.rng.IntN(len(f.servers))]
 	for range 50 {
@@ -238,7 +246,7 @@
 		}
 		p = f.servers[f.rng.IntN(len(f.servers))]
 	}
-	o := outcome{to: p, noted: f.d.AttemptStarted(f.now, p.Server, class, limit)}
+	o := pendingEnd{to: p, noted: f.d.AttemptStarted(f.now, p.Server, class, limit)}
 	core := &p.free[0]
 	for i := range p.free {
 		if p.free[i] < *core {
@@ -248,7 +256,7 @@
 	done := max(f.now, *core) + time.Duration((0.3+0.7*f.rng.ExpFloat64())*100/p.speed*float64(ms))
 	o.at, o.end = done, Answered
 	switch {
-	case p.refuse != nil && p.refuse(f.now):
+	case p.refuses != nil && p.refuses(f.now):
 		o.at, o.end, o.ev = f.now+ms, NotSent, Evidence{Phase: PhaseConnecting, ConnectionRefused: true}
 	case p.silent != nil && (p.silent(f.now, class) || p.silent(done, class)):
 		o.at, o.end, o.ev = f.now+limit, TimedOut, Evidence{Phase: PhaseAwaiting}
@@ -265,18 +273,18 @@
 	heap.Push(&f.pending, o)
 }
 
-// until plays on, and calls each before every round.
-func (f *fleet) until(end time.Duration, each func()) {
+// until goes on until a time, and calls each before every round.
+func (f *fleetSimulation) until(end time.Duration, each func()) {
 	for f.now < end {
 		next := f.now + time.Duration(f.rng.ExpFloat64()/f.rate*float64(time.Second))
 		for len(f.pending) > 0 && f.pending[0].at <= next {
-			o := heap.Pop(&f.pending).(outcome)
-			f.turn(o.at)
+			o := heap.Pop(&f.pending).(pendingEnd)
+			f.endRound(o.at)
 			if ch := f.d.AttemptEnded(o.at, o.to.Server, o.noted, o.end, o.at-o.noted.StartedAt, &o.ev); ch == ServerEjected {
-				f.swings[o.to]++
+				f.ejected[o.to]++
 			}
 		}
-		if f.turn(next); int(f.now/time.Second) != int(next/time.Second) && each != nil {
+		if f.endRound(next); int(f.now/time.Second) != int(next/time.Second) && each != nil {
 			each()
 		}
 		f.now = next
@@ -284,21 +292,23 @@
 	}
 }
 
-// turn ends a round where a second is over.
-func (f *fleet) turn(now time.Duration) {
+// endRound ends a round where a second is over.
+func (f *fleetSimulation) endRound(now time.Duration) {
 	if int(now/time.Second) >= f.d.round {
 		f.d.EndRound()
 		for _, p := range f.servers {
 			if f.d.Reevaluate(now, p.Server) == ServerEjected {
-				f.swings[p]++
+				f.ejected[p]++
 			}
 		}
 	}
 }
 
-func (f *fleet) downs() (n int) {
+func (f *fleetSimulation) countEjected() (n int) {
 	for _, p := range f.servers {
-		n += countTrue(p.isEjected)
+		if p.isEjected {
+			n++
+		}
 	}
 	return n
 }
@@ -307,57 +317,61 @@
 	return func(at time.Duration, _ int) bool { return at >= from && at < to }
 }
 
-func TestNoiseTakesNoneDown(t *testing.T) {
+// TestNoiseEjectsNone: random resets everywhere are no server's fault.
+func TestNoiseEjectsNone(t *testing.T) {
 	for _, noise := range []float64{0.08, 0.2} {
-		f := newFleet(12, 200)
+		f := newFleetSimulation(12, 200)
 		f.noise = noise
 		f.until(time.Minute, nil)
-		assert.LessOrEqual(t, len(f.swings), 1, "noise %.2f", noise) // it begins at once, when nothing is usual yet
+		assert.LessOrEqual(t, len(f.ejected), 1, "noise %.2f", noise) // the noise begins at once, when nothing is usual yet
 	}
 }
 
-// 3 of 15 hang while the fleet is at three quarters: those three are down soon, and the load that the others
-// take over takes none of them down for longer than a trial takes.
+// TestFewHangUnderLoad: 3 of 15 hang while the fleet is at three quarters: those three are ejected soon, and the load that
+// the others take over has none of them ejected for longer than a probe takes.
 func TestFewHangUnderLoad(t *testing.T) {
-	f := newFleet(15, 0.75*15*3*10)
+	f := newFleetSimulation(15, 0.75*15*3*10)
 	for _, p := range f.servers[:3] {
 		p.silent = between(10*time.Second, 30*time.Second)
 	}
 	f.until(10*time.Second, nil)
-	require.Zero(t, f.downs())
+	require.Zero(t, f.countEjected())
 	f.until(11500*ms, nil)
 	for _, p := range f.servers[:3] {
 		assert.True(t, p.isEjected)
 	}
 	worst, sum := 0, 0
-	f.until(30*time.Second, func() { worst, sum = max(worst, f.downs()), sum+f.downs() })
-	assert.LessOrEqual(t, worst, 7) // of 15: with no shedding of load here the others are full, some of them late
+	f.until(30*time.Second, func() { worst, sum = max(worst, f.countEjected()), sum+f.countEjected() })
+	assert.LessOrEqual(t, worst, 7) // of 15: without load shedding the others are saturated, some of them late
 	assert.LessOrEqual(t, sum, 19*5, "on the mean, two beside those that hang")
 	f.until(33*time.Second, nil)
-	assert.LessOrEqual(t, f.downs(), 1)
+	assert.LessOrEqual(t, f.countEjected(), 1)
 }
 
+// TestSlowIsNotDead: a server at a third of the speed is not ejected.
 func TestSlowIsNotDead(t *testing.T) {
-	f := newFleet(13, 13*4)
+	f := newFleetSimulation(13, 13*4)
 	f.servers[0].speed = 1.0 / 3
 	f.until(time.Minute, nil)
-	assert.Zero(t, f.swings[f.servers[0]])
+	assert.Zero(t, f.ejected[f.servers[0]])
 }
 
-func TestPartTroubleIsFoundAndEnds(t *testing.T) {
-	f := newFleet(13, 13*15)
+// TestPartialFailureIsFoundAndEnds: a server that fails a third of its attempts is ejected until it does not.
+func TestPartialFailureIsFoundAndEnds(t *testing.T) {
+	f := newFleetSimulation(13, 13*15)
 	f.until(10*time.Second, nil)
 	f.servers[0].fails = 0.36
 	f.until(14*time.Second, nil)
 	require.True(t, f.servers[0].isEjected)
-	assert.Greater(t, f.servers[0].probesRequired, 2, "one served trial proves nothing about two failures in five")
+	assert.Greater(t, f.servers[0].probesRequired, 2, "one served probe proves nothing about two failures in five")
 	f.servers[0].fails = 0
 	f.until(40*time.Second, nil)
 	assert.False(t, f.servers[0].isEjected)
 }
 
+// TestHangsOnOneClass: a server that answers one class only is ejected for the other.
 func TestHangsOnOneClass(t *testing.T) {
-	f := newFleet(13, 13*15)
+	f := newFleetSimulation(13, 13*15)
 	f.servers[0].silent = func(at time.Duration, class int) bool { return class == 1 && at > 10*time.Second }
 	f.until(16*time.Second, nil)
 	assert.Equal(t, Ejected, f.d.Verdict(f.servers[0].Server, 1))
@@ -367,11 +381,12 @@
 	assert.NotEqual(t, Ejected, f.d.Verdict(f.servers[0].Server, 1))
 }
 
-// A zone cut off, and all at once, by an agent that sends little and by one that sends much.
+// TestSilenceOfMany: a zone cut off, and all servers silent at once, by an agent that sends little and by one that sends
+// much.
 func TestSilenceOfMany(t *testing.T) {
 	for _, rate := range []float64{20, 80, 300} {
 		for _, n := range []int{4, 15} {
-			f := newFleet(15, rate)
+			f := newFleetSimulation(15, rate)
 			for _, p := range f.servers[:n] {
 				p.silent = between(20*time.Second, 32*time.Second)
 			}
@@ -380,23 +395,24 @@
 				assert.Contains(t, f.d.DistrustReason(), "silent at once", "rate %v", rate)
 			} else {
 				assert.Empty(t, f.d.DistrustReason())
-				assert.GreaterOrEqual(t, f.downs(), 3, "rate %v", rate)
+				assert.GreaterOrEqual(t, f.countEjected(), 3, "rate %v", rate)
 			}
 			f.until(time.Minute, nil)
 			assert.Empty(t, f.d.DistrustReason())
-			assert.LessOrEqual(t, f.downs(), 1, "%d silent, rate %v: still down long after", n, rate)
+			assert.LessOrEqual(t, f.countEjected(), 1, "%d silent, rate %v: still ejected long after", n, rate)
 		}
 	}
 }
 
-// Servers that say so themselves are out however many they are; the agent's own lack is no server's fault.
+// TestManyRefuse: servers that refuse connections are ejected however many they are; the agent's own shortage is no
+// server's fault.
 func TestManyRefuse(t *testing.T) {
-	f := newFleet(13, 60)
+	f := newFleetSimulation(13, 60)
 	for _, p := range f.servers[:9] {
-		p.refuse = func(at time.Duration) bool { return at > 5*time.Second }
+		p.refuses = func(at time.Duration) bool { return at > 5*time.Second }
 	}
 	f.until(10*time.Second, nil)
-	assert.Equal(t, 9, f.downs())
+	assert.Equal(t, 9, f.countEjected())
 	assert.Empty(t, f.d.DistrustReason())
 
 	d := New(limit, 1)
@@ -408,11 +424,11 @@
 	assert.Equal(t, Healthy, d.Verdict(s, 0))
 }
 
-// Dies, comes back and dies; then restarts at its address: the evidence of the last process is forgotten.
-func TestDiesComesBackAndDies(t *testing.T) {
-	f := newFleet(13, 13*10)
+// TestServerThatFailsTwiceAndRestarts: when a server restarts at its address, the evidence of the last process is dropped.
+func TestServerThatFailsTwiceAndRestarts(t *testing.T) {
+	f := newFleetSimulation(13, 13*10)
 	p := f.servers[0]
-	p.refuse = func(at time.Duration) bool { return at > 5*time.Second && at < 9*time.Second || at > 20*time.Second }
+	p.refuses = func(at time.Duration) bool { return at > 5*time.Second && at < 9*time.Second || at > 20*time.Second }
 	f.until(6*time.Second, nil)
 	require.True(t, p.isEjected)
 	assert.Contains(t, p.Reason(), "refused")
@@ -421,14 +437,15 @@
 	f.until(21*time.Second, nil)
 	require.True(t, p.isEjected)
 	f.d.ServerRestarted(p.Server)
-	p.refuse = nil
+	p.refuses = nil
 	a := f.d.AttemptStarted(f.now, p.Server, 0, limit)
-	f.turn(f.now + 2*time.Second)
+	f.endRound(f.now + 2*time.Second)
 	assert.Equal(t, ServerReadmitted, f.d.AttemptEnded(f.now+2*time.Second, p.Server, a, Answered, 20*ms, &Evidence{}))
 	assert.Zero(t, p.deadEvidence)
 }
 
-func TestTurnedAwayIsNotNow(t *testing.T) {
+// TestRejectingServerIsAvoided: a server that rejects is avoided, longer each time, and not ejected.
+func TestRejectingServerIsAvoided(t *testing.T) {
 	d := New(limit, 1)
 	s, other := d.AddServer(), d.AddServer()
 	now := time.Second
@@ -436,17 +453,17 @@
 		d.AttemptEnded(now, s, d.AttemptStarted(now, s, 0, limit), e, ms, &Evidence{})
 	}
 	end(s, Rejected)
-	assert.False(t, s.IsAvoided(now), "once is nothing")
+	assert.False(t, s.IsAvoided(now), "one rejection is nothing")
 	end(s, Rejected)
 	require.True(t, s.IsAvoided(now))
-	assert.Equal(t, Healthy, d.Verdict(s, 0), "it is not dead")
+	assert.Equal(t, Healthy, d.Verdict(s, 0), "it is not ejected")
 	for _, hold := range []time.Duration{200 * ms, 400 * ms, 800 * ms, 1600 * ms, 2 * time.Second, 2 * time.Second} {
 		assert.True(t, s.IsAvoided(now+hold-1))
 		require.False(t, s.IsAvoided(now+hold))
 		now += hold
-		trial := d.AttemptStarted(now, s, 0, limit)
-		assert.True(t, s.IsAvoided(now), "while the trial is out")
-		d.AttemptEnded(now, s, trial, Rejected, ms, &Evidence{})
+		probe := d.AttemptStarted(now, s, 0, limit)
+		assert.True(t, s.IsAvoided(now), "while the probe is in flight")
+		d.AttemptEnded(now, s, probe, Rejected, ms, &Evidence{})
 	}
 	now += 2 * time.Second
 	for range 8 {
@@ -457,10 +474,10 @@
 	assert.False(t, other.IsAvoided(now))
 }
 
-// Every cause is weighed apart: how many in a row take a server down at a quiet time.
+// TestCausesWeighDifferently: how many failures of a cause in a row eject a server at a quiet time.
 func TestCausesWeighDifferently(t *testing.T) {
 	idle := Evidence{Phase: PhaseAwaiting, ConnectionReused: true, IdleFor: 3 * time.Second}
-	for _, c := range []struct {
+	for _, tt := range []struct {
 		name   string
 		end    Outcome
 		ev     Evidence
@@ -468,10 +485,10 @@
 	}{
 		{"refused", NotSent, Evidence{Phase: PhaseConnecting, ConnectionRefused: true}, 2},
 		{"a connect that never comes up", NotSent, Evidence{Phase: PhaseConnecting}, 3},
-		{"reset in the answer", ConnectionLost, Evidence{Phase: PhaseAnswering, ConnectionReused: true, IdleFor: time.Second}, 3},
-		{"reset after standing idle", ConnectionLost, idle, 12},
+		{"reset in the response", ConnectionLost, Evidence{Phase: PhaseAnswering, ConnectionReused: true, IdleFor: time.Second}, 3},
+		{"reset after being idle", ConnectionLost, idle, 12},
 		{"an error", ServerError, Evidence{Phase: PhaseAwaiting}, 3},
-		{"spoilt", ServerError, Evidence{Phase: PhaseAnswering}, 3},
+		{"an invalid response", ServerError, Evidence{Phase: PhaseAnswering}, 3},
 		{"silence", TimedOut, Evidence{Phase: PhaseAwaiting}, 3},
 	} {
 		d := New(limit, 1)
@@ -479,14 +496,14 @@
 		d.AttemptEnded(time.Second, s, d.AttemptStarted(time.Second-50*ms, s, 0, limit), Answered, 50*ms, &Evidence{})
 		n, now := 0, 2*time.Second
 		for ; !s.isEjected && n < 50; n++ {
-			d.AttemptEnded(now+limit, s, d.AttemptStarted(now, s, 0, limit), c.end, limit, &c.ev)
+			d.AttemptEnded(now+limit, s, d.AttemptStarted(now, s, 0, limit), tt.end, limit, &tt.ev)
 			now += limit
 		}
-		assert.Equal(t, c.needed, n, c.name)
+		assert.Equal(t, tt.needed, n, tt.name)
 	}
 }
 
-// history is a random run of ends, rounds and waits over a few servers.
+// history is a random run of attempts, rounds and waits over a few servers.
 func history(t *rapid.T, d *Detector, servers []*Server, each func(*Server, Change)) time.Duration {
 	now := time.Second
 	for range rapid.IntRange(0, 300).Draw(t, "events") {
@@ -517,16 +534,16 @@
 }
 
 func TestProperties(t *testing.T) {
-	t.Run("a swing a round at most, and none without evidence", rapid.MakeCheck(func(t *rapid.T) {
+	t.Run("one change a round at most, and none without evidence", rapid.MakeCheck(func(t *rapid.T) {
 		d, servers := few()
-		swung := map[*Server]bool{}
+		changed := map[*Server]bool{}
 		now := history(t, d, servers, func(s *Server, ch Change) {
 			if s == nil {
-				clear(swung)
+				clear(changed)
 			}
 			if ch == ServerEjected || ch == ServerReadmitted {
-				require.False(t, swung[s], "two swings in a round")
-				swung[s] = true
+				require.False(t, changed[s], "two changes in a round")
+				changed[s] = true
 			}
 		})
 		for i := range 20 {
@@ -550,12 +567,12 @@
 			require.False(t, s.partialEvidence[0] < part[0] || s.partialEvidence[1] < part[1])
 		}
 	}))
-	t.Run("what is gone is forgotten", rapid.MakeCheck(func(t *rapid.T) {
+	t.Run("a removed server is dropped", rapid.MakeCheck(func(t *rapid.T) {
 		d, servers := few()
 		now := history(t, d, servers, func(*Server, Change) {})
-		gone, rest := servers[0], servers[1:]
-		late := d.AttemptStarted(now, gone, 0, limit)
-		d.RemoveServer(gone)
+		removed, rest := servers[0], servers[1:]
+		late := d.AttemptStarted(now, removed, 0, limit)
+		d.RemoveServer(removed)
 		var sum decayingCounts
 		for _, s := range rest {
 			sum.total += s.recent.total
@@ -566,7 +583,7 @@
 			copies[i] = *s
 		}
 		fleet := d.fleet
-		require.Equal(t, Unchanged, d.AttemptEnded(now, gone, late, ConnectionLost, ms, &Evidence{}))
+		require.Equal(t, Unchanged, d.AttemptEnded(now, removed, late, ConnectionLost, ms, &Evidence{}))
 		require.Equal(t, fleet, d.fleet)
 		for i, s := range rest {
 			require.True(t, reflect.DeepEqual(copies[i], *s))
--- a/internal/balancer/outlier/evidence.go
+++ b/internal/balancer/outlier/evidence.go
@@ -1,25 +1,19 @@
-// Package outlier tells which booking servers are well, suspect or down, by how attempts at them end.
-//
-// It does no input or output, and knows no clock: every call brings the time. A Detector is told of each
-// attempt's start and end, and judges a server against what is usual over the fleet at the time, cause by
-// cause: what all suffer is no server's fault. The same calls give the same verdicts. A Detector is not safe
-// for concurrent use.
 package outlier
 
 import "time"
 
-// Outcome is how an attempt ended, as its outcome alone tells.
+// Outcome is how an attempt ended, as far as its result alone tells.
 type Outcome uint8
 
-// The ends.
+// The outcomes.
 const (
 	Answered       Outcome = iota
-	ServerError            // the server said that it failed
+	ServerError            // the server said that it failed, or its response was invalid
 	Rejected               // the server would not begin it: never ran
-	TimedOut               // no answer when its time was up
+	TimedOut               // no response in time
 	NotSent                // no connection came up, or it broke before the last byte was written: never ran
 	ConnectionLost         // the connection ended after that
-	NoEvidence             // called off, or never tried: says nothing
+	NoEvidence             // canceled or never tried: says nothing of the server
 )
 
 // Phase is how far an attempt came.
@@ -29,84 +23,92 @@
 const (
 	PhaseUnknown    Phase = iota
 	PhaseConnecting       // no connection came up
-	PhaseWriting          // it was not written whole
-	PhaseAwaiting         // written whole, and nothing of an answer came
-	PhaseAnswering        // within the answer
+	PhaseWriting          // the request was not completely written
+	PhaseAwaiting         // the request was written, and nothing of a response came
+	PhaseAnswering        // within the response
 )
 
-// Evidence is what the transport knows of an attempt beyond its outcome. The zero value says nothing, as the
-// simulator's adapter must.
+// Evidence is what the transport knows of an attempt beyond its outcome. The zero value says nothing, as in
+// the simulator.
 type Evidence struct {
 	Phase             Phase
 	ConnectionReused  bool          // the connection had carried an attempt before
-	IdleFor           time.Duration // for how long it had then stood idle
-	ConnectionRefused bool          // the machine answered that nothing listens there
+	IdleFor           time.Duration // for how long it had been idle then
+	ConnectionRefused bool          // the machine said that nothing listens there
 	LocalShortage     bool          // the agent itself was short of something, such as descriptors
 	ActedLateBy       time.Duration // by how much the agent was late to act when the attempt's time was up
 }
 
-// cause is what an attempt's end is evidence of. The causes are weighed apart.
+// cause is what the end of an attempt is evidence of. Each cause is weighed apart. The order is that of the
+// stored counts by cause: Snapshot.EndsByCause.
 type cause uint8
 
 const (
 	causeConnectionRefused cause = iota // a dead process on a live machine: hardly ever by chance
 	causeConnectTimeout                 // a connect that never came up
-	causeStaleConnection                // a reset of a reused connection that had stood idle: likely the connection's fault
-	causeConnectionReset                // the connection broke on the way or in the answer
+	causeStaleConnection                // a reset of a reused connection that was idle, likely its own fault
+	causeConnectionReset                // the connection broke, before or within the response
 	causeServerError
 	causeInvalidResponse
-	causeNoResponse   // no answer to anything, for longer than its answers take
-	causeLateResponse // no answer in time, by a server that answers others, or answers slowly
+	causeNoResponse   // no response to anything, for longer than its responses take
+	causeLateResponse // no response in time, by a server that answers others, or answers slowly
 	causeRejected
 	causeCount
-	causeNone // no evidence against the server: answered, void, or the agent's own fault
+	causeNone // no evidence against the server: answered, canceled, or the agent's own shortage
 )
 
-// Below these shares nothing is taken for usual, so that the first failures after a quiet hour prove little
-// by themselves: two refused connects, or three failures of another cause, take a server down.
-var minUsualRatio = [causeCount]float64{
-	causeConnectionRefused: 0.0008, causeConnectTimeout: 0.007, causeStaleConnection: 0.3, causeConnectionReset: 0.007,
-	causeServerError: 0.007, causeInvalidResponse: 0.007, causeNoResponse: 0.007, causeLateResponse: 0.02, causeRejected: 0.02,
-}
-
+// causeNames stand in log lines, behind a number of attempts.
 var causeNames = [causeCount]string{
-	causeConnectionRefused: "refused", causeConnectTimeout: "not connected", causeStaleConnection: "lost while idle",
-	causeConnectionReset: "reset", causeServerError: "failed", causeInvalidResponse: "spoilt", causeNoResponse: "unanswered", causeLateResponse: "late",
-	causeRejected: "turned away",
+	causeConnectionRefused: "refused", causeConnectTimeout: "not connected",
+	causeStaleConnection: "lost while idle", causeConnectionReset: "reset", causeServerError: "failed",
+	causeInvalidResponse: "invalid", causeNoResponse: "unanswered", causeLateResponse: "late",
+	causeRejected: "rejected",
 }
 
 const (
-	staleAfterIdle       = 50 * time.Millisecond  // a connection that stood idle for less was surely still alive
-	maxLateness          = 100 * time.Millisecond // an agent that wakes up later than this proves nothing about others
-	quickFailureFraction = 0.25                   // of the wait allowed: a connect that failed sooner was refused
+	staleAfterIdle       = 50 * time.Millisecond  // a connection that was idle for less was surely still alive
+	maxLateness          = 100 * time.Millisecond // an agent that acts later than this learns nothing of servers
+	quickFailureFraction = 0.25                   // of the timeout: a connect that failed sooner was refused
 )
 
-// cause weighs the end of an attempt. Without word from the transport a quick failure to connect is taken for
-// a refused one. Whether a time-out is silence or waiting is for the detector
-// to tell. The times are in seconds.
-func (e *Evidence) cause(end Outcome, took, allowed float64) cause {
-	switch {
-	case e.LocalShortage || e.ActedLateBy > maxLateness:
+// cause finds what the end of an attempt is evidence of. Where the transport says nothing, a quick failure to
+// connect is taken for a refused one. Whether a timeout is causeNoResponse or causeLateResponse is for the
+// detector to tell. The times are in seconds.
+func (e *Evidence) cause(outcome Outcome, took, timeout float64) cause {
+	if e.LocalShortage || e.ActedLateBy > maxLateness {
 		return causeNone
-	case end == ServerError && e.Phase == PhaseAnswering:
-		return causeInvalidResponse
-	case end == ServerError:
+	}
+	switch outcome {
+	case ServerError:
+		if e.Phase == PhaseAnswering {
+			return causeInvalidResponse
+		}
 		return causeServerError
-	case end == Rejected:
+	case Rejected:
 		return causeRejected
-	case end == TimedOut && e.Phase == PhaseConnecting:
-		return causeConnectTimeout
-	case end == TimedOut:
+	case TimedOut:
+		if e.Phase == PhaseConnecting {
+			return causeConnectTimeout
+		}
 		return causeNoResponse
-	case end == NotSent && e.Phase == PhaseWriting || end == ConnectionLost:
-		if e.ConnectionReused && e.IdleFor >= staleAfterIdle && e.Phase != PhaseAnswering {
-			return causeStaleConnection
+	case ConnectionLost:
+		return e.lostConnectionCause()
+	case NotSent:
+		switch {
+		case e.Phase == PhaseWriting:
+			return e.lostConnectionCause()
+		case e.ConnectionRefused || e.Phase == PhaseUnknown && took < quickFailureFraction*timeout:
+			return causeConnectionRefused
 		}
-		return causeConnectionReset
-	case end == NotSent && (e.ConnectionRefused || e.Phase == PhaseUnknown && took < quickFailureFraction*allowed):
-		return causeConnectionRefused
-	case end == NotSent:
 		return causeConnectTimeout
 	}
 	return causeNone
 }
+
+// lostConnectionCause tells a connection that had gone stale from one that broke.
+func (e *Evidence) lostConnectionCause() cause {
+	if e.ConnectionReused && e.IdleFor >= staleAfterIdle && e.Phase != PhaseAnswering {
+		return causeStaleConnection
+	}
+	return causeConnectionReset
+}
--- a/internal/balancer/outlier/golden_test.go
+++ b/internal/balancer/outlier/golden_test.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// TestMemoryGolden: what is kept of a server over a restart has the same CBOR on disk and the same JSON where it
-// is shown.
+// TestMemoryGolden: what is kept of a server over a restart has the same CBOR on disk and the same JSON where
+// it is shown.
 func TestMemoryGolden(t *testing.T) {
 	enc, err := cbor.EncOptions{Sort: cbor.SortCoreDeterministic, ShortestFloat: cbor.ShortestFloat16}.EncMode()
 	require.NoError(t, err)
--- /dev/null
+++ b/internal/balancer/outlier/snapshot.go
@@ -0,0 +1,133 @@
+package outlier
+
+import (
+	"math"
+	"time"
+)
+
+// Snapshot is what a Detector has learned of one server, to be kept over a restart. Its times are relative to
+// when it was taken. How long responses take is not in it: a few responses tell that anew, and what it was
+// before would make the silence of a server that has failed since look like slowness. The tags are the stored
+// form: they keep their names.
+type Snapshot struct {
+	DeadEvidence    float64         `cbor:"2,keyasint,omitempty" json:"dead"`
+	PartialEvidence [2]float64      `cbor:"3,keyasint,omitempty" json:"in_part"` // by failureKind
+	Ejected         bool            `cbor:"4,keyasint,omitempty" json:"down"`
+	Silent          bool            `cbor:"5,keyasint,omitempty" json:"mute"` // ejected as nothing came of it
+	NotListening    bool            `cbor:"6,keyasint,omitempty" json:"absent"`
+	ChangedAgo      time.Duration   `cbor:"7,keyasint,omitempty" json:"since_ago_ns"`
+	ProbesRequired  int             `cbor:"8,keyasint,omitempty" json:"trials_asked"`
+	Reason          string          `cbor:"9,keyasint,omitempty" json:"because"`
+	RejectEvidence  float64         `cbor:"10,keyasint,omitempty" json:"turns"`
+	HoldFor         time.Duration   `cbor:"11,keyasint,omitempty" json:"hold_ns"`
+	AvoidFor        time.Duration   `cbor:"12,keyasint,omitempty" json:"not_now_for_ns"`
+	Ends            float64         `cbor:"13,keyasint,omitempty" json:"ends"` // attempts of late, decayed
+	EndsByCause     []float64       `cbor:"14,keyasint,omitempty" json:"ends_by_cause,omitempty"`
+	Classes         []ClassSnapshot `cbor:"15,keyasint,omitempty" json:"classes,omitempty"`
+}
+
+// ClassSnapshot is the evidence that a server does not answer one class.
+type ClassSnapshot struct {
+	Class           int     `cbor:"1,keyasint" json:"class"` // its number
+	SilenceEvidence float64 `cbor:"2,keyasint,omitempty" json:"silence"`
+	Missed          int     `cbor:"3,keyasint,omitempty" json:"missed"`
+	Ejected         bool    `cbor:"4,keyasint,omitempty" json:"down"`
+}
+
+const (
+	faultHalfLife  = 30 * time.Second      // in which half of what was known of faulty servers is outdated
+	maxEjectionAge = 2 * faultHalfLife     // from then on, that a server was ejected is evidence like any other
+	maxEvidence    = 10 * ejectionEvidence // it can be more than ejects a server, until the round ends
+	maxEnds        = 1e6                   // attempts
+)
+
+// Snapshot returns what was learned of a server.
+func (d *Detector) Snapshot(now time.Duration, s *Server) Snapshot {
+	snapshot := Snapshot{
+		DeadEvidence: s.deadEvidence, PartialEvidence: s.partialEvidence, Ejected: s.isEjected,
+		Silent: s.isEjected && s.isSilent, NotListening: s.notListening, RejectEvidence: s.rejectEvidence,
+		AvoidFor: max(s.avoidUntil-now, 0), Ends: s.recent.total,
+	}
+	if s.rejectEvidence >= rejectingEvidence/2 { // with less, it would not be restored
+		snapshot.HoldFor = s.holdFor
+	}
+	if s.isEjected {
+		snapshot.ChangedAgo = max(now-s.changedAt, 0)
+		snapshot.ProbesRequired, snapshot.Reason = s.probesRequired, s.reason
+	}
+	for _, n := range s.recent.byCause {
+		if n > 0 {
+			snapshot.EndsByCause = append([]float64(nil), s.recent.byCause[:]...)
+			break
+		}
+	}
+	for number, c := range s.classes {
+		if c.silenceEvidence > 0 || c.isEjected {
+			snapshot.Classes = append(snapshot.Classes,
+				ClassSnapshot{number, c.silenceEvidence, c.missed, c.isEjected})
+		}
+	}
+	return snapshot
+}
+
+// Restore takes over a snapshot of that age of a server of which nothing is known yet. What cannot have been
+// learned is left out.
+func (d *Detector) Restore(now time.Duration, s *Server, snapshot Snapshot, age time.Duration) {
+	left := remaining(age)
+	s.deadEvidence = left * validEvidence(snapshot.DeadEvidence, maxEvidence)
+	s.rejectEvidence = left * validEvidence(snapshot.RejectEvidence, rejectingEvidence)
+	for kind := range s.partialEvidence {
+		s.partialEvidence[kind] = left * validEvidence(snapshot.PartialEvidence[kind], maxEvidence)
+	}
+	d.restoreEjection(now, s, snapshot, age)
+	if hold := min(max(snapshot.HoldFor, 0), d.maxHold()); hold > 0 && s.rejectEvidence >= rejectingEvidence/2 {
+		s.isDeprioritized, s.holdFor = true, hold
+	}
+	if avoid := min(snapshot.AvoidFor, d.maxHold()) - age; avoid > 0 {
+		s.holdUntil, s.avoidUntil = now+avoid, now+avoid
+	}
+	if ends := validEvidence(snapshot.Ends, maxEnds); !s.isEjected &&
+		len(snapshot.EndsByCause) <= len(s.recent.byCause) {
+		s.recent.total = left * ends
+		for c, n := range snapshot.EndsByCause {
+			s.recent.byCause[c] = left * min(validEvidence(n, maxEnds), ends)
+		}
+		d.fleet.add(s.recent)
+	}
+	for _, c := range snapshot.Classes {
+		if class := s.class(c.Class); class != nil {
+			*class = classState{
+				silenceEvidence: left * validEvidence(c.SilenceEvidence, maxEvidence), missed: max(c.Missed, 0),
+				isEjected: c.Ejected && age < maxEjectionAge,
+			}
+		}
+	}
+	d.updateDistrust()
+}
+
+// restoreEjection restores that a server is ejected, or as much evidence as that is worth by now.
+func (d *Detector) restoreEjection(now time.Duration, s *Server, snapshot Snapshot, age time.Duration) {
+	s.notListening = snapshot.NotListening && age < maxEjectionAge
+	if !snapshot.Ejected {
+		return
+	}
+	if age >= maxEjectionAge {
+		s.deadEvidence = max(s.deadEvidence, remaining(age)*ejectionEvidence)
+		return
+	}
+	s.isEjected, s.isSilent = true, snapshot.Silent
+	s.changedAt = now - age - max(snapshot.ChangedAgo, 0)
+	s.probesRequired = min(max(snapshot.ProbesRequired, 1), maxProbes)
+	s.probesLeft, s.reason = s.probesRequired, snapshot.Reason
+}
+
+// remaining is the fraction of evidence that is left at an age.
+func remaining(age time.Duration) float64 { return math.Exp2(-float64(age) / float64(faultHalfLife)) }
+
+// validEvidence is a value that can be, up to a bound; one that cannot be is none.
+func validEvidence(v, most float64) float64 {
+	if !(v > 0) {
+		return 0
+	}
+	return min(v, most)
+}
