--- a/cmd/dunestep/window.go
+++ b/cmd/dunestep/window.go
@@ -47,7 +47,7 @@
 		ClockMargin: seconds(f.MarginS), MinNotice: seconds(f.NoticeS),
 		InForce: p.inForce,
 		View:    p.view,
-	}, agent.ReadClocks())
+	})
 	return p.windows.seat
 }
 
@@ -112,7 +112,10 @@
 		return
 	}
 	counts := p.windows.counts(strain)
-	actor.Do(ctx, func(_ *fleet.Node, now fleet.ClockReading) { p.windows.seat.AddCounts(now, counts, damps) })
+	actor.Do(ctx, func(_ *fleet.Node, now fleet.ClockReading) {
+		p.windows.seat.SetOverloaded(damps)
+		p.windows.seat.AddCounts(now, counts)
+	})
 }
 
 // counts are what came since it was last called; of the first call while something moves: nothing.
--- a/internal/control/maintenance/contract/contract_test.go
+++ b/internal/control/maintenance/contract/contract_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// shownBy is what the contract says of one moment, thought anew with the standard library's calendar.
-func shownBy(t Table, zone *time.Location, at time.Time) bool {
+// allowsByCalendar is what a contract says of one moment, worked out anew with the standard library's calendar.
+func allowsByCalendar(t Table, zone *time.Location, at time.Time) bool {
 	local := at.In(zone)
 	midnight := time.Date(local.Year(), local.Month(), local.Day(), 0, 0, 0, 0, time.UTC)
 	minute := local.Hour()*60 + local.Minute()
@@ -36,6 +36,7 @@
 	return !excluded(midnight) && (begun(midnight, minute) || !excluded(before) && begun(before, minute+24*60))
 }
 
+// draw is any valid table.
 func draw(t *rapid.T) Table {
 	clock := rapid.SampledFrom([]string{"00:00", "02:00", "03:00", "03:30", "04:00", "05:00", "12:15", "20:00", "23:59"})
 	days := rapid.SampledFrom([]string{"mon-sun", "fri-mon", "sat", "sun", "sat,sun", "mon,wed", "thu-sat,mon"})
@@ -56,8 +57,8 @@
 	return c
 }
 
-// TestEveryMinute: over weeks with both nights on which clocks change, each minute is allowed as the calendar
-// says, and runs are what these minutes make.
+// TestEveryMinute: over weeks with both nights on which clocks change, each minute is allowed as the calendar says, and
+// runs are made of these minutes.
 func TestEveryMinute(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := draw(t)
@@ -72,7 +73,7 @@
 		const week = 10 * 24 * 60
 		allowed := make([]bool, week)
 		for m := range allowed {
-			allowed[m] = shownBy(table, zone, first.Add(time.Duration(m)*time.Minute))
+			allowed[m] = allowsByCalendar(table, zone, first.Add(time.Duration(m)*time.Minute))
 			if got := c.Allows(at(m)); got != allowed[m] {
 				t.Fatalf("%v: %t", c.InZone(at(m)), got)
 			}
@@ -103,18 +104,18 @@
 	})
 }
 
-// strangeZones have clocks that skip or double a midnight, a day, half an hour or two hours, or changed oddly.
-var strangeZones = []string{
+// unusualZones have clocks that skip or double a midnight, a day, half an hour or two hours, or changed oddly.
+var unusualZones = []string{
 	"Pacific/Apia", "Africa/Cairo", "Asia/Beirut", "America/Sao_Paulo", "Antarctica/Troll",
 	"Australia/Lord_Howe", "Africa/Casablanca", "America/Nuuk", "Europe/Bucharest", "Pacific/Kiritimati", "Etc/GMT+12",
 }
 
-// TestAnything: whatever a table says, it is refused, or is a contract that gives an answer for any moment; each
-// look along the calendar goes on.
-func TestAnything(t *testing.T) {
+// TestAnyTable: any table is refused, or is a contract that gives an answer for any moment; each search along the calendar
+// comes to an end.
+func TestAnyTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := draw(t)
-		table.Zone = rapid.SampledFrom(strangeZones).Draw(t, "zone")
+		table.Zone = rapid.SampledFrom(unusualZones).Draw(t, "zone")
 		change := func(of []string) []string {
 			if rapid.IntRange(0, 3).Draw(t, "any") == 0 {
 				return append(of, rapid.OneOf(rapid.String(), rapid.StringMatching(`[a-z,-]{0,9} [0-9:-]{11}`),
@@ -127,9 +128,11 @@
 		table.MaxPerMonth, table.MaxLengthMin = rapid.IntRange(-1, 200).Draw(t, "monthly"), rapid.IntRange(-1, 2000).Draw(t, "longest")
 		c, err := table.Contract()
 		if err != nil {
-			require.NotEmpty(t, err.(Problems).Error())
+			var problems Problems
+			require.ErrorAs(t, err, &problems)
+			require.NotEmpty(t, problems.Error())
 			table = draw(t)
-			table.Zone = rapid.SampledFrom(strangeZones).Draw(t, "sound zone")
+			table.Zone = rapid.SampledFrom(unusualZones).Draw(t, "zone of a valid table")
 			c, err = table.Contract()
 			require.NoError(t, err)
 		}
@@ -140,8 +143,8 @@
 		if ok {
 			require.True(t, from <= at && at < to && c.Allows(from) && c.Allows(to-1))
 		}
-		if from, to, ok := c.NextRun(at); ok {
-			require.True(t, to > at && c.Allows(from) && (from <= at || !c.Allows(from-1)))
+		if nextFrom, nextTo, found := c.NextRun(at); found {
+			require.True(t, nextTo > at && c.Allows(nextFrom) && (nextFrom <= at || !c.Allows(nextFrom-1)))
 		}
 		if at >= 0 && at <= latestMoment {
 			require.Greater(t, c.edgeAfter(at), at)
@@ -157,8 +160,8 @@
 	})
 }
 
-// TestNothingIsFollowedForEver: hours that never end, or never come.
-func TestNothingIsFollowedForEver(t *testing.T) {
+// TestSearchesAreBounded: hours that never end, or never come.
+func TestSearchesAreBounded(t *testing.T) {
 	all := Table{Zone: "Europe/Bucharest", Hours: []string{"mon-sun 00:00-24:00"}}
 	c, err := all.Contract()
 	require.NoError(t, err)
@@ -184,9 +187,9 @@
 	require.ErrorContains(t, err, "excluded: must have at most 400 entries")
 }
 
-// TestClockNights: what a span means on the two nights of Europe/Bucharest. Clocks go from 03:00 to 04:00, and from
-// 04:00 back to 03:00.
-func TestClockNights(t *testing.T) {
+// TestSpansOnClockChanges: what a span means on the two nights of Europe/Bucharest on which clocks go from 03:00 to 04:00,
+// and from 04:00 back to 03:00.
+func TestSpansOnClockChanges(t *testing.T) {
 	for hours, want := range map[string][2]string{
 		"sat 20:00-06:00":        {"20:00 EET - 06:00 EEST, 9h0m0s", "20:00 EEST - 06:00 EET, 11h0m0s"},
 		"sun 02:00-03:30":        {"02:00 EET - 04:00 EEST, 1h0m0s", "02:00 EEST - 03:30 EEST, 1h30m0s"},
@@ -213,8 +216,8 @@
 	}
 }
 
-// TestMonthsBeginWhereMidnightIsStrange: one that comes after a doubled hour, and one that is skipped.
-func TestMonthsBeginWhereMidnightIsStrange(t *testing.T) {
+// TestMonthsBeginOnClockChanges: where midnight comes after a repeated hour, and where it is skipped.
+func TestMonthsBeginOnClockChanges(t *testing.T) {
 	for zone, want := range map[string]string{
 		"Africa/Cairo": "2024-11-01 00:00 EET", "America/Asuncion": "2023-10-01 01:00 -03",
 		"Europe/Bucharest": "2026-11-01 00:00 EET",
--- a/internal/control/maintenance/contract/rules_test.go
+++ b/internal/control/maintenance/contract/zonerules_test.go
@@ -8,25 +8,26 @@
 	"pgregory.net/rapid"
 )
 
+// rulesFrom and rulesUntil are between which zones' rules are agreed.
 var (
-	ruled   = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	unruled = time.Date(2028, 1, 1, 0, 0, 0, 0, time.UTC)
+	rulesFrom  = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+	rulesUntil = time.Date(2028, 1, 1, 0, 0, 0, 0, time.UTC)
 )
 
-// TestByRulesAsByZone: by a zone's rules written down and read again, all is as by the zone itself, and beyond them
-// nothing is allowed.
-func TestByRulesAsByZone(t *testing.T) {
+// TestRulesGiveTheSameAsZoneData: a zone's rules, written and parsed again, give the same as the zone itself, and beyond
+// them nothing is allowed.
+func TestRulesGiveTheSameAsZoneData(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := draw(t)
-		table.Zone = rapid.SampledFrom(append(strangeZones, table.Zone)).Draw(t, "a zone")
-		rules, err := ZoneRules(table.Zone, ruled, unruled)
+		table.Zone = rapid.SampledFrom(append(unusualZones, table.Zone)).Draw(t, "a zone")
+		rules, err := ZoneRules(table.Zone, rulesFrom, rulesUntil)
 		require.NoError(t, err)
 		require.NoError(t, CompareZoneData(table.Zone, rules))
 		own, err := table.Contract()
 		require.NoError(t, err)
 		agreed, err := table.ContractWithRules(rules)
 		require.NoError(t, err)
-		first, last := time.Duration(ruled.UnixNano()), time.Duration(unruled.UnixNano())
+		first, last := time.Duration(rulesFrom.UnixNano()), time.Duration(rulesUntil.UnixNano())
 		away := 50 * 24 * time.Hour // a run is not followed over the rules' ends
 		for range 30 {
 			at := time.Duration(rapid.Int64Range(int64(first+away), int64(last-away)).Draw(t, "at"))
@@ -51,12 +52,12 @@
 	})
 }
 
-// TestLawsDiffer: by agreed rules a contract means the same whatever law a machine's zone data have, here none of clocks
-// that change; the first moment that differs is told.
-func TestLawsDiffer(t *testing.T) {
-	rules, err := ZoneRules("Europe/Bucharest", ruled, unruled)
+// TestZoneDataDiffer: with agreed rules a contract means the same whatever a machine's zone data are, here without clock
+// changes; the first moment that differs is reported.
+func TestZoneDataDiffer(t *testing.T) {
+	rules, err := ZoneRules("Europe/Bucharest", rulesFrom, rulesUntil)
 	require.NoError(t, err)
-	law, err := parseRules([]string{rules[0], rules[len(rules)-1]})
+	fixed, err := parseRules([]string{rules[0], rules[len(rules)-1]})
 	require.NoError(t, err)
 	table := Table{Zone: "Europe/Bucharest", Hours: []string{"mon-sun 20:00-22:00"}}
 	at := time.Duration(time.Date(2026, 7, 2, 17, 30, 0, 0, time.UTC).UnixNano())
@@ -66,15 +67,15 @@
 	require.NoError(t, err)
 	for _, allows := range []bool{true, false} {
 		require.Equal(t, allows, agreed.Allows(at) == own.Allows(at))
-		own.zone = law.zone // as where no clocks change
+		own.zone = fixed.zone // as where no clocks change
 	}
 	other, err := parseRules(rules)
 	require.NoError(t, err)
-	require.ErrorIs(t, other.compare(law.zone), ErrZoneDataDiffers)
-	require.ErrorContains(t, other.compare(law.zone), "+02:00 from 2026-03-29T01:00:00Z on, not +03:00")
+	require.ErrorIs(t, other.compare(fixed.zone), ErrZoneDataDiffers)
+	require.ErrorContains(t, other.compare(fixed.zone), "+02:00 from 2026-03-29T01:00:00Z on, not +03:00")
 }
 
-// TestRulesRefused: what is no rules, or none in order.
+// TestRulesRefused: rules that are malformed or out of order.
 func TestRulesRefused(t *testing.T) {
 	const first, end = "2026-01-01T00:00:00Z +02:00", "2031-01-01T00:00:00Z end"
 	for _, rules := range [][]string{
@@ -97,7 +98,7 @@
 	}
 	_, err := Table{Zone: "Local", Hours: []string{"mon 01:00-02:00"}}.ContractWithRules([]string{first, end})
 	require.ErrorContains(t, err, "no time zone")
-	c, err := Table{Zone: "Of/A later law", Hours: []string{"mon 01:00-02:00"}}.ContractWithRules([]string{first, end})
+	c, err := Table{Zone: "Of/A later rule", Hours: []string{"mon 01:00-02:00"}}.ContractWithRules([]string{first, end})
 	require.NoError(t, err, "this machine needs no data on it")
 	require.Equal(t, time.Duration(time.Date(2031, 1, 1, 0, 0, 0, 0, time.UTC).UnixNano())-1, c.RulesEnd())
 }
--- a/internal/control/maintenance/example_test.go
+++ b/internal/control/maintenance/example_test.go
@@ -10,7 +10,7 @@
 	"dunestep/internal/fleet/lease"
 )
 
-// A window that was accepted is followed by each agent's own clock.
+// Each agent follows an accepted window by its own clock.
 func Example() {
 	const monday = 1798459200 * time.Second // noon, UTC
 	at := func(after time.Duration) lease.ClockReading {
@@ -36,17 +36,17 @@
 	}
 	agent := maintenance.NewAgent(4)
 	agent.Learn(m)
-	acting := policy.Active{
+	active := policy.Active{
 		Mode: policy.ModeFull, Version: 7,
 		Effect: &policy.Effect{Contracts: map[string]*contract.Contract{"clinics": hours}},
 	}
 	for _, after := range []time.Duration{8 * time.Hour, 9*time.Hour + 25*time.Second, 10 * time.Hour} {
-		avoid := agent.Exclusions(at(after), lease.Full, acting)
-		if avoid == nil {
+		exclusions := agent.Exclusions(at(after), lease.Full, active)
+		if exclusions == nil {
 			fmt.Println("nothing is moved")
 			continue
 		}
-		fmt.Printf("%.2f of the keys keep off n1\n", float64(avoid.Tenants["clinics"]["n1"])/(1<<32))
+		fmt.Printf("%.2f of the keys keep off n1\n", float64(exclusions.Tenants["clinics"]["n1"])/(1<<32))
 	}
 	// Output:
 	// nothing is moved
--- a/internal/control/maintenance/golden_test.go
+++ b/internal/control/maintenance/golden_test.go
@@ -51,7 +51,7 @@
 
 const goldenNow = 1800000000 * time.Second // Unix time
 
-func goldenForm1() *storedWindow {
+func goldenWindow() *storedWindow {
 	return &storedWindow{
 		ID: "disk of n1", Agent: 3, Nodes: []string{"n1", "n2"}, Tenants: []string{"-", "east"},
 		From: goldenNow + time.Hour, DrainedAt: goldenNow + time.Hour + 100*time.Second,
@@ -60,9 +60,9 @@
 	}
 }
 
-// goldenFormFull has no field that is zero.
-func goldenFormFull() *storedWindow {
-	f := goldenForm1()
+// goldenWindowFull has no field that is zero.
+func goldenWindowFull() *storedWindow {
+	f := goldenWindow()
 	f.ID, f.State, f.StateSince, f.HeldSteps, f.Reason = "racks", Paused, goldenNow+time.Hour+time.Minute, 60, "a reason"
 	f.ChangeCount, f.ConfirmedAt = 2, goldenNow+time.Second
 	return f
@@ -76,7 +76,7 @@
 	}{
 		{"asked", record{
 			Kind: kindAccepted, ID: "disk of n1", Agent: 3, Now: goldenNow, PolicyVersion: 7, Revision: 4,
-			Window: goldenForm1(),
+			Window: goldenWindow(),
 		}},
 		{"noted", record{Kind: kindConfirmed, ID: "racks", Now: goldenNow + time.Second}},
 		{"freed", record{Kind: kindTrafficFree, ID: "racks", Now: goldenNow + time.Minute, ChangeCount: 1}},
@@ -102,7 +102,7 @@
 		require.Equal(t, r.name == "freed", IsTrafficFreeRecord(stored[r.name]))
 	}
 	accepted, err := EncodeProposal(Proposal{
-		Window: goldenForm1().window(), Agent: 3, Now: goldenNow, PolicyVersion: 7, Revision: 4,
+		Window: goldenWindow().window(), Agent: 3, Now: goldenNow, PolicyVersion: 7, Revision: 4,
 	})
 	require.NoError(t, err)
 	require.Equal(t, stored["asked"], accepted)
@@ -112,7 +112,7 @@
 // TestGoldenSnapshots: the agreed state in all its parts.
 func TestGoldenSnapshots(t *testing.T) {
 	full := state{
-		Revision: 5, Now: goldenNow + time.Minute, Windows: []*storedWindow{goldenForm1(), goldenFormFull()},
+		Revision: 5, Now: goldenNow + time.Minute, Windows: []*storedWindow{goldenWindow(), goldenWindowFull()},
 		History: []tenantHistory{{Tenant: "east", BeginMinutes: []uint32{29990000, 29995000}}, {Tenant: "west", BeginMinutes: []uint32{29991000}}},
 		Outcomes: []Outcome{
 			{ID: "disk of n1", Status: policy.StatusAccepted},
@@ -121,7 +121,7 @@
 		},
 	}
 	applied := NewStateMachine(func() uint64 { return 7 })
-	f := goldenForm1()
+	f := goldenWindow()
 	f.MinNotice = time.Hour
 	early := *f
 	early.ID, early.From, early.DrainedAt = "early", f.From+time.Hour, f.DrainedAt+time.Hour
@@ -153,9 +153,9 @@
 	}
 }
 
-// TestGoldenWords: what agents tell voters while a window moves something.
-func TestGoldenWords(t *testing.T) {
-	words := []loadReport{
+// TestGoldenReports: what agents report to voters while a window moves traffic.
+func TestGoldenReports(t *testing.T) {
+	words := []Report{
 		{Incarnation: 1800000000000, Number: 3, Overloaded: true, Counts: []TenantCounts{
 			{Tenant: "east", Requests: 1000, Served: 900, Failed: 90, ExclusionOverrides: 10}, {Tenant: "-", Requests: 1},
 		}},
@@ -163,11 +163,11 @@
 	}
 	var forms []goldenForm
 	for i, w := range words {
-		forms = append(forms, goldenForm{string(rune('a' + i)), EncodeReport(w.Incarnation, w.Number, w.Counts, w.Overloaded)})
+		forms = append(forms, goldenForm{string(rune('a' + i)), EncodeReport(w)})
 	}
 	stored := requireGolden(t, "words.txt", forms)
 	for i, w := range words {
-		var read loadReport
+		var read Report
 		require.NoError(t, decoding.Unmarshal(stored[forms[i].name], &read))
 		require.Equal(t, w.Incarnation, read.Incarnation)
 		require.Equal(t, w.Number, read.Number)
@@ -192,7 +192,7 @@
 	require.Equal(t, []string{"*", "-"}, []string{AllTenants, NoTenant})
 }
 
-// TestGoldenPlan: the window that an ask is for, in all its parts.
+// TestGoldenPlan: the window that a request is for, in all its parts.
 func TestGoldenPlan(t *testing.T) {
 	c := always(t)
 	w, err := Plan(WindowRequest{
--- a/internal/control/maintenance/lab/lab.go
+++ b/internal/control/maintenance/lab/lab.go
@@ -186,11 +186,11 @@
 			set.Turns = 0
 		}
 	}
-	p := &part{Adapter: maintenancelog.New(set, now), lab: l, n: n}
+	p := &part{Adapter: maintenancelog.New(set), lab: l, n: n}
 	if l.set.Without == "begin" {
 		for i := range uint64(31) { // of nobody
 			at := time.Duration(30-i) * time.Second
-			p.HandleMessage(lease.ClockReading{Unix: now.Unix - at, Mono: now.Mono - at}, 99, maintenance.EncodeReport(1, i, nil, false))
+			p.HandleMessage(lease.ClockReading{Unix: now.Unix - at, Mono: now.Mono - at}, 99, maintenance.EncodeReport(maintenance.Report{Incarnation: 1, Number: i}))
 		}
 	}
 	return p
@@ -405,7 +405,8 @@
 		}
 	}
 	l.counts[i] = map[string]*maintenance.TenantCounts{}
-	p.AddCounts(now, all, l.stormy[i] > l.Now())
+	p.SetOverloaded(l.stormy[i] > l.Now())
+	p.AddCounts(now, all)
 }
 
 // runs is whether a node takes part now.
--- a/internal/control/maintenance/maintenancelog/seat_test.go
+++ b/internal/control/maintenance/maintenancelog/adapter_test.go
@@ -13,17 +13,17 @@
 	"dunestep/internal/fleet/lease"
 )
 
-// noon is a Monday's, UTC.
+// noon is on a Monday, UTC.
 const noon = 1798459200 * time.Second
 
 func at(after time.Duration) fleet.ClockReading {
 	return fleet.ClockReading{Unix: noon + after, Mono: time.Hour + after}
 }
 
-// world is a seat that leads, its log, and what it sees.
+// world is an adapter at the voter that leads, its log, and what it sees.
 type world struct {
 	*Adapter
-	acting policy.Active
+	active policy.Active
 	nodes  []maintenance.Server
 }
 
@@ -37,7 +37,7 @@
 }
 
 func begin(t *testing.T) *world {
-	w := &world{acting: policy.Active{Mode: policy.ModeFull, Version: 1, Effect: &policy.Effect{
+	w := &world{active: policy.Active{Mode: policy.ModeFull, Version: 1, Effect: &policy.Effect{
 		Contracts: contracts(t, "mon-sun 20:00-06:00"),
 	}}}
 	for _, id := range []string{"n1", "n2", "n3"} {
@@ -46,17 +46,19 @@
 	w.Adapter = New(Settings{
 		IsVoter: true, MachineNumber: 2, InForce: func() uint64 { return 1 },
 		View: func(fleet.ClockReading) maintenance.LeaderView {
-			return maintenance.LeaderView{Standing: lease.Full, Active: w.acting, InForce: 1, Servers: w.nodes}
+			return maintenance.LeaderView{Standing: lease.Full, Active: w.active, InForce: 1, Servers: w.nodes}
 		},
-	}, at(0))
+	})
 	return w
 }
 
-// run plays the leader's part, with agents that tell how a tenant's requests fare.
+// run plays the leader, with agents that report how a tenant's requests fare.
 func (w *world) run(from, to time.Duration, c maintenance.TenantCounts, agents int) {
 	for d := from; d < to; d += time.Second {
 		for i := range agents {
-			w.HandleMessage(at(d), i, maintenance.EncodeReport(1, uint64(d), []maintenance.TenantCounts{c}, false))
+			w.HandleMessage(at(d), i, maintenance.EncodeReport(maintenance.Report{
+				Incarnation: 1, Number: uint64(d), Counts: []maintenance.TenantCounts{c},
+			}))
 		}
 		for _, r := range w.NextActions(at(d), fleet.VoterState{IsVoter: true, IsLeader: true, Voters: []int{0}}).Proposals {
 			w.Apply(0, r.Data)
@@ -71,7 +73,7 @@
 		To: noon + 11*time.Hour,
 	}
 	data, win, err := w.EncodeProposal(at(0), ask, maintenance.PlanInput{
-		Servers: w.nodes, Contracts: w.acting.Effect.Contracts,
+		Servers: w.nodes, Contracts: w.active.Effect.Contracts,
 		TenantLoads: map[string]float64{"east": 0.5}, PeakLoad: 0.5, PolicyVersion: 1,
 	})
 	require.NoError(t, err)
@@ -83,7 +85,7 @@
 
 var fine = maintenance.TenantCounts{Tenant: "east", Requests: 100, Served: 100}
 
-func TestCourse(t *testing.T) {
+func TestCourseOfAWindow(t *testing.T) {
 	const open = 9 * time.Hour
 	state := func(w *world, d time.Duration) maintenance.State { return w.Windows(at(d))[0].State }
 	for name, x := range map[string]func(t *testing.T, w *world, drained time.Duration){
@@ -96,11 +98,11 @@
 			w.run(2*time.Hour+open, 2*time.Hour+open+11*time.Second, fine, 3)
 			require.Equal(t, maintenance.Ended, w.AgreedWindows()[0].State)
 		},
-		"nobody tells": func(t *testing.T, w *world, drained time.Duration) {
+		"no agent reports": func(t *testing.T, w *world, drained time.Duration) {
 			w.run(open, drained+90*time.Second, fine, 0)
 			require.Equal(t, maintenance.Drained, state(w, drained+90*time.Second))
 		},
-		"paused, and goes on": func(t *testing.T, w *world, drained time.Duration) {
+		"paused, and resumed": func(t *testing.T, w *world, drained time.Duration) {
 			w.run(open, open+15*time.Second, maintenance.TenantCounts{Tenant: "east", Requests: 100, Served: 80, Failed: 20}, 3)
 			require.Equal(t, maintenance.Paused, state(w, open+15*time.Second))
 			w.run(open+15*time.Second, open+50*time.Second, fine, 3)
@@ -116,7 +118,7 @@
 			w.run(open+20*time.Second, open+55*time.Second, fine, 3)
 			require.Equal(t, maintenance.Returning, state(w, open+55*time.Second))
 		},
-		"serving went first": func(t *testing.T, w *world, drained time.Duration) {
+		"exclusions are overridden": func(t *testing.T, w *world, drained time.Duration) {
 			w.run(open, drained+60*time.Second, fine, 3)
 			require.Equal(t, maintenance.Free, state(w, drained+60*time.Second))
 			w.run(drained+60*time.Second, drained+62*time.Second, maintenance.TenantCounts{Tenant: "east", Requests: 9, ExclusionOverrides: 1}, 1)
@@ -124,7 +126,7 @@
 		},
 		"the contract changed": func(t *testing.T, w *world, drained time.Duration) {
 			w.run(open, drained+60*time.Second, fine, 3)
-			w.acting.Version, w.acting.Effect = 2, &policy.Effect{Contracts: contracts(t, "mon-sun 20:00-22:00")}
+			w.active.Version, w.active.Effect = 2, &policy.Effect{Contracts: contracts(t, "mon-sun 20:00-22:00")}
 			w.run(drained+60*time.Second, drained+61*time.Second, fine, 3)
 			require.Equal(t, maintenance.Returning, state(w, drained+61*time.Second))
 		},
@@ -140,8 +142,8 @@
 	}
 }
 
-// TestQuiet: nothing is told but while a window moves something, and then what the others' requests do not.
-func TestQuiet(t *testing.T) {
+// TestReportsOnlyWhileTrafficMoves: agents report nothing while no window moves traffic, and then about its tenants alone.
+func TestReportsOnlyWhileTrafficMoves(t *testing.T) {
 	w := begin(t)
 	voting := fleet.VoterState{Voters: []int{0, 1, 2}}
 	require.Empty(t, w.NextActions(at(0), voting).Messages)
@@ -151,7 +153,8 @@
 	require.False(t, w.MovesTraffic(at(time.Hour)))
 	now := at(9*time.Hour + time.Second)
 	require.True(t, w.MovesTraffic(now))
-	w.AddCounts(now, []maintenance.TenantCounts{fine, {Tenant: "west", Requests: 5}}, true)
+	w.SetOverloaded(true)
+	w.AddCounts(now, []maintenance.TenantCounts{fine, {Tenant: "west", Requests: 5}})
 	require.Len(t, w.NextActions(now, voting).Messages, 3)
 	require.Empty(t, w.NextActions(now, voting).Messages, "not again for a while")
 	_, _, err := w.EncodeProposal(now, maintenance.WindowRequest{ID: "b"}, maintenance.PlanInput{PolicyVersion: 2})
--- a/internal/control/maintenance/maintenancelog/golden_test.go
+++ b/internal/control/maintenance/maintenancelog/golden_test.go
@@ -59,14 +59,15 @@
 		To: noon + 11*time.Hour,
 	}
 	record, _, err := w.EncodeProposal(at(0), ask, maintenance.PlanInput{
-		Servers: w.nodes, Contracts: w.acting.Effect.Contracts,
+		Servers: w.nodes, Contracts: w.active.Effect.Contracts,
 		TenantLoads: map[string]float64{"east": 0.5}, PeakLoad: 0.5, PolicyVersion: 1,
 	})
 	require.NoError(t, err)
 	w.Apply(1, record)
 	w.RecordsApplied(at(0), false)
 	moving := at(9*time.Hour + time.Second)
-	w.AddCounts(moving, []maintenance.TenantCounts{{Tenant: "east", Requests: 100, Served: 80, Failed: 15, ExclusionOverrides: 5}}, true)
+	w.SetOverloaded(true)
+	w.AddCounts(moving, []maintenance.TenantCounts{{Tenant: "east", Requests: 100, Served: 80, Failed: 15, ExclusionOverrides: 5}})
 	due := w.NextActions(moving, fleet.VoterState{Voters: []int{1}})
 	require.Len(t, due.Messages, 1)
 	requireGolden(t, "messages.txt", []goldenForm{
--- a/internal/control/maintenance/next.go
+++ b/internal/control/maintenance/nextfit.go
@@ -1,24 +1,30 @@
 package maintenance
 
 import (
+	"math"
 	"slices"
 	"time"
 
 	"dunestep/internal/control/maintenance/contract"
 )
 
-// stretch is a time from its first moment to its last, both of it.
+const (
+	replyTime     = 2 * time.Minute     // for the operator to ask again
+	searchHorizon = 60 * 24 * time.Hour // how far ahead a beginning is looked for
+)
+
+// interval is a time from its first moment up to its end.
 type interval struct{ from, to time.Duration }
 
-// next is the first beginning, not before the one asked for, that fits; zero: there is none. What an ask
-// depends on is for each rule a number of stretches of time in which it may begin, so the first moment at
-// which all allow it is the first of one of them.
+// nextFit is the first beginning, not before the one asked for, that fits; zero: there is none. Each rule allows
+// beginnings in a number of intervals, so the first moment that all rules allow is the start of one of these
+// intervals.
 func (p *planner) nextFit() time.Duration {
-	lead := p.input.MinNotice
+	notice := p.input.MinNotice
 	for _, c := range p.contracts {
-		lead = max(lead, c.MinNotice())
+		notice = max(notice, c.MinNotice())
 	}
-	first := max(p.request.From, roundUp(p.input.Now+lead+replyTime, time.Minute))
+	first := max(p.request.From, roundUp(p.input.Now+notice+replyTime, time.Minute))
 	last := min(first+searchHorizon, p.input.Now+maxLeadTime)
 	hours := p.allowedHours(first, last)
 	for _, from := range p.candidates(hours, first, last) {
@@ -32,14 +38,14 @@
 
 func roundUp(d, to time.Duration) time.Duration { return (d + to - 1) / to * to }
 
-// candidates are the moments from which on one of the rules may allow the ask, in order.
+// candidates are the moments, in order, from which on one of the rules may allow the request.
 func (p *planner) candidates(hours []interval, first, last time.Duration) []time.Duration {
 	all := []time.Duration{first}
 	for _, h := range hours {
 		all = append(all, h.from)
 	}
 	for _, w := range p.input.Windows {
-		// One that begins takes load off its nodes too, from which there may be room beside a third.
+		// The beginning of a window takes load off its servers too, which may leave room beside another window.
 		all = append(all, w.From, w.To)
 	}
 	for _, c := range p.distinctContracts() {
@@ -57,7 +63,7 @@
 	return slices.Compact(all)
 }
 
-// distinct are the contracts, each once.
+// distinctContracts are the contracts, each once.
 func (p *planner) distinctContracts() (all []*contract.Contract) {
 	for _, c := range p.contracts {
 		if !slices.Contains(all, c) {
@@ -67,33 +73,35 @@
 	return all
 }
 
-// hours are the stretches that all contracts allow, with the margin taken off.
+// allowedHours are the intervals that all contracts allow, without the margin at both ends.
 func (p *planner) allowedHours(first, last time.Duration) []interval {
-	all := []interval{{0, 1<<63 - 1}}
+	all := []interval{{0, math.MaxInt64}}
 	for _, c := range p.distinctContracts() {
 		all = intersect(all, p.marginalRuns(c, first, last))
 	}
 	return all
 }
 
+// marginalRuns are a contract's runs, without the margin at both ends.
 func (p *planner) marginalRuns(c *contract.Contract, first, last time.Duration) (all []interval) {
+	margin := p.input.ClockMargin
 	for at := first; at <= last; {
 		from, to, ok := c.NextRun(at)
 		if !ok {
 			break
 		}
-		// One that goes on for longer than the contract follows it is one all the same.
-		if n := len(all); n > 0 && from <= all[n-1].to+p.input.ClockMargin {
-			all[n-1].to = to - p.input.ClockMargin
+		// A run that is longer than the contract follows comes in parts, which are joined.
+		if n := len(all); n > 0 && from <= all[n-1].to+margin {
+			all[n-1].to = to - margin
 		} else {
-			all = append(all, interval{from + p.input.ClockMargin, to - p.input.ClockMargin})
+			all = append(all, interval{from + margin, to - margin})
 		}
 		at = to
 	}
 	return all
 }
 
-// common are the stretches that are in both.
+// intersect are the intervals that lie in both lists, which are in order.
 func intersect(a, b []interval) (all []interval) {
 	for len(a) > 0 && len(b) > 0 {
 		if both := (interval{max(a[0].from, b[0].from), min(a[0].to, b[0].to)}); both.from < both.to {
--- a/internal/control/maintenance/fit_example_test.go
+++ b/internal/control/maintenance/plan_example_test.go
@@ -9,40 +9,40 @@
 	"dunestep/internal/control/maintenance/contract"
 )
 
-// What staff ask for is met, or refused with the reason and the first time at which it would be met.
+// A request is met, or rejected with the reason and the first time at which it would be met.
 func ExamplePlan() {
 	hours, err := contract.Table{Zone: "Europe/Bucharest", Hours: []string{"mon-fri 20:00-06:00"}}.Contract()
 	if err != nil {
 		panic(err)
 	}
 	noon := time.Date(2026, 10, 23, 12, 0, 0, 0, time.UTC) // a Friday
-	scene := maintenance.PlanInput{
+	input := maintenance.PlanInput{
 		Now: time.Duration(noon.UnixNano()), PolicyVersion: 7, PeakLoad: 0.5,
 		TenantLoads: map[string]float64{"east": 0.6},
 		Contracts:   map[string]*contract.Contract{"east": hours},
 	}
-	for _, id := range []string{"booking-1", "booking-2", "booking-3", "booking-4"} {
-		scene.Servers = append(scene.Servers, maintenance.Server{ID: id, Capacity: 1})
+	for _, id := range []string{"server-1", "server-2", "server-3", "server-4"} {
+		input.Servers = append(input.Servers, maintenance.Server{ID: id, Capacity: 1})
 	}
-	ask := maintenance.WindowRequest{
-		ID: "disks", Nodes: []string{"booking-1"}, Tenants: []string{"east"},
-		From: scene.Now + 26*time.Hour, To: scene.Now + 27*time.Hour,
+	request := maintenance.WindowRequest{
+		ID: "disks", Nodes: []string{"server-1"}, Tenants: []string{"east"},
+		From: input.Now + 26*time.Hour, To: input.Now + 27*time.Hour,
 	}
-	_, err = maintenance.Plan(ask, scene)
+	_, err = maintenance.Plan(request, input)
 	fmt.Println(err)
 	if m := (maintenance.Conflict{}); errors.As(err, &m) {
 		fmt.Println("it would fit from", hours.InZone(m.NextFit).Format(time.RFC1123), "on")
-		ask.From, ask.To = m.NextFit, m.NextFit+time.Hour
+		request.From, request.To = m.NextFit, m.NextFit+time.Hour
 	}
-	w, err := maintenance.Plan(ask, scene)
+	w, err := maintenance.Plan(request, input)
 	if err != nil {
 		panic(err)
 	}
 	fmt.Println("drained after", w.DrainedAt-w.From, "and until", w.ReturnFrom-w.From)
 	fmt.Println(w.PlannedFraction(w.From+42*time.Second), "of the keys are moved after 42 s")
-	ask.ID, ask.Nodes = "memory", []string{"booking-2"}
-	scene.Windows = append(scene.Windows, w)
-	_, err = maintenance.Plan(ask, scene)
+	request.ID, request.Nodes = "memory", []string{"server-2"}
+	input.Windows = append(input.Windows, w)
+	_, err = maintenance.Plan(request, input)
 	fmt.Println(err)
 	// Output:
 	// tenant east: its contract's hours do not allow Sat 2026-10-24 17:00:00 EEST
--- a/internal/control/maintenance/plan_test.go
+++ b/internal/control/maintenance/plan_test.go
@@ -14,8 +14,8 @@
 	"dunestep/internal/control/maintenance/contract"
 )
 
-// TestReasons: staff are told what is in the way, and from when it no longer is.
-func TestReasons(t *testing.T) {
+// TestConflicts: operators get what is in the way, and from when on it is not.
+func TestConflicts(t *testing.T) {
 	hours := contract.Table{Zone: "Europe/Bucharest", Hours: []string{"mon-fri 20:00-06:00"}, MaxPerMonth: 2, MaxLengthMin: 120}
 	c, err := hours.Contract()
 	require.NoError(t, err)
@@ -126,14 +126,16 @@
 		}
 		require.ErrorContains(t, err, one.want, name)
 		var m Conflict
-		errors.As(err, &m)
+		if errors.As(err, &m) {
+			require.NotZero(t, m.Kind, name)
+		}
 		require.Equal(t, time.Unix(0, int64(one.next)).UTC(), time.Unix(0, int64(m.NextFit)).UTC(), name)
 	}
 }
 
-// TestNextWhereAnotherBegins: of three nodes one is asked for, and the second has what other tenants bring from the
-// third; only once a window begins on the second too is there room. Found by a random scene of the judge's.
-func TestNextWhereAnotherBegins(t *testing.T) {
+// TestNextFitWhereAnotherWindowBegins: one of three servers is asked for, and the second has what other tenants bring
+// from the third; only once a window begins on the second too is there room.
+func TestNextFitWhereAnotherWindowBegins(t *testing.T) {
 	c, err := contract.Table{Zone: "UTC", Hours: []string{"mon-sun 00:00-24:00"}, KeptCapacity: 0.5}.Contract()
 	require.NoError(t, err)
 	now := time.Duration(time.Date(2026, 3, 23, 12, 0, 0, 0, time.UTC).UnixNano())
@@ -147,21 +149,24 @@
 	}
 	_, err = Plan(WindowRequest{ID: "ask", Nodes: []string{"a"}, Tenants: []string{NoTenant}, From: now + 2*time.Hour, To: now + 150*time.Minute}, scene)
 	require.ErrorContains(t, err, "node b is used to 1.01 of what it can, 1 at most may be, with windows east")
-	require.Equal(t, 20*time.Hour, err.(Conflict).NextFit-now)
+	var conflict Conflict
+	require.ErrorAs(t, err, &conflict)
+	require.Equal(t, 20*time.Hour, conflict.NextFit-now)
 }
 
+// moved is a request with another beginning, and the same length.
 func moved(a WindowRequest, from time.Duration) WindowRequest {
 	a.From, a.To = from, from+a.To-a.From
 	return a
 }
 
-// BenchmarkFit is of 300 nodes in three zones, 20 tenants and 50 windows, where the time asked for fits, and where
-// it is looked for.
-func BenchmarkFit(b *testing.B) {
-	begin := time.Duration(time.Date(2026, 10, 19, 12, 0, 0, 0, time.UTC).UnixNano())
-	s := PlanInput{Now: begin, TenantLoads: map[string]float64{}, Contracts: map[string]*contract.Contract{}, PeakLoad: 0.6}
+// BenchmarkPlan is of 300 servers in three zones, 20 tenants and 50 windows, where the time asked for fits, and where
+// another has to be found.
+func BenchmarkPlan(b *testing.B) {
+	first := time.Duration(time.Date(2026, 10, 19, 12, 0, 0, 0, time.UTC).UnixNano())
+	s := PlanInput{Now: first, TenantLoads: map[string]float64{}, Contracts: map[string]*contract.Contract{}, PeakLoad: 0.6}
 	for i := range 300 {
-		s.Servers = append(s.Servers, Server{ID: fmt.Sprint("booking-", i), Zone: fmt.Sprint("z", i%3), Capacity: []float64{1.8, 0.9}[i%2]})
+		s.Servers = append(s.Servers, Server{ID: fmt.Sprint("server-", i), Zone: fmt.Sprint("z", i%3), Capacity: []float64{1.8, 0.9}[i%2]})
 	}
 	for i := range 20 {
 		c, err := contract.Table{
@@ -173,15 +178,15 @@
 	}
 	s.Contracts[NoTenant] = s.Contracts["t0"]
 	for i := range 50 {
-		w := &Window{ID: fmt.Sprint("w", i), From: begin + time.Duration(10+i)*time.Hour, Tenants: []string{fmt.Sprint("t", i%20), NoTenant}}
+		w := &Window{ID: fmt.Sprint("w", i), From: first + time.Duration(10+i)*time.Hour, Tenants: []string{fmt.Sprint("t", i%20), NoTenant}}
 		for n := range 20 {
-			w.Nodes = append(w.Nodes, fmt.Sprint("booking-", (i*20+n)%300))
+			w.Nodes = append(w.Nodes, fmt.Sprint("server-", (i*20+n)%300))
 		}
 		w.To = w.From + 4*time.Hour
 		s.Windows = append(s.Windows, w)
 	}
-	ask := WindowRequest{ID: "w", Tenants: []string{AllTenants}, Nodes: s.Windows[7].Nodes, From: begin + 88*time.Hour, To: begin + 90*time.Hour}
-	for name, from := range map[string]time.Duration{"fits": begin + 105*time.Hour, "next": begin + 12*time.Hour} {
+	ask := WindowRequest{ID: "w", Tenants: []string{AllTenants}, Nodes: s.Windows[7].Nodes, From: first + 88*time.Hour, To: first + 90*time.Hour}
+	for name, from := range map[string]time.Duration{"fits": first + 105*time.Hour, "next": first + 12*time.Hour} {
 		b.Run(name, func(b *testing.B) {
 			for b.Loop() {
 				if _, err := Plan(moved(ask, from), s); (err == nil) != (name == "fits") {
@@ -190,6 +195,8 @@
 			}
 		})
 	}
-	_, err := Plan(moved(ask, begin+12*time.Hour), s)
-	b.Log(err, err.(Conflict).NextFit-begin)
+	_, err := Plan(moved(ask, first+12*time.Hour), s)
+	var conflict Conflict
+	require.ErrorAs(b, err, &conflict)
+	b.Log(err, conflict.NextFit-first)
 }
--- a/internal/control/maintenance/search/search.go
+++ b/internal/control/maintenance/search/search.go
@@ -227,7 +227,7 @@
 		panic(err) // of constants
 	}
 	w.log = s.agree(w.log, s.proposal(data))
-	council := maintenance.NewProposer(s.council(), at)
+	council := maintenance.NewProposer(s.council())
 	council.Learn(at, w.log.machine)
 	led := s.leads(council, s.asked(), false)
 	for _, p := range led.records {
@@ -249,7 +249,7 @@
 		w.agents[i] = a
 	}
 	for i := range s.set.Voters {
-		w.voters[i] = s.learns(maintenance.NewProposer(s.council(), at), w.log, s.asked(), 0)
+		w.voters[i] = s.learns(maintenance.NewProposer(s.council()), w.log, s.asked(), 0)
 	}
 	if s.set.Voters > 0 {
 		w.voters[0] = s.learns(led.council, w.log, s.asked(), 0)
--- a/internal/control/maintenance/search/worker.go
+++ b/internal/control/maintenance/search/worker.go
@@ -283,7 +283,7 @@
 	}
 	p := w.log.up(v.known)
 	return remembered(k, k.learnt, learning{0, p, w.now}, func() voter {
-		return k.learns(maintenance.NewProposer(k.council(), reading(at)), p, at, int(w.now))
+		return k.learns(maintenance.NewProposer(k.council()), p, at, int(w.now))
 	})
 }
 
--- a/internal/control/maintenance/turns.go
+++ b/internal/control/maintenance/turns.go
@@ -6,18 +6,19 @@
 	farm "github.com/dgryski/go-farm"
 )
 
-// Turns parts all servers into so many, by their zones: each has one day in so many on which windows may hold
-// it. An agent that has held no lease for so long that windows may have begun which it does not know keeps
-// off the servers whose turn it is. Zero: no turns; such an agent may use a node that is free.
+// Turns divides all servers into as many groups, by their zones. Each group has one day in as many days, its
+// turn, on which windows may hold its servers. An agent at policy.ModeBottom, which may not know of the latest
+// windows, keeps off the servers whose turn it is. Zero: no turns, and such an agent may use a server that is
+// free.
 //
-// The zone has the turn, as staff ask for a whole zone at once; a server without one has its own.
+// The zone decides, as operators ask for a whole zone at once; a server without a zone has a turn of its own.
 type Turns int
 
 const (
 	day = 24 * time.Hour
-	// noon is when turns begin, UTC: an hour at which few nights' windows would be cut.
+	// noon UTC is when turns begin: windows are mostly at night, and few would be cut.
 	noon = 12 * time.Hour
-	// TurnMargin is left at both ends of a turn, for clocks that differ.
+	// TurnMargin is kept free at both ends of a turn, for clocks that differ.
 	TurnMargin = 10 * time.Second
 )
 
@@ -33,7 +34,7 @@
 	return int(farm.Hash32([]byte(name)) % uint32(t))
 }
 
-// At is whose turn it is at a time (Unix time), and until when.
+// At is whose turn it is at a time (Unix time), and until when; -1 without turns.
 func (t Turns) At(at time.Duration) (turn int, until time.Duration) {
 	if t < 1 {
 		return -1, at + day
@@ -42,7 +43,7 @@
 	return int(days % time.Duration(t)), (days+1)*day + noon
 }
 
-// Covers tells whether a server may be in a window all the time from one moment to another: PlanInput.IsInTurn.
+// Covers tells whether a server may be in a window during all of a time; see PlanInput.IsInTurn.
 func (t Turns) Covers(id, zone string, from, to time.Duration) bool {
 	if t < 1 {
 		return true
--- a/internal/control/policy/example_test.go
+++ b/internal/control/policy/example_test.go
@@ -7,7 +7,7 @@
 	"dunestep/internal/control/policy"
 )
 
-// An agent holds documents against its settings and the floor before it says yes.
+// An agent checks documents against its settings and the floor before it accepts them.
 func Example() {
 	own := policy.LocalSettings{MaxFailedRatio: 0.25, Settings: balancer.Settings{
 		Tenants: []balancer.Tenant{{Name: "east", QuotaPerSecond: 60}, {Name: "west", QuotaPerSecond: 40}},
--- a/internal/control/policy/golden_test.go
+++ b/internal/control/policy/golden_test.go
@@ -156,20 +156,20 @@
 	}
 }
 
-// TestGoldenNotes: agents' answers, as they go with their requests for leases.
-func TestGoldenNotes(t *testing.T) {
-	notes := []Answer{
+// TestGoldenAnswers: agents' answers, as they go with their requests for leases.
+func TestGoldenAnswers(t *testing.T) {
+	answers := []Answer{
 		{Version: 1},
 		{Version: 300, Code: SharesExceedTotal, Text: "tenants together get 1.1"},
 		{Version: 1 << 40, Code: FloorMismatch, Text: strings.Repeat("x", MaxAnswerSize-10-2)},
 		{Version: 2, Code: UnreadableDocument, Text: "ä"},
 	}
 	var forms []goldenForm
-	for _, n := range notes {
+	for _, n := range answers {
 		forms = append(forms, goldenForm{string(rune('a' + len(forms))), n.Encode()})
 	}
 	stored := requireGolden(t, "notes.txt", forms)
-	for i, n := range notes {
+	for i, n := range answers {
 		read, ok := DecodeAnswer(stored[forms[i].name])
 		require.True(t, ok)
 		require.Equal(t, n, read)
--- a/internal/control/policy/lab/lab.go
+++ b/internal/control/policy/lab/lab.go
@@ -234,7 +234,7 @@
 		if l.set.Without == "run out" {
 			times.FloorValidity = time.Hour
 		}
-		a.member = policy.NewReplica(n, false, a.own, times, now)
+		a.member = policy.NewReplica(a.own, times, now)
 	}
 	if nd.known > 0 {
 		if err := nd.member.StateMachine.Restore(was.StateMachine.Snapshot()); err != nil {
@@ -268,7 +268,7 @@
 		begin = lease.ClockReading{}
 	}
 	v.granter = lease.NewGranter(lease.GranterSettings{Terms: l.set.Times.Terms, Agents: l.set.Agents})
-	v.member = policy.NewReplica(v.number, true, Own(), l.set.Times, now)
+	v.member = policy.NewVoterReplica(v.number, Own(), l.set.Times, now)
 	v.member.Voter = policy.NewVoter(v.number, times, begin)
 	v.member.Proposer = policy.NewProposer(v.number, councils)
 	v.member.Proposer.SetVoters(now, l.voterNumbers(), 1)
@@ -486,7 +486,11 @@
 
 // propose does what is due at a voter, and tells when it is again.
 func (l *Lab) propose(v *voter, now lease.ClockReading) (next time.Duration) {
-	records, next := v.member.Due(now, v.number == l.leader)
+	due := v.member.Due
+	if v.number == l.leader {
+		due = v.member.DueAsLeader
+	}
+	records, next := due(now)
 	for _, data := range records {
 		l.submit(v.number, data)
 	}
--- a/internal/control/policy/policylog/seat_test.go
+++ b/internal/control/policy/policylog/adapter_test.go
@@ -20,18 +20,18 @@
 	"dunestep/internal/fleet/lease"
 )
 
-// played is a fleet of whole nodes with policies above, and the judge of what they decide.
+// played is a fleet of complete nodes with policies, and the judge of what they decide.
 type played struct {
 	*fleetlab.Lab
 	t        *testing.T
-	seats    []*Adapter
+	adapters []*Adapter
 	judge    *judge.Judge
 	history  *judge.History
-	known    uint64 // versions that the judge was told of
+	known    uint64 // versions that the judge knows
 	proposed int
-	waiting  []string                     // calls of which nobody was told yet
+	waiting  []string                     // proposals whose outcome is not known yet
 	first    map[uint64]map[int]time.Time // when each agent first acted on a version
-	course   uint64                       // a sum over all decisions: another course has another
+	course   uint64                       // a hash of all decisions, which differs between courses
 }
 
 var own = policy.LocalSettings{MaxFailedRatio: 0.25, Settings: balancer.Settings{
@@ -61,7 +61,7 @@
 	require.NoError(t, err)
 	// Clocks may be off by 100 ms each, and by what the judge hears of late.
 	p := &played{
-		t: t, seats: make([]*Adapter, o.Agents), first: map[uint64]map[int]time.Time{},
+		t: t, adapters: make([]*Adapter, o.Agents), first: map[uint64]map[int]time.Time{},
 		history: judge.NewHistory(200 * time.Millisecond),
 		judge:   judge.New(200*time.Millisecond, judge.Version{Effect: effect, Floor: floor.Effect(own)}),
 	}
@@ -75,7 +75,7 @@
 			MachineNumber: uint8(len(set.Machines)), Local: mine, Times: policy.Times{Terms: set.Terms},
 		}, now)
 		set.Machines, set.Application = append(set.Machines, s), s
-		p.seats[set.Self] = s
+		p.adapters[set.Self] = s
 	}
 	o.OnDecision = p.decided
 	o.Act = func(agent int) { p.propose(agent, 1500*time.Millisecond) }
@@ -86,7 +86,7 @@
 }
 
 func (p *played) decided(agent int, at time.Time, now fleet.ClockReading, n *fleet.Node) {
-	s := p.seats[agent]
+	s := p.adapters[agent]
 	if s == nil {
 		return
 	}
@@ -120,7 +120,7 @@
 	p.proposed++
 	id = fmt.Sprint("p", p.proposed)
 	now := p.Reading(agent)
-	record, err := p.seats[agent].EncodeProposal(now, id, []byte(text), now.Unix+within)
+	record, err := p.adapters[agent].EncodeProposal(now, id, []byte(text), now.Unix+within)
 	require.NoError(p.t, err)
 	p.history.Called(time.Duration(p.World.Now().UnixNano()), id)
 	p.waiting = append(p.waiting, id)
@@ -128,14 +128,14 @@
 	return id
 }
 
-// ask asks any agent what became of the calls; in the end one that nobody knows of was not taken.
+// ask asks some agent for the outcomes of the proposals; at the end one that no agent knows was rejected.
 func (p *played) ask(end bool) {
 	left := p.waiting[:0]
 	for i, id := range p.waiting {
-		agent := (i + p.proposed) % len(p.seats)
+		agent := (i + p.proposed) % len(p.adapters)
 		o := policy.Outcome{}
 		if p.Node(agent) != nil {
-			o = p.seats[agent].Outcome(id)
+			o = p.adapters[agent].Outcome(id)
 		}
 		switch now := time.Duration(p.World.Now().UnixNano()); {
 		case o.Status == policy.StatusAccepted:
@@ -149,9 +149,9 @@
 	p.waiting = left
 }
 
-// A policy takes hold everywhere at its time: with all up in less than a second and a half, with a fifth down or cut off
-// once their leases are over; and they have it before they act again.
-func TestEverywhere(t *testing.T) {
+// TestEffectiveAtAllAgents: a policy takes effect at all agents at its time. With all up that takes less than a second
+// and a half, with a fifth down or cut off until their leases have expired; and these have it before they act again.
+func TestEffectiveAtAllAgents(t *testing.T) {
 	for name, hurt := range map[string]func(p *played, agent int){
 		"all up": nil, "down": func(p *played, a int) { p.Kill(a) }, "cut off": func(p *played, a int) { p.Isolate(a, true) },
 	} {
@@ -167,7 +167,7 @@
 			p.Run(10 * time.Millisecond)
 			p.Decide()
 		}
-		require.Equal(t, policy.StatusAccepted, p.seats[2].Outcome(id).Status, name)
+		require.Equal(t, policy.StatusAccepted, p.adapters[2].Outcome(id).Status, name)
 		last := time.Duration(0)
 		for agent, at := range p.first[1] {
 			if hurt == nil || agent%5 != 1 {
@@ -192,8 +192,9 @@
 	}
 }
 
-// One live agent that cannot use a document, with its reason, and it takes hold nowhere.
-func TestNowhere(t *testing.T) {
+// TestOneRejectionIsEnough: where one live agent cannot use a document, it takes effect nowhere, and the outcome has the
+// agent's reason.
+func TestOneRejectionIsEnough(t *testing.T) {
 	p := play(t, fleetlab.Options{Agents: 12, Voters: 3, Seed: 3}, func(agent int) policy.LocalSettings {
 		o := own
 		if agent == 7 {
@@ -203,7 +204,7 @@
 	})
 	id := p.propose(2, time.Second)
 	p.Run(8 * time.Second)
-	o := p.seats[2].Outcome(id)
+	o := p.adapters[2].Outcome(id)
 	require.Equal(t, policy.StatusRejected, o.Status)
 	require.Equal(t, 7, o.Agent)
 	require.Contains(t, o.Reason(), "attempts")
@@ -211,9 +212,9 @@
 	require.Empty(t, p.judge.Violations)
 }
 
-// An agent whose clock is set to five seconds more or less acts within the floor until it is right again, and no other
-// is harmed: also a voter's, also the leader's.
-func TestClockOff(t *testing.T) {
+// TestWrongClock: an agent whose clock is set forward or back by five seconds acts within the floor until it is right
+// again, and no other agent is affected; also where it is a voter or the leader.
+func TestWrongClock(t *testing.T) {
 	for _, off := range []time.Duration{5 * time.Second, -5 * time.Second} {
 		for _, leads := range []bool{false, true} {
 			p := play(t, fleetlab.Options{Agents: 9, Voters: 3, Seed: 4}, nil)
@@ -238,7 +239,7 @@
 	}
 }
 
-// hunt plays a seed with faults, and a proposal each four seconds.
+// hunt plays a seed with faults, and a proposal every four seconds.
 func hunt(t *testing.T, o fleetlab.Options, rounds int) *played {
 	o.ClocksWithin = 100 * time.Millisecond
 	p := play(t, o, nil)
@@ -250,10 +251,10 @@
 	return p
 }
 
-// Whatever happens to the network, processes, disks and clocks: no decision is made under an older version after one
-// under a newer, none of a cut-off agent that what is in force does not allow; and one register that each call changes
-// once explains what was seen. Long: LONG_TESTS.
-func TestHunt(t *testing.T) {
+// TestSafetyUnderFaults: whatever happens to the network, processes, disks and clocks, no decision is made under an older
+// version after one under a newer, and none of a cut-off agent that the version in force does not allow; and one register
+// that each proposal changes once explains what was seen. Long: LONG_TESTS.
+func TestSafetyUnderFaults(t *testing.T) {
 	rows := []hunting.Row{{Agents: 7, To: 25}}
 	if os.Getenv("LONG_TESTS") != "" {
 		rows = []hunting.Row{{Agents: 5, To: 1000}, {Agents: 50, To: 1000}, {Agents: 300, To: 1000}}
@@ -270,10 +271,10 @@
 			require.Empty(t, p.Violations(), seed)
 			require.Empty(t, p.judge.Violations, seed)
 			require.True(t, p.history.IsLinearizable(), seed)
-			require.Nil(t, p.seats[0].State().OpenChange, seed)
-			taken += int(p.seats[0].State().InForce.Number)
+			require.Nil(t, p.adapters[0].State().OpenChange, seed)
+			taken += int(p.adapters[0].State().InForce.Number)
 			full += p.judge.Decisions[policy.ModeFull]
-			r.Log(t, seed, "%d changes, %d decisions, course %x", p.seats[0].State().InForce.Number,
+			r.Log(t, seed, "%d changes, %d decisions, course %x", p.adapters[0].State().InForce.Number,
 				p.judge.Decisions[policy.ModeFull], p.course)
 		}
 		t.Logf("%d agents: seeds %d to %d, 12 changes tried in each, numbers up to %d in all, %d decisions in full", r.Agents,
@@ -282,14 +283,15 @@
 	}
 }
 
-// weaknesses are protections that whole nodes go without.
+// weaknesses are protections that complete nodes lack.
 var weaknesses = map[string]func(*fleet.Settings){
 	"leases last longer than agreed": func(s *fleet.Settings) { s.Terms.Duration = 12 * time.Second },
 	"voters grant on what they knew": func(s *fleet.Settings) { s.Terms.MaxKnowledgeAge, s.Terms.MaxPause = time.Minute, time.Hour },
 }
 
-// A protection that whole nodes go without is missed within 200 seeds, by the judge of decisions and by the history.
-func TestProtectionsAreMissed(t *testing.T) {
+// TestMissingProtectionIsFound: a protection that complete nodes lack is missed within 200 seeds, by the judge of
+// decisions and by the history.
+func TestMissingProtectionIsFound(t *testing.T) {
 	for name, weaken := range weaknesses {
 		judged, explained := false, true
 		seed := uint64(0)
@@ -305,22 +307,22 @@
 	}
 }
 
-// scenario is a script by which a protection is missed, as it is kept.
+// scenario is a script by which a missing protection is found, as it is stored.
 type scenario struct {
 	Without string           `json:"without"`
-	Says    string           `json:"says"` // the judge, where it is taken out
+	Says    string           `json:"says"` // what the judge reports without the protection
 	Agents  int              `json:"agents"`
 	Voters  int              `json:"voters"`
 	Seed    uint64           `json:"seed"`
 	Script  []fleetlab.Fault `json:"script"`
 }
 
-// breach plays a scenario and tells what the judge of decisions says first; empty: nothing.
-func (s scenario) breach(t *testing.T, weaken func(*fleet.Settings)) string {
+// violation plays a scenario and returns what the judge of decisions reports first; empty: nothing.
+func (s scenario) violation(t *testing.T, weaken func(*fleet.Settings)) string {
 	o := fleetlab.Options{Agents: s.Agents, Voters: s.Voters, Seed: s.Seed, Weaken: weaken, ClocksWithin: 100 * time.Millisecond}
 	p := play(t, o, nil)
 	p.Play(s.Script)
-	for range 75 { // what is under way goes on
+	for range 75 { // changes that are open go on
 		p.Run(200 * time.Millisecond)
 		p.Decide()
 	}
@@ -334,8 +336,8 @@
 	return filepath.Join("testdata", strings.ReplaceAll(name, " ", "-")+".json")
 }
 
-// The shortest script by which a protection was missed is kept. It fails without the protection, whatever chance adds to it, or
-// by some of four seeds at the least; and by none with it.
+// TestScenarios: the shortest script by which a missing protection was found fails without the protection by at least one of
+// four seeds, and by none with it.
 func TestScenarios(t *testing.T) {
 	kept, err := filepath.Glob(file("*"))
 	require.NoError(t, err)
@@ -349,18 +351,18 @@
 		require.NotNil(t, weaken, name)
 		missed, first := 0, s.Seed
 		for ; s.Seed < first+4; s.Seed++ {
-			if s.breach(t, weaken) != "" {
+			if s.violation(t, weaken) != "" {
 				missed++
 			}
-			require.Empty(t, s.breach(t, nil), "%s, seed %d", name, s.Seed)
+			require.Empty(t, s.violation(t, nil), "%s, seed %d", name, s.Seed)
 		}
 		t.Logf("%s: %d steps, missed by %d of 4 seeds", name, len(s.Script), missed)
 		require.Positive(t, missed, "%s: make a new one, see TestShorten", name)
 	}
 }
 
-// TestShorten makes the scenarios anew: SHORTEN=1. The first seeds by which a protection is missed are made shorter, and the
-// shortest script is kept.
+// TestShorten makes the scenarios anew: SHORTEN=1. The scripts of the first seeds by which a missing protection is found are
+// shortened, and the shortest is stored.
 func TestShorten(t *testing.T) {
 	if os.Getenv("SHORTEN") == "" {
 		t.Skip("it writes testdata; SHORTEN=1")
@@ -374,14 +376,14 @@
 			fails := func(script []fleetlab.Fault) bool {
 				r := s
 				r.Script = script
-				return r.breach(t, weaken) != "" && r.breach(t, nil) == ""
+				return r.violation(t, weaken) != "" && r.violation(t, nil) == ""
 			}
 			if !fails(s.Script) {
 				continue
 			}
 			found++
 			s.Script = fleetlab.Shorten(s.Script, fails)
-			s.Says = s.breach(t, weaken)
+			s.Says = s.violation(t, weaken)
 			t.Logf("%s, seed %d: %d steps: %s", name, seed, len(s.Script), s.Says)
 			if len(best.Script) == 0 || len(s.Script) < len(best.Script) {
 				best = s
--- a/internal/control/policy/policylog/measure_test.go
+++ b/internal/control/policy/policylog/measure_test.go
@@ -13,9 +13,9 @@
 	"dunestep/internal/fleet/fleetlab"
 )
 
-// inForce plays one change in a fleet of whole nodes whose ways lose a part of all datagrams, and gives how long it took
-// from the call until half, 99 in 100 and all of the agents acted on it; 20 s where they did not by then.
-func inForce(t *testing.T, agents int, loss float64, seed uint64, bytes int) (took [3]time.Duration) {
+// timeToEffect plays one change in a fleet of complete nodes whose network loses a fraction of all datagrams. It returns how
+// long it took from the proposal until half, 99 in 100 and all of the agents acted on it; 20 s where they did not by then.
+func timeToEffect(t *testing.T, agents int, loss float64, seed uint64, bytes int) (took [3]time.Duration) {
 	p := play(t, fleetlab.Options{Agents: agents, Voters: 3, Seed: seed}, nil)
 	p.Lossy(loss, 0, 0)
 	p.Run(12 * time.Second)
@@ -41,9 +41,9 @@
 	return took
 }
 
-// A change asked for in 0.9 s is in force at all agents in a second where nothing is lost, and in three or a little more where
-// three of ten datagrams are. With LONG_TESTS the table of the design note.
-func TestHowLong(t *testing.T) {
+// TestTimeToEffect: a change that is proposed for 0.9 s ahead is in effect at all agents in a second where nothing is lost,
+// and in three or a little more where three of ten datagrams are. With LONG_TESTS the table of the design note.
+func TestTimeToEffect(t *testing.T) {
 	type row struct {
 		agents, bytes int
 		loss          float64
@@ -64,7 +64,7 @@
 		var worst [3]time.Duration
 		var last []time.Duration
 		for seed := range r.seeds {
-			took := inForce(t, r.agents, r.loss, seed, r.bytes)
+			took := timeToEffect(t, r.agents, r.loss, seed, r.bytes)
 			for i := range took {
 				worst[i] = max(worst[i], took[i])
 			}
--- a/internal/control/policy/voter.go
+++ b/internal/control/policy/voter.go
@@ -7,37 +7,40 @@
 	"dunestep/internal/fleet/lease"
 )
 
-// Voter is a voter's side of a change, beside its lease.Granter: who may be granted a lease while one is
-// open, and when all that hold one from here have promised.
+// Voter is a voter's part in a change, beside its lease.Granter: it decides who may be granted a lease while a
+// change is open, and reports when all that hold one from here have promised.
 type Voter struct {
-	self        int
-	times       Times
-	state       State
-	startedAt   lease.ClockReading // before it, an earlier process may have granted leases that nobody knows of
-	holders     map[int][]holder
+	self  int
+	times Times
+	state State
+	// startedAt is when this process began. An earlier process of this voter may have granted leases before it,
+	// of which nothing is known here.
+	startedAt   lease.ClockReading
+	holders     map[int][]holder // by agent
 	rejection   agentRejection
-	retryAt     time.Duration // not before: what was proposed may be on its way
-	proposedFor uint64        // the change that again is of
+	retryAt     time.Duration // by the monotonic clock: until then the last record may be on its way
+	proposedFor uint64        // the change that retryAt is about
 }
 
-// holder is a process that a lease was granted to.
+// holder is a process that was granted a lease.
 type holder struct {
 	incarnation uint64
 	grantedAt   lease.ClockReading // the last time
 	answer      Answer
 }
 
+// agentRejection is an agent's answer that rejects a change.
 type agentRejection struct {
 	agent  int
 	answer Answer
 }
 
 const (
-	// maxProcesses of one agent are told apart: at an upgrade there are two for a while.
+	// maxProcesses is how many processes of one agent are told apart; during an upgrade there are two.
 	maxProcesses = 4
-	// proposeRetryInterval is after how long what was proposed and is not in the log is proposed again.
+	// proposeRetryInterval is how long after it was proposed a record that is not in the log is proposed again.
 	proposeRetryInterval = 200 * time.Millisecond
-	// recheckInterval is after how long an open change is looked at again.
+	// recheckInterval is how often an open change is checked.
 	recheckInterval = 50 * time.Millisecond
 )
 
@@ -46,14 +49,14 @@
 	return &Voter{self: self, times: times.WithDefaults(), startedAt: now, holders: map[int][]holder{}}
 }
 
-// Learn takes what the log says now: after records were applied, before a lease is granted that names them.
+// Learn takes the present state: after records were applied, and before a lease is granted that covers them.
 func (v *Voter) Learn(m *StateMachine) {
 	v.state = m.State()
 	if v.state.OpenChange == nil {
 		return
 	}
-	for agent, all := range v.holders {
-		for _, h := range all {
+	for agent, processes := range v.holders {
+		for _, h := range processes {
 			if h.answer.Version == v.state.OpenChange.Number {
 				v.noteRejection(agent, h.answer)
 			}
@@ -61,84 +64,91 @@
 	}
 }
 
-// says notes a no. The lowest agent's is told, so that it does not depend on the order of a map.
-func (v *Voter) noteRejection(agent int, n Answer) {
-	if n.Code != Accepted && (v.rejection.answer.Version != n.Version || agent < v.rejection.agent) {
-		v.rejection = agentRejection{agent, n}
+// noteRejection notes an answer that rejects. Of several agents the lowest counts, so that the order of a map
+// does not.
+func (v *Voter) noteRejection(agent int, answer Answer) {
+	if answer.Code != Accepted && (v.rejection.answer.Version != answer.Version || agent < v.rejection.agent) {
+		v.rejection = agentRejection{agent, answer}
 	}
 }
 
-// AllowLease tells whether an agent may be granted a lease at this moment, and counts it as granted then. While a
-// change is open, only one may that has promised: who has not applied it asks again when it has, and who says
-// no when the change is abandoned for it.
-func (v *Voter) AllowLease(now lease.ClockReading, agent int, incarnation uint64, note []byte) bool {
-	n, ok := DecodeAnswer(note)
+// AllowLease tells whether an agent may be granted a lease at this moment, and if so notes it as granted. While
+// a change is open only an agent that has promised may: one that has not applied it asks again when it has, and
+// one that rejects it once the change is abandoned.
+func (v *Voter) AllowLease(now lease.ClockReading, agent int, incarnation uint64, encodedAnswer []byte) bool {
+	answer, ok := DecodeAnswer(encodedAnswer)
 	if !ok {
 		return false
 	}
-	if open := v.state.OpenChange; open != nil && n.Version <= open.Number {
-		if n.Version < open.Number {
+	if open := v.state.OpenChange; open != nil && answer.Version <= open.Number {
+		if answer.Version < open.Number {
 			return false
 		}
-		if v.noteRejection(agent, n); n.Code != Accepted {
+		if v.noteRejection(agent, answer); answer.Code != Accepted {
 			return false
 		}
 	}
-	v.addHolder(now, agent, holder{incarnation: incarnation, grantedAt: now, answer: n})
+	v.addHolder(now, agent, holder{incarnation: incarnation, grantedAt: now, answer: answer})
 	return true
 }
 
-// AnswerReceived takes what an agent tells beside its requests for leases: its promise holds for all that it was
-// granted. The voter tells it that it was heard.
-func (v *Voter) AnswerReceived(agent int, incarnation uint64, note []byte) {
-	n, ok := DecodeAnswer(note)
+// AnswerReceived takes an answer that an agent sent beside its requests for leases: its promise covers every
+// lease that the process was granted.
+func (v *Voter) AnswerReceived(agent int, incarnation uint64, encodedAnswer []byte) {
+	answer, ok := DecodeAnswer(encodedAnswer)
 	if !ok {
 		return
 	}
-	if v.state.OpenChange != nil && n.Version == v.state.OpenChange.Number {
-		v.noteRejection(agent, n)
+	if v.state.OpenChange != nil && answer.Version == v.state.OpenChange.Number {
+		v.noteRejection(agent, answer)
 	}
 	for i, h := range v.holders[agent] {
-		if h.incarnation == incarnation && n.Version > h.answer.Version {
-			v.holders[agent][i].answer = n
+		if h.incarnation == incarnation && answer.Version > h.answer.Version {
+			v.holders[agent][i].answer = answer
 		}
 	}
 }
 
-// hold notes a lease. What its process has said of a later change than the request does holds still: the
-// request was sent before that, and overtaken; the process says it once. Of too many processes of one
-// agent, the one that asked longest ago is passed over if its lease is over; else the last two are counted
-// as one that has promised what both have.
+// addHolder notes a lease. A newer answer of the same process than the request carries still counts: the request
+// was sent before it and was overtaken, and the process sends the answer once. Where one agent has more than
+// maxProcesses, those whose leases have expired are dropped, and the last two are merged into one that has
+// promised what both have.
 func (v *Voter) addHolder(now lease.ClockReading, agent int, h holder) {
-	for _, o := range v.holders[agent] {
-		if o.incarnation == h.incarnation && o.answer.Version > h.answer.Version {
-			h.answer = o.answer
+	for _, other := range v.holders[agent] {
+		if other.incarnation == h.incarnation && other.answer.Version > h.answer.Version {
+			h.answer = other.answer
 		}
 	}
-	all := slices.DeleteFunc(v.holders[agent], func(o holder) bool {
-		return o.incarnation == h.incarnation || minElapsed(o.grantedAt, now) >= v.times.maxLeaseAge()
+	processes := slices.DeleteFunc(v.holders[agent], func(other holder) bool {
+		return other.incarnation == h.incarnation || v.isExpired(other, now)
 	})
-	if len(all) == maxProcesses {
-		last := &all[len(all)-1]
+	if len(processes) == maxProcesses {
+		last := &processes[len(processes)-1]
 		if last.grantedAt, last.incarnation = now, h.incarnation; h.answer.Version < last.answer.Version {
 			last.answer = h.answer
 		}
 	} else {
-		all = append(all, h)
+		processes = append(processes, h)
 	}
-	v.holders[agent] = all
+	v.holders[agent] = processes
 }
 
-// ProcessStopped takes that a process of an agent has said that it has ended, and does not act any more.
+// isExpired tells whether a holder's last lease is over by any clock.
+func (v *Voter) isExpired(h holder, now lease.ClockReading) bool {
+	return minElapsed(h.grantedAt, now) >= v.times.maxLeaseAge()
+}
+
+// ProcessStopped notes that a process of an agent has said that it has stopped acting.
 func (v *Voter) ProcessStopped(agent int, incarnation uint64) {
-	ended := func(h holder) bool { return h.incarnation == incarnation }
-	v.holders[agent] = slices.DeleteFunc(v.holders[agent], ended)
+	stopped := func(h holder) bool { return h.incarnation == incarnation }
+	v.holders[agent] = slices.DeleteFunc(v.holders[agent], stopped)
 	if len(v.holders[agent]) == 0 {
 		delete(v.holders, agent)
 	}
 }
 
-// Due returns what is to be proposed to the log, and when to ask again at the latest, by the steady clock.
+// Due returns the records to propose to the log, and the latest time at which to call it again, by the monotonic
+// clock.
 func (v *Voter) Due(now lease.ClockReading) (records [][]byte, next time.Duration) {
 	open := v.state.OpenChange
 	switch {
@@ -160,15 +170,15 @@
 	return records, v.retryAt
 }
 
-// promised tells whether all that may hold a lease which was granted here, by this process or one before it,
-// have promised.
+// allPromised tells whether every process that may hold a lease of this voter, granted by this process or an
+// earlier one, has promised.
 func (v *Voter) allPromised(now lease.ClockReading, version uint64) bool {
 	if minElapsed(v.startedAt, now) < v.times.maxLeaseAge() {
 		return false
 	}
-	for _, all := range v.holders {
-		for _, h := range all {
-			if h.answer.Version < version && minElapsed(h.grantedAt, now) < v.times.maxLeaseAge() {
+	for _, processes := range v.holders {
+		for _, h := range processes {
+			if h.answer.Version < version && !v.isExpired(h, now) {
 				return false
 			}
 		}
--- a/internal/control/ringassignment/agent.go
+++ b/internal/control/ringassignment/agent.go
@@ -7,29 +7,29 @@
 	"dunestep/internal/fleet/lease"
 )
 
-// StandstillLimit is for how long an agent without a lease stands still on the generation that it has. After that it
-// places by its own list, as without generations: what it has may name few of the servers that are left.
+// StandstillLimit is how long an agent without a lease keeps the generation that it has. After that it uses its
+// own endpoint list, as without generations: the generation may name few of the servers that are left.
 const StandstillLimit = 15 * time.Minute
 
-// Agent is what each agent has: by which generation it places at a moment.
+// Agent is the part of every agent: it says which generation the agent uses at a moment.
 type Agent struct {
 	current, coming *usedGeneration
-	applied         Mark // that was learnt last
-	hadLease        bool // it has held a lease
-	lastLeased      lease.ClockReading
+	applied         Mark // the newest generation that was learnt
+	hadLease        bool
+	lastLeased      lease.ClockReading // valid if hadLease
 }
 
-// taken is a generation as it is used.
+// usedGeneration is a generation in the form that decisions use.
 type usedGeneration struct {
 	effectiveAt time.Duration
 	assignment  *balancer.RingAssignment // nil: as without generations
 }
 
-// NewAgent returns an Agent that knows nothing yet. A log that began anew needs a new one.
+// NewAgent returns an Agent that knows no generation. A log that is started anew needs a new one.
 func NewAgent() *Agent { return &Agent{current: &usedGeneration{}} }
 
-// Learn takes what the log says now: after records were applied, and after a snapshot. One that has missed
-// generations, or had none, takes up what it learns at once: what it has may be too old to go by any longer.
+// Learn takes the present state: after records were applied, and after a snapshot. An agent that has missed
+// generations, or had none, uses what it learns at once: what it has may be too old to be used any longer.
 func (a *Agent) Learn(m *StateMachine) {
 	st := &m.state
 	if st.Number == a.applied.Number {
@@ -39,13 +39,14 @@
 	if a.coming != nil {
 		a.current = a.coming
 	}
-	if a.coming = next; st.Number != a.applied.Number+1 || a.applied.Number == 0 && !a.hadLease {
+	a.coming = next
+	if missed := st.Number != a.applied.Number+1; missed || a.applied.Number == 0 && !a.hadLease {
 		a.current, a.coming = next, nil
 	}
 	a.applied = st.mark()
 }
 
-// Applied is the generation that was learnt last, to be told to voters.
+// Applied is the newest generation that was learnt, for the voters.
 func (a *Agent) Applied() Mark { return a.applied }
 
 func newAssignment(st *State) *balancer.RingAssignment {
@@ -54,15 +55,16 @@
 	}
 	p := &balancer.RingAssignment{Generation: st.Number, Points: map[string]int{}}
 	for i := range st.Members {
-		if n := st.Members[i].OnRing(); n > 0 {
-			p.Points[st.Members[i].ID] = n
+		if points := st.Members[i].OnRing(); points > 0 {
+			p.Points[st.Members[i].ID] = points
 		}
 	}
 	return p
 }
 
-// Assignment is the generation to place by; nil: none, as without. Now is read for this decision, and the
-// standing by it. It is the same pointer while nothing changes. Without a lease the generation stands still.
+// Assignment is the generation to use now; nil: none, as without generations. It is the same pointer while
+// nothing changes. The reading and the lease's standing have to be taken for this decision. Without a lease the
+// generation stays the same.
 func (a *Agent) Assignment(now lease.ClockReading, standing lease.Standing) *balancer.RingAssignment {
 	switch {
 	case standing == lease.New:
--- a/internal/control/ringassignment/assignmentlog/seat_test.go
+++ b/internal/control/ringassignment/assignmentlog/adapter_test.go
@@ -14,21 +14,21 @@
 	"dunestep/internal/fleet/lease"
 )
 
-// played is a fleet of whole nodes with generations above, and a list that all see alike.
+// played is a fleet of complete nodes with generations, and an endpoint list that all see alike.
 type played struct {
 	*fleetlab.Lab
-	t      *testing.T
-	seats  []*Adapter
-	list   map[string]ringassignment.Server
-	saw    []time.Time
-	placed []*balancer.RingAssignment
-	newest uint64 // used with a lease
-	began  map[uint64]time.Time
+	t        *testing.T
+	adapters []*Adapter
+	list     map[string]ringassignment.Server
+	saw      []time.Time
+	placed   []*balancer.RingAssignment
+	newest   uint64 // used with a lease
+	began    map[uint64]time.Time
 }
 
 func play(t *testing.T, o fleetlab.Options, servers int) *played {
 	p := &played{
-		t: t, seats: make([]*Adapter, o.Agents), list: map[string]ringassignment.Server{}, began: map[uint64]time.Time{},
+		t: t, adapters: make([]*Adapter, o.Agents), list: map[string]ringassignment.Server{}, began: map[uint64]time.Time{},
 		saw: make([]time.Time, o.Agents), placed: make([]*balancer.RingAssignment, o.Agents),
 	}
 	for i := range servers {
@@ -42,7 +42,7 @@
 		}, now)
 		set.Machines, set.Application = append(set.Machines, s), s
 		s.SetPaces(map[string]float64{"rapid": 0.8})
-		p.seats[set.Self] = s
+		p.adapters[set.Self] = s
 	}
 	o.OnDecision = p.decided
 	p.Lab = fleetlab.New(o)
@@ -52,7 +52,7 @@
 }
 
 func (p *played) decided(agent int, at time.Time, now fleet.ClockReading, n *fleet.Node) {
-	s := p.seats[agent]
+	s := p.adapters[agent]
 	if s == nil {
 		return
 	}
@@ -75,9 +75,9 @@
 	require.LessOrEqual(p.t, p.newest, g.Generation+1, "agent %d", agent)
 }
 
-// all checks that all agents that run go by one generation, with so many servers on it.
+// all checks that all agents that run use one generation, with a number of servers on it.
 func (p *played) all(servers int) {
-	for a := range p.seats {
+	for a := range p.adapters {
 		if p.Node(a) != nil {
 			require.NotNil(p.t, p.placed[a], "agent %d", a)
 			require.Equal(p.t, p.newest, p.placed[a].Generation)
@@ -86,8 +86,8 @@
 	}
 }
 
-// Whole nodes agree on generations, take them up together, and go on without their leader; none that is behind
-// by more than one is in use.
+// TestGenerations: complete nodes agree on generations, use them from the same time on, and go on without their leader;
+// none that is behind by more than one is in use.
 func TestGenerations(t *testing.T) {
 	p := play(t, fleetlab.Options{Agents: 9, Voters: 3, Seed: 3}, 20)
 	p.Run(2 * time.Minute)
@@ -106,12 +106,12 @@
 
 	// Paces change by agreement, slowly.
 	p.Run(time.Minute)
-	require.Equal(t, []ringassignment.Pace{{Kind: "rapid", Percent: 90}}, p.seats[p.Leader()].State().Paces)
+	require.Equal(t, []ringassignment.Pace{{Kind: "rapid", Percent: 90}}, p.adapters[p.Leader()].State().Paces)
 }
 
-// The next generation does not wait for the fence where all run, and does where one is cut off that holds a
-// lease.
-func TestEarly(t *testing.T) {
+// TestNextGenerationBeforeTheFence: it does not wait for the fence where all agents run, and does where one is cut off
+// that holds a lease.
+func TestNextGenerationBeforeTheFence(t *testing.T) {
 	for _, cut := range []bool{false, true} {
 		p := play(t, fleetlab.Options{Agents: 9, Voters: 3, Seed: 4}, 20)
 		p.Run(2 * time.Minute)
@@ -133,8 +133,8 @@
 	}
 }
 
-// What agents say that is none of theirs is passed over.
-func TestStrangeMessages(t *testing.T) {
+// TestMalformedMessages: they are ignored.
+func TestMalformedMessages(t *testing.T) {
 	s := New(Settings{IsVoter: true}, fleet.ClockReading{})
 	for _, data := range [][]byte{nil, {}, {messageMark}, {messageMark, 1}, {messageVoterReport, 1}, {messagePaceReport, 1}, {9, 9, 9}} {
 		require.Nil(t, s.HandleMessage(fleet.ClockReading{}, 1, data))
--- a/internal/control/ringassignment/next_test.go
+++ b/internal/control/ringassignment/change_test.go
@@ -15,55 +15,56 @@
 	"dunestep/internal/fleet/raftlog"
 )
 
-// fleet plays a leader's part alone: a clock, a list, the machine.
-type fleet struct {
-	t       *testing.T
-	f       Parameters
-	now     time.Duration
-	watch   ViewTracker
-	emptied map[string]bool
-	list    map[string]*Server
-	machine *StateMachine
+// leader plays a leader alone: a clock, an endpoint list, the state machine.
+type leader struct {
+	t            *testing.T
+	params       Parameters
+	now          time.Duration
+	tracker      ViewTracker
+	fullyDrained map[string]bool
+	list         map[string]*Server
+	machine      *StateMachine
 }
 
-func begin(t *testing.T, servers int) *fleet {
-	x := &fleet{t: t, now: 1e6 * time.Hour, list: map[string]*Server{}, machine: NewStateMachine(), f: Parameters{
+// begin is a leader of 20 servers after five minutes.
+func begin(t *testing.T) *leader {
+	x := &leader{t: t, now: 1e6 * time.Hour, list: map[string]*Server{}, machine: NewStateMachine(), params: Parameters{
 		SlowStart: slowstart.Params{InitialCapacity: 0.31, Duration: 9 * time.Second, OverloadMultiple: 3, Margin: 0.4, MaxOfWarm: 1},
 	}.WithDefaults()}
-	for i := range servers {
+	for i := range 20 {
 		x.list[fmt.Sprint("s-", 10+i)] = &Server{ID: fmt.Sprint("s-", 10+i), Ready: true, Capacity: 1}
 	}
 	x.pass(5 * time.Minute)
 	return x
 }
 
-// pass has time go by, with a look each second and a generation as soon as one may be.
-func (x *fleet) pass(d time.Duration) {
+// pass has time pass, with a view each second and a generation as soon as one may be proposed.
+func (x *leader) pass(d time.Duration) {
 	for end := x.now + d; x.now < end; x.now += time.Second {
-		v := View{Now: x.now, FullyDrained: x.emptied}
+		v := View{Now: x.now, FullyDrained: x.fullyDrained}
 		for _, s := range x.list {
 			v.Servers = append(v.Servers, *s)
 		}
-		sights := x.watch.Update(v)
-		if x.now < x.machine.state.EffectiveAt+x.f.Terms.FenceWait() {
+		servers := x.tracker.Update(v)
+		if x.now < x.machine.state.EffectiveAt+x.params.Terms.FenceWait() {
 			continue
 		}
-		if c, is := NextChange(x.machine.state, sights, x.f, x.now); is {
+		if c, is := NextChange(x.machine.state, servers, x.params, x.now); is {
 			x.machine.Apply(1, c.Encode())
 			require.Equal(x.t, c.Base+1, x.machine.state.Number)
 		}
 	}
 }
 
-func (x *fleet) node(id string) Member {
+func (x *leader) node(id string) Member {
 	n := x.machine.state.find(id)
 	require.NotNil(x.t, n, id)
 	return *n
 }
 
-// Each state is entered as the rules say.
-func TestStates(t *testing.T) {
-	x := begin(t, 20)
+// TestPhases: each phase is entered as the rules say.
+func TestPhases(t *testing.T) {
+	x := begin(t)
 	require.Equal(t, Member{ID: "s-10", Points: 200}, x.node("s-10"))
 	vanished := *x.list["s-10"]
 	delete(x.list, "s-10")
@@ -101,13 +102,13 @@
 	require.Equal(t, Joining, x.node("s-13").Phase)
 }
 
-// A server that windows have emptied stays as it is, whatever becomes of it and whoever leads; when it is that no
-// more it is lost only if it is not back.
-func TestEmptied(t *testing.T) {
-	x := begin(t, 20)
+// TestFullyDrainedServersStay: a server that windows have fully drained stays as it is, whatever becomes of it and whoever
+// leads; afterwards it is lost only if it is not back.
+func TestFullyDrainedServersStay(t *testing.T) {
+	x := begin(t)
 	number := x.machine.state.Number
 	one, other := *x.list["s-10"], x.list["s-11"]
-	x.emptied = map[string]bool{"s-10": true, "s-11": true, "unknown": true}
+	x.fullyDrained = map[string]bool{"s-10": true, "s-11": true, "unknown": true}
 	for range 5 { // restarts
 		delete(x.list, "s-10")
 		other.Draining = true
@@ -118,38 +119,38 @@
 	}
 	delete(x.list, "s-10")
 	x.pass(2 * time.Minute)
-	x.watch = ViewTracker{} // of another leader
+	x.tracker = ViewTracker{} // of another leader
 	x.pass(10 * time.Second)
 	require.Equal(t, number, x.machine.state.Number)
 
-	x.emptied = nil
+	x.fullyDrained = nil
 	x.pass(8 * time.Second)
 	require.Equal(t, Suspect, x.node("s-10").Phase)
 	require.Equal(t, Member{ID: "s-11", Points: 200}, x.node("s-11"))
 	require.Nil(t, x.machine.state.find("unknown"))
-	x.emptied = map[string]bool{"s-10": true}
+	x.fullyDrained = map[string]bool{"s-10": true}
 	x.list["s-10"] = &one
 	x.pass(10 * time.Second)
-	require.Equal(t, Complete, x.node("s-10").Phase, "one that was lost before comes back as any does")
+	require.Equal(t, Complete, x.node("s-10").Phase, "one that was lost before returns as any other does")
 }
 
-// An agreed pace counts by what is agreed, also a first step of a tenth; switched off, capacities alone do.
-func TestPacesCount(t *testing.T) {
-	x := begin(t, 20)
+// TestPacesChangePoints: an agreed pace counts, also a first step of a tenth; switched off, capacities alone do.
+func TestPacesChangePoints(t *testing.T) {
+	x := begin(t)
 	for id := range x.list {
 		x.list[id].Kind = "lent"
 	}
-	x.machine.state.Paces, x.machine.state.PacesChangedAt, x.f.UsePaces = []Pace{{Kind: "lent", Percent: 90}}, unixSeconds(x.now), true
+	x.machine.state.Paces, x.machine.state.PacesChangedAt, x.params.UsePaces = []Pace{{Kind: "lent", Percent: 90}}, unixSeconds(x.now), true
 	x.pass(2 * time.Minute)
 	require.Equal(t, Member{ID: "s-10", Points: 180}, x.node("s-10"))
-	x.f.UsePaces = false
+	x.params.UsePaces = false
 	x.pass(5 * time.Minute)
 	require.Equal(t, Member{ID: "s-10", Points: 200}, x.node("s-10"))
 }
 
-// One that flaps stays off until it has been back for long enough, longer each time.
-func TestHeldOff(t *testing.T) {
-	x := begin(t, 20)
+// TestFlappingServerIsHeldOff: it stays off until it has been ready for long enough, longer each time.
+func TestFlappingServerIsHeldOff(t *testing.T) {
+	x := begin(t)
 	s := x.list["s-10"]
 	for range 10 {
 		s.Ready = false
@@ -178,9 +179,9 @@
 	require.Greater(t, back(), 2*first)
 }
 
-// What is told for a moment changes no points, what stays does, by the rate.
-func TestCapacity(t *testing.T) {
-	x := begin(t, 20)
+// TestCapacityChanges: a capacity that lasts a moment changes no points, one that stays does, by the rate.
+func TestCapacityChanges(t *testing.T) {
+	x := begin(t)
 	number := x.machine.state.Number
 	for i := range 30 {
 		x.list["s-10"].Capacity = []float64{0.5, 2, 1}[i%3]
@@ -192,14 +193,14 @@
 	require.Greater(t, x.node("s-10").Points, uint16(200))
 	x.pass(time.Minute)
 	require.Equal(t, Member{ID: "s-10", Points: 400}, x.node("s-10"))
-	x.list["s-11"].Capacity = -1 // nonsense: the usual one
+	x.list["s-11"].Capacity = -1 // invalid: the usual capacity
 	x.pass(time.Minute)
 	require.Equal(t, Member{ID: "s-11", Points: 200}, x.node("s-11"))
 }
 
-// A leader whose list has lost over half of the servers takes none off, nor does one that sees none.
-func TestListNotBelieved(t *testing.T) {
-	x := begin(t, 20)
+// TestDoubtfulListTakesNoServerOff: nor does one that is empty.
+func TestDoubtfulListTakesNoServerOff(t *testing.T) {
+	x := begin(t)
 	was := x.machine.state
 	for i := range 11 {
 		delete(x.list, fmt.Sprint("s-", 10+i))
@@ -211,9 +212,9 @@
 	require.Equal(t, was.OnRing(), x.machine.state.OnRing())
 }
 
-// With more servers than the log's snapshot has room for, placement stands off, and comes back.
-func TestStandsOff(t *testing.T) {
-	x := begin(t, 20)
+// TestSuspendedWithTooManyServers: and resumed once the snapshot has room again.
+func TestSuspendedWithTooManyServers(t *testing.T) {
+	x := begin(t)
 	for i := range 900 {
 		x.list[fmt.Sprint("more-", i)] = &Server{ID: fmt.Sprint("more-", i), Ready: true, Capacity: 1}
 	}
@@ -232,8 +233,8 @@
 	require.Less(t, len(x.machine.Snapshot()), MaxServersSize)
 }
 
-// The fullest state there may be has room in the log's snapshot beside the others.
-func TestRoom(t *testing.T) {
+// TestLargestStateFitsTheSnapshot: beside the state of the other state machines.
+func TestLargestStateFitsTheSnapshot(t *testing.T) {
 	m, size := NewStateMachine(), 0
 	for i := 0; ; i++ {
 		n := Member{
@@ -250,7 +251,7 @@
 	require.LessOrEqual(t, 50<<10+operatorcommand.MaxBytes+16<<10+MaxServersSize+1<<10, raftlog.MaxSnapshotBytes)
 }
 
-// Whatever records come, the state stays one that could be, and a snapshot makes the same of it.
+// TestAnyRecords: any records leave the state valid, and a snapshot gives the same state.
 func TestAnyRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := NewStateMachine()
@@ -279,19 +280,19 @@
 	})
 }
 
-// A leader's look at 600 servers, where nothing is to be done.
-func BenchmarkNext(b *testing.B) {
-	m, f, now, sights := NewStateMachine(), Parameters{}.WithDefaults(), time.Hour, []ObservedServer{}
+// BenchmarkNextChange is of a leader's view of 600 servers, where nothing is to be done.
+func BenchmarkNextChange(b *testing.B) {
+	m, f, now, servers := NewStateMachine(), Parameters{}.WithDefaults(), time.Hour, []ObservedServer{}
 	for i := range 600 {
-		sights = append(sights, ObservedServer{Server: Server{ID: fmt.Sprintf("s-%08x", i), Ready: true, Capacity: 0.5}})
+		servers = append(servers, ObservedServer{Server: Server{ID: fmt.Sprintf("s-%08x", i), Ready: true, Capacity: 0.5}})
 	}
 	for range 2 {
 		now += 10 * time.Second
-		if c, is := NextChange(m.state, sights, f, now); is {
+		if c, is := NextChange(m.state, servers, f, now); is {
 			m.Apply(1, c.Encode())
 		}
 	}
 	for b.Loop() {
-		NextChange(m.state, sights, f, now)
+		NextChange(m.state, servers, f, now)
 	}
 }
--- a/internal/control/ringassignment/example_test.go
+++ b/internal/control/ringassignment/example_test.go
@@ -8,7 +8,7 @@
 	"dunestep/internal/fleet/lease"
 )
 
-// A leader sees two servers, proposes the first generation, and an agent takes it up at its time.
+// A leader sees two servers and proposes the first generation, and an agent uses it from its time on.
 func Example() {
 	clock := lease.ClockReading{Unix: 1_000 * time.Hour}
 	later := func(d time.Duration) lease.ClockReading {
@@ -16,15 +16,15 @@
 		return clock
 	}
 	machine, agent := ringassignment.NewStateMachine(), ringassignment.NewAgent()
-	council := ringassignment.NewProposer(ringassignment.Parameters{}, clock)
+	proposer := ringassignment.NewProposer(ringassignment.Parameters{}, clock)
 	agent.Assignment(clock, lease.Full)
 
 	now := later(6 * time.Second)
-	council.SetView(now, ringassignment.View{Now: now.Unix, Servers: []ringassignment.Server{
+	proposer.SetView(now, ringassignment.View{Now: now.Unix, Servers: []ringassignment.Server{
 		{ID: "s-1", Ready: true, Capacity: 1.8}, {ID: "s-2", Ready: true, Capacity: 0.9},
 	}})
-	council.Due(now)
-	records, _ := council.Due(later(time.Second))
+	proposer.Due(now)
+	records, _ := proposer.Due(later(time.Second))
 	machine.Apply(1, records[0])
 	agent.Learn(machine)
 	fmt.Println("before:", agent.Assignment(clock, lease.Full))
--- a/internal/control/ringassignment/golden_test.go
+++ b/internal/control/ringassignment/golden_test.go
@@ -119,12 +119,12 @@
 	}
 }
 
-// TestGoldenMessages: what agents and voters tell each other.
+// TestGoldenMessages: what agents and voters send to each other.
 func TestGoldenMessages(t *testing.T) {
 	mark := Mark{Number: 4, EffectiveAt: goldenNow}
-	word := EncodePaceReport(map[string]float64{"own": 1.1, "lent": 0.9, "strange": -1})
+	report := EncodePaceReport(map[string]float64{"own": 1.1, "lent": 0.9, "strange": -1})
 	stored := requireGolden(t, "messages.txt", []goldenForm{
-		{"mark", mark.Encode(nil)}, {"word", word}, {"word-of-none", EncodePaceReport(nil)},
+		{"mark", mark.Encode(nil)}, {"word", report}, {"word-of-none", EncodePaceReport(nil)},
 	})
 	read, ok := DecodeMark(stored["mark"])
 	require.True(t, ok)
--- a/internal/control/ringassignment/rules.go
+++ b/internal/control/ringassignment/rules.go
@@ -6,38 +6,37 @@
 	"time"
 )
 
-// rule is what takes a server from one state to another. Of those of its state the first that holds does, one
-// a generation.
+// rule takes a server from one phase to another. Of the rules of its phase the first that holds applies, one a
+// generation.
 type rule struct {
 	from      []Phase
-	condition string
+	condition string // for people
 	holds     func(*candidate) bool
 	to        Phase
-	isFlap    bool // it raises the penalty
+	flap      flap
 }
 
+// servingPhases are the phases of servers that have points on the ring.
 var servingPhases = []Phase{Complete, Joining}
 
-// unchanged is the state that a server has.
-const unchanged Phase = 255
-
-// rules are all of them.
+// rules are all rules; nobody changes them.
 var rules = []rule{
-	{servingPhases, "it drains", (*candidate).isDraining, Away, true},
-	{servingPhases, "it vanished, or is not ready", (*candidate).isLost, Suspect, true},
-	{servingPhases, "it was away, and is back before a generation took it off", (*candidate).wasBrieflyLost, unchanged, true},
-	{servingPhases, "it has more points than its warmth permits: it began anew", (*candidate).isColder, Joining, true},
-	{[]Phase{Joining}, "it has all its points", (*candidate).isFullyGrown, Complete, false},
-	{[]Phase{Suspect}, "it drains", (*candidate).isDraining, Away, false},
-	{[]Phase{Suspect}, "it is back, held off for long enough, and warm", (*candidate).mayReturnWarm, Complete, false},
-	{[]Phase{Suspect}, "it is back, held off for long enough, and cold", (*candidate).mayReturn, Joining, false},
-	{[]Phase{Suspect}, "its points were kept for long enough, and it is not listed", (*candidate).isOverdueUnlisted, Gone, false},
-	{[]Phase{Suspect}, "its points were kept for long enough", (*candidate).isOverdue, Away, false},
-	{[]Phase{Expected, Away, Gone}, "it is ready, held off for long enough", (*candidate).mayReturn, Joining, false},
-	{[]Phase{Expected, Away}, "it is not listed", (*candidate).isUnlisted, Gone, false},
+	{servingPhases, "it drains", (*candidate).isDraining, Away, countsAsFlap},
+	{servingPhases, "it vanished, or is not ready", (*candidate).isLost, Suspect, countsAsFlap},
+	{servingPhases, "it was away, and is back before a generation took it off", (*candidate).wasBrieflyLost, unchanged, countsAsFlap},
+	{servingPhases, "it has more points than its warmth permits: it began anew", (*candidate).isColder, Joining, countsAsFlap},
+	{[]Phase{Joining}, "it has all its points", (*candidate).isFullyGrown, Complete, noFlap},
+	{[]Phase{Suspect}, "it drains", (*candidate).isDraining, Away, noFlap},
+	{[]Phase{Suspect}, "it is back, held off for long enough, and warm", (*candidate).mayReturnWarm, Complete, noFlap},
+	{[]Phase{Suspect}, "it is back, held off for long enough, and cold", (*candidate).mayReturn, Joining, noFlap},
+	{[]Phase{Suspect}, "its points were kept for long enough, and it is not listed", (*candidate).isOverdueUnlisted, Gone, noFlap},
+	{[]Phase{Suspect}, "its points were kept for long enough", (*candidate).isOverdue, Away, noFlap},
+	{[]Phase{Expected, Away, Gone}, "it is ready, held off for long enough", (*candidate).mayReturn, Joining, noFlap},
+	{[]Phase{Expected, Away}, "it is not listed", (*candidate).isUnlisted, Gone, noFlap},
 }
 
-// Rules are all rules for people: from which states, to which, and when.
+// Rules are all rules for people: from which phases, to which, and the condition. A test compares them with
+// docs/design/placement.md.
 func Rules() (lines [][3]string) {
 	for _, r := range rules {
 		from := ""
@@ -56,106 +55,84 @@
 	return lines
 }
 
-// look is a server as a rule sees it.
+// candidate is a server as a rule sees it.
 type candidate struct {
 	*builder
-	node   *Member
+	member *Member
 	server *ObservedServer // nil: not listed
 }
 
-func (l *candidate) isUnlisted() bool { return l.server == nil }
-func (l *candidate) isReady() bool    { return l.server != nil && l.server.Ready && !l.server.Draining }
-func (l *candidate) isDraining() bool { return l.server != nil && l.server.Draining }
+// firstRule is the first rule that holds; nil: none. A server that windows have fully drained stays as it is,
+// whatever becomes of it: it has no keys to lose. Otherwise a server that is restarted in a window would be held
+// off beyond the window's end, and agents that are cut off meanwhile would not learn of it for long.
+func (c *candidate) firstRule() *rule {
+	if c.fullyDrained[c.member.ID] && slices.Contains(servingPhases, c.member.Phase) {
+		return nil
+	}
+	for i := range rules {
+		if r := &rules[i]; slices.Contains(r.from, c.member.Phase) && r.holds(c) {
+			return r
+		}
+	}
+	return nil
+}
+
+func (c *candidate) isUnlisted() bool { return c.server == nil }
+func (c *candidate) isReady() bool    { return c.server != nil && c.server.isUsable() }
+func (c *candidate) isDraining() bool { return c.server != nil && c.server.Draining }
 
-// lost waits for whether one without swings comes back at once, as one does whose list was told anew: then
-// its keys go and are back, and taking it off would move them twice more. Own lists take away meanwhile.
-func (l *candidate) isLost() bool {
-	if l.listDoubtful || l.isReady() {
+// isLost tells whether a server is lost for good. One without flaps may come back at once, as where an endpoint
+// list was sent anew: its keys move away and back then, and to take it off would move them twice more. Until
+// that is clear the agents' own lists keep it out of use.
+func (c *candidate) isLost() bool {
+	if c.listDoubtful || c.isReady() {
 		return false
 	}
-	broke, is := l.missing[l.node.ID]
-	if l.server != nil {
-		broke, is = l.server.LostAt, true
+	lostAt, known := c.missing[c.member.ID]
+	if c.server != nil {
+		lostAt, known = c.server.LostAt, true
 	}
-	return !is || l.now-broke >= l.params.LossConfirmation || l.node.penalty(l.now, l.params.PenaltyHalfLife) >= minPenalty
+	return !known || c.now-lostAt >= c.params.LossConfirmation || c.penalty() >= minPenalty
 }
 
-// blinked only counts as a swing: its keys went and are back wherever the list told of it, and taking it off
-// would move them twice more.
-func (l *candidate) wasBrieflyLost() bool {
-	return l.isReady() && l.server.LostAt > l.state.EffectiveAt-l.params.ActivationLead
+// wasBrieflyLost tells whether a server was lost and is back before it was taken off. That only counts as a
+// flap: its keys have moved away and back wherever the list said so, and to take it off would move them twice
+// more.
+func (c *candidate) wasBrieflyLost() bool {
+	return c.isReady() && c.server.LostAt > c.state.EffectiveAt-c.params.ActivationLead
 }
 
-// colder leaves room to rounding, and to others that have fewer points than before.
-func (l *candidate) isColder() bool { return float64(l.node.Points) > 1.25*float64(l.warmPoints())+1 }
+// isColder tells whether a server has clearly more points than slow start permits: it was restarted. The margin
+// is for rounding, and for other servers that have fewer points than before.
+func (c *candidate) isColder() bool { return float64(c.member.Points) > 1.25*float64(c.warmPoints())+1 }
 
-func (l *candidate) isFullyGrown() bool { return int(l.node.Points) >= l.node.fullPoints() }
+func (c *candidate) isFullyGrown() bool { return int(c.member.Points) >= c.member.fullPoints() }
 
-func (l *candidate) mayReturn() bool {
-	return l.isReady() && l.now-l.server.ReadySince >= l.holdOff()
+// mayReturn tells whether a server has been ready for as long as its penalty demands.
+func (c *candidate) mayReturn() bool {
+	return c.isReady() && c.now-c.server.ReadySince >= c.holdOff()
 }
 
-func (l *candidate) mayReturnWarm() bool { return l.mayReturn() && !l.isColder() }
-func (l *candidate) isOverdue() bool {
-	return !l.isReady() && l.now-time.Duration(l.node.Since)*time.Second >= l.params.SuspectRetention
-}
-func (l *candidate) isOverdueUnlisted() bool { return l.isUnlisted() && l.isOverdue() }
+func (c *candidate) mayReturnWarm() bool { return c.mayReturn() && !c.isColder() }
 
-// warm is how many points the server's warmth permits when the generation is taken up.
-func (l *candidate) warmPoints() int { return l.permittedPoints(l.server, l.node.fullPoints()) }
-
-// hold is for how long the server has to be ready before it may come back.
-func (l *candidate) holdOff() time.Duration {
-	p := l.node.penalty(l.now, l.params.PenaltyHalfLife)
-	if p < minPenalty {
-		return 0
-	}
-	hold := float64(l.params.MinReadyTime) * math.Exp2(p-1)
-	return time.Duration(min(hold, float64(l.params.MaxHoldOff)))
+// isOverdue tells whether a server's points were kept for long enough.
+func (c *candidate) isOverdue() bool {
+	return !c.isReady() && c.now-time.Duration(c.member.Since)*time.Second >= c.params.SuspectRetention
 }
 
-const (
-	minPenalty = 0.1 // a swing decayed to less counts no more
-	maxPenalty = 20
-)
+func (c *candidate) isOverdueUnlisted() bool { return c.isUnlisted() && c.isOverdue() }
 
-// penalty is what is left of it, in swings.
-func (n *Member) penalty(now, half time.Duration) float64 {
-	age := max(now-time.Duration(n.Since)*time.Second, 0)
-	return float64(n.Penalty) / 100 * math.Exp2(-float64(age)/float64(half))
-}
+// warmPoints is how many points slow start permits when the generation is used.
+func (c *candidate) warmPoints() int { return c.permittedPoints(c.server, c.member.fullPoints()) }
 
-// enter has a server be in another state.
-func (n *Member) enter(to Phase, swing bool, now, half time.Duration) {
-	p := n.penalty(now, half)
-	if swing {
-		p = min(p+1, maxPenalty)
-	}
-	if p < minPenalty {
-		p = 0
-	}
-	if to == unchanged {
-		to = n.Phase
-	}
-	full := n.fullPoints()
-	n.Phase, n.Penalty, n.Since = to, uint16(math.Round(100*p)), unixSeconds(now)
-	if to == Complete && n.Penalty == 0 {
-		n.Since = 0
-	}
-	n.setFullPoints(full)
-}
+func (c *candidate) penalty() float64 { return c.member.penalty(c.now, c.params.PenaltyHalfLife) }
 
-// rule is the first that holds; nil: none. One that windows have emptied stays as it is, whatever becomes of
-// it: it has no keys to lose. Guards against a server that staff restart, which would be held off beyond the
-// windows' end, and against agents that are cut off meanwhile and hear of no other generation for long.
-func (l *candidate) firstRule() *rule {
-	if l.fullyDrained[l.node.ID] && slices.Contains(servingPhases, l.node.Phase) {
-		return nil
-	}
-	for i := range rules {
-		if r := &rules[i]; slices.Contains(r.from, l.node.Phase) && r.holds(l) {
-			return r
-		}
+// holdOff is how long the server has to be ready before it may return.
+func (c *candidate) holdOff() time.Duration {
+	penalty := c.penalty()
+	if penalty < minPenalty {
+		return 0
 	}
-	return nil
+	hold := float64(c.params.MinReadyTime) * math.Exp2(penalty-1)
+	return time.Duration(min(hold, float64(c.params.MaxHoldOff)))
 }
