--- a/cmd/dunestep/witness_test.go
+++ b/cmd/dunestep/witness_test.go
@@ -205,16 +205,16 @@
 func (w *witness) propose(a *lab.Agent, mark int, args ...string) (string, error) {
 	id := fmt.Sprint("mark-", mark)
 	w.mu.Lock()
-	w.history.Called(unix(), id)
+	w.history.ProposalMade(unix(), id)
 	w.mu.Unlock()
 	text, err := fleetCommand(w.t, a, append([]string{"policy", "propose", w.document(mark), "--id", id}, args...)...)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var version uint64
 	if n, _ := fmt.Sscanf(text, "taken: version %d holds", &version); n == 1 {
-		w.history.Answered(unix(), id, version, 0) // it is said once it holds
+		w.history.ProposalAnswered(unix(), id, version, 0) // it is said once it holds
 	} else if strings.Contains(text, "not taken: ") && !strings.Contains(text, "usage") {
-		w.history.Answered(unix(), id, 0, 0)
+		w.history.ProposalAnswered(unix(), id, 0, 0)
 	}
 	return text, err
 }
@@ -226,8 +226,8 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.history, w.since = judge.NewHistory(slack), s.Now.Number
-	w.history.Called(0, s.Now.ID)
-	w.history.Answered(0, s.Now.ID, s.Now.Number, time.Duration(s.Now.By.UnixNano()))
+	w.history.ProposalMade(0, s.Now.ID)
+	w.history.ProposalAnswered(0, s.Now.ID, s.Now.Number, time.Duration(s.Now.By.UnixNano()))
 }
 
 // slack is how far the agents' clocks may be apart; here it is one.
@@ -240,7 +240,7 @@
 		if s, ok := policiesAt(a); ok && s.Acting == policy.ModeFull.String() {
 			w.mu.Lock()
 			if s.Version >= w.since {
-				w.history.Read(from, unix(), s.Version)
+				w.history.VersionRead(from, unix(), s.Version)
 			}
 			w.mu.Unlock()
 		}
@@ -332,12 +332,12 @@
 	slices.Sort(numbers)
 	for _, n := range numbers[1:] {
 		by := time.Duration(w.versions[n].By.UnixNano())
-		j.Activated(by, w.version(n, by))
+		j.VersionActivated(by, w.version(n, by))
 	}
 	decisions := w.decisions(numbers)
 	counts := map[string]int{}
 	for _, d := range decisions {
-		j.Decided(d)
+		j.DecisionMade(d)
 		counts[fmt.Sprint(d.Mode, " ", d.Version)]++
 	}
 	w.t.Logf("%d decisions: %v, versions %v", len(decisions), counts, w.versions)
--- a/internal/control/maintenance/judge/plan_test.go
+++ b/internal/control/maintenance/judge/planchecker_test.go
@@ -16,7 +16,7 @@
 	"dunestep/internal/control/maintenance/contract"
 )
 
-// grid is what all times in these scenes are multiples of, so that nothing changes within it.
+// All times of these inputs are multiples of grid, so that nothing changes within it.
 const (
 	grid = 5 * time.Minute
 	day  = 24 * time.Hour
@@ -24,9 +24,10 @@
 
 func pick[T any](t *rapid.T, name string, of ...T) T { return rapid.SampledFrom(of).Draw(t, name) }
 
-func drawPlan(t *rapid.T) *Plan {
-	p := &Plan{Tables: map[string]contract.Table{}, Grid: grid}
-	s := &p.Scene
+// drawChecker is any valid input of a plan.
+func drawChecker(t *rapid.T) *PlanChecker {
+	p := &PlanChecker{Tables: map[string]contract.Table{}, Grid: grid}
+	s := &p.Input
 	begin := time.Date(2026, pick(t, "month", time.March, time.October), 20, 0, 0, 0, 0, time.UTC)
 	s.Now = time.Duration(begin.UnixNano()) + time.Duration(rapid.IntRange(0, 10*288).Draw(t, "now"))*grid
 	s.ClockMargin, s.PeakLoad, s.MaxUtilization = grid, pick(t, "load", 0, 0.3, 0.6), pick(t, "most", 0, 0.8, 1)
@@ -59,12 +60,12 @@
 			Nodes: []string{pick(t, "node", "n0", "n1", "n2", "gone")}, Tenants: []string{pick(t, "tenant", "east", "west", maintenance.NoTenant, "gone")},
 		}
 		one.To = one.From + time.Duration(pick(t, "length", 36, 12, 100, 6, 288))*grid
-		if p.Begun = append(p.Begun, one); one.To > s.Now {
+		if p.Windows = append(p.Windows, one); one.To > s.Now {
 			s.Windows = append(s.Windows, one)
 		}
 	}
 	s.CountWindows = func(tenant string, from, to time.Duration) (count int) {
-		for _, one := range p.Begun {
+		for _, one := range p.Windows {
 			if slices.Contains(one.Tenants, tenant) && from <= one.From && one.From < to {
 				count++
 			}
@@ -80,66 +81,69 @@
 	return p
 }
 
-func (p *Plan) drawAsk(t *rapid.T) maintenance.WindowRequest {
-	a := maintenance.WindowRequest{ID: "ask", MoveRate: pick(t, "pace", 0, 0.05, 0.003), From: p.Scene.Now + time.Duration((rapid.IntRange(0, 288).Draw(t, "from")*pick(t, "days", 1, 2, 10)+pick(t, "ahead", 4, 12, 0)))*grid}
-	if all := p.Scene.Windows; len(all) > 0 && rapid.Bool().Draw(t, "beside another") {
-		a.From = max(all[0].From, p.Scene.Now)
+// drawRequest is any request for an input.
+func (p *PlanChecker) drawRequest(t *rapid.T) maintenance.WindowRequest {
+	a := maintenance.WindowRequest{ID: "ask", MoveRate: pick(t, "pace", 0, 0.05, 0.003), From: p.Input.Now + time.Duration((rapid.IntRange(0, 288).Draw(t, "from")*pick(t, "days", 1, 2, 10)+pick(t, "ahead", 4, 12, 0)))*grid}
+	if all := p.Input.Windows; len(all) > 0 && rapid.Bool().Draw(t, "beside another") {
+		a.From = max(all[0].From, p.Input.Now)
 	}
 	a.To = a.From + time.Duration(pick(t, "length", 12, 6, 24, 48, 2))*grid
 	a.Tenants = pick(t, "tenants", []string{"east"}, []string{"west", "east"}, []string{maintenance.NoTenant}, []string{maintenance.AllTenants})
 	if a.Nodes = pick(t, "nodes", []string{"n0"}, []string{"n1", "n0"}, nil); a.Nodes == nil {
-		a.Zone = p.Scene.Servers[0].Zone
+		a.Zone = p.Input.Servers[0].Zone
 	}
 	return a
 }
 
+// moved is a request with another beginning, and the same length.
 func moved(a maintenance.WindowRequest, from time.Duration) maintenance.WindowRequest {
 	a.From, a.To = from, from+a.To-a.From
 	return a
 }
 
-// TestAsks: 1,000 asks of many kinds are met or refused as a check says that goes through each rule moment by
-// moment; the next time that a refusal names would be met, and none on the grid before it.
-func TestAsks(t *testing.T) {
+// TestPlanAgainstChecker: 1,000 requests of many kinds are met or rejected as the checker says, which goes through each rule
+// moment by moment; the next time that a rejection names would be met, and none on the grid before it.
+func TestPlanAgainstChecker(t *testing.T) {
 	count := map[Rule]int{}
 	rapid.Check(t, func(t *rapid.T) {
-		p := drawPlan(t)
+		p := drawChecker(t)
 		for range 10 {
-			a := p.drawAsk(t)
-			made, err := maintenance.Plan(a, p.Scene)
+			a := p.drawRequest(t)
+			made, err := maintenance.Plan(a, p.Input)
 			var m maintenance.Conflict
 			if err != nil && !errors.As(err, &m) {
 				count["no sense"]++
 				require.True(t, a.Zone == "" && !errors.As(err, &m), "%v", err)
-				require.Condition(t, func() bool { return len(a.Nodes) == 0 || a.Nodes[0] >= fmt.Sprint("n", len(p.Scene.Servers)) }, "%v", err)
+				require.Condition(t, func() bool { return len(a.Nodes) == 0 || a.Nodes[0] >= fmt.Sprint("n", len(p.Input.Servers)) }, "%v", err)
 				continue
 			}
-			why := p.Breaks(a)
-			count[why]++
-			require.Equal(t, why == "", err == nil, "%s: %v", why, err)
+			broken := p.FirstBroken(a)
+			count[broken]++
+			require.Equal(t, broken == "", err == nil, "%s: %v", broken, err)
 			if err == nil {
 				require.True(t, made.From == a.From && made.To == a.To && made.DrainedAt-made.From == made.To-made.ReturnFrom && made.ReturnFrom-made.DrainedAt >= maintenance.MinDrained)
 				require.LessOrEqual(t, 1/float64(made.Steps), cmp.Or(a.MoveRate, 0.01)+1e-9)
 				continue
 			}
 			require.NotEmpty(t, m.Reason)
-			p.checkNext(t, a, m, count)
+			p.checkNextFit(t, a, m, count)
 		}
 	})
 	t.Log(count)
-	for _, why := range []Rule{Short, Contract, Longest, Notice, Hours, Monthly, Turn, Capacity, "next", "none"} {
-		require.NotZero(t, count[why], why)
+	for _, rule := range []Rule{RuleLength, RuleContract, RuleMaxLength, RuleNotice, RuleHours, RuleMonthly, RuleTurn, RuleCapacity, "next", "none"} {
+		require.NotZero(t, count[rule], rule)
 	}
 }
 
-func (p *Plan) checkNext(t *rapid.T, a maintenance.WindowRequest, m maintenance.Conflict, count map[Rule]int) {
-	last := min(a.From+60*day, p.Scene.Now+62*day)
+// checkNextFit checks the time that a rejection names.
+func (p *PlanChecker) checkNextFit(t *rapid.T, a maintenance.WindowRequest, m maintenance.Conflict, count map[Rule]int) {
+	last := min(a.From+60*day, p.Input.Now+62*day)
 	if m.NextFit != 0 {
 		count["next"]++
 		last = m.NextFit
 		require.GreaterOrEqual(t, m.NextFit, a.From)
-		require.Empty(t, p.Breaks(moved(a, m.NextFit)), "%v", m)
-		_, err := maintenance.Plan(moved(a, m.NextFit), p.Scene)
+		require.Empty(t, p.FirstBroken(moved(a, m.NextFit)), "%v", m)
+		_, err := maintenance.Plan(moved(a, m.NextFit), p.Input)
 		require.NoError(t, err)
 	} else {
 		count["none"]++
@@ -150,22 +154,22 @@
 			lead = max(lead, time.Duration(table.NoticeMin)*time.Minute)
 		}
 	}
-	first := max(a.From, p.Scene.Now+lead+grid)
+	first := max(a.From, p.Input.Now+lead+grid)
 	steps := int((last - first) / grid)
 	for i := range min(steps, 400) {
 		if steps > 400 { // too many to try them all
 			i = rapid.IntRange(0, steps-1).Draw(t, "tried")
 		}
 		at := first + time.Duration(i)*grid
-		require.NotEmpty(t, p.Breaks(moved(a, at)), "%v would do, %v was named", at, m.NextFit)
+		require.NotEmpty(t, p.FirstBroken(moved(a, at)), "%v would do, %v was named", at, m.NextFit)
 	}
 }
 
-// TestAnyScene: whatever is asked of whatever scene ends with an answer, and none is met that makes no sense.
-func TestAnyScene(t *testing.T) {
+// TestAnyInput: any request with any input gets an answer, and no window is invalid.
+func TestAnyInput(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := drawPlan(t)
-		a, s := p.drawAsk(t), &p.Scene
+		p := drawChecker(t)
+		a, s := p.drawRequest(t), &p.Input
 		number := rapid.OneOf(rapid.Float64(), rapid.SampledFrom([]float64{math.NaN(), math.Inf(1), math.Inf(-1), 0, 1e300}))
 		moment := rapid.OneOf(rapid.Int64(), rapid.Int64Range(int64(s.Now), int64(s.Now+10*day)), rapid.SampledFrom([]int64{math.MaxInt64, math.MinInt64, 0}))
 		for range rapid.IntRange(1, 4).Draw(t, "changes") {
--- a/internal/control/maintenance/lab/lab.go
+++ b/internal/control/maintenance/lab/lab.go
@@ -148,8 +148,8 @@
 		},
 	})
 	l.Judge = judge.New(judge.Settings{
-		Slack: 2*times.Terms.MaxClockError + time.Millisecond, Turns: turns,
-		Late: times.Terms.FenceWait(), Keys: set.Keys, Report: 12 * time.Second,
+		ClockError: 2*times.Terms.MaxClockError + time.Millisecond, Turns: turns,
+		LearnDelay: times.Terms.FenceWait(), Keys: set.Keys, ReportPeriod: 12 * time.Second,
 	})
 	l.Decided, l.OnBeside = l.decided, l.follow
 	for range set.Agents {
@@ -227,7 +227,7 @@
 		l.last[w.ID] = w.State
 		if !known {
 			l.Accepted++
-			l.Judge.Accepted(w, l.paces[w.ID])
+			l.Judge.WindowAccepted(w, l.paces[w.ID])
 		}
 		if known && was == w.State {
 			continue
@@ -238,13 +238,13 @@
 		switch w.State {
 		case maintenance.Free:
 			l.Freed++
-			l.Judge.Free(l.Now(), w.ID, true)
+			l.Judge.SetFree(l.Now(), w.ID, true)
 		case maintenance.Returning:
 			l.Back++
-			l.Judge.Free(l.Now(), w.ID, false)
+			l.Judge.SetFree(l.Now(), w.ID, false)
 		case maintenance.Ended, maintenance.Stopped:
 			l.Ended++
-			l.Judge.Free(l.Now(), w.ID, false)
+			l.Judge.SetFree(l.Now(), w.ID, false)
 		}
 		if l.onState != nil {
 			l.onState(w.ID, was, w.State)
@@ -261,7 +261,7 @@
 		l.version = act.Version
 	}
 	if act.Mode != policy.ModeBottom && act.Effect != nil {
-		l.Judge.Contracts(act.Version, act.Effect.Contracts)
+		l.Judge.SetContracts(act.Version, act.Effect.Contracts)
 	}
 }
 
@@ -325,14 +325,14 @@
 func (l *Lab) request(i int, tenant string, k key, act policy.Active, avoid *balancer.Exclusions) {
 	l.Requests++
 	r := judge.Request{
-		At: l.Now(), Arrives: l.Now() + 20*time.Millisecond, Agent: i, Life: l.Incarnation(voters + i),
-		Tenant: tenant, Hash: k.hash, How: act.Mode, Version: act.Version,
+		At: l.Now(), ArrivesAt: l.Now() + 20*time.Millisecond, Agent: i, Incarnation: l.Incarnation(voters + i),
+		Tenant: tenant, Hash: k.hash, Mode: act.Mode, Version: act.Version,
 	}
 	if l.Rand().IntN(10) == 0 {
-		r.Arrives = l.Now() + time.Duration(l.Rand().Int64N(int64(linger)))
+		r.ArrivesAt = l.Now() + time.Duration(l.Rand().Int64N(int64(linger)))
 	}
 	if l.slow > l.Now() {
-		r.Arrives = l.Now() + linger - time.Duration(l.Rand().Int64N(int64(time.Second)))
+		r.ArrivesAt = l.Now() + linger - time.Duration(l.Rand().Int64N(int64(time.Second)))
 	}
 	spare, any := "", ""
 	for _, s := range k.order {
@@ -346,7 +346,7 @@
 		switch {
 		case r.Server != "" || l.failing[s] > l.Now():
 		case keepsOff(avoid, tenant, k.hash, s):
-			if r.Kept = append(r.Kept, s); spare == "" {
+			if r.Excluded = append(r.Excluded, s); spare == "" {
 				spare = s
 			}
 		default:
@@ -354,12 +354,12 @@
 		}
 	}
 	if r.Server == "" {
-		r.Server, r.First, r.Kept = spare, spare != "", nil
+		r.Server, r.OverridesExclusions, r.Excluded = spare, spare != "", nil
 	}
 	if r.Server == "" {
 		r.Server = any
 	}
-	l.Judge.Sent(r)
+	l.Judge.RequestSent(r)
 	l.count(i, r)
 }
 
@@ -386,7 +386,7 @@
 	default:
 		c.Served++
 	}
-	if r.First {
+	if r.OverridesExclusions {
 		c.ExclusionOverrides++
 		l.First++
 	}
--- a/internal/control/maintenance/lab/lab_test.go
+++ b/internal/control/maintenance/lab/lab_test.go
@@ -76,7 +76,7 @@
 				require.Contains(t, []maintenance.State{maintenance.Ended, maintenance.Stopped}, w.State, "seed %d", seed)
 			}
 			accepted, freed, back = accepted+l.Accepted, freed+l.Freed, back+l.Back
-			moved, arrived, requests, first = moved+l.Judge.Moved, arrived+l.Judge.Freed, requests+l.Requests, first+l.First
+			moved, arrived, requests, first = moved+l.Judge.ExcludedRequests, arrived+l.Judge.RequestsWhileFree, requests+l.Requests, first+l.First
 			for r, n := range l.Refused {
 				refused[r] += n
 			}
@@ -84,7 +84,7 @@
 				reasons[r] += n
 			}
 			r.Log(t, seed, "%v: %d windows, %d free, %d back, %d of %d requests kept off, %d while free, %d first", l.theme,
-				l.Accepted, l.Freed, l.Back, l.Judge.Moved, l.Requests, l.Judge.Freed, l.First)
+				l.Accepted, l.Freed, l.Back, l.Judge.ExcludedRequests, l.Requests, l.Judge.RequestsWhileFree, l.First)
 			return true
 		})
 	t.Logf("%d agents, %d courses of %d nights from seed %d in %v: %d windows, %d free, %d back early; of %d requests %d were kept off, %d fell while a node "+
--- a/internal/control/policy/judge/history.go
+++ b/internal/control/policy/judge/history.go
@@ -2,115 +2,116 @@
 
 import (
 	"maps"
+	"slices"
 	"time"
 
 	"github.com/anishathalye/porcupine"
 )
 
-// History is what callers and readers at any agents saw of one fleet's policies, to be held against one
-// register that each taken call changes once: some order of all that was seen has to explain it, in which no
-// two are the other way round that did not overlap. It is not safe for concurrent use.
+// History is what proposers and readers at any agents saw of one fleet's policies. It is checked against one
+// register that each accepted proposal changes once: some order of all operations has to explain what was seen, in
+// which operations that did not overlap keep their order. It is not safe for concurrent use.
 type History struct {
-	slack time.Duration
-	calls map[string]time.Duration // when each was first made, by its name
-	reads map[uint64]*seenReads    // by version
-	ops   []porcupine.Operation
+	clockError time.Duration
+	proposedAt map[string]time.Duration // when each proposal was first made, by its ID
+	reads      map[uint64]*versionReads // by version
+	operations []porcupine.Operation
 }
 
-// seenReads are the read of a version that ended first and the one that began last. A version holds from one
-// moment to another, so what these two allow all others between them do: and in hundreds of reads that
-// overlap a search would not come to an end.
-type seenReads struct{ first, last seenRead }
+// versionReads are the read of a version that ended first and the one that began last. A version is in force from
+// one moment to another, so whatever order these two allow, all reads between them do; with hundreds of reads that
+// overlap, a search would not come to an end.
+type versionReads struct{ first, last readTime }
 
-type seenRead struct{ from, to time.Duration }
+type readTime struct{ from, to time.Duration }
 
-// NewHistory returns one. Slack is how far two agents' clocks may be apart: what takes hold by them does so
-// at each within this of the others.
-func NewHistory(slack time.Duration) *History {
-	return &History{slack: slack, calls: map[string]time.Duration{}, reads: map[uint64]*seenReads{}}
+// NewHistory returns an empty History. ClockError is how far two agents' clocks may be apart: a version that takes
+// effect at a time does so at each agent within this of the others.
+func NewHistory(clockError time.Duration) *History {
+	return &History{clockError: clockError, proposedAt: map[string]time.Duration{}, reads: map[uint64]*versionReads{}}
 }
 
-// Called tells that somebody has proposed, by a name; again and again if need be.
-func (h *History) Called(at time.Duration, id string) {
-	if _, is := h.calls[id]; !is {
-		h.calls[id] = at
+// ProposalMade takes that somebody has proposed, under an ID; the same one may come again.
+func (h *History) ProposalMade(at time.Duration, id string) {
+	if _, known := h.proposedAt[id]; !known {
+		h.proposedAt[id] = at
 	}
 }
 
-// Answered tells what a caller was told: that its call was taken as a version that takes hold at a time, or,
-// with version 0, that it was not taken. A call of which nobody was told has to be asked about again first:
-// what it was taken as explains nothing else.
-func (h *History) Answered(at time.Duration, id string, version uint64, by time.Duration) {
-	h.ops = append(h.ops, porcupine.Operation{
-		ClientId: len(h.ops), Input: call{id: id}, Output: version,
-		Call: int64(h.calls[id]), Return: int64(max(at, by) + h.slack),
+// ProposalAnswered takes what a proposer was answered: that its proposal was accepted as a version that takes effect
+// at a time, or, with version 0, that it was rejected. A proposal without an answer has to be asked about again
+// first: nothing else explains the version that it was accepted as.
+func (h *History) ProposalAnswered(at time.Duration, id string, version uint64, effectiveAt time.Duration) {
+	h.operations = append(h.operations, porcupine.Operation{
+		ClientId: len(h.operations), Input: operationInput{proposalID: id}, Output: version,
+		Call: int64(h.proposedAt[id]), Return: int64(max(at, effectiveAt) + h.clockError),
 	})
 }
 
-// Read tells that some agent acted on a version at some moment between two.
-func (h *History) Read(from, to time.Duration, version uint64) {
-	r := seenRead{from - h.slack, to + h.slack}
-	all := h.reads[version]
-	if all == nil {
-		h.reads[version] = &seenReads{r, r}
+// VersionRead takes that some agent acted on a version at some moment between two.
+func (h *History) VersionRead(from, to time.Duration, version uint64) {
+	r := readTime{from - h.clockError, to + h.clockError}
+	reads := h.reads[version]
+	if reads == nil {
+		h.reads[version] = &versionReads{r, r}
 		return
 	}
-	if r.to < all.first.to {
-		all.first = r
+	if r.to < reads.first.to {
+		reads.first = r
 	}
-	if r.from > all.last.from {
-		all.last = r
+	if r.from > reads.last.from {
+		reads.last = r
 	}
 }
 
 // IsLinearizable tells whether one register explains all that was seen.
 func (h *History) IsLinearizable() bool {
-	ops := append([]porcupine.Operation{}, h.ops...)
-	for version, all := range h.reads {
-		for _, r := range []seenRead{all.first, all.last} {
-			ops = append(ops, porcupine.Operation{
-				ClientId: len(ops), Input: call{}, Output: version,
+	operations := slices.Clone(h.operations)
+	for version, reads := range h.reads {
+		for _, r := range []readTime{reads.first, reads.last} {
+			operations = append(operations, porcupine.Operation{
+				ClientId: len(operations), Input: operationInput{}, Output: version,
 				Call: int64(r.from), Return: int64(r.to),
 			})
 		}
 	}
-	return porcupine.CheckOperationsTimeout(register, ops, time.Minute) == porcupine.Ok
+	return porcupine.CheckOperationsTimeout(registerModel, operations, time.Minute) == porcupine.Ok
 }
 
-// call is a proposal by its name, or a read.
-type call struct{ id string }
+// operationInput is a proposal by its ID, or a read where that is empty.
+type operationInput struct{ proposalID string }
 
-// held is the register: the version, and which one each call was taken as.
-type held struct {
-	version uint64
-	taken   map[string]uint64
+// registerState is the version, and which one each proposal was accepted as.
+type registerState struct {
+	version  uint64
+	accepted map[string]uint64
 }
 
-// register is what all agents act on. Numbers rise; versions that were taken and never told of may lie
-// between two.
-var register = porcupine.Model{
-	Init: func() any { return held{} },
+// registerModel is what all agents act on; nobody changes it. Numbers rise; versions that were accepted and whose
+// proposer never learnt it may lie between two.
+var registerModel = porcupine.Model{
+	Init: func() any { return registerState{} },
 	Step: func(state, input, output any) (bool, any) {
-		s, in, version := state.(held), input.(call), output.(uint64)
-		switch before, is := s.taken[in.id]; {
-		case in.id == "":
+		s, in, version := state.(registerState), input.(operationInput), output.(uint64)
+		switch before, known := s.accepted[in.proposalID]; {
+		case in.proposalID == "":
 			return version == s.version, s
-		case is:
+		case known:
 			return version == before, s
 		case version == 0:
 			return true, s
 		case version <= s.version:
 			return false, s
 		}
-		taken := maps.Clone(s.taken)
-		if taken == nil {
-			taken = map[string]uint64{}
+		accepted := maps.Clone(s.accepted)
+		if accepted == nil {
+			accepted = map[string]uint64{}
 		}
-		taken[in.id] = version
-		return true, held{version, taken}
+		accepted[in.proposalID] = version
+		return true, registerState{version, accepted}
 	},
 	Equal: func(a, b any) bool {
-		x, y := a.(held), b.(held)
-		return x.version == y.version && maps.Equal(x.taken, y.taken)
+		x, y := a.(registerState), b.(registerState)
+		return x.version == y.version && maps.Equal(x.accepted, y.accepted)
 	},
 }
--- a/internal/control/policy/lab/lab.go
+++ b/internal/control/policy/lab/lab.go
@@ -544,7 +544,7 @@
 			panic(fmt.Sprint("an agent has said yes to what none can use: ", err))
 		}
 		v.Number, v.EffectiveAt = st.InForce.Number, st.InForce.EffectiveAt
-		l.Judge.Activated(l.Now(), v)
+		l.Judge.VersionActivated(l.Now(), v)
 		l.countUnfit(st.InForce.Document)
 	}
 	if l.onRecord != nil {
@@ -647,7 +647,7 @@
 	if bound && l.set.Without == "promise" {
 		act.Mode = policy.ModeFull
 	}
-	l.Judge.Decided(judge.Decision{At: l.Now(), Agent: i, Mode: act.Mode, Version: act.Version})
+	l.Judge.DecisionMade(judge.Decision{At: l.Now(), Agent: i, Mode: act.Mode, Version: act.Version})
 	if act.Mode != policy.ModeFull {
 		return
 	}
--- a/internal/control/policy/policylog/adapter_test.go
+++ b/internal/control/policy/policylog/adapter_test.go
@@ -92,13 +92,13 @@
 	}
 	if v := s.State().InForce; v.Number > p.known {
 		p.known = v.Number
-		p.judge.Activated(time.Duration(at.UnixNano()), version(p.t, v))
+		p.judge.VersionActivated(time.Duration(at.UnixNano()), version(p.t, v))
 	}
 	a := s.Active(now, n.Standing(now))
-	p.judge.Decided(judge.Decision{At: time.Duration(at.UnixNano()), Agent: agent, Mode: a.Mode, Version: a.Version})
+	p.judge.DecisionMade(judge.Decision{At: time.Duration(at.UnixNano()), Agent: agent, Mode: a.Mode, Version: a.Version})
 	p.course = (p.course^uint64(at.UnixNano())^uint64(agent)<<48^uint64(a.Mode)<<40^a.Version)*0x9e3779b97f4a7c15 + 1
 	if a.Mode == policy.ModeFull {
-		p.history.Read(time.Duration(at.UnixNano()), time.Duration(at.UnixNano()), a.Version)
+		p.history.VersionRead(time.Duration(at.UnixNano()), time.Duration(at.UnixNano()), a.Version)
 		if p.first[a.Version] == nil {
 			p.first[a.Version] = map[int]time.Time{}
 		}
@@ -122,7 +122,7 @@
 	now := p.Reading(agent)
 	record, err := p.adapters[agent].EncodeProposal(now, id, []byte(text), now.Unix+within)
 	require.NoError(p.t, err)
-	p.history.Called(time.Duration(p.World.Now().UnixNano()), id)
+	p.history.ProposalMade(time.Duration(p.World.Now().UnixNano()), id)
 	p.waiting = append(p.waiting, id)
 	p.ProposeRecord(agent, 1, record)
 	return id
@@ -139,9 +139,9 @@
 		}
 		switch now := time.Duration(p.World.Now().UnixNano()); {
 		case o.Status == policy.StatusAccepted:
-			p.history.Answered(now, id, o.Version, o.EffectiveAt)
+			p.history.ProposalAnswered(now, id, o.Version, o.EffectiveAt)
 		case o.Status == policy.StatusRejected || end:
-			p.history.Answered(now, id, 0, 0)
+			p.history.ProposalAnswered(now, id, 0, 0)
 		default:
 			left = append(left, id)
 		}
--- a/internal/control/ringassignment/lab/course.go
+++ b/internal/control/ringassignment/lab/course.go
@@ -378,7 +378,7 @@
 		counts[o]++
 	}
 	for i := range l.list {
-		if (truth{l}).Ready(int32(i)) {
+		if (truth{l}).IsReady(int32(i)) {
 			all += l.list[i].capacity
 		}
 	}
--- a/internal/control/ringassignment/lab/lab.go
+++ b/internal/control/ringassignment/lab/lab.go
@@ -188,8 +188,8 @@
 	}
 	l.rings = rings{lab: l, owners: map[owning]*judge.Owners{}}
 	l.Judge = judge.New(judge.Settings{
-		Rate: judged.MaxMoveRate, Burst: judged.MaxMoveBurst, Owed: judged.OwedValidity,
-		Slack: 1.2 / math.Sqrt(float64(set.Keys)),
+		MaxMoveRate: judged.MaxMoveRate, MaxMoveBurst: judged.MaxMoveBurst, OwedValidity: judged.OwedValidity,
+		SampleError: 1.2 / math.Sqrt(float64(set.Keys)),
 	}, truth{l})
 	l.OnMessage, l.OnTimer = l.deliver, l.tick
 	for i := range set.Servers {
@@ -221,7 +221,7 @@
 // Stop ends an agent's process.
 func (l *Lab) Stop(n int) {
 	l.nodes[n].life = 0
-	l.Judge.Ended(n)
+	l.Judge.ProcessEnded(n)
 }
 
 // Start begins a process anew. Keeps tells whether it finds the records that it had.
@@ -510,14 +510,14 @@
 		}
 		standing := l.standing(nd)
 		p := nd.agent.Assignment(l.reading(i), standing)
-		s := judge.Sample{At: l.Now(), Agent: i, Leased: standing == lease.Full}
+		s := judge.Sample{At: l.Now(), Agent: i, HasLease: standing == lease.Full}
 		if l.set.Without == All {
 			p = nil
 		}
 		if p != nil {
-			s.Number = p.Generation
+			s.Generation = p.Generation
 		}
 		s.Owners = l.rings.of(p, nd.seen, l.avoid(nd))
-		l.Judge.Heard(s)
+		l.Judge.AddSample(s)
 	}
 }
--- a/internal/control/ringassignment/lab/measure.go
+++ b/internal/control/ringassignment/lab/measure.go
@@ -175,7 +175,7 @@
 		if !open(k, o) {
 			return false
 		}
-		warm := truth{m.l}.Warm(o, m.l.Now()+time.Minute)
+		warm := truth{m.l}.SlowStartFraction(o, m.l.Now()+time.Minute)
 		return warm == 1 || float64((r.keys[k]^uint32(o)*0x85ebca6b)*0x9E3779B1)/(1<<32) < warm
 	})
 }
@@ -192,7 +192,7 @@
 
 // meets tells a server of a request.
 func (m *meter) meets(key, o int32) {
-	if o == judge.None {
+	if o == judge.NoOwner {
 		return
 	}
 	h := m.has[o]
@@ -212,9 +212,9 @@
 	was := m.now
 	m.now = m.owners()
 	for k := range was {
-		if m.now[k] != was[k] && was[k] != judge.None {
+		if m.now[k] != was[k] && was[k] != judge.NoOwner {
 			m.moved++
-			if !(truth{m.l}).Ready(was[k]) {
+			if !(truth{m.l}).IsReady(was[k]) {
 				m.away++
 				m.after[k] = m.now[k]
 			}
@@ -239,12 +239,12 @@
 		keys[o]++
 	}
 	for i, s := range m.l.list {
-		if (truth{m.l}).Ready(int32(i)) {
+		if (truth{m.l}).IsReady(int32(i)) {
 			all += s.capacity
 		}
 	}
 	for o, n := range keys {
-		if o != judge.None && (truth{m.l}).Ready(o) {
+		if o != judge.NoOwner && (truth{m.l}).IsReady(o) {
 			most = max(most, n/float64(len(m.now))*all/m.l.list[o].capacity)
 		}
 	}
@@ -255,7 +255,7 @@
 func (m *meter) off(servers int) float64 {
 	had, off := 0, 0
 	for k, o := range m.from {
-		if int(o) < servers && o != judge.None {
+		if int(o) < servers && o != judge.NoOwner {
 			if had++; m.now[k] != o {
 				off++
 			}
--- a/internal/control/ringassignment/lab/paces.go
+++ b/internal/control/ringassignment/lab/paces.go
@@ -122,7 +122,7 @@
 
 // Paces plays a fleet whose servers of one kind become half as quick, after a time in which nothing has
 // changed; an agent lies, some have hardly any requests, agents are cut off and leaders end.
-func Paces(seed uint64, without string, lasts time.Duration) (l *Lab, j *judge.Paces) {
+func Paces(seed uint64, without string, lasts time.Duration) (l *Lab, j *judge.PaceJudge) {
 	set := Setup{
 		Seed: seed, Agents: 5, Servers: 20, Keys: 4000, Without: without,
 		Faults: lossy.Faults{Loss: 0.1, Duplicate: 0.1, MinDelay: time.Millisecond, MaxDelay: 20 * time.Millisecond},
@@ -135,15 +135,15 @@
 			nd.paced.gauge.MinAnswers = 1
 		}
 	}
-	j = &judge.Paces{}
+	j = &judge.PaceJudge{}
 	l.Run(l.Now() + settles)
 	begin := l.Now()
 	end := begin + calm + lasts
-	l.every(begin, end, 10*time.Second, func() { j.Heard(l.Now(), l.density()) })
+	l.every(begin, end, 10*time.Second, func() { j.AddDensity(l.Now(), l.density()) })
 	l.every(begin, end-time.Minute, 20*time.Second, func() { l.fault(end - time.Minute) })
 	l.Run(begin + calm)
 	l.speed = 0.5
-	j.Changed(l.Now())
+	j.KindChanged(l.Now())
 	l.Run(end)
 	return l, j
 }
--- a/internal/control/ringassignment/lab/rings.go
+++ b/internal/control/ringassignment/lab/rings.go
@@ -114,7 +114,7 @@
 func (r *rings) walk(takes func(key int, o int32) bool) judge.Owners {
 	owners := make(judge.Owners, r.lab.set.Keys)
 	for k := range owners {
-		owners[k] = judge.None
+		owners[k] = judge.NoOwner
 		r.ring.Walk(r.keys[k], func(o int32) bool {
 			if !takes(k, o) {
 				return true
@@ -129,20 +129,20 @@
 // truth is what the judge may know.
 type truth struct{ l *Lab }
 
-// Ready does not hold for a while after a server was lost: agents hear of that late.
-func (t truth) Ready(i int32) bool {
+// IsReady does not hold for a while after a server was lost: agents hear of that late.
+func (t truth) IsReady(i int32) bool {
 	s := &t.l.list[i]
 	return s.there() && (s.lost == 0 || t.l.Now()-s.lost > 2*mostLate+time.Second/2)
 }
 
-// Told has an agent's list say for a second that a server is not to be used.
-func (t truth) Told(agent int, i int32) bool {
+// IsKnownGone has an agent's list say for a second that a server is not to be used.
+func (t truth) IsKnownGone(agent int, i int32) bool {
 	since, is := t.l.nodes[agent].missing[i]
 	return is && t.l.Now()-since > time.Second
 }
 
-// Steady goes by when the server was lost, and began anew.
-func (t truth) Steady(agent int, i int32, from, to time.Duration) bool {
+// IsSteady goes by when the server was lost, and began anew.
+func (t truth) IsSteady(agent int, i int32, from, to time.Duration) bool {
 	s, warm := &t.l.list[i], t.l.set.Cold().Duration+3*time.Second
 	if _, missing := t.l.nodes[agent].missing[i]; missing || !s.there() || s.started > to-warm {
 		return false
@@ -157,8 +157,8 @@
 
 func (t truth) Capacity(i int32) float64 { return t.l.list[i].capacity }
 
-// Warm is of a server that started before the leader could know of it 1.
-func (t truth) Warm(i int32, made time.Duration) float64 {
+// SlowStartFraction is of a server that started before the leader could know of it 1.
+func (t truth) SlowStartFraction(i int32, made time.Duration) float64 {
 	s, c := &t.l.list[i], t.l.set.Cold()
 	if s.started == 0 || s.started > made-2*time.Second-t.l.slow {
 		return 1
--- a/internal/control/ringassignment/lab/windows.go
+++ b/internal/control/ringassignment/lab/windows.go
@@ -67,7 +67,7 @@
 		return
 	}
 	for _, i := range of {
-		l.Judge.Planned(judge.Window{Server: int32(i), From: w.From, Drained: w.DrainedAt, Back: w.ReturnFrom, To: w.To})
+		l.Judge.WindowPlanned(judge.Window{Server: int32(i), From: w.From, DrainedAt: w.DrainedAt, ReturnFrom: w.ReturnFrom, To: w.To})
 	}
 }
 
