--- a/internal/control/maintenance/contract/contract.go
+++ b/internal/control/maintenance/contract/contract.go
@@ -3,15 +3,15 @@
 //
 // # Meaning of hours
 //
-// Hours are local time in the contract's zone: a moment is allowed where the local time lies in a span. On the
-// night when clocks go forward the skipped hour does not exist: a span that begins in it begins at the jump, and
-// one that lies in it is empty. On the night when clocks go back the repeated hour exists twice, and both count:
-// a span over it is an hour longer, and one that begins in it begins, ends when the clock goes back, and begins
-// again.
+// Hours are local time in the contract's zone: a moment is allowed where the local time lies in a span. On
+// the night when clocks go forward the skipped hour does not exist: a span that begins in it begins at the
+// jump, and one that lies in it is empty. On the night when clocks go back the repeated hour exists twice,
+// and both count: a span over it is an hour longer, and one that begins in it begins, ends when the clock
+// goes back, and begins again.
 //
-// A span that crosses midnight belongs to the day on which it begins. Nothing is allowed on an excluded day: a
-// span of the day before ends at its midnight, and one that would begin on it does not, including its part after
-// midnight.
+// A span that crosses midnight belongs to the day on which it begins. Nothing is allowed on an excluded day:
+// a span of the day before ends at its midnight, and one that would begin on it does not, including its part
+// after midnight.
 //
 // Zone data of two machines may differ where a zone's rules were changed lately. So the rules of a zone are
 // agreed on together with a contract (ZoneRules, Table.ContractWithRules), and agents read no zone data. Only
--- a/internal/control/maintenance/contract/parse.go
+++ b/internal/control/maintenance/contract/parse.go
@@ -44,7 +44,8 @@
 	for i, text := range hours {
 		days, s, ok := parseSpan(text)
 		if !ok {
-			problems.add(fmt.Sprintf("hours[%d]", i), "%.80q must be as mon-fri 20:00-06:00 or sat,sun 00:00-24:00", text)
+			problems.add(fmt.Sprintf("hours[%d]", i),
+				"%.80q must be as mon-fri 20:00-06:00 or sat,sun 00:00-24:00", text)
 			continue
 		}
 		for d := range c.week {
@@ -56,8 +57,8 @@
 	c.findEdges()
 }
 
-// findEdges collects the minutes of each day at which something may begin or end. Midnight always is one, as an
-// excluded day may begin or end there.
+// findEdges collects the minutes of each day at which something may begin or end. Midnight always is one, as
+// an excluded day may begin or end there.
 func (c *Contract) findEdges() {
 	for d := range c.week {
 		edges := []int{0}
--- a/internal/control/maintenance/contract/runs.go
+++ b/internal/control/maintenance/contract/runs.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// RunAt is the unbroken run of allowed time that a moment (Unix time) lies in, joined over spans that touch: from
-// its first moment up to the first one that is not allowed. It is followed for 40 days to either side. False: the
-// moment is not allowed.
+// RunAt is the unbroken run of allowed time that a moment (Unix time) lies in, joined over spans that touch:
+// from its first moment up to the first one that is not allowed. It is followed for 40 days to either side.
+// False: the moment is not allowed.
 func (c *Contract) RunAt(at time.Duration) (from, to time.Duration, ok bool) {
 	if !c.Allows(at) {
 		return 0, 0, false
@@ -12,8 +12,8 @@
 	return c.runStart(at), c.runEnd(at), true
 }
 
-// NextRun is the first run that ends after a moment (Unix time): the one that it lies in, or the first to begin
-// after it. False: there is none within 400 days.
+// NextRun is the first run that ends after a moment (Unix time): the one that it lies in, or the first to
+// begin after it. False: there is none within 400 days.
 func (c *Contract) NextRun(at time.Duration) (from, to time.Duration, ok bool) {
 	if at = max(at, c.earliest); at > c.latest {
 		return 0, 0, false
@@ -80,8 +80,8 @@
 	return time.Duration(last) * time.Second
 }
 
-// Month is the calendar month of the zone that a moment (Unix time, 1970 to 2198) lies in, up to the first moment of
-// the next one.
+// Month is the calendar month of the zone that a moment (Unix time, 1970 to 2198) lies in, up to the first
+// moment of the next one.
 func (c *Contract) Month(at time.Duration) (from, to time.Duration) {
 	year, month, _ := c.InZone(min(max(at, c.earliest), c.latest)).Date()
 	return c.monthStart(year, month), c.monthStart(year, month+1)
--- a/internal/control/maintenance/contract/zonedata.go
+++ b/internal/control/maintenance/contract/zonedata.go
@@ -10,9 +10,9 @@
 // maxOffsets is the most different offsets of one zone's rules.
 const maxOffsets = 16
 
-// newLocation is a time zone with these offsets, and the first of them before the first change. A time.Location
-// can only be made from zone data: they are in the form of version 2 of RFC 9636, whose first part, of 32 bits,
-// is empty.
+// newLocation is a time zone with these offsets, and the first of them before the first change. A
+// time.Location can only be made from zone data: they are in the form of version 2 of RFC 9636, whose first
+// part, of 32 bits, is empty.
 func newLocation(all []offsetChange) (*time.Location, error) {
 	var offsets []int
 	for _, c := range all {
--- a/internal/control/maintenance/contract/zonerules.go
+++ b/internal/control/maintenance/contract/zonerules.go
@@ -54,8 +54,8 @@
 	return agreed.compare(own)
 }
 
-// ContractWithRules is Contract with agreed rules of the zone, whatever this machine's zone data are. Nothing is
-// allowed beyond the rules, as no offset is agreed there. The error is Problems.
+// ContractWithRules is Contract with agreed rules of the zone, whatever this machine's zone data are. Nothing
+// is allowed beyond the rules, as no offset is agreed there. The error is Problems.
 func (t Table) ContractWithRules(rules []string) (*Contract, error) {
 	zone := t.Zone
 	if t.Zone = "UTC"; !isPlausibleZone(zone) {
--- a/internal/control/maintenance/drained.go
+++ b/internal/control/maintenance/drained.go
@@ -6,9 +6,9 @@
 	"dunestep/internal/balancer"
 )
 
-// FullyDrained are the servers, by id, that all keys of all tenants and of NoTenant keep off, by one window or
-// several together; nil: none. Tenants are those of the settings. Servers that are kept off for their turn are
-// not among them: only an agent at policy.ModeBottom keeps off these.
+// FullyDrained are the servers, by id, that all keys of all tenants and of NoTenant keep off, by one window
+// or several together; nil: none. Tenants are those of the settings. Servers that are kept off for their turn
+// are not among them: only an agent at policy.ModeBottom keeps off these.
 func FullyDrained(exclusions *balancer.Exclusions, tenants []string) (all map[string]bool) {
 	if exclusions == nil {
 		return nil
--- a/internal/control/maintenance/encoding.go
+++ b/internal/control/maintenance/encoding.go
@@ -6,8 +6,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// encoding and decoding are the CBOR modes of records, snapshots and reports: bounded, without tags and without
-// indefinite lengths. They are set once and never changed.
+// encoding and decoding are the CBOR modes of records, snapshots and reports: bounded, without tags and
+// without indefinite lengths. They are set once and never changed.
 var encoding, decoding = cborModes()
 
 func cborModes() (cbor.EncMode, cbor.DecMode) {
--- a/internal/control/maintenance/exclusions.go
+++ b/internal/control/maintenance/exclusions.go
@@ -13,10 +13,10 @@
 
 // Agent works out what one process's requests keep off.
 //
-// With a lease it follows the agreed state, of which it knows all but the latest moment. Without one it follows
-// the plan alone, whatever it knows of a pause, as that may have ended: it keeps off a server whenever any agent
-// does. Only what cannot be undone counts then: that a window returns early. At policy.ModeBottom it may not
-// know of a window at all, and also keeps off the servers whose turn it is.
+// With a lease it follows the agreed state, of which it knows all but the latest moment. Without one it
+// follows the plan alone, whatever it knows of a pause, as that may have ended: it keeps off a server
+// whenever any agent does. Only what cannot be undone counts then: that a window returns early. At
+// policy.ModeBottom it may not know of a window at all, and also keeps off the servers whose turn it is.
 type Agent struct {
 	turns    Turns
 	windows  []*storedWindow
@@ -52,10 +52,12 @@
 	a.revision++
 }
 
-// Exclusions is what to keep off now; nil: nothing is moved. It is the same pointer while nothing changes. The
-// reading, the lease's standing and what is acted on have to be taken for this decision, so that a process that
-// was paused notices that its lease has expired.
-func (a *Agent) Exclusions(now lease.ClockReading, standing lease.Standing, active policy.Active) *balancer.Exclusions {
+// Exclusions is what to keep off now; nil: nothing is moved. It is the same pointer while nothing changes.
+// The reading, the lease's standing and what is acted on have to be taken for this decision, so that a
+// process that was paused notices that its lease has expired.
+func (a *Agent) Exclusions(now lease.ClockReading, standing lease.Standing,
+	active policy.Active,
+) *balancer.Exclusions {
 	basis := exclusionBasis{
 		valid: true, revision: a.revision, hasLease: standing == lease.Full, mode: active.Mode,
 		version: active.Version, effect: active.Effect,
@@ -149,8 +151,8 @@
 	return at + time.Hour
 }
 
-// exclude excludes a window's servers for a tenant's keys, as far as steps are moved: those whose hash is below
-// a bound.
+// exclude excludes a window's servers for a tenant's keys, as far as steps are moved: those whose hash is
+// below a bound.
 func (b *exclusionBuilder) exclude(tenant string, w *storedWindow, steps int) {
 	below := uint32(math.MaxUint32)
 	if steps < w.Steps {
--- a/internal/control/maintenance/fault.go
+++ b/internal/control/maintenance/fault.go
@@ -114,8 +114,8 @@
 	return Fault{}
 }
 
-// areExclusionsOverridden tells whether requests of the window's tenants were lately sent to servers that they
-// should have kept off.
+// areExclusionsOverridden tells whether requests of the window's tenants were lately sent to servers that
+// they should have kept off.
 func (p *Proposer) areExclusionsOverridden(w *storedWindow) bool {
 	return slices.ContainsFunc(w.Tenants, func(tenant string) bool {
 		return p.reports.sum(tenant).ExclusionOverrides > 0
--- a/internal/control/maintenance/judge/judge.go
+++ b/internal/control/maintenance/judge/judge.go
@@ -1,9 +1,9 @@
-// Package judge checks from the outside whether a fleet keeps what package maintenance promises: from the requests
-// that its agents sent, the windows that were accepted, and the contracts by their versions. It knows nothing of
-// how agents decide.
+// Package judge checks from the outside whether a fleet keeps what package maintenance promises: from the
+// requests that its agents sent, the windows that were accepted, and the contracts by their versions. It
+// knows nothing of how agents decide.
 //
-// It reads no clock and does no input or output; all times are true Unix times that the caller passes. Its types
-// are not safe for concurrent use.
+// It reads no clock and does no input or output; all times are true Unix times that the caller passes. Its
+// types are not safe for concurrent use.
 package judge
 
 import (
@@ -51,7 +51,7 @@
 type Settings struct {
 	ClockError   time.Duration     // how far a Unix clock may be off
 	Turns        maintenance.Turns // of agents at policy.ModeBottom
-	LearnDelay   time.Duration     // how much later than others an agent may learn of a window's state: the fence
+	LearnDelay   time.Duration     // with which an agent may learn of a window's state: the fence
 	Keys         int               // how many keys of a tenant are sent again and again
 	ReportPeriod time.Duration     // after which overridden exclusions have been reported to the leader
 }
@@ -61,8 +61,8 @@
 	// Violations are the first ones, Count is how many there were.
 	Violations []Violation
 	Count      int
-	// ExcludedRequests counts requests that were kept off a server, RequestsWhileFree those that arrived anywhere
-	// while a window of their tenant was free.
+	// ExcludedRequests counts requests that were kept off a server, RequestsWhileFree those that arrived
+	// anywhere while a window of their tenant was free.
 	ExcludedRequests, RequestsWhileFree int
 
 	settings     Settings
@@ -108,7 +108,9 @@
 }
 
 // SetFree takes that operators were told a window's servers are free, or that they are not any more.
-func (j *Judge) SetFree(at time.Duration, id string, free bool) { //nolint:revive // flag-parameter: it is a state
+//
+//nolint:revive // flag-parameter: it is a state
+func (j *Judge) SetFree(at time.Duration, id string, free bool) {
 	for _, w := range j.windows {
 		switch {
 		case w.ID != id:
@@ -233,5 +235,6 @@
 	if r.Mode != policy.ModeBottom && !j.isAllowed(r.Version, r.Tenant, r.At) {
 		return // the contract was changed, which applies at once
 	}
-	j.addViolation(r, fmt.Sprintf("arrives at %v, after %s was free at %v", clock(r.ArrivesAt), w.ID, clock(w.freeAt)))
+	j.addViolation(r,
+		fmt.Sprintf("arrives at %v, after %s was free at %v", clock(r.ArrivesAt), w.ID, clock(w.freeAt)))
 }
--- a/internal/control/maintenance/judge/moverate.go
+++ b/internal/control/maintenance/judge/moverate.go
@@ -14,9 +14,9 @@
 	tenant, node string
 }
 
-// moveAccount is how fast keys leave or come back. It fills up with the move rate as time passes, and each key that
-// is moved takes one from it. An agent without a lease may learn late that a window returns, and then has its keys
-// come back at once; keys that leave follow the rate there too.
+// moveAccount is how fast keys leave or come back. It fills up with the move rate as time passes, and each
+// key that is moved takes one from it. An agent without a lease may learn late that a window returns, and
+// then has its keys come back at once; keys that leave follow the rate there too.
 type moveAccount struct {
 	incarnation int
 	mode        policy.Mode
@@ -38,8 +38,8 @@
 	movedOff                 // kept off it
 )
 
-// checkMoves counts keys that were moved, or back, since they were seen last. Keys that another window has off the
-// same server meanwhile count for that one.
+// checkMoves counts keys that were moved, or back, since they were seen last. Keys that another window has
+// off the same server meanwhile count for that one.
 func (j *Judge) checkMoves(w *acceptedWindow, r Request) {
 	if r.At < w.From-maxGap || r.At > w.To+maxGap || r.OverridesExclusions {
 		return
@@ -77,7 +77,8 @@
 func (j *Judge) account(w *acceptedWindow, r Request, server string) *moveAccount {
 	key := moveAccountKey{r.Agent, r.Tenant, server}
 	a := j.moveAccounts[key]
-	if a != nil && a.incarnation == r.Incarnation && a.mode == r.Mode && a.version == r.Version && r.At-a.at <= maxGap {
+	if a != nil && a.incarnation == r.Incarnation && a.mode == r.Mode && a.version == r.Version &&
+		r.At-a.at <= maxGap {
 		return a
 	}
 	keys := map[uint32]bool{}
--- a/internal/control/maintenance/judge/planchecker.go
+++ b/internal/control/maintenance/judge/planchecker.go
@@ -11,9 +11,9 @@
 	"dunestep/internal/control/maintenance/contract"
 )
 
-// PlanChecker checks whether a request fits, by going through each rule at each moment. It uses the tables of the
-// contracts and what they allow at a moment, and shares nothing else with maintenance.Plan. Moments are multiples of
-// Grid, and so have to be all times of the input.
+// PlanChecker checks whether a request fits, by going through each rule at each moment. It uses the tables of
+// the contracts and what they allow at a moment, and shares nothing else with maintenance.Plan. Moments are
+// multiples of Grid, and so have to be all times of the input.
 type PlanChecker struct {
 	Input   maintenance.PlanInput // with its ClockMargin
 	Tables  map[string]contract.Table
@@ -202,7 +202,9 @@
 }
 
 // remainingServers are the servers that a tenant may use at a moment, without those of the request.
-func (p PlanChecker) remainingServers(at time.Duration, tenant string, listed, asked []maintenance.Server) ([]maintenance.Server, Rule) {
+func (p PlanChecker) remainingServers(at time.Duration, tenant string,
+	listed, asked []maintenance.Server,
+) ([]maintenance.Server, Rule) {
 	var left []maintenance.Server
 	for _, n := range listed {
 		off, held := false, false
--- a/internal/control/maintenance/lab/lab.go
+++ b/internal/control/maintenance/lab/lab.go
@@ -112,8 +112,8 @@
 	return p.lab.set.Without == "strangers" || p.Adapter.MayGrantLease(now, agent, incarnation, note)
 }
 
-// RecordsApplied is the seat's. Without notice, what was agreed is told to be so since long ago, as without a voter's
-// begin.
+// RecordsApplied is the seat's. Without notice, what was agreed is told to be so since long ago, as without a
+// voter's begin.
 func (p *part) RecordsApplied(now lease.ClockReading, anew bool) {
 	if p.n >= 0 && p.n < voters {
 		switch p.lab.set.Without {
@@ -190,7 +190,8 @@
 	if l.set.Without == "begin" {
 		for i := range uint64(31) { // of nobody
 			at := time.Duration(30-i) * time.Second
-			p.HandleMessage(lease.ClockReading{Unix: now.Unix - at, Mono: now.Mono - at}, 99, maintenance.EncodeReport(maintenance.Report{Incarnation: 1, Number: i}))
+			report := maintenance.EncodeReport(maintenance.Report{Incarnation: 1, Number: i})
+			p.HandleMessage(lease.ClockReading{Unix: now.Unix - at, Mono: now.Mono - at}, 99, report)
 		}
 	}
 	return p
@@ -449,7 +450,8 @@
 	}
 	data, _, err := p.EncodeProposal(now, *ask, maintenance.PlanInput{
 		Servers: l.nodes(), Contracts: act.Effect.Contracts,
-		PeakLoad: 0.5, TenantLoads: map[string]float64{"east": 0.5, "west": 0.3}, PolicyVersion: act.Version, ClockMargin: margin,
+		PeakLoad: 0.5, TenantLoads: map[string]float64{"east": 0.5, "west": 0.3}, PolicyVersion: act.Version,
+		ClockMargin: margin,
 	})
 	var misfit maintenance.Conflict
 	if errors.As(err, &misfit) {
--- a/internal/control/maintenance/maintenancelog/adapter.go
+++ b/internal/control/maintenance/maintenancelog/adapter.go
@@ -1,9 +1,9 @@
-// Package maintenancelog runs package maintenance on a fleet.Node: it is the state machine of the agreed log's
-// records about windows (fleet.StateMachine), says what requests keep off, and brings windows through their
-// course where its voter leads (fleet.Application).
+// Package maintenancelog runs package maintenance on a fleet.Node: it is the state machine of the agreed
+// log's records about windows (fleet.StateMachine), says what requests keep off, and brings windows through
+// their course where its voter leads (fleet.Application).
 //
-// It does no input or output and reads no clock. An Adapter is not safe for concurrent use: the goroutine that
-// runs the node owns it.
+// It does no input or output and reads no clock. An Adapter is not safe for concurrent use: the goroutine
+// that runs the node owns it.
 package maintenancelog
 
 import (
@@ -19,8 +19,8 @@
 )
 
 // Adapter connects one process's part in maintenance windows to its node. The node calls it as a
-// fleet.StateMachine and as a fleet.Application; Exclusions, EncodeProposal and the others are called from where
-// the node is called.
+// fleet.StateMachine and as a fleet.Application; Exclusions, EncodeProposal and the others are called from
+// where the node is called.
 type Adapter struct {
 	settings Settings
 	machine  *maintenance.StateMachine
@@ -157,7 +157,9 @@
 
 // Exclusions is what requests keep off now; nil: nothing. It is the same pointer while nothing changes. The
 // reading, the standing and what is acted on have to be taken for this decision.
-func (s *Adapter) Exclusions(now fleet.ClockReading, standing lease.Standing, active policy.Active) *balancer.Exclusions {
+func (s *Adapter) Exclusions(now fleet.ClockReading, standing lease.Standing,
+	active policy.Active,
+) *balancer.Exclusions {
 	return s.agent.Exclusions(now, standing, active)
 }
 
@@ -212,7 +214,9 @@
 // Plan is the window that a request would be, from this agent's input. Plan sets Now, Windows, CountWindows,
 // IsInTurn, MinNotice and ClockMargin of the input; its contracts have to be those of its PolicyVersion. The
 // error is maintenance.Plan's.
-func (s *Adapter) Plan(now fleet.ClockReading, request maintenance.WindowRequest, input maintenance.PlanInput) (*maintenance.Window, error) {
+func (s *Adapter) Plan(now fleet.ClockReading, request maintenance.WindowRequest,
+	input maintenance.PlanInput,
+) (*maintenance.Window, error) {
 	input.Now, input.Windows, input.CountWindows = now.Unix, s.openWindows(), s.machine.CountWindows
 	input.MinNotice, input.ClockMargin = s.settings.MinNotice, s.settings.ClockMargin
 	if turns := maintenance.Turns(s.settings.Turns); turns > 0 {
@@ -223,12 +227,15 @@
 	return maintenance.Plan(request, input)
 }
 
-// ErrPolicyChanged means that a newer version of the policy was activated than the one that this agent acts on.
+// ErrPolicyChanged means that a newer version of the policy was activated than the one that this agent acts
+// on.
 var ErrPolicyChanged = errors.New("window: a newer policy takes hold; ask again in a moment")
 
 // EncodeProposal returns the record that proposes a request, and the window that it would be. The error is
 // ErrPolicyChanged, maintenance.Plan's, or wraps maintenance.ErrInvalidWindow.
-func (s *Adapter) EncodeProposal(now fleet.ClockReading, request maintenance.WindowRequest, input maintenance.PlanInput) ([]byte, *maintenance.Window, error) {
+func (s *Adapter) EncodeProposal(now fleet.ClockReading, request maintenance.WindowRequest,
+	input maintenance.PlanInput,
+) ([]byte, *maintenance.Window, error) {
 	if input.PolicyVersion != s.settings.InForce() {
 		return nil, nil, ErrPolicyChanged
 	}
--- a/internal/control/maintenance/modelcheck.go
+++ b/internal/control/maintenance/modelcheck.go
@@ -19,8 +19,8 @@
 	return &fork
 }
 
-// ResetRetries has the proposer propose at once again what it proposed, and forget all reports: no time passes
-// between a search's steps.
+// ResetRetries has the proposer propose at once again what it proposed, and forget all reports: no time
+// passes between a search's steps.
 func (p *Proposer) ResetRetries() {
 	p.lastProposed, p.reports = map[string]lastRecord{}, newReportLog(p.reports.leaseLength)
 }
@@ -46,8 +46,8 @@
 	// Lagging is for a proposer that does not know the whole log: what it proposes has no effect, and it applies
 	// what it lacks later.
 	Lagging
-	// Quiet is Alive where no fault is to come: a past one is over at the next check, and how long there has been
-	// none matters to a paused window alone.
+	// Quiet is Alive where no fault is to come: a past one is over at the next check, and how long there has
+	// been none matters to a paused window alone.
 	Quiet
 	// QuietLagging is both Quiet and Lagging, where the window may be paused.
 	QuietLagging
@@ -57,7 +57,9 @@
 
 // Fingerprint appends what distinguishes the proposer from others that have learnt the same records and whose
 // retries were reset. MaxWait is the longest that it waits after records.
-func (p *Proposer) Fingerprint(now lease.ClockReading, maxWait time.Duration, d FingerprintDetail, b []byte) []byte {
+func (p *Proposer) Fingerprint(now lease.ClockReading, maxWait time.Duration, d FingerprintDetail,
+	b []byte,
+) []byte {
 	for _, w := range p.windows {
 		progress := p.progress[w.ID]
 		if d != Everything && (w.State == Returning || w.isOver()) {
--- a/internal/control/maintenance/movement.go
+++ b/internal/control/maintenance/movement.go
@@ -9,8 +9,8 @@
 // plannedSteps is how many of the steps are moved at a time by the plan alone.
 func (w *storedWindow) plannedSteps(at time.Duration) int { return w.schedule().stepsAt(at) }
 
-// movedSteps is how many steps are moved at a time by the plan and what was agreed since. It is never more than
-// plannedSteps.
+// movedSteps is how many steps are moved at a time by the plan and what was agreed since. It is never more
+// than plannedSteps.
 func (w *storedWindow) movedSteps(at time.Duration) int {
 	planned := w.plannedSteps(at)
 	switch w.State {
--- a/internal/control/maintenance/nextfit.go
+++ b/internal/control/maintenance/nextfit.go
@@ -16,9 +16,9 @@
 // interval is a time from its first moment up to its end.
 type interval struct{ from, to time.Duration }
 
-// nextFit is the first beginning, not before the one asked for, that fits; zero: there is none. Each rule allows
-// beginnings in a number of intervals, so the first moment that all rules allow is the start of one of these
-// intervals.
+// nextFit is the first beginning, not before the one asked for, that fits; zero: there is none. Each rule
+// allows beginnings in a number of intervals, so the first moment that all rules allow is the start of one of
+// these intervals.
 func (p *planner) nextFit() time.Duration {
 	notice := p.input.MinNotice
 	for _, c := range p.contracts {
--- a/internal/control/maintenance/plan.go
+++ b/internal/control/maintenance/plan.go
@@ -84,21 +84,22 @@
 
 func (c Conflict) Error() string { return c.Reason }
 
-// Plan makes the window that a request is for. The error is a Conflict, or says why the request makes no sense.
-// A request fits where
+// Plan makes the window that a request is for. The error is a Conflict, or says why the request makes no
+// sense. A request fits where
 //
-//   - each of its tenants has a contract, whose hours allow the window with ClockMargin at either end, and whose
-//     notice, greatest length and number of windows in the month in which it begins are kept;
-//   - keys have time to leave and to return at the move rate, and the servers are free of them for MinDrained;
+//   - each of its tenants has a contract, whose hours allow the window with ClockMargin at either end, and
+//     whose notice, greatest length and number of windows in the month in which it begins are kept;
+//   - keys have time to leave and to return at the move rate, and the servers are free of them for
+//     MinDrained;
 //   - no other window has the same tenant off the same server, each server is in its turn, and at each moment
 //     each of its tenants has the capacity left that its contract keeps, and no server is used beyond
 //     MaxUtilization.
 //
-// A server counts as moved from From to To, whatever fraction of its keys is. Each tenant's load is spread over
-// the servers that are left to it by their capacity. The fleet's agreed capacity is that of the listed servers,
-// absent ones too, and of those that other windows hold. A server that a window holds now is taken to be back
-// after it, with the mean capacity if it is on no list; any other absent server stays away. Conflict.NextFit is
-// the first of all times that would fit, and leaves two minutes to ask again.
+// A server counts as moved from From to To, whatever fraction of its keys is. Each tenant's load is spread
+// over the servers that are left to it by their capacity. The fleet's agreed capacity is that of the listed
+// servers, absent ones too, and of those that other windows hold. A server that a window holds now is taken
+// to be back after it, with the mean capacity if it is on no list; any other absent server stays away.
+// Conflict.NextFit is the first of all times that would fit, and leaves two minutes to ask again.
 func Plan(request WindowRequest, input PlanInput) (*Window, error) {
 	p, err := newPlanner(request, input)
 	if err != nil {
@@ -117,8 +118,9 @@
 // permanentConflict is why the request fits at no time; nil: it may.
 func (p *planner) permanentConflict() *Conflict {
 	if p.length < 2*p.moveTime()+p.input.MinDrained {
-		return &Conflict{Kind: TooShort, Reason: fmt.Sprintf("%v is too short: keys take %v to leave at this pace and "+
-			"as long to return, and the nodes are to be free of them for %v", p.length, p.moveTime(), p.input.MinDrained)}
+		return &Conflict{Kind: TooShort, Reason: fmt.Sprintf("%v is too short: keys take %v to leave at this pace "+
+			"and as long to return, and the nodes are to be free of them for %v", p.length, p.moveTime(),
+			p.input.MinDrained)}
 	}
 	for i, c := range p.contracts {
 		if c == nil {
@@ -157,13 +159,13 @@
 		begin, end, ok := c.RunAt(from)
 		switch {
 		case from > c.RulesEnd():
-			return p.tenantConflict(RulesExpired, i, "what clocks show in its zone is agreed on until %s: propose the "+
-				"policy anew", p.localTime(i, c.RulesEnd()))
+			return p.tenantConflict(RulesExpired, i, "what clocks show in its zone is agreed on until %s: "+
+				"propose the policy anew", p.localTime(i, c.RulesEnd()))
 		case !ok:
 			return p.tenantConflict(HoursForbid, i, "its contract's hours do not allow %s", p.localTime(i, from))
 		case from < begin+margin || from+p.length > end-margin:
-			return p.tenantConflict(HoursMargin, i, "its contract's hours are %s to %s, and %v of them are left at both "+
-				"ends", p.localTime(i, begin), p.localTime(i, end), margin)
+			return p.tenantConflict(HoursMargin, i, "its contract's hours are %s to %s, and %v of them are left "+
+				"at both ends", p.localTime(i, begin), p.localTime(i, end), margin)
 		case p.countInMonth(i, from) >= c.MaxPerMonth():
 			return p.tenantConflict(MonthFull, i, "it has its %d windows of %s", c.MaxPerMonth(),
 				c.InZone(from).Format("2006-01"))
--- a/internal/control/maintenance/proposer.go
+++ b/internal/control/maintenance/proposer.go
@@ -130,7 +130,9 @@
 
 // Due returns what the leader is to propose to the log, and the latest time at which to call it again, by the
 // monotonic clock. View is called only where there are windows.
-func (p *Proposer) Due(now lease.ClockReading, view func() LeaderView) (records [][]byte, next time.Duration) {
+func (p *Proposer) Due(now lease.ClockReading, view func() LeaderView) (records [][]byte,
+	next time.Duration,
+) {
 	if p.IsIdle() {
 		return nil, now.Mono + idleRecheckInterval
 	}
@@ -193,8 +195,8 @@
 }
 
 // nextInProgress is what is to become next of a window that is in progress.
-func (p *Proposer) nextInProgress(now lease.ClockReading, v LeaderView, w *storedWindow, progress windowProgress,
-	r record,
+func (p *Proposer) nextInProgress(now lease.ClockReading, v LeaderView, w *storedWindow,
+	progress windowProgress, r record,
 ) (record, bool) {
 	fault := progress.fault
 	healthy := fault.Kind == NoFault
@@ -219,12 +221,14 @@
 
 // isTrafficFree tells whether no request of the window's tenants can arrive at its servers any more.
 //
-// All keys have been moved, by the clock, for longer than clocks differ and a request may be in flight. An agent
-// with a lease knows what was agreed up to the fence, so also that a paused window was resumed. An agent without
-// one follows the plan, and knows the window, which was confirmed long before; one at policy.ModeBottom keeps
-// off by turns. So nobody needs to be asked. But an agent of a build that knows no windows does none of this: it
-// is found by the leases that it is granted while it sends no reports.
-func (p *Proposer) isTrafficFree(now lease.ClockReading, v LeaderView, w *storedWindow, progress windowProgress) bool {
+// All keys have been moved, by the clock, for longer than clocks differ and a request may be in flight. An
+// agent with a lease knows what was agreed up to the fence, so also that a paused window was resumed. An
+// agent without one follows the plan, and knows the window, which was confirmed long before; one at
+// policy.ModeBottom keeps off by turns. So nobody needs to be asked. But an agent of a build that knows no
+// windows does none of this: it is found by the leases that it is granted while it sends no reports.
+func (p *Proposer) isTrafficFree(now lease.ClockReading, v LeaderView, w *storedWindow,
+	progress windowProgress,
+) bool {
 	movedAt, ok := w.fullyMovedAt()
 	switch {
 	case !ok || now.Unix < movedAt+p.settings.ClockMargin+p.settings.MaxInFlight:
--- a/internal/control/maintenance/records.go
+++ b/internal/control/maintenance/records.go
@@ -51,8 +51,8 @@
 	MinNotice time.Duration
 }
 
-// EncodeProposal returns the record that has a window accepted, unless something was agreed since it was planned
-// that it would have to be planned again for. The error wraps ErrInvalidWindow.
+// EncodeProposal returns the record that has a window accepted, unless something was agreed since it was
+// planned that it would have to be planned again for. The error wraps ErrInvalidWindow.
 func EncodeProposal(p Proposal) ([]byte, error) {
 	w := newStoredWindow(p.Window)
 	w.PolicyVersion, w.Agent, w.MinNotice = p.PolicyVersion, p.Agent, p.MinNotice
@@ -72,5 +72,8 @@
 // EncodeStop returns the record by which an operator has a window return, or ends it before it has begun. The
 // reason is cut to 80 bytes.
 func EncodeStop(id string, agent int, now time.Duration, reason string) []byte {
-	return marshal(record{Kind: kindStopped, ID: id, Agent: agent, Now: now, Reason: truncate(reason, maxReasonSize)})
+	return marshal(record{
+		Kind: kindStopped, ID: id, Agent: agent, Now: now,
+		Reason: truncate(reason, maxReasonSize),
+	})
 }
--- a/internal/control/maintenance/reports.go
+++ b/internal/control/maintenance/reports.go
@@ -18,8 +18,8 @@
 	ExclusionOverrides uint32 // sent to a server that they should have kept off, as no other was left
 }
 
-// isServedBelow tells whether a smaller fraction of the requests was served than a minimum, 0 to 1. Few requests
-// tell nothing.
+// isServedBelow tells whether a smaller fraction of the requests was served than a minimum, 0 to 1. Few
+// requests tell nothing.
 func (c TenantCounts) isServedBelow(minServed float64) bool {
 	return c.Requests >= minRequests && float64(c.Served) < minServed*float64(c.Served+c.Failed)
 }
@@ -48,7 +48,7 @@
 	maxReportSize      = 8 << 10            // bytes
 	maxAgents          = 512                // whose reports are kept
 	maxReports         = 6                  // kept of one agent
-	maxLeaseGap        = 15                 // durations of a lease within which a holder has asked each voter, lost requests included
+	maxLeaseGap        = 15                 // durations of a lease within which a holder has asked each voter
 	minRequests        = 20                 // of a tenant within SumPeriod that tell about its service
 	overloadedFraction = 0.2                // of the agents that report; more are a fault
 )
@@ -93,7 +93,8 @@
 		return
 	}
 	for _, earlier := range reports {
-		if earlier.Incarnation > r.Incarnation || earlier.Incarnation == r.Incarnation && earlier.Number >= r.Number {
+		if earlier.Incarnation > r.Incarnation ||
+			earlier.Incarnation == r.Incarnation && earlier.Number >= r.Number {
 			return
 		}
 	}
@@ -108,12 +109,16 @@
 // dropExpired drops reports and leases that do not count any more.
 func (l *reportLog) dropExpired(now lease.ClockReading) {
 	for agent, reports := range l.agents {
-		reports = slices.DeleteFunc(reports, func(r receivedReport) bool { return now.Since(r.receivedAt) >= SumPeriod })
+		reports = slices.DeleteFunc(reports, func(r receivedReport) bool {
+			return now.Since(r.receivedAt) >= SumPeriod
+		})
 		if l.agents[agent] = reports; len(reports) == 0 {
 			delete(l.agents, agent)
 		}
 	}
-	maps.DeleteFunc(l.leases, func(_ int, at lease.ClockReading) bool { return now.Since(at) >= maxLeaseGap*l.leaseLength })
+	maps.DeleteFunc(l.leases, func(_ int, at lease.ClockReading) bool {
+		return now.Since(at) >= maxLeaseGap*l.leaseLength
+	})
 }
 
 // leaseGranted notes that this voter has granted an agent a lease. Agents ask the voters in turn.
--- a/internal/control/maintenance/retention.go
+++ b/internal/control/maintenance/retention.go
@@ -22,8 +22,8 @@
 
 func compareTenant(h tenantHistory, tenant string) int { return strings.Compare(h.Tenant, tenant) }
 
-// CountWindows counts the windows of a tenant that begin in a time, whether they are over or not. Windows that
-// ended before they began do not count.
+// CountWindows counts the windows of a tenant that begin in a time, whether they are over or not. Windows
+// that ended before they began do not count.
 func (m *StateMachine) CountWindows(tenant string, from, to time.Duration) (n int) {
 	in := func(at time.Duration) bool { return at >= from && at < to }
 	for _, w := range m.state.Windows {
@@ -57,7 +57,8 @@
 // hasRoom tells whether the state has room for another window.
 func (m *StateMachine) hasRoom(w *storedWindow) bool {
 	all := append(slices.Clone(m.state.Windows), w)
-	return len(all) <= maxWindows && maxWindowBytes(all) <= maxWindowsSize && m.maxHistoryBytes(all) <= maxHistorySize
+	return len(all) <= maxWindows && maxWindowBytes(all) <= maxWindowsSize &&
+		m.maxHistoryBytes(all) <= maxHistorySize
 }
 
 // maxWindowBytes is the most bytes that windows may come to have in a snapshot.
--- a/internal/control/maintenance/search/search.go
+++ b/internal/control/maintenance/search/search.go
@@ -220,7 +220,8 @@
 		Now: at.Unix, PolicyVersion: 1, MinNotice: reading(from).Unix - at.Unix,
 		Window: &maintenance.Window{
 			ID: "w", Nodes: []string{"n"}, Tenants: []string{"east"}, Steps: 2,
-			From: reading(from).Unix, DrainedAt: reading(drained).Unix, ReturnFrom: reading(back).Unix, To: reading(to).Unix,
+			From: reading(from).Unix, DrainedAt: reading(drained).Unix, ReturnFrom: reading(back).Unix,
+			To: reading(to).Unix,
 		},
 	})
 	if err != nil {
@@ -324,7 +325,8 @@
 
 func (s *search) sums(c *maintenance.Proposer, now int) (all sums) {
 	for d := range all {
-		all[d] = maphash.Bytes(s.seed, c.Fingerprint(reading(now), most*step, maintenance.FingerprintDetail(d), nil))
+		fingerprint := c.Fingerprint(reading(now), most*step, maintenance.FingerprintDetail(d), nil)
+		all[d] = maphash.Bytes(s.seed, fingerprint)
 	}
 	return all
 }
--- a/internal/control/maintenance/statemachine.go
+++ b/internal/control/maintenance/statemachine.go
@@ -30,8 +30,8 @@
 	MaxSnapshot = 16 << 10
 )
 
-// confirmFraction: one part in so many of its notice may pass before a leader has applied a window's acceptance.
-// What is left has to be longer than any agent acts within the floor that it knows.
+// confirmFraction: one part in so many of its notice may pass before a leader has applied a window's
+// acceptance. What is left has to be longer than any agent acts within the floor that it knows.
 const confirmFraction = 10
 
 // StateMachine makes the state out of the records of the agreed log. It depends on the records alone, and on
@@ -43,8 +43,8 @@
 	unreadable uint64
 }
 
-// NewStateMachine returns a StateMachine without windows. InForce is the version of the policy that is in force
-// by the records up to the one that is applied; it is called within Apply only.
+// NewStateMachine returns a StateMachine without windows. InForce is the version of the policy that is in
+// force by the records up to the one that is applied; it is called within Apply only.
 func NewStateMachine(inForce func() uint64) *StateMachine { return &StateMachine{inForce: inForce} }
 
 // UnreadableRecords counts the records that this build could not read.
@@ -122,8 +122,8 @@
 	m.advanceTime(r.Now)
 }
 
-// applyProposal accepts a window, or notes why not. A proposal whose ID is known is passed over. One that is no
-// longer remembered is never accepted twice, as its revision is an older one.
+// applyProposal accepts a window, or notes why not. A proposal whose ID is known is passed over. One that is
+// no longer remembered is never accepted twice, as its revision is an older one.
 func (m *StateMachine) applyProposal(r *record) {
 	if !isValidName(r.ID) || m.Outcome(r.ID).Status != policy.StatusUnknown {
 		return
@@ -140,7 +140,8 @@
 	m.state.Outcomes = append(slices.Clone(all[max(len(all)-maxOutcomes+1, 0):]), o)
 }
 
-// rejectionCause is the first reason to reject a proposed window, with the version or revision that was found.
+// rejectionCause is the first reason to reject a proposed window, with the version or revision that was
+// found.
 func (m *StateMachine) rejectionCause(r *record) (cause RejectionCause, found uint64) {
 	switch inForce := m.inForce(); {
 	case invalidReason(r) != "":
--- a/internal/control/maintenance/storedwindow.go
+++ b/internal/control/maintenance/storedwindow.go
@@ -77,7 +77,8 @@
 		return "its times make no sense"
 	case w.Steps < 1 || w.Steps > MaxSteps:
 		return fmt.Sprintf("1 to %d steps", MaxSteps)
-	case w.MinNotice <= 0 || w.MinNotice > maxLeadTime || w.From < r.Now+w.MinNotice || w.From > r.Now+maxLeadTime:
+	case w.MinNotice <= 0 || w.MinNotice > maxLeadTime || w.From < r.Now+w.MinNotice ||
+		w.From > r.Now+maxLeadTime:
 		return fmt.Sprintf("it has to begin %v to %v ahead", w.MinNotice, maxLeadTime)
 	}
 	return ""
@@ -85,7 +86,8 @@
 
 // hasValidTargets tells whether the numbers, names and order of servers and tenants are valid.
 func hasValidTargets(w *storedWindow) bool {
-	return len(w.Nodes) > 0 && len(w.Nodes) <= MaxServers && len(w.Tenants) > 0 && len(w.Tenants) <= maxTenants &&
+	return len(w.Nodes) > 0 && len(w.Nodes) <= MaxServers &&
+		len(w.Tenants) > 0 && len(w.Tenants) <= maxTenants &&
 		areValidNames(w.Nodes, w.Tenants) && isSortedSet(w.Nodes) && isSortedSet(w.Tenants)
 }
 
--- a/internal/control/maintenance/turns.go
+++ b/internal/control/maintenance/turns.go
@@ -7,9 +7,9 @@
 )
 
 // Turns divides all servers into as many groups, by their zones. Each group has one day in as many days, its
-// turn, on which windows may hold its servers. An agent at policy.ModeBottom, which may not know of the latest
-// windows, keeps off the servers whose turn it is. Zero: no turns, and such an agent may use a server that is
-// free.
+// turn, on which windows may hold its servers. An agent at policy.ModeBottom, which may not know of the
+// latest windows, keeps off the servers whose turn it is. Zero: no turns, and such an agent may use a server
+// that is free.
 //
 // The zone decides, as operators ask for a whole zone at once; a server without a zone has a turn of its own.
 type Turns int
--- a/internal/control/maintenance/utilization.go
+++ b/internal/control/maintenance/utilization.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// utilization is what servers carry while the requested window and others are on. It changes only where one of
-// the others begins or ends, so each time between two such edges is checked once.
+// utilization is what servers carry while the requested window and others are on. It changes only where one
+// of the others begins or ends, so each time between two such edges is checked once.
 type utilization struct {
 	planner   *planner
 	edges     []time.Duration // where other windows begin or end, in order
@@ -164,8 +164,8 @@
 		}
 		fraction, kept := remaining/u.totalCapacity, u.planner.contracts[i].KeptCapacity()
 		if fraction < kept-tolerance {
-			return u.planner.tenantConflict(KeptCapacityMissed, i, "%.3g of the capacity remains, its contract keeps %.3g%s",
-				fraction, kept, withWindows(open))
+			return u.planner.tenantConflict(KeptCapacityMissed, i,
+				"%.3g of the capacity remains, its contract keeps %.3g%s", fraction, kept, withWindows(open))
 		}
 	}
 	return nil
@@ -201,8 +201,9 @@
 		}
 	}
 	if highest > u.planner.input.MaxUtilization+tolerance {
-		return &Conflict{Kind: Overutilized, Reason: fmt.Sprintf("node %s is used to %.3g of what it can, %.3g at most may be%s",
-			id, highest, u.planner.input.MaxUtilization, withWindows(open))}
+		return &Conflict{Kind: Overutilized, Reason: fmt.Sprintf(
+			"node %s is used to %.3g of what it can, %.3g at most may be%s", id, highest,
+			u.planner.input.MaxUtilization, withWindows(open))}
 	}
 	return nil
 }
--- a/internal/control/maintenance/window.go
+++ b/internal/control/maintenance/window.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// MinNotice is how long before it begins a window has to be accepted. It is longer than an agent that is cut off
-// acts within the floor (policy.Times.FloorValidity, 15 min), the fence and the clocks' errors together: an agent
-// within the floor knows every window that can have begun.
+// MinNotice is how long before it begins a window has to be accepted. It is longer than an agent that is cut
+// off acts within the floor (policy.Times.FloorValidity, 15 min), the fence and the clocks' errors together:
+// an agent within the floor knows every window that can have begun.
 const MinNotice = 20 * time.Minute
 
 const (
@@ -100,7 +100,8 @@
 		return Returning
 	case w.State != Planned || at < w.From:
 		return w.State
-	case at < w.DrainedAt, w.StateSince != 0 && w.HeldFraction+float64(at-w.StateSince)/float64(w.DrainedAt-w.From) < 1:
+	case at < w.DrainedAt,
+		w.StateSince != 0 && w.HeldFraction+float64(at-w.StateSince)/float64(w.DrainedAt-w.From) < 1:
 		return Draining
 	}
 	return Drained
--- a/internal/control/policy/active.go
+++ b/internal/control/policy/active.go
@@ -6,8 +6,8 @@
 type Mode uint8
 
 const (
-	// ModeBottom is the lowest floor, which no version can forbid. The agent has never had a lease, or not for so
-	// long that the floor that it knows may have been replaced.
+	// ModeBottom is the lowest floor, which no version can forbid. The agent has never had a lease, or not for
+	// so long that the floor that it knows may have been replaced.
 	ModeBottom Mode = iota
 	// ModeFloor is the floor of a version.
 	ModeFloor
--- a/internal/control/policy/agent.go
+++ b/internal/control/policy/agent.go
@@ -8,8 +8,8 @@
 	"dunestep/internal/fleet/lease"
 )
 
-// Agent is the part of every agent, voter or not: it checks changes and answers them, and says by which policy
-// the agent may act at a moment.
+// Agent is the part of every agent, voter or not: it checks changes and answers them, and says by which
+// policy the agent may act at a moment.
 type Agent struct {
 	local  LocalSettings
 	times  Times
@@ -36,8 +36,8 @@
 	floor   *Effect // nil: this build cannot read its floor
 }
 
-// NewAgent returns an Agent at version 0. A log that is started anew needs a new Agent, as it needs a new Voter
-// and Proposer: its versions are numbered from the start.
+// NewAgent returns an Agent at version 0. A log that is started anew needs a new Agent, as it needs a new
+// Voter and Proposer: its versions are numbered from the start.
 func NewAgent(own LocalSettings, times Times) *Agent {
 	a := &Agent{times: times.WithDefaults()}
 	a.SetLocalSettings(own)
@@ -68,7 +68,8 @@
 // pointers.
 func (a *Agent) resolve(v Version) resolvedVersion {
 	for _, known := range append([]resolvedVersion{a.checked}, a.recent...) {
-		if known.floor != nil && known.version.Number == v.Number && bytes.Equal(known.version.Document, v.Document) {
+		if known.floor != nil && known.version.Number == v.Number &&
+			bytes.Equal(known.version.Document, v.Document) {
 			known.version = v
 			return known
 		}
@@ -126,8 +127,8 @@
 	return floors
 }
 
-// IsUsable tells whether the version in force can be used with the local settings. If not, the agent acts within
-// its floor, which operators are to be told of.
+// IsUsable tells whether the version in force can be used with the local settings. If not, the agent acts
+// within its floor, which operators are to be told of.
 func (a *Agent) IsUsable() bool { return a.recent[0].effect != nil }
 
 // EncodedAnswer is the last answer. It goes with each request for a lease.
--- a/internal/control/policy/answer.go
+++ b/internal/control/policy/answer.go
@@ -2,8 +2,8 @@
 
 import "unicode/utf8"
 
-// AnswerCode is an agent's answer to a change: accepted, or why it rejects the document. The numbers are part of
-// what agents send to each other.
+// AnswerCode is an agent's answer to a change: accepted, or why it rejects the document. The numbers are part
+// of what agents send to each other.
 type AnswerCode uint8
 
 const (
--- a/internal/control/policy/document.go
+++ b/internal/control/policy/document.go
@@ -114,8 +114,8 @@
 	}
 }
 
-// parseContract uses the zone rules that the document gives. Without them, as before the document is proposed,
-// it uses this machine's zone data.
+// parseContract uses the zone rules that the document gives. Without them, as before the document is
+// proposed, it uses this machine's zone data.
 func (d *Document) parseContract(t contract.Table) (*contract.Contract, error) {
 	if zone, given := d.file.Zones[t.Zone]; given {
 		return t.ContractWithRules(zone.Changes)
--- a/internal/control/policy/evaluate.go
+++ b/internal/control/policy/evaluate.go
@@ -40,10 +40,14 @@
 		sum += max(e.Quota[i], 0)
 	}
 	if known < len(d.file.Tenants) {
-		return Rejection{UnknownTenant, "not in the settings: tenant " + firstUnknown(d.file.Tenants, own.tenantNames())}
+		name := firstUnknown(d.file.Tenants, own.tenantNames())
+		return Rejection{UnknownTenant, "not in the settings: tenant " + name}
 	}
 	if sum > total*(1+shareTolerance) {
-		return Rejection{SharesExceedTotal, fmt.Sprintf("tenants together get %.4g of the settings' total", sum/total)}
+		return Rejection{
+			SharesExceedTotal,
+			fmt.Sprintf("tenants together get %.4g of the settings' total", sum/total),
+		}
 	}
 	return nil
 }
@@ -59,7 +63,10 @@
 		known++
 		switch {
 		case table.Attempts > own.maxAttempts():
-			return Rejection{TooManyAttempts, fmt.Sprintf("class %s: the settings permit %d attempts", c.Name, own.maxAttempts())}
+			return Rejection{
+				TooManyAttempts,
+				fmt.Sprintf("class %s: the settings permit %d attempts", c.Name, own.maxAttempts()),
+			}
 		case d.hedgingRequested[c.Name] && !own.Settings.Limits.Hedging:
 			return Rejection{HedgingForbidden, "class " + c.Name + ": the settings forbid hedged requests (copies)"}
 		case table.Attempts > 0:
@@ -69,7 +76,8 @@
 		e.Classes[i].MinAttemptInterval = table.MinAttemptInterval
 	}
 	if known < len(d.file.Classes) {
-		return Rejection{UnknownClass, "not in the settings: class " + firstUnknown(d.file.Classes, own.classNames())}
+		name := firstUnknown(d.file.Classes, own.classNames())
+		return Rejection{UnknownClass, "not in the settings: class " + name}
 	}
 	return nil
 }
--- a/internal/control/policy/floor.go
+++ b/internal/control/policy/floor.go
@@ -3,8 +3,8 @@
 import "time"
 
 // Floor is what every later version has to allow, so that an agent which is cut off can do it. Its tags are
-// those of the document's table; the defaults are the floor of version 0, which has no document. It is encoded
-// as an array, so the order of the fields is part of its form.
+// those of the document's table; the defaults are the floor of version 0, which has no document. It is
+// encoded as an array, so the order of the fields is part of its form.
 type Floor struct {
 	_ struct{} `cbor:",toarray"`
 	// QuotaShare is the fraction of its quota in the settings that each tenant keeps.
@@ -21,7 +21,10 @@
 
 // InitialFloor is the floor before any was agreed.
 func InitialFloor() Floor {
-	return Floor{QuotaShare: 0.5, MaxAttempts: 2, MinAttemptInterval: 100 * time.Millisecond, MaxFailedRatio: 0.1}
+	return Floor{
+		QuotaShare: 0.5, MaxAttempts: 2, MinAttemptInterval: 100 * time.Millisecond,
+		MaxFailedRatio: 0.1,
+	}
 }
 
 // lowestFloor is what no document can forbid, by the ranges of its keys.
@@ -47,8 +50,8 @@
 	return e
 }
 
-// withDocument is the effect of the floor of a version with this document (nil: this build cannot read it). The
-// document's contracts and capacities apply, also where the document cannot be used otherwise.
+// withDocument is the effect of the floor of a version with this document (nil: this build cannot read it).
+// The document's contracts and capacities apply, also where the document cannot be used otherwise.
 func (f Floor) withDocument(d *Document, own LocalSettings) *Effect {
 	e := f.Effect(own)
 	if d != nil {
--- a/internal/control/policy/judge/history.go
+++ b/internal/control/policy/judge/history.go
@@ -9,8 +9,8 @@
 )
 
 // History is what proposers and readers at any agents saw of one fleet's policies. It is checked against one
-// register that each accepted proposal changes once: some order of all operations has to explain what was seen, in
-// which operations that did not overlap keep their order. It is not safe for concurrent use.
+// register that each accepted proposal changes once: some order of all operations has to explain what was
+// seen, in which operations that did not overlap keep their order. It is not safe for concurrent use.
 type History struct {
 	clockError time.Duration
 	proposedAt map[string]time.Duration // when each proposal was first made, by its ID
@@ -18,17 +18,20 @@
 	operations []porcupine.Operation
 }
 
-// versionReads are the read of a version that ended first and the one that began last. A version is in force from
-// one moment to another, so whatever order these two allow, all reads between them do; with hundreds of reads that
-// overlap, a search would not come to an end.
+// versionReads are the read of a version that ended first and the one that began last. A version is in force
+// from one moment to another, so whatever order these two allow, all reads between them do; with hundreds of
+// reads that overlap, a search would not come to an end.
 type versionReads struct{ first, last readTime }
 
 type readTime struct{ from, to time.Duration }
 
-// NewHistory returns an empty History. ClockError is how far two agents' clocks may be apart: a version that takes
-// effect at a time does so at each agent within this of the others.
+// NewHistory returns an empty History. ClockError is how far two agents' clocks may be apart: a version that
+// takes effect at a time does so at each agent within this of the others.
 func NewHistory(clockError time.Duration) *History {
-	return &History{clockError: clockError, proposedAt: map[string]time.Duration{}, reads: map[uint64]*versionReads{}}
+	return &History{
+		clockError: clockError, proposedAt: map[string]time.Duration{},
+		reads: map[uint64]*versionReads{},
+	}
 }
 
 // ProposalMade takes that somebody has proposed, under an ID; the same one may come again.
@@ -38,9 +41,9 @@
 	}
 }
 
-// ProposalAnswered takes what a proposer was answered: that its proposal was accepted as a version that takes effect
-// at a time, or, with version 0, that it was rejected. A proposal without an answer has to be asked about again
-// first: nothing else explains the version that it was accepted as.
+// ProposalAnswered takes what a proposer was answered: that its proposal was accepted as a version that takes
+// effect at a time, or, with version 0, that it was rejected. A proposal without an answer has to be asked
+// about again first: nothing else explains the version that it was accepted as.
 func (h *History) ProposalAnswered(at time.Duration, id string, version uint64, effectiveAt time.Duration) {
 	h.operations = append(h.operations, porcupine.Operation{
 		ClientId: len(h.operations), Input: operationInput{proposalID: id}, Output: version,
@@ -87,8 +90,8 @@
 	accepted map[string]uint64
 }
 
-// registerModel is what all agents act on; nobody changes it. Numbers rise; versions that were accepted and whose
-// proposer never learnt it may lie between two.
+// registerModel is what all agents act on; nobody changes it. Numbers rise; versions that were accepted and
+// whose proposer never learnt it may lie between two.
 var registerModel = porcupine.Model{
 	Init: func() any { return registerState{} },
 	Step: func(state, input, output any) (bool, any) {
--- a/internal/control/policy/judge/judge.go
+++ b/internal/control/policy/judge/judge.go
@@ -1,8 +1,8 @@
-// Package judge checks from the outside whether a fleet keeps what package policy promises: from the decisions
-// that its agents made, when, and under which version. It knows nothing of how they agreed.
+// Package judge checks from the outside whether a fleet keeps what package policy promises: from the
+// decisions that its agents made, when, and under which version. It knows nothing of how they agreed.
 //
-// It reads no clock and does no input or output; all times are true times that the caller passes. Its types are
-// not safe for concurrent use.
+// It reads no clock and does no input or output; all times are true times that the caller passes. Its types
+// are not safe for concurrent use.
 package judge
 
 import (
@@ -121,8 +121,8 @@
 	return ""
 }
 
-// checkFloor says why a decision within a floor is not allowed; empty: it is. The version in force has to allow
-// the floor, or one of two versions while one follows the other.
+// checkFloor says why a decision within a floor is not allowed; empty: it is. The version in force has to
+// allow the floor, or one of two versions while one follows the other.
 func (j *Judge) checkFloor(d Decision) string {
 	v := j.find(d.Version)
 	if v == nil {
--- a/internal/control/policy/lab/lab.go
+++ b/internal/control/policy/lab/lab.go
@@ -259,7 +259,8 @@
 	case "prepare":
 		councils.Terms.Duration, councils.Terms.MaxKnowledgeAge = 1, 1
 	case "fence":
-		councils.Terms.Duration, councils.Terms.MaxKnowledgeAge = times.Terms.Duration/10, times.Terms.MaxKnowledgeAge/10
+		councils.Terms.Duration = times.Terms.Duration / 10
+		councils.Terms.MaxKnowledgeAge = times.Terms.MaxKnowledgeAge / 10
 	case "settle":
 		councils.Terms.Duration, councils.Terms.MaxKnowledgeAge, councils.FloorValidity = 1, 1, 1
 	case "outstanding":
--- a/internal/control/policy/localsettings.go
+++ b/internal/control/policy/localsettings.go
@@ -2,8 +2,8 @@
 
 import "dunestep/internal/balancer"
 
-// LocalSettings are what an agent checks documents against: what its own settings permit, and its own limit of
-// failed attempts for the adaptive throttle.
+// LocalSettings are what an agent checks documents against: what its own settings permit, and its own limit
+// of failed attempts for the adaptive throttle.
 type LocalSettings struct {
 	Settings balancer.Settings
 	// MaxFailedRatio is the agent's own value of Effect.MaxFailedRatio, 0.05 to 1; zero: none, as 1.
--- a/internal/control/policy/modelcheck.go
+++ b/internal/control/policy/modelcheck.go
@@ -38,8 +38,8 @@
 // ResetRetries has the proposer propose at once again what it proposed.
 func (p *Proposer) ResetRetries() { p.last, p.retryAt = lastProposal{}, 0 }
 
-// Fingerprint appends what distinguishes the agent from others that have learnt the same records, as long as no
-// floor that it knows expires.
+// Fingerprint appends what distinguishes the agent from others that have learnt the same records, as long as
+// no floor that it knows expires.
 func (a *Agent) Fingerprint(b []byte) []byte {
 	hadLease := byte(0)
 	if a.hadLease {
--- a/internal/control/policy/notify.go
+++ b/internal/control/policy/notify.go
@@ -8,8 +8,8 @@
 	"dunestep/internal/fleet/lease"
 )
 
-// A voter that has not acknowledged the answer is notified again after notifyRetryInterval, notifyRetries times,
-// and then after notifyInterval: a change waits for the answer of the last agent at the last voter.
+// A voter that has not acknowledged the answer is notified again after notifyRetryInterval, notifyRetries
+// times, and then after notifyInterval: a change waits for the answer of the last agent at the last voter.
 const (
 	notifyRetryInterval = 40 * time.Millisecond
 	notifyInterval      = 150 * time.Millisecond
@@ -38,7 +38,8 @@
 // NextNotification is when VotersToNotify is due again while a change is open, by the monotonic clock.
 func (a *Agent) NextNotification() time.Duration { return a.notifyAt }
 
-// Acknowledged notes that a voter has an answer: it said so, or granted a lease for a request that carried it.
+// Acknowledged notes that a voter has an answer: it said so, or granted a lease for a request that carried
+// it.
 func (a *Agent) Acknowledged(voter int, answer []byte) {
 	if bytes.Equal(answer, a.EncodedAnswer()) && !slices.Contains(a.acknowledgedBy, voter) {
 		a.acknowledgedBy = append(a.acknowledgedBy, voter)
--- a/internal/control/policy/outcome.go
+++ b/internal/control/policy/outcome.go
@@ -68,7 +68,8 @@
 	case VersionNotEffective:
 		return fmt.Sprintf("version %d has not taken hold yet", o.BlockingVersion)
 	case FormerFloorInUse:
-		return fmt.Sprintf("agents that are cut off may still go by the floor that version %d replaced", o.BlockingVersion)
+		return fmt.Sprintf("agents that are cut off may still go by the floor that version %d replaced",
+			o.BlockingVersion)
 	case Malformed:
 		return "too long, or its time makes no sense"
 	case RejectedByAgent:
--- a/internal/control/policy/policylog/adapter.go
+++ b/internal/control/policy/policylog/adapter.go
@@ -1,8 +1,8 @@
 // Package policylog runs package policy on a fleet.Node: it is the state machine of the agreed log's records
 // about policies (fleet.StateMachine) and has its say in leases (fleet.Application).
 //
-// It does no input or output and reads no clock. An Adapter is not safe for concurrent use: the goroutine that
-// runs the node owns it.
+// It does no input or output and reads no clock. An Adapter is not safe for concurrent use: the goroutine
+// that runs the node owns it.
 package policylog
 
 import (
@@ -15,15 +15,15 @@
 )
 
 // voterCheckInterval is how often a voter checks who the voters are while nothing else is due. Reports count
-// only from a fence after a change of voters was seen, so a change of policy would wait for all leases to expire
-// where it was seen late.
+// only from a fence after a change of voters was seen, so a change of policy would wait for all leases to
+// expire where it was seen late.
 const voterCheckInterval = time.Second
 
 // incarnationSize is how many bytes of an answer's message are the sender's incarnation; the answer follows.
 const incarnationSize = 8
 
-// Adapter connects one process's policy.Replica to its node. The node calls it as a fleet.StateMachine and as a
-// fleet.Application; Active, EncodeProposal and the others are called from where the node is called.
+// Adapter connects one process's policy.Replica to its node. The node calls it as a fleet.StateMachine and as
+// a fleet.Application; Active, EncodeProposal and the others are called from where the node is called.
 type Adapter struct {
 	settings Settings
 	replica  *policy.Replica
@@ -61,8 +61,8 @@
 // Restore implements fleet.StateMachine.
 func (s *Adapter) Restore(data []byte) error { return s.replica.StateMachine.Restore(data) }
 
-// RecordsApplied implements fleet.Application. Nothing that was promised under a log that was replaced by a new
-// one counts.
+// RecordsApplied implements fleet.Application. Nothing that was promised under a log that was replaced by a
+// new one counts.
 //
 //nolint:revive // flag-parameter: fleet.Application has it
 func (s *Adapter) RecordsApplied(now fleet.ClockReading, anew bool) {
@@ -152,7 +152,9 @@
 // EncodeProposal returns the record that proposes a document, made from the version in force here, to take
 // effect at a Unix time. The document is checked against this agent's own settings first: the error is then a
 // policy.Rejection. Other errors wrap policy.ErrProposal.
-func (s *Adapter) EncodeProposal(now fleet.ClockReading, id string, document []byte, effectiveAt time.Duration) ([]byte, error) {
+func (s *Adapter) EncodeProposal(now fleet.ClockReading, id string, document []byte,
+	effectiveAt time.Duration,
+) ([]byte, error) {
 	if err := policy.CheckDocument(document, s.settings.Local); err != nil {
 		return nil, err
 	}
--- a/internal/control/policy/proposer.go
+++ b/internal/control/policy/proposer.go
@@ -7,8 +7,8 @@
 	"dunestep/internal/fleet/lease"
 )
 
-// Proposer brings an open change to its end. Each voter has one, and the leader proposes what its own returns. A
-// new leader continues from the log, and from when it applied the change itself.
+// Proposer brings an open change to its end. Each voter has one, and the leader proposes what its own
+// returns. A new leader continues from the log, and from when it applied the change itself.
 type Proposer struct {
 	self        int
 	times       Times
@@ -29,8 +29,8 @@
 	retryAt time.Duration // by the monotonic clock
 }
 
-// lastProposal is what was last proposed. The same is not proposed again before retryAt, unless the change has
-// moved on.
+// lastProposal is what was last proposed. The same is not proposed again before retryAt, unless the change
+// has moved on.
 type lastProposal struct {
 	open        uint64
 	effectiveAt time.Duration
@@ -55,9 +55,9 @@
 }
 
 // SetVoters takes who may grant leases from now on; the first call also covers the time before. Membership is
-// any number that changes with each of the voters, as the log index of their last change: a voter that came back
-// with a new store is another one, whose former process may still run. While those that were voters before may
-// have granted leases that hold, no reports of the others stand for them.
+// any number that changes with each of the voters, as the log index of their last change: a voter that came
+// back with a new store is another one, whose former process may still run. While those that were voters
+// before may have granted leases that hold, no reports of the others stand for them.
 func (p *Proposer) SetVoters(now lease.ClockReading, voters []int, membership uint64) {
 	if p.votersKnown && p.membership == membership && slices.Equal(p.voters, voters) {
 		return
@@ -66,8 +66,8 @@
 }
 
 // Learn takes the present state as soon as records were applied, at any voter, and the answer of the agent in
-// the same process, which has learnt the state before. Without that answer a document that no other agent could
-// check would be activated at the fence, when nobody holds a lease any more who could reject it.
+// the same process, which has learnt the state before. Without that answer a document that no other agent
+// could check would be activated at the fence, when nobody holds a lease any more who could reject it.
 func (p *Proposer) Learn(now lease.ClockReading, m *StateMachine, localAnswer []byte) {
 	p.state = m.State()
 	p.localAnswer, _ = DecodeAnswer(localAnswer) // it is this process's own, and always decodes
@@ -79,8 +79,8 @@
 	}
 }
 
-// Due returns what the leader is to propose to the log, in this order, and the latest time at which to call it
-// again, by the monotonic clock.
+// Due returns what the leader is to propose to the log, in this order, and the latest time at which to call
+// it again, by the monotonic clock.
 func (p *Proposer) Due(now lease.ClockReading) (records [][]byte, next time.Duration) {
 	var current lastProposal
 	if o := p.state.OpenChange; o != nil {
@@ -116,7 +116,9 @@
 		})}
 	}
 	if effectiveAt := p.postponedTo(now, open, r); effectiveAt > open.EffectiveAt {
-		records = append(records, marshal(record{Kind: kindPostponed, Version: open.Number, EffectiveAt: effectiveAt}))
+		records = append(records, marshal(record{
+			Kind: kindPostponed, Version: open.Number, EffectiveAt: effectiveAt,
+		}))
 	}
 	if r == ready {
 		records = append(records, marshal(record{Kind: kindActivated, Version: open.Number}))
@@ -125,8 +127,8 @@
 }
 
 // postponedTo is when a change can take effect that not all agents would learn of in time; zero: its time
-// stands. Agents may be slow to answer, or down: the change is postponed by half the time for which it has been
-// open, and in the end until the leases have expired.
+// stands. Agents may be slow to answer, or down: the change is postponed by half the time for which it has
+// been open, and in the end until the leases have expired.
 func (p *Proposer) postponedTo(now lease.ClockReading, open *Change, r readiness) time.Duration {
 	if now.Unix < open.EffectiveAt-p.times.ActivationLead {
 		return 0
@@ -163,8 +165,8 @@
 }
 
 // isFormerFloorUnused tells whether no agent can act by a floor that was replaced: the last lease of an agent
-// that does not know of the replacement has expired by the fence, the time for which such an agent then acts by
-// the floor is over too, and the version that replaced it has taken effect by any clock.
+// that does not know of the replacement has expired by the fence, the time for which such an agent then acts
+// by the floor is over too, and the version that replaced it has taken effect by any clock.
 func (p *Proposer) isFormerFloorUnused(now lease.ClockReading, f *FormerFloor) bool {
 	validity := p.times.withClockDrift(p.times.FloorValidity)
 	return minElapsed(p.floorReplacedAt, now) >= p.times.Terms.FenceWait()+validity &&
--- a/internal/control/policy/records.go
+++ b/internal/control/policy/records.go
@@ -57,8 +57,8 @@
 // ErrProposal is wrapped by the error of a Proposal whose fields no agent could accept.
 var ErrProposal = errors.New("policy: invalid proposal")
 
-// EncodeProposal returns the record of a change, for the log. The error is stricttoml.Problems where the document
-// cannot be read, or wraps ErrProposal.
+// EncodeProposal returns the record of a change, for the log. The error is stricttoml.Problems where the
+// document cannot be read, or wraps ErrProposal.
 func EncodeProposal(p Proposal) ([]byte, error) {
 	d, err := ParseDocument("policy", p.Document)
 	if err != nil {
@@ -66,8 +66,8 @@
 	}
 	if p.ID == "" || len(p.ID) > maxIDSize || !utf8.ValidString(p.ID) || p.EffectiveAt < p.Now ||
 		p.EffectiveAt > p.Now+maxLeadTime {
-		return nil, fmt.Errorf("%w %q: it needs a name of 1 to %d bytes, and a time within an hour", ErrProposal, p.ID,
-			maxIDSize)
+		return nil, fmt.Errorf("%w %q: it needs a name of 1 to %d bytes, and a time within an hour",
+			ErrProposal, p.ID, maxIDSize)
 	}
 	return marshal(record{
 		Kind: kindProposed, ID: p.ID, Agent: p.Agent, BaseVersion: p.BaseVersion, Now: p.Now,
--- a/internal/control/policy/replica.go
+++ b/internal/control/policy/replica.go
@@ -6,8 +6,8 @@
 	"dunestep/internal/fleet/lease"
 )
 
-// Replica is all of the protocol in one process: the agreed state, the agent's part, and at a voter the voter's
-// and the leader's. It calls the parts in the order in which they have to learn of records.
+// Replica is all of the protocol in one process: the agreed state, the agent's part, and at a voter the
+// voter's and the leader's. It calls the parts in the order in which they have to learn of records.
 type Replica struct {
 	StateMachine *StateMachine // records are applied to it
 	Agent        *Agent
@@ -15,8 +15,8 @@
 	Proposer     *Proposer // nil: not a voter
 }
 
-// NewReplica returns the Replica of an agent that is no voter, in a process that starts. A log that is started
-// anew needs a new one.
+// NewReplica returns the Replica of an agent that is no voter, in a process that starts. A log that is
+// started anew needs a new one.
 func NewReplica(own LocalSettings, times Times, now lease.ClockReading) *Replica {
 	r := &Replica{StateMachine: NewStateMachine(), Agent: NewAgent(own, times)}
 	r.Learn(now)
@@ -33,9 +33,9 @@
 	return r
 }
 
-// Learn is called after records or a snapshot were applied to the StateMachine: before the lease's holder learns
-// how far they reach, and before a lease is granted that covers them. Otherwise a lease would hold before the
-// promise.
+// Learn is called after records or a snapshot were applied to the StateMachine: before the lease's holder
+// learns how far they reach, and before a lease is granted that covers them. Otherwise a lease would hold
+// before the promise.
 func (r *Replica) Learn(now lease.ClockReading) {
 	r.Agent.Learn(r.StateMachine)
 	if r.Voter != nil {
@@ -44,8 +44,8 @@
 	}
 }
 
-// Due returns what this process is to propose to the log while it does not lead, and the latest time at which to
-// call it again, by the monotonic clock.
+// Due returns what this process is to propose to the log while it does not lead, and the latest time at which
+// to call it again, by the monotonic clock.
 func (r *Replica) Due(now lease.ClockReading) (records [][]byte, next time.Duration) {
 	if r.Voter == nil {
 		return nil, now.Mono + time.Hour
@@ -64,8 +64,10 @@
 	return append(records, more...), min(next, at)
 }
 
-// AllowLease tells whether this process may grant a lease at this moment; see Voter.AllowLease. One that is no
-// voter may not.
-func (r *Replica) AllowLease(now lease.ClockReading, agent int, incarnation uint64, encodedAnswer []byte) bool {
+// AllowLease tells whether this process may grant a lease at this moment; see Voter.AllowLease. One that is
+// no voter may not.
+func (r *Replica) AllowLease(now lease.ClockReading, agent int, incarnation uint64,
+	encodedAnswer []byte,
+) bool {
 	return r.Voter != nil && r.Voter.AllowLease(now, agent, incarnation, encodedAnswer)
 }
--- a/internal/control/policy/search/search.go
+++ b/internal/control/policy/search/search.go
@@ -153,7 +153,8 @@
 	}
 	s := &search{
 		set: set, all: []int{0, 1, 2}[:set.Voters], seed: maphash.MakeSeed(), seen: modelcheck.NewStates(),
-		apart: modelcheck.NewStates(), proposals: map[string]*proposal{}, root: &place{machine: policy.NewStateMachine()},
+		apart: modelcheck.NewStates(), proposals: map[string]*proposal{},
+		root: &place{machine: policy.NewStateMachine()},
 	}
 	var began []job
 	for _, age := range [][mostVoters]int{{0, 0, 0}, {0, 2, 1}, {1, 1, 2}, {2, 1, 0}} {
--- a/internal/control/policy/statemachine.go
+++ b/internal/control/policy/statemachine.go
@@ -49,14 +49,14 @@
 // Bounds of the state, so that it fits the log's snapshot.
 const (
 	maxPast           = 8                   // versions
-	maxPastSize       = 2 * MaxDocumentSize // bytes of documents in InForce and Past; the last one in force always stays
+	maxPastSize       = 2 * MaxDocumentSize // bytes of documents in InForce and Past; the newest always stays
 	maxOutcomes       = 32
 	maxFloorSize      = 64 // bytes
 	maxPromisedVoters = 32
 )
 
-// StateMachine makes the state out of the records of the agreed log. It depends on the records alone and never
-// reads a document: agents of several builds have to reach the same state.
+// StateMachine makes the state out of the records of the agreed log. It depends on the records alone and
+// never reads a document: agents of several builds have to reach the same state.
 type StateMachine struct {
 	state      State
 	unreadable uint64
@@ -166,8 +166,8 @@
 	}
 }
 
-// abandon closes the open change as rejected. A record without an agent's rejection is the leader's, for a time
-// that is not plausible.
+// abandon closes the open change as rejected. A record without an agent's rejection is the leader's, for a
+// time that is not plausible.
 func (m *StateMachine) abandon(r record) {
 	o := m.outcome(m.state.OpenChange.ProposalID)
 	o.Status, o.Agent, o.Code, o.Text = StatusRejected, r.Agent, r.Code, truncate(r.Text, maxTextSize)
--- a/internal/control/policy/voter.go
+++ b/internal/control/policy/voter.go
@@ -7,8 +7,8 @@
 	"dunestep/internal/fleet/lease"
 )
 
-// Voter is a voter's part in a change, beside its lease.Granter: it decides who may be granted a lease while a
-// change is open, and reports when all that hold one from here have promised.
+// Voter is a voter's part in a change, beside its lease.Granter: it decides who may be granted a lease while
+// a change is open, and reports when all that hold one from here have promised.
 type Voter struct {
 	self  int
 	times Times
@@ -72,9 +72,9 @@
 	}
 }
 
-// AllowLease tells whether an agent may be granted a lease at this moment, and if so notes it as granted. While
-// a change is open only an agent that has promised may: one that has not applied it asks again when it has, and
-// one that rejects it once the change is abandoned.
+// AllowLease tells whether an agent may be granted a lease at this moment, and if so notes it as granted.
+// While a change is open only an agent that has promised may: one that has not applied it asks again when it
+// has, and one that rejects it once the change is abandoned.
 func (v *Voter) AllowLease(now lease.ClockReading, agent int, incarnation uint64, encodedAnswer []byte) bool {
 	answer, ok := DecodeAnswer(encodedAnswer)
 	if !ok {
@@ -109,10 +109,10 @@
 	}
 }
 
-// addHolder notes a lease. A newer answer of the same process than the request carries still counts: the request
-// was sent before it and was overtaken, and the process sends the answer once. Where one agent has more than
-// maxProcesses, those whose leases have expired are dropped, and the last two are merged into one that has
-// promised what both have.
+// addHolder notes a lease. A newer answer of the same process than the request carries still counts: the
+// request was sent before it and was overtaken, and the process sends the answer once. Where one agent has
+// more than maxProcesses, those whose leases have expired are dropped, and the last two are merged into one
+// that has promised what both have.
 func (v *Voter) addHolder(now lease.ClockReading, agent int, h holder) {
 	for _, other := range v.holders[agent] {
 		if other.incarnation == h.incarnation && other.answer.Version > h.answer.Version {
@@ -147,8 +147,8 @@
 	}
 }
 
-// Due returns the records to propose to the log, and the latest time at which to call it again, by the monotonic
-// clock.
+// Due returns the records to propose to the log, and the latest time at which to call it again, by the
+// monotonic clock.
 func (v *Voter) Due(now lease.ClockReading) (records [][]byte, next time.Duration) {
 	open := v.state.OpenChange
 	switch {
--- a/internal/control/policy/zonerules.go
+++ b/internal/control/policy/zonerules.go
@@ -21,16 +21,17 @@
 )
 
 // zonesHeader stands before the rules that AddZoneRules adds. It is part of stored documents.
-const zonesHeader = "# Filled in as it was proposed; it is made anew whenever the document is proposed again.\n"
+const zonesHeader = "# Filled in as it was proposed; " +
+	"it is made anew whenever the document is proposed again.\n"
 
-// zonesSection matches what AddZoneRules has added, at the document's end only: text that an author wrote after
-// it is never removed.
+// zonesSection matches what AddZoneRules has added, at the document's end only: text that an author wrote
+// after it is never removed.
 var zonesSection = regexp.MustCompile(`(?:\A|\n)` + regexp.QuoteMeta(zonesHeader) +
 	`(?:\[zones\."[^"\n]*"\]\nchanges = \[[^\]]*\]\n)*\z`)
 
-// AddZoneRules returns a document with the UTC offsets of its contracts' time zones added, from this machine's
-// zone data, so that all agents use the same. Zones that the document itself describes are left as they are. A
-// document that cannot be parsed is returned unchanged: the check of the proposal rejects it.
+// AddZoneRules returns a document with the UTC offsets of its contracts' time zones added, from this
+// machine's zone data, so that all agents use the same. Zones that the document itself describes are left as
+// they are. A document that cannot be parsed is returned unchanged: the check of the proposal rejects it.
 func AddZoneRules(document []byte, now time.Time) ([]byte, error) {
 	if at := zonesSection.FindIndex(document); at != nil {
 		document = document[:at[0]]
@@ -65,8 +66,8 @@
 	return slices.Compact(zones)
 }
 
-// ZoneDifferences reports each zone whose rules in the document differ from this machine's zone data, by name in
-// order; nil: none. It reads zone data.
+// ZoneDifferences reports each zone whose rules in the document differ from this machine's zone data, by name
+// in order; nil: none. It reads zone data.
 func (d *Document) ZoneDifferences() (err error) {
 	for _, zone := range slices.Sorted(maps.Keys(d.file.Zones)) {
 		if differs := contract.CompareZoneData(zone, d.file.Zones[zone].Changes); differs != nil {
--- a/internal/control/ringassignment/agent.go
+++ b/internal/control/ringassignment/agent.go
@@ -7,8 +7,8 @@
 	"dunestep/internal/fleet/lease"
 )
 
-// StandstillLimit is how long an agent without a lease keeps the generation that it has. After that it uses its
-// own endpoint list, as without generations: the generation may name few of the servers that are left.
+// StandstillLimit is how long an agent without a lease keeps the generation that it has. After that it uses
+// its own endpoint list, as without generations: the generation may name few of the servers that are left.
 const StandstillLimit = 15 * time.Minute
 
 // Agent is the part of every agent: it says which generation the agent uses at a moment.
@@ -63,8 +63,8 @@
 }
 
 // Assignment is the generation to use now; nil: none, as without generations. It is the same pointer while
-// nothing changes. The reading and the lease's standing have to be taken for this decision. Without a lease the
-// generation stays the same.
+// nothing changes. The reading and the lease's standing have to be taken for this decision. Without a lease
+// the generation stays the same.
 func (a *Agent) Assignment(now lease.ClockReading, standing lease.Standing) *balancer.RingAssignment {
 	switch {
 	case standing == lease.New:
--- a/internal/control/ringassignment/assignmentlog/adapter.go
+++ b/internal/control/ringassignment/assignmentlog/adapter.go
@@ -1,9 +1,9 @@
-// Package assignmentlog runs package ringassignment on a fleet.Node: it is the state machine of the agreed log's
-// records about generations of the ring (fleet.StateMachine), and proposes generations at the leader
+// Package assignmentlog runs package ringassignment on a fleet.Node: it is the state machine of the agreed
+// log's records about generations of the ring (fleet.StateMachine), and proposes generations at the leader
 // (fleet.Application).
 //
-// It does no input or output and reads no clock. An Adapter is not safe for concurrent use: the goroutine that
-// runs the node owns it.
+// It does no input or output and reads no clock. An Adapter is not safe for concurrent use: the goroutine
+// that runs the node owns it.
 package assignmentlog
 
 import (
@@ -19,8 +19,8 @@
 )
 
 // Adapter connects one process's part in the ring's generations to its node. The node calls it as a
-// fleet.StateMachine and as a fleet.Application; SetView, SetPaces, Assignment and State are called from where the
-// node is called.
+// fleet.StateMachine and as a fleet.Application; SetView, SetPaces, Assignment and State are called from
+// where the node is called.
 type Adapter struct {
 	settings     Settings
 	machine      *ringassignment.StateMachine
@@ -45,7 +45,10 @@
 
 // New returns the Adapter of a process that starts.
 func New(settings Settings, now fleet.ClockReading) *Adapter {
-	s := &Adapter{settings: settings, machine: ringassignment.NewStateMachine(), agent: ringassignment.NewAgent()}
+	s := &Adapter{
+		settings: settings, machine: ringassignment.NewStateMachine(),
+		agent: ringassignment.NewAgent(),
+	}
 	if settings.IsVoter {
 		s.proposer = ringassignment.NewProposer(settings.Parameters, now)
 	}
@@ -80,8 +83,9 @@
 // LeaseNote implements fleet.Application: leases need no note.
 func (s *Adapter) LeaseNote() []byte { return nil }
 
-// MayGrantLease implements fleet.Application: nothing here stands in the way of a lease. Where another application
-// refuses it, it is counted here all the same, which only has the next generation wait for the fence.
+// MayGrantLease implements fleet.Application: nothing here stands in the way of a lease. Where another
+// application refuses it, it is counted here all the same, which only has the next generation wait for the
+// fence.
 func (s *Adapter) MayGrantLease(now fleet.ClockReading, agent int, incarnation uint64, _ []byte) bool {
 	if s.proposer != nil {
 		s.proposer.LeaseGranted(now, agent, incarnation)
@@ -164,7 +168,9 @@
 }
 
 // sendPaceReport sends voters the pace report where it is time for it, and returns when it is again.
-func (s *Adapter) sendPaceReport(now fleet.ClockReading, v fleet.VoterState, actions *fleet.Actions) (next time.Duration) {
+func (s *Adapter) sendPaceReport(now fleet.ClockReading, v fleet.VoterState,
+	actions *fleet.Actions,
+) (next time.Duration) {
 	if s.paceReport == nil {
 		return now.Mono + paceReportInterval
 	}
@@ -177,9 +183,11 @@
 	return s.paceReportAt
 }
 
-// sendMarks notifies voters of what this agent has applied, and other voters of what all have applied that hold
-// leases from here. It returns when it is time again.
-func (s *Adapter) sendMarks(now fleet.ClockReading, v fleet.VoterState, actions *fleet.Actions) (next time.Duration) {
+// sendMarks notifies voters of what this agent has applied, and other voters of what all have applied that
+// hold leases from here. It returns when it is time again.
+func (s *Adapter) sendMarks(now fleet.ClockReading, v fleet.VoterState,
+	actions *fleet.Actions,
+) (next time.Duration) {
 	if applied := s.agent.Applied(); applied != s.notifiedMark {
 		s.notifiedMark, s.acknowledgedBy, s.notifiedSince, s.notifyAt = applied, nil, now.Mono, now.Mono
 	}
@@ -210,16 +218,16 @@
 	return s.notifyAt
 }
 
-// SetView takes what this agent sees of the servers: on each change, and every few seconds. Only a leader's view
-// counts, and none that is older than Parameters.MaxViewAge.
+// SetView takes what this agent sees of the servers: on each change, and every few seconds. Only a leader's
+// view counts, and none that is older than Parameters.MaxViewAge.
 func (s *Adapter) SetView(now fleet.ClockReading, v ringassignment.View) {
 	if s.proposer != nil {
 		s.proposer.SetView(now, v)
 	}
 }
 
-// SetPaces takes how fast this agent finds each kind of machine against its agreed capacity, 1 being as agreed;
-// kinds with few answers are left out. Voters get it every 30 s.
+// SetPaces takes how fast this agent finds each kind of machine against its agreed capacity, 1 being as
+// agreed; kinds with few answers are left out. Voters get it every 30 s.
 func (s *Adapter) SetPaces(paces map[string]float64) {
 	s.paceReport = nil
 	if len(paces) > 0 {
--- a/internal/control/ringassignment/change.go
+++ b/internal/control/ringassignment/change.go
@@ -33,8 +33,8 @@
 	warmth           float64                  // see fleetWarmth
 }
 
-// NextChange is the generation that follows from the present one, from what the leader sees and from the time: a
-// pure function. False: none does. The parameters must have their defaults.
+// NextChange is the generation that follows from the present one, from what the leader sees and from the
+// time: a pure function. False: none does. The parameters must have their defaults.
 func NextChange(st State, servers []ObservedServer, params Parameters, now time.Duration) (Change, bool) {
 	x := &builder{
 		state: &st, params: &params, now: now, effectiveAt: now + params.ActivationLead,
@@ -60,7 +60,8 @@
 	return x.diff(c)
 }
 
-// addServers takes what the leader sees: how many servers are usable, and whether the snapshot has room for all.
+// addServers takes what the leader sees: how many servers are usable, and whether the snapshot has room for
+// all.
 func (x *builder) addServers(servers []ObservedServer) (usable int, fits bool) {
 	size, valid := 0, true
 	for i := range servers {
@@ -177,8 +178,8 @@
 	return 2*lost > all
 }
 
-// dropGone drops servers that have long been gone, and the first of the others that are gone where there is no
-// room.
+// dropGone drops servers that have long been gone, and the first of the others that are gone where there is
+// no room.
 func (x *builder) dropGone() {
 	var gone []*Member
 	size := maxPacesSize
@@ -199,7 +200,8 @@
 	}
 }
 
-// urgentGrowth: a joining server that gains more than one in so many of its full points makes a change urgent.
+// urgentGrowth: a joining server that gains more than one in so many of its full points makes a change
+// urgent.
 const urgentGrowth = 20
 
 // diff completes the change with what differs from the present generation; false: nothing does.
@@ -231,8 +233,8 @@
 	return c, len(c.Members)+len(c.Forgotten) > 0
 }
 
-// ringLevel is the fraction of their full points that servers have: half of the ring's points belong to servers
-// that have as large a fraction or a larger one.
+// ringLevel is the fraction of their full points that servers have: half of the ring's points belong to
+// servers that have as large a fraction or a larger one.
 func (st *State) ringLevel() float64 {
 	ring := slices.DeleteFunc(slices.Clone(st.Members), func(n Member) bool { return n.OnRing() == 0 })
 	fraction := func(n *Member) float64 { return float64(n.Points) / float64(max(n.fullPoints(), 1)) }
--- a/internal/control/ringassignment/holders.go
+++ b/internal/control/ringassignment/holders.go
@@ -8,8 +8,8 @@
 	"dunestep/internal/fleet/lease"
 )
 
-// Mark names a generation: agents send it to voters once they have applied it, and voters to each other once all
-// that hold a lease from them have. EffectiveAt tells generations of a log that was started anew apart.
+// Mark names a generation: agents send it to voters once they have applied it, and voters to each other once
+// all that hold a lease from them have. EffectiveAt tells generations of a log that was started anew apart.
 type Mark struct {
 	Number      uint64
 	EffectiveAt time.Duration
@@ -38,10 +38,10 @@
 
 func (st *State) mark() Mark { return Mark{st.Number, st.EffectiveAt} }
 
-// holders are the processes that may hold a lease from this voter, so that the next generation need not wait for
-// the fence. A lease covers all that was agreed up to Terms.MaxKnowledgeAge before it was granted. So, that long
-// after the voter applied a generation, no lease that it grants can leave the generation out, and only holders of
-// earlier leases have to have reported it.
+// holders are the processes that may hold a lease from this voter, so that the next generation need not wait
+// for the fence. A lease covers all that was agreed up to Terms.MaxKnowledgeAge before it was granted. So,
+// that long after the voter applied a generation, no lease that it grants can leave the generation out, and
+// only holders of earlier leases have to have reported it.
 type holders struct {
 	terms lease.Terms
 	// startedAt is when this process began. An earlier process of this voter may have granted leases before it,
@@ -77,8 +77,8 @@
 	return minElapsed(o.grantedAt, now) >= h.withClockDrift(h.terms.Duration)
 }
 
-// leaseGranted notes a lease. Where one agent has too many processes, the last two are merged into one that has
-// applied what both have.
+// leaseGranted notes a lease. Where one agent has too many processes, the last two are merged into one that
+// has applied what both have.
 func (h *holders) leaseGranted(now lease.ClockReading, agent int, incarnation uint64) {
 	if o, spare := h.find(now, agent, incarnation); o != nil {
 		o.grantedAt = now
@@ -96,8 +96,8 @@
 	}
 }
 
-// find is the entry of a process; nil: it has none, and spare is one for it, that of an expired lease if there is
-// one.
+// find is the entry of a process; nil: it has none, and spare is one for it, that of an expired lease if
+// there is one.
 func (h *holders) find(now lease.ClockReading, agent int, incarnation uint64) (found, spare *holder) {
 	processes := h.agents[agent]
 	for i := range processes {
@@ -115,8 +115,8 @@
 	return nil, spare
 }
 
-// allApplied tells whether no process holds a lease from here that leaves out a generation which was applied here
-// at a time.
+// allApplied tells whether no process holds a lease from here that leaves out a generation which was applied
+// here at a time.
 func (h *holders) allApplied(now, appliedAt lease.ClockReading, m Mark) bool {
 	if minElapsed(h.startedAt, now) < h.withClockDrift(h.terms.Duration) {
 		return false
--- a/internal/control/ringassignment/judge/judge.go
+++ b/internal/control/ringassignment/judge/judge.go
@@ -1,9 +1,9 @@
-// Package judge checks from the outside whether a fleet's ring is what package ringassignment promises: from who
-// owned which keys at which agent, when, and which servers were really there. It knows nothing of how the agents
-// agreed.
+// Package judge checks from the outside whether a fleet's ring is what package ringassignment promises: from
+// who owned which keys at which agent, when, and which servers were really there. It knows nothing of how the
+// agents agreed.
 //
-// It reads no clock and does no input or output; all times are true times that the caller passes. Its types are
-// not safe for concurrent use.
+// It reads no clock and does no input or output; all times are true times that the caller passes. Its types
+// are not safe for concurrent use.
 package judge
 
 import (
@@ -35,11 +35,11 @@
 	IsKnownGone(agent int, server int32) bool
 	// Capacity is the server's when warm.
 	Capacity(server int32) float64
-	// SlowStartFraction is the fraction of it that slow start permits, as far as the leader could know that as it
-	// made a generation that was first used at a time.
+	// SlowStartFraction is the fraction of it that slow start permits, as far as the leader could know that as
+	// it made a generation that was first used at a time.
 	SlowStartFraction(server int32, made time.Duration) float64
-	// IsSteady tells whether the server has been there and warm for a minute, by the agent's list too, apart from
-	// the time between two moments.
+	// IsSteady tells whether the server has been there and warm for a minute, by the agent's list too, apart
+	// from the time between two moments.
 	IsSteady(agent int, server int32, from, to time.Duration) bool
 }
 
@@ -69,8 +69,8 @@
 	// Violations are the first ones, Count is how many there were.
 	Violations []Violation
 	Count      int
-	// Moved are the fractions of all keys that each agent has moved in all, and Needed those of them whose server
-	// was lost.
+	// Moved are the fractions of all keys that each agent has moved in all, and Needed those of them whose
+	// server was lost.
 	Moved, Needed map[int]float64
 	// Behind counts samples with a lease by how many generations they are behind the newest that was used.
 	Behind [3]int
@@ -134,8 +134,8 @@
 	j.checkWindows(s)
 }
 
-// checkGeneration: after an agent with a lease has used a generation, no agent with a lease uses one that is older
-// than the one before. That holds in true time, whatever clocks show.
+// checkGeneration: after an agent with a lease has used a generation, no agent with a lease uses one that is
+// older than the one before. That holds in true time, whatever clocks show.
 func (j *Judge) checkGeneration(s Sample) {
 	j.newest = max(j.newest, s.Generation)
 	behind := j.newest - s.Generation
--- a/internal/control/ringassignment/judge/moves.go
+++ b/internal/control/ringassignment/judge/moves.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// checkMoves: keys that move without need are limited. Keys that windows move do not count. Needed is what a lost
-// server had: that may be made up for, and where the server was back before a generation took it off, its keys move
-// away and come back once more.
+// checkMoves: keys that move without need are limited. Keys that windows move do not count. Needed is what a
+// lost server had: that may be made up for, and where the server was back before a generation took it off,
+// its keys move away and come back once more.
 func (j *Judge) checkMoves(a *agent, before, now Sample) {
 	move := j.movedKeys(before, now)
 	j.Moved[now.Agent] += move.moved
--- a/internal/control/ringassignment/judge/pacejudge.go
+++ b/internal/control/ringassignment/judge/pacejudge.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// PaceJudge checks from the outside whether the measured pace of a machine kind changes its keys as promised: from
-// how many keys the kind has for its capacity, against the others.
+// PaceJudge checks from the outside whether the measured pace of a machine kind changes its keys as promised:
+// from how many keys the kind has for its capacity, against the others.
 type PaceJudge struct {
 	// Violations are the first ones, Count is how many there were.
 	Violations []string
@@ -25,7 +25,8 @@
 }
 
 const (
-	// paceInterval is the least time between two steps of a pace, less intervalMargin for the time that they take.
+	// paceInterval is the least time between two steps of a pace, less intervalMargin for the time that they
+	// take.
 	paceInterval   = 10 * time.Minute
 	intervalMargin = 30 * time.Second
 	// maxPaceStep is the fraction by which a pace may change at once.
--- a/internal/control/ringassignment/judge/servers.go
+++ b/internal/control/ringassignment/judge/servers.go
@@ -38,8 +38,8 @@
 	slowStartTolerance = 1.75
 )
 
-// checkServers: no agent uses a server that its own list has taken away, nor gives a server in slow start more than
-// it permits, of what the warm server with the most keys for its capacity has.
+// checkServers: no agent uses a server that its own list has taken away, nor gives a server in slow start
+// more than it permits, of what the warm server with the most keys for its capacity has.
 func (j *Judge) checkServers(s Sample) {
 	counts, densest, made := j.keyCounts(s.Owners), 0.0, j.firstUsedAt[s.Generation]
 	inWindows := j.fractionInWindows(s.At, counts)
@@ -54,7 +54,8 @@
 		}
 		warm, all := j.truth.SlowStartFraction(c.server, made), float64(len(*s.Owners))
 		has := float64(c.keys) / all
-		may := slowStartTolerance*warm*densest*j.truth.Capacity(c.server)/all*(1+2*inWindows) + j.settings.SampleError/4
+		may := slowStartTolerance*warm*densest*j.truth.Capacity(c.server)/all*(1+2*inWindows) +
+			j.settings.SampleError/4
 		if warm < 1 && densest > 0 && s.HasLease && s.Generation > 0 && has > may &&
 			j.lostFraction(s.At, 2*j.settings.MaxMoveBurst) < largeLoss {
 			j.addViolation(s, fmt.Sprintf("server %d is cold and has %.3f of the keys, %.3f may", c.server, has, may))
--- a/internal/control/ringassignment/judge/windows.go
+++ b/internal/control/ringassignment/judge/windows.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Window is a maintenance window that takes a server from all tenants, in true times: keys leave it from From to
-// DrainedAt, and come back from ReturnFrom to To.
+// Window is a maintenance window that takes a server from all tenants, in true times: keys leave it from From
+// to DrainedAt, and come back from ReturnFrom to To.
 type Window struct {
 	Server                          int32
 	From, DrainedAt, ReturnFrom, To time.Duration
@@ -19,8 +19,8 @@
 }
 
 const (
-	// minKeysFraction is the fraction of the keys that a server had, or would have by its capacity, which it has to
-	// have outside of its window, though others join.
+	// minKeysFraction is the fraction of the keys that a server had, or would have by its capacity, which it has
+	// to have outside of its window, though others join.
 	minKeysFraction = 0.25
 	// minKeys is how many keys it has to have had: fewer tell nothing.
 	minKeys = 12
@@ -35,8 +35,8 @@
 	j.windows = append(j.windows, &plannedWindow{w, map[int]int{}})
 }
 
-// checkWindows: a window has keys off its server only from From to To, whatever becomes of the server while it has
-// none, at all agents, with a lease or without.
+// checkWindows: a window has keys off its server only from From to To, whatever becomes of the server while
+// it has none, at all agents, with a lease or without.
 func (j *Judge) checkWindows(s Sample) {
 	for _, w := range j.windows {
 		if s.At >= w.From && s.At < w.To+clockMargin || s.At >= w.To+afterWindow {
@@ -64,8 +64,8 @@
 	}
 }
 
-// mayBeMovedByWindow tells whether a window may have moved a key from one server to another. Such moves have a rate
-// of their own.
+// mayBeMovedByWindow tells whether a window may have moved a key from one server to another. Such moves have
+// a rate of their own.
 func (j *Judge) mayBeMovedByWindow(from, to int32, at time.Duration) bool {
 	for _, w := range j.windows {
 		if from == w.Server && at >= w.From && at < w.DrainedAt+afterWindow ||
@@ -76,8 +76,9 @@
 	return false
 }
 
-// fractionInWindows is the fraction of the capacity that is in windows. The keys of these servers go to the next one
-// on the ring, whether it is in slow start or not, and some are next to more of them than others are.
+// fractionInWindows is the fraction of the capacity that is in windows. The keys of these servers go to the
+// next one on the ring, whether it is in slow start or not, and some are next to more of them than others
+// are.
 func (j *Judge) fractionInWindows(at time.Duration, counts []keyCount) float64 {
 	inWindows, all := 0.0, 0.0
 	for _, w := range j.windows {
--- a/internal/control/ringassignment/lab/lab.go
+++ b/internal/control/ringassignment/lab/lab.go
@@ -63,7 +63,10 @@
 	if warm == 0 {
 		warm = 9 * time.Second
 	}
-	return slowstart.Params{InitialCapacity: 0.31, Duration: warm, OverloadMultiple: 3, OverloadWindow: 3 * time.Second, Margin: 0.4, MaxOfWarm: 1}
+	return slowstart.Params{
+		InitialCapacity: 0.31, Duration: warm, OverloadMultiple: 3, OverloadWindow: 3 * time.Second,
+		Margin: 0.4, MaxOfWarm: 1,
+	}
 }
 
 // Lab is one course.
--- a/internal/control/ringassignment/lab/paces.go
+++ b/internal/control/ringassignment/lab/paces.go
@@ -125,7 +125,10 @@
 func Paces(seed uint64, without string, lasts time.Duration) (l *Lab, j *judge.PaceJudge) {
 	set := Setup{
 		Seed: seed, Agents: 5, Servers: 20, Keys: 4000, Without: without,
-		Faults: lossy.Faults{Loss: 0.1, Duplicate: 0.1, MinDelay: time.Millisecond, MaxDelay: 20 * time.Millisecond},
+		Faults: lossy.Faults{
+			Loss: 0.1, Duplicate: 0.1, MinDelay: time.Millisecond,
+			MaxDelay: 20 * time.Millisecond,
+		},
 	}
 	set.Figures.UsePaces = true
 	l = New(set)
--- a/internal/control/ringassignment/lab/rings.go
+++ b/internal/control/ringassignment/lab/rings.go
@@ -25,8 +25,8 @@
 	kept   string // off: see named
 }
 
-// of is what an agent does with a generation, its own list and what it keeps off: see balancer.RingAssignment and
-// balancer.Exclusions. It is the same pointer for the same owners.
+// of is what an agent does with a generation, its own list and what it keeps off: see balancer.RingAssignment
+// and balancer.Exclusions. It is the same pointer for the same owners.
 func (r *rings) of(p *balancer.RingAssignment, list int, a *balancer.Exclusions) *judge.Owners {
 	key := owning{list: list, kept: named(a)}
 	if p != nil {
--- a/internal/control/ringassignment/lab/windows.go
+++ b/internal/control/ringassignment/lab/windows.go
@@ -67,7 +67,10 @@
 		return
 	}
 	for _, i := range of {
-		l.Judge.WindowPlanned(judge.Window{Server: int32(i), From: w.From, DrainedAt: w.DrainedAt, ReturnFrom: w.ReturnFrom, To: w.To})
+		l.Judge.WindowPlanned(judge.Window{
+			Server: int32(i), From: w.From, DrainedAt: w.DrainedAt, ReturnFrom: w.ReturnFrom,
+			To: w.To,
+		})
 	}
 }
 
--- a/internal/control/ringassignment/member.go
+++ b/internal/control/ringassignment/member.go
@@ -9,7 +9,8 @@
 type Phase uint8
 
 const (
-	// Complete means that the server has the points of its agreed capacity, or moves from one capacity to another.
+	// Complete means that the server has the points of its agreed capacity, or moves from one capacity to
+	// another.
 	Complete Phase = iota
 	// Expected means listed, and not ready yet.
 	Expected
@@ -49,7 +50,7 @@
 	Phase      Phase  `cbor:"2,keyasint,omitempty"`
 	Points     uint16 `cbor:"3,keyasint,omitempty"` // of a suspect server: kept, and not on the ring
 	FullPoints uint16 `cbor:"4,keyasint,omitempty"` // by its capacity; zero: as many as Points
-	Since      uint32 `cbor:"5,keyasint,omitempty"` // Unix seconds, of the phase; zero: Complete without a penalty
+	Since      uint32 `cbor:"5,keyasint,omitempty"` // Unix seconds; zero: Complete without a penalty
 	Penalty    uint16 `cbor:"6,keyasint,omitempty"` // in hundredths of a flap, as of Since
 }
 
--- a/internal/control/ringassignment/pacemeter.go
+++ b/internal/control/ringassignment/pacemeter.go
@@ -9,15 +9,16 @@
 )
 
 const (
-	// meterTurn is how long answers are counted: a kind is reported while enough of them came within the last one
-	// or two turns. So an agent of few requests, whose first answers say little, reports nothing, and neither does
-	// one that has received no answers for long.
+	// meterTurn is how long answers are counted: a kind is reported while enough of them came within the last
+	// one or two turns. So an agent of few requests, whose first answers say little, reports nothing, and
+	// neither does one that has received no answers for long.
 	meterTurn         = 2 * time.Minute
 	defaultMinAnswers = 50
 )
 
-// PaceMeter works out how fast the kinds of machines are by one agent's latencies, against their agreed capacity.
-// It assumes that the kinds have as many cores each: from more or fewer cores a latency tells nothing.
+// PaceMeter works out how fast the kinds of machines are by one agent's latencies, against their agreed
+// capacity. It assumes that the kinds have as many cores each: from more or fewer cores a latency tells
+// nothing.
 type PaceMeter struct {
 	MinAnswers float64 // of a kind, to report it; zero: 50
 
@@ -26,7 +27,8 @@
 	started   bool                    // turnBegan is valid
 }
 
-// answerCounts are how many answers of a kind there had been at the start of the turn before, and of this one.
+// answerCounts are how many answers of a kind there had been at the start of the turn before, and of this
+// one.
 type answerCounts struct{ turnBefore, turnStart float64 }
 
 // kindStats is what is known of a kind.
@@ -37,10 +39,12 @@
 }
 
 // Measure takes the baseline latencies by kind, and the agent's own endpoint list with agreed capacities. It
-// returns the pace of each kind that is known, against the kind in the middle by capacity; nil: there is nothing
-// to report, as where there is a single kind, or half of the fleet is not known. It is to be called every few
-// seconds; now is by the monotonic clock.
-func (g *PaceMeter) Measure(now time.Duration, latencies []balancer.BaselineLatency, servers []Server) map[string]float64 {
+// returns the pace of each kind that is known, against the kind in the middle by capacity; nil: there is
+// nothing to report, as where there is a single kind, or half of the fleet is not known. It is to be called
+// every few seconds; now is by the monotonic clock.
+func (g *PaceMeter) Measure(now time.Duration, latencies []balancer.BaselineLatency,
+	servers []Server,
+) map[string]float64 {
 	kinds, capacity := map[string]*kindStats{}, 0.0
 	for i := range servers {
 		s := &servers[i]
@@ -61,7 +65,9 @@
 }
 
 // recentAnswers counts the answers of each kind since the start of the turn before.
-func (g *PaceMeter) recentAnswers(now time.Duration, latencies []balancer.BaselineLatency, kinds map[string]*kindStats) map[string]float64 {
+func (g *PaceMeter) recentAnswers(now time.Duration, latencies []balancer.BaselineLatency,
+	kinds map[string]*kindStats,
+) map[string]float64 {
 	newTurn := g.started && now-g.turnBegan >= meterTurn
 	if newTurn || !g.started {
 		g.turnBegan, g.started = now, true
--- a/internal/control/ringassignment/pacereports.go
+++ b/internal/control/ringassignment/pacereports.go
@@ -32,8 +32,8 @@
 	maxPacedKindSize   = MaxIDSize / 4 // bytes of the name of a kind that has a pace
 )
 
-// EncodePaceReport returns what an agent reports to voters of the kinds of machines: how fast each is against its
-// agreed capacity, 1 being as agreed. Paces out of range are left out.
+// EncodePaceReport returns what an agent reports to voters of the kinds of machines: how fast each is against
+// its agreed capacity, 1 being as agreed. Paces out of range are left out.
 func EncodePaceReport(paces map[string]float64) []byte {
 	kinds := make([]string, 0, len(paces))
 	for kind, pace := range paces {
@@ -62,7 +62,8 @@
 
 // add takes a report; false: the bytes are none, or there is no room.
 func (r *paceReports) add(from int, data []byte, now time.Duration) bool {
-	if len(data) == 0 || len(data) > MaxPaceReportSize || data[0] != paceReportFormat || (len(data)-1)%reportKindSize != 0 {
+	if len(data) == 0 || len(data) > MaxPaceReportSize || data[0] != paceReportFormat ||
+		(len(data)-1)%reportKindSize != 0 {
 		return false
 	}
 	report := paceReport{receivedAt: now, paces: map[uint32]float64{}}
@@ -113,7 +114,9 @@
 
 // countFresh drops reports that do not count any more, and returns how many are left.
 func (r *paceReports) countFresh(now time.Duration) int {
-	maps.DeleteFunc(r.byAgent, func(_ int, report paceReport) bool { return now-report.receivedAt > paceReportValidity })
+	maps.DeleteFunc(r.byAgent, func(_ int, report paceReport) bool {
+		return now-report.receivedAt > paceReportValidity
+	})
 	return len(r.byAgent)
 }
 
--- a/internal/control/ringassignment/parameters.go
+++ b/internal/control/ringassignment/parameters.go
@@ -23,7 +23,7 @@
 	PenaltyHalfLife    time.Duration // of the penalty for flaps; 60 s
 	MaxHoldOff         time.Duration // longest time that a server is held off for its penalty; 5 min
 	SuspectRetention   time.Duration // how long the points of a suspect server are kept; 30 s
-	OwedValidity       time.Duration // how long points of lost servers may be made up for beyond MaxMoveRate; 60 s
+	OwedValidity       time.Duration // how long lost points may be made up for beyond MaxMoveRate; 60 s
 	GoneRetention      time.Duration // how long a server that is gone is remembered; 10 min
 	CapacitySettleTime time.Duration // how long a new capacity has to stay the same before it counts; 30 s
 	MinCapacityChange  float64       // fraction by which it has to differ; 0.1
--- a/internal/control/ringassignment/points.go
+++ b/internal/control/ringassignment/points.go
@@ -17,9 +17,9 @@
 	return int(min(max(points, minPoints), maxPoints))
 }
 
-// updateFullPoints takes over a new capacity that has stayed the same for long enough and differs by enough, so
-// that keys do not move to and fro with every message about it. After a change of a pace less is enough, as
-// paces change slowly themselves.
+// updateFullPoints takes over a new capacity that has stayed the same for long enough and differs by enough,
+// so that keys do not move to and fro with every message about it. After a change of a pace less is enough,
+// as paces change slowly themselves.
 func (x *builder) updateFullPoints(n *Member) {
 	s := x.servers[n.ID]
 	if s == nil || x.now-s.CapacitySince < x.params.CapacitySettleTime {
@@ -29,7 +29,8 @@
 	if x.params.UsePaces && x.now-time.Duration(x.state.PacesChangedAt)*time.Second < paceInterval {
 		minChange /= 4
 	}
-	if wanted := x.wantedPoints(s); math.Abs(float64(wanted-n.fullPoints())) > minChange*float64(n.fullPoints()) {
+	wanted, full := x.wantedPoints(s), n.fullPoints()
+	if math.Abs(float64(wanted-full)) > minChange*float64(full) {
 		n.setFullPoints(wanted)
 	}
 }
@@ -43,8 +44,9 @@
 	return min(t.Margin*t.OverloadMultiple*t.CapacityFraction(x.effectiveAt, s.StartedAt), t.MaxOfWarm, 1)
 }
 
-// fleetWarmth is twice the fraction that all usable servers may have together, 1 at most. Where hardly any server
-// is warm, some servers have to have the keys all the same, and fewer points for all would only be fewer points.
+// fleetWarmth is twice the fraction that all usable servers may have together, 1 at most. Where hardly any
+// server is warm, some servers have to have the keys all the same, and fewer points for all would only be
+// fewer points.
 func (x *builder) fleetWarmth() float64 {
 	sum, all := 0.0, 0.0
 	for _, s := range x.servers {
@@ -59,9 +61,9 @@
 	return min(2*sum/all, 1)
 }
 
-// permittedPoints is how many of a number of points slow start permits when the generation is used. Slow start
-// limits what all agents send together, which points divide among the servers: as a fraction of what complete
-// servers have, which may be low on the way from the first generation.
+// permittedPoints is how many of a number of points slow start permits when the generation is used. Slow
+// start limits what all agents send together, which points divide among the servers: as a fraction of what
+// complete servers have, which may be low on the way from the first generation.
 func (x *builder) permittedPoints(s *ObservedServer, points int) int {
 	if s == nil {
 		return points
@@ -73,7 +75,8 @@
 	return int(float64(points) * min(fraction/x.warmth, 1) * x.ringLevel)
 }
 
-// calmGenerations: before the fence has passed, changes that can wait are only part of every so many generations.
+// calmGenerations: before the fence has passed, changes that can wait are only part of every so many
+// generations.
 const calmGenerations = 4
 
 // distributePoints moves points within the limits: to joining servers first, then to and from servers with
@@ -110,8 +113,8 @@
 	return x.now-(x.state.EffectiveAt-x.params.ActivationLead) >= x.params.Terms.FenceWait()
 }
 
-// joiningGrowth is by how much the points of a joining server grow: to what slow start permits, and not beyond
-// the fraction that complete servers have of theirs, which the first generation begins low.
+// joiningGrowth is by how much the points of a joining server grow: to what slow start permits, and not
+// beyond the fraction that complete servers have of theirs, which the first generation begins low.
 func (x *builder) joiningGrowth(n *Member) int {
 	level := int(math.Ceil(x.ringLevel * float64(n.fullPoints())))
 	return max(min(x.permittedPoints(x.servers[n.ID], n.fullPoints()), level)-int(n.Points), 0)
--- a/internal/control/ringassignment/proposer.go
+++ b/internal/control/ringassignment/proposer.go
@@ -7,8 +7,8 @@
 	"dunestep/internal/fleet/lease"
 )
 
-// Proposer proposes generations. Each voter has one, and the leader proposes what its own returns. A new leader
-// continues from the log, and from when it applied the present generation itself.
+// Proposer proposes generations. Each voter has one, and the leader proposes what its own returns. A new
+// leader continues from the log, and from when it applied the present generation itself.
 type Proposer struct {
 	params    Parameters
 	state     State
@@ -67,8 +67,8 @@
 	p.servers, p.viewedAt, p.hasView, p.nextLook = p.tracker.Update(v), now, true, 0
 }
 
-// SetMembers takes which voters may grant leases, and any number that changes with each of them. While those that
-// were voters before may have granted leases that hold, only the fence counts.
+// SetMembers takes which voters may grant leases, and any number that changes with each of them. While those
+// that were voters before may have granted leases that hold, only the fence counts.
 func (p *Proposer) SetMembers(now lease.ClockReading, members []int, membership uint64) {
 	if p.membersKnown && p.membership == membership && slices.Equal(p.members, members) {
 		return
@@ -112,8 +112,8 @@
 	return p.paceReports.countFresh(now.Mono)
 }
 
-// Due returns what this voter is to propose if it leads, and the latest time at which to call it again, by the
-// monotonic clock. A voter that wrongly believes that it leads does no harm.
+// Due returns what this voter is to propose if it leads, and the latest time at which to call it again, by
+// the monotonic clock. A voter that wrongly believes that it leads does no harm.
 func (p *Proposer) Due(now lease.ClockReading) (records [][]byte, next time.Duration) {
 	next = now.Mono + recheckInterval
 	if now.Mono < p.retryAt {
@@ -163,8 +163,8 @@
 	return true
 }
 
-// isDue tells whether a change has waited for others for long enough. One that is not urgent waits for the fence
-// too.
+// isDue tells whether a change has waited for others for long enough. One that is not urgent waits for the
+// fence too.
 func (p *Proposer) isDue(now lease.ClockReading, change Change) bool {
 	since, wait := &p.changeSince, p.params.GatherTime
 	if !change.MovesKeys && !change.Suspend && len(change.Paces) == 0 {
--- a/internal/control/ringassignment/rules.go
+++ b/internal/control/ringassignment/rules.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// rule takes a server from one phase to another. Of the rules of its phase the first that holds applies, one a
-// generation.
+// rule takes a server from one phase to another. Of the rules of its phase the first that holds applies, one
+// a generation.
 type rule struct {
 	from      []Phase
 	condition string // for people
@@ -23,15 +23,37 @@
 var rules = []rule{
 	{servingPhases, "it drains", (*candidate).isDraining, Away, countsAsFlap},
 	{servingPhases, "it vanished, or is not ready", (*candidate).isLost, Suspect, countsAsFlap},
-	{servingPhases, "it was away, and is back before a generation took it off", (*candidate).wasBrieflyLost, unchanged, countsAsFlap},
-	{servingPhases, "it has more points than its warmth permits: it began anew", (*candidate).isColder, Joining, countsAsFlap},
+	{
+		servingPhases, "it was away, and is back before a generation took it off",
+		(*candidate).wasBrieflyLost, unchanged, countsAsFlap,
+	},
+	{
+		servingPhases, "it has more points than its warmth permits: it began anew",
+		(*candidate).isColder, Joining, countsAsFlap,
+	},
 	{[]Phase{Joining}, "it has all its points", (*candidate).isFullyGrown, Complete, noFlap},
 	{[]Phase{Suspect}, "it drains", (*candidate).isDraining, Away, noFlap},
-	{[]Phase{Suspect}, "it is back, held off for long enough, and warm", (*candidate).mayReturnWarm, Complete, noFlap},
-	{[]Phase{Suspect}, "it is back, held off for long enough, and cold", (*candidate).mayReturn, Joining, noFlap},
-	{[]Phase{Suspect}, "its points were kept for long enough, and it is not listed", (*candidate).isOverdueUnlisted, Gone, noFlap},
+	{
+		[]Phase{Suspect},
+		"it is back, held off for long enough, and warm",
+		(*candidate).mayReturnWarm, Complete, noFlap,
+	},
+	{
+		[]Phase{Suspect},
+		"it is back, held off for long enough, and cold",
+		(*candidate).mayReturn, Joining, noFlap,
+	},
+	{
+		[]Phase{Suspect},
+		"its points were kept for long enough, and it is not listed",
+		(*candidate).isOverdueUnlisted, Gone, noFlap,
+	},
 	{[]Phase{Suspect}, "its points were kept for long enough", (*candidate).isOverdue, Away, noFlap},
-	{[]Phase{Expected, Away, Gone}, "it is ready, held off for long enough", (*candidate).mayReturn, Joining, noFlap},
+	{
+		[]Phase{Expected, Away, Gone},
+		"it is ready, held off for long enough",
+		(*candidate).mayReturn, Joining, noFlap,
+	},
 	{[]Phase{Expected, Away}, "it is not listed", (*candidate).isUnlisted, Gone, noFlap},
 }
 
@@ -63,8 +85,8 @@
 }
 
 // firstRule is the first rule that holds; nil: none. A server that windows have fully drained stays as it is,
-// whatever becomes of it: it has no keys to lose. Otherwise a server that is restarted in a window would be held
-// off beyond the window's end, and agents that are cut off meanwhile would not learn of it for long.
+// whatever becomes of it: it has no keys to lose. Otherwise a server that is restarted in a window would be
+// held off beyond the window's end, and agents that are cut off meanwhile would not learn of it for long.
 func (c *candidate) firstRule() *rule {
 	if c.fullyDrained[c.member.ID] && slices.Contains(servingPhases, c.member.Phase) {
 		return nil
@@ -81,9 +103,9 @@
 func (c *candidate) isReady() bool    { return c.server != nil && c.server.isUsable() }
 func (c *candidate) isDraining() bool { return c.server != nil && c.server.Draining }
 
-// isLost tells whether a server is lost for good. One without flaps may come back at once, as where an endpoint
-// list was sent anew: its keys move away and back then, and to take it off would move them twice more. Until
-// that is clear the agents' own lists keep it out of use.
+// isLost tells whether a server is lost for good. One without flaps may come back at once, as where an
+// endpoint list was sent anew: its keys move away and back then, and to take it off would move them twice
+// more. Until that is clear the agents' own lists keep it out of use.
 func (c *candidate) isLost() bool {
 	if c.listDoubtful || c.isReady() {
 		return false
@@ -102,8 +124,8 @@
 	return c.isReady() && c.server.LostAt > c.state.EffectiveAt-c.params.ActivationLead
 }
 
-// isColder tells whether a server has clearly more points than slow start permits: it was restarted. The margin
-// is for rounding, and for other servers that have fewer points than before.
+// isColder tells whether a server has clearly more points than slow start permits: it was restarted. The
+// margin is for rounding, and for other servers that have fewer points than before.
 func (c *candidate) isColder() bool { return float64(c.member.Points) > 1.25*float64(c.warmPoints())+1 }
 
 func (c *candidate) isFullyGrown() bool { return int(c.member.Points) >= c.member.fullPoints() }
--- a/internal/control/ringassignment/statemachine.go
+++ b/internal/control/ringassignment/statemachine.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// MaxServersSize is the most bytes of all servers of a generation in the log's snapshot, each with its id and
-	// BytesPerServer, whatever its phase. With more servers the assignment is suspended: each agent uses its own
-	// endpoint list, as without generations.
+	// MaxServersSize is the most bytes of all servers of a generation in the log's snapshot, each with its id
+	// and BytesPerServer, whatever its phase. With more servers the assignment is suspended: each agent uses its
+	// own endpoint list, as without generations.
 	MaxServersSize = 22 << 10
 	// BytesPerServer is the most bytes of a server beside its id.
 	BytesPerServer = 24
@@ -21,8 +21,8 @@
 
 	maxKinds     = 16 // with a pace
 	paceOverhead = 8  // bytes of a pace beside its kind
-	// maxLeadTime is how far ahead of its proposal a generation may be used. It bounds how long the generation of
-	// a proposer whose clock is years ahead keeps all others out.
+	// maxLeadTime is how far ahead of its proposal a generation may be used. It bounds how long the generation
+	// of a proposer whose clock is years ahead keeps all others out.
 	maxLeadTime = time.Minute
 )
 
@@ -33,14 +33,14 @@
 	Percent uint16 // 100: as its capacity says
 }
 
-// State is the present generation. Readers must not change it. Numbers of fields are part of its form; times in
-// uint32 are Unix times in seconds.
+// State is the present generation. Readers must not change it. Numbers of fields are part of its form; times
+// in uint32 are Unix times in seconds.
 type State struct {
 	Number         uint64        `cbor:"1,keyasint"`
 	EffectiveAt    time.Duration `cbor:"2,keyasint"`           // Unix time from which on it is used
-	Suspended      bool          `cbor:"3,keyasint,omitempty"` // agents use their own lists, as without generations
+	Suspended      bool          `cbor:"3,keyasint,omitempty"` // agents use their own lists
 	Members        []Member      `cbor:"4,keyasint,omitempty"` // by id
-	OwedPoints     uint32        `cbor:"5,keyasint,omitempty"` // points of lost servers that were not made up for yet
+	OwedPoints     uint32        `cbor:"5,keyasint,omitempty"` // points of lost servers, not made up for yet
 	LostAt         uint32        `cbor:"6,keyasint,omitempty"` // when the last server was lost
 	Paces          []Pace        `cbor:"7,keyasint,omitempty"` // by kind; those that are 100 % are left out
 	PacesChangedAt uint32        `cbor:"8,keyasint,omitempty"`
@@ -79,8 +79,8 @@
 // UnreadableRecords counts the records that this build could not read, or that none of its leaders proposes.
 func (m *StateMachine) UnreadableRecords() uint64 { return m.unreadable }
 
-// Apply applies the next record. One that was made from another generation changes nothing: it came too late, or
-// twice.
+// Apply applies the next record. One that was made from another generation changes nothing: it came too late,
+// or twice.
 func (m *StateMachine) Apply(_ uint64, data []byte) {
 	var c Change
 	if decoding.Unmarshal(data, &c) != nil {
@@ -99,7 +99,8 @@
 
 // apply returns the generation that a change makes; false: it is not a valid one.
 func (st State) apply(c Change) (State, bool) {
-	if c.EffectiveAt < c.Now || c.EffectiveAt > c.Now+maxLeadTime || c.Now < st.EffectiveAt || len(c.Paces) > maxKinds {
+	if c.EffectiveAt < c.Now || c.EffectiveAt > c.Now+maxLeadTime || c.Now < st.EffectiveAt ||
+		len(c.Paces) > maxKinds {
 		return st, false
 	}
 	next := State{
@@ -150,7 +151,9 @@
 
 // find is a server's entry; nil: it has none.
 func (st *State) find(id string) *Member {
-	i, found := slices.BinarySearchFunc(st.Members, id, func(n Member, id string) int { return cmp.Compare(n.ID, id) })
+	i, found := slices.BinarySearchFunc(st.Members, id, func(n Member, id string) int {
+		return cmp.Compare(n.ID, id)
+	})
 	if !found {
 		return nil
 	}
@@ -186,8 +189,8 @@
 // ErrSnapshot is wrapped by the error of a snapshot that this build cannot read.
 var ErrSnapshot = errors.New("placement: cannot read the snapshot")
 
-// Restore replaces the state by a snapshot's; an empty snapshot is that of a log that begins. With an error, which
-// wraps ErrSnapshot, nothing has changed.
+// Restore replaces the state by a snapshot's; an empty snapshot is that of a log that begins. With an error,
+// which wraps ErrSnapshot, nothing has changed.
 func (m *StateMachine) Restore(data []byte) error {
 	var st State
 	if len(data) > 0 {
--- a/internal/control/ringassignment/tracker.go
+++ b/internal/control/ringassignment/tracker.go
@@ -51,8 +51,8 @@
 	return append(all, v.drainedUnlisted()...)
 }
 
-// drainedUnlisted are the servers that windows have fully drained and that are not listed: the leader may never
-// have seen them.
+// drainedUnlisted are the servers that windows have fully drained and that are not listed: the leader may
+// never have seen them.
 func (v *View) drainedUnlisted() (all []ObservedServer) {
 	for id := range v.FullyDrained {
 		listed := func(s Server) bool { return s.ID == id }
