--- a/cmd/dunestep/hand.go
+++ b/cmd/dunestep/hand.go
@@ -43,7 +43,7 @@
 	h.serving = true
 	if h.set.Draining {
 		h.heir = true
-		h.front.StartDrain(handIdleBy, false)
+		h.front.StartDrain(handIdleBy)
 	}
 }
 
@@ -103,7 +103,7 @@
 func (h *manualControl) drain() {
 	slog.Info("clients by hand", "sent_away", h.set.Draining)
 	if h.set.Draining {
-		h.front.StartDrain(handIdleBy, false)
+		h.front.StartDrain(handIdleBy)
 	} else {
 		h.front.StopDrain()
 	}
--- a/cmd/dunestep/process.go
+++ b/cmd/dunestep/process.go
@@ -196,7 +196,7 @@
 		agent.FailAll()
 	})
 	_, arrived := course.PhaseAt(0)
-	front.StartDrain(arrived, true)
+	front.StartFinalDrain(arrived)
 	if taken {
 		front.StopListening()
 	}
--- a/cmd/dunestep/upgrade.go
+++ b/cmd/dunestep/upgrade.go
@@ -239,7 +239,7 @@
 	}
 	p.setHeir(nil, share{})
 	if p.datagrams != nil {
-		p.datagrams.SetActive(true)
+		p.datagrams.Activate()
 	}
 	p.up.mu.Lock()
 	defer p.up.mu.Unlock()
@@ -255,7 +255,7 @@
 	p.up.taken = true
 	p.up.mu.Unlock()
 	if p.datagrams != nil {
-		p.datagrams.SetActive(false)
+		p.datagrams.Deactivate()
 	}
 	slog.Info("the new process takes clients")
 }
--- a/internal/transport/bodies.go
+++ b/internal/transport/bodies.go
@@ -8,70 +8,72 @@
 	"dunestep/internal/bytebudget"
 )
 
-// defaultWhole is the length up to which an answer is held whole, where no rule says it: of a longer one the
-// first bytes are what its client times.
-const defaultWhole = 64 << 10
-
-// wholePart of the bodies' memory is the most that is held of an answer until it is whole.
-const wholePart = 4
-
-// mostAhead is the most that one body may fill while it is taken more slowly than it comes. Guards against a
-// few slow clients of long answers, who would hold the memory that all others wait for.
-const mostAhead = 256 << 10
-
-// kernelBuffer bounds what the kernel holds of a body for one connection, beside the bodies' memory.
-// Without it, that grows to several MB for a client that does not read.
-const kernelBuffer = 256 << 10
+const (
+	// defaultBufferedBytes is the length up to which a response is buffered until it is complete, unless a rule
+	// says otherwise. Clients time the first bytes of a longer one.
+	defaultBufferedBytes = 64 << 10
+	// maxBodyMemoryDivisor: a response is buffered in at most this part of the bodies' memory.
+	maxBodyMemoryDivisor = 4
+	// maxReadAhead is how many bytes of one body may be held while it is taken more slowly than it comes: a few
+	// slow clients of long responses must not hold the memory that all others wait for.
+	maxReadAhead = 256 << 10
+	// kernelBufferBytes bounds what the kernel holds of a body for one connection, beside the bodies' memory.
+	// Without it, that grows to several MB for a client that does not read.
+	kernelBufferBytes = 256 << 10
+)
 
-// BodyRules is what the sockets go by for bodies.
+// BodyRules are limits for bodies.
 type BodyRules struct {
-	MaxBytes      int64         // bytes of an answer: what is longer, or is said to be, is spoilt
-	BufferedBytes int64         // an answer up to this long is held until it has come whole; zero: 64 KiB
-	MaxBuffering  time.Duration // and one not known to be as short at most so long after its first byte
-	ClientStall   time.Duration // a client that takes nothing of its answer for so long is cut off
-	ClientLag     time.Duration // how much longer than the server needs a client may hold up the server's connection
+	MaxBytes      int64         // of a response: a longer one, or one announced as longer, is invalid
+	BufferedBytes int64         // a response up to this long is buffered until it is complete; zero: 64 KiB
+	MaxBuffering  time.Duration // of a response that is not known to be as short, from its first byte on
+	ClientStall   time.Duration // a client that takes nothing of its response for so long is cut off
+	// how much longer than the server needs a client may occupy the server's connection
+	ClientLag time.Duration
 }
 
-// BodyLimits is what bodies share, both ways: memory, and rules that may change while they are in use.
+// BodyLimits is what bodies share in both directions: memory, and rules that may change while they are in
+// use.
 type BodyLimits struct {
 	Memory *bytebudget.Pool
 	rules  atomic.Pointer[BodyRules]
 }
 
-// NewBodyLimits shares out limit bytes.
+// NewBodyLimits returns limits of so many bytes for all bodies together.
 func NewBodyLimits(limit int64, r BodyRules) *BodyLimits {
 	b := &BodyLimits{Memory: bytebudget.NewPool(limit)}
 	b.rules.Store(&r)
 	return b
 }
 
-// Set changes the memory and the rules for what begins from now on.
+// Set changes the memory and the rules for bodies that begin from now on.
 func (b *BodyLimits) Set(limit int64, r BodyRules) {
 	b.Memory.SetLimit(limit)
 	b.rules.Store(&r)
 }
 
-// Rules is what holds now.
+// Rules are the rules in force, with defaults filled in and BufferedBytes within the memory.
 func (b *BodyLimits) Rules() BodyRules {
 	r := *b.rules.Load()
 	limit := b.Memory.Limit()
 	if r.BufferedBytes == 0 {
-		r.BufferedBytes = defaultWhole
+		r.BufferedBytes = defaultBufferedBytes
 	}
-	r.BufferedBytes = min(r.BufferedBytes, r.MaxBytes, limit/wholePart)
+	r.BufferedBytes = min(r.BufferedBytes, r.MaxBytes, limit/maxBodyMemoryDivisor)
 	return r
 }
 
-// window is how many bytes an answer needs at the least, and how many it may fill. One that is not held whole
-// gets a chunk beyond what is: so it shows that it is longer before it begins.
-func (b *BodyLimits) window(length int64, r BodyRules) (least, most int64) {
+// memoryWindow is how many bytes a response needs at least, and how many it may fill; length is negative
+// where it is not known. A response that is not buffered gets a chunk beyond what is: so it shows that it is
+// longer before it is started.
+func (b *BodyLimits) memoryWindow(length int64, r BodyRules) (minBytes, maxBytes int64) {
 	if length >= 0 && length <= r.BufferedBytes {
 		return length, length
 	}
-	least = r.BufferedBytes + bodystream.Chunk
-	most = max(least, min(b.Memory.Limit()/wholePart, mostAhead))
+	minBytes = r.BufferedBytes + bodystream.Chunk
+	maxBytes = max(minBytes, min(b.Memory.Limit()/maxBodyMemoryDivisor, maxReadAhead))
 	if length >= 0 {
-		least, most = min(least, length), min(most, length)
+		minBytes, maxBytes = min(minBytes, length), min(maxBytes, length)
 	}
-	return least, most
+	return minBytes, maxBytes
 }
--- a/internal/transport/datagrams.go
+++ b/internal/transport/datagrams.go
@@ -13,89 +13,96 @@
 	"dunestep/internal/protocol"
 )
 
-// Datagrams is the socket on which agents talk to one another.
+// Datagrams is the socket on which agents send messages to each other.
 type Datagrams struct {
-	conn    *net.UDPConn
-	agents  *protocol.PeerAddresses
-	drops   dropLog
-	active  atomic.Bool
-	mu      sync.Mutex
-	resumed chan struct{} // closed when it speaks again; nil: it always has
+	conn     *net.UDPConn
+	peers    *protocol.PeerAddresses
+	dropLog  rateLimitedLog
+	isActive atomic.Bool
+	mu       sync.Mutex
+	resumed  chan struct{} // closed by Activate; nil: it was never deactivated
 }
 
-// ListenDatagrams opens the socket. Datagrams leave from it too: a peer knows the sender by its address.
-func ListenDatagrams(addr netip.AddrPort, agents *protocol.PeerAddresses) (*Datagrams, error) {
-	c, err := shared.ListenPacket(context.Background(), "udp", addr.String())
+// ListenDatagrams opens the socket. Datagrams are sent from it too: a peer knows the sender by its address.
+func ListenDatagrams(addr netip.AddrPort, peers *protocol.PeerAddresses) (*Datagrams, error) {
+	c, err := reusePortConfig().ListenPacket(context.Background(), "udp", addr.String())
 	if err != nil {
 		return nil, err
 	}
-	return NewDatagrams(c.(*net.UDPConn), agents), nil
+	return NewDatagrams(c.(*net.UDPConn), peers), nil
 }
 
-// NewDatagrams takes over a socket that is open.
-func NewDatagrams(c *net.UDPConn, agents *protocol.PeerAddresses) *Datagrams {
-	d := &Datagrams{conn: c, agents: agents}
-	d.active.Store(true)
+// NewDatagrams uses an open socket.
+func NewDatagrams(c *net.UDPConn, peers *protocol.PeerAddresses) *Datagrams {
+	d := &Datagrams{conn: c, peers: peers}
+	d.isActive.Store(true)
 	return d
 }
 
-// SetActive has this process send and receive for its agent, or leave that to another process that has the socket
-// too. Guards against datagrams that one half of the agent hears and the other half needed.
-func (d *Datagrams) SetActive(on bool) {
+// Activate has this process send and receive for its agent, as it does from the start.
+func (d *Datagrams) Activate() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.active.Swap(on) == on {
+	if d.isActive.Swap(true) {
 		return
 	}
-	if on {
-		_ = d.conn.SetReadDeadline(time.Time{})
-		close(d.resumed)
-	} else {
-		d.resumed = make(chan struct{})
-		_ = d.conn.SetReadDeadline(time.Now())
+	_ = d.conn.SetReadDeadline(time.Time{}) // fails only on a closed socket
+	close(d.resumed)
+}
+
+// Deactivate leaves sending and receiving to another process of this agent that has the socket too: each
+// datagram reaches only one of them.
+func (d *Datagrams) Deactivate() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if !d.isActive.Swap(false) {
+		return
 	}
+	d.resumed = make(chan struct{})
+	_ = d.conn.SetReadDeadline(time.Now()) // fails only on a closed socket
 }
 
-// wait returns when this process speaks for its agent.
-func (d *Datagrams) wait() {
+// waitActive returns when this process sends and receives for its agent.
+func (d *Datagrams) waitActive() {
 	d.mu.Lock()
-	again := d.resumed
+	resumed := d.resumed
 	d.mu.Unlock()
-	if !d.active.Load() {
-		<-again
+	if !d.isActive.Load() {
+		<-resumed
 	}
 }
 
-// Socket is what another process of this agent is given.
+// Socket is handed to another process of this agent.
 func (d *Datagrams) Socket() *net.UDPConn { return d.conn }
 
-// Receive passes on what peers send, until Close. What is malformed or from a stranger is dropped.
-func (d *Datagrams) Receive(f func(protocol.Datagram)) error {
-	buf := make([]byte, protocol.MaxDatagram+1) // one more, so that a longer one shows
+// Receive calls handle with each datagram of a peer, until Close. Malformed ones and those of other senders
+// are dropped and logged.
+func (d *Datagrams) Receive(handle func(protocol.Datagram)) error {
+	buffer := make([]byte, protocol.MaxDatagram+1) // one more, so that a longer one is noticed
 	for {
-		n, from, err := d.conn.ReadFromUDPAddrPort(buf)
+		n, from, err := d.conn.ReadFromUDPAddrPort(buffer)
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return nil
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			d.wait()
+			d.waitActive()
 			continue
 		case err != nil:
 			return err
 		}
-		dg, err := d.agents.Decode(from, buf[:n])
+		datagram, err := d.peers.Decode(from, buffer[:n])
 		if err != nil {
-			d.drops.warn("datagram dropped", "from", from, "error", err)
+			d.dropLog.warn("datagram dropped", "from", from, "error", err)
 			continue
 		}
-		f(dg)
+		handle(datagram)
 	}
 }
 
-// Send sends one datagram; it may be lost like any other.
-func (d *Datagrams) Send(dg protocol.Datagram) error {
-	to, data, err := d.agents.Encode(dg)
-	if err == nil && d.active.Load() {
+// Send sends one datagram; it may be lost like any other. It does nothing while deactivated.
+func (d *Datagrams) Send(datagram protocol.Datagram) error {
+	to, data, err := d.peers.Encode(datagram)
+	if err == nil && d.isActive.Load() {
 		_, err = d.conn.WriteToUDPAddrPort(data, to)
 	}
 	if errors.Is(err, net.ErrClosed) { // the program is ending
@@ -106,6 +113,6 @@
 
 // Close ends Receive.
 func (d *Datagrams) Close() {
-	_ = d.conn.Close()
-	d.SetActive(true)
+	_ = d.conn.Close() // nothing is left to do on an error
+	d.Activate()
 }
--- a/internal/transport/descriptors.go
+++ b/internal/transport/descriptors.go
@@ -1,5 +1,7 @@
-// Package transport holds the agent's sockets: the front socket, the connections to booking servers, the
-// agents' datagrams and discovery's stream. It knows no decisions.
+// Package transport has the agent's sockets: the listener for clients, connections to upstream servers,
+// datagrams between agents, calls to discovery and the operators' door. It makes no routing decision:
+// requests go to a RequestHandler, and which descriptors and connections are used is decided in package
+// routing. All types are safe for concurrent use unless they say otherwise.
 package transport
 
 import (
@@ -9,22 +11,27 @@
 	"dunestep/internal/routing"
 )
 
-// evictRetryInterval is how soon it is looked again for a client's connection to close.
+// evictRetryInterval is how soon a client's connection to evict is looked for again.
 const evictRetryInterval = 20 * time.Millisecond
 
-// Descriptors shares the process's file descriptors between the front socket and the upstream connections, as
-// the core says. It is safe for concurrent use.
+// Descriptors shares the process's file descriptors between clients' connections and upstream connections, by
+// the rules of routing.Descriptors.
 type Descriptors struct {
 	mu                           sync.Mutex
 	core                         *routing.Descriptors
-	freed                        chan struct{}
-	reclaim                      func() // asks for idle upstream connections to be closed
-	downstreamFull, upstreamFull dropLog
+	released                     chan struct{} // receives when a descriptor was released
+	reclaimIdle                  func()        // asks for idle upstream connections to be closed
+	downstreamFull, upstreamFull rateLimitedLog
 }
 
-// NewDescriptors shares out what a process that may hold limit descriptors has for connections.
-func NewDescriptors(limit int, reclaim func()) *Descriptors {
-	return &Descriptors{core: routing.NewDescriptors(limit), freed: make(chan struct{}, 1), reclaim: reclaim}
+// NewDescriptors shares out the descriptors of a process that may hold limit of them. reclaimIdle is called
+// when one is needed that idle upstream connections hold.
+func NewDescriptors(limit int, reclaimIdle func()) *Descriptors {
+	return &Descriptors{
+		core:        routing.NewDescriptors(limit),
+		released:    make(chan struct{}, 1),
+		reclaimIdle: reclaimIdle,
+	}
 }
 
 // SetLimit changes how many descriptors the process may hold; what is open stays open.
@@ -34,88 +41,94 @@
 	d.core.SetLimit(limit)
 }
 
-// InUse is how many descriptors the process holds, those that are no connection included.
+// InUse is how many descriptors the process holds, including those that are no connection.
 func (d *Descriptors) InUse() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.core.InUse()
 }
 
-func (d *Descriptors) tryDownstream() (ok, full bool) {
+// tryDownstream acquires a descriptor for a client, if there is one; isFull reports whether clients hold
+// their whole part.
+func (d *Descriptors) tryDownstream() (ok, isFull bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.core.AcquireDownstream()
 }
 
+// downstreamPressure is routing.Descriptors.Pressure.
 func (d *Descriptors) downstreamPressure() (crowded, pressing bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.core.Pressure()
 }
 
-// acquireDownstream waits until the front may hold one more, or closed is. Evict ends a client's connection on which
-// nothing is open, and is told whether descriptors are so short that one that just stands there must do.
-func (d *Descriptors) acquireDownstream(closed <-chan struct{}, evict func(short bool) bool) bool {
+// acquireDownstream waits until there is a descriptor for one more client, or done is closed. evict closes a
+// client's connection, and reports whether there was one to close.
+func (d *Descriptors) acquireDownstream(done <-chan struct{}, evict func(evictionScope) bool) bool {
 	for {
 		select {
-		case <-d.freed: // told of what tryDownstream sees
+		case <-d.released: // stale: tryDownstream sees what was released
 		default:
 		}
-		ok, full := d.tryDownstream()
+		ok, isFull := d.tryDownstream()
 		if ok {
-			if full {
-				evict(false)
+			if isFull {
+				evict(evictIdle)
 			}
 			return true
 		}
-		if !evict(true) {
-			d.downstreamFull.warn("no descriptor is free", "for", "a client")
-			if !full {
-				d.reclaim()
+		if !evict(evictAny) {
+			d.downstreamFull.warn("no file descriptor is free", "for", "a client")
+			if !isFull {
+				d.reclaimIdle()
 			}
 		}
-		again := time.NewTimer(evictRetryInterval) // by then another connection may be old enough, or one has to do
+		retry := time.NewTimer(evictRetryInterval) // by then another connection may be old enough to evict
 		select {
-		case <-d.freed:
-		case <-again.C:
-		case <-closed:
-			again.Stop()
+		case <-d.released:
+		case <-retry.C:
+		case <-done:
+			retry.Stop()
 			return false
 		}
-		again.Stop()
+		retry.Stop()
 	}
 }
 
+// releaseDownstream gives back what acquireDownstream acquired.
 func (d *Descriptors) releaseDownstream() {
 	d.mu.Lock()
 	d.core.ReleaseDownstream()
 	d.mu.Unlock()
-	d.signal()
+	d.signalReleased()
 }
 
-// AcquireUpstream tells whether one more upstream connection may be held; if so, ReleaseUpstream gives it back.
+// AcquireUpstream reports whether one more upstream connection may be opened; if so, ReleaseUpstream gives it
+// back.
 func (d *Descriptors) AcquireUpstream() bool {
 	d.mu.Lock()
 	ok := d.core.AcquireUpstream()
 	d.mu.Unlock()
 	if !ok {
-		d.upstreamFull.warn("no descriptor is free", "for", "a booking server")
-		d.reclaim()
+		d.upstreamFull.warn("no file descriptor is free", "for", "an upstream server")
+		d.reclaimIdle()
 	}
 	return ok
 }
 
-// ReleaseUpstream gives back what AcquireUpstream took.
+// ReleaseUpstream gives back what AcquireUpstream acquired.
 func (d *Descriptors) ReleaseUpstream() {
 	d.mu.Lock()
 	d.core.ReleaseUpstream()
 	d.mu.Unlock()
-	d.signal()
+	d.signalReleased()
 }
 
-func (d *Descriptors) signal() {
+// signalReleased wakes an acquireDownstream. One signal is enough: the woken one looks for itself.
+func (d *Descriptors) signalReleased() {
 	select {
-	case d.freed <- struct{}{}:
-	default: // one is enough: only the listener waits, and it looks for itself
+	case d.released <- struct{}{}:
+	default:
 	}
 }
--- a/internal/transport/discovery.go
+++ b/internal/transport/discovery.go
@@ -17,67 +17,75 @@
 )
 
 const (
-	// listTimeout is how long discovery may take to begin its answer, connecting included; it fails a call that
-	// waited longer itself. Not longer: see asking, which counts on so much.
-	listTimeout = 2 * time.Second
-	// watchSilence is one and a half of the empty lines that come every 2 s. Guards against a watch that is cut
-	// off, of which nothing else tells: 6 s after a change the agent counts as told of it.
-	watchSilence = 3 * time.Second
-	// objectStall is how long an object may stand still that has begun to come.
-	objectStall    = 750 * time.Millisecond
-	maxObjectBytes = 4 << 20
+	// responseTimeout is how long discovery may take until its response begins, connecting included. Package
+	// discovery/backoff counts on a failed call taking no longer.
+	responseTimeout = 2 * time.Second
+	// watchSilenceTimeout ends a watch on which nothing is received. Discovery sends an empty line every 2 s,
+	// and only their absence shows that a watch is cut off.
+	watchSilenceTimeout = 3 * time.Second
+	// objectStallTimeout is how long an object that has begun may make no progress.
+	objectStallTimeout = 750 * time.Millisecond
+	maxObjectBytes     = 4 << 20
 )
 
+// errListTooLong says that an object of discovery has more than maxObjectBytes. On-call staff know its text.
 var errListTooLong = errors.New("discovery's list is too long")
 
-// CallDiscovery makes one call for the pool config: a watch, from a version on, or the list once. It returns
-// when the call has ended, with nil only for a list that came whole. OnResponseStart is called when discovery has
-// accepted the call; object is called for each object of the answer, whose bytes are its own only until it
-// returns.
-func CallDiscovery(ctx context.Context, addr netip.AddrPort, call protocol.ListRequest, begun func(),
-	object func([]byte),
+// CallDiscovery makes one call for the endpoint list: a watch, from a version on, or the complete list once.
+// It returns when the call has ended, nil only for a list that is complete. onAccepted is called when
+// discovery has accepted the call; onObject is called for each object of the response, whose bytes are valid
+// only until it returns. Both are called from the caller's goroutine.
+func CallDiscovery(ctx context.Context, addr netip.AddrPort, call protocol.ListRequest, onAccepted func(),
+	onObject func([]byte),
 ) error {
-	began := time.Now()
+	startedAt := time.Now()
 	var dialer net.Dialer
-	dialCtx, cancel := context.WithTimeout(ctx, listTimeout)
+	dialCtx, cancel := context.WithTimeout(ctx, responseTimeout)
 	defer cancel()
 	conn, err := dialer.DialContext(dialCtx, "tcp", addr.String())
 	if err != nil {
 		return err
 	}
-	defer conn.Close()
-	defer context.AfterFunc(ctx, func() { conn.Close() })()
-	silence := newQuiet(listTimeout-time.Since(began), func() { conn.Close() })
+	closeConn := func() { _ = conn.Close() } // the read that it ends has the error
+	defer closeConn()
+	defer context.AfterFunc(ctx, closeConn)()
+	silence := newSilenceTimer(responseTimeout-time.Since(startedAt), closeConn)
 	defer silence.timer.Stop()
-	err = func() error {
-		if _, err := conn.Write(protocol.AppendListRequest(nil, addr.String(), call)); err != nil {
-			return err
-		}
-		body, err := protocol.ReadListHeader(bufio.NewReader(conn))
-		if err != nil {
-			return err
-		}
-		defer body.Close()
-		silence.bound(watchSilence)
-		begun()
-		if !call.Watch {
-			list, err := io.ReadAll(io.LimitReader(body, maxObjectBytes))
-			if err == nil {
-				object(list)
-			}
-			return err
-		}
-		return readObjects(&watchBody{Reader: body, silence: silence}, object)
-	}()
-	if silence.over.Load() {
-		return &routing.SilenceError{Duration: time.Duration(silence.wait.Load())}
+	err = exchangeList(conn, addr, call, silence, onAccepted, onObject)
+	if silence.isExpired.Load() {
+		return &routing.SilenceError{Duration: time.Duration(silence.timeout.Load())}
+	}
+	return err
+}
+
+// exchangeList sends a call and reads the response on a connection.
+func exchangeList(conn net.Conn, addr netip.AddrPort, call protocol.ListRequest, silence *silenceTimer,
+	onAccepted func(), onObject func([]byte),
+) error {
+	if _, err := conn.Write(protocol.AppendListRequest(nil, addr.String(), call)); err != nil {
+		return err
+	}
+	body, err := protocol.ReadListHeader(bufio.NewReader(conn))
+	if err != nil {
+		return err
+	}
+	defer func() { _ = body.Close() }() // what matters of it was read
+	silence.reset(watchSilenceTimeout)
+	onAccepted()
+	if call.Watch {
+		return readObjects(&watchBody{Reader: body, silence: silence}, onObject)
+	}
+	list, err := io.ReadAll(io.LimitReader(body, maxObjectBytes))
+	if err == nil {
+		onObject(list)
 	}
 	return err
 }
 
-// readObjects reads the objects of a watch, which has no good end. Each should stand on a line of its own,
-// and one that is laid out over several counts the same: else no drain of such a list would be heard of.
-func readObjects(in *watchBody, object func([]byte)) error {
+// readObjects reads the objects of a watch until it ends, which is always an error. Discovery sends each
+// object on a line of its own; one that is indented over several lines is read as well, or no drain in it
+// would be noticed.
+func readObjects(in *watchBody, onObject func([]byte)) error {
 	objects := json.NewDecoder(in)
 	var raw json.RawMessage
 	for {
@@ -88,68 +96,70 @@
 			}
 			return err
 		}
-		object(raw)
-		in.taken = objects.InputOffset()
-		in.rearm()
+		onObject(raw)
+		in.objectEnd = objects.InputOffset()
+		in.resetSilence()
 	}
 }
 
-// pieces is a watch's body as it comes. It ends the call when the rest of an object does not come. Guards
-// against waiting out the whole silence for one that stopped short: until the next watch no drain and no new
-// server is heard of.
+// watchBody is a watch's body as it comes. It ends the call early if the rest of an object does not come:
+// until the next watch, no drain and no new server would be noticed.
 type watchBody struct {
 	io.Reader
 	silence *silenceTimer
-	given   int64 // bytes that were handed on; without the empty lines, which would pile up unread
-	solid   int64 // the same up to the last one that is no blank
-	taken   int64 // the same up to the end of the latest object
+	// bytes that Read returned; without the empty lines between objects, which would pile up unread
+	returned  int64
+	nonBlank  int64 // the same up to the last byte that is no white space
+	objectEnd int64 // the same up to the end of the latest object
 }
 
-func (p *watchBody) Read(b []byte) (int, error) {
-	if p.given-p.taken >= maxObjectBytes {
+// Read skips empty lines between objects.
+func (w *watchBody) Read(b []byte) (int, error) {
+	if w.returned-w.objectEnd >= maxObjectBytes {
 		return 0, errListTooLong
 	}
 	for {
-		n, err := p.Reader.Read(b)
-		solid := len(bytes.TrimRight(b[:n], " \t\r\n"))
-		if solid > 0 {
-			p.solid = p.given + int64(solid)
+		n, err := w.Reader.Read(b)
+		content := len(bytes.TrimRight(b[:n], " \t\r\n"))
+		if content > 0 {
+			w.nonBlank = w.returned + int64(content)
 		}
-		if coming := p.solid > p.taken; solid > 0 || n > 0 && !coming { // empty lines don't bring the rest
-			p.rearm()
+		// empty lines are no progress of an object
+		if isInObject := w.nonBlank > w.objectEnd; content > 0 || n > 0 && !isInObject {
+			w.resetSilence()
 		}
-		if err != nil || p.solid > p.taken {
-			p.given += int64(n)
+		if err != nil || w.nonBlank > w.objectEnd {
+			w.returned += int64(n)
 			return n, err
 		}
 	}
 }
 
-// rearm gives what comes next its time.
-func (p *watchBody) rearm() {
-	if p.solid > p.taken {
-		p.silence.bound(objectStall)
+// resetSilence gives the next bytes their time.
+func (w *watchBody) resetSilence() {
+	if w.nonBlank > w.objectEnd {
+		w.silence.reset(objectStallTimeout)
 	} else {
-		p.silence.bound(watchSilence)
+		w.silence.reset(watchSilenceTimeout)
 	}
 }
 
-// quiet ends a call on which nothing comes for a time, and knows for how long that was.
+// silenceTimer ends a call on which nothing is received for a time, and knows that time.
 type silenceTimer struct {
-	timer *time.Timer
-	wait  atomic.Int64 // nanoseconds
-	over  atomic.Bool
+	timer     *time.Timer
+	timeout   atomic.Int64 // nanoseconds
+	isExpired atomic.Bool
 }
 
-func newQuiet(wait time.Duration, end func()) *silenceTimer {
-	q := &silenceTimer{}
-	q.wait.Store(int64(wait))
-	q.timer = time.AfterFunc(wait, func() { q.over.Store(true); end() })
-	return q
+func newSilenceTimer(timeout time.Duration, onExpired func()) *silenceTimer {
+	s := &silenceTimer{}
+	s.timeout.Store(int64(timeout))
+	s.timer = time.AfterFunc(timeout, func() { s.isExpired.Store(true); onExpired() })
+	return s
 }
 
-// bound gives what comes next a time from now on.
-func (q *silenceTimer) bound(wait time.Duration) {
-	q.wait.Store(int64(wait))
-	q.timer.Reset(wait)
+// reset gives the next bytes a timeout from now on.
+func (s *silenceTimer) reset(timeout time.Duration) {
+	s.timeout.Store(int64(timeout))
+	s.timer.Reset(timeout)
 }
--- a/internal/transport/discovery_test.go
+++ b/internal/transport/discovery_test.go
@@ -48,15 +48,15 @@
 		protocol.ListRequest{Watch: true}, func() {}, func(raw []byte) { objects = append(objects, string(raw)) })
 	var silence *routing.SilenceError
 	require.ErrorAs(t, err, &silence)
-	require.Equal(t, objectStall, silence.Duration)
+	require.Equal(t, objectStallTimeout, silence.Duration)
 	require.Equal(t, []string{`{"version":43}`, "{\n  \"version\": 44\n}", `{"version":45}`, `{"version":46}`}, objects)
-	require.Less(t, time.Since(began), watchSilence-500*time.Millisecond)
+	require.Less(t, time.Since(began), watchSilenceTimeout-500*time.Millisecond)
 }
 
 // A list without end is not read into memory.
 func TestObjectWithoutEnd(t *testing.T) {
 	endless := io.MultiReader(strings.NewReader("{"), endlessBlanks{})
-	silence := newQuiet(time.Hour, func() {})
+	silence := newSilenceTimer(time.Hour, func() {})
 	err := readObjects(&watchBody{Reader: endless, silence: silence}, func([]byte) {})
 	var unread *routing.UnreadableError
 	require.ErrorAs(t, err, &unread)
--- /dev/null
+++ b/internal/transport/downstreamconn.go
@@ -0,0 +1,410 @@
+package transport
+
+import (
+	"errors"
+	"io"
+	"net"
+	"os"
+	"sync"
+	"syscall"
+	"time"
+
+	"dunestep/internal/protocol"
+)
+
+const (
+	// requestTimeout is how long a client has to send a request: for the first one on a connection counted from
+	// accepting it, else from the request's first byte.
+	requestTimeout = 2300 * time.Millisecond
+	// minIdleTime is how long a connection without an open request stays open at least.
+	minIdleTime = 2 * time.Second
+	// minSilentTime is the same where descriptors are short and nothing was ever received: a client that has a
+	// request sends it right after connecting.
+	minSilentTime = 150 * time.Millisecond
+	// closeGracePeriod is how long an evicted client has to close its side, where another client waits for the
+	// descriptor.
+	closeGracePeriod = 20 * time.Millisecond
+	// stallTimeout is how long a request that has begun may make no progress where descriptors are short.
+	stallTimeout = time.Second
+	// lingerTimeout is how long input is read and discarded after the write side was closed.
+	lingerTimeout = time.Second
+)
+
+// connState is what a client's connection is doing.
+type connState uint8
+
+const (
+	connNew     connState = iota // nothing was received yet
+	connReading                  // a request is being received
+	connBusy                     // a request is in flight, or its response is being written
+	connIdle                     // the last request was answered
+	connClosing                  // the write side is closed, input is discarded
+	connClosed
+)
+
+// downstreamConn is a client's connection. It knows its state and where requests on it begin and end. It is
+// read by net/http's goroutine of the connection; all else may come from any goroutine.
+type downstreamConn struct {
+	net.Conn
+	conns      *downstreamConns
+	formats    []protocol.Format // in which requests may come on it
+	acceptedAt time.Time
+	rawConn    syscall.RawConn
+
+	mu                sync.Mutex
+	state             connState
+	stateSince        time.Time
+	isHeaderRead      bool      // of connReading
+	receivedAt        time.Time // of the latest bytes; of a backlog, the earliest time that they can have come
+	hasBacklog        bool      // bytes came before a Read waited for them, and the kernel may have more
+	backlogReadAt     time.Time // of hasBacklog: when the kernel last had no more
+	isPaused          bool      // nothing is read: the request waits for memory of this agent
+	resumedAt         time.Time // when reading went on after a pause
+	closesUnlessInput bool      // the present Read is to end the connection unless there is input
+	isBodyAbandoned   bool      // the rest of the present body is not wanted
+	skipsLinger       bool      // Close does not wait for the client's end
+	wasEvictedIdle    bool      // evicted with nothing open on it
+	requestsStarted   int       // requests whose header a handler has got
+	framing           requestFraming
+	// idleTimer checks whether the connection was idle for long enough to be closed. It keeps running while a
+	// request is in flight, which costs less than stopping and starting it with each.
+	idleTimer *time.Timer
+}
+
+// arrival describes what a Read returned.
+type arrival struct {
+	isBacklog bool // it was there before the Read waited for it
+	isAll     bool // the kernel had no more
+}
+
+// Read follows the framing of what it returns. A connection in connClosing returns nothing any more: a
+// request that crosses the close was never read, and its client may send it again.
+func (c *downstreamConn) Read(b []byte) (int, error) {
+	isBacklog := c.hasPendingBacklog()
+	n, err := c.Conn.Read(b)
+	for n == 0 && errors.Is(err, os.ErrDeadlineExceeded) &&
+		(c.isBodyCompleteDespiteAbandon() || !c.isReadTimeoutFinal()) {
+		n, err = c.Conn.Read(b)
+	}
+	if n == 0 {
+		return n, err
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	switch c.state {
+	case connClosed, connClosing:
+		return 0, net.ErrClosed
+	case connNew, connIdle:
+		c.setState(connReading)
+	}
+	c.recordArrival(arrival{isBacklog: isBacklog, isAll: n < len(b)})
+	c.framing.advance(b[:n], c.receivedAt)
+	return n, err
+}
+
+// hasPendingBacklog reports whether bytes that came before a Read waited for them are still unread.
+func (c *downstreamConn) hasPendingBacklog() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.hasBacklog && c.hasInput()
+}
+
+// recordArrival sets when the bytes of a Read came: now or, where they are of a backlog, when all before them
+// had been read. The caller holds mu.
+func (c *downstreamConn) recordArrival(a arrival) {
+	c.receivedAt = time.Now()
+	now := c.receivedAt
+	if a.isBacklog {
+		c.receivedAt = c.backlogReadAt
+	} else {
+		c.hasBacklog = false
+	}
+	if a.isAll {
+		c.backlogReadAt = now
+	}
+}
+
+// setState changes the state, unless the connection is closing or closed. The caller holds mu.
+func (c *downstreamConn) setState(s connState) {
+	if c.state != connClosed && c.state != connClosing {
+		c.state, c.stateSince, c.isHeaderRead = s, time.Now(), false
+	}
+}
+
+// startRequest records that a request's header was read. It returns the deadline for the request's last byte,
+// and how its body is framed.
+func (c *downstreamConn) startRequest() (deadline time.Time, framing bodyFraming) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.isHeaderRead = true
+	c.requestsStarted++
+	deadline = c.stateSince.Add(requestTimeout)
+	if first := c.acceptedAt.Add(requestTimeout); c.framing.headersStarted <= 1 && first.Before(deadline) {
+		deadline = first
+	}
+	return deadline, c.framing.bodyFraming
+}
+
+// pauseReading records that this agent does not read for now. A request that makes no progress for that
+// reason is not stalled by its client.
+func (c *downstreamConn) pauseReading() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.isPaused = true
+}
+
+// resumeReading ends a pause. receivedAt stays: the client's time counts from there.
+func (c *downstreamConn) resumeReading() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.isPaused = false
+	c.resumedAt = time.Now()
+}
+
+// isStalled reports whether a request has begun and makes no progress, through its client's fault. The caller
+// holds mu.
+func (c *downstreamConn) isStalled(now time.Time) bool {
+	if c.state != connReading || c.isPaused || now.Sub(c.stateSince) < stallTimeout {
+		return false
+	}
+	return !c.isHeaderRead || now.Sub(c.receivedAt) >= stallTimeout && now.Sub(c.resumedAt) >= stallTimeout
+}
+
+// requestStartedAt is when the first byte of the present request was received.
+func (c *downstreamConn) requestStartedAt() time.Time {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.stateSince
+}
+
+// abandonBody ends reads of the present body: its rest is not wanted. It holds until responseDone.
+func (c *downstreamConn) abandonBody() {
+	c.mu.Lock()
+	c.isBodyAbandoned = true
+	c.mu.Unlock()
+	_ = c.SetReadDeadline(time.Now()) // fails only on a closed connection
+}
+
+// responseDone records that the response was written: from then on read deadlines are net/http's again.
+func (c *downstreamConn) responseDone() {
+	c.mu.Lock()
+	c.isBodyAbandoned = false
+	c.mu.Unlock()
+}
+
+// isBodyCompleteDespiteAbandon reports whether the deadline that ended a Read was set by abandonBody for a
+// body that is complete by now. net/http then reads on to notice a client that leaves; without this it would
+// take the deadline for one, and cut off the response.
+func (c *downstreamConn) isBodyCompleteDespiteAbandon() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if !c.isBodyAbandoned || c.closesUnlessInput || c.framing.bodyFraming != framedByLength ||
+		c.framing.bodyLeft > 0 {
+		return false
+	}
+	return c.SetReadDeadline(time.Time{}) == nil
+}
+
+// requestComplete records that the last byte of a request was read and returns when it was received: from
+// then on the client counts its time.
+func (c *downstreamConn) requestComplete() (receivedAt time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	receivedAt = c.receivedAt
+	if len(c.framing.completedAt) > 0 {
+		receivedAt = c.framing.completedAt[0]
+	}
+	c.setState(connBusy)
+	return receivedAt
+}
+
+// shouldClose reports whether the connection is to be closed after its response. Many clients that send one
+// request each and keep their connection would exhaust the descriptors before any of them was idle for long
+// enough to be closed. Clients that have sent more than one request keep theirs for longer.
+func (c *downstreamConn) shouldClose() bool {
+	crowded, pressing := c.conns.descriptors.downstreamPressure()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return pressing || crowded && c.framing.headersStarted <= 1
+}
+
+// hasNextRequest reports whether a part of the request after the present one was received. A close after the
+// present response would destroy a pipelined request.
+func (c *downstreamConn) hasNextRequest() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.hasReadNextRequest() || c.framing.bodyLeft == 0 && c.hasInput()
+}
+
+// hasReadNextRequest reports whether a part of the request after the present one was read. The caller holds
+// mu.
+func (c *downstreamConn) hasReadNextRequest() bool {
+	return c.framing.headersStarted > c.requestsStarted
+}
+
+// hasInput reports whether the kernel has unread input of the client, including the end of its side.
+func (c *downstreamConn) hasInput() (has bool) {
+	err := c.rawConn.Control(func(fd uintptr) { has = hasInput(fd) })
+	return err == nil && has
+}
+
+// responseWritten records that a response was written.
+func (c *downstreamConn) responseWritten() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if len(c.framing.completedAt) > 0 {
+		c.framing.completedAt = append(c.framing.completedAt[:0], c.framing.completedAt[1:]...)
+	}
+	if c.hasReadNextRequest() {
+		c.hasBacklog, c.backlogReadAt = true, c.receivedAt
+		c.setState(connReading)
+		return
+	}
+	c.setState(connIdle)
+	if c.state != connIdle {
+		return
+	}
+	if c.idleTimer == nil {
+		c.idleTimer = time.AfterFunc(minIdleTime, c.closeIfIdle)
+	} else {
+		c.idleTimer.Reset(minIdleTime)
+	}
+}
+
+// closeIfIdle closes the connection if it was idle for long enough and clients hold many descriptors.
+func (c *downstreamConn) closeIfIdle() {
+	c.mu.Lock()
+	since, isLongEnough := c.stateSince, c.state == connIdle && time.Since(c.stateSince) >= minIdleTime
+	c.mu.Unlock()
+	if crowded, _ := c.conns.descriptors.downstreamPressure(); crowded && isLongEnough {
+		c.evict(connIdle, since)
+	}
+}
+
+// Close closes the write side, reads and discards what the client still sends for a while, then closes the
+// connection. A close over unread input would reset the connection, and the client's kernel would discard the
+// response before it is read.
+func (c *downstreamConn) Close() error {
+	c.mu.Lock()
+	lingers := c.startClosing()
+	c.mu.Unlock()
+	if lingers {
+		_, _ = io.Copy(io.Discard, struct{ io.Reader }{c.Conn}) // ends with the deadline or the client's end
+	}
+	err := c.Conn.Close()
+	c.deregister()
+	return err
+}
+
+// startClosing closes the write side; what the client sends from now on is no request. It returns false if
+// the connection is closed, or is to be closed without lingering. The caller holds mu.
+func (c *downstreamConn) startClosing() (lingers bool) {
+	if c.skipsLinger || c.state == connClosed {
+		return false
+	}
+	if c.state != connClosing {
+		_ = c.CloseWrite() // fails only where the client has reset the connection
+		c.setState(connClosing)
+	}
+	return c.SetReadDeadline(c.stateSince.Add(lingerTimeout)) == nil
+}
+
+// discardUnsent has Close discard what the kernel has not sent. For a client that does not read, it would
+// keep that indefinitely.
+func (c *downstreamConn) discardUnsent() {
+	c.skipLinger()
+	if tcp, ok := c.Conn.(*net.TCPConn); ok {
+		_ = tcp.SetLinger(0) // fails only on a closed connection
+	}
+}
+
+// skipLinger has Close not wait for the client.
+func (c *downstreamConn) skipLinger() {
+	c.mu.Lock()
+	c.skipsLinger = true
+	c.mu.Unlock()
+}
+
+// CloseWrite is called by net/http before it waits a while and closes.
+func (c *downstreamConn) CloseWrite() error {
+	if tcp, ok := c.Conn.(interface{ CloseWrite() error }); ok {
+		return tcp.CloseWrite()
+	}
+	return nil
+}
+
+// deregister releases the connection's descriptor, once.
+func (c *downstreamConn) deregister() {
+	c.mu.Lock()
+	wasClosed := c.state == connClosed
+	c.state = connClosed
+	if c.idleTimer != nil {
+		c.idleTimer.Stop()
+	}
+	c.mu.Unlock()
+	if !wasClosed {
+		c.conns.remove(c)
+	}
+}
+
+// evict closes the connection if it is still in the state in which it was chosen and has no input: first its
+// write side and, if the client does not close its own side in time, the whole connection at the next call.
+func (c *downstreamConn) evict(state connState, since time.Time) (evicted bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	switch {
+	case c.state != state || !c.stateSince.Equal(since):
+		return false
+	case (state != connClosing || c.wasEvictedIdle) && c.hasInput():
+		c.setState(connReading) // no effect in connClosing: the input is discarded first
+		return false
+	case state == connClosing:
+		c.finishClosing()
+		return true
+	}
+	c.wasEvictedIdle = state != connReading
+	return c.startClosing()
+}
+
+// finishClosing ends the discarding of input, so that the connection is closed by its reader. The caller
+// holds mu.
+func (c *downstreamConn) finishClosing() {
+	c.skipsLinger = true
+	_ = c.SetReadDeadline(time.Now()) // fails only on a closed connection
+}
+
+// evictionRank tells how readily a connection is evicted: lower ranks first, each from an age on.
+type evictionRank int
+
+const (
+	notEvictable     evictionRank = iota - 1
+	rankIdle                      // idle for minIdleTime, or evicted before and not closed by its client
+	rankSilent                    // nothing was ever received, or it is closing
+	rankStalled                   // its request makes no progress
+	rankRecentlyIdle              // idle for a short time: a request that crosses the close is sent again
+)
+
+// evictionCandidacy returns how readily the connection can be evicted, and its state. Ranks above rankIdle
+// are for the case that descriptors are short.
+func (c *downstreamConn) evictionCandidacy(
+	now time.Time,
+) (rank evictionRank, state connState, since time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	age := now.Sub(c.stateSince)
+	rank = notEvictable
+	switch {
+	case c.skipsLinger: // about to be closed
+	case c.state == connClosing && c.wasEvictedIdle && age >= closeGracePeriod:
+		rank = rankIdle
+	case (c.state == connIdle || c.state == connNew) && age >= minIdleTime:
+		rank = rankIdle
+	case c.state == connClosing && age >= minSilentTime, c.state == connNew && age >= minSilentTime:
+		rank = rankSilent
+	case c.isStalled(now):
+		rank = rankStalled
+	case c.state == connIdle && age >= minSilentTime:
+		rank = rankRecentlyIdle
+	}
+	return rank, c.state, c.stateSince
+}
--- /dev/null
+++ b/internal/transport/downstreamlistener.go
@@ -0,0 +1,149 @@
+package transport
+
+import (
+	"net"
+	"net/netip"
+	"sync"
+	"time"
+
+	"dunestep/internal/protocol"
+)
+
+// evictionScope says which connections may be evicted.
+type evictionScope uint8
+
+const (
+	evictIdle evictionScope = iota // only those that have been idle for minIdleTime
+	evictAny                       // also others without an answer owed: descriptors are short
+)
+
+// downstreamListener accepts clients while there are descriptors for them, and evicts connections without an open
+// request where there are not.
+type downstreamListener struct {
+	net.Listener
+	*downstreamConns
+	addr      netip.AddrPort
+	formats   []protocol.Format
+	done      chan struct{} // closed by Close
+	closeOnce sync.Once
+	closeErr  error
+}
+
+// downstreamConns are the connections of all sockets of a Listener: whichever is short of descriptors, the best
+// candidates of all are evicted.
+type downstreamConns struct {
+	descriptors *Descriptors
+	mu          sync.Mutex
+	conns       map[*downstreamConn]struct{}
+	allClosed   chan struct{} // receives when the last connection was closed
+}
+
+// Accept waits for a descriptor, then for a client.
+func (l *downstreamListener) Accept() (net.Conn, error) {
+	if !l.descriptors.acquireDownstream(l.done, l.evict) {
+		return nil, net.ErrClosed
+	}
+	conn, err := l.Listener.Accept()
+	if err != nil {
+		l.descriptors.releaseDownstream()
+		return nil, err
+	}
+	_ = conn.(*net.TCPConn).SetWriteBuffer(kernelBufferBytes) // the kernel may refuse it: its default holds then
+	raw, err := conn.(*net.TCPConn).SyscallConn()
+	if err != nil {
+		_ = conn.Close()
+		l.descriptors.releaseDownstream()
+		return nil, err
+	}
+	now := time.Now()
+	c := &downstreamConn{
+		Conn: conn, rawConn: raw, conns: l.downstreamConns, formats: l.formats, acceptedAt: now, stateSince: now,
+	}
+	l.mu.Lock()
+	l.conns[c] = struct{}{}
+	l.mu.Unlock()
+	return c, nil
+}
+
+// Close ends Accept; connections stay open.
+func (l *downstreamListener) Close() error {
+	l.closeOnce.Do(func() { close(l.done); l.closeErr = l.Listener.Close() })
+	return l.closeErr
+}
+
+// evict closes the best candidate and reports whether there was one; its descriptor is free once its client has
+// closed it too, or has had the time to. Clients that connect and send nothing, send one request and stay, or never
+// complete a request would keep out all others.
+func (l *downstreamConns) evict(scope evictionScope) bool {
+	skipped := map[*downstreamConn]bool{} // have received something meanwhile
+	for {
+		c, state, since := l.evictionCandidate(scope, skipped)
+		if c == nil || c.evict(state, since) {
+			return c != nil
+		}
+		skipped[c] = true
+	}
+}
+
+// evictionCandidate returns the connection with the lowest rank, of those with the same rank the one that has been
+// in its state for longest; nil if there is none.
+func (l *downstreamConns) evictionCandidate(scope evictionScope, skipped map[*downstreamConn]bool) (
+	best *downstreamConn, bestState connState, bestSince time.Time,
+) {
+	now, bestRank := time.Now(), rankIdle+1
+	if scope == evictAny {
+		bestRank = rankRecentlyIdle + 1
+	}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for c := range l.conns {
+		rank, state, since := c.evictionCandidacy(now)
+		if rank == notEvictable || skipped[c] {
+			continue
+		}
+		if rank < bestRank || best != nil && rank == bestRank && since.Before(bestSince) {
+			best, bestRank, bestState, bestSince = c, rank, state, since
+		}
+	}
+	return best, bestState, bestSince
+}
+
+// remove forgets a closed connection and releases its descriptor.
+func (l *downstreamConns) remove(c *downstreamConn) {
+	l.mu.Lock()
+	delete(l.conns, c)
+	isLast := len(l.conns) == 0
+	l.mu.Unlock()
+	if isLast {
+		select {
+		case l.allClosed <- struct{}{}:
+		default:
+		}
+	}
+	l.descriptors.releaseDownstream()
+}
+
+// closeIdle closes idle connections; see idleScope.
+func (l *downstreamConns) closeIdle(scope idleScope) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for c := range l.conns {
+		c.closeIdle(scope)
+	}
+}
+
+// skipLinger has every connection's Close not wait for its client.
+func (l *downstreamConns) skipLinger() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for c := range l.conns {
+		c.skipLinger()
+	}
+}
+
+// count is the number of open connections.
+func (l *downstreamConns) count() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return len(l.conns)
+}
--- /dev/null
+++ b/internal/transport/listener.go
@@ -0,0 +1,299 @@
+package transport
+
+import (
+	"cmp"
+	"context"
+	"errors"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"net/netip"
+	"syscall"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"dunestep/internal/bodystream"
+	"dunestep/internal/bytebudget"
+	"dunestep/internal/metrics"
+	"dunestep/internal/protocol"
+	"dunestep/internal/routing"
+)
+
+// RequestHandler answers requests.
+type RequestHandler interface {
+	// HandleRequest returns the final answer; false if the client has gone and none is owed.
+	HandleRequest(ctx context.Context, op *protocol.Request) (protocol.Response, bool)
+	// Ready reports whether requests can be served.
+	Ready() bool
+}
+
+const (
+	keepAliveTimeout = 30 * time.Second // for the next request on a connection
+	maxHeaderBytes   = 16 << 10
+)
+
+// Listener is the downstream side: the sockets on which clients connect, and their connections. Listen and
+// Inherit come before Serve; all other methods may be called at any time, from any goroutine.
+type Listener struct {
+	server    *http.Server
+	listeners []*downstreamListener
+	inherited map[netip.AddrPort]*net.TCPListener
+	conns     *downstreamConns
+	handler   RequestHandler
+	bodies    *BodyLimits
+	metrics   *metrics.Figures
+	drain     drainState
+}
+
+// NewListener returns a Listener without sockets.
+func NewListener(
+	d *Descriptors,
+	bodies *BodyLimits,
+	counts *metrics.Figures,
+	handler RequestHandler,
+) *Listener {
+	f := &Listener{handler: handler, bodies: bodies, metrics: counts, conns: &downstreamConns{
+		descriptors: d,
+		conns:       map[*downstreamConn]struct{}{}, allClosed: make(chan struct{}, 1),
+	}}
+	f.server = &http.Server{
+		// Not a ServeMux: it would clean paths and redirect, and a request's target is forwarded unchanged.
+		Handler: http.HandlerFunc(f.serveHTTP),
+		// No ReadTimeout: it would end a request that takes longer as if its client had gone.
+		DisableGeneralOptionsHandler: true, // it would answer 200
+		ReadHeaderTimeout:            requestTimeout, IdleTimeout: keepAliveTimeout, MaxHeaderBytes: maxHeaderBytes,
+		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
+			return context.WithValue(ctx, connKey{}, c)
+		},
+		ConnState: func(c net.Conn, s http.ConnState) {
+			if s == http.StateIdle {
+				c.(*downstreamConn).responseWritten()
+			}
+		},
+		ErrorLog: slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug),
+	}
+	return f
+}
+
+// Listen opens a socket; Serve begins to accept there. A request on it is read in the first of formats that
+// takes it; the last one takes all.
+func (f *Listener) Listen(addr netip.AddrPort, formats ...protocol.Format) error {
+	l, inherited := f.inherited[addr]
+	if !inherited {
+		var err error
+		if l, err = listenReusePort(addr); err != nil {
+			return err
+		}
+	}
+	f.listeners = append(f.listeners, &downstreamListener{
+		Listener: l, addr: addr, downstreamConns: f.conns, formats: formats,
+		done: make(chan struct{}),
+	})
+	return nil
+}
+
+// Inherit has Listen use these sockets at their addresses, at which another process of this agent listens
+// too.
+func (f *Listener) Inherit(sockets map[netip.AddrPort]*net.TCPListener) { f.inherited = sockets }
+
+// Sockets are the listening sockets, by the addresses given to Listen.
+func (f *Listener) Sockets() map[netip.AddrPort]*net.TCPListener {
+	all := map[netip.AddrPort]*net.TCPListener{}
+	for _, l := range f.listeners {
+		all[l.addr] = l.Listener.(*net.TCPListener)
+	}
+	return all
+}
+
+// reusePortConfig is for sockets whose address another process of this agent may open too: at an upgrade in
+// which the two processes do not meet, the new one opens its own.
+func reusePortConfig() *net.ListenConfig {
+	return &net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) (err error) {
+		controlErr := c.Control(func(fd uintptr) {
+			err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
+		})
+		return cmp.Or(controlErr, err)
+	}}
+}
+
+func listenReusePort(addr netip.AddrPort) (*net.TCPListener, error) {
+	l, err := reusePortConfig().Listen(context.Background(), "tcp", addr.String())
+	if err != nil {
+		return nil, err
+	}
+	return l.(*net.TCPListener), nil
+}
+
+// newExchange begins an exchange in the first format that takes the request.
+func newExchange(formats []protocol.Format, r *http.Request) protocol.Exchange {
+	last := len(formats) - 1
+	for _, format := range formats[:last] {
+		if x := format(r); x != nil {
+			return x
+		}
+	}
+	return formats[last](r)
+}
+
+// Serve accepts clients until StopListening, or until a socket fails.
+func (f *Listener) Serve() error {
+	ended := make(chan error, len(f.listeners))
+	for _, l := range f.listeners {
+		go func() { ended <- f.server.Serve(l) }()
+	}
+	for range f.listeners {
+		if err := <-ended; !errors.Is(err, net.ErrClosed) {
+			return err
+		}
+	}
+	return nil
+}
+
+// connKey is the context key of a request's connection.
+type connKey struct{}
+
+// connOf is the connection on which a request came.
+func connOf(r *http.Request) *downstreamConn { return r.Context().Value(connKey{}).(*downstreamConn) }
+
+// serveHTTP answers one request: a health check, or one for the handler.
+func (f *Listener) serveHTTP(w http.ResponseWriter, r *http.Request) {
+	conn := connOf(r)
+	x := newExchange(conn.formats, r)
+	deadline, framing := conn.startRequest()
+	control := http.NewResponseController(w)
+	isHealthCheck := r.URL.Path == "/health/ready" || r.URL.Path == "/health/live"
+	if isHealthCheck || r.ContentLength != 0 { // something is written before a response sets its own deadline
+		_ = control.SetWriteDeadline(time.Time{}) // takes back the previous response's
+	}
+	if r.ContentLength != 0 {
+		_ = control.SetReadDeadline(deadline) // also for what net/http reads of a body that is not wanted
+	}
+	if framing != framedByLength {
+		w.Header().Set("Connection", "close") // what follows could be a part of the body
+	}
+	switch {
+	case framing == framedByBoth:
+		f.writeResponse(w, r, x, protocol.Response{Kind: protocol.Malformed, Body: []byte("two lengths\n")}, nil)
+	case r.URL.Path == "/health/ready":
+		f.announceClose(conn, w.Header())
+		f.serveReadiness(w)
+	case r.URL.Path == "/health/live":
+		f.announceClose(conn, w.Header())
+	default:
+		f.serveRequest(w, r, x, deadline)
+	}
+}
+
+// serveRequest decodes a request, has the handler answer it and writes the answer.
+func (f *Listener) serveRequest(
+	w http.ResponseWriter,
+	r *http.Request,
+	x protocol.Exchange,
+	deadline time.Time,
+) {
+	conn := connOf(r)
+	body := &pacedBody{control: http.NewResponseController(w), deadline: deadline}
+	if r.ContentLength != 0 {
+		body.ReadCloser = http.MaxBytesReader(w, r.Body, protocol.MaxUpload)
+		r.Body = body
+	}
+	var grant bytebudget.Grant
+	op, err := x.Decode(func(bytes int64, timeLeft time.Duration) (keep func(int64), err error) {
+		waitedSince := time.Now()
+		conn.pauseReading()
+		grant, err = f.reserveMemory(r, bytes, conn.requestStartedAt().Add(timeLeft-routing.ResponseMargin))
+		conn.resumeReading()
+		body.extend(time.Since(waitedSince))
+		return func(n int64) { grant.Shrink(n) }, err
+	})
+	class := ""
+	if op != nil {
+		class = op.Class
+	}
+	counted := f.metrics.Await(class)
+	defer counted.End(metrics.Abandoned)
+	if err != nil {
+		f.writeResponse(w, r, x, decodeErrorResponse(err), counted)
+		return
+	}
+	if op.Length != 0 {
+		f.serveUpload(w, r, x, op, body, grant.Split(bodystream.Chunk), counted)
+		return
+	}
+	counted.Taken()
+	op.ArrivedAt = conn.requestComplete()
+	if r.ContentLength != 0 {
+		_ = body.control.SetReadDeadline(time.Time{}) // fails only on a closed connection
+	}
+	response, isOwed := f.handler.HandleRequest(r.Context(), op)
+	if !isOwed {
+		panic(http.ErrAbortHandler) // closes the connection: a return would write an empty 200
+	}
+	f.announceClose(conn, w.Header())
+	f.writeResponse(w, r, x, response, counted)
+}
+
+// decodeErrorResponse is the response to a request that could not be read.
+func decodeErrorResponse(err error) protocol.Response {
+	var tooLong *http.MaxBytesError
+	switch {
+	case errors.Is(err, protocol.ErrBodyTooLong) || errors.As(err, &tooLong):
+		return protocol.Response{Kind: protocol.TooLong, Body: []byte(protocol.ErrBodyTooLong.Error() + "\n")}
+	case errors.Is(err, bytebudget.ErrFull):
+		return protocol.Response{Kind: protocol.Rejected, Body: []byte("busy\n")}
+	}
+	return protocol.Response{Kind: protocol.Malformed, Body: []byte(err.Error() + "\n")}
+}
+
+// serveUpload answers a request whose body is streamed.
+func (f *Listener) serveUpload(
+	w http.ResponseWriter,
+	r *http.Request,
+	x protocol.Exchange,
+	op *protocol.Request,
+	body *pacedBody,
+	grant bytebudget.Grant,
+	counted *metrics.Operation,
+) {
+	conn := connOf(r)
+	ctx, cancelRequest := context.WithCancel(r.Context())
+	defer cancelRequest()
+	op.ArrivedAt = time.Now()
+	up := startUpload(op, body, grant, conn, counted, cancelRequest)
+	response, isOwed := f.handler.HandleRequest(ctx, op)
+	defer conn.responseDone()
+	isComplete, err := up.stop()
+	if isComplete { // else net/http must not wait for the rest
+		_ = body.control.SetReadDeadline(time.Time{}) // fails only on a closed connection
+	}
+	counted.Taken()
+	switch {
+	case !isOwed && !isComplete && isClientFault(err):
+		response = decodeErrorResponse(err)
+	case !isOwed:
+		panic(http.ErrAbortHandler)
+	}
+	if !isComplete { // the rest is not waited for
+		w.Header().Set("Connection", "close")
+	}
+	f.announceClose(conn, w.Header())
+	f.writeResponse(w, r, x, response, counted)
+}
+
+// isClientFault distinguishes a body that was malformed or too slow from a client that has gone.
+func isClientFault(err error) bool {
+	return err != nil && !errors.Is(err, bodystream.ErrLeft) && !errors.Is(err, io.ErrUnexpectedEOF)
+}
+
+// reserveMemory waits for memory for a request's body, at most until the deadline.
+func (f *Listener) reserveMemory(r *http.Request, bytes int64, deadline time.Time) (bytebudget.Grant, error) {
+	if bytes > protocol.MaxBufferedBody { // its time counts from its last byte, which is far
+		deadline = time.Now().Add(uploadMemoryTimeout)
+	}
+	ctx, cancel := context.WithDeadline(r.Context(), deadline)
+	defer cancel()
+	client, _, _ := net.SplitHostPort(r.RemoteAddr) // net/http's own form
+	return f.bodies.Memory.Take(ctx, bytebudget.Holder{Name: client, Request: true}, bytes)
+}
--- a/internal/transport/front_crossings_test.go
+++ b/internal/transport/listener_crossings_test.go
@@ -290,13 +290,13 @@
 		edit        func(*Listener)
 		close       func(*crossing, *client)
 	}{
-		"Connection: close": {1024, func(f *Listener) { f.StartDrain(time.Hour, true) }, func(x *crossing, c *client) {
+		"Connection: close": {1024, func(f *Listener) { f.StartFinalDrain(time.Hour) }, func(x *crossing, c *client) {
 			x.send(c, crossingRequest)
 		}},
 		"sweep": {1024, nil, func(x *crossing, c *client) {
 			x.send(c, crossingRequest)
 			x.idle(c)
-			x.front.StartDrain(0, true)
+			x.front.StartFinalDrain(0)
 		}},
 		"idle for long": {1024, func(f *Listener) { f.server.IdleTimeout = time.Millisecond }, func(x *crossing, c *client) {
 			x.send(c, crossingRequest)
@@ -305,14 +305,14 @@
 			x.askedAndHeld(c)
 			x.dial(crowd)
 			c.front.mu.Lock()
-			c.front.since = c.front.since.Add(-idleBefore)
+			c.front.stateSince = c.front.stateSince.Add(-minIdleTime)
 			c.front.mu.Unlock()
-			c.front.stood()
+			c.front.closeIfIdle()
 		}},
 		"evicted": {fewDescriptors, nil, func(x *crossing, c *client) {
 			x.askedAndHeld(c)
 			c.front.mu.Lock()
-			c.front.since = c.front.since.Add(-time.Hour) // it is missed least
+			c.front.stateSince = c.front.stateSince.Add(-time.Hour) // it is missed least
 			c.front.mu.Unlock()
 			x.dial(tooMany)
 		}},
@@ -340,11 +340,11 @@
 func TestCloseMeetsARequestThatHasCome(t *testing.T) {
 	for name, end := range map[string]func(*crossing, *client){
 		"sweep": func(x *crossing, c *client) {
-			x.front.StartDrain(0, true)
+			x.front.StartFinalDrain(0)
 			x.until("to be ended", c.front.ends)
 		},
 		"evicted": func(_ *crossing, c *client) {
-			_, state, since := c.front.spare(time.Now())
+			_, state, since := c.front.evictionCandidacy(time.Now())
 			c.front.evict(state, since)
 		},
 	} {
@@ -367,7 +367,7 @@
 func TestPipelinedRequestsAreServedBeforeTheClose(t *testing.T) {
 	x := newCrossing(t, 1024, &asked{came: make(chan struct{}, 2), may: make(chan struct{})})
 	c := x.connect()
-	x.front.StartDrain(time.Hour, true)
+	x.front.StartFinalDrain(time.Hour)
 	x.send(c, crossingRequest)
 	waitFor(t, x.operator.came)
 	x.send(c, crossingRequest)
@@ -391,12 +391,12 @@
 	defer inner.Close()
 	raw, err := inner.(*net.TCPConn).SyscallConn()
 	require.NoError(t, err)
-	front := &downstreamConn{Conn: inner, raw: raw, state: connBusy}
-	require.False(t, front.nextCame())
+	front := &downstreamConn{Conn: inner, rawConn: raw, state: connBusy}
+	require.False(t, front.hasNextRequest())
 	_, err = io.WriteString(conn, crossingRequest)
 	require.NoError(t, err)
 	require.Eventually(t, (&client{TCPConn: conn.(*net.TCPConn)}).arrived, crossingPatience, time.Millisecond)
-	require.True(t, front.nextCame())
+	require.True(t, front.hasNextRequest())
 }
 
 // A part of the next request comes while the present one is out: the connection does not stand idle after the answer,
@@ -413,7 +413,7 @@
 	x.answer(c)
 	x.until("answered", func() bool { return !c.front.is(connBusy) })
 	require.True(t, c.front.is(connReading))
-	x.front.clients.endIdle(true)
+	x.front.conns.closeIdle(idleAll)
 	x.send(c, crossingRequest[some:])
 	x.answer(c)
 	require.EqualValues(t, 2, x.operator.count.Load())
@@ -434,8 +434,8 @@
 			half := len(crossingRequest) / 2
 			x.send(c, crossingRequest[:half])
 			x.until("reading", func() bool { return c.front.is(connReading) })
-			x.front.StartDrain(0, true)
-			x.front.clients.endIdle(true)
+			x.front.StartFinalDrain(0)
+			x.front.conns.closeIdle(idleAll)
 			require.False(t, c.front.ends())
 			x.send(c, crossingRequest[half:])
 			require.True(t, x.answer(c).Close)
@@ -455,10 +455,10 @@
 	x.until("waits", func() bool {
 		c.front.mu.Lock()
 		defer c.front.mu.Unlock()
-		return c.front.held
+		return c.front.isPaused
 	})
-	x.front.StartDrain(0, true)
-	x.front.clients.endIdle(true)
+	x.front.StartFinalDrain(0)
+	x.front.conns.closeIdle(idleAll)
 	require.False(t, c.front.ends())
 	require.Zero(t, x.operator.count.Load())
 	all.Release()
@@ -471,13 +471,13 @@
 func (c *downstreamConn) ends() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.gentle
+	return c.closesUnlessInput
 }
 
 func (c *client) nextBegun() bool {
 	c.front.mu.Lock()
 	defer c.front.mu.Unlock()
-	return c.front.nextRead()
+	return c.front.hasReadNextRequest()
 }
 
 // A request comes while the one before is out: its client's time runs from then, not from when it is turned to. So does
@@ -501,7 +501,7 @@
 	x.until("the fourth begun", func() bool {
 		c.front.mu.Lock()
 		defer c.front.mu.Unlock()
-		return c.front.framing.heads == 4
+		return c.front.framing.headersStarted == 4
 	})
 	require.True(t, next().Before(there), "the third one's time runs from when another came")
 	fourth := next()
@@ -525,13 +525,13 @@
 	c := x.connect()
 	x.send(c, crossingRequest)
 	x.answer(c)
-	x.front.StartDrain(time.Hour, true)
+	x.front.StartFinalDrain(time.Hour)
 	c.front.mu.Lock()
-	require.True(t, c.front.shut())
+	require.True(t, c.front.startClosing())
 	require.NoError(t, c.front.Conn.SetReadDeadline(time.Now().Add(time.Hour)))
 	c.front.mu.Unlock()
 	x.ends(c)
-	x.front.StartDrain(0, true)
+	x.front.StartFinalDrain(0)
 	waitFor(t, c.held.closed)
 }
 
@@ -550,14 +550,14 @@
 	raw, err := inner.(*net.TCPConn).SyscallConn()
 	require.NoError(t, err)
 	since := time.Now().Add(-time.Hour)
-	front := &downstreamConn{Conn: inner, raw: raw, state: connEnding, since: since, gaveWay: true}
-	rank, _, _ := front.spare(time.Now())
+	front := &downstreamConn{Conn: inner, rawConn: raw, state: connClosing, stateSince: since, wasEvictedIdle: true}
+	rank, _, _ := front.evictionCandidacy(time.Now())
 	require.Zero(t, rank)
 	_, err = io.WriteString(conn, crossingRequest)
 	require.NoError(t, err)
 	require.Eventually(t, (&client{TCPConn: conn.(*net.TCPConn)}).arrived, crossingPatience, time.Millisecond)
-	require.False(t, front.evict(connEnding, since))
+	require.False(t, front.evict(connClosing, since))
 	_, err = io.ReadFull(inner, make([]byte, len(crossingRequest)))
 	require.NoError(t, err)
-	require.True(t, front.evict(connEnding, since))
+	require.True(t, front.evict(connClosing, since))
 }
--- a/internal/transport/front_test.go
+++ b/internal/transport/listener_test.go
@@ -119,7 +119,7 @@
 				conn, began := dial(), time.Now()
 				_, _ = io.WriteString(conn, request+"\r\n123456789")
 				resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
-				return err == nil && resp.StatusCode == http.StatusServiceUnavailable && time.Since(began) < requestWait/2
+				return err == nil && resp.StatusCode == http.StatusServiceUnavailable && time.Since(began) < requestTimeout/2
 			}, 15*time.Second, time.Millisecond)
 		})
 	}
@@ -129,13 +129,13 @@
 // came.
 func TestWaitForMemoryIsTheClientsTime(t *testing.T) {
 	came := time.Now().Add(-time.Second)
-	c := &downstreamConn{state: connReading, since: came, came: came, inBody: true}
-	c.hold(true)
-	require.False(t, c.stuck(time.Now().Add(time.Minute)), "it is this side that waits")
-	c.hold(false)
-	require.False(t, c.stuck(time.Now()))
-	require.True(t, c.stuck(time.Now().Add(stuckBefore)))
-	require.Equal(t, came, c.taken())
+	c := &downstreamConn{state: connReading, stateSince: came, receivedAt: came, isHeaderRead: true}
+	c.pauseReading()
+	require.False(t, c.isStalled(time.Now().Add(time.Minute)), "it is this side that waits")
+	c.resumeReading()
+	require.False(t, c.isStalled(time.Now()))
+	require.True(t, c.isStalled(time.Now().Add(stallTimeout)))
+	require.Equal(t, came, c.requestComplete())
 }
 
 // Guards against a body that waits for memory on this side and is given up as one that does not get on, where
@@ -177,7 +177,7 @@
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	require.NoError(t, err)
 	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode)
-	require.Greater(t, time.Since(began), stuckBefore+stuckBefore/2, "it waited for longer than one may stand still")
+	require.Greater(t, time.Since(began), stallTimeout+stallTimeout/2, "it waited for longer than one may stand still")
 }
 
 // Guards against an answer that broke off and looks whole: one without a length ends as such in any version of HTTP.
@@ -226,7 +226,7 @@
 		require.NoError(t, err)
 		_, err = io.ReadFull(c, make([]byte, len(text)))
 		require.NoError(t, err)
-		c.cutBody()
+		c.abandonBody()
 		if sent != "hello" {
 			_, err = c.Read(make([]byte, 9))
 			require.ErrorIs(t, err, os.ErrDeadlineExceeded)
@@ -240,7 +240,7 @@
 		_, err = io.WriteString(client, "GET")
 		require.NoError(t, err)
 		require.NoError(t, <-next)
-		c.restore() // from then on a read's time is up when it is
+		c.responseDone() // from then on a read's time is up when it is
 		require.NoError(t, inner.SetReadDeadline(time.Now()))
 		_, err = c.Read(make([]byte, 9))
 		require.ErrorIs(t, err, os.ErrDeadlineExceeded)
@@ -262,14 +262,14 @@
 		defer inner.Close()
 		raw, err := inner.(*net.TCPConn).SyscallConn()
 		require.NoError(t, err)
-		c := &downstreamConn{Conn: inner, raw: raw, state: connIdle}
+		c := &downstreamConn{Conn: inner, rawConn: raw, state: connIdle}
 		_, err = io.WriteString(client, sent)
 		require.NoError(t, err)
 		require.Eventually(t, func() (is bool) {
-			require.NoError(t, raw.Control(func(fd uintptr) { is = readable(fd) }))
+			require.NoError(t, raw.Control(func(fd uintptr) { is = hasInput(fd) }))
 			return is == (sent != "")
 		}, 15*time.Second, time.Millisecond)
-		c.endIdle(true)
+		c.closeIdle(idleAll)
 		n, err := c.Read(make([]byte, 99))
 		if sent == "" {
 			require.ErrorIs(t, err, os.ErrDeadlineExceeded)
--- /dev/null
+++ b/internal/transport/responsewriter.go
@@ -0,0 +1,130 @@
+package transport
+
+import (
+	"cmp"
+	"context"
+	"errors"
+	"io"
+	"log/slog"
+	"net/http"
+	"os"
+	"time"
+
+	"dunestep/internal/bodystream"
+	"dunestep/internal/metrics"
+	"dunestep/internal/protocol"
+)
+
+// writeResponse writes a response, and counts how the request ended. It aborts the connection if the response can't
+// be written to its end: the part that was written could look complete.
+func (f *Listener) writeResponse(w http.ResponseWriter, r *http.Request, x protocol.Exchange, response protocol.Response,
+	counted *metrics.Operation,
+) {
+	if response.Kind == protocol.Malformed || response.Kind == protocol.TooLong {
+		w.Header().Set("Connection", "close") // the rest of the request is not waited for
+	}
+	out := &responseWriter{
+		ResponseWriter: w, control: http.NewResponseController(w), isStreaming: response.Streaming,
+		writeTimeout: f.bodies.Rules().ClientStall,
+	}
+	out.extendDeadline()
+	err := x.Encode(out, response)
+	if response.Flow != nil {
+		defer response.Flow.Close()
+		if err == nil {
+			err = out.copyBody(r.Context(), response.Flow)
+		}
+	}
+	counted.End(outcomeOf(response.Kind, err, out.isClientLost || r.Context().Err() != nil))
+	if err != nil {
+		// HTTP/1.0 has no chunks: only a reset shows that the response is not complete.
+		if errors.Is(err, os.ErrDeadlineExceeded) || !r.ProtoAtLeast(1, 1) {
+			connOf(r).discardUnsent()
+		}
+		slog.Debug("response not forwarded", "error", err)
+		panic(http.ErrAbortHandler)
+	}
+}
+
+// outcomeOf is how a request ended, by its response and the error of writing that. A client is lost if it takes no
+// more of it.
+func outcomeOf(kind protocol.ResponseKind, err error, isClientLost bool) metrics.Ending {
+	switch {
+	case err != nil && isClientLost:
+		return metrics.Abandoned
+	case err != nil:
+		return metrics.Error
+	case kind == protocol.Served:
+		return metrics.OK
+	case kind == protocol.Rejected:
+		return metrics.Shed
+	}
+	return metrics.Error
+}
+
+// responseWriter writes a response to a client that makes progress in taking it.
+type responseWriter struct {
+	http.ResponseWriter
+	control      *http.ResponseController
+	writeTimeout time.Duration // of one write
+	isStreaming  bool          // the body is not complete yet when its first bytes are written
+	extendedAt   time.Time
+	isClientLost bool // a write has failed
+}
+
+// Write records whether it failed.
+func (w *responseWriter) Write(b []byte) (int, error) {
+	n, err := w.ResponseWriter.Write(b)
+	w.isClientLost = w.isClientLost || err != nil
+	return n, err
+}
+
+func (w *responseWriter) flush() error {
+	err := w.control.Flush()
+	w.isClientLost = w.isClientLost || err != nil
+	return err
+}
+
+// deadlineSlack is by how much a write's deadline may be too early: to move it costs as much as a small write.
+const deadlineSlack = 10 * time.Millisecond
+
+// extendDeadline sets the deadline of the next write.
+func (w *responseWriter) extendDeadline() {
+	now := time.Now()
+	if now.Sub(w.extendedAt) < deadlineSlack {
+		return
+	}
+	w.extendedAt = now
+	_ = w.control.SetWriteDeadline(now.Add(w.writeTimeout)) // the write itself fails on a closed connection
+}
+
+// copyBody writes a body as it comes, and returns when the kernel has all of it.
+func (w *responseWriter) copyBody(ctx context.Context, body *bodystream.Flow) error {
+	hasFlushed := false // the client has something, and waits for more
+	for {
+		if !body.Ready() {
+			if !hasFlushed {
+				hasFlushed = true
+				defer context.AfterFunc(ctx, func() { body.Cut(bodystream.ErrLeft) })()
+			}
+			if err := w.flush(); err != nil {
+				return err
+			}
+		}
+		b, err := body.Next()
+		if errors.Is(err, io.EOF) && w.isStreaming {
+			err = cmp.Or(w.flush(), err)
+		}
+		if errors.Is(err, io.EOF) {
+			return nil
+		} else if err != nil {
+			return err
+		}
+		w.extendDeadline()
+		n, err := w.Write(b)
+		if err != nil {
+			return err
+		}
+		body.Took(n)
+	}
+}
--- a/internal/transport/upload.go
+++ b/internal/transport/upload.go
@@ -16,126 +16,131 @@
 )
 
 const (
-	// bodyStall is how long a body may stand still.
-	bodyStall = time.Second
-	// leastPace is how many bytes a second of a body a client must send, once requestWait is over.
-	leastPace = 32 << 10
-	// roomWait is how long a body that is passed on as it comes may wait for memory to begin with. Its time does
-	// not count yet, but its client is owed something.
-	roomWait = 2 * time.Second
+	// bodyStallTimeout is how long a request's body may make no progress.
+	bodyStallTimeout = time.Second
+	// minBodyBytesPerSecond is how fast a client must send a body once requestTimeout is over.
+	minBodyBytesPerSecond = 32 << 10
+	// uploadMemoryTimeout is how long a body that is streamed may wait for memory to begin with. Its time does
+	// not count yet, but its client is owed an answer.
+	uploadMemoryTimeout = 2 * time.Second
 )
 
-// errSlow means that a body came too slowly, or not at all.
-var errSlow = errors.New("the body does not come")
+// errSlowBody says that a request's body came too slowly, or not at all. Clients get its text.
+var errSlowBody = errors.New("the body does not come")
 
-// pacedBody reads a request's body from a client that gets on with sending it. Guards against one that holds
-// its connection with a body that never ends, without cutting off one that is slow.
+// pacedBody reads a request's body from a client that makes progress in sending it: one that never ends is
+// cut off, one that is merely slow is not.
 type pacedBody struct {
 	io.ReadCloser
-	control *http.ResponseController
-	until   time.Time // with what came so far
+	control  *http.ResponseController
+	deadline time.Time // moves with what was received
 }
 
 func (p *pacedBody) Read(b []byte) (int, error) {
-	until := time.Now().Add(bodyStall)
-	if p.until.Before(until) {
-		until = p.until
+	deadline := time.Now().Add(bodyStallTimeout)
+	if p.deadline.Before(deadline) {
+		deadline = p.deadline
 	}
-	_ = p.control.SetReadDeadline(until)
+	_ = p.control.SetReadDeadline(deadline) // the read itself fails on a closed connection
 	n, err := p.ReadCloser.Read(b)
-	p.until = p.until.Add(time.Duration(n) * time.Second / leastPace)
+	p.deadline = p.deadline.Add(time.Duration(n) * time.Second / minBodyBytesPerSecond)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		err = errSlow
+		err = errSlowBody
 	}
 	return n, err
 }
 
-// heldUp gives the client the time back for which it was not read.
-func (p *pacedBody) heldUp(d time.Duration) { p.until = p.until.Add(d) }
+// extend gives the client the time back in which this agent did not read.
+func (p *pacedBody) extend(d time.Duration) { p.deadline = p.deadline.Add(d) }
 
-// upload is the rest of a body that is passed on as it comes.
+// upload is the rest of a request's body, streamed by a goroutine of its own until stop.
 type upload struct {
-	body    *pacedBody
-	rest    *bodystream.Flow
-	counted *metrics.Operation
-	conn    *downstreamConn
-	failed  context.CancelFunc // ends the operation: its client sends no more
-	whole   chan struct{}
-	done    chan struct{}
+	body          *pacedBody
+	rest          *bodystream.Flow
+	counted       *metrics.Operation
+	conn          *downstreamConn
+	cancelRequest context.CancelFunc // its client sends no more
+	complete      chan struct{}      // closed when the last byte was read
+	done          chan struct{}      // closed when the goroutine has ended
 
-	mu   sync.Mutex
-	cut  bool  // nobody wants more
-	err  error // why it did not come whole
-	came bool  // whole
+	mu          sync.Mutex
+	isAbandoned bool  // the rest is not wanted
+	err         error // why it is not complete
+	isComplete  bool
 }
 
-// startUpload begins to read the rest of an operation's body, in memory that was asked for with the
-// beginning's.
+// startUpload begins to read the rest of a request's body, in memory that was reserved with its beginning.
 func startUpload(op *protocol.Request, body *pacedBody, grant bytebudget.Grant, conn *downstreamConn,
-	counted *metrics.Operation, failed context.CancelFunc,
+	counted *metrics.Operation, cancelRequest context.CancelFunc,
 ) *upload {
 	length := int64(-1)
 	if op.Length > 0 {
 		length = op.Length - int64(len(op.Body))
 	}
 	u := &upload{
-		body: body, rest: bodystream.New(length, grant, mostAhead), conn: conn, counted: counted,
-		failed: failed, whole: make(chan struct{}), done: make(chan struct{}),
+		body: body, rest: bodystream.New(length, grant, maxReadAhead), conn: conn, counted: counted,
+		cancelRequest: cancelRequest, complete: make(chan struct{}), done: make(chan struct{}),
 	}
-	op.Rest, op.BodyComplete = u.rest, u.whole
+	op.Rest, op.BodyComplete = u.rest, u.complete
 	release := op.Release
 	op.Release = func() { u.rest.Close(); release() }
 	go u.read()
 	return u
 }
 
-// read brings the body to its end, or to where nobody wants it.
+// read reads the body to its end, or until it is abandoned.
 func (u *upload) read() {
 	defer close(u.done)
-	var err error
-	length := u.rest.Length()
-	for came := int64(0); err == nil && came != length; {
-		var room []byte
-		asked := time.Now()
-		u.conn.hold(true)
-		room, err = u.rest.Room()
-		u.conn.hold(false)
-		if err != nil {
-			break
-		}
-		u.body.heldUp(time.Since(asked))
-		var n int
-		n, err = u.body.Read(room)
-		u.rest.Came(n)
-		came += int64(n)
-	}
+	err := u.readRest()
 	if err == nil || errors.Is(err, io.EOF) {
 		u.counted.Taken()
-		u.conn.taken()
+		u.conn.requestComplete()
 		u.rest.End(io.EOF)
 		u.mu.Lock()
-		u.came = true
+		u.isComplete = true
 		u.mu.Unlock()
-		close(u.whole)
+		close(u.complete)
 		return
 	}
 	u.rest.End(err)
 	u.mu.Lock()
 	u.err = err
-	wanted := !u.cut && !errors.Is(err, bodystream.ErrLeft)
+	isWanted := !u.isAbandoned && !errors.Is(err, bodystream.ErrLeft)
 	u.mu.Unlock()
-	if wanted {
-		u.failed()
+	if isWanted {
+		u.cancelRequest()
+	}
+}
+
+// readRest moves the body into the flow; nil or io.EOF mean that it is complete.
+func (u *upload) readRest() error {
+	length := u.rest.Length()
+	for received := int64(0); received != length; {
+		waitedSince := time.Now()
+		u.conn.pauseReading()
+		buffer, err := u.rest.Room()
+		u.conn.resumeReading()
+		if err != nil {
+			return err
+		}
+		u.body.extend(time.Since(waitedSince))
+		n, err := u.body.Read(buffer)
+		u.rest.Came(n)
+		received += int64(n)
+		if err != nil {
+			return err
+		}
 	}
+	return nil
 }
 
-// stop ends the reading, and tells whether the body has come whole, or what the client did wrong.
-func (u *upload) stop() (whole bool, err error) {
+// stop ends the reading. It reports whether the body is complete, else why not.
+func (u *upload) stop() (isComplete bool, err error) {
 	u.mu.Lock()
-	u.cut = true
+	u.isAbandoned = true
 	u.mu.Unlock()
 	u.rest.Cut(bodystream.ErrLeft)
-	u.conn.cutBody()
+	u.conn.abandonBody()
 	<-u.done
-	return u.came, u.err
+	return u.isComplete, u.err
 }
--- a/internal/transport/upstream_crossings_test.go
+++ b/internal/transport/upstream_crossings_test.go
@@ -189,7 +189,7 @@
 				over(t, u)
 				if !told { // as if the goroutine that waits had not said so yet
 					u.mu.Lock()
-					u.broken = false
+					u.hasEnded = false
 					u.mu.Unlock()
 				}
 				_, reuse, err := u.RoundTrip(bounded(t), getStep)
@@ -242,7 +242,7 @@
 		_, _ = rest.Next() // until it is given up, once the wait is over
 		wrote <- nil
 	}()
-	first, whole := u.early(&UpstreamRequest{Rest: rest}, reply{UpstreamResponse: protocol.UpstreamResponse{Outcome: balancer.Served}}, wrote)
+	first, whole := u.resolveEarlyResponse(&UpstreamRequest{Rest: rest}, responseEvent{UpstreamResponse: protocol.UpstreamResponse{Outcome: balancer.Served}}, wrote)
 	require.True(t, whole, "it may have run")
 	require.NoError(t, first.err)
 	require.True(t, first.Close, "its connection was given up")
--- a/internal/transport/upstream_test.go
+++ b/internal/transport/upstream_test.go
@@ -121,7 +121,7 @@
 			for end == nil && len(taken) <= int(leaves) {
 				var b []byte
 				if b, end = r.Flow.Next(); end == nil {
-					require.LessOrEqual(t, bodies.Memory.Used(), int64(1<<20/wholePart))
+					require.LessOrEqual(t, bodies.Memory.Used(), int64(1<<20/maxBodyMemoryDivisor))
 					taken = append(taken, b...)
 					r.Flow.Took(len(b))
 				}
@@ -233,14 +233,14 @@
 
 // An answer may begin and end before it is told that its route step was written whole: both are still to be had.
 func TestAnswerBeforeItsStepIsKnownToBeWritten(t *testing.T) {
-	u := &UpstreamConn{replies: make(chan reply, 1)}
-	u.replies <- reply{} // its end
+	u := &UpstreamConn{responses: make(chan responseEvent, 1)}
+	u.responses <- responseEvent{} // its end
 	wrote := make(chan error, 1)
 	wrote <- nil
 	ended := make(chan bool, 1)
 	go func() {
-		first, whole := u.early(&UpstreamRequest{}, reply{begun: true}, wrote)
-		ended <- whole && first.begun && !(<-u.replies).begun
+		first, whole := u.resolveEarlyResponse(&UpstreamRequest{}, responseEvent{isStart: true}, wrote)
+		ended <- whole && first.isStart && !(<-u.responses).isStart
 	}()
 	select {
 	case right := <-ended:
