--- a/internal/transport/discovery_test.go
+++ b/internal/transport/discovery_test.go
@@ -26,8 +26,8 @@
 		"{\"version\":45} {\"version\":46}", "\r\n", "{\n\"version\":", "\n\n",
 	}
 	go func() {
-		c, err := l.Accept()
-		if err != nil {
+		c, acceptErr := l.Accept()
+		if acceptErr != nil {
 			return
 		}
 		gone := make(chan struct{})
--- a/internal/transport/listener_test.go
+++ b/internal/transport/listener_test.go
@@ -156,8 +156,8 @@
 	for range 80 {
 		go func() {
 			for {
-				c, err := net.Dial("tcp", conn.RemoteAddr().String())
-				if err != nil {
+				c, dialErr := net.Dial("tcp", conn.RemoteAddr().String())
+				if dialErr != nil {
 					return
 				}
 				_, _ = io.WriteString(c, "GET /consult/x HTTP/1.1\r\n") // does not get on either
@@ -213,14 +213,14 @@
 	for _, sent := range []string{"hello", "hell"} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
-		defer l.Close()
+		defer func() { _ = l.Close() }()
 		client, err := net.Dial("tcp", l.Addr().String())
 		require.NoError(t, err)
-		defer client.Close()
+		defer func() { _ = client.Close() }()
 		inner, err := l.Accept()
 		require.NoError(t, err)
 		c := &downstreamConn{Conn: inner}
-		defer inner.Close()
+		defer func() { _ = inner.Close() }()
 		text := "POST / HTTP/1.1\r\nContent-Length: 5\r\n\r\n" + sent
 		_, err = io.WriteString(client, text)
 		require.NoError(t, err)
@@ -234,8 +234,8 @@
 		}
 		next := make(chan error, 1)
 		go func() {
-			_, err := io.ReadFull(c, make([]byte, 3))
-			next <- err
+			_, readErr := io.ReadFull(c, make([]byte, 3))
+			next <- readErr
 		}()
 		_, err = io.WriteString(client, "GET")
 		require.NoError(t, err)
@@ -253,13 +253,13 @@
 	for _, sent := range []string{"", "GET / HTTP/1.1\r\n\r\n"} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
-		defer l.Close()
+		defer func() { _ = l.Close() }()
 		client, err := net.Dial("tcp", l.Addr().String())
 		require.NoError(t, err)
-		defer client.Close()
+		defer func() { _ = client.Close() }()
 		inner, err := l.Accept()
 		require.NoError(t, err)
-		defer inner.Close()
+		defer func() { _ = inner.Close() }()
 		raw, err := inner.(*net.TCPConn).SyscallConn()
 		require.NoError(t, err)
 		c := &downstreamConn{Conn: inner, rawConn: raw, state: connIdle}
--- a/internal/transport/upstream_crossings_test.go
+++ b/internal/transport/upstream_crossings_test.go
@@ -10,6 +10,7 @@
 	"testing"
 	"time"
 
+	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
 	"dunestep/internal/balancer"
@@ -22,7 +23,7 @@
 func tcpPair(t *testing.T) (u *UpstreamConn, bodies *BodyLimits, server *net.TCPConn) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer l.Close()
+	defer func() { _ = l.Close() }()
 	ours, err := net.Dial("tcp", l.Addr().String())
 	require.NoError(t, err)
 	c, err := l.Accept()
@@ -43,8 +44,8 @@
 }
 
 func reset(t *testing.T, c *net.TCPConn) {
-	require.NoError(t, c.SetLinger(0))
-	require.NoError(t, c.Close())
+	assert.NoError(t, c.SetLinger(0))
+	assert.NoError(t, c.Close())
 }
 
 // over waits until a connection without a step on it is known to have ended.
--- a/internal/transport/upstream_test.go
+++ b/internal/transport/upstream_test.go
@@ -30,7 +30,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		defer server.Close()
+		defer func() { _ = server.Close() }()
 		in := bufio.NewReader(server)
 		for _, text := range texts {
 			if _, err := http.ReadRequest(in); err != nil {
@@ -136,7 +136,7 @@
 			take(r)
 		}
 		require.True(t, bytes.HasPrefix(want, taken), "%q is not of %q", taken, want)
-		if end == io.EOF {
+		if errors.Is(end, io.EOF) {
 			require.True(t, whole)
 			require.Len(t, taken, len(want))
 		}
@@ -212,7 +212,7 @@
 			for r.Flow.Progress().Came < 9990 {
 				runtime.Gosched()
 			}
-			_, err := io.WriteString(server, body[9990:])
+			_, err = io.WriteString(server, body[9990:])
 			require.NoError(t, err)
 			for range i {
 				runtime.Gosched()
