--- a/internal/fleet/fragment/golden_test.go
+++ b/internal/fleet/fragment/golden_test.go
@@ -13,11 +13,11 @@
 // frames reads the frames of a datagram.
 func frames(t *testing.T, datagram []byte) (fs []frame) {
 	t.Helper()
-	body, ok := unseal(datagram)
-	require.True(t, ok)
+	body, isIntact := unseal(datagram)
+	require.True(t, isIntact)
 	for len(body) > 0 {
-		f, rest, ok := readFrame(body)
-		require.True(t, ok)
+		f, rest, isValid := readFrame(body)
+		require.True(t, isValid)
 		fs, body = append(fs, f), rest
 	}
 	return fs
--- /dev/null
+++ b/internal/fleet/gossip/pull_test.go
@@ -0,0 +1,104 @@
+package gossip
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"dunestep/internal/fleet/replica"
+)
+
+// News that fits carries the records themselves. If more records are missing, or they do not fit, they are pulled, and
+// pulled again soon if replies usually come soon.
+func TestNewsCarriesRecords(t *testing.T) {
+	announce := func(size int) (out Output, log *replica.Log) {
+		log = newLog(replica.Limits{})
+		s := New(Settings{Agents: 2, Seed: 1}, log, 0)
+		s.MarkCaughtUp()
+		for seq := range uint64(9) {
+			require.NoError(t, log.Append(replica.Record{Seq: seq + 1, Data: make([]byte, size)}))
+		}
+		s.RecordsAdded(time.Second)
+		return s.Tick(s.Next()), log
+	}
+	out, log := announce(60)
+	require.Len(t, out.Messages, 1)
+	require.LessOrEqual(t, len(out.Messages[0].Data), 200)
+	for _, has := range []uint64{8, 3} {
+		own := newLog(replica.Limits{})
+		for seq := range has {
+			require.NoError(t, own.Append(replica.Record{Seq: seq + 1, Data: make([]byte, 60)}))
+		}
+		s := New(Settings{Agents: 2, Self: 1, Seed: 1}, own, 0)
+		s.MarkCaughtUp()
+		pulled := s.Step(time.Second, 0, out.Messages[0].Data)
+		if has == 8 {
+			require.Equal(t, log.Last(), own.Last())
+			require.Empty(t, pulled.Messages)
+			continue
+		}
+		require.Equal(t, has, own.Last().Seq)
+		require.Equal(t, byte(kindPull), pulled.Messages[0].Data[0])
+		require.Equal(t, time.Second+150*time.Millisecond, s.Next(), "no reply came yet")
+		s.noteRoundTrip(10 * time.Millisecond)
+		again := s.Tick(s.Next())
+		require.Equal(t, byte(kindPull), again.Messages[0].Data[0])
+		require.Equal(t, time.Second+190*time.Millisecond, s.Next())
+	}
+	out, _ = announce(400)
+	require.Equal(t, byte(kindDigest), out.Messages[0].Data[0])
+}
+
+// However many agents pull, an agent serves at most its bytes per second.
+func TestServingIsBounded(t *testing.T) {
+	l := newLab(1, 40, faultsOf(0), Settings{BytesPerSecond: 4 << 10})
+	for range 50 {
+		l.commit(1000)
+	}
+	for range 20 {
+		before := slices.Clone(l.SentBytes)
+		l.Run(l.Now() + time.Second)
+		for a := range before {
+			require.Less(t, l.SentBytes[a]-before[a], 3*4<<10)
+		}
+	}
+	var throttled uint64
+	for _, a := range l.agents {
+		throttled += a.Stats().Throttled
+	}
+	require.Positive(t, throttled)
+	require.Less(t, l.until(40, time.Minute), time.Minute)
+}
+
+// An agent that is behind pulls at most its bytes per second, remembers a bounded number of agents, and forgets one that
+// brings nothing.
+func TestPullingIsBounded(t *testing.T) {
+	l := newLab(1, 10, faultsOf(0), Settings{BytesPerSecond: 1 << 20})
+	for range 50 {
+		l.commit(1000)
+	}
+	l.Run(l.Now() + 5*time.Second)
+	l.settings.BytesPerSecond = 5 << 10
+	l.restart(9)
+	require.Greater(t, l.until(10, time.Minute), 8*time.Second)
+
+	s := New(Settings{Agents: 20, Self: 1, Seed: 1}, newLog(replica.Limits{}), 0)
+	farAhead := encode(kindDigest, digest{Epoch: 1, Seq: 50})
+	for from := 2; from < 15; from++ {
+		s.Step(0, from, farAhead)
+		require.LessOrEqual(t, len(s.aheadPeers), maxAheadPeers)
+	}
+	pulled := s.pullPeer
+	s.Step(0, pulled, farAhead)
+	s.Step(0, pulled, encode(kindSegment, segment{
+		Epoch: 1, First: 1, PriorSum: replica.InitialSnapshot(1).Sum,
+		Sum: replica.InitialSnapshot(1).Sum, LastSeq: 50,
+	}))
+	for _, p := range s.aheadPeers {
+		require.NotEqual(t, pulled, p.agent)
+	}
+	s.Step(0, 3, encode(kindChunk, chunk{Epoch: 1, Seq: 5, ItemBytes: 100, Data: []byte{1}}))
+	require.False(t, s.partial.isStarted, "it does not extend the log")
+}
--- a/internal/fleet/lease/golden_test.go
+++ b/internal/fleet/lease/golden_test.go
@@ -9,7 +9,7 @@
 	"dunestep/internal/fleet/internal/golden"
 )
 
-// TestGolden: each message keeps its bytes, and is read from them as it was.
+// TestGolden checks that each message is encoded as ever, and decoded to the same.
 func TestGolden(t *testing.T) {
 	for name, m := range map[string]Request{
 		"request":      {Agent: 17, Incarnation: 1_800_000_000_123, Nonce: 1 << 63, Epoch: 1_800_000_000_000, Seq: 300, Note: []byte("note")},
@@ -22,8 +22,8 @@
 		require.Equal(t, file, back.Encode(), name)
 	}
 	for name, m := range map[string]Grant{
-		"grant":         {Nonce: 1 << 63, Epoch: 1_800_000_000_000, Seq: 300, Unix: 1_800_000_001 * time.Second},
-		"grant-refused": {Nonce: 7, Rejected: true},
+		"grant":          {Nonce: 1 << 63, Epoch: 1_800_000_000_000, Seq: 300, Unix: 1_800_000_001 * time.Second},
+		"grant-rejected": {Nonce: 7, Rejected: true},
 	} {
 		file := golden.Bytes(t, name, m.Encode())
 		back, err := DecodeGrant(file)
@@ -33,7 +33,7 @@
 	}
 }
 
-// TestGoldenStandings: staff's commands and pages show these words.
+// TestGoldenStandings checks the names that operators' commands show.
 func TestGoldenStandings(t *testing.T) {
 	require.Equal(t, []string{"new", "floor", "full", "full"},
 		[]string{New.String(), Floor.String(), Full.String(), Standing(200).String()})
--- a/internal/fleet/raftlog/golden_test.go
+++ b/internal/fleet/raftlog/golden_test.go
@@ -12,7 +12,7 @@
 	"dunestep/internal/fleet/internal/golden"
 )
 
-// TestGoldenMessages: each kind of message between voters keeps its bytes, and is read from them as it was.
+// TestGoldenMessages checks that each kind of message is encoded as ever, and decoded to the same.
 func TestGoldenMessages(t *testing.T) {
 	const epoch = 1_800_000_000_000
 	founders := []member{{1, 0, epoch}, {2, 100, epoch + 1}, {3, 299, epoch + 2}}
@@ -52,8 +52,8 @@
 	require.False(t, r.isTooShort || len(r.b) > 0)
 }
 
-// rewritten is a message of raft's that was read and written again.
-func rewritten(t *testing.T, file []byte) []byte {
+// reencode decodes a message of raft's with its envelope, and encodes it again.
+func reencode(t *testing.T, file []byte) []byte {
 	t.Helper()
 	require.Equal(t, []byte{wireVersion, wireRaft}, file[:2])
 	r := &reader{b: file[2:]}
@@ -65,8 +65,8 @@
 	return back
 }
 
-// TestGoldenRaft: what three voters send each other, as a log begins, a record is agreed, and a voter comes back without its
-// store: the first message of each type of raft's.
+// TestGoldenRaft checks the first message of each type that three voters send each other, as a log is founded, a record is
+// committed, and a voter returns without its store.
 func TestGoldenRaft(t *testing.T) {
 	first := map[string][]byte{}
 	tr := newTrio(t, false)
@@ -98,11 +98,11 @@
 	require.GreaterOrEqual(t, len(first), 12)
 	for name, b := range first {
 		file := golden.Bytes(t, name, b)
-		require.Equal(t, file, rewritten(t, file), name)
+		require.Equal(t, file, reencode(t, file), name)
 	}
 }
 
-// TestGoldenLog: what the log and its snapshots hold keeps its bytes, and is read from them as it was.
+// TestGoldenLog checks that records and snapshots are encoded as ever, and decoded to the same.
 func TestGoldenLog(t *testing.T) {
 	id := ProposalID{1 << 60, 300, 70_000}
 	for kind, name := range map[recordKind]string{kindProposal: "record", kindWithdrawal: "record-withdrawal"} {
@@ -128,7 +128,7 @@
 	golden.Bytes(t, "snapshot-of-founders", b)
 }
 
-// TestGoldenPhases: staff's commands and pages show these words.
+// TestGoldenPhases checks the names that operators' commands show.
 func TestGoldenPhases(t *testing.T) {
 	require.Equal(t, []string{"seeking", "learning", "voting", "leading", "leaderless", "stuck", "broken"}, []string{
 		Seeking.String(), Learning.String(), Voting.String(), Leading.String(), Leaderless.String(), Stuck.String(),
--- a/internal/fleet/raftlog/voterlab/judge.go
+++ b/internal/fleet/raftlog/voterlab/judge.go
@@ -15,7 +15,7 @@
 	}
 	if s.Phase == raftlog.Leading {
 		at := place{s.Identity.Epoch, s.Term}
-		if id, is := l.leaders[at]; is && id != s.Identity.ID {
+		if id, isKnown := l.leaders[at]; isKnown && id != s.Identity.ID {
 			l.addViolation("epoch %d has two leaders in term %d: %d and %d", at.epoch, at.at, id, s.Identity.ID)
 		}
 		l.leaders[at] = s.Identity.ID
@@ -49,7 +49,7 @@
 func (l *Lab) checkApplied(h *host, e raftlog.Entry, value uint64) {
 	l.epochs[h.epoch] = true
 	at := place{h.epoch, e.Index}
-	if c, is := l.chains[at]; is && c != h.state.chain {
+	if c, isKnown := l.chains[at]; isKnown && c != h.state.chain {
 		l.addViolation("agent %d has another record %d than others", h.agent, e.Index)
 	}
 	l.chains[at] = h.state.chain
@@ -57,7 +57,7 @@
 	if l.applied[epoch] == nil {
 		l.applied[epoch] = map[raftlog.ProposalID]uint64{}
 	}
-	if i, is := l.applied[epoch][e.ID]; is && i != e.Index {
+	if i, isKnown := l.applied[epoch][e.ID]; isKnown && i != e.Index {
 		l.addViolation("proposal %v is applied twice: at %d and %d", e.ID, i, e.Index)
 	}
 	l.applied[epoch][e.ID] = e.Index
@@ -67,7 +67,7 @@
 // checkRestored compares a snapshot with what others had at its index.
 func (l *Lab) checkRestored(h *host) {
 	for i := h.state.index; i > 0 && i+100 > h.state.index; i-- {
-		if c, is := l.chains[place{h.epoch, i}]; is {
+		if c, isKnown := l.chains[place{h.epoch, i}]; isKnown {
 			if c != h.state.chain {
 				l.addViolation("agent %d restored another state at %d than others had", h.agent, h.state.index)
 			}
@@ -112,8 +112,8 @@
 }
 
 func (l *Lab) checkProposal() {
-	leader, ok := l.Leader()
-	if !ok {
+	leader, hasLeader := l.Leader()
+	if !hasLeader {
 		l.addViolation("healthy without a leader")
 		return
 	}
@@ -132,7 +132,7 @@
 func (l *Lab) explain() {
 	l.addViolation("configured %v", l.configured)
 	for a := range l.hosts {
-		if s, ok := l.Status(uint32(a)); ok {
+		if s, isRunning := l.Status(uint32(a)); isRunning {
 			l.addViolation("agent %d: %v %+v term %d leader %v %v applied %d commit %d members %+v, %d dropped",
 				a, s.Phase, s.Identity, s.Term, s.Leader, s.HasLeader, s.AppliedIndex, s.CommitIndex, s.Members,
 				s.Dropped)
--- a/internal/fleet/raftlog/voterlab/voterlab_test.go
+++ b/internal/fleet/raftlog/voterlab/voterlab_test.go
@@ -68,21 +68,21 @@
 	for seed := range uint64(10) {
 		l := New(Options{Seed: seed, Voters: 5, Pace: -1})
 		l.World.Run(Start.Add(5 * time.Second))
-		old, ok := l.Leader()
-		require.True(t, ok)
+		former, hasLeader := l.Leader()
+		require.True(t, hasLeader)
 		l.World.ChangeEach(func(from, to uint32, k *simnet.Link) {
-			k.Cut = from == old || to == old && seed%2 == 0 // every other time it still receives from the others
+			k.Cut = from == former || to == former && seed%2 == 0 // every other time it still receives from the others
 		})
 		l.World.Run(l.World.Now().Add(4 * time.Second))
-		s, _ := l.Status(old)
+		s, _ := l.Status(former)
 		require.NotEqual(t, raftlog.Leading, s.Phase)
-		now, ok := l.Leader()
-		require.True(t, ok)
-		require.NotEqual(t, old, now)
-		id, err := l.Propose(now, 1, 5)
+		leader, hasLeader := l.Leader()
+		require.True(t, hasLeader)
+		require.NotEqual(t, former, leader)
+		id, err := l.Propose(leader, 1, 5)
 		require.NoError(t, err)
 		l.World.Run(l.World.Now().Add(time.Second))
-		require.Equal(t, raftlog.Committed, l.Outcome(now, id))
+		require.Equal(t, raftlog.Committed, l.Outcome(leader, id))
 		l.Settle(10 * time.Second)
 		require.Empty(t, l.Violations())
 	}
