--- a/internal/balancer/probation/example_test.go
+++ b/internal/balancer/probation/example_test.go
@@ -7,28 +7,28 @@
 	"dunestep/internal/balancer/probation"
 )
 
-// An old list of one server that answers: it is sent one request at a time, then more, and is proved by four.
+// An old list of one server that responds: it is sent one request at a time, then more, and is proved by four responses.
 func Example() {
-	var book probation.List
-	book.Start(probation.Trust(time.Hour, 15*time.Minute))
-	s := book.Add()
+	var list probation.List
+	list.Start(probation.Trust(time.Hour, 15*time.Minute))
+	s := list.Add()
 	write := probation.Request{LatencyObjective: 500 * time.Millisecond, MaxAttempts: 3}
-	fmt.Println("for what must not run twice:", s.HasCapacity(0, write.NeedsAnsweringServer(0)))
+	fmt.Println("for a request that is not idempotent:", s.HasCapacity(0, write.NeedsAnsweringServer(0)))
 	for n := 1; ; n++ {
 		s.AttemptSent()
-		if book.AttemptEnded(s, 0, probation.Served) {
+		if list.AttemptEnded(s, 0, probation.Served) {
 			fmt.Println("proved by", n)
 			break
 		}
-		fmt.Println("for what must not run twice:", s.HasCapacity(0, write.NeedsAnsweringServer(0)))
+		fmt.Println("for a request that is not idempotent:", s.HasCapacity(0, write.NeedsAnsweringServer(0)))
 	}
-	write.WaitUntil = book.WaitDeadline(write, 0, time.Second)
-	fmt.Println("worth waiting for:", book.ShouldWait(write, 0))
+	write.WaitUntil = list.WaitDeadline(write, 0, time.Second)
+	fmt.Println("should wait:", list.ShouldWait(write, 0))
 	// Output:
-	// for what must not run twice: false
-	// for what must not run twice: true
-	// for what must not run twice: true
-	// for what must not run twice: true
+	// for a request that is not idempotent: false
+	// for a request that is not idempotent: true
+	// for a request that is not idempotent: true
+	// for a request that is not idempotent: true
 	// proved by 4
-	// worth waiting for: false
+	// should wait: false
 }
--- a/internal/balancer/quota/example_test.go
+++ b/internal/balancer/quota/example_test.go
@@ -7,21 +7,21 @@
 	"dunestep/internal/balancer/quota"
 )
 
-// A tenant with a share of 10 requests a second sends 40, at the only balancer that there is.
+// A tenant with a quota of 10 requests a second sends 40, at the only agent.
 func Example() {
-	book := quota.New(1, false)
-	book.Add("acme", 10)
+	tracker := quota.New(1, false)
+	tracker.Add("acme", 10)
 	over := 0
 	for i := range 400 {
 		now := time.Duration(i) * 25 * time.Millisecond
 		if i%40 == 0 {
-			book.EndRound()
+			tracker.EndRound()
 		}
-		if book.IsOverQuota(now, "acme") {
+		if tracker.IsOverQuota(now, "acme") {
 			over++
 		}
 	}
-	fmt.Println(over, "of 400 are beyond it")
+	fmt.Println(over, "of 400 are over the quota")
 	// Output:
-	// 301 of 400 are beyond it
+	// 301 of 400 are over the quota
 }
--- a/internal/balancer/zonereach/example_test.go
+++ b/internal/balancer/zonereach/example_test.go
@@ -7,17 +7,18 @@
 	"dunestep/internal/balancer/zonereach"
 )
 
+// Three servers of a zone in a row do not respond while another zone does: it is unreachable until it responds.
 func Example() {
-	var z zonereach.Tracker
-	z.Answered(time.Second, "north")
-	z.Answered(time.Second, "south")
+	var tracker zonereach.Tracker
+	tracker.Answered(time.Second, "north")
+	tracker.Answered(time.Second, "south")
 	for i, server := range []string{"s-1", "s-2", "s-3"} {
-		z.Unanswered(time.Duration(2+i)*time.Second, "north", server)
-		z.Answered(time.Duration(2+i)*time.Second, "south")
+		tracker.Unanswered(time.Duration(2+i)*time.Second, "north", server)
+		tracker.Answered(time.Duration(2+i)*time.Second, "south")
 	}
-	fmt.Println(z.IsUnreachable("north"), z.IsUnreachable("south"))
-	z.Answered(6*time.Second, "north")
-	fmt.Println(z.IsUnreachable("north"))
+	fmt.Println(tracker.IsUnreachable("north"), tracker.IsUnreachable("south"))
+	tracker.Answered(6*time.Second, "north")
+	fmt.Println(tracker.IsUnreachable("north"))
 	// Output:
 	// true false
 	// false
--- a/internal/balancer/zonereach/reach_test.go
+++ b/internal/balancer/zonereach/tracker_test.go
@@ -9,7 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-func TestCutTakesSeveralServersAndAnotherZone(t *testing.T) {
+// TestUnreachableTakesSeveralServersAndAnotherZone: a zone is unreachable only where several of its servers are silent while
+// another zone answers.
+func TestUnreachableTakesSeveralServersAndAnotherZone(t *testing.T) {
 	lost := func(z *Tracker, servers ...string) {
 		for i, s := range servers {
 			z.Unanswered(time.Duration(10+i)*time.Second, "a", s)
@@ -27,16 +29,17 @@
 	lost(&few, "u")
 	require.True(t, few.IsUnreachable("a"))
 	lost(&alone, "s", "t", "u")
-	require.False(t, alone.IsUnreachable("a"), "nothing else is heard: that may be this side's fault")
+	require.False(t, alone.IsUnreachable("a"), "no other zone answers: that may be this side's fault")
 	old.Answered(9*time.Second, "b")
 	lost(&old, "s", "t", "u")
-	require.False(t, old.IsUnreachable("a"), "nor was anything since")
+	require.False(t, old.IsUnreachable("a"), "nor has one since")
 	late.Answered(11*time.Second, "a")
 	lost(&late, "s", "t", "u")
-	require.False(t, late.IsUnreachable("a"), "something was heard since the first two were sent")
+	require.False(t, late.IsUnreachable("a"), "it answered since the first two were sent")
 }
 
-func TestTries(t *testing.T) {
+// TestTrials: an unreachable zone is tried at intervals.
+func TestTrials(t *testing.T) {
 	var z Tracker
 	require.True(t, z.IsTrialDue(time.Second, "a"))
 	z.RecordTrial(time.Second, "a")
@@ -44,7 +47,7 @@
 	require.True(t, z.IsTrialDue(time.Second+trialInterval, "a"))
 }
 
-// However attempts end, some zone is not cut, a cut one opens at the first thing heard, and few zones are kept.
+// TestSomeZoneIsLeft: however attempts end, some zone is reachable, any response makes one reachable, and few are kept.
 func TestSomeZoneIsLeft(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var z Tracker
@@ -52,7 +55,7 @@
 		name := func() string { return fmt.Sprint(rapid.IntRange(0, names-1).Draw(t, "zone")) }
 		for now := time.Duration(1); now < 200; now++ {
 			n := name()
-			if rapid.IntRange(0, 9).Draw(t, "heard") < 2 {
+			if rapid.IntRange(0, 9).Draw(t, "answered") < 2 {
 				z.Answered(now, n)
 				require.False(t, z.IsUnreachable(n))
 			} else {
