--- a/internal/balancer/ring/example_test.go
+++ b/internal/balancer/ring/example_test.go
@@ -6,7 +6,7 @@
 	"dunestep/internal/balancer/ring"
 )
 
-// A member that leaves gives its keys to the next one on the way, and has them again when it is back.
+// A member that leaves gives its keys to the next one on the walk, and has them again when it is back.
 func Example() {
 	members := ring.New[string](100)
 	places := map[string]*ring.Place[string]{}
--- a/internal/balancer/ring/ring.go
+++ b/internal/balancer/ring/ring.go
@@ -1,15 +1,3 @@
-// Package ring is a consistent-hash ring: members that come and go, each with the same number of points, and
-// the walk clockwise from a hash over distinct members. Who is a member, and which one of those on the way is
-// taken, is its user's business.
-//
-// A member's points are the FarmHash fingerprints of its name with 0, 1, 2 and so on after it, so every ring
-// with the same members is the same, in whatever order they came. One that leaves takes along the keys that
-// it owned and no others, and has them again when it is back. A member may have more or fewer points than the
-// ring's usual number: fewer are the first of more, so that a changed number moves that member's own part
-// only, to it or from it.
-//
-// A member that comes or goes costs its own points, however many others there are. There is no input or
-// output here, no clock and no chance. A Ring is not safe for concurrent use.
 package ring
 
 import (
@@ -20,52 +8,52 @@
 	farm "github.com/dgryski/go-farm"
 )
 
-// Hash is the place of a key on a ring.
+// Hash is the position of a key on a ring.
 func Hash(key string) uint32 { return farm.Fingerprint32([]byte(key)) }
 
-// Ring is a ring whose members stand for values.
+// Ring is a ring whose members stand for values of type V.
 type Ring[V any] struct {
 	pointsPerMember int
 	byName          map[string]*Place[V]
-	places          []*Place[V] // by number
-	freeNumbers     []uint32    // numbers that were given up
-	names           []string    // of the members, sorted
-	members         []V         // in the same order
-	arcs            [][]point   // equal parts of the ring, as many as a power of two, each sorted
-	shift           int         // of a hash to the number of its arc
-	points          int         // of all that have a place
+	places          []*Place[V] // by number; nil: the number is free
+	freeNumbers     []uint32
+	names           []string  // of the members, sorted
+	members         []V       // in the same order
+	arcs            [][]point // equal parts of the ring, as many as a power of two, each sorted
+	shift           int       // bits: of a hash, to the number of its arc
+	points          int       // of all places
 	walkCount       uint64
 }
 
-// Place is what a ring knows of one name, from when it joins first until Remove.
+// Place is what a ring knows of one name, from its first Join until Remove.
 type Place[V any] struct {
 	value    V
 	name     string
 	number   uint32
 	points   int
 	isMember bool
-	lastWalk uint64 // the last one that came by
+	lastWalk uint64 // the number of the last walk that visited it
 }
 
-// A point is a place on the ring and below it the number of whose it is: one word, as a ring of 5,000 members
-// has half a million.
+// point is a position on the ring in its upper half, and the number of its place in the lower: one word, as a
+// ring of 5,000 members has half a million points.
 type point uint64
 
 func (p point) hash() uint32   { return uint32(p >> 32) }
 func (p point) number() uint32 { return uint32(p) }
 
-// arcPoints is how many points an arc has on average, at the most: few enough to move when one comes.
-const arcPoints = 16
+// maxArcPoints is the most points that an arc has on average: few enough to be moved when one is inserted.
+const maxArcPoints = 16
 
-// New returns a ring without members, each of which will have so many points where it joins by Join.
-func New[V any](replicas int) *Ring[V] {
+// New returns a ring without members. Each that joins by Join will have so many points, at least one.
+func New[V any](pointsPerMember int) *Ring[V] {
 	return &Ring[V]{
-		pointsPerMember: max(replicas, 1), byName: map[string]*Place[V]{},
+		pointsPerMember: max(pointsPerMember, 1), byName: map[string]*Place[V]{},
 		arcs: make([][]point, 1), shift: 32,
 	}
 }
 
-// Join makes a member of a name, or has it take part again with the points and the value that it had.
+// Join makes a name a member, or has it take part again with the points and the value that it had.
 func (r *Ring[V]) Join(name string, value V) *Place[V] {
 	p := r.byName[name]
 	if p == nil {
@@ -74,8 +62,8 @@
 	return r.join(p)
 }
 
-// JoinWithPoints is Join with so many points, whatever it had before. A member without points is one that no walk
-// comes by; fewer than none are none.
+// JoinWithPoints is Join with so many points, whatever it had before. A member without points is visited by
+// no walk; a negative number is none.
 func (r *Ring[V]) JoinWithPoints(name string, value V, points int) *Place[V] {
 	p := r.byName[name]
 	if p == nil {
@@ -86,7 +74,8 @@
 	return r.join(p)
 }
 
-// SetPoints gives a place so many points, member or not. Of those that it had the first ones stay.
+// SetPoints gives a place so many points, member or not; the first of those that it had stay. A place that
+// was removed is left as it is.
 func (r *Ring[V]) SetPoints(p *Place[V], points int) {
 	if p == nil || r.places[p.number] != p {
 		return
@@ -98,6 +87,7 @@
 	r.removePoints(p, points, was)
 }
 
+// join makes a place a member.
 func (r *Ring[V]) join(p *Place[V]) *Place[V] {
 	name := p.name
 	if !p.isMember {
@@ -108,7 +98,7 @@
 	return p
 }
 
-// add puts the points of a new name on the ring.
+// addPlace makes a place for a new name, with its points.
 func (r *Ring[V]) addPlace(name string, value V, points int) *Place[V] {
 	p := &Place[V]{value: value, name: name, number: uint32(len(r.places)), points: points}
 	if n := len(r.freeNumbers); n > 0 {
@@ -122,10 +112,10 @@
 	return p
 }
 
-// put puts points of a place on the ring, from one number up to another.
+// addPoints puts the points of a place on the ring, from one number up to another.
 func (r *Ring[V]) addPoints(p *Place[V], from, to int) {
 	r.points += max(to-from, 0)
-	for r.points > arcPoints*len(r.arcs) {
+	for r.points > maxArcPoints*len(r.arcs) {
 		r.split()
 	}
 	r.eachPoint(p, from, to, func(q point) {
@@ -135,7 +125,7 @@
 	})
 }
 
-// take takes points of a place off the ring, from one number up to another.
+// removePoints takes the points of a place off the ring, from one number up to another.
 func (r *Ring[V]) removePoints(p *Place[V], from, to int) {
 	r.points -= max(to-from, 0)
 	r.eachPoint(p, from, to, func(q point) {
@@ -146,8 +136,8 @@
 	})
 }
 
-// Leave has a place take no part until it joins again; its points stay where they are, to be passed over.
-// It tells whether it was a member.
+// Leave has a place take no part until it joins again; walks pass its points over. It tells whether it was a
+// member.
 func (r *Ring[V]) Leave(p *Place[V]) bool {
 	if !p.IsMember() {
 		return false
@@ -158,7 +148,7 @@
 	return true
 }
 
-// Remove gives a place up, with its points. Guards against a ring that grows with every name there ever was.
+// Remove removes a place and its points. Without it, a ring grows with every name that ever joined.
 func (r *Ring[V]) Remove(p *Place[V]) {
 	if p == nil || r.places[p.number] != p {
 		return
@@ -169,17 +159,17 @@
 	r.places[p.number], r.freeNumbers = nil, append(r.freeNumbers, p.number)
 }
 
-// IsMember tells whether a place takes part; none does not.
+// IsMember tells whether a place takes part; nil does not.
 func (p *Place[V]) IsMember() bool { return p != nil && p.isMember }
 
-// Members are the values of the members, by name: valid until the next one comes or goes, and not to be
-// changed.
+// Members are the values of the members, sorted by name: valid until the next one joins or leaves, and not to
+// be changed.
 func (r *Ring[V]) Members() []V { return r.members }
 
-// Points counts the points on the ring: those of all that have a place, members or not.
+// Points counts the points of all places, members or not.
 func (r *Ring[V]) Points() int { return r.points }
 
-// Points counts a place's own; none has none.
+// Points counts the points of a place; nil has none.
 func (p *Place[V]) Points() int {
 	if p == nil {
 		return 0
@@ -194,7 +184,7 @@
 	left := len(r.members)
 	first := r.arcOf(hash)
 	from, _ := slices.BinarySearch(r.arcs[first], point(hash)<<32)
-	// Once round, arc by arc: the first one from the hash on, and at the end its points before the hash.
+	// Once round, arc by arc: the first one from the hash on, and in the end its points before the hash.
 	for i := 0; i <= len(r.arcs) && left > 0; i++ {
 		for _, q := range r.arcs[(first+i)&(len(r.arcs)-1)][from:] {
 			p := r.places[q.number()]
@@ -219,7 +209,7 @@
 // arcOf is the number of the arc that a hash is on.
 func (r *Ring[V]) arcOf(hash uint32) int { return int(uint64(hash) >> r.shift) }
 
-// split makes arcs half as long. Points stay in order.
+// split halves the arcs. Points stay in order.
 func (r *Ring[V]) split() {
 	r.shift--
 	arcs := make([][]point, 0, 2*len(r.arcs))
@@ -231,8 +221,8 @@
 	r.arcs = arcs
 }
 
-// compare is the order of points: by hash, and where two names have the same one, by name, which is the same
-// on every ring.
+// compare is the order of points: by hash, and of two with the same hash by name, which is the same on every
+// ring.
 func (r *Ring[V]) compare(p, q point) int {
 	if p.hash() != q.hash() {
 		return cmp.Compare(p.hash(), q.hash())
@@ -240,8 +230,8 @@
 	return cmp.Compare(r.places[p.number()].name, r.places[q.number()].name)
 }
 
-// eachPoint calls for each point of a place from one number up to another. Hashing them again costs less than
-// keeping them.
+// eachPoint calls each for the points of a place from one number up to another. To hash them again costs less
+// than to keep them.
 func (r *Ring[V]) eachPoint(p *Place[V], from, to int, each func(point)) {
 	name := append(make([]byte, 0, 64), p.name...)
 	for i := from; i < to; i++ {
--- a/internal/balancer/ring/ring_test.go
+++ b/internal/balancer/ring/ring_test.go
@@ -11,8 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// clockwise is the walk by brute force: every member with points by the one that is nearest, of two alike by
-// name.
+// clockwise is the walk by brute force: every member with points, by its nearest point, of two alike by name.
 func clockwise(members []string, points map[string]int, hash uint32) []string {
 	nearest := map[string]uint32{}
 	members = slices.DeleteFunc(slices.Clone(members), func(name string) bool { return points[name] == 0 })
@@ -29,35 +28,35 @@
 	return order
 }
 
-// Whatever came and went before, in whatever order, the walk is what brute force says of those that are
-// members now, and of those forgotten nothing is left.
+// TestRingIsItsMembers: whoever joined and left before, in whatever order, the walk is what brute force says of the present
+// members, and of removed ones nothing is left.
 func TestRingIsItsMembers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		replicas := rapid.IntRange(1, 40).Draw(t, "replicas")
-		r, places, members := New[string](replicas), map[string]*Place[string]{}, map[string]bool{}
+		perMember := rapid.IntRange(1, 40).Draw(t, "perMember")
+		r, places, members := New[string](perMember), map[string]*Place[string]{}, map[string]bool{}
 		points := map[string]int{} // of those that are known
 		for range rapid.IntRange(1, 60).Draw(t, "changes") {
 			n := fmt.Sprint("s", rapid.IntRange(0, 30).Draw(t, "of"))
-			switch rapid.SampledFrom([]string{"join", "join", "join with", "resize", "leave", "forget"}).Draw(t, "change") {
+			switch rapid.SampledFrom([]string{"join", "join", "join with points", "set points", "leave", "remove"}).Draw(t, "change") {
 			case "join":
 				if _, known := points[n]; !known {
-					points[n] = replicas
+					points[n] = perMember
 				}
 				places[n], members[n] = r.Join(n, n), true
-			case "join with":
+			case "join with points":
 				points[n] = rapid.IntRange(0, 80).Draw(t, "points")
 				places[n], members[n] = r.JoinWithPoints(n, n, points[n]), true
-			case "resize":
+			case "set points":
 				to := rapid.IntRange(-1, 80).Draw(t, "points")
 				if _, known := points[n]; known {
 					points[n] = max(to, 0)
 				}
-				r.SetPoints(places[n], to) // also one that was forgotten, or never was
+				r.SetPoints(places[n], to) // also one that was removed, or never joined
 			case "leave":
 				require.Equal(t, members[n], r.Leave(places[n]))
 				delete(members, n)
-			case "forget":
-				r.Remove(places[n]) // also one that was forgotten before
+			case "remove":
+				r.Remove(places[n]) // also one that was removed before
 				delete(members, n)
 				delete(points, n)
 			}
@@ -79,7 +78,7 @@
 		for range 20 {
 			hash := rapid.Uint32().Draw(t, "hash")
 			if len(now) > 0 && rapid.Bool().Draw(t, "at a point") {
-				hash = Hash(fmt.Sprint(now[0], rapid.IntRange(0, replicas-1).Draw(t, "replica")))
+				hash = Hash(fmt.Sprint(now[0], rapid.IntRange(0, perMember-1).Draw(t, "point")))
 			}
 			order := []string{}
 			r.Walk(hash, func(v string) bool { order = append(order, v); return true })
@@ -89,9 +88,9 @@
 	})
 }
 
-// Of two points at the same place the one of the lesser name comes first, whichever joined first. The search
-// finds two names whose only points are at one place.
-func TestSamePlace(t *testing.T) {
+// TestSameHash: of two points with the same hash the one of the lesser name comes first, whichever joined first. The search
+// finds two names whose only points have the same hash.
+func TestSameHash(t *testing.T) {
 	seen := map[uint32]string{}
 	p, q := "", ""
 	for i := 0; p == ""; i++ {
@@ -107,9 +106,9 @@
 	}
 }
 
-// One that joins 20 takes about one key in 21 and moves no other, and its leaving undoes that. A walk, which
-// ends where it is told to or after the last member, takes no memory.
-func TestRemapShare(t *testing.T) {
+// TestRemappedKeys: a member that joins 20 takes about one key in 21 and moves no other, and when it leaves that is undone.
+// A walk, which ends where it is told to or after the last member, allocates nothing.
+func TestRemappedKeys(t *testing.T) {
 	const keys = 20_000
 	r := New[int](100)
 	for i := range 20 {
@@ -143,10 +142,10 @@
 	}
 }
 
-// A changed number of points moves keys to that member or from it, and no other; back to the number before
-// undoes it. Members with the usual number are the same ring as by Join: the sum over many walks is that of
-// the ring before members could have numbers of their own.
-func TestNested(t *testing.T) {
+// TestPointsAreNested: a changed number of points moves keys to that member or from it, and no others; the number before
+// undoes it. Members with the usual number are the same ring as by Join, and the same in every version: the checksum of
+// many walks is a constant.
+func TestPointsAreNested(t *testing.T) {
 	const keys = 5_000
 	r, places := New[int](100), []*Place[int]{}
 	for i := range 30 {
@@ -163,7 +162,7 @@
 		}
 		return owners
 	}
-	require.Equal(t, uint64(16089435016658132731), walks(r))
+	require.Equal(t, uint64(16089435016658132731), walkChecksum(r))
 	before := owners()
 	for _, points := range []int{180, 100, 50, 0, 100} {
 		r.SetPoints(places[7], points)
@@ -178,8 +177,8 @@
 	require.Equal(t, before, owners())
 }
 
-// walks is a sum over who comes in what order on walks from many places.
-func walks(r *Ring[int]) uint64 {
+// walkChecksum is a checksum over who comes in what order on walks from many positions.
+func walkChecksum(r *Ring[int]) uint64 {
 	sum := uint64(14695981039346656037)
 	for i := range uint32(1000) {
 		r.Walk(i*4_294_967, func(v int) bool { sum = (sum ^ uint64(v)) * 1099511628211; return true })
--- a/internal/discovery/backoff/example_test.go
+++ b/internal/discovery/backoff/example_test.go
@@ -7,13 +7,13 @@
 	"dunestep/internal/discovery/backoff"
 )
 
-// A watch ends, and the call after it is refused twice.
+// A watch ends, and the calls after it fail twice.
 func Example() {
-	clock := backoff.New(backoff.Settings{Agents: 300, MaxPollInterval: 10 * time.Second, DrainGrace: 3 * time.Second})
-	clock.Answered(true)
+	schedule := backoff.New(backoff.Settings{Agents: 300, MaxPollInterval: 10 * time.Second, DrainGrace: 3 * time.Second})
+	schedule.Answered(backoff.HasEntries)
 	now := time.Minute
-	for _, end := range []backoff.CallResult{backoff.WatchLost, backoff.CallFailed, backoff.CallFailed} {
-		wait := clock.CallEnded(now, end, 0.5) // the draw that spreads agents
+	for _, result := range []backoff.CallResult{backoff.WatchLost, backoff.CallFailed, backoff.CallFailed} {
+		wait := schedule.CallEnded(now, result, 0.5) // the draw that spreads agents
 		fmt.Println("call again after", wait)
 		now += wait
 	}
