--- a/internal/control/policy/lab/lab.go
+++ b/internal/control/policy/lab/lab.go
@@ -15,7 +15,7 @@
 	"dunestep/internal/control/policy/judge"
 	"dunestep/internal/fleet/lease"
 	"dunestep/internal/fleet/replica"
-	"dunestep/internal/simnet/lossy"
+	"dunestep/internal/simnet"
 )
 
 // Setup is one course. The same one is the same course.
@@ -23,7 +23,7 @@
 	Seed           uint64
 	Voters, Agents int
 	Begin          time.Duration // true time, which is Unix time; 1e6 s
-	Faults         lossy.Faults
+	Faults         simnet.Faults
 	Times          policy.Times
 	LeadTime       time.Duration // how far ahead changes are made
 	Without        string        // a protection that is taken out: one of Protections
@@ -48,7 +48,7 @@
 
 // Lab is one course.
 type Lab struct {
-	*lossy.Network
+	*simnet.Network
 	Judge *judge.Judge
 	// Acted is when each agent first acted on a version, by version and agent; since true time zero.
 	Acted map[uint64]map[int]time.Duration
@@ -152,7 +152,7 @@
 		set.Begin = 1e6 * time.Second
 	}
 	l := &Lab{
-		Network: lossy.NewNetwork(set.Seed, set.Voters+set.Agents, set.Begin, set.Faults), set: set,
+		Network: simnet.NewNetwork(set.Seed, set.Voters+set.Agents, set.Begin, set.Faults), set: set,
 		ref: policy.NewStateMachine(), Acted: map[uint64]map[int]time.Duration{},
 	}
 	own := Own()
@@ -234,7 +234,7 @@
 		if l.set.Without == "run out" {
 			times.FloorValidity = time.Hour
 		}
-		a.member = policy.NewReplica(n, false, a.own, times, now)
+		a.member = policy.NewReplica(a.own, times, now)
 	}
 	if nd.known > 0 {
 		if err := nd.member.StateMachine.Restore(was.StateMachine.Snapshot()); err != nil {
@@ -259,7 +259,8 @@
 	case "prepare":
 		councils.Terms.Duration, councils.Terms.MaxKnowledgeAge = 1, 1
 	case "fence":
-		councils.Terms.Duration, councils.Terms.MaxKnowledgeAge = times.Terms.Duration/10, times.Terms.MaxKnowledgeAge/10
+		councils.Terms.Duration = times.Terms.Duration / 10
+		councils.Terms.MaxKnowledgeAge = times.Terms.MaxKnowledgeAge / 10
 	case "settle":
 		councils.Terms.Duration, councils.Terms.MaxKnowledgeAge, councils.FloorValidity = 1, 1, 1
 	case "outstanding":
@@ -268,7 +269,7 @@
 		begin = lease.ClockReading{}
 	}
 	v.granter = lease.NewGranter(lease.GranterSettings{Terms: l.set.Times.Terms, Agents: l.set.Agents})
-	v.member = policy.NewReplica(v.number, true, Own(), l.set.Times, now)
+	v.member = policy.NewVoterReplica(v.number, Own(), l.set.Times, now)
 	v.member.Voter = policy.NewVoter(v.number, times, begin)
 	v.member.Proposer = policy.NewProposer(v.number, councils)
 	v.member.Proposer.SetVoters(now, l.voterNumbers(), 1)
@@ -486,7 +487,11 @@
 
 // propose does what is due at a voter, and tells when it is again.
 func (l *Lab) propose(v *voter, now lease.ClockReading) (next time.Duration) {
-	records, next := v.member.Due(now, v.number == l.leader)
+	due := v.member.Due
+	if v.number == l.leader {
+		due = v.member.DueAsLeader
+	}
+	records, next := due(now)
 	for _, data := range records {
 		l.submit(v.number, data)
 	}
@@ -540,7 +545,7 @@
 			panic(fmt.Sprint("an agent has said yes to what none can use: ", err))
 		}
 		v.Number, v.EffectiveAt = st.InForce.Number, st.InForce.EffectiveAt
-		l.Judge.Activated(l.Now(), v)
+		l.Judge.VersionActivated(l.Now(), v)
 		l.countUnfit(st.InForce.Document)
 	}
 	if l.onRecord != nil {
@@ -643,7 +648,7 @@
 	if bound && l.set.Without == "promise" {
 		act.Mode = policy.ModeFull
 	}
-	l.Judge.Decided(judge.Decision{At: l.Now(), Agent: i, Mode: act.Mode, Version: act.Version})
+	l.Judge.DecisionMade(judge.Decision{At: l.Now(), Agent: i, Mode: act.Mode, Version: act.Version})
 	if act.Mode != policy.ModeFull {
 		return
 	}
--- a/internal/transport/upstream_test.go
+++ b/internal/transport/upstream_test.go
@@ -30,7 +30,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		defer server.Close()
+		defer func() { _ = server.Close() }()
 		in := bufio.NewReader(server)
 		for _, text := range texts {
 			if _, err := http.ReadRequest(in); err != nil {
@@ -121,7 +121,7 @@
 			for end == nil && len(taken) <= int(leaves) {
 				var b []byte
 				if b, end = r.Flow.Next(); end == nil {
-					require.LessOrEqual(t, bodies.Memory.Used(), int64(1<<20/wholePart))
+					require.LessOrEqual(t, bodies.Memory.Used(), int64(1<<20/maxBodyMemoryDivisor))
 					taken = append(taken, b...)
 					r.Flow.Took(len(b))
 				}
@@ -136,7 +136,7 @@
 			take(r)
 		}
 		require.True(t, bytes.HasPrefix(want, taken), "%q is not of %q", taken, want)
-		if end == io.EOF {
+		if errors.Is(end, io.EOF) {
 			require.True(t, whole)
 			require.Len(t, taken, len(want))
 		}
@@ -212,7 +212,7 @@
 			for r.Flow.Progress().Came < 9990 {
 				runtime.Gosched()
 			}
-			_, err := io.WriteString(server, body[9990:])
+			_, err = io.WriteString(server, body[9990:])
 			require.NoError(t, err)
 			for range i {
 				runtime.Gosched()
@@ -233,14 +233,14 @@
 
 // An answer may begin and end before it is told that its route step was written whole: both are still to be had.
 func TestAnswerBeforeItsStepIsKnownToBeWritten(t *testing.T) {
-	u := &UpstreamConn{replies: make(chan reply, 1)}
-	u.replies <- reply{} // its end
+	u := &UpstreamConn{responses: make(chan responseEvent, 1)}
+	u.responses <- responseEvent{} // its end
 	wrote := make(chan error, 1)
 	wrote <- nil
 	ended := make(chan bool, 1)
 	go func() {
-		first, whole := u.early(&UpstreamRequest{}, reply{begun: true}, wrote)
-		ended <- whole && first.begun && !(<-u.replies).begun
+		first, whole := u.resolveEarlyResponse(&UpstreamRequest{}, responseEvent{isStart: true}, wrote)
+		ended <- whole && first.isStart && !(<-u.responses).isStart
 	}()
 	select {
 	case right := <-ended:
