--- a/internal/transport/responsewriter.go
+++ b/internal/transport/responsewriter.go
@@ -41,7 +41,7 @@
 		if errors.Is(err, os.ErrDeadlineExceeded) || !r.ProtoAtLeast(1, 1) {
 			connOf(r).discardUnsent()
 		}
-		slog.Debug("response not forwarded", "error", err)
+		slog.Debug("response not delivered", "error", err)
 		panic(http.ErrAbortHandler)
 	}
 }
--- a/internal/transport/upstream.go
+++ b/internal/transport/upstream.go
@@ -24,7 +24,7 @@
 	ErrNotWritten = errors.New("upstream connection ended before the request was written")
 	// ErrNoDescriptor says that this agent may open no further connection, which is no fault of the upstream
 	// server.
-	ErrNoDescriptor = errors.New("no file descriptor is free for an upstream connection")
+	ErrNoDescriptor = errors.New("no file descriptor is available for an upstream connection")
 	// ErrClientStopped says that the rest of a streamed request did not come from its client.
 	ErrClientStopped = errors.New("client did not send the rest of the request")
 	// ErrInvalidResponse says that what was received can't be a response to the request. It may have run.
