--- a/internal/protocol/config.go
+++ b/internal/protocol/config.go
@@ -7,30 +7,49 @@
 	"strconv"
 )
 
-// Config is what the agent is told at its start, decoded and checked.
+// Config is the agent's configuration file, decoded and checked.
 type Config struct {
 	Name      string
 	Listen    netip.AddrPort
 	Discovery netip.AddrPort
-	Ops       netip.AddrPort // for operators alone; not valid: there is no such socket
+	Ops       netip.AddrPort // the operators' door; not valid: there is none
 	Seed      uint64
 	Limits    Limits
-	// PeerListen, Peers and PeersAll are set where the settings let agents talk to one another.
+	// PeerListen, Peers and PeersAll are set if the settings permit datagrams between agents.
 	PeerListen     netip.AddrPort
-	Peers          []netip.AddrPort // by the agents' numbers, this one's own included
+	Peers          []netip.AddrPort // by the agents' numbers, including this one's
 	PeersAll       netip.AddrPort
-	KnownEndpoints EndpointList // the booking servers as last had; may be old
+	KnownEndpoints EndpointList // an earlier endpoint list; may be old
 	Settings       Settings
 }
 
-// Limits is what the agent's machine gives it.
+// Limits are the agent's shares of its machine.
 type Limits struct {
 	Cores    float64
 	MemoryMB int64
 	Sockets  int
 }
 
-// DecodeConfig decodes the configuration file. The error is one plain line: the first thing to put right.
+// configForm is the configuration file on the wire.
+type configForm struct {
+	Name      string `json:"name"`
+	Listen    string `json:"listen"`
+	Discovery string `json:"discovery"`
+	Ops       string `json:"ops"`
+	Seed      string `json:"seed"`
+	Limits    struct {
+		Cores    float64 `json:"cores"`
+		MemoryMB int64   `json:"memory_mb"`
+		Sockets  int     `json:"sockets"`
+	} `json:"limits"`
+	PeerListen string          `json:"peer_listen"`
+	Peers      []string        `json:"peers"`
+	PeersAll   string          `json:"peers_all"`
+	Known      json.RawMessage `json:"known"`
+	Settings   json.RawMessage `json:"settings"`
+}
+
+// DecodeConfig decodes the configuration file. The error is one line: the first problem.
 func DecodeConfig(raw []byte) (Config, error) {
 	c, errs, err := decodeConfig(raw)
 	if err != nil {
@@ -42,26 +61,10 @@
 	return c, nil
 }
 
-// decodeConfig decodes the configuration file and notes all that is wrong with its values; the error is
-// that it can't be read.
+// decodeConfig decodes the configuration file and collects every problem with its values; the error says that
+// the file could not be read.
 func decodeConfig(raw []byte) (Config, []configError, error) {
-	var f struct {
-		Name      string `json:"name"`
-		Listen    string `json:"listen"`
-		Discovery string `json:"discovery"`
-		Ops       string `json:"ops"`
-		Seed      string `json:"seed"`
-		Limits    struct {
-			Cores    float64 `json:"cores"`
-			MemoryMB int64   `json:"memory_mb"`
-			Sockets  int     `json:"sockets"`
-		} `json:"limits"`
-		PeerListen string          `json:"peer_listen"`
-		Peers      []string        `json:"peers"`
-		PeersAll   string          `json:"peers_all"`
-		Known      json.RawMessage `json:"known"`
-		Settings   json.RawMessage `json:"settings"`
-	}
+	var f configForm
 	if err := json.Unmarshal(raw, &f); err != nil {
 		return Config{}, nil, fmt.Errorf("config: %w", err)
 	}
@@ -70,21 +73,24 @@
 	note := func(path, format string, args ...any) {
 		errs = append(errs, configError{path, fmt.Errorf("config: "+format, args...)})
 	}
-	addr := func(key, text string, needed bool) (a netip.AddrPort) {
-		if text == "" && !needed {
-			return a
-		}
+	addr := func(key, text string) (a netip.AddrPort) {
 		a, err := netip.ParseAddrPort(text)
 		if err != nil || a.Port() == 0 {
 			note(key, "%s: %q is not an address with a port", key, text)
 		}
 		return a
 	}
-	c.Listen, c.Discovery = addr("listen", f.Listen, true), addr("discovery", f.Discovery, true)
-	c.Ops = addr("ops", f.Ops, false)
-	c.PeerListen, c.PeersAll = addr("peer_listen", f.PeerListen, false), addr("peers_all", f.PeersAll, false)
+	optionalAddr := func(key, text string) (a netip.AddrPort) {
+		if text == "" {
+			return a
+		}
+		return addr(key, text)
+	}
+	c.Listen, c.Discovery = addr("listen", f.Listen), addr("discovery", f.Discovery)
+	c.Ops = optionalAddr("ops", f.Ops)
+	c.PeerListen, c.PeersAll = optionalAddr("peer_listen", f.PeerListen), optionalAddr("peers_all", f.PeersAll)
 	for i, p := range f.Peers {
-		c.Peers = append(c.Peers, addr("peers["+strconv.Itoa(i)+"]", p, true))
+		c.Peers = append(c.Peers, addr("peers["+strconv.Itoa(i)+"]", p))
 	}
 	seed, err := strconv.ParseUint(f.Seed, 16, 64)
 	if err != nil {
@@ -94,10 +100,10 @@
 	if l := c.Limits; l.Cores <= 0 || l.MemoryMB <= 0 || l.Sockets <= 0 {
 		note("limits", "limits: cores, memory_mb and sockets must be above zero")
 	}
-	bad := func(err error) { note("known", "known: %w", err) }
+	noteKnown := func(err error) { note("known", "known: %w", err) }
 	if len(f.Known) > 0 {
-		if c.KnownEndpoints, err = DecodeEndpointList(f.Known, bad); err != nil {
-			note("known", "known: %w", err)
+		if c.KnownEndpoints, err = DecodeEndpointList(f.Known, noteKnown); err != nil {
+			noteKnown(err)
 		}
 	}
 	if len(f.Settings) == 0 || string(f.Settings) == "null" {
--- a/internal/protocol/configcheck.go
+++ b/internal/protocol/configcheck.go
@@ -10,7 +10,7 @@
 	"strings"
 )
 
-// ConfigProblem is one thing that is wrong with a configuration file.
+// ConfigProblem is one problem of a configuration file.
 type ConfigProblem struct {
 	Line, Column int // from 1
 	Text         string
@@ -18,36 +18,37 @@
 
 func (p ConfigProblem) String() string { return fmt.Sprintf("%d:%d: %s", p.Line, p.Column, p.Text) }
 
-// wrong is a value that can't be used, by its path in the file.
+// configError is a value that can't be used, by its path in the file.
 type configError struct {
 	path string
 	err  error
 }
 
-// maxProblems are told of a file. Guards against a file that is not a configuration at all.
+// maxProblems bounds the problems that are reported of a file that is no configuration at all.
 const maxProblems = 50
 
-// CheckConfig tells all that is wrong with a configuration file, in the order of the file. Further looks at
-// what could be read, and tells by which key a further problem is.
-func CheckConfig(raw []byte, further func(Config) (key string, err error)) []ConfigProblem {
+// CheckConfig returns every problem of a configuration file, in the order of the file. If there is none,
+// validate checks the configuration, and returns a further problem with its key.
+func CheckConfig(raw []byte, validate func(Config) (key string, err error)) []ConfigProblem {
 	places, err := findValues(raw)
 	if err != nil {
 		return []ConfigProblem{syntaxProblem(raw, err)}
 	}
 	var all []ConfigProblem
-	var odd []string // values of the wrong type, of which each ends a reading: it goes on without them
-	text, now := raw, places
+	// paths of values of the wrong type: each ends a decoding, which is repeated without it
+	var mistyped []string
+	text, current := raw, places
 	c, errs, err := decodeConfig(text)
-	for len(odd) < maxProblems {
-		v, kind, found := now.mistyped(err, errs)
+	for len(mistyped) < maxProblems {
+		v, kind, found := current.findMistyped(err, errs)
 		if !found {
 			break
 		}
-		odd = append(odd, v.path)
-		why := fmt.Errorf("config: %s: must not be of type %s", v.path, kind)
-		all = append(all, places.problem(raw, v.path, why))
-		text = slices.Concat(text[:v.from], []byte("null"), text[v.to:])
-		if now, err = findValues(text); err != nil {
+		mistyped = append(mistyped, v.path)
+		typeErr := fmt.Errorf("config: %s: must not be of type %s", v.path, kind)
+		all = append(all, places.problem(raw, v.path, typeErr))
+		text = slices.Concat(text[:v.start], []byte("null"), text[v.end:])
+		if current, err = findValues(text); err != nil {
 			break
 		}
 		c, errs, err = decodeConfig(text)
@@ -56,14 +57,14 @@
 		all = append(all, ConfigProblem{1, 1, err.Error()})
 	}
 	for _, w := range errs {
-		follows := func(path string) bool { return strings.HasPrefix(path, w.path) }
-		if !slices.ContainsFunc(odd, follows) {
+		isBelow := func(path string) bool { return strings.HasPrefix(path, w.path) }
+		if !slices.ContainsFunc(mistyped, isBelow) {
 			all = append(all, places.problem(raw, w.path, w.err))
 		}
 	}
 	if len(all) == 0 {
-		if key, err := further(c); err != nil {
-			all = append(all, places.problem(raw, key, err))
+		if key, validateErr := validate(c); validateErr != nil {
+			all = append(all, places.problem(raw, key, validateErr))
 		}
 	}
 	slices.SortStableFunc(all, func(a, b ConfigProblem) int {
@@ -72,8 +73,8 @@
 	return all
 }
 
-// mistyped finds the value that a reading's error, or one of a part's, says to be of the wrong type.
-func (p valuePlaces) mistyped(err error, errs []configError) (v valuePlace, kind string, found bool) {
+// findMistyped finds the value that an error, or one of a part of the file, says to be of the wrong type.
+func (p valuePlaces) findMistyped(err error, errs []configError) (v valuePlace, kind string, found bool) {
 	var m *json.UnmarshalTypeError
 	if errors.As(err, &m) {
 		return p.at(m.Offset), m.Value, true
@@ -82,7 +83,7 @@
 		if errors.As(w.err, &m) { // counted from the part's own beginning
 			for _, part := range p {
 				if part.path == w.path {
-					return p.at(m.Offset + int64(part.from)), m.Value, true
+					return p.at(m.Offset + int64(part.start)), m.Value, true
 				}
 			}
 		}
@@ -90,47 +91,50 @@
 	return v, "", false
 }
 
-// syntaxProblem is where a text ceases to be JSON.
+// syntaxProblem is the position at which a text ceases to be JSON.
 func syntaxProblem(raw []byte, err error) ConfigProblem {
 	at := len(raw)
 	if s := (*json.SyntaxError)(nil); errors.As(err, &s) {
 		at = int(s.Offset) - 1
 	}
-	line, column := lineOf(raw, at)
+	line, column := positionOf(raw, at)
 	return ConfigProblem{line, column, "config: " + err.Error()}
 }
 
-func lineOf(raw []byte, at int) (line, column int) {
+// positionOf is the line and column of an offset, from 1.
+func positionOf(raw []byte, at int) (line, column int) {
 	at = min(max(at, 0), len(raw))
 	before := raw[:at]
 	return 1 + bytes.Count(before, []byte("\n")), at - bytes.LastIndexByte(before, '\n')
 }
 
-// valuePlace is where a value stands in a text, with its path, as settings.bounds.connIdle or peers[1].
+// valuePlace is the position of a value in a text, with its path, such as settings.bounds.connIdle or
+// peers[1].
 type valuePlace struct {
-	path     string
-	from, to int
+	path       string
+	start, end int
 }
 
 type valuePlaces []valuePlace
 
-// at is the innermost value that an offset lies in or just after.
+// at is the innermost value that contains an offset or ends at it.
 func (p valuePlaces) at(offset int64) (v valuePlace) {
 	for _, w := range p {
-		inside := int64(w.from) < offset && offset <= int64(w.to)
-		if inside && (v.to == 0 || w.to-w.from <= v.to-v.from) {
+		inside := int64(w.start) < offset && offset <= int64(w.end)
+		if inside && (v.end == 0 || w.end-w.start <= v.end-v.start) {
 			v = w
 		}
 	}
 	return v
 }
 
-// problem is a problem with the value of a path, or with what is nearest round it.
+// problem is a problem with the value of a path or, if there is none, with the nearest value that contains
+// it.
 func (p valuePlaces) problem(raw []byte, path string, err error) ConfigProblem {
 	for {
 		for _, v := range p {
 			if strings.EqualFold(v.path, path) {
-				line, column := lineOf(raw, v.from)
+				line, column := positionOf(raw, v.start)
 				return ConfigProblem{line, column, err.Error()}
 			}
 		}
@@ -141,51 +145,53 @@
 	}
 }
 
-const deepest = 64 // levels of a configuration that are gone into
+// maxNesting is how many levels of nesting a configuration may have.
+const maxNesting = 64
 
-// findValues notes where the values of a text stand.
+// findValues returns the positions of all values of a text.
 func findValues(raw []byte) (valuePlaces, error) {
-	var whole json.RawMessage
-	if err := json.Unmarshal(raw, &whole); err != nil { // checks all of it, unlike the decoder below
+	var all json.RawMessage
+	if err := json.Unmarshal(raw, &all); err != nil { // checks all of it, unlike the decoder below
 		return nil, err
 	}
 	d := json.NewDecoder(bytes.NewReader(raw))
 	d.UseNumber()
 	var places valuePlaces
-	err := places.value(raw, d, "", 0)
+	err := places.addValue(raw, d, "", 0)
 	return places, err
 }
 
-func (p *valuePlaces) value(raw []byte, d *json.Decoder, path string, depth int) error {
+// addValue appends the next value of a decoder with all values in it.
+func (p *valuePlaces) addValue(raw []byte, d *json.Decoder, path string, depth int) error {
 	from := int(d.InputOffset())
 	for from < len(raw) && bytes.IndexByte([]byte(" \t\r\n:,"), raw[from]) >= 0 {
 		from++
 	}
 	token, err := d.Token()
-	if err == nil && depth > deepest {
+	if err == nil && depth > maxNesting {
 		err = errors.New("nested too deep")
 	}
 	if err != nil {
 		return err
 	}
 	n := len(*p)
-	*p = append(*p, valuePlace{path: path, from: from})
+	*p = append(*p, valuePlace{path: path, start: from})
 	if open, is := token.(json.Delim); is {
 		for i := 0; d.More() && err == nil; i++ {
-			below := fmt.Sprintf("%s[%d]", path, i)
+			childPath := fmt.Sprintf("%s[%d]", path, i)
 			if open == '{' {
 				var key json.Token
 				key, err = d.Token()
-				below = strings.TrimPrefix(fmt.Sprint(path, ".", key), ".")
+				childPath = strings.TrimPrefix(fmt.Sprint(path, ".", key), ".")
 			}
 			if err == nil {
-				err = p.value(raw, d, below, depth+1)
+				err = p.addValue(raw, d, childPath, depth+1)
 			}
 		}
 		if err == nil {
 			_, err = d.Token()
 		}
 	}
-	(*p)[n].to = int(d.InputOffset())
+	(*p)[n].end = int(d.InputOffset())
 	return err
 }
--- a/internal/protocol/datagram.go
+++ b/internal/protocol/datagram.go
@@ -5,63 +5,64 @@
 	"net/netip"
 )
 
-// MaxDatagram is the most bytes that agents send one another at once: a longer one voids the run.
+// MaxDatagram is how many bytes a datagram between agents may have, by the protocol.
 const MaxDatagram = 256
 
 // Datagram is a message between agents.
 type Datagram struct {
-	Agent int // the other agent's number; AllAgents where it goes to every one
+	Agent int // the other agent's number, or AllAgents
 	Data  []byte
 }
 
-// AllAgents stands for every agent of the tier.
+// AllAgents is the address of every agent of the fleet.
 const AllAgents = -1
 
 // The ways in which a datagram can be malformed.
 var (
-	errDatagram = errors.New("a datagram must have 1 to 256 bytes")
-	errStranger = errors.New("the sender is not among the peers")
+	errDatagramSize = errors.New("a datagram must have 1 to 256 bytes")
+	errUnknownPeer  = errors.New("the sender is not among the peers")
 )
 
-// PeerAddresses turns agents' numbers into addresses and back.
+// PeerAddresses maps agents' numbers to addresses and back. It is not changed after NewPeerAddresses.
 type PeerAddresses struct {
-	peers  []netip.AddrPort
-	all    netip.AddrPort
-	number map[netip.AddrPort]int
+	peers    []netip.AddrPort
+	allPeers netip.AddrPort
+	numberOf map[netip.AddrPort]int
 }
 
-// NewPeerAddresses takes the addresses of the configuration.
+// NewPeerAddresses takes the agents' addresses by their numbers, and the address that reaches all; an invalid
+// one: there is none.
 func NewPeerAddresses(peers []netip.AddrPort, all netip.AddrPort) *PeerAddresses {
-	a := &PeerAddresses{peers: peers, all: all, number: make(map[netip.AddrPort]int, len(peers))}
+	a := &PeerAddresses{peers: peers, allPeers: all, numberOf: make(map[netip.AddrPort]int, len(peers))}
 	for i, p := range peers {
-		a.number[p] = i
+		a.numberOf[p] = i
 	}
 	return a
 }
 
-// Decode tells who sent the bytes; the data is a copy.
+// Decode returns a received datagram with its sender; the data is a copy.
 func (a *PeerAddresses) Decode(from netip.AddrPort, data []byte) (Datagram, error) {
-	n, ok := a.number[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
+	n, ok := a.numberOf[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
 	if !ok {
-		return Datagram{}, errStranger
+		return Datagram{}, errUnknownPeer
 	}
 	if len(data) == 0 || len(data) > MaxDatagram {
-		return Datagram{}, errDatagram
+		return Datagram{}, errDatagramSize
 	}
 	return Datagram{Agent: n, Data: append([]byte(nil), data...)}, nil
 }
 
-// Encode tells where a datagram goes.
+// Encode returns the address and bytes of a datagram to be sent.
 func (a *PeerAddresses) Encode(d Datagram) (netip.AddrPort, []byte, error) {
-	to := a.all
+	to := a.allPeers
 	if d.Agent != AllAgents {
 		if d.Agent < 0 || d.Agent >= len(a.peers) {
-			return netip.AddrPort{}, nil, errStranger
+			return netip.AddrPort{}, nil, errUnknownPeer
 		}
 		to = a.peers[d.Agent]
 	}
 	if len(d.Data) == 0 || len(d.Data) > MaxDatagram || !to.IsValid() {
-		return netip.AddrPort{}, nil, errDatagram
+		return netip.AddrPort{}, nil, errDatagramSize
 	}
 	return to, d.Data, nil
 }
--- a/internal/protocol/poolconfig.go
+++ b/internal/protocol/endpointlist.go
@@ -15,21 +15,21 @@
 	"dunestep/internal/balancer"
 )
 
-// EndpointList is discovery's list of booking servers, or the changes since the list before it.
+// EndpointList is discovery's list of upstream servers, or the changes to an earlier one.
 type EndpointList struct {
 	Version   int64
-	Full      bool
+	Full      bool // it is complete: an endpoint that it does not name is gone
 	Endpoints []Endpoint
 }
 
-// Endpoint is an entry of the list: what the module sees, and where the server listens.
+// Endpoint is an entry of the list: what the balancer gets, and where the server listens.
 type Endpoint struct {
 	balancer.Server
 	Addr netip.AddrPort
 }
 
-// DecodeEndpointList decodes one of discovery's objects. An entry that is malformed is dropped and told of, and
-// the others hold: a drain in the same object must be heeded.
+// DecodeEndpointList decodes one of discovery's objects. A malformed entry is dropped and reported; the others hold, since
+// there may be a drain among them.
 func DecodeEndpointList(raw []byte, dropped func(error)) (EndpointList, error) {
 	var f struct {
 		Version *int64            `json:"version"`
@@ -54,10 +54,12 @@
 	return p, nil
 }
 
-var states = map[string]balancer.ServerState{
+// endpointStates are the states by their names on the wire.
+var endpointStates = map[string]balancer.ServerState{
 	"active": balancer.Ready, "leaving": balancer.Draining, "left": balancer.Gone,
 }
 
+// decodeEndpoint decodes an entry. Only one that is ready needs an address.
 func decodeEndpoint(raw []byte) (Endpoint, error) {
 	var f struct {
 		ID        string   `json:"id"`
@@ -74,10 +76,9 @@
 	}
 	s := Endpoint{Server: balancer.Server{ID: f.ID, Zone: f.Zone, MachineKind: f.Kind, Cell: f.Cell, Weight: 1}}
 	var known bool
-	if s.State, known = states[f.State]; !known || f.ID == "" {
+	if s.State, known = endpointStates[f.State]; !known || f.ID == "" {
 		return Endpoint{}, fmt.Errorf("server %q: no id, or unknown state %q", f.ID, f.State)
 	}
-	// Only one that is sent to needs an address.
 	addr, err := netip.ParseAddrPort(f.Addr)
 	if s.State == balancer.Ready && (err != nil || addr.Port() == 0) {
 		return Endpoint{}, fmt.Errorf("server %q: bad address %q", f.ID, f.Addr)
@@ -92,15 +93,16 @@
 	return s, nil
 }
 
+// maxUnixMS is the latest start, in Unix milliseconds, that a time.Duration can hold.
 const maxUnixMS = math.MaxInt64 / int64(time.Millisecond)
 
 // ListRequest is a call to discovery.
 type ListRequest struct {
-	Watch       bool  // a watch, else the whole list once
+	Watch       bool  // a watch, else the complete list once
 	FromVersion int64 // of a watch: the version that the agent has
 }
 
-// AppendListRequest writes the call as an HTTP request.
+// AppendListRequest appends the call as an HTTP request.
 func AppendListRequest(b []byte, host string, c ListRequest) []byte {
 	b = append(b, "GET /registry/instances"...)
 	if c.Watch {
@@ -109,7 +111,7 @@
 	return append(append(append(b, " HTTP/1.1\r\nHost: "...), host...), "\r\n\r\n"...)
 }
 
-// ReadListHeader reads the head of discovery's answer; its body holds the objects.
+// ReadListHeader reads the header of discovery's response; the objects are in its body.
 func ReadListHeader(r *bufio.Reader) (io.ReadCloser, error) {
 	resp, err := http.ReadResponse(r, nil)
 	if err != nil {
--- a/internal/protocol/graphql.go
+++ b/internal/protocol/graphql.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"math/rand/v2"
 	"net/http"
-	"strconv"
 	"strings"
 	"time"
 
@@ -13,7 +12,7 @@
 	"dunestep/internal/graphql"
 )
 
-// IsGraphQL is how operations come as IsGraphQL over HTTP, and answers go.
+// GraphQL is the format of requests and responses in GraphQL over HTTP.
 type GraphQL struct {
 	Path    string // of requests
 	Classer *graphql.Classer
@@ -23,7 +22,7 @@
 	DefaultTenant             string
 }
 
-// Source is where a value is found in an IsGraphQL request. The zero one finds none.
+// Source is where a value is found in a GraphQL request. The zero value finds none.
 type Source struct {
 	kind sourceKind
 	name string
@@ -33,14 +32,14 @@
 type sourceKind uint8
 
 const (
-	inNothing sourceKind = iota
+	nowhere sourceKind = iota
 	inHeader
 	inCookie
 	inVariable
 )
 
-// ParseSource reads header:NAME, cookie:NAME or variable:NAME, with dots between the names on the way to a
-// variable within another; empty: none.
+// ParseSource reads header:NAME, cookie:NAME or variable:NAME, with dots between the names of nested
+// variables; empty: the zero value.
 func ParseSource(text string) (Source, error) {
 	if text == "" {
 		return Source{}, nil
@@ -55,12 +54,13 @@
 	case "variable":
 		s.kind, s.path = inVariable, strings.Split(name, ".")
 	}
-	if s.kind == inNothing || name == "" {
+	if s.kind == nowhere || name == "" {
 		return s, fmt.Errorf("%q must be header:NAME, cookie:NAME or variable:NAME", text)
 	}
 	return s, nil
 }
 
+// find returns the value in a request, empty if there is none.
 func (s Source) find(r *http.Request, variables []byte) string {
 	switch s.kind {
 	case inHeader:
@@ -77,12 +77,12 @@
 	return ""
 }
 
-// Everywhere is the form for a socket on which only IsGraphQL comes.
+// Everywhere is the Format of a socket for GraphQL alone.
 func (g *GraphQL) Everywhere(r *http.Request) Exchange {
 	return &graphQLExchange{form: g, request: r, media: graphql.PlainJSON}
 }
 
-// AtPath is the form for a socket on which other requests come, too.
+// AtPath is the Format of a socket for other requests, too.
 func (g *GraphQL) AtPath(r *http.Request) Exchange {
 	if path, _, _ := strings.Cut(r.RequestURI, "?"); path != g.Path {
 		return nil
@@ -90,19 +90,20 @@
 	return g.Everywhere(r)
 }
 
-// graphQLExchange is one request and its answer.
+// graphQLExchange is one request and its response.
 type graphQLExchange struct {
-	form    *GraphQL
-	request *http.Request
-	media   graphql.MediaType
-	verdict graphql.Verdict
-	refused *graphql.Error // why it was not sent on
+	form      *GraphQL
+	request   *http.Request
+	media     graphql.MediaType
+	verdict   graphql.Verdict
+	rejection *graphql.Error // why it was not forwarded; nil: it was
 }
 
-func (x *graphQLExchange) Decode(room ReserveMemory) (*Request, error) {
-	op, err := x.decode(room)
+// Decode decodes a request. The class follows from the operation that would be executed.
+func (x *graphQLExchange) Decode(reserve ReserveMemory) (*Request, error) {
+	op, err := x.decode(reserve)
 	if err != nil {
-		_ = errors.As(err, &x.refused)
+		_ = errors.As(err, &x.rejection) // other errors are answered as bad requests
 		if op != nil {
 			op.Release()
 		}
@@ -111,8 +112,8 @@
 	return op, nil
 }
 
-// decode checks what can be told by the head first. What the class depends on is read by the classer alone.
-func (x *graphQLExchange) decode(room ReserveMemory) (*Request, error) {
+// decode checks the header first. Only the classer reads what the class depends on.
+func (x *graphQLExchange) decode(reserve ReserveMemory) (*Request, error) {
 	g, r := x.form, x.request
 	path, query, _ := strings.Cut(r.RequestURI, "?")
 	media, acceptable := graphql.Accepted(r.Header["Accept"])
@@ -136,11 +137,11 @@
 	op := &Request{
 		IsRetry: r.Header.Get("X-Repeat") == "1", Method: r.Method, Target: r.RequestURI,
 		Host: r.Host, ContentType: r.Header.Get("Content-Type"), IsGraphQL: true,
-		Accept: strings.Join(r.Header["Accept"], ", "), IdempotencyKeys: r.Header[idempotencyKey],
+		Accept: strings.Join(r.Header["Accept"], ", "), IdempotencyKeys: r.Header[idempotencyKeyHeader],
 		WorkHint: workHint(r.Header.Get("X-Facts")),
 	}
-	op.TimeLeft = g.leastTimeLeft(r)
-	if err := op.readBody(r, room, MaxBufferedBody); err != nil {
+	op.TimeLeft = g.minTimeLeft(r)
+	if err := op.readBody(r, reserve, MaxBufferedBody); err != nil {
 		return nil, err
 	}
 	request.Body = op.Body
@@ -150,23 +151,23 @@
 	}
 	op.Class = x.verdict.Class
 	err = x.describe(op)
-	x.verdict.Variables = nil // a part of the body, which may go before the answer has
+	x.verdict.Variables = nil // a part of the body, which may be released before the response is written
 	return op, err
 }
 
-// leastTimeLeft is how long the client waits at the least, as far as the head tells.
-func (g *GraphQL) leastTimeLeft(r *http.Request) time.Duration {
-	if left, err := timeLeft(g.Deadline.find(r, nil)); err == nil {
+// minTimeLeft is how long the client waits at least, by the header alone.
+func (g *GraphQL) minTimeLeft(r *http.Request) time.Duration {
+	if left, err := parseTimeLeft(g.Deadline.find(r, nil)); err == nil {
 		return left
 	}
-	least := time.Duration(maxTimeLeftMS) * time.Millisecond
+	shortest := time.Duration(maxTimeLeftMS) * time.Millisecond
 	for _, c := range g.Classes {
-		least = min(least, c.Deadline)
+		shortest = min(shortest, c.Deadline)
 	}
-	return least
+	return shortest
 }
 
-// describe finds what the application's headers would say of an operation.
+// describe sets what plain requests have in header fields and cookie.
 func (x *graphQLExchange) describe(op *Request) error {
 	g, r, variables := x.form, x.request, x.verdict.Variables
 	op.Key, op.Tenant = g.Key.find(r, variables), g.Tenant.find(r, variables)
@@ -175,11 +176,11 @@
 	}
 	if op.CorrelationID = g.ID.find(r, variables); op.CorrelationID == "" {
 		op.CorrelationID = fmt.Sprintf("%016x", rand.Uint64())
-	} else if _, err := strconv.ParseUint(op.CorrelationID, 16, 64); err != nil || len(op.CorrelationID) != 16 {
+	} else if !isCorrelationID(op.CorrelationID) {
 		return errID
 	}
 	if text := g.Deadline.find(r, variables); text != "" {
-		left, err := timeLeft(text)
+		left, err := parseTimeLeft(text)
 		op.TimeLeft = left
 		return err
 	}
@@ -191,11 +192,12 @@
 	return nil
 }
 
+// Encode writes a response: an upstream server's as it is, one of the agent's own as a GraphQL error.
 func (x *graphQLExchange) Encode(w http.ResponseWriter, a Response) error {
 	if a.Kind == Served {
 		return plainExchange{}.Encode(w, a)
 	}
-	e := x.own(a)
+	e := x.errorOf(a)
 	h := w.Header()
 	if e.RetryAfter > 0 {
 		setRetryAfter(h, e.RetryAfter)
@@ -207,11 +209,11 @@
 		h.Set("Accept", string(graphql.ResponseJSON)+", "+string(graphql.PlainJSON))
 	}
 	body := e.Append(nil, x.verdict.Members)
-	return write(w, e.StatusFor(x.media), string(x.media)+"; charset=utf-8", int64(len(body)), body)
+	return writeResponse(w, e.StatusFor(x.media), string(x.media)+"; charset=utf-8", int64(len(body)), body)
 }
 
-// own is what an answer of the agent's own says in IsGraphQL.
-func (x *graphQLExchange) own(a Response) *graphql.Error {
+// errorOf is the GraphQL error for a response of the agent's own.
+func (x *graphQLExchange) errorOf(a Response) *graphql.Error {
 	switch {
 	case a.Kind == Rejected:
 		return &graphql.Error{
@@ -228,8 +230,8 @@
 			Code: graphql.CodeLimit, Status: http.StatusRequestEntityTooLarge,
 			Message: ErrBodyTooLong.Error(),
 		}
-	case x.refused != nil:
-		return x.refused
+	case x.rejection != nil:
+		return x.rejection
 	}
 	return &graphql.Error{
 		Code: graphql.CodeBadRequest, Status: http.StatusBadRequest,
--- a/internal/protocol/ops.go
+++ b/internal/protocol/ops.go
@@ -13,7 +13,7 @@
 	"dunestep/internal/metrics"
 )
 
-// OpsKind names a call of the operators'.
+// OpsKind is a kind of call at the operators' door.
 type OpsKind uint8
 
 // The calls.
@@ -39,20 +39,20 @@
 	OpsWindowOutcome // OpsCall.ID
 )
 
-// OpsCall is a call at the ops socket, decoded.
+// OpsCall is a call at the operators' door, decoded.
 type OpsCall struct {
 	Kind   OpsKind
-	ID     string // of a booking server
-	Ticket uint64 // of what was proposed to the fleet
-	// Document is a policy, to take hold EffectiveIn; Version is one's number.
+	ID     string // of an endpoint, a policy or a window
+	Ticket uint64 // of a proposal to the fleet
+	// Document is a policy, to take effect after EffectiveIn; Version is the number of one.
 	Document    []byte
 	EffectiveIn time.Duration
 	Version     uint64
-	// Window is what is asked for servers' maintenance.
+	// Window is the request for a maintenance window.
 	Window WindowRequest
 }
 
-// MaxPolicyBytes is how many bytes a policy's document has at most.
+// MaxPolicyBytes is how many bytes a policy's document may have.
 const MaxPolicyBytes = 14 << 10
 
 // MaxOpsBodyBytes is how many bytes the body of a call at a path may have.
@@ -61,28 +61,28 @@
 	case OpsPolicyPropose:
 		return MaxPolicyBytes + 1
 	case OpsWindowRequest, OpsWindowCheck:
-		return maxWindowAsk + 1
+		return maxWindowBytes + 1
 	}
 	return MaxEndpointID + 4
 }
 
-// IsFleetCall tells whether the call is about what the agents of a fleet agree on: there are such paths only
-// where an agent takes part.
+// IsFleetCall reports whether the call is about what the agents of a fleet agree on. There are such paths
+// only if the agent takes part.
 func (c OpsCall) IsFleetCall() bool { return c.Kind >= OpsFleetStatus }
 
-// FleetProposal answers a call that was proposed to the fleet, and one that asks what became of it.
+// FleetProposal answers a call that was proposed to the fleet, and a query for its result.
 type FleetProposal struct {
 	Ticket uint64 `json:"ticket"`
-	// Result is waiting, taken, not taken or ask again.
+	// Result is "waiting", "taken", "not taken" or "ask again".
 	Result string `json:"result"`
-	// InForce: no agent acts any more without it.
+	// InForce says that no agent acts without it any more.
 	InForce bool `json:"in_force"`
 }
 
-// MaxEndpointID is how many bytes the id of a booking server has at most.
+// MaxEndpointID is how many bytes the id of an endpoint may have.
 const MaxEndpointID = 256
 
-// opsCalls are the calls by their paths.
+// opsCalls are the calls by their paths on the wire.
 var opsCalls = map[string]struct {
 	method string
 	kind   OpsKind
@@ -109,7 +109,7 @@
 	"/ops/fleet/booking-servers/up":   {http.MethodPost, OpsFleetEnable},
 }
 
-// DecodeOpsCall decodes a call. A status other than 200 says why it is none.
+// DecodeOpsCall decodes a call. A status other than 200 is the response to a malformed one.
 func DecodeOpsCall(r *http.Request) (call OpsCall, status int) {
 	known, is := opsCalls[r.URL.Path]
 	switch {
@@ -125,7 +125,7 @@
 	if call.Kind > OpsPolicy && call.Kind < OpsWindows {
 		return decodePolicyCall(r, call)
 	}
-	// A line's end beyond the longest id, and one byte that shows that there is more.
+	// The longest id with a line end, and one byte that shows that there is more.
 	body, err := io.ReadAll(io.LimitReader(r.Body, MaxEndpointID+3))
 	switch {
 	case err != nil:
@@ -137,20 +137,20 @@
 			return call, http.StatusBadRequest
 		}
 		return call, http.StatusOK
-	case !call.Kind.namesServer():
+	case !call.Kind.namesEndpoint():
 		return call, http.StatusOK
 	}
 	call.ID = strings.TrimSpace(string(body))
-	if !readableID(call.ID) {
+	if !isReadableID(call.ID) {
 		return call, http.StatusBadRequest
 	}
 	return call, http.StatusOK
 }
 
-// mostID and mostWithin bound what a call about a policy may say.
+// Bounds of a call about a policy or a window.
 const (
-	mostID     = 64
-	mostWithin = time.Hour
+	maxNameBytes   = 64
+	maxEffectiveIn = time.Hour
 )
 
 // decodePolicyCall decodes the rest of a call about a policy.
@@ -166,9 +166,9 @@
 		}
 		return call, http.StatusOK
 	case OpsPolicyPropose:
-		ms, bad := strconv.ParseInt(q.Get("within_ms"), 10, 32)
+		ms, parseErr := strconv.ParseInt(q.Get("within_ms"), 10, 32)
 		call.EffectiveIn = time.Duration(ms) * time.Millisecond
-		if bad != nil || call.EffectiveIn < 0 || call.EffectiveIn > mostWithin {
+		if parseErr != nil || call.EffectiveIn < 0 || call.EffectiveIn > maxEffectiveIn {
 			return call, http.StatusBadRequest
 		}
 		if call.Document, err = io.ReadAll(io.LimitReader(r.Body, MaxPolicyBytes+1)); err != nil {
@@ -177,28 +177,31 @@
 			return call, http.StatusRequestEntityTooLarge
 		}
 	}
-	if !readableID(call.ID) || len(call.ID) > mostID {
+	if !isReadableID(call.ID) || len(call.ID) > maxNameBytes {
 		return call, http.StatusBadRequest
 	}
 	return call, http.StatusOK
 }
 
-func (k OpsKind) namesServer() bool {
+// namesEndpoint reports whether the body of the call is an endpoint's id.
+func (k OpsKind) namesEndpoint() bool {
 	return k == OpsDisable || k == OpsEnable || k == OpsFleetDisable || k == OpsFleetEnable
 }
 
-func readableID(id string) bool {
+// isReadableID reports whether an id can stand in a log line.
+func isReadableID(id string) bool {
 	unreadable := func(c rune) bool { return !unicode.IsPrint(c) || unicode.IsSpace(c) }
 	return id != "" && utf8.ValidString(id) && !strings.ContainsFunc(id, unreadable)
 }
 
+// classCounts are the answers of one class, under the names of the statistics.
 type classCounts struct {
 	OK     int64 `json:"ok"`
 	Shed   int64 `json:"shed"`
 	Errors int64 `json:"errors"`
 }
 
-// EncodeOpsStats writes the figures as JSON.
+// EncodeOpsStats encodes the metrics as JSON.
 func EncodeOpsStats(r metrics.Reading) ([]byte, error) {
 	out := struct {
 		Responses   map[string]classCounts `json:"responses"`
--- a/internal/protocol/ops_test.go
+++ b/internal/protocol/ops_test.go
@@ -30,7 +30,7 @@
 		known := opsCalls[path]
 		require.Equal(t, known.kind, call.Kind)
 		require.Equal(t, known.method, method)
-		if call.Kind.namesServer() {
+		if call.Kind.namesEndpoint() {
 			require.NotEmpty(t, call.ID)
 			require.LessOrEqual(t, len(call.ID), MaxEndpointID+2)
 			require.NotContains(t, call.ID, "\n")
@@ -61,8 +61,8 @@
 	require.Equal(t, []string{"s-1"}, got.Window.Nodes)
 	require.True(t, got.IsFleetCall())
 	for _, path := range []string{"", "/check", "/stop?id=a", "/outcome?id=a"} {
-		_, status := call(path, good)
-		require.Equal(t, http.StatusOK, status, path)
+		_, code := call(path, good)
+		require.Equal(t, http.StatusOK, code, path)
 	}
 	for path, body := range map[string]string{
 		"/ask?id=": good, "/ask?id=a%20b": good, "/stop?id=": "",
@@ -75,9 +75,9 @@
 		"/ask?id=10": `{"zone":"a","tenants":["x"],"from":"1677-01-01T00:00:00Z","to":"2300-01-01T00:00:00Z"}`,
 		"/ask?id=11": ask(`"tenants":["x"],"nodes":["` + strings.Join(strings.Fields(strings.Repeat("s ", 65)), `","`) + `"]`),
 	} {
-		_, status := call(path, body)
-		require.Equal(t, http.StatusBadRequest, status, path)
+		_, code := call(path, body)
+		require.Equal(t, http.StatusBadRequest, code, path)
 	}
-	_, status = call("/ask?id=a", good+strings.Repeat(" ", maxWindowAsk))
+	_, status = call("/ask?id=a", good+strings.Repeat(" ", maxWindowBytes))
 	require.Equal(t, http.StatusRequestEntityTooLarge, status)
 }
--- a/internal/protocol/settings.go
+++ b/internal/protocol/settings.go
@@ -8,24 +8,15 @@
 	"dunestep/internal/balancer"
 )
 
+// settingsForm is the settings object on the wire. The field names here are the wire's; DecodeSettings maps
+// them.
 type settingsForm struct {
-	Balancers  int    `json:"balancers"`
-	Ordinal    int    `json:"ordinal"`
-	Zone       string `json:"zone"`
-	Resolution int64  `json:"resolution"`
-	Categories []struct {
-		Name       string  `json:"name"`
-		Effect     string  `json:"effect"`
-		KeyScope   string  `json:"keyScope"`
-		Aim        int64   `json:"aim"`
-		Deadline   int64   `json:"deadline"`
-		MemorySpan int64   `json:"memorySpan"`
-		AimStretch float64 `json:"aimStretch"`
-		LateWorth  float64 `json:"lateWorth"`
-		Value      float64 `json:"value"`
-		Stream     bool    `json:"stream"`
-	} `json:"categories"`
-	Customers []struct {
+	Balancers  int            `json:"balancers"`
+	Ordinal    int            `json:"ordinal"`
+	Zone       string         `json:"zone"`
+	Resolution int64          `json:"resolution"`
+	Categories []categoryForm `json:"categories"`
+	Customers  []struct {
 		Name      string  `json:"name"`
 		QuotaPerS float64 `json:"quotaPerS"`
 		Share     float64 `json:"share"`
@@ -72,15 +63,29 @@
 	} `json:"goal"`
 }
 
-// Settings is what an agent is told of its deployment: what the module goes by, and what sockets go by.
+// categoryForm is a request class on the wire.
+type categoryForm struct {
+	Name       string  `json:"name"`
+	Effect     string  `json:"effect"`
+	KeyScope   string  `json:"keyScope"`
+	Aim        int64   `json:"aim"`
+	Deadline   int64   `json:"deadline"`
+	MemorySpan int64   `json:"memorySpan"`
+	AimStretch float64 `json:"aimStretch"`
+	LateWorth  float64 `json:"lateWorth"`
+	Value      float64 `json:"value"`
+	Stream     bool    `json:"stream"`
+}
+
+// Settings describe the deployment: the balancer's, and those of the sockets.
 type Settings struct {
 	balancer.Settings
-	ConnIdleTimeout time.Duration // an idle connection is closed by the other machine after this
-	ConnectTimeout  time.Duration // a connection that is not up by then has failed
+	ConnIdleTimeout time.Duration // after which upstream servers close an idle connection
+	ConnectTimeout  time.Duration // after which an attempt to connect has failed
 }
 
-// DecodeSettings decodes an instance's settings; those it does not know are passed over. The simulator's
-// adapter and the real agent both read them here.
+// DecodeSettings decodes an agent's settings; unknown ones are ignored. The agent and the simulator's adapter
+// both use it.
 func DecodeSettings(raw []byte) (Settings, error) {
 	var e settingsForm
 	if err := json.Unmarshal(raw, &e); err != nil {
@@ -88,49 +93,12 @@
 	}
 	s := balancer.Settings{
 		Self: e.Ordinal, Balancers: e.Balancers, Zone: e.Zone, OverQuotaWeight: e.OverShareWorth,
-		Limits: balancer.Limits{
-			MaxAttempts: e.Bounds.SendCap, Hedging: e.Bounds.SecondCopies,
-			Cancel: e.Bounds.Cancel, Probes: e.Bounds.Probes, Gossip: e.Bounds.MayTell,
-			RetryAfter: e.Bounds.RetryAfter, MaxRetryAfter: microseconds(e.Bounds.MaxRetryAfter),
-		},
-		Rules: balancer.Rules{
-			DrainGrace: microseconds(e.Rules.StopSendingWithin), MaxPollInterval: microseconds(e.Rules.AskWithin),
-			SlowStartCapacity: e.Rules.StartCapacity, SlowStartDuration: microseconds(e.Rules.Cold), OverloadMultiple: e.Rules.FallMultiple,
-			OverloadWindow: microseconds(e.Rules.Fall), GoneUsable: e.Rules.OnlyDrainingBinds,
-		},
-		Costs: balancer.Costs{
-			CrossZone: e.Prices.CrossZone, WastedWork: e.Prices.Waste, Probe: e.Prices.Probe,
-			PeerMessage: e.Prices.Peer, LateFailure: e.Prices.LateFail,
-		},
-		ScoreWeights: balancer.ScoreWeights{
-			Total: e.Goal.Whole, WorstWindow: e.Goal.WorstWindow,
-			WorstClass: e.Goal.WorstClass, WorstTenant: e.Goal.WorstTenant,
-			TailLatency: e.Goal.SlowEnd, TailMissRatio: e.Goal.TailMiss,
-		},
-		DiscoveryOnDemand: e.Discovery == "on_request", ClientsMarkRetries: e.ClientHabits.MarksRetry, Tick: microseconds(e.Resolution),
+		Limits: e.limits(), Rules: e.rules(), Costs: e.costs(), ScoreWeights: e.scoreWeights(),
+		DiscoveryOnDemand: e.Discovery == "on_request", ClientsMarkRetries: e.ClientHabits.MarksRetry,
+		Tick: microseconds(e.Resolution),
 	}
 	for _, c := range e.Categories {
-		k := balancer.Class{
-			Name: c.Name, LatencyObjective: microseconds(c.Aim), ObjectivePerWork: c.AimStretch, Deadline: microseconds(c.Deadline),
-			LateWeight: c.LateWorth, DedupWindow: microseconds(c.MemorySpan), PriorityWeight: c.Value, Streaming: c.Stream,
-		}
-		switch c.Effect {
-		case "retryable":
-			k.Idempotency = balancer.Idempotent
-		case "dedup":
-			k.Idempotency = balancer.IdempotentWithKey
-		default: // what is not known to be repeatable is not repeated
-			k.Idempotency = balancer.NotIdempotent
-		}
-		switch c.KeyScope {
-		case "all":
-			k.DedupScope = balancer.DedupScopeAll
-		case "zone":
-			k.DedupScope = balancer.DedupScopeZone
-		default:
-			k.DedupScope = balancer.DedupScopeCell
-		}
-		s.Classes = append(s.Classes, k)
+		s.Classes = append(s.Classes, c.class())
 	}
 	for _, t := range e.Customers {
 		s.Tenants = append(s.Tenants, balancer.Tenant{Name: t.Name, QuotaPerSecond: t.QuotaPerS, Share: t.Share})
@@ -141,4 +109,67 @@
 	}, nil
 }
 
+// limits are the permissions and bounds for attempts.
+func (e *settingsForm) limits() balancer.Limits {
+	return balancer.Limits{
+		MaxAttempts: e.Bounds.SendCap, Hedging: e.Bounds.SecondCopies,
+		Cancel: e.Bounds.Cancel, Probes: e.Bounds.Probes, Gossip: e.Bounds.MayTell,
+		RetryAfter: e.Bounds.RetryAfter, MaxRetryAfter: microseconds(e.Bounds.MaxRetryAfter),
+	}
+}
+
+// rules are the operators' rules on drains, polls and slow start.
+func (e *settingsForm) rules() balancer.Rules {
+	return balancer.Rules{
+		DrainGrace:        microseconds(e.Rules.StopSendingWithin),
+		MaxPollInterval:   microseconds(e.Rules.AskWithin),
+		SlowStartCapacity: e.Rules.StartCapacity,
+		SlowStartDuration: microseconds(e.Rules.Cold),
+		OverloadMultiple:  e.Rules.FallMultiple,
+		OverloadWindow:    microseconds(e.Rules.Fall),
+		GoneUsable:        e.Rules.OnlyDrainingBinds,
+	}
+}
+
+// costs are what work, crossings and messages cost, in the weight of answers.
+func (e *settingsForm) costs() balancer.Costs {
+	return balancer.Costs{
+		CrossZone: e.Prices.CrossZone, WastedWork: e.Prices.Waste, Probe: e.Prices.Probe,
+		PeerMessage: e.Prices.Peer, LateFailure: e.Prices.LateFail,
+	}
+}
+
+// scoreWeights are the weights of the operators' score.
+func (e *settingsForm) scoreWeights() balancer.ScoreWeights {
+	return balancer.ScoreWeights{
+		Total: e.Goal.Whole, WorstWindow: e.Goal.WorstWindow,
+		WorstClass: e.Goal.WorstClass, WorstTenant: e.Goal.WorstTenant,
+		TailLatency: e.Goal.SlowEnd, TailMissRatio: e.Goal.TailMiss,
+	}
+}
+
+// class is the balancer's form of a request class. One that is not known to be idempotent is not retried.
+func (c *categoryForm) class() balancer.Class {
+	class := balancer.Class{
+		Name: c.Name, LatencyObjective: microseconds(c.Aim), ObjectivePerWork: c.AimStretch,
+		Deadline: microseconds(c.Deadline), LateWeight: c.LateWorth, DedupWindow: microseconds(c.MemorySpan),
+		PriorityWeight: c.Value, Streaming: c.Stream,
+		Idempotency: balancer.NotIdempotent, DedupScope: balancer.DedupScopeCell,
+	}
+	switch c.Effect {
+	case "retryable":
+		class.Idempotency = balancer.Idempotent
+	case "dedup":
+		class.Idempotency = balancer.IdempotentWithKey
+	}
+	switch c.KeyScope {
+	case "all":
+		class.DedupScope = balancer.DedupScopeAll
+	case "zone":
+		class.DedupScope = balancer.DedupScopeZone
+	}
+	return class
+}
+
+// microseconds converts a time on the wire.
 func microseconds(v int64) time.Duration { return time.Duration(v) * time.Microsecond }
--- a/internal/protocol/routestep.go
+++ b/internal/protocol/upstream.go
@@ -31,7 +31,7 @@
 		field("Accept", op.Accept)
 	}
 	for _, key := range op.IdempotencyKeys {
-		field(idempotencyKey, key)
+		field(idempotencyKeyHeader, key)
 	}
 	switch {
 	case op.Length < 0:
@@ -63,14 +63,13 @@
 // ErrResponseTooLong means that an answer is longer than its bound, or is said to be.
 var ErrResponseTooLong = errors.New("the answer is too long")
 
-// maxUnused is how much of a body that is not passed on is read, so that its connection can be used again.
-const maxUnused = 64 << 10
+// maxDiscardedBytes is how much of a body that is not passed on is read, so that its connection can be used again.
+const maxDiscardedBytes = 64 << 10
 
-// ReadUpstreamResponse reads a booking server's answer up to the body of a 200, which is the caller's to read; any
-// other is read to the end. Where the operation is IsGraphQL, a 4xx that is an IsGraphQL answer counts like a
-// 200: the client asked for what can't be had, and no other server would have it. An answer that is said to
-// be longer than longest bytes is refused by its head. An error means that the connection broke, or that
-// what came is not an answer: either way it is of no more use.
+// ReadUpstreamResponse reads a response up to the body of a 200, which is the caller's to read; any other body is read to
+// its end. For a GraphQL request, a 4xx with a media type of GraphQL counts like a 200: no other server would answer
+// otherwise. A response that is announced as longer than maxBytes is an error. After an error the connection is of no more
+// use: it ended, or what was received is not a response.
 func ReadUpstreamResponse(r *bufio.Reader, longest int64, graphQL bool) (UpstreamResponse, UnreadBody, error) {
 	resp, err := http.ReadResponse(r, nil)
 	for err == nil && resp.StatusCode < http.StatusOK { // 1xx announces the answer
@@ -85,7 +84,7 @@
 	out := UpstreamResponse{Outcome: balancer.ServerError, Close: resp.Close}
 	contentType := resp.Header.Get("Content-Type")
 	switch {
-	case resp.StatusCode == http.StatusOK, graphQL && refusesGraphQL(resp.StatusCode, contentType):
+	case resp.StatusCode == http.StatusOK, graphQL && isGraphQLError(resp.StatusCode, contentType):
 		out.Outcome, out.ContentType, out.Status = balancer.Served, contentType, resp.StatusCode
 		return out, UnreadBody{resp.Body, resp.ContentLength}, nil
 	case resp.StatusCode == http.StatusServiceUnavailable, resp.StatusCode == http.StatusGatewayTimeout:
@@ -94,12 +93,12 @@
 			out.Outcome = balancer.Rejected
 		}
 	}
-	return out, UnreadBody{}, skip(resp.Body)
+	return out, UnreadBody{}, discardBody(resp.Body)
 }
 
-// refusesGraphQL tells whether an answer is an IsGraphQL server's to a client's mistake. Statuses that may be
-// another one at another time or place are none.
-func refusesGraphQL(status int, contentType string) bool {
+// isGraphQLError reports whether a response is a GraphQL server's to a mistake of the client. Statuses that may be different
+// at another time or server are none.
+func isGraphQLError(status int, contentType string) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusTooEarly, http.StatusTooManyRequests:
 		return false
@@ -108,10 +107,10 @@
 	return status/100 == 4 && graphql.IsAnswer(strings.TrimSpace(media))
 }
 
-// skip reads a body to its end and keeps nothing of it.
-func skip(body io.Reader) error {
-	n, err := io.Copy(io.Discard, io.LimitReader(body, maxUnused+1))
-	if err == nil && n > maxUnused {
+// discardBody reads a body to its end.
+func discardBody(body io.Reader) error {
+	n, err := io.Copy(io.Discard, io.LimitReader(body, maxDiscardedBytes+1))
+	if err == nil && n > maxDiscardedBytes {
 		return ErrResponseTooLong
 	}
 	return err
