--- a/cmd/dunestep/answers_test.go
+++ b/cmd/dunestep/answers_test.go
@@ -210,7 +210,7 @@
 				}
 			}
 			w.served("rezervare")
-			require.NotContains(t, w.log.String(), "down s-0")
+			require.NotContains(t, w.log.String(), "server s-0 ejected")
 		})
 	}
 }
@@ -590,7 +590,7 @@
 	}
 	w.until("the server is rid of them", func() bool { return held.Load() == 0 })
 	w.until("they are cut off", func() bool { return w.descriptors() < before+20 })
-	require.NotContains(t, w.log.String(), "down s-0")
+	require.NotContains(t, w.log.String(), "server s-0 ejected")
 }
 
 // The server is read no faster than the client takes its answer and memory allows, and gets on when it does.
--- a/cmd/dunestep/restart_test.go
+++ b/cmd/dunestep/restart_test.go
@@ -218,7 +218,7 @@
 	w.until("watch", func() bool { return w.discovery.watched() == 1 })
 	w.discovery.say(list(77, false, w.servers[1].entry("active")))
 	w.offer(2 * time.Second)
-	w.until("down", func() bool { return strings.Contains(w.log.String(), "down s-0") })
+	w.until("down", func() bool { return strings.Contains(w.log.String(), "server s-0 ejected") })
 
 	log, end := w.beside()
 	w.until("the other one serves", func() bool { return strings.Contains(log.String(), "serving name=n1") })
--- a/cmd/dunestep/window_test.go
+++ b/cmd/dunestep/window_test.go
@@ -298,7 +298,7 @@
 	r.comes(-1, 0, "east")
 	require.NoError(t, r.Wait(t.Context(), "an agent says so", func() bool {
 		for _, a := range r.Agents() {
-			if a.Said("serving first: east") {
+			if a.Said("exclusion overridden: tenant east") {
 				return true
 			}
 		}
--- a/internal/balancer/bench_test.go
+++ b/internal/balancer/bench_test.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// A decision with 13 servers: a request, where it goes, and how it ended. One in twelve is lost on the way.
+// A decision with 13 servers: a request, where it goes, and how it ended. One in twelve fails.
 func BenchmarkDecision(b *testing.B) {
-	for _, noise := range []int{0, 12} {
-		b.Run(fmt.Sprintf("one in %d lost", noise), func(b *testing.B) {
-			bal, err := New(settings(), 1)
+	for _, failEvery := range []int{0, 12} {
+		b.Run(fmt.Sprintf("one in %d lost", failEvery), func(b *testing.B) {
+			bal, err := New(testSettings(), 1)
 			if err != nil {
 				b.Fatal(err)
 			}
-			bal.Step(0, &ServerListUpdate{Kind: UpdateFull, Servers: list(13)})
+			bal.Step(0, &ServerListUpdate{Kind: UpdateFull, Servers: serverList(13)})
 			keys := make([]string, 1000)
 			for i := range keys {
 				keys[i] = fmt.Sprint("key-", i)
@@ -30,7 +30,7 @@
 				}
 				if old := sent[i%4]; old.Kind == Send && old.ID > 0 {
 					outcome := Served
-					if noise > 0 && i%noise == 0 {
+					if failEvery > 0 && i%failEvery == 0 {
 						outcome = ConnectionLost
 					}
 					bal.Step(now, &AttemptDone{
@@ -45,15 +45,15 @@
 	}
 }
 
-// The same with a window: a server out of 13 that half of the keys, or all, keep off.
-func BenchmarkDecisionAvoiding(b *testing.B) {
+// The same with one server of 13 that half of the keys, or all, are excluded from.
+func BenchmarkDecisionWithExclusions(b *testing.B) {
 	for name, below := range map[string]uint32{"none": 0, "half": 1 << 31, "all": math.MaxUint32} {
 		b.Run(name, func(b *testing.B) {
-			bal, err := New(settings(), 1)
+			bal, err := New(testSettings(), 1)
 			if err != nil {
 				b.Fatal(err)
 			}
-			bal.Step(0, &ServerListUpdate{Kind: UpdateFull, Servers: list(13)})
+			bal.Step(0, &ServerListUpdate{Kind: UpdateFull, Servers: serverList(13)})
 			if below > 0 {
 				bal.SetExclusions(&Exclusions{Tenants: map[string]map[string]uint32{NoTenant: {"s0": below}}})
 			}
@@ -76,17 +76,17 @@
 	}
 }
 
-// A change of the list: one server joins under a new name, and the one that joined before leaves. Those gone
-// are forgotten 64 at a time.
+// A change of the list: one server joins under a new name, and the one that joined before leaves. Those gone are forgotten 64 at
+// a time.
 func BenchmarkListChange(b *testing.B) {
 	for _, n := range []int{13, 1000, 5000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			bal, err := New(settings(), 1)
+			bal, err := New(testSettings(), 1)
 			if err != nil {
 				b.Fatal(err)
 			}
-			bal.Step(0, &ServerListUpdate{Kind: UpdateFull, Servers: list(n)})
-			now, last := time.Second, list(1)[0]
+			bal.Step(0, &ServerListUpdate{Kind: UpdateFull, Servers: serverList(n)})
+			now, last := time.Second, serverList(1)[0]
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				joins := Server{ID: fmt.Sprint("new", i), Zone: "z0", Weight: 1, StartedAt: now}
--- a/internal/balancer/avoid_test.go
+++ b/internal/balancer/exclusions_test.go
@@ -13,9 +13,9 @@
 	"dunestep/internal/balancer/ring"
 )
 
-// Uniform over the keys at each server, and another order at each: at two servers half of the keys keep off a
-// quarter of them keep off both.
-func TestLot(t *testing.T) {
+// KeyRank is uniform over the keys at each server and independent between servers: a quarter of the keys is in the lower half
+// at two of them.
+func TestKeyRank(t *testing.T) {
 	const keys, half = 20000, 1 << 31
 	var below [4]int
 	both := 0
@@ -38,35 +38,34 @@
 	require.Equal(t, uint32(0xdbf1fcde), KeyRank(ring.Hash("k:1"), "s3"), "the same in every build of a running fleet")
 }
 
-// judgeAvoid holds a request to what is to be kept off: it may go to such a server only where none is left.
-func (w *world) judgeAvoid(e *Request, to string) {
-	if w.avoid == nil {
+// checkExclusions checks that a request goes to an excluded server only where no other is left.
+func (w *simulation) checkExclusions(e *Request, to string) {
+	if w.exclusions == nil {
 		return
 	}
-	off := func(s *server) bool {
-		below := w.avoid.Tenants[e.Tenant][s.ID]
-		return w.avoid.AllTenants != nil && w.avoid.AllTenants(s.ID, s.Zone) || below == math.MaxUint32 ||
+	isExcludedFrom := func(s *server) bool {
+		below := w.exclusions.Tenants[e.Tenant][s.ID]
+		return w.exclusions.AllTenants != nil && w.exclusions.AllTenants(s.ID, s.Zone) || below == math.MaxUint32 ||
 			KeyRank(ring.Hash(e.Key), s.ID) < below
 	}
-	any, left := false, false
+	anyExcluded, left := false, false
 	for _, s := range w.b.servers {
-		lane := w.b.classes[e.Class].index
-		down := w.b.detector.Verdict(s.outlier, lane) == outlier.Ejected
-		any = any || off(s)
-		left = left || s.ringPlace.IsMember() && !w.drained[s.ID] && !down && !off(s)
+		down := w.b.detector.Verdict(s.outlier, w.b.classes[e.Class].index) == outlier.Ejected
+		anyExcluded = anyExcluded || isExcludedFrom(s)
+		left = left || s.ringPlace.IsMember() && !w.drained[s.ID] && !down && !isExcludedFrom(s)
 	}
-	if any {
-		w.kept++
+	if anyExcluded {
+		w.excluded++
 	}
-	if left && off(w.b.servers[to]) {
-		w.t.Fatalf("%s of %s sent to %s, which it keeps off", e.Key, e.Tenant, to)
+	if left && isExcludedFrom(w.b.servers[to]) {
+		w.t.Fatalf("%s of %s sent to %s, which it is excluded from", e.Key, e.Tenant, to)
 	}
 }
 
-// Days with all sorts of servers to be kept off keep the rules, and nothing is sent there but where none is
-// left. A neutral one changes nothing.
-func TestAvoidOnRandomEvents(t *testing.T) {
-	firsts, kept := 0, 0
+// With random exclusions the rules hold, and nothing is sent to an excluded server unless no other is left. Neutral exclusions
+// change nothing.
+func TestExclusionsOnRandomEvents(t *testing.T) {
+	overrides, excluded := 0, 0
 	for seed := range uint64(20) {
 		change := func(s *Settings) {
 			s.Tenants = []Tenant{{Name: "a"}, {Name: "b"}}
@@ -76,11 +75,11 @@
 			Tenants:    map[string]map[string]uint32{"a": {"s1": 0, "none": math.MaxUint32}, "none": {"s1": math.MaxUint32}},
 			AllTenants: func(string, string) bool { return false },
 		}
-		require.True(t, reflect.DeepEqual(play(t, seed, change, nil), play(t, seed, change, func(w *world, n int) {
+		require.True(t, reflect.DeepEqual(simulate(t, seed, change, nil), simulate(t, seed, change, func(w *simulation, n int) {
 			w.b.SetExclusions([]*Exclusions{nil, neutral}[n%2])
 		})), "seed %d", seed)
-		var last *world
-		play(t, seed, change, func(w *world, n int) {
+		var last *simulation
+		simulate(t, seed, change, func(w *simulation, n int) {
 			last = w
 			if n%100 != 0 {
 				return
@@ -94,39 +93,43 @@
 			if w.rng.IntN(4) == 0 {
 				a.AllTenants = func(server, _ string) bool { return server < "s4" }
 			}
-			w.avoid = a
+			w.exclusions = a
 			w.b.SetExclusions(a)
 		})
 		for _, s := range last.b.TenantStats() {
-			firsts += int(s.ExclusionOverrides)
+			overrides += int(s.ExclusionOverrides)
 		}
-		kept += last.kept
+		excluded += last.excluded
 	}
-	require.Greater(t, firsts, 50)
-	require.Greater(t, kept, 2000, "decisions that had something to keep off")
+	require.Greater(t, overrides, 50)
+	require.Greater(t, excluded, 2000, "decisions with an excluded server")
 }
 
-// Each way of sending keeps off a server: as the key's owner, in the own zone, as the better of two, as one that
-// is put to the test, as a trial by a second copy, and as an unproved one's companion.
-func TestAvoidEveryWay(t *testing.T) {
-	for name, way := range map[string]func(b *Balancer, s *server){
+// An attempt of each kind keeps away from an excluded server: to the key's owner, in the home zone, as a probe request, on
+// probation, and as a test of failed probes.
+func TestExclusionsHoldForEveryKindOfAttempt(t *testing.T) {
+	for name, prepare := range map[string]func(b *Balancer, s *server){
 		"owner":     func(*Balancer, *server) {},
-		"own zone":  func(b *Balancer, s *server) { b.settings.Costs.CrossZone, b.settings.Zone = 1, s.Zone },
-		"trial":     func(b *Balancer, s *server) { b.turn(s, true); b.sendRate = 10; s.slowStart.Start(b.now, 1) },
-		"unproved":  func(b *Balancer, s *server) { b.StartProbation(0.5) },
-		"mute ones": func(b *Balancer, s *server) { mute(b) },
+		"home zone": func(b *Balancer, s *server) { b.settings.Costs.CrossZone, b.settings.Zone = 1, s.Zone },
+		"probe request": func(b *Balancer, s *server) {
+			b.repeatOutcome(s, ConnectFailed)
+			b.sendRate = 10
+			s.slowStart.Start(b.now, 1)
+		},
+		"probation":             func(b *Balancer, s *server) { b.StartProbation(0.5) },
+		"test of failed probes": func(b *Balancer, s *server) { failProbes(b) },
 	} {
 		for _, key := range []string{"k", ""} {
-			set := settings()
+			set := testSettings()
 			set.Limits.Hedging, set.Tenants = true, []Tenant{{Name: "a"}, {Name: "b"}}
-			sent := func(tenant string, kept bool) (n int) {
+			sent := func(tenant string, excluded bool) (n int) {
 				for seed := range uint64(100) {
 					b, err := New(set, seed)
 					require.NoError(t, err)
-					b.Step(0, &ServerListUpdate{Kind: UpdateFull, Servers: list(2)})
+					b.Step(0, &ServerListUpdate{Kind: UpdateFull, Servers: serverList(2)})
 					s := b.ring.Owner(ring.Hash("k"))
-					way(b, s)
-					if kept {
+					prepare(b, s)
+					if excluded {
 						b.SetExclusions(&Exclusions{Tenants: map[string]map[string]uint32{"a": {s.ID: math.MaxUint32}}})
 					}
 					for _, a := range b.Step(time.Second, &Request{ID: 1, Class: "safe", Key: key, Tenant: tenant, ClientTimeout: time.Second}) {
@@ -138,34 +141,34 @@
 				return n
 			}
 			require.Zero(t, sent("a", true), "%s, key %q", name, key)
-			require.NotZero(t, sent("a", false), "%s, key %q: the way is not taken", name, key)
+			require.NotZero(t, sent("a", false), "%s, key %q: nothing is sent so", name, key)
 			require.Equal(t, sent("b", false), sent("b", true), "%s, key %q: another tenant", name, key)
 		}
 	}
 }
 
-// mute has all probes fail, so that what is sent at all is sent as a test.
-func mute(b *Balancer) {
+// failProbes has all probes fail, so that what is sent at all is sent as a test.
+func failProbes(b *Balancer) {
 	for _, s := range b.ring.Members() {
 		s.probeFailedAt, s.probeOutcome = time.Second, TimedOut
 	}
 }
 
-// A further attempt, and a request that waits for a probe's answer, keep off what is to be kept off by then.
-func TestAvoidBindsWhatIsUnderWay(t *testing.T) {
-	set := settings()
+// A retry, and a request that waits for a probe's answer, keep away from what is excluded by then.
+func TestExclusionsHoldForRequestsUnderWay(t *testing.T) {
+	set := testSettings()
 	set.Limits.Probes = true
 	for _, probes := range []bool{false, true} {
 		set.Limits.Probes = probes
-		b := start(t, set, list(3))
+		b := newStarted(t, set, serverList(3))
 		var order []string
 		b.ring.Walk(ring.Hash("k"), func(s *server) bool { order = append(order, s.ID); return true })
 		acts := b.Step(time.Second, &Request{ID: 1, Class: "safe", Key: "k", ClientTimeout: time.Second})
 		b.SetExclusions(&Exclusions{Tenants: map[string]map[string]uint32{NoTenant: {order[0]: math.MaxUint32, order[1]: math.MaxUint32}}})
 		if probes {
-			require.Equal(t, order[0], find(acts, Probe).Server)
+			require.Equal(t, order[0], findAction(acts, Probe).Server)
 			acts = b.Step(b.now+ms, &ProbeDone{Server: order[0], Outcome: Served})
-			require.Equal(t, order[2], find(acts, Probe).Server)
+			require.Equal(t, order[2], findAction(acts, Probe).Server)
 			continue
 		}
 		require.Equal(t, order[0], mustSend(t, acts).Server)
@@ -174,66 +177,65 @@
 	}
 }
 
-// Serving goes first only where the others are gone, drain or are down: that they are busy or tried is no reason.
-// It is counted each time and logged now and then, and what is kept off again is not sent to any more.
-func TestServingGoesFirst(t *testing.T) {
-	set := settings()
+// Exclusions are overridden only where the other servers are gone, draining or down: that they are busy or were tried is no
+// reason. Each override is counted, and some are logged.
+func TestExclusionsAreOverriddenWithoutOtherServers(t *testing.T) {
+	set := testSettings()
 	set.Tenants = []Tenant{{Name: "a"}}
-	ask := func(b *Balancer) []Action {
+	request := func(b *Balancer) []Action {
 		return b.Step(b.now+time.Second, &Request{ID: uint32(b.now / ms), Class: "unsafe", Key: "k", Tenant: "a", ClientTimeout: time.Second})
 	}
 	for name, c := range map[string]struct {
-		change func(b *Balancer, s *server)
-		first  bool
+		change     func(b *Balancer, s *server)
+		overridden bool
 	}{
-		"well":   {func(*Balancer, *server) {}, false},
+		"up":     {func(*Balancer, *server) {}, false},
 		"busy":   {func(b *Balancer, s *server) { s.inFlight, s.silentSince = 1000, -time.Minute }, false},
 		"damped": {func(b *Balancer, s *server) { s.dampedUntil = time.Hour }, false},
-		"down":   {func(b *Balancer, s *server) { b.turn(s, true) }, true},
-		"drained": {func(b *Balancer, s *server) {
+		"down":   {func(b *Balancer, s *server) { b.repeatOutcome(s, ConnectFailed) }, true},
+		"draining": {func(b *Balancer, s *server) {
 			b.Step(b.now, &ServerListUpdate{Servers: []Server{{ID: s.ID, State: Draining}}})
 		}, true},
 		"gone": {func(b *Balancer, s *server) {
 			b.Step(b.now, &ServerListUpdate{Servers: []Server{{ID: s.ID, State: Gone}}})
 		}, true},
 	} {
-		b := start(t, set, list(2))
-		kept, left := b.ring.Owner(ring.Hash("k")), (*server)(nil)
-		b.SetExclusions(&Exclusions{Tenants: map[string]map[string]uint32{"a": {kept.ID: math.MaxUint32}}})
+		b := newStarted(t, set, serverList(2))
+		excluded, left := b.ring.Owner(ring.Hash("k")), (*server)(nil)
+		b.SetExclusions(&Exclusions{Tenants: map[string]map[string]uint32{"a": {excluded.ID: math.MaxUint32}}})
 		for _, s := range b.ring.Members() {
-			if s != kept {
+			if s != excluded {
 				left = s
 			}
 		}
 		c.change(b, left)
 		logs := 0
 		for range 15 {
-			acts := ask(b)
-			sent := find(acts, Send)
-			require.Equal(t, c.first, sent != nil && sent.Server == kept.ID, "%s: %+v", name, acts)
-			if find(acts, Log) != nil {
+			acts := request(b)
+			sent := findAction(acts, Send)
+			require.Equal(t, c.overridden, sent != nil && sent.Server == excluded.ID, "%s: %+v", name, acts)
+			if findAction(acts, Log) != nil {
 				logs++
 			}
 			if sent != nil {
 				b.Step(b.now, &AttemptDone{ID: sent.ID, Outcome: Served, Latency: ms, RequestDone: true})
 			}
 		}
-		strain := b.TenantStats()
-		require.Len(t, strain, 2)
-		require.Equal(t, TenantStats{Tenant: NoTenant}, strain[0])
-		require.Equal(t, uint64(15), strain[1].Served+strain[1].Rejected+strain[1].Failed)
-		if c.first {
-			require.Equal(t, TenantStats{Tenant: "a", Requests: 15, Served: 15, ExclusionOverrides: 15}, strain[1], name)
+		stats := b.TenantStats()
+		require.Len(t, stats, 2)
+		require.Equal(t, TenantStats{Tenant: NoTenant}, stats[0])
+		require.Equal(t, uint64(15), stats[1].Served+stats[1].Rejected+stats[1].Failed)
+		if c.overridden {
+			require.Equal(t, TenantStats{Tenant: "a", Requests: 15, Served: 15, ExclusionOverrides: 15}, stats[1], name)
 			require.Equal(t, 2, logs, "%s: every 10 s", name)
 		}
 	}
 }
 
-// A server that comes onto the list later is kept off as well.
-func TestAvoidHoldsForLateComers(t *testing.T) {
-	b := start(t, settings(), list(1))
+func TestExclusionsHoldForServersListedLater(t *testing.T) {
+	b := newStarted(t, testSettings(), serverList(1))
 	b.SetExclusions(&Exclusions{AllTenants: func(server, zone string) bool { return server == "s1" && zone == "z1" }})
-	b.Step(ms, &ServerListUpdate{Kind: UpdateFull, Servers: list(2)})
+	b.Step(ms, &ServerListUpdate{Kind: UpdateFull, Servers: serverList(2)})
 	for i := range 50 {
 		a := mustSend(t, b.Step(b.now+ms, &Request{ID: uint32(i), Class: "safe", Key: fmt.Sprint(i), ClientTimeout: time.Second}))
 		require.Equal(t, "s0", a.Server)
@@ -243,12 +245,12 @@
 	require.Nil(t, b.servers["s1"].excludedBelow)
 }
 
-// Of the requests without a key so many keep off a server as of those with one: a quarter of them would go there
-// anyway, half of these keep off, and of the others none comes instead.
-func TestAvoidWithoutKeys(t *testing.T) {
-	b := start(t, settings(), list(4))
-	sent := func(kept uint32) (n int) {
-		b.SetExclusions(&Exclusions{Tenants: map[string]map[string]uint32{NoTenant: {"s2": kept}}})
+// As large a part of requests without a key is excluded as of those with one: a quarter of them would go there anyway, half of
+// these are excluded, and no others come instead.
+func TestExclusionsOfRequestsWithoutKeys(t *testing.T) {
+	b := newStarted(t, testSettings(), serverList(4))
+	sent := func(below uint32) (n int) {
+		b.SetExclusions(&Exclusions{Tenants: map[string]map[string]uint32{NoTenant: {"s2": below}}})
 		for range 2000 {
 			id := uint32(b.now)
 			if a := mustSend(t, b.Step(b.now+20*ms, &Request{ID: id, Class: "safe", ClientTimeout: time.Second})); a.Server == "s2" {
@@ -264,18 +266,18 @@
 	require.Zero(t, sent(math.MaxUint32))
 }
 
-// What tenants leave a server for is left to the others' parts, as far as those tenants ask.
-func TestPartsOfWhatIsKeptOff(t *testing.T) {
-	set := settings()
+// What exclusions take from a server's traffic is taken from its weight, as far as the excluded tenants send requests.
+func TestExclusionsReduceTrafficWeights(t *testing.T) {
+	set := testSettings()
 	set.Tenants = []Tenant{{Name: "a"}, {Name: "b"}}
-	b := start(t, set, list(4))
+	b := newStarted(t, set, serverList(4))
 	for i := range 40 {
 		b.Step(b.now+ms, &Request{ID: uint32(i), Class: "safe", Tenant: []string{"a", "b", "b", "b"}[i%4], ClientTimeout: time.Second})
 	}
-	for below, sizes := range map[uint32]float64{0: 4, 1 << 31: 3.875, math.MaxUint32: 3.75} {
+	for below, weightSum := range map[uint32]float64{0: 4, 1 << 31: 3.875, math.MaxUint32: 3.75} {
 		b.SetExclusions(&Exclusions{Tenants: map[string]map[string]uint32{"a": {"s2": below}}})
 		b.updateWeights()
-		require.InDelta(t, sizes, b.weightSum, 1e-6)
+		require.InDelta(t, weightSum, b.weightSum, 1e-6)
 	}
 	b.SetExclusions(&Exclusions{AllTenants: func(server, _ string) bool { return server == "s2" }})
 	b.updateWeights()
--- a/internal/balancer/agreed_test.go
+++ b/internal/balancer/fleetpolicy_test.go
@@ -10,9 +10,9 @@
 	"dunestep/internal/balancer/ring"
 )
 
-// Days with a neutral agreement told over and over are the days without any; with another one they differ, and
-// keep the rules, whatever is agreed.
-func TestAgreedWithinTheSettings(t *testing.T) {
+// A policy that equals the settings, applied over and over, changes nothing; with another one the actions differ, and the rules
+// hold whatever it says.
+func TestFleetPolicyStaysWithinTheSettings(t *testing.T) {
 	for seed := range uint64(12) {
 		var set Settings
 		change := func(s *Settings) {
@@ -20,8 +20,8 @@
 			s.Limits.Hedging = seed%3 > 0
 			set = *s
 		}
-		plain := play(t, seed, change, nil)
-		neutral := play(t, seed, change, func(w *world, n int) {
+		plain := simulate(t, seed, change, nil)
+		neutral := simulate(t, seed, change, func(w *simulation, n int) {
 			all := make([]RetryPolicy, len(set.Classes))
 			for i := range all {
 				all[i] = RetryPolicy{MaxAttempts: set.Limits.MaxAttempts + n%2, Hedging: true}
@@ -29,68 +29,68 @@
 			w.b.ApplyFleetPolicy([]float64{20, 2}[:n%3], all[:n%(len(all)+1)])
 		})
 		require.Equal(t, plain, neutral, "seed %d", seed)
-		require.NotEqual(t, plain, play(t, seed, change, func(w *world, n int) {
+		require.NotEqual(t, plain, simulate(t, seed, change, func(w *simulation, n int) {
 			c := RetryPolicy{MaxAttempts: n%9 - 2, Hedging: n%2 > 0, MinAttemptInterval: time.Duration(n%50-5) * ms}
 			w.b.ApplyFleetPolicy([]float64{float64(n % 30), math.NaN(), math.Inf(1), -1}, []RetryPolicy{c, c, c, c, {MinAttemptInterval: math.MaxInt64}, c})
 		}), "seed %d", seed)
-		play(t, seed, change, func(w *world, _ int) {
-			w.pace = 40 * ms
-			c := RetryPolicy{MaxAttempts: 3, MinAttemptInterval: w.pace}
+		simulate(t, seed, change, func(w *simulation, _ int) {
+			w.minInterval = 40 * ms
+			c := RetryPolicy{MaxAttempts: 3, MinAttemptInterval: w.minInterval}
 			w.b.ApplyFleetPolicy(nil, []RetryPolicy{c, c, c, c, c})
 		})
 	}
 }
 
-// What is agreed on a class holds for the requests that are there already, and the settings hold again after it.
-func TestAgreedAttemptsAndPace(t *testing.T) {
-	set := settings()
+// A class's policy holds for requests under way, and the settings hold again after it.
+func TestFleetPolicyLimitsAttemptsAndTheirInterval(t *testing.T) {
+	set := testSettings()
 	set.Limits.Hedging = true
-	b, id := start(t, set, list(6)), uint32(0)
-	fail := func(classes ...RetryPolicy) (again bool, wait time.Duration) {
+	b, id := newStarted(t, set, serverList(6)), uint32(0)
+	fail := func(classes ...RetryPolicy) (retried bool, wait time.Duration) {
 		id++
 		b.retryTokens = 10
 		a := mustSend(t, b.Step(b.now+time.Second, &Request{ID: id, Class: "safe", ClientTimeout: time.Second}))
 		b.ApplyFleetPolicy(nil, classes)
 		sent := b.now
 		acts := b.Step(sent+5*ms, &AttemptDone{ID: id, Server: a.Server, Outcome: Rejected, Latency: 5 * ms})
-		if timer := find(acts, SetTimer); timer != nil {
+		if timer := findAction(acts, SetTimer); timer != nil {
 			wait = timer.After
 			b.Step(sent+wait, &TimerDue{Tag: timer.Tag})
 			require.Len(t, b.requests[id].attempts, 1, "woken up too soon")
 			acts = b.Step(sent+5*ms+wait, &TimerDue{Tag: timer.Tag})
 		}
-		again = find(acts, Send) != nil
+		retried = findAction(acts, Send) != nil
 		b.Step(b.now, &ClientGone{ID: id})
-		return again, wait
+		return retried, wait
 	}
 	for _, c := range []struct {
 		name    string
 		classes []RetryPolicy
-		again   bool
+		retried bool
 		wait    time.Duration
 	}{
 		{"settings", nil, true, 0},
 		{"one attempt", []RetryPolicy{{MaxAttempts: 1}}, false, 0},
-		{"one attempt, whatever the pace", []RetryPolicy{{MaxAttempts: 1, MinAttemptInterval: 60 * ms}}, false, 0},
+		{"one attempt, whatever the interval", []RetryPolicy{{MaxAttempts: 1, MinAttemptInterval: 60 * ms}}, false, 0},
 		{"another class's", []RetryPolicy{{MaxAttempts: 2}, {MaxAttempts: 1}}, true, 0},
-		{"pace, from the beginning", []RetryPolicy{{MaxAttempts: 2, MinAttemptInterval: 60 * ms}}, true, 55 * ms},
-		{"pace over", []RetryPolicy{{MaxAttempts: 2, MinAttemptInterval: 5 * ms}}, true, 0},
-		{"pace beyond the aim", []RetryPolicy{{MaxAttempts: 2, MinAttemptInterval: math.MaxInt64}}, false, 0},
+		{"interval from the first attempt's start", []RetryPolicy{{MaxAttempts: 2, MinAttemptInterval: 60 * ms}}, true, 55 * ms},
+		{"interval that is over", []RetryPolicy{{MaxAttempts: 2, MinAttemptInterval: 5 * ms}}, true, 0},
+		{"interval beyond the objective", []RetryPolicy{{MaxAttempts: 2, MinAttemptInterval: math.MaxInt64}}, false, 0},
 		{"settings again", nil, true, 0},
 	} {
-		again, wait := fail(c.classes...)
-		require.Equal(t, c.again, again, c.name)
+		retried, wait := fail(c.classes...)
+		require.Equal(t, c.retried, retried, c.name)
 		require.Equal(t, c.wait, wait, c.name)
 	}
 }
 
-// No second copy where that is agreed, neither to a server that is down nor to one not proved yet.
-func TestAgreedCopies(t *testing.T) {
-	set := settings()
-	for _, unproved := range []bool{false, true} {
+// No hedged request where the policy forbids it, neither to a server that is down nor to one on probation.
+func TestFleetPolicyForbidsHedging(t *testing.T) {
+	set := testSettings()
+	for _, onProbation := range []bool{false, true} {
 		for _, c := range []struct {
 			permitted bool
-			agreed    []RetryPolicy
+			policies  []RetryPolicy
 			sends     int
 		}{
 			{true, nil, 2},
@@ -100,34 +100,34 @@
 			{false, []RetryPolicy{{MaxAttempts: 2, Hedging: true}}, 1},
 		} {
 			set.Limits.Hedging = c.permitted
-			b := start(t, set, list(6))
-			if s := b.ring.Owner(ring.Hash("k")); unproved {
+			b := newStarted(t, set, serverList(6))
+			if s := b.ring.Owner(ring.Hash("k")); onProbation {
 				b.StartProbation(0.5)
 			} else {
-				b.turn(s, true)
+				b.repeatOutcome(s, ConnectFailed)
 				b.sendRate = 10
 				s.slowStart.Start(b.now, 1)
 			}
 			b.ApplyFleetPolicy(nil, []RetryPolicy{{MaxAttempts: 1}})
-			b.ApplyFleetPolicy(nil, c.agreed)
+			b.ApplyFleetPolicy(nil, c.policies)
 			sends := 0
 			for _, a := range b.Step(time.Second, &Request{ID: 1, Class: "safe", Key: "k", ClientTimeout: time.Second}) {
 				if a.Kind == Send {
 					sends++
 				}
 			}
-			require.Equal(t, c.sends, sends, "%+v, unproved %v", c, unproved)
+			require.Equal(t, c.sends, sends, "%+v, on probation %v", c, onProbation)
 		}
 	}
 }
 
-// Two tenants ask for 20 a second each, of 30 in all: who has how much of them says what is beyond it.
-func TestAgreedShares(t *testing.T) {
-	set := settings()
+// Two tenants send 20 requests a second each, with quotas of 30 in all: the policy says how those are divided.
+func TestFleetPolicySetsQuotas(t *testing.T) {
+	set := testSettings()
 	set.Balancers, set.Tenants = 1, []Tenant{{Name: "a", QuotaPerSecond: 15}, {Name: "b", QuotaPerSecond: 15}}
-	b, id := start(t, set, list(6)), uint32(0)
-	low := func(quota ...float64) (low [2]int) {
-		b.ApplyFleetPolicy(quota, nil)
+	b, id := newStarted(t, set, serverList(6)), uint32(0)
+	overQuota := func(quotas ...float64) (over [2]int) {
+		b.ApplyFleetPolicy(quotas, nil)
 		for i := range 400 { // 10 s, of which the last 5 count
 			b.Step(b.now+25*ms, &TimerDue{Tag: 1 << 40})
 			if i%40 == 0 {
@@ -137,35 +137,35 @@
 				if id++; i%2 == n {
 					b.Step(b.now, &Request{ID: id, Class: "safe", Tenant: tenant, ClientTimeout: time.Second})
 					if r := b.requests[id]; r != nil && r.overQuota && i >= 200 {
-						low[n]++
+						over[n]++
 					}
 					b.Step(b.now, &AttemptDone{ID: id, Outcome: Served, Latency: ms, RequestDone: true})
 				}
 			}
 		}
-		return low
+		return over
 	}
-	even := low()
-	require.InDelta(t, 25, even[0], 3, "of 100, at 15 of 20 a second")
-	require.InDelta(t, 25, even[1], 3)
-	moved := low(25, 5)
+	equal := overQuota()
+	require.InDelta(t, 25, equal[0], 3, "of 100, at 15 of 20 a second")
+	require.InDelta(t, 25, equal[1], 3)
+	moved := overQuota(25, 5)
 	require.Zero(t, moved[0])
 	require.InDelta(t, 75, moved[1], 3)
-	require.Equal(t, even, low())
+	require.Equal(t, equal, overQuota())
 }
 
-// The answer to a probe that a request waited for before its first attempt does not wake it up before its time.
-func TestAgreedPaceOverLateProbes(t *testing.T) {
-	set := settings()
+// The answer to a probe that a request waited for before its first attempt does not wake it up too early for its second.
+func TestMinAttemptIntervalHoldsWhenAProbeIsAnswered(t *testing.T) {
+	set := testSettings()
 	set.Limits.Probes = true
-	b := start(t, set, list(6))
+	b := newStarted(t, set, serverList(6))
 	b.ApplyFleetPolicy(nil, []RetryPolicy{{MaxAttempts: 3, MinAttemptInterval: 80 * ms}})
 	acts := b.Step(time.Second, &Request{ID: 1, Class: "safe", Key: "k", ClientTimeout: time.Second})
-	mute := find(acts, Probe).Server
-	acts = b.Step(b.now+find(acts, SetTimer).After, &TimerDue{Tag: find(acts, SetTimer).Tag})
-	sent := mustSend(t, b.Step(b.now+ms, &ProbeDone{Server: find(acts, Probe).Server, Outcome: Served}))
-	begun := b.now
-	timer := find(b.Step(begun+5*ms, &AttemptDone{ID: 1, Server: sent.Server, Outcome: Rejected, Latency: 5 * ms}), SetTimer)
-	require.Empty(t, b.Step(begun+6*ms, &ProbeDone{Server: mute, Outcome: Served}), "too soon")
-	mustSend(t, b.Step(begun+80*ms, &TimerDue{Tag: timer.Tag}))
+	silent := findAction(acts, Probe).Server
+	acts = b.Step(b.now+findAction(acts, SetTimer).After, &TimerDue{Tag: findAction(acts, SetTimer).Tag})
+	sent := mustSend(t, b.Step(b.now+ms, &ProbeDone{Server: findAction(acts, Probe).Server, Outcome: Served}))
+	startedAt := b.now
+	timer := findAction(b.Step(startedAt+5*ms, &AttemptDone{ID: 1, Server: sent.Server, Outcome: Rejected, Latency: 5 * ms}), SetTimer)
+	require.Empty(t, b.Step(startedAt+6*ms, &ProbeDone{Server: silent, Outcome: Served}), "too soon")
+	mustSend(t, b.Step(startedAt+80*ms, &TimerDue{Tag: timer.Tag}))
 }
--- a/internal/balancer/golden_test.go
+++ b/internal/balancer/golden_test.go
@@ -38,9 +38,9 @@
 	m := decodePeerMessage(data)
 	switch m.kind {
 	case messageDampRequest, messageDampResponse:
-		return encodeDampMessage(m.kind, &server{hash: m.hash, flapPenalty: m.score}, 0)
+		return encodeDampMessage(m.kind, &server{hash: m.hash, flapPenalty: m.penalty}, 0)
 	case messageArrivalRate:
-		return encodeRateMessage(m.score)
+		return encodeRateMessage(m.rate)
 	}
 	return nil
 }
@@ -77,7 +77,7 @@
 	require.Equal(t, 48, count)
 }
 
-func TestGoldenPeerMessagesRefused(t *testing.T) {
+func TestGoldenInvalidPeerMessages(t *testing.T) {
 	for name, digits := range map[string]string{
 		"empty":                       "",
 		"unknown letter":              "780000000005",
--- /dev/null
+++ b/internal/balancer/hedging.go
@@ -0,0 +1,36 @@
+package balancer
+
+// mayHedgeProbe reports whether a probe request to a server that is down can be a hedged request, so that it
+// costs the client nothing: the request goes to a healthy server too.
+func (b *Balancer) mayHedgeProbe(r *request) bool {
+	return r.class.Idempotency == Idempotent && !r.class.Streaming && r.class.hedging && !b.settings.Limits.Probes &&
+		len(r.attempts) == 0 && r.class.maxAttempts > 1
+}
+
+// sendHedgedProbe sends the hedged probe request that the selection has found a server for.
+func (b *Balancer) sendHedgedProbe(r *request) {
+	if s := r.hedgedProbe; s != nil {
+		b.sendAttempt(r, s)
+		r.markHedged(len(r.attempts) - 1)
+	}
+}
+
+// dispatch sends the request to the server and, where the server's probation asks for that, to a second one at
+// once. The second one then counts as the request's own attempt, and the first one as the hedge.
+func (b *Balancer) dispatch(r *request, s *server) {
+	twice := s.probation != nil && s.probation.ShouldHedge(r.probationRequest())
+	b.sendAttempt(r, s)
+	if !twice {
+		return
+	}
+	if other := b.selectServer(r); other != nil {
+		b.sendAttempt(r, other)
+		r.markHedged(0)
+	}
+}
+
+// markHedged counts an open attempt as a hedge: a retry does not wait for its end.
+func (r *request) markHedged(attempt int) {
+	r.attempts[attempt].hedged = true
+	r.openHedges, r.hedges = r.openHedges+1, r.hedges+1
+}
--- /dev/null
+++ b/internal/balancer/loadreports_test.go
@@ -0,0 +1,36 @@
+package balancer
+
+import (
+	"testing"
+	"time"
+)
+
+// Reports of a full server lose their weight in a zone whose answers stay fast, and keep it where they don't.
+func TestReportsAreWeighedByTheLatencyThatFollows(t *testing.T) {
+	b := newStarted(t, testSettings(), serverList(6))
+	b.baseline.seconds = 0.02
+	for id := range uint32(200) {
+		for _, s := range []*server{b.servers["s0"], b.servers["s1"]} { // zones z0, whose reports are false, and z1
+			b.now += 50 * ms
+			s.reportedInFlight, s.reportedAt = 20, b.now
+			r := &request{id: id, class: b.classes["safe"], objectiveAt: b.now + 400*ms, deadline: b.now + time.Second, workUnits: 1}
+			b.sendAttempt(r, s)
+			latency := 20 * ms
+			if s.Zone == "z1" {
+				latency = 350 * ms
+			}
+			r.openAttempts--
+			s.inFlight--
+			b.observeAttempt(r, &r.attempts[0], &AttemptDone{Outcome: Served, Latency: latency})
+			s.latency = 0 // the report alone
+		}
+	}
+	for id, want := range map[string]bool{"s2": false, "s3": true} {
+		s := b.servers[id]
+		s.reportedInFlight, s.reportedAt = 20, b.now
+		r := &request{class: b.classes["safe"], objectiveAt: b.now + 400*ms, deadline: b.now + time.Second}
+		if got := b.isSaturated(r, s, b.expectedLatency(s), b.latencyLimit(r)); got != want {
+			t.Errorf("%s reports 20: saturated %v at %.3f s", id, got, b.expectedLatency(s))
+		}
+	}
+}
--- /dev/null
+++ b/internal/balancer/restore.go
@@ -0,0 +1,143 @@
+package balancer
+
+import (
+	"math"
+	"time"
+)
+
+// How soon what a Snapshot holds loses half its weight.
+const (
+	baselineHalfLife = time.Hour        // how fast machine kinds are
+	trafficHalfLife  = 10 * time.Minute // how much arrives and is sent
+	faultHalfLife    = 30 * time.Second // who fails
+)
+
+const (
+	// minReportWeight is the weight below which what reports were worth is not restored.
+	minReportWeight = 0.25
+	// maxLatency, in seconds, and maxAmount bound what is believed of a Snapshot.
+	maxLatency = 3600
+	maxAmount  = 1e12
+	maxSamples = 1e9
+	maxAge     = 365 * 24 * time.Hour
+	// maxPenaltyMultiple of the suppress limit bounds a restored flap penalty.
+	maxPenaltyMultiple = 10
+)
+
+// Restore takes over a Snapshot of that age for the servers that are listed now; it comes before the first
+// request. What is known of a server that was restarted since, or is not listed, is left out, and so is
+// whatever can't be true: a Snapshot comes from outside and must do no harm. A negative age, as after a clock
+// was set back, means that the age is not known: nothing is restored.
+func (b *Balancer) Restore(now time.Duration, m Snapshot, age time.Duration) {
+	b.now = max(b.now, now)
+	if age < 0 {
+		return
+	}
+	age = validAge(age)
+	b.restoreMeans(&m, age)
+	for _, k := range m.Kinds {
+		if l := k.BaselineLatency.decayed(remaining(age, baselineHalfLife)); l.samples > 0 {
+			*b.kindBaseline(k.Name) = l // in place: its servers point to it
+		}
+	}
+	for _, z := range m.Zones {
+		if validAmount(z.ReportedInFlight) > 0 && remaining(age, faultHalfLife) > minReportWeight {
+			b.zoneReports[z.Name] = &zoneReport{wait: validAmount(z.ReportedWait), inFlight: z.ReportedInFlight}
+		}
+	}
+	for _, c := range m.Classes {
+		if known := b.classes[c.Name]; known != nil {
+			known.maxClientTimeout = min(max(known.maxClientTimeout, c.MaxClientTimeout), known.Deadline)
+		}
+	}
+	for _, t := range m.Tenants {
+		b.quotas.SetTokens(t.Name, validAmount(t.Tokens), b.now-validAge(t.UpdatedAgo)-age)
+	}
+	for i := range m.Servers {
+		s := b.servers[m.Servers[i].ID]
+		if s != nil && s.ringPlace.IsMember() && s.StartedAt == m.Servers[i].StartedAt {
+			b.restoreServer(s, &m.Servers[i], m.Classes, age)
+		}
+	}
+	for _, k := range m.BlamedKeys[:min(len(m.BlamedKeys), maxBlamedKeys)] {
+		if left := min(k.BlamedFor, poisonDuration) - age; left > 0 {
+			b.blamedKeys[k.Hash] = &blamedKey{
+				servers: make([]*server, poisonServers), lastFailureAt: b.now, until: b.now + left,
+			}
+		}
+	}
+	b.updateWeights()
+	b.updateDetector()
+}
+
+// restoreMeans restores what was learned over all servers.
+func (b *Balancer) restoreMeans(m *Snapshot, age time.Duration) {
+	traffic, fault := remaining(age, trafficHalfLife), remaining(age, faultHalfLife)
+	b.baseline = m.BaselineLatency.decayed(remaining(age, baselineHalfLife))
+	b.meanLatency = blend(fault, m.MeanLatency, b.baseline.seconds)
+	b.failureFraction = fault * min(validAmount(m.FailureRatio), 1)
+	b.sendRate = traffic * validAmount(m.SendRate)
+	b.typicalInFlight = blend(traffic, m.TypicalInFlight, b.typicalInFlight)
+	b.quotas.Restore(b.now, traffic*validAmount(m.ArrivalRate), traffic*validAmount(m.MeanArrivalRate))
+	b.meanWork, b.meanReportedInFlight = validAmount(m.MeanWork), fault*validAmount(m.MeanReportedInFlight)
+	b.retryTokens = min(b.retryTokens, blend(fault, m.RetryTokens, b.retryTokens))
+}
+
+func (b *Balancer) restoreServer(s *server, m *ServerSnapshot, classes []ClassSnapshot, age time.Duration) {
+	if l := validAmount(m.Latency); l > 0 && l < maxLatency && validAmount(m.LatencyInFlight) > 0 {
+		s.latency, s.latencyInFlight, s.latencyAt = l, m.LatencyInFlight, b.now-validAge(m.SampledAgo)-age
+	}
+	if m.ReportedAgo > 0 {
+		s.reportedInFlight, s.reportedAt = validAmount(m.ReportedInFlight), b.now-validAge(m.ReportedAgo)-age
+	}
+	s.flapPenalty, s.flapPenaltyAt = min(validAmount(m.FlapPenalty), maxPenaltyMultiple*b.tuning.SuppressLimit), b.now-age
+	if left := min(m.DampedFor, dampingDuration) - age; left > 0 {
+		s.dampedUntil = b.now + left
+	}
+	known := m.Outlier
+	known.Classes = nil
+	for _, l := range m.Outlier.Classes {
+		if l.Class >= 0 && l.Class < len(classes) && b.classes[classes[l.Class].Name] != nil {
+			l.Class = b.classes[classes[l.Class].Name].index
+			known.Classes = append(known.Classes, l)
+		}
+	}
+	b.detector.Restore(b.now, s.outlier, known, age)
+	if s.wasDown = s.outlier.IsEjected(); s.wasDown {
+		s.slowStart.Start(b.now, 1) // the first probe request is sent at once: it may serve by now
+	}
+	if m.RecoveredAgo > 0 {
+		s.recoveredAt = max(b.now-validAge(m.RecoveredAgo)-age, 1)
+	}
+}
+
+// remaining is the weight of something that has that age, from 1 down to 0.
+func remaining(age, halfLife time.Duration) float64 {
+	return math.Exp2(-float64(age) / float64(halfLife))
+}
+
+// blend is a restored value with its weight, the rest being another's.
+func blend(weight, restored, other float64) float64 {
+	return weight*validAmount(restored) + (1-weight)*other
+}
+
+// decayed keeps the latency and lowers the number of samples, so that the next ones count for more: any other
+// guess at the latency would be worse.
+func (m BaselineSnapshot) decayed(weight float64) baselineLatency {
+	l := baselineLatency{seconds: validAmount(m.Latency), samples: math.Floor(weight * min(validAmount(m.Samples), maxSamples))}
+	if l.seconds == 0 || l.seconds > maxLatency || l.samples < 1 {
+		return baselineLatency{}
+	}
+	return l
+}
+
+// validAmount is zero for a value that is not positive, or too large to be true.
+func validAmount(v float64) float64 {
+	if !(v > 0) || v > maxAmount {
+		return 0
+	}
+	return v
+}
+
+// validAge is a time that has passed, at most a year.
+func validAge(d time.Duration) time.Duration { return min(max(d, 0), maxAge) }
--- a/internal/balancer/place_test.go
+++ b/internal/balancer/ringassignment_test.go
@@ -11,47 +11,46 @@
 	"dunestep/internal/balancer/ring"
 )
 
-// Days by a generation that gives each server the usual points are the days without; those by other generations
-// keep the rules.
-func TestPlaceOnRandomEvents(t *testing.T) {
+// An assignment that gives each server the usual points changes nothing; with others the rules hold.
+func TestRingAssignmentOnRandomEvents(t *testing.T) {
 	outside := 0
 	for seed := range uint64(20) {
 		usual := &RingAssignment{Generation: 1, Points: map[string]int{}}
-		for _, s := range list(8) {
+		for _, s := range serverList(8) {
 			usual.Points[s.ID] = pointsPerServer
 		}
-		var days [2][]Action
+		var actions [2][]Action
 		for i, p := range []*RingAssignment{nil, usual} {
-			days[i] = play(t, seed, func(*Settings) {}, func(w *world, _ int) {
-				w.b.lowestBaseline, w.b.slowStartSaturated = 0, w.b.slowStart // paces move keys by listed size alone, and points bound cold ones
+			actions[i] = simulate(t, seed, func(*Settings) {}, func(w *simulation, _ int) {
+				w.b.lowestBaseline, w.b.slowStartSaturated = 0, w.b.slowStart // without an assignment, baselines move keys and slow start is bounded by the budget alone
 				w.b.SetRingAssignment(p)
 			})
 		}
-		require.True(t, reflect.DeepEqual(days[0], days[1]), "seed %d", seed)
-		play(t, seed, func(*Settings) {}, func(w *world, n int) {
+		require.True(t, reflect.DeepEqual(actions[0], actions[1]), "seed %d", seed)
+		simulate(t, seed, func(*Settings) {}, func(w *simulation, n int) {
 			if n%50 == 0 {
-				w.placed = &RingAssignment{Generation: uint64(n), Points: map[string]int{"none": 100}}
+				w.assignment = &RingAssignment{Generation: uint64(n), Points: map[string]int{"none": 100}}
 				for i := range 8 {
-					w.placed.Points[fmt.Sprint("s", i)] = max(w.rng.IntN(300)-150, -1)
+					w.assignment.Points[fmt.Sprint("s", i)] = max(w.rng.IntN(300)-150, -1)
 				}
-				w.b.SetRingAssignment(w.placed)
+				w.b.SetRingAssignment(w.assignment)
 			}
 		})
-		w := &world{}
-		play(t, seed, func(*Settings) {}, func(got *world, n int) {
+		w := &simulation{}
+		simulate(t, seed, func(*Settings) {}, func(got *simulation, n int) {
 			if w = got; n%500 == 0 {
-				w.placed = &RingAssignment{Points: map[string]int{fmt.Sprint("s", n/500): 20}}
-				w.b.SetRingAssignment(w.placed)
+				w.assignment = &RingAssignment{Points: map[string]int{fmt.Sprint("s", n/500): 20}}
+				w.b.SetRingAssignment(w.assignment)
 			}
 		})
 		outside += w.outside
 	}
-	require.Greater(t, outside, 100, "attempts at others while a generation left none")
+	require.Greater(t, outside, 100, "attempts at others while an assignment left none")
 }
 
-// judgePlace holds an attempt to the own list, whatever the generation says, and counts those outside it.
-func (w *world) judgePlace(to string) {
-	if w.placed == nil || w.placed.Points[to] > 0 {
+// checkAssignment checks an attempt against the own list, whatever the assignment says, and counts those outside it.
+func (w *simulation) checkAssignment(to string) {
+	if w.assignment == nil || w.assignment.Points[to] > 0 {
 		return
 	}
 	w.outside++
@@ -60,13 +59,13 @@
 	}
 }
 
-// Points are as agreed, whatever the listed sizes; what the own list takes out is passed over at once, what it
-// does not name is not known by being agreed on, and what is not agreed on gets nothing.
-func TestPlace(t *testing.T) {
-	servers := list(5)
+// Points are as assigned, whatever the listed weights; what the own list takes out is skipped at once, what it does not name is
+// not known by being assigned, and what is not assigned gets nothing.
+func TestRingAssignment(t *testing.T) {
+	servers := serverList(5)
 	servers[1].Weight = 0.1
-	b := start(t, settings(), servers)
-	owned := func() map[string]int {
+	b := newStarted(t, testSettings(), servers)
+	requestsByServer := func() map[string]int {
 		n := map[string]int{}
 		for i := range 2000 {
 			id := uint32(b.now)
@@ -76,69 +75,69 @@
 		}
 		return n
 	}
-	require.Less(t, owned()["s1"], 120, "a small one")
+	require.Less(t, requestsByServer()["s1"], 120, "a light one")
 	p := &RingAssignment{Generation: 7, Points: map[string]int{"s0": 100, "s1": 200, "s2": 100, "s3": 0, "unlisted": 100}}
 	b.SetRingAssignment(p)
-	n := owned()
+	n := requestsByServer()
 	require.InDelta(t, 1000, n["s1"], 150)
 	require.InDelta(t, 500, n["s0"], 150)
 	require.Len(t, n, 3)
 	require.Len(t, b.outsideRing.Members(), 2)
 	b.Step(b.now+ms, &ServerListUpdate{Servers: []Server{{ID: "s1", State: Draining}, {ID: "s2", State: Gone}}})
-	require.Equal(t, map[string]int{"s0": 2000}, owned())
+	require.Equal(t, map[string]int{"s0": 2000}, requestsByServer())
 	require.Len(t, b.ring.Members(), 3)
 	b.Step(b.now+ms, &ServerListUpdate{Servers: []Server{{ID: "s0", State: Gone}}})
-	n = owned()
-	require.Len(t, n, 2, "the generation leaves none: by the own list")
+	n = requestsByServer()
+	require.Len(t, n, 2, "the assignment leaves none: by the own list")
 	require.NotZero(t, n["s3"])
 	require.NotZero(t, n["s4"])
 	b.Step(b.now+ms, &ServerListUpdate{Kind: UpdateFull, Servers: servers})
 	require.Equal(t, 200, b.servers["s1"].ringPlace.Points(), "it leaves some again")
 	b.SetRingAssignment(nil)
-	require.Less(t, owned()["s1"], 120)
+	require.Less(t, requestsByServer()["s1"], 120)
 }
 
-// Where all servers of a generation are down, the others are sent to within a round, until one is back.
-func TestPlaceLeavesNoneUp(t *testing.T) {
-	b := start(t, settings(), list(8))
+// Where all servers of an assignment are down, the others get requests within a round, until one is back.
+func TestRingAssignmentIsIgnoredWhileAllItsServersAreDown(t *testing.T) {
+	b := newStarted(t, testSettings(), serverList(8))
 	b.SetRingAssignment(&RingAssignment{Generation: 5, Points: map[string]int{"s0": 100, "s1": 50}})
 	require.Len(t, b.outsideRing.Members(), 6)
-	b.turn(b.servers["s0"], true)
+	b.repeatOutcome(b.servers["s0"], ConnectFailed)
 	b.Step(b.now+time.Second, &TimerDue{Tag: timerRound})
 	require.Len(t, b.outsideRing.Members(), 6)
-	b.turn(b.servers["s1"], true)
+	b.repeatOutcome(b.servers["s1"], ConnectFailed)
 	b.Step(b.now+time.Second, &TimerDue{Tag: timerRound})
 	require.Empty(t, b.outsideRing.Members())
 	require.Equal(t, pointsPerServer, b.servers["s1"].ringPlace.Points())
-	b.turn(b.servers["s1"], false)
+	b.repeatOutcome(b.servers["s1"], Served)
 	acts := b.Step(b.now+time.Second, &TimerDue{Tag: timerRound})
 	require.Len(t, b.outsideRing.Members(), 6)
-	require.Contains(t, find(acts, Log).Text, "generation 5 of the ring holds again")
+	require.Contains(t, findAction(acts, Log).Text, "ring assignment 5 applied again")
 }
 
-// A server outside the generation gets what those in it can't take. While these are full it is asked first if it
-// is cold, and then as often as a cold server's part is.
-func TestPlaceNewcomers(t *testing.T) {
+// A server outside the assignment gets what the others can't take. While warm servers are saturated it is preferred if it is
+// in slow start, and then gets a slow-start part.
+func TestServersOutsideTheAssignment(t *testing.T) {
 	for _, c := range []struct {
-		name             string
-		busy, full, cold bool
-		least, most      int // of 100 requests, each at another key
+		name                      string
+		busy, saturated, starting bool
+		least, most               int // of 100 requests, each at another key
 	}{
-		{"room", false, false, false, 0, 0},
-		{"no room", true, false, false, 100, 100},
-		{"no room, and cold", true, false, true, 5, 60},
-		{"full, and warm", false, true, false, 0, 0},
-		{"full, and cold", false, true, true, 5, 60},
+		{"capacity", false, false, false, 0, 0},
+		{"no capacity", true, false, false, 100, 100},
+		{"no capacity, and in slow start", true, false, true, 5, 60},
+		{"saturated, and warm", false, true, false, 0, 0},
+		{"saturated, and in slow start", false, true, true, 5, 60},
 	} {
-		b := start(t, settings(), list(2))
+		b := newStarted(t, testSettings(), serverList(2))
 		b.sendRate = 100
 		started := time.Duration(0)
-		if c.cold {
+		if c.starting {
 			started = time.Minute
 		}
 		b.Step(time.Minute, &ServerListUpdate{Servers: []Server{{ID: "new", Zone: "z0", Weight: 1, StartedAt: started}}})
 		b.SetRingAssignment(&RingAssignment{Points: map[string]int{"s0": 100, "s1": 100}})
-		b.SetWarmServersSaturated(c.full)
+		b.SetWarmServersSaturated(c.saturated)
 		got := 0
 		for i := range 100 {
 			if c.busy {
@@ -148,7 +147,7 @@
 			}
 			id := uint32(i + 1)
 			acts := b.Step(b.now+10*ms, &Request{ID: id, Class: "safe", Key: fmt.Sprint("key", i), ClientTimeout: time.Second})
-			if a := find(acts, Send); a != nil {
+			if a := findAction(acts, Send); a != nil {
 				if a.Server == "new" {
 					got++
 				}
@@ -160,15 +159,15 @@
 	}
 }
 
-// A crowded owner counts by its points among the three that are looked at for one with room, so that smaller ones are
-// no end of the search. With equal points, and without a generation, each counts for one.
-func TestPlaceLooksOnByPoints(t *testing.T) {
-	for small, most := range map[int]int{0: 3, 200: 3, 150: 4, 100: 6, 20: 30} {
-		b := start(t, settings(), list(9))
-		if small > 0 {
+// A saturated owner counts by its points among the three that are looked at for one with capacity, so that light ones do not
+// end the search. With equal points, and without an assignment, each counts for one.
+func TestSaturatedOwnersCountByPoints(t *testing.T) {
+	for points, scanned := range map[int]int{0: 3, 200: 3, 150: 4, 100: 6, 20: 30} {
+		b := newStarted(t, testSettings(), serverList(9))
+		if points > 0 {
 			p := &RingAssignment{Points: map[string]int{}}
-			for _, s := range list(9) {
-				p.Points[s.ID] = small
+			for _, s := range serverList(9) {
+				p.Points[s.ID] = points
 			}
 			p.Points["s0"] = 200
 			b.SetRingAssignment(p)
@@ -189,13 +188,13 @@
 				before++
 				return s.ID != "s0"
 			})
-			if before <= most {
+			if before <= scanned {
 				owner = "s0"
 				found++
 			}
 			id := uint32(i + 1)
 			a := mustSend(t, b.Step(b.now, &Request{ID: id, Class: "safe", Key: key, ClientTimeout: time.Second}))
-			require.Equal(t, owner, a.Server, "%d points, and %d owners on the way", small, before)
+			require.Equal(t, owner, a.Server, "%d points, and %d owners on the way", points, before)
 			b.Step(b.now, &AttemptDone{ID: id, Server: a.Server, Outcome: Canceled, RequestDone: true})
 		}
 		require.NotZero(t, found)
--- a/internal/balancer/sparse_test.go
+++ b/internal/balancer/sparse_test.go
@@ -8,11 +8,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// sparseFleet plays so many balancers of a few requests a second at once, each with a key of its own or, one
-// time in so many, the popular one. It returns what each server was sent.
-func sparseFleet(t *testing.T, balancers, servers, popular int) map[string]int {
+// simulateSparseFleet runs so many balancers of a few requests a second, each with random keys and, one time in so many, the
+// popular one. It returns how many requests each server was sent.
+func simulateSparseFleet(t *testing.T, balancers, servers, popular int) map[string]int {
 	t.Helper()
-	set := settings()
+	set := testSettings()
 	set.Balancers = balancers
 	set.Classes[0].Idempotency = Idempotent
 	sent, rng := map[string]int{}, rand.New(rand.NewPCG(1, 2))
@@ -20,7 +20,7 @@
 		set.Self = n
 		b, err := New(set, uint64(n))
 		require.NoError(t, err)
-		b.Step(0, &ServerListUpdate{Kind: UpdateFull, Servers: list(servers)})
+		b.Step(0, &ServerListUpdate{Kind: UpdateFull, Servers: serverList(servers)})
 		for i := range 200 {
 			now := time.Duration(i) * 100 * ms
 			b.Step(now, &TimerDue{Tag: timerRound})
@@ -29,7 +29,7 @@
 				key = "popular"
 			}
 			id := uint32(i + 1)
-			a := find(b.Step(now, &Request{ID: id, Key: key, Class: set.Classes[0].Name, ClientTimeout: time.Second}), Send)
+			a := findAction(b.Step(now, &Request{ID: id, Key: key, Class: set.Classes[0].Name, ClientTimeout: time.Second}), Send)
 			if a == nil {
 				continue
 			}
@@ -43,11 +43,10 @@
 	return sent
 }
 
-// With very many balancers of few requests each, a key that a third of them is about does not drown its
-// owner, though none of them ever has more than one request in flight there: they had all of it at the
-// owner before.
+// With very many balancers of few requests each, a popular key does not overload its owner, though none of them ever has more
+// than one request in flight there.
 func TestPopularKeyOfManySparseBalancers(t *testing.T) {
-	sent := sparseFleet(t, 100, 40, 3)
+	sent := simulateSparseFleet(t, 100, 40, 3)
 	for id, n := range sent {
 		require.LessOrEqual(t, n, 100*200/40*3/2, id)
 	}
--- /dev/null
+++ b/internal/balancer/timers.go
@@ -0,0 +1,64 @@
+package balancer
+
+import (
+	"maps"
+	"math"
+	"time"
+)
+
+// A timer's tag is a request's id, or zero, above two bits that say what the timer is for.
+const (
+	timerRound = iota // the round ends
+	timerRetry        // a waiting request goes on
+	timerPoll         // discovery is called again
+
+	timerPurposeBits = 2
+)
+
+// roundInterval is the length of a round, after which rates and verdicts are brought up to date.
+const roundInterval = time.Second
+
+func (b *Balancer) setTimer(after time.Duration, id uint32, purpose uint64) {
+	b.emit(Action{Kind: SetTimer, After: after, Tag: uint64(id)<<timerPurposeBits | purpose})
+}
+
+func (b *Balancer) onTimer(tag uint64) {
+	r := b.requests[uint32(tag>>timerPurposeBits)]
+	switch purpose := tag & (1<<timerPurposeBits - 1); {
+	case purpose == timerRound && b.started:
+		b.endRound()
+	case purpose == timerPoll:
+		b.pollScheduled = false
+		if b.discovery.IsMissingChanges() { // else a call has brought updates meanwhile, as after a change of address
+			b.pollDiscovery()
+		}
+	case r == nil || r.closed:
+	case purpose == timerRetry && r.waiting && b.now >= max(r.waitUntil, r.notBefore):
+		r.waiting = false
+		b.route(r)
+	}
+}
+
+// endRound brings verdicts, rates and weights up to date and starts the next round.
+func (b *Balancer) endRound() {
+	b.setTimer(roundInterval, 0, timerRound)
+	b.detector.EndRound()
+	for _, s := range b.ring.Members() {
+		b.onOutlierChange(s, b.detector.Reevaluate(b.now, s.outlier), nil)
+		b.countFlap(s)
+	}
+	b.updateSendRate()
+	b.falseProbeFraction *= math.Exp2(-float64(roundInterval) / float64(flapPenaltyHalfLife)) // probing resumes after a while
+	if mean, tell := b.quotas.EndRound(); tell {
+		b.gossip(encodeRateMessage(mean))
+	}
+	maps.DeleteFunc(b.blamedKeys, func(_ uint32, k *blamedKey) bool { return k.hasExpired(b.now) })
+	b.forgetGoneServers()
+	b.reviewAssignment()
+	b.updateWeights()
+	b.updateDetector()
+	b.logDistrust()
+	if b.pollAgainAt > 0 && b.now >= b.pollAgainAt {
+		b.pollDiscovery()
+	}
+}
--- a/internal/balancer/zones.go
+++ b/internal/balancer/zones.go
@@ -1,16 +1,13 @@
 package balancer
 
-// Of a zone that is cut off a sparse balancer would learn server by server: package reach has it learn by
-// zone.
-
-// isZoneCutOff tells whether a server's zone is not reached while others are. With few balancers each knows its
-// servers soon enough by themselves.
+// isZoneCutOff reports whether a server's zone is unreachable while others are reached. A fleet of few balancers
+// knows its servers soon enough one by one.
 func (b *Balancer) isZoneCutOff(s *server) bool {
-	return b.zoneReach.IsUnreachable(s.Zone) && b.sparse()
+	return b.zoneReach.IsUnreachable(s.Zone) && b.Sparse()
 }
 
-// reached takes in what an attempt's end says of its server's zone. A refused connection says that the
-// machine is there, and comes at once: that server alone is left out.
+// observeZone records what an attempt's end says of its server's zone. A refused connection shows that the
+// machine is reachable, so it concerns that server alone.
 func (b *Balancer) observeZone(s *server, a *attempt, e *AttemptDone) {
 	switch {
 	case e.Evidence.LocalShortage:
--- a/internal/balancer/zones_test.go
+++ b/internal/balancer/zones_test.go
@@ -9,16 +9,16 @@
 	"dunestep/internal/balancer/outlier"
 )
 
-// One balancer of many finds out a zone that is cut off by a few requests, not by one at each of its servers,
-// tries it twice a second, and sends to it again once something of it is heard.
-func TestSparseBalancerLearnsOfCutZone(t *testing.T) {
-	set, members, zoneOf := settings(), list(60), map[string]string{}
+// One balancer of many detects an unreachable zone by a few requests, not by one at each of its servers, tries it twice a second,
+// and sends to it again once a server of it responds.
+func TestSparseBalancerDetectsUnreachableZone(t *testing.T) {
+	set, members, zoneOf := testSettings(), serverList(60), map[string]string{}
 	set.Balancers = 100
 	for _, s := range members {
 		zoneOf[s.ID] = s.Zone
 	}
-	const cut = "z1"
-	play := func(unheard Outcome) (lost, back int) {
+	const unreachable = "z1"
+	run := func(failure Outcome) (lost, back int) {
 		b, err := New(set, 1)
 		require.NoError(t, err)
 		b.Step(0, &ServerListUpdate{Kind: UpdateFull, Servers: members})
@@ -40,10 +40,10 @@
 					continue
 				}
 				e := AttemptDone{ID: id, Attempt: number, Server: a.Server, Outcome: Served, Latency: 50 * ms}
-				if number++; zoneOf[a.Server] == cut && off {
-					e.Outcome = unheard
+				if number++; zoneOf[a.Server] == unreachable && off {
+					e.Outcome = failure
 					lost++
-				} else if zoneOf[a.Server] == cut && now > 32*time.Second {
+				} else if zoneOf[a.Server] == unreachable && now > 32*time.Second {
 					back++
 				}
 				ends = append(ends, e)
@@ -55,19 +55,19 @@
 		}
 		return lost, back
 	}
-	lost, back := play(ConnectFailed)
+	lost, back := run(ConnectFailed)
 	t.Log(lost, back)
 	require.LessOrEqual(t, lost, 3+20*2, "three to learn it by, then two tries a second")
 	require.Greater(t, back, 20, "of 80 requests")
-	lost, back = play(TimedOut)
+	lost, back = run(TimedOut)
 	require.LessOrEqual(t, lost, 3+20*2)
 	require.Greater(t, back, 20)
 }
 
-func TestRefusedConnectsCutNoZone(t *testing.T) {
-	set, members := settings(), list(8)
+func TestRefusedConnectionsDoNotMakeAZoneUnreachable(t *testing.T) {
+	set, members := testSettings(), serverList(8)
 	set.Balancers = 100
-	b := start(t, set, members)
+	b := newStarted(t, set, members)
 	end := func(zone string, e AttemptDone) {
 		for _, s := range b.ring.Members() {
 			if s.Zone == zone {
