--- a/cmd/dunestep/window.go
+++ b/cmd/dunestep/window.go
@@ -47,7 +47,7 @@
 		ClockMargin: seconds(f.MarginS), MinNotice: seconds(f.NoticeS),
 		InForce: p.inForce,
 		View:    p.view,
-	}, agent.ReadClocks())
+	})
 	return p.windows.seat
 }
 
@@ -112,7 +112,10 @@
 		return
 	}
 	counts := p.windows.counts(strain)
-	actor.Do(ctx, func(_ *fleet.Node, now fleet.ClockReading) { p.windows.seat.AddCounts(now, counts, damps) })
+	actor.Do(ctx, func(_ *fleet.Node, now fleet.ClockReading) {
+		p.windows.seat.SetOverloaded(damps)
+		p.windows.seat.AddCounts(now, counts)
+	})
 }
 
 // counts are what came since it was last called; of the first call while something moves: nothing.
@@ -150,7 +153,7 @@
 		if w.Reason != "" {
 			level = slog.LevelWarn
 		}
-		slog.Log(context.Background(), level, "fleet: window", "id", w.ID, "state", w.State.String(),
+		slog.Log(context.Background(), level, "fleet: maintenance window changed state", "id", w.ID, "state", w.State.String(),
 			"nodes", w.Nodes, "tenants", w.Tenants, "from", local(unixTime(w.From)),
 			"to", local(unixTime(w.To)), "reason", w.Reason)
 	}
@@ -159,7 +162,7 @@
 			continue
 		}
 		if known[o.ID] = (toldOf{reason: o.Reason()}); p.windows.told[o.ID] != known[o.ID] {
-			slog.Info("fleet: window not accepted", "id", o.ID, "reason", o.Reason())
+			slog.Info("fleet: maintenance window rejected", "id", o.ID, "reason", o.Reason())
 		}
 	}
 	p.windows.told = known
@@ -233,7 +236,7 @@
 		if _, err := n.Propose(now, windowMachine, record, proposeWithin); err != nil {
 			return http.StatusServiceUnavailable, []byte(err.Error() + "\n")
 		}
-		slog.Info("fleet: window asked for", "id", call.ID, "nodes", w.Nodes, "tenants", w.Tenants)
+		slog.Info("fleet: maintenance window proposed", "id", call.ID, "nodes", w.Nodes, "tenants", w.Tenants)
 	}
 	return p.planned(policy.StatusUnknown.String(), now, w, err)
 }
@@ -304,7 +307,7 @@
 	if _, err := n.Propose(now, windowMachine, record, proposeWithin); err != nil {
 		return http.StatusServiceUnavailable, []byte(err.Error() + "\n")
 	}
-	slog.Info("fleet: window stopped by hand", "id", id)
+	slog.Info("fleet: stop of maintenance window proposed by operator", "id", id)
 	return answerJSON(http.StatusAccepted, windowOutcome{ID: id, End: policy.StatusUnknown.String()})
 }
 
--- a/internal/control/maintenance/search/search.go
+++ b/internal/control/maintenance/search/search.go
@@ -220,14 +220,15 @@
 		Now: at.Unix, PolicyVersion: 1, MinNotice: reading(from).Unix - at.Unix,
 		Window: &maintenance.Window{
 			ID: "w", Nodes: []string{"n"}, Tenants: []string{"east"}, Steps: 2,
-			From: reading(from).Unix, DrainedAt: reading(drained).Unix, ReturnFrom: reading(back).Unix, To: reading(to).Unix,
+			From: reading(from).Unix, DrainedAt: reading(drained).Unix, ReturnFrom: reading(back).Unix,
+			To: reading(to).Unix,
 		},
 	})
 	if err != nil {
 		panic(err) // of constants
 	}
 	w.log = s.agree(w.log, s.proposal(data))
-	council := maintenance.NewProposer(s.council(), at)
+	council := maintenance.NewProposer(s.council())
 	council.Learn(at, w.log.machine)
 	led := s.leads(council, s.asked(), false)
 	for _, p := range led.records {
@@ -249,7 +250,7 @@
 		w.agents[i] = a
 	}
 	for i := range s.set.Voters {
-		w.voters[i] = s.learns(maintenance.NewProposer(s.council(), at), w.log, s.asked(), 0)
+		w.voters[i] = s.learns(maintenance.NewProposer(s.council()), w.log, s.asked(), 0)
 	}
 	if s.set.Voters > 0 {
 		w.voters[0] = s.learns(led.council, w.log, s.asked(), 0)
@@ -324,7 +325,8 @@
 
 func (s *search) sums(c *maintenance.Proposer, now int) (all sums) {
 	for d := range all {
-		all[d] = maphash.Bytes(s.seed, c.Fingerprint(reading(now), most*step, maintenance.FingerprintDetail(d), nil))
+		fingerprint := c.Fingerprint(reading(now), most*step, maintenance.FingerprintDetail(d), nil)
+		all[d] = maphash.Bytes(s.seed, fingerprint)
 	}
 	return all
 }
--- /dev/null
+++ b/internal/fleet/gossip/replicator_test.go
@@ -0,0 +1,182 @@
+package gossip
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+	"pgregory.net/rapid"
+
+	"dunestep/internal/fleet/replica"
+	"dunestep/internal/simnet"
+)
+
+// TestLatencyAndCost bounds how long a record takes to reach all agents, and what an idle fleet sends: the table of
+// docs/design/fleet-spread.md.
+func TestLatencyAndCost(t *testing.T) {
+	for _, n := range []int{5, 50, 300, 1000} {
+		for _, loss := range []float64{0, 0.1, 0.3} {
+			l := newLab(uint64(n), n, faultsOf(loss), Settings{})
+			l.Run(l.Now() + 10*time.Second)
+			sent, bytes := sum(l.SentMessages), sum(l.SentBytes)
+			l.Run(l.Now() + 20*time.Second)
+			idle, idleBytes := float64(sum(l.SentMessages)-sent)/float64(20*n), float64(sum(l.SentBytes)-bytes)/float64(20*n)
+			require.Less(t, idle, 1.0)
+			require.Less(t, idleBytes, 150.0)
+			var took [3]time.Duration
+			sent = sum(l.SentMessages)
+			const commits = 3
+			for range commits {
+				l.commit(200)
+				begin := l.Now()
+				for i, count := range []int{(n + 1) / 2, (n*99 + 99) / 100, n} {
+					l.until(count, 30*time.Second)
+					took[i] = max(took[i], l.Now()-begin)
+				}
+				l.Run(begin + 5*time.Second)
+			}
+			extra := (float64(sum(l.SentMessages)-sent)/float64(n) - idle*5*commits) / commits
+			t.Logf("%4d agents, loss %2.0f%%: 50%% %v, 99%% %v, all %v; idle %.2f messages/s, %.0f bytes/s; a record %.1f "+
+				"messages an agent", n, loss*100, took[0], took[1], took[2], idle, idleBytes, extra)
+			require.Less(t, took[2], map[float64]time.Duration{0: time.Second, 0.1: time.Second, 0.3: 1200 * time.Millisecond}[loss])
+		}
+	}
+}
+
+// Under loss, delays, duplicates, cuts, pauses and restarts, each replica is a prefix of what was agreed; an agent that
+// reports that it has caught up has everything that was agreed before it started; and after the faults all agents catch up
+// soon.
+func TestReplicasUnderFaults(t *testing.T) {
+	for seed := range uint64(30) {
+		faults := simnet.Faults{
+			Loss: 0.2, Duplicate: 0.1, MinDelay: time.Millisecond, MaxDelay: 20 * time.Millisecond, Late: 0.1,
+			Lateness: 3 * time.Second,
+		}
+		l := newLab(seed, 20, faults, Settings{})
+		rng, startedAt := l.Rand(), make([]uint64, 20)
+		for at := l.Now(); at < time.Hour+30*time.Second; at += 100 * time.Millisecond {
+			l.At(at, func() {
+				if rng.IntN(2) == 0 {
+					l.commit([]int{10, 100, 5000}[rng.IntN(3)])
+				}
+				node, other := voters+rng.IntN(15), rng.IntN(20)
+				switch rng.IntN(20) {
+				case 0:
+					l.Pause(node, l.Now()+time.Duration(rng.Int64N(int64(5*time.Second))))
+				case 1, 2, 3, 4:
+					l.SetCut(node, other, rng.IntN(3) > 0)
+				case 5, 6, 7, 8:
+					l.SetCut(other, node, rng.IntN(3) > 0)
+				case 9:
+					l.restart(node)
+					startedAt[node] = l.truth.Last().Seq
+				}
+				for a := voters; a < 20; a++ {
+					state := l.agents[a].catchUp // several trusted agents may all be behind
+					if state.state == CaughtUp && state.hasVoterReply && l.logs[a].Last().Seq < startedAt[a] {
+						l.violation = "an agent reports that it has caught up, and has not"
+					}
+				}
+			})
+		}
+		l.Run(time.Hour + 30*time.Second)
+		l.Faults = faultsOf(0)
+		for i := range 400 {
+			l.SetCut(i/20, i%20, false)
+		}
+		l.Run(l.Now() + 5*time.Second) // pauses end
+		require.Less(t, l.until(20, 10*time.Second), 5*time.Second, "seed %d", seed)
+		require.Empty(t, l.violation, "seed %d", seed)
+	}
+}
+
+// A later epoch replaces the former one at every agent, also while it is empty, and by its snapshot. A replica that differs
+// in a record is reported, and neither changes.
+func TestLaterEpochAndDivergence(t *testing.T) {
+	for _, commits := range []int{0, 1, 130} {
+		l := newLab(1, 20, faultsOf(0.1), Settings{BytesPerSecond: 1 << 20})
+		for range 100 {
+			l.commit(100)
+		}
+		require.Less(t, l.until(20, time.Minute), 10*time.Second)
+		l.Pause(19, l.Now()+3*time.Second)
+		isInstalled, err := l.truth.Install(replica.InitialSnapshot(2))
+		require.True(t, isInstalled && err == nil)
+		l.sums = map[uint64]uint64{}
+		for v := range voters {
+			l.carryOut(v, l.agents[v].RecordsAdded(l.SteadyTime(v)))
+		}
+		for range commits {
+			l.commit(100)
+		}
+		require.Less(t, l.until(20, time.Minute), 15*time.Second, "%d records", commits)
+		require.Empty(t, l.violation)
+	}
+	var logs []*replica.Log
+	for _, data := range []string{"a", "b"} {
+		logs = append(logs, newLog(replica.Limits{}))
+		require.NoError(t, logs[len(logs)-1].Append(replica.Record{Seq: 1, Data: []byte(data)}))
+	}
+	require.NoError(t, logs[1].Append(replica.Record{Seq: 2}))
+	one, two := New(Settings{Agents: 2, Seed: 1}, logs[0], 0), New(Settings{Agents: 2, Self: 1, Seed: 1}, logs[1], 0)
+	before := logs[0].Last()
+	out := one.Step(0, 1, encode(kindDigest, two.ownDigest()))
+	require.False(t, out.HasDiverged, "a position that is ahead cannot be compared")
+	out = two.Step(0, 0, out.Messages[0].Data)
+	require.True(t, out.HasDiverged && out.DivergedFrom == 0)
+	s, _ := logs[1].Segment(2, 100)
+	out = one.Step(0, 1, encode(kindSegment, segment{
+		Epoch: 1, First: 2, PriorSum: s.PriorSum, Sum: s.Sum,
+		Records: s.Records, LastSeq: 2,
+	}))
+	require.True(t, out.HasDiverged)
+	require.Equal(t, before, logs[0].Last())
+}
+
+// Arbitrary bytes, and well-formed messages with false content, cause no panic, no record that does not follow, and no
+// memory beyond the bounds.
+func TestArbitraryMessages(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		log := newLog(replica.Limits{MaxRecords: 10, MaxRecordBytes: 5000, MaxSnapshotBytes: 5000})
+		s := New(Settings{Agents: 20, Self: 1, Voters: []int{0}, Seed: 1}, log, 0)
+		any64 := func(name string) uint64 {
+			return rapid.SampledFrom([]uint64{0, 1, 2, 1 << 63, 1<<64 - 1}).Draw(t, name)
+		}
+		size := func(name string) int {
+			return rapid.SampledFrom([]int{0, 1, 5, 4999, 5000, 5001, 1 << 62, -1}).Draw(t, name)
+		}
+		for i := range 60 {
+			data := rapid.SliceOfN(rapid.Byte(), 0, 2000).Draw(t, "data")
+			switch rapid.IntRange(0, 4).Draw(t, "kind") {
+			case 0:
+				data = encode(kindDigest, digest{
+					Epoch: any64("e"), Seq: any64("s"), Sum: any64("sum"),
+					Question: uint32(any64("ask")), AnswerTo: s.catchUp.question, Trusted: true,
+				})
+			case 1:
+				data = encode(kindPull, pull{
+					Epoch: any64("e"), Seq: any64("s"), Sum: any64("sum"), PartialSum: any64("c"),
+					Offset: size("o"),
+				})
+			case 2:
+				data = encode(kindSegment, segment{
+					Epoch: any64("e"), First: any64("f"), PriorSum: any64("p"), Sum: any64("a"),
+					Records: [][]byte{data}, LastSeq: any64("l"),
+				})
+			case 3:
+				data = encode(kindChunk, chunk{
+					Snapshot: rapid.Bool().Draw(t, "snap"), Epoch: any64("e"), Seq: any64("s"),
+					ItemBytes: size("size"), Offset: size("o"), Data: data, ItemSum: any64("c"), LastSeq: any64("l"),
+				})
+			}
+			now := time.Duration(i) * 100 * time.Millisecond
+			out := s.Step(now, rapid.IntRange(-1, 21).Draw(t, "from"), data)
+			require.LessOrEqual(t, len(out.Messages), 2)
+			s.Tick(now)
+			require.LessOrEqual(t, len(s.aheadPeers), maxAheadPeers)
+			require.LessOrEqual(t, cap(s.partial.data), 20000)
+			require.Greater(t, s.Next(), now-time.Second)
+			require.Zero(t, log.Last().Seq)
+		}
+	})
+}
--- a/internal/routing/day_test.go
+++ b/internal/routing/day_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"net/netip"
+	"reflect"
 	"slices"
 	"sort"
 	"time"
@@ -57,12 +58,14 @@
 // ear is the module that ships, with what it was told of, and what a test has it say besides.
 type ear struct {
 	*balancer.Balancer
-	heard []string
+	heard []balancer.Event // copies: the router uses some again
 	adds  func(balancer.Event) []balancer.Action
 }
 
 func (e *ear) Step(now time.Duration, ev balancer.Event) []balancer.Action {
-	e.heard = append(e.heard, fmt.Sprintf("%T%+v", ev, ev))
+	heard := reflect.New(reflect.TypeOf(ev).Elem())
+	heard.Elem().Set(reflect.ValueOf(ev).Elem())
+	e.heard = append(e.heard, heard.Interface().(balancer.Event))
 	acts := e.Balancer.Step(now, ev)
 	if e.adds != nil {
 		acts = append(acts, e.adds(ev)...)
--- a/internal/transport/upstream_crossings_test.go
+++ b/internal/transport/upstream_crossings_test.go
@@ -10,6 +10,7 @@
 	"testing"
 	"time"
 
+	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
 	"dunestep/internal/balancer"
@@ -22,7 +23,7 @@
 func tcpPair(t *testing.T) (u *UpstreamConn, bodies *BodyLimits, server *net.TCPConn) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer l.Close()
+	defer func() { _ = l.Close() }()
 	ours, err := net.Dial("tcp", l.Addr().String())
 	require.NoError(t, err)
 	c, err := l.Accept()
@@ -43,8 +44,8 @@
 }
 
 func reset(t *testing.T, c *net.TCPConn) {
-	require.NoError(t, c.SetLinger(0))
-	require.NoError(t, c.Close())
+	assert.NoError(t, c.SetLinger(0))
+	assert.NoError(t, c.Close())
 }
 
 // over waits until a connection without a step on it is known to have ended.
@@ -189,7 +190,7 @@
 				over(t, u)
 				if !told { // as if the goroutine that waits had not said so yet
 					u.mu.Lock()
-					u.broken = false
+					u.hasEnded = false
 					u.mu.Unlock()
 				}
 				_, reuse, err := u.RoundTrip(bounded(t), getStep)
@@ -242,7 +243,7 @@
 		_, _ = rest.Next() // until it is given up, once the wait is over
 		wrote <- nil
 	}()
-	first, whole := u.early(&UpstreamRequest{Rest: rest}, reply{UpstreamResponse: protocol.UpstreamResponse{Outcome: balancer.Served}}, wrote)
+	first, whole := u.resolveEarlyResponse(&UpstreamRequest{Rest: rest}, responseEvent{UpstreamResponse: protocol.UpstreamResponse{Outcome: balancer.Served}}, wrote)
 	require.True(t, whole, "it may have run")
 	require.NoError(t, first.err)
 	require.True(t, first.Close, "its connection was given up")
