--- a/internal/control/maintenance/lab/course.go
+++ b/internal/control/maintenance/lab/course.go
@@ -7,6 +7,7 @@
 
 	"dunestep/internal/control/maintenance"
 	"dunestep/internal/control/policy"
+	policylab "dunestep/internal/control/policy/lab"
 )
 
 // theme is what a week has more of than others.
@@ -195,7 +196,7 @@
 
 // scene jumps to a time, and plays so long. Agents wake up some seconds before what happens.
 func (l *Lab) scene(at, length time.Duration, trouble, first func()) {
-	l.Sleep(at)
+	l.PauseAll(at)
 	if first != nil {
 		first()
 	}
@@ -292,13 +293,13 @@
 	at := w.DrainedAt + margin + linger + time.Duration(l.Rand().Int64N(int64(5*time.Second)))
 	for n := range voters {
 		l.Stop(n)
-		l.At(at, func() { l.begin(n, true) })
+		l.At(at, func() { l.begin(n, policylab.StorageKept) })
 	}
 }
 
-func (l *Lab) begin(n int, keeps bool) {
+func (l *Lab) begin(n int, storage policylab.Storage) {
 	if l.Incarnation(n) == 0 {
-		l.Start(n, keeps)
+		l.Start(n, storage)
 	}
 }
 
@@ -309,7 +310,7 @@
 	case 0:
 		n := rng.IntN(voters)
 		if l.runs(n) {
-			l.Submit(n, l.Beside(n).(*part).EncodeStop(l.Reading(n), w.ID, "staff have had enough"))
+			l.SubmitApplicationRecord(n, l.Application(n).(*part).EncodeStop(l.Reading(n), w.ID, "staff have had enough"))
 		}
 	case 1, 2:
 		for range 4 {
@@ -326,8 +327,11 @@
 
 func (l *Lab) restart(n int, until time.Duration) {
 	l.Stop(n)
-	keeps := l.Rand().IntN(2) == 0
-	l.At(until, func() { l.begin(n, keeps) })
+	storage := policylab.StorageLost
+	if l.Rand().IntN(2) == 0 {
+		storage = policylab.StorageKept
+	}
+	l.At(until, func() { l.begin(n, storage) })
 }
 
 // atSteps has things go wrong right after one of a window's records: the leader ends, or an agent is cut off
@@ -354,7 +358,7 @@
 // heal has all run and reach each other.
 func (l *Lab) heal() {
 	for n := range voters + l.set.Agents {
-		l.begin(n, true)
+		l.begin(n, policylab.StorageKept)
 		for i := range voters + l.set.Agents {
 			l.SetCut(n, i, false)
 		}
--- a/internal/control/maintenance/lab/lab.go
+++ b/internal/control/maintenance/lab/lab.go
@@ -141,7 +141,7 @@
 	times := policy.Times{}.WithDefaults()
 	l.Lab = policylab.New(policylab.Setup{
 		Seed: set.Seed, Voters: voters, Agents: set.Agents, Begin: begin,
-		Times: times, LeadTime: 2 * time.Second, Beside: l.part,
+		Times: times, LeadTime: 2 * time.Second, NewApplication: l.part,
 		Faults: simnet.Faults{
 			Loss: 0.05, Duplicate: 0.05, MinDelay: time.Millisecond, MaxDelay: 20 * time.Millisecond,
 			Late: 0.02, Lateness: 3 * time.Second,
@@ -151,7 +151,7 @@
 		ClockError: 2*times.Terms.MaxClockError + time.Millisecond, Turns: turns,
 		LearnDelay: times.Terms.FenceWait(), Keys: set.Keys, ReportPeriod: 12 * time.Second,
 	})
-	l.Decided, l.OnBeside = l.decided, l.follow
+	l.Decided, l.OnApplicationRecord = l.decided, l.follow
 	for range set.Agents {
 		l.counts = append(l.counts, map[string]*maintenance.TenantCounts{})
 	}
@@ -170,7 +170,7 @@
 func server(i int) string { return fmt.Sprint("s", i) }
 
 // part makes what stands beside the policy in a process.
-func (l *Lab) part(n int, now lease.ClockReading) policylab.Beside {
+func (l *Lab) part(n int, now lease.ClockReading) policylab.Application {
 	set := maintenancelog.Settings{
 		Self: n, IsVoter: n >= 0 && n < voters, Incarnation: uint64(now.Mono) + 1, MachineNumber: 2,
 		Turns: turns, MaxInFlight: linger, ClockMargin: margin, InForce: func() uint64 { return l.inForce(n) },
@@ -201,13 +201,13 @@
 	if n < 0 {
 		return l.State().InForce.Number
 	}
-	return l.Machine(n).State().InForce.Number
+	return l.StateMachine(n).State().InForce.Number
 }
 
 // view is what a voter's process sees.
 func (l *Lab) view(n int) maintenance.LeaderView {
-	v := maintenance.LeaderView{InForce: l.inForce(n), ChangeOpen: l.Machine(n).State().OpenChange != nil}
-	v.Standing, v.Active = l.Acting(n)
+	v := maintenance.LeaderView{InForce: l.inForce(n), ChangeOpen: l.StateMachine(n).State().OpenChange != nil}
+	v.Standing, v.Active = l.Active(n)
 	v.Servers = l.nodes()
 	return v
 }
@@ -254,7 +254,7 @@
 }
 
 // windows are those that were agreed, with the states that were.
-func (l *Lab) windows() []*maintenance.Window { return l.Agreed().(*part).AgreedWindows() }
+func (l *Lab) windows() []*maintenance.Window { return l.AgreedApplication().(*part).AgreedWindows() }
 
 // learnContracts tells the judge those of a version that somebody acts on.
 func (l *Lab) learnContracts(act policy.Active) {
@@ -273,7 +273,7 @@
 	if standing == lease.Full {
 		l.leased[i] = now
 	}
-	p := l.Beside(n).(*part)
+	p := l.Application(n).(*part)
 	avoid := p.Exclusions(l.tamper(i, now, &act), standing, act)
 	if l.theme == older && i == 0 {
 		avoid = nil
@@ -430,7 +430,7 @@
 }
 
 func (l *Lab) known(id string) bool {
-	return l.Agreed().(*part).Outcome(id).Status != policy.StatusUnknown
+	return l.AgreedApplication().(*part).Outcome(id).Status != policy.StatusUnknown
 }
 
 // propose has one node that holds a lease ask. Where it does not fit, it asks for the next time that it is
@@ -440,11 +440,11 @@
 	if !l.runs(n) {
 		return true
 	}
-	standing, act := l.Acting(n)
+	standing, act := l.Active(n)
 	if standing != lease.Full || act.Mode != policy.ModeFull {
 		return true
 	}
-	p, now := l.Beside(n).(*part), l.Reading(n)
+	p, now := l.Application(n).(*part), l.Reading(n)
 	if l.set.Without == "notice" {
 		now.Unix -= maintenance.MinNotice
 	}
@@ -463,7 +463,7 @@
 		return false
 	}
 	if err == nil {
-		l.Submit(n, data)
+		l.SubmitApplicationRecord(n, data)
 	}
 	return true
 }
