--- a/internal/bodystream/flow_test.go
+++ b/internal/bodystream/stream_test.go
@@ -16,10 +16,10 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// Bodies of all lengths, in pieces of all sizes, brought and taken by two goroutines, ended in all ways: what is
-// taken is what came, from its beginning on; whole is told only of what is; never more memory than granted, and
-// none in the end.
-func TestFlow(t *testing.T) {
+// TestAnyTransfer: bodies of all lengths, in pieces of all sizes, written and read by two goroutines, ended in all ways:
+// what is read is what was written, from its beginning on; only a complete body is said to be one; never more memory than
+// granted, and none in the end.
+func TestAnyTransfer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pool := bytebudget.NewPool(1 << 20)
 		size := rapid.IntRange(0, 5*Chunk).Draw(t, "size")
@@ -28,30 +28,30 @@
 			body[i] = byte(i * i >> 3)
 		}
 		length := int64(size)
-		least := int64(2 * Chunk)
+		minBytes := int64(2 * Chunk)
 		if rapid.Bool().Draw(t, "announced") {
-			least = min(least, length)
+			minBytes = min(minBytes, length)
 		} else {
 			length = -1
 		}
-		grant, err := pool.Take(t.Context(), bytebudget.Holder{Name: "s-0"}, least)
+		grant, err := pool.Take(t.Context(), bytebudget.Holder{Name: "s-0"}, minBytes)
 		require.NoError(t, err)
-		most := least + rapid.SampledFrom([]int64{0, Chunk, 9 * Chunk}).Draw(t, "more")
-		f := New(length, grant, most)
-		broken, left := errors.New("broken"), errors.New("left")
-		breaks := rapid.IntRange(0, 2*size+1).Draw(t, "breaks")
-		leaves := rapid.IntRange(0, 2*size+1).Draw(t, "leaves")
+		maxBytes := minBytes + rapid.SampledFrom([]int64{0, Chunk, 9 * Chunk}).Draw(t, "more")
+		f := New(length, grant, maxBytes)
+		broken, abandoned := errors.New("broken"), errors.New("abandoned")
+		breaksAfter := rapid.IntRange(0, 2*size+1).Draw(t, "breaksAfter")
+		stopsAfter := rapid.IntRange(0, 2*size+1).Draw(t, "stopsAfter")
 		pieces := rapid.SliceOfN(rapid.IntRange(1, 2*Chunk), 4, 4).Draw(t, "pieces")
-		cut := rapid.Bool().Draw(t, "cut") // by a third
+		cut := rapid.Bool().Draw(t, "cut") // by a third goroutine
 		go func() {
 			for at := 0; at < size; {
-				if at >= breaks {
+				if at >= breaksAfter {
 					f.End(broken)
 					return
 				}
-				room, err := f.Room()
-				if err != nil {
-					f.End(err)
+				room, stopErr := f.Room()
+				if stopErr != nil {
+					f.End(stopErr)
 					return
 				}
 				n := copy(room[:min(len(room), pieces[at%4])], body[at:])
@@ -66,13 +66,13 @@
 			if b, err = f.Next(); err != nil {
 				break
 			}
-			require.LessOrEqual(t, pool.Used(), most)
+			require.LessOrEqual(t, pool.Used(), maxBytes)
 			n := min(len(b), pieces[len(got)%4])
 			got = append(got, b[:n]...)
 			f.Took(n)
-			if len(got) > leaves {
+			if len(got) > stopsAfter {
 				if cut {
-					f.Cut(left)
+					f.Cut(abandoned)
 				}
 				break
 			}
@@ -81,20 +81,20 @@
 		<-f.Over()
 		require.True(t, bytes.HasPrefix(body, got))
 		switch result := f.Result(); {
-		case result == io.EOF:
+		case errors.Is(result, io.EOF):
 			require.Len(t, got, size)
 			require.Equal(t, int64(size), f.Length())
-		case len(got) > leaves && cut && len(got) < size:
-			require.True(t, result == left || result == broken)
+		case len(got) > stopsAfter && cut && len(got) < size:
+			require.Contains(t, []error{abandoned, broken}, result)
 		default:
-			require.True(t, len(got) < size || len(got) > leaves || breaks <= size)
+			require.True(t, len(got) < size || len(got) > stopsAfter || breaksAfter <= size)
 		}
 		require.Zero(t, pool.Used())
 	})
 }
 
-// Guards against taking a slow client's time for the server's, and against a bringer that nobody wakes.
-func TestHeldUp(t *testing.T) {
+// TestStallOfTheReader: the time of a slow reader does not count as the writer's, and a writer that waits is woken.
+func TestStallOfTheReader(t *testing.T) {
 	pool := bytebudget.NewPool(1 << 20)
 	grant, err := pool.Take(t.Context(), bytebudget.Holder{Name: "s-0"}, Chunk)
 	require.NoError(t, err)
@@ -105,8 +105,8 @@
 	f.Came(len(room))
 	woken := make(chan error)
 	go func() {
-		_, err := f.Room()
-		woken <- err
+		_, stopErr := f.Room()
+		woken <- stopErr
 	}()
 	const wait = 30 * time.Millisecond
 	require.Eventually(t, func() bool { return f.Progress().HeldUp > wait }, 10*time.Second, time.Millisecond)
@@ -121,8 +121,8 @@
 	require.NoError(t, err)
 	f.Came(len(room))
 	go func() {
-		_, err := f.Room()
-		woken <- err
+		_, stopErr := f.Room()
+		woken <- stopErr
 	}()
 	stopped := make(chan struct{})
 	f.OnStop(func() { close(stopped) })
--- a/internal/bytebudget/budget_test.go
+++ b/internal/bytebudget/budget_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever is asked for and given back in whatever order: never more than the limit is granted (but to one who
-// is alone), no holder has all, what waits does not fit, every ask is granted in the end, each once.
+// TestBudget: whatever is reserved and released in whatever order, no more than the limit is granted (but to one who is
+// alone), no holder has everything, what waits is not allowed yet, and every reservation is granted in the end, once.
 func TestBudget(t *testing.T) {
 	type grant struct {
 		holder Holder
@@ -25,26 +25,26 @@
 		granted := func(tickets []Ticket) {
 			for _, ticket := range tickets {
 				g, ok := waiting[ticket]
-				require.True(t, ok, "granted, but does not wait")
+				require.True(t, ok, "granted, but was not waiting")
 				delete(waiting, ticket)
 				held = append(held, g)
 			}
 		}
-		giveBack := func(i int) {
+		release := func(i int) {
 			g := held[i]
 			held = append(held[:i], held[i+1:]...)
 			granted(b.Return(g.holder, g.size))
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"ask": func(t *rapid.T) {
+			"reserve": func(t *rapid.T) {
 				g := grant{
 					rapid.SampledFrom(holders).Draw(t, "holder"),
 					rapid.Int64Range(1, 1<<18).Draw(t, "size"),
 				}
-				before, answers := b.Used(), b.used-b.requests
+				before, responses := b.Used(), b.reserved-b.reservedByRequests
 				if ticket, ok := b.Ask(now, g.holder, g.size); ok {
 					held = append(held, g)
-					require.True(t, before == 0 || answers == 0 && !g.holder.Request || b.Used() <= limit)
+					require.True(t, before == 0 || responses == 0 && !g.holder.Request || b.Used() <= limit)
 				} else {
 					waiting[ticket] = g
 				}
@@ -53,13 +53,13 @@
 				g := grant{rapid.SampledFrom(holders[:2]).Draw(t, "holder"), rapid.Int64Range(1, 1<<18).Draw(t, "size")}
 				if b.Try(g.holder, g.size) {
 					held = append(held, g)
-					require.Empty(t, waiting, "those who wait go first")
+					require.Empty(t, waiting, "what waits goes first")
 					require.LessOrEqual(t, b.Used(), limit)
 				}
 			},
 			"return": func(t *rapid.T) {
 				if len(held) > 0 {
-					giveBack(rapid.IntRange(0, len(held)-1).Draw(t, "i"))
+					release(rapid.IntRange(0, len(held)-1).Draw(t, "i"))
 				}
 			},
 			"withdraw": func(t *rapid.T) {
@@ -78,31 +78,31 @@
 			"": func(t *rapid.T) {
 				now += time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "later"))
 				var sum int64
-				answers := 0
+				responses := 0
 				for _, g := range held {
 					sum += g.size
 					if !g.holder.Request {
-						answers++
+						responses++
 					}
 				}
 				require.Equal(t, sum, b.Used())
 				require.Equal(t, len(waiting), b.Waiting())
 				for _, g := range waiting {
-					require.NotZero(t, sum, "something fits where nothing is held")
-					require.True(t, g.holder.Request || answers > 0, "an answer waits for answers only")
+					require.NotZero(t, sum, "something is allowed where nothing is held")
+					require.True(t, g.holder.Request || responses > 0, "a response waits for responses only")
 				}
 			},
 		})
-		for len(held) > 0 { // with what is held given back, all that waits comes to its turn
-			giveBack(0)
+		for len(held) > 0 { // with what is held released, all that waits comes to its turn
+			release(0)
 		}
 		require.Empty(t, waiting)
 		require.Zero(t, b.Used())
 	})
 }
 
-// The small go first, a large one is overtaken only for its size's worth of time, and one holder is no hindrance
-// to the others.
+// TestBudgetOrder: the small go first, a large one is overtaken only for its size's worth of time, and one holder does not
+// hold up the others.
 func TestBudgetOrder(t *testing.T) {
 	const limit = 1 << 20
 	b := NewBudget(limit)
@@ -126,15 +126,16 @@
 	late := ask(101*time.Millisecond, "s-3", 9_000)
 	require.Equal(t, []Ticket{medium, large, late}, b.Return(Holder{Name: "s-1"}, 200_000))
 	require.Equal(t, []Ticket{capped}, b.Return(Holder{Name: "s-0"}, 10_000))
-	require.False(t, b.Try(Holder{Name: "s-4"}, 10_000), "the second half is not to be tried for")
+	require.False(t, b.Try(Holder{Name: "s-4"}, 10_000), "the second half cannot be tried for")
 	require.Empty(t, b.Return(Holder{Name: "s-1"}, 150_000))
 	require.False(t, b.Try(Holder{Name: "s-4"}, 10_000))
 	require.Empty(t, b.Return(Holder{Name: "s-0"}, 260_000))
 	require.True(t, b.Try(Holder{Name: "s-4"}, 10_000))
 }
 
-// No one client, server or kind of body can have all, and small requests find room beside large ones.
-func TestBudgetShares(t *testing.T) {
+// TestBudgetBounds: no client, server or kind of body can have everything, and small requests have capacity beside large
+// ones.
+func TestBudgetBounds(t *testing.T) {
 	const limit = 1 << 20
 	fill := func(b *Budget, h Holder, size int64) (n int64) {
 		for {
@@ -157,6 +158,7 @@
 	require.EqualValues(t, limit/2-limit/8, fill(b, Holder{"s-1", false}, 64<<10))
 }
 
+// TestPoolWaits: a goroutine waits for its grant until bytes are given back, or its context ends.
 func TestPoolWaits(t *testing.T) {
 	p := NewPool(1000)
 	first, err := p.Take(t.Context(), Holder{Name: "a"}, 800)
@@ -180,8 +182,8 @@
 	require.Zero(t, p.Used())
 }
 
-// Guards against an answer without a body that waits for memory which it does not need.
-func TestNothingIsGrantedAtOnce(t *testing.T) {
+// TestZeroBytesNeverWait: a body of no bytes does not wait for memory, however full the budget is.
+func TestZeroBytesNeverWait(t *testing.T) {
 	b := NewBudget(1000)
 	_, granted := b.Ask(0, Holder{Name: "s-0"}, 1000)
 	require.True(t, granted)
--- a/internal/bytebudget/pool.go
+++ b/internal/bytebudget/pool.go
@@ -10,27 +10,28 @@
 // ErrFull means that no memory for a body came free in time.
 var ErrFull = errors.New("no memory for a body came free in time")
 
-// Pool is a Budget for goroutines that wait for their grants.
+// Pool is a Budget for goroutines that wait for their grants. The goroutine that gives bytes back wakes those
+// whose reservations are granted by that.
 type Pool struct {
-	mu      sync.Mutex
-	budget  *Budget
-	began   time.Time
-	waiting map[Ticket]chan struct{}
+	mu        sync.Mutex
+	budget    *Budget
+	startedAt time.Time
+	waiting   map[Ticket]chan struct{}
 }
 
-// NewPool shares out limit bytes.
+// NewPool returns a Pool of limit bytes.
 func NewPool(limit int64) *Pool {
-	return &Pool{budget: NewBudget(limit), began: time.Now(), waiting: map[Ticket]chan struct{}{}}
+	return &Pool{budget: NewBudget(limit), startedAt: time.Now(), waiting: map[Ticket]chan struct{}{}}
 }
 
-// SetLimit changes how many bytes there are; what is granted stays so.
+// SetLimit changes the limit in bytes; what is granted stays granted.
 func (p *Pool) SetLimit(limit int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.wake(p.budget.SetLimit(limit))
 }
 
-// Limit is how many bytes there are.
+// Limit is the limit in bytes.
 func (p *Pool) Limit() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -44,7 +45,8 @@
 	return p.budget.Used()
 }
 
-// Grant is what one body may occupy. It is for one goroutine at a time; the zero Grant is of no bytes.
+// Grant is the memory that one body may occupy. It is for one goroutine at a time; the zero Grant is of no
+// bytes.
 type Grant struct {
 	pool   *Pool
 	holder Holder
@@ -52,20 +54,20 @@
 }
 
 // Take waits until the holder may have size bytes, or ctx ends: then the error is ErrFull. The caller must
-// hold no other grant, but that of a request whose answer it takes.
+// hold no other grant, except that of a request whose response it reads.
 func (p *Pool) Take(ctx context.Context, holder Holder, size int64) (Grant, error) {
 	g := Grant{pool: p, holder: holder, size: size}
 	p.mu.Lock()
-	ticket, granted := p.budget.Ask(time.Since(p.began), holder, size)
+	ticket, granted := p.budget.Ask(time.Since(p.startedAt), holder, size)
 	if granted {
 		p.mu.Unlock()
 		return g, nil
 	}
-	come := make(chan struct{})
-	p.waiting[ticket] = come
+	isGranted := make(chan struct{})
+	p.waiting[ticket] = isGranted
 	p.mu.Unlock()
 	select {
-	case <-come:
+	case <-isGranted:
 		return g, nil
 	case <-ctx.Done():
 	}
@@ -80,20 +82,20 @@
 	return Grant{}, ErrFull
 }
 
-// wake tells those whose asks were granted; mu is held.
+// wake wakes those whose reservations were granted; mu is held.
 func (p *Pool) wake(granted []Ticket) {
 	for _, t := range granted {
-		if come, ok := p.waiting[t]; ok {
-			close(come)
+		if isGranted, ok := p.waiting[t]; ok {
+			close(isGranted)
 			delete(p.waiting, t)
 		}
 	}
 }
 
-// Size is how many bytes the grant is of.
+// Size is the size of the grant in bytes.
 func (g *Grant) Size() int64 { return g.size }
 
-// Grow adds bytes to the grant if that keeps nobody waiting.
+// Grow adds size bytes to the grant, if that keeps nobody waiting, and tells whether it did.
 func (g *Grant) Grow(size int64) bool {
 	g.pool.mu.Lock()
 	defer g.pool.mu.Unlock()
@@ -104,7 +106,7 @@
 	return true
 }
 
-// Shrink gives all but size bytes back.
+// Shrink gives back all but size bytes.
 func (g *Grant) Shrink(size int64) {
 	if size >= g.size {
 		return
@@ -115,12 +117,12 @@
 	g.size = size
 }
 
-// Split takes size bytes out of the grant, as a grant of their own.
+// Split takes size bytes, or all there are, out of the grant, as a grant of their own.
 func (g *Grant) Split(size int64) Grant {
 	size = min(size, g.size)
 	g.size -= size
 	return Grant{pool: g.pool, holder: g.holder, size: size}
 }
 
-// Release gives all bytes back.
+// Release gives back all bytes.
 func (g *Grant) Release() { g.Shrink(0) }
--- a/internal/metrics/figures_test.go
+++ b/internal/metrics/counters_test.go
@@ -7,30 +7,30 @@
 	"pgregory.net/rapid"
 )
 
-// In any order of endings: all responses together are the operations that ended, active is what was taken less
-// that, no ending counts twice, and no more booking servers are avoided than are listed.
-func TestFigures(t *testing.T) {
+// TestCounters: in any order of endings, all responses together are the requests that ended, active is what was started
+// less that, no ending counts twice, and no more servers are ejected than are listed.
+func TestCounters(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := New([]string{"consult", "rezervare"})
 		var open []*Operation
-		taken, ended, tried := 0, map[Ending]int{}, 0
+		started, ended, attempts := 0, map[Ending]int{}, 0
 		classes := rapid.SampledFrom([]string{"consult", "rezervare"})
 		t.Repeat(map[string]func(*rapid.T){
-			"begin": func(t *rapid.T) { open = append(open, f.Begin(classes.Draw(t, "class"))); taken++ },
+			"begin": func(t *rapid.T) { open = append(open, f.Begin(classes.Draw(t, "class"))); started++ },
 			"end": func(t *rapid.T) {
 				if len(open) == 0 {
 					return
 				}
 				i := rapid.IntRange(0, len(open)-1).Draw(t, "i")
-				how := Ending(rapid.IntRange(0, int(endings)-1).Draw(t, "how"))
+				how := Ending(rapid.IntRange(0, int(endingCount)-1).Draw(t, "how"))
 				open[i].End(how)
 				open[i].End(OK) // counts for nothing
 				ended[how]++
 				open = append(open[:i], open[i+1:]...)
 			},
-			"try":   func(*rapid.T) { f.Tried(); tried++ },
-			"avoid": func(t *rapid.T) { f.SetAvoided(rapid.IntRange(0, 9).Draw(t, "n")) },
-			"pool": func(t *rapid.T) {
+			"attempt": func(*rapid.T) { f.Tried(); attempts++ },
+			"eject":   func(t *rapid.T) { f.SetAvoided(rapid.IntRange(0, 9).Draw(t, "n")) },
+			"endpoints": func(t *rapid.T) {
 				listed := rapid.IntRange(0, 9).Draw(t, "listed")
 				f.SetPool(Pool{Listed: listed, Banned: rapid.IntRange(0, listed).Draw(t, "banned")})
 			},
@@ -44,15 +44,15 @@
 				require.Len(t, r.Responses, 2, "classes without a request are there")
 				require.Equal(t, Counts{int64(ended[OK]), int64(ended[Shed]), int64(ended[Error]), int64(ended[Abandoned])}, sum)
 				require.EqualValues(t, len(open), r.Active)
-				require.EqualValues(t, taken, r.Active+sum.OK+sum.Shed+sum.Errors+sum.Abandoned)
-				require.EqualValues(t, tried, r.Tries)
+				require.EqualValues(t, started, r.Active+sum.OK+sum.Shed+sum.Errors+sum.Abandoned)
+				require.EqualValues(t, attempts, r.Tries)
 				require.LessOrEqual(t, r.Ejected, r.Listed)
 			},
 		})
 	})
 }
 
-// An operation of an unknown class is active while it lasts, and counted by no class.
+// TestUnknownClass: a request of an unknown class is active while it lasts, and counted by no class.
 func TestUnknownClass(t *testing.T) {
 	f := New([]string{"consult"})
 	o := f.Begin("nothing")
@@ -61,8 +61,8 @@
 	require.Equal(t, Reading{Responses: map[string]Counts{"consult": {}}}, f.Read())
 }
 
-// BenchmarkOperation is what counting costs for each request.
-func BenchmarkOperation(b *testing.B) {
+// BenchmarkRequest is what counting costs for each request.
+func BenchmarkRequest(b *testing.B) {
 	f := New([]string{"consult", "rezervare"})
 	b.ReportAllocs()
 	for b.Loop() {
