--- a/internal/transport/descriptors.go
+++ b/internal/transport/descriptors.go
@@ -79,7 +79,7 @@
 			return true
 		}
 		if !evict(evictAny) {
-			d.downstreamFull.warn("no file descriptor is free", "for", "a client")
+			d.downstreamFull.warn("no file descriptor is available", "for", "a client")
 			if !isFull {
 				d.reclaimIdle()
 			}
@@ -111,7 +111,7 @@
 	ok := d.core.AcquireUpstream()
 	d.mu.Unlock()
 	if !ok {
-		d.upstreamFull.warn("no file descriptor is free", "for", "an upstream server")
+		d.upstreamFull.warn("no file descriptor is available", "for", "an upstream server")
 		d.reclaimIdle()
 	}
 	return ok
