--- a/cmd/dunestep/answers_test.go
+++ b/cmd/dunestep/answers_test.go
@@ -92,7 +92,7 @@
 	if err != nil {
 		return idOf(step{Request: r}), got{err: err}
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
 	return idOf(step{Request: r}), got{resp.StatusCode, string(body), err}
 }
@@ -543,7 +543,7 @@
 		w.t.Error(err)
 		return
 	}
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	_ = c.(*net.TCPConn).SetReadBuffer(4 << 10)
 	_ = r.Write(c)
 	for {
@@ -616,7 +616,7 @@
 	r := w.request("consult", 60000)
 	c, err := net.Dial("tcp", w.addr)
 	require.NoError(t, err)
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	require.NoError(t, c.(*net.TCPConn).SetReadBuffer(16<<10))
 	require.NoError(t, r.Write(c))
 	w.until("held up", func() bool {
--- a/cmd/dunestep/commands_test.go
+++ b/cmd/dunestep/commands_test.go
@@ -22,7 +22,9 @@
 	c.Stdout, c.Stderr = &stdout, &stderr
 	err := c.Run()
 	if err != nil {
-		require.IsType(t, (*exec.ExitError)(nil), err)
+		var exit *exec.ExitError
+		require.ErrorAs(t, err, &exit)
+		require.Equal(t, error(exit), err)
 	}
 	return c.ProcessState.ExitCode(), stdout.String(), stderr.String()
 }
--- a/cmd/dunestep/confined_linux_amd64_test.go
+++ b/cmd/dunestep/confined_linux_amd64_test.go
@@ -42,7 +42,7 @@
 	require.NoError(t, err)
 	file, err := elf.Open(program)
 	require.NoError(t, err)
-	defer file.Close()
+	defer func() { _ = file.Close() }()
 	libraries, err := file.ImportedLibraries()
 	require.NoError(t, err)
 	require.Contains(t, libraries, "libc.so.6")
--- a/cmd/dunestep/fleet_test.go
+++ b/cmd/dunestep/fleet_test.go
@@ -19,8 +19,16 @@
 	"dunestep/internal/rehearsal/mishap"
 )
 
-// fleetLab is a lab whose agents take part in a fleet; the first three keep the log, in folders that last if lasts.
-func fleetLab(t *testing.T, agents int, lasts bool) *lab.Lab {
+// durability tells where voters of a test keep their log.
+type durability bool
+
+const (
+	inMemory  durability = false
+	inFolders durability = true
+)
+
+// fleetLab is a lab whose agents take part in a fleet, of which the first three are voters.
+func fleetLab(t *testing.T, agents int, keeps durability) *lab.Lab {
 	t.Helper()
 	t.Parallel()
 	program, err := plain()
@@ -28,7 +36,7 @@
 	folders := t.TempDir()
 	return lab.Open(t, lab.Options{Agents: agents, Program: program, Ops: true, Seed: 7, Shape: func(c *lab.Config) {
 		c.Operator = "[fleet]\non = true\nvoters = [0, 1, 2]\nlease_ms = 2000\nheard_ms = 500\n"
-		if lasts {
+		if keeps == inFolders {
 			folder := filepath.Join(folders, fmt.Sprint(c.Agent))
 			require.NoError(t, os.MkdirAll(folder, 0o700))
 			c.Operator += fmt.Sprintf("folder = %q\n", folder)
@@ -42,7 +50,7 @@
 	if err != nil {
 		return s
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	raw, _ := io.ReadAll(resp.Body)
 	_ = json.Unmarshal(raw, &s)
 	return s
@@ -85,8 +93,8 @@
 
 func out(id string) func(*lab.Agent, fleetStatus) bool {
 	return func(_ *lab.Agent, s fleetStatus) bool {
-		for _, o := range s.Orders {
-			if o.Server == id {
+		for _, o := range s.Commands {
+			if o.Endpoint == id {
 				return o.Down
 			}
 		}
@@ -97,7 +105,7 @@
 // A booking server that is taken out for the fleet gets nothing more at any agent once the command says so: also with
 // three datagrams in ten lost, doubled and late, and with an agent that was down meanwhile, when it comes back.
 func TestFleetOrder(t *testing.T) {
-	l := fleetLab(t, 5, false)
+	l := fleetLab(t, 5, inMemory)
 	ctx := t.Context()
 	require.NoError(t, l.StartAll(ctx))
 	require.NoError(t, l.Wait(ctx, "leases", all(l, full)))
@@ -111,8 +119,8 @@
 	for _, a := range l.Agents() {
 		require.True(t, out("s-0")(a, statusAt(a)), a.Name+" is ready and has it")
 		for i := range 20 {
-			_, body, err := a.Ask(ctx, "consult", fmt.Sprint("k", i))
-			require.NoError(t, err)
+			_, body, askErr := a.Ask(ctx, "consult", fmt.Sprint("k", i))
+			require.NoError(t, askErr)
 			require.NotContains(t, body, "s-0")
 		}
 	}
@@ -122,8 +130,8 @@
 	text, err = fleetCommand(t, l.Agent(4), "up", "s-0")
 	require.NoError(t, err, text)
 	require.NoError(t, l.Wait(ctx, "s-0 is back", func() bool {
-		_, body, err := l.Agent(0).Ask(ctx, "consult", fmt.Sprint(l.Now()))
-		return err == nil && strings.Contains(body, "s-0")
+		_, body, askErr := l.Agent(0).Ask(ctx, "consult", fmt.Sprint(l.Now()))
+		return askErr == nil && strings.Contains(body, "s-0")
 	}))
 	text, err = fleetCommand(t, l.Agent(1), "status")
 	require.NoError(t, err)
@@ -134,7 +142,7 @@
 // The leader is killed, and then one that leads is paused: another one leads, and what was agreed stays. The one that
 // was paused leads no more and has lost its lease when it goes on.
 func TestFleetLeaderKilledAndPaused(t *testing.T) {
-	l := fleetLab(t, 5, true)
+	l := fleetLab(t, 5, inFolders)
 	ctx := t.Context()
 	require.NoError(t, l.StartAll(ctx))
 	require.NoError(t, l.Wait(ctx, "leases", all(l, full)))
@@ -164,7 +172,7 @@
 	require.NoError(t, err, text)
 	second.Resume()
 	require.NoError(t, l.Wait(ctx, "it has lost its lease", func() bool {
-		return second.SaidSince(logged, "fleet: no lease holds") || second.SaidSince(logged, "leads the voters no more")
+		return second.SaidSince(logged, "fleet: lease lost") || second.SaidSince(logged, "this agent is no longer the leader")
 	}))
 	require.NoError(t, l.Wait(ctx, "all have both orders", all(l, func(a *lab.Agent, s fleetStatus) bool {
 		return full(a, s) && out("s-0")(a, s) && out("s-1")(a, s)
@@ -184,9 +192,9 @@
 // higher epoch, and all say so.
 func TestFleetAllKilled(t *testing.T) {
 	t.Parallel()
-	for _, lasts := range []bool{true, false} {
-		t.Run(fmt.Sprint("folders ", lasts), func(t *testing.T) {
-			l := fleetLab(t, 5, lasts)
+	for _, keeps := range []durability{inFolders, inMemory} {
+		t.Run(fmt.Sprint("folders ", keeps), func(t *testing.T) {
+			l := fleetLab(t, 5, keeps)
 			ctx := t.Context()
 			require.NoError(t, l.StartAll(ctx))
 			require.NoError(t, l.Wait(ctx, "leases", all(l, full)))
@@ -198,7 +206,7 @@
 			}
 			require.NoError(t, l.StartAll(ctx))
 			require.NoError(t, l.Wait(ctx, "leases again", all(l, func(a *lab.Agent, s fleetStatus) bool {
-				return full(a, s) && (s.Epoch == before.Epoch) == lasts && out("s-0")(a, s) == lasts
+				return full(a, s) && (s.Epoch == before.Epoch) == (keeps == inFolders) && out("s-0")(a, s) == (keeps == inFolders)
 			})))
 			require.Empty(t, l.EndAll())
 		})
@@ -208,7 +216,7 @@
 // One way between the leader and the others is cut, and a minority is cut off: nothing is agreed there, and what was
 // agreed elsewhere holds everywhere once the network is whole.
 func TestFleetCutOff(t *testing.T) {
-	l := fleetLab(t, 6, false)
+	l := fleetLab(t, 6, inMemory)
 	ctx := t.Context()
 	require.NoError(t, l.StartAll(ctx))
 	require.NoError(t, l.Wait(ctx, "leases", all(l, full)))
@@ -228,8 +236,8 @@
 		{From: apart, To: rest, Way: mishap.Way{Cut: true}},
 		{From: rest, To: apart, Way: mishap.Way{Cut: true}},
 	} {
-		end, err := l.Spoil(f)
-		require.NoError(t, err)
+		end, spoilErr := l.Spoil(f)
+		require.NoError(t, spoilErr)
 		defer end()
 	}
 	require.NoError(t, l.Wait(ctx, "the smaller part is on the floor", func() bool {
--- a/cmd/dunestep/fleetstarts_test.go
+++ b/cmd/dunestep/fleetstarts_test.go
@@ -43,20 +43,20 @@
 	return f
 }
 
-// count is how many attempts have come to a booking server.
-func (f *coldFleet) count(server int) int {
+// count is how many attempts the server got that starts again.
+func (f *coldFleet) count() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return len(f.came[server])
+	return len(f.came[coldOne])
 }
 
 // ownKeys finds keys that the booking server owns which starts again.
 func (f *coldFleet) ownKeys(n int) (own []string) {
 	for len(own) < n {
-		key, had := fmt.Sprintf("%x", rand.Uint64()), f.count(coldOne)
+		key, had := fmt.Sprintf("%x", rand.Uint64()), f.count()
 		status, _, err := f.Agent(0).Ask(f.t.Context(), "consult", key)
 		require.NoError(f.t, err)
-		if status == http.StatusOK && f.count(coldOne) > had {
+		if status == http.StatusOK && f.count() > had {
 			own = append(own, key)
 		}
 	}
@@ -104,8 +104,8 @@
 		}
 		return fmt.Sprintf("%x", rand.Uint64())
 	})
-	had := f.count(coldOne)
-	require.NoError(t, f.Wait(ctx, "its pace is known", func() bool { return f.count(coldOne) > had+2*agents*perS/4 }))
+	had := f.count()
+	require.NoError(t, f.Wait(ctx, "its pace is known", func() bool { return f.count() > had+2*agents*perS/4 }))
 	for _, a := range f.Agents()[:agents/2] {
 		a.Kill()
 	}
@@ -125,7 +125,7 @@
 	mu.Lock()
 	hot = true
 	mu.Unlock()
-	from, had := time.Now(), f.count(coldOne)
+	from, had := time.Now(), f.count()
 	require.NoError(t, f.Wait(ctx, "the windows are over", func() bool { return time.Since(from) > 2*coldWindow }))
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -192,7 +192,7 @@
 	var wait sync.WaitGroup
 	for n, a := range l.Agents() {
 		wait.Go(func() {
-			assert.NoError(t, a.Start(t.Context()))
+			assert.NoError(t, a.Start(t.Context())) //nolint:testifylint // require may not be called from another goroutine
 			took[n] = time.Since(began)
 		})
 	}
--- a/cmd/dunestep/fleetstates_test.go
+++ b/cmd/dunestep/fleetstates_test.go
@@ -14,7 +14,7 @@
 func TestStatesAreKeptWherePoliciesAreOff(t *testing.T) {
 	p := &fleetMember{}
 	set := fleet.Settings{Machines: []fleet.StateMachine{nil}}
-	p.keepStates(&set)
+	p.addStateMachines(&set)
 	require.Len(t, set.Machines, 4)
 	require.IsType(t, &policy.StateMachine{}, set.Machines[policyMachine])
 	for _, m := range set.Machines[policyMachine:] {
--- a/cmd/dunestep/golden_test.go
+++ b/cmd/dunestep/golden_test.go
@@ -205,7 +205,7 @@
 	for _, c := range []struct{ want, got []string }{
 		{
 			[]string{"connected", "unsaid", "deaf"},
-			[]string{connections[membership.Connected], connections[membership.Unconfirmed], connections[membership.Isolated]},
+			[]string{connectionWord(membership.Connected), connectionWord(membership.Unconfirmed), connectionWord(membership.Isolated)},
 		},
 		{[]string{"new", "floor", "full"}, words(lease.New, lease.Floor, lease.Full)},
 		{
@@ -229,7 +229,7 @@
 			words(raftlog.Seeking, raftlog.Learning, raftlog.Voting, raftlog.Leading, raftlog.Leaderless, raftlog.Stuck,
 				raftlog.Broken),
 		},
-		{[]string{"a policy takes hold: ask again in a moment", "fits"}, []string{takesHold, endFits}},
+		{[]string{"a policy takes hold: ask again in a moment", "fits"}, []string{reasonPolicyChanging, statusFits}},
 	} {
 		require.Equal(t, c.want, c.got)
 	}
--- a/cmd/dunestep/graphql.go
+++ b/cmd/dunestep/graphql.go
@@ -3,10 +3,8 @@
 import (
 	"errors"
 	"fmt"
-	"io"
 	"log/slog"
 	"net/netip"
-	"os"
 	"slices"
 	"strings"
 
@@ -17,14 +15,16 @@
 	"dunestep/internal/transport"
 )
 
-// maxTrusted bounds the file of trusted documents.
-const maxTrusted = 4 << 20
+// maxTrustedBytes bounds the file of trusted documents.
+const maxTrustedBytes = 4 << 20
 
-// listen opens the front socket, and the one for GraphQL where the operator wants it.
-func (s settings) listen(front *transport.Listener) error {
+var errTrustedTooLong = errors.New("the file is longer than 4 MiB")
+
+// listen opens the listening socket, and the one for GraphQL where the operator file asks for one.
+func (s settings) listen(l *transport.Listener) error {
 	g := s.operator.GraphQL
 	if g.Listen == "" {
-		return front.Listen(s.Listen, protocol.HTTP)
+		return l.Listen(s.Listen, protocol.HTTP)
 	}
 	form, err := s.graphQL()
 	if err != nil {
@@ -32,28 +32,29 @@
 	}
 	slog.Info("serving GraphQL", "listen", g.Listen, "path", g.Path)
 	if g.Listen == operator.OnFront {
-		return front.Listen(s.Listen, form.AtPath, protocol.HTTP)
+		return l.Listen(s.Listen, form.AtPath, protocol.HTTP)
 	}
 	addr, err := netip.ParseAddrPort(g.Listen)
-	if err == nil {
-		err = front.Listen(addr, form.Everywhere)
+	if err != nil {
+		return fmt.Errorf("operator file: graphql: listen: %w", err)
 	}
-	if err == nil {
-		err = front.Listen(s.Listen, protocol.HTTP)
+	if err := l.Listen(addr, form.Everywhere); err != nil {
+		return err
 	}
-	return err
+	return l.Listen(s.Listen, protocol.HTTP)
 }
 
-// graphQLProblems says where the problems of graphQL are.
+// graphQLProblems adds to the problems of graphQL where they are.
 func graphQLProblems(err error) error {
 	problems := operator.Problems(err)
-	for i, one := range problems {
-		problems[i] = fmt.Errorf("operator file: graphql: %w", one)
+	for i, problem := range problems {
+		problems[i] = fmt.Errorf("operator file: graphql: %w", problem)
 	}
 	return errors.Join(problems...)
 }
 
-// graphQL brings the operator's table together with the deployment's settings.
+// graphQL returns the form of GraphQL requests, by the operator file and the deployment's settings. The error joins all
+// problems.
 func (s settings) graphQL() (*protocol.GraphQL, error) {
 	g := s.operator.GraphQL
 	trusted, err := readTrusted(g.Trusted)
@@ -70,44 +71,43 @@
 			CacheBytes: int(g.CacheKB << 10), StoreBytes: int(g.StoreKB << 10),
 		},
 	})
-	first, _, _ := strings.Cut(g.Path[1:], "/")
-	taken := slices.ContainsFunc(s.Settings.Classes, func(c balancer.Class) bool { return c.Name == first })
-	if taken && g.Listen == operator.OnFront {
+	if g.Listen == operator.OnFront && s.isClassPath(g.Path) {
 		err = errors.Join(err, fmt.Errorf("path %s is that of a class on the front socket", g.Path))
 	}
 	form := &protocol.GraphQL{
 		Path: g.Path, Classer: classer, Classes: s.Settings.Classes,
 		DefaultTenant: g.TenantDefault,
 	}
-	for _, f := range []struct {
-		to   *protocol.Source
+	for _, source := range []struct {
+		into *protocol.Source
 		text string
 	}{{&form.Key, g.Key}, {&form.Tenant, g.Tenant}, {&form.Deadline, g.Deadline}, {&form.ID, g.ID}} {
-		var wrong error
-		*f.to, wrong = protocol.ParseSource(f.text)
-		err = errors.Join(err, wrong)
+		var parseErr error
+		*source.into, parseErr = protocol.ParseSource(source.text)
+		err = errors.Join(err, parseErr)
 	}
 	return form, err
 }
 
+// isClassPath tells whether the first part of a path names a class: plain requests have their class there.
+func (s settings) isClassPath(path string) bool {
+	first, _, _ := strings.Cut(path[1:], "/")
+	return slices.ContainsFunc(s.Settings.Classes, func(c balancer.Class) bool { return c.Name == first })
+}
+
 // readTrusted reads the file of trusted documents; without a path there are none.
 func readTrusted(path string) (map[string]string, error) {
 	if path == "" {
 		return nil, nil
 	}
-	f, err := os.Open(path)
+	raw, err := readBounded(path, maxTrustedBytes+1)
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
-	raw, err := io.ReadAll(io.LimitReader(f, maxTrusted+1))
-	if err == nil && len(raw) > maxTrusted {
-		err = errors.New("the file is longer than 4 MiB")
-	}
-	var documents map[string]string
-	if err == nil {
-		documents, err = graphql.ReadTrusted(raw)
+	if len(raw) > maxTrustedBytes {
+		return nil, fmt.Errorf("%s: %w", path, errTrustedTooLong)
 	}
+	documents, err := graphql.ReadTrusted(raw)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
--- a/cmd/dunestep/graphql_faults_test.go
+++ b/cmd/dunestep/graphql_faults_test.go
@@ -92,13 +92,18 @@
 	return strings.Replace(trouble.answer, "$", ok(s), 1)
 }
 
+// operationKind is the keyword of a GraphQL operation.
+type operationKind string
+
+const (
+	query    operationKind = "query"
+	mutation operationKind = "mutation"
+)
+
 // disguises are the ways in which an operation of a kind may come. Mutations come among queries, by name, through
 // fragments, in words that look like queries, by their hash, and in batches.
-func disguise(way int, mutation bool, token, other string) (body string) {
-	kind, field := "query", "slots"
-	if mutation {
-		kind, field = "mutation", "book"
-	}
+func disguise(way int, kind operationKind, token, other string) (body string) {
+	field := map[operationKind]string{query: "slots", mutation: "book"}[kind]
 	text := func(s string) string { raw, _ := json.Marshal(s); return string(raw) }
 	variables := fmt.Sprintf(`"variables":{"token":%q}`, token)
 	document := fmt.Sprintf(`%s Run($token: ID) { %s(token: $token) { id } }`, kind, field)
@@ -116,7 +121,7 @@
 	case 5: // a hash that nobody has seen with its document
 		return fmt.Sprintf(`{%s,"documentId":"sha256:%x"}`, variables, sha256.Sum256([]byte(token)))
 	case 6: // what is no GraphQL yet
-		return fmt.Sprintf(`{"query":%s,%s}`, text(kind+` { `+field+`! }`), variables)
+		return fmt.Sprintf(`{"query":%s,%s}`, text(string(kind)+` { `+field+`! }`), variables)
 	case 4:
 		return fmt.Sprintf(`[{"query":"{ slots }","variables":{"token":%q}},{"query":%s,%s}]`, other, text(document), variables)
 	}
@@ -154,9 +159,9 @@
 	}
 	for version, round := 100, 0; !l.done(target); round++ {
 		time.Sleep(400 * time.Millisecond)
-		version = w.deployOne(version, l.answer, round%3 == 2)
+		version = w.deployOne(version, l.answer, ending(round%3 == 2))
 		if round%4 == 1 {
-			w.restart(round%8 == 1)
+			w.restart(ending(round%8 == 1))
 		}
 	}
 	close(done)
@@ -204,7 +209,7 @@
 	n := w.ids.Add(2)
 	kind, prefix := rand.IntN(2), "qm"
 	token, other := fmt.Sprintf("%c-%d", prefix[kind], n), fmt.Sprintf("q-%d", n+1)
-	body := disguise(rand.IntN(8), kind == 1, token, other)
+	body := disguise(rand.IntN(8), []operationKind{query, mutation}[kind], token, other)
 	r, err := http.NewRequest(http.MethodPost, "http://"+w.graphQL+"/graphql", io.NopCloser(strings.NewReader(body)))
 	if err != nil {
 		return
@@ -226,13 +231,21 @@
 	}
 }
 
+// ending is how a process ends.
+type ending bool
+
+const (
+	drained ending = false
+	killed  ending = true
+)
+
 // deployOne replaces the oldest booking server: it drains and goes, or dies without a word and the list follows.
-func (w *world) deployOne(version int, answer func(step) string, dies bool) int {
+func (w *world) deployOne(version int, answer func(step) string, how ending) int {
 	old := w.servers[0]
 	next := newServer(w.t, fmt.Sprintf("s-%d", version))
 	next.set(answer)
 	w.servers = append(w.servers[1:], next)
-	if dies {
+	if how == killed {
 		old.stop()
 		time.Sleep(50 * time.Millisecond)
 	} else {
@@ -246,8 +259,8 @@
 }
 
 // restart ends the agent, by a kill or a drain, and starts it anew with the servers of now.
-func (w *world) restart(kill bool) {
-	if kill {
+func (w *world) restart(how ending) {
+	if how == killed {
 		_ = w.process.Process.Signal(syscall.SIGKILL)
 		await(w.t, w.exited)
 	} else {
--- a/cmd/dunestep/helper_test.go
+++ b/cmd/dunestep/helper_test.go
@@ -425,7 +425,7 @@
 	w.t.Helper()
 	resp, err := http.DefaultClient.Do(r)
 	require.NoError(w.t, err)
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
 	require.NoError(w.t, err)
 	return answer{resp.StatusCode, string(body), resp.Header}
--- a/cmd/dunestep/inherited_test.go
+++ b/cmd/dunestep/inherited_test.go
@@ -25,14 +25,14 @@
 	text := "format = 1\n[contracts.acme]\nzone = \"UTC\"\nhours = [\"mon-sun 00:00-24:00\"]\nkeep = 0.5\n[capacity]\nload = 0.3\n" +
 		"[floor]\nattempts = 1\n"
 	require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
-	d := opsDoor{w.ops}
+	d := opsClient{w.ops}
 	w.until("a lease", func() bool {
 		var s fleetStatus
-		return d.call(http.MethodGet, "/ops/fleet/status", "", &s) == nil && s.Standing == "full" && s.Ring.Acting > 0
+		return d.call(http.MethodGet, "/ops/fleet/status", "", &s) == nil && s.Standing == "full" && s.Ring.Active > 0
 	})
-	require.NoError(t, policyProposeCommand{opsDoor: d, File: file, Within: time.Second, Wait: patience}.Run())
-	require.NoError(t, windowAskCommand{windowWish: windowWish{
-		opsDoor: d, Node: []string{"s-0"}, Tenant: []string{"acme"},
+	require.NoError(t, policyProposeCommand{opsClient: d, File: file, Within: time.Second, Wait: patience}.Run())
+	require.NoError(t, windowAskCommand{windowFlags: windowFlags{
+		opsClient: d, Node: []string{"s-0"}, Tenant: []string{"acme"},
 		From: "+8s", To: "+20m", Pace: 1,
 	}, ID: "w", Wait: patience}.Run())
 	require.Eventually(t, func() bool {
--- a/cmd/dunestep/leaving_test.go
+++ b/cmd/dunestep/leaving_test.go
@@ -99,14 +99,18 @@
 		if rand.N(4) > 0 {
 			late = 0
 		}
-		conn, hears = c.exchange(conn, hears, late, rand.N(20) == 0)
+		query := ""
+		if rand.N(20) == 0 {
+			query = hanging
+		}
+		conn, hears = c.exchange(conn, hears, late, query)
 	}
 }
 
 // exchange sends a request, on a new connection where there is none, and once more where the close of the one
-// that there was has crossed it. Late is when its end comes; the booking server answers none that hangs. It
+// that there was has crossed it. Late is when its end comes; query is hanging where no response is wanted. It
 // returns the connection if that is still to be used.
-func (c *callers) exchange(conn *standin.Client, hears chan heard, late time.Duration, hangs bool) (*standin.Client,
+func (c *callers) exchange(conn *standin.Client, hears chan heard, late time.Duration, query string) (*standin.Client,
 	chan heard,
 ) {
 	const left = 2500
@@ -115,10 +119,7 @@
 	if n := rand.N(4); n > 0 {
 		class, method, body = "rezervare", "POST", long([]int{20, 60_000, 200_000}[n-1], id)
 	}
-	query, key := "", rand.N(1000)
-	if hangs {
-		query = hanging
-	}
+	key := rand.N(1000)
 	for used := conn != nil; ; used, query = false, query+again {
 		request := fmt.Appendf(nil, "%s /%s/%d?%s HTTP/1.1\r\nHost: backend.local\r\nX-Correlation-Id: %s\r\n"+
 			"X-Account: acme\r\nCookie: sid=%x\r\nX-Time-Left-Ms: %d\r\nContent-Length: %d\r\n\r\n%s",
@@ -260,7 +261,7 @@
 	told := time.Now()
 	time.Sleep(arriving * 3 / 4)
 	for range 4 { // they come late, and can't be answered before it ends
-		callers.wait.Go(func() { callers.exchange(nil, nil, killGrace, true) })
+		callers.wait.Go(func() { callers.exchange(nil, nil, killGrace, hanging) })
 	}
 	time.Sleep(time.Until(told.Add(arriving)))
 	callers.dials.Store(false)
--- a/cmd/dunestep/log.go
+++ b/cmd/dunestep/log.go
@@ -9,33 +9,35 @@
 	"dunestep/internal/operator"
 )
 
-// logging is the program's log, which the operator file may change while it runs.
+// logging is the program's log. The handler is never replaced; a reload may change its format and level.
 var logging = newLogHandler(os.Stderr)
 
-// logHandler writes the log in the form and from the level on that hold now.
+// logHandler writes the log in the format, and from the level on, that hold at that moment. It is safe for concurrent
+// use.
 type logHandler struct {
 	text, json slog.Handler
 	level      *slog.LevelVar
-	inJSON     *atomic.Bool
+	useJSON    *atomic.Bool
 }
 
 func newLogHandler(out *os.File) logHandler {
-	h := logHandler{level: &slog.LevelVar{}, inJSON: &atomic.Bool{}}
-	o := &slog.HandlerOptions{Level: h.level}
-	h.text, h.json = slog.NewTextHandler(out, o), slog.NewJSONHandler(out, o)
+	h := logHandler{level: &slog.LevelVar{}, useJSON: &atomic.Bool{}}
+	options := &slog.HandlerOptions{Level: h.level}
+	h.text, h.json = slog.NewTextHandler(out, options), slog.NewJSONHandler(out, options)
 	return h
 }
 
-// set takes over what an operator file says, which has been checked.
+// set applies an operator file's settings.
 func (h logHandler) set(l operator.Log) {
 	var level slog.Level
-	_ = level.UnmarshalText([]byte(l.Level))
+	_ = level.UnmarshalText([]byte(l.Level)) // the file's reader has checked it
 	h.level.Set(level)
-	h.inJSON.Store(l.Format == operator.JSON)
+	h.useJSON.Store(l.Format == operator.JSON)
 }
 
-func (h logHandler) now() slog.Handler {
-	if h.inJSON.Load() {
+// current is the handler of the format that holds now.
+func (h logHandler) current() slog.Handler {
+	if h.useJSON.Load() {
 		return h.json
 	}
 	return h.text
@@ -45,7 +47,9 @@
 func (h logHandler) Enabled(_ context.Context, l slog.Level) bool { return l >= h.level.Level() }
 
 // Handle implements slog.Handler.
-func (h logHandler) Handle(ctx context.Context, r slog.Record) error { return h.now().Handle(ctx, r) }
+func (h logHandler) Handle(ctx context.Context, r slog.Record) error {
+	return h.current().Handle(ctx, r)
+}
 
 // WithAttrs implements slog.Handler.
 func (h logHandler) WithAttrs(a []slog.Attr) slog.Handler {
--- a/cmd/dunestep/names_test.go
+++ b/cmd/dunestep/names_test.go
@@ -62,7 +62,7 @@
 	require.NoError(t, err)
 	require.NoError(t, toml.Unmarshal(raw, &site), file)
 	names := append([]string{site.Name}, site.Net.Zones...)
-	all := append(site.Class, site.Tenant...)
+	all := slices.Concat(site.Class, site.Tenant)
 	for _, tier := range site.Tier {
 		names, all = append(names, tier.Name), append(all, tier.Kind...)
 	}
--- a/cmd/dunestep/ops_test.go
+++ b/cmd/dunestep/ops_test.go
@@ -23,7 +23,7 @@
 	require.NoError(w.t, err)
 	resp, err := http.DefaultClient.Do(r)
 	require.NoError(w.t, err)
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	text, err := io.ReadAll(resp.Body)
 	require.NoError(w.t, err)
 	require.True(w.t, resp.Close, "one call to a connection")
@@ -109,7 +109,7 @@
 	for range 60 { // more than there are descriptors for
 		c, err := net.Dial("tcp", w.addr)
 		require.NoError(t, err)
-		defer c.Close()
+		defer func() { _ = c.Close() }()
 		_ = w.request("consult", 30000).Write(c)
 	}
 	full := own
@@ -200,7 +200,7 @@
 	for range 20 {
 		require.False(t, use(0)())
 	}
-	require.Equal(t, before, len(w.servers[0].steps()))
+	require.Len(t, w.servers[0].steps(), before)
 	s := w.stats()
 	require.Equal(t, []int{2, 1}, []int{s.Size, s.Ejected})
 	w.yes("POST", "/ops/booking-servers/down", "s-1")
--- a/cmd/dunestep/placement_test.go
+++ b/cmd/dunestep/placement_test.go
@@ -45,7 +45,7 @@
 	l.List(3, "left")
 	require.NoError(t, l.StartAll(ctx))
 	require.NoError(t, l.Wait(ctx, "all place by a generation", all(l, func(a *lab.Agent, s fleetStatus) bool {
-		return s.Ring != nil && s.Ring.Acting > 0 && s.Ring.Acting == statusAt(l.Agent(0)).Ring.Acting
+		return s.Ring != nil && s.Ring.Active > 0 && s.Ring.Active == statusAt(l.Agent(0)).Ring.Active
 	})))
 	full := ringAt(l.Agent(0), "s-0").Points
 	require.Positive(t, full)
@@ -59,8 +59,8 @@
 	require.Greater(t, len(grown), 5, "bit by bit")
 	asked := func(a *lab.Agent, keys []string) (there []string) {
 		for _, key := range keys {
-			_, body, err := a.Ask(ctx, "consult", key)
-			require.NoError(t, err)
+			_, body, askErr := a.Ask(ctx, "consult", key)
+			require.NoError(t, askErr)
 			if strings.Contains(body, "s-3") {
 				there = append(there, key)
 			}
@@ -77,7 +77,7 @@
 	for range 3 {
 		l.List(3, "left")
 		require.NoError(t, l.Wait(ctx, "it has no keys anywhere", all(l, func(a *lab.Agent, s fleetStatus) bool {
-			return s.Ring.Acting == s.Ring.Generation && ringAt(a, "s-3").Points == 0
+			return s.Ring.Active == s.Ring.Generation && ringAt(a, "s-3").Points == 0
 		})))
 		l.List(3, "active")
 		for _, a := range l.Agents() {
@@ -123,7 +123,7 @@
 	require.NoError(t, r.Wait(ctx, "leases", all(r.Lab, full)))
 	r.propose(emptyingContracts)
 	by := func(is func(a *lab.Agent) bool) func() bool {
-		return all(r.Lab, func(a *lab.Agent, s fleetStatus) bool { return s.Ring != nil && s.Ring.Acting > 0 && is(a) })
+		return all(r.Lab, func(a *lab.Agent, s fleetStatus) bool { return s.Ring != nil && s.Ring.Active > 0 && is(a) })
 	}
 	require.NoError(t, r.Wait(ctx, "all are whole", by(func(a *lab.Agent) bool {
 		return ringAt(a, "s-0").Phase == "whole"
@@ -139,7 +139,7 @@
 	heal := r.cutOff(4)
 	defer heal()
 	r.List(0, "active")
-	require.Less(t, time.Now(), w.Back, "too late to tell anything")
+	require.Less(t, time.Now(), w.ReturnFrom, "too late to tell anything")
 	for _, a := range r.Agents() {
 		require.Equal(t, "whole", ringAt(a, "s-0").Phase)
 		require.Positive(t, ringAt(a, "s-0").Points)
@@ -208,7 +208,7 @@
 				return false
 			}
 			r := statusAt(led).Ring
-			return r != nil && r.Tell == agents
+			return r != nil && r.PaceReporters == agents
 		}
 	}
 	loads(0, 3)
@@ -216,7 +216,7 @@
 	was := statusAt(l.Agent(0)).Ring.Generation
 	l.List(4, "left")
 	require.NoError(t, l.Wait(ctx, "another generation", all(l, func(_ *lab.Agent, s fleetStatus) bool {
-		return s.Ring.Generation > was && s.Ring.Acting == s.Ring.Generation
+		return s.Ring.Generation > was && s.Ring.Active == s.Ring.Generation
 	})))
 	require.Empty(t, statusAt(l.Agent(0)).Ring.Paces)
 	l.List(4, "active")
--- a/cmd/dunestep/placementfaults_test.go
+++ b/cmd/dunestep/placementfaults_test.go
@@ -50,7 +50,7 @@
 	}
 	require.NoError(t, r.StartAll(t.Context()))
 	require.NoError(t, r.Wait(t.Context(), "all place by a generation", all(r.Lab, func(_ *lab.Agent, s fleetStatus) bool {
-		return s.Ring != nil && s.Ring.Acting > 0
+		return s.Ring != nil && s.Ring.Active > 0
 	})))
 	ctx, cancel := context.WithCancel(context.Background())
 	var wait sync.WaitGroup
@@ -84,12 +84,12 @@
 		r.wrong = append(r.wrong, fmt.Sprintf("%s has %v in generation %d, another %v", a.Name, points, s.Ring.Generation, known))
 	}
 	r.points[s.Ring.Generation] = points
-	if s.Standing != "full" || s.Ring.Acting == 0 {
+	if s.Standing != "full" || s.Ring.Active == 0 {
 		return
 	}
 	r.looks++
-	if r.newest = max(r.newest, s.Ring.Acting); s.Ring.Acting+1 < before {
-		r.wrong = append(r.wrong, fmt.Sprintf("%s acts on %d after another did on %d", a.Name, s.Ring.Acting, before))
+	if r.newest = max(r.newest, s.Ring.Active); s.Ring.Active+1 < before {
+		r.wrong = append(r.wrong, fmt.Sprintf("%s acts on %d after another did on %d", a.Name, s.Ring.Active, before))
 	}
 }
 
@@ -124,7 +124,7 @@
 			if err == nil && status == 503 {
 				status, _, err = a.Ask(r.t.Context(), "consult", fmt.Sprint("k", n))
 			}
-			assert.NoError(r.t, err)
+			assert.NoError(r.t, err) //nolint:testifylint // require may not be called from another goroutine
 			assert.Equal(r.t, 200, status)
 		}
 	}
--- a/cmd/dunestep/policy_test.go
+++ b/cmd/dunestep/policy_test.go
@@ -114,8 +114,8 @@
 	require.NoError(t, l.Agent(4).Start(ctx))
 	require.Equal(t, 2, tried.at(ctx, t, l.Agent(4)), "before it has said anything else")
 	var s policyState
-	require.NoError(t, opsDoor{l.Agent(0).Ops}.call(http.MethodGet, "/ops/fleet/policy", "", &s))
-	restrained := s.Now.Number
+	require.NoError(t, opsClient{l.Agent(0).Ops}.call(http.MethodGet, "/ops/fleet/policy", "", &s))
+	restrained := s.InForce.Number
 
 	text, err = fleetCommand(t, l.Agent(4), "policy", "propose", attemptsDocument(t, 0, ""))
 	require.NoError(t, err, text)
@@ -144,8 +144,8 @@
 	require.NoError(t, err, text)
 	var ends []func()
 	for _, f := range []mishap.Fault{{From: []int{4}, Way: mishap.Way{Cut: true}}, {To: []int{4}, Way: mishap.Way{Cut: true}}} {
-		end, err := l.Spoil(f)
-		require.NoError(t, err)
+		end, spoilErr := l.Spoil(f)
+		require.NoError(t, spoilErr)
 		ends = append(ends, end)
 	}
 	text, err = fleetCommand(t, l.Agent(1), "policy", "propose", attemptsDocument(t, 2, floor))
@@ -207,11 +207,11 @@
 	own.Settings.Classes = []balancer.Class{{Name: "consult"}}
 	own.operator.Fleet.Policy = true
 	own.operator.Storm.InVain = 0.5
-	require.InDelta(t, 0.5, own.policyOwn().MaxFailedRatio, 1e-9)
-	s := policylog.New(policylog.Settings{Local: own.policyOwn(), Times: policy.Times{}.WithDefaults()}, fleet.ClockReading{})
+	require.InDelta(t, 0.5, own.localPolicySettings().MaxFailedRatio, 1e-9)
+	s := policylog.New(policylog.Settings{Local: own.localPolicySettings(), Times: policy.Times{}.WithDefaults()}, fleet.ClockReading{})
 	before := s.Active(fleet.ClockReading{}, lease.Full).Effect
 	require.InDelta(t, 0.5, before.MaxFailedRatio, 1e-9)
 	own.operator.Storm.InVain = 0.3
-	s.SetLocalSettings(own.policyOwn())
+	s.SetLocalSettings(own.localPolicySettings())
 	require.InDelta(t, 0.3, s.Active(fleet.ClockReading{}, lease.Full).Effect.MaxFailedRatio, 1e-9)
 }
--- a/cmd/dunestep/policycommands.go
+++ b/cmd/dunestep/policycommands.go
@@ -8,13 +8,12 @@
 	"net/url"
 	"os"
 	"strconv"
-	"text/tabwriter"
 	"time"
 
 	"dunestep/internal/control/policy"
 )
 
-// policyCommands ask a running agent at its operators' door, but for check.
+// policyCommands ask a running agent, at its operators' socket, about policies; check needs none.
 type policyCommands struct {
 	Check   policyCheckCommand   `cmd:"" help:"Check a document, also against an agent's settings."`
 	Propose policyProposeCommand `cmd:"" help:"Propose a document to the fleet, and wait what becomes of it."`
@@ -23,12 +22,18 @@
 	Back    policyBackCommand    `cmd:"" help:"Propose an earlier version's document anew."`
 }
 
+// errNoDocument means that version 0 was named, which stands for the settings alone.
+var errNoDocument = errors.New("version 0 has no document: propose one that says nothing but its format")
+
+// maxClockDifference is how far two machines' clocks may differ, as the leases have it.
+const maxClockDifference = 200 * time.Millisecond
+
 type policyCheckCommand struct {
 	File   string `arg:"" help:"The document." type:"path"`
 	Config string `help:"Check it against the settings of this FILE." placeholder:"FILE" env:"LB_CONFIG"`
 }
 
-// Run tells all that is wrong, a line each.
+// Run prints all that is wrong with the document, a line each.
 func (c policyCheckCommand) Run(line *commandLine) error {
 	text, err := os.ReadFile(c.File)
 	if err != nil {
@@ -38,15 +43,7 @@
 		return err
 	}
 	if c.Config != "" {
-		s, err := readSettings(c.Config, line.Operator)
-		if err != nil {
-			return err
-		}
-		whole, err := policy.AddZoneRules(text, time.Now())
-		if err != nil {
-			return err
-		}
-		if err := policy.CheckDocument(whole, s.policyOwn()); err != nil {
+		if err := checkPolicy(text, c.Config, line.Operator); err != nil {
 			return err
 		}
 	}
@@ -54,15 +51,28 @@
 	return nil
 }
 
+// checkPolicy checks a document against the settings of files.
+func checkPolicy(text []byte, configFile, operatorFile string) error {
+	s, err := readSettings(configFile, operatorFile)
+	if err != nil {
+		return err
+	}
+	document, err := policy.AddZoneRules(text, time.Now())
+	if err != nil {
+		return err
+	}
+	return policy.CheckDocument(document, s.localPolicySettings())
+}
+
 type policyProposeCommand struct {
-	opsDoor
+	opsClient
 	File   string        `arg:"" help:"The document." type:"path"`
 	ID     string        `help:"A name for this call, by which it can be made again; empty: a new one."`
 	Within time.Duration `help:"How soon it is to take hold." default:"1s"`
 	Wait   time.Duration `help:"How long to wait for what becomes of it." default:"30s"`
 }
 
-// Run proposes the file.
+// Run proposes the document.
 func (c policyProposeCommand) Run() error {
 	text, err := os.ReadFile(c.File)
 	if err != nil {
@@ -71,31 +81,29 @@
 	return c.propose(string(text))
 }
 
-// clocksApart is how far two machines' clocks may be apart, as the leases have it.
-const clocksApart = 200 * time.Millisecond
-
-// propose proposes a document and waits. Where it can't be known what became of it, it says so: the same
-// call with the same name settles it.
+// propose proposes a document, and waits until it is in force. Where it can't be known what became of it, the error names
+// the id with which the same call can be made again.
 func (c policyProposeCommand) propose(document string) error {
 	if c.ID == "" {
 		c.ID = rand.Text()
 	}
-	name := url.QueryEscape(c.ID)
+	id := url.QueryEscape(c.ID)
 	var o policyOutcome
-	path := fmt.Sprintf("/ops/fleet/policy/propose?id=%s&within_ms=%d", name, c.Within.Milliseconds())
+	path := fmt.Sprintf("/ops/fleet/policy/propose?id=%s&within_ms=%d", id, c.Within.Milliseconds())
 	if err := c.call(http.MethodPost, path, document, &o); err != nil {
 		return err
 	}
-	for until := time.Now().Add(c.Wait); o.End == policy.StatusUnknown.String() && time.Now().Before(until); {
-		time.Sleep(ticketEvery)
-		if err := c.call(http.MethodGet, "/ops/fleet/policy/outcome?id="+name, "", &o); err != nil {
+	unknown := policy.StatusUnknown.String()
+	for until := time.Now().Add(c.Wait); o.Status == unknown && time.Now().Before(until); {
+		time.Sleep(outcomePollInterval)
+		if err := c.call(http.MethodGet, "/ops/fleet/policy/outcome?id="+id, "", &o); err != nil {
 			return err
 		}
 	}
-	switch o.End {
+	switch o.Status {
 	case policy.StatusAccepted.String():
-		fmt.Printf("taken: version %d holds everywhere from %s on\n", o.Version, o.By.Format(time.RFC3339Nano))
-		time.Sleep(min(time.Until(o.By)+clocksApart, c.Wait)) // so that what is done next is done under it
+		fmt.Printf("taken: version %d holds everywhere from %s on\n", o.Version, o.EffectiveAt.Format(time.RFC3339Nano))
+		time.Sleep(min(time.Until(o.EffectiveAt)+maxClockDifference, c.Wait)) // what is done next is done under it
 		return nil
 	case policy.StatusRejected.String():
 		return fmt.Errorf("not taken: %s", o.Reason)
@@ -104,11 +112,11 @@
 }
 
 type policyShowCommand struct {
-	opsDoor
+	opsClient
 	Version string `arg:"" optional:"" help:"A version's number; empty: what is in force."`
 }
 
-// Run shows a document, after who made it and when it took hold where it is the one in force.
+// Run prints a document; for the one in force, with the mode in which the agent goes by it.
 func (c policyShowCommand) Run() error {
 	number := c.Version
 	if number == "" {
@@ -116,31 +124,32 @@
 		if err := c.call(http.MethodGet, "/ops/fleet/policy", "", &s); err != nil {
 			return err
 		}
-		fmt.Printf("# acting: %s of version %d\n", s.Acting, s.Version)
-		if s.Now.Number == 0 {
+		fmt.Printf("# acting: %s of version %d\n", s.Mode, s.Version)
+		if s.InForce.Number == 0 {
 			fmt.Println("# version 0: the settings as they are")
 			return nil
 		}
-		number = strconv.FormatUint(s.Now.Number, 10)
+		number = strconv.FormatUint(s.InForce.Number, 10)
 	}
-	text, err := c.document(number)
+	text, err := c.policyDocument(number)
 	if err == nil {
 		fmt.Print(text)
 	}
 	return err
 }
 
-func (d opsDoor) document(number string) (text string, err error) {
-	err = d.call(http.MethodGet, "/ops/fleet/policy/document?version="+url.QueryEscape(number), "", &text)
+// policyDocument returns the document of a version.
+func (c opsClient) policyDocument(number string) (text string, err error) {
+	err = c.call(http.MethodGet, "/ops/fleet/policy/document?version="+url.QueryEscape(number), "", &text)
 	return text, err
 }
 
 type policyHistoryCommand struct {
-	opsDoor
+	opsClient
 	JSON bool `help:"Write it as JSON."`
 }
 
-// Run shows the versions and the calls.
+// Run prints the versions and what became of proposals.
 func (c policyHistoryCommand) Run() error {
 	var s policyState
 	if err := c.call(http.MethodGet, "/ops/fleet/policy", "", &s); err != nil {
@@ -149,39 +158,39 @@
 	if c.JSON {
 		return printJSON(s)
 	}
-	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	row := func(state string, v policyVersion) {
-		fmt.Fprintf(w, "version %d\t%s\tfrom %s\tby agent %d\t%s\n", v.Number, state,
-			v.By.Format(time.RFC3339), v.Who, v.ID)
+	t := newTable(os.Stdout)
+	version := func(state string, v policyVersion) {
+		t.row("version %d\t%s\tfrom %s\tby agent %d\t%s", v.Number, state,
+			v.EffectiveAt.Format(time.RFC3339), v.ProposedBy, v.ProposalID)
 	}
 	for _, v := range s.Past {
-		row("past", v)
+		version("past", v)
 	}
-	row("in force", s.Now)
+	version("in force", s.InForce)
 	if s.Open != nil {
-		row("open", *s.Open)
+		version("open", *s.Open)
 	}
-	for _, o := range s.Calls {
-		fmt.Fprintf(w, "call %s\t%s\tversion %d\t%s\t\n", o.ID, o.End, o.Version, o.Reason)
+	for _, o := range s.Outcomes {
+		t.row("call %s\t%s\tversion %d\t%s\t", o.ID, o.Status, o.Version, o.Reason)
 	}
-	return w.Flush()
+	return t.flush()
 }
 
 type policyBackCommand struct {
-	opsDoor
+	opsClient
 	Version uint64        `arg:"" help:"The version whose document is proposed anew."`
 	Within  time.Duration `help:"How soon it is to take hold." default:"1s"`
 	Wait    time.Duration `help:"How long to wait for what becomes of it." default:"30s"`
 }
 
-// Run proposes the document again: back is a new version.
+// Run proposes the document again, as a new version.
 func (c policyBackCommand) Run() error {
 	if c.Version == 0 {
-		return errors.New("version 0 has no document: propose one that says nothing but its format")
+		return errNoDocument
 	}
-	text, err := c.document(strconv.FormatUint(c.Version, 10))
+	text, err := c.policyDocument(strconv.FormatUint(c.Version, 10))
 	if err != nil {
 		return err
 	}
-	return policyProposeCommand{opsDoor: c.opsDoor, Within: c.Within, Wait: c.Wait}.propose(text)
+	return policyProposeCommand{opsClient: c.opsClient, Within: c.Within, Wait: c.Wait}.propose(text)
 }
--- a/cmd/dunestep/policyfaults_test.go
+++ b/cmd/dunestep/policyfaults_test.go
@@ -29,7 +29,7 @@
 
 // With nothing wrong, two changes: the judge sees each version at the agents.
 func TestPolicyWitnessed(t *testing.T) {
-	w := watchedLab(t, 5, false, nil)
+	w := watchedLab(t, 5, inMemory, nil)
 	for _, mark := range []int{4, 3} {
 		text, err := w.propose(w.l.Agent(mark%5), mark)
 		require.NoError(t, err, text)
@@ -79,10 +79,18 @@
 	}))
 }
 
+// acceptance tells whether a proposal was accepted.
+type acceptance bool
+
+const (
+	accepted acceptance = true
+	rejected acceptance = false
+)
+
 // end has whatever became of a mark hold at all, and judges.
-func (w *witness) end(mark int, taken bool) {
+func (w *witness) end(mark int, as acceptance) {
 	w.t.Helper()
-	if !taken {
+	if as == rejected {
 		mark = markAtFirst
 	}
 	w.actAll(mark)
@@ -100,7 +108,7 @@
 		activated bool
 	}{"proposed": {[]int{3, 4}, false}, "half answered": {[]int{4}, false}, "activated": {[]int{4}, true}} {
 		t.Run(name, func(t *testing.T) {
-			w := watchedLab(t, 5, false, nil)
+			w := watchedLab(t, 5, inMemory, nil)
 			led := leader(w.l)
 			require.NotNil(t, led)
 			other := w.l.Agent((led.Number + 1) % 3)
@@ -111,7 +119,7 @@
 			if w.opened(other); step.activated {
 				require.NoError(t, w.l.Wait(t.Context(), "it is activated", func() bool {
 					s, ok := policiesAt(w.l.Agent(3))
-					return ok && s.Now.Number > 0
+					return ok && s.InForce.Number > 0
 				}))
 			}
 			led.Kill()
@@ -122,7 +130,7 @@
 			require.NoError(t, led.Start(t.Context()))
 			taken := w.settled(other, 4)
 			require.True(t, taken || !step.activated, first.text)
-			w.end(4, taken)
+			w.end(4, acceptance(taken))
 		})
 	}
 }
@@ -130,7 +138,7 @@
 // Of three voters with folders two are killed: nothing is agreed, and agents come to the floor and serve. When they are back
 // the call is settled, and the next one holds.
 func TestPolicyVotersKilled(t *testing.T) {
-	w := watchedLab(t, 5, true, nil)
+	w := watchedLab(t, 5, inFolders, nil)
 	ctx := t.Context()
 	w.l.Agent(0).Kill()
 	w.l.Agent(2).Kill()
@@ -146,16 +154,16 @@
 	}
 	text, err = w.propose(w.l.Agent(0), 3)
 	require.NoError(t, err, text)
-	w.end(3, true)
+	w.end(3, accepted)
 }
 
 // All processes are killed at once. With folders the policy that held is the first that they act on again; without, the log
 // begins anew and the settings hold.
 func TestPolicyAllKilled(t *testing.T) {
 	t.Parallel()
-	for _, lasts := range []bool{true, false} {
-		t.Run(fmt.Sprint("folders ", lasts), func(t *testing.T) {
-			w := watchedLab(t, 5, lasts, nil)
+	for _, keeps := range []durability{inFolders, inMemory} {
+		t.Run(fmt.Sprint("folders ", keeps), func(t *testing.T) {
+			w := watchedLab(t, 5, keeps, nil)
 			text, err := w.propose(w.l.Agent(3), 4)
 			require.NoError(t, err, text)
 			w.actAll(4)
@@ -165,8 +173,8 @@
 			}
 			require.NoError(t, w.l.StartAll(t.Context()))
 			require.NoError(t, w.l.Wait(t.Context(), "leases again", all(w.l, full)))
-			if lasts {
-				w.end(4, true)
+			if keeps == inFolders {
+				w.end(4, accepted)
 				return
 			}
 			w.actAll(markAtFirst)
@@ -178,7 +186,7 @@
 
 // All agents are restarted, one after the other, while two changes are made; voters keep nothing.
 func TestPolicyRoll(t *testing.T) {
-	w := watchedLab(t, 7, false, nil)
+	w := watchedLab(t, 7, inMemory, nil)
 	said := w.start(w.l.Agent(6), 4)
 	for _, a := range w.l.Agents() {
 		if a.Number == 4 { // half way
@@ -192,13 +200,13 @@
 	}
 	second := <-said
 	require.True(t, w.settled(w.l.Agent(1), 3), second.text)
-	w.end(3, true)
+	w.end(3, accepted)
 }
 
 // An agent stands still across an activation, with a request in hand whose next attempt is due meanwhile and permitted by
 // the former version alone: what it does when it wakes goes by the floor or by the new version.
 func TestPolicyPausedWithRequests(t *testing.T) {
-	w := watchedLab(t, 5, false, nil)
+	w := watchedLab(t, 5, inMemory, nil)
 	paused := w.l.Agent(4)
 	w.giveInHand(t.Context(), paused)
 	paused.Pause()
@@ -209,12 +217,12 @@
 	require.NoError(t, err, text)
 	for _, a := range w.l.Agents()[:4] {
 		s, ok := policiesAt(a)
-		require.True(t, ok && s.Now.Number == 1)
+		require.True(t, ok && s.InForce.Number == 1)
 	}
 	paused.Resume()
 	w.asked()
 	heal()
-	w.end(4, true)
+	w.end(4, accepted)
 	i := slices.IndexFunc(w.seen, func(s sighting) bool { return s.waited })
 	require.GreaterOrEqual(t, i, 0)
 	s := w.seen[i]
@@ -225,7 +233,7 @@
 
 // With three datagrams in ten lost, two doubled and two held back by up to two seconds, changes end and hold.
 func TestPolicyLossy(t *testing.T) {
-	w := watchedLab(t, 5, false, nil)
+	w := watchedLab(t, 5, inMemory, nil)
 	_, err := w.l.Spoil(mishap.Fault{Way: mishap.Way{
 		Loss: 0.3, Double: 0.2, Reorder: 0.2,
 		Held: scenario.TimeSpan{High: 2 * time.Second},
@@ -239,12 +247,12 @@
 		}
 	}
 	require.NotZero(t, taken, "neither of the two")
-	w.end(taken, true)
+	w.end(taken, accepted)
 }
 
 // Of two changes that are open at once the first one holds and the other is told why it does not.
 func TestPolicyTwoAtOnce(t *testing.T) {
-	w := watchedLab(t, 5, false, nil)
+	w := watchedLab(t, 5, inMemory, nil)
 	w.l.Agent(4).Pause() // so that the first stays open until its lease is over
 	said := w.start(w.l.Agent(0), 4)
 	w.opened(w.l.Agent(1))
@@ -254,7 +262,7 @@
 	w.l.Agent(4).Resume()
 	first := <-said
 	require.NoError(t, first.err, first.text)
-	w.end(4, true)
+	w.end(4, accepted)
 }
 
 // The way from the leader to all others is cut, or the way back, while a change is open: another one leads, and it ends.
@@ -262,7 +270,7 @@
 	t.Parallel()
 	for _, back := range []bool{false, true} {
 		t.Run(fmt.Sprint("back ", back), func(t *testing.T) {
-			w := watchedLab(t, 5, false, nil)
+			w := watchedLab(t, 5, inMemory, nil)
 			led := leader(w.l)
 			require.NotNil(t, led)
 			other := w.l.Agent((led.Number + 1) % 3)
@@ -287,7 +295,7 @@
 			first := <-said
 			heal()
 			t.Log(first.text)
-			w.end(4, w.settled(other, 4))
+			w.end(4, acceptance(w.settled(other, 4)))
 		})
 	}
 }
@@ -295,7 +303,7 @@
 // Two of five are cut off with one voter: what is proposed among them is agreed nowhere, what the others agree on holds
 // there, and at all once they are back; those that are cut off act within the floor by then.
 func TestPolicySmallerHalf(t *testing.T) {
-	w := watchedLab(t, 5, false, nil)
+	w := watchedLab(t, 5, inMemory, nil)
 	apart, rest := []int{0, 3}, []int{1, 2, 4}
 	var heal []func()
 	for _, f := range []mishap.Fault{
@@ -310,7 +318,7 @@
 	require.True(t, w.settled(w.l.Agent(4), 3))
 	for _, n := range rest {
 		s, ok := policiesAt(w.l.Agent(n))
-		require.True(t, ok && s.Now.ID == "mark-3", "%+v", s)
+		require.True(t, ok && s.InForce.ProposalID == "mark-3", "%+v", s)
 	}
 	w.asked()
 	for _, end := range heal {
@@ -319,10 +327,10 @@
 	first := <-said
 	require.Error(t, first.err, first.text)
 	if w.settled(w.l.Agent(3), 4) { // asked again, it is made from what is in force by now
-		w.end(4, true)
+		w.end(4, accepted)
 		return
 	}
-	w.end(3, true)
+	w.end(3, accepted)
 }
 
 // damaged does something to a voter's store.
@@ -339,7 +347,7 @@
 	for name, damage := range damaged {
 		t.Run(name, func(t *testing.T) {
 			folder := ""
-			w := watchedLab(t, 5, true, func(c *lab.Config) {
+			w := watchedLab(t, 5, inFolders, func(c *lab.Config) {
 				if _, rest, is := strings.Cut(c.Operator, "folder = "); is && c.Agent == 1 {
 					_, err := fmt.Sscanf(rest, "%q", &folder)
 					require.NoError(t, err)
@@ -357,7 +365,7 @@
 			require.NoError(t, err)
 			require.NoError(t, os.WriteFile(files[0], damage(b), 0o600))
 			require.NoError(t, hurt.Start(ctx))
-			require.True(t, hurt.Said("the voter's store can't be used"))
+			require.True(t, hurt.Said("the voter's store cannot be used"))
 			require.Nil(t, statusAt(hurt).Voter)
 			require.True(t, w.settled(hurt, 3))
 			w.actAll(3)
@@ -368,7 +376,7 @@
 				v := statusAt(hurt).Voter
 				return v != nil && (v.Phase == "voting" || v.Phase == "leading")
 			}))
-			w.end(3, true)
+			w.end(3, accepted)
 		})
 	}
 }
@@ -400,12 +408,12 @@
 	}
 	says("there=4 counted=4")
 	require.NoError(t, l.StartAll(ctx))
-	require.NoError(t, l.Wait(ctx, "all are back", func() bool { return statusAt(a).Here == 6 }))
+	require.NoError(t, l.Wait(ctx, "all are back", func() bool { return statusAt(a).Present == 6 }))
 	heal, err := l.Spoil(mishap.Fault{To: []int{0}, Way: mishap.Way{Cut: true}})
 	require.NoError(t, err)
 	says("there=0 counted=6")
 	heal()
-	require.False(t, l.Agent(1).Said("divides by agents"))
+	require.False(t, l.Agent(1).Said("number of present agents changed"))
 	require.Empty(t, l.EndAll())
 }
 
@@ -426,7 +434,7 @@
 	if _, ok := smallDisk(t, "true", voterFolder(t, folders, 0)); !ok {
 		t.Skip("no disk of a size can be made here")
 	}
-	w := watchedLab(t, 5, false, func(c *lab.Config) {
+	w := watchedLab(t, 5, inMemory, func(c *lab.Config) {
 		if c.Agent < 3 {
 			folder := voterFolder(t, folders, c.Agent)
 			c.Program, _ = smallDisk(t, c.Program, folder)
@@ -446,21 +454,21 @@
 	much := attemptsDocument(t, 0, "# "+strings.Repeat("much to write ", 900)+"\n")
 	text, err := os.ReadFile(much)
 	require.NoError(t, err)
-	for n := 0; !led.Said("the voter's log can't be written"); n++ {
+	for n := 0; !led.Said("the voter's log cannot be written"); n++ {
 		require.Less(t, n, 200)
 		var o policyOutcome
 		path := fmt.Sprintf("/ops/fleet/policy/propose?id=mark-%d-%d&within_ms=500", markAtFirst, n)
-		require.NoError(t, opsDoor{w.l.Agent(3 + n%2).Ops}.call(http.MethodPost, path, string(text), &o))
+		require.NoError(t, opsClient{w.l.Agent(3 + n%2).Ops}.call(http.MethodPost, path, string(text), &o))
 		require.NoError(t, w.l.Wait(t.Context(), "it is in the log", func() bool {
-			err := opsDoor{w.l.Agent(3 + n%2).Ops}.call(http.MethodGet,
+			callErr := opsClient{w.l.Agent(3 + n%2).Ops}.call(http.MethodGet,
 				fmt.Sprintf("/ops/fleet/policy/outcome?id=mark-%d-%d", markAtFirst, n), "", &o)
 			s, ok := policiesAt(w.l.Agent(3 + n%2))
-			return err == nil && o.End != policy.StatusUnknown.String() || ok && s.Open != nil && s.Open.ID == o.ID
+			return callErr == nil && o.Status != policy.StatusUnknown.String() || ok && s.Open != nil && s.Open.ProposalID == o.ID
 		}))
 	}
 	require.NoError(t, w.l.Wait(t.Context(), "the last one has taken hold", func() bool {
 		s, ok := policiesAt(w.l.Agent(3))
-		return ok && s.Open == nil && time.Since(s.Now.By) > 0
+		return ok && s.Open == nil && time.Since(s.InForce.EffectiveAt) > 0
 	}))
 	w.startOver(w.l.Agent(3))
 	said, err := w.propose(w.l.Agent(3), 4)
@@ -472,7 +480,7 @@
 		v := statusAt(led).Voter
 		return v != nil && (v.Phase == "voting" || v.Phase == "leading")
 	}))
-	w.end(4, true)
+	w.end(4, accepted)
 }
 
 // before is a commit whose build has policies and knows neither contracts nor windows.
@@ -491,7 +499,7 @@
 			t.Skipf("the earlier build can't be had: %v: %s", err, out)
 		}
 	}
-	w := watchedLab(t, 6, false, func(c *lab.Config) {
+	w := watchedLab(t, 6, inMemory, func(c *lab.Config) {
 		if c.Agent%2 == 1 {
 			c.Program = filepath.Join(tree, "earlier")
 		} else {
@@ -512,5 +520,5 @@
 	led := leader(w.l)
 	led.Kill()
 	require.NoError(t, led.Start(t.Context()))
-	w.end(3, true)
+	w.end(3, accepted)
 }
--- a/cmd/dunestep/price_test.go
+++ b/cmd/dunestep/price_test.go
@@ -18,12 +18,12 @@
 // Off, there is no part of the fleet's at all: nothing is started, so no timer runs and no datagram is sent; what asks it
 // is told that there is nothing; and each datagram is the module's.
 func TestFleetOffIsNothing(t *testing.T) {
-	p, err := newFleetPart(settings{}, nil)
+	p, err := newFleetMember(settings{}, nil)
 	require.NoError(t, err)
 	require.Nil(t, p)
-	require.NoError(t, p.begin(nil))
-	require.Nil(t, p.effect())
-	require.True(t, p.ready())
+	require.NoError(t, p.start(nil))
+	require.Nil(t, p.policyEffect())
+	require.True(t, p.isReady())
 	p.reload(settings{})
 	p.leave()
 	status, body := (&manualControl{}).HandleFleetCall(t.Context(), protocol.OpsCall{Kind: protocol.OpsFleetStatus})
--- a/cmd/dunestep/restart_test.go
+++ b/cmd/dunestep/restart_test.go
@@ -71,7 +71,7 @@
 			if err != nil {
 				return
 			}
-			defer resp.Body.Close()
+			defer func() { _ = resp.Body.Close() }()
 			_, err = io.Copy(io.Discard, resp.Body)
 			if err == nil && resp.StatusCode == http.StatusOK && time.Since(sent) < 500*time.Millisecond {
 				count.served.Add(1)
@@ -242,7 +242,7 @@
 		return strings.HasSuffix(calls[len(calls)-1], "from=77")
 	})
 	safe, unsafe := w.offer(2 * time.Second)
-	require.Equal(t, 1.0, unsafe.share())
+	require.InDelta(t, 1.0, unsafe.share(), 0)
 	require.Greater(t, safe.share(), 0.97)
 	require.Less(t, len(w.servers[0].steps())-silent, 6, "trials only")
 	require.Zero(t, w.quit())
--- /dev/null
+++ b/cmd/dunestep/settings.go
@@ -0,0 +1,160 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net/netip"
+	"os"
+	"slices"
+	"strings"
+	"time"
+
+	"dunestep/internal/balancer"
+	"dunestep/internal/balancer/slowstart"
+	"dunestep/internal/control/policy"
+	"dunestep/internal/operator"
+	"dunestep/internal/overload"
+	"dunestep/internal/protocol"
+	"dunestep/internal/routing"
+	"dunestep/internal/state"
+	"dunestep/internal/transport"
+)
+
+// maxConfigBytes bounds what is read of the configuration file, and of an answer at the operators' socket.
+const maxConfigBytes = 16 << 20
+
+// settings are all that the program was configured with: the configuration file with the environment, and the operator
+// file.
+type settings struct {
+	protocol.Config
+	operator operator.File
+}
+
+// readStartSettings reads the settings of a start. The variables of the environment are all required but LB_OPS, and
+// take precedence over the configuration file.
+func readStartSettings(operatorFile string) (s settings, err error) {
+	env := map[string]string{}
+	for _, name := range []string{"LB_NAME", "LB_LISTEN", "LB_DISCOVERY", "LB_CONFIG"} {
+		if env[name] = os.Getenv(name); env[name] == "" {
+			return s, errors.New(name + " is not set")
+		}
+	}
+	if s, err = readSettings(env["LB_CONFIG"], operatorFile); err != nil {
+		return s, err
+	}
+	s.Name = env["LB_NAME"]
+	if s.Listen, err = netip.ParseAddrPort(env["LB_LISTEN"]); err != nil {
+		return s, fmt.Errorf("LB_LISTEN: %w", err)
+	}
+	if s.Discovery, err = netip.ParseAddrPort(env["LB_DISCOVERY"]); err != nil {
+		return s, fmt.Errorf("LB_DISCOVERY: %w", err)
+	}
+	if ops := os.Getenv("LB_OPS"); ops != "" {
+		if s.Ops, err = netip.ParseAddrPort(ops); err != nil || s.Ops.Port() == 0 {
+			return s, fmt.Errorf("LB_OPS: %q is not an address with a port", ops)
+		}
+	}
+	return s, nil
+}
+
+// readSettings reads both files.
+func readSettings(configFile, operatorFile string) (s settings, err error) {
+	if s.Config, err = readConfig(configFile); err != nil {
+		return s, err
+	}
+	s.operator, err = operator.Read(operatorFile)
+	return s, err
+}
+
+// readConfig reads the configuration file.
+func readConfig(path string) (c protocol.Config, err error) {
+	raw, err := readBounded(path, maxConfigBytes)
+	if err != nil {
+		return c, err
+	}
+	if c, err = protocol.DecodeConfig(raw); err != nil {
+		return c, fmt.Errorf("%s: %w", path, err)
+	}
+	return c, nil
+}
+
+// readBounded returns a file, or its first maxBytes bytes.
+func readBounded(path string, maxBytes int64) ([]byte, error) {
+	f, err := os.Open(path)
+	if err != nil {
+		return nil, err
+	}
+	defer func() { _ = f.Close() }() // it was only read
+	return io.ReadAll(io.LimitReader(f, maxBytes))
+}
+
+// bodyLimits are the memory for bodies, in bytes, and their rules.
+func (s settings) bodyLimits() (memoryBytes int64, rules transport.BodyRules) {
+	a := s.operator.Answers
+	return int64(a.MemoryShare * float64(s.Limits.MemoryMB<<20)), transport.BodyRules{
+		MaxBytes: a.LongestKB << 10, BufferedBytes: a.WholeKB << 10, MaxBuffering: milliseconds(a.HoldMS),
+		ClientStall: milliseconds(a.StallMS), ClientLag: milliseconds(a.LagMS),
+	}
+}
+
+// overloadConfig is the configuration of overload control.
+func (s settings) overloadConfig() overload.Config {
+	t := s.operator.Storm
+	return overload.Config{
+		Disabled: !t.On, ReportQuota: t.RateLimitFields, EpisodeFactor: t.SpellFactor,
+		SheddingFraction: t.PurgeShare, MaxShedding: milliseconds(t.PurgeMS), MinShedding: milliseconds(t.PurgeLeastMS),
+		SheddingBackoff: seconds(t.PurgeAgainS), TrialFraction: t.TrialShare, RecoveryHeadroom: t.ReturnMore,
+		WastedFraction: t.InVain, SheddingWhenSparse: t.PurgeSparse, FairnessRotation: seconds(t.TurnS),
+	}
+}
+
+// slowStartParams are the limits of servers that are warming up, as the balancer has them.
+func (s settings) slowStartParams() slowstart.Params {
+	rules, tuning := s.Settings.Rules, balancer.DefaultTuning()
+	return slowstart.Params{
+		InitialCapacity: rules.SlowStartCapacity, Duration: rules.SlowStartDuration,
+		OverloadMultiple: rules.OverloadMultiple, OverloadWindow: rules.OverloadWindow,
+		Margin: tuning.SlowStartMargin, MaxOfWarm: tuning.SlowStartMax, Balancers: s.Settings.Balancers,
+	}
+}
+
+// localPolicySettings are the settings that policies are checked against, and that hold without one.
+func (s settings) localPolicySettings() policy.LocalSettings {
+	return policy.LocalSettings{
+		Settings:       routing.Permitted(s.Settings.Settings),
+		MaxFailedRatio: s.overloadConfig().WastedFraction,
+	}
+}
+
+// stateOwner identifies this agent in state files. Without a deployment's name, its classes' names identify it.
+func (s settings) stateOwner() state.Owner {
+	deployment := s.operator.State.Deployment
+	if deployment == "" {
+		names := classNames(s.Settings.Classes)
+		slices.Sort(names)
+		deployment = strings.Join(names, ",")
+	}
+	return state.Owner{Deployment: deployment, Agent: s.Name}
+}
+
+func classNames(classes []balancer.Class) (names []string) {
+	for _, c := range classes {
+		names = append(names, c.Name)
+	}
+	return names
+}
+
+func seconds(n int64) time.Duration      { return time.Duration(n) * time.Second }
+func milliseconds(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
+
+// unixNow returns the time as operators' settings have it.
+func unixNow() time.Duration { return time.Duration(time.Now().UnixNano()) }
+
+// unixTime returns a Unix time for people; the zero time where there is none.
+func unixTime(at time.Duration) (t time.Time) {
+	if at > 0 {
+		t = time.Unix(0, int64(at)).UTC()
+	}
+	return t
+}
--- /dev/null
+++ b/cmd/dunestep/shutdown.go
@@ -0,0 +1,69 @@
+package main
+
+import (
+	"context"
+	"log/slog"
+	"sync"
+	"time"
+
+	"dunestep/internal/agent"
+	"dunestep/internal/balancer"
+	"dunestep/internal/routing"
+	"dunestep/internal/transport"
+)
+
+// successor tells whether another process of this agent accepts its clients by now.
+type successor bool
+
+// The values of successor.
+const (
+	noSuccessor  successor = false
+	hasSuccessor successor = true
+)
+
+// stop shuts the process down gracefully: the fleet is told, clients are drained, and the state is written meanwhile.
+func (p *process) stop() {
+	p.manual.stopServing()
+	p.fleet.leave()
+	written := p.state.finish(routing.NewShutdownPlan(0, p.settings.Settings.Classes).Deadline())
+	drain(p.listener, p.agent, p.settings.Settings.Classes, p.upgrade.end())
+	<-written
+}
+
+// drain goes through the phases of a shutdown. It returns when all accepted requests have their responses, or when the
+// time for it is over. Where another process accepts clients, this one stops at once.
+func drain(listener *transport.Listener, a *agent.Agent, classes []balancer.Class, next successor) {
+	began := time.Now()
+	plan := routing.NewShutdownPlan(0, classes)
+	failAll := sync.OnceFunc(func() {
+		slog.Warn("drain deadline reached: unanswered requests fail now")
+		a.FailAll()
+	})
+	_, acceptUntil := plan.PhaseAt(0)
+	listener.StartDrain(acceptUntil, true)
+	if next == hasSuccessor {
+		listener.StopListening()
+	}
+	for {
+		phase, until := plan.PhaseAt(time.Since(began))
+		switch phase {
+		case routing.ShutdownAccepting:
+			if next == noSuccessor {
+				<-time.NewTimer(until - time.Since(began)).C
+				listener.StopListening()
+				continue
+			}
+		case routing.ShutdownFailing:
+			failAll()
+		case routing.ShutdownOver:
+			failAll() // where the process got no time in the phase before
+			return
+		}
+		ctx, cancel := context.WithDeadline(context.Background(), began.Add(until))
+		err := listener.WaitClosed(ctx)
+		cancel()
+		if err == nil {
+			return
+		}
+	}
+}
--- a/cmd/dunestep/storm_test.go
+++ b/cmd/dunestep/storm_test.go
@@ -162,7 +162,7 @@
 					all.Go(func() {
 						c, err := net.Dial("tcp", w.addr)
 						require.NoError(b, err)
-						defer c.Close()
+						defer func() { _ = c.Close() }()
 						in := bufio.NewReader(c)
 						for n := todo.Add(-1); n >= 0; n = todo.Add(-1) {
 							ask(c, in, int(n))
--- a/cmd/dunestep/surroundings_test.go
+++ b/cmd/dunestep/surroundings_test.go
@@ -163,7 +163,7 @@
 	}
 	stranger, err := net.DialUDP("udp", nil, to)
 	require.NoError(t, err)
-	defer stranger.Close()
+	defer func() { _ = stranger.Close() }()
 	w.until("dropped", func() bool {
 		_, err := stranger.Write([]byte("hello"))
 		return err == nil && strings.Contains(w.log.String(), "not among the peers")
--- a/cmd/dunestep/upgrade_test.go
+++ b/cmd/dunestep/upgrade_test.go
@@ -123,7 +123,7 @@
 		}
 		return
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
 	switch {
 	case err != nil || resp.StatusCode == 200 && !strings.HasPrefix(string(body), r.Header.Get("X-Correlation-Id")):
@@ -180,7 +180,7 @@
 		before := len(w.servers[out].steps())
 		goal := l.ok.Load() + 100
 		w.until("it goes on", func() bool { return l.ok.Load() > goal })
-		require.Equal(t, before, len(w.servers[out].steps()), "a booking server that is out gets nothing")
+		require.Len(t, w.servers[out].steps(), before, "a booking server that is out gets nothing")
 		require.Equal(t, 1, now.stats().Ejected)
 	}
 	l.end()
@@ -217,7 +217,7 @@
 	for range 20 {
 		require.Equal(t, 200, next.ask("consult").status)
 	}
-	require.Equal(t, before, len(w.servers[1].steps()))
+	require.Len(t, w.servers[1].steps(), before)
 	require.Zero(t, next.quit())
 	w.process = exec.Command("true") // it was killed: there is no exit code to look at
 	require.NoError(t, w.process.Run())
@@ -391,7 +391,7 @@
 	goesOn := func(stage string) {
 		before, goal := len(out.steps()), l.ok.Load()+40
 		now.until(stage, func() bool { return l.ok.Load() > goal })
-		require.Equal(t, before, len(out.steps()), stage)
+		require.Len(t, out.steps(), before, stage)
 		require.LessOrEqual(t, l.lost.Load()-lost, int64(clients), stage)
 		lost = l.lost.Load()
 	}
@@ -451,7 +451,7 @@
 	for range 20 {
 		require.Equal(t, 200, next.ask("consult").status)
 	}
-	require.Equal(t, before, len(w.servers[0].steps()), "what drains by the new address gets nothing")
+	require.Len(t, w.servers[0].steps(), before, "what drains by the new address gets nothing")
 	require.Zero(t, next.quit())
 }
 
--- a/cmd/dunestep/uploads_test.go
+++ b/cmd/dunestep/uploads_test.go
@@ -140,7 +140,7 @@
 		s.socket.Close()
 		l, err := net.Listen("tcp", s.socket.Addr())
 		require.NoError(t, err)
-		defer l.Close()
+		defer func() { _ = l.Close() }()
 		go func() {
 			for {
 				c, err := l.Accept()
@@ -215,7 +215,7 @@
 			go func() { _, _ = io.WriteString(c, body) }()
 			status, text := answered(t, c)
 			require.Equal(t, 200, status)
-			require.True(t, text == body)
+			require.Equal(t, body, text)
 		})
 	}
 	asked.Wait()
--- a/cmd/dunestep/window_test.go
+++ b/cmd/dunestep/window_test.go
@@ -127,7 +127,7 @@
 // at is a window as an agent has it.
 func (r *windowRig) at(agent int, id string) (w windowState) {
 	var s windowsState
-	if (opsDoor{r.Agent(agent).Ops}).call(http.MethodGet, "/ops/fleet/windows", "", &s) != nil {
+	if (opsClient{r.Agent(agent).Ops}).call(http.MethodGet, "/ops/fleet/windows", "", &s) != nil {
 		return w
 	}
 	for _, one := range s.Windows {
@@ -160,11 +160,12 @@
 	return some
 }
 
-func (r *windowRig) comes(agent, server int, tenant string) {
+// returns waits until a tenant's requests of an agent, -1: of any, arrive at the first server again.
+func (r *windowRig) returns(agent int, tenant string) {
 	r.t.Helper()
 	from := time.Now()
-	require.NoError(r.t, r.Wait(r.t.Context(), fmt.Sprintf("%s of n%d is back at s-%d", tenant, agent, server), func() bool {
-		return len(r.arrived(agent, server, tenant, from, time.Now())) > 0
+	require.NoError(r.t, r.Wait(r.t.Context(), fmt.Sprintf("%s of n%d is back at s-0", tenant, agent), func() bool {
+		return len(r.arrived(agent, 0, tenant, from, time.Now())) > 0
 	}))
 }
 
@@ -206,18 +207,18 @@
 	require.NoError(t, r.Agent(4).Start(t.Context())) // requests come before it has heard of anything
 	require.Equal(t, "free", r.at(4, "w").State, "it has what is agreed")
 	prompt()
-	r.comes(4, 0, "west")
+	r.returns(4, "west")
 	r.until(0, "w", "returning")
-	require.Empty(t, r.arrived(-1, 0, "east", free, w.Back))
+	require.Empty(t, r.arrived(-1, 0, "east", free, w.ReturnFrom))
 	for a := range r.Agents() {
-		require.NotEmpty(t, r.arrived(a, 0, "west", free, w.Back), a)
+		require.NotEmpty(t, r.arrived(a, 0, "west", free, w.ReturnFrom), a)
 	}
 	require.NoError(t, r.Wait(t.Context(), "all is back", func() bool { return time.Now().After(w.To) }))
-	r.comes(5, 0, "east")
+	r.returns(5, "east")
 	heal()
 	r.until(0, "w", "ended")
 	for a := range r.Agents() {
-		r.comes(a, 0, "east")
+		r.returns(a, "east")
 	}
 	require.Empty(t, r.EndAll())
 }
@@ -242,8 +243,8 @@
 			}
 			w := r.until(4, "w", "ended")
 			require.Empty(t, w.Reason)
-			require.Empty(t, r.arrived(-1, 1, "east", free, w.Back))
-			require.NotEmpty(t, r.arrived(-1, 1, "west", free, w.Back))
+			require.Empty(t, r.arrived(-1, 1, "east", free, w.ReturnFrom))
+			require.NotEmpty(t, r.arrived(-1, 1, "west", free, w.ReturnFrom))
 			require.Empty(t, r.EndAll())
 		})
 	}
@@ -271,7 +272,7 @@
 	text, err = fleetCommand(t, r.Agent(2), "window", "stop", "one")
 	require.NoError(t, err, text)
 	for a := range r.Agents() {
-		r.comes(a, 0, "east")
+		r.returns(a, "east")
 	}
 	r.until(4, "one", "stopped", "ended") // where the next one is asked for
 	text, err = r.ask(4, "two", "s-0", "+9s", "+20m")
@@ -279,7 +280,7 @@
 	r.until(4, "two", "free")
 	r.propose(strings.Replace(contracts, "[contracts.east]", "[contracts.-]", 1))
 	for a := range r.Agents() {
-		r.comes(a, 0, "east")
+		r.returns(a, "east")
 	}
 	w := r.until(1, "two", "returning", "ended")
 	require.Contains(t, w.Reason, "contract")
@@ -295,7 +296,7 @@
 	r.mu.Lock()
 	r.broken = map[int]bool{1: true, 2: true, 3: true}
 	r.mu.Unlock()
-	r.comes(-1, 0, "east")
+	r.returns(-1, "east")
 	require.NoError(t, r.Wait(t.Context(), "an agent says so", func() bool {
 		for _, a := range r.Agents() {
 			if a.Said("serving first: east") {
--- a/cmd/dunestep/windowfaults_test.go
+++ b/cmd/dunestep/windowfaults_test.go
@@ -49,10 +49,10 @@
 	free := time.Now()
 	w := r.until(0, "w", "returning")
 	require.Empty(t, w.Reason)
-	require.Empty(t, r.arrived(-1, 0, "east", free, w.Back))
-	require.NotEmpty(t, r.arrived(3, 0, "west", free, w.Back))
+	require.Empty(t, r.arrived(-1, 0, "east", free, w.ReturnFrom))
+	require.NotEmpty(t, r.arrived(3, 0, "west", free, w.ReturnFrom))
 	for _, a := range r.Agents() {
-		require.Equal(t, slices.Contains(odd, a.Number), a.Said("zones are not as by this machine's zone data"), a.Name)
+		require.Equal(t, slices.Contains(odd, a.Number), a.Said("time zone rules differ from this machine's zone data"), a.Name)
 	}
 	require.Empty(t, r.EndAll())
 }
@@ -108,12 +108,12 @@
 	w, freeToo := r.until(1, "w", "free"), time.Now()
 	require.NoError(t, r.Wait(t.Context(), "clocks change", func() bool { return time.Now().After(change) }))
 	for a := range r.Agents() {
-		r.comes(a, 0, "east")
+		r.returns(a, "east")
 	}
 	r.until(1, "w", "returning")
-	require.Empty(t, r.arrived(-1, 0, "east", free, e.Back))
-	require.Empty(t, r.arrived(-1, 1, "west", freeToo, w.Back))
-	require.True(t, w.Back.After(change) && e.Back.Before(change))
+	require.Empty(t, r.arrived(-1, 0, "east", free, e.ReturnFrom))
+	require.Empty(t, r.arrived(-1, 1, "west", freeToo, w.ReturnFrom))
+	require.True(t, w.ReturnFrom.After(change) && e.ReturnFrom.Before(change))
 	require.Empty(t, r.EndAll())
 }
 
@@ -143,10 +143,10 @@
 	said, err = r.forTenant("ask", "east", "w", "s-0", from, to)
 	require.NoError(t, err, said)
 	w, free := r.until(1, "w", "free"), time.Now()
-	require.True(t, free.Before(midnight) && w.Back.After(midnight), "%v %v %v", free, midnight, w.Back)
+	require.True(t, free.Before(midnight) && w.ReturnFrom.After(midnight), "%v %v %v", free, midnight, w.ReturnFrom)
 	r.until(1, "w", "returning")
-	require.Empty(t, r.arrived(-1, 0, "east", free, w.Back))
-	require.NotEmpty(t, r.arrived(-1, 0, "west", free, w.Back))
+	require.Empty(t, r.arrived(-1, 0, "east", free, w.ReturnFrom))
+	require.NotEmpty(t, r.arrived(-1, 0, "west", free, w.ReturnFrom))
 	require.Empty(t, r.EndAll())
 }
 
@@ -168,8 +168,8 @@
 		for _, tenant := range []string{"east", "west"} {
 			wait.Go(func() {
 				for n := range 20 {
-					status, _, err := a.AskFor(t.Context(), tenant, "consult", fmt.Sprint("s", n))
-					assert.NoError(t, err)
+					status, _, askErr := a.AskFor(t.Context(), tenant, "consult", fmt.Sprint("s", n))
+					assert.NoError(t, askErr) //nolint:testifylint // require may not be called from another goroutine
 					assert.Equal(t, 200, status, tenant)
 				}
 			})
@@ -185,9 +185,9 @@
 	r.List(0, "active")
 	now := r.until(1, "w", "returning")
 	require.Empty(t, now.Reason)
-	require.Empty(t, r.arrived(-1, 0, "east", down, w.Back))
+	require.Empty(t, r.arrived(-1, 0, "east", down, w.ReturnFrom))
 	for a := range r.Agents() {
-		r.comes(a, 0, "east")
+		r.returns(a, "east")
 	}
 	require.Empty(t, r.EndAll())
 }
@@ -248,7 +248,7 @@
 func (f *forty) course() {
 	t, ctx := f.t, f.t.Context()
 	require.NoError(t, f.Wait(ctx, "all place by a generation", all(f.Lab, func(_ *lab.Agent, s fleetStatus) bool {
-		return s.Ring != nil && s.Ring.Acting > 0
+		return s.Ring != nil && s.Ring.Active > 0
 	})))
 	_, err := f.Spoil(mishap.Fault{Way: mishap.Way{Loss: 0.3, Double: 0.1}})
 	require.NoError(t, err)
@@ -269,7 +269,7 @@
 	w := f.until(2, "w", "free")
 	free := time.Now()
 	f.killLeader("free")
-	rolled := f.roll(cut, w.Back.Add(-30*time.Second))
+	rolled := f.roll(cut, w.ReturnFrom.Add(-30*time.Second))
 	w = f.until(2, "w", "returning")
 	require.Empty(t, w.Reason)
 	require.NoError(t, f.Wait(ctx, "the hours end", func() bool { return time.Now().After(end) }))
@@ -334,18 +334,18 @@
 		}
 		return there, all
 	}
-	f.t.Logf("free for %v; %d agents restarted; %d datagrams came through", w.Back.Sub(free).Round(time.Second), rolled, f.Network().Passed)
+	f.t.Logf("free for %v; %d agents restarted; %d datagrams came through", w.ReturnFrom.Sub(free).Round(time.Second), rolled, f.Network().Passed)
 	for _, span := range []struct {
 		name     string
 		from, to time.Time
-	}{{"before", calm, w.From}, {"while it was free", free, w.Back}, {"after the hours", over, time.Now()}} {
+	}{{"before", calm, w.From}, {"while it was free", free, w.ReturnFrom}, {"after the hours", over, time.Now()}} {
 		east, ofEast := there("east", span.from, span.to)
 		west, ofWest := there("west", span.from, span.to)
 		f.t.Logf("%s: of %d requests of the moved group %d were there, of the other's %d of %d", span.name, ofEast, east, west, ofWest)
 		require.Positive(f.t, west)
 		if span.name == "while it was free" {
-			f.t.Logf("%d of them from agents that said they were ready with nothing caught up", f.unknowing(free, w.Back))
-			require.Equal(f.t, f.unknowing(free, w.Back), east)
+			f.t.Logf("%d of them from agents that said they were ready with nothing caught up", f.unknowing(free, w.ReturnFrom))
+			require.Equal(f.t, f.unknowing(free, w.ReturnFrom), east)
 			continue
 		}
 		require.InDelta(f.t, float64(west)/float64(ofWest), float64(east)/float64(ofEast), 0.05, span.name)
--- a/cmd/dunestep/witness_test.go
+++ b/cmd/dunestep/witness_test.go
@@ -60,7 +60,7 @@
 func unix() time.Duration { return time.Duration(time.Now().UnixNano()) }
 
 // watchedLab is a fleet with policies whose every decision is judged.
-func watchedLab(t *testing.T, agents int, lasts bool, shape func(*lab.Config)) *witness {
+func watchedLab(t *testing.T, agents int, keeps durability, shape func(*lab.Config)) *witness {
 	t.Helper()
 	t.Parallel()
 	program, err := plain()
@@ -80,7 +80,7 @@
 		Agents: agents, Servers: 2 * markAtFirst, Program: program, Ops: true, Seed: 5,
 		Settings: set, Answer: w.answer, Shape: func(c *lab.Config) {
 			c.Operator = "[fleet]\non = true\npolicy = true\nvoters = [0, 1, 2]\nlease_ms = 2000\nheard_ms = 500\n"
-			if lasts {
+			if keeps == inFolders {
 				c.Operator += fmt.Sprintf("folder = %q\n", voterFolder(t, folders, c.Agent))
 			}
 			c.Operator += "[storm]\non = false\n"
@@ -139,17 +139,25 @@
 		_, err = io.Copy(io.Discard, resp.Body)
 		_ = resp.Body.Close()
 	}
-	w.ended(id, err == nil)
+	w.ended(id, outcomeOf(err))
 }
 
-func (w *witness) ended(id string, answered bool) {
+// outcome tells whether a request has its response.
+type outcome bool
+
+const hasResponse outcome = true
+
+func outcomeOf(err error) outcome { return outcome(err == nil) }
+
+// ended notes the end of a request.
+func (w *witness) ended(id string, as outcome) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	s := w.open[id]
 	if delete(w.open, id); s == nil {
 		return
 	}
-	if answered {
+	if as == hasResponse {
 		s.ended = unix()
 	}
 	w.seen = append(w.seen, *s)
@@ -225,9 +233,9 @@
 	require.True(w.t, ok)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.history, w.since = judge.NewHistory(slack), s.Now.Number
-	w.history.Called(0, s.Now.ID)
-	w.history.Answered(0, s.Now.ID, s.Now.Number, time.Duration(s.Now.By.UnixNano()))
+	w.history, w.since = judge.NewHistory(slack), s.InForce.Number
+	w.history.Called(0, s.InForce.ProposalID)
+	w.history.Answered(0, s.InForce.ProposalID, s.InForce.Number, time.Duration(s.InForce.EffectiveAt.UnixNano()))
 }
 
 // slack is how far the agents' clocks may be apart; here it is one.
@@ -237,7 +245,7 @@
 func (w *witness) read(ctx context.Context, a *lab.Agent) {
 	for ctx.Err() == nil {
 		from := unix()
-		if s, ok := policiesAt(a); ok && s.Acting == policy.ModeFull.String() {
+		if s, ok := policiesAt(a); ok && s.Mode == policy.ModeFull.String() {
 			w.mu.Lock()
 			if s.Version >= w.since {
 				w.history.Read(from, unix(), s.Version)
@@ -253,13 +261,13 @@
 
 // policies is what an agent says of them; false: nothing.
 func policiesAt(a *lab.Agent) (s policyState, ok bool) {
-	err := opsDoor{a.Ops}.call(http.MethodGet, "/ops/fleet/policy", "", &s)
+	err := opsClient{a.Ops}.call(http.MethodGet, "/ops/fleet/policy", "", &s)
 	return s, err == nil
 }
 
 // learn takes an agent's word for what was activated; all have to say the same.
 func (w *witness) learn(s policyState) {
-	for _, v := range append(slices.Clone(s.Past), s.Now) {
+	for _, v := range append(slices.Clone(s.Past), s.InForce) {
 		if v.Number == 0 {
 			continue
 		}
@@ -267,7 +275,7 @@
 			require.Equal(w.t, known, v)
 		}
 		w.versions[v.Number] = v
-		text, _, _ := strings.Cut(strings.TrimPrefix(v.ID, "mark-"), "-")
+		text, _, _ := strings.Cut(strings.TrimPrefix(v.ProposalID, "mark-"), "-")
 		mark, err := strconv.Atoi(text)
 		require.NoError(w.t, err)
 		w.marks[v.Number] = mark
@@ -306,8 +314,8 @@
 		}
 		require.NoError(w.t, w.l.Wait(w.t.Context(), fmt.Sprint(a.Name, " acts on mark ", mark), func() bool {
 			s, ok := policiesAt(a)
-			return ok && s.Acting == policy.ModeFull.String() && (s.Now.ID == fmt.Sprint("mark-", mark) ||
-				s.Now.Number == 0 && mark == markAtFirst)
+			return ok && s.Mode == policy.ModeFull.String() && (s.InForce.ProposalID == fmt.Sprint("mark-", mark) ||
+				s.InForce.Number == 0 && mark == markAtFirst)
 		}))
 	}
 	w.asked()
@@ -331,7 +339,7 @@
 	}
 	slices.Sort(numbers)
 	for _, n := range numbers[1:] {
-		by := time.Duration(w.versions[n].By.UnixNano())
+		by := time.Duration(w.versions[n].EffectiveAt.UnixNano())
 		j.Activated(by, w.version(n, by))
 	}
 	decisions := w.decisions(numbers)
@@ -401,7 +409,7 @@
 			sure := s.ended > 0 && s.ended-s.replied < atOnce && (alike(i-1) || alike(i+1))
 			found := false
 			for _, n := range numbers { // of several with one mark, the newest that may have held by then
-				held := n == 0 || time.Duration(w.versions[n].By.UnixNano()) <= s.turned
+				held := n == 0 || time.Duration(w.versions[n].EffectiveAt.UnixNano()) <= s.turned
 				if mark := w.marks[n]; sure && mark == s.tries && (held || !found) || !sure && mark >= s.tries && held {
 					d.Version, found = n, true
 				}
