--- a/cmd/dunestep/handover.go
+++ b/cmd/dunestep/handover.go
@@ -89,7 +89,7 @@
 	}
 	p.setNext(nil, limitsShare{})
 	if p.datagrams != nil {
-		p.datagrams.SetActive(true)
+		p.datagrams.Activate()
 	}
 	p.upgrade.mu.Lock()
 	defer p.upgrade.mu.Unlock()
@@ -120,7 +120,7 @@
 	p.upgrade.nextReady = true
 	p.upgrade.mu.Unlock()
 	if p.datagrams != nil {
-		p.datagrams.SetActive(false)
+		p.datagrams.Deactivate()
 	}
 	slog.Info("the new process accepts clients")
 }
--- a/cmd/dunestep/maintenance.go
+++ b/cmd/dunestep/maintenance.go
@@ -40,7 +40,7 @@
 		Times: f.policyTimes(n.Terms), Turns: int(o.Turns), MaxInFlight: seconds(o.LingerS),
 		ClockMargin: seconds(o.MarginS), MinNotice: seconds(o.NoticeS),
 		InForce: f.policyInForce, View: f.leaderView,
-	}, agent.ReadClocks())
+	})
 	return f.maintenance.adapter
 }
 
@@ -107,7 +107,8 @@
 	}
 	counts := f.maintenance.countsSince(stats)
 	actor.Do(ctx, func(_ *fleet.Node, now fleet.ClockReading) {
-		f.maintenance.adapter.AddCounts(now, counts, shedding)
+		f.maintenance.adapter.SetOverloaded(shedding)
+		f.maintenance.adapter.AddCounts(now, counts)
 	})
 }
 
--- a/cmd/dunestep/manual.go
+++ b/cmd/dunestep/manual.go
@@ -44,7 +44,7 @@
 	m.serving = true
 	if m.set.Draining {
 		m.inheritedDrain = true
-		m.listener.StartDrain(manualDrainIdle, false)
+		m.listener.StartDrain(manualDrainIdle)
 	}
 }
 
@@ -105,7 +105,7 @@
 func (m *manualControl) applyDrain() {
 	slog.Info("client drain set by operator", "sent_away", m.set.Draining)
 	if m.set.Draining {
-		m.listener.StartDrain(manualDrainIdle, false)
+		m.listener.StartDrain(manualDrainIdle)
 	} else {
 		m.listener.StopDrain()
 	}
--- a/cmd/dunestep/shutdown.go
+++ b/cmd/dunestep/shutdown.go
@@ -40,7 +40,7 @@
 		a.FailAll()
 	})
 	_, acceptUntil := plan.PhaseAt(0)
-	listener.StartDrain(acceptUntil, true)
+	listener.StartFinalDrain(acceptUntil)
 	if next == hasSuccessor {
 		listener.StopListening()
 	}
--- a/cmd/dunestep/window_test.go
+++ b/cmd/dunestep/window_test.go
@@ -299,7 +299,7 @@
 	r.returns(-1, "east")
 	require.NoError(t, r.Wait(t.Context(), "an agent says so", func() bool {
 		for _, a := range r.Agents() {
-			if a.Said("serving first: east") {
+			if a.Said("exclusion overridden: tenant east") {
 				return true
 			}
 		}
--- a/internal/control/maintenance/lab/lab.go
+++ b/internal/control/maintenance/lab/lab.go
@@ -21,7 +21,7 @@
 	policylab "dunestep/internal/control/policy/lab"
 	"dunestep/internal/fleet"
 	"dunestep/internal/fleet/lease"
-	"dunestep/internal/simnet/lossy"
+	"dunestep/internal/simnet"
 )
 
 // Protections can be taken out, to see that the judge finds it.
@@ -112,8 +112,8 @@
 	return p.lab.set.Without == "strangers" || p.Adapter.MayGrantLease(now, agent, incarnation, note)
 }
 
-// RecordsApplied is the seat's. Without notice, what was agreed is told to be so since long ago, as without a voter's
-// begin.
+// RecordsApplied is the seat's. Without notice, what was agreed is told to be so since long ago, as without a
+// voter's begin.
 func (p *part) RecordsApplied(now lease.ClockReading, anew bool) {
 	if p.n >= 0 && p.n < voters {
 		switch p.lab.set.Without {
@@ -141,17 +141,17 @@
 	times := policy.Times{}.WithDefaults()
 	l.Lab = policylab.New(policylab.Setup{
 		Seed: set.Seed, Voters: voters, Agents: set.Agents, Begin: begin,
-		Times: times, LeadTime: 2 * time.Second, Beside: l.part,
-		Faults: lossy.Faults{
+		Times: times, LeadTime: 2 * time.Second, NewApplication: l.part,
+		Faults: simnet.Faults{
 			Loss: 0.05, Duplicate: 0.05, MinDelay: time.Millisecond, MaxDelay: 20 * time.Millisecond,
 			Late: 0.02, Lateness: 3 * time.Second,
 		},
 	})
 	l.Judge = judge.New(judge.Settings{
-		Slack: 2*times.Terms.MaxClockError + time.Millisecond, Turns: turns,
-		Late: times.Terms.FenceWait(), Keys: set.Keys, Report: 12 * time.Second,
+		ClockError: 2*times.Terms.MaxClockError + time.Millisecond, Turns: turns,
+		LearnDelay: times.Terms.FenceWait(), Keys: set.Keys, ReportPeriod: 12 * time.Second,
 	})
-	l.Decided, l.OnBeside = l.decided, l.follow
+	l.Decided, l.OnApplicationRecord = l.decided, l.follow
 	for range set.Agents {
 		l.counts = append(l.counts, map[string]*maintenance.TenantCounts{})
 	}
@@ -170,7 +170,7 @@
 func server(i int) string { return fmt.Sprint("s", i) }
 
 // part makes what stands beside the policy in a process.
-func (l *Lab) part(n int, now lease.ClockReading) policylab.Beside {
+func (l *Lab) part(n int, now lease.ClockReading) policylab.Application {
 	set := maintenancelog.Settings{
 		Self: n, IsVoter: n >= 0 && n < voters, Incarnation: uint64(now.Mono) + 1, MachineNumber: 2,
 		Turns: turns, MaxInFlight: linger, ClockMargin: margin, InForce: func() uint64 { return l.inForce(n) },
@@ -186,11 +186,12 @@
 			set.Turns = 0
 		}
 	}
-	p := &part{Adapter: maintenancelog.New(set, now), lab: l, n: n}
+	p := &part{Adapter: maintenancelog.New(set), lab: l, n: n}
 	if l.set.Without == "begin" {
 		for i := range uint64(31) { // of nobody
 			at := time.Duration(30-i) * time.Second
-			p.HandleMessage(lease.ClockReading{Unix: now.Unix - at, Mono: now.Mono - at}, 99, maintenance.EncodeReport(1, i, nil, false))
+			report := maintenance.EncodeReport(maintenance.Report{Incarnation: 1, Number: i})
+			p.HandleMessage(lease.ClockReading{Unix: now.Unix - at, Mono: now.Mono - at}, 99, report)
 		}
 	}
 	return p
@@ -200,13 +201,13 @@
 	if n < 0 {
 		return l.State().InForce.Number
 	}
-	return l.Machine(n).State().InForce.Number
+	return l.StateMachine(n).State().InForce.Number
 }
 
 // view is what a voter's process sees.
 func (l *Lab) view(n int) maintenance.LeaderView {
-	v := maintenance.LeaderView{InForce: l.inForce(n), ChangeOpen: l.Machine(n).State().OpenChange != nil}
-	v.Standing, v.Active = l.Acting(n)
+	v := maintenance.LeaderView{InForce: l.inForce(n), ChangeOpen: l.StateMachine(n).State().OpenChange != nil}
+	v.Standing, v.Active = l.Active(n)
 	v.Servers = l.nodes()
 	return v
 }
@@ -227,7 +228,7 @@
 		l.last[w.ID] = w.State
 		if !known {
 			l.Accepted++
-			l.Judge.Accepted(w, l.paces[w.ID])
+			l.Judge.WindowAccepted(w, l.paces[w.ID])
 		}
 		if known && was == w.State {
 			continue
@@ -238,13 +239,13 @@
 		switch w.State {
 		case maintenance.Free:
 			l.Freed++
-			l.Judge.Free(l.Now(), w.ID, true)
+			l.Judge.SetFree(l.Now(), w.ID, true)
 		case maintenance.Returning:
 			l.Back++
-			l.Judge.Free(l.Now(), w.ID, false)
+			l.Judge.SetFree(l.Now(), w.ID, false)
 		case maintenance.Ended, maintenance.Stopped:
 			l.Ended++
-			l.Judge.Free(l.Now(), w.ID, false)
+			l.Judge.SetFree(l.Now(), w.ID, false)
 		}
 		if l.onState != nil {
 			l.onState(w.ID, was, w.State)
@@ -253,7 +254,7 @@
 }
 
 // windows are those that were agreed, with the states that were.
-func (l *Lab) windows() []*maintenance.Window { return l.Agreed().(*part).AgreedWindows() }
+func (l *Lab) windows() []*maintenance.Window { return l.AgreedApplication().(*part).AgreedWindows() }
 
 // learnContracts tells the judge those of a version that somebody acts on.
 func (l *Lab) learnContracts(act policy.Active) {
@@ -261,7 +262,7 @@
 		l.version = act.Version
 	}
 	if act.Mode != policy.ModeBottom && act.Effect != nil {
-		l.Judge.Contracts(act.Version, act.Effect.Contracts)
+		l.Judge.SetContracts(act.Version, act.Effect.Contracts)
 	}
 }
 
@@ -272,7 +273,7 @@
 	if standing == lease.Full {
 		l.leased[i] = now
 	}
-	p := l.Beside(n).(*part)
+	p := l.Application(n).(*part)
 	avoid := p.Exclusions(l.tamper(i, now, &act), standing, act)
 	if l.theme == older && i == 0 {
 		avoid = nil
@@ -325,14 +326,14 @@
 func (l *Lab) request(i int, tenant string, k key, act policy.Active, avoid *balancer.Exclusions) {
 	l.Requests++
 	r := judge.Request{
-		At: l.Now(), Arrives: l.Now() + 20*time.Millisecond, Agent: i, Life: l.Incarnation(voters + i),
-		Tenant: tenant, Hash: k.hash, How: act.Mode, Version: act.Version,
+		At: l.Now(), ArrivesAt: l.Now() + 20*time.Millisecond, Agent: i, Incarnation: l.Incarnation(voters + i),
+		Tenant: tenant, Hash: k.hash, Mode: act.Mode, Version: act.Version,
 	}
 	if l.Rand().IntN(10) == 0 {
-		r.Arrives = l.Now() + time.Duration(l.Rand().Int64N(int64(linger)))
+		r.ArrivesAt = l.Now() + time.Duration(l.Rand().Int64N(int64(linger)))
 	}
 	if l.slow > l.Now() {
-		r.Arrives = l.Now() + linger - time.Duration(l.Rand().Int64N(int64(time.Second)))
+		r.ArrivesAt = l.Now() + linger - time.Duration(l.Rand().Int64N(int64(time.Second)))
 	}
 	spare, any := "", ""
 	for _, s := range k.order {
@@ -346,7 +347,7 @@
 		switch {
 		case r.Server != "" || l.failing[s] > l.Now():
 		case keepsOff(avoid, tenant, k.hash, s):
-			if r.Kept = append(r.Kept, s); spare == "" {
+			if r.Excluded = append(r.Excluded, s); spare == "" {
 				spare = s
 			}
 		default:
@@ -354,12 +355,12 @@
 		}
 	}
 	if r.Server == "" {
-		r.Server, r.First, r.Kept = spare, spare != "", nil
+		r.Server, r.OverridesExclusions, r.Excluded = spare, spare != "", nil
 	}
 	if r.Server == "" {
 		r.Server = any
 	}
-	l.Judge.Sent(r)
+	l.Judge.RequestSent(r)
 	l.count(i, r)
 }
 
@@ -386,7 +387,7 @@
 	default:
 		c.Served++
 	}
-	if r.First {
+	if r.OverridesExclusions {
 		c.ExclusionOverrides++
 		l.First++
 	}
@@ -405,7 +406,8 @@
 		}
 	}
 	l.counts[i] = map[string]*maintenance.TenantCounts{}
-	p.AddCounts(now, all, l.stormy[i] > l.Now())
+	p.SetOverloaded(l.stormy[i] > l.Now())
+	p.AddCounts(now, all)
 }
 
 // runs is whether a node takes part now.
@@ -428,7 +430,7 @@
 }
 
 func (l *Lab) known(id string) bool {
-	return l.Agreed().(*part).Outcome(id).Status != policy.StatusUnknown
+	return l.AgreedApplication().(*part).Outcome(id).Status != policy.StatusUnknown
 }
 
 // propose has one node that holds a lease ask. Where it does not fit, it asks for the next time that it is
@@ -438,17 +440,18 @@
 	if !l.runs(n) {
 		return true
 	}
-	standing, act := l.Acting(n)
+	standing, act := l.Active(n)
 	if standing != lease.Full || act.Mode != policy.ModeFull {
 		return true
 	}
-	p, now := l.Beside(n).(*part), l.Reading(n)
+	p, now := l.Application(n).(*part), l.Reading(n)
 	if l.set.Without == "notice" {
 		now.Unix -= maintenance.MinNotice
 	}
 	data, _, err := p.EncodeProposal(now, *ask, maintenance.PlanInput{
 		Servers: l.nodes(), Contracts: act.Effect.Contracts,
-		PeakLoad: 0.5, TenantLoads: map[string]float64{"east": 0.5, "west": 0.3}, PolicyVersion: act.Version, ClockMargin: margin,
+		PeakLoad: 0.5, TenantLoads: map[string]float64{"east": 0.5, "west": 0.3}, PolicyVersion: act.Version,
+		ClockMargin: margin,
 	})
 	var misfit maintenance.Conflict
 	if errors.As(err, &misfit) {
@@ -460,7 +463,7 @@
 		return false
 	}
 	if err == nil {
-		l.Submit(n, data)
+		l.SubmitApplicationRecord(n, data)
 	}
 	return true
 }
--- a/internal/control/ringassignment/lab/lab.go
+++ b/internal/control/ringassignment/lab/lab.go
@@ -18,7 +18,7 @@
 	"dunestep/internal/control/ringassignment"
 	"dunestep/internal/control/ringassignment/judge"
 	"dunestep/internal/fleet/lease"
-	"dunestep/internal/simnet/lossy"
+	"dunestep/internal/simnet"
 )
 
 // Setup is one course. The same one is the same course.
@@ -27,7 +27,7 @@
 	Agents  int // the first three of them vote
 	Servers int
 	Keys    int
-	Faults  lossy.Faults
+	Faults  simnet.Faults
 	Figures ringassignment.Parameters // zero: Usual
 	Warm    time.Duration             // how long servers take to be warm; zero: 9 s
 	Without string                    // a protection that is taken out: one of Protections, or All
@@ -63,12 +63,15 @@
 	if warm == 0 {
 		warm = 9 * time.Second
 	}
-	return slowstart.Params{InitialCapacity: 0.31, Duration: warm, OverloadMultiple: 3, OverloadWindow: 3 * time.Second, Margin: 0.4, MaxOfWarm: 1}
+	return slowstart.Params{
+		InitialCapacity: 0.31, Duration: warm, OverloadMultiple: 3, OverloadWindow: 3 * time.Second,
+		Margin: 0.4, MaxOfWarm: 1,
+	}
 }
 
 // Lab is one course.
 type Lab struct {
-	*lossy.Network
+	*simnet.Network
 	Judge *judge.Judge
 
 	set      Setup
@@ -182,14 +185,14 @@
 		f.CapacitySettleTime, f.MinCapacityChange = time.Nanosecond, 0.01
 	}
 	l := &Lab{
-		Network: lossy.NewNetwork(set.Seed, set.Agents, 1e6*time.Second, set.Faults), set: set,
+		Network: simnet.NewNetwork(set.Seed, set.Agents, 1e6*time.Second, set.Faults), set: set,
 		speed: 1, f: f.WithDefaults(), terms: judged.Terms,
 		ref: ringassignment.NewStateMachine(), planned: newWindows(),
 	}
 	l.rings = rings{lab: l, owners: map[owning]*judge.Owners{}}
 	l.Judge = judge.New(judge.Settings{
-		Rate: judged.MaxMoveRate, Burst: judged.MaxMoveBurst, Owed: judged.OwedValidity,
-		Slack: 1.2 / math.Sqrt(float64(set.Keys)),
+		MaxMoveRate: judged.MaxMoveRate, MaxMoveBurst: judged.MaxMoveBurst, OwedValidity: judged.OwedValidity,
+		SampleError: 1.2 / math.Sqrt(float64(set.Keys)),
 	}, truth{l})
 	l.OnMessage, l.OnTimer = l.deliver, l.tick
 	for i := range set.Servers {
@@ -221,7 +224,7 @@
 // Stop ends an agent's process.
 func (l *Lab) Stop(n int) {
 	l.nodes[n].life = 0
-	l.Judge.Ended(n)
+	l.Judge.ProcessEnded(n)
 }
 
 // Start begins a process anew. Keeps tells whether it finds the records that it had.
@@ -510,14 +513,14 @@
 		}
 		standing := l.standing(nd)
 		p := nd.agent.Assignment(l.reading(i), standing)
-		s := judge.Sample{At: l.Now(), Agent: i, Leased: standing == lease.Full}
+		s := judge.Sample{At: l.Now(), Agent: i, HasLease: standing == lease.Full}
 		if l.set.Without == All {
 			p = nil
 		}
 		if p != nil {
-			s.Number = p.Generation
+			s.Generation = p.Generation
 		}
 		s.Owners = l.rings.of(p, nd.seen, l.avoid(nd))
-		l.Judge.Heard(s)
+		l.Judge.AddSample(s)
 	}
 }
