--- a/internal/balancer/outlier/attempt.go
+++ b/internal/balancer/outlier/attempt.go
@@ -185,7 +185,7 @@
 	return change
 }
 
-// timeout is what a timeout says of a server.
+// timeout is the evidence of a timeout.
 type timeout struct {
 	slowest    float64 // seconds: the mean time that responses take there now
 	usualRatio float64 // of timeouts
--- a/internal/balancer/outlier/detector.go
+++ b/internal/balancer/outlier/detector.go
@@ -59,7 +59,7 @@
 	d.updateDistrust()
 }
 
-// SetPlacement says whether a server is on the ring now, and whether it is left alone for changing too often.
+// SetPlacement sets whether a server is on the ring now, and whether it is left alone for changing too often.
 func (d *Detector) SetPlacement(s *Server, onRing, damped bool) {
 	if now := (placement{onRing, damped}); now != s.placement {
 		s.placement = now
--- a/internal/balancer/outlier/distrust.go
+++ b/internal/balancer/outlier/distrust.go
@@ -22,7 +22,7 @@
 	distrustAll:     "all of them fail",
 }
 
-// DistrustReason says why verdicts should not be followed now, for the log; empty: they should.
+// DistrustReason is why verdicts should not be followed now, for the log; empty: they should.
 func (d *Detector) DistrustReason() string { return distrustTexts[d.distrust] }
 
 // updateDistrust looks for one cause where much of the ring is ejected. Servers that said so, by errors and
--- a/internal/balancer/outlier/doc.go
+++ b/internal/balancer/outlier/doc.go
@@ -1,4 +1,5 @@
-// Package outlier tells which upstream servers are healthy, suspect or ejected, by how attempts at them end.
+// Package outlier detects which upstream servers are healthy, suspect or ejected, by how attempts at them
+// end.
 //
 // A Detector judges a server against what is usual over the fleet at the time, cause by cause: what all
 // servers suffer from is no server's fault. The evidence of a failure is the logarithm of how unusual it is;
--- a/internal/balancer/outlier/evidence.go
+++ b/internal/balancer/outlier/evidence.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Outcome is how an attempt ended, as far as its result alone tells.
+// Outcome is how an attempt ended, by its result alone.
 type Outcome uint8
 
 // The outcomes.
@@ -16,7 +16,7 @@
 	NoEvidence             // canceled or never tried: says nothing of the server
 )
 
-// Phase is how far an attempt came.
+// Phase is how far an attempt got.
 type Phase uint8
 
 // The phases.
@@ -105,7 +105,7 @@
 	return causeNone
 }
 
-// lostConnectionCause tells a connection that had gone stale from one that broke.
+// lostConnectionCause distinguishes a connection that had gone stale from one that broke.
 func (e *Evidence) lostConnectionCause() cause {
 	if e.ConnectionReused && e.IdleFor >= staleAfterIdle && e.Phase != PhaseAnswering {
 		return causeStaleConnection
--- a/internal/balancer/outlier/server.go
+++ b/internal/balancer/outlier/server.go
@@ -25,7 +25,7 @@
 	isRemoved bool
 
 	isEjected      bool
-	isSilent       bool // ejected because nothing came of it, not for what it said
+	isSilent       bool // ejected because it did not respond, not for its responses
 	notListening   bool // at its address, when it was last tried
 	changedAt      time.Duration
 	changedRound   int // the round of its last ejection or readmission
@@ -39,7 +39,7 @@
 	avoidUntil      time.Duration // holdUntil, or longer while a probe is in flight
 }
 
-// placement is what Detector.SetPlacement says of a server.
+// placement is what Detector.SetPlacement sets.
 type placement struct{ onRing, damped bool }
 
 // classState is one class at one server: a server may answer one class and none of another.
@@ -80,7 +80,7 @@
 	return &s.classes[number]
 }
 
-// IsEjected tells whether the server is ejected for all classes.
+// IsEjected reports whether the server is ejected for all classes.
 func (s *Server) IsEjected() bool { return s.isEjected }
 
 // ChangedAt is when the server was last ejected or readmitted; zero: never.
@@ -89,20 +89,20 @@
 // Reason is the evidence of the last change, for the log.
 func (s *Server) Reason() string { return s.reason }
 
-// IsNotListening tells whether nothing listened at its address when it was last tried: it comes back as a new
-// process.
+// IsNotListening reports whether nothing listened at its address when it was last tried: it comes back as a
+// new process.
 func (s *Server) IsNotListening() bool { return s.notListening }
 
-// IsAvoided tells whether other servers should be tried first, as this one has been rejecting what it got.
+// IsAvoided reports whether other servers should be tried first, as this one has been rejecting what it got.
 func (s *Server) IsAvoided(now time.Duration) bool { return now < s.avoidUntil }
 
-// isSuspect tells whether there is about half the evidence that ejects a server.
+// isSuspect reports whether there is about half the evidence that ejects a server.
 func (s *Server) isSuspect() bool {
 	return s.deadEvidence >= suspectEvidence || s.partialEvidence[failureResponse] >= suspectEvidence ||
 		s.partialEvidence[failureNoResponse] >= suspectEvidence
 }
 
-// isProvedBad tells whether the evidence ejects the server.
+// isProvedBad reports whether the evidence ejects the server.
 func (s *Server) isProvedBad() bool {
 	return s.deadEvidence >= ejectionEvidence || s.partialEvidence[failureResponse] >= partialEjectionEvidence ||
 		s.partialEvidence[failureNoResponse] >= partialEjectionEvidence
--- a/internal/balancer/outlier/verdict.go
+++ b/internal/balancer/outlier/verdict.go
@@ -90,7 +90,7 @@
 	d.updateDistrust()
 }
 
-// setReason says what a server is ejected for, and how many probes must be served: one where nothing came of
+// setReason sets what a server is ejected for, and how many probes must be served: one where nothing came of
 // it, and where it failed in part so many that it would hardly serve them all by chance.
 func (d *Detector) setReason(s *Server) {
 	isDead := s.deadEvidence >= ejectionEvidence
--- a/internal/balancer/probation/doc.go
+++ b/internal/balancer/probation/doc.go
@@ -1,4 +1,4 @@
-// Package probation says what may be sent to the servers of a list that nobody has confirmed: one that was
+// Package probation limits what may be sent to the servers of a list that nobody has confirmed: one that was
 // kept from before a restart, while discovery cannot be called. Any of its servers may be gone, silent,
 // warming up or another program by now.
 //
--- a/internal/balancer/probation/list.go
+++ b/internal/balancer/probation/list.go
@@ -31,7 +31,7 @@
 // ListConfirmed takes in that the list is confirmed: neither it nor its servers need probation any more.
 func (l *List) ListConfirmed() { l.unproven = 0 }
 
-// AttemptEnded notes the end of an attempt at a server, and tells whether it proves the server.
+// AttemptEnded notes the end of an attempt at a server, and reports whether it proves the server.
 func (l *List) AttemptEnded(s *Server, now time.Duration, outcome Outcome) (proved bool) {
 	if proved = s.AttemptEnded(now, outcome); proved {
 		l.unproven--
@@ -48,13 +48,13 @@
 	return min(now+WaitTime(r.LatencyObjective, l.trust), latest)
 }
 
-// ShouldWait tells whether a request with its WaitUntil set goes on waiting, as far as the list and the
+// ShouldWait reports whether a request with its WaitUntil set goes on waiting, as far as the list and the
 // request say: whether a server can have capacity for it is for an Outlook to say.
 func (l *List) ShouldWait(r Request, now time.Duration) bool {
 	return now < r.WaitUntil && r.Attempts < r.MaxAttempts && l.unproven > 0
 }
 
-// Outlook tells whether any server can have capacity for a request in time: one that responds and is given
+// Outlook reports whether any server can have capacity for a request in time: one that responds and is given
 // more with each response, or, while none does, any one. The zero value has no servers.
 type Outlook struct{ hasCapacity, hasAnswering, hasUntested bool }
 
@@ -72,5 +72,5 @@
 	}
 }
 
-// MayHaveCapacity tells what the servers come to.
+// MayHaveCapacity reports whether any of the servers added can have capacity in time.
 func (o *Outlook) MayHaveCapacity() bool { return o.hasCapacity || o.hasUntested && !o.hasAnswering }
--- a/internal/balancer/probation/request.go
+++ b/internal/balancer/probation/request.go
@@ -22,8 +22,8 @@
 	WaitUntil time.Duration
 }
 
-// NeedsAnsweringServer tells whether the request goes only to servers that have responded, for as long as it
-// waits: where it is not idempotent, or has been at a bad server already.
+// NeedsAnsweringServer reports whether the request goes only to servers that have responded, for as long as
+// it waits: where it is not idempotent, or has been at a bad server already.
 func (r Request) NeedsAnsweringServer(now time.Duration) bool {
 	return (!r.Idempotent || r.HasEndedAttempt) && (r.WaitUntil <= 0 || now < r.WaitUntil)
 }
--- a/internal/balancer/probation/server.go
+++ b/internal/balancer/probation/server.go
@@ -12,12 +12,12 @@
 	rejectedHold = 200 * time.Millisecond // the same of one that rejected: it runs, at least
 )
 
-// Outcome is how an attempt ended, as far as it says something of the server.
+// Outcome is how an attempt ended, as far as it is evidence of the server.
 type Outcome uint8
 
 // The outcomes.
 const (
-	NoEvidence Outcome = iota // nothing is said of the server
+	NoEvidence Outcome = iota // nothing is learned of the server
 	Served
 	Rejected // it runs, and has no capacity now
 	Failed   // in any other way
@@ -38,22 +38,22 @@
 	return &Server{limit: 1 + int(trust*(trustedStartLimit-1)+0.5)}
 }
 
-// HasCapacity tells whether one more attempt may go to the server now. Where the request needs an answering
+// HasCapacity reports whether one more attempt may go to the server now. Where the request needs an answering
 // server, see Request.NeedsAnsweringServer, it must have responded to others.
 func (s *Server) HasCapacity(now time.Duration, needsAnswering bool) bool {
 	return now >= s.holdUntil && s.inFlight < s.limit && (s.isAnswering || !needsAnswering)
 }
 
-// IsAnswering tells whether the server has responded, and has not failed several times in a row since.
+// IsAnswering reports whether the server has responded, and has not failed several times in a row since.
 func (s *Server) IsAnswering() bool { return s.isAnswering }
 
-// MayHaveCapacity tells whether the server can have proved itself, or have capacity, by a time.
+// MayHaveCapacity reports whether the server can have proved itself, or have capacity, by a time.
 func (s *Server) MayHaveCapacity(by time.Duration) bool { return s.inFlight > 0 || s.holdUntil < by }
 
 // AttemptSent notes an attempt.
 func (s *Server) AttemptSent() { s.inFlight++ }
 
-// AttemptEnded notes the end of an attempt, and tells whether it proves the server.
+// AttemptEnded notes the end of an attempt, and reports whether it proves the server.
 func (s *Server) AttemptEnded(now time.Duration, outcome Outcome) (proved bool) {
 	s.inFlight--
 	switch outcome {
@@ -75,8 +75,9 @@
 	return s.limit >= provenLimit
 }
 
-// ShouldHedge tells whether a request whose first attempt goes to the server goes to another one at the same
-// time: half of an unconfirmed list may be dead, and to find that out by waiting costs the request its time.
+// ShouldHedge reports whether a request whose first attempt goes to the server goes to another one at the
+// same time: half of an unconfirmed list may be dead, and to find that out by waiting costs the request its
+// time.
 func (s *Server) ShouldHedge(r Request) bool {
 	return !s.isAnswering && r.Idempotent && r.MayHedge && r.Attempts == 0 && r.MaxAttempts >= 2
 }
--- a/internal/balancer/quota/tracker.go
+++ b/internal/balancer/quota/tracker.go
@@ -8,7 +8,7 @@
 
 const (
 	roundGain = 0.3 // weight of a round's arrivals in the means
-	peerGain  = 0.5 // weight of what another agent tells
+	peerGain  = 0.5 // weight of the mean that another agent sends
 	// meanSettleTime is how long the mean arrivals over all agents take, from the first request on, until they
 	// can be used: they start at nothing, and by too low a total every tenant would look within its quota.
 	meanSettleTime = 8 * time.Second
@@ -25,10 +25,10 @@
 	arrivedThisRound    float64 // requests
 	localRate, meanRate float64 // requests a second here, and the mean over all agents
 	surge               surgeRate
-	settledBy           time.Duration // see meanSettleTime; zero: nothing came yet
+	settledBy           time.Duration // see meanSettleTime; zero: no request yet
 }
 
-// New returns the Tracker of one of so many agents. With gossip, they tell one another of their arrivals.
+// New returns the Tracker of one of so many agents. With gossip, they exchange their arrivals.
 func New(balancers int, hasGossip bool) *Tracker {
 	return &Tracker{balancers: float64(balancers), hasGossip: hasGossip, tenants: map[string]*bucket{}}
 }
@@ -65,7 +65,7 @@
 // is over those.
 func (t *Tracker) SetBalancers(balancers int) { t.balancers = float64(max(balancers, 1)) }
 
-// IsOverQuota counts a request, and tells whether it is likely beyond its tenant's quota.
+// IsOverQuota counts a request, and reports whether it is likely beyond its tenant's quota.
 func (t *Tracker) IsOverQuota(now time.Duration, tenant string) bool {
 	t.settledBy = cmp.Or(t.settledBy, now+meanSettleTime)
 	t.arrivedThisRound++
@@ -98,16 +98,16 @@
 	return min(local/t.totalRate, 1)
 }
 
-// EndRound ends a round of a second. It returns the mean to tell other agents, in requests a second, or false
-// where there are no quotas.
-func (t *Tracker) EndRound() (mean float64, tell bool) {
+// EndRound ends a round of a second. It returns the mean to send to other agents, in requests a second, or
+// false where there are no quotas.
+func (t *Tracker) EndRound() (mean float64, send bool) {
 	t.localRate += roundGain * (t.arrivedThisRound - t.localRate)
 	t.arrivedThisRound = 0
 	t.meanRate += roundGain * (t.localRate - t.meanRate)
 	return t.meanRate, t.totalRate > 0
 }
 
-// RecordPeerMean takes in the mean that another agent tells, in requests a second.
+// RecordPeerMean takes in the mean that another agent sends, in requests a second.
 func (t *Tracker) RecordPeerMean(mean float64) { t.meanRate += peerGain * (mean - t.meanRate) }
 
 // Rates are the arrivals here and the mean over all agents, in requests a second.
--- a/internal/balancer/ring/ring.go
+++ b/internal/balancer/ring/ring.go
@@ -136,8 +136,8 @@
 	})
 }
 
-// Leave has a place take no part until it joins again; walks pass its points over. It tells whether it was a
-// member.
+// Leave has a place take no part until it joins again; walks pass its points over. It reports whether it was
+// a member.
 func (r *Ring[V]) Leave(p *Place[V]) bool {
 	if !p.IsMember() {
 		return false
@@ -159,7 +159,7 @@
 	r.places[p.number], r.freeNumbers = nil, append(r.freeNumbers, p.number)
 }
 
-// IsMember tells whether a place takes part; nil does not.
+// IsMember reports whether a place takes part; nil does not.
 func (p *Place[V]) IsMember() bool { return p != nil && p.isMember }
 
 // Members are the values of the members, sorted by name: valid until the next one joins or leaves, and not to
--- a/internal/balancer/slowstart/doc.go
+++ b/internal/balancer/slowstart/doc.go
@@ -1,5 +1,5 @@
-// Package slowstart says how much one agent may send to an upstream server that warms up, or that is ejected
-// and gets probe requests, so that all agents together do not overload it.
+// Package slowstart limits how much one agent may send to an upstream server that warms up, or that is
+// ejected and gets probe requests, so that all agents together do not overload it.
 //
 // Each agent keeps a Budget for each such server, filled in proportion to what it sends a warm one. No agent
 // knows what the others send: what keeps their sum below the limit is that each one's fill rate is a fraction
--- a/internal/balancer/slowstart/slowstart.go
+++ b/internal/balancer/slowstart/slowstart.go
@@ -61,7 +61,7 @@
 // Spend takes off what was sent, in work units.
 func (b *Budget) Spend(units float64) { b.units -= units }
 
-// HasCapacity tells whether one more request may go to the server now, or a probe request where it is
+// HasCapacity reports whether one more request may go to the server now, or a probe request where it is
 // ejected. The capacity is Params.CapacityFraction, the warmRate what this agent sends a warm server in work
 // units a second, and the weight how large the server is, from 0 to 1, the largest being 1.
 func (b *Budget) HasCapacity(
--- a/internal/balancer/zonereach/doc.go
+++ b/internal/balancer/zonereach/doc.go
@@ -1,4 +1,4 @@
-// Package zonereach tells which zones one agent cannot reach while it reaches others: the network between
+// Package zonereach detects which zones one agent cannot reach while it reaches others: the network between
 // them is cut, or the whole zone is down.
 //
 // What an agent knows of single servers comes too late there: one of many agents that each send little tries
--- a/internal/balancer/zonereach/tracker.go
+++ b/internal/balancer/zonereach/tracker.go
@@ -56,13 +56,13 @@
 	z.unansweredServers = append(z.unansweredServers, server)
 }
 
-// IsDoubtful tells whether the last that is known of the zone is an attempt without a sign of life.
+// IsDoubtful reports whether the last that is known of the zone is an attempt without a sign of life.
 func (t *Tracker) IsDoubtful(zone string) bool {
 	z := t.zones[zone]
 	return z != nil && len(z.unansweredServers) > 0
 }
 
-// IsUnreachable tells whether the zone cannot be reached while another one can.
+// IsUnreachable reports whether the zone cannot be reached while another one can.
 func (t *Tracker) IsUnreachable(zone string) bool {
 	z := t.zones[zone]
 	if z == nil || !z.isSilent() {
@@ -76,7 +76,7 @@
 	return false
 }
 
-// IsTrialDue tells whether an unreachable zone is to be tried.
+// IsTrialDue reports whether an unreachable zone is to be tried.
 func (t *Tracker) IsTrialDue(now time.Duration, zone string) bool {
 	return now-t.state(zone).lastTrialAt >= trialInterval
 }
--- a/internal/bodystream/read.go
+++ b/internal/bodystream/read.go
@@ -19,14 +19,14 @@
 	}
 }
 
-// Ready tells whether Next would not wait.
+// Ready reports whether Next would not wait.
 func (f *Flow) Ready() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.stopErr() != nil || f.end != nil || f.hasUnread()
 }
 
-// hasUnread tells whether there are bytes to read; mu is held.
+// hasUnread reports whether there are bytes to read; mu is held.
 func (f *Flow) hasUnread() bool { return len(f.queue) > 0 && f.consumed < len(f.queue[0]) }
 
 // Took says that the first n bytes of the last Next are not needed any more.
@@ -70,7 +70,7 @@
 	f.notifyStopped()
 }
 
-// isAllConsumed tells whether the body was written and read completely; mu is held.
+// isAllConsumed reports whether the body was written and read completely; mu is held.
 func (f *Flow) isAllConsumed() bool {
 	return f.isComplete && (len(f.queue) == 0 || len(f.queue) == 1 && f.consumed == len(f.queue[0]))
 }
--- a/internal/bodystream/stop.go
+++ b/internal/bodystream/stop.go
@@ -10,7 +10,7 @@
 	}
 }
 
-// Stopped tells whether the rest of the body is not wanted any more.
+// Stopped reports whether the rest of the body is not wanted any more.
 func (f *Flow) Stopped() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/bytebudget/budget.go
+++ b/internal/bytebudget/budget.go
@@ -147,11 +147,11 @@
 	holderFull         // too much of it to this holder, or to requests
 )
 
-// check tells whether size bytes more can be granted. The most of a server, and of all requests together, is
-// half of the limit, of a client a quarter; and half as much more for small reservations. So nobody can have
-// everything, and responses come to their turn whatever requests hold. A response where none holds anything
-// gets what it needs, and so does a request where nothing is held at all, or a limit that was set too low
-// would block for good.
+// check reports whether size bytes more can be granted. The most of a server, and of all requests together,
+// is half of the limit, of a client a quarter; and half as much more for small reservations. So nobody can
+// have everything, and responses come to their turn whatever requests hold. A response where none holds
+// anything gets what it needs, and so does a request where nothing is held at all, or a limit that was set
+// too low would block for good.
 func (b *Budget) check(holder Holder, size int64) verdict {
 	all, own := b.limit-b.limit/smallReserve, b.limit/2
 	if size <= smallBytes {
--- a/internal/bytebudget/pool.go
+++ b/internal/bytebudget/pool.go
@@ -95,7 +95,7 @@
 // Size is the size of the grant in bytes.
 func (g *Grant) Size() int64 { return g.size }
 
-// Grow adds size bytes to the grant, if that keeps nobody waiting, and tells whether it did.
+// Grow adds size bytes to the grant, if that keeps nobody waiting, and reports whether it did.
 func (g *Grant) Grow(size int64) bool {
 	g.pool.mu.Lock()
 	defer g.pool.mu.Unlock()
--- a/internal/discovery/backoff/doc.go
+++ b/internal/discovery/backoff/doc.go
@@ -1,4 +1,4 @@
-// Package backoff says when discovery is called again after a call to it has ended.
+// Package backoff schedules when discovery is called again after a call to it has ended.
 //
 // Two things pull at it. A discovery with too many callers answers none of them in time, so that a large
 // fleet has to back off. And the rule of draining servers has a clock that runs on whether an agent receives
--- a/internal/discovery/backoff/schedule.go
+++ b/internal/discovery/backoff/schedule.go
@@ -38,11 +38,11 @@
 	}
 }
 
-// IsMissingChanges tells whether changes may have been made that were not received: no call has been answered
-// since.
+// IsMissingChanges reports whether changes may have been made that were not received: no call has been
+// answered since.
 func (s *Schedule) IsMissingChanges() bool { return s.isMissing }
 
-// IsStale tells whether what has changed of late may not have been received.
+// IsStale reports whether what has changed of late may not have been received.
 func (s *Schedule) IsStale(now time.Duration) bool {
 	return s.failedCalls > 0 && now-s.failedAt < staleFor
 }
--- a/internal/overload/admission.go
+++ b/internal/overload/admission.go
@@ -7,20 +7,20 @@
 
 const (
 	notRejected      rejectReason = iota
-	rejectHeedless                // a retry storm is on, and the client ignores its Retry-After
+	rejectEarlyRetry              // a retry storm is on, and the client ignores its Retry-After
 	rejectThrottled               // the adaptive throttle admits no more
 	rejectShedding                // load is shed, and the request comes late in the order of fairness
 	rejectOutage                  // no server responds, and it is no trial
 	rejectRecovering              // the servers have not proved yet that they can serve so much
 )
 
-// isForOverload tells whether a rejection shows that not all is admitted yet, which an outage needs to be
+// isForOverload reports whether a rejection shows that not all is admitted yet, which an outage needs to be
 // over.
 func (r rejectReason) isForOverload() bool {
 	return r == rejectShedding || r == rejectOutage || r == rejectRecovering
 }
 
-// arrivalKind tells a client's first attempt from its retries.
+// arrivalKind distinguishes a client's first attempt from its retries.
 type arrivalKind uint8
 
 const (
@@ -32,7 +32,7 @@
 type arrival struct {
 	client clientID
 	kind   arrivalKind
-	standing
+	priority
 	counts bool // against its tenant's quota
 	tier   int  // in the order of fairness
 }
@@ -42,7 +42,7 @@
 	c.arrivals.add(c.now, 1)
 	c.outage.requestsSinceSuccess++
 	if c.requests[e.ID] != nil {
-		return nil // the caller repeats an event
+		return nil // the event was delivered twice
 	}
 	a := c.recordArrival(e)
 	if reason := c.checkAdmission(e, a); reason != notRejected {
@@ -71,8 +71,8 @@
 	}
 	quota := c.checkQuota(e.Tenant, a.kind)
 	a.counts, a.overQuota = quota.counts, quota.overQuota
-	a.heedless = back != nil && a.kind == clientRetry && back.isHeedless(c.now)
-	a.tier = c.fairness.tier(e.Class, a.standing)
+	a.ignoresRetryAfter = back != nil && a.kind == clientRetry && back.ignoresRetryAfter(c.now)
+	a.tier = c.fairness.tier(e.Class, a.priority)
 	c.fairness.add(c.now, a.tier)
 	c.retryStorm.recordArrival(c.now, a.kind)
 	return a
@@ -80,8 +80,8 @@
 
 // checkAdmission decides whether a request is rejected, step by step; the first reason holds.
 func (c *Controller) checkAdmission(e *balancer.Request, a arrival) rejectReason {
-	if c.rejectsHeedless(a.standing) {
-		return rejectHeedless
+	if c.rejectsEarlyRetry(a.priority) {
+		return rejectEarlyRetry
 	}
 	if c.isThrottled(e, a.tier) {
 		return rejectThrottled
--- a/internal/overload/admission_test.go
+++ b/internal/overload/admission_test.go
@@ -25,7 +25,7 @@
 		want   rejectReason
 	}{
 		"normal":           {func(*Controller) {}, "rezervare", notRejected},
-		"heedless":         {func(c *Controller) { c.retryStorm.isActive = true }, "rezervare", rejectHeedless},
+		"early retry":      {func(c *Controller) { c.retryStorm.isActive = true }, "rezervare", rejectEarlyRetry},
 		"throttled":        {func(c *Controller) { c.throttle.wasted.add(epoch, 50) }, "rezervare", rejectThrottled},
 		"shedding":         {func(c *Controller) { c.planShedding(epoch) }, "rezervare", rejectShedding},
 		"shedding planned": {func(c *Controller) { c.planShedding(epoch + time.Second) }, "rezervare", notRejected},
@@ -37,7 +37,7 @@
 			c := newController(t)
 			tt.change(c)
 			e := &balancer.Request{ID: 1, Class: tt.class, Key: "k", ClientTimeout: time.Second}
-			a := arrival{standing: standing{heedless: true}, tier: 3}
+			a := arrival{priority: priority{ignoresRetryAfter: true}, tier: 3}
 			c.fairness.add(epoch, a.tier)
 			require.Equal(t, tt.want, c.checkAdmission(e, a))
 		})
--- a/internal/overload/attempts.go
+++ b/internal/overload/attempts.go
@@ -47,7 +47,7 @@
 	c.requests[e.ID] = r
 }
 
-// onAction takes in an action of the balancer, and tells whether it is to be carried out.
+// onAction takes in an action of the balancer, and reports whether it is to be carried out.
 func (c *Controller) onAction(a *balancer.Action) bool {
 	r := c.requests[a.ID]
 	switch a.Kind {
@@ -88,7 +88,7 @@
 	return false
 }
 
-// onSend records an attempt, unless it is suppressed: then the balancer is told that it was not sent.
+// onSend records an attempt, unless it is suppressed: then the balancer is notified that it was not sent.
 func (c *Controller) onSend(a *balancer.Action, r *request) bool {
 	number, s := r.balancerAttempts, c.server(a.Server)
 	r.balancerAttempts++
--- a/internal/overload/controller.go
+++ b/internal/overload/controller.go
@@ -14,7 +14,7 @@
 	Step(now time.Duration, ev balancer.Event) []balancer.Action
 	// ArrivalFraction is this agent's part of all arrivals, from 0 to 1.
 	ArrivalFraction() float64
-	// Sparse tells whether the agent is one of so many that its own requests in flight say nothing of the
+	// Sparse reports whether the agent is one of so many that its own requests in flight say nothing of the
 	// servers'.
 	Sparse() bool
 	// ApplyFleetPolicy, SetExclusions, TenantStats and SetRingAssignment: see balancer.Balancer.
@@ -22,7 +22,7 @@
 	SetExclusions(a *balancer.Exclusions)
 	TenantStats() []balancer.TenantStats
 	SetRingAssignment(p *balancer.RingAssignment)
-	// SetWarmServersSaturated says whether the servers that are not warming up have no capacity left.
+	// SetWarmServersSaturated sets whether the servers that are not warming up have no capacity left.
 	SetWarmServersSaturated(on bool)
 }
 
@@ -197,8 +197,8 @@
 	c.updateEpisode()
 }
 
-// IsShedding tells whether requests are held back at this moment: for a latency episode, an outage or a retry
-// storm.
+// IsShedding reports whether requests are held back at this moment: for a latency episode, an outage or a
+// retry storm.
 func (c *Controller) IsShedding() bool {
 	return c.isSheddingNow() || c.outage.phase != phaseNormal || c.retryStorm.isActive
 }
--- a/internal/overload/episode.go
+++ b/internal/overload/episode.go
@@ -30,7 +30,7 @@
 	own       evidence // latest responses of this agent
 	ownSparse evidence // the same, over a longer time
 	peers     [maxPeerEvidence]peerEvidence
-	sentAt    time.Duration // when others were last told
+	sentAt    time.Duration // when evidence was last sent
 
 	slowSince  time.Duration // zero: it is not slow
 	quietSince time.Duration // since when service is as usual; zero: it is not
@@ -79,8 +79,8 @@
 	return all.factor(), all.weight
 }
 
-// supports tells whether this agent's own responses say the same as the others: what others say alone, forged
-// or not, never has requests rejected.
+// supports reports whether this agent's own responses say the same as the others: what others say alone,
+// forged or not, never has requests rejected.
 func (e *episode) supports(now time.Duration) bool {
 	if e.own.weight >= minOwnWeight {
 		return e.own.factor() >= unusualFactor
@@ -101,7 +101,7 @@
 	}
 }
 
-// maySheddingHelp tells whether to shed load (again): not in an episode that shedding did not end, unless
+// maySheddingHelp reports whether to shed load (again): not in an episode that shedding did not end, unless
 // service has become slower still by the growth, which is another episode on top.
 func (e *episode) maySheddingHelp(now time.Duration, factor, growth float64) bool {
 	if now >= e.noSheddingBefore {
@@ -121,7 +121,7 @@
 	return hasGrown
 }
 
-// updateEpisode looks at the evidence: it begins and ends load shedding, and tells other agents.
+// updateEpisode looks at the evidence: it begins and ends load shedding, and notifies other agents.
 func (c *Controller) updateEpisode() {
 	e := &c.episode
 	if !c.isSettled() { // what is slow then is due to the outage
@@ -156,7 +156,7 @@
 	}
 }
 
-// isSlow tells whether there is a latency episode: service is slow at every server by all agents' evidence,
+// isSlow reports whether there is a latency episode: service is slow at every server by all agents' evidence,
 // this agent's own does not contradict, and requests find no capacity for it.
 func (c *Controller) isSlow(factor, weight float64) bool {
 	e := &c.episode
--- a/internal/overload/fairness.go
+++ b/internal/overload/fairness.go
@@ -18,15 +18,15 @@
 type fairnessOrder struct {
 	classIndex map[string]int // in the settings, by name
 	classRank  []int          // by index: 0 is the class with the highest priority weight
-	offered    []decayingSum  // requests that came of late, by tier
+	offered    []decayingSum  // recent requests, by tier
 }
 
 const offeredHalfLife = 2 * time.Second
 
 // standing is what counts for a request's tier beside its class.
-type standing struct {
-	overQuota bool // beyond its tenant's quota
-	heedless  bool // came back before its Retry-After was over, or was rejected several times already
+type priority struct {
+	overQuota         bool // beyond its tenant's quota
+	ignoresRetryAfter bool // returned too early, or was rejected several times already
 }
 
 func newFairnessOrder(classes []balancer.Class) fairnessOrder {
@@ -49,13 +49,13 @@
 }
 
 // tier is the tier of a request; a class that is not known counts as the one with the lowest priority.
-func (f *fairnessOrder) tier(class string, s standing) int {
+func (f *fairnessOrder) tier(class string, s priority) int {
 	rank := len(f.classRank) - 1
 	if i, known := f.classIndex[class]; known {
 		rank = f.classRank[i]
 	}
 	tier := 2 * rank
-	if s.heedless {
+	if s.ignoresRetryAfter {
 		tier++
 	}
 	if s.overQuota {
@@ -64,7 +64,7 @@
 	return tier
 }
 
-// add counts a request that came.
+// add counts a request.
 func (f *fairnessOrder) add(now time.Duration, tier int) { f.offered[tier].add(now, 1) }
 
 // fractionBefore is the fraction of all requests of late that come before a request of the tier, from 0 to 1.
--- a/internal/overload/fairness_test.go
+++ b/internal/overload/fairness_test.go
@@ -11,11 +11,11 @@
 // TestFairnessOrder: the tiers, and the rank of a key within one.
 func TestFairnessOrder(t *testing.T) {
 	order := newFairnessOrder(deployment(1, 0).Classes)
-	within, heedless := standing{}, standing{heedless: true}
-	over, overAndHeedless := standing{overQuota: true}, standing{overQuota: true, heedless: true}
+	within, early := priority{}, priority{ignoresRetryAfter: true}
+	over, overAndEarly := priority{overQuota: true}, priority{overQuota: true, ignoresRetryAfter: true}
 	first := []int{
-		order.tier("rezervare", within), order.tier("rezervare", heedless), order.tier("consult", within),
-		order.tier("consult", heedless), order.tier("rezervare", over), order.tier("consult", overAndHeedless),
+		order.tier("rezervare", within), order.tier("rezervare", early), order.tier("consult", within),
+		order.tier("consult", early), order.tier("rezervare", over), order.tier("consult", overAndEarly),
 	}
 	require.IsIncreasing(t, first)
 	require.Equal(t, order.tier("consult", within), order.tier("unheard of", within))
--- a/internal/overload/message.go
+++ b/internal/overload/message.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// messageKind is what a message between agents says. The values are part of the wire format.
+// messageKind is the kind of a message between agents. The values are part of the wire format.
 type messageKind byte
 
 const (
@@ -23,8 +23,8 @@
 	maxWeight = 60.0 // responses: no agent's evidence counts for more
 )
 
-// message is what an agent tells others. On the wire, big-endian: messageOverload, the kind, the logarithm of
-// the factor in thousandths (int16), its weight in tenths (uint16), and for messageShedding the start in
+// message is what agents send one another. On the wire, big-endian: messageOverload, the kind, the logarithm
+// of the factor in thousandths (int16), its weight in tenths (uint16), and for messageShedding the start in
 // nanoseconds on the clock that all agents share (uint64).
 type message struct {
 	kind      messageKind
--- a/internal/overload/outage.go
+++ b/internal/overload/outage.go
@@ -187,7 +187,7 @@
 	return true
 }
 
-// isRepeatable tells whether a client may repeat a failed request of a class.
+// isRepeatable reports whether a client may repeat a failed request of a class.
 func (c *Controller) isRepeatable(class string) bool {
 	i, known := c.fairness.classIndex[class]
 	return known && c.settings.Classes[i].Idempotency != balancer.NotIdempotent
--- a/internal/overload/peers.go
+++ b/internal/overload/peers.go
@@ -26,7 +26,7 @@
 	return p.receivedAt > 0 && now-p.receivedAt < peerEvidenceValidFor
 }
 
-// hearsNoPeer tells whether no other agent was heard of late.
+// hearsNoPeer reports whether no other agent was heard of late.
 func (e *episode) hearsNoPeer(now time.Duration) bool {
 	for i := range e.peers {
 		if e.peers[i].isFresh(now) {
--- a/internal/overload/quota.go
+++ b/internal/overload/quota.go
@@ -51,7 +51,7 @@
 	q.perSecond, q.updatedAt, q.tokens = perSecond, now, fullness*max(perSecond*fraction, minBurst)
 }
 
-// quotaCheck is what the quota says of a request.
+// quotaCheck is the result of checking a request against its tenant's quota.
 type quotaCheck struct {
 	overQuota bool
 	counts    bool // false: a retry in an outage or after it, which is not counted again
@@ -81,7 +81,7 @@
 	return check
 }
 
-// reportedQuota is what a rejection says of the tenant's quota; zero where that is not configured.
+// reportedQuota is the tenant's quota as a rejection carries it; zero where that is not configured.
 func (c *Controller) reportedQuota(tenant string) balancer.Quota {
 	q := c.quotas[tenant]
 	if !c.config.ReportQuota || q == nil || q.perSecond <= 0 {
--- a/internal/overload/recovery.go
+++ b/internal/overload/recovery.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// hasProvenCapacity tells whether the servers have proved to serve one more request, which comes after the
+// hasProvenCapacity reports whether the servers have proved to serve one more request, which comes after the
 // given fraction of requests in the order of fairness.
 func (c *Controller) hasProvenCapacity(before float64) bool {
 	capacity := 0.0
@@ -74,7 +74,7 @@
 	return max(limit, 2)
 }
 
-// isSettled tells whether responses show service times: not those of an outage, nor those after it while
+// isSettled reports whether responses show service times: not those of an outage, nor those after it while
 // servers may be warming up.
 func (c *Controller) isSettled() bool {
 	o := &c.outage
--- a/internal/overload/retryafter.go
+++ b/internal/overload/retryafter.go
@@ -5,7 +5,7 @@
 const (
 	minRetryAfter       = 100 * time.Millisecond
 	retryAfterTolerance = 20 * time.Millisecond // that a client may come back too early
-	maxHeedfulRejected  = 2                     // rejections: a client that comes back after more is heedless
+	maxRejections       = 2                     // a client that returns after more is deprioritized
 
 	retryAfterEntries    = 1 << 15 // clients; 24 bytes each
 	retryAfterNeighbours = 8       // entries in which a client can be
@@ -31,7 +31,7 @@
 	return after
 }
 
-// clientID tells clients apart by what they ask for: a salted hash of key, tenant and class, never zero.
+// clientID identifies clients by what they request: a salted hash of key, tenant and class, never zero.
 type clientID uint64
 
 // retryAfterTable remembers which clients were rejected, how often, and when they are to come back. Its size
@@ -114,8 +114,8 @@
 	}
 }
 
-// isHeedless tells whether a client that is back ignores its Retry-After, or has been rejected several times
-// already.
-func (e *retryAfterEntry) isHeedless(now time.Duration) bool {
-	return now < e.returnAt-retryAfterTolerance || e.rejections > maxHeedfulRejected
+// ignoresRetryAfter reports whether a client that is back ignores its Retry-After, or has been rejected
+// several times already.
+func (e *retryAfterEntry) ignoresRetryAfter(now time.Duration) bool {
+	return now < e.returnAt-retryAfterTolerance || e.rejections > maxRejections
 }
--- a/internal/overload/retrystorm.go
+++ b/internal/overload/retrystorm.go
@@ -17,7 +17,8 @@
 	"%.0f%% of requests are forwarded"
 
 // retryStorm notices that more client retries than first attempts come while most find no capacity; a peak of
-// first attempts is none. While it lasts, heedless clients are rejected at once, before others wait for them.
+// first attempts is none. While it lasts, clients that ignore their Retry-After are rejected at once, before
+// others wait for them.
 type retryStorm struct {
 	firstAttempts, retries decayingSum
 	changingSince          time.Duration // since when it looks otherwise than it is; zero: it does not
@@ -41,11 +42,11 @@
 	}
 }
 
-// rejectsHeedless tells whether a heedless client is rejected at once: in a retry storm, unless an outage
-// decides or nearly everything is forwarded.
-func (c *Controller) rejectsHeedless(s standing) bool {
+// rejectsEarlyRetry reports whether a client that ignores its Retry-After is rejected at once: in a retry
+// storm, unless an outage decides or nearly everything is forwarded.
+func (c *Controller) rejectsEarlyRetry(s priority) bool {
 	r := &c.retryStorm
-	if !r.isActive || !s.heedless || c.outage.phase != phaseNormal ||
+	if !r.isActive || !s.ignoresRetryAfter || c.outage.phase != phaseNormal ||
 		c.forwardedFraction() >= maxForwardedFraction {
 		return false
 	}
--- a/internal/overload/servers.go
+++ b/internal/overload/servers.go
@@ -114,12 +114,12 @@
 	c.pendingEvents = append(c.pendingEvents, update)
 }
 
-// isWarmingUp tells whether a server is slow because it has just started.
+// isWarmingUp reports whether a server is slow because it has just started.
 func (c *Controller) isWarmingUp(s *server) bool {
 	return s.entry.StartedAt > s.startOffset && c.now-s.entry.StartedAt < c.settings.Rules.SlowStartDuration
 }
 
-// isAtProvenLimit tells whether a server that warms up has as much in flight as it has proved to serve, or
+// isAtProvenLimit reports whether a server that warms up has as much in flight as it has proved to serve, or
 // has just failed.
 func (c *Controller) isAtProvenLimit(s *server) bool {
 	return c.now < s.holdUntil || float64(s.inFlight) >= max(s.inFlightLimit, 1)
--- a/internal/overload/shedding.go
+++ b/internal/overload/shedding.go
@@ -29,13 +29,13 @@
 	announcedStart    time.Duration // of another agent's shedding that is not joined yet; zero: there is none
 }
 
-// isSheddingNow tells whether load is shed at this moment, not only planned to be.
+// isSheddingNow reports whether load is shed at this moment, not only planned to be.
 func (c *Controller) isSheddingNow() bool {
 	e := &c.episode
 	return e.isShedding && c.now >= e.sheddingFrom && c.now < e.sheddingUntil
 }
 
-// takesPartInShedding tells whether this agent sheds load at all: not where it is one of many that send
+// takesPartInShedding reports whether this agent sheds load at all: not where it is one of many that send
 // little each and has a throttle, unless it is configured.
 func (c *Controller) takesPartInShedding() bool {
 	return c.config.SheddingWhenSparse || c.config.WastedFraction >= 1 || !c.balancer.Sparse()
--- a/internal/overload/simulation_test.go
+++ b/internal/overload/simulation_test.go
@@ -253,7 +253,7 @@
 	}
 }
 
-// fails tells whether an attempt has failed.
+// fails reports whether an attempt has failed.
 func (sim *fleetSimulation) fails(j *job) (bool, balancer.Outcome) {
 	if sim.rejectsAll {
 		return true, balancer.Rejected
--- a/internal/overload/snapshot.go
+++ b/internal/overload/snapshot.go
@@ -107,7 +107,7 @@
 // agent counts none of that.
 func (c *Controller) settleTime() time.Duration { return c.longestObjective * 3 / 2 }
 
-// isValid tells whether a step can have been learned.
+// isValid reports whether a step can have been learned.
 func (s ServiceTimeSnapshot) isValid() bool {
 	return s.Step >= 0 && s.Step < concurrencySteps && s.Samples > 0 && math.Abs(s.LogSeconds) < maxLogSeconds
 }
--- a/internal/overload/throttle.go
+++ b/internal/overload/throttle.go
@@ -58,7 +58,7 @@
 	return min((t.answered.weight*(1+headroom)+1)/(t.arrivals.weight+1), 1)
 }
 
-// isThrottled tells whether the throttle rejects a request, in the order of fairness. During shedding and
+// isThrottled reports whether the throttle rejects a request, in the order of fairness. During shedding and
 // outages those balancer.
 func (c *Controller) isThrottled(e *balancer.Request, tier int) bool {
 	t := &c.throttle
@@ -79,7 +79,7 @@
 	return true
 }
 
-// usesThrottle tells whether the throttle decides at this moment.
+// usesThrottle reports whether the throttle decides at this moment.
 func (c *Controller) usesThrottle() bool {
 	return !c.config.Disabled && c.config.WastedFraction < 1 && !c.isSheddingNow() &&
 		c.outage.phase == phaseNormal && c.balancer.Sparse()
