--- a/cmd/dunestep/manual.go
+++ b/cmd/dunestep/manual.go
@@ -67,17 +67,21 @@
 
 // DisableEndpoint takes an endpoint out of use. The file has it when it returns without an error.
 func (m *manualControl) DisableEndpoint(ctx context.Context, id string) (listed bool, err error) {
-	return m.change(ctx, id, "endpoint disabled by operator", m.agent.DisableEndpoint)
+	return m.change(ctx, id, m.agent.DisableEndpoint, func() {
+		slog.Info("endpoint disabled by operator", "server", id)
+	})
 }
 
 // EnableEndpoint puts an endpoint back into use.
 func (m *manualControl) EnableEndpoint(ctx context.Context, id string) (listed bool, err error) {
-	return m.change(ctx, id, "endpoint enabled by operator", m.agent.EnableEndpoint)
+	return m.change(ctx, id, m.agent.EnableEndpoint, func() {
+		slog.Info("endpoint enabled by operator", "server", id)
+	})
 }
 
 // change disables or enables an endpoint, logs that and stores it.
-func (m *manualControl) change(ctx context.Context, id, message string,
-	do func(context.Context, string) ([]routing.DisabledEndpoint, bool, error),
+func (m *manualControl) change(ctx context.Context, id string,
+	do func(context.Context, string) ([]routing.DisabledEndpoint, bool, error), logDone func(),
 ) (listed bool, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -86,7 +90,7 @@
 		return listed, err
 	}
 	m.set.Disabled = routing.MergeDisabled(m.set.Disabled, disabled)
-	slog.Info(message, "server", id)
+	logDone()
 	return true, m.store()
 }
 
