--- /dev/null
+++ b/internal/routing/actions.go
@@ -0,0 +1,75 @@
+package routing
+
+import (
+	"time"
+
+	"dunestep/internal/balancer"
+	"dunestep/internal/protocol"
+)
+
+// carryOut turns an action of the decision module into outputs.
+func (r *Router) carryOut(now time.Duration, act balancer.Action) {
+	switch act.Kind {
+	case balancer.Send:
+		r.startAttempt(now, act)
+	case balancer.Fail:
+		r.respondOnce(act.ID, Output{Result: protocol.Failed, Text: failedText})
+	case balancer.Reject:
+		r.respondOnce(act.ID, Output{
+			Result: protocol.Rejected, After: act.After, OverQuota: act.OverQuota,
+			Quota: act.Quota, Text: rejectedText,
+		})
+	case balancer.Cancel:
+		if req := r.runningAttempt(act.ID, act.Attempt); req != nil {
+			r.cancel(req, act.Attempt, Canceled)
+		}
+	case balancer.SetTimer:
+		r.emit(Output{Kind: SetTimer, At: now + act.After, Tag: act.Tag})
+	case balancer.SendToPeer:
+		r.emit(Output{Kind: SendDatagram, Peer: act.Peer, Data: act.Data})
+	case balancer.Subscribe:
+		r.emit(Output{Kind: WatchList})
+	case balancer.Fetch:
+		r.emit(Output{Kind: FetchList})
+	case balancer.Log:
+		r.emit(Output{Kind: LogDecision, Text: act.Text})
+	case balancer.Probe:
+		r.emit(Output{Kind: UnsupportedProbe, Endpoint: act.Server})
+	}
+}
+
+// startAttempt starts an attempt, where that is still possible and of use.
+func (r *Router) startAttempt(now time.Duration, act balancer.Action) {
+	req := r.requests[act.ID]
+	if req == nil {
+		return
+	}
+	until, afterBody := req.deadline, time.Duration(0)
+	if act.After != 0 {
+		until = min(until, now+act.After)
+	}
+	if req.clientTimeLeft > 0 { // its body is still coming, and the timeout counts from the last byte
+		until, afterBody = req.deadline, req.clientTimeLeft
+		if act.After != 0 {
+			afterBody = min(afterBody, act.After)
+		}
+	}
+	number := len(req.attempts)
+	req.attempts = append(req.attempts, attemptState{endpoint: act.Server, timeoutAfterBody: afterBody})
+	req.openAttempts++
+	if !r.maySend(req, act.Server) || until <= now || number >= r.maxAttempts {
+		r.notStarted = append(r.notStarted, notStarted{req, number})
+		return
+	}
+	req.attempts[number].running = true
+	r.emit(Output{
+		Kind: StartAttempt, Request: req.id, Attempt: number, Endpoint: act.Server, At: until,
+		Deadline: req.deadline, Streaming: req.streamed, After: afterBody,
+	})
+}
+
+// maySend reports whether the request can be sent to the endpoint, and is still to be answered.
+func (r *Router) maySend(req *requestState, endpoint string) bool {
+	e := r.endpoints[endpoint]
+	return e != nil && e.open && !req.answered && !req.bodyConsumed
+}
--- /dev/null
+++ b/internal/routing/endpoints.go
@@ -0,0 +1,85 @@
+package routing
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"time"
+
+	"dunestep/internal/balancer"
+	"dunestep/internal/protocol"
+)
+
+// endpointState is what the list says of an endpoint that is sent to, or may be.
+type endpointState struct {
+	state balancer.ServerState
+	open  bool // it has an actor
+}
+
+// ListUpdated takes in an update of the endpoint list, brings the endpoints' actors in line and reports it to the
+// decision module. Where the kind is balancer.UpdateFailed or nothing has changed, the list is empty.
+func (r *Router) ListUpdated(now time.Duration, kind balancer.UpdateKind, list protocol.EndpointList,
+	watch balancer.WatchStatus,
+) []Output {
+	r.out = r.out[:0]
+	listed := make(map[string]bool, len(list.Endpoints))
+	servers := make([]balancer.Server, 0, len(list.Endpoints))
+	for _, e := range list.Endpoints {
+		listed[e.ID] = true
+		servers = append(servers, e.Server)
+		r.updateEndpoint(e)
+	}
+	if kind == balancer.UpdateFull || kind == balancer.UpdateCached {
+		for _, id := range sorted(r.endpoints) {
+			if !listed[id] && r.endpoints[id].state != balancer.Gone {
+				r.updateEndpoint(protocol.Endpoint{Server: balancer.Server{ID: id, State: balancer.Gone}})
+			}
+		}
+	}
+	r.decide(now, &balancer.ServerListUpdate{Kind: kind, Servers: servers, Watch: watch})
+	return r.out
+}
+
+// updateEndpoint keeps one endpoint's actor in line. One that is gone is kept where the decision module may still
+// use it.
+func (r *Router) updateEndpoint(e protocol.Endpoint) {
+	known := r.endpoints[e.ID]
+	switch {
+	case e.State == balancer.Gone && known == nil:
+		return
+	case e.State == balancer.Gone && (!r.goneUsable || !known.open):
+		delete(r.endpoints, e.ID)
+		if known.open {
+			r.emit(Output{Kind: RemoveEndpoint, Endpoint: e.ID})
+		}
+		return
+	case known == nil:
+		known = &endpointState{}
+		r.endpoints[e.ID] = known
+	}
+	known.state = e.State
+	switch {
+	case e.State == balancer.Gone || !e.Addr.IsValid(): // only its state has changed: the address stays
+	case known.open:
+		r.emit(Output{Kind: SetEndpointAddress, Endpoint: e.ID, Addr: e.Addr})
+	default:
+		known.open = true
+		r.emit(Output{Kind: OpenEndpoint, Endpoint: e.ID, Addr: e.Addr})
+	}
+	if known.open && e.State == balancer.Draining { // it gets nothing new
+		r.emit(Output{Kind: DrainEndpoint, Endpoint: e.ID})
+	}
+}
+
+// HasReadyEndpoint reports whether an endpoint is known that takes requests.
+func (r *Router) HasReadyEndpoint() bool {
+	for _, e := range r.endpoints {
+		if e.state == balancer.Ready {
+			return true
+		}
+	}
+	return false
+}
+
+// sorted returns a map's keys in order, so that the order of outputs does not depend on the map's.
+func sorted[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
--- /dev/null
+++ b/internal/routing/listcalls.go
@@ -0,0 +1,146 @@
+package routing
+
+import (
+	"errors"
+	"net/netip"
+
+	"dunestep/internal/balancer"
+	"dunestep/internal/discovery/backoff"
+	"dunestep/internal/protocol"
+)
+
+// Watch starts a new watch from the known version, in place of the present one. A watch at the address before goes
+// on: the decision module also polls where the new address can't be reached.
+func (l *ListTracker) Watch() []ListOutput {
+	l.out = l.out[:0]
+	if l.watchCall != 0 {
+		l.emit(ListOutput{Kind: EndCall, Call: l.watchCall})
+	}
+	l.startWatch()
+	return l.out
+}
+
+// SetAddress starts a watch at another address. The one at the old address goes on until the new one is accepted:
+// nothing is missed between the two.
+func (l *ListTracker) SetAddress(addr netip.AddrPort) []ListOutput {
+	l.out = l.out[:0]
+	if addr != l.addr {
+		l.addr = addr
+		l.endFormerWatch()
+		l.formerWatch = l.watchCall
+		l.startWatch()
+		l.addressChanged = true
+	}
+	return l.out
+}
+
+// Fetch asks once for the complete list.
+func (l *ListTracker) Fetch() []ListOutput {
+	l.out = l.out[:0]
+	l.calls++
+	l.fetches[l.calls] = true
+	l.emit(ListOutput{Kind: StartCall, Call: l.calls, Addr: l.addr})
+	return l.out
+}
+
+// CallAccepted takes in that discovery has accepted a call.
+func (l *ListTracker) CallAccepted(call int) []ListOutput {
+	l.out = l.out[:0]
+	if call == l.watchCall { // this answers the decision module's call, also where no change was missed
+		l.accepted = true
+		l.endFormerWatch()
+		l.emit(ListOutput{
+			Kind: ListUpdate, Update: balancer.UpdateIncremental, Watch: balancer.WatchStatus{Opened: true},
+		})
+	}
+	return l.out
+}
+
+// CallReceived takes in a list or change that a call brought.
+func (l *ListTracker) CallReceived(call int, list protocol.EndpointList) []ListOutput {
+	l.out = l.out[:0]
+	fetched := l.fetches[call]
+	switch {
+	case fetched && list.Version < l.version: // the watch has brought more since
+		l.emit(ListOutput{Kind: ListUpdate, Update: balancer.UpdateIncremental})
+	case fetched || call == l.watchCall && !l.outOfOrder || call == l.formerWatch:
+		l.acceptList(list)
+	}
+	return l.out
+}
+
+// CallIdle takes in that a call was accepted and has brought nothing since, for longer than what it had to bring
+// would have taken: the known list is the present one.
+func (l *ListTracker) CallIdle(call int) []ListOutput {
+	l.out = l.out[:0]
+	if call == l.watchCall && l.accepted && !l.outOfOrder {
+		l.emit(ListOutput{Kind: ListUpdate, Update: balancer.UpdateIncremental, Confirms: true})
+	}
+	return l.out
+}
+
+// CallEnded takes in the end of a call, with nil only for a fetch that came completely.
+func (l *ListTracker) CallEnded(call int, err error) []ListOutput {
+	l.out = l.out[:0]
+	fetched := l.fetches[call]
+	delete(l.fetches, call)
+	switch {
+	case call == l.formerWatch:
+		l.formerWatchEnded(err)
+	case call == l.watchCall || fetched && err != nil:
+		l.emit(ListOutput{Kind: CallFailed, Err: err})
+		status := watchEnd(err, call == l.watchCall && l.accepted)
+		switch {
+		case call == l.watchCall && l.outOfOrder:
+			status.End = backoff.Unreadable
+		case call == l.watchCall && l.addressChanged && status.End == backoff.CallFailed:
+			status.End = backoff.AddressMoved
+		}
+		if call == l.watchCall { // its silence confirms nothing any more
+			l.accepted = false
+		}
+		l.emit(ListOutput{Kind: ListUpdate, Update: balancer.UpdateFailed, Watch: status})
+	}
+	return l.out
+}
+
+// formerWatchEnded takes in the end of the watch at the address before. The present one is still being tried.
+func (l *ListTracker) formerWatchEnded(err error) {
+	l.formerWatch = 0
+	if status := watchEnd(err, true); status.End == backoff.WatchSilent && l.watchCall != 0 {
+		status.Replaced = true
+		l.emit(ListOutput{Kind: ListUpdate, Update: balancer.UpdateFailed, Watch: status})
+	}
+}
+
+// watchEnd is how a call has ended, for the decision module.
+func watchEnd(err error, accepted bool) balancer.WatchStatus {
+	var silence *SilenceError
+	var unreadable *UnreadableError
+	switch {
+	case errors.As(err, &unreadable):
+		return balancer.WatchStatus{End: backoff.Unreadable}
+	case !accepted:
+		return balancer.WatchStatus{End: backoff.CallFailed}
+	case errors.As(err, &silence):
+		return balancer.WatchStatus{End: backoff.WatchSilent, SilentFor: silence.Duration}
+	}
+	return balancer.WatchStatus{End: backoff.WatchLost}
+}
+
+// startWatch starts a watch from the known version.
+func (l *ListTracker) startWatch() {
+	l.calls++
+	l.watchCall, l.accepted, l.outOfOrder, l.addressChanged = l.calls, false, false, false
+	l.emit(ListOutput{
+		Kind: StartCall, Call: l.watchCall, Addr: l.addr,
+		Request: protocol.ListRequest{Watch: true, FromVersion: l.version},
+	})
+}
+
+func (l *ListTracker) endFormerWatch() {
+	if l.formerWatch != 0 {
+		l.emit(ListOutput{Kind: EndCall, Call: l.formerWatch})
+	}
+	l.formerWatch = 0
+}
--- a/internal/routing/pool.go
+++ b/internal/routing/pool.go
@@ -7,58 +7,55 @@
 	"time"
 )
 
-// ReuseDelay is how long a connection rests after its answer before the next route step is written on it. A
-// booking server may answer twice, the second time some milliseconds late, and nothing in an answer tells
-// which request it is for: what comes while no step is on the connection ends it, what comes later would be
-// taken for the next one's answer. Some milliseconds are under ten. What it costs grows with its square, as
-// more steps wait and each for longer; a connection in its place would cost both sides a handshake, and is
-// priced.
+// ReuseDelay is how long a connection rests after its answer before the next attempt is written on it. An endpoint
+// may answer twice, the second time some milliseconds late, and nothing in an answer says which request it is
+// for: what comes while no attempt is on the connection ends it, what comes later would be taken for the next
+// one's answer.
 const ReuseDelay = 10 * time.Millisecond
 
-// Pool is a booking server's actor without its mailbox: it owns the connections that wait for their next
-// route step, and knows how many route steps are out. C is a connection as its owner knows it. Inputs return
-// the connections to be closed, valid until the next input.
+// Pool owns the idle connections to one endpoint, and counts the attempts that are under way there. C is a
+// connection as its owner knows it. Inputs return the connections to be closed, valid until the next input.
 type Pool[C comparable] struct {
 	limit      Limiter
 	reuseDelay time.Duration
 	addr       netip.AddrPort
 	idle       []idleConnection[C] // the one used last at the end
-	inUse      int
-	retired    bool
-	noReuse    bool // connections are not kept
+	inUse      int                 // attempts
+	retired    bool                // the endpoint has left the list
+	noReuse    bool                // connections are closed after their answer
 	closing    []C
 }
 
-// Limiter says how long a connection may have stood idle to be used: an IdleLimit, which pools share.
+// Limiter says how long a connection may have been idle to be reused: an IdleLimit, which pools share.
 type Limiter interface{ Limit() time.Duration }
 
-// pooled is a connection that waits for its next route step.
+// idleConnection is a connection that waits for its next attempt.
 type idleConnection[C comparable] struct {
 	conn  C
 	since time.Duration
-	until time.Duration // to be closed then
+	until time.Duration // when it is to be closed
 }
 
-// Checkout is what a route step gets to go out on.
+// Checkout is the connection that an attempt gets, or the address to connect to.
 type Checkout[C comparable] struct {
 	Reused     bool
 	Conn       C             // where Reused
-	WriteDelay time.Duration // how long the step waits until it may be written, where Reused
+	WriteDelay time.Duration // how long the attempt must wait before it is written, where Reused
 	IdleFor    time.Duration // how long the connection will have been idle then, where Reused
 	Addr       netip.AddrPort
 
-	from idleConnection[C] // the pool's, where Reused
+	entry idleConnection[C] // the pool's, where Reused
 }
 
-// NewPool returns the pool of a booking server at an address. A connection rests for settle after its answer;
-// see ReuseDelay.
-func NewPool[C comparable](addr netip.AddrPort, limit Limiter, settle time.Duration) *Pool[C] {
-	return &Pool[C]{limit: limit, addr: addr, reuseDelay: settle}
+// NewPool returns the pool of an endpoint at an address, whose connections rest for reuseDelay after an answer: see
+// ReuseDelay.
+func NewPool[C comparable](addr netip.AddrPort, limit Limiter, reuseDelay time.Duration) *Pool[C] {
+	return &Pool[C]{limit: limit, addr: addr, reuseDelay: reuseDelay}
 }
 
-// Acquire takes a route step in, and says on which connection it goes out: of those that have settled the one
-// used last, since the longest unused are the likeliest to have been forgotten on the way; else the one that
-// settles first; else a new one. ShutdownOver tells of its end.
+// Acquire returns the connection for a new attempt: of those that have rested the one used last, since the longest
+// unused are the likeliest to have been forgotten on the way; else the one that has rested first; else a new one.
+// One of the Release methods or ReturnUnused reports the attempt's end.
 func (p *Pool[C]) Acquire(now time.Duration) (Checkout[C], []C) {
 	p.inUse++
 	p.closing = p.closing[:0]
@@ -71,45 +68,49 @@
 	for at > 0 && now-p.idle[at].since < p.reuseDelay {
 		at--
 	}
-	from := p.idle[at]
+	entry := p.idle[at]
 	p.idle = slices.Delete(p.idle, at, at+1)
-	stood := now - from.since
-	settles := max(p.reuseDelay-stood, 0)
+	idle := now - entry.since
+	delay := max(p.reuseDelay-idle, 0)
 	return Checkout[C]{
-		Reused: true, Conn: from.conn, WriteDelay: settles, IdleFor: stood + settles, Addr: p.addr,
-		from: from,
+		Reused: true, Conn: entry.conn, WriteDelay: delay, IdleFor: idle + delay, Addr: p.addr,
+		entry: entry,
 	}, p.closing
 }
 
-// StaleConnection takes the end of a route step in that was not written on the connection of its lease, which has
-// stood idle all along. ConnectionEnded tells that it has ended since.
-func (p *Pool[C]) ReturnUnused(lease Checkout[C], ended bool) []C {
+// ReturnUnused takes in the end of an attempt that was not written on its reused connection, which has been idle all
+// along. Ended: the connection has ended since.
+//
+//nolint:revive // flag-parameter: ended is reported by the connection, and is no choice of the caller's
+func (p *Pool[C]) ReturnUnused(c Checkout[C], ended bool) []C {
 	p.inUse--
 	p.closing = p.closing[:0]
-	if p.retired || p.noReuse || lease.Addr != p.addr || ended {
-		p.closing = append(p.closing, lease.Conn)
+	if p.retired || p.noReuse || c.Addr != p.addr || ended {
+		p.closing = append(p.closing, c.Conn)
 		return p.closing
 	}
-	at, _ := slices.BinarySearchFunc(p.idle, lease.from.since, func(c idleConnection[C], since time.Duration) int {
-		return cmp.Compare(c.since, since)
+	at, _ := slices.BinarySearchFunc(p.idle, c.entry.since, func(i idleConnection[C], since time.Duration) int {
+		return cmp.Compare(i.since, since)
 	})
-	p.idle = slices.Insert(p.idle, at, lease.from)
+	p.idle = slices.Insert(p.idle, at, c.entry)
 	return p.closing
 }
 
-// ReleaseClosed takes the end of a route step in whose connection is closed, or never was.
+// ReleaseClosed takes in the end of an attempt whose connection is closed, or never came up.
 func (p *Pool[C]) ReleaseClosed() { p.inUse-- }
 
-// ReleaseUnanswered takes the end of a route step in that went out on a reused connection and got no answer. Guards
-// against losing a step to each of the others, where a machine that was cut off for a while has left them
-// open and silent: those that have not been used since it was sent are not used again.
+// ReleaseUnanswered takes in the end of an attempt that was sent on a reused connection and got no answer. The others
+// that have not been used since it was sent are closed: a machine that was unreachable for a while may have left
+// them all open and silent, and each would cost an attempt.
 func (p *Pool[C]) ReleaseUnanswered(sent time.Duration) []C {
 	p.inUse--
 	return p.closeMatching(func(c idleConnection[C]) bool { return c.since < sent })
 }
 
-// ShutdownOver takes the end of a route step in whose connection can carry another. To is the address that it leads
-// to; ended tells that the connection has ended since, which may have been told before this.
+// Release takes in the end of an attempt whose connection can be reused. To is the address that the connection leads
+// to. Ended: the connection has ended since, which may have been reported before.
+//
+//nolint:revive // flag-parameter: ended is reported by the connection, and is no choice of the caller's
 func (p *Pool[C]) Release(now time.Duration, conn C, to netip.AddrPort, ended bool) []C {
 	p.inUse--
 	p.closing = p.closing[:0]
@@ -121,52 +122,52 @@
 	return p.closing
 }
 
-// NextExpiry tells when Expire is to be called next; false while nothing is idle.
-func (p *Pool[C]) NextExpiry() (at time.Duration, any bool) {
+// NextExpiry returns when Expire is to be called next; false while nothing is idle.
+func (p *Pool[C]) NextExpiry() (at time.Duration, ok bool) {
 	for i := range p.idle {
-		if !any || p.idle[i].until < at {
-			at, any = p.idle[i].until, true
+		if !ok || p.idle[i].until < at {
+			at, ok = p.idle[i].until, true
 		}
 	}
-	return at, any
+	return at, ok
 }
 
-// Expire closes those connections that have stood idle for as long as was allowed when they were put back.
+// Expire closes the connections that have been idle for as long as was allowed when they were released.
 func (p *Pool[C]) Expire(now time.Duration) []C {
 	return p.closeMatching(func(c idleConnection[C]) bool { return c.until <= now })
 }
 
-// ConnectionEnded takes in that a connection has ended while no route step was on it.
+// ConnectionEnded takes in that an idle connection has ended.
 func (p *Pool[C]) ConnectionEnded(conn C) []C {
 	return p.closeMatching(func(c idleConnection[C]) bool { return c.conn == conn })
 }
 
-// SetAddress has what comes go to another address. What is out goes on.
+// SetAddress sends new attempts to another address. Those under way go on.
 func (p *Pool[C]) SetAddress(addr netip.AddrPort) []C {
 	moved := addr != p.addr
 	p.addr, p.noReuse = addr, false
 	return p.closeMatching(func(idleConnection[C]) bool { return moved })
 }
 
-// StopReuse closes the idle connections, and keeps none until the next SetAddress.
+// StopReuse closes the idle connections, and others after their answer, until the next SetAddress.
 func (p *Pool[C]) StopReuse() []C {
 	p.noReuse = true
 	return p.closeMatching(func(idleConnection[C]) bool { return true })
 }
 
-// ReleaseIdle closes the longer idle half of the connections.
+// CloseIdleHalf closes the half of the idle connections that has been idle for longer.
 func (p *Pool[C]) CloseIdleHalf() []C {
-	longest := (len(p.idle) + 1) / 2
-	return p.closeMatching(func(idleConnection[C]) bool { longest--; return longest >= 0 })
+	left := (len(p.idle) + 1) / 2
+	return p.closeMatching(func(idleConnection[C]) bool { left--; return left >= 0 })
 }
 
-// Retire takes in that the booking server has left.
+// Retire takes in that the endpoint has left the list.
 func (p *Pool[C]) Retire() []C {
 	p.retired = true
 	return p.closeMatching(func(idleConnection[C]) bool { return true })
 }
 
-// IsDone tells whether the booking server has left and nothing is out there any more.
+// IsDone reports whether the endpoint has left the list and has no attempt any more.
 func (p *Pool[C]) IsDone() bool { return p.retired && p.inUse == 0 }
 
 func (p *Pool[C]) closeMatching(match func(idleConnection[C]) bool) []C {
@@ -175,16 +176,16 @@
 	return p.closing
 }
 
-// drop takes out those idle connections that match, to be closed.
+// takeMatching moves the idle connections that match to those to be closed.
 func (p *Pool[C]) takeMatching(match func(idleConnection[C]) bool) {
-	kept := p.idle[:0]
+	left := p.idle[:0]
 	for _, c := range p.idle {
 		if match(c) {
 			p.closing = append(p.closing, c.conn)
 		} else {
-			kept = append(kept, c)
+			left = append(left, c)
 		}
 	}
-	clear(p.idle[len(kept):])
-	p.idle = kept
+	clear(p.idle[len(left):])
+	p.idle = left
 }
