--- /dev/null
+++ b/internal/agent/actor.go
@@ -0,0 +1,162 @@
+package agent
+
+import (
+	"log/slog"
+	"time"
+
+	"dunestep/internal/balancer"
+	"dunestep/internal/control/policy"
+	"dunestep/internal/overload"
+	"dunestep/internal/protocol"
+	"dunestep/internal/routing"
+	"dunestep/internal/state"
+)
+
+// The messages of the agent's actor, beside *request, responseStarted, attemptEnded, listUpdate and protocol.Datagram.
+type (
+	// clientGone: a request's client has left.
+	clientGone struct{ request *request }
+	// bodyComplete: the last byte of a request has come.
+	bodyComplete struct{ request *request }
+	// failAll: all requests fail now, and those that arrive later are rejected.
+	failAll  struct{}
+	timerDue struct{ tag uint64 }
+	// releaseIdle: idle connections are to be closed.
+	releaseIdle        struct{}
+	snapshotQuery      struct{ reply chan<- state.Snapshot }
+	overloadChanged    struct{ config overload.Config }
+	fleetPolicyChanged struct{ effect *policy.Effect }
+	tenantStatsQuery   struct{ reply chan<- tenantStatsReply }
+	baselineQuery      struct {
+		reply chan<- []balancer.BaselineLatency
+	}
+	fleetSizeChanged struct {
+		forBalancer balancer.FleetSize
+		forOverload int
+	}
+)
+
+// tenantStatsReply is how the tenants' requests have fared, and whether load is being shed.
+type tenantStatsReply struct {
+	stats    []balancer.TenantStats
+	shedding bool
+}
+
+// ejectionInterval is how often the metrics are told of ejected servers, at most.
+const ejectionInterval = 100 * time.Millisecond
+
+// handle handles one message. It never ends the actor.
+func (a *Agent) handle(m any) bool {
+	a.applyFleetState()
+	now := a.clock.now()
+	switch m := m.(type) {
+	case *request:
+		a.startRequest(now, m)
+	case responseStarted:
+		a.startResponse(now, m)
+	case attemptEnded:
+		a.endAttempt(now, m)
+	case clientGone:
+		a.carryOutAll(a.router.ClientGone(now, m.request.id))
+		m.request.closeUntakenResponse()
+	case bodyComplete:
+		a.carryOutAll(a.router.BodyComplete(now, m.request.id))
+	case timerDue:
+		a.carryOutAll(a.router.TimerDue(now, m.tag))
+	case listUpdate:
+		a.carryOutAll(a.router.ListUpdated(now, m.kind, m.list, m.watch))
+		a.recorder.listUpdated(now, m)
+		a.hasEndpoint.Store(a.router.HasReadyEndpoint())
+	case protocol.Datagram:
+		a.carryOutAll(a.router.DatagramReceived(now, m))
+	case failAll:
+		a.carryOutAll(a.router.FailAll())
+	case releaseIdle:
+		a.carryOutAll(a.router.ReleaseIdle())
+	default:
+		a.handleControl(now, m)
+	}
+	a.reportEjections(now)
+	return true
+}
+
+// handleControl handles the messages that change settings, or ask for what is known.
+func (a *Agent) handleControl(now time.Duration, m any) {
+	switch m := m.(type) {
+	case overloadChanged:
+		if err := a.controller.SetConfig(m.config); err != nil {
+			slog.Warn("overload settings not applied", "error", err)
+		}
+	case fleetPolicyChanged:
+		a.router.SetFleetPolicy(m.effect)
+	case fleetSizeChanged:
+		a.balancer.SetFleetSize(m.forBalancer)
+		a.controller.SetFleetSize(m.forOverload)
+	case tenantStatsQuery:
+		m.reply <- tenantStatsReply{a.router.TenantStats(), a.controller != nil && a.controller.IsShedding()}
+	case baselineQuery:
+		m.reply <- a.balancer.BaselineLatencies()
+	case snapshotQuery:
+		m.reply <- a.recorder.recorder.Snapshot(now)
+	}
+}
+
+// reportEjections tells the metrics which servers are ejected. It is part of handling any message, of which the
+// balancer's timers are the rarest.
+func (a *Agent) reportEjections(now time.Duration) {
+	if a.balancer != nil && now-a.ejectedAt >= ejectionInterval {
+		a.ejectedAt = now
+		a.metrics.SetAvoided(a.balancer.EjectedServers())
+	}
+}
+
+// carryOutAll carries out what the router asks for, in order.
+func (a *Agent) carryOutAll(out []routing.Output) {
+	for i := range out {
+		a.carryOut(&out[i])
+	}
+}
+
+func (a *Agent) carryOut(out *routing.Output) {
+	switch out.Kind {
+	case routing.SetTimer:
+		tag := out.Tag
+		time.AfterFunc(a.clock.until(out.At), func() { a.mail.put(timerDue{tag}) })
+	case routing.SendDatagram:
+		if a.peers != nil {
+			a.peers.enqueue(protocol.Datagram{Agent: out.Peer, Data: out.Data})
+		}
+	case routing.WatchList:
+		a.list.mail.put(watchList{})
+	case routing.FetchList:
+		a.list.mail.put(fetchList{})
+	case routing.OpenEndpoint, routing.SetEndpointAddress, routing.RemoveEndpoint, routing.DrainEndpoint,
+		routing.ReleaseIdle:
+		a.changeUpstream(out)
+	case routing.LogDecision:
+		slog.Info("balancer", "says", out.Text)
+		a.recorder.stateChanged() // what the balancer logs has changed its state
+	case routing.UnsupportedProbe:
+		slog.Error("balancer requested a probe, which is not permitted", "server", out.Endpoint)
+	default:
+		a.carryOutForRequest(a.requests[out.Request], out)
+	}
+}
+
+// changeUpstream starts, changes or ends the actor of an endpoint.
+func (a *Agent) changeUpstream(out *routing.Output) {
+	u := a.upstreams[out.Endpoint]
+	switch out.Kind {
+	case routing.OpenEndpoint:
+		a.upstreams[out.Endpoint] = startUpstream(a.upstreamSettings, out.Addr, func(m any) { a.mail.put(m) })
+	case routing.SetEndpointAddress:
+		u.mail.put(addressChanged{out.Addr})
+	case routing.RemoveEndpoint:
+		u.mail.put(retire{})
+		delete(a.upstreams, out.Endpoint)
+	case routing.DrainEndpoint:
+		u.mail.put(stopReuse{})
+	case routing.ReleaseIdle:
+		u.mail.put(closeIdleHalf{})
+	}
+}
--- a/internal/agent/answers_test.go
+++ b/internal/agent/answers_test.go
@@ -18,14 +18,14 @@
 	"dunestep/internal/transport"
 )
 
-// stage is the module's actor with nobody round it: the test brings the messages, in any order.
+// stage is the agent's actor alone: the test brings the messages, in any order.
 type stage struct {
 	*Agent
 	pool     *bytebudget.Pool
 	released int
 }
 
-// copies is a module that sends every operation several times at once, and says nothing else.
+// copies is a module that sends every request several times at once, and does nothing else.
 type copies int
 
 func (n copies) Step(_ time.Duration, ev balancer.Event) (acts []balancer.Action) {
@@ -46,11 +46,11 @@
 	a.carryOutAll(a.router.ListUpdated(0, balancer.UpdateFull, protocol.EndpointList{Endpoints: []protocol.Endpoint{{
 		Server: balancer.Server{ID: "s-0"}, Addr: netip.MustParseAddrPort("127.0.0.1:1"),
 	}}}, balancer.WatchStatus{}))
-	a.upstreams["s-0"] = &upstream{mail: newMailbox[any]()} // nobody reads it
+	a.upstreams["s-0"] = &upstream{mail: newMailbox[any]()} // nothing reads it
 	return &stage{Agent: a, pool: bytebudget.NewPool(1 << 20)}
 }
 
-// body is a flow with something in it.
+// body is a body of which half has come.
 func (s *stage) body(t *rapid.T) *bodystream.Flow {
 	grant, err := s.pool.Take(t.Context(), bytebudget.Holder{Name: "s-0"}, 100)
 	require.NoError(t, err)
@@ -61,17 +61,17 @@
 	return f
 }
 
-// Whatever crosses, with several attempts out: the client has one answer at the most, and that is the first one
-// that began or was whole; each other body is given up, and nothing is kept.
-func TestOneAnswerWhateverCrosses(t *testing.T) {
+// Whatever the order of events with several attempts: the client has one response at most, the first that began or was
+// complete; each other body is closed, and nothing is left.
+func TestOneResponseInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 3).Draw(t, "steps")
 		s := newStage(n)
-		o := &request{response: make(chan protocol.Response, 1), Request: &protocol.Request{
+		r := &request{response: make(chan protocol.Response, 1), Request: &protocol.Request{
 			Class:         "consult",
 			CorrelationID: "1", ArrivedAt: time.Now(), TimeLeft: time.Minute, Release: func() { s.released++ },
 		}}
-		s.handle(o)
+		s.handle(r)
 		var flows []*bodystream.Flow
 		begun, over := make([]*bodystream.Flow, n), make([]bool, n)
 		var taken []protocol.Response
@@ -79,14 +79,14 @@
 		end := func(i int, f *bodystream.Flow, saw routing.AttemptResult) {
 			over[i] = true
 			saw.Phase = routing.Responding
-			s.handle(attemptEnded{attempt: o.attempts[i], result: saw, response: protocol.UpstreamResponse{Flow: f}})
+			s.handle(attemptEnded{attempt: r.attempts[i], result: saw, response: protocol.UpstreamResponse{Flow: f}})
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"begin": func(t *rapid.T) {
 				if i := rapid.IntRange(0, n-1).Draw(t, "i"); !over[i] && begun[i] == nil {
 					begun[i] = s.body(t)
 					flows = append(flows, begun[i])
-					s.handle(responseStarted{o.attempts[i], protocol.UpstreamResponse{Flow: begun[i]}})
+					s.handle(responseStarted{r.attempts[i], protocol.UpstreamResponse{Flow: begun[i]}})
 				}
 			},
 			"end": func(t *rapid.T) {
@@ -97,7 +97,7 @@
 				case begun[i] != nil:
 					begun[i].End(why)
 					over[i] = true
-				case why == io.EOF:
+				case errors.Is(why, io.EOF):
 					f := s.body(t)
 					f.End(io.EOF)
 					flows = append(flows, f)
@@ -111,7 +111,7 @@
 					return
 				}
 				select {
-				case a := <-o.response:
+				case a := <-r.response:
 					taken = append(taken, a)
 				default:
 				}
@@ -119,15 +119,15 @@
 			"leave": func(*rapid.T) {
 				if !gone && len(taken) == 0 {
 					gone = true
-					s.handle(clientGone{o})
+					s.handle(clientGone{r})
 				}
 			},
 			"abandon": func(*rapid.T) { s.handle(failAll{}) },
 		})
-		// All comes to its end.
+		// Everything ends.
 		if !gone && len(taken) == 0 {
 			s.handle(failAll{})
-			taken = append(taken, <-o.response)
+			taken = append(taken, <-r.response)
 		}
 		for i, f := range begun {
 			if f != nil && !over[i] {
@@ -142,13 +142,13 @@
 		for i, f := range begun {
 			if f != nil {
 				<-f.Over()
-				end(i, nil, routing.AttemptResult{Streamed: true, EndReason: endReasonOf(f.Result(), o.attempts[i].ctx)})
+				end(i, nil, routing.AttemptResult{Streamed: true, EndReason: endReasonOf(r.attempts[i].ctx, f.Result())})
 			} else if !over[i] {
 				end(i, nil, routing.AttemptResult{EndReason: routing.TimedOut})
 			}
 		}
 		require.LessOrEqual(t, len(taken), 1)
-		require.Empty(t, o.response)
+		require.Empty(t, r.response)
 		for _, f := range flows {
 			_, err := f.Next()
 			require.Error(t, err, "closed")
@@ -159,29 +159,31 @@
 	})
 }
 
-// What is not the server's doing is not taken for its breaking off.
-func TestEndingOf(t *testing.T) {
+// What the endpoint did not do is not taken for its breaking the connection.
+func TestEndReason(t *testing.T) {
 	c := newClock()
 	s := newAttempt(&request{}, routing.Output{At: c.now() + time.Minute}, c)
 	for err, want := range map[error]routing.EndReason{
 		nil: routing.Completed, io.ErrUnexpectedEOF: routing.BrokenByEndpoint,
 		bodystream.ErrLeft: routing.ClientLeft, transport.ErrInvalidResponse: routing.InvalidResponse, bytebudget.ErrFull: routing.NoMemory,
 	} {
-		require.Equal(t, want, endReasonOf(err, s.ctx))
+		require.Equal(t, want, endReasonOf(s.ctx, err))
 	}
 	s.cancel(routing.ClientTooSlow)
-	require.Equal(t, routing.ClientTooSlow, endReasonOf(errors.New("use of closed network connection"), s.ctx))
-	require.Equal(t, routing.NoMemory, endReasonOf(bytebudget.ErrFull, s.ctx))
+	require.Equal(t, routing.ClientTooSlow, endReasonOf(s.ctx, errors.New("use of closed network connection")))
+	require.Equal(t, routing.NoMemory, endReasonOf(s.ctx, bytebudget.ErrFull))
 }
 
-// The time that this side held a body up is not the booking server's.
-func TestServerTime(t *testing.T) {
+// The time that this side delayed a body is not the endpoint's.
+func TestEndpointLatency(t *testing.T) {
 	sent := time.Now()
+	buffered := &exchange{attempt: &attempt{sent: sent, request: &request{Request: &protocol.Request{}}}}
+	streamed := &exchange{attempt: buffered.attempt, streamed: &bodystream.Flow{}}
 	p := bodystream.Progress{Whole: true, LastCame: sent.Add(9 * time.Second), Before: time.Second, HeldUp: 2 * time.Second}
-	require.Equal(t, 6*time.Second, endpointLatency(p, false, sent, sent.Add(time.Hour)))
+	require.Equal(t, 6*time.Second, buffered.endpointLatency(p, sent.Add(time.Hour)))
 	p.Coming = time.Second
-	require.Equal(t, 5*time.Second, endpointLatency(p, true, sent, sent.Add(time.Hour)), "its beginning is timed")
+	require.Equal(t, 5*time.Second, streamed.endpointLatency(p, sent.Add(time.Hour)), "its beginning is timed")
 	p.Whole = false
-	require.Equal(t, time.Hour-3*time.Second, endpointLatency(p, false, sent, sent.Add(time.Hour)))
-	require.Equal(t, time.Hour, endpointLatency(bodystream.Progress{}, false, sent, sent.Add(time.Hour)))
+	require.Equal(t, time.Hour-3*time.Second, buffered.endpointLatency(p, sent.Add(time.Hour)))
+	require.Equal(t, time.Hour, buffered.endpointLatency(bodystream.Progress{}, sent.Add(time.Hour)))
 }
--- a/internal/agent/attempt.go
+++ b/internal/agent/attempt.go
@@ -10,113 +10,114 @@
 	"dunestep/internal/transport"
 )
 
-// attempt is one attempt at an operation, at one booking server. The booking server's actor carries it out in
-// a goroutine of its own, while the module's actor may end it at any time.
+// attempt is one attempt at a request, at one endpoint. Its goroutine, which the upstream's actor starts, carries it out,
+// while the agent's actor may end it at any time.
 type attempt struct {
-	request *request
-	number  int // among those of its operation, from 0
-	server  string
-	streams bool // its answer is passed on from the first byte on
-	sent    time.Time
+	request   *request
+	number    int // among those of its request, from 0
+	endpoint  string
+	streams   bool // its response is forwarded from the first byte on
+	deadlines atomic.Pointer[attemptDeadlines]
+	ctx       context.Context // ends when the attempt is given up; the cause is a routing.EndReason
+	cancel    context.CancelCauseFunc
+	timer     *time.Timer // gives it up; the agent's actor's
+
+	// Of its goroutine.
+	sent    time.Time // from when on it waits for the endpoint
 	written time.Time // its last byte; zero: not yet
-	times   atomic.Pointer[attemptDeadlines]
-	ctx     context.Context // ends when the attempt is given up; the cause is a routing.EndReason
-	cancel  context.CancelCauseFunc
-	timer   *time.Timer // gives it up; the module's actor's
 
-	mu       sync.Mutex // of the two below
-	unwanted bool       // its operation has its final answer, or its client has gone
-	writes   bool       // it is written, or has been
+	mu       sync.Mutex
+	unwanted bool // its request has its response, or its client has left
+	writing  bool // it is being written, or has been
+}
+
+// attemptDeadlines are until when an attempt lasts. They change once when its request's body is complete.
+type attemptDeadlines struct {
+	giveUpAt         time.Time     // unless its response has begun
+	deadline         time.Time     // of the request's final response
+	timeoutAfterBody time.Duration // while the body is still coming: how long it waits from its end on; else zero
+}
+
+// newAttempt prepares an attempt that the router has asked for.
+func newAttempt(r *request, start routing.Output, c clock) *attempt {
+	a := &attempt{
+		request: r, number: start.Attempt, endpoint: start.Endpoint, streams: start.Streaming,
+		sent: time.Now(),
+	}
+	giveUpAt := c.time(start.At)
+	a.deadlines.Store(&attemptDeadlines{giveUpAt, c.time(start.Deadline), start.After})
+	ctx, cancel := context.WithCancelCause(context.Background())
+	a.ctx = ctx
+	a.timer = time.AfterFunc(giveUpAt.Sub(a.sent), func() { cancel(routing.TimedOut) })
+	a.cancel = func(why error) { a.timer.Stop(); cancel(why) }
+	return a
 }
 
-// settles waits until something may be written on a connection that was used before, or until that has ended
-// or the attempt is given up.
-func (a *attempt) waitUntilWritable(conn *transport.UpstreamConn, wait time.Duration) {
-	if wait <= 0 {
+// waitUntilWritable waits until a reused connection may be written, or until it has ended or the attempt is given up.
+func (a *attempt) waitUntilWritable(conn *transport.UpstreamConn, delay time.Duration) {
+	if delay <= 0 {
 		return
 	}
-	settled := time.NewTimer(wait)
-	defer settled.Stop()
+	writable := time.NewTimer(delay)
+	defer writable.Stop()
 	select {
-	case <-settled.C:
+	case <-writable.C:
 	case <-conn.Done():
 	case <-a.ctx.Done():
 	}
-	a.sent = time.Now() // the booking server's time does not run before
+	a.sent = time.Now() // the endpoint's time does not run before
 }
 
-// mayWrite tells whether the attempt may be written now. Once its operation has its final answer, its client
-// has gone or it was given up, it may not: it would be sent on after that.
-func (a *attempt) mayWrite() bool {
+// beginWriting tells whether the attempt may be written now. Once it was given up, or its request has its response or no
+// client, it may not.
+func (a *attempt) beginWriting() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.writes = !a.unwanted && a.ctx.Err() == nil
+	a.writing = !a.unwanted && a.ctx.Err() == nil
 	if a.unwanted {
 		a.cancel(routing.Canceled)
 	}
-	return a.writes
+	return a.writing
 }
 
-// unwritten takes in that nothing was written after all, and that a new connection is tried.
-func (a *attempt) resetWritten() {
+// resetWriting tells that nothing was written after all, and that a new connection is tried.
+func (a *attempt) resetWriting() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.writes = false
+	a.writing = false
 	if a.unwanted {
 		a.cancel(routing.Canceled)
 	}
 }
 
-// unwant takes in that its operation has its final answer, or its client has gone: one that is not written
-// yet is called off, one that is goes on to its end.
+// cancelIfUnsent tells that the request has its response, or no client: an attempt that is not written yet is canceled,
+// one that is goes on to its end.
 func (a *attempt) cancelIfUnsent() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.unwanted = true
-	if !a.writes {
+	if !a.writing {
 		a.cancel(routing.Canceled)
 	}
 }
 
-// attemptDeadlines are until when an attempt lasts. They change when an operation has come whole.
-type attemptDeadlines struct {
-	giveUpAt         time.Time     // when it is given up, unless its answer has begun
-	deadline         time.Time     // of the operation's final answer
-	timeoutAfterBody time.Duration // while the operation is still coming: how long it is waited for from its end on
-}
-
-// wait is how long the attempt is waited for, as a booking server is told that gets it now.
-func (t *attemptDeadlines) announcedTimeout() time.Duration {
-	if t.timeoutAfterBody > 0 {
-		return t.timeoutAfterBody
-	}
-	return time.Until(t.giveUpAt)
-}
-
-// retime sets them anew, as the operation has come whole.
-func (a *attempt) reschedule(until, deadline time.Time) {
-	a.times.Store(&attemptDeadlines{giveUpAt: until, deadline: deadline})
+// reschedule changes the deadlines, since the request's body is complete.
+func (a *attempt) reschedule(giveUpAt, deadline time.Time) {
+	a.deadlines.Store(&attemptDeadlines{giveUpAt: giveUpAt, deadline: deadline})
 	if a.timer.Stop() { // else its time is up
-		a.timer.Reset(time.Until(until))
+		a.timer.Reset(time.Until(giveUpAt))
 	}
 }
 
-// newAttempt prepares an attempt that the core has asked for.
-func newAttempt(o *request, start routing.Output, c clock) *attempt {
-	a := &attempt{
-		request: o, number: start.Attempt, server: start.Endpoint, streams: start.Streaming,
-		sent: time.Now(),
+// announcedTimeout is how long the attempt waits, as the endpoint is told that gets it now.
+func (d *attemptDeadlines) announcedTimeout() time.Duration {
+	if d.timeoutAfterBody > 0 {
+		return d.timeoutAfterBody
 	}
-	until := c.time(start.At)
-	a.times.Store(&attemptDeadlines{until, c.time(start.Deadline), start.After})
-	ctx, cancel := context.WithCancelCause(context.Background())
-	a.ctx = ctx
-	a.timer = time.AfterFunc(until.Sub(a.sent), func() { cancel(routing.TimedOut) })
-	a.cancel = func(why error) { a.timer.Stop(); cancel(why) }
-	return a
+	return time.Until(d.giveUpAt)
 }
 
-// began is from when on the booking server's time counts.
+// timedFrom is from when on the endpoint's time counts: of a body that is forwarded as it comes, from its end on.
 func (a *attempt) timedFrom() time.Time {
 	if a.request.Rest != nil && !a.written.IsZero() {
 		return a.written
--- a/internal/agent/bench_test.go
+++ b/internal/agent/bench_test.go
@@ -23,7 +23,7 @@
 	"dunestep/internal/transport"
 )
 
-// standIn is a booking server that answers every request with the same text.
+// standIn is an endpoint that answers every request with the same text.
 func standIn(b testing.TB, size int) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(b, err)
@@ -36,7 +36,7 @@
 				return
 			}
 			go func() {
-				defer c.Close()
+				defer func() { _ = c.Close() }()
 				in := make([]byte, 4096) // a request comes in one piece here
 				for {
 					if _, err := c.Read(in); err != nil {
@@ -52,14 +52,14 @@
 	return l.Addr().String()
 }
 
-// agent serves in this process, before the stand-in.
+// startAgent runs an agent in this process, in front of an endpoint.
 func startAgent(b *testing.B, server string) string { return agentBefore(b, time.Minute, server) }
 
-// agentBefore serves in this process before servers, for operations that are to be answered in a time.
-func agentBefore(b testing.TB, aim time.Duration, servers ...string) string {
+// agentBefore runs an agent in this process, in front of endpoints, for requests with a latency objective.
+func agentBefore(b testing.TB, objective time.Duration, servers ...string) string {
 	descriptors := transport.NewDescriptors(1024, func() {})
 	bodies := transport.NewBodyLimits(24<<20, transport.BodyRules{MaxBytes: 4 << 20, ClientStall: 2 * time.Second, ClientLag: time.Second})
-	class := balancer.Class{Name: "consult", LatencyObjective: aim, Deadline: aim}
+	class := balancer.Class{Name: "consult", LatencyObjective: objective, Deadline: objective}
 	list := protocol.EndpointList{Version: 1, Full: true}
 	for i, s := range servers {
 		list.Endpoints = append(list.Endpoints, protocol.Endpoint{
@@ -79,10 +79,10 @@
 	require.NoError(b, err)
 	addr := free.Addr().(*net.TCPAddr).AddrPort()
 	require.NoError(b, free.Close())
-	front := transport.NewListener(descriptors, bodies, metrics.New(nil), a)
-	require.NoError(b, front.Listen(addr, protocol.HTTP))
-	go func() { _ = front.Serve() }()
-	b.Cleanup(front.Close)
+	listener := transport.NewListener(descriptors, bodies, metrics.New(nil), a)
+	require.NoError(b, listener.Listen(addr, protocol.HTTP))
+	go func() { _ = listener.Serve() }()
+	b.Cleanup(listener.Close)
 	return addr.String()
 }
 
@@ -95,15 +95,15 @@
 	return l.Addr().String()
 }
 
-// BenchmarkAnswers passes answers on, one after another on one connection: run it with -cpu 1. Client and
-// stand-in are in it too, the same for both.
-func BenchmarkAnswers(b *testing.B) {
+// BenchmarkResponses forwards responses, one after another on one connection: run it with -cpu 1. Client and endpoint
+// are included, the same for both.
+func BenchmarkResponses(b *testing.B) {
 	for _, size := range []int{300, 8_000, 400_000} {
 		for name, through := range map[string]func(*testing.B, string) string{"agent": startAgent, "ReverseProxy": reverseProxy} {
 			b.Run(fmt.Sprintf("%s/%d", name, size), func(b *testing.B) {
 				c, err := net.Dial("tcp", through(b, standIn(b, size)))
 				require.NoError(b, err)
-				defer c.Close()
+				defer func() { _ = c.Close() }()
 				in := bufio.NewReaderSize(c, 64<<10)
 				id := 0
 				ask := func() {
--- a/internal/agent/connects_test.go
+++ b/internal/agent/connects_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// mute is the address of a machine from which nothing comes back: the queue of connections is full.
+// mute returns the address of an endpoint from which nothing comes back: its queue of connections is full.
 func mute(t *testing.T) string {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	require.NoError(t, err)
@@ -34,17 +34,17 @@
 	}
 }
 
-// What waits for a connection that does not come up goes elsewhere while there is time for it, though the
-// settings would wait for longer than the operation lasts.
-func TestOperationGoesElsewhereWhenNoConnectionComesUp(t *testing.T) {
+// A request that waits for a connection which does not come up goes to another endpoint while there is time, though the
+// settings would wait for longer than the request lasts.
+func TestRequestGoesElsewhereWhenNoConnectionComesUp(t *testing.T) {
 	t.Parallel()
-	const aim = 4 * time.Second
-	addr := agentBefore(t, aim, mute(t), standIn(t, 100))
+	const objective = 4 * time.Second
+	addr := agentBefore(t, objective, mute(t), standIn(t, 100))
 	for i := range 12 {
 		r, err := http.NewRequest(http.MethodGet, "http://"+addr+"/consult", nil)
 		require.NoError(t, err)
 		r.Header.Set("X-Correlation-Id", fmt.Sprintf("%016x", i+1))
-		r.Header.Set("X-Time-Left-Ms", fmt.Sprint(aim.Milliseconds()))
+		r.Header.Set("X-Time-Left-Ms", fmt.Sprint(objective.Milliseconds()))
 		resp, err := http.DefaultClient.Do(r)
 		require.NoError(t, err)
 		_, _ = io.Copy(io.Discard, resp.Body)
--- a/internal/agent/crossings_test.go
+++ b/internal/agent/crossings_test.go
@@ -21,16 +21,16 @@
 	"dunestep/internal/transport"
 )
 
-// scene is a booking server's actor before a server that the test plays.
+// scene is an upstream's actor in front of an endpoint that the test plays.
 type scene struct {
-	t       *testing.T
-	clock   clock
-	booking *upstream
-	reports chan any
+	t        *testing.T
+	clock    clock
+	upstream *upstream
+	reports  chan any
 }
 
-// play begins a scene. The server's side of each connection is served by a goroutine of its own, which is told its
-// number, from 1 on; edit changes what the actor goes by.
+// play begins a scene. The endpoint's side of each connection is served by a goroutine of its own, which is told its
+// number, from 1 on; edit changes the actor's settings.
 func play(t *testing.T, serve func(n int, c *net.TCPConn), edit func(*upstreamSettings)) *scene {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -42,15 +42,15 @@
 				return
 			}
 			served.Go(func() {
-				defer c.Close()
+				defer func() { _ = c.Close() }()
 				serve(n, c.(*net.TCPConn))
 			})
 		}
 	})
 	s := &scene{t: t, clock: newClock(), reports: make(chan any, 16)}
 	set := upstreamSettings{
-		clock: s.clock, connectTimeout: time.Minute, connectTimeouts: &connectTimeouts{},
-		idleLimit:   &idleLimit{core: routing.NewIdleLimit(s.clock.now(), time.Hour)},
+		clock: s.clock, maxConnectTimeout: time.Minute, connectTimeouts: &connectTimeouts{},
+		idleLimit:   &idleLimit{shared: routing.NewIdleLimit(s.clock.now(), time.Hour)},
 		descriptors: transport.NewDescriptors(1024, func() {}), metrics: metrics.New(nil),
 		bodies: transport.NewBodyLimits(1<<20, transport.BodyRules{
 			MaxBytes: 1 << 20, BufferedBytes: 1 << 20, ClientStall: time.Minute,
@@ -60,17 +60,17 @@
 	if edit != nil {
 		edit(&set)
 	}
-	s.booking = startUpstream(set, l.Addr().(*net.TCPAddr).AddrPort(), func(m any) { s.reports <- m })
+	s.upstream = startUpstream(set, l.Addr().(*net.TCPAddr).AddrPort(), func(m any) { s.reports <- m })
 	t.Cleanup(func() {
 		require.NoError(t, l.Close())
-		s.booking.mail.put(retire{})
+		s.upstream.mail.put(retire{})
 		served.Wait()
 	})
 	return s
 }
 
-// step prepares an attempt that has a minute.
-func (s *scene) step(id string) *attempt {
+// attempt prepares an attempt that has a minute.
+func (s *scene) attempt(id string) *attempt {
 	until := s.clock.now() + time.Minute
 	return newAttempt(&request{Request: &protocol.Request{
 		Method: http.MethodGet, Target: "/consult",
@@ -78,7 +78,7 @@
 	}}, routing.Output{At: until, Deadline: until}, s.clock)
 }
 
-// ended waits for the end of an attempt, and returns it with the answer's body.
+// ended waits for the end of an attempt, and returns it with the response's body.
 func (s *scene) ended() (attemptEnded, string) {
 	s.t.Helper()
 	select {
@@ -92,7 +92,7 @@
 		require.NoError(s.t, err)
 		return end, string(body)
 	case <-time.After(time.Minute):
-		require.Fail(s.t, "the step does not end")
+		require.Fail(s.t, "the attempt does not end")
 		return attemptEnded{}, ""
 	}
 }
@@ -101,7 +101,8 @@
 
 func answerOf(id string) string { return fmt.Sprintf(answerHead, len(id), id) }
 
-// answerAll answers the requests of a connection by their ids, until it ends. Came is told each, before its body has come.
+// answerAll answers the requests of a connection with their ids, until it ends. Came is called with each, before its body
+// has come.
 func answerAll(c *net.TCPConn, came func(*http.Request)) {
 	for in := bufio.NewReader(c); ; {
 		r, err := http.ReadRequest(in)
@@ -114,10 +115,10 @@
 	}
 }
 
-// A second answer comes late, when the next attempt has got its connection already: it is nobody's. The next one
-// waits until the connection has settled, and goes out on another one when something comes meanwhile. The server
-// writes the second answer as soon as it has read the next request, else so much later.
-func TestSecondAnswerComesLate(t *testing.T) {
+// A second response comes late, when the next attempt has got its connection already: it belongs to no request. The next
+// attempt waits for the reuse delay, and goes out on another connection when something comes meanwhile. The endpoint
+// writes the second response as soon as it has read the next request, else so much later.
+func TestLateSecondResponse(t *testing.T) {
 	const late = 100 * time.Millisecond
 	s := play(t, func(n int, c *net.TCPConn) {
 		in := bufio.NewReader(c)
@@ -144,23 +145,23 @@
 			<-came // it is closed
 		}
 	}, func(set *upstreamSettings) { set.reuseDelay = time.Minute })
-	s.booking.mail.put(s.step("000000000000000a"))
+	s.upstream.mail.put(s.attempt("000000000000000a"))
 	_, body := s.ended()
 	require.Equal(t, "000000000000000a", body)
-	s.booking.mail.put(s.step("000000000000000b"))
+	s.upstream.mail.put(s.attempt("000000000000000b"))
 	end, body := s.ended()
 	require.Equal(t, balancer.Served, end.result.Outcome())
-	require.Equal(t, "000000000000000b", body, "not another's")
+	require.Equal(t, "000000000000000b", body, "not another request's")
 }
 
-// An attempt that is given up while its connection settles is not sent on, and the connection stays as it was: the
-// time that it has stood idle goes on.
-func TestGivenUpWhileTheConnectionSettles(t *testing.T) {
+// An attempt that is given up during the reuse delay is not sent, and the connection stays as it was: the time that it has
+// been idle goes on.
+func TestGivenUpDuringTheReuseDelay(t *testing.T) {
 	came := make(chan string, 4)
 	s := play(t, func(_ int, c *net.TCPConn) {
 		answerAll(c, func(r *http.Request) { came <- r.Header.Get("X-Correlation-Id") })
 	}, func(set *upstreamSettings) { set.reuseDelay = time.Minute })
-	s.booking.mail.put(s.step("000000000000000a"))
+	s.upstream.mail.put(s.attempt("000000000000000a"))
 	s.ended()
 	for _, c := range []struct {
 		end  func(*attempt)
@@ -170,64 +171,64 @@
 		{func(r *attempt) { r.cancel(routing.Canceled) }, balancer.Canceled},
 		{func(r *attempt) { r.cancel(routing.TimedOut) }, balancer.ConnectFailed},
 	} {
-		step := s.step("000000000000000b")
-		s.booking.mail.put(step)
-		c.end(step)
+		canceled := s.attempt("000000000000000b")
+		s.upstream.mail.put(canceled)
+		c.end(canceled)
 		end, _ := s.ended()
 		require.Equal(t, c.want, end.result.Outcome())
-		require.True(t, end.result.LocalFault || c.want == balancer.Canceled, "no fault of the booking server")
+		require.True(t, end.result.LocalFault || c.want == balancer.Canceled, "no fault of the endpoint")
 	}
 	require.Len(t, came, 1)
 }
 
-// A long request comes whole while its connection is still coming up, or settling: the booking server is told what is
-// left by then, and not the time that counts from a last byte which is long past.
-func TestTimeToldOfARequestThatCameWhole(t *testing.T) {
-	told := make(chan string, 1)
+// The body of a long request is complete while its connection is still being opened, or delayed: the endpoint is told the
+// time that is left by then, and not the time that counts from a last byte which is long past.
+func TestTimeLeftAfterACompleteBody(t *testing.T) {
+	announced := make(chan string, 1)
 	s := play(t, func(_ int, c *net.TCPConn) {
-		answerAll(c, func(r *http.Request) { told <- r.Header.Get("X-Time-Left-Ms") })
+		answerAll(c, func(r *http.Request) { announced <- r.Header.Get("X-Time-Left-Ms") })
 	}, nil)
-	step := func(left time.Duration, comesWhole bool) (ms int) {
+	timeLeft := func(edit func(*attempt)) (ms int) {
 		rest := bodystream.New(-1, bytebudget.Grant{}, 0)
 		rest.End(io.EOF)
-		until := s.clock.now() + 15*time.Minute // it may come for so long
-		step := newAttempt(&request{Request: &protocol.Request{
+		until := s.clock.now() + 15*time.Minute // for so long its body may come
+		a := newAttempt(&request{Request: &protocol.Request{
 			Method: http.MethodPost, Target: "/rezervare",
 			CorrelationID: "000000000000000a", Class: "rezervare", TimeLeft: time.Minute, Length: -1, Rest: rest,
 		}},
 			routing.Output{At: until, Deadline: until, After: time.Minute}, s.clock)
-		if comesWhole { // and so much of its time is left
-			until := s.clock.time(s.clock.now() + left)
-			step.reschedule(until, until)
-		}
-		s.booking.mail.put(step)
-		_, err := fmt.Sscan(<-told, &ms)
+		edit(a)
+		s.upstream.mail.put(a)
+		_, err := fmt.Sscan(<-announced, &ms)
 		require.NoError(t, err)
 		s.ended()
 		return ms
 	}
-	require.Equal(t, 60_000, step(0, false))
-	require.LessOrEqual(t, step(30*time.Second, true), 30_000)
+	require.Equal(t, 60_000, timeLeft(func(*attempt) {}))
+	require.LessOrEqual(t, timeLeft(func(a *attempt) { // the body is complete, and half of the time is left
+		until := s.clock.time(s.clock.now() + 30*time.Second)
+		a.reschedule(until, until)
+	}), 30_000)
 }
 
-// A step whose client leaves, or whose operation is answered, while it is found out that its reused connection had
-// ended is not begun again on a new one, whichever of the two is told first.
-func TestNotBegunAgainForNobody(t *testing.T) {
+// An attempt whose client leaves, or whose request gets its response, while its reused connection turns out to have ended
+// is not begun again on a new one, in whichever order the two are seen.
+func TestNotBegunAgainWithoutAClient(t *testing.T) {
 	s := play(t, func(int, *net.TCPConn) {}, nil)
 	for name, cross := range map[string]func(*attempt){
-		"before it is written":        func(r *attempt) { r.cancelIfUnsent(); r.mayWrite(); r.resetWritten() },
-		"as it is written":            func(r *attempt) { r.mayWrite(); r.cancelIfUnsent(); r.resetWritten() },
-		"as a new connection is made": func(r *attempt) { r.mayWrite(); r.resetWritten(); r.cancelIfUnsent() },
+		"before it is written":        func(r *attempt) { r.cancelIfUnsent(); r.beginWriting(); r.resetWriting() },
+		"as it is written":            func(r *attempt) { r.beginWriting(); r.cancelIfUnsent(); r.resetWriting() },
+		"as a new connection is made": func(r *attempt) { r.beginWriting(); r.resetWriting(); r.cancelIfUnsent() },
 	} {
-		step := s.step("000000000000000a")
-		cross(step)
-		require.Error(t, step.ctx.Err(), name)
-		require.False(t, step.mayWrite(), name)
+		a := s.attempt("000000000000000a")
+		cross(a)
+		require.Error(t, a.ctx.Err(), name)
+		require.False(t, a.beginWriting(), name)
 	}
 }
 
-// A booking server closes its idle connection once the next step has been given it: the step goes out on a new one,
-// and this is the first time that it is sent. That it has the connection is known by the step after it, which gets none.
+// An endpoint closes its idle connection once the next attempt has it: the attempt goes out on a new one, and that is the
+// first time that it is sent. That it has the connection is known by the attempt after it, which gets none.
 func TestReusedConnectionHadEnded(t *testing.T) {
 	came, end := make(chan string, 4), make(chan struct{})
 	s := play(t, func(n int, c *net.TCPConn) {
@@ -245,7 +246,7 @@
 		}
 	}, func(set *upstreamSettings) { set.reuseDelay = 2 * time.Minute })
 	for _, id := range []string{"000000000000000a", "000000000000000b", "000000000000000c"} {
-		s.booking.mail.put(s.step(id))
+		s.upstream.mail.put(s.attempt(id))
 		if id != "000000000000000b" {
 			_, body := s.ended()
 			require.Equal(t, id, body)
--- /dev/null
+++ b/internal/agent/exchange.go
@@ -0,0 +1,232 @@
+package agent
+
+import (
+	"context"
+	"errors"
+	"io"
+	"syscall"
+	"time"
+
+	"dunestep/internal/bodystream"
+	"dunestep/internal/bytebudget"
+	"dunestep/internal/protocol"
+	"dunestep/internal/routing"
+	"dunestep/internal/transport"
+)
+
+// progressInterval is how often it is looked whether a response that has begun may go on.
+const progressInterval = 50 * time.Millisecond
+
+// responseStarted tells the agent's actor that an attempt's response is longer than what is buffered.
+type responseStarted struct {
+	attempt  *attempt
+	response protocol.UpstreamResponse
+}
+
+// attemptEnded tells the agent's actor how an attempt ended.
+type attemptEnded struct {
+	attempt  *attempt
+	result   routing.AttemptResult
+	response protocol.UpstreamResponse
+}
+
+// exchange is the exchange of one attempt with its endpoint. It is of the attempt's goroutine.
+type exchange struct {
+	upstream *upstream
+	attempt  *attempt
+	checkout routing.Checkout[*transport.UpstreamConn]
+
+	conn     *transport.UpstreamConn
+	reusable bool // conn can carry another request
+	response protocol.UpstreamResponse
+	streamed *bodystream.Flow // the response's body, where that began to be forwarded; nil: it did not
+	result   routing.AttemptResult
+	err      error
+}
+
+// carryOut carries an attempt out, on the connection of its checkout or a new one, returns the connection to the actor
+// and reports how the attempt ended. It runs in the attempt's goroutine.
+func (u *upstream) carryOut(a *attempt, checkout routing.Checkout[*transport.UpstreamConn]) {
+	defer a.cancel(nil)
+	e := &exchange{upstream: u, attempt: a, checkout: checkout, conn: checkout.Conn}
+	e.result = routing.AttemptResult{
+		Phase: routing.StaleConnection, Reused: checkout.Reused, IdleFor: checkout.IdleFor,
+	}
+	if checkout.Reused {
+		a.waitUntilWritable(e.conn, checkout.WriteDelay)
+		e.roundTrip()
+	}
+	if e.result.NeedsResend() && !e.reusable { // else it was canceled before it was written
+		a.resetWriting()
+		e.result = routing.AttemptResult{Phase: routing.Connecting}
+		if e.connect() {
+			e.roundTrip()
+		}
+	}
+	e.judgeExchange()
+	u.mail.put(e.returnedConnection())
+	u.report(e.end())
+}
+
+// connect opens a new connection, and tells whether it is up.
+func (e *exchange) connect() bool {
+	s := &e.upstream.settings
+	began := time.Now()
+	timeout := s.connectTimeouts.timeout(s.maxConnectTimeout, time.Until(e.attempt.deadlines.Load().giveUpAt))
+	e.conn, e.err = transport.DialUpstream(e.attempt.ctx, e.attempt.endpoint, e.checkout.Addr, timeout,
+		s.descriptors, s.bodies, func(c *transport.UpstreamConn) { e.upstream.mail.put(connectionEnded{c}) })
+	s.connectTimeouts.record(began, e.err)
+	if e.err == nil {
+		return true
+	}
+	e.result.Refused = errors.Is(e.err, syscall.ECONNREFUSED)
+	e.result.LocalFault = errors.Is(e.err, transport.ErrNoDescriptor) || errors.Is(e.err, syscall.EMFILE)
+	return false
+}
+
+// roundTrip writes the request and reads the response, unless the attempt is not to be written any more: then the
+// connection is as good as before.
+func (e *exchange) roundTrip() {
+	a := e.attempt
+	if !a.beginWriting() {
+		e.reusable, e.err = true, transport.ErrStaleConnection
+		e.result.Phase = phaseOf(e.err)
+		return
+	}
+	r, timeout := a.request.Request, a.deadlines.Load().announcedTimeout()
+	e.response, e.reusable, e.err = e.conn.RoundTrip(a.ctx, transport.UpstreamRequest{
+		Head: protocol.AppendUpstreamRequest(nil, r, timeout),
+		Body: r.Body, Rest: r.Rest, Chunked: r.Length < 0,
+		Streamed: a.streams, IsGraphQL: r.IsGraphQL,
+		OnWritten: func() { a.written = time.Now(); e.upstream.settings.metrics.Tried() },
+		OnResponseStart: func(response protocol.UpstreamResponse) {
+			e.streamed = response.Flow
+			e.startStreaming(response)
+		},
+	})
+	e.result.Phase = phaseOf(e.err)
+}
+
+// startStreaming reports that the response has begun, and looks from then on whether it may go on.
+func (e *exchange) startStreaming(response protocol.UpstreamResponse) {
+	a, body := e.attempt, response.Flow
+	context.AfterFunc(a.ctx, func() { body.Cut(context.Cause(a.ctx)) })
+	var watch *time.Timer
+	watch = time.AfterFunc(time.Hour, func() { // Reset below, once watch is set
+		if a.ctx.Err() != nil {
+			return
+		}
+		p, left := body.Progress(), time.Until(a.deadlines.Load().deadline)
+		progress := responseProgress(p)
+		progress.Stream = a.streams
+		lag := e.upstream.settings.bodies.Rules().ClientLag
+		if reason := progress.CheckLimits(time.Since(a.sent), left, p.Quiet, lag); reason != routing.NotEnded {
+			a.cancel(reason)
+			return
+		}
+		watch.Reset(progressInterval)
+	})
+	watch.Reset(progressInterval)
+	e.upstream.report(responseStarted{a, response})
+}
+
+// judgeExchange completes the result with what the exchange shows.
+func (e *exchange) judgeExchange() {
+	rest := e.attempt.request.Rest
+	e.result.BodyConsumed = rest != nil && rest.Progress().Taken
+	clientStopped := e.result.Phase == routing.Writing && errors.Is(e.err, transport.ErrClientStopped)
+	notTried := e.result.Phase == routing.StaleConnection && e.reusable
+	e.result.LocalFault = e.result.LocalFault || clientStopped || notTried
+	e.result.EndReason = endReasonOf(e.attempt.ctx, e.err)
+	if e.result.EndReason == routing.TimedOut {
+		e.result.LocalDelay = max(time.Since(e.attempt.deadlines.Load().giveUpAt), 0)
+	}
+}
+
+// returnedConnection is the message that returns the connection to the upstream's actor.
+func (e *exchange) returnedConnection() connectionReturned {
+	m := connectionReturned{checkout: e.checkout}
+	if e.reusable {
+		m.conn = e.conn
+		m.unused = e.result.Phase == routing.StaleConnection && e.conn == e.checkout.Conn
+	}
+	if e.result.IsUnanswered() && e.streamed == nil {
+		m.unansweredSince = e.upstream.settings.clock.now() - time.Since(e.attempt.sent)
+	}
+	return m
+}
+
+// end is the message that tells how the attempt ended. For a response that is being forwarded it waits until that is over.
+func (e *exchange) end() attemptEnded {
+	ended := attemptEnded{attempt: e.attempt, response: e.response}
+	var p bodystream.Progress
+	if e.streamed != nil {
+		ended.response.Flow = nil // it is the request's
+		<-e.streamed.Over()
+		if p, e.err = e.streamed.Progress(), e.streamed.Result(); errors.Is(e.err, io.EOF) {
+			e.err = nil
+		}
+		e.result.Phase, e.result.Streamed = routing.Responding, true
+	} else if e.response.Flow != nil {
+		p = e.response.Flow.Progress()
+	}
+	e.result.EndReason, e.result.Response = endReasonOf(e.attempt.ctx, e.err), e.response.Outcome
+	e.result.Progress = responseProgress(p)
+	e.result.Latency = e.endpointLatency(p, time.Now())
+	e.upstream.settings.idleLimit.record(e.upstream.settings.clock.now(), e.result)
+	ended.result = e.result
+	return ended
+}
+
+// endpointLatency is how long the endpoint took for what came of its response, without the time that this side delayed
+// it. Of a response that was streamed only the beginning is timed: the rest takes as long as its length.
+func (e *exchange) endpointLatency(p bodystream.Progress, ended time.Time) time.Duration {
+	if p.Whole && !p.LastCame.IsZero() { // else it was waited for until the end
+		ended = p.LastCame
+	}
+	latency := ended.Sub(e.attempt.timedFrom()) - p.Before - p.HeldUp
+	if e.streamed != nil {
+		latency -= p.Coming
+	}
+	return latency
+}
+
+// responseProgress is the progress of a body, as the router has it.
+func responseProgress(p bodystream.Progress) routing.ResponseProgress {
+	return routing.ResponseProgress{
+		Length: p.Length, Received: p.Came, DelayBefore: p.Before, Blocked: p.HeldUp, Receiving: p.Coming,
+		Complete: p.Whole,
+	}
+}
+
+// phaseOf tells how far an exchange came, by its error.
+func phaseOf(err error) routing.AttemptPhase {
+	switch {
+	case errors.Is(err, transport.ErrStaleConnection):
+		return routing.StaleConnection
+	case errors.Is(err, transport.ErrNotWritten):
+		return routing.Writing
+	case err == nil || errors.Is(err, transport.ErrInvalidResponse):
+		return routing.Responding
+	}
+	return routing.AwaitingResponse
+}
+
+// endReasonOf tells why an attempt ended, by its context and error. This agent's own reason to end it comes first: what
+// the connection shows then follows from it.
+func endReasonOf(ctx context.Context, err error) routing.EndReason {
+	var own routing.EndReason
+	switch {
+	case err == nil:
+		return routing.Completed
+	case errors.Is(err, bytebudget.ErrFull):
+		return routing.NoMemory
+	case errors.As(context.Cause(ctx), &own):
+		return own
+	case errors.Is(err, bodystream.ErrLeft):
+		return routing.ClientLeft
+	case errors.Is(err, transport.ErrInvalidResponse):
+		return routing.InvalidResponse
+	}
+	return routing.BrokenByEndpoint
+}
--- a/internal/agent/fleet.go
+++ b/internal/agent/fleetactor.go
@@ -16,35 +16,38 @@
 	"dunestep/internal/transport"
 )
 
-// FleetStore keeps a voter's part of the log; see package fleetstore.
+// FleetStore stores a voter's part of the log; see package fleetstore. Its methods are not called concurrently.
 type FleetStore interface {
-	// Write writes what a voter asks for as one, and returns once it is safe on disk.
+	// Write writes a voter's state as one, and returns once it is safe on disk.
 	Write(*raftlog.Persist) error
 	Close() error
 }
 
-// FleetSettings is what a FleetActor goes by.
+// FleetSettings are what a FleetActor is started with.
 type FleetSettings struct {
 	Node      fleet.Settings
-	Store     FleetStore // nil: the voter keeps nothing, or this is none
+	Store     FleetStore // nil: nothing is stored
 	Datagrams *transport.Datagrams
-	// OnApplied is told, from the actor, that records were applied; nil: nobody is.
+	// OnApplied is called by the actor after records were applied; nil: nobody is told.
 	OnApplied func()
 }
 
-// FleetActor is the actor of what the agents agree on. It carries out what its node says.
+// FleetActor is the actor of a fleet node. Its goroutine ends with the process.
 type FleetActor struct {
 	mail      *mailbox[any]
 	store     FleetStore
 	peers     *peerSender
 	onApplied func()
-	mu        sync.Mutex  // of node, for those who look beside the actor: what it does takes microseconds
-	node      *fleet.Node // the actor's
-	wake      *time.Timer
-	wakeAt    time.Duration // by the steady clock: when wake ends
+	startedAt time.Time
 	caughtUp  atomic.Bool
 	ready     atomic.Bool
-	startedAt time.Time
+
+	mu   sync.Mutex  // of node: held by the actor while it handles a message, which takes microseconds, and by Read
+	node *fleet.Node // changed by the actor alone
+
+	// Of the actor.
+	wake   *time.Timer
+	wakeAt time.Duration // by the steady clock: when wake fires
 }
 
 // The messages of the actor, beside protocol.Datagram.
@@ -60,7 +63,10 @@
 	}
 )
 
-// StartFleet starts the actor.
+// farFuture is when the timer is set to before the node has said when it is due.
+const farFuture = time.Hour
+
+// StartFleet starts the actor of a node.
 func StartFleet(set FleetSettings) (*FleetActor, error) {
 	node, err := fleet.New(set.Node, ReadClocks())
 	if err != nil {
@@ -70,37 +76,36 @@
 		mail: newMailbox[any](), store: set.Store, peers: startPeerSender(set.Datagrams), node: node,
 		onApplied: set.OnApplied, startedAt: time.Now(),
 	}
-	f.wake = time.AfterFunc(time.Hour, func() { f.mail.put(fleetWake{}) })
+	f.wake = time.AfterFunc(farFuture, func() { f.mail.put(fleetWake{}) })
 	go f.mail.receive(f.handle)
 	f.mail.put(fleetWake{})
 	return f, nil
 }
 
-// ReadClocks reads the machine's clocks: Unix time, and one that runs on while the process and the
-// machine stand still.
+// ReadClocks reads the machine's clocks: Unix time, and one that runs on while the process and the machine are paused.
 func ReadClocks() fleet.ClockReading {
 	var t unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &t) != nil {
-		_ = unix.ClockGettime(unix.CLOCK_MONOTONIC, &t)
+		_ = unix.ClockGettime(unix.CLOCK_MONOTONIC, &t) // which every system has
 	}
 	return fleet.ClockReading{Unix: time.Duration(time.Now().UnixNano()), Mono: time.Duration(t.Nano())}
 }
 
-// ReceiveDatagram takes another agent's datagram in, or drops it where too many messages wait.
+// ReceiveDatagram takes another agent's datagram, or drops it where too many messages wait.
 func (f *FleetActor) ReceiveDatagram(d protocol.Datagram) {
 	if f.mail.waiting() < maxDatagramsWaiting {
 		f.mail.put(d)
 	}
 }
 
-// IsReady tells whether this process has what was agreed, as far as it can be had; it stays so.
+// IsReady tells whether this process has what was agreed, as far as it can be had. Once true it stays so.
 func (f *FleetActor) IsReady() bool { return f.ready.Load() }
 
-// FleetCaughtUp tells whether this process has what others have agreed on, or has tried for long enough; it stays so.
+// IsCaughtUp tells whether this process has what others have agreed on, or has tried for long enough. Once true it stays
+// so.
 func (f *FleetActor) IsCaughtUp() bool { return f.caughtUp.Load() }
 
-// Do has something done with the node, in its actor. False: ctx has ended before; it may be done all the
-// same.
+// Do has the actor call a function with the node. False: ctx ended before; the function may be called all the same.
 func (f *FleetActor) Do(ctx context.Context, do func(*fleet.Node, fleet.ClockReading)) bool {
 	done := make(chan struct{}, 1)
 	f.mail.put(fleetCall{do, done})
@@ -112,19 +117,20 @@
 	}
 }
 
-// Read has something read of the node at this moment, beside the actor. It must not change anything that
-// is sent or written.
-func (f *FleetActor) Read(do func(*fleet.Node, fleet.ClockReading)) {
+// Read calls a function with the node at this moment, beside the actor. It must not change anything that is sent or
+// stored.
+func (f *FleetActor) Read(read func(*fleet.Node, fleet.ClockReading)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	do(f.node, ReadClocks())
+	read(f.node, ReadClocks())
 }
 
-// LeaseStanding is how this agent may act, for what the node itself calls: in Do and Read it is the node's to say.
+// LeaseStanding returns this agent's standing, for functions that the node calls. In Do and Read the node itself has it.
 func (f *FleetActor) LeaseStanding(now fleet.ClockReading) lease.Standing {
 	return f.node.Standing(now)
 }
 
+// handle handles one message. It never ends the actor.
 func (f *FleetActor) handle(m any) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -133,12 +139,12 @@
 	case protocol.Datagram:
 		f.node.Receive(now, m.Agent, m.Data)
 	case fleetWake:
-		// The timer has ended. Where it was early by a hair nothing was due, and Next says the same again:
-		// unless it is set anew the node sleeps until somebody else says something.
+		// The timer may fire slightly early. Nothing is due then, and the node's next time is the same as before: without
+		// this it would not be set again.
 		f.wakeAt = -1
 		f.node.Wake(now)
 	case fleetPersisted:
-		f.persisted(now, m)
+		f.handlePersisted(now, m)
 	case fleetCall:
 		m.do(f.node, now)
 		m.done <- struct{}{}
@@ -147,17 +153,18 @@
 	return true
 }
 
-// persisted passes on that what the voter asked for is safe. Where it could not be written the voter
-// waits for good: it says nothing more that it might have to take back.
-func (f *FleetActor) persisted(now fleet.ClockReading, m fleetPersisted) {
+// handlePersisted tells the node that what the voter asked for is safe. Where it could not be written the voter waits for
+// good: it says nothing more that it might have to take back.
+func (f *FleetActor) handlePersisted(now fleet.ClockReading, m fleetPersisted) {
 	if m.err != nil {
-		slog.Error("fleet: the voter's log cannot be written, this voter is inactive until the next start", "error", m.err)
+		slog.Error("fleet: the voter's log cannot be written, this voter is inactive until the next start", "error",
+			m.err)
 		return
 	}
 	f.node.Persisted(now, m.token)
 }
 
-// carry does what the node says.
+// carryOut carries out what the node asks for. The next write is asked for once the one before was reported.
 func (f *FleetActor) carryOut(now fleet.ClockReading) {
 	out := f.node.Out(now)
 	for _, d := range out.Datagrams {
@@ -179,7 +186,7 @@
 	}
 }
 
-// settle sees when the process is ready.
+// updateReadiness sees when the process has caught up, and when it is ready.
 func (f *FleetActor) updateReadiness(now fleet.ClockReading) {
 	if f.ready.Load() {
 		return
@@ -194,27 +201,3 @@
 			"after", time.Since(f.startedAt).Round(time.Millisecond))
 	}
 }
-
-// logFleetEvent tells staff of what the node has seen.
-func logFleetEvent(e fleet.Event) {
-	switch e.Kind {
-	case fleet.LeadershipGained:
-		slog.Info("fleet: this agent became the leader", "record", e.Position.Seq)
-	case fleet.LeadershipLost:
-		slog.Info("fleet: this agent is no longer the leader", "record", e.Position.Seq)
-	case fleet.LogRestarted:
-		slog.Warn("fleet: the log was restarted, everything agreed before is lost", "epoch", e.Position.Epoch)
-	case fleet.LogDiverged:
-		slog.Error("fleet: the log diverges from another agent's", "agent", e.Agent, "record", e.Position.Seq,
-			"error", e.Err)
-	case fleet.VoterStopped:
-		slog.Error("fleet: the voter has stopped", "error", e.Err)
-	case fleet.UnknownRecord:
-		slog.Warn("fleet: the log has records of a type that this build does not know, they are stored unread",
-			"record", e.Position.Seq, "error", e.Err)
-	case fleet.LeaseAcquired:
-		slog.Info("fleet: lease acquired", "epoch", e.Position.Epoch, "record", e.Position.Seq)
-	case fleet.LeaseLost:
-		slog.Warn("fleet: lease lost, running at the policy floor", "epoch", e.Position.Epoch, "record", e.Position.Seq)
-	}
-}
--- a/internal/agent/list.go
+++ b/internal/agent/list.go
@@ -13,24 +13,25 @@
 	"dunestep/internal/transport"
 )
 
-// confirmAfterSilence is how long after discovery has accepted a watch its silence is taken for no news: what it has to
-// bring comes at once.
+// confirmAfterSilence is how long after discovery has accepted a watch its silence confirms the list that is known: a
+// newer one comes at once.
 const confirmAfterSilence = 200 * time.Millisecond
 
-// listUpdate tells the module's actor of the pool config.
+// listUpdate tells the agent's actor of the endpoint list.
 type listUpdate struct {
 	kind          balancer.UpdateKind
-	list          protocol.EndpointList
-	discoveryList protocol.EndpointList // the same as discovery told it, without what staff have taken out
-	watch         balancer.WatchStatus  // how it has come
-	confirms      bool                  // by it discovery has said what the whole list is
+	list          protocol.EndpointList // with disabled endpoints as draining
+	discoveryList protocol.EndpointList // the same as discovery has it
+	watch         balancer.WatchStatus
+	confirmation  routing.Confirmation
 }
 
-// list is the actor of the pool config: it makes the calls to discovery.
+// listActor is the actor of the endpoint list: it makes the calls to discovery, each in a goroutine of its own that ends
+// with the call.
 type listActor struct {
 	mail    *mailbox[any]
 	tracker *routing.ListTracker
-	calls   map[int]context.CancelFunc // those that are out
+	calls   map[int]context.CancelFunc // those that have not ended, by number
 	report  func(listUpdate)
 	clock   clock
 	metrics *metrics.Figures
@@ -39,11 +40,12 @@
 // The messages of the list's actor.
 type (
 	watchList      struct{}
-	discoveryMoved struct{ addr netip.AddrPort } // discovery is there from now on
+	discoveryMoved struct{ addr netip.AddrPort }
 	fetchList      struct{}
 	callAccepted   struct{ call int }
-	callIdle       struct{ call int } // it has brought nothing since it began
-	callReceived   struct {
+	// callIdle: the call has brought nothing for a time since it was accepted.
+	callIdle     struct{ call int }
+	callReceived struct {
 		call int
 		list protocol.EndpointList
 	}
@@ -54,37 +56,38 @@
 	setDisabled struct {
 		id     string
 		enable bool
-		done   chan<- disableResult
+		reply  chan<- disableResult
 	}
-	mergeDisabled struct{ bans []routing.DisabledEndpoint }
+	mergeDisabled struct{ disabled []routing.DisabledEndpoint }
 	listedQuery   struct {
-		id   string
-		done chan<- bool
+		id    string
+		reply chan<- bool
 	}
-	endpointsQuery struct{ done chan<- []balancer.Server }
+	endpointsQuery struct{ reply chan<- []balancer.Server }
 )
 
-// banned is what came of a ban or a lift, and all bans that hold after it.
+// disableResult is what came of a change, with all that are disabled then, or were lately.
 type disableResult struct {
 	listed   bool
 	err      error
 	disabled []routing.DisabledEndpoint
 }
 
-func startList(addr netip.AddrPort, known protocol.EndpointList, bans []routing.DisabledEndpoint, clock clock,
-	f *metrics.Figures, report func(listUpdate),
+// startList starts the actor, and reports the initial list at once.
+func startList(addr netip.AddrPort, initial protocol.EndpointList, disabled []routing.DisabledEndpoint, clock clock,
+	m *metrics.Figures, report func(listUpdate),
 ) *listActor {
 	l := &listActor{
-		mail: newMailbox[any](), tracker: routing.NewListTracker(addr, known, bans),
-		calls:  map[int]context.CancelFunc{},
-		report: report, clock: clock, metrics: f,
+		mail: newMailbox[any](), tracker: routing.NewListTracker(addr, initial, disabled),
+		calls: map[int]context.CancelFunc{}, report: report, clock: clock, metrics: m,
 	}
-	l.report(listUpdate{kind: balancer.UpdateCached, list: l.tracker.ApplyDisabled(known), discoveryList: known})
+	l.report(listUpdate{kind: balancer.UpdateCached, list: l.tracker.ApplyDisabled(initial), discoveryList: initial})
 	l.reportSize()
 	go l.mail.receive(l.handle)
 	return l
 }
 
+// handle handles one message. It never ends the actor.
 func (l *listActor) handle(m any) bool {
 	switch m := m.(type) {
 	case watchList:
@@ -103,37 +106,38 @@
 		delete(l.calls, m.call)
 		l.carryOut(l.tracker.CallEnded(m.call, m.err))
 	case setDisabled:
-		m.done <- l.setDisabled(m)
+		m.reply <- l.setDisabled(m)
 	case listedQuery:
-		m.done <- l.tracker.WasListed(m.id)
+		m.reply <- l.tracker.WasListed(m.id)
 	case endpointsQuery:
-		m.done <- l.tracker.Endpoints()
+		m.reply <- l.tracker.Endpoints()
 	case mergeDisabled:
-		l.carryOut(l.tracker.MergeDisabled(m.bans))
+		l.carryOut(l.tracker.MergeDisabled(m.disabled))
 	}
 	l.reportSize()
 	return true
 }
 
-// ban takes a booking server out, or puts it back.
-func (l *listActor) setDisabled(m setDisabled) (b disableResult) {
+// setDisabled disables or enables an endpoint.
+func (l *listActor) setDisabled(m setDisabled) (r disableResult) {
 	var out []routing.ListOutput
 	if m.enable {
-		out, b.listed = l.tracker.Enable(m.id, l.clock.now())
+		out, r.listed = l.tracker.Enable(m.id, l.clock.now())
 	} else {
-		out, b.listed, b.err = l.tracker.Disable(m.id, l.clock.now())
+		out, r.listed, r.err = l.tracker.Disable(m.id, l.clock.now())
 	}
 	l.carryOut(out)
-	b.disabled = l.tracker.Disabled()
-	return b
+	r.disabled = l.tracker.Disabled()
+	return r
 }
 
-// count tells how many are listed.
+// reportSize tells the metrics how many endpoints are listed, and how many of them are disabled.
 func (l *listActor) reportSize() {
-	listed, banned := l.tracker.Size()
-	l.metrics.SetPool(metrics.Pool{Listed: listed, Banned: banned})
+	listed, disabled := l.tracker.Size()
+	l.metrics.SetPool(metrics.Pool{Listed: listed, Banned: disabled})
 }
 
+// carryOut carries out what the tracker asks for, in order.
 func (l *listActor) carryOut(out []routing.ListOutput) {
 	for _, o := range out {
 		switch o.Kind {
@@ -143,35 +147,39 @@
 			go l.call(ctx, o)
 		case routing.EndCall:
 			if cancel := l.calls[o.Call]; cancel != nil {
-				cancel() // its end is told
+				cancel() // callEnded follows
 			}
 		case routing.ListUpdate:
-			l.report(listUpdate{kind: o.Update, list: o.List, discoveryList: o.DiscoveryList, watch: o.Watch, confirms: o.Confirms})
+			l.report(listUpdate{
+				kind: o.Update, list: o.List, discoveryList: o.DiscoveryList, watch: o.Watch,
+				confirmation: routing.Confirmation(o.Confirms),
+			})
 		case routing.ListOutOfOrder:
-			slog.Warn("endpoint list update out of order, fetching the full list", "version", o.Version, "known", o.KnownVersion)
+			slog.Warn("endpoint list update out of order, fetching the full list", "version", o.Version,
+				"known", o.KnownVersion)
 		case routing.CallFailed:
 			slog.Warn("discovery call ended", "error", o.Err)
 		}
 	}
 }
 
-// call runs beside the actor, for as long as the call lasts.
+// call makes a call to discovery. It runs in a goroutine of its own, and puts callEnded as its last.
 func (l *listActor) call(ctx context.Context, o routing.ListOutput) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	begun := func() {
+	accepted := func() {
 		l.mail.put(callAccepted{o.Call})
 		time.AfterFunc(confirmAfterSilence, func() { l.mail.put(callIdle{o.Call}) })
 	}
-	err := transport.CallDiscovery(ctx, o.Addr, o.Request, begun, func(raw []byte) {
-		config, err := protocol.DecodeEndpointList(raw, func(err error) {
+	err := transport.CallDiscovery(ctx, o.Addr, o.Request, accepted, func(raw []byte) {
+		list, err := protocol.DecodeEndpointList(raw, func(err error) {
 			slog.Warn("invalid endpoint list entry dropped", "error", err)
 		})
-		if err != nil { // what was in it is missed: the next watch brings it again
+		if err != nil { // the call ends: the next watch brings again what was in it
 			cancel(&routing.UnreadableError{Err: err})
 			return
 		}
-		l.mail.put(callReceived{call: o.Call, list: config})
+		l.mail.put(callReceived{call: o.Call, list: list})
 	})
 	if cause := context.Cause(ctx); cause != nil && err != nil {
 		err = cause
--- a/internal/agent/mailbox.go
+++ b/internal/agent/mailbox.go
@@ -1,22 +1,19 @@
-// Package agent carries out what the decision module decides. Its parts are actors, each with a mailbox:
-// one for the module, one for the pool config, one for each booking server and one for the other agents. It
-// knows no protocol: operations, answers and lists are typed values here.
 package agent
 
 import "sync"
 
-// mailbox holds an actor's messages in the order they came. Putting never blocks, so actors that send to each
-// other cannot deadlock. Its length is bounded by what makes messages: operations hold descriptors, which are
-// bounded, and datagrams are only put while few wait.
+// mailbox holds an actor's messages in the order in which they came. Putting never blocks, so that actors which send to
+// each other cannot deadlock. Its length is bounded by what makes messages: requests have descriptors, which are bounded,
+// and datagrams are put only while few wait. It is safe for concurrent use.
 type mailbox[T any] struct {
 	mu    sync.Mutex
 	queue []T
-	wake  chan struct{}
+	wake  chan struct{} // holds one: the queue is not empty
 }
 
 func newMailbox[T any]() *mailbox[T] { return &mailbox[T]{wake: make(chan struct{}, 1)} }
 
-// put adds a message and tells how many wait now.
+// put adds a message, and returns how many wait then.
 func (m *mailbox[T]) put(v T) int {
 	m.mu.Lock()
 	m.queue = append(m.queue, v)
@@ -24,19 +21,19 @@
 	m.mu.Unlock()
 	select {
 	case m.wake <- struct{}{}:
-	default:
+	default: // the actor is to wake already
 	}
 	return n
 }
 
-// waiting tells how many messages wait.
+// waiting returns how many messages wait.
 func (m *mailbox[T]) waiting() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.queue)
 }
 
-// receive hands each message to handle, in order, until handle returns false.
+// receive calls handle with each message, in order, until that returns false. It is the actor's loop.
 func (m *mailbox[T]) receive(handle func(T) bool) {
 	var batch []T
 	for range m.wake {
@@ -48,7 +45,7 @@
 				return
 			}
 			var none T
-			batch[i] = none // what was handled may be collected
+			batch[i] = none // what was handled may be reclaimed
 		}
 	}
 }
