--- a/internal/control/maintenance/lab/lab_test.go
+++ b/internal/control/maintenance/lab/lab_test.go
@@ -15,14 +15,14 @@
 	"dunestep/internal/fleet/hunting"
 )
 
-// TestMain: what is kept is small and what is made on the way is much.
+// TestMain has the garbage collector run less often: little is kept, and much is made on the way.
 func TestMain(m *testing.M) {
 	debug.SetGCPercent(800)
 	os.Exit(m.Run())
 }
 
-// inParallel plays weeks two at a time, and has each looked at in order.
-func inParallel(from, to uint64, play func(seed uint64) *Lab, look func(seed uint64, l *Lab) (more bool)) {
+// inParallel plays weeks two at a time, and has each checked in order.
+func inParallel(from, to uint64, play func(seed uint64) *Lab, check func(seed uint64, l *Lab) (more bool)) {
 	const width = 2
 	for first := from; first < to; first += width {
 		var wait sync.WaitGroup
@@ -32,13 +32,14 @@
 		}
 		wait.Wait()
 		for i, l := range labs {
-			if !look(first+uint64(i), l) {
+			if !check(first+uint64(i), l) {
 				return
 			}
 		}
 	}
 }
 
+// TestWeeks: whatever goes wrong, no request breaks a promise, and each window comes to an end.
 func TestWeeks(t *testing.T) {
 	rows := []hunting.Row{{Agents: 5, To: 24}}
 	if os.Getenv("LONG_TESTS") != "" {
@@ -62,29 +63,30 @@
 	return Setup{Agents: agents, Days: 2}
 }
 
+// hunt plays the weeks of a row.
 func hunt(t *testing.T, r hunting.Row) {
 	set, seeds := setup(r.Agents), r.To-r.From
 	var accepted, freed, back, moved, arrived, requests, first int
 	refused, reasons := map[string]int{}, map[string]int{}
 	began := time.Now()
 	inParallel(r.From, r.To, func(seed uint64) *Lab {
-		return Week(Setup{Seed: seed, Agents: set.Agents, Days: set.Days, Keys: set.Keys})
+		return PlayWeek(Setup{Seed: seed, Agents: set.Agents, Days: set.Days, Keys: set.Keys})
 	},
 		func(seed uint64, l *Lab) bool {
-			require.Zero(t, l.Judge.Count, "seed %d, %v: %v", seed, l.theme, l.Judge.Violations)
+			require.Zero(t, l.Judge.Count, "seed %d, %v: %v", seed, l.focus, l.Judge.Violations)
 			for _, w := range l.windows() {
 				require.Contains(t, []maintenance.State{maintenance.Ended, maintenance.Stopped}, w.State, "seed %d", seed)
 			}
-			accepted, freed, back = accepted+l.Accepted, freed+l.Freed, back+l.Back
-			moved, arrived, requests, first = moved+l.Judge.ExcludedRequests, arrived+l.Judge.RequestsWhileFree, requests+l.Requests, first+l.First
-			for r, n := range l.Refused {
+			accepted, freed, back = accepted+l.Accepted, freed+l.Freed, back+l.ReturnedEarly
+			moved, arrived, requests, first = moved+l.Judge.ExcludedRequests, arrived+l.Judge.RequestsWhileFree, requests+l.Requests, first+l.ExclusionOverrides
+			for r, n := range l.Rejected {
 				refused[r] += n
 			}
 			for r, n := range l.Reasons {
 				reasons[r] += n
 			}
-			r.Log(t, seed, "%v: %d windows, %d free, %d back, %d of %d requests kept off, %d while free, %d first", l.theme,
-				l.Accepted, l.Freed, l.Back, l.Judge.ExcludedRequests, l.Requests, l.Judge.RequestsWhileFree, l.First)
+			r.Log(t, seed, "%v: %d windows, %d free, %d back, %d of %d requests kept off, %d while free, %d first", l.focus,
+				l.Accepted, l.Freed, l.ReturnedEarly, l.Judge.ExcludedRequests, l.Requests, l.Judge.RequestsWhileFree, l.ExclusionOverrides)
 			return true
 		})
 	t.Logf("%d agents, %d courses of %d nights from seed %d in %v: %d windows, %d free, %d back early; of %d requests %d were kept off, %d fell while a node "+
@@ -96,27 +98,29 @@
 	require.Positive(t, first)
 }
 
-// breaks is what the judge says where a protection is taken out.
-var breaks = map[string]string{
-	"notice": "arrives", "own clock": "arrives", "fence": "arrives", "linger": "arrives",
-	"contract": "hours", "turns": "arrives", "early return": "no window holds", "begin": "serving goes first", "strangers": "arrives",
+// expectedViolations are in the reason of a violation where a protection is removed.
+var expectedViolations = map[Protection]string{
+	withoutNotice: "arrives", withoutOwnClock: "arrives", withoutFence: "arrives", withoutLinger: "arrives",
+	withoutContract: "hours", withoutTurns: "arrives", withoutEarlyReturn: "no window holds", withoutBegin: "serving goes first",
+	withoutStrangers: "arrives",
 }
 
+// TestEachProtectionIsNeeded: each protection that is removed is missed within 200 seeds.
 func TestEachProtectionIsNeeded(t *testing.T) {
-	for _, without := range Protections {
-		t.Run(without, func(t *testing.T) {
+	for _, without := range Protections() {
+		t.Run(string(without), func(t *testing.T) {
 			found := false
-			inParallel(0, 200, func(seed uint64) *Lab { return Week(Setup{Seed: seed, Agents: 5, Days: 2, Without: without}) },
+			inParallel(0, 200, func(seed uint64) *Lab { return PlayWeek(Setup{Seed: seed, Agents: 5, Days: 2, Without: without}) },
 				func(seed uint64, l *Lab) bool {
 					for _, b := range l.Judge.Violations {
-						if !found && strings.Contains(b.Reason, breaks[without]) {
+						if !found && strings.Contains(b.Reason, expectedViolations[without]) {
 							found = true
-							t.Logf("found by seed %d, %v: %v", seed, l.theme, b)
+							t.Logf("found by seed %d, %v: %v", seed, l.focus, b)
 						}
 					}
 					return !found
 				})
-			require.True(t, found, "taken out, and not found within 200 seeds")
+			require.True(t, found, "removed, and not missed within 200 seeds")
 		})
 	}
 }
