--- a/cmd/dunestep/fleet.go
+++ b/cmd/dunestep/fleet.go
@@ -56,7 +56,7 @@
 
 // newFleetMember returns this agent's part in the fleet; nil: it takes none.
 func newFleetMember(s settings, d *transport.Datagrams) (*fleetMember, error) {
-	if !s.operator.Fleet.On {
+	if !s.operator.Fleet.Enabled {
 		return nil, nil
 	}
 	if d == nil {
@@ -88,7 +88,7 @@
 		return err
 	}
 	f.actor.Store(actor)
-	if o := f.settings.operator.Fleet; o.HereCold || o.HereShares || o.HereStorm {
+	if o := f.settings.operator.Fleet; o.LiveSizeForProbes || o.LiveSizeForQuotas || o.LiveSizeForOverload {
 		go f.watchFleetSize(actor)
 	}
 	if f.maintenance != nil || f.ring != nil {
@@ -104,7 +104,7 @@
 	}
 	if actor := f.actor.Load(); actor != nil {
 		own := f.settings
-		own.operator.Storm = s.operator.Storm
+		own.operator.Overload = s.operator.Overload
 		ctx, cancel := context.WithTimeout(context.Background(), reloadTimeout)
 		defer cancel()
 		actor.Do(ctx, func(*fleet.Node, fleet.ClockReading) { f.policies.SetLocalSettings(own.localPolicySettings()) })
--- a/cmd/dunestep/fleetsettings.go
+++ b/cmd/dunestep/fleetsettings.go
@@ -27,9 +27,9 @@
 	o := f.settings.operator.Fleet
 	set := fleet.Settings{
 		Self: f.settings.Settings.Self, Agents: f.settings.Settings.Balancers,
-		Incarnation: uint64(time.Now().UnixMilli()), Seed: f.settings.Seed, ReadyTimeout: milliseconds(o.ReadyMS),
-		BytesPerSecond: int(o.RateKB << 10), Machines: []fleet.StateMachine{commandMachine: f.commands},
-		Terms: lease.Terms{Duration: milliseconds(o.LeaseMS), MaxKnowledgeAge: milliseconds(o.HeardMS)},
+		Incarnation: uint64(time.Now().UnixMilli()), Seed: f.settings.Seed, ReadyTimeout: milliseconds(o.ReadyTimeoutMS),
+		BytesPerSecond: int(o.MaxSendRateKB << 10), Machines: []fleet.StateMachine{commandMachine: f.commands},
+		Terms: lease.Terms{Duration: milliseconds(o.LeaseMS), MaxKnowledgeAge: milliseconds(o.MaxKnowledgeAgeMS)},
 	}
 	for _, v := range o.Voters {
 		set.Voters = append(set.Voters, int(v))
@@ -77,7 +77,7 @@
 		adapter := f.startMaintenance(n)
 		windows, applications[0] = adapter, adapter
 	}
-	if f.settings.operator.Fleet.Placement {
+	if f.settings.operator.Fleet.RingAssignment {
 		adapter := f.startRing(n)
 		assignments, applications[1] = adapter, adapter
 	}
@@ -90,5 +90,5 @@
 
 // policyTimes are those by which policies take effect.
 func (f *fleetMember) policyTimes(terms lease.Terms) policy.Times {
-	return policy.Times{Terms: terms, FloorValidity: seconds(f.settings.operator.Fleet.FloorS)}
+	return policy.Times{Terms: terms, FloorValidity: seconds(f.settings.operator.Fleet.FloorValidityS)}
 }
--- a/cmd/dunestep/fleetsize.go
+++ b/cmd/dunestep/fleetsize.go
@@ -34,13 +34,13 @@
 // zero: as many as the settings name.
 func (f *fleetMember) divideBy(present int) (forBalancer balancer.FleetSize, forOverload int) {
 	o := f.settings.operator.Fleet
-	if o.HereCold {
+	if o.LiveSizeForProbes {
 		forBalancer.ProbeRequests = present
 	}
-	if o.HereShares {
+	if o.LiveSizeForQuotas {
 		forBalancer.Quotas = present
 	}
-	if o.HereStorm {
+	if o.LiveSizeForOverload {
 		forOverload = present
 	}
 	return forBalancer, forOverload
--- a/cmd/dunestep/fleetstate.go
+++ b/cmd/dunestep/fleetstate.go
@@ -87,11 +87,11 @@
 	inherited.policy.Active(now, lease.Full) // the floor's validity counts from here
 	windows := maintenance.NewStateMachine(func() uint64 { return policies.State().InForce.Number })
 	if o := f.settings.operator.Fleet; o.Windows && windows.Restore(s.Maintenance) == nil {
-		inherited.maintenance = maintenance.NewAgent(int(o.Turns))
+		inherited.maintenance = maintenance.NewAgent(int(o.MaintenanceGroups))
 		inherited.maintenance.Learn(windows)
 	}
 	assignments := ringassignment.NewStateMachine()
-	if f.settings.operator.Fleet.Placement && assignments.Restore(s.Ring) == nil {
+	if f.settings.operator.Fleet.RingAssignment && assignments.Restore(s.Ring) == nil {
 		inherited.ring = ringassignment.NewAgent()
 		inherited.ring.Learn(assignments)
 		inherited.ring.Assignment(now, lease.Full)
@@ -144,7 +144,7 @@
 
 // ringAssignment returns the agreed ring assignment at this moment; nil: there is none.
 func (f *fleetMember) ringAssignment() (a *balancer.RingAssignment) {
-	if f == nil || !f.settings.operator.Fleet.Placement {
+	if f == nil || !f.settings.operator.Fleet.RingAssignment {
 		return nil
 	}
 	read := func(now fleet.ClockReading, standing lease.Standing) { a = f.ring.adapter.Assignment(now, standing) }
--- a/cmd/dunestep/graphql.go
+++ b/cmd/dunestep/graphql.go
@@ -31,7 +31,7 @@
 		return graphQLProblems(err)
 	}
 	slog.Info("serving GraphQL", "listen", g.Listen, "path", g.Path)
-	if g.Listen == operator.OnFront {
+	if g.Listen == operator.MainListener {
 		return l.Listen(s.Listen, form.AtPath, protocol.HTTP)
 	}
 	addr, err := netip.ParseAddrPort(g.Listen)
@@ -57,21 +57,21 @@
 // problems.
 func (s settings) graphQL() (*protocol.GraphQL, error) {
 	g := s.operator.GraphQL
-	trusted, err := readTrusted(g.Trusted)
+	trusted, err := readTrusted(g.TrustedDocuments)
 	if err != nil {
 		return nil, err
 	}
 	classer, err := graphql.NewClasser(graphql.Rules{
 		Classes: s.Settings.Classes,
-		Safe:    g.SafeClass, Unsafe: g.UnsafeClass, Queries: g.Queries, Mutations: g.Mutations,
+		Safe:    g.IdempotentClass, Unsafe: g.NonIdempotentClass, Queries: g.Queries, Mutations: g.Mutations,
 		Batches: g.Batch == operator.BatchStrictest, Trusted: trusted,
 		Limits: graphql.Limits{
-			Document: int(g.DocumentKB << 10), Tokens: int(g.Tokens), Depth: int(g.Depth),
-			Aliases: int(g.Aliases), Operations: int(g.Operations), Batch: int(g.BatchLength),
-			CacheBytes: int(g.CacheKB << 10), StoreBytes: int(g.StoreKB << 10),
+			Document: int(g.MaxDocumentKB << 10), Tokens: int(g.MaxTokens), Depth: int(g.MaxDepth),
+			Aliases: int(g.MaxAliases), Operations: int(g.MaxOperations), Batch: int(g.MaxBatchLength),
+			CacheBytes: int(g.CacheKB << 10), StoreBytes: int(g.HashStoreKB << 10),
 		},
 	})
-	if g.Listen == operator.OnFront && s.isClassPath(g.Path) {
+	if g.Listen == operator.MainListener && s.isClassPath(g.Path) {
 		err = errors.Join(err, fmt.Errorf("path %s is that of a class on the front socket", g.Path))
 	}
 	form := &protocol.GraphQL{
@@ -81,7 +81,7 @@
 	for _, source := range []struct {
 		into *protocol.Source
 		text string
-	}{{&form.Key, g.Key}, {&form.Tenant, g.Tenant}, {&form.Deadline, g.Deadline}, {&form.ID, g.ID}} {
+	}{{&form.Key, g.Key}, {&form.Tenant, g.Tenant}, {&form.Deadline, g.Deadline}, {&form.ID, g.RequestID}} {
 		var parseErr error
 		*source.into, parseErr = protocol.ParseSource(source.text)
 		err = errors.Join(err, parseErr)
--- a/cmd/dunestep/log.go
+++ b/cmd/dunestep/log.go
@@ -32,7 +32,7 @@
 	var level slog.Level
 	_ = level.UnmarshalText([]byte(l.Level)) // the file's reader has checked it
 	h.level.Set(level)
-	h.useJSON.Store(l.Format == operator.JSON)
+	h.useJSON.Store(l.Format == operator.FormatJSON)
 }
 
 // current is the handler of the format that holds now.
--- a/cmd/dunestep/maintenance.go
+++ b/cmd/dunestep/maintenance.go
@@ -37,8 +37,8 @@
 	f.maintenance = &windowControl{logged: map[string]windowLog{}, before: map[string]balancer.TenantStats{}}
 	f.maintenance.adapter = maintenancelog.New(maintenancelog.Settings{
 		Self: n.Self, IsVoter: n.IsVoter(), Incarnation: n.Incarnation, MachineNumber: maintenanceMachine,
-		Times: f.policyTimes(n.Terms), Turns: int(o.Turns), MaxInFlight: seconds(o.LingerS),
-		ClockMargin: seconds(o.MarginS), MinNotice: seconds(o.NoticeS),
+		Times: f.policyTimes(n.Terms), Turns: int(o.MaintenanceGroups), MaxInFlight: seconds(o.MaxRequestS),
+		ClockMargin: seconds(o.SafetyMarginS), MinNotice: seconds(o.MinNoticeS),
 		InForce: f.policyInForce, View: f.leaderView,
 	})
 	return f.maintenance.adapter
--- a/cmd/dunestep/maintenanceops.go
+++ b/cmd/dunestep/maintenanceops.go
@@ -155,8 +155,8 @@
 	return maintenance.PlanInput{
 		Servers: f.maintenanceServers(e), Contracts: e.Contracts, TenantLoads: f.tenantLoads(e),
 		PeakLoad: e.Capacity.PeakLoad, MaxUtilization: e.Capacity.MaxUtilization,
-		ClockMargin: seconds(o.MarginS), MinNotice: seconds(o.NoticeS),
-		MinDrained: minDrainedMargins * seconds(o.MarginS), PolicyVersion: active.Version,
+		ClockMargin: seconds(o.SafetyMarginS), MinNotice: seconds(o.MinNoticeS),
+		MinDrained: minDrainedMargins * seconds(o.SafetyMarginS), PolicyVersion: active.Version,
 	}
 }
 
--- a/cmd/dunestep/policy_test.go
+++ b/cmd/dunestep/policy_test.go
@@ -206,12 +206,12 @@
 	own.Settings.Limits.MaxAttempts = 3
 	own.Settings.Classes = []balancer.Class{{Name: "consult"}}
 	own.operator.Fleet.Policy = true
-	own.operator.Storm.InVain = 0.5
+	own.operator.Overload.WastedFraction = 0.5
 	require.InDelta(t, 0.5, own.localPolicySettings().MaxFailedRatio, 1e-9)
 	s := policylog.New(policylog.Settings{Local: own.localPolicySettings(), Times: policy.Times{}.WithDefaults()}, fleet.ClockReading{})
 	before := s.Active(fleet.ClockReading{}, lease.Full).Effect
 	require.InDelta(t, 0.5, before.MaxFailedRatio, 1e-9)
-	own.operator.Storm.InVain = 0.3
+	own.operator.Overload.WastedFraction = 0.3
 	s.SetLocalSettings(own.localPolicySettings())
 	require.InDelta(t, 0.3, s.Active(fleet.ClockReading{}, lease.Full).Effect.MaxFailedRatio, 1e-9)
 }
--- a/cmd/dunestep/process.go
+++ b/cmd/dunestep/process.go
@@ -101,8 +101,8 @@
 	set := agent.Settings{
 		Deployment: s.Settings, Seed: s.Seed, Discovery: s.Discovery, Initial: p.state.initial,
 		Probation: state.ProbationSettings{
-			Enabled:    s.operator.State.ProveList,
-			FullDeploy: seconds(s.operator.State.DeployS),
+			Enabled:    s.operator.State.Probation,
+			FullDeploy: seconds(s.operator.State.FullDeployS),
 		},
 		Descriptors: p.descriptors, Bodies: p.bodies, Metrics: p.metrics, Disabled: disabled,
 		OnStateChange: p.state.requestWrite, Overload: s.overloadConfig(), FleetReady: p.fleet.isReady,
@@ -110,13 +110,13 @@
 	if p.datagrams != nil {
 		set.Datagrams = p.datagrams
 	}
-	if s.operator.Fleet.On && s.operator.Fleet.Policy {
+	if s.operator.Fleet.Enabled && s.operator.Fleet.Policy {
 		set.FleetPolicy = func() *policy.Effect { return p.fleet.policyEffect() }
 		if s.operator.Fleet.Windows {
 			set.Exclusions = func() *balancer.Exclusions { return p.fleet.exclusions() }
 			set.FleetCaughtUp = p.fleet.isCaughtUp
 		}
-		if s.operator.Fleet.Placement {
+		if s.operator.Fleet.RingAssignment {
 			set.RingAssignment = func() *balancer.RingAssignment { return p.fleet.ringAssignment() }
 		}
 	}
--- a/cmd/dunestep/ring.go
+++ b/cmd/dunestep/ring.go
@@ -37,7 +37,7 @@
 	f.ring = &ringControl{isVoter: n.IsVoter(), adapter: assignmentlog.New(assignmentlog.Settings{
 		IsVoter: n.IsVoter(), Incarnation: n.Incarnation, MachineNumber: ringMachine,
 		Parameters: ringassignment.Parameters{
-			Terms: n.Terms, SlowStart: f.settings.slowStartParams(), UsePaces: f.settings.operator.Fleet.Paces,
+			Terms: n.Terms, SlowStart: f.settings.slowStartParams(), UsePaces: f.settings.operator.Fleet.BaselineLatencies,
 		},
 	}, agent.ReadClocks())}
 	return f.ring.adapter
@@ -71,7 +71,7 @@
 
 // reportPaces measures the paces of machine kinds, reports them to voters, and logs those that are agreed.
 func (f *fleetMember) reportPaces(actor *agent.FleetActor) {
-	if f.ring == nil || !f.settings.operator.Fleet.Paces || time.Now().Before(f.ring.nextMeasurement) {
+	if f.ring == nil || !f.settings.operator.Fleet.BaselineLatencies || time.Now().Before(f.ring.nextMeasurement) {
 		return
 	}
 	f.ring.nextMeasurement = time.Now().Add(paceInterval)
--- a/cmd/dunestep/settings.go
+++ b/cmd/dunestep/settings.go
@@ -91,21 +91,21 @@
 
 // bodyLimits are the memory for bodies, in bytes, and their rules.
 func (s settings) bodyLimits() (memoryBytes int64, rules transport.BodyRules) {
-	a := s.operator.Answers
-	return int64(a.MemoryShare * float64(s.Limits.MemoryMB<<20)), transport.BodyRules{
-		MaxBytes: a.LongestKB << 10, BufferedBytes: a.WholeKB << 10, MaxBuffering: milliseconds(a.HoldMS),
-		ClientStall: milliseconds(a.StallMS), ClientLag: milliseconds(a.LagMS),
+	a := s.operator.Bodies
+	return int64(a.MemoryFraction * float64(s.Limits.MemoryMB<<20)), transport.BodyRules{
+		MaxBytes: a.MaxKB << 10, BufferedBytes: a.BufferedKB << 10, MaxBuffering: milliseconds(a.MaxBufferingMS),
+		ClientStall: milliseconds(a.ClientStallMS), ClientLag: milliseconds(a.ClientLagMS),
 	}
 }
 
 // overloadConfig is the configuration of overload control.
 func (s settings) overloadConfig() overload.Config {
-	t := s.operator.Storm
+	t := s.operator.Overload
 	return overload.Config{
-		Disabled: !t.On, ReportQuota: t.RateLimitFields, EpisodeFactor: t.SpellFactor,
-		SheddingFraction: t.PurgeShare, MaxShedding: milliseconds(t.PurgeMS), MinShedding: milliseconds(t.PurgeLeastMS),
-		SheddingBackoff: seconds(t.PurgeAgainS), TrialFraction: t.TrialShare, RecoveryHeadroom: t.ReturnMore,
-		WastedFraction: t.InVain, SheddingWhenSparse: t.PurgeSparse, FairnessRotation: seconds(t.TurnS),
+		Disabled: !t.Enabled, ReportQuota: t.RateLimitFields, EpisodeFactor: t.EpisodeFactor,
+		SheddingFraction: t.SheddingFraction, MaxShedding: milliseconds(t.MaxSheddingMS), MinShedding: milliseconds(t.MinSheddingMS),
+		SheddingBackoff: seconds(t.SheddingBackoffS), TrialFraction: t.TrialFraction, RecoveryHeadroom: t.RecoveryHeadroom,
+		WastedFraction: t.WastedFraction, SheddingWhenSparse: t.SheddingWhenSparse, FairnessRotation: seconds(t.FairnessRotationS),
 	}
 }
 
--- a/cmd/dunestep/statekeeper.go
+++ b/cmd/dunestep/statekeeper.go
@@ -38,8 +38,8 @@
 	}
 	if set := s.operator.State; set.Folder != "" {
 		k.writer = folder.StartWriter(folder.WriterSettings{
-			Path: set.Folder, Owner: s.stateOwner(), Collect: k.snapshot, Period: seconds(set.PeriodS),
-			MinInterval: time.Minute / time.Duration(set.WritesAMinute),
+			Path: set.Folder, Owner: s.stateOwner(), Collect: k.snapshot, Period: seconds(set.WriteIntervalS),
+			MinInterval: time.Minute / time.Duration(set.MaxWritesPerMinute),
 		}, stateFolder, initial.Age)
 	}
 	return k
--- a/internal/operator/graphql.go
+++ b/internal/operator/graphql.go
@@ -6,78 +6,106 @@
 	"strings"
 )
 
-// OnFront, in place of an address, has GraphQL come on the front socket too, at its path.
-const OnFront = "front"
+// MainListener as GraphQL.Listen serves GraphQL on the agent's own listener, at GraphQL.Path.
+const MainListener = "front"
 
-// GraphQL is the table for GraphQL over HTTP.
+// The values of GraphQL.Batch.
+const (
+	// BatchReject rejects batches.
+	BatchReject = "refuse"
+	// BatchStrictest gives a batch the strictest class of its members.
+	BatchStrictest = "strictest"
+)
+
+// GraphQL is the table "graphql": GraphQL over HTTP.
 type GraphQL struct {
-	// Listen is the address of the socket for it, or OnFront; empty: there is none.
+	// Listen is the address of a listener for GraphQL, or MainListener; empty: there is none.
 	Listen string `toml:"listen"`
-	Path   string `toml:"path"`
-	// SafeClass and UnsafeClass name the classes of queries, and of mutations and what cannot be told; empty:
-	// the first such class of the settings.
-	SafeClass   string `toml:"safe_class"`
-	UnsafeClass string `toml:"unsafe_class"`
-	// Queries and Mutations name other classes by root field.
-	Queries   map[string]string `toml:"queries"`
+	// Path is the path that GraphQL is served at.
+	Path string `toml:"path"`
+	// IdempotentClass names the class of queries. Empty: the first such class of the settings.
+	IdempotentClass string `toml:"safe_class"`
+	// NonIdempotentClass names the class of mutations and of requests that cannot be classified. Empty: the
+	// first such class of the settings.
+	NonIdempotentClass string `toml:"unsafe_class"`
+	// Queries names other classes for queries, by root field.
+	Queries map[string]string `toml:"queries"`
+	// Mutations names other classes for mutations, by root field.
 	Mutations map[string]string `toml:"mutations"`
-	Batch     string            `toml:"batch"` // BatchRefused or BatchStrictest
-	// Key, Tenant, Deadline and ID tell where they are in a request: header:NAME, cookie:NAME, variable:NAME or
-	// nothing.
-	Key           string `toml:"key"`
-	Tenant        string `toml:"tenant"`
+	// Batch is BatchReject or BatchStrictest.
+	Batch string `toml:"batch"`
+	// Key, Tenant, Deadline and RequestID name the place of each in a request: header:NAME, cookie:NAME,
+	// variable:NAME or empty.
+	Key string `toml:"key"`
+	// Tenant: see Key.
+	Tenant string `toml:"tenant"`
+	// TenantDefault is the tenant of a request that names none.
 	TenantDefault string `toml:"tenant_default"`
-	Deadline      string `toml:"deadline"`
-	ID            string `toml:"id"`
-	Trusted       string `toml:"trusted"` // a file of documents by their hash or id; empty: none
+	// Deadline: see Key. It holds the time left, in milliseconds.
+	Deadline string `toml:"deadline"`
+	// RequestID: see Key. It holds 16 hexadecimal digits.
+	RequestID string `toml:"id"`
+	// TrustedDocuments is the path of a JSON file of documents by hash or id; empty: none.
+	TrustedDocuments string `toml:"trusted"`
 
-	DocumentKB  int64 `toml:"document_kb" min:"1" max:"64"`
-	Tokens      int64 `toml:"tokens" min:"10" max:"20000"`
-	Depth       int64 `toml:"depth" min:"1" max:"500"`
-	Aliases     int64 `toml:"aliases" min:"0" max:"10000"`
-	Operations  int64 `toml:"operations" min:"1" max:"1000"`
-	BatchLength int64 `toml:"batch_length" min:"1" max:"1000"`
-	CacheKB     int64 `toml:"cache_kb" min:"0" max:"65536"`
-	StoreKB     int64 `toml:"store_kb" min:"0" max:"65536"`
+	// MaxDocumentKB is the largest document, in KiB.
+	MaxDocumentKB int64 `toml:"document_kb" min:"1" max:"64"`
+	// MaxTokens is the largest number of tokens in a document.
+	MaxTokens int64 `toml:"tokens" min:"10" max:"20000"`
+	// MaxDepth is the deepest nesting of fields.
+	MaxDepth int64 `toml:"depth" min:"1" max:"500"`
+	// MaxAliases is the largest number of aliases in an operation.
+	MaxAliases int64 `toml:"aliases" min:"0" max:"10000"`
+	// MaxOperations is the largest number of operations in a document.
+	MaxOperations int64 `toml:"operations" min:"1" max:"1000"`
+	// MaxBatchLength is the largest number of requests in a batch.
+	MaxBatchLength int64 `toml:"batch_length" min:"1" max:"1000"`
+	// CacheKB is the memory for parsed documents, in KiB; 0: none.
+	CacheKB int64 `toml:"cache_kb" min:"0" max:"65536"`
+	// HashStoreKB is the memory for the documents that clients registered by hash, in KiB; 0: none.
+	HashStoreKB int64 `toml:"store_kb" min:"0" max:"65536"`
 }
 
-// What becomes of batches.
-const (
-	BatchRefused   = "refuse"
-	BatchStrictest = "strictest"
-)
-
 func defaultGraphQL() GraphQL {
 	return GraphQL{
 		Path: "/graphql", Queries: map[string]string{}, Mutations: map[string]string{},
-		Batch: BatchRefused, Key: "cookie:sid", Tenant: "header:X-Account", Deadline: "header:X-Time-Left-Ms",
-		ID: "header:X-Correlation-Id", DocumentKB: 16, Tokens: 1000, Depth: 30, Aliases: 100, Operations: 50,
-		BatchLength: 10, CacheKB: 1024, StoreKB: 256,
+		Batch: BatchReject, Key: "cookie:sid", Tenant: "header:X-Account",
+		Deadline: "header:X-Time-Left-Ms", RequestID: "header:X-Correlation-Id",
+		MaxDocumentKB: 16, MaxTokens: 1000, MaxDepth: 30, MaxAliases: 100, MaxOperations: 50,
+		MaxBatchLength: 10, CacheKB: 1024, HashStoreKB: 256,
 	}
 }
 
 var (
-	source    = regexp.MustCompile(`^((header|cookie|variable):[^\s.]+(\.[^\s.]+)*)?$`)
-	plainPath = regexp.MustCompile(`^(/[A-Za-z0-9_.~-]+)+$`)
+	sourcePattern = regexp.MustCompile(`^((header|cookie|variable):[^\s.]+(\.[^\s.]+)*)?$`)
+	pathPattern   = regexp.MustCompile(`^(/[A-Za-z0-9_.~-]+)+$`)
 )
 
-// check tells what is wrong between keys that are right by themselves, and with texts.
+// check returns the first key with a text that is not allowed, and what is required of it.
 func (g GraphQL) check() (key, problem string) {
-	addr, err := netip.ParseAddrPort(g.Listen)
 	switch {
-	case g.Listen != "" && g.Listen != OnFront && (err != nil || addr.Port() == 0):
-		return "listen", "must be an address with a port, " + OnFront + " or empty"
-	case !plainPath.MatchString(g.Path) || strings.HasPrefix(g.Path, "/health/"):
+	case !isListenAddress(g.Listen):
+		return "listen", "must be an address with a port, " + MainListener + " or empty"
+	case !pathPattern.MatchString(g.Path) || strings.HasPrefix(g.Path, "/health/"):
 		return "path", "must be a path of plain letters, and not below /health"
-	case g.Batch != BatchRefused && g.Batch != BatchStrictest:
-		return "batch", "must be " + BatchRefused + " or " + BatchStrictest
+	case g.Batch != BatchReject && g.Batch != BatchStrictest:
+		return "batch", "must be " + BatchReject + " or " + BatchStrictest
 	}
-	for _, s := range []struct{ key, text string }{
-		{"key", g.Key}, {"tenant", g.Tenant}, {"deadline", g.Deadline}, {"id", g.ID},
+	for _, source := range []struct{ key, text string }{
+		{"key", g.Key}, {"tenant", g.Tenant}, {"deadline", g.Deadline}, {"id", g.RequestID},
 	} {
-		if !source.MatchString(s.text) {
-			return s.key, "must be header:NAME, cookie:NAME, variable:NAME or empty"
+		if !sourcePattern.MatchString(source.text) {
+			return source.key, "must be header:NAME, cookie:NAME, variable:NAME or empty"
 		}
 	}
 	return "", ""
 }
+
+// isListenAddress reports whether a text is allowed for Listen.
+func isListenAddress(text string) bool {
+	if text == "" || text == MainListener {
+		return true
+	}
+	addr, err := netip.ParseAddrPort(text)
+	return err == nil && addr.Port() != 0
+}
--- a/internal/operator/log.go
+++ b/internal/operator/log.go
@@ -2,23 +2,27 @@
 
 import "slices"
 
-// The forms of the log.
+// The values of Log.Format.
 const (
-	Text = "text"
-	JSON = "json"
+	// FormatText writes a line of name=value pairs for each event.
+	FormatText = "text"
+	// FormatJSON writes a JSON object for each event.
+	FormatJSON = "json"
 )
 
-// Log is the table for the log.
+// Log is the table "log".
 type Log struct {
-	// Format is text, a line of name=value pairs for each event, or json, an object.
+	// Format is FormatText or FormatJSON.
 	Format string `toml:"format"`
-	// Level is the least important that is written: debug, info, warn or error.
+	// Level is the lowest level that is written: debug, info, warn or error.
 	Level string `toml:"level"`
 }
 
-// check tells what is wrong between keys that are right by themselves.
+func defaultLog() Log { return Log{Format: FormatText, Level: "info"} }
+
+// check returns the first key with a value that is not allowed, and the values that are.
 func (l Log) check() (key, problem string) {
-	if l.Format != Text && l.Format != JSON {
+	if l.Format != FormatText && l.Format != FormatJSON {
 		return "format", "must be text or json"
 	}
 	if !slices.Contains([]string{"debug", "info", "warn", "error"}, l.Level) {
--- a/internal/operator/read.go
+++ b/internal/operator/read.go
@@ -6,26 +6,31 @@
 	"dunestep/internal/stricttoml"
 )
 
-// Read reads an operator file; without a path, all is as by default. The file is checked as a whole: the
-// error holds everything that is wrong with it, each with line, column and what is allowed.
+// Read reads and checks the operator file at path; an empty path gives Default. The error joins everything
+// that is wrong with the file, each problem with line, column and what is allowed; Problems lists them.
 func Read(path string) (File, error) {
 	file := Default()
 	if path == "" {
 		return file, nil
 	}
-	if err := stricttoml.ReadFile(path, &file, file.check); err != nil {
+	if err := stricttoml.ReadFile(path, &file, file.checkTables); err != nil {
 		return File{}, err
 	}
 	return file, nil
 }
 
-// check has each table that is right key by key look for what is wrong between its keys.
-func (f *File) check(d *stricttoml.Document) {
+// tableChecker is a table with rules between its keys. The problem is empty if they all hold.
+type tableChecker interface {
+	check() (key, problem string)
+}
+
+// checkTables checks the rules between keys of each table whose keys are valid one by one.
+func (f *File) checkTables(d *stricttoml.Document) {
 	tables := reflect.ValueOf(f).Elem()
 	for i := range tables.NumField() {
 		name := tables.Type().Field(i).Tag.Get("toml")
-		table, checks := tables.Field(i).Interface().(interface{ check() (key, problem string) })
-		if !checks || !d.Sound(name) {
+		table, hasRules := tables.Field(i).Interface().(tableChecker)
+		if !hasRules || !d.Sound(name) {
 			continue
 		}
 		if key, problem := table.check(); key != "" {
@@ -34,12 +39,14 @@
 	}
 }
 
-// Problems takes apart the error of Read, in the order of the file.
-func Problems(err error) (all []error) {
+// Problems splits an error of Read into its problems, in the order of the file. Any other error is returned
+// as the only one.
+func Problems(err error) []error {
 	joined, ok := err.(interface{ Unwrap() []error })
 	if !ok {
 		return []error{err}
 	}
+	var all []error
 	for _, one := range joined.Unwrap() {
 		all = append(all, Problems(one)...)
 	}
