--- a/cmd/dunestep/answers_test.go
+++ b/cmd/dunestep/answers_test.go
@@ -84,7 +84,7 @@
 	}
 }
 
-// take sends an operation on a connection of its own and reads what comes of the answer.
+// take sends a request on a connection of its own and reads what comes of the answer.
 func (w *world) take(class string, leftMS int) (id string, g got) {
 	r := w.request(class, leftMS)
 	r.Close = true
@@ -97,7 +97,7 @@
 	return idOf(step{Request: r}), got{resp.StatusCode, string(body), err}
 }
 
-// served checks that operations are served, by whole answers that begin before they are whole.
+// served checks that requests are served, by whole answers that begin before they are whole.
 func (w *world) served(class string) {
 	w.t.Helper()
 	for _, s := range w.servers {
@@ -115,8 +115,8 @@
 	}
 }
 
-// Guards against healthy servers that are asked again and again for an answer that each of them gave, only
-// because it is long; and against more memory for it than there is.
+// Healthy servers are not asked again and again for an answer that each of them gave, only
+// because it is long; and it takes no more memory than there is.
 func TestLongAnswers(t *testing.T) {
 	w := start(t, 2, (*world).patient, small)
 	w.each(func(s step) string {
@@ -275,7 +275,7 @@
 	w.served("consult")
 }
 
-// An answer begins just when its route step is given up and a further one is served: whichever comes first, the
+// An answer begins just when its attempt is given up and a further one is served: whichever comes first, the
 // client has one answer, and it is whole or the client can tell.
 func TestBeginningThatCrossesItsTime(t *testing.T) {
 	const size = 100_000
@@ -302,7 +302,7 @@
 			inTime++
 		case g.err == nil && strings.HasPrefix(g.body, id+" s-"):
 			second++
-		case g.status != 503: // a route step was lost to its time, and the module sees no use in another
+		case g.status != 503: // an attempt was lost to its time, and the module sees no use in another
 			t.Fatalf("status %d, %d bytes, %v", g.status, len(g.body), g.err)
 		}
 	}
@@ -431,7 +431,7 @@
 	}
 }
 
-// An answer that stands still past its time is broken off: its booking server will not go on.
+// An answer that stands still past its time is broken off: its endpoint will not go on.
 func TestTimeOfAnAnswer(t *testing.T) {
 	const size = 3_000_000
 	w := start(t, 1, small, (*world).patient)
@@ -460,8 +460,8 @@
 	require.Less(t, took, 2*time.Second, "an answer of which the last byte is timed is waited for after its time")
 }
 
-// Only the first bytes of a long answer are timed. Guards against cutting off what its server still gives, and
-// against holding back a beginning that comes in pieces.
+// Only the first bytes of a long answer are timed. What its server still gives is not cut off, and
+// a beginning that comes in pieces is not held back.
 func TestAnswerThatOutlastsItsTime(t *testing.T) {
 	t.Parallel()
 	const size, piece = 300_000, 10_000
@@ -684,7 +684,7 @@
 					case err != nil:
 						t.Error(err)
 						return
-					case resp.StatusCode == 503 || resp.StatusCode == 429: // no descriptor was free for a booking server
+					case resp.StatusCode == 503 || resp.StatusCode == 429: // no descriptor was free for an endpoint
 						refused.Add(1)
 						after, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 						time.Sleep(time.Duration(after * float64(time.Second)))
@@ -713,7 +713,7 @@
 	require.Less(t, after, before+2<<10)
 }
 
-// Clients that take nothing of long answers leave memory to those who begin. Guards against a few of them that hold
+// Clients that take nothing of long answers leave memory to those who begin. Otherwise a few of them could hold
 // all of it, while others wait until their time is up.
 func TestSlowClientsLeaveMemory(t *testing.T) {
 	w := start(t, 2, (*world).patient, func(w *world) {
--- a/cmd/dunestep/budgets_test.go
+++ b/cmd/dunestep/budgets_test.go
@@ -56,7 +56,7 @@
 	return most
 }
 
-// coldLimit is how many attempts a booking server that just started may get in the window within which it would fall
+// coldLimit is how many attempts an endpoint that just started may get in the window within which it would fall
 // over, by the usual rules, if it does capacity a second when it is warm: what is allowed then, and what is chance.
 func coldLimit(capacity float64) float64 {
 	n := 3 * usual.coldShare * capacity * coldWindow.Seconds()
@@ -65,9 +65,9 @@
 
 const coldWindow = 3 * time.Second
 
-// A booking server that starts again, and owns all that is asked for, gets some of it at once and never as much as
+// An endpoint that starts again, and owns all that is asked for, gets some of it at once and never as much as
 // it falls over from, whatever comes: what the settings say of cold servers.
-func TestColdServerIsNotPushedOver(t *testing.T) {
+func TestWarmingUpServerIsNotOverloaded(t *testing.T) {
 	const perS, capacity = 200, 60.0 // requests a second: of all, and what a warm server would do
 	w := start(t, 4, (*world).patient)
 	ask := func(sid string) *http.Request {
@@ -112,7 +112,7 @@
 	require.Less(t, float64(most), limit)
 }
 
-// slowly has a booking server work at one request at a time for so long.
+// slowly has an endpoint work at one request at a time for so long.
 func (s *server) slowly(takes time.Duration) {
 	var one sync.Mutex
 	s.set(func(st step) string {
--- a/cmd/dunestep/crossings_client_test.go
+++ b/cmd/dunestep/crossings_client_test.go
@@ -19,7 +19,7 @@
 )
 
 // The tests here force what can cross on the clients' side of the program and at its end. What it is held at is a
-// request that comes in parts, an answer that the booking server holds, or what the program's machine has of either.
+// request that comes in parts, an answer that the endpoint holds, or what the program's machine has of either.
 
 // rawClient is a client's connection whose bytes are written as they are.
 type rawClient struct {
@@ -162,8 +162,8 @@
 	w.ended()
 }
 
-// SIGTERM meets a request whose attempt is turned away after that, so that a further attempt begins in a program that is
-// ending; and one whose connection to a booking server comes up after that.
+// SIGTERM meets a request whose attempt is rejected after that, so that a further attempt begins in a program that is
+// ending; and one whose connection to an endpoint comes up after that.
 func TestTerminatedBeforeAnAttempt(t *testing.T) {
 	t.Parallel()
 	t.Run("further attempt", func(t *testing.T) {
@@ -296,7 +296,7 @@
 }
 
 // Idle clients take all descriptors that clients may have while discovery is down: the health door opens to new
-// connections, requests reach their booking servers over new connections, and discovery is asked again.
+// connections, requests reach their endpoints over new connections, and discovery is asked again.
 func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
 	const limit = 64
 	w := start(t, 8, func(w *world) {
@@ -313,7 +313,7 @@
 	for n := range 16 {
 		require.Equal(t, 200, w.alone(http.MethodGet, "/health/ready"))
 		r := w.request([]string{"consult", "rezervare"}[n%2], 60000)
-		r.Header.Set("Cookie", fmt.Sprintf("sid=k%d", n)) // to any of the booking servers
+		r.Header.Set("Cookie", fmt.Sprintf("sid=k%d", n)) // to any of the endpoints
 		client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: patience}
 		resp, err := client.Do(r)
 		require.NoError(t, err)
@@ -340,7 +340,7 @@
 }
 
 // A request comes a few bytes at a time from a client whose time is shorter than what is taken off for the answer's way:
-// it is answered, on a connection that stays, and nothing of it is sent on.
+// it is answered, on a connection that stays, and nothing of it is forwarded.
 func TestSlowRequestsWithLittleTime(t *testing.T) {
 	w := start(t, 1)
 	c := w.rawClient()
--- a/cmd/dunestep/crossings_upstream_test.go
+++ b/cmd/dunestep/crossings_upstream_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// oneServer has the program know one booking server, with a fault of the wire.
+// oneServer has the program know one endpoint, with a fault of the wire.
 func oneServer(t *testing.T, w *world) *faulty {
 	f := newFaulty(t, "")
 	w.config["known"].(object)["servers"] = []object{f.entry("active")}
@@ -21,7 +21,7 @@
 	return object{"id": "s-0", "addr": f.Addr(), "zone": "a", "kind": "rapid", "cell": 1, "state": state, "weight": 1.0}
 }
 
-// A booking server begins to drain while a step waits for its connection: it is not sent on after the grace, however
+// An endpoint begins to drain while a step waits for its connection: it is not forwarded after the grace, however
 // long the settings would have the connection waited for.
 func TestServerDrainsWhileAConnectionIsAwaited(t *testing.T) {
 	w := newWorld(t, 0)
@@ -55,7 +55,7 @@
 }
 
 // Clients that give less time than the connection, the spacing of further attempts or the answer's margin takes get
-// one answer each, and nothing is sent on for them later.
+// one answer each, and nothing is forwarded for them later.
 func TestLessTimeThanAnythingTakes(t *testing.T) {
 	w := newWorld(t, 0)
 	w.patient()
@@ -77,9 +77,9 @@
 	require.EqualValues(t, 1, f.got.Load(), "nothing was sent on for clients whose time was up")
 }
 
-// What a further attempt tells its booking server is what is left to the client then, on a reused connection and on a
-// new one: the attempt before it is turned away when so much of the time has passed.
-func TestFurtherAttemptsTellWhatIsLeft(t *testing.T) {
+// What a further attempt tells its endpoint is what is left to the client then, on a reused connection and on a
+// new one: the attempt before it is rejected when so much of the time has passed.
+func TestRetriesTellTheTimeLeft(t *testing.T) {
 	t.Parallel()
 	const leftMS, held = 20000, 300 * time.Millisecond
 	for name, warm := range map[string]bool{"reused": true, "new": false} {
@@ -100,7 +100,7 @@
 			}
 			before := w.seen()
 			var sent time.Time
-			var first atomic.Value // the booking server that turns away
+			var first atomic.Value // the endpoint that turns away
 			w.first(func(s step) string {
 				first.Store(s.server)
 				time.Sleep(time.Until(sent.Add(held)))
--- a/cmd/dunestep/deployments_test.go
+++ b/cmd/dunestep/deployments_test.go
@@ -54,11 +54,11 @@
 	return all
 }
 
-// requestOf is an operation of a class for a tenant, whose client waits for a minute longer than any class does.
+// requestOf is a request of a class for a tenant, whose client waits for a minute longer than any class does.
 func (w *world) requestOf(class, tenant string) *http.Request {
 	r := w.request(class, 120_000)
 	r.Header.Set("X-Account", tenant)
-	r.Header.Set("Cookie", "sid="+w.id()) // so that all booking servers get some
+	r.Header.Set("Cookie", "sid="+w.id()) // so that all endpoints get some
 	return r
 }
 
@@ -89,7 +89,7 @@
 	}
 }
 
-// knowsNone has every class of a deployment turned away as unknown, with no word of it sent on.
+// knowsNone has every class of a deployment rejected as unknown, with no word of it forwarded.
 func (w *world) knowsNone(site deployment) {
 	w.t.Helper()
 	before := w.seen()
@@ -183,7 +183,7 @@
 	}
 }
 
-// transcript is all that an agent says to anybody: in answers, to booking servers, at its ops socket and in its log.
+// transcript is all that an agent says to anybody: in answers, to endpoints, at its operators' socket and in its log.
 type transcript struct {
 	mu   sync.Mutex
 	text strings.Builder
--- a/cmd/dunestep/faults_test.go
+++ b/cmd/dunestep/faults_test.go
@@ -16,7 +16,7 @@
 	"dunestep/internal/standin"
 )
 
-// faulty is a booking server whose first answer has a fault of the wire; it forgets a connection where it is told.
+// faulty is an endpoint whose first answer has a fault of the wire; it forgets a connection where it is told.
 type faulty struct {
 	*standin.Server
 	fault scenario.Fault
@@ -47,7 +47,7 @@
 	return f
 }
 
-// What the program makes of each fault of the wire at the only booking server there is: what is passed on, what is
+// What the program makes of each fault of the wire at the only endpoint there is: what is passed on, what is
 // refused because nothing can have run, what fails because something may have, and whether the connection is used
 // again. A request after it is served by its own answer.
 func TestFaultsOfTheWire(t *testing.T) {
@@ -121,9 +121,9 @@
 	}
 }
 
-// A client that leaves while its request's connection is still to come up has nobody ask the booking server any more:
+// A client that leaves while its request's connection is still to come up has nobody ask the endpoint any more:
 // the wish to connect is given up, and what comes up later carries the next request only.
-func TestNothingIsSentOnForClientsThatLeft(t *testing.T) {
+func TestNothingIsForwardedForClientsThatLeft(t *testing.T) {
 	f := newFaulty(t, "")
 	w := newWorld(t, 0)
 	w.patient()
--- a/cmd/dunestep/fleet_test.go
+++ b/cmd/dunestep/fleet_test.go
@@ -102,9 +102,9 @@
 	}
 }
 
-// A booking server that is taken out for the fleet gets nothing more at any agent once the command says so: also with
+// An endpoint that is taken out for the fleet gets nothing more at any agent once the command says so: also with
 // three datagrams in ten lost, doubled and late, and with an agent that was down meanwhile, when it comes back.
-func TestFleetOrder(t *testing.T) {
+func TestFleetCommand(t *testing.T) {
 	l := fleetLab(t, 5, inMemory)
 	ctx := t.Context()
 	require.NoError(t, l.StartAll(ctx))
--- a/cmd/dunestep/price_test.go
+++ b/cmd/dunestep/fleetcost_test.go
@@ -47,7 +47,7 @@
 
 // With the fleet and policies on and off, in turns at two labs side by side: how long requests take, and what processes use.
 // Metrics alone; long: LONG_TESTS.
-func TestFleetPrice(t *testing.T) {
+func TestFleetCost(t *testing.T) {
 	if os.Getenv("LONG_TESTS") == "" {
 		t.Skip("LONG_TESTS is not set")
 	}
--- a/cmd/dunestep/fleetstarts_test.go
+++ b/cmd/dunestep/fleetstarts_test.go
@@ -16,16 +16,16 @@
 	"dunestep/internal/standin"
 )
 
-// coldFleet is a fleet whose agents are asked for what one booking server owns, and what came there.
+// coldFleet is a fleet whose agents are asked for what one endpoint owns, and what came there.
 type coldFleet struct {
 	*lab.Lab
 	t *testing.T
 
 	mu   sync.Mutex
-	came map[int][]time.Time // attempts, by booking server
+	came map[int][]time.Time // attempts, by endpoint
 }
 
-const coldOne = 3 // the booking server that starts again
+const coldOne = 3 // the endpoint that starts again
 
 func newColdFleet(t *testing.T, agents int) *coldFleet {
 	program, err := plain()
@@ -50,7 +50,7 @@
 	return len(f.came[coldOne])
 }
 
-// ownKeys finds keys that the booking server owns which starts again.
+// ownKeys finds keys that the endpoint owns which starts again.
 func (f *coldFleet) ownKeys(n int) (own []string) {
 	for len(own) < n {
 		key, had := fmt.Sprintf("%x", rand.Uint64()), f.count()
@@ -84,10 +84,10 @@
 	}
 }
 
-// Twenty-four agents have all that they are asked for owned by a booking server that has just started. Half of them have
+// Twenty-four agents have all that they are asked for owned by an endpoint that has just started. Half of them have
 // started just then, too, and know nothing of how much comes: what all of them send there together is less than it falls
 // over from, and it gets some.
-func TestColdServerUnderAFleet(t *testing.T) {
+func TestWarmingUpServerUnderAFleet(t *testing.T) {
 	t.Parallel()
 	const agents, perS, capacity = 24, 8, 60.0 // requests a second: of each agent, and what a warm server would do
 	f := newColdFleet(t, agents)
--- a/cmd/dunestep/inherited_test.go
+++ b/cmd/dunestep/fleetstate_test.go
@@ -14,7 +14,7 @@
 
 // At an upgrade the new process goes by what the one before had agreed on, while that still takes part for the agent:
 // within the policy's floor, off the server that is free, and on the same ring.
-func TestInherited(t *testing.T) {
+func TestInheritedFleetState(t *testing.T) {
 	w := newWorld(t, 4)
 	plainly(w)
 	door(w)
--- a/cmd/dunestep/golden_test.go
+++ b/cmd/dunestep/golden_test.go
@@ -164,7 +164,7 @@
 	}
 }
 
-// checkGoldenJSON checks that a file of testdata/golden, which has every key of an answer at the operators' door
+// checkGoldenJSON checks that a file of testdata/golden, which has every key of an answer at the operators' socket
 // as commit 3bec2d9 gave it, is read and written again byte for byte.
 func checkGoldenJSON[T any](t *testing.T, name string) {
 	t.Helper()
@@ -200,7 +200,7 @@
 	return texts
 }
 
-// The words that stand as values in answers at the operators' door, as of commit 3bec2d9.
+// The words that stand as values in answers at the operators' socket, as of commit 3bec2d9.
 func TestGoldenOpsWords(t *testing.T) {
 	for _, c := range []struct{ want, got []string }{
 		{
--- a/cmd/dunestep/graphql_faults_test.go
+++ b/cmd/dunestep/graphql_faults_test.go
@@ -21,7 +21,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// ledger is what the booking servers executed, by the tokens of operations: m-1 is a mutation's, q-2 a query's.
+// ledger is what the endpoints executed, by the tokens of operations: m-1 is a mutation's, q-2 a query's.
 type ledger struct {
 	mu       sync.Mutex
 	executed map[string]int
@@ -31,7 +31,7 @@
 
 var tokens = regexp.MustCompile(`[mq]-\d+`)
 
-// execute executes what a route step asks for, as its document or its hash says.
+// execute executes what an attempt asks for, as its document or its hash says.
 func (l *ledger) execute(s step) {
 	text, _ := url.QueryUnescape(s.RequestURI)
 	l.mu.Lock()
@@ -41,7 +41,7 @@
 	}
 }
 
-// troubles is what may happen to a route step that has reached a booking server: whether it is executed, how long
+// troubles is what may happen to an attempt that has reached an endpoint: whether it is executed, how long
 // the answer then takes, and what it is; $ stands for a good one.
 var troubles = []struct {
 	executes bool
@@ -70,7 +70,7 @@
 	{true, 0, reply("200 OK", "x", "Connection: close")},
 }
 
-// answer gives a quarter of the route steps one of the troubles.
+// answer gives a quarter of the attempts one of the troubles.
 func (l *ledger) answer(s step) string {
 	kind := rand.IntN(4 * len(troubles))
 	if kind >= len(troubles) {
@@ -128,7 +128,7 @@
 	return fmt.Sprintf(`{"query":%s,%s}`, text(document), variables)
 }
 
-// No mutation runs twice, whatever happens to its route steps, to the booking servers, to the list and to the
+// No mutation runs twice, whatever happens to its attempts, to the endpoints, to the list and to the
 // agent; and queries are repeated and so served more often. DUNESTEP_FAULTS sets how many faults are injected.
 func TestNoMutationRunsTwice(t *testing.T) {
 	target, _ := strconv.Atoi(os.Getenv("DUNESTEP_FAULTS"))
@@ -239,7 +239,7 @@
 	killed  ending = true
 )
 
-// deployOne replaces the oldest booking server: it drains and goes, or dies without a word and the list follows.
+// deployOne replaces the oldest endpoint: it drains and goes, or dies without a word and the list follows.
 func (w *world) deployOne(version int, answer func(step) string, how ending) int {
 	old := w.servers[0]
 	next := newServer(w.t, fmt.Sprintf("s-%d", version))
--- a/cmd/dunestep/graphql_test.go
+++ b/cmd/dunestep/graphql_test.go
@@ -152,8 +152,8 @@
 	}
 }
 
-// What the agent refuses itself is not sent on, and has the status and type that the client's Accept asks for.
-func TestGraphQLRefusals(t *testing.T) {
+// What the agent refuses itself is not forwarded, and has the status and type that the client's Accept asks for.
+func TestGraphQLRejections(t *testing.T) {
 	w := start(t, 1, withGraphQL(`batch = "strictest"`))
 	const graph, plain = "application/graphql-response+json", "application/json"
 	send := func(method, target, accept, contentType, body string) answer {
--- a/cmd/dunestep/helper_test.go
+++ b/cmd/dunestep/helper_test.go
@@ -26,7 +26,7 @@
 	"dunestep/internal/standin/program"
 )
 
-// The tests start the program as a process and stand round it: as its client, its booking servers, discovery
+// The tests start the program as a process and stand round it: as its client, its endpoints, discovery
 // and another agent. Everything is on loopback, on ports that the system picks.
 
 const patience = 15 * time.Second // for what must happen some time
@@ -71,12 +71,12 @@
 
 type object = map[string]any
 
-// class is a class of operations as a deployment's settings have it.
+// class is a class of requests as a deployment's settings have it.
 type class struct {
 	name, effect  string
 	aim, deadline time.Duration
 	worth         float64
-	memory        time.Duration // for which a booking server remembers a key
+	memory        time.Duration // for which an endpoint remembers a key
 }
 
 // The effects of classes, as the settings name them.
@@ -86,9 +86,9 @@
 	fragile   = "fragile"
 )
 
-// deployment is what an agent is told of whom it works for, and what its booking servers are called there.
+// deployment is what an agent is told of whom it works for, and what its endpoints are called there.
 type deployment struct {
-	zone, kind, server string // of a booking server: its zone and kind, and what its id begins with
+	zone, kind, server string // of an endpoint: its zone and kind, and what its id begins with
 	classes            []class
 	tenants            []string
 	quota              float64 // requests a second of each tenant
@@ -194,7 +194,7 @@
 
 var worlds atomic.Int32
 
-// newWorld prepares n booking servers, which serve, and a list that names them.
+// newWorld prepares n endpoints, which serve, and a list that names them.
 func newWorld(t *testing.T, n int) *world {
 	t.Parallel()
 	return newWorldAlone(t, n)
@@ -357,7 +357,7 @@
 	require.Eventually(w.t, is, patience, 5*time.Millisecond, what)
 }
 
-// seen counts the route steps that reached any booking server.
+// seen counts the attempts that reached any endpoint.
 func (w *world) seen() (n int) {
 	for _, s := range w.servers {
 		n += len(s.steps())
@@ -365,14 +365,14 @@
 	return n
 }
 
-// each has every booking server answer so.
+// each has every endpoint answer so.
 func (w *world) each(answer func(step) string) {
 	for _, s := range w.servers {
 		s.set(answer)
 	}
 }
 
-// first has the first route step of all answered by one, and those after it by the other.
+// first has the first attempt of all answered by one, and those after it by the other.
 func (w *world) first(one, other func(step) string) {
 	var n atomic.Int32
 	w.each(func(s step) string {
@@ -394,8 +394,8 @@
 
 func (w *world) id() string { return fmt.Sprintf("%016x", w.ids.Add(1)) }
 
-// request is an operation of a class, for the first tenant: by GET where it is safe to repeat, else by POST with a body,
-// and with a key where booking servers know it by one.
+// request is a request of a class, for the first tenant: by GET where it is safe to repeat, else by POST with a body,
+// and with a key where endpoints know it by one.
 func (w *world) request(class string, leftMS int) *http.Request {
 	method, body := http.MethodGet, ""
 	effect := w.site.named(class).effect
@@ -436,7 +436,7 @@
 	return w.do(w.request(class, 900))
 }
 
-// raw writes bytes to the front socket as they are.
+// raw writes bytes to the listening socket as they are.
 func (w *world) raw(text string) net.Conn { return w.rawTo(w.addr, text) }
 
 func (w *world) rawTo(addr, text string) net.Conn {
--- a/cmd/dunestep/idempotency_test.go
+++ b/cmd/dunestep/idempotency_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The Idempotency-Key of a request reaches the booking server as its client sent it, with the first attempt and with
+// The Idempotency-Key of a request reaches the endpoint as its client sent it, with the first attempt and with
 // each further one: without it a request of a class that may be repeated under its key would run twice.
-func TestIdempotencyKeyIsPassedOn(t *testing.T) {
+func TestIdempotencyKeyIsForwarded(t *testing.T) {
 	const key = "9b1f03aa-5c7e-2d41"
 	w := start(t, 3, (*world).patient, func(w *world) {
 		class := w.config["settings"].(object)["categories"].([]object)[1]
--- a/cmd/dunestep/list_test.go
+++ b/cmd/dunestep/list_test.go
@@ -16,17 +16,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// heeds is how long after a change counts as told a booking server may still be sent to, with the page's slack.
+// heeds is how long after a change counts as told an endpoint may still be sent to, with the page's slack.
 func (w *world) heeds() time.Duration { return w.site.drainGrace + 50*time.Millisecond }
 
-// drains are booking servers that must get nothing new, each from a time on.
+// drains are endpoints that must get nothing new, each from a time on.
 type drains struct {
 	w    *world
 	from map[*server]time.Time
 	end  func()
 }
 
-// watchDrains has clients ask with ever new keys, so that every booking server that may have work gets some.
+// watchDrains has clients ask with ever new keys, so that every endpoint that may have work gets some.
 func (w *world) watchDrains() *drains {
 	over := make(chan struct{})
 	var clients sync.WaitGroup
@@ -51,7 +51,7 @@
 	return &drains{w: w, from: map[*server]time.Time{}, end: end}
 }
 
-// told says that a drain counts as told after a time from now on. Until now the booking server has had work.
+// told says that a drain counts as told after a time from now on. Until now the endpoint has had work.
 func (d *drains) told(s *server, after time.Duration) {
 	d.w.t.Helper()
 	had := len(s.steps())
@@ -77,7 +77,7 @@
 	}
 }
 
-// entries are those of all booking servers, of which some drain.
+// entries are those of all endpoints, of which some drain.
 func (w *world) entries(drain ...*server) (all []object) {
 	for _, s := range w.servers {
 		all = append(all, s.entry("active"))
@@ -97,8 +97,8 @@
 }
 
 // A watch ends instead of telling of a drain, and the call in its place is answered by a whole list that does not name
-// the booking server: it is gone, though it still answers.
-func TestWholeListLeavesAServerOut(t *testing.T) {
+// the endpoint: it is gone, though it still answers.
+func TestFullListLeavesAServerOut(t *testing.T) {
 	t.Parallel()
 	w := newWorldAlone(t, 4).start()
 	d := w.discovery
@@ -168,7 +168,7 @@
 	return nil
 }
 
-// Where the settings say that lists are pushed, a booking server that drains in the list of the start gets
+// Where the settings say that lists are pushed, an endpoint that drains in the list of the start gets
 // nothing from the first moment on, and news are asked for all the same: nothing comes unasked on a socket.
 func TestPushedLists(t *testing.T) {
 	w := newWorld(t, 3)
--- a/cmd/dunestep/ops_test.go
+++ b/cmd/dunestep/ops_test.go
@@ -12,10 +12,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// door gives the program an ops socket.
+// door gives the program an operators' socket.
 func door(w *world) { w.ops = ownAddr(w.t) }
 
-// call makes a call at the ops socket; the answer is owed in a second.
+// call makes a call at the operators' socket; the answer is owed in a second.
 func (w *world) call(method, path, body string) (int, string) {
 	w.t.Helper()
 	began := time.Now()
@@ -90,7 +90,7 @@
 }
 
 // Without an address there is no door; a malformed one ends the start.
-func TestNoDoor(t *testing.T) {
+func TestWithoutOpsSocket(t *testing.T) {
 	w := newWorld(t, 1)
 	w.ops = "nowhere"
 	w.launch()
@@ -101,7 +101,7 @@
 
 // The door answers with clients at their descriptor limit and beside many callers who say nothing, or half a
 // call; those give way, oldest first.
-func TestDoorUnderPressure(t *testing.T) {
+func TestOpsSocketUnderPressure(t *testing.T) {
 	w := start(t, 1, door, (*world).patient, func(w *world) { w.config["limits"].(object)["sockets"] = 96 })
 	w.servers[0].set(func(step) string { return silence })
 	w.until("watch", func() bool { return w.discovery.watched() == 1 })
@@ -134,8 +134,8 @@
 	require.LessOrEqual(t, w.descriptors(), 96)
 }
 
-// The figures are what those round the program saw, with failures, busy replies, resets and clients that leave.
-func TestFigures(t *testing.T) {
+// The figures are what those round the program saw, with failures, rejections, resets and clients that leave.
+func TestMetrics(t *testing.T) {
 	w := start(t, 2, door, (*world).patient)
 	zero := w.stats()
 	require.Equal(t, []any{0, 0, 2, 0}, []any{zero.Tries, zero.Active, zero.Size, zero.Ejected})
@@ -166,8 +166,8 @@
 	require.Equal(t, 1, s.Responses["consult"].OK)
 }
 
-// A booking server that is out gets nothing, whatever discovery says, and is used again after the lift.
-func TestBan(t *testing.T) {
+// An endpoint that is out gets nothing, whatever discovery says, and is used again after the lift.
+func TestDisableEndpoint(t *testing.T) {
 	w := start(t, 2, door)
 	ask := func(n int) {
 		for range n {
@@ -219,7 +219,7 @@
 }
 
 // Clients are sent away by hand and taken again, in any order of calls; the agent goes on.
-func TestDrainByHand(t *testing.T) {
+func TestManualDrain(t *testing.T) {
 	w := start(t, 1, door)
 	w.yes("POST", "/ops/drain/stop", "") // without a start
 	idle := w.raw("GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n")
--- a/cmd/dunestep/storm_test.go
+++ b/cmd/dunestep/overload_test.go
@@ -57,9 +57,9 @@
 	return s
 }
 
-// While all booking servers refuse, or say nothing, they get few route steps; once they are well they are used again
+// While all endpoints refuse, or say nothing, they get few attempts; once they are well they are used again
 // at once, and the log says so.
-func TestOutageAndReturn(t *testing.T) {
+func TestOutageAndRecovery(t *testing.T) {
 	t.Parallel()
 	for name, fault := range map[string]func(step) string{
 		"refusing": func(step) string { return reply("503 Service Unavailable", "", "X-Unprocessed: 1") },
@@ -90,9 +90,9 @@
 	}
 }
 
-// A clinic group beyond its share is told so by 429, others by 503; both when to come back, in seconds that differ;
+// A tenant beyond its share is told so by 429, others by 503; both when to come back, in seconds that differ;
 // and how much the share is, where the operator wants it.
-func TestRefusalsTellClients(t *testing.T) {
+func TestRejectionsTellClients(t *testing.T) {
 	w := start(t, 1, func(w *world) {
 		w.operator = "[storm]\nrate_limit_fields = true\n"
 		w.config["settings"].(object)["customers"] = []object{
@@ -135,9 +135,9 @@
 	})
 }
 
-// BenchmarkRefusal measures what a request that is turned away in an outage costs the program, beside one that is
+// BenchmarkRejection measures what a request that is rejected in an outage costs the program, beside one that is
 // served: in CPU time of the process, and in requests a second on one core.
-func BenchmarkRefusal(b *testing.B) {
+func BenchmarkRejection(b *testing.B) {
 	for name, answers := range map[string]func(step) string{
 		"served":  ok,
 		"refused": func(step) string { return reply("503 Service Unavailable", "", "X-Unprocessed: 1") },
--- a/cmd/dunestep/policy_test.go
+++ b/cmd/dunestep/policy_test.go
@@ -22,7 +22,7 @@
 	"dunestep/internal/standin"
 )
 
-// tries counts the route steps of each agent's latest request, at booking servers that turn the first two away unheard
+// tries counts the attempts of each agent's latest request, at endpoints that turn the first two away unheard
 // and serve the third.
 type tries struct {
 	mu     sync.Mutex
@@ -41,7 +41,7 @@
 	return standin.Reply{Status: http.StatusOK, Body: "booked"}
 }
 
-// at is how many attempts an agent makes for a request that is turned away everywhere.
+// at is how many attempts an agent makes for a request that is rejected everywhere.
 func (c *tries) at(ctx context.Context, t *testing.T, a *lab.Agent) int {
 	t.Helper()
 	before := a.Steps()
@@ -55,7 +55,7 @@
 	return c.of[c.latest[a.Number]]
 }
 
-// policyLab is a fleet whose agents go by policies, before booking servers that turn all away.
+// policyLab is a fleet whose agents go by policies, before endpoints that turn all away.
 func policyLab(t *testing.T, agents int, shape func(*lab.Config)) (*lab.Lab, *tries) {
 	t.Helper()
 	t.Parallel()
--- a/cmd/dunestep/policyfaults_test.go
+++ b/cmd/dunestep/policyfaults_test.go
@@ -383,7 +383,7 @@
 
 // With a third of the agents gone, those that are there divide by how many they are, and by all of them again once they are
 // back; also one that is cut off does, which hears nobody. Where no switch is on nothing is told.
-func TestFleetPresent(t *testing.T) {
+func TestFleetSize(t *testing.T) {
 	t.Parallel()
 	program, err := plain()
 	require.NoError(t, err)
--- a/cmd/dunestep/operations_test.go
+++ b/cmd/dunestep/requests_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestOperationAndAnswerPassUnchanged(t *testing.T) {
+func TestRequestAndResponsePassUnchanged(t *testing.T) {
 	w := start(t, 1)
 	body := strings.Repeat("\x00free chair\r\n", 4000)
 	w.each(func(step) string { return reply("200 OK", body) })
@@ -40,8 +40,8 @@
 	}
 }
 
-// What a booking server does, and what it means: PROTOCOL's table of outcomes. The first step of an operation
-// meets it, a further one is served. An unsafe operation goes out again only where it cannot have run.
+// What an endpoint does, and what it means: PROTOCOL's table of outcomes. The first step of a request
+// meets it, a further one is served. An unsafe request goes out again only where it cannot have run.
 func TestOutcomes(t *testing.T) {
 	t.Parallel()
 	long := strings.Repeat("x", 64<<10)
@@ -98,7 +98,7 @@
 	}
 }
 
-// Guards against an answer that is another operation's: what comes beyond an answer, at once or later, is never
+// No answer is another request's: what comes beyond an answer, at once or later, is never
 // taken for the next one, and the connection is not used again.
 func TestMoreThanTheAnswer(t *testing.T) {
 	w := start(t, 1, func(w *world) { w.config["limits"].(object)["cores"] = 8 }) // so that all orders occur
@@ -135,7 +135,7 @@
 	}
 }
 
-// Guards against an unsafe operation that fails because a booking server cannot be reached, and against a new
+// An unsafe request does not fail because an endpoint cannot be reached, nor because of a new
 // connection that never comes up being waited for longer than the settings say.
 func TestUnreachableNeverRan(t *testing.T) {
 	w := start(t, 2)
@@ -147,7 +147,7 @@
 	}
 }
 
-// Guards against answers after the client has given up, and against answers held back: silence ends in time.
+// Silence of an endpoint ends before the client gives up, and no answer is held back.
 func TestSilenceIsAnsweredInTime(t *testing.T) {
 	t.Parallel()
 	for class, status := range map[string]int{"consult": 503, "rezervare": 502} {
@@ -168,7 +168,7 @@
 	}
 }
 
-// Guards against counting a slow client's sending as its request's time: that counts from the last byte.
+// The time that a slow client needs to send does not count as its request's time, which counts from the last byte.
 func TestTimeLeftCountsFromTheLastByte(t *testing.T) {
 	w := start(t, 1, (*world).patient)
 	w.each(func(step) string { return silence })
@@ -187,7 +187,7 @@
 	require.Less(t, time.Since(began), 10*time.Second)
 }
 
-// Guards against work for clients that have gone: their operations are not tried again. The POST shows that
+// There is no work for clients that have gone: their requests are not tried again. The POST shows that
 // the leaving is noticed after a body too.
 func TestClientGone(t *testing.T) {
 	w := start(t, 3, (*world).patient) // no answer comes before the leaving is noticed
@@ -211,7 +211,7 @@
 	}
 }
 
-func TestMalformedRequestsAreNotSentOn(t *testing.T) {
+func TestMalformedRequestsAreNotForwarded(t *testing.T) {
 	w := start(t, 1)
 	good := "Host: x\r\nX-Correlation-Id: 00000000000000aa\r\nX-Time-Left-Ms: 500\r\n"
 	for text, status := range map[string]string{
@@ -244,7 +244,7 @@
 	require.Equal(t, 200, w.ask("consult").status)
 }
 
-// Guards against writing to a connection that has ended, which would be a reset: it is noticed while idle.
+// The end of an idle connection is noticed while it is idle: a write to it would be a reset.
 func TestIdleConnectionThatEnds(t *testing.T) {
 	w := start(t, 1)
 	w.until("watch", func() bool { return w.discovery.watched() == 1 })
@@ -256,7 +256,7 @@
 	}
 }
 
-// Guards against using a connection that the other machine is about to close for its idleness.
+// A connection that the other machine is about to close for its idleness is not used.
 func TestIdleConnectionIsDroppedEarly(t *testing.T) {
 	w := start(t, 1, func(w *world) {
 		w.config["settings"].(object)["bounds"].(object)["connIdle"] = 1000000
@@ -266,8 +266,8 @@
 	require.Equal(t, 200, w.ask("rezervare").status)
 }
 
-// Guards against idle connections that are forgotten on the way long before the settings say, of which only the
-// loss of the next route step tells: after a few losses they are not used again.
+// Idle connections may be forgotten on the way long before the settings say, of which only the
+// loss of the next attempt tells: after a few losses they are not used again.
 func TestForgottenIdleConnections(t *testing.T) {
 	w := start(t, 1, func(w *world) { w.servers[0].forgets = 20 * time.Millisecond })
 	lost := 0
@@ -282,7 +282,7 @@
 	require.Greater(t, lost, 2, "what was seen is all that there is to go by")
 }
 
-// Guards against running out of descriptors: front socket and upstream connections share what there is, and
+// The process does not run out of descriptors: listening socket and upstream connections share what there is, and
 // A machine that was cut off for a while leaves its connections open and silent: one that gives no answer speaks
 // for those that have not been used since.
 func TestSilentConnectionsAreGivenUpTogether(t *testing.T) {
@@ -310,7 +310,7 @@
 	w.until("the others are given up", func() bool { return s.open() == 1 })
 }
 
-// every operation is still answered.
+// every request is still answered.
 func TestDescriptorsAreBounded(t *testing.T) {
 	const limit = 64
 	w := start(t, 1, func(w *world) {
@@ -339,8 +339,8 @@
 	w.until("serves again", func() bool { return w.ask("consult").status == 200 })
 }
 
-// Guards against clients that stand on the connections of others: those that ask once and stay, and those that
-// connect and say nothing, give way, also those of the other socket.
+// Idle clients give way to others: those that ask once and stay, and those that connect and send nothing, also on the
+// other socket.
 func TestIdleClientsGiveWay(t *testing.T) {
 	w := start(t, 1, withGraphQL(), func(w *world) { w.config["limits"].(object)["sockets"] = 64 })
 	const live = "GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n"
@@ -360,9 +360,9 @@
 	}
 }
 
-// Guards against clients that ask once and keep their connections, faster than these may stand idle: where they
-// crowd the front, a close comes with the answer. All others keep theirs.
-func TestCrowdedFrontClosesWithTheAnswer(t *testing.T) {
+// Clients may ask once and keep their connections, faster than these may stand idle: where they
+// take up the descriptors, a close comes with the answer. All others keep theirs.
+func TestConnectionsCloseWithTheResponseWhenDescriptorsAreShort(t *testing.T) {
 	w := start(t, 1, func(w *world) { w.config["limits"].(object)["sockets"] = 64 })
 	http.DefaultClient.CloseIdleConnections()
 	for i := range 20 {
@@ -406,7 +406,7 @@
 	require.Zero(t, w.seen())
 }
 
-// Guards against a request hidden in the body of another, which whoever reads the other length would pass on.
+// No request can hide in the body of another, which whoever reads the other length would pass on.
 func TestTwoLengths(t *testing.T) {
 	w := start(t, 1)
 	const hidden = "GET /consult HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: 00000000000000ab\r\nX-Time-Left-Ms: 900\r\n\r\n"
@@ -428,7 +428,7 @@
 	require.Zero(t, w.seen())
 }
 
-// Guards against an error that is lost because the client's machine was still sending: a close with unread
+// An error reaches a client whose machine is still sending: a close with unread
 // input resets the connection.
 func TestErrorReachesAClientThatIsStillSending(t *testing.T) {
 	w := start(t, 1)
--- a/cmd/dunestep/restart_test.go
+++ b/cmd/dunestep/restart_test.go
@@ -45,12 +45,12 @@
 	return ok(s)
 }
 
-// service is how many of the operations of a class were served within the aim.
+// service is how many of the requests of a class were served within the aim.
 type service struct{ asked, served atomic.Int64 }
 
 func (s *service) share() float64 { return float64(s.served.Load()) / float64(max(s.asked.Load(), 1)) }
 
-// offer sends 60 operations a second, seven of ten safe ones, and returns the services of both classes.
+// offer sends 60 requests a second, seven of ten safe ones, and returns the services of both classes.
 func (w *world) offer(lasts time.Duration) (safe, unsafe *service) {
 	safe, unsafe = &service{}, &service{}
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}, Timeout: 3 * time.Second}
@@ -209,7 +209,7 @@
 
 // What was learned of a server is there after a restart, and so is the list. Another agent that is given the same
 // folder goes on without, and nothing of the first one's is written over.
-func TestStateIsKept(t *testing.T) {
+func TestStateIsRestored(t *testing.T) {
 	w := newWorld(t, 3)
 	path := w.keeping("")
 	w.each(busy)
--- a/cmd/dunestep/placement_test.go
+++ b/cmd/dunestep/ring_test.go
@@ -31,7 +31,7 @@
 
 // A server that joins gets its points bit by bit, the same at all agents; one that comes and goes in discovery's list
 // loses its keys once, and gets none of them while it does, though the list has it.
-func TestPlacement(t *testing.T) {
+func TestRing(t *testing.T) {
 	t.Parallel()
 	program, err := plain()
 	require.NoError(t, err)
@@ -97,14 +97,14 @@
 	require.Empty(t, l.EndAll())
 }
 
-// emptyingContracts allow all windows, of requests of no clinic group too.
+// emptyingContracts allow all windows, of requests of no tenant too.
 const emptyingContracts = "format = 1\n[contracts.east]\nzone = \"UTC\"\nhours = [\"mon-sun 00:00-24:00\"]\nkeep = 0.25\n" +
 	"[contracts.-]\nzone = \"UTC\"\nhours = [\"mon-sun 00:00-24:00\"]\nkeep = 0.25\n[capacity]\nload = 0.2\n"
 
 // A server that a window has emptied is out of discovery's list, as is one in no window: the ring goes without that
 // one, and the other stays as it is. An agent that was cut off meanwhile, and has heard of nothing since, sends there
 // again when the window is over, as all others do.
-func TestPlacementInWindow(t *testing.T) {
+func TestRingInWindow(t *testing.T) {
 	t.Parallel()
 	program, err := plain()
 	require.NoError(t, err)
@@ -161,7 +161,7 @@
 
 // Servers of one kind answer more slowly than their capacity says. While two agents tell so nothing changes, though
 // generations go on; when a third does the kinds' points differ by a tenth, at all agents. Long: LONG_TESTS.
-func TestPlacementPaces(t *testing.T) {
+func TestRingPaces(t *testing.T) {
 	if os.Getenv("LONG_TESTS") == "" {
 		t.Skip("LONG_TESTS is not set")
 	}
--- a/cmd/dunestep/placementfaults_test.go
+++ b/cmd/dunestep/ringfaults_test.go
@@ -157,7 +157,7 @@
 
 // Six in ten servers of two kinds are replaced within 7 s: those that came have points in the end, and those that went
 // none; agents agree.
-func TestPlacementReplaced(t *testing.T) {
+func TestRingServersReplaced(t *testing.T) {
 	kinds := slices.Repeat([]string{"rapid", "lent"}, 8)
 	r := newRingRig(t, lab.Options{Agents: 5, Servers: 16, Kinds: kinds}, 10)
 	for n := range 6 {
@@ -180,7 +180,7 @@
 }
 
 // A zone is lost, its servers refusing and gone from the list, and is back cold: requests are served all the while.
-func TestPlacementZoneLost(t *testing.T) {
+func TestRingZoneLost(t *testing.T) {
 	r := newRingRig(t, lab.Options{Agents: 5, Servers: 6, Zones: []string{"b", "b", "c", "c"}}, 6)
 	lost := []int{0, 1}
 	for _, n := range lost {
@@ -205,7 +205,7 @@
 }
 
 // A server's capacity is told doubled and halved every two seconds: it has what the others have all the while.
-func TestPlacementCapacity(t *testing.T) {
+func TestRingCapacity(t *testing.T) {
 	r := newRingRig(t, lab.Options{Agents: 5, Servers: 4}, 4)
 	most := 0
 	for _, c := range []string{"2.0", "0.5", "2.0", "0.5", "2.0"} {
@@ -226,7 +226,7 @@
 }
 
 // Three of five agents, a voter among them, have a list that is 5 s older while a server joins and another one drains.
-func TestPlacementOldLists(t *testing.T) {
+func TestRingOldLists(t *testing.T) {
 	r := newRingRig(t, lab.Options{Agents: 5, Servers: 5}, 4)
 	var ends []func()
 	for _, n := range []int{0, 3, 4} {
@@ -247,7 +247,7 @@
 
 // A third of the agents is cut off while servers join and drain, with datagrams lost: what the others agree on they act on, and
 // all do once they are back.
-func TestPlacementCutOff(t *testing.T) {
+func TestRingCutOff(t *testing.T) {
 	r := newRingRig(t, lab.Options{Agents: 6, Servers: 9}, 6)
 	_, err := r.Spoil(mishap.Fault{Way: mishap.Way{Loss: 0.2}})
 	require.NoError(t, err)
--- a/cmd/dunestep/server_test.go
+++ b/cmd/dunestep/server_test.go
@@ -15,7 +15,7 @@
 	"dunestep/internal/standin"
 )
 
-// step is a route step as a booking server got it.
+// step is an attempt as an endpoint got it.
 type step struct {
 	*http.Request
 	body   string
@@ -36,7 +36,7 @@
 	silence = ""        // answer nothing
 )
 
-// server is a booking server on a stand-in's socket. What it answers is written as it is.
+// server is an endpoint on a stand-in's socket. What it answers is written as it is.
 type server struct {
 	id, zone, kind string
 	socket         *standin.Server
--- a/cmd/dunestep/leaving_test.go
+++ b/cmd/dunestep/shutdown_test.go
@@ -42,13 +42,13 @@
 	unsent []string       // ids of those that failed, or whose new connection was closed with no answer
 	lost   []string       // how requests ended that were owed an answer
 	// crossed are the ids of those whose connection was closed as they were sent: nothing of them may have been
-	// sent on but what is marked as sent again.
+	// forwarded but what is marked as sent again.
 	crossed map[string]bool
 }
 
 // What a request's query says.
 const (
-	hanging = "hangs"  // the booking server does not answer
+	hanging = "hangs"  // the endpoint does not answer
 	again   = "&again" // it is sent once more
 )
 
@@ -222,7 +222,7 @@
 }
 
 // After SIGTERM clients send on all connections that stay open, at a busy agent and at one whose clients are
-// idle, with long bodies both ways, while booking servers are slow. All that is taken is answered, by what is
+// idle, with long bodies both ways, while endpoints are slow. All that is taken is answered, by what is
 // left of the process until it could be killed, and a new one under its name serves at once.
 func TestRestartUnderOpenConnections(t *testing.T) {
 	for name, c := range map[string]struct {
--- a/cmd/dunestep/surroundings_test.go
+++ b/cmd/dunestep/surroundings_test.go
@@ -20,7 +20,7 @@
 	require.Equal(t, "/registry/instances?watch=1&from=41", w.discovery.called()[0])
 }
 
-// Guards against saying ready with nowhere to send to: clients would come and be refused.
+// The program is ready only once there is an endpoint: otherwise clients would be rejected.
 func TestReadyOnceAServerIsKnown(t *testing.T) {
 	w := newWorld(t, 1)
 	w.config["known"] = object{"version": 0, "full": true, "servers": []object{}}
@@ -35,7 +35,7 @@
 
 // The list on the watch: the first object may be changes or the whole list; addresses change; what drains or
 // has left gets nothing new. A malformed entry is dropped, and the drain beside it is heeded.
-func TestPoolConfig(t *testing.T) {
+func TestEndpointList(t *testing.T) {
 	w := start(t, 2, func(w *world) {
 		w.config["settings"].(object)["bounds"].(object)["connIdle"] = 300000000 // nothing is dropped for its idleness
 	})
@@ -199,7 +199,7 @@
 	require.NotContains(t, w.log.String(), "drain deadline reached")
 }
 
-// Guards against a drain that waits for an answer until it is killed: what is unanswered by then fails.
+// A drain does not wait for an answer until the process is killed: what is unanswered by its deadline fails.
 func TestDrainIsCutShort(t *testing.T) {
 	w := start(t, 1, (*world).patient)
 	in := make(chan struct{})
--- a/cmd/dunestep/upgrade_test.go
+++ b/cmd/dunestep/upgrade_test.go
@@ -157,7 +157,7 @@
 	}
 }
 
-// Upgrades under load, one after the other, with booking servers out by hand before, between and after: nothing is
+// Upgrades under load, one after the other, with endpoints out by hand before, between and after: nothing is
 // lost, nothing turned back, no booking runs twice, bans hold, and the old process ends by itself.
 func TestUpgrades(t *testing.T) {
 	w := start(t, 3, door, (*world).patient)
--- a/cmd/dunestep/uploads_test.go
+++ b/cmd/dunestep/uploads_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// counted has a booking server answer with how long a body was that it got, and whether it is the client's.
+// counted has an endpoint answer with how long a body was that it got, and whether it is the client's.
 func counted(w *world) {
 	w.each(func(s step) string {
 		return reply("200 OK", fmt.Sprint(len(s.body), s.body == long(len(s.body), idOf(s))))
@@ -94,7 +94,7 @@
 	require.Equal(t, fmt.Sprint(size, true), text)
 }
 
-// A body that stands still is answered in time, and booking servers never had it whole.
+// A body that stands still is answered in time, and endpoints never had it whole.
 func TestUploadThatStops(t *testing.T) {
 	w := start(t, 2, counted)
 	for _, sent := range []int{0, 1000, 100_000} {
@@ -120,9 +120,9 @@
 	require.NotContains(t, w.log.String(), "down")
 }
 
-// A body that has not been passed on yet goes to another booking server; one that has is refused honestly, since
+// A body that has not been passed on yet goes to another endpoint; one that has is refused honestly, since
 // nothing has run.
-func TestUploadThatIsTurnedAway(t *testing.T) {
+func TestRejectedUpload(t *testing.T) {
 	w := start(t, 2, (*world).patient, counted)
 	w.servers[0].stop()
 	w.servers[1].stop()
@@ -132,7 +132,7 @@
 	require.Equal(t, 503, status)
 }
 
-// A booking server that answers before it has the whole body is believed only where it turns away.
+// An endpoint that answers before it has the whole body is believed only where it turns away.
 func TestAnswerBeforeTheBody(t *testing.T) {
 	w := start(t, 2, (*world).patient)
 	early := make(chan struct{}, 9)
@@ -160,7 +160,7 @@
 	await(t, early)
 }
 
-// Guards against a long answer that is cut off by the end of its request's long body: the two meet as the answer
+// A long answer is not cut off by the end of its request's long body: the two meet as the answer
 // begins, whichever comes first.
 func TestLongAnswersToLongBodies(t *testing.T) {
 	const size = 200_000
--- a/cmd/dunestep/window_test.go
+++ b/cmd/dunestep/window_test.go
@@ -21,14 +21,14 @@
 	"dunestep/internal/standin"
 )
 
-// arrival is a request that a booking server had.
+// arrival is a request that an endpoint had.
 type arrival struct {
 	at            time.Time
 	agent, server int
 	tenant        string
 }
 
-// windowRig is a fleet whose agents hold maintenance windows, under load of two clinic groups, and what arrived
+// windowRig is a fleet whose agents hold maintenance windows, under load of two tenants, and what arrived
 // where. Times are short: the fleet's terms are, and with them the notice that a window needs.
 type windowRig struct {
 	*lab.Lab
@@ -36,7 +36,7 @@
 	mu     sync.Mutex
 	all    []arrival
 	broken map[int]bool  // servers that answer nothing of use
-	pause  time.Duration // between two requests of a clinic group at an agent
+	pause  time.Duration // between two requests of a tenant at an agent
 	shy    bool          // an agent that was down is asked once it says that it is ready
 }
 
@@ -82,7 +82,7 @@
 	return standin.Reply{Status: http.StatusOK, Body: "booked"}
 }
 
-// load has both clinic groups ask every agent until the test ends, with many keys.
+// load has both tenants ask every agent until the test ends, with many keys.
 func (r *windowRig) load() {
 	ctx, cancel := context.WithCancel(context.Background())
 	var wait sync.WaitGroup
@@ -148,7 +148,7 @@
 	return w
 }
 
-// arrived are the requests of a clinic group at a server in a time; of one agent, or below zero of all.
+// arrived are the requests of a tenant at a server in a time; of one agent, or below zero of all.
 func (r *windowRig) arrived(agent, server int, tenant string, from, to time.Time) (some []arrival) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -183,7 +183,7 @@
 	}
 }
 
-// A window drains in steps; once it is said to be free no request of the clinic group arrives until its end, from any
+// A window drains in steps; once it is said to be free no request of the tenant arrives until its end, from any
 // agent: also not from one that was cut off while it drained, which ends it by its own clock, nor from one that was
 // killed inside it and started again. The other group's requests arrive all the while.
 func TestWindowFree(t *testing.T) {
@@ -311,7 +311,7 @@
 
 // Two windows that together would leave too little: the second is refused, with when it fits. The same name twice
 // changes once. What makes no sense, or no contract allows, is refused.
-func TestWindowRefused(t *testing.T) {
+func TestWindowRejected(t *testing.T) {
 	r := newWindowRig(t, 5, nil)
 	text, err := r.ask(3, "one", "s-0", "+1h", "+2h")
 	require.NoError(t, err, text)
--- a/cmd/dunestep/windowfaults_test.go
+++ b/cmd/dunestep/windowfaults_test.go
@@ -71,7 +71,7 @@
 	return fmt.Sprintf("[contracts.%s]\nzone = %q\nhours = [%q]\nkeep = 0.5\n%s\n", tenant, zone, hours, more)
 }
 
-// forTenant asks for a window of a clinic group's, or checks it.
+// forTenant asks for a window of a tenant's, or checks it.
 func (r *windowRig) forTenant(what, tenant, id, node string, from, to time.Time) (string, error) {
 	args := []string{
 		"window", what, "--node", node, "--tenant", tenant, "--pace", "1", "--from", from.UTC().Format(time.RFC3339Nano),
@@ -150,7 +150,7 @@
 	require.Empty(t, r.EndAll())
 }
 
-// The booking server is killed while it is drained, and leaves the list: that is what the window is for, so it stays
+// The endpoint is killed while it is drained, and leaves the list: that is what the window is for, so it stays
 // free, both groups are served elsewhere, and the moved one comes back to the new process after its time.
 func TestWindowServerKilled(t *testing.T) {
 	r := newWindowRig(t, 5, nil)
@@ -199,7 +199,7 @@
 
 // Forty agents, placement on, three datagrams in ten lost, requests all the time: the leader is killed while a window
 // drains, once it has, and while it is free; a fifth is cut off from the middle until after its end; the others are
-// killed a tenth at a time and started again; a booking server joins. Nothing of the moved group arrives while it is
+// killed a tenth at a time and started again; an endpoint joins. Nothing of the moved group arrives while it is
 // free, and before and after its hours it has its part as the other group does. Once with turns, requests coming to
 // agents that begin; once without, where an agent that knows nothing is not promised to keep off, and is asked once
 // it is ready. Long: LONG_TESTS.
--- a/cmd/dunestep/witness_test.go
+++ b/cmd/dunestep/witness_test.go
@@ -22,14 +22,14 @@
 	"dunestep/internal/standin"
 )
 
-// Marks: how many attempts agents make for a request that is turned away everywhere tells what they act on. Version 0
+// Marks: how many attempts agents make for a request that is rejected everywhere tells what they act on. Version 0
 // has the most, each later one that a test proposes one less than the one before, the floor as below.
 const (
 	markAtFirst = 5
 	markFloor   = 2
 )
 
-// witness asks all agents of a lab without an end, one request at a time each, before booking servers that turn all
+// witness asks all agents of a lab without an end, one request at a time each, before endpoints that turn all
 // away unheard, and tells the judge of policies what each of them decided: nothing in the program is told of it.
 type witness struct {
 	t    *testing.T
@@ -106,7 +106,7 @@
 // perAgent callers ask each agent at a time.
 const perAgent = 2
 
-// served requests are between two that are turned away, less one: servers that turn all away would be let alone.
+// served requests are between two that are rejected, less one: servers that turn all away would be let alone.
 const served = 8
 
 // between requests of one agent: they are load, and order nothing.
