--- a/internal/fleet/fleetlab/lab.go
+++ b/internal/fleet/fleetlab/lab.go
@@ -10,8 +10,6 @@
 	"slices"
 	"time"
 
-	"go.etcd.io/raft/v3/raftpb"
-
 	"dunestep/internal/fleet"
 	"dunestep/internal/fleet/lease"
 	"dunestep/internal/fleet/raftlog"
@@ -205,30 +203,11 @@
 	}
 }
 
-// flush applies the write to the disk, as package fleetstore does to a file.
+// flush completes the write in progress.
 func (h *host) flush() {
-	p, s := h.writing, &h.disk
+	h.disk.Apply(h.writing)
 	h.writing = nil
 	h.writes++
-	if p.Reset {
-		*s = raftlog.Stored{Identity: s.Identity}
-	}
-	if p.Identity != nil {
-		s.Identity = *p.Identity
-	}
-	if p.HardState != nil {
-		s.HardState = p.HardState
-	}
-	if p.Snapshot != nil {
-		s.Snapshot = p.Snapshot
-	}
-	if p.ReplaceEntries {
-		s.Entries = nil
-	}
-	s.Entries = slices.DeleteFunc(slices.Clone(s.Entries), func(e *raftpb.Entry) bool {
-		return e.GetIndex() <= p.DropThrough || len(p.Entries) > 0 && e.GetIndex() >= p.Entries[0].GetIndex()
-	})
-	s.Entries = append(s.Entries, p.Entries...)
 }
 
 // Kill ends a process at once. A write in progress may be completed without being reported.
--- a/internal/fleet/fragment/outbox.go
+++ b/internal/fleet/fragment/outbox.go
@@ -1,6 +1,10 @@
 package fragment
 
-import "time"
+import (
+	"time"
+
+	"dunestep/internal/fleet/internal/roundtrip"
+)
 
 const (
 	// maxPerAgent bounds the long messages in flight to one agent. It is well below completedWindow, so that the
@@ -10,17 +14,15 @@
 	minResendDivisor = 6
 	// maxResendFactor is the multiple of Config.ResendAfter after which a message is resent at the latest.
 	maxResendFactor = 8
-	// roundTripSmoothing is the divisor by which a new sample moves the round trip.
-	roundTripSmoothing = 8
 )
 
 // outbox holds the long messages being sent, in the order in which they were queued.
 type outbox struct {
 	messages   []*outMessage
 	bytes      int
-	lastNumber map[uint32]uint32 // of the messages to an agent
-	perAgent   map[uint32]int    // the messages in flight
-	roundTrip  time.Duration     // from a requested acknowledgement to its arrival, smoothed; 0: none came yet
+	lastNumber map[uint32]uint32  // of the messages to an agent
+	perAgent   map[uint32]int     // the messages in flight
+	roundTrip  roundtrip.Estimate // from a requested acknowledgement to its arrival
 }
 
 // outMessage is a long message being sent. It is sent in passes: all fragments that are not acknowledged, the
@@ -42,33 +44,19 @@
 
 func newOutbox() outbox { return outbox{lastNumber: map[uint32]uint32{}, perAgent: map[uint32]int{}} }
 
-// initialResend returns after what time a message is first resent: four round trips, within bounds.
-func (o *outbox) initialResend(cfg Config) time.Duration {
-	if o.roundTrip == 0 {
-		return cfg.ResendAfter
-	}
-	return min(max(4*o.roundTrip, cfg.ResendAfter/minResendDivisor), cfg.ResendAfter)
-}
-
-func (o *outbox) noteRoundTrip(d time.Duration) {
-	if o.roundTrip == 0 {
-		o.roundTrip = d
-	}
-	o.roundTrip = max(o.roundTrip+(d-o.roundTrip)/roundTripSmoothing, 1)
-}
-
 func (o *outbox) isFullFor(agent uint32) bool { return o.perAgent[agent] >= maxPerAgent }
 
 func (o *outbox) add(now time.Time, to uint32, channel uint8, msg []byte, cfg Config) {
 	o.lastNumber[to]++
 	count := fragmentCount(len(msg))
+	resendAfter := o.roundTrip.Timeout(cfg.ResendAfter, minResendDivisor)
 	m := &outMessage{
 		to: to, channel: channel, data: append([]byte(nil), msg...), acked: newFragmentSet(count), end: count,
 		startedAt: now,
 		header: frame{
 			incarnation: cfg.Incarnation, number: o.lastNumber[to], count: uint16(count), checksum: checksum(msg),
 		},
-		resendAfter: o.initialResend(cfg), minResend: o.initialResend(cfg),
+		resendAfter: resendAfter, minResend: resendAfter,
 		maxResend: maxResendFactor * cfg.ResendAfter,
 	}
 	o.messages = append(o.messages, m)
@@ -124,7 +112,7 @@
 			continue
 		}
 		if !m.isInPass() {
-			o.noteRoundTrip(now.Sub(m.passEndedAt))
+			o.roundTrip.Note(now.Sub(m.passEndedAt))
 		}
 		if len(f.data) == 0 {
 			o.remove(i)
--- a/internal/fleet/gossip/catchup.go
+++ b/internal/fleet/gossip/catchup.go
@@ -123,7 +123,7 @@
 		return
 	}
 	c.hasReply = true
-	r.noteRoundTrip(r.now - c.lastAsked)
+	r.roundTrip.Note(r.now - c.lastAsked)
 	if !d.Trusted {
 		return
 	}
--- a/internal/fleet/gossip/pull.go
+++ b/internal/fleet/gossip/pull.go
@@ -3,7 +3,6 @@
 import (
 	"errors"
 	"slices"
-	"time"
 
 	"dunestep/internal/fleet/replica"
 )
@@ -15,8 +14,6 @@
 	maxAttempts = 6
 	// minTimeoutDivisor is the part of Settings.ReplyTimeout for which a reply is waited for at least.
 	minTimeoutDivisor = 4
-	// roundTripSmoothing is the divisor by which a new sample moves the round trip.
-	roundTripSmoothing = 8
 )
 
 // aheadPeer is an agent whose replica is ahead of this one.
@@ -61,25 +58,11 @@
 	if r.partial.isStarted {
 		p.PartialSum, p.Offset = r.partial.header.ItemSum, len(r.partial.data)
 	}
-	r.isPulling, r.pullPeer, r.pullStarted, r.pullUntil = true, agent, r.now, r.now+r.replyTimeout()
+	timeout := r.roundTrip.Timeout(r.settings.ReplyTimeout, minTimeoutDivisor)
+	r.isPulling, r.pullPeer, r.pullStarted, r.pullUntil = true, agent, r.now, r.now+timeout
 	r.send(agent, encode(kindPull, p))
 }
 
-// replyTimeout returns how long a reply is waited for: four round trips, within bounds.
-func (r *Replicator) replyTimeout() time.Duration {
-	if r.roundTrip == 0 {
-		return r.settings.ReplyTimeout
-	}
-	return min(max(4*r.roundTrip, r.settings.ReplyTimeout/minTimeoutDivisor), r.settings.ReplyTimeout)
-}
-
-func (r *Replicator) noteRoundTrip(d time.Duration) {
-	if r.roundTrip == 0 {
-		r.roundTrip = d
-	}
-	r.roundTrip = max(r.roundTrip+(d-r.roundTrip)/roundTripSmoothing, 1)
-}
-
 // pullTimedOut ends a pull without a reply. After maxAttempts the agent is forgotten until it sends a digest
 // again.
 func (r *Replicator) pullTimedOut() {
@@ -107,7 +90,7 @@
 	r.receiveBudget.charge(got.bytes)
 	if r.isPulling && r.pullPeer == from {
 		r.isPulling, r.pullUntil = false, r.now
-		r.noteRoundTrip(r.now - r.pullStarted)
+		r.roundTrip.Note(r.now - r.pullStarted)
 	}
 	r.forgetPeer(from)
 	if !got.hasMore {
--- a/internal/fleet/gossip/replicator.go
+++ b/internal/fleet/gossip/replicator.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 
+	"dunestep/internal/fleet/internal/roundtrip"
 	"dunestep/internal/fleet/replica"
 )
 
@@ -55,7 +56,7 @@
 	pullPeer    int
 	pullUntil   time.Duration // when the reply is overdue, or when the next pull may start
 	pullStarted time.Duration
-	roundTrip   time.Duration // smoothed; 0: nothing was answered yet
+	roundTrip   roundtrip.Estimate
 	partial     partialItem
 
 	sendBudget    byteBudget
--- a/internal/fleet/lease/retryschedule.go
+++ b/internal/fleet/lease/retryschedule.go
@@ -3,6 +3,8 @@
 import (
 	"math"
 	"time"
+
+	"dunestep/internal/fleet/internal/roundtrip"
 )
 
 const (
@@ -13,8 +15,10 @@
 	minEagerRequests, maxEagerRequests = 16, 32
 	// allLostProbability is the probability with which that many requests in a row may all be lost by chance.
 	allLostProbability = 1e-5
-	// smoothing is the divisor by which a new sample moves an average.
-	smoothing = 8
+	// rateSmoothing is the divisor by which a new sample moves the success rate.
+	rateSmoothing = 8
+	// minDelayDivisor is the part of the usual delay for which a reply is waited for at least.
+	minDelayDivisor = 6
 	// maxFailuresMargin is added to the bound of the counted failures.
 	maxFailuresMargin = 4
 )
@@ -22,9 +26,9 @@
 // retrySchedule spaces the requests for leases.
 type retrySchedule struct {
 	leaseDuration time.Duration
-	failuresInRow int           // requests in a row that brought no lease
-	roundTrip     time.Duration // smoothed; 0: no reply came yet
-	successRate   float64       // of the requests, smoothed: the network and the voters lose the rest
+	failuresInRow int // requests in a row that brought no lease
+	roundTrip     roundtrip.Estimate
+	successRate   float64 // of the requests, smoothed: the network and the voters lose the rest
 }
 
 func newRetrySchedule(leaseDuration time.Duration) retrySchedule {
@@ -38,18 +42,11 @@
 // noteSuccess updates the success rate after a request brought a lease.
 func (s *retrySchedule) noteSuccess() {
 	if s.failuresInRow > 0 {
-		s.successRate += (1/float64(s.failuresInRow) - s.successRate) / smoothing
+		s.successRate += (1/float64(s.failuresInRow) - s.successRate) / rateSmoothing
 	}
 	s.failuresInRow = 0
 }
 
-func (s *retrySchedule) noteRoundTrip(d time.Duration) {
-	if s.roundTrip == 0 {
-		s.roundTrip = d
-	}
-	s.roundTrip = max(s.roundTrip+(d-s.roundTrip)/smoothing, 1)
-}
-
 // delay returns how long a voter is waited for before the next one is asked. The first requests wait for as
 // long as replies take, the following ones for up to a sixteenth of a lease while the known loss explains
 // that all were lost. After that the voters count as unreachable, and the delay grows up to half a lease.
@@ -58,10 +55,7 @@
 	if s.failuresInRow > eager {
 		return min(usual<<(s.failuresInRow-eager), s.leaseDuration/2)
 	}
-	first := usual
-	if s.roundTrip > 0 {
-		first = min(max(4*s.roundTrip, usual/6), usual)
-	}
+	first := s.roundTrip.Timeout(usual, minDelayDivisor)
 	return min(first<<max(s.failuresInRow-fastRequests, 0), usual)
 }
 
--- a/internal/fleet/raftlog/outputs.go
+++ b/internal/fleet/raftlog/outputs.go
@@ -1,6 +1,10 @@
 package raftlog
 
-import "go.etcd.io/raft/v3/raftpb"
+import (
+	"slices"
+
+	"go.etcd.io/raft/v3/raftpb"
+)
 
 // Identity identifies a store to the other voters. Its zero value is that of an unused store.
 type Identity struct {
@@ -37,6 +41,30 @@
 	Entries []*raftpb.Entry
 }
 
+// Apply applies a write to what is stored, as a durable store does.
+func (s *Stored) Apply(p *Persist) {
+	if p.Reset {
+		*s = Stored{Identity: s.Identity}
+	}
+	if p.Identity != nil {
+		s.Identity = *p.Identity
+	}
+	if p.HardState != nil {
+		s.HardState = p.HardState
+	}
+	if p.Snapshot != nil {
+		s.Snapshot = p.Snapshot
+	}
+	if p.ReplaceEntries {
+		s.Entries = nil
+	}
+	s.Entries = slices.DeleteFunc(slices.Clone(s.Entries), func(e *raftpb.Entry) bool {
+		isReplaced := len(p.Entries) > 0 && e.GetIndex() >= p.Entries[0].GetIndex()
+		return e.GetIndex() <= p.DropThrough || isReplaced
+	})
+	s.Entries = append(s.Entries, p.Entries...)
+}
+
 // Message is a message to the voter of another agent.
 type Message struct {
 	To    uint32 // the agent
--- a/internal/fleet/raftlog/voterlab/faults.go
+++ b/internal/fleet/raftlog/voterlab/faults.go
@@ -75,7 +75,7 @@
 		return
 	}
 	if h := l.hosts[a]; h.writing != nil && l.rng.IntN(2) == 0 {
-		h.disk.write(h.writing) // it was completed, but not reported
+		h.disk.Apply(h.writing) // it was completed, but not reported
 	}
 	l.World.Kill(a)
 	if l.opts.Volatile {
--- a/internal/fleet/raftlog/voterlab/host.go
+++ b/internal/fleet/raftlog/voterlab/host.go
@@ -14,44 +14,15 @@
 	"dunestep/internal/fleet/fragment"
 	"dunestep/internal/fleet/raftlog"
 	"dunestep/internal/simnet"
-
-	"go.etcd.io/raft/v3/raftpb"
 )
 
-// Disk is what an agent's process has written; it outlives the process.
-type Disk struct{ stored raftlog.Stored }
-
-// write applies a write, as package fleetstore does to a file.
-func (d *Disk) write(p *raftlog.Persist) {
-	s := &d.stored
-	if p.Reset {
-		*s = raftlog.Stored{Identity: s.Identity}
-	}
-	if p.Identity != nil {
-		s.Identity = *p.Identity
-	}
-	if p.HardState != nil {
-		s.HardState = p.HardState
-	}
-	if p.Snapshot != nil {
-		s.Snapshot = p.Snapshot
-	}
-	if p.ReplaceEntries {
-		s.Entries = nil
-	}
-	s.Entries = slices.DeleteFunc(slices.Clone(s.Entries), func(e *raftpb.Entry) bool {
-		return e.GetIndex() <= p.DropThrough || len(p.Entries) > 0 && e.GetIndex() >= p.Entries[0].GetIndex()
-	})
-	s.Entries = append(s.Entries, p.Entries...)
-}
-
 // host is the process of a voter. Its state machine is a few registers.
 type host struct {
 	lab        *Lab
 	agent      uint32
 	voter      *raftlog.Voter
 	transport  *fragment.Transport
-	disk       *Disk
+	disk       *raftlog.Stored // outlives the process
 	writing    *raftlog.Persist
 	written    time.Time
 	state      registers
@@ -94,13 +65,13 @@
 	incarnation := uint64(l.World.Now().UnixNano()) + l.incarnations
 	d := l.disks[agent]
 	if l.opts.Volatile || d == nil {
-		d = &Disk{}
+		d = &raftlog.Stored{}
 	}
 	l.disks[agent] = d
 	v, err := raftlog.New(raftlog.Config{
 		Agent: agent, Voters: l.configured, Nonce: incarnation, Seed: l.opts.Seed + l.incarnations,
 		Volatile: l.opts.Volatile,
-	}, now, d.stored)
+	}, now, *d)
 	if err != nil {
 		l.addViolation("agent %d does not start: %v", agent, err)
 		empty := raftlog.Config{Agent: agent, Voters: l.configured, Nonce: l.incarnations}
@@ -131,7 +102,7 @@
 	if h.writing != nil && !now.Before(h.written) {
 		p := h.writing
 		h.writing = nil
-		h.disk.write(p)
+		h.disk.Apply(p)
 		h.step(now, raftlog.Persisted{Token: p.Token})
 	}
 	h.step(now, raftlog.TimePassed{})
--- a/internal/fleet/raftlog/voterlab/lab.go
+++ b/internal/fleet/raftlog/voterlab/lab.go
@@ -34,7 +34,7 @@
 	opts         Options
 	rng          *rand.Rand
 	configured   []uint32 // the voters
-	disks        []*Disk
+	disks        []*raftlog.Stored
 	hosts        []*host
 	incarnations uint64
 	messages     uint64
@@ -90,7 +90,7 @@
 		o.Pace = 200 * time.Millisecond
 	}
 	l := &Lab{
-		opts: o, rng: rand.New(rand.NewPCG(o.Seed, 0x1ab)), disks: make([]*Disk, o.Agents),
+		opts: o, rng: rand.New(rand.NewPCG(o.Seed, 0x1ab)), disks: make([]*raftlog.Stored, o.Agents),
 		hosts: make([]*host, o.Agents), chains: map[place]uint64{}, results: map[raftlog.ProposalID]uint64{},
 		leaders: map[place]uint64{}, applied: map[place]map[raftlog.ProposalID]uint64{}, epochs: map[uint64]bool{},
 	}
