--- a/internal/fleet/raftlog/config.go
+++ b/internal/fleet/raftlog/config.go
@@ -59,7 +59,8 @@
 	// Tick is raft's unit of time; default 100 ms.
 	Tick time.Duration
 	// HeartbeatTicks is the number of ticks between a leader's heartbeats; default 2. ElectionTicks is the
-	// minimum election timeout, the maximum is twice that; default 10, and at least twice HeartbeatTicks.
+	// minimum election timeout, the maximum is twice that; default 10, or twice HeartbeatTicks if that is more.
+	// It has to exceed HeartbeatTicks.
 	HeartbeatTicks, ElectionTicks int
 	// Volatile reports that stores do not outlive processes: if a majority of the voters is gone for good, the
 	// remaining ones abandon their log, so that a new one can be founded. Otherwise that is left to an operator
--- a/internal/fleet/raftlog/joining.go
+++ b/internal/fleet/raftlog/joining.go
@@ -128,13 +128,14 @@
 	}
 }
 
-// maxUnixMilliseconds is twice what Unix milliseconds will reach for decades.
-const maxUnixMilliseconds = 1 << 41
+// plausibleNonce is a nonce in Unix milliseconds, of the year 2039: epochs of up to twice that are accepted
+// by any voter.
+const plausibleNonce = 1 << 41
 
 // isPlausibleEpoch rejects epochs that would leave no room for higher ones. Epochs begin with a founder's
 // nonce, which follows the Unix time; the times of inputs may be of a clock that begins with the machine.
 func (v *Voter) isPlausibleEpoch(epoch uint64) bool {
-	return epoch/2 <= max(v.identity.Nonce, maxUnixMilliseconds)
+	return epoch/2 <= max(v.identity.Nonce, plausibleNonce)
 }
 
 func (v *Voter) noteEpoch(epoch uint64) {
