--- a/cmd/benchlink/host.go
+++ b/cmd/benchlink/host.go
@@ -27,7 +27,9 @@
 
 func newHost() *host {
 	return &host{
-		decoder: wire.NewDecoder(), instances: map[string]*overload.Controller{}, lists: map[int][]balancer.Server{},
+		decoder:   wire.NewDecoder(),
+		instances: map[string]*overload.Controller{},
+		lists:     map[int][]balancer.Server{},
 	}
 }
 
--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,5 +1,5 @@
-// Command benchlink runs balancers on the simulator's wire: one batch of messages a line on standard input, one
-// reply a line on standard output. It makes no decisions, and its balancers share nothing but the decoded
+// Command benchlink runs balancers on the simulator's wire: one batch of messages a line on standard input,
+// one reply a line on standard output. It makes no decisions, and its balancers share nothing but the decoded
 // server lists. It runs until the end of its input; a line that it cannot handle ends it with exit code 1.
 package main
 
@@ -56,7 +56,8 @@
 	long []byte // a line longer than the reader's buffer
 }
 
-// next returns the next line with its line feed, valid until the next call. The last line may come with io.EOF.
+// next returns the next line with its line feed, valid until the next call. The last line may come with
+// io.EOF.
 func (r *lineReader) next() ([]byte, error) {
 	line, err := r.in.ReadSlice('\n')
 	if !errors.Is(err, bufio.ErrBufferFull) {
--- a/cmd/dunestep/fleet.go
+++ b/cmd/dunestep/fleet.go
@@ -31,8 +31,8 @@
 var errNoDatagrams = errors.New(
 	"fleet: the configuration has no way between agents: mayTell, peers and peer_listen")
 
-// fleetMember is this agent's part in what the fleet agrees on. A nil one takes no part. Its methods are safe for
-// concurrent use where they say nothing else.
+// fleetMember is this agent's part in what the fleet agrees on. A nil one takes no part. Its methods are safe
+// for concurrent use where they say nothing else.
 type fleetMember struct {
 	settings  settings
 	datagrams *transport.Datagrams
@@ -62,11 +62,17 @@
 	if d == nil {
 		return nil, errNoDatagrams
 	}
-	f := &fleetMember{settings: s, datagrams: d, commands: &operatorcommand.List{}, tickets: map[uint64]*ticket{}}
+	f := &fleetMember{
+		settings:  s,
+		datagrams: d,
+		commands:  &operatorcommand.List{},
+		tickets:   map[uint64]*ticket{},
+	}
 	return f, f.nodeSettings().Validate()
 }
 
-// startFleet joins the fleet, unless the previous process still takes part: then this one joins once that has exited.
+// startFleet joins the fleet, unless the previous process still takes part: then this one joins once that has
+// exited.
 func (p *process) startFleet() error {
 	if p.upgrade.previous != nil { // nothing else changes it yet
 		return nil
@@ -107,11 +113,15 @@
 		own.operator.Storm = s.operator.Storm
 		ctx, cancel := context.WithTimeout(context.Background(), reloadTimeout)
 		defer cancel()
-		actor.Do(ctx, func(*fleet.Node, fleet.ClockReading) { f.policies.SetLocalSettings(own.localPolicySettings()) })
+		actor.Do(
+			ctx,
+			func(*fleet.Node, fleet.ClockReading) { f.policies.SetLocalSettings(own.localPolicySettings()) },
+		)
 	}
 }
 
-// receiver returns a function that passes the fleet's datagrams to its actor, and the others to the balancer's.
+// receiver returns a function that passes the fleet's datagrams to its actor, and the others to the
+// balancer's.
 func (f *fleetMember) receiver(toBalancer func(protocol.Datagram)) func(protocol.Datagram) {
 	return func(d protocol.Datagram) {
 		switch actor := f.actor.Load(); {
@@ -135,8 +145,8 @@
 	}
 }
 
-// isReady tells whether this agent has what was agreed, as far as it can be had. While the previous process still takes
-// part there is nothing to wait for.
+// isReady tells whether this agent has what was agreed, as far as it can be had. While the previous process
+// still takes part there is nothing to wait for.
 func (f *fleetMember) isReady() bool {
 	if f == nil {
 		return true
@@ -145,7 +155,8 @@
 	return actor == nil || actor.IsReady()
 }
 
-// isCaughtUp tells whether this process has what was agreed, handed over or from others, or has tried for long enough.
+// isCaughtUp tells whether this process has what was agreed, handed over or from others, or has tried for
+// long enough.
 func (f *fleetMember) isCaughtUp() bool {
 	if f == nil || f.inherited != nil {
 		return true
@@ -154,8 +165,8 @@
 	return actor == nil || actor.IsCaughtUp()
 }
 
-// onApplied is called by the actor after records were applied. Operators' commands to the fleet hold beside what was set
-// at this agent: in each matter the latest.
+// onApplied is called by the actor after records were applied. Operators' commands to the fleet hold beside
+// what was set at this agent: in each matter the latest.
 func (f *fleetMember) onApplied() {
 	f.logWindows()
 	f.compareTimeZones()
--- a/cmd/dunestep/fleetforms.go
+++ b/cmd/dunestep/fleetforms.go
@@ -77,10 +77,20 @@
 // newFleetStatus returns the form of a node's status.
 func newFleetStatus(s fleet.Status, commands []operatorcommand.Command) fleetStatus {
 	out := fleetStatus{
-		Agent: s.Self, Agents: s.Agents, Incarnation: s.Incarnation, Epoch: s.Applied.Epoch,
-		Record: s.Applied.Seq, Standing: s.Standing.String(),
-		LeaseMS: s.LeaseRemaining.Milliseconds(), Ready: s.Ready, Connection: connectionWord(s.Connection),
-		Voters: s.Voters, Present: s.PresentAgents, Peers: []peerStatus{}, Commands: []commandStatus{}, Dropped: s.Dropped,
+		Agent:       s.Self,
+		Agents:      s.Agents,
+		Incarnation: s.Incarnation,
+		Epoch:       s.Applied.Epoch,
+		Record:      s.Applied.Seq,
+		Standing:    s.Standing.String(),
+		LeaseMS:     s.LeaseRemaining.Milliseconds(),
+		Ready:       s.Ready,
+		Connection:  connectionWord(s.Connection),
+		Voters:      s.Voters,
+		Present:     s.PresentAgents,
+		Peers:       []peerStatus{},
+		Commands:    []commandStatus{},
+		Dropped:     s.Dropped,
 	}
 	if s.Voter != nil {
 		out.Voter = newVoterStatus(s.Voter)
--- a/cmd/dunestep/fleetops.go
+++ b/cmd/dunestep/fleetops.go
@@ -22,7 +22,10 @@
 }
 
 // HandleFleetCall answers a call about the fleet at the operators' socket.
-func (m *manualControl) HandleFleetCall(ctx context.Context, call protocol.OpsCall) (status int, body []byte) {
+func (m *manualControl) HandleFleetCall(
+	ctx context.Context,
+	call protocol.OpsCall,
+) (status int, body []byte) {
 	f := m.fleet
 	if f == nil {
 		return http.StatusNotFound, nil
@@ -77,9 +80,13 @@
 	return status, append(raw, '\n')
 }
 
-// proposeCommand proposes to the fleet that an endpoint is disabled or enabled at all agents. Its ticket tells later
-// what became of it.
-func (f *fleetMember) proposeCommand(ctx context.Context, actor *agent.FleetActor, call protocol.OpsCall) (int, []byte) {
+// proposeCommand proposes to the fleet that an endpoint is disabled or enabled at all agents. Its ticket
+// tells later what became of it.
+func (f *fleetMember) proposeCommand(
+	ctx context.Context,
+	actor *agent.FleetActor,
+	call protocol.OpsCall,
+) (int, []byte) {
 	if !f.manual.agent.WasListed(ctx, call.ID) {
 		return http.StatusNotFound, []byte("no such booking server was ever listed\n")
 	}
@@ -101,8 +108,8 @@
 	if err != nil {
 		return answerError(http.StatusServiceUnavailable, err)
 	}
-	slog.Info("fleet: operator command proposed", "server", call.ID, "down", call.Kind == protocol.OpsFleetDisable,
-		"ticket", uint64(number))
+	slog.Info("fleet: operator command proposed", "server", call.ID,
+		"down", call.Kind == protocol.OpsFleetDisable, "ticket", uint64(number))
 	return answerJSON(http.StatusAccepted, protocol.FleetProposal{
 		Ticket: uint64(number),
 		Result: fleet.Pending.String(),
@@ -121,7 +128,11 @@
 }
 
 // answerTicket answers with what became of a command.
-func (f *fleetMember) answerTicket(ctx context.Context, actor *agent.FleetActor, number uint64) (int, []byte) {
+func (f *fleetMember) answerTicket(
+	ctx context.Context,
+	actor *agent.FleetActor,
+	number uint64,
+) (int, []byte) {
 	f.mu.Lock()
 	t := f.tickets[number]
 	f.mu.Unlock()
--- a/cmd/dunestep/fleetsettings.go
+++ b/cmd/dunestep/fleetsettings.go
@@ -37,9 +37,9 @@
 	return set
 }
 
-// openStore opens a voter's store. Where it can't be used, because it is damaged, of another version or missing, this
-// agent runs without a vote: that is no reason to reject requests, and a voter that took its store for an empty one
-// could break the log.
+// openStore opens a voter's store. Where it can't be used, because it is damaged, of another version or
+// missing, this agent runs without a vote: that is no reason to reject requests, and a voter that took its
+// store for an empty one could break the log.
 func (f *fleetMember) openStore(set *agent.FleetSettings) {
 	folder := f.settings.operator.Fleet.Folder
 	if folder == "" || !set.Node.IsVoter() {
@@ -55,9 +55,9 @@
 	set.Store, set.Node.Stored, set.Node.IsDurable = store, store.Stored(), true
 }
 
-// addStateMachines adds the state machines of policies, maintenance windows and the ring, and for those that are on here
-// the adapters that act on them. An agent at which one is off has its state all the same: others may go on from a
-// snapshot of this agent.
+// addStateMachines adds the state machines of policies, maintenance windows and the ring, and for those that
+// are on here the adapters that act on them. An agent at which one is off has its state all the same: others
+// may go on from a snapshot of this agent.
 func (f *fleetMember) addStateMachines(n *fleet.Settings) {
 	if !f.settings.operator.Fleet.Policy {
 		policies := policy.NewStateMachine()
--- a/cmd/dunestep/fleetsize.go
+++ b/cmd/dunestep/fleetsize.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// divideBy returns the fleet's size for those parts of balancer and overload control that go by the present agents;
-// zero: as many as the settings name.
+// divideBy returns the fleet's size for those parts of balancer and overload control that go by the present
+// agents; zero: as many as the settings name.
 func (f *fleetMember) divideBy(present int) (forBalancer balancer.FleetSize, forOverload int) {
 	o := f.settings.operator.Fleet
 	if o.HereCold {
--- a/cmd/dunestep/fleetstate.go
+++ b/cmd/dunestep/fleetstate.go
@@ -15,9 +15,10 @@
 	"dunestep/internal/fleet/lease"
 )
 
-// fleetState is what the fleet had agreed on, as one process of an agent hands it to the next: snapshots of the state
-// machines. Of the two only one takes part. Without it, the next process would go by its settings where a policy holds,
-// send to endpoints that are under maintenance, and use another ring, until it takes part itself.
+// fleetState is what the fleet had agreed on, as one process of an agent hands it to the next: snapshots of
+// the state machines. Of the two only one takes part. Without it, the next process would go by its settings
+// where a policy holds, send to endpoints that are under maintenance, and use another ring, until it takes
+// part itself.
 type fleetState struct {
 	HeldLease   bool   `json:"held"`
 	Policy      []byte `json:"policy,omitempty"`
@@ -56,16 +57,17 @@
 	return raw
 }
 
-// inheritedState is the fleet's state that a new process goes by until it holds a lease of its own, as an agent does
-// that is cut off: within the policy's floor, by the planned windows, on the ring assignment that was agreed. It is of
-// the agent's actor.
+// inheritedState is the fleet's state that a new process goes by until it holds a lease of its own, as an
+// agent does that is cut off: within the policy's floor, by the planned windows, on the ring assignment that
+// was agreed. It is of the agent's actor.
 type inheritedState struct {
 	policy      *policy.Agent
 	maintenance *maintenance.Agent    // nil: off, or not handed over
 	ring        *ringassignment.Agent // the same
 }
 
-// inherit decodes the fleet's state that the previous process has handed over; nil: there is none, or it can't be used.
+// inherit decodes the fleet's state that the previous process has handed over; nil: there is none, or it
+// can't be used.
 func (f *fleetMember) inherit(raw []byte, now fleet.ClockReading) *inheritedState {
 	if len(raw) == 0 || !f.settings.operator.Fleet.Policy {
 		return nil
@@ -99,9 +101,11 @@
 	return inherited
 }
 
-// readStanding calls read with the clocks and this process's standing; instead it returns true where the process goes by
-// the state that it inherited: until it has held a lease.
-func (f *fleetMember) readStanding(read func(now fleet.ClockReading, standing lease.Standing)) (usesInherited bool) {
+// readStanding calls read with the clocks and this process's standing; instead it returns true where the
+// process goes by the state that it inherited: until it has held a lease.
+func (f *fleetMember) readStanding(
+	read func(now fleet.ClockReading, standing lease.Standing),
+) (usesInherited bool) {
 	actor := f.actor.Load()
 	if actor == nil {
 		return f.inherited != nil
@@ -115,7 +119,8 @@
 	return usesInherited
 }
 
-// policyEffect returns the effect of the policy that this agent goes by at this moment; nil: its settings alone.
+// policyEffect returns the effect of the policy that this agent goes by at this moment; nil: its settings
+// alone.
 func (f *fleetMember) policyEffect() (e *policy.Effect) {
 	if f == nil || !f.settings.operator.Fleet.Policy {
 		return nil
@@ -147,7 +152,9 @@
 	if f == nil || !f.settings.operator.Fleet.Placement {
 		return nil
 	}
-	read := func(now fleet.ClockReading, standing lease.Standing) { a = f.ring.adapter.Assignment(now, standing) }
+	read := func(now fleet.ClockReading, standing lease.Standing) {
+		a = f.ring.adapter.Assignment(now, standing)
+	}
 	if f.readStanding(read) && f.inherited.ring != nil {
 		return f.inherited.ring.Assignment(agent.ReadClocks(), lease.Floor)
 	}
--- a/cmd/dunestep/graphql.go
+++ b/cmd/dunestep/graphql.go
@@ -53,8 +53,8 @@
 	return errors.Join(problems...)
 }
 
-// graphQL returns the form of GraphQL requests, by the operator file and the deployment's settings. The error joins all
-// problems.
+// graphQL returns the form of GraphQL requests, by the operator file and the deployment's settings. The error
+// joins all problems.
 func (s settings) graphQL() (*protocol.GraphQL, error) {
 	g := s.operator.GraphQL
 	trusted, err := readTrusted(g.Trusted)
--- a/cmd/dunestep/handover.go
+++ b/cmd/dunestep/handover.go
@@ -24,8 +24,8 @@
 	snapshotTimeout = 500 * time.Millisecond
 )
 
-// upgrade is this process's part in the replacement of one process of the agent by the next: as the one that takes over,
-// as the one that hands over, or neither.
+// upgrade is this process's part in the replacement of one process of the agent by the next: as the one that
+// takes over, as the one that hands over, or neither.
 type upgrade struct {
 	mu        sync.Mutex
 	share     limitsShare    // of the agent's limits, while two processes run
@@ -43,9 +43,9 @@
 	return successor(u.nextReady)
 }
 
-// listenForHandover opens the socket at which a process connects that takes over from this one; nil: that can't be had.
-// It comes before clients and operators are told that this process is ready: one that is started on their word has to
-// find it.
+// listenForHandover opens the socket at which a process connects that takes over from this one; nil: that
+// can't be had. It comes before clients and operators are told that this process is ready: one that is
+// started on their word has to find it.
 func (p *process) listenForHandover() *handover.Listener {
 	l, err := handover.Listen(os.TempDir(), p.settings.Name, p.settings.Listen)
 	if err != nil {
@@ -55,8 +55,8 @@
 	return l
 }
 
-// serveHandover hands over to processes that connect, until this one ends. The previous process, where there is one, is
-// notified as soon as this one accepts clients.
+// serveHandover hands over to processes that connect, until this one ends. The previous process, where there
+// is one, is notified as soon as this one accepts clients.
 func (p *process) serveHandover(l *handover.Listener) {
 	if previous := p.upgrade.previous; previous != nil { // the goroutines that change it start here
 		go p.notifyReady(previous)
@@ -69,8 +69,8 @@
 	}
 }
 
-// handOver hands over to a process that takes over from this one. It returns once that has exited, with whether this
-// one continues.
+// handOver hands over to a process that takes over from this one. It returns once that has exited, with
+// whether this one continues.
 func (p *process) handOver(next *handover.Peer) (continues bool) {
 	sockets, names := p.socketsToHandOver()
 	limits := p.currentLimits()
@@ -99,8 +99,8 @@
 	return !p.upgrade.stopping
 }
 
-// runBeside receives the next process's notifications until it exits, and shares descriptors with it, of which it has
-// been told a number.
+// runBeside receives the next process's notifications until it exits, and shares descriptors with it, of
+// which it has been told a number.
 func (p *process) runBeside(next *handover.Peer, descriptors int) {
 	stop := make(chan struct{})
 	defer close(stop)
@@ -153,8 +153,8 @@
 	return p.settings.Limits
 }
 
-// descriptorsForNext returns how many descriptors the next process may use beside this one: half, or, once this one shuts
-// down, all that it does not need.
+// descriptorsForNext returns how many descriptors the next process may use beside this one: half, or, once
+// this one shuts down, all that it does not need.
 func (p *process) descriptorsForNext(l protocol.Limits) int {
 	inUse := p.descriptors.InUse()
 	if p.settings.Ops.IsValid() {
@@ -168,7 +168,8 @@
 	return max(l.Sockets-max(inUse, l.Sockets/2), 1)
 }
 
-// shareDescriptors notifies the next process, until stop, of how many descriptors it may use where that has changed.
+// shareDescriptors notifies the next process, until stop, of how many descriptors it may use where that has
+// changed.
 func (p *process) shareDescriptors(next *handover.Peer, notified int, stop <-chan struct{}) {
 	interval := time.NewTicker(shareUpdateInterval)
 	defer interval.Stop()
@@ -204,8 +205,8 @@
 	return sockets, names
 }
 
-// encodeState returns what was learned, as a state file; empty where it does not come in time. Its owner is that of the
-// start, as all that was learned is: the operator file may name another deployment since.
+// encodeState returns what was learned, as a state file; empty where it does not come in time. Its owner is
+// that of the start, as all that was learned is: the operator file may name another deployment since.
 func (p *process) encodeState() []byte {
 	ctx, cancel := context.WithTimeout(context.Background(), snapshotTimeout)
 	defer cancel()
--- a/cmd/dunestep/limits.go
+++ b/cmd/dunestep/limits.go
@@ -17,8 +17,8 @@
 	outsideBytes = 15 << 20
 )
 
-// By how many per cent the heap may grow between collections. Within the memory limit fewer collections cost the
-// requests in flight less; the memory that this takes is there from ampleMemoryMB on.
+// By how many per cent the heap may grow between collections. Within the memory limit fewer collections cost
+// the requests in flight less; the memory that this takes is there from ampleMemoryMB on.
 const (
 	ampleHeapGrowth   = 400
 	defaultHeapGrowth = 100
--- a/cmd/dunestep/log.go
+++ b/cmd/dunestep/log.go
@@ -12,8 +12,8 @@
 // logging is the program's log. The handler is never replaced; a reload may change its format and level.
 var logging = newLogHandler(os.Stderr)
 
-// logHandler writes the log in the format, and from the level on, that hold at that moment. It is safe for concurrent
-// use.
+// logHandler writes the log in the format, and from the level on, that hold at that moment. It is safe for
+// concurrent use.
 type logHandler struct {
 	text, json slog.Handler
 	level      *slog.LevelVar
--- a/cmd/dunestep/main.go
+++ b/cmd/dunestep/main.go
@@ -1,11 +1,12 @@
-// Command dunestep is the agent: it runs beside one copy of the calling application, accepts its requests, and forwards
-// each to an upstream server that the balancer selects. Its other commands check files, and talk to a running agent at
-// its operators' socket.
+// Command dunestep is the agent: it runs beside one copy of the calling application, accepts its requests,
+// and forwards each to an upstream server that the balancer selects. Its other commands check files, and talk
+// to a running agent at its operators' socket.
 //
-// The package wires the agent together and owns what concerns the whole process: settings and their reload (settings.go,
-// serve.go), resource limits (limits.go), start and shutdown (process.go, shutdown.go), the handover between two
-// processes of one agent (takeover.go, handover.go), what operators set by hand (manual.go), and this agent's part in
-// the fleet (fleet*.go, policy*.go, maintenance*.go, ring*.go). Decisions are made in the packages below internal.
+// The package wires the agent together and owns what concerns the whole process: settings and their reload
+// (settings.go, serve.go), resource limits (limits.go), start and shutdown (process.go, shutdown.go), the
+// handover between two processes of one agent (takeover.go, handover.go), what operators set by hand
+// (manual.go), and this agent's part in the fleet (fleet*.go, policy*.go, maintenance*.go, ring*.go).
+// Decisions are made in the packages below internal.
 package main
 
 import (
--- a/cmd/dunestep/maintenance.go
+++ b/cmd/dunestep/maintenance.go
@@ -27,8 +27,8 @@
 	reason string
 }
 
-// endpointsInterval is how often this agent's list is looked at for windows and the ring, and how often tenants' requests
-// are counted while a window moves traffic.
+// endpointsInterval is how often this agent's list is looked at for windows and the ring, and how often
+// tenants' requests are counted while a window moves traffic.
 const endpointsInterval = 2 * time.Second
 
 // startMaintenance has maintenance windows hold here.
@@ -130,8 +130,8 @@
 	return counts
 }
 
-// logWindows logs each change of a window's state once. The fleet's actor calls it after records were applied, and as
-// time passes.
+// logWindows logs each change of a window's state once. The fleet's actor calls it after records were
+// applied, and as time passes.
 func (f *fleetMember) logWindows() {
 	if f.maintenance == nil {
 		return
--- a/cmd/dunestep/maintenanceforms.go
+++ b/cmd/dunestep/maintenanceforms.go
@@ -50,7 +50,8 @@
 }
 
 const (
-	// reasonPolicyChanging is why nothing was planned or proposed at this moment: the same call can be made again.
+	// reasonPolicyChanging is why nothing was planned or proposed at this moment: the same call can be made
+	// again.
 	reasonPolicyChanging = "a policy takes hold: ask again in a moment"
 	// statusFits is the status of a check without a conflict.
 	statusFits = "fits"
--- a/cmd/dunestep/maintenanceops.go
+++ b/cmd/dunestep/maintenanceops.go
@@ -28,7 +28,11 @@
 )
 
 // handleWindowCall answers a call about maintenance windows at the operators' socket.
-func (f *fleetMember) handleWindowCall(ctx context.Context, actor *agent.FleetActor, call protocol.OpsCall) (status int,
+func (f *fleetMember) handleWindowCall(
+	ctx context.Context,
+	actor *agent.FleetActor,
+	call protocol.OpsCall,
+) (status int,
 	body []byte,
 ) {
 	if f.maintenance == nil {
@@ -66,7 +70,8 @@
 	return status, body
 }
 
-// planningPolicy returns the policy to plan by. Where refused is not nil nothing can be planned now, and refused answers.
+// planningPolicy returns the policy to plan by. Where refused is not nil nothing can be planned now, and
+// refused answers.
 func (f *fleetMember) planningPolicy(n *fleet.Node, now fleet.ClockReading) (active policy.Active,
 	refused func() (int, []byte),
 ) {
@@ -91,7 +96,11 @@
 }
 
 // checkWindow tells whether a window would fit.
-func (f *fleetMember) checkWindow(n *fleet.Node, now fleet.ClockReading, call protocol.OpsCall) (int, []byte) {
+func (f *fleetMember) checkWindow(
+	n *fleet.Node,
+	now fleet.ClockReading,
+	call protocol.OpsCall,
+) (int, []byte) {
 	active, refused := f.planningPolicy(n, now)
 	if refused != nil {
 		return refused()
@@ -102,9 +111,13 @@
 	return answerPlan(statusFits, w, err)
 }
 
-// requestWindow plans a window by what is known here, and proposes it. A call with the id of an earlier one is answered
-// with what became of that.
-func (f *fleetMember) requestWindow(n *fleet.Node, now fleet.ClockReading, call protocol.OpsCall) (int, []byte) {
+// requestWindow plans a window by what is known here, and proposes it. A call with the id of an earlier one
+// is answered with what became of that.
+func (f *fleetMember) requestWindow(
+	n *fleet.Node,
+	now fleet.ClockReading,
+	call protocol.OpsCall,
+) (int, []byte) {
 	if o := f.windowOutcome(now, call.ID); o.Status != policy.StatusUnknown.String() {
 		return answerJSON(http.StatusOK, o)
 	}
@@ -160,7 +173,8 @@
 	}
 }
 
-// tenantLoads are the tenants' fractions of the load: by the settings, and as the policy's quotas have changed them.
+// tenantLoads are the tenants' fractions of the load: by the settings, and as the policy's quotas have
+// changed them.
 func (f *fleetMember) tenantLoads(e *policy.Effect) map[string]float64 {
 	loads, sum := map[string]float64{}, 0.0
 	for i, t := range f.settings.Settings.Tenants {
--- a/cmd/dunestep/manual.go
+++ b/cmd/dunestep/manual.go
@@ -14,12 +14,12 @@
 	"dunestep/internal/transport"
 )
 
-// manualDrainIdle is after how long, once operators drain this agent, no connection stands idle any more. Whoever has
-// a connection open then has sent a request within the last two seconds.
+// manualDrainIdle is after how long, once operators drain this agent, no connection stands idle any more.
+// Whoever has a connection open then has sent a request within the last two seconds.
 const manualDrainIdle = 1700 * time.Millisecond
 
-// manualControl carries out what operators ask for at their socket. It implements transport.OpsHandler. It is safe for
-// concurrent use.
+// manualControl carries out what operators ask for at their socket. It implements transport.OpsHandler. It is
+// safe for concurrent use.
 type manualControl struct {
 	agent    *agent.Agent
 	listener *transport.Listener
@@ -32,8 +32,8 @@
 	set      handover.ManualSettings
 	serving  bool
 	stopping bool
-	// inheritedDrain: the process began drained, as another one was told to. It reports to be ready all the same:
-	// otherwise that process could not be replaced.
+	// inheritedDrain: the process began drained, as another one was told to. It reports to be ready all the
+	// same: otherwise that process could not be replaced.
 	inheritedDrain bool
 }
 
@@ -115,8 +115,8 @@
 	}
 }
 
-// store writes the settings to the file, applies what another process has written there, and notifies that one; mu is
-// held.
+// store writes the settings to the file, applies what another process has written there, and notifies that
+// one; mu is held.
 func (m *manualControl) store() error {
 	merged, err := m.file.Update(m.set, unixNow())
 	m.apply(merged)
--- a/cmd/dunestep/opsclient.go
+++ b/cmd/dunestep/opsclient.go
@@ -26,8 +26,8 @@
 	Ops string `help:"ADDR of an agent's operators' door." placeholder:"ADDR" env:"LB_OPS" required:""`
 }
 
-// call makes a call, whose path may have a query, and decodes the answer's JSON. An answer that is no success is an
-// error with its text, or errNoFleet.
+// call makes a call, whose path may have a query, and decodes the answer's JSON. An answer that is no success
+// is an error with its text, or errNoFleet.
 func (c opsClient) call(method, path, body string, into any) error {
 	u := url.URL{Scheme: "http", Host: c.Ops}
 	u.Path, u.RawQuery, _ = strings.Cut(path, "?")
--- a/cmd/dunestep/policycommands.go
+++ b/cmd/dunestep/policycommands.go
@@ -81,8 +81,8 @@
 	return c.propose(string(text))
 }
 
-// propose proposes a document, and waits until it is in force. Where it can't be known what became of it, the error names
-// the id with which the same call can be made again.
+// propose proposes a document, and waits until it is in force. Where it can't be known what became of it, the
+// error names the id with which the same call can be made again.
 func (c policyProposeCommand) propose(document string) error {
 	if c.ID == "" {
 		c.ID = rand.Text()
@@ -102,7 +102,11 @@
 	}
 	switch o.Status {
 	case policy.StatusAccepted.String():
-		fmt.Printf("taken: version %d holds everywhere from %s on\n", o.Version, o.EffectiveAt.Format(time.RFC3339Nano))
+		fmt.Printf(
+			"taken: version %d holds everywhere from %s on\n",
+			o.Version,
+			o.EffectiveAt.Format(time.RFC3339Nano),
+		)
 		time.Sleep(min(time.Until(o.EffectiveAt)+maxClockDifference, c.Wait)) // what is done next is done under it
 		return nil
 	case policy.StatusRejected.String():
--- a/cmd/dunestep/policyforms.go
+++ b/cmd/dunestep/policyforms.go
@@ -40,7 +40,12 @@
 }
 
 func newPolicyOutcome(o policy.Outcome) policyOutcome {
-	out := policyOutcome{ID: o.ID, Status: o.Status.String(), Version: o.Version, EffectiveAt: unixTime(o.EffectiveAt)}
+	out := policyOutcome{
+		ID:          o.ID,
+		Status:      o.Status.String(),
+		Version:     o.Version,
+		EffectiveAt: unixTime(o.EffectiveAt),
+	}
 	if o.Status == policy.StatusRejected {
 		out.Reason = o.Reason()
 	}
--- a/cmd/dunestep/policyops.go
+++ b/cmd/dunestep/policyops.go
@@ -14,7 +14,11 @@
 )
 
 // handlePolicyCall answers a call about policies at the operators' socket.
-func (f *fleetMember) handlePolicyCall(ctx context.Context, actor *agent.FleetActor, call protocol.OpsCall) (status int,
+func (f *fleetMember) handlePolicyCall(
+	ctx context.Context,
+	actor *agent.FleetActor,
+	call protocol.OpsCall,
+) (status int,
 	body []byte,
 ) {
 	if !f.settings.operator.Fleet.Policy {
@@ -71,9 +75,13 @@
 	return answerJSON(http.StatusOK, string(text))
 }
 
-// proposePolicy checks a document against this agent's own settings, and proposes it to the fleet. A call with the id of
-// an earlier one is answered with what became of that.
-func (f *fleetMember) proposePolicy(n *fleet.Node, now fleet.ClockReading, call protocol.OpsCall) (int, []byte) {
+// proposePolicy checks a document against this agent's own settings, and proposes it to the fleet. A call
+// with the id of an earlier one is answered with what became of that.
+func (f *fleetMember) proposePolicy(
+	n *fleet.Node,
+	now fleet.ClockReading,
+	call protocol.OpsCall,
+) (int, []byte) {
 	if o := f.policies.Outcome(call.ID); o.Status != policy.StatusUnknown {
 		return answerJSON(http.StatusOK, newPolicyOutcome(o))
 	}
@@ -96,9 +104,9 @@
 	return answerJSON(http.StatusAccepted, policyOutcome{ID: call.ID, Status: policy.StatusUnknown.String()})
 }
 
-// compareTimeZones logs, once for each version of the policy that comes into force, where its time zone rules differ from
-// this machine's zone data: one of the two is out of date. Nothing else follows from it, since contracts' hours go by the
-// agreed rules. It is called by the fleet's actor.
+// compareTimeZones logs, once for each version of the policy that comes into force, where its time zone rules
+// differ from this machine's zone data: one of the two is out of date. Nothing else follows from it, since
+// contracts' hours go by the agreed rules. It is called by the fleet's actor.
 func (f *fleetMember) compareTimeZones() {
 	if f.policies == nil || f.policyInForce() == f.comparedZone {
 		return
--- a/cmd/dunestep/process.go
+++ b/cmd/dunestep/process.go
@@ -16,8 +16,8 @@
 	"dunestep/internal/transport"
 )
 
-// process is the running agent with its parts. Its fields are set by start and not changed after, but for upgrade and
-// what upgrade's mutex guards.
+// process is the running agent with its parts. Its fields are set by start and not changed after, but for
+// upgrade and what upgrade's mutex guards.
 type process struct {
 	settings    settings // Limits and operator: guarded by upgrade.mu
 	metrics     *metrics.Figures
@@ -70,8 +70,8 @@
 	return nil
 }
 
-// startAgent starts the agent and what it depends on: the state of the last process, the agents' datagrams, and this
-// agent's part in the fleet.
+// startAgent starts the agent and what it depends on: the state of the last process, the agents' datagrams,
+// and this agent's part in the fleet.
 func (p *process) startAgent(taken takenOver) (err error) {
 	p.state = startStateKeeper(p.settings, taken.file)
 	if p.settings.Settings.Limits.Gossip && p.settings.PeerListen.IsValid() {
--- a/cmd/dunestep/ring.go
+++ b/cmd/dunestep/ring.go
@@ -15,7 +15,8 @@
 	"dunestep/internal/fleet"
 )
 
-// ringControl is this agent's part in agreed ring assignments. It is of the fleet's actor, but for nextMeasurement.
+// ringControl is this agent's part in agreed ring assignments. It is of the fleet's actor, but for
+// nextMeasurement.
 type ringControl struct {
 	adapter         *assignmentlog.Adapter
 	isVoter         bool // it may lead, and propose assignments by its own list
@@ -25,8 +26,8 @@
 }
 
 const (
-	// voterListInterval is how often a voter's list is looked at for changes: servers that come and go within seconds
-	// are to be in the next assignment, or to be held off.
+	// voterListInterval is how often a voter's list is looked at for changes: servers that come and go within
+	// seconds are to be in the next assignment, or to be held off.
 	voterListInterval = 200 * time.Millisecond
 	// paceInterval is how often the paces of machine kinds are measured.
 	paceInterval = 10 * time.Second
--- a/cmd/dunestep/ringforms.go
+++ b/cmd/dunestep/ringforms.go
@@ -12,14 +12,15 @@
 // percent is what a pace is agreed in.
 const percent = 100
 
-// ringStatus is the JSON of the agreed ring assignment at the operators' socket. Names in it are older than the fields'.
+// ringStatus is the JSON of the agreed ring assignment at the operators' socket. Names in it are older than
+// the fields'.
 type ringStatus struct {
 	Generation  uint64    `json:"generation"`
 	EffectiveAt time.Time `json:"by,omitzero"`
 	Suspended   bool      `json:"off,omitempty"` // agents place by their own lists for now
 	Active      uint64    `json:"acting"`        // the generation that this agent places by; 0: none
-	// Paces are the agreed speeds of machine kinds relative to their configured capacity; those that are 1 are left
-	// out. PaceReporters is how many agents have reported theirs to this voter lately.
+	// Paces are the agreed speeds of machine kinds relative to their configured capacity; those that are 1 are
+	// left out. PaceReporters is how many agents have reported theirs to this voter lately.
 	Paces         map[string]float64 `json:"paces,omitempty"`
 	PaceReporters int                `json:"tell,omitempty"`
 	Servers       []ringServer       `json:"servers"`
--- a/cmd/dunestep/serve.go
+++ b/cmd/dunestep/serve.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// reload reads the configuration and the operator file again and applies discovery's address, the limits and what the
-// operator set. Where one of the files can't be used nothing changes.
+// reload reads the configuration and the operator file again and applies discovery's address, the limits and
+// what the operator set. Where one of the files can't be used nothing changes.
 func (p *process) reload(operatorFile string) {
 	s, err := readSettings(os.Getenv("LB_CONFIG"), operatorFile)
 	if err != nil {
--- a/cmd/dunestep/settings.go
+++ b/cmd/dunestep/settings.go
@@ -24,15 +24,15 @@
 // maxConfigBytes bounds what is read of the configuration file, and of an answer at the operators' socket.
 const maxConfigBytes = 16 << 20
 
-// settings are all that the program was configured with: the configuration file with the environment, and the operator
-// file.
+// settings are all that the program was configured with: the configuration file with the environment, and the
+// operator file.
 type settings struct {
 	protocol.Config
 	operator operator.File
 }
 
-// readStartSettings reads the settings of a start. The variables of the environment are all required but LB_OPS, and
-// take precedence over the configuration file.
+// readStartSettings reads the settings of a start. The variables of the environment are all required but
+// LB_OPS, and take precedence over the configuration file.
 func readStartSettings(operatorFile string) (s settings, err error) {
 	env := map[string]string{}
 	for _, name := range []string{"LB_NAME", "LB_LISTEN", "LB_DISCOVERY", "LB_CONFIG"} {
@@ -102,10 +102,18 @@
 func (s settings) overloadConfig() overload.Config {
 	t := s.operator.Storm
 	return overload.Config{
-		Disabled: !t.On, ReportQuota: t.RateLimitFields, EpisodeFactor: t.SpellFactor,
-		SheddingFraction: t.PurgeShare, MaxShedding: milliseconds(t.PurgeMS), MinShedding: milliseconds(t.PurgeLeastMS),
-		SheddingBackoff: seconds(t.PurgeAgainS), TrialFraction: t.TrialShare, RecoveryHeadroom: t.ReturnMore,
-		WastedFraction: t.InVain, SheddingWhenSparse: t.PurgeSparse, FairnessRotation: seconds(t.TurnS),
+		Disabled:           !t.On,
+		ReportQuota:        t.RateLimitFields,
+		EpisodeFactor:      t.SpellFactor,
+		SheddingFraction:   t.PurgeShare,
+		MaxShedding:        milliseconds(t.PurgeMS),
+		MinShedding:        milliseconds(t.PurgeLeastMS),
+		SheddingBackoff:    seconds(t.PurgeAgainS),
+		TrialFraction:      t.TrialShare,
+		RecoveryHeadroom:   t.ReturnMore,
+		WastedFraction:     t.InVain,
+		SheddingWhenSparse: t.PurgeSparse,
+		FairnessRotation:   seconds(t.TurnS),
 	}
 }
 
@@ -127,7 +135,8 @@
 	}
 }
 
-// stateOwner identifies this agent in state files. Without a deployment's name, its classes' names identify it.
+// stateOwner identifies this agent in state files. Without a deployment's name, its classes' names identify
+// it.
 func (s settings) stateOwner() state.Owner {
 	deployment := s.operator.State.Deployment
 	if deployment == "" {
--- a/cmd/dunestep/shutdown.go
+++ b/cmd/dunestep/shutdown.go
@@ -21,7 +21,8 @@
 	hasSuccessor successor = true
 )
 
-// stop shuts the process down gracefully: the fleet is told, clients are drained, and the state is written meanwhile.
+// stop shuts the process down gracefully: the fleet is told, clients are drained, and the state is written
+// meanwhile.
 func (p *process) stop() {
 	p.manual.stopServing()
 	p.fleet.leave()
@@ -30,8 +31,8 @@
 	<-written
 }
 
-// drain goes through the phases of a shutdown. It returns when all accepted requests have their responses, or when the
-// time for it is over. Where another process accepts clients, this one stops at once.
+// drain goes through the phases of a shutdown. It returns when all accepted requests have their responses, or
+// when the time for it is over. Where another process accepts clients, this one stops at once.
 func drain(listener *transport.Listener, a *agent.Agent, classes []balancer.Class, next successor) {
 	began := time.Now()
 	plan := routing.NewShutdownPlan(0, classes)
--- a/cmd/dunestep/statekeeper.go
+++ b/cmd/dunestep/statekeeper.go
@@ -20,8 +20,8 @@
 	agent    *agent.Agent
 }
 
-// startStateKeeper reads what is stored, or takes what was handed over, which is newer, and starts to store. What can't
-// be restored is logged, and the agent starts without it.
+// startStateKeeper reads what is stored, or takes what was handed over, which is newer, and starts to store.
+// What can't be restored is logged, and the agent starts without it.
 func startStateKeeper(s settings, handed *state.File) *stateKeeper {
 	k := &stateKeeper{settings: s, hasAgent: make(chan struct{})}
 	stateFolder, file := openStateFolder(s)
@@ -103,8 +103,8 @@
 	}
 }
 
-// finish writes a last time, beside the drain, and returns a channel that is closed when that is done, or the time is
-// over.
+// finish writes a last time, beside the drain, and returns a channel that is closed when that is done, or the
+// time is over.
 func (k *stateKeeper) finish(timeout time.Duration) <-chan struct{} {
 	done := make(chan struct{})
 	go func() {
--- a/cmd/dunestep/takeover.go
+++ b/cmd/dunestep/takeover.go
@@ -32,8 +32,8 @@
 	fleet     []byte       // what was agreed; empty: nothing is known of it
 }
 
-// takeOver takes over from a running process of this agent, where there is one, and reads the manual settings. What
-// can't be taken over is logged, and the process starts without it.
+// takeOver takes over from a running process of this agent, where there is one, and reads the manual
+// settings. What can't be taken over is logged, and the process starts without it.
 func (p *process) takeOver() (taken takenOver) {
 	stored, err := p.manualFile.Read()
 	if err != nil {
@@ -73,7 +73,8 @@
 	return file, nil
 }
 
-// openSockets opens the sockets that were handed over, and closes their files. One that can't be used is logged.
+// openSockets opens the sockets that were handed over, and closes their files. One that can't be used is
+// logged.
 func (t *takenOver) openSockets(sockets map[string]*os.File) {
 	t.listeners = map[netip.AddrPort]*net.TCPListener{}
 	for name, f := range sockets {
@@ -84,8 +85,8 @@
 	}
 }
 
-// openSocket opens one socket by its name: the network and the address. One that is not what its name says, or of a
-// network that this build does not know, is not used.
+// openSocket opens one socket by its name: the network and the address. One that is not what its name says,
+// or of a network that this build does not know, is not used.
 func (t *takenOver) openSocket(name string, f *os.File) error {
 	network, text, _ := strings.Cut(name, " ")
 	addr, err := netip.ParseAddrPort(text)
@@ -125,8 +126,8 @@
 	previous.Notify(handover.Notification{Ready: true})
 }
 
-// followPrevious receives what the previous process notifies until that has exited. Then this one uses all of the
-// limits, and joins the fleet.
+// followPrevious receives what the previous process notifies until that has exited. Then this one uses all of
+// the limits, and joins the fleet.
 func (p *process) followPrevious(previous *handover.Peer) {
 	previous.Receive(p.handleNotification)
 	p.upgrade.mu.Lock()
--- a/cmd/dunestep/windowcommands.go
+++ b/cmd/dunestep/windowcommands.go
@@ -71,8 +71,8 @@
 	Wait time.Duration `help:"How long to wait for what becomes of it." default:"30s"`
 }
 
-// Run requests a window, and waits. Where it can't be known what became of it, the error names the id with which the same
-// call can be made again.
+// Run requests a window, and waits. Where it can't be known what became of it, the error names the id with
+// which the same call can be made again.
 func (c windowAskCommand) Run() error {
 	body, err := c.body(time.Now())
 	if err != nil {
--- a/internal/agent/actor.go
+++ b/internal/agent/actor.go
@@ -12,7 +12,8 @@
 	"dunestep/internal/state"
 )
 
-// The messages of the agent's actor, beside *request, responseStarted, attemptEnded, listUpdate and protocol.Datagram.
+// The messages of the agent's actor, beside *request, responseStarted, attemptEnded, listUpdate and
+// protocol.Datagram.
 type (
 	// clientGone: a request's client has left.
 	clientGone struct{ request *request }
@@ -101,8 +102,8 @@
 	}
 }
 
-// reportEjections tells the metrics which servers are ejected. It is part of handling any message, of which the
-// balancer's timers are the rarest.
+// reportEjections tells the metrics which servers are ejected. It is part of handling any message, of which
+// the balancer's timers are the rarest.
 func (a *Agent) reportEjections(now time.Duration) {
 	if a.balancer != nil && now-a.ejectedAt >= ejectionInterval {
 		a.ejectedAt = now
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,15 +1,15 @@
-// Package agent runs the load balancing agent: it carries out what the decisions of packages routing, balancer and
-// overload ask for, by sockets and timers.
+// Package agent runs the load balancing agent: it carries out what the decisions of packages routing,
+// balancer and overload ask for, by sockets and timers.
 //
-// It is made of actors, each a goroutine with a mailbox (mailbox.go) that alone owns its state: the Agent with the
-// requests, the router and the balancer (actor.go), one upstream for each endpoint with its connections (upstream.go),
-// the endpoint list with its calls to discovery (list.go), the sender of datagrams to other agents (peers.go), and
-// beside them the FleetActor (fleetactor.go). An attempt runs in a goroutine of its own (exchange.go). All of them end
-// with the process, but for an upstream, whose actor ends once its endpoint was removed and its connections are
-// returned.
+// It is made of actors, each a goroutine with a mailbox (mailbox.go) that alone owns its state: the Agent
+// with the requests, the router and the balancer (actor.go), one upstream for each endpoint with its
+// connections (upstream.go), the endpoint list with its calls to discovery (list.go), the sender of datagrams
+// to other agents (peers.go), and beside them the FleetActor (fleetactor.go). An attempt runs in a goroutine
+// of its own (exchange.go). All of them end with the process, but for an upstream, whose actor ends once its
+// endpoint was removed and its connections are returned.
 //
-// The exported methods of Agent and FleetActor are safe for concurrent use. The package knows no wire format: requests,
-// responses and lists are typed values.
+// The exported methods of Agent and FleetActor are safe for concurrent use. The package knows no wire format:
+// requests, responses and lists are typed values.
 package agent
 
 import (
@@ -42,20 +42,20 @@
 	Datagrams   *transport.Datagrams       // nil: agents don't communicate
 	// FleetReady tells whether this agent has what it needs of the fleet to be ready; nil: nothing.
 	FleetReady func() bool
-	// FleetCaughtUp tells whether this process knows what its fleet has agreed on, as far as that can be known. Requests
-	// wait for it a little: see Agent.HandleRequest. Nil: there is nothing to know.
+	// FleetCaughtUp tells whether this process knows what its fleet has agreed on, as far as that can be known.
+	// Requests wait for it a little: see Agent.HandleRequest. Nil: there is nothing to know.
 	FleetCaughtUp func() bool
-	// FleetPolicy returns the effect of the agreed policy at each moment; nil, or a nil effect: there is none. The same
-	// pointer stands for the same effect.
+	// FleetPolicy returns the effect of the agreed policy at each moment; nil, or a nil effect: there is none.
+	// The same pointer stands for the same effect.
 	FleetPolicy func() *policy.Effect
-	// Exclusions returns which endpoints tenants' requests avoid at each moment; nil: none. The same pointer stands for
-	// the same.
+	// Exclusions returns which endpoints tenants' requests avoid at each moment; nil: none. The same pointer
+	// stands for the same.
 	Exclusions func() *balancer.Exclusions
-	// RingAssignment returns the agreed ring assignment at each moment; nil: each agent goes by its own list. The same
-	// pointer stands for the same.
+	// RingAssignment returns the agreed ring assignment at each moment; nil: each agent goes by its own list.
+	// The same pointer stands for the same.
 	RingAssignment func() *balancer.RingAssignment
-	// OnStateChange is called by the agent's actor when something of importance has changed in the state that is stored;
-	// nil: nobody is told.
+	// OnStateChange is called by the agent's actor when something of importance has changed in the state that
+	// is stored; nil: nobody is told.
 	OnStateChange func()
 }
 
@@ -122,8 +122,8 @@
 	return a, nil
 }
 
-// maxConnectTimeout is how long an attempt waits for its connection at most. Half of the drain grace is left for the
-// request's way: an endpoint that begins to drain meanwhile must not get it after the grace.
+// maxConnectTimeout is how long an attempt waits for its connection at most. Half of the drain grace is left
+// for the request's way: an endpoint that begins to drain meanwhile must not get it after the grace.
 func maxConnectTimeout(set protocol.Settings) time.Duration {
 	if grace := set.Rules.DrainGrace; grace > 0 {
 		return min(set.ConnectTimeout, grace/2)
--- a/internal/agent/attempt.go
+++ b/internal/agent/attempt.go
@@ -10,8 +10,8 @@
 	"dunestep/internal/transport"
 )
 
-// attempt is one attempt at a request, at one endpoint. Its goroutine, which the upstream's actor starts, carries it out,
-// while the agent's actor may end it at any time.
+// attempt is one attempt at a request, at one endpoint. Its goroutine, which the upstream's actor starts,
+// carries it out, while the agent's actor may end it at any time.
 type attempt struct {
 	request   *request
 	number    int // among those of its request, from 0
@@ -33,9 +33,10 @@
 
 // attemptDeadlines are until when an attempt lasts. They change once when its request's body is complete.
 type attemptDeadlines struct {
-	giveUpAt         time.Time     // unless its response has begun
-	deadline         time.Time     // of the request's final response
-	timeoutAfterBody time.Duration // while the body is still coming: how long it waits from its end on; else zero
+	giveUpAt time.Time // unless its response has begun
+	deadline time.Time // of the request's final response
+	// while the body is still coming: how long it waits from its end on; else zero
+	timeoutAfterBody time.Duration
 }
 
 // newAttempt prepares an attempt that the router has asked for.
@@ -53,7 +54,8 @@
 	return a
 }
 
-// waitUntilWritable waits until a reused connection may be written, or until it has ended or the attempt is given up.
+// waitUntilWritable waits until a reused connection may be written, or until it has ended or the attempt is
+// given up.
 func (a *attempt) waitUntilWritable(conn *transport.UpstreamConn, delay time.Duration) {
 	if delay <= 0 {
 		return
@@ -68,8 +70,8 @@
 	a.sent = time.Now() // the endpoint's time does not run before
 }
 
-// beginWriting tells whether the attempt may be written now. Once it was given up, or its request has its response or no
-// client, it may not.
+// beginWriting tells whether the attempt may be written now. Once it was given up, or its request has its
+// response or no client, it may not.
 func (a *attempt) beginWriting() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -90,8 +92,8 @@
 	}
 }
 
-// cancelIfUnsent tells that the request has its response, or no client: an attempt that is not written yet is canceled,
-// one that is goes on to its end.
+// cancelIfUnsent tells that the request has its response, or no client: an attempt that is not written yet is
+// canceled, one that is goes on to its end.
 func (a *attempt) cancelIfUnsent() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -117,7 +119,8 @@
 	return time.Until(d.giveUpAt)
 }
 
-// timedFrom is from when on the endpoint's time counts: of a body that is forwarded as it comes, from its end on.
+// timedFrom is from when on the endpoint's time counts: of a body that is forwarded as it comes, from its end
+// on.
 func (a *attempt) timedFrom() time.Time {
 	if a.request.Rest != nil && !a.written.IsZero() {
 		return a.written
--- a/internal/agent/clock.go
+++ b/internal/agent/clock.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// clock is the time of the router and the balancer: Unix time, as the endpoint list has it, read once and advanced by the
-// monotonic clock. It never runs backwards, also when the machine's time is set.
+// clock is the time of the router and the balancer: Unix time, as the endpoint list has it, read once and
+// advanced by the monotonic clock. It never runs backwards, also when the machine's time is set.
 type clock struct{ began time.Time }
 
 func newClock() clock { return clock{began: time.Now()} }
--- a/internal/agent/control.go
+++ b/internal/agent/control.go
@@ -12,8 +12,8 @@
 	"dunestep/internal/state"
 )
 
-// fleetSources are where the agent reads what its fleet has agreed on, and what it has applied of that. It is of the
-// agent's actor.
+// fleetSources are where the agent reads what its fleet has agreed on, and what it has applied of that. It is
+// of the agent's actor.
 type fleetSources struct {
 	policy            func() *policy.Effect // nil: there is none
 	appliedPolicy     *policy.Effect
@@ -23,8 +23,9 @@
 	appliedRing       *balancer.RingAssignment
 }
 
-// applyFleetState has the router go by what is agreed at this moment. It comes before the router is told of anything, so
-// that a lease that has run out, as while the process was paused, is seen before the next decision.
+// applyFleetState has the router go by what is agreed at this moment. It comes before the router is told of
+// anything, so that a lease that has run out, as while the process was paused, is seen before the next
+// decision.
 func (a *Agent) applyFleetState() {
 	f := &a.fleet
 	if f.policy != nil {
@@ -48,7 +49,11 @@
 }
 
 // ask puts a message that has a place for its reply, and waits for the reply; false where ctx ends before.
-func ask[T any](ctx context.Context, mail *mailbox[any], message func(reply chan<- T) any) (value T, ok bool) {
+func ask[T any](
+	ctx context.Context,
+	mail *mailbox[any],
+	message func(reply chan<- T) any,
+) (value T, ok bool) {
 	reply := make(chan T, 1)
 	mail.put(message(reply))
 	select {
@@ -72,8 +77,8 @@
 // SetOverload changes the configuration of overload control.
 func (a *Agent) SetOverload(c overload.Config) { a.mail.put(overloadChanged{c}) }
 
-// SetFleetPolicy has the agent go by an agreed policy, from the next message on; nil: by its settings alone. The effect
-// is not to be changed any more. It holds until the next call, also over SetOverload.
+// SetFleetPolicy has the agent go by an agreed policy, from the next message on; nil: by its settings alone.
+// The effect is not to be changed any more. It holds until the next call, also over SetOverload.
 func (a *Agent) SetFleetPolicy(effect *policy.Effect) { a.mail.put(fleetPolicyChanged{effect}) }
 
 // SetFleetSize tells balancer and overload control how many agents are present; see balancer.FleetSize and
@@ -82,8 +87,8 @@
 	a.mail.put(fleetSizeChanged{forBalancer, forOverload})
 }
 
-// TenantStats returns how the tenants' requests have fared since the start: first those of none, then in the order of
-// the settings; and whether load is being shed. Nil where ctx ends before.
+// TenantStats returns how the tenants' requests have fared since the start: first those of none, then in the
+// order of the settings; and whether load is being shed. Nil where ctx ends before.
 func (a *Agent) TenantStats(ctx context.Context) (stats []balancer.TenantStats, shedding bool) {
 	r, _ := ask(ctx, a.mail, func(reply chan<- tenantStatsReply) any { return tenantStatsQuery{reply} })
 	return r.stats, r.shedding
@@ -110,16 +115,22 @@
 // ReleaseIdle closes idle connections to endpoints.
 func (a *Agent) ReleaseIdle() { a.mail.put(releaseIdle{}) }
 
-// DisableEndpoint takes an endpoint out of use. Listed is false where no list ever had the id; disabled are all that are
-// out of use then, or were lately.
-func (a *Agent) DisableEndpoint(ctx context.Context, id string) (disabled []routing.DisabledEndpoint, listed bool,
+// DisableEndpoint takes an endpoint out of use. Listed is false where no list ever had the id; disabled are
+// all that are out of use then, or were lately.
+func (a *Agent) DisableEndpoint(
+	ctx context.Context,
+	id string,
+) (disabled []routing.DisabledEndpoint, listed bool,
 	err error,
 ) {
 	return a.setDisabled(ctx, setDisabled{id: id})
 }
 
 // EnableEndpoint puts an endpoint back into use; see DisableEndpoint.
-func (a *Agent) EnableEndpoint(ctx context.Context, id string) (disabled []routing.DisabledEndpoint, listed bool,
+func (a *Agent) EnableEndpoint(
+	ctx context.Context,
+	id string,
+) (disabled []routing.DisabledEndpoint, listed bool,
 	err error,
 ) {
 	return a.setDisabled(ctx, setDisabled{id: id, enable: true})
@@ -142,7 +153,8 @@
 	return listed
 }
 
-// Endpoints returns those of this agent's own list, those that are disabled as draining; false where ctx ends before.
+// Endpoints returns those of this agent's own list, those that are disabled as draining; false where ctx ends
+// before.
 func (a *Agent) Endpoints(ctx context.Context) ([]balancer.Server, bool) {
 	return ask(ctx, a.list.mail, func(reply chan<- []balancer.Server) any { return endpointsQuery{reply} })
 }
--- a/internal/agent/exchange.go
+++ b/internal/agent/exchange.go
@@ -44,8 +44,8 @@
 	err      error
 }
 
-// carryOut carries an attempt out, on the connection of its checkout or a new one, returns the connection to the actor
-// and reports how the attempt ended. It runs in the attempt's goroutine.
+// carryOut carries an attempt out, on the connection of its checkout or a new one, returns the connection to
+// the actor and reports how the attempt ended. It runs in the attempt's goroutine.
 func (u *upstream) carryOut(a *attempt, checkout routing.Checkout[*transport.UpstreamConn]) {
 	defer a.cancel(nil)
 	e := &exchange{upstream: u, attempt: a, checkout: checkout, conn: checkout.Conn}
@@ -84,8 +84,8 @@
 	return false
 }
 
-// roundTrip writes the request and reads the response, unless the attempt is not to be written any more: then the
-// connection is as good as before.
+// roundTrip writes the request and reads the response, unless the attempt is not to be written any more: then
+// the connection is as good as before.
 func (e *exchange) roundTrip() {
 	a := e.attempt
 	if !a.beginWriting() {
@@ -156,7 +156,8 @@
 	return m
 }
 
-// end is the message that tells how the attempt ended. For a response that is being forwarded it waits until that is over.
+// end is the message that tells how the attempt ended. For a response that is being forwarded it waits until
+// that is over.
 func (e *exchange) end() attemptEnded {
 	ended := attemptEnded{attempt: e.attempt, response: e.response}
 	var p bodystream.Progress
@@ -178,8 +179,9 @@
 	return ended
 }
 
-// endpointLatency is how long the endpoint took for what came of its response, without the time that this side delayed
-// it. Of a response that was streamed only the beginning is timed: the rest takes as long as its length.
+// endpointLatency is how long the endpoint took for what came of its response, without the time that this
+// side delayed it. Of a response that was streamed only the beginning is timed: the rest takes as long as its
+// length.
 func (e *exchange) endpointLatency(p bodystream.Progress, ended time.Time) time.Duration {
 	if p.Whole && !p.LastCame.IsZero() { // else it was waited for until the end
 		ended = p.LastCame
@@ -212,8 +214,8 @@
 	return routing.AwaitingResponse
 }
 
-// endReasonOf tells why an attempt ended, by its context and error. This agent's own reason to end it comes first: what
-// the connection shows then follows from it.
+// endReasonOf tells why an attempt ended, by its context and error. This agent's own reason to end it comes
+// first: what the connection shows then follows from it.
 func endReasonOf(ctx context.Context, err error) routing.EndReason {
 	var own routing.EndReason
 	switch {
--- a/internal/agent/fleetactor.go
+++ b/internal/agent/fleetactor.go
@@ -16,7 +16,8 @@
 	"dunestep/internal/transport"
 )
 
-// FleetStore stores a voter's part of the log; see package fleetstore. Its methods are not called concurrently.
+// FleetStore stores a voter's part of the log; see package fleetstore. Its methods are not called
+// concurrently.
 type FleetStore interface {
 	// Write writes a voter's state as one, and returns once it is safe on disk.
 	Write(*raftlog.Persist) error
@@ -42,7 +43,8 @@
 	caughtUp  atomic.Bool
 	ready     atomic.Bool
 
-	mu   sync.Mutex  // of node: held by the actor while it handles a message, which takes microseconds, and by Read
+	// of node: held by the actor while it handles a message, which takes microseconds, and by Read
+	mu   sync.Mutex
 	node *fleet.Node // changed by the actor alone
 
 	// Of the actor.
@@ -82,7 +84,8 @@
 	return f, nil
 }
 
-// ReadClocks reads the machine's clocks: Unix time, and one that runs on while the process and the machine are paused.
+// ReadClocks reads the machine's clocks: Unix time, and one that runs on while the process and the machine
+// are paused.
 func ReadClocks() fleet.ClockReading {
 	var t unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &t) != nil {
@@ -101,11 +104,12 @@
 // IsReady tells whether this process has what was agreed, as far as it can be had. Once true it stays so.
 func (f *FleetActor) IsReady() bool { return f.ready.Load() }
 
-// IsCaughtUp tells whether this process has what others have agreed on, or has tried for long enough. Once true it stays
-// so.
+// IsCaughtUp tells whether this process has what others have agreed on, or has tried for long enough. Once
+// true it stays so.
 func (f *FleetActor) IsCaughtUp() bool { return f.caughtUp.Load() }
 
-// Do has the actor call a function with the node. False: ctx ended before; the function may be called all the same.
+// Do has the actor call a function with the node. False: ctx ended before; the function may be called all the
+// same.
 func (f *FleetActor) Do(ctx context.Context, do func(*fleet.Node, fleet.ClockReading)) bool {
 	done := make(chan struct{}, 1)
 	f.mail.put(fleetCall{do, done})
@@ -117,15 +121,16 @@
 	}
 }
 
-// Read calls a function with the node at this moment, beside the actor. It must not change anything that is sent or
-// stored.
+// Read calls a function with the node at this moment, beside the actor. It must not change anything that is
+// sent or stored.
 func (f *FleetActor) Read(read func(*fleet.Node, fleet.ClockReading)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	read(f.node, ReadClocks())
 }
 
-// LeaseStanding returns this agent's standing, for functions that the node calls. In Do and Read the node itself has it.
+// LeaseStanding returns this agent's standing, for functions that the node calls. In Do and Read the node
+// itself has it.
 func (f *FleetActor) LeaseStanding(now fleet.ClockReading) lease.Standing {
 	return f.node.Standing(now)
 }
@@ -139,8 +144,8 @@
 	case protocol.Datagram:
 		f.node.Receive(now, m.Agent, m.Data)
 	case fleetWake:
-		// The timer may fire slightly early. Nothing is due then, and the node's next time is the same as before: without
-		// this it would not be set again.
+		// The timer may fire slightly early. Nothing is due then, and the node's next time is the same as before:
+		// without this it would not be set again.
 		f.wakeAt = -1
 		f.node.Wake(now)
 	case fleetPersisted:
@@ -153,8 +158,8 @@
 	return true
 }
 
-// handlePersisted tells the node that what the voter asked for is safe. Where it could not be written the voter waits for
-// good: it says nothing more that it might have to take back.
+// handlePersisted tells the node that what the voter asked for is safe. Where it could not be written the
+// voter waits for good: it says nothing more that it might have to take back.
 func (f *FleetActor) handlePersisted(now fleet.ClockReading, m fleetPersisted) {
 	if m.err != nil {
 		slog.Error("fleet: the voter's log cannot be written, this voter is inactive until the next start", "error",
--- a/internal/agent/fleetlog.go
+++ b/internal/agent/fleetlog.go
@@ -17,7 +17,8 @@
 	case fleet.LogRestarted:
 		slog.Warn("fleet: the log was restarted, everything agreed before is lost", "epoch", at.Epoch)
 	case fleet.LogDiverged:
-		slog.Error("fleet: the log diverges from another agent's", "agent", e.Agent, "record", at.Seq, "error", e.Err)
+		slog.Error("fleet: the log diverges from another agent's", "agent", e.Agent, "record", at.Seq,
+			"error", e.Err)
 	case fleet.VoterStopped:
 		slog.Error("fleet: the voter has stopped", "error", e.Err)
 	case fleet.UnknownRecord:
--- a/internal/agent/list.go
+++ b/internal/agent/list.go
@@ -13,8 +13,8 @@
 	"dunestep/internal/transport"
 )
 
-// confirmAfterSilence is how long after discovery has accepted a watch its silence confirms the list that is known: a
-// newer one comes at once.
+// confirmAfterSilence is how long after discovery has accepted a watch its silence confirms the list that is
+// known: a newer one comes at once.
 const confirmAfterSilence = 200 * time.Millisecond
 
 // listUpdate tells the agent's actor of the endpoint list.
@@ -26,8 +26,8 @@
 	confirmation  routing.Confirmation
 }
 
-// listActor is the actor of the endpoint list: it makes the calls to discovery, each in a goroutine of its own that ends
-// with the call.
+// listActor is the actor of the endpoint list: it makes the calls to discovery, each in a goroutine of its
+// own that ends with the call.
 type listActor struct {
 	mail    *mailbox[any]
 	tracker *routing.ListTracker
@@ -74,14 +74,21 @@
 }
 
 // startList starts the actor, and reports the initial list at once.
-func startList(addr netip.AddrPort, initial protocol.EndpointList, disabled []routing.DisabledEndpoint, clock clock,
-	m *metrics.Figures, report func(listUpdate),
+func startList(
+	addr netip.AddrPort,
+	initial protocol.EndpointList,
+	disabled []routing.DisabledEndpoint,
+	clock clock,
+	m *metrics.Figures,
+	report func(listUpdate),
 ) *listActor {
 	l := &listActor{
 		mail: newMailbox[any](), tracker: routing.NewListTracker(addr, initial, disabled),
 		calls: map[int]context.CancelFunc{}, report: report, clock: clock, metrics: m,
 	}
-	l.report(listUpdate{kind: balancer.UpdateCached, list: l.tracker.ApplyDisabled(initial), discoveryList: initial})
+	l.report(
+		listUpdate{kind: balancer.UpdateCached, list: l.tracker.ApplyDisabled(initial), discoveryList: initial},
+	)
 	l.reportSize()
 	go l.mail.receive(l.handle)
 	return l
--- a/internal/agent/mailbox.go
+++ b/internal/agent/mailbox.go
@@ -2,9 +2,9 @@
 
 import "sync"
 
-// mailbox holds an actor's messages in the order in which they came. Putting never blocks, so that actors which send to
-// each other cannot deadlock. Its length is bounded by what makes messages: requests have descriptors, which are bounded,
-// and datagrams are put only while few wait. It is safe for concurrent use.
+// mailbox holds an actor's messages in the order in which they came. Putting never blocks, so that actors
+// which send to each other cannot deadlock. Its length is bounded by what makes messages: requests have
+// descriptors, which are bounded, and datagrams are put only while few wait. It is safe for concurrent use.
 type mailbox[T any] struct {
 	mu    sync.Mutex
 	queue []T
--- a/internal/agent/requests.go
+++ b/internal/agent/requests.go
@@ -17,16 +17,16 @@
 }
 
 const (
-	// fleetWaitFraction of its client's time, and maxFleetWait, is how long a request waits at most in a process that has
-	// just started and does not know yet what its fleet has agreed on.
+	// fleetWaitFraction of its client's time, and maxFleetWait, is how long a request waits at most in a
+	// process that has just started and does not know yet what its fleet has agreed on.
 	fleetWaitFraction = 0.5
 	maxFleetWait      = time.Second
 	// fleetPollInterval is how often it is looked whether that is known.
 	fleetPollInterval = 2 * time.Millisecond
 )
 
-// HandleRequest carries a request out and returns its final response; false where the client left before. In a process
-// that has just started it may wait first: see waitForFleetState.
+// HandleRequest carries a request out and returns its final response; false where the client left before. In
+// a process that has just started it may wait first: see waitForFleetState.
 func (a *Agent) HandleRequest(ctx context.Context, r *protocol.Request) (protocol.Response, bool) {
 	if !a.waitForFleetState(ctx, r.TimeLeft) {
 		r.Release()
@@ -49,8 +49,9 @@
 	}
 }
 
-// waitForFleetState has a request that arrives before this process has caught up with its fleet wait a little: forwarded
-// at once it could reach an endpoint that operators were told is free of such requests. False: the client has left.
+// waitForFleetState has a request that arrives before this process has caught up with its fleet wait a
+// little: forwarded at once it could reach an endpoint that operators were told is free of such requests.
+// False: the client has left.
 func (a *Agent) waitForFleetState(ctx context.Context, timeLeft time.Duration) bool {
 	if a.fleetCaughtUp == nil || a.fleetCaughtUp() {
 		return true
--- a/internal/agent/sharedlimits.go
+++ b/internal/agent/sharedlimits.go
@@ -45,7 +45,8 @@
 	l.shared.Restore(s, age)
 }
 
-// connectTimeouts are how long connections are waited for, which all upstreams share. It is safe for concurrent use.
+// connectTimeouts are how long connections are waited for, which all upstreams share. It is safe for
+// concurrent use.
 type connectTimeouts struct {
 	mu     sync.Mutex
 	shared routing.ConnectTimeouts
--- a/internal/agent/upstream.go
+++ b/internal/agent/upstream.go
@@ -21,8 +21,8 @@
 	metrics           *metrics.Figures
 }
 
-// upstream is the actor of one endpoint, with its pool of connections. Attempts run beside it, in goroutines that it
-// starts and that end with the attempt.
+// upstream is the actor of one endpoint, with its pool of connections. Attempts run beside it, in goroutines
+// that it starts and that end with the attempt.
 type upstream struct {
 	settings upstreamSettings
 	mail     *mailbox[any]
@@ -36,10 +36,11 @@
 type (
 	addressChanged     struct{ addr netip.AddrPort }
 	connectionReturned struct {
-		checkout        routing.Checkout[*transport.UpstreamConn]
-		conn            *transport.UpstreamConn // nil: closed
-		unused          bool                    // it is the checkout's, and nothing was written on it
-		unansweredSince time.Duration           // when its attempt was sent, where it was reused and got no answer; else zero
+		checkout routing.Checkout[*transport.UpstreamConn]
+		conn     *transport.UpstreamConn // nil: closed
+		unused   bool                    // it is the checkout's, and nothing was written on it
+		// when its attempt was sent, where it was reused and got no answer; else zero
+		unansweredSince time.Duration
 	}
 	idleExpired     struct{}
 	connectionEnded struct{ conn *transport.UpstreamConn }
@@ -107,8 +108,8 @@
 	return u.pool.Release(now, m.conn, m.checkout.Addr, m.conn.HasEnded())
 }
 
-// scheduleExpiry sets the timer for the next idle connection that is to be closed. One that is set for earlier stays:
-// when it fires, the next is set.
+// scheduleExpiry sets the timer for the next idle connection that is to be closed. One that is set for
+// earlier stays: when it fires, the next is set.
 func (u *upstream) scheduleExpiry() {
 	at, any := u.pool.NextExpiry()
 	if !any || u.expiryAt != 0 && u.expiryAt <= at {
--- a/internal/balancer/attempt.go
+++ b/internal/balancer/attempt.go
@@ -11,11 +11,12 @@
 
 // attempt is one try of a request at a server.
 type attempt struct {
-	server             *server
-	outlier            outlier.Attempt
-	reportedInFlight   float64       // by the server's report when it was sent; unreported: none
-	failedProbeLatency time.Duration // a served answer sooner than this contradicts a failed probe; zero: none failed
-	inFlightAtSend     int32         // at the server, from this balancer
+	server           *server
+	outlier          outlier.Attempt
+	reportedInFlight float64 // by the server's report when it was sent; unreported: none
+	// a served answer sooner than this contradicts a failed probe; zero: none failed
+	failedProbeLatency time.Duration
+	inFlightAtSend     int32 // at the server, from this balancer
 	done               bool
 	responseStarted    bool
 	unprocessed        bool // it had no effect
@@ -76,9 +77,9 @@
 	}
 }
 
-// onStreamStarted stops counting an attempt as in flight once its answer has begun: a client that reads a long
-// answer slowly must not make the server look busy and silent. Where a class streams, the server works until
-// the end, so that the attempt counts on.
+// onStreamStarted stops counting an attempt as in flight once its answer has begun: a client that reads a
+// long answer slowly must not make the server look busy and silent. Where a class streams, the server works
+// until the end, so that the attempt counts on.
 func (b *Balancer) onStreamStarted(e *StreamStarted) {
 	r := b.requests[e.ID]
 	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) {
--- a/internal/balancer/eligibility.go
+++ b/internal/balancer/eligibility.go
@@ -29,13 +29,25 @@
 )
 
 var skipReasonTexts = [...]string{
-	notSkipped: "not skipped", skipNotListed: "draining or gone", skipExcluded: "excluded for the tenant",
-	skipTried: "tried before", skipNotIdempotent: "not idempotent", skipDedupWindowOver: "deduplication window over",
-	skipOutsideDedupScope: "outside the deduplication scope", skipZoneUnreachable: "zone unreachable",
-	skipDown: "ejected or damped", skipPossiblyReplaced: "possibly replaced", skipOnProbation: "on probation",
-	skipWarmingUp: "warming up", skipHedgedProbe: "gets a hedged probe request", skipRejecting: "rejecting requests",
-	skipSuspect: "possibly failing", skipKeyBeyondWeight: "key beyond its weight", skipSaturated: "saturated",
-	skipOverFairShare: "over its fair share", skipSearchingWarmingUp: "searching for a server in slow start",
+	notSkipped:             "not skipped",
+	skipNotListed:          "draining or gone",
+	skipExcluded:           "excluded for the tenant",
+	skipTried:              "tried before",
+	skipNotIdempotent:      "not idempotent",
+	skipDedupWindowOver:    "deduplication window over",
+	skipOutsideDedupScope:  "outside the deduplication scope",
+	skipZoneUnreachable:    "zone unreachable",
+	skipDown:               "ejected or damped",
+	skipPossiblyReplaced:   "possibly replaced",
+	skipOnProbation:        "on probation",
+	skipWarmingUp:          "warming up",
+	skipHedgedProbe:        "gets a hedged probe request",
+	skipRejecting:          "rejecting requests",
+	skipSuspect:            "possibly failing",
+	skipKeyBeyondWeight:    "key beyond its weight",
+	skipSaturated:          "saturated",
+	skipOverFairShare:      "over its fair share",
+	skipSearchingWarmingUp: "searching for a server in slow start",
 }
 
 func (r skipReason) String() string { return skipReasonTexts[r] }
@@ -55,8 +67,8 @@
 	return !s.sawDraining && (s.State == Ready || b.settings.Rules.GoneUsable && s.State == Gone)
 }
 
-// checkPermitted applies the rules that hold whatever the server's condition: the list, exclusions, and what an
-// earlier attempt that may have been processed forbids.
+// checkPermitted applies the rules that hold whatever the server's condition: the list, exclusions, and what
+// an earlier attempt that may have been processed forbids.
 func (b *Balancer) checkPermitted(r *request, s *server) skipReason {
 	switch {
 	case !b.isListed(s):
@@ -90,8 +102,8 @@
 	return notSkipped
 }
 
-// checkTrust reports whether the server is trusted with the request, and what for. For one on probation that is
-// whether it has room for one more attempt.
+// checkTrust reports whether the server is trusted with the request, and what for. For one on probation that
+// is whether it has room for one more attempt.
 func (b *Balancer) checkTrust(r *request, s *server) (skipReason, attemptPurpose) {
 	if s.probation == nil {
 		return b.checkHealth(r, s)
@@ -102,8 +114,8 @@
 	return notSkipped, serveRequest
 }
 
-// checkHealth reports whether the server is healthy, or due for a probe request. Where most servers look bad for
-// one cause near this balancer, verdicts are ignored and only the expected latency decides.
+// checkHealth reports whether the server is healthy, or due for a probe request. Where most servers look bad
+// for one cause near this balancer, verdicts are ignored and only the expected latency decides.
 func (b *Balancer) checkHealth(r *request, s *server) (skipReason, attemptPurpose) {
 	damped := s.isDamped(b.now)
 	if b.isZoneCutOff(s) {
@@ -112,7 +124,8 @@
 		}
 		return skipZoneUnreachable, serveRequest
 	}
-	if b.detector.DistrustReason() != "" || !damped && b.detector.Verdict(s.outlier, r.class.index) != outlier.Ejected {
+	if b.detector.DistrustReason() != "" ||
+		!damped && b.detector.Verdict(s.outlier, r.class.index) != outlier.Ejected {
 		return notSkipped, serveRequest
 	}
 	// What listens there next may be another server, which only an updated list would tell.
--- a/internal/balancer/endpoints.go
+++ b/internal/balancer/endpoints.go
@@ -93,7 +93,8 @@
 		b.servers[e.ID], b.byHash[s.hash] = s, s
 	}
 	changed = s.State != e.State
-	if e.StartedAt != s.StartedAt || s.ringPlace == nil { // new or restarted: what was known is of another process
+	// new or restarted: what was known is of another process
+	if e.StartedAt != s.StartedAt || s.ringPlace == nil {
 		s.latency, s.latencyInFlight = 0, 0
 		b.detector.ServerRestarted(s.outlier)
 		s.slowStart.Start(b.now, b.rng.Float64())
--- a/internal/balancer/events.go
+++ b/internal/balancer/events.go
@@ -129,8 +129,8 @@
 	Watch   WatchStatus
 }
 
-// WatchStatus is what is known of the call to discovery that a ServerListUpdate is about; zero: nothing, as in
-// the simulator.
+// WatchStatus is what is known of the call to discovery that a ServerListUpdate is about; zero: nothing, as
+// in the simulator.
 type WatchStatus struct {
 	End       backoff.CallResult // of UpdateFailed: how the call ended
 	SilentFor time.Duration      // of backoff.WatchSilent: how long nothing had come
--- a/internal/balancer/exclusions.go
+++ b/internal/balancer/exclusions.go
@@ -8,7 +8,8 @@
 	"dunestep/internal/balancer/ring"
 )
 
-// A maintenance window that a fleet has agreed on keeps some tenants' keys away from some servers for a while.
+// A maintenance window that a fleet has agreed on keeps some tenants' keys away from some servers for a
+// while.
 
 // NoTenant stands for requests of none of the settings' tenants.
 const NoTenant = "-"
@@ -19,8 +20,8 @@
 // overrideLogInterval is the least time between two log lines about a tenant's overridden exclusions.
 const overrideLogInterval = 10 * time.Second
 
-// Exclusions says which of a tenant's keys are kept away from which servers. It must not be changed once given.
-// Tenants and servers that are not known are ignored until they are.
+// Exclusions says which of a tenant's keys are kept away from which servers. It must not be changed once
+// given. Tenants and servers that are not known are ignored until they are.
 type Exclusions struct {
 	// Tenants by name, or NoTenant, and by server id: the keys whose KeyRank is below the number are excluded;
 	// math.MaxUint32: all, also requests without a key.
@@ -30,8 +31,8 @@
 	AllTenants func(server, zone string) bool
 }
 
-// KeyRank orders all keys at a server, from 0 to math.MaxUint32, by the hash of the key: uniformly, in the same
-// order at every agent, and in another one at each server.
+// KeyRank orders all keys at a server, from 0 to math.MaxUint32, by the hash of the key: uniformly, in the
+// same order at every agent, and in another one at each server.
 func KeyRank(hash uint32, server string) uint32 { return keyRank(hash, ring.Hash(server)) }
 
 // keyRank mixes a key's and a server's hash, independently of keyFitsWeight.
@@ -66,9 +67,9 @@
 }
 
 // SetExclusions has the Balancer keep tenants' keys away from servers from the next Step on; nil: from none.
-// Attempts that are under way go on. It holds for attempts of every kind: first ones, retries, hedged and probe
-// requests. Only while a request has no other server that is listed and not known to be down, exclusions are
-// overridden; that the others are busy or were tried is no reason.
+// Attempts that are under way go on. It holds for attempts of every kind: first ones, retries, hedged and
+// probe requests. Only while a request has no other server that is listed and not known to be down,
+// exclusions are overridden; that the others are busy or were tried is no reason.
 func (b *Balancer) SetExclusions(x *Exclusions) {
 	if x == b.exclusions.given {
 		return
@@ -110,8 +111,8 @@
 	}
 }
 
-// hasServerLeft reports whether a listed server that is not excluded is not known to be down, also where verdicts
-// are distrusted. It looks first where it found one last.
+// hasServerLeft reports whether a listed server that is not excluded is not known to be down, also where
+// verdicts are distrusted. It looks first where it found one last.
 func (b *Balancer) hasServerLeft(r *request) bool {
 	members := b.ring.Members()
 	for i := range members {
--- a/internal/balancer/fleetsize.go
+++ b/internal/balancer/fleetsize.go
@@ -10,7 +10,8 @@
 	Quotas int
 }
 
-// SetFleetSize has the Balancer divide by other numbers from the next Step on; the zero value takes that back.
+// SetFleetSize has the Balancer divide by other numbers from the next Step on; the zero value takes that
+// back.
 //
 // However wrong the numbers are, and at however many agents, all together make at most half as many probe
 // requests again to a server that is down, and no tenant gets more than half its quota again. What servers in
@@ -21,9 +22,9 @@
 	b.quotas.SetBalancers(EffectiveFleetSize(size.Quotas, b.settings.Balancers))
 }
 
-// EffectiveFleetSize is the number of agents to divide by where the settings name so many and so many are said
-// to be live: at least two thirds of the named, at most all of them. A sum over all live agents is so at most
-// half as much again as where each divides by the number that the settings name.
+// EffectiveFleetSize is the number of agents to divide by where the settings name so many and so many are
+// said to be live: at least two thirds of the named, at most all of them. A sum over all live agents is so at
+// most half as much again as where each divides by the number that the settings name.
 func EffectiveFleetSize(live, named int) int {
 	if live <= 0 {
 		return named
--- a/internal/balancer/hedging.go
+++ b/internal/balancer/hedging.go
@@ -3,8 +3,10 @@
 // mayHedgeProbe reports whether a probe request to a server that is down can be a hedged request, so that it
 // costs the client nothing: the request goes to a healthy server too.
 func (b *Balancer) mayHedgeProbe(r *request) bool {
-	return r.class.Idempotency == Idempotent && !r.class.Streaming && r.class.hedging && !b.settings.Limits.Probes &&
-		len(r.attempts) == 0 && r.class.maxAttempts > 1
+	return r.class.Idempotency == Idempotent && !r.class.Streaming &&
+		r.class.hedging && !b.settings.Limits.Probes &&
+		len(r.attempts) == 0 &&
+		r.class.maxAttempts > 1
 }
 
 // sendHedgedProbe sends the hedged probe request that the selection has found a server for.
@@ -15,8 +17,8 @@
 	}
 }
 
-// dispatch sends the request to the server and, where the server's probation asks for that, to a second one at
-// once. The second one then counts as the request's own attempt, and the first one as the hedge.
+// dispatch sends the request to the server and, where the server's probation asks for that, to a second one
+// at once. The second one then counts as the request's own attempt, and the first one as the hedge.
 func (b *Balancer) dispatch(r *request, s *server) {
 	twice := s.probation != nil && s.probation.ShouldHedge(r.probationRequest())
 	b.sendAttempt(r, s)
--- a/internal/balancer/introspection.go
+++ b/internal/balancer/introspection.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// EjectedServers counts the listed, ready servers that get no ordinary requests now: those ejected, damped, or
-// skipped because they have been rejecting requests.
+// EjectedServers counts the listed, ready servers that get no ordinary requests now: those ejected, damped,
+// or skipped because they have been rejecting requests.
 func (b *Balancer) EjectedServers() (n int) {
 	for _, s := range b.servers {
 		if s.State == Ready && (s.outlier.IsEjected() || s.isDamped(b.now) || s.outlier.IsAvoided(b.now)) {
--- a/internal/balancer/latency.go
+++ b/internal/balancer/latency.go
@@ -90,7 +90,12 @@
 // one, under the usual load for a usual one. So it gets some requests, but not at once all that the others
 // have no capacity for.
 func (b *Balancer) latencyOfNewServer(s *server) float64 {
-	byLoad := max(b.meanLatency-b.baseline.seconds, b.baseline.seconds) * float64(s.inFlight) / (b.typicalInFlight + 1)
+	byLoad := max(
+		b.meanLatency-b.baseline.seconds,
+		b.baseline.seconds,
+	) * float64(
+		s.inFlight,
+	) / (b.typicalInFlight + 1)
 	return b.baseline.seconds + byLoad
 }
 
@@ -102,9 +107,11 @@
 		age := float64(b.now-s.latencyAt) / float64(b.observationHalfLife)
 		t = b.baseline.seconds + (t-b.baseline.seconds)*math.Exp2(-age)
 	}
-	if f := (float64(s.inFlight) + 1 + otherBalancersInFlight) / (s.latencyInFlight + otherBalancersInFlight); f > 1 {
+	f := (float64(s.inFlight) + 1 + otherBalancersInFlight) / (s.latencyInFlight + otherBalancersInFlight)
+	if f > 1 {
 		t *= f
-	} else if t > b.baseline.seconds { // its queue has emptied since, and with it the queue's part of the latency
+	} else if t > b.baseline.seconds {
+		// Its queue has emptied since, and with it the queue's part of the latency.
 		t = b.baseline.seconds + (t-b.baseline.seconds)*f
 	}
 	return t
@@ -114,7 +121,8 @@
 func (b *Balancer) latencyLimit(r *request) float64 {
 	t := min(r.class.latencyLimit, b.latencyLimitFraction*seconds(min(r.objectiveAt, r.deadline)-b.now))
 	if r.overQuota && t > b.baseline.seconds { // a part of the queueing time: an idle server takes its time too
-		if t = b.baseline.seconds + b.tuning.OverQuotaQueueFraction*(t-b.baseline.seconds); !b.settings.Limits.Gossip {
+		t = b.baseline.seconds + b.tuning.OverQuotaQueueFraction*(t-b.baseline.seconds)
+		if !b.settings.Limits.Gossip {
 			// Without gossip the quotas themselves are a guess: see package quota.
 			t += (1 - b.tuning.OverQuotaQueueFraction) / 2 / b.tuning.OverQuotaQueueFraction * (t - b.baseline.seconds)
 		}
@@ -123,11 +131,13 @@
 }
 
 // setLatencyLimits sets each class's latency limit. All classes wait in the same queues, so the one with the
-// longest limit would shut the others out: none accepts more than the most valuable class, and the others less
-// by their value in the score, where a class's weight counts in the total and any class may be the worst one.
+// longest limit would shut the others out: none accepts more than the most valuable class, and the others
+// less by their value in the score, where a class's weight counts in the total and any class may be the worst
+// one.
 func (b *Balancer) setLatencyLimits() {
 	b.latencyLimitFraction = maxLatencyFraction
-	if miss := b.settings.ScoreWeights.TailMissRatio; b.settings.ScoreWeights.TailLatency > 0 && miss > 0 && miss < 1 {
+	if miss := b.settings.ScoreWeights.TailMissRatio; b.settings.ScoreWeights.TailLatency > 0 && miss > 0 &&
+		miss < 1 {
 		// Where the tail counts, no more than this ratio may miss the objective. With exponentially distributed
 		// latencies that holds while their mean is below the objective over ln(1/miss).
 		b.latencyLimitFraction = min(maxLatencyFraction, 1/math.Log(1/miss))
@@ -143,6 +153,9 @@
 		if v := value(top); v > 0 {
 			rank = lowestRankFraction + (1-lowestRankFraction)*value(c.Class)/v
 		}
-		c.latencyLimit = b.latencyLimitFraction * min(seconds(c.LatencyObjective), rank*seconds(top.LatencyObjective))
+		c.latencyLimit = b.latencyLimitFraction * min(
+			seconds(c.LatencyObjective),
+			rank*seconds(top.LatencyObjective),
+		)
 	}
 }
--- a/internal/balancer/loadreports.go
+++ b/internal/balancer/loadreports.go
@@ -11,8 +11,8 @@
 
 // zoneReport is what the reports of a zone's servers have been worth: the means of the wait that followed, in
 // seconds beyond the baseline, and of the requests in flight that they said. Reports of a full server with
-// fast answers after them so lose their weight; a zone of truthful and wrong servers is believed by the mean of
-// both.
+// fast answers after them so lose their weight; a zone of truthful and wrong servers is believed by the mean
+// of both.
 type zoneReport struct{ wait, inFlight float64 }
 
 // zoneReport returns that of a server's zone.
--- a/internal/balancer/observe.go
+++ b/internal/balancer/observe.go
@@ -16,7 +16,8 @@
 	b.recordLoadReport(a.server, e.LoadReport)
 	b.observeReport(a, e)
 	b.observeFailedProbe(a, e)
-	if e.Outcome == NotSent || e.Outcome == Canceled || e.Evidence.LocalShortage { // it says nothing of the server
+	// it says nothing of the server
+	if e.Outcome == NotSent || e.Outcome == Canceled || e.Evidence.LocalShortage {
 		b.detectEnd(a, e, r.class)
 		return
 	}
@@ -47,7 +48,11 @@
 func (b *Balancer) observeRejected(r *request, a *attempt, e *AttemptDone) {
 	s := a.server
 	s.silentSince = b.now
-	b.recordLatency(s, max(seconds(e.Latency), s.latency, seconds(r.class.LatencyObjective)*affinityFraction), a.inFlightAtSend)
+	b.recordLatency(
+		s,
+		max(seconds(e.Latency), s.latency, seconds(r.class.LatencyObjective)*affinityFraction),
+		a.inFlightAtSend,
+	)
 	b.detectEnd(a, e, r.class)
 }
 
--- a/internal/balancer/outliers.go
+++ b/internal/balancer/outliers.go
@@ -35,8 +35,8 @@
 	b.onOutlierChange(a.server, found, c)
 }
 
-// onOutlierChange logs what the detector found. The class is that of the attempt that showed it; nil: a round's
-// end did. A server that went down or came back starts with a new slow-start budget.
+// onOutlierChange logs what the detector found. The class is that of the attempt that showed it; nil: a
+// round's end did. A server that went down or came back starts with a new slow-start budget.
 func (b *Balancer) onOutlierChange(s *server, found outlier.Change, c *class) {
 	switch found {
 	case outlier.Unchanged:
--- a/internal/balancer/poisonedkeys.go
+++ b/internal/balancer/poisonedkeys.go
@@ -28,9 +28,9 @@
 	return now > max(k.lastFailureAt+poisonDuration, k.until)
 }
 
-// blameKey notes a key's failure at a server that serves others, and reports whether the key is to blame: some
-// requests break whichever server gets them. Where many attempts fail whatever their keys, a failure is no
-// evidence against the key.
+// blameKey notes a key's failure at a server that serves others, and reports whether the key is to blame:
+// some requests break whichever server gets them. Where many attempts fail whatever their keys, a failure is
+// no evidence against the key.
 func (b *Balancer) blameKey(key uint32, s *server, sent time.Duration) bool {
 	if s.lastServedAt+roundInterval < sent || b.failureFraction > maxBlameFailureFraction {
 		return false
@@ -51,8 +51,8 @@
 	return len(k.servers) >= blameServers
 }
 
-// isPoisoned reports whether requests with the key are rejected. Now and then one is let through, to see whether
-// it still fails.
+// isPoisoned reports whether requests with the key are rejected. Now and then one is let through, to see
+// whether it still fails.
 func (b *Balancer) isPoisoned(key uint32) bool {
 	k := b.blamedKeys[key]
 	if k == nil || len(k.servers) < poisonServers {
--- a/internal/balancer/probation.go
+++ b/internal/balancer/probation.go
@@ -30,9 +30,13 @@
 // probationRequest is what counts of the request at a server on probation.
 func (r *request) probationRequest() probation.Request {
 	return probation.Request{
-		LatencyObjective: r.class.LatencyObjective, Idempotent: r.class.Idempotency == Idempotent, MayHedge: r.class.hedging,
-		Attempts: len(r.attempts), MaxAttempts: r.class.maxAttempts, WaitUntil: r.probationUntil,
-		HasEndedAttempt: slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.done }),
+		LatencyObjective: r.class.LatencyObjective,
+		Idempotent:       r.class.Idempotency == Idempotent,
+		MayHedge:         r.class.hedging,
+		Attempts:         len(r.attempts),
+		MaxAttempts:      r.class.maxAttempts,
+		WaitUntil:        r.probationUntil,
+		HasEndedAttempt:  slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.done }),
 	}
 }
 
@@ -42,13 +46,18 @@
 		return timeout
 	}
 	s.probation.AttemptSent()
-	return s.probation.AttemptTimeout(r.probationRequest(), timeout, time.Duration(b.baseline.seconds*float64(time.Second)))
+	return s.probation.AttemptTimeout(
+		r.probationRequest(),
+		timeout,
+		time.Duration(b.baseline.seconds*float64(time.Second)),
+	)
 }
 
-// observeProbation counts an attempt's end at a server on probation, and ends the probation when it has served
-// enough.
+// observeProbation counts an attempt's end at a server on probation, and ends the probation when it has
+// served enough.
 func (b *Balancer) observeProbation(a *attempt, e *AttemptDone) {
-	if s := a.server; s.probation != nil && b.probation.AttemptEnded(s.probation, b.now, probationOutcome(e.Outcome)) {
+	if s := a.server; s.probation != nil &&
+		b.probation.AttemptEnded(s.probation, b.now, probationOutcome(e.Outcome)) {
 		s.probation = nil
 	}
 }
@@ -65,8 +74,8 @@
 	return probation.Failed
 }
 
-// waitForProbation has a request that found no server wait for one to end its probation, where one may in time,
-// and else ends it.
+// waitForProbation has a request that found no server wait for one to end its probation, where one may in
+// time, and else ends it.
 func (b *Balancer) waitForProbation(r *request) {
 	r.probationUntil = b.probation.WaitDeadline(r.probationRequest(), b.now, r.deadline-2*b.settings.Tick)
 	waiting := r.probationRequest()
--- a/internal/balancer/probing.go
+++ b/internal/balancer/probing.go
@@ -26,16 +26,18 @@
 // trustsProbes reports whether failed probes have been true of late.
 func (b *Balancer) trustsProbes() bool { return b.falseProbeFraction <= maxFalseProbeFraction }
 
-// needsProbe reports whether the server must be probed before the request goes there: it has not responded for
-// half an objective, and the request is not one that tests the probes.
+// needsProbe reports whether the server must be probed before the request goes there: it has not responded
+// for half an objective, and the request is not one that tests the probes.
 func (b *Balancer) needsProbe(r *request, s *server) bool {
-	return b.settings.Limits.Probes && b.settings.Costs.Probe <= b.settings.Costs.LateFailure && b.trustsProbes() &&
-		b.now-s.lastResponseAt >= r.class.LatencyObjective/2 && !r.ignoresProbes &&
+	return b.settings.Limits.Probes && b.settings.Costs.Probe <= b.settings.Costs.LateFailure &&
+		b.trustsProbes() &&
+		b.now-s.lastResponseAt >= r.class.LatencyObjective/2 &&
+		!r.ignoresProbes &&
 		(b.hasFewObservations() || s.outlier.IsEjected())
 }
 
-// mayGoUnprobed reports whether a request that has been probed for as often as it may goes to a server without one:
-// while probes are answered quickly on the whole.
+// mayGoUnprobed reports whether a request that has been probed for as often as it may goes to a server
+// without one: while probes are answered quickly on the whole.
 func (b *Balancer) mayGoUnprobed(r *request) bool {
 	return r.probes == maxProbesPerRequest && b.baseline.seconds+b.meanProbeWait <= b.latencyLimit(r)
 }
--- a/internal/balancer/request.go
+++ b/internal/balancer/request.go
@@ -93,7 +93,8 @@
 	// much older, and likely too old to count. Where clients don't mark their retries, those with short
 	// timeouts of their own are taken for old ones; where they do, a first try that was long on its way is not.
 	c.maxClientTimeout = max(c.maxClientTimeout, e.ClientTimeout)
-	if e.ClientTimeout < c.maxClientTimeout-b.settings.Tick && (e.ClientRetry || !b.settings.ClientsMarkRetries) {
+	if e.ClientTimeout < c.maxClientTimeout-b.settings.Tick &&
+		(e.ClientRetry || !b.settings.ClientsMarkRetries) {
 		r.objectiveAt -= c.Deadline - e.ClientTimeout
 	}
 	if c.LateWeight > 0 {
--- a/internal/balancer/restore.go
+++ b/internal/balancer/restore.go
@@ -90,7 +90,10 @@
 	if m.ReportedAgo > 0 {
 		s.reportedInFlight, s.reportedAt = validAmount(m.ReportedInFlight), b.now-validAge(m.ReportedAgo)-age
 	}
-	s.flapPenalty, s.flapPenaltyAt = min(validAmount(m.FlapPenalty), maxPenaltyMultiple*b.tuning.SuppressLimit), b.now-age
+	s.flapPenalty, s.flapPenaltyAt = min(
+		validAmount(m.FlapPenalty),
+		maxPenaltyMultiple*b.tuning.SuppressLimit,
+	), b.now-age
 	if left := min(m.DampedFor, dampingDuration) - age; left > 0 {
 		s.dampedUntil = b.now + left
 	}
@@ -124,7 +127,10 @@
 // decayed keeps the latency and lowers the number of samples, so that the next ones count for more: any other
 // guess at the latency would be worse.
 func (m BaselineSnapshot) decayed(weight float64) baselineLatency {
-	l := baselineLatency{seconds: validAmount(m.Latency), samples: math.Floor(weight * min(validAmount(m.Samples), maxSamples))}
+	l := baselineLatency{
+		seconds: validAmount(m.Latency),
+		samples: math.Floor(weight * min(validAmount(m.Samples), maxSamples)),
+	}
 	if l.seconds == 0 || l.seconds > maxLatency || l.samples < 1 {
 		return baselineLatency{}
 	}
--- a/internal/balancer/retry.go
+++ b/internal/balancer/retry.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// checkRetry returns why the request is not retried after the wait. Whether a server is too slow for the retry
-// is for selectServer to say.
+// checkRetry returns why the request is not retried after the wait. Whether a server is too slow for the
+// retry is for selectServer to say.
 func (b *Balancer) checkRetry(r *request, wait time.Duration) endReason {
 	left := r.objectiveAt - b.now - wait
 	switch {
@@ -64,11 +64,15 @@
 // earnRetryTokens credits the retry budgets with a new request.
 func (b *Balancer) earnRetryTokens() {
 	b.retryTokens = min(b.retryTokens+b.tuning.RetryRatio, b.tuning.RetryBurst)
-	b.unprocessedRetryTokens = min(b.unprocessedRetryTokens+b.tuning.UnprocessedRetryRatio, b.tuning.UnprocessedRetryBurst)
+	b.unprocessedRetryTokens = min(
+		b.unprocessedRetryTokens+b.tuning.UnprocessedRetryRatio,
+		b.tuning.UnprocessedRetryBurst,
+	)
 }
 
 // spendRetryToken pays for a retry at the server and reports whether the budget allows it; first attempts are
-// free. A retry of an unprocessed attempt adds no load to the fleet: at a healthy server a larger budget pays.
+// free. A retry of an unprocessed attempt adds no load to the fleet: at a healthy server a larger budget
+// pays.
 func (b *Balancer) spendRetryToken(r *request, s *server) bool {
 	if !r.needsRetryToken {
 		return true
--- a/internal/balancer/ringassignment.go
+++ b/internal/balancer/ringassignment.go
@@ -7,8 +7,8 @@
 	maxPoints = 100 * pointsPerServer
 )
 
-// RingAssignment is a generation of the ring that a fleet has agreed on: which servers take part, and with how
-// many points. It must not be changed once given.
+// RingAssignment is a generation of the ring that a fleet has agreed on: which servers take part, and with
+// how many points. It must not be changed once given.
 type RingAssignment struct {
 	Generation uint64
 	Points     map[string]int // by server id; servers that are not in it have none
@@ -18,10 +18,10 @@
 // which each ready server has the usual points.
 //
 // The ring's members are the servers of the assignment that the own list names as ready. What that list says
-// is draining or gone is skipped at once, and nothing becomes known by being assigned. Servers of the own list
-// without points have no keys: they get what the others can't take, and those in slow start among them get
-// requests while warm servers are saturated, until the next generation includes them. An assignment that names
-// no ready server, or only such as are down while others are not, is ignored.
+// is draining or gone is skipped at once, and nothing becomes known by being assigned. Servers of the own
+// list without points have no keys: they get what the others can't take, and those in slow start among them
+// get requests while warm servers are saturated, until the next generation includes them. An assignment that
+// names no ready server, or only such as are down while others are not, is ignored.
 func (b *Balancer) SetRingAssignment(a *RingAssignment) {
 	if a == b.givenAssignment {
 		return
@@ -122,9 +122,9 @@
 	anyCapacity
 )
 
-// selectOutsideRing returns the first server outside the assignment that accepts the request. Where many servers
-// are replaced at once, the new ones have no points before the next generation, and the remaining old ones
-// can't take all requests.
+// selectOutsideRing returns the first server outside the assignment that accepts the request. Where many
+// servers are replaced at once, the new ones have no points before the next generation, and the remaining old
+// ones can't take all requests.
 func (b *Balancer) selectOutsideRing(sel *selection, use outsideUse) (chosen *server) {
 	if len(b.outsideRing.Members()) == 0 || use == reliefOnly && !b.warmSaturated {
 		return nil
--- a/internal/balancer/saturation.go
+++ b/internal/balancer/saturation.go
@@ -30,9 +30,9 @@
 	return b.sendRate*seconds(b.observationHalfLife) < b.memberCount()
 }
 
-// Sparse reports whether this balancer is one of so many, and sends so little, that what it has in flight at a
-// server says nothing of how busy the server is. With few balancers, limits on its own requests in flight are
-// enough.
+// Sparse reports whether this balancer is one of so many, and sends so little, that what it has in flight at
+// a server says nothing of how busy the server is. With few balancers, limits on its own requests in flight
+// are enough.
 func (b *Balancer) Sparse() bool {
 	return initialInFlight < sparseFraction*float64(b.settings.Balancers) && b.hasFewObservations()
 }
@@ -50,7 +50,8 @@
 	return expected > affinityFraction*seconds(r.class.LatencyObjective) && b.exceedsBoundedLoad(s)
 }
 
-// probeIsLate reports whether the server has not answered its probe in the time that the request waits for it.
+// probeIsLate reports whether the server has not answered its probe in the time that the request waits for
+// it.
 func (b *Balancer) probeIsLate(r *request, s *server) bool {
 	return s.probePending && b.trustsProbes() &&
 		float64(b.now-s.probeSentAt) >= probeWaitFraction*float64(r.class.LatencyObjective)
@@ -61,8 +62,8 @@
 	return float64(s.inFlight) > max(b.typicalInFlight+surgeDeviations*math.Sqrt(b.typicalInFlight), 1)
 }
 
-// exceedsBoundedLoad reports whether one more request puts the server above its bound over the mean load, by its
-// own report where that is fresh.
+// exceedsBoundedLoad reports whether one more request puts the server above its bound over the mean load, by
+// its own report where that is fresh.
 func (b *Balancer) exceedsBoundedLoad(s *server) bool {
 	load, mean := float64(s.inFlight), float64(b.inFlight+1)/b.memberCount()
 	if b.hasFreshReport(s) {
@@ -96,7 +97,8 @@
 	b.changeInFlight(0)
 	if b.sentThisRound >= idleRoundFraction*b.sendRate {
 		b.sendRate += gain * (b.sentThisRound - b.sendRate)
-		b.typicalInFlight += inFlightGain * (b.inFlightSeconds/seconds(roundInterval)/b.memberCount() - b.typicalInFlight)
+		mean := b.inFlightSeconds / seconds(roundInterval) / b.memberCount()
+		b.typicalInFlight += inFlightGain * (mean - b.typicalInFlight)
 	} else {
 		b.meanLatency /= 2 // it includes failures, and would keep anything from being retried
 	}
--- a/internal/balancer/select.go
+++ b/internal/balancer/select.go
@@ -122,8 +122,8 @@
 	return chosen
 }
 
-// consider returns why the server does not get the request, or notSkipped, and notes in the selection what the
-// server is good for otherwise.
+// consider returns why the server does not get the request, or notSkipped, and notes in the selection what
+// the server is good for otherwise.
 func (b *Balancer) consider(sel *selection, s *server) skipReason {
 	r := sel.request
 	if reason := b.checkPermitted(r, s); reason != notSkipped {
@@ -186,7 +186,12 @@
 		return notSkipped
 	}
 	if !b.relievesWarmServers(s) && b.fairnessCredit(s) < 1 {
-		if credit := b.fairnessCredit(s) / b.trafficWeight(s); sel.overFairShare == nil || credit > sel.overFairShareCredit {
+		if credit := b.fairnessCredit(
+			s,
+		) / b.trafficWeight(
+			s,
+		); sel.overFairShare == nil ||
+			credit > sel.overFairShareCredit {
 			sel.overFairShare, sel.overFairShareCredit = s, credit
 		}
 		return skipOverFairShare
--- a/internal/balancer/settings.go
+++ b/internal/balancer/settings.go
@@ -34,8 +34,9 @@
 
 // Class is a kind of request.
 type Class struct {
-	Name             string
-	LatencyObjective time.Duration // an answer inside this has full weight; not positive, or beyond Deadline: Deadline
+	Name string
+	// an answer inside this has full weight; not positive, or beyond Deadline: Deadline
+	LatencyObjective time.Duration
 	ObjectivePerWork float64       // added to the objective, times the request's WorkHint
 	Deadline         time.Duration // must be positive
 	LateWeight       float64       // fraction of the weight, from 0 to 1, that an answer after the objective has
@@ -70,9 +71,10 @@
 	MaxPollInterval   time.Duration // discovery on demand must be polled at least this often
 	SlowStartCapacity float64       // of a server that just started, as a fraction of its full capacity
 	SlowStartDuration time.Duration // after which a server has its full capacity
-	OverloadMultiple  float64       // a server in slow start fails when it gets more than this times its capacity
-	OverloadWindow    time.Duration // for this long
-	GoneUsable        bool          // servers listed as gone may still be used, draining ones may not
+	// a server in slow start fails when it gets more than this times its capacity
+	OverloadMultiple float64
+	OverloadWindow   time.Duration // for this long
+	GoneUsable       bool          // servers listed as gone may still be used, draining ones may not
 }
 
 // Costs are deductions for each unit of what they name.
--- a/internal/balancer/slowstart.go
+++ b/internal/balancer/slowstart.go
@@ -2,9 +2,9 @@
 
 import "dunestep/internal/balancer/slowstart"
 
-// saturatedMargin multiplies a balancer's part of a server in slow start while the warm servers are saturated.
-// Keys come too seldom to use it all, and at the default margin all parts together overload no server as long
-// as the fleet is sent no more than 1.25 times its warm capacity.
+// saturatedMargin multiplies a balancer's part of a server in slow start while the warm servers are
+// saturated. Keys come too seldom to use it all, and at the default margin all parts together overload no
+// server as long as the fleet is sent no more than 1.25 times its warm capacity.
 const saturatedMargin = 2.0
 
 // SetWarmServersSaturated says whether the warm servers are saturated, as far as the caller can tell by how
@@ -46,9 +46,10 @@
 		s.slowStart.HasCapacity(b.slowStartTerms(), b.now, warmth, b.sendRate/b.memberCount(), size, probing)
 }
 
-// relievesWarmServers reports whether a server in slow start takes requests from saturated warm ones, whatever
-// its fairness account says: its budget bounds it already, and the account would hold most balancers of a
-// sparse fleet back for longer than the slow start lasts. One whose zone may be unreachable is no relief.
+// relievesWarmServers reports whether a server in slow start takes requests from saturated warm ones,
+// whatever its fairness account says: its budget bounds it already, and the account would hold most balancers
+// of a sparse fleet back for longer than the slow start lasts. One whose zone may be unreachable is no
+// relief.
 func (b *Balancer) relievesWarmServers(s *server) bool {
 	return b.warmSaturated && b.warmth(s) < 1 && !b.zoneReach.IsDoubtful(s.Zone)
 }
--- a/internal/balancer/snapshot.go
+++ b/internal/balancer/snapshot.go
@@ -9,8 +9,8 @@
 	"dunestep/internal/balancer/outlier"
 )
 
-// SnapshotVersion says what the values of a Snapshot mean. It changes when a value's meaning does, not when one
-// is added.
+// SnapshotVersion says what the values of a Snapshot mean. It changes when a value's meaning does, not when
+// one is added.
 const SnapshotVersion = 2
 
 const (
@@ -20,26 +20,33 @@
 	minSnapshotPenalty = 0.01
 )
 
-// Snapshot is what a Balancer has learned, as plain values that can be kept over a restart. Its times are spans
-// from when it was taken, so that it depends on no clock. What is empty was not known. The keys of its encodings
-// are stored and must not change.
+// Snapshot is what a Balancer has learned, as plain values that can be kept over a restart. Its times are
+// spans from when it was taken, so that it depends on no clock. What is empty was not known. The keys of its
+// encodings are stored and must not change.
 type Snapshot struct {
-	BaselineLatency      BaselineSnapshot    `cbor:"1,keyasint" json:"pace"`                    // of all answers
-	MeanLatency          float64             `cbor:"2,keyasint,omitempty" json:"latency_s"`     // seconds
-	FailureRatio         float64             `cbor:"3,keyasint,omitempty" json:"failing"`       // of the latest attempts
-	SendRate             float64             `cbor:"4,keyasint,omitempty" json:"rate"`          // work units a second
-	TypicalInFlight      float64             `cbor:"5,keyasint,omitempty" json:"typical"`       // at a server
-	ArrivalRate          float64             `cbor:"6,keyasint,omitempty" json:"arrivals"`      // requests a second, here
-	MeanArrivalRate      float64             `cbor:"7,keyasint,omitempty" json:"mean_arrivals"` // over all balancers
-	MeanWork             float64             `cbor:"8,keyasint,omitempty" json:"mean_work_s"`   // seconds, of the hints
-	MeanReportedInFlight float64             `cbor:"9,keyasint,omitempty" json:"mean_held"`     // by the servers' reports
-	RetryTokens          float64             `cbor:"10,keyasint,omitempty" json:"tokens"`
-	Kinds                []KindSnapshot      `cbor:"11,keyasint,omitempty" json:"kinds"` // by name, as the next three
-	Zones                []ZoneSnapshot      `cbor:"12,keyasint,omitempty" json:"zones"`
-	Classes              []ClassSnapshot     `cbor:"13,keyasint,omitempty" json:"classes"`
-	Tenants              []TenantSnapshot    `cbor:"14,keyasint,omitempty" json:"tenants"`
-	Servers              []ServerSnapshot    `cbor:"15,keyasint,omitempty" json:"servers"`     // members, by id
-	BlamedKeys           []BlamedKeySnapshot `cbor:"16,keyasint,omitempty" json:"blamed_keys"` // longest first
+	BaselineLatency BaselineSnapshot `cbor:"1,keyasint" json:"pace"`                // of all answers
+	MeanLatency     float64          `cbor:"2,keyasint,omitempty" json:"latency_s"` // seconds
+	// of the latest attempts
+	FailureRatio float64 `cbor:"3,keyasint,omitempty" json:"failing"`
+	// work units a second
+	SendRate        float64 `cbor:"4,keyasint,omitempty" json:"rate"`
+	TypicalInFlight float64 `cbor:"5,keyasint,omitempty" json:"typical"` // at a server
+	// requests a second, here
+	ArrivalRate float64 `cbor:"6,keyasint,omitempty" json:"arrivals"`
+	// over all balancers
+	MeanArrivalRate float64 `cbor:"7,keyasint,omitempty" json:"mean_arrivals"`
+	// seconds, of the hints
+	MeanWork float64 `cbor:"8,keyasint,omitempty" json:"mean_work_s"`
+	// by the servers' reports
+	MeanReportedInFlight float64 `cbor:"9,keyasint,omitempty" json:"mean_held"`
+	RetryTokens          float64 `cbor:"10,keyasint,omitempty" json:"tokens"`
+	// by name, as the next three
+	Kinds      []KindSnapshot      `cbor:"11,keyasint,omitempty" json:"kinds"`
+	Zones      []ZoneSnapshot      `cbor:"12,keyasint,omitempty" json:"zones"`
+	Classes    []ClassSnapshot     `cbor:"13,keyasint,omitempty" json:"classes"`
+	Tenants    []TenantSnapshot    `cbor:"14,keyasint,omitempty" json:"tenants"`
+	Servers    []ServerSnapshot    `cbor:"15,keyasint,omitempty" json:"servers"`     // members, by id
+	BlamedKeys []BlamedKeySnapshot `cbor:"16,keyasint,omitempty" json:"blamed_keys"` // longest first
 }
 
 // BaselineSnapshot is a latency of fast answers.
@@ -76,17 +83,20 @@
 
 // ServerSnapshot is what was learned of one process of a server: the one that started at StartedAt.
 type ServerSnapshot struct {
-	ID               string           `cbor:"1,keyasint" json:"id"`
-	StartedAt        time.Duration    `cbor:"2,keyasint,omitempty" json:"started_ns"`
-	Latency          float64          `cbor:"3,keyasint,omitempty" json:"latency_s"`    // seconds
-	LatencyInFlight  float64          `cbor:"4,keyasint,omitempty" json:"latency_at_n"` // when the latency was seen
-	SampledAgo       time.Duration    `cbor:"5,keyasint,omitempty" json:"sampled_ago_ns"`
-	ReportedInFlight float64          `cbor:"6,keyasint,omitempty" json:"held"`
-	ReportedAgo      time.Duration    `cbor:"7,keyasint,omitempty" json:"held_ago_ns"`
-	FlapPenalty      float64          `cbor:"11,keyasint,omitempty" json:"penalty"`
-	DampedFor        time.Duration    `cbor:"12,keyasint,omitempty" json:"damped_for_ns"` // from then on
-	RecoveredAgo     time.Duration    `cbor:"13,keyasint,omitempty" json:"back_ago_ns"`   // while in slow start; zero: is not
-	Outlier          outlier.Snapshot `cbor:"14,keyasint" json:"health"`                  // classes by their index here
+	ID        string        `cbor:"1,keyasint" json:"id"`
+	StartedAt time.Duration `cbor:"2,keyasint,omitempty" json:"started_ns"`
+	Latency   float64       `cbor:"3,keyasint,omitempty" json:"latency_s"` // seconds
+	// when the latency was seen
+	LatencyInFlight  float64       `cbor:"4,keyasint,omitempty" json:"latency_at_n"`
+	SampledAgo       time.Duration `cbor:"5,keyasint,omitempty" json:"sampled_ago_ns"`
+	ReportedInFlight float64       `cbor:"6,keyasint,omitempty" json:"held"`
+	ReportedAgo      time.Duration `cbor:"7,keyasint,omitempty" json:"held_ago_ns"`
+	FlapPenalty      float64       `cbor:"11,keyasint,omitempty" json:"penalty"`
+	DampedFor        time.Duration `cbor:"12,keyasint,omitempty" json:"damped_for_ns"` // from then on
+	// while in slow start; zero: is not
+	RecoveredAgo time.Duration `cbor:"13,keyasint,omitempty" json:"back_ago_ns"`
+	// classes by their index here
+	Outlier outlier.Snapshot `cbor:"14,keyasint" json:"health"`
 
 	// Of version 1 only: see MigrateFromVersion1.
 	Failures1 float64 `cbor:"8,keyasint,omitempty" json:"-"`
--- a/internal/balancer/timers.go
+++ b/internal/balancer/timers.go
@@ -29,7 +29,8 @@
 		b.endRound()
 	case purpose == timerPoll:
 		b.pollScheduled = false
-		if b.discovery.IsMissingChanges() { // else a call has brought updates meanwhile, as after a change of address
+		// else a call has brought updates meanwhile, as after a change of address
+		if b.discovery.IsMissingChanges() {
 			b.pollDiscovery()
 		}
 	case r == nil || r.closed:
@@ -48,7 +49,8 @@
 		b.countFlap(s)
 	}
 	b.updateSendRate()
-	b.falseProbeFraction *= math.Exp2(-float64(roundInterval) / float64(flapPenaltyHalfLife)) // probing resumes after a while
+	// probing resumes after a while
+	b.falseProbeFraction *= math.Exp2(-float64(roundInterval) / float64(flapPenaltyHalfLife))
 	if mean, tell := b.quotas.EndRound(); tell {
 		b.gossip(encodeRateMessage(mean))
 	}
--- a/internal/fleetstore/encoding.go
+++ b/internal/fleetstore/encoding.go
@@ -11,8 +11,9 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// The body of a record: one byte of flags that tell which parts follow, the index up to which entries are dropped,
-// the identity as fixed numbers, and then hard state, snapshot and entries, each with its length before it.
+// The body of a record: one byte of flags that tell which parts follow, the index up to which entries are
+// dropped, the identity as fixed numbers, and then hard state, snapshot and entries, each with its length
+// before it.
 const (
 	hasReset = 1 << iota
 	hasReplace
--- a/internal/fleetstore/format.go
+++ b/internal/fleetstore/format.go
@@ -13,14 +13,14 @@
 
 	// The header: magic, version, the file's identifier, and a checksum over these.
 	headerBytes = 8 + 4 + 8 + 4
-	// The commit mark: how many records were acknowledged, the file's length then, and a checksum over both. It is
-	// not synced by itself, so that a power cut may lose it. The end of the process does not: with the mark, damage
-	// to the last record differs from a write that was under way.
+	// The commit mark: how many records were acknowledged, the file's length then, and a checksum over both. It
+	// is not synced by itself, so that a power cut may lose it. The end of the process does not: with the mark,
+	// damage to the last record differs from a write that was under way.
 	commitMarkBytes   = 8 + 8 + 4
 	firstRecordOffset = 64
 
-	// A record's header: the file's identifier, the record's number, the body's length, and a checksum over these
-	// and the body.
+	// A record's header: the file's identifier, the record's number, the body's length, and a checksum over
+	// these and the body.
 	recordHeaderBytes = 8 + 8 + 4 + 4
 
 	// growBytes is by how much the file grows. It grows before a record is written, so that a file that was cut
@@ -48,8 +48,8 @@
 	return binary.BigEndian.AppendUint32(b, crc32.Checksum(b, castagnoli))
 }
 
-// readCommitMark returns how many records were acknowledged, and the file's length at that time; zero where the mark
-// can't be read.
+// readCommitMark returns how many records were acknowledged, and the file's length at that time; zero where
+// the mark can't be read.
 func readCommitMark(content []byte) (records, length uint64) {
 	if len(content) < headerBytes+commitMarkBytes {
 		return 0, 0
--- a/internal/fleetstore/load.go
+++ b/internal/fleetstore/load.go
@@ -76,8 +76,8 @@
 	return nil
 }
 
-// hasLaterRecord tells whether a complete record follows the last one that was read. Then what is between them is
-// damage, and not a write that was under way.
+// hasLaterRecord tells whether a complete record follows the last one that was read. Then what is between
+// them is damage, and not a write that was under way.
 func (s *Store) hasLaterRecord(content []byte) bool {
 	for offset := s.nextOffset + 1; offset+recordHeaderBytes <= int64(len(content)); offset++ {
 		if binary.BigEndian.Uint64(content[offset:]) != s.fileID {
--- a/internal/fleetstore/store.go
+++ b/internal/fleetstore/store.go
@@ -1,20 +1,20 @@
-// Package fleetstore keeps the durable part of one voter of the fleet's Raft log: its identity, its votes, its log
-// entries and its last snapshot, as raftlog.Persist tells them.
+// Package fleetstore keeps the durable part of one voter of the fleet's Raft log: its identity, its votes,
+// its log entries and its last snapshot, as raftlog.Persist tells them.
 //
-// The package owns the files fleet.log, fleet.log.new, fleet.log.damaged, fleet.begun and fleet.lock of a folder;
-// the lock keeps other processes out. fleet.log is a list of records, each a whole Persist with a checksum
-// (format.go). It grows in place, and is rewritten beside the old file when it is long (write.go).
+// The package owns the files fleet.log, fleet.log.new, fleet.log.damaged, fleet.begun and fleet.lock of a
+// folder; the lock keeps other processes out. fleet.log is a list of records, each a whole Persist with a
+// checksum (format.go). It grows in place, and is rewritten beside the old file when it is long (write.go).
 //
-// Write returns once the record is safe on disk. Opening a folder ends in one of three ways (load.go): an empty
-// store where there never was one; a store that lacks at most the one write that was not acknowledged; or an error.
-// A damaged store is never taken for an empty one, since a voter that forgot a vote could break the log. SetAside
-// removes a damaged store from use; the voter then joins the log as a new one.
+// Write returns once the record is safe on disk. Opening a folder ends in one of three ways (load.go): an
+// empty store where there never was one; a store that lacks at most the one write that was not acknowledged;
+// or an error. A damaged store is never taken for an empty one, since a voter that forgot a vote could break
+// the log. SetAside removes a damaged store from use; the voter then joins the log as a new one.
 //
-// After an error of Write the content on disk is unknown, and the Store accepts no further write: the voter has to
-// stop.
+// After an error of Write the content on disk is unknown, and the Store accepts no further write: the voter
+// has to stop.
 //
-// A Store is not safe for concurrent use. What it writes is determined by its input, but for the file's identifier,
-// which is random.
+// A Store is not safe for concurrent use. What it writes is determined by its input, but for the file's
+// identifier, which is random.
 package fleetstore
 
 import (
@@ -64,8 +64,8 @@
 	failure    error  // why nothing more is written; nil: writes are accepted
 }
 
-// Open locks a folder, which must exist, and reads its store. Where there never was one, Stored is the zero value.
-// Errors wrap one of the sentinels above, or the system's.
+// Open locks a folder, which must exist, and reads its store. Where there never was one, Stored is the zero
+// value. Errors wrap one of the sentinels above, or the system's.
 func Open(folder string) (*Store, error) {
 	dir, err := lockDirectory(folder)
 	if err != nil {
@@ -79,8 +79,8 @@
 	return s, nil
 }
 
-// SetAside renames the log file of a store that can't be used, if there is one, so that the next Open finds an
-// empty folder. A file that was set aside before is replaced.
+// SetAside renames the log file of a store that can't be used, if there is one, so that the next Open finds
+// an empty folder. A file that was set aside before is replaced.
 func SetAside(folder string) error {
 	dir, err := lockDirectory(folder)
 	if err != nil {
--- a/internal/fleetstore/write.go
+++ b/internal/fleetstore/write.go
@@ -92,8 +92,8 @@
 		return fmt.Errorf("cannot create %s: %w", newName, err)
 	}
 	if err = fresh.writeNewFile(body); err != nil {
-		// The write has failed, which is what the caller is told; the file that is left over is replaced by the next
-		// rewrite.
+		// The write has failed, which is what the caller is told; the file that is left over is replaced by the
+		// next rewrite.
 		_ = fresh.file.Close()
 		_ = s.dir.remove(newName)
 		return err
@@ -130,8 +130,8 @@
 	return nil
 }
 
-// applyWrite changes what is stored as a Persist says. Slices and messages that stored shares with others are not
-// changed.
+// applyWrite changes what is stored as a Persist says. Slices and messages that stored shares with others are
+// not changed.
 func applyWrite(stored *raftlog.Stored, persist *raftlog.Persist) {
 	if persist.Reset {
 		*stored = raftlog.Stored{Identity: stored.Identity}
--- a/internal/handover/frame.go
+++ b/internal/handover/frame.go
@@ -52,8 +52,8 @@
 	return err
 }
 
-// readFrameWithFiles reads a value and the descriptors that come with it, which are the caller's to close also where
-// there is an error.
+// readFrameWithFiles reads a value and the descriptors that come with it, which are the caller's to close
+// also where there is an error.
 func readFrameWithFiles(c *net.UnixConn, into any) ([]*os.File, error) {
 	header, rights := make([]byte, frameHeaderBytes), make([]byte, syscall.CmsgSpace(descriptorBytes*maxSockets))
 	n, m, flags, _, err := c.ReadMsgUnix(header, rights)
@@ -74,7 +74,8 @@
 	if length > maxFrameBytes {
 		return files, fmt.Errorf("a frame of %d bytes is too long", length)
 	}
-	raw, err := io.ReadAll(io.LimitReader(c, int64(length))) // memory grows with what comes, not with the length alone
+	// memory grows with what comes, not with the length alone
+	raw, err := io.ReadAll(io.LimitReader(c, int64(length)))
 	if err == nil && len(raw) < int(length) {
 		err = io.ErrUnexpectedEOF
 	}
@@ -108,8 +109,8 @@
 	}
 }
 
-// duplicate returns another descriptor of a socket, which stays in non-blocking mode: the library's File would make
-// the socket itself a blocking one.
+// duplicate returns another descriptor of a socket, which stays in non-blocking mode: the library's File
+// would make the socket itself a blocking one.
 func duplicate(s syscall.Conn) (fd int, err error) {
 	raw, err := s.SyscallConn()
 	if err != nil {
--- a/internal/handover/listener.go
+++ b/internal/handover/listener.go
@@ -25,7 +25,8 @@
 	return l, l.bind()
 }
 
-// bind listens on a socket of this process's own, and renames it to the agent's path: at no moment is there none.
+// bind listens on a socket of this process's own, and renames it to the agent's path: at no moment is there
+// none.
 func (l *Listener) bind() error {
 	own := fmt.Sprintf("%s.%d", l.path, os.Getpid())
 	_ = os.Remove(own) // of an earlier process with this number; where it can't be removed, the next call fails
@@ -45,10 +46,10 @@
 	return nil
 }
 
-// Serve accepts new processes, one after the other. It calls handle with each, which returns when that process has
-// gone, and whether this one continues: then the path, which the other one may have taken, becomes this process's
-// again. Serve returns otherwise, or when the path can't be had. A connection that does not say hello as it must is
-// closed, and rejected is called with the reason.
+// Serve accepts new processes, one after the other. It calls handle with each, which returns when that
+// process has gone, and whether this one continues: then the path, which the other one may have taken,
+// becomes this process's again. Serve returns otherwise, or when the path can't be had. A connection that
+// does not say hello as it must is closed, and rejected is called with the reason.
 func (l *Listener) Serve(rejected func(error), handle func(*Peer) (continues bool)) {
 	for {
 		conn, err := l.listener.AcceptUnix()
@@ -76,7 +77,8 @@
 
 // receiveHello receives the hello of a new process of an agent.
 func (p *Peer) receiveHello(agent string) error {
-	_ = p.conn.SetDeadline(time.Now().Add(handshakeTimeout)) // fails only on a closed connection, as what follows does
+	// fails only on a closed connection, as what follows does
+	_ = p.conn.SetDeadline(time.Now().Add(handshakeTimeout))
 	if err := checkSameUser(p.conn); err != nil {
 		return err
 	}
@@ -85,7 +87,13 @@
 		return err
 	}
 	if h.Format != protocolFormat || h.Agent != agent {
-		return fmt.Errorf("hello of format %d and agent %q, not %d and %q", h.Format, h.Agent, protocolFormat, agent)
+		return fmt.Errorf(
+			"hello of format %d and agent %q, not %d and %q",
+			h.Format,
+			h.Agent,
+			protocolFormat,
+			agent,
+		)
 	}
 	return nil
 }
--- a/internal/handover/peer.go
+++ b/internal/handover/peer.go
@@ -64,9 +64,9 @@
 	queued       []Notification
 }
 
-// Connect connects to the running process of an agent and returns its offer, with the sockets by their names, which
-// are the caller's to close. ErrNoPeer: there is none. Any other error says why the two can't work together; then
-// nothing was taken over.
+// Connect connects to the running process of an agent and returns its offer, with the sockets by their names,
+// which are the caller's to close. ErrNoPeer: there is none. Any other error says why the two can't work
+// together; then nothing was taken over.
 func Connect(folder, agent string, listen netip.AddrPort) (*Peer, Offer, map[string]*os.File, error) {
 	path, err := socketPathOf(folder, agent, listen)
 	if err != nil {
@@ -90,7 +90,8 @@
 
 // receiveOffer sends the hello, and receives the offer.
 func (p *Peer) receiveOffer(agent string) (offer Offer, sockets map[string]*os.File, err error) {
-	_ = p.conn.SetDeadline(time.Now().Add(handshakeTimeout)) // fails only on a closed connection, as what follows does
+	// fails only on a closed connection, as what follows does
+	_ = p.conn.SetDeadline(time.Now().Add(handshakeTimeout))
 	if err = checkSameUser(p.conn); err != nil {
 		return offer, nil, err
 	}
@@ -120,8 +121,8 @@
 	return o.Manual.validate()
 }
 
-// SendOffer sends the offer, with the sockets that it names. They stay this process's too. Notifications that were
-// queued follow.
+// SendOffer sends the offer, with the sockets that it names. They stay this process's too. Notifications that
+// were queued follow.
 func (p *Peer) SendOffer(offer Offer, sockets []syscall.Conn) error {
 	var duplicates []int
 	defer func() {
@@ -138,7 +139,8 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	_ = p.conn.SetDeadline(time.Now().Add(handshakeTimeout)) // fails only on a closed connection, as the write does
+	// fails only on a closed connection, as the write does
+	_ = p.conn.SetDeadline(time.Now().Add(handshakeTimeout))
 	err := writeFrame(p.conn, offer, duplicates)
 	for _, n := range p.queued {
 		p.send(n)
@@ -147,8 +149,8 @@
 	return err
 }
 
-// Notify sends a notification; one that can't be sent closes the connection. Before SendOffer it is queued: the other
-// process would take it for the offer. It is safe for concurrent use.
+// Notify sends a notification; one that can't be sent closes the connection. Before SendOffer it is queued:
+// the other process would take it for the offer. It is safe for concurrent use.
 func (p *Peer) Notify(n Notification) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -161,13 +163,15 @@
 
 // send sends a notification; mu is held.
 func (p *Peer) send(n Notification) {
-	_ = p.conn.SetWriteDeadline(time.Now().Add(notifyTimeout)) // fails only on a closed connection, as the write does
+	// fails only on a closed connection, as the write does
+	_ = p.conn.SetWriteDeadline(time.Now().Add(notifyTimeout))
 	if err := writeFrame(p.conn, n, nil); err != nil {
 		p.Close()
 	}
 }
 
-// Receive calls handle with each notification, until the other process closes the connection or sends an invalid one.
+// Receive calls handle with each notification, until the other process closes the connection or sends an
+// invalid one.
 func (p *Peer) Receive(handle func(Notification)) {
 	defer p.Close()
 	_ = p.conn.SetReadDeadline(time.Time{}) // fails only on a closed connection, as the read does
--- a/internal/handover/settings.go
+++ b/internal/handover/settings.go
@@ -14,8 +14,8 @@
 const (
 	// maxDisabled bounds how many endpoints manual settings may name.
 	maxDisabled = 2048
-	// enabledRetention is how long it is remembered that an endpoint was enabled again: longer than any server is
-	// warming up.
+	// enabledRetention is how long it is remembered that an endpoint was enabled again: longer than any server
+	// is warming up.
 	enabledRetention = time.Hour
 )
 
@@ -28,8 +28,9 @@
 	DrainSetAt time.Duration `json:"drain_set_ns,omitempty"`
 }
 
-// Merge returns what holds where two processes of one agent were told different things: in each matter what was set
-// last. Endpoints that were enabled again longer than enabledRetention ago are left out. Now is Unix time.
+// Merge returns what holds where two processes of one agent were told different things: in each matter what
+// was set last. Endpoints that were enabled again longer than enabledRetention ago are left out. Now is Unix
+// time.
 func Merge(one, other ManualSettings, now time.Duration) ManualSettings {
 	merged := one
 	if other.DrainSetAt > one.DrainSetAt {
--- a/internal/handover/settingsfile.go
+++ b/internal/handover/settingsfile.go
@@ -18,8 +18,8 @@
 	settingsFormat = 1
 	// maxSettingsBytes bounds what is read of the file.
 	maxSettingsBytes = 1 << 20
-	// lockTimeout bounds the wait for another process's change of the file: operators are owed an answer within a
-	// second.
+	// lockTimeout bounds the wait for another process's change of the file: operators are owed an answer within
+	// a second.
 	lockTimeout = 300 * time.Millisecond
 	// lockRetryInterval is how often the lock is tried.
 	lockRetryInterval = 2 * time.Millisecond
@@ -40,9 +40,9 @@
 	return &SettingsFile{path: pathOf(folder, agent, listen, settingsSuffix), agent: agent}
 }
 
-// Update merges settings into the file, which is replaced as a whole, and returns what holds then; it is on disk when
-// Update returns. A lock keeps another process from replacing the file meanwhile, whose settings would be lost. A file
-// that can't be read is replaced. Now is Unix time.
+// Update merges settings into the file, which is replaced as a whole, and returns what holds then; it is on
+// disk when Update returns. A lock keeps another process from replacing the file meanwhile, whose settings
+// would be lost. A file that can't be read is replaced. Now is Unix time.
 func (f *SettingsFile) Update(settings ManualSettings, now time.Duration) (ManualSettings, error) {
 	unlock := f.lock()
 	defer unlock()
@@ -60,9 +60,9 @@
 	return settings, nil
 }
 
-// lock keeps other processes from changing the file until unlock is called. Where the lock can't be had in time
-// (another process is stopped with it, or the folder accepts no file) the update goes on without: a process that runs
-// beside this one is notified all the same.
+// lock keeps other processes from changing the file until unlock is called. Where the lock can't be had in
+// time (another process is stopped with it, or the folder accepts no file) the update goes on without: a
+// process that runs beside this one is notified all the same.
 func (f *SettingsFile) lock() (unlock func()) {
 	file, err := os.OpenFile(f.path+".lock", os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
@@ -76,7 +76,8 @@
 	return func() { _ = file.Close() } // which unlocks it
 }
 
-// Read returns the settings of the file; none where there is no file. The error says why the file can't be used.
+// Read returns the settings of the file; none where there is no file. The error says why the file can't be
+// used.
 func (f *SettingsFile) Read() (ManualSettings, error) {
 	file, err := os.Open(f.path)
 	if errors.Is(err, fs.ErrNotExist) {
--- a/internal/protocol/endpointlist.go
+++ b/internal/protocol/endpointlist.go
@@ -28,8 +28,8 @@
 	Addr netip.AddrPort
 }
 
-// DecodeEndpointList decodes one of discovery's objects. A malformed entry is dropped and reported; the others hold, since
-// there may be a drain among them.
+// DecodeEndpointList decodes one of discovery's objects. A malformed entry is dropped and reported; the
+// others hold, since there may be a drain among them.
 func DecodeEndpointList(raw []byte, dropped func(error)) (EndpointList, error) {
 	var f struct {
 		Version *int64            `json:"version"`
--- a/internal/protocol/http.go
+++ b/internal/protocol/http.go
@@ -55,8 +55,8 @@
 	return time.Duration(min(left, maxTimeLeftMS)) * time.Millisecond, nil
 }
 
-// workHint finds the estimated work among the facts that a client sends, in microseconds under the simulator's name. Other
-// facts, and what is malformed, are ignored.
+// workHint finds the estimated work among the facts that a client sends, in microseconds under the
+// simulator's name. Other facts, and what is malformed, are ignored.
 func workHint(facts string) time.Duration {
 	for fact := range strings.SplitSeq(facts, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(fact), "=")
--- a/internal/protocol/request.go
+++ b/internal/protocol/request.go
@@ -21,7 +21,8 @@
 	correlationIDDigits = 16
 )
 
-// Request is a client's request, decoded. Requests of all formats are decoded into it, and take the same way from there.
+// Request is a client's request, decoded. Requests of all formats are decoded into it, and take the same way
+// from there.
 type Request struct {
 	CorrelationID string // forwarded unchanged
 	Class         string
@@ -35,13 +36,14 @@
 	// Forwarded unchanged.
 	Method, Target, Host, ContentType string
 	Accept                            string // media types; empty: not forwarded
-	// IdempotencyKeys are the values of the Idempotency-Key fields, usually one: by them an upstream server recognises
-	// a retry in a class that is idempotent with a key.
+	// IdempotencyKeys are the values of the Idempotency-Key fields, usually one: by them an upstream server
+	// recognises a retry in a class that is idempotent with a key.
 	IdempotencyKeys []string
 	Body            []byte // its first part if it is longer than MaxBufferedBody
 	// Length is the body's length if it is longer than Body; negative: not known; zero: Body is complete.
 	Length int64
-	// Rest is what follows Body, as it comes; nil: nothing does. BodyComplete is closed when it has come to its end.
+	// Rest is what follows Body, as it comes; nil: nothing does. BodyComplete is closed when it has come to its
+	// end.
 	Rest         *bodystream.Flow
 	BodyComplete <-chan struct{}
 
@@ -52,7 +54,8 @@
 	Release func()
 }
 
-// ErrBodyTooLong says that a request's body is longer than permitted. Clients get its text, as that of the errors below.
+// ErrBodyTooLong says that a request's body is longer than permitted. Clients get its text, as that of the
+// errors below.
 var ErrBodyTooLong = errors.New("the body is too long")
 
 // The other ways in which a request can be malformed.
@@ -72,25 +75,25 @@
 	return err == nil && len(text) == correlationIDDigits
 }
 
-// Format is a form of requests and responses on a downstream socket. It begins the exchange for a request; nil: the
-// request is not of this form.
+// Format is a form of requests and responses on a downstream socket. It begins the exchange for a request;
+// nil: the request is not of this form.
 type Format func(r *http.Request) Exchange
 
 // Exchange is a request in its format, and its response.
 type Exchange interface {
-	// Decode decodes the request and reads its body to the end: only after that does net/http notice that the client
-	// has gone. The header is checked first, so that a malformed request costs no upload.
+	// Decode decodes the request and reads its body to the end: only after that does net/http notice that the
+	// client has gone. The header is checked first, so that a malformed request costs no upload.
 	Decode(reserve ReserveMemory) (*Request, error)
 	// Encode writes the response, up to a body that is streamed. The error is the connection's.
 	Encode(w http.ResponseWriter, response Response) error
 }
 
-// ReserveMemory reserves memory for a body before it is read. It returns a function that gives back all but a number of
-// bytes of it. timeLeft is how long the client waits, from the sending on.
+// ReserveMemory reserves memory for a body before it is read. It returns a function that gives back all but a
+// number of bytes of it. timeLeft is how long the client waits, from the sending on.
 type ReserveMemory func(bytes int64, timeLeft time.Duration) (keep func(int64), err error)
 
-// readBody reads the body, or the beginning of one that is longer than MaxBufferedBody if maxBytes permits that: the rest
-// is the caller's to read, and memory for one chunk of it is reserved here.
+// readBody reads the body, or the beginning of one that is longer than MaxBufferedBody if maxBytes permits
+// that: the rest is the caller's to read, and memory for one chunk of it is reserved here.
 func (op *Request) readBody(r *http.Request, reserve ReserveMemory, maxBytes int64) error {
 	op.Release = func() {}
 	if r.ContentLength == 0 {
@@ -125,8 +128,8 @@
 	return nil
 }
 
-// readBody reads up to MaxBufferedBody bytes of a body; length is negative if it is not known. total is zero if that is
-// all of it, else its length, or negative.
+// readBody reads up to MaxBufferedBody bytes of a body; length is negative if it is not known. total is zero
+// if that is all of it, else its length, or negative.
 func readBody(r io.Reader, length int64) (body []byte, total int64, err error) {
 	if length >= 0 {
 		body = make([]byte, min(length, MaxBufferedBody))
--- a/internal/protocol/response.go
+++ b/internal/protocol/response.go
@@ -44,8 +44,8 @@
 	return http.StatusServiceUnavailable
 }
 
-// setRateLimit sets the header fields of the IETF's draft: requests per second, those left of them, and in how many
-// seconds there are more.
+// setRateLimit sets the header fields of the IETF's draft: requests per second, those left of them, and in
+// how many seconds there are more.
 func setRateLimit(h http.Header, a Response) {
 	each := max(int64(a.Quota.PerSecond), 1)
 	h.Set("RateLimit-Policy", fmt.Sprintf(`"share";q=%d;w=1`, each))
--- a/internal/protocol/upstream.go
+++ b/internal/protocol/upstream.go
@@ -14,8 +14,8 @@
 	"dunestep/internal/graphql"
 )
 
-// AppendUpstreamRequest writes a route step of the operation as the HTTP request to a booking server, up to the
-// body; wait is how long this agent waits for the answer.
+// AppendUpstreamRequest writes a route step of the operation as the HTTP request to a booking server, up to
+// the body; wait is how long this agent waits for the answer.
 func AppendUpstreamRequest(b []byte, op *Request, wait time.Duration) []byte {
 	field := func(name, value string) {
 		b = append(append(append(append(b, name...), ": "...), value...), "\r\n"...)
@@ -63,14 +63,19 @@
 // ErrResponseTooLong means that an answer is longer than its bound, or is said to be.
 var ErrResponseTooLong = errors.New("the answer is too long")
 
-// maxDiscardedBytes is how much of a body that is not passed on is read, so that its connection can be used again.
+// maxDiscardedBytes is how much of a body that is not passed on is read, so that its connection can be used
+// again.
 const maxDiscardedBytes = 64 << 10
 
-// ReadUpstreamResponse reads a response up to the body of a 200, which is the caller's to read; any other body is read to
-// its end. For a GraphQL request, a 4xx with a media type of GraphQL counts like a 200: no other server would answer
-// otherwise. A response that is announced as longer than maxBytes is an error. After an error the connection is of no more
-// use: it ended, or what was received is not a response.
-func ReadUpstreamResponse(r *bufio.Reader, longest int64, graphQL bool) (UpstreamResponse, UnreadBody, error) {
+// ReadUpstreamResponse reads a response up to the body of a 200, which is the caller's to read; any other
+// body is read to its end. For a GraphQL request, a 4xx with a media type of GraphQL counts like a 200: no
+// other server would answer otherwise. A response that is announced as longer than maxBytes is an error.
+// After an error the connection is of no more use: it ended, or what was received is not a response.
+func ReadUpstreamResponse(
+	r *bufio.Reader,
+	longest int64,
+	graphQL bool,
+) (UpstreamResponse, UnreadBody, error) {
 	resp, err := http.ReadResponse(r, nil)
 	for err == nil && resp.StatusCode < http.StatusOK { // 1xx announces the answer
 		resp, err = http.ReadResponse(r, nil)
@@ -96,8 +101,8 @@
 	return out, UnreadBody{}, discardBody(resp.Body)
 }
 
-// isGraphQLError reports whether a response is a GraphQL server's to a mistake of the client. Statuses that may be different
-// at another time or server are none.
+// isGraphQLError reports whether a response is a GraphQL server's to a mistake of the client. Statuses that
+// may be different at another time or server are none.
 func isGraphQLError(status int, contentType string) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusTooEarly, http.StatusTooManyRequests:
--- a/internal/routing/attemptresult.go
+++ b/internal/routing/attemptresult.go
@@ -7,7 +7,8 @@
 	"dunestep/internal/balancer/outlier"
 )
 
-// EndReason is how an attempt ended, or why this agent is to end it. As an error it is the cause of a context.
+// EndReason is how an attempt ended, or why this agent is to end it. As an error it is the cause of a
+// context.
 type EndReason uint8
 
 // The reasons.
@@ -37,7 +38,8 @@
 // AttemptPhase is how far an attempt came on its connection.
 type AttemptPhase uint8
 
-// The phases. Up to Writing the endpoint cannot have processed the request, from AwaitingResponse on it may have.
+// The phases. Up to Writing the endpoint cannot have processed the request, from AwaitingResponse on it may
+// have.
 const (
 	Connecting       AttemptPhase = iota // no connection came up, or none could be made
 	StaleConnection                      // the reused connection had ended before anything was written to it
@@ -48,16 +50,17 @@
 
 // AttemptResult is what was seen of an attempt that has ended, by whoever carried it out.
 type AttemptResult struct {
-	Phase        AttemptPhase
-	EndReason    EndReason
-	Response     balancer.Outcome // by an answer that came completely and was not passed on as it came
-	Streamed     bool             // the answer was being passed on as it came
-	Progress     ResponseProgress
-	Latency      time.Duration // the time that the endpoint took, or that it was given
-	Reused       bool          // else the connection was new
-	IdleFor      time.Duration // idle before it was reused
-	Refused      bool          // the connection, by the endpoint's machine: nothing listens there
-	LocalFault   bool          // no connection, for lack of something on this side, or the client stopped sending
+	Phase     AttemptPhase
+	EndReason EndReason
+	Response  balancer.Outcome // by an answer that came completely and was not passed on as it came
+	Streamed  bool             // the answer was being passed on as it came
+	Progress  ResponseProgress
+	Latency   time.Duration // the time that the endpoint took, or that it was given
+	Reused    bool          // else the connection was new
+	IdleFor   time.Duration // idle before it was reused
+	Refused   bool          // the connection, by the endpoint's machine: nothing listens there
+	// no connection, for lack of something on this side, or the client stopped sending
+	LocalFault   bool
 	BodyConsumed bool          // a part of the request's body was passed on and is gone: it can't be sent again
 	LocalDelay   time.Duration // by how much this side was late to end it
 }
@@ -70,23 +73,29 @@
 // Evidence is what the decision module gets to know beyond the outcome.
 func (s AttemptResult) Evidence() outlier.Evidence {
 	phase := [...]outlier.Phase{
-		Connecting: outlier.PhaseConnecting, StaleConnection: outlier.PhaseConnecting, Writing: outlier.PhaseWriting,
+		Connecting: outlier.PhaseConnecting, StaleConnection: outlier.PhaseConnecting,
+		Writing:          outlier.PhaseWriting,
 		AwaitingResponse: outlier.PhaseAwaiting, Responding: outlier.PhaseAnswering,
 	}[s.Phase]
 	if s.EndReason == Completed { // a complete answer that says 500 is an error, not an invalid answer
 		phase = outlier.PhaseAwaiting
 	}
 	return outlier.Evidence{
-		Phase: phase, ConnectionReused: s.Reused, IdleFor: s.IdleFor, ConnectionRefused: s.Refused, LocalShortage: s.LocalFault,
-		ActedLateBy: s.LocalDelay,
+		Phase:             phase,
+		ConnectionReused:  s.Reused,
+		IdleFor:           s.IdleFor,
+		ConnectionRefused: s.Refused,
+		LocalShortage:     s.LocalFault,
+		ActedLateBy:       s.LocalDelay,
 	}
 }
 
 // NeedsResend reports whether the attempt is sent again on a new connection: it has not been sent yet.
 func (s AttemptResult) NeedsResend() bool { return s.Phase == StaleConnection }
 
-// Outcome is the outcome for the decision module. Served is only what came completely and was read completely. The
-// endpoint is not blamed for what the client or this agent did, nor for time that the client took.
+// Outcome is the outcome for the decision module. Served is only what came completely and was read
+// completely. The endpoint is not blamed for what the client or this agent did, nor for time that the client
+// took.
 func (s AttemptResult) Outcome() balancer.Outcome {
 	switch {
 	case s.Phase <= Writing && s.EndReason == Canceled: // which says nothing of the endpoint
@@ -107,8 +116,8 @@
 	return balancer.Canceled
 }
 
-// IdleEvidence is what the attempt proves of connections that were idle for so long, for IdleLimit.Record: that they
-// work or, lost, that they don't. Where counts is false it proves nothing.
+// IdleEvidence is what the attempt proves of connections that were idle for so long, for IdleLimit.Record:
+// that they work or, lost, that they don't. Where counts is false it proves nothing.
 func (s AttemptResult) IdleEvidence() (idle time.Duration, lost, counts bool) {
 	if s.Reused {
 		idle = s.IdleFor
--- a/internal/routing/connecttimeouts.go
+++ b/internal/routing/connecttimeouts.go
@@ -17,9 +17,9 @@
 	maxEarlyTimeouts = 8
 )
 
-// ConnectTimeouts learns how long a connection to an endpoint is worth waiting for. The settings say when one has
-// failed; where that is longer than an attempt's time, an unreachable machine costs each attempt that needs a
-// connection to it all its time, though the request could have been served elsewhere.
+// ConnectTimeouts learns how long a connection to an endpoint is worth waiting for. The settings say when one
+// has failed; where that is longer than an attempt's time, an unreachable machine costs each attempt that
+// needs a connection to it all its time, though the request could have been served elsewhere.
 type ConnectTimeouts struct {
 	slowest      time.Duration
 	gaveUpInARow int
@@ -30,7 +30,10 @@
 	if c.gaveUpInARow >= maxEarlyTimeouts {
 		return limit
 	}
-	return min(limit, max(time.Duration(connectFraction*float64(left)), connectMultiple*c.slowest, minConnectTimeout))
+	return min(
+		limit,
+		max(time.Duration(connectFraction*float64(left)), connectMultiple*c.slowest, minConnectTimeout),
+	)
 }
 
 // Connected takes in how long a connection took to come up.
--- a/internal/routing/descriptors.go
+++ b/internal/routing/descriptors.go
@@ -10,9 +10,9 @@
 // kept after an answer.
 const relaxedDivisor, pressingDivisor = 6, 4
 
-// Descriptors divides the process's file descriptors between client connections and connections to endpoints: without
-// any left, accepts and dials would fail alike. Clients have up to five eighths: a third of the limit is for
-// requests, the rest for idle connections. An eighth is always theirs.
+// Descriptors divides the process's file descriptors between client connections and connections to endpoints:
+// without any left, accepts and dials would fail alike. Clients have up to five eighths: a third of the limit
+// is for requests, the rest for idle connections. An eighth is always theirs.
 type Descriptors struct {
 	total                int
 	downstream, upstream int
@@ -31,8 +31,8 @@
 // InUse is how many descriptors the process holds at most, with the present connections.
 func (d *Descriptors) InUse() int { return reservedDescriptors + d.downstream + d.upstream }
 
-// AcquireDownstream takes a descriptor for a client. Full says, where ok, that idle clients are to be closed, and
-// else that clients have their whole quota.
+// AcquireDownstream takes a descriptor for a client. Full says, where ok, that idle clients are to be closed,
+// and else that clients have their whole quota.
 func (d *Descriptors) AcquireDownstream() (ok, full bool) {
 	quota := d.total * 5 / 8
 	if d.downstream >= quota || d.downstream+d.upstream >= d.total {
@@ -42,9 +42,9 @@
 	return true, d.downstream > d.total/relaxedDivisor
 }
 
-// Pressure reports whether idle clients are to be closed, and whether that is pressing. It is asked also while no
-// client connects: the idle connections of a client's own machine can keep others out long before the quota is
-// used, and those that can't connect give no occasion to ask.
+// Pressure reports whether idle clients are to be closed, and whether that is pressing. It is asked also
+// while no client connects: the idle connections of a client's own machine can keep others out long before
+// the quota is used, and those that can't connect give no occasion to ask.
 func (d *Descriptors) Pressure() (closeIdle, pressing bool) {
 	return d.downstream > d.total/relaxedDivisor, d.downstream > d.total/pressingDivisor
 }
--- a/internal/routing/disabled.go
+++ b/internal/routing/disabled.go
@@ -66,8 +66,8 @@
 	return l.overlayDisabled(known)
 }
 
-// Disable has an endpoint drain until Enable, whatever discovery says of it; listed is false where no list ever
-// had it. One that is disabled stays so. Now is Unix time. The error is ErrTooManyDisabled.
+// Disable has an endpoint drain until Enable, whatever discovery says of it; listed is false where no list
+// ever had it. One that is disabled stays so. Now is Unix time. The error is ErrTooManyDisabled.
 func (l *ListTracker) Disable(id string, now time.Duration) (out []ListOutput, listed bool, err error) {
 	l.out = l.out[:0]
 	switch {
@@ -100,8 +100,8 @@
 	return l.out, true
 }
 
-// MergeDisabled takes in what another process of this agent was told, as far as the bound on disabled endpoints
-// allows.
+// MergeDisabled takes in what another process of this agent was told, as far as the bound on disabled
+// endpoints allows.
 func (l *ListTracker) MergeDisabled(told []DisabledEndpoint) []ListOutput {
 	l.out = l.out[:0]
 	before := l.disabled
@@ -131,8 +131,8 @@
 	return l.entries[id].StartedAt
 }
 
-// Disabled returns the endpoints that are disabled, and those enabled again of which discovery has reported no
-// further start; by id.
+// Disabled returns the endpoints that are disabled, and those enabled again of which discovery has reported
+// no further start; by id.
 func (l *ListTracker) Disabled() []DisabledEndpoint {
 	all := make([]DisabledEndpoint, 0, len(l.disabled))
 	for _, id := range sorted(l.disabled) {
@@ -166,8 +166,8 @@
 	})
 }
 
-// overlayDisabled returns what holds of a list: a disabled endpoint is draining, and one that was enabled again
-// has started then, unless discovery reports a start since it was disabled.
+// overlayDisabled returns what holds of a list: a disabled endpoint is draining, and one that was enabled
+// again has started then, unless discovery reports a start since it was disabled.
 func (l *ListTracker) overlayDisabled(list protocol.EndpointList) protocol.EndpointList {
 	if len(l.disabled) == 0 {
 		return list
--- a/internal/routing/endpoints.go
+++ b/internal/routing/endpoints.go
@@ -16,8 +16,8 @@
 	open  bool // it has an actor
 }
 
-// ListUpdated takes in an update of the endpoint list, brings the endpoints' actors in line and reports it to the
-// decision module. Where the kind is balancer.UpdateFailed or nothing has changed, the list is empty.
+// ListUpdated takes in an update of the endpoint list, brings the endpoints' actors in line and reports it to
+// the decision module. Where the kind is balancer.UpdateFailed or nothing has changed, the list is empty.
 func (r *Router) ListUpdated(now time.Duration, kind balancer.UpdateKind, list protocol.EndpointList,
 	watch balancer.WatchStatus,
 ) []Output {
@@ -40,8 +40,8 @@
 	return r.out
 }
 
-// updateEndpoint keeps one endpoint's actor in line. One that is gone is kept where the decision module may still
-// use it.
+// updateEndpoint keeps one endpoint's actor in line. One that is gone is kept where the decision module may
+// still use it.
 func (r *Router) updateEndpoint(e protocol.Endpoint) {
 	known := r.endpoints[e.ID]
 	switch {
--- a/internal/routing/fleetstate.go
+++ b/internal/routing/fleetstate.go
@@ -40,16 +40,16 @@
 	module.ApplyFleetPolicy(e.Quota, classes, e.MaxFailedRatio)
 }
 
-// SetExclusions has the decision module keep tenants' keys away from endpoints, from the next input on; nil: from
-// none.
+// SetExclusions has the decision module keep tenants' keys away from endpoints, from the next input on; nil:
+// from none.
 func (r *Router) SetExclusions(x *balancer.Exclusions) {
 	if module, ok := r.module.(exclusionUser); ok {
 		module.SetExclusions(x)
 	}
 }
 
-// SetRingAssignment has the decision module follow an agreed assignment of the ring, from the next input on; nil:
-// its own list alone.
+// SetRingAssignment has the decision module follow an agreed assignment of the ring, from the next input on;
+// nil: its own list alone.
 func (r *Router) SetRingAssignment(a *balancer.RingAssignment) {
 	if module, ok := r.module.(ringAssignmentUser); ok {
 		module.SetRingAssignment(a)
--- a/internal/routing/idlelimit.go
+++ b/internal/routing/idlelimit.go
@@ -17,8 +17,8 @@
 	minSavedLosses = 3.0
 )
 
-// IdleLimit learns for how long an idle connection can be reused. Machines on the way may forget idle connections
-// sooner than the settings say, and report that to nobody: the next attempt on one is lost.
+// IdleLimit learns for how long an idle connection can be reused. Machines on the way may forget idle
+// connections sooner than the settings say, and report that to nobody: the next attempt on one is lost.
 type IdleLimit struct {
 	max   time.Duration // by the settings
 	limit time.Duration
@@ -27,8 +27,8 @@
 	used, lost [idleBuckets]float64
 }
 
-// NewIdleLimit returns a limit that is as long as the settings allow, where the endpoint closes an idle connection
-// after connIdle.
+// NewIdleLimit returns a limit that is as long as the settings allow, where the endpoint closes an idle
+// connection after connIdle.
 func NewIdleLimit(now, connIdle time.Duration) *IdleLimit {
 	longest := time.Duration(idleFraction * float64(connIdle))
 	return &IdleLimit{max: longest, limit: longest, since: now}
@@ -37,8 +37,8 @@
 // Limit is how long a connection may have been idle to be reused.
 func (l *IdleLimit) Limit() time.Duration { return l.limit }
 
-// Record takes in whether an attempt was lost on a connection that had been idle for so long; zero: a new one. Which
-// attempts count is for AttemptResult.IdleEvidence to say.
+// Record takes in whether an attempt was lost on a connection that had been idle for so long; zero: a new
+// one. Which attempts count is for AttemptResult.IdleEvidence to say.
 //
 //nolint:revive // flag-parameter: lost is observed, and is no choice of the caller's
 func (l *IdleLimit) Record(now, idle time.Duration, lost bool) {
@@ -60,8 +60,8 @@
 	}
 }
 
-// best is the limit that saves most: losses beyond those that shorter idle times see too, less the cost of new
-// connections in their place.
+// best is the limit that saves most: losses beyond those that shorter idle times see too, less the cost of
+// new connections in their place.
 func (l *IdleLimit) best() time.Duration {
 	var used, lost, longer, lostLonger float64 // up to the bucket, and from it on
 	for i := range l.used {
@@ -84,8 +84,8 @@
 // idleBuckets is how many ranges of idle times are told apart.
 const idleBuckets = 128
 
-// idleBucketOf numbers an idle time, in microseconds, by its highest bit and the two below it: four buckets to each
-// power of two.
+// idleBucketOf numbers an idle time, in microseconds, by its highest bit and the two below it: four buckets
+// to each power of two.
 func idleBucketOf(d time.Duration) int {
 	us := uint64(max(d.Microseconds(), 0))
 	if us < 4 {
--- a/internal/routing/idlesnapshot.go
+++ b/internal/routing/idlesnapshot.go
@@ -12,15 +12,15 @@
 	maxIdleWeight = 1e12
 )
 
-// IdleSnapshot is what an IdleLimit has learned, as plain values that can be kept over a restart. The keys of its
-// encodings are stored and must not change.
+// IdleSnapshot is what an IdleLimit has learned, as plain values that can be kept over a restart. The keys of
+// its encodings are stored and must not change.
 type IdleSnapshot struct {
 	Buckets    []IdleBucket  `cbor:"1,keyasint,omitempty" json:"steps"` // by their indexes
 	SinceDecay time.Duration `cbor:"2,keyasint,omitempty" json:"ago_ns"`
 }
 
-// IdleBucket is how many attempts were sent on connections that had been idle for about so long, and how many of
-// these were lost; those long past count for less.
+// IdleBucket is how many attempts were sent on connections that had been idle for about so long, and how many
+// of these were lost; those long past count for less.
 type IdleBucket struct {
 	Index int     `cbor:"1,keyasint" json:"step"`
 	Used  float64 `cbor:"2,keyasint" json:"used"`
@@ -38,8 +38,8 @@
 	return m
 }
 
-// Restore takes over a snapshot of that age, as far as its weights have not decayed. A negative age is not known, and
-// nothing is restored.
+// Restore takes over a snapshot of that age, as far as its weights have not decayed. A negative age is not
+// known, and nothing is restored.
 func (l *IdleLimit) Restore(m IdleSnapshot, age time.Duration) {
 	if age < 0 || m.SinceDecay < 0 {
 		return
--- a/internal/routing/listcalls.go
+++ b/internal/routing/listcalls.go
@@ -9,8 +9,8 @@
 	"dunestep/internal/protocol"
 )
 
-// Watch starts a new watch from the known version, in place of the present one. A watch at the address before goes
-// on: the decision module also polls where the new address can't be reached.
+// Watch starts a new watch from the known version, in place of the present one. A watch at the address before
+// goes on: the decision module also polls where the new address can't be reached.
 func (l *ListTracker) Watch() []ListOutput {
 	l.out = l.out[:0]
 	if l.watchCall != 0 {
@@ -20,8 +20,8 @@
 	return l.out
 }
 
-// SetAddress starts a watch at another address. The one at the old address goes on until the new one is accepted:
-// nothing is missed between the two.
+// SetAddress starts a watch at another address. The one at the old address goes on until the new one is
+// accepted: nothing is missed between the two.
 func (l *ListTracker) SetAddress(addr netip.AddrPort) []ListOutput {
 	l.out = l.out[:0]
 	if addr != l.addr {
@@ -69,8 +69,8 @@
 	return l.out
 }
 
-// CallIdle takes in that a call was accepted and has brought nothing since, for longer than what it had to bring
-// would have taken: the known list is the present one.
+// CallIdle takes in that a call was accepted and has brought nothing since, for longer than what it had to
+// bring would have taken: the known list is the present one.
 func (l *ListTracker) CallIdle(call int) []ListOutput {
 	l.out = l.out[:0]
 	if call == l.watchCall && l.accepted && !l.outOfOrder {
--- a/internal/routing/listtracker.go
+++ b/internal/routing/listtracker.go
@@ -13,8 +13,8 @@
 
 // The kinds of output, with the fields of ListOutput that each one uses.
 const (
-	// StartCall calls discovery: Call, Addr, Request. Its acceptance, what it brings and its end are reported with
-	// Call.
+	// StartCall calls discovery: Call, Addr, Request. Its acceptance, what it brings and its end are reported
+	// with Call.
 	StartCall ListOutputKind = iota
 	// EndCall ends a call: Call. Its end is reported as any other.
 	EndCall
@@ -42,30 +42,35 @@
 	Err           error
 }
 
-// ListTracker holds the endpoint list's version, the calls to discovery and the endpoints that an operator has
-// disabled, and reports balancer.UpdateFailed as soon as a call ends. When to call again is for the decision
-// module to say. Inputs return what is to be done, in order, valid until the next input; what comes of a call that
-// is not waited for any more is ignored.
+// ListTracker holds the endpoint list's version, the calls to discovery and the endpoints that an operator
+// has disabled, and reports balancer.UpdateFailed as soon as a call ends. When to call again is for the
+// decision module to say. Inputs return what is to be done, in order, valid until the next input; what comes
+// of a call that is not waited for any more is ignored.
 type ListTracker struct {
 	addr           netip.AddrPort
 	version        int64
-	calls          int                          // started so far
-	watchCall      int                          // the watch, by its number; zero: none yet
-	accepted       bool                         // discovery has accepted it, and it has not ended
-	addressChanged bool                         // it is the first call to another address
-	formerWatch    int                          // the watch at the address before, until the present one is accepted; zero: none
-	outOfOrder     bool                         // the watch was out of order: the rest of it is ignored
-	fetches        map[int]bool                 // those that are outstanding
-	entries        map[string]protocol.Endpoint // as discovery sent them
-	knownIDs       map[string]bool              // ids that were ever listed
-	knownOrder     []string                     // the same, in the order in which they came
-	disabled       map[string]DisabledEndpoint
-	out            []ListOutput
+	calls          int  // started so far
+	watchCall      int  // the watch, by its number; zero: none yet
+	accepted       bool // discovery has accepted it, and it has not ended
+	addressChanged bool // it is the first call to another address
+	// the watch at the address before, until the present one is accepted; zero: none
+	formerWatch int
+	outOfOrder  bool                         // the watch was out of order: the rest of it is ignored
+	fetches     map[int]bool                 // those that are outstanding
+	entries     map[string]protocol.Endpoint // as discovery sent them
+	knownIDs    map[string]bool              // ids that were ever listed
+	knownOrder  []string                     // the same, in the order in which they came
+	disabled    map[string]DisabledEndpoint
+	out         []ListOutput
 }
 
 // NewListTracker returns a ListTracker with a known list, discovery's address, and the endpoints that are
 // disabled from the start.
-func NewListTracker(addr netip.AddrPort, known protocol.EndpointList, disabled []DisabledEndpoint) *ListTracker {
+func NewListTracker(
+	addr netip.AddrPort,
+	known protocol.EndpointList,
+	disabled []DisabledEndpoint,
+) *ListTracker {
 	l := &ListTracker{
 		addr: addr, version: known.Version, fetches: map[int]bool{}, disabled: map[string]DisabledEndpoint{},
 		knownIDs: map[string]bool{}, entries: map[string]protocol.Endpoint{},
@@ -103,8 +108,8 @@
 	return all
 }
 
-// acceptList passes on what a call brought. Changes older than what is known are out of order: they would undo
-// later ones, so the next watch asks for the complete list, whatever the present one still brings.
+// acceptList passes on what a call brought. Changes older than what is known are out of order: they would
+// undo later ones, so the next watch asks for the complete list, whatever the present one still brings.
 func (l *ListTracker) acceptList(list protocol.EndpointList) {
 	if !list.Full && list.Version < l.version {
 		l.emit(ListOutput{Kind: ListOutOfOrder, Version: list.Version, KnownVersion: l.version})
--- a/internal/routing/output.go
+++ b/internal/routing/output.go
@@ -14,13 +14,13 @@
 // The kinds of output, with the fields of Output that each one uses.
 const (
 	// Respond gives the request its one final answer: Request, Result, After (of a rejection: when to return),
-	// OverQuota, Quota, Text (for people). Where Result is protocol.Served, it is the answer of Attempt, which was
-	// reported just now. Where Streaming is true too, only its beginning is there and the rest follows: the
+	// OverQuota, Quota, Text (for people). Where Result is protocol.Served, it is the answer of Attempt, which
+	// was reported just now. Where Streaming is true too, only its beginning is there and the rest follows: the
 	// attempt's timeout is over, and ResponseProgress.CheckLimits says what holds from now on.
 	Respond OutputKind = iota
 	// StartAttempt sends the request to an endpoint: Request, Attempt, Endpoint, At (when it times out),
-	// Deadline, Streaming (its answer is passed on from the first byte on), After (its timeout from the request's
-	// last byte on, where that has not come; else zero).
+	// Deadline, Streaming (its answer is passed on from the first byte on), After (its timeout from the
+	// request's last byte on, where that has not come; else zero).
 	StartAttempt
 	// RescheduleAttempt changes when an attempt times out, since its request is complete: Request, Attempt, At,
 	// Deadline.
--- a/internal/routing/pool.go
+++ b/internal/routing/pool.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// ReuseDelay is how long a connection rests after its answer before the next attempt is written on it. An endpoint
-// may answer twice, the second time some milliseconds late, and nothing in an answer says which request it is
-// for: what comes while no attempt is on the connection ends it, what comes later would be taken for the next
-// one's answer.
+// ReuseDelay is how long a connection rests after its answer before the next attempt is written on it. An
+// endpoint may answer twice, the second time some milliseconds late, and nothing in an answer says which
+// request it is for: what comes while no attempt is on the connection ends it, what comes later would be
+// taken for the next one's answer.
 const ReuseDelay = 10 * time.Millisecond
 
 // Pool owns the idle connections to one endpoint, and counts the attempts that are under way there. C is a
@@ -47,15 +47,15 @@
 	entry idleConnection[C] // the pool's, where Reused
 }
 
-// NewPool returns the pool of an endpoint at an address, whose connections rest for reuseDelay after an answer: see
-// ReuseDelay.
+// NewPool returns the pool of an endpoint at an address, whose connections rest for reuseDelay after an
+// answer: see ReuseDelay.
 func NewPool[C comparable](addr netip.AddrPort, limit Limiter, reuseDelay time.Duration) *Pool[C] {
 	return &Pool[C]{limit: limit, addr: addr, reuseDelay: reuseDelay}
 }
 
-// Acquire returns the connection for a new attempt: of those that have rested the one used last, since the longest
-// unused are the likeliest to have been forgotten on the way; else the one that has rested first; else a new one.
-// One of the Release methods or ReturnUnused reports the attempt's end.
+// Acquire returns the connection for a new attempt: of those that have rested the one used last, since the
+// longest unused are the likeliest to have been forgotten on the way; else the one that has rested first;
+// else a new one. One of the Release methods or ReturnUnused reports the attempt's end.
 func (p *Pool[C]) Acquire(now time.Duration) (Checkout[C], []C) {
 	p.inUse++
 	p.closing = p.closing[:0]
@@ -78,8 +78,8 @@
 	}, p.closing
 }
 
-// ReturnUnused takes in the end of an attempt that was not written on its reused connection, which has been idle all
-// along. Ended: the connection has ended since.
+// ReturnUnused takes in the end of an attempt that was not written on its reused connection, which has been
+// idle all along. Ended: the connection has ended since.
 //
 //nolint:revive // flag-parameter: ended is reported by the connection, and is no choice of the caller's
 func (p *Pool[C]) ReturnUnused(c Checkout[C], ended bool) []C {
@@ -99,16 +99,16 @@
 // ReleaseClosed takes in the end of an attempt whose connection is closed, or never came up.
 func (p *Pool[C]) ReleaseClosed() { p.inUse-- }
 
-// ReleaseUnanswered takes in the end of an attempt that was sent on a reused connection and got no answer. The others
-// that have not been used since it was sent are closed: a machine that was unreachable for a while may have left
-// them all open and silent, and each would cost an attempt.
+// ReleaseUnanswered takes in the end of an attempt that was sent on a reused connection and got no answer.
+// The others that have not been used since it was sent are closed: a machine that was unreachable for a while
+// may have left them all open and silent, and each would cost an attempt.
 func (p *Pool[C]) ReleaseUnanswered(sent time.Duration) []C {
 	p.inUse--
 	return p.closeMatching(func(c idleConnection[C]) bool { return c.since < sent })
 }
 
-// Release takes in the end of an attempt whose connection can be reused. To is the address that the connection leads
-// to. Ended: the connection has ended since, which may have been reported before.
+// Release takes in the end of an attempt whose connection can be reused. To is the address that the
+// connection leads to. Ended: the connection has ended since, which may have been reported before.
 //
 //nolint:revive // flag-parameter: ended is reported by the connection, and is no choice of the caller's
 func (p *Pool[C]) Release(now time.Duration, conn C, to netip.AddrPort, ended bool) []C {
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -30,8 +30,8 @@
 }
 
 // Permitted removes from a deployment's settings what is not available here: the protocol has no probes of
-// endpoints; and discovery sends nothing unless it is called, also where it is said to push lists. The decision
-// module must be built with the result.
+// endpoints; and discovery sends nothing unless it is called, also where it is said to push lists. The
+// decision module must be built with the result.
 func Permitted(set balancer.Settings) balancer.Settings {
 	set.Limits.Probes = false
 	set.DiscoveryOnDemand = true
@@ -92,9 +92,13 @@
 // balancer.UpdateCached. The module must have been built with the same settings.
 func NewRouter(set balancer.Settings, module Module) *Router {
 	r := &Router{
-		module: module, maxAttempts: max(set.Limits.MaxAttempts, 1), goneUsable: set.Rules.GoneUsable,
-		classes: map[string]balancer.Class{}, requests: map[uint32]*requestState{}, correlationIDs: map[string]uint32{},
-		endpoints: map[string]*endpointState{},
+		module:         module,
+		maxAttempts:    max(set.Limits.MaxAttempts, 1),
+		goneUsable:     set.Rules.GoneUsable,
+		classes:        map[string]balancer.Class{},
+		requests:       map[uint32]*requestState{},
+		correlationIDs: map[string]uint32{},
+		endpoints:      map[string]*endpointState{},
 	}
 	for _, c := range set.Classes {
 		r.classes[c.Name] = c
@@ -105,7 +109,11 @@
 // RequestArrived takes in a new request and gives it a number: ids on the socket have 64 bits, the decision
 // module's 32, and two that collided would answer one client with the other's body. Sent is the earliest time
 // that is known of it, from which the client's timeout counts. The number is valid until ForgetRequest.
-func (r *Router) RequestArrived(now time.Duration, in *protocol.Request, sent time.Duration) (uint32, []Output) {
+func (r *Router) RequestArrived(
+	now time.Duration,
+	in *protocol.Request,
+	sent time.Duration,
+) (uint32, []Output) {
 	r.out = r.out[:0]
 	req := r.register(in)
 	req.deadline = sent + in.TimeLeft - ResponseMargin
@@ -174,8 +182,8 @@
 }
 
 // ResponseStarted takes in that an attempt's answer has begun, as a good one, and is longer than what is
-// buffered; AttemptEnded reports how it ended. The first such answer is the request's final one, however it ends.
-// From now on it lasts as long as the endpoint sends: the objective is about the first bytes.
+// buffered; AttemptEnded reports how it ended. The first such answer is the request's final one, however it
+// ends. From now on it lasts as long as the endpoint sends: the objective is about the first bytes.
 func (r *Router) ResponseStarted(now time.Duration, id uint32, attempt int) []Output {
 	r.out = r.out[:0]
 	req := r.runningAttempt(id, attempt)
@@ -267,8 +275,8 @@
 	return r.out
 }
 
-// FailAll fails every request that has no answer, breaks off answers that have only begun, and rejects what is
-// still to come: the agent is about to end. Nothing is sent to an endpoint from here on.
+// FailAll fails every request that has no answer, breaks off answers that have only begun, and rejects what
+// is still to come: the agent is about to end. Nothing is sent to an endpoint from here on.
 func (r *Router) FailAll() []Output {
 	r.out = r.out[:0]
 	r.failingAll = true
@@ -304,8 +312,8 @@
 	req.streamingAttempt = 0
 }
 
-// cancelUnsent ends the request's attempts that were not written yet: one whose connection comes up late would
-// be sent after the final answer, or after the client has left.
+// cancelUnsent ends the request's attempts that were not written yet: one whose connection comes up late
+// would be sent after the final answer, or after the client has left.
 func (r *Router) cancelUnsent(req *requestState) {
 	for number, a := range req.attempts {
 		if a.running && number+1 != req.streamingAttempt {
--- a/internal/routing/savedlist.go
+++ b/internal/routing/savedlist.go
@@ -7,7 +7,8 @@
 	"dunestep/internal/protocol"
 )
 
-// Confirmation tells whether an update is discovery's word on the whole list, so that a missing change would show.
+// Confirmation tells whether an update is discovery's word on the whole list, so that a missing change would
+// show.
 type Confirmation bool
 
 // The values of Confirmation.
@@ -16,8 +17,8 @@
 	Confirmed   Confirmation = true
 )
 
-// SavedList is the endpoint list as it is stored over a restart: the last one that is known, and when discovery
-// confirmed it.
+// SavedList is the endpoint list as it is stored over a restart: the last one that is known, and when
+// discovery confirmed it.
 type SavedList struct {
 	version      int64
 	endpoints    map[string]protocol.Endpoint
@@ -27,17 +28,17 @@
 	isWatched    bool                // discovery would report a change: the list is confirmed at every moment
 }
 
-// NewSavedList returns the list that an agent starts from, which discovery last confirmed at a time on the clock; zero:
-// not known.
+// NewSavedList returns the list that an agent starts from, which discovery last confirmed at a time on the
+// clock; zero: not known.
 func NewSavedList(initial protocol.EndpointList, confirmedAt time.Duration) *SavedList {
 	l := &SavedList{endpoints: map[string]protocol.Endpoint{}, confirmedAt: confirmedAt}
 	l.Update(0, balancer.UpdateCached, initial, Unconfirmed)
 	return l
 }
 
-// Update takes an update of the list. A confirmed one also means that discovery will report what changes. It returns
-// the ids under which the list of the start had other servers, by address or start, until discovery's first
-// confirmation: what was learned before the start does not hold for them.
+// Update takes an update of the list. A confirmed one also means that discovery will report what changes. It
+// returns the ids under which the list of the start had other servers, by address or start, until discovery's
+// first confirmation: what was learned before the start does not hold for them.
 func (l *SavedList) Update(now time.Duration, kind balancer.UpdateKind, list protocol.EndpointList,
 	confirmation Confirmation,
 ) (replaced []string) {
--- a/internal/routing/shutdown.go
+++ b/internal/routing/shutdown.go
@@ -35,8 +35,8 @@
 // ShutdownPlan says when the phases of a graceful shutdown end, on the clock.
 type ShutdownPlan struct{ accepting, closing, failing time.Duration }
 
-// NewShutdownPlan returns the plan of a shutdown that begins now and, by its classes' deadlines, is over before the
-// agent could be killed.
+// NewShutdownPlan returns the plan of a shutdown that begins now and, by its classes' deadlines, is over
+// before the agent could be killed.
 func NewShutdownPlan(now time.Duration, classes []balancer.Class) ShutdownPlan {
 	var longest time.Duration
 	for _, c := range classes {
@@ -52,8 +52,8 @@
 // Deadline is when the shutdown is over at the latest.
 func (p ShutdownPlan) Deadline() time.Duration { return p.failing }
 
-// PhaseAt returns the phase at a time and when the next one begins. From ShutdownClosing on the shutdown is over as
-// soon as all client connections are closed, which the caller sees.
+// PhaseAt returns the phase at a time and when the next one begins. From ShutdownClosing on the shutdown is
+// over as soon as all client connections are closed, which the caller sees.
 func (p ShutdownPlan) PhaseAt(now time.Duration) (phase ShutdownPhase, until time.Duration) {
 	switch {
 	case now < p.accepting:
--- a/internal/state/folder/directory.go
+++ b/internal/state/folder/directory.go
@@ -14,8 +14,8 @@
 	"dunestep/internal/state"
 )
 
-// directory is what a Folder needs of a file system: a rootDirectory. Tests implement one that loses, tears and
-// reorders what was not synced.
+// directory is what a Folder needs of a file system: a rootDirectory. Tests implement one that loses, tears
+// and reorders what was not synced.
 type directory interface {
 	// read returns a file, or its first state.MaxFileBytes+1 bytes.
 	read(name string) ([]byte, error)
@@ -48,8 +48,8 @@
 	lock *os.File // nil: could not be created, since the folder is read-only
 }
 
-// openDirectory opens a folder and locks it until close, or the end of the process. Where it can be read and not
-// written, the second error says why.
+// openDirectory opens a folder and locks it until close, or the end of the process. Where it can be read and
+// not written, the second error says why.
 func openDirectory(path string) (d *rootDirectory, readOnly, err error) {
 	root, err := os.OpenRoot(path)
 	if err != nil {
@@ -57,7 +57,13 @@
 	}
 	lock, err := root.OpenFile(lockName, os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
-		return &rootDirectory{root: root}, fmt.Errorf("state: cannot create the lock file in %q: %w", path, err), nil
+		return &rootDirectory{
+			root: root,
+		}, fmt.Errorf(
+			"state: cannot create the lock file in %q: %w",
+			path,
+			err,
+		), nil
 	}
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		_, _ = lock.Close(), root.Close() // nothing was written
--- a/internal/state/folder/folder.go
+++ b/internal/state/folder/folder.go
@@ -1,8 +1,8 @@
 // Package folder stores an agent's state in a folder, so that an interrupted write loses at most that write.
 //
-// It owns the folder's two state files and its lock, by which one process at a time uses it. A Folder reads and
-// replaces the files; it is not safe for concurrent use. A Writer is the goroutine that decides when to write; its
-// methods are safe for concurrent use.
+// It owns the folder's two state files and its lock, by which one process at a time uses it. A Folder reads
+// and replaces the files; it is not safe for concurrent use. A Writer is the goroutine that decides when to
+// write; its methods are safe for concurrent use.
 package folder
 
 import (
@@ -14,8 +14,8 @@
 	"dunestep/internal/state"
 )
 
-// slots are the names of the two generations that are stored. A write replaces the older one: the newer one is not
-// touched until the next write is durable.
+// slots are the names of the two generations that are stored. A write replaces the older one: the newer one
+// is not touched until the next write is durable.
 var slots = [2]string{"state-a", "state-b"} // never changed
 
 // Folder is the folder of one agent's state. It is not safe for concurrent use.
@@ -27,8 +27,8 @@
 	nextSlot   int    // index of the slot that is written next
 }
 
-// Open opens a folder, which must exist, for one agent. ErrInUse: another process holds it. Where the folder can be
-// read and not written, Save says why.
+// Open opens a folder, which must exist, for one agent. ErrInUse: another process holds it. Where the folder
+// can be read and not written, Save says why.
 func Open(path string, owner state.Owner) (*Folder, error) {
 	dir, readOnly, err := openDirectory(path)
 	if err != nil {
@@ -47,8 +47,9 @@
 // Close releases the folder.
 func (f *Folder) Close() error { return f.dir.close() }
 
-// Load returns the newest file that is complete and this agent's, or nil, and what was wrong with others. It comes
-// before Save, which goes on from its generation. Another agent's file is never replaced: Save fails from then on.
+// Load returns the newest file that is complete and this agent's, or nil, and what was wrong with others. It
+// comes before Save, which goes on from its generation. Another agent's file is never replaced: Save fails
+// from then on.
 func (f *Folder) Load() (newest *state.File, unusable []error) {
 	for slot, name := range slots {
 		file, err := f.read(name)
--- a/internal/state/folder/writer.go
+++ b/internal/state/folder/writer.go
@@ -10,8 +10,8 @@
 	"dunestep/internal/state"
 )
 
-// warnInterval is after how long it is logged again that nothing can be written, and after how long a folder with
-// another agent's files is looked at again: to open it more often would keep that agent out.
+// warnInterval is after how long it is logged again that nothing can be written, and after how long a folder
+// with another agent's files is looked at again: to open it more often would keep that agent out.
 const warnInterval = 10 * time.Minute
 
 // WriterSettings says what a Writer writes, where and when.
@@ -22,13 +22,13 @@
 	Period time.Duration
 	// MinInterval is the least time between the end of a write and the next, however much has changed.
 	MinInterval time.Duration
-	// Collect returns the state to write. It may wait, and returns false where it has nothing before ctx ends. It is
-	// called from the Writer's goroutine.
+	// Collect returns the state to write. It may wait, and returns false where it has nothing before ctx ends.
+	// It is called from the Writer's goroutine.
 	Collect func(ctx context.Context) (state.Content, bool)
 }
 
-// Writer writes an agent's state, in a goroutine of its own: a slow disk delays nothing but the next write. The
-// goroutine ends with Finish, and closes the folder.
+// Writer writes an agent's state, in a goroutine of its own: a slow disk delays nothing but the next write.
+// The goroutine ends with Finish, and closes the folder.
 type Writer struct {
 	settings WriterSettings
 	requests chan struct{} // holds one: a write is wanted before the period is over
@@ -46,9 +46,9 @@
 	lastDuration time.Duration // of the last write
 }
 
-// StartWriter starts to write into a folder, whose newest file is so old; negative: not known. A program that is
-// started again and again writes no more often for it. The folder, which becomes the Writer's, may be nil where it
-// could not be opened: the Writer tries again.
+// StartWriter starts to write into a folder, whose newest file is so old; negative: not known. A program that
+// is started again and again writes no more often for it. The folder, which becomes the Writer's, may be nil
+// where it could not be opened: the Writer tries again.
 func StartWriter(settings WriterSettings, folder *Folder, age time.Duration) *Writer {
 	ctx, cancel := context.WithCancel(context.Background())
 	w := &Writer{
@@ -67,8 +67,8 @@
 	}
 }
 
-// Finish writes a last time and ends the goroutine, within the context. Where the last write took longer than is left
-// of the context, it does not begin one: a process can't end while its disk is at work.
+// Finish writes a last time and ends the goroutine, within the context. Where the last write took longer than
+// is left of the context, it does not begin one: a process can't end while its disk is at work.
 func (w *Writer) Finish(ctx context.Context) {
 	w.mu.Lock()
 	took := w.lastDuration
--- a/internal/state/format.go
+++ b/internal/state/format.go
@@ -19,8 +19,8 @@
 //	         header and content, as CBOR
 //	4        CRC-32C
 //
-// All numbers are big-endian. Magic, version and checksum stand where they are in every version of the format. The
-// checksum finds every change of up to 32 bits in a row, so each damaged byte for certain.
+// All numbers are big-endian. Magic, version and checksum stand where they are in every version of the
+// format. The checksum finds every change of up to 32 bits in a row, so each damaged byte for certain.
 //
 // Format 1 had no generation, and its content had no sections. It is read, and never written.
 const (
@@ -104,8 +104,8 @@
 	return binary.BigEndian.AppendUint32(raw, crc32.Checksum(raw, castagnoli)), nil
 }
 
-// Decode reads a file from its bytes: all of it or, with an error that wraps one of those above, nothing. A file of an
-// earlier format is converted to the current one.
+// Decode reads a file from its bytes: all of it or, with an error that wraps one of those above, nothing. A
+// file of an earlier format is converted to the current one.
 func Decode(raw []byte) (*File, error) {
 	body, err := checkFrame(raw)
 	if err != nil {
--- a/internal/state/initial.go
+++ b/internal/state/initial.go
@@ -26,9 +26,9 @@
 	Age             time.Duration
 }
 
-// NewInitial returns what an agent starts from: the list that its configuration has, and its file, which may be nil.
-// What the file has of a server holds only if that has the same start and address in the list. The error says why the
-// file's list can't be used; then the Initial has the configured list alone.
+// NewInitial returns what an agent starts from: the list that its configuration has, and its file, which may
+// be nil. What the file has of a server holds only if that has the same start and address in the list. The
+// error says why the file's list can't be used; then the Initial has the configured list alone.
 func NewInitial(configured protocol.EndpointList, f *File, now time.Time) (Initial, error) {
 	initial := Initial{List: configured, ListAge: -1}
 	if f == nil {
--- a/internal/state/recorder.go
+++ b/internal/state/recorder.go
@@ -31,8 +31,8 @@
 	Restore(s routing.IdleSnapshot, age time.Duration)
 }
 
-// Recorder restores what was learned into the parts of a running agent, and takes snapshots of them. It belongs to
-// the agent's actor.
+// Recorder restores what was learned into the parts of a running agent, and takes snapshots of them. It
+// belongs to the agent's actor.
 type Recorder struct {
 	balancer      Balancer
 	gate          OverloadGate
@@ -51,7 +51,13 @@
 }
 
 // NewRecorder returns a Recorder for the parts of an agent that starts from initial.
-func NewRecorder(initial Initial, b Balancer, gate OverloadGate, idle IdleLimiter, p ProbationSettings) *Recorder {
+func NewRecorder(
+	initial Initial,
+	b Balancer,
+	gate OverloadGate,
+	idle IdleLimiter,
+	p ProbationSettings,
+) *Recorder {
 	return &Recorder{
 		balancer: b, gate: gate, idleLimit: idle,
 		savedList: routing.NewSavedList(initial.List, initial.ConfirmedAt),
@@ -59,8 +65,8 @@
 	}
 }
 
-// RestoreLearned restores what was learned. It is called once, right after the balancer was told the list of the
-// start, and before the first request.
+// RestoreLearned restores what was learned. It is called once, right after the balancer was told the list of
+// the start, and before the first request.
 func (r *Recorder) RestoreLearned(now time.Duration) {
 	if r.initial.Balancer != nil {
 		r.balancer.Restore(now, *r.initial.Balancer, r.initial.Age)
@@ -77,8 +83,8 @@
 	r.initial = Initial{} // its memory can be reclaimed
 }
 
-// ListUpdated takes an update of the list, right after the balancer was told of it. It returns whether discovery has
-// confirmed the list by that for the first time.
+// ListUpdated takes an update of the list, right after the balancer was told of it. It returns whether
+// discovery has confirmed the list by that for the first time.
 func (r *Recorder) ListUpdated(now time.Duration, kind balancer.UpdateKind, list protocol.EndpointList,
 	confirmation routing.Confirmation,
 ) (firstConfirmation bool) {
--- a/internal/state/sections.go
+++ b/internal/state/sections.go
@@ -71,9 +71,17 @@
 		decodeSection(f, "storm", all.Overload, overload.SnapshotVersion, &f.Overload))
 }
 
-// decodeSection decodes a section of the version that this build writes, or of an earlier one, which the migrations
-// from version 1 on convert. Any other version is skipped, and noted in the file. The name is the JSON's.
-func decodeSection[T any](f *File, name string, from *section, version int, into **T, migrations ...func(*T)) error {
+// decodeSection decodes a section of the version that this build writes, or of an earlier one, which the
+// migrations from version 1 on convert. Any other version is skipped, and noted in the file. The name is the
+// JSON's.
+func decodeSection[T any](
+	f *File,
+	name string,
+	from *section,
+	version int,
+	into **T,
+	migrations ...func(*T),
+) error {
 	switch {
 	case from == nil:
 		return nil
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -1,13 +1,13 @@
-// Package state encodes what an agent learned, so that its next process starts from it: the endpoint list, the
-// balancer's and the overload control's statistics, and the limit on idle connections.
+// Package state encodes what an agent learned, so that its next process starts from it: the endpoint list,
+// the balancer's and the overload control's statistics, and the limit on idle connections.
 //
-// It is one file, which is always written as a whole: Decode accepts a complete file that this program wrote, or
-// nothing. Encode and Decode own the layout (format.go, sections.go, storedlist.go); package folder owns where files
-// lie and when they are written. NewInitial decides what an agent starts from, and a Recorder collects what a running
-// agent has learned.
+// It is one file, which is always written as a whole: Decode accepts a complete file that this program wrote,
+// or nothing. Encode and Decode own the layout (format.go, sections.go, storedlist.go); package folder owns
+// where files lie and when they are written. NewInitial decides what an agent starts from, and a Recorder
+// collects what a running agent has learned.
 //
-// The package does no input or output, reads no clock, and starts no goroutine. Its types are not safe for concurrent
-// use. The same content gives the same bytes.
+// The package does no input or output, reads no clock, and starts no goroutine. Its types are not safe for
+// concurrent use. The same content gives the same bytes.
 package state
 
 import (
@@ -36,8 +36,8 @@
 // Age is how long ago the file was written. Below zero, the clock was set back: the age is not known.
 func (h *Header) Age(now time.Time) time.Duration { return now.Sub(time.UnixMilli(h.WrittenMS)) }
 
-// Content is what an agent learned. A section that is absent is nil. The names in the JSON that is exported are older
-// than the fields'.
+// Content is what an agent learned. A section that is absent is nil. The names in the JSON that is exported
+// are older than the fields'.
 type Content struct {
 	List            *StoredList           `json:"list,omitempty"`
 	Balancer        *balancer.Snapshot    `json:"module,omitempty"`
@@ -55,8 +55,8 @@
 	SkippedSections []string `json:"skipped,omitempty"`
 }
 
-// IsNewerThan tells which of two files was written later: by the generation, and for files of format 1, which have
-// none, by the time.
+// IsNewerThan tells which of two files was written later: by the generation, and for files of format 1, which
+// have none, by the time.
 func (f *File) IsNewerThan(other *File) bool {
 	if f.Generation != other.Generation {
 		return f.Generation > other.Generation
--- a/internal/state/storedlist.go
+++ b/internal/state/storedlist.go
@@ -69,7 +69,11 @@
 	validWeight := e.Weight >= 0 // which NaN is not
 	if e.ID == "" || e.State > balancer.Draining || !validWeight || e.StartedAt < 0 ||
 		e.State == balancer.Ready && !hasAddr {
-		return protocol.Endpoint{}, fmt.Errorf("state: the stored list has an invalid endpoint %q at %q", e.ID, e.Addr)
+		return protocol.Endpoint{}, fmt.Errorf(
+			"state: the stored list has an invalid endpoint %q at %q",
+			e.ID,
+			e.Addr,
+		)
 	}
 	return protocol.Endpoint{Addr: addr, Server: balancer.Server{
 		ID: e.ID, Zone: e.Zone, MachineKind: e.MachineKind, Cell: e.Cell,
--- a/internal/transport/downstreamlistener.go
+++ b/internal/transport/downstreamlistener.go
@@ -17,8 +17,8 @@
 	evictAny                       // also others without an answer owed: descriptors are short
 )
 
-// downstreamListener accepts clients while there are descriptors for them, and evicts connections without an open
-// request where there are not.
+// downstreamListener accepts clients while there are descriptors for them, and evicts connections without an
+// open request where there are not.
 type downstreamListener struct {
 	net.Listener
 	*downstreamConns
@@ -29,8 +29,8 @@
 	closeErr  error
 }
 
-// downstreamConns are the connections of all sockets of a Listener: whichever is short of descriptors, the best
-// candidates of all are evicted.
+// downstreamConns are the connections of all sockets of a Listener: whichever is short of descriptors, the
+// best candidates of all are evicted.
 type downstreamConns struct {
 	descriptors *Descriptors
 	mu          sync.Mutex
@@ -71,9 +71,9 @@
 	return l.closeErr
 }
 
-// evict closes the best candidate and reports whether there was one; its descriptor is free once its client has
-// closed it too, or has had the time to. Clients that connect and send nothing, send one request and stay, or never
-// complete a request would keep out all others.
+// evict closes the best candidate and reports whether there was one; its descriptor is free once its client
+// has closed it too, or has had the time to. Clients that connect and send nothing, send one request and
+// stay, or never complete a request would keep out all others.
 func (l *downstreamConns) evict(scope evictionScope) bool {
 	skipped := map[*downstreamConn]bool{} // have received something meanwhile
 	for {
@@ -85,8 +85,8 @@
 	}
 }
 
-// evictionCandidate returns the connection with the lowest rank, of those with the same rank the one that has been
-// in its state for longest; nil if there is none.
+// evictionCandidate returns the connection with the lowest rank, of those with the same rank the one that has
+// been in its state for longest; nil if there is none.
 func (l *downstreamConns) evictionCandidate(scope evictionScope, skipped map[*downstreamConn]bool) (
 	best *downstreamConn, bestState connState, bestSince time.Time,
 ) {
--- a/internal/transport/framing.go
+++ b/internal/transport/framing.go
@@ -17,9 +17,9 @@
 	maxContentLength     = 1 << 40 // bytes; larger values are cut off here, the body is rejected elsewhere
 )
 
-// requestFraming finds where requests begin and end in what a client sends. A request with both Content-Length and
-// Transfer-Encoding may hide another one in its body, and net/http drops the length, so that its handler can't tell.
-// The zero value is ready for use.
+// requestFraming finds where requests begin and end in what a client sends. A request with both
+// Content-Length and Transfer-Encoding may hide another one in its body, and net/http drops the length, so
+// that its handler can't tell. The zero value is ready for use.
 type requestFraming struct {
 	headerName          [18]byte // the beginning of the present line, in lower case
 	lineLength          int      // bytes of the present line so far, up to one more than headerName holds
@@ -95,8 +95,8 @@
 	}
 }
 
-// headerNameIs compares the name of the present line, without the white space that malformed requests have before
-// the colon.
+// headerNameIs compares the name of the present line, without the white space that malformed requests have
+// before the colon.
 func (f *requestFraming) headerNameIs(name string) bool {
 	n := min(f.lineLength, len(f.headerName))
 	for n > 0 && (f.headerName[n-1] == ' ' || f.headerName[n-1] == '\t') {
