--- a/internal/transport/responsewriter.go
+++ b/internal/transport/responsewriter.go
@@ -15,9 +15,13 @@
 	"dunestep/internal/protocol"
 )
 
-// writeResponse writes a response, and counts how the request ended. It aborts the connection if the response can't
-// be written to its end: the part that was written could look complete.
-func (f *Listener) writeResponse(w http.ResponseWriter, r *http.Request, x protocol.Exchange, response protocol.Response,
+// writeResponse writes a response, and counts how the request ended. It aborts the connection if the response
+// can't be written to its end: the part that was written could look complete.
+func (f *Listener) writeResponse(
+	w http.ResponseWriter,
+	r *http.Request,
+	x protocol.Exchange,
+	response protocol.Response,
 	counted *metrics.Operation,
 ) {
 	if response.Kind == protocol.Malformed || response.Kind == protocol.TooLong {
@@ -46,8 +50,8 @@
 	}
 }
 
-// outcomeOf is how a request ended, by its response and the error of writing that. A client is lost if it takes no
-// more of it.
+// outcomeOf is how a request ended, by its response and the error of writing that. A client is lost if it
+// takes no more of it.
 func outcomeOf(kind protocol.ResponseKind, err error, isClientLost bool) metrics.Ending {
 	switch {
 	case err != nil && isClientLost:
@@ -85,7 +89,8 @@
 	return err
 }
 
-// deadlineSlack is by how much a write's deadline may be too early: to move it costs as much as a small write.
+// deadlineSlack is by how much a write's deadline may be too early: to move it costs as much as a small
+// write.
 const deadlineSlack = 10 * time.Millisecond
 
 // extendDeadline sets the deadline of the next write.
--- a/internal/transport/upstreamresponse.go
+++ b/internal/transport/upstreamresponse.go
@@ -35,7 +35,8 @@
 	return r, nil
 }
 
-// classifyReadError distinguishes a response that ended with its connection, or is not wanted, from an invalid one.
+// classifyReadError distinguishes a response that ended with its connection, or is not wanted, from an
+// invalid one.
 func (u *UpstreamConn) classifyReadError(err error) error {
 	switch {
 	case errors.Is(err, bytebudget.ErrFull), errors.Is(err, bodystream.ErrLeft):
@@ -46,9 +47,9 @@
 	return errors.Join(ErrInvalidResponse, err)
 }
 
-// readBody reads the body of a response to its end, in memory that it waits for first. A response that comes in time
-// is buffered until it is complete. One that is longer than what may be buffered, or takes longer and is not known to
-// be short, is started as a stream.
+// readBody reads the body of a response to its end, in memory that it waits for first. A response that comes
+// in time is buffered until it is complete. One that is longer than what may be buffered, or takes longer and
+// is not known to be short, is started as a stream.
 func (u *UpstreamConn) readBody(s *UpstreamRequest, r *protocol.UpstreamResponse, body protocol.UnreadBody,
 	rules BodyRules,
 ) error {
@@ -113,8 +114,8 @@
 	return nil
 }
 
-// responseStart starts a response as a stream: once, and not after its end. A server that writes a long response in
-// small pieces would else have its first bytes wait for others, and clients time the first bytes.
+// responseStart starts a response as a stream: once, and not after its end. A server that writes a long
+// response in small pieces would else have its first bytes wait for others, and clients time the first bytes.
 type responseStart struct {
 	start func()
 
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -51,8 +51,12 @@
 func NewDecoder() *Decoder { return &Decoder{interned: map[string]string{}} }
 
 // DecodeBatch decodes a line and calls handle for each message in order, with the batch's time, which it also
-// returns. The Message is reused between the calls. An error of handle ends the batch and is returned as it is.
-func (d *Decoder) DecodeBatch(line []byte, handle func(now time.Duration, m *Message) error) (time.Duration, error) {
+// returns. The Message is reused between the calls. An error of handle ends the batch and is returned as it
+// is.
+func (d *Decoder) DecodeBatch(
+	line []byte,
+	handle func(now time.Duration, m *Message) error,
+) (time.Duration, error) {
 	l := &jlexer.Lexer{Data: line}
 	var now time.Duration
 	hasTime, hasMessages := false, false
@@ -87,7 +91,11 @@
 	return now, nil
 }
 
-func (d *Decoder) decodeMessages(l *jlexer.Lexer, now time.Duration, handle func(time.Duration, *Message) error) error {
+func (d *Decoder) decodeMessages(
+	l *jlexer.Lexer,
+	now time.Duration,
+	handle func(time.Duration, *Message) error,
+) error {
 	var m Message
 	l.Delim('[')
 	for !l.IsDelim(']') {
@@ -105,8 +113,8 @@
 	return nil
 }
 
-// object decodes a JSON object, with field called for each of its fields that is not null. An unknown field is
-// skipped: field returns false for it.
+// object decodes a JSON object, with field called for each of its fields that is not null. An unknown field
+// is skipped: field returns false for it.
 func object(l *jlexer.Lexer, field func(key string) bool) {
 	l.Delim('{')
 	for !l.IsDelim('}') {
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -7,8 +7,8 @@
 	"dunestep/internal/balancer"
 )
 
-// AppendReplyStart appends the start of a reply to a batch: a line that holds the actions, with commas between
-// them.
+// AppendReplyStart appends the start of a reply to a batch: a line that holds the actions, with commas
+// between them.
 func AppendReplyStart(b []byte) []byte { return append(b, `{"`+fieldActions+`":[`...) }
 
 // AppendReplyEnd appends its end, with the line feed.
