--- a/cmd/dunestep/manual.go
+++ b/cmd/dunestep/manual.go
@@ -23,7 +23,7 @@
 type manualControl struct {
 	agent    *agent.Agent
 	listener *transport.Listener
-	metrics  *metrics.Figures
+	metrics  *metrics.Counters
 	file     *handover.SettingsFile
 	changed  func(handover.ManualSettings) // called after something was set and stored
 	fleet    *fleetMember                  // nil: this agent takes no part
--- a/cmd/dunestep/process.go
+++ b/cmd/dunestep/process.go
@@ -20,7 +20,7 @@
 // what upgrade's mutex guards.
 type process struct {
 	settings    settings // Limits and operator: guarded by upgrade.mu
-	metrics     *metrics.Figures
+	metrics     *metrics.Counters
 	descriptors *transport.Descriptors
 	bodies      *transport.BodyLimits
 	state       *stateKeeper
--- a/internal/agent/actor.go
+++ b/internal/agent/actor.go
@@ -106,7 +106,7 @@
 func (a *Agent) reportEjections(now time.Duration) {
 	if a.balancer != nil && now-a.ejectedAt >= ejectionInterval {
 		a.ejectedAt = now
-		a.metrics.SetAvoided(a.balancer.EjectedServers())
+		a.metrics.SetEjected(a.balancer.EjectedServers())
 	}
 }
 
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -37,7 +37,7 @@
 	Probation   state.ProbationSettings
 	Descriptors *transport.Descriptors
 	Bodies      *transport.BodyLimits
-	Metrics     *metrics.Figures           // nil: nobody reads them
+	Metrics     *metrics.Counters          // nil: nobody reads them
 	Disabled    []routing.DisabledEndpoint // from the start on
 	Datagrams   *transport.Datagrams       // nil: agents don't communicate
 	// FleetReady tells whether this agent has what it needs of the fleet to be ready; nil: nothing.
@@ -73,7 +73,7 @@
 	upstreamSettings upstreamSettings
 	controller       *overload.Controller
 	balancer         *balancer.Balancer
-	metrics          *metrics.Figures
+	metrics          *metrics.Counters
 	ejectedAt        time.Duration // when the metrics were last told of ejected servers
 	router           *routing.Router
 	recorder         stateRecorder
--- a/internal/agent/answers_test.go
+++ b/internal/agent/answers_test.go
@@ -51,13 +51,13 @@
 }
 
 // body is a body of which half has come.
-func (s *stage) body(t *rapid.T) *bodystream.Flow {
-	grant, err := s.pool.Take(t.Context(), bytebudget.Holder{Name: "s-0"}, 100)
+func (s *stage) body(t *rapid.T) *bodystream.Stream {
+	grant, err := s.pool.Reserve(t.Context(), bytebudget.Holder{Name: "s-0"}, 100)
 	require.NoError(t, err)
 	f := bodystream.New(100, grant, 100)
-	_, err = f.Room()
+	_, err = f.WriteBuffer()
 	require.NoError(t, err)
-	f.Came(50)
+	f.Wrote(50)
 	return f
 }
 
@@ -72,21 +72,21 @@
 			CorrelationID: "1", ArrivedAt: time.Now(), TimeLeft: time.Minute, Release: func() { s.released++ },
 		}}
 		s.handle(r)
-		var flows []*bodystream.Flow
-		begun, over := make([]*bodystream.Flow, n), make([]bool, n)
+		var flows []*bodystream.Stream
+		begun, over := make([]*bodystream.Stream, n), make([]bool, n)
 		var taken []protocol.Response
 		gone := false
-		end := func(i int, f *bodystream.Flow, saw routing.AttemptResult) {
+		end := func(i int, f *bodystream.Stream, saw routing.AttemptResult) {
 			over[i] = true
 			saw.Phase = routing.Responding
-			s.handle(attemptEnded{attempt: r.attempts[i], result: saw, response: protocol.UpstreamResponse{Flow: f}})
+			s.handle(attemptEnded{attempt: r.attempts[i], result: saw, response: protocol.UpstreamResponse{BodyStream: f}})
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"begin": func(t *rapid.T) {
 				if i := rapid.IntRange(0, n-1).Draw(t, "i"); !over[i] && begun[i] == nil {
 					begun[i] = s.body(t)
 					flows = append(flows, begun[i])
-					s.handle(responseStarted{r.attempts[i], protocol.UpstreamResponse{Flow: begun[i]}})
+					s.handle(responseStarted{r.attempts[i], protocol.UpstreamResponse{BodyStream: begun[i]}})
 				}
 			},
 			"end": func(t *rapid.T) {
@@ -95,11 +95,11 @@
 				switch {
 				case over[i]:
 				case begun[i] != nil:
-					begun[i].End(why)
+					begun[i].CloseWrite(why)
 					over[i] = true
 				case errors.Is(why, io.EOF):
 					f := s.body(t)
-					f.End(io.EOF)
+					f.CloseWrite(io.EOF)
 					flows = append(flows, f)
 					end(i, f, routing.AttemptResult{EndReason: routing.Completed})
 				default:
@@ -131,17 +131,17 @@
 		}
 		for i, f := range begun {
 			if f != nil && !over[i] {
-				f.End(io.ErrUnexpectedEOF)
+				f.CloseWrite(io.ErrUnexpectedEOF)
 			}
 		}
 		for _, a := range taken {
-			if a.Flow != nil {
-				a.Flow.Close()
+			if a.BodyStream != nil {
+				a.BodyStream.CloseRead()
 			}
 		}
 		for i, f := range begun {
 			if f != nil {
-				<-f.Over()
+				<-f.Done()
 				end(i, nil, routing.AttemptResult{Streamed: true, EndReason: endReasonOf(r.attempts[i].ctx, f.Result())})
 			} else if !over[i] {
 				end(i, nil, routing.AttemptResult{EndReason: routing.TimedOut})
@@ -150,10 +150,10 @@
 		require.LessOrEqual(t, len(taken), 1)
 		require.Empty(t, r.response)
 		for _, f := range flows {
-			_, err := f.Next()
+			_, err := f.ReadBuffer()
 			require.Error(t, err, "closed")
 		}
-		require.Zero(t, s.pool.Used())
+		require.Zero(t, s.pool.Reserved())
 		require.Positive(t, s.released)
 		require.Empty(t, s.requests)
 	})
@@ -165,7 +165,7 @@
 	s := newAttempt(&request{}, routing.Output{At: c.now() + time.Minute}, c)
 	for err, want := range map[error]routing.EndReason{
 		nil: routing.Completed, io.ErrUnexpectedEOF: routing.BrokenByEndpoint,
-		bodystream.ErrLeft: routing.ClientLeft, transport.ErrInvalidResponse: routing.InvalidResponse, bytebudget.ErrFull: routing.NoMemory,
+		bodystream.ErrAbandoned: routing.ClientLeft, transport.ErrInvalidResponse: routing.InvalidResponse, bytebudget.ErrFull: routing.NoMemory,
 	} {
 		require.Equal(t, want, endReasonOf(s.ctx, err))
 	}
@@ -178,12 +178,12 @@
 func TestEndpointLatency(t *testing.T) {
 	sent := time.Now()
 	buffered := &exchange{attempt: &attempt{sent: sent, request: &request{Request: &protocol.Request{}}}}
-	streamed := &exchange{attempt: buffered.attempt, streamed: &bodystream.Flow{}}
-	p := bodystream.Progress{Whole: true, LastCame: sent.Add(9 * time.Second), Before: time.Second, HeldUp: 2 * time.Second}
+	streamed := &exchange{attempt: buffered.attempt, streamed: &bodystream.Stream{}}
+	p := bodystream.Progress{IsComplete: true, LastReceivedAt: sent.Add(9 * time.Second), DelayedBefore: time.Second, StalledFor: 2 * time.Second}
 	require.Equal(t, 6*time.Second, buffered.endpointLatency(p, sent.Add(time.Hour)))
-	p.Coming = time.Second
+	p.ReceivingFor = time.Second
 	require.Equal(t, 5*time.Second, streamed.endpointLatency(p, sent.Add(time.Hour)), "its beginning is timed")
-	p.Whole = false
+	p.IsComplete = false
 	require.Equal(t, time.Hour-3*time.Second, buffered.endpointLatency(p, sent.Add(time.Hour)))
 	require.Equal(t, time.Hour, buffered.endpointLatency(bodystream.Progress{}, sent.Add(time.Hour)))
 }
--- a/internal/agent/crossings_test.go
+++ b/internal/agent/crossings_test.go
@@ -84,11 +84,11 @@
 	select {
 	case m := <-s.reports:
 		end := m.(attemptEnded)
-		if end.response.Flow == nil {
+		if end.response.BodyStream == nil {
 			return end, ""
 		}
-		defer end.response.Flow.Close()
-		body, err := end.response.Flow.Next()
+		defer end.response.BodyStream.CloseRead()
+		body, err := end.response.BodyStream.ReadBuffer()
 		require.NoError(s.t, err)
 		return end, string(body)
 	case <-time.After(time.Minute):
@@ -190,7 +190,7 @@
 	}, nil)
 	timeLeft := func(edit func(*attempt)) (ms int) {
 		rest := bodystream.New(-1, bytebudget.Grant{}, 0)
-		rest.End(io.EOF)
+		rest.CloseWrite(io.EOF)
 		until := s.clock.now() + 15*time.Minute // for so long its body may come
 		a := newAttempt(&request{Request: &protocol.Request{
 			Method: http.MethodPost, Target: "/rezervare",
--- a/internal/agent/exchange.go
+++ b/internal/agent/exchange.go
@@ -39,7 +39,7 @@
 	conn     *transport.UpstreamConn
 	reusable bool // conn can carry another request
 	response protocol.UpstreamResponse
-	streamed *bodystream.Flow // the response's body, where that began to be forwarded; nil: it did not
+	streamed *bodystream.Stream // the response's body, where that began to be forwarded; nil: it did not
 	result   routing.AttemptResult
 	err      error
 }
@@ -98,9 +98,9 @@
 		Head: protocol.AppendUpstreamRequest(nil, r, timeout),
 		Body: r.Body, Rest: r.Rest, Chunked: r.Length < 0,
 		Streamed: a.streams, IsGraphQL: r.IsGraphQL,
-		OnWritten: func() { a.written = time.Now(); e.upstream.settings.metrics.Tried() },
+		OnWritten: func() { a.written = time.Now(); e.upstream.settings.metrics.AttemptSent() },
 		OnResponseStart: func(response protocol.UpstreamResponse) {
-			e.streamed = response.Flow
+			e.streamed = response.BodyStream
 			e.startStreaming(response)
 		},
 	})
@@ -109,8 +109,8 @@
 
 // startStreaming reports that the response has begun, and looks from then on whether it may go on.
 func (e *exchange) startStreaming(response protocol.UpstreamResponse) {
-	a, body := e.attempt, response.Flow
-	context.AfterFunc(a.ctx, func() { body.Cut(context.Cause(a.ctx)) })
+	a, body := e.attempt, response.BodyStream
+	context.AfterFunc(a.ctx, func() { body.Abort(context.Cause(a.ctx)) })
 	var watch *time.Timer
 	watch = time.AfterFunc(time.Hour, func() { // Reset below, once watch is set
 		if a.ctx.Err() != nil {
@@ -120,7 +120,7 @@
 		progress := responseProgress(p)
 		progress.Stream = a.streams
 		lag := e.upstream.settings.bodies.Rules().ClientLag
-		if reason := progress.CheckLimits(time.Since(a.sent), left, p.Quiet, lag); reason != routing.NotEnded {
+		if reason := progress.CheckLimits(time.Since(a.sent), left, p.SilentFor, lag); reason != routing.NotEnded {
 			a.cancel(reason)
 			return
 		}
@@ -133,7 +133,7 @@
 // judgeExchange completes the result with what the exchange shows.
 func (e *exchange) judgeExchange() {
 	rest := e.attempt.request.Rest
-	e.result.BodyConsumed = rest != nil && rest.Progress().Taken
+	e.result.BodyConsumed = rest != nil && rest.Progress().HasConsumed
 	clientStopped := e.result.Phase == routing.Writing && errors.Is(e.err, transport.ErrClientStopped)
 	notTried := e.result.Phase == routing.StaleConnection && e.reusable
 	e.result.LocalFault = e.result.LocalFault || clientStopped || notTried
@@ -161,14 +161,14 @@
 	ended := attemptEnded{attempt: e.attempt, response: e.response}
 	var p bodystream.Progress
 	if e.streamed != nil {
-		ended.response.Flow = nil // it is the request's
-		<-e.streamed.Over()
+		ended.response.BodyStream = nil // it is the request's
+		<-e.streamed.Done()
 		if p, e.err = e.streamed.Progress(), e.streamed.Result(); errors.Is(e.err, io.EOF) {
 			e.err = nil
 		}
 		e.result.Phase, e.result.Streamed = routing.Responding, true
-	} else if e.response.Flow != nil {
-		p = e.response.Flow.Progress()
+	} else if e.response.BodyStream != nil {
+		p = e.response.BodyStream.Progress()
 	}
 	e.result.EndReason, e.result.Response = endReasonOf(e.attempt.ctx, e.err), e.response.Outcome
 	e.result.Progress = responseProgress(p)
@@ -181,12 +181,12 @@
 // endpointLatency is how long the endpoint took for what came of its response, without the time that this side delayed
 // it. Of a response that was streamed only the beginning is timed: the rest takes as long as its length.
 func (e *exchange) endpointLatency(p bodystream.Progress, ended time.Time) time.Duration {
-	if p.Whole && !p.LastCame.IsZero() { // else it was waited for until the end
-		ended = p.LastCame
+	if p.IsComplete && !p.LastReceivedAt.IsZero() { // else it was waited for until the end
+		ended = p.LastReceivedAt
 	}
-	latency := ended.Sub(e.attempt.timedFrom()) - p.Before - p.HeldUp
+	latency := ended.Sub(e.attempt.timedFrom()) - p.DelayedBefore - p.StalledFor
 	if e.streamed != nil {
-		latency -= p.Coming
+		latency -= p.ReceivingFor
 	}
 	return latency
 }
@@ -194,8 +194,8 @@
 // responseProgress is the progress of a body, as the router has it.
 func responseProgress(p bodystream.Progress) routing.ResponseProgress {
 	return routing.ResponseProgress{
-		Length: p.Length, Received: p.Came, DelayBefore: p.Before, Blocked: p.HeldUp, Receiving: p.Coming,
-		Complete: p.Whole,
+		Length: p.Length, Received: p.Received, DelayBefore: p.DelayedBefore, Blocked: p.StalledFor, Receiving: p.ReceivingFor,
+		Complete: p.IsComplete,
 	}
 }
 
@@ -223,7 +223,7 @@
 		return routing.NoMemory
 	case errors.As(context.Cause(ctx), &own):
 		return own
-	case errors.Is(err, bodystream.ErrLeft):
+	case errors.Is(err, bodystream.ErrAbandoned):
 		return routing.ClientLeft
 	case errors.Is(err, transport.ErrInvalidResponse):
 		return routing.InvalidResponse
--- a/internal/agent/list.go
+++ b/internal/agent/list.go
@@ -34,7 +34,7 @@
 	calls   map[int]context.CancelFunc // those that have not ended, by number
 	report  func(listUpdate)
 	clock   clock
-	metrics *metrics.Figures
+	metrics *metrics.Counters
 }
 
 // The messages of the list's actor.
@@ -75,7 +75,7 @@
 
 // startList starts the actor, and reports the initial list at once.
 func startList(addr netip.AddrPort, initial protocol.EndpointList, disabled []routing.DisabledEndpoint, clock clock,
-	m *metrics.Figures, report func(listUpdate),
+	m *metrics.Counters, report func(listUpdate),
 ) *listActor {
 	l := &listActor{
 		mail: newMailbox[any](), tracker: routing.NewListTracker(addr, initial, disabled),
@@ -134,7 +134,7 @@
 // reportSize tells the metrics how many endpoints are listed, and how many of them are disabled.
 func (l *listActor) reportSize() {
 	listed, disabled := l.tracker.Size()
-	l.metrics.SetPool(metrics.Pool{Listed: listed, Banned: disabled})
+	l.metrics.SetEndpoints(metrics.Endpoints{Listed: listed, Banned: disabled})
 }
 
 // carryOut carries out what the tracker asks for, in order.
--- a/internal/agent/requests.go
+++ b/internal/agent/requests.go
@@ -97,8 +97,8 @@
 
 // closeUnusedResponse closes the response in hand where it has not become a request's.
 func (a *Agent) closeUnusedResponse() {
-	if a.response.Flow != nil {
-		a.response.Flow.Close()
+	if a.response.BodyStream != nil {
+		a.response.BodyStream.CloseRead()
 	}
 	a.response = protocol.UpstreamResponse{}
 }
@@ -107,8 +107,8 @@
 func (r *request) closeUntakenResponse() {
 	select {
 	case response := <-r.response:
-		if response.Flow != nil {
-			response.Flow.Close()
+		if response.BodyStream != nil {
+			response.BodyStream.CloseRead()
 		}
 	default:
 	}
@@ -146,10 +146,10 @@
 	}
 	if out.Result == protocol.Served {
 		response = protocol.Response{
-			Kind: protocol.Served, Flow: a.response.Flow, ContentType: a.response.ContentType,
+			Kind: protocol.Served, BodyStream: a.response.BodyStream, ContentType: a.response.ContentType,
 			Status: a.response.Status,
 		}
-		a.response.Flow = nil // the request's from now on
+		a.response.BodyStream = nil // the request's from now on
 	}
 	response.Streaming = out.Streaming
 	r.response <- response
--- a/internal/agent/upstream.go
+++ b/internal/agent/upstream.go
@@ -18,7 +18,7 @@
 	connectTimeouts   *connectTimeouts
 	descriptors       *transport.Descriptors
 	bodies            *transport.BodyLimits
-	metrics           *metrics.Figures
+	metrics           *metrics.Counters
 }
 
 // upstream is the actor of one endpoint, with its pool of connections. Attempts run beside it, in goroutines that it
--- a/internal/bodystream/read.go
+++ b/internal/bodystream/read.go
@@ -1,76 +1,76 @@
 package bodystream
 
-// Next waits for bytes and returns those at hand. At the end it returns io.EOF, or why the body is not
+// ReadBuffer waits for bytes and returns those at hand. At the end it returns io.EOF, or why the body is not
 // complete.
-func (f *Flow) Next() ([]byte, error) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (s *Stream) ReadBuffer() ([]byte, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	for {
-		if err := f.stopErr(); err != nil {
+		if err := s.stopErr(); err != nil {
 			return nil, err
 		}
-		if f.hasUnread() {
-			return f.queue[0][f.consumed:], nil
+		if s.hasUnread() {
+			return s.queue[0][s.consumed:], nil
 		}
-		if f.end != nil {
-			return nil, f.end
+		if s.end != nil {
+			return nil, s.end
 		}
-		f.changed.Wait()
+		s.changed.Wait()
 	}
 }
 
-// Ready reports whether Next would not wait.
-func (f *Flow) Ready() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.stopErr() != nil || f.end != nil || f.hasUnread()
+// IsReady reports whether ReadBuffer would not wait.
+func (s *Stream) IsReady() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.stopErr() != nil || s.end != nil || s.hasUnread()
 }
 
 // hasUnread reports whether there are bytes to read; mu is held.
-func (f *Flow) hasUnread() bool { return len(f.queue) > 0 && f.consumed < len(f.queue[0]) }
+func (s *Stream) hasUnread() bool { return len(s.queue) > 0 && s.consumed < len(s.queue[0]) }
 
-// Took says that the first n bytes of the last Next are not needed any more.
-func (f *Flow) Took(n int) {
-	f.mu.Lock()
-	f.consumed += n
-	f.hasConsumed = true
-	if f.consumed == cap(f.queue[0]) {
-		f.freeChunk(f.queue[0])
-		copy(f.queue, f.queue[1:])
-		f.queue[len(f.queue)-1] = nil
-		f.queue = f.queue[:len(f.queue)-1]
-		f.consumed = 0
-		if f.end != nil {
-			f.grant.Shrink(f.allocated)
+// Consumed takes in that the first n bytes of the last ReadBuffer are not needed any more.
+func (s *Stream) Consumed(n int) {
+	s.mu.Lock()
+	s.consumed += n
+	s.hasConsumed = true
+	if s.consumed == cap(s.queue[0]) {
+		s.freeChunk(s.queue[0])
+		copy(s.queue, s.queue[1:])
+		s.queue[len(s.queue)-1] = nil
+		s.queue = s.queue[:len(s.queue)-1]
+		s.consumed = 0
+		if s.end != nil {
+			s.grant.Shrink(s.allocated)
 		} else {
-			f.grant.Shrink(max(f.allocated, f.minBytes))
+			s.grant.Shrink(max(s.allocated, s.minBytes))
 		}
 	}
-	f.mu.Unlock()
-	f.changed.Broadcast()
+	s.mu.Unlock()
+	s.changed.Broadcast()
 }
 
-// Close says that nothing more is read. Unless everything was, the writer is told so. A second Close does
+// CloseRead ends the reading. Unless everything was read, the writer is notified. A second CloseRead does
 // nothing.
-func (f *Flow) Close() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.isClosed {
+func (s *Stream) CloseRead() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.isClosed {
 		return
 	}
 	switch {
-	case f.stopReason != nil || f.isAllConsumed():
-	case f.end != nil && !f.isComplete:
-		f.stopReason = f.end
+	case s.stopReason != nil || s.isAllConsumed():
+	case s.end != nil && !s.isComplete:
+		s.stopReason = s.end
 	default:
-		f.stopReason = ErrLeft
+		s.stopReason = ErrAbandoned
 	}
-	f.isClosed = true
-	f.releaseIfDone()
-	f.notifyStopped()
+	s.isClosed = true
+	s.releaseIfDone()
+	s.notifyStopped()
 }
 
 // isAllConsumed reports whether the body was written and read completely; mu is held.
-func (f *Flow) isAllConsumed() bool {
-	return f.isComplete && (len(f.queue) == 0 || len(f.queue) == 1 && f.consumed == len(f.queue[0]))
+func (s *Stream) isAllConsumed() bool {
+	return s.isComplete && (len(s.queue) == 0 || len(s.queue) == 1 && s.consumed == len(s.queue[0]))
 }
--- a/internal/bodystream/stream.go
+++ b/internal/bodystream/stream.go
@@ -8,11 +8,11 @@
 	"dunestep/internal/bytebudget"
 )
 
-// ErrLeft means that the reader has stopped, and the rest of the body is not wanted.
-var ErrLeft = errors.New("the rest of the body is not wanted")
+// ErrAbandoned means that the reader has stopped, and the rest of the body is not wanted.
+var ErrAbandoned = errors.New("the rest of the body is not wanted")
 
-// Flow is one body on its way.
-type Flow struct {
+// Stream is one body on its way.
+type Stream struct {
 	length   int64 // bytes, as announced; below zero: not known
 	minBytes int64 // of the grant, while the body is being written
 	maxBytes int64 // of the grant
@@ -33,9 +33,9 @@
 	delayedBefore   time.Duration // before it began to come
 	stalledFor      time.Duration // since then
 	stalledAtLast   time.Duration // of stalledFor, when the last bytes came
-	waitingSince    time.Time     // since when Room waits; zero: it does not
+	waitingSince    time.Time     // since when WriteBuffer waits; zero: it does not
 
-	end        error // set by End
+	end        error // set by CloseWrite
 	isComplete bool  // end was io.EOF
 	stopReason error // why nothing more is wanted
 	isClosed   bool
@@ -43,66 +43,68 @@
 	done       chan struct{}
 }
 
-// New returns the Flow of a body of length bytes (below zero: not known) in the memory of a grant, which is
-// the Flow's from now on. The grant may grow up to maxBytes while the body is read more slowly than it is
+// New returns the Stream of a body of length bytes (below zero: not known) in the memory of a grant, which is
+// the Stream's from now on. The grant may grow up to maxBytes while the body is read more slowly than it is
 // written.
-func New(length int64, grant bytebudget.Grant, maxBytes int64) *Flow {
-	f := &Flow{grant: grant, minBytes: grant.Size(), maxBytes: maxBytes, length: length}
-	f.changed.L = &f.mu
-	f.queue = f.queueSpace[:0]
-	return f
+func New(length int64, grant bytebudget.Grant, maxBytes int64) *Stream {
+	s := &Stream{grant: grant, minBytes: grant.Size(), maxBytes: maxBytes, length: length}
+	s.changed.L = &s.mu
+	s.queue = s.queueSpace[:0]
+	return s
 }
 
 // Length is the length of the complete body in bytes, or what was announced; below zero: not known.
-func (f *Flow) Length() int64 {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.isComplete {
-		return f.received
+func (s *Stream) Length() int64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.isComplete {
+		return s.received
 	}
-	return f.length
+	return s.length
 }
 
-// Begun says that the body is being forwarded: from now on a single chunk is all that it needs to get on.
-func (f *Flow) Begun() {
-	f.mu.Lock()
-	f.minBytes = min(f.minBytes, Chunk)
-	f.mu.Unlock()
+// ForwardingStarted takes in that the body is being forwarded: from now on a single chunk is all that it
+// needs to get on.
+func (s *Stream) ForwardingStarted() {
+	s.mu.Lock()
+	s.minBytes = min(s.minBytes, ChunkBytes)
+	s.mu.Unlock()
 }
 
-// Over returns a channel that is closed after End and Close: Result is final then. It is for one caller.
-func (f *Flow) Over() <-chan struct{} {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.done = make(chan struct{})
-	if f.end != nil && f.isClosed {
-		close(f.done)
+// Done returns a channel that is closed after CloseWrite and CloseRead: Result is final then. It is for one
+// caller.
+func (s *Stream) Done() <-chan struct{} {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.done = make(chan struct{})
+	if s.end != nil && s.isClosed {
+		close(s.done)
 	}
-	return f.done
+	return s.done
 }
 
-// Result is how the Flow ended: io.EOF where the body was written and read completely, else the first reason
-// why not.
-func (f *Flow) Result() error {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.stopReason
+// Result is how the Stream ended: io.EOF where the body was written and read completely, else the first
+// reason why not.
+func (s *Stream) Result() error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.stopReason
 }
 
 // releaseIfDone gives the memory back once neither side uses it; mu is held.
-func (f *Flow) releaseIfDone() {
-	if f.end == nil || !f.isClosed {
+func (s *Stream) releaseIfDone() {
+	if s.end == nil || !s.isClosed {
 		return
 	}
-	if f.stopReason == nil {
-		f.stopReason = f.end
+	if s.stopReason == nil {
+		s.stopReason = s.end
 	}
-	for _, chunk := range f.queue {
-		f.freeChunk(chunk)
+	for _, chunk := range s.queue {
+		s.freeChunk(chunk)
 	}
-	f.queue, f.queueSpace = nil, [2][]byte{}
-	f.grant.Release()
-	if f.done != nil {
-		close(f.done)
+	s.queue, s.queueSpace = nil, [2][]byte{}
+	s.grant.Release()
+	if s.done != nil {
+		close(s.done)
 	}
 }
--- a/internal/bodystream/stream_test.go
+++ b/internal/bodystream/stream_test.go
@@ -22,115 +22,115 @@
 func TestAnyTransfer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pool := bytebudget.NewPool(1 << 20)
-		size := rapid.IntRange(0, 5*Chunk).Draw(t, "size")
+		size := rapid.IntRange(0, 5*ChunkBytes).Draw(t, "size")
 		body := make([]byte, size)
 		for i := range body {
 			body[i] = byte(i * i >> 3)
 		}
 		length := int64(size)
-		minBytes := int64(2 * Chunk)
+		minBytes := int64(2 * ChunkBytes)
 		if rapid.Bool().Draw(t, "announced") {
 			minBytes = min(minBytes, length)
 		} else {
 			length = -1
 		}
-		grant, err := pool.Take(t.Context(), bytebudget.Holder{Name: "s-0"}, minBytes)
+		grant, err := pool.Reserve(t.Context(), bytebudget.Holder{Name: "s-0"}, minBytes)
 		require.NoError(t, err)
-		maxBytes := minBytes + rapid.SampledFrom([]int64{0, Chunk, 9 * Chunk}).Draw(t, "more")
-		f := New(length, grant, maxBytes)
+		maxBytes := minBytes + rapid.SampledFrom([]int64{0, ChunkBytes, 9 * ChunkBytes}).Draw(t, "more")
+		s := New(length, grant, maxBytes)
 		broken, abandoned := errors.New("broken"), errors.New("abandoned")
 		breaksAfter := rapid.IntRange(0, 2*size+1).Draw(t, "breaksAfter")
 		stopsAfter := rapid.IntRange(0, 2*size+1).Draw(t, "stopsAfter")
-		pieces := rapid.SliceOfN(rapid.IntRange(1, 2*Chunk), 4, 4).Draw(t, "pieces")
+		pieces := rapid.SliceOfN(rapid.IntRange(1, 2*ChunkBytes), 4, 4).Draw(t, "pieces")
 		cut := rapid.Bool().Draw(t, "cut") // by a third goroutine
 		go func() {
 			for at := 0; at < size; {
 				if at >= breaksAfter {
-					f.End(broken)
+					s.CloseWrite(broken)
 					return
 				}
-				room, stopErr := f.Room()
+				room, stopErr := s.WriteBuffer()
 				if stopErr != nil {
-					f.End(stopErr)
+					s.CloseWrite(stopErr)
 					return
 				}
 				n := copy(room[:min(len(room), pieces[at%4])], body[at:])
-				f.Came(n)
+				s.Wrote(n)
 				at += n
 			}
-			f.End(io.EOF)
+			s.CloseWrite(io.EOF)
 		}()
 		var got []byte
 		for {
 			var b []byte
-			if b, err = f.Next(); err != nil {
+			if b, err = s.ReadBuffer(); err != nil {
 				break
 			}
-			require.LessOrEqual(t, pool.Used(), maxBytes)
+			require.LessOrEqual(t, pool.Reserved(), maxBytes)
 			n := min(len(b), pieces[len(got)%4])
 			got = append(got, b[:n]...)
-			f.Took(n)
+			s.Consumed(n)
 			if len(got) > stopsAfter {
 				if cut {
-					f.Cut(abandoned)
+					s.Abort(abandoned)
 				}
 				break
 			}
 		}
-		f.Close()
-		<-f.Over()
+		s.CloseRead()
+		<-s.Done()
 		require.True(t, bytes.HasPrefix(body, got))
-		switch result := f.Result(); {
+		switch result := s.Result(); {
 		case errors.Is(result, io.EOF):
 			require.Len(t, got, size)
-			require.Equal(t, int64(size), f.Length())
+			require.Equal(t, int64(size), s.Length())
 		case len(got) > stopsAfter && cut && len(got) < size:
 			require.Contains(t, []error{abandoned, broken}, result)
 		default:
 			require.True(t, len(got) < size || len(got) > stopsAfter || breaksAfter <= size)
 		}
-		require.Zero(t, pool.Used())
+		require.Zero(t, pool.Reserved())
 	})
 }
 
 // TestStallOfTheReader: the time of a slow reader does not count as the writer's, and a writer that waits is woken.
 func TestStallOfTheReader(t *testing.T) {
 	pool := bytebudget.NewPool(1 << 20)
-	grant, err := pool.Take(t.Context(), bytebudget.Holder{Name: "s-0"}, Chunk)
+	grant, err := pool.Reserve(t.Context(), bytebudget.Holder{Name: "s-0"}, ChunkBytes)
 	require.NoError(t, err)
-	f := New(-1, grant, Chunk)
-	f.HeldUp(time.Hour)
-	room, err := f.Room()
+	s := New(-1, grant, ChunkBytes)
+	s.SetDelayedBefore(time.Hour)
+	room, err := s.WriteBuffer()
 	require.NoError(t, err)
-	f.Came(len(room))
+	s.Wrote(len(room))
 	woken := make(chan error)
 	go func() {
-		_, stopErr := f.Room()
+		_, stopErr := s.WriteBuffer()
 		woken <- stopErr
 	}()
 	const wait = 30 * time.Millisecond
-	require.Eventually(t, func() bool { return f.Progress().HeldUp > wait }, 10*time.Second, time.Millisecond)
-	p := f.Progress()
-	require.Equal(t, time.Hour, p.Before)
-	require.Less(t, p.Coming, p.HeldUp)
-	b, err := f.Next()
+	require.Eventually(t, func() bool { return s.Progress().StalledFor > wait }, 10*time.Second, time.Millisecond)
+	p := s.Progress()
+	require.Equal(t, time.Hour, p.DelayedBefore)
+	require.Less(t, p.ReceivingFor, p.StalledFor)
+	b, err := s.ReadBuffer()
 	require.NoError(t, err)
-	f.Took(len(b))
+	s.Consumed(len(b))
 	require.NoError(t, <-woken)
-	room, err = f.Room()
+	room, err = s.WriteBuffer()
 	require.NoError(t, err)
-	f.Came(len(room))
+	s.Wrote(len(room))
 	go func() {
-		_, stopErr := f.Room()
+		_, stopErr := s.WriteBuffer()
 		woken <- stopErr
 	}()
 	stopped := make(chan struct{})
-	f.OnStop(func() { close(stopped) })
-	f.Cut(ErrLeft)
-	require.ErrorIs(t, <-woken, ErrLeft)
+	s.OnStop(func() { close(stopped) })
+	s.Abort(ErrAbandoned)
+	require.ErrorIs(t, <-woken, ErrAbandoned)
 	<-stopped
-	f.End(io.EOF)
-	f.Close()
-	require.Equal(t, ErrLeft, f.Result())
-	require.Zero(t, pool.Used())
+	s.CloseWrite(io.EOF)
+	s.CloseRead()
+	require.Equal(t, ErrAbandoned, s.Result())
+	require.Zero(t, pool.Reserved())
 }
--- a/internal/bytebudget/budget.go
+++ b/internal/bytebudget/budget.go
@@ -16,8 +16,8 @@
 
 // Holder is who holds memory: an upstream server by its responses, or a client by its requests.
 type Holder struct {
-	Name    string
-	Request bool
+	Name      string
+	IsRequest bool
 }
 
 // Ticket is the number of a reservation that waits.
@@ -45,15 +45,15 @@
 	return &Budget{limit: limit, reservedBy: map[Holder]int64{}}
 }
 
-// Used is how many bytes are granted.
-func (b *Budget) Used() int64 { return b.reserved }
+// Reserved is how many bytes are granted.
+func (b *Budget) Reserved() int64 { return b.reserved }
 
 // Waiting is how many reservations wait.
 func (b *Budget) Waiting() int { return len(b.waiting) }
 
-// Ask reserves size bytes for a holder. What is not granted at once waits under the ticket, until a later
-// call grants it or Withdraw is called.
-func (b *Budget) Ask(now time.Duration, holder Holder, size int64) (t Ticket, granted bool) {
+// Reserve reserves size bytes for a holder. What is not granted at once waits under the ticket, until a later
+// call grants it or Cancel is called.
+func (b *Budget) Reserve(now time.Duration, holder Holder, size int64) (t Ticket, granted bool) {
 	if size <= 0 || len(b.waiting) == 0 && b.check(holder, size) == allowed { // the usual case
 		b.reserve(holder, size)
 		return 0, true
@@ -67,16 +67,16 @@
 		return 1
 	})
 	b.waiting = slices.Insert(b.waiting, at, a)
-	// What waits did not allowed before, so the new one is the only one that can be granted by this.
+	// What waits was not allowed before, so the new one is the only one that can be granted by this.
 	if len(b.grantWaiting()) > 0 {
 		return 0, true
 	}
 	return a.ticket, false
 }
 
-// Try reserves size bytes more only if that keeps nobody waiting, now or soon: never of the second half of
-// the limit, which is for bodies that begin.
-func (b *Budget) Try(holder Holder, size int64) bool {
+// TryReserve reserves size bytes more only if that keeps nobody waiting, now or soon: never of the second
+// half of the limit, which is for bodies that begin.
+func (b *Budget) TryReserve(holder Holder, size int64) bool {
 	if len(b.waiting) > 0 || b.reserved+size > b.limit/2 || b.check(holder, size) != allowed {
 		return false
 	}
@@ -84,15 +84,15 @@
 	return true
 }
 
-// Return releases size bytes of what a holder was granted.
-func (b *Budget) Return(holder Holder, size int64) []Ticket {
+// Release releases size bytes of what a holder was granted.
+func (b *Budget) Release(holder Holder, size int64) []Ticket {
 	b.reserve(holder, -size)
 	return b.grantWaiting()
 }
 
-// Withdraw cancels a reservation that waits. Where waited is false, it was granted before, and the bytes are
+// Cancel cancels a reservation that waits. Where waited is false, it was granted before, and the bytes are
 // the caller's.
-func (b *Budget) Withdraw(t Ticket) (granted []Ticket, waited bool) {
+func (b *Budget) Cancel(t Ticket) (granted []Ticket, waited bool) {
 	at := slices.IndexFunc(b.waiting, func(a reservation) bool { return a.ticket == t })
 	if at < 0 {
 		return nil, false
@@ -111,7 +111,7 @@
 // reserve counts size bytes of a holder; below zero, it releases them.
 func (b *Budget) reserve(holder Holder, size int64) {
 	b.reserved += size
-	if holder.Request {
+	if holder.IsRequest {
 		b.reservedByRequests += size
 	}
 	if b.reservedBy[holder] += size; b.reservedBy[holder] == 0 {
@@ -157,14 +157,14 @@
 	if size <= smallBytes {
 		all, own = b.limit, b.limit-b.limit/4
 	}
-	isFirst := b.reserved == 0 || !holder.Request && b.reserved == b.reservedByRequests
+	isFirst := b.reserved == 0 || !holder.IsRequest && b.reserved == b.reservedByRequests
 	held := b.reservedBy[holder]
 	switch {
 	case isFirst:
 		return allowed
-	case holder.Request && (b.reservedByRequests+size > own || held > 0 && held+size > own/2):
+	case holder.IsRequest && (b.reservedByRequests+size > own || held > 0 && held+size > own/2):
 		return holderFull
-	case !holder.Request && held > 0 && held+size > own:
+	case !holder.IsRequest && held > 0 && held+size > own:
 		return holderFull
 	case b.reserved+size > all:
 		return budgetFull
--- a/internal/bytebudget/budget_test.go
+++ b/internal/bytebudget/budget_test.go
@@ -33,7 +33,7 @@
 		release := func(i int) {
 			g := held[i]
 			held = append(held[:i], held[i+1:]...)
-			granted(b.Return(g.holder, g.size))
+			granted(b.Release(g.holder, g.size))
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"reserve": func(t *rapid.T) {
@@ -41,20 +41,20 @@
 					rapid.SampledFrom(holders).Draw(t, "holder"),
 					rapid.Int64Range(1, 1<<18).Draw(t, "size"),
 				}
-				before, responses := b.Used(), b.reserved-b.reservedByRequests
-				if ticket, ok := b.Ask(now, g.holder, g.size); ok {
+				before, responses := b.Reserved(), b.reserved-b.reservedByRequests
+				if ticket, ok := b.Reserve(now, g.holder, g.size); ok {
 					held = append(held, g)
-					require.True(t, before == 0 || responses == 0 && !g.holder.Request || b.Used() <= limit)
+					require.True(t, before == 0 || responses == 0 && !g.holder.IsRequest || b.Reserved() <= limit)
 				} else {
 					waiting[ticket] = g
 				}
 			},
 			"try": func(t *rapid.T) {
 				g := grant{rapid.SampledFrom(holders[:2]).Draw(t, "holder"), rapid.Int64Range(1, 1<<18).Draw(t, "size")}
-				if b.Try(g.holder, g.size) {
+				if b.TryReserve(g.holder, g.size) {
 					held = append(held, g)
 					require.Empty(t, waiting, "what waits goes first")
-					require.LessOrEqual(t, b.Used(), limit)
+					require.LessOrEqual(t, b.Reserved(), limit)
 				}
 			},
 			"return": func(t *rapid.T) {
@@ -64,7 +64,7 @@
 			},
 			"withdraw": func(t *rapid.T) {
 				for ticket := range waiting {
-					more, waited := b.Withdraw(ticket)
+					more, waited := b.Cancel(ticket)
 					require.True(t, waited)
 					delete(waiting, ticket)
 					granted(more)
@@ -81,15 +81,15 @@
 				responses := 0
 				for _, g := range held {
 					sum += g.size
-					if !g.holder.Request {
+					if !g.holder.IsRequest {
 						responses++
 					}
 				}
-				require.Equal(t, sum, b.Used())
+				require.Equal(t, sum, b.Reserved())
 				require.Equal(t, len(waiting), b.Waiting())
 				for _, g := range waiting {
 					require.NotZero(t, sum, "something is allowed where nothing is held")
-					require.True(t, g.holder.Request || responses > 0, "a response waits for responses only")
+					require.True(t, g.holder.IsRequest || responses > 0, "a response waits for responses only")
 				}
 			},
 		})
@@ -97,7 +97,7 @@
 			release(0)
 		}
 		require.Empty(t, waiting)
-		require.Zero(t, b.Used())
+		require.Zero(t, b.Reserved())
 	})
 }
 
@@ -108,13 +108,13 @@
 	b := NewBudget(limit)
 	ask := func(now time.Duration, holder string, size int64) Ticket {
 		t.Helper()
-		ticket, granted := b.Ask(now, Holder{Name: holder}, size)
+		ticket, granted := b.Reserve(now, Holder{Name: holder}, size)
 		require.False(t, granted)
 		return ticket
 	}
 	must := func(holder string, size int64) {
 		t.Helper()
-		_, granted := b.Ask(0, Holder{Name: holder}, size)
+		_, granted := b.Reserve(0, Holder{Name: holder}, size)
 		require.True(t, granted)
 	}
 	must("s-0", limit/2)
@@ -124,13 +124,13 @@
 	medium := ask(0, "s-2", 50_000)
 	capped := ask(0, "s-0", 10_000)
 	late := ask(101*time.Millisecond, "s-3", 9_000)
-	require.Equal(t, []Ticket{medium, large, late}, b.Return(Holder{Name: "s-1"}, 200_000))
-	require.Equal(t, []Ticket{capped}, b.Return(Holder{Name: "s-0"}, 10_000))
-	require.False(t, b.Try(Holder{Name: "s-4"}, 10_000), "the second half cannot be tried for")
-	require.Empty(t, b.Return(Holder{Name: "s-1"}, 150_000))
-	require.False(t, b.Try(Holder{Name: "s-4"}, 10_000))
-	require.Empty(t, b.Return(Holder{Name: "s-0"}, 260_000))
-	require.True(t, b.Try(Holder{Name: "s-4"}, 10_000))
+	require.Equal(t, []Ticket{medium, large, late}, b.Release(Holder{Name: "s-1"}, 200_000))
+	require.Equal(t, []Ticket{capped}, b.Release(Holder{Name: "s-0"}, 10_000))
+	require.False(t, b.TryReserve(Holder{Name: "s-4"}, 10_000), "the second half cannot be tried for")
+	require.Empty(t, b.Release(Holder{Name: "s-1"}, 150_000))
+	require.False(t, b.TryReserve(Holder{Name: "s-4"}, 10_000))
+	require.Empty(t, b.Release(Holder{Name: "s-0"}, 260_000))
+	require.True(t, b.TryReserve(Holder{Name: "s-4"}, 10_000))
 }
 
 // TestBudgetBounds: no client, server or kind of body can have everything, and small requests have capacity beside large
@@ -139,9 +139,9 @@
 	const limit = 1 << 20
 	fill := func(b *Budget, h Holder, size int64) (n int64) {
 		for {
-			ticket, granted := b.Ask(0, h, size)
+			ticket, granted := b.Reserve(0, h, size)
 			if !granted {
-				b.Withdraw(ticket)
+				b.Cancel(ticket)
 				return n
 			}
 			n += size
@@ -161,37 +161,37 @@
 // TestPoolWaits: a goroutine waits for its grant until bytes are given back, or its context ends.
 func TestPoolWaits(t *testing.T) {
 	p := NewPool(1000)
-	first, err := p.Take(t.Context(), Holder{Name: "a"}, 800)
+	first, err := p.Reserve(t.Context(), Holder{Name: "a"}, 800)
 	require.NoError(t, err)
 	short, cancel := context.WithTimeout(t.Context(), time.Millisecond)
 	defer cancel()
-	_, err = p.Take(short, Holder{Name: "b"}, 800)
+	_, err = p.Reserve(short, Holder{Name: "b"}, 800)
 	require.ErrorIs(t, err, ErrFull)
 	got := make(chan Grant)
 	go func() {
-		g, _ := p.Take(t.Context(), Holder{Name: "b"}, 800)
+		g, _ := p.Reserve(t.Context(), Holder{Name: "b"}, 800)
 		got <- g
 	}()
 	require.Eventually(t, func() bool { p.mu.Lock(); defer p.mu.Unlock(); return p.budget.Waiting() == 1 },
 		10*time.Second, time.Millisecond)
 	first.Shrink(100)
 	second := <-got
-	require.EqualValues(t, 900, p.Used())
+	require.EqualValues(t, 900, p.Reserved())
 	second.Release()
 	first.Release()
-	require.Zero(t, p.Used())
+	require.Zero(t, p.Reserved())
 }
 
 // TestZeroBytesNeverWait: a body of no bytes does not wait for memory, however full the budget is.
 func TestZeroBytesNeverWait(t *testing.T) {
 	b := NewBudget(1000)
-	_, granted := b.Ask(0, Holder{Name: "s-0"}, 1000)
+	_, granted := b.Reserve(0, Holder{Name: "s-0"}, 1000)
 	require.True(t, granted)
-	_, granted = b.Ask(0, Holder{Name: "s-1"}, 500)
+	_, granted = b.Reserve(0, Holder{Name: "s-1"}, 500)
 	require.False(t, granted)
-	for _, holder := range []Holder{{Name: "s-0"}, {Name: "c-0", Request: true}} {
-		_, granted = b.Ask(0, holder, 0)
+	for _, holder := range []Holder{{Name: "s-0"}, {Name: "c-0", IsRequest: true}} {
+		_, granted = b.Reserve(0, holder, 0)
 		require.True(t, granted)
 	}
-	require.Equal(t, int64(1000), b.Used())
+	require.Equal(t, int64(1000), b.Reserved())
 }
--- a/internal/bytebudget/pool.go
+++ b/internal/bytebudget/pool.go
@@ -38,11 +38,11 @@
 	return p.budget.limit
 }
 
-// Used is how many bytes are granted now.
-func (p *Pool) Used() int64 {
+// Reserved is how many bytes are granted now.
+func (p *Pool) Reserved() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.budget.Used()
+	return p.budget.Reserved()
 }
 
 // Grant is the memory that one body may occupy. It is for one goroutine at a time; the zero Grant is of no
@@ -53,12 +53,12 @@
 	size   int64
 }
 
-// Take waits until the holder may have size bytes, or ctx ends: then the error is ErrFull. The caller must
+// Reserve waits until the holder may have size bytes, or ctx ends: then the error is ErrFull. The caller must
 // hold no other grant, except that of a request whose response it reads.
-func (p *Pool) Take(ctx context.Context, holder Holder, size int64) (Grant, error) {
+func (p *Pool) Reserve(ctx context.Context, holder Holder, size int64) (Grant, error) {
 	g := Grant{pool: p, holder: holder, size: size}
 	p.mu.Lock()
-	ticket, granted := p.budget.Ask(time.Since(p.startedAt), holder, size)
+	ticket, granted := p.budget.Reserve(time.Since(p.startedAt), holder, size)
 	if granted {
 		p.mu.Unlock()
 		return g, nil
@@ -74,9 +74,9 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.waiting, ticket)
-	woken, waited := p.budget.Withdraw(ticket)
+	woken, waited := p.budget.Cancel(ticket)
 	if !waited { // it was granted just now
-		woken = p.budget.Return(holder, size)
+		woken = p.budget.Release(holder, size)
 	}
 	p.wake(woken)
 	return Grant{}, ErrFull
@@ -95,11 +95,11 @@
 // Size is the size of the grant in bytes.
 func (g *Grant) Size() int64 { return g.size }
 
-// Grow adds size bytes to the grant, if that keeps nobody waiting, and reports whether it did.
-func (g *Grant) Grow(size int64) bool {
+// TryGrow adds size bytes to the grant, if that keeps nobody waiting, and reports whether it did.
+func (g *Grant) TryGrow(size int64) bool {
 	g.pool.mu.Lock()
 	defer g.pool.mu.Unlock()
-	if !g.pool.budget.Try(g.holder, size) {
+	if !g.pool.budget.TryReserve(g.holder, size) {
 		return false
 	}
 	g.size += size
@@ -113,7 +113,7 @@
 	}
 	g.pool.mu.Lock()
 	defer g.pool.mu.Unlock()
-	g.pool.wake(g.pool.budget.Return(g.holder, g.size-size))
+	g.pool.wake(g.pool.budget.Release(g.holder, g.size-size))
 	g.size = size
 }
 
--- a/internal/metrics/counters.go
+++ b/internal/metrics/counters.go
@@ -1,6 +1,6 @@
 // Package metrics counts what an agent does: each request and attempt once, where it ends.
 //
-// Figures owns the counts; they begin at zero with the process. There is no input or output here: the
+// Counters owns the counts; they begin at zero with the process. There is no input or output here: the
 // operators' socket reads the counts, and whatever else shows them. Everything is safe for concurrent use,
 // and nothing waits.
 package metrics
@@ -12,114 +12,114 @@
 
 // The endings. A request that its client abandoned is counted by none of the others.
 const (
-	OK    Ending = iota // served, to the last byte
-	Shed                // rejected, by whichever part of the agent or by the server
-	Error               // failed, malformed, or cut off within the response
+	OK       Ending = iota // served, to the last byte
+	Rejected               // rejected, by whichever part of the agent or by the server
+	Error                  // failed, malformed, or cut off within the response
 	Abandoned
 	endingCount
 )
 
-// Figures holds the counts.
-type Figures struct {
+// Counters holds the counts.
+type Counters struct {
 	classes   map[string]*[endingCount]atomic.Int64 // never changed after New
 	attempts  atomic.Int64
 	active    atomic.Int64
-	endpoints atomic.Pointer[Pool]
+	endpoints atomic.Pointer[Endpoints]
 	ejected   atomic.Int64
 }
 
-// Pool is how many upstream servers there are.
-type Pool struct {
+// Endpoints is how many upstream servers there are.
+type Endpoints struct {
 	Listed int // in discovery's list
 	Banned int // of these, ejected by operators
 }
 
 // New returns counts for the classes of a deployment; requests of other classes are counted by none.
-func New(classes []string) *Figures {
-	f := &Figures{classes: map[string]*[endingCount]atomic.Int64{}}
+func New(classes []string) *Counters {
+	c := &Counters{classes: map[string]*[endingCount]atomic.Int64{}}
 	for _, class := range classes {
-		f.classes[class] = new([endingCount]atomic.Int64)
+		c.classes[class] = new([endingCount]atomic.Int64)
 	}
-	f.endpoints.Store(&Pool{})
-	return f
+	c.endpoints.Store(&Endpoints{})
+	return c
 }
 
-// Operation is a request that is counted, until its End.
-type Operation struct {
-	counters   *Figures
+// Request is a request that is counted, until its End.
+type Request struct {
+	counters   *Counters
 	counts     *[endingCount]atomic.Int64 // nil: of no class that is known
 	hasStarted atomic.Bool
 	hasEnded   bool
 }
 
-// Begin counts a request as active.
-func (f *Figures) Begin(class string) *Operation {
-	o := f.Await(class)
-	o.Taken()
-	return o
+// StartRequest counts a request as active.
+func (c *Counters) StartRequest(class string) *Request {
+	r := c.NewRequest(class)
+	r.Start()
+	return r
 }
 
-// Await returns a request that has not been read completely: it is active from Taken on.
-func (f *Figures) Await(class string) *Operation {
-	return &Operation{counters: f, counts: f.classes[class]}
+// NewRequest returns a request that has not been read completely: it is active from Start on.
+func (c *Counters) NewRequest(class string) *Request {
+	return &Request{counters: c, counts: c.classes[class]}
 }
 
-// Taken counts a request as active. After End, or for a second time, it does nothing.
-func (o *Operation) Taken() {
-	if !o.hasStarted.Swap(true) {
-		o.counters.active.Add(1)
+// Start counts a request as active. After End, or for a second time, it does nothing.
+func (r *Request) Start() {
+	if !r.hasStarted.Swap(true) {
+		r.counters.active.Add(1)
 	}
 }
 
 // End counts how the request ended. A second End does nothing, nor does one of a nil request.
-func (o *Operation) End(e Ending) {
-	if o == nil || o.hasEnded {
+func (r *Request) End(e Ending) {
+	if r == nil || r.hasEnded {
 		return
 	}
-	o.hasEnded = true
-	if o.hasStarted.Swap(true) {
-		o.counters.active.Add(-1)
+	r.hasEnded = true
+	if r.hasStarted.Swap(true) {
+		r.counters.active.Add(-1)
 	}
-	if o.counts != nil {
-		o.counts[e].Add(1)
+	if r.counts != nil {
+		r.counts[e].Add(1)
 	}
 }
 
-// Tried counts an attempt that was completely written to an upstream server.
-func (f *Figures) Tried() { f.attempts.Add(1) }
+// AttemptSent counts an attempt that was completely written to an upstream server.
+func (c *Counters) AttemptSent() { c.attempts.Add(1) }
 
-// SetPool takes in how many upstream servers there are now.
-func (f *Figures) SetPool(p Pool) { f.endpoints.Store(&p) }
+// SetEndpoints takes in how many upstream servers there are now.
+func (c *Counters) SetEndpoints(p Endpoints) { c.endpoints.Store(&p) }
 
-// SetAvoided takes in how many listed servers the balancer ejects now. Those that operators ejected are not
+// SetEjected takes in how many listed servers the balancer ejects now. Those that operators ejected are not
 // among them: the balancer takes them for draining.
-func (f *Figures) SetAvoided(n int) { f.ejected.Store(int64(n)) }
+func (c *Counters) SetEjected(n int) { c.ejected.Store(int64(n)) }
 
 // Counts are a class's requests by how they ended.
-type Counts struct{ OK, Shed, Errors, Abandoned int64 }
+type Counts struct{ OK, Rejected, Errors, Abandoned int64 }
 
 // Reading is what the counts are at a time.
 type Reading struct {
-	Responses     map[string]Counts // every class of the deployment
-	Tries, Active int64             // attempts; requests that are active
-	Listed        int64             // upstream servers in the list
-	Ejected       int64             // of these, ejected now by operators or the balancer; each once
+	Responses        map[string]Counts // every class of the deployment
+	Attempts, Active int64             // attempts; requests that are active
+	Listed           int64             // upstream servers in the list
+	Ejected          int64             // of these, ejected now by operators or the balancer; each once
 }
 
 // Read reads all counts. Each is right by itself; they may be some instructions apart.
-func (f *Figures) Read() Reading {
+func (c *Counters) Read() Reading {
 	r := Reading{
-		Responses: make(map[string]Counts, len(f.classes)), Tries: f.attempts.Load(),
-		Active: f.active.Load(),
+		Responses: make(map[string]Counts, len(c.classes)), Attempts: c.attempts.Load(),
+		Active: c.active.Load(),
 	}
-	for name, c := range f.classes {
+	for name, counts := range c.classes {
 		r.Responses[name] = Counts{
-			OK: c[OK].Load(), Shed: c[Shed].Load(), Errors: c[Error].Load(),
-			Abandoned: c[Abandoned].Load(),
+			OK: counts[OK].Load(), Rejected: counts[Rejected].Load(), Errors: counts[Error].Load(),
+			Abandoned: counts[Abandoned].Load(),
 		}
 	}
-	endpoints := f.endpoints.Load()
+	endpoints := c.endpoints.Load()
 	r.Listed = int64(endpoints.Listed)
-	r.Ejected = min(int64(endpoints.Banned)+f.ejected.Load(), r.Listed)
+	r.Ejected = min(int64(endpoints.Banned)+c.ejected.Load(), r.Listed)
 	return r
 }
--- a/internal/protocol/http.go
+++ b/internal/protocol/http.go
@@ -87,8 +87,8 @@
 		status = http.StatusRequestEntityTooLarge
 	}
 	length := int64(len(a.Body))
-	if a.Flow != nil {
-		length = a.Flow.Length()
+	if a.BodyStream != nil {
+		length = a.BodyStream.Length()
 	}
 	if a.ContentType == "" {
 		a.ContentType = "text/plain; charset=utf-8"
--- a/internal/protocol/ops.go
+++ b/internal/protocol/ops.go
@@ -209,9 +209,9 @@
 		Active      int64                  `json:"active"`
 		PoolSize    int64                  `json:"pool_size"`
 		PoolEjected int64                  `json:"pool_ejected"`
-	}{map[string]classCounts{}, r.Tries, r.Active, r.Listed, r.Ejected}
+	}{map[string]classCounts{}, r.Attempts, r.Active, r.Listed, r.Ejected}
 	for name, c := range r.Responses {
-		out.Responses[name] = classCounts{c.OK, c.Shed, c.Errors}
+		out.Responses[name] = classCounts{c.OK, c.Rejected, c.Errors}
 	}
 	return json.Marshal(out)
 }
--- a/internal/protocol/opsgolden_test.go
+++ b/internal/protocol/opsgolden_test.go
@@ -71,8 +71,8 @@
 // What is written in answers and calls at the operators' door, byte for byte as of commit 3bec2d9.
 func TestGoldenOpsBodies(t *testing.T) {
 	stats, err := EncodeOpsStats(metrics.Reading{
-		Tries: 1, Active: 2, Listed: 3, Ejected: 4,
-		Responses: map[string]metrics.Counts{"consult": {OK: 5, Shed: 6, Errors: 7}},
+		Attempts: 1, Active: 2, Listed: 3, Ejected: 4,
+		Responses: map[string]metrics.Counts{"consult": {OK: 5, Rejected: 6, Errors: 7}},
 	})
 	require.NoError(t, err)
 	want, err := os.ReadFile("testdata/golden/ops-stats.json")
--- a/internal/protocol/request.go
+++ b/internal/protocol/request.go
@@ -42,7 +42,7 @@
 	// Length is the body's length if it is longer than Body; negative: not known; zero: Body is complete.
 	Length int64
 	// Rest is what follows Body, as it comes; nil: nothing does. BodyComplete is closed when it has come to its end.
-	Rest         *bodystream.Flow
+	Rest         *bodystream.Stream
 	BodyComplete <-chan struct{}
 
 	// IsGraphQL has a response with a status of 4xx forwarded if its media type is one of GraphQL.
@@ -101,7 +101,7 @@
 	}
 	needed := r.ContentLength
 	if needed < 0 || needed > MaxBufferedBody { // not known, or not buffered
-		needed = MaxBufferedBody + bodystream.Chunk
+		needed = MaxBufferedBody + bodystream.ChunkBytes
 	}
 	keep, err := reserve(needed, op.TimeLeft)
 	if err != nil {
--- a/internal/protocol/response.go
+++ b/internal/protocol/response.go
@@ -26,8 +26,8 @@
 // Response is the one final answer to a request.
 type Response struct {
 	Kind        ResponseKind
-	Body        []byte           // a line of text, if there is no Flow
-	Flow        *bodystream.Flow // the body of an upstream server's response
+	Body        []byte             // a line of text, if there is no BodyStream
+	BodyStream  *bodystream.Stream // the body of an upstream server's response
 	ContentType string
 	Status      int            // of an upstream server's response; zero: 200
 	RetryAfter  time.Duration  // of a rejection; zero: none is sent
--- a/internal/protocol/upstream.go
+++ b/internal/protocol/upstream.go
@@ -48,9 +48,9 @@
 type UpstreamResponse struct {
 	Outcome     balancer.Outcome
 	ContentType string
-	Status      int              // zero: 200
-	Close       bool             // the connection carries no further route step
-	Flow        *bodystream.Flow // the body of an answer that is served
+	Status      int                // zero: 200
+	Close       bool               // the connection carries no further route step
+	BodyStream  *bodystream.Stream // the body of an answer that is served
 }
 
 // UnreadBody is a body that is still to be read; without a Reader there is none. It is not to be closed: that
--- a/internal/transport/bodies.go
+++ b/internal/transport/bodies.go
@@ -70,7 +70,7 @@
 	if length >= 0 && length <= r.BufferedBytes {
 		return length, length
 	}
-	minBytes = r.BufferedBytes + bodystream.Chunk
+	minBytes = r.BufferedBytes + bodystream.ChunkBytes
 	maxBytes = max(minBytes, min(b.Memory.Limit()/maxBodyMemoryDivisor, maxReadAhead))
 	if length >= 0 {
 		minBytes, maxBytes = min(minBytes, length), min(maxBytes, length)
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -43,7 +43,7 @@
 	conns     *downstreamConns
 	handler   RequestHandler
 	bodies    *BodyLimits
-	metrics   *metrics.Figures
+	metrics   *metrics.Counters
 	drain     drainState
 }
 
@@ -51,7 +51,7 @@
 func NewListener(
 	d *Descriptors,
 	bodies *BodyLimits,
-	counts *metrics.Figures,
+	counts *metrics.Counters,
 	handler RequestHandler,
 ) *Listener {
 	f := &Listener{handler: handler, bodies: bodies, metrics: counts, conns: &downstreamConns{
@@ -212,17 +212,17 @@
 	if op != nil {
 		class = op.Class
 	}
-	counted := f.metrics.Await(class)
+	counted := f.metrics.NewRequest(class)
 	defer counted.End(metrics.Abandoned)
 	if err != nil {
 		f.writeResponse(w, r, x, decodeErrorResponse(err), counted)
 		return
 	}
 	if op.Length != 0 {
-		f.serveUpload(w, r, x, op, body, grant.Split(bodystream.Chunk), counted)
+		f.serveUpload(w, r, x, op, body, grant.Split(bodystream.ChunkBytes), counted)
 		return
 	}
-	counted.Taken()
+	counted.Start()
 	op.ArrivedAt = conn.requestComplete()
 	if r.ContentLength != 0 {
 		_ = body.control.SetReadDeadline(time.Time{}) // fails only on a closed connection
@@ -255,7 +255,7 @@
 	op *protocol.Request,
 	body *pacedBody,
 	grant bytebudget.Grant,
-	counted *metrics.Operation,
+	counted *metrics.Request,
 ) {
 	conn := connOf(r)
 	ctx, cancelRequest := context.WithCancel(r.Context())
@@ -268,7 +268,7 @@
 	if isComplete { // else net/http must not wait for the rest
 		_ = body.control.SetReadDeadline(time.Time{}) // fails only on a closed connection
 	}
-	counted.Taken()
+	counted.Start()
 	switch {
 	case !isOwed && !isComplete && isClientFault(err):
 		response = decodeErrorResponse(err)
@@ -284,7 +284,7 @@
 
 // isClientFault distinguishes a body that was malformed or too slow from a client that has gone.
 func isClientFault(err error) bool {
-	return err != nil && !errors.Is(err, bodystream.ErrLeft) && !errors.Is(err, io.ErrUnexpectedEOF)
+	return err != nil && !errors.Is(err, bodystream.ErrAbandoned) && !errors.Is(err, io.ErrUnexpectedEOF)
 }
 
 // reserveMemory waits for memory for a request's body, at most until the deadline.
@@ -295,5 +295,5 @@
 	ctx, cancel := context.WithDeadline(r.Context(), deadline)
 	defer cancel()
 	client, _, _ := net.SplitHostPort(r.RemoteAddr) // net/http's own form
-	return f.bodies.Memory.Take(ctx, bytebudget.Holder{Name: client, Request: true}, bytes)
+	return f.bodies.Memory.Reserve(ctx, bytebudget.Holder{Name: client, IsRequest: true}, bytes)
 }
--- a/internal/transport/listener_crossings_test.go
+++ b/internal/transport/listener_crossings_test.go
@@ -447,7 +447,7 @@
 // The same where it waits for memory on this side: nothing is read of it for a while, and it is not closed.
 func TestRequestThatWaitsForMemoryIsNotSentAway(t *testing.T) {
 	x := newCrossing(t, 1024, &asked{})
-	all, err := x.front.bodies.Memory.Take(t.Context(), bytebudget.Holder{Name: "s-0"}, 1<<20) // all of it
+	all, err := x.front.bodies.Memory.Reserve(t.Context(), bytebudget.Holder{Name: "s-0"}, 1<<20) // all of it
 	require.NoError(t, err)
 	c := x.connect()
 	x.send(c, strings.Replace(crossingRequest, "GET", "POST", 1)[:len(crossingRequest)-1]+
--- a/internal/transport/listener_test.go
+++ b/internal/transport/listener_test.go
@@ -93,7 +93,7 @@
 func TestNoMemoryInTheClientsTime(t *testing.T) {
 	const deadline = 300 * time.Millisecond
 	bodies := NewBodyLimits(1<<20, BodyRules{MaxBytes: 1 << 20, ClientStall: time.Minute})
-	_, err := bodies.Memory.Take(t.Context(), bytebudget.Holder{Name: "s-0"}, 1<<20) // all of it
+	_, err := bodies.Memory.Reserve(t.Context(), bytebudget.Holder{Name: "s-0"}, 1<<20) // all of it
 	require.NoError(t, err)
 	classes := []balancer.Class{
 		{Name: "consult", Deadline: time.Second, Idempotency: balancer.Idempotent},
@@ -142,7 +142,7 @@
 // descriptors are short: its client sends all that it is asked for.
 func TestBodyThatWaitsForMemoryIsNotGivenUp(t *testing.T) {
 	bodies := NewBodyLimits(1<<20, BodyRules{MaxBytes: 1 << 20, ClientStall: time.Minute})
-	_, err := bodies.Memory.Take(t.Context(), bytebudget.Holder{Name: "s-0"}, 1<<20) // all of it
+	_, err := bodies.Memory.Reserve(t.Context(), bytebudget.Holder{Name: "s-0"}, 1<<20) // all of it
 	require.NoError(t, err)
 	dial := serveFew(t, 64, busy, bodies, protocol.HTTP)
 	conn, began := dial(), time.Now()
@@ -184,14 +184,14 @@
 func TestBrokenOffWithoutLength(t *testing.T) {
 	bodies := NewBodyLimits(1<<20, BodyRules{MaxBytes: 1 << 20, ClientStall: time.Minute})
 	dial := serveFront(t, func() protocol.Response {
-		grant, err := bodies.Memory.Take(context.Background(), bytebudget.Holder{Name: "s-0"}, bodystream.Chunk)
+		grant, err := bodies.Memory.Reserve(context.Background(), bytebudget.Holder{Name: "s-0"}, bodystream.ChunkBytes)
 		require.NoError(t, err)
-		f := bodystream.New(-1, grant, bodystream.Chunk)
-		_, err = f.Room()
+		f := bodystream.New(-1, grant, bodystream.ChunkBytes)
+		_, err = f.WriteBuffer()
 		require.NoError(t, err)
-		f.Came(20_000) // more than the library holds back
-		f.End(io.ErrUnexpectedEOF)
-		return protocol.Response{Flow: f, Streaming: true}
+		f.Wrote(20_000) // more than the library holds back
+		f.CloseWrite(io.ErrUnexpectedEOF)
+		return protocol.Response{BodyStream: f, Streaming: true}
 	}, bodies, protocol.HTTP)
 	for _, version := range []string{"1.0", "1.1"} {
 		conn := dial()
@@ -204,7 +204,7 @@
 		}
 		require.Error(t, err, version)
 	}
-	require.Eventually(t, func() bool { return bodies.Memory.Used() == 0 }, 15*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return bodies.Memory.Reserved() == 0 }, 15*time.Second, time.Millisecond)
 }
 
 // A body's end and the cut of its reading may meet. What has come whole is not ended by it: its connection reads
--- a/internal/transport/responsewriter.go
+++ b/internal/transport/responsewriter.go
@@ -18,7 +18,7 @@
 // writeResponse writes a response, and counts how the request ended. It aborts the connection if the response can't
 // be written to its end: the part that was written could look complete.
 func (f *Listener) writeResponse(w http.ResponseWriter, r *http.Request, x protocol.Exchange, response protocol.Response,
-	counted *metrics.Operation,
+	counted *metrics.Request,
 ) {
 	if response.Kind == protocol.Malformed || response.Kind == protocol.TooLong {
 		w.Header().Set("Connection", "close") // the rest of the request is not waited for
@@ -29,10 +29,10 @@
 	}
 	out.extendDeadline()
 	err := x.Encode(out, response)
-	if response.Flow != nil {
-		defer response.Flow.Close()
+	if response.BodyStream != nil {
+		defer response.BodyStream.CloseRead()
 		if err == nil {
-			err = out.copyBody(r.Context(), response.Flow)
+			err = out.copyBody(r.Context(), response.BodyStream)
 		}
 	}
 	counted.End(outcomeOf(response.Kind, err, out.isClientLost || r.Context().Err() != nil))
@@ -57,7 +57,7 @@
 	case kind == protocol.Served:
 		return metrics.OK
 	case kind == protocol.Rejected:
-		return metrics.Shed
+		return metrics.Rejected
 	}
 	return metrics.Error
 }
@@ -99,19 +99,19 @@
 }
 
 // copyBody writes a body as it comes, and returns when the kernel has all of it.
-func (w *responseWriter) copyBody(ctx context.Context, body *bodystream.Flow) error {
+func (w *responseWriter) copyBody(ctx context.Context, body *bodystream.Stream) error {
 	hasFlushed := false // the client has something, and waits for more
 	for {
-		if !body.Ready() {
+		if !body.IsReady() {
 			if !hasFlushed {
 				hasFlushed = true
-				defer context.AfterFunc(ctx, func() { body.Cut(bodystream.ErrLeft) })()
+				defer context.AfterFunc(ctx, func() { body.Abort(bodystream.ErrAbandoned) })()
 			}
 			if err := w.flush(); err != nil {
 				return err
 			}
 		}
-		b, err := body.Next()
+		b, err := body.ReadBuffer()
 		if errors.Is(err, io.EOF) && w.isStreaming {
 			err = cmp.Or(w.flush(), err)
 		}
@@ -125,6 +125,6 @@
 		if err != nil {
 			return err
 		}
-		body.Took(n)
+		body.Consumed(n)
 	}
 }
--- a/internal/transport/upload.go
+++ b/internal/transport/upload.go
@@ -56,8 +56,8 @@
 // upload is the rest of a request's body, streamed by a goroutine of its own until stop.
 type upload struct {
 	body          *pacedBody
-	rest          *bodystream.Flow
-	counted       *metrics.Operation
+	rest          *bodystream.Stream
+	counted       *metrics.Request
 	conn          *downstreamConn
 	cancelRequest context.CancelFunc // its client sends no more
 	complete      chan struct{}      // closed when the last byte was read
@@ -71,7 +71,7 @@
 
 // startUpload begins to read the rest of a request's body, in memory that was reserved with its beginning.
 func startUpload(op *protocol.Request, body *pacedBody, grant bytebudget.Grant, conn *downstreamConn,
-	counted *metrics.Operation, cancelRequest context.CancelFunc,
+	counted *metrics.Request, cancelRequest context.CancelFunc,
 ) *upload {
 	length := int64(-1)
 	if op.Length > 0 {
@@ -83,7 +83,7 @@
 	}
 	op.Rest, op.BodyComplete = u.rest, u.complete
 	release := op.Release
-	op.Release = func() { u.rest.Close(); release() }
+	op.Release = func() { u.rest.CloseRead(); release() }
 	go u.read()
 	return u
 }
@@ -93,19 +93,19 @@
 	defer close(u.done)
 	err := u.readRest()
 	if err == nil || errors.Is(err, io.EOF) {
-		u.counted.Taken()
+		u.counted.Start()
 		u.conn.requestComplete()
-		u.rest.End(io.EOF)
+		u.rest.CloseWrite(io.EOF)
 		u.mu.Lock()
 		u.isComplete = true
 		u.mu.Unlock()
 		close(u.complete)
 		return
 	}
-	u.rest.End(err)
+	u.rest.CloseWrite(err)
 	u.mu.Lock()
 	u.err = err
-	isWanted := !u.isAbandoned && !errors.Is(err, bodystream.ErrLeft)
+	isWanted := !u.isAbandoned && !errors.Is(err, bodystream.ErrAbandoned)
 	u.mu.Unlock()
 	if isWanted {
 		u.cancelRequest()
@@ -118,14 +118,14 @@
 	for received := int64(0); received != length; {
 		waitedSince := time.Now()
 		u.conn.pauseReading()
-		buffer, err := u.rest.Room()
+		buffer, err := u.rest.WriteBuffer()
 		u.conn.resumeReading()
 		if err != nil {
 			return err
 		}
 		u.body.extend(time.Since(waitedSince))
 		n, err := u.body.Read(buffer)
-		u.rest.Came(n)
+		u.rest.Wrote(n)
 		received += int64(n)
 		if err != nil {
 			return err
@@ -139,7 +139,7 @@
 	u.mu.Lock()
 	u.isAbandoned = true
 	u.mu.Unlock()
-	u.rest.Cut(bodystream.ErrLeft)
+	u.rest.Abort(bodystream.ErrAbandoned)
 	u.conn.abandonBody()
 	<-u.done
 	return u.isComplete, u.err
--- a/internal/transport/upstream.go
+++ b/internal/transport/upstream.go
@@ -70,7 +70,7 @@
 type UpstreamRequest struct {
 	Head, Body []byte
 	// Rest follows Body as it comes; nil: nothing does. Chunked: its length is not known.
-	Rest    *bodystream.Flow
+	Rest    *bodystream.Stream
 	Chunked bool
 	// Streamed has the response forwarded from its first byte on.
 	Streamed bool
@@ -188,7 +188,7 @@
 	event := *early
 	isWanted := func() bool { return true }
 	if event.isStart {
-		isWanted = event.Flow.OnStop(u.Close)
+		isWanted = event.BodyStream.OnStop(u.Close)
 		s.OnResponseStart(event.UpstreamResponse)
 		event = <-u.responses
 	}
@@ -208,7 +208,7 @@
 		_, err = bytes.WriteTo(u.conn)
 		return nil, true, err
 	}
-	defer context.AfterFunc(s.ctx, func() { s.Rest.Cut(bodystream.ErrLeft) })()
+	defer context.AfterFunc(s.ctx, func() { s.Rest.Abort(bodystream.ErrAbandoned) })()
 	wrote := make(chan error, 1)
 	go func() { wrote <- writeStreamed(u.conn, s) }()
 	select {
@@ -237,7 +237,7 @@
 			return &event, true
 		}
 	case <-timeout.C:
-		s.Rest.Cut(bodystream.ErrLeft)
+		s.Rest.Abort(bodystream.ErrAbandoned)
 		u.Close()
 		if err := <-wrote; err == nil { // it may have run, whatever becomes of the response
 			event.Close = true
@@ -245,14 +245,14 @@
 		}
 	}
 	if event.isStart {
-		event.Flow.Close()
+		event.BodyStream.CloseRead()
 		event = <-u.responses
 	}
 	if event.err == nil && event.Outcome == balancer.Rejected { // the one response that may come before the end
 		return &event, false
 	}
-	if event.Flow != nil {
-		event.Flow.Close()
+	if event.BodyStream != nil {
+		event.BodyStream.CloseRead()
 	}
 	return &responseEvent{err: errors.Join(ErrNotWritten, ErrInvalidResponse, event.err)}, false
 }
@@ -271,7 +271,7 @@
 		return err
 	}
 	for {
-		b, err := s.Rest.Next()
+		b, err := s.Rest.ReadBuffer()
 		switch {
 		case errors.Is(err, io.EOF) && s.Chunked:
 			_, err = io.WriteString(w, lastChunk)
@@ -284,7 +284,7 @@
 		if err := writePart(w, s, b); err != nil {
 			return err
 		}
-		s.Rest.Took(len(b))
+		s.Rest.Consumed(len(b))
 	}
 }
 
@@ -304,10 +304,10 @@
 func (u *UpstreamConn) discardResponse() {
 	event := <-u.responses
 	if event.isStart {
-		event.Flow.Close()
+		event.BodyStream.CloseRead()
 		event = <-u.responses
-	} else if event.Flow != nil {
-		event.Flow.Close()
+	} else if event.BodyStream != nil {
+		event.BodyStream.CloseRead()
 	}
 }
 
--- a/internal/transport/upstream_crossings_test.go
+++ b/internal/transport/upstream_crossings_test.go
@@ -86,7 +86,7 @@
 						if !held && came > 0 {
 							return // the reset follows the taking
 						}
-						for held && came > 0 && bodies.Memory.Used() == 0 { // the body's beginning has been reached
+						for held && came > 0 && bodies.Memory.Reserved() == 0 { // the body's beginning has been reached
 							time.Sleep(time.Millisecond)
 						}
 						end()
@@ -95,18 +95,18 @@
 					s.Streamed = !held
 					s.OnResponseStart = func(r protocol.UpstreamResponse) {
 						go func() {
-							defer r.Flow.Close()
+							defer r.BodyStream.CloseRead()
 							for n := 0; n < came; {
-								b, err := r.Flow.Next()
+								b, err := r.BodyStream.ReadBuffer()
 								if err != nil {
 									break
 								}
 								n += len(b)
-								r.Flow.Took(len(b))
+								r.BodyStream.Consumed(len(b))
 							}
 							<-wrote
 							end()
-							_, err := r.Flow.Next()
+							_, err := r.BodyStream.ReadBuffer()
 							taken <- err
 						}()
 					}
@@ -129,8 +129,8 @@
 						}
 						return
 					}
-					if r.Flow != nil {
-						r.Flow.Close()
+					if r.BodyStream != nil {
+						r.BodyStream.CloseRead()
 					}
 				})
 			}
@@ -160,10 +160,10 @@
 			}
 			require.NoError(t, err)
 			require.Equal(t, balancer.Served, r.Outcome)
-			got, err := r.Flow.Next()
+			got, err := r.BodyStream.ReadBuffer()
 			require.NoError(t, err)
 			require.Equal(t, body, string(got))
-			r.Flow.Close()
+			r.BodyStream.CloseRead()
 			if reuse { // the reset was not seen yet
 				over(t, u)
 				require.True(t, u.HasEnded())
@@ -240,7 +240,7 @@
 	wrote := make(chan error, 1)
 	rest := bodystream.New(-1, bytebudget.Grant{}, 0)
 	go func() {
-		_, _ = rest.Next() // until it is given up, once the wait is over
+		_, _ = rest.ReadBuffer() // until it is given up, once the wait is over
 		wrote <- nil
 	}()
 	first, whole := u.resolveEarlyResponse(&UpstreamRequest{Rest: rest}, responseEvent{UpstreamResponse: protocol.UpstreamResponse{Outcome: balancer.Served}}, wrote)
@@ -266,13 +266,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			u, bodies, server := tcpPair(t)
-			grant, err := bodies.Memory.Take(t.Context(), bytebudget.Holder{Name: "s-0"}, 4)
+			grant, err := bodies.Memory.Reserve(t.Context(), bytebudget.Holder{Name: "s-0"}, 4)
 			require.NoError(t, err)
 			rest := bodystream.New(4, grant, 4)
-			room, err := rest.Room()
+			room, err := rest.WriteBuffer()
 			require.NoError(t, err)
 			copy(room, "ab")
-			rest.Came(2) // and no more comes
+			rest.Wrote(2) // and no more comes
 			ended := make(chan struct{})
 			go func() {
 				defer close(ended)
@@ -282,7 +282,7 @@
 				_, _ = io.WriteString(server, c.answer)
 				if c.ends {
 					if c.answer != "" { // once it is read
-						for bodies.Memory.Used() < 5 {
+						for bodies.Memory.Reserved() < 5 {
 							time.Sleep(time.Millisecond)
 						}
 					}
@@ -301,9 +301,9 @@
 			} else {
 				require.ErrorIs(t, err, c.want)
 			}
-			rest.End(io.ErrUnexpectedEOF)
-			rest.Close()
-			require.Eventually(t, func() bool { return bodies.Memory.Used() == 0 }, 15*time.Second, time.Millisecond)
+			rest.CloseWrite(io.ErrUnexpectedEOF)
+			rest.CloseRead()
+			require.Eventually(t, func() bool { return bodies.Memory.Reserved() == 0 }, 15*time.Second, time.Millisecond)
 		})
 	}
 }
--- a/internal/transport/upstream_test.go
+++ b/internal/transport/upstream_test.go
@@ -117,13 +117,13 @@
 		var taken []byte
 		var end error
 		take := func(r protocol.UpstreamResponse) {
-			defer r.Flow.Close()
+			defer r.BodyStream.CloseRead()
 			for end == nil && len(taken) <= int(leaves) {
 				var b []byte
-				if b, end = r.Flow.Next(); end == nil {
-					require.LessOrEqual(t, bodies.Memory.Used(), int64(1<<20/maxBodyMemoryDivisor))
+				if b, end = r.BodyStream.ReadBuffer(); end == nil {
+					require.LessOrEqual(t, bodies.Memory.Reserved(), int64(1<<20/maxBodyMemoryDivisor))
 					taken = append(taken, b...)
-					r.Flow.Took(len(b))
+					r.BodyStream.Consumed(len(b))
 				}
 			}
 		}
@@ -132,7 +132,7 @@
 			Head: []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"), Streamed: atOnce,
 			OnResponseStart: func(r protocol.UpstreamResponse) { begun = true; take(r) },
 		})
-		if !begun && r.Flow != nil {
+		if !begun && r.BodyStream != nil {
 			take(r)
 		}
 		require.True(t, bytes.HasPrefix(want, taken), "%q is not of %q", taken, want)
@@ -154,7 +154,7 @@
 				require.Equal(t, "second", string(taken))
 			}
 		}
-		require.Zero(t, bodies.Memory.Used())
+		require.Zero(t, bodies.Memory.Reserved())
 		require.NoError(t, ctx.Err(), "waits for what has ended")
 	})
 }
@@ -178,7 +178,7 @@
 			go func() { // answers once the first byte is there, and goes when the answer is read
 				_, _ = io.ReadFull(server, make([]byte, 1))
 				go func() { _, _ = io.WriteString(server, text) }()
-				for bodies.Memory.Used() == 0 {
+				for bodies.Memory.Reserved() == 0 {
 					time.Sleep(time.Millisecond)
 				}
 				_ = server.Close()
@@ -188,7 +188,7 @@
 				require.Fail(t, "begun")
 			}})
 			require.ErrorIs(t, err, ErrNotWritten)
-			require.Eventually(t, func() bool { return bodies.Memory.Used() == 0 }, 10*time.Second, time.Millisecond)
+			require.Eventually(t, func() bool { return bodies.Memory.Reserved() == 0 }, 10*time.Second, time.Millisecond)
 		})
 	}
 }
@@ -209,7 +209,7 @@
 			_, _ = io.WriteString(server, head+body[:9990])
 		}()
 		step := UpstreamRequest{Head: []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"), OnResponseStart: func(r protocol.UpstreamResponse) {
-			for r.Flow.Progress().Came < 9990 {
+			for r.BodyStream.Progress().Received < 9990 {
 				runtime.Gosched()
 			}
 			_, err = io.WriteString(server, body[9990:])
@@ -217,7 +217,7 @@
 			for range i {
 				runtime.Gosched()
 			}
-			r.Flow.Close() // the client leaves
+			r.BodyStream.CloseRead() // the client leaves
 		}}
 		_, reuse, err := u.RoundTrip(t.Context(), step)
 		if reuse {
@@ -228,7 +228,7 @@
 		u.Close()
 		require.NoError(t, server.Close())
 	}
-	require.Eventually(t, func() bool { return bodies.Memory.Used() == 0 }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return bodies.Memory.Reserved() == 0 }, 10*time.Second, time.Millisecond)
 }
 
 // An answer may begin and end before it is told that its route step was written whole: both are still to be had.
--- a/internal/transport/upstreamresponse.go
+++ b/internal/transport/upstreamresponse.go
@@ -38,7 +38,7 @@
 // classifyReadError distinguishes a response that ended with its connection, or is not wanted, from an invalid one.
 func (u *UpstreamConn) classifyReadError(err error) error {
 	switch {
-	case errors.Is(err, bytebudget.ErrFull), errors.Is(err, bodystream.ErrLeft):
+	case errors.Is(err, bytebudget.ErrFull), errors.Is(err, bodystream.ErrAbandoned):
 		return err
 	case u.limited.N > 0 && u.source.err != nil:
 		return err
@@ -54,44 +54,44 @@
 ) error {
 	minBytes, maxBytes := u.bodies.memoryWindow(body.Length, rules)
 	waitedSince := time.Now()
-	grant, err := u.bodies.Memory.Take(s.ctx, bytebudget.Holder{Name: u.server}, minBytes)
+	grant, err := u.bodies.Memory.Reserve(s.ctx, bytebudget.Holder{Name: u.server}, minBytes)
 	if err != nil {
 		return err
 	}
 	flow := bodystream.New(body.Length, grant, maxBytes)
-	flow.HeldUp(time.Since(waitedSince))
-	r.Flow = flow
+	flow.SetDelayedBefore(time.Since(waitedSince))
+	r.BodyStream = flow
 	start := responseStart{start: func() {
-		flow.Begun()
+		flow.ForwardingStarted()
 		u.responses <- responseEvent{UpstreamResponse: protocol.UpstreamResponse{
 			Outcome: r.Outcome, ContentType: r.ContentType, Status: r.Status,
-			Flow: flow,
+			BodyStream: flow,
 		}, isStart: true}
 	}}
 	err = copyResponseBody(flow, body, rules, s.Streamed, &start)
 	isStarted := start.finish()
 	if err == nil || err == io.EOF { //nolint:errorlint // only the reader's own end is complete, no wrapped one
-		flow.End(io.EOF)
+		flow.CloseWrite(io.EOF)
 		return nil
 	}
-	if flow.Stopped() { // it was started, and the rest is not wanted
-		flow.End(err)
+	if flow.IsStopped() { // it was started, and the rest is not wanted
+		flow.CloseWrite(err)
 		return err
 	}
-	flow.End(u.classifyReadError(err))
+	flow.CloseWrite(u.classifyReadError(err))
 	if !isStarted {
-		flow.Close()
+		flow.CloseRead()
 	}
 	return err
 }
 
 // copyResponseBody moves a body into its flow, and starts the response as a stream if it may not be buffered.
-func copyResponseBody(flow *bodystream.Flow, body protocol.UnreadBody, rules BodyRules, isStreamed bool,
+func copyResponseBody(flow *bodystream.Stream, body protocol.UnreadBody, rules BodyRules, isStreamed bool,
 	start *responseStart,
 ) error {
 	isKnownShort := body.Length >= 0 && body.Length <= rules.BufferedBytes
 	for received := int64(0); received != body.Length; {
-		buffer, err := flow.Room()
+		buffer, err := flow.WriteBuffer()
 		if err != nil { // only after it was started
 			return err
 		}
@@ -99,7 +99,7 @@
 		if received += int64(n); received > rules.MaxBytes { // also if it ends just there
 			return protocol.ErrResponseTooLong
 		}
-		flow.Came(n)
+		flow.Wrote(n)
 		switch {
 		case err != nil:
 			return err
