--- a/internal/agent/exchange.go
+++ b/internal/agent/exchange.go
@@ -194,8 +194,9 @@
 // responseProgress is the progress of a body, as the router has it.
 func responseProgress(p bodystream.Progress) routing.ResponseProgress {
 	return routing.ResponseProgress{
-		Length: p.Length, Received: p.Received, DelayBefore: p.DelayedBefore, Blocked: p.StalledFor, Receiving: p.ReceivingFor,
-		Complete: p.IsComplete,
+		Length: p.Length, Received: p.Received, DelayBefore: p.DelayedBefore, Blocked: p.StalledFor,
+		Receiving: p.ReceivingFor,
+		Complete:  p.IsComplete,
 	}
 }
 
