--- a/internal/transport/responsewriter.go
+++ b/internal/transport/responsewriter.go
@@ -22,7 +22,7 @@
 	r *http.Request,
 	x protocol.Exchange,
 	response protocol.Response,
-	counted *metrics.Operation,
+	counted *metrics.Request,
 ) {
 	if response.Kind == protocol.Malformed || response.Kind == protocol.TooLong {
 		w.Header().Set("Connection", "close") // the rest of the request is not waited for
@@ -33,10 +33,10 @@
 	}
 	out.extendDeadline()
 	err := x.Encode(out, response)
-	if response.Flow != nil {
-		defer response.Flow.Close()
+	if response.BodyStream != nil {
+		defer response.BodyStream.CloseRead()
 		if err == nil {
-			err = out.copyBody(r.Context(), response.Flow)
+			err = out.copyBody(r.Context(), response.BodyStream)
 		}
 	}
 	counted.End(outcomeOf(response.Kind, err, out.isClientLost || r.Context().Err() != nil))
@@ -61,7 +61,7 @@
 	case kind == protocol.Served:
 		return metrics.OK
 	case kind == protocol.Rejected:
-		return metrics.Shed
+		return metrics.Rejected
 	}
 	return metrics.Error
 }
@@ -104,19 +104,19 @@
 }
 
 // copyBody writes a body as it comes, and returns when the kernel has all of it.
-func (w *responseWriter) copyBody(ctx context.Context, body *bodystream.Flow) error {
+func (w *responseWriter) copyBody(ctx context.Context, body *bodystream.Stream) error {
 	hasFlushed := false // the client has something, and waits for more
 	for {
-		if !body.Ready() {
+		if !body.IsReady() {
 			if !hasFlushed {
 				hasFlushed = true
-				defer context.AfterFunc(ctx, func() { body.Cut(bodystream.ErrLeft) })()
+				defer context.AfterFunc(ctx, func() { body.Abort(bodystream.ErrAbandoned) })()
 			}
 			if err := w.flush(); err != nil {
 				return err
 			}
 		}
-		b, err := body.Next()
+		b, err := body.ReadBuffer()
 		if errors.Is(err, io.EOF) && w.isStreaming {
 			err = cmp.Or(w.flush(), err)
 		}
@@ -130,6 +130,6 @@
 		if err != nil {
 			return err
 		}
-		body.Took(n)
+		body.Consumed(n)
 	}
 }
