--- a/internal/agent/list.go
+++ b/internal/agent/list.go
@@ -13,8 +13,8 @@
 	"dunestep/internal/transport"
 )
 
-// confirmAfterSilence is how long after discovery has accepted a watch its silence confirms the list that is known: a
-// newer one comes at once.
+// confirmAfterSilence is how long after discovery has accepted a watch its silence confirms the list that is
+// known: a newer one comes at once.
 const confirmAfterSilence = 200 * time.Millisecond
 
 // listUpdate tells the agent's actor of the endpoint list.
@@ -26,15 +26,15 @@
 	confirmation  routing.Confirmation
 }
 
-// listActor is the actor of the endpoint list: it makes the calls to discovery, each in a goroutine of its own that ends
-// with the call.
+// listActor is the actor of the endpoint list: it makes the calls to discovery, each in a goroutine of its
+// own that ends with the call.
 type listActor struct {
 	mail    *mailbox[any]
 	tracker *routing.ListTracker
 	calls   map[int]context.CancelFunc // those that have not ended, by number
 	report  func(listUpdate)
 	clock   clock
-	metrics *metrics.Figures
+	metrics *metrics.Counters
 }
 
 // The messages of the list's actor.
@@ -74,14 +74,21 @@
 }
 
 // startList starts the actor, and reports the initial list at once.
-func startList(addr netip.AddrPort, initial protocol.EndpointList, disabled []routing.DisabledEndpoint, clock clock,
-	m *metrics.Figures, report func(listUpdate),
+func startList(
+	addr netip.AddrPort,
+	initial protocol.EndpointList,
+	disabled []routing.DisabledEndpoint,
+	clock clock,
+	m *metrics.Counters,
+	report func(listUpdate),
 ) *listActor {
 	l := &listActor{
 		mail: newMailbox[any](), tracker: routing.NewListTracker(addr, initial, disabled),
 		calls: map[int]context.CancelFunc{}, report: report, clock: clock, metrics: m,
 	}
-	l.report(listUpdate{kind: balancer.UpdateCached, list: l.tracker.ApplyDisabled(initial), discoveryList: initial})
+	l.report(
+		listUpdate{kind: balancer.UpdateCached, list: l.tracker.ApplyDisabled(initial), discoveryList: initial},
+	)
 	l.reportSize()
 	go l.mail.receive(l.handle)
 	return l
@@ -134,7 +141,7 @@
 // reportSize tells the metrics how many endpoints are listed, and how many of them are disabled.
 func (l *listActor) reportSize() {
 	listed, disabled := l.tracker.Size()
-	l.metrics.SetPool(metrics.Pool{Listed: listed, Banned: disabled})
+	l.metrics.SetEndpoints(metrics.Endpoints{Listed: listed, Banned: disabled})
 }
 
 // carryOut carries out what the tracker asks for, in order.
--- a/internal/agent/requests.go
+++ b/internal/agent/requests.go
@@ -17,16 +17,16 @@
 }
 
 const (
-	// fleetWaitFraction of its client's time, and maxFleetWait, is how long a request waits at most in a process that has
-	// just started and does not know yet what its fleet has agreed on.
+	// fleetWaitFraction of its client's time, and maxFleetWait, is how long a request waits at most in a
+	// process that has just started and does not know yet what its fleet has agreed on.
 	fleetWaitFraction = 0.5
 	maxFleetWait      = time.Second
 	// fleetPollInterval is how often it is looked whether that is known.
 	fleetPollInterval = 2 * time.Millisecond
 )
 
-// HandleRequest carries a request out and returns its final response; false where the client left before. In a process
-// that has just started it may wait first: see waitForFleetState.
+// HandleRequest carries a request out and returns its final response; false where the client left before. In
+// a process that has just started it may wait first: see waitForFleetState.
 func (a *Agent) HandleRequest(ctx context.Context, r *protocol.Request) (protocol.Response, bool) {
 	if !a.waitForFleetState(ctx, r.TimeLeft) {
 		r.Release()
@@ -49,8 +49,9 @@
 	}
 }
 
-// waitForFleetState has a request that arrives before this process has caught up with its fleet wait a little: forwarded
-// at once it could reach an endpoint that operators were told is free of such requests. False: the client has left.
+// waitForFleetState has a request that arrives before this process has caught up with its fleet wait a
+// little: forwarded at once it could reach an endpoint that operators were told is free of such requests.
+// False: the client has left.
 func (a *Agent) waitForFleetState(ctx context.Context, timeLeft time.Duration) bool {
 	if a.fleetCaughtUp == nil || a.fleetCaughtUp() {
 		return true
@@ -97,8 +98,8 @@
 
 // closeUnusedResponse closes the response in hand where it has not become a request's.
 func (a *Agent) closeUnusedResponse() {
-	if a.response.Flow != nil {
-		a.response.Flow.Close()
+	if a.response.BodyStream != nil {
+		a.response.BodyStream.CloseRead()
 	}
 	a.response = protocol.UpstreamResponse{}
 }
@@ -107,8 +108,8 @@
 func (r *request) closeUntakenResponse() {
 	select {
 	case response := <-r.response:
-		if response.Flow != nil {
-			response.Flow.Close()
+		if response.BodyStream != nil {
+			response.BodyStream.CloseRead()
 		}
 	default:
 	}
@@ -146,10 +147,10 @@
 	}
 	if out.Result == protocol.Served {
 		response = protocol.Response{
-			Kind: protocol.Served, Flow: a.response.Flow, ContentType: a.response.ContentType,
+			Kind: protocol.Served, BodyStream: a.response.BodyStream, ContentType: a.response.ContentType,
 			Status: a.response.Status,
 		}
-		a.response.Flow = nil // the request's from now on
+		a.response.BodyStream = nil // the request's from now on
 	}
 	response.Streaming = out.Streaming
 	r.response <- response
--- a/internal/protocol/http.go
+++ b/internal/protocol/http.go
@@ -55,8 +55,8 @@
 	return time.Duration(min(left, maxTimeLeftMS)) * time.Millisecond, nil
 }
 
-// workHint finds the estimated work among the facts that a client sends, in microseconds under the simulator's name. Other
-// facts, and what is malformed, are ignored.
+// workHint finds the estimated work among the facts that a client sends, in microseconds under the
+// simulator's name. Other facts, and what is malformed, are ignored.
 func workHint(facts string) time.Duration {
 	for fact := range strings.SplitSeq(facts, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(fact), "=")
@@ -87,8 +87,8 @@
 		status = http.StatusRequestEntityTooLarge
 	}
 	length := int64(len(a.Body))
-	if a.Flow != nil {
-		length = a.Flow.Length()
+	if a.BodyStream != nil {
+		length = a.BodyStream.Length()
 	}
 	if a.ContentType == "" {
 		a.ContentType = "text/plain; charset=utf-8"
--- a/internal/protocol/response.go
+++ b/internal/protocol/response.go
@@ -26,8 +26,8 @@
 // Response is the one final answer to a request.
 type Response struct {
 	Kind        ResponseKind
-	Body        []byte           // a line of text, if there is no Flow
-	Flow        *bodystream.Flow // the body of an upstream server's response
+	Body        []byte             // a line of text, if there is no BodyStream
+	BodyStream  *bodystream.Stream // the body of an upstream server's response
 	ContentType string
 	Status      int            // of an upstream server's response; zero: 200
 	RetryAfter  time.Duration  // of a rejection; zero: none is sent
@@ -44,8 +44,8 @@
 	return http.StatusServiceUnavailable
 }
 
-// setRateLimit sets the header fields of the IETF's draft: requests per second, those left of them, and in how many
-// seconds there are more.
+// setRateLimit sets the header fields of the IETF's draft: requests per second, those left of them, and in
+// how many seconds there are more.
 func setRateLimit(h http.Header, a Response) {
 	each := max(int64(a.Quota.PerSecond), 1)
 	h.Set("RateLimit-Policy", fmt.Sprintf(`"share";q=%d;w=1`, each))
--- a/internal/transport/responsewriter.go
+++ b/internal/transport/responsewriter.go
@@ -15,10 +15,14 @@
 	"dunestep/internal/protocol"
 )
 
-// writeResponse writes a response, and counts how the request ended. It aborts the connection if the response can't
-// be written to its end: the part that was written could look complete.
-func (f *Listener) writeResponse(w http.ResponseWriter, r *http.Request, x protocol.Exchange, response protocol.Response,
-	counted *metrics.Operation,
+// writeResponse writes a response, and counts how the request ended. It aborts the connection if the response
+// can't be written to its end: the part that was written could look complete.
+func (f *Listener) writeResponse(
+	w http.ResponseWriter,
+	r *http.Request,
+	x protocol.Exchange,
+	response protocol.Response,
+	counted *metrics.Request,
 ) {
 	if response.Kind == protocol.Malformed || response.Kind == protocol.TooLong {
 		w.Header().Set("Connection", "close") // the rest of the request is not waited for
@@ -29,10 +33,10 @@
 	}
 	out.extendDeadline()
 	err := x.Encode(out, response)
-	if response.Flow != nil {
-		defer response.Flow.Close()
+	if response.BodyStream != nil {
+		defer response.BodyStream.CloseRead()
 		if err == nil {
-			err = out.copyBody(r.Context(), response.Flow)
+			err = out.copyBody(r.Context(), response.BodyStream)
 		}
 	}
 	counted.End(outcomeOf(response.Kind, err, out.isClientLost || r.Context().Err() != nil))
@@ -46,8 +50,8 @@
 	}
 }
 
-// outcomeOf is how a request ended, by its response and the error of writing that. A client is lost if it takes no
-// more of it.
+// outcomeOf is how a request ended, by its response and the error of writing that. A client is lost if it
+// takes no more of it.
 func outcomeOf(kind protocol.ResponseKind, err error, isClientLost bool) metrics.Ending {
 	switch {
 	case err != nil && isClientLost:
@@ -57,7 +61,7 @@
 	case kind == protocol.Served:
 		return metrics.OK
 	case kind == protocol.Rejected:
-		return metrics.Shed
+		return metrics.Rejected
 	}
 	return metrics.Error
 }
@@ -85,7 +89,8 @@
 	return err
 }
 
-// deadlineSlack is by how much a write's deadline may be too early: to move it costs as much as a small write.
+// deadlineSlack is by how much a write's deadline may be too early: to move it costs as much as a small
+// write.
 const deadlineSlack = 10 * time.Millisecond
 
 // extendDeadline sets the deadline of the next write.
@@ -99,19 +104,19 @@
 }
 
 // copyBody writes a body as it comes, and returns when the kernel has all of it.
-func (w *responseWriter) copyBody(ctx context.Context, body *bodystream.Flow) error {
+func (w *responseWriter) copyBody(ctx context.Context, body *bodystream.Stream) error {
 	hasFlushed := false // the client has something, and waits for more
 	for {
-		if !body.Ready() {
+		if !body.IsReady() {
 			if !hasFlushed {
 				hasFlushed = true
-				defer context.AfterFunc(ctx, func() { body.Cut(bodystream.ErrLeft) })()
+				defer context.AfterFunc(ctx, func() { body.Abort(bodystream.ErrAbandoned) })()
 			}
 			if err := w.flush(); err != nil {
 				return err
 			}
 		}
-		b, err := body.Next()
+		b, err := body.ReadBuffer()
 		if errors.Is(err, io.EOF) && w.isStreaming {
 			err = cmp.Or(w.flush(), err)
 		}
@@ -125,6 +130,6 @@
 		if err != nil {
 			return err
 		}
-		body.Took(n)
+		body.Consumed(n)
 	}
 }
