--- a/internal/control/policy/document.go
+++ b/internal/control/policy/document.go
@@ -91,7 +91,7 @@
 		sum += d.file.Tenants[tenant].Share
 	}
 	if sum > 1+shareTolerance {
-		doc.Complain("tenants", "the shares are %.4g together, 1 at most", sum)
+		doc.AddProblem("tenants", "the shares are %.4g together, 1 at most", sum)
 	}
 }
 
@@ -100,13 +100,13 @@
 	d.contracts = map[string]*contract.Contract{} // never nil: nil stands for "not known" in an Effect
 	for _, name := range slices.Sorted(maps.Keys(d.file.Contracts)) {
 		path := "contracts." + name
-		if !doc.Sound(path) {
+		if !doc.IsValid(path) {
 			continue
 		}
 		c, err := d.parseContract(d.file.Contracts[name])
 		if problems := contract.Problems(nil); errors.As(err, &problems) {
 			for _, p := range problems {
-				doc.Complain(path+"."+p.Key, "%s", p.Text)
+				doc.AddProblem(path+"."+p.Key, "%s", p.Text)
 			}
 			continue
 		}
--- a/internal/operator/read.go
+++ b/internal/operator/read.go
@@ -30,11 +30,11 @@
 	for i := range tables.NumField() {
 		name := tables.Type().Field(i).Tag.Get("toml")
 		table, hasRules := tables.Field(i).Interface().(tableChecker)
-		if !hasRules || !d.Sound(name) {
+		if !hasRules || !d.IsValid(name) {
 			continue
 		}
 		if key, problem := table.check(); key != "" {
-			d.Complain(name+"."+key, "%s", problem)
+			d.AddProblem(name+"."+key, "%s", problem)
 		}
 	}
 }
--- a/internal/rehearsal/scenario/check.go
+++ b/internal/rehearsal/scenario/check.go
@@ -20,7 +20,7 @@
 
 // check looks for figures that are fine one by one and make no sense together.
 func (s *Scenario) check(d *stricttoml.Document) {
-	if !d.Sound("") {
+	if !d.IsValid("") {
 		return
 	}
 	checkSize(d, s)
@@ -35,14 +35,14 @@
 
 func checkSize(d *stricttoml.Document, s *Scenario) {
 	if s.Day.From >= s.Day.Length {
-		d.Complain("day.from_s", "must be before the day ends")
+		d.AddProblem("day.from_s", "must be before the day ends")
 	}
 	if pairs := s.Agents.Count * s.Fleet.Servers; pairs > maxPairs {
-		d.Complain("fleet.servers", "%d agents times %d servers is over %d", s.Agents.Count, s.Fleet.Servers,
+		d.AddProblem("fleet.servers", "%d agents times %d servers is over %d", s.Agents.Count, s.Fleet.Servers,
 			maxPairs)
 	}
 	if n := s.firstTries(); n > maxRequests {
-		d.Complain("day.length_s", "the day would have some %.0f first tries; %d at most", n, maxRequests)
+		d.AddProblem("day.length_s", "the day would have some %.0f first tries; %d at most", n, maxRequests)
 	}
 }
 
@@ -70,9 +70,9 @@
 
 func checkLoad(d *stricttoml.Document, s *Scenario) {
 	if d.Has("load", "per_s") == d.Has("load", "of_capacity") {
-		d.Complain("load", "needs either per_s or of_capacity")
+		d.AddProblem("load", "needs either per_s or of_capacity")
 	} else if s.Load.PerS.Low <= 0 && s.Load.OfCapacity.Low <= 0 {
-		d.Complain("load", "the traffic must be above zero")
+		d.AddProblem("load", "the traffic must be above zero")
 	}
 	quotas := 0
 	for _, key := range []string{"quota_per_s", "quota_of_capacity"} {
@@ -81,7 +81,7 @@
 		}
 	}
 	if tenants := len(s.Tenants) > 0; quotas > 1 || tenants != (quotas == 1) {
-		d.Complain("load", "needs either quota_per_s or quota_of_capacity where there are tenants, else neither")
+		d.AddProblem("load", "needs either quota_per_s or quota_of_capacity where there are tenants, else neither")
 	}
 }
 
@@ -100,12 +100,12 @@
 	}
 	for _, key := range slices.Sorted(maps.Keys(sums)) {
 		if math.Abs(sums[key]-1) > shareSlack {
-			d.Complain(key, "the shares add up to %.4g, not to 1", sums[key])
+			d.AddProblem(key, "the shares add up to %.4g, not to 1", sums[key])
 		}
 	}
 	g := s.Goal
 	if sum := g.Whole + g.WorstWindow + g.WorstClass + g.WorstTenant; math.Abs(sum-1) > shareSlack {
-		d.Complain("goal", "the weights add up to %.4g, not to 1", sum)
+		d.AddProblem("goal", "the weights add up to %.4g, not to 1", sum)
 	}
 }
 
@@ -116,7 +116,7 @@
 
 func checkNames(d *stricttoml.Document, s *Scenario) {
 	if !fileName.MatchString(s.Name) {
-		d.Complain("name", "must be at most 100 small letters, digits and -, _ or ., as a file may be named")
+		d.AddProblem("name", "must be at most 100 small letters, digits and -, _ or ., as a file may be named")
 	}
 	var kinds, classes, tenants []string
 	for _, k := range s.Kinds {
@@ -136,15 +136,15 @@
 
 func checkList(d *stricttoml.Document, path string, names []string, need bool) {
 	if need && len(names) == 0 {
-		d.Complain(path, "there must be one at least")
+		d.AddProblem(path, "there must be one at least")
 	}
 	if len(names) > maxGroups {
-		d.Complain(path, "there may be %d at most", maxGroups)
+		d.AddProblem(path, "there may be %d at most", maxGroups)
 	}
 	seen := map[string]bool{}
 	for i, name := range names {
 		if seen[name] || name == "" || strings.ContainsAny(name, " /?#\"\\\n\r\t") {
-			d.Complain(fmt.Sprintf("%s[%d]", path, i), "the name %q is empty, given twice, or no plain word", name)
+			d.AddProblem(fmt.Sprintf("%s[%d]", path, i), "the name %q is empty, given twice, or no plain word", name)
 		}
 		seen[name] = true
 	}
@@ -155,20 +155,20 @@
 		return slices.ContainsFunc(s.Classes, func(c Class) bool { return c.Effect == e })
 	}
 	if s.Clients.GraphQL > 0 && !(has(Safe) && has(Unsafe)) {
-		d.Complain("clients.graphql", "needs a class that is safe to repeat and one that is not")
+		d.AddProblem("clients.graphql", "needs a class that is safe to repeat and one that is not")
 	}
 	for i, c := range s.Classes {
 		if c.Aim > c.Deadline {
-			d.Complain(fmt.Sprintf("class[%d].aim_ms", i), "the aim is after the deadline")
+			d.AddProblem(fmt.Sprintf("class[%d].aim_ms", i), "the aim is after the deadline")
 		}
 	}
 	if s.Rules.ColdFor == 0 && s.Rules.ColdShare < 1 {
-		d.Complain("rules.cold_s", "must be above zero where a server starts at less than its capacity")
+		d.AddProblem("rules.cold_s", "must be above zero where a server starts at less than its capacity")
 	}
 	for i, k := range s.Kinds {
 		// What agents are told must hold, or they would be blamed for trusting it.
 		if k.ColdFrom.Low < s.Rules.ColdShare || k.Cold.High > s.Rules.ColdFor {
-			d.Complain(fmt.Sprintf("kind[%d]", i), "starts colder than rules.cold_share or stays so for longer "+
+			d.AddProblem(fmt.Sprintf("kind[%d]", i), "starts colder than rules.cold_share or stays so for longer "+
 				"than rules.cold_s, which agents go by")
 		}
 	}
@@ -182,23 +182,23 @@
 			all = append(all, string(kind))
 		}
 		slices.Sort(all)
-		d.Complain(path+".kind", "%q is unknown; allowed: %s", t.Kind, list(all))
+		d.AddProblem(path+".kind", "%q is unknown; allowed: %s", t.Kind, list(all))
 		return
 	}
 	if t.At.High >= s.Day.Length {
-		d.Complain(path+".at_s", "is not before the day's end, %v", s.Day.Length)
+		d.AddProblem(path+".at_s", "is not before the day's end, %v", s.Day.Length)
 	}
 	checkTroubleKeys(d, path, t.Kind, fields)
 	if d.Has(path, "size") && (t.Size.Low < fields.least || t.Size.High > fields.most) {
-		d.Complain(path+".size", "is out of range for %s: %v to %v", t.Kind, fields.least, fields.most)
+		d.AddProblem(path+".size", "is out of range for %s: %v to %v", t.Kind, fields.least, fields.most)
 	}
 	for _, pair := range [][2]string{{"heals_below", "heals_rest_s"}, {"on_s", "off_s"}} {
 		if d.Has(path, pair[0]) != d.Has(path, pair[1]) {
-			d.Complain(path, "%s and %s go together", pair[0], pair[1])
+			d.AddProblem(path, "%s and %s go together", pair[0], pair[1])
 		}
 	}
 	if d.Has(path, "zone") && !slices.Contains(s.Network.Zones, t.Zone) {
-		d.Complain(path+".zone", "%q is unknown; allowed: %s", t.Zone, list(s.Network.Zones))
+		d.AddProblem(path+".zone", "%q is unknown; allowed: %s", t.Zone, list(s.Network.Zones))
 	}
 	for kind, faults := range map[TroubleKind][]Fault{OnWire: Faults, Streams: StreamFaults} {
 		if t.Kind == kind && !slices.Contains(faults, t.Fault) {
@@ -206,16 +206,16 @@
 			for _, f := range faults {
 				all = append(all, string(f))
 			}
-			d.Complain(path+".fault", "%q is unknown; allowed: %s", t.Fault, list(all))
+			d.AddProblem(path+".fault", "%q is unknown; allowed: %s", t.Fault, list(all))
 		}
 	}
 	if d.Has(path, "count") && t.Count > s.Agents.Count {
-		d.Complain(path+".count", "there are only %d agents", s.Agents.Count)
+		d.AddProblem(path+".count", "there are only %d agents", s.Agents.Count)
 	}
 	for key, numbers := range map[string][]int{"agents": t.Agents, "from": t.From, "to": t.To} {
 		for i, n := range numbers {
 			if n >= s.Agents.Count {
-				d.Complain(fmt.Sprintf("%s.%s[%d]", path, key, i), "there are only %d agents, from 0",
+				d.AddProblem(fmt.Sprintf("%s.%s[%d]", path, key, i), "there are only %d agents, from 0",
 					s.Agents.Count)
 			}
 		}
@@ -231,14 +231,14 @@
 	for i, name := range t.Tenants {
 		known := slices.ContainsFunc(s.Tenants, func(t Tenant) bool { return t.Name == name })
 		if !known && name != "-" && name != "*" {
-			d.Complain(fmt.Sprintf("%s.tenants[%d]", path, i), "there is no tenant %q", name)
+			d.AddProblem(fmt.Sprintf("%s.tenants[%d]", path, i), "there is no tenant %q", name)
 		}
 	}
 	if len(t.Tenants) == 0 {
-		d.Complain(path+".tenants", "there must be one at least")
+		d.AddProblem(path+".tenants", "there must be one at least")
 	}
 	if 2*t.Moves.High >= t.For.Low {
-		d.Complain(path+".moves_s", "twice this must be under for_s")
+		d.AddProblem(path+".moves_s", "twice this must be under for_s")
 	}
 }
 
@@ -246,13 +246,13 @@
 func checkFault(d *stricttoml.Document, path string, t *Trouble) {
 	switch {
 	case t.Kind == AgentsPaused && !d.Has(path, "on_s") && t.For.High > LongestPause:
-		d.Complain(path+".for_s", "an agent is paused for %v at the most", LongestPause)
+		d.AddProblem(path+".for_s", "an agent is paused for %v at the most", LongestPause)
 	case t.Kind == AgentsPaused && t.On.High > LongestPause:
-		d.Complain(path+".on_s", "an agent is paused for %v at the most", LongestPause)
+		d.AddProblem(path+".on_s", "an agent is paused for %v at the most", LongestPause)
 	case t.Kind == Datagrams && (t.BurstLoss.High > 0) != (d.Has(path, "calm_ms") && d.Has(path, "bad_ms")):
-		d.Complain(path, "burst_loss, calm_ms and bad_ms go together")
+		d.AddProblem(path, "burst_loss, calm_ms and bad_ms go together")
 	case t.Kind == Datagrams && (t.Reorder.High > 0) != (t.Held.High > 0):
-		d.Complain(path, "reorder and held_ms go together")
+		d.AddProblem(path, "reorder and held_ms go together")
 	}
 }
 
@@ -260,7 +260,7 @@
 	allowed := slices.Concat([]string{"kind", "at_s", "for_s"}, fields.need, fields.oneOf, fields.may)
 	for _, key := range fields.need {
 		if !d.Has(path, key) {
-			d.Complain(path, "a trouble of kind %s needs the key %s", kind, key)
+			d.AddProblem(path, "a trouble of kind %s needs the key %s", kind, key)
 		}
 	}
 	given := 0
@@ -272,13 +272,13 @@
 	switch {
 	case len(fields.oneOf) == 0:
 	case given == 0:
-		d.Complain(path, "a trouble of kind %s needs one of the keys %s", kind, list(fields.oneOf))
+		d.AddProblem(path, "a trouble of kind %s needs one of the keys %s", kind, list(fields.oneOf))
 	case given > 1 && !fields.anyOf:
-		d.Complain(path, "a trouble of kind %s has only one of the keys %s", kind, list(fields.oneOf))
+		d.AddProblem(path, "a trouble of kind %s has only one of the keys %s", kind, list(fields.oneOf))
 	}
 	for _, key := range d.Keys(path) {
 		if !slices.Contains(allowed, key) {
-			d.Complain(path+"."+key, "means nothing for %s; allowed: %s", kind, list(allowed))
+			d.AddProblem(path+"."+key, "means nothing for %s; allowed: %s", kind, list(allowed))
 		}
 	}
 }
--- a/internal/stricttoml/bind.go
+++ b/internal/stricttoml/bind.go
@@ -1,164 +1,83 @@
 package stricttoml
 
 import (
-	"fmt"
 	"maps"
 	"math"
 	"reflect"
 	"slices"
-	"strconv"
 	"strings"
-	"time"
-
-	"github.com/pelletier/go-toml/v2"
 )
 
-// A fieldTag is what a field's tags say. Where there are no words, any text is allowed.
-type fieldTag struct {
-	key         string
-	need        bool
-	least, most float64 // in the unit of the key
-	words       []string
-	instead     any // what it is where the document leaves it out; nil: what it was
-}
-
-// tagOf reads a field's tags. It panics on ones that make no sense.
-func tagOf(f reflect.StructField) fieldTag {
-	key, option, _ := strings.Cut(f.Tag.Get("toml"), ",")
-	t := fieldTag{key: key, need: option == "need", least: -math.MaxFloat64, most: math.MaxFloat64}
-	low, high, given := strings.Cut(f.Tag.Get("range"), "..")
-	if !given {
-		low, high = f.Tag.Get("min"), f.Tag.Get("max")
-	}
-	switch {
-	case low != "":
-		t.least, t.most = number(low), number(high)
-	case f.Type == timeType:
-		panic("strict: a time without a range: " + f.Name)
-	case f.Type.Kind() == reflect.Uint64:
-		t.least = 0
-	}
-	if words := f.Tag.Get("oneof"); words != "" {
-		t.words = strings.Split(words, ",")
-	}
-	if text, ok := f.Tag.Lookup("default"); ok {
-		var holder struct{ V any }
-		if err := toml.Unmarshal([]byte("V = "+text), &holder); err != nil {
-			panic(fmt.Sprintf("strict: default of %s: %v", f.Name, err))
-		}
-		t.instead = holder.V
-	}
-	return t
-}
-
-func number(text string) float64 {
-	v, err := strconv.ParseFloat(text, 64)
-	if err != nil {
-		panic("strict: a range in a tag is no number: " + text)
-	}
-	return v
-}
-
-// holds tells whether a number is in the tag's range. NaN is in no range, and infinities are in none.
-func (t fieldTag) holds(v float64) bool { return v >= t.least && v <= t.most }
-
-// bounds is the tag's range for a reader.
-func (t fieldTag) bounds() (text string) {
-	if t.least > -math.MaxFloat64 {
-		text += " from " + strconv.FormatFloat(t.least, 'f', -1, 64)
-	}
-	if t.most < math.MaxFloat64 {
-		text += " to " + strconv.FormatFloat(t.most, 'f', -1, 64)
-	}
-	return text
-}
-
-// unit is the time that 1 stands for under a key that ends in _ms or _s.
-func unit(key string) time.Duration {
-	if strings.HasSuffix(key, "_ms") {
-		return time.Millisecond
-	}
-	return time.Second
-}
-
-var timeType = reflect.TypeFor[time.Duration]()
-
-// isSpan tells a span from a table.
-func isSpan(t reflect.Type) bool {
-	return t.Kind() == reflect.Struct && t.NumField() == 2 &&
-		t.Field(0).Name == "Low" && t.Field(1).Name == "High"
-}
-
-// table binds a table to a struct.
-func (d *Document) table(path string, values map[string]any, into reflect.Value) {
+// bindTable sets the fields of a struct from a table.
+func (d *Document) bindTable(path string, values map[string]any, into reflect.Value) {
 	d.tables[path] = values
 	tags := make([]fieldTag, into.NumField())
 	for i := range tags {
-		tags[i] = tagOf(into.Type().Field(i))
+		tags[i] = parseTag(into.Type().Field(i))
 	}
-	d.unknown(path, tags, into)
+	d.reportUnknownKeys(path, tags, into)
 	for i, tag := range tags {
-		value, there := values[tag.key]
+		value, present := values[tag.key]
 		switch {
-		case there:
-		case tag.need:
-			d.Complain(path, "needs the key %s", tag.key)
+		case present:
+		case tag.required:
+			d.AddProblem(path, "needs the key %s", tag.key)
 			continue
-		case tag.instead != nil:
-			value = tag.instead
+		case tag.defaultValue != nil:
+			value = tag.defaultValue
 		case into.Field(i).Kind() == reflect.Struct && !isSpan(into.Field(i).Type()):
-			value = map[string]any{} // a table left out: its keys take their defaults
+			value = map[string]any{} // a table that is left out: its keys have their defaults
 		default:
 			continue
 		}
-		d.value(below(path, tag.key), tag, value, into.Field(i))
+		d.bindValue(keyPath(path, tag.key), tag, value, into.Field(i))
 	}
 }
 
-// unknown notes the keys of a table that are none of its struct's.
-func (d *Document) unknown(path string, tags []fieldTag, into reflect.Value) {
-	keys, what := make([]string, len(tags)), "table"
+// reportUnknownKeys reports the keys of a table that its struct does not have.
+func (d *Document) reportUnknownKeys(path string, tags []fieldTag, into reflect.Value) {
+	keys, expected := make([]string, len(tags)), "table" // a struct of tables only
 	for i, tag := range tags {
 		keys[i] = tag.key
 		if into.Field(i).Kind() != reflect.Struct || isSpan(into.Field(i).Type()) {
-			what = "key"
+			expected = "key"
 		}
 	}
 	for _, key := range d.Keys(path) {
 		if !slices.Contains(keys, key) {
-			d.Complain(below(path, key), "unknown %s; there are %s", what, strings.Join(keys, ", "))
+			d.AddProblem(keyPath(path, key), "unknown %s; there are %s", expected, strings.Join(keys, ", "))
 		}
 	}
 }
 
-// value binds one value to a field.
-func (d *Document) value(path string, tag fieldTag, value any, into reflect.Value) {
+// bindValue sets a field from one value, by the type of the field.
+func (d *Document) bindValue(path string, tag fieldTag, value any, into reflect.Value) {
 	switch kind := into.Kind(); {
-	case into.Type() == timeType || kind == reflect.Float64:
-		d.number(path, tag, value, into)
+	case into.Type() == durationType || kind == reflect.Float64:
+		d.bindNumber(path, tag, value, into)
 	case kind == reflect.Int || kind == reflect.Int64 || kind == reflect.Uint64:
-		d.whole(path, tag, value, into)
+		d.bindInteger(path, tag, value, into)
 	case kind == reflect.Bool:
-		if truth, ok := value.(bool); ok {
-			into.SetBool(truth)
+		if b, ok := value.(bool); ok {
+			into.SetBool(b)
 		} else {
-			d.Complain(path, "must be true or false")
+			d.AddProblem(path, "must be true or false")
 		}
 	case kind == reflect.String:
-		d.text(path, tag, value, into)
+		d.bindString(path, tag, value, into)
 	case kind == reflect.Slice:
-		d.array(path, tag, value, into)
+		d.bindArray(path, tag, value, into)
 	case isSpan(into.Type()):
-		d.span(path, tag, value, into)
+		d.bindSpan(path, tag, value, into)
 	case kind == reflect.Struct || kind == reflect.Map:
-		d.tableOrNames(path, tag, value, into)
+		d.bindTableOrMap(path, tag, value, into)
 	default:
-		panic("strict: no binding for " + into.Type().String())
+		panic("stricttoml: no binding for " + into.Type().String())
 	}
 }
 
-// number binds a number or a time. A whole number may stand where any number may.
-func (d *Document) number(path string, tag fieldTag, value any, into reflect.Value) (v float64, ok bool) {
+// bindNumber sets a number or a time. An integer is allowed where any number is.
+func (d *Document) bindNumber(path string, tag fieldTag, value any, into reflect.Value) (v float64, ok bool) {
 	switch n := value.(type) {
 	case int64:
 		v, ok = float64(n), true
@@ -166,21 +85,22 @@
 		v, ok = n, true
 	}
 	switch {
-	case !ok || !tag.holds(v):
-		d.Complain(path, "must be a number%s", tag.bounds())
+	case !ok || !tag.inRange(v):
+		d.AddProblem(path, "must be a number%s", tag.rangeText())
 		return 0, false
-	case into.Type() == timeType:
-		into.SetInt(int64(math.Round(v * float64(unit(tag.key)))))
+	case into.Type() == durationType:
+		into.SetInt(int64(math.Round(v * float64(keyUnit(tag.key)))))
 	default:
 		into.SetFloat(v)
 	}
 	return v, true
 }
 
-func (d *Document) whole(path string, tag fieldTag, value any, into reflect.Value) {
-	switch n, isWhole := value.(int64); {
-	case !isWhole || !tag.holds(float64(n)):
-		d.Complain(path, "must be a whole number%s", tag.bounds())
+// bindInteger sets an integer field.
+func (d *Document) bindInteger(path string, tag fieldTag, value any, into reflect.Value) {
+	switch n, isInteger := value.(int64); {
+	case !isInteger || !tag.inRange(float64(n)):
+		d.AddProblem(path, "must be a whole number%s", tag.rangeText())
 	case into.CanUint():
 		into.SetUint(uint64(n))
 	default:
@@ -188,70 +108,74 @@
 	}
 }
 
-// span binds a number, or an array of the least and the most.
-func (d *Document) span(path string, tag fieldTag, value any, into reflect.Value) {
+// bindSpan sets a span from a number, or from an array of its low and high end.
+func (d *Document) bindSpan(path string, tag fieldTag, value any, into reflect.Value) {
 	ends, isArray := value.([]any)
 	if !isArray {
 		ends = []any{value, value}
 	}
 	if len(ends) != 2 {
-		d.Complain(path, "must be a number%s, or an array of two: the least and the most", tag.bounds())
+		d.AddProblem(path, "must be a number%s, or an array of two: the least and the most", tag.rangeText())
 		return
 	}
-	low, ok := d.number(path, tag, ends[0], into.Field(0))
+	low, ok := d.bindNumber(path, tag, ends[0], into.Field(0))
 	if !ok {
 		return
 	}
-	if high, ok := d.number(path, tag, ends[1], into.Field(1)); ok && low > high {
-		d.Complain(path, "the least, %v, is over the most, %v", low, high)
+	if high, ok := d.bindNumber(path, tag, ends[1], into.Field(1)); ok && low > high {
+		d.AddProblem(path, "the least, %v, is over the most, %v", low, high)
 	}
 }
 
-const maxEntries = 1000 // of an array
+// maxEntries is the largest number of entries of an array.
+const maxEntries = 1000
 
-func (d *Document) array(path string, tag fieldTag, value any, into reflect.Value) {
+// bindArray sets a slice from an array, entry by entry.
+func (d *Document) bindArray(path string, tag fieldTag, value any, into reflect.Value) {
 	entries, ok := value.([]any)
 	if !ok || len(entries) > maxEntries {
-		d.Complain(path, "must be an array of at most %d entries", maxEntries)
+		d.AddProblem(path, "must be an array of at most %d entries", maxEntries)
 		return
 	}
 	into.Set(reflect.MakeSlice(into.Type(), len(entries), len(entries)))
 	for i, one := range entries {
-		d.value(entry(path, i), tag, one, into.Index(i))
+		d.bindValue(entryPath(path, i), tag, one, into.Index(i))
 	}
 }
 
-// tableOrNames binds a table to a struct, or to a map by the names that the document chose.
-func (d *Document) tableOrNames(path string, tag fieldTag, value any, into reflect.Value) {
+// bindTableOrMap sets a struct from a table, or a map from a table whose keys the document chooses.
+func (d *Document) bindTableOrMap(path string, tag fieldTag, value any, into reflect.Value) {
 	values, ok := value.(map[string]any)
 	switch {
 	case !ok:
-		d.Complain(path, "must be a table")
+		d.AddProblem(path, "must be a table")
 	case into.Kind() == reflect.Struct:
-		d.table(path, values, into)
+		d.bindTable(path, values, into)
 	default:
 		into.Set(reflect.MakeMapWithSize(into.Type(), len(values)))
 		for _, name := range slices.Sorted(maps.Keys(values)) {
 			one := reflect.New(into.Type().Elem()).Elem()
-			d.value(below(path, name), tag, values[name], one)
+			d.bindValue(keyPath(path, name), tag, values[name], one)
 			into.SetMapIndex(reflect.ValueOf(name), one)
 		}
 	}
 }
 
-const maxText = 4096 // bytes, as a file's path may have
+// maxStringBytes is the longest string: as long as a path of a file may be.
+const maxStringBytes = 4096
 
-func (d *Document) text(path string, tag fieldTag, value any, into reflect.Value) {
+// bindString sets a string field.
+func (d *Document) bindString(path string, tag fieldTag, value any, into reflect.Value) {
 	text, ok := value.(string)
 	switch {
 	case !ok:
-		d.Complain(path, "must be a string")
-	case len(tag.words) > 0 && !slices.Contains(tag.words, text):
-		d.Complain(path, "%q is unknown; allowed: %s", text, strings.Join(tag.words, ", "))
-	case len(text) > maxText:
-		d.Complain(path, "is longer than %d bytes", maxText)
-	case tag.need && text == "":
-		d.Complain(path, "must not be empty")
+		d.AddProblem(path, "must be a string")
+	case len(tag.allowed) > 0 && !slices.Contains(tag.allowed, text):
+		d.AddProblem(path, "%q is unknown; allowed: %s", text, strings.Join(tag.allowed, ", "))
+	case len(text) > maxStringBytes:
+		d.AddProblem(path, "is longer than %d bytes", maxStringBytes)
+	case tag.required && text == "":
+		d.AddProblem(path, "must not be empty")
 	default:
 		into.SetString(text)
 	}
--- a/internal/stricttoml/read.go
+++ b/internal/stricttoml/read.go
@@ -1,23 +1,25 @@
-// Package stricttoml reads TOML documents into tagged structs, and tells all that is wrong with a document at
-// once, each problem with its line, its column and what is allowed. The documents come from people's files:
-// they are bounded in size, and no nesting, repeating or long name makes one cost more memory than that.
+// Package stricttoml reads TOML documents into tagged structs and reports everything that is wrong with a
+// document at once, each problem with its line, its column and what is allowed. The documents are files that
+// people write: their size is limited, and no nesting, repetition or long key costs more memory than a fixed
+// multiple of that size.
 //
 // Every field of a struct is a key. Its tags:
 //
-//	toml:"key"          its name; toml:"key,need" where it must be there, and texts not empty
-//	range:"1..9"        the least and the most, or min:"1" max:"9"; for a time in the unit of its key
-//	oneof:"word,other"  the texts that are allowed
-//	default:"[1, 2]"    what a key that is left out is, in TOML; without it the field stays as it was
+//	toml:"key"          its name; toml:"key,need" if it is required, and a string not empty
+//	range:"1..9"        the smallest and largest value, or min:"1" max:"9"; for a time in the unit of its key
+//	oneof:"this,that"   the strings that are allowed
+//	default:"[1, 2]"    the value of a key that is left out, in TOML; without it the field is not changed
 //
-// A field is a text, a truth, a whole number (int, int64, uint64), a float64, a time.Duration (its key ends
-// in _ms or _s), a span (a struct of Low and High, both of one of these two: a number in the document, or an
-// array of two), a table (a struct), an array of any of these, or a map of any of these by names that the
-// document chooses.
+// A field is a string, a bool, an integer (int, int64, uint64), a float64, a time.Duration (its key ends in
+// _ms or _s), a span (a struct of Low and High, both float64 or both time.Duration: in the document a number
+// or an array of two), a table (a struct), an array of any of these, or a map of any of these whose keys the
+// document chooses. Tags that make no sense are a programming error and panic.
+//
+// The package keeps no state and starts no goroutine. Problems come in the order of the document, whatever
+// the order of maps.
 package stricttoml
 
 import (
-	"cmp"
-	"errors"
 	"fmt"
 	"io"
 	"maps"
@@ -29,60 +31,25 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// MaxBytes is the largest document that is read. go-toml compares each key of a table with all others, which
-// takes seconds where these bytes are nothing but keys.
+// MaxBytes is the largest document that is read, in bytes. The TOML library compares each key of a table with
+// all others, so that the time for a table grows with the square of its size.
 const MaxBytes = 256 << 10
 
-// Problem is one thing that is wrong with a document.
-type Problem struct {
-	File         string
-	Line, Column int    // from 1, in bytes; 0 where there is no place to point at
-	Key          string // its path, as trouble[2].at_s; empty: the document as a whole
-	Text         string
-}
-
-func (p Problem) Error() string {
-	where := p.File + ":"
-	if p.Line > 0 {
-		where += fmt.Sprintf("%d:%d:", p.Line, p.Column)
-	}
-	if p.Key != "" {
-		where += " " + p.Key + ":"
-	}
-	return where + " " + p.Text
-}
-
-// Problems is what is wrong with a document, in its order.
-type Problems []Problem
-
-// maxProblems is how many are told of, and how many more there are.
-const maxProblems = 50
-
-func (p Problems) Error() string { return errors.Join(p.Unwrap()...).Error() }
-
-// Unwrap returns the problems one by one.
-func (p Problems) Unwrap() []error {
-	all := make([]error, len(p))
-	for i, one := range p {
-		all[i] = one
-	}
-	return all
-}
-
-// Document is a document that was read, for checks across its keys.
+// Document is a document that was read, for checks between its keys. It is used by one goroutine.
 type Document struct {
-	at       places
-	tables   map[string]map[string]any // as they were written, by their paths
-	problems Problems
+	positions keyPositions
+	tables    map[string]map[string]any // as written in the document, by path
+	problems  Problems
 }
 
-// ReadFile reads a file as Read does. Any other error than Problems is that the file could not be read.
+// ReadFile reads a file as Read does. An error other than Problems means that the file could not be read; it
+// is the one of package os, which names the operation and the path.
 func ReadFile(path string, into any, check func(*Document)) error {
 	f, err := os.Open(path)
 	if err != nil {
 		return err
 	}
-	defer f.Close()
+	defer f.Close() //nolint:errcheck // opened for reading only
 	data, err := io.ReadAll(io.LimitReader(f, MaxBytes+1))
 	if err != nil {
 		return err
@@ -90,8 +57,8 @@
 	return Read(path, data, into, check)
 }
 
-// Read reads a document into the struct that into points to, and has check look for what is wrong between
-// keys. The name is for the errors, which are Problems; the struct is of no use then.
+// Read reads a document into the struct that into points to, then calls check for the rules between keys. An
+// error is always Problems, with name as the file; the content of the struct is undefined then.
 func Read(name string, data []byte, into any, check func(*Document)) error {
 	if len(data) > MaxBytes {
 		return Problems{{File: name, Text: fmt.Sprintf("is longer than %d bytes", MaxBytes)}}
@@ -100,60 +67,36 @@
 	if err := toml.Unmarshal(data, &values); err != nil {
 		return Problems{syntaxProblem(name, err)}
 	}
-	d := &Document{at: findKeys(data), tables: map[string]map[string]any{}}
-	d.table("", values, reflect.ValueOf(into).Elem())
+	d := &Document{positions: findKeyPositions(data), tables: map[string]map[string]any{}}
+	d.bindTable("", values, reflect.ValueOf(into).Elem())
 	check(d)
 	if len(d.problems) == 0 {
 		return nil
 	}
-	return d.inOrder(name)
-}
-
-func syntaxProblem(name string, err error) Problem {
-	p := Problem{File: name, Text: strings.TrimPrefix(err.Error(), "toml: ")}
-	if d := (*toml.DecodeError)(nil); errors.As(err, &d) {
-		p.Line, p.Column = d.Position()
-		p.Key = strings.Join(d.Key(), ".")
-	}
-	return p
-}
-
-// inOrder returns the problems in the document's order; the first of them where there are too many to read.
-func (d *Document) inOrder(name string) Problems {
-	all := d.problems
-	slices.SortStableFunc(all, func(p, q Problem) int {
-		return cmp.Or(cmp.Compare(p.Line, q.Line), cmp.Compare(p.Column, q.Column), cmp.Compare(p.Key, q.Key))
-	})
-	if more := len(all) - maxProblems; more > 0 {
-		all = append(all[:maxProblems], Problem{Text: fmt.Sprintf("and %d more", more)})
-	}
-	for i := range all {
-		all[i].File = name
-	}
-	return all
+	return d.sortedProblems(name)
 }
 
-// Complain notes a problem of the key or table with this path. One that is not in the document is placed at
-// the table round it.
-func (d *Document) Complain(path, format string, args ...any) {
-	line, column := d.at.find(path)
+// AddProblem reports a problem of the key or table with this path. If the path is not in the document, the
+// problem gets the position of the closest table around it.
+func (d *Document) AddProblem(path, format string, args ...any) {
+	line, column := d.positions.find(path)
 	text := fmt.Sprintf(format, args...)
 	d.problems = append(d.problems, Problem{Line: line, Column: column, Key: path, Text: text})
 }
 
-// Sound tells whether nothing was found wrong so far in the table with this path, or with an empty path in
-// the whole document. Only what is right by itself can contradict something else.
-func (d *Document) Sound(path string) bool {
+// IsValid reports whether no problem was found so far in the table with this path, or in the whole document
+// if the path is empty. Rules between keys apply only to tables whose keys are valid one by one.
+func (d *Document) IsValid(path string) bool {
 	return !slices.ContainsFunc(d.problems, func(p Problem) bool {
-		below, inside := strings.CutPrefix(p.Key, path)
-		return inside && (path == "" || below == "" || below[0] == '.' || below[0] == '[')
+		rest, hasPrefix := strings.CutPrefix(p.Key, path)
+		return hasPrefix && (path == "" || rest == "" || rest[0] == '.' || rest[0] == '[')
 	})
 }
 
-// Keys returns the keys that the document has in a table, sorted.
+// Keys returns the keys of a table that are in the document, sorted.
 func (d *Document) Keys(table string) []string { return slices.Sorted(maps.Keys(d.tables[table])) }
 
-// Has tells whether the document itself has a key, so that it is not at its default.
+// Has reports whether a key is in the document itself, rather than at its default.
 func (d *Document) Has(table, key string) bool {
 	_, has := d.tables[table][key]
 	return has
--- a/internal/stricttoml/strict_test.go
+++ b/internal/stricttoml/read_test.go
@@ -1,7 +1,6 @@
 package stricttoml
 
 import (
-	"errors"
 	"fmt"
 	"math"
 	"os"
@@ -42,9 +41,9 @@
 	Two inner `toml:"two"`
 }
 
-func acrossKeys(d *Document) {
-	if d.Sound("inner") && d.Has("inner", "kept") {
-		d.Complain("inner.kept", "contradicts %v", d.Keys("inner"))
+func checkBetweenKeys(d *Document) {
+	if d.IsValid("inner") && d.Has("inner", "kept") {
+		d.AddProblem("inner.kept", "contradicts %v", d.Keys("inner"))
 	}
 }
 
@@ -60,7 +59,7 @@
 [named]
 "" = "nothing"
 'c.d' = "both"
-`), &got, acrossKeys))
+`), &got, checkBetweenKeys))
 	want := sample{
 		Name: "x", Mode: "slow", On: true, Count: 1, Wait: 1001 * time.Microsecond,
 		Inner: inner{1, 7}, Entry: []inner{{0, 0}, {0.5, 3}},
@@ -71,39 +70,39 @@
 	require.Equal(t, want, got)
 }
 
-// All that is wrong is told, in the document's order, with its place and what is allowed.
+// TestProblems: all problems are reported, in the order of the document, with position and what is allowed.
 func TestProblems(t *testing.T) {
-	sound := "name = \"x\"\ninner.share = 1\n"
+	valid := "name = \"x\"\ninner.share = 1\n"
 	for name, c := range map[string]struct {
 		text string
 		want []string
 	}{
-		"empty":             {"", []string{"f: needs the key name", "f: inner: needs the key share"}},
-		"no TOML":           {"name = = 3", []string{"f:1:8: "}},
-		"twice":             {sound + "on = true\non = true", []string{"f:4:1: on: "}},
-		"unknown key":       {sound + "nmae = 1\ninner.b = 2", []string{"f:3:1: nmae: unknown key; there are name, mode, ", "f:4:7: inner.b: unknown key; there are share, kept"}},
-		"nameless":          {sound + "\"\" = 1", []string{`f:3:1: "": unknown key`}},
-		"lacks a key":       {sound + "[[entry]]\nshare = 1\n[[entry]]", []string{"f:5:3: entry[1]: needs the key share"}},
-		"no text":           {"name = 1\ninner.share = 1", []string{"f:1:1: name: must be a string"}},
-		"empty text":        {"name = ''\ninner.share = 1", []string{"f:1:1: name: must not be empty"}},
-		"long text":         {sound + "named.a = '" + strings.Repeat("a", maxText+1) + "'", []string{"f:3:7: named.a: is longer than 4096 bytes"}},
-		"unknown word":      {sound + "mode = 'rapid'", []string{`f:3:1: mode: "rapid" is unknown; allowed: slow, fast`}},
-		"no truth":          {sound + "on = 1", []string{"f:3:1: on: must be true or false"}},
-		"whole numbers":     {sound + "count = 0\nlong = 1.5\nseed = -1", []string{"f:3:1: count: must be a whole number from 1 to 9", "f:4:1: long: must be a whole number from 64 to 1048576", "f:5:1: seed: must be a whole number from 0"}},
-		"no numbers":        {sound + "free = inf\nreach = nan\nwait_ms = 2026-04-13", []string{"f:3:1: free: must be a number", "f:4:1: reach: must be a number from 0.01 to 1", "f:5:1: wait_ms: must be a number from 0 to 60000"}},
-		"spans":             {sound + "reach = [2, 1]\ngap_s = [1, 2, 3]\n", []string{"f:3:1: reach: must be a number from 0.01 to 1", "f:4:1: gap_s: must be a number from 0 to 10, or an array of two"}},
-		"span turned round": {sound + "gap_s = [2, 1.5]", []string{"f:3:1: gap_s: the least, 2, is over the most, 1.5"}},
-		"no arrays":         {sound + "words = 'a'\nentry = {share = 1}", []string{"f:3:1: words: must be an array of at most 1000 entries", "f:4:1: entry: must be an array"}},
-		"in arrays":         {sound + "words = ['a', 1]\nentry = [{share = 1}, {share = 2, kept = 1}]", []string{"f:3:1: words[1]: must be a string", "f:4:24: entry[1].share: must be a number"}},
-		"no tables":         {"name = 'x'\ninner = 1\nnamed = 2\n[[deeper]]", []string{"f:2:1: inner: must be a table", "f:3:1: named: must be a table", "f:4:3: deeper: must be a table"}},
-		"in maps":           {sound + "named = {a = 'b', 'c d' = 5}\ndeeper.e = [{share = -1}]", []string{"f:3:19: named.c d: must be a string", "f:4:14: deeper.e[0].share: must be"}},
-		"between keys":      {sound + "inner.kept = 1", []string{"f:3:7: inner.kept: contradicts [kept share]"}},
-		"not between":       {sound + "inner.kept = 101", []string{"f:3:7: inner.kept: must be"}},
-		"too many bytes":    {sound + strings.Repeat("#\n", MaxBytes/2), []string{"f: is longer than 262144 bytes"}},
+		"empty":                              {"", []string{"f: needs the key name", "f: inner: needs the key share"}},
+		"invalid TOML":                       {"name = = 3", []string{"f:1:8: "}},
+		"duplicate key":                      {valid + "on = true\non = true", []string{"f:4:1: on: "}},
+		"unknown key":                        {valid + "typo = 1\ninner.b = 2", []string{"f:3:1: typo: unknown key; there are name, mode, ", "f:4:7: inner.b: unknown key; there are share, kept"}},
+		"empty key":                          {valid + "\"\" = 1", []string{`f:3:1: "": unknown key`}},
+		"missing key":                        {valid + "[[entry]]\nshare = 1\n[[entry]]", []string{"f:5:3: entry[1]: needs the key share"}},
+		"not a string":                       {"name = 1\ninner.share = 1", []string{"f:1:1: name: must be a string"}},
+		"empty string":                       {"name = ''\ninner.share = 1", []string{"f:1:1: name: must not be empty"}},
+		"long string":                        {valid + "named.a = '" + strings.Repeat("a", maxStringBytes+1) + "'", []string{"f:3:7: named.a: is longer than 4096 bytes"}},
+		"string not allowed":                 {valid + "mode = 'rapid'", []string{`f:3:1: mode: "rapid" is unknown; allowed: slow, fast`}},
+		"not a bool":                         {valid + "on = 1", []string{"f:3:1: on: must be true or false"}},
+		"integers":                           {valid + "count = 0\nlong = 1.5\nseed = -1", []string{"f:3:1: count: must be a whole number from 1 to 9", "f:4:1: long: must be a whole number from 64 to 1048576", "f:5:1: seed: must be a whole number from 0"}},
+		"not numbers":                        {valid + "free = inf\nreach = nan\nwait_ms = 2026-04-13", []string{"f:3:1: free: must be a number", "f:4:1: reach: must be a number from 0.01 to 1", "f:5:1: wait_ms: must be a number from 0 to 60000"}},
+		"spans":                              {valid + "reach = [2, 1]\ngap_s = [1, 2, 3]\n", []string{"f:3:1: reach: must be a number from 0.01 to 1", "f:4:1: gap_s: must be a number from 0 to 10, or an array of two"}},
+		"span reversed":                      {valid + "gap_s = [2, 1.5]", []string{"f:3:1: gap_s: the least, 2, is over the most, 1.5"}},
+		"not arrays":                         {valid + "words = 'a'\nentry = {share = 1}", []string{"f:3:1: words: must be an array of at most 1000 entries", "f:4:1: entry: must be an array"}},
+		"in arrays":                          {valid + "words = ['a', 1]\nentry = [{share = 1}, {share = 2, kept = 1}]", []string{"f:3:1: words[1]: must be a string", "f:4:24: entry[1].share: must be a number"}},
+		"not tables":                         {"name = 'x'\ninner = 1\nnamed = 2\n[[deeper]]", []string{"f:2:1: inner: must be a table", "f:3:1: named: must be a table", "f:4:3: deeper: must be a table"}},
+		"in maps":                            {valid + "named = {a = 'b', 'c d' = 5}\ndeeper.e = [{share = -1}]", []string{"f:3:19: named.c d: must be a string", "f:4:14: deeper.e[0].share: must be"}},
+		"between keys":                       {valid + "inner.kept = 1", []string{"f:3:7: inner.kept: contradicts [kept share]"}},
+		"rules between keys need valid keys": {valid + "inner.kept = 101", []string{"f:3:7: inner.kept: must be"}},
+		"too many bytes":                     {valid + strings.Repeat("#\n", MaxBytes/2), []string{"f: is longer than 262144 bytes"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var problems Problems
-			require.True(t, errors.As(Read("f", []byte(c.text), &sample{}, acrossKeys), &problems))
+			require.ErrorAs(t, Read("f", []byte(c.text), &sample{}, checkBetweenKeys), &problems)
 			require.Len(t, problems, len(c.want), "%v", problems)
 			for i, want := range c.want {
 				require.True(t, strings.HasPrefix(problems[i].Error(), want), "%v", problems[i])
@@ -112,20 +111,21 @@
 	}
 	err := Read("f", []byte("[three]"), &tables{}, func(*Document) {})
 	require.ErrorContains(t, err, "f:1:2: three: unknown table; there are one, two")
-	many := Read("f", []byte(sound+"[entry_]\n"+strings.Repeat("[[entry]]\n", 60)), &sample{}, acrossKeys)
+	many := Read("f", []byte(valid+"[entry_]\n"+strings.Repeat("[[entry]]\n", 60)), &sample{}, checkBetweenKeys)
 	require.ErrorContains(t, many, "f:3:2: entry_: unknown key")
 	require.ErrorContains(t, many, "f: and 11 more")
 }
 
 func TestReadFile(t *testing.T) {
-	require.ErrorIs(t, ReadFile("nowhere.toml", &sample{}, acrossKeys), os.ErrNotExist)
+	require.ErrorIs(t, ReadFile("nowhere.toml", &sample{}, checkBetweenKeys), os.ErrNotExist)
 	path := filepath.Join(t.TempDir(), "long.toml")
 	require.NoError(t, os.WriteFile(path, make([]byte, 2*MaxBytes), 0o600))
-	require.ErrorContains(t, ReadFile(path, &sample{}, acrossKeys), path+": is longer than")
+	require.ErrorContains(t, ReadFile(path, &sample{}, checkBetweenKeys), path+": is longer than")
 }
 
-// Reading costs memory by a document's size, whatever it repeats, nests or names at length.
-func TestMemoryIsBounded(t *testing.T) {
+// TestReadMemoryIsBounded: memory is proportional to a document's size, whatever it repeats, nests or names at
+// length.
+func TestReadMemoryIsBounded(t *testing.T) {
 	var numbered strings.Builder
 	for i := 0; numbered.Len() < MaxBytes/8; i++ {
 		fmt.Fprintf(&numbered, "%d=1\n", i)
@@ -149,7 +149,7 @@
 	}
 }
 
-// Whatever a document holds, it is refused with Problems, or what it says is in range and can be written and
+// FuzzRead: any document is either rejected with Problems, or its values are in range and can be written and
 // read back.
 func FuzzRead(f *testing.F) {
 	f.Add([]byte("name = 'x'\ninner.share = 1\nnamed = {a = 'b'}\nreach = [0.1, 0.5]\n[[entry]]\nshare = 1\nkept = 5"))
@@ -159,7 +159,7 @@
 		var got, again sample
 		if err := Read("fuzz", text, &got, func(*Document) {}); err != nil {
 			var problems Problems
-			require.True(t, errors.As(err, &problems))
+			require.ErrorAs(t, err, &problems)
 			require.NotEmpty(t, problems.Error())
 			return
 		}
