--- a/internal/balancer/eligibility_test.go
+++ b/internal/balancer/eligibility_test.go
@@ -87,7 +87,7 @@
 			b.accounts.Open(&other.account, 1)
 			sel := selection{
 				request: &request{class: b.classes[c.class], objectiveAt: b.now + 400*ms, deadline: b.now + time.Second},
-				sparse:  b.Sparse(), fastestLatency: math.Inf(1),
+				sparse:  b.IsSparse(), fastestLatency: math.Inf(1),
 			}
 			sel.latencyLimit = b.latencyLimit(sel.request)
 			require.Equal(t, notSkipped, b.consider(&sel, other))
--- a/internal/balancer/fleetsize_test.go
+++ b/internal/balancer/fleetsize_test.go
@@ -37,7 +37,7 @@
 		var b slowstart.Budget
 		b.Start(0, rng.Float64())
 		for at := time.Duration(0); at < length; at += time.Second {
-			if b.HasCapacity(&terms, at, 1, 0.01, 1, true) {
+			if b.HasCapacity(&terms, at, 1, 0.01, 1, slowstart.Probes) {
 				b.Spend(1)
 				sent++
 			}
--- a/internal/balancer/saturation.go
+++ b/internal/balancer/saturation.go
@@ -30,10 +30,10 @@
 	return b.sendRate*seconds(b.observationHalfLife) < b.memberCount()
 }
 
-// Sparse reports whether this balancer is one of so many, and sends so little, that what it has in flight at a
+// IsSparse reports whether this balancer is one of so many, and sends so little, that what it has in flight at a
 // server says nothing of how busy the server is. With few balancers, limits on its own requests in flight are
 // enough.
-func (b *Balancer) Sparse() bool {
+func (b *Balancer) IsSparse() bool {
 	return initialInFlight < sparseFraction*float64(b.settings.Balancers) && b.hasFewObservations()
 }
 
--- a/internal/balancer/select.go
+++ b/internal/balancer/select.go
@@ -25,7 +25,7 @@
 	request      *request
 	hash         uint32  // where the walk starts
 	latencyLimit float64 // seconds; a server where more is expected gets nothing
-	sparse       bool    // see Sparse
+	sparse       bool    // see IsSparse
 
 	// Servers that would do if nothing better is found, in the order in which they are fallen back on.
 	warm          *server // has capacity, but one in slow start was searched for
@@ -47,7 +47,7 @@
 	sel := selection{request: r, hash: b.startOfWalk(r), fastestLatency: math.Inf(1)}
 	b.checkExclusions(r, sel.hash)
 	r.hedgedProbe = nil
-	sel.latencyLimit, sel.sparse = b.latencyLimit(r), b.Sparse()
+	sel.latencyLimit, sel.sparse = b.latencyLimit(r), b.IsSparse()
 	if s := b.selectOutsideRing(&sel, reliefOnly); s != nil {
 		return s
 	}
--- a/internal/balancer/slowstart.go
+++ b/internal/balancer/slowstart.go
@@ -37,13 +37,15 @@
 // hasSlowStartCapacity reports whether an attempt keeps to this balancer's part of the server's slow-start
 // budget, which also pays for probe requests. Those to a zone that is cut off are counted by the zone.
 func (b *Balancer) hasSlowStartCapacity(s *server, purpose attemptPurpose) bool {
-	warmth, size := b.warmth(s), 1.0
-	probing := purpose == probeServer && !b.isZoneCutOff(s)
+	warmth, size, kind := b.warmth(s), 1.0, slowstart.Regular
+	if purpose == probeServer && !b.isZoneCutOff(s) {
+		kind = slowstart.Probes
+	}
 	if b.largestWeight > 0 {
 		size = s.Weight / b.largestWeight
 	}
-	return warmth >= 1 && !probing ||
-		s.slowStart.HasCapacity(b.slowStartTerms(), b.now, warmth, b.sendRate/b.memberCount(), size, probing)
+	return warmth >= 1 && kind == slowstart.Regular ||
+		s.slowStart.HasCapacity(b.slowStartTerms(), b.now, warmth, b.sendRate/b.memberCount(), size, kind)
 }
 
 // relievesWarmServers reports whether a server in slow start takes requests from saturated warm ones, whatever
--- a/internal/balancer/slowstart/slowstart.go
+++ b/internal/balancer/slowstart/slowstart.go
@@ -32,20 +32,21 @@
 // fillRate is how much a server gets, in work units a second: what a warm one gets, scaled by the capacity
 // and kept well below the multiple. The probe requests of an ejected one come at a lower rate. Neither grows
 // with the number of agents.
-func (p *Params) fillRate(capacity, warmRate float64, kind traffic) float64 {
+func (p *Params) fillRate(capacity, warmRate float64, kind Traffic) float64 {
 	rate := min(p.Margin*p.OverloadMultiple*capacity, p.MaxOfWarm) * warmRate
-	if kind == probeTraffic {
+	if kind == Probes {
 		rate = max(min(rate, probeFraction*warmRate), minProbesPerSecond/float64(max(p.Balancers, 1)))
 	}
 	return rate
 }
 
-// traffic is what a budget is for.
-type traffic bool
+// Traffic is what a budget is for.
+type Traffic uint8
 
+// The kinds of traffic.
 const (
-	regularTraffic traffic = false // to a server that warms up
-	probeTraffic   traffic = true  // to an ejected one
+	Regular Traffic = iota // requests to a server that warms up
+	Probes                 // probe requests to an ejected one
 )
 
 // Budget is what one agent may send to one server while that warms up or gets probe requests.
@@ -61,13 +62,13 @@
 // Spend takes off what was sent, in work units.
 func (b *Budget) Spend(units float64) { b.units -= units }
 
-// HasCapacity reports whether one more request may go to the server now, or a probe request where it is
-// ejected. The capacity is Params.CapacityFraction, the warmRate what this agent sends a warm server in work
-// units a second, and the weight how large the server is, from 0 to 1, the largest being 1.
+// HasCapacity reports whether one more request of a kind may go to the server now. The capacity is
+// Params.CapacityFraction, the warmRate what this agent sends a warm server in work units a second, and the
+// weight how large the server is, from 0 to 1, the largest being 1.
 func (b *Budget) HasCapacity(
-	p *Params, now time.Duration, capacity, warmRate, weight float64, probe bool,
+	p *Params, now time.Duration, capacity, warmRate, weight float64, kind Traffic,
 ) bool {
-	rate := p.fillRate(capacity, warmRate, traffic(probe)) * min(weight, 1)
+	rate := p.fillRate(capacity, warmRate, kind) * min(weight, 1)
 	most := max(1, rate*seconds(p.OverloadWindow)/burstsPerWindow)
 	b.units = min(b.units+rate*seconds(now-b.updatedAt), most)
 	b.updatedAt = now
--- a/internal/balancer/slowstart/slowstart_test.go
+++ b/internal/balancer/slowstart/slowstart_test.go
@@ -27,15 +27,15 @@
 func TestBudgetFillsAtItsRate(t *testing.T) {
 	for name, tt := range map[string]struct {
 		capacity, warmRate, weight float64
-		probe                      bool
+		kind                       Traffic
 		perSecond                  float64
 	}{
-		"initial capacity":    {0.25, 20, 1, false, 5},
-		"warm":                {1, 20, 1, false, 15},
-		"half the weight":     {0.25, 20, 0.5, false, 2.5},
-		"more than the most":  {0.25, 20, 3, false, 5},
-		"probes":              {1, 20, 1, true, 1},
-		"probes, quiet fleet": {1, 0.01, 1, true, 0.05},
+		"initial capacity":    {0.25, 20, 1, Regular, 5},
+		"warm":                {1, 20, 1, Regular, 15},
+		"half the weight":     {0.25, 20, 0.5, Regular, 2.5},
+		"more than the most":  {0.25, 20, 3, Regular, 5},
+		"probes":              {1, 20, 1, Probes, 1},
+		"probes, quiet fleet": {1, 0.01, 1, Probes, 0.05},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var b Budget
@@ -43,7 +43,7 @@
 			b.Start(now, 0)
 			for range 100_000 {
 				now += 10 * time.Millisecond
-				if b.HasCapacity(&testParams, now, tt.capacity, tt.warmRate, tt.weight, tt.probe) {
+				if b.HasCapacity(&testParams, now, tt.capacity, tt.warmRate, tt.weight, tt.kind) {
 					b.Spend(1)
 					sent++
 				}
@@ -58,10 +58,10 @@
 	var b Budget
 	b.Start(0, 0.5)
 	burst := 0
-	for b.HasCapacity(&testParams, time.Hour, 0.25, 20, 1, false) {
+	for b.HasCapacity(&testParams, time.Hour, 0.25, 20, 1, Regular) {
 		b.Spend(1)
 		burst++
 	}
 	require.Equal(t, 2, burst, "a sixth of the window, at 5 a second: 2.5")
-	require.False(t, b.HasCapacity(&testParams, time.Hour, 0.25, 20, 1, false))
+	require.False(t, b.HasCapacity(&testParams, time.Hour, 0.25, 20, 1, Regular))
 }
--- a/internal/balancer/weights.go
+++ b/internal/balancer/weights.go
@@ -21,7 +21,7 @@
 func (b *Balancer) updateWeights() {
 	b.lowestBaseline = 0
 	for _, k := range b.kindBaselines {
-		if k.isKnown(b.Sparse()) && (b.lowestBaseline == 0 || k.seconds < b.lowestBaseline) {
+		if k.isKnown(b.IsSparse()) && (b.lowestBaseline == 0 || k.seconds < b.lowestBaseline) {
 			b.lowestBaseline = k.seconds
 		}
 	}
--- a/internal/balancer/zones.go
+++ b/internal/balancer/zones.go
@@ -3,7 +3,7 @@
 // isZoneCutOff reports whether a server's zone is unreachable while others are reached. A fleet of few balancers
 // knows its servers soon enough one by one.
 func (b *Balancer) isZoneCutOff(s *server) bool {
-	return b.zoneReach.IsUnreachable(s.Zone) && b.Sparse()
+	return b.zoneReach.IsUnreachable(s.Zone) && b.IsSparse()
 }
 
 // observeZone records what an attempt's end says of its server's zone. A refused connection shows that the
--- a/internal/overload/controller.go
+++ b/internal/overload/controller.go
@@ -14,9 +14,9 @@
 	Step(now time.Duration, ev balancer.Event) []balancer.Action
 	// ArrivalFraction is this agent's part of all arrivals, from 0 to 1.
 	ArrivalFraction() float64
-	// Sparse reports whether the agent is one of so many that its own requests in flight say nothing of the
+	// IsSparse reports whether the agent is one of so many that its own requests in flight say nothing of the
 	// servers'.
-	Sparse() bool
+	IsSparse() bool
 	// ApplyFleetPolicy, SetExclusions, TenantStats and SetRingAssignment: see balancer.Balancer.
 	ApplyFleetPolicy(quota []float64, classes []balancer.RetryPolicy)
 	SetExclusions(a *balancer.Exclusions)
--- a/internal/overload/shedding.go
+++ b/internal/overload/shedding.go
@@ -38,7 +38,7 @@
 // takesPartInShedding reports whether this agent sheds load at all: not where it is one of many that send
 // little each and has a throttle, unless it is configured.
 func (c *Controller) takesPartInShedding() bool {
-	return c.config.SheddingWhenSparse || c.config.WastedFraction >= 1 || !c.balancer.Sparse()
+	return c.config.SheddingWhenSparse || c.config.WastedFraction >= 1 || !c.balancer.IsSparse()
 }
 
 // sheddingStart is when to start: as soon as the others can know. Where no other agent is heard it is the
--- a/internal/overload/simulation_test.go
+++ b/internal/overload/simulation_test.go
@@ -109,7 +109,7 @@
 }
 
 func (fake *fakeBalancer) ArrivalFraction() float64        { return 0.25 }
-func (fake *fakeBalancer) Sparse() bool                    { return fake.sparse }
+func (fake *fakeBalancer) IsSparse() bool                  { return fake.sparse }
 func (fake *fakeBalancer) SetWarmServersSaturated(on bool) { fake.saturated = fake.saturated || on }
 
 func (fake *fakeBalancer) ApplyFleetPolicy(_ []float64, classes []balancer.RetryPolicy) {
--- a/internal/overload/throttle.go
+++ b/internal/overload/throttle.go
@@ -82,7 +82,7 @@
 // usesThrottle reports whether the throttle decides at this moment.
 func (c *Controller) usesThrottle() bool {
 	return !c.config.Disabled && c.config.WastedFraction < 1 && !c.isSheddingNow() &&
-		c.outage.phase == phaseNormal && c.balancer.Sparse()
+		c.outage.phase == phaseNormal && c.balancer.IsSparse()
 }
 
 // updateThrottle ends the throttle once nothing has been rejected for a while.
