--- a/cmd/dunestep/fleetsettings.go
+++ b/cmd/dunestep/fleetsettings.go
@@ -27,9 +27,9 @@
 	o := f.settings.operator.Fleet
 	set := fleet.Settings{
 		Self: f.settings.Settings.Self, Agents: f.settings.Settings.Balancers,
-		Incarnation: uint64(time.Now().UnixMilli()), Seed: f.settings.Seed, ReadyTimeout: milliseconds(o.ReadyMS),
-		BytesPerSecond: int(o.RateKB << 10), Machines: []fleet.StateMachine{commandMachine: f.commands},
-		Terms: lease.Terms{Duration: milliseconds(o.LeaseMS), MaxKnowledgeAge: milliseconds(o.HeardMS)},
+		Incarnation: uint64(time.Now().UnixMilli()), Seed: f.settings.Seed, ReadyTimeout: milliseconds(o.ReadyTimeoutMS),
+		BytesPerSecond: int(o.MaxSendRateKB << 10), Machines: []fleet.StateMachine{commandMachine: f.commands},
+		Terms: lease.Terms{Duration: milliseconds(o.LeaseMS), MaxKnowledgeAge: milliseconds(o.MaxKnowledgeAgeMS)},
 	}
 	for _, v := range o.Voters {
 		set.Voters = append(set.Voters, int(v))
@@ -37,9 +37,9 @@
 	return set
 }
 
-// openStore opens a voter's store. Where it can't be used, because it is damaged, of another version or missing, this
-// agent runs without a vote: that is no reason to reject requests, and a voter that took its store for an empty one
-// could break the log.
+// openStore opens a voter's store. Where it can't be used, because it is damaged, of another version or
+// missing, this agent runs without a vote: that is no reason to reject requests, and a voter that took its
+// store for an empty one could break the log.
 func (f *fleetMember) openStore(set *agent.FleetSettings) {
 	folder := f.settings.operator.Fleet.Folder
 	if folder == "" || !set.Node.IsVoter() {
@@ -55,9 +55,9 @@
 	set.Store, set.Node.Stored, set.Node.IsDurable = store, store.Stored(), true
 }
 
-// addStateMachines adds the state machines of policies, maintenance windows and the ring, and for those that are on here
-// the adapters that act on them. An agent at which one is off has its state all the same: others may go on from a
-// snapshot of this agent.
+// addStateMachines adds the state machines of policies, maintenance windows and the ring, and for those that
+// are on here the adapters that act on them. An agent at which one is off has its state all the same: others
+// may go on from a snapshot of this agent.
 func (f *fleetMember) addStateMachines(n *fleet.Settings) {
 	if !f.settings.operator.Fleet.Policy {
 		policies := policy.NewStateMachine()
@@ -77,7 +77,7 @@
 		adapter := f.startMaintenance(n)
 		windows, applications[0] = adapter, adapter
 	}
-	if f.settings.operator.Fleet.Placement {
+	if f.settings.operator.Fleet.RingAssignment {
 		adapter := f.startRing(n)
 		assignments, applications[1] = adapter, adapter
 	}
@@ -90,5 +90,5 @@
 
 // policyTimes are those by which policies take effect.
 func (f *fleetMember) policyTimes(terms lease.Terms) policy.Times {
-	return policy.Times{Terms: terms, FloorValidity: seconds(f.settings.operator.Fleet.FloorS)}
+	return policy.Times{Terms: terms, FloorValidity: seconds(f.settings.operator.Fleet.FloorValidityS)}
 }
--- a/cmd/dunestep/log.go
+++ b/cmd/dunestep/log.go
@@ -12,8 +12,8 @@
 // logging is the program's log. The handler is never replaced; a reload may change its format and level.
 var logging = newLogHandler(os.Stderr)
 
-// logHandler writes the log in the format, and from the level on, that hold at that moment. It is safe for concurrent
-// use.
+// logHandler writes the log in the format, and from the level on, that hold at that moment. It is safe for
+// concurrent use.
 type logHandler struct {
 	text, json slog.Handler
 	level      *slog.LevelVar
@@ -32,7 +32,7 @@
 	var level slog.Level
 	_ = level.UnmarshalText([]byte(l.Level)) // the file's reader has checked it
 	h.level.Set(level)
-	h.useJSON.Store(l.Format == operator.JSON)
+	h.useJSON.Store(l.Format == operator.FormatJSON)
 }
 
 // current is the handler of the format that holds now.
--- a/cmd/dunestep/maintenance.go
+++ b/cmd/dunestep/maintenance.go
@@ -27,8 +27,8 @@
 	reason string
 }
 
-// endpointsInterval is how often this agent's list is looked at for windows and the ring, and how often tenants' requests
-// are counted while a window moves traffic.
+// endpointsInterval is how often this agent's list is looked at for windows and the ring, and how often
+// tenants' requests are counted while a window moves traffic.
 const endpointsInterval = 2 * time.Second
 
 // startMaintenance has maintenance windows hold here.
@@ -37,8 +37,8 @@
 	f.maintenance = &windowControl{logged: map[string]windowLog{}, before: map[string]balancer.TenantStats{}}
 	f.maintenance.adapter = maintenancelog.New(maintenancelog.Settings{
 		Self: n.Self, IsVoter: n.IsVoter(), Incarnation: n.Incarnation, MachineNumber: maintenanceMachine,
-		Times: f.policyTimes(n.Terms), Turns: int(o.Turns), MaxInFlight: seconds(o.LingerS),
-		ClockMargin: seconds(o.MarginS), MinNotice: seconds(o.NoticeS),
+		Times: f.policyTimes(n.Terms), Turns: int(o.MaintenanceGroups), MaxInFlight: seconds(o.MaxRequestS),
+		ClockMargin: seconds(o.SafetyMarginS), MinNotice: seconds(o.MinNoticeS),
 		InForce: f.policyInForce, View: f.leaderView,
 	})
 	return f.maintenance.adapter
@@ -130,8 +130,8 @@
 	return counts
 }
 
-// logWindows logs each change of a window's state once. The fleet's actor calls it after records were applied, and as
-// time passes.
+// logWindows logs each change of a window's state once. The fleet's actor calls it after records were
+// applied, and as time passes.
 func (f *fleetMember) logWindows() {
 	if f.maintenance == nil {
 		return
--- a/cmd/dunestep/process.go
+++ b/cmd/dunestep/process.go
@@ -16,8 +16,8 @@
 	"dunestep/internal/transport"
 )
 
-// process is the running agent with its parts. Its fields are set by start and not changed after, but for upgrade and
-// what upgrade's mutex guards.
+// process is the running agent with its parts. Its fields are set by start and not changed after, but for
+// upgrade and what upgrade's mutex guards.
 type process struct {
 	settings    settings // Limits and operator: guarded by upgrade.mu
 	metrics     *metrics.Counters
@@ -70,8 +70,8 @@
 	return nil
 }
 
-// startAgent starts the agent and what it depends on: the state of the last process, the agents' datagrams, and this
-// agent's part in the fleet.
+// startAgent starts the agent and what it depends on: the state of the last process, the agents' datagrams,
+// and this agent's part in the fleet.
 func (p *process) startAgent(taken takenOver) (err error) {
 	p.state = startStateKeeper(p.settings, taken.file)
 	if p.settings.Settings.Limits.Gossip && p.settings.PeerListen.IsValid() {
@@ -101,8 +101,8 @@
 	set := agent.Settings{
 		Deployment: s.Settings, Seed: s.Seed, Discovery: s.Discovery, Initial: p.state.initial,
 		Probation: state.ProbationSettings{
-			Enabled:    s.operator.State.ProveList,
-			FullDeploy: seconds(s.operator.State.DeployS),
+			Enabled:    s.operator.State.Probation,
+			FullDeploy: seconds(s.operator.State.FullDeployS),
 		},
 		Descriptors: p.descriptors, Bodies: p.bodies, Metrics: p.metrics, Disabled: disabled,
 		OnStateChange: p.state.requestWrite, Overload: s.overloadConfig(), FleetReady: p.fleet.isReady,
@@ -110,13 +110,13 @@
 	if p.datagrams != nil {
 		set.Datagrams = p.datagrams
 	}
-	if s.operator.Fleet.On && s.operator.Fleet.Policy {
+	if s.operator.Fleet.Enabled && s.operator.Fleet.Policy {
 		set.FleetPolicy = func() *policy.Effect { return p.fleet.policyEffect() }
 		if s.operator.Fleet.Windows {
 			set.Exclusions = func() *balancer.Exclusions { return p.fleet.exclusions() }
 			set.FleetCaughtUp = p.fleet.isCaughtUp
 		}
-		if s.operator.Fleet.Placement {
+		if s.operator.Fleet.RingAssignment {
 			set.RingAssignment = func() *balancer.RingAssignment { return p.fleet.ringAssignment() }
 		}
 	}
--- a/cmd/dunestep/ring.go
+++ b/cmd/dunestep/ring.go
@@ -15,7 +15,8 @@
 	"dunestep/internal/fleet"
 )
 
-// ringControl is this agent's part in agreed ring assignments. It is of the fleet's actor, but for nextMeasurement.
+// ringControl is this agent's part in agreed ring assignments. It is of the fleet's actor, but for
+// nextMeasurement.
 type ringControl struct {
 	adapter         *assignmentlog.Adapter
 	isVoter         bool // it may lead, and propose assignments by its own list
@@ -25,8 +26,8 @@
 }
 
 const (
-	// voterListInterval is how often a voter's list is looked at for changes: servers that come and go within seconds
-	// are to be in the next assignment, or to be held off.
+	// voterListInterval is how often a voter's list is looked at for changes: servers that come and go within
+	// seconds are to be in the next assignment, or to be held off.
 	voterListInterval = 200 * time.Millisecond
 	// paceInterval is how often the paces of machine kinds are measured.
 	paceInterval = 10 * time.Second
@@ -37,7 +38,7 @@
 	f.ring = &ringControl{isVoter: n.IsVoter(), adapter: assignmentlog.New(assignmentlog.Settings{
 		IsVoter: n.IsVoter(), Incarnation: n.Incarnation, MachineNumber: ringMachine,
 		Parameters: ringassignment.Parameters{
-			Terms: n.Terms, SlowStart: f.settings.slowStartParams(), UsePaces: f.settings.operator.Fleet.Paces,
+			Terms: n.Terms, SlowStart: f.settings.slowStartParams(), UsePaces: f.settings.operator.Fleet.BaselineLatencies,
 		},
 	}, agent.ReadClocks())}
 	return f.ring.adapter
@@ -71,7 +72,7 @@
 
 // reportPaces measures the paces of machine kinds, reports them to voters, and logs those that are agreed.
 func (f *fleetMember) reportPaces(actor *agent.FleetActor) {
-	if f.ring == nil || !f.settings.operator.Fleet.Paces || time.Now().Before(f.ring.nextMeasurement) {
+	if f.ring == nil || !f.settings.operator.Fleet.BaselineLatencies || time.Now().Before(f.ring.nextMeasurement) {
 		return
 	}
 	f.ring.nextMeasurement = time.Now().Add(paceInterval)
