--- a/internal/rehearsal/world/calendar.go
+++ b/internal/rehearsal/world/calendar.go
@@ -28,16 +28,18 @@
 
 // calendar holds what is still to take place, and the time.
 type calendar struct {
-	now                          time.Duration
-	entered                      uint64
-	eventqueue.Agenda[happening] // ordered by the rank in the highest bits, then the sequence
+	now                         time.Duration
+	entered                     uint64
+	eventqueue.Queue[happening] // ordered by the rank in the highest bits, then the sequence
 }
 
 // enter has a happening take place; one in the past takes place now, after all of its rank that are due
 // now.
 func (c *calendar) enter(at time.Duration, r rank, what happening) {
 	c.entered++
-	c.Add(eventqueue.Item[happening]{At: max(at, c.now), Order: uint64(r)<<(64-rankBits) | c.entered, Do: what})
+	c.Add(eventqueue.Item[happening]{
+		DueAt: max(at, c.now), Order: uint64(r)<<(64-rankBits) | c.entered, Event: what,
+	})
 }
 
 // after has a happening take place so much later.
@@ -47,7 +49,7 @@
 func (c *calendar) next(until time.Duration) (happening, bool) {
 	first, ok := c.Next(until)
 	if ok {
-		c.now = first.At
+		c.now = first.DueAt
 	}
-	return first.Do, ok
+	return first.Event, ok
 }
--- a/internal/rehearsal/world/live.go
+++ b/internal/rehearsal/world/live.go
@@ -346,7 +346,7 @@
 // to a millisecond late on an idle machine.
 func (v *Live) sleep() {
 	wait := 100 * time.Millisecond
-	if at, is := v.w.First(); is {
+	if at, is := v.w.NextAt(); is {
 		wait = min(wait, at-v.clock())
 	}
 	if wait <= 0 {
--- a/internal/simnet/cluster.go
+++ b/internal/simnet/cluster.go
@@ -59,10 +59,10 @@
 	now         time.Time
 	start       func(agent uint32, now time.Time) Process
 	agents      []agent
-	defaultLink Link                      // of all directions while links is nil
-	links       []Link                    // by the sender and the receiver; nil: all are the default link
-	events      eventqueue.Agenda[func()] // by the time since the beginning
-	serial      uint64                    // of the last event
+	defaultLink Link                     // of all directions while links is nil
+	links       []Link                   // by the sender and the receiver; nil: all are the default link
+	events      eventqueue.Queue[func()] // by the time since the beginning
+	serial      uint64                   // of the last event
 	traffic     Traffic
 }
 
@@ -178,7 +178,7 @@
 // At has do called at a time, or now if that is past.
 func (c *Cluster) At(at time.Time, do func()) {
 	c.serial++
-	c.events.Add(eventqueue.Item[func()]{At: at.Sub(c.begin), Order: c.serial, Do: do})
+	c.events.Add(eventqueue.Item[func()]{DueAt: at.Sub(c.begin), Order: c.serial, Event: do})
 }
 
 // Call calls a process from outside, as a client does, unless it is not running or paused, and reports
@@ -197,10 +197,10 @@
 func (c *Cluster) Run(until time.Time) {
 	end := until.Sub(c.begin)
 	for e, hasNext := c.events.Next(end); hasNext; e, hasNext = c.events.Next(end) {
-		if at := c.begin.Add(e.At); at.After(c.now) {
+		if at := c.begin.Add(e.DueAt); at.After(c.now) {
 			c.now = at
 		}
-		e.Do()
+		e.Event()
 	}
 	if until.After(c.now) {
 		c.now = until
--- a/internal/simnet/network.go
+++ b/internal/simnet/network.go
@@ -30,7 +30,7 @@
 
 	rng         *rand.Rand
 	now         time.Duration
-	events      eventqueue.Agenda[nodeEvent]
+	events      eventqueue.Queue[nodeEvent]
 	lastOrder   uint64
 	isCut       []bool          // by the sender and the receiver
 	pausedUntil []time.Duration // by the node
@@ -79,7 +79,7 @@
 
 func (n *Network) add(at time.Duration, node int, do func()) {
 	n.lastOrder++
-	n.events.Add(eventqueue.Item[nodeEvent]{At: max(at, n.now), Order: n.lastOrder, Do: nodeEvent{node, do}})
+	n.events.Add(eventqueue.Item[nodeEvent]{DueAt: max(at, n.now), Order: n.lastOrder, Event: nodeEvent{node, do}})
 }
 
 // Send sends a message.
@@ -149,13 +149,13 @@
 // Run runs the network until a true time.
 func (n *Network) Run(until time.Duration) {
 	for e, hasNext := n.events.Next(until); hasNext; e, hasNext = n.events.Next(until) {
-		n.now = e.At
-		if e.Do.node != noNode && n.IsPaused(e.Do.node) {
-			e.At = n.pausedUntil[e.Do.node]
+		n.now = e.DueAt
+		if e.Event.node != noNode && n.IsPaused(e.Event.node) {
+			e.DueAt = n.pausedUntil[e.Event.node]
 			n.events.Add(e)
 			continue
 		}
-		e.Do.do()
+		e.Event.do()
 	}
 	n.now = max(n.now, until)
 }
