--- a/internal/control/maintenance/search/search.go
+++ b/internal/control/maintenance/search/search.go
@@ -73,8 +73,8 @@
 type search struct {
 	setup       Setup
 	seed        maphash.Seed
-	seen        *modelcheck.States
-	distinct    *modelcheck.States // of an exhaustive search
+	seen        *modelcheck.StateSet
+	distinct    *modelcheck.StateSet // of an exhaustive search
 	active      [policy.ModeFull + 1]policy.Active
 	initialJobs []job
 
@@ -95,7 +95,7 @@
 	}
 	s := &search{
 		setup: set, seed: maphash.MakeSeed(), proposals: map[string]*proposal{},
-		seen: modelcheck.NewStates(), distinct: modelcheck.NewStates(),
+		seen: modelcheck.NewStateSet(), distinct: modelcheck.NewStateSet(),
 	}
 	s.emptyLog = &logPosition{stateMachine: maintenance.NewStateMachine(func() uint64 { return 1 })}
 	always, err := contract.Table{
@@ -112,7 +112,7 @@
 		policy.ModeFull:   {Mode: policy.ModeFull, Version: 1, Effect: effect},
 	}
 	s.addInitialJobs(nil)
-	modelcheck.Run(set.Workers, s.initialJobs, func(jobs *modelcheck.Jobs[job]) func(job) {
+	modelcheck.Run(set.Workers, s.initialJobs, func(jobs *modelcheck.JobQueue[job]) func(job) {
 		k := newWorker(s, jobs)
 		return func(j job) {
 			k.steps = j.steps
--- a/internal/control/maintenance/search/steps.go
+++ b/internal/control/maintenance/search/steps.go
@@ -44,7 +44,7 @@
 // takeStep goes on with the world after a step, or leaves it to a worker that has nothing to do.
 func (k *worker) takeStep(w *world, n *world, who int, kind stepKind) {
 	k.steps = append(k.steps, takenStep{w.now, int8(who), kind})
-	if !k.jobs.Wanted() || w.now >= lastStep-2 || !k.jobs.Give(job{*n, slices.Clone(k.steps)}) {
+	if !k.jobs.HasIdleWorker() || w.now >= lastStep-2 || !k.jobs.Offer(job{*n, slices.Clone(k.steps)}) {
 		k.visit(n)
 	}
 	k.steps = k.steps[:len(k.steps)-1]
--- a/internal/control/maintenance/search/worker.go
+++ b/internal/control/maintenance/search/worker.go
@@ -29,7 +29,7 @@
 // worker caches what parts do: for the same key it is the same.
 type worker struct {
 	*search
-	jobs               *modelcheck.Jobs[job]
+	jobs               *modelcheck.JobQueue[job]
 	steps              []takenStep
 	positions          map[positionKey]*logPosition
 	voterResults       map[learnKey]voter
@@ -80,7 +80,7 @@
 	turn  bool
 }
 
-func newWorker(s *search, jobs *modelcheck.Jobs[job]) *worker {
+func newWorker(s *search, jobs *modelcheck.JobQueue[job]) *worker {
 	return &worker{
 		search: s, jobs: jobs, positions: map[positionKey]*logPosition{}, voterResults: map[learnKey]voter{},
 		leaderResults:      map[leadKey]leaderResult{},
@@ -121,11 +121,11 @@
 		wanted = everything
 		n := *w
 		k.dropIrrelevant(&n)
-		k.distinct.Note(k.hash(&n, effectiveOnly))
+		k.distinct.Add(k.hash(&n, effectiveOnly))
 	} else {
 		k.dropIrrelevant(w)
 	}
-	if !k.seen.Note(k.hash(w, wanted)) {
+	if !k.seen.Add(k.hash(w, wanted)) {
 		return
 	}
 	if w.log.state == maintenance.Free && w.now < returnFrom {
--- a/internal/control/policy/search/search.go
+++ b/internal/control/policy/search/search.go
@@ -65,8 +65,8 @@
 	setup        Setup
 	voterNumbers []int // of the voters
 	seed         maphash.Seed
-	seen         *modelcheck.States
-	distinct     *modelcheck.States // of an exhaustive search
+	seen         *modelcheck.StateSet
+	distinct     *modelcheck.StateSet // of an exhaustive search
 
 	sync.Mutex    // guards the fields up to result, and all calls of parts
 	emptyLog      *logPosition
@@ -96,15 +96,15 @@
 	}
 	s := &search{
 		setup: set, voterNumbers: []int{0, 1, 2}[:set.Voters], seed: maphash.MakeSeed(),
-		seen:     modelcheck.NewStates(),
-		distinct: modelcheck.NewStates(), proposals: map[string]*proposal{},
+		seen:     modelcheck.NewStateSet(),
+		distinct: modelcheck.NewStateSet(), proposals: map[string]*proposal{},
 		emptyLog: &logPosition{stateMachine: policy.NewStateMachine()},
 	}
 	var began []job
 	for _, age := range [][maxVoters]int{{0, 0, 0}, {0, 2, 1}, {1, 1, 2}, {2, 1, 0}} {
 		began = append(began, job{world: s.initialWorld(age)})
 	}
-	modelcheck.Run(set.Workers, began, func(jobs *modelcheck.Jobs[job]) func(job) {
+	modelcheck.Run(set.Workers, began, func(jobs *modelcheck.JobQueue[job]) func(job) {
 		k := newWorker(s, jobs)
 		return func(j job) {
 			k.steps = j.steps
--- a/internal/control/policy/search/worker.go
+++ b/internal/control/policy/search/worker.go
@@ -28,7 +28,7 @@
 // worker caches what parts do: for the same key it is the same.
 type worker struct {
 	*search
-	jobs            *modelcheck.Jobs[job]
+	jobs            *modelcheck.JobQueue[job]
 	steps           []step
 	positions       map[positionKey]*logPosition
 	voterResults    map[voterKey]voter
@@ -72,7 +72,7 @@
 	p           *logPosition
 }
 
-func newWorker(s *search, jobs *modelcheck.Jobs[job]) *worker {
+func newWorker(s *search, jobs *modelcheck.JobQueue[job]) *worker {
 	return &worker{
 		search: s, jobs: jobs, positions: map[positionKey]*logPosition{}, voterResults: map[voterKey]voter{},
 		recordResults: map[voterKey][]*proposal{}, replyResults: map[replyKey]voterReply{},
@@ -154,11 +154,11 @@
 		wanted = everything
 		n := *w
 		n.dropRedundantLeases()
-		k.distinct.Note(k.hash(&n, effectiveOnly))
+		k.distinct.Add(k.hash(&n, effectiveOnly))
 	} else {
 		w.dropRedundantLeases()
 	}
-	if !k.seen.Note(k.hash(w, wanted)) {
+	if !k.seen.Add(k.hash(w, wanted)) {
 		return
 	}
 	switch w.log.status {
--- a/internal/modelcheck/jobs.go
+++ b/internal/modelcheck/jobs.go
@@ -1,6 +1,3 @@
-// Package modelcheck is for searches that try all that can happen in a small world: the states that were met,
-// and
-// workers that share what is to be gone on from.
 package modelcheck
 
 import (
@@ -8,87 +5,56 @@
 	"sync/atomic"
 )
 
-// States are those that were met, by 64 bits of their hash, in parts that workers share. With n states the
-// chance that any two have the same bits, and one of them was passed over, is n*n/2^65: 1 in 3,700 with 100
-// million.
-type States [256]struct {
-	sync.Mutex
-	met map[uint64]struct{}
+// JobQueue holds the jobs of a search that no worker has begun.
+type JobQueue[J any] struct {
+	workers    int
+	unfinished atomic.Int64 // queued jobs and those that a worker does
+	queued     chan J       // closed by the worker that finishes the last job
 }
 
-// NewStates are none.
-func NewStates() *States {
-	s := &States{}
-	for i := range s {
-		s[i].met = map[uint64]struct{}{}
-	}
-	return s
-}
-
-// Note notes a state, and tells whether it is new.
-func (s *States) Note(state uint64) (anew bool) {
-	part := &s[state%uint64(len(s))]
-	part.Lock()
-	defer part.Unlock()
-	if _, is := part.met[state]; is {
-		return false
-	}
-	part.met[state] = struct{}{}
-	return true
-}
-
-// Count is how many there are, once no worker is at work.
-func (s *States) Count() (n int) {
-	for i := range s {
-		n += len(s[i].met)
-	}
-	return n
-}
-
-// Jobs are what workers are to go on from.
-type Jobs[J any] struct {
-	workers int
-	open    atomic.Int64 // those that are not done
-	waiting chan J
-}
+// queuedPerWorker is the room for offered jobs, beside the initial ones, for each worker.
+const queuedPerWorker = 4
 
-// Run has so many workers, one at the least, do all jobs and those that they give each other.
-func Run[J any](workers int, begun []J, worker func(jobs *Jobs[J]) (do func(J))) {
+// Run does all initial jobs, and those that workers offer meanwhile, with this many workers (at least one).
+// It calls newWorker once for each worker, which returns the function that does a job. Run owns the workers'
+// goroutines and returns when all jobs are done.
+func Run[J any](workers int, initial []J, newWorker func(jobs *JobQueue[J]) (do func(J))) {
 	workers = max(workers, 1)
-	jobs := &Jobs[J]{workers: workers, waiting: make(chan J, len(begun)+4*workers)}
-	jobs.open.Store(int64(len(begun)))
-	for _, j := range begun {
-		jobs.waiting <- j
+	jobs := &JobQueue[J]{workers: workers, queued: make(chan J, len(initial)+queuedPerWorker*workers)}
+	jobs.unfinished.Store(int64(len(initial)))
+	for _, j := range initial {
+		jobs.queued <- j
 	}
-	if len(begun) == 0 {
-		close(jobs.waiting)
+	if len(initial) == 0 {
+		close(jobs.queued)
 	}
-	var all sync.WaitGroup
+	var running sync.WaitGroup
 	for range workers {
-		do := worker(jobs)
-		all.Go(func() {
-			for j := range jobs.waiting {
+		do := newWorker(jobs)
+		running.Go(func() {
+			for j := range jobs.queued {
 				do(j)
-				if jobs.open.Add(-1) == 0 {
-					close(jobs.waiting)
+				if jobs.unfinished.Add(-1) == 0 {
+					close(jobs.queued)
 				}
 			}
 		})
 	}
-	all.Wait()
+	running.Wait()
 }
 
-// Wanted tells whether another worker may have nothing to do.
-func (j *Jobs[J]) Wanted() bool { return j.workers > 1 && len(j.waiting) == 0 }
+// HasIdleWorker reports whether another worker may be idle: no job is queued.
+func (q *JobQueue[J]) HasIdleWorker() bool { return q.workers > 1 && len(q.queued) == 0 }
 
-// Give leaves a job to any worker, if there is room. It is called while one does a job.
-func (j *Jobs[J]) Give(job J) (given bool) {
-	j.open.Add(1)
+// Offer queues a job for any worker and reports whether there was room. Only a worker that does a job may
+// call it, as the queue is closed when no job is left.
+func (q *JobQueue[J]) Offer(job J) (queued bool) {
+	q.unfinished.Add(1)
 	select {
-	case j.waiting <- job:
+	case q.queued <- job:
 		return true
 	default:
-		j.open.Add(-1)
+		q.unfinished.Add(-1)
 		return false
 	}
 }
