--- /dev/null
+++ b/internal/balancer/outlier/property_test.go
@@ -0,0 +1,99 @@
+package outlier
+
+import (
+	"reflect"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+	"pgregory.net/rapid"
+)
+
+// history is a random run of attempts, rounds and waits over a few servers.
+func history(t *rapid.T, d *Detector, servers []*Server, each func(*Server, Change)) time.Duration {
+	now := time.Second
+	for range rapid.IntRange(0, 300).Draw(t, "events") {
+		now += time.Duration(rapid.IntRange(0, 400).Draw(t, "wait")) * ms
+		if rapid.IntRange(0, 9).Draw(t, "round") == 0 {
+			d.EndRound()
+			each(nil, Unchanged)
+			for _, s := range servers {
+				each(s, d.Reevaluate(now, s))
+			}
+			continue
+		}
+		s := rapid.SampledFrom(servers).Draw(t, "server")
+		a := d.AttemptStarted(now-time.Duration(rapid.IntRange(1, 500).Draw(t, "took"))*ms, s, rapid.IntRange(-1, 2).Draw(t, "class"), limit)
+		ev := Evidence{Phase: Phase(rapid.IntRange(0, 4).Draw(t, "phase")), ConnectionRefused: rapid.Bool().Draw(t, "refused")}
+		each(s, d.AttemptEnded(now, s, a, Outcome(rapid.IntRange(0, int(NoEvidence)).Draw(t, "end")), now-a.StartedAt, &ev))
+	}
+	return now
+}
+
+func few() (*Detector, []*Server) {
+	d := New(limit, 2)
+	servers := []*Server{d.AddServer(), d.AddServer(), d.AddServer(), d.AddServer()}
+	for _, s := range servers {
+		d.SetPlacement(s, true, false)
+	}
+	return d, servers
+}
+
+func TestProperties(t *testing.T) {
+	t.Run("one change a round at most, and none without evidence", rapid.MakeCheck(func(t *rapid.T) {
+		d, servers := few()
+		changed := map[*Server]bool{}
+		now := history(t, d, servers, func(s *Server, ch Change) {
+			if s == nil {
+				clear(changed)
+			}
+			if ch == ServerEjected || ch == ServerReadmitted {
+				require.False(t, changed[s], "two changes in a round")
+				changed[s] = true
+			}
+		})
+		for i := range 20 {
+			d.EndRound()
+			for _, s := range servers {
+				ch := d.Reevaluate(now, s)
+				require.True(t, i == 0 || ch == Unchanged, "a change without evidence")
+				d.AttemptEnded(now, s, d.AttemptStarted(now, s, 0, limit), NoEvidence, ms, &Evidence{})
+			}
+		}
+	}))
+	t.Run("a failure makes no server better", rapid.MakeCheck(func(t *rapid.T) {
+		d, servers := few()
+		now := history(t, d, servers, func(*Server, Change) {})
+		s := servers[0]
+		for range 30 {
+			before, part := d.Verdict(s, 0), s.partialEvidence
+			end := rapid.SampledFrom([]Outcome{ServerError, TimedOut, NotSent, ConnectionLost}).Draw(t, "end")
+			d.AttemptEnded(now, s, d.AttemptStarted(now-limit, s, 0, limit), end, limit, &Evidence{})
+			require.GreaterOrEqual(t, d.Verdict(s, 0), before)
+			require.False(t, s.partialEvidence[0] < part[0] || s.partialEvidence[1] < part[1])
+		}
+	}))
+	t.Run("a removed server is dropped", rapid.MakeCheck(func(t *rapid.T) {
+		d, servers := few()
+		now := history(t, d, servers, func(*Server, Change) {})
+		removed, rest := servers[0], servers[1:]
+		late := d.AttemptStarted(now, removed, 0, limit)
+		d.RemoveServer(removed)
+		var sum decayingCounts
+		for _, s := range rest {
+			sum.total += s.recent.total
+		}
+		require.InDelta(t, sum.total, d.fleet.total, 1e-6)
+		copies := make([]Server, len(rest))
+		for i, s := range rest {
+			copies[i] = *s
+		}
+		fleet := d.fleet
+		require.Equal(t, Unchanged, d.AttemptEnded(now, removed, late, ConnectionLost, ms, &Evidence{}))
+		require.Equal(t, fleet, d.fleet)
+		for i, s := range rest {
+			require.True(t, reflect.DeepEqual(copies[i], *s))
+		}
+		require.Equal(t, Healthy, d.Verdict(d.AddServer(), 0))
+	}))
+}
