--- /dev/null
+++ b/cmd/dunestep/earlierbuild_test.go
@@ -0,0 +1,145 @@
+package main
+
+import (
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"dunestep/internal/rehearsal/lab"
+)
+
+// beforeRenaming is the last commit before the code was renamed to the field's terms. What its build writes has to stay
+// readable, and what this one writes readable to it.
+const beforeRenaming = "3bec2d9"
+
+// buildOfCommit builds the program of an earlier commit, which takes a repository. The test is skipped without one.
+func buildOfCommit(t *testing.T, commit string) (path string) {
+	t.Helper()
+	tree := t.TempDir()
+	for _, c := range []string{
+		"git -C ../.. archive " + commit + " | tar -x -C " + tree,
+		"cd " + tree + " && go build -o earlier ./cmd/dunestep",
+	} {
+		if out, err := exec.CommandContext(t.Context(), "sh", "-c", c).CombinedOutput(); err != nil {
+			t.Skipf("the earlier build can't be had: %v: %s", err, out)
+		}
+	}
+	return filepath.Join(tree, "earlier")
+}
+
+// An upgrade from the earlier build to this one and back, under load: nothing is lost or rejected, no booking runs twice,
+// and a disabled endpoint stays disabled. Long, and from a repository alone: LONG_TESTS.
+func TestUpgradeFromEarlierBuildAndBack(t *testing.T) {
+	if os.Getenv("LONG_TESTS") == "" {
+		t.Skip("LONG_TESTS is not set")
+	}
+	earlier := buildOfCommit(t, beforeRenaming)
+	w := start(t, 3, door, (*world).patient, func(w *world) { w.program = earlier })
+	l := w.load(8)
+	w.until("load", func() bool { return l.ok.Load() > 50 })
+	w.yes("POST", "/ops/booking-servers/down", "s-0")
+	now, program := w, ""
+	for range 2 {
+		next := now.another()
+		next.program = program
+		next.launch()
+		next.untilReady()
+		require.Zero(t, now.quit(), now.log.String())
+		now, program = next, earlier
+		attemptsBefore := len(w.servers[0].steps())
+		goal := l.ok.Load() + 100
+		w.until("it goes on", func() bool { return l.ok.Load() > goal })
+		require.Len(t, w.servers[0].steps(), attemptsBefore, "a disabled endpoint gets nothing")
+		require.Equal(t, 1, now.stats().Ejected)
+	}
+	l.end()
+	l.none(t)
+	w.once()
+	require.Zero(t, now.quit())
+}
+
+// A state folder that the earlier build has written is restored by this one, and the other way round.
+// Long, and from a repository alone: LONG_TESTS.
+func TestStateOfEarlierBuildAndBack(t *testing.T) {
+	if os.Getenv("LONG_TESTS") == "" {
+		t.Skip("LONG_TESTS is not set")
+	}
+	earlier := buildOfCommit(t, beforeRenaming)
+	w := newWorld(t, 3)
+	path := w.keeping("")
+	w.each(busy)
+	w.servers[0].set(func(step) string { return silence })
+	w.program = earlier
+	w.start()
+	w.until("watch", func() bool { return w.discovery.watched() == 1 })
+	w.discovery.say(list(77, false, w.servers[1].entry("active")))
+	w.offer(2 * time.Second)
+	w.until("ejected", func() bool { return strings.Contains(w.log.String(), "down s-0") })
+	require.Zero(t, w.quit())
+	for program, restored := range map[string]string{"": `msg="state restored"`, earlier: `msg="state taken over"`} {
+		w.program = program
+		w.again()
+		w.until("restored", func() bool { return strings.Contains(w.log.String(), restored) })
+		w.until("from the version that it had", func() bool {
+			calls := w.discovery.called()
+			return strings.HasSuffix(calls[len(calls)-1], "from=77")
+		})
+		require.Equal(t, 200, w.ask("consult").status)
+		require.Zero(t, w.quit())
+		f := newest(t, path)
+		require.Equal(t, int64(77), f.List.Version)
+		require.True(t, f.Balancer.Servers[0].Outlier.Ejected)
+	}
+}
+
+// Voters' folders that the earlier build has written are read by this one, and the other way round: what was agreed on
+// holds, in the same log. Long, and from a repository alone: LONG_TESTS.
+func TestVoterFoldersOfEarlierBuildAndBack(t *testing.T) {
+	if os.Getenv("LONG_TESTS") == "" {
+		t.Skip("LONG_TESTS is not set")
+	}
+	t.Parallel()
+	earlier := buildOfCommit(t, beforeRenaming)
+	program, err := plain()
+	require.NoError(t, err)
+	folders := t.TempDir()
+	l := lab.Open(t, lab.Options{Agents: 4, Program: program, Ops: true, Seed: 7, Shape: func(c *lab.Config) {
+		if c.Run%2 == 1 {
+			c.Program = earlier
+		}
+		folder := filepath.Join(folders, fmt.Sprint(c.Agent))
+		require.NoError(t, os.MkdirAll(folder, 0o700))
+		c.Operator = "[fleet]\non = true\nvoters = [0, 1, 2]\nlease_ms = 2000\nheard_ms = 500\n" +
+			fmt.Sprintf("folder = %q\n", folder)
+	}})
+	ctx := t.Context()
+	isDisabled := out("s-0")
+	isEnabled := func(a *lab.Agent, s fleetStatus) bool { return full(a, s) && !isDisabled(a, s) }
+	runs := []struct { // by the earlier build, this one, the earlier one
+		holds   func(*lab.Agent, fleetStatus) bool
+		command string
+	}{{full, "down"}, {isDisabled, "up"}, {isEnabled, "down"}}
+	epoch := uint64(0)
+	for i, run := range runs {
+		require.NoError(t, l.StartAll(ctx))
+		require.NoError(t, l.Wait(ctx, "leases", all(l, full)))
+		require.NoError(t, l.Wait(ctx, "what was agreed holds", all(l, run.holds)))
+		status := statusAt(l.Agent(3))
+		if i > 0 {
+			require.Equal(t, epoch, status.Epoch, "the log goes on")
+		}
+		epoch = status.Epoch
+		text, err := fleetCommand(t, l.Agent(3), run.command, "s-0")
+		require.NoError(t, err, text)
+		for _, a := range l.Agents() {
+			a.Kill()
+		}
+	}
+	require.Empty(t, l.EndAll())
+}
--- a/cmd/dunestep/policyfaults_test.go
+++ b/cmd/dunestep/policyfaults_test.go
@@ -483,8 +483,8 @@
 	w.end(4, accepted)
 }
 
-// before is a commit whose build has policies and knows neither contracts nor windows.
-const before = "455e822"
+// withoutWindows is a commit whose build has policies and knows neither contracts nor windows.
+const withoutWindows = "455e822"
 
 // Half of the agents, a voter among them, are of an earlier build, the others have maintenance windows on: they agree on
 // what both can read, each decision judged, and what the earlier build can't read holds nowhere, with its reason.
@@ -493,15 +493,10 @@
 	if os.Getenv("LONG_TESTS") == "" {
 		t.Skip("LONG_TESTS is not set")
 	}
-	tree := t.TempDir()
-	for _, c := range []string{"git -C ../.. archive " + before + " | tar -x -C " + tree, "cd " + tree + " && go build -o earlier ./cmd/dunestep"} {
-		if out, err := exec.CommandContext(t.Context(), "sh", "-c", c).CombinedOutput(); err != nil {
-			t.Skipf("the earlier build can't be had: %v: %s", err, out)
-		}
-	}
+	earlier := buildOfCommit(t, withoutWindows)
 	w := watchedLab(t, 6, inMemory, func(c *lab.Config) {
 		if c.Agent%2 == 1 {
-			c.Program = filepath.Join(tree, "earlier")
+			c.Program = earlier
 		} else {
 			c.Operator = strings.Replace(c.Operator, "policy = true\n", "policy = true\nwindows = true\n", 1)
 		}
--- a/cmd/dunestep/upgrade_test.go
+++ b/cmd/dunestep/upgrade_test.go
@@ -24,15 +24,20 @@
 func (w *world) upgrade() *world {
 	next := w.another()
 	next.launch()
-	next.until("ready", func() bool {
-		resp, err := http.Get("http://" + next.ops + "/ops/readiness")
+	next.untilReady()
+	return next
+}
+
+// untilReady waits until the process says yes at its ops address.
+func (w *world) untilReady() {
+	w.until("ready", func() bool {
+		resp, err := http.Get("http://" + w.ops + "/ops/readiness")
 		if err != nil {
 			return false
 		}
 		_ = resp.Body.Close()
 		return resp.StatusCode == http.StatusOK
 	})
-	return next
 }
 
 // another is the same agent's next process, not started yet.
