--- a/cmd/dunestep/fleetsettings.go
+++ b/cmd/dunestep/fleetsettings.go
@@ -26,10 +26,19 @@
 func (f *fleetMember) nodeSettings() fleet.Settings {
 	o := f.settings.operator.Fleet
 	set := fleet.Settings{
-		Self: f.settings.Settings.Self, Agents: f.settings.Settings.Balancers,
-		Incarnation: uint64(time.Now().UnixMilli()), Seed: f.settings.Seed, ReadyTimeout: milliseconds(o.ReadyTimeoutMS),
-		BytesPerSecond: int(o.MaxSendRateKB << 10), Machines: []fleet.StateMachine{commandMachine: f.commands},
-		Terms: lease.Terms{Duration: milliseconds(o.LeaseMS), MaxKnowledgeAge: milliseconds(o.MaxKnowledgeAgeMS)},
+		Self:   f.settings.Settings.Self,
+		Agents: f.settings.Settings.Balancers,
+		Incarnation: uint64(
+			time.Now().UnixMilli(),
+		),
+		Seed:           f.settings.Seed,
+		ReadyTimeout:   milliseconds(o.ReadyTimeoutMS),
+		BytesPerSecond: int(o.MaxSendRateKB << 10),
+		Machines:       []fleet.StateMachine{commandMachine: f.commands},
+		Terms: lease.Terms{
+			Duration:        milliseconds(o.LeaseMS),
+			MaxKnowledgeAge: milliseconds(o.MaxKnowledgeAgeMS),
+		},
 	}
 	for _, v := range o.Voters {
 		set.Voters = append(set.Voters, int(v))
--- a/cmd/dunestep/ring.go
+++ b/cmd/dunestep/ring.go
@@ -38,7 +38,9 @@
 	f.ring = &ringControl{isVoter: n.IsVoter(), adapter: assignmentlog.New(assignmentlog.Settings{
 		IsVoter: n.IsVoter(), Incarnation: n.Incarnation, MachineNumber: ringMachine,
 		Parameters: ringassignment.Parameters{
-			Terms: n.Terms, SlowStart: f.settings.slowStartParams(), UsePaces: f.settings.operator.Fleet.BaselineLatencies,
+			Terms:     n.Terms,
+			SlowStart: f.settings.slowStartParams(),
+			UsePaces:  f.settings.operator.Fleet.BaselineLatencies,
 		},
 	}, agent.ReadClocks())}
 	return f.ring.adapter
@@ -72,7 +74,8 @@
 
 // reportPaces measures the paces of machine kinds, reports them to voters, and logs those that are agreed.
 func (f *fleetMember) reportPaces(actor *agent.FleetActor) {
-	if f.ring == nil || !f.settings.operator.Fleet.BaselineLatencies || time.Now().Before(f.ring.nextMeasurement) {
+	if f.ring == nil || !f.settings.operator.Fleet.BaselineLatencies ||
+		time.Now().Before(f.ring.nextMeasurement) {
 		return
 	}
 	f.ring.nextMeasurement = time.Now().Add(paceInterval)
--- a/internal/control/policy/search/steps.go
+++ b/internal/control/policy/search/steps.go
@@ -49,7 +49,8 @@
 func (k *worker) takeStep(w, n *world, t step) {
 	t.at = w.now
 	k.steps = append(k.steps, t)
-	if !k.jobs.HasIdleWorker() || int(w.now) >= k.setup.Seconds-1 || !k.jobs.Offer(job{*n, slices.Clone(k.steps)}) {
+	if !k.jobs.HasIdleWorker() || int(w.now) >= k.setup.Seconds-1 ||
+		!k.jobs.Offer(job{*n, slices.Clone(k.steps)}) {
 		k.visit(n)
 	}
 	k.steps = k.steps[:len(k.steps)-1]
--- a/internal/operator/bodies.go
+++ b/internal/operator/bodies.go
@@ -21,7 +21,13 @@
 }
 
 func defaultBodies() Bodies {
-	return Bodies{MaxKB: 65536, MaxBufferingMS: 50, MemoryFraction: 0.125, ClientStallMS: 10000, ClientLagMS: 5000}
+	return Bodies{
+		MaxKB:          65536,
+		MaxBufferingMS: 50,
+		MemoryFraction: 0.125,
+		ClientStallMS:  10000,
+		ClientLagMS:    5000,
+	}
 }
 
 // check returns the first key whose value contradicts another key's, and what is required of it.
--- a/internal/simnet/network.go
+++ b/internal/simnet/network.go
@@ -79,7 +79,9 @@
 
 func (n *Network) add(at time.Duration, node int, do func()) {
 	n.lastOrder++
-	n.events.Add(eventqueue.Item[nodeEvent]{DueAt: max(at, n.now), Order: n.lastOrder, Event: nodeEvent{node, do}})
+	n.events.Add(
+		eventqueue.Item[nodeEvent]{DueAt: max(at, n.now), Order: n.lastOrder, Event: nodeEvent{node, do}},
+	)
 }
 
 // Send sends a message.
