--- a/cmd/dunestep/main.go
+++ b/cmd/dunestep/main.go
@@ -4,7 +4,7 @@
 //
 // The package wires the agent together and owns what concerns the whole process: settings and their reload
 // (settings.go, serve.go), resource limits (limits.go), start and shutdown (process.go, shutdown.go), the
-// handover between two processes of one agent (takeover.go, handover.go), what operators set by hand
+// handover between two processes of one agent (takeover.go, handover.go), what operators set
 // (manual.go), and this agent's part in the fleet (fleet*.go, policy*.go, maintenance*.go, ring*.go).
 // Decisions are made in the packages below internal.
 package main
--- a/internal/agent/actor.go
+++ b/internal/agent/actor.go
@@ -43,7 +43,7 @@
 	shedding bool
 }
 
-// ejectionInterval is how often the metrics are told of ejected servers, at most.
+// ejectionInterval is how often the metrics get the ejected servers, at most.
 const ejectionInterval = 100 * time.Millisecond
 
 // handle handles one message. It never ends the actor.
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -55,7 +55,7 @@
 	// The same pointer stands for the same.
 	RingAssignment func() *balancer.RingAssignment
 	// OnStateChange is called by the agent's actor when something of importance has changed in the state that
-	// is stored; nil: nobody is told.
+	// is stored; nil: there is nobody to call.
 	OnStateChange func()
 }
 
@@ -74,13 +74,13 @@
 	controller       *overload.Controller
 	balancer         *balancer.Balancer
 	metrics          *metrics.Counters
-	ejectedAt        time.Duration // when the metrics were last told of ejected servers
+	ejectedAt        time.Duration // when the metrics last got the ejected servers
 	router           *routing.Router
 	recorder         stateRecorder
 	peers            *peerSender // nil: agents don't communicate
 	upstreams        map[string]*upstream
 	requests         map[uint32]*request
-	response         protocol.UpstreamResponse // of the attempt that the router is being told of
+	response         protocol.UpstreamResponse // of the attempt whose end the router is given
 }
 
 // Start starts the actors. The balancer learns the initial list at once, and asks discovery for a newer one.
--- a/internal/protocol/endpointlist.go
+++ b/internal/protocol/endpointlist.go
@@ -37,10 +37,10 @@
 		Servers []json.RawMessage `json:"servers"`
 	}
 	if err := json.Unmarshal(raw, &f); err != nil {
-		return EndpointList{}, fmt.Errorf("pool config: %w", err)
+		return EndpointList{}, fmt.Errorf("endpoint list: %w", err)
 	}
 	if f.Version == nil {
-		return EndpointList{}, errors.New("pool config: no version")
+		return EndpointList{}, errors.New("endpoint list: no version")
 	}
 	p := EndpointList{Version: *f.Version, Full: f.Full, Endpoints: make([]Endpoint, 0, len(f.Servers))}
 	for _, raw := range f.Servers {
--- a/internal/protocol/upstream.go
+++ b/internal/protocol/upstream.go
@@ -14,8 +14,8 @@
 	"dunestep/internal/graphql"
 )
 
-// AppendUpstreamRequest writes a route step of the operation as the HTTP request to a booking server, up to
-// the body; wait is how long this agent waits for the answer.
+// AppendUpstreamRequest appends an attempt as the HTTP request to an upstream server, up to the body; wait is
+// how long this agent waits for the response.
 func AppendUpstreamRequest(b []byte, op *Request, wait time.Duration) []byte {
 	field := func(name, value string) {
 		b = append(append(append(append(b, name...), ": "...), value...), "\r\n"...)
@@ -44,27 +44,27 @@
 	return append(b, "\r\n"...)
 }
 
-// UpstreamResponse is a booking server's answer to a route step.
+// UpstreamResponse is an upstream server's response to an attempt.
 type UpstreamResponse struct {
 	Outcome     balancer.Outcome
 	ContentType string
 	Status      int                // zero: 200
-	Close       bool               // the connection carries no further route step
-	BodyStream  *bodystream.Stream // the body of an answer that is served
+	Close       bool               // the connection carries no further request
+	BodyStream  *bodystream.Stream // the body, if Outcome is Served
 }
 
 // UnreadBody is a body that is still to be read; without a Reader there is none. It is not to be closed: that
-// would read on, for as long as the other side cares to send.
+// would read on, for as long as the server sends.
 type UnreadBody struct {
 	io.Reader
-	Length int64 // below zero: not announced
+	Length int64 // negative: not announced
 }
 
-// ErrResponseTooLong means that an answer is longer than its bound, or is said to be.
+// ErrResponseTooLong says that a response is longer than permitted, or announced as longer.
 var ErrResponseTooLong = errors.New("the answer is too long")
 
-// maxDiscardedBytes is how much of a body that is not passed on is read, so that its connection can be used
-// again.
+// maxDiscardedBytes is how much of a body that is not forwarded is read, so that its connection can be
+// reused.
 const maxDiscardedBytes = 64 << 10
 
 // ReadUpstreamResponse reads a response up to the body of a 200, which is the caller's to read; any other
@@ -73,27 +73,27 @@
 // After an error the connection is of no more use: it ended, or what was received is not a response.
 func ReadUpstreamResponse(
 	r *bufio.Reader,
-	longest int64,
-	graphQL bool,
+	maxBytes int64,
+	isGraphQL bool,
 ) (UpstreamResponse, UnreadBody, error) {
 	resp, err := http.ReadResponse(r, nil)
-	for err == nil && resp.StatusCode < http.StatusOK { // 1xx announces the answer
+	for err == nil && resp.StatusCode < http.StatusOK { // 1xx announces the response
 		resp, err = http.ReadResponse(r, nil)
 	}
 	if err != nil {
 		return UpstreamResponse{}, UnreadBody{}, err
 	}
-	if resp.ContentLength > longest {
+	if resp.ContentLength > maxBytes {
 		return UpstreamResponse{}, UnreadBody{}, ErrResponseTooLong
 	}
 	out := UpstreamResponse{Outcome: balancer.ServerError, Close: resp.Close}
 	contentType := resp.Header.Get("Content-Type")
 	switch {
-	case resp.StatusCode == http.StatusOK, graphQL && isGraphQLError(resp.StatusCode, contentType):
+	case resp.StatusCode == http.StatusOK, isGraphQL && isGraphQLError(resp.StatusCode, contentType):
 		out.Outcome, out.ContentType, out.Status = balancer.Served, contentType, resp.StatusCode
 		return out, UnreadBody{resp.Body, resp.ContentLength}, nil
 	case resp.StatusCode == http.StatusServiceUnavailable, resp.StatusCode == http.StatusGatewayTimeout:
-		// Without the mark it may have run: only the mark proves otherwise.
+		// Without the mark it may have run.
 		if resp.Header.Get("X-Unprocessed") == "1" {
 			out.Outcome = balancer.Rejected
 		}
--- a/internal/routing/disabled.go
+++ b/internal/routing/disabled.go
@@ -100,13 +100,13 @@
 	return l.out, true
 }
 
-// MergeDisabled takes in what another process of this agent was told, as far as the bound on disabled
-// endpoints allows.
-func (l *ListTracker) MergeDisabled(told []DisabledEndpoint) []ListOutput {
+// MergeDisabled applies what another process of this agent has disabled or enabled, as far as the bound on
+// disabled endpoints allows.
+func (l *ListTracker) MergeDisabled(other []DisabledEndpoint) []ListOutput {
 	l.out = l.out[:0]
 	before := l.disabled
 	l.disabled = make(map[string]DisabledEndpoint, len(before))
-	for _, e := range MergeDisabled(slices.Collect(maps.Values(before)), told) {
+	for _, e := range MergeDisabled(slices.Collect(maps.Values(before)), other) {
 		if e.StartedAt == 0 { // its sender did not know it, as in a command to a whole fleet
 			e.StartedAt = l.startedAt(e.ID, before)
 		}
