--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -113,19 +113,12 @@
 	for i, c := range set.Classes {
 		b.classes[c.Name] = &class{Class: c, index: i}
 		b.classes[c.Name].applyPolicy(set.Limits, nil)
-		b.longestObjective, shortest = max(
-			b.longestObjective,
-			c.LatencyObjective,
-		), min(
-			shortest,
-			c.LatencyObjective,
-		)
+		b.longestObjective = max(b.longestObjective, c.LatencyObjective)
+		shortest = min(shortest, c.LatencyObjective)
 	}
 	b.detector = outlier.New(shortest, len(set.Classes))
-	b.observationHalfLife = min(
-		time.Duration(halfLifeObjectives*float64(b.longestObjective)),
-		maxObservationHalfLife,
-	)
+	halfLife := time.Duration(halfLifeObjectives * float64(b.longestObjective))
+	b.observationHalfLife = min(halfLife, maxObservationHalfLife)
 	b.setLatencyLimits()
 	for _, t := range set.Tenants {
 		b.quotas.Add(t.Name, t.QuotaPerSecond)
--- a/internal/balancer/latency.go
+++ b/internal/balancer/latency.go
@@ -90,12 +90,8 @@
 // one, under the usual load for a usual one. So it gets some requests, but not at once all that the others
 // have no capacity for.
 func (b *Balancer) latencyOfNewServer(s *server) float64 {
-	byLoad := max(
-		b.meanLatency-b.baseline.seconds,
-		b.baseline.seconds,
-	) * float64(
-		s.inFlight,
-	) / (b.typicalInFlight + 1)
+	queueing := max(b.meanLatency-b.baseline.seconds, b.baseline.seconds)
+	byLoad := queueing * float64(s.inFlight) / (b.typicalInFlight + 1)
 	return b.baseline.seconds + byLoad
 }
 
@@ -153,9 +149,7 @@
 		if v := value(top); v > 0 {
 			rank = lowestRankFraction + (1-lowestRankFraction)*value(c.Class)/v
 		}
-		c.latencyLimit = b.latencyLimitFraction * min(
-			seconds(c.LatencyObjective),
-			rank*seconds(top.LatencyObjective),
-		)
+		objective := min(seconds(c.LatencyObjective), rank*seconds(top.LatencyObjective))
+		c.latencyLimit = b.latencyLimitFraction * objective
 	}
 }
--- a/internal/balancer/observe.go
+++ b/internal/balancer/observe.go
@@ -48,11 +48,8 @@
 func (b *Balancer) observeRejected(r *request, a *attempt, e *AttemptDone) {
 	s := a.server
 	s.silentSince = b.now
-	b.recordLatency(
-		s,
-		max(seconds(e.Latency), s.latency, seconds(r.class.LatencyObjective)*affinityFraction),
-		a.inFlightAtSend,
-	)
+	latency := max(seconds(e.Latency), s.latency, seconds(r.class.LatencyObjective)*affinityFraction)
+	b.recordLatency(s, latency, a.inFlightAtSend)
 	b.detectEnd(a, e, r.class)
 }
 
--- a/internal/balancer/probing.go
+++ b/internal/balancer/probing.go
@@ -10,8 +10,7 @@
 // observeFailedProbe.
 
 const (
-	// probeWaitFraction of the objective: how long an answer to a probe is waited for before the next server is
-	// probed.
+	// probeWaitFraction of the objective is how long a probe's answer is waited for before the next probe.
 	probeWaitFraction = 0.05
 	// maxProbesPerRequest is how many servers are probed on behalf of one request.
 	maxProbesPerRequest = 4
@@ -42,8 +41,7 @@
 	return r.probes == maxProbesPerRequest && b.baseline.seconds+b.meanProbeWait <= b.latencyLimit(r)
 }
 
-// probeFirst has the request wait for the server's answer to a probe. The first probed server that answers
-// gets it.
+// probeFirst has the request wait for a probe's answer. The first probed server that answers gets it.
 func (b *Balancer) probeFirst(r *request, s *server) {
 	if r.probes++; !s.probePending {
 		s.probePending, s.probeSentAt = true, b.now
--- a/internal/balancer/rejection.go
+++ b/internal/balancer/rejection.go
@@ -35,9 +35,8 @@
 	if b.mayReject(r) {
 		answer.Kind = Reject
 		if b.settings.Limits.RetryAfter {
-			after := time.Duration(
-				(minRetryAfter + retryAfterSpread*b.rng.Float64()) * float64(r.class.LatencyObjective),
-			)
+			objectives := minRetryAfter + retryAfterSpread*b.rng.Float64()
+			after := time.Duration(objectives * float64(r.class.LatencyObjective))
 			answer.After = min(after, b.settings.Limits.MaxRetryAfter)
 		}
 	}
--- a/internal/balancer/restore.go
+++ b/internal/balancer/restore.go
@@ -90,10 +90,8 @@
 	if m.ReportedAgo > 0 {
 		s.reportedInFlight, s.reportedAt = validAmount(m.ReportedInFlight), b.now-validAge(m.ReportedAgo)-age
 	}
-	s.flapPenalty, s.flapPenaltyAt = min(
-		validAmount(m.FlapPenalty),
-		maxPenaltyMultiple*b.tuning.SuppressLimit,
-	), b.now-age
+	s.flapPenalty = min(validAmount(m.FlapPenalty), maxPenaltyMultiple*b.tuning.SuppressLimit)
+	s.flapPenaltyAt = b.now - age
 	if left := min(m.DampedFor, dampingDuration) - age; left > 0 {
 		s.dampedUntil = b.now + left
 	}
--- a/internal/balancer/retry.go
+++ b/internal/balancer/retry.go
@@ -64,10 +64,8 @@
 // earnRetryTokens credits the retry budgets with a new request.
 func (b *Balancer) earnRetryTokens() {
 	b.retryTokens = min(b.retryTokens+b.tuning.RetryRatio, b.tuning.RetryBurst)
-	b.unprocessedRetryTokens = min(
-		b.unprocessedRetryTokens+b.tuning.UnprocessedRetryRatio,
-		b.tuning.UnprocessedRetryBurst,
-	)
+	earned := b.unprocessedRetryTokens + b.tuning.UnprocessedRetryRatio
+	b.unprocessedRetryTokens = min(earned, b.tuning.UnprocessedRetryBurst)
 }
 
 // spendRetryToken pays for a retry at the server and reports whether the budget allows it; first attempts are
--- a/internal/balancer/saturation.go
+++ b/internal/balancer/saturation.go
@@ -50,8 +50,7 @@
 	return expected > affinityFraction*seconds(r.class.LatencyObjective) && b.exceedsBoundedLoad(s)
 }
 
-// probeIsLate reports whether the server has not answered its probe in the time that the request waits for
-// it.
+// probeIsLate reports whether the server has not answered its probe while the request waited for it.
 func (b *Balancer) probeIsLate(r *request, s *server) bool {
 	return s.probePending && b.trustsProbes() &&
 		float64(b.now-s.probeSentAt) >= probeWaitFraction*float64(r.class.LatencyObjective)
--- a/internal/balancer/select.go
+++ b/internal/balancer/select.go
@@ -73,8 +73,7 @@
 	return nil
 }
 
-// startOfWalk returns the key's place on the ring. A request without a key starts at the less loaded of two
-// random places.
+// startOfWalk returns the key's place on the ring, or without a key the less loaded of two random places.
 func (b *Balancer) startOfWalk(r *request) uint32 {
 	if r.hasKey || len(b.ring.Members()) == 0 {
 		return r.hash
@@ -122,8 +121,7 @@
 	return chosen
 }
 
-// consider returns why the server does not get the request, or notSkipped, and notes in the selection what
-// the server is good for otherwise.
+// consider returns why the server is skipped, or notSkipped, and notes what it is good for otherwise.
 func (b *Balancer) consider(sel *selection, s *server) skipReason {
 	r := sel.request
 	if reason := b.checkPermitted(r, s); reason != notSkipped {
@@ -186,12 +184,8 @@
 		return notSkipped
 	}
 	if !b.relievesWarmServers(s) && b.fairnessCredit(s) < 1 {
-		if credit := b.fairnessCredit(
-			s,
-		) / b.trafficWeight(
-			s,
-		); sel.overFairShare == nil ||
-			credit > sel.overFairShareCredit {
+		credit := b.fairnessCredit(s) / b.trafficWeight(s)
+		if sel.overFairShare == nil || credit > sel.overFairShareCredit {
 			sel.overFairShare, sel.overFairShareCredit = s, credit
 		}
 		return skipOverFairShare
--- a/internal/balancer/tuning.go
+++ b/internal/balancer/tuning.go
@@ -29,8 +29,7 @@
 	}
 }
 
-// withDefaults returns the defaults for the zero value, and an error that names the parameter for values out
-// of range.
+// withDefaults returns the defaults for the zero value, and an error that names a parameter out of range.
 func (t Tuning) withDefaults() (Tuning, error) {
 	if t == (Tuning{}) {
 		return DefaultTuning(), nil
--- a/internal/balancer/weights.go
+++ b/internal/balancer/weights.go
@@ -27,11 +27,8 @@
 	}
 	b.largestWeight, b.maxMemberPoints, b.weightSum, b.anyWarmingUp = 0, 1, 0, false
 	for _, s := range b.ring.Members() {
-		b.largestWeight, b.anyWarmingUp = max(
-			b.largestWeight,
-			b.effectiveWeight(s),
-		), b.anyWarmingUp ||
-			b.warmth(s) < 1
+		b.largestWeight = max(b.largestWeight, b.effectiveWeight(s))
+		b.anyWarmingUp = b.anyWarmingUp || b.warmth(s) < 1
 		b.maxMemberPoints = max(b.maxMemberPoints, s.ringPlace.Points())
 		if !s.outlier.IsEjected() && !s.isDamped(b.now) {
 			b.weightSum += b.trafficWeight(s)
--- a/internal/routing/connecttimeouts.go
+++ b/internal/routing/connecttimeouts.go
@@ -30,10 +30,8 @@
 	if c.gaveUpInARow >= maxEarlyTimeouts {
 		return limit
 	}
-	return min(
-		limit,
-		max(time.Duration(connectFraction*float64(left)), connectMultiple*c.slowest, minConnectTimeout),
-	)
+	wanted := max(time.Duration(connectFraction*float64(left)), connectMultiple*c.slowest, minConnectTimeout)
+	return min(limit, wanted)
 }
 
 // Connected takes in how long a connection took to come up.
--- a/internal/state/folder/directory.go
+++ b/internal/state/folder/directory.go
@@ -57,13 +57,8 @@
 	}
 	lock, err := root.OpenFile(lockName, os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
-		return &rootDirectory{
-			root: root,
-		}, fmt.Errorf(
-			"state: cannot create the lock file in %q: %w",
-			path,
-			err,
-		), nil
+		lockErr := fmt.Errorf("state: cannot create the lock file in %q: %w", path, err)
+		return &rootDirectory{root: root}, lockErr, nil
 	}
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		_, _ = lock.Close(), root.Close() // nothing was written
