--- a/internal/agent/crossings_test.go
+++ b/internal/agent/crossings_test.go
@@ -195,6 +195,9 @@
 		a := newAttempt(&request{Request: &protocol.Request{
 			Method: http.MethodPost, Target: "/rezervare",
 			CorrelationID: "000000000000000a", Class: "rezervare", TimeLeft: time.Minute, Length: -1, Rest: rest,
+			// A streamed body has a beginning: an empty one would be written as the last chunk, and the chunk after it
+			// be read as the next request.
+			Body: []byte("beginning"),
 		}},
 			routing.Output{At: until, Deadline: until, After: time.Minute}, s.clock)
 		edit(a)
