--- a/internal/handover/settings.go
+++ b/internal/handover/settings.go
@@ -19,7 +19,8 @@
 	enabledRetention = time.Hour
 )
 
-// ManualSettings are what operators have set at the operators' door. The names in JSON are older than the fields'.
+// ManualSettings are what operators have set at the operators' door. The names in JSON are older than the
+// fields'.
 type ManualSettings struct {
 	Disabled []routing.DisabledEndpoint `json:"bans"`
 	// Draining: clients are sent to other agents.
