--- a/internal/balancer/outlier/attempt.go
+++ b/internal/balancer/outlier/attempt.go
@@ -7,28 +7,29 @@
 )
 
 const (
-	partialFailureRatio = 0.36 // failures that a server that fails in part is tested for, where few are usual
-	partialOverUsual    = 1.5  // times the usual ratio: the same, where many are usual
-	maxTestedRatio      = 0.95
+	partialFailureRatio = 0.36 // failure ratio that a server is tested for where few failures are usual
+	partialOverUsual    = 1.5  // multiple of the usual ratio that it is tested for where many are usual
+	maxTestedRatio      = 0.95 // maximum failure ratio that a server is tested for
 
 	serverLatencyGain  = 0.08 // weight of a new response in a server's mean latency
-	fleetLatencyGain   = 0.02 // the same over the fleet
-	slowResponseChance = 0.05 // that a response takes as long as was waited: from more on it is slow
+	fleetLatencyGain   = 0.02 // weight of a new response in the fleet's mean latency
+	slowResponseChance = 0.05 // chance of a response after the timeout above which a server is slow
 )
 
-// Attempt is what is noted at the start of an attempt.
+// Attempt is the state that is recorded when an attempt starts.
 type Attempt struct {
 	StartedAt       time.Duration
 	timeout         float32 // seconds
-	expectedLatency float32 // seconds, by what is in flight
+	expectedLatency float32 // seconds, scaled by the number of attempts in flight
 	class           int16
-	inFlight        int16 // of this agent at the server, this one included
+	inFlight        int16 // this agent's attempts at the server, including this one
 }
 
-// AttemptStarted notes the start of an attempt of a class, which times out after so long.
+// AttemptStarted records the start of an attempt of a class with its timeout, and returns the state that
+// AttemptEnded needs.
 func (d *Detector) AttemptStarted(now time.Duration, s *Server, class int, timeout time.Duration) Attempt {
 	if s.isDeprioritized {
-		s.avoidUntil = now + s.holdFor // this one is the probe
+		s.avoidUntil = now + s.holdFor // this attempt is the probe
 	}
 	expected := s.latency * max(float64(s.inFlight+1)/(s.latencyInFlight+1), 1)
 	s.inFlight++
@@ -38,8 +39,8 @@
 	}
 }
 
-// AttemptEnded takes in how an attempt ended, and how long the server took for it: less than has passed where
-// the agent or its client held the response up.
+// AttemptEnded records how an attempt ended and returns the change that follows. The time that the server
+// took is shorter than the elapsed time if the agent or its client delayed the response.
 func (d *Detector) AttemptEnded(now time.Duration, s *Server, a Attempt, outcome Outcome, took time.Duration,
 	e *Evidence,
 ) Change {
@@ -50,7 +51,7 @@
 	switch outcome {
 	case NoEvidence:
 		if s.isEjected && s.isSilent && e.Phase == PhaseAnswering {
-			// A response began, though nobody needed the rest.
+			// The server began to respond before the attempt was canceled: the probe counts as served.
 			s.probesLeft--
 			return d.updateVerdict(now, s)
 		}
@@ -68,12 +69,12 @@
 		return Unchanged
 	case causeConnectionRefused, causeConnectTimeout:
 	default:
-		s.notListening = false // it runs, however badly
+		s.notListening = false // the process runs, although the attempt failed
 	}
 	return d.onFailed(now, s, a, c)
 }
 
-// onAnswered takes in a response, which took so many seconds.
+// onAnswered records a response that took the given number of seconds.
 func (d *Detector) onAnswered(now time.Duration, s *Server, a Attempt, took float64) Change {
 	if s.latency == 0 {
 		s.latency, s.latencyInFlight = took, float64(a.inFlight)
@@ -81,7 +82,7 @@
 	s.latency += serverLatencyGain * (took - s.latency)
 	s.latencyInFlight += serverLatencyGain * (float64(a.inFlight) - s.latencyInFlight)
 	s.lastResponseAt, s.deadEvidence = now, 0
-	s.notListening = s.notListening && s.isEjected // until it is readmitted it still counts as a new process
+	s.notListening = s.notListening && s.isEjected // kept until readmission, as for a new process
 	if s.sinceResponse.total > 0 {
 		s.sinceResponse = causeCounts{}
 	}
@@ -91,7 +92,7 @@
 	}
 	if s.isEjected {
 		if !s.isSilent && a.StartedAt < s.changedAt {
-			return Unchanged // it only ever failed in part: what was in flight before is no probe
+			return Unchanged // it was not silent: an attempt sent before the ejection is no probe
 		}
 		s.probesLeft--
 		return d.updateVerdict(now, s)
@@ -106,7 +107,7 @@
 	return d.onClassAnswered(now, s, a)
 }
 
-// onClassAnswered takes in a response of a class.
+// onClassAnswered records a response of a class. It readmits a server that was ejected for the class.
 func (d *Detector) onClassAnswered(now time.Duration, s *Server, a Attempt) Change {
 	c := s.class(int(a.class))
 	if c == nil {
@@ -122,7 +123,7 @@
 	return ClassReadmitted
 }
 
-// weakenPartialEvidence counts a response against the evidence that a server fails in part.
+// weakenPartialEvidence reduces the evidence of partial failures after a response.
 func (d *Detector) weakenPartialEvidence(s *Server) {
 	s.sinceSuspect.total++
 	for k := range s.partialEvidence {
@@ -136,25 +137,25 @@
 	}
 }
 
-// testedRatio is the ratio of failures that a server that fails in part is tested for, where so many are
-// usual.
+// testedRatio returns the failure ratio that a server is tested for, given the usual ratio at the other
+// servers.
 func testedRatio(usual float64) float64 {
 	return min(max(partialFailureRatio, partialOverUsual*usual), maxTestedRatio)
 }
 
-// onFailed weighs a failure by how unusual its cause is, and a timeout by how likely a response would have
-// come by then.
+// onFailed records a failure as evidence: the more unusual its cause, or for a timeout the more likely an
+// earlier response, the stronger the evidence.
 func (d *Detector) onFailed(now time.Duration, s *Server, a Attempt, c cause) Change {
-	deadRatio := d.usualRatio(s, c)
+	healthyRatio := d.usualRatio(s, c)
 	kind := kindOf(c)
 	partialRatio := d.usualPartialRatio(s, kind)
 	change := Unchanged
 	switch c {
 	case causeStaleConnection:
-		partialRatio = max(partialRatio, deadRatio)
+		partialRatio = max(partialRatio, healthyRatio)
 	case causeNoResponse:
 		t := d.weighTimeout(now, s, a)
-		deadRatio, partialRatio = t.deadRatio, max(partialRatio, t.usualRatio)
+		healthyRatio, partialRatio = t.healthyRatio, max(partialRatio, t.usualRatio)
 		if t.isSlow {
 			partialRatio = 1
 		}
@@ -166,10 +167,10 @@
 	d.count(s, c)
 	s.sinceResponse.add(c)
 	s.sinceSuspect.add(c)
-	if s.deadEvidence -= math.Log(min(deadRatio, 1)); c == causeConnectionRefused {
+	if s.deadEvidence -= math.Log(min(healthyRatio, 1)); c == causeConnectionRefused {
 		s.notListening = true
 	}
-	// What is known of one class is not held against the others.
+	// Late responses of a class that the server is ejected for are no evidence against its other classes.
 	class := s.class(int(a.class))
 	isClassKnown := c == causeLateResponse && class != nil && class.isEjected
 	if tested := testedRatio(partialRatio); partialRatio < tested && !isClassKnown {
@@ -185,31 +186,31 @@
 	return change
 }
 
-// timeout is the evidence of a timeout.
-type timeout struct {
-	slowest    float64 // seconds: the mean time that responses take there now
-	usualRatio float64 // of timeouts
-	deadRatio  float64 // how likely a server that works would be silent for so long
-	isSlow     bool    // a response likely takes as long as was waited, which latency estimates deal with
-	isLate     bool    // it answered others meanwhile: late, rather than silent
+// timeoutEvidence is the evidence of a timeout.
+type timeoutEvidence struct {
+	meanLatency  float64 // seconds; the highest of the estimates for the server
+	usualRatio   float64 // usual ratio of timeouts
+	healthyRatio float64 // probability that a healthy server is silent for this long
+	isSlow       bool    // a response may well take longer than the timeout; latency estimates cover that
+	isLate       bool    // the server answered other attempts meanwhile
 }
 
-// weighTimeout weighs a timeout. A server that answers others, or whose responses take long now, is likelier
-// slow than dead; and where some responses are late everywhere, silence proves less.
-func (d *Detector) weighTimeout(now time.Duration, s *Server, a Attempt) timeout {
-	t := timeout{
-		slowest:    max(s.latency, d.latency, float64(a.expectedLatency)),
-		usualRatio: d.usualTimeoutRatio(s),
-	}
-	t.isSlow = noResponseChance(now-a.StartedAt, t.slowest) > slowResponseChance
+// weighTimeout returns the evidence of a timeout. A server that answers other attempts, or whose responses
+// currently take long, is more likely slow than dead. Where timeouts are usual, silence is weaker evidence.
+func (d *Detector) weighTimeout(now time.Duration, s *Server, a Attempt) timeoutEvidence {
+	t := timeoutEvidence{
+		meanLatency: max(s.latency, d.latency, float64(a.expectedLatency)),
+		usualRatio:  d.usualTimeoutRatio(s),
+	}
+	t.isSlow = noResponseChance(now-a.StartedAt, t.meanLatency) > slowResponseChance
 	silence := now - max(a.StartedAt, s.lastResponseAt)
-	t.deadRatio = max(t.usualRatio, noResponseChance(silence, t.slowest))
+	t.healthyRatio = max(t.usualRatio, noResponseChance(silence, t.meanLatency))
 	t.isLate = 2*silence < now-a.StartedAt
 	return t
 }
 
-// noResponseChance is how likely no response comes in a time by chance, where responses take so many seconds
-// on the mean.
+// noResponseChance returns the probability that a response takes longer than wait, given the mean response
+// time in seconds.
 func noResponseChance(wait time.Duration, mean float64) float64 {
 	if mean <= 0 {
 		return 0
@@ -217,15 +218,15 @@
 	return math.Exp(-seconds(wait) / mean)
 }
 
-// onClassTimeout weighs a timeout at a server that answers others as evidence against its class alone.
-func (d *Detector) onClassTimeout(now time.Duration, s *Server, a Attempt, t timeout) Change {
+// onClassTimeout records a timeout at a server that answers other attempts as evidence against one class.
+func (d *Detector) onClassTimeout(now time.Duration, s *Server, a Attempt, t timeoutEvidence) Change {
 	c := s.class(int(a.class))
 	if c == nil {
 		return Unchanged
 	}
 	c.missed++
 	silence := now - max(a.StartedAt, c.lastResponseAt)
-	c.silenceEvidence -= math.Log(max(t.usualRatio, noResponseChance(silence, t.slowest)))
+	c.silenceEvidence -= math.Log(max(t.usualRatio, noResponseChance(silence, t.meanLatency)))
 	if c.isEjected || c.silenceEvidence < partialEjectionEvidence || c.changedRound == d.round {
 		return Unchanged
 	}
--- a/internal/balancer/outlier/detector.go
+++ b/internal/balancer/outlier/detector.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-const evidenceDecay = 0.977 // in a round: evidence that was not enough loses half its weight in thirty
+const evidenceDecay = 0.977 // factor per round; halves the evidence in thirty rounds
 
 // Detector judges the servers of one agent.
 type Detector struct {
 	objective          time.Duration
 	classes            int
 	servers            []*Server
-	fleet              decayingCounts // of all servers that are not ejected
+	fleet              decayingCounts // sum over all servers that are not ejected
 	round              int
-	latency            float64 // mean time that responses take over the fleet, in seconds
-	localShortages     float64 // attempts that failed by the agent's own shortage; decays with the rounds
+	latency            float64 // mean response time over the fleet, in seconds
+	localShortages     float64 // decayed count of attempts that failed because the agent lacked a resource
 	distrust           distrust
-	ejectedForClass    []int  // servers that are ejected for a class
-	ignoreClassVerdict []bool // classes that too many servers are ejected for
+	ejectedForClass    []int  // number of servers ejected for each class
+	ignoreClassVerdict []bool // classes that too many servers are ejected for; class verdicts are ignored
 }
 
-// New returns a Detector without servers, for that many classes, which are numbered from zero. The objective
-// is the shortest of their latency objectives.
+// New returns a Detector without servers for the given number of classes, which are numbered from zero. The
+// objective is the shortest latency objective of the classes.
 func New(objective time.Duration, classes int) *Detector {
 	return &Detector{
 		objective: objective, classes: classes, round: 1, ejectedForClass: make([]int, classes),
@@ -30,15 +30,15 @@
 	}
 }
 
-// AddServer adds a server of which nothing is known.
+// AddServer adds a server without evidence and returns its state.
 func (d *Detector) AddServer() *Server {
 	s := &Server{classes: make([]classState, d.classes)}
 	d.servers = append(d.servers, s)
 	return s
 }
 
-// ServerRestarted drops what was known of a server's last process. One that is ejected stays so until a probe
-// is served.
+// ServerRestarted discards the evidence of a server's previous process. An ejected server stays ejected until
+// it serves one probe.
 func (d *Detector) ServerRestarted(s *Server) {
 	d.removeFromFleet(s)
 	*s = Server{
@@ -49,7 +49,7 @@
 	d.updateDistrust()
 }
 
-// RemoveServer drops a server. What is still in flight there will say nothing.
+// RemoveServer removes a server. The ends of attempts that are still in flight there are ignored.
 func (d *Detector) RemoveServer(s *Server) {
 	d.removeFromFleet(s)
 	s.isRemoved = true
@@ -59,7 +59,7 @@
 	d.updateDistrust()
 }
 
-// SetPlacement sets whether a server is on the ring now, and whether it is left alone for changing too often.
+// SetPlacement sets whether a server is on the ring and whether flap damping excludes it.
 func (d *Detector) SetPlacement(s *Server, onRing, damped bool) {
 	if now := (placement{onRing, damped}); now != s.placement {
 		s.placement = now
@@ -67,7 +67,7 @@
 	}
 }
 
-// EndRound ends a round: what is long past decays. Reevaluate is to be called for each server after it.
+// EndRound ends a round and decays counts and evidence. The caller must then call Reevaluate for each server.
 func (d *Detector) EndRound() {
 	d.round++
 	d.localShortages *= baselineDecay
@@ -81,5 +81,6 @@
 	d.updateDistrust()
 }
 
-// seconds is Duration.Seconds without its two divisions: it is called for every attempt.
+// seconds converts a duration to seconds. It runs for every attempt and saves the two divisions of
+// Duration.Seconds.
 func seconds(d time.Duration) float64 { return float64(d) * 1e-9 }
--- a/internal/balancer/outlier/distrust.go
+++ b/internal/balancer/outlier/distrust.go
@@ -1,34 +1,35 @@
 package outlier
 
 const (
-	maxEjectedFraction = 0.5 // of the ring: where more is ejected, one cause is likelier
-	manyLocalShortages = 3.0 // attempts, decayed: the agent doubts itself
+	maxEjectedFraction = 0.5 // fraction of the ring; if more is ejected, one common cause is likely
+	manyLocalShortages = 3.0 // decayed count of attempts from which the agent itself may be the cause
 )
 
-// distrust is why verdicts should not be followed.
+// distrust is the reason why verdicts should not be followed.
 type distrust uint8
 
 const (
 	trusted          distrust = iota
-	distrustShortage          // the agent itself is short of something
+	distrustShortage          // the agent itself lacks a resource
 	distrustSilence           // most servers are silent at once
-	distrustAll               // no server is left
+	distrustAll               // all servers are ejected
 )
 
-// distrustTexts stand in log lines.
+// distrustTexts are the reasons as they appear in log lines.
 var distrustTexts = [...]string{
 	trusted: "", distrustShortage: "the agent itself is short of something",
-	distrustSilence: "silent at once: the network near this agent, or what all depend on",
+	distrustSilence: "silent at once: the network near this agent, or a dependency of all servers",
 	distrustAll:     "all of them fail",
 }
 
-// DistrustReason is why verdicts should not be followed now, for the log; empty: they should.
+// DistrustReason returns why verdicts should not be followed now, for the log, or "" if they should be
+// followed.
 func (d *Detector) DistrustReason() string { return distrustTexts[d.distrust] }
 
-// updateDistrust looks for one cause where much of the ring is ejected. Servers that said so, by errors and
-// refused connects, are ejected however many they are, as long as one is left. Silence of most is likelier
-// near this agent: then its verdicts are not to be followed, lest the last servers get the load of all the
-// others.
+// updateDistrust decides whether one common cause explains that much of the ring is ejected. Servers that
+// return errors or refuse connects are ejected however many they are, as long as one server remains. If most
+// are silent, the cause is more likely near this agent: following the verdicts would then move the load of
+// all servers to the last ones.
 func (d *Detector) updateDistrust() {
 	ring, ejected, silent := 0, 0, 0
 	clear(d.ejectedForClass)
--- a/internal/balancer/outlier/evidence.go
+++ b/internal/balancer/outlier/evidence.go
@@ -2,62 +2,62 @@
 
 import "time"
 
-// Outcome is how an attempt ended, by its result alone.
+// Outcome is how an attempt ended, as seen from its result alone.
 type Outcome uint8
 
 // The outcomes.
 const (
 	Answered       Outcome = iota
-	ServerError            // the server said that it failed, or its response was invalid
-	Rejected               // the server would not begin it: never ran
-	TimedOut               // no response in time
-	NotSent                // no connection came up, or it broke before the last byte was written: never ran
-	ConnectionLost         // the connection ended after that
-	NoEvidence             // canceled or never tried: says nothing of the server
+	ServerError            // the server reported a failure or sent an invalid response
+	Rejected               // the server rejected the request without processing it
+	TimedOut               // no response before the timeout
+	NotSent                // no connection, or it broke before the last byte was written; not processed
+	ConnectionLost         // the connection broke after the last byte was written
+	NoEvidence             // canceled or never sent: no information about the server
 )
 
-// Phase is how far an attempt got.
+// Phase is the last phase that an attempt reached.
 type Phase uint8
 
 // The phases.
 const (
 	PhaseUnknown    Phase = iota
-	PhaseConnecting       // no connection came up
-	PhaseWriting          // the request was not completely written
-	PhaseAwaiting         // the request was written, and nothing of a response came
-	PhaseAnswering        // within the response
+	PhaseConnecting       // no connection established
+	PhaseWriting          // request not completely written
+	PhaseAwaiting         // request written, no byte of a response received
+	PhaseAnswering        // response partly received
 )
 
-// Evidence is what the transport knows of an attempt beyond its outcome. The zero value says nothing, as in
-// the simulator.
+// Evidence is what the transport observed of an attempt in addition to its outcome. The zero value contains
+// no observation, as in the simulator.
 type Evidence struct {
 	Phase             Phase
-	ConnectionReused  bool          // the connection had carried an attempt before
-	IdleFor           time.Duration // for how long it had been idle then
-	ConnectionRefused bool          // the machine said that nothing listens there
-	LocalShortage     bool          // the agent itself was short of something, such as descriptors
-	ActedLateBy       time.Duration // by how much the agent was late to act when the attempt's time was up
+	ConnectionReused  bool          // the connection had carried an earlier attempt
+	IdleFor           time.Duration // idle time of a reused connection before the attempt
+	ConnectionRefused bool          // the host reported that nothing listens at the address
+	LocalShortage     bool          // the agent itself lacked a resource, such as file descriptors
+	ActedLateBy       time.Duration // delay between the attempt's timeout and the agent's reaction
 }
 
-// cause is what the end of an attempt is evidence of. Each cause is weighed apart. The order is that of the
-// stored counts by cause: Snapshot.EndsByCause.
+// cause is the cause of a failure. Each cause has a usual ratio of its own. The order of the constants is the
+// order of the stored counts, Snapshot.EndsByCause.
 type cause uint8
 
 const (
-	causeConnectionRefused cause = iota // a dead process on a live machine: hardly ever by chance
-	causeConnectTimeout                 // a connect that never came up
-	causeStaleConnection                // a reset of a reused connection that was idle, likely its own fault
-	causeConnectionReset                // the connection broke, before or within the response
+	causeConnectionRefused cause = iota // a dead process on a running host: hardly ever by chance
+	causeConnectTimeout                 // no connection established
+	causeStaleConnection                // reset of an idle, reused connection: likely no fault of the server
+	causeConnectionReset                // the connection broke before or within the response
 	causeServerError
 	causeInvalidResponse
-	causeNoResponse   // no response to anything, for longer than its responses take
-	causeLateResponse // no response in time, by a server that answers others, or answers slowly
+	causeNoResponse   // no response to any attempt for longer than responses take
+	causeLateResponse // no response in time from a server that answers others
 	causeRejected
 	causeCount
-	causeNone // no evidence against the server: answered, canceled, or the agent's own shortage
+	causeNone // no evidence against the server: answered, canceled, or a shortage of the agent
 )
 
-// causeNames stand in log lines, behind a number of attempts.
+// causeNames are the causes as they appear in log lines, after a number of attempts.
 var causeNames = [causeCount]string{
 	causeConnectionRefused: "refused", causeConnectTimeout: "not connected",
 	causeStaleConnection: "lost while idle", causeConnectionReset: "reset", causeServerError: "failed",
@@ -66,14 +66,14 @@
 }
 
 const (
-	staleAfterIdle       = 50 * time.Millisecond  // a connection that was idle for less was surely still alive
-	maxLateness          = 100 * time.Millisecond // an agent that acts later than this learns nothing of servers
-	quickFailureFraction = 0.25                   // of the timeout: a connect that failed sooner was refused
+	staleAfterIdle       = 50 * time.Millisecond  // minimum idle time of a stale connection
+	maxLateness          = 100 * time.Millisecond // a timeout that the agent handles later is no evidence
+	quickFailureFraction = 0.25                   // of the timeout; faster connect failures count as refused
 )
 
-// cause finds what the end of an attempt is evidence of. Where the transport says nothing, a quick failure to
-// connect is taken for a refused one. Whether a timeout is causeNoResponse or causeLateResponse is for the
-// detector to tell. The times are in seconds.
+// cause returns the cause of an attempt's failure, or causeNone if its end is no evidence against the server.
+// Without observations of the transport, a quick connect failure counts as refused. A timeout without a
+// response is causeNoResponse; the detector decides whether it is causeLateResponse. Times are in seconds.
 func (e *Evidence) cause(outcome Outcome, took, timeout float64) cause {
 	if e.LocalShortage || e.ActedLateBy > maxLateness {
 		return causeNone
@@ -105,7 +105,7 @@
 	return causeNone
 }
 
-// lostConnectionCause distinguishes a connection that had gone stale from one that broke.
+// lostConnectionCause returns causeStaleConnection or causeConnectionReset for a lost connection.
 func (e *Evidence) lostConnectionCause() cause {
 	if e.ConnectionReused && e.IdleFor >= staleAfterIdle && e.Phase != PhaseAnswering {
 		return causeStaleConnection
--- a/internal/balancer/outlier/golden_test.go
+++ b/internal/balancer/outlier/golden_test.go
@@ -12,9 +12,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// checkGolden compares bytes with a golden file, and gives back what the file holds.
+// checkGolden compares bytes with a golden file and returns the file's contents.
 func checkGolden(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
@@ -23,12 +23,12 @@
 	}
 	want, err := os.ReadFile(path)
 	require.NoError(t, err)
-	require.Equal(t, string(want), string(got), "the form of %s has changed", name)
+	require.Equal(t, string(want), string(got), "the encoding in %s has changed", name)
 	return want
 }
 
-// goldenMemory has a value in every field.
-func goldenMemory() Snapshot {
+// goldenSnapshot returns a snapshot with a value in every field.
+func goldenSnapshot() Snapshot {
 	return Snapshot{
 		6.5,
 		[2]float64{1.25, 2.5},
@@ -39,26 +39,26 @@
 	}
 }
 
-// TestMemoryGolden: what is kept of a server over a restart has the same CBOR on disk and the same JSON where
-// it is shown.
-func TestMemoryGolden(t *testing.T) {
+// TestSnapshotGolden checks that the CBOR of a Snapshot, as stored on disk, and its JSON, as shown to operators, do not
+// change.
+func TestSnapshotGolden(t *testing.T) {
 	enc, err := cbor.EncOptions{Sort: cbor.SortCoreDeterministic, ShortestFloat: cbor.ShortestFloat16}.EncMode()
 	require.NoError(t, err)
-	for name, m := range map[string]Snapshot{"memory": goldenMemory(), "memory-empty": {}} {
+	for name, snapshot := range map[string]Snapshot{"memory": goldenSnapshot(), "memory-empty": {}} {
 		t.Run(name, func(t *testing.T) {
-			raw, err := enc.Marshal(m)
+			raw, err := enc.Marshal(snapshot)
 			require.NoError(t, err)
 			var back Snapshot
 			require.NoError(t, cbor.Unmarshal(checkGolden(t, name+".cbor", raw), &back))
-			require.Equal(t, m, back)
-			shown, err := json.MarshalIndent(m, "", " ")
+			require.Equal(t, snapshot, back)
+			shown, err := json.MarshalIndent(snapshot, "", " ")
 			require.NoError(t, err)
 			back = Snapshot{}
 			require.NoError(t, json.Unmarshal(checkGolden(t, name+".json", append(shown, '\n')), &back))
-			require.Equal(t, m, back)
+			require.Equal(t, snapshot, back)
 		})
 	}
-	// The order of the causes is that of ends_by_cause.
+	// The stored ends_by_cause relies on the order of the causes.
 	require.Equal(t, []cause{0, 1, 2, 3, 4, 5, 6, 7, 8, 9},
 		[]cause{causeConnectionRefused, causeConnectTimeout, causeStaleConnection, causeConnectionReset, causeServerError, causeInvalidResponse, causeNoResponse, causeLateResponse, causeRejected, causeCount})
 }
--- a/internal/balancer/outlier/property_test.go
+++ b/internal/balancer/outlier/property_test.go
@@ -9,8 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// history is a random run of attempts, rounds and waits over a few servers.
-func history(t *rapid.T, d *Detector, servers []*Server, each func(*Server, Change)) time.Duration {
+// runRandomEvents makes random attempts, rounds and waits at the servers and returns the time at their end. It calls
+// each for every change of a server, and with nil at the end of a round.
+func runRandomEvents(t *rapid.T, d *Detector, servers []*Server, each func(*Server, Change)) time.Duration {
 	now := time.Second
 	for range rapid.IntRange(0, 300).Draw(t, "events") {
 		now += time.Duration(rapid.IntRange(0, 400).Draw(t, "wait")) * ms
@@ -23,15 +24,17 @@
 			continue
 		}
 		s := rapid.SampledFrom(servers).Draw(t, "server")
-		a := d.AttemptStarted(now-time.Duration(rapid.IntRange(1, 500).Draw(t, "took"))*ms, s, rapid.IntRange(-1, 2).Draw(t, "class"), limit)
+		a := d.AttemptStarted(now-time.Duration(rapid.IntRange(1, 500).Draw(t, "took"))*ms, s,
+			rapid.IntRange(-1, 2).Draw(t, "class"), attemptTimeout)
 		ev := Evidence{Phase: Phase(rapid.IntRange(0, 4).Draw(t, "phase")), ConnectionRefused: rapid.Bool().Draw(t, "refused")}
 		each(s, d.AttemptEnded(now, s, a, Outcome(rapid.IntRange(0, int(NoEvidence)).Draw(t, "end")), now-a.StartedAt, &ev))
 	}
 	return now
 }
 
-func few() (*Detector, []*Server) {
-	d := New(limit, 2)
+// newFourServers returns a detector with four servers on the ring.
+func newFourServers() (*Detector, []*Server) {
+	d := New(attemptTimeout, 2)
 	servers := []*Server{d.AddServer(), d.AddServer(), d.AddServer(), d.AddServer()}
 	for _, s := range servers {
 		d.SetPlacement(s, true, false)
@@ -39,17 +42,17 @@
 	return d, servers
 }
 
-func TestProperties(t *testing.T) {
-	t.Run("one change a round at most, and none without evidence", rapid.MakeCheck(func(t *rapid.T) {
-		d, servers := few()
-		changed := map[*Server]bool{}
-		now := history(t, d, servers, func(s *Server, ch Change) {
+func TestDetectorProperties(t *testing.T) {
+	t.Run("at most one change per round, and none without evidence", rapid.MakeCheck(func(t *rapid.T) {
+		d, servers := newFourServers()
+		changedInRound := map[*Server]bool{}
+		now := runRandomEvents(t, d, servers, func(s *Server, ch Change) {
 			if s == nil {
-				clear(changed)
+				clear(changedInRound)
 			}
 			if ch == ServerEjected || ch == ServerReadmitted {
-				require.False(t, changed[s], "two changes in a round")
-				changed[s] = true
+				require.False(t, changedInRound[s], "two changes in a round")
+				changedInRound[s] = true
 			}
 		})
 		for i := range 20 {
@@ -57,27 +60,27 @@
 			for _, s := range servers {
 				ch := d.Reevaluate(now, s)
 				require.True(t, i == 0 || ch == Unchanged, "a change without evidence")
-				d.AttemptEnded(now, s, d.AttemptStarted(now, s, 0, limit), NoEvidence, ms, &Evidence{})
+				d.AttemptEnded(now, s, d.AttemptStarted(now, s, 0, attemptTimeout), NoEvidence, ms, &Evidence{})
 			}
 		}
 	}))
-	t.Run("a failure makes no server better", rapid.MakeCheck(func(t *rapid.T) {
-		d, servers := few()
-		now := history(t, d, servers, func(*Server, Change) {})
+	t.Run("a failure never improves a verdict", rapid.MakeCheck(func(t *rapid.T) {
+		d, servers := newFourServers()
+		now := runRandomEvents(t, d, servers, func(*Server, Change) {})
 		s := servers[0]
 		for range 30 {
-			before, part := d.Verdict(s, 0), s.partialEvidence
+			verdictBefore, evidenceBefore := d.Verdict(s, 0), s.partialEvidence
 			end := rapid.SampledFrom([]Outcome{ServerError, TimedOut, NotSent, ConnectionLost}).Draw(t, "end")
-			d.AttemptEnded(now, s, d.AttemptStarted(now-limit, s, 0, limit), end, limit, &Evidence{})
-			require.GreaterOrEqual(t, d.Verdict(s, 0), before)
-			require.False(t, s.partialEvidence[0] < part[0] || s.partialEvidence[1] < part[1])
+			d.AttemptEnded(now, s, d.AttemptStarted(now-attemptTimeout, s, 0, attemptTimeout), end, attemptTimeout, &Evidence{})
+			require.GreaterOrEqual(t, d.Verdict(s, 0), verdictBefore)
+			require.False(t, s.partialEvidence[0] < evidenceBefore[0] || s.partialEvidence[1] < evidenceBefore[1])
 		}
 	}))
-	t.Run("a removed server is dropped", rapid.MakeCheck(func(t *rapid.T) {
-		d, servers := few()
-		now := history(t, d, servers, func(*Server, Change) {})
+	t.Run("a removed server has no effect", rapid.MakeCheck(func(t *rapid.T) {
+		d, servers := newFourServers()
+		now := runRandomEvents(t, d, servers, func(*Server, Change) {})
 		removed, rest := servers[0], servers[1:]
-		late := d.AttemptStarted(now, removed, 0, limit)
+		late := d.AttemptStarted(now, removed, 0, attemptTimeout)
 		d.RemoveServer(removed)
 		var sum decayingCounts
 		for _, s := range rest {
--- a/internal/balancer/outlier/rejecting.go
+++ b/internal/balancer/outlier/rejecting.go
@@ -6,21 +6,22 @@
 )
 
 const (
-	rejectingRatio     = 0.5 // of its attempts: what a server that should not be tried now rejects
-	maxUsualRejections = 0.1 // ratio: more is never taken for usual
-	rejectingEvidence  = 5.0 // natural logarithm: two in a row at a quiet time
-	minHoldObjectives  = 0.4 // latency objectives: how long a server that rejects is avoided at first
-	maxHoldObjectives  = 4.0 // the same at the most, after it rejected one probe after another
+	rejectingRatio     = 0.5 // ratio of rejected attempts that a server is tested for
+	maxUsualRejections = 0.1 // maximum usual ratio of rejections
+	rejectingEvidence  = 5.0 // natural logarithm; reached by two rejections in a row at a quiet time
+	minHoldObjectives  = 0.4 // latency objectives; first time for which a rejecting server is avoided
+	maxHoldObjectives  = 4.0 // latency objectives; maximum, after several rejected probes in a row
 )
 
-// onRejected has a server that rejects avoided for a while, twice as long each time that it rejects a probe.
+// onRejected records a rejection. A rejecting server is avoided for a time that doubles with each rejected
+// probe.
 func (d *Detector) onRejected(now time.Duration, s *Server, a Attempt) {
 	s.lastResponseAt = now
 	d.count(s, causeRejected)
 	usual := min(d.usualRatio(s, causeRejected), maxUsualRejections)
 	s.rejectEvidence = min(s.rejectEvidence+math.Log(rejectingRatio/usual), rejectingEvidence)
 	if s.rejectEvidence < rejectingEvidence || a.StartedAt < s.holdUntil {
-		return // what was sent before the hold, or in spite of it, does not extend it
+		return // attempts sent before the end of the hold do not extend it
 	}
 	s.isDeprioritized = true
 	s.holdFor = min(max(2*s.holdFor, d.minHold()), d.maxHold())
@@ -36,7 +37,7 @@
 	return time.Duration(maxHoldObjectives * float64(d.objective))
 }
 
-// weakenRejectEvidence counts a response against the evidence that a server rejects.
+// weakenRejectEvidence reduces the evidence of rejections after a response.
 func (d *Detector) weakenRejectEvidence(s *Server) {
 	usual := min(d.usualRatio(s, causeRejected), maxUsualRejections)
 	s.rejectEvidence = max(0, s.rejectEvidence-math.Log((1-usual)/(1-rejectingRatio)))
--- a/internal/balancer/outlier/server.go
+++ b/internal/balancer/outlier/server.go
@@ -2,56 +2,56 @@
 
 import "time"
 
-// Server is what a Detector knows of one server.
+// Server is a Detector's state of one server.
 type Server struct {
 	classes        []classState
-	recent         decayingCounts // its part of the fleet's counts
-	inFlight       int            // of this agent
+	recent         decayingCounts // its contribution to the fleet's counts
+	inFlight       int            // this agent's attempts
 	lastResponseAt time.Duration
 
-	// latency is the mean time that its responses take, in seconds, and latencyInFlight how many attempts were
-	// in flight when these were sent.
+	// latency is the mean response time in seconds. latencyInFlight is the mean number of attempts in flight
+	// when the answered attempts were sent.
 	latency, latencyInFlight float64
 
 	// The evidence, as sums of natural logarithms.
-	deadEvidence    float64    // that nothing comes of it any more
-	partialEvidence [2]float64 // that it fails in part, by failureKind
-	rejectEvidence  float64    // that it rejects more than is usual
+	deadEvidence    float64    // that the server no longer responds
+	partialEvidence [2]float64 // that it fails a fraction of its attempts, by failureKind
+	rejectEvidence  float64    // that it rejects an unusual fraction of its attempts
 
-	sinceResponse causeCounts // since its last response
-	sinceSuspect  causeCounts // since it was last above suspicion
+	sinceResponse causeCounts // failures since its last response
+	sinceSuspect  causeCounts // attempts since partialEvidence was last zero
 
 	placement
 	isRemoved bool
 
 	isEjected      bool
-	isSilent       bool // ejected because it did not respond, not for its responses
-	notListening   bool // at its address, when it was last tried
+	isSilent       bool // ejected for missing responses, not for errors or refused connects
+	notListening   bool // the last attempt found no listener at its address
 	changedAt      time.Duration
-	changedRound   int // the round of its last ejection or readmission
-	probesRequired int // that must be served one after another
-	probesLeft     int // of these
+	changedRound   int // round of its last ejection or readmission
+	probesRequired int // probes that must be served in a row before readmission
+	probesLeft     int // number of those that are not served yet
 	reason         string
 
-	isDeprioritized bool // it rejects, until enough probes are served
-	holdFor         time.Duration
-	holdUntil       time.Duration
-	avoidUntil      time.Duration // holdUntil, or longer while a probe is in flight
+	isDeprioritized bool          // avoided for its rejections until enough probes are served
+	holdFor         time.Duration // length of the current or last hold
+	holdUntil       time.Duration // end of the hold
+	avoidUntil      time.Duration // holdUntil, or later while a probe is in flight
 }
 
-// placement is what Detector.SetPlacement sets.
+// placement is the state that Detector.SetPlacement sets.
 type placement struct{ onRing, damped bool }
 
-// classState is one class at one server: a server may answer one class and none of another.
+// classState is the state of one class at one server. A server may answer one class and not another.
 type classState struct {
 	silenceEvidence float64 // a sum of natural logarithms
-	missed          int     // attempts without response since the last one
+	missed          int     // attempts without a response since the last response
 	lastResponseAt  time.Duration
 	isEjected       bool
 	changedRound    int
 }
 
-// causeCounts counts ended attempts, for the log and for what probes must prove.
+// causeCounts counts ended attempts by cause, for the log and for the number of probes required.
 type causeCounts struct {
 	total   int
 	byCause [causeCount]int
@@ -62,8 +62,8 @@
 	c.byCause[failure]++
 }
 
-// most is the most frequent cause, and how many failures there were in all.
-func (c *causeCounts) most() (top cause, failed int) {
+// mostFrequent returns the most frequent cause and the total number of failures.
+func (c *causeCounts) mostFrequent() (top cause, failed int) {
 	for i := range c.byCause {
 		if failed += c.byCause[i]; c.byCause[i] > c.byCause[top] {
 			top = cause(i)
@@ -72,7 +72,7 @@
 	return top, failed
 }
 
-// class is the state of a class, nil for a number that is no class's.
+// class returns the state of a class, or nil if there is no class with that number.
 func (s *Server) class(number int) *classState {
 	if number < 0 || number >= len(s.classes) {
 		return nil
@@ -83,27 +83,27 @@
 // IsEjected reports whether the server is ejected for all classes.
 func (s *Server) IsEjected() bool { return s.isEjected }
 
-// ChangedAt is when the server was last ejected or readmitted; zero: never.
+// ChangedAt returns when the server was last ejected or readmitted, or zero if it never was.
 func (s *Server) ChangedAt() time.Duration { return s.changedAt }
 
-// Reason is the evidence of the last change, for the log.
+// Reason returns the evidence for the last change, for the log.
 func (s *Server) Reason() string { return s.reason }
 
-// IsNotListening reports whether nothing listened at its address when it was last tried: it comes back as a
-// new process.
+// IsNotListening reports whether the last attempt found no listener at the server's address. When such a
+// server is back, it is a new process.
 func (s *Server) IsNotListening() bool { return s.notListening }
 
-// IsAvoided reports whether other servers should be tried first, as this one has been rejecting what it got.
+// IsAvoided reports whether other servers should be tried first because this one rejects requests.
 func (s *Server) IsAvoided(now time.Duration) bool { return now < s.avoidUntil }
 
-// isSuspect reports whether there is about half the evidence that ejects a server.
+// isSuspect reports whether there is about half of the evidence that ejects a server.
 func (s *Server) isSuspect() bool {
 	return s.deadEvidence >= suspectEvidence || s.partialEvidence[failureResponse] >= suspectEvidence ||
 		s.partialEvidence[failureNoResponse] >= suspectEvidence
 }
 
-// isProvedBad reports whether the evidence ejects the server.
-func (s *Server) isProvedBad() bool {
+// hasEjectionEvidence reports whether there is enough evidence to eject the server.
+func (s *Server) hasEjectionEvidence() bool {
 	return s.deadEvidence >= ejectionEvidence || s.partialEvidence[failureResponse] >= partialEjectionEvidence ||
 		s.partialEvidence[failureNoResponse] >= partialEjectionEvidence
 }
--- a/internal/balancer/outlier/simulation_test.go
+++ b/internal/balancer/outlier/simulation_test.go
@@ -6,34 +6,34 @@
 	"time"
 )
 
-// fleetSimulation is a fleet of servers with three cores each and one agent that sends to those not ejected, at random:
-// evidence with queues, for the hard cases.
+// fleetSimulation simulates servers with three cores and a queue each, and one agent that sends attempts to random
+// servers that are not ejected. It is for the cases in which queueing matters.
 type fleetSimulation struct {
 	d       *Detector
 	rng     *rand.Rand
 	now     time.Duration
 	servers []*simulatedServer
 	pending endHeap
-	rate    float64 // attempts a second
-	noise   float64
-	ejected map[*simulatedServer]int // how often
+	rate    float64                  // attempts a second
+	noise   float64                  // fraction of all attempts that is reset
+	ejected map[*simulatedServer]int // number of ejections
 }
 
 type simulatedServer struct {
 	*Server
-	free    [3]time.Duration
-	speed   float64
-	fails   float64
+	free    [3]time.Duration // when each core is free
+	speed   float64          // 1 is the usual speed
+	fails   float64          // fraction of the attempts that ends with a server error
 	silent  func(at time.Duration, class int) bool
 	refuses func(at time.Duration) bool
 }
 
 type pendingEnd struct {
-	at    time.Duration
-	to    *simulatedServer
-	noted Attempt
-	end   Outcome
-	ev    Evidence
+	at       time.Duration
+	server   *simulatedServer
+	attempt  Attempt
+	outcome  Outcome
+	evidence Evidence
 }
 
 type endHeap []pendingEnd
@@ -49,7 +49,7 @@
 }
 
 func newFleetSimulation(n int, rate float64) *fleetSimulation {
-	f := &fleetSimulation{d: New(limit, 2), rng: rand.New(rand.NewPCG(3, 4)), rate: rate, ejected: map[*simulatedServer]int{}}
+	f := &fleetSimulation{d: New(attemptTimeout, 2), rng: rand.New(rand.NewPCG(3, 4)), rate: rate, ejected: map[*simulatedServer]int{}}
 	for range n {
 		p := &simulatedServer{Server: f.d.AddServer(), speed: 1}
 		f.d.SetPlacement(p.Server, true, false)
@@ -58,7 +58,8 @@
 	return f
 }
 
-// send makes an attempt at a server that is not ejected, or now and then at any.
+// send starts an attempt at a random server that is not ejected. An ejected one is accepted while verdicts are
+// distrusted, and otherwise with a probability of 5%, as a probe.
 func (f *fleetSimulation) send() {
 	class := f.rng.IntN(4) / 3
 	p := f.servers[f.rng.IntN(len(f.servers))]
@@ -68,7 +69,7 @@
 		}
 		p = f.servers[f.rng.IntN(len(f.servers))]
 	}
-	o := pendingEnd{to: p, noted: f.d.AttemptStarted(f.now, p.Server, class, limit)}
+	end := pendingEnd{server: p, attempt: f.d.AttemptStarted(f.now, p.Server, class, attemptTimeout)}
 	core := &p.free[0]
 	for i := range p.free {
 		if p.free[i] < *core {
@@ -76,34 +77,35 @@
 		}
 	}
 	done := max(f.now, *core) + time.Duration((0.3+0.7*f.rng.ExpFloat64())*100/p.speed*float64(ms))
-	o.at, o.end = done, Answered
+	end.at, end.outcome = done, Answered
 	switch {
 	case p.refuses != nil && p.refuses(f.now):
-		o.at, o.end, o.ev = f.now+ms, NotSent, Evidence{Phase: PhaseConnecting, ConnectionRefused: true}
+		end.at, end.outcome, end.evidence = f.now+ms, NotSent, Evidence{Phase: PhaseConnecting, ConnectionRefused: true}
 	case p.silent != nil && (p.silent(f.now, class) || p.silent(done, class)):
-		o.at, o.end, o.ev = f.now+limit, TimedOut, Evidence{Phase: PhaseAwaiting}
+		end.at, end.outcome, end.evidence = f.now+attemptTimeout, TimedOut, Evidence{Phase: PhaseAwaiting}
 	case f.rng.Float64() < f.noise:
-		o.at, o.end, o.ev = f.now+20*ms, ConnectionLost, Evidence{Phase: PhaseAwaiting}
+		end.at, end.outcome, end.evidence = f.now+20*ms, ConnectionLost, Evidence{Phase: PhaseAwaiting}
 	case f.rng.Float64() < p.fails:
-		o.at, o.end = f.now+3*ms, ServerError
+		end.at, end.outcome = f.now+3*ms, ServerError
 	default:
 		*core = done
-		if done-f.now > limit {
-			o.at, o.end, o.ev = f.now+limit, TimedOut, Evidence{Phase: PhaseAwaiting}
+		if done-f.now > attemptTimeout {
+			end.at, end.outcome, end.evidence = f.now+attemptTimeout, TimedOut, Evidence{Phase: PhaseAwaiting}
 		}
 	}
-	heap.Push(&f.pending, o)
+	heap.Push(&f.pending, end)
 }
 
-// until goes on until a time, and calls each before every round.
-func (f *fleetSimulation) until(end time.Duration, each func()) {
-	for f.now < end {
+// runUntil runs the simulation until a time and calls each, if it is not nil, once a second.
+func (f *fleetSimulation) runUntil(deadline time.Duration, each func()) {
+	for f.now < deadline {
 		next := f.now + time.Duration(f.rng.ExpFloat64()/f.rate*float64(time.Second))
 		for len(f.pending) > 0 && f.pending[0].at <= next {
-			o := heap.Pop(&f.pending).(pendingEnd)
-			f.endRound(o.at)
-			if ch := f.d.AttemptEnded(o.at, o.to.Server, o.noted, o.end, o.at-o.noted.StartedAt, &o.ev); ch == ServerEjected {
-				f.ejected[o.to]++
+			end := heap.Pop(&f.pending).(pendingEnd)
+			f.endRound(end.at)
+			if ch := f.d.AttemptEnded(end.at, end.server.Server, end.attempt, end.outcome, end.at-end.attempt.StartedAt,
+				&end.evidence); ch == ServerEjected {
+				f.ejected[end.server]++
 			}
 		}
 		if f.endRound(next); int(f.now/time.Second) != int(next/time.Second) && each != nil {
@@ -114,7 +116,7 @@
 	}
 }
 
-// endRound ends a round where a second is over.
+// endRound ends the round if its second is over, and reevaluates the servers.
 func (f *fleetSimulation) endRound(now time.Duration) {
 	if int(now/time.Second) >= f.d.round {
 		f.d.EndRound()
@@ -135,6 +137,7 @@
 	return n
 }
 
+// between returns a silence of all classes from one time until another.
 func between(from, to time.Duration) func(time.Duration, int) bool {
 	return func(at time.Duration, _ int) bool { return at >= from && at < to }
 }
--- a/internal/balancer/outlier/snapshot.go
+++ b/internal/balancer/outlier/snapshot.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Snapshot is what a Detector has learned of one server, to be kept over a restart. Its times are relative to
-// when it was taken. How long responses take is not in it: a few responses tell that anew, and what it was
-// before would make the silence of a server that has failed since look like slowness. The tags are the stored
-// form: they keep their names.
+// Snapshot is the learned state of one server, kept over a restart. Its times are relative to when it was
+// taken. It does not contain the latency: a few responses are enough to learn it again, and an old latency
+// would make the silence of a server that has failed since look like slowness. The tags are the stored form
+// and must not change.
 type Snapshot struct {
 	DeadEvidence    float64         `cbor:"2,keyasint,omitempty" json:"dead"`
 	PartialEvidence [2]float64      `cbor:"3,keyasint,omitempty" json:"in_part"` // by failureKind
 	Ejected         bool            `cbor:"4,keyasint,omitempty" json:"down"`
-	Silent          bool            `cbor:"5,keyasint,omitempty" json:"mute"` // ejected as nothing came of it
+	Silent          bool            `cbor:"5,keyasint,omitempty" json:"mute"` // ejected for missing responses
 	NotListening    bool            `cbor:"6,keyasint,omitempty" json:"absent"`
 	ChangedAgo      time.Duration   `cbor:"7,keyasint,omitempty" json:"since_ago_ns"`
 	ProbesRequired  int             `cbor:"8,keyasint,omitempty" json:"trials_asked"`
@@ -21,34 +21,34 @@
 	RejectEvidence  float64         `cbor:"10,keyasint,omitempty" json:"turns"`
 	HoldFor         time.Duration   `cbor:"11,keyasint,omitempty" json:"hold_ns"`
 	AvoidFor        time.Duration   `cbor:"12,keyasint,omitempty" json:"not_now_for_ns"`
-	Ends            float64         `cbor:"13,keyasint,omitempty" json:"ends"` // attempts of late, decayed
+	Ends            float64         `cbor:"13,keyasint,omitempty" json:"ends"` // decayed count of ended attempts
 	EndsByCause     []float64       `cbor:"14,keyasint,omitempty" json:"ends_by_cause,omitempty"`
 	Classes         []ClassSnapshot `cbor:"15,keyasint,omitempty" json:"classes,omitempty"`
 }
 
 // ClassSnapshot is the evidence that a server does not answer one class.
 type ClassSnapshot struct {
-	Class           int     `cbor:"1,keyasint" json:"class"` // its number
+	Class           int     `cbor:"1,keyasint" json:"class"` // class number
 	SilenceEvidence float64 `cbor:"2,keyasint,omitempty" json:"silence"`
 	Missed          int     `cbor:"3,keyasint,omitempty" json:"missed"`
 	Ejected         bool    `cbor:"4,keyasint,omitempty" json:"down"`
 }
 
 const (
-	faultHalfLife  = 30 * time.Second      // in which half of what was known of faulty servers is outdated
-	maxEjectionAge = 2 * faultHalfLife     // from then on, that a server was ejected is evidence like any other
-	maxEvidence    = 10 * ejectionEvidence // it can be more than ejects a server, until the round ends
-	maxEnds        = 1e6                   // attempts
+	faultHalfLife  = 30 * time.Second      // half-life of stored evidence
+	maxEjectionAge = 2 * faultHalfLife     // a stored ejection of this age or older is restored as evidence only
+	maxEvidence    = 10 * ejectionEvidence // above ejectionEvidence, as it can grow until the round ends
+	maxEnds        = 1e6                   // attempts; maximum of a stored count
 )
 
-// Snapshot returns what was learned of a server.
+// Snapshot returns the learned state of a server.
 func (d *Detector) Snapshot(now time.Duration, s *Server) Snapshot {
 	snapshot := Snapshot{
 		DeadEvidence: s.deadEvidence, PartialEvidence: s.partialEvidence, Ejected: s.isEjected,
 		Silent: s.isEjected && s.isSilent, NotListening: s.notListening, RejectEvidence: s.rejectEvidence,
 		AvoidFor: max(s.avoidUntil-now, 0), Ends: s.recent.total,
 	}
-	if s.rejectEvidence >= rejectingEvidence/2 { // with less, it would not be restored
+	if s.rejectEvidence >= rejectingEvidence/2 { // Restore ignores the hold at less evidence
 		snapshot.HoldFor = s.holdFor
 	}
 	if s.isEjected {
@@ -70,8 +70,8 @@
 	return snapshot
 }
 
-// Restore takes over a snapshot of that age of a server of which nothing is known yet. What cannot have been
-// learned is left out.
+// Restore loads a snapshot of the given age into the state of a new server. Values out of range are ignored
+// or limited.
 func (d *Detector) Restore(now time.Duration, s *Server, snapshot Snapshot, age time.Duration) {
 	left := remaining(age)
 	s.deadEvidence = left * validEvidence(snapshot.DeadEvidence, maxEvidence)
@@ -105,7 +105,7 @@
 	d.updateDistrust()
 }
 
-// restoreEjection restores that a server is ejected, or as much evidence as that is worth by now.
+// restoreEjection restores an ejection, or, from maxEjectionAge on, the evidence that is left of it.
 func (d *Detector) restoreEjection(now time.Duration, s *Server, snapshot Snapshot, age time.Duration) {
 	s.notListening = snapshot.NotListening && age < maxEjectionAge
 	if !snapshot.Ejected {
@@ -121,13 +121,13 @@
 	s.probesLeft, s.reason = s.probesRequired, snapshot.Reason
 }
 
-// remaining is the fraction of evidence that is left at an age.
+// remaining returns the fraction of stored evidence that is left at an age.
 func remaining(age time.Duration) float64 { return math.Exp2(-float64(age) / float64(faultHalfLife)) }
 
-// validEvidence is a value that can be, up to a bound; one that cannot be is none.
-func validEvidence(v, most float64) float64 {
+// validEvidence returns a stored value limited to a maximum, or zero if it is negative or not a number.
+func validEvidence(v, limit float64) float64 {
 	if !(v > 0) {
 		return 0
 	}
-	return min(v, most)
+	return min(v, limit)
 }
--- a/internal/balancer/outlier/verdict.go
+++ b/internal/balancer/outlier/verdict.go
@@ -8,26 +8,26 @@
 
 // The evidence is a sum of natural logarithms.
 const (
-	ejectionEvidence        = 13.8 // ends that chance brings once in a million eject a server
-	partialEjectionEvidence = 18.0 // the same for a server that fails in part: its failures come in clusters
-	suspectEvidence         = 7.5  // more than one refused connect makes a server suspect
+	ejectionEvidence        = 13.8 // outcomes that occur once in a million by chance eject a server
+	partialEjectionEvidence = 18.0 // higher for partial failures, which occur in clusters
+	suspectEvidence         = 7.5  // suspect from here on: more than one refused connect
 
-	falseReadmissionChance = 0.05 // that a server that fails in part serves all the probes required
-	maxProbes              = 8
-	maxTestedFailureRatio  = 0.99
+	falseReadmissionChance = 0.05 // probability that a partly failing server serves all required probes
+	maxProbes              = 8    // maximum number of probes required
+	maxTestedFailureRatio  = 0.99 // maximum failure ratio in the number of probes required
 )
 
-// Verdict is what a server is taken for.
+// Verdict is the detector's judgment of a server.
 type Verdict uint8
 
-// The verdicts: a suspect server gets idempotent requests, an ejected one gets probes.
+// The verdicts. A suspect server gets idempotent requests, an ejected one gets probe requests.
 const (
 	Healthy Verdict = iota
 	Suspect
 	Ejected
 )
 
-// Change is what a call changed: of a server, at most once a round, or of one class at it.
+// Change is the change that a call made: to a server, at most once a round, or to one class at a server.
 type Change uint8
 
 // The changes.
@@ -39,8 +39,8 @@
 	ClassReadmitted
 )
 
-// Verdict is what a server is taken for by a request of a class; a number that is no class's goes by the
-// server alone.
+// Verdict returns the verdict on a server for a request of a class. If there is no class with that number, it
+// is the verdict on the server alone.
 func (d *Detector) Verdict(s *Server, class int) Verdict {
 	if s.isEjected {
 		return Ejected
@@ -54,10 +54,11 @@
 	return Healthy
 }
 
-// Reevaluate makes a change that had to wait for its round.
+// Reevaluate makes and returns a change that was delayed because the server had changed in the last round.
 func (d *Detector) Reevaluate(now time.Duration, s *Server) Change { return d.updateVerdict(now, s) }
 
-// updateVerdict makes the change that the evidence asks for, unless there was one in this round.
+// updateVerdict makes and returns the change that the evidence requires, unless the server has changed in
+// this round.
 func (d *Detector) updateVerdict(now time.Duration, s *Server) Change {
 	switch {
 	case s.changedRound == d.round:
@@ -65,7 +66,7 @@
 	case s.isEjected && s.probesLeft <= 0:
 		d.readmit(now, s)
 		return ServerReadmitted
-	case !s.isEjected && s.isProvedBad():
+	case !s.isEjected && s.hasEjectionEvidence():
 		d.eject(now, s)
 		return ServerEjected
 	}
@@ -77,7 +78,7 @@
 		s.probesRequired, s.probesRequired, (now - s.changedAt).Seconds())
 	s.isEjected, s.changedAt, s.changedRound = false, now, d.round
 	s.deadEvidence, s.sinceSuspect, s.sinceResponse = 0, causeCounts{total: 1}, causeCounts{}
-	// It is suspect until it has answered some more: idempotent requests go first.
+	// The server is suspect until it has answered more requests: it gets idempotent ones first.
 	s.partialEvidence = [2]float64{failureResponse: suspectEvidence}
 	d.updateDistrust()
 }
@@ -90,15 +91,16 @@
 	d.updateDistrust()
 }
 
-// setReason sets what a server is ejected for, and how many probes must be served: one where nothing came of
-// it, and where it failed in part so many that it would hardly serve them all by chance.
+// setReason sets the reason for an ejection and the number of probes required: one for a server that does not
+// respond, and for a server that fails a fraction of its attempts so many that it is unlikely to serve them
+// all by chance.
 func (d *Detector) setReason(s *Server) {
 	isDead := s.deadEvidence >= ejectionEvidence
 	counts := &s.sinceSuspect
 	if isDead {
 		counts = &s.sinceResponse
 	}
-	top, failed := counts.most()
+	top, failed := counts.mostFrequent()
 	s.isSilent = top != causeServerError && top != causeInvalidResponse && top != causeConnectionRefused
 	s.probesRequired = 1
 	if !isDead {
