--- a/internal/balancer/probation/example_test.go
+++ b/internal/balancer/probation/example_test.go
@@ -7,7 +7,7 @@
 	"dunestep/internal/balancer/probation"
 )
 
-// An old list of one server that responds: it is sent one request at a time, then more, and is proved by four responses.
+// A server of an old list responds: it gets one request at a time at first, then more, and is proven by four responses.
 func Example() {
 	var list probation.List
 	list.Start(probation.Trust(time.Hour, 15*time.Minute))
--- a/internal/balancer/probation/list_test.go
+++ b/internal/balancer/probation/list_test.go
@@ -7,14 +7,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestList: requests wait while servers are to be proved, until their deadline.
-func TestList(t *testing.T) {
+// TestRequestsWaitForProvenServers checks that requests wait while servers are unproven, until their deadline.
+func TestRequestsWaitForProvenServers(t *testing.T) {
 	var l List
 	r := Request{LatencyObjective: 500 * ms, MaxAttempts: 2}
 	r.WaitUntil = l.WaitDeadline(r, 0, time.Second)
 	require.Equal(t, 200*ms, r.WaitUntil)
-	require.Equal(t, r.WaitUntil, l.WaitDeadline(r, 100*ms, time.Second), "what it was given the first time holds")
-	require.False(t, l.ShouldWait(r, 0), "nothing is to be proved")
+	require.Equal(t, r.WaitUntil, l.WaitDeadline(r, 100*ms, time.Second), "a request keeps its first deadline")
+	require.False(t, l.ShouldWait(r, 0), "there is no unproven server")
 	l.Start(1)
 	s := l.Add()
 	require.True(t, l.ShouldWait(r, 0))
@@ -28,34 +28,34 @@
 		s.AttemptSent()
 	}
 	require.False(t, l.AttemptEnded(s, 0, Served))
-	require.True(t, l.AttemptEnded(s, 0, Served), "from a limit of four")
-	require.False(t, l.ShouldWait(r, 0), "all are proved")
+	require.True(t, l.AttemptEnded(s, 0, Served), "two responses prove a server whose limit starts at four")
+	require.False(t, l.ShouldWait(r, 0), "all servers are proven")
 	l.Add()
 	l.ListConfirmed()
 	require.False(t, l.ShouldWait(r, 0))
 }
 
-// TestOutlook: an untested server counts only while none responds: such a one would have been selected.
+// TestOutlook checks that an untested server counts only while no server responds.
 func TestOutlook(t *testing.T) {
-	answers, silent, dead, busy := NewServer(0), NewServer(0), NewServer(0), NewServer(0)
-	for _, s := range []*Server{answers, busy} {
+	answering, untested, held, busy := NewServer(0), NewServer(0), NewServer(0), NewServer(0)
+	for _, s := range []*Server{answering, busy} {
 		s.AttemptSent()
 		s.AttemptEnded(0, Served)
 	}
-	busy.holdUntil, dead.holdUntil = time.Hour, time.Hour
-	mayHave := func(permitted bool, servers ...*Server) bool {
+	busy.holdUntil, held.holdUntil = time.Hour, time.Hour
+	mayHaveCapacity := func(permitted bool, servers ...*Server) bool {
 		var o Outlook
 		for _, s := range servers {
 			o.Add(s, permitted, 100*ms)
 		}
 		return o.MayHaveCapacity()
 	}
-	require.False(t, mayHave(true))
-	require.True(t, mayHave(true, answers))
-	require.True(t, mayHave(true, nil, answers))
-	require.False(t, mayHave(false, answers))
-	require.True(t, mayHave(true, silent))
-	require.False(t, mayHave(true, dead))
-	require.False(t, mayHave(true, silent, nil), "the proved one would have had it")
-	require.False(t, mayHave(true, silent, busy))
+	require.False(t, mayHaveCapacity(true))
+	require.True(t, mayHaveCapacity(true, answering))
+	require.True(t, mayHaveCapacity(true, nil, answering))
+	require.False(t, mayHaveCapacity(false, answering))
+	require.True(t, mayHaveCapacity(true, untested))
+	require.False(t, mayHaveCapacity(true, held))
+	require.False(t, mayHaveCapacity(true, untested, nil), "a proven server responds, so that untested servers do not count")
+	require.False(t, mayHaveCapacity(true, untested, busy))
 }
--- a/internal/balancer/probation/request_test.go
+++ b/internal/balancer/probation/request_test.go
@@ -9,7 +9,8 @@
 
 const ms = time.Millisecond
 
-// TestNeedsAnsweringServer: a request that is not idempotent, or has been at a bad server, does until it has waited.
+// TestNeedsAnsweringServer checks that a request that is not idempotent, or of which an attempt has ended, needs an
+// answering server until its wait is over.
 func TestNeedsAnsweringServer(t *testing.T) {
 	require.False(t, Request{Idempotent: true}.NeedsAnsweringServer(0))
 	for _, r := range []Request{{}, {Idempotent: true, HasEndedAttempt: true}} {
--- a/internal/balancer/probation/server.go
+++ b/internal/balancer/probation/server.go
@@ -3,43 +3,43 @@
 import "time"
 
 const (
-	provenLimit       = 16 // attempts in flight: four responses, from a limit of one
-	trustedStartLimit = 4  // attempts in flight, of a list that was confirmed just now; of an old one it is one
-	maxFailures       = 3  // in a row, of a server that has responded, before it is left alone
+	provenLimit       = 16 // attempts in flight; reached by four responses from a limit of one
+	trustedStartLimit = 4  // attempts in flight at first on a list confirmed just now; one on an old list
+	maxFailures       = 3  // consecutive failures after which a server that has responded is avoided
 
-	minHold      = time.Second // how long a server that did not respond is left alone at first
-	maxHold      = 8 * time.Second
-	rejectedHold = 200 * time.Millisecond // the same of one that rejected: it runs, at least
+	minHold      = time.Second            // first time for which a server that did not respond is avoided
+	maxHold      = 8 * time.Second        // maximum of that time
+	rejectedHold = 200 * time.Millisecond // time for which a server that rejected is avoided: its process runs
 )
 
-// Outcome is how an attempt ended, as far as it is evidence of the server.
+// Outcome is how an attempt ended, as evidence about the server.
 type Outcome uint8
 
 // The outcomes.
 const (
-	NoEvidence Outcome = iota // nothing is learned of the server
+	NoEvidence Outcome = iota // no information about the server
 	Served
-	Rejected // it runs, and has no capacity now
-	Failed   // in any other way
+	Rejected // the process runs but has no capacity now
+	Failed   // any other failure
 )
 
-// Server is what is known of one server of the list.
+// Server is the state of one server of the list.
 type Server struct {
-	limit               int // attempts that may be in flight
+	limit               int // maximum number of attempts in flight
 	inFlight            int
-	isAnswering         bool // it has responded, and goes on to, as far as is known
+	isAnswering         bool // it has responded, without maxFailures failures in a row since
 	consecutiveFailures int
-	holdFor             time.Duration
-	holdUntil           time.Duration // left alone until then
+	holdFor             time.Duration // length of the last hold
+	holdUntil           time.Duration // the server is avoided until then
 }
 
-// NewServer returns a server of which nothing is known, of a list that is trusted so far: see Trust.
+// NewServer returns the initial state of a server of a list with the given trust: see Trust.
 func NewServer(trust float64) *Server {
 	return &Server{limit: 1 + int(trust*(trustedStartLimit-1)+0.5)}
 }
 
-// HasCapacity reports whether one more attempt may go to the server now. Where the request needs an answering
-// server, see Request.NeedsAnsweringServer, it must have responded to others.
+// HasCapacity reports whether one more attempt may go to the server now. If the request needs an answering
+// server, see Request.NeedsAnsweringServer, the server must have responded before.
 func (s *Server) HasCapacity(now time.Duration, needsAnswering bool) bool {
 	return now >= s.holdUntil && s.inFlight < s.limit && (s.isAnswering || !needsAnswering)
 }
@@ -47,13 +47,13 @@
 // IsAnswering reports whether the server has responded, and has not failed several times in a row since.
 func (s *Server) IsAnswering() bool { return s.isAnswering }
 
-// MayHaveCapacity reports whether the server can have proved itself, or have capacity, by a time.
+// MayHaveCapacity reports whether the server can be proven, or can have capacity, by a time.
 func (s *Server) MayHaveCapacity(by time.Duration) bool { return s.inFlight > 0 || s.holdUntil < by }
 
-// AttemptSent notes an attempt.
+// AttemptSent records the start of an attempt.
 func (s *Server) AttemptSent() { s.inFlight++ }
 
-// AttemptEnded notes the end of an attempt, and reports whether it proves the server.
+// AttemptEnded records the end of an attempt and reports whether it proves the server.
 func (s *Server) AttemptEnded(now time.Duration, outcome Outcome) (proved bool) {
 	s.inFlight--
 	switch outcome {
@@ -75,19 +75,19 @@
 	return s.limit >= provenLimit
 }
 
-// ShouldHedge reports whether a request whose first attempt goes to the server goes to another one at the
-// same time: half of an unconfirmed list may be dead, and to find that out by waiting costs the request its
+// ShouldHedge reports whether a request whose first attempt goes to the server is sent to another one at the
+// same time. Half of an unconfirmed list may be dead, and waiting for a dead server costs the request its
 // time.
 func (s *Server) ShouldHedge(r Request) bool {
 	return !s.isAnswering && r.Idempotent && r.MayHedge && r.Attempts == 0 && r.MaxAttempts >= 2
 }
 
-// AttemptTimeout bounds how long an attempt of the request at the server may take: less than the limit where
-// the server has not responded yet and the request can be retried. The usual latency is zero where it is not
-// known.
+// AttemptTimeout returns the timeout of an attempt of the request at the server. It is at most the limit, and
+// shorter if the server has not responded yet and the request can be retried. The usual latency is zero if
+// unknown.
 func (s *Server) AttemptTimeout(r Request, limit, usualLatency time.Duration) time.Duration {
 	if !s.isAnswering && r.Idempotent && r.Attempts+1 < r.MaxAttempts {
-		limit = min(limit, TrialTimeout(r.LatencyObjective, usualLatency))
+		limit = min(limit, UnprovenTimeout(r.LatencyObjective, usualLatency))
 	}
 	return limit
 }
