--- a/internal/balancer/slowstart/doc.go
+++ b/internal/balancer/slowstart/doc.go
@@ -1,10 +1,10 @@
-// Package slowstart limits how much one agent may send to an upstream server that warms up, or that is
+// Package slowstart limits how much one agent may send to an upstream server that is warming up, or that is
 // ejected and gets probe requests, so that all agents together do not overload it.
 //
-// Each agent keeps a Budget for each such server, filled in proportion to what it sends a warm one. No agent
-// knows what the others send: what keeps their sum below the limit is that each one's fill rate is a fraction
-// of its own traffic, and that the fractions of a request with which they start are random.
+// Each agent keeps a Budget for each such server, filled in proportion to its own traffic to a warm server.
+// No agent knows what the others send. Their sum stays below the limit because each fill rate is a fraction
+// of the agent's own traffic, and because budgets start with a random fraction of a request.
 //
-// There is no input or output here, and no clock: every call brings the time. The same calls give the same
-// answers, to the last digit. A Budget is not safe for concurrent use.
+// The package does no I/O and has no clock: the caller passes the current time. The same calls give the same
+// results, bit for bit. A Budget is not safe for concurrent use.
 package slowstart
--- a/internal/balancer/slowstart/slowstart.go
+++ b/internal/balancer/slowstart/slowstart.go
@@ -3,24 +3,25 @@
 import "time"
 
 const (
-	probeFraction      = 0.05 // of what a warm server gets: the probe requests of an ejected one
-	minProbesPerSecond = 0.5  // of all agents together, or a quiet fleet would not notice that a server is back
-	burstsPerWindow    = 6    // parts of the overload window: a budget holds what is filled in one of them
+	probeFraction      = 0.05 // of the rate to a warm server: rate of probe requests to an ejected one
+	minProbesPerSecond = 0.5  // of all agents together, so that a quiet fleet notices a recovered server
+	burstsPerWindow    = 6    // parts of the overload window; a budget saves at most the fill of one part
 )
 
-// Params are the deployment's rules of servers that warm up, and how much of what they permit is used.
+// Params are the deployment's rules for servers that warm up, and the fraction of the permitted rate that is
+// used.
 type Params struct {
-	InitialCapacity  float64       // fraction of its capacity that a server has at least when it starts
-	Duration         time.Duration // after which it is warm
-	OverloadMultiple float64       // times its capacity: a server that gets more
-	OverloadWindow   time.Duration // for this long is overloaded
-	Margin           float64       // fraction of the multiple that is used
-	MaxOfWarm        float64       // times what a warm server gets: the most
-	Balancers        int           // agents that share the probe requests
+	InitialCapacity  float64       // minimum fraction of its capacity that a server has when it starts
+	Duration         time.Duration // of the warm-up
+	OverloadMultiple float64       // multiple of its capacity above which a server is overloaded
+	OverloadWindow   time.Duration // time for which the load must exceed that multiple
+	Margin           float64       // fraction of OverloadMultiple that is used
+	MaxOfWarm        float64       // maximum rate as a multiple of the rate to a warm server
+	Balancers        int           // number of agents that share the probe requests
 }
 
-// CapacityFraction is the fraction of its capacity, from 0 to 1, that a server surely has which started or
-// came back at a time; since zero: long ago.
+// CapacityFraction returns the minimum fraction of its capacity, from 0 to 1, of a server that started or
+// recovered at the time since. Zero means long ago and gives 1.
 func (p *Params) CapacityFraction(now, since time.Duration) float64 {
 	age := now - since
 	if since == 0 || age >= p.Duration {
@@ -29,9 +30,9 @@
 	return p.InitialCapacity + (1-p.InitialCapacity)*max(float64(age)/float64(p.Duration), 0)
 }
 
-// fillRate is how much a server gets, in work units a second: what a warm one gets, scaled by the capacity
-// and kept well below the multiple. The probe requests of an ejected one come at a lower rate. Neither grows
-// with the number of agents.
+// fillRate returns the rate of a budget in work units a second: the rate to a warm server, scaled by the
+// capacity and kept well below the overload multiple. The rate of probe requests to an ejected server is
+// lower. Neither rate grows with the number of agents.
 func (p *Params) fillRate(capacity, warmRate float64, kind Traffic) float64 {
 	rate := min(p.Margin*p.OverloadMultiple*capacity, p.MaxOfWarm) * warmRate
 	if kind == Probes {
@@ -40,7 +41,7 @@
 	return rate
 }
 
-// Traffic is what a budget is for.
+// Traffic is the kind of traffic that a budget limits.
 type Traffic uint8
 
 // The kinds of traffic.
@@ -49,31 +50,32 @@
 	Probes                 // probe requests to an ejected one
 )
 
-// Budget is what one agent may send to one server while that warms up or gets probe requests.
+// Budget is what one agent may send to one server while the server warms up or gets probe requests.
 type Budget struct {
 	units     float64 // work units
 	updatedAt time.Duration
 }
 
-// Start starts a budget with a random fraction of one request, from 0 to 1: of many agents that each may send
-// far less than a request a second, as many send one at once as their fractions add up to.
+// Start starts a budget with a random fraction of one request, from 0 to 1. Many agents that each may send
+// far less than a request a second thus together send as many at once as their fractions add up to.
 func (b *Budget) Start(now time.Duration, fraction float64) { b.units, b.updatedAt = fraction, now }
 
-// Spend takes off what was sent, in work units.
+// Spend deducts sent work units from the budget.
 func (b *Budget) Spend(units float64) { b.units -= units }
 
-// HasCapacity reports whether one more request of a kind may go to the server now. The capacity is
-// Params.CapacityFraction, the warmRate what this agent sends a warm server in work units a second, and the
-// weight how large the server is, from 0 to 1, the largest being 1.
+// HasCapacity reports whether one more request of a kind may go to the server now. The capacity is the result
+// of Params.CapacityFraction, warmRate is this agent's rate to a warm server in work units a second, and
+// weight is the size of the server relative to the largest, from 0 to 1.
 func (b *Budget) HasCapacity(
 	p *Params, now time.Duration, capacity, warmRate, weight float64, kind Traffic,
 ) bool {
 	rate := p.fillRate(capacity, warmRate, kind) * min(weight, 1)
-	most := max(1, rate*seconds(p.OverloadWindow)/burstsPerWindow)
-	b.units = min(b.units+rate*seconds(now-b.updatedAt), most)
+	limit := max(1, rate*seconds(p.OverloadWindow)/burstsPerWindow)
+	b.units = min(b.units+rate*seconds(now-b.updatedAt), limit)
 	b.updatedAt = now
 	return b.units >= 1
 }
 
-// seconds is Duration.Seconds without its two divisions: it is called for every request.
+// seconds converts a duration to seconds. It runs for every request and saves the two divisions of
+// Duration.Seconds.
 func seconds(d time.Duration) float64 { return float64(d) * 1e-9 }
--- a/internal/balancer/slowstart/slowstart_test.go
+++ b/internal/balancer/slowstart/slowstart_test.go
@@ -12,7 +12,7 @@
 	Margin: 0.5, MaxOfWarm: 0.75, Balancers: 10,
 }
 
-// TestCapacityFraction: the capacity grows evenly from the initial one until a server is warm.
+// TestCapacityFraction checks that the capacity grows linearly from the initial one until the server is warm.
 func TestCapacityFraction(t *testing.T) {
 	start := time.Hour
 	for age, want := range map[time.Duration]float64{
@@ -20,10 +20,10 @@
 	} {
 		require.InDelta(t, want, testParams.CapacityFraction(start+age, start), 1e-9, age)
 	}
-	require.InDelta(t, 1, testParams.CapacityFraction(start, 0), 0, "a start of long ago")
+	require.InDelta(t, 1, testParams.CapacityFraction(start, 0), 0, "zero means a start long ago")
 }
 
-// TestBudgetFillsAtItsRate: over a long time, as many requests are sent as the rate permits.
+// TestBudgetFillsAtItsRate checks that over a long time as many requests are sent as the rate permits.
 func TestBudgetFillsAtItsRate(t *testing.T) {
 	for name, tt := range map[string]struct {
 		capacity, warmRate, weight float64
@@ -33,7 +33,7 @@
 		"initial capacity":    {0.25, 20, 1, Regular, 5},
 		"warm":                {1, 20, 1, Regular, 15},
 		"half the weight":     {0.25, 20, 0.5, Regular, 2.5},
-		"more than the most":  {0.25, 20, 3, Regular, 5},
+		"weight above 1":      {0.25, 20, 3, Regular, 5},
 		"probes":              {1, 20, 1, Probes, 1},
 		"probes, quiet fleet": {1, 0.01, 1, Probes, 0.05},
 	} {
@@ -53,8 +53,8 @@
 	}
 }
 
-// TestBudgetSavesOneBurst: what was not sent for a long time is not sent all at once.
-func TestBudgetSavesOneBurst(t *testing.T) {
+// TestBudgetLimitsBurst checks that a budget that was not used for a long time permits one short burst only.
+func TestBudgetLimitsBurst(t *testing.T) {
 	var b Budget
 	b.Start(0, 0.5)
 	burst := 0
@@ -62,6 +62,6 @@
 		b.Spend(1)
 		burst++
 	}
-	require.Equal(t, 2, burst, "a sixth of the window, at 5 a second: 2.5")
+	require.Equal(t, 2, burst, "the burst is a sixth of the 3 s window at 5 a second, 2.5 requests")
 	require.False(t, b.HasCapacity(&testParams, time.Hour, 0.25, 20, 1, Regular))
 }
