--- a/internal/balancer/inflight/accounts.go
+++ b/internal/balancer/inflight/accounts.go
@@ -1,48 +1,48 @@
 package inflight
 
-// All in usual requests.
+// Limits in usual requests: one is the charge of a request that takes the mean time.
 const (
-	// creditFactor is how much more than their fraction accounts are credited, so that keys can stay with their
-	// owners where owners are not as even as keys are. It is also the most by which a server is loaded above the
-	// mean.
+	// creditFactor is the multiple of its fraction that each account is credited. The surplus lets keys stay
+	// with their owners where the load is less even over owners than over keys. It is also the maximum load of a
+	// server relative to the mean.
 	creditFactor = 1.3
-	// maxCredit is the most that is saved up: a server that was left alone does not get a burst from each of
-	// hundreds of agents.
+	// maxCredit is the maximum credit. It keeps a server that got nothing for a while from getting a burst from
+	// each of hundreds of agents.
 	maxCredit = 1.5
-	// minCredit bounds the debt, so that what was long ago does not exclude a server.
+	// minCredit limits the debt, so that requests of long ago do not exclude a server.
 	minCredit = -8.0
-	// minExtraCharge and maxExtraCharge bound what a request's time adds to what it was charged when it was
-	// sent: a quick response was a request all the same, and a long wait shows no more than a fault.
+	// minExtraCharge and maxExtraCharge limit what the time of a request adds to its charge when it ends: a
+	// quick response was still a request, and a long wait indicates a fault rather than load.
 	minExtraCharge, maxExtraCharge = -0.7, 8.0
 )
 
-// meanSamples is how many requests the usual time is a decaying mean of.
+// meanSamples is the number of requests that the decaying mean time covers.
 const meanSamples = 100.0
 
-// Accounts is one agent's view of its servers. The zero value is empty and ready to use.
+// Accounts is one agent's state of all its servers. The zero value is empty and ready to use.
 type Accounts struct {
-	charged     float64 // to all accounts, usual requests
-	meanSeconds float64 // that a request takes
-	samples     float64 // of the mean, up to meanSamples
+	charged     float64 // sum of all charges, in usual requests
+	meanSeconds float64 // mean time of a request
+	samples     float64 // number of requests in the mean, up to meanSamples
 }
 
-// Account is one server's. The zero value is not open yet.
+// Account is the account of one server. The zero value is not open yet.
 type Account struct {
 	credit      float64 // usual requests
-	chargedSeen float64 // of Accounts.charged, what the credit takes into account
+	chargedSeen float64 // value of Accounts.charged up to which credit is included
 	isOpen      bool
 }
 
-// Open gives an account its first credit, once: a random fraction, from 0 to 1, of the most, so that many
-// agents do not send their first requests to the same server.
+// Open gives an account that is not open yet its first credit: a random fraction, from 0 to 1, of maxCredit,
+// so that many agents do not send their first requests to the same server.
 func (b *Accounts) Open(a *Account, fraction float64) {
 	if !a.isOpen {
 		*a = Account{credit: maxCredit * fraction, chargedSeen: b.charged, isOpen: true}
 	}
 }
 
-// Credit returns what the account has left, in usual requests: with one or more, the server has capacity for
-// a request. The fraction, from 0 to 1, is the server's of the capacity of all that may be sent to.
+// Credit returns the credit of an account in usual requests. The server has capacity for a request if it is
+// at least one. The fraction, from 0 to 1, is the server's fraction of the capacity of all usable servers.
 func (b *Accounts) Credit(a *Account, fraction float64) float64 {
 	a.credit = max(min(a.credit+creditFactor*fraction*(b.charged-a.chargedSeen), maxCredit), minCredit)
 	a.chargedSeen = b.charged
@@ -52,8 +52,8 @@
 // RequestSent charges a request by its work, in usual requests.
 func (b *Accounts) RequestSent(a *Account, work float64) { b.charge(a, work) }
 
-// RequestEnded charges the time of a request beyond the usual, or gives back what it took less, in seconds. A
-// time that is not above zero changes nothing.
+// RequestEnded charges the time of a request beyond the mean, or refunds what it took less. The time is in
+// seconds; one that is not above zero changes nothing.
 func (b *Accounts) RequestEnded(a *Account, seconds float64) {
 	if !(seconds > 0) {
 		return
--- a/internal/balancer/inflight/accounts_test.go
+++ b/internal/balancer/inflight/accounts_test.go
@@ -8,29 +8,28 @@
 	"pgregory.net/rapid"
 )
 
-// TestChargedNoMoreThanItsFraction: whatever comes, in whatever order and however long it takes, a server that is only sent
-// what its account has credit for is never charged more than its fraction, with a little in addition, and what may be
-// saved up.
-func TestChargedNoMoreThanItsFraction(t *testing.T) {
+// TestChargesStayWithinFraction checks for random requests that a server that gets only what its account has credit
+// for is never charged more than its fraction with the surplus, plus the maximum credit.
+func TestChargesStayWithinFraction(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		parts := rapid.SliceOfN(rapid.Float64Range(0.01, 1), 2, 20).Draw(t, "sizes")
+		sizes := rapid.SliceOfN(rapid.Float64Range(0.01, 1), 2, 20).Draw(t, "sizes")
 		sum := 0.0
-		for _, p := range parts {
-			sum += p
+		for _, size := range sizes {
+			sum += size
 		}
 		var all Accounts
-		accounts, sent := make([]Account, len(parts)), make([]float64, len(parts))
+		accounts, sent := make([]Account, len(sizes)), make([]float64, len(sizes))
 		for i := range accounts {
 			all.Open(&accounts[i], rapid.Float64Range(0, 1).Draw(t, "fraction"))
 		}
-		forced := make([]float64, len(parts))
+		forced := make([]float64, len(sizes))
 		for range rapid.IntRange(1, 300).Draw(t, "requests") {
-			at, looked := rapid.IntRange(0, len(parts)-1).Draw(t, "owner"), 0
-			for ; all.Credit(&accounts[at], parts[at]/sum) < 1 && looked < len(parts); looked++ {
-				at = (at + 1) % len(parts) // to the next owner
+			at, looked := rapid.IntRange(0, len(sizes)-1).Draw(t, "owner"), 0
+			for ; all.Credit(&accounts[at], sizes[at]/sum) < 1 && looked < len(sizes); looked++ {
+				at = (at + 1) % len(sizes) // the next owner
 			}
-			if looked == len(parts) {
-				forced[at]++ // as at the beginning, when no account has a whole request
+			if looked == len(sizes) {
+				forced[at]++ // no account has the credit for a request, as at the beginning
 			}
 			all.RequestSent(&accounts[at], 1)
 			sent[at]++
@@ -40,15 +39,15 @@
 			total += n
 		}
 		for i, n := range sent {
-			require.LessOrEqual(t, n, creditFactor*parts[i]/sum*total+maxCredit+forced[i]+1e-9)
+			require.LessOrEqual(t, n, creditFactor*sizes[i]/sum*total+maxCredit+forced[i]+1e-9)
 		}
 	})
 }
 
-// TestSlowServersGetLess: a server that takes three times as long gets about a third of what would all go to it; one whose
-// requests time out gets less still.
-func TestSlowServersGetLess(t *testing.T) {
-	for _, tt := range []struct{ took, least, most float64 }{{1, 1, 1}, {3, 0.28, 0.55}, {8, 0.1, 0.25}} {
+// TestSlowServerGetsFewerRequests checks that a server that is tried first for each request gets about a third as many
+// requests as another one if it takes three times as long, and still fewer if its requests time out.
+func TestSlowServerGetsFewerRequests(t *testing.T) {
+	for _, tt := range []struct{ took, minShare, maxShare float64 }{{1, 1, 1}, {3, 0.28, 0.55}, {8, 0.1, 0.25}} {
 		var all Accounts
 		accounts, sent := make([]Account, 10), make([]int, 10)
 		for range 20000 {
@@ -69,11 +68,13 @@
 			all.RequestEnded(&accounts[at], took)
 		}
 		share := float64(sent[0]) / float64(sent[1])
-		require.True(t, share >= tt.least-0.02 && share <= tt.most+0.02, "%v times as long: %v", tt.took, share)
+		require.True(t, share >= tt.minShare-0.02 && share <= tt.maxShare+0.02,
+			"server that takes %v times as long: share %v", tt.took, share)
 	}
 }
 
-// TestAccountsStayBounded: a time that cannot be changes nothing, and neither debts nor savings grow without bound.
+// TestAccountsStayBounded checks that an invalid time changes nothing, and that neither debt nor credit exceeds its
+// limit.
 func TestAccountsStayBounded(t *testing.T) {
 	var all Accounts
 	var a Account
--- a/internal/balancer/inflight/example_test.go
+++ b/internal/balancer/inflight/example_test.go
@@ -6,7 +6,7 @@
 	"dunestep/internal/balancer/inflight"
 )
 
-// Of two servers with equal capacity one takes ten times as long: it is sent fewer requests.
+// One of two servers with equal capacity takes ten times as long, and gets fewer requests.
 func Example() {
 	var accounts inflight.Accounts
 	var quick, slow inflight.Account
@@ -14,13 +14,13 @@
 	accounts.Open(&slow, 0.5)
 	sent := map[*inflight.Account]int{}
 	for range 1000 {
-		to, took := &quick, 0.02
+		account, took := &quick, 0.02
 		if accounts.Credit(&slow, 0.5) > accounts.Credit(&quick, 0.5) {
-			to, took = &slow, 0.2
+			account, took = &slow, 0.2
 		}
-		accounts.RequestSent(to, 1)
-		accounts.RequestEnded(to, took)
-		sent[to]++
+		accounts.RequestSent(account, 1)
+		accounts.RequestEnded(account, took)
+		sent[account]++
 	}
 	fmt.Println("quick", sent[&quick], "slow", sent[&slow])
 	// Output:
