--- a/internal/balancer/quota/bucket.go
+++ b/internal/balancer/quota/bucket.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	minBurst      = 3.0 // requests: a small agent meets a tenant now and then, not evenly
+	minBurst      = 3.0 // requests; at a small agent the requests of a tenant arrive unevenly
 	surgeHalfLife = 250 * time.Millisecond
 )
 
@@ -17,18 +17,18 @@
 	updatedAt time.Duration
 }
 
-// burst is the most that is saved up at a rate in requests a second.
+// burst returns the maximum number of tokens at a rate in requests a second.
 func burst(rate float64) float64 { return max(rate, minBurst) }
 
-// refill adds the tokens since the last refill, at a rate in requests a second.
+// refill adds the tokens accrued since the last refill at a rate in requests a second.
 func (b *bucket) refill(now time.Duration, rate float64) {
 	b.tokens = min(b.tokens+rate*(now-b.updatedAt).Seconds(), burst(rate))
 	b.updatedAt = now
 }
 
-// surgeRate is how many requests came in the last moments. Means over rounds take seconds to follow when
-// clients move here from another agent; until then their requests would look beyond their tenants' quotas,
-// though all agents together get no more than before.
+// surgeRate measures the request rate of the last moments. Means over rounds take seconds to follow when
+// clients move to this agent from another one. Until then their requests would seem to exceed their tenants'
+// quotas, although all agents together receive no more than before.
 type surgeRate struct {
 	weight    float64 // requests, decayed
 	updatedAt time.Duration
@@ -41,14 +41,14 @@
 
 func (s *surgeRate) decay(now time.Duration) {
 	if now == s.updatedAt {
-		return // it is asked several times for each request
+		return // decay is called several times for each request
 	}
 	s.weight *= math.Exp2(-float64(now-s.updatedAt) / float64(surgeHalfLife))
 	s.updatedAt = now
 }
 
-// lowerBound is the rate in requests a second that the weight stands for, less two standard deviations of
-// chance: an agent that gets a request now and then sees no surge in each.
+// lowerBound returns the request rate that corresponds to the weight, in requests a second, minus two
+// standard deviations, so that single requests at a quiet agent do not count as a surge.
 func (s *surgeRate) lowerBound(now time.Duration) float64 {
 	s.decay(now)
 	return max(s.weight-math.Sqrt(2*s.weight), 0) * math.Ln2 / surgeHalfLife.Seconds()
--- a/internal/balancer/quota/doc.go
+++ b/internal/balancer/quota/doc.go
@@ -1,10 +1,10 @@
 // Package quota estimates whether a request is likely beyond its tenant's quota, at one of several agents
-// that see a fraction of the traffic each.
+// that each receive a fraction of the traffic.
 //
-// A quota is the whole service's. This agent's fraction of it is its fraction of all arrivals: the mean
-// arrivals over all agents are found by gossip, where each agent moves halfway to what it receives. No
-// message makes a quota larger for good: what is received decays with each round.
+// A quota applies to the whole service. An agent's fraction of it is its fraction of all arrivals. The agents
+// find the mean arrivals per agent by gossip: each agent moves its mean halfway to every mean that it
+// receives. No message can enlarge a quota permanently, because received means decay with each round.
 //
-// There is no input or output here, and no clock: every call brings the time. The same calls give the same
-// answers, to the last digit. A Tracker is not safe for concurrent use.
+// The package does no I/O and has no clock: the caller passes the current time. The same calls give the same
+// results, bit for bit. A Tracker is not safe for concurrent use.
 package quota
--- a/internal/balancer/quota/tracker.go
+++ b/internal/balancer/quota/tracker.go
@@ -8,27 +8,27 @@
 
 const (
 	roundGain = 0.3 // weight of a round's arrivals in the means
-	peerGain  = 0.5 // weight of the mean that another agent sends
-	// meanSettleTime is how long the mean arrivals over all agents take, from the first request on, until they
-	// can be used: they start at nothing, and by too low a total every tenant would look within its quota.
+	peerGain  = 0.5 // weight of a mean that another agent sent
+	// meanSettleTime is the time from the first request until the mean arrivals over all agents have settled.
+	// They start at zero; with too low a total, every tenant would seem to be within its quota.
 	meanSettleTime = 8 * time.Second
 )
 
 // Tracker tracks the tenants' quotas at one agent.
 type Tracker struct {
-	balancers float64 // agents
+	balancers float64 // number of agents
 	hasGossip bool
 	tenants   map[string]*bucket
-	inOrder   []*bucket // in the order of Add, for a total that is the same each time
-	totalRate float64   // of all quotas, requests a second
+	inOrder   []*bucket // in the order of Add, so that each sum over them is the same
+	totalRate float64   // sum of all quotas, requests a second
 
 	arrivedThisRound    float64 // requests
 	localRate, meanRate float64 // requests a second here, and the mean over all agents
 	surge               surgeRate
-	settledBy           time.Duration // see meanSettleTime; zero: no request yet
+	settledBy           time.Duration // end of meanSettleTime; zero before the first request
 }
 
-// New returns the Tracker of one of so many agents. With gossip, they exchange their arrivals.
+// New returns the Tracker of one of the given number of agents. With gossip, they exchange their arrivals.
 func New(balancers int, hasGossip bool) *Tracker {
 	return &Tracker{balancers: float64(balancers), hasGossip: hasGossip, tenants: map[string]*bucket{}}
 }
@@ -41,9 +41,9 @@
 }
 
 // SetRate changes a tenant's quota, in requests a second, from now on; zero or less is unlimited. Its bucket
-// stays as full as it was, in proportion, so that a tenant can neither spend what it saved by a larger quota
-// nor is rejected because its quota has just grown; one that was unlimited starts with a full bucket. An
-// unknown tenant, the quota that it has already, and one that is not a finite number change nothing.
+// keeps its ratio of tokens to capacity, so that a tenant can neither spend tokens saved under a larger quota
+// nor is rejected because its quota has just grown. A tenant that was unlimited starts with a full bucket. An
+// unknown tenant, an unchanged quota and a quota that is not a finite number have no effect.
 func (t *Tracker) SetRate(now time.Duration, tenant string, perSecond float64) {
 	b := t.tenants[tenant]
 	if b == nil || perSecond == b.perSecond || math.IsNaN(perSecond) || math.IsInf(perSecond, 0) {
@@ -61,11 +61,11 @@
 	}
 }
 
-// SetBalancers sets the number of live agents, at least one, from now on: the mean that they tell one another
-// is over those.
+// SetBalancers sets the number of live agents, at least one, over which the exchanged mean is taken from now
+// on.
 func (t *Tracker) SetBalancers(balancers int) { t.balancers = float64(max(balancers, 1)) }
 
-// IsOverQuota counts a request, and reports whether it is likely beyond its tenant's quota.
+// IsOverQuota counts a request and reports whether it is likely beyond its tenant's quota.
 func (t *Tracker) IsOverQuota(now time.Duration, tenant string) bool {
 	t.settledBy = cmp.Or(t.settledBy, now+meanSettleTime)
 	t.arrivedThisRound++
@@ -82,8 +82,8 @@
 	return false
 }
 
-// ArrivalFraction is this agent's fraction of all arrivals, from 0 to 1. Without gossip it is found as if all
-// traffic together were as large as the quotas.
+// ArrivalFraction returns this agent's fraction of all arrivals, from 0 to 1. Without gossip, it assumes that
+// all arrivals together equal the sum of the quotas.
 func (t *Tracker) ArrivalFraction(now time.Duration) float64 {
 	local := t.localRate
 	if now >= t.settledBy {
@@ -98,8 +98,8 @@
 	return min(local/t.totalRate, 1)
 }
 
-// EndRound ends a round of a second. It returns the mean to send to other agents, in requests a second, or
-// false where there are no quotas.
+// EndRound ends a round of one second. It returns the mean for the other agents, in requests a second, and
+// whether to send it, which is false without quotas.
 func (t *Tracker) EndRound() (mean float64, send bool) {
 	t.localRate += roundGain * (t.arrivedThisRound - t.localRate)
 	t.arrivedThisRound = 0
@@ -107,20 +107,21 @@
 	return t.meanRate, t.totalRate > 0
 }
 
-// RecordPeerMean takes in the mean that another agent sends, in requests a second.
+// RecordPeerMean records the mean that another agent sent, in requests a second.
 func (t *Tracker) RecordPeerMean(mean float64) { t.meanRate += peerGain * (mean - t.meanRate) }
 
-// Rates are the arrivals here and the mean over all agents, in requests a second.
+// Rates returns the arrivals at this agent and the mean over all agents, in requests a second.
 func (t *Tracker) Rates() (local, mean float64) { return t.localRate, t.meanRate }
 
-// Restore takes over what Rates returned before a restart.
+// Restore restores the rates that Rates returned before a restart.
 func (t *Tracker) Restore(now time.Duration, local, mean float64) {
 	if t.localRate, t.meanRate = local, mean; mean > 0 {
 		t.settledBy = now
 	}
 }
 
-// Tokens is what a tenant has saved up, in requests, and when that was so; zero for an unknown one.
+// Tokens returns the tokens of a tenant, in requests, and the time of their last refill. Both are zero for an
+// unknown tenant.
 func (t *Tracker) Tokens(tenant string) (requests float64, at time.Duration) {
 	if b := t.tenants[tenant]; b != nil {
 		return b.tokens, b.updatedAt
@@ -128,7 +129,7 @@
 	return 0, 0
 }
 
-// SetTokens takes over what Tokens returned before a restart; an unknown tenant's are dropped.
+// SetTokens restores what Tokens returned before a restart. It ignores an unknown tenant.
 func (t *Tracker) SetTokens(tenant string, requests float64, at time.Duration) {
 	if b := t.tenants[tenant]; b != nil {
 		b.tokens, b.updatedAt = requests, at
--- a/internal/balancer/quota/tracker_test.go
+++ b/internal/balancer/quota/tracker_test.go
@@ -11,9 +11,9 @@
 	"dunestep/internal/balancer/quota"
 )
 
-// TestSetRateKeepsTheFill: whatever quotas a tenant is given at whatever times, its bucket is as full after each as it was
-// before; a quota that is the same, is not a number, or is of an unknown tenant changes nothing at all.
-func TestSetRateKeepsTheFill(t *testing.T) {
+// TestSetRateKeepsFillRatio checks that a bucket has the same ratio of tokens to capacity before and after a change of
+// the quota, and that an unchanged quota, one that is not finite, and one of an unknown tenant have no effect.
+func TestSetRateKeepsFillRatio(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		start := rapid.Float64Range(-1, 1000).Draw(t, "first quota")
 		tracker, same := quota.New(2, true), quota.New(2, true)
@@ -22,7 +22,7 @@
 			b.Add("other", 7)
 		}
 		now, rate := time.Duration(0), start
-		most := func(rate float64) float64 { return max(rate*tracker.ArrivalFraction(now), 3) }
+		capacity := func(rate float64) float64 { return max(rate*tracker.ArrivalFraction(now), 3) }
 		for range rapid.IntRange(1, 20).Draw(t, "sets") {
 			now += time.Duration(rapid.IntRange(0, 5000).Draw(t, "wait")) * time.Millisecond
 			for range rapid.IntRange(0, 30).Draw(t, "requests") {
@@ -31,21 +31,21 @@
 			tracker.SetRate(now, "acme", rate)
 			tracker.SetRate(now, "acme", math.NaN())
 			tracker.SetRate(now, "acme", math.Inf(1))
-			tracker.SetRate(now, "nobody", 5)
+			tracker.SetRate(now, "unknown", 5)
 			next := rapid.Float64Range(-1, 1000).Draw(t, "quota")
 			before, at := tracker.Tokens("acme")
-			full := min(before+rate*tracker.ArrivalFraction(now)*(now-at).Seconds(), most(rate)) / most(rate)
+			fullness := min(before+rate*tracker.ArrivalFraction(now)*(now-at).Seconds(), capacity(rate)) / capacity(rate)
 			if rate <= 0 {
-				full = 1
+				fullness = 1
 			}
 			tracker.SetRate(now, "acme", next)
 			if after, at := tracker.Tokens("acme"); next != rate {
 				require.Equal(t, now, at)
-				require.InDelta(t, full*most(next), after, 1e-6)
+				require.InDelta(t, fullness*capacity(next), after, 1e-6)
 			}
 			rate = next
 		}
-		for i := range 100 { // one that was set to what it had goes on as one that was not
+		for i := range 100 { // no call has an effect
 			same.SetRate(now+time.Duration(i)*time.Millisecond, "acme", start)
 			same.SetRate(now+time.Duration(i)*time.Millisecond, "other", math.NaN())
 		}
@@ -56,8 +56,9 @@
 	})
 }
 
-// TestSetRateMovesTheTotal: without gossip, the agent's fraction goes by the quotas as they are now.
-func TestSetRateMovesTheTotal(t *testing.T) {
+// TestSetRateChangesArrivalFraction checks that, without gossip, the agent's fraction follows the sum of the current
+// quotas.
+func TestSetRateChangesArrivalFraction(t *testing.T) {
 	tracker := quota.New(2, false)
 	tracker.Add("acme", 10)
 	tracker.Add("other", 10)
