--- a/internal/balancer/ring/example_test.go
+++ b/internal/balancer/ring/example_test.go
@@ -6,7 +6,7 @@
 	"dunestep/internal/balancer/ring"
 )
 
-// A member that leaves gives its keys to the next one on the walk, and has them again when it is back.
+// The keys of a member that leaves move to the next member on the walk, and back when it rejoins.
 func Example() {
 	members := ring.New[string](100)
 	places := map[string]*ring.Place[string]{}
@@ -22,11 +22,11 @@
 	members.Leave(places[owner])
 	fmt.Println("without", owner+":", members.Owner(key))
 	members.Join(owner, owner)
-	fmt.Println("with it again:", members.Owner(key))
+	fmt.Println("after it rejoined:", members.Owner(key))
 	// Output:
 	// s-2
 	// s-1
 	// s-3
 	// without s-2: s-1
-	// with it again: s-2
+	// after it rejoined: s-2
 }
--- a/internal/balancer/ring/ring.go
+++ b/internal/balancer/ring/ring.go
@@ -8,44 +8,45 @@
 	farm "github.com/dgryski/go-farm"
 )
 
-// Hash is the position of a key on a ring.
+// Hash returns the position of a key on a ring.
 func Hash(key string) uint32 { return farm.Fingerprint32([]byte(key)) }
 
-// Ring is a ring whose members stand for values of type V.
+// Ring is a ring whose members have values of type V.
 type Ring[V any] struct {
 	pointsPerMember int
 	byName          map[string]*Place[V]
-	places          []*Place[V] // by number; nil: the number is free
+	places          []*Place[V] // by number; nil if the number is free
 	freeNumbers     []uint32
 	names           []string  // of the members, sorted
-	members         []V       // in the same order
-	arcs            [][]point // equal parts of the ring, as many as a power of two, each sorted
-	shift           int       // bits: of a hash, to the number of its arc
-	points          int       // of all places
-	walkCount       uint64
+	members         []V       // their values, in the same order
+	arcs            [][]point // equal parts of the ring, a power of two in number, each sorted
+	shift           int       // bits by which a hash is shifted to the number of its arc
+	points          int       // number of points of all places
+	walkCount       uint64    // number of walks so far
 }
 
-// Place is what a ring knows of one name, from its first Join until Remove.
+// Place is the state of one name on a ring, from its first join until Remove.
 type Place[V any] struct {
 	value    V
 	name     string
 	number   uint32
-	points   int
+	points   int // number of points
 	isMember bool
-	lastWalk uint64 // the number of the last walk that visited it
+	lastWalk uint64 // number of the last walk that visited it
 }
 
-// point is a position on the ring in its upper half, and the number of its place in the lower: one word, as a
-// ring of 5,000 members has half a million points.
+// point is a position on the ring in its upper half and the number of its place in its lower half. It is one
+// word because a ring of 5,000 members has half a million points.
 type point uint64
 
 func (p point) hash() uint32   { return uint32(p >> 32) }
 func (p point) number() uint32 { return uint32(p) }
 
-// maxArcPoints is the most points that an arc has on average: few enough to be moved when one is inserted.
+// maxArcPoints is the maximum mean number of points of an arc, so that an insertion moves few points.
 const maxArcPoints = 16
 
-// New returns a ring without members. Each that joins by Join will have so many points, at least one.
+// New returns a ring without members. Each member that joins by Join has pointsPerMember points, at least
+// one.
 func New[V any](pointsPerMember int) *Ring[V] {
 	return &Ring[V]{
 		pointsPerMember: max(pointsPerMember, 1), byName: map[string]*Place[V]{},
@@ -53,7 +54,8 @@
 	}
 }
 
-// Join makes a name a member, or has it take part again with the points and the value that it had.
+// Join makes a name a member and returns its place. A name that already has a place keeps its points and its
+// value.
 func (r *Ring[V]) Join(name string, value V) *Place[V] {
 	p := r.byName[name]
 	if p == nil {
@@ -62,8 +64,8 @@
 	return r.join(p)
 }
 
-// JoinWithPoints is Join with so many points, whatever it had before. A member without points is visited by
-// no walk; a negative number is none.
+// JoinWithPoints is like Join but sets the number of points. A member without points is not visited by walks.
+// A negative number counts as zero.
 func (r *Ring[V]) JoinWithPoints(name string, value V, points int) *Place[V] {
 	p := r.byName[name]
 	if p == nil {
@@ -74,17 +76,17 @@
 	return r.join(p)
 }
 
-// SetPoints gives a place so many points, member or not; the first of those that it had stay. A place that
-// was removed is left as it is.
+// SetPoints sets the number of points of a place, which need not be a member. The points that both numbers
+// have in common stay. A removed place is not changed.
 func (r *Ring[V]) SetPoints(p *Place[V], points int) {
 	if p == nil || r.places[p.number] != p {
 		return
 	}
 	points = max(points, 0)
-	was := p.points
+	old := p.points
 	p.points = points
-	r.addPoints(p, was, points)
-	r.removePoints(p, points, was)
+	r.addPoints(p, old, points)
+	r.removePoints(p, points, old)
 }
 
 // join makes a place a member.
@@ -98,7 +100,7 @@
 	return p
 }
 
-// addPlace makes a place for a new name, with its points.
+// addPlace adds a place with its points for a new name.
 func (r *Ring[V]) addPlace(name string, value V, points int) *Place[V] {
 	p := &Place[V]{value: value, name: name, number: uint32(len(r.places)), points: points}
 	if n := len(r.freeNumbers); n > 0 {
@@ -112,7 +114,7 @@
 	return p
 }
 
-// addPoints puts the points of a place on the ring, from one number up to another.
+// addPoints adds the points of a place with the numbers from <= i < to.
 func (r *Ring[V]) addPoints(p *Place[V], from, to int) {
 	r.points += max(to-from, 0)
 	for r.points > maxArcPoints*len(r.arcs) {
@@ -125,7 +127,7 @@
 	})
 }
 
-// removePoints takes the points of a place off the ring, from one number up to another.
+// removePoints removes the points of a place with the numbers from <= i < to.
 func (r *Ring[V]) removePoints(p *Place[V], from, to int) {
 	r.points -= max(to-from, 0)
 	r.eachPoint(p, from, to, func(q point) {
@@ -136,8 +138,8 @@
 	})
 }
 
-// Leave has a place take no part until it joins again; walks pass its points over. It reports whether it was
-// a member.
+// Leave ends the membership of a place until it joins again. Walks skip its points. It reports whether the
+// place was a member.
 func (r *Ring[V]) Leave(p *Place[V]) bool {
 	if !p.IsMember() {
 		return false
@@ -148,7 +150,7 @@
 	return true
 }
 
-// Remove removes a place and its points. Without it, a ring grows with every name that ever joined.
+// Remove removes a place and its points. Without it, a ring would grow with every name that ever joined.
 func (r *Ring[V]) Remove(p *Place[V]) {
 	if p == nil || r.places[p.number] != p {
 		return
@@ -159,17 +161,17 @@
 	r.places[p.number], r.freeNumbers = nil, append(r.freeNumbers, p.number)
 }
 
-// IsMember reports whether a place takes part; nil does not.
+// IsMember reports whether a place is a member. It is false for nil.
 func (p *Place[V]) IsMember() bool { return p != nil && p.isMember }
 
-// Members are the values of the members, sorted by name: valid until the next one joins or leaves, and not to
-// be changed.
+// Members returns the values of the members, sorted by name. The slice is valid until the next join or leave,
+// and must not be changed.
 func (r *Ring[V]) Members() []V { return r.members }
 
-// Points counts the points of all places, members or not.
+// Points returns the number of points of all places, members or not.
 func (r *Ring[V]) Points() int { return r.points }
 
-// Points counts the points of a place; nil has none.
+// Points returns the number of points of a place, and zero for nil.
 func (p *Place[V]) Points() int {
 	if p == nil {
 		return 0
@@ -184,7 +186,8 @@
 	left := len(r.members)
 	first := r.arcOf(hash)
 	from, _ := slices.BinarySearch(r.arcs[first], point(hash)<<32)
-	// Once round, arc by arc: the first one from the hash on, and in the end its points before the hash.
+	// Once around the ring, arc by arc. The first arc is visited twice: first from the hash on, and at the end
+	// for its points before the hash.
 	for i := 0; i <= len(r.arcs) && left > 0; i++ {
 		for _, q := range r.arcs[(first+i)&(len(r.arcs)-1)][from:] {
 			p := r.places[q.number()]
@@ -200,16 +203,16 @@
 	}
 }
 
-// Owner is the first member clockwise from a hash; the zero value where there is none.
+// Owner returns the first member clockwise from a hash, or the zero value if there is none.
 func (r *Ring[V]) Owner(hash uint32) (owner V) {
 	r.Walk(hash, func(v V) bool { owner = v; return false })
 	return owner
 }
 
-// arcOf is the number of the arc that a hash is on.
+// arcOf returns the number of the arc that contains a hash.
 func (r *Ring[V]) arcOf(hash uint32) int { return int(uint64(hash) >> r.shift) }
 
-// split halves the arcs. Points stay in order.
+// split splits each arc into two halves. The points stay in order.
 func (r *Ring[V]) split() {
 	r.shift--
 	arcs := make([][]point, 0, 2*len(r.arcs))
@@ -221,8 +224,8 @@
 	r.arcs = arcs
 }
 
-// compare is the order of points: by hash, and of two with the same hash by name, which is the same on every
-// ring.
+// compare orders points by hash, and points with the same hash by name, so that the order is the same on
+// every ring.
 func (r *Ring[V]) compare(p, q point) int {
 	if p.hash() != q.hash() {
 		return cmp.Compare(p.hash(), q.hash())
@@ -230,8 +233,8 @@
 	return cmp.Compare(r.places[p.number()].name, r.places[q.number()].name)
 }
 
-// eachPoint calls each for the points of a place from one number up to another. To hash them again costs less
-// than to keep them.
+// eachPoint calls each for the points of a place with the numbers from <= i < to. Computing their hashes
+// again costs less than storing them.
 func (r *Ring[V]) eachPoint(p *Place[V], from, to int, each func(point)) {
 	name := append(make([]byte, 0, 64), p.name...)
 	for i := from; i < to; i++ {
--- a/internal/balancer/ring/ring_test.go
+++ b/internal/balancer/ring/ring_test.go
@@ -11,7 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// clockwise is the walk by brute force: every member with points, by its nearest point, of two alike by name.
+// clockwise returns the walk from a hash by brute force: all members with points, ordered by their nearest point and,
+// for equal points, by name.
 func clockwise(members []string, points map[string]int, hash uint32) []string {
 	nearest := map[string]uint32{}
 	members = slices.DeleteFunc(slices.Clone(members), func(name string) bool { return points[name] == 0 })
@@ -28,39 +29,40 @@
 	return order
 }
 
-// TestRingIsItsMembers: whoever joined and left before, in whatever order, the walk is what brute force says of the present
-// members, and of removed ones nothing is left.
-func TestRingIsItsMembers(t *testing.T) {
+// TestRingDependsOnMembersOnly checks that after random changes a walk visits the current members in the order that
+// brute force gives, whatever members joined and left before, and that removed members leave no points or places
+// behind.
+func TestRingDependsOnMembersOnly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		perMember := rapid.IntRange(1, 40).Draw(t, "perMember")
 		r, places, members := New[string](perMember), map[string]*Place[string]{}, map[string]bool{}
-		points := map[string]int{} // of those that are known
+		points := map[string]int{} // of all places
 		for range rapid.IntRange(1, 60).Draw(t, "changes") {
-			n := fmt.Sprint("s", rapid.IntRange(0, 30).Draw(t, "of"))
+			name := fmt.Sprint("s", rapid.IntRange(0, 30).Draw(t, "name"))
 			switch rapid.SampledFrom([]string{"join", "join", "join with points", "set points", "leave", "remove"}).Draw(t, "change") {
 			case "join":
-				if _, known := points[n]; !known {
-					points[n] = perMember
+				if _, known := points[name]; !known {
+					points[name] = perMember
 				}
-				places[n], members[n] = r.Join(n, n), true
+				places[name], members[name] = r.Join(name, name), true
 			case "join with points":
-				points[n] = rapid.IntRange(0, 80).Draw(t, "points")
-				places[n], members[n] = r.JoinWithPoints(n, n, points[n]), true
+				points[name] = rapid.IntRange(0, 80).Draw(t, "points")
+				places[name], members[name] = r.JoinWithPoints(name, name, points[name]), true
 			case "set points":
-				to := rapid.IntRange(-1, 80).Draw(t, "points")
-				if _, known := points[n]; known {
-					points[n] = max(to, 0)
+				count := rapid.IntRange(-1, 80).Draw(t, "points")
+				if _, known := points[name]; known {
+					points[name] = max(count, 0)
 				}
-				r.SetPoints(places[n], to) // also one that was removed, or never joined
+				r.SetPoints(places[name], count) // also of a removed place, or of nil
 			case "leave":
-				require.Equal(t, members[n], r.Leave(places[n]))
-				delete(members, n)
+				require.Equal(t, members[name], r.Leave(places[name]))
+				delete(members, name)
 			case "remove":
-				r.Remove(places[n]) // also one that was removed before
-				delete(members, n)
-				delete(points, n)
+				r.Remove(places[name]) // also a place that was removed before
+				delete(members, name)
+				delete(points, name)
 			}
-			require.Equal(t, members[n], places[n].IsMember())
+			require.Equal(t, members[name], places[name].IsMember())
 		}
 		sum, onArcs := 0, 0
 		for _, n := range points {
@@ -72,25 +74,25 @@
 		require.Equal(t, sum, r.Points())
 		require.Equal(t, sum, onArcs)
 		require.Equal(t, len(points), len(r.places)-len(r.freeNumbers))
-		now := append([]string{}, r.Members()...)
-		require.True(t, slices.IsSorted(now))
-		require.Len(t, members, len(now))
+		current := append([]string{}, r.Members()...)
+		require.True(t, slices.IsSorted(current))
+		require.Len(t, members, len(current))
 		for range 20 {
 			hash := rapid.Uint32().Draw(t, "hash")
-			if len(now) > 0 && rapid.Bool().Draw(t, "at a point") {
-				hash = Hash(fmt.Sprint(now[0], rapid.IntRange(0, perMember-1).Draw(t, "point")))
+			if len(current) > 0 && rapid.Bool().Draw(t, "at a point") {
+				hash = Hash(fmt.Sprint(current[0], rapid.IntRange(0, perMember-1).Draw(t, "point")))
 			}
 			order := []string{}
 			r.Walk(hash, func(v string) bool { order = append(order, v); return true })
-			require.Equal(t, clockwise(now, points, hash), order)
+			require.Equal(t, clockwise(current, points, hash), order)
 			require.Equal(t, append(order, "")[0], r.Owner(hash))
 		}
 	})
 }
 
-// TestSameHash: of two points with the same hash the one of the lesser name comes first, whichever joined first. The search
-// finds two names whose only points have the same hash.
-func TestSameHash(t *testing.T) {
+// TestPointsWithSameHash checks that of two points with the same hash the one with the lower name is first on the ring,
+// whichever joined first. The loop searches for two names whose only points have the same hash.
+func TestPointsWithSameHash(t *testing.T) {
 	seen := map[uint32]string{}
 	p, q := "", ""
 	for i := 0; p == ""; i++ {
@@ -106,9 +108,10 @@
 	}
 }
 
-// TestRemappedKeys: a member that joins 20 takes about one key in 21 and moves no other, and when it leaves that is undone.
-// A walk, which ends where it is told to or after the last member, allocates nothing.
-func TestRemappedKeys(t *testing.T) {
+// TestJoinAndLeaveMoveFewKeys checks that a member that joins 20 others takes about one key in 21 and moves no other
+// key, and that its leave restores all owners. It also checks that a walk ends when visit returns false or after the
+// last member, and allocates nothing.
+func TestJoinAndLeaveMoveFewKeys(t *testing.T) {
 	const keys = 20_000
 	r := New[int](100)
 	for i := range 20 {
@@ -132,20 +135,20 @@
 	require.InDelta(t, keys/21, moved, keys/21*0.3) // a standard deviation is about a tenth
 	r.Leave(place)
 	require.Equal(t, before, owners())
-	for most, want := range map[int]int{7: 7, 60: 20} {
+	for limit, want := range map[int]int{7: 7, 60: 20} {
 		seen := 0
 		require.Zero(t, testing.AllocsPerRun(10, func() {
 			seen = 0
-			r.Walk(99, func(int) bool { seen++; return seen < most })
+			r.Walk(99, func(int) bool { seen++; return seen < limit })
 		}))
 		require.Equal(t, want, seen)
 	}
 }
 
-// TestPointsAreNested: a changed number of points moves keys to that member or from it, and no others; the number before
-// undoes it. Members with the usual number are the same ring as by Join, and the same in every version: the checksum of
-// many walks is a constant.
-func TestPointsAreNested(t *testing.T) {
+// TestSetPointsMovesOnlyOwnKeys checks that a change of a member's number of points moves keys only to or from that
+// member, and that the previous number restores all owners. JoinWithPoints with the usual number gives the same ring
+// as Join. The checksum of many walks is a constant, so that every version of the program has the same ring.
+func TestSetPointsMovesOnlyOwnKeys(t *testing.T) {
 	const keys = 5_000
 	r, places := New[int](100), []*Place[int]{}
 	for i := range 30 {
@@ -177,7 +180,7 @@
 	require.Equal(t, before, owners())
 }
 
-// walkChecksum is a checksum over who comes in what order on walks from many positions.
+// walkChecksum returns a checksum of the order of the members on walks from many positions.
 func walkChecksum(r *Ring[int]) uint64 {
 	sum := uint64(14695981039346656037)
 	for i := range uint32(1000) {
