--- a/internal/balancer/zonereach/doc.go
+++ b/internal/balancer/zonereach/doc.go
@@ -1,12 +1,13 @@
-// Package zonereach detects which zones one agent cannot reach while it reaches others: the network between
-// them is cut, or the whole zone is down.
+// Package zonereach detects zones that one agent cannot reach while it reaches others, because the network
+// between them is cut or the whole zone is down.
 //
-// What an agent knows of single servers comes too late there: one of many agents that each send little tries
-// a server once in seconds, so that it would find an unreachable zone server by server, each at the price of
-// a request that waits for a connection. Here the ends of attempts are counted by zone: where a few different
-// servers in a row gave no sign of life, nothing has come from the zone since, and another zone answers, the
-// zone counts as unreachable. It is tried now and then, and whatever comes from it ends that.
+// The state of single servers is not enough for that: one of many agents that each send little sends to a
+// server only once in several seconds. It would detect an unreachable zone server by server, each time at
+// the cost of a request that waits for a connection. This package counts the ends of attempts by zone. A
+// zone is unreachable if a few different servers in a row did not respond, nothing has been received from
+// the zone since, and another zone responds. It is then probed at intervals, and any response makes it
+// reachable again.
 //
-// There is no input or output here, and no clock: every call brings the time. The same calls give the same
-// answers. A Tracker is not safe for concurrent use.
+// The package does no I/O and has no clock: the caller passes the current time. The same calls give the same
+// results. A Tracker is not safe for concurrent use.
 package zonereach
--- a/internal/balancer/zonereach/example_test.go
+++ b/internal/balancer/zonereach/example_test.go
@@ -7,7 +7,7 @@
 	"dunestep/internal/balancer/zonereach"
 )
 
-// Three servers of a zone in a row do not respond while another zone does: it is unreachable until it responds.
+// Three servers of a zone in a row do not respond while another zone does: the zone is unreachable until it responds.
 func Example() {
 	var tracker zonereach.Tracker
 	tracker.Answered(time.Second, "north")
--- a/internal/balancer/zonereach/tracker.go
+++ b/internal/balancer/zonereach/tracker.go
@@ -6,24 +6,24 @@
 )
 
 const (
-	unreachableAfter = 3 // different servers without a sign of life, in a row
-	trialInterval    = 500 * time.Millisecond
-	// maxZones is how many zones are kept. Beyond it all are dropped, at the price of a few attempts: lists may
-	// name other zones each time.
+	unreachableAfter = 3                      // different servers in a row that did not respond
+	probeInterval    = 500 * time.Millisecond // between two requests to an unreachable zone
+	// maxZones is the maximum number of zones kept. When there are more, all are dropped at the cost of a few
+	// attempts. The number needs a limit because each endpoint list may name other zones.
 	maxZones = 64
 )
 
-// Tracker tracks the zones that one agent sends to. The zero value knows none and is ready to use.
+// Tracker tracks the zones that one agent sends to. The zero value has no zones and is ready to use.
 type Tracker struct {
 	zones map[string]*zoneState
 }
 
-// zoneState is what is known of one zone.
+// zoneState is the state of one zone.
 type zoneState struct {
-	lastResponseAt    time.Duration // negative: none yet
-	firstUnansweredAt time.Duration // when the first of the unanswered attempts was sent
-	unansweredServers []string      // different ones, in a row
-	lastTrialAt       time.Duration
+	lastResponseAt    time.Duration // negative before the first response
+	firstUnansweredAt time.Duration // start of the first of the unanswered attempts
+	unansweredServers []string      // different servers in a row that did not respond
+	lastAttemptAt     time.Duration
 }
 
 func (z *zoneState) isSilent() bool { return len(z.unansweredServers) >= unreachableAfter }
@@ -38,13 +38,13 @@
 	return t.zones[zone]
 }
 
-// Answered takes in that a server of the zone gave a sign of life.
+// Answered records a response from a server of the zone.
 func (t *Tracker) Answered(now time.Duration, zone string) {
 	z := t.state(zone)
 	z.lastResponseAt, z.unansweredServers = now, z.unansweredServers[:0]
 }
 
-// Unanswered takes in that an attempt, sent at that time, got no connection or no response.
+// Unanswered records that an attempt sent at a time got no connection or no response.
 func (t *Tracker) Unanswered(sentAt time.Duration, zone, server string) {
 	z := t.state(zone)
 	if z.lastResponseAt >= sentAt || z.isSilent() || slices.Contains(z.unansweredServers, server) {
@@ -56,13 +56,13 @@
 	z.unansweredServers = append(z.unansweredServers, server)
 }
 
-// IsDoubtful reports whether the last that is known of the zone is an attempt without a sign of life.
+// IsDoubtful reports whether an attempt at the zone was not answered, and nothing has been received since.
 func (t *Tracker) IsDoubtful(zone string) bool {
 	z := t.zones[zone]
 	return z != nil && len(z.unansweredServers) > 0
 }
 
-// IsUnreachable reports whether the zone cannot be reached while another one can.
+// IsUnreachable reports whether the zone cannot be reached while another zone can.
 func (t *Tracker) IsUnreachable(zone string) bool {
 	z := t.zones[zone]
 	if z == nil || !z.isSilent() {
@@ -76,10 +76,10 @@
 	return false
 }
 
-// IsTrialDue reports whether an unreachable zone is to be tried.
+// IsTrialDue reports whether the next request may probe an unreachable zone.
 func (t *Tracker) IsTrialDue(now time.Duration, zone string) bool {
-	return now-t.state(zone).lastTrialAt >= trialInterval
+	return now-t.state(zone).lastAttemptAt >= probeInterval
 }
 
-// RecordTrial takes in that something was sent to the zone.
-func (t *Tracker) RecordTrial(now time.Duration, zone string) { t.state(zone).lastTrialAt = now }
+// RecordTrial records the start of an attempt at a server of the zone.
+func (t *Tracker) RecordTrial(now time.Duration, zone string) { t.state(zone).lastAttemptAt = now }
--- a/internal/balancer/zonereach/tracker_test.go
+++ b/internal/balancer/zonereach/tracker_test.go
@@ -9,10 +9,10 @@
 	"pgregory.net/rapid"
 )
 
-// TestUnreachableTakesSeveralServersAndAnotherZone: a zone is unreachable only where several of its servers are silent while
-// another zone answers.
-func TestUnreachableTakesSeveralServersAndAnotherZone(t *testing.T) {
-	lost := func(z *Tracker, servers ...string) {
+// TestUnreachableNeedsSeveralServersAndAnotherZone checks that a zone is unreachable only if several of its servers are
+// silent while another zone responds.
+func TestUnreachableNeedsSeveralServersAndAnotherZone(t *testing.T) {
+	recordUnanswered := func(z *Tracker, servers ...string) {
 		for i, s := range servers {
 			z.Unanswered(time.Duration(10+i)*time.Second, "a", s)
 		}
@@ -21,53 +21,54 @@
 	for _, z := range []*Tracker{&same, &few, &late} {
 		z.Answered(20*time.Second, "b")
 	}
-	lost(&same, "s", "s", "s", "s", "s", "t")
-	require.False(t, same.IsUnreachable("a"), "two dead servers are no zone")
-	lost(&few, "s", "t")
+	recordUnanswered(&same, "s", "s", "s", "s", "s", "t")
+	require.False(t, same.IsUnreachable("a"), "two silent servers are not enough")
+	recordUnanswered(&few, "s", "t")
 	require.False(t, few.IsUnreachable("a"))
 	require.True(t, few.IsDoubtful("a"))
-	lost(&few, "u")
+	recordUnanswered(&few, "u")
 	require.True(t, few.IsUnreachable("a"))
-	lost(&alone, "s", "t", "u")
-	require.False(t, alone.IsUnreachable("a"), "no other zone answers: that may be this side's fault")
+	recordUnanswered(&alone, "s", "t", "u")
+	require.False(t, alone.IsUnreachable("a"), "no other zone responds: the cause may be near this agent")
 	old.Answered(9*time.Second, "b")
-	lost(&old, "s", "t", "u")
-	require.False(t, old.IsUnreachable("a"), "nor has one since")
+	recordUnanswered(&old, "s", "t", "u")
+	require.False(t, old.IsUnreachable("a"), "the other zone has not responded since")
 	late.Answered(11*time.Second, "a")
-	lost(&late, "s", "t", "u")
-	require.False(t, late.IsUnreachable("a"), "it answered since the first two were sent")
+	recordUnanswered(&late, "s", "t", "u")
+	require.False(t, late.IsUnreachable("a"), "the zone responded after the first two attempts were sent")
 }
 
-// TestTrials: an unreachable zone is tried at intervals.
-func TestTrials(t *testing.T) {
+// TestProbeInterval checks that an unreachable zone is probed at intervals.
+func TestProbeInterval(t *testing.T) {
 	var z Tracker
 	require.True(t, z.IsTrialDue(time.Second, "a"))
 	z.RecordTrial(time.Second, "a")
-	require.False(t, z.IsTrialDue(time.Second+trialInterval-1, "a"))
-	require.True(t, z.IsTrialDue(time.Second+trialInterval, "a"))
+	require.False(t, z.IsTrialDue(time.Second+probeInterval-1, "a"))
+	require.True(t, z.IsTrialDue(time.Second+probeInterval, "a"))
 }
 
-// TestSomeZoneIsLeft: however attempts end, some zone is reachable, any response makes one reachable, and few are kept.
-func TestSomeZoneIsLeft(t *testing.T) {
+// TestSomeZoneIsReachable checks for random outcomes that at least one zone is reachable, that any response makes its
+// zone reachable, and that at most maxZones zones are kept.
+func TestSomeZoneIsReachable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var z Tracker
 		names := rapid.IntRange(1, 2*maxZones).Draw(t, "zones")
 		name := func() string { return fmt.Sprint(rapid.IntRange(0, names-1).Draw(t, "zone")) }
 		for now := time.Duration(1); now < 200; now++ {
-			n := name()
+			zone := name()
 			if rapid.IntRange(0, 9).Draw(t, "answered") < 2 {
-				z.Answered(now, n)
-				require.False(t, z.IsUnreachable(n))
+				z.Answered(now, zone)
+				require.False(t, z.IsUnreachable(zone))
 			} else {
 				z.Unanswered(now-rapid.Custom(func(t *rapid.T) time.Duration {
 					return time.Duration(rapid.IntRange(0, 3).Draw(t, "took"))
-				}).Draw(t, "sent"), n, fmt.Sprint(rapid.IntRange(0, 5).Draw(t, "server")))
+				}).Draw(t, "sent"), zone, fmt.Sprint(rapid.IntRange(0, 5).Draw(t, "server")))
 			}
-			left := false
+			anyReachable := false
 			for n := range z.zones {
-				left = left || !z.IsUnreachable(n)
+				anyReachable = anyReachable || !z.IsUnreachable(n)
 			}
-			require.True(t, left)
+			require.True(t, anyReachable)
 			require.LessOrEqual(t, len(z.zones), maxZones)
 		}
 	})
