--- a/internal/discovery/backoff/doc.go
+++ b/internal/discovery/backoff/doc.go
@@ -1,11 +1,12 @@
-// Package backoff schedules when discovery is called again after a call to it has ended.
+// Package backoff schedules the next call to discovery after a call has ended.
 //
-// Two things pull at it. A discovery with too many callers answers none of them in time, so that a large
-// fleet has to back off. And the rule of draining servers has a clock that runs on whether an agent receives
-// anything or not, and however its calls ended: what was changed while discovery could be reached counts as
-// known a fixed time later. So a Schedule keeps since when changes may have been missed; the next call comes
-// so early that another one still fits in before that binds.
+// Two requirements conflict. A discovery service with too many callers answers none of them in time, so that
+// a large fleet has to back off. But a change of the endpoint list that is made while discovery can be
+// reached counts as known to the agent a fixed time later, whether the agent has received it or not and
+// however its calls ended. From then on the rule for draining servers applies: a draining server may get
+// requests only for a grace period. A Schedule therefore keeps the time since which changes may have been
+// missed, and makes the next call early enough that another one still fits in before the grace period ends.
 //
-// There is no input or output here, and no clock: every call brings the time, and random draws too. The same
-// calls give the same answers. A Schedule is not safe for concurrent use.
+// The package does no I/O and has no clock: the caller passes the current time and random draws. The same
+// calls give the same results. A Schedule is not safe for concurrent use.
 package backoff
--- a/internal/discovery/backoff/example_test.go
+++ b/internal/discovery/backoff/example_test.go
@@ -13,7 +13,7 @@
 	schedule.Answered(backoff.HasEntries)
 	now := time.Minute
 	for _, result := range []backoff.CallResult{backoff.WatchLost, backoff.CallFailed, backoff.CallFailed} {
-		wait := schedule.CallEnded(now, result, 0.5) // the draw that spreads agents
+		wait := schedule.CallEnded(now, result, 0.5) // the mean of the random draw
 		fmt.Println("call again after", wait)
 		now += wait
 	}
--- a/internal/discovery/backoff/schedule.go
+++ b/internal/discovery/backoff/schedule.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// Schedule is one agent's: what became of its calls, and when the next one has to follow. Use New: the zero
-// value has no settings.
+// Schedule is one agent's schedule of calls to discovery. It follows the results of the calls and determines
+// when the next one must be made. Use New: the zero value has no settings.
 type Schedule struct {
-	settings     Settings
-	failedCalls  int           // since one last brought entries
-	failedAt     time.Duration // when the last of them failed
-	isMissing    bool          // changes may have been made that were not received
-	missingSince time.Duration // where isMissing: when the first of them can have been made
+	settings    Settings
+	failedCalls int           // since the last answer with entries
+	failedAt    time.Duration // end of the last failed call
+	hasMissed   bool          // changes may have been made that were not received
+	missedSince time.Duration // if hasMissed: the earliest time of such a change
 }
 
-// New returns a Schedule of an agent that has made no call.
+// New returns the Schedule of an agent that has not made a call.
 func New(settings Settings) Schedule { return Schedule{settings: settings} }
 
-// ListContent is whether an answer brought entries of the list.
+// ListContent is whether an answer contains entries of the endpoint list.
 type ListContent bool
 
 // The contents of an answer.
@@ -27,41 +27,43 @@
 	HasEntries ListContent = true
 )
 
-// CallStarted takes in that discovery is called. The first time, changes count as missed from then on.
+// CallStarted records the start of a call to discovery. Unless changes already count as missed, they do so
+// from now on.
 func (s *Schedule) CallStarted(now time.Duration) { s.recordMissedSince(now) }
 
-// Answered takes in that discovery has said what the list is.
+// Answered records that discovery has sent the endpoint list.
 func (s *Schedule) Answered(content ListContent) {
-	s.isMissing = false
+	s.hasMissed = false
 	if content == HasEntries {
 		s.failedCalls = 0
 	}
 }
 
-// IsMissingChanges reports whether changes may have been made that were not received: no call has been
-// answered since.
-func (s *Schedule) IsMissingChanges() bool { return s.isMissing }
+// IsMissingChanges reports whether changes may have been made that were not received, because no call has
+// been answered since.
+func (s *Schedule) IsMissingChanges() bool { return s.hasMissed }
 
-// IsStale reports whether what has changed of late may not have been received.
+// IsStale reports whether recent changes may not have been received, because a call failed recently.
 func (s *Schedule) IsStale(now time.Duration) bool {
 	return s.failedCalls > 0 && now-s.failedAt < staleFor
 }
 
-// WatchFellSilent takes in that nothing has come on a watch for so long, also where another call replaces it.
+// WatchFellSilent records that a watch has received nothing for a time. It applies also if another call has
+// replaced the watch.
 func (s *Schedule) WatchFellSilent(now, silentFor time.Duration) {
 	s.recordMissedSince(now - silentFor)
 }
 
-// recordMissedSince takes in that changes made from a time on may have been missed. What was missed before is
-// missing until a call is answered.
+// recordMissedSince records that changes made since a time may have been missed. An earlier recorded time
+// stays until a call is answered.
 func (s *Schedule) recordMissedSince(since time.Duration) {
-	if !s.isMissing || since < s.missingSince {
-		s.isMissing, s.missingSince = true, since
+	if !s.hasMissed || since < s.missedSince {
+		s.hasMissed, s.missedSince = true, since
 	}
 }
 
-// CallEnded takes in that a call has ended, and returns how long the next one may wait. The draw, a random
-// number from 0 to 1, spreads the agents' calls.
+// CallEnded records the result of a call and returns the delay until the next one. The draw, a random number
+// from 0 to 1, spreads the calls of the agents.
 func (s *Schedule) CallEnded(now time.Duration, result CallResult, draw float64) time.Duration {
 	switch result {
 	case Unreadable:
@@ -77,38 +79,40 @@
 	return min(delay, s.maxDelay(now, result, draw))
 }
 
-// meanDelay is the mean delay that spares a discovery in trouble.
+// meanDelay returns the mean delay that limits the load of an overloaded or failed discovery service.
 func (s *Schedule) meanDelay() time.Duration {
 	delay := MinDelay << min(s.failedCalls, MaxDoublings)
 	return time.Duration(float64(delay) * max(float64(s.settings.Agents)/SmallFleetAgents, 1))
 }
 
-// maxDelay is the longest delay by the rule of draining servers: a change that was not received counts as
-// known after a while, whatever became of the calls, and a server that drains may be sent to for a grace from
-// then on. Each agent takes a random place in a part of what is left of that, as all agents, whose watches
-// end together, would call together otherwise; the part leaves time for another call.
+// maxDelay returns the maximum delay under the rule for draining servers: a change that was not received
+// counts as known after a while, whatever the results of the calls, and a draining server may get requests
+// for a grace period from then on. Each agent draws a random delay within a part of the time that is left,
+// because the watches of all agents end together and their calls would otherwise coincide. The part leaves
+// time for another call.
 func (s *Schedule) maxDelay(now time.Duration, result CallResult, draw float64) time.Duration {
 	if result == ResultUnknown {
 		return math.MaxInt64
 	}
 	knownAfter := s.settings.assumedKnownAfter()
-	knownAt := s.missingSince + knownAfter
+	knownAt := s.missedSince + knownAfter
 	if result == WatchSilent && now < knownAt {
-		// The first call is answered before what was missed counts as known.
+		// The next call is answered before the missed changes count as known.
 		return interpolate((knownAt-now)/6, (knownAt-now)/2, draw)
 	}
 	allowed := knownAfter + s.settings.DrainGrace - responseTime
-	left := s.missingSince + allowed - now
+	left := s.missedSince + allowed - now
 	switch {
 	case result == WatchLost && left > 0:
 		return interpolate(left/4, left/2, draw)
 	case left > 0:
 		return max(interpolate(left/6, left/2, draw), interpolate(MinDelay/2, MinDelay*3/2, draw))
 	}
-	// Discovery may be back at any time, and what changes from then on counts.
+	// Discovery may be reachable again at any time, and changes count from then on.
 	return interpolate(allowed/4, allowed/2, draw)
 }
 
+// interpolate returns the duration at the fraction draw of the way from low to high.
 func interpolate(low, high time.Duration, draw float64) time.Duration {
 	return low + time.Duration(draw*float64(high-low))
 }
--- a/internal/discovery/backoff/settings.go
+++ b/internal/discovery/backoff/settings.go
@@ -2,44 +2,45 @@
 
 import "time"
 
-// CallResult is how a call to discovery has ended.
+// CallResult is how a call to discovery ended.
 type CallResult uint8
 
 // The results of a call.
 const (
-	ResultUnknown CallResult = iota // not known, as in the simulator
-	WatchSilent                     // a watch was open, and nothing came on it any more
-	WatchLost                       // a watch was open and was closed, or could not be read
+	ResultUnknown CallResult = iota // unknown, as in the simulator
+	WatchSilent                     // an open watch stopped receiving anything
+	WatchLost                       // an open watch was closed or could not be read
 	CallFailed                      // the call was refused, failed, or was not answered in time
-	Unreadable                      // something came that could not be used: it counts as known all the same
-	AddressMoved                    // as CallFailed, of the first call to another address of discovery
+	Unreadable                      // received data was not usable; its changes count as known all the same
+	AddressMoved                    // as CallFailed, for the first call to a new address of discovery
 )
 
 const (
 	// MinDelay is the mean delay after the first failed call in a small fleet.
 	MinDelay = 200 * time.Millisecond
-	// MaxDoublings is how many times the delay doubles, one failed call after another.
+	// MaxDoublings is the number of consecutive failed calls that double the delay.
 	MaxDoublings = 3
-	// SmallFleetAgents is up to how many agents that holds; in a larger fleet the delay grows with their number.
+	// SmallFleetAgents is the maximum size of a small fleet, in agents. In a larger fleet the delay grows in
+	// proportion to the number of agents.
 	SmallFleetAgents = 6.0
-	// AssumedKnownAfter is when a change that was not received counts as known: from when discovery had it and
-	// could be reached, or from when a watch fell silent where that missed it.
+	// AssumedKnownAfter is the time after which a change that was not received counts as known. It starts when
+	// discovery has the change and can be reached, or when the watch that missed the change fell silent.
 	AssumedKnownAfter = 6 * time.Second
 
-	staleFor        = 6 * time.Second        // after a failed call, what was not received may have changed
-	responseTime    = 500 * time.Millisecond // that an answer takes, from a discovery with capacity
+	staleFor        = 6 * time.Second        // after a failed call, in which recent changes may be missing
+	responseTime    = 500 * time.Millisecond // of an answer from a discovery service with capacity
 	callTimeout     = 2 * time.Second
-	movedKnownAfter = 4 * time.Second // as AssumedKnownAfter, from when discovery was moved to another address
+	movedKnownAfter = 4 * time.Second // as AssumedKnownAfter, after discovery moved to a new address
 )
 
-// Settings are the deployment's settings that the delays follow from.
+// Settings are the settings of the deployment that determine the delays.
 type Settings struct {
 	Agents          int
-	MaxPollInterval time.Duration // a bound of AssumedKnownAfter without a watch; zero: none
-	DrainGrace      time.Duration // for how long a draining server may be sent to, from when that is known
+	MaxPollInterval time.Duration // upper limit of AssumedKnownAfter without a watch; zero means none
+	DrainGrace      time.Duration // time for which a server may get requests after its draining is known
 }
 
-// assumedKnownAfter is when a change that was not received counts as known, from when it was made.
+// assumedKnownAfter returns the time after which a change that was not received counts as known.
 func (s Settings) assumedKnownAfter() time.Duration {
 	if s.MaxPollInterval > 0 {
 		return min(s.MaxPollInterval, AssumedKnownAfter)
