--- a/internal/balancer/actions.go
+++ b/internal/balancer/actions.go
@@ -9,45 +9,45 @@
 type ActionKind uint8
 
 const (
-	// Send starts an attempt: ID, Server, After (the attempt's timeout).
+	// Send starts an attempt. Fields: ID, Server, After (the attempt's timeout).
 	Send ActionKind = iota
-	// Fail ends a request with a failure: ID.
+	// Fail ends a request with a failure. Field: ID.
 	Fail
-	// Reject ends a request that can safely be tried again: ID, After (when to return; zero: not said),
+	// Reject ends a request that the client can safely repeat. Fields: ID, After (the retry-after; zero: none),
 	// OverQuota, Quota.
 	Reject
-	// Cancel ends an attempt: ID, Attempt.
+	// Cancel cancels an attempt. Fields: ID, Attempt.
 	Cancel
-	// Probe probes a server: Server.
+	// Probe probes a server. Field: Server.
 	Probe
-	// SendToPeer sends a message to another balancer: Peer, Data.
+	// SendToPeer sends a message to another balancer. Fields: Peer, Data.
 	SendToPeer
-	// SetTimer asks for a TimerDue event: After, Tag.
+	// SetTimer schedules a TimerDue event. Fields: After, Tag.
 	SetTimer
-	// Subscribe calls discovery.
+	// Subscribe starts a call to discovery that watches the server list.
 	Subscribe
-	// Fetch asks discovery once for the complete list.
+	// Fetch requests the complete server list from discovery once.
 	Fetch
-	// Log writes a log line: Text.
+	// Log writes a log line. Field: Text.
 	Log
 )
 
-// Action is one thing that the caller must do. Which fields are set depends on Kind.
+// Action is one action for the caller to carry out. Which fields are set depends on Kind.
 type Action struct {
 	Kind      ActionKind
-	ID        uint32 // of the request
-	Attempt   int    // its number, from 0 in the order of Send actions
-	Server    string
+	ID        uint32 // request id
+	Attempt   int    // attempt number within the request, from 0 in the order of Send actions
+	Server    string // server id
 	After     time.Duration
 	Tag       uint64
-	Peer      int // the receiver's number
+	Peer      int // number of the receiving balancer
 	Data      []byte
 	Text      string
-	OverQuota bool  // rejected for its tenant's quota, not for lack of capacity
-	Quota     Quota // of the tenant, where the client is to be told; zero: it is not
+	OverQuota bool  // rejected because of the tenant's quota, not for lack of capacity
+	Quota     Quota // the tenant's, to report to the client; zero: none
 }
 
-// Quota is a tenant's part of the service at this balancer, in requests.
+// Quota is this balancer's part of a tenant's quota, in requests.
 type Quota struct{ PerSecond, Remaining float64 }
 
 func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
--- a/internal/balancer/attempt.go
+++ b/internal/balancer/attempt.go
@@ -6,28 +6,29 @@
 	"dunestep/internal/balancer/outlier"
 )
 
-// unreported stands for a server's own count of requests where none is known.
+// unreported is the value of attempt.reportedInFlight without a fresh load report.
 const unreported = -1.0
 
-// attempt is one try of a request at a server.
+// attempt is one attempt to serve a request at a server.
 type attempt struct {
 	server           *server
 	outlier          outlier.Attempt
-	reportedInFlight float64 // by the server's report when it was sent; unreported: none
-	// a served answer sooner than this contradicts a failed probe; zero: none failed
+	reportedInFlight float64 // requests in flight by the server's load report at the time of sending
+	// latency below which a served attempt contradicts the server's failed probe; zero: no failed probe
 	failedProbeLatency time.Duration
-	inFlightAtSend     int32 // at the server, from this balancer
+	inFlightAtSend     int32 // this balancer's other requests at the server at the time of sending
 	done               bool
-	responseStarted    bool
-	unprocessed        bool // it had no effect
+	responseStarted    bool // no longer counted as in flight: see onStreamStarted
+	unprocessed        bool // ended without having been processed
 	hedged             bool
 }
 
-// sendAttempt sends the request to the server.
+// sendAttempt sends the request to the server. The attempt times out with the client's deadline, or earlier
+// at the objective where a later answer has no value.
 func (b *Balancer) sendAttempt(r *request, s *server) {
 	timeout := b.attemptTimeout(r, s, r.deadline-b.now)
 	if left := r.objectiveAt - b.now - b.settings.Tick; !r.class.Streaming && left > 0 {
-		timeout = min(timeout, left) // a later answer has no value and keeps the server busy
+		timeout = min(timeout, left) // a later answer would have no value and keep the server busy
 	}
 	a := attempt{
 		server: s, inFlightAtSend: int32(s.inFlight), reportedInFlight: unreported,
@@ -67,7 +68,7 @@
 	b.observeProbation(a, e)
 	b.observeAttempt(r, a, e)
 	if e.RequestDone && !r.closed {
-		b.countDone(r, e.Outcome)
+		b.countAttemptAnswer(r, e.Outcome)
 	}
 	if e.RequestDone || r.closed {
 		b.closeRequest(r)
@@ -77,9 +78,9 @@
 	}
 }
 
-// onStreamStarted stops counting an attempt as in flight once its answer has begun: a client that reads a
-// long answer slowly must not make the server look busy and silent. Where a class streams, the server works
-// until the end, so that the attempt counts on.
+// onStreamStarted stops counting an attempt as in flight once its response has begun, so that a client that
+// reads a long response slowly does not make the server look busy and silent. Attempts of streaming classes
+// still count, since the server works until the end of the response.
 func (b *Balancer) onStreamStarted(e *StreamStarted) {
 	r := b.requests[e.ID]
 	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) {
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -14,26 +14,26 @@
 	"dunestep/internal/discovery/backoff"
 )
 
-// Balancer decides for one client-side balancer. It is not safe for concurrent use.
+// Balancer makes the decisions of one agent's load balancer. It is not safe for concurrent use.
 type Balancer struct {
 	settings Settings
 	tuning   Tuning
 	classes  map[string]*class
 	rng      *rand.Rand
-	now      time.Duration // of the present step
-	actions  []Action      // of the present step
+	now      time.Duration // time of the current step
+	actions  []Action      // actions of the current step
 
 	// The server list and the ring.
-	started          bool // the first list has come
+	started          bool // the first server list has arrived
 	servers          map[string]*server
 	byHash           map[uint32]*server
-	ring             *ring.Ring[*server] // its members are the ready servers: see updateRing
+	ring             *ring.Ring[*server] // members: the ready servers, see updateRing
 	outsideRing      *ring.Ring[*server] // ready servers without points in the active assignment
-	givenAssignment  *RingAssignment     // as given by SetRingAssignment
-	activeAssignment *RingAssignment     // the given one, or nil where that leaves no usable server
-	maxMemberPoints  int                 // most points of a member; at least one
-	discovery        backoff.Schedule    // of the calls to discovery
-	pollAgainAt      time.Duration       // zero: not to be polled again
+	givenAssignment  *RingAssignment     // last argument of SetRingAssignment
+	activeAssignment *RingAssignment     // the given one, or nil if it has no usable server
+	maxMemberPoints  int                 // largest number of points of a member; at least one
+	discovery        backoff.Schedule    // schedule of the calls to discovery
+	pollAgainAt      time.Duration       // when to call discovery again without a response; zero: never
 	pollScheduled    bool                // a timer for the next call is set
 
 	// Requests and retries.
@@ -42,49 +42,49 @@
 	retryTokens            float64
 	unprocessedRetryTokens float64
 
-	// What was learned of servers.
+	// Server health and latency.
 	detector             *outlier.Detector
-	loggedDistrust       string // why verdicts are distrusted, as last logged
+	loggedDistrustReason string // reason for distrusting verdicts that was last logged
 	probation            probation.List
 	zoneReach            zonereach.Tracker
 	zoneReports          map[string]*zoneReport      // by zone
 	kindBaselines        map[string]*baselineLatency // by machine kind
-	baseline             baselineLatency             // of all answers
-	meanLatency          float64                     // seconds, over all servers, failures included
-	failureFraction      float64                     // of the latest attempts
-	observationHalfLife  time.Duration               // in which an observation of a server loses half its weight
-	meanReportedInFlight float64                     // requests, by the servers' reports
-	falseProbeFraction   float64                     // of failed probes, those that a request contradicted
+	baseline             baselineLatency             // of all responses
+	meanLatency          float64                     // seconds, over all servers, including failures
+	failureFraction      float64                     // moving average over all attempts
+	observationHalfLife  time.Duration               // half-life of the weight of an observation
+	meanReportedInFlight float64                     // requests, mean of the servers' load reports
+	falseProbeFraction   float64                     // fraction of failed probes that a request contradicted
 	meanProbeWait        float64                     // seconds
 
 	// Load and its limits.
-	longestObjective     time.Duration // of all classes
-	latencyLimitFraction float64       // of the objective: see setLatencyLimits
-	inFlight             int
-	inFlightSeconds      float64           // sum of time in flight, of this round
-	inFlightSecondsAt    time.Duration     // up to which it is summed
-	typicalInFlight      float64           // mean in flight at a server
+	longestObjective     time.Duration     // maximum latency objective of all classes
+	latencyLimitFraction float64           // fraction of the latency objective: see setLatencyLimits
+	inFlight             int               // requests in flight at all servers
+	inFlightSeconds      float64           // sum of the time in flight over the requests of this round
+	inFlightSecondsAt    time.Duration     // end of the time included in the sum
+	typicalInFlight      float64           // mean number of requests in flight at a server
 	sendRate             float64           // work units a second
 	sentThisRound        float64           // work units
-	meanWork             float64           // seconds, of the requests' hints
+	meanWork             float64           // seconds, mean of the requests' work hints
 	accounts             inflight.Accounts // fairness between servers
 	quotas               *quota.Tracker
-	lowestBaseline       float64 // seconds, of the fastest machine kind; zero: not known
-	largestWeight        float64 // effective, of the members
-	weightSum            float64 // traffic weights of the members that are up
+	lowestBaseline       float64 // seconds, baseline latency of the fastest machine kind; zero: unknown
+	largestWeight        float64 // largest effective weight of a member
+	weightSum            float64 // sum of the traffic weights of the members that are up
 
 	// Slow start.
-	slowStart          slowstart.Params
-	slowStartSaturated slowstart.Params // the same while warm servers are saturated
-	warmSaturated      bool             // see SetWarmServersSaturated
-	anyWarmingUp       bool             // at least one member is in slow start
+	slowStart            slowstart.Params
+	slowStartSaturated   slowstart.Params // parameters while warm servers are saturated
+	warmServersSaturated bool             // see SetWarmServersSaturated
+	anyWarmingUp         bool             // at least one member is in slow start
 
 	// Tenants.
 	exclusions exclusionState
 }
 
-// New returns a Balancer that knows no servers yet. The seed fixes its random choices. The error names the
-// setting that cannot be served.
+// New returns a Balancer without servers. The seed determines its random choices. The error names the invalid
+// setting.
 func New(set Settings, seed uint64) (*Balancer, error) {
 	if err := set.validate(); err != nil {
 		return nil, err
@@ -104,7 +104,7 @@
 		Agents: set.Balancers, MaxPollInterval: set.Rules.MaxPollInterval,
 		DrainGrace: set.Rules.DrainGrace,
 	})
-	b.setSlowStartTerms(slowstart.Params{
+	b.setSlowStartParams(slowstart.Params{
 		InitialCapacity: set.Rules.SlowStartCapacity, Duration: set.Rules.SlowStartDuration,
 		OverloadMultiple: set.Rules.OverloadMultiple, OverloadWindow: set.Rules.OverloadWindow,
 		Margin: b.tuning.SlowStartMargin, MaxOfWarm: b.tuning.SlowStartMax, Balancers: set.Balancers,
@@ -126,8 +126,8 @@
 	return b, nil
 }
 
-// Step handles one event and returns the actions to take, valid until the next Step. A time before that of an
-// earlier step counts as that.
+// Step handles one event and returns the actions to carry out, which are valid until the next Step. If now is
+// before the time of an earlier step, the earlier step's time is used.
 func (b *Balancer) Step(now time.Duration, ev Event) []Action {
 	b.actions = b.actions[:0]
 	b.now = max(b.now, now)
@@ -154,5 +154,5 @@
 	return b.actions
 }
 
-// seconds is what Duration.Seconds is, without its two divisions.
+// seconds returns d in seconds. It is faster than Duration.Seconds, which divides twice.
 func seconds(d time.Duration) float64 { return float64(d) * 1e-9 }
--- a/internal/balancer/bench_test.go
+++ b/internal/balancer/bench_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// A decision with 13 servers: a request, where it goes, and how it ended. One in twelve fails.
+// BenchmarkDecision measures a request and the end of its attempt with 13 servers, without failures and with one
+// attempt in twelve failing.
 func BenchmarkDecision(b *testing.B) {
 	for _, failEvery := range []int{0, 12} {
 		b.Run(fmt.Sprintf("one in %d lost", failEvery), func(b *testing.B) {
@@ -21,7 +22,7 @@
 				keys[i] = fmt.Sprint("key-", i)
 			}
 			now := time.Duration(0)
-			var sent [4]Action // as many are out at a time
+			var sent [4]Action // up to four attempts are in flight
 			b.ReportAllocs()
 			for i := range b.N {
 				now += 3 * ms
@@ -45,7 +46,8 @@
 	}
 }
 
-// The same with one server of 13 that half of the keys, or all, are excluded from.
+// BenchmarkDecisionWithExclusions measures the same without failures, with no, half or all keys excluded from one of
+// 13 servers.
 func BenchmarkDecisionWithExclusions(b *testing.B) {
 	for name, below := range map[string]uint32{"none": 0, "half": 1 << 31, "all": math.MaxUint32} {
 		b.Run(name, func(b *testing.B) {
@@ -76,8 +78,8 @@
 	}
 }
 
-// A change of the list: one server joins under a new name, and the one that joined before leaves. Those gone are forgotten 64 at
-// a time.
+// BenchmarkListChange measures a change of the server list: a server with a new id joins and the one that joined before
+// it leaves. Gone servers are forgotten 64 at a time.
 func BenchmarkListChange(b *testing.B) {
 	for _, n := range []int{13, 1000, 5000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/balancer/class.go
+++ b/internal/balancer/class.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// class is a Class with what was derived and learned for it.
+// class is a Class with its derived limits and state.
 type class struct {
 	Class
-	index            int           // among the settings' classes; negative: none of them
-	latencyLimit     float64       // seconds; nothing is sent where more is expected
-	maxClientTimeout time.Duration // the longest that a client has given
+	index            int           // index among the settings' classes; negative: unknown class
+	latencyLimit     float64       // seconds; maximum expected latency of a server that gets a request
+	maxClientTimeout time.Duration // longest client timeout of a request so far
 
-	// The fleet's policy, within the settings: see ApplyFleetPolicy.
+	// From the fleet policy, within the settings: see ApplyFleetPolicy.
 	maxAttempts        int
 	hedging            bool
 	minAttemptInterval time.Duration
 }
 
-// classOf returns the request's class. An unknown one has an objective of the client's timeout and is not
-// idempotent.
+// classOf returns the request's class. For an unknown one it returns a class that is not idempotent, with the
+// client's timeout as its latency objective and deadline.
 func (b *Balancer) classOf(e *Request) *class {
 	if c := b.classes[e.Class]; c != nil {
 		return c
--- a/internal/balancer/eligibility.go
+++ b/internal/balancer/eligibility.go
@@ -2,30 +2,30 @@
 
 import "dunestep/internal/balancer/outlier"
 
-// skipReason says why a server does not get a request.
+// skipReason is the reason why a server does not get a request.
 type skipReason uint8
 
 const (
 	notSkipped skipReason = iota
-	// The rules forbid it.
-	skipNotListed          // the list says that it is draining or gone
-	skipExcluded           // the tenant's key is excluded from it, as by a maintenance window
-	skipTried              // the request has been there
+	// The reasons from here to skipOutsideDedupScope are rules that always apply: see checkPermitted.
+	skipNotListed          // draining or gone by the server list
+	skipExcluded           // the tenant's key is excluded from the server, as by a maintenance window
+	skipTried              // an earlier attempt of the request went to the server
 	skipNotIdempotent      // an earlier attempt may have been processed
 	skipDedupWindowOver    // servers may have forgotten the earlier attempt's key
-	skipOutsideDedupScope  // it does not share the memory of the earlier attempt's server
-	skipZoneUnreachable    // its zone is cut off from this balancer
-	skipDown               // it is ejected or damped
-	skipPossiblyReplaced   // it is ejected, and the list that would tell of a replacement can't be updated
-	skipOnProbation        // it is on an unconfirmed list and has as much as it may have
-	skipWarmingUp          // it has had its part in slow start, or its part of probe requests
-	skipHedgedProbe        // it gets a hedged probe request beside the request
-	skipRejecting          // it has been rejecting requests
-	skipSuspect            // it may be failing, and the request must not be processed twice
-	skipKeyBeyondWeight    // the key is beyond what its weight gives it
-	skipSaturated          // it has no capacity, or is too slow
-	skipOverFairShare      // it has had its fair share of this balancer's requests
-	skipSearchingWarmingUp // it is warm, and warm servers are saturated: one in slow start is searched for
+	skipOutsideDedupScope  // does not share deduplication state with the earlier attempt's server
+	skipZoneUnreachable    // the server's zone is unreachable from this balancer
+	skipDown               // ejected or damped
+	skipPossiblyReplaced   // ejected, and a stale server list can't show whether it was replaced
+	skipOnProbation        // on probation, without capacity for one more attempt
+	skipWarmingUp          // slow-start budget, which also pays for probe requests, is used up
+	skipHedgedProbe        // gets a hedged probe request in addition to the request
+	skipRejecting          // has been rejecting requests
+	skipSuspect            // may be failing, and the request must not be processed twice
+	skipKeyBeyondWeight    // the server's weight is too low for this key: see keyFitsWeight
+	skipSaturated          // no capacity, or too slow
+	skipOverFairShare      // has used up its fair share of this balancer's requests
+	skipSearchingWarmingUp // warm, while warm servers are saturated and one in slow start is searched for
 )
 
 var skipReasonTexts = [...]string{
@@ -52,23 +52,26 @@
 
 func (r skipReason) String() string { return skipReasonTexts[r] }
 
-// attemptPurpose says what an attempt is for beside the request.
+// attemptPurpose is the purpose of an attempt.
 type attemptPurpose uint8
 
 const (
-	// serveRequest: nothing.
+	// serveRequest is the purpose of an ordinary attempt.
 	serveRequest attemptPurpose = iota
-	// probeServer: to learn whether a server that is down serves again. Such an attempt is a probe request.
+	// probeServer is the purpose of a probe request, which also tests whether a server that is down has
+	// recovered.
 	probeServer
 )
 
-// isListed reports whether the list allows sending. That ends with the notice of a drain.
+// isListed reports whether the server list allows requests to the server. Once the list has shown the server
+// as draining it allows none, even if the server is listed as gone afterwards.
 func (b *Balancer) isListed(s *server) bool {
 	return !s.sawDraining && (s.State == Ready || b.settings.Rules.GoneUsable && s.State == Gone)
 }
 
-// checkPermitted applies the rules that hold whatever the server's condition: the list, exclusions, and what
-// an earlier attempt that may have been processed forbids.
+// checkPermitted returns why the rules that apply whatever the server's condition forbid sending the request
+// there, or notSkipped. They are the server list, exclusions, and the limits on repeating an attempt that may
+// have been processed.
 func (b *Balancer) checkPermitted(r *request, s *server) skipReason {
 	switch {
 	case !b.isListed(s):
@@ -84,7 +87,7 @@
 	return notSkipped
 }
 
-// checkRepeat reports whether an earlier attempt forbids another one at the server.
+// checkRepeat returns why an earlier attempt forbids another one at the server, or notSkipped.
 func (b *Balancer) checkRepeat(c *class, earlier *attempt, s *server) skipReason {
 	switch {
 	case earlier.server == s:
@@ -102,8 +105,9 @@
 	return notSkipped
 }
 
-// checkTrust reports whether the server is trusted with the request, and what for. For one on probation that
-// is whether it has room for one more attempt.
+// checkTrust returns why the server's health forbids sending the request there, or notSkipped, and the
+// purpose of the attempt. A server on probation is skipped only while it has no capacity for one more
+// attempt.
 func (b *Balancer) checkTrust(r *request, s *server) (skipReason, attemptPurpose) {
 	if s.probation == nil {
 		return b.checkHealth(r, s)
@@ -114,11 +118,12 @@
 	return notSkipped, serveRequest
 }
 
-// checkHealth reports whether the server is healthy, or due for a probe request. Where most servers look bad
-// for one cause near this balancer, verdicts are ignored and only the expected latency decides.
+// checkHealth returns notSkipped if the server is healthy or may get a probe request, else the reason, and
+// the purpose of the attempt. While the outlier detector distrusts its verdicts, because most servers look
+// bad for a cause near this balancer, they are ignored and only the expected latency counts.
 func (b *Balancer) checkHealth(r *request, s *server) (skipReason, attemptPurpose) {
 	damped := s.isDamped(b.now)
-	if b.isZoneCutOff(s) {
+	if b.isZoneUnreachable(s) {
 		if r.class.Idempotency != NotIdempotent && b.zoneReach.IsTrialDue(b.now, s.Zone) {
 			return notSkipped, probeServer
 		}
@@ -128,24 +133,27 @@
 		!damped && b.detector.Verdict(s.outlier, r.class.index) != outlier.Ejected {
 		return notSkipped, serveRequest
 	}
-	// What listens there next may be another server, which only an updated list would tell.
+	// Another server may listen at this address next. Only an updated list shows that.
 	if s.outlier.IsNotListening() && b.discovery.IsStale(b.now) {
 		return skipPossiblyReplaced, serveRequest
 	}
-	// With probes the server is probed first. One that is down for a class alone can only show by that class
-	// that it serves again.
+	// Requests that are not idempotent may serve as probe requests where probes are allowed, since the server is
+	// then probed first, and where the server is ejected for a class only, since only requests of that class
+	// show that it has recovered.
 	if !damped && (r.class.Idempotency != NotIdempotent || b.settings.Limits.Probes || !s.outlier.IsEjected()) {
 		return notSkipped, probeServer
 	}
 	return skipDown, serveRequest
 }
 
-// isSuspect reports whether others should get first what must not be processed twice.
+// isSuspect reports whether the server may be failing for the request's class, so that requests that must not
+// be processed twice go to other servers first.
 func (b *Balancer) isSuspect(r *request, s *server) bool {
 	return b.detector.Verdict(s.outlier, r.class.index) == outlier.Suspect && b.detector.DistrustReason() == ""
 }
 
-// checkAcceptsNow returns why a trusted server does not get the request at once.
+// checkAcceptsNow returns why a server that passed checkTrust does not get the request now, or notSkipped.
+// Expected is its expected latency; both latencies are in seconds.
 func (b *Balancer) checkAcceptsNow(r *request, s *server, expected, latencyLimit float64) skipReason {
 	if reason := b.checkPermitted(r, s); reason != notSkipped {
 		return reason
--- a/internal/balancer/eligibility_test.go
+++ b/internal/balancer/eligibility_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Each reason for which a server does not get a request, and what brings it about at a healthy server.
+// Each case changes the state of a healthy server such that it is skipped for one of the reasons.
 func TestSkipReasons(t *testing.T) {
 	plain := func(*Settings) {}
 	sparse := func(s *Settings) { s.Balancers = 100 }
@@ -74,7 +74,7 @@
 			b.accounts.RequestSent(&s.account, 10)
 		}},
 		{skipSearchingWarmingUp, "safe", sparse, func(b *Balancer, _ *selection, s, _ *server) {
-			b.warmSaturated, b.anyWarmingUp = true, true
+			b.warmServersSaturated, b.anyWarmingUp = true, true
 		}},
 	} {
 		t.Run(c.want.String(), func(t *testing.T) {
@@ -83,16 +83,16 @@
 			b := newStarted(t, set, serverList(6))
 			b.now = time.Minute
 			s, other := b.servers["s0"], b.servers["s1"]
-			b.accounts.Open(&s.account, 1) // with credit, where it would begin with a random one
+			b.accounts.Open(&s.account, 1) // full credit instead of a random one
 			b.accounts.Open(&other.account, 1)
 			sel := selection{
 				request: &request{class: b.classes[c.class], objectiveAt: b.now + 400*ms, deadline: b.now + time.Second},
 				sparse:  b.IsSparse(), fastestLatency: math.Inf(1),
 			}
 			sel.latencyLimit = b.latencyLimit(sel.request)
-			require.Equal(t, notSkipped, b.consider(&sel, other))
+			require.Equal(t, notSkipped, b.checkServer(&sel, other))
 			c.prepare(b, &sel, s, other)
-			require.Equal(t, c.want, b.consider(&sel, s))
+			require.Equal(t, c.want, b.checkServer(&sel, s))
 		})
 	}
 }
--- a/internal/balancer/endpoints.go
+++ b/internal/balancer/endpoints.go
@@ -8,16 +8,18 @@
 )
 
 const (
-	// forgetAfter is how long a server that has left is remembered: a flap within that time finds its penalty.
+	// forgetAfter is how long the state of a server that left is kept, so that its flap penalty is still known
+	// if it returns within that time.
 	forgetAfter = 2 * dampingDuration
-	// pollAgainDivisor: the longest poll interval divided by this is how long a call may bring nothing.
+	// pollAgainDivisor divides the maximum poll interval to give the time without a response after which
+	// discovery is called again.
 	pollAgainDivisor = 4
 )
 
 func (b *Balancer) onServerListUpdate(e *ServerListUpdate) {
-	b.noteUpdate(e)
+	b.trackDiscoveryCall(e)
 	if e.Kind == UpdateFailed {
-		return // the old list holds
+		return // the old list stays in use
 	}
 	changed := false
 	listed := make(map[string]bool, len(e.Servers))
@@ -38,8 +40,8 @@
 	}
 }
 
-// noteUpdate keeps track of the calls to discovery. The first update starts the rounds.
-func (b *Balancer) noteUpdate(e *ServerListUpdate) {
+// trackDiscoveryCall tracks the calls to discovery. The first update starts the rounds.
+func (b *Balancer) trackDiscoveryCall(e *ServerListUpdate) {
 	switch {
 	case !b.started:
 		b.started = true
@@ -55,7 +57,8 @@
 	}
 }
 
-// onWatchEnded schedules another call to discovery after a backoff, unless one has been made.
+// onWatchEnded schedules another call to discovery after a backoff, unless one has already been made or
+// scheduled.
 func (b *Balancer) onWatchEnded(w *WatchStatus) {
 	if w.End == backoff.WatchSilent {
 		b.discovery.WatchFellSilent(b.now, w.SilentFor)
@@ -71,8 +74,8 @@
 	}
 }
 
-// pollDiscovery subscribes where discovery must be polled. A failure is followed by another call, and so is
-// silence, well before the rules take this balancer to know what it has not heard.
+// pollDiscovery starts a call to discovery if discovery must be polled. Without a response another call
+// follows, well before the rules assume that this balancer knows the changes it did not receive.
 func (b *Balancer) pollDiscovery() {
 	if b.settings.DiscoveryOnDemand {
 		b.discovery.CallStarted(b.now)
@@ -81,7 +84,7 @@
 	}
 }
 
-// updateServer applies an entry of the list and reports whether the server's state has changed.
+// updateServer applies an entry of the server list and reports whether the server's state changed.
 func (b *Balancer) updateServer(e *Server) (changed bool) {
 	s := b.servers[e.ID]
 	if s == nil {
@@ -93,7 +96,7 @@
 		b.servers[e.ID], b.byHash[s.hash] = s, s
 	}
 	changed = s.State != e.State
-	// new or restarted: what was known is of another process
+	// The server is new or was restarted: anything known of it is about another process.
 	if e.StartedAt != s.StartedAt || s.ringPlace == nil {
 		s.latency, s.latencyInFlight = 0, 0
 		b.detector.ServerRestarted(s.outlier)
@@ -105,7 +108,7 @@
 	return changed
 }
 
-// hasReadyServer reports whether one of the known servers is ready.
+// hasReadyServer reports whether at least one known server is ready.
 func (b *Balancer) hasReadyServer() bool {
 	for _, s := range b.servers {
 		if s.State == Ready {
@@ -115,7 +118,8 @@
 	return false
 }
 
-// forgetGoneServers drops servers that left long ago, so that memory does not grow with every release.
+// forgetGoneServers removes servers that left more than forgetAfter ago, so that memory does not grow with
+// every release.
 func (b *Balancer) forgetGoneServers() {
 	maps.DeleteFunc(b.servers, func(_ string, s *server) bool {
 		gone := s.State == Gone && !s.ringPlace.IsMember() && s.inFlight == 0 && b.now-s.leftRingAt > forgetAfter
@@ -131,7 +135,8 @@
 	})
 }
 
-// ForgetServer drops what was learned of a server, whose name another process turns out to have.
+// ForgetServer resets the state of a server whose id turns out to belong to another process now. It does
+// nothing if the server is not known.
 func (b *Balancer) ForgetServer(id string) {
 	s := b.servers[id]
 	if s == nil {
--- a/internal/balancer/endpoints_test.go
+++ b/internal/balancer/endpoints_test.go
@@ -57,7 +57,8 @@
 	}
 }
 
-// A day of releases leaves nothing behind of servers that are gone; the others keep their points and owners.
+// Guards against memory that grows with every release: servers that left are forgotten after forgetAfter, and the others
+// keep their points and keys.
 func TestGoneServersAreForgotten(t *testing.T) {
 	b := newStarted(t, testSettings(), serverList(5))
 	want := ""
@@ -97,10 +98,10 @@
 		t.Fatal("no subscription at the start")
 	}
 	polledAt, waits := time.Duration(0), [6]time.Duration{}
-	for i := range waits { // the first call is repeated soon, a service with faults is spared
+	for i := range waits { // the first retry is early, and the backoff grows
 		set := findAction(b.Step(polledAt+ms, &ServerListUpdate{Kind: UpdateFailed}), SetTimer)
 		require.NotNil(t, set)
-		assert.Nil(t, findAction(b.Step(polledAt+ms, &ServerListUpdate{Kind: UpdateFailed}), SetTimer), "one call follows two ends")
+		assert.Nil(t, findAction(b.Step(polledAt+ms, &ServerListUpdate{Kind: UpdateFailed}), SetTimer), "two failures schedule one call")
 		waits[i] = set.After
 		polledAt += ms + set.After
 		require.NotNil(t, findAction(b.Step(polledAt, &TimerDue{Tag: set.Tag}), Subscribe))
@@ -113,16 +114,16 @@
 		t.Error("polls again while a call is outstanding")
 	}
 	if findAction(b.Step(polledAt+quarter, &TimerDue{Tag: timerRound}), Subscribe) == nil {
-		t.Error("a call that is never answered ends the polling")
+		t.Error("does not poll again after a call without a response")
 	}
 	b.Step(polledAt+quarter+ms, &ServerListUpdate{Kind: UpdateIncremental})
 	if findAction(b.Step(time.Minute, &TimerDue{Tag: timerRound}), Subscribe) != nil {
-		t.Error("polls again though subscribed")
+		t.Error("polls again although subscribed")
 	}
 }
 
-// A watch must not be given up for a scheduled call: another one was accepted meanwhile, as at another address after
-// SIGHUP, and the scheduled one may be refused.
+// Guards against a scheduled call replacing a working watch. Another call may have been accepted meanwhile, as at a new
+// address after SIGHUP, and the scheduled one may be refused.
 func TestNoPollAfterAnotherCallSucceeded(t *testing.T) {
 	set := testSettings()
 	set.DiscoveryOnDemand = true
@@ -139,9 +140,9 @@
 	}
 }
 
-// What all agents of a fleet poll together, once calls fail, does not grow with their number: else an overloaded discovery
-// would never recover.
-func TestLargeFleetsPollNoMoreOften(t *testing.T) {
+// While calls fail, the rate at which all agents of a fleet poll together does not grow with their number. Else an
+// overloaded discovery service would never recover.
+func TestPollRateDoesNotGrowWithFleetSize(t *testing.T) {
 	for balancers, factor := range map[int]float64{1: 1, 6: 1, 36: 6, 600: 100} {
 		set := testSettings()
 		set.Balancers = balancers
--- a/internal/balancer/events.go
+++ b/internal/balancer/events.go
@@ -7,15 +7,15 @@
 	"dunestep/internal/discovery/backoff"
 )
 
-// ServerState is a server's state on the server list.
+// ServerState is a server's state by the server list.
 type ServerState uint8
 
 const (
-	// Ready servers get requests.
+	// Ready means that the server gets requests.
 	Ready ServerState = iota
-	// Draining servers finish what they have and get nothing new.
+	// Draining means that the server finishes its requests and gets no new ones.
 	Draining
-	// Gone servers have left.
+	// Gone means that the server has left.
 	Gone
 )
 
@@ -26,11 +26,11 @@
 	MachineKind string
 	Cell        int
 	State       ServerState
-	Weight      float64       // capacity, compared with the other servers'
+	Weight      float64       // capacity relative to the other servers
 	StartedAt   time.Duration // zero: long ago
 }
 
-// LoadReport is a server's own report; a negative field is absent.
+// LoadReport is a server's report of its own load. A negative value means that the field is absent.
 type LoadReport struct {
 	InFlight   float64 // requests
 	Latency    float64 // seconds
@@ -38,47 +38,48 @@
 	ErrorRatio float64 // from 0 to 1
 }
 
-// Outcome is how an attempt or a probe ended.
+// Outcome is the result of an attempt or a probe.
 type Outcome uint8
 
 const (
-	// Served means with the server's answer.
+	// Served means that the server responded.
 	Served Outcome = iota
-	// ServerError means with the server's error; it may have been processed.
+	// ServerError means that the server responded with an error. The attempt may have been processed.
 	ServerError
-	// Rejected means by the server; it was not processed.
+	// Rejected means that the server rejected the attempt, which was not processed.
 	Rejected
-	// TimedOut means without an answer in time; it may have been processed.
+	// TimedOut means that there was no response in time. The attempt may have been processed.
 	TimedOut
-	// ConnectFailed means that no connection came up; it was not processed.
+	// ConnectFailed means that no connection could be established. The attempt was not processed.
 	ConnectFailed
-	// ConnectionLost means before the answer was complete; it may have been processed.
+	// ConnectionLost means that the connection was lost before the response was complete. The attempt may have
+	// been processed.
 	ConnectionLost
-	// Canceled means by this balancer; it may have been processed.
+	// Canceled means that this balancer canceled the attempt, which may have been processed.
 	Canceled
-	// NotSent means that it never left this balancer; it was not processed.
+	// NotSent means that the attempt was never sent to the server. It was not processed.
 	NotSent
 )
 
 // Unprocessed reports whether the outcome proves that the attempt had no effect.
 func (o Outcome) Unprocessed() bool { return o == Rejected || o == ConnectFailed || o == NotSent }
 
-// Event is something that happened to a Balancer: one of the types below, by pointer.
+// Event is an input of Balancer.Step: a pointer to one of the event types of this file.
 type Event interface{ event() }
 
-// Request is a client's request; it gets exactly one final answer.
+// Request reports a new client request, which gets exactly one final answer.
 type Request struct {
 	ID            uint32
-	WorkHint      time.Duration // rough server time; zero: unknown
+	WorkHint      time.Duration // estimated server time; zero: unknown
 	Key           string        // empty: none
 	Tenant        string
 	Class         string
-	ClientTimeout time.Duration // until the client gives up
+	ClientTimeout time.Duration // time until the client gives up
 	ClientRetry   bool          // marked by the client as a retry
-	QuotaCounted  bool          // counted against its tenant's quota before, and not again
+	QuotaCounted  bool          // already counted against its tenant's quota, so not counted again
 }
 
-// quotaTenant is the tenant whose quota the request counts against; empty: nobody's.
+// quotaTenant returns the tenant whose quota the request counts against, or an empty string for none.
 func (e *Request) quotaTenant() string {
 	if e.QuotaCounted {
 		return ""
@@ -88,55 +89,55 @@
 
 // AttemptDone reports the end of an attempt.
 type AttemptDone struct {
-	ID          uint32 // of the request
-	Attempt     int    // its number, from 0 in the order of Send actions
+	ID          uint32 // request id
+	Attempt     int    // attempt number within the request, from 0 in the order of Send actions
 	Server      string
 	Outcome     Outcome
 	Latency     time.Duration
 	RequestDone bool             // the client has its final answer
-	LoadReport  *LoadReport      // nil: none came
-	Evidence    outlier.Evidence // what the transport knows beyond the outcome; zero: nothing
+	LoadReport  *LoadReport      // nil: none
+	Evidence    outlier.Evidence // details of the outcome from the transport; zero: none
 }
 
-// StreamStarted reports that an attempt's answer has begun to stream.
+// StreamStarted reports that an attempt's response has begun to stream to the client.
 type StreamStarted struct {
 	ID      uint32
 	Attempt int
 }
 
-// ClientGone reports that a request's client has left.
+// ClientGone reports that a request's client has disconnected.
 type ClientGone struct{ ID uint32 }
 
 // UpdateKind is the kind of a ServerListUpdate.
 type UpdateKind uint8
 
 const (
-	// UpdateIncremental holds the entries that changed.
+	// UpdateIncremental contains only the entries that changed.
 	UpdateIncremental UpdateKind = iota
-	// UpdateFull holds the complete list: what it does not name is gone.
+	// UpdateFull contains the complete list: servers that it does not contain are gone.
 	UpdateFull
-	// UpdateCached holds the complete list that was cached before the start.
+	// UpdateCached contains the complete list as it was cached before the start.
 	UpdateCached
-	// UpdateFailed holds no entries: a call to discovery has ended.
+	// UpdateFailed contains no entries: a call to discovery has ended.
 	UpdateFailed
 )
 
-// ServerListUpdate reports a change of the server list, or of the watch that brings it. The entries are read
-// during the step only.
+// ServerListUpdate reports a change of the server list, or of the discovery watch that delivers it. The
+// entries are read only during the step.
 type ServerListUpdate struct {
 	Kind    UpdateKind
 	Servers []Server
 	Watch   WatchStatus
 }
 
-// WatchStatus is what is known of the call to discovery that a ServerListUpdate is about; zero: nothing, as
-// in the simulator.
+// WatchStatus describes the call to discovery that a ServerListUpdate is about. The zero value means that
+// nothing is known of it, as in the simulator.
 type WatchStatus struct {
-	End       backoff.CallResult // of UpdateFailed: how the call ended
-	SilentFor time.Duration      // of backoff.WatchSilent: how long nothing had come
-	Replaced  bool               // of backoff.WatchSilent: another call has taken its place
-	Local     bool               // the agent's own update, such as an operator's: discovery has said nothing
-	Opened    bool               // discovery has accepted the call, and has sent nothing yet
+	End       backoff.CallResult // with UpdateFailed: how the call ended
+	SilentFor time.Duration      // with backoff.WatchSilent: time since the watch last received anything
+	Replaced  bool               // with backoff.WatchSilent: another call has already been made
+	Local     bool               // update by the agent itself, such as an operator's, not by discovery
+	Opened    bool               // discovery has accepted the call but sent no list yet
 }
 
 // ProbeDone reports the end of a probe.
@@ -144,12 +145,12 @@
 	Server     string
 	Outcome    Outcome
 	Latency    time.Duration
-	LoadReport *LoadReport // nil: none came
+	LoadReport *LoadReport // nil: none
 }
 
-// PeerMessage carries another balancer's message.
+// PeerMessage reports a message from another balancer.
 type PeerMessage struct {
-	From int // the sender's number
+	From int // number of the sending balancer
 	Data []byte
 }
 
--- a/internal/balancer/example_test.go
+++ b/internal/balancer/example_test.go
@@ -7,7 +7,7 @@
 	"dunestep/internal/balancer"
 )
 
-// A process embeds one Balancer, feeds it what happens and carries out the actions that come back.
+// A process has one Balancer, passes it events and carries out the actions it returns.
 func Example() {
 	b, err := balancer.New(balancer.Settings{
 		Balancers: 1,
@@ -31,7 +31,7 @@
 	for _, a := range b.Step(now, &balancer.Request{ID: 1, Class: "read", Key: "user-7", ClientTimeout: time.Second}) {
 		if a.Kind == balancer.Send {
 			fmt.Println("send request", a.ID, "to", a.Server)
-			// ... and when it failed before it ran:
+			// If the attempt fails before it was processed, it is retried elsewhere:
 			done := &balancer.AttemptDone{ID: a.ID, Server: a.Server, Outcome: balancer.ConnectFailed}
 			for _, next := range b.Step(now+time.Millisecond, done) {
 				if next.Kind == balancer.Send {
--- a/internal/balancer/exclusions_test.go
+++ b/internal/balancer/exclusions_test.go
@@ -13,8 +13,8 @@
 	"dunestep/internal/balancer/ring"
 )
 
-// KeyRank is uniform over the keys at each server and independent between servers: a quarter of the keys is in the lower half
-// at two of them.
+// KeyRank is uniform over the keys at each server and independent between servers: half of the keys are in the lower half
+// at each server, and one in 16 at all four servers.
 func TestKeyRank(t *testing.T) {
 	const keys, half = 20000, 1 << 31
 	var below [4]int
@@ -35,10 +35,10 @@
 		require.InDelta(t, keys/2, n, keys/50, "server %d", s)
 	}
 	require.InDelta(t, keys/16, both, keys/100)
-	require.Equal(t, uint32(0xdbf1fcde), KeyRank(ring.Hash("k:1"), "s3"), "the same in every build of a running fleet")
+	require.Equal(t, uint32(0xdbf1fcde), KeyRank(ring.Hash("k:1"), "s3"), "all agents of a fleet must have the same ranks, whatever their build")
 }
 
-// checkExclusions checks that a request goes to an excluded server only where no other is left.
+// checkExclusions checks that a request goes to an excluded server only if no other is available.
 func (w *simulation) checkExclusions(e *Request, to string) {
 	if w.exclusions == nil {
 		return
@@ -62,8 +62,8 @@
 	}
 }
 
-// With random exclusions the rules hold, and nothing is sent to an excluded server unless no other is left. Neutral exclusions
-// change nothing.
+// With random exclusions the rules hold, and nothing is sent to an excluded server unless no other is available.
+// Exclusions that match no request change no action.
 func TestExclusionsOnRandomEvents(t *testing.T) {
 	overrides, excluded := 0, 0
 	for seed := range uint64(20) {
@@ -84,17 +84,17 @@
 			if n%100 != 0 {
 				return
 			}
-			a := &Exclusions{Tenants: map[string]map[string]uint32{"a": {}, NoTenant: {}}}
+			exclusions := &Exclusions{Tenants: map[string]map[string]uint32{"a": {}, NoTenant: {}}}
 			for i := range 8 {
 				if w.rng.IntN(3) == 0 {
-					a.Tenants["a"][fmt.Sprint("s", i)] = w.rng.Uint32() | uint32(w.rng.IntN(2))*math.MaxUint32
+					exclusions.Tenants["a"][fmt.Sprint("s", i)] = w.rng.Uint32() | uint32(w.rng.IntN(2))*math.MaxUint32
 				}
 			}
 			if w.rng.IntN(4) == 0 {
-				a.AllTenants = func(server, _ string) bool { return server < "s4" }
+				exclusions.AllTenants = func(server, _ string) bool { return server < "s4" }
 			}
-			w.exclusions = a
-			w.b.SetExclusions(a)
+			w.exclusions = exclusions
+			w.b.SetExclusions(exclusions)
 		})
 		for _, s := range last.b.TenantStats() {
 			overrides += int(s.ExclusionOverrides)
@@ -102,12 +102,12 @@
 		excluded += last.excluded
 	}
 	require.Greater(t, overrides, 50)
-	require.Greater(t, excluded, 2000, "decisions with an excluded server")
+	require.Greater(t, excluded, 2000, "attempts of requests with an excluded server")
 }
 
-// An attempt of each kind keeps away from an excluded server: to the key's owner, in the home zone, as a probe request, on
+// Exclusions apply to attempts of every kind: to the key's owner, in the home zone, as a probe request, to a server on
 // probation, and as a test of failed probes.
-func TestExclusionsHoldForEveryKindOfAttempt(t *testing.T) {
+func TestExclusionsApplyToEveryKindOfAttempt(t *testing.T) {
 	for name, prepare := range map[string]func(b *Balancer, s *server){
 		"owner":     func(*Balancer, *server) {},
 		"home zone": func(b *Balancer, s *server) { b.settings.Costs.CrossZone, b.settings.Zone = 1, s.Zone },
@@ -141,21 +141,21 @@
 				return n
 			}
 			require.Zero(t, sent("a", true), "%s, key %q", name, key)
-			require.NotZero(t, sent("a", false), "%s, key %q: nothing is sent so", name, key)
+			require.NotZero(t, sent("a", false), "%s, key %q: the case sends nothing without the exclusion", name, key)
 			require.Equal(t, sent("b", false), sent("b", true), "%s, key %q: another tenant", name, key)
 		}
 	}
 }
 
-// failProbes has all probes fail, so that what is sent at all is sent as a test.
+// failProbes marks the probes of all servers as failed, so that requests are sent only to test the probes.
 func failProbes(b *Balancer) {
 	for _, s := range b.ring.Members() {
 		s.probeFailedAt, s.probeOutcome = time.Second, TimedOut
 	}
 }
 
-// A retry, and a request that waits for a probe's answer, keep away from what is excluded by then.
-func TestExclusionsHoldForRequestsUnderWay(t *testing.T) {
+// Exclusions that are set while a request waits for a probe or before its retry apply to it.
+func TestExclusionsApplyToRequestsInFlight(t *testing.T) {
 	set := testSettings()
 	set.Limits.Probes = true
 	for _, probes := range []bool{false, true} {
@@ -177,8 +177,8 @@
 	}
 }
 
-// Exclusions are overridden only where the other servers are gone, draining or down: that they are busy or were tried is no
-// reason. Each override is counted, and some are logged.
+// Exclusions are overridden only if the other servers are gone, draining or down, not if they are busy or damped. Each
+// override is counted, and logged once every 10 s.
 func TestExclusionsAreOverriddenWithoutOtherServers(t *testing.T) {
 	set := testSettings()
 	set.Tenants = []Tenant{{Name: "a"}}
@@ -232,7 +232,7 @@
 	}
 }
 
-func TestExclusionsHoldForServersListedLater(t *testing.T) {
+func TestExclusionsApplyToServersListedLater(t *testing.T) {
 	b := newStarted(t, testSettings(), serverList(1))
 	b.SetExclusions(&Exclusions{AllTenants: func(server, zone string) bool { return server == "s1" && zone == "z1" }})
 	b.Step(ms, &ServerListUpdate{Kind: UpdateFull, Servers: serverList(2)})
@@ -245,8 +245,8 @@
 	require.Nil(t, b.servers["s1"].excludedBelow)
 }
 
-// As large a part of requests without a key is excluded as of those with one: a quarter of them would go there anyway, half of
-// these are excluded, and no others come instead.
+// Requests without a key are excluded in the same proportion as keys. Of four servers each gets a quarter of the
+// requests; excluding half of the ranks at one halves its part.
 func TestExclusionsOfRequestsWithoutKeys(t *testing.T) {
 	b := newStarted(t, testSettings(), serverList(4))
 	sent := func(below uint32) (n int) {
@@ -266,7 +266,7 @@
 	require.Zero(t, sent(math.MaxUint32))
 }
 
-// What exclusions take from a server's traffic is taken from its weight, as far as the excluded tenants send requests.
+// Exclusions reduce a server's traffic weight by the excluded fraction of all tenants' requests.
 func TestExclusionsReduceTrafficWeights(t *testing.T) {
 	set := testSettings()
 	set.Tenants = []Tenant{{Name: "a"}, {Name: "b"}}
--- a/internal/balancer/flapdamping.go
+++ b/internal/balancer/flapdamping.go
@@ -6,25 +6,25 @@
 )
 
 const (
-	// flapPenaltyStep is added for each change between up and down.
+	// flapPenaltyStep is added to the flap penalty for each change between up and down.
 	flapPenaltyStep = 1.0
-	// flapPenaltyHalfLife is the time in which a penalty decays to its half.
+	// flapPenaltyHalfLife is the half-life of a flap penalty.
 	flapPenaltyHalfLife = 10 * time.Second
-	// dampingDuration is how long a flapping server gets nothing.
+	// dampingDuration is how long a flapping server gets no requests.
 	dampingDuration = 20 * time.Second
-	// peerLimitDivisor: a peer agrees to damping where its penalty is above the suppress limit divided by this.
+	// peerLimitDivisor divides the suppress limit to give the flap penalty above which a peer agrees to damping.
 	peerLimitDivisor = 2
 )
 
-// decayedPenalty is the server's flap penalty now.
+// decayedPenalty returns the server's flap penalty at a time.
 func (s *server) decayedPenalty(now time.Duration) float64 {
 	return s.flapPenalty * math.Exp2(-float64(now-s.flapPenaltyAt)/float64(flapPenaltyHalfLife))
 }
 
-// isDamped reports whether the server gets nothing because it was flapping.
+// isDamped reports whether the server gets no requests because it was flapping.
 func (s *server) isDamped(now time.Duration) bool { return now < s.dampedUntil }
 
-// meanPenalty over the members is what a new server starts with.
+// meanPenalty returns the mean flap penalty of the ring's members, the initial penalty of a new server.
 func (b *Balancer) meanPenalty() float64 {
 	sum := 0.0
 	for _, s := range b.ring.Members() {
@@ -33,9 +33,9 @@
 	return sum / b.memberCount()
 }
 
-// countFlap raises the penalty of a server that is not in the state of the round before: what went down and
-// came back inside a round does not count, nor does what one cause near this balancer took down with most
-// others.
+// countFlap raises the flap penalty of a server that went down or recovered since the last round, and damps
+// it or consults peers above the suppress limit. Changes within a round do not count, nor do those while
+// verdicts are distrusted because most servers look bad for a cause near this balancer.
 func (b *Balancer) countFlap(s *server) {
 	if down := s.outlier.IsEjected(); down != s.wasDown && b.detector.DistrustReason() == "" {
 		s.wasDown = down
@@ -46,8 +46,8 @@
 	}
 }
 
-// dampOrConsult damps a flapping server: with peers, only after they were asked. Their silence counts as
-// agreement when the server flaps again.
+// dampOrConsult damps a flapping server, or first asks peers if there are any. If none agrees and the server
+// flaps again within dampingDuration, it is damped all the same.
 func (b *Balancer) dampOrConsult(s *server) {
 	if b.settings.Limits.Gossip && b.settings.Balancers > 1 && b.now-s.dampRequestedAt > dampingDuration {
 		s.dampRequestedAt = b.now
@@ -57,7 +57,8 @@
 	b.damp(s)
 }
 
-// onDampResponse damps the server if the peer agrees and was asked in this round.
+// onDampResponse damps the server if the peer's flap penalty agrees and the request to peers was sent within
+// the last round.
 func (b *Balancer) onDampResponse(s *server, peerPenalty float64) {
 	asked := s.dampRequestedAt > 0 && b.now-s.dampRequestedAt <= roundInterval
 	if asked && !s.isDamped(b.now) &&
@@ -66,6 +67,7 @@
 	}
 }
 
+// damp keeps requests from the server for dampingDuration.
 func (b *Balancer) damp(s *server) {
 	s.dampedUntil = b.now + dampingDuration
 	b.logf("server %s damped for %v: it is flapping", s.ID, dampingDuration)
--- a/internal/balancer/flapdamping_test.go
+++ b/internal/balancer/flapdamping_test.go
@@ -17,7 +17,7 @@
 		want  float64
 	}{{0, 1}, {flapPenaltyHalfLife, 0.5}, {2 * flapPenaltyHalfLife, 0.25}} {
 		if got := s.decayedPenalty(b.now + c.after); math.Abs(got-c.want) > 1e-9 {
-			t.Errorf("after %v the penalty is %v, want %v", c.after, got, c.want)
+			t.Errorf("penalty after %v: %v, want %v", c.after, got, c.want)
 		}
 	}
 	b.now = time.Second
@@ -30,11 +30,11 @@
 		t.Error("not damped after three quick flaps")
 	}
 	if reason, _ := b.checkHealth(&request{class: b.classes["safe"]}, s); reason != skipDown {
-		t.Errorf("a damped server: %v", reason)
+		t.Errorf("a damped server is not skipped as down: %v", reason)
 	}
 	b.updateServer(&Server{ID: "new", State: Ready})
 	if got := b.servers["new"].flapPenalty; math.Abs(got-b.meanPenalty()) > 1e-9 || got == 0 {
-		t.Errorf("a new server starts at %v, the mean is %v", got, b.meanPenalty())
+		t.Errorf("penalty of a new server: %v, want the mean %v", got, b.meanPenalty())
 	}
 }
 
@@ -48,8 +48,8 @@
 	}{
 		{"a peer agrees", 30, 1, 0, true},
 		{"a peer sees no flapping", 3, 1, 0, false},
-		{"an answer after the round", 30, 1, 2 * time.Second, false},
-		{"a sender that cannot be", 30, 9, 0, false},
+		{"a response after the round", 30, 1, 2 * time.Second, false},
+		{"an invalid sender", 30, 9, 0, false},
 	} {
 		b := newStarted(t, testSettings(), serverList(5))
 		s := b.ring.Members()[0]
@@ -62,7 +62,7 @@
 			if a.Kind == SendToPeer {
 				asked++
 				if a.Peer == b.settings.Self {
-					t.Error("asks itself")
+					t.Error("sends the damp request to itself")
 				}
 			}
 		}
--- a/internal/balancer/fleetpolicy.go
+++ b/internal/balancer/fleetpolicy.go
@@ -2,21 +2,22 @@
 
 import "time"
 
-// RetryPolicy is what a fleet has agreed on for the requests of one class, within the settings.
+// RetryPolicy is the fleet policy for the requests of one class. It can only tighten the settings.
 type RetryPolicy struct {
-	MaxAttempts        int           // of a request, the first one included; below one: one
-	Hedging            bool          // two attempts of a request may be outstanding at once
-	MinAttemptInterval time.Duration // from an attempt's start to that of the retry that follows its failure
+	MaxAttempts        int           // attempts of a request, including the first; below one: one
+	Hedging            bool          // two attempts of a request may be in flight at once
+	MinAttemptInterval time.Duration // minimum time from an attempt's start to the start of its retry
 }
 
-// maxAttemptInterval bounds RetryPolicy.MinAttemptInterval; no request lasts as long.
+// maxAttemptInterval is the maximum of RetryPolicy.MinAttemptInterval. It is longer than any request lasts.
 const maxAttemptInterval = time.Hour
 
-// ApplyFleetPolicy has the Balancer follow what its fleet has agreed on, from the next Step on: quotas by the
-// settings' tenants, in requests a second over the fleet (zero or less: none), and retry policies by the
-// settings' classes. What is left out is as in the settings: ApplyFleetPolicy(nil, nil) takes all back. No
-// class gets more attempts than the settings permit, nor hedging that they don't; an invalid quota leaves the
-// tenant's as it is. Applying the same policy again changes nothing.
+// ApplyFleetPolicy applies a fleet policy from the next Step on. Quotas are in the order of the settings'
+// tenants, in requests a second over the whole fleet (zero or less: no quota), and retry policies in the
+// order of the settings' classes. Tenants and classes without an entry follow the settings, so
+// ApplyFleetPolicy(nil, nil) removes the policy. No class gets more attempts than the settings permit, or
+// hedging that they forbid. An invalid quota leaves the tenant's quota unchanged. Applying the same policy
+// again changes nothing.
 func (b *Balancer) ApplyFleetPolicy(quotas []float64, classes []RetryPolicy) {
 	for i, t := range b.settings.Tenants {
 		perSecond := t.QuotaPerSecond
@@ -30,7 +31,8 @@
 	}
 }
 
-// applyPolicy sets the class's limits from its entry among the policies of all classes.
+// applyPolicy sets the class's limits from the settings and its entry, if any, in the policies of all
+// classes.
 func (c *class) applyPolicy(limits Limits, policies []RetryPolicy) {
 	c.maxAttempts, c.hedging, c.minAttemptInterval = limits.MaxAttempts, limits.Hedging, 0
 	if c.index < len(policies) {
--- a/internal/balancer/fleetpolicy_test.go
+++ b/internal/balancer/fleetpolicy_test.go
@@ -10,8 +10,8 @@
 	"dunestep/internal/balancer/ring"
 )
 
-// A policy that equals the settings, applied over and over, changes nothing; with another one the actions differ, and the rules
-// hold whatever it says.
+// A policy that equals the settings changes no action, however often it is applied. With other policies the actions
+// differ, but the rules hold whatever the policy is.
 func TestFleetPolicyStaysWithinTheSettings(t *testing.T) {
 	for seed := range uint64(12) {
 		var set Settings
@@ -41,7 +41,7 @@
 	}
 }
 
-// A class's policy holds for requests under way, and the settings hold again after it.
+// A class's policy also applies to requests in flight, and the settings apply again once it is removed.
 func TestFleetPolicyLimitsAttemptsAndTheirInterval(t *testing.T) {
 	set := testSettings()
 	set.Limits.Hedging = true
@@ -56,7 +56,7 @@
 		if timer := findAction(acts, SetTimer); timer != nil {
 			wait = timer.After
 			b.Step(sent+wait, &TimerDue{Tag: timer.Tag})
-			require.Len(t, b.requests[id].attempts, 1, "woken up too soon")
+			require.Len(t, b.requests[id].attempts, 1, "retried before the wait is over")
 			acts = b.Step(sent+5*ms+wait, &TimerDue{Tag: timer.Tag})
 		}
 		retried = findAction(acts, Send) != nil
@@ -84,7 +84,7 @@
 	}
 }
 
-// No hedged request where the policy forbids it, neither to a server that is down nor to one on probation.
+// A policy that forbids hedging applies both to servers that are down and to servers on probation.
 func TestFleetPolicyForbidsHedging(t *testing.T) {
 	set := testSettings()
 	for _, onProbation := range []bool{false, true} {
@@ -121,14 +121,14 @@
 	}
 }
 
-// Two tenants send 20 requests a second each, with quotas of 30 in all: the policy says how those are divided.
+// Two tenants send 20 requests a second each. Their quotas add up to 30 a second, which the policy divides.
 func TestFleetPolicySetsQuotas(t *testing.T) {
 	set := testSettings()
 	set.Balancers, set.Tenants = 1, []Tenant{{Name: "a", QuotaPerSecond: 15}, {Name: "b", QuotaPerSecond: 15}}
 	b, id := newStarted(t, set, serverList(6)), uint32(0)
 	overQuota := func(quotas ...float64) (over [2]int) {
 		b.ApplyFleetPolicy(quotas, nil)
-		for i := range 400 { // 10 s, of which the last 5 count
+		for i := range 400 { // 10 s, of which the last 5 s count
 			b.Step(b.now+25*ms, &TimerDue{Tag: 1 << 40})
 			if i%40 == 0 {
 				b.Step(b.now, &TimerDue{Tag: timerRound})
@@ -146,7 +146,7 @@
 		return over
 	}
 	equal := overQuota()
-	require.InDelta(t, 25, equal[0], 3, "of 100, at 15 of 20 a second")
+	require.InDelta(t, 25, equal[0], 3, "of 100 requests, at a quota of 15 and a rate of 20 a second")
 	require.InDelta(t, 25, equal[1], 3)
 	moved := overQuota(25, 5)
 	require.Zero(t, moved[0])
@@ -154,7 +154,8 @@
 	require.Equal(t, equal, overQuota())
 }
 
-// The answer to a probe that a request waited for before its first attempt does not wake it up too early for its second.
+// Guards against a retry before the minimum attempt interval. The request waited for a probe before its first attempt,
+// and the late response to that probe must not resume it while it waits for its second.
 func TestMinAttemptIntervalHoldsWhenAProbeIsAnswered(t *testing.T) {
 	set := testSettings()
 	set.Limits.Probes = true
@@ -166,6 +167,6 @@
 	sent := mustSend(t, b.Step(b.now+ms, &ProbeDone{Server: findAction(acts, Probe).Server, Outcome: Served}))
 	startedAt := b.now
 	timer := findAction(b.Step(startedAt+5*ms, &AttemptDone{ID: 1, Server: sent.Server, Outcome: Rejected, Latency: 5 * ms}), SetTimer)
-	require.Empty(t, b.Step(startedAt+6*ms, &ProbeDone{Server: silent, Outcome: Served}), "too soon")
+	require.Empty(t, b.Step(startedAt+6*ms, &ProbeDone{Server: silent, Outcome: Served}), "no retry before the interval is over")
 	mustSend(t, b.Step(startedAt+80*ms, &TimerDue{Tag: timer.Tag}))
 }
--- a/internal/balancer/fleetsize.go
+++ b/internal/balancer/fleetsize.go
@@ -1,30 +1,29 @@
 package balancer
 
-// FleetSize is how many agents are live, as far as is known, for what is divided by their number; zero: as
-// many as the settings name. It comes from gossip, so it may be wrong: see EffectiveFleetSize.
+// FleetSize is the number of live agents by which limits of the whole fleet are divided. In each field, zero
+// means the number in the settings. The numbers come from gossip and may be wrong: see EffectiveFleetSize.
 type FleetSize struct {
-	// ProbeRequests divides the probe requests to a server that is down, of which all agents together make a
-	// certain number a second.
+	// ProbeRequests divides the rate of probe requests that all agents together send to a server that is down.
 	ProbeRequests int
-	// Quotas divides the tenants' quotas, of which each agent has a part by its part of all arrivals.
+	// Quotas divides the tenants' quotas. Each agent's part also depends on its part of all arrivals.
 	Quotas int
 }
 
-// SetFleetSize has the Balancer divide by other numbers from the next Step on; the zero value takes that
-// back.
+// SetFleetSize sets the number of live agents from the next Step on. The zero value restores the settings'
+// number.
 //
-// However wrong the numbers are, and at however many agents, all together make at most half as many probe
-// requests again to a server that is down, and no tenant gets more than half its quota again. What servers in
-// slow start get does not depend on the number of agents.
+// Even if the numbers are wrong at every agent, all agents together send at most 1.5 times the intended probe
+// requests to a server that is down, and no tenant gets more than 1.5 times its quota. The load on servers in
+// slow start does not depend on the number of agents.
 func (b *Balancer) SetFleetSize(size FleetSize) {
 	b.slowStart.Balancers = EffectiveFleetSize(size.ProbeRequests, b.settings.Balancers)
 	b.slowStartSaturated.Balancers = b.slowStart.Balancers
 	b.quotas.SetBalancers(EffectiveFleetSize(size.Quotas, b.settings.Balancers))
 }
 
-// EffectiveFleetSize is the number of agents to divide by where the settings name so many and so many are
-// said to be live: at least two thirds of the named, at most all of them. A sum over all live agents is so at
-// most half as much again as where each divides by the number that the settings name.
+// EffectiveFleetSize returns the number of agents to divide by: the number reported live, but at least two
+// thirds and at most all of the number named in the settings. If no number is known, live is not positive and
+// the result is named. So the sum over all agents is at most 1.5 times that with each dividing by named.
 func EffectiveFleetSize(live, named int) int {
 	if live <= 0 {
 		return named
--- a/internal/balancer/golden_test.go
+++ b/internal/balancer/golden_test.go
@@ -19,22 +19,22 @@
 	"github.com/stretchr/testify/require"
 )
 
-var updateGolden = flag.Bool("update", false, "write the files under testdata/golden anew")
+var updateGolden = flag.Bool("update", false, "rewrite the files under testdata/golden")
 
-// golden returns the file's content; with -update it writes what was made instead.
-func golden(t *testing.T, name string, made []byte) []byte {
+// golden returns the content of a golden file. With -update it first writes the encoded data to the file.
+func golden(t *testing.T, name string, encoded []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
 	if *updateGolden {
-		require.NoError(t, os.WriteFile(path, made, 0o644))
+		require.NoError(t, os.WriteFile(path, encoded, 0o644))
 	}
 	want, err := os.ReadFile(path)
 	require.NoError(t, err)
 	return want
 }
 
-// encodeAgain decodes a peer message and encodes what was read.
-func encodeAgain(data []byte) []byte {
+// reencode decodes a peer message and encodes the result; nil: the message is invalid.
+func reencode(data []byte) []byte {
 	m := decodePeerMessage(data)
 	switch m.kind {
 	case messageDampRequest, messageDampResponse:
@@ -45,10 +45,10 @@
 	return nil
 }
 
-// Each line of the file is a name and a message in hexadecimal digits.
+// Each line of the golden file is a name and a message in hexadecimal digits.
 func TestGoldenPeerMessages(t *testing.T) {
-	var made bytes.Buffer
-	add := func(name string, data []byte) { fmt.Fprintf(&made, "%s %x\n", name, data) }
+	var encoded bytes.Buffer
+	add := func(name string, data []byte) { fmt.Fprintf(&encoded, "%s %x\n", name, data) }
 	for _, hash := range []uint32{0, 0x01020304, 0xfedcba98, math.MaxUint32} {
 		for _, penalty := range []float64{0, 0.1, 1, 2.5, 25.5} {
 			s := &server{hash: hash, flapPenalty: penalty}
@@ -61,8 +61,8 @@
 	for _, rate := range []float64{0, 0.5, 1, 33.25, 1e6, 999_999_936} {
 		add(fmt.Sprintf("arrival-rate-%v", rate), encodeRateMessage(rate))
 	}
-	want := golden(t, "peer_messages.txt", made.Bytes())
-	require.Equal(t, string(want), made.String())
+	want := golden(t, "peer_messages.txt", encoded.Bytes())
+	require.Equal(t, string(want), encoded.String())
 
 	lines := bufio.NewScanner(bytes.NewReader(want))
 	count := 0
@@ -71,7 +71,7 @@
 		t.Run(name, func(t *testing.T) {
 			data, err := hex.DecodeString(digits)
 			require.NoError(t, err)
-			require.Equal(t, data, encodeAgain(data))
+			require.Equal(t, data, reencode(data))
 		})
 	}
 	require.Equal(t, 48, count)
@@ -94,24 +94,24 @@
 		t.Run(name, func(t *testing.T) {
 			data, err := hex.DecodeString(digits)
 			require.NoError(t, err)
-			require.Nil(t, encodeAgain(data))
+			require.Nil(t, reencode(data))
 		})
 	}
 }
 
-// fill sets each field, in order, to another value.
-func fill(v reflect.Value, n *int) {
+// fillValue sets each field, in order, to a different value. It adds one to n for each value.
+func fillValue(v reflect.Value, n *int) {
 	switch *n++; v.Kind() {
 	case reflect.Struct:
 		for i := range v.NumField() {
-			fill(v.Field(i), n)
+			fillValue(v.Field(i), n)
 		}
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
 		fallthrough
 	case reflect.Array:
 		for i := range v.Len() {
-			fill(v.Index(i), n)
+			fillValue(v.Index(i), n)
 		}
 	case reflect.Float64:
 		v.SetFloat(float64(*n) + 1.0/3)
@@ -124,19 +124,19 @@
 	case reflect.String:
 		v.SetString(fmt.Sprint("name-", *n))
 	default:
-		panic("a kind that the memory did not have: " + v.Type().String())
+		panic("fillValue does not support values of type " + v.Type().String())
 	}
 }
 
-// filled has each field set, those of older versions too.
-func filled() (m Snapshot) {
+// filledSnapshot returns a Snapshot with each field set, including those of version 1.
+func filledSnapshot() (m Snapshot) {
 	n := 0
-	fill(reflect.ValueOf(&m).Elem(), &n)
+	fillValue(reflect.ValueOf(&m).Elem(), &n)
 	return m
 }
 
-// stored is the codec of the state folder.
-func stored(t *testing.T) cbor.EncMode {
+// stateEncoding returns the CBOR encoding of the state folder.
+func stateEncoding(t *testing.T) cbor.EncMode {
 	enc, err := cbor.EncOptions{
 		Sort: cbor.SortCoreDeterministic, ShortestFloat: cbor.ShortestFloat16,
 		IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden,
@@ -145,41 +145,41 @@
 	return enc
 }
 
-// What is kept over a restart: each field under its number.
-func TestGoldenMemoryStored(t *testing.T) {
-	for name, m := range map[string]Snapshot{"memory_full.cbor.hex": filled(), "memory_empty.cbor.hex": {}} {
+// Checks the stored form of a Snapshot: each field keeps its number.
+func TestGoldenSnapshotCBOR(t *testing.T) {
+	for name, m := range map[string]Snapshot{"memory_full.cbor.hex": filledSnapshot(), "memory_empty.cbor.hex": {}} {
 		t.Run(name, func(t *testing.T) {
-			made, err := stored(t).Marshal(m)
+			encoded, err := stateEncoding(t).Marshal(m)
 			require.NoError(t, err)
-			text := golden(t, name, []byte(hex.EncodeToString(made)+"\n"))
+			text := golden(t, name, []byte(hex.EncodeToString(encoded)+"\n"))
 			want, err := hex.DecodeString(strings.TrimSpace(string(text)))
 			require.NoError(t, err)
-			require.Equal(t, want, made)
+			require.Equal(t, want, encoded)
 			var read Snapshot
 			require.NoError(t, cbor.Unmarshal(want, &read))
 			require.Equal(t, m, read)
-			again, err := stored(t).Marshal(read)
+			again, err := stateEncoding(t).Marshal(read)
 			require.NoError(t, err)
 			require.Equal(t, want, again)
 		})
 	}
 }
 
-// DedupWindow of the version before, as it is after it was read and brought to the present version.
-func TestGoldenMemoryVersion1(t *testing.T) {
-	m := filled()
+// Checks the stored form of a Snapshot of version 1 after its migration to the current version.
+func TestGoldenSnapshotFromVersion1(t *testing.T) {
+	m := filledSnapshot()
 	m.MigrateFromVersion1()
-	made, err := stored(t).Marshal(m)
+	encoded, err := stateEncoding(t).Marshal(m)
 	require.NoError(t, err)
-	text := golden(t, "memory_from_version_1.cbor.hex", []byte(hex.EncodeToString(made)+"\n"))
-	require.Equal(t, strings.TrimSpace(string(text)), hex.EncodeToString(made))
+	text := golden(t, "memory_from_version_1.cbor.hex", []byte(hex.EncodeToString(encoded)+"\n"))
+	require.Equal(t, strings.TrimSpace(string(text)), hex.EncodeToString(encoded))
 	require.Equal(t, 2, SnapshotVersion)
 }
 
-// How it is printed.
-func TestGoldenMemoryPrinted(t *testing.T) {
-	made, err := json.MarshalIndent(filled(), "", "\t")
+// Checks the JSON form in which a Snapshot is printed.
+func TestGoldenSnapshotJSON(t *testing.T) {
+	encoded, err := json.MarshalIndent(filledSnapshot(), "", "\t")
 	require.NoError(t, err)
-	made = append(made, '\n')
-	require.Equal(t, string(golden(t, "memory_full.json", made)), string(made))
+	encoded = append(encoded, '\n')
+	require.Equal(t, string(golden(t, "memory_full.json", encoded)), string(encoded))
 }
--- a/internal/balancer/gossip.go
+++ b/internal/balancer/gossip.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// gossipFanout is how many peers are sent a message in a round.
+// gossipFanout is the number of peers that each gossip message is sent to.
 const gossipFanout = 2
 
-// A peer message is one of these letters and what follows it, in big-endian order.
+// A peer message is one of these kind bytes followed by its payload, in big-endian order.
 const (
-	messageDampRequest  = 'q' // the server's hash in four bytes, the flap penalty in tenths in one
-	messageDampResponse = 'r' // the same
-	messageArrivalRate  = 'a' // the mean arrivals a second, a float of four bytes
+	messageDampRequest  = 'q' // four bytes: hash of the server; one byte: its flap penalty in tenths
+	messageDampResponse = 'r' // same payload as the request
+	messageArrivalRate  = 'a' // four-byte float: mean arrival rate in requests a second
 )
 
 const (
@@ -27,9 +27,9 @@
 // peerMessage is a decoded message; kind is zero for an invalid one.
 type peerMessage struct {
 	kind    byte
-	hash    uint32  // of a server, in damp messages
-	penalty float64 // in damp messages
-	rate    float64 // requests a second, in rate messages
+	hash    uint32  // hash of the server id, in damp messages
+	penalty float64 // flap penalty, in damp messages
+	rate    float64 // arrivals in requests a second, in rate messages
 }
 
 func encodeDampMessage(kind byte, s *server, now time.Duration) []byte {
@@ -53,7 +53,8 @@
 	return peerMessage{}
 }
 
-// gossip sends a message to gossipFanout peers, or to all where there are no more.
+// gossip sends a message to gossipFanout random peers, or to all of them if there are fewer. It sends nothing
+// if the settings forbid gossip.
 func (b *Balancer) gossip(data []byte) {
 	others := b.settings.Balancers - 1
 	if !b.settings.Limits.Gossip {
--- a/internal/balancer/gossip_test.go
+++ b/internal/balancer/gossip_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Gossip has a bounded fan-out, whatever the size of the fleet, and never goes to the sender itself.
+// Gossip goes to gossipFanout peers at most, whatever the size of the fleet, and never to the sender itself.
 func TestGossipIsBounded(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 1500} {
 		set := testSettings()
--- a/internal/balancer/hedging.go
+++ b/internal/balancer/hedging.go
@@ -1,7 +1,7 @@
 package balancer
 
-// mayHedgeProbe reports whether a probe request to a server that is down can be a hedged request, so that it
-// costs the client nothing: the request goes to a healthy server too.
+// mayHedgeProbe reports whether a probe request to a server that is down can be sent as a hedged request. The
+// request then also goes to a healthy server, so that the probe does not delay the client.
 func (b *Balancer) mayHedgeProbe(r *request) bool {
 	return r.class.Idempotency == Idempotent && !r.class.Streaming &&
 		r.class.hedging && !b.settings.Limits.Probes &&
@@ -9,7 +9,7 @@
 		r.class.maxAttempts > 1
 }
 
-// sendHedgedProbe sends the hedged probe request that the selection has found a server for.
+// sendHedgedProbe sends the hedged probe request if the selection found a server for one.
 func (b *Balancer) sendHedgedProbe(r *request) {
 	if s := r.hedgedProbe; s != nil {
 		b.sendAttempt(r, s)
@@ -17,8 +17,8 @@
 	}
 }
 
-// dispatch sends the request to the server and, where the server's probation asks for that, to a second one
-// at once. The second one then counts as the request's own attempt, and the first one as the hedge.
+// dispatch sends the request to the server and, if the server's probation requires hedging, at once to a
+// second one. The second attempt then counts as the request's own, and the first one as the hedge.
 func (b *Balancer) dispatch(r *request, s *server) {
 	twice := s.probation != nil && s.probation.ShouldHedge(r.probationRequest())
 	b.sendAttempt(r, s)
@@ -31,7 +31,7 @@
 	}
 }
 
-// markHedged counts an open attempt as a hedge: a retry does not wait for its end.
+// markHedged marks an open attempt, by its number, as a hedge. A retry does not wait for its end.
 func (r *request) markHedged(attempt int) {
 	r.attempts[attempt].hedged = true
 	r.openHedges, r.hedges = r.openHedges+1, r.hedges+1
--- a/internal/balancer/helpers_test.go
+++ b/internal/balancer/helpers_test.go
@@ -8,7 +8,7 @@
 
 const ms = time.Millisecond
 
-// testSettings has one class for each kind of idempotency.
+// testSettings returns settings with a class for each kind of idempotency and deduplication scope.
 func testSettings() Settings {
 	return Settings{
 		Balancers: 3, Zone: "z0",
@@ -49,7 +49,7 @@
 	return all
 }
 
-// newStarted returns a Balancer that knows the servers.
+// newStarted returns a Balancer that has received the server list.
 func newStarted(t *testing.T, set Settings, servers []Server) *Balancer {
 	t.Helper()
 	b, err := New(set, 1)
@@ -60,7 +60,7 @@
 	return b
 }
 
-// findAction returns the first action of a kind; nil: there is none.
+// findAction returns the first action of a kind, or nil if there is none.
 func findAction(acts []Action, kind ActionKind) *Action {
 	for i := range acts {
 		if acts[i].Kind == kind {
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// mustSend returns the first Send action, and fails the test without one.
+// mustSend returns the first Send action. It fails the test if there is none.
 func mustSend(t *testing.T, acts []Action) *Action {
 	t.Helper()
 	a := findAction(acts, Send)
@@ -81,14 +81,15 @@
 	return a
 }
 
-// observeOutcome has an attempt at a server end so.
+// observeOutcome starts an attempt at a server and ends it with the outcome.
 func (b *Balancer) observeOutcome(s *server, o Outcome) {
-	noted := b.detector.AttemptStarted(b.now, s.outlier, 0, time.Second)
-	b.observeAttempt(&request{class: b.classes["safe"]}, &attempt{server: s, outlier: noted},
+	started := b.detector.AttemptStarted(b.now, s.outlier, 0, time.Second)
+	b.observeAttempt(&request{class: b.classes["safe"]}, &attempt{server: s, outlier: started},
 		&AttemptDone{Outcome: o, Latency: 10 * ms})
 }
 
-// repeatOutcome has attempts at a server end so until it is down or up by it, and ends the round.
+// repeatOutcome ends attempts at a server with the outcome until it is ejected, or with Served until it is readmitted, and
+// then ends the round.
 func (b *Balancer) repeatOutcome(s *server, o Outcome) {
 	for range 20 {
 		if s.outlier.IsEjected() == (o == Served) {
--- a/internal/balancer/introspection.go
+++ b/internal/balancer/introspection.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// EjectedServers counts the listed, ready servers that get no ordinary requests now: those ejected, damped,
-// or skipped because they have been rejecting requests.
+// EjectedServers returns the number of ready servers that get no ordinary requests now because they are
+// ejected, damped, or have been rejecting requests.
 func (b *Balancer) EjectedServers() (n int) {
 	for _, s := range b.servers {
 		if s.State == Ready && (s.outlier.IsEjected() || s.isDamped(b.now) || s.outlier.IsAvoided(b.now)) {
@@ -13,15 +13,14 @@
 	return n
 }
 
-// BaselineLatency is the latency of a machine kind's fast answers: that which a quarter of its answers stay
-// below.
+// BaselineLatency is an estimate of the 25th percentile of a machine kind's response latencies.
 type BaselineLatency struct {
 	MachineKind string
 	Latency     time.Duration
-	Samples     float64 // answers since the start
+	Samples     float64 // number of responses since the start
 }
 
-// BaselineLatencies returns those of all machine kinds that were ever listed and have answered, in any order.
+// BaselineLatencies returns the baselines of all machine kinds with at least one response, in any order.
 func (b *Balancer) BaselineLatencies() (all []BaselineLatency) {
 	for name, k := range b.kindBaselines {
 		if k.samples > 0 {
@@ -31,5 +30,5 @@
 	return all
 }
 
-// ArrivalFraction is this balancer's part of all arrivals, from 0 to 1.
+// ArrivalFraction returns this balancer's part of the arrivals at all balancers, from 0 to 1.
 func (b *Balancer) ArrivalFraction() float64 { return b.quotas.ArrivalFraction(b.now) }
--- a/internal/balancer/latency.go
+++ b/internal/balancer/latency.go
@@ -8,47 +8,52 @@
 )
 
 const (
-	// maxLatencyFraction of the objective: nothing is sent where more is expected.
+	// maxLatencyFraction is the fraction of the latency objective above which a server's expected latency is
+	// too high to send it the request.
 	maxLatencyFraction = 0.5
-	// lowestRankFraction of the most valuable class's limit is what the least valuable class may have at least.
+	// lowestRankFraction is the minimum latency limit of a class, as a fraction of the most valuable class's.
 	lowestRankFraction = 0.5
 	// latencyGain is the weight of a new latency in a server's mean.
 	latencyGain = 0.15
-	// otherBalancersInFlight stands for what other balancers have in flight at a server, in requests.
+	// otherBalancersInFlight is the assumed number of requests that other balancers have in flight at a server.
 	otherBalancersInFlight = 2
-	// halfLifeObjectives is the half-life of an observation of a server, in the longest objective.
+	// halfLifeObjectives is the half-life of an observation of a server, as a multiple of the longest latency
+	// objective.
 	halfLifeObjectives = 4.0
-	// maxObservationHalfLife bounds it.
+	// maxObservationHalfLife is the maximum half-life of an observation of a server.
 	maxObservationHalfLife = 2 * time.Second
-	// baselineStep is the least relative change of a baseline by one answer.
+	// baselineStep is the minimum relative change of a baseline by one response.
 	baselineStep = 0.01
-	// minKindSamples answers make a machine kind's baseline known; minKindSamplesSparse for a sparse balancer,
-	// which would wait seconds for as many, and needs to tell kinds apart only roughly.
+	// minKindSamples is how many responses of a machine kind make its baseline known. For a sparse balancer
+	// minKindSamplesSparse are enough: it would wait seconds for more, and needs only a rough comparison of
+	// machine kinds.
 	minKindSamples       = 50
 	minKindSamplesSparse = 12
 )
 
-// baselineLatency is the latency of fast answers: that which a quarter of all answers stay below.
+// baselineLatency is an estimate of the 25th percentile of response latencies, in seconds, and the number of
+// responses it was made from.
 type baselineLatency struct{ seconds, samples float64 }
 
-// add counts an answer's latency in seconds. Failures say nothing of how fast a server can be. The first
-// answers count for more, or a balancer that sees one a second would depend on its first one all day.
+// add updates the estimate with the latency, in seconds, of a served attempt. Failures are not added, since
+// they do not show how fast a server can be. The first responses change the estimate more, or a balancer that
+// sees one a second would depend on its first one all day.
 func (l *baselineLatency) add(latency float64) {
 	l.samples++
 	step := max(baselineStep, 0.5/l.samples)
 	l.seconds = cmp.Or(l.seconds, latency)
 	l.seconds *= 1 + step
 	if latency < l.seconds {
-		l.seconds *= 1 - min(4*step, 0.75) // three steps down for one up: a quarter of the answers stay below
+		l.seconds *= 1 - min(4*step, 0.75) // net three steps down for one up: converges to the 25th percentile
 	}
 }
 
-// isKnown reports whether enough answers came.
+// isKnown reports whether there were enough responses to rely on the estimate.
 func (l *baselineLatency) isKnown(sparse bool) bool {
 	return l.samples >= minKindSamples || sparse && l.samples >= minKindSamplesSparse
 }
 
-// kindBaseline returns the baseline of a machine kind.
+// kindBaseline returns the baseline latency of a machine kind, which it adds if there is none.
 func (b *Balancer) kindBaseline(machineKind string) *baselineLatency {
 	k := b.kindBaselines[machineKind]
 	if k == nil {
@@ -58,7 +63,8 @@
 	return k
 }
 
-// recordLatency counts a latency in seconds that was seen at a server with so many others in flight.
+// recordLatency updates the server's and the fleet's mean latency with one in seconds. InFlight is the number
+// of other requests that were in flight at the server when the attempt was sent.
 func (b *Balancer) recordLatency(s *server, latency float64, inFlight int32) {
 	n := float64(inFlight + 1)
 	s.latency, s.latencyInFlight = cmp.Or(s.latency, latency), cmp.Or(s.latencyInFlight, n)
@@ -68,74 +74,75 @@
 	b.meanLatency += latencyGain / b.memberCount() * (latency - b.meanLatency)
 }
 
-// expectedLatency is the time in seconds that one more request would likely take at the server: by what was
-// seen of it, and no less than what its probes, its reports and its present silence say. It is infinite where
-// probes fail.
+// expectedLatency returns the latency, in seconds, to expect of one more request to the server. It is based
+// on the server's past latency, and at least what its probes, its load reports and the time since its last
+// response suggest. It is infinite while its probes fail.
 func (b *Balancer) expectedLatency(s *server) float64 {
-	t := b.latencyOfNewServer(s)
+	expected := b.latencyOfNewServer(s)
 	if s.latency > 0 {
-		t = b.latencyByHistory(s)
+		expected = b.latencyByHistory(s)
 	}
-	if t = b.latencyByProbes(s, t); math.IsInf(t, 1) {
-		return t
+	if expected = b.latencyByProbes(s, expected); math.IsInf(expected, 1) {
+		return expected
 	}
-	t = b.latencyByReports(s, t)
+	expected = b.latencyByReports(s, expected)
 	if s.inFlight > 0 {
-		t = max(t, seconds(b.now-s.silentSince))
+		expected = max(expected, seconds(b.now-s.silentSince))
 	}
-	return t
+	return expected
 }
 
-// latencyOfNewServer is what is expected of a server that nothing is known of: idle, it is taken for a fast
-// one, under the usual load for a usual one. So it gets some requests, but not at once all that the others
-// have no capacity for.
+// latencyOfNewServer returns the expected latency, in seconds, of a server without a measured latency. An
+// idle one is assumed to be fast, and one with the typical number in flight to be as slow as the mean. So a
+// new server gets some requests, but not at once all that the other servers have no capacity for.
 func (b *Balancer) latencyOfNewServer(s *server) float64 {
 	queueing := max(b.meanLatency-b.baseline.seconds, b.baseline.seconds)
 	byLoad := queueing * float64(s.inFlight) / (b.typicalInFlight + 1)
 	return b.baseline.seconds + byLoad
 }
 
-// latencyByHistory is the latency that was seen, decaying to the baseline with its age, scaled to what is in
-// flight now. A rare heavy request makes a server look slow too.
+// latencyByHistory returns the server's measured mean latency, in seconds, scaled to the requests in flight
+// now. The part above the baseline decays with age, since a rare heavy request also makes a server look slow.
 func (b *Balancer) latencyByHistory(s *server) float64 {
-	t := s.latency
-	if t > b.baseline.seconds {
-		age := float64(b.now-s.latencyAt) / float64(b.observationHalfLife)
-		t = b.baseline.seconds + (t-b.baseline.seconds)*math.Exp2(-age)
+	expected := s.latency
+	if expected > b.baseline.seconds {
+		ageHalfLives := float64(b.now-s.latencyAt) / float64(b.observationHalfLife)
+		expected = b.baseline.seconds + (expected-b.baseline.seconds)*math.Exp2(-ageHalfLives)
 	}
-	f := (float64(s.inFlight) + 1 + otherBalancersInFlight) / (s.latencyInFlight + otherBalancersInFlight)
-	if f > 1 {
-		t *= f
-	} else if t > b.baseline.seconds {
-		// Its queue has emptied since, and with it the queue's part of the latency.
-		t = b.baseline.seconds + (t-b.baseline.seconds)*f
+	scale := (float64(s.inFlight) + 1 + otherBalancersInFlight) / (s.latencyInFlight + otherBalancersInFlight)
+	if scale > 1 {
+		expected *= scale
+	} else if expected > b.baseline.seconds {
+		// The server's queue is shorter than when the latency was measured, so the queueing time shrinks with it.
+		expected = b.baseline.seconds + (expected-b.baseline.seconds)*scale
 	}
-	return t
+	return expected
 }
 
-// latencyLimit is the longest expected latency, in seconds, at which the request is still sent.
+// latencyLimit returns the maximum expected latency, in seconds, of a server that gets the request.
 func (b *Balancer) latencyLimit(r *request) float64 {
-	t := min(r.class.latencyLimit, b.latencyLimitFraction*seconds(min(r.objectiveAt, r.deadline)-b.now))
-	if r.overQuota && t > b.baseline.seconds { // a part of the queueing time: an idle server takes its time too
-		t = b.baseline.seconds + b.tuning.OverQuotaQueueFraction*(t-b.baseline.seconds)
+	limit := min(r.class.latencyLimit, b.latencyLimitFraction*seconds(min(r.objectiveAt, r.deadline)-b.now))
+	if r.overQuota && limit > b.baseline.seconds { // reduces only the queueing time, which excludes the baseline
+		limit = b.baseline.seconds + b.tuning.OverQuotaQueueFraction*(limit-b.baseline.seconds)
 		if !b.settings.Limits.Gossip {
-			// Without gossip the quotas themselves are a guess: see package quota.
-			t += (1 - b.tuning.OverQuotaQueueFraction) / 2 / b.tuning.OverQuotaQueueFraction * (t - b.baseline.seconds)
+			// Without gossip each balancer's part of a quota is only an estimate: see package quota.
+			limit += (1 - b.tuning.OverQuotaQueueFraction) / 2 / b.tuning.OverQuotaQueueFraction *
+				(limit - b.baseline.seconds)
 		}
 	}
-	return t
+	return limit
 }
 
-// setLatencyLimits sets each class's latency limit. All classes wait in the same queues, so the one with the
-// longest limit would shut the others out: none accepts more than the most valuable class, and the others
-// less by their value in the score, where a class's weight counts in the total and any class may be the worst
-// one.
+// setLatencyLimits sets each class's latency limit. All classes share the servers' queues, so a class with a
+// longer limit would crowd out the others. Therefore no class accepts more latency than the one with the
+// highest priority weight, and the others accept less by their value in the score: a class's weight counts
+// in the total, and any class may be the worst one.
 func (b *Balancer) setLatencyLimits() {
 	b.latencyLimitFraction = maxLatencyFraction
 	if miss := b.settings.ScoreWeights.TailMissRatio; b.settings.ScoreWeights.TailLatency > 0 && miss > 0 &&
 		miss < 1 {
-		// Where the tail counts, no more than this ratio may miss the objective. With exponentially distributed
-		// latencies that holds while their mean is below the objective over ln(1/miss).
+		// If tail latency counts in the score, at most this ratio of requests may miss the objective. With
+		// exponentially distributed latencies that is so while their mean is below objective/ln(1/miss).
 		b.latencyLimitFraction = min(maxLatencyFraction, 1/math.Log(1/miss))
 	}
 	byWeight := func(p, q Class) int { return cmp.Compare(p.PriorityWeight, q.PriorityWeight) }
--- a/internal/balancer/loadreports.go
+++ b/internal/balancer/loadreports.go
@@ -1,21 +1,23 @@
 package balancer
 
 const (
-	// reportGain is the weight of a new report in the means.
+	// reportGain is the weight of a new load report in the means.
 	reportGain = 0.05
-	// reportPrior is a zone's wait for each reported request before any was seen, in the baseline latency.
+	// reportPrior is the initial wait for each reported request in a zone, as a fraction of the baseline
+	// latency.
 	reportPrior = 0.25
-	// minReportedInFlight keeps the wait for each reported request finite.
+	// minReportedInFlight is the minimum mean of reported requests as a divisor, which keeps the wait for each
+	// reported request finite.
 	minReportedInFlight = 0.1
 )
 
-// zoneReport is what the reports of a zone's servers have been worth: the means of the wait that followed, in
-// seconds beyond the baseline, and of the requests in flight that they said. Reports of a full server with
-// fast answers after them so lose their weight; a zone of truthful and wrong servers is believed by the mean
-// of both.
+// zoneReport calibrates the load reports of a zone's servers. It has the means of the wait, in seconds
+// beyond the baseline, of attempts sent after a report, and of the requests in flight in those reports. So
+// reports of a full server lose their weight if fast responses follow. In a zone with both true and false
+// reports, all count by the mean of both.
 type zoneReport struct{ wait, inFlight float64 }
 
-// zoneReport returns that of a server's zone.
+// zoneReport returns the calibration of the server's zone, which it adds if there is none.
 func (b *Balancer) zoneReport(s *server) *zoneReport {
 	z := b.zoneReports[s.Zone]
 	if z == nil {
@@ -25,7 +27,7 @@
 	return z
 }
 
-// recordLoadReport stores a server's own count of requests in flight.
+// recordLoadReport stores the requests in flight of a load report, if it has them.
 func (b *Balancer) recordLoadReport(s *server, l *LoadReport) {
 	if l != nil && l.InFlight >= 0 {
 		s.reportedInFlight, s.reportedAt = l.InFlight, b.now
@@ -33,7 +35,8 @@
 	}
 }
 
-// observeReport compares the report that an attempt was sent by with the attempt's latency.
+// observeReport updates the zone's calibration with the latency of an attempt that was sent with a fresh load
+// report.
 func (b *Balancer) observeReport(a *attempt, e *AttemptDone) {
 	if a.reportedInFlight >= 0 && (e.Outcome == Served || e.Outcome == TimedOut) {
 		z := b.zoneReport(a.server)
@@ -42,12 +45,14 @@
 	}
 }
 
-// hasFreshReport reports whether the server has reported lately how many requests it has, and that counts.
+// hasFreshReport reports whether the server's load report is recent enough to use, and this balancer has too
+// few observations of its own.
 func (b *Balancer) hasFreshReport(s *server) bool {
 	return s.reportedAt > 0 && b.now-s.reportedAt < b.observationHalfLife && b.hasFewObservations()
 }
 
-// latencyByReports raises the expected latency, in seconds, to what the server's own report says.
+// latencyByReports returns the expected latency, in seconds, raised to at least the baseline plus the wait
+// that the server's fresh load report suggests.
 func (b *Balancer) latencyByReports(s *server, expected float64) float64 {
 	if !b.hasFreshReport(s) {
 		return expected
--- a/internal/balancer/observe.go
+++ b/internal/balancer/observe.go
@@ -3,22 +3,22 @@
 import "dunestep/internal/balancer/outlier"
 
 const (
-	// failureLatencyFraction of the objective is what a failure counts as at least: a server that fails fast
-	// must not look idle.
+	// failureLatencyFraction is the minimum latency that a failure is recorded with, as a fraction of the
+	// latency objective, so that a server that fails fast does not look idle.
 	failureLatencyFraction = 0.5
 	// failureGain is the weight of a new attempt in the fraction of failures.
 	failureGain = 0.005
 )
 
-// observeAttempt learns what an attempt's end says of the server and of the key.
+// observeAttempt updates what is known of the server and the key from the end of an attempt.
 func (b *Balancer) observeAttempt(r *request, a *attempt, e *AttemptDone) {
 	b.observeZone(a.server, a, e)
 	b.recordLoadReport(a.server, e.LoadReport)
 	b.observeReport(a, e)
 	b.observeFailedProbe(a, e)
-	// it says nothing of the server
+	// These ends are no evidence about the server.
 	if e.Outcome == NotSent || e.Outcome == Canceled || e.Evidence.LocalShortage {
-		b.detectEnd(a, e, r.class)
+		b.reportToDetector(a, e, r.class)
 		return
 	}
 	b.chargeAccount(r, a.server, e)
@@ -32,6 +32,7 @@
 	}
 }
 
+// observeServed records a response, which also clears any blame on the request's key.
 func (b *Balancer) observeServed(r *request, a *attempt, e *AttemptDone) {
 	s := a.server
 	b.failureFraction -= failureGain * b.failureFraction
@@ -41,19 +42,20 @@
 	s.kindBaseline.add(seconds(e.Latency))
 	s.lastServedAt = b.now
 	delete(b.blamedKeys, r.hash)
-	b.detectEnd(a, e, r.class)
+	b.reportToDetector(a, e, r.class)
 }
 
-// observeRejected takes a rejection for an answer that was slow enough to pass the key on.
+// observeRejected records a rejection as a response with at least the latency at which keys may be passed on
+// to other servers.
 func (b *Balancer) observeRejected(r *request, a *attempt, e *AttemptDone) {
 	s := a.server
 	s.silentSince = b.now
 	latency := max(seconds(e.Latency), s.latency, seconds(r.class.LatencyObjective)*affinityFraction)
 	b.recordLatency(s, latency, a.inFlightAtSend)
-	b.detectEnd(a, e, r.class)
+	b.reportToDetector(a, e, r.class)
 }
 
-// observeFailure counts a failure against the server, unless its key is to blame.
+// observeFailure records a failure of the server, unless the failure is blamed on the request's key.
 func (b *Balancer) observeFailure(r *request, a *attempt, e *AttemptDone) {
 	s := a.server
 	if e.Outcome == ServerError || e.Outcome == ConnectionLost {
@@ -64,16 +66,17 @@
 		b.detector.AttemptEnded(b.now, s.outlier, a.outlier, outlier.NoEvidence, e.Latency, &e.Evidence)
 		return
 	}
-	least := failureLatencyFraction * seconds(min(r.class.LatencyObjective, r.deadline-a.outlier.StartedAt))
-	b.recordLatency(s, max(seconds(e.Latency), least), a.inFlightAtSend)
-	b.detectEnd(a, e, r.class)
+	minLatency := failureLatencyFraction * seconds(min(r.class.LatencyObjective, r.deadline-a.outlier.StartedAt))
+	b.recordLatency(s, max(seconds(e.Latency), minLatency), a.inFlightAtSend)
+	b.reportToDetector(a, e, r.class)
 }
 
-// chargeAccount charges the server's fairness account for what an attempt took.
+// chargeAccount charges the attempt's latency to the server's fairness account. An attempt that failed
+// early or was rejected is charged at least failureLatencyFraction of the latency objective.
 func (b *Balancer) chargeAccount(r *request, s *server, e *AttemptDone) {
-	took := seconds(e.Latency)
+	latency := seconds(e.Latency)
 	if e.Outcome != Served && e.Outcome != TimedOut {
-		took = max(took, failureLatencyFraction*seconds(r.class.LatencyObjective))
+		latency = max(latency, failureLatencyFraction*seconds(r.class.LatencyObjective))
 	}
-	b.accounts.RequestEnded(&s.account, took)
+	b.accounts.RequestEnded(&s.account, latency)
 }
--- a/internal/balancer/outliers.go
+++ b/internal/balancer/outliers.go
@@ -2,7 +2,7 @@
 
 import "dunestep/internal/balancer/outlier"
 
-// outlierOutcome is an outcome as the outlier detector knows it.
+// outlierOutcome converts an outcome to that of the outlier detector.
 func outlierOutcome(o Outcome) outlier.Outcome {
 	switch o {
 	case Served:
@@ -21,22 +21,23 @@
 	return outlier.NoEvidence
 }
 
-// updateDetector tells the detector which servers are members, and which of them are damped.
+// updateDetector informs the outlier detector which servers are members of the ring and which are damped.
 func (b *Balancer) updateDetector() {
 	for _, s := range b.ring.Members() {
 		b.detector.SetPlacement(s.outlier, true, s.isDamped(b.now))
 	}
 }
 
-// detectEnd tells the detector how an attempt ended.
-func (b *Balancer) detectEnd(a *attempt, e *AttemptDone, c *class) {
+// reportToDetector reports the end of an attempt to the outlier detector and handles the resulting change.
+func (b *Balancer) reportToDetector(a *attempt, e *AttemptDone, c *class) {
 	found := b.detector.AttemptEnded(b.now, a.server.outlier, a.outlier, outlierOutcome(e.Outcome),
 		e.Latency, &e.Evidence)
 	b.onOutlierChange(a.server, found, c)
 }
 
-// onOutlierChange logs what the detector found. The class is that of the attempt that showed it; nil: a
-// round's end did. A server that went down or came back starts with a new slow-start budget.
+// onOutlierChange logs a change of a server's verdict, and starts a new slow-start budget for a server that
+// was ejected or readmitted. The class is that of the attempt that caused the change, or nil at the end of
+// a round.
 func (b *Balancer) onOutlierChange(s *server, found outlier.Change, c *class) {
 	switch found {
 	case outlier.Unchanged:
@@ -59,13 +60,13 @@
 	b.logDistrust()
 }
 
-// logDistrust logs when the detector begins or ends to distrust its verdicts.
+// logDistrust logs when the detector starts or stops distrusting its verdicts, or the reason changes.
 func (b *Balancer) logDistrust() {
 	reason := b.detector.DistrustReason()
-	if reason == b.loggedDistrust {
+	if reason == b.loggedDistrustReason {
 		return
 	}
-	b.loggedDistrust = reason
+	b.loggedDistrustReason = reason
 	if reason == "" {
 		b.logf("outlier verdicts apply again")
 	} else {
--- a/internal/balancer/outliers_test.go
+++ b/internal/balancer/outliers_test.go
@@ -38,14 +38,14 @@
 		t.Error("two probe requests from one part of the budget")
 	}
 	b.Step(now+10*ms, &AttemptDone{ID: 91, Server: s.ID, Outcome: Served, Latency: 10 * ms, RequestDone: true})
-	assert.True(t, s.outlier.IsEjected(), "two changes in a round")
+	assert.True(t, s.outlier.IsEjected(), "a verdict must not change twice in a round")
 	b.Step(now+20*ms, &TimerDue{Tag: timerRound})
 	assert.False(t, s.outlier.IsEjected())
-	assert.Less(t, b.warmth(s), 1.0)
+	assert.Less(t, b.capacityFraction(s), 1.0)
 }
 
-// Where most servers are silent the fault is likely near this balancer. Servers that refuse connections have said so
-// themselves.
+// If most servers are silent the fault is likely near this balancer, so verdicts are ignored. A refused connection is
+// proof of a fault at the server, so verdicts are ignored only if all servers refuse.
 func TestVerdictsAreIgnoredWhenMostServersLookBad(t *testing.T) {
 	for outcome, from := range map[Outcome]int{TimedOut: 3, ConnectFailed: 4} {
 		b := newStarted(t, testSettings(), serverList(4))
@@ -64,7 +64,8 @@
 	}
 }
 
-// A probe request to a server that is down is a hedged request, where the limits allow hedging: it never delays the request.
+// If the limits permit hedging, a probe request to a server that is down is sent as a hedged request, so that it does not
+// delay the request.
 func TestProbeRequestsAreHedged(t *testing.T) {
 	set := testSettings()
 	set.Limits.Hedging = true
@@ -87,8 +88,8 @@
 	assert.NotNil(t, findAction(next, Send), "the open probe request delays the retry")
 }
 
-// An agent that is short of descriptors, as while it shares them with the process that takes over, must not take its servers
-// for slow and the fleet for failing.
+// Guards against an agent's own faults counting against servers. An agent may be short of descriptors, as during a handover
+// to the next process, and must not record its servers as slow or the fleet as failing.
 func TestLocalFaultsDoNotCountAgainstServers(t *testing.T) {
 	b := newStarted(t, testSettings(), serverList(3))
 	for id := range uint32(30) {
@@ -105,7 +106,7 @@
 	}
 }
 
-// EjectedServers counts each skipped server once; draining ones are not among them.
+// EjectedServers counts each skipped server once, and no draining ones.
 func TestEjectedServers(t *testing.T) {
 	b := newStarted(t, testSettings(), serverList(6))
 	require.Zero(t, b.EjectedServers())
--- a/internal/balancer/poisonedkeys.go
+++ b/internal/balancer/poisonedkeys.go
@@ -6,31 +6,32 @@
 )
 
 const (
-	// maxBlameFailureFraction of all attempts: where more fail, no key is to blame.
+	// maxBlameFailureFraction is the fraction of failed attempts above which no failure is blamed on a key.
 	maxBlameFailureFraction = 0.02
-	// poisonServers is how many healthy servers a key must fail at to be poisoned.
+	// poisonServers is the number of healthy servers a key must fail at to be poisoned.
 	poisonServers = 3
-	// blameServers is how many of them it takes to blame a failure on the key and not on the server.
+	// blameServers is the number of healthy servers a key must fail at for its failures to be blamed on the key
+	// and not on the server.
 	blameServers = 2
-	// poisonDuration is how long requests with a poisoned key are rejected before one is let through.
+	// poisonDuration is how long requests with a poisoned key are rejected before one is sent as a test.
 	poisonDuration = 10 * time.Second
 )
 
-// blamedKey is a key whose requests fail at servers that serve others.
+// blamedKey is a key whose requests fail at servers that serve other requests.
 type blamedKey struct {
-	servers       []*server
+	servers       []*server // distinct servers where it failed, at most poisonServers
 	lastFailureAt time.Duration
-	until         time.Duration // poisoned until then; zero: not yet
+	until         time.Duration // end of the poisoning; zero: not poisoned yet
 }
 
-// hasExpired reports whether the key has not failed for long enough to be forgotten.
+// hasExpired reports whether the key's last failure and its poisoning are long enough ago to forget the key.
 func (k *blamedKey) hasExpired(now time.Duration) bool {
 	return now > max(k.lastFailureAt+poisonDuration, k.until)
 }
 
-// blameKey notes a key's failure at a server that serves others, and reports whether the key is to blame:
-// some requests break whichever server gets them. Where many attempts fail whatever their keys, a failure is
-// no evidence against the key.
+// blameKey records the failure of an attempt, sent at the given time, and reports whether it is blamed on the
+// key: some requests make every server fail that gets them. Only failures at a server that recently served
+// other requests count, and none count while many attempts fail whatever their keys.
 func (b *Balancer) blameKey(key uint32, s *server, sent time.Duration) bool {
 	if s.lastServedAt+roundInterval < sent || b.failureFraction > maxBlameFailureFraction {
 		return false
@@ -51,8 +52,8 @@
 	return len(k.servers) >= blameServers
 }
 
-// isPoisoned reports whether requests with the key are rejected. Now and then one is let through, to see
-// whether it still fails.
+// isPoisoned reports whether a request with the key must be rejected. Once in poisonDuration it permits one,
+// to test whether it still fails.
 func (b *Balancer) isPoisoned(key uint32) bool {
 	k := b.blamedKeys[key]
 	if k == nil || len(k.servers) < poisonServers {
--- a/internal/balancer/poisonedkeys_test.go
+++ b/internal/balancer/poisonedkeys_test.go
@@ -7,11 +7,12 @@
 	farm "github.com/dgryski/go-farm"
 )
 
-// A key that fails at healthy servers is poisoned; one whose servers are all silent is not.
+// A key that fails at healthy servers is poisoned. It is not if the servers don't serve other requests either, or if many
+// attempts fail whatever their keys.
 func TestPoisonedKey(t *testing.T) {
 	for i, healthy := range []bool{true, false, false} {
 		b := newStarted(t, testSettings(), serverList(8))
-		b.failureFraction = float64(i/2) * 0.05 // the last time the servers answer, but many attempts fail
+		b.failureFraction = float64(i/2) * 0.05 // in the last case the servers serve others, but many attempts fail
 		now := time.Minute
 		for _, s := range b.ring.Members() {
 			if healthy || i == 2 {
--- a/internal/balancer/probation.go
+++ b/internal/balancer/probation.go
@@ -7,11 +7,12 @@
 	"dunestep/internal/balancer/probation"
 )
 
-// Servers of a list that discovery has not confirmed are on probation: package probation decides what they
-// get, and here its terms are put into this package's. See docs/design/restart.md.
+// Servers of a list that discovery has not confirmed are on probation. Package probation decides which
+// requests they get; the functions here convert between its types and this package's. See
+// docs/design/restart.md.
 
-// StartProbation puts the servers that are listed now on probation, until ConfirmServerList. Trust is how far
-// the list is trusted, from 0 to 1.
+// StartProbation puts all members of the ring on probation until ConfirmServerList. Trust is the degree of
+// trust in the list, from 0 to 1.
 func (b *Balancer) StartProbation(trust float64) {
 	b.probation.Start(trust)
 	for _, s := range b.ring.Members() {
@@ -19,7 +20,7 @@
 	}
 }
 
-// ConfirmServerList ends all probation: discovery has confirmed the list.
+// ConfirmServerList ends the probation of all servers, after discovery has confirmed the list.
 func (b *Balancer) ConfirmServerList() {
 	for _, s := range b.servers {
 		s.probation = nil
@@ -27,7 +28,7 @@
 	b.probation.ListConfirmed()
 }
 
-// probationRequest is what counts of the request at a server on probation.
+// probationRequest returns the properties of the request that matter for servers on probation.
 func (r *request) probationRequest() probation.Request {
 	return probation.Request{
 		LatencyObjective: r.class.LatencyObjective,
@@ -40,7 +41,8 @@
 	}
 }
 
-// attemptTimeout counts an attempt at a server on probation and bounds its timeout.
+// attemptTimeout returns the timeout of a new attempt. At a server on probation it also counts the attempt,
+// and the timeout may be shorter than the given one.
 func (b *Balancer) attemptTimeout(r *request, s *server, timeout time.Duration) time.Duration {
 	if s.probation == nil {
 		return timeout
@@ -53,8 +55,8 @@
 	)
 }
 
-// observeProbation counts an attempt's end at a server on probation, and ends the probation when it has
-// served enough.
+// observeProbation records the end of an attempt at a server on probation, and ends the probation once the
+// server has served enough attempts.
 func (b *Balancer) observeProbation(a *attempt, e *AttemptDone) {
 	if s := a.server; s.probation != nil &&
 		b.probation.AttemptEnded(s.probation, b.now, probationOutcome(e.Outcome)) {
@@ -62,6 +64,7 @@
 	}
 }
 
+// probationOutcome converts an outcome to that of package probation.
 func probationOutcome(o Outcome) probation.Outcome {
 	switch o {
 	case Served:
@@ -74,8 +77,8 @@
 	return probation.Failed
 }
 
-// waitForProbation has a request that found no server wait for one to end its probation, where one may in
-// time, and else ends it.
+// waitForProbation lets a request without an eligible server wait for a server to finish its probation, if
+// one may do so in time. Else it ends the request.
 func (b *Balancer) waitForProbation(r *request) {
 	r.probationUntil = b.probation.WaitDeadline(r.probationRequest(), b.now, r.deadline-2*b.settings.Tick)
 	waiting := r.probationRequest()
@@ -86,7 +89,7 @@
 	b.wait(r, waiting.RecheckDelay(b.now, b.settings.Tick))
 }
 
-// probationMayEndInTime reports whether a server that may have the request can have capacity for it in time.
+// probationMayEndInTime reports whether a permitted server may have capacity for the request in time.
 func (b *Balancer) probationMayEndInTime(r *request) bool {
 	var outlook probation.Outlook
 	for _, s := range b.ring.Members() {
--- a/internal/balancer/probing.go
+++ b/internal/balancer/probing.go
@@ -5,28 +5,32 @@
 	"time"
 )
 
-// A large fleet's balancer meets a server too seldom to know it by its own attempts. A probe tells a dead,
-// silent or saturated one apart before an attempt is spent on it. Probes that fail falsely are noticed: see
-// observeFailedProbe.
+// In a large fleet one balancer sends a server too few attempts to know its condition. A probe detects a
+// dead, silent or saturated server before an attempt is spent on it. observeFailedProbe detects probes that
+// fail although the server works.
 
 const (
-	// probeWaitFraction of the objective is how long a probe's answer is waited for before the next probe.
+	// probeWaitFraction is how long a request waits for a probe's response before another server is probed, as
+	// a fraction of the latency objective.
 	probeWaitFraction = 0.05
-	// maxProbesPerRequest is how many servers are probed on behalf of one request.
+	// maxProbesPerRequest is the maximum number of probes for one request.
 	maxProbesPerRequest = 4
-	// maxFalseProbeFraction: when requests contradict more of the failed probes, probes are ignored.
+	// maxFalseProbeFraction is the fraction of failed probes that requests contradict above which probes are
+	// ignored.
 	maxFalseProbeFraction = 0.5
-	// falseProbeGain is the weight of a new contradiction: two in a row are enough to ignore probes.
+	// falseProbeGain is the weight of a new observation in the fraction of false probes. Two contradicted
+	// probes in a row are enough to ignore probes.
 	falseProbeGain = 0.4
-	// probeWaitGain is the weight of a new wait in the mean.
+	// probeWaitGain is the weight of a new probe in the mean probe latency.
 	probeWaitGain = 0.1
 )
 
-// trustsProbes reports whether failed probes have been true of late.
+// trustsProbes reports whether recent probe failures were right often enough for probes to count.
 func (b *Balancer) trustsProbes() bool { return b.falseProbeFraction <= maxFalseProbeFraction }
 
-// needsProbe reports whether the server must be probed before the request goes there: it has not responded
-// for half an objective, and the request is not one that tests the probes.
+// needsProbe reports whether the server must be probed before the request is sent there: probes are
+// permitted, trusted and cheap enough, the server has not responded for half the latency objective, this
+// balancer has few observations or the server is ejected, and the request does not test the probes itself.
 func (b *Balancer) needsProbe(r *request, s *server) bool {
 	return b.settings.Limits.Probes && b.settings.Costs.Probe <= b.settings.Costs.LateFailure &&
 		b.trustsProbes() &&
@@ -35,14 +39,15 @@
 		(b.hasFewObservations() || s.outlier.IsEjected())
 }
 
-// mayGoUnprobed reports whether a request that has been probed for as often as it may goes to a server
-// without one: while probes are answered quickly on the whole.
-func (b *Balancer) mayGoUnprobed(r *request) bool {
+// maySkipProbe reports whether a request with no probes left is sent without one. That is so while the mean
+// wait for probes is short enough for the request's latency limit.
+func (b *Balancer) maySkipProbe(r *request) bool {
 	return r.probes == maxProbesPerRequest && b.baseline.seconds+b.meanProbeWait <= b.latencyLimit(r)
 }
 
-// probeFirst has the request wait for a probe's answer. The first probed server that answers gets it.
-func (b *Balancer) probeFirst(r *request, s *server) {
+// probeAndWait probes the server, unless a probe is pending, and lets the request wait for the response. The
+// first probed server that responds gets the request.
+func (b *Balancer) probeAndWait(r *request, s *server) {
 	if r.probes++; !s.probePending {
 		s.probePending, s.probeSentAt = true, b.now
 		b.emit(Action{Kind: Probe, Server: s.ID})
@@ -64,7 +69,7 @@
 		s.probeFailedAt = b.now
 	}
 	switch wait := seconds(e.Latency); e.Outcome {
-	case Rejected: // too many are waiting there already
+	case Rejected: // the server's queue is full, so the wait counts as the latency limit
 		b.meanProbeWait += probeWaitGain * (b.latencyLimitFraction*seconds(b.longestObjective) - b.meanProbeWait)
 	case Served, TimedOut:
 		b.meanProbeWait += probeWaitGain * (wait - b.meanProbeWait)
@@ -79,8 +84,9 @@
 	}
 }
 
-// latencyByProbes raises the expected latency, in seconds, to what probes of the server say: a probe in the
-// queue waits as long as a request would. A failed one makes it infinite for a round.
+// latencyByProbes returns the expected latency, in seconds, raised to the baseline plus the wait of the last
+// or the pending probe: a probe waits in the server's queue as long as a request would. For a round after a
+// failed probe it is infinite.
 func (b *Balancer) latencyByProbes(s *server, expected float64) float64 {
 	if !b.trustsProbes() {
 		return expected
@@ -98,19 +104,19 @@
 	return max(expected, b.baseline.seconds+seconds(wait))
 }
 
-// contradictionLatency is the latency below which a served attempt would contradict the server's failed
-// probe; zero: no probe has failed lately.
+// contradictionLatency returns the latency below which a served attempt contradicts the server's last failed
+// probe, or zero if no probe failed recently.
 func (b *Balancer) contradictionLatency(r *request, s *server) time.Duration {
 	if s.probeFailedAt <= 0 || b.now-s.probeFailedAt >= b.observationHalfLife {
 		return 0
 	}
 	if s.probeOutcome == ServerError || s.probeOutcome == ConnectFailed {
-		return r.class.Deadline // any answer contradicts an error
+		return r.class.Deadline // any response contradicts a failed connection or an error
 	}
-	return s.probeLatency // an answer sooner than this contradicts silence
+	return s.probeLatency // a faster response contradicts a probe timeout
 }
 
-// observeFailedProbe records whether an attempt that was sent in spite of a failed probe contradicts it.
+// observeFailedProbe records whether an attempt that was sent despite a failed probe contradicts the probe.
 func (b *Balancer) observeFailedProbe(a *attempt, e *AttemptDone) {
 	if a.failedProbeLatency <= 0 {
 		return
--- a/internal/balancer/probing_test.go
+++ b/internal/balancer/probing_test.go
@@ -7,12 +7,13 @@
 	"time"
 )
 
-// A server that has not responded lately is probed first; the first one probed that answers gets the request.
+// A server that has not responded recently is probed before a request is sent to it. The first probed server that responds
+// gets the request.
 func TestUnknownServerIsProbedFirst(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		answer func(b *Balancer, first string, now time.Duration) []Action
-		same   bool // the server probed first gets it
+		same   bool // the first probed server gets the request
 	}{
 		{"answers", func(b *Balancer, first string, now time.Duration) []Action {
 			return b.Step(now, &ProbeDone{Server: first, Outcome: Served})
@@ -30,7 +31,7 @@
 		now := time.Minute
 		first := findAction(b.Step(now, &Request{ID: 1, Class: "unsafe", Key: "k", ClientTimeout: time.Second}), Probe)
 		if first == nil {
-			t.Fatal("not probed")
+			t.Fatal("no probe is sent")
 		}
 		acts := c.answer(b, first.Server, now+ms)
 		got := findAction(acts, Send)
@@ -47,8 +48,8 @@
 	}
 }
 
-// Probes that fail while requests are served are no longer believed.
-func TestFalseProbesAreNoticed(t *testing.T) {
+// Probes are ignored once they fail repeatedly at servers that serve requests.
+func TestFalseProbesAreIgnored(t *testing.T) {
 	for _, served := range []bool{true, false} {
 		set := testSettings()
 		set.Limits.Probes = true
@@ -73,8 +74,8 @@
 				queue = append(queue, slices.Clone(more)...)
 			}
 		}
-		if believed := b.falseProbeFraction <= maxFalseProbeFraction; believed == served {
-			t.Errorf("served %v: false probes %.2f", served, b.falseProbeFraction)
+		if trusted := b.falseProbeFraction <= maxFalseProbeFraction; trusted == served {
+			t.Errorf("requests served %v: fraction of false probes %.2f", served, b.falseProbeFraction)
 		}
 	}
 }
--- a/internal/balancer/quota_test.go
+++ b/internal/balancer/quota_test.go
@@ -21,15 +21,15 @@
 		}
 	}
 	if over < 200 || over == 400 { // three balancers with 20 a second each against a quota of 3
-		t.Errorf("%d of 400 marked over the quota", over)
+		t.Errorf("%d of 400 requests over the quota, want some but not all", over)
 	}
-	in, out := &request{class: b.classes["safe"], objectiveAt: b.now + 400*ms, deadline: b.now + time.Second}, &request{}
-	*out = *in
-	out.overQuota = true
-	if b.latencyLimit(out) >= b.latencyLimit(in) {
-		t.Error("requests over a quota accept as much latency as the rest")
+	withinQuota, overQuota := &request{class: b.classes["safe"], objectiveAt: b.now + 400*ms, deadline: b.now + time.Second}, &request{}
+	*overQuota = *withinQuota
+	overQuota.overQuota = true
+	if b.latencyLimit(overQuota) >= b.latencyLimit(withinQuota) {
+		t.Error("requests over a quota accept as much latency as the others")
 	}
-	// each message moves its receiver halfway to the sender's mean
+	// Each message moves the receiver's mean halfway to the sender's.
 	b.quotas.Restore(0, 0, 10)
 	b.Step(time.Minute, &PeerMessage{From: 1, Data: encodeRateMessage(30)})
 	if _, mean := b.quotas.Rates(); mean != 20 {
@@ -37,20 +37,20 @@
 	}
 }
 
-// Clients that come here from another balancer, as when that one drains, must not be taken for more than their tenants'
-// quotas until the mean over rounds has followed.
+// Guards against requests of clients that move here from another balancer, as when that one drains, counting as over their
+// tenant's quota until the mean over rounds has caught up.
 func TestQuotaFollowsClientsThatMove(t *testing.T) {
 	set := testSettings()
 	set.Balancers = 2
 	set.Tenants = []Tenant{{Name: "clinic", QuotaPerSecond: 400}}
 	b := newStarted(t, set, serverList(8))
 	now, id := time.Duration(0), uint32(0)
-	simulateDefaults := func(length time.Duration, perSecond int) (over int) {
+	run := func(length time.Duration, perSecond int) (over int) {
 		gap, next := time.Second/time.Duration(max(perSecond, 1)), now
 		for end := now + length; now < end; now += 5 * ms {
 			if now%time.Second == 0 {
 				b.Step(now, &TimerDue{Tag: timerRound})
-				b.Step(now, &PeerMessage{From: 1, Data: encodeRateMessage(150)}) // both together have 300
+				b.Step(now, &PeerMessage{From: 1, Data: encodeRateMessage(150)}) // the two balancers together get 300 a second
 			}
 			for ; perSecond > 0 && next <= now; next += gap {
 				id++
@@ -67,9 +67,9 @@
 		}
 		return over
 	}
-	simulateDefaults(8*time.Second, 150) // half of the quota
-	require.LessOrEqual(t, simulateDefaults(3*time.Second, 300), 20, "all clients come here: 80 by the mean over rounds alone")
-	simulateDefaults(4*time.Second, 0) // they leave
-	require.LessOrEqual(t, simulateDefaults(3*time.Second, 300), 20, "and are back: 297")
-	require.Greater(t, simulateDefaults(4*time.Second, 900), 1500, "more than the quota is still noticed")
+	run(8*time.Second, 150) // half of all clients
+	require.LessOrEqual(t, run(3*time.Second, 300), 20, "all clients move here; by the mean over rounds alone 80 would be over quota")
+	run(4*time.Second, 0) // all clients leave
+	require.LessOrEqual(t, run(3*time.Second, 300), 20, "all clients return; by the mean over rounds alone 297 would be over quota")
+	require.Greater(t, run(4*time.Second, 900), 1500, "requests beyond the quota are still detected")
 }
--- a/internal/balancer/rejection.go
+++ b/internal/balancer/rejection.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// endReason says why a request was rejected or failed.
+// endReason is the reason why a request was rejected or failed.
 type endReason uint8
 
 const (
 	notEnded           endReason = iota
-	endPoisonedKey               // its key has failed at several healthy servers
-	endObjectiveMissed           // its answer would come too late to have a value
-	endDeadline                  // the client would leave before an answer
-	endAttemptsUsed              // it has had all its attempts
-	endNoRetryToken              // the retry budget is used up
-	endNoServer                  // no server may have it, and none will in time
+	endPoisonedKey               // requests with its key failed at several healthy servers
+	endObjectiveMissed           // an answer would miss the latency objective and have no value
+	endDeadline                  // the client would give up before an answer
+	endAttemptsUsed              // maximum number of attempts reached
+	endNoRetryToken              // retry budget used up
+	endNoServer                  // no eligible server, and none expected in time
 )
 
 var endReasonTexts = [...]string{
@@ -23,12 +23,12 @@
 
 func (r endReason) String() string { return endReasonTexts[r] }
 
-// minRetryAfter and retryAfterSpread say, in objectives, when a rejected client is to return: at random, so
-// that clients rejected together do not return together.
+// minRetryAfter and retryAfterSpread set the retry-after of a rejection, in latency objectives: the minimum
+// plus a random part of the spread, so that clients rejected together do not all return together.
 const minRetryAfter, retryAfterSpread = 0.5, 1.0
 
-// rejectOrFail gives the final answer: a rejection where the rules allow to tell the client that trying again
-// is harmless, else a failure.
+// rejectOrFail gives the request's final answer and closes it. The answer is a rejection if the client can
+// safely try again, else a failure.
 func (b *Balancer) rejectOrFail(r *request, reason endReason) {
 	r.endReason = reason
 	answer := Action{Kind: Fail, ID: r.id}
@@ -40,13 +40,13 @@
 			answer.After = min(after, b.settings.Limits.MaxRetryAfter)
 		}
 	}
-	b.countAnswer(r, answer.Kind)
+	b.countRejectOrFail(r, answer.Kind)
 	b.emit(answer)
 	b.closeRequest(r)
 }
 
-// mayReject reports whether the request can be tried again without being processed twice: each attempt was
-// unprocessed, or is harmless.
+// mayReject reports whether the client can safely repeat the request: each attempt so far was unprocessed, or
+// repeating it does no harm.
 func (b *Balancer) mayReject(r *request) bool {
 	c := r.class
 	for i := range r.attempts {
--- a/internal/balancer/rejection_test.go
+++ b/internal/balancer/rejection_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Each reason for which a request is rejected: as a new one, before an attempt, and before a retry.
+// Each reason for which a request is rejected: when it arrives, before an attempt, and before a retry.
 func TestEndReasons(t *testing.T) {
 	admit := func(b *Balancer, r *request) { r.endReason = b.checkAdmission(r) }
 	route := (*Balancer).route
--- a/internal/balancer/request.go
+++ b/internal/balancer/request.go
@@ -7,41 +7,41 @@
 	"dunestep/internal/balancer/ring"
 )
 
-// meanWorkGain is the weight of a new work hint in their mean.
+// meanWorkGain is the weight of a new work hint in the mean.
 const meanWorkGain = 0.01
 
-// request is a client's request from its arrival until its last attempt has ended. The order of its fields
-// keeps it small: there is one for each request under way.
+// request is the state of a client's request from its arrival until its last attempt has ended. The order of
+// the fields keeps the struct small, since there is one for each request in flight.
 type request struct {
 	id            uint32
-	hash          uint32 // of its key
-	tenant        int32  // its number: see exclusionState
-	exclusionHash uint32 // by which exclusions apply to it; without a key, another one at each selection
+	hash          uint32 // hash of the key
+	tenant        int32  // tenant number: see exclusionState
+	exclusionHash uint32 // hash by which exclusions apply; without a key, a new one at each selection
 	class         *class
-	workUnits     float64       // its work hint, in the mean of all hints
+	workUnits     float64       // work hint relative to the mean of all hints; one without a hint
 	objectiveAt   time.Duration // when an answer loses its value
 	deadline      time.Duration // when the client gives up
 
-	waitUntil      time.Duration // for a timer or a probe's answer
-	probationUntil time.Duration // until when it waits for a server to end its probation; zero: not yet
-	notBefore      time.Duration // no attempt before; zero: any time
+	waitUntil      time.Duration // when the timer of the current wait is due
+	probationUntil time.Duration // end of the wait for a server to finish its probation; zero: not started
+	notBefore      time.Duration // earliest start of the next attempt; zero: any time
 
 	attempts     []attempt
-	hedgedProbe  *server // to get a hedged probe request beside the chosen server
-	openAttempts int16
-	openHedges   int16 // of the open attempts
-	hedges       int16
-	probes       int16 // asked for on its behalf
+	hedgedProbe  *server // server to get a hedged probe request in addition to the chosen server
+	openAttempts int16   // number of attempts that have not ended
+	openHedges   int16   // number of open attempts that are hedges
+	hedges       int16   // number of attempts that are hedges
+	probes       int16   // number of probes for this request
 
-	waiting           bool // see waitUntil
-	closed            bool // the client has its answer, or is gone
-	streaming         bool // an answer has begun
-	needsRetryToken   bool // the next attempt is a retry that no token was spent on
+	waiting           bool // waits for a retry, a probe or a server's probation: see waitUntil
+	closed            bool // the client has its answer or has disconnected
+	streaming         bool // a response has begun
+	needsRetryToken   bool // the next attempt is a retry for which no token has been spent
 	lastUnprocessed   bool // the last attempt was not processed
 	hasKey            bool
-	overQuota         bool // beyond its tenant's quota
-	ignoresProbes     bool // sent to a server whose probes failed, to test them
-	ignoresExclusions bool // exclusions leave it no server
+	overQuota         bool // exceeds its tenant's quota
+	ignoresProbes     bool // tests a server whose probes failed
+	ignoresExclusions bool // exclusions are overridden: see SetExclusions
 	endReason         endReason
 }
 
@@ -73,7 +73,7 @@
 	}
 }
 
-// checkAdmission returns why a new request is not sent at all.
+// checkAdmission returns why a new request is not sent to any server, or notEnded.
 func (b *Balancer) checkAdmission(r *request) endReason {
 	switch {
 	case r.hasKey && b.isPoisoned(r.hash):
@@ -89,9 +89,10 @@
 	c := r.class
 	objective := c.LatencyObjective + time.Duration(c.ObjectivePerWork*float64(e.WorkHint))
 	r.objectiveAt = b.now + min(objective, c.Deadline)
-	// A retry's timeout below the longest seen is what is left of the client's deadline: the request is that
-	// much older, and likely too old to count. Where clients don't mark their retries, those with short
-	// timeouts of their own are taken for old ones; where they do, a first try that was long on its way is not.
+	// If a retry's timeout is below the longest one of the class, it is what remains of the client's deadline,
+	// so the request is older by the difference and its objective is earlier. If clients don't mark their
+	// retries, every request with a shorter timeout counts as such a retry; if they do, a first try with a
+	// shorter timeout does not.
 	c.maxClientTimeout = max(c.maxClientTimeout, e.ClientTimeout)
 	if e.ClientTimeout < c.maxClientTimeout-b.settings.Tick &&
 		(e.ClientRetry || !b.settings.ClientsMarkRetries) {
@@ -102,12 +103,13 @@
 	}
 }
 
-// isTooLate reports whether no attempt can be made after the wait, since the client will have left.
+// isTooLate reports whether it is too late for an attempt after the wait, since the client gives up before.
 func (b *Balancer) isTooLate(r *request, wait time.Duration) bool {
 	return b.now+wait+b.settings.Tick >= r.deadline
 }
 
-// route selects a server and sends the request, or probes the server first, or ends the request.
+// route selects a server for the request and sends it or probes the server first. Without a server the
+// request waits for one to finish its probation, or ends.
 func (b *Balancer) route(r *request) {
 	var s *server
 	if !b.isTooLate(r, 0) && len(r.attempts) < r.class.maxAttempts {
@@ -116,23 +118,24 @@
 	switch {
 	case s != nil && !b.spendRetryToken(r, s):
 		b.rejectOrFail(r, endNoRetryToken)
-	case s != nil && (!b.needsProbe(r, s) || b.mayGoUnprobed(r)):
+	case s != nil && (!b.needsProbe(r, s) || b.maySkipProbe(r)):
 		b.dispatch(r, s)
 		b.sendHedgedProbe(r)
 	case s != nil && r.probes < maxProbesPerRequest:
-		b.probeFirst(r, s)
+		b.probeAndWait(r, s)
 	default:
 		b.waitForProbation(r)
 	}
 }
 
-// wait has the request wait until a timer or a probe wakes it up.
+// wait lets the request wait for at most the given time, until a timer or a probe resumes it.
 func (b *Balancer) wait(r *request, length time.Duration) {
 	r.waiting, r.waitUntil = true, b.now+length
 	b.setTimer(length, r.id, timerRetry)
 }
 
-// closeRequest ends a request whose client needs nothing more. It is forgotten with its last attempt.
+// closeRequest closes a request whose client needs no more answers. It is removed once its last attempt has
+// ended.
 func (b *Balancer) closeRequest(r *request) {
 	r.closed = true
 	if r.openAttempts == 0 {
--- a/internal/balancer/restore.go
+++ b/internal/balancer/restore.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// How soon what a Snapshot holds loses half its weight.
+// Half-lives of the weight of a Snapshot's values.
 const (
-	baselineHalfLife = time.Hour        // how fast machine kinds are
-	trafficHalfLife  = 10 * time.Minute // how much arrives and is sent
-	faultHalfLife    = 30 * time.Second // who fails
+	baselineHalfLife = time.Hour        // speed of machine kinds
+	trafficHalfLife  = 10 * time.Minute // arrivals and sent requests
+	faultHalfLife    = 30 * time.Second // failures
 )
 
 const (
-	// minReportWeight is the weight below which what reports were worth is not restored.
+	// minReportWeight is the weight below which the calibration of load reports is not restored.
 	minReportWeight = 0.25
-	// maxLatency, in seconds, and maxAmount bound what is believed of a Snapshot.
+	// maxLatency, in seconds, and the limits after it are the maximum values accepted from a Snapshot.
 	maxLatency = 3600
 	maxAmount  = 1e12
 	maxSamples = 1e9
 	maxAge     = 365 * 24 * time.Hour
-	// maxPenaltyMultiple of the suppress limit bounds a restored flap penalty.
+	// maxPenaltyMultiple is the maximum of a restored flap penalty, as a multiple of the suppress limit.
 	maxPenaltyMultiple = 10
 )
 
-// Restore takes over a Snapshot of that age for the servers that are listed now; it comes before the first
-// request. What is known of a server that was restarted since, or is not listed, is left out, and so is
-// whatever can't be true: a Snapshot comes from outside and must do no harm. A negative age, as after a clock
-// was set back, means that the age is not known: nothing is restored.
+// Restore restores a Snapshot of the given age. It must be called after the server list is known and before
+// the first request. Servers that are not listed or were restarted since are left out, and so are invalid
+// values: a Snapshot is external input and must do no harm. A negative age, as after a clock was set back,
+// means that the age is unknown, and nothing is restored.
 func (b *Balancer) Restore(now time.Duration, m Snapshot, age time.Duration) {
 	b.now = max(b.now, now)
 	if age < 0 {
@@ -36,12 +36,12 @@
 	age = validAge(age)
 	b.restoreMeans(&m, age)
 	for _, k := range m.Kinds {
-		if l := k.BaselineLatency.decayed(remaining(age, baselineHalfLife)); l.samples > 0 {
-			*b.kindBaseline(k.Name) = l // in place: its servers point to it
+		if l := k.BaselineLatency.decayed(remainingWeight(age, baselineHalfLife)); l.samples > 0 {
+			*b.kindBaseline(k.Name) = l // in place, since servers point to it
 		}
 	}
 	for _, z := range m.Zones {
-		if validAmount(z.ReportedInFlight) > 0 && remaining(age, faultHalfLife) > minReportWeight {
+		if validAmount(z.ReportedInFlight) > 0 && remainingWeight(age, faultHalfLife) > minReportWeight {
 			b.zoneReports[z.Name] = &zoneReport{wait: validAmount(z.ReportedWait), inFlight: z.ReportedInFlight}
 		}
 	}
@@ -70,10 +70,10 @@
 	b.updateDetector()
 }
 
-// restoreMeans restores what was learned over all servers.
+// restoreMeans restores the values that are not about a single server, zone, class or tenant.
 func (b *Balancer) restoreMeans(m *Snapshot, age time.Duration) {
-	traffic, fault := remaining(age, trafficHalfLife), remaining(age, faultHalfLife)
-	b.baseline = m.BaselineLatency.decayed(remaining(age, baselineHalfLife))
+	traffic, fault := remainingWeight(age, trafficHalfLife), remainingWeight(age, faultHalfLife)
+	b.baseline = m.BaselineLatency.decayed(remainingWeight(age, baselineHalfLife))
 	b.meanLatency = blend(fault, m.MeanLatency, b.baseline.seconds)
 	b.failureFraction = fault * min(validAmount(m.FailureRatio), 1)
 	b.sendRate = traffic * validAmount(m.SendRate)
@@ -105,25 +105,25 @@
 	}
 	b.detector.Restore(b.now, s.outlier, known, age)
 	if s.wasDown = s.outlier.IsEjected(); s.wasDown {
-		s.slowStart.Start(b.now, 1) // the first probe request is sent at once: it may serve by now
+		s.slowStart.Start(b.now, 1) // permits one probe request at once, since the server may have recovered
 	}
 	if m.RecoveredAgo > 0 {
 		s.recoveredAt = max(b.now-validAge(m.RecoveredAgo)-age, 1)
 	}
 }
 
-// remaining is the weight of something that has that age, from 1 down to 0.
-func remaining(age, halfLife time.Duration) float64 {
+// remainingWeight returns the weight, from 1 down to 0, of a value of the given age.
+func remainingWeight(age, halfLife time.Duration) float64 {
 	return math.Exp2(-float64(age) / float64(halfLife))
 }
 
-// blend is a restored value with its weight, the rest being another's.
+// blend returns the mean of a restored value with its weight, from 0 to 1, and another value.
 func blend(weight, restored, other float64) float64 {
 	return weight*validAmount(restored) + (1-weight)*other
 }
 
-// decayed keeps the latency and lowers the number of samples, so that the next ones count for more: any other
-// guess at the latency would be worse.
+// decayed returns the baseline with its number of samples reduced by the weight, so that new samples count
+// more. The latency stays as it is, since no better estimate is known. Invalid values give the zero value.
 func (m BaselineSnapshot) decayed(weight float64) baselineLatency {
 	l := baselineLatency{
 		seconds: validAmount(m.Latency),
@@ -135,7 +135,7 @@
 	return l
 }
 
-// validAmount is zero for a value that is not positive, or too large to be true.
+// validAmount returns v, or zero if v is not positive or exceeds maxAmount.
 func validAmount(v float64) float64 {
 	if !(v > 0) || v > maxAmount {
 		return 0
@@ -143,5 +143,5 @@
 	return v
 }
 
-// validAge is a time that has passed, at most a year.
+// validAge returns d limited to the range from zero to maxAge.
 func validAge(d time.Duration) time.Duration { return min(max(d, 0), maxAge) }
--- a/internal/balancer/retry.go
+++ b/internal/balancer/retry.go
@@ -6,7 +6,8 @@
 	"dunestep/internal/balancer/outlier"
 )
 
-// retrySpacing is the wait before a request's first, second and further retries, in objectives.
+// retrySpacing returns the wait before the next retry, in latency objectives, by the number of earlier
+// retries.
 func retrySpacing(retries int) float64 {
 	switch {
 	case retries <= 0:
@@ -17,7 +18,7 @@
 	return 0.18
 }
 
-// retry sends the request again, now or after a wait, or ends it.
+// retry sends the request again, now or after a wait, or ends it with a rejection or failure.
 func (b *Balancer) retry(r *request) {
 	wait := b.retryDelay(r, retrySpacing(len(r.attempts)-int(r.hedges)-1))
 	if reason := b.checkRetry(r, wait); reason != notEnded {
@@ -32,8 +33,8 @@
 	}
 }
 
-// checkRetry returns why the request is not retried after the wait. Whether a server is too slow for the
-// retry is for selectServer to say.
+// checkRetry returns why the request cannot be retried after the wait, or notEnded. It does not check whether
+// a server is fast enough for the retry: selectServer does.
 func (b *Balancer) checkRetry(r *request, wait time.Duration) endReason {
 	left := r.objectiveAt - b.now - wait
 	switch {
@@ -49,9 +50,10 @@
 	return notEnded
 }
 
-// retryDelay is how long the request waits for its next attempt: so many objectives, and what is left of the
-// fleet's least interval. That interval is kept also when something else wakes the request up. It does not
-// hold hedges back.
+// retryDelay returns how long the request waits before its next attempt: the given number of latency
+// objectives, or what is left of the fleet policy's minimum attempt interval if that is longer. It stores the
+// end of the interval in notBefore, so that no other event resumes the request earlier. The interval does not
+// apply to hedged requests.
 func (b *Balancer) retryDelay(r *request, objectives float64) time.Duration {
 	wait := time.Duration(objectives * float64(r.class.LatencyObjective))
 	if r.class.minAttemptInterval > 0 {
@@ -61,16 +63,16 @@
 	return wait
 }
 
-// earnRetryTokens credits the retry budgets with a new request.
+// earnRetryTokens adds the tokens that one new request earns to both retry budgets.
 func (b *Balancer) earnRetryTokens() {
 	b.retryTokens = min(b.retryTokens+b.tuning.RetryRatio, b.tuning.RetryBurst)
 	earned := b.unprocessedRetryTokens + b.tuning.UnprocessedRetryRatio
 	b.unprocessedRetryTokens = min(earned, b.tuning.UnprocessedRetryBurst)
 }
 
-// spendRetryToken pays for a retry at the server and reports whether the budget allows it; first attempts are
-// free. A retry of an unprocessed attempt adds no load to the fleet: at a healthy server a larger budget
-// pays.
+// spendRetryToken takes a retry token if the next attempt needs one, and reports whether the attempt may be
+// sent to the server. First attempts need none. Retries of unprocessed attempts add no load to the fleet, so
+// those to a healthy server use a separate, larger budget.
 func (b *Balancer) spendRetryToken(r *request, s *server) bool {
 	if !r.needsRetryToken {
 		return true
--- a/internal/balancer/retry_test.go
+++ b/internal/balancer/retry_test.go
@@ -8,14 +8,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// What may follow when the first attempt of a class ended so: a retry, a rejection or a failure.
+// What follows when the first attempt of a class ends with an outcome: a retry, a rejection or a failure.
 func TestRetryOrAnswerByOutcome(t *testing.T) {
 	for _, c := range []struct {
 		class   string
 		outcome Outcome
 		after   time.Duration
 		retry   bool // another attempt must follow
-		reject  bool // else: the final answer is a rejection, not a failure
+		reject  bool // without a retry: the final answer is a rejection, not a failure
 	}{
 		{"safe", ServerError, 5 * ms, true, true},
 		{"safe", TimedOut, 5 * ms, true, true},
@@ -45,18 +45,18 @@
 			}
 			continue
 		}
-		one, two := b.servers[first.Server], b.servers[next.Server]
-		if one == two {
-			t.Errorf("%s: the same server again", c.class)
+		server1, server2 := b.servers[first.Server], b.servers[next.Server]
+		if server1 == server2 {
+			t.Errorf("%s: the retry goes to the same server", c.class)
 		}
-		if !c.outcome.Unprocessed() && (c.class == "zone" && one.Zone != two.Zone || c.class == "cell" && one.Cell != two.Cell) {
+		if !c.outcome.Unprocessed() && (c.class == "zone" && server1.Zone != server2.Zone || c.class == "cell" && server1.Cell != server2.Cell) {
 			t.Errorf("%s: the retry left the deduplication scope", c.class)
 		}
 	}
 }
 
-// A retry of an unprocessed attempt is not rejected for lack of ordinary retry tokens, unless the server that would get it
-// is not healthy.
+// Retries of unprocessed attempts at healthy servers have their own tokens, so they are not rejected when the ordinary retry
+// tokens are used up.
 func TestRetriesOfUnprocessedAttempts(t *testing.T) {
 	for _, c := range []struct {
 		outcome Outcome
@@ -72,10 +72,10 @@
 	}
 }
 
-// A client that gives less time than the objective is answered when the last attempt that its time allows has ended: it is
-// not kept waiting for one that could only be made after it has left.
+// A client whose timeout is shorter than the latency objective gets its answer when the last attempt that the timeout
+// permits has ended. It does not wait for a retry that could start only after the client gave up.
 func TestShortClientTimeoutIsAnsweredInTime(t *testing.T) {
-	for _, left := range []time.Duration{30 * ms, 4 * ms} { // of the client's time, when the second attempt ends
+	for _, left := range []time.Duration{30 * ms, 4 * ms} { // of the client's timeout, when the second attempt ends
 		b := newStarted(t, testSettings(), serverList(6))
 		mustSend(t, b.Step(time.Second, &Request{ID: 1, Class: "all", Key: "k", ClientTimeout: 250 * ms}))
 		b.meanLatency = 0.001
@@ -90,13 +90,13 @@
 func TestLateClientRetryIsRejectedAtOnce(t *testing.T) {
 	b := newStarted(t, testSettings(), serverList(4))
 	b.Step(1, &Request{ID: 1, Class: "safe", Key: "a", ClientTimeout: time.Second})
-	acts := b.Step(2, &Request{ID: 2, Class: "safe", Key: "b", ClientTimeout: 500 * ms}) // 0.5 s old, the objective is 0.4
+	acts := b.Step(2, &Request{ID: 2, Class: "safe", Key: "b", ClientTimeout: 500 * ms}) // 0.5 s old, with an objective of 0.4 s
 	if findAction(acts, Reject) == nil || findAction(acts, Send) != nil {
 		t.Errorf("%+v", acts)
 	}
 }
 
-// Where clients mark their retries, a first try with little time left is not rejected as a late retry.
+// If clients mark their retries, a first try with a short timeout is not rejected as a late retry.
 func TestOnlyMarkedRetriesAreLateWhereClientsMarkThem(t *testing.T) {
 	set := testSettings()
 	set.ClientsMarkRetries = true
--- a/internal/balancer/ring_test.go
+++ b/internal/balancer/ring_test.go
@@ -9,10 +9,10 @@
 	farm "github.com/dgryski/go-farm"
 )
 
-func TestRingFollowsFarmHash(t *testing.T) {
+func TestRingPointsUseFarmHash(t *testing.T) {
 	b := newStarted(t, testSettings(), serverList(4))
 	if b.ring.Points() != 4*pointsPerServer {
-		t.Fatalf("%d points", b.ring.Points())
+		t.Fatalf("%d points on the ring", b.ring.Points())
 	}
 	for key := range 500 {
 		h := farm.Fingerprint32([]byte(fmt.Sprint("key", key)))
@@ -32,7 +32,7 @@
 
 const ringVectors = "s4 s1 s2 s3 s0 s2 s3 s3 "
 
-// Fixed vectors: a change of the hash, the points or their names would move every key of a running fleet.
+// Guards against a change of the hash, the points or their names, which would move every key of a running fleet.
 func TestRingFixedVectors(t *testing.T) {
 	b := newStarted(t, testSettings(), serverList(5))
 	got := ""
@@ -58,24 +58,24 @@
 		if l := less.ring.Owner(h).ID; l != o {
 			moved++
 			if o != "s5" {
-				t.Fatalf("key %d moved from %s to %s though %s stayed", key, o, l, o)
+				t.Fatalf("key %d moved from %s to %s, although %s stayed", key, o, l, o)
 			}
 		}
 	}
 	if moved == 0 || moved > 2000/3 {
 		t.Errorf("%d of 2000 keys moved", moved)
 	}
-	// the leaver comes back: the old owners again
+	// Once the missing server has joined, every key has its old owner.
 	less.Step(1, &ServerListUpdate{Kind: UpdateIncremental, Servers: full[5:]})
 	for key := range 200 {
 		h := farm.Fingerprint32([]byte(fmt.Sprint("key", key)))
 		if less.ring.Owner(h).ID != b.ring.Owner(h).ID {
-			t.Fatal("join does not restore the ring")
+			t.Fatal("a join does not restore the ring")
 		}
 	}
 }
 
-// Points are hashed once: a server that leaves and returns has its old points.
+// A server that leaves and returns has its old points, which are hashed only once.
 func TestReturningServerHasItsOldPoints(t *testing.T) {
 	b := newStarted(t, testSettings(), serverList(5))
 	l := serverList(5)
@@ -84,20 +84,20 @@
 			l[2].State = st
 			b.Step(b.now+1, &ServerListUpdate{Kind: UpdateIncremental, Servers: l[2:3]})
 			if b.ring.Points() != 5*pointsPerServer {
-				t.Fatalf("%d points", b.ring.Points())
+				t.Fatalf("%d points on the ring", b.ring.Points())
 			}
-			if gone := b.ring.Owner(b.servers["s2"].hash); st == Gone && gone.ID == "s2" {
+			if owner := b.ring.Owner(b.servers["s2"].hash); st == Gone && owner.ID == "s2" {
 				t.Fatal("a server that is gone owns keys")
 			}
 		}
 	}
-	// an id listed twice, and an empty list
+	// Lists with each id twice, and without servers.
 	b.Step(b.now+1, &ServerListUpdate{Kind: UpdateFull, Servers: append(serverList(5), serverList(5)...)})
 	if len(b.ring.Members()) != 5 || b.ring.Points() != 5*pointsPerServer {
 		t.Errorf("%d members, %d points", len(b.ring.Members()), b.ring.Points())
 	}
 	b.Step(b.now+1, &ServerListUpdate{Kind: UpdateFull})
 	if acts := b.Step(b.now+1, &Request{ID: 1, Class: "safe", Key: "k", ClientTimeout: time.Second}); findAction(acts, Reject) == nil {
-		t.Errorf("empty list: %+v", acts)
+		t.Errorf("empty list: request not rejected: %+v", acts)
 	}
 }
--- a/internal/balancer/ringassignment.go
+++ b/internal/balancer/ringassignment.go
@@ -1,27 +1,27 @@
 package balancer
 
 const (
-	// pointsPerServer on the ring, without an assignment.
+	// pointsPerServer is the number of points of a server on the ring without an assignment.
 	pointsPerServer = 100
-	// maxPoints bounds what an assignment can give a server.
+	// maxPoints is the maximum number of points of a server under an assignment.
 	maxPoints = 100 * pointsPerServer
 )
 
-// RingAssignment is a generation of the ring that a fleet has agreed on: which servers take part, and with
-// how many points. It must not be changed once given.
+// RingAssignment is a generation of the ring that the fleet has agreed on: the servers on it and their
+// number of points. It must not be changed after SetRingAssignment.
 type RingAssignment struct {
 	Generation uint64
-	Points     map[string]int // by server id; servers that are not in it have none
+	Points     map[string]int // by server id; a missing server has none
 }
 
-// SetRingAssignment has the Balancer follow an assignment from the next Step on; nil: its own list alone, on
-// which each ready server has the usual points.
+// SetRingAssignment sets the assignment to follow from the next Step on. With nil, only the balancer's own
+// server list counts, and each ready server has pointsPerServer points.
 //
-// The ring's members are the servers of the assignment that the own list names as ready. What that list says
-// is draining or gone is skipped at once, and nothing becomes known by being assigned. Servers of the own
-// list without points have no keys: they get what the others can't take, and those in slow start among them
-// get requests while warm servers are saturated, until the next generation includes them. An assignment that
-// names no ready server, or only such as are down while others are not, is ignored.
+// Under an assignment, the servers that own keys are those with points that the own list shows as ready.
+// Servers that the list shows as draining or gone are skipped at once, and the assignment adds no server to
+// the list. Ready servers without points own no keys until a generation includes them: they get requests that
+// the others have no capacity for and, if in slow start, also requests while warm servers are saturated. An
+// assignment is ignored if none of its servers is ready, or if all of them are down while others are not.
 func (b *Balancer) SetRingAssignment(a *RingAssignment) {
 	if a == b.givenAssignment {
 		return
@@ -30,11 +30,11 @@
 	b.updateRing()
 }
 
-// updateRing puts the ready servers on the ring, each with its points, and takes the others off.
+// updateRing adds the ready servers to the ring, each with its points, and removes the others.
 func (b *Balancer) updateRing() {
 	b.chooseAssignment()
 	if b.settings.Rules.GoneUsable && !b.hasReadyServer() {
-		return // a list that would empty the ring is no proof here; checkPermitted skips what is draining
+		return // keeps servers listed as gone, which may still be used; checkPermitted skips draining ones
 	}
 	for _, s := range b.servers { // in any order: the rings are ordered by name
 		if s.State == Ready {
@@ -51,7 +51,8 @@
 	b.updateDetector()
 }
 
-// joinRing gives a server its points; with none it is outside the assignment.
+// joinRing gives a server its points on the ring. Without points it also joins the ring of servers outside
+// the assignment.
 func (b *Balancer) joinRing(s *server, points int) {
 	if !s.ringPlace.IsMember() || s.ringPlace.Points() != points {
 		s.ringPlace = b.ring.JoinWithPoints(s.ID, s, points)
@@ -63,7 +64,7 @@
 	}
 }
 
-// ringPoints is how many points a server is to have now.
+// ringPoints returns the number of points that a server should have now.
 func (b *Balancer) ringPoints(s *server) int {
 	switch {
 	case s.State != Ready:
@@ -74,8 +75,8 @@
 	return pointsPerServer
 }
 
-// chooseAssignment activates the given assignment, unless it leaves no server that can be used. That all its
-// servers are down may have a cause near this agent; trying others too costs nothing then.
+// chooseAssignment activates the given assignment unless it leaves no usable server. If all its servers are
+// down, the cause may be near this agent, but trying other servers then costs nothing.
 func (b *Balancer) chooseAssignment() {
 	if b.activeAssignment = b.givenAssignment; b.activeAssignment == nil {
 		return
@@ -93,8 +94,9 @@
 	}
 }
 
-// reviewAssignment chooses anew by what has been learned of the servers. Once a round is often enough, or the
-// ring would follow every server that goes down and up.
+// reviewAssignment checks whether the given assignment is still usable and updates the ring if that
+// changed. It is called only once a round, so that the ring does not change with every server that goes
+// down or recovers.
 func (b *Balancer) reviewAssignment() {
 	if b.givenAssignment == nil {
 		return
@@ -112,21 +114,21 @@
 	b.updateRing()
 }
 
-// outsideUse says what servers outside the assignment are wanted for.
+// outsideUse selects which servers outside the assignment may get a request.
 type outsideUse uint8
 
 const (
-	// reliefOnly: those in slow start, while warm servers are saturated.
+	// reliefOnly selects servers in slow start, and only while warm servers are saturated.
 	reliefOnly outsideUse = iota
-	// anyCapacity: whatever capacity they have.
+	// anyCapacity selects all servers with capacity.
 	anyCapacity
 )
 
-// selectOutsideRing returns the first server outside the assignment that accepts the request. Where many
-// servers are replaced at once, the new ones have no points before the next generation, and the remaining old
-// ones can't take all requests.
+// selectOutsideRing returns the first server outside the assignment that accepts the request, or nil. Such
+// servers are needed when many are replaced at once: the new ones have no points until the next generation,
+// and the remaining old ones lack the capacity for all requests.
 func (b *Balancer) selectOutsideRing(sel *selection, use outsideUse) (chosen *server) {
-	if len(b.outsideRing.Members()) == 0 || use == reliefOnly && !b.warmSaturated {
+	if len(b.outsideRing.Members()) == 0 || use == reliefOnly && !b.warmServersSaturated {
 		return nil
 	}
 	r := sel.request
--- a/internal/balancer/ringassignment_test.go
+++ b/internal/balancer/ringassignment_test.go
@@ -11,19 +11,19 @@
 	"dunestep/internal/balancer/ring"
 )
 
-// An assignment that gives each server the usual points changes nothing; with others the rules hold.
+// An assignment that gives each server the default points changes no action. With random assignments the rules hold.
 func TestRingAssignmentOnRandomEvents(t *testing.T) {
 	outside := 0
 	for seed := range uint64(20) {
-		usual := &RingAssignment{Generation: 1, Points: map[string]int{}}
+		defaultPoints := &RingAssignment{Generation: 1, Points: map[string]int{}}
 		for _, s := range serverList(8) {
-			usual.Points[s.ID] = pointsPerServer
+			defaultPoints.Points[s.ID] = pointsPerServer
 		}
 		var actions [2][]Action
-		for i, p := range []*RingAssignment{nil, usual} {
+		for i, assignment := range []*RingAssignment{nil, defaultPoints} {
 			actions[i] = simulate(t, seed, func(*Settings) {}, func(w *simulation, _ int) {
-				w.b.lowestBaseline, w.b.slowStartSaturated = 0, w.b.slowStart // without an assignment, baselines move keys and slow start is bounded by the budget alone
-				w.b.SetRingAssignment(p)
+				w.b.lowestBaseline, w.b.slowStartSaturated = 0, w.b.slowStart // disables the differences: weights by baseline, and the larger slow-start budget
+				w.b.SetRingAssignment(assignment)
 			})
 		}
 		require.True(t, reflect.DeepEqual(actions[0], actions[1]), "seed %d", seed)
@@ -45,59 +45,59 @@
 		})
 		outside += w.outside
 	}
-	require.Greater(t, outside, 100, "attempts at others while an assignment left none")
+	require.Greater(t, outside, 100, "attempts at servers outside an assignment")
 }
 
-// checkAssignment checks an attempt against the own list, whatever the assignment says, and counts those outside it.
+// checkAssignment counts an attempt at a server outside the assignment, and checks that the server list permits it.
 func (w *simulation) checkAssignment(to string) {
 	if w.assignment == nil || w.assignment.Points[to] > 0 {
 		return
 	}
 	w.outside++
 	if s := w.b.servers[to]; s == nil || s.State == Draining || w.drained[to] {
-		w.t.Fatalf("sent to %s", to)
+		w.t.Fatalf("sent to %s, which is unknown, draining or gone", to)
 	}
 }
 
-// Points are as assigned, whatever the listed weights; what the own list takes out is skipped at once, what it does not name is
-// not known by being assigned, and what is not assigned gets nothing.
+// Servers have their assigned points, whatever their listed weights. Servers that the list shows as draining or gone are
+// skipped at once, assigned servers that it does not contain are ignored, and servers without points get no requests.
 func TestRingAssignment(t *testing.T) {
 	servers := serverList(5)
 	servers[1].Weight = 0.1
 	b := newStarted(t, testSettings(), servers)
 	requestsByServer := func() map[string]int {
-		n := map[string]int{}
+		counts := map[string]int{}
 		for i := range 2000 {
 			id := uint32(b.now)
 			a := mustSend(t, b.Step(b.now+20*ms, &Request{ID: id, Class: "safe", Key: fmt.Sprint("key", i), ClientTimeout: time.Second}))
 			b.Step(b.now, &AttemptDone{ID: id, Server: a.Server, Outcome: Served, Latency: ms, RequestDone: true})
-			n[a.Server]++
+			counts[a.Server]++
 		}
-		return n
+		return counts
 	}
-	require.Less(t, requestsByServer()["s1"], 120, "a light one")
-	p := &RingAssignment{Generation: 7, Points: map[string]int{"s0": 100, "s1": 200, "s2": 100, "s3": 0, "unlisted": 100}}
-	b.SetRingAssignment(p)
-	n := requestsByServer()
-	require.InDelta(t, 1000, n["s1"], 150)
-	require.InDelta(t, 500, n["s0"], 150)
-	require.Len(t, n, 3)
+	require.Less(t, requestsByServer()["s1"], 120, "a server with a low weight, without an assignment")
+	assignment := &RingAssignment{Generation: 7, Points: map[string]int{"s0": 100, "s1": 200, "s2": 100, "s3": 0, "unlisted": 100}}
+	b.SetRingAssignment(assignment)
+	counts := requestsByServer()
+	require.InDelta(t, 1000, counts["s1"], 150)
+	require.InDelta(t, 500, counts["s0"], 150)
+	require.Len(t, counts, 3)
 	require.Len(t, b.outsideRing.Members(), 2)
 	b.Step(b.now+ms, &ServerListUpdate{Servers: []Server{{ID: "s1", State: Draining}, {ID: "s2", State: Gone}}})
 	require.Equal(t, map[string]int{"s0": 2000}, requestsByServer())
 	require.Len(t, b.ring.Members(), 3)
 	b.Step(b.now+ms, &ServerListUpdate{Servers: []Server{{ID: "s0", State: Gone}}})
-	n = requestsByServer()
-	require.Len(t, n, 2, "the assignment leaves none: by the own list")
-	require.NotZero(t, n["s3"])
-	require.NotZero(t, n["s4"])
+	counts = requestsByServer()
+	require.Len(t, counts, 2, "the assignment has no ready server, so it is ignored")
+	require.NotZero(t, counts["s3"])
+	require.NotZero(t, counts["s4"])
 	b.Step(b.now+ms, &ServerListUpdate{Kind: UpdateFull, Servers: servers})
-	require.Equal(t, 200, b.servers["s1"].ringPlace.Points(), "it leaves some again")
+	require.Equal(t, 200, b.servers["s1"].ringPlace.Points(), "the assignment has ready servers again, so it applies")
 	b.SetRingAssignment(nil)
 	require.Less(t, requestsByServer()["s1"], 120)
 }
 
-// Where all servers of an assignment are down, the others get requests within a round, until one is back.
+// If all servers of an assignment are down it is ignored from the next round on, until one has recovered.
 func TestRingAssignmentIsIgnoredWhileAllItsServersAreDown(t *testing.T) {
 	b := newStarted(t, testSettings(), serverList(8))
 	b.SetRingAssignment(&RingAssignment{Generation: 5, Points: map[string]int{"s0": 100, "s1": 50}})
@@ -115,13 +115,13 @@
 	require.Contains(t, findAction(acts, Log).Text, "ring assignment 5 applied again")
 }
 
-// A server outside the assignment gets what the others can't take. While warm servers are saturated it is preferred if it is
-// in slow start, and then gets a slow-start part.
+// A server outside the assignment gets the requests that the others have no capacity for. While warm servers are saturated
+// it is preferred if it is in slow start, within its slow-start budget.
 func TestServersOutsideTheAssignment(t *testing.T) {
 	for _, c := range []struct {
 		name                      string
 		busy, saturated, starting bool
-		least, most               int // of 100 requests, each at another key
+		minSent, maxSent          int // of 100 requests, each with a different key
 	}{
 		{"capacity", false, false, false, 0, 0},
 		{"no capacity", true, false, false, 100, 100},
@@ -154,23 +154,23 @@
 				b.Step(b.now, &AttemptDone{ID: id, Server: a.Server, Outcome: Served, Latency: ms, RequestDone: true})
 			}
 		}
-		require.GreaterOrEqual(t, got, c.least, c.name)
-		require.LessOrEqual(t, got, c.most, c.name)
+		require.GreaterOrEqual(t, got, c.minSent, c.name)
+		require.LessOrEqual(t, got, c.maxSent, c.name)
 	}
 }
 
-// A saturated owner counts by its points among the three that are looked at for one with capacity, so that light ones do not
-// end the search. With equal points, and without an assignment, each counts for one.
+// The search for an owner with capacity ends after three saturated ones. Under an assignment they count by their points, so
+// that light servers do not end the search; with equal points, or without an assignment, each counts as one.
 func TestSaturatedOwnersCountByPoints(t *testing.T) {
 	for points, scanned := range map[int]int{0: 3, 200: 3, 150: 4, 100: 6, 20: 30} {
 		b := newStarted(t, testSettings(), serverList(9))
 		if points > 0 {
-			p := &RingAssignment{Points: map[string]int{}}
+			assignment := &RingAssignment{Points: map[string]int{}}
 			for _, s := range serverList(9) {
-				p.Points[s.ID] = points
+				assignment.Points[s.ID] = points
 			}
-			p.Points["s0"] = 200
-			b.SetRingAssignment(p)
+			assignment.Points["s0"] = 200
+			b.SetRingAssignment(assignment)
 		}
 		found := 0
 		for i := range 200 {
@@ -194,7 +194,7 @@
 			}
 			id := uint32(i + 1)
 			a := mustSend(t, b.Step(b.now, &Request{ID: id, Class: "safe", Key: key, ClientTimeout: time.Second}))
-			require.Equal(t, owner, a.Server, "%d points, and %d owners on the way", points, before)
+			require.Equal(t, owner, a.Server, "%d points, s0 is owner number %d of the key", points, before)
 			b.Step(b.now, &AttemptDone{ID: id, Server: a.Server, Outcome: Canceled, RequestDone: true})
 		}
 		require.NotZero(t, found)
--- a/internal/balancer/saturation.go
+++ b/internal/balancer/saturation.go
@@ -3,45 +3,49 @@
 import "math"
 
 const (
-	// affinityFraction of the objective: below this expected latency a key's owner keeps its keys, since
-	// affinity saves more than another server would.
+	// affinityFraction is a fraction of the latency objective. A server with a lower expected latency than this
+	// keeps its keys even above its bounded load, since key affinity saves more than a faster server would.
 	affinityFraction = 0.35
-	// surgeDeviations above the typical number in flight, in its square root, is a surge.
+	// surgeDeviations is the number of standard deviations, each the square root of the typical number of
+	// requests in flight, above that number from which there is a surge.
 	surgeDeviations = 2.0
-	// inFlightGain is the weight of a new round in the typical number in flight.
+	// inFlightGain is the weight of a new round in the moving average of requests in flight.
 	inFlightGain = 0.1
-	// initialInFlight is the typical number in flight at a server, of all balancers together, until this one
-	// has seen its own part.
+	// initialInFlight is the assumed number of requests in flight at a server, from all balancers together,
+	// until this balancer has measured its own.
 	initialInFlight = 8.0
-	// sparseFraction of a request in flight at a busy server: with less, a balancer is sparse.
+	// sparseFraction is the number of requests in flight, from one balancer at a busy server, below which a
+	// balancer is sparse.
 	sparseFraction = 0.1
-	// sendRateGainUp and sendRateGainDown are the weights of a new round in the rate, where it is more and less
-	// than before. Down slowly: what is held back because servers look slow or are in slow start must not make
-	// it look as if a warm server carried that little, or those in slow start would get nothing for good.
+	// sendRateGainUp and sendRateGainDown are the weights of a new round in the moving average of the send rate
+	// when the round's rate is higher and lower than the average. The average falls slowly because it sizes the
+	// slow-start budget: requests held back because servers look slow or are in slow start would otherwise lower
+	// the rate a warm server seems to serve, until servers in slow start got nothing.
 	sendRateGainUp   = 0.5
 	sendRateGainDown = 0.02
-	// idleRoundFraction of the rate: a round that sends less shows nothing of what servers carry.
+	// idleRoundFraction is the fraction of the average send rate below which a round does not count, since it
+	// does not show how much the servers can serve.
 	idleRoundFraction = 0.1
 )
 
-// hasFewObservations reports whether this balancer sends a server less than one request in the time that an
-// observation lasts. Then it depends on what servers say in probes and reports, else on its own observations.
+// hasFewObservations reports whether this balancer sends each server less than one request on average within
+// the half-life of an observation. It then relies on probes and load reports, else on its own observations.
 func (b *Balancer) hasFewObservations() bool {
 	return b.sendRate*seconds(b.observationHalfLife) < b.memberCount()
 }
 
-// IsSparse reports whether this balancer is one of so many, and sends so little, that what it has in flight
-// at a server says nothing of how busy the server is. With few balancers, limits on its own requests in
-// flight are enough.
+// IsSparse reports whether there are so many balancers, and this one sends so few requests, that its
+// requests in flight at a server do not show how busy the server is. With few balancers, limits on each
+// one's requests in flight are enough.
 func (b *Balancer) IsSparse() bool {
 	return initialInFlight < sparseFraction*float64(b.settings.Balancers) && b.hasFewObservations()
 }
 
-// memberCount is the number of servers on the ring, for means: at least one.
+// memberCount returns the number of servers on the ring, at least one, as a divisor for means.
 func (b *Balancer) memberCount() float64 { return float64(max(len(b.ring.Members()), 1)) }
 
-// isSaturated reports whether an owner passes the request on. Expected is the server's expected latency, in
-// seconds as the limit.
+// isSaturated reports whether the server is too busy for the request, which then goes to the next owner of
+// the key. Expected is the server's expected latency; it and the limit are in seconds.
 func (b *Balancer) isSaturated(r *request, s *server, expected, latencyLimit float64) bool {
 	switch {
 	case expected > latencyLimit, b.probeIsLate(r, s), b.hasSurge(s):
@@ -50,19 +54,21 @@
 	return expected > affinityFraction*seconds(r.class.LatencyObjective) && b.exceedsBoundedLoad(s)
 }
 
-// probeIsLate reports whether the server has not answered its probe while the request waited for it.
+// probeIsLate reports whether the server's pending probe has had no response for probeWaitFraction of the
+// request's latency objective.
 func (b *Balancer) probeIsLate(r *request, s *server) bool {
 	return s.probePending && b.trustsProbes() &&
 		float64(b.now-s.probeSentAt) >= probeWaitFraction*float64(r.class.LatencyObjective)
 }
 
-// hasSurge reports whether far more than usual is in flight at the server.
+// hasSurge reports whether far more requests than usual are in flight at the server.
 func (b *Balancer) hasSurge(s *server) bool {
 	return float64(s.inFlight) > max(b.typicalInFlight+surgeDeviations*math.Sqrt(b.typicalInFlight), 1)
 }
 
-// exceedsBoundedLoad reports whether one more request puts the server above its bound over the mean load, by
-// its own report where that is fresh.
+// exceedsBoundedLoad reports whether one more request raises the server's load above BoundedLoadFactor times
+// the mean load. The load is the server's own report where that is fresh, else this balancer's requests in
+// flight.
 func (b *Balancer) exceedsBoundedLoad(s *server) bool {
 	load, mean := float64(s.inFlight), float64(b.inFlight+1)/b.memberCount()
 	if b.hasFreshReport(s) {
@@ -71,8 +77,8 @@
 	return load+1 > b.tuning.BoundedLoadFactor*mean
 }
 
-// addInFlight counts the start or the end of waiting for an attempt's answer. One whose answer has begun is
-// not waited for.
+// addInFlight adds change to the requests in flight at the attempt's server and in total. An attempt whose
+// response has begun is no longer counted and changes nothing.
 func (b *Balancer) addInFlight(a *attempt, change int) {
 	if !a.responseStarted {
 		a.server.inFlight += change
@@ -80,14 +86,16 @@
 	}
 }
 
-// changeInFlight changes the number in flight, and sums up the time in flight until now.
+// changeInFlight changes the total number of requests in flight, after adding the time since the last change
+// to the round's sum of time in flight.
 func (b *Balancer) changeInFlight(change int) {
 	b.inFlightSeconds += float64(b.inFlight) * seconds(b.now-b.inFlightSecondsAt)
 	b.inFlightSecondsAt = b.now
 	b.inFlight += change
 }
 
-// updateSendRate ends the round's counts.
+// updateSendRate updates the averages of the send rate and of the requests in flight from the round that
+// ends, and resets the round's sums.
 func (b *Balancer) updateSendRate() {
 	gain := sendRateGainUp
 	if b.sentThisRound < b.sendRate {
@@ -99,7 +107,7 @@
 		mean := b.inFlightSeconds / seconds(roundInterval) / b.memberCount()
 		b.typicalInFlight += inFlightGain * (mean - b.typicalInFlight)
 	} else {
-		b.meanLatency /= 2 // it includes failures, and would keep anything from being retried
+		b.meanLatency /= 2 // includes failures; left high, it would prevent all retries
 	}
 	b.inFlightSeconds, b.sentThisRound = 0, 0
 }
--- a/internal/balancer/saturation_test.go
+++ b/internal/balancer/saturation_test.go
@@ -30,12 +30,12 @@
 		s.inFlight, s.latencyInFlight = c.inFlight, float64(c.inFlight+1)
 		r := &request{class: b.classes["safe"], objectiveAt: b.now + 400*ms, deadline: b.now + time.Second}
 		if got := b.isSaturated(r, s, b.expectedLatency(s), b.latencyLimit(r)); got != c.saturated {
-			t.Errorf("%s: saturated %v", c.name, got)
+			t.Errorf("%s: isSaturated returned %v", c.name, got)
 		}
 	}
 }
 
-// A balancer with enough observations of its own neither probes nor depends on reports.
+// A balancer with enough observations of its own sends no probes.
 func TestNoProbesWithManyObservations(t *testing.T) {
 	set := testSettings()
 	set.Limits.Probes = true
--- a/internal/balancer/select.go
+++ b/internal/balancer/select.go
@@ -6,45 +6,47 @@
 )
 
 const (
-	// homeZoneFraction of the objective: below this expected latency the zone's own owner of a key gets it.
+	// homeZoneFraction is a fraction of the latency objective. While the owner of a key in the balancer's own
+	// zone has a lower expected latency than this, it gets the request.
 	homeZoneFraction = 0.12
-	// maxSaturatedScan is how many saturated owners of a key are looked at, by their scanWeight, before the
-	// fastest of them is taken.
+	// maxSaturatedScan is how many saturated owners of a key are examined, summed by their scanWeight, before
+	// the search ends and the fastest of them is used.
 	maxSaturatedScan = 3
-	// maxWarmScan is how many warm owners with capacity are skipped, while warm servers are saturated, in search
-	// of one in slow start.
+	// maxWarmScan is how many warm owners with capacity are skipped in search of a server in slow start, while
+	// warm servers are saturated.
 	maxWarmScan = 3
-	// probeTestFraction of the requests for which all probes failed are sent nevertheless, to test the probes.
+	// probeTestFraction is the fraction of the requests without any other server that are sent to one whose
+	// probe failed, to test whether the probes are right.
 	probeTestFraction = 0.1
-	// baselineRelaxation lowers the baseline where it alone keeps every request from being sent.
+	// baselineRelaxation is the factor that lowers the baseline latency when it alone prevents every send.
 	baselineRelaxation = 0.9
 )
 
-// selection is the search for one request's server: what was found on the walk round the ring.
+// selection is the state of the search for one request's server.
 type selection struct {
 	request      *request
-	hash         uint32  // where the walk starts
-	latencyLimit float64 // seconds; a server where more is expected gets nothing
-	sparse       bool    // see IsSparse
+	hash         uint32  // ring position where the walk starts
+	latencyLimit float64 // seconds; maximum expected latency of a server that gets the request
+	sparse       bool    // result of IsSparse
 
-	// Servers that would do if nothing better is found, in the order in which they are fallen back on.
-	warm          *server // has capacity, but one in slow start was searched for
-	overFairShare *server // has capacity, but has had its fair share; the one with most credit
-	rejecting     *server // has been rejecting requests
+	// Fallback servers for when no better one is found, in order of preference.
+	warm          *server // first warm one with capacity, skipped in search of a server in slow start
+	overFairShare *server // has capacity but has used up its fair share; the one with the most credit
+	rejecting     *server // first one that has been rejecting requests
 	fastest       *server // saturated; the one with the lowest expected latency
-	suspect       *server // may be failing
-	unresponsive  *server // its probes fail
+	suspect       *server // first one that may be failing
+	unresponsive  *server // first one whose probes fail
 
-	overFairShareCredit float64
+	overFairShareCredit float64 // requests for each unit of traffic weight
 	fastestLatency      float64 // seconds
-	saturatedScan       float64 // sum of the saturated owners' scanWeight
-	warmScan            int     // warm owners with capacity that were skipped
+	saturatedScan       float64 // sum of scanWeight over the saturated owners examined
+	warmScan            int     // number of warm owners with capacity that were skipped
 }
 
-// selectServer returns the server that gets the request now: the first one clockwise from its key that may,
-// can and should have it, or nil. Each step looks for a server of one kind.
+// selectServer returns the server to send the request to now, or nil if there is none. It prefers the first
+// eligible server with capacity clockwise from the request's key. Each step tries one group of servers.
 func (b *Balancer) selectServer(r *request) *server {
-	sel := selection{request: r, hash: b.startOfWalk(r), fastestLatency: math.Inf(1)}
+	sel := selection{request: r, hash: b.walkStart(r), fastestLatency: math.Inf(1)}
 	b.checkExclusions(r, sel.hash)
 	r.hedgedProbe = nil
 	sel.latencyLimit, sel.sparse = b.latencyLimit(r), b.IsSparse()
@@ -67,14 +69,15 @@
 		return s
 	}
 	if b.baseline.seconds > r.class.latencyLimit {
-		// A fleet that looks too slow for any request would never be tried again.
+		// Without this, no request would ever be sent again to servers that all look too slow.
 		b.baseline.seconds *= baselineRelaxation
 	}
 	return nil
 }
 
-// startOfWalk returns the key's place on the ring, or without a key the less loaded of two random places.
-func (b *Balancer) startOfWalk(r *request) uint32 {
+// walkStart returns the ring position where the search for a server starts: the hash of the request's key,
+// or without a key the one of two random positions whose owner has fewer requests in flight.
+func (b *Balancer) walkStart(r *request) uint32 {
 	if r.hasKey || len(b.ring.Members()) == 0 {
 		return r.hash
 	}
@@ -85,13 +88,14 @@
 	return hash
 }
 
-// selectInHomeZone returns the key's owner in this balancer's zone, while that is fast, where crossing zones
-// costs more than a request's whole work. Key affinity saves less than a crossing costs.
+// selectInHomeZone returns the key's first owner in this balancer's zone that is fast and accepts the
+// request, or nil. It applies only where crossing zones costs more than a request's work, which is more
+// than key affinity can save.
 func (b *Balancer) selectInHomeZone(sel *selection) (chosen *server) {
 	r := sel.request
-	crossingIsDear := b.settings.Costs.CrossZone > b.settings.Costs.WastedWork
-	mayProbeHome := r.probes < 2 || !b.hasFewObservations() // the other probes go to other zones
-	if !crossingIsDear || !mayProbeHome {
+	crossingIsExpensive := b.settings.Costs.CrossZone > b.settings.Costs.WastedWork
+	mayProbeHome := r.probes < 2 || !b.hasFewObservations() // further probes go to other zones
+	if !crossingIsExpensive || !mayProbeHome {
 		return nil
 	}
 	b.ring.Walk(sel.hash, func(s *server) bool {
@@ -107,11 +111,11 @@
 	return chosen
 }
 
-// selectOnRing walks round the ring from the key and returns the first server that is not skipped. The others
-// are noted in the selection, for the steps that follow.
+// selectOnRing walks the ring clockwise from the key and returns the first server that is not skipped, or
+// nil. It records the skipped servers that later steps may fall back on in the selection.
 func (b *Balancer) selectOnRing(sel *selection) (chosen *server) {
 	b.ring.Walk(sel.hash, func(s *server) bool {
-		if b.consider(sel, s) == notSkipped {
+		if b.checkServer(sel, s) == notSkipped {
 			chosen = s
 			return false
 		}
@@ -121,8 +125,9 @@
 	return chosen
 }
 
-// consider returns why the server is skipped, or notSkipped, and notes what it is good for otherwise.
-func (b *Balancer) consider(sel *selection, s *server) skipReason {
+// checkServer returns why the server is skipped, or notSkipped. It records a skipped server in the selection
+// where it can serve as a fallback.
+func (b *Balancer) checkServer(sel *selection, s *server) skipReason {
 	r := sel.request
 	if reason := b.checkPermitted(r, s); reason != notSkipped {
 		return reason
@@ -143,23 +148,24 @@
 		if ownsKey {
 			return notSkipped
 		}
-		return b.noteSaturated(sel, s, expected, skipKeyBeyondWeight)
+		return b.addSaturated(sel, s, expected, skipKeyBeyondWeight)
 	}
 	if reason = b.checkCondition(sel, s, expected); reason != notSkipped {
 		return reason
 	}
 	switch {
 	case !ownsKey:
-		return b.noteSaturated(sel, s, expected, skipKeyBeyondWeight)
+		return b.addSaturated(sel, s, expected, skipKeyBeyondWeight)
 	case b.isSaturated(r, s, expected, sel.latencyLimit):
-		reason = b.noteSaturated(sel, s, expected, skipSaturated)
+		reason = b.addSaturated(sel, s, expected, skipSaturated)
 		sel.saturatedScan += b.scanWeight(s)
 		return reason
 	}
 	return b.checkFairShare(sel, s)
 }
 
-// checkCondition skips servers that are rejecting requests or may be failing, while others may do.
+// checkCondition returns why the server is skipped if it has been rejecting requests, or if it may be failing
+// and the request must not be processed twice. Such servers remain a fallback.
 func (b *Balancer) checkCondition(sel *selection, s *server, expected float64) skipReason {
 	r := sel.request
 	switch {
@@ -177,8 +183,9 @@
 	return notSkipped
 }
 
-// checkFairShare skips, for a sparse balancer, servers with capacity that have had their fair share of its
-// requests, and warm ones while one in slow start is searched for.
+// checkFairShare returns why a sparse balancer skips a server with capacity: the server has used up its fair
+// share of the balancer's requests, or it is warm while a server in slow start is searched for. Other
+// balancers skip none here.
 func (b *Balancer) checkFairShare(sel *selection, s *server) skipReason {
 	if !sel.sparse {
 		return notSkipped
@@ -198,8 +205,8 @@
 	return notSkipped
 }
 
-// noteSaturated notes a server that may get the request if all others are saturated too.
-func (b *Balancer) noteSaturated(sel *selection, s *server, expected float64, reason skipReason) skipReason {
+// addSaturated adds a saturated server to the fallbacks of the selection and returns the reason unchanged.
+func (b *Balancer) addSaturated(sel *selection, s *server, expected float64, reason skipReason) skipReason {
 	if sel.unresponsive == nil && math.IsInf(expected, 1) && s.probeOutcome != Rejected {
 		sel.unresponsive = s
 	}
@@ -209,15 +216,15 @@
 	return reason
 }
 
-// selectFallback returns the best of the servers that were skipped on the ring, or nil.
+// selectFallback returns the preferred server among those that selectOnRing skipped, or nil.
 func (b *Balancer) selectFallback(sel *selection) *server {
 	r := sel.request
 	if sel.rejecting != nil && len(r.attempts)+1 < r.class.maxAttempts {
-		return sel.rejecting // another rejection costs little while a retry is left
+		return sel.rejecting // another rejection costs little while one more attempt is allowed
 	}
 	limit := sel.latencyLimit
 	if r.deadline < r.objectiveAt && !r.overQuota {
-		// The client gives less than the objective, which does not mean that servers are saturated.
+		// A client timeout shorter than the objective does not mean that servers are saturated.
 		limit = min(r.class.latencyLimit, seconds(r.deadline-b.now))
 	}
 	if sel.fastest != nil && sel.fastestLatency <= limit {
@@ -226,11 +233,11 @@
 	if s := cmp.Or(sel.suspect, sel.rejecting); s != nil {
 		return s
 	}
-	if s := r.hedgedProbe; s != nil { // nothing is left to hedge: the request itself goes there
+	if s := r.hedgedProbe; s != nil { // no other server is left, so the request itself goes there
 		r.hedgedProbe = nil
 		return s
 	}
-	// Probes that fail falsely would never be noticed if nothing were sent in spite of them.
+	// Probes that fail although the server works are noticed only if some requests are sent regardless.
 	if sel.unresponsive != nil && b.rng.Float64() < probeTestFraction {
 		r.ignoresProbes = true
 		return sel.unresponsive
--- a/internal/balancer/select_test.go
+++ b/internal/balancer/select_test.go
@@ -17,7 +17,7 @@
 	first := mustSend(t, b.Step(ms, &Request{ID: 1, Class: "safe", Key: "k", ClientTimeout: time.Second})).Server
 	owner := b.servers[first]
 	if o := b.ring.Owner(ring.Hash("k")); o != owner {
-		t.Fatalf("first sent to %s, owner %s", first, o.ID)
+		t.Fatalf("first request sent to %s, want the owner %s", first, o.ID)
 	}
 	next := ""
 	for id := uint32(2); id < 40 && next == ""; id++ {
@@ -26,16 +26,16 @@
 		}
 	}
 	if next == "" {
-		t.Fatal("an owner with everything in flight never passes a key on")
+		t.Fatal("a saturated owner keeps all requests with its key")
 	}
 	var order []string
 	b.ring.Walk(ring.Hash("k"), func(s *server) bool { order = append(order, s.ID); return true })
 	if next != order[1] {
-		t.Errorf("passed on to %s, the next owner is %s", next, order[1])
+		t.Errorf("request sent to %s, want the next owner %s", next, order[1])
 	}
 }
 
-func TestKeylessRequestTakesTheLessLoadedOfTwo(t *testing.T) {
+func TestKeylessRequestGoesToTheLessLoadedOfTwo(t *testing.T) {
 	b := newStarted(t, testSettings(), serverList(2))
 	b.ring.Members()[0].inFlight, b.inFlight = 1, 1
 	busy := 0
@@ -46,13 +46,14 @@
 			busy++
 		}
 	}
-	// both choices fall on the busy one about once in four
+	// Both random choices are the busy server about once in four.
 	if busy < 20 || busy > 90 {
-		t.Errorf("the busy server got %d of 200", busy)
+		t.Errorf("the busy server got %d of 200 requests, want about 50", busy)
 	}
 }
 
-// The ring keeps the points of servers that have left: a request without a key finds no owner there.
+// Guards against a request without a key failing on an empty ring, which keeps the points of servers that have left but has
+// no owners.
 func TestKeylessRequestWhenAllServersHaveLeft(t *testing.T) {
 	b := newStarted(t, testSettings(), serverList(3))
 	b.Step(ms, &ServerListUpdate{Kind: UpdateFull})
@@ -64,14 +65,14 @@
 	b := newStarted(t, testSettings(), serverList(4))
 	now := time.Second
 	a := mustSend(t, b.Step(now, &Request{ID: 1, Class: "safe", Key: "k", ClientTimeout: time.Second}))
-	now += 210 * ms // silence past half of the aim
+	now += 210 * ms // silence for more than half of the latency objective
 	if next := mustSend(t, b.Step(now, &Request{ID: 2, Class: "safe", Key: "k", ClientTimeout: time.Second})); next.Server == a.Server {
 		t.Error("a silent owner still gets requests")
 	}
 }
 
-// A server that rejects more than is usual is skipped until probe requests are served; else the owners of many keys
-// would be tried first, over and over, while others have capacity.
+// Guards against the owner of many keys being tried first again and again while it rejects requests and others have
+// capacity. A server that rejects more than usual is skipped until its probe requests are served.
 func TestRejectingServerIsSkipped(t *testing.T) {
 	b := newStarted(t, testSettings(), serverList(6))
 	s := b.ring.Owner(ring.Hash("k"))
@@ -79,32 +80,32 @@
 	for range 3 {
 		b.observeOutcome(s, Rejected)
 	}
-	openRequest := func(id uint32) string {
+	sendRequest := func(id uint32) string {
 		return mustSend(t, b.Step(b.now, &Request{ID: id, Class: "safe", Key: "k", ClientTimeout: time.Second})).Server
 	}
-	assert.NotEqual(t, s.ID, openRequest(1))
+	assert.NotEqual(t, s.ID, sendRequest(1))
 	b.now += 500 * ms
-	assert.Equal(t, s.ID, openRequest(2), "the probe request")
-	assert.NotEqual(t, s.ID, openRequest(3))
+	assert.Equal(t, s.ID, sendRequest(2), "the probe request")
+	assert.NotEqual(t, s.ID, sendRequest(3))
 	for range 8 {
 		b.observeOutcome(s, Served)
 	}
-	assert.Equal(t, s.ID, openRequest(4))
+	assert.Equal(t, s.ID, sendRequest(4))
 }
 
-// A client that gives less time than the objective gets the fastest server where that is likely in time, and none where
-// it is not, or is saturated: the limit that keeps servers from saturation is not for it.
+// A request with a timeout below the latency objective goes to the fastest server if that is expected to respond in time.
+// It is not sent if that is too late or the server is saturated by the full objective.
 func TestShortClientTimeouts(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		budget  time.Duration
-		latency float64 // of the quickest
+		timeout time.Duration
+		latency float64 // seconds, of the fastest server
 		sent    bool
 	}{
 		{"in time", 55 * ms, 0.04, true},
 		{"barely in time", 41 * ms, 0.04, true},
 		{"too late", 30 * ms, 0.04, false},
-		{"saturated", 350 * ms, 0.21, false}, // over half of the objective
+		{"saturated", 350 * ms, 0.21, false}, // over half of the latency objective
 	} {
 		b := newStarted(t, testSettings(), serverList(5))
 		b.now = 10 * time.Second
@@ -113,17 +114,17 @@
 			s.latency, s.latencyInFlight, s.latencyAt = 2*c.latency, 1, b.now
 		}
 		b.servers["s3"].latency = c.latency
-		a := findAction(b.Step(b.now, &Request{ID: 1, Class: "safe", Key: "chair", ClientTimeout: c.budget}), Send)
+		a := findAction(b.Step(b.now, &Request{ID: 1, Class: "safe", Key: "chair", ClientTimeout: c.timeout}), Send)
 		require.Equal(t, c.sent, a != nil, c.name)
 		if c.sent {
 			require.Equal(t, "s3", a.Server, c.name)
-			b.Step(b.now+c.budget, &AttemptDone{ID: 1, Server: "s3", Outcome: TimedOut, Latency: c.budget, RequestDone: true})
-			require.Less(t, b.servers["s3"].latency, 0.06, "it was not slow, its client had a short timeout")
+			b.Step(b.now+c.timeout, &AttemptDone{ID: 1, Server: "s3", Outcome: TimedOut, Latency: c.timeout, RequestDone: true})
+			require.Less(t, b.servers["s3"].latency, 0.06, "a short client timeout must not make the server look slow")
 		}
 	}
 }
 
-// A server listed at half the weight gets about half of the keys, the same ones at every balancer.
+// A server with half the weight of the others gets about half as many keys, the same ones at every balancer.
 func TestLightServersGetFewerKeys(t *testing.T) {
 	l := serverList(8)
 	for i := range l {
@@ -138,26 +139,27 @@
 		}
 		s := a.selectServer(r)
 		if other := b.selectServer(r); other.ID != s.ID {
-			t.Fatalf("key %d: %s and %s", i, s.ID, other.ID)
+			t.Fatalf("key %d: two balancers select %s and %s", i, s.ID, other.ID)
 		}
 		if s.Weight == 1 {
 			light++
 		}
 	}
 	if light < 4000*20/100 || light > 4000*45/100 {
-		t.Errorf("half of the servers, at half the weight, got %d of 4000 keys", light)
+		t.Errorf("the half of the servers with half the weight got %d of 4000 keys", light)
 	}
 }
 
-// A slow kind of machine gets the keys that its speed leaves it, and still takes what the fast ones have no capacity for.
+// A slow machine kind gets fewer keys in proportion to its speed, and still gets the requests that the fast machines have
+// no capacity for.
 func TestSlowMachineKindsGetFewerKeys(t *testing.T) {
 	servers := serverList(6)
 	for i := range servers {
-		servers[i].MachineKind = []string{"rapid", "lent"}[i%2]
+		servers[i].MachineKind = []string{"fast", "slow"}[i%2]
 	}
 	b := newStarted(t, testSettings(), servers)
 	now := time.Second
-	openRequest := func(i int) (*server, uint32) {
+	sendRequest := func(i int) (*server, uint32) {
 		id := uint32(i + 1)
 		a := mustSend(t, b.Step(now, &Request{ID: id, Class: "safe", Key: fmt.Sprint("k", i), ClientTimeout: time.Second}))
 		return b.servers[a.Server], id
@@ -165,31 +167,31 @@
 	slow := 0
 	for i := range 2000 {
 		now += 5 * ms
-		s, id := openRequest(i)
-		took := 10 * ms
-		if s.MachineKind == "lent" {
-			took = 30 * ms
+		s, id := sendRequest(i)
+		latency := 10 * ms
+		if s.MachineKind == "slow" {
+			latency = 30 * ms
 			if i >= 1000 {
 				slow++
 			}
 		}
-		b.Step(now+took, &AttemptDone{ID: id, Server: s.ID, Outcome: Served, Latency: took, RequestDone: true})
+		b.Step(now+latency, &AttemptDone{ID: id, Server: s.ID, Outcome: Served, Latency: latency, RequestDone: true})
 		if i%100 == 0 {
 			b.Step(now, &TimerDue{Tag: timerRound})
 		}
 	}
-	if slow < 150 || slow > 350 { // a quarter, by three to one
-		t.Errorf("%d of 1000 went to machines of a third of the speed", slow)
+	if slow < 150 || slow > 350 { // a quarter, by a speed ratio of three to one
+		t.Errorf("machines with a third of the speed got %d of 1000 requests, want about 250", slow)
 	}
 	for _, s := range b.ring.Members() {
-		if s.MachineKind == "rapid" {
+		if s.MachineKind == "fast" {
 			s.inFlight, s.silentSince = 50, now-time.Second
 		}
 	}
 	for i := range 50 {
-		s, id := openRequest(3000 + i)
-		if s.MachineKind != "lent" {
-			t.Fatal("sent to a machine that has been silent for a second")
+		s, id := sendRequest(3000 + i)
+		if s.MachineKind != "slow" {
+			t.Fatal("sent to a server that has been silent for a second")
 		}
 		b.Step(now, &AttemptDone{ID: id, Server: s.ID, Outcome: Served, Latency: 30 * ms, RequestDone: true})
 	}
--- a/internal/balancer/server.go
+++ b/internal/balancer/server.go
@@ -10,45 +10,45 @@
 	"dunestep/internal/balancer/slowstart"
 )
 
-// server is a listed server, or one that left the list a while ago, with what was learned of it.
+// server is the state of a listed server, or of one that left the list recently.
 type server struct {
 	Server
 	hash          uint32
-	sawDraining   bool                 // draining, or gone after it was
+	sawDraining   bool                 // draining, or gone after draining
 	ringPlace     *ring.Place[*server] // nil: never on the ring
-	outsidePlace  *ring.Place[*server] // on the ring of servers without points; nil: never
+	outsidePlace  *ring.Place[*server] // place on outsideRing; nil: never there
 	leftRingAt    time.Duration        // zero: never
-	excludedBelow []uint32             // key ranks excluded from it, by tenant number: see Exclusions; nil: none
+	excludedBelow []uint32             // excluded key ranks by tenant number: see Exclusions; nil: none
 
-	// By this balancer's attempts.
-	inFlight        int
-	silentSince     time.Duration // since when nothing has come of what is in flight
-	lastServedAt    time.Duration
-	lastResponseAt  time.Duration    // to an attempt or a probe
-	latency         float64          // seconds, mean; zero: none seen
-	latencyInFlight float64          // mean number in flight when it was seen
-	latencyAt       time.Duration    // last seen
-	kindBaseline    *baselineLatency // of its machine kind
-	account         inflight.Account // its fair share of this balancer's requests
+	// From this balancer's attempts.
+	inFlight        int              // requests
+	silentSince     time.Duration    // when the server last responded or its first request in flight was sent
+	lastServedAt    time.Duration    // last served attempt
+	lastResponseAt  time.Duration    // last response to an attempt or a probe
+	latency         float64          // seconds, mean; zero: not measured
+	latencyInFlight float64          // mean number of requests in flight when the latency was measured
+	latencyAt       time.Duration    // last measurement of the latency
+	kindBaseline    *baselineLatency // baseline of the server's machine kind
+	account         inflight.Account // fair share of this balancer's requests
 
-	// By its own answers to probes and reports.
-	reportedInFlight float64 // requests
-	reportedAt       time.Duration
+	// From probes and load reports.
+	reportedInFlight float64       // requests
+	reportedAt       time.Duration // zero: never
 	probePending     bool
 	probeSentAt      time.Duration
-	probeOutcome     Outcome       // of the last probe
-	probeLatency     time.Duration // of the last probe; zero after a request was served
-	probeFailedAt    time.Duration // zero: the last probe was answered
-	awaitingProbe    []*request
+	probeOutcome     Outcome       // outcome of the last probe
+	probeLatency     time.Duration // latency of the last probe; zero after a served attempt
+	probeFailedAt    time.Duration // zero: the last probe was served
+	awaitingProbe    []*request    // requests that wait for the pending probe
 
 	// Ejection and recovery.
 	outlier         *outlier.Server
-	wasDown         bool // at the end of the last round
-	recoveredAt     time.Duration
-	flapPenalty     float64 // at flapPenaltyAt
+	wasDown         bool          // ejected at the end of the last round
+	recoveredAt     time.Duration // recovery from failed connections; zero: never
+	flapPenalty     float64       // value at flapPenaltyAt
 	flapPenaltyAt   time.Duration
 	dampedUntil     time.Duration
-	dampRequestedAt time.Duration // from peers
+	dampRequestedAt time.Duration // last damp request to peers; zero: never
 	slowStart       slowstart.Budget
-	probation       *probation.Server // nil: none
+	probation       *probation.Server // nil: not on probation
 }
