--- a/internal/balancer/settings.go
+++ b/internal/balancer/settings.go
@@ -7,20 +7,21 @@
 	"time"
 )
 
-// Idempotency says what repeating a request may do.
+// Idempotency is what repeating a request may do.
 type Idempotency uint8
 
 const (
-	// Idempotent requests can be repeated at will.
+	// Idempotent means that the request can be repeated without limit.
 	Idempotent Idempotency = iota
-	// IdempotentWithKey requests can be repeated only where servers drop the repeats by the request's key: see
-	// DedupScope.
+	// IdempotentWithKey means that the request can be repeated only where servers drop duplicates by its key:
+	// see DedupScope.
 	IdempotentWithKey
-	// NotIdempotent requests must not be repeated once an attempt may have been processed.
+	// NotIdempotent means that the request must not be repeated once an attempt may have been processed.
 	NotIdempotent
 )
 
-// DedupScope says which servers share the memory that drops repeats of IdempotentWithKey requests.
+// DedupScope is the group of servers that share the state by which they drop duplicates of IdempotentWithKey
+// requests.
 type DedupScope uint8
 
 const (
@@ -32,84 +33,84 @@
 	DedupScopeCell
 )
 
-// Class is a kind of request.
+// Class is a class of requests.
 type Class struct {
 	Name string
-	// an answer inside this has full weight; not positive, or beyond Deadline: Deadline
+	// time within which an answer has its full value; if not positive or beyond Deadline, Deadline is used
 	LatencyObjective time.Duration
-	ObjectivePerWork float64       // added to the objective, times the request's WorkHint
+	ObjectivePerWork float64       // multiple of the request's WorkHint that is added to the objective
 	Deadline         time.Duration // must be positive
-	LateWeight       float64       // fraction of the weight, from 0 to 1, that an answer after the objective has
+	LateWeight       float64       // fraction of its weight, from 0 to 1, that an answer after the objective has
 	Idempotency      Idempotency
-	DedupScope       DedupScope    // of IdempotentWithKey
-	DedupWindow      time.Duration // how long servers drop repeats
-	PriorityWeight   float64       // compared with the other classes'
-	Streaming        bool          // the server works until the end of the answer
+	DedupScope       DedupScope    // used with IdempotentWithKey
+	DedupWindow      time.Duration // how long servers drop duplicates
+	PriorityWeight   float64       // relative to the other classes
+	Streaming        bool          // the server works until the end of the response
 }
 
 // Tenant is a customer with a quota over all balancers together.
 type Tenant struct {
 	Name           string
-	QuotaPerSecond float64 // requests; not positive: none
-	Share          float64 // of all traffic, from 0 to 1
+	QuotaPerSecond float64 // requests; not positive: no quota
+	Share          float64 // fraction of all traffic, from 0 to 1
 }
 
 // Limits is what the deployment permits.
 type Limits struct {
-	MaxAttempts   int           // of a request, the first one included; at least one
-	Hedging       bool          // two attempts of a request may be outstanding at once
+	MaxAttempts   int           // attempts of a request, including the first; at least one
+	Hedging       bool          // two attempts of a request may be in flight at once
 	Cancel        bool          // attempts may be canceled
 	Probes        bool          // servers may be probed
 	Gossip        bool          // balancers may send messages to one another
-	RetryAfter    bool          // a rejection may say when to return
-	MaxRetryAfter time.Duration // the longest that it may say
+	RetryAfter    bool          // a rejection may have a retry-after
+	MaxRetryAfter time.Duration // maximum retry-after
 }
 
-// Rules are the deployment's invariants.
+// Rules are the properties of the deployment that the Balancer must respect.
 type Rules struct {
-	DrainGrace        time.Duration // after the notice of a drain, nothing may be sent any more
-	MaxPollInterval   time.Duration // discovery on demand must be polled at least this often
-	SlowStartCapacity float64       // of a server that just started, as a fraction of its full capacity
-	SlowStartDuration time.Duration // after which a server has its full capacity
-	// a server in slow start fails when it gets more than this times its capacity
+	DrainGrace        time.Duration // time after the notice of a drain from which the server gets no requests
+	MaxPollInterval   time.Duration // maximum time between polls of discovery on demand
+	SlowStartCapacity float64       // capacity of a server that just started, as a fraction of its full capacity
+	SlowStartDuration time.Duration // time after its start from which a server has its full capacity
+	// multiple of its capacity above which a server in slow start fails when it gets that for OverloadWindow
 	OverloadMultiple float64
-	OverloadWindow   time.Duration // for this long
-	GoneUsable       bool          // servers listed as gone may still be used, draining ones may not
+	OverloadWindow   time.Duration // see OverloadMultiple
+	GoneUsable       bool          // servers listed as gone may still be used; draining ones may not
 }
 
-// Costs are deductions for each unit of what they name.
+// Costs are the deductions from the score for each unit of what the field names.
 type Costs struct{ CrossZone, WastedWork, Probe, PeerMessage, LateFailure float64 }
 
-// ScoreWeights weighs the parts of the result. TailMissRatio is no weight: it is the fraction of a class's
-// requests, from 0 to 1, that may miss the objective before the part that TailLatency weighs shrinks.
+// ScoreWeights are the weights of the parts of the score. TailMissRatio is not a weight: it is the fraction
+// of a class's requests, from 0 to 1, that may miss the objective before the TailLatency part decreases.
 type ScoreWeights struct{ Total, WorstWindow, WorstClass, WorstTenant, TailLatency, TailMissRatio float64 }
 
-// Settings is what a Balancer is given at its start.
+// Settings are the settings of a Balancer, which New validates.
 type Settings struct {
 	Self               int // this balancer's number, from 0
-	Balancers          int // how many there are; at least one
+	Balancers          int // number of balancers; at least one
 	Zone               string
 	Classes            []Class // at least one
 	Tenants            []Tenant
-	OverQuotaWeight    float64 // of requests beyond their tenant's quota
+	OverQuotaWeight    float64 // weight of requests beyond their tenant's quota
 	Limits             Limits
 	Rules              Rules
 	Costs              Costs
 	ScoreWeights       ScoreWeights
 	DiscoveryOnDemand  bool          // discovery sends updates only when subscribed to
-	ClientsMarkRetries bool          // clients mark their own retries
-	Tick               time.Duration // shortest time between steps; must be positive
+	ClientsMarkRetries bool          // clients mark their retries: see Request.ClientRetry
+	Tick               time.Duration // minimum time between steps; must be positive
 	Tuning             Tuning        // zero: DefaultTuning
 }
 
-// validate rejects settings that cannot be served and completes the others, without changing what the caller
-// still holds.
+// validate returns an error for invalid settings. Else it replaces missing and out-of-range values by
+// defaults, without changing the caller's slices.
 func (s *Settings) validate() error {
 	if len(s.Classes) == 0 {
 		return errors.New("balancer: the settings have no request classes")
 	}
 	if s.Tick <= 0 {
-		return fmt.Errorf("balancer: the settings' resolution is %v, it must be positive", s.Tick)
+		return fmt.Errorf("balancer: Settings.Tick is %v, must be positive", s.Tick)
 	}
 	s.Balancers = max(s.Balancers, 1)
 	s.Limits.MaxAttempts = max(s.Limits.MaxAttempts, 1)
--- a/internal/balancer/settings_test.go
+++ b/internal/balancer/settings_test.go
@@ -11,21 +11,21 @@
 )
 
 func TestInvalidSettings(t *testing.T) {
-	for name, spoil := range map[string]func(*Settings){
+	for name, invalidate := range map[string]func(*Settings){
 		"no classes":  func(s *Settings) { s.Classes = nil },
 		"no tick":     func(s *Settings) { s.Tick = 0 },
 		"no deadline": func(s *Settings) { s.Classes[0].Deadline = 0 },
 	} {
 		s := testSettings()
-		spoil(&s)
+		invalidate(&s)
 		if _, err := New(s, 1); err == nil {
-			t.Error(name, "accepted")
+			t.Error(name, "settings are accepted")
 		}
 	}
 }
 
-// Tuning set by a simulation counts, the zero value means the defaults, and invalid values are rejected: with NaN every
-// comparison would silently be false.
+// Tuning in the settings applies, its zero value means the defaults, and invalid values are rejected. NaN would make every
+// comparison false without an error.
 func TestTuning(t *testing.T) {
 	set := testSettings()
 	set.Tuning = DefaultTuning()
@@ -33,7 +33,7 @@
 	b := newStarted(t, set, serverList(4))
 	send := mustSend(t, b.Step(time.Second, &Request{ID: 1, Class: "safe", ClientTimeout: time.Second}))
 	acts := b.Step(time.Second, &AttemptDone{ID: 1, Server: send.Server, Outcome: ServerError})
-	assert.NotNil(t, findAction(acts, Reject), "without retry tokens there is no retry")
+	assert.NotNil(t, findAction(acts, Reject), "no retry without retry tokens")
 
 	zero, err := New(testSettings(), 1)
 	require.NoError(t, err)
--- a/internal/balancer/simulation_test.go
+++ b/internal/balancer/simulation_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// simulation feeds random but permitted events to a Balancer and checks it against the rules.
+// simulation passes random but permitted events to a Balancer and checks its actions against the rules.
 type simulation struct {
 	t       *testing.T
 	b       *Balancer
@@ -21,31 +21,31 @@
 	timerAt []time.Duration
 	probed  []string
 
-	minInterval time.Duration // between the attempts of a request, without hedging; zero: none
+	minInterval time.Duration // minimum time between the attempts of a request, without hedging; zero: none
 	exclusions  *Exclusions
 	assignment  *RingAssignment
 	outside     int // attempts at servers outside the assignment
-	excluded    int // attempts by requests that a server was excluded for
+	excluded    int // attempts of requests that were excluded from at least one server
 }
 
-// openRequest is a request with what became of it.
+// openRequest is a request with its answers and attempts.
 type openRequest struct {
 	class    Class
 	request  *Request
-	by       time.Duration
-	answered int
+	deadline time.Duration // the client's deadline
+	answers  int           // number of final answers
 	attempts []sentAttempt
 }
 
 // sentAttempt is an attempt that was sent.
 type sentAttempt struct {
 	server      Server
-	sent        time.Duration
-	out         bool
+	sentAt      time.Duration
+	inFlight    bool // it has not ended
 	unprocessed bool
 }
 
-// step handles an event and checks the actions.
+// step passes an event to the Balancer and checks the actions it returns.
 func (w *simulation) step(ev Event) {
 	acts := w.b.Step(w.now, ev)
 	w.log = append(w.log, acts...)
@@ -59,14 +59,14 @@
 		case Send:
 			w.checkSend(r, a)
 		case Reject, Fail:
-			if r == nil || r.answered > 0 {
-				w.t.Fatalf("a second answer for %d", a.ID)
+			if r == nil || r.answers > 0 {
+				w.t.Fatalf("request %d is unknown or gets a second answer", a.ID)
 			}
-			r.answered++
-			for _, x := range r.attempts {
-				harmless := x.unprocessed || r.class.Idempotency == Idempotent || r.class.Idempotency == IdempotentWithKey && r.class.DedupScope == DedupScopeAll
+			r.answers++
+			for _, previous := range r.attempts {
+				harmless := previous.unprocessed || r.class.Idempotency == Idempotent || r.class.Idempotency == IdempotentWithKey && r.class.DedupScope == DedupScopeAll
 				if a.Kind == Reject && !harmless {
-					w.t.Fatalf("%s rejected though it may have been processed", r.class.Name)
+					w.t.Fatalf("request of class %s rejected although it may have been processed", r.class.Name)
 				}
 			}
 		}
@@ -75,8 +75,8 @@
 
 // checkSend checks a Send action.
 func (w *simulation) checkSend(r *openRequest, a Action) {
-	if r == nil || r.answered > 0 {
-		w.t.Fatalf("sent after the answer: %d", a.ID)
+	if r == nil || r.answers > 0 {
+		w.t.Fatalf("request %d sent although it is unknown or has its answer", a.ID)
 	}
 	s := w.b.servers[a.Server]
 	if w.drained[a.Server] {
@@ -84,35 +84,35 @@
 	}
 	w.checkExclusions(r.request, a.Server)
 	w.checkAssignment(a.Server)
-	for _, x := range r.attempts {
-		if x.out && !w.b.settings.Limits.Hedging {
-			w.t.Fatal("two attempts at once")
+	for _, previous := range r.attempts {
+		if previous.inFlight && !w.b.settings.Limits.Hedging {
+			w.t.Fatal("two attempts in flight without hedging")
 		}
-		if x.unprocessed || r.class.Idempotency == Idempotent {
+		if previous.unprocessed || r.class.Idempotency == Idempotent {
 			continue
 		}
 		c := r.class
-		if c.Idempotency == NotIdempotent || w.now-x.sent > c.DedupWindow || c.DedupScope == DedupScopeZone && s.Zone != x.server.Zone ||
-			c.DedupScope == DedupScopeCell && s.Cell != x.server.Cell {
-			w.t.Fatalf("%s repeated against the rules", c.Name)
+		if c.Idempotency == NotIdempotent || w.now-previous.sentAt > c.DedupWindow || c.DedupScope == DedupScopeZone && s.Zone != previous.server.Zone ||
+			c.DedupScope == DedupScopeCell && s.Cell != previous.server.Cell {
+			w.t.Fatalf("request of class %s repeated against the rules", c.Name)
 		}
 	}
-	if w.now+a.After > r.by || len(r.attempts) >= w.b.settings.Limits.MaxAttempts {
-		w.t.Fatalf("attempt %d outlasts the client's timeout or the limit", len(r.attempts))
+	if w.now+a.After > r.deadline || len(r.attempts) >= w.b.settings.Limits.MaxAttempts {
+		w.t.Fatalf("attempt %d exceeds the client's timeout or the maximum number of attempts", len(r.attempts))
 	}
-	if n := len(r.attempts); n > 0 && w.now-r.attempts[n-1].sent < w.minInterval {
-		w.t.Fatalf("%v after the attempt before", w.now-r.attempts[n-1].sent)
+	if n := len(r.attempts); n > 0 && w.now-r.attempts[n-1].sentAt < w.minInterval {
+		w.t.Fatalf("sent %v after the previous attempt, less than the minimum interval", w.now-r.attempts[n-1].sentAt)
 	}
-	r.attempts = append(r.attempts, sentAttempt{server: s.Server, sent: w.now, out: true})
+	r.attempts = append(r.attempts, sentAttempt{server: s.Server, sentAt: w.now, inFlight: true})
 }
 
-// simulateDefaults simulates with the test settings.
+// simulateDefaults returns all actions of a simulation with the default test settings.
 func simulateDefaults(t *testing.T, seed uint64) []Action {
 	return simulate(t, seed, func(*Settings) {}, nil)
 }
 
-// simulate returns all actions of a simulation with changed settings. It calls before, unless nil, before each event
-// but the first.
+// simulate returns all actions of a simulation. Change adapts the settings, and before, unless nil, is called before each
+// event except the first.
 func simulate(t *testing.T, seed uint64, change func(*Settings), before func(w *simulation, n int)) []Action {
 	set := testSettings()
 	set.Rules.GoneUsable = seed%5 == 0
@@ -148,7 +148,7 @@
 			ids = append(ids, id)
 			c := set.Classes[w.rng.IntN(len(set.Classes))]
 			timeout := time.Duration(w.rng.IntN(int(c.Deadline/ms))) * ms
-			w.open[id] = &openRequest{class: c, by: w.now + timeout}
+			w.open[id] = &openRequest{class: c, deadline: w.now + timeout}
 			e := &Request{ID: id, Class: c.Name, Key: fmt.Sprint("k", w.rng.IntN(20)), ClientTimeout: timeout}
 			if n := len(set.Tenants); n > 0 {
 				e.Tenant = set.Tenants[int(id)%n].Name
@@ -165,41 +165,41 @@
 			}
 			w.step(&ServerListUpdate{Kind: UpdateIncremental, Servers: l})
 		case k == 9:
-			junk := make([]byte, w.rng.IntN(9))
-			for i := range junk {
-				junk[i] = byte(w.rng.Uint32())
+			data := make([]byte, w.rng.IntN(9)) // events with random, mostly invalid contents
+			for i := range data {
+				data[i] = byte(w.rng.Uint32())
 			}
-			w.step(&PeerMessage{From: w.rng.IntN(9) - 3, Data: junk})
+			w.step(&PeerMessage{From: w.rng.IntN(9) - 3, Data: data})
 			w.step(&AttemptDone{ID: w.rng.Uint32(), Attempt: w.rng.IntN(9) - 4, Outcome: ServerError})
 			w.step(&ProbeDone{Server: fmt.Sprint("s", w.rng.IntN(12)), Outcome: Outcome(w.rng.IntN(8))})
 			w.step(&TimerDue{Tag: w.rng.Uint64()})
 		}
-		for len(w.probed) > 0 && w.rng.IntN(3) > 0 { // often served, else failed, sometimes late
+		for len(w.probed) > 0 && w.rng.IntN(3) > 0 { // probes are mostly served, else fail, sometimes late
 			p := &ProbeDone{Server: w.probed[0], Outcome: Outcome(max(w.rng.IntN(16)-8, 0))}
 			w.probed = w.probed[1:]
 			w.step(p)
 		}
-		for _, id := range ids[max(0, len(ids)-200):] { // servers answer, or the client's time is up
+		for _, id := range ids[max(0, len(ids)-200):] { // attempts end at random, or when the client's deadline is near
 			r := w.open[id]
 			for i := range r.attempts {
-				x := &r.attempts[i]
-				overdue := w.now+10*ms >= r.by
-				if !x.out || w.rng.IntN(12) > 0 && !overdue {
+				attempt := &r.attempts[i]
+				overdue := w.now+10*ms >= r.deadline
+				if !attempt.inFlight || w.rng.IntN(12) > 0 && !overdue {
 					continue
 				}
-				x.out = false
+				attempt.inFlight = false
 				o := Outcome(max(w.rng.IntN(20)-12, 0)) // mostly served
 				if overdue {
 					o = TimedOut
 				}
-				x.unprocessed = o.Unprocessed()
-				requestDone := o == Served || r.answered > 0
-				if o == Served && r.answered == 0 {
-					r.answered++
+				attempt.unprocessed = o.Unprocessed()
+				requestDone := o == Served || r.answers > 0
+				if o == Served && r.answers == 0 {
+					r.answers++
 				}
-				w.step(&AttemptDone{ID: id, Attempt: i, Server: x.server.ID, Outcome: o, Latency: w.now - x.sent, RequestDone: requestDone})
+				w.step(&AttemptDone{ID: id, Attempt: i, Server: attempt.server.ID, Outcome: o, Latency: w.now - attempt.sentAt, RequestDone: requestDone})
 			}
-			if r.answered == 0 && w.now > r.by+100*ms {
+			if r.answers == 0 && w.now > r.deadline+100*ms {
 				t.Fatalf("seed %d: request %d (%s) got no answer in time", seed, id, r.class.Name)
 			}
 		}
@@ -217,12 +217,12 @@
 		}
 	}
 	if sends < 8000 {
-		t.Errorf("only %d sends: the test does not exercise the rules", sends)
+		t.Errorf("only %d sends, too few to test the rules", sends)
 	}
 }
 
 func TestSameEventsGiveSameActions(t *testing.T) {
 	if !reflect.DeepEqual(simulateDefaults(t, 7), simulateDefaults(t, 7)) {
-		t.Error("two runs differ")
+		t.Error("two runs with the same seed return different actions")
 	}
 }
--- a/internal/balancer/slowstart.go
+++ b/internal/balancer/slowstart.go
@@ -2,61 +2,65 @@
 
 import "dunestep/internal/balancer/slowstart"
 
-// saturatedMargin multiplies a balancer's part of a server in slow start while the warm servers are
-// saturated. Keys come too seldom to use it all, and at the default margin all parts together overload no
-// server as long as the fleet is sent no more than 1.25 times its warm capacity.
+// saturatedMargin multiplies a balancer's slow-start budget while the warm servers are saturated. Too few
+// keys arrive to use the whole budget, and with the default SlowStartMargin the budgets of all balancers
+// together overload no server as long as the fleet gets at most 1.25 times its warm capacity.
 const saturatedMargin = 2.0
 
-// SetWarmServersSaturated says whether the warm servers are saturated, as far as the caller can tell by how
-// recent attempts ended: a sparse balancer has too little in flight to see it. One more request to a warm
-// server is then in vain, while one in slow start with capacity likely serves it.
-func (b *Balancer) SetWarmServersSaturated(saturated bool) { b.warmSaturated = saturated }
+// SetWarmServersSaturated sets whether the warm servers are saturated, which the caller determines from the
+// results of recent attempts. A sparse balancer has too few requests in flight to detect it. While it is set,
+// servers in slow start that have capacity are preferred, since one more request to a warm server would
+// likely fail.
+func (b *Balancer) SetWarmServersSaturated(saturated bool) { b.warmServersSaturated = saturated }
 
-// setSlowStartTerms sets the terms for both cases.
-func (b *Balancer) setSlowStartTerms(t slowstart.Params) {
-	b.slowStart, b.slowStartSaturated = t, t
+// setSlowStartParams sets the slow-start parameters, and those that apply while warm servers are saturated.
+func (b *Balancer) setSlowStartParams(params slowstart.Params) {
+	b.slowStart, b.slowStartSaturated = params, params
 	b.slowStartSaturated.Margin *= saturatedMargin
 	b.slowStartSaturated.MaxOfWarm *= saturatedMargin
 }
 
-// slowStartTerms are what this balancer may send servers in slow start now. Under a ring assignment such a
-// server has few points: they bound what all balancers send it, and the budget only what others pass on.
-func (b *Balancer) slowStartTerms() *slowstart.Params {
-	if b.warmSaturated || b.activeAssignment != nil {
+// slowStartParams returns the slow-start parameters that apply now. Under a ring assignment a server in slow
+// start has few points, which bound the load from its own keys. The budget then only has to bound the
+// requests that saturated servers pass on, so the larger one applies.
+func (b *Balancer) slowStartParams() *slowstart.Params {
+	if b.warmServersSaturated || b.activeAssignment != nil {
 		return &b.slowStartSaturated
 	}
 	return &b.slowStart
 }
 
-// warmth is the fraction of its capacity that a server has at least, since its listed start or its return
-// after connections to it failed: a process that was gone likely comes back cold, whatever the list says.
-func (b *Balancer) warmth(s *server) float64 {
+// capacityFraction returns the fraction of its capacity that a server has at least, from 0 to 1, by the
+// time since it started or recovered. Recovery after failed connections counts as a start even if the list
+// does not show one, since the process was likely restarted.
+func (b *Balancer) capacityFraction(s *server) float64 {
 	return b.slowStart.CapacityFraction(b.now, max(s.recoveredAt, s.StartedAt))
 }
 
-// hasSlowStartCapacity reports whether an attempt keeps to this balancer's part of the server's slow-start
-// budget, which also pays for probe requests. Those to a zone that is cut off are counted by the zone.
+// hasSlowStartCapacity reports whether this balancer's slow-start budget for the server permits an attempt.
+// The budget also pays for probe requests, except to an unreachable zone: those are limited for the zone as a
+// whole.
 func (b *Balancer) hasSlowStartCapacity(s *server, purpose attemptPurpose) bool {
-	warmth, size, kind := b.warmth(s), 1.0, slowstart.Regular
-	if purpose == probeServer && !b.isZoneCutOff(s) {
+	capacity, size, kind := b.capacityFraction(s), 1.0, slowstart.Regular
+	if purpose == probeServer && !b.isZoneUnreachable(s) {
 		kind = slowstart.Probes
 	}
 	if b.largestWeight > 0 {
 		size = s.Weight / b.largestWeight
 	}
-	return warmth >= 1 && kind == slowstart.Regular ||
-		s.slowStart.HasCapacity(b.slowStartTerms(), b.now, warmth, b.sendRate/b.memberCount(), size, kind)
+	return capacity >= 1 && kind == slowstart.Regular ||
+		s.slowStart.HasCapacity(b.slowStartParams(), b.now, capacity, b.sendRate/b.memberCount(), size, kind)
 }
 
-// relievesWarmServers reports whether a server in slow start takes requests from saturated warm ones,
-// whatever its fairness account says: its budget bounds it already, and the account would hold most balancers
-// of a sparse fleet back for longer than the slow start lasts. One whose zone may be unreachable is no
-// relief.
+// relievesWarmServers reports whether the server is in slow start and takes requests from saturated warm
+// servers even beyond its fair share. Its slow-start budget bounds its load already, and in a sparse fleet
+// the fairness account would hold most balancers back for longer than slow start lasts. Servers in a zone
+// that may be unreachable are left out.
 func (b *Balancer) relievesWarmServers(s *server) bool {
-	return b.warmSaturated && b.warmth(s) < 1 && !b.zoneReach.IsDoubtful(s.Zone)
+	return b.warmServersSaturated && b.capacityFraction(s) < 1 && !b.zoneReach.IsDoubtful(s.Zone)
 }
 
-// searchesWarmingUp reports whether a warm server is skipped in search of one in slow start.
+// searchesWarmingUp reports whether the server is warm and skipped in search of a server in slow start.
 func (b *Balancer) searchesWarmingUp(s *server) bool {
-	return b.warmSaturated && b.anyWarmingUp && b.warmth(s) >= 1
+	return b.warmServersSaturated && b.anyWarmingUp && b.capacityFraction(s) >= 1
 }
--- a/internal/balancer/slowstart_test.go
+++ b/internal/balancer/slowstart_test.go
@@ -9,7 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A server in slow start gets no more than this balancer's part, and the rest goes to others instead of being rejected.
+// A server in slow start gets no more requests than this balancer's slow-start budget. The others go to other servers
+// instead of being rejected.
 func TestSlowStartBudget(t *testing.T) {
 	b := newStarted(t, testSettings(), serverList(4))
 	now := time.Minute
@@ -42,35 +43,35 @@
 	}
 	warm, all := count(1)
 	if warm < 60 || all < 590 {
-		t.Fatalf("warm server got %d of %d", warm, all)
+		t.Fatalf("the warm server got %d of %d requests", warm, all)
 	}
 	restarted[0].StartedAt = now
 	b.Step(now, &ServerListUpdate{Kind: UpdateIncremental, Servers: restarted})
 	got, all := count(1000)
 	rate := float64(all) / 3 / 4 // sends a second to each server
-	// warmth rises to 0.625 by the end of the 3 s; the rule allows OverloadMultiple times the capacity
+	// The capacity rises from 0.4 to 0.625 in the 3 s; the rules allow OverloadMultiple times the capacity.
 	if limit := 3*0.4*rate*3 + 1; float64(got) > limit {
-		t.Errorf("the server in slow start got %d, the rule allows about %.0f", got, limit)
+		t.Errorf("the server in slow start got %d requests, the rules allow about %.0f", got, limit)
 	}
 	if got == 0 || all < 590 {
-		t.Errorf("the server in slow start got %d; %d of 600 sent", got, all)
+		t.Errorf("the server in slow start got %d requests; %d of 600 were sent", got, all)
 	}
 }
 
-// What many small balancers together send a server in slow start, or one that is down, must not grow with their number: each
-// has far less than a request a second for it.
+// Guards against many small balancers overloading a server in slow start, or one that is down, together. The sum of their
+// requests must not grow with their number, though each sends the server far less than a request a second.
 func TestSlowStartBudgetOfManyBalancers(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		purpose attemptPurpose
-		isNew   bool    // never listed before, as after a release
-		limit   float64 // of what a warm server would get, with a margin for chance
+		isNew   bool    // the server was never listed before, as after a release
+		limit   float64 // maximum rate as a fraction of a warm server's, before a margin for chance
 	}{
 		{"slow start", serveRequest, false, 3 * 0.4 * 0.625},
 		{"slow start of a new server", serveRequest, true, 3 * 0.4 * 0.625},
 		{"down", probeServer, false, 2 * 0.05},
 	} {
-		const balancers, rate = 400, 0.5 // requests a second of each, over four servers: 50 a second for each server
+		const balancers, rate = 400, 0.5 // requests a second of each balancer, so 50 a second for each of four servers
 		sent := 0
 		set := testSettings()
 		set.Balancers = balancers
@@ -94,7 +95,7 @@
 				b.Step(time.Minute, &ServerListUpdate{Kind: UpdateIncremental, Servers: started})
 				s = b.servers[started[0].ID]
 			}
-			for at := range 30 { // three seconds, far more requests than the budget
+			for at := range 30 { // tries for three seconds, far more often than the budget permits
 				b.now = time.Minute + time.Duration(at)*100*ms
 				if b.hasSlowStartCapacity(s, c.purpose) {
 					s.slowStart.Spend(1)
@@ -103,13 +104,14 @@
 			}
 		}
 		if limit := c.limit*3*balancers*rate/4 + 15; float64(sent) > limit || sent == 0 {
-			t.Errorf("%s: %d sent in 3 s, %v at most", c.name, sent, limit)
+			t.Errorf("%s: %d requests sent in 3 s, want at least one and at most %v", c.name, sent, limit)
 		}
 	}
 }
 
-// What servers carry is known after a round or two, and not forgotten while little is sent: the slow-start budget depends on
-// it. A server that answered badly is running, and does not come back cold.
+// Guards against a slow-start budget that limits itself. It depends on the measured send rate, which must rise within two
+// rounds and not fall while few requests are sent. Only a server that refused connections, and so may have been restarted,
+// has a slow start after its recovery.
 func TestSlowStartBudgetDoesNotLimitItself(t *testing.T) {
 	b := newStarted(t, testSettings(), serverList(4))
 	now := time.Duration(0)
@@ -121,13 +123,13 @@
 	round(100)
 	round(100)
 	if b.sendRate < 70 {
-		t.Errorf("%.0f a second after two rounds of 100", b.sendRate)
+		t.Errorf("send rate %.0f a second after two rounds of 100 requests", b.sendRate)
 	}
 	for range 10 {
 		round(0)
 	}
 	if b.sendRate < 55 {
-		t.Errorf("%.0f a second after ten idle rounds", b.sendRate)
+		t.Errorf("send rate %.0f a second after ten idle rounds", b.sendRate)
 	}
 	for outcome, startsCold := range map[Outcome]bool{ConnectFailed: true, TimedOut: false, ServerError: false} {
 		b := newStarted(t, testSettings(), serverList(4))
@@ -142,12 +144,12 @@
 		}
 		b.Step(b.now, &TimerDue{Tag: timerRound})
 		assert.False(t, s.outlier.IsEjected(), "outcome %d", outcome)
-		assert.Equal(t, startsCold, b.warmth(s) < 1, "outcome %d", outcome)
+		assert.Equal(t, startsCold, b.capacityFraction(s) < 1, "outcome %d", outcome)
 	}
 }
 
-// With many balancers of few requests and half of the servers just started, those get nearly twice as much while the warm ones
-// are saturated, and never so much that one is overloaded.
+// With many balancers that each send few requests and half of the servers in slow start, those get nearly twice as many
+// requests while the warm servers are saturated, and none is overloaded.
 func TestServersInSlowStartRelieveSaturatedOnes(t *testing.T) {
 	const balancers, servers, capacity = 100, 40, 60.0 // requests a second of a warm server
 	window := testSettings().Rules.OverloadWindow
--- a/internal/balancer/snapshot.go
+++ b/internal/balancer/snapshot.go
@@ -9,50 +9,50 @@
 	"dunestep/internal/balancer/outlier"
 )
 
-// SnapshotVersion says what the values of a Snapshot mean. It changes when a value's meaning does, not when
-// one is added.
+// SnapshotVersion is the version of the meaning of a Snapshot's values. It changes when the meaning of a
+// value changes, not when a value is added.
 const SnapshotVersion = 2
 
 const (
-	// maxBlamedKeys bounds the blamed keys in a Snapshot, those blamed for longest first.
+	// maxBlamedKeys is the maximum number of blamed keys in a Snapshot. Those with the most time left are kept.
 	maxBlamedKeys = 1000
-	// minSnapshotPenalty is the flap penalty below which none is in a Snapshot.
+	// minSnapshotPenalty is the flap penalty below which a Snapshot has none for the server.
 	minSnapshotPenalty = 0.01
 )
 
-// Snapshot is what a Balancer has learned, as plain values that can be kept over a restart. Its times are
-// spans from when it was taken, so that it depends on no clock. What is empty was not known. The keys of its
-// encodings are stored and must not change.
+// Snapshot is the learned state of a Balancer, as plain values that can be stored across a restart. Its
+// times are relative to when it was taken, so that it does not depend on a clock. Zero values mean unknown.
+// The keys of its encodings are stored and must not change.
 type Snapshot struct {
-	BaselineLatency BaselineSnapshot `cbor:"1,keyasint" json:"pace"`                // of all answers
+	BaselineLatency BaselineSnapshot `cbor:"1,keyasint" json:"pace"`                // over all responses
 	MeanLatency     float64          `cbor:"2,keyasint,omitempty" json:"latency_s"` // seconds
-	// of the latest attempts
+	// moving average over all attempts
 	FailureRatio float64 `cbor:"3,keyasint,omitempty" json:"failing"`
 	// work units a second
 	SendRate        float64 `cbor:"4,keyasint,omitempty" json:"rate"`
-	TypicalInFlight float64 `cbor:"5,keyasint,omitempty" json:"typical"` // at a server
-	// requests a second, here
+	TypicalInFlight float64 `cbor:"5,keyasint,omitempty" json:"typical"` // requests at a server
+	// requests a second at this balancer
 	ArrivalRate float64 `cbor:"6,keyasint,omitempty" json:"arrivals"`
-	// over all balancers
+	// requests a second, mean over all balancers
 	MeanArrivalRate float64 `cbor:"7,keyasint,omitempty" json:"mean_arrivals"`
-	// seconds, of the hints
+	// seconds, mean of the work hints
 	MeanWork float64 `cbor:"8,keyasint,omitempty" json:"mean_work_s"`
-	// by the servers' reports
+	// requests, mean of the servers' load reports
 	MeanReportedInFlight float64 `cbor:"9,keyasint,omitempty" json:"mean_held"`
 	RetryTokens          float64 `cbor:"10,keyasint,omitempty" json:"tokens"`
-	// by name, as the next three
+	// sorted by name, like the next three
 	Kinds      []KindSnapshot      `cbor:"11,keyasint,omitempty" json:"kinds"`
 	Zones      []ZoneSnapshot      `cbor:"12,keyasint,omitempty" json:"zones"`
 	Classes    []ClassSnapshot     `cbor:"13,keyasint,omitempty" json:"classes"`
 	Tenants    []TenantSnapshot    `cbor:"14,keyasint,omitempty" json:"tenants"`
-	Servers    []ServerSnapshot    `cbor:"15,keyasint,omitempty" json:"servers"`     // members, by id
-	BlamedKeys []BlamedKeySnapshot `cbor:"16,keyasint,omitempty" json:"blamed_keys"` // longest first
+	Servers    []ServerSnapshot    `cbor:"15,keyasint,omitempty" json:"servers"`     // members, sorted by id
+	BlamedKeys []BlamedKeySnapshot `cbor:"16,keyasint,omitempty" json:"blamed_keys"` // most time left first
 }
 
-// BaselineSnapshot is a latency of fast answers.
+// BaselineSnapshot is a stored baseline latency.
 type BaselineSnapshot struct {
-	Latency float64 `cbor:"1,keyasint,omitempty" json:"quick_s"` // seconds; a quarter of the answers stay below
-	Samples float64 `cbor:"2,keyasint,omitempty" json:"answers"`
+	Latency float64 `cbor:"1,keyasint,omitempty" json:"quick_s"` // seconds, 25th percentile
+	Samples float64 `cbor:"2,keyasint,omitempty" json:"answers"` // number of responses
 }
 
 // KindSnapshot is the baseline latency of a machine kind.
@@ -61,70 +61,70 @@
 	BaselineLatency BaselineSnapshot `cbor:"2,keyasint" json:"pace"`
 }
 
-// ZoneSnapshot is what the reports of a zone's servers were worth.
+// ZoneSnapshot is the calibration of the load reports of a zone's servers.
 type ZoneSnapshot struct {
 	Name             string  `cbor:"1,keyasint" json:"name"`
-	ReportedWait     float64 `cbor:"2,keyasint,omitempty" json:"wait_s"` // seconds beyond the baseline
-	ReportedInFlight float64 `cbor:"3,keyasint,omitempty" json:"held"`   // requests
+	ReportedWait     float64 `cbor:"2,keyasint,omitempty" json:"wait_s"` // mean, in seconds beyond the baseline
+	ReportedInFlight float64 `cbor:"3,keyasint,omitempty" json:"held"`   // mean, in requests
 }
 
-// ClassSnapshot is the longest time that a client of a class gave.
+// ClassSnapshot is the longest client timeout of a class so far.
 type ClassSnapshot struct {
 	Name             string        `cbor:"1,keyasint" json:"name"`
 	MaxClientTimeout time.Duration `cbor:"2,keyasint,omitempty" json:"budget_ns"`
 }
 
-// TenantSnapshot is what a tenant had left of its quota.
+// TenantSnapshot is what a tenant had left of its quota at this balancer.
 type TenantSnapshot struct {
 	Name       string        `cbor:"1,keyasint" json:"name"`
 	Tokens     float64       `cbor:"2,keyasint,omitempty" json:"bucket"` // requests
 	UpdatedAgo time.Duration `cbor:"3,keyasint,omitempty" json:"ago_ns"`
 }
 
-// ServerSnapshot is what was learned of one process of a server: the one that started at StartedAt.
+// ServerSnapshot is the state of one process of a server: the one that started at StartedAt.
 type ServerSnapshot struct {
 	ID        string        `cbor:"1,keyasint" json:"id"`
 	StartedAt time.Duration `cbor:"2,keyasint,omitempty" json:"started_ns"`
-	Latency   float64       `cbor:"3,keyasint,omitempty" json:"latency_s"` // seconds
-	// when the latency was seen
+	Latency   float64       `cbor:"3,keyasint,omitempty" json:"latency_s"` // seconds, mean
+	// mean number of requests in flight when the latency was measured
 	LatencyInFlight  float64       `cbor:"4,keyasint,omitempty" json:"latency_at_n"`
-	SampledAgo       time.Duration `cbor:"5,keyasint,omitempty" json:"sampled_ago_ns"`
-	ReportedInFlight float64       `cbor:"6,keyasint,omitempty" json:"held"`
+	SampledAgo       time.Duration `cbor:"5,keyasint,omitempty" json:"sampled_ago_ns"` // last measured latency
+	ReportedInFlight float64       `cbor:"6,keyasint,omitempty" json:"held"`           // requests
 	ReportedAgo      time.Duration `cbor:"7,keyasint,omitempty" json:"held_ago_ns"`
 	FlapPenalty      float64       `cbor:"11,keyasint,omitempty" json:"penalty"`
-	DampedFor        time.Duration `cbor:"12,keyasint,omitempty" json:"damped_for_ns"` // from then on
-	// while in slow start; zero: is not
+	DampedFor        time.Duration `cbor:"12,keyasint,omitempty" json:"damped_for_ns"` // remaining time
+	// time since the recovery; zero: not in slow start
 	RecoveredAgo time.Duration `cbor:"13,keyasint,omitempty" json:"back_ago_ns"`
-	// classes by their index here
+	// classes by their index in Snapshot.Classes
 	Outlier outlier.Snapshot `cbor:"14,keyasint" json:"health"`
 
-	// Of version 1 only: see MigrateFromVersion1.
-	Failures1 float64 `cbor:"8,keyasint,omitempty" json:"-"`
-	Rejected1 int     `cbor:"9,keyasint,omitempty" json:"-"`
-	Down1     bool    `cbor:"10,keyasint,omitempty" json:"-"`
+	// Fields of version 1 only: see MigrateFromVersion1.
+	FailuresV1 float64 `cbor:"8,keyasint,omitempty" json:"-"`
+	RejectedV1 int     `cbor:"9,keyasint,omitempty" json:"-"`
+	DownV1     bool    `cbor:"10,keyasint,omitempty" json:"-"`
 }
 
-// BlamedKeySnapshot is a key that was blamed, by its hash.
+// BlamedKeySnapshot is a poisoned key, by its hash.
 type BlamedKeySnapshot struct {
 	Hash      uint32        `cbor:"1,keyasint" json:"hash"`
-	BlamedFor time.Duration `cbor:"2,keyasint" json:"for_ns"` // from then on
+	BlamedFor time.Duration `cbor:"2,keyasint" json:"for_ns"` // remaining time
 }
 
-// MigrateFromVersion1 turns a Snapshot of version 1 into one of the present version.
+// MigrateFromVersion1 converts a Snapshot of version 1 to the current version in place.
 func (m *Snapshot) MigrateFromVersion1() {
-	const failuresToDown = 3 // in version 1, failures that took a server down
-	const evidencePerFailure = 4
+	const failuresToDown = 3     // failures after which a server was down in version 1
+	const evidencePerFailure = 4 // units of outlier.Snapshot.DeadEvidence
 	for i := range m.Servers {
 		s := &m.Servers[i]
 		s.Outlier = outlier.Snapshot{
-			Ejected: s.Down1, Silent: s.Down1 && s.Rejected1 == 0, NotListening: s.Rejected1 > 1,
-			DeadEvidence: evidencePerFailure * min(max(s.Failures1, 0), failuresToDown),
+			Ejected: s.DownV1, Silent: s.DownV1 && s.RejectedV1 == 0, NotListening: s.RejectedV1 > 1,
+			DeadEvidence: evidencePerFailure * min(max(s.FailuresV1, 0), failuresToDown),
 		}
-		s.Failures1, s.Rejected1, s.Down1 = 0, 0, false
+		s.FailuresV1, s.RejectedV1, s.DownV1 = 0, 0, false
 	}
 }
 
-// Snapshot returns what the Balancer has learned.
+// Snapshot returns the learned state at a time, for Restore.
 func (b *Balancer) Snapshot(now time.Duration) Snapshot {
 	b.now = max(b.now, now)
 	here, mean := b.quotas.Rates()
@@ -156,7 +156,7 @@
 	return m
 }
 
-// snapshotServer numbers classes by their index in classNames.
+// snapshotServer returns a server's state. Classes are identified by their index in classNames.
 func (b *Balancer) snapshotServer(s *server, classNames []string) ServerSnapshot {
 	m := ServerSnapshot{
 		ID: s.ID, StartedAt: s.StartedAt, Latency: s.latency, LatencyInFlight: s.latencyInFlight,
@@ -174,7 +174,7 @@
 	if p := s.decayedPenalty(b.now); p > minSnapshotPenalty {
 		m.FlapPenalty = p
 	}
-	if s.recoveredAt > 0 && b.warmth(s) < 1 {
+	if s.recoveredAt > 0 && b.capacityFraction(s) < 1 {
 		m.RecoveredAgo = max(b.now-s.recoveredAt, 1)
 	}
 	return m
@@ -199,7 +199,7 @@
 
 func sortedNames[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
-// className returns the name of the class with the index; empty: there is none.
+// className returns the name of the class with the index, or an empty string if there is none.
 func (b *Balancer) className(index int) string {
 	for name, c := range b.classes {
 		if c.index == index {
--- a/internal/balancer/snapshot_test.go
+++ b/internal/balancer/snapshot_test.go
@@ -10,13 +10,14 @@
 	"pgregory.net/rapid"
 )
 
-const noon = time.Duration(1_796_115_600) * time.Second
+const testStart = time.Duration(1_796_115_600) * time.Second // a Unix time
 
-// newExperienced returns a Balancer that has worked for some seconds with servers that fail in various ways, and the time then.
-func newExperienced(t *rapid.T, servers []Server) (*Balancer, time.Duration) {
+// newWithHistory returns a Balancer that has sent requests for some seconds to servers that fail in various ways, and the
+// time at the end.
+func newWithHistory(t *rapid.T, servers []Server) (*Balancer, time.Duration) {
 	b, err := New(testSettings(), 1)
 	require.NoError(t, err)
-	now := noon
+	now := testStart
 	b.Step(now, &ServerListUpdate{Kind: UpdateFull, Servers: servers})
 	rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 	failing := rapid.IntRange(0, len(servers)).Draw(t, "bad")
@@ -26,14 +27,14 @@
 		class := []string{"safe", "unsafe"}[rng.IntN(2)]
 		acts := b.Step(now, &Request{ID: id, Class: class, Key: fmt.Sprint(rng.IntN(20)), ClientTimeout: time.Second})
 		for a := findAction(acts, Send); a != nil; a = findAction(acts, Send) {
-			o, took := Served, time.Duration(20+rng.IntN(100))*ms
+			o, latency := Served, time.Duration(20+rng.IntN(100))*ms
 			if a.Server < fmt.Sprintf("s%d", failing) && rng.IntN(3) > 0 {
 				o = outcomes[int(a.Server[1])%len(outcomes)]
 			}
 			attempt := len(b.requests[id].attempts) - 1
-			now += took / 8
+			now += latency / 8
 			acts = b.Step(now, &AttemptDone{
-				ID: id, Attempt: attempt, Server: a.Server, Outcome: o, Latency: took,
+				ID: id, Attempt: attempt, Server: a.Server, Outcome: o, Latency: latency,
 				RequestDone: o == Served,
 			})
 		}
@@ -44,7 +45,7 @@
 	return b, now
 }
 
-// newRestored returns a new Balancer that has restored a snapshot of that age.
+// newRestored returns a new Balancer that has restored a snapshot of the given age.
 func newRestored(t require.TestingT, m Snapshot, now, age time.Duration, servers []Server) *Balancer {
 	b, err := New(testSettings(), 2)
 	require.NoError(t, err)
@@ -53,10 +54,10 @@
 	return b
 }
 
-// What is restored at once is what was taken, and taking it changes nothing.
+// A snapshot that is restored at once gives the same snapshot again, and taking one does not change the Balancer.
 func TestSnapshotIsRestored(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b, now := newExperienced(t, serverList(6))
+		b, now := newWithHistory(t, serverList(6))
 		m := b.Snapshot(now)
 		require.Equal(t, m, b.Snapshot(now))
 		restored := newRestored(t, m, now, 0, serverList(6))
@@ -67,11 +68,11 @@
 	})
 }
 
-// The older a snapshot is, the less it counts: a week later only the clients' timeouts do; with a negative age, as after a clock
-// was set back, nothing does.
+// The older a snapshot is, the less it counts. After a week only the longest client timeouts and the mean work remain. With
+// a negative age, as after a clock was set back, nothing is restored.
 func TestSnapshotLosesWeightWithAge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b, now := newExperienced(t, serverList(6))
+		b, now := newWithHistory(t, serverList(6))
 		m := b.Snapshot(now)
 		fresh := newRestored(t, Snapshot{}, now, -1, serverList(6)).Snapshot(now)
 		require.Equal(t, fresh, newRestored(t, m, now, -time.Second, serverList(6)).Snapshot(now))
@@ -93,15 +94,15 @@
 	})
 }
 
-// Damping and blame that have expired are not restored, a server that was down long ago is not taken for down, and what is known
-// of one process is not applied to another.
-func TestSnapshotIsOfItsTimeAndServer(t *testing.T) {
+// Damping and poisoned keys that have expired are not restored, a server that was ejected long ago is not ejected, and the
+// state of one process of a server is not applied to another.
+func TestSnapshotExpiresAndAppliesToOneProcess(t *testing.T) {
 	b := newStarted(t, testSettings(), serverList(4))
-	b.Step(noon, &TimerDue{})
+	b.Step(testStart, &TimerDue{})
 	b.repeatOutcome(b.servers["s1"], ConnectFailed)
 	b.damp(b.servers["s2"])
-	b.blamedKeys[7] = &blamedKey{servers: make([]*server, poisonServers), lastFailureAt: noon, until: noon + poisonDuration}
-	m := b.Snapshot(noon)
+	b.blamedKeys[7] = &blamedKey{servers: make([]*server, poisonServers), lastFailureAt: testStart, until: testStart + poisonDuration}
+	m := b.Snapshot(testStart)
 	for _, c := range []struct {
 		age                  time.Duration
 		down, damped, blamed bool
@@ -113,22 +114,22 @@
 		{59 * time.Second, true, false, false},
 		{time.Minute, false, false, false},
 	} {
-		restored := newRestored(t, m, noon, c.age, serverList(4))
+		restored := newRestored(t, m, testStart, c.age, serverList(4))
 		require.Equal(t, c.down, restored.servers["s1"].outlier.IsEjected(), c.age)
-		require.Equal(t, c.damped, noon < restored.servers["s2"].dampedUntil, c.age)
-		require.LessOrEqual(t, restored.servers["s2"].dampedUntil, noon+dampingDuration-c.age)
+		require.Equal(t, c.damped, testStart < restored.servers["s2"].dampedUntil, c.age)
+		require.LessOrEqual(t, restored.servers["s2"].dampedUntil, testStart+dampingDuration-c.age)
 		require.Equal(t, c.blamed, restored.isPoisoned(7), c.age)
 	}
 
 	restarted := serverList(4)
-	restarted[1].StartedAt = noon - time.Second
-	restored := newRestored(t, m, noon, time.Second, restarted[:2])
+	restarted[1].StartedAt = testStart - time.Second
+	restored := newRestored(t, m, testStart, time.Second, restarted[:2])
 	require.False(t, restored.servers["s1"].outlier.IsEjected())
-	restored = newRestored(t, m, noon, time.Second, serverList(4))
+	restored = newRestored(t, m, testStart, time.Second, serverList(4))
 	restored.ForgetServer("s1")
 	restored.ForgetServer("s2")
 	restored.ForgetServer("nobody")
 	require.False(t, restored.servers["s1"].outlier.IsEjected())
 	require.Zero(t, restored.servers["s2"].dampedUntil)
-	require.Equal(t, newRestored(t, Snapshot{}, noon, -1, serverList(4)).Snapshot(noon).Servers, restored.Snapshot(noon).Servers)
+	require.Equal(t, newRestored(t, Snapshot{}, testStart, -1, serverList(4)).Snapshot(testStart).Servers, restored.Snapshot(testStart).Servers)
 }
--- a/internal/balancer/sparse_test.go
+++ b/internal/balancer/sparse_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// simulateSparseFleet runs so many balancers of a few requests a second, each with random keys and, one time in so many, the
-// popular one. It returns how many requests each server was sent.
-func simulateSparseFleet(t *testing.T, balancers, servers, popular int) map[string]int {
+// simulateSparseFleet runs balancers that each send a few requests a second. One request in popularEvery has the popular
+// key, the others random keys. It returns the number of requests sent to each server.
+func simulateSparseFleet(t *testing.T, balancers, servers, popularEvery int) map[string]int {
 	t.Helper()
 	set := testSettings()
 	set.Balancers = balancers
@@ -25,7 +25,7 @@
 			now := time.Duration(i) * 100 * ms
 			b.Step(now, &TimerDue{Tag: timerRound})
 			key := string(rune('a'+rng.IntN(26))) + string(rune('a'+rng.IntN(26)))
-			if rng.IntN(popular) == 0 {
+			if rng.IntN(popularEvery) == 0 {
 				key = "popular"
 			}
 			id := uint32(i + 1)
@@ -43,8 +43,8 @@
 	return sent
 }
 
-// With very many balancers of few requests each, a popular key does not overload its owner, though none of them ever has more
-// than one request in flight there.
+// Guards against a popular key overloading its owner when very many balancers send few requests each, so that none of them
+// ever has more than one request in flight there.
 func TestPopularKeyOfManySparseBalancers(t *testing.T) {
 	sent := simulateSparseFleet(t, 100, 40, 3)
 	for id, n := range sent {
--- a/internal/balancer/tenantstats.go
+++ b/internal/balancer/tenantstats.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// TenantStats counts a tenant's requests since the start. One that is under way, or whose client has left, is
-// only among Requests.
+// TenantStats are the counts of a tenant's requests since the start. Requests without a final answer, because
+// they are in flight or their client disconnected, count only as Requests.
 type TenantStats struct {
-	Tenant             string // or NoTenant
+	Tenant             string // name, or NoTenant
 	Requests           uint64
 	Served             uint64
 	Rejected           uint64
 	Failed             uint64
-	ExclusionOverrides uint64 // attempts at servers in spite of an exclusion, since no other was left
+	ExclusionOverrides uint64 // attempts that overrode an exclusion because no other server was available
 }
 
 // tenantCounter is a tenant's entry in exclusionState.
 type tenantCounter struct {
 	TenantStats
-	loggedAt time.Duration // an override; zero: never
+	overrideLoggedAt time.Duration // last log line about an override; zero: never
 }
 
-// TenantStats returns the counts of NoTenant first and then of the tenants as in the settings.
+// TenantStats returns the counts of NoTenant, followed by those of the tenants in the order of the settings.
 func (b *Balancer) TenantStats() []TenantStats {
 	all := make([]TenantStats, len(b.exclusions.tenants))
 	for i := range all {
@@ -35,8 +35,8 @@
 	return int32(n)
 }
 
-// countDone counts a request whose client has got the answer of an attempt.
-func (b *Balancer) countDone(r *request, o Outcome) {
+// countAttemptAnswer counts a request whose final answer is the result of an attempt.
+func (b *Balancer) countAttemptAnswer(r *request, o Outcome) {
 	if o == Served {
 		b.exclusions.tenants[r.tenant].Served++
 	} else {
@@ -44,8 +44,8 @@
 	}
 }
 
-// countAnswer counts a request that ends without an attempt's answer.
-func (b *Balancer) countAnswer(r *request, kind ActionKind) {
+// countRejectOrFail counts a request that the balancer itself answers with Reject or Fail.
+func (b *Balancer) countRejectOrFail(r *request, kind ActionKind) {
 	if kind == Reject {
 		b.exclusions.tenants[r.tenant].Rejected++
 	} else {
--- a/internal/balancer/timers.go
+++ b/internal/balancer/timers.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// A timer's tag is a request's id, or zero, above two bits that say what the timer is for.
+// A timer's tag is a request's id, or zero, shifted left by timerPurposeBits, plus one of these purposes.
 const (
-	timerRound = iota // the round ends
-	timerRetry        // a waiting request goes on
-	timerPoll         // discovery is called again
+	timerRound = iota // end of a round
+	timerRetry        // resume a waiting request
+	timerPoll         // call discovery again
 
 	timerPurposeBits = 2
 )
 
-// roundInterval is the length of a round, after which rates and verdicts are brought up to date.
+// roundInterval is the length of a round, at the end of which rates, weights and verdicts are updated.
 const roundInterval = time.Second
 
 func (b *Balancer) setTimer(after time.Duration, id uint32, purpose uint64) {
@@ -29,7 +29,7 @@
 		b.endRound()
 	case purpose == timerPoll:
 		b.pollScheduled = false
-		// else a call has brought updates meanwhile, as after a change of address
+		// Otherwise another call has received updates meanwhile, as after a change of discovery's address.
 		if b.discovery.IsMissingChanges() {
 			b.pollDiscovery()
 		}
@@ -40,7 +40,7 @@
 	}
 }
 
-// endRound brings verdicts, rates and weights up to date and starts the next round.
+// endRound updates verdicts, rates and weights, and starts the next round.
 func (b *Balancer) endRound() {
 	b.setTimer(roundInterval, 0, timerRound)
 	b.detector.EndRound()
@@ -49,9 +49,9 @@
 		b.countFlap(s)
 	}
 	b.updateSendRate()
-	// probing resumes after a while
+	// The fraction decays so that probes are trusted again after a while.
 	b.falseProbeFraction *= math.Exp2(-float64(roundInterval) / float64(flapPenaltyHalfLife))
-	if mean, tell := b.quotas.EndRound(); tell {
+	if mean, send := b.quotas.EndRound(); send {
 		b.gossip(encodeRateMessage(mean))
 	}
 	maps.DeleteFunc(b.blamedKeys, func(_ uint32, k *blamedKey) bool { return k.hasExpired(b.now) })
--- a/internal/balancer/zones.go
+++ b/internal/balancer/zones.go
@@ -1,13 +1,13 @@
 package balancer
 
-// isZoneCutOff reports whether a server's zone is unreachable while others are reached. A fleet of few
-// balancers knows its servers soon enough one by one.
-func (b *Balancer) isZoneCutOff(s *server) bool {
+// isZoneUnreachable reports whether the server's zone is unreachable while other zones are not. It applies
+// only to a sparse balancer: others detect unreachable servers one by one soon enough.
+func (b *Balancer) isZoneUnreachable(s *server) bool {
 	return b.zoneReach.IsUnreachable(s.Zone) && b.IsSparse()
 }
 
-// observeZone records what an attempt's end says of its server's zone. A refused connection shows that the
-// machine is reachable, so it concerns that server alone.
+// observeZone records whether the end of an attempt shows the server's zone as reachable or unreachable. A
+// refused connection counts as neither: the machine is reachable, and only the server is down.
 func (b *Balancer) observeZone(s *server, a *attempt, e *AttemptDone) {
 	switch {
 	case e.Evidence.LocalShortage:
--- a/internal/balancer/zones_test.go
+++ b/internal/balancer/zones_test.go
@@ -9,8 +9,8 @@
 	"dunestep/internal/balancer/outlier"
 )
 
-// One balancer of many detects an unreachable zone by a few requests, not by one at each of its servers, tries it twice a second,
-// and sends to it again once a server of it responds.
+// One balancer of many detects an unreachable zone by a few lost requests, not by one at each of its servers. It tries the
+// zone twice a second, and uses it again once one of its servers responds.
 func TestSparseBalancerDetectsUnreachableZone(t *testing.T) {
 	set, members, zoneOf := testSettings(), serverList(60), map[string]string{}
 	set.Balancers = 100
@@ -18,7 +18,7 @@
 		zoneOf[s.ID] = s.Zone
 	}
 	const unreachable = "z1"
-	run := func(failure Outcome) (lost, back int) {
+	run := func(failure Outcome) (lost, recovered int) {
 		b, err := New(set, 1)
 		require.NoError(t, err)
 		b.Step(0, &ServerListUpdate{Kind: UpdateFull, Servers: members})
@@ -28,7 +28,7 @@
 				b.Step(now, &TimerDue{Tag: timerRound})
 			}
 			id := uint32(i + 1)
-			off := now > 10*time.Second && now <= 30*time.Second
+			isCutOff := now > 10*time.Second && now <= 30*time.Second
 			acts := b.Step(now, &Request{
 				ID: id, Key: string(rune('a'+i%26)) + string(rune('a'+i*7%23)),
 				Class: set.Classes[0].Name, ClientTimeout: time.Second,
@@ -40,11 +40,11 @@
 					continue
 				}
 				e := AttemptDone{ID: id, Attempt: number, Server: a.Server, Outcome: Served, Latency: 50 * ms}
-				if number++; zoneOf[a.Server] == unreachable && off {
+				if number++; zoneOf[a.Server] == unreachable && isCutOff {
 					e.Outcome = failure
 					lost++
 				} else if zoneOf[a.Server] == unreachable && now > 32*time.Second {
-					back++
+					recovered++
 				}
 				ends = append(ends, e)
 			}
@@ -53,15 +53,15 @@
 				b.Step(now+50*ms, &ends[k])
 			}
 		}
-		return lost, back
+		return lost, recovered
 	}
-	lost, back := run(ConnectFailed)
-	t.Log(lost, back)
-	require.LessOrEqual(t, lost, 3+20*2, "three to learn it by, then two tries a second")
-	require.Greater(t, back, 20, "of 80 requests")
-	lost, back = run(TimedOut)
+	lost, recovered := run(ConnectFailed)
+	t.Log(lost, recovered)
+	require.LessOrEqual(t, lost, 3+20*2, "three requests to detect it, then two trials a second")
+	require.Greater(t, recovered, 20, "of 80 requests")
+	lost, recovered = run(TimedOut)
 	require.LessOrEqual(t, lost, 3+20*2)
-	require.Greater(t, back, 20)
+	require.Greater(t, recovered, 20)
 }
 
 func TestRefusedConnectionsDoNotMakeAZoneUnreachable(t *testing.T) {
