--- a/internal/balancer/bench_test.go
+++ b/internal/balancer/bench_test.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// BenchmarkDecisionWithExclusions measures the same without failures, with no, half or all keys excluded from one of
-// 13 servers.
+// BenchmarkDecisionWithExclusions measures the same without failures, and with no keys, half of the keys or all of them
+// excluded from one of the 13 servers.
 func BenchmarkDecisionWithExclusions(b *testing.B) {
 	for name, below := range map[string]uint32{"none": 0, "half": 1 << 31, "all": math.MaxUint32} {
 		b.Run(name, func(b *testing.B) {
--- a/internal/balancer/exclusions_test.go
+++ b/internal/balancer/exclusions_test.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// With random exclusions the rules hold, and nothing is sent to an excluded server unless no other is available.
+// With random exclusions the rules hold, and a request goes to an excluded server only if no other is available.
 // Exclusions that match no request change no action.
 func TestExclusionsOnRandomEvents(t *testing.T) {
 	overrides, excluded := 0, 0
--- a/internal/balancer/request.go
+++ b/internal/balancer/request.go
@@ -22,7 +22,7 @@
 	objectiveAt   time.Duration // when an answer loses its value
 	deadline      time.Duration // when the client gives up
 
-	waitUntil      time.Duration // when the timer of the current wait is due
+	waitUntil      time.Duration // when a timer ends the wait for a probe or a server's probation
 	probationUntil time.Duration // end of the wait for a server to finish its probation; zero: not started
 	notBefore      time.Duration // earliest start of the next attempt; zero: any time
 
@@ -33,7 +33,7 @@
 	hedges       int16   // number of attempts that are hedges
 	probes       int16   // number of probes for this request
 
-	waiting           bool // waits for a retry, a probe or a server's probation: see waitUntil
+	waiting           bool // waits for a retry, a probe or a server's probation
 	closed            bool // the client has its answer or has disconnected
 	streaming         bool // a response has begun
 	needsRetryToken   bool // the next attempt is a retry for which no token has been spent
@@ -91,8 +91,8 @@
 	r.objectiveAt = b.now + min(objective, c.Deadline)
 	// If a retry's timeout is below the longest one of the class, it is what remains of the client's deadline,
 	// so the request is older by the difference and its objective is earlier. If clients don't mark their
-	// retries, every request with a shorter timeout counts as such a retry; if they do, a first try with a
-	// shorter timeout does not.
+	// retries, every request with a shorter timeout counts as such a retry. If they do, a first try does not,
+	// even if it has a shorter timeout because it took long to arrive.
 	c.maxClientTimeout = max(c.maxClientTimeout, e.ClientTimeout)
 	if e.ClientTimeout < c.maxClientTimeout-b.settings.Tick &&
 		(e.ClientRetry || !b.settings.ClientsMarkRetries) {
@@ -103,7 +103,7 @@
 	}
 }
 
-// isTooLate reports whether it is too late for an attempt after the wait, since the client gives up before.
+// isTooLate reports whether the client gives up before an attempt can be made after the wait.
 func (b *Balancer) isTooLate(r *request, wait time.Duration) bool {
 	return b.now+wait+b.settings.Tick >= r.deadline
 }
--- a/internal/balancer/settings.go
+++ b/internal/balancer/settings.go
@@ -68,11 +68,11 @@
 
 // Rules are the properties of the deployment that the Balancer must respect.
 type Rules struct {
-	DrainGrace        time.Duration // time after the notice of a drain from which the server gets no requests
+	DrainGrace        time.Duration // time from the notice of a drain until the server must get no more requests
 	MaxPollInterval   time.Duration // maximum time between polls of discovery on demand
 	SlowStartCapacity float64       // capacity of a server that just started, as a fraction of its full capacity
-	SlowStartDuration time.Duration // time after its start from which a server has its full capacity
-	// multiple of its capacity above which a server in slow start fails when it gets that for OverloadWindow
+	SlowStartDuration time.Duration // time from a server's start until it has its full capacity
+	// load, as a multiple of its capacity, above which a server in slow start fails after OverloadWindow
 	OverloadMultiple float64
 	OverloadWindow   time.Duration // see OverloadMultiple
 	GoneUsable       bool          // servers listed as gone may still be used; draining ones may not
--- a/internal/balancer/simulation_test.go
+++ b/internal/balancer/simulation_test.go
@@ -32,8 +32,8 @@
 type openRequest struct {
 	class    Class
 	request  *Request
-	deadline time.Duration // the client's deadline
-	answers  int           // number of final answers
+	deadline time.Duration
+	answers  int // number of final answers
 	attempts []sentAttempt
 }
 
