--- a/internal/metrics/counters.go
+++ b/internal/metrics/counters.go
@@ -1,40 +1,39 @@
-// Package metrics counts what an agent does: each request and attempt once, where it ends.
+// Package metrics counts an agent's requests and attempts.
 //
-// Counters owns the counts; they begin at zero with the process. There is no input or output here: the
-// operators' socket reads the counts, and whatever else shows them. Everything is safe for concurrent use,
-// and nothing waits.
+// Counters owns the counts, which start at zero with the process. The package does no I/O: the operators'
+// socket and others read the counts. Everything is safe for concurrent use, and nothing blocks.
 package metrics
 
 import "sync/atomic"
 
-// Ending is how a request ended, as its client saw it.
+// Ending is how a request ended from its client's point of view.
 type Ending uint8
 
-// The endings. A request that its client abandoned is counted by none of the others.
+// The endings. A request that its client abandoned counts as Abandoned only.
 const (
-	OK       Ending = iota // served, to the last byte
-	Rejected               // rejected, by whichever part of the agent or by the server
-	Error                  // failed, malformed, or cut off within the response
+	OK       Ending = iota // served completely
+	Rejected               // by any part of the agent or by the server
+	Error                  // failed, malformed, or cut off during the response
 	Abandoned
 	endingCount
 )
 
-// Counters holds the counts.
+// Counters counts requests, attempts and upstream servers.
 type Counters struct {
-	classes   map[string]*[endingCount]atomic.Int64 // never changed after New
+	classes   map[string]*[endingCount]atomic.Int64 // the map does not change after New
 	attempts  atomic.Int64
 	active    atomic.Int64
 	endpoints atomic.Pointer[Endpoints]
 	ejected   atomic.Int64
 }
 
-// Endpoints is how many upstream servers there are.
+// Endpoints is the number of upstream servers.
 type Endpoints struct {
 	Listed int // in discovery's list
-	Banned int // of these, ejected by operators
+	Banned int // of these, disabled by operators
 }
 
-// New returns counts for the classes of a deployment; requests of other classes are counted by none.
+// New returns Counters for the classes of a deployment. Requests of other classes have no count by ending.
 func New(classes []string) *Counters {
 	c := &Counters{classes: map[string]*[endingCount]atomic.Int64{}}
 	for _, class := range classes {
@@ -44,34 +43,35 @@
 	return c
 }
 
-// Request is a request that is counted, until its End.
+// Request is a counted request, from NewRequest or StartRequest to End.
 type Request struct {
 	counters   *Counters
-	counts     *[endingCount]atomic.Int64 // nil: of no class that is known
+	counts     *[endingCount]atomic.Int64 // nil: unknown class
 	hasStarted atomic.Bool
 	hasEnded   bool
 }
 
-// StartRequest counts a request as active.
+// StartRequest returns a new request that is counted as active.
 func (c *Counters) StartRequest(class string) *Request {
 	r := c.NewRequest(class)
 	r.Start()
 	return r
 }
 
-// NewRequest returns a request that has not been read completely: it is active from Start on.
+// NewRequest returns a request that has not been read completely; it becomes active with Start.
 func (c *Counters) NewRequest(class string) *Request {
 	return &Request{counters: c, counts: c.classes[class]}
 }
 
-// Start counts a request as active. After End, or for a second time, it does nothing.
+// Start counts the request as active. After End, or when called again, it does nothing.
 func (r *Request) Start() {
 	if !r.hasStarted.Swap(true) {
 		r.counters.active.Add(1)
 	}
 }
 
-// End counts how the request ended. A second End does nothing, nor does one of a nil request.
+// End records how the request ended; it is then no longer active. When called again, or on a nil Request,
+// it does nothing.
 func (r *Request) End(e Ending) {
 	if r == nil || r.hasEnded {
 		return
@@ -85,28 +85,28 @@
 	}
 }
 
-// AttemptSent counts an attempt that was completely written to an upstream server.
+// AttemptSent counts an attempt that was written completely to an upstream server.
 func (c *Counters) AttemptSent() { c.attempts.Add(1) }
 
-// SetEndpoints takes in how many upstream servers there are now.
+// SetEndpoints sets the current number of upstream servers.
 func (c *Counters) SetEndpoints(p Endpoints) { c.endpoints.Store(&p) }
 
-// SetEjected takes in how many listed servers the balancer ejects now. Those that operators ejected are not
-// among them: the balancer takes them for draining.
+// SetEjected sets how many listed servers the balancer currently ejects. Servers that operators disabled
+// are not included: the balancer treats them as draining.
 func (c *Counters) SetEjected(n int) { c.ejected.Store(int64(n)) }
 
-// Counts are a class's requests by how they ended.
+// Counts is the number of a class's requests by ending.
 type Counts struct{ OK, Rejected, Errors, Abandoned int64 }
 
-// Reading is what the counts are at a time.
+// Reading is a snapshot of all counts.
 type Reading struct {
-	Responses        map[string]Counts // every class of the deployment
-	Attempts, Active int64             // attempts; requests that are active
-	Listed           int64             // upstream servers in the list
-	Ejected          int64             // of these, ejected now by operators or the balancer; each once
+	Responses        map[string]Counts // by class; has every class of the deployment
+	Attempts, Active int64             // attempts sent; active requests
+	Listed           int64             // upstream servers in discovery's list
+	Ejected          int64             // of these, disabled by operators or ejected by the balancer, each once
 }
 
-// Read reads all counts. Each is right by itself; they may be some instructions apart.
+// Read returns all counts. Each is right by itself, but they are not read at the same instant.
 func (c *Counters) Read() Reading {
 	r := Reading{
 		Responses: make(map[string]Counts, len(c.classes)), Attempts: c.attempts.Load(),
--- a/internal/metrics/counters_test.go
+++ b/internal/metrics/counters_test.go
@@ -7,8 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestCounters: in any order of endings, all responses together are the requests that ended, active is what was started
-// less that, no ending counts twice, and no more servers are ejected than are listed.
+// TestCounters checks for any order of calls that all responses together are the requests that ended, that
+// the other started requests are active, that no ending counts twice, and that no more servers are ejected
+// than listed.
 func TestCounters(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		counters := New([]string{"consult", "rezervare"})
@@ -22,10 +23,10 @@
 					return
 				}
 				i := rapid.IntRange(0, len(open)-1).Draw(t, "i")
-				how := Ending(rapid.IntRange(0, int(endingCount)-1).Draw(t, "how"))
-				open[i].End(how)
-				open[i].End(OK) // counts for nothing
-				ended[how]++
+				ending := Ending(rapid.IntRange(0, int(endingCount)-1).Draw(t, "ending"))
+				open[i].End(ending)
+				open[i].End(OK) // must have no effect
+				ended[ending]++
 				open = append(open[:i], open[i+1:]...)
 			},
 			"attempt": func(*rapid.T) { counters.AttemptSent(); attempts++ },
@@ -41,7 +42,7 @@
 					sum.OK, sum.Rejected = sum.OK+c.OK, sum.Rejected+c.Rejected
 					sum.Errors, sum.Abandoned = sum.Errors+c.Errors, sum.Abandoned+c.Abandoned
 				}
-				require.Len(t, r.Responses, 2, "classes without a request are there")
+				require.Len(t, r.Responses, 2, "classes without a request must be included")
 				require.Equal(t, Counts{int64(ended[OK]), int64(ended[Rejected]), int64(ended[Error]), int64(ended[Abandoned])}, sum)
 				require.EqualValues(t, len(open), r.Active)
 				require.EqualValues(t, started, r.Active+sum.OK+sum.Rejected+sum.Errors+sum.Abandoned)
@@ -52,22 +53,23 @@
 	})
 }
 
-// TestUnknownClass: a request of an unknown class is active while it lasts, and counted by no class.
+// TestUnknownClass checks that a request of an unknown class is active until its end, and is not counted in
+// any class.
 func TestUnknownClass(t *testing.T) {
 	counters := New([]string{"consult"})
-	o := counters.StartRequest("nothing")
+	r := counters.StartRequest("unknown")
 	require.EqualValues(t, 1, counters.Read().Active)
-	o.End(Error)
+	r.End(Error)
 	require.Equal(t, Reading{Responses: map[string]Counts{"consult": {}}}, counters.Read())
 }
 
-// BenchmarkRequest is what counting costs for each request.
+// BenchmarkRequest measures the cost of counting one request.
 func BenchmarkRequest(b *testing.B) {
 	counters := New([]string{"consult", "rezervare"})
 	b.ReportAllocs()
 	for b.Loop() {
-		o := counters.StartRequest("consult")
+		r := counters.StartRequest("consult")
 		counters.AttemptSent()
-		o.End(OK)
+		r.End(OK)
 	}
 }
