--- a/internal/overload/admission.go
+++ b/internal/overload/admission.go
@@ -7,15 +7,15 @@
 
 const (
 	notRejected      rejectReason = iota
-	rejectEarlyRetry              // a retry storm is on, and the client ignores its Retry-After
-	rejectThrottled               // the adaptive throttle admits no more
-	rejectShedding                // load is shed, and the request comes late in the order of fairness
-	rejectOutage                  // no server responds, and it is no trial
-	rejectRecovering              // the servers have not proved yet that they can serve so much
+	rejectEarlyRetry              // a retry storm is active, and the client ignores its Retry-After
+	rejectThrottled               // the adaptive throttle is at its limit
+	rejectShedding                // load is shed, and the request is late in the fairness order
+	rejectOutage                  // no server responds, and the request is not a trial
+	rejectRecovering              // the servers have not yet proved able to serve that many
 )
 
-// isForOverload reports whether a rejection shows that not all is admitted yet, which an outage needs to be
-// over.
+// isForOverload reports whether a rejection counts against the end of an outage, which requires that nearly
+// all requests are admitted.
 func (r rejectReason) isForOverload() bool {
 	return r == rejectShedding || r == rejectOutage || r == rejectRecovering
 }
@@ -28,16 +28,17 @@
 	clientRetry
 )
 
-// arrival is what is found out of a request before it is decided on.
+// arrival is what the admission decision needs to know of a request.
 type arrival struct {
 	client clientID
 	kind   arrivalKind
 	priority
 	counts bool // against its tenant's quota
-	tier   int  // in the order of fairness
+	tier   int  // in the fairness order
 }
 
-// admit decides on a request. It returns what the balancer is to see of it, or nil where it is rejected.
+// admit decides on a request. It returns the event to pass to the balancer, or nil if the request is
+// rejected.
 func (c *Controller) admit(e *balancer.Request) balancer.Event {
 	c.arrivals.add(c.now, 1)
 	c.outage.requestsSinceSuccess++
@@ -62,23 +63,23 @@
 	return e
 }
 
-// recordArrival counts a request everywhere and finds its place in the order of fairness.
+// recordArrival counts a request in all statistics and determines its place in the fairness order.
 func (c *Controller) recordArrival(e *balancer.Request) arrival {
 	a := arrival{client: c.retryAfters.clientID(e.Key, e.Tenant, e.Class)}
-	back := c.retryAfters.find(c.now, a.client)
-	if e.ClientRetry || back != nil && !c.settings.ClientsMarkRetries {
+	entry := c.retryAfters.find(c.now, a.client)
+	if e.ClientRetry || entry != nil && !c.settings.ClientsMarkRetries {
 		a.kind = clientRetry
 	}
 	quota := c.checkQuota(e.Tenant, a.kind)
 	a.counts, a.overQuota = quota.counts, quota.overQuota
-	a.ignoresRetryAfter = back != nil && a.kind == clientRetry && back.ignoresRetryAfter(c.now)
+	a.ignoresRetryAfter = entry != nil && a.kind == clientRetry && entry.ignoresRetryAfter(c.now)
 	a.tier = c.fairness.tier(e.Class, a.priority)
 	c.fairness.add(c.now, a.tier)
 	c.retryStorm.recordArrival(c.now, a.kind)
 	return a
 }
 
-// checkAdmission decides whether a request is rejected, step by step; the first reason holds.
+// checkAdmission returns the first reason that applies for rejecting a request, or notRejected.
 func (c *Controller) checkAdmission(e *balancer.Request, a arrival) rejectReason {
 	if c.rejectsEarlyRetry(a.priority) {
 		return rejectEarlyRetry
@@ -96,7 +97,7 @@
 	return c.checkOutage(e, before)
 }
 
-// reject rejects a request at once: with a Retry-After, and with the tenant's quota where that is configured.
+// reject rejects a request at once, with a Retry-After and, if configured, the tenant's quota.
 func (c *Controller) reject(e *balancer.Request, a arrival) {
 	c.countRejected(e.Tenant)
 	c.actions = append(c.actions, balancer.Action{
--- a/internal/overload/admission_test.go
+++ b/internal/overload/admission_test.go
@@ -9,7 +9,7 @@
 	"dunestep/internal/balancer"
 )
 
-// TestAdmissionReasons: each step of the decision on a request has its own reason.
+// TestAdmissionReasons checks that each step of the admission decision returns its own reason.
 func TestAdmissionReasons(t *testing.T) {
 	newController := func(t *testing.T) *Controller {
 		c, err := New(deployment(1, 0), Config{}, &fakeBalancer{maxInFlight: 100, servers: 1, sparse: true}, 1)
@@ -44,7 +44,7 @@
 	}
 }
 
-// TestAttemptReasons: each step of the decision on an attempt has its own reason.
+// TestAttemptReasons checks that each step of the decision on an attempt returns its own reason.
 func TestAttemptReasons(t *testing.T) {
 	for name, tt := range map[string]struct {
 		phase   phase
@@ -53,14 +53,14 @@
 		retry   bool
 		want    suppressReason
 	}{
-		"normal":                     {phaseNormal, 0, 0, true, notSuppressed},
-		"outage, trial":              {phaseOutage, 0, 5, false, notSuppressed},
-		"outage, retry":              {phaseOutage, 0, 5, true, suppressOutage},
-		"recovering, budget":         {phaseRecovering, 0, 1, true, notSuppressed},
-		"recovering, no budget":      {phaseRecovering, 0, 0.9, true, suppressRetryBudget},
-		"recovering, first attempt":  {phaseRecovering, 0, 0, false, notSuppressed},
-		"warming up, at its limit":   {phaseRecovering, epoch, 5, false, suppressWarmingUp},
-		"warming up, in normal days": {phaseNormal, epoch, 5, false, notSuppressed},
+		"normal":                    {phaseNormal, 0, 0, true, notSuppressed},
+		"outage, trial":             {phaseOutage, 0, 5, false, notSuppressed},
+		"outage, retry":             {phaseOutage, 0, 5, true, suppressOutage},
+		"recovering, budget":        {phaseRecovering, 0, 1, true, notSuppressed},
+		"recovering, no budget":     {phaseRecovering, 0, 0.9, true, suppressRetryBudget},
+		"recovering, first attempt": {phaseRecovering, 0, 0, false, notSuppressed},
+		"slow start, at its limit":  {phaseRecovering, epoch, 5, false, suppressWarmingUp},
+		"slow start, normal phase":  {phaseNormal, epoch, 5, false, notSuppressed},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c, err := New(deployment(1, 0), Config{}, &fakeBalancer{}, 1)
--- a/internal/overload/attempts.go
+++ b/internal/overload/attempts.go
@@ -9,29 +9,29 @@
 )
 
 const (
-	retryBudgetFraction = 0.1 // attempts beyond the first for each request forwarded
+	retryBudgetFraction = 0.1 // attempts beyond the first, per forwarded request
 	maxRetryBudget      = 5.0 // attempts
 )
 
-// request is what is kept of an admitted request until it is answered and its attempts have ended.
+// request is the state of an admitted request, kept until it is answered and its attempts have ended.
 type request struct {
 	client           clientID
 	tenant           string
 	overQuota        bool
-	attempts         []attempt // those that were sent, by the caller's number
-	balancerAttempts int       // attempts by the balancer's count, which has those that were suppressed
+	attempts         []attempt // sent attempts, indexed by the caller's attempt number
+	balancerAttempts int       // number of attempts as the balancer counts them, including suppressed ones
 	openAttempts     int
 	isAnswered       bool
-	isStreaming      bool // its class streams: servers work until the end of the response
+	isStreaming      bool // its class has streamed responses: servers work until the end of the response
 }
 
-// attempt is an attempt at a request that was sent.
+// attempt is an attempt that was sent.
 type attempt struct {
-	balancerNumber  int // by the balancer's count
+	balancerNumber  int // attempt number used by the balancer
 	server          *server
-	concurrency     float64 // at its start
+	concurrency     float64 // at the start of the attempt
 	hasEnded        bool
-	responseStarted bool // and the server's work is done
+	responseStarted bool // the server's work is done and no longer counted as in flight
 }
 
 func (c *Controller) addRequest(e *balancer.Request, a arrival) {
@@ -47,7 +47,7 @@
 	c.requests[e.ID] = r
 }
 
-// onAction takes in an action of the balancer, and reports whether it is to be carried out.
+// onAction processes an action of the balancer and reports whether the caller must carry it out.
 func (c *Controller) onAction(a *balancer.Action) bool {
 	r := c.requests[a.ID]
 	switch a.Kind {
@@ -67,7 +67,7 @@
 	return true
 }
 
-// onBalancerReject completes a rejection by the balancer, and remembers when the client is to come back.
+// onBalancerReject completes a rejection by the balancer and records when the client should return.
 func (c *Controller) onBalancerReject(a *balancer.Action, r *request) {
 	a.OverQuota, a.Quota = r.overQuota && !c.config.Disabled, c.reportedQuota(r.tenant)
 	if c.outage.phase != phaseNormal || c.isSheddingNow() {
@@ -77,7 +77,8 @@
 	}
 }
 
-// renumberAttempt gives an action the number that the caller knows its attempt by; false: it was suppressed.
+// renumberAttempt replaces the balancer's attempt number in an action by the caller's. It returns false if
+// the attempt was suppressed.
 func (r *request) renumberAttempt(a *balancer.Action) bool {
 	for i := range r.attempts {
 		if r.attempts[i].balancerNumber == a.Attempt {
@@ -88,7 +89,8 @@
 	return false
 }
 
-// onSend records an attempt, unless it is suppressed: then the balancer is notified that it was not sent.
+// onSend records an attempt and returns true. If the attempt is suppressed, it notifies the balancer that
+// the attempt was not sent and returns false.
 func (c *Controller) onSend(a *balancer.Action, r *request) bool {
 	number, s := r.balancerAttempts, c.server(a.Server)
 	r.balancerAttempts++
@@ -116,14 +118,14 @@
 
 const (
 	notSuppressed       suppressReason = iota
-	suppressWarmingUp                  // its server warms up and has proved no more
-	suppressOutage                     // during an outage each trial has one attempt
-	suppressRetryBudget                // during recovery: the budget for further attempts is spent
+	suppressWarmingUp                  // the server is in slow start and has not proved able to serve more
+	suppressOutage                     // during an outage, each trial has one attempt
+	suppressRetryBudget                // during recovery, the budget for further attempts is spent
 )
 
-// checkAttempt decides whether an attempt is made, step by step; the first reason to suppress it holds. A
-// server that warms up and has to take over what others cannot serve gets no more than it proves to serve:
-// each agent's own slow-start budget is small, but all agents turn to that server at once.
+// checkAttempt returns the first reason that applies for suppressing an attempt, or notSuppressed. When few
+// servers work, a server in slow start gets no more than it proves able to serve: each agent's own
+// slow-start budget is small, but all agents turn to that server at once.
 func (c *Controller) checkAttempt(r *request, s *server) suppressReason {
 	if c.config.Disabled {
 		return notSuppressed
@@ -146,7 +148,8 @@
 	return notSuppressed
 }
 
-// onStreamStarted takes in that a response has started, and returns the event with the balancer's number.
+// onStreamStarted records that a response has started and returns the event with the balancer's attempt
+// number.
 func (c *Controller) onStreamStarted(e *balancer.StreamStarted) balancer.Event {
 	r := c.requests[e.ID]
 	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) {
@@ -161,9 +164,10 @@
 	return &c.streamStartedEvent
 }
 
-// onAttemptDone takes in the end of an attempt, and returns what the balancer is to see of it. The failure of
-// a trial in an outage says nothing of its server: to the balancer it was canceled, or it would eject every
-// server, and have each prove itself on its own once they respond again.
+// onAttemptDone records the end of an attempt and returns the event to pass to the balancer. A trial that
+// fails during an outage is no evidence against its server and is reported as canceled: otherwise the
+// balancer would eject every server, and each would have to prove itself on its own once the servers
+// respond again.
 func (c *Controller) onAttemptDone(e *balancer.AttemptDone) balancer.Event {
 	r := c.requests[e.ID]
 	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || r.attempts[e.Attempt].hasEnded {
@@ -184,7 +188,7 @@
 		}
 		c.retryAfters.forget(c.now, r.client)
 	}
-	if !e.Evidence.LocalShortage { // what this agent is short of says nothing of its servers
+	if !e.Evidence.LocalShortage { // a shortage at this agent is no evidence about its servers
 		c.recordAttemptEnd(a.server, e.Outcome)
 	}
 	r.isAnswered = r.isAnswered || e.RequestDone
@@ -197,7 +201,7 @@
 	return &c.attemptDoneEvent
 }
 
-// leaveInFlight takes an attempt out of what is in flight, once.
+// leaveInFlight removes an attempt from the requests in flight, once.
 func (c *Controller) leaveInFlight(a *attempt) {
 	if !a.responseStarted {
 		a.server.inFlight--
@@ -205,7 +209,8 @@
 	}
 }
 
-// recordServiceTime compares a response's latency with the usual service time, and learns from it.
+// recordServiceTime compares a response's latency with the usual service time and updates the estimate of
+// the latter.
 func (c *Controller) recordServiceTime(a *attempt, latency time.Duration) {
 	s, logSeconds := a.server, math.Log(latency.Seconds())
 	c.firstResponseAt = cmp.Or(c.firstResponseAt, c.now)
@@ -224,7 +229,7 @@
 	s.serviceTime.observe(a.concurrency, logSeconds, gain)
 }
 
-// onFinalAnswer notes that a request has its answer, or needs none any more.
+// onFinalAnswer marks a request as answered, or as abandoned by its client.
 func (c *Controller) onFinalAnswer(id uint32) {
 	if r := c.requests[id]; r != nil {
 		r.isAnswered = true
@@ -232,7 +237,7 @@
 	}
 }
 
-// releaseRequest drops a request that is answered and has no attempt left.
+// releaseRequest frees a request that is answered and has no open attempt.
 func (c *Controller) releaseRequest(id uint32, r *request) {
 	if r.isAnswered && r.openAttempts == 0 {
 		delete(c.requests, id)
--- a/internal/overload/config.go
+++ b/internal/overload/config.go
@@ -7,38 +7,38 @@
 	"time"
 )
 
-// Config is what an operator may set of the overload control: the operator file's table [storm]. Each number
-// must be above zero and finite.
+// Config has the operator's settings of overload control: the table [storm] of the operator file. Each
+// number must be above zero and finite.
 type Config struct {
 	// Disabled forwards every request.
 	Disabled bool
-	// EpisodeFactor is how many times the usual service time responses must take, at every server at once, to be
-	// a latency episode.
+	// EpisodeFactor is the ratio of response times to the usual service time from which a latency episode
+	// begins, provided that most servers are slow at once.
 	EpisodeFactor float64
-	// SheddingFraction is the fraction of what the servers carried that is admitted while load is shed.
+	// SheddingFraction is the fraction of the previously served rate that is admitted while load is shed.
 	SheddingFraction float64
-	// MaxShedding is how long load is shed at most; MinShedding how long before an improvement counts as its
-	// effect.
+	// MaxShedding is the maximum duration of load shedding. MinShedding is the duration after which an
+	// improvement counts as an effect of shedding.
 	MaxShedding, MinShedding time.Duration
-	// SheddingBackoff is for how long no load is shed again after shedding that did not end an episode; it
-	// doubles each time.
+	// SheddingBackoff is the time without load shedding after shedding that did not end an episode; it doubles
+	// each time.
 	SheddingBackoff time.Duration
-	// TrialFraction is how many trial requests are forwarded for each first attempt during an outage.
+	// TrialFraction is the number of trial requests forwarded per first attempt during an outage.
 	TrialFraction float64
-	// RecoveryHeadroom is how many times the usual number of requests may be in flight during recovery.
+	// RecoveryHeadroom is the limit of requests in flight during recovery, as a multiple of the usual number.
 	RecoveryHeadroom float64
 	// WastedFraction is the fraction of wasted attempts at which an agent of a large fleet admits hardly more
-	// than what is answered; from 1 on there is no throttle.
+	// than is answered. From 1 on, the throttle is off.
 	WastedFraction float64
-	// SheddingWhenSparse has agents of a large fleet that send little each shed load as well.
+	// SheddingWhenSparse makes the agents of a large fleet shed load although each sends only a few requests.
 	SheddingWhenSparse bool
-	// ReportQuota has rejections carry the tenant's quota.
+	// ReportQuota adds the tenant's quota to rejections.
 	ReportQuota bool
-	// FairnessRotation is the time in which each key moves once through the order of admission.
+	// FairnessRotation is the time in which each key moves once through the fairness order.
 	FairnessRotation time.Duration
 }
 
-// DefaultConfig returns what holds without an operator file.
+// DefaultConfig returns the configuration that applies without an operator file.
 func DefaultConfig() Config {
 	return Config{
 		EpisodeFactor: 1.65, SheddingFraction: 0.5, MaxShedding: 3800 * time.Millisecond,
@@ -47,8 +47,8 @@
 	}
 }
 
-// withDefaults returns the defaults for the zero value, disabled or not, and an error for a number that
-// cannot be used.
+// withDefaults returns DefaultConfig for a Config that sets nothing but Disabled, which is kept. Otherwise
+// it returns c, with an error if a number is not above zero and finite.
 func (c Config) withDefaults() (Config, error) {
 	if c == (Config{Disabled: c.Disabled}) {
 		defaults := DefaultConfig()
--- a/internal/overload/controller.go
+++ b/internal/overload/controller.go
@@ -9,69 +9,69 @@
 	"dunestep/internal/balancer"
 )
 
-// Balancer chooses the servers of what is admitted: balancer.Balancer.
+// Balancer chooses the servers of admitted requests. balancer.Balancer implements it.
 type Balancer interface {
 	Step(now time.Duration, ev balancer.Event) []balancer.Action
-	// ArrivalFraction is this agent's part of all arrivals, from 0 to 1.
+	// ArrivalFraction returns this agent's fraction of the fleet's arrivals, from 0 to 1.
 	ArrivalFraction() float64
-	// IsSparse reports whether the agent is one of so many that its own requests in flight say nothing of the
-	// servers'.
+	// IsSparse reports whether the agent is one of so many, and sends so little, that its own requests in
+	// flight do not show how busy the servers are.
 	IsSparse() bool
-	// ApplyFleetPolicy, SetExclusions, TenantStats and SetRingAssignment: see balancer.Balancer.
+	// ApplyFleetPolicy and the next three methods are documented at balancer.Balancer.
 	ApplyFleetPolicy(quota []float64, classes []balancer.RetryPolicy)
 	SetExclusions(a *balancer.Exclusions)
 	TenantStats() []balancer.TenantStats
 	SetRingAssignment(p *balancer.RingAssignment)
-	// SetWarmServersSaturated sets whether the servers that are not warming up have no capacity left.
+	// SetWarmServersSaturated sets whether the servers that are not in slow start have no capacity left.
 	SetWarmServersSaturated(on bool)
 }
 
 const (
-	randomStream = 0x73746f72 // keeps the draws apart from the balancer's, which has the same seed
+	randomStream = 0x73746f72 // keeps the draws independent of the balancer's, which uses the same seed
 
 	rateHalfLife        = 400 * time.Millisecond
 	usualRateHalfLife   = 3 * time.Second
 	factorHalfLife      = 300 * time.Millisecond
 	peakServersHalfLife = time.Minute
-	checkInterval       = 10 * time.Millisecond // between looks at episodes, retry storms and the throttle
+	checkInterval       = 10 * time.Millisecond // between checks of episodes, retry storms and the throttle
 )
 
-// Controller is the admission controller: it forwards requests to a Balancer, or rejects them.
+// Controller is the admission controller: it forwards requests to a Balancer or rejects them.
 type Controller struct {
 	balancer Balancer
 	settings balancer.Settings
 	rng      *rand.Rand
-	now      time.Duration // of the present event; never runs backwards
+	now      time.Duration // of the current event; never decreases
 
-	configured           Config  // the operator's
-	agreedWastedFraction float64 // the fleet policy's bound of Config.WastedFraction; zero: none
-	config               Config  // what holds: configured, within the bound
-	agents               int     // that share the servers, as far as is known
+	configured           Config  // as set by the operator
+	agreedWastedFraction float64 // the fleet policy's upper bound of Config.WastedFraction; zero: none
+	config               Config  // in effect: configured, within the agreed bound
+	agents               int     // estimated number that share the servers
 
-	actions       []balancer.Action // of the present event
-	pendingEvents []balancer.Event  // for the balancer, once it has taken the present one
+	actions       []balancer.Action // of the current event
+	pendingEvents []balancer.Event  // for the balancer, after the current event
 
 	requests     map[uint32]*request
-	freeRequests []*request // to be used again
+	freeRequests []*request // for reuse
 	servers      map[string]*server
-	serversByID  []*server                       // the same, sorted
-	serviceTimes map[string]*serviceTimeEstimate // by kind of machine
+	serversByID  []*server                       // the same, sorted by ID
+	serviceTimes map[string]*serviceTimeEstimate // by machine kind
 
-	longestObjective   time.Duration // of all classes' latency objectives
-	hasRepeatableClass bool          // there is a class that clients may repeat
+	longestObjective   time.Duration // maximum latency objective of all classes
+	hasRepeatableClass bool          // whether there is a class whose requests clients may repeat
 
 	fairness       fairnessOrder
 	quotas         map[string]*tenantQuota // by tenant
-	rejected       map[string]uint64       // requests rejected here, by tenant or balancer.NoTenant
+	rejected       map[string]uint64       // number of requests rejected here, by tenant or balancer.NoTenant
 	retryAfters    retryAfterTable
-	lastReturnSlot time.Duration // when the last rejected client is to come back
+	lastReturnSlot time.Duration // return time of the last rejected client
 
-	inFlight        meanCount     // requests of this agent at servers
+	inFlight        meanCount     // this agent's requests at servers
 	arrivals        decayingSum   // requests
 	forwarded       decayingSum   // of these, forwarded
 	successes       decayingSum   // attempts that were served
-	usualSuccesses  decayingSum   // the same, over a longer time
-	peakServers     decayingSum   // ready servers: the most of late
+	usualSuccesses  decayingSum   // the same, with a longer half-life
+	peakServers     decayingSum   // recent maximum of ready servers
 	firstResponseAt time.Duration // zero: none yet
 
 	checkedAt   time.Duration
@@ -79,16 +79,16 @@
 	outage      outageState
 	retryStorm  retryStorm
 	throttle    adaptiveThrottle
-	retryBudget float64 // attempts beyond the first that may be made while an outage is not over
+	retryBudget float64 // attempts beyond the first that may be made until an outage is over
 
-	// The events for the balancer, which keeps none: used again for each.
+	// Events for the balancer, which does not retain them: reused for each call.
 	requestEvent       balancer.Request
 	attemptDoneEvent   balancer.AttemptDone
 	streamStartedEvent balancer.StreamStarted
 }
 
-// New returns a Controller before a Balancer that was built with the same settings. It fails where the config
-// has a number that cannot be used, or the settings have no classes.
+// New returns a Controller in front of next, a Balancer that was built with the same settings. It fails if
+// a number of the config is not above zero and finite, or if the settings have no classes.
 func New(set balancer.Settings, config Config, next Balancer, seed uint64) (*Controller, error) {
 	config, err := config.withDefaults()
 	if err != nil {
@@ -124,7 +124,7 @@
 	return c, nil
 }
 
-// NewWithBalancer returns a Controller before a balancer.Balancer of its own; it fails where either cannot be
+// NewWithBalancer returns a Controller in front of a new balancer.Balancer. It fails if either cannot be
 // built.
 func NewWithBalancer(set balancer.Settings, config Config, seed uint64) (*Controller, error) {
 	next, err := balancer.New(set, seed)
@@ -134,7 +134,8 @@
 	return New(set, config, next, seed)
 }
 
-// Step takes an event and returns the actions to carry out, in order, valid until the next Step.
+// Step processes an event and returns the actions to carry out, in order; they are valid until the next
+// Step.
 func (c *Controller) Step(now time.Duration, ev balancer.Event) []balancer.Action {
 	c.actions, c.pendingEvents = c.actions[:0], c.pendingEvents[:0]
 	c.now = max(c.now, now)
@@ -153,7 +154,7 @@
 	return c.actions
 }
 
-// takeIn takes an event and returns what the balancer is to see of it; nil: nothing.
+// takeIn processes an event and returns the event to pass to the balancer; nil: none.
 func (c *Controller) takeIn(ev balancer.Event) balancer.Event {
 	switch e := ev.(type) {
 	case *balancer.Request:
@@ -165,7 +166,7 @@
 	case *balancer.ClientGone:
 		c.onFinalAnswer(e.ID)
 	case *balancer.ServerListUpdate:
-		c.recentPeakServers() // before the list changes
+		c.recentPeakServers() // updates the peak before the list changes
 		return c.onServerListUpdate(e)
 	case *balancer.PeerMessage:
 		if len(e.Data) > 0 && e.Data[0] == messageOverload {
@@ -176,9 +177,9 @@
 	return ev
 }
 
-// stepBalancer passes an event to the balancer and takes in the actions that it returns.
+// stepBalancer passes an event to the balancer and processes the actions that it returns.
 func (c *Controller) stepBalancer(ev balancer.Event) {
-	c.balancer.SetWarmServersSaturated(c.throttle.isActive) // a sparse agent cannot see it elsewhere
+	c.balancer.SetWarmServersSaturated(c.throttle.isActive) // a sparse balancer cannot detect saturation itself
 	for _, a := range c.balancer.Step(c.now, ev) {
 		if c.onAction(&a) {
 			c.actions = append(c.actions, a)
@@ -186,7 +187,7 @@
 	}
 }
 
-// runPeriodicChecks looks at everything that is judged by rates.
+// runPeriodicChecks updates the states that depend on rates, once per checkInterval.
 func (c *Controller) runPeriodicChecks() {
 	if c.now < c.checkedAt+checkInterval {
 		return
@@ -197,7 +198,7 @@
 	c.updateEpisode()
 }
 
-// IsShedding reports whether requests are held back at this moment: for a latency episode, an outage or a
+// IsShedding reports whether requests may be rejected now because of a latency episode, an outage or a
 // retry storm.
 func (c *Controller) IsShedding() bool {
 	return c.isSheddingNow() || c.outage.phase != phaseNormal || c.retryStorm.isActive
--- a/internal/overload/controller_test.go
+++ b/internal/overload/controller_test.go
@@ -14,8 +14,8 @@
 	"dunestep/internal/balancer"
 )
 
-// propertyRun feeds any course of events to a controller with the real balancer, and checks what is owed to
-// clients and servers.
+// propertyRun feeds an arbitrary sequence of events to a controller with the real balancer, and checks the
+// invariants of requests and attempts.
 type propertyRun struct {
 	controller *Controller
 	now        time.Duration
@@ -28,8 +28,8 @@
 // playedRequest is a request of a propertyRun.
 type playedRequest struct {
 	class string
-	out   []string // servers of its attempts, by number; empty: the attempt has ended
-	ran   bool     // or may have run
+	out   []string // servers of its attempts, by attempt number; empty: the attempt has ended
+	ran   bool     // processed by a server, or possibly so
 	final bool
 }
 
@@ -49,33 +49,33 @@
 		switch a.Kind {
 		case balancer.Send:
 			if r == nil || r.final {
-				p.t.Fatalf("sends a request that is answered: %v", a)
+				p.t.Fatalf("attempt sent for a request that is already answered: %v", a)
 			}
 			if r.class == "rezervare" && r.ran {
-				p.t.Fatalf("retries a request that is not idempotent and may have run: %v", a)
+				p.t.Fatalf("retry of a non-idempotent request that a server may have processed: %v", a)
 			}
 			r.out = append(r.out, a.Server)
 		case balancer.Reject, balancer.Fail:
 			if r == nil || r.final {
-				p.t.Fatalf("a second answer: %v", a)
+				p.t.Fatalf("second answer to a request: %v", a)
 			}
 			if a.Kind == balancer.Reject && r.class == "rezervare" && r.ran {
-				p.t.Fatalf("rejects a request that is not idempotent and may have run: %v", a)
+				p.t.Fatalf("rejection of a non-idempotent request that a server may have processed: %v", a)
 			}
 			r.final = true
 		case balancer.SetTimer:
 			p.timers[a.Tag] = p.now + a.After
 		case balancer.Cancel:
 			if r != nil && a.Attempt >= len(r.out) {
-				p.t.Fatalf("cancels an attempt that was never sent: %v", a)
+				p.t.Fatalf("cancellation of an attempt that was never sent: %v", a)
 			}
 		}
 	}
 }
 
-// advance lets time pass, and timers come due.
-func (p *propertyRun) advance(span time.Duration) {
-	p.now += span
+// advance moves the time forward and fires the timers that are due.
+func (p *propertyRun) advance(d time.Duration) {
+	p.now += d
 	for _, tag := range slices.Sorted(maps.Keys(p.timers)) {
 		if p.timers[tag] <= p.now {
 			delete(p.timers, tag)
@@ -84,54 +84,54 @@
 	}
 }
 
-// endAttempt ends an attempt that is in flight.
+// endAttempt ends an attempt in flight with the outcome.
 func (p *propertyRun) endAttempt(id uint32, r *playedRequest, attempt int, outcome balancer.Outcome) {
 	server := r.out[attempt]
 	r.out[attempt] = ""
 	if !outcome.Unprocessed() {
 		r.ran = true
 	}
-	finished := r.final
+	requestDone := r.final
 	if outcome == balancer.Served && !r.final {
-		r.final, finished = true, true
+		r.final, requestDone = true, true
 	}
 	p.step(&balancer.AttemptDone{
 		ID: id, Attempt: attempt, Server: server, Outcome: outcome,
-		Latency: time.Duration(rapid.IntRange(1, 600).Draw(p.t, "ms")) * time.Millisecond, RequestDone: finished,
+		Latency: time.Duration(rapid.IntRange(1, 600).Draw(p.t, "ms")) * time.Millisecond, RequestDone: requestDone,
 	})
 }
 
-// TestAnyCourseOfEvents: whatever comes, in normal times, in outages and after them, each request has one
-// answer; one that is not idempotent and may have run is neither retried nor rejected; and nothing is left
-// over.
+// TestAnyCourseOfEvents checks that for any sequence of events, in normal operation, in outages and after
+// them, each request gets exactly one answer; that a non-idempotent request that may have been processed is
+// neither retried nor rejected; and that no state is left over.
 func TestAnyCourseOfEvents(t *testing.T) {
-	met := map[string]int{}
-	defer func() { require.Len(t, met, 2, "the runs must have outages, and ends of them") }()
+	phasesSeen := map[string]int{}
+	defer func() { require.Len(t, phasesSeen, 2, "the runs must include outages and recoveries") }()
 	rapid.Check(t, func(t *rapid.T) {
 		p := newPropertyRun(t, Config{})
-		list := func(n int) {
+		setServers := func(n int) {
 			update := &balancer.ServerListUpdate{Kind: balancer.UpdateFull}
 			for i := range n {
 				update.Servers = append(update.Servers, balancer.Server{ID: fmt.Sprint("s-", i), MachineKind: "k", Weight: 1})
 			}
 			p.step(update)
 		}
-		list(4)
+		setServers(4)
 		var ids uint32
 		for range rapid.IntRange(1, 8).Draw(t, "phases") {
-			served := rapid.SampledFrom([]int{0, 0, 50, 98}).Draw(t, "served in 100")
+			servedPercent := rapid.SampledFrom([]int{0, 0, 50, 98}).Draw(t, "served percent")
 			failure := rapid.SampledFrom([]balancer.Outcome{
 				balancer.TimedOut, balancer.Rejected, balancer.ConnectFailed,
 				balancer.ConnectionLost, balancer.ServerError,
-			}).Draw(t, "else")
+			}).Draw(t, "failure")
 			for range rapid.IntRange(20, 250).Draw(t, "events") {
 				p.advance(10 * time.Millisecond)
-				switch rapid.IntRange(0, 99).Draw(t, "what") {
+				switch rapid.IntRange(0, 99).Draw(t, "event") {
 				case 0:
-					list(rapid.IntRange(0, 5).Draw(t, "servers"))
+					setServers(rapid.IntRange(0, 5).Draw(t, "servers"))
 				case 1:
 					p.step(&balancer.PeerMessage{From: 1, Data: message{
-						kind:      messageKind(rapid.IntRange(0, 2).Draw(t, "says")),
+						kind:      messageKind(rapid.IntRange(0, 2).Draw(t, "message kind")),
 						logFactor: 1, weight: 50, startsAt: p.now + 50*time.Millisecond,
 					}.encode()})
 				default:
@@ -144,14 +144,14 @@
 					for id := ids - min(ids-1, 30); id <= ids; id++ {
 						r := p.open[id]
 						for n := range r.out {
-							if r.out[n] != "" && !r.final && rapid.IntRange(0, 9).Draw(t, "begins") == 0 {
-								r.final, r.ran = true, true // it is the answer, however it ends
+							if r.out[n] != "" && !r.final && rapid.IntRange(0, 9).Draw(t, "starts") == 0 {
+								r.final, r.ran = true, true // this response is the answer, however it ends
 								p.step(&balancer.StreamStarted{ID: id, Attempt: n})
 							}
 							if r.out[n] == "" || rapid.IntRange(0, 2).Draw(t, "ends") > 0 {
 								continue
 							}
-							if rapid.IntRange(1, 100).Draw(t, "luck") <= served {
+							if rapid.IntRange(1, 100).Draw(t, "percent") <= servedPercent {
 								p.endAttempt(id, r, n, balancer.Served)
 							} else {
 								p.endAttempt(id, r, n, failure)
@@ -161,8 +161,8 @@
 				}
 			}
 		}
-		seen := p.history
-		for range 4 * 3 { // all attempts in flight end, and those that follow from that
+		history := p.history
+		for range 4 * 3 { // end all attempts in flight and those that they cause
 			for id := uint32(1); id <= ids; id++ {
 				r := p.open[id]
 				for n := range r.out {
@@ -175,38 +175,39 @@
 		}
 		for id, r := range p.open {
 			if !r.final {
-				t.Fatalf("request %d has no answer", id)
+				t.Fatalf("request %d got no answer", id)
 			}
 		}
 		if n := len(p.controller.requests); n > 0 {
-			t.Fatalf("%d requests are kept after their end", n)
+			t.Fatalf("%d requests are kept although they have ended", n)
 		}
-		for _, what := range []string{"nothing was served", "served again"} {
-			if strings.Contains(seen, what) {
-				met[what]++
+		for _, text := range []string{"nothing was served", "served again"} {
+			if strings.Contains(history, text) {
+				phasesSeen[text]++
 			}
 		}
 		if p.controller.inFlight.count != 0 {
-			t.Fatalf("%d attempts are counted that have ended", p.controller.inFlight.count)
+			t.Fatalf("%d ended attempts are counted as in flight", p.controller.inFlight.count)
 		}
 		for _, s := range p.controller.serversByID {
 			if s.inFlight != 0 {
-				t.Fatalf("%d attempts are counted at %s that have ended", s.inFlight, s.entry.ID)
+				t.Fatalf("%d ended attempts are counted as in flight at %s", s.inFlight, s.entry.ID)
 			}
 		}
 	})
 }
 
-// TestDisabledForwardsEverything: a disabled controller does what the balancer does alone.
+// TestDisabledForwardsEverything checks that a disabled controller returns the same actions as the balancer
+// alone.
 func TestDisabledForwardsEverything(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := deployment(3, 0)
-		alone, err := balancer.New(set, 3)
+		forwardTarget, err := balancer.New(set, 3)
 		require.NoError(t, err)
 		p := newPropertyRun(t, Config{Disabled: true})
-		c, err := New(set, p.controller.config, alone, 3)
+		c, err := New(set, p.controller.config, forwardTarget, 3)
 		require.NoError(t, err)
-		bare, err := balancer.New(set, 3)
+		reference, err := balancer.New(set, 3)
 		require.NoError(t, err)
 		for i := range uint32(200) {
 			var ev balancer.Event = &balancer.Request{ID: i, Class: "consult", Key: fmt.Sprint(i % 9), ClientTimeout: time.Second}
@@ -220,13 +221,13 @@
 				}
 			}
 			now := epoch + time.Duration(i)*20*time.Millisecond
-			want := fmt.Sprint(bare.Step(now, ev))
+			want := fmt.Sprint(reference.Step(now, ev))
 			require.Equal(t, want, fmt.Sprint(c.Step(now, ev)))
 		}
 	})
 }
 
-// TestConfigValidation: a number that cannot be used is an error, at the start and later.
+// TestConfigValidation checks that an invalid number is an error in New and in SetConfig.
 func TestConfigValidation(t *testing.T) {
 	bad := DefaultConfig()
 	bad.EpisodeFactor = 0
--- a/internal/overload/decay.go
+++ b/internal/overload/decay.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// decayingSum is a sum that loses half of its weight in each half-life. It must not be updated backwards in
-// time: an earlier time than the last one leaves it as it is.
+// decayingSum is a sum that loses half of its weight in each half-life. An update with a time before the
+// last one does not decay it.
 type decayingSum struct {
 	halfLife  time.Duration
 	updatedAt time.Duration
@@ -29,13 +29,13 @@
 	s.weight += n
 }
 
-// perSecond is the rate that the weight stands for.
+// perSecond returns the rate, per second, that the weight corresponds to.
 func (s *decayingSum) perSecond(now time.Duration) float64 {
 	s.decay(now)
 	return s.weight * math.Ln2 / s.halfLife.Seconds()
 }
 
-// trackMean makes the weight a decaying mean of the values that it is given.
+// trackMean updates the weight as a decaying mean of the values passed.
 func (s *decayingSum) trackMean(now time.Duration, value float64) {
 	factor := s.decay(now)
 	s.weight += value * (1 - factor)
--- a/internal/overload/episode.go
+++ b/internal/overload/episode.go
@@ -3,40 +3,40 @@
 import "time"
 
 const (
-	sparseFactorHalfLife = 700 * time.Millisecond // for an agent that has too few responses in factorHalfLife
+	sparseFactorHalfLife = 700 * time.Millisecond // for an agent with too few responses within factorHalfLife
 
-	minOwnWeight    = 8.0  // responses: from then on an agent's own evidence counts by itself
-	minSparseWeight = 2.0  // the same over the longer time
-	minPooledWeight = 20.0 // responses of all agents, for an episode to begin
-	minAloneWeight  = 12.0 // the same for an agent that hears no other
-	minEndWeight    = 12.0 // responses, for an episode to be over
+	minOwnWeight    = 8.0  // responses from which an agent's own evidence is sufficient
+	minSparseWeight = 2.0  // the same over sparseFactorHalfLife
+	minPooledWeight = 20.0 // responses of all agents required to begin an episode
+	minAloneWeight  = 12.0 // the same for an agent without fresh evidence from others
+	minEndWeight    = 12.0 // responses required to end an episode
 
-	unusualFactor         = 1.25 // times the usual service time: from then on there is something to tell others
-	minSlowServerFraction = 0.7  // of the servers with recent responses: so many are slow in an episode
-	maxForwardedFraction  = 0.9  // where more is forwarded, shedding costs more than the episode
+	unusualFactor         = 1.25 // times the usual service time from which an agent sends its evidence
+	minSlowServerFraction = 0.7  // of servers with recent responses, in an episode
+	maxForwardedFraction  = 0.9  // of requests; above, shedding costs more than the episode
 
-	learningDuration      = 5 * time.Second        // from the first response on: until then nothing is unusual
-	episodeConfirmedAfter = 150 * time.Millisecond // of slow service, before load is shed
+	learningDuration      = 5 * time.Second        // since the first response, before service can count as slow
+	episodeConfirmedAfter = 150 * time.Millisecond // of slow service before load is shed
 	episodeOverAfter      = time.Second            // of usual service
 
-	newEpisodeGrowth      = 1.35 // times the factor after shedding that did not help: a new episode on top
+	newEpisodeGrowth      = 1.35 // growth of the factor after failed shedding: a new episode
 	growthMinAge          = 1800 * time.Millisecond
 	episodeFactorHalfLife = 3 * time.Second
 )
 
-// episode follows latency episodes: work that is slow at every server at once, and the load shedding that
-// ends them.
+// episode is the state of latency episode detection, and of the load shedding that ends an episode: every
+// server is slow at once.
 type episode struct {
-	own       evidence // latest responses of this agent
-	ownSparse evidence // the same, over a longer time
+	own       evidence // this agent's latest responses
+	ownSparse evidence // the same, with a longer half-life
 	peers     [maxPeerEvidence]peerEvidence
 	sentAt    time.Duration // when evidence was last sent
 
-	slowSince  time.Duration // zero: it is not slow
-	quietSince time.Duration // since when service is as usual; zero: it is not
+	slowSince  time.Duration // zero: service is not slow
+	quietSince time.Duration // start of usual service; zero: service is not usual
 
 	shedding
-	failedSheddings       int // of this episode, that did not end it
+	failedSheddings       int // number of sheddings that did not end this episode
 	sheddingEndedAt       time.Duration
 	noSheddingBefore      time.Duration
 	factorSinceShedding   float64 // decaying mean; zero: not known yet
@@ -50,7 +50,7 @@
 	}
 }
 
-// observe takes in a response: the logarithm of how many times the usual service time it took.
+// observe records a response, given the natural logarithm of its latency divided by the usual service time.
 func (e *episode) observe(now time.Duration, logFactor float64) {
 	for _, own := range [...]*evidence{&e.own, &e.ownSparse} {
 		own.decayAll(now)
@@ -58,8 +58,8 @@
 	}
 }
 
-// pooled is the factor by all agents' evidence, and how many responses it rests on. An agent that hears no
-// other goes by its own responses, over a longer time.
+// pooled returns the factor by the evidence of all agents, and the number of responses behind it. An agent
+// without fresh evidence from others uses its own responses, over a longer time if they are few.
 func (e *episode) pooled(now time.Duration) (factor, weight float64) {
 	e.own.decayAll(now)
 	if e.hearsNoPeer(now) && e.own.weight < minAloneWeight {
@@ -79,8 +79,8 @@
 	return all.factor(), all.weight
 }
 
-// supports reports whether this agent's own responses say the same as the others: what others say alone,
-// forged or not, never has requests rejected.
+// supports reports whether this agent's own responses are slow too. Messages of other agents alone, forged
+// or not, never cause rejections.
 func (e *episode) supports(now time.Duration) bool {
 	if e.own.weight >= minOwnWeight {
 		return e.own.factor() >= unusualFactor
@@ -89,7 +89,8 @@
 	return e.ownSparse.weight >= minSparseWeight && e.ownSparse.factor() >= unusualFactor
 }
 
-// detectEnd notices that an episode is over.
+// detectEnd lifts the restrictions on shedding once service has been as usual for more than
+// episodeOverAfter, because the episode is then over.
 func (e *episode) detectEnd(now time.Duration, factor, weight float64) {
 	switch {
 	case weight < minEndWeight || factor >= slowServerFactor:
@@ -101,8 +102,9 @@
 	}
 }
 
-// maySheddingHelp reports whether to shed load (again): not in an episode that shedding did not end, unless
-// service has become slower still by the growth, which is another episode on top.
+// maySheddingHelp reports whether to shed load. In an episode that earlier shedding did not end it returns
+// false until noSheddingBefore, unless the factor has since grown by the given growth, which indicates
+// another episode on top.
 func (e *episode) maySheddingHelp(now time.Duration, factor, growth float64) bool {
 	if now >= e.noSheddingBefore {
 		return true
@@ -121,10 +123,10 @@
 	return hasGrown
 }
 
-// updateEpisode looks at the evidence: it begins and ends load shedding, and notifies other agents.
+// updateEpisode evaluates the evidence, begins and ends load shedding, and notifies other agents.
 func (c *Controller) updateEpisode() {
 	e := &c.episode
-	if !c.isSettled() { // what is slow then is due to the outage
+	if !c.isSettled() { // slow responses are due to the outage
 		e.slowSince, e.announcedStart, e.isShedding = 0, 0, false
 		return
 	}
@@ -156,8 +158,8 @@
 	}
 }
 
-// isSlow reports whether there is a latency episode: service is slow at every server by all agents' evidence,
-// this agent's own does not contradict, and requests find no capacity for it.
+// isSlow reports whether there is a latency episode: service is slow at most servers by the evidence of all
+// agents, this agent's own evidence agrees, and requests find no capacity because of it.
 func (c *Controller) isSlow(factor, weight float64) bool {
 	e := &c.episode
 	minWeight := minPooledWeight
--- a/internal/overload/episode_test.go
+++ b/internal/overload/episode_test.go
@@ -11,29 +11,29 @@
 	"dunestep/internal/balancer"
 )
 
-const usualRate = 180 // of the 12 servers' 400 a second
+const usualRate = 180 // requests per second; the 12 servers can serve 400
 
-func count(logs []string, part string) (n int) {
+func count(logs []string, text string) (n int) {
 	for _, s := range logs {
-		if strings.Contains(s, part) {
+		if strings.Contains(s, text) {
 			n++
 		}
 	}
 	return n
 }
 
-// TestSheddingEndsEpisode: all agents shed load in the same seconds, by their messages or by the clock, and
-// the episode ends. Without the controllers it would last.
+// TestSheddingEndsEpisode checks that all agents shed load in the same seconds, coordinated by messages or
+// by the clock, and that this ends an episode which would otherwise persist.
 func TestSheddingEndsEpisode(t *testing.T) {
 	for name, tt := range map[string]struct {
 		lost   float64
 		change func(*balancer.Settings)
 		within time.Duration
 	}{
-		"agents talk":           {within: 4500 * time.Millisecond},
-		"half the messages":     {lost: 0.5, within: 5 * time.Second},
-		"no message gets there": {lost: 1, within: 8 * time.Second},
-		"agents may not talk":   {change: func(s *balancer.Settings) { s.Limits.Gossip = false }, within: 8 * time.Second},
+		"all messages":      {within: 4500 * time.Millisecond},
+		"half the messages": {lost: 0.5, within: 5 * time.Second},
+		"no messages":       {lost: 1, within: 8 * time.Second},
+		"gossip disabled":   {change: func(s *balancer.Settings) { s.Limits.Gossip = false }, within: 8 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			sim := newFleetSimulation(4, 12, tt.change)
@@ -51,18 +51,19 @@
 	}
 }
 
-// TestEpisodeThatSheddingDoesNotEndIsShedOnce: where load shedding did not help, it is not repeated.
+// TestEpisodeThatSheddingDoesNotEndIsShedOnce checks that load shedding is not repeated in an episode that
+// it did not end.
 func TestEpisodeThatSheddingDoesNotEndIsShedOnce(t *testing.T) {
 	sim := newFleetSimulation(4, 12, nil)
 	sim.rate = 320
 	sim.run(20 * time.Second)
 	sim.slow = 2.4
 	sim.run(28 * time.Second)
-	require.Equal(t, 4, count(sim.logs, "shedding load for")+count(sim.logs, "joins"), "%v", sim.logs)
+	require.Equal(t, 4, count(sim.logs, "shedding load for")+count(sim.logs, "joining"), "%v", sim.logs)
 	require.Equal(t, 4, count(sim.logs, "goes on"), "%v", sim.logs)
 }
 
-// TestMoreWorkIsNoEpisode: plain overload is none.
+// TestMoreWorkIsNoEpisode checks that plain overload is not mistaken for a latency episode.
 func TestMoreWorkIsNoEpisode(t *testing.T) {
 	sim := newFleetSimulation(4, 12, nil)
 	sim.rate = usualRate
@@ -73,8 +74,8 @@
 	require.Empty(t, sim.logs)
 }
 
-// TestForgedMessagesRejectNothing: whatever others say, an agent whose own responses take the usual time
-// admits everything.
+// TestForgedMessagesRejectNothing checks that an agent whose own responses take the usual time admits all
+// requests, whatever messages it receives.
 func TestForgedMessagesRejectNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sim := newFleetSimulation(3, 6, nil)
@@ -85,9 +86,9 @@
 				rapid.Map(rapid.SliceOfN(rapid.Byte(), 0, 20), func(b []byte) []byte { return append([]byte{messageOverload}, b...) }),
 				rapid.Custom(func(t *rapid.T) []byte {
 					return message{
-						kind: messageKind(rapid.IntRange(0, 1).Draw(t, "says")), logFactor: rapid.Float64Range(-9, 9).Draw(t, "log"),
+						kind: messageKind(rapid.IntRange(0, 1).Draw(t, "kind")), logFactor: rapid.Float64Range(-9, 9).Draw(t, "log"),
 						weight:   rapid.Float64Range(0, 1e4).Draw(t, "weight"),
-						startsAt: sim.now + time.Duration(rapid.IntRange(-5, 5).Draw(t, "in"))*100*time.Millisecond,
+						startsAt: sim.now + time.Duration(rapid.IntRange(-5, 5).Draw(t, "startsAt"))*100*time.Millisecond,
 					}.encode()
 				})).Draw(t, "data")
 			from := rapid.IntRange(-1, 4).Draw(t, "from")
@@ -95,18 +96,18 @@
 			sim.run(50 * time.Millisecond)
 		}
 		if sim.rejected > 0 {
-			t.Fatalf("rejected %d: %v", sim.rejected, sim.logs)
+			t.Fatalf("%d requests were rejected: %v", sim.rejected, sim.logs)
 		}
 	})
 }
 
-// TestMissingServersAreNoEpisode: with half of the servers missing or warming up, service must be slower by
-// as much more to be an episode.
+// TestMissingServersAreNoEpisode checks serverCapacityFraction, by which the threshold of an episode rises
+// while servers are missing or in slow start.
 func TestMissingServersAreNoEpisode(t *testing.T) {
 	sim := newFleetSimulation(1, 12, nil)
 	sim.rate = 60
 	c := sim.controllers[0]
-	tell := func(state balancer.ServerState, started time.Duration) {
+	setState := func(state balancer.ServerState, started time.Duration) {
 		var update []balancer.Server
 		for _, s := range c.serversByID[:6] {
 			e := s.entry
@@ -117,11 +118,11 @@
 	}
 	sim.run(time.Second)
 	require.InDelta(t, 1, c.serverCapacityFraction(), 0.01)
-	tell(balancer.Draining, 0)
+	setState(balancer.Draining, 0)
 	require.InDelta(t, 0.5, c.serverCapacityFraction(), 0.01)
-	cold := c.settings.Rules
-	tell(balancer.Ready, sim.now)
-	require.InDelta(t, 0.5+0.5*cold.SlowStartCapacity, c.serverCapacityFraction(), 0.01)
-	sim.run(cold.SlowStartDuration + time.Second)
+	rules := c.settings.Rules
+	setState(balancer.Ready, sim.now)
+	require.InDelta(t, 0.5+0.5*rules.SlowStartCapacity, c.serverCapacityFraction(), 0.01)
+	sim.run(rules.SlowStartDuration + time.Second)
 	require.InDelta(t, 1, c.serverCapacityFraction(), 0.01)
 }
--- a/internal/overload/fairness.go
+++ b/internal/overload/fairness.go
@@ -12,21 +12,22 @@
 )
 
 // fairnessOrder is the order in which requests are admitted when not all can be: first by tier, then by the
-// rank of the key. A tier is made up of, most important first: within or beyond the tenant's quota, the
-// class's priority weight, and whether the client kept to its Retry-After. The same keys come first at every
-// agent, so that what is admitted finds warm caches, and with time every key has its turn.
+// rank of the key. A tier combines, most important first, whether the request is within its tenant's quota,
+// the class's priority weight, and whether the client respected its Retry-After. All agents put the same
+// keys first, so that admitted requests find warm caches. The ranks rotate with time, so that each key is
+// first at some time.
 type fairnessOrder struct {
-	classIndex map[string]int // in the settings, by name
+	classIndex map[string]int // index in the settings, by class name
 	classRank  []int          // by index: 0 is the class with the highest priority weight
 	offered    []decayingSum  // recent requests, by tier
 }
 
 const offeredHalfLife = 2 * time.Second
 
-// standing is what counts for a request's tier beside its class.
+// priority is what determines a request's tier besides its class.
 type priority struct {
-	overQuota         bool // beyond its tenant's quota
-	ignoresRetryAfter bool // returned too early, or was rejected several times already
+	overQuota         bool // over its tenant's quota
+	ignoresRetryAfter bool // client returned too early, or was rejected several times already
 }
 
 func newFairnessOrder(classes []balancer.Class) fairnessOrder {
@@ -48,7 +49,7 @@
 	return f
 }
 
-// tier is the tier of a request; a class that is not known counts as the one with the lowest priority.
+// tier returns the tier of a request. An unknown class counts as the one with the lowest priority.
 func (f *fairnessOrder) tier(class string, s priority) int {
 	rank := len(f.classRank) - 1
 	if i, known := f.classIndex[class]; known {
@@ -64,11 +65,11 @@
 	return tier
 }
 
-// add counts a request.
+// add counts a request of the tier.
 func (f *fairnessOrder) add(now time.Duration, tier int) { f.offered[tier].add(now, 1) }
 
-// fractionBefore is the fraction of all requests of late that come before a request of the tier, from 0 to 1.
-// The rank, from 0 to 1, is its place within the tier.
+// fractionBefore returns the fraction of recent requests that precede a request of the tier, from 0 to 1.
+// The rank, from 0 to 1, is the request's position within the tier.
 func (f *fairnessOrder) fractionBefore(now time.Duration, tier int, rank float64) float64 {
 	before, all := 0.0, 0.0
 	for i := range f.offered {
@@ -84,7 +85,8 @@
 	return (before + rank*f.offered[tier].weight) / all
 }
 
-// fairnessRank is a request's place within its tier, from 0 to 1: by its key, at random where it has none.
+// fairnessRank returns a request's position within its tier, from 0 to 1: by its key, or at random if it
+// has none.
 func (c *Controller) fairnessRank(e *balancer.Request) float64 {
 	if e.Key == "" {
 		return c.rng.Float64()
@@ -92,11 +94,11 @@
 	return keyRank(e.Key, c.now, c.config.FairnessRotation)
 }
 
-// rankSpread scatters hashes, as the ring's points are of the same hash: without it, keys of one server would
-// have neighbouring ranks.
+// rankSpread scatters the hashes: the ring's points use the same hash, so that without it the keys of one
+// server would have neighbouring ranks.
 const rankSpread = 0x9E3779B1
 
-// keyRank is a key's rank, from 0 to 1, which moves on evenly once round in each rotation.
+// keyRank returns a key's rank, from 0 to 1, which advances evenly and wraps around once per rotation.
 func keyRank(key string, now, rotation time.Duration) float64 {
 	spread := farm.Fingerprint32([]byte(key)) * rankSpread
 	rank := float64(spread)/(1<<32) + float64(now%rotation)/float64(rotation)
--- a/internal/overload/golden_test.go
+++ b/internal/overload/golden_test.go
@@ -14,9 +14,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// checkGolden compares bytes with a golden file, and gives back what the file holds.
+// checkGolden compares bytes with a golden file and returns the file's content.
 func checkGolden(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
@@ -25,11 +25,12 @@
 	}
 	want, err := os.ReadFile(path)
 	require.NoError(t, err)
-	require.Equal(t, string(want), string(got), "the form of %s has changed", name)
+	require.Equal(t, string(want), string(got), "the format of %s has changed", name)
 	return want
 }
 
-// TestMessageGolden: the messages between agents decode and encode again to the same bytes.
+// TestMessageGolden checks the encoding of messages between agents, and that each decodes and encodes to
+// the same bytes.
 func TestMessageGolden(t *testing.T) {
 	var text strings.Builder
 	for _, m := range []message{
@@ -50,7 +51,7 @@
 	}
 }
 
-// goldenMemory has a value in every field.
+// goldenMemory returns a Snapshot with a value in every field.
 func goldenMemory() Snapshot {
 	return Snapshot{
 		[]KindSnapshot{
@@ -59,7 +60,7 @@
 	}
 }
 
-// TestMemoryGolden: what is kept over a restart has the same CBOR on disk and the same JSON where it is
+// TestMemoryGolden checks the CBOR form in which a Snapshot is stored and the JSON form in which it is
 // shown.
 func TestMemoryGolden(t *testing.T) {
 	enc, err := cbor.EncOptions{Sort: cbor.SortCoreDeterministic, ShortestFloat: cbor.ShortestFloat16}.EncMode()
--- a/internal/overload/message.go
+++ b/internal/overload/message.go
@@ -10,26 +10,26 @@
 type messageKind byte
 
 const (
-	messageEvidence    messageKind = 0 // how service times compare with the usual ones
-	messageShedding    messageKind = 1 // the same, and when this agent starts to shed load
-	messageServedAgain messageKind = 2 // a server responds again, after an outage
+	messageEvidence    messageKind = 0 // the ratio of service times to the usual ones
+	messageShedding    messageKind = 1 // the same, and when the sender starts to shed load
+	messageServedAgain messageKind = 2 // a server responds again after an outage
 )
 
 const (
-	messageOverload = 's' // the first byte
+	messageOverload = 's' // first byte of each message
 	messageSize     = 14  // bytes
 
-	maxFactor = 8.0  // a factor that another agent claims is bounded by this, both ways
-	maxWeight = 60.0 // responses: no agent's evidence counts for more
+	maxFactor = 8.0  // bound of a factor, in either direction
+	maxWeight = 60.0 // responses: bound of the weight of each agent's evidence
 )
 
-// message is what agents send one another. On the wire, big-endian: messageOverload, the kind, the logarithm
-// of the factor in thousandths (int16), its weight in tenths (uint16), and for messageShedding the start in
+// message is a message between agents. On the wire, big-endian: messageOverload, the kind, the logarithm of
+// the factor in thousandths (int16), its weight in tenths (uint16), and for messageShedding the start in
 // nanoseconds on the clock that all agents share (uint64).
 type message struct {
 	kind      messageKind
-	logFactor float64 // natural logarithm of how many times the usual service time responses take
-	weight    float64 // responses that the factor rests on
+	logFactor float64 // natural logarithm of the ratio of service times to the usual ones
+	weight    float64 // number of responses behind the factor
 	startsAt  time.Duration
 }
 
@@ -41,7 +41,7 @@
 	return binary.BigEndian.AppendUint64(d, uint64(m.startsAt))
 }
 
-// decodeMessage decodes a message; ok is false for a malformed one.
+// decodeMessage decodes a message; ok is false if it is malformed.
 func decodeMessage(d []byte) (m message, ok bool) {
 	if len(d) != messageSize || d[0] != messageOverload || messageKind(d[1]) > messageServedAgain {
 		return m, false
@@ -55,7 +55,7 @@
 	return m, true
 }
 
-// clampLog keeps a logarithm within a factor, both ways.
+// clampLog limits a logarithm to that of the factor, and of its inverse.
 func clampLog(log, factor float64) float64 {
 	return min(max(log, -math.Log(factor)), math.Log(factor))
 }
--- a/internal/overload/outage.go
+++ b/internal/overload/outage.go
@@ -9,52 +9,52 @@
 const (
 	attemptEndsHalfLife     = 400 * time.Millisecond
 	usualInFlightHalfLife   = 10 * time.Second
-	outageMinRequests       = 5 // requests without a success, before its absence means anything
+	outageMinRequests       = 5 // requests without a success that are required to detect an outage
 	outageMinFailures       = 12
 	outageFailingFor        = 500 * time.Millisecond
-	silentOutageObjectives  = 2 // latency objectives without a success, for an outage by silence
-	silentOutageMinFailures = 3 // failures in that time
+	silentOutageObjectives  = 2 // latency objectives without a success that count as a silent outage
+	silentOutageMinFailures = 3 // failures in that time that are required as well
 
 	minTrialsPerSecond = 1.0
 	maxSavedTrials     = 2.0
-	stalledTrialAfter  = 300 * time.Millisecond // without an attempt: resets the balancer's view
+	stalledTrialAfter  = 300 * time.Millisecond // without an attempt, after which the balancer's view is reset
 
-	// warmingUpHold, times the number of agents, is how long a server that warms up is left alone after a
+	// warmingUpHold, multiplied by the number of agents, is the pause of a server in slow start after a
 	// failure.
 	warmingUpHold = 80 * time.Millisecond
 )
 
-// phase is how far an outage has come.
+// phase is the phase of an outage.
 type phase uint8
 
 const (
 	phaseNormal     phase = iota
 	phaseOutage           // no server responds: only trials are forwarded
-	phaseRecovering       // servers respond again, and are held to what they prove to serve
+	phaseRecovering       // servers respond again and get no more than they prove able to serve
 )
 
-// outageState follows an outage: that no server responds any more, and the recovery from it.
+// outageState is the state of outage detection and recovery. In an outage, no server responds.
 type outageState struct {
 	phase           phase
 	startedAt       time.Duration
 	recoveringSince time.Duration
-	healthySince    time.Duration // since when all that comes is admitted and served; zero: it is not
+	healthySince    time.Duration // nearly all requests admitted and served since then; zero: not healthy
 
-	attemptEnds   decayingSum // attempts that ended
+	attemptEnds   decayingSum // number of attempts that ended
 	successes     decayingSum // of these, served
-	rejections    decayingSum // requests that were rejected for it
+	rejections    decayingSum // number of requests rejected because of overload: isForOverload
 	usualInFlight decayingSum // decaying mean of the requests in flight in normal times
 
 	lastSuccessAt        time.Duration
 	requestsSinceSuccess int
 	failuresSinceSuccess int
-	connectionFaults     int // since the last success in normal times: processes that may be starting anew
+	connectionFaults     int // since the last success in phaseNormal; servers may be restarting
 
-	rejectedCount int // in this outage
+	rejectedCount int // during this outage
 	trialTokens   float64
 	trialTokensAt time.Duration
 	lastSentAt    time.Duration
-	lastResetAt   time.Duration // of the balancer's view of the servers, as it sent no trial
+	lastResetAt   time.Duration // of the balancer's view of the servers, because it sent no trial
 }
 
 func newOutageState() outageState {
@@ -65,12 +65,12 @@
 	}
 }
 
-// resetSinceSuccess starts the counts since the last success anew.
+// resetSinceSuccess restarts the counts since the last success.
 func (o *outageState) resetSinceSuccess(now time.Duration) {
 	o.requestsSinceSuccess, o.failuresSinceSuccess, o.lastSuccessAt = 0, 0, now
 }
 
-// recordAttemptEnd takes in how an attempt at a server ended.
+// recordAttemptEnd records the outcome of an attempt at a server.
 func (c *Controller) recordAttemptEnd(s *server, outcome balancer.Outcome) {
 	switch outcome {
 	case balancer.Canceled, balancer.NotSent:
@@ -101,7 +101,7 @@
 
 func (c *Controller) recordFailure(s *server, outcome balancer.Outcome) {
 	o := &c.outage
-	if s.consecutiveFailures++; outcome != balancer.Rejected { // which a server does that is merely saturated
+	if s.consecutiveFailures++; outcome != balancer.Rejected { // a saturated server rejects although it works
 		s.consecutiveFaults++
 	}
 	o.attemptEnds.add(c.now, 1)
@@ -115,29 +115,29 @@
 	}
 }
 
-// updateOutage moves between the phases.
+// updateOutage detects the transitions between phases that depend on time and rates.
 func (c *Controller) updateOutage() {
 	o := &c.outage
 	switch o.phase {
 	case phaseNormal:
 		o.usualInFlight.trackMean(c.now, float64(c.inFlight.count))
 		c.detectOutage()
-	case phaseOutage: // a success ends it: recordSuccess
+	case phaseOutage: // ended by a success: see recordSuccess
 	case phaseRecovering:
 		c.detectOutage()
 		c.detectRecovered()
 	}
 }
 
-// detectOutage notices that no server responds any more: by failures, or by silence.
+// detectOutage enters phaseOutage when servers have stopped responding, shown by failures or by silence.
 func (c *Controller) detectOutage() {
 	o := &c.outage
 	if o.lastSuccessAt == 0 {
 		o.lastSuccessAt = c.now
 	}
-	without := c.now - o.lastSuccessAt
-	isFailing := o.failuresSinceSuccess >= outageMinFailures && without >= outageFailingFor
-	isSilent := without >= silentOutageObjectives*c.longestObjective &&
+	sinceSuccess := c.now - o.lastSuccessAt
+	isFailing := o.failuresSinceSuccess >= outageMinFailures && sinceSuccess >= outageFailingFor
+	isSilent := sinceSuccess >= silentOutageObjectives*c.longestObjective &&
 		(o.failuresSinceSuccess >= silentOutageMinFailures || c.readyServers() == 0)
 	if o.requestsSinceSuccess < outageMinRequests || !isFailing && !isSilent || c.episode.isShedding {
 		return
@@ -145,14 +145,15 @@
 	if o.phase == phaseNormal {
 		o.startedAt, o.rejectedCount = c.now, 0
 	}
-	c.logf("outage: nothing was served for %v, %d attempts failed, %d servers listed; "+
-		"of %.0f requests a second only trials are forwarded", without.Round(time.Millisecond),
+	c.logf("outage: nothing was served for %v, %d attempts failed, %d servers are ready; "+
+		"forwarding only trials of %.0f requests per second", sinceSuccess.Round(time.Millisecond),
 		o.failuresSinceSuccess, c.readyServers(), c.arrivals.perSecond(c.now))
 	o.phase = phaseOutage
 }
 
-// checkOutage decides on a request while an outage is not over: during recovery by what the servers have
-// proved, with the fraction of requests that come before it in the order of fairness; and by trials.
+// checkOutage decides on a request until an outage is over. During the outage, only trials are admitted.
+// During recovery, requests within the proven capacity are admitted too; before is the fraction of requests
+// that precede this one in the fairness order.
 func (c *Controller) checkOutage(e *balancer.Request, before float64) rejectReason {
 	switch c.outage.phase {
 	case phaseNormal:
@@ -170,7 +171,8 @@
 	}
 }
 
-// admitTrial admits a few requests, of classes that clients may repeat where there are any.
+// admitTrial admits a few requests as trials; if there are classes that clients may repeat, only requests
+// of these.
 func (c *Controller) admitTrial(e *balancer.Request) bool {
 	o := &c.outage
 	rate := max(c.config.TrialFraction*c.retryStorm.firstAttempts.perSecond(c.now), minTrialsPerSecond)
@@ -182,12 +184,12 @@
 	o.trialTokens--
 	if o.phase == phaseOutage && c.now-max(o.lastSentAt, o.startedAt, o.lastResetAt) > stalledTrialAfter {
 		o.lastResetAt = c.now
-		c.resetServers(c.serversByID...) // the balancer sends no trial, by what it saw before
+		c.resetServers(c.serversByID...) // because of its old view, the balancer sends no trial
 	}
 	return true
 }
 
-// isRepeatable reports whether a client may repeat a failed request of a class.
+// isRepeatable reports whether clients may repeat a failed request of a class; false for an unknown class.
 func (c *Controller) isRepeatable(class string) bool {
 	i, known := c.fairness.classIndex[class]
 	return known && c.settings.Classes[i].Idempotency != balancer.NotIdempotent
--- a/internal/overload/peers.go
+++ b/internal/overload/peers.go
@@ -9,10 +9,10 @@
 const (
 	peerEvidenceValidFor = 400 * time.Millisecond
 	maxPeerEvidence      = 16 // agents whose evidence is kept
-	peersPerMessage      = 8  // agents that a message goes to
+	peersPerMessage      = 8  // recipients of a message
 	evidenceInterval     = 150 * time.Millisecond
-	maxLateStart         = 200 * time.Millisecond // an announced start that is longer past is passed over
-	maxEarlyStart        = time.Second            // the same for one that is further ahead
+	maxLateStart         = 200 * time.Millisecond // an announced start that is further in the past is ignored
+	maxEarlyStart        = time.Second            // an announced start that is further in the future is ignored
 )
 
 // peerEvidence is the latest evidence of another agent; receivedAt zero: none.
@@ -26,7 +26,7 @@
 	return p.receivedAt > 0 && now-p.receivedAt < peerEvidenceValidFor
 }
 
-// hearsNoPeer reports whether no other agent was heard of late.
+// hearsNoPeer reports whether there is no fresh evidence from any other agent.
 func (e *episode) hearsNoPeer(now time.Duration) bool {
 	for i := range e.peers {
 		if e.peers[i].isFresh(now) {
@@ -36,23 +36,24 @@
 	return true
 }
 
-// recordPeer keeps an agent's evidence, in place of its last one or of the oldest.
+// recordPeer stores an agent's evidence, replacing its previous one or else the oldest of all.
 func (e *episode) recordPeer(now time.Duration, from int, m message) {
-	place := &e.peers[0]
+	slot := &e.peers[0]
 	for i := range e.peers {
 		p := &e.peers[i]
 		if p.receivedAt > 0 && p.from == from {
-			place = p
+			slot = p
 			break
 		}
-		if p.receivedAt < place.receivedAt {
-			place = p
+		if p.receivedAt < slot.receivedAt {
+			slot = p
 		}
 	}
-	*place = peerEvidence{from: from, logFactor: m.logFactor, weight: m.weight, receivedAt: now}
+	*slot = peerEvidence{from: from, logFactor: m.logFactor, weight: m.weight, receivedAt: now}
 }
 
-// sendToPeers sends other agents this one's evidence: a few of a large fleet at a time, drawn at random.
+// sendToPeers sends this agent's evidence to other agents; in a large fleet, to a few that are drawn at
+// random.
 func (c *Controller) sendToPeers(kind messageKind) {
 	others := c.settings.Balancers - 1
 	if !c.settings.Limits.Gossip || others < 1 {
@@ -72,8 +73,8 @@
 	}
 }
 
-// onPeerMessage takes in another agent's message; a malformed one is dropped. Shedding that it announces is
-// joined where this agent's own responses support it; during shedding, a later start extends it, once.
+// onPeerMessage processes another agent's message; a malformed one is dropped. Shedding that it announces
+// is joined if this agent's own responses support it. During shedding, a later start extends it, once.
 func (c *Controller) onPeerMessage(from int, data []byte) {
 	m, ok := decodeMessage(data)
 	if !ok || from < 0 || from >= c.settings.Balancers || from == c.settings.Self {
@@ -84,11 +85,11 @@
 		return
 	}
 	if m.kind == messageServedAgain && c.outage.phase == phaseOutage {
-		c.outage.trialTokens = max(c.outage.trialTokens, 1) // worth a trial at once,
-		c.outage.lastSentAt = 0                             // by what the balancer sees anew
+		c.outage.trialTokens = max(c.outage.trialTokens, 1) // allow a trial at once,
+		c.outage.lastSentAt = 0                             // after a reset of the balancer's view
 	}
 	if e.own.weight >= minSparseWeight && c.now >= e.sentAt+evidenceInterval {
-		c.sendToPeers(messageEvidence) // that service is as usual here counts too
+		c.sendToPeers(messageEvidence) // evidence of usual service counts too
 	}
 	if m.kind != messageShedding || m.startsAt <= c.now-maxLateStart || m.startsAt >= c.now+maxEarlyStart {
 		return
--- a/internal/overload/policy.go
+++ b/internal/overload/policy.go
@@ -2,8 +2,8 @@
 
 import "dunestep/internal/balancer"
 
-// SetConfig changes the configuration; what is under way goes on by the new one. It fails, and changes
-// nothing, where a number cannot be used.
+// SetConfig changes the configuration; states in progress continue under the new one. It fails, and changes
+// nothing, if a number is not above zero and finite.
 func (c *Controller) SetConfig(config Config) error {
 	config, err := config.withDefaults()
 	if err != nil {
@@ -14,10 +14,10 @@
 	return nil
 }
 
-// ApplyFleetPolicy has the controller and its balancer go by what the fleet has agreed on, from the next Step
-// on: see balancer.Balancer for the tenants' quotas and the classes. The wastedFraction is an upper bound of
-// Config.WastedFraction until the next ApplyFleetPolicy, whatever SetConfig says; one that is not above zero
-// is none. ApplyFleetPolicy(nil, nil, 0) withdraws everything.
+// ApplyFleetPolicy makes the controller and its balancer follow the fleet policy from the next Step on: see
+// balancer.Balancer for the tenants' quotas and the classes. The wastedFraction is an upper bound of
+// Config.WastedFraction until the next ApplyFleetPolicy, regardless of SetConfig; a value that is not above
+// zero sets no bound. ApplyFleetPolicy(nil, nil, 0) withdraws everything.
 func (c *Controller) ApplyFleetPolicy(
 	quota []float64, classes []balancer.RetryPolicy, wastedFraction float64,
 ) {
@@ -36,7 +36,7 @@
 	c.updateConfig()
 }
 
-// updateConfig finds the configuration that holds.
+// updateConfig recomputes the configuration in effect.
 func (c *Controller) updateConfig() {
 	if c.config = c.configured; c.agreedWastedFraction > 0 {
 		c.config.WastedFraction = min(c.configured.WastedFraction, c.agreedWastedFraction)
@@ -47,22 +47,22 @@
 	}
 }
 
-// SetFleetSize has the controller divide what all agents together send in an outage by this number of agents,
-// from now on; zero: by the settings' number. balancer.EffectiveFleetSize bounds it, so that together they
-// send half as much again at the most, however wrong it is.
+// SetFleetSize sets the number of agents by which the fleet's limits in an outage are divided; zero: the
+// settings' number. balancer.EffectiveFleetSize bounds it, so that a wrong number raises what all agents
+// together send by at most half.
 func (c *Controller) SetFleetSize(agents int) {
 	c.agents = balancer.EffectiveFleetSize(agents, c.settings.Balancers)
 }
 
-// SetExclusions has the balancer keep tenants' keys off servers, from the next Step on: see
-// balancer.Balancer. The controller admits as many requests as before.
+// SetExclusions makes the balancer keep tenants' keys off servers, from the next Step on: see
+// balancer.Balancer. The number of requests that the controller admits does not change.
 func (c *Controller) SetExclusions(a *balancer.Exclusions) { c.balancer.SetExclusions(a) }
 
-// SetRingAssignment has the balancer go by an agreed generation of the ring, from the next Step on: see
-// balancer.Balancer. The controller goes on counting all servers of the list.
+// SetRingAssignment makes the balancer follow an agreed generation of the ring, from the next Step on: see
+// balancer.Balancer. The controller still counts all servers of the list.
 func (c *Controller) SetRingAssignment(p *balancer.RingAssignment) { c.balancer.SetRingAssignment(p) }
 
-// TenantStats returns the balancer's statistics of tenants, and with them the requests that the controller
+// TenantStats returns the balancer's statistics of tenants, including the requests that the controller
 // itself rejected.
 func (c *Controller) TenantStats() []balancer.TenantStats {
 	all := c.balancer.TenantStats()
@@ -74,8 +74,8 @@
 	return all
 }
 
-// countRejected counts a rejected request for its tenant; names that are not in the settings are counted
-// together, as clients can invent any number of them.
+// countRejected counts a rejected request for its tenant. Tenants that are not in the settings are counted
+// together, because clients can invent any number of them.
 func (c *Controller) countRejected(tenant string) {
 	if _, known := c.rejected[tenant]; !known {
 		tenant = balancer.NoTenant
--- a/internal/overload/policy_test.go
+++ b/internal/overload/policy_test.go
@@ -11,14 +11,14 @@
 	"dunestep/internal/balancer"
 )
 
-// TestFleetPolicy: a fleet policy reaches the controller and its balancer, an operator's new configuration
-// leaves it in force, and it can be withdrawn.
+// TestFleetPolicy checks that a fleet policy reaches the controller and its balancer, stays in force when
+// the operator changes the configuration, and can be withdrawn.
 func TestFleetPolicy(t *testing.T) {
 	sim := newFleetSimulation(2, 4, func(set *balancer.Settings) {
 		set.Tenants = []balancer.Tenant{{Name: "a", QuotaPerSecond: 40}, {Name: "b"}}
 	})
 	c, id := sim.controllers[0], uint32(0)
-	over := func(tenant string) (n int) { // of 100 in 5 s; the balancer says that a quarter of the arrivals is here
+	overQuota := func(tenant string) (n int) { // of 100 in 5 s; this agent has a quarter of the arrivals
 		for range 100 {
 			sim.now += 50 * time.Millisecond
 			id++
@@ -34,50 +34,51 @@
 		}
 		return n
 	}
-	over("a") // its bucket is empty from here on
-	require.Equal(t, 50, over("a"))
-	require.Zero(t, over("b"))
+	overQuota("a") // empties its bucket
+	require.Equal(t, 50, overQuota("a"))
+	require.Zero(t, overQuota("b"))
 	classes := []balancer.RetryPolicy{{MaxAttempts: 1}}
 	c.ApplyFleetPolicy([]float64{8, 20}, classes, 0.2)
 	require.Equal(t, classes, sim.balancers[0].agreed)
-	require.Equal(t, 88, over("a"), "2 a second, and a bucket of 3 that is as full as the one of 10 was")
-	require.InDelta(t, 75, over("b"), 5, "it starts with a full bucket")
+	require.Equal(t, 88, overQuota("a"), "2 requests per second; the bucket of 3 must be as full as the one of 10 was")
+	require.InDelta(t, 75, overQuota("b"), 5, "must start with a full bucket")
 
-	s := newTenantQuota(40)
-	s.tokens = 5 // of 10
-	s.setRate(0, 80, 0.25)
-	require.InDelta(t, 10.0, s.tokens, 0, "of 20")
+	q := newTenantQuota(40)
+	q.tokens = 5 // of 10
+	q.setRate(0, 80, 0.25)
+	require.InDelta(t, 10.0, q.tokens, 0, "of 20")
 
 	require.InDelta(t, 0.2, c.config.WastedFraction, 0)
 	config := DefaultConfig()
-	for _, tt := range []struct{ own, agreed, holds float64 }{
+	for _, tt := range []struct{ configured, agreed, effective float64 }{
 		{0.25, 0.2, 0.2}, {0.15, 0.2, 0.15}, {0.3, 0, 0.3}, {0.3, math.NaN(), 0.3}, {0.3, -1, 0.3}, {0.25, 1, 0.25},
 	} {
 		c.ApplyFleetPolicy(nil, nil, tt.agreed)
-		config.WastedFraction = tt.own
+		config.WastedFraction = tt.configured
 		require.NoError(t, c.SetConfig(config))
-		require.InDelta(t, tt.holds, c.config.WastedFraction, 0, "%+v", tt)
+		require.InDelta(t, tt.effective, c.config.WastedFraction, 0, "%+v", tt)
 	}
 	require.Nil(t, sim.balancers[0].agreed)
-	over("a")
-	require.Equal(t, 50, over("a"))
-	require.Zero(t, over("b"))
+	overQuota("a")
+	require.Equal(t, 50, overQuota("a"))
+	require.Zero(t, overQuota("b"))
 }
 
-// TestExclusionsAndAssignmentArePassedOn: exclusions and ring assignments reach the balancer, retries keep
-// their tenant on the way there, and what the controller rejects itself is among the balancer's statistics.
+// TestExclusionsAndAssignmentArePassedOn checks that exclusions and ring assignments reach the balancer,
+// that requests keep their tenant on the way there, and that the statistics include the requests that the
+// controller rejected.
 func TestExclusionsAndAssignmentArePassedOn(t *testing.T) {
 	sim := newFleetSimulation(1, 4, func(set *balancer.Settings) { set.Tenants = []balancer.Tenant{{Name: "a", QuotaPerSecond: 40}} })
 	c, fake := sim.controllers[0], sim.balancers[0]
-	a := &balancer.Exclusions{}
-	c.SetExclusions(a)
-	require.Same(t, a, fake.exclusions)
-	p := &balancer.RingAssignment{}
-	c.SetRingAssignment(p)
-	require.Same(t, p, fake.assignment)
+	exclusions := &balancer.Exclusions{}
+	c.SetExclusions(exclusions)
+	require.Same(t, exclusions, fake.exclusions)
+	assignment := &balancer.RingAssignment{}
+	c.SetRingAssignment(assignment)
+	require.Same(t, assignment, fake.assignment)
 	for _, retry := range []bool{false, true} {
 		if retry {
-			c.outage.phase, c.outage.trialTokens = phaseOutage, maxSavedTrials // only then a retry does not count again
+			c.outage.phase, c.outage.trialTokens = phaseOutage, maxSavedTrials // only in an outage, retries are not counted again
 		}
 		e := c.admit(&balancer.Request{ID: 1, Tenant: "a", Class: "consult", ClientTimeout: time.Second, ClientRetry: retry})
 		require.Equal(t, "a", e.(*balancer.Request).Tenant)
--- a/internal/overload/quota.go
+++ b/internal/overload/quota.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	minBurst          = 3.0 // requests: a small agent meets a tenant now and then, not evenly
+	minBurst          = 3.0 // requests: a small agent sees a tenant's requests at uneven intervals
 	quotaHalfLife     = 2 * time.Second
-	overQuotaFraction = 0.1 // of a tenant's first attempts: from more on, its retries are counted as well
+	overQuotaFraction = 0.1 // of first attempts over quota, above which a tenant's retries are counted too
 )
 
-// tenantQuota is a token bucket with this agent's part of a tenant's quota. After an outage retries are not
-// counted again, or every tenant would look over its quota; except for a tenant whose first attempts alone
-// exceed it.
+// tenantQuota is a token bucket with this agent's fraction of a tenant's quota. During an outage and the
+// recovery, retries are not counted again, because otherwise every tenant would seem to be over its quota.
+// Retries of a tenant whose first attempts alone exceed the quota are counted.
 type tenantQuota struct {
 	perSecond      float64 // requests, of all agents together; zero or less: unlimited
 	tokens         float64 // requests
 	updatedAt      time.Duration
 	firstAttempts  decayingSum
-	firstOverQuota decayingSum // of these, beyond the quota
+	firstOverQuota decayingSum // of these, over the quota
 }
 
 func newTenantQuota(perSecond float64) *tenantQuota {
@@ -31,14 +31,14 @@
 	}
 }
 
-// refill adds the tokens since the last refill, at a rate in requests a second.
+// refill adds the tokens earned since the last refill, at a rate in requests per second.
 func (q *tenantQuota) refill(now time.Duration, rate float64) {
 	q.tokens = min(q.tokens+rate*(now-q.updatedAt).Seconds(), max(rate, minBurst))
 	q.updatedAt = now
 }
 
-// setRate changes the quota, in requests a second; fraction is this agent's part of it. The bucket stays as
-// full as it was, in proportion. A quota that is not a finite number changes nothing.
+// setRate changes the quota, in requests per second; fraction is this agent's fraction of it. The bucket
+// keeps its fill level in proportion. A quota that is not a finite number changes nothing.
 func (q *tenantQuota) setRate(now time.Duration, perSecond, fraction float64) {
 	if perSecond == q.perSecond || math.IsNaN(perSecond) || math.IsInf(perSecond, 0) {
 		return
@@ -54,10 +54,11 @@
 // quotaCheck is the result of checking a request against its tenant's quota.
 type quotaCheck struct {
 	overQuota bool
-	counts    bool // false: a retry in an outage or after it, which is not counted again
+	counts    bool // false: a retry during an outage or recovery, which is not counted again
 }
 
-// checkQuota counts a request against its tenant's quota.
+// checkQuota checks a request against its tenant's quota and takes a token if the request counts and is
+// within it.
 func (c *Controller) checkQuota(tenant string, kind arrivalKind) quotaCheck {
 	q := c.quotas[tenant]
 	if q == nil || q.perSecond <= 0 {
@@ -81,7 +82,7 @@
 	return check
 }
 
-// reportedQuota is the tenant's quota as a rejection carries it; zero where that is not configured.
+// reportedQuota returns the tenant's quota for a rejection; zero if it is unlimited or ReportQuota is off.
 func (c *Controller) reportedQuota(tenant string) balancer.Quota {
 	q := c.quotas[tenant]
 	if !c.config.ReportQuota || q == nil || q.perSecond <= 0 {
--- a/internal/overload/recovery.go
+++ b/internal/overload/recovery.go
@@ -3,20 +3,20 @@
 import "time"
 
 const (
-	healthySuccessRatio = 0.8  // of the attempts: where more are served all is well
-	maxRejectedFraction = 0.02 // of the requests: where fewer are rejected all is admitted
+	healthySuccessRatio = 0.8  // minimum ratio of successes to attempts in healthy operation
+	maxRejectedFraction = 0.02 // maximum fraction of rejected requests in healthy operation
 	healthyDuration     = 2 * time.Second
 
-	initialInFlightPerServer = 8.0 // requests of all agents, where the usual number is not known yet
+	initialInFlightPerServer = 8.0 // requests of all agents, if the usual number is unknown
 	rampAfter                = 5 * time.Second
-	rampPerSecond            = 0.2 // of the usual number in flight, admitted in addition after rampAfter
-	lowestRankCapacity       = 0.5 // of the proven capacity: for what comes last in the order of fairness
+	rampPerSecond            = 0.2 // growth of the in-flight limit after rampAfter, per second
+	lowestRankCapacity       = 0.5 // of the proven capacity, for the last request in the fairness order
 	provenDuration           = 2 * time.Second
 	settledAfterRecovery     = 2 * time.Second
-	resetAfterFaults         = 2 // consecutive
+	resetAfterFaults         = 2 // consecutive; a success after these resets the view of the server
 )
 
-// startRecovery begins to admit what the servers prove that they can serve.
+// startRecovery enters phaseRecovering, in which the servers get what they prove able to serve.
 func (c *Controller) startRecovery() {
 	o := &c.outage
 	o.phase, o.recoveringSince, o.healthySince = phaseRecovering, c.now, 0
@@ -25,14 +25,15 @@
 			s.inFlightLimit = 0
 		}
 	}
-	c.logf("outage: served again after %v, admitting as much as servers prove to serve; "+
+	c.logf("outage: served again after %v, admitting only what servers prove able to serve; "+
 		"%d requests were rejected",
 		(c.now - o.startedAt).Round(time.Millisecond), o.rejectedCount)
 	c.resetServers(c.serversByID...)
 	c.sendToPeers(messageServedAgain)
 }
 
-// detectRecovered ends an outage once all that comes has been admitted and served for a while.
+// detectRecovered ends an outage once nearly all requests have been admitted and served for
+// healthyDuration.
 func (c *Controller) detectRecovered() {
 	o := &c.outage
 	isHealthy := o.successes.perSecond(c.now) >= healthySuccessRatio*o.attemptEnds.perSecond(c.now) &&
@@ -48,8 +49,8 @@
 	}
 }
 
-// hasProvenCapacity reports whether the servers have proved to serve one more request, which comes after the
-// given fraction of requests in the order of fairness.
+// hasProvenCapacity reports whether the servers have proved able to serve one more request. The fraction of
+// requests that precede it in the fairness order, before, reduces the capacity that it may use.
 func (c *Controller) hasProvenCapacity(before float64) bool {
 	capacity := 0.0
 	for _, s := range c.serversByID {
@@ -60,8 +61,9 @@
 	return float64(c.inFlight.count) < capacity*(1-(1-lowestRankCapacity)*before)
 }
 
-// maxServerInFlight is the upper bound of a server's in-flight limit while an outage is not over: somewhat
-// more than the usual number, and more with time, or growth would never be admitted.
+// maxServerInFlight returns the upper bound of a server's in-flight limit until an outage is over, at least
+// 2: somewhat more than the usual number. It rises with time, because otherwise increased demand would
+// never be admitted.
 func (c *Controller) maxServerInFlight() float64 {
 	o := &c.outage
 	limit := c.config.RecoveryHeadroom*o.usualInFlight.weight/max(c.recentPeakServers(), 1) + 1
@@ -74,8 +76,8 @@
 	return max(limit, 2)
 }
 
-// isSettled reports whether responses show service times: not those of an outage, nor those after it while
-// servers may be warming up.
+// isSettled reports whether latencies represent service times. Those during an outage do not, nor do those
+// shortly after it, when servers may be in slow start.
 func (c *Controller) isSettled() bool {
 	o := &c.outage
 	settleTime := settledAfterRecovery
--- a/internal/overload/retryafter_test.go
+++ b/internal/overload/retryafter_test.go
@@ -10,8 +10,8 @@
 	"dunestep/internal/balancer"
 )
 
-// TestRetryAfterSchedule: rejected clients are to come back one after another, within the bound, and are
-// remembered until then.
+// TestRetryAfterSchedule checks that rejected clients are scheduled one after another, within the maximum,
+// and are remembered until then.
 func TestRetryAfterSchedule(t *testing.T) {
 	sim := newFleetSimulation(1, 6, nil)
 	sim.rate = 100
@@ -30,26 +30,26 @@
 		}
 		require.Positive(t, after)
 		require.LessOrEqual(t, after, c.settings.Limits.MaxRetryAfter)
-		require.False(t, seen[after], "two are to come back at once")
+		require.False(t, seen[after], "two clients must not get the same time")
 		if seen[after] = true; i < 100 {
 			require.Greater(t, after, last)
 			last = after
 		}
 	}
 	client := c.retryAfters.clientID("c1", "", "rezervare")
-	p := c.retryAfters.find(sim.now, client)
-	require.NotNil(t, p)
-	require.Greater(t, p.returnAt, sim.now+minRetryAfter)
-	require.Nil(t, c.retryAfters.find(p.returnAt+retryAfterGrace+1, client), "a client is remembered for a while only")
+	entry := c.retryAfters.find(sim.now, client)
+	require.NotNil(t, entry)
+	require.Greater(t, entry.returnAt, sim.now+minRetryAfter)
+	require.Nil(t, c.retryAfters.find(entry.returnAt+retryAfterGrace+1, client), "an entry must expire")
 }
 
-// TestRetryAfterTableIsBounded: however many clients are rejected, the memory is that of the start, and few
-// entries are lost.
+// TestRetryAfterTableIsBounded checks that the table does not grow with the number of rejected clients, and
+// that few entries are lost.
 func TestRetryAfterTableIsBounded(t *testing.T) {
 	table := newRetryAfterTable(7)
 	require.LessOrEqual(t, len(table.entries)*24, 2<<20)
 	missed := 0
-	for i := range 100_000 { // of a minute, each with two seconds
+	for i := range 100_000 { // clients within a minute, each due after two seconds
 		now := epoch + time.Duration(i)*600*time.Microsecond
 		client := table.clientID(fmt.Sprint("k", i), "t", "consult")
 		table.record(now, client, now+2*time.Second)
--- a/internal/overload/retrystorm.go
+++ b/internal/overload/retrystorm.go
@@ -4,27 +4,27 @@
 
 const (
 	retryRateHalfLife       = time.Second
-	stormRetryRatio         = 1.0 // retries for each first attempt: from more on it is a storm
-	stormForwardedFraction  = 0.5 // of what comes: where less is forwarded it is a storm
+	stormRetryRatio         = 1.0 // retries per first attempt, above which a storm begins
+	stormForwardedFraction  = 0.5 // of requests, below which a storm begins
 	stormConfirmedAfter     = time.Second
 	normalRetryRatio        = 0.5
 	normalForwardedFraction = 0.8
 	normalConfirmedAfter    = 2 * time.Second
-	stormGrowthFactor       = 2.0 // times the retries that were logged last: logged again
+	stormGrowthFactor       = 2.0 // ratio to the last logged retry rate at which it is logged again
 )
 
 const retryStormText = "retry storm%s: %.0f retries a second to %.0f first attempts, " +
 	"%.0f%% of requests are forwarded"
 
-// retryStorm notices that more client retries than first attempts come while most find no capacity; a peak of
-// first attempts is none. While it lasts, clients that ignore their Retry-After are rejected at once, before
-// others wait for them.
+// retryStorm detects that client retries outnumber first attempts while most requests find no capacity; a
+// peak of first attempts is no retry storm. While a storm lasts, clients that ignore their Retry-After are
+// rejected at once, so that other clients do not wait behind them.
 type retryStorm struct {
 	firstAttempts, retries decayingSum
-	changingSince          time.Duration // since when it looks otherwise than it is; zero: it does not
+	changingSince          time.Duration // since when the rates contradict isActive; zero: they agree
 	isActive               bool
 	startedAt              time.Duration
-	loggedRate             float64 // retries a second, when last logged
+	loggedRate             float64 // retries per second when last logged
 	rejectedCount          int
 }
 
@@ -43,7 +43,7 @@
 }
 
 // rejectsEarlyRetry reports whether a client that ignores its Retry-After is rejected at once: in a retry
-// storm, unless an outage decides or nearly everything is forwarded.
+// storm, unless there is an outage or nearly all requests are forwarded.
 func (c *Controller) rejectsEarlyRetry(s priority) bool {
 	r := &c.retryStorm
 	if !r.isActive || !s.ignoresRetryAfter || c.outage.phase != phaseNormal ||
@@ -54,20 +54,21 @@
 	return true
 }
 
-// updateRetryStorm begins and ends a retry storm once what it goes by has stood for a while.
+// updateRetryStorm begins and ends a retry storm once its conditions have been met for the confirmation
+// time.
 func (c *Controller) updateRetryStorm() {
 	r := &c.retryStorm
 	first, retries := r.firstAttempts.perSecond(c.now), r.retries.perSecond(c.now)
 	forwarded := c.forwardedFraction()
-	changes := retries > stormRetryRatio*first && retries >= 1 && forwarded < stormForwardedFraction &&
+	contradicts := retries > stormRetryRatio*first && retries >= 1 && forwarded < stormForwardedFraction &&
 		c.outage.phase == phaseNormal
 	confirmedAfter := stormConfirmedAfter
 	if r.isActive {
-		changes = retries < normalRetryRatio*first || forwarded > normalForwardedFraction
+		contradicts = retries < normalRetryRatio*first || forwarded > normalForwardedFraction
 		confirmedAfter = normalConfirmedAfter
 	}
 	switch {
-	case !changes:
+	case !contradicts:
 		r.changingSince = 0
 	case r.changingSince == 0:
 		r.changingSince = c.now
--- a/internal/overload/servers.go
+++ b/internal/overload/servers.go
@@ -11,30 +11,30 @@
 
 const (
 	serverHalfLife    = time.Second
-	deadAfterFailures = 3 // attempts in a row: the server is not expected to serve anything
+	deadAfterFailures = 3 // consecutive failures after which a server counts as not working
 	recentResponse    = 2 * time.Second
-	slowServerFactor  = 1.2 // times the usual service time: the server is slow
-	minCapacity       = 0.1 // fraction: the least that serverCapacityFraction returns
+	slowServerFactor  = 1.2 // times the usual service time from which a server counts as slow
+	minCapacity       = 0.1 // minimum result of serverCapacityFraction
 )
 
-// server is a server of the list, and how its responses compare with the usual.
+// server is the state of an upstream server: its list entry and its recent responses.
 type server struct {
-	entry               balancer.Server // as the balancer knows it
+	entry               balancer.Server // as passed to the balancer
 	serviceTime         *serviceTimeEstimate
 	isReady             bool
-	startOffset         time.Duration // added to its start, so that the balancer takes it for a new process
-	logFactors          decayingSum   // of its responses: logarithms of how many times the usual time they took
+	startOffset         time.Duration // added to its start, so that the balancer treats it as a new process
+	logFactors          decayingSum   // sum over its responses of log(latency / usual service time)
 	samples             decayingSum   // number of these responses
 	lastResponseAt      time.Duration
-	inFlightLimit       float64 // requests it may have in flight during recovery, or while it warms up
+	inFlightLimit       float64 // requests allowed in flight during recovery or slow start
 	lastSuccessAt       time.Duration
 	consecutiveFailures int
-	consecutiveFaults   int           // of these, not rejected
-	inFlight            int           // requests of this agent
-	holdUntil           time.Duration // while it warms up: nothing is sent before, after a failure
+	consecutiveFaults   int           // of these, other than rejections
+	inFlight            int           // this agent's requests
+	holdUntil           time.Duration // end of the pause after a failure; applies in slow start
 }
 
-// server returns a server; one that is not on the list is added, not ready.
+// server returns the server with an ID; an unlisted one is added as not ready.
 func (c *Controller) server(id string) *server {
 	s := c.servers[id]
 	if s == nil {
@@ -58,7 +58,7 @@
 	}
 }
 
-// serviceTimeOf returns the estimate of a kind of machine.
+// serviceTimeOf returns the estimate of a machine kind, creating it if necessary.
 func (c *Controller) serviceTimeOf(kind string) *serviceTimeEstimate {
 	estimate := c.serviceTimes[kind]
 	if estimate == nil {
@@ -68,8 +68,8 @@
 	return estimate
 }
 
-// onServerListUpdate takes in an update of the list, and returns what the balancer is to see of it: servers
-// that were reset keep the offset of their start.
+// onServerListUpdate applies an update of the server list and returns the event to pass to the balancer. In
+// it, servers that were reset keep the offset of their start.
 func (c *Controller) onServerListUpdate(e *balancer.ServerListUpdate) balancer.Event {
 	if e.Kind == balancer.UpdateFailed {
 		return e
@@ -98,14 +98,14 @@
 	return update
 }
 
-// resetServers has the balancer take servers for new processes that are warm: what it saw of them is of the
-// outage.
+// resetServers makes the balancer treat servers as new but warm processes, because its statistics of them
+// date from the outage.
 func (c *Controller) resetServers(servers ...*server) {
 	update := &balancer.ServerListUpdate{
 		Kind: balancer.UpdateIncremental, Watch: balancer.WatchStatus{Local: true},
 	}
 	for _, s := range servers {
-		if s.isReady && !c.isWarmingUp(s) { // one that warms up is new to the balancer anyway
+		if s.isReady && !c.isWarmingUp(s) { // one in slow start is new to the balancer anyway
 			s.startOffset++
 			s.entry.StartedAt++
 			update.Servers = append(update.Servers, s.entry)
@@ -114,24 +114,24 @@
 	c.pendingEvents = append(c.pendingEvents, update)
 }
 
-// isWarmingUp reports whether a server is slow because it has just started.
+// isWarmingUp reports whether a server is in slow start.
 func (c *Controller) isWarmingUp(s *server) bool {
 	return s.entry.StartedAt > s.startOffset && c.now-s.entry.StartedAt < c.settings.Rules.SlowStartDuration
 }
 
-// isAtProvenLimit reports whether a server that warms up has as much in flight as it has proved to serve, or
-// has just failed.
+// isAtProvenLimit reports whether a server in slow start has as many requests in flight as it has proved
+// able to serve, or has just failed.
 func (c *Controller) isAtProvenLimit(s *server) bool {
 	return c.now < s.holdUntil || float64(s.inFlight) >= max(s.inFlightLimit, 1)
 }
 
-// concurrency is how many requests this agent has had in flight of late for each ten servers: where some
-// servers respond no more, the others are more loaded.
+// concurrency returns the recent mean number of this agent's requests in flight per ten working servers:
+// when some servers stop responding, the load of the others rises.
 func (c *Controller) concurrency() float64 {
 	return c.inFlight.mean(c.now) * 10 / float64(max(c.workingServers(), 1))
 }
 
-// readyServers counts the servers that take requests.
+// readyServers returns the number of servers that accept requests.
 func (c *Controller) readyServers() (n int) {
 	for _, s := range c.serversByID {
 		if s.isReady {
@@ -141,7 +141,7 @@
 	return n
 }
 
-// workingServers counts the servers that take requests and do not fail them all.
+// workingServers returns the number of ready servers without deadAfterFailures consecutive failures.
 func (c *Controller) workingServers() (n int) {
 	for _, s := range c.serversByID {
 		if s.isReady && s.consecutiveFailures < deadAfterFailures {
@@ -151,16 +151,16 @@
 	return n
 }
 
-// recentPeakServers is the largest number of ready servers of late; it decays to the present one.
+// recentPeakServers returns the recent maximum of ready servers, which decays to the current number.
 func (c *Controller) recentPeakServers() float64 {
 	c.peakServers.decay(c.now)
 	c.peakServers.weight = max(c.peakServers.weight, float64(c.readyServers()))
 	return c.peakServers.weight
 }
 
-// serverCapacityFraction is what the ready servers can do, as a fraction of the usual, from 0.1 to 1. With
-// many servers missing or warming up, work takes longer everywhere for want of capacity, and shedding load
-// does not help.
+// serverCapacityFraction returns the capacity of the ready servers as a fraction of the usual capacity,
+// from 0.1 to 1. With many servers missing or in slow start, work takes longer everywhere for lack
+// of capacity, and shedding load does not help.
 func (c *Controller) serverCapacityFraction() float64 {
 	capacity := 0.0
 	for _, s := range c.serversByID {
@@ -178,7 +178,7 @@
 	return min(max(capacity/max(c.recentPeakServers(), 1), minCapacity), 1)
 }
 
-// slowServerFraction is the fraction of the servers with recent responses that are slow.
+// slowServerFraction returns the fraction of slow servers among those with recent responses.
 func (c *Controller) slowServerFraction() float64 {
 	slow, all := 0.0, 0.0
 	for _, s := range c.serversByID {
@@ -186,14 +186,14 @@
 			continue
 		}
 		all++
-		if s.logFactors.weight > s.samples.weight*math.Log(slowServerFactor) { // both decay alike
+		if s.logFactors.weight > s.samples.weight*math.Log(slowServerFactor) { // both sums have the same half-life
 			slow++
 		}
 	}
 	return slow / max(all, 1)
 }
 
-// forwardedFraction is the fraction of requests that the balancer finds capacity for.
+// forwardedFraction returns the fraction of requests for which the balancer finds capacity.
 func (c *Controller) forwardedFraction() float64 {
 	return c.forwarded.perSecond(c.now) / max(c.arrivals.perSecond(c.now), 1)
 }
--- a/internal/overload/servicetime.go
+++ b/internal/overload/servicetime.go
@@ -6,30 +6,31 @@
 )
 
 const (
-	concurrencyStep     = 1.25   // ratio of neighbouring steps of concurrency
-	concurrencySteps    = 40     // number of steps
-	minStepSamples      = 25     // responses before a step's estimate is used
+	concurrencyStep     = 1.25   // ratio of neighbouring bounds of the concurrency buckets
+	concurrencySteps    = 40     // number of buckets
+	minStepSamples      = 25     // responses before a bucket's estimate is used
 	estimateGain        = 0.003  // weight of a new response in the long run
-	episodeEstimateGain = 0.0005 // the same in what looks like an episode
+	episodeEstimateGain = 0.0005 // the same during a suspected episode
 )
 
-var logConcurrencyStep = math.Log(concurrencyStep) // a constant that Go cannot compute as one
+var logConcurrencyStep = math.Log(concurrencyStep) // math.Log is not constant
 
-// serviceTimeEstimate is the usual service time of a kind of machine, by how many requests this agent has in
-// flight: concurrent requests share the servers, so that under plain overload longer times are usual. It
-// keeps means of the natural logarithm of seconds.
+// serviceTimeEstimate is the usual service time of a machine kind, by this agent's concurrency: concurrent
+// requests share the servers, so that longer service times are usual under plain overload. Per concurrency
+// bucket, it stores the mean of the natural logarithm of seconds.
 type serviceTimeEstimate struct {
 	logSeconds [concurrencySteps]float64
 	samples    [concurrencySteps]float64
 }
 
-// concurrencyStepOf is the number of the step that a concurrency falls into.
+// concurrencyStepOf returns the index of the bucket of a concurrency.
 func concurrencyStepOf(concurrency float64) int {
 	return min(max(int(math.Log(concurrency+1)/logConcurrencyStep), 0), concurrencySteps-1)
 }
 
-// usual is the logarithm of the usual service time in seconds at a concurrency, or false where nothing is
-// known yet. A concurrency beyond what was ever met is taken to make service slower in proportion.
+// usual returns the logarithm of the usual service time in seconds at a concurrency; known is false without
+// an estimate. Above the highest concurrency that was observed, service is assumed to slow down in
+// proportion.
 func (e *serviceTimeEstimate) usual(concurrency float64) (logSeconds float64, known bool) {
 	step := concurrencyStepOf(concurrency)
 	for i := step; i >= 0; i-- {
@@ -45,17 +46,16 @@
 	return 0, false
 }
 
-// observe takes a response into the mean, by the gain in the long run: estimateGain or episodeEstimateGain. A
-// concurrency that was never met before is learned at once, during an episode too: so overload that grows is
-// not taken for one.
+// observe adds a response to the mean of its bucket; in the long run, the weight of a response is the gain:
+// estimateGain or episodeEstimateGain. A new bucket is learned at full speed even during an episode, so
+// that growing overload is not mistaken for an episode.
 func (e *serviceTimeEstimate) observe(concurrency, logSeconds, gain float64) {
 	step := concurrencyStepOf(concurrency)
 	e.samples[step]++
 	e.logSeconds[step] += max(gain, 1/e.samples[step]) * (logSeconds - e.logSeconds[step])
 }
 
-// evidence is how many times the usual service time the latest responses took, as a decaying sum of
-// logarithms.
+// evidence is a decaying sum of log(latency / usual service time) over recent responses.
 type evidence struct {
 	decayingSum // number of responses
 	logSum      float64
@@ -66,7 +66,7 @@
 	e.weight++
 }
 
-// factor is the geometric mean; without evidence it is one.
+// factor returns the geometric mean of the ratios, or 1 without responses.
 func (e *evidence) factor() float64 {
 	if e.weight < 1e-9 {
 		return 1
--- a/internal/overload/shedding.go
+++ b/internal/overload/shedding.go
@@ -3,47 +3,47 @@
 import "time"
 
 const (
-	sheddingStartDelay    = 60 * time.Millisecond // for the message to get to the other agents
-	aloneSheddingFraction = 0.7                   // of SheddingFraction, as not all agents notice
+	sheddingStartDelay    = 60 * time.Millisecond // for the message to reach the other agents
+	aloneSheddingFraction = 0.7                   // of SheddingFraction, as not all agents notice the episode
 	queueDrainTime        = 700 * time.Millisecond
-	healthyFactor         = 0.9 // times the usual service time, with little load
+	healthyFactor         = 0.9 // times the usual service time, under reduced load
 	improvedFraction      = 0.6 // of the peak factor
 	improvedFactor        = 1.1 // times the usual service time
-	joinFactor            = 1.4 // times the usual service time, by all agents: from then on an agent joins
+	joinFactor            = 1.4 // times the usual service time from which an agent joins
 	joinGrowth            = 1.15
 	rejoinAfter           = 1500 * time.Millisecond
 	maxBackoffDoublings   = 6
 )
 
-// shedding is a period of load shedding that is planned or under way: all agents admit a fraction of what the
-// servers carried, so that these can recover.
+// shedding is a planned or current period of load shedding, in which all agents admit a fraction of the
+// rate that the servers sustained, so that the servers can recover.
 type shedding struct {
 	isShedding        bool
-	isExtended        bool // another agent's start made it longer
-	isAlone           bool // no other agent is heard: it starts by the clock
+	isExtended        bool // prolonged by another agent's start
+	isAlone           bool // planned without evidence from others: starts at a multiple of MinShedding
 	sheddingFrom      time.Duration
 	sheddingUntil     time.Duration
 	admittedPerSecond float64       // requests
-	factorAtStart     float64       // times the usual service time, when it was planned
-	peakFactor        float64       // the largest since, once queues were drained
-	announcedStart    time.Duration // of another agent's shedding that is not joined yet; zero: there is none
+	factorAtStart     float64       // times the usual service time, when shedding was planned
+	peakFactor        float64       // maximum factor since queueDrainTime
+	announcedStart    time.Duration // start announced by another agent and not joined yet; zero: none
 }
 
-// isSheddingNow reports whether load is shed at this moment, not only planned to be.
+// isSheddingNow reports whether load is shed at this moment, rather than only planned to be.
 func (c *Controller) isSheddingNow() bool {
 	e := &c.episode
 	return e.isShedding && c.now >= e.sheddingFrom && c.now < e.sheddingUntil
 }
 
-// takesPartInShedding reports whether this agent sheds load at all: not where it is one of many that send
-// little each and has a throttle, unless it is configured.
+// takesPartInShedding reports whether this agent sheds load at all. An agent of a large fleet that sends
+// little and uses the throttle does so only with SheddingWhenSparse.
 func (c *Controller) takesPartInShedding() bool {
 	return c.config.SheddingWhenSparse || c.config.WastedFraction >= 1 || !c.balancer.IsSparse()
 }
 
-// sheddingStart is when to start: as soon as the others can know. Where no other agent is heard it is the
-// next multiple of MinShedding on the clock that all agents share, so that those that notice the episode meet
-// all the same.
+// sheddingStart returns when to start: as soon as the announcement can have reached the other agents.
+// Without evidence from others it is the next multiple of MinShedding on the shared clock, so that all
+// agents that notice the episode start at the same time.
 func (c *Controller) sheddingStart() time.Duration {
 	e := &c.episode
 	if c.settings.Balancers == 1 || !e.hearsNoPeer(c.now) {
@@ -53,7 +53,7 @@
 	return c.now.Truncate(c.config.MinShedding) + c.config.MinShedding
 }
 
-// planShedding has a fraction of what the servers carry now admitted, from the given time on.
+// planShedding plans load shedding from the given time on, and computes the rate to admit.
 func (c *Controller) planShedding(from time.Duration) {
 	e := &c.episode
 	e.isShedding, e.isExtended, e.sheddingFrom, e.sheddingUntil = true, false, from, from+c.config.MaxShedding
@@ -63,14 +63,14 @@
 		fraction = aloneSheddingFraction
 	}
 	e.factorAtStart, _ = e.pooled(c.now)
-	// What was served of late is partly from before the episode.
+	// Part of the recently served requests date from before the episode.
 	e.admittedPerSecond = fraction * c.config.SheddingFraction *
 		min(c.successes.perSecond(c.now), c.usualSuccesses.perSecond(c.now)/e.factorAtStart)
 	e.peakFactor, e.slowSince, e.announcedStart = 0, 0, 0
 }
 
-// updateShedding ends shedding when its time is up, or before when service is quick: quicker than usual with
-// so little load, or far quicker than at first.
+// updateShedding ends shedding at its scheduled end, or earlier once service has become fast: faster than
+// usual under the reduced load, or far faster than at the peak.
 func (c *Controller) updateShedding(factor, weight float64) {
 	e := &c.episode
 	elapsed := c.now - e.sheddingFrom
@@ -81,7 +81,7 @@
 		elapsed > c.config.MinShedding && factor < min(improvedFraction*e.peakFactor, improvedFactor)
 	switch {
 	case isQuick && weight >= minEndWeight:
-		e.noSheddingBefore = c.now + c.config.SheddingBackoff // unless the episode is over: see detectEnd
+		e.noSheddingBefore = c.now + c.config.SheddingBackoff // detectEnd resets it if the episode is over
 		c.logf("latency episode over after %v of load shedding, responses take %.1f times the usual",
 			elapsed.Round(time.Millisecond), factor)
 	case c.now >= e.sheddingUntil:
@@ -93,11 +93,11 @@
 		return
 	}
 	e.isShedding, e.isAlone, e.sheddingEndedAt, e.quietSince, e.factorSinceShedding = false, false, c.now, 0, 0
-	c.outage.resetSinceSuccess(c.now) // what was not forwarded could not be served
+	c.outage.resetSinceSuccess(c.now) // requests that were shed could not succeed
 }
 
-// sheddingAdmittedFraction is the fraction of all requests that is admitted while load is shed: less where
-// service has become slower still.
+// sheddingAdmittedFraction returns the fraction of requests that is admitted while load is shed. It shrinks
+// if service has become even slower.
 func (c *Controller) sheddingAdmittedFraction() float64 {
 	e := &c.episode
 	fraction := 1.0
@@ -107,8 +107,8 @@
 	return fraction * e.admittedPerSecond / max(c.arrivals.perSecond(c.now), 1)
 }
 
-// joinShedding joins the shedding that another agent announced, as soon as this agent's own responses support
-// it: some agents notice an episode a little later.
+// joinShedding joins the shedding that another agent announced as soon as this agent's own responses
+// support it, because some agents notice an episode later than others.
 func (c *Controller) joinShedding() {
 	e := &c.episode
 	switch {
@@ -116,8 +116,8 @@
 		return
 	case e.sheddingEndedAt > 0 && c.now < e.sheddingEndedAt+rejoinAfter:
 		return
-	case c.now > e.announcedStart+c.config.MaxShedding: // the others did it
-		// This agent proposes none for a while either.
+	case c.now > e.announcedStart+c.config.MaxShedding: // shedding ended without this agent
+		// This agent does not plan shedding for a while either.
 		e.announcedStart, e.sheddingEndedAt, e.factorSinceShedding = 0, c.now, 0
 		e.noSheddingBefore = c.now + c.config.SheddingBackoff
 		return
@@ -128,8 +128,8 @@
 		return
 	}
 	c.planShedding(e.announcedStart)
-	c.logf("latency episode: joins load shedding")
+	c.logf("latency episode: joining the load shedding announced by another agent")
 	if c.settings.Balancers > peersPerMessage+1 {
-		c.sendToPeers(messageShedding) // it may not have reached all
+		c.sendToPeers(messageShedding) // the first announcement may not have reached all agents
 	}
 }
--- a/internal/overload/simulation_test.go
+++ b/internal/overload/simulation_test.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// fleetSimulation is a fleet of agents with controllers before simple balancers, and servers that share their
-// cores evenly.
+// fleetSimulation simulates a fleet of agents, each a controller in front of a fakeBalancer, and servers
+// that divide their cores evenly among requests.
 type fleetSimulation struct {
 	now          time.Duration
 	rng          *rand.Rand
@@ -39,22 +39,22 @@
 	jobs         []*job
 	servers      int
 	deliveries   []peerDelivery
-	lost         float64 // of the messages
-	slow         float64 // times the usual work
-	neverAnswers bool    // all servers: attempts time out after an objective
-	rejectsAll   bool    // all servers, at once
-	connectFails bool    // no connection comes up
-	timesOut     bool    // attempts that take longer than an objective do
+	lost         float64 // fraction of the messages
+	slow         float64 // factor of the usual work
+	neverAnswers bool    // all servers: attempts time out after their latency objective
+	rejectsAll   bool    // all servers, immediately
+	connectFails bool    // no connection can be established
+	timesOut     bool    // attempts time out after their latency objective
 	healsAfter   time.Duration
-	idle         time.Duration // that the servers have been less than half busy
+	idle         time.Duration // time since the servers' mean utilization was last above 0.56
 	rate         float64
-	ids          uint32 // of first attempts; those of retries are odd
-	retryAgents  []int  // agents at which clients retry
+	ids          uint32 // last ID of a first attempt; those of retries are odd
+	retryAgents  []int  // agents that get the pending client retries
 
 	requests, sent, served, rejected int
-	done                             float64 // of the work, in seconds of a core
+	done                             float64 // work, in core seconds
 	sentWork                         float64
-	clientsRetry                     bool // once, at once
+	clientsRetry                     bool // once, immediately
 	busy                             float64
 	logs                             []string
 	retryAfterOf                     map[uint32]string
@@ -78,10 +78,10 @@
 	data     []byte
 }
 
-// fakeBalancer sends to the servers in turn while its agent has few requests in flight.
+// fakeBalancer sends requests to the servers in rotation while its agent has few requests in flight.
 type fakeBalancer struct {
 	inFlight, maxInFlight, sent, servers int
-	sparse, saturated                    bool // saturated: the controller has said so
+	sparse, saturated                    bool // saturated: SetWarmServersSaturated was called with true
 	actions                              []balancer.Action
 	agreed                               []balancer.RetryPolicy
 	exclusions                           *balancer.Exclusions
@@ -169,7 +169,8 @@
 	}
 }
 
-// sendRequest has one request come at an agent, and those clients retry that are due to.
+// sendRequest sends a request to an agent, and then the pending client retries. It returns the request's
+// ID.
 func (sim *fleetSimulation) sendRequest(agent int) uint32 {
 	sim.ids += 2
 	class := "consult"
@@ -189,7 +190,7 @@
 	return sim.ids
 }
 
-// run goes on for so long, with sim.rate requests a second.
+// run simulates a time span, with sim.rate requests per second.
 func (sim *fleetSimulation) run(span time.Duration) {
 	for until := sim.now + span; sim.now < until; sim.now += step {
 		deliveries := sim.deliveries
@@ -211,13 +212,13 @@
 }
 
 func (sim *fleetSimulation) work() {
-	held := make([]float64, sim.servers)
+	jobsAt := make([]float64, sim.servers)
 	for _, j := range sim.jobs {
-		held[j.server]++
+		jobsAt[j.server]++
 	}
 	busy := 0.0
-	for _, h := range held {
-		busy += min(h/cores, 1) / float64(sim.servers)
+	for _, jobs := range jobsAt {
+		busy += min(jobs/cores, 1) / float64(sim.servers)
 	}
 	sim.busy += 0.012 * (busy - sim.busy)
 	if sim.idle += step; sim.busy > 0.56 {
@@ -229,7 +230,7 @@
 	jobs := sim.jobs
 	sim.jobs = nil
 	for _, j := range jobs {
-		if end, outcome := sim.fails(j); end {
+		if failed, outcome := sim.fails(j); failed {
 			sim.carryOut(j.agent, sim.controllers[j.agent].Step(sim.now, &balancer.AttemptDone{
 				ID: j.id, Server: fmt.Sprint("s-", j.server),
 				Outcome: outcome, Latency: sim.now - j.began,
@@ -240,8 +241,8 @@
 			sim.jobs = append(sim.jobs, j)
 			continue
 		}
-		sim.done += step.Seconds() * min(1, cores/held[j.server]) / sim.slow
-		if j.left -= time.Duration(float64(step) * min(1, cores/held[j.server]) / sim.slow); j.left > 0 {
+		sim.done += step.Seconds() * min(1, cores/jobsAt[j.server]) / sim.slow
+		if j.left -= time.Duration(float64(step) * min(1, cores/jobsAt[j.server]) / sim.slow); j.left > 0 {
 			sim.jobs = append(sim.jobs, j)
 			continue
 		}
@@ -253,7 +254,7 @@
 	}
 }
 
-// fails reports whether an attempt has failed.
+// fails reports whether an attempt has failed, and with which outcome.
 func (sim *fleetSimulation) fails(j *job) (bool, balancer.Outcome) {
 	if sim.rejectsAll {
 		return true, balancer.Rejected
--- a/internal/overload/snapshot.go
+++ b/internal/overload/snapshot.go
@@ -7,47 +7,48 @@
 	"time"
 )
 
-// Snapshot is what a Controller has learned that takes long to learn: what is usual. It is kept over a
-// restart. What goes on at the moment is not in it: episodes and outages show within seconds, and one that is
-// over by then must not have requests rejected. The tags are the stored form: they keep their names.
+// Snapshot is what a Controller learns slowly, such as usual service times; it is kept across a restart. It
+// leaves out current states: episodes and outages are detected within seconds, and one that has ended by
+// then must not cause rejections. The tags define the stored form and must not change.
 type Snapshot struct {
 	Kinds         []KindSnapshot `cbor:"1,keyasint,omitempty" json:"kinds"`           // by name
-	InFlight      float64        `cbor:"2,keyasint,omitempty" json:"crowd"`           // requests, usually
-	Servers       float64        `cbor:"3,keyasint,omitempty" json:"servers"`         // ready, the most of late
+	InFlight      float64        `cbor:"2,keyasint,omitempty" json:"crowd"`           // usual number of requests
+	Servers       float64        `cbor:"3,keyasint,omitempty" json:"servers"`         // ready, recent peak
 	NoSheddingFor time.Duration  `cbor:"4,keyasint,omitempty" json:"no_purge_for_ns"` // from the snapshot on
-	LearnedFor    time.Duration  `cbor:"5,keyasint,omitempty" json:"learned_for_ns"`  // up to learningDuration
+	LearnedFor    time.Duration  `cbor:"5,keyasint,omitempty" json:"learned_for_ns"`  // at most learningDuration
 }
 
-// KindSnapshot is the usual service time of a kind of machine, by concurrency.
+// KindSnapshot is the usual service time of a machine kind, by concurrency bucket.
 type KindSnapshot struct {
 	Name  string                `cbor:"1,keyasint" json:"name"`
 	Steps []ServiceTimeSnapshot `cbor:"2,keyasint,omitempty" json:"steps"`
 }
 
-// ServiceTimeSnapshot is the usual service time at a step of concurrency.
+// ServiceTimeSnapshot is the usual service time in a concurrency bucket.
 type ServiceTimeSnapshot struct {
 	Step       int     `cbor:"1,keyasint" json:"step"`
-	LogSeconds float64 `cbor:"2,keyasint" json:"log"` // natural logarithm
+	LogSeconds float64 `cbor:"2,keyasint" json:"log"` // natural logarithm of seconds
 	Samples    float64 `cbor:"3,keyasint" json:"answers"`
 }
 
-// SnapshotVersion is the version of what the values of a Snapshot mean.
+// SnapshotVersion is the version of the meaning of a Snapshot's values.
 const SnapshotVersion = 1
 
 const (
-	serviceTimeHalfLife = time.Hour        // in which half of what is known of service times is outdated
-	freshDuration       = 20 * time.Minute // in which InFlight and LearnedFor hold
+	serviceTimeHalfLife = time.Hour        // of the weight of stored service times
+	freshDuration       = 20 * time.Minute // maximum age at which InFlight and LearnedFor are restored
 	maxNoShedding       = time.Minute
 
-	// Bounds of what can have been learned; beyond, something else wrote the file.
+	// Bounds of values that can have been learned; larger ones were not written by a Controller.
 	maxKinds      = 256
-	maxLogSeconds = 12.0 // from microseconds to days
+	maxLogSeconds = 12.0 // natural logarithm of seconds, either sign: microseconds to days
 	maxSamples    = 1e9
 	maxInFlight   = 1e6 // requests
 	maxServers    = 1e4
 )
 
-// Snapshot returns what the Controller has learned; it changes nothing but the time.
+// Snapshot returns what the Controller has learned. It advances the Controller's time and changes nothing
+// else.
 func (c *Controller) Snapshot(now time.Duration) Snapshot {
 	c.now = max(c.now, now)
 	peak := c.peakServers // a copy
@@ -71,8 +72,8 @@
 	return snapshot
 }
 
-// Restore takes over a snapshot of that age, before the first request. A negative age is of a clock that was
-// set back: nothing is known of the snapshot then, and nothing taken over. What cannot have been learned is
+// Restore takes over a snapshot of the given age, before the first request. With a negative age, which
+// results from a clock that was set back, it takes over nothing. Values that cannot have been learned are
 // left out.
 func (c *Controller) Restore(now time.Duration, snapshot Snapshot, age time.Duration) {
 	c.now = max(c.now, now)
@@ -102,19 +103,19 @@
 	}
 }
 
-// settleTime is how long after a start service times say nothing, though the usual ones are known: the
-// servers still work on what was sent before the restart, until its latency objective has passed, and this
-// agent counts none of that.
+// settleTime returns how long after a restart service times are not meaningful, even if the usual ones are
+// known: the servers still work on requests that were sent before the restart, until their latency
+// objective has passed, and this agent does not count those.
 func (c *Controller) settleTime() time.Duration { return c.longestObjective * 3 / 2 }
 
-// isValid reports whether a step can have been learned.
+// isValid reports whether the values can have been learned.
 func (s ServiceTimeSnapshot) isValid() bool {
 	return s.Step >= 0 && s.Step < concurrencySteps && s.Samples > 0 && math.Abs(s.LogSeconds) < maxLogSeconds
 }
 
-// validCount is a count that can be, or zero.
-func validCount(v, most float64) float64 {
-	if !(v > 0) || v > most {
+// validCount returns v if it is above zero and at most limit, and zero otherwise.
+func validCount(v, limit float64) float64 {
+	if !(v > 0) || v > limit {
 		return 0
 	}
 	return v
--- a/internal/overload/throttle.go
+++ b/internal/overload/throttle.go
@@ -8,20 +8,20 @@
 
 const (
 	throttleHalfLife    = 500 * time.Millisecond
-	throttleHeadroom    = 2.0 // times what was answered, admitted beyond that where nothing was wasted
-	minThrottleHeadroom = 0.1 // the same, however much was wasted
-	minWastedWeight     = 1.0 // attempts: below, a single unlucky request would have others rejected
+	throttleHeadroom    = 2.0 // extra admission relative to answered attempts, if none is wasted
+	minThrottleHeadroom = 0.1 // the same, however many attempts are wasted
+	minWastedWeight     = 1.0 // attempts: below, a single failed attempt would have others rejected
 	throttleOffAfter    = 2 * time.Second
 )
 
-// adaptiveThrottle bounds what an agent of a large fleet admits. What such an agent has in flight says
-// nothing of how busy the servers are, so that the balancer finds capacity for everything that comes. The
-// throttle admits what was answered of late and some headroom: the more, the fewer of the agent's attempts
-// were wasted.
+// adaptiveThrottle limits what an agent of a large fleet admits. Such an agent's requests in flight do not
+// show how busy the servers are, so the balancer finds capacity for every request. The throttle admits the
+// number of recently answered attempts plus a headroom, which shrinks as more of the agent's attempts are
+// wasted.
 type adaptiveThrottle struct {
-	arrivals        decayingSum // requests, also those that it rejected
+	arrivals        decayingSum // requests, including those that it rejected
 	answered        decayingSum // attempts
-	wasted          decayingSum // attempts: timed out or rejected
+	wasted          decayingSum // attempts that timed out or were rejected
 	isActive        bool
 	startedAt       time.Duration
 	lastRejectionAt time.Duration
@@ -33,8 +33,8 @@
 	return adaptiveThrottle{arrivals: sum, answered: sum, wasted: sum}
 }
 
-// recordAttemptEnd counts the end of an attempt. A connection that did not come up or was lost says nothing
-// of a want of capacity.
+// recordAttemptEnd counts the end of an attempt. A connection that failed or was lost is no evidence of a
+// lack of capacity.
 func (t *adaptiveThrottle) recordAttemptEnd(now time.Duration, outcome balancer.Outcome) {
 	switch outcome {
 	case balancer.Served:
@@ -44,8 +44,8 @@
 	}
 }
 
-// admittedFraction is the fraction of requests that is admitted, up to 1. Where the given fraction of
-// attempts is wasted, it is hardly more than what is answered.
+// admittedFraction returns the fraction of requests to admit, up to 1. When wastedFraction of the attempts
+// are wasted, hardly more is admitted than is answered.
 func (t *adaptiveThrottle) admittedFraction(now time.Duration, wastedFraction float64) float64 {
 	t.wasted.decay(now)
 	if t.wasted.weight < minWastedWeight {
@@ -58,8 +58,8 @@
 	return min((t.answered.weight*(1+headroom)+1)/(t.arrivals.weight+1), 1)
 }
 
-// isThrottled reports whether the throttle rejects a request, in the order of fairness. During shedding and
-// outages those balancer.
+// isThrottled reports whether the throttle rejects a request, by its place in the fairness order. During
+// shedding and outages the throttle rejects nothing.
 func (c *Controller) isThrottled(e *balancer.Request, tier int) bool {
 	t := &c.throttle
 	t.arrivals.add(c.now, 1)
@@ -79,13 +79,13 @@
 	return true
 }
 
-// usesThrottle reports whether the throttle decides at this moment.
+// usesThrottle reports whether the throttle may reject requests at this moment.
 func (c *Controller) usesThrottle() bool {
 	return !c.config.Disabled && c.config.WastedFraction < 1 && !c.isSheddingNow() &&
 		c.outage.phase == phaseNormal && c.balancer.IsSparse()
 }
 
-// updateThrottle ends the throttle once nothing has been rejected for a while.
+// updateThrottle deactivates the throttle once it has rejected nothing for throttleOffAfter.
 func (c *Controller) updateThrottle() {
 	if t := &c.throttle; t.isActive && c.now-t.lastRejectionAt > throttleOffAfter {
 		t.isActive = false
