--- a/internal/overload/admission.go
+++ b/internal/overload/admission.go
@@ -14,9 +14,9 @@
 	rejectRecovering              // the servers have not yet proved able to serve that many
 )
 
-// isForOverload reports whether a rejection counts against the end of an outage, which requires that nearly
-// all requests are admitted.
-func (r rejectReason) isForOverload() bool {
+// delaysRecovery reports whether rejections for this reason keep an outage from ending, which requires that
+// nearly all requests are admitted.
+func (r rejectReason) delaysRecovery() bool {
 	return r == rejectShedding || r == rejectOutage || r == rejectRecovering
 }
 
@@ -47,7 +47,7 @@
 	}
 	a := c.recordArrival(e)
 	if reason := c.checkAdmission(e, a); reason != notRejected {
-		if reason.isForOverload() {
+		if reason.delaysRecovery() {
 			c.outage.rejections.add(c.now, 1)
 			c.outage.rejectedCount++
 		}
--- a/internal/overload/admission_test.go
+++ b/internal/overload/admission_test.go
@@ -59,7 +59,7 @@
 		"recovering, budget":        {phaseRecovering, 0, 1, true, notSuppressed},
 		"recovering, no budget":     {phaseRecovering, 0, 0.9, true, suppressRetryBudget},
 		"recovering, first attempt": {phaseRecovering, 0, 0, false, notSuppressed},
-		"slow start, at its limit":  {phaseRecovering, epoch, 5, false, suppressWarmingUp},
+		"slow start, at its limit":  {phaseRecovering, epoch, 5, false, suppressSlowStart},
 		"slow start, normal phase":  {phaseNormal, epoch, 5, false, notSuppressed},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/overload/attempts.go
+++ b/internal/overload/attempts.go
@@ -118,7 +118,7 @@
 
 const (
 	notSuppressed       suppressReason = iota
-	suppressWarmingUp                  // the server is in slow start and has not proved able to serve more
+	suppressSlowStart                  // the server is in slow start and has not proved able to serve more
 	suppressOutage                     // during an outage, each trial has one attempt
 	suppressRetryBudget                // during recovery, the budget for further attempts is spent
 )
@@ -132,8 +132,8 @@
 	}
 	inOutage := c.outage.phase != phaseNormal
 	fewServers := inOutage || 2*float64(c.workingServers()) < c.recentPeakServers()
-	if fewServers && c.isWarmingUp(s) && c.isAtProvenLimit(s) {
-		return suppressWarmingUp
+	if fewServers && c.isInSlowStart(s) && c.isAtProvenLimit(s) {
+		return suppressSlowStart
 	}
 	if !inOutage || len(r.attempts) == 0 {
 		return notSuppressed
@@ -157,7 +157,7 @@
 	}
 	a := &r.attempts[e.Attempt]
 	if !a.hasEnded && !r.isStreaming { // the server's work is done, however slowly the client reads
-		c.leaveInFlight(a)
+		c.removeFromInFlight(a)
 		a.responseStarted = true
 	}
 	c.streamStartedEvent = balancer.StreamStarted{ID: e.ID, Attempt: a.balancerNumber}
@@ -176,14 +176,14 @@
 	a := &r.attempts[e.Attempt]
 	a.hasEnded = true
 	r.openAttempts--
-	c.leaveInFlight(a)
+	c.removeFromInFlight(a)
 	if !e.Evidence.LocalShortage {
 		c.throttle.recordAttemptEnd(c.now, e.Outcome)
 	}
 	if e.Outcome == balancer.Served {
 		c.successes.add(c.now, 1)
 		c.usualSuccesses.add(c.now, 1)
-		if c.isSettled() && !c.isWarmingUp(a.server) {
+		if c.isSettled() && !c.isInSlowStart(a.server) {
 			c.recordServiceTime(a, max(e.Latency, time.Microsecond))
 		}
 		c.retryAfters.forget(c.now, r.client)
@@ -201,8 +201,8 @@
 	return &c.attemptDoneEvent
 }
 
-// leaveInFlight removes an attempt from the requests in flight, once.
-func (c *Controller) leaveInFlight(a *attempt) {
+// removeFromInFlight removes an attempt from the requests in flight, once.
+func (c *Controller) removeFromInFlight(a *attempt) {
 	if !a.responseStarted {
 		a.server.inFlight--
 		c.inFlight.changeBy(c.now, -1)
--- a/internal/overload/config.go
+++ b/internal/overload/config.go
@@ -10,7 +10,7 @@
 // Config has the operator's settings of overload control: the table [storm] of the operator file. Each
 // number must be above zero and finite.
 type Config struct {
-	// Disabled forwards every request.
+	// Disabled turns overload control off: every request is forwarded.
 	Disabled bool
 	// EpisodeFactor is the ratio of response times to the usual service time from which a latency episode
 	// begins, provided that most servers are slow at once.
--- a/internal/overload/controller.go
+++ b/internal/overload/controller.go
@@ -143,7 +143,7 @@
 		c.runPeriodicChecks()
 		c.updateOutage()
 	}
-	if ev = c.takeIn(ev); ev == nil {
+	if ev = c.handleEvent(ev); ev == nil {
 		return c.actions
 	}
 	c.stepBalancer(ev)
@@ -154,8 +154,8 @@
 	return c.actions
 }
 
-// takeIn processes an event and returns the event to pass to the balancer; nil: none.
-func (c *Controller) takeIn(ev balancer.Event) balancer.Event {
+// handleEvent processes an event and returns the event to pass to the balancer; nil: none.
+func (c *Controller) handleEvent(ev balancer.Event) balancer.Event {
 	switch e := ev.(type) {
 	case *balancer.Request:
 		return c.admit(e)
--- a/internal/overload/controller_test.go
+++ b/internal/overload/controller_test.go
@@ -19,18 +19,18 @@
 type propertyRun struct {
 	controller *Controller
 	now        time.Duration
-	open       map[uint32]*playedRequest
+	requests   map[uint32]*simulatedRequest
 	timers     map[uint64]time.Duration
 	history    string
 	t          *rapid.T
 }
 
-// playedRequest is a request of a propertyRun.
-type playedRequest struct {
-	class string
-	out   []string // servers of its attempts, by attempt number; empty: the attempt has ended
-	ran   bool     // processed by a server, or possibly so
-	final bool
+// simulatedRequest is a request of a propertyRun.
+type simulatedRequest struct {
+	class          string
+	attemptServers []string // servers of its attempts, by attempt number; empty: the attempt has ended
+	mayHaveRun     bool     // processed by a server, or possibly so
+	isAnswered     bool
 }
 
 func newPropertyRun(t *rapid.T, config Config) *propertyRun {
@@ -39,34 +39,34 @@
 	set.Limits.Hedging = true
 	c, err := NewWithBalancer(set, config, 3)
 	require.NoError(t, err)
-	return &propertyRun{controller: c, now: epoch, open: map[uint32]*playedRequest{}, timers: map[uint64]time.Duration{}, t: t}
+	return &propertyRun{controller: c, now: epoch, requests: map[uint32]*simulatedRequest{}, timers: map[uint64]time.Duration{}, t: t}
 }
 
 func (p *propertyRun) step(ev balancer.Event) {
 	for _, a := range p.controller.Step(p.now, ev) {
 		p.history += fmt.Sprintln(p.now, a)
-		r := p.open[a.ID]
+		r := p.requests[a.ID]
 		switch a.Kind {
 		case balancer.Send:
-			if r == nil || r.final {
+			if r == nil || r.isAnswered {
 				p.t.Fatalf("attempt sent for a request that is already answered: %v", a)
 			}
-			if r.class == "rezervare" && r.ran {
+			if r.class == "rezervare" && r.mayHaveRun {
 				p.t.Fatalf("retry of a non-idempotent request that a server may have processed: %v", a)
 			}
-			r.out = append(r.out, a.Server)
+			r.attemptServers = append(r.attemptServers, a.Server)
 		case balancer.Reject, balancer.Fail:
-			if r == nil || r.final {
+			if r == nil || r.isAnswered {
 				p.t.Fatalf("second answer to a request: %v", a)
 			}
-			if a.Kind == balancer.Reject && r.class == "rezervare" && r.ran {
+			if a.Kind == balancer.Reject && r.class == "rezervare" && r.mayHaveRun {
 				p.t.Fatalf("rejection of a non-idempotent request that a server may have processed: %v", a)
 			}
-			r.final = true
+			r.isAnswered = true
 		case balancer.SetTimer:
 			p.timers[a.Tag] = p.now + a.After
 		case balancer.Cancel:
-			if r != nil && a.Attempt >= len(r.out) {
+			if r != nil && a.Attempt >= len(r.attemptServers) {
 				p.t.Fatalf("cancellation of an attempt that was never sent: %v", a)
 			}
 		}
@@ -85,15 +85,15 @@
 }
 
 // endAttempt ends an attempt in flight with the outcome.
-func (p *propertyRun) endAttempt(id uint32, r *playedRequest, attempt int, outcome balancer.Outcome) {
-	server := r.out[attempt]
-	r.out[attempt] = ""
+func (p *propertyRun) endAttempt(id uint32, r *simulatedRequest, attempt int, outcome balancer.Outcome) {
+	server := r.attemptServers[attempt]
+	r.attemptServers[attempt] = ""
 	if !outcome.Unprocessed() {
-		r.ran = true
+		r.mayHaveRun = true
 	}
-	requestDone := r.final
-	if outcome == balancer.Served && !r.final {
-		r.final, requestDone = true, true
+	requestDone := r.isAnswered
+	if outcome == balancer.Served && !r.isAnswered {
+		r.isAnswered, requestDone = true, true
 	}
 	p.step(&balancer.AttemptDone{
 		ID: id, Attempt: attempt, Server: server, Outcome: outcome,
@@ -101,10 +101,10 @@
 	})
 }
 
-// TestAnyCourseOfEvents checks that for any sequence of events, in normal operation, in outages and after
+// TestEventSequenceInvariants checks that for any sequence of events, in normal operation, in outages and after
 // them, each request gets exactly one answer; that a non-idempotent request that may have been processed is
 // neither retried nor rejected; and that no state is left over.
-func TestAnyCourseOfEvents(t *testing.T) {
+func TestEventSequenceInvariants(t *testing.T) {
 	phasesSeen := map[string]int{}
 	defer func() { require.Len(t, phasesSeen, 2, "the runs must include outages and recoveries") }()
 	rapid.Check(t, func(t *rapid.T) {
@@ -136,19 +136,19 @@
 					}.encode()})
 				default:
 					ids++
-					p.open[ids] = &playedRequest{class: []string{"consult", "rezervare"}[ids%2]}
+					p.requests[ids] = &simulatedRequest{class: []string{"consult", "rezervare"}[ids%2]}
 					p.step(&balancer.Request{
-						ID: ids, Class: p.open[ids].class, Key: fmt.Sprint(ids % 7),
+						ID: ids, Class: p.requests[ids].class, Key: fmt.Sprint(ids % 7),
 						Tenant: fmt.Sprint("t", ids%3), ClientTimeout: time.Second, ClientRetry: ids%5 == 0,
 					})
 					for id := ids - min(ids-1, 30); id <= ids; id++ {
-						r := p.open[id]
-						for n := range r.out {
-							if r.out[n] != "" && !r.final && rapid.IntRange(0, 9).Draw(t, "starts") == 0 {
-								r.final, r.ran = true, true // this response is the answer, however it ends
+						r := p.requests[id]
+						for n := range r.attemptServers {
+							if r.attemptServers[n] != "" && !r.isAnswered && rapid.IntRange(0, 9).Draw(t, "starts") == 0 {
+								r.isAnswered, r.mayHaveRun = true, true // this response is the answer, however it ends
 								p.step(&balancer.StreamStarted{ID: id, Attempt: n})
 							}
-							if r.out[n] == "" || rapid.IntRange(0, 2).Draw(t, "ends") > 0 {
+							if r.attemptServers[n] == "" || rapid.IntRange(0, 2).Draw(t, "ends") > 0 {
 								continue
 							}
 							if rapid.IntRange(1, 100).Draw(t, "percent") <= servedPercent {
@@ -164,17 +164,17 @@
 		history := p.history
 		for range 4 * 3 { // end all attempts in flight and those that they cause
 			for id := uint32(1); id <= ids; id++ {
-				r := p.open[id]
-				for n := range r.out {
-					if r.out[n] != "" {
+				r := p.requests[id]
+				for n := range r.attemptServers {
+					if r.attemptServers[n] != "" {
 						p.endAttempt(id, r, n, balancer.Rejected)
 					}
 				}
 			}
 			p.advance(200 * time.Millisecond)
 		}
-		for id, r := range p.open {
-			if !r.final {
+		for id, r := range p.requests {
+			if !r.isAnswered {
 				t.Fatalf("request %d got no answer", id)
 			}
 		}
--- a/internal/overload/episode.go
+++ b/internal/overload/episode.go
@@ -5,14 +5,14 @@
 const (
 	sparseFactorHalfLife = 700 * time.Millisecond // for an agent with too few responses within factorHalfLife
 
-	minOwnWeight    = 8.0  // responses from which an agent's own evidence is sufficient
-	minSparseWeight = 2.0  // the same over sparseFactorHalfLife
-	minPooledWeight = 20.0 // responses of all agents required to begin an episode
-	minAloneWeight  = 12.0 // the same for an agent without fresh evidence from others
-	minEndWeight    = 12.0 // responses required to end an episode
-
-	unusualFactor         = 1.25 // times the usual service time from which an agent sends its evidence
-	minSlowServerFraction = 0.7  // of servers with recent responses, in an episode
+	minOwnWeight          = 8.0  // responses from which an agent's own evidence is sufficient
+	minSparseWeight       = 2.0  // the same over sparseFactorHalfLife
+	minPooledWeight       = 20.0 // responses of all agents required to begin an episode
+	minWeightWithoutPeers = 12.0 // the same for an agent without fresh evidence from others
+	minEndWeight          = 12.0 // responses required to end an episode
+
+	unusualFactor         = 1.25 // times the usual service time from which an agent's own responses are unusual
+	minSlowServerFraction = 0.7  // minimum slowServerFraction in an episode
 	maxForwardedFraction  = 0.9  // of requests; above, shedding costs more than the episode
 
 	learningDuration      = 5 * time.Second        // since the first response, before service can count as slow
@@ -33,7 +33,7 @@
 	sentAt    time.Duration // when evidence was last sent
 
 	slowSince  time.Duration // zero: service is not slow
-	quietSince time.Duration // start of usual service; zero: service is not usual
+	usualSince time.Duration // start of usual service; zero: service is not usual
 
 	shedding
 	failedSheddings       int // number of sheddings that did not end this episode
@@ -58,11 +58,11 @@
 	}
 }
 
-// pooled returns the factor by the evidence of all agents, and the number of responses behind it. An agent
-// without fresh evidence from others uses its own responses, over a longer time if they are few.
-func (e *episode) pooled(now time.Duration) (factor, weight float64) {
+// pooledEvidence returns the factor by the evidence of all agents, and the number of responses behind it.
+// An agent without fresh evidence from others uses its own responses, over a longer time if they are few.
+func (e *episode) pooledEvidence(now time.Duration) (factor, weight float64) {
 	e.own.decayAll(now)
-	if e.hearsNoPeer(now) && e.own.weight < minAloneWeight {
+	if e.hasNoFreshPeer(now) && e.own.weight < minWeightWithoutPeers {
 		e.ownSparse.decayAll(now)
 		return e.ownSparse.factor(), e.ownSparse.weight
 	}
@@ -79,9 +79,9 @@
 	return all.factor(), all.weight
 }
 
-// supports reports whether this agent's own responses are slow too. Messages of other agents alone, forged
-// or not, never cause rejections.
-func (e *episode) supports(now time.Duration) bool {
+// ownEvidenceAgrees reports whether this agent's own responses are slow too. Messages of other agents
+// alone, forged or not, never cause rejections.
+func (e *episode) ownEvidenceAgrees(now time.Duration) bool {
 	if e.own.weight >= minOwnWeight {
 		return e.own.factor() >= unusualFactor
 	}
@@ -94,10 +94,10 @@
 func (e *episode) detectEnd(now time.Duration, factor, weight float64) {
 	switch {
 	case weight < minEndWeight || factor >= slowServerFactor:
-		e.quietSince = 0
-	case e.quietSince == 0:
-		e.quietSince = now
-	case now-e.quietSince > episodeOverAfter:
+		e.usualSince = 0
+	case e.usualSince == 0:
+		e.usualSince = now
+	case now-e.usualSince > episodeOverAfter:
 		e.noSheddingBefore, e.failedSheddings = 0, 0
 	}
 }
@@ -130,7 +130,7 @@
 		e.slowSince, e.announcedStart, e.isShedding = 0, 0, false
 		return
 	}
-	factor, weight := e.pooled(c.now)
+	factor, weight := e.pooledEvidence(c.now)
 	isUnusual := e.own.weight >= minSparseWeight && e.own.factor() > unusualFactor
 	if (e.isShedding || isUnusual) && c.now >= e.sentAt+evidenceInterval {
 		c.sendToPeers(messageEvidence)
@@ -163,12 +163,12 @@
 func (c *Controller) isSlow(factor, weight float64) bool {
 	e := &c.episode
 	minWeight := minPooledWeight
-	if e.hearsNoPeer(c.now) {
-		minWeight = minAloneWeight
+	if e.hasNoFreshPeer(c.now) {
+		minWeight = minWeightWithoutPeers
 	}
 	knowsUsual := c.firstResponseAt > 0 && c.now >= c.firstResponseAt+learningDuration
 	hasEvidence := c.takesPartInShedding() && knowsUsual && weight >= minWeight
 	return hasEvidence && factor >= c.config.EpisodeFactor &&
-		factor >= c.config.EpisodeFactor/c.serverCapacityFraction() && e.supports(c.now) &&
+		factor >= c.config.EpisodeFactor/c.serverCapacityFraction() && e.ownEvidenceAgrees(c.now) &&
 		c.slowServerFraction() >= minSlowServerFraction && c.forwardedFraction() < maxForwardedFraction
 }
--- a/internal/overload/episode_test.go
+++ b/internal/overload/episode_test.go
@@ -37,12 +37,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			sim := newFleetSimulation(4, 12, tt.change)
-			sim.lost, sim.rate = tt.lost, 320
+			sim.messageLoss, sim.rate = tt.lost, 320
 			sim.run(20 * time.Second)
 			require.Empty(t, sim.logs)
-			sim.slow, sim.healsAfter = 2.4, 2200*time.Millisecond
+			sim.slowdown, sim.recoversAfter = 2.4, 2200*time.Millisecond
 			sim.run(tt.within)
-			require.InDelta(t, 1.0, sim.slow, 0, "%v", sim.logs)
+			require.InDelta(t, 1.0, sim.slowdown, 0, "%v", sim.logs)
 			sim.run(3 * time.Second)
 			served := sim.served
 			sim.run(5 * time.Second)
@@ -51,20 +51,20 @@
 	}
 }
 
-// TestEpisodeThatSheddingDoesNotEndIsShedOnce checks that load shedding is not repeated in an episode that
+// TestFailedSheddingIsNotRepeated checks that load shedding is not repeated in an episode that
 // it did not end.
-func TestEpisodeThatSheddingDoesNotEndIsShedOnce(t *testing.T) {
+func TestFailedSheddingIsNotRepeated(t *testing.T) {
 	sim := newFleetSimulation(4, 12, nil)
 	sim.rate = 320
 	sim.run(20 * time.Second)
-	sim.slow = 2.4
+	sim.slowdown = 2.4
 	sim.run(28 * time.Second)
 	require.Equal(t, 4, count(sim.logs, "shedding load for")+count(sim.logs, "joining"), "%v", sim.logs)
 	require.Equal(t, 4, count(sim.logs, "goes on"), "%v", sim.logs)
 }
 
-// TestMoreWorkIsNoEpisode checks that plain overload is not mistaken for a latency episode.
-func TestMoreWorkIsNoEpisode(t *testing.T) {
+// TestPlainOverloadIsNoEpisode checks that plain overload is not mistaken for a latency episode.
+func TestPlainOverloadIsNoEpisode(t *testing.T) {
 	sim := newFleetSimulation(4, 12, nil)
 	sim.rate = usualRate
 	sim.run(20 * time.Second)
@@ -101,9 +101,9 @@
 	})
 }
 
-// TestMissingServersAreNoEpisode checks serverCapacityFraction, by which the threshold of an episode rises
+// TestServerCapacityFraction checks serverCapacityFraction, by which the threshold of an episode rises
 // while servers are missing or in slow start.
-func TestMissingServersAreNoEpisode(t *testing.T) {
+func TestServerCapacityFraction(t *testing.T) {
 	sim := newFleetSimulation(1, 12, nil)
 	sim.rate = 60
 	c := sim.controllers[0]
--- a/internal/overload/fairness.go
+++ b/internal/overload/fairness.go
@@ -50,16 +50,16 @@
 }
 
 // tier returns the tier of a request. An unknown class counts as the one with the lowest priority.
-func (f *fairnessOrder) tier(class string, s priority) int {
+func (f *fairnessOrder) tier(class string, p priority) int {
 	rank := len(f.classRank) - 1
 	if i, known := f.classIndex[class]; known {
 		rank = f.classRank[i]
 	}
 	tier := 2 * rank
-	if s.ignoresRetryAfter {
+	if p.ignoresRetryAfter {
 		tier++
 	}
-	if s.overQuota {
+	if p.overQuota {
 		tier += 2 * len(f.classRank)
 	}
 	return tier
@@ -94,13 +94,13 @@
 	return keyRank(e.Key, c.now, c.config.FairnessRotation)
 }
 
-// rankSpread scatters the hashes: the ring's points use the same hash, so that without it the keys of one
+// rankMultiplier scatters the hashes: the ring's points use the same hash, so that without it the keys of one
 // server would have neighbouring ranks.
-const rankSpread = 0x9E3779B1
+const rankMultiplier = 0x9E3779B1
 
 // keyRank returns a key's rank, from 0 to 1, which advances evenly and wraps around once per rotation.
 func keyRank(key string, now, rotation time.Duration) float64 {
-	spread := farm.Fingerprint32([]byte(key)) * rankSpread
-	rank := float64(spread)/(1<<32) + float64(now%rotation)/float64(rotation)
+	scattered := farm.Fingerprint32([]byte(key)) * rankMultiplier
+	rank := float64(scattered)/(1<<32) + float64(now%rotation)/float64(rotation)
 	return rank - math.Floor(rank)
 }
--- a/internal/overload/golden_test.go
+++ b/internal/overload/golden_test.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// goldenMemory returns a Snapshot with a value in every field.
-func goldenMemory() Snapshot {
+// goldenSnapshot returns a Snapshot with a value in every field.
+func goldenSnapshot() Snapshot {
 	return Snapshot{
 		[]KindSnapshot{
 			{"lent", []ServiceTimeSnapshot{{3, -2.25, 40}, {7, -1.5, 25.75}}}, {"rapid", nil},
@@ -60,12 +60,12 @@
 	}
 }
 
-// TestMemoryGolden checks the CBOR form in which a Snapshot is stored and the JSON form in which it is
+// TestSnapshotGolden checks the CBOR form in which a Snapshot is stored and the JSON form in which it is
 // shown.
-func TestMemoryGolden(t *testing.T) {
+func TestSnapshotGolden(t *testing.T) {
 	enc, err := cbor.EncOptions{Sort: cbor.SortCoreDeterministic, ShortestFloat: cbor.ShortestFloat16}.EncMode()
 	require.NoError(t, err)
-	for name, m := range map[string]Snapshot{"memory": goldenMemory(), "memory-empty": {}} {
+	for name, m := range map[string]Snapshot{"memory": goldenSnapshot(), "memory-empty": {}} {
 		t.Run(name, func(t *testing.T) {
 			raw, err := enc.Marshal(m)
 			require.NoError(t, err)
--- a/internal/overload/outage.go
+++ b/internal/overload/outage.go
@@ -19,12 +19,12 @@
 	maxSavedTrials     = 2.0
 	stalledTrialAfter  = 300 * time.Millisecond // without an attempt, after which the balancer's view is reset
 
-	// warmingUpHold, multiplied by the number of agents, is the pause of a server in slow start after a
+	// slowStartHold, multiplied by the number of agents, is the pause of a server in slow start after a
 	// failure.
-	warmingUpHold = 80 * time.Millisecond
+	slowStartHold = 80 * time.Millisecond
 )
 
-// phase is the phase of an outage.
+// phase distinguishes normal operation, an outage and the recovery from it.
 type phase uint8
 
 const (
@@ -40,9 +40,9 @@
 	recoveringSince time.Duration
 	healthySince    time.Duration // nearly all requests admitted and served since then; zero: not healthy
 
-	attemptEnds   decayingSum // number of attempts that ended
+	attemptEnds   decayingSum // attempts that ended
 	successes     decayingSum // of these, served
-	rejections    decayingSum // number of requests rejected because of overload: isForOverload
+	rejections    decayingSum // requests rejected for a reason that delaysRecovery
 	usualInFlight decayingSum // decaying mean of the requests in flight in normal times
 
 	lastSuccessAt        time.Duration
@@ -109,7 +109,7 @@
 	if outcome == balancer.ConnectFailed || outcome == balancer.ConnectionLost {
 		o.connectionFaults++
 	}
-	s.holdUntil = c.now + warmingUpHold*time.Duration(c.agents)
+	s.holdUntil = c.now + slowStartHold*time.Duration(c.agents)
 	if s.inFlightLimit /= 2; c.now > s.lastSuccessAt+provenDuration {
 		s.inFlightLimit = 0
 	}
--- a/internal/overload/outage_test.go
+++ b/internal/overload/outage_test.go
@@ -22,7 +22,7 @@
 		rate         float64
 		maxSentRatio float64 // maximum ratio of attempts to requests
 	}{
-		"silent":           {func(sim *fleetSimulation) { sim.neverAnswers = true }, 1, 300, 0.25},
+		"silent":           {func(sim *fleetSimulation) { sim.neverResponds = true }, 1, 300, 0.25},
 		"rejecting":        {func(sim *fleetSimulation) { sim.rejectsAll = true }, 1, 300, 0.25},
 		"down, slow start": {func(sim *fleetSimulation) { sim.connectFails = true }, 3, 100, 0.25},
 	} {
@@ -35,11 +35,11 @@
 			requests, sent := sim.requests, sim.sent
 			sim.run(20 * time.Second)
 			require.Less(t, float64(sim.sent-sent)/float64(sim.requests-requests), tt.maxSentRatio, "%v", sim.logs)
-			sim.neverAnswers, sim.rejectsAll, sim.connectFails, sim.slow = false, false, false, tt.slow
+			sim.neverResponds, sim.rejectsAll, sim.connectFails, sim.slowdown = false, false, false, tt.slow
 			for second := range 10 {
 				work, done, requests, served := sim.sentWork, sim.done, sim.requests, sim.served
 				sim.run(time.Second)
-				capacity := max(sim.done-done, cores*float64(sim.servers)/sim.slow*0.9)
+				capacity := max(sim.done-done, cores*float64(sim.servers)/sim.slowdown*0.9)
 				require.Less(t, sim.sentWork-work, 1.1*capacity, "second %d", second)
 				if second >= 4 {
 					require.Greater(t, float64(sim.served-served), 0.8*float64(sim.requests-requests), "second %d: %v", second, sim.logs)
@@ -63,9 +63,9 @@
 	require.Greater(t, float64(sim.served-served), 0.95*float64(sim.requests-requests), "%v", sim.logs)
 }
 
-// TestWarmingUpServerIsHeldToItsLimit checks that a server in slow start that gets all requests, because
+// TestSlowStartServerIsHeldToProvenLimit checks that a server in slow start that gets all requests, because
 // the other servers are gone, is not overloaded, whether it serves or rejects them.
-func TestWarmingUpServerIsHeldToItsLimit(t *testing.T) {
+func TestSlowStartServerIsHeldToProvenLimit(t *testing.T) {
 	for name, tt := range map[string]struct {
 		outcome balancer.Outcome
 		started time.Duration
--- a/internal/overload/peers.go
+++ b/internal/overload/peers.go
@@ -26,8 +26,8 @@
 	return p.receivedAt > 0 && now-p.receivedAt < peerEvidenceValidFor
 }
 
-// hearsNoPeer reports whether there is no fresh evidence from any other agent.
-func (e *episode) hearsNoPeer(now time.Duration) bool {
+// hasNoFreshPeer reports whether there is no fresh evidence from any other agent.
+func (e *episode) hasNoFreshPeer(now time.Duration) bool {
 	for i := range e.peers {
 		if e.peers[i].isFresh(now) {
 			return false
@@ -94,7 +94,8 @@
 	if m.kind != messageShedding || m.startsAt <= c.now-maxLateStart || m.startsAt >= c.now+maxEarlyStart {
 		return
 	}
-	if e.isShedding && !e.isExtended && m.startsAt > e.sheddingFrom+episodeOverAfter && e.supports(c.now) {
+	if e.isShedding && !e.isExtended && m.startsAt > e.sheddingFrom+episodeOverAfter &&
+		e.ownEvidenceAgrees(c.now) {
 		e.isExtended, e.sheddingUntil = true, m.startsAt+c.config.MaxShedding
 	}
 	if !e.isShedding {
--- a/internal/overload/policy_test.go
+++ b/internal/overload/policy_test.go
@@ -39,7 +39,7 @@
 	require.Zero(t, overQuota("b"))
 	classes := []balancer.RetryPolicy{{MaxAttempts: 1}}
 	c.ApplyFleetPolicy([]float64{8, 20}, classes, 0.2)
-	require.Equal(t, classes, sim.balancers[0].agreed)
+	require.Equal(t, classes, sim.balancers[0].retryPolicies)
 	require.Equal(t, 88, overQuota("a"), "2 requests per second; the bucket of 3 must be as full as the one of 10 was")
 	require.InDelta(t, 75, overQuota("b"), 5, "must start with a full bucket")
 
@@ -58,16 +58,16 @@
 		require.NoError(t, c.SetConfig(config))
 		require.InDelta(t, tt.effective, c.config.WastedFraction, 0, "%+v", tt)
 	}
-	require.Nil(t, sim.balancers[0].agreed)
+	require.Nil(t, sim.balancers[0].retryPolicies)
 	overQuota("a")
 	require.Equal(t, 50, overQuota("a"))
 	require.Zero(t, overQuota("b"))
 }
 
-// TestExclusionsAndAssignmentArePassedOn checks that exclusions and ring assignments reach the balancer,
+// TestExclusionsAndAssignmentReachBalancer checks that exclusions and ring assignments reach the balancer,
 // that requests keep their tenant on the way there, and that the statistics include the requests that the
 // controller rejected.
-func TestExclusionsAndAssignmentArePassedOn(t *testing.T) {
+func TestExclusionsAndAssignmentReachBalancer(t *testing.T) {
 	sim := newFleetSimulation(1, 4, func(set *balancer.Settings) { set.Tenants = []balancer.Tenant{{Name: "a", QuotaPerSecond: 40}} })
 	c, fake := sim.controllers[0], sim.balancers[0]
 	exclusions := &balancer.Exclusions{}
--- a/internal/overload/retrystorm.go
+++ b/internal/overload/retrystorm.go
@@ -44,9 +44,9 @@
 
 // rejectsEarlyRetry reports whether a client that ignores its Retry-After is rejected at once: in a retry
 // storm, unless there is an outage or nearly all requests are forwarded.
-func (c *Controller) rejectsEarlyRetry(s priority) bool {
+func (c *Controller) rejectsEarlyRetry(p priority) bool {
 	r := &c.retryStorm
-	if !r.isActive || !s.ignoresRetryAfter || c.outage.phase != phaseNormal ||
+	if !r.isActive || !p.ignoresRetryAfter || c.outage.phase != phaseNormal ||
 		c.forwardedFraction() >= maxForwardedFraction {
 		return false
 	}
--- a/internal/overload/servers.go
+++ b/internal/overload/servers.go
@@ -105,7 +105,7 @@
 		Kind: balancer.UpdateIncremental, Watch: balancer.WatchStatus{Local: true},
 	}
 	for _, s := range servers {
-		if s.isReady && !c.isWarmingUp(s) { // one in slow start is new to the balancer anyway
+		if s.isReady && !c.isInSlowStart(s) { // one in slow start is new to the balancer anyway
 			s.startOffset++
 			s.entry.StartedAt++
 			update.Servers = append(update.Servers, s.entry)
@@ -114,8 +114,8 @@
 	c.pendingEvents = append(c.pendingEvents, update)
 }
 
-// isWarmingUp reports whether a server is in slow start.
-func (c *Controller) isWarmingUp(s *server) bool {
+// isInSlowStart reports whether a server is in slow start.
+func (c *Controller) isInSlowStart(s *server) bool {
 	return s.entry.StartedAt > s.startOffset && c.now-s.entry.StartedAt < c.settings.Rules.SlowStartDuration
 }
 
--- a/internal/overload/servicetime.go
+++ b/internal/overload/servicetime.go
@@ -6,40 +6,40 @@
 )
 
 const (
-	concurrencyStep     = 1.25   // ratio of neighbouring bounds of the concurrency buckets
-	concurrencySteps    = 40     // number of buckets
-	minStepSamples      = 25     // responses before a bucket's estimate is used
-	estimateGain        = 0.003  // weight of a new response in the long run
-	episodeEstimateGain = 0.0005 // the same during a suspected episode
+	concurrencyBucketRatio = 1.25   // ratio of neighbouring bounds of the concurrency buckets
+	concurrencyBuckets     = 40     // number of buckets
+	minBucketSamples       = 25     // responses before a bucket's estimate is used
+	estimateGain           = 0.003  // weight of a new response in the long run
+	episodeEstimateGain    = 0.0005 // the same during a suspected episode
 )
 
-var logConcurrencyStep = math.Log(concurrencyStep) // math.Log is not constant
+var logBucketRatio = math.Log(concurrencyBucketRatio) // math.Log is not a constant expression
 
 // serviceTimeEstimate is the usual service time of a machine kind, by this agent's concurrency: concurrent
 // requests share the servers, so that longer service times are usual under plain overload. Per concurrency
 // bucket, it stores the mean of the natural logarithm of seconds.
 type serviceTimeEstimate struct {
-	logSeconds [concurrencySteps]float64
-	samples    [concurrencySteps]float64
+	logSeconds [concurrencyBuckets]float64
+	samples    [concurrencyBuckets]float64
 }
 
-// concurrencyStepOf returns the index of the bucket of a concurrency.
-func concurrencyStepOf(concurrency float64) int {
-	return min(max(int(math.Log(concurrency+1)/logConcurrencyStep), 0), concurrencySteps-1)
+// concurrencyBucket returns the index of the bucket of a concurrency.
+func concurrencyBucket(concurrency float64) int {
+	return min(max(int(math.Log(concurrency+1)/logBucketRatio), 0), concurrencyBuckets-1)
 }
 
 // usual returns the logarithm of the usual service time in seconds at a concurrency; known is false without
 // an estimate. Above the highest concurrency that was observed, service is assumed to slow down in
 // proportion.
 func (e *serviceTimeEstimate) usual(concurrency float64) (logSeconds float64, known bool) {
-	step := concurrencyStepOf(concurrency)
-	for i := step; i >= 0; i-- {
-		if e.samples[i] >= minStepSamples {
-			return e.logSeconds[i] + float64(step-i)*logConcurrencyStep, true
+	bucket := concurrencyBucket(concurrency)
+	for i := bucket; i >= 0; i-- {
+		if e.samples[i] >= minBucketSamples {
+			return e.logSeconds[i] + float64(bucket-i)*logBucketRatio, true
 		}
 	}
-	for i := step + 1; i < concurrencySteps; i++ {
-		if e.samples[i] >= minStepSamples {
+	for i := bucket + 1; i < concurrencyBuckets; i++ {
+		if e.samples[i] >= minBucketSamples {
 			return e.logSeconds[i], true
 		}
 	}
@@ -50,9 +50,9 @@
 // estimateGain or episodeEstimateGain. A new bucket is learned at full speed even during an episode, so
 // that growing overload is not mistaken for an episode.
 func (e *serviceTimeEstimate) observe(concurrency, logSeconds, gain float64) {
-	step := concurrencyStepOf(concurrency)
-	e.samples[step]++
-	e.logSeconds[step] += max(gain, 1/e.samples[step]) * (logSeconds - e.logSeconds[step])
+	bucket := concurrencyBucket(concurrency)
+	e.samples[bucket]++
+	e.logSeconds[bucket] += max(gain, 1/e.samples[bucket]) * (logSeconds - e.logSeconds[bucket])
 }
 
 // evidence is a decaying sum of log(latency / usual service time) over recent responses.
--- a/internal/overload/shedding.go
+++ b/internal/overload/shedding.go
@@ -3,16 +3,16 @@
 import "time"
 
 const (
-	sheddingStartDelay    = 60 * time.Millisecond // for the message to reach the other agents
-	aloneSheddingFraction = 0.7                   // of SheddingFraction, as not all agents notice the episode
-	queueDrainTime        = 700 * time.Millisecond
-	healthyFactor         = 0.9 // times the usual service time, under reduced load
-	improvedFraction      = 0.6 // of the peak factor
-	improvedFactor        = 1.1 // times the usual service time
-	joinFactor            = 1.4 // times the usual service time from which an agent joins
-	joinGrowth            = 1.15
-	rejoinAfter           = 1500 * time.Millisecond
-	maxBackoffDoublings   = 6
+	sheddingStartDelay            = 60 * time.Millisecond // for the message to reach the other agents
+	uncoordinatedSheddingFraction = 0.7                   // of SheddingFraction, as some agents miss the episode
+	queueDrainTime                = 700 * time.Millisecond
+	healthyFactor                 = 0.9 // times the usual service time, under reduced load
+	improvedFraction              = 0.6 // of the peak factor
+	improvedFactor                = 1.1 // times the usual service time
+	joinFactor                    = 1.4 // times the usual service time from which an agent joins
+	joinGrowth                    = 1.15
+	rejoinAfter                   = 1500 * time.Millisecond
+	maxBackoffDoublings           = 6
 )
 
 // shedding is a planned or current period of load shedding, in which all agents admit a fraction of the
@@ -20,7 +20,7 @@
 type shedding struct {
 	isShedding        bool
 	isExtended        bool // prolonged by another agent's start
-	isAlone           bool // planned without evidence from others: starts at a multiple of MinShedding
+	isUncoordinated   bool // planned without evidence from others: starts at a multiple of MinShedding
 	sheddingFrom      time.Duration
 	sheddingUntil     time.Duration
 	admittedPerSecond float64       // requests
@@ -46,10 +46,10 @@
 // agents that notice the episode start at the same time.
 func (c *Controller) sheddingStart() time.Duration {
 	e := &c.episode
-	if c.settings.Balancers == 1 || !e.hearsNoPeer(c.now) {
+	if c.settings.Balancers == 1 || !e.hasNoFreshPeer(c.now) {
 		return c.now + sheddingStartDelay
 	}
-	e.isAlone = true
+	e.isUncoordinated = true
 	return c.now.Truncate(c.config.MinShedding) + c.config.MinShedding
 }
 
@@ -58,11 +58,11 @@
 	e := &c.episode
 	e.isShedding, e.isExtended, e.sheddingFrom, e.sheddingUntil = true, false, from, from+c.config.MaxShedding
 	fraction := 1.0
-	if e.isAlone {
+	if e.isUncoordinated {
 		e.sheddingUntil += c.config.MinShedding
-		fraction = aloneSheddingFraction
+		fraction = uncoordinatedSheddingFraction
 	}
-	e.factorAtStart, _ = e.pooled(c.now)
+	e.factorAtStart, _ = e.pooledEvidence(c.now)
 	// Part of the recently served requests date from before the episode.
 	e.admittedPerSecond = fraction * c.config.SheddingFraction *
 		min(c.successes.perSecond(c.now), c.usualSuccesses.perSecond(c.now)/e.factorAtStart)
@@ -77,10 +77,10 @@
 	if elapsed > queueDrainTime && elapsed < c.config.MinShedding && weight >= minEndWeight {
 		e.peakFactor = max(e.peakFactor, factor)
 	}
-	isQuick := elapsed > queueDrainTime && factor < healthyFactor ||
+	isFast := elapsed > queueDrainTime && factor < healthyFactor ||
 		elapsed > c.config.MinShedding && factor < min(improvedFraction*e.peakFactor, improvedFactor)
 	switch {
-	case isQuick && weight >= minEndWeight:
+	case isFast && weight >= minEndWeight:
 		e.noSheddingBefore = c.now + c.config.SheddingBackoff // detectEnd resets it if the episode is over
 		c.logf("latency episode over after %v of load shedding, responses take %.1f times the usual",
 			elapsed.Round(time.Millisecond), factor)
@@ -92,7 +92,8 @@
 	default:
 		return
 	}
-	e.isShedding, e.isAlone, e.sheddingEndedAt, e.quietSince, e.factorSinceShedding = false, false, c.now, 0, 0
+	e.isShedding, e.isUncoordinated, e.sheddingEndedAt, e.usualSince, e.factorSinceShedding =
+		false, false, c.now, 0, 0
 	c.outage.resetSinceSuccess(c.now) // requests that were shed could not succeed
 }
 
@@ -101,7 +102,7 @@
 func (c *Controller) sheddingAdmittedFraction() float64 {
 	e := &c.episode
 	fraction := 1.0
-	if factor, weight := e.pooled(c.now); weight >= minEndWeight {
+	if factor, weight := e.pooledEvidence(c.now); weight >= minEndWeight {
 		fraction = min(1, e.factorAtStart/factor)
 	}
 	return fraction * e.admittedPerSecond / max(c.arrivals.perSecond(c.now), 1)
@@ -122,9 +123,9 @@
 		e.noSheddingBefore = c.now + c.config.SheddingBackoff
 		return
 	}
-	factor, _ := e.pooled(c.now)
+	factor, _ := e.pooledEvidence(c.now)
 	if c.now > e.announcedStart+c.config.MaxShedding/2 || factor < joinFactor/c.serverCapacityFraction() ||
-		!e.supports(c.now) || !e.maySheddingHelp(c.now, factor, joinGrowth) {
+		!e.ownEvidenceAgrees(c.now) || !e.maySheddingHelp(c.now, factor, joinGrowth) {
 		return
 	}
 	c.planShedding(e.announcedStart)
--- a/internal/overload/simulation_test.go
+++ b/internal/overload/simulation_test.go
@@ -32,44 +32,44 @@
 // fleetSimulation simulates a fleet of agents, each a controller in front of a fakeBalancer, and servers
 // that divide their cores evenly among requests.
 type fleetSimulation struct {
-	now          time.Duration
-	rng          *rand.Rand
-	controllers  []*Controller
-	balancers    []*fakeBalancer
-	jobs         []*job
-	servers      int
-	deliveries   []peerDelivery
-	lost         float64 // fraction of the messages
-	slow         float64 // factor of the usual work
-	neverAnswers bool    // all servers: attempts time out after their latency objective
-	rejectsAll   bool    // all servers, immediately
-	connectFails bool    // no connection can be established
-	timesOut     bool    // attempts time out after their latency objective
-	healsAfter   time.Duration
-	idle         time.Duration // time since the servers' mean utilization was last above 0.56
-	rate         float64
-	ids          uint32 // last ID of a first attempt; those of retries are odd
-	retryAgents  []int  // agents that get the pending client retries
+	now           time.Duration
+	rng           *rand.Rand
+	controllers   []*Controller
+	balancers     []*fakeBalancer
+	jobs          []*job
+	servers       int
+	deliveries    []peerDelivery
+	messageLoss   float64 // fraction of the messages
+	slowdown      float64 // work of a request as a multiple of the usual
+	neverResponds bool    // no server responds; attempts time out after their latency objective
+	rejectsAll    bool    // all servers, immediately
+	connectFails  bool    // no connection can be established
+	timesOut      bool    // attempts that exceed their latency objective time out
+	recoversAfter time.Duration
+	idleTime      time.Duration // time since the servers' mean utilization was last above 0.56
+	rate          float64
+	ids           uint32 // last ID of a first attempt; those of retries are odd
+	retryAgents   []int  // agents that get the pending client retries
 
 	requests, sent, served, rejected int
 	done                             float64 // work, in core seconds
 	sentWork                         float64
 	clientsRetry                     bool // once, immediately
-	busy                             float64
+	utilization                      float64
 	logs                             []string
 	retryAfterOf                     map[uint32]string
 }
 
 const (
-	cores = 2.0 // of each server
-	mean  = 60 * time.Millisecond
+	cores    = 2.0 // of each server
+	meanWork = 60 * time.Millisecond
 )
 
 type job struct {
 	agent, server int
 	id            uint32
-	left          time.Duration
-	began         time.Duration
+	remaining     time.Duration
+	startedAt     time.Duration
 }
 
 type peerDelivery struct {
@@ -83,7 +83,7 @@
 	inFlight, maxInFlight, sent, servers int
 	sparse, saturated                    bool // saturated: SetWarmServersSaturated was called with true
 	actions                              []balancer.Action
-	agreed                               []balancer.RetryPolicy
+	retryPolicies                        []balancer.RetryPolicy
 	exclusions                           *balancer.Exclusions
 	assignment                           *balancer.RingAssignment
 	stats                                []balancer.TenantStats
@@ -113,7 +113,7 @@
 func (fake *fakeBalancer) SetWarmServersSaturated(on bool) { fake.saturated = fake.saturated || on }
 
 func (fake *fakeBalancer) ApplyFleetPolicy(_ []float64, classes []balancer.RetryPolicy) {
-	fake.agreed = classes
+	fake.retryPolicies = classes
 }
 
 func (fake *fakeBalancer) SetExclusions(a *balancer.Exclusions) { fake.exclusions = a }
@@ -123,7 +123,7 @@
 func (fake *fakeBalancer) TenantStats() []balancer.TenantStats { return slices.Clone(fake.stats) }
 
 func newFleetSimulation(agents, servers int, change func(*balancer.Settings)) *fleetSimulation {
-	sim := &fleetSimulation{now: epoch, rng: rand.New(rand.NewPCG(1, 2)), servers: servers, slow: 1, retryAfterOf: map[uint32]string{}}
+	sim := &fleetSimulation{now: epoch, rng: rand.New(rand.NewPCG(1, 2)), servers: servers, slowdown: 1, retryAfterOf: map[uint32]string{}}
 	for i := range agents {
 		set := deployment(agents, i)
 		if change != nil {
@@ -151,16 +151,16 @@
 			var n int
 			_, _ = fmt.Sscanf(a.Server, "s-%d", &n)
 			sim.sent++
-			work := time.Duration((0.5 + sim.rng.Float64()) * float64(mean))
+			work := time.Duration((0.5 + sim.rng.Float64()) * float64(meanWork))
 			sim.sentWork += work.Seconds()
-			sim.jobs = append(sim.jobs, &job{agent: agent, server: n, id: a.ID, left: work, began: sim.now})
+			sim.jobs = append(sim.jobs, &job{agent: agent, server: n, id: a.ID, remaining: work, startedAt: sim.now})
 		case balancer.Reject:
 			sim.rejected++
 			if sim.clientsRetry && a.ID&1 == 0 {
 				sim.retryAgents = append(sim.retryAgents, agent)
 			}
 		case balancer.SendToPeer:
-			if sim.rng.Float64() >= sim.lost {
+			if sim.rng.Float64() >= sim.messageLoss {
 				sim.deliveries = append(sim.deliveries, peerDelivery{sim.now + time.Duration(sim.rng.IntN(30))*time.Millisecond, agent, a.Peer, a.Data})
 			}
 		case balancer.Log:
@@ -207,11 +207,11 @@
 				sim.sendRequest(sim.rng.IntN(len(sim.controllers)))
 			}
 		}
-		sim.work()
+		sim.runServers()
 	}
 }
 
-func (sim *fleetSimulation) work() {
+func (sim *fleetSimulation) runServers() {
 	jobsAt := make([]float64, sim.servers)
 	for _, j := range sim.jobs {
 		jobsAt[j.server]++
@@ -220,47 +220,47 @@
 	for _, jobs := range jobsAt {
 		busy += min(jobs/cores, 1) / float64(sim.servers)
 	}
-	sim.busy += 0.012 * (busy - sim.busy)
-	if sim.idle += step; sim.busy > 0.56 {
-		sim.idle = 0
+	sim.utilization += 0.012 * (busy - sim.utilization)
+	if sim.idleTime += step; sim.utilization > 0.56 {
+		sim.idleTime = 0
 	}
-	if sim.slow > 1 && sim.healsAfter > 0 && sim.idle >= sim.healsAfter {
-		sim.slow = 1
+	if sim.slowdown > 1 && sim.recoversAfter > 0 && sim.idleTime >= sim.recoversAfter {
+		sim.slowdown = 1
 	}
 	jobs := sim.jobs
 	sim.jobs = nil
 	for _, j := range jobs {
-		if failed, outcome := sim.fails(j); failed {
+		if failed, outcome := sim.attemptFailure(j); failed {
 			sim.carryOut(j.agent, sim.controllers[j.agent].Step(sim.now, &balancer.AttemptDone{
 				ID: j.id, Server: fmt.Sprint("s-", j.server),
-				Outcome: outcome, Latency: sim.now - j.began,
+				Outcome: outcome, Latency: sim.now - j.startedAt,
 			}))
 			continue
 		}
-		if sim.neverAnswers {
+		if sim.neverResponds {
 			sim.jobs = append(sim.jobs, j)
 			continue
 		}
-		sim.done += step.Seconds() * min(1, cores/jobsAt[j.server]) / sim.slow
-		if j.left -= time.Duration(float64(step) * min(1, cores/jobsAt[j.server]) / sim.slow); j.left > 0 {
+		sim.done += step.Seconds() * min(1, cores/jobsAt[j.server]) / sim.slowdown
+		if j.remaining -= time.Duration(float64(step) * min(1, cores/jobsAt[j.server]) / sim.slowdown); j.remaining > 0 {
 			sim.jobs = append(sim.jobs, j)
 			continue
 		}
 		sim.served++
 		sim.carryOut(j.agent, sim.controllers[j.agent].Step(sim.now, &balancer.AttemptDone{
 			ID: j.id, Server: fmt.Sprint("s-", j.server),
-			Outcome: balancer.Served, Latency: sim.now + step - j.began, RequestDone: true,
+			Outcome: balancer.Served, Latency: sim.now + step - j.startedAt, RequestDone: true,
 		}))
 	}
 }
 
-// fails reports whether an attempt has failed, and with which outcome.
-func (sim *fleetSimulation) fails(j *job) (bool, balancer.Outcome) {
+// attemptFailure reports whether an attempt has failed, and with which outcome.
+func (sim *fleetSimulation) attemptFailure(j *job) (bool, balancer.Outcome) {
 	if sim.rejectsAll {
 		return true, balancer.Rejected
 	}
 	if sim.connectFails {
 		return true, balancer.ConnectFailed
 	}
-	return (sim.neverAnswers || sim.timesOut) && sim.now-j.began > 500*time.Millisecond, balancer.TimedOut
+	return (sim.neverResponds || sim.timesOut) && sim.now-j.startedAt > 500*time.Millisecond, balancer.TimedOut
 }
--- a/internal/overload/snapshot.go
+++ b/internal/overload/snapshot.go
@@ -12,7 +12,7 @@
 // then must not cause rejections. The tags define the stored form and must not change.
 type Snapshot struct {
 	Kinds         []KindSnapshot `cbor:"1,keyasint,omitempty" json:"kinds"`           // by name
-	InFlight      float64        `cbor:"2,keyasint,omitempty" json:"crowd"`           // usual number of requests
+	InFlight      float64        `cbor:"2,keyasint,omitempty" json:"crowd"`           // usual requests in flight
 	Servers       float64        `cbor:"3,keyasint,omitempty" json:"servers"`         // ready, recent peak
 	NoSheddingFor time.Duration  `cbor:"4,keyasint,omitempty" json:"no_purge_for_ns"` // from the snapshot on
 	LearnedFor    time.Duration  `cbor:"5,keyasint,omitempty" json:"learned_for_ns"`  // at most learningDuration
@@ -110,7 +110,8 @@
 
 // isValid reports whether the values can have been learned.
 func (s ServiceTimeSnapshot) isValid() bool {
-	return s.Step >= 0 && s.Step < concurrencySteps && s.Samples > 0 && math.Abs(s.LogSeconds) < maxLogSeconds
+	return s.Step >= 0 && s.Step < concurrencyBuckets && s.Samples > 0 &&
+		math.Abs(s.LogSeconds) < maxLogSeconds
 }
 
 // validCount returns v if it is above zero and at most limit, and zero otherwise.
--- a/internal/overload/throttle_test.go
+++ b/internal/overload/throttle_test.go
@@ -21,11 +21,11 @@
 			require.NoError(t, c.SetConfig(config))
 			sim.balancers[i].maxInFlight, sim.balancers[i].sparse = 1e6, sparse
 		}
-		sim.rate = 0.75 * 20 * cores / mean.Seconds()
+		sim.rate = 0.75 * 20 * cores / meanWork.Seconds()
 		sim.run(6 * time.Second)
-		sim.slow, sim.served = 3, 0
+		sim.slowdown, sim.served = 3, 0
 		sim.run(8 * time.Second)
-		during, sim.slow = sim.served, 1
+		during, sim.slowdown = sim.served, 1
 		require.Equal(t, wastedFraction < 1 && sparse, sim.balancers[0].saturated, "the balancer must be notified")
 		sim.run(2 * time.Second)
 		sim.rejected = 0
