--- a/internal/routing/actions.go
+++ b/internal/routing/actions.go
@@ -7,7 +7,7 @@
 	"dunestep/internal/protocol"
 )
 
-// carryOut turns an action of the decision module into outputs.
+// carryOut converts an action of the decision module to outputs.
 func (r *Router) carryOut(now time.Duration, act balancer.Action) {
 	switch act.Kind {
 	case balancer.Send:
@@ -38,7 +38,8 @@
 	}
 }
 
-// startAttempt starts an attempt, where that is still possible and of use.
+// startAttempt starts an attempt. An attempt that can't be started, or would be of no use, is added
+// to notStarted instead.
 func (r *Router) startAttempt(now time.Duration, act balancer.Action) {
 	req := r.requests[act.ID]
 	if req == nil {
@@ -48,7 +49,7 @@
 	if act.After != 0 {
 		until = min(until, now+act.After)
 	}
-	if req.clientTimeLeft > 0 { // its body is still coming, and the timeout counts from the last byte
+	if req.clientTimeLeft > 0 { // the timeout counts from the last byte of the body
 		until, afterBody = req.deadline, req.clientTimeLeft
 		if act.After != 0 {
 			afterBody = min(afterBody, act.After)
@@ -64,11 +65,11 @@
 	req.attempts[number].running = true
 	r.emit(Output{
 		Kind: StartAttempt, Request: req.id, Attempt: number, Endpoint: act.Server, At: until,
-		Deadline: req.deadline, Streaming: req.streamed, After: afterBody,
+		Deadline: req.deadline, Streaming: req.streaming, After: afterBody,
 	})
 }
 
-// maySend reports whether the request can be sent to the endpoint, and is still to be answered.
+// maySend reports whether the request can be sent to the endpoint and still needs a response.
 func (r *Router) maySend(req *requestState, endpoint string) bool {
 	e := r.endpoints[endpoint]
 	return e != nil && e.open && !req.answered && !req.bodyConsumed
--- a/internal/routing/attemptresult.go
+++ b/internal/routing/attemptresult.go
@@ -7,22 +7,22 @@
 	"dunestep/internal/balancer/outlier"
 )
 
-// EndReason is how an attempt ended, or why this agent is to end it. As an error it is the cause of a
-// context.
+// EndReason is how an attempt ended, or why this agent ends it. As an error it is the cause of
+// the attempt's context.
 type EndReason uint8
 
 // The reasons.
 const (
 	NotEnded         EndReason = iota
-	Completed                  // the answer came completely; one that had begun was also read completely
+	Completed                  // the response was received completely; a streamed one was also read completely
 	BrokenByEndpoint           // the endpoint closed the connection
-	InvalidResponse            // what came is no answer, or not its rest
-	TimedOut                   // also where that is known beforehand
-	ClientLeft                 // or read nothing for too long
-	ClientTooSlow              // reads its answer so slowly that it holds up the endpoint
-	NoMemory                   // no memory for the body came free in time
-	NoLongerNeeded             // the request has its answer, or its client has left
-	Canceled                   // by the decision module
+	InvalidResponse            // the endpoint sent no valid response, or its rest is invalid
+	TimedOut                   // the time was over, or known to be too short
+	ClientLeft                 // the client disconnected, or read nothing for too long
+	ClientTooSlow              // the client reads its response so slowly that it blocks the endpoint
+	NoMemory                   // no memory for the body became available in time
+	NoLongerNeeded             // the request has its response, or its client has left
+	Canceled                   // by the decision module, or unsent when it was no longer needed
 	AgentStopping
 )
 
@@ -30,54 +30,56 @@
 	return [...]string{
 		NotEnded: "not ended", Completed: "complete", BrokenByEndpoint: "connection closed by the endpoint",
 		InvalidResponse: "invalid response", TimedOut: "timed out", ClientLeft: "the client has left",
-		ClientTooSlow: "the client reads its answer too slowly", NoMemory: "no memory for the body",
+		ClientTooSlow: "the client reads the response too slowly", NoMemory: "no memory for the body",
 		NoLongerNeeded: "no longer needed", Canceled: "canceled", AgentStopping: "the agent is stopping",
 	}[e]
 }
 
-// AttemptPhase is how far an attempt came on its connection.
+// AttemptPhase is the phase that an attempt reached on its connection.
 type AttemptPhase uint8
 
-// The phases. Up to Writing the endpoint cannot have processed the request, from AwaitingResponse on it may
-// have.
+// The phases. Up to Writing the endpoint cannot have processed the request, from
+// AwaitingResponse on it may have.
 const (
-	Connecting       AttemptPhase = iota // no connection came up, or none could be made
+	Connecting       AttemptPhase = iota // no connection was established
 	StaleConnection                      // the reused connection had ended before anything was written to it
-	Writing                              // not written completely
-	AwaitingResponse                     // written completely, and nothing came back
-	Responding                           // an answer came, or a part of it
+	Writing                              // the request was not written completely
+	AwaitingResponse                     // the request was written completely, and nothing was received
+	Responding                           // a response was received, completely or in part
 )
 
-// AttemptResult is what was seen of an attempt that has ended, by whoever carried it out.
+// AttemptResult is what the caller that carried out an attempt observed of it until its end.
 type AttemptResult struct {
 	Phase     AttemptPhase
 	EndReason EndReason
-	Response  balancer.Outcome // by an answer that came completely and was not passed on as it came
-	Streamed  bool             // the answer was being passed on as it came
+	Response  balancer.Outcome // outcome of a response that was received completely and not streamed
+	Streamed  bool             // the response was forwarded to the client while it was received
 	Progress  ResponseProgress
-	Latency   time.Duration // the time that the endpoint took, or that it was given
-	Reused    bool          // else the connection was new
-	IdleFor   time.Duration // idle before it was reused
-	Refused   bool          // the connection, by the endpoint's machine: nothing listens there
-	// no connection, for lack of something on this side, or the client stopped sending
+	Latency   time.Duration // time that the endpoint took, or that it was given
+	Reused    bool          // the connection was reused, not new
+	IdleFor   time.Duration // idle time of the connection before it was reused
+	Refused   bool          // the endpoint's machine refused the connection: nothing listens there
+	// LocalFault means that this agent lacked a resource or did not write, or that the client stopped
+	// sending.
 	LocalFault   bool
-	BodyConsumed bool          // a part of the request's body was passed on and is gone: it can't be sent again
-	LocalDelay   time.Duration // by how much this side was late to end it
+	BodyConsumed bool          // a part of the request's body is no longer buffered: it can't be sent again
+	LocalDelay   time.Duration // time by which this agent was late to end the attempt
 }
 
-// IsUnanswered reports whether a reused connection brought no answer at all, for Pool.ReleaseUnanswered.
+// IsUnanswered reports whether the attempt timed out on a reused connection without any byte of a response,
+// for Pool.ReleaseUnanswered.
 func (s AttemptResult) IsUnanswered() bool {
 	return s.Reused && s.Phase == AwaitingResponse && s.EndReason == TimedOut
 }
 
-// Evidence is what the decision module gets to know beyond the outcome.
+// Evidence returns what the decision module learns of the attempt beyond its outcome.
 func (s AttemptResult) Evidence() outlier.Evidence {
 	phase := [...]outlier.Phase{
 		Connecting: outlier.PhaseConnecting, StaleConnection: outlier.PhaseConnecting,
 		Writing:          outlier.PhaseWriting,
 		AwaitingResponse: outlier.PhaseAwaiting, Responding: outlier.PhaseAnswering,
 	}[s.Phase]
-	if s.EndReason == Completed { // a complete answer that says 500 is an error, not an invalid answer
+	if s.EndReason == Completed { // a complete response with status 500 is an error, not an invalid response
 		phase = outlier.PhaseAwaiting
 	}
 	return outlier.Evidence{
@@ -90,15 +92,15 @@
 	}
 }
 
-// NeedsResend reports whether the attempt is sent again on a new connection: it has not been sent yet.
+// NeedsResend reports whether the attempt must use a new connection: nothing was written on the reused one.
 func (s AttemptResult) NeedsResend() bool { return s.Phase == StaleConnection }
 
-// Outcome is the outcome for the decision module. Served is only what came completely and was read
-// completely. The endpoint is not blamed for what the client or this agent did, nor for time that the client
-// took.
+// Outcome returns the attempt's outcome for the decision module. It is Served only for a response that was
+// received completely and, if streamed, read completely. The endpoint is not blamed for what the client or
+// this agent did, nor for time that the client took.
 func (s AttemptResult) Outcome() balancer.Outcome {
 	switch {
-	case s.Phase <= Writing && s.EndReason == Canceled: // which says nothing of the endpoint
+	case s.Phase <= Writing && s.EndReason == Canceled: // no evidence about the endpoint
 		return balancer.Canceled
 	case s.Phase <= Writing:
 		return balancer.ConnectFailed
@@ -116,8 +118,8 @@
 	return balancer.Canceled
 }
 
-// IdleEvidence is what the attempt proves of connections that were idle for so long, for IdleLimit.Record:
-// that they work or, lost, that they don't. Where counts is false it proves nothing.
+// IdleEvidence returns what the attempt shows about connections that were idle for that long, for
+// IdleLimit.Record: they work, or the attempt was lost on one. If counts is false, it shows nothing.
 func (s AttemptResult) IdleEvidence() (idle time.Duration, lost, counts bool) {
 	if s.Reused {
 		idle = s.IdleFor
--- a/internal/routing/connecttimeouts.go
+++ b/internal/routing/connecttimeouts.go
@@ -3,41 +3,43 @@
 import "time"
 
 const (
-	// connectFraction of an attempt's time is what a connection is waited for: what was never sent may go to
-	// another endpoint, as long as there is time for it.
+	// connectFraction is the fraction of an attempt's time left that it waits for a connection. A request
+	// that was never sent can go to another endpoint while there is time for it.
 	connectFraction = 0.25
-	// connectMultiple times as long as connections have taken lately is waited for at least.
+	// connectMultiple sets a lower bound of the timeout: this multiple of the decayed longest connect time.
 	connectMultiple = 3
-	// minConnectTimeout is for attempts with next to no time, and agents that know nothing yet.
+	// minConnectTimeout is the minimum, for attempts with little time left and agents without measurements.
 	minConnectTimeout = 20 * time.Millisecond
-	// connectDecay is what each new connection leaves of the longest time that one took.
+	// connectDecay is the factor by which each new connection reduces the longest connect time.
 	connectDecay = 0.9
-	// maxEarlyTimeouts is how many connections in a row may be given up early, whichever endpoints they were to.
-	// The next ones are waited for in full, and show a network that is slower than was thought.
+	// maxEarlyTimeouts is the maximum number of consecutive early timeouts, over all endpoints. After
+	// that, the timeout is the configured one until a connection is established: this detects a network
+	// that has become slower.
 	maxEarlyTimeouts = 8
 )
 
-// ConnectTimeouts learns how long a connection to an endpoint is worth waiting for. The settings say when one
-// has failed; where that is longer than an attempt's time, an unreachable machine costs each attempt that
-// needs a connection to it all its time, though the request could have been served elsewhere.
+// ConnectTimeouts learns how long an attempt should wait for a new connection. With the configured timeout
+// alone, where it is longer than an attempt's time, an unreachable machine would cost each attempt that needs
+// a connection to it all its time, though another endpoint could have served the request.
 type ConnectTimeouts struct {
-	slowest      time.Duration
-	gaveUpInARow int
+	slowest             time.Duration // decayed longest connect time
+	consecutiveTimeouts int           // since a connection was last established
 }
 
-// Timeout is how long an attempt that has so much time left waits for a connection; limit is the settings'.
+// Timeout returns how long an attempt with that much time left waits for a connection, at most limit, which
+// is the configured timeout.
 func (c *ConnectTimeouts) Timeout(limit, left time.Duration) time.Duration {
-	if c.gaveUpInARow >= maxEarlyTimeouts {
+	if c.consecutiveTimeouts >= maxEarlyTimeouts {
 		return limit
 	}
-	wanted := max(time.Duration(connectFraction*float64(left)), connectMultiple*c.slowest, minConnectTimeout)
-	return min(limit, wanted)
+	timeout := max(time.Duration(connectFraction*float64(left)), connectMultiple*c.slowest, minConnectTimeout)
+	return min(limit, timeout)
 }
 
-// Connected takes in how long a connection took to come up.
+// Connected records that a connection was established, and how long that took.
 func (c *ConnectTimeouts) Connected(took time.Duration) {
-	c.slowest, c.gaveUpInARow = max(time.Duration(connectDecay*float64(c.slowest)), took), 0
+	c.slowest, c.consecutiveTimeouts = max(time.Duration(connectDecay*float64(c.slowest)), took), 0
 }
 
-// GaveUp takes in that a connection did not come up in its Timeout.
-func (c *ConnectTimeouts) GaveUp() { c.gaveUpInARow++ }
+// GaveUp records that a connection was not established within its Timeout.
+func (c *ConnectTimeouts) GaveUp() { c.consecutiveTimeouts++ }
--- a/internal/routing/descriptors.go
+++ b/internal/routing/descriptors.go
@@ -1,58 +1,61 @@
 package routing
 
-// reservedDescriptors are those of no connection: standard streams, listeners, the poller, discovery.
+// reservedDescriptors is the number of descriptors set aside for everything but client and endpoint
+// connections: standard streams, listeners, the poller, discovery.
 const reservedDescriptors = 32
 
-// minDescriptors is what connections get at least, however few the process may hold.
+// minDescriptors is the minimum number of descriptors for connections, however low the process's limit is.
 const minDescriptors = 8
 
-// Up to a sixth of all descriptors, idle clients are left alone; from a quarter on, no client connection is
-// kept after an answer.
-const relaxedDivisor, pressingDivisor = 6, 4
+// Idle client connections are closed once clients use more than total/idleCloseDivisor descriptors. Above
+// total/urgentDivisor, each client connection is closed after its response.
+const idleCloseDivisor, urgentDivisor = 6, 4
 
 // Descriptors divides the process's file descriptors between client connections and connections to endpoints:
-// without any left, accepts and dials would fail alike. Clients have up to five eighths: a third of the limit
-// is for requests, the rest for idle connections. An eighth is always theirs.
+// if all were used up, both accepting and dialing would fail. Clients may use up to five eighths: a third of
+// the limit for requests, the rest for idle connections. An eighth is reserved for clients.
 type Descriptors struct {
 	total                int
 	downstream, upstream int
 }
 
-// NewDescriptors divides what a process that may hold limit descriptors has for connections.
+// NewDescriptors returns the Descriptors of a process that may have limit open descriptors.
 func NewDescriptors(limit int) *Descriptors {
 	d := &Descriptors{}
 	d.SetLimit(limit)
 	return d
 }
 
-// SetLimit changes how many descriptors the process may hold; what is open stays open.
+// SetLimit changes how many descriptors the process may have open. Connections that are open stay open.
 func (d *Descriptors) SetLimit(limit int) { d.total = max(limit-reservedDescriptors, minDescriptors) }
 
-// InUse is how many descriptors the process holds at most, with the present connections.
+// InUse returns an upper bound of the process's open descriptors: the reserved ones and the connections.
 func (d *Descriptors) InUse() int { return reservedDescriptors + d.downstream + d.upstream }
 
-// AcquireDownstream takes a descriptor for a client. Full says, where ok, that idle clients are to be closed,
-// and else that clients have their whole quota.
+// AcquireDownstream acquires a descriptor for a client connection and reports whether there was
+// one. If ok, full means that idle client connections should be closed; else full means that
+// clients use their whole quota.
 func (d *Descriptors) AcquireDownstream() (ok, full bool) {
 	quota := d.total * 5 / 8
 	if d.downstream >= quota || d.downstream+d.upstream >= d.total {
 		return false, d.downstream >= quota
 	}
 	d.downstream++
-	return true, d.downstream > d.total/relaxedDivisor
+	return true, d.downstream > d.total/idleCloseDivisor
 }
 
-// Pressure reports whether idle clients are to be closed, and whether that is pressing. It is asked also
-// while no client connects: the idle connections of a client's own machine can keep others out long before
-// the quota is used, and those that can't connect give no occasion to ask.
-func (d *Descriptors) Pressure() (closeIdle, pressing bool) {
-	return d.downstream > d.total/relaxedDivisor, d.downstream > d.total/pressingDivisor
+// Pressure reports whether idle client connections should be closed, and whether client connections should
+// also be closed after each response. The caller polls it even while no client connects: idle connections can
+// exhaust a limit on the clients' own machine long before the quota here is used, and clients that can't
+// connect cause no call to AcquireDownstream.
+func (d *Descriptors) Pressure() (closeIdle, urgent bool) {
+	return d.downstream > d.total/idleCloseDivisor, d.downstream > d.total/urgentDivisor
 }
 
-// ReleaseDownstream returns what AcquireDownstream took.
+// ReleaseDownstream releases a descriptor that AcquireDownstream acquired.
 func (d *Descriptors) ReleaseDownstream() { d.downstream-- }
 
-// AcquireUpstream takes a descriptor for a connection to an endpoint and reports whether there was one.
+// AcquireUpstream acquires a descriptor for a connection to an endpoint and reports whether there was one.
 func (d *Descriptors) AcquireUpstream() bool {
 	if d.upstream+max(d.downstream, d.total/8) >= d.total {
 		return false
@@ -61,5 +64,5 @@
 	return true
 }
 
-// ReleaseUpstream returns what AcquireUpstream took.
+// ReleaseUpstream releases a descriptor that AcquireUpstream acquired.
 func (d *Descriptors) ReleaseUpstream() { d.upstream-- }
--- a/internal/routing/descriptors_test.go
+++ b/internal/routing/descriptors_test.go
@@ -7,16 +7,16 @@
 	"pgregory.net/rapid"
 )
 
-// The quotas hold whatever is acquired in whatever order, and an eighth is always the clients'.
-func TestDescriptors(t *testing.T) {
+// The quotas are kept for any order of calls, and an eighth of the descriptors stays reserved for clients.
+func TestDescriptorQuotas(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.IntRange(0, 80).Draw(t, "limit")
 		d, total := NewDescriptors(limit), max(limit-32, 8)
 		var downstream, upstream int
 		share := rapid.IntRange(1, 9).Draw(t, "clients in ten")
-		for _, who := range rapid.SliceOfN(rapid.IntRange(0, 9), 80, 200).Draw(t, "who") {
+		for _, side := range rapid.SliceOfN(rapid.IntRange(0, 9), 80, 200).Draw(t, "side") {
 			switch {
-			case who < share:
+			case side < share:
 				ok, full := d.AcquireDownstream()
 				require.Equal(t, downstream < total*5/8 && downstream+upstream < total, ok)
 				require.Equal(t, ok && downstream+1 > total/6 || !ok && downstream >= total*5/8, full)
@@ -29,8 +29,8 @@
 				require.GreaterOrEqual(t, upstream+max(downstream, total/8), total)
 			}
 			require.LessOrEqual(t, upstream+max(downstream, total/8), total)
-			closeIdle, pressing := d.Pressure()
-			require.Equal(t, []bool{downstream > total/6, downstream > total/4}, []bool{closeIdle, pressing})
+			closeIdle, urgent := d.Pressure()
+			require.Equal(t, []bool{downstream > total/6, downstream > total/4}, []bool{closeIdle, urgent})
 		}
 		for ; downstream > 0; downstream-- {
 			d.ReleaseDownstream()
--- a/internal/routing/disabled.go
+++ b/internal/routing/disabled.go
@@ -11,39 +11,42 @@
 )
 
 const (
-	// maxDisabled is how many endpoints can be disabled at once, those that have left the list included.
+	// maxDisabled is the maximum number of disabled endpoints, including those that have left the list.
 	maxDisabled = 1024
-	// maxRememberedIDs is how many ids that were once listed are remembered; the oldest are forgotten first.
+	// maxRememberedIDs is the maximum number of remembered ids of listed endpoints; the oldest are removed
+	// first.
 	maxRememberedIDs = 8192
 )
 
-// ErrTooManyDisabled means that no further endpoint can be disabled.
-var ErrTooManyDisabled = errors.New("too many booking servers are out by hand")
+// ErrTooManyDisabled means that the maximum number of endpoints is disabled.
+var ErrTooManyDisabled = errors.New("too many endpoints are disabled")
 
 // DisabledEndpoint is an endpoint that an operator has disabled, or has enabled again since. The keys of its
 // encoding are stored and must not change.
 type DisabledEndpoint struct {
 	ID string `json:"id"`
-	// StartedAt is when it had started by the list of then, in Unix time; zero: long ago, or it was not listed.
+	// StartedAt is the start time in the list when the endpoint was disabled, in Unix time; zero: long
+	// ago, or it was not listed.
 	StartedAt time.Duration `json:"started_ns"`
 	// DisabledAt is when it was disabled, in Unix time.
 	DisabledAt time.Duration `json:"set_ns,omitempty"`
-	// EnabledAt is when it was enabled again, in Unix time; zero: it is disabled. It stands for the start until
-	// discovery reports another one than StartedAt.
+	// EnabledAt is when it was enabled again, in Unix time; zero: it is disabled. It is used as the start
+	// time until discovery reports a start time other than StartedAt.
 	EnabledAt time.Duration `json:"lifted_ns,omitempty"`
 }
 
-// changedAt is when an operator last changed it.
+// changedAt returns when an operator last disabled or enabled the endpoint.
 func (e DisabledEndpoint) changedAt() time.Duration { return max(e.DisabledAt, e.EnabledAt) }
 
-// isNewerThan reports whether it holds over another entry of the endpoint: the later change does, and being
-// disabled where both changed at once.
+// isNewerThan reports whether e overrides another entry of the same endpoint: the later change does, and if
+// both changed at the same time, the one that is disabled.
 func (e DisabledEndpoint) isNewerThan(other DisabledEndpoint) bool {
 	return e.changedAt() > other.changedAt() || e.changedAt() == other.changedAt() && e.EnabledAt == 0
 }
 
-// MergeDisabled merges what two processes of one agent were told: of each endpoint the newer entry. They are
-// sorted by id, and at most as many as a ListTracker holds, the disabled ones before those enabled again.
+// MergeDisabled merges the entries of two processes of one agent: the newer entry of each
+// endpoint. The result is sorted by id and has at most maxDisabled entries: if there are more,
+// those that are enabled are dropped, then those with the last ids.
 func MergeDisabled(one, other []DisabledEndpoint) []DisabledEndpoint {
 	latest := map[string]DisabledEndpoint{}
 	for _, e := range slices.Concat(one, other) {
@@ -61,13 +64,14 @@
 	return merged[:min(len(merged), maxDisabled)]
 }
 
-// ApplyDisabled returns a list with the disabled endpoints draining, for the start.
+// ApplyDisabled returns the list with the disabled endpoints draining, for an agent's initial list.
 func (l *ListTracker) ApplyDisabled(known protocol.EndpointList) protocol.EndpointList {
 	return l.overlayDisabled(known)
 }
 
-// Disable has an endpoint drain until Enable, whatever discovery says of it; listed is false where no list
-// ever had it. One that is disabled stays so. Now is Unix time. The error is ErrTooManyDisabled.
+// Disable makes an endpoint drain until Enable, whatever state discovery reports. listed is false if no
+// list has had the endpoint. It has no effect on an endpoint that is disabled. now is Unix time. The error
+// is ErrTooManyDisabled.
 func (l *ListTracker) Disable(id string, now time.Duration) (out []ListOutput, listed bool, err error) {
 	l.out = l.out[:0]
 	switch {
@@ -85,29 +89,29 @@
 	return l.out, true, nil
 }
 
-// Enable ends an endpoint's being disabled; listed is false where no list ever had it. What discovery has
-// reported since counts. Where that is no further start, the endpoint counts as started now, in Unix time: it
-// was disabled to be restarted, and discovery is late.
+// Enable enables a disabled endpoint again; listed is false if no list has had it. Its state is then the one
+// that discovery reports. Unless discovery has reported a new start time since, now, in Unix time, is used as
+// the start time: operators disable an endpoint to restart it, and discovery reports the start late.
 func (l *ListTracker) Enable(id string, now time.Duration) (out []ListOutput, listed bool) {
 	l.out = l.out[:0]
 	if !l.isDisabled(id) {
 		return nil, l.knownIDs[id]
 	}
 	e := l.disabled[id]
-	e.EnabledAt = max(now, e.changedAt()+1) // also after a clock was set back: the later change must look later
+	e.EnabledAt = max(now, e.changedAt()+1) // later than the change before even if the clock was set back
 	l.disabled[id] = e
 	l.publishEndpoint(id)
 	return l.out, true
 }
 
-// MergeDisabled applies what another process of this agent has disabled or enabled, as far as the bound on
-// disabled endpoints allows.
+// MergeDisabled applies what another process of this agent has disabled or enabled, up to the maximum number
+// of disabled endpoints.
 func (l *ListTracker) MergeDisabled(other []DisabledEndpoint) []ListOutput {
 	l.out = l.out[:0]
 	before := l.disabled
 	l.disabled = make(map[string]DisabledEndpoint, len(before))
 	for _, e := range MergeDisabled(slices.Collect(maps.Values(before)), other) {
-		if e.StartedAt == 0 { // its sender did not know it, as in a command to a whole fleet
+		if e.StartedAt == 0 { // unknown to the sender, as in a command to a whole fleet
 			e.StartedAt = l.startedAt(e.ID, before)
 		}
 		l.disabled[e.ID] = e
@@ -123,7 +127,7 @@
 	return l.out
 }
 
-// startedAt is when an endpoint had started as it was disabled, as far as it was noted here.
+// startedAt returns the start time of an endpoint from before, or else from the list; zero: not known.
 func (l *ListTracker) startedAt(id string, before map[string]DisabledEndpoint) time.Duration {
 	if e, ok := before[id]; ok {
 		return e.StartedAt
@@ -131,8 +135,8 @@
 	return l.entries[id].StartedAt
 }
 
-// Disabled returns the endpoints that are disabled, and those enabled again of which discovery has reported
-// no further start; by id.
+// Disabled returns the endpoints that are disabled, and those enabled again for which discovery has not
+// reported a new start time, sorted by id.
 func (l *ListTracker) Disabled() []DisabledEndpoint {
 	all := make([]DisabledEndpoint, 0, len(l.disabled))
 	for _, id := range sorted(l.disabled) {
@@ -147,14 +151,14 @@
 	return ok && e.EnabledAt == 0
 }
 
-// forgetEnabled drops the entries of enabled endpoints, and reports whether there were any.
+// forgetEnabled deletes the entries of enabled endpoints, and reports whether there were any.
 func (l *ListTracker) forgetEnabled() bool {
 	before := len(l.disabled)
 	maps.DeleteFunc(l.disabled, func(_ string, e DisabledEndpoint) bool { return e.EnabledAt > 0 })
 	return len(l.disabled) < before
 }
 
-// publishEndpoint passes on what holds of one endpoint now.
+// publishEndpoint emits the present state of one endpoint.
 func (l *ListTracker) publishEndpoint(id string) {
 	e, listed := l.entries[id]
 	if !listed {
@@ -166,8 +170,8 @@
 	})
 }
 
-// overlayDisabled returns what holds of a list: a disabled endpoint is draining, and one that was enabled
-// again has started then, unless discovery reports a start since it was disabled.
+// overlayDisabled returns the list with the operators' changes applied: a disabled endpoint is draining, and
+// one that was enabled again has that time as its start time, unless discovery has reported a new one since.
 func (l *ListTracker) overlayDisabled(list protocol.EndpointList) protocol.EndpointList {
 	if len(l.disabled) == 0 {
 		return list
--- a/internal/routing/disabled_test.go
+++ b/internal/routing/disabled_test.go
@@ -12,13 +12,13 @@
 	"dunestep/internal/protocol"
 )
 
-// Whatever discovery, operators and upgrades do in whatever order: the decision module last saw an endpoint as draining if and
-// only if it is disabled or discovery says so; once enabled it counts as started then, or as discovery has reported since;
-// and the list that is stored is discovery's.
-func TestDisabledEndpoints(t *testing.T) {
+// For any order of updates, operators' commands and upgrades: the decision module sees an endpoint as draining if and only if
+// it is disabled or discovery reports it as draining. After it is enabled, its start time is that of the command, or a
+// later one from discovery. The list to be stored is discovery's.
+func TestDisabledEndpointsDrainUntilEnabled(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now, version := 100*time.Hour, int64(1)
-		l := NewListTracker(here, protocol.EndpointList{}, nil)
+		l := NewListTracker(firstAddr, protocol.EndpointList{}, nil)
 		l.Watch()
 		discovered := map[string]protocol.Endpoint{} // as discovery sent them
 		published := map[string]protocol.Endpoint{}  // as the decision module sees them
@@ -90,18 +90,18 @@
 				for _, id := range sorted(discovered) {
 					list.Endpoints = append(list.Endpoints, discovered[id])
 				}
-				l = NewListTracker(here, list, l.Disabled())
+				l = NewListTracker(firstAddr, list, l.Disabled())
 				l.Watch()
 				clear(published)
 				publish([]ListOutput{{Kind: ListUpdate, Update: balancer.UpdateCached, List: l.ApplyDisabled(list), Confirms: true}})
-				for id := range everListed { // what is neither listed nor disabled is not known any more
+				for id := range everListed { // ids that are neither listed nor disabled are not remembered
 					everListed[id] = l.knownIDs[id]
 				}
 			},
 			"": func(t *rapid.T) {
-				own := l.Endpoints()
-				require.Len(t, own, len(discovered))
-				for _, s := range own {
+				endpoints := l.Endpoints()
+				require.Len(t, endpoints, len(discovered))
+				for _, s := range endpoints {
 					require.Equal(t, published[s.ID].State, s.State)
 				}
 				for id, s := range discovered {
@@ -109,17 +109,18 @@
 					require.Equal(t, isDraining, published[id].State == balancer.Draining, id)
 				}
 				require.Len(t, published, len(discovered))
-				listed, off := l.Size()
+				listed, disabledCount := l.Size()
 				require.Equal(t, len(discovered), listed)
-				require.LessOrEqual(t, off, listed)
+				require.LessOrEqual(t, disabledCount, listed)
 			},
 		})
 	})
 }
 
-// What has been enabled again makes room.
+// At the maximum number of disabled endpoints, those that were enabled again are forgotten to make room. The
+// remembered ids are bounded too.
 func TestDisabledEndpointsAreBounded(t *testing.T) {
-	l := NewListTracker(here, protocol.EndpointList{}, nil)
+	l := NewListTracker(firstAddr, protocol.EndpointList{}, nil)
 	for i := range maxDisabled + 1 {
 		l.rememberID(fmt.Sprint(i))
 	}
@@ -141,9 +142,9 @@
 	require.Len(t, l.knownOrder, maxRememberedIDs)
 }
 
-// Two processes of one agent get different commands, hear of one another late and in any order, and one starts anew from what
-// the other knows: in the end both hold the last command about each endpoint.
-func TestDisabledEndpointsOfTwoProcesses(t *testing.T) {
+// Two processes of one agent get different commands and receive each other's reports late and in any order, and one restarts
+// from the other's state. After they exchange their states, both have the last command for each endpoint.
+func TestDisabledEndpointsOfTwoProcessesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := 100 * time.Hour
 		ids := []string{"a", "b", "c"}
@@ -151,8 +152,8 @@
 		for _, id := range ids {
 			known.Endpoints = append(known.Endpoints, protocol.Endpoint{Server: balancer.Server{ID: id, State: balancer.Ready}})
 		}
-		lists := []*ListTracker{NewListTracker(here, known, nil), NewListTracker(here, known, nil)}
-		var reports [][]DisabledEndpoint // on their way
+		lists := []*ListTracker{NewListTracker(firstAddr, known, nil), NewListTracker(firstAddr, known, nil)}
+		var reports [][]DisabledEndpoint // sent and not yet delivered
 		last := map[string]bool{}
 		which := rapid.IntRange(0, 1)
 		t.Repeat(map[string]func(*rapid.T){
@@ -174,12 +175,12 @@
 					lists[which.Draw(t, "process")].MergeDisabled(reports[rapid.IntRange(0, n-1).Draw(t, "report")])
 				}
 			},
-			"starts anew": func(t *rapid.T) {
+			"restart": func(t *rapid.T) {
 				from := which.Draw(t, "process")
-				lists[1-from] = NewListTracker(here, known, MergeDisabled(lists[1-from].Disabled(), lists[from].Disabled()))
+				lists[1-from] = NewListTracker(firstAddr, known, MergeDisabled(lists[1-from].Disabled(), lists[from].Disabled()))
 			},
 			"": func(t *rapid.T) {
-				one, other := NewListTracker(here, known, lists[0].Disabled()), NewListTracker(here, known, lists[1].Disabled())
+				one, other := NewListTracker(firstAddr, known, lists[0].Disabled()), NewListTracker(firstAddr, known, lists[1].Disabled())
 				one.MergeDisabled(lists[1].Disabled())
 				other.MergeDisabled(lists[0].Disabled())
 				require.Equal(t, one.Disabled(), other.Disabled())
@@ -191,10 +192,10 @@
 	})
 }
 
-// What another process reports is bounded too, whatever it reports.
+// The entries merged from another process's reports are bounded too.
 func TestMergedDisabledEndpointsAreBounded(t *testing.T) {
-	l := NewListTracker(here, protocol.EndpointList{}, nil)
-	for i := 4; i > 0; i-- { // later ones are first by their ids
+	l := NewListTracker(firstAddr, protocol.EndpointList{}, nil)
+	for i := 4; i > 0; i-- { // later reports have smaller ids
 		var reported []DisabledEndpoint
 		for n := range maxDisabled {
 			reported = append(reported, DisabledEndpoint{ID: fmt.Sprintf("%d-%04d", i, n), DisabledAt: 1})
--- a/internal/routing/doc.go
+++ b/internal/routing/doc.go
@@ -1,20 +1,20 @@
-// Package routing holds the decisions of an agent's routing without its input and output: state machines, one
-// for each actor of package agent, that take in what happened and return what is to be done. The agent's
-// actors carry that out on sockets, a simulation does in virtual time.
+// Package routing has the routing state of an agent, without any I/O: one state machine for each actor of
+// package agent. Each takes events as input and returns the outputs to carry out. The agent's actors carry
+// them out on sockets; a simulation carries them out in virtual time.
 //
-// Nothing here waits, sleeps, reads a clock or starts a goroutine. Every input carries the time, on the clock
-// of package balancer: a time.Duration since any fixed point, which must not run backwards. The same inputs
-// in the same order always give the same outputs in the same order. No type is safe for concurrent use: one
-// actor owns each.
+// Nothing here waits, sleeps, reads a clock or starts a goroutine. Every input has the current time, on the
+// clock of package balancer: a time.Duration since any fixed point, which must not run backwards. The same
+// inputs in the same order always give the same outputs in the same order. No type is safe for concurrent
+// use: each value belongs to one actor.
 //
-//   - Router: the requests, their attempts, the one answer of each, and the endpoints' state. It asks the
-//     decision module (package balancer behind package overload) for each decision.
-//   - Pool: the connections to one endpoint. IdleLimit says how long idle ones are reused, ConnectTimeouts
-//     how long a new one is waited for.
-//   - ListTracker: the endpoint list's version and order, the calls to discovery, and the endpoints that an
-//     operator has disabled. SavedList: the list as it is stored over a restart.
-//   - Descriptors: the quotas of client and endpoint connections in the process's descriptors.
-//   - ShutdownPlan: what a graceful shutdown does when.
-//   - AttemptResult: what was seen of an attempt, and its outcome. ResponseProgress: how far an answer has
-//     come, and whether it may go on.
+//   - Router: the requests, their attempts, the one final response of each, and the endpoints' state. It
+//     calls the decision module (package overload in front of package balancer) for each decision.
+//   - Pool: the connections to one endpoint. IdleLimit limits how long an idle connection may be reused,
+//     ConnectTimeouts how long an attempt waits for a new one.
+//   - ListTracker: the endpoint list's version, the calls to discovery, and the endpoints that an operator
+//     has disabled. SavedList: the list as it is stored across a restart.
+//   - Descriptors: how many of the process's file descriptors clients and endpoints may use.
+//   - ShutdownPlan: the phases of a graceful shutdown and their times.
+//   - AttemptResult: what was observed of an attempt, and its outcome. ResponseProgress: how much of a
+//     response has been received, and whether it may continue.
 package routing
--- a/internal/routing/endpoints.go
+++ b/internal/routing/endpoints.go
@@ -10,14 +10,15 @@
 	"dunestep/internal/protocol"
 )
 
-// endpointState is what the list says of an endpoint that is sent to, or may be.
+// endpointState is the state of an endpoint that requests are or may be sent to, from the list.
 type endpointState struct {
 	state balancer.ServerState
-	open  bool // it has an actor
+	open  bool // the endpoint has an actor
 }
 
-// ListUpdated takes in an update of the endpoint list, brings the endpoints' actors in line and reports it to
-// the decision module. Where the kind is balancer.UpdateFailed or nothing has changed, the list is empty.
+// ListUpdated handles an update of the endpoint list: it starts, changes and ends the endpoints' actors to
+// match, and reports the update to the decision module. If the kind is balancer.UpdateFailed or nothing has
+// changed, the list is empty.
 func (r *Router) ListUpdated(now time.Duration, kind balancer.UpdateKind, list protocol.EndpointList,
 	watch balancer.WatchStatus,
 ) []Output {
@@ -40,8 +41,8 @@
 	return r.out
 }
 
-// updateEndpoint keeps one endpoint's actor in line. One that is gone is kept where the decision module may
-// still use it.
+// updateEndpoint starts, changes or ends one endpoint's actor to match its list entry. An endpoint that is
+// gone keeps its actor if the decision module may still use it.
 func (r *Router) updateEndpoint(e protocol.Endpoint) {
 	known := r.endpoints[e.ID]
 	switch {
@@ -59,19 +60,19 @@
 	}
 	known.state = e.State
 	switch {
-	case e.State == balancer.Gone || !e.Addr.IsValid(): // only its state has changed: the address stays
+	case e.State == balancer.Gone || !e.Addr.IsValid(): // only the state has changed; the address stays
 	case known.open:
 		r.emit(Output{Kind: SetEndpointAddress, Endpoint: e.ID, Addr: e.Addr})
 	default:
 		known.open = true
 		r.emit(Output{Kind: OpenEndpoint, Endpoint: e.ID, Addr: e.Addr})
 	}
-	if known.open && e.State == balancer.Draining { // it gets nothing new
+	if known.open && e.State == balancer.Draining { // it gets no new requests
 		r.emit(Output{Kind: DrainEndpoint, Endpoint: e.ID})
 	}
 }
 
-// HasReadyEndpoint reports whether an endpoint is known that takes requests.
+// HasReadyEndpoint reports whether at least one endpoint is ready.
 func (r *Router) HasReadyEndpoint() bool {
 	for _, e := range r.endpoints {
 		if e.state == balancer.Ready {
@@ -81,5 +82,5 @@
 	return false
 }
 
-// sorted returns a map's keys in order, so that the order of outputs does not depend on the map's.
+// sorted returns a map's keys in order, so that the order of outputs is deterministic.
 func sorted[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
--- a/internal/routing/fleetstate.go
+++ b/internal/routing/fleetstate.go
@@ -5,8 +5,8 @@
 	"dunestep/internal/control/policy"
 )
 
-// What a fleet agrees on is passed on to the decision module, where that takes it: overload.Controller does,
-// a test's module may not.
+// The optional interfaces of a Module that uses what a fleet has agreed on. overload.Controller implements
+// all of them, a test's module may not.
 
 type fleetPolicyUser interface {
 	ApplyFleetPolicy(quotas []float64, classes []balancer.RetryPolicy, maxFailedRatio float64)
@@ -21,8 +21,8 @@
 	SetRingAssignment(p *balancer.RingAssignment)
 }
 
-// SetFleetPolicy has the decision module follow the fleet's policy, from the next input on; nil: its settings
-// alone.
+// SetFleetPolicy makes the decision module apply the fleet's policy from the next input on;
+// nil: only its settings.
 func (r *Router) SetFleetPolicy(e *policy.Effect) {
 	module, ok := r.module.(fleetPolicyUser)
 	if !ok {
@@ -40,23 +40,23 @@
 	module.ApplyFleetPolicy(e.Quota, classes, e.MaxFailedRatio)
 }
 
-// SetExclusions has the decision module keep tenants' keys away from endpoints, from the next input on; nil:
-// from none.
+// SetExclusions makes the decision module exclude endpoints for tenants' requests from the
+// next input on; nil: none.
 func (r *Router) SetExclusions(x *balancer.Exclusions) {
 	if module, ok := r.module.(exclusionUser); ok {
 		module.SetExclusions(x)
 	}
 }
 
-// SetRingAssignment has the decision module follow an agreed assignment of the ring, from the next input on;
-// nil: its own list alone.
+// SetRingAssignment makes the decision module use an agreed ring assignment from the next input on; nil: only
+// its own endpoint list.
 func (r *Router) SetRingAssignment(a *balancer.RingAssignment) {
 	if module, ok := r.module.(ringAssignmentUser); ok {
 		module.SetRingAssignment(a)
 	}
 }
 
-// TenantStats returns how the tenants' requests have fared; nil: the decision module does not know.
+// TenantStats returns the statistics of the tenants' requests; nil: the decision module has none.
 func (r *Router) TenantStats() []balancer.TenantStats {
 	if module, ok := r.module.(exclusionUser); ok {
 		return module.TenantStats()
--- a/internal/routing/fleetstate_test.go
+++ b/internal/routing/fleetstate_test.go
@@ -8,8 +8,9 @@
 	"dunestep/internal/overload"
 )
 
-// A Router asks its module by type assertion for what only some have: the one that agents run has all of it.
-func TestControllerTakesFleetState(t *testing.T) {
+// A Router finds a module's optional interfaces by type assertion, so a missing method would go unnoticed: the module that
+// agents run must implement all of them.
+func TestControllerImplementsFleetInterfaces(t *testing.T) {
 	var module Module = (*overload.Controller)(nil)
 	require.Implements(t, (*fleetPolicyUser)(nil), module)
 	require.Implements(t, (*exclusionUser)(nil), module)
--- a/internal/routing/idlelimit.go
+++ b/internal/routing/idlelimit.go
@@ -6,45 +6,47 @@
 )
 
 const (
-	// idleFraction of the time after which the endpoint closes an idle connection is how long one is reused: an
-	// attempt that crosses such a close ends as a reset, after which only an idempotent request is retried.
+	// idleFraction is the fraction of the endpoint's idle timeout for which a connection is reused. An
+	// attempt that is sent while the endpoint closes the connection ends as a reset, after which only an
+	// idempotent request is retried.
 	idleFraction = 0.6
-	// idleHalfLife is how soon observations lose half their weight, so that a limit is tested again.
+	// idleHalfLife is the half-life of the weight of observations. The decay makes a lowered limit rise
+	// again, so that longer idle times are tested again.
 	idleHalfLife = 30 * time.Second
-	// newConnectionCost is what a new connection costs, in lost attempts.
+	// newConnectionCost is the cost of a new connection, in lost attempts.
 	newConnectionCost = 0.05
-	// minSavedLosses is how many lost attempts a lower limit must save.
+	// minSavedLosses is the minimum number of lost attempts that a lower limit must save.
 	minSavedLosses = 3.0
 )
 
-// IdleLimit learns for how long an idle connection can be reused. Machines on the way may forget idle
-// connections sooner than the settings say, and report that to nobody: the next attempt on one is lost.
+// IdleLimit learns how long a connection may have been idle to be reused. Machines on the network path may
+// drop idle connections earlier than the configured timeout without notice: the next attempt on one is lost.
 type IdleLimit struct {
-	max   time.Duration // by the settings
-	limit time.Duration
-	since time.Duration // when the weights were last halved
-	// Attempts by how long their connection had been idle: see idleBucketOf.
+	max          time.Duration // from the settings
+	limit        time.Duration
+	lastHalvedAt time.Duration // of used and lost
+	// used and lost are the decayed counts of attempts by their connection's idle time; see idleBucketOf.
 	used, lost [idleBuckets]float64
 }
 
-// NewIdleLimit returns a limit that is as long as the settings allow, where the endpoint closes an idle
+// NewIdleLimit returns an IdleLimit that starts at the maximum, for endpoints that close an idle
 // connection after connIdle.
 func NewIdleLimit(now, connIdle time.Duration) *IdleLimit {
 	longest := time.Duration(idleFraction * float64(connIdle))
-	return &IdleLimit{max: longest, limit: longest, since: now}
+	return &IdleLimit{max: longest, limit: longest, lastHalvedAt: now}
 }
 
-// Limit is how long a connection may have been idle to be reused.
+// Limit returns how long a connection may have been idle to be reused.
 func (l *IdleLimit) Limit() time.Duration { return l.limit }
 
-// Record takes in whether an attempt was lost on a connection that had been idle for so long; zero: a new
-// one. Which attempts count is for AttemptResult.IdleEvidence to say.
+// Record records whether an attempt was lost on a connection that had been idle for that long; zero: a new
+// connection. AttemptResult.IdleEvidence tells which attempts to record.
 //
 //nolint:revive // flag-parameter: lost is observed, and is no choice of the caller's
 func (l *IdleLimit) Record(now, idle time.Duration, lost bool) {
-	halve := now-l.since > idleHalfLife
+	halve := now-l.lastHalvedAt > idleHalfLife
 	if halve {
-		l.since = now
+		l.lastHalvedAt = now
 		for i := range l.used {
 			l.used[i] /= 2
 			l.lost[i] /= 2
@@ -60,10 +62,10 @@
 	}
 }
 
-// best is the limit that saves most: losses beyond those that shorter idle times see too, less the cost of
-// new connections in their place.
+// best returns the limit that saves the most: the losses at longer idle times, less those expected at the
+// loss rate of shorter idle times and less the cost of new connections instead.
 func (l *IdleLimit) best() time.Duration {
-	var used, lost, longer, lostLonger float64 // up to the bucket, and from it on
+	var used, lost, longer, lostLonger float64 // below the bucket, and from it on
 	for i := range l.used {
 		longer += l.used[i]
 		lostLonger += l.lost[i]
@@ -81,11 +83,11 @@
 	return limit
 }
 
-// idleBuckets is how many ranges of idle times are told apart.
+// idleBuckets is the number of ranges of idle times.
 const idleBuckets = 128
 
-// idleBucketOf numbers an idle time, in microseconds, by its highest bit and the two below it: four buckets
-// to each power of two.
+// idleBucketOf returns the bucket of an idle time, from its highest bit and the two below it in microseconds:
+// four buckets for each power of two.
 func idleBucketOf(d time.Duration) int {
 	us := uint64(max(d.Microseconds(), 0))
 	if us < 4 {
@@ -95,7 +97,7 @@
 	return min(4*(high-1)+int(us>>(high-2)&3), idleBuckets-1)
 }
 
-// idleBucketStart is the shortest idle time of a bucket.
+// idleBucketStart returns the shortest idle time of a bucket.
 func idleBucketStart(bucket int) time.Duration {
 	if bucket < 4 {
 		return 0
--- a/internal/routing/idlelimit_test.go
+++ b/internal/routing/idlelimit_test.go
@@ -10,15 +10,15 @@
 	"dunestep/internal/protocol"
 )
 
-// Idle connections may be forgotten on the way long before the settings say, which only the loss of the next attempt shows:
-// after a few losses they are not reused, until that is tested again.
-func TestForgottenConnections(t *testing.T) {
+// Machines on the network path may drop idle connections long before the configured timeout, which shows only when the next
+// attempt is lost. After a few losses such connections are not reused, until the decay of the losses raises the limit.
+func TestIdleLimitAfterDroppedConnections(t *testing.T) {
 	d := newSimulation(testSettings(), 1)
 	longest := d.limit.Limit()
 	require.Equal(t, 9*time.Second, longest)
-	forgottenAfter := 20 * time.Millisecond
+	droppedAfter := 20 * time.Millisecond
 	d.react = func(s *sentAttempt) reaction {
-		if s.checkout.Reused && s.checkout.IdleFor > forgottenAfter {
+		if s.checkout.Reused && s.checkout.IdleFor > droppedAfter {
 			return broken(AwaitingResponse)
 		}
 		return completed(balancer.Served)
@@ -27,14 +27,14 @@
 	for i := range 60 {
 		n := d.arrive(notIdempotent, string(rune('a'+i)))
 		d.run(50 * time.Millisecond)
-		if d.answers[n][0].Result != protocol.Served {
-			require.Less(t, i, 40, "learned by then")
+		if d.responses[n][0].Result != protocol.Served {
+			require.Less(t, i, 40, "the limit is learned within 40 requests")
 			lost++
 		}
 	}
-	require.Greater(t, lost, 2, "losses alone show it")
-	require.LessOrEqual(t, d.limit.Limit(), 2*forgottenAfter)
-	for range 600 { // half of the weight is lost every 30 s
+	require.Greater(t, lost, 2, "the limit is learned only from losses")
+	require.LessOrEqual(t, d.limit.Limit(), 2*droppedAfter)
+	for range 600 { // the weights halve every 30 s
 		d.limit.Record(d.now, 0, false)
 		d.now += time.Second
 	}
--- a/internal/routing/idlesnapshot.go
+++ b/internal/routing/idlesnapshot.go
@@ -6,46 +6,46 @@
 )
 
 const (
-	// minIdleWeight is the weight of a bucket's attempts below which it is not in an IdleSnapshot.
+	// minIdleWeight is the minimum weight of a bucket's attempts for it to be in an IdleSnapshot.
 	minIdleWeight = 0.01
-	// maxIdleWeight bounds what is believed of one.
+	// maxIdleWeight is the exclusive upper bound of a restored bucket's weight; larger ones are invalid.
 	maxIdleWeight = 1e12
 )
 
-// IdleSnapshot is what an IdleLimit has learned, as plain values that can be kept over a restart. The keys of
-// its encodings are stored and must not change.
+// IdleSnapshot is what an IdleLimit has learned, as plain values that can be stored across a restart. The
+// keys of its encodings are stored and must not change.
 type IdleSnapshot struct {
-	Buckets    []IdleBucket  `cbor:"1,keyasint,omitempty" json:"steps"` // by their indexes
+	Buckets    []IdleBucket  `cbor:"1,keyasint,omitempty" json:"steps"` // by ascending index
 	SinceDecay time.Duration `cbor:"2,keyasint,omitempty" json:"ago_ns"`
 }
 
-// IdleBucket is how many attempts were sent on connections that had been idle for about so long, and how many
-// of these were lost; those long past count for less.
+// IdleBucket is the decayed number of attempts that were sent on connections whose idle time is in one range,
+// and of those that were lost.
 type IdleBucket struct {
 	Index int     `cbor:"1,keyasint" json:"step"`
 	Used  float64 `cbor:"2,keyasint" json:"used"`
 	Lost  float64 `cbor:"3,keyasint,omitempty" json:"lost"`
 }
 
-// Snapshot returns what was learned. SinceDecay is the time since its weights were last halved.
+// Snapshot returns what was learned. SinceDecay is the time since the weights were last halved.
 func (l *IdleLimit) Snapshot(now time.Duration) IdleSnapshot {
-	m := IdleSnapshot{SinceDecay: max(now-l.since, 0)}
+	s := IdleSnapshot{SinceDecay: max(now-l.lastHalvedAt, 0)}
 	for i := range l.used {
 		if l.used[i] >= minIdleWeight {
-			m.Buckets = append(m.Buckets, IdleBucket{Index: i, Used: l.used[i], Lost: l.lost[i]})
+			s.Buckets = append(s.Buckets, IdleBucket{Index: i, Used: l.used[i], Lost: l.lost[i]})
 		}
 	}
-	return m
+	return s
 }
 
-// Restore takes over a snapshot of that age, as far as its weights have not decayed. A negative age is not
-// known, and nothing is restored.
-func (l *IdleLimit) Restore(m IdleSnapshot, age time.Duration) {
-	if age < 0 || m.SinceDecay < 0 {
+// Restore replaces the weights by those of a snapshot, decayed by its age. A negative age means that the
+// age is not known, and nothing is restored.
+func (l *IdleLimit) Restore(s IdleSnapshot, age time.Duration) {
+	if age < 0 || s.SinceDecay < 0 {
 		return
 	}
-	weight := math.Exp2(-(float64(age) + float64(min(m.SinceDecay, idleHalfLife))) / float64(idleHalfLife))
-	for _, b := range m.Buckets {
+	weight := math.Exp2(-(float64(age) + float64(min(s.SinceDecay, idleHalfLife))) / float64(idleHalfLife))
+	for _, b := range s.Buckets {
 		if b.Index >= 0 && b.Index < len(l.used) && b.Lost >= 0 && b.Used >= b.Lost && b.Used < maxIdleWeight {
 			l.used[b.Index], l.lost[b.Index] = b.Used*weight, b.Lost*weight
 		}
--- a/internal/routing/listcalls.go
+++ b/internal/routing/listcalls.go
@@ -9,8 +9,8 @@
 	"dunestep/internal/protocol"
 )
 
-// Watch starts a new watch from the known version, in place of the present one. A watch at the address before
-// goes on: the decision module also polls where the new address can't be reached.
+// Watch starts a new watch from the known version, which replaces the current one. A watch at the former
+// address continues, since the decision module also retries when the new address can't be reached.
 func (l *ListTracker) Watch() []ListOutput {
 	l.out = l.out[:0]
 	if l.watchCall != 0 {
@@ -20,8 +20,8 @@
 	return l.out
 }
 
-// SetAddress starts a watch at another address. The one at the old address goes on until the new one is
-// accepted: nothing is missed between the two.
+// SetAddress starts a watch at another address. The watch at the old address continues until the new one is
+// accepted, so that no change is missed between the two.
 func (l *ListTracker) SetAddress(addr netip.AddrPort) []ListOutput {
 	l.out = l.out[:0]
 	if addr != l.addr {
@@ -34,7 +34,7 @@
 	return l.out
 }
 
-// Fetch asks once for the complete list.
+// Fetch starts a call that requests the complete list once.
 func (l *ListTracker) Fetch() []ListOutput {
 	l.out = l.out[:0]
 	l.calls++
@@ -43,10 +43,10 @@
 	return l.out
 }
 
-// CallAccepted takes in that discovery has accepted a call.
+// CallAccepted handles discovery's acceptance of a call.
 func (l *ListTracker) CallAccepted(call int) []ListOutput {
 	l.out = l.out[:0]
-	if call == l.watchCall { // this answers the decision module's call, also where no change was missed
+	if call == l.watchCall { // reported even if no change was missed
 		l.accepted = true
 		l.endFormerWatch()
 		l.emit(ListOutput{
@@ -56,12 +56,12 @@
 	return l.out
 }
 
-// CallReceived takes in a list or change that a call brought.
+// CallReceived handles a list or change that a call received.
 func (l *ListTracker) CallReceived(call int, list protocol.EndpointList) []ListOutput {
 	l.out = l.out[:0]
 	fetched := l.fetches[call]
 	switch {
-	case fetched && list.Version < l.version: // the watch has brought more since
+	case fetched && list.Version < l.version: // the watch has received a newer version since
 		l.emit(ListOutput{Kind: ListUpdate, Update: balancer.UpdateIncremental})
 	case fetched || call == l.watchCall && !l.outOfOrder || call == l.formerWatch:
 		l.acceptList(list)
@@ -69,8 +69,8 @@
 	return l.out
 }
 
-// CallIdle takes in that a call was accepted and has brought nothing since, for longer than what it had to
-// bring would have taken: the known list is the present one.
+// CallIdle handles the passage of a time after a call's acceptance that is longer than a pending change takes
+// to arrive: the known list is up to date.
 func (l *ListTracker) CallIdle(call int) []ListOutput {
 	l.out = l.out[:0]
 	if call == l.watchCall && l.accepted && !l.outOfOrder {
@@ -79,7 +79,7 @@
 	return l.out
 }
 
-// CallEnded takes in the end of a call, with nil only for a fetch that came completely.
+// CallEnded handles the end of a call. err is nil only for a fetch that received the complete list.
 func (l *ListTracker) CallEnded(call int, err error) []ListOutput {
 	l.out = l.out[:0]
 	fetched := l.fetches[call]
@@ -96,7 +96,7 @@
 		case call == l.watchCall && l.addressChanged && status.End == backoff.CallFailed:
 			status.End = backoff.AddressMoved
 		}
-		if call == l.watchCall { // its silence confirms nothing any more
+		if call == l.watchCall { // its silence no longer confirms the list
 			l.accepted = false
 		}
 		l.emit(ListOutput{Kind: ListUpdate, Update: balancer.UpdateFailed, Watch: status})
@@ -104,7 +104,8 @@
 	return l.out
 }
 
-// formerWatchEnded takes in the end of the watch at the address before. The present one is still being tried.
+// formerWatchEnded handles the end of the watch at the former address, while the current watch is not yet
+// accepted.
 func (l *ListTracker) formerWatchEnded(err error) {
 	l.formerWatch = 0
 	if status := watchEnd(err, true); status.End == backoff.WatchSilent && l.watchCall != 0 {
@@ -113,7 +114,7 @@
 	}
 }
 
-// watchEnd is how a call has ended, for the decision module.
+// watchEnd returns how a call ended, for the decision module.
 func watchEnd(err error, accepted bool) balancer.WatchStatus {
 	var silence *SilenceError
 	var unreadable *UnreadableError
--- a/internal/routing/listtracker.go
+++ b/internal/routing/listtracker.go
@@ -13,58 +13,60 @@
 
 // The kinds of output, with the fields of ListOutput that each one uses.
 const (
-	// StartCall calls discovery: Call, Addr, Request. Its acceptance, what it brings and its end are reported
-	// with Call.
+	// StartCall calls discovery: Call, Addr, Request. Its acceptance, the lists it receives and its end
+	// are reported with Call.
 	StartCall ListOutputKind = iota
-	// EndCall ends a call: Call. Its end is reported as any other.
+	// EndCall ends a call: Call. Its end is reported like any other.
 	EndCall
-	// ListUpdate is for Router.ListUpdated: Update, List, DiscoveryList, Watch, Confirms.
+	// ListUpdate is an input for Router.ListUpdated: Update, List, DiscoveryList, Watch, Confirms.
 	ListUpdate
-	// ListOutOfOrder is for the log: Version, KnownVersion.
+	// ListOutOfOrder is to be logged: Version, KnownVersion.
 	ListOutOfOrder
-	// CallFailed is for the log: Err.
+	// CallFailed is to be logged: Err.
 	CallFailed
 )
 
-// ListOutput is one thing that a ListTracker wants done. Which fields are set depends on Kind.
+// ListOutput is one output of a ListTracker, for the caller to carry out. Which fields are set depends on
+// Kind.
 type ListOutput struct {
 	Kind          ListOutputKind
-	Call          int // its number
+	Call          int // number of the call
 	Addr          netip.AddrPort
 	Request       protocol.ListRequest
 	Update        balancer.UpdateKind
 	List          protocol.EndpointList // with disabled endpoints draining
 	DiscoveryList protocol.EndpointList // as discovery sent it
 	Watch         balancer.WatchStatus  // how a call ended, or that an operator caused the update
-	Confirms      bool                  // by this discovery has said what the complete list is
+	Confirms      bool                  // discovery has confirmed that the list is up to date
 	Version       int64
 	KnownVersion  int64
 	Err           error
 }
 
-// ListTracker holds the endpoint list's version, the calls to discovery and the endpoints that an operator
-// has disabled, and reports balancer.UpdateFailed as soon as a call ends. When to call again is for the
-// decision module to say. Inputs return what is to be done, in order, valid until the next input; what comes
-// of a call that is not waited for any more is ignored.
+// ListTracker tracks the endpoint list's version, the calls to discovery and the endpoints that an operator
+// has disabled, and reports balancer.UpdateFailed as soon as a call ends. The decision module decides when
+// to call again. Inputs return the outputs in order, valid until the next input. Events of a call that has
+// been replaced are ignored.
 type ListTracker struct {
 	addr           netip.AddrPort
 	version        int64
 	calls          int  // started so far
-	watchCall      int  // the watch, by its number; zero: none yet
-	accepted       bool // discovery has accepted it, and it has not ended
-	addressChanged bool // it is the first call to another address
-	// the watch at the address before, until the present one is accepted; zero: none
+	watchCall      int  // number of the current watch; zero: none yet
+	accepted       bool // discovery has accepted the current watch, which has not ended
+	addressChanged bool // the current watch is the first call to a new address
+	// formerWatch is the number of the watch at the former address, until the current one is accepted;
+	// zero: none.
 	formerWatch int
-	outOfOrder  bool                         // the watch was out of order: the rest of it is ignored
-	fetches     map[int]bool                 // those that are outstanding
+	outOfOrder  bool                         // the current watch was out of order and is ignored
+	fetches     map[int]bool                 // fetches under way, by number
 	entries     map[string]protocol.Endpoint // as discovery sent them
-	knownIDs    map[string]bool              // ids that were ever listed
-	knownOrder  []string                     // the same, in the order in which they came
+	knownIDs    map[string]bool              // ids that are or were listed or disabled; see rememberID
+	knownOrder  []string                     // keys of knownIDs, the oldest first
 	disabled    map[string]DisabledEndpoint
 	out         []ListOutput
 }
 
-// NewListTracker returns a ListTracker with a known list, discovery's address, and the endpoints that are
+// NewListTracker returns a ListTracker with discovery's address, a known list, and the endpoints that are
 // disabled from the start.
 func NewListTracker(
 	addr netip.AddrPort,
@@ -83,7 +85,7 @@
 	return l
 }
 
-// WasListed reports whether a list ever had an id.
+// WasListed reports whether an endpoint with that id is or was listed, as far as it is remembered.
 func (l *ListTracker) WasListed(id string) bool { return l.knownIDs[id] }
 
 // Size returns how many endpoints are listed, and how many of these are disabled.
@@ -96,7 +98,7 @@
 	return len(l.entries), disabled
 }
 
-// Endpoints returns those that are listed, by id, with the disabled ones draining.
+// Endpoints returns the listed endpoints, sorted by id, with the disabled ones draining.
 func (l *ListTracker) Endpoints() (all []balancer.Server) {
 	list := protocol.EndpointList{}
 	for _, id := range sorted(l.entries) {
@@ -108,15 +110,16 @@
 	return all
 }
 
-// acceptList passes on what a call brought. Changes older than what is known are out of order: they would
-// undo later ones, so the next watch asks for the complete list, whatever the present one still brings.
+// acceptList applies and emits a list or change that a call received. A change older than the known
+// version is out of order and would undo later ones: the current watch is ended and the next one
+// requests the complete list.
 func (l *ListTracker) acceptList(list protocol.EndpointList) {
 	if !list.Full && list.Version < l.version {
 		l.emit(ListOutput{Kind: ListOutOfOrder, Version: list.Version, KnownVersion: l.version})
 		l.version, l.outOfOrder = 0, true
 		l.endFormerWatch()
 		if l.watchCall != 0 {
-			l.emit(ListOutput{Kind: EndCall, Call: l.watchCall}) // its end will be reported
+			l.emit(ListOutput{Kind: EndCall, Call: l.watchCall}) // its end is reported later
 		}
 		return
 	}
@@ -131,14 +134,14 @@
 	})
 }
 
-// recordList stores what discovery sent.
+// recordList records a list or change as discovery sent it.
 func (l *ListTracker) recordList(kind balancer.UpdateKind, list protocol.EndpointList) {
 	if kind == balancer.UpdateFull {
 		clear(l.entries)
 	}
 	for _, e := range list.Endpoints {
 		if d := l.disabled[e.ID]; d.EnabledAt > 0 && e.StartedAt != d.StartedAt {
-			delete(l.disabled, e.ID) // the restart has been reported
+			delete(l.disabled, e.ID) // discovery has reported the restart
 		}
 		if e.State == balancer.Gone {
 			delete(l.entries, e.ID)
@@ -149,7 +152,7 @@
 	}
 }
 
-// rememberID notes that an id was listed.
+// rememberID records an id that was listed or disabled, and forgets the oldest ids beyond maxRememberedIDs.
 func (l *ListTracker) rememberID(id string) {
 	if l.knownIDs[id] {
 		return
@@ -164,13 +167,13 @@
 
 func (l *ListTracker) emit(o ListOutput) { l.out = append(l.out, o) }
 
-// SilenceError is how a call ends on which nothing has come for too long.
+// SilenceError is the error of a call that received nothing for Duration.
 type SilenceError struct{ Duration time.Duration }
 
 // Error implements error.
 func (*SilenceError) Error() string { return "discovery has been silent for too long" }
 
-// UnreadableError is how a call ends that has brought something unreadable.
+// UnreadableError is the error of a call that received something that can't be decoded.
 type UnreadableError struct{ Err error }
 
 // Error implements error.
--- a/internal/routing/pool.go
+++ b/internal/routing/pool.go
@@ -7,60 +7,61 @@
 	"time"
 )
 
-// ReuseDelay is how long a connection rests after its answer before the next attempt is written on it. An
-// endpoint may answer twice, the second time some milliseconds late, and nothing in an answer says which
-// request it is for: what comes while no attempt is on the connection ends it, what comes later would be
-// taken for the next one's answer.
+// ReuseDelay is the minimum time between a response on a connection and the next attempt written on it. An
+// endpoint may send a second response to a request some milliseconds late, and a response does not identify
+// its request. Data that is received while no attempt uses the connection ends the connection; data that is
+// received once the next attempt uses it would be mistaken for that attempt's response.
 const ReuseDelay = 10 * time.Millisecond
 
-// Pool owns the idle connections to one endpoint, and counts the attempts that are under way there. C is a
-// connection as its owner knows it. Inputs return the connections to be closed, valid until the next input.
+// Pool owns the idle connections to one endpoint, and counts the attempts under way there. C is the caller's
+// type of a connection. Inputs return the connections for the caller to close, valid until the next input.
 type Pool[C comparable] struct {
 	limit      Limiter
 	reuseDelay time.Duration
 	addr       netip.AddrPort
-	idle       []idleConnection[C] // the one used last at the end
-	inUse      int                 // attempts
+	idle       []idleConnection[C] // by last use, the latest at the end
+	inUse      int                 // attempts under way
 	retired    bool                // the endpoint has left the list
-	noReuse    bool                // connections are closed after their answer
+	noReuse    bool                // connections are closed after their response
 	closing    []C
 }
 
-// Limiter says how long a connection may have been idle to be reused: an IdleLimit, which pools share.
+// Limiter limits how long a connection may have been idle to be reused. It is an IdleLimit that pools share.
 type Limiter interface{ Limit() time.Duration }
 
 // idleConnection is a connection that waits for its next attempt.
 type idleConnection[C comparable] struct {
-	conn  C
-	since time.Duration
-	until time.Duration // when it is to be closed
+	conn      C
+	since     time.Duration
+	expiresAt time.Duration // when to close it
 }
 
 // Checkout is the connection that an attempt gets, or the address to connect to.
 type Checkout[C comparable] struct {
 	Reused     bool
-	Conn       C             // where Reused
-	WriteDelay time.Duration // how long the attempt must wait before it is written, where Reused
-	IdleFor    time.Duration // how long the connection will have been idle then, where Reused
+	Conn       C             // if Reused
+	WriteDelay time.Duration // time that the attempt must wait before it is written, if Reused
+	IdleFor    time.Duration // idle time of the connection after WriteDelay, if Reused
 	Addr       netip.AddrPort
 
-	entry idleConnection[C] // the pool's, where Reused
+	entry idleConnection[C] // the pool's entry, if Reused
 }
 
-// NewPool returns the pool of an endpoint at an address, whose connections rest for reuseDelay after an
-// answer: see ReuseDelay.
+// NewPool returns the pool of an endpoint at an address. reuseDelay is the minimum time between a response
+// and the next attempt on a connection; see ReuseDelay.
 func NewPool[C comparable](addr netip.AddrPort, limit Limiter, reuseDelay time.Duration) *Pool[C] {
 	return &Pool[C]{limit: limit, addr: addr, reuseDelay: reuseDelay}
 }
 
-// Acquire returns the connection for a new attempt: of those that have rested the one used last, since the
-// longest unused are the likeliest to have been forgotten on the way; else the one that has rested first;
-// else a new one. One of the Release methods or ReturnUnused reports the attempt's end.
+// Acquire returns the connection for a new attempt. Of the idle connections past the reuse delay, it is the
+// one used last, since those unused for longer are more likely to have been dropped on the network path. If
+// there is none, it is the one that is past the reuse delay first; if none is idle, a new connection. The
+// caller reports the attempt's end with one of the Release methods or ReturnUnused.
 func (p *Pool[C]) Acquire(now time.Duration) (Checkout[C], []C) {
 	p.inUse++
 	p.closing = p.closing[:0]
 	limit := p.limit.Limit()
-	p.takeMatching(func(c idleConnection[C]) bool { return max(now-c.since, p.reuseDelay) > limit })
+	p.removeMatching(func(c idleConnection[C]) bool { return max(now-c.since, p.reuseDelay) > limit })
 	if len(p.idle) == 0 {
 		return Checkout[C]{Addr: p.addr}, p.closing
 	}
@@ -78,8 +79,8 @@
 	}, p.closing
 }
 
-// ReturnUnused takes in the end of an attempt that was not written on its reused connection, which has been
-// idle all along. Ended: the connection has ended since.
+// ReturnUnused handles the end of an attempt that was not written on its reused connection. The connection's
+// idle time continues. ended means that the connection has ended since.
 //
 //nolint:revive // flag-parameter: ended is reported by the connection, and is no choice of the caller's
 func (p *Pool[C]) ReturnUnused(c Checkout[C], ended bool) []C {
@@ -96,19 +97,20 @@
 	return p.closing
 }
 
-// ReleaseClosed takes in the end of an attempt whose connection is closed, or never came up.
+// ReleaseClosed handles the end of an attempt whose connection is closed, or was never established.
 func (p *Pool[C]) ReleaseClosed() { p.inUse-- }
 
-// ReleaseUnanswered takes in the end of an attempt that was sent on a reused connection and got no answer.
-// The others that have not been used since it was sent are closed: a machine that was unreachable for a while
-// may have left them all open and silent, and each would cost an attempt.
+// ReleaseUnanswered handles the end of an attempt that was sent on a reused connection and got no response.
+// It closes the idle connections that were not used since the attempt was sent: after a machine was
+// unreachable for a while, they may all be open without a working peer, and each would cost an attempt.
 func (p *Pool[C]) ReleaseUnanswered(sent time.Duration) []C {
 	p.inUse--
 	return p.closeMatching(func(c idleConnection[C]) bool { return c.since < sent })
 }
 
-// Release takes in the end of an attempt whose connection can be reused. To is the address that the
-// connection leads to. Ended: the connection has ended since, which may have been reported before.
+// Release handles the end of an attempt whose connection can be reused. to is the address of the
+// connection's remote end. ended means that the connection has ended since, which ConnectionEnded
+// may have reported before.
 //
 //nolint:revive // flag-parameter: ended is reported by the connection, and is no choice of the caller's
 func (p *Pool[C]) Release(now time.Duration, conn C, to netip.AddrPort, ended bool) []C {
@@ -117,67 +119,67 @@
 	if p.retired || p.noReuse || to != p.addr || ended {
 		p.closing = append(p.closing, conn)
 	} else {
-		p.idle = append(p.idle, idleConnection[C]{conn: conn, since: now, until: now + p.limit.Limit()})
+		p.idle = append(p.idle, idleConnection[C]{conn: conn, since: now, expiresAt: now + p.limit.Limit()})
 	}
 	return p.closing
 }
 
-// NextExpiry returns when Expire is to be called next; false while nothing is idle.
+// NextExpiry returns when to call Expire next; false while no connection is idle.
 func (p *Pool[C]) NextExpiry() (at time.Duration, ok bool) {
 	for i := range p.idle {
-		if !ok || p.idle[i].until < at {
-			at, ok = p.idle[i].until, true
+		if !ok || p.idle[i].expiresAt < at {
+			at, ok = p.idle[i].expiresAt, true
 		}
 	}
 	return at, ok
 }
 
-// Expire closes the connections that have been idle for as long as was allowed when they were released.
+// Expire closes the connections that have been idle for longer than the limit at the time of their release.
 func (p *Pool[C]) Expire(now time.Duration) []C {
-	return p.closeMatching(func(c idleConnection[C]) bool { return c.until <= now })
+	return p.closeMatching(func(c idleConnection[C]) bool { return c.expiresAt <= now })
 }
 
-// ConnectionEnded takes in that an idle connection has ended.
+// ConnectionEnded closes a connection that has ended, if it is idle.
 func (p *Pool[C]) ConnectionEnded(conn C) []C {
 	return p.closeMatching(func(c idleConnection[C]) bool { return c.conn == conn })
 }
 
-// SetAddress sends new attempts to another address. Those under way go on.
+// SetAddress directs new attempts to another address. Attempts under way continue.
 func (p *Pool[C]) SetAddress(addr netip.AddrPort) []C {
 	moved := addr != p.addr
 	p.addr, p.noReuse = addr, false
 	return p.closeMatching(func(idleConnection[C]) bool { return moved })
 }
 
-// StopReuse closes the idle connections, and others after their answer, until the next SetAddress.
+// StopReuse closes the idle connections, and others after their response, until the next SetAddress.
 func (p *Pool[C]) StopReuse() []C {
 	p.noReuse = true
 	return p.closeMatching(func(idleConnection[C]) bool { return true })
 }
 
-// CloseIdleHalf closes the half of the idle connections that has been idle for longer.
+// CloseIdleHalf closes half of the idle connections, rounded up: those with the longest idle times.
 func (p *Pool[C]) CloseIdleHalf() []C {
 	left := (len(p.idle) + 1) / 2
 	return p.closeMatching(func(idleConnection[C]) bool { left--; return left >= 0 })
 }
 
-// Retire takes in that the endpoint has left the list.
+// Retire closes the idle connections, and others after their response: the endpoint has left the list.
 func (p *Pool[C]) Retire() []C {
 	p.retired = true
 	return p.closeMatching(func(idleConnection[C]) bool { return true })
 }
 
-// IsDone reports whether the endpoint has left the list and has no attempt any more.
+// IsDone reports whether the endpoint has left the list and has no attempts under way.
 func (p *Pool[C]) IsDone() bool { return p.retired && p.inUse == 0 }
 
 func (p *Pool[C]) closeMatching(match func(idleConnection[C]) bool) []C {
 	p.closing = p.closing[:0]
-	p.takeMatching(match)
+	p.removeMatching(match)
 	return p.closing
 }
 
-// takeMatching moves the idle connections that match to those to be closed.
-func (p *Pool[C]) takeMatching(match func(idleConnection[C]) bool) {
+// removeMatching moves the idle connections that match to closing.
+func (p *Pool[C]) removeMatching(match func(idleConnection[C]) bool) {
 	left := p.idle[:0]
 	for _, c := range p.idle {
 		if match(c) {
--- a/internal/routing/responseprogress.go
+++ b/internal/routing/responseprogress.go
@@ -6,40 +6,41 @@
 	"dunestep/internal/protocol"
 )
 
-// ResponseProgress is how far the body of an answer has come.
+// ResponseProgress is how much of a response's body has been received, and when.
 type ResponseProgress struct {
-	Length      int64         // announced, in bytes; negative: not known
-	Received    int64         // bytes so far
-	DelayBefore time.Duration // by this side, before it could begin
-	Blocked     time.Duration // since then, because the client did not read earlier bytes
-	Receiving   time.Duration // since the first byte, less Blocked
-	Complete    bool          // all of it has come
-	Stream      bool          // of a streaming class: only its first bytes are timed, however short it is
+	Length      int64         // announced length, in bytes; negative: not known
+	Received    int64         // bytes received
+	DelayBefore time.Duration // delay that this agent caused before the body could begin
+	Blocked     time.Duration // time after the beginning in which the client did not read earlier bytes
+	Receiving   time.Duration // time since the first byte, less Blocked
+	Complete    bool          // the body has been received completely
+	Stream      bool          // of a streaming class: only the first bytes are timed, whatever the length
 }
 
-// isTimedToLastByte reports whether the last byte has to come in the request's time: the answer was announced
-// as short enough. Of a longer one, and of a stream, only the first bytes are timed; one of unknown length
-// may turn out to be longer.
+// isTimedToLastByte reports whether the last byte has to be received within the request's time: that is so if
+// the announced length is short enough to be buffered. Of a longer response and of a stream, only the first
+// bytes are timed. So is a response of unknown length, which may turn out to be longer.
 func (p ResponseProgress) isTimedToLastByte() bool {
 	return !p.Stream && p.Length >= 0 && p.Length <= protocol.MaxBufferedBody
 }
 
 const (
-	// A short answer is lost to its client half a second after the request's time. Before that it is ended, so
-	// that the client can tell: after maxShortStall without a byte, and at maxShortOverrun in any case.
+	// A client gives up a short response half a second after the request's time. To let the client see
+	// that it failed, it is ended before that: after maxShortStall without a byte, and at
+	// maxShortOverrun in any case.
 	maxShortStall   = 200 * time.Millisecond
 	maxShortOverrun = 400 * time.Millisecond
-	// maxLongStall is how long a long answer may stand still after the request's time: what still comes is of
-	// use however late, what has stopped is not.
+	// maxLongStall is the maximum time without a byte of a long response after the request's time. A late
+	// response is still useful to its client while bytes arrive.
 	maxLongStall = 3 * time.Second
-	// maxLongOverrun is how long after the request's time such an answer may last at all.
+	// maxLongOverrun is the maximum time that a long response may last after the request's time.
 	maxLongOverrun = 2 * time.Minute
-	// minClientBytesPerSecond is how many bytes a second a client must read of an answer that it holds up.
+	// minClientBytesPerSecond is the minimum rate at which a client must read a response that it holds up.
 	minClientBytesPerSecond = 16 << 10
 )
 
-// checkStart returns why an answer that is longer than what is buffered may not become the request's, or
-// NotEnded. A request that has an answer has it for good, also where that has only begun.
+// checkStart returns why a response that is too long to be buffered may not become the request's response, or
+// NotEnded if it may. A request keeps its first response, even if only the beginning has been received.
 func checkStart(answered bool, left time.Duration) EndReason {
 	switch {
 	case answered:
@@ -50,12 +51,13 @@
 	return NotEnded
 }
 
-// CheckLimits returns why an answer that has begun may not go on, or NotEnded. SinceSent is how long ago its
-// attempt was sent, left what is left of the request's time, quiet how long nothing has come though it could.
-// A short answer has to be complete in its time; of a long one and of a stream the first bytes are timed, and
-// an endpoint that still sends is not cut off. A client may hold up an endpoint's connection for as long as
-// the endpoint itself has needed since the attempt was sent, and lag more, and beyond that while it reads
-// enough bytes.
+// CheckLimits returns why a response that has begun may not continue, or NotEnded if it may. sinceSent is
+// the time since its attempt was sent, left is the rest of the request's time, and quiet is how long
+// nothing has been received although this agent was ready to receive. A short response has to be complete
+// within the request's time. Of a long response and of a stream, the first bytes are timed, and an endpoint
+// that still sends is not cut off. A client may block an endpoint's connection for as long as the endpoint
+// itself has taken since the attempt was sent plus lag, and for longer while it reads at least
+// minClientBytesPerSecond.
 func (p ResponseProgress) CheckLimits(sinceSent, left, quiet, lag time.Duration) EndReason {
 	endpointTime := sinceSent - p.DelayBefore - p.Blocked
 	switch {
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -10,13 +10,15 @@
 )
 
 const (
-	// ResponseMargin is taken off the client's timeout, so that the final answer is there before it leaves.
+	// ResponseMargin is subtracted from the client's timeout, so that the final response reaches the
+	// client before it gives up.
 	ResponseMargin = 5 * time.Millisecond
-	// maxBodyTime bounds how long a request's body may be coming. Whether it gets on is for the listener to see.
+	// maxBodyTime is the maximum time for receiving a request's body. The listener checks that it makes
+	// progress.
 	maxBodyTime = 15 * time.Minute
 )
 
-// The texts of answers that no endpoint gave.
+// The texts of responses that come from this agent, not from an endpoint.
 const (
 	failedText       = "failed\n"
 	rejectedText     = "busy\n"
@@ -24,39 +26,40 @@
 	unknownClassText = "unknown class\n"
 )
 
-// Module makes the decisions: overload.Controller before balancer.Balancer, or a test's.
+// Module is the decision module: overload.Controller in front of balancer.Balancer, or a test's.
 type Module interface {
 	Step(now time.Duration, ev balancer.Event) []balancer.Action
 }
 
-// Permitted removes from a deployment's settings what is not available here: the protocol has no probes of
-// endpoints; and discovery sends nothing unless it is called, also where it is said to push lists. The
-// decision module must be built with the result.
+// Permitted returns a deployment's settings without what this agent does not support: the protocol has no
+// probes of endpoints, and discovery sends lists only in calls, even if the settings say that it pushes them.
+// The decision module must be created with the result.
 func Permitted(set balancer.Settings) balancer.Settings {
 	set.Limits.Probes = false
 	set.DiscoveryOnDemand = true
 	return set
 }
 
-// Router knows every request, its attempts and the endpoints' state, and gives each request one final answer,
-// whatever crosses. Each input returns what is to be done, in order, valid until the next input.
+// Router has the state of all requests, their attempts and the endpoints, and gives each request exactly
+// one final response, in whatever order events arrive. Each input returns the outputs to carry out, in
+// order, valid until the next input.
 type Router struct {
 	module      Module
 	maxAttempts int                       // of a request
 	goneUsable  bool                      // endpoints listed as gone may still be used
-	classes     map[string]balancer.Class // those of the settings
+	classes     map[string]balancer.Class // classes of the settings, by name
 
 	requests       map[uint32]*requestState
-	correlationIDs map[string]uint32 // the requests' numbers by their ids on the socket
+	correlationIDs map[string]uint32 // requests' numbers by their ids on the wire
 	lastID         uint32
 	endpoints      map[string]*endpointState
 	failingAll     bool // see FailAll
 
-	out        []Output
-	notStarted []notStarted    // attempts whose end is reported once the actions are done
-	reusable   []*requestState // forgotten requests
+	out          []Output
+	notStarted   []notStarted    // their ends are reported after the current actions
+	freeRequests []*requestState // forgotten requests, for reuse
 
-	// Events are reused: the decision module keeps none.
+	// Events are reused: the decision module does not retain them.
 	arrival     balancer.Request
 	attemptDone balancer.AttemptDone
 }
@@ -65,12 +68,12 @@
 type requestState struct {
 	id               uint32
 	correlationID    string
-	deadline         time.Duration // of the final answer
-	streamed         bool          // answers are passed on from their first byte on
-	answered         bool          // or its client has left
-	clientTimeLeft   time.Duration // from the last byte of its body on, while that has not come; zero: it has
-	bodyConsumed     bool          // a part of its body is gone: it can't be sent again
-	streamingAttempt int           // the attempt whose answer is on its way to the client, from 1; zero: none
+	deadline         time.Duration // of the final response
+	streaming        bool          // responses are forwarded from the first byte on
+	answered         bool          // the final response was given, or the client has left
+	clientTimeLeft   time.Duration // counted from the last byte of the body, until that is received; else zero
+	bodyConsumed     bool          // part of the body is no longer buffered: it can't be sent again
+	streamingAttempt int           // number of the attempt whose response is being streamed, plus 1; zero: none
 	attempts         []attemptState
 	openAttempts     int // attempts whose end has not been reported to the decision module
 }
@@ -79,7 +82,7 @@
 type attemptState struct {
 	endpoint         string
 	running          bool          // started and not ended
-	timeoutAfterBody time.Duration // its timeout from the last byte of the request's body on
+	timeoutAfterBody time.Duration // timeout counted from the last byte of the request's body
 }
 
 // notStarted is an attempt that could not be started.
@@ -88,8 +91,8 @@
 	attempt int
 }
 
-// NewRouter returns a Router that knows no endpoints yet: the cached list comes with ListUpdated, as
-// balancer.UpdateCached. The module must have been built with the same settings.
+// NewRouter returns a Router without endpoints: the caller passes the cached list to ListUpdated, as
+// balancer.UpdateCached. The module must have been created with the same settings.
 func NewRouter(set balancer.Settings, module Module) *Router {
 	r := &Router{
 		module:         module,
@@ -106,9 +109,10 @@
 	return r
 }
 
-// RequestArrived takes in a new request and gives it a number: ids on the socket have 64 bits, the decision
-// module's 32, and two that collided would answer one client with the other's body. Sent is the earliest time
-// that is known of it, from which the client's timeout counts. The number is valid until ForgetRequest.
+// RequestArrived handles a new request and returns its number. Ids on the wire have 64 bits, the
+// decision module's have 32; if two truncated ids collided, one client would get the other's response.
+// sent is the earliest known time of the request, from which the client's timeout counts. The number is
+// valid until ForgetRequest.
 func (r *Router) RequestArrived(
 	now time.Duration,
 	in *protocol.Request,
@@ -117,19 +121,19 @@
 	r.out = r.out[:0]
 	req := r.register(in)
 	req.deadline = sent + in.TimeLeft - ResponseMargin
-	if in.Rest != nil { // the timeout counts from its last byte
+	if in.Rest != nil { // the timeout counts from the body's last byte
 		req.clientTimeLeft, req.deadline = in.TimeLeft, now+maxBodyTime
 	}
 	class, known := r.classes[in.Class]
-	req.streamed = class.Streaming
+	req.streaming = class.Streaming
 	_, inUse := r.correlationIDs[in.CorrelationID]
 	switch {
-	case inUse: // forwarded, it could be processed twice
-		r.refuseUnknown(req, protocol.Malformed, idInUseText)
+	case inUse: // if forwarded, it could be processed twice
+		r.respondDirectly(req, protocol.Malformed, idInUseText)
 	case !known: // neither its objective nor its idempotency is known
-		r.refuseUnknown(req, protocol.Malformed, unknownClassText)
-	case r.failingAll: // it would not be answered any more
-		r.refuseUnknown(req, protocol.Rejected, rejectedText)
+		r.respondDirectly(req, protocol.Malformed, unknownClassText)
+	case r.failingAll: // it would get no response any more
+		r.respondDirectly(req, protocol.Rejected, rejectedText)
 	default:
 		r.correlationIDs[in.CorrelationID] = req.id
 		r.arrival = balancer.Request{
@@ -141,28 +145,28 @@
 	return req.id, r.out
 }
 
-// register gives a request its number.
+// register assigns a number to a request and adds it to the requests.
 func (r *Router) register(in *protocol.Request) *requestState {
 	for r.lastID++; r.requests[r.lastID] != nil; r.lastID++ {
 	}
-	if len(r.reusable) == 0 {
-		r.reusable = append(r.reusable, &requestState{})
+	if len(r.freeRequests) == 0 {
+		r.freeRequests = append(r.freeRequests, &requestState{})
 	}
-	last := len(r.reusable) - 1
-	req := r.reusable[last]
-	r.reusable = r.reusable[:last]
+	last := len(r.freeRequests) - 1
+	req := r.freeRequests[last]
+	r.freeRequests = r.freeRequests[:last]
 	*req = requestState{id: r.lastID, correlationID: in.CorrelationID, attempts: req.attempts[:0]}
 	r.requests[req.id] = req
 	return req
 }
 
-// refuseUnknown answers a request that the decision module is not asked about.
-func (r *Router) refuseUnknown(req *requestState, as protocol.ResponseKind, why string) {
-	req.correlationID = "" // it belongs to another request, or was not entered
-	r.respond(req, Output{Result: as, Text: why})
+// respondDirectly responds to a request without a call of the decision module.
+func (r *Router) respondDirectly(req *requestState, kind protocol.ResponseKind, text string) {
+	req.correlationID = "" // the id belongs to another request, or is not in correlationIDs
+	r.respond(req, Output{Result: kind, Text: text})
 }
 
-// BodyComplete takes in that the last byte of a request's body has come: from now on its timeout counts.
+// BodyComplete handles the receipt of the last byte of a request's body: its timeout starts now.
 func (r *Router) BodyComplete(now time.Duration, id uint32) []Output {
 	r.out = r.out[:0]
 	req := r.requests[id]
@@ -181,17 +185,17 @@
 	return r.out
 }
 
-// ResponseStarted takes in that an attempt's answer has begun, as a good one, and is longer than what is
-// buffered; AttemptEnded reports how it ended. The first such answer is the request's final one, however it
-// ends. From now on it lasts as long as the endpoint sends: the objective is about the first bytes.
+// ResponseStarted handles the beginning of an attempt's successful response that is too long to be buffered;
+// AttemptEnded reports how it ended. The first such response is the request's final one, however it ends. It
+// may take as long as the endpoint sends, since the latency objective applies to the first bytes.
 func (r *Router) ResponseStarted(now time.Duration, id uint32, attempt int) []Output {
 	r.out = r.out[:0]
 	req := r.runningAttempt(id, attempt)
 	if req == nil {
 		return r.out
 	}
-	if why := checkStart(req.answered, req.deadline-now); why != NotEnded {
-		r.cancel(req, attempt, why)
+	if reason := checkStart(req.answered, req.deadline-now); reason != NotEnded {
+		r.cancel(req, attempt, reason)
 		return r.out
 	}
 	req.streamingAttempt = attempt + 1
@@ -200,25 +204,26 @@
 	return r.out
 }
 
-// AttemptEnded takes in the end of an attempt. The first that is served is the request's final answer. An end
-// that is reported twice, or of an attempt that was not started, is ignored.
-func (r *Router) AttemptEnded(now time.Duration, id uint32, attempt int, saw AttemptResult) []Output {
+// AttemptEnded handles the end of an attempt. The first response that is served is the request's final one.
+// An end that is reported twice, or of an attempt that was not started, is ignored.
+func (r *Router) AttemptEnded(now time.Duration, id uint32, attempt int, result AttemptResult) []Output {
 	r.out = r.out[:0]
 	if req := r.runningAttempt(id, attempt); req != nil {
 		req.attempts[attempt].running = false
-		req.bodyConsumed = req.bodyConsumed || saw.BodyConsumed
-		r.attemptOver(now, req, attempt, saw.Outcome(), saw.Latency, saw.Evidence())
+		req.bodyConsumed = req.bodyConsumed || result.BodyConsumed
+		r.finishAttempt(now, req, attempt, result.Outcome(), result.Latency, result.Evidence())
 	}
 	return r.out
 }
 
-// attemptOver reports an attempt's end to the decision module.
-func (r *Router) attemptOver(now time.Duration, req *requestState, attempt int, outcome balancer.Outcome,
-	latency time.Duration, known outlier.Evidence,
+// finishAttempt responds to the request if the attempt's end decides it, and reports the end to the decision
+// module.
+func (r *Router) finishAttempt(now time.Duration, req *requestState, attempt int, outcome balancer.Outcome,
+	latency time.Duration, evidence outlier.Evidence,
 ) {
 	r.attemptDone = balancer.AttemptDone{
 		ID: req.id, Attempt: attempt, Server: req.attempts[attempt].endpoint, Outcome: outcome,
-		Latency: latency, Evidence: known,
+		Latency: latency, Evidence: evidence,
 	}
 	req.openAttempts--
 	canNotRetry := req.bodyConsumed && outcome.Unprocessed() && req.openAttempts == 0
@@ -234,7 +239,7 @@
 	r.decide(now, &r.attemptDone)
 }
 
-// runningAttempt returns the request of an attempt that is under way; nil: there is none.
+// runningAttempt returns the request of an attempt; nil: the attempt is not under way.
 func (r *Router) runningAttempt(id uint32, attempt int) *requestState {
 	req := r.requests[id]
 	if req == nil || attempt < 0 || attempt >= len(req.attempts) || !req.attempts[attempt].running {
@@ -243,8 +248,8 @@
 	return req
 }
 
-// ClientGone takes in that the client has left: it gets no answer any more. An answer that has begun is
-// canceled; other attempts that were sent go on to their ends, as the decision module says.
+// ClientGone handles the departure of a client, which gets no response any more. A response that is being
+// streamed is canceled. Other attempts that were sent continue unless the decision module cancels them.
 func (r *Router) ClientGone(now time.Duration, id uint32) []Output {
 	r.out = r.out[:0]
 	req := r.requests[id]
@@ -261,22 +266,22 @@
 	return r.out
 }
 
-// TimerDue takes in that a timer is due.
+// TimerDue handles a timer that is due.
 func (r *Router) TimerDue(now time.Duration, tag uint64) []Output {
 	r.out = r.out[:0]
 	r.decide(now, &balancer.TimerDue{Tag: tag})
 	return r.out
 }
 
-// DatagramReceived takes in another agent's datagram.
+// DatagramReceived handles another agent's datagram.
 func (r *Router) DatagramReceived(now time.Duration, d protocol.Datagram) []Output {
 	r.out = r.out[:0]
 	r.decide(now, &balancer.PeerMessage{From: d.Agent, Data: d.Data})
 	return r.out
 }
 
-// FailAll fails every request that has no answer, breaks off answers that have only begun, and rejects what
-// is still to come: the agent is about to end. Nothing is sent to an endpoint from here on.
+// FailAll fails every request without a response, cancels responses that are being streamed, and makes the
+// Router reject later requests: the agent is about to end. No attempt is started from here on.
 func (r *Router) FailAll() []Output {
 	r.out = r.out[:0]
 	r.failingAll = true
@@ -287,7 +292,7 @@
 	return r.out
 }
 
-// ReleaseIdle closes idle connections to endpoints: descriptors are short.
+// ReleaseIdle closes idle connections to all endpoints, to free descriptors.
 func (r *Router) ReleaseIdle() []Output {
 	r.out = r.out[:0]
 	for _, id := range sorted(r.endpoints) {
@@ -300,20 +305,20 @@
 
 func (r *Router) emit(o Output) { r.out = append(r.out, o) }
 
-func (r *Router) cancel(req *requestState, attempt int, why EndReason) {
-	r.emit(Output{Kind: CancelAttempt, Request: req.id, Attempt: attempt, Why: why})
+func (r *Router) cancel(req *requestState, attempt int, reason EndReason) {
+	r.emit(Output{Kind: CancelAttempt, Request: req.id, Attempt: attempt, Why: reason})
 }
 
-// cancelStreaming cancels an answer that is on its way to the client.
-func (r *Router) cancelStreaming(req *requestState, why EndReason) {
+// cancelStreaming cancels the response that is being streamed to the client, if any.
+func (r *Router) cancelStreaming(req *requestState, reason EndReason) {
 	if req.streamingAttempt > 0 && req.attempts[req.streamingAttempt-1].running {
-		r.cancel(req, req.streamingAttempt-1, why)
+		r.cancel(req, req.streamingAttempt-1, reason)
 	}
 	req.streamingAttempt = 0
 }
 
-// cancelUnsent ends the request's attempts that were not written yet: one whose connection comes up late
-// would be sent after the final answer, or after the client has left.
+// cancelUnsent ends the request's attempts that were not written yet. Without it, an attempt whose connection
+// is established late would be sent after the final response, or after the client has left.
 func (r *Router) cancelUnsent(req *requestState) {
 	for number, a := range req.attempts {
 		if a.running && number+1 != req.streamingAttempt {
@@ -322,23 +327,23 @@
 	}
 }
 
-// respondOnce gives the final answer unless there was one.
-func (r *Router) respondOnce(id uint32, answer Output) {
+// respondOnce gives the final response, unless the request has one or its client has left.
+func (r *Router) respondOnce(id uint32, response Output) {
 	if req := r.requests[id]; req != nil && !req.answered {
-		r.respond(req, answer)
+		r.respond(req, response)
 	}
 }
 
-// respond gives the one final answer.
-func (r *Router) respond(req *requestState, answer Output) {
+// respond gives the one final response.
+func (r *Router) respond(req *requestState, response Output) {
 	req.answered = true
 	r.cancelUnsent(req)
-	answer.Kind, answer.Request = Respond, req.id
-	r.emit(answer)
+	response.Kind, response.Request = Respond, req.id
+	r.emit(response)
 	r.forgetIfDone(req)
 }
 
-// forgetIfDone forgets a request that is answered and has no open attempt. Until then its id is in use.
+// forgetIfDone forgets a request that is answered and has no open attempts. Until then its id is in use.
 func (r *Router) forgetIfDone(req *requestState) {
 	if !req.answered || req.openAttempts > 0 {
 		return
@@ -347,12 +352,13 @@
 	if req.correlationID != "" {
 		delete(r.correlationIDs, req.correlationID)
 	}
-	r.reusable = append(r.reusable, req)
+	r.freeRequests = append(r.freeRequests, req)
 	r.emit(Output{Kind: ForgetRequest, Request: req.id})
 }
 
-// decide has the decision module handle an event and carries out its actions: nothing else calls it. Attempts
-// that could not be started end right after the actions that asked for them, before any other input.
+// decide passes an event to the decision module and carries out its actions. No other function calls the
+// module's Step. Attempts that could not be started end right after the actions that requested them,
+// before any other input.
 func (r *Router) decide(now time.Duration, ev balancer.Event) {
 	for _, act := range r.module.Step(now, ev) {
 		r.carryOut(now, act)
@@ -360,6 +366,6 @@
 	for len(r.notStarted) > 0 {
 		a := r.notStarted[0]
 		r.notStarted = slices.Delete(r.notStarted, 0, 1)
-		r.attemptOver(now, a.request, a.attempt, balancer.NotSent, 0, outlier.Evidence{})
+		r.finishAttempt(now, a.request, a.attempt, balancer.NotSent, 0, outlier.Evidence{})
 	}
 }
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -14,22 +14,22 @@
 	"dunestep/internal/protocol"
 )
 
-// What an endpoint does, and what it means. A request's first attempt meets it, a further one is served. A request that is
-// not idempotent is sent again only where it cannot have been processed.
-func TestOutcomes(t *testing.T) {
+// The outcome of each kind of attempt. A request's first attempt gets the reaction, further ones are served. A request that is
+// not idempotent is sent again only if it cannot have been processed.
+func TestOutcomesAndRetries(t *testing.T) {
 	for name, c := range map[string]struct {
 		first       reaction
 		unprocessed bool
 		outcome     balancer.Outcome
 	}{
-		"served":          {completed(balancer.Served), false, balancer.Served},
-		"error":           {completed(balancer.ServerError), false, balancer.ServerError},
-		"rejected":        {completed(balancer.Rejected), true, balancer.Rejected},
-		"no connection":   {broken(Connecting), true, balancer.ConnectFailed},
-		"not written":     {broken(Writing), true, balancer.ConnectFailed},
-		"no answer begun": {broken(AwaitingResponse), false, balancer.ConnectionLost},
-		"closed":          {broken(Responding), false, balancer.ConnectionLost},
-		"invalid":         {reaction{saw: AttemptResult{Phase: Responding, EndReason: InvalidResponse}}, false, balancer.ServerError},
+		"served":        {completed(balancer.Served), false, balancer.Served},
+		"error":         {completed(balancer.ServerError), false, balancer.ServerError},
+		"rejected":      {completed(balancer.Rejected), true, balancer.Rejected},
+		"no connection": {broken(Connecting), true, balancer.ConnectFailed},
+		"not written":   {broken(Writing), true, balancer.ConnectFailed},
+		"no response":   {broken(AwaitingResponse), false, balancer.ConnectionLost},
+		"closed":        {broken(Responding), false, balancer.ConnectionLost},
+		"invalid":       {reaction{result: AttemptResult{Phase: Responding, EndReason: InvalidResponse}}, false, balancer.ServerError},
 	} {
 		d := newSimulation(testSettings(), 3)
 		for _, class := range []string{idempotent, notIdempotent} {
@@ -56,10 +56,10 @@
 	}
 }
 
-// An unanswered attempt is ended at the objective and the request is answered at once; a client's timeout counts from its
-// sending, not from when its request was read; without an endpoint, or at the agent's end, it is answered without an
-// attempt.
-func TestAnswersInTime(t *testing.T) {
+// An attempt without a response ends at the objective, and the request is answered at once. A client's timeout counts
+// from when the request was sent, not from when it was read. Without an endpoint, or when the agent ends, a request is
+// answered without an attempt.
+func TestRespondsWithinTimeout(t *testing.T) {
 	var at []time.Duration
 	var d *simulation
 	for _, c := range []struct {
@@ -68,16 +68,16 @@
 		kind  protocol.ResponseKind
 	}{{idempotent, 0, protocol.Rejected}, {notIdempotent, 0, protocol.Failed}, {notIdempotent, 700 * time.Millisecond, protocol.Failed}} {
 		d = newSimulation(testSettings(), 1)
-		d.react = func(*sentAttempt) reaction { return noAnswer }
-		id := d.arriveSent(&protocol.Request{CorrelationID: "1", Class: c.class, TimeLeft: 900 * time.Millisecond}, c.age)
-		for len(d.answers[id]) == 0 {
+		d.react = func(*sentAttempt) reaction { return noResponse }
+		id := d.arriveAfterDelay(&protocol.Request{CorrelationID: "1", Class: c.class, TimeLeft: 900 * time.Millisecond}, c.age)
+		for len(d.responses[id]) == 0 {
 			d.run(time.Millisecond)
 		}
 		at = append(at, d.now-epoch)
 		require.Len(t, d.sent, 1)
 		require.Equal(t, balancer.TimedOut, d.sent[0].outcome)
-		require.Equal(t, c.kind, d.answers[id][0].Result)
-		require.Equal(t, c.kind == protocol.Rejected, d.answers[id][0].After > 0)
+		require.Equal(t, c.kind, d.responses[id][0].Result)
+		require.Equal(t, c.kind == protocol.Rejected, d.responses[id][0].After > 0)
 	}
 	require.Equal(t, []time.Duration{495 * time.Millisecond, 495 * time.Millisecond, 195 * time.Millisecond}, at)
 
@@ -85,14 +85,14 @@
 	for i := range uint32(9) {
 		require.Equal(t, i+1, d.arrive(idempotent, fmt.Sprint(i)))
 	}
-	for i, o := range d.router.FailAll() { // in the order in which they arrived
+	for i, o := range d.router.FailAll() { // in the order of arrival
 		want := Output{Kind: CancelIfUnsent, Request: uint32(i/2 + 1)}
 		if i%2 == 1 {
 			want = Output{Kind: Respond, Request: want.Request, Result: protocol.Failed, Text: failedText}
 		}
 		require.Equal(t, want, o)
 	}
-	require.Equal(t, protocol.Rejected, d.answers[d.arrive(idempotent, "late")][0].Result)
+	require.Equal(t, protocol.Rejected, d.responses[d.arrive(idempotent, "late")][0].Result)
 
 	d = newSimulation(testSettings(), 0)
 	require.False(t, d.router.HasReadyEndpoint())
@@ -106,32 +106,32 @@
 	require.Empty(t, d.violations)
 }
 
-// Ids on the socket have 64 bits and are in use until nothing of their request is open, its client gone or not. Those in use
-// and unknown classes are rejected and sent nowhere.
+// Ids on the wire have 64 bits. An id is in use until its request has no open attempts, even if the client has left. Requests
+// with an id in use or an unknown class are answered as malformed and not sent.
 func TestCorrelationIDs(t *testing.T) {
 	d := newSimulation(testSettings(), 2)
 	n := d.arrive(notIdempotent, "1111111100000007")
 	other := d.arrive(notIdempotent, "2222222200000007")
 	require.NotEqual(t, n, other)
-	require.Equal(t, protocol.Malformed, d.answers[d.arrive(notIdempotent, "1111111100000007")][0].Result)
-	require.Equal(t, protocol.Malformed, d.answers[d.arrive("other", "3")][0].Result)
-	d.leave(n)
-	require.Equal(t, protocol.Malformed, d.answers[d.arrive(idempotent, "1111111100000007")][0].Result)
+	require.Equal(t, protocol.Malformed, d.responses[d.arrive(notIdempotent, "1111111100000007")][0].Result)
+	require.Equal(t, protocol.Malformed, d.responses[d.arrive("other", "3")][0].Result)
+	d.clientLeaves(n)
+	require.Equal(t, protocol.Malformed, d.responses[d.arrive(idempotent, "1111111100000007")][0].Result)
 	d.run(time.Second)
-	require.Empty(t, d.answers[n], "its client has left")
+	require.Empty(t, d.responses[n], "no response after the client has left")
 	require.Contains(t, d.module.events, &balancer.ClientGone{ID: n})
-	require.Len(t, d.answers[other], 1)
+	require.Len(t, d.responses[other], 1)
 	require.Len(t, d.sent, 2)
 	d.arrive(idempotent, "1111111100000007")
 	require.Len(t, d.sent, 3)
 
-	// Numbers that are used again skip those in use.
+	// Request numbers that wrap around skip those in use.
 	d.router.lastID = d.sent[2].id - 1
-	require.NotEqual(t, d.sent[2].id, d.arrive(idempotent, "round"))
+	require.NotEqual(t, d.sent[2].id, d.arrive(idempotent, "wrapped"))
 }
 
-// An answer that has begun is canceled once its client has left, and its request is not sent again.
-func TestAnswerThatHasBegun(t *testing.T) {
+// A response that is being streamed is canceled when its client leaves, and its request is not sent again.
+func TestStreamedResponseIsNotRetried(t *testing.T) {
 	for _, c := range []struct {
 		ends func(*simulation, uint32)
 		end  EndReason
@@ -139,24 +139,24 @@
 	}{
 		{func(*simulation, uint32) {}, Completed, balancer.Served},
 		{func(*simulation, uint32) {}, BrokenByEndpoint, balancer.ConnectionLost},
-		{(*simulation).leave, Completed, balancer.Canceled},
+		{(*simulation).clientLeaves, Completed, balancer.Canceled},
 		{func(d *simulation, _ uint32) { d.apply(d.router.FailAll()) }, Completed, balancer.Canceled},
 	} {
 		d := newSimulation(testSettings(), 2)
 		d.react = func(*sentAttempt) reaction {
 			return reaction{
-				begins: 10 * time.Millisecond, after: 100 * time.Millisecond,
-				saw: AttemptResult{Phase: Responding, EndReason: c.end},
+				streamDelay: 10 * time.Millisecond, duration: 100 * time.Millisecond,
+				result: AttemptResult{Phase: Responding, EndReason: c.end},
 			}
 		}
 		n := d.arrive(idempotent, "a")
 		d.run(50 * time.Millisecond)
-		require.Len(t, d.answers[n], 1)
-		require.True(t, d.answers[n][0].Streaming)
+		require.Len(t, d.responses[n], 1)
+		require.True(t, d.responses[n][0].Streaming)
 		c.ends(d, n)
 		c.ends(d, n)
 		d.run(time.Second)
-		require.Len(t, d.sent, 1, "not tried again")
+		require.Len(t, d.sent, 1, "not sent again")
 		require.Equal(t, c.want, d.sent[0].outcome)
 		require.Contains(t, d.module.events, &balancer.StreamStarted{ID: n})
 		require.True(t, slices.ContainsFunc(d.module.events, func(ev balancer.Event) bool {
@@ -169,19 +169,18 @@
 	}
 }
 
-// An attempt whose connection is still coming up ends when the client leaves, or when another one is served, and says nothing of
-// its endpoint.
-func TestNothingIsSentOnceTheClientHasLeft(t *testing.T) {
+// An attempt whose connection is not established yet is canceled when the client leaves, and is no evidence about its endpoint.
+func TestUnsentAttemptIsCanceledWhenClientLeaves(t *testing.T) {
 	for _, class := range []string{idempotent, notIdempotent} {
 		d := newSimulation(testSettings(), 2)
 		d.react = func(*sentAttempt) reaction {
 			r := completed(balancer.Served)
-			r.waits = 300 * time.Millisecond
+			r.writeDelay = 300 * time.Millisecond
 			return r
 		}
 		n := d.arrive(class, "a")
 		d.run(100 * time.Millisecond)
-		d.leave(n)
+		d.clientLeaves(n)
 		d.run(time.Second)
 		require.Len(t, d.sent, 1)
 		require.Equal(t, balancer.Canceled, d.sent[0].outcome)
@@ -191,9 +190,9 @@
 	}
 }
 
-// The timeout of a request whose body is still coming counts from its last byte; one of which a part is gone is not sent again,
-// and rejected at once where it was not processed.
-func TestRequestWhoseBodyIsComing(t *testing.T) {
+// The timeout of a request whose body is still being received counts from the body's last byte. A request of which a part is no
+// longer buffered is not sent again; if it was not processed, it is rejected at once.
+func TestRequestWithStreamedBody(t *testing.T) {
 	d := newSimulation(testSettings(), 2)
 	kinds := func(out []Output, kind OutputKind) (found []Output) {
 		for _, o := range out {
@@ -222,7 +221,7 @@
 	require.Len(t, rescheduled, 1)
 	require.Equal(t, []time.Duration{d.now + 900*time.Millisecond - ResponseMargin, d.now + min(start.After, 895*time.Millisecond)},
 		[]time.Duration{rescheduled[0].Deadline, rescheduled[0].At})
-	require.Empty(t, d.router.BodyComplete(d.now, n), "once")
+	require.Empty(t, d.router.BodyComplete(d.now, n), "a repeated report is ignored")
 	out := d.router.AttemptEnded(d.now, n, 0, AttemptResult{Phase: Responding, EndReason: Completed, Response: balancer.Served})
 	require.Equal(t, protocol.Served, kinds(out, Respond)[0].Result)
 
@@ -230,11 +229,10 @@
 	out = d.router.AttemptEnded(d.now, n, 0, AttemptResult{Phase: Writing, EndReason: BrokenByEndpoint, BodyConsumed: true})
 	require.Empty(t, kinds(out, StartAttempt))
 	require.Equal(t, protocol.Rejected, kinds(out, Respond)[0].Result)
-	require.Empty(t, d.router.BodyComplete(d.now, n), "it is forgotten")
+	require.Empty(t, d.router.BodyComplete(d.now, n), "the request is forgotten")
 }
 
-// BenchmarkRequest carries one request through Router and Pool, with the module: arrival, attempt, reuse of a connection,
-// answer.
+// BenchmarkRequest runs one request through Router and Pool, with the module: arrival, attempt, reuse of a connection, response.
 func BenchmarkRequest(b *testing.B) {
 	d := newSimulation(testSettings(), 0)
 	d.router = NewRouter(testSettings(), d.module.Balancer) // without recording
--- a/internal/routing/savedlist.go
+++ b/internal/routing/savedlist.go
@@ -7,8 +7,8 @@
 	"dunestep/internal/protocol"
 )
 
-// Confirmation tells whether an update is discovery's word on the whole list, so that a missing change would
-// show.
+// Confirmation reports whether discovery has confirmed with an update that the whole list is up to date,
+// without missed changes.
 type Confirmation bool
 
 // The values of Confirmation.
@@ -17,28 +17,28 @@
 	Confirmed   Confirmation = true
 )
 
-// SavedList is the endpoint list as it is stored over a restart: the last one that is known, and when
-// discovery confirmed it.
+// SavedList is the endpoint list as it is stored across a restart: the last known list, and when
+// discovery last confirmed it.
 type SavedList struct {
 	version      int64
 	endpoints    map[string]protocol.Endpoint
-	sorted       []protocol.Endpoint // the same, by id; nil: not sorted since they changed
-	confirmedAt  time.Duration       // by discovery, on the clock; zero: not known
+	sorted       []protocol.Endpoint // endpoints sorted by id; nil: not sorted since the last change
+	confirmedAt  time.Duration       // on the clock; zero: not known
 	wasConfirmed bool                // since the start
-	isWatched    bool                // discovery would report a change: the list is confirmed at every moment
+	isWatched    bool                // a watch is open, so the list is confirmed at every moment
 }
 
-// NewSavedList returns the list that an agent starts from, which discovery last confirmed at a time on the
-// clock; zero: not known.
+// NewSavedList returns the list that an agent starts with. confirmedAt is when discovery last confirmed it,
+// on the clock; zero: not known.
 func NewSavedList(initial protocol.EndpointList, confirmedAt time.Duration) *SavedList {
 	l := &SavedList{endpoints: map[string]protocol.Endpoint{}, confirmedAt: confirmedAt}
 	l.Update(0, balancer.UpdateCached, initial, Unconfirmed)
 	return l
 }
 
-// Update takes an update of the list. A confirmed one also means that discovery will report what changes. It
-// returns the ids under which the list of the start had other servers, by address or start, until discovery's
-// first confirmation: what was learned before the start does not hold for them.
+// Update applies an update of the list. A confirmed update also means that discovery will report further
+// changes. Until discovery's first confirmation, Update returns the ids of endpoints that have another
+// address or start time than in the initial list: what was learned before the start is invalid for them.
 func (l *SavedList) Update(now time.Duration, kind balancer.UpdateKind, list protocol.EndpointList,
 	confirmation Confirmation,
 ) (replaced []string) {
@@ -79,12 +79,12 @@
 	return replaced
 }
 
-// isReplaced tells whether two entries under one id are different servers, or starts of one.
+// isReplaced reports whether two entries with the same id are different servers, or different starts of one.
 func isReplaced(old, now protocol.Endpoint) bool {
 	return old.StartedAt != now.StartedAt || now.Addr.IsValid() && old.Addr != now.Addr
 }
 
-// WasConfirmed tells whether discovery has confirmed the list since the start.
+// WasConfirmed reports whether discovery has confirmed the list since the start.
 func (l *SavedList) WasConfirmed() bool { return l.wasConfirmed }
 
 // ConfirmedAt returns when discovery last confirmed the list, on the clock; zero: not known.
@@ -98,7 +98,7 @@
 // Version returns the version of the list.
 func (l *SavedList) Version() int64 { return l.version }
 
-// List returns the list, by id. It is not to be changed.
+// List returns the list, sorted by id. The caller must not modify it.
 func (l *SavedList) List() protocol.EndpointList {
 	if l.sorted == nil {
 		l.sorted = make([]protocol.Endpoint, 0, len(l.endpoints))
--- a/internal/routing/shutdown.go
+++ b/internal/routing/shutdown.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	// acceptingTime is how long clients are accepted after the agent was told to end, since they still connect.
+	// acceptingTime is how long clients are accepted after a shutdown begins, since they may still connect.
 	acceptingTime = 750 * time.Millisecond
-	// maxDeadline bounds the longest class deadline, and killDelay is what passes after it at least before the
-	// agent is killed.
+	// maxDeadline is the upper bound for the longest class deadline. killDelay is the minimum time between
+	// the longest deadline and the kill of the agent.
 	maxDeadline = 3 * time.Second
 	killDelay   = 700 * time.Millisecond
-	// failingTime before that, requests without an answer are failed.
+	// failingTime is how long before the kill the requests without a response are failed.
 	failingTime = 300 * time.Millisecond
 )
 
@@ -22,21 +22,21 @@
 
 // The phases, in order.
 const (
-	// ShutdownAccepting means that the agent is not ready any more, and all goes on as before.
+	// ShutdownAccepting means that the agent reports that it is not ready, and otherwise works as before.
 	ShutdownAccepting ShutdownPhase = iota
-	// ShutdownClosing means that no client is accepted; client connections are closed as they become idle.
+	// ShutdownClosing means that no clients are accepted; client connections are closed as they become idle.
 	ShutdownClosing
-	// ShutdownFailing means that requests without an answer have failed; their answers are being written.
+	// ShutdownFailing means that requests without a response have failed; their responses are being written.
 	ShutdownFailing
-	// ShutdownOver means that the agent ends, whatever is left.
+	// ShutdownOver means that the agent ends, whatever is still open.
 	ShutdownOver
 )
 
-// ShutdownPlan says when the phases of a graceful shutdown end, on the clock.
+// ShutdownPlan has the times at which the phases of a graceful shutdown end, on the clock.
 type ShutdownPlan struct{ accepting, closing, failing time.Duration }
 
-// NewShutdownPlan returns the plan of a shutdown that begins now and, by its classes' deadlines, is over
-// before the agent could be killed.
+// NewShutdownPlan returns the plan of a shutdown that begins now and is over before the agent could be
+// killed, according to the classes' deadlines.
 func NewShutdownPlan(now time.Duration, classes []balancer.Class) ShutdownPlan {
 	var longest time.Duration
 	for _, c := range classes {
@@ -49,11 +49,11 @@
 	}
 }
 
-// Deadline is when the shutdown is over at the latest.
+// Deadline returns when the shutdown is over at the latest.
 func (p ShutdownPlan) Deadline() time.Duration { return p.failing }
 
-// PhaseAt returns the phase at a time and when the next one begins. From ShutdownClosing on the shutdown is
-// over as soon as all client connections are closed, which the caller sees.
+// PhaseAt returns the phase at a time and when the next phase begins. From ShutdownClosing on, the shutdown
+// is also over as soon as all client connections are closed, which the caller has to check.
 func (p ShutdownPlan) PhaseAt(now time.Duration) (phase ShutdownPhase, until time.Duration) {
 	switch {
 	case now < p.accepting:
--- a/internal/routing/shutdown_test.go
+++ b/internal/routing/shutdown_test.go
@@ -9,8 +9,8 @@
 	"dunestep/internal/balancer"
 )
 
-// A shutdown accepts clients for a while, waits for what is under way, and is over before the agent could be killed.
-func TestShutdownPlan(t *testing.T) {
+// A shutdown accepts clients for a while, waits for the requests under way, and is over before the agent could be killed.
+func TestShutdownPlanPhases(t *testing.T) {
 	ms := time.Millisecond
 	for deadline, until := range map[time.Duration][3]time.Duration{
 		2500 * ms: {750 * ms, 2900 * ms, 3050 * ms},
--- a/internal/routing/simulation_test.go
+++ b/internal/routing/simulation_test.go
@@ -34,47 +34,47 @@
 	}
 }
 
-// reaction is what an endpoint makes of an attempt, and when. What takes longer than the attempt may is late.
+// reaction is how an endpoint reacts to an attempt, and when. If it takes longer than the attempt's timeout, the attempt times out.
 type reaction struct {
-	after  time.Duration
-	waits  time.Duration // for its connection, before it is written
-	begins time.Duration // when the answer does; zero: it comes at once
-	saw    AttemptResult
-	close  bool
-	ended  bool // the connection, by the time that the pool gets it back
+	duration    time.Duration // until the attempt ends
+	writeDelay  time.Duration // until the connection is established and the attempt is written
+	streamDelay time.Duration // until a streamed response begins; zero: the response is not streamed
+	result      AttemptResult
+	closeConn   bool // the connection can't be reused
+	connEnded   bool // the connection has ended when the pool gets it back
 }
 
-// completed is a complete answer.
+// completed returns a reaction with a complete response.
 func completed(o balancer.Outcome) reaction {
-	return reaction{after: 10 * time.Millisecond, saw: AttemptResult{Phase: Responding, EndReason: Completed, Response: o}}
+	return reaction{duration: 10 * time.Millisecond, result: AttemptResult{Phase: Responding, EndReason: Completed, Response: o}}
 }
 
-// broken is an attempt that came so far and no further.
+// broken returns a reaction where the endpoint closes the connection in a phase.
 func broken(p AttemptPhase) reaction {
-	return reaction{after: 10 * time.Millisecond, saw: AttemptResult{Phase: p, EndReason: BrokenByEndpoint}}
+	return reaction{duration: 10 * time.Millisecond, result: AttemptResult{Phase: p, EndReason: BrokenByEndpoint}}
 }
 
-var noAnswer = reaction{after: time.Hour}
+var noResponse = reaction{duration: time.Hour}
 
-// recordingModule is a balancer, with what it was given, and what a test adds to its actions.
+// recordingModule is a balancer that records its events, and adds a test's actions to its own.
 type recordingModule struct {
 	*balancer.Balancer
-	events     []balancer.Event // copies: the router reuses some
+	events     []balancer.Event // copied, since the router reuses some
 	addActions func(balancer.Event) []balancer.Action
 }
 
-func (e *recordingModule) Step(now time.Duration, ev balancer.Event) []balancer.Action {
+func (m *recordingModule) Step(now time.Duration, ev balancer.Event) []balancer.Action {
 	copied := reflect.New(reflect.TypeOf(ev).Elem())
 	copied.Elem().Set(reflect.ValueOf(ev).Elem())
-	e.events = append(e.events, copied.Interface().(balancer.Event))
-	acts := e.Balancer.Step(now, ev)
-	if e.addActions != nil {
-		acts = append(acts, e.addActions(ev)...)
+	m.events = append(m.events, copied.Interface().(balancer.Event))
+	acts := m.Balancer.Step(now, ev)
+	if m.addActions != nil {
+		acts = append(acts, m.addActions(ev)...)
 	}
 	return acts
 }
 
-// simulation drives a Router and its Pools in virtual time, as their actors would, and keeps what it sees.
+// simulation runs a Router and its Pools in virtual time, as their actors would, and records what it observes.
 type simulation struct {
 	now         time.Duration
 	router      *Router
@@ -85,17 +85,17 @@
 	retired     []*Pool[int]
 	react       func(*sentAttempt) reaction
 
-	events      []event // by their time
+	events      []event // sorted by time
 	attempts    map[attemptKey]*sentAttempt
 	sent        []*sentAttempt
-	answers     map[uint32][]Output
+	responses   map[uint32][]Output
 	clientGone  map[uint32]bool
 	clientUntil map[uint32]time.Duration // when each client leaves
 	forgotten   map[uint32]int
 	open        map[int]bool // connections
 	lastConn    int
 	watches     int
-	text        []string // of all outputs
+	trace       []string // of all outputs
 	violations  []string // rules that were broken
 }
 
@@ -106,20 +106,20 @@
 
 type sentAttempt struct {
 	attemptKey
-	server   string
-	pool     *Pool[int]
-	checkout Checkout[int]
-	conn     int
-	sent     time.Duration
-	until    time.Duration
-	written  bool
-	ended    bool
-	outcome  balancer.Outcome
-
-	canceled bool // the router takes it for over
+	server    string
+	pool      *Pool[int]
+	checkout  Checkout[int]
+	conn      int
+	sentAt    time.Duration
+	timeoutAt time.Duration
+	written   bool
+	ended     bool
+	outcome   balancer.Outcome
+
+	canceled bool // the router has canceled it if it is unsent
 }
 
-// newSimulation returns one with so many ready endpoints.
+// newSimulation returns a simulation with that many ready endpoints.
 func newSimulation(set balancer.Settings, endpoints int) *simulation {
 	decisions, err := balancer.New(Permitted(set), 7)
 	if err != nil {
@@ -129,7 +129,7 @@
 	d := &simulation{
 		now: epoch, module: module, router: NewRouter(set, module), limit: NewIdleLimit(epoch, 15*time.Second),
 		descriptors: NewDescriptors(1024), pools: map[string]*Pool[int]{}, attempts: map[attemptKey]*sentAttempt{},
-		answers: map[uint32][]Output{}, clientGone: map[uint32]bool{}, clientUntil: map[uint32]time.Duration{},
+		responses: map[uint32][]Output{}, clientGone: map[uint32]bool{}, clientUntil: map[uint32]time.Duration{},
 		forgotten: map[uint32]int{}, open: map[int]bool{},
 		react: func(*sentAttempt) reaction { return completed(balancer.Served) },
 	}
@@ -154,57 +154,57 @@
 }
 
 func (d *simulation) arrive(class, id string) uint32 {
-	return d.arriveIn(class, id, 900*time.Millisecond)
+	return d.arriveWithTimeLeft(class, id, 900*time.Millisecond)
 }
 
-func (d *simulation) arriveIn(class, id string, left time.Duration) uint32 {
-	return d.arriveSent(&protocol.Request{CorrelationID: id, Class: class, Key: id, TimeLeft: left}, 0)
+func (d *simulation) arriveWithTimeLeft(class, id string, left time.Duration) uint32 {
+	return d.arriveAfterDelay(&protocol.Request{CorrelationID: id, Class: class, Key: id, TimeLeft: left}, 0)
 }
 
-// arriveSent has a request arrive that was sent some time ago.
-func (d *simulation) arriveSent(op *protocol.Request, age time.Duration) uint32 {
-	d.clientUntil[d.router.lastID+1] = d.now - age + op.TimeLeft
-	n, out := d.router.RequestArrived(d.now, op, d.now-age)
+// arriveAfterDelay simulates the arrival of a request that was sent age ago.
+func (d *simulation) arriveAfterDelay(in *protocol.Request, age time.Duration) uint32 {
+	d.clientUntil[d.router.lastID+1] = d.now - age + in.TimeLeft
+	n, out := d.router.RequestArrived(d.now, in, d.now-age)
 	d.apply(out)
 	return n
 }
 
-// request has one request carried out, and returns its answer and the number of its attempts.
+// request runs one request, and returns its result and the number of its attempts.
 func (d *simulation) request(class string) (protocol.ResponseKind, int) {
 	before := len(d.sent)
 	n := d.arrive(class, fmt.Sprint(class, d.now))
 	d.run(time.Second)
-	return d.answers[n][0].Result, len(d.sent) - before
+	return d.responses[n][0].Result, len(d.sent) - before
 }
 
 func (d *simulation) apply(out []Output) {
 	for _, o := range out {
-		d.text = append(d.text, fmt.Sprint(d.now, o))
+		d.trace = append(d.trace, fmt.Sprint(d.now, o))
 		ref := attemptKey{o.Request, o.Attempt}
 		switch o.Kind {
 		case Respond:
-			d.check(d.module.addActions != nil || d.now <= d.clientUntil[o.Request], "answered when its client had left")
-			d.answers[o.Request] = append(d.answers[o.Request], o)
+			d.check(d.module.addActions != nil || d.now <= d.clientUntil[o.Request], "a response after the client's timeout")
+			d.responses[o.Request] = append(d.responses[o.Request], o)
 		case ForgetRequest:
 			d.forgotten[o.Request]++
 		case StartAttempt:
-			d.start(&sentAttempt{attemptKey: ref, server: o.Endpoint, sent: d.now, until: o.At})
+			d.start(&sentAttempt{attemptKey: ref, server: o.Endpoint, sentAt: d.now, timeoutAt: o.At})
 		case CancelAttempt:
 			s := d.attempts[ref]
-			d.check(s != nil && !s.ended, "an attempt canceled that is not open")
-			d.after(0, func() { d.finish(s, reaction{saw: AttemptResult{Phase: AwaitingResponse, EndReason: o.Why}}) })
+			d.check(s != nil && !s.ended, "a canceled attempt is not open")
+			d.schedule(0, func() { d.finish(s, reaction{result: AttemptResult{Phase: AwaitingResponse, EndReason: o.Why}}) })
 		case CancelIfUnsent:
 			s := d.attempts[ref]
-			d.check(s != nil && !s.ended, "an attempt canceled if unsent that is not open")
+			d.check(s != nil && !s.ended, "an attempt to cancel if unsent is not open")
 			if s.canceled = true; !s.written {
-				d.after(0, func() { d.finish(s, reaction{saw: AttemptResult{Phase: Connecting, EndReason: Canceled}}) })
+				d.schedule(0, func() { d.finish(s, reaction{result: AttemptResult{Phase: Connecting, EndReason: Canceled}}) })
 			}
 		case SetTimer:
-			d.after(o.At-d.now, func() { d.apply(d.router.TimerDue(d.now, o.Tag)) })
+			d.schedule(o.At-d.now, func() { d.apply(d.router.TimerDue(d.now, o.Tag)) })
 		case WatchList:
 			d.watches++
 		case OpenEndpoint:
-			d.check(d.pools[o.Endpoint] == nil, "opened twice")
+			d.check(d.pools[o.Endpoint] == nil, "an endpoint is opened twice")
 			d.pools[o.Endpoint] = NewPool[int](o.Addr, d.limit, ReuseDelay)
 		case SetEndpointAddress:
 			d.close(d.pools[o.Endpoint].SetAddress(o.Addr))
@@ -220,10 +220,10 @@
 
 func (d *simulation) start(s *sentAttempt) {
 	s.pool = d.pools[s.server]
-	d.check(s.pool != nil, "an attempt at an endpoint that is not open")
-	d.check(d.attempts[s.attemptKey] == nil, "an attempt started twice")
-	d.check(len(d.answers[s.id]) == 0 && !d.clientGone[s.id], "sent though the request needs no answer")
-	d.check(s.until > d.now && s.until <= d.clientUntil[s.id] && s.attempt < 3, "sent too late or too often")
+	d.check(s.pool != nil, "an attempt for an endpoint that is not open")
+	d.check(d.attempts[s.attemptKey] == nil, "an attempt is started twice")
+	d.check(len(d.responses[s.id]) == 0 && !d.clientGone[s.id], "sent though the request needs no response")
+	d.check(s.timeoutAt > d.now && s.timeoutAt <= d.clientUntil[s.id] && s.attempt < 3, "sent too late or too often")
 	d.attempts[s.attemptKey] = s
 	d.sent = append(d.sent, s)
 	checkout, closing := s.pool.Acquire(d.now)
@@ -231,7 +231,7 @@
 	s.checkout, s.conn = checkout, checkout.Conn
 	if !s.checkout.Reused {
 		if !d.descriptors.AcquireUpstream() {
-			d.after(0, func() { d.finish(s, reaction{}) })
+			d.schedule(0, func() { d.finish(s, reaction{}) })
 			return
 		}
 		d.lastConn++
@@ -239,88 +239,88 @@
 		d.open[s.conn] = true
 	}
 	r := d.react(s)
-	r.waits = max(r.waits, checkout.WriteDelay)
-	if s.written = r.waits == 0; !s.written {
-		r.after, r.begins = r.after+r.waits, 0
-		d.after(r.waits, func() {
+	r.writeDelay = max(r.writeDelay, checkout.WriteDelay)
+	if s.written = r.writeDelay == 0; !s.written {
+		r.duration, r.streamDelay = r.duration+r.writeDelay, 0
+		d.schedule(r.writeDelay, func() {
 			if s.written = !s.ended && !s.canceled; s.written {
-				d.check(len(d.answers[s.id]) == 0 && !d.clientGone[s.id], "written though the request needs no answer")
+				d.check(len(d.responses[s.id]) == 0 && !d.clientGone[s.id], "written though the request needs no response")
 			}
 		})
 	}
-	r.saw.Reused, r.saw.IdleFor = s.checkout.Reused, s.checkout.IdleFor
-	if r.begins > 0 && r.begins < s.until-d.now {
-		d.after(r.begins, func() {
+	r.result.Reused, r.result.IdleFor = s.checkout.Reused, s.checkout.IdleFor
+	if r.streamDelay > 0 && r.streamDelay < s.timeoutAt-d.now {
+		d.schedule(r.streamDelay, func() {
 			if !s.ended {
-				r.saw.Streamed = true
+				r.result.Streamed = true
 				d.apply(d.router.ResponseStarted(d.now, s.id, s.attempt))
 			}
 		})
 	}
-	if r.after >= s.until-d.now {
-		r = reaction{after: s.until - d.now, saw: AttemptResult{Phase: AwaitingResponse, EndReason: TimedOut}}
+	if r.duration >= s.timeoutAt-d.now {
+		r = reaction{duration: s.timeoutAt - d.now, result: AttemptResult{Phase: AwaitingResponse, EndReason: TimedOut}}
 	}
-	d.after(r.after, func() { d.finish(s, r) })
+	d.schedule(r.duration, func() { d.finish(s, r) })
 }
 
 func (d *simulation) finish(s *sentAttempt, r reaction) {
 	if s.ended {
 		return
 	}
-	saw := r.saw
-	s.ended, s.outcome = true, saw.Outcome()
-	if idle, lost, counts := saw.IdleEvidence(); counts {
+	result := r.result
+	s.ended, s.outcome = true, result.Outcome()
+	if idle, lost, counts := result.IdleEvidence(); counts {
 		d.limit.Record(d.now, idle, lost)
 	}
-	saw.Latency = d.now - s.sent
-	d.apply(d.router.AttemptEnded(d.now, s.id, s.attempt, saw))
-	if s.checkout.Reused && !s.written { // it is returned as it was
-		d.close(s.pool.ReturnUnused(s.checkout, r.ended))
+	result.Latency = d.now - s.sentAt
+	d.apply(d.router.AttemptEnded(d.now, s.id, s.attempt, result))
+	if s.checkout.Reused && !s.written { // returned with its idle time
+		d.close(s.pool.ReturnUnused(s.checkout, r.connEnded))
 		d.expire(s.pool)
 		return
 	}
-	if r.close || saw.EndReason != Completed {
+	if r.closeConn || result.EndReason != Completed {
 		s.pool.ReleaseClosed()
 		if s.conn != 0 {
 			d.close([]int{s.conn})
 		}
 		return
 	}
-	d.close(s.pool.Release(d.now, s.conn, s.checkout.Addr, r.ended))
+	d.close(s.pool.Release(d.now, s.conn, s.checkout.Addr, r.connEnded))
 	d.expire(s.pool)
 }
 
-// expire closes a pool's connections whose time is up, now and as they come due.
+// expire closes a pool's expired connections, and schedules itself for the next expiry.
 func (d *simulation) expire(p *Pool[int]) {
 	d.close(p.Expire(d.now))
 	if at, ok := p.NextExpiry(); ok {
-		d.after(at-d.now, func() { d.expire(p) })
+		d.schedule(at-d.now, func() { d.expire(p) })
 	}
 }
 
 func (d *simulation) close(conns []int) {
 	for _, c := range conns {
-		d.check(d.open[c], "closed twice")
+		d.check(d.open[c], "a connection is closed twice")
 		delete(d.open, c)
 		d.descriptors.ReleaseUpstream()
 	}
 }
 
-func (d *simulation) leave(id uint32) {
+func (d *simulation) clientLeaves(id uint32) {
 	d.clientGone[id] = true
 	d.apply(d.router.ClientGone(d.now, id))
 }
 
-// check notes a rule that was broken.
+// check records a violation if a rule does not hold.
 //
 //nolint:revive // flag-parameter: an assertion's condition
-func (d *simulation) check(holds bool, what string) {
+func (d *simulation) check(holds bool, violation string) {
 	if !holds {
-		d.violations = append(d.violations, what)
+		d.violations = append(d.violations, violation)
 	}
 }
 
-// run goes on for so long.
+// run advances the time by span and runs the events that are due until then.
 func (d *simulation) run(span time.Duration) {
 	for until := d.now + span; ; {
 		if len(d.events) == 0 || d.events[0].at > until {
@@ -334,9 +334,9 @@
 	}
 }
 
-// after schedules something: at one instant, in the order in which it was scheduled.
-func (d *simulation) after(wait time.Duration, do func()) {
-	at := d.now + wait
+// schedule adds a function to run after a delay. Functions due at the same time run in the order in which they were scheduled.
+func (d *simulation) schedule(delay time.Duration, do func()) {
+	at := d.now + delay
 	i := sort.Search(len(d.events), func(i int) bool { return d.events[i].at > at })
 	d.events = slices.Insert(d.events, i, event{at, do})
 }
