--- a/internal/agent/actor.go
+++ b/internal/agent/actor.go
@@ -12,17 +12,17 @@
 	"dunestep/internal/state"
 )
 
-// The messages of the agent's actor, beside *request, responseStarted, attemptEnded, listUpdate and
-// protocol.Datagram.
+// The messages of the agent's actor, in addition to *request, responseStarted, attemptEnded, listUpdate
+// and protocol.Datagram.
 type (
-	// clientGone: a request's client has left.
+	// clientGone reports that a request's client has left.
 	clientGone struct{ request *request }
-	// bodyComplete: the last byte of a request has come.
+	// bodyComplete reports that the last byte of a request was received.
 	bodyComplete struct{ request *request }
-	// failAll: all requests fail now, and those that arrive later are rejected.
+	// failAll fails all requests, and makes later ones be rejected.
 	failAll  struct{}
 	timerDue struct{ tag uint64 }
-	// releaseIdle: idle connections are to be closed.
+	// releaseIdle closes idle connections to endpoints.
 	releaseIdle        struct{}
 	snapshotQuery      struct{ reply chan<- state.Snapshot }
 	overloadChanged    struct{ config overload.Config }
@@ -37,16 +37,16 @@
 	}
 )
 
-// tenantStatsReply is how the tenants' requests have fared, and whether load is being shed.
+// tenantStatsReply has the statistics of the tenants' requests, and whether load is being shed.
 type tenantStatsReply struct {
 	stats    []balancer.TenantStats
 	shedding bool
 }
 
-// ejectionInterval is how often the metrics get the ejected servers, at most.
+// ejectionInterval is the minimum time between updates of the ejected servers in the metrics.
 const ejectionInterval = 100 * time.Millisecond
 
-// handle handles one message. It never ends the actor.
+// handle handles one message. It returns true: the actor never ends.
 func (a *Agent) handle(m any) bool {
 	a.applyFleetState()
 	now := a.clock.now()
@@ -59,7 +59,7 @@
 		a.endAttempt(now, m)
 	case clientGone:
 		a.carryOutAll(a.router.ClientGone(now, m.request.id))
-		m.request.closeUntakenResponse()
+		m.request.closeUndeliveredResponse()
 	case bodyComplete:
 		a.carryOutAll(a.router.BodyComplete(now, m.request.id))
 	case timerDue:
@@ -81,7 +81,7 @@
 	return true
 }
 
-// handleControl handles the messages that change settings, or ask for what is known.
+// handleControl handles the messages that change settings or query state.
 func (a *Agent) handleControl(now time.Duration, m any) {
 	switch m := m.(type) {
 	case overloadChanged:
@@ -102,8 +102,8 @@
 	}
 }
 
-// reportEjections tells the metrics which servers are ejected. It is part of handling any message, of which
-// the balancer's timers are the rarest.
+// reportEjections updates the ejected servers in the metrics, at most once per ejectionInterval. It is called
+// after each message, so the balancer's timers keep the metrics up to date when there is no other traffic.
 func (a *Agent) reportEjections(now time.Duration) {
 	if a.balancer != nil && now-a.ejectedAt >= ejectionInterval {
 		a.ejectedAt = now
@@ -111,7 +111,7 @@
 	}
 }
 
-// carryOutAll carries out what the router asks for, in order.
+// carryOutAll carries out the router's outputs, in order.
 func (a *Agent) carryOutAll(out []routing.Output) {
 	for i := range out {
 		a.carryOut(&out[i])
@@ -136,7 +136,7 @@
 		a.changeUpstream(out)
 	case routing.LogDecision:
 		slog.Info("balancer", "says", out.Text)
-		a.recorder.stateChanged() // what the balancer logs has changed its state
+		a.recorder.stateChanged() // a log line means that the balancer's state has changed
 	case routing.UnsupportedProbe:
 		slog.Error("balancer requested a probe, which is not permitted", "server", out.Endpoint)
 	default:
@@ -144,7 +144,7 @@
 	}
 }
 
-// changeUpstream starts, changes or ends the actor of an endpoint.
+// changeUpstream starts, changes or ends an endpoint's actor.
 func (a *Agent) changeUpstream(out *routing.Output) {
 	u := a.upstreams[out.Endpoint]
 	switch out.Kind {
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,15 +1,15 @@
-// Package agent runs the load balancing agent: it carries out what the decisions of packages routing,
-// balancer and overload ask for, by sockets and timers.
+// Package agent runs the load balancing agent: it carries out the decisions of packages routing, balancer and
+// overload with sockets and timers.
 //
-// It is made of actors, each a goroutine with a mailbox (mailbox.go) that alone owns its state: the Agent
-// with the requests, the router and the balancer (actor.go), one upstream for each endpoint with its
-// connections (upstream.go), the endpoint list with its calls to discovery (list.go), the sender of datagrams
-// to other agents (peers.go), and beside them the FleetActor (fleetactor.go). An attempt runs in a goroutine
-// of its own (exchange.go). All of them end with the process, but for an upstream, whose actor ends once its
-// endpoint was removed and its connections are returned.
+// It consists of actors. Each is a goroutine with a mailbox (mailbox.go) and the only one to access its
+// state: the Agent with the requests, the router and the balancer (actor.go), one upstream for each
+// endpoint with its connections (upstream.go), the endpoint list with the calls to discovery (list.go), the
+// sender of datagrams to other agents (peers.go), and the FleetActor (fleetactor.go). Each attempt runs in
+// its own goroutine (exchange.go). The actors run until the process ends, except for an upstream, whose
+// actor ends once its endpoint was removed and its connections are returned.
 //
-// The exported methods of Agent and FleetActor are safe for concurrent use. The package knows no wire format:
-// requests, responses and lists are typed values.
+// The exported methods of Agent and FleetActor are safe for concurrent use. The package does not depend on
+// a wire format: requests, responses and lists are typed values.
 package agent
 
 import (
@@ -27,63 +27,66 @@
 	"dunestep/internal/transport"
 )
 
-// Settings are what an Agent is started with.
+// Settings are the parameters of an Agent.
 type Settings struct {
 	Deployment  protocol.Settings
 	Seed        uint64
 	Overload    overload.Config
 	Discovery   netip.AddrPort
-	Initial     state.Initial // the list, and what was learned before a restart
+	Initial     state.Initial // the endpoint list, and what was learned before a restart
 	Probation   state.ProbationSettings
 	Descriptors *transport.Descriptors
 	Bodies      *transport.BodyLimits
-	Metrics     *metrics.Counters          // nil: nobody reads them
-	Disabled    []routing.DisabledEndpoint // from the start on
+	Metrics     *metrics.Counters          // nil: not used
+	Disabled    []routing.DisabledEndpoint // endpoints disabled from the start
 	Datagrams   *transport.Datagrams       // nil: agents don't communicate
-	// FleetReady tells whether this agent has what it needs of the fleet to be ready; nil: nothing.
+	// FleetReady reports whether this agent has the fleet state that it needs to be ready; nil: it needs
+	// none.
 	FleetReady func() bool
-	// FleetCaughtUp tells whether this process knows what its fleet has agreed on, as far as that can be known.
-	// Requests wait for it a little: see Agent.HandleRequest. Nil: there is nothing to know.
+	// FleetCaughtUp reports whether this process has learned what its fleet has agreed on, as
+	// far as possible. Requests wait for it for a limited time: see Agent.HandleRequest. Nil:
+	// there is no fleet state.
 	FleetCaughtUp func() bool
-	// FleetPolicy returns the effect of the agreed policy at each moment; nil, or a nil effect: there is none.
-	// The same pointer stands for the same effect.
+	// FleetPolicy returns the effect of the agreed policy at the moment of the call; nil, or a nil effect:
+	// there is none. The same pointer means an unchanged effect.
 	FleetPolicy func() *policy.Effect
-	// Exclusions returns which endpoints tenants' requests avoid at each moment; nil: none. The same pointer
-	// stands for the same.
+	// Exclusions returns the endpoints that tenants' requests avoid at the moment of the call; nil: none.
+	// The same pointer means unchanged exclusions.
 	Exclusions func() *balancer.Exclusions
-	// RingAssignment returns the agreed ring assignment at each moment; nil: each agent goes by its own list.
-	// The same pointer stands for the same.
+	// RingAssignment returns the agreed ring assignment at the moment of the call; nil: each agent uses its
+	// own list. The same pointer means an unchanged assignment.
 	RingAssignment func() *balancer.RingAssignment
-	// OnStateChange is called by the agent's actor when something of importance has changed in the state that
-	// is stored; nil: there is nobody to call.
+	// OnStateChange is called by the agent's actor when the state that is stored has changed
+	// significantly; nil: not called.
 	OnStateChange func()
 }
 
-// Agent is the agent's actor, with the actors that it starts.
+// Agent is the agent's main actor. It starts and uses the other actors.
 type Agent struct {
 	mail          *mailbox[any]
 	clock         clock
-	hasEndpoint   atomic.Bool // an endpoint is known that takes requests
+	hasEndpoint   atomic.Bool // at least one endpoint is ready
 	fleetReady    func() bool
 	fleetCaughtUp func() bool
 	list          *listActor
 
-	// Of the actor.
+	// Accessed only by the actor's goroutine.
 	fleet            fleetSources
 	upstreamSettings upstreamSettings
 	controller       *overload.Controller
 	balancer         *balancer.Balancer
 	metrics          *metrics.Counters
-	ejectedAt        time.Duration // when the metrics last got the ejected servers
+	ejectedAt        time.Duration // when the ejected servers were last reported to the metrics
 	router           *routing.Router
 	recorder         stateRecorder
 	peers            *peerSender // nil: agents don't communicate
 	upstreams        map[string]*upstream
 	requests         map[uint32]*request
-	response         protocol.UpstreamResponse // of the attempt whose end the router is given
+	response         protocol.UpstreamResponse // of the attempt whose report the router handles
 }
 
-// Start starts the actors. The balancer learns the initial list at once, and asks discovery for a newer one.
+// Start starts the actors and returns the Agent. The balancer gets the initial list at once and requests a
+// newer one from discovery. The error reports invalid settings.
 func Start(set Settings) (*Agent, error) {
 	if set.Metrics == nil {
 		set.Metrics = metrics.New(nil)
@@ -122,8 +125,9 @@
 	return a, nil
 }
 
-// maxConnectTimeout is how long an attempt waits for its connection at most. Half of the drain grace is left
-// for the request's way: an endpoint that begins to drain meanwhile must not get it after the grace.
+// maxConnectTimeout returns the maximum time that an attempt waits for its connection. An endpoint that
+// begins to drain meanwhile must not get the request after the drain grace, so the wait is at most half of
+// the grace and the other half remains for sending the request.
 func maxConnectTimeout(set protocol.Settings) time.Duration {
 	if grace := set.Rules.DrainGrace; grace > 0 {
 		return min(set.ConnectTimeout, grace/2)
@@ -131,5 +135,5 @@
 	return set.ConnectTimeout
 }
 
-// Ready tells whether an endpoint is known that takes requests, and whether the fleet's part is ready.
+// Ready reports whether at least one endpoint is ready, and Settings.FleetReady allows the agent to be ready.
 func (a *Agent) Ready() bool { return a.hasEndpoint.Load() && (a.fleetReady == nil || a.fleetReady()) }
--- a/internal/agent/attempt.go
+++ b/internal/agent/attempt.go
@@ -10,36 +10,37 @@
 	"dunestep/internal/transport"
 )
 
-// attempt is one attempt at a request, at one endpoint. Its goroutine, which the upstream's actor starts,
-// carries it out, while the agent's actor may end it at any time.
+// attempt is one attempt of a request at one endpoint. The upstream's actor starts a goroutine that carries
+// it out; the agent's actor may end it at any time.
 type attempt struct {
 	request   *request
-	number    int // among those of its request, from 0
+	number    int // within its request, from 0
 	endpoint  string
-	streams   bool // its response is forwarded from the first byte on
+	streams   bool // the response is forwarded from the first byte on
 	deadlines atomic.Pointer[attemptDeadlines]
-	ctx       context.Context // ends when the attempt is given up; the cause is a routing.EndReason
+	ctx       context.Context // canceled when the attempt is given up, with a routing.EndReason as the cause
 	cancel    context.CancelCauseFunc
-	timer     *time.Timer // gives it up; the agent's actor's
+	timer     *time.Timer // cancels ctx at giveUpAt; accessed only by the agent's actor
 
-	// Of its goroutine.
-	sent    time.Time // from when on it waits for the endpoint
-	written time.Time // its last byte; zero: not yet
+	// Accessed only by the attempt's goroutine.
+	sent    time.Time // start of the endpoint's time
+	written time.Time // when the last byte was written; zero: not yet
 
 	mu       sync.Mutex
-	unwanted bool // its request has its response, or its client has left
-	writing  bool // it is being written, or has been
+	obsolete bool // the request has its response, or its client has left
+	writing  bool // the attempt is being written, or has been
 }
 
-// attemptDeadlines are until when an attempt lasts. They change once when its request's body is complete.
+// attemptDeadlines are the deadlines of an attempt. They change once, when its request's body is complete.
 type attemptDeadlines struct {
-	giveUpAt time.Time // unless its response has begun
+	giveUpAt time.Time // end of the attempt, unless its response has begun
 	deadline time.Time // of the request's final response
-	// while the body is still coming: how long it waits from its end on; else zero
+	// timeoutAfterBody is the attempt's timeout counted from the last byte of the body, until that
+	// is received; else zero.
 	timeoutAfterBody time.Duration
 }
 
-// newAttempt prepares an attempt that the router has asked for.
+// newAttempt returns an attempt for a StartAttempt output of the router. Its timeout starts now.
 func newAttempt(r *request, start routing.Output, c clock) *attempt {
 	a := &attempt{
 		request: r, number: start.Attempt, endpoint: start.Endpoint, streams: start.Streaming,
@@ -54,8 +55,8 @@
 	return a
 }
 
-// waitUntilWritable waits until a reused connection may be written, or until it has ended or the attempt is
-// given up.
+// waitUntilWritable waits for delay, after which a reused connection may be written. It returns early if the
+// connection ends or the attempt is given up.
 func (a *attempt) waitUntilWritable(conn *transport.UpstreamConn, delay time.Duration) {
 	if delay <= 0 {
 		return
@@ -67,51 +68,51 @@
 	case <-conn.Done():
 	case <-a.ctx.Done():
 	}
-	a.sent = time.Now() // the endpoint's time does not run before
+	a.sent = time.Now() // the delay does not count as the endpoint's time
 }
 
-// beginWriting tells whether the attempt may be written now. Once it was given up, or its request has its
-// response or no client, it may not.
+// beginWriting reports whether the attempt may be written now, and marks it as being written if so. It may
+// not be written once it was given up, or its request has its response or no client.
 func (a *attempt) beginWriting() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.writing = !a.unwanted && a.ctx.Err() == nil
-	if a.unwanted {
+	a.writing = !a.obsolete && a.ctx.Err() == nil
+	if a.obsolete {
 		a.cancel(routing.Canceled)
 	}
 	return a.writing
 }
 
-// resetWriting tells that nothing was written after all, and that a new connection is tried.
+// resetWriting records that nothing was written after all, before a new connection is tried.
 func (a *attempt) resetWriting() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.writing = false
-	if a.unwanted {
+	if a.obsolete {
 		a.cancel(routing.Canceled)
 	}
 }
 
-// cancelIfUnsent tells that the request has its response, or no client: an attempt that is not written yet is
-// canceled, one that is goes on to its end.
+// cancelIfUnsent cancels the attempt if it is not written yet: the request has its response, or no client. An
+// attempt that is being written, or has been, continues to its end.
 func (a *attempt) cancelIfUnsent() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.unwanted = true
+	a.obsolete = true
 	if !a.writing {
 		a.cancel(routing.Canceled)
 	}
 }
 
-// reschedule changes the deadlines, since the request's body is complete.
+// reschedule changes the deadlines, now that the request's body is complete.
 func (a *attempt) reschedule(giveUpAt, deadline time.Time) {
 	a.deadlines.Store(&attemptDeadlines{giveUpAt: giveUpAt, deadline: deadline})
-	if a.timer.Stop() { // else its time is up
+	if a.timer.Stop() { // else the attempt has timed out
 		a.timer.Reset(time.Until(giveUpAt))
 	}
 }
 
-// announcedTimeout is how long the attempt waits, as the endpoint is told that gets it now.
+// announcedTimeout returns the attempt's remaining time, which is sent to the endpoint with the request.
 func (d *attemptDeadlines) announcedTimeout() time.Duration {
 	if d.timeoutAfterBody > 0 {
 		return d.timeoutAfterBody
@@ -119,9 +120,9 @@
 	return time.Until(d.giveUpAt)
 }
 
-// timedFrom is from when on the endpoint's time counts: of a body that is forwarded as it comes, from its end
-// on.
-func (a *attempt) timedFrom() time.Time {
+// latencyStart returns the start of the endpoint's time: for a streamed request body, when its
+// last byte was written.
+func (a *attempt) latencyStart() time.Time {
 	if a.request.Rest != nil && !a.written.IsZero() {
 		return a.written
 	}
--- a/internal/agent/bench_test.go
+++ b/internal/agent/bench_test.go
@@ -23,8 +23,8 @@
 	"dunestep/internal/transport"
 )
 
-// standIn is an endpoint that answers every request with the same text.
-func standIn(b testing.TB, size int) string {
+// startEndpoint starts an endpoint that answers every request with the same response, and returns its address.
+func startEndpoint(b testing.TB, size int) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(b, err)
 	b.Cleanup(func() { _ = l.Close() })
@@ -37,7 +37,7 @@
 			}
 			go func() {
 				defer func() { _ = c.Close() }()
-				in := make([]byte, 4096) // a request comes in one piece here
+				in := make([]byte, 4096) // a request arrives in one read here
 				for {
 					if _, err := c.Read(in); err != nil {
 						return
@@ -52,11 +52,14 @@
 	return l.Addr().String()
 }
 
-// startAgent runs an agent in this process, in front of an endpoint.
-func startAgent(b *testing.B, server string) string { return agentBefore(b, time.Minute, server) }
+// startAgent runs an agent in this process for one endpoint, and returns the address of its listener.
+func startAgent(b *testing.B, server string) string {
+	return startAgentWithObjective(b, time.Minute, server)
+}
 
-// agentBefore runs an agent in this process, in front of endpoints, for requests with a latency objective.
-func agentBefore(b testing.TB, objective time.Duration, servers ...string) string {
+// startAgentWithObjective runs an agent in this process for endpoints and requests with a latency objective, and returns the
+// address of its listener.
+func startAgentWithObjective(b testing.TB, objective time.Duration, servers ...string) string {
 	descriptors := transport.NewDescriptors(1024, func() {})
 	bodies := transport.NewBodyLimits(24<<20, transport.BodyRules{MaxBytes: 4 << 20, ClientStall: 2 * time.Second, ClientLag: time.Second})
 	class := balancer.Class{Name: "consult", LatencyObjective: objective, Deadline: objective}
@@ -95,18 +98,18 @@
 	return l.Addr().String()
 }
 
-// BenchmarkResponses forwards responses, one after another on one connection: run it with -cpu 1. Client and endpoint
-// are included, the same for both.
+// BenchmarkResponses forwards responses one after another on one connection, through an agent and through a reverse proxy. Run
+// it with -cpu 1. Client and endpoint are included, and are the same for both.
 func BenchmarkResponses(b *testing.B) {
 	for _, size := range []int{300, 8_000, 400_000} {
-		for name, through := range map[string]func(*testing.B, string) string{"agent": startAgent, "ReverseProxy": reverseProxy} {
+		for name, start := range map[string]func(*testing.B, string) string{"agent": startAgent, "ReverseProxy": reverseProxy} {
 			b.Run(fmt.Sprintf("%s/%d", name, size), func(b *testing.B) {
-				c, err := net.Dial("tcp", through(b, standIn(b, size)))
+				c, err := net.Dial("tcp", start(b, startEndpoint(b, size)))
 				require.NoError(b, err)
 				defer func() { _ = c.Close() }()
 				in := bufio.NewReaderSize(c, 64<<10)
 				id := 0
-				ask := func() {
+				roundTrip := func() {
 					id++
 					_, err := fmt.Fprintf(c, "GET /consult HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: %016x\r\nX-Time-Left-Ms: 60000\r\n\r\n", id)
 					require.NoError(b, err)
@@ -116,11 +119,11 @@
 					require.NoError(b, err)
 					require.EqualValues(b, size, n)
 				}
-				ask()
+				roundTrip()
 				b.SetBytes(int64(size))
 				b.ReportAllocs()
 				for b.Loop() {
-					ask()
+					roundTrip()
 				}
 			})
 		}
--- a/internal/agent/connecttimeout_test.go
+++ b/internal/agent/connecttimeout_test.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// mute returns the address of an endpoint from which nothing comes back: its queue of connections is full.
-func mute(t *testing.T) string {
+// unresponsiveEndpoint returns the address of an endpoint where connects time out: its accept queue is full.
+func unresponsiveEndpoint(t *testing.T) string {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = syscall.Close(fd) })
@@ -25,21 +25,21 @@
 	for {
 		c, err := net.DialTimeout("tcp", addr, 200*time.Millisecond)
 		if err != nil {
-			var slow net.Error
-			require.ErrorAs(t, err, &slow)
-			require.True(t, slow.Timeout())
+			var netErr net.Error
+			require.ErrorAs(t, err, &netErr)
+			require.True(t, netErr.Timeout())
 			return addr
 		}
 		t.Cleanup(func() { _ = c.Close() })
 	}
 }
 
-// A request that waits for a connection which does not come up goes to another endpoint while there is time, though the
-// settings would wait for longer than the request lasts.
-func TestRequestGoesElsewhereWhenNoConnectionComesUp(t *testing.T) {
+// An attempt whose connection is not established gives up early enough for the request to be sent to another endpoint, even
+// though the configured connect timeout is longer than the request's time.
+func TestRequestGoesToAnotherEndpointWhenConnectTimesOut(t *testing.T) {
 	t.Parallel()
 	const objective = 4 * time.Second
-	addr := agentBefore(t, objective, mute(t), standIn(t, 100))
+	addr := startAgentWithObjective(t, objective, unresponsiveEndpoint(t), startEndpoint(t, 100))
 	for i := range 12 {
 		r, err := http.NewRequest(http.MethodGet, "http://"+addr+"/consult", nil)
 		require.NoError(t, err)
--- a/internal/agent/control.go
+++ b/internal/agent/control.go
@@ -12,20 +12,20 @@
 	"dunestep/internal/state"
 )
 
-// fleetSources are where the agent reads what its fleet has agreed on, and what it has applied of that. It is
-// of the agent's actor.
+// fleetSources has the functions that return what the fleet has agreed on, and the last results that were
+// applied. It is accessed only by the agent's actor.
 type fleetSources struct {
 	policy            func() *policy.Effect // nil: there is none
 	appliedPolicy     *policy.Effect
-	exclusions        func() *balancer.Exclusions // the same
+	exclusions        func() *balancer.Exclusions // nil: there are none
 	appliedExclusions *balancer.Exclusions
-	ring              func() *balancer.RingAssignment // the same
+	ring              func() *balancer.RingAssignment // nil: there is none
 	appliedRing       *balancer.RingAssignment
 }
 
-// applyFleetState has the router go by what is agreed at this moment. It comes before the router is told of
-// anything, so that a lease that has run out, as while the process was paused, is seen before the next
-// decision.
+// applyFleetState updates the router with the agreed state of this moment. It is called before each input
+// of the router, so that a lease that has expired, for example while the process was paused, takes effect
+// before the next decision.
 func (a *Agent) applyFleetState() {
 	f := &a.fleet
 	if f.policy != nil {
@@ -48,7 +48,7 @@
 	}
 }
 
-// ask puts a message that has a place for its reply, and waits for the reply; false where ctx ends before.
+// ask puts a message with a reply channel and returns the reply. ok is false if ctx ends first.
 func ask[T any](
 	ctx context.Context,
 	mail *mailbox[any],
@@ -64,43 +64,45 @@
 	}
 }
 
-// ReceiveDatagram takes another agent's datagram, or drops it where too many messages wait.
+// ReceiveDatagram handles another agent's datagram, or drops it if too many messages are waiting.
 func (a *Agent) ReceiveDatagram(d protocol.Datagram) {
 	if a.mail.waiting() < maxDatagramsWaiting {
 		a.mail.put(d)
 	}
 }
 
-// SetDiscovery has the endpoint list watched at another address from now on.
-func (a *Agent) SetDiscovery(addr netip.AddrPort) { a.list.mail.put(discoveryMoved{addr}) }
+// SetDiscovery changes discovery's address, where the endpoint list is watched.
+func (a *Agent) SetDiscovery(addr netip.AddrPort) { a.list.mail.put(discoveryAddrChanged{addr}) }
 
 // SetOverload changes the configuration of overload control.
 func (a *Agent) SetOverload(c overload.Config) { a.mail.put(overloadChanged{c}) }
 
-// SetFleetPolicy has the agent go by an agreed policy, from the next message on; nil: by its settings alone.
-// The effect is not to be changed any more. It holds until the next call, also over SetOverload.
+// SetFleetPolicy makes the agent apply an agreed policy from the next message on; nil: only its
+// settings. The caller must not modify the effect afterwards. It stays in force until the next call,
+// even after SetOverload.
 func (a *Agent) SetFleetPolicy(effect *policy.Effect) { a.mail.put(fleetPolicyChanged{effect}) }
 
-// SetFleetSize tells balancer and overload control how many agents are present; see balancer.FleetSize and
-// overload.Controller.
+// SetFleetSize sets the number of agents for the balancer and for overload control; see balancer.FleetSize
+// and overload.Controller.
 func (a *Agent) SetFleetSize(forBalancer balancer.FleetSize, forOverload int) {
 	a.mail.put(fleetSizeChanged{forBalancer, forOverload})
 }
 
-// TenantStats returns how the tenants' requests have fared since the start: first those of none, then in the
-// order of the settings; and whether load is being shed. Nil where ctx ends before.
+// TenantStats returns the statistics of the tenants' requests since the start, and whether load is being
+// shed. The first entry is for requests without a tenant, the others are in the order of the settings. It
+// returns nil if ctx ends first.
 func (a *Agent) TenantStats(ctx context.Context) (stats []balancer.TenantStats, shedding bool) {
 	r, _ := ask(ctx, a.mail, func(reply chan<- tenantStatsReply) any { return tenantStatsQuery{reply} })
 	return r.stats, r.shedding
 }
 
-// BaselineLatencies returns the latencies of the machine kinds; nil where ctx ends before.
+// BaselineLatencies returns the baseline latencies of the machine kinds; nil if ctx ends first.
 func (a *Agent) BaselineLatencies(ctx context.Context) []balancer.BaselineLatency {
 	all, _ := ask(ctx, a.mail, func(reply chan<- []balancer.BaselineLatency) any { return baselineQuery{reply} })
 	return all
 }
 
-// Snapshot returns the state to store over a restart; false where ctx ends before.
+// Snapshot returns the state to store across a restart; false if ctx ends first.
 func (a *Agent) Snapshot(ctx context.Context) (state.Content, bool) {
 	s, ok := ask(ctx, a.mail, func(reply chan<- state.Snapshot) any { return snapshotQuery{reply} })
 	if !ok {
@@ -109,14 +111,16 @@
 	return s.Content(), true
 }
 
-// FailAll fails every request that has no response: the process is about to end.
+// FailAll fails every request without a response and makes the agent reject later ones: the
+// process is about to end.
 func (a *Agent) FailAll() { a.mail.put(failAll{}) }
 
 // ReleaseIdle closes idle connections to endpoints.
 func (a *Agent) ReleaseIdle() { a.mail.put(releaseIdle{}) }
 
-// DisableEndpoint takes an endpoint out of use. Listed is false where no list ever had the id; disabled are
-// all that are out of use then, or were lately.
+// DisableEndpoint disables an endpoint. listed is false if no list has had the id. disabled are all
+// endpoints that are disabled then, and those enabled again whose restart discovery has not reported yet.
+// The error is routing.ErrTooManyDisabled or ctx's.
 func (a *Agent) DisableEndpoint(
 	ctx context.Context,
 	id string,
@@ -126,7 +130,7 @@
 	return a.setDisabled(ctx, setDisabled{id: id})
 }
 
-// EnableEndpoint puts an endpoint back into use; see DisableEndpoint.
+// EnableEndpoint enables a disabled endpoint again; the results are those of DisableEndpoint.
 func (a *Agent) EnableEndpoint(
 	ctx context.Context,
 	id string,
@@ -147,19 +151,20 @@
 	return r.disabled, r.listed, r.err
 }
 
-// WasListed tells whether a list ever had an endpoint; false where that is not known before ctx ends.
+// WasListed reports whether an endpoint with that id is or was listed; false if ctx ends first.
 func (a *Agent) WasListed(ctx context.Context, id string) bool {
 	listed, _ := ask(ctx, a.list.mail, func(reply chan<- bool) any { return listedQuery{id, reply} })
 	return listed
 }
 
-// Endpoints returns those of this agent's own list, those that are disabled as draining; false where ctx ends
-// before.
+// Endpoints returns the endpoints of this agent's own list, with the disabled ones draining;
+// false if ctx ends first.
 func (a *Agent) Endpoints(ctx context.Context) ([]balancer.Server, bool) {
 	return ask(ctx, a.list.mail, func(reply chan<- []balancer.Server) any { return endpointsQuery{reply} })
 }
 
-// MergeDisabled applies what another process of this agent, or the fleet, was told, where that is newer.
+// MergeDisabled applies the entries of another process of this agent, or of the fleet, that
+// are newer than its own.
 func (a *Agent) MergeDisabled(disabled []routing.DisabledEndpoint) {
 	a.list.mail.put(mergeDisabled{disabled})
 }
--- a/internal/agent/exchange.go
+++ b/internal/agent/exchange.go
@@ -14,38 +14,39 @@
 	"dunestep/internal/transport"
 )
 
-// progressInterval is how often it is looked whether a response that has begun may go on.
+// progressInterval is the interval at which the limits of a streamed response are checked.
 const progressInterval = 50 * time.Millisecond
 
-// responseStarted tells the agent's actor that an attempt's response is longer than what is buffered.
+// responseStarted reports to the agent's actor that an attempt's response has begun and is too long to be
+// buffered.
 type responseStarted struct {
 	attempt  *attempt
 	response protocol.UpstreamResponse
 }
 
-// attemptEnded tells the agent's actor how an attempt ended.
+// attemptEnded reports to the agent's actor how an attempt ended.
 type attemptEnded struct {
 	attempt  *attempt
 	result   routing.AttemptResult
 	response protocol.UpstreamResponse
 }
 
-// exchange is the exchange of one attempt with its endpoint. It is of the attempt's goroutine.
+// exchange is the exchange of one attempt with its endpoint. It is accessed only by the attempt's goroutine.
 type exchange struct {
 	upstream *upstream
 	attempt  *attempt
 	checkout routing.Checkout[*transport.UpstreamConn]
 
 	conn     *transport.UpstreamConn
-	reusable bool // conn can carry another request
+	reusable bool // conn can be used for another request
 	response protocol.UpstreamResponse
-	streamed *bodystream.Stream // the response's body, where that began to be forwarded; nil: it did not
+	streamed *bodystream.Stream // body of the response once it is being forwarded; else nil
 	result   routing.AttemptResult
 	err      error
 }
 
-// carryOut carries an attempt out, on the connection of its checkout or a new one, returns the connection to
-// the actor and reports how the attempt ended. It runs in the attempt's goroutine.
+// carryOut carries out an attempt on the connection of its checkout or a new one, returns the connection to
+// the upstream's actor, and reports how the attempt ended. It runs in the attempt's goroutine.
 func (u *upstream) carryOut(a *attempt, checkout routing.Checkout[*transport.UpstreamConn]) {
 	defer a.cancel(nil)
 	e := &exchange{upstream: u, attempt: a, checkout: checkout, conn: checkout.Conn}
@@ -63,12 +64,12 @@
 			e.roundTrip()
 		}
 	}
-	e.judgeExchange()
+	e.completeResult()
 	u.mail.put(e.returnedConnection())
 	u.report(e.end())
 }
 
-// connect opens a new connection, and tells whether it is up.
+// connect opens a new connection and reports whether it is established.
 func (e *exchange) connect() bool {
 	s := &e.upstream.settings
 	began := time.Now()
@@ -84,8 +85,8 @@
 	return false
 }
 
-// roundTrip writes the request and reads the response, unless the attempt is not to be written any more: then
-// the connection is as good as before.
+// roundTrip writes the request and reads the response. If the attempt may not be written any more, nothing is
+// written and the connection stays reusable.
 func (e *exchange) roundTrip() {
 	a := e.attempt
 	if !a.beginWriting() {
@@ -107,7 +108,8 @@
 	e.result.Phase = phaseOf(e.err)
 }
 
-// startStreaming reports that the response has begun, and looks from then on whether it may go on.
+// startStreaming reports that the response has begun, and checks its limits every
+// progressInterval from then on.
 func (e *exchange) startStreaming(response protocol.UpstreamResponse) {
 	a, body := e.attempt, response.BodyStream
 	context.AfterFunc(a.ctx, func() { body.Abort(context.Cause(a.ctx)) })
@@ -130,8 +132,8 @@
 	e.upstream.report(responseStarted{a, response})
 }
 
-// judgeExchange completes the result with what the exchange shows.
-func (e *exchange) judgeExchange() {
+// completeResult sets the fields of the result that follow from the exchange's error.
+func (e *exchange) completeResult() {
 	rest := e.attempt.request.Rest
 	e.result.BodyConsumed = rest != nil && rest.Progress().HasConsumed
 	clientStopped := e.result.Phase == routing.Writing && errors.Is(e.err, transport.ErrClientStopped)
@@ -143,7 +145,7 @@
 	}
 }
 
-// returnedConnection is the message that returns the connection to the upstream's actor.
+// returnedConnection returns the message that returns the connection to the upstream's actor.
 func (e *exchange) returnedConnection() connectionReturned {
 	m := connectionReturned{checkout: e.checkout}
 	if e.reusable {
@@ -156,13 +158,13 @@
 	return m
 }
 
-// end is the message that tells how the attempt ended. For a response that is being forwarded it waits until
-// that is over.
+// end returns the message that reports how the attempt ended. If the response is being forwarded, it
+// waits until that has ended.
 func (e *exchange) end() attemptEnded {
 	ended := attemptEnded{attempt: e.attempt, response: e.response}
 	var p bodystream.Progress
 	if e.streamed != nil {
-		ended.response.BodyStream = nil // it is the request's
+		ended.response.BodyStream = nil // it belongs to the request now
 		<-e.streamed.Done()
 		if p, e.err = e.streamed.Progress(), e.streamed.Result(); errors.Is(e.err, io.EOF) {
 			e.err = nil
@@ -179,21 +181,21 @@
 	return ended
 }
 
-// endpointLatency is how long the endpoint took for what came of its response, without the time that this
-// side delayed it. Of a response that was streamed only the beginning is timed: the rest takes as long as its
-// length.
+// endpointLatency returns the time that the endpoint took for the part of its response that was received,
+// without delays by this agent. Of a streamed response only the beginning is timed, since the time for the
+// rest depends on its length.
 func (e *exchange) endpointLatency(p bodystream.Progress, ended time.Time) time.Duration {
-	if p.IsComplete && !p.LastReceivedAt.IsZero() { // else it was waited for until the end
+	if p.IsComplete && !p.LastReceivedAt.IsZero() { // else the attempt waited for the response until its end
 		ended = p.LastReceivedAt
 	}
-	latency := ended.Sub(e.attempt.timedFrom()) - p.DelayedBefore - p.StalledFor
+	latency := ended.Sub(e.attempt.latencyStart()) - p.DelayedBefore - p.StalledFor
 	if e.streamed != nil {
 		latency -= p.ReceivingFor
 	}
 	return latency
 }
 
-// responseProgress is the progress of a body, as the router has it.
+// responseProgress converts the progress of a body to the router's type.
 func responseProgress(p bodystream.Progress) routing.ResponseProgress {
 	return routing.ResponseProgress{
 		Length: p.Length, Received: p.Received, DelayBefore: p.DelayedBefore, Blocked: p.StalledFor,
@@ -202,7 +204,7 @@
 	}
 }
 
-// phaseOf tells how far an exchange came, by its error.
+// phaseOf returns the phase that an exchange reached, from its error.
 func phaseOf(err error) routing.AttemptPhase {
 	switch {
 	case errors.Is(err, transport.ErrStaleConnection):
@@ -215,17 +217,17 @@
 	return routing.AwaitingResponse
 }
 
-// endReasonOf tells why an attempt ended, by its context and error. This agent's own reason to end it comes
-// first: what the connection shows then follows from it.
+// endReasonOf returns why an attempt ended, from its context and error. This agent's own reason for ending
+// it has precedence over the connection's error, which is a consequence of it.
 func endReasonOf(ctx context.Context, err error) routing.EndReason {
-	var own routing.EndReason
+	var reason routing.EndReason
 	switch {
 	case err == nil:
 		return routing.Completed
 	case errors.Is(err, bytebudget.ErrFull):
 		return routing.NoMemory
-	case errors.As(context.Cause(ctx), &own):
-		return own
+	case errors.As(context.Cause(ctx), &reason):
+		return reason
 	case errors.Is(err, bodystream.ErrAbandoned):
 		return routing.ClientLeft
 	case errors.Is(err, transport.ErrInvalidResponse):
--- a/internal/agent/fleetactor.go
+++ b/internal/agent/fleetactor.go
@@ -16,24 +16,23 @@
 	"dunestep/internal/transport"
 )
 
-// FleetStore stores a voter's part of the log; see package fleetstore. Its methods are not called
-// concurrently.
+// FleetStore stores a voter's log; see package fleetstore. Its methods are not called concurrently.
 type FleetStore interface {
-	// Write writes a voter's state as one, and returns once it is safe on disk.
+	// Write writes a voter's state atomically, and returns once it is durable.
 	Write(*raftlog.Persist) error
 	Close() error
 }
 
-// FleetSettings are what a FleetActor is started with.
+// FleetSettings are the parameters of a FleetActor.
 type FleetSettings struct {
 	Node      fleet.Settings
 	Store     FleetStore // nil: nothing is stored
 	Datagrams *transport.Datagrams
-	// OnApplied is called by the actor after records were applied; nil: nobody is told.
+	// OnApplied is called by the actor after records were applied; nil: not called.
 	OnApplied func()
 }
 
-// FleetActor is the actor of a fleet node. Its goroutine ends with the process.
+// FleetActor is the actor of a fleet node. Its goroutine runs until the process ends.
 type FleetActor struct {
 	mail      *mailbox[any]
 	store     FleetStore
@@ -43,16 +42,17 @@
 	caughtUp  atomic.Bool
 	ready     atomic.Bool
 
-	// of node: held by the actor while it handles a message, which takes microseconds, and by Read
+	// mu guards node. The actor holds it while it handles a message, which takes microseconds; Read holds
+	// it too.
 	mu   sync.Mutex
-	node *fleet.Node // changed by the actor alone
+	node *fleet.Node // modified only by the actor
 
-	// Of the actor.
+	// Accessed only by the actor's goroutine.
 	wake   *time.Timer
-	wakeAt time.Duration // by the steady clock: when wake fires
+	wakeAt time.Duration // when wake fires, on fleet.ClockReading.Mono; negative: it has fired
 }
 
-// The messages of the actor, beside protocol.Datagram.
+// The messages of the actor, in addition to protocol.Datagram.
 type (
 	fleetWake      struct{}
 	fleetPersisted struct {
@@ -65,10 +65,10 @@
 	}
 )
 
-// farFuture is when the timer is set to before the node has said when it is due.
-const farFuture = time.Hour
+// initialWakeDelay is the timer's duration until the node's first wake time is known.
+const initialWakeDelay = time.Hour
 
-// StartFleet starts the actor of a node.
+// StartFleet starts the actor of a new node. The error reports invalid settings.
 func StartFleet(set FleetSettings) (*FleetActor, error) {
 	node, err := fleet.New(set.Node, ReadClocks())
 	if err != nil {
@@ -78,38 +78,39 @@
 		mail: newMailbox[any](), store: set.Store, peers: startPeerSender(set.Datagrams), node: node,
 		onApplied: set.OnApplied, startedAt: time.Now(),
 	}
-	f.wake = time.AfterFunc(farFuture, func() { f.mail.put(fleetWake{}) })
+	f.wake = time.AfterFunc(initialWakeDelay, func() { f.mail.put(fleetWake{}) })
 	go f.mail.receive(f.handle)
 	f.mail.put(fleetWake{})
 	return f, nil
 }
 
-// ReadClocks reads the machine's clocks: Unix time, and one that runs on while the process and the machine
-// are paused.
+// ReadClocks reads the machine's clocks: Unix time, and a monotonic clock that continues while the process
+// or the machine is suspended.
 func ReadClocks() fleet.ClockReading {
 	var t unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &t) != nil {
-		_ = unix.ClockGettime(unix.CLOCK_MONOTONIC, &t) // which every system has
+		_ = unix.ClockGettime(unix.CLOCK_MONOTONIC, &t) // supported by every system
 	}
 	return fleet.ClockReading{Unix: time.Duration(time.Now().UnixNano()), Mono: time.Duration(t.Nano())}
 }
 
-// ReceiveDatagram takes another agent's datagram, or drops it where too many messages wait.
+// ReceiveDatagram handles another agent's datagram, or drops it if too many messages are waiting.
 func (f *FleetActor) ReceiveDatagram(d protocol.Datagram) {
 	if f.mail.waiting() < maxDatagramsWaiting {
 		f.mail.put(d)
 	}
 }
 
-// IsReady tells whether this process has what was agreed, as far as it can be had. Once true it stays so.
+// IsReady reports whether this process has the agreed state, as far as it can be obtained.
+// Once true, it stays true.
 func (f *FleetActor) IsReady() bool { return f.ready.Load() }
 
-// IsCaughtUp tells whether this process has what others have agreed on, or has tried for long enough. Once
-// true it stays so.
+// IsCaughtUp reports whether this process has learned what other agents have agreed on, or has tried for long
+// enough. Once true, it stays true.
 func (f *FleetActor) IsCaughtUp() bool { return f.caughtUp.Load() }
 
-// Do has the actor call a function with the node. False: ctx ended before; the function may be called all the
-// same.
+// Do makes the actor call a function with the node and waits until it has returned. The result is false if
+// ctx ended first; the function may still be called.
 func (f *FleetActor) Do(ctx context.Context, do func(*fleet.Node, fleet.ClockReading)) bool {
 	done := make(chan struct{}, 1)
 	f.mail.put(fleetCall{do, done})
@@ -121,21 +122,21 @@
 	}
 }
 
-// Read calls a function with the node at this moment, beside the actor. It must not change anything that is
-// sent or stored.
+// Read calls a function with the node in the caller's goroutine, while the actor is locked out. The
+// function must not change anything that is sent or stored.
 func (f *FleetActor) Read(read func(*fleet.Node, fleet.ClockReading)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	read(f.node, ReadClocks())
 }
 
-// LeaseStanding returns this agent's standing, for functions that the node calls. In Do and Read the node
-// itself has it.
+// LeaseStanding returns this agent's lease standing. It does not lock: it is for functions that the node
+// calls. In Do and Read, use the node's Standing.
 func (f *FleetActor) LeaseStanding(now fleet.ClockReading) lease.Standing {
 	return f.node.Standing(now)
 }
 
-// handle handles one message. It never ends the actor.
+// handle handles one message. It returns true: the actor never ends.
 func (f *FleetActor) handle(m any) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -144,8 +145,8 @@
 	case protocol.Datagram:
 		f.node.Receive(now, m.Agent, m.Data)
 	case fleetWake:
-		// The timer may fire slightly early. Nothing is due then, and the node's next time is the same as before:
-		// without this it would not be set again.
+		// The timer may fire slightly early. Nothing is due then, and the node's next wake time is unchanged:
+		// without this the timer would not be set again.
 		f.wakeAt = -1
 		f.node.Wake(now)
 	case fleetPersisted:
@@ -158,8 +159,9 @@
 	return true
 }
 
-// handlePersisted tells the node that what the voter asked for is safe. Where it could not be written the
-// voter waits for good: it says nothing more that it might have to take back.
+// handlePersisted reports to the node that the voter's write is durable. If the write failed, nothing is
+// reported, and the voter waits for it until the process ends: it must not send anything that depends on a
+// write that is not durable.
 func (f *FleetActor) handlePersisted(now fleet.ClockReading, m fleetPersisted) {
 	if m.err != nil {
 		slog.Error("fleet: the voter's log cannot be written, this voter is inactive until the next start", "error",
@@ -169,7 +171,7 @@
 	f.node.Persisted(now, m.token)
 }
 
-// carryOut carries out what the node asks for. The next write is asked for once the one before was reported.
+// carryOut carries out the node's outputs. The node requests a write only after the one before was reported.
 func (f *FleetActor) carryOut(now fleet.ClockReading) {
 	out := f.node.Out(now)
 	for _, d := range out.Datagrams {
@@ -191,7 +193,7 @@
 	}
 }
 
-// updateReadiness sees when the process has caught up, and when it is ready.
+// updateReadiness sets caughtUp and ready once the node reports them.
 func (f *FleetActor) updateReadiness(now fleet.ClockReading) {
 	if f.ready.Load() {
 		return
--- a/internal/agent/fleetlog.go
+++ b/internal/agent/fleetlog.go
@@ -6,7 +6,7 @@
 	"dunestep/internal/fleet"
 )
 
-// logFleetEvent logs what the node has seen.
+// logFleetEvent logs an event of the node.
 func logFleetEvent(e fleet.Event) {
 	at := e.Position
 	switch e.Kind {
--- a/internal/agent/fleetstate_test.go
+++ b/internal/agent/fleetstate_test.go
@@ -13,34 +13,34 @@
 	"dunestep/internal/routing"
 )
 
-// timer is the note of a timer that is due.
-var timer = fmt.Sprintf("%T", &balancer.TimerDue{})
+// timerCall is the recorded call for a timer that is due.
+var timerCall = fmt.Sprintf("%T", &balancer.TimerDue{})
 
-// eventRecorder is a module that notes its calls, in order.
-type eventRecorder struct{ notes []string }
+// eventRecorder is a module that records its calls, in order.
+type eventRecorder struct{ calls []string }
 
 func (n *eventRecorder) Step(_ time.Duration, ev balancer.Event) []balancer.Action {
-	n.notes = append(n.notes, fmt.Sprintf("%T", ev))
+	n.calls = append(n.calls, fmt.Sprintf("%T", ev))
 	return nil
 }
 
-func (n *eventRecorder) ApplyFleetPolicy(quota []float64, classes []balancer.RetryPolicy, inVain float64) {
-	n.notes = append(n.notes, fmt.Sprint(quota, classes, inVain))
+func (n *eventRecorder) ApplyFleetPolicy(quota []float64, classes []balancer.RetryPolicy, maxFailedRatio float64) {
+	n.calls = append(n.calls, fmt.Sprint(quota, classes, maxFailedRatio))
 }
 
 func (n *eventRecorder) SetExclusions(x *balancer.Exclusions) {
-	n.notes = append(n.notes, fmt.Sprintf("exclusions %v", x != nil))
+	n.calls = append(n.calls, fmt.Sprintf("exclusions %v", x != nil))
 }
 
-func (n *eventRecorder) SetRingAssignment(p *balancer.RingAssignment) {
-	n.notes = append(n.notes, fmt.Sprintf("ring %v", p != nil))
+func (n *eventRecorder) SetRingAssignment(a *balancer.RingAssignment) {
+	n.calls = append(n.calls, fmt.Sprintf("ring %v", a != nil))
 }
 
 func (n *eventRecorder) TenantStats() []balancer.TenantStats {
 	return []balancer.TenantStats{{Tenant: "a", Requests: 7}}
 }
 
-// Exclusions and ring assignment are looked at before each message, and the module is told where they have changed.
+// Exclusions and ring assignment are read before each message, and passed to the module only if they have changed.
 func TestFleetStateIsAppliedBeforeEachMessage(t *testing.T) {
 	module, exclusions, ring := &eventRecorder{}, (*balancer.Exclusions)(nil), (*balancer.RingAssignment)(nil)
 	a := &Agent{
@@ -57,9 +57,9 @@
 	exclusions, ring = nil, nil
 	a.handle(timerDue{4})
 	require.Equal(t, []string{
-		timer, "exclusions true", "ring true", timer, timer, "exclusions false",
-		"ring false", timer,
-	}, module.notes)
+		timerCall, "exclusions true", "ring true", timerCall, timerCall, "exclusions false",
+		"ring false", timerCall,
+	}, module.calls)
 	ctx, cancel := context.WithCancel(t.Context())
 	go a.mail.receive(func(m any) bool { return m != nil && a.handle(m) })
 	stats, shedding := a.TenantStats(ctx)
@@ -68,11 +68,11 @@
 	a.mail.put(nil)
 	cancel()
 	stats, _ = a.TenantStats(ctx)
-	require.Nil(t, stats, "an agent that has ended")
+	require.Nil(t, stats, "the actor has ended")
 }
 
-// A policy is a message to the agent's actor, in its turn among the others; a module without policies ignores it.
-func TestSetFleetPolicy(t *testing.T) {
+// A policy is applied in the order of the actor's messages. A module that takes no policies ignores it.
+func TestFleetPolicyIsAppliedInOrder(t *testing.T) {
 	module := &eventRecorder{}
 	a := &Agent{mail: newMailbox[any](), clock: newClock(), router: routing.NewRouter(balancer.Settings{}, module)}
 	a.mail.put(timerDue{1})
@@ -84,6 +84,6 @@
 	a.SetFleetPolicy(nil)
 	a.mail.put(nil)
 	a.mail.receive(func(m any) bool { return m != nil && a.handle(m) })
-	require.Equal(t, []string{timer, "[3] [{2 true 1ms}] 0.2", timer, "[] [] 0"}, module.notes)
-	newStage(1).handle(fleetPolicyChanged{})
+	require.Equal(t, []string{timerCall, "[3] [{2 true 1ms}] 0.2", timerCall, "[] [] 0"}, module.calls)
+	newActorHarness(1).handle(fleetPolicyChanged{})
 }
--- a/internal/agent/list.go
+++ b/internal/agent/list.go
@@ -13,25 +13,25 @@
 	"dunestep/internal/transport"
 )
 
-// confirmAfterSilence is how long after discovery has accepted a watch its silence confirms the list that is
-// known: a newer one comes at once.
+// confirmAfterSilence is the time after the acceptance of a watch after which the known list is confirmed:
+// discovery sends a newer list immediately, so one would have been received by then.
 const confirmAfterSilence = 200 * time.Millisecond
 
-// listUpdate tells the agent's actor of the endpoint list.
+// listUpdate reports an update of the endpoint list to the agent's actor.
 type listUpdate struct {
 	kind          balancer.UpdateKind
-	list          protocol.EndpointList // with disabled endpoints as draining
-	discoveryList protocol.EndpointList // the same as discovery has it
+	list          protocol.EndpointList // with disabled endpoints draining
+	discoveryList protocol.EndpointList // the list as discovery sent it
 	watch         balancer.WatchStatus
 	confirmation  routing.Confirmation
 }
 
-// listActor is the actor of the endpoint list: it makes the calls to discovery, each in a goroutine of its
-// own that ends with the call.
+// listActor is the actor of the endpoint list. It makes the calls to discovery, each in its own goroutine,
+// which ends with the call.
 type listActor struct {
 	mail    *mailbox[any]
 	tracker *routing.ListTracker
-	calls   map[int]context.CancelFunc // those that have not ended, by number
+	calls   map[int]context.CancelFunc // calls under way, by number
 	report  func(listUpdate)
 	clock   clock
 	metrics *metrics.Counters
@@ -39,11 +39,11 @@
 
 // The messages of the list's actor.
 type (
-	watchList      struct{}
-	discoveryMoved struct{ addr netip.AddrPort }
-	fetchList      struct{}
-	callAccepted   struct{ call int }
-	// callIdle: the call has brought nothing for a time since it was accepted.
+	watchList            struct{}
+	discoveryAddrChanged struct{ addr netip.AddrPort }
+	fetchList            struct{}
+	callAccepted         struct{ call int }
+	// callIdle reports that confirmAfterSilence has passed since the call was accepted.
 	callIdle     struct{ call int }
 	callReceived struct {
 		call int
@@ -66,14 +66,14 @@
 	endpointsQuery struct{ reply chan<- []balancer.Server }
 )
 
-// disableResult is what came of a change, with all that are disabled then, or were lately.
+// disableResult is the result of setDisabled, with that of routing.ListTracker.Disabled after it.
 type disableResult struct {
 	listed   bool
 	err      error
 	disabled []routing.DisabledEndpoint
 }
 
-// startList starts the actor, and reports the initial list at once.
+// startList starts the actor and reports the initial list at once.
 func startList(
 	addr netip.AddrPort,
 	initial protocol.EndpointList,
@@ -94,12 +94,12 @@
 	return l
 }
 
-// handle handles one message. It never ends the actor.
+// handle handles one message. It returns true: the actor never ends.
 func (l *listActor) handle(m any) bool {
 	switch m := m.(type) {
 	case watchList:
 		l.carryOut(l.tracker.Watch())
-	case discoveryMoved:
+	case discoveryAddrChanged:
 		l.carryOut(l.tracker.SetAddress(m.addr))
 	case fetchList:
 		l.carryOut(l.tracker.Fetch())
@@ -138,13 +138,13 @@
 	return r
 }
 
-// reportSize tells the metrics how many endpoints are listed, and how many of them are disabled.
+// reportSize updates the numbers of listed and disabled endpoints in the metrics.
 func (l *listActor) reportSize() {
 	listed, disabled := l.tracker.Size()
 	l.metrics.SetEndpoints(metrics.Endpoints{Listed: listed, Banned: disabled})
 }
 
-// carryOut carries out what the tracker asks for, in order.
+// carryOut carries out the tracker's outputs, in order.
 func (l *listActor) carryOut(out []routing.ListOutput) {
 	for _, o := range out {
 		switch o.Kind {
@@ -170,7 +170,7 @@
 	}
 }
 
-// call makes a call to discovery. It runs in a goroutine of its own, and puts callEnded as its last.
+// call makes a call to discovery. It runs in its own goroutine, and its last message is callEnded.
 func (l *listActor) call(ctx context.Context, o routing.ListOutput) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -182,7 +182,7 @@
 		list, err := protocol.DecodeEndpointList(raw, func(err error) {
 			slog.Warn("invalid endpoint list entry dropped", "error", err)
 		})
-		if err != nil { // the call ends: the next watch brings again what was in it
+		if err != nil { // end the call: the next watch receives the same content again
 			cancel(&routing.UnreadableError{Err: err})
 			return
 		}
--- a/internal/agent/mailbox.go
+++ b/internal/agent/mailbox.go
@@ -2,18 +2,18 @@
 
 import "sync"
 
-// mailbox holds an actor's messages in the order in which they came. Putting never blocks, so that actors
-// which send to each other cannot deadlock. Its length is bounded by what makes messages: requests have
-// descriptors, which are bounded, and datagrams are put only while few wait. It is safe for concurrent use.
+// mailbox is an unbounded FIFO queue of an actor's messages. put never blocks, so actors that send to each
+// other cannot deadlock. The senders bound its length: each request has a descriptor, whose number is
+// limited, and datagrams are put only while few messages wait. It is safe for concurrent use.
 type mailbox[T any] struct {
 	mu    sync.Mutex
 	queue []T
-	wake  chan struct{} // holds one: the queue is not empty
+	wake  chan struct{} // capacity 1; has a value when the queue is not empty
 }
 
 func newMailbox[T any]() *mailbox[T] { return &mailbox[T]{wake: make(chan struct{}, 1)} }
 
-// put adds a message, and returns how many wait then.
+// put adds a message and returns the number of waiting messages, including it.
 func (m *mailbox[T]) put(v T) int {
 	m.mu.Lock()
 	m.queue = append(m.queue, v)
@@ -21,19 +21,19 @@
 	m.mu.Unlock()
 	select {
 	case m.wake <- struct{}{}:
-	default: // the actor is to wake already
+	default: // the actor was already woken
 	}
 	return n
 }
 
-// waiting returns how many messages wait.
+// waiting returns the number of waiting messages.
 func (m *mailbox[T]) waiting() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.queue)
 }
 
-// receive calls handle with each message, in order, until that returns false. It is the actor's loop.
+// receive calls handle with each message, in order, until handle returns false. It is the actor's loop.
 func (m *mailbox[T]) receive(handle func(T) bool) {
 	var batch []T
 	for range m.wake {
@@ -44,8 +44,8 @@
 			if !handle(v) {
 				return
 			}
-			var none T
-			batch[i] = none // what was handled may be reclaimed
+			var zero T
+			batch[i] = zero // lets the garbage collector free the message
 		}
 	}
 }
--- a/internal/agent/peers.go
+++ b/internal/agent/peers.go
@@ -7,7 +7,7 @@
 	"dunestep/internal/transport"
 )
 
-// maxDatagramsWaiting bounds how many datagrams wait for an actor; further ones are dropped.
+// maxDatagramsWaiting is the number of messages waiting for an actor from which on datagrams are dropped.
 const maxDatagramsWaiting = 256
 
 // peerSender is the actor that sends datagrams to other agents.
@@ -22,14 +22,15 @@
 	return p
 }
 
-// enqueue sends a datagram later, or drops it where too many wait.
+// enqueue queues a datagram for sending, or drops it if too many are waiting.
 func (p *peerSender) enqueue(d protocol.Datagram) {
 	if p.mail.waiting() < maxDatagramsWaiting {
 		p.mail.put(d)
 	}
 }
 
-// send sends a datagram. It never ends the actor: a datagram may be lost.
+// send sends a datagram. It returns true: the actor never ends. An error is only logged, since
+// datagrams may be lost anyway.
 func (p *peerSender) send(d protocol.Datagram) bool {
 	if err := p.socket.Send(d); err != nil {
 		slog.Warn("datagram cannot be sent", "agent", d.Agent, "error", err)
--- a/internal/agent/requests.go
+++ b/internal/agent/requests.go
@@ -8,25 +8,26 @@
 	"dunestep/internal/routing"
 )
 
-// request is a request that the router knows, under its number. All but response is the agent's actor's.
+// request is a request that was passed to the router, with its number there. Its fields, except response, are
+// accessed only by the agent's actor.
 type request struct {
 	*protocol.Request
 	id       uint32
-	response chan protocol.Response // holds the one final response
-	attempts []*attempt             // by their numbers; nil: not started
+	response chan protocol.Response // capacity 1, for the one final response
+	attempts []*attempt             // by number; nil: not started
 }
 
 const (
-	// fleetWaitFraction of its client's time, and maxFleetWait, is how long a request waits at most in a
-	// process that has just started and does not know yet what its fleet has agreed on.
+	// fleetWaitFraction is the maximum fraction of its time left, and maxFleetWait the maximum time, that a
+	// request waits for a process that has just started to learn what its fleet has agreed on.
 	fleetWaitFraction = 0.5
 	maxFleetWait      = time.Second
-	// fleetPollInterval is how often it is looked whether that is known.
+	// fleetPollInterval is the interval at which a waiting request polls for that.
 	fleetPollInterval = 2 * time.Millisecond
 )
 
-// HandleRequest carries a request out and returns its final response; false where the client left before. In
-// a process that has just started it may wait first: see waitForFleetState.
+// HandleRequest carries out a request and returns its final response; false if ctx ends first, because the
+// client has left. In a process that has just started, it may wait first: see waitForFleetState.
 func (a *Agent) HandleRequest(ctx context.Context, r *protocol.Request) (protocol.Response, bool) {
 	if !a.waitForFleetState(ctx, r.TimeLeft) {
 		r.Release()
@@ -49,9 +50,9 @@
 	}
 }
 
-// waitForFleetState has a request that arrives before this process has caught up with its fleet wait a
-// little: forwarded at once it could reach an endpoint that operators were told is free of such requests.
-// False: the client has left.
+// waitForFleetState delays a request that arrives before this process has caught up with its fleet, for a
+// limited time: if forwarded at once, it could reach an endpoint that was reported to operators as free of
+// such requests. It returns false if the client has left.
 func (a *Agent) waitForFleetState(ctx context.Context, timeLeft time.Duration) bool {
 	if a.fleetCaughtUp == nil || a.fleetCaughtUp() {
 		return true
@@ -72,7 +73,7 @@
 	return true
 }
 
-// startRequest hands a request to the router, which gives it its number.
+// startRequest passes a request to the router, which assigns its number.
 func (a *Agent) startRequest(now time.Duration, r *request) {
 	id, out := a.router.RequestArrived(now, r.Request, a.clock.at(r.ArrivedAt))
 	r.id = id
@@ -80,23 +81,23 @@
 	a.carryOutAll(out)
 }
 
-// startResponse takes a response that is longer than what is buffered.
+// startResponse handles the beginning of a response that is too long to be buffered.
 func (a *Agent) startResponse(now time.Duration, m responseStarted) {
 	a.response = m.response
-	if m.attempt.timer.Stop() { // else its time is up, and its end will be told
+	if m.attempt.timer.Stop() { // else the attempt has timed out, and attemptEnded follows
 		a.carryOutAll(a.router.ResponseStarted(now, m.attempt.request.id, m.attempt.number))
 	}
 	a.closeUnusedResponse()
 }
 
-// endAttempt takes the end of an attempt, with the response that it may have.
+// endAttempt handles the end of an attempt, with its response if there is one.
 func (a *Agent) endAttempt(now time.Duration, m attemptEnded) {
 	a.response = m.response
 	a.carryOutAll(a.router.AttemptEnded(now, m.attempt.request.id, m.attempt.number, m.result))
 	a.closeUnusedResponse()
 }
 
-// closeUnusedResponse closes the response in hand where it has not become a request's.
+// closeUnusedResponse closes the reported response's body unless it has become the request's.
 func (a *Agent) closeUnusedResponse() {
 	if a.response.BodyStream != nil {
 		a.response.BodyStream.CloseRead()
@@ -104,8 +105,8 @@
 	a.response = protocol.UpstreamResponse{}
 }
 
-// closeUntakenResponse closes a response that was given while the client left.
-func (r *request) closeUntakenResponse() {
+// closeUndeliveredResponse closes a response that was given while the client was leaving.
+func (r *request) closeUndeliveredResponse() {
 	select {
 	case response := <-r.response:
 		if response.BodyStream != nil {
@@ -115,7 +116,7 @@
 	}
 }
 
-// carryOutForRequest carries out what the router asks for one request.
+// carryOutForRequest carries out an output of the router that concerns one request.
 func (a *Agent) carryOutForRequest(r *request, out *routing.Output) {
 	switch out.Kind {
 	case routing.Respond:
@@ -139,7 +140,7 @@
 	}
 }
 
-// respond gives the one final response. A successful one has the body of the response in hand.
+// respond gives the one final response. If it is served, its body is that of the reported response.
 func (a *Agent) respond(r *request, out *routing.Output) {
 	response := protocol.Response{
 		Kind: out.Result, RetryAfter: out.After, OverQuota: out.OverQuota,
@@ -150,7 +151,7 @@
 			Kind: protocol.Served, BodyStream: a.response.BodyStream, ContentType: a.response.ContentType,
 			Status: a.response.Status,
 		}
-		a.response.BodyStream = nil // the request's from now on
+		a.response.BodyStream = nil // it belongs to the request now
 	}
 	response.Streaming = out.Streaming
 	r.response <- response
--- a/internal/agent/responses_test.go
+++ b/internal/agent/responses_test.go
@@ -18,17 +18,17 @@
 	"dunestep/internal/transport"
 )
 
-// stage is the agent's actor alone: the test brings the messages, in any order.
-type stage struct {
+// actorHarness is the agent's actor alone: the test passes it messages, in any order.
+type actorHarness struct {
 	*Agent
 	pool     *bytebudget.Pool
 	released int
 }
 
-// copies is a module that sends every request several times at once, and does nothing else.
-type copies int
+// multiAttemptModule is a module that starts that many attempts of every request at once, and does nothing else.
+type multiAttemptModule int
 
-func (n copies) Step(_ time.Duration, ev balancer.Event) (acts []balancer.Action) {
+func (n multiAttemptModule) Step(_ time.Duration, ev balancer.Event) (acts []balancer.Action) {
 	if r, ok := ev.(*balancer.Request); ok {
 		for range n {
 			acts = append(acts, balancer.Action{Kind: balancer.Send, ID: r.ID, Server: "s-0"})
@@ -37,121 +37,121 @@
 	return acts
 }
 
-func newStage(n int) *stage {
+func newActorHarness(n int) *actorHarness {
 	set := balancer.Settings{Classes: []balancer.Class{{Name: "consult"}}, Limits: balancer.Limits{MaxAttempts: n}}
 	a := &Agent{
-		mail: newMailbox[any](), clock: newClock(), router: routing.NewRouter(set, copies(n)),
+		mail: newMailbox[any](), clock: newClock(), router: routing.NewRouter(set, multiAttemptModule(n)),
 		upstreams: map[string]*upstream{}, requests: map[uint32]*request{},
 	}
 	a.carryOutAll(a.router.ListUpdated(0, balancer.UpdateFull, protocol.EndpointList{Endpoints: []protocol.Endpoint{{
 		Server: balancer.Server{ID: "s-0"}, Addr: netip.MustParseAddrPort("127.0.0.1:1"),
 	}}}, balancer.WatchStatus{}))
-	a.upstreams["s-0"] = &upstream{mail: newMailbox[any]()} // nothing reads it
-	return &stage{Agent: a, pool: bytebudget.NewPool(1 << 20)}
+	a.upstreams["s-0"] = &upstream{mail: newMailbox[any]()} // no actor reads it
+	return &actorHarness{Agent: a, pool: bytebudget.NewPool(1 << 20)}
 }
 
-// body is a body of which half has come.
-func (s *stage) body(t *rapid.T) *bodystream.Stream {
+// body returns a body of which half has been received.
+func (s *actorHarness) body(t *rapid.T) *bodystream.Stream {
 	grant, err := s.pool.Reserve(t.Context(), bytebudget.Holder{Name: "s-0"}, 100)
 	require.NoError(t, err)
-	f := bodystream.New(100, grant, 100)
-	_, err = f.WriteBuffer()
+	stream := bodystream.New(100, grant, 100)
+	_, err = stream.WriteBuffer()
 	require.NoError(t, err)
-	f.Wrote(50)
-	return f
+	stream.Wrote(50)
+	return stream
 }
 
-// Whatever the order of events with several attempts: the client has one response at most, the first that began or was
-// complete; each other body is closed, and nothing is left.
-func TestOneResponseInAnyOrder(t *testing.T) {
+// For any order of events with several attempts: the client gets at most one response, the first that began or was complete.
+// The bodies of all others are closed, and no state is left.
+func TestAtMostOneResponseInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := rapid.IntRange(1, 3).Draw(t, "steps")
-		s := newStage(n)
+		n := rapid.IntRange(1, 3).Draw(t, "attempts")
+		s := newActorHarness(n)
 		r := &request{response: make(chan protocol.Response, 1), Request: &protocol.Request{
 			Class:         "consult",
 			CorrelationID: "1", ArrivedAt: time.Now(), TimeLeft: time.Minute, Release: func() { s.released++ },
 		}}
 		s.handle(r)
-		var flows []*bodystream.Stream
-		begun, over := make([]*bodystream.Stream, n), make([]bool, n)
-		var taken []protocol.Response
-		gone := false
-		end := func(i int, f *bodystream.Stream, saw routing.AttemptResult) {
-			over[i] = true
-			saw.Phase = routing.Responding
-			s.handle(attemptEnded{attempt: r.attempts[i], result: saw, response: protocol.UpstreamResponse{BodyStream: f}})
+		var streams []*bodystream.Stream
+		started, ended := make([]*bodystream.Stream, n), make([]bool, n)
+		var received []protocol.Response
+		clientHasLeft := false
+		end := func(i int, stream *bodystream.Stream, result routing.AttemptResult) {
+			ended[i] = true
+			result.Phase = routing.Responding
+			s.handle(attemptEnded{attempt: r.attempts[i], result: result, response: protocol.UpstreamResponse{BodyStream: stream}})
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"begin": func(t *rapid.T) {
-				if i := rapid.IntRange(0, n-1).Draw(t, "i"); !over[i] && begun[i] == nil {
-					begun[i] = s.body(t)
-					flows = append(flows, begun[i])
-					s.handle(responseStarted{r.attempts[i], protocol.UpstreamResponse{BodyStream: begun[i]}})
+				if i := rapid.IntRange(0, n-1).Draw(t, "i"); !ended[i] && started[i] == nil {
+					started[i] = s.body(t)
+					streams = append(streams, started[i])
+					s.handle(responseStarted{r.attempts[i], protocol.UpstreamResponse{BodyStream: started[i]}})
 				}
 			},
 			"end": func(t *rapid.T) {
 				i := rapid.IntRange(0, n-1).Draw(t, "i")
-				why := rapid.SampledFrom([]error{io.EOF, errors.New("broken")}).Draw(t, "why")
+				cause := rapid.SampledFrom([]error{io.EOF, errors.New("broken")}).Draw(t, "cause")
 				switch {
-				case over[i]:
-				case begun[i] != nil:
-					begun[i].CloseWrite(why)
-					over[i] = true
-				case errors.Is(why, io.EOF):
-					f := s.body(t)
-					f.CloseWrite(io.EOF)
-					flows = append(flows, f)
-					end(i, f, routing.AttemptResult{EndReason: routing.Completed})
+				case ended[i]:
+				case started[i] != nil:
+					started[i].CloseWrite(cause)
+					ended[i] = true
+				case errors.Is(cause, io.EOF):
+					stream := s.body(t)
+					stream.CloseWrite(io.EOF)
+					streams = append(streams, stream)
+					end(i, stream, routing.AttemptResult{EndReason: routing.Completed})
 				default:
 					end(i, nil, routing.AttemptResult{EndReason: routing.BrokenByEndpoint})
 				}
 			},
-			"take": func(*rapid.T) {
-				if gone {
+			"receive": func(*rapid.T) {
+				if clientHasLeft {
 					return
 				}
 				select {
 				case a := <-r.response:
-					taken = append(taken, a)
+					received = append(received, a)
 				default:
 				}
 			},
-			"leave": func(*rapid.T) {
-				if !gone && len(taken) == 0 {
-					gone = true
+			"client leaves": func(*rapid.T) {
+				if !clientHasLeft && len(received) == 0 {
+					clientHasLeft = true
 					s.handle(clientGone{r})
 				}
 			},
-			"abandon": func(*rapid.T) { s.handle(failAll{}) },
+			"fail all": func(*rapid.T) { s.handle(failAll{}) },
 		})
-		// Everything ends.
-		if !gone && len(taken) == 0 {
+		// End all that is still open.
+		if !clientHasLeft && len(received) == 0 {
 			s.handle(failAll{})
-			taken = append(taken, <-r.response)
+			received = append(received, <-r.response)
 		}
-		for i, f := range begun {
-			if f != nil && !over[i] {
-				f.CloseWrite(io.ErrUnexpectedEOF)
+		for i, stream := range started {
+			if stream != nil && !ended[i] {
+				stream.CloseWrite(io.ErrUnexpectedEOF)
 			}
 		}
-		for _, a := range taken {
+		for _, a := range received {
 			if a.BodyStream != nil {
 				a.BodyStream.CloseRead()
 			}
 		}
-		for i, f := range begun {
-			if f != nil {
-				<-f.Done()
-				end(i, nil, routing.AttemptResult{Streamed: true, EndReason: endReasonOf(r.attempts[i].ctx, f.Result())})
-			} else if !over[i] {
+		for i, stream := range started {
+			if stream != nil {
+				<-stream.Done()
+				end(i, nil, routing.AttemptResult{Streamed: true, EndReason: endReasonOf(r.attempts[i].ctx, stream.Result())})
+			} else if !ended[i] {
 				end(i, nil, routing.AttemptResult{EndReason: routing.TimedOut})
 			}
 		}
-		require.LessOrEqual(t, len(taken), 1)
+		require.LessOrEqual(t, len(received), 1)
 		require.Empty(t, r.response)
-		for _, f := range flows {
-			_, err := f.ReadBuffer()
-			require.Error(t, err, "closed")
+		for _, stream := range streams {
+			_, err := stream.ReadBuffer()
+			require.Error(t, err, "the body is closed")
 		}
 		require.Zero(t, s.pool.Reserved())
 		require.Positive(t, s.released)
@@ -159,7 +159,7 @@
 	})
 }
 
-// What the endpoint did not do is not taken for its breaking the connection.
+// Ends that the endpoint did not cause are not reported as the endpoint's breaking of the connection.
 func TestEndReason(t *testing.T) {
 	c := newClock()
 	s := newAttempt(&request{}, routing.Output{At: c.now() + time.Minute}, c)
@@ -174,7 +174,7 @@
 	require.Equal(t, routing.NoMemory, endReasonOf(s.ctx, bytebudget.ErrFull))
 }
 
-// The time that this side delayed a body is not the endpoint's.
+// The time for which this agent delayed a body is not part of the endpoint's latency.
 func TestEndpointLatency(t *testing.T) {
 	sent := time.Now()
 	buffered := &exchange{attempt: &attempt{sent: sent, request: &request{Request: &protocol.Request{}}}}
@@ -182,7 +182,7 @@
 	p := bodystream.Progress{IsComplete: true, LastReceivedAt: sent.Add(9 * time.Second), DelayedBefore: time.Second, StalledFor: 2 * time.Second}
 	require.Equal(t, 6*time.Second, buffered.endpointLatency(p, sent.Add(time.Hour)))
 	p.ReceivingFor = time.Second
-	require.Equal(t, 5*time.Second, streamed.endpointLatency(p, sent.Add(time.Hour)), "its beginning is timed")
+	require.Equal(t, 5*time.Second, streamed.endpointLatency(p, sent.Add(time.Hour)), "only the beginning of a streamed body is timed")
 	p.IsComplete = false
 	require.Equal(t, time.Hour-3*time.Second, buffered.endpointLatency(p, sent.Add(time.Hour)))
 	require.Equal(t, time.Hour, buffered.endpointLatency(bodystream.Progress{}, sent.Add(time.Hour)))
--- a/internal/agent/sharedlimits.go
+++ b/internal/agent/sharedlimits.go
@@ -9,7 +9,7 @@
 	"dunestep/internal/routing"
 )
 
-// idleLimit is the limit on idle connections, which all upstreams share. It is safe for concurrent use.
+// idleLimit is a routing.IdleLimit that all upstreams share. It is safe for concurrent use.
 type idleLimit struct {
 	mu     sync.Mutex
 	shared *routing.IdleLimit
@@ -22,7 +22,7 @@
 	return l.shared.Limit()
 }
 
-// record records what an attempt shows of idle connections.
+// record records what an attempt shows about idle connections.
 func (l *idleLimit) record(now time.Duration, result routing.AttemptResult) {
 	if idleFor, lost, counts := result.IdleEvidence(); counts {
 		l.mu.Lock()
@@ -45,21 +45,21 @@
 	l.shared.Restore(s, age)
 }
 
-// connectTimeouts are how long connections are waited for, which all upstreams share. It is safe for
-// concurrent use.
+// connectTimeouts is a routing.ConnectTimeouts that all upstreams share. It is safe for concurrent use.
 type connectTimeouts struct {
 	mu     sync.Mutex
 	shared routing.ConnectTimeouts
 }
 
-// timeout is how long an attempt with so much time left waits for its connection.
+// timeout returns how long an attempt with that much time left waits for its connection, at most longest.
 func (c *connectTimeouts) timeout(longest, left time.Duration) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.shared.Timeout(longest, left)
 }
 
-// record records how a connect ended that began at a time. One that was canceled or refused shows nothing.
+// record records the result of a connect that began at a time. Errors other than timeouts, such as
+// cancellation or refusal, are ignored.
 func (c *connectTimeouts) record(began time.Time, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/agent/upstream.go
+++ b/internal/agent/upstream.go
@@ -9,7 +9,7 @@
 	"dunestep/internal/transport"
 )
 
-// upstreamSettings are what all upstreams share.
+// upstreamSettings are the settings and resources that all upstreams share.
 type upstreamSettings struct {
 	clock             clock
 	maxConnectTimeout time.Duration
@@ -21,34 +21,35 @@
 	metrics           *metrics.Counters
 }
 
-// upstream is the actor of one endpoint, with its pool of connections. Attempts run beside it, in goroutines
-// that it starts and that end with the attempt.
+// upstream is the actor of one endpoint, with its pool of connections. It starts a goroutine for each
+// attempt, which ends with the attempt.
 type upstream struct {
-	settings upstreamSettings
-	mail     *mailbox[any]
-	report   func(any) // takes responseStarted and attemptEnded; the agent's actor handles them
-	pool     *routing.Pool[*transport.UpstreamConn]
-	expiry   *time.Timer   // until the next idle connection is to be closed; nil: never set
-	expiryAt time.Duration // when that is, on the clock; zero: it is not set
+	settings    upstreamSettings
+	mail        *mailbox[any]
+	report      func(any) // takes responseStarted and attemptEnded; the agent's actor handles them
+	pool        *routing.Pool[*transport.UpstreamConn]
+	expiryTimer *time.Timer   // fires when the next idle connection must be closed; nil: never set
+	expiryAt    time.Duration // when expiryTimer fires, on the clock; zero: it is not set
 }
 
-// The messages of an upstream's actor, beside *attempt.
+// The messages of an upstream's actor, in addition to *attempt.
 type (
 	addressChanged     struct{ addr netip.AddrPort }
 	connectionReturned struct {
 		checkout routing.Checkout[*transport.UpstreamConn]
 		conn     *transport.UpstreamConn // nil: closed
-		unused   bool                    // it is the checkout's, and nothing was written on it
-		// when its attempt was sent, where it was reused and got no answer; else zero
+		unused   bool                    // conn is the checkout's, and nothing was written on it
+		// unansweredSince is when the attempt was sent, if it got no response on a reused
+		// connection; else zero.
 		unansweredSince time.Duration
 	}
 	idleExpired     struct{}
 	connectionEnded struct{ conn *transport.UpstreamConn }
-	// stopReuse: no idle connections are held from now on.
+	// stopReuse closes idle connections, and others after their response.
 	stopReuse struct{}
-	// closeIdleHalf: half of the idle connections are to be closed.
+	// closeIdleHalf closes half of the idle connections.
 	closeIdleHalf struct{}
-	// retire: the endpoint was removed; the actor ends when no connection is in use.
+	// retire reports that the endpoint was removed; the actor ends when no connection is in use.
 	retire struct{}
 )
 
@@ -62,7 +63,7 @@
 	return u
 }
 
-// handle handles one message, and tells whether the actor goes on.
+// handle handles one message, and reports whether the actor continues.
 func (u *upstream) handle(m any) bool {
 	now := u.settings.clock.now()
 	var closing []*transport.UpstreamConn
@@ -72,7 +73,7 @@
 		checkout, closing = u.pool.Acquire(now)
 		go u.carryOut(m, checkout)
 	case connectionReturned:
-		closing = u.takeBack(now, m)
+		closing = u.checkIn(now, m)
 	case idleExpired:
 		u.expiryAt = 0
 		closing = u.pool.Expire(now)
@@ -94,8 +95,8 @@
 	return !u.pool.IsDone()
 }
 
-// takeBack returns a connection to the pool, and those that are to be closed for it.
-func (u *upstream) takeBack(now time.Duration, m connectionReturned) (closing []*transport.UpstreamConn) {
+// checkIn returns a connection to the pool. The result is the connections to close.
+func (u *upstream) checkIn(now time.Duration, m connectionReturned) (closing []*transport.UpstreamConn) {
 	switch {
 	case m.unansweredSince != 0:
 		return u.pool.ReleaseUnanswered(m.unansweredSince)
@@ -108,16 +109,16 @@
 	return u.pool.Release(now, m.conn, m.checkout.Addr, m.conn.HasEnded())
 }
 
-// scheduleExpiry sets the timer for the next idle connection that is to be closed. One that is set for
-// earlier stays: when it fires, the next is set.
+// scheduleExpiry sets the timer for the next idle connection to close. A timer that is set for an earlier
+// time stays: when it fires, it is set again.
 func (u *upstream) scheduleExpiry() {
-	at, any := u.pool.NextExpiry()
-	if !any || u.expiryAt != 0 && u.expiryAt <= at {
+	at, ok := u.pool.NextExpiry()
+	if !ok || u.expiryAt != 0 && u.expiryAt <= at {
 		return
 	}
 	u.expiryAt = at
-	if u.expiry != nil {
-		u.expiry.Stop()
+	if u.expiryTimer != nil {
+		u.expiryTimer.Stop()
 	}
-	u.expiry = time.AfterFunc(u.settings.clock.until(at), func() { u.mail.put(idleExpired{}) })
+	u.expiryTimer = time.AfterFunc(u.settings.clock.until(at), func() { u.mail.put(idleExpired{}) })
 }
--- a/internal/agent/upstream_test.go
+++ b/internal/agent/upstream_test.go
@@ -21,17 +21,17 @@
 	"dunestep/internal/transport"
 )
 
-// scene is an upstream's actor in front of an endpoint that the test plays.
-type scene struct {
+// upstreamHarness is an upstream's actor with an endpoint that the test implements.
+type upstreamHarness struct {
 	t        *testing.T
 	clock    clock
 	upstream *upstream
 	reports  chan any
 }
 
-// play begins a scene. The endpoint's side of each connection is served by a goroutine of its own, which is told its
-// number, from 1 on; edit changes the actor's settings.
-func play(t *testing.T, serve func(n int, c *net.TCPConn), edit func(*upstreamSettings)) *scene {
+// startUpstreamHarness starts an upstreamHarness. serve is called for the endpoint's side of each connection, in its own
+// goroutine, with the number of the connection from 1 on. edit changes the actor's settings.
+func startUpstreamHarness(t *testing.T, serve func(n int, c *net.TCPConn), edit func(*upstreamSettings)) *upstreamHarness {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	var served sync.WaitGroup
@@ -47,7 +47,7 @@
 			})
 		}
 	})
-	s := &scene{t: t, clock: newClock(), reports: make(chan any, 16)}
+	s := &upstreamHarness{t: t, clock: newClock(), reports: make(chan any, 16)}
 	set := upstreamSettings{
 		clock: s.clock, maxConnectTimeout: time.Minute, connectTimeouts: &connectTimeouts{},
 		idleLimit:   &idleLimit{shared: routing.NewIdleLimit(s.clock.now(), time.Hour)},
@@ -69,8 +69,8 @@
 	return s
 }
 
-// attempt prepares an attempt that has a minute.
-func (s *scene) attempt(id string) *attempt {
+// newAttempt returns an attempt with a timeout of a minute.
+func (s *upstreamHarness) newAttempt(id string) *attempt {
 	until := s.clock.now() + time.Minute
 	return newAttempt(&request{Request: &protocol.Request{
 		Method: http.MethodGet, Target: "/consult",
@@ -78,8 +78,8 @@
 	}}, routing.Output{At: until, Deadline: until}, s.clock)
 }
 
-// ended waits for the end of an attempt, and returns it with the response's body.
-func (s *scene) ended() (attemptEnded, string) {
+// awaitEnd waits for the end of an attempt, and returns its report with the response's body.
+func (s *upstreamHarness) awaitEnd() (attemptEnded, string) {
 	s.t.Helper()
 	select {
 	case m := <-s.reports:
@@ -92,111 +92,111 @@
 		require.NoError(s.t, err)
 		return end, string(body)
 	case <-time.After(time.Minute):
-		require.Fail(s.t, "the attempt does not end")
+		require.Fail(s.t, "the attempt has not ended within a minute")
 		return attemptEnded{}, ""
 	}
 }
 
-const answerHead = "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s"
+const responseFormat = "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s"
 
-func answerOf(id string) string { return fmt.Sprintf(answerHead, len(id), id) }
+func responseTo(id string) string { return fmt.Sprintf(responseFormat, len(id), id) }
 
-// answerAll answers the requests of a connection with their ids, until it ends. Came is called with each, before its body
-// has come.
-func answerAll(c *net.TCPConn, came func(*http.Request)) {
+// respondToAll answers the requests of a connection with their ids, until it ends. onRequest is called with each request
+// before its body is read.
+func respondToAll(c *net.TCPConn, onRequest func(*http.Request)) {
 	for in := bufio.NewReader(c); ; {
 		r, err := http.ReadRequest(in)
 		if err != nil {
 			return
 		}
-		came(r)
+		onRequest(r)
 		_, _ = io.Copy(io.Discard, r.Body)
-		_, _ = io.WriteString(c, answerOf(r.Header.Get("X-Correlation-Id")))
+		_, _ = io.WriteString(c, responseTo(r.Header.Get("X-Correlation-Id")))
 	}
 }
 
-// A second response comes late, when the next attempt has got its connection already: it belongs to no request. The next
-// attempt waits for the reuse delay, and goes out on another connection when something comes meanwhile. The endpoint
-// writes the second response as soon as it has read the next request, else so much later.
-func TestLateSecondResponse(t *testing.T) {
+// An endpoint sends a second response to a request when the next attempt has already acquired the connection. The next attempt
+// must not take it for its own: it waits for the reuse delay, and is sent on another connection if data arrives meanwhile. The
+// endpoint writes the second response as soon as it has read the next request, or after 100 ms.
+func TestLateSecondResponseIsDiscarded(t *testing.T) {
 	const late = 100 * time.Millisecond
-	s := play(t, func(n int, c *net.TCPConn) {
+	s := startUpstreamHarness(t, func(n int, c *net.TCPConn) {
 		in := bufio.NewReader(c)
 		r, err := http.ReadRequest(in)
 		if err != nil {
 			return
 		}
-		own := answerOf(r.Header.Get("X-Correlation-Id"))
-		_, _ = io.WriteString(c, own)
+		response := responseTo(r.Header.Get("X-Correlation-Id"))
+		_, _ = io.WriteString(c, response)
 		if n > 1 {
 			return
 		}
-		came := make(chan struct{})
+		received := make(chan struct{})
 		go func() {
-			defer close(came)
+			defer close(received)
 			if r, err := http.ReadRequest(in); err == nil {
-				_, _ = io.WriteString(c, own+answerOf(r.Header.Get("X-Correlation-Id")))
+				_, _ = io.WriteString(c, response+responseTo(r.Header.Get("X-Correlation-Id")))
 			}
 		}()
 		select {
-		case <-came:
+		case <-received:
 		case <-time.After(late):
-			_, _ = io.WriteString(c, own)
-			<-came // it is closed
+			_, _ = io.WriteString(c, response)
+			<-received // the agent closes the connection
 		}
 	}, func(set *upstreamSettings) { set.reuseDelay = time.Minute })
-	s.upstream.mail.put(s.attempt("000000000000000a"))
-	_, body := s.ended()
+	s.upstream.mail.put(s.newAttempt("000000000000000a"))
+	_, body := s.awaitEnd()
 	require.Equal(t, "000000000000000a", body)
-	s.upstream.mail.put(s.attempt("000000000000000b"))
-	end, body := s.ended()
+	s.upstream.mail.put(s.newAttempt("000000000000000b"))
+	end, body := s.awaitEnd()
 	require.Equal(t, balancer.Served, end.result.Outcome())
-	require.Equal(t, "000000000000000b", body, "not another request's")
+	require.Equal(t, "000000000000000b", body, "the response of its response request")
 }
 
-// An attempt that is given up during the reuse delay is not sent, and the connection stays as it was: the time that it has
-// been idle goes on.
-func TestGivenUpDuringTheReuseDelay(t *testing.T) {
-	came := make(chan string, 4)
-	s := play(t, func(_ int, c *net.TCPConn) {
-		answerAll(c, func(r *http.Request) { came <- r.Header.Get("X-Correlation-Id") })
+// An attempt that is given up during the reuse delay is not sent. Its connection is returned to the pool, and its idle time
+// continues.
+func TestAttemptCanceledDuringReuseDelayIsNotSent(t *testing.T) {
+	received := make(chan string, 4)
+	s := startUpstreamHarness(t, func(_ int, c *net.TCPConn) {
+		respondToAll(c, func(r *http.Request) { received <- r.Header.Get("X-Correlation-Id") })
 	}, func(set *upstreamSettings) { set.reuseDelay = time.Minute })
-	s.upstream.mail.put(s.attempt("000000000000000a"))
-	s.ended()
+	s.upstream.mail.put(s.newAttempt("000000000000000a"))
+	s.awaitEnd()
 	for _, c := range []struct {
 		end  func(*attempt)
 		want balancer.Outcome
 	}{
 		{(*attempt).cancelIfUnsent, balancer.Canceled},
-		{func(r *attempt) { r.cancel(routing.Canceled) }, balancer.Canceled},
-		{func(r *attempt) { r.cancel(routing.TimedOut) }, balancer.ConnectFailed},
+		{func(a *attempt) { a.cancel(routing.Canceled) }, balancer.Canceled},
+		{func(a *attempt) { a.cancel(routing.TimedOut) }, balancer.ConnectFailed},
 	} {
-		canceled := s.attempt("000000000000000b")
+		canceled := s.newAttempt("000000000000000b")
 		s.upstream.mail.put(canceled)
 		c.end(canceled)
-		end, _ := s.ended()
+		end, _ := s.awaitEnd()
 		require.Equal(t, c.want, end.result.Outcome())
-		require.True(t, end.result.LocalFault || c.want == balancer.Canceled, "no fault of the endpoint")
+		require.True(t, end.result.LocalFault || c.want == balancer.Canceled, "not counted as a fault of the endpoint")
 	}
-	require.Len(t, came, 1)
+	require.Len(t, received, 1)
 }
 
-// The body of a long request is complete while its connection is still being opened, or delayed: the endpoint is told the
-// time that is left by then, and not the time that counts from a last byte which is long past.
-func TestTimeLeftAfterACompleteBody(t *testing.T) {
+// The body of a long request is complete while its connection is still being opened, or delayed: the time left that is sent to
+// the endpoint is that at the time of sending, not the timeout counted from the last byte, which has long been received.
+func TestAnnouncedTimeLeftAfterBodyIsComplete(t *testing.T) {
 	announced := make(chan string, 1)
-	s := play(t, func(_ int, c *net.TCPConn) {
-		answerAll(c, func(r *http.Request) { announced <- r.Header.Get("X-Time-Left-Ms") })
+	s := startUpstreamHarness(t, func(_ int, c *net.TCPConn) {
+		respondToAll(c, func(r *http.Request) { announced <- r.Header.Get("X-Time-Left-Ms") })
 	}, nil)
 	timeLeft := func(edit func(*attempt)) (ms int) {
 		rest := bodystream.New(-1, bytebudget.Grant{}, 0)
 		rest.CloseWrite(io.EOF)
-		until := s.clock.now() + 15*time.Minute // for so long its body may come
+		until := s.clock.now() + 15*time.Minute // while its body is still being received
 		a := newAttempt(&request{Request: &protocol.Request{
 			Method: http.MethodPost, Target: "/rezervare",
 			CorrelationID: "000000000000000a", Class: "rezervare", TimeLeft: time.Minute, Length: -1, Rest: rest,
-			// A streamed body has a beginning: an empty one would be written as the last chunk, and the chunk after it
-			// be read as the next request.
+			// A streamed body has a non-empty beginning: an empty one would be written as the last chunk, and the chunk
+			// after it would be read as the next request.
 			Body: []byte("beginning"),
 		}},
 			routing.Output{At: until, Deadline: until, After: time.Minute}, s.clock)
@@ -204,7 +204,7 @@
 		s.upstream.mail.put(a)
 		_, err := fmt.Sscan(<-announced, &ms)
 		require.NoError(t, err)
-		s.ended()
+		s.awaitEnd()
 		return ms
 	}
 	require.Equal(t, 60_000, timeLeft(func(*attempt) {}))
@@ -214,34 +214,34 @@
 	}), 30_000)
 }
 
-// An attempt whose client leaves, or whose request gets its response, while its reused connection turns out to have ended
-// is not begun again on a new one, in whichever order the two are seen.
-func TestNotBegunAgainWithoutAClient(t *testing.T) {
-	s := play(t, func(int, *net.TCPConn) {}, nil)
-	for name, cross := range map[string]func(*attempt){
-		"before it is written":        func(r *attempt) { r.cancelIfUnsent(); r.beginWriting(); r.resetWriting() },
-		"as it is written":            func(r *attempt) { r.beginWriting(); r.cancelIfUnsent(); r.resetWriting() },
-		"as a new connection is made": func(r *attempt) { r.beginWriting(); r.resetWriting(); r.cancelIfUnsent() },
+// An attempt whose client leaves, or whose request gets its response, while its reused connection turns out to have ended is not
+// sent again on a new connection, whichever of the two events is handled first.
+func TestAttemptIsNotResentWithoutClient(t *testing.T) {
+	s := startUpstreamHarness(t, func(int, *net.TCPConn) {}, nil)
+	for name, steps := range map[string]func(*attempt){
+		"before it is written":    func(a *attempt) { a.cancelIfUnsent(); a.beginWriting(); a.resetWriting() },
+		"while it is written":     func(a *attempt) { a.beginWriting(); a.cancelIfUnsent(); a.resetWriting() },
+		"before a new connection": func(a *attempt) { a.beginWriting(); a.resetWriting(); a.cancelIfUnsent() },
 	} {
-		a := s.attempt("000000000000000a")
-		cross(a)
+		a := s.newAttempt("000000000000000a")
+		steps(a)
 		require.Error(t, a.ctx.Err(), name)
 		require.False(t, a.beginWriting(), name)
 	}
 }
 
-// An endpoint closes its idle connection once the next attempt has it: the attempt goes out on a new one, and that is the
-// first time that it is sent. That it has the connection is known by the attempt after it, which gets none.
-func TestReusedConnectionHadEnded(t *testing.T) {
-	came, end := make(chan string, 4), make(chan struct{})
-	s := play(t, func(n int, c *net.TCPConn) {
+// An endpoint closes its idle connection when the next attempt has already acquired it: the attempt is sent once, on a new
+// connection. A third attempt, which gets a new connection, shows that the second one has acquired the idle connection.
+func TestAttemptUsesNewConnectionWhenReusedOneHasEnded(t *testing.T) {
+	received, end := make(chan string, 4), make(chan struct{})
+	s := startUpstreamHarness(t, func(n int, c *net.TCPConn) {
 		for in := bufio.NewReader(c); ; {
 			r, err := http.ReadRequest(in)
 			if err != nil {
 				return
 			}
-			came <- r.Header.Get("X-Correlation-Id")
-			_, _ = io.WriteString(c, answerOf(r.Header.Get("X-Correlation-Id")))
+			received <- r.Header.Get("X-Correlation-Id")
+			_, _ = io.WriteString(c, responseTo(r.Header.Get("X-Correlation-Id")))
 			if n == 1 {
 				<-end
 				return
@@ -249,17 +249,17 @@
 		}
 	}, func(set *upstreamSettings) { set.reuseDelay = 2 * time.Minute })
 	for _, id := range []string{"000000000000000a", "000000000000000b", "000000000000000c"} {
-		s.upstream.mail.put(s.attempt(id))
+		s.upstream.mail.put(s.newAttempt(id))
 		if id != "000000000000000b" {
-			_, body := s.ended()
+			_, body := s.awaitEnd()
 			require.Equal(t, id, body)
-			require.Equal(t, id, <-came)
+			require.Equal(t, id, <-received)
 		}
 	}
 	close(end)
-	b, body := s.ended()
+	b, body := s.awaitEnd()
 	require.Equal(t, balancer.Served, b.result.Outcome())
 	require.Equal(t, "000000000000000b", body)
-	require.False(t, b.result.Reused, "it went out on a new one")
-	require.Len(t, came, 1, "once")
+	require.False(t, b.result.Reused, "it was sent on a new connection")
+	require.Len(t, received, 1, "it was sent once")
 }
