--- a/internal/control/policy/active.go
+++ b/internal/control/policy/active.go
@@ -6,27 +6,27 @@
 type Mode uint8
 
 const (
-	// ModeBottom is the lowest floor, which no version can forbid. The agent has never had a lease, or not for
-	// so long that the floor that it knows may have been replaced.
+	// ModeBottom means that the agent acts within the lowest floor, which no version can forbid: it has never
+	// had a lease, or its last lease is so old that the floor that it knows may have been replaced.
 	ModeBottom Mode = iota
-	// ModeFloor is the floor of a version.
+	// ModeFloor means that the agent acts within the floor of a version.
 	ModeFloor
-	// ModeFull is a version.
+	// ModeFull means that the agent acts on a version.
 	ModeFull
 )
 
-// String is the word that the operators' interface shows; tools compare it.
+// String returns the word that the operators' interface shows; operators' tools compare it.
 func (h Mode) String() string { return [...]string{"bottom", "floor", "full"}[min(h, ModeFull)] }
 
-// Active is what an agent acts on at a moment.
+// Active is the policy that an agent acts on at one moment.
 type Active struct {
 	Mode    Mode
-	Version uint64  // acted on, or whose floor it is; zero at the bottom
+	Version uint64  // the version acted on, or the one whose floor applies; zero for ModeBottom
 	Effect  *Effect // the same pointer as long as nothing changes
 }
 
-// Active is what a decision is to act on. The reading and the lease's standing have to be taken for this
-// decision, so that a process that was paused notices that its lease has expired.
+// Active returns the policy that a decision has to act on. The clock reading and the lease's standing must be
+// taken for this decision, so that a process that was paused notices that its lease has expired.
 func (a *Agent) Active(now lease.ClockReading, standing lease.Standing) Active {
 	switch {
 	case standing == lease.New:
@@ -46,7 +46,7 @@
 	return Active{Mode: ModeFloor, Version: v.version.Number, Effect: v.floor}
 }
 
-// effectiveVersion is the newest version whose time has come.
+// effectiveVersion returns the newest version whose effective time has passed.
 func (a *Agent) effectiveVersion(now lease.ClockReading) resolvedVersion {
 	newest := a.recent[0]
 	if n := newest.version.Number; n > a.newestEffective && now.Unix >= newest.version.EffectiveAt {
@@ -58,7 +58,7 @@
 	return newest
 }
 
-// isBoundByPromise tells whether the agent's promise keeps it from acting on the version in force.
+// isBoundByPromise reports whether the agent's promise keeps it from acting on the version in force.
 func (a *Agent) isBoundByPromise(now lease.ClockReading) bool {
 	open := a.state.OpenChange
 	return open != nil && a.lastAnswer.Version == open.Number && a.lastAnswer.Code == Accepted &&
--- a/internal/control/policy/agent.go
+++ b/internal/control/policy/agent.go
@@ -8,50 +8,51 @@
 	"dunestep/internal/fleet/lease"
 )
 
-// Agent is the part of every agent, voter or not: it checks changes and answers them, and says by which
-// policy the agent may act at a moment.
+// Agent is the part of the protocol that runs in every agent, voter or not: it checks and answers changes,
+// and determines which policy the agent may act on at a given moment.
 type Agent struct {
 	local  LocalSettings
 	times  Times
 	state  State
 	recent []resolvedVersion // the version in force and the one before it
-	// checked is the change that was answered last, so that it is not evaluated again once it is in force.
+	// checked is the change that was last answered, kept so that it is not evaluated again once it is in force.
 	checked resolvedVersion
-	bottom  *Effect // of the lowest floor
+	bottom  *Effect // the effect of the lowest floor
 
 	lastAnswer     Answer
 	acknowledgedBy []int         // voters that have acknowledged lastAnswer
-	notifyAt       time.Duration // when voters are to be notified next, by the monotonic clock
-	notifications  int           // how often voters were notified of lastAnswer
-	// newestEffective is the newest version whose time has come. It stays so where the clock is set back.
+	notifyAt       time.Duration // when voters are next notified, by the monotonic clock
+	notifications  int           // number of times that voters were notified of lastAnswer
+	// newestEffective is the newest version that has taken effect. It does not fall when the clock is set back.
 	newestEffective uint64
 	hadLease        bool
 	lastLeased      lease.ClockReading // valid if hadLease
 }
 
-// resolvedVersion is a version with what it means for this agent.
+// resolvedVersion is a version with its effects for this agent.
 type resolvedVersion struct {
 	version Version
-	effect  *Effect // nil: it cannot be used with the local settings
-	floor   *Effect // nil: this build cannot read its floor
+	effect  *Effect // nil if the version cannot be used with the local settings
+	floor   *Effect // nil if this build cannot read its floor
 }
 
-// NewAgent returns an Agent at version 0. A log that is started anew needs a new Agent, as it needs a new
-// Voter and Proposer: its versions are numbered from the start.
-func NewAgent(own LocalSettings, times Times) *Agent {
+// NewAgent returns an Agent at version 0. A new log needs a new Agent, Voter and Proposer, because its
+// versions are numbered from the start again.
+func NewAgent(local LocalSettings, times Times) *Agent {
 	a := &Agent{times: times.WithDefaults()}
-	a.SetLocalSettings(own)
+	a.SetLocalSettings(local)
 	return a
 }
 
-// SetLocalSettings replaces the settings that documents are checked against. An answer that was given stays.
-func (a *Agent) SetLocalSettings(own LocalSettings) {
-	a.local, a.bottom, a.recent, a.checked = own, lowestFloor().Effect(own), nil, resolvedVersion{}
+// SetLocalSettings replaces the settings that documents are checked against. It does not change an answer
+// that was already given.
+func (a *Agent) SetLocalSettings(local LocalSettings) {
+	a.local, a.bottom, a.recent, a.checked = local, lowestFloor().Effect(local), nil, resolvedVersion{}
 	a.Learn(&StateMachine{state: a.state})
 }
 
-// Learn takes the present state. It is called after records or a snapshot were applied. An open change is
-// checked and answered once.
+// Learn updates the agent with the current agreed state. The caller calls it after records or a snapshot were
+// applied. An open change is checked and answered once.
 func (a *Agent) Learn(m *StateMachine) {
 	a.state = m.State()
 	recent := []resolvedVersion{a.resolve(a.state.InForce)}
@@ -64,8 +65,8 @@
 	}
 }
 
-// resolve returns the earlier evaluation of a version where there is one, so that its effects stay the same
-// pointers.
+// resolve evaluates a version with the local settings. It reuses an earlier evaluation of the version, so
+// that the pointers to its effects stay the same.
 func (a *Agent) resolve(v Version) resolvedVersion {
 	for _, known := range append([]resolvedVersion{a.checked}, a.recent...) {
 		if known.floor != nil && known.version.Number == v.Number &&
@@ -76,7 +77,7 @@
 	}
 	resolved, document := resolvedVersion{version: v, effect: a.local.unrestricted()}, (*Document)(nil)
 	if v.Number > 0 {
-		// Where the document is rejected there is no effect: IsUsable tells.
+		// The effect is nil if the document is rejected; IsUsable reports that.
 		document, resolved.effect, _ = checkDocument(v.Document, a.local, nil)
 	}
 	if floor, ok := decodeFloor(v.Floor); ok {
@@ -85,7 +86,7 @@
 	return resolved
 }
 
-// checkChange is the agent's answer to a change.
+// checkChange evaluates a change with the local settings and returns the agent's answer.
 func (a *Agent) checkChange(open *Change) Answer {
 	answer := Answer{Version: open.Number}
 	a.checked = resolvedVersion{version: open.Version}
@@ -106,7 +107,7 @@
 	for _, data := range a.Floors() {
 		floor, ok := decodeFloor(data)
 		if !ok {
-			return nil, nil, Rejection{UnreadableDocument, "the floor in force is of a later build"}
+			return nil, nil, Rejection{UnreadableDocument, "the floor in force is from a later build"}
 		}
 		floors = append(floors, floor)
 	}
@@ -117,8 +118,8 @@
 	return document, effect, err
 }
 
-// Floors are the encoded floors that a document has to allow now: the one in force, and a former one that may
-// still be in use.
+// Floors returns the encoded floors that a document has to allow now: the one in force, and a former one that
+// may still be in use.
 func (a *Agent) Floors() [][]byte {
 	floors := [][]byte{a.state.InForce.Floor}
 	if a.state.FormerFloor != nil {
@@ -127,9 +128,9 @@
 	return floors
 }
 
-// IsUsable tells whether the version in force can be used with the local settings. If not, the agent acts
-// within its floor, which operators are to be told of.
+// IsUsable reports whether the version in force can be used with the local settings. If not, the agent acts
+// within that version's floor, and the caller should report it to operators.
 func (a *Agent) IsUsable() bool { return a.recent[0].effect != nil }
 
-// EncodedAnswer is the last answer. It goes with each request for a lease.
+// EncodedAnswer returns the encoded form of the last answer, which each lease request carries.
 func (a *Agent) EncodedAnswer() []byte { return a.lastAnswer.Encode() }
--- a/internal/control/policy/answer.go
+++ b/internal/control/policy/answer.go
@@ -2,14 +2,14 @@
 
 import "unicode/utf8"
 
-// AnswerCode is an agent's answer to a change: accepted, or why it rejects the document. The numbers are part
-// of what agents send to each other.
+// AnswerCode is an agent's answer to a change: accepted, or the reason for which it rejects the document. The
+// numbers are part of the messages between agents.
 type AnswerCode uint8
 
 const (
 	// Accepted is the promise that the package comment describes.
 	Accepted AnswerCode = iota
-	// UnreadableDocument means malformed, or of a later format than this build reads.
+	// UnreadableDocument means that the document is malformed, or of a later format than this build reads.
 	UnreadableDocument
 	// UnknownTenant means that the document names a tenant that is not in the agent's settings.
 	UnknownTenant
@@ -17,11 +17,11 @@
 	UnknownClass
 	// SharesExceedTotal means that the tenants' quotas exceed the settings' total.
 	SharesExceedTotal
-	// TooManyAttempts means more attempts than the settings permit.
+	// TooManyAttempts means that the document allows more attempts than the settings permit.
 	TooManyAttempts
-	// HedgingForbidden means that the document asks for hedged requests and the settings forbid them.
+	// HedgingForbidden means that the document allows hedged requests and the settings forbid them.
 	HedgingForbidden
-	// BelowFloor means that the document allows less than a floor which agents may act by.
+	// BelowFloor means that the document allows less than a floor that agents may be acting within.
 	BelowFloor
 	// BelowOwnFloor means that the document allows less than the floor that it sets itself.
 	BelowOwnFloor
@@ -37,22 +37,22 @@
 
 func (r Rejection) Error() string { return r.Text }
 
-// Answer is an agent's answer to a change, as it goes with its requests for leases.
+// Answer is an agent's answer to a change, as its lease requests carry it.
 type Answer struct {
-	Version uint64 // the newest version that the agent was asked about; zero: none yet
+	Version uint64 // number of the newest change that the agent has checked; zero if none
 	Code    AnswerCode
-	Text    string // for operators, where the change is rejected
+	Text    string // reason of a rejection, for operators
 }
 
 const (
-	// MaxAnswerSize is the most bytes of an encoded Answer.
+	// MaxAnswerSize is the maximum size of an encoded Answer, in bytes.
 	MaxAnswerSize = 64
-	// maxVarintSize is the most bytes of an encoded version number.
+	// maxVarintSize is the maximum size of an encoded version number, in bytes.
 	maxVarintSize = 10
 )
 
-// Encode returns the answer's bytes; none for the zero Answer. The form is the code, the version as a varint,
-// and the text up to the end, truncated to fit MaxAnswerSize.
+// Encode returns the encoded answer, or nil for the zero Answer. The encoding is the code in one byte, the
+// version as a varint, and the text up to the end, truncated to fit MaxAnswerSize.
 func (n Answer) Encode() []byte {
 	if n.Version == 0 {
 		return nil
@@ -69,24 +69,24 @@
 	return append(data, n.Text...)
 }
 
-// DecodeAnswer reads an encoded answer; no bytes are the zero Answer. It is false where the bytes are not an
+// DecodeAnswer decodes an answer; empty data is the zero Answer. It returns false if the data is not a valid
 // answer.
-func DecodeAnswer(data []byte) (n Answer, ok bool) {
+func DecodeAnswer(data []byte) (answer Answer, ok bool) {
 	if len(data) == 0 {
 		return Answer{}, true
 	}
 	if len(data) > MaxAnswerSize {
 		return Answer{}, false
 	}
-	n.Code = AnswerCode(data[0])
+	answer.Code = AnswerCode(data[0])
 	for i, b := range data[1:] {
 		if i == maxVarintSize-1 && b > 1 || i >= maxVarintSize {
 			return Answer{}, false
 		}
-		n.Version |= uint64(b&0x7f) << (7 * i)
+		answer.Version |= uint64(b&0x7f) << (7 * i)
 		if b < 0x80 {
-			n.Text = string(data[2+i:])
-			return n, n.Version > 0 && utf8.ValidString(n.Text)
+			answer.Text = string(data[2+i:])
+			return answer, answer.Version > 0 && utf8.ValidString(answer.Text)
 		}
 	}
 	return Answer{}, false
--- a/internal/control/policy/document.go
+++ b/internal/control/policy/document.go
@@ -15,23 +15,23 @@
 	// DocumentFormat is the document format that this build reads. A build rejects a later one, so a change of
 	// format waits until every agent that acts can read it.
 	DocumentFormat = 1
-	// MaxDocumentSize is the most bytes of a document: the snapshot holds three of them, the one in force, the
-	// one before and the open one, beside the state of the other state machines.
+	// MaxDocumentSize is the maximum size of a document, in bytes. The snapshot contains three documents (in
+	// force, previous and open) beside the state of the other state machines.
 	MaxDocumentSize = 14 << 10
 )
 
-// shareTolerance is by how much sums of shares may be off, for rounding.
+// shareTolerance is the rounding error allowed in a sum of shares.
 const shareTolerance = 1e-9
 
 // Document is a policy as its author wrote it, parsed but not yet checked against any settings.
 type Document struct {
 	file             documentTable
-	hedgingRequested map[string]bool // by class: whether the document says copies = true itself
+	hedgingRequested map[string]bool // by class: whether the document sets copies = true explicitly
 	contracts        map[string]*contract.Contract
-	zoneWithoutRules string // the zone of a contract whose rules the document does not give; empty: none
+	zoneWithoutRules string // a contract's time zone that the document has no rules for; empty if none
 }
 
-// documentTable is the form of a document. The keys are the operators'; docs/policy.md explains them.
+// documentTable is the TOML schema of a document. docs/policy.md explains its keys to operators.
 type documentTable struct {
 	Format   int64                  `toml:"format,need" range:"1..1"`
 	Note     string                 `toml:"note"`
@@ -39,15 +39,15 @@
 	Classes  map[string]classTable  `toml:"classes"`
 	Throttle throttleTable          `toml:"throttle"`
 	Floor    Floor                  `toml:"floor"`
-	// Contracts are by tenants of the settings; contract "-" is for requests of none of them.
+	// Contracts are by tenant of the settings; contract "-" is for requests that belong to none of them.
 	Contracts map[string]contract.Table `toml:"contracts"`
 	Capacity  Capacity                  `toml:"capacity"`
-	// Zones are the UTC offsets of the contracts' time zones; AddZoneRules adds those that are left out.
+	// Zones are the UTC offsets of the contracts' time zones; AddZoneRules adds the missing ones.
 	Zones map[string]zoneTable `toml:"zones"`
 }
 
 type zoneTable struct {
-	Changes []string `toml:"changes,need"` // the form of contract.ZoneRules
+	Changes []string `toml:"changes,need"` // in the format of contract.ZoneRules
 }
 
 type tenantTable struct {
@@ -56,7 +56,7 @@
 }
 
 type classTable struct {
-	Attempts           int           `toml:"attempts" range:"1..10"` // zero: as the settings
+	Attempts           int           `toml:"attempts" range:"1..10"` // zero if the settings decide
 	Hedging            bool          `toml:"copies" default:"true"`
 	MinAttemptInterval time.Duration `toml:"pace_ms" range:"0..1000"`
 }
@@ -65,7 +65,8 @@
 	MaxFailedRatio float64 `toml:"in_vain" range:"0.05..1" default:"1"`
 }
 
-// ParseDocument parses a document. The error is stricttoml.Problems, with lines and columns under the name.
+// ParseDocument parses a document. The error is stricttoml.Problems, which gives name as the file, with lines
+// and columns.
 func ParseDocument(name string, data []byte) (*Document, error) {
 	if len(data) > MaxDocumentSize {
 		return nil, stricttoml.Problems{{File: name, Text: fmt.Sprintf("is longer than %d bytes", MaxDocumentSize)}}
@@ -84,20 +85,21 @@
 	return d, nil
 }
 
-// checkShares complains about shares that exceed 1 together.
+// checkShares adds a problem if the tenants' shares sum to more than 1.
 func (d *Document) checkShares(doc *stricttoml.Document) {
 	var sum float64
 	for _, tenant := range slices.Sorted(maps.Keys(d.file.Tenants)) {
 		sum += d.file.Tenants[tenant].Share
 	}
 	if sum > 1+shareTolerance {
-		doc.AddProblem("tenants", "the shares are %.4g together, 1 at most", sum)
+		doc.AddProblem("tenants", "the shares sum to %.4g; the maximum is 1", sum)
 	}
 }
 
-// parseContracts parses the contracts, and complains of what the tags of a contract's table cannot express.
+// parseContracts parses the contracts and adds a problem for each violated rule that the struct tags of a
+// contract's table cannot express.
 func (d *Document) parseContracts(doc *stricttoml.Document) {
-	d.contracts = map[string]*contract.Contract{} // never nil: nil stands for "not known" in an Effect
+	d.contracts = map[string]*contract.Contract{} // not nil, because nil means "unknown" in an Effect
 	for _, name := range slices.Sorted(maps.Keys(d.file.Contracts)) {
 		path := "contracts." + name
 		if !doc.IsValid(path) {
@@ -114,8 +116,8 @@
 	}
 }
 
-// parseContract uses the zone rules that the document gives. Without them, as before the document is
-// proposed, it uses this machine's zone data.
+// parseContract parses one contract with the zone rules that the document contains. If it contains none, as
+// before the document is proposed, parseContract uses this machine's zone data.
 func (d *Document) parseContract(t contract.Table) (*contract.Contract, error) {
 	if zone, given := d.file.Zones[t.Zone]; given {
 		return t.ContractWithRules(zone.Changes)
@@ -126,8 +128,8 @@
 	return t.Contract()
 }
 
-// Note is its author's description.
+// Note returns the author's description of the document.
 func (d *Document) Note() string { return d.file.Note }
 
-// Floor is the floor that the document sets.
+// Floor returns the floor that the document sets.
 func (d *Document) Floor() Floor { return d.file.Floor }
--- a/internal/control/policy/document_test.go
+++ b/internal/control/policy/document_test.go
@@ -14,15 +14,16 @@
 	"dunestep/internal/control/maintenance/contract"
 )
 
-// own are settings with two tenants that have quotas, and one without.
-func own() LocalSettings {
+// testSettings returns settings with two tenants that have quotas, and one without.
+func testSettings() LocalSettings {
 	return LocalSettings{MaxFailedRatio: 0.25, Settings: balancer.Settings{
 		Tenants: []balancer.Tenant{{Name: "east", QuotaPerSecond: 60}, {Name: "west", QuotaPerSecond: 40}, {Name: "free"}},
 		Classes: []balancer.Class{{Name: "find"}, {Name: "book"}}, Limits: balancer.Limits{MaxAttempts: 3},
 	}}
 }
 
-// TestCheckDocument: a document stays within the settings and the floors; anything else is rejected with its place.
+// TestCheckDocument checks that documents within the settings and the floors are accepted, and that others are rejected
+// with the position or name of the first problem.
 func TestCheckDocument(t *testing.T) {
 	for text, want := range map[string]string{
 		"":                                                         "",
@@ -30,7 +31,7 @@
 		"[classes.find]\nattempts = 2":                             "",
 		"[tenants.east]\nshare = 1.2":                              "policy:3:1: tenants.east.share: must be a number from 0.001 to 1",
 		"[tenants.east]\nshare = 0.7":                              "tenants together get 1.1 of the settings' total",
-		"[tenants.free]\nshare = 0.1":                              "the settings give no share to tenant free",
+		"[tenants.free]\nshare = 0.1":                              "the settings give no quota to tenant free",
 		"[tenants.north]\nshare = 0.1":                             "not in the settings: tenant north",
 		"[classes.buy]\nattempts = 2":                              "not in the settings: class buy",
 		"[classes.find]\nattempts = 4":                             "class find: the settings permit 3 attempts",
@@ -40,7 +41,7 @@
 		"[throttle]\nin_vain = 0.05":                               "allows less than its own floor: in_vain",
 		"[tenants.west]\nshare = 0.1":                              "allows less than its own floor: the share of tenant west",
 		"[floor]\nattempts = 1\n[classes.find]\nattempts = 1":      "allows less than the floor: attempts of class find",
-		"[tenants.east]\nshare = 0.6\n[tenants.west]\nshare = 0.5": "policy:2:2: tenants: the shares are 1.1 together, 1 at most",
+		"[tenants.east]\nshare = 0.6\n[tenants.west]\nshare = 0.5": "policy:2:2: tenants: the shares sum to 1.1; the maximum is 1",
 		"[windows]":                                                "policy:2:2: windows: unknown key; there are format",
 		"[classes.find]\ntries = 2":                                "policy:3:1: classes.find.tries: unknown key",
 		"[contracts.east]\nzone = 'Europe/Bucharest'\nhours = ['mon-fri 20:00-06:00']":  "",
@@ -58,7 +59,7 @@
 	} {
 		whole, err := AddZoneRules([]byte("format = 1\n"+text), time.Unix(1.8e9, 0))
 		require.NoError(t, err)
-		err = CheckDocument(whole, own(), InitialFloor())
+		err = CheckDocument(whole, testSettings(), InitialFloor())
 		if want == "" {
 			require.NoError(t, err, text)
 			continue
@@ -66,7 +67,7 @@
 		require.ErrorContains(t, err, want, text)
 		require.ErrorAs(t, err, &Rejection{})
 	}
-	both := own()
+	both := testSettings()
 	both.Settings.Limits.Hedging = true
 	doubled := InitialFloor()
 	doubled.Hedging = true
@@ -76,7 +77,7 @@
 	d, err := ParseDocument("p", []byte("format = 1\n[tenants.east]\nshare = 0.5\n[classes.book]\nattempts = 2\ncopies = false\npace_ms = 5\n"+
 		"[throttle]\nin_vain = 0.5"))
 	require.NoError(t, err)
-	e, err := d.Effect(own())
+	e, err := d.Effect(testSettings())
 	require.NoError(t, err)
 	require.Equal(t, &Effect{
 		Quota: []float64{50, 40, 0}, MaxFailedRatio: 0.25, Capacity: Capacity{PeakLoad: 0.7, MaxUtilization: 0.9},
@@ -85,13 +86,16 @@
 	}, e)
 }
 
-// TestLowestFloorIsAlwaysAllowed: whatever a document says, what an agent does that has long been cut off is allowed.
+// TestLowestFloorIsAlwaysAllowed checks that every accepted document allows the lowest floor, within which an agent acts
+// that has been cut off for longer than Times.FloorValidity.
 func TestLowestFloorIsAlwaysAllowed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		set := own()
+		set := testSettings()
 		set.Settings.Limits.MaxAttempts = rapid.IntRange(0, 4).Draw(t, "settings")
 		set.Settings.Limits.Hedging = rapid.Bool().Draw(t, "copies")
-		num := func(name string, least, most float64) float64 { return rapid.Float64Range(least, most).Draw(t, name) }
+		num := func(name string, lowest, highest float64) float64 {
+			return rapid.Float64Range(lowest, highest).Draw(t, name)
+		}
 		text := fmt.Sprintf("format = 1\n[tenants.east]\nshare = %f\n[classes.find]\nattempts = %d\ncopies = %t\npace_ms = %f\n"+
 			"[throttle]\nin_vain = %f\n[floor]\nshare = %f\nattempts = %d\npace_ms = %f\nin_vain = %f\n",
 			num("share", 0.001, 1), rapid.IntRange(1, 4).Draw(t, "attempts"), rapid.Bool().Draw(t, "doubled"),
@@ -110,14 +114,14 @@
 	})
 }
 
-// TestExampleOnThePolicyPage: the operators' example can be used, and its floor is the initial one.
+// TestExampleOnThePolicyPage checks that the example in docs/policy.md is accepted and that its floor is the initial one.
 func TestExampleOnThePolicyPage(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/policy.md")
 	require.NoError(t, err)
 	_, rest, found := strings.Cut(string(page), "```toml policy\n")
 	require.True(t, found)
 	example, _, _ := strings.Cut(rest, "```")
-	require.NoError(t, CheckDocument([]byte(example), own(), InitialFloor()))
+	require.NoError(t, CheckDocument([]byte(example), testSettings(), InitialFloor()))
 	d, err := ParseDocument("example", []byte(example))
 	require.NoError(t, err)
 	require.Equal(t, InitialFloor(), d.Floor())
@@ -126,39 +130,39 @@
 	require.Equal(t, InitialFloor(), plain.Floor())
 }
 
-// TestZoneRules: a document is proposed with the offsets of its zones, each once. The rules that were added are replaced
-// at the next proposal, those that its author wrote stay, and an agent rejects a document without rules.
+// TestZoneRules checks that AddZoneRules adds the offsets of each zone once, that the next proposal replaces added rules
+// and keeps those that the author wrote, and that an agent rejects a document without rules.
 func TestZoneRules(t *testing.T) {
 	const contracts = "format = 1\n[contracts.east]\nzone = 'Europe/Bucharest'\nhours = ['mon-fri 20:00-06:00']\n"
 	first, later := time.Unix(1.8e9, 0), time.Unix(1.9e9, 0)
-	require.ErrorContains(t, CheckDocument([]byte(contracts), own(), InitialFloor()), "does not say what clocks show in Europe/Bucharest")
+	require.ErrorContains(t, CheckDocument([]byte(contracts), testSettings(), InitialFloor()), "has no rules for time zone Europe/Bucharest")
 	whole, err := AddZoneRules([]byte(contracts), first)
 	require.NoError(t, err)
-	require.NoError(t, CheckDocument(whole, own(), InitialFloor()))
+	require.NoError(t, CheckDocument(whole, testSettings(), InitialFloor()))
 	again, err := AddZoneRules(whole, later)
 	require.NoError(t, err)
 	fresh, err := AddZoneRules([]byte(contracts), later)
 	require.NoError(t, err)
 	require.Equal(t, string(fresh), string(again))
 	require.NotEqual(t, string(fresh), string(whole))
-	after := string(whole) + "[classes.find]\nattempts = 2\n" // what stands after it is not lost
+	after := string(whole) + "[classes.find]\nattempts = 2\n" // text after the added section is kept
 	kept, err := AddZoneRules([]byte(after), later)
 	require.NoError(t, err)
 	require.Equal(t, after, string(kept))
 
 	const law = "[zones.'Europe/Bucharest']\nchanges = ['2026-01-01T00:00:00Z +02:00', '2031-01-01T00:00:00Z end']\n"
-	said, err := AddZoneRules([]byte(contracts+law+"[contracts.-]\nzone = 'Asia/Tokyo'\nhours = ['mon 01:00-02:00']\n"), first)
+	withLaw, err := AddZoneRules([]byte(contracts+law+"[contracts.-]\nzone = 'Asia/Tokyo'\nhours = ['mon 01:00-02:00']\n"), first)
 	require.NoError(t, err)
-	d, err := ParseDocument("said", said)
+	d, err := ParseDocument("with-law", withLaw)
 	require.NoError(t, err)
 	require.ErrorContains(t, d.ZoneDifferences(), "Europe/Bucharest: ")
 	require.NotContains(t, d.ZoneDifferences().Error(), "Tokyo")
-	summer := time.Duration(time.Date(2027, 7, 1, 17, 30, 0, 0, time.UTC).UnixNano()) // 19:30, and 20:30 by the law until now
+	summer := time.Duration(time.Date(2027, 7, 1, 17, 30, 0, 0, time.UTC).UnixNano()) // 19:30 by the document's rules, 20:30 by the zone data
 	require.False(t, d.contracts["east"].Allows(summer))
-	ruled, err := ParseDocument("whole", whole)
+	filled, err := ParseDocument("whole", whole)
 	require.NoError(t, err)
-	require.NoError(t, ruled.ZoneDifferences())
-	require.True(t, ruled.contracts["east"].Allows(summer))
+	require.NoError(t, filled.ZoneDifferences())
+	require.True(t, filled.contracts["east"].Allows(summer))
 	_, err = ParseDocument("wrong", []byte(strings.Replace(contracts+law, "+02:00", "", 1)))
 	require.ErrorContains(t, err, "contracts.east.zone: ")
 }
--- a/internal/control/policy/example_test.go
+++ b/internal/control/policy/example_test.go
@@ -9,7 +9,7 @@
 
 // An agent checks documents against its settings and the floor before it accepts them.
 func Example() {
-	own := policy.LocalSettings{MaxFailedRatio: 0.25, Settings: balancer.Settings{
+	local := policy.LocalSettings{MaxFailedRatio: 0.25, Settings: balancer.Settings{
 		Tenants: []balancer.Tenant{{Name: "east", QuotaPerSecond: 60}, {Name: "west", QuotaPerSecond: 40}},
 		Classes: []balancer.Class{{Name: "find"}}, Limits: balancer.Limits{MaxAttempts: 3},
 	}}
@@ -18,7 +18,7 @@
 		"format = 1\n[classes.find]\nattempts = 4\n",
 		"format = 1\n[classes.find]\ntries = 2\n",
 	} {
-		fmt.Println(policy.CheckDocument([]byte(text), own, policy.InitialFloor()))
+		fmt.Println(policy.CheckDocument([]byte(text), local, policy.InitialFloor()))
 	}
 	// Output:
 	// <nil>
--- a/internal/control/policy/golden_test.go
+++ b/internal/control/policy/golden_test.go
@@ -15,17 +15,18 @@
 	"dunestep/internal/balancer"
 )
 
-// update has the golden files written anew. They were made by the build before the packages were renamed: a
-// change of them is a change of what other builds read.
+// update rewrites the golden files. They were made by the build before the packages were renamed: a change of
+// a golden file is a change of the encoding that other builds read.
 var update = flag.Bool("update", false, "write testdata/golden anew")
 
-// goldenForm is one encoded form by its name in a golden file.
+// goldenForm is one encoded value and its name in a golden file.
 type goldenForm struct {
 	name string
 	data []byte
 }
 
-// requireGolden compares encoded forms with a golden file of lines "name hex", and returns those of the file.
+// requireGolden requires that a golden file of lines "name hex" has exactly the given values, and returns the file's
+// values by name.
 func requireGolden(t *testing.T, file string, forms []goldenForm) map[string][]byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", file)
@@ -55,7 +56,7 @@
 	return Floor{QuotaShare: 0.25, MaxAttempts: 2, Hedging: true, MinAttemptInterval: 80 * time.Millisecond, MaxFailedRatio: 0.125}.encode()
 }
 
-// TestGoldenRecords: the records of the agreed log have the bytes that every build reads.
+// TestGoldenRecords checks that each kind of record in the agreed log has the encoding that other builds read.
 func TestGoldenRecords(t *testing.T) {
 	records := []struct {
 		name string
@@ -90,7 +91,7 @@
 	}
 }
 
-// TestGoldenProposal: a proposal, as an agent's operators make it, is the record with the document's floor.
+// TestGoldenProposal checks the record that EncodeProposal makes: it includes the document's floor.
 func TestGoldenProposal(t *testing.T) {
 	document := "format = 1\n[floor]\nshare = 0.25\nattempts = 1\ncopies = true\npace_ms = 80\nin_vain = 0.125\n"
 	data, err := EncodeProposal(Proposal{
@@ -101,7 +102,7 @@
 	requireGolden(t, "proposal.txt", []goldenForm{{"proposal", data}, {"floor-of-version-0", InitialFloor().encode()}})
 }
 
-// TestGoldenSnapshot: the agreed state in all its parts.
+// TestGoldenSnapshot checks the encoding of snapshots in which each part of the agreed state is set.
 func TestGoldenSnapshot(t *testing.T) {
 	const at = 1800000000 * time.Second
 	first := Version{
@@ -128,7 +129,7 @@
 			{ID: "p-3", Status: StatusUnknown, Version: 3, Agent: 5},
 		},
 	}
-	begun, applied := NewStateMachine(), NewStateMachine()
+	initial, applied := NewStateMachine(), NewStateMachine()
 	for _, r := range []record{
 		{Kind: kindProposed, ID: "p-1", Agent: 3, Now: at, EffectiveAt: at, Document: []byte(goldenDocument), Floor: goldenFloor()},
 		{Kind: kindPromised, Version: 1, Agent: 2},
@@ -144,11 +145,11 @@
 		applied.Apply(0, marshal(r))
 	}
 	stored := requireGolden(t, "snapshots.txt", []goldenForm{
-		{"new", begun.Snapshot()},
+		{"new", initial.Snapshot()},
 		{"full", (&StateMachine{state: full}).Snapshot()},
 		{"applied", applied.Snapshot()},
 	})
-	for name, state := range map[string]State{"new": begun.State(), "full": full, "applied": applied.State()} {
+	for name, state := range map[string]State{"new": initial.State(), "full": full, "applied": applied.State()} {
 		m := NewStateMachine()
 		require.NoError(t, m.Restore(stored[name]), name)
 		require.Equal(t, state, m.State(), name)
@@ -156,7 +157,7 @@
 	}
 }
 
-// TestGoldenAnswers: agents' answers, as they go with their requests for leases.
+// TestGoldenAnswers checks the encoding of agents' answers, which lease requests carry.
 func TestGoldenAnswers(t *testing.T) {
 	answers := []Answer{
 		{Version: 1},
@@ -176,7 +177,8 @@
 	}
 }
 
-// TestGoldenNumbersAndWords: numbers that are in what agents share, and words that operators' tools read.
+// TestGoldenNumbersAndWords checks the enum numbers in messages and in the agreed state, and the words that operators'
+// tools read.
 func TestGoldenNumbersAndWords(t *testing.T) {
 	require.Equal(t, []AnswerCode{0, 1, 2, 3, 4, 5, 6, 7, 8, 9}, []AnswerCode{
 		Accepted, UnreadableDocument, UnknownTenant, UnknownClass, SharesExceedTotal, TooManyAttempts, HedgingForbidden, BelowFloor,
@@ -192,18 +194,18 @@
 	require.Equal(t, []string{"bottom", "floor", "full"}, []string{ModeBottom.String(), ModeFloor.String(), ModeFull.String()})
 }
 
-// TestGoldenDocument: each key of a document, and what it means with an agent's settings.
+// TestGoldenDocument checks the effect of a document that sets each key, with an agent's settings.
 func TestGoldenDocument(t *testing.T) {
 	text, err := os.ReadFile("testdata/golden/document.toml")
 	require.NoError(t, err)
-	own := LocalSettings{MaxFailedRatio: 0.9, Settings: balancer.Settings{
+	local := LocalSettings{MaxFailedRatio: 0.9, Settings: balancer.Settings{
 		Tenants: []balancer.Tenant{{Name: "east", QuotaPerSecond: 60}, {Name: "west", QuotaPerSecond: 40}, {Name: "free"}},
 		Classes: []balancer.Class{{Name: "find"}, {Name: "book"}},
 		Limits:  balancer.Limits{MaxAttempts: 3, Hedging: true},
 	}}
 	d, err := ParseDocument("document.toml", text)
 	require.NoError(t, err)
-	e, err := d.Effect(own)
+	e, err := d.Effect(local)
 	require.NoError(t, err)
 	floor := d.Floor()
 	classes := []any{}
@@ -240,9 +242,9 @@
 	require.JSONEq(t, string(want), string(got))
 }
 
-// TestGoldenFill: what is added to a document whose contracts' zone it does not describe. The zone is one that
-// never changes, so that the machine's zone data do not count.
-func TestGoldenFill(t *testing.T) {
+// TestGoldenZoneRules checks the section that AddZoneRules adds to a document without rules for its zone. The zone
+// has a constant offset, so that the result does not depend on the machine's zone data.
+func TestGoldenZoneRules(t *testing.T) {
 	const text = "format = 1\n[contracts.east]\nzone = 'Etc/GMT-2'\nhours = ['mon-fri 20:00-06:00']\n"
 	filled, err := AddZoneRules([]byte(text), time.Unix(1800000000, 0))
 	require.NoError(t, err)
--- a/internal/control/policy/localsettings.go
+++ b/internal/control/policy/localsettings.go
@@ -2,15 +2,16 @@
 
 import "dunestep/internal/balancer"
 
-// LocalSettings are what an agent checks documents against: what its own settings permit, and its own limit
-// of failed attempts for the adaptive throttle.
+// LocalSettings are the settings that an agent checks documents against: its own balancer settings, and its
+// own limit of failed attempts for the adaptive throttle.
 type LocalSettings struct {
 	Settings balancer.Settings
-	// MaxFailedRatio is the agent's own value of Effect.MaxFailedRatio, 0.05 to 1; zero: none, as 1.
+	// MaxFailedRatio is the agent's own value of Effect.MaxFailedRatio, 0.05 to 1; zero means 1 (no limit).
 	MaxFailedRatio float64
 }
 
-// maxAttempts are the attempts that the settings permit, counted as the balancer counts them.
+// maxAttempts returns the number of attempts of a request that the settings permit. As in the balancer,
+// values below 1 count as 1.
 func (o LocalSettings) maxAttempts() int { return max(o.Settings.Limits.MaxAttempts, 1) }
 
 func (o LocalSettings) maxFailedRatio() float64 {
@@ -20,7 +21,7 @@
 	return o.MaxFailedRatio
 }
 
-// totalQuota is what the settings give to all tenants together, in requests per second.
+// totalQuota returns the sum of all tenants' quotas in the settings, in requests per second.
 func (o LocalSettings) totalQuota() (sum float64) {
 	for _, t := range o.Settings.Tenants {
 		sum += max(t.QuotaPerSecond, 0)
@@ -28,7 +29,7 @@
 	return sum
 }
 
-// tenantNames are the names of the settings' tenants.
+// tenantNames returns the names of the settings' tenants.
 func (o LocalSettings) tenantNames() (names []string) {
 	for _, t := range o.Settings.Tenants {
 		names = append(names, t.Name)
@@ -36,7 +37,7 @@
 	return names
 }
 
-// classNames are the names of the settings' classes.
+// classNames returns the names of the settings' classes.
 func (o LocalSettings) classNames() (names []string) {
 	for _, c := range o.Settings.Classes {
 		names = append(names, c.Name)
@@ -44,7 +45,7 @@
 	return names
 }
 
-// unrestricted is the effect of no policy: what the settings permit.
+// unrestricted returns the effect without a policy: everything that the settings permit.
 func (o LocalSettings) unrestricted() *Effect {
 	e := &Effect{MaxFailedRatio: o.maxFailedRatio()}
 	for _, t := range o.Settings.Tenants {
--- a/internal/control/policy/modelcheck.go
+++ b/internal/control/policy/modelcheck.go
@@ -9,17 +9,17 @@
 	"dunestep/internal/fleet/lease"
 )
 
-// The model checker (package search) copies the parts of a world before each step, and tells worlds apart by
-// their fingerprints.
+// The model checker (package search) copies the parts of a simulated fleet before each step, and identifies
+// the fleet's states by the fingerprints of the parts.
 
-// Fork returns an independent copy.
+// Fork returns an independent copy of the agent.
 func (a *Agent) Fork() *Agent {
 	b := *a
 	b.acknowledgedBy = slices.Clone(a.acknowledgedBy)
 	return &b
 }
 
-// Fork returns an independent copy.
+// Fork returns an independent copy of the voter.
 func (v *Voter) Fork() *Voter {
 	w := *v
 	w.holders = make(map[int][]holder, len(v.holders))
@@ -29,17 +29,18 @@
 	return &w
 }
 
-// Fork returns an independent copy.
+// Fork returns an independent copy of the proposer.
 func (p *Proposer) Fork() *Proposer { fork := *p; return &fork }
 
-// ResetRetries has the voter propose at once again what it proposed: no time passes between a search's steps.
+// ResetRetries lets the voter repeat its last proposal at once. A search needs this because no time passes
+// between its steps.
 func (v *Voter) ResetRetries() { v.proposedFor, v.retryAt = 0, 0 }
 
-// ResetRetries has the proposer propose at once again what it proposed.
+// ResetRetries lets the proposer repeat its last proposal at once.
 func (p *Proposer) ResetRetries() { p.last, p.retryAt = lastProposal{}, 0 }
 
-// Fingerprint appends what distinguishes the agent from others that have learnt the same records, as long as
-// no floor that it knows expires.
+// Fingerprint appends to b what distinguishes the agent from others that have applied the same records, as
+// long as no floor that it knows expires.
 func (a *Agent) Fingerprint(b []byte) []byte {
 	hadLease := byte(0)
 	if a.hadLease {
@@ -48,14 +49,14 @@
 	return append(b, byte(a.lastAnswer.Version), byte(a.lastAnswer.Code), byte(a.newestEffective), hadLease)
 }
 
-// Fingerprint appends what distinguishes the voter from others that have learnt the same records.
+// Fingerprint appends to b what distinguishes the voter from others that have applied the same records.
 func (v *Voter) Fingerprint(now lease.ClockReading, b []byte) []byte {
 	b = age(b, v.startedAt, now, v.times.maxLeaseAge())
 	b = append(b, byte(v.rejection.agent), byte(v.rejection.answer.Version))
 	for _, agent := range slices.Sorted(maps.Keys(v.holders)) {
 		for _, h := range v.holders[agent] {
 			if h.answer.Code == Accepted && v.isExpired(h, now) {
-				continue // it has no effect any more
+				continue // an expired lease of a process that has promised has no effect
 			}
 			b = append(age(b, h.grantedAt, now, v.times.maxLeaseAge()), byte(agent), byte(h.incarnation),
 				byte(h.answer.Version), byte(h.answer.Code))
@@ -64,13 +65,13 @@
 	return b
 }
 
-// Fingerprint appends what distinguishes the proposer from others that have learnt the same records.
+// Fingerprint appends to b what distinguishes the proposer from others that have applied the same records.
 func (p *Proposer) Fingerprint(now lease.ClockReading, b []byte) []byte {
 	wait := p.times.Terms.FenceWait()
 	return age(age(append(b, byte(p.openNumber)), p.votersSince, now, wait), p.openSince, now, wait)
 }
 
-// age appends the age of a reading, bounded by the greatest age that makes a difference.
+// age appends to b the age of a clock reading, limited to maxAge, above which ages make no difference.
 func age(b []byte, r, now lease.ClockReading, maxAge time.Duration) []byte {
 	return binary.AppendVarint(b, int64(min(minElapsed(r, now), maxAge)))
 }
--- a/internal/control/policy/notify.go
+++ b/internal/control/policy/notify.go
@@ -8,16 +8,18 @@
 	"dunestep/internal/fleet/lease"
 )
 
-// A voter that has not acknowledged the answer is notified again after notifyRetryInterval, notifyRetries
-// times, and then after notifyInterval: a change waits for the answer of the last agent at the last voter.
+// A voter that has not acknowledged the answer is notified again every notifyRetryInterval, for notifyRetries
+// notifications, and then every notifyInterval. The retries are frequent because a change waits until every
+// voter has the answers of all agents to which it granted leases.
 const (
 	notifyRetryInterval = 40 * time.Millisecond
 	notifyInterval      = 150 * time.Millisecond
 	notifyRetries       = 12
 )
 
-// VotersToNotify returns the voters that are to be sent EncodedAnswer now, by a message of its own. While a
-// change is open every voter is notified, as each may wait for a lease that it granted.
+// VotersToNotify returns the voters to which EncodedAnswer has to be sent now, in a separate message. While a
+// change is open every voter is notified, because each may wait for the promise of an agent to which it
+// granted a lease.
 func (a *Agent) VotersToNotify(now lease.ClockReading, voters []int) (pending []int) {
 	if a.state.OpenChange == nil || now.Mono < a.notifyAt {
 		return nil
@@ -35,11 +37,12 @@
 	return pending
 }
 
-// NextNotification is when VotersToNotify is due again while a change is open, by the monotonic clock.
+// NextNotification returns the time of the next call of VotersToNotify while a change is open, by the
+// monotonic clock.
 func (a *Agent) NextNotification() time.Duration { return a.notifyAt }
 
-// Acknowledged notes that a voter has an answer: it said so, or granted a lease for a request that carried
-// it.
+// Acknowledged records that a voter has received an answer: it acknowledged the message, or granted a lease
+// for a request that carried the answer.
 func (a *Agent) Acknowledged(voter int, answer []byte) {
 	if bytes.Equal(answer, a.EncodedAnswer()) && !slices.Contains(a.acknowledgedBy, voter) {
 		a.acknowledgedBy = append(a.acknowledgedBy, voter)
--- a/internal/control/policy/proposer.go
+++ b/internal/control/policy/proposer.go
@@ -7,17 +7,18 @@
 	"dunestep/internal/fleet/lease"
 )
 
-// Proposer brings an open change to its end. Each voter has one, and the leader proposes what its own
-// returns. A new leader continues from the log, and from when it applied the change itself.
+// Proposer decides when an open change is activated, postponed or abandoned. Each voter has a Proposer, and
+// the leader proposes the records that its Proposer returns. A new leader continues from the log, and from
+// the time at which it applied the change itself.
 type Proposer struct {
 	self        int
 	times       Times
-	localAnswer Answer // of the agent in the same process
+	localAnswer Answer // the answer of the agent in the same process
 	state       State
 
 	voters      []int
 	membership  uint64             // changes with the voters; see SetVoters
-	votersSince lease.ClockReading // when these became the voters
+	votersSince lease.ClockReading // time of the last change of voters or membership
 	votersKnown bool
 
 	openNumber       uint64
@@ -29,8 +30,8 @@
 	retryAt time.Duration // by the monotonic clock
 }
 
-// lastProposal is what was last proposed. The same is not proposed again before retryAt, unless the change
-// has moved on.
+// lastProposal is the state for which records were last proposed. While it is the same, nothing is proposed
+// again before retryAt.
 type lastProposal struct {
 	open        uint64
 	effectiveAt time.Duration
@@ -38,26 +39,26 @@
 	formerFloor uint64
 }
 
-// readiness tells whether the open change may be activated.
+// readiness is whether the open change may be activated.
 type readiness uint8
 
 const (
 	notReady readiness = iota
-	ready              // nobody that may act has not promised, and the document can be used here
+	ready              // all that may act have promised, and the document can be used here
 )
 
-// settledRecheckInterval is how often the proposer checks while no change is open.
+// settledRecheckInterval is the interval between the proposer's checks while no change is open.
 const settledRecheckInterval = time.Second
 
-// NewProposer returns a Proposer that knows of no voters, so that only the fence counts.
+// NewProposer returns a Proposer that does not know the voters, so that an activation waits for the fence.
 func NewProposer(self int, times Times) *Proposer {
 	return &Proposer{self: self, times: times.WithDefaults()}
 }
 
-// SetVoters takes who may grant leases from now on; the first call also covers the time before. Membership is
-// any number that changes with each of the voters, as the log index of their last change: a voter that came
-// back with a new store is another one, whose former process may still run. While those that were voters
-// before may have granted leases that hold, no reports of the others stand for them.
+// SetVoters sets the voters that may grant leases from now on. Membership is any number that changes whenever
+// the voters change, such as the log index of their last change. It also changes when a voter returns with a
+// new store: that is a different voter, whose former process may still run. After a change the reports of the
+// new voters do not count until leases that the former voters may have granted have expired.
 func (p *Proposer) SetVoters(now lease.ClockReading, voters []int, membership uint64) {
 	if p.votersKnown && p.membership == membership && slices.Equal(p.voters, voters) {
 		return
@@ -65,12 +66,13 @@
 	p.voters, p.membership, p.votersSince, p.votersKnown = slices.Clone(voters), membership, now, true
 }
 
-// Learn takes the present state as soon as records were applied, at any voter, and the answer of the agent in
-// the same process, which has learnt the state before. Without that answer a document that no other agent
-// could check would be activated at the fence, when nobody holds a lease any more who could reject it.
+// Learn updates the proposer with the current agreed state and with the encoded answer of the agent in the
+// same process, which must have been updated first. Every voter calls it as soon as records were applied.
+// Without the local answer, a document that no other agent could check would be activated at the fence, when
+// no agent that could reject it has a lease any more.
 func (p *Proposer) Learn(now lease.ClockReading, m *StateMachine, localAnswer []byte) {
 	p.state = m.State()
-	p.localAnswer, _ = DecodeAnswer(localAnswer) // it is this process's own, and always decodes
+	p.localAnswer, _ = DecodeAnswer(localAnswer) // always succeeds: this process encoded it
 	if o := p.state.OpenChange; o != nil && o.Number != p.openNumber {
 		p.openNumber, p.openSince = o.Number, now
 	}
@@ -79,8 +81,8 @@
 	}
 }
 
-// Due returns what the leader is to propose to the log, in this order, and the latest time at which to call
-// it again, by the monotonic clock.
+// Due returns the records that the leader has to propose to the log, in order, and the latest time of the
+// next call, by the monotonic clock.
 func (p *Proposer) Due(now lease.ClockReading) (records [][]byte, next time.Duration) {
 	var current lastProposal
 	if o := p.state.OpenChange; o != nil {
@@ -103,8 +105,8 @@
 	return records, p.retryAt
 }
 
-// advanceChange returns the records that bring an open change closer to its end: an abandonment, or a
-// postponement and an activation where they are due.
+// advanceChange returns the records that are due for an open change: an abandonment, or a postponement, an
+// activation or both.
 func (p *Proposer) advanceChange(now lease.ClockReading, open *Change, r readiness) (records [][]byte) {
 	if open.EffectiveAt > now.Unix+2*maxLeadTime { // the proposer's clock was wrong
 		return [][]byte{marshal(record{Kind: kindAbandoned, Version: open.Number})}
@@ -126,9 +128,10 @@
 	return records
 }
 
-// postponedTo is when a change can take effect that not all agents would learn of in time; zero: its time
-// stands. Agents may be slow to answer, or down: the change is postponed by half the time for which it has
-// been open, and in the end until the leases have expired.
+// postponedTo returns the later time at which a change can take effect if its activation could not reach all
+// agents before its present time, or zero if the change need not be postponed. Agents may be slow to answer,
+// or down: a change that is not ready is postponed by half the time for which it has been open, at most until
+// the leases have expired or the fence has passed.
 func (p *Proposer) postponedTo(now lease.ClockReading, open *Change, r readiness) time.Duration {
 	if now.Unix < open.EffectiveAt-p.times.ActivationLead {
 		return 0
@@ -143,7 +146,7 @@
 	return now.Unix + max(wait, 0) + 2*p.times.ActivationLead
 }
 
-// readiness tells whether every process that may act has promised, and the document can be used here.
+// readiness returns ready if every process that may act has promised and the document can be used here.
 func (p *Proposer) readiness(now lease.ClockReading) readiness {
 	switch {
 	case p.localAnswer.Version != p.state.OpenChange.Number || p.localAnswer.Code != Accepted:
@@ -164,9 +167,10 @@
 	return ready
 }
 
-// isFormerFloorUnused tells whether no agent can act by a floor that was replaced: the last lease of an agent
-// that does not know of the replacement has expired by the fence, the time for which such an agent then acts
-// by the floor is over too, and the version that replaced it has taken effect by any clock.
+// isFormerFloorUnused reports whether no agent can act within a replaced floor any more. That is so once the
+// fence has passed, so that agents that do not know of the replacement have no lease any more, the validity
+// of the floor after their last lease is over too, and the version that replaced the floor has taken effect
+// by every clock.
 func (p *Proposer) isFormerFloorUnused(now lease.ClockReading, f *FormerFloor) bool {
 	validity := p.times.withClockDrift(p.times.FloorValidity)
 	return minElapsed(p.floorReplacedAt, now) >= p.times.Terms.FenceWait()+validity &&
--- a/internal/control/policy/records.go
+++ b/internal/control/policy/records.go
@@ -7,7 +7,7 @@
 	"unicode/utf8"
 )
 
-// recordKind numbers the records of the agreed log.
+// recordKind is the kind of a record in the agreed log.
 type recordKind uint8
 
 const (
@@ -16,11 +16,11 @@
 	kindAbandoned                           // the open change is rejected
 	kindPostponed                           // the open change takes effect later
 	kindActivated                           // the open change becomes the version in force
-	kindFloorReleased                       // no agent acts by the former floor any more
+	kindFloorReleased                       // no agent acts within the former floor any more
 )
 
-// record is one of the agreed log's. Fields that a kind does not need are zero. It is encoded as an array, so
-// the order of the fields is part of its form.
+// record is a record of the agreed log. Fields that a kind does not need are zero. It is encoded as an array,
+// so the order of the fields is part of the encoding.
 type record struct {
 	_                struct{} `cbor:",toarray"`
 	Kind             recordKind
@@ -37,28 +37,28 @@
 
 const (
 	maxIDSize   = 64 // bytes
-	maxTextSize = 80 // bytes of a reason
-	// maxLeadTime is how far ahead of its proposal a change may take effect. It bounds how long the change of a
-	// proposer whose clock is years ahead keeps all others out.
+	maxTextSize = 80 // bytes of a rejection's text
+	// maxLeadTime is the maximum time from a proposal to its effective time. It limits how long a change from a
+	// proposer whose clock is years ahead can block other changes.
 	maxLeadTime = time.Hour
 )
 
-// Proposal is a change that an operator asks for at an agent.
+// Proposal is a change that an operator requests at an agent.
 type Proposal struct {
-	ID    string // chosen by the caller, 1 to 64 bytes; the same one again is the same change
-	Agent int    // the agent that proposes
-	// BaseVersion is the version in force that the document was made from. If another is in force when the
-	// record is applied, the proposal is rejected.
+	ID    string // chosen by the caller, 1 to 64 bytes; repeating an ID repeats the same change
+	Agent int    // the proposing agent
+	// BaseVersion is the version in force from which the document was made. If another version is in force when
+	// the record is applied, the proposal is rejected.
 	BaseVersion      uint64
-	Now, EffectiveAt time.Duration // Unix time; the change takes effect within an hour from Now
+	Now, EffectiveAt time.Duration // Unix time; EffectiveAt is at most an hour after Now
 	Document         []byte
 }
 
-// ErrProposal is wrapped by the error of a Proposal whose fields no agent could accept.
+// ErrProposal is wrapped by the error for a Proposal with invalid fields.
 var ErrProposal = errors.New("policy: invalid proposal")
 
-// EncodeProposal returns the record of a change, for the log. The error is stricttoml.Problems where the
-// document cannot be read, or wraps ErrProposal.
+// EncodeProposal returns the log record that proposes a change. The error is stricttoml.Problems if the
+// document cannot be parsed; otherwise it wraps ErrProposal.
 func EncodeProposal(p Proposal) ([]byte, error) {
 	d, err := ParseDocument("policy", p.Document)
 	if err != nil {
@@ -66,7 +66,7 @@
 	}
 	if p.ID == "" || len(p.ID) > maxIDSize || !utf8.ValidString(p.ID) || p.EffectiveAt < p.Now ||
 		p.EffectiveAt > p.Now+maxLeadTime {
-		return nil, fmt.Errorf("%w %q: it needs a name of 1 to %d bytes, and a time within an hour",
+		return nil, fmt.Errorf("%w %q: the ID needs 1 to %d bytes and the effective time must be within an hour",
 			ErrProposal, p.ID, maxIDSize)
 	}
 	return marshal(record{
@@ -75,10 +75,10 @@
 	}), nil
 }
 
-// IsPostponement tells whether a record only postpones the open change.
+// IsPostponement reports whether a record only postpones the open change.
 func IsPostponement(data []byte) bool { return isKind(data, kindPostponed) }
 
-// IsPromiseReport tells whether a record is a voter's report that all its lease holders have promised.
+// IsPromiseReport reports whether a record is a voter's report that all its lease holders have promised.
 func IsPromiseReport(data []byte) bool { return isKind(data, kindPromised) }
 
 func isKind(data []byte, kind recordKind) bool {
--- a/internal/control/policy/replica.go
+++ b/internal/control/policy/replica.go
@@ -6,36 +6,37 @@
 	"dunestep/internal/fleet/lease"
 )
 
-// Replica is all of the protocol in one process: the agreed state, the agent's part, and at a voter the
-// voter's and the leader's. It calls the parts in the order in which they have to learn of records.
+// Replica is the whole protocol in one process: the agreed state, the agent's part, and at a voter the
+// voter's and the proposer's parts. After records were applied it updates the parts in the order that the
+// protocol needs.
 type Replica struct {
 	StateMachine *StateMachine // records are applied to it
 	Agent        *Agent
-	Voter        *Voter    // nil: not a voter
-	Proposer     *Proposer // nil: not a voter
+	Voter        *Voter    // nil if the agent is not a voter
+	Proposer     *Proposer // nil if the agent is not a voter
 }
 
-// NewReplica returns the Replica of an agent that is no voter, in a process that starts. A log that is
-// started anew needs a new one.
-func NewReplica(own LocalSettings, times Times, now lease.ClockReading) *Replica {
-	r := &Replica{StateMachine: NewStateMachine(), Agent: NewAgent(own, times)}
+// NewReplica returns the Replica of an agent that is not a voter, in a process that starts now. A new log
+// needs a new Replica.
+func NewReplica(local LocalSettings, times Times, now lease.ClockReading) *Replica {
+	r := &Replica{StateMachine: NewStateMachine(), Agent: NewAgent(local, times)}
 	r.Learn(now)
 	return r
 }
 
 // NewVoterReplica returns the Replica of an agent that is a voter, in a process that starts now.
-func NewVoterReplica(self int, own LocalSettings, times Times, now lease.ClockReading) *Replica {
+func NewVoterReplica(self int, local LocalSettings, times Times, now lease.ClockReading) *Replica {
 	r := &Replica{
-		StateMachine: NewStateMachine(), Agent: NewAgent(own, times),
+		StateMachine: NewStateMachine(), Agent: NewAgent(local, times),
 		Voter: NewVoter(self, times, now), Proposer: NewProposer(self, times),
 	}
 	r.Learn(now)
 	return r
 }
 
-// Learn is called after records or a snapshot were applied to the StateMachine: before the lease's holder
-// learns how far they reach, and before a lease is granted that covers them. Otherwise a lease would hold
-// before the promise.
+// Learn updates the parts after records or a snapshot were applied to the StateMachine. The caller must call
+// it before it passes the new log position to the lease holder, and before it grants a lease that covers
+// these records. Otherwise a lease could be valid before the agent has promised.
 func (r *Replica) Learn(now lease.ClockReading) {
 	r.Agent.Learn(r.StateMachine)
 	if r.Voter != nil {
@@ -44,8 +45,8 @@
 	}
 }
 
-// Due returns what this process is to propose to the log while it does not lead, and the latest time at which
-// to call it again, by the monotonic clock.
+// Due returns the records that this process has to propose to the log while it is not the leader, and the
+// latest time of the next call, by the monotonic clock.
 func (r *Replica) Due(now lease.ClockReading) (records [][]byte, next time.Duration) {
 	if r.Voter == nil {
 		return nil, now.Mono + time.Hour
@@ -53,8 +54,8 @@
 	return r.Voter.Due(now)
 }
 
-// DueAsLeader is Due for the voter that leads, with what the leader proposes after the voter's own records. A
-// voter that wrongly believes that it leads does no harm.
+// DueAsLeader does what Due does, for the leader: it adds the proposer's records after the voter's own.
+// Safety does not depend on the caller being the leader.
 func (r *Replica) DueAsLeader(now lease.ClockReading) (records [][]byte, next time.Duration) {
 	records, next = r.Due(now)
 	if r.Proposer == nil {
@@ -64,8 +65,8 @@
 	return append(records, more...), min(next, at)
 }
 
-// AllowLease tells whether this process may grant a lease at this moment; see Voter.AllowLease. One that is
-// no voter may not.
+// AllowLease reports whether this process may grant a lease now; see Voter.AllowLease. It returns false if
+// the process is not a voter.
 func (r *Replica) AllowLease(now lease.ClockReading, agent int, incarnation uint64,
 	encodedAnswer []byte,
 ) bool {
--- a/internal/control/policy/statemachine.go
+++ b/internal/control/policy/statemachine.go
@@ -8,55 +8,55 @@
 	"time"
 )
 
-// Version is a policy that is in force, or was.
+// Version is a numbered policy: one that is in force, was in force, or is proposed in a Change.
 type Version struct {
 	_           struct{} `cbor:",toarray"`
 	Number      uint64
 	EffectiveAt time.Duration // Unix time at which it takes effect
 	ProposalID  string
 	ProposedBy  int    // the agent
-	Document    []byte // version 0 has none: it is the settings as they are
-	Floor       []byte // an encoded Floor; its form may be of a later build
+	Document    []byte // empty for version 0, which is the settings alone
+	Floor       []byte // an encoded Floor, which may come from a later build
 }
 
-// Change is the open change: proposed, and neither activated nor abandoned.
+// Change is the open change: it was proposed and is neither activated nor abandoned.
 type Change struct {
 	_ struct{} `cbor:",toarray"`
 	Version
 	BaseVersion    uint64
-	PromisedVoters []int // ascending: voters that have reported that all their lease holders have promised
+	PromisedVoters []int // voters that have reported the promises of all their lease holders; ascending
 }
 
-// FormerFloor is a floor that was replaced and that an agent which is cut off may still act by.
+// FormerFloor is a replaced floor within which an agent that is cut off may still act.
 type FormerFloor struct {
 	_          struct{} `cbor:",toarray"`
 	Floor      []byte
-	ReplacedBy uint64        // the version that has replaced it
+	ReplacedBy uint64        // number of the version that replaced it
 	ReplacedAt time.Duration // Unix time at which that version takes effect
 }
 
-// State is what all records together have made. Readers must not change it.
+// State is the agreed state, the result of all applied records. Readers must not modify it.
 type State struct {
 	_           struct{}  `cbor:",toarray"`
-	LastNumber  uint64    // the newest number that a change was given
-	InForce     Version   // activated; it takes effect at its EffectiveAt
-	Past        []Version // the versions before it, the newest first
-	OpenChange  *Change   // nil: none
+	LastNumber  uint64    // number of the newest change
+	InForce     Version   // the last activated version; it takes effect at its EffectiveAt
+	Past        []Version // the versions before it, newest first
+	OpenChange  *Change   // nil if no change is open
 	FormerFloor *FormerFloor
-	Outcomes    []Outcome // the newest last
+	Outcomes    []Outcome // newest last
 }
 
-// Bounds of the state, so that it fits the log's snapshot.
+// Limits of the state's size, so that it fits the log's snapshot.
 const (
 	maxPast           = 8                   // versions
-	maxPastSize       = 2 * MaxDocumentSize // bytes of documents in InForce and Past; the newest always stays
+	maxPastSize       = 2 * MaxDocumentSize // bytes of documents in InForce and Past; the newest is always kept
 	maxOutcomes       = 32
 	maxFloorSize      = 64 // bytes
 	maxPromisedVoters = 32
 )
 
-// StateMachine makes the state out of the records of the agreed log. It depends on the records alone and
-// never reads a document: agents of several builds have to reach the same state.
+// StateMachine applies the records of the agreed log to the state. It depends on the records alone and never
+// parses a document, because agents of different builds have to reach the same state.
 type StateMachine struct {
 	state      State
 	unreadable uint64
@@ -67,14 +67,14 @@
 	return &StateMachine{state: State{InForce: Version{Floor: InitialFloor().encode()}}}
 }
 
-// State is the present state. It must not be changed.
+// State returns the current state. The caller must not modify it.
 func (m *StateMachine) State() State { return m.state }
 
-// UnreadableRecords counts the records that this build could not read.
+// UnreadableRecords returns the number of records that this build could not decode.
 func (m *StateMachine) UnreadableRecords() uint64 { return m.unreadable }
 
-// Apply applies the next record. A record that does not fit the state changes nothing: it came too late, or
-// twice.
+// Apply applies the next record. A record that does not fit the state, because it is late or a duplicate, has
+// no effect.
 func (m *StateMachine) Apply(_ uint64, data []byte) {
 	var r record
 	if decoding.Unmarshal(data, &r) != nil {
@@ -106,8 +106,9 @@
 	}
 }
 
-// applyProposal opens a change, or notes why it is rejected. A proposal whose ID is known is passed over. One
-// that is no longer remembered is never accepted twice, as its base version is not in force any more.
+// applyProposal opens a change, or records why the proposal is rejected. A proposal whose ID is known is
+// ignored. One whose outcome is no longer stored cannot be accepted twice, because its base version is not in
+// force any more.
 func (m *StateMachine) applyProposal(r record) {
 	if r.ID == "" || len(r.ID) > maxIDSize || m.outcome(r.ID) != nil {
 		return
@@ -127,7 +128,8 @@
 	m.state.Outcomes = append(slices.Clone(all[max(len(all)-maxOutcomes+1, 0):]), o)
 }
 
-// rejectionCause is the first reason to reject a proposal, with the version that stands in the way.
+// rejectionCause returns the first reason to reject a proposal, or NotRejected, and the version that the
+// reason refers to.
 func (m *StateMachine) rejectionCause(r record) (cause RejectionCause, blockingVersion uint64) {
 	st := &m.state
 	switch {
@@ -147,7 +149,7 @@
 	return NotRejected, 0
 }
 
-// applyPromises notes that all lease holders of a voter have promised.
+// applyPromises records that all lease holders of a voter have promised.
 func (m *StateMachine) applyPromises(voter int) {
 	open := *m.state.OpenChange
 	i, reported := slices.BinarySearch(open.PromisedVoters, voter)
@@ -157,7 +159,8 @@
 	}
 }
 
-// postpone has the open change take effect later, by maxLeadTime at most.
+// postpone moves the effective time of the open change to a later one. It ignores a time that is earlier, or
+// more than maxLeadTime later.
 func (m *StateMachine) postpone(effectiveAt time.Duration) {
 	open := *m.state.OpenChange
 	if effectiveAt > open.EffectiveAt && effectiveAt <= open.EffectiveAt+maxLeadTime {
@@ -166,8 +169,8 @@
 	}
 }
 
-// abandon closes the open change as rejected. A record without an agent's rejection is the leader's, for a
-// time that is not plausible.
+// abandon closes the open change as rejected. A record without a rejecting answer is from a leader that found
+// the effective time implausible.
 func (m *StateMachine) abandon(r record) {
 	o := m.outcome(m.state.OpenChange.ProposalID)
 	o.Status, o.Agent, o.Code, o.Text = StatusRejected, r.Agent, r.Code, truncate(r.Text, maxTextSize)
@@ -196,8 +199,8 @@
 	st.InForce, st.Past, st.OpenChange = v, past, nil
 }
 
-// outcome is the entry of a proposal, copied first so that a State which was handed out does not change; nil:
-// none.
+// outcome returns the stored outcome of a proposal for modification, or nil if there is none. It copies the
+// outcomes first, so that a State that was returned earlier does not change.
 func (m *StateMachine) outcome(id string) *Outcome {
 	i := slices.IndexFunc(m.state.Outcomes, func(o Outcome) bool { return o.ID == id })
 	if i < 0 {
@@ -207,7 +210,7 @@
 	return &m.state.Outcomes[i]
 }
 
-// Outcome is what is known here of a proposal; the status of one that is not known is StatusUnknown.
+// Outcome returns the outcome of a proposal. Its status is StatusUnknown if the proposal is not known here.
 func (m *StateMachine) Outcome(id string) Outcome {
 	for _, o := range m.state.Outcomes {
 		if o.ID == id {
@@ -217,7 +220,8 @@
 	return Outcome{ID: id}
 }
 
-// Document returns the document of a version; false where it was never there, or is no longer stored.
+// Document returns the document of a version. It returns false if the version has none or is no longer
+// stored.
 func (m *StateMachine) Document(version uint64) (data []byte, ok bool) {
 	for _, v := range append([]Version{m.state.InForce}, m.state.Past...) {
 		if v.Number == version {
@@ -227,14 +231,14 @@
 	return nil, false
 }
 
-// Snapshot returns the encoded state; the same records give the same bytes.
+// Snapshot returns the encoded state. The same records give the same bytes.
 func (m *StateMachine) Snapshot() []byte { return marshal(m.state) }
 
-// ErrSnapshot is wrapped by the error of a snapshot that this build cannot read.
+// ErrSnapshot is wrapped by the error for a snapshot that this build cannot read.
 var ErrSnapshot = errors.New("policy: cannot read the snapshot")
 
-// Restore replaces the state by a snapshot's; an empty snapshot is version 0. With an error, which wraps
-// ErrSnapshot, nothing has changed.
+// Restore replaces the state with that of a snapshot; an empty snapshot is version 0. On an error, which
+// wraps ErrSnapshot, the state does not change.
 func (m *StateMachine) Restore(data []byte) error {
 	if len(data) == 0 {
 		m.state = NewStateMachine().state
--- a/internal/control/policy/statemachine_test.go
+++ b/internal/control/policy/statemachine_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// change is a proposal whose floor allows a number of attempts, made from version 0.
-func change(t require.TestingT, id string, floor int) []byte {
+// proposal returns the record of a proposal made from version 0, whose floor has the given number of attempts.
+func proposal(t require.TestingT, id string, floor int) []byte {
 	data, err := EncodeProposal(Proposal{
 		ID: id, Now: time.Hour, EffectiveAt: time.Hour + time.Second,
 		Document: fmt.Appendf(nil, "format = 1\n[floor]\nattempts = %d\n", floor),
@@ -19,27 +19,28 @@
 	return data
 }
 
-// TestOutcomesInTheOrderOfTheLog: of two proposals the first is accepted; each rejection has its reason.
-func TestOutcomesInTheOrderOfTheLog(t *testing.T) {
+// TestOutcomesInLogOrder checks that of two concurrent proposals the first in the log is accepted, and the reason of each
+// kind of rejection.
+func TestOutcomesInLogOrder(t *testing.T) {
 	m := NewStateMachine()
 	apply := func(data []byte) { m.Apply(0, data) }
-	end := func(id string) string { o := m.Outcome(id); return o.Status.String() + ": " + o.Reason() }
-	require.Equal(t, "ask again: ", end("a"))
-	apply(change(t, "a", 2))
-	apply(change(t, "b", 2))
-	require.Equal(t, "ask again: ", end("a"))
-	require.Equal(t, "not taken: another change, version 1, is open", end("b"))
+	outcome := func(id string) string { o := m.Outcome(id); return o.Status.String() + ": " + o.Reason() }
+	require.Equal(t, "ask again: ", outcome("a"))
+	apply(proposal(t, "a", 2))
+	apply(proposal(t, "b", 2))
+	require.Equal(t, "ask again: ", outcome("a"))
+	require.Equal(t, "not taken: another change, version 1, is open", outcome("b"))
 	apply(marshal(record{Kind: kindActivated, Version: 1}))
 	apply(marshal(record{Kind: kindAbandoned, Version: 1, Code: UnreadableDocument, Text: "late"}))
-	require.Equal(t, "taken: ", end("a"))
+	require.Equal(t, "taken: ", outcome("a"))
 	before := m.Snapshot()
-	apply(change(t, "a", 2)) // the same call again, and one that was made from what is not in force
+	apply(proposal(t, "a", 2)) // a repeated proposal has no effect
 	require.Equal(t, before, m.Snapshot())
-	apply(change(t, "c", 2))
-	require.Equal(t, "not taken: version 1 is in force, not the one that it was made from", end("c"))
+	apply(proposal(t, "c", 2))
+	require.Equal(t, "not taken: version 1 is in force, not the one that the document was made from", outcome("c"))
 	early, _ := EncodeProposal(Proposal{ID: "d", BaseVersion: 1, Now: time.Hour, EffectiveAt: time.Hour, Document: []byte("format = 1")})
 	apply(early)
-	require.Equal(t, "not taken: version 1 has not taken hold yet", end("d"))
+	require.Equal(t, "not taken: version 1 has not taken effect yet", outcome("d"))
 	late := func(id string, base uint64, floor int) {
 		data, _ := EncodeProposal(Proposal{
 			ID: id, BaseVersion: base, Now: 2 * time.Hour, EffectiveAt: 2 * time.Hour,
@@ -49,22 +50,23 @@
 	}
 	late("e", 1, 1)
 	apply(marshal(record{Kind: kindAbandoned, Version: 2, Agent: 7, Code: UnknownClass, Text: "no such class"}))
-	require.Equal(t, "not taken: agent 7 cannot use it: no such class", end("e"))
+	require.Equal(t, "not taken: agent 7 cannot use the document: no such class", outcome("e"))
 	require.Equal(t, uint64(1), m.State().InForce.Number)
 	late("f", 1, 1)
 	apply(marshal(record{Kind: kindActivated, Version: 3}))
 	late("g", 3, 2)
-	require.Equal(t, "not taken: agents that are cut off may still go by the floor that version 3 replaced", end("g"))
+	require.Equal(t, "not taken: agents that are cut off may still act within the floor that version 3 replaced", outcome("g"))
 	apply(marshal(record{Kind: kindFloorReleased, Version: 3}))
 	late("h", 3, 2)
-	require.Equal(t, "ask again: ", end("h"))
+	require.Equal(t, "ask again: ", outcome("h"))
 	doc, ok := m.Document(1)
 	require.True(t, ok)
 	require.Contains(t, string(doc), "attempts = 2")
 }
 
-// TestAnyRecords: any log gives the same state everywhere, within bounds, over any snapshot.
-func TestAnyRecords(t *testing.T) {
+// TestArbitraryRecords checks that arbitrary records give the same bounded state with and without restoring snapshots, and
+// that arbitrary snapshots and answers can be decoded without a crash.
+func TestArbitraryRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m, other := NewStateMachine(), NewStateMachine()
 		for i := range rapid.IntRange(0, 120).Draw(t, "records") {
--- a/internal/control/policy/voter.go
+++ b/internal/control/policy/voter.go
@@ -7,49 +7,51 @@
 	"dunestep/internal/fleet/lease"
 )
 
-// Voter is a voter's part in a change, beside its lease.Granter: it decides who may be granted a lease while
-// a change is open, and reports when all that hold one from here have promised.
+// Voter is a voter's part of the protocol. Beside the voter's lease.Granter, it decides which agents may be
+// granted a lease while a change is open, and reports when all holders of its leases have promised.
 type Voter struct {
 	self  int
 	times Times
 	state State
-	// startedAt is when this process began. An earlier process of this voter may have granted leases before it,
-	// of which nothing is known here.
+	// startedAt is the start of this process. Before it, an earlier process of this voter may have granted
+	// leases that are not known here.
 	startedAt   lease.ClockReading
 	holders     map[int][]holder // by agent
 	rejection   agentRejection
-	retryAt     time.Duration // by the monotonic clock: until then the last record may be on its way
-	proposedFor uint64        // the change that retryAt is about
+	retryAt     time.Duration // when the last record may be proposed again, by the monotonic clock
+	proposedFor uint64        // number of the change that retryAt applies to
 }
 
 // holder is a process that was granted a lease.
 type holder struct {
 	incarnation uint64
-	grantedAt   lease.ClockReading // the last time
+	grantedAt   lease.ClockReading // time of the last grant
 	answer      Answer
 }
 
-// agentRejection is an agent's answer that rejects a change.
+// agentRejection is a rejecting answer and the agent that gave it.
 type agentRejection struct {
 	agent  int
 	answer Answer
 }
 
 const (
-	// maxProcesses is how many processes of one agent are told apart; during an upgrade there are two.
+	// maxProcesses is the maximum number of processes of one agent that are tracked separately; during an
+	// upgrade an agent has two.
 	maxProcesses = 4
-	// proposeRetryInterval is how long after it was proposed a record that is not in the log is proposed again.
+	// proposeRetryInterval is the time after which a proposed record that is not in the log is proposed again.
 	proposeRetryInterval = 200 * time.Millisecond
-	// recheckInterval is how often an open change is checked.
+	// recheckInterval is the interval between checks of an open change.
 	recheckInterval = 50 * time.Millisecond
 )
 
-// NewVoter returns a Voter of a process that begins now.
+// NewVoter returns the Voter of a process that starts now.
 func NewVoter(self int, times Times, now lease.ClockReading) *Voter {
 	return &Voter{self: self, times: times.WithDefaults(), startedAt: now, holders: map[int][]holder{}}
 }
 
-// Learn takes the present state: after records were applied, and before a lease is granted that covers them.
+// Learn updates the voter with the current agreed state. The caller must call it after records were applied
+// and before it grants a lease that covers them.
 func (v *Voter) Learn(m *StateMachine) {
 	v.state = m.State()
 	if v.state.OpenChange == nil {
@@ -64,17 +66,18 @@
 	}
 }
 
-// noteRejection notes an answer that rejects. Of several agents the lowest counts, so that the order of a map
-// does not.
+// noteRejection records a rejecting answer. Of several agents' rejections it keeps that of the lowest agent,
+// so that the result does not depend on map order.
 func (v *Voter) noteRejection(agent int, answer Answer) {
 	if answer.Code != Accepted && (v.rejection.answer.Version != answer.Version || agent < v.rejection.agent) {
 		v.rejection = agentRejection{agent, answer}
 	}
 }
 
-// AllowLease tells whether an agent may be granted a lease at this moment, and if so notes it as granted.
-// While a change is open only an agent that has promised may: one that has not applied it asks again when it
-// has, and one that rejects it once the change is abandoned.
+// AllowLease reports whether an agent may be granted a lease now, and if so records the lease as granted.
+// While a change is open, only an agent that has promised may: an agent that has not applied the change
+// requests the lease again once it has, and an agent that rejects the change gets a lease after the change is
+// abandoned.
 func (v *Voter) AllowLease(now lease.ClockReading, agent int, incarnation uint64, encodedAnswer []byte) bool {
 	answer, ok := DecodeAnswer(encodedAnswer)
 	if !ok {
@@ -92,8 +95,8 @@
 	return true
 }
 
-// AnswerReceived takes an answer that an agent sent beside its requests for leases: its promise covers every
-// lease that the process was granted.
+// AnswerReceived records an answer that an agent sent in a separate message. Its promise covers every lease
+// that was granted to the process.
 func (v *Voter) AnswerReceived(agent int, incarnation uint64, encodedAnswer []byte) {
 	answer, ok := DecodeAnswer(encodedAnswer)
 	if !ok {
@@ -109,10 +112,10 @@
 	}
 }
 
-// addHolder notes a lease. A newer answer of the same process than the request carries still counts: the
-// request was sent before it and was overtaken, and the process sends the answer once. Where one agent has
-// more than maxProcesses, those whose leases have expired are dropped, and the last two are merged into one
-// that has promised what both have.
+// addHolder records a granted lease. An answer of the same process that is newer than the one in the request
+// still counts: the request was sent before that answer and arrived after it. Processes whose leases have
+// expired are dropped. If an agent still has more than maxProcesses, the last two are merged into one entry,
+// which has promised only what both have.
 func (v *Voter) addHolder(now lease.ClockReading, agent int, h holder) {
 	for _, other := range v.holders[agent] {
 		if other.incarnation == h.incarnation && other.answer.Version > h.answer.Version {
@@ -133,12 +136,12 @@
 	v.holders[agent] = processes
 }
 
-// isExpired tells whether a holder's last lease is over by any clock.
+// isExpired reports whether a holder's last lease has expired by every clock.
 func (v *Voter) isExpired(h holder, now lease.ClockReading) bool {
 	return minElapsed(h.grantedAt, now) >= v.times.maxLeaseAge()
 }
 
-// ProcessStopped notes that a process of an agent has said that it has stopped acting.
+// ProcessStopped records that a process of an agent has reported that it stopped acting.
 func (v *Voter) ProcessStopped(agent int, incarnation uint64) {
 	stopped := func(h holder) bool { return h.incarnation == incarnation }
 	v.holders[agent] = slices.DeleteFunc(v.holders[agent], stopped)
@@ -147,8 +150,8 @@
 	}
 }
 
-// Due returns the records to propose to the log, and the latest time at which to call it again, by the
-// monotonic clock.
+// Due returns the records that the voter has to propose to the log, and the latest time of the next call, by
+// the monotonic clock.
 func (v *Voter) Due(now lease.ClockReading) (records [][]byte, next time.Duration) {
 	open := v.state.OpenChange
 	switch {
@@ -170,8 +173,8 @@
 	return records, v.retryAt
 }
 
-// allPromised tells whether every process that may hold a lease of this voter, granted by this process or an
-// earlier one, has promised.
+// allPromised reports whether every process that may hold a lease of this voter, granted by this process or
+// an earlier one, has promised.
 func (v *Voter) allPromised(now lease.ClockReading, version uint64) bool {
 	if minElapsed(v.startedAt, now) < v.times.maxLeaseAge() {
 		return false
--- a/internal/control/policy/zonerules.go
+++ b/internal/control/policy/zonerules.go
@@ -13,25 +13,27 @@
 )
 
 const (
-	// rulesBefore is how far into the past the added rules reach: the windows of a month are counted.
-	rulesBefore = 100 * 24 * time.Hour
-	// rulesAhead is how far into the future they reach. Beyond that no traffic is moved until the policy is
-	// proposed again.
-	rulesAhead = 5 * 366 * 24 * time.Hour
+	// zoneRulesPast is how far into the past the added rules reach. It exceeds a month because contracts limit
+	// the windows per month, so past windows are counted too.
+	zoneRulesPast = 100 * 24 * time.Hour
+	// zoneRulesFuture is how far into the future the added rules reach. Beyond that no traffic is moved until
+	// the policy is proposed again.
+	zoneRulesFuture = 5 * 366 * 24 * time.Hour
 )
 
-// zonesHeader stands before the rules that AddZoneRules adds. It is part of stored documents.
+// zonesHeader precedes the rules that AddZoneRules adds. It is part of stored documents and must not change.
 const zonesHeader = "# Filled in as it was proposed; " +
 	"it is made anew whenever the document is proposed again.\n"
 
-// zonesSection matches what AddZoneRules has added, at the document's end only: text that an author wrote
-// after it is never removed.
+// zonesSection matches the section that AddZoneRules has added, at the end of the document only, so that text
+// that the author wrote after the section is never removed.
 var zonesSection = regexp.MustCompile(`(?:\A|\n)` + regexp.QuoteMeta(zonesHeader) +
 	`(?:\[zones\."[^"\n]*"\]\nchanges = \[[^\]]*\]\n)*\z`)
 
-// AddZoneRules returns a document with the UTC offsets of its contracts' time zones added, from this
-// machine's zone data, so that all agents use the same. Zones that the document itself describes are left as
-// they are. A document that cannot be parsed is returned unchanged: the check of the proposal rejects it.
+// AddZoneRules returns the document with the UTC offsets of its contracts' time zones added, so that all
+// agents use the same offsets. It takes them from this machine's zone data. Zones that the document itself
+// describes stay unchanged. A document that cannot be parsed is returned without an added section and without
+// an error, because the check of the proposal rejects it.
 func AddZoneRules(document []byte, now time.Time) ([]byte, error) {
 	if at := zonesSection.FindIndex(document); at != nil {
 		document = document[:at[0]]
@@ -45,7 +47,7 @@
 		if _, described := d.file.Zones[zone]; described || contract.IsFixedZone(zone) {
 			continue
 		}
-		rules, err := contract.ZoneRules(zone, now.Add(-rulesBefore), now.Add(rulesAhead))
+		rules, err := contract.ZoneRules(zone, now.Add(-zoneRulesPast), now.Add(zoneRulesFuture))
 		if err != nil {
 			return nil, fmt.Errorf("cannot add the rules of time zone %q to the document: %w", zone, err)
 		}
@@ -57,7 +59,7 @@
 	return slices.Concat(document, []byte("\n"+zonesHeader+text)), nil
 }
 
-// contractZones are the time zones of the contracts, each once.
+// contractZones returns the time zones of the contracts in order, without duplicates.
 func (d *Document) contractZones() (zones []string) {
 	for _, t := range d.file.Contracts {
 		zones = append(zones, t.Zone)
@@ -66,8 +68,8 @@
 	return slices.Compact(zones)
 }
 
-// ZoneDifferences reports each zone whose rules in the document differ from this machine's zone data, by name
-// in order; nil: none. It reads zone data.
+// ZoneDifferences returns a joined error with one error for each zone whose rules in the document differ from
+// this machine's zone data, in order of name, or nil if none differs. It reads this machine's zone data.
 func (d *Document) ZoneDifferences() (err error) {
 	for _, zone := range slices.Sorted(maps.Keys(d.file.Zones)) {
 		if differs := contract.CompareZoneData(zone, d.file.Zones[zone].Changes); differs != nil {
