--- a/internal/control/ringassignment/change.go
+++ b/internal/control/ringassignment/change.go
@@ -8,115 +8,119 @@
 )
 
 const (
-	// maxPacesSize is how many bytes of MaxServersSize are reserved for the paces of machine kinds.
+	// maxPacesSize is the part of MaxServersSize that is reserved for the paces of machine kinds, in bytes.
 	maxPacesSize = 1 << 10
-	// resumeNumerator in ten: a suspended assignment resumes once the servers need less of the room than this.
-	resumeNumerator = 9
-	// minRingLevel keeps servers in slow start from beginning ever lower where one after the other is restarted.
+	// resumeTenths is the fraction of the available size, in tenths, below which the servers' size has to fall
+	// for a suspended assignment to resume.
+	resumeTenths = 9
+	// minRingLevel is the lower limit of builder.ringLevel. Without it, servers in slow start would begin with
+	// fewer and fewer points when servers are restarted one after the other.
 	minRingLevel = 0.5
 )
 
-// builder makes the next generation.
+// builder computes the next generation.
 type builder struct {
 	state            *State
 	params           *Parameters
 	now, effectiveAt time.Duration // Unix time
-	listDoubtful     bool          // so much is lost at once that the leader's list is not believed
+	listDoubtful     bool          // see isListDoubtful
 	servers          map[string]*ObservedServer
-	missing          map[string]time.Duration // servers that vanished lately, and when
-	fullyDrained     map[string]bool          // by windows
-	members          map[string]*Member       // of the next generation
-	owedPoints       float64                  // that may be moved beyond MaxMoveRate
-	lostPoints       float64                  // that this generation takes off
-	movablePoints    float64                  // that may be moved by MaxMoveRate
-	ringLevel        float64                  // the fraction of their full points that servers have
-	warmth           float64                  // see fleetWarmth
+	missing          map[string]time.Duration // servers that recently left the list, and when
+	fullyDrained     map[string]bool          // servers that windows have fully drained
+	members          map[string]*Member       // members of the next generation
+	owedPoints       float64                  // points of lost servers, which may be moved beyond MaxMoveRate
+	lostPoints       float64                  // points that this generation takes off the ring
+	movablePoints    float64                  // points that MaxMoveRate permits to move
+	ringLevel        float64                  // see State.ringLevel
+	fleetFraction    float64                  // see fleetSlowStartFraction
 }
 
-// NextChange is the generation that follows from the present one, from what the leader sees and from the
-// time: a pure function. False: none does. The parameters must have their defaults.
+// NextChange returns the change to the next generation, which follows from the current state, the leader's
+// view of the servers and the time. It returns false if no change is needed. It is a pure function. The
+// parameters must have their defaults set (Parameters.WithDefaults).
 func NextChange(st State, servers []ObservedServer, params Parameters, now time.Duration) (Change, bool) {
-	x := &builder{
+	next := &builder{
 		state: &st, params: &params, now: now, effectiveAt: now + params.ActivationLead,
 		servers: map[string]*ObservedServer{}, missing: map[string]time.Duration{}, fullyDrained: map[string]bool{},
 		members: map[string]*Member{},
 	}
-	usable, fits := x.addServers(servers)
-	x.warmth = x.fleetWarmth()
-	c := Change{Base: st.Number, Now: now, EffectiveAt: x.effectiveAt}
+	usable, fits := next.addServers(servers)
+	next.fleetFraction = next.fleetSlowStartFraction()
+	change := Change{Base: st.Number, Now: now, EffectiveAt: next.effectiveAt}
 	switch {
 	case !fits:
-		c.Suspend = true
-		return c, st.Number > 0 && !st.Suspended
+		change.Suspend = true
+		return change, st.Number > 0 && !st.Suspended
 	case usable == 0:
-		return c, false
+		return change, false
 	case st.Number == 0 || st.Suspended:
-		x.buildFirst()
+		next.buildFirst()
 	default:
-		x.applyRules()
-		x.distributePoints()
+		next.applyRules()
+		next.distributePoints()
 	}
-	x.dropGone()
-	return x.diff(c)
+	next.dropGone()
+	return next.diff(change)
 }
 
-// addServers takes what the leader sees: how many servers are usable, and whether the snapshot has room for
-// all.
+// addServers adds the leader's view of the servers. It returns the number of usable servers and whether all
+// servers fit the snapshot.
 func (x *builder) addServers(servers []ObservedServer) (usable int, fits bool) {
 	size, valid := 0, true
 	for i := range servers {
-		s := &servers[i]
-		if s.FullyDrained {
-			x.fullyDrained[s.ID] = true
+		server := &servers[i]
+		if server.FullyDrained {
+			x.fullyDrained[server.ID] = true
 		}
-		if s.Missing {
-			x.missing[s.ID] = s.LostAt
+		if server.Missing {
+			x.missing[server.ID] = server.LostAt
 			continue
 		}
-		x.servers[s.ID] = s
-		if size += len(s.ID) + BytesPerServer; s.isUsable() {
+		x.servers[server.ID] = server
+		if size += len(server.ID) + BytesPerServer; server.isUsable() {
 			usable++
 		}
-		valid = valid && s.ID != "" && len(s.ID) <= MaxIDSize
+		valid = valid && server.ID != "" && len(server.ID) <= MaxIDSize
 	}
 	const room = MaxServersSize - maxPacesSize
-	return usable, valid && size <= room && (!x.state.Suspended || size <= room*resumeNumerator/10)
+	return usable, valid && size <= room && (!x.state.Suspended || size <= room*resumeTenths/10)
 }
 
-// buildFirst puts all usable servers on the ring, each with as many points as without generations.
+// buildFirst puts all usable servers on the ring, each with the same number of points as without generations
+// (DefaultPoints), or fewer in slow start.
 func (x *builder) buildFirst() {
 	sum := 0
-	for _, s := range x.servers {
-		sum += x.wantedPoints(s)
+	for _, server := range x.servers {
+		sum += x.wantedPoints(server)
 	}
 	x.ringLevel = min(float64(DefaultPoints*len(x.servers))/float64(max(sum, 1)), 1)
-	for id, s := range x.servers {
-		n := &Member{ID: id, Points: DefaultPoints}
-		n.setFullPoints(x.wantedPoints(s))
-		c := &candidate{x, n, s}
+	for id, server := range x.servers {
+		member := &Member{ID: id, Points: DefaultPoints}
+		member.setFullPoints(x.wantedPoints(server))
+		c := &candidate{x, member, server}
 		switch {
 		case c.isDraining():
-			n.Points = 0
-			x.enter(n, Away)
+			member.Points = 0
+			x.enter(member, Away)
 		case !c.isReady():
-			n.Points = 0
-			x.enter(n, Expected)
-		case c.isColder():
-			n.Points = uint16(c.warmPoints())
-			x.enter(n, Joining)
+			member.Points = 0
+			x.enter(member, Expected)
+		case c.exceedsSlowStart():
+			member.Points = uint16(c.slowStartPoints())
+			x.enter(member, Joining)
 		}
-		x.members[id] = n
+		x.members[id] = member
 	}
 }
 
-// enter has a server enter a phase, which does not count as a flap.
+// enter moves a server to a phase without counting a flap.
 func (x *builder) enter(n *Member, to Phase) { n.enter(to, noFlap, x.now, x.params.PenaltyHalfLife) }
 
-// applyRules has each server follow the rules.
+// applyRules applies the first matching rule to each server.
 func (x *builder) applyRules() {
 	for i := range x.state.Members {
-		n := x.state.Members[i]
-		x.members[n.ID] = &n
+		member := x.state.Members[i]
+		x.members[member.ID] = &member
 	}
 	for id, s := range x.servers {
 		if x.members[id] == nil {
@@ -126,35 +130,37 @@
 	}
 	x.ringLevel = max(x.state.ringLevel(), minRingLevel)
 	x.listDoubtful = x.isListDoubtful()
-	for id, n := range x.members { // in any order: each by itself
-		x.updateFullPoints(n)
-		if r := (&candidate{x, n, x.servers[id]}).firstRule(); r != nil {
-			x.applyRule(n, r)
+	for id, member := range x.members { // the order does not matter: each server is independent
+		x.updateFullPoints(member)
+		if r := (&candidate{x, member, x.servers[id]}).firstRule(); r != nil {
+			x.applyRule(member, r)
 		}
 	}
 	x.carryOwed()
 }
 
-// applyRule has a rule take effect.
-func (x *builder) applyRule(n *Member, r *rule) {
-	before := n.OnRing()
-	n.enter(r.to, r.flap, x.now, x.params.PenaltyHalfLife)
+// applyRule applies a rule to a server: it changes the phase and the points.
+func (x *builder) applyRule(member *Member, r *rule) {
+	before := member.OnRing()
+	member.enter(r.to, r.flap, x.now, x.params.PenaltyHalfLife)
 	switch {
 	case r.to == Away || r.to == Gone:
-		n.Points = 0
+		member.Points = 0
 	case r.to == Joining && before == 0:
-		n.Points = 0
+		member.Points = 0
 	case r.to == Joining && r.flap == countsAsFlap:
-		n.Points = uint16(min(int(n.Points), x.permittedPoints(x.servers[n.ID], n.fullPoints())))
+		member.Points = uint16(min(int(member.Points),
+			x.permittedPoints(x.servers[member.ID], member.fullPoints())))
 	}
-	if lost := before - n.OnRing(); lost > 0 {
+	if lost := before - member.OnRing(); lost > 0 {
 		x.lostPoints += float64(lost)
-	} else if lost < 0 { // the points that were kept for it
+	} else if lost < 0 { // the server returns with the points that were kept for it
 		x.owedPoints += float64(lost)
 	}
 }
 
-// carryOwed adds up what is owed: what is lost now, and what is not made up for yet of what was lost before.
+// carryOwed adds up the owed points: the points lost now, and the points of earlier losses that other servers
+// have not replaced yet.
 func (x *builder) carryOwed() {
 	if x.now-time.Duration(x.state.LostAt)*time.Second < x.params.OwedValidity {
 		x.owedPoints += float64(x.state.OwedPoints)
@@ -162,79 +168,81 @@
 	x.owedPoints = max(x.owedPoints, 0) + x.lostPoints
 }
 
-// isListDoubtful tells whether over half of the ring would be lost at once without a drain. Then the leader's
-// list may be wrong alone; each agent's own list keeps lost servers out of use.
+// isListDoubtful reports whether more than half of the ring's points would be lost at once without draining.
+// Then the leader's list may be wrong, and no server counts as lost because of it. If servers really are
+// lost, each agent's own endpoint list keeps them out of use.
 func (x *builder) isListDoubtful() bool {
 	lost, all := 0, 0
-	for id, n := range x.members {
-		if n.Phase == Away || n.Phase == Gone || n.Phase == Expected || x.fullyDrained[id] {
+	for id, member := range x.members {
+		if member.Phase == Away || member.Phase == Gone || member.Phase == Expected || x.fullyDrained[id] {
 			continue
 		}
-		all += int(n.Points)
-		if s := x.servers[id]; s == nil || !s.Ready && !s.Draining {
-			lost += int(n.Points)
+		all += int(member.Points)
+		if server := x.servers[id]; server == nil || !server.Ready && !server.Draining {
+			lost += int(member.Points)
 		}
 	}
 	return 2*lost > all
 }
 
-// dropGone drops servers that have long been gone, and the first of the others that are gone where there is
-// no room.
+// dropGone drops servers that have been gone for Parameters.GoneRetention. If the snapshot's size is
+// exceeded, it also drops other gone servers, those that have been gone longest first.
 func (x *builder) dropGone() {
 	var gone []*Member
 	size := maxPacesSize
-	for id, n := range x.members {
+	for id, member := range x.members {
 		size += len(id) + BytesPerServer
-		if n.Phase == Gone {
-			gone = append(gone, n)
+		if member.Phase == Gone {
+			gone = append(gone, member)
 		}
 	}
 	slices.SortFunc(gone, func(a, b *Member) int {
 		return cmp.Or(cmp.Compare(a.Since, b.Since), cmp.Compare(a.ID, b.ID))
 	})
-	for _, n := range gone {
-		if size > MaxServersSize || x.now-time.Duration(n.Since)*time.Second >= x.params.GoneRetention {
-			size -= len(n.ID) + BytesPerServer
-			delete(x.members, n.ID)
+	for _, member := range gone {
+		if size > MaxServersSize || x.now-time.Duration(member.Since)*time.Second >= x.params.GoneRetention {
+			size -= len(member.ID) + BytesPerServer
+			delete(x.members, member.ID)
 		}
 	}
 }
 
-// urgentGrowth: a joining server that gains more than one in so many of its full points makes a change
-// urgent.
-const urgentGrowth = 20
+// urgentGrowthDivisor makes a change urgent if a joining server gains more than its full points divided by
+// it.
+const urgentGrowthDivisor = 20
 
-// diff completes the change with what differs from the present generation; false: nothing does.
-func (x *builder) diff(c Change) (Change, bool) {
-	c.OwedPoints, c.LostAt = uint32(x.owedPoints), x.state.LostAt
+// diff completes the change with the differences from the current generation. It returns false if there are
+// none.
+func (x *builder) diff(change Change) (Change, bool) {
+	change.OwedPoints, change.LostAt = uint32(x.owedPoints), x.state.LostAt
 	if x.lostPoints > 0 {
-		c.LostAt = unixSeconds(x.now)
+		change.LostAt = unixSeconds(x.now)
 	}
 	for _, id := range slices.Sorted(maps.Keys(x.members)) {
-		n, before := x.members[id], x.state.find(id)
+		member, before := x.members[id], x.state.find(id)
 		switch {
 		case before == nil:
-			c.MovesKeys = c.MovesKeys || n.OnRing() > 0
-		case *before == *n:
+			change.MovesKeys = change.MovesKeys || member.OnRing() > 0
+		case *before == *member:
 			continue
 		default:
-			c.MovesKeys = c.MovesKeys || n.OnRing() != before.OnRing()
+			change.MovesKeys = change.MovesKeys || member.OnRing() != before.OnRing()
 		}
-		c.Urgent = c.Urgent || before == nil || n.Phase != before.Phase ||
-			n.Phase == Joining && int(n.Points) > int(before.Points)+n.fullPoints()/urgentGrowth
-		c.Members = append(c.Members, *n)
+		change.Urgent = change.Urgent || before == nil || member.Phase != before.Phase ||
+			member.Phase == Joining && int(member.Points) > int(before.Points)+member.fullPoints()/urgentGrowthDivisor
+		change.Members = append(change.Members, *member)
 	}
 	for i := range x.state.Members {
 		if id := x.state.Members[i].ID; x.members[id] == nil {
-			c.Forgotten = append(c.Forgotten, id)
-			c.MovesKeys = c.MovesKeys || x.state.Members[i].OnRing() > 0
+			change.RemovedIDs = append(change.RemovedIDs, id)
+			change.MovesKeys = change.MovesKeys || x.state.Members[i].OnRing() > 0
 		}
 	}
-	return c, len(c.Members)+len(c.Forgotten) > 0
+	return change, len(change.Members)+len(change.RemovedIDs) > 0
 }
 
-// ringLevel is the fraction of their full points that servers have: half of the ring's points belong to
-// servers that have as large a fraction or a larger one.
+// ringLevel returns the median fraction of their full points that servers have, weighted by points: at least
+// half of the ring's points belong to servers with this fraction or a larger one.
 func (st *State) ringLevel() float64 {
 	ring := slices.DeleteFunc(slices.Clone(st.Members), func(n Member) bool { return n.OnRing() == 0 })
 	fraction := func(n *Member) float64 { return float64(n.Points) / float64(max(n.fullPoints(), 1)) }
--- a/internal/control/ringassignment/change_test.go
+++ b/internal/control/ringassignment/change_test.go
@@ -15,7 +15,7 @@
 	"dunestep/internal/fleet/raftlog"
 )
 
-// leader plays a leader alone: a clock, an endpoint list, the state machine.
+// leader simulates a leader without a fleet, with a clock, an endpoint list and the state machine.
 type leader struct {
 	t            *testing.T
 	params       Parameters
@@ -26,20 +26,20 @@
 	machine      *StateMachine
 }
 
-// begin is a leader of 20 servers after five minutes.
-func begin(t *testing.T) *leader {
+// newLeader returns a leader with 20 servers after 5 min of simulated time.
+func newLeader(t *testing.T) *leader {
 	x := &leader{t: t, now: 1e6 * time.Hour, list: map[string]*Server{}, machine: NewStateMachine(), params: Parameters{
 		SlowStart: slowstart.Params{InitialCapacity: 0.31, Duration: 9 * time.Second, OverloadMultiple: 3, Margin: 0.4, MaxOfWarm: 1},
 	}.WithDefaults()}
 	for i := range 20 {
 		x.list[fmt.Sprint("s-", 10+i)] = &Server{ID: fmt.Sprint("s-", 10+i), Ready: true, Capacity: 1}
 	}
-	x.pass(5 * time.Minute)
+	x.advance(5 * time.Minute)
 	return x
 }
 
-// pass has time pass, with a view each second and a generation as soon as one may be proposed.
-func (x *leader) pass(d time.Duration) {
+// advance advances the time, with a view each second and a generation as soon as one may be proposed.
+func (x *leader) advance(d time.Duration) {
 	for end := x.now + d; x.now < end; x.now += time.Second {
 		v := View{Now: x.now, FullyDrained: x.fullyDrained}
 		for _, s := range x.list {
@@ -49,176 +49,181 @@
 		if x.now < x.machine.state.EffectiveAt+x.params.Terms.FenceWait() {
 			continue
 		}
-		if c, is := NextChange(x.machine.state, servers, x.params, x.now); is {
+		if c, found := NextChange(x.machine.state, servers, x.params, x.now); found {
 			x.machine.Apply(1, c.Encode())
 			require.Equal(x.t, c.Base+1, x.machine.state.Number)
 		}
 	}
 }
 
-func (x *leader) node(id string) Member {
+func (x *leader) member(id string) Member {
 	n := x.machine.state.find(id)
 	require.NotNil(x.t, n, id)
 	return *n
 }
 
-// TestPhases: each phase is entered as the rules say.
-func TestPhases(t *testing.T) {
-	x := begin(t)
-	require.Equal(t, Member{ID: "s-10", Points: 200}, x.node("s-10"))
+// TestPhaseTransitions checks the phases and points of servers that vanish, return, join, drain and restart.
+func TestPhaseTransitions(t *testing.T) {
+	x := newLeader(t)
+	require.Equal(t, Member{ID: "s-10", Points: 200}, x.member("s-10"))
 	vanished := *x.list["s-10"]
 	delete(x.list, "s-10")
-	x.pass(3 * time.Second)
-	require.Equal(t, Suspect, x.node("s-10").Phase)
-	n := x.node("s-10")
+	x.advance(3 * time.Second)
+	require.Equal(t, Suspect, x.member("s-10").Phase)
+	n := x.member("s-10")
 	require.Zero(t, n.OnRing())
 	require.EqualValues(t, 200, n.Points)
 
 	x.list["s-10"] = &vanished
-	x.pass(12 * time.Second)
-	require.Equal(t, Complete, x.node("s-10").Phase)
-	require.EqualValues(t, 200, x.node("s-10").Points)
+	x.advance(12 * time.Second)
+	require.Equal(t, Complete, x.member("s-10").Phase)
+	require.EqualValues(t, 200, x.member("s-10").Points)
 
 	delete(x.list, "s-10")
-	x.pass(50 * time.Second)
-	require.Equal(t, Gone, x.node("s-10").Phase)
-	x.pass(15 * time.Minute)
+	x.advance(50 * time.Second)
+	require.Equal(t, Gone, x.member("s-10").Phase)
+	x.advance(15 * time.Minute)
 	require.Nil(t, x.machine.state.find("s-10"))
 
 	x.list["new"] = &Server{ID: "new", Ready: true, Capacity: 2, StartedAt: x.now}
-	x.pass(2 * time.Second)
-	require.Equal(t, Joining, x.node("new").Phase)
-	require.Less(t, x.node("new").Points, uint16(250))
-	x.pass(2 * time.Minute)
-	require.Equal(t, Member{ID: "new", Points: 400}, x.node("new"))
+	x.advance(2 * time.Second)
+	require.Equal(t, Joining, x.member("new").Phase)
+	require.Less(t, x.member("new").Points, uint16(250))
+	x.advance(2 * time.Minute)
+	require.Equal(t, Member{ID: "new", Points: 400}, x.member("new"))
 
 	x.list["s-11"].Draining = true
-	x.pass(8 * time.Second)
-	require.Equal(t, Away, x.node("s-11").Phase)
-	require.Zero(t, x.node("s-11").Points)
+	x.advance(8 * time.Second)
+	require.Equal(t, Away, x.member("s-11").Phase)
+	require.Zero(t, x.member("s-11").Points)
 
 	x.list["s-13"].StartedAt = x.now
-	x.pass(6 * time.Second)
-	require.Equal(t, Joining, x.node("s-13").Phase)
+	x.advance(6 * time.Second)
+	require.Equal(t, Joining, x.member("s-13").Phase)
 }
 
-// TestFullyDrainedServersStay: a server that windows have fully drained stays as it is, whatever becomes of it and whoever
-// leads; afterwards it is lost only if it is not back.
+// TestFullyDrainedServersStay checks that a server that windows have fully drained keeps its phase and points through
+// restarts, absence and a change of leader, and that after the window it is lost only if it has not returned.
 func TestFullyDrainedServersStay(t *testing.T) {
-	x := begin(t)
+	x := newLeader(t)
 	number := x.machine.state.Number
-	one, other := *x.list["s-10"], x.list["s-11"]
+	absent, draining := *x.list["s-10"], x.list["s-11"]
 	x.fullyDrained = map[string]bool{"s-10": true, "s-11": true, "unknown": true}
 	for range 5 { // restarts
 		delete(x.list, "s-10")
-		other.Draining = true
-		x.pass(10 * time.Second)
-		one.StartedAt, other.StartedAt = x.now, x.now
-		x.list["s-10"], other.Draining = &one, false
-		x.pass(10 * time.Second)
+		draining.Draining = true
+		x.advance(10 * time.Second)
+		absent.StartedAt, draining.StartedAt = x.now, x.now
+		x.list["s-10"], draining.Draining = &absent, false
+		x.advance(10 * time.Second)
 	}
 	delete(x.list, "s-10")
-	x.pass(2 * time.Minute)
-	x.tracker = ViewTracker{} // of another leader
-	x.pass(10 * time.Second)
+	x.advance(2 * time.Minute)
+	x.tracker = ViewTracker{} // as at a new leader
+	x.advance(10 * time.Second)
 	require.Equal(t, number, x.machine.state.Number)
 
 	x.fullyDrained = nil
-	x.pass(8 * time.Second)
-	require.Equal(t, Suspect, x.node("s-10").Phase)
-	require.Equal(t, Member{ID: "s-11", Points: 200}, x.node("s-11"))
+	x.advance(8 * time.Second)
+	require.Equal(t, Suspect, x.member("s-10").Phase)
+	require.Equal(t, Member{ID: "s-11", Points: 200}, x.member("s-11"))
 	require.Nil(t, x.machine.state.find("unknown"))
 	x.fullyDrained = map[string]bool{"s-10": true}
-	x.list["s-10"] = &one
-	x.pass(10 * time.Second)
-	require.Equal(t, Complete, x.node("s-10").Phase, "one that was lost before returns as any other does")
+	x.list["s-10"] = &absent
+	x.advance(10 * time.Second)
+	require.Equal(t, Complete, x.member("s-10").Phase, "a server that was lost before the window returns during the window")
 }
 
-// TestPacesChangePoints: an agreed pace counts, also a first step of a tenth; switched off, capacities alone do.
+// TestPacesChangePoints checks that an agreed pace changes points, even a first step of 10 %, and that without UsePaces only
+// capacities determine points.
 func TestPacesChangePoints(t *testing.T) {
-	x := begin(t)
+	x := newLeader(t)
 	for id := range x.list {
 		x.list[id].Kind = "lent"
 	}
 	x.machine.state.Paces, x.machine.state.PacesChangedAt, x.params.UsePaces = []Pace{{Kind: "lent", Percent: 90}}, unixSeconds(x.now), true
-	x.pass(2 * time.Minute)
-	require.Equal(t, Member{ID: "s-10", Points: 180}, x.node("s-10"))
+	x.advance(2 * time.Minute)
+	require.Equal(t, Member{ID: "s-10", Points: 180}, x.member("s-10"))
 	x.params.UsePaces = false
-	x.pass(5 * time.Minute)
-	require.Equal(t, Member{ID: "s-10", Points: 200}, x.node("s-10"))
+	x.advance(5 * time.Minute)
+	require.Equal(t, Member{ID: "s-10", Points: 200}, x.member("s-10"))
 }
 
-// TestFlappingServerIsHeldOff: it stays off until it has been ready for long enough, longer each time.
+// TestFlappingServerIsHeldOff checks that a flapping server stays off the ring until it has been ready for long enough, and
+// that this time grows with each flap.
 func TestFlappingServerIsHeldOff(t *testing.T) {
-	x := begin(t)
+	x := newLeader(t)
 	s := x.list["s-10"]
 	for range 10 {
 		s.Ready = false
-		x.pass(2 * time.Second)
+		x.advance(2 * time.Second)
 		s.Ready = true
-		x.pass(2 * time.Second)
-		n := x.node("s-10")
+		x.advance(2 * time.Second)
+		n := x.member("s-10")
 		require.Zero(t, n.OnRing())
 	}
 	back := func() (after time.Duration) {
-		for from := x.now; x.node("s-10").Phase != Complete; after = x.now - from {
-			x.pass(time.Second)
+		for from := x.now; x.member("s-10").Phase != Complete; after = x.now - from {
+			x.advance(time.Second)
 		}
 		return after
 	}
 	first := back()
 	for range 4 {
 		s.Ready = false
-		x.pass(10 * time.Second)
+		x.advance(10 * time.Second)
 		s.Ready = true
 		back()
 	}
 	s.Ready = false
-	x.pass(10 * time.Second)
+	x.advance(10 * time.Second)
 	s.Ready = true
 	require.Greater(t, back(), 2*first)
 }
 
-// TestCapacityChanges: a capacity that lasts a moment changes no points, one that stays does, by the rate.
+// TestCapacityChanges checks that a short change of capacity moves no points, that a lasting one does, limited by the move
+// rate, and that an invalid capacity counts as 1.
 func TestCapacityChanges(t *testing.T) {
-	x := begin(t)
+	x := newLeader(t)
 	number := x.machine.state.Number
 	for i := range 30 {
 		x.list["s-10"].Capacity = []float64{0.5, 2, 1}[i%3]
-		x.pass(5 * time.Second)
+		x.advance(5 * time.Second)
 	}
 	require.Equal(t, number, x.machine.state.Number)
 	x.list["s-10"].Capacity = 2
-	x.pass(40 * time.Second)
-	require.Greater(t, x.node("s-10").Points, uint16(200))
-	x.pass(time.Minute)
-	require.Equal(t, Member{ID: "s-10", Points: 400}, x.node("s-10"))
-	x.list["s-11"].Capacity = -1 // invalid: the usual capacity
-	x.pass(time.Minute)
-	require.Equal(t, Member{ID: "s-11", Points: 200}, x.node("s-11"))
+	x.advance(40 * time.Second)
+	require.Greater(t, x.member("s-10").Points, uint16(200))
+	x.advance(time.Minute)
+	require.Equal(t, Member{ID: "s-10", Points: 400}, x.member("s-10"))
+	x.list["s-11"].Capacity = -1 // invalid: counts as 1
+	x.advance(time.Minute)
+	require.Equal(t, Member{ID: "s-11", Points: 200}, x.member("s-11"))
 }
 
-// TestDoubtfulListTakesNoServerOff: nor does one that is empty.
+// TestDoubtfulListTakesNoServerOff checks that a list without more than half of the servers, or an empty list, takes no
+// server off the ring.
 func TestDoubtfulListTakesNoServerOff(t *testing.T) {
-	x := begin(t)
-	was := x.machine.state
+	x := newLeader(t)
+	before := x.machine.state
 	for i := range 11 {
 		delete(x.list, fmt.Sprint("s-", 10+i))
 	}
-	x.pass(time.Minute)
-	require.Equal(t, was.OnRing(), x.machine.state.OnRing())
+	x.advance(time.Minute)
+	require.Equal(t, before.OnRing(), x.machine.state.OnRing())
 	clear(x.list)
-	x.pass(time.Minute)
-	require.Equal(t, was.OnRing(), x.machine.state.OnRing())
+	x.advance(time.Minute)
+	require.Equal(t, before.OnRing(), x.machine.state.OnRing())
 }
 
-// TestSuspendedWithTooManyServers: and resumed once the snapshot has room again.
+// TestSuspendedWithTooManyServers checks that the assignment is suspended if the servers do not fit the snapshot, and
+// resumes once they do.
 func TestSuspendedWithTooManyServers(t *testing.T) {
-	x := begin(t)
+	x := newLeader(t)
 	for i := range 900 {
 		x.list[fmt.Sprint("more-", i)] = &Server{ID: fmt.Sprint("more-", i), Ready: true, Capacity: 1}
 	}
-	x.pass(30 * time.Second)
+	x.advance(30 * time.Second)
 	require.True(t, x.machine.state.Suspended)
 	agent := NewAgent()
 	agent.Learn(x.machine)
@@ -226,14 +231,15 @@
 	for i := range 400 {
 		delete(x.list, fmt.Sprint("more-", i))
 	}
-	x.pass(30 * time.Second)
+	x.advance(30 * time.Second)
 	require.False(t, x.machine.state.Suspended)
 	agent.Learn(x.machine)
 	require.Len(t, agent.Assignment(lease.ClockReading{Unix: x.now}, lease.Full).Points, 520)
 	require.Less(t, len(x.machine.Snapshot()), MaxServersSize)
 }
 
-// TestLargestStateFitsTheSnapshot: beside the state of the other state machines.
+// TestLargestStateFitsTheSnapshot checks that the largest state fits the log's snapshot beside the state of the other state
+// machines.
 func TestLargestStateFitsTheSnapshot(t *testing.T) {
 	m, size := NewStateMachine(), 0
 	for i := 0; ; i++ {
@@ -251,8 +257,9 @@
 	require.LessOrEqual(t, 50<<10+operatorcommand.MaxBytes+16<<10+MaxServersSize+1<<10, raftlog.MaxSnapshotBytes)
 }
 
-// TestAnyRecords: any records leave the state valid, and a snapshot gives the same state.
-func TestAnyRecords(t *testing.T) {
+// TestArbitraryRecords checks that arbitrary records leave the state valid, and that a restored snapshot gives the same
+// state.
+func TestArbitraryRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := NewStateMachine()
 		for range rapid.IntRange(1, 30).Draw(t, "records") {
@@ -264,7 +271,7 @@
 				})
 			}
 			if rapid.Bool().Draw(t, "drop") {
-				c.Forgotten = []string{rapid.StringN(0, 3, 9).Draw(t, "dropped")}
+				c.RemovedIDs = []string{rapid.StringN(0, 3, 9).Draw(t, "dropped")}
 			}
 			data := c.Encode()
 			if rapid.IntRange(0, 9).Draw(t, "spoilt") == 0 {
@@ -280,19 +287,19 @@
 	})
 }
 
-// BenchmarkNextChange is of a leader's view of 600 servers, where nothing is to be done.
+// BenchmarkNextChange measures NextChange for a view of 600 servers when no change is needed.
 func BenchmarkNextChange(b *testing.B) {
-	m, f, now, servers := NewStateMachine(), Parameters{}.WithDefaults(), time.Hour, []ObservedServer{}
+	m, params, now, servers := NewStateMachine(), Parameters{}.WithDefaults(), time.Hour, []ObservedServer{}
 	for i := range 600 {
 		servers = append(servers, ObservedServer{Server: Server{ID: fmt.Sprintf("s-%08x", i), Ready: true, Capacity: 0.5}})
 	}
 	for range 2 {
 		now += 10 * time.Second
-		if c, is := NextChange(m.state, servers, f, now); is {
+		if c, found := NextChange(m.state, servers, params, now); found {
 			m.Apply(1, c.Encode())
 		}
 	}
 	for b.Loop() {
-		NextChange(m.state, servers, f, now)
+		NextChange(m.state, servers, params, now)
 	}
 }
--- a/internal/control/ringassignment/encoding.go
+++ b/internal/control/ringassignment/encoding.go
@@ -2,8 +2,8 @@
 
 import "github.com/fxamacker/cbor/v2"
 
-// encoding and decoding are the CBOR modes of records and snapshots: bounded, without tags and without
-// indefinite lengths. They are set once and never changed.
+// encoding and decoding are the CBOR modes of records and snapshots: bounded in size, without tags and
+// without indefinite lengths. They are never modified.
 var encoding, decoding = cborModes()
 
 func cborModes() (cbor.EncMode, cbor.DecMode) {
@@ -24,7 +24,7 @@
 func marshal(v any) []byte {
 	data, err := encoding.Marshal(v)
 	if err != nil {
-		panic(err) // the type cannot be encoded, whatever its values
+		panic(err) // a programming error: no value of the type can be encoded
 	}
 	return data
 }
--- a/internal/control/ringassignment/example_test.go
+++ b/internal/control/ringassignment/example_test.go
@@ -8,7 +8,8 @@
 	"dunestep/internal/fleet/lease"
 )
 
-// A leader sees two servers and proposes the first generation, and an agent uses it from its time on.
+// The leader proposes the first generation from its view of two servers, and an agent uses it from its effective
+// time on.
 func Example() {
 	clock := lease.ClockReading{Unix: 1_000 * time.Hour}
 	later := func(d time.Duration) lease.ClockReading {
@@ -27,15 +28,15 @@
 	records, _ := proposer.Due(later(time.Second))
 	machine.Apply(1, records[0])
 	agent.Learn(machine)
-	fmt.Println("before:", agent.Assignment(clock, lease.Full))
-	p := agent.Assignment(later(time.Second), lease.Full)
-	fmt.Println("at its time:", p.Generation, p.Points)
-	for _, n := range machine.State().Members {
-		fmt.Println(n.ID, n.Phase, "on the way from", n.Points, "to", n.FullPoints)
+	fmt.Println("before the effective time:", agent.Assignment(clock, lease.Full))
+	assignment := agent.Assignment(later(time.Second), lease.Full)
+	fmt.Println("at the effective time:", assignment.Generation, assignment.Points)
+	for _, member := range machine.State().Members {
+		fmt.Println(member.ID, member.Phase, "points", member.Points, "of", member.FullPoints)
 	}
 	// Output:
-	// before: <nil>
-	// at its time: 1 map[s-1:100 s-2:100]
-	// s-1 whole on the way from 100 to 360
-	// s-2 whole on the way from 100 to 180
+	// before the effective time: <nil>
+	// at the effective time: 1 map[s-1:100 s-2:100]
+	// s-1 whole points 100 of 360
+	// s-2 whole points 100 of 180
 }
--- a/internal/control/ringassignment/golden_test.go
+++ b/internal/control/ringassignment/golden_test.go
@@ -14,17 +14,18 @@
 	"dunestep/internal/fleet/lease"
 )
 
-// update has the golden files written anew. They were made by the build before the packages were renamed: a
-// change of them is a change of what other builds read.
+// update rewrites the golden files. They were made by the build before the packages were renamed: a change of
+// a golden file is a change of the encoding that other builds read.
 var update = flag.Bool("update", false, "write testdata/golden anew")
 
-// goldenForm is one encoded form by its name in a golden file.
+// goldenForm is one encoded value and its name in a golden file.
 type goldenForm struct {
 	name string
 	data []byte
 }
 
-// requireGolden compares encoded forms with a golden file of lines "name hex", and returns those of the file.
+// requireGolden requires that a golden file of lines "name hex" has exactly the given values, and returns the file's
+// values by name.
 func requireGolden(t *testing.T, file string, forms []goldenForm) map[string][]byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", file)
@@ -50,7 +51,7 @@
 
 const goldenNow = 1800000000 * time.Second // Unix time
 
-func goldenNodes() []Member {
+func goldenMembers() []Member {
 	return []Member{
 		{ID: "a-1", Phase: Complete, Points: 200},
 		{ID: "a-2", Phase: Expected, FullPoints: 200, Since: 1799999990},
@@ -61,15 +62,15 @@
 	}
 }
 
-// TestGoldenRecords: the records of the agreed log have the bytes that every build reads.
+// TestGoldenRecords checks that the records of the agreed log have the encoding that other builds read.
 func TestGoldenRecords(t *testing.T) {
 	changes := []struct {
 		name string
 		Change
 	}{
 		{"full", Change{
-			Base: 3, Now: goldenNow, EffectiveAt: goldenNow + 500*time.Millisecond, Members: goldenNodes(),
-			Forgotten: []string{"d-1", "d-2"}, OwedPoints: 80, LostAt: 1799999992,
+			Base: 3, Now: goldenNow, EffectiveAt: goldenNow + 500*time.Millisecond, Members: goldenMembers(),
+			RemovedIDs: []string{"d-1", "d-2"}, OwedPoints: 80, LostAt: 1799999992,
 			Paces: []Pace{{Kind: "lent", Percent: 90}, {Kind: "own", Percent: 110}},
 		}},
 		{"off", Change{Base: 4, Now: goldenNow, EffectiveAt: goldenNow + 500*time.Millisecond, Suspend: true}},
@@ -77,7 +78,7 @@
 	var forms []goldenForm
 	for _, c := range changes {
 		with := c.Change
-		with.MovesKeys, with.Urgent = true, true // no part of the record
+		with.MovesKeys, with.Urgent = true, true // not part of the record
 		require.Equal(t, c.Encode(), with.Encode())
 		forms = append(forms, goldenForm{c.name, c.Encode()})
 	}
@@ -89,17 +90,17 @@
 	}
 }
 
-// TestGoldenSnapshots: the agreed generation in all its parts.
+// TestGoldenSnapshots checks the encoding of snapshots in which each part of the state is set.
 func TestGoldenSnapshots(t *testing.T) {
 	full := State{
-		Number: 4, EffectiveAt: goldenNow, Suspended: true, Members: goldenNodes(), OwedPoints: 80, LostAt: 1799999992,
+		Number: 4, EffectiveAt: goldenNow, Suspended: true, Members: goldenMembers(), OwedPoints: 80, LostAt: 1799999992,
 		Paces: []Pace{{Kind: "lent", Percent: 90}}, PacesChangedAt: 1799990000,
 	}
 	applied := NewStateMachine()
 	for _, c := range []Change{
-		{Now: goldenNow - time.Minute, EffectiveAt: goldenNow - time.Minute, Members: append(goldenNodes(), Member{ID: "d-1", Points: 9})},
+		{Now: goldenNow - time.Minute, EffectiveAt: goldenNow - time.Minute, Members: append(goldenMembers(), Member{ID: "d-1", Points: 9})},
 		{
-			Base: 1, Now: goldenNow, EffectiveAt: goldenNow + time.Second, Forgotten: []string{"d-1"}, OwedPoints: 200, LostAt: 1800000000,
+			Base: 1, Now: goldenNow, EffectiveAt: goldenNow + time.Second, RemovedIDs: []string{"d-1"}, OwedPoints: 200, LostAt: 1800000000,
 			Members: []Member{{ID: "a-1", Phase: Suspect, Points: 200, Since: 1800000000, Penalty: 100}},
 			Paces:   []Pace{{Kind: "own", Percent: 110}},
 		},
@@ -119,7 +120,7 @@
 	}
 }
 
-// TestGoldenMessages: what agents and voters send to each other.
+// TestGoldenMessages checks the encoding of generation IDs and pace reports, which agents and voters send to each other.
 func TestGoldenMessages(t *testing.T) {
 	mark := Mark{Number: 4, EffectiveAt: goldenNow}
 	report := EncodePaceReport(map[string]float64{"own": 1.1, "lent": 0.9, "strange": -1})
@@ -129,12 +130,12 @@
 	read, ok := DecodeMark(stored["mark"])
 	require.True(t, ok)
 	require.Equal(t, mark, read)
-	c := NewProposer(Parameters{UsePaces: true}, lease.ClockReading{Unix: goldenNow})
-	require.True(t, c.PaceReportReceived(lease.ClockReading{Unix: goldenNow}, 1, stored["word"]))
-	require.Equal(t, 1, c.PaceReporters(lease.ClockReading{Unix: goldenNow}))
+	proposer := NewProposer(Parameters{UsePaces: true}, lease.ClockReading{Unix: goldenNow})
+	require.True(t, proposer.PaceReportReceived(lease.ClockReading{Unix: goldenNow}, 1, stored["word"]))
+	require.Equal(t, 1, proposer.PaceReporters(lease.ClockReading{Unix: goldenNow}))
 }
 
-// TestGoldenNumbersAndWords: numbers that are in what agents share, and words that operators' tools read.
+// TestGoldenNumbersAndWords checks the phases' numbers in the agreed state, and their words that operators' tools read.
 func TestGoldenNumbersAndWords(t *testing.T) {
 	require.Equal(t, []Phase{0, 1, 2, 3, 5, 6}, []Phase{Complete, Expected, Joining, Suspect, Away, Gone})
 	for phase, word := range map[Phase]string{
--- a/internal/control/ringassignment/holders.go
+++ b/internal/control/ringassignment/holders.go
@@ -8,22 +8,23 @@
 	"dunestep/internal/fleet/lease"
 )
 
-// Mark names a generation: agents send it to voters once they have applied it, and voters to each other once
-// all that hold a lease from them have. EffectiveAt tells generations of a log that was started anew apart.
+// Mark identifies a generation. Agents send it to voters once they have applied the generation, and voters
+// send it to each other once all holders of their leases have applied it. EffectiveAt distinguishes
+// generations with the same number in a former log and in the new log that replaced it.
 type Mark struct {
 	Number      uint64
 	EffectiveAt time.Duration
 }
 
-// MarkSize is how many bytes an encoded Mark has.
+// MarkSize is the size of an encoded Mark, in bytes.
 const MarkSize = 16
 
-// Encode appends the mark's bytes.
+// Encode appends the encoded generation ID to b.
 func (m Mark) Encode(b []byte) []byte {
 	return binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(b, m.Number), uint64(m.EffectiveAt))
 }
 
-// DecodeMark reads a mark; false: the bytes are none.
+// DecodeMark decodes a generation ID. It returns false if b does not have MarkSize bytes.
 func DecodeMark(b []byte) (m Mark, ok bool) {
 	if len(b) != MarkSize {
 		return m, false
@@ -31,21 +32,21 @@
 	return Mark{binary.BigEndian.Uint64(b), time.Duration(binary.BigEndian.Uint64(b[8:]))}, true
 }
 
-// covers tells whether a process that has applied m has applied the other generation.
+// covers reports whether a process that has applied m has also applied the other generation.
 func (m Mark) covers(other Mark) bool {
 	return m.Number >= other.Number && m.EffectiveAt >= other.EffectiveAt
 }
 
 func (st *State) mark() Mark { return Mark{st.Number, st.EffectiveAt} }
 
-// holders are the processes that may hold a lease from this voter, so that the next generation need not wait
-// for the fence. A lease covers all that was agreed up to Terms.MaxKnowledgeAge before it was granted. So,
-// that long after the voter applied a generation, no lease that it grants can leave the generation out, and
-// only holders of earlier leases have to have reported it.
+// holders tracks the processes that may hold a lease from this voter. Once all of them have applied the
+// current generation, the next one need not wait for the fence. A lease covers all records that were agreed
+// up to Terms.MaxKnowledgeAge before it was granted. So, once that time has passed since the voter applied a
+// generation, each new lease covers the generation, and only the holders of earlier leases have to report it.
 type holders struct {
 	terms lease.Terms
-	// startedAt is when this process began. An earlier process of this voter may have granted leases before it,
-	// of which nothing is known here.
+	// startedAt is the start of this process. Before it, an earlier process of this voter may have granted
+	// leases that are not known here.
 	startedAt lease.ClockReading
 	agents    map[int][]holder
 }
@@ -53,32 +54,32 @@
 // holder is a process that was granted a lease.
 type holder struct {
 	incarnation uint64
-	grantedAt   lease.ClockReading // the last time
+	grantedAt   lease.ClockReading // time of the last grant
 	applied     Mark
 }
 
-// maxProcesses is how many processes of one agent are told apart; during an upgrade there are two.
+// maxProcesses is the maximum number of processes of one agent that are tracked separately; during an upgrade
+// an agent has two.
 const maxProcesses = 4
 
-// withClockDrift is how long this machine has to wait by its own clocks for a duration that another machine
-// measures by its clocks.
+// withClockDrift returns how long this machine has to wait by its own clocks until a duration d has passed by
+// another machine's clocks.
 func (h *holders) withClockDrift(d time.Duration) time.Duration {
 	return time.Duration(math.Ceil(float64(d)*(1+h.terms.MaxDrift)/(1-h.terms.MaxDrift))) + 1
 }
 
-// minElapsed is the least time that has passed between two readings: the one of the two clocks that advanced
-// less counts.
+// minElapsed returns the time between two readings by the clock (wall or monotonic) that advanced less.
 func minElapsed(earlier, now lease.ClockReading) time.Duration {
 	return min(now.Unix-earlier.Unix, now.Mono-earlier.Mono)
 }
 
-// isExpired tells whether a holder's last lease is over by any clock.
+// isExpired reports whether a holder's last lease has expired by every clock.
 func (h *holders) isExpired(o holder, now lease.ClockReading) bool {
 	return minElapsed(o.grantedAt, now) >= h.withClockDrift(h.terms.Duration)
 }
 
-// leaseGranted notes a lease. Where one agent has too many processes, the last two are merged into one that
-// has applied what both have.
+// leaseGranted records a granted lease. If the agent has more than maxProcesses, the new process takes over
+// the entry of another one. The entry then counts as having applied nothing, so that it is valid for both.
 func (h *holders) leaseGranted(now lease.ClockReading, agent int, incarnation uint64) {
 	if o, spare := h.find(now, agent, incarnation); o != nil {
 		o.grantedAt = now
@@ -87,7 +88,8 @@
 	}
 }
 
-// markReceived notes what a process has applied, also of one that has no lease from here yet.
+// markReceived records the generation that a process has applied, even if the process has no lease from this
+// voter yet.
 func (h *holders) markReceived(now lease.ClockReading, agent int, incarnation uint64, m Mark) {
 	if o, spare := h.find(now, agent, incarnation); o == nil && h.isExpired(*spare, now) {
 		*spare = holder{incarnation: incarnation, applied: m}
@@ -96,8 +98,8 @@
 	}
 }
 
-// find is the entry of a process; nil: it has none, and spare is one for it, that of an expired lease if
-// there is one.
+// find returns the entry of a process. If it has none, find returns nil and a spare entry that can be
+// overwritten, one of an expired lease if possible.
 func (h *holders) find(now lease.ClockReading, agent int, incarnation uint64) (found, spare *holder) {
 	processes := h.agents[agent]
 	for i := range processes {
@@ -115,8 +117,8 @@
 	return nil, spare
 }
 
-// allApplied tells whether no process holds a lease from here that leaves out a generation which was applied
-// here at a time.
+// allApplied reports whether every process that may hold a lease from this voter has applied the generation
+// m, which was applied here at appliedAt.
 func (h *holders) allApplied(now, appliedAt lease.ClockReading, m Mark) bool {
 	if minElapsed(h.startedAt, now) < h.withClockDrift(h.terms.Duration) {
 		return false
--- a/internal/control/ringassignment/member.go
+++ b/internal/control/ringassignment/member.go
@@ -5,62 +5,63 @@
 	"time"
 )
 
-// Phase is a server's phase; the package comment explains them. The numbers are part of the agreed state.
+// Phase is a server's phase; see the package comment. The numbers are part of the agreed state.
 type Phase uint8
 
 const (
-	// Complete means that the server has the points of its agreed capacity, or moves from one capacity to
+	// Complete means that the server has the points of its agreed capacity, or is changing from one capacity to
 	// another.
 	Complete Phase = iota
-	// Expected means listed, and not ready yet.
+	// Expected means that the server is listed and not ready yet.
 	Expected
-	// Joining means that its points grow.
+	// Joining means that the server's points grow.
 	Joining
-	// Suspect means that it vanished or is not ready; its points are kept, off the ring.
+	// Suspect means that the server is not listed or not ready. Its points are kept, but are not on the ring.
 	Suspect
-	retiredPhase // a number that once had a meaning, and is no phase
-	// Away means that it drains, or has long not been ready.
+	retiredPhase // the number of a former phase; never valid
+	// Away means that the server is draining, or has not been ready for Parameters.SuspectRetention.
 	Away
-	// Gone means that it is not listed.
+	// Gone means that the server is not listed.
 	Gone
 )
 
-// String is the word that the operators' interface shows; tools compare it.
+// String returns the word that the operators' interface shows; operators' tools compare it.
 func (p Phase) String() string {
 	return [...]string{"whole", "expected", "joining", "suspect", "", "away", "gone"}[min(p, Gone)]
 }
 
-// unchanged, as the target of a rule, is the phase that the server has.
+// unchanged, as the target phase of a rule, means that the server stays in its phase.
 const unchanged Phase = 255
 
-// DefaultPoints are the points of a server that was not given others yet: as many as on the ring without
-// generations, so that the first generation moves nothing.
+// DefaultPoints is the initial number of points of a server. It is the same as on the ring without
+// generations, so that the first generation moves no keys.
 const DefaultPoints = 100
 
 const (
-	minPoints, maxPoints = 8, 2000 // of a server that has its full points
+	minPoints, maxPoints = 8, 2000 // limits of a server's full points
 
-	minPenalty = 0.1 // a penalty that has decayed to less counts as none
+	minPenalty = 0.1 // flaps; a lower penalty counts as zero
 	maxPenalty = 20  // flaps
 )
 
-// Member is a server in a generation. Numbers of fields are part of its form.
+// Member is a server in a generation. The field numbers are part of the encoding.
 type Member struct {
 	ID         string `cbor:"1,keyasint"`
 	Phase      Phase  `cbor:"2,keyasint,omitempty"`
-	Points     uint16 `cbor:"3,keyasint,omitempty"` // of a suspect server: kept, and not on the ring
-	FullPoints uint16 `cbor:"4,keyasint,omitempty"` // by its capacity; zero: as many as Points
-	Since      uint32 `cbor:"5,keyasint,omitempty"` // Unix seconds; zero: Complete without a penalty
-	Penalty    uint16 `cbor:"6,keyasint,omitempty"` // in hundredths of a flap, as of Since
+	Points     uint16 `cbor:"3,keyasint,omitempty"` // on the ring, unless the server is Suspect
+	FullPoints uint16 `cbor:"4,keyasint,omitempty"` // for the server's capacity; zero means as many as Points
+	// Since is the time of the last change of phase or flap, in Unix seconds; zero if Complete and no penalty.
+	Since   uint32 `cbor:"5,keyasint,omitempty"`
+	Penalty uint16 `cbor:"6,keyasint,omitempty"` // in hundredths of a flap, as of Since
 }
 
-// isValid tells whether a member is within its bounds.
+// isValid reports whether a member is within its limits.
 func (n *Member) isValid() bool {
 	return n.ID != "" && len(n.ID) <= MaxIDSize && n.Phase <= Gone && n.Phase != retiredPhase &&
 		n.Points <= maxPoints && n.FullPoints <= maxPoints
 }
 
-// OnRing is how many points the server has on the ring.
+// OnRing returns the number of points that the server has on the ring.
 func (n *Member) OnRing() int {
 	if n.Phase == Suspect {
 		return 0
@@ -68,7 +69,7 @@
 	return int(n.Points)
 }
 
-// fullPoints is how many points it should have when Complete.
+// fullPoints returns the number of points that the server has when it is fully grown.
 func (n *Member) fullPoints() int {
 	if n.FullPoints == 0 {
 		return int(n.Points)
@@ -83,13 +84,13 @@
 	}
 }
 
-// penalty is what is left of the penalty, in flaps.
+// penalty returns the decayed penalty, in flaps.
 func (n *Member) penalty(now, halfLife time.Duration) float64 {
 	age := max(now-time.Duration(n.Since)*time.Second, 0)
 	return float64(n.Penalty) / 100 * math.Exp2(-float64(age)/float64(halfLife))
 }
 
-// flap tells whether a change of phase counts as a flap.
+// flap is whether a change of phase counts as a flap.
 type flap uint8
 
 const (
@@ -97,7 +98,7 @@
 	countsAsFlap
 )
 
-// enter has a server enter a phase. A flap raises its penalty by one.
+// enter moves the server to a phase. A flap raises its penalty by one.
 func (n *Member) enter(to Phase, f flap, now, halfLife time.Duration) {
 	penalty := n.penalty(now, halfLife)
 	if f == countsAsFlap {
--- a/internal/control/ringassignment/pacemeter.go
+++ b/internal/control/ringassignment/pacemeter.go
@@ -9,39 +9,40 @@
 )
 
 const (
-	// meterTurn is how long answers are counted: a kind is reported while enough of them came within the last
-	// one or two turns. So an agent of few requests, whose first answers say little, reports nothing, and
-	// neither does one that has received no answers for long.
-	meterTurn         = 2 * time.Minute
+	// countWindow is the length of a counting window. A kind is reported only if enough answers arrived in the
+	// current and the previous window. So an agent with few requests, whose latencies are not significant,
+	// reports nothing, and neither does an agent that has not received answers for a long time.
+	countWindow       = 2 * time.Minute
 	defaultMinAnswers = 50
 )
 
-// PaceMeter works out how fast the kinds of machines are by one agent's latencies, against their agreed
-// capacity. It assumes that the kinds have as many cores each: from more or fewer cores a latency tells
-// nothing.
+// PaceMeter estimates the speed of each machine kind, relative to its agreed capacity, from one agent's
+// latencies. It assumes that all kinds have the same number of cores: a difference in cores does not show in
+// a latency.
 type PaceMeter struct {
-	MinAnswers float64 // of a kind, to report it; zero: 50
+	MinAnswers float64 // minimum number of recent answers of a kind to report it; zero means 50
 
-	counts    map[string]answerCounts // by kind
-	turnBegan time.Duration           // by the monotonic clock
-	started   bool                    // turnBegan is valid
+	counts      map[string]answerCounts // by kind
+	windowStart time.Duration           // start of the current window, by the monotonic clock
+	started     bool                    // whether windowStart is valid
 }
 
-// answerCounts are how many answers of a kind there had been at the start of the turn before, and of this
-// one.
-type answerCounts struct{ turnBefore, turnStart float64 }
+// answerCounts are the total numbers of answers of a kind at the start of the previous and of the current
+// window.
+type answerCounts struct{ atPreviousStart, atWindowStart float64 }
 
-// kindStats is what is known of a kind.
+// kindStats is the data of one machine kind.
 type kindStats struct {
-	servers  float64
-	capacity float64 // of all of them
-	ratio    float64 // of the measured speed to the agreed capacity of one; zero: not known
+	servers  float64 // number of servers
+	capacity float64 // total capacity of the servers
+	ratio    float64 // measured speed divided by the agreed capacity of one server; zero if unknown
 }
 
 // Measure takes the baseline latencies by kind, and the agent's own endpoint list with agreed capacities. It
-// returns the pace of each kind that is known, against the kind in the middle by capacity; nil: there is
-// nothing to report, as where there is a single kind, or half of the fleet is not known. It is to be called
-// every few seconds; now is by the monotonic clock.
+// returns the pace of each kind with enough answers, relative to the median kind weighted by capacity. It
+// returns nil if there is nothing to report: if only one kind has enough answers, or the kinds that have them
+// make up no more than half of the capacity. The caller calls it every few seconds; now is by the monotonic
+// clock.
 func (g *PaceMeter) Measure(now time.Duration, latencies []balancer.BaselineLatency,
 	servers []Server,
 ) map[string]float64 {
@@ -64,13 +65,13 @@
 	return relativePaces(kinds, capacity)
 }
 
-// recentAnswers counts the answers of each kind since the start of the turn before.
+// recentAnswers returns the number of answers of each kind since the start of the previous window.
 func (g *PaceMeter) recentAnswers(now time.Duration, latencies []balancer.BaselineLatency,
 	kinds map[string]*kindStats,
 ) map[string]float64 {
-	newTurn := g.started && now-g.turnBegan >= meterTurn
-	if newTurn || !g.started {
-		g.turnBegan, g.started = now, true
+	newWindow := g.started && now-g.windowStart >= countWindow
+	if newWindow || !g.started {
+		g.windowStart, g.started = now, true
 	}
 	counts, recent := map[string]answerCounts{}, map[string]float64{}
 	for _, l := range latencies {
@@ -78,12 +79,12 @@
 			continue
 		}
 		c, known := g.counts[l.MachineKind]
-		if !known || l.Samples < c.turnStart {
-			c = answerCounts{turnBefore: l.Samples, turnStart: l.Samples}
+		if !known || l.Samples < c.atWindowStart {
+			c = answerCounts{atPreviousStart: l.Samples, atWindowStart: l.Samples}
 		}
-		recent[l.MachineKind] = l.Samples - c.turnBefore
-		if newTurn {
-			c = answerCounts{turnBefore: c.turnStart, turnStart: l.Samples}
+		recent[l.MachineKind] = l.Samples - c.atPreviousStart
+		if newWindow {
+			c = answerCounts{atPreviousStart: c.atWindowStart, atWindowStart: l.Samples}
 		}
 		counts[l.MachineKind] = c
 	}
@@ -91,11 +92,12 @@
 	return recent
 }
 
-// relativePaces is the ratio of each known kind to that of the kind in the middle.
+// relativePaces returns the ratio of each known kind divided by that of the median kind, weighted by
+// capacity.
 func relativePaces(kinds map[string]*kindStats, capacity float64) map[string]float64 {
 	var known []*kindStats
 	sum := 0.0
-	for _, k := range kinds { // in any order: sorted below
+	for _, k := range kinds { // the order does not matter: sorted below
 		if k.ratio > 0 {
 			known, sum = append(known, k), sum+k.capacity
 		}
@@ -106,17 +108,17 @@
 	slices.SortFunc(known, func(a, b *kindStats) int {
 		return cmp.Or(cmp.Compare(a.ratio, b.ratio), cmp.Compare(a.capacity, b.capacity))
 	})
-	middle, passed := 0.0, 0.0
+	median, cumulative := 0.0, 0.0
 	for _, k := range known {
-		if passed += k.capacity; 2*passed >= sum {
-			middle = k.ratio
+		if cumulative += k.capacity; 2*cumulative >= sum {
+			median = k.ratio
 			break
 		}
 	}
 	paces := map[string]float64{}
 	for kind, k := range kinds {
 		if k.ratio > 0 {
-			paces[kind] = k.ratio / middle
+			paces[kind] = k.ratio / median
 		}
 	}
 	return paces
--- a/internal/control/ringassignment/pacereports.go
+++ b/internal/control/ringassignment/pacereports.go
@@ -12,28 +12,30 @@
 	"dunestep/internal/fleet/lease"
 )
 
-// A pace report is one byte of its format, and for each kind the hash of its name and its pace in percent.
+// A pace report is one byte for the format, and for each machine kind the hash of its name and its pace in
+// percent.
 const (
 	paceReportFormat = 1
 	maxReportKinds   = 16
 	reportKindSize   = 4 + 2 // bytes
-	// MaxPaceReportSize is the most bytes of a pace report.
+	// MaxPaceReportSize is the maximum size of a pace report, in bytes.
 	MaxPaceReportSize = 1 + maxReportKinds*reportKindSize
 )
 
 const (
-	maxReporters       = 1024             // agents whose reports are kept
-	minReporters       = 3                // agents that it takes to change a pace
-	paceReportValidity = 90 * time.Second // how long a report counts
-	paceInterval       = 10 * time.Minute // between changes of paces
-	minPaceChange      = 0.15             // fraction by which the median has to differ from a pace to change it
-	maxPaceStep        = 0.1              // fraction by which a pace changes at once
+	maxReporters       = 1024             // maximum number of agents whose reports are kept
+	minReporters       = 3                // minimum number of reports to change a pace
+	paceReportValidity = 90 * time.Second // maximum age of a report
+	paceInterval       = 10 * time.Minute // minimum interval between changes of paces
+	minPaceChange      = 0.15             // minimum relative difference of the median to change a pace
+	maxPaceStep        = 0.1              // maximum relative change of a pace in one step
 	minPace, maxPace   = 0.5, 2.0
-	maxPacedKindSize   = MaxIDSize / 4 // bytes of the name of a kind that has a pace
+	maxPacedKindSize   = MaxIDSize / 4 // bytes; a kind with a longer name has no pace
 )
 
-// EncodePaceReport returns what an agent reports to voters of the kinds of machines: how fast each is against
-// its agreed capacity, 1 being as agreed. Paces out of range are left out.
+// EncodePaceReport returns an agent's pace report to voters. A pace is the measured speed of a machine kind
+// relative to its agreed capacity; 1 is as agreed. Paces outside of (0, 100] are left out, and so are kinds
+// beyond the first 16 by name.
 func EncodePaceReport(paces map[string]float64) []byte {
 	kinds := make([]string, 0, len(paces))
 	for kind, pace := range paces {
@@ -50,7 +52,7 @@
 	return data
 }
 
-// paceReports are the last reports of agents, at a voter.
+// paceReports holds the last report of each agent, at a voter.
 type paceReports struct {
 	byAgent map[int]paceReport
 }
@@ -60,7 +62,7 @@
 	paces      map[uint32]float64 // by the hash of a kind's name
 }
 
-// add takes a report; false: the bytes are none, or there is no room.
+// add stores a report. It returns false if data is not a valid report or there are too many reporters.
 func (r *paceReports) add(from int, data []byte, now time.Duration) bool {
 	if len(data) == 0 || len(data) > MaxPaceReportSize || data[0] != paceReportFormat ||
 		(len(data)-1)%reportKindSize != 0 {
@@ -82,8 +84,9 @@
 	return true
 }
 
-// agreedPaces are the paces of all kinds from now on; nil: as before. It takes several agents to change one,
-// whatever a single one reports, and some time, however many report it.
+// agreedPaces returns the new paces of all kinds, or nil if none changes. A change needs reports from at
+// least minReporters agents, so that no single agent can cause it. A pace changes by at most maxPaceStep in
+// each paceInterval, however many agents report.
 func (r *paceReports) agreedPaces(st State, now lease.ClockReading, servers []ObservedServer) (all []Pace) {
 	if len(r.byAgent) < minReporters || now.Unix-time.Duration(st.PacesChangedAt)*time.Second < paceInterval {
 		return nil
@@ -112,7 +115,7 @@
 	return all
 }
 
-// countFresh drops reports that do not count any more, and returns how many are left.
+// countFresh drops expired reports and returns the number of those left.
 func (r *paceReports) countFresh(now time.Duration) int {
 	maps.DeleteFunc(r.byAgent, func(_ int, report paceReport) bool {
 		return now-report.receivedAt > paceReportValidity
@@ -120,7 +123,8 @@
 	return len(r.byAgent)
 }
 
-// median is the median of the reports of a kind; zero: there are too few.
+// median returns the median of the reported paces of a kind, or zero if fewer than minReporters agents report
+// it.
 func (r *paceReports) median(kind string, now time.Duration) float64 {
 	r.countFresh(now)
 	var paces []float64
--- a/internal/control/ringassignment/parameters.go
+++ b/internal/control/ringassignment/parameters.go
@@ -7,32 +7,32 @@
 	"dunestep/internal/fleet/lease"
 )
 
-// Parameters are the rules' numbers; zero values stand for the defaults. Those of the leader decide about a
-// generation: they are no part of the agreed state.
+// Parameters configure the rules. Zero values mean the defaults, which the field comments end with. The
+// leader's parameters determine a generation; they are not part of the agreed state.
 type Parameters struct {
 	Terms     lease.Terms
-	SlowStart slowstart.Params // what the settings permit for servers in slow start
+	SlowStart slowstart.Params // slow start settings
 
-	PointsPerCapacity  float64       // points of a server of capacity 1; 200
-	MaxMoveRate        float64       // fraction of all keys that may move in a second without need; 0.01
-	MaxMoveBurst       time.Duration // for how long unused MaxMoveRate adds up; 10 s
-	ActivationLead     time.Duration // from the proposal of a generation to its use; 500 ms
-	LossConfirmation   time.Duration // how long a server without flaps has to be lost to be suspect; 1 s
-	GatherTime         time.Duration // changes within this time make one generation; 300 ms
-	MinReadyTime       time.Duration // how long a server has to be ready without a break after one flap; 3 s
-	PenaltyHalfLife    time.Duration // of the penalty for flaps; 60 s
-	MaxHoldOff         time.Duration // longest time that a server is held off for its penalty; 5 min
-	SuspectRetention   time.Duration // how long the points of a suspect server are kept; 30 s
-	OwedValidity       time.Duration // how long lost points may be made up for beyond MaxMoveRate; 60 s
-	GoneRetention      time.Duration // how long a server that is gone is remembered; 10 min
-	CapacitySettleTime time.Duration // how long a new capacity has to stay the same before it counts; 30 s
-	MinCapacityChange  float64       // fraction by which it has to differ; 0.1
-	MaxViewAge         time.Duration // an older view does not count; 15 s
-	BatchTime          time.Duration // how long changes that move no key wait for others; 60 s
-	UsePaces           bool          // whether the measured paces of machine kinds count
+	PointsPerCapacity  float64       // points of a server with capacity 1; 200
+	MaxMoveRate        float64       // maximum unneeded moves, as a fraction of all keys per second; 0.01
+	MaxMoveBurst       time.Duration // time for which unused MaxMoveRate accumulates; 10 s
+	ActivationLead     time.Duration // time from the proposal of a generation to its use; 500 ms
+	LossConfirmation   time.Duration // time after which a lost server without flaps is suspect; 1 s
+	GatherTime         time.Duration // time for which changes are gathered into one generation; 300 ms
+	MinReadyTime       time.Duration // time a server has to be ready without interruption after one flap; 3 s
+	PenaltyHalfLife    time.Duration // half-life of the penalty for flaps; 60 s
+	MaxHoldOff         time.Duration // maximum time that a penalty keeps a server off the ring; 5 min
+	SuspectRetention   time.Duration // time for which the points of a suspect server are kept; 30 s
+	OwedValidity       time.Duration // time for which lost points may be replaced beyond MaxMoveRate; 60 s
+	GoneRetention      time.Duration // time for which a gone server's penalty is kept; 10 min
+	CapacitySettleTime time.Duration // time a new capacity has to stay the same to be applied; 30 s
+	MinCapacityChange  float64       // minimum relative change of a capacity to be applied; 0.1
+	MaxViewAge         time.Duration // maximum age of a leader's view; 15 s
+	BatchTime          time.Duration // time for which changes that move no keys are gathered; 60 s
+	UsePaces           bool          // whether measured paces of machine kinds change points; false
 }
 
-// WithDefaults returns the parameters with the defaults in place of zero values.
+// WithDefaults returns the parameters with zero values replaced by the defaults.
 func (f Parameters) WithDefaults() Parameters {
 	f.Terms = f.Terms.WithDefaults()
 	setDefault(&f.PointsPerCapacity, 200)
--- a/internal/control/ringassignment/rules.go
+++ b/internal/control/ringassignment/rules.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// rule takes a server from one phase to another. Of the rules of its phase the first that holds applies, one
-// a generation.
+// rule is a transition of a server from one of several phases to another. In each generation, the first rule
+// that has the server's phase and whose condition is true applies.
 type rule struct {
 	from      []Phase
-	condition string // for people
-	holds     func(*candidate) bool
+	condition string // description for operators
+	applies   func(*candidate) bool
 	to        Phase
 	flap      flap
 }
@@ -19,7 +19,7 @@
 // servingPhases are the phases of servers that have points on the ring.
 var servingPhases = []Phase{Complete, Joining}
 
-// rules are all rules; nobody changes them.
+// rules are all rules in order of precedence. They must not be modified.
 var rules = []rule{
 	{servingPhases, "it drains", (*candidate).isDraining, Away, countsAsFlap},
 	{servingPhases, "it vanished, or is not ready", (*candidate).isLost, Suspect, countsAsFlap},
@@ -29,14 +29,14 @@
 	},
 	{
 		servingPhases, "it has more points than its warmth permits: it began anew",
-		(*candidate).isColder, Joining, countsAsFlap,
+		(*candidate).exceedsSlowStart, Joining, countsAsFlap,
 	},
 	{[]Phase{Joining}, "it has all its points", (*candidate).isFullyGrown, Complete, noFlap},
 	{[]Phase{Suspect}, "it drains", (*candidate).isDraining, Away, noFlap},
 	{
 		[]Phase{Suspect},
 		"it is back, held off for long enough, and warm",
-		(*candidate).mayReturnWarm, Complete, noFlap,
+		(*candidate).mayReturnComplete, Complete, noFlap,
 	},
 	{
 		[]Phase{Suspect},
@@ -46,9 +46,9 @@
 	{
 		[]Phase{Suspect},
 		"its points were kept for long enough, and it is not listed",
-		(*candidate).isOverdueUnlisted, Gone, noFlap,
+		(*candidate).isRetentionOverUnlisted, Gone, noFlap,
 	},
-	{[]Phase{Suspect}, "its points were kept for long enough", (*candidate).isOverdue, Away, noFlap},
+	{[]Phase{Suspect}, "its points were kept for long enough", (*candidate).isRetentionOver, Away, noFlap},
 	{
 		[]Phase{Expected, Away, Gone},
 		"it is ready, held off for long enough",
@@ -57,8 +57,8 @@
 	{[]Phase{Expected, Away}, "it is not listed", (*candidate).isUnlisted, Gone, noFlap},
 }
 
-// Rules are all rules for people: from which phases, to which, and the condition. A test compares them with
-// docs/design/placement.md.
+// Rules returns a description of all rules for operators. Each line has the source phases, the target phase
+// and the condition. A test compares them with docs/design/placement.md.
 func Rules() (lines [][3]string) {
 	for _, r := range rules {
 		from := ""
@@ -77,22 +77,23 @@
 	return lines
 }
 
-// candidate is a server as a rule sees it.
+// candidate is the data of one server that rules depend on.
 type candidate struct {
 	*builder
 	member *Member
-	server *ObservedServer // nil: not listed
+	server *ObservedServer // nil if the server is not listed
 }
 
-// firstRule is the first rule that holds; nil: none. A server that windows have fully drained stays as it is,
-// whatever becomes of it: it has no keys to lose. Otherwise a server that is restarted in a window would be
-// held off beyond the window's end, and agents that are cut off meanwhile would not learn of it for long.
+// firstRule returns the first rule that applies, or nil. No rule applies to a serving server that windows
+// have fully drained: it has no keys to lose. Otherwise a server that is restarted in a window would stay off
+// the ring beyond the end of the window, and agents that are cut off meanwhile would not receive its return
+// for a long time.
 func (c *candidate) firstRule() *rule {
 	if c.fullyDrained[c.member.ID] && slices.Contains(servingPhases, c.member.Phase) {
 		return nil
 	}
 	for i := range rules {
-		if r := &rules[i]; slices.Contains(r.from, c.member.Phase) && r.holds(c) {
+		if r := &rules[i]; slices.Contains(r.from, c.member.Phase) && r.applies(c) {
 			return r
 		}
 	}
@@ -103,9 +104,10 @@
 func (c *candidate) isReady() bool    { return c.server != nil && c.server.isUsable() }
 func (c *candidate) isDraining() bool { return c.server != nil && c.server.Draining }
 
-// isLost tells whether a server is lost for good. One without flaps may come back at once, as where an
-// endpoint list was sent anew: its keys move away and back then, and to take it off would move them twice
-// more. Until that is clear the agents' own lists keep it out of use.
+// isLost reports whether a server counts as lost. A server without flaps counts only after
+// Parameters.LossConfirmation, because it may return at once, for example when an endpoint list is sent
+// again. In that case its keys have already moved away and back, and taking it off the ring would move them
+// twice more. Meanwhile the agents' own lists keep it out of use.
 func (c *candidate) isLost() bool {
 	if c.listDoubtful || c.isReady() {
 		return false
@@ -117,44 +119,48 @@
 	return !known || c.now-lostAt >= c.params.LossConfirmation || c.penalty() >= minPenalty
 }
 
-// wasBrieflyLost tells whether a server was lost and is back before it was taken off. That only counts as a
-// flap: its keys have moved away and back wherever the list said so, and to take it off would move them twice
-// more.
+// wasBrieflyLost reports whether a server was lost and returned before a generation took it off the ring.
+// This only counts as a flap: at agents whose list changed, its keys have already moved away and back, and
+// taking it off the ring would move them twice more.
 func (c *candidate) wasBrieflyLost() bool {
 	return c.isReady() && c.server.LostAt > c.state.EffectiveAt-c.params.ActivationLead
 }
 
-// isColder tells whether a server has clearly more points than slow start permits: it was restarted. The
-// margin is for rounding, and for other servers that have fewer points than before.
-func (c *candidate) isColder() bool { return float64(c.member.Points) > 1.25*float64(c.warmPoints())+1 }
+// exceedsSlowStart reports whether a server has clearly more points than slow start permits, because it was
+// restarted. The margin allows for rounding, and for a permitted number that falls because other servers have
+// fewer points.
+func (c *candidate) exceedsSlowStart() bool {
+	return float64(c.member.Points) > 1.25*float64(c.slowStartPoints())+1
+}
 
 func (c *candidate) isFullyGrown() bool { return int(c.member.Points) >= c.member.fullPoints() }
 
-// mayReturn tells whether a server has been ready for as long as its penalty demands.
+// mayReturn reports whether a server has been ready for as long as its penalty requires.
 func (c *candidate) mayReturn() bool {
 	return c.isReady() && c.now-c.server.ReadySince >= c.holdOff()
 }
 
-func (c *candidate) mayReturnWarm() bool { return c.mayReturn() && !c.isColder() }
+func (c *candidate) mayReturnComplete() bool { return c.mayReturn() && !c.exceedsSlowStart() }
 
-// isOverdue tells whether a server's points were kept for long enough.
-func (c *candidate) isOverdue() bool {
+// isRetentionOver reports whether a server that is not ready has been suspect for
+// Parameters.SuspectRetention.
+func (c *candidate) isRetentionOver() bool {
 	return !c.isReady() && c.now-time.Duration(c.member.Since)*time.Second >= c.params.SuspectRetention
 }
 
-func (c *candidate) isOverdueUnlisted() bool { return c.isUnlisted() && c.isOverdue() }
+func (c *candidate) isRetentionOverUnlisted() bool { return c.isUnlisted() && c.isRetentionOver() }
 
-// warmPoints is how many points slow start permits when the generation is used.
-func (c *candidate) warmPoints() int { return c.permittedPoints(c.server, c.member.fullPoints()) }
+// slowStartPoints returns the number of points that slow start permits when the generation takes effect.
+func (c *candidate) slowStartPoints() int { return c.permittedPoints(c.server, c.member.fullPoints()) }
 
 func (c *candidate) penalty() float64 { return c.member.penalty(c.now, c.params.PenaltyHalfLife) }
 
-// holdOff is how long the server has to be ready before it may return.
+// holdOff returns how long the server has to be ready before it may return.
 func (c *candidate) holdOff() time.Duration {
 	penalty := c.penalty()
 	if penalty < minPenalty {
 		return 0
 	}
-	hold := float64(c.params.MinReadyTime) * math.Exp2(penalty-1)
-	return time.Duration(min(hold, float64(c.params.MaxHoldOff)))
+	duration := float64(c.params.MinReadyTime) * math.Exp2(penalty-1)
+	return time.Duration(min(duration, float64(c.params.MaxHoldOff)))
 }
--- a/internal/control/ringassignment/rules_test.go
+++ b/internal/control/ringassignment/rules_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestRulesOnTheDesignPage: the page lists the rules as they are.
+// TestRulesOnTheDesignPage checks that docs/design/placement.md lists exactly the rules of the code.
 func TestRulesOnTheDesignPage(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/design/placement.md")
 	require.NoError(t, err)
--- a/internal/control/ringassignment/statemachine.go
+++ b/internal/control/ringassignment/statemachine.go
@@ -10,61 +10,61 @@
 )
 
 const (
-	// MaxServersSize is the most bytes of all servers of a generation in the log's snapshot, each with its id
-	// and BytesPerServer, whatever its phase. With more servers the assignment is suspended: each agent uses its
-	// own endpoint list, as without generations.
+	// MaxServersSize is the maximum size of all servers of a generation in the log's snapshot, in bytes. Each
+	// server counts with its id and BytesPerServer, in any phase. With more servers the assignment is suspended:
+	// each agent uses its own endpoint list, as without generations.
 	MaxServersSize = 22 << 10
-	// BytesPerServer is the most bytes of a server beside its id.
+	// BytesPerServer is the maximum size of a server without its id, in bytes.
 	BytesPerServer = 24
-	// MaxIDSize is the most bytes of a server's id.
+	// MaxIDSize is the maximum size of a server's id, in bytes.
 	MaxIDSize = 128
 
-	maxKinds     = 16 // with a pace
-	paceOverhead = 8  // bytes of a pace beside its kind
-	// maxLeadTime is how far ahead of its proposal a generation may be used. It bounds how long the generation
-	// of a proposer whose clock is years ahead keeps all others out.
+	maxKinds     = 16 // maximum number of machine kinds with a pace
+	paceOverhead = 8  // maximum size of a pace without its kind, in bytes
+	// maxLeadTime is the maximum time from a generation's proposal to its use. It limits how long a generation
+	// from a proposer whose clock is years ahead can block others.
 	maxLeadTime = time.Minute
 )
 
-// Pace is how fast a kind of machine was measured to be, against its agreed capacity.
+// Pace is the measured speed of a machine kind, relative to its agreed capacity.
 type Pace struct {
 	_       struct{} `cbor:",toarray"`
 	Kind    string
-	Percent uint16 // 100: as its capacity says
+	Percent uint16 // 100 if the speed matches the capacity
 }
 
-// State is the present generation. Readers must not change it. Numbers of fields are part of its form; times
-// in uint32 are Unix times in seconds.
+// State is the current generation. Readers must not modify it. The field numbers are part of the encoding.
+// Times of type uint32 are Unix times in seconds.
 type State struct {
 	Number         uint64        `cbor:"1,keyasint"`
-	EffectiveAt    time.Duration `cbor:"2,keyasint"`           // Unix time from which on it is used
-	Suspended      bool          `cbor:"3,keyasint,omitempty"` // agents use their own lists
-	Members        []Member      `cbor:"4,keyasint,omitempty"` // by id
-	OwedPoints     uint32        `cbor:"5,keyasint,omitempty"` // points of lost servers, not made up for yet
+	EffectiveAt    time.Duration `cbor:"2,keyasint"`           // Unix time from which the generation is used
+	Suspended      bool          `cbor:"3,keyasint,omitempty"` // agents use their own endpoint lists
+	Members        []Member      `cbor:"4,keyasint,omitempty"` // in order of id
+	OwedPoints     uint32        `cbor:"5,keyasint,omitempty"` // points of lost servers, not replaced yet
 	LostAt         uint32        `cbor:"6,keyasint,omitempty"` // when the last server was lost
-	Paces          []Pace        `cbor:"7,keyasint,omitempty"` // by kind; those that are 100 % are left out
+	Paces          []Pace        `cbor:"7,keyasint,omitempty"` // in order of kind; paces of 100 % are left out
 	PacesChangedAt uint32        `cbor:"8,keyasint,omitempty"`
 }
 
-// Change makes the next generation of the present one. It is a record of the agreed log.
+// Change is a record of the agreed log. It makes the next generation from the current one.
 type Change struct {
-	Base        uint64        `cbor:"1,keyasint"` // the generation that it was made from
+	Base        uint64        `cbor:"1,keyasint"` // number of the generation that the change applies to
 	Now         time.Duration `cbor:"2,keyasint"` // Unix time at the proposer
 	EffectiveAt time.Duration `cbor:"3,keyasint"`
 	Suspend     bool          `cbor:"4,keyasint,omitempty"`
-	Members     []Member      `cbor:"5,keyasint,omitempty"` // that are new or differ
-	Forgotten   []string      `cbor:"6,keyasint,omitempty"` // ids
+	Members     []Member      `cbor:"5,keyasint,omitempty"` // new and changed members
+	RemovedIDs  []string      `cbor:"6,keyasint,omitempty"` // ids of members to remove
 	OwedPoints  uint32        `cbor:"7,keyasint,omitempty"`
 	LostAt      uint32        `cbor:"8,keyasint,omitempty"`
-	Paces       []Pace        `cbor:"9,keyasint,omitempty"` // all, where one changes; none: as before
-	MovesKeys   bool          `cbor:"-"`                    // some server's points on the ring change
-	Urgent      bool          `cbor:"-"`                    // some server joins or enters another phase
+	Paces       []Pace        `cbor:"9,keyasint,omitempty"` // all paces if one changes; else empty
+	MovesKeys   bool          `cbor:"-"`                    // any server's points on the ring change
+	Urgent      bool          `cbor:"-"`                    // any server is new, changes phase or grows fast
 }
 
-// Encode returns the record that proposes a change, for the log.
+// Encode returns the log record that proposes the change.
 func (c Change) Encode() []byte { return marshal(c) }
 
-// StateMachine makes the state out of the records of the agreed log, by them alone.
+// StateMachine applies the records of the agreed log to the state. It depends on the records alone.
 type StateMachine struct {
 	state      State
 	unreadable uint64
@@ -73,14 +73,14 @@
 // NewStateMachine returns a StateMachine before the first generation.
 func NewStateMachine() *StateMachine { return &StateMachine{} }
 
-// State is the present generation. It must not be changed.
+// State returns the current generation. The caller must not modify it.
 func (m *StateMachine) State() State { return m.state }
 
-// UnreadableRecords counts the records that this build could not read, or that none of its leaders proposes.
+// UnreadableRecords returns the number of records that this build could not decode or that were not valid.
 func (m *StateMachine) UnreadableRecords() uint64 { return m.unreadable }
 
-// Apply applies the next record. One that was made from another generation changes nothing: it came too late,
-// or twice.
+// Apply applies the next record. A record that was made from another generation, because it is late or a
+// duplicate, has no effect.
 func (m *StateMachine) Apply(_ uint64, data []byte) {
 	var c Change
 	if decoding.Unmarshal(data, &c) != nil {
@@ -97,7 +97,8 @@
 	}
 }
 
-// apply returns the generation that a change makes; false: it is not a valid one.
+// apply returns the generation that a change makes. It returns false if the change or the generation is not
+// valid.
 func (st State) apply(c Change) (State, bool) {
 	if c.EffectiveAt < c.Now || c.EffectiveAt > c.Now+maxLeadTime || c.Now < st.EffectiveAt ||
 		len(c.Paces) > maxKinds {
@@ -117,29 +118,29 @@
 	for i := range c.Members {
 		changed[c.Members[i].ID] = &c.Members[i]
 	}
-	for _, id := range c.Forgotten {
+	for _, id := range c.RemovedIDs {
 		changed[id] = nil
 	}
-	for _, n := range st.Members {
-		if _, replaced := changed[n.ID]; !replaced {
-			next.Members = append(next.Members, n)
+	for _, member := range st.Members {
+		if _, replaced := changed[member.ID]; !replaced {
+			next.Members = append(next.Members, member)
 		}
 	}
-	for _, n := range changed { // in any order: sorted below
-		if n != nil {
-			next.Members = append(next.Members, *n)
+	for _, member := range changed { // the order does not matter: sorted below
+		if member != nil {
+			next.Members = append(next.Members, *member)
 		}
 	}
 	slices.SortFunc(next.Members, func(a, b Member) int { return cmp.Compare(a.ID, b.ID) })
 	return next, next.isValid()
 }
 
-// isValid tells whether a state is within its bounds and in order.
+// isValid reports whether a state is within its size limits and its members are valid and sorted.
 func (st *State) isValid() bool {
 	size := 0
-	for i, n := range st.Members {
-		size += len(n.ID) + BytesPerServer
-		if !n.isValid() || i > 0 && n.ID <= st.Members[i-1].ID {
+	for i, member := range st.Members {
+		size += len(member.ID) + BytesPerServer
+		if !member.isValid() || i > 0 && member.ID <= st.Members[i-1].ID {
 			return false
 		}
 	}
@@ -149,10 +150,10 @@
 	return size <= MaxServersSize && len(st.Paces) <= maxKinds
 }
 
-// find is a server's entry; nil: it has none.
+// find returns a server's member, or nil if it has none.
 func (st *State) find(id string) *Member {
-	i, found := slices.BinarySearchFunc(st.Members, id, func(n Member, id string) int {
-		return cmp.Compare(n.ID, id)
+	i, found := slices.BinarySearchFunc(st.Members, id, func(member Member, id string) int {
+		return cmp.Compare(member.ID, id)
 	})
 	if !found {
 		return nil
@@ -160,7 +161,7 @@
 	return &st.Members[i]
 }
 
-// OnRing is how many points are on the ring in all.
+// OnRing returns the total number of points on the ring.
 func (st *State) OnRing() (sum int) {
 	for i := range st.Members {
 		sum += st.Members[i].OnRing()
@@ -168,7 +169,7 @@
 	return sum
 }
 
-// pace is the agreed pace of a kind of machine; 1: as its capacity says.
+// pace returns the agreed pace of a machine kind; 1 if none is agreed.
 func (st *State) pace(kind string) float64 {
 	for _, p := range st.Paces {
 		if p.Kind == kind {
@@ -178,19 +179,19 @@
 	return 1
 }
 
-// unixSeconds is a Unix time as the state has it.
+// unixSeconds converts a Unix time to the seconds that the state stores.
 func unixSeconds(at time.Duration) uint32 {
 	return uint32(min(max(at/time.Second, 0), math.MaxUint32))
 }
 
-// Snapshot returns the encoded state; the same records give the same bytes.
+// Snapshot returns the encoded state. The same records give the same bytes.
 func (m *StateMachine) Snapshot() []byte { return marshal(m.state) }
 
-// ErrSnapshot is wrapped by the error of a snapshot that this build cannot read.
-var ErrSnapshot = errors.New("placement: cannot read the snapshot")
+// ErrSnapshot is wrapped by the error for a snapshot that this build cannot read.
+var ErrSnapshot = errors.New("ringassignment: cannot read the snapshot")
 
-// Restore replaces the state by a snapshot's; an empty snapshot is that of a log that begins. With an error,
-// which wraps ErrSnapshot, nothing has changed.
+// Restore replaces the state with that of a snapshot; an empty snapshot is the state before the first
+// generation. On an error, which wraps ErrSnapshot, the state does not change.
 func (m *StateMachine) Restore(data []byte) error {
 	var st State
 	if len(data) > 0 {
--- a/internal/control/ringassignment/tracker.go
+++ b/internal/control/ringassignment/tracker.go
@@ -7,24 +7,26 @@
 )
 
 const (
-	// capacityTolerance is by which fraction a capacity may differ and count as the same.
+	// capacityTolerance is the relative difference up to which two capacities count as the same.
 	capacityTolerance = 0.02
-	// lostRetention is how long a server is remembered that is no longer listed.
+	// lostRetention is the time for which a lost server that is no longer listed is kept.
 	lostRetention = time.Minute
 )
 
-// ViewTracker tracks since when servers have been as they are, by the views of one agent.
+// ViewTracker derives from one agent's successive views since when each server has been in its present
+// condition.
 type ViewTracker struct {
 	servers map[string]ObservedServer
 }
 
-// Update takes a view, and returns its servers with their times, and those that vanished lately. In the first
-// view, servers count as ready from then on.
+// Update processes a view. It returns the view's servers with their times, the servers that recently left the
+// list, and unlisted servers that windows have fully drained. The servers of the first view count as ready
+// from that view on.
 func (t *ViewTracker) Update(v View) []ObservedServer {
 	seen := make(map[string]ObservedServer, len(v.Servers))
 	all := make([]ObservedServer, 0, len(v.Servers))
 	for _, s := range v.Servers {
-		if _, twice := seen[s.ID]; twice {
+		if _, duplicate := seen[s.ID]; duplicate {
 			continue
 		}
 		observed := ObservedServer{Server: s, ReadySince: v.Now, FullyDrained: v.FullyDrained[s.ID]}
@@ -51,7 +53,7 @@
 	return append(all, v.drainedUnlisted()...)
 }
 
-// drainedUnlisted are the servers that windows have fully drained and that are not listed: the leader may
+// drainedUnlisted returns the servers that windows have fully drained and that are not listed. The leader may
 // never have seen them.
 func (v *View) drainedUnlisted() (all []ObservedServer) {
 	for id := range v.FullyDrained {
@@ -63,7 +65,7 @@
 	return all
 }
 
-// carryOver takes over from the view before what has not changed since.
+// carryOver copies from the previous view the times of what has not changed since.
 func (s *ObservedServer) carryOver(before ObservedServer, now time.Duration) {
 	s.LostAt = before.LostAt
 	wasUsable, usable := before.isUsable(), s.isUsable()
--- a/internal/control/ringassignment/view.go
+++ b/internal/control/ringassignment/view.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// View is what one agent sees.
+// View is one agent's view of the servers.
 type View struct {
 	Now     time.Duration // Unix time
-	Servers []Server      // of its own endpoint list, each once
-	// FullyDrained are the servers that maintenance windows keep all keys off now, by id, listed or not.
+	Servers []Server      // servers of the agent's own endpoint list; duplicates are ignored
+	// FullyDrained are the servers, by id, that maintenance windows now keep all keys off, listed or not.
 	FullyDrained map[string]bool
 }
 
-// Server is a server as an agent sees it.
+// Server is a server in an agent's view.
 type Server struct {
 	ID, Zone, Kind  string
 	Ready, Draining bool
-	StartedAt       time.Duration // Unix time; zero: long ago
-	Capacity        float64       // as agreed, 1 for a usual server; invalid values count as 1
+	StartedAt       time.Duration // Unix time; zero if long ago
+	Capacity        float64       // agreed capacity, 1 for a standard server; invalid values count as 1
 }
 
-// minCapacity is the least capacity that counts.
+// minCapacity is the minimum capacity; lower values count as this.
 const minCapacity = 0.05
 
-// validCapacity is the agreed capacity, as far as it can be used.
+// validCapacity returns the agreed capacity, with invalid values replaced.
 func (s *Server) validCapacity() float64 {
 	if !(s.Capacity > 0) || math.IsInf(s.Capacity, 0) { //nolint:staticcheck // QF1001: NaN counts as invalid too
 		return 1
@@ -32,15 +32,15 @@
 	return max(s.Capacity, minCapacity)
 }
 
-// isUsable tells whether the server is ready and does not drain.
+// isUsable reports whether the server is ready and not draining.
 func (s *Server) isUsable() bool { return s.Ready && !s.Draining }
 
-// ObservedServer is a server, and since when it has been so. All times are Unix times.
+// ObservedServer is a server with the times of its last changes. All times are Unix times.
 type ObservedServer struct {
 	Server
-	ReadySince    time.Duration // without a break
-	Missing       bool          // it has not been listed since LostAt
-	LostAt        time.Duration // when it was last seen to stop being ready; zero: never
-	CapacitySince time.Duration // since when its capacity has been what it is
+	ReadySince    time.Duration // since when the server has been ready without interruption
+	Missing       bool          // whether the server is not listed
+	LostAt        time.Duration // when the server last stopped being ready; zero if never
+	CapacitySince time.Duration // when the present capacity was first seen
 	FullyDrained  bool          // see View
 }
