--- a/internal/control/ringassignment/assignmentlog/adapter.go
+++ b/internal/control/ringassignment/assignmentlog/adapter.go
@@ -1,5 +1,5 @@
-// Package assignmentlog runs package ringassignment on a fleet.Node: it is the state machine of the agreed
-// log's records about generations of the ring (fleet.StateMachine), and proposes generations at the leader
+// Package assignmentlog connects package ringassignment to a fleet.Node. It implements the state machine for
+// the agreed log's records of ring generations (fleet.StateMachine), and proposes generations at the leader
 // (fleet.Application).
 //
 // It does no input or output and reads no clock. An Adapter is not safe for concurrent use: the goroutine
@@ -18,32 +18,31 @@
 	"dunestep/internal/fleet/lease"
 )
 
-// Adapter connects one process's part in the ring's generations to its node. The node calls it as a
-// fleet.StateMachine and as a fleet.Application; SetView, SetPaces, Assignment and State are called from
-// where the node is called.
+// Adapter connects one process's part of the ring assignment to its node. The node calls it as a
+// fleet.StateMachine and as a fleet.Application. The goroutine that runs the node calls the other methods.
 type Adapter struct {
 	settings     Settings
 	machine      *ringassignment.StateMachine
 	agent        *ringassignment.Agent
-	proposer     *ringassignment.Proposer // nil: not a voter
-	paceReport   []byte                   // for voters; nil: none
-	paceReportAt time.Duration            // by the monotonic clock
+	proposer     *ringassignment.Proposer // nil if the agent is not a voter
+	paceReport   []byte                   // encoded report for voters; nil if there is none
+	paceReportAt time.Duration            // when it is next sent, by the monotonic clock
 
 	notifiedMark   ringassignment.Mark // the generation that voters are notified of
-	acknowledgedBy []int               // voters that have acknowledged it
-	notifiedSince  time.Duration       // by the monotonic clock, as notifyAt
-	notifyAt       time.Duration
+	acknowledgedBy []int               // voters that have acknowledged notifiedMark
+	notifiedSince  time.Duration       // when notifications of it began, by the monotonic clock
+	notifyAt       time.Duration       // when they are next sent, by the monotonic clock
 }
 
-// Settings are one agent's.
+// Settings are the settings of one agent's Adapter.
 type Settings struct {
 	IsVoter       bool
-	Incarnation   uint64 // the node's
-	MachineNumber uint8  // the state machine's number in the log's records
+	Incarnation   uint64 // incarnation of the node
+	MachineNumber uint8  // number of this state machine in the log's records
 	Parameters    ringassignment.Parameters
 }
 
-// New returns the Adapter of a process that starts.
+// New returns the Adapter of a process that starts now.
 func New(settings Settings, now fleet.ClockReading) *Adapter {
 	s := &Adapter{
 		settings: settings, machine: ringassignment.NewStateMachine(),
@@ -64,11 +63,12 @@
 // Restore implements fleet.StateMachine.
 func (s *Adapter) Restore(data []byte) error { return s.machine.Restore(data) }
 
-// RecordsApplied implements fleet.Application. A log that was started anew has other generations.
+// RecordsApplied implements fleet.Application. If a new log has replaced the former one, it discards what is
+// known of the former log's generations.
 //
 //nolint:revive // flag-parameter: fleet.Application has it
-func (s *Adapter) RecordsApplied(now fleet.ClockReading, anew bool) {
-	if anew {
+func (s *Adapter) RecordsApplied(now fleet.ClockReading, newLog bool) {
+	if newLog {
 		s.agent = ringassignment.NewAgent()
 		if s.proposer != nil {
 			s.proposer = ringassignment.NewProposer(s.settings.Parameters, now)
@@ -80,12 +80,11 @@
 	}
 }
 
-// LeaseNote implements fleet.Application: leases need no note.
+// LeaseNote implements fleet.Application. It returns nil, because leases need no note here.
 func (s *Adapter) LeaseNote() []byte { return nil }
 
-// MayGrantLease implements fleet.Application: nothing here stands in the way of a lease. Where another
-// application refuses it, it is counted here all the same, which only has the next generation wait for the
-// fence.
+// MayGrantLease implements fleet.Application. It always returns true and records the lease as granted. If
+// another application refuses the lease, the record only makes the next generation wait for the fence.
 func (s *Adapter) MayGrantLease(now fleet.ClockReading, agent int, incarnation uint64, _ []byte) bool {
 	if s.proposer != nil {
 		s.proposer.LeaseGranted(now, agent, incarnation)
@@ -95,15 +94,16 @@
 
 // The first byte of a message is its kind.
 const (
-	messagePaceReport  byte = 1 // an agent's; the first byte of ringassignment.EncodePaceReport
-	messageMark        byte = 2 // an agent's incarnation, and the generation that it has applied; it is returned
-	messageVoterReport byte = 3 // a voter's: all that hold its leases have applied a generation
+	messagePaceReport  byte = 1 // from an agent; the first byte of ringassignment.EncodePaceReport
+	messageMark        byte = 2 // an agent's incarnation and its applied generation; echoed as the reply
+	messageVoterReport byte = 3 // a generation that all holders of the voter's leases have applied
 
 	incarnationSize = 8 // bytes
 	markMessageSize = 1 + incarnationSize + ringassignment.MarkSize
 )
 
-// HandleMessage implements fleet.Application. Bytes that are not a message are ignored.
+// HandleMessage implements fleet.Application. It ignores malformed messages. An agent's report of its applied
+// generation is returned as its own acknowledgement; other messages have no reply.
 func (s *Adapter) HandleMessage(now fleet.ClockReading, from int, data []byte) []byte {
 	if s.proposer == nil || len(data) == 0 {
 		return nil
@@ -113,7 +113,7 @@
 		s.proposer.PaceReportReceived(now, from, data)
 	case messageMark:
 		if len(data) == markMessageSize {
-			m, _ := ringassignment.DecodeMark(data[1+incarnationSize:]) // its length is right
+			m, _ := ringassignment.DecodeMark(data[1+incarnationSize:]) // always succeeds: the length was checked
 			s.proposer.MarkReceived(now, from, binary.BigEndian.Uint64(data[1:]), m)
 			return data
 		}
@@ -125,7 +125,7 @@
 	return nil
 }
 
-// HandleReply implements fleet.Application: a voter has acknowledged what this agent has applied.
+// HandleReply implements fleet.Application. It records a voter's acknowledgement of the applied generation.
 func (s *Adapter) HandleReply(_ fleet.ClockReading, from int, data []byte) {
 	if bytes.Equal(data, s.encodedMark()) && !slices.Contains(s.acknowledgedBy, from) {
 		s.acknowledgedBy = append(s.acknowledgedBy, from)
@@ -137,14 +137,16 @@
 }
 
 const (
-	// paceReportInterval is how often voters get a pace report.
+	// paceReportInterval is the interval between pace reports to voters.
 	paceReportInterval = 30 * time.Second
-	// markInterval is how often voters that have not acknowledged the applied generation are notified of it, and
-	// voters report to each other.
+	// markInterval is the interval at which voters that have not acknowledged the applied generation are
+	// notified again, and at which voters report to each other.
 	markInterval = 200 * time.Millisecond
-	// markPeriod is how long they do so. After that the fence has passed, and it does not help any more.
+	// markPeriod is the time for which these messages are repeated. After that the fence has passed, and they
+	// are not needed any more.
 	markPeriod = 5 * time.Second
-	// followerInterval is how often a voter that does not lead is asked: it may lead by then.
+	// followerInterval is the maximum time to the next call of NextActions at a voter that is not the leader, as
+	// it may become the leader.
 	followerInterval = time.Second
 )
 
@@ -167,7 +169,8 @@
 	return actions
 }
 
-// sendPaceReport sends voters the pace report where it is time for it, and returns when it is again.
+// sendPaceReport adds messages with the pace report for the voters, if it is due. It returns when it is next
+// due.
 func (s *Adapter) sendPaceReport(now fleet.ClockReading, v fleet.VoterState,
 	actions *fleet.Actions,
 ) (next time.Duration) {
@@ -183,8 +186,8 @@
 	return s.paceReportAt
 }
 
-// sendMarks notifies voters of what this agent has applied, and other voters of what all have applied that
-// hold leases from here. It returns when it is time again.
+// sendMarks adds messages that notify voters of the generation that this agent has applied and, at a voter,
+// of the generation that all holders of its leases have applied. It returns when it is next due.
 func (s *Adapter) sendMarks(now fleet.ClockReading, v fleet.VoterState,
 	actions *fleet.Actions,
 ) (next time.Duration) {
@@ -218,16 +221,16 @@
 	return s.notifyAt
 }
 
-// SetView takes what this agent sees of the servers: on each change, and every few seconds. Only a leader's
-// view counts, and none that is older than Parameters.MaxViewAge.
+// SetView sets this agent's view of the servers. The caller calls it on each change and every few seconds.
+// Only the leader's view is used, and only until it is older than Parameters.MaxViewAge.
 func (s *Adapter) SetView(now fleet.ClockReading, v ringassignment.View) {
 	if s.proposer != nil {
 		s.proposer.SetView(now, v)
 	}
 }
 
-// SetPaces takes how fast this agent finds each kind of machine against its agreed capacity, 1 being as
-// agreed; kinds with few answers are left out. Voters get it every 30 s.
+// SetPaces sets the paces that this agent reports to voters every 30 s: the speed of each machine kind
+// relative to its agreed capacity, 1 being as agreed. Kinds with too few answers are left out.
 func (s *Adapter) SetPaces(paces map[string]float64) {
 	s.paceReport = nil
 	if len(paces) > 0 {
@@ -235,13 +238,15 @@
 	}
 }
 
-// Assignment is the generation to use now; nil: none, as without generations. It is the same pointer while
-// nothing changes. The reading and the standing have to be taken for this decision.
+// Assignment returns the generation to use now, or nil if the agent has to use its own endpoint list. The
+// pointer stays the same while nothing changes. The clock reading and the standing must be taken for this
+// decision.
 func (s *Adapter) Assignment(now fleet.ClockReading, standing lease.Standing) *balancer.RingAssignment {
 	return s.agent.Assignment(now, standing)
 }
 
-// PaceReporters is how many agents have lately sent this voter pace reports; zero: it is none.
+// PaceReporters returns the number of agents with an unexpired pace report at this voter; zero if the agent
+// is not a voter.
 func (s *Adapter) PaceReporters(now fleet.ClockReading) int {
 	if s.proposer == nil {
 		return 0
@@ -249,7 +254,7 @@
 	return s.proposer.PaceReporters(now)
 }
 
-// State is the present generation. Its members are a copy; the rest must not be changed.
+// State returns the current generation. Its members are a copy; the caller must not modify the rest.
 func (s *Adapter) State() ringassignment.State {
 	st := s.machine.State()
 	st.Members = slices.Clone(st.Members)
--- a/internal/control/ringassignment/assignmentlog/golden_test.go
+++ b/internal/control/ringassignment/assignmentlog/golden_test.go
@@ -15,17 +15,18 @@
 	"dunestep/internal/fleet"
 )
 
-// update has the golden files written anew. They were made by the build before the packages were renamed: a
-// change of them is a change of what other builds read.
+// update rewrites the golden files. They were made by the build before the packages were renamed: a change of
+// a golden file is a change of the encoding that other builds read.
 var update = flag.Bool("update", false, "write testdata/golden anew")
 
-// goldenForm is one encoded form by its name in a golden file.
+// goldenForm is one encoded value and its name in a golden file.
 type goldenForm struct {
 	name string
 	data []byte
 }
 
-// requireGolden compares encoded forms with a golden file of lines "name hex", and returns those of the file.
+// requireGolden requires that a golden file of lines "name hex" has exactly the given values, and returns the file's
+// values by name.
 func requireGolden(t *testing.T, file string, forms []goldenForm) map[string][]byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", file)
@@ -49,7 +50,7 @@
 	return stored
 }
 
-// TestGoldenMessages: what an agent and a voter tell voters, by kinds.
+// TestGoldenMessages checks the encoding of each kind of message that agents and voters send to voters.
 func TestGoldenMessages(t *testing.T) {
 	now := fleet.ClockReading{Unix: 1800000000 * time.Second, Mono: time.Hour}
 	s := New(Settings{IsVoter: true, Incarnation: 1800000000123, MachineNumber: 3}, now)
