--- a/internal/control/ringassignment/judge/judge.go
+++ b/internal/control/ringassignment/judge/judge.go
@@ -1,6 +1,6 @@
-// Package judge checks from the outside whether a fleet's ring is what package ringassignment promises: from
-// who owned which keys at which agent, when, and which servers were really there. It knows nothing of how the
-// agents agreed.
+// Package judge checks a fleet's ring against the guarantees of package ringassignment. Its inputs are
+// samples of which server owned each key at which agent, and the true state of the servers. It does not
+// depend on how the agents agree.
 //
 // It reads no clock and does no input or output; all times are true times that the caller passes. Its types
 // are not safe for concurrent use.
@@ -11,39 +11,39 @@
 	"time"
 )
 
-// NoOwner owns a key that no server owns.
+// NoOwner is the owner of a key that no server owns.
 const NoOwner = -1
 
-// Owners are, by key, the number of the server that owns it, or NoOwner. They are not to be changed.
+// Owners has for each key the number of the server that owns it, or NoOwner. It must not be modified.
 type Owners []int32
 
-// Sample is what an agent uses at a time. Samples are passed in the order of their times.
+// Sample is the ring that an agent uses at one time. Samples must be passed in order of time.
 type Sample struct {
 	At         time.Duration
 	Agent      int
 	HasLease   bool
-	Generation uint64  // zero: none
-	Owners     *Owners // the same pointer while nothing changes
+	Generation uint64  // zero if the agent uses its own endpoint list
+	Owners     *Owners // stays the same pointer while nothing changes
 }
 
-// Truth is what servers really are at a time.
+// Truth reports the true state of the servers at the time of the current sample.
 type Truth interface {
-	// IsReady tells whether the server runs and accepts requests.
+	// IsReady reports whether the server runs and accepts requests.
 	IsReady(server int32) bool
-	// IsKnownGone tells whether the agent has known, for longer than it may take to act on it, that the server
-	// drains or is gone.
+	// IsKnownGone reports whether the agent has known that the server is draining or gone for longer than it may
+	// take to act on that.
 	IsKnownGone(agent int, server int32) bool
-	// Capacity is the server's when warm.
+	// Capacity returns the server's capacity when it is warm.
 	Capacity(server int32) float64
-	// SlowStartFraction is the fraction of it that slow start permits, as far as the leader could know that as
-	// it made a generation that was first used at a time.
+	// SlowStartFraction returns the fraction of the capacity that slow start permits, as far as the leader could
+	// know it when it made a generation that was first used at the time made.
 	SlowStartFraction(server int32, made time.Duration) float64
-	// IsSteady tells whether the server has been there and warm for a minute, by the agent's list too, apart
-	// from the time between two moments.
+	// IsSteady reports whether the server has been ready and warm for a minute, in the agent's list too, not
+	// counting the time between from and to.
 	IsSteady(agent int, server int32, from, to time.Duration) bool
 }
 
-// Violation is a sample that should not have been.
+// Violation is a sample that violates a guarantee.
 type Violation struct {
 	Sample
 	Reason string
@@ -53,44 +53,46 @@
 	return fmt.Sprintf("%v: agent %d, generation %d: %s", b.At, b.Agent, b.Generation, b.Reason)
 }
 
-// maxViolations is how many violations are kept; all are counted.
+// maxViolations is the maximum number of stored violations; Count includes all.
 const maxViolations = 20
 
-// Settings are what the promises are checked with.
+// Settings are the limits and tolerances of the checks.
 type Settings struct {
-	MaxMoveRate  float64       // fraction of the keys that may move in a second without need
-	MaxMoveBurst time.Duration // for how long unused MaxMoveRate adds up
-	OwedValidity time.Duration // how long the keys of lost servers may be made up for
-	SampleError  float64       // fraction of the keys by which samples may be off
+	MaxMoveRate  float64       // maximum unneeded moves, as a fraction of the keys per second
+	MaxMoveBurst time.Duration // time for which unused MaxMoveRate accumulates
+	OwedValidity time.Duration // time for which the keys of lost servers may be replaced
+	SampleError  float64       // tolerated sampling error, as a fraction of the keys
 }
 
 // Judge checks the samples of one fleet.
 type Judge struct {
-	// Violations are the first ones, Count is how many there were.
+	// Violations are the first violations, at most 20; Count is the number of all.
 	Violations []Violation
 	Count      int
-	// Moved are the fractions of all keys that each agent has moved in all, and Needed those of them whose
-	// server was lost.
+	// Moved is the total of key moves by agent, as a fraction of all keys. Needed is the part of it that moved
+	// from lost servers.
 	Moved, Needed map[int]float64
-	// Behind counts samples with a lease by how many generations they are behind the newest that was used.
+	// Behind counts the samples with a lease by their distance to the newest generation in use: 0, 1, and 2 or
+	// more generations.
 	Behind [3]int
 
 	settings       Settings
 	truth          Truth
-	agents         map[int]*agent
-	newest         uint64 // that an agent with a lease has used
+	agents         map[int]*agentState
+	newest         uint64 // newest generation that an agent with a lease has used
 	firstUsedAt    map[uint64]time.Duration
 	countsByOwners map[*Owners][]keyCount
 	windows        []*plannedWindow
 }
 
-type agent struct {
+type agentState struct {
 	last        Sample
-	running     bool // and last is valid
+	running     bool // whether the process of last still runs
 	recentMoves []recentMove
 }
 
-// recentMove is which fractions of the keys an agent moved at a time, and moved with need.
+// recentMove is the fraction of the keys that an agent moved at one time, and the part that moved from lost
+// servers.
 type recentMove struct {
 	at            time.Duration
 	moved, needed float64
@@ -100,12 +102,12 @@
 func New(settings Settings, truth Truth) *Judge {
 	return &Judge{
 		settings: settings, truth: truth, Moved: map[int]float64{}, Needed: map[int]float64{},
-		agents: map[int]*agent{}, firstUsedAt: map[uint64]time.Duration{},
+		agents: map[int]*agentState{}, firstUsedAt: map[uint64]time.Duration{},
 		countsByOwners: map[*Owners][]keyCount{},
 	}
 }
 
-// ProcessEnded takes that an agent's process has ended.
+// ProcessEnded records that the process of agent n has ended.
 func (j *Judge) ProcessEnded(n int) {
 	if a := j.agents[n]; a != nil {
 		a.running = false
@@ -116,7 +118,7 @@
 func (j *Judge) AddSample(s Sample) {
 	a := j.agents[s.Agent]
 	if a == nil {
-		a = &agent{}
+		a = &agentState{}
 		j.agents[s.Agent] = a
 	}
 	before, wasRunning := a.last, a.running
@@ -134,14 +136,15 @@
 	j.checkWindows(s)
 }
 
-// checkGeneration: after an agent with a lease has used a generation, no agent with a lease uses one that is
-// older than the one before. That holds in true time, whatever clocks show.
+// checkGeneration checks that the generations in use at agents with a lease differ by at most one: once an
+// agent has used a generation, no agent uses one older than its predecessor. This must be true in true time,
+// whatever the clocks show.
 func (j *Judge) checkGeneration(s Sample) {
 	j.newest = max(j.newest, s.Generation)
 	behind := j.newest - s.Generation
 	j.Behind[min(behind, 2)]++
 	if behind > 1 {
-		j.addViolation(s, fmt.Sprintf("generation %d was in use before", j.newest))
+		j.addViolation(s, fmt.Sprintf("generation %d is already in use", j.newest))
 	}
 }
 
--- a/internal/control/ringassignment/judge/moves.go
+++ b/internal/control/ringassignment/judge/moves.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// checkMoves: keys that move without need are limited. Keys that windows move do not count. Needed is what a
-// lost server had: that may be made up for, and where the server was back before a generation took it off,
-// its keys move away and come back once more.
-func (j *Judge) checkMoves(a *agent, before, now Sample) {
+// checkMoves checks the limit on unneeded key moves. Moves that windows cause do not count. Moves from a lost
+// server are needed, and permit further moves: its points may be replaced, and if the server returned before
+// a generation took it off the ring, its keys move away and back once more.
+func (j *Judge) checkMoves(a *agentState, before, now Sample) {
 	move := j.movedKeys(before, now)
 	j.Moved[now.Agent] += move.moved
 	j.Needed[now.Agent] += move.needed
@@ -17,7 +17,7 @@
 		a.recentMoves = a.recentMoves[1:]
 	}
 	if !before.HasLease || !now.HasLease || now.Generation > before.Generation+1 || before.Generation == 0 {
-		// It was cut off, and uses at once what it has missed.
+		// The agent was cut off, and uses a newer generation at once, without a limit on moves.
 		a.recentMoves[len(a.recentMoves)-1].moved = move.needed
 		return
 	}
@@ -29,32 +29,33 @@
 	}
 	allowed := j.settings.MaxMoveRate * 2 * j.settings.MaxMoveBurst.Seconds()
 	if withoutNeed <= allowed {
-		return // whatever was lost lately
+		return // within the limit even without recent losses
 	}
 	lost := j.lostFraction(now.At, j.settings.OwedValidity+2*j.settings.MaxMoveBurst)
 	if allowed += 3*lost + j.settings.SampleError; withoutNeed > allowed {
-		j.addViolation(now, fmt.Sprintf("%.3f of the keys moved without need within %v, %.3f may", withoutNeed,
+		j.addViolation(now, fmt.Sprintf("%.3f of the keys moved without need within %v, limit %.3f", withoutNeed,
 			j.settings.MaxMoveBurst, allowed))
 	}
 }
 
-// movedKeys is which fractions of the keys moved between two samples.
+// movedKeys returns the fractions of the keys that moved between two samples, in all and from lost servers.
 func (j *Judge) movedKeys(before, now Sample) recentMove {
 	moved, needed, all := 0, 0, len(*now.Owners)
 	for key, owner := range *now.Owners {
-		was := (*before.Owners)[key]
-		if was == owner || was == NoOwner || j.mayBeMovedByWindow(was, owner, now.At) {
+		previous := (*before.Owners)[key]
+		if previous == owner || previous == NoOwner || j.mayBeMovedByWindow(previous, owner, now.At) {
 			continue
 		}
-		if moved++; !j.truth.IsReady(was) {
+		if moved++; !j.truth.IsReady(previous) {
 			needed++
 		}
 	}
 	return recentMove{now.At, float64(moved) / float64(all), float64(needed) / float64(all)}
 }
 
-// lostFraction is the fraction of the keys that was lost lately, at the agent that saw most of it.
-func (j *Judge) lostFraction(at, within time.Duration) (most float64) {
+// lostFraction returns the fraction of the keys that moved from lost servers in the given time, at the agent
+// where it was largest.
+func (j *Judge) lostFraction(at, within time.Duration) (largest float64) {
 	for _, a := range j.agents {
 		sum := 0.0
 		for _, m := range a.recentMoves {
@@ -62,7 +63,7 @@
 				sum += m.needed
 			}
 		}
-		most = max(most, sum)
+		largest = max(largest, sum)
 	}
-	return most
+	return largest
 }
--- a/internal/control/ringassignment/judge/servers.go
+++ b/internal/control/ringassignment/judge/servers.go
@@ -2,13 +2,13 @@
 
 import "fmt"
 
-// keyCount is how many keys a server has.
+// keyCount is the number of keys of a server.
 type keyCount struct {
 	server int32
 	keys   int
 }
 
-// keyCounts is by server, in the order in which they are met.
+// keyCounts returns the number of keys of each server that owns any, in the order of each server's first key.
 func (j *Judge) keyCounts(owners *Owners) []keyCount {
 	if counts, known := j.countsByOwners[owners]; known {
 		return counts
@@ -31,15 +31,16 @@
 }
 
 const (
-	// largeLoss is the fraction of the keys after whose loss so few servers are left that no generation can have
-	// divided the keys rightly before.
+	// largeLoss is the fraction of lost keys from which slow start is not checked: too few servers are left for
+	// the generation, which was made before the loss, to divide the keys as it should.
 	largeLoss = 0.1
-	// slowStartTolerance is by what factor a server in slow start may have more than its fraction.
+	// slowStartTolerance is the factor by which a server in slow start may exceed its fraction.
 	slowStartTolerance = 1.75
 )
 
-// checkServers: no agent uses a server that its own list has taken away, nor gives a server in slow start
-// more than it permits, of what the warm server with the most keys for its capacity has.
+// checkServers checks that no agent uses a server that its own list reports as draining or gone, and that no
+// server in slow start has more keys than permitted. The reference is the warm server with the most keys for
+// its capacity.
 func (j *Judge) checkServers(s Sample) {
 	counts, densest, made := j.keyCounts(s.Owners), 0.0, j.firstUsedAt[s.Generation]
 	inWindows := j.fractionInWindows(s.At, counts)
@@ -50,15 +51,16 @@
 	}
 	for _, c := range counts {
 		if j.truth.IsKnownGone(s.Agent, c.server) {
-			j.addViolation(s, fmt.Sprintf("server %d is used, though the agent's list takes it away", c.server))
+			j.addViolation(s, fmt.Sprintf("server %d is used, but draining or gone in the agent's list", c.server))
 		}
-		warm, all := j.truth.SlowStartFraction(c.server, made), float64(len(*s.Owners))
+		fraction, all := j.truth.SlowStartFraction(c.server, made), float64(len(*s.Owners))
 		has := float64(c.keys) / all
-		may := slowStartTolerance*warm*densest*j.truth.Capacity(c.server)/all*(1+2*inWindows) +
+		limit := slowStartTolerance*fraction*densest*j.truth.Capacity(c.server)/all*(1+2*inWindows) +
 			j.settings.SampleError/4
-		if warm < 1 && densest > 0 && s.HasLease && s.Generation > 0 && has > may &&
+		if fraction < 1 && densest > 0 && s.HasLease && s.Generation > 0 && has > limit &&
 			j.lostFraction(s.At, 2*j.settings.MaxMoveBurst) < largeLoss {
-			j.addViolation(s, fmt.Sprintf("server %d is cold and has %.3f of the keys, %.3f may", c.server, has, may))
+			j.addViolation(s, fmt.Sprintf("server %d in slow start has %.3f of the keys, limit %.3f",
+				c.server, has, limit))
 		}
 	}
 }
