--- a/internal/control/policy/policylog/adapter_test.go
+++ b/internal/control/policy/policylog/adapter_test.go
@@ -59,7 +59,7 @@
 	require.NoError(t, err)
 	effect, err := empty.Effect(testSettings)
 	require.NoError(t, err)
-	// The judge allows 200 ms, as two clocks may each be off by up to 100 ms.
+	// The judge tolerates 200 ms: two clocks may each be off by 100 ms, and the judge may receive a version late.
 	p := &testFleet{
 		t: t, adapters: make([]*Adapter, o.Agents), firstActedAt: map[uint64]map[int]time.Time{},
 		history: judge.NewHistory(200 * time.Millisecond),
@@ -254,7 +254,8 @@
 
 // TestSafetyUnderFaults checks that under faults of the network, processes, disks and clocks no decision is made under an
 // older version after one under a newer version, that the version in force allows all decisions of cut-off agents, and that
-// the history is linearizable for one register that each proposal changes at most once. LONG_TESTS adds seeds and agents.
+// the history is linearizable for one register that each proposal changes at most once. LONG_TESTS runs more seeds and
+// larger fleets instead.
 func TestSafetyUnderFaults(t *testing.T) {
 	rows := []hunting.Row{{Agents: 7, To: 25}}
 	if os.Getenv("LONG_TESTS") != "" {
--- a/internal/control/ringassignment/judge/windows.go
+++ b/internal/control/ringassignment/judge/windows.go
@@ -23,7 +23,8 @@
 	// minKeysFraction is the minimum number of keys that a server must have outside of its window, as a fraction
 	// of its keys before or of its fair share, whichever is lower. It allows for other servers that join.
 	minKeysFraction = 0.25
-	// minKeys is the number of keys below which a server is not checked, because fewer are not significant.
+	// minKeys is the minimum number of keys that a server must have had before its window for the check to
+	// apply, because fewer are not significant.
 	minKeys = 12
 	// afterWindow is the time after the end of a window until which the window is checked.
 	afterWindow = 6 * time.Second
