--- a/internal/balancer/settings.go
+++ b/internal/balancer/settings.go
@@ -110,7 +110,7 @@
 		return errors.New("balancer: the settings have no request classes")
 	}
 	if s.Tick <= 0 {
-		return fmt.Errorf("balancer: Settings.Tick is %v, must be positive", s.Tick)
+		return fmt.Errorf("balancer: the settings' resolution is %v, it must be positive", s.Tick)
 	}
 	s.Balancers = max(s.Balancers, 1)
 	s.Limits.MaxAttempts = max(s.Limits.MaxAttempts, 1)
