--- a/internal/control/maintenance/contract/contract_test.go
+++ b/internal/control/maintenance/contract/contract_test.go
@@ -9,21 +9,22 @@
 	"pgregory.net/rapid"
 )
 
-// allowsByCalendar is what a contract says of one moment, worked out anew with the standard library's calendar.
+// allowsByCalendar is an independent implementation of Contract.Allows that uses the standard library's
+// calendar.
 func allowsByCalendar(t Table, zone *time.Location, at time.Time) bool {
 	local := at.In(zone)
 	midnight := time.Date(local.Year(), local.Month(), local.Day(), 0, 0, 0, 0, time.UTC)
 	minute := local.Hour()*60 + local.Minute()
 	excluded := func(date time.Time) bool {
 		for _, text := range t.Excluded {
-			one, _ := time.Parse(time.DateOnly, text)
-			if one.Equal(date) || t.ExcludeDayAfter && one.AddDate(0, 0, 1).Equal(date) {
+			day, _ := time.Parse(time.DateOnly, text)
+			if day.Equal(date) || t.ExcludeDayAfter && day.AddDate(0, 0, 1).Equal(date) {
 				return true
 			}
 		}
 		return false
 	}
-	begun := func(date time.Time, minute int) bool {
+	isInSpan := func(date time.Time, minute int) bool {
 		for _, text := range t.Hours {
 			days, s, _ := parseSpan(text)
 			if days[date.Weekday()] && s.from <= minute && minute < s.to {
@@ -33,11 +34,11 @@
 		return false
 	}
 	before := midnight.AddDate(0, 0, -1)
-	return !excluded(midnight) && (begun(midnight, minute) || !excluded(before) && begun(before, minute+24*60))
+	return !excluded(midnight) && (isInSpan(midnight, minute) || !excluded(before) && isInSpan(before, minute+24*60))
 }
 
-// draw is any valid table.
-func draw(t *rapid.T) Table {
+// drawTable draws a valid table.
+func drawTable(t *rapid.T) Table {
 	clock := rapid.SampledFrom([]string{"00:00", "02:00", "03:00", "03:30", "04:00", "05:00", "12:15", "20:00", "23:59"})
 	days := rapid.SampledFrom([]string{"mon-sun", "fri-mon", "sat", "sun", "sat,sun", "mon,wed", "thu-sat,mon"})
 	c := Table{
@@ -57,11 +58,11 @@
 	return c
 }
 
-// TestEveryMinute: over weeks with both nights on which clocks change, each minute is allowed as the calendar says, and
-// runs are made of these minutes.
-func TestEveryMinute(t *testing.T) {
+// TestAllowedMinutesMatchCalendar checks, over ten days around each change of clocks, that Allows agrees with
+// the calendar for every minute and that runs consist of these minutes.
+func TestAllowedMinutesMatchCalendar(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		table := draw(t)
+		table := drawTable(t)
 		c, err := table.Contract()
 		require.NoError(t, err)
 		zone, err := time.LoadLocation(table.Zone)
@@ -70,8 +71,8 @@
 		at := func(minute int) time.Duration {
 			return time.Duration(first.Add(time.Duration(minute) * time.Minute).UnixNano())
 		}
-		const week = 10 * 24 * 60
-		allowed := make([]bool, week)
+		const minutes = 10 * 24 * 60
+		allowed := make([]bool, minutes)
 		for m := range allowed {
 			allowed[m] = allowsByCalendar(table, zone, first.Add(time.Duration(m)*time.Minute))
 			if got := c.Allows(at(m)); got != allowed[m] {
@@ -79,12 +80,12 @@
 			}
 		}
 		for range 20 {
-			m := rapid.IntRange(0, week-1).Draw(t, "minute")
+			m := rapid.IntRange(0, minutes-1).Draw(t, "minute")
 			begin, end := m, m
 			for begin > 0 && allowed[begin-1] {
 				begin--
 			}
-			for end < week && allowed[end] {
+			for end < minutes && allowed[end] {
 				end++
 			}
 			from, to, ok := c.RunAt(at(m) + time.Duration(rapid.IntRange(0, int(time.Minute-1)).Draw(t, "inside")))
@@ -92,29 +93,30 @@
 			if ok && begin > 0 {
 				require.Equal(t, at(begin), from)
 			}
-			if ok && end < week {
+			if ok && end < minutes {
 				require.Equal(t, at(end), to)
 			}
-			for end = m; end < week && !allowed[end]; end++ {
+			for end = m; end < minutes && !allowed[end]; end++ {
 			}
-			if next, _, _ := c.NextRun(at(m)); end < week && end > m {
+			if next, _, _ := c.NextRun(at(m)); end < minutes && end > m {
 				require.Equal(t, at(end), next)
 			}
 		}
 	})
 }
 
-// unusualZones have clocks that skip or double a midnight, a day, half an hour or two hours, or changed oddly.
+// unusualZones have clocks that skip or repeat a midnight, a day, half an hour or two hours, or have
+// irregular rules.
 var unusualZones = []string{
 	"Pacific/Apia", "Africa/Cairo", "Asia/Beirut", "America/Sao_Paulo", "Antarctica/Troll",
 	"Australia/Lord_Howe", "Africa/Casablanca", "America/Nuuk", "Europe/Bucharest", "Pacific/Kiritimati", "Etc/GMT+12",
 }
 
-// TestAnyTable: any table is refused, or is a contract that gives an answer for any moment; each search along the calendar
-// comes to an end.
-func TestAnyTable(t *testing.T) {
+// TestAnyTableIsRefusedOrUsable checks that an arbitrary table is either refused or gives a contract that
+// returns a consistent result for any moment, and that each search along the calendar terminates.
+func TestAnyTableIsRefusedOrUsable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		table := draw(t)
+		table := drawTable(t)
 		table.Zone = rapid.SampledFrom(unusualZones).Draw(t, "zone")
 		change := func(of []string) []string {
 			if rapid.IntRange(0, 3).Draw(t, "any") == 0 {
@@ -131,7 +133,7 @@
 			var problems Problems
 			require.ErrorAs(t, err, &problems)
 			require.NotEmpty(t, problems.Error())
-			table = draw(t)
+			table = drawTable(t)
 			table.Zone = rapid.SampledFrom(unusualZones).Draw(t, "zone of a valid table")
 			c, err = table.Contract()
 			require.NoError(t, err)
@@ -160,7 +162,8 @@
 	})
 }
 
-// TestSearchesAreBounded: hours that never end, or never come.
+// TestSearchesAreBounded checks that searches terminate for hours that never end and for hours that never
+// begin.
 func TestSearchesAreBounded(t *testing.T) {
 	all := Table{Zone: "Europe/Bucharest", Hours: []string{"mon-sun 00:00-24:00"}}
 	c, err := all.Contract()
@@ -187,8 +190,8 @@
 	require.ErrorContains(t, err, "excluded: must have at most 400 entries")
 }
 
-// TestSpansOnClockChanges: what a span means on the two nights of Europe/Bucharest on which clocks go from 03:00 to 04:00,
-// and from 04:00 back to 03:00.
+// TestSpansOnClockChanges checks spans on the two nights in Europe/Bucharest on which clocks go forward from
+// 03:00 to 04:00 and back from 04:00 to 03:00.
 func TestSpansOnClockChanges(t *testing.T) {
 	for hours, want := range map[string][2]string{
 		"sat 20:00-06:00":        {"20:00 EET - 06:00 EEST, 9h0m0s", "20:00 EEST - 06:00 EET, 11h0m0s"},
@@ -216,8 +219,9 @@
 	}
 }
 
-// TestMonthsBeginOnClockChanges: where midnight comes after a repeated hour, and where it is skipped.
-func TestMonthsBeginOnClockChanges(t *testing.T) {
+// TestMonthBeginsOnClockChange checks the first moment of a month where midnight follows a repeated hour and
+// where midnight is skipped.
+func TestMonthBeginsOnClockChange(t *testing.T) {
 	for zone, want := range map[string]string{
 		"Africa/Cairo": "2024-11-01 00:00 EET", "America/Asuncion": "2023-10-01 01:00 -03",
 		"Europe/Bucharest": "2026-11-01 00:00 EET",
--- a/internal/control/maintenance/contract/example_test.go
+++ b/internal/control/maintenance/contract/example_test.go
@@ -22,15 +22,15 @@
 		t, _ := time.Parse(time.RFC3339, text)
 		return time.Duration(t.UnixNano())
 	}
-	show := func(what string, at time.Duration) {
-		fmt.Println(what, c.InZone(at).Format("Mon 2006-01-02 15:04 MST"))
+	show := func(label string, at time.Duration) {
+		fmt.Println(label, c.InZone(at).Format("Mon 2006-01-02 15:04 MST"))
 	}
 
 	fmt.Println(c.Allows(at("2026-10-20T19:00:00Z")), c.Allows(at("2026-12-25T19:00:00Z")))
 	from, to, _ := c.NextRun(at("2026-10-23T12:00:00Z"))
 	show("from", from)
 	show("to", to)
-	fmt.Println(to - from) // the night on which clocks go back is in it
+	fmt.Println(to - from) // includes the night on which clocks go back
 	from, _, _ = c.NextRun(at("2026-12-25T12:00:00Z"))
 	show("after the holiday, from", from)
 
@@ -42,5 +42,5 @@
 	// to Mon 2026-10-26 00:00 EET
 	// 53h0m0s
 	// after the holiday, from Sun 2026-12-27 00:00 EET
-	// hours[0]: "weekdays 20:00-06:00" must be as mon-fri 20:00-06:00 or sat,sun 00:00-24:00
+	// hours[0]: "weekdays 20:00-06:00" must be as in mon-fri 20:00-06:00 or sat,sun 00:00-24:00
 }
--- a/internal/control/maintenance/contract/golden_test.go
+++ b/internal/control/maintenance/contract/golden_test.go
@@ -12,9 +12,9 @@
 	"dunestep/internal/stricttoml"
 )
 
-// update has the golden files written anew. They were made by the build before the packages were renamed: a
-// change of them is a change of what other builds read.
-var update = flag.Bool("update", false, "write testdata/golden anew")
+// update rewrites the golden files. They were made by a build that predates the present package names: a
+// change of them changes the format that other builds read.
+var update = flag.Bool("update", false, "rewrite testdata/golden")
 
 func describe(c *Contract) map[string]any {
 	runs := []string{}
@@ -34,8 +34,8 @@
 	}
 }
 
-// TestGoldenTables: each key of a contract's table, with what is left out as its default, and the rules of a
-// zone.
+// TestGoldenTables checks that each key of a contract's table, the default of each omitted key and the rules
+// of a zone are read as before.
 func TestGoldenTables(t *testing.T) {
 	text, err := os.ReadFile("testdata/golden/contracts.toml")
 	require.NoError(t, err)
@@ -70,8 +70,8 @@
 	require.JSONEq(t, string(want), string(got))
 }
 
-// TestGoldenRules: rules as they are written into a policy document. The zone is one that never changes, so
-// that the machine's zone data do not count.
+// TestGoldenRules checks the form of rules as written into a policy document. Its zone never changes its
+// offset, so the result does not depend on the machine's zone data.
 func TestGoldenRules(t *testing.T) {
 	rules, err := ZoneRules("Etc/GMT-2", time.Unix(1800000000, 5), time.Unix(1900000000, 5))
 	require.NoError(t, err)
--- a/internal/control/maintenance/contract/parse.go
+++ b/internal/control/maintenance/contract/parse.go
@@ -14,7 +14,7 @@
 	maxZoneSize = 64  // bytes
 )
 
-// parseZone finds the time zone. It refuses Local, which differs from machine to machine.
+// parseZone sets the time zone. It rejects Local, which differs between machines.
 func (c *Contract) parseZone(name string, problems *Problems) {
 	var err error
 	if c.zone, err = loadZone(name); err != nil {
@@ -22,14 +22,14 @@
 	}
 }
 
-// loadZone is a time zone by this machine's zone data.
+// loadZone returns a time zone from this machine's zone data.
 func loadZone(name string) (zone *time.Location, err error) {
 	if isPlausibleZone(name) {
 		if zone, err = time.LoadLocation(name); err == nil {
 			return zone, nil
 		}
 	}
-	return nil, fmt.Errorf("%.80q is no time zone; one is as Europe/Bucharest", name)
+	return nil, fmt.Errorf("%.80q is no time zone; use a name such as Europe/Bucharest", name)
 }
 
 func isPlausibleZone(name string) bool {
@@ -45,7 +45,7 @@
 		days, s, ok := parseSpan(text)
 		if !ok {
 			problems.add(fmt.Sprintf("hours[%d]", i),
-				"%.80q must be as mon-fri 20:00-06:00 or sat,sun 00:00-24:00", text)
+				"%.80q must be as in mon-fri 20:00-06:00 or sat,sun 00:00-24:00", text)
 			continue
 		}
 		for d := range c.week {
@@ -57,8 +57,8 @@
 	c.findEdges()
 }
 
-// findEdges collects the minutes of each day at which something may begin or end. Midnight always is one, as
-// an excluded day may begin or end there.
+// findEdges sets, for each weekday, the minutes at which a run may begin or end. Midnight is always one of
+// them, as an excluded day may begin or end there.
 func (c *Contract) findEdges() {
 	for d := range c.week {
 		edges := []int{0}
@@ -74,10 +74,10 @@
 	}
 }
 
-// dayNames are the names of the weekdays in a Table; nobody changes them.
+// dayNames are the names of the weekdays in a Table, from Sunday; they are never changed.
 var dayNames = []string{"sun", "mon", "tue", "wed", "thu", "fri", "sat"}
 
-// parseSpan parses days and the hours on them; false: it is malformed.
+// parseSpan parses days and a span of hours on them; ok is false if text is malformed.
 func parseSpan(text string) (days [7]bool, s span, ok bool) {
 	names, hours, _ := strings.Cut(text, " ")
 	if days, ok = parseDays(names); !ok {
@@ -95,10 +95,10 @@
 	return days, span{from, to}, true
 }
 
-// parseDays parses days and ranges of days, as sat,mon-wed.
+// parseDays parses a list of days and ranges of days such as sat,mon-wed.
 func parseDays(names string) (days [7]bool, ok bool) {
-	for one := range strings.SplitSeq(names, ",") {
-		first, last, isRange := strings.Cut(one, "-")
+	for part := range strings.SplitSeq(names, ",") {
+		first, last, isRange := strings.Cut(part, "-")
 		if !isRange {
 			last = first
 		}
@@ -113,7 +113,7 @@
 	return days, true
 }
 
-// parseClock parses a time of the day, 00:00 to 24:00, as a minute of it.
+// parseClock parses a time of day, 00:00 to 24:00, and returns it in minutes.
 func parseClock(text string) (minute int, ok bool) {
 	if text == "24:00" {
 		return minutesPerDay, true
@@ -130,7 +130,7 @@
 	for i, text := range days {
 		t, err := time.Parse(time.DateOnly, text)
 		if err != nil || t.Year() < 1970 || t.Year() > 2199 {
-			problems.add(fmt.Sprintf("excluded[%d]", i), "%.80q must be a day as 2026-12-25", text)
+			problems.add(fmt.Sprintf("excluded[%d]", i), "%.80q must be a date such as 2026-12-25", text)
 			continue
 		}
 		date, _ := wallClock(t)
@@ -140,7 +140,7 @@
 	c.excluded = slices.Compact(c.excluded)
 }
 
-// excludeDaysAfter excludes the day after each excluded one too.
+// excludeDaysAfter also excludes the day after each excluded day.
 func (c *Contract) excludeDaysAfter() {
 	for _, date := range slices.Clone(c.excluded) {
 		c.excluded = append(c.excluded, date+1)
--- a/internal/control/maintenance/contract/runs.go
+++ b/internal/control/maintenance/contract/runs.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// RunAt is the unbroken run of allowed time that a moment (Unix time) lies in, joined over spans that touch:
-// from its first moment up to the first one that is not allowed. It is followed for 40 days to either side.
-// False: the moment is not allowed.
+// RunAt returns the unbroken run of allowed time that contains a moment (Unix time), joined over adjacent
+// spans: from its first moment up to the first one that is not allowed. It is followed for at most 40 days in
+// each direction. The result ok is false if the moment is not allowed.
 func (c *Contract) RunAt(at time.Duration) (from, to time.Duration, ok bool) {
 	if !c.Allows(at) {
 		return 0, 0, false
@@ -12,8 +12,8 @@
 	return c.runStart(at), c.runEnd(at), true
 }
 
-// NextRun is the first run that ends after a moment (Unix time): the one that it lies in, or the first to
-// begin after it. False: there is none within 400 days.
+// NextRun returns the first run that ends after a moment (Unix time): the run that contains the moment, or
+// the first that begins after it. The result ok is false if there is none within 400 days.
 func (c *Contract) NextRun(at time.Duration) (from, to time.Duration, ok bool) {
 	if at = max(at, c.earliest); at > c.latest {
 		return 0, 0, false
@@ -26,7 +26,7 @@
 	return 0, 0, false
 }
 
-// runEnd is the end of the run that an allowed moment lies in.
+// runEnd returns the end of the run that contains an allowed moment, or maxRun later if it is longer.
 func (c *Contract) runEnd(at time.Duration) time.Duration {
 	for t := at; t < at+maxRun; {
 		if t = min(c.edgeAfter(t), c.latest+1); !c.Allows(t) {
@@ -36,7 +36,8 @@
 	return at + maxRun
 }
 
-// runStart is the first moment of the run that an allowed moment lies in.
+// runStart returns the first moment of the run that contains an allowed moment, or maxRun earlier if it is
+// longer.
 func (c *Contract) runStart(at time.Duration) time.Duration {
 	for t := at; t > at-maxRun && t > c.earliest; t-- {
 		if t = max(c.edgeUpTo(t), c.earliest); !c.Allows(t - 1) {
@@ -46,54 +47,54 @@
 	return max(at-maxRun, c.earliest)
 }
 
-// edgeAfter is the first moment after another at which something may begin or end: an edge of the hours, a
+// edgeAfter returns the first moment after another at which a run may begin or end: an edge of the hours, a
 // midnight, or a change of the zone's offset.
 func (c *Contract) edgeAfter(at time.Duration) time.Duration {
 	t := c.InZone(at)
-	shown, second := wallSeconds(t), int64(minutesPerDay*60)
-	for _, m := range c.edges[weekday(int(shown/second))] {
-		if int64(m*60) > shown%second {
+	wall, second := wallSeconds(t), int64(minutesPerDay*60)
+	for _, m := range c.edges[weekday(int(wall/second))] {
+		if int64(m*60) > wall%second {
 			second = int64(m * 60)
 			break
 		}
 	}
-	next := t.Unix() + second - shown%(minutesPerDay*60)
+	next := t.Unix() + second - wall%(minutesPerDay*60)
 	if _, changes := t.ZoneBounds(); !changes.IsZero() {
 		next = min(next, changes.Unix())
 	}
 	return time.Duration(next) * time.Second
 }
 
-// edgeUpTo is the last such moment that is not after another.
+// edgeUpTo returns the last such moment that is not after another.
 func (c *Contract) edgeUpTo(at time.Duration) time.Duration {
 	t := c.InZone(at)
-	shown, second := wallSeconds(t), int64(0)
-	for _, m := range c.edges[weekday(int(shown/(minutesPerDay*60)))] {
-		if int64(m*60) <= shown%(minutesPerDay*60) {
+	wall, second := wallSeconds(t), int64(0)
+	for _, m := range c.edges[weekday(int(wall/(minutesPerDay*60)))] {
+		if int64(m*60) <= wall%(minutesPerDay*60) {
 			second = int64(m * 60)
 		}
 	}
-	last := t.Unix() + second - shown%(minutesPerDay*60)
+	last := t.Unix() + second - wall%(minutesPerDay*60)
 	if changed, _ := t.ZoneBounds(); !changed.IsZero() {
 		last = max(last, changed.Unix())
 	}
 	return time.Duration(last) * time.Second
 }
 
-// Month is the calendar month of the zone that a moment (Unix time, 1970 to 2198) lies in, up to the first
-// moment of the next one.
+// Month returns the calendar month, in the contract's zone, that contains a moment (Unix time, 1970 to 2198):
+// its first moment and that of the next month.
 func (c *Contract) Month(at time.Duration) (from, to time.Duration) {
 	year, month, _ := c.InZone(min(max(at, c.earliest), c.latest)).Date()
 	return c.monthStart(year, month), c.monthStart(year, month+1)
 }
 
-// monthStart is the first moment of a month, or the first after its midnight where clocks skip that.
+// monthStart returns the first moment of a month, which is after midnight if clocks skip midnight.
 func (c *Contract) monthStart(year int, month time.Month) time.Duration {
-	shown := time.Date(year, month, 1, 0, 0, 0, 0, time.UTC).Unix()
-	t := time.Unix(shown, 0).Add(-15 * time.Hour).In(c.zone) // no zone is further ahead
+	wall := time.Date(year, month, 1, 0, 0, 0, 0, time.UTC).Unix()
+	t := time.Unix(wall, 0).Add(-15 * time.Hour).In(c.zone) // no zone is further ahead of UTC
 	for {
 		_, offset := t.Zone()
-		midnight := time.Unix(shown-int64(offset), 0)
+		midnight := time.Unix(wall-int64(offset), 0)
 		_, changes := t.ZoneBounds()
 		if changes.IsZero() || midnight.Before(changes) {
 			return time.Duration(max(midnight.Unix(), t.Unix())) * time.Second
--- a/internal/control/maintenance/contract/zonedata.go
+++ b/internal/control/maintenance/contract/zonedata.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// maxOffsets is the most different offsets of one zone's rules.
+// maxOffsets is the maximum number of distinct offsets in a zone's rules.
 const maxOffsets = 16
 
-// newLocation is a time zone with these offsets, and the first of them before the first change. A
-// time.Location can only be made from zone data: they are in the form of version 2 of RFC 9636, whose first
-// part, of 32 bits, is empty.
+// newLocation returns a time zone with the given offset changes; before the first change it has the first
+// offset. A time.Location can only be created from zone data, so the function encodes the changes as version
+// 2 data of RFC 9636 (TZif) with an empty 32-bit part.
 func newLocation(all []offsetChange) (*time.Location, error) {
 	var offsets []int
 	for _, c := range all {
@@ -30,8 +30,8 @@
 	}
 	for _, offset := range offsets {
 		types = append(binary.BigEndian.AppendUint32(types, uint32(offset)), 0, byte(len(names)))
-		shown := time.Unix(0, 0).In(time.FixedZone("", offset)).Format("-0700")
-		names = append(append(names, shown...), 0)
+		name := time.Unix(0, 0).In(time.FixedZone("", offset)).Format("-0700")
+		names = append(append(names, name...), 0)
 	}
 	data := append(zoneDataHeader(0, 0, 0), zoneDataHeader(len(all), len(offsets), len(names))...)
 	for _, part := range [][]byte{times, kinds, types, names, []byte("\n\n")} {
@@ -40,7 +40,7 @@
 	return time.LoadLocationFromTZData("agreed", data)
 }
 
-// zoneDataHeader is the header of one part of zone data.
+// zoneDataHeader returns the header of one part of zone data with the given counts; names is in bytes.
 func zoneDataHeader(times, types, names int) []byte {
 	h := append([]byte("TZif2"), make([]byte, 15)...)
 	for _, n := range []int{0, 0, 0, times, types, names} {
--- a/internal/control/maintenance/contract/zonerules.go
+++ b/internal/control/maintenance/contract/zonerules.go
@@ -8,21 +8,21 @@
 )
 
 const (
-	// maxRules is the most entries of a zone's rules.
+	// maxRules is the maximum number of entries in a zone's rules.
 	maxRules = 256
-	// maxOffset is the greatest offset from UTC; no zone is further from it.
+	// maxOffset is the maximum offset from UTC, in both directions; no zone exceeds it.
 	maxOffset = 14 * time.Hour
-	// rulesEnd stands for the offset in the last entry, after which nothing is agreed.
-	rulesEnd = "end"
+	// endMarker replaces the offset in the last entry, after whose time no offset is agreed.
+	endMarker = "end"
 )
 
-// ErrZoneDataDiffers is wrapped by the error of rules that differ from this machine's zone data.
-var ErrZoneDataDiffers = errors.New("this machine's zone data say otherwise")
+// ErrZoneDataDiffers is wrapped by the error for rules that differ from this machine's zone data.
+var ErrZoneDataDiffers = errors.New("this machine's zone data differ")
 
-// ZoneRules are the UTC offsets of a zone from one moment to another, by this machine's zone data, or the
-// program's own copy where it has none. Each entry is a moment from which on an offset applies, as
-// "2027-03-28T01:00:00Z +03:00"; the last is "2031-12-02T00:00:00Z end". It is for who writes rules into a
-// document; agents use the rules of the document.
+// ZoneRules returns the UTC offsets of a zone from one moment until another, using this machine's zone data,
+// or the copy in the program if the machine has none. Each entry is a moment and the offset that applies from
+// then on, such as "2027-03-28T01:00:00Z +03:00"; the last has no offset, such as "2031-12-02T00:00:00Z end".
+// It is used to write rules into a policy document; agents use the rules in the document.
 func ZoneRules(zone string, from, until time.Time) (rules []string, err error) {
 	location, err := loadZone(zone)
 	if err != nil {
@@ -37,11 +37,12 @@
 		}
 		at = changes
 	}
-	return append(rules, until.UTC().Truncate(time.Second).Format(time.RFC3339)+" "+rulesEnd), nil
+	return append(rules, until.UTC().Truncate(time.Second).Format(time.RFC3339)+" "+endMarker), nil
 }
 
-// CompareZoneData returns an error that wraps ErrZoneDataDiffers where this machine's zone data differ from
-// rules, with the first moment at which they do; nil: they agree. It reads zone data.
+// CompareZoneData compares a zone's rules with this machine's zone data, which it reads. If they differ, the
+// error wraps ErrZoneDataDiffers and names the first moment that differs. It also returns an error for an
+// unknown zone or malformed rules.
 func CompareZoneData(zone string, rules []string) error {
 	own, err := loadZone(zone)
 	if err != nil {
@@ -54,8 +55,8 @@
 	return agreed.compare(own)
 }
 
-// ContractWithRules is Contract with agreed rules of the zone, whatever this machine's zone data are. Nothing
-// is allowed beyond the rules, as no offset is agreed there. The error is Problems.
+// ContractWithRules is like Contract, but uses agreed rules of the zone instead of this machine's zone data.
+// Nothing is allowed at moments that the rules do not cover. The error is Problems.
 func (t Table) ContractWithRules(rules []string) (*Contract, error) {
 	zone := t.Zone
 	if t.Zone = "UTC"; !isPlausibleZone(zone) {
@@ -75,22 +76,22 @@
 	return c, nil
 }
 
-// IsFixedZone tells whether a zone needs no rules, as it is the same at every machine.
+// IsFixedZone reports whether a zone needs no rules because it is the same on every machine.
 func IsFixedZone(zone string) bool { return zone == "UTC" }
 
-// zoneRules are parsed rules of a zone.
+// zoneRules has the parsed rules of a zone.
 type zoneRules struct {
 	zone        *time.Location
 	from, until time.Time
 }
 
-// offsetChange is a moment from which on an offset applies.
+// offsetChange is a moment and the offset that applies from then on.
 type offsetChange struct {
 	at     time.Time
 	offset int // seconds east of UTC
 }
 
-// parseRules parses entries, which have to be in ascending order with the end last.
+// parseRules parses entries, which must be in ascending order and end with an endMarker entry.
 func parseRules(rules []string) (zoneRules, error) {
 	if len(rules) < 2 || len(rules) > maxRules {
 		return zoneRules{}, fmt.Errorf("rules must have 2 to %d entries", maxRules)
@@ -99,7 +100,7 @@
 	for i, text := range rules {
 		change, isEnd, ok := parseRule(text)
 		if !ok || isEnd != (i == len(rules)-1) {
-			return zoneRules{}, fmt.Errorf("%.80q must be as 2027-03-28T01:00:00Z +03:00, the last as "+
+			return zoneRules{}, fmt.Errorf("%.80q must be as in 2027-03-28T01:00:00Z +03:00, the last as in "+
 				"2031-12-02T00:00:00Z end", text)
 		}
 		if i > 0 && !change.at.After(all[i-1].at) {
@@ -111,25 +112,25 @@
 	return zoneRules{zone: zone, from: all[0].at, until: all[len(all)-1].at}, err
 }
 
-// parseRule parses one entry; false: it is malformed.
+// parseRule parses one entry; ok is false if it is malformed.
 func parseRule(text string) (change offsetChange, isEnd, ok bool) {
 	moment, offset, _ := strings.Cut(text, " ")
 	at, err := time.Parse(time.RFC3339, moment)
 	if err != nil || at.Year() < 1970 || at.Year() > 2200 || at.Nanosecond() > 0 {
 		return offsetChange{}, false, false
 	}
-	if offset == rulesEnd {
+	if offset == endMarker {
 		return offsetChange{at: at}, true, true
 	}
-	shown, err := time.Parse("-07:00", offset)
-	_, seconds := shown.Zone()
+	parsed, err := time.Parse("-07:00", offset)
+	_, seconds := parsed.Zone()
 	if err != nil || time.Duration(max(seconds, -seconds))*time.Second > maxOffset {
 		return offsetChange{}, false, false
 	}
 	return offsetChange{at, seconds}, false, true
 }
 
-// compare returns ErrZoneDataDiffers, wrapped, where a location has other offsets than the rules.
+// compare returns an error that wraps ErrZoneDataDiffers if a location has other offsets than the rules.
 func (z zoneRules) compare(own *time.Location) error {
 	for at := z.from; at.Before(z.until); {
 		agreed, here := at.In(z.zone), at.In(own)
@@ -142,7 +143,7 @@
 	return nil
 }
 
-// nextOffsetChange is when the offset of either of two times changes next, and until at the latest.
+// nextOffsetChange returns when the offset of either of two local times changes next, at most until.
 func nextOffsetChange(a, b, until time.Time) time.Time {
 	for _, t := range []time.Time{a, b} {
 		if _, changes := t.ZoneBounds(); !changes.IsZero() && changes.Before(until) {
