--- a/internal/control/maintenance/drained.go
+++ b/internal/control/maintenance/drained.go
@@ -6,9 +6,10 @@
 	"dunestep/internal/balancer"
 )
 
-// FullyDrained are the servers, by id, that all keys of all tenants and of NoTenant keep off, by one window
-// or several together; nil: none. Tenants are those of the settings. Servers that are kept off for their turn
-// are not among them: only an agent at policy.ModeBottom keeps off these.
+// FullyDrained returns the ids of the servers that all keys of all tenants and of NoTenant are kept off, by
+// one window or by several together; nil if there are none. The tenants are those of the settings. It does
+// not include servers that are excluded because it is their turn: only an agent at policy.ModeBottom excludes
+// those.
 func FullyDrained(exclusions *balancer.Exclusions, tenants []string) (all map[string]bool) {
 	if exclusions == nil {
 		return nil
--- a/internal/control/maintenance/encoding.go
+++ b/internal/control/maintenance/encoding.go
@@ -6,8 +6,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// encoding and decoding are the CBOR modes of records, snapshots and reports: bounded, without tags and
-// without indefinite lengths. They are set once and never changed.
+// encoding and decoding are the CBOR modes for records, snapshots and reports: bounded sizes, no tags, no
+// indefinite lengths. They are never changed after initialization.
 var encoding, decoding = cborModes()
 
 func cborModes() (cbor.EncMode, cbor.DecMode) {
@@ -28,12 +28,12 @@
 func marshal(v any) []byte {
 	data, err := encoding.Marshal(v)
 	if err != nil {
-		panic(err) // the type cannot be encoded, whatever its values
+		panic(err) // programming error: the type itself cannot be encoded
 	}
 	return data
 }
 
-// truncate cuts a text to a number of bytes, never within a UTF-8 sequence.
+// truncate returns text cut to at most maxBytes bytes, never within a UTF-8 sequence.
 func truncate(text string, maxBytes int) string {
 	if len(text) <= maxBytes {
 		return text
--- a/internal/control/maintenance/example_test.go
+++ b/internal/control/maintenance/example_test.go
@@ -10,7 +10,7 @@
 	"dunestep/internal/fleet/lease"
 )
 
-// Each agent follows an accepted window by its own clock.
+// An agent follows an accepted window by its own clock.
 func Example() {
 	const monday = 1798459200 * time.Second // noon, UTC
 	at := func(after time.Duration) lease.ClockReading {
--- a/internal/control/maintenance/exclusions.go
+++ b/internal/control/maintenance/exclusions.go
@@ -11,50 +11,51 @@
 	"dunestep/internal/fleet/lease"
 )
 
-// Agent works out what one process's requests keep off.
+// Agent computes which servers the requests of one process are kept off.
 //
-// With a lease it follows the agreed state, of which it knows all but the latest moment. Without one it
-// follows the plan alone, whatever it knows of a pause, as that may have ended: it keeps off a server
-// whenever any agent does. Only what cannot be undone counts then: that a window returns early. At
-// policy.ModeBottom it may not know of a window at all, and also keeps off the servers whose turn it is.
+// With a lease it follows the agreed state, which it knows except for the latest records. Without a lease it
+// follows only the plan and ignores any pause that it knows of, as the window may have been resumed since: it
+// excludes a server whenever any agent does. Of the later changes it follows only an early return, as that
+// cannot be undone. At policy.ModeBottom it may not know of a window at all, and also excludes the servers
+// whose turn it is.
 type Agent struct {
 	turns    Turns
 	windows  []*storedWindow
-	revision uint64 // grows with each Learn
+	revision uint64 // incremented by each Learn
 
 	last       *balancer.Exclusions
-	turn       int            // that last keeps off; below zero: none
-	basis      exclusionBasis // of last
-	validUntil time.Duration  // last; Unix time
+	turn       int            // excluded by last; noTurn: none
+	basis      exclusionBasis // inputs that last was computed from
+	validUntil time.Duration  // expiry of last; Unix time
 }
 
-// exclusionBasis is what an answer was made from.
+// exclusionBasis has the inputs that exclusions were computed from.
 type exclusionBasis struct {
 	valid    bool
 	revision uint64
-	from     time.Duration // Unix time
+	from     time.Duration // time of the computation; Unix time
 	hasLease bool
 	mode     policy.Mode
 	version  uint64
 	effect   *policy.Effect
 }
 
-// noTurn is the turn of an agent that keeps off no servers for their turn.
+// noTurn means that no servers are excluded because of their turn.
 const noTurn = -1
 
-// NewAgent returns an Agent that knows of no windows yet. Turns are the same at all agents; zero: none.
+// NewAgent returns an Agent without windows. Turns must be the same at all agents; zero disables turns.
 func NewAgent(turns int) *Agent { return &Agent{turns: Turns(turns), turn: noTurn} }
 
-// Learn takes the present state: after records were applied, and after a snapshot, before a lease holds that
-// covers them.
+// Learn updates the agent to the present state. It must be called after records were applied or a snapshot
+// was restored, before a lease that covers them becomes valid.
 func (a *Agent) Learn(m *StateMachine) {
 	a.windows = m.state.Windows
 	a.revision++
 }
 
-// Exclusions is what to keep off now; nil: nothing is moved. It is the same pointer while nothing changes.
-// The reading, the lease's standing and what is acted on have to be taken for this decision, so that a
-// process that was paused notices that its lease has expired.
+// Exclusions returns which servers to keep off now; nil if nothing is moved. It returns the same pointer
+// while nothing changes. The clock reading, the lease's standing and the active policy must be taken anew for
+// this decision, so that a process that was suspended notices that its lease has expired.
 func (a *Agent) Exclusions(now lease.ClockReading, standing lease.Standing,
 	active policy.Active,
 ) *balancer.Exclusions {
@@ -75,13 +76,13 @@
 	return a.last
 }
 
-// exclusionBuilder is a balancer.Exclusions that is being made, and until when it is valid.
+// exclusionBuilder accumulates a balancer.Exclusions and the time until which it is valid.
 type exclusionBuilder struct {
 	tenants    map[string]map[string]uint32
 	validUntil time.Duration
 }
 
-// compute makes the exclusions at a time; nil: there are none.
+// compute returns the exclusions at a time, nil if there are none, and the excluded turn. It sets validUntil.
 func (a *Agent) compute(at time.Duration, basis exclusionBasis) (exclusions *balancer.Exclusions, turn int) {
 	b := exclusionBuilder{validUntil: at + time.Hour}
 	for _, w := range a.windows {
@@ -107,7 +108,7 @@
 	return func(server, zone string) bool { return turns.Of(server, zone) == turn }
 }
 
-// addWindow adds what a window moves at a time.
+// addWindow adds the servers and tenants that a window moves at a time.
 func (b *exclusionBuilder) addWindow(w *storedWindow, at time.Duration, basis exclusionBasis) {
 	b.validUntil = min(b.validUntil, w.nextChange(at))
 	steps := w.movedStepsWithoutLease(at)
@@ -124,9 +125,9 @@
 	}
 }
 
-// isAllowed tells whether the contract that applies here allows a tenant to be moved. No contract is known at
-// policy.ModeBottom, nor within the floor of a version whose document cannot be read here: a window that was
-// accepted, under a contract, is followed to its end then.
+// isAllowed reports whether the contract in force at this agent allows a tenant to be moved. It returns true
+// if the contract is unknown, which it is at policy.ModeBottom and within the floor of a version whose
+// document this build cannot read: the window was accepted under a contract, so it is followed to its end.
 func (b *exclusionBuilder) isAllowed(tenant string, at time.Duration, basis exclusionBasis) bool {
 	unknown := basis.effect == nil || basis.mode == policy.ModeFloor && basis.effect.Contracts == nil
 	if basis.mode == policy.ModeBottom || unknown {
@@ -140,7 +141,7 @@
 	return c.Allows(at)
 }
 
-// nextHoursEdge is when a contract's hours begin or end next.
+// nextHoursEdge returns when a contract's hours begin or end next, or at plus an hour if none is found.
 func nextHoursEdge(c *contract.Contract, at time.Duration) time.Duration {
 	if _, to, ok := c.RunAt(at); ok {
 		return to
@@ -151,8 +152,8 @@
 	return at + time.Hour
 }
 
-// exclude excludes a window's servers for a tenant's keys, as far as steps are moved: those whose hash is
-// below a bound.
+// exclude excludes a window's servers for the tenant's keys whose hash is below a bound, which is
+// proportional to the moved steps.
 func (b *exclusionBuilder) exclude(tenant string, w *storedWindow, steps int) {
 	below := uint32(math.MaxUint32)
 	if steps < w.Steps {
@@ -169,7 +170,7 @@
 	}
 }
 
-// haveSameTenants tells whether two exclude the same, apart from turns.
+// haveSameTenants reports whether two Exclusions are equal apart from turns.
 func haveSameTenants(x, y *balancer.Exclusions) bool {
 	if x == nil || y == nil {
 		return x == y
--- a/internal/control/maintenance/fault.go
+++ b/internal/control/maintenance/fault.go
@@ -8,33 +8,35 @@
 	"dunestep/internal/fleet/lease"
 )
 
-// FaultKind is why a window is paused, or returns before its time.
+// FaultKind is the reason for which a window is paused, or returned early.
 type FaultKind uint8
 
 const (
-	// NoFault means that the window may go on.
+	// NoFault means that the window may proceed.
 	NoFault FaultKind = iota
 	// FleetOverloaded means that too many agents shed load.
 	FleetOverloaded
-	// TenantUnderserved means that fewer of a tenant's requests are served than its contract demands.
+	// TenantUnderserved means that a smaller fraction of a tenant's requests is served than its contract
+	// requires.
 	TenantUnderserved
-	// CapacityTooLow means that less capacity is left for a tenant than its contract keeps.
+	// CapacityTooLow means that less capacity remains for a tenant than its contract requires.
 	CapacityTooLow
-	// ExclusionsOverridden means that requests were sent to the window's servers, as no other server was left.
+	// ExclusionsOverridden means that requests were sent to the window's servers because no other server was
+	// available.
 	ExclusionsOverridden
-	// ContractMissing means that a tenant has no contract any more.
+	// ContractMissing means that a tenant no longer has a contract.
 	ContractMissing
-	// ContractForbids means that a tenant's contract does not allow the rest of the window any more.
+	// ContractForbids means that a tenant's contract no longer allows the rest of the window.
 	ContractForbids
 )
 
-// Fault is what is wrong with a window.
+// Fault is a reason to pause or return a window; its zero value means that there is none.
 type Fault struct {
 	Kind   FaultKind
-	Tenant string // empty: not about a tenant
+	Tenant string // affected tenant; empty: the fault is not specific to a tenant
 }
 
-// String is the reason that records and operators get.
+// String returns the reason that is stored in records and shown to operators.
 func (f Fault) String() string {
 	switch f.Kind {
 	case FleetOverloaded:
@@ -53,11 +55,11 @@
 	return ""
 }
 
-// capacityTolerance is by which fraction sums of capacities may be off, for rounding.
+// capacityTolerance is the relative rounding error allowed in sums of capacities.
 const capacityTolerance = 1e-9
 
-// contractFault tells whether a contract does not allow the rest of a window any more. A leader that does not
-// know the contracts in force says nothing.
+// contractFault returns a fault if a tenant's contract is missing or no longer allows the rest of a window.
+// It returns no fault at a leader that does not know the contracts in force.
 func contractFault(at time.Duration, v LeaderView, w *storedWindow) Fault {
 	switch {
 	case v.Standing != lease.Full || v.Active.Mode == policy.ModeBottom || v.Active.Version < w.PolicyVersion:
@@ -78,7 +80,7 @@
 	return Fault{}
 }
 
-// observe notes whether a window that is in progress has a fault, and since when.
+// observe records whether a window in progress has a fault, and since when.
 func (p *Proposer) observe(now lease.ClockReading, v LeaderView, w *storedWindow, progress *windowProgress) {
 	before := progress.fault.Kind
 	progress.fault = p.findFault(now, v, w)
@@ -90,7 +92,7 @@
 	}
 }
 
-// findFault is the fault of a window that is in progress, by what agents have reported and this process sees.
+// findFault returns the fault of a window in progress, based on the agents' reports and the leader's view.
 func (p *Proposer) findFault(now lease.ClockReading, v LeaderView, w *storedWindow) Fault {
 	if p.areExclusionsOverridden(w) {
 		return Fault{Kind: ExclusionsOverridden}
@@ -114,15 +116,15 @@
 	return Fault{}
 }
 
-// areExclusionsOverridden tells whether requests of the window's tenants were lately sent to servers that
-// they should have kept off.
+// areExclusionsOverridden reports whether any agent reported, within SumPeriod, requests of the window's
+// tenants that were sent to servers that they should have kept off.
 func (p *Proposer) areExclusionsOverridden(w *storedWindow) bool {
 	return slices.ContainsFunc(w.Tenants, func(tenant string) bool {
 		return p.reports.sum(tenant).ExclusionOverrides > 0
 	})
 }
 
-// sumCapacity is the capacity of servers, absent ones too.
+// sumCapacity returns the total capacity of servers, including absent ones.
 func sumCapacity(servers []Server) (sum float64) {
 	for _, s := range servers {
 		sum += s.Capacity
@@ -130,18 +132,19 @@
 	return sum
 }
 
-// remainingCapacity is the capacity that a tenant has left, without servers that windows hold.
+// remainingCapacity returns the capacity that a tenant has left: that of the servers that are not absent and
+// that no window moves the tenant off.
 func (p *Proposer) remainingCapacity(at time.Duration, v LeaderView, tenant string) (sum float64) {
-	held := map[string]bool{}
+	excluded := map[string]bool{}
 	for _, w := range p.windows {
 		if !w.isOver() && w.plannedSteps(at) > 0 && slices.Contains(w.Tenants, tenant) {
 			for _, id := range w.Nodes {
-				held[id] = true
+				excluded[id] = true
 			}
 		}
 	}
 	for _, s := range v.Servers {
-		if !held[s.ID] && !s.Absent {
+		if !excluded[s.ID] && !s.Absent {
 			sum += s.Capacity
 		}
 	}
--- a/internal/control/maintenance/golden_test.go
+++ b/internal/control/maintenance/golden_test.go
@@ -15,17 +15,18 @@
 	"dunestep/internal/control/policy"
 )
 
-// update has the golden files written anew. They were made by the build before the packages were renamed: a
-// change of them is a change of what other builds read.
-var update = flag.Bool("update", false, "write testdata/golden anew")
+// update rewrites the golden files. They were made by a build that predates the present package names: a
+// change of them changes the format that other builds read.
+var update = flag.Bool("update", false, "rewrite testdata/golden")
 
-// goldenForm is one encoded form by its name in a golden file.
+// goldenForm is an encoded value with its name in a golden file.
 type goldenForm struct {
 	name string
 	data []byte
 }
 
-// requireGolden compares encoded forms with a golden file of lines "name hex", and returns those of the file.
+// requireGolden requires that encoded forms equal those in a golden file of lines "name hex", and returns the
+// decoded bytes of the file by name.
 func requireGolden(t *testing.T, file string, forms []goldenForm) map[string][]byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", file)
@@ -60,15 +61,15 @@
 	}
 }
 
-// goldenWindowFull has no field that is zero.
+// goldenWindowFull returns a window in which no field is zero.
 func goldenWindowFull() *storedWindow {
-	f := goldenWindow()
-	f.ID, f.State, f.StateSince, f.HeldSteps, f.Reason = "racks", Paused, goldenNow+time.Hour+time.Minute, 60, "a reason"
-	f.ChangeCount, f.ConfirmedAt = 2, goldenNow+time.Second
-	return f
+	w := goldenWindow()
+	w.ID, w.State, w.StateSince, w.HeldSteps, w.Reason = "racks", Paused, goldenNow+time.Hour+time.Minute, 60, "a reason"
+	w.ChangeCount, w.ConfirmedAt = 2, goldenNow+time.Second
+	return w
 }
 
-// TestGoldenRecords: the records of the agreed log have the bytes that every build reads.
+// TestGoldenRecords checks that the encoding of the agreed log's records is unchanged.
 func TestGoldenRecords(t *testing.T) {
 	records := []struct {
 		name string
@@ -109,7 +110,7 @@
 	require.Equal(t, stored["stopped"], EncodeStop("racks", 4, goldenNow+time.Minute, "by staff"))
 }
 
-// TestGoldenSnapshots: the agreed state in all its parts.
+// TestGoldenSnapshots checks that the encoding of the agreed state, with all its parts, is unchanged.
 func TestGoldenSnapshots(t *testing.T) {
 	full := state{
 		Revision: 5, Now: goldenNow + time.Minute, Windows: []*storedWindow{goldenWindow(), goldenWindowFull()},
@@ -153,34 +154,35 @@
 	}
 }
 
-// TestGoldenReports: what agents report to voters while a window moves traffic.
+// TestGoldenReports checks that the encoding of agents' reports to voters is unchanged.
 func TestGoldenReports(t *testing.T) {
-	words := []Report{
+	reports := []Report{
 		{Incarnation: 1800000000000, Number: 3, Overloaded: true, Counts: []TenantCounts{
 			{Tenant: "east", Requests: 1000, Served: 900, Failed: 90, ExclusionOverrides: 10}, {Tenant: "-", Requests: 1},
 		}},
 		{Incarnation: 1, Number: 1},
 	}
 	var forms []goldenForm
-	for i, w := range words {
-		forms = append(forms, goldenForm{string(rune('a' + i)), EncodeReport(w)})
+	for i, r := range reports {
+		forms = append(forms, goldenForm{string(rune('a' + i)), EncodeReport(r)})
 	}
 	stored := requireGolden(t, "words.txt", forms)
-	for i, w := range words {
+	for i, r := range reports {
 		var read Report
 		require.NoError(t, decoding.Unmarshal(stored[forms[i].name], &read))
-		require.Equal(t, w.Incarnation, read.Incarnation)
-		require.Equal(t, w.Number, read.Number)
-		require.Equal(t, w.Overloaded, read.Overloaded)
-		require.Len(t, read.Counts, len(w.Counts))
-		for j, c := range w.Counts {
+		require.Equal(t, r.Incarnation, read.Incarnation)
+		require.Equal(t, r.Number, read.Number)
+		require.Equal(t, r.Overloaded, read.Overloaded)
+		require.Len(t, read.Counts, len(r.Counts))
+		for j, c := range r.Counts {
 			require.Equal(t, c, read.Counts[j])
 		}
 	}
 }
 
-// TestGoldenNumbersAndWords: numbers that are in what agents share, and words that operators' tools read.
-func TestGoldenNumbersAndWords(t *testing.T) {
+// TestGoldenEnumValues checks that numeric values in the agreed state and names that operators' tools match
+// are unchanged.
+func TestGoldenEnumValues(t *testing.T) {
 	states := []State{Planned, Draining, Drained, Free, Paused, Returning, Ended, Stopped}
 	for i, word := range []string{
 		"planned", "draining", "drained", "free", "paused", "returning", "ended", "stopped",
@@ -192,9 +194,9 @@
 	require.Equal(t, []string{"*", "-"}, []string{AllTenants, NoTenant})
 }
 
-// TestGoldenPlan: the window that a request is for, in all its parts.
+// TestGoldenPlan checks that the window planned for a request is unchanged in all its fields.
 func TestGoldenPlan(t *testing.T) {
-	c := always(t)
+	c := anytimeContract(t)
 	w, err := Plan(WindowRequest{
 		ID: "disk of n1", Agent: 3, Nodes: []string{"n1"}, Zone: "z2", Tenants: []string{AllTenants},
 		From: goldenNow + time.Hour, To: goldenNow + 3*time.Hour, MoveRate: 0.02,
--- a/internal/control/maintenance/modelcheck.go
+++ b/internal/control/maintenance/modelcheck.go
@@ -8,55 +8,58 @@
 	"dunestep/internal/fleet/lease"
 )
 
-// The model checker (package search) copies the parts of a world before each step, and tells worlds apart by
-// their fingerprints.
+// The methods below serve the model checker (package search), which copies the components of a simulated
+// world before each step and distinguishes worlds by fingerprints.
 
 // Fork returns an independent copy.
 func (p *Proposer) Fork() *Proposer {
 	fork := *p
 	fork.progress, fork.lastProposed = maps.Clone(p.progress), maps.Clone(p.lastProposed)
-	fork.reports.agents, fork.reports.leases = maps.Clone(p.reports.agents), maps.Clone(p.reports.leases)
+	fork.reports.agents, fork.reports.lastLeaseAt = maps.Clone(p.reports.agents),
+		maps.Clone(p.reports.lastLeaseAt)
 	return &fork
 }
 
-// ResetRetries has the proposer propose at once again what it proposed, and forget all reports: no time
-// passes between a search's steps.
+// ResetRetries clears the retry times, so that the proposer proposes its records again at once, and drops all
+// reports. The model checker calls it because no time passes between the steps of a search.
 func (p *Proposer) ResetRetries() {
 	p.lastProposed, p.reports = map[string]lastRecord{}, newReportLog(p.reports.leaseLength)
 }
 
-// SetReports has the proposer have received one agent's reports for long, the latest with these counts.
+// SetReports replaces all reports by those of one agent, which has reported for long enough to be complete;
+// its latest report has these counts.
 func (p *Proposer) SetReports(now lease.ClockReading, counts []TenantCounts) {
 	ago := max(MinReportLeases*p.reports.leaseLength, SumPeriod)
-	p.reports.started, p.reports.last = true, now
-	p.reports.since = lease.ClockReading{Unix: now.Unix - ago, Mono: now.Mono - ago}
+	p.reports.hasReports, p.reports.lastReceivedAt = true, now
+	p.reports.unbrokenSince = lease.ClockReading{Unix: now.Unix - ago, Mono: now.Mono - ago}
 	p.reports.agents = map[int][]receivedReport{0: {{Report{Counts: counts}, now}}}
 }
 
-// FingerprintDetail is how much a fingerprint distinguishes.
+// FingerprintDetail selects which differences a fingerprint distinguishes.
 type FingerprintDetail uint8
 
 const (
-	// Everything distinguishes all that there is.
+	// Everything distinguishes all differences.
 	Everything FingerprintDetail = iota
-	// Alive leaves out what has no effect any more at a proposer that knows the whole log: when a window that is
-	// not planned was applied, how long there has been no fault where it cannot be paused any more, and
-	// everything once it returns.
+	// Alive omits what no longer has an effect at a proposer that knows the whole log: the time at which a
+	// state other than Planned was applied, the time without a fault of a window that can no longer be
+	// paused, and everything about a window that returns.
 	Alive
-	// Lagging is for a proposer that does not know the whole log: what it proposes has no effect, and it applies
-	// what it lacks later.
+	// Lagging applies to a proposer that does not know the whole log: its proposals have no effect, and it
+	// applies the missing records later.
 	Lagging
-	// Quiet is Alive where no fault is to come: a past one is over at the next check, and how long there has
-	// been none matters to a paused window alone.
+	// Quiet is Alive for worlds in which no more faults occur: a past fault is over at the next check, and
+	// the time without a fault matters only for a paused window.
 	Quiet
-	// QuietLagging is both Quiet and Lagging, where the window may be paused.
+	// QuietLagging combines Quiet and Lagging; the window may be paused.
 	QuietLagging
-	// FingerprintDetails is the number of these.
+	// FingerprintDetails is the number of the values above.
 	FingerprintDetails
 )
 
-// Fingerprint appends what distinguishes the proposer from others that have learnt the same records and whose
-// retries were reset. MaxWait is the longest that it waits after records.
+// Fingerprint appends to b, and returns, what distinguishes the proposer from others that have applied the
+// same records and whose retries were reset. MaxWait is the longest time that it waits after a record is
+// applied.
 func (p *Proposer) Fingerprint(now lease.ClockReading, maxWait time.Duration, d FingerprintDetail,
 	b []byte,
 ) []byte {
@@ -66,7 +69,7 @@
 			continue
 		}
 		if d == Everything || (d == Alive || d == Quiet) && w.State == Planned {
-			b = age(b, progress.appliedAt, now, maxWait)
+			b = appendAge(b, progress.appliedAt, now, maxWait)
 		}
 		if d >= Quiet {
 			if d == QuietLagging || w.State == Paused {
@@ -75,7 +78,7 @@
 			continue
 		}
 		if b = append(b, byte(progress.fault.Kind)); progress.fault.Kind != NoFault {
-			b = age(b, progress.faultSince, now, maxFaultTime)
+			b = appendAge(b, progress.faultSince, now, maxFaultTime)
 		} else if d == Everything || w.State != Free {
 			b = progress.appendHealthy(b, now)
 		}
@@ -83,20 +86,20 @@
 	return b
 }
 
-// appendHealthy appends since when there has been no fault, or that the next check without one is the first.
+// appendHealthy appends how long there has been no fault, or 0xff if there is one or none was observed yet.
 func (l *windowProgress) appendHealthy(b []byte, now lease.ClockReading) []byte {
 	if l.fault.Kind != NoFault || l.healthySince == (lease.ClockReading{}) {
 		return append(b, 0xff)
 	}
-	return age(b, l.healthySince, now, recoveryTime)
+	return appendAge(b, l.healthySince, now, recoveryTime)
 }
 
-// age appends the age of a reading, bounded by the greatest age that makes a difference.
-func age(b []byte, r, now lease.ClockReading, maxAge time.Duration) []byte {
+// appendAge appends the age of a clock reading, bounded by maxAge, above which the age makes no difference.
+func appendAge(b []byte, r, now lease.ClockReading, maxAge time.Duration) []byte {
 	return binary.AppendVarint(b, int64(min(minElapsed(r, now), maxAge)))
 }
 
-// IsTrafficFreeRecord tells whether a record declares a window's servers free.
+// IsTrafficFreeRecord reports whether a record declares a window's servers free.
 func IsTrafficFreeRecord(data []byte) bool {
 	var r record
 	return decoding.Unmarshal(data, &r) == nil && r.Kind == kindTrafficFree
--- a/internal/control/maintenance/movement.go
+++ b/internal/control/maintenance/movement.go
@@ -6,11 +6,11 @@
 	return schedule{w.From, w.DrainedAt, w.ReturnFrom, w.To, w.Steps}
 }
 
-// plannedSteps is how many of the steps are moved at a time by the plan alone.
+// plannedSteps returns how many steps are moved at a time according to the plan alone.
 func (w *storedWindow) plannedSteps(at time.Duration) int { return w.schedule().stepsAt(at) }
 
-// movedSteps is how many steps are moved at a time by the plan and what was agreed since. It is never more
-// than plannedSteps.
+// movedSteps returns how many steps are moved at a time according to the plan and the records agreed since.
+// It is at most plannedSteps.
 func (w *storedWindow) movedSteps(at time.Duration) int {
 	planned := w.plannedSteps(at)
 	switch w.State {
@@ -27,9 +27,10 @@
 	return min(planned, w.HeldSteps+w.stepsUp(at)) // resumed
 }
 
-// movedStepsWithoutLease is movedSteps for an agent without a lease. It may not know that a paused window was
-// resumed, so it follows the plan; but nothing resumes a window that returns. It falls from the planned steps
-// then, as these are what such an agent has moved.
+// movedStepsWithoutLease returns the steps that an agent without a lease moves. Such an agent may not know
+// that a paused window was resumed, so it follows the plan. A window that returns is never resumed, so it
+// follows an early return; the count then decreases from the planned steps, which are those that the agent
+// has moved.
 func (w *storedWindow) movedStepsWithoutLease(at time.Duration) int {
 	planned := w.plannedSteps(at)
 	if w.State == Returning || w.isOver() {
@@ -38,19 +39,20 @@
 	return planned
 }
 
-// stepsUp is how many steps were added since StateSince, stepsDown how many were taken back.
+// stepsUp returns how many steps were moved since StateSince.
 func (w *storedWindow) stepsUp(at time.Duration) int { return w.stepsSince(at, w.DrainedAt-w.From) }
 
+// stepsDown returns how many steps have returned since StateSince.
 func (w *storedWindow) stepsDown(at time.Duration) int { return w.stepsSince(at, w.To-w.ReturnFrom) }
 
-// stepsSince is how many steps lie between StateSince and a time, where all steps take a duration.
+// stepsSince returns how many steps lie between StateSince and a time, if all steps together take allSteps.
 func (w *storedWindow) stepsSince(at, allSteps time.Duration) int {
 	passed := min(max(at-w.StateSince, 0), allSteps)
 	return int(passed * time.Duration(w.Steps) / allSteps)
 }
 
-// fullyMovedAt is the moment from which all steps are moved, as far as is known now; false where they never
-// will be.
+// fullyMovedAt returns the Unix time from which all steps are moved according to the present state; ok is
+// false if that does not happen before ReturnFrom.
 func (w *storedWindow) fullyMovedAt() (at time.Duration, ok bool) {
 	switch {
 	case w.State == Paused || w.State == Returning || w.isOver():
@@ -64,7 +66,8 @@
 	return at, at < w.ReturnFrom
 }
 
-// nextChange is a time after at until which neither movedSteps nor plannedSteps change.
+// nextChange returns a time after at, by at most an hour, until which neither movedSteps nor plannedSteps
+// changes.
 func (w *storedWindow) nextChange(at time.Duration) time.Duration {
 	next := at + time.Hour
 	sooner := func(edge time.Duration) {
@@ -84,7 +87,8 @@
 	return next
 }
 
-// nextStep is the next step after a time, of all steps that are made in a span from a beginning on.
+// nextStep returns the time of the first step after at, if all steps are spread evenly over a span that
+// starts at begin. It returns begin if at lies outside the span.
 func (w *storedWindow) nextStep(begin, span, at time.Duration) time.Duration {
 	if at < begin || at >= begin+span {
 		return begin
--- a/internal/control/maintenance/nextfit.go
+++ b/internal/control/maintenance/nextfit.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	replyTime     = 2 * time.Minute     // for the operator to ask again
-	searchHorizon = 60 * 24 * time.Hour // how far ahead a beginning is looked for
+	replyTime     = 2 * time.Minute     // time for the operator to repeat the request
+	searchHorizon = 60 * 24 * time.Hour // time ahead for which a beginning is searched
 )
 
-// interval is a time from its first moment up to its end.
+// interval is a half-open interval of Unix time: from is in it, to is not.
 type interval struct{ from, to time.Duration }
 
-// nextFit is the first beginning, not before the one asked for, that fits; zero: there is none. Each rule
-// allows beginnings in a number of intervals, so the first moment that all rules allow is the start of one of
-// these intervals.
+// nextFit returns the first beginning, not before the requested one, at which the request fits; zero if there
+// is none. Each rule allows beginnings in a number of intervals, so the first moment that all rules allow is
+// the start of one of these intervals.
 func (p *planner) nextFit() time.Duration {
 	notice := p.input.MinNotice
 	for _, c := range p.contracts {
@@ -26,7 +26,7 @@
 	}
 	first := max(p.request.From, roundUp(p.input.Now+notice+replyTime, time.Minute))
 	last := min(first+searchHorizon, p.input.Now+maxLeadTime)
-	hours := p.allowedHours(first, last)
+	hours := p.allowedIntervals(first, last)
 	for _, from := range p.candidates(hours, first, last) {
 		within := func(h interval) bool { return h.from <= from && from+p.length <= h.to }
 		if slices.ContainsFunc(hours, within) && p.conflictAt(from) == nil {
@@ -38,14 +38,15 @@
 
 func roundUp(d, to time.Duration) time.Duration { return (d + to - 1) / to * to }
 
-// candidates are the moments, in order, from which on one of the rules may allow the request.
+// candidates returns, in ascending order, the moments at which one of the rules may start to allow the
+// request.
 func (p *planner) candidates(hours []interval, first, last time.Duration) []time.Duration {
 	all := []time.Duration{first}
 	for _, h := range hours {
 		all = append(all, h.from)
 	}
 	for _, w := range p.input.Windows {
-		// The beginning of a window takes load off its servers too, which may leave room beside another window.
+		// A beginning window also takes load off its servers, which may make room beside another window.
 		all = append(all, w.From, w.To)
 	}
 	for _, c := range p.distinctContracts() {
@@ -54,7 +55,7 @@
 		}
 	}
 	if p.input.IsInTurn != nil {
-		for at := (first-noon)/day*day + noon; at <= last; at += day {
+		for at := (first-turnStart)/day*day + turnStart; at <= last; at += day {
 			all = append(all, at, at+TurnMargin)
 		}
 	}
@@ -63,7 +64,7 @@
 	return slices.Compact(all)
 }
 
-// distinctContracts are the contracts, each once.
+// distinctContracts returns the contracts of the request's tenants without duplicates.
 func (p *planner) distinctContracts() (all []*contract.Contract) {
 	for _, c := range p.contracts {
 		if !slices.Contains(all, c) {
@@ -73,24 +74,24 @@
 	return all
 }
 
-// allowedHours are the intervals that all contracts allow, without the margin at both ends.
-func (p *planner) allowedHours(first, last time.Duration) []interval {
+// allowedIntervals returns the intervals that all contracts allow, less the margin at both ends.
+func (p *planner) allowedIntervals(first, last time.Duration) []interval {
 	all := []interval{{0, math.MaxInt64}}
 	for _, c := range p.distinctContracts() {
-		all = intersect(all, p.marginalRuns(c, first, last))
+		all = intersect(all, p.runsWithinMargin(c, first, last))
 	}
 	return all
 }
 
-// marginalRuns are a contract's runs, without the margin at both ends.
-func (p *planner) marginalRuns(c *contract.Contract, first, last time.Duration) (all []interval) {
+// runsWithinMargin returns a contract's runs of allowed time, less the margin at both ends.
+func (p *planner) runsWithinMargin(c *contract.Contract, first, last time.Duration) (all []interval) {
 	margin := p.input.ClockMargin
 	for at := first; at <= last; {
 		from, to, ok := c.NextRun(at)
 		if !ok {
 			break
 		}
-		// A run that is longer than the contract follows comes in parts, which are joined.
+		// NextRun returns a very long run in parts, as it follows a run for a limited time; join them.
 		if n := len(all); n > 0 && from <= all[n-1].to+margin {
 			all[n-1].to = to - margin
 		} else {
@@ -101,7 +102,7 @@
 	return all
 }
 
-// intersect are the intervals that lie in both lists, which are in order.
+// intersect returns the intersection of two lists of intervals, which are in ascending order.
 func intersect(a, b []interval) (all []interval) {
 	for len(a) > 0 && len(b) > 0 {
 		if both := (interval{max(a[0].from, b[0].from), min(a[0].to, b[0].to)}); both.from < both.to {
--- a/internal/control/maintenance/plan_example_test.go
+++ b/internal/control/maintenance/plan_example_test.go
@@ -9,7 +9,7 @@
 	"dunestep/internal/control/maintenance/contract"
 )
 
-// A request is met, or rejected with the reason and the first time at which it would be met.
+// A request is planned, or rejected with a reason and the first time at which it would fit.
 func ExamplePlan() {
 	hours, err := contract.Table{Zone: "Europe/Bucharest", Hours: []string{"mon-fri 20:00-06:00"}}.Contract()
 	if err != nil {
@@ -30,9 +30,9 @@
 	}
 	_, err = maintenance.Plan(request, input)
 	fmt.Println(err)
-	if m := (maintenance.Conflict{}); errors.As(err, &m) {
-		fmt.Println("it would fit from", hours.InZone(m.NextFit).Format(time.RFC1123), "on")
-		request.From, request.To = m.NextFit, m.NextFit+time.Hour
+	if conflict := (maintenance.Conflict{}); errors.As(err, &conflict) {
+		fmt.Println("it would fit from", hours.InZone(conflict.NextFit).Format(time.RFC1123), "on")
+		request.From, request.To = conflict.NextFit, conflict.NextFit+time.Hour
 	}
 	w, err := maintenance.Plan(request, input)
 	if err != nil {
@@ -49,5 +49,5 @@
 	// it would fit from Mon, 26 Oct 2026 20:00:10 EET on
 	// drained after 1m40s and until 58m20s
 	// 0.42 of the keys are moved after 42 s
-	// tenant east: 0.5 of the capacity remains, its contract keeps 0.7, with windows disks
+	// tenant east: 0.5 of the capacity remains, its contract requires 0.7, with windows disks
 }
--- a/internal/control/maintenance/plan_test.go
+++ b/internal/control/maintenance/plan_test.go
@@ -14,18 +14,18 @@
 	"dunestep/internal/control/maintenance/contract"
 )
 
-// TestConflicts: operators get what is in the way, and from when on it is not.
-func TestConflicts(t *testing.T) {
+// TestPlanReportsConflict checks, for each rule, the reason that operators get and the next time that fits.
+func TestPlanReportsConflict(t *testing.T) {
 	hours := contract.Table{Zone: "Europe/Bucharest", Hours: []string{"mon-fri 20:00-06:00"}, MaxPerMonth: 2, MaxLengthMin: 120}
 	c, err := hours.Contract()
 	require.NoError(t, err)
 	at := func(text string) time.Duration {
-		one, err := time.ParseInLocation("2006-01-02 15:04:05", "2026-10-"+text, time.UTC)
+		moment, err := time.ParseInLocation("2006-01-02 15:04:05", "2026-10-"+text, time.UTC)
 		require.NoError(t, err)
-		return time.Duration(one.UnixNano())
+		return time.Duration(moment.UnixNano())
 	}
 	other := &Window{ID: "w1", From: at("20 18:30:00"), To: at("20 19:00:00"), Nodes: []string{"a", "b"}, Tenants: []string{"east"}}
-	scene := PlanInput{
+	input := PlanInput{
 		Now: at("20 12:00:00"), Windows: []*Window{other}, TenantLoads: map[string]float64{"east": 0.5, "west": 0.2},
 		Contracts: map[string]*contract.Contract{"east": c},
 		Servers:   []Server{{ID: "a", Zone: "z", Capacity: 1}, {ID: "b", Zone: "z", Capacity: 1}, {ID: "c", Zone: "y", Capacity: 1}, {ID: "d", Zone: "y", Capacity: 1}, {ID: "e", Capacity: 1}, {ID: "f", Capacity: 1}, {ID: "g", Capacity: 1}},
@@ -37,7 +37,7 @@
 		},
 	}
 	const none = time.Duration(0)
-	for name, one := range map[string]struct {
+	for name, test := range map[string]struct {
 		change func(*WindowRequest, *PlanInput)
 		want   string
 		next   time.Duration
@@ -56,34 +56,34 @@
 			"tenant east: is left without a node", none,
 		},
 		"a zone":            {func(a *WindowRequest, _ *PlanInput) { a.Nodes, a.Zone = nil, "z" }, "", none},
-		"no contract":       {func(a *WindowRequest, _ *PlanInput) { a.Tenants = []string{"west"} }, "tenant west: has no contract, so it may not be moved", none},
+		"no contract":       {func(a *WindowRequest, _ *PlanInput) { a.Tenants = []string{"west"} }, "tenant west: has no contract, so its traffic may not be moved", none},
 		"all":               {func(a *WindowRequest, _ *PlanInput) { a.Tenants = []string{AllTenants} }, "tenant -: has no contract", none},
 		"on the list twice": {func(_ *WindowRequest, s *PlanInput) { s.Servers = append(s.Servers, Server{ID: "a"}) }, "node a is listed twice", none},
-		"short":             {func(a *WindowRequest, _ *PlanInput) { a.To = a.From + 4*time.Minute }, "4m0s is too short: keys take 1m40s to leave", none},
-		"long":              {func(a *WindowRequest, _ *PlanInput) { a.To = a.From + 3*time.Hour }, "tenant east: by its contract a window lasts 2h0m0s at most", none},
-		"late":              {func(_ *WindowRequest, s *PlanInput) { s.Now = at("20 19:45:01") }, "tenant east: a window has to be asked for 20m0s ahead", at("20 20:08:00")},
+		"short":             {func(a *WindowRequest, _ *PlanInput) { a.To = a.From + 4*time.Minute }, "4m0s is too short: at this move rate keys take 1m40s to leave", none},
+		"long":              {func(a *WindowRequest, _ *PlanInput) { a.To = a.From + 3*time.Hour }, "tenant east: its contract limits a window to 2h0m0s", none},
+		"late":              {func(_ *WindowRequest, s *PlanInput) { s.Now = at("20 19:45:01") }, "tenant east: a window must be requested 20m0s in advance", at("20 20:08:00")},
 		"by day": {
 			func(a *WindowRequest, _ *PlanInput) { a.From, a.To = at("21 08:00:00"), at("21 09:00:00") },
 			"tenant east: its contract's hours do not allow Wed 2026-10-21 11:00:00 EEST", at("21 17:00:10"),
 		},
 		"at the edge": {
 			func(a *WindowRequest, _ *PlanInput) { a.From, a.To = at("21 17:00:00"), at("21 18:00:00") },
-			"tenant east: its contract's hours are Wed 2026-10-21 20:00:00 EEST to Thu 2026-10-22 06:00:00 EEST, and 10s of them are left at both ends", at("21 17:00:10"),
+			"tenant east: its contract's hours are Wed 2026-10-21 20:00:00 EEST to Thu 2026-10-22 06:00:00 EEST, and a window must leave 10s free at both ends", at("21 17:00:10"),
 		},
 		"monthly": {func(_ *WindowRequest, s *PlanInput) {
 			s.CountWindows = func(string, time.Duration, time.Duration) int { return 2 }
-		}, "tenant east: it has its 2 windows of 2026-10", none},
+		}, "tenant east: it already has its maximum of 2 windows in 2026-10", none},
 		"twice": {
 			func(a *WindowRequest, _ *PlanInput) { a.From, a.To = at("20 18:00:00"), at("20 19:00:00") },
-			"tenant east: is off node a by window w1 until 2026-10-20 19:00:00 UTC", other.To,
+			"tenant east: moved off node a by window w1 until 2026-10-20 19:00:00 UTC", other.To,
 		},
 		"kept": {
 			func(a *WindowRequest, _ *PlanInput) {
 				a.Nodes, a.From, a.To = []string{"c"}, at("20 18:00:00"), at("20 19:00:00")
 			},
-			"tenant east: 0.571 of the capacity remains, its contract keeps 0.7, with windows w1", other.To,
+			"tenant east: 0.571 of the capacity remains, its contract requires 0.7, with windows w1", other.To,
 		},
-		"too full": {func(_ *WindowRequest, s *PlanInput) { s.PeakLoad = 0.89 }, "node b is used to 0.964 of what it can, 0.9 at most may be", none},
+		"too full": {func(_ *WindowRequest, s *PlanInput) { s.PeakLoad = 0.89 }, "node b would use 0.964 of its capacity, which exceeds the limit of 0.9", none},
 		"one is down": {
 			func(a *WindowRequest, s *PlanInput) { a.Nodes, s.Servers[6].Absent = []string{"c", "d"}, true },
 			"tenant east: 0.571 of the capacity remains", none,
@@ -98,23 +98,23 @@
 		}, "tenant east: 0.571 of the capacity remains", at("20 21:00:00")},
 		"no turn": {func(_ *WindowRequest, s *PlanInput) {
 			s.IsInTurn = func(n Server, from, _ time.Duration) bool { return n.ID != "a" || from >= at("22 12:00:00") }
-		}, "node a is not in its turn then", at("22 17:00:10")},
+		}, "node a is not in its turn at that time", at("22 17:00:10")},
 		"unknown node":   {func(a *WindowRequest, _ *PlanInput) { a.Nodes = []string{"a", "q"} }, "not a listed node: q", none},
 		"empty zone":     {func(a *WindowRequest, _ *PlanInput) { a.Zone = "w"; a.Nodes = nil }, "no listed node is in zone w", none},
 		"nothing":        {func(a *WindowRequest, _ *PlanInput) { a.Nodes = nil }, "a window needs a node or a zone", none},
 		"no tenant":      {func(a *WindowRequest, _ *PlanInput) { a.Tenants = nil }, "a window needs a tenant", none},
-		"turned round":   {func(a *WindowRequest, _ *PlanInput) { a.To = a.From }, "a window ends after it begins", none},
-		"years ahead":    {func(a *WindowRequest, _ *PlanInput) { a.From += 2000 * time.Hour; a.To += 2000 * time.Hour }, "a window begins within 62 days", none},
-		"slow":           {func(a *WindowRequest, _ *PlanInput) { a.MoveRate = 0.0001 }, "the pace is a part of the keys", none},
-		"no number":      {func(a *WindowRequest, _ *PlanInput) { a.MoveRate = math.NaN() }, "the pace is a part of the keys", none},
+		"turned round":   {func(a *WindowRequest, _ *PlanInput) { a.To = a.From }, "a window must end after it begins", none},
+		"years ahead":    {func(a *WindowRequest, _ *PlanInput) { a.From += 2000 * time.Hour; a.To += 2000 * time.Hour }, "a window must begin within 62 days", none},
+		"slow":           {func(a *WindowRequest, _ *PlanInput) { a.MoveRate = 0.0001 }, "the move rate must be a fraction of the keys per second", none},
+		"no number":      {func(a *WindowRequest, _ *PlanInput) { a.MoveRate = math.NaN() }, "the move rate must be a fraction of the keys per second", none},
 		"nameless":       {func(a *WindowRequest, _ *PlanInput) { a.ID = "" }, "a window needs a name of 1 to 64 bytes", none},
-		"names too long": {func(a *WindowRequest, _ *PlanInput) { a.Tenants = append(a.Tenants, strings.Repeat("x", maxNamesSize)) }, "names of 2048 bytes", none},
+		"names too long": {func(a *WindowRequest, _ *PlanInput) { a.Tenants = append(a.Tenants, strings.Repeat("x", maxNamesSize)) }, "names of 2048 bytes in total", none},
 	} {
-		a, s := WindowRequest{ID: "w2", Nodes: []string{"a"}, Tenants: []string{"east"}, From: at("20 20:00:00"), To: at("20 21:00:00")}, scene
+		a, s := WindowRequest{ID: "w2", Nodes: []string{"a"}, Tenants: []string{"east"}, From: at("20 20:00:00"), To: at("20 21:00:00")}, input
 		s.Servers = slices.Clone(s.Servers)
-		one.change(&a, &s)
+		test.change(&a, &s)
 		w, err := Plan(a, s)
-		if one.want == "" {
+		if test.want == "" {
 			require.NoError(t, err, name)
 			require.Equal(t, time.Duration(w.Steps)*time.Second, w.DrainedAt-w.From, name)
 			require.Equal(t, []float64{0, 0, 0.01, 0.5, 1, 1, 1, 0.5, 0.01, 0}, []float64{
@@ -124,22 +124,23 @@
 			})
 			continue
 		}
-		require.ErrorContains(t, err, one.want, name)
-		var m Conflict
-		if errors.As(err, &m) {
-			require.NotZero(t, m.Kind, name)
+		require.ErrorContains(t, err, test.want, name)
+		var conflict Conflict
+		if errors.As(err, &conflict) {
+			require.NotZero(t, conflict.Kind, name)
 		}
-		require.Equal(t, time.Unix(0, int64(one.next)).UTC(), time.Unix(0, int64(m.NextFit)).UTC(), name)
+		require.Equal(t, time.Unix(0, int64(test.next)).UTC(), time.Unix(0, int64(conflict.NextFit)).UTC(), name)
 	}
 }
 
-// TestNextFitWhereAnotherWindowBegins: one of three servers is asked for, and the second has what other tenants bring
-// from the third; only once a window begins on the second too is there room.
+// TestNextFitWhereAnotherWindowBegins checks that NextFit considers the beginning of another window, which
+// can free capacity. The request is for the first of three servers while the second carries load moved off
+// the third; there is room only once a window on the second server begins too.
 func TestNextFitWhereAnotherWindowBegins(t *testing.T) {
 	c, err := contract.Table{Zone: "UTC", Hours: []string{"mon-sun 00:00-24:00"}, KeptCapacity: 0.5}.Contract()
 	require.NoError(t, err)
 	now := time.Duration(time.Date(2026, 3, 23, 12, 0, 0, 0, time.UTC).UnixNano())
-	scene := PlanInput{
+	input := PlanInput{
 		Now: now, MaxUtilization: 1, TenantLoads: map[string]float64{"east": 0.1, "west": 0.1}, Contracts: map[string]*contract.Contract{NoTenant: c},
 		Servers: []Server{{ID: "a", Capacity: 1}, {ID: "b", Capacity: 1}, {ID: "c", Capacity: 1}},
 		Windows: []*Window{
@@ -147,21 +148,21 @@
 			{ID: "west", From: now + 20*time.Hour, To: now + 21*time.Hour, Nodes: []string{"b"}, Tenants: []string{"west"}},
 		},
 	}
-	_, err = Plan(WindowRequest{ID: "ask", Nodes: []string{"a"}, Tenants: []string{NoTenant}, From: now + 2*time.Hour, To: now + 150*time.Minute}, scene)
-	require.ErrorContains(t, err, "node b is used to 1.01 of what it can, 1 at most may be, with windows east")
+	_, err = Plan(WindowRequest{ID: "ask", Nodes: []string{"a"}, Tenants: []string{NoTenant}, From: now + 2*time.Hour, To: now + 150*time.Minute}, input)
+	require.ErrorContains(t, err, "node b would use 1.01 of its capacity, which exceeds the limit of 1, with windows east")
 	var conflict Conflict
 	require.ErrorAs(t, err, &conflict)
 	require.Equal(t, 20*time.Hour, conflict.NextFit-now)
 }
 
-// moved is a request with another beginning, and the same length.
-func moved(a WindowRequest, from time.Duration) WindowRequest {
+// withBeginning returns a request with another beginning and the same length.
+func withBeginning(a WindowRequest, from time.Duration) WindowRequest {
 	a.From, a.To = from, from+a.To-a.From
 	return a
 }
 
-// BenchmarkPlan is of 300 servers in three zones, 20 tenants and 50 windows, where the time asked for fits, and where
-// another has to be found.
+// BenchmarkPlan plans a window among 300 servers in three zones, 20 tenants and 50 windows: once where the
+// requested time fits, and once where another time must be found.
 func BenchmarkPlan(b *testing.B) {
 	first := time.Duration(time.Date(2026, 10, 19, 12, 0, 0, 0, time.UTC).UnixNano())
 	s := PlanInput{Now: first, TenantLoads: map[string]float64{}, Contracts: map[string]*contract.Contract{}, PeakLoad: 0.6}
@@ -185,17 +186,17 @@
 		w.To = w.From + 4*time.Hour
 		s.Windows = append(s.Windows, w)
 	}
-	ask := WindowRequest{ID: "w", Tenants: []string{AllTenants}, Nodes: s.Windows[7].Nodes, From: first + 88*time.Hour, To: first + 90*time.Hour}
+	request := WindowRequest{ID: "w", Tenants: []string{AllTenants}, Nodes: s.Windows[7].Nodes, From: first + 88*time.Hour, To: first + 90*time.Hour}
 	for name, from := range map[string]time.Duration{"fits": first + 105*time.Hour, "next": first + 12*time.Hour} {
 		b.Run(name, func(b *testing.B) {
 			for b.Loop() {
-				if _, err := Plan(moved(ask, from), s); (err == nil) != (name == "fits") {
+				if _, err := Plan(withBeginning(request, from), s); (err == nil) != (name == "fits") {
 					b.Fatal(err)
 				}
 			}
 		})
 	}
-	_, err := Plan(moved(ask, first+12*time.Hour), s)
+	_, err := Plan(withBeginning(request, first+12*time.Hour), s)
 	var conflict Conflict
 	require.ErrorAs(b, err, &conflict)
 	b.Log(err, conflict.NextFit-first)
--- a/internal/control/maintenance/planner.go
+++ b/internal/control/maintenance/planner.go
@@ -14,7 +14,7 @@
 
 // Defaults of a PlanInput and of a WindowRequest.
 const (
-	// MinDrained is how long the servers are to be without keys, unless a PlanInput says otherwise.
+	// MinDrained is the default minimum time for which the servers are without keys.
 	MinDrained = time.Minute
 
 	defaultPeakLoad       = 0.7
@@ -24,19 +24,19 @@
 )
 
 const (
-	stepInterval = time.Second // from one step to the next
-	tolerance    = 1e-9        // of fractions, for rounding
+	stepInterval = time.Second // time between two steps
+	tolerance    = 1e-9        // rounding error allowed in fractions
 )
 
 // planner plans one request.
 type planner struct {
 	request          WindowRequest
-	input            PlanInput // with the defaults, and the servers that other windows hold
-	tenants          []string  // the request's, sorted
-	requestedServers []int     // indexes of input.Servers
+	input            PlanInput // with defaults applied and the servers of other windows added
+	tenants          []string  // of the request, sorted
+	requestedServers []int     // indexes into input.Servers
 	steps            int
 	length           time.Duration
-	contracts        []*contract.Contract // by tenants; nil: none
+	contracts        []*contract.Contract // parallel to tenants; nil: the tenant has none
 	utilization      utilization
 	windowsInMonth   map[month]int
 }
@@ -58,11 +58,11 @@
 	case !isValidName(r.ID):
 		return nil, fmt.Errorf("a window needs a name of 1 to %d bytes", maxNameSize)
 	case r.From < 0 || r.To <= r.From:
-		return nil, errors.New("a window ends after it begins")
+		return nil, errors.New("a window must end after it begins")
 	case r.From > input.Now+maxLeadTime:
-		return nil, errors.New("a window begins within 62 days")
-	case !(moveRate >= 1.0/MaxSteps && moveRate <= 1): //nolint:staticcheck // QF1001: it also refuses NaN
-		return nil, fmt.Errorf("the pace is a part of the keys that moves in a second, %g to 1", 1.0/MaxSteps)
+		return nil, errors.New("a window must begin within 62 days")
+	case !(moveRate >= 1.0/MaxSteps && moveRate <= 1): //nolint:staticcheck // QF1001: also rejects NaN
+		return nil, fmt.Errorf("the move rate must be a fraction of the keys per second, %g to 1", 1.0/MaxSteps)
 	}
 	p.steps = int(math.Ceil(1/moveRate - tolerance))
 	if err := p.selectTargets(); err != nil {
@@ -76,7 +76,8 @@
 	return p, nil
 }
 
-// selectTargets finds out which servers and tenants the request means.
+// selectTargets determines the servers and tenants of the request. It returns an error if a requested server
+// is not listed, or if there are no servers, no tenants or too many.
 func (p *planner) selectTargets() error {
 	missing := slices.Clone(p.request.Nodes)
 	for i, s := range p.input.Servers {
@@ -100,7 +101,7 @@
 	return p.checkSizes()
 }
 
-// requestedTenants are the request's tenants, sorted, each once.
+// requestedTenants returns the request's tenants, with AllTenants resolved, sorted and without duplicates.
 func (p *planner) requestedTenants() []string {
 	tenants := slices.Clone(p.request.Tenants)
 	if slices.Contains(tenants, AllTenants) {
@@ -111,12 +112,13 @@
 	return slices.Compact(tenants)
 }
 
-// checkSizes refuses a request that an accepted window has no room for.
+// checkSizes returns an error if the request has more servers, tenants or bytes of names than a window may
+// have.
 func (p *planner) checkSizes() error {
 	ids := p.serverIDs()
 	if len(ids) > MaxServers || len(p.tenants) > maxTenants || !areValidNames(ids, p.tenants) {
-		return fmt.Errorf("a window has at most %d nodes and %d tenants, with names of %d bytes together, each of "+
-			"1 to %d: ask for several", MaxServers, maxTenants, maxNamesSize, maxNameSize)
+		return fmt.Errorf("a window has at most %d nodes and %d tenants, with names of %d bytes in total and "+
+			"1 to %d bytes each: request several windows", MaxServers, maxTenants, maxNamesSize, maxNameSize)
 	}
 	return nil
 }
@@ -128,9 +130,10 @@
 	return ids
 }
 
-// addWindowServers completes the listed servers with those that other windows hold.
+// addWindowServers adds the servers of other windows that are not listed, with the mean capacity, and marks
+// the servers that are in a window now as not absent.
 func (p *planner) addWindowServers() {
-	known, held, sum := map[string]bool{}, map[string]bool{}, 0.0
+	known, inWindow, sum := map[string]bool{}, map[string]bool{}, 0.0
 	servers := slices.Clone(p.input.Servers)
 	for i := range servers {
 		servers[i].Capacity = finiteOrZero(servers[i].Capacity)
@@ -142,16 +145,16 @@
 			if !known[id] {
 				servers, known[id] = append(servers, Server{ID: id, Capacity: mean}), true
 			}
-			held[id] = held[id] || w.From <= p.input.Now && p.input.Now < w.To
+			inWindow[id] = inWindow[id] || w.From <= p.input.Now && p.input.Now < w.To
 		}
 	}
 	for i := range servers {
-		servers[i].Absent = servers[i].Absent && !held[servers[i].ID]
+		servers[i].Absent = servers[i].Absent && !inWindow[servers[i].ID]
 	}
 	p.input.Servers = servers
 }
 
-// finiteOrZero is a number that can be calculated with, or zero.
+// finiteOrZero returns v if it is positive and below 1e9, else zero; NaN and infinities give zero.
 func finiteOrZero(v float64) float64 {
 	if v > 0 && v < 1e9 {
 		return v
@@ -159,10 +162,10 @@
 	return 0
 }
 
-// moveTime is how long keys take to leave, and how long to return.
+// moveTime returns how long keys take to leave; they take as long to return.
 func (p *planner) moveTime() time.Duration { return time.Duration(p.steps) * stepInterval }
 
-// window is the window as it is asked for.
+// window returns the planned window with the requested times.
 func (p *planner) window() *Window {
 	w := &Window{
 		ID: p.request.ID, Agent: p.request.Agent, Nodes: p.serverIDs(), Tenants: p.tenants, Steps: p.steps,
@@ -173,7 +176,8 @@
 	return w
 }
 
-// countInMonth counts a tenant's windows of the month that a moment lies in.
+// countInMonth returns the number of a tenant's windows that begin in the calendar month of a moment. The
+// tenant is an index in planner.tenants.
 func (p *planner) countInMonth(tenant int, at time.Duration) int {
 	if p.input.CountWindows == nil {
 		return 0
--- a/internal/control/maintenance/proposer.go
+++ b/internal/control/maintenance/proposer.go
@@ -8,27 +8,28 @@
 	"dunestep/internal/fleet/lease"
 )
 
-// Proposer brings windows through their course. Each voter has one, and the leader proposes what its own
-// returns. A new leader continues from the log, and from when it applied records itself.
+// Proposer decides which records change the state of accepted windows. Each voter has one, and the leader
+// proposes the records that its own Proposer returns. A new leader continues from the state in the log and
+// from the times at which it applied the records itself.
 type Proposer struct {
 	settings      ProposerSettings
 	windows       []*storedWindow
 	progress      map[string]windowProgress // by window
 	reports       reportLog
-	totalCapacity float64               // the most capacity that was listed while windows were known
+	totalCapacity float64               // maximum listed capacity since windows have been known
 	lastProposed  map[string]lastRecord // by window
 }
 
-// ProposerSettings are the same at all voters; zero values stand for the defaults.
+// ProposerSettings must be the same at all voters; zero values mean the defaults.
 type ProposerSettings struct {
 	Times policy.Times
-	// MaxInFlight is the longest that a request may be in flight; 30 s.
+	// MaxInFlight is the maximum time for which a request is in flight; default 30 s.
 	MaxInFlight time.Duration
-	// ClockMargin is added to waits, for clocks that differ; 10 s.
+	// ClockMargin is added to waits because clocks differ; default 10 s.
 	ClockMargin time.Duration
 }
 
-// WithDefaults returns the settings with the defaults in place of zero values.
+// WithDefaults returns the settings with zero values replaced by the defaults.
 func (s ProposerSettings) WithDefaults() ProposerSettings {
 	s.Times = s.Times.WithDefaults()
 	if s.MaxInFlight == 0 {
@@ -40,47 +41,49 @@
 	return s
 }
 
-// windowProgress is when a window's present state was applied here, and what was observed since.
+// windowProgress has when this voter applied a window's present state, and what it has observed since.
 type windowProgress struct {
-	changeCount  uint64 // the window's
+	changeCount  uint64 // ChangeCount of the window's present state
 	appliedAt    lease.ClockReading
 	fault        Fault
 	faultSince   lease.ClockReading // valid while there is a fault
-	healthySince lease.ClockReading // zero: not observed yet
+	healthySince lease.ClockReading // valid while there is no fault; zero: not observed yet
 }
 
-// lastRecord is what was proposed last for a window; it is not proposed again before retryAt.
+// lastRecord identifies the last record proposed for a window. It is not proposed again before retryAt.
 type lastRecord struct {
 	kind        recordKind
 	changeCount uint64
-	retryAt     time.Duration // by the monotonic clock
+	retryAt     time.Duration // monotonic clock
 }
 
-// LeaderView is what the leader's own process sees.
+// LeaderView is the local state of the leader's process that the Proposer depends on.
 type LeaderView struct {
 	Standing   lease.Standing
-	Active     policy.Active // by that standing
-	InForce    uint64        // the newest version of the policy that was activated
-	ChangeOpen bool          // a change of policy is open
+	Active     policy.Active // policy that the process acts on with that standing
+	InForce    uint64        // newest activated version of the policy
+	ChangeOpen bool          // whether a policy change is in progress
 	Servers    []Server      // its own endpoint list; servers that are not ready are Absent, or left out
 }
 
 const (
-	// proposeRetryInterval is how long after it was proposed a record that is not in the log is proposed again.
+	// proposeRetryInterval is the time after which a proposed record that is not yet in the log is proposed
+	// again.
 	proposeRetryInterval = 200 * time.Millisecond
-	// recheckInterval is how often windows that move traffic are checked.
+	// recheckInterval is the interval between checks of windows that move traffic.
 	recheckInterval = 250 * time.Millisecond
-	// idleRecheckInterval is how often the others are.
+	// idleRecheckInterval is the interval between checks of other windows.
 	idleRecheckInterval = 5 * time.Second
-	// maxFaultTime is how long a fault may last before the window returns.
+	// maxFaultTime is the duration of a fault after which the window is returned early.
 	maxFaultTime = 30 * time.Second
-	// recoveryTime is how long there has to be no fault before a paused window is resumed.
+	// recoveryTime is the time without a fault after which a paused window is resumed.
 	recoveryTime = 10 * time.Second
-	// maxChanges is how often a window may change: one that is paused again and again returns.
+	// maxChanges is the number of state changes after which a window is returned at the next fault, so that
+	// it is not paused and resumed forever.
 	maxChanges = 24
 )
 
-// NewProposer returns the Proposer of a process that begins now.
+// NewProposer returns the Proposer of a process that has just started.
 func NewProposer(settings ProposerSettings) *Proposer {
 	settings = settings.WithDefaults()
 	return &Proposer{
@@ -89,7 +92,7 @@
 	}
 }
 
-// Learn takes the present state as soon as records were applied, at any voter.
+// Learn updates the proposer to the present state. Every voter must call it right after it applied records.
 func (p *Proposer) Learn(now lease.ClockReading, m *StateMachine) {
 	p.windows = m.state.Windows
 	progress := map[string]windowProgress{}
@@ -111,25 +114,25 @@
 	}
 }
 
-// ReportReceived takes an agent's report; see EncodeReport. Bytes that are not a report are ignored.
+// ReportReceived adds an agent's report as encoded by EncodeReport. Malformed data are ignored.
 func (p *Proposer) ReportReceived(now lease.ClockReading, agent int, data []byte) {
 	p.reports.add(now, agent, data)
 }
 
-// LeaseGranted notes that this voter has granted an agent a lease.
+// LeaseGranted records that this voter has granted an agent a lease. It does nothing while IsIdle.
 func (p *Proposer) LeaseGranted(now lease.ClockReading, agent int) {
 	if !p.IsIdle() {
 		p.reports.leaseGranted(now, agent)
 	}
 }
 
-// IsIdle tells whether no window is ahead or in progress.
+// IsIdle reports whether no window is planned or in progress.
 func (p *Proposer) IsIdle() bool {
 	return !slices.ContainsFunc(p.windows, func(w *storedWindow) bool { return !w.isOver() })
 }
 
-// Due returns what the leader is to propose to the log, and the latest time at which to call it again, by the
-// monotonic clock. View is called only where there are windows.
+// Due returns the records that the leader must propose to the log now, and the latest time (monotonic clock)
+// at which it must be called again. It calls view only if a window is planned or in progress.
 func (p *Proposer) Due(now lease.ClockReading, view func() LeaderView) (records [][]byte,
 	next time.Duration,
 ) {
@@ -157,7 +160,8 @@
 	return records, next
 }
 
-// encodeOnce encodes a record about a window; nil while the same may be on its way.
+// encodeOnce returns an encoded record about a window, or nil if the same record was proposed less than
+// proposeRetryInterval ago.
 func (p *Proposer) encodeOnce(now lease.ClockReading, w *storedWindow, r record) []byte {
 	proposed := lastRecord{kind: r.Kind, changeCount: w.ChangeCount}
 	last := p.lastProposed[w.ID]
@@ -170,7 +174,7 @@
 	return marshal(r)
 }
 
-// nextRecord is what is to become of a window next; false: nothing yet.
+// nextRecord returns the next record for a window; due is false if there is none yet.
 func (p *Proposer) nextRecord(now lease.ClockReading, v LeaderView, w *storedWindow) (r record, due bool) {
 	progress := p.progress[w.ID]
 	r.Now = now.Unix
@@ -191,21 +195,22 @@
 	}
 	p.observe(now, v, w, &progress)
 	p.progress[w.ID] = progress
-	return p.nextInProgress(now, v, w, progress, r)
+	return p.nextRecordInProgress(now, v, w, progress, r)
 }
 
-// nextInProgress is what is to become next of a window that is in progress.
-func (p *Proposer) nextInProgress(now lease.ClockReading, v LeaderView, w *storedWindow,
+// nextRecordInProgress returns the next record for a window whose keys are moving or have moved; false if
+// there is none yet.
+func (p *Proposer) nextRecordInProgress(now lease.ClockReading, v LeaderView, w *storedWindow,
 	progress windowProgress, r record,
 ) (record, bool) {
 	fault := progress.fault
 	healthy := fault.Kind == NoFault
-	lasts := !healthy && minElapsed(progress.faultSince, now) >= maxFaultTime
+	persists := !healthy && minElapsed(progress.faultSince, now) >= maxFaultTime
 	recovered := healthy && minElapsed(progress.healthySince, now) >= recoveryTime
 	switch {
-	case fault.Kind == ExclusionsOverridden && w.State == Free: // the servers are not free any more
+	case fault.Kind == ExclusionsOverridden && w.State == Free: // the servers are no longer free
 		r.Kind, r.Reason = kindReturned, fault.String()
-	case !healthy && w.ChangeCount >= maxChanges, lasts && w.State != Planned:
+	case !healthy && w.ChangeCount >= maxChanges, persists && w.State != Planned:
 		r.Kind, r.Reason = kindReturned, fault.String()
 	case !healthy && w.State == Planned && w.plannedSteps(now.Unix) > 0:
 		r.Kind, r.Reason = kindPaused, fault.String()
@@ -219,13 +224,14 @@
 	return r, true
 }
 
-// isTrafficFree tells whether no request of the window's tenants can arrive at its servers any more.
+// isTrafficFree reports whether no request of the window's tenants can arrive at its servers any more.
 //
-// All keys have been moved, by the clock, for longer than clocks differ and a request may be in flight. An
-// agent with a lease knows what was agreed up to the fence, so also that a paused window was resumed. An
-// agent without one follows the plan, and knows the window, which was confirmed long before; one at
-// policy.ModeBottom keeps off by turns. So nobody needs to be asked. But an agent of a build that knows no
-// windows does none of this: it is found by the leases that it is granted while it sends no reports.
+// It requires that, by the clock, all keys have been moved for longer than the clock error and the maximum
+// time of a request in flight. An agent with a lease knows the log up to the fence, so it also knows that a
+// paused window was resumed. An agent without a lease follows the plan, and knows the window, which was
+// confirmed long before; an agent at policy.ModeBottom excludes servers by turns. So no agent has to be
+// polled. An agent whose build does not support windows does none of this: it is detected because it is
+// granted leases and sends no reports.
 func (p *Proposer) isTrafficFree(now lease.ClockReading, v LeaderView, w *storedWindow,
 	progress windowProgress,
 ) bool {
@@ -239,7 +245,7 @@
 		return false
 	case v.ChangeOpen || v.Active.Version != v.InForce:
 		return false
-	case !p.reports.isComplete(now) || p.reports.hasSilentHolder(now):
+	case !p.reports.isComplete(now) || p.reports.hasNonReportingHolder(now):
 		return false
 	}
 	return !p.areExclusionsOverridden(w)
--- a/internal/control/maintenance/reports.go
+++ b/internal/control/maintenance/reports.go
@@ -8,18 +8,18 @@
 	"dunestep/internal/fleet/lease"
 )
 
-// TenantCounts is how a tenant's requests fared at one agent since its last report.
+// TenantCounts has the numbers of a tenant's requests at one agent since its last report, by result.
 type TenantCounts struct {
 	_                  struct{} `cbor:",toarray"`
 	Tenant             string
 	Requests           uint32
 	Served             uint32
-	Failed             uint32 // or rejected
-	ExclusionOverrides uint32 // sent to a server that they should have kept off, as no other was left
+	Failed             uint32 // failed or rejected
+	ExclusionOverrides uint32 // sent to an excluded server because no other server was available
 }
 
-// isServedBelow tells whether a smaller fraction of the requests was served than a minimum, 0 to 1. Few
-// requests tell nothing.
+// isServedBelow reports whether the served fraction of the requests is below minServed, 0 to 1. It returns
+// false for fewer than minRequests requests.
 func (c TenantCounts) isServedBelow(minServed float64) bool {
 	return c.Requests >= minRequests && float64(c.Served) < minServed*float64(c.Served+c.Failed)
 }
@@ -28,61 +28,61 @@
 type Report struct {
 	_           struct{} `cbor:",toarray"`
 	Incarnation uint64
-	Number      uint64         // grows with each report of an incarnation
-	Overloaded  bool           // the agent sheds load
+	Number      uint64         // sequence number within the incarnation
+	Overloaded  bool           // whether the agent sheds load
 	Counts      []TenantCounts // since the last report, at most MaxCounts
 }
 
 const (
-	// ReportInterval is how often agents report.
+	// ReportInterval is the interval between two reports of an agent.
 	ReportInterval = 2 * time.Second
-	// SumPeriod is how long a report counts.
+	// SumPeriod is the time for which a report is included in sums.
 	SumPeriod = 10 * time.Second
-	// MinReportLeases is for how long, in durations of a lease, a voter has to have received reports before the
-	// lack of a report counts too; it is never less than SumPeriod.
+	// MinReportLeases is for how long, in lease durations, a voter must have received reports without a break
+	// before it concludes anything from a missing report. The minimum is SumPeriod.
 	MinReportLeases = 7
-	// MaxCounts is the most tenants of one report.
+	// MaxCounts is the maximum number of tenants in one report.
 	MaxCounts = 32
 
-	maxSilence         = 3 * ReportInterval // without a report of any agent, for reports to count as unbroken
+	maxSilence         = 3 * ReportInterval // longest time without any report that is not a break
 	maxReportSize      = 8 << 10            // bytes
-	maxAgents          = 512                // whose reports are kept
-	maxReports         = 6                  // kept of one agent
-	maxLeaseGap        = 15                 // durations of a lease within which a holder has asked each voter
-	minRequests        = 20                 // of a tenant within SumPeriod that tell about its service
-	overloadedFraction = 0.2                // of the agents that report; more are a fault
+	maxAgents          = 512                // agents whose reports are kept
+	maxReports         = 6                  // reports kept per agent
+	maxLeaseGap        = 15                 // lease durations within which a holder polls every voter
+	minRequests        = 20                 // a tenant's requests in SumPeriod needed to assess its service
+	overloadedFraction = 0.2                // fraction of the reporting agents; more is a fault
 )
 
-// EncodeReport returns the bytes of a report. Counts beyond MaxCounts are left out.
+// EncodeReport returns the encoded report. Counts beyond the first MaxCounts are omitted.
 func EncodeReport(r Report) []byte {
 	r.Counts = r.Counts[:min(len(r.Counts), MaxCounts)]
 	return marshal(r)
 }
 
-// receivedReport is a report, and when it came.
+// receivedReport is a report with the time at which it was received.
 type receivedReport struct {
 	Report
 	receivedAt lease.ClockReading
 }
 
-// reportLog is what one voter has lately received.
+// reportLog has the reports and lease grants of one voter that still count.
 type reportLog struct {
-	agents      map[int][]receivedReport // the newest last
-	since       lease.ClockReading       // reports have come without a break
-	last        lease.ClockReading       // when one came last
-	started     bool                     // since and last are valid
-	leases      map[int]lease.ClockReading
-	leaseLength time.Duration
+	agents         map[int][]receivedReport   // oldest first
+	unbrokenSince  lease.ClockReading         // start of the present sequence of reports without a break
+	lastReceivedAt lease.ClockReading         // time of the last report
+	hasReports     bool                       // whether unbrokenSince and lastReceivedAt are valid
+	lastLeaseAt    map[int]lease.ClockReading // when this voter last granted a lease, by agent
+	leaseLength    time.Duration
 }
 
 func newReportLog(leaseLength time.Duration) reportLog {
 	return reportLog{
-		agents: map[int][]receivedReport{}, leases: map[int]lease.ClockReading{},
+		agents: map[int][]receivedReport{}, lastLeaseAt: map[int]lease.ClockReading{},
 		leaseLength: leaseLength,
 	}
 }
 
-// add takes a report. One that comes twice, or after a later one, is ignored.
+// add adds a report. Malformed, duplicate and out-of-order reports are ignored.
 func (l *reportLog) add(now lease.ClockReading, agent int, data []byte) {
 	var r Report
 	if len(data) > maxReportSize || decoding.Unmarshal(data, &r) != nil || len(r.Counts) > MaxCounts {
@@ -98,15 +98,15 @@
 			return
 		}
 	}
-	if !l.started || now.Since(l.last) > maxSilence {
-		l.since, l.started = now, true
+	if !l.hasReports || now.Since(l.lastReceivedAt) > maxSilence {
+		l.unbrokenSince, l.hasReports = now, true
 	}
-	l.last = now
+	l.lastReceivedAt = now
 	reports = append(reports, receivedReport{r, now})
 	l.agents[agent] = reports[max(len(reports)-maxReports, 0):]
 }
 
-// dropExpired drops reports and leases that do not count any more.
+// dropExpired removes reports older than SumPeriod and leases older than maxLeaseGap lease durations.
 func (l *reportLog) dropExpired(now lease.ClockReading) {
 	for agent, reports := range l.agents {
 		reports = slices.DeleteFunc(reports, func(r receivedReport) bool {
@@ -116,22 +116,22 @@
 			delete(l.agents, agent)
 		}
 	}
-	maps.DeleteFunc(l.leases, func(_ int, at lease.ClockReading) bool {
+	maps.DeleteFunc(l.lastLeaseAt, func(_ int, at lease.ClockReading) bool {
 		return now.Since(at) >= maxLeaseGap*l.leaseLength
 	})
 }
 
-// leaseGranted notes that this voter has granted an agent a lease. Agents ask the voters in turn.
+// leaseGranted records that this voter has granted an agent a lease. Agents poll the voters in rotation.
 func (l *reportLog) leaseGranted(now lease.ClockReading, agent int) {
-	if _, known := l.leases[agent]; known || len(l.leases) < maxAgents {
-		l.leases[agent] = now
+	if _, known := l.lastLeaseAt[agent]; known || len(l.lastLeaseAt) < maxAgents {
+		l.lastLeaseAt[agent] = now
 	}
 }
 
-// hasSilentHolder tells whether an agent holds leases and sends no reports: it is of a build that knows no
-// windows.
-func (l *reportLog) hasSilentHolder(now lease.ClockReading) bool {
-	for agent, at := range l.leases {
+// hasNonReportingHolder reports whether an agent is granted leases but sends no reports: its build does not
+// support windows.
+func (l *reportLog) hasNonReportingHolder(now lease.ClockReading) bool {
+	for agent, at := range l.lastLeaseAt {
 		if minElapsed(at, now) < maxLeaseGap*l.leaseLength && len(l.agents[agent]) == 0 {
 			return true
 		}
@@ -139,14 +139,14 @@
 	return false
 }
 
-// isComplete tells whether reports reach back far enough: as far as counts are summed, and so far that each
-// agent which holds leases has asked for one here.
+// isComplete reports whether reports have been received without a break for long enough: for SumPeriod, and
+// for so long that each agent that holds leases has requested one from this voter.
 func (l *reportLog) isComplete(now lease.ClockReading) bool {
-	return l.started && now.Since(l.last) <= maxSilence &&
-		minElapsed(l.since, now) >= max(MinReportLeases*l.leaseLength, SumPeriod)
+	return l.hasReports && now.Since(l.lastReceivedAt) <= maxSilence &&
+		minElapsed(l.unbrokenSince, now) >= max(MinReportLeases*l.leaseLength, SumPeriod)
 }
 
-// sum adds up the counts of a tenant.
+// sum returns the sum of a tenant's counts over all kept reports.
 func (l *reportLog) sum(tenant string) (sum TenantCounts) {
 	for _, reports := range l.agents {
 		for _, r := range reports {
@@ -160,7 +160,7 @@
 	return sum
 }
 
-// Add adds the counts of another report of the same tenant.
+// Add adds the counts of another report about the same tenant.
 func (c *TenantCounts) Add(other TenantCounts) {
 	c.Requests += other.Requests
 	c.Served += other.Served
@@ -168,7 +168,8 @@
 	c.ExclusionOverrides += other.ExclusionOverrides
 }
 
-// isOverloaded tells whether too large a fraction of the agents that report sheds load.
+// isOverloaded reports whether more than overloadedFraction of the reporting agents shed load, by their
+// latest reports.
 func (l *reportLog) isOverloaded() bool {
 	overloaded := 0
 	for _, reports := range l.agents {
@@ -179,8 +180,8 @@
 	return float64(overloaded) > overloadedFraction*float64(len(l.agents))
 }
 
-// minElapsed is the least time that has passed between two readings: the one of the two clocks that advanced
-// less counts.
+// minElapsed returns the time between two readings by whichever of the two clocks, Unix or monotonic,
+// advanced less.
 func minElapsed(earlier, now lease.ClockReading) time.Duration {
 	return min(now.Unix-earlier.Unix, now.Mono-earlier.Mono)
 }
--- a/internal/control/maintenance/retention.go
+++ b/internal/control/maintenance/retention.go
@@ -7,13 +7,14 @@
 )
 
 const (
-	// keepEnded is how long a window that is over is shown.
+	// keepEnded is the time for which a window that is over is kept.
 	keepEnded = 24 * time.Hour
-	// keepHistory is how long a window counts for its tenants: longer than a month.
+	// keepHistory is the time for which a window counts for its tenants; it must be longer than a month, as
+	// contracts limit the windows per month.
 	keepHistory = 33 * 24 * time.Hour
 )
 
-// tenantHistory is when windows of a tenant began that are over.
+// tenantHistory has the times at which those windows of a tenant began that are over.
 type tenantHistory struct {
 	_            struct{} `cbor:",toarray"`
 	Tenant       string
@@ -22,8 +23,8 @@
 
 func compareTenant(h tenantHistory, tenant string) int { return strings.Compare(h.Tenant, tenant) }
 
-// CountWindows counts the windows of a tenant that begin in a time, whether they are over or not. Windows
-// that ended before they began do not count.
+// CountWindows returns the number of a tenant's windows that begin in [from, to), including windows that are
+// over. Windows that were ended before they began do not count.
 func (m *StateMachine) CountWindows(tenant string, from, to time.Duration) (n int) {
 	in := func(at time.Duration) bool { return at >= from && at < to }
 	for _, w := range m.state.Windows {
@@ -41,7 +42,7 @@
 	return n
 }
 
-// addToHistory has a window that has begun count for its tenants.
+// addToHistory adds the beginning of a window that is over to the history of its tenants.
 func (m *StateMachine) addToHistory(w *storedWindow) {
 	all := slices.Clone(m.state.History)
 	for _, tenant := range w.Tenants {
@@ -54,25 +55,25 @@
 	m.state.History = all
 }
 
-// hasRoom tells whether the state has room for another window.
+// hasRoom reports whether the state stays within its bounds with another window.
 func (m *StateMachine) hasRoom(w *storedWindow) bool {
 	all := append(slices.Clone(m.state.Windows), w)
 	return len(all) <= maxWindows && maxWindowBytes(all) <= maxWindowsSize &&
 		m.maxHistoryBytes(all) <= maxHistorySize
 }
 
-// maxWindowBytes is the most bytes that windows may come to have in a snapshot.
+// maxWindowBytes returns the maximum size in bytes that windows can reach in a snapshot.
 func maxWindowBytes(all []*storedWindow) (n int) {
-	const timesGrowth = 40 // bytes, of times and counts that are set later
+	const timesGrowth = 40 // bytes of times and counts that are set later
 	for _, w := range all {
 		n += len(marshal(w)) + maxReasonSize + timesGrowth
 	}
 	return n
 }
 
-// maxHistoryBytes is the most bytes that the history may come to have once all windows are over.
+// maxHistoryBytes returns the maximum size in bytes that the history can reach once all windows are over.
 func (m *StateMachine) maxHistoryBytes(all []*storedWindow) int {
-	const entrySize = 12 // bytes beside the tenant's name
+	const entrySize = 12 // bytes in addition to the tenant's name
 	n := len(marshal(m.state.History))
 	for _, w := range all {
 		for _, tenant := range w.Tenants {
@@ -82,14 +83,14 @@
 	return n
 }
 
-// advanceTime takes the time of a record and drops what has expired by it. Records' times are at most a
-// window's end, whatever clocks show.
+// advanceTime advances the state's time to that of a record and drops what has expired. Apply limits the time
+// of a record to the end of its window, so a wrong clock cannot advance it further.
 func (m *StateMachine) advanceTime(now time.Duration) {
 	m.state.Now = max(m.state.Now, now)
 	m.dropExpired(m.state.Now)
 }
 
-// dropExpired drops windows and history that were kept for long enough.
+// dropExpired removes windows that have been over for keepEnded, and history older than keepHistory.
 func (m *StateMachine) dropExpired(now time.Duration) {
 	m.state.Windows = slices.DeleteFunc(slices.Clone(m.state.Windows), func(w *storedWindow) bool {
 		return w.isOver() && w.StateSince < now-keepEnded
--- a/internal/control/maintenance/statemachine.go
+++ b/internal/control/maintenance/statemachine.go
@@ -10,51 +10,52 @@
 	"dunestep/internal/control/policy"
 )
 
-// state is what all records together have made. It is encoded as an array.
+// state is the result of all applied records. It is encoded as an array.
 type state struct {
 	_        struct{}        `cbor:",toarray"`
-	Revision uint64          // grows with each window that is accepted, or that there is no room for
-	Now      time.Duration   // the newest Unix time of a record
-	Windows  []*storedWindow // in the order in which they were accepted; a stored one is never changed
-	History  []tenantHistory // by tenant, sorted
-	Outcomes []Outcome       // the newest last
+	Revision uint64          // incremented by each window that is accepted, or rejected for lack of room
+	Now      time.Duration   // newest time of a record; Unix time
+	Windows  []*storedWindow // in order of acceptance; elements are immutable
+	History  []tenantHistory // sorted by tenant
+	Outcomes []Outcome       // oldest first
 }
 
-// Bounds of the state, so that it fits the log's snapshot.
+// Bounds of the state, so that it fits into a snapshot of the log.
 const (
 	maxOutcomes    = 24
-	maxWindows     = 24      // those that are over with them
+	maxWindows     = 24      // including windows that are over
 	maxWindowsSize = 8 << 10 // bytes of all windows
-	maxHistorySize = 4 << 10 // bytes of the history, with what the present windows will add
-	// MaxSnapshot is the most bytes of a snapshot.
+	maxHistorySize = 4 << 10 // bytes of the history, including what the present windows will add
+	// MaxSnapshot is the maximum size of a snapshot in bytes.
 	MaxSnapshot = 16 << 10
 )
 
-// confirmFraction: one part in so many of its notice may pass before a leader has applied a window's
-// acceptance. What is left has to be longer than any agent acts within the floor that it knows.
+// confirmFraction is the inverse of the fraction of a window's notice that may pass before a leader has
+// applied its acceptance. The rest of the notice must be longer than the time for which any agent may act
+// within the floor that it knows.
 const confirmFraction = 10
 
-// StateMachine makes the state out of the records of the agreed log. It depends on the records alone, and on
-// which version of the policy is in force, which does too: agents of several builds have to reach the same
-// state.
+// StateMachine applies the records of the agreed log to the state of all windows. The state depends only on
+// the records and on the policy version in force, which itself depends only on records: agents of different
+// builds must reach the same state.
 type StateMachine struct {
 	state      state
 	inForce    func() uint64
 	unreadable uint64
 }
 
-// NewStateMachine returns a StateMachine without windows. InForce is the version of the policy that is in
-// force by the records up to the one that is applied; it is called within Apply only.
+// NewStateMachine returns a StateMachine without windows. InForce returns the policy version in force after
+// the records up to the one being applied; it is called only within Apply.
 func NewStateMachine(inForce func() uint64) *StateMachine { return &StateMachine{inForce: inForce} }
 
-// UnreadableRecords counts the records that this build could not read.
+// UnreadableRecords returns the number of records that this build could not decode.
 func (m *StateMachine) UnreadableRecords() uint64 { return m.unreadable }
 
-// Revision is what the next request is planned from.
+// Revision returns the state's revision; see Proposal.Revision. It changes with each accepted window.
 func (m *StateMachine) Revision() uint64 { return m.state.Revision }
 
-// Windows are the known windows; those that are over are among them for a day. They are copies, but for their
-// lists, which must not be changed.
+// Windows returns copies of the known windows, including those that have been over for up to a day. The
+// caller must not change their slices, which are shared.
 func (m *StateMachine) Windows() (all []*Window) {
 	for _, w := range m.state.Windows {
 		all = append(all, w.window())
@@ -62,7 +63,8 @@
 	return all
 }
 
-// MovesTraffic tells whether a window moves traffic at a time, or is about to, and when that may change next.
+// MovesTraffic reports whether a window moves traffic at a time or begins within SumPeriod after it. Next is
+// the latest time at which to call it again, at most an hour ahead.
 func (m *StateMachine) MovesTraffic(at time.Duration) (moves bool, next time.Duration) {
 	next = at + time.Hour
 	for _, w := range m.state.Windows {
@@ -79,15 +81,16 @@
 	return moves, next
 }
 
-// AffectsTenant tells whether a window that moves traffic at a time, or is about to, is about a tenant.
+// AffectsTenant reports whether a window of a tenant moves traffic at a time or begins within SumPeriod after
+// it.
 func (m *StateMachine) AffectsTenant(tenant string, at time.Duration) bool {
 	return slices.ContainsFunc(m.state.Windows, func(w *storedWindow) bool {
 		return !w.isOver() && at >= w.From-SumPeriod && at < w.To && slices.Contains(w.Tenants, tenant)
 	})
 }
 
-// Apply applies the next record. A record that does not fit the state changes nothing: it came too late, or
-// twice.
+// Apply applies the next record. A record that is not valid in the present state, because it is late or a
+// duplicate, changes nothing.
 func (m *StateMachine) Apply(_ uint64, data []byte) {
 	var r record
 	if decoding.Unmarshal(data, &r) != nil {
@@ -103,10 +106,10 @@
 		return
 	}
 	if r.Kind != kindStopped && r.ChangeCount != m.state.Windows[i].ChangeCount {
-		return // made from an older state
+		return // proposed from an older state
 	}
 	w := *m.state.Windows[i]
-	r.Now = min(r.Now, w.To) // a clock that is years ahead does no more than one that is at the window's end
+	r.Now = min(r.Now, w.To) // bounds the effect of a clock that is years ahead
 	if r.Reason != "" || r.Kind == kindResumed {
 		w.Reason = truncate(strings.ToValidUTF8(r.Reason, "?"), maxReasonSize)
 	}
@@ -122,8 +125,8 @@
 	m.advanceTime(r.Now)
 }
 
-// applyProposal accepts a window, or notes why not. A proposal whose ID is known is passed over. One that is
-// no longer remembered is never accepted twice, as its revision is an older one.
+// applyProposal accepts a window, or records why it is rejected. A proposal with a known ID is ignored. A
+// proposal whose outcome is no longer stored is not accepted a second time, because its revision is outdated.
 func (m *StateMachine) applyProposal(r *record) {
 	if !isValidName(r.ID) || m.Outcome(r.ID).Status != policy.StatusUnknown {
 		return
@@ -132,7 +135,7 @@
 	if o.Cause, o.Found = m.rejectionCause(r); o.Cause == NotRejected {
 		o.Status = policy.StatusAccepted
 		m.state.Revision++
-		w := newStoredWindow(r.Window.window()) // without what only later records set
+		w := newStoredWindow(r.Window.window()) // without the fields that only later records set
 		w.PolicyVersion, w.Agent, w.MinNotice = r.PolicyVersion, r.Agent, r.Window.MinNotice
 		m.state.Windows = append(slices.Clone(m.state.Windows), w)
 	}
@@ -140,8 +143,8 @@
 	m.state.Outcomes = append(slices.Clone(all[max(len(all)-maxOutcomes+1, 0):]), o)
 }
 
-// rejectionCause is the first reason to reject a proposed window, with the version or revision that was
-// found.
+// rejectionCause returns the first reason to reject a proposed window, with the actual policy version or
+// revision where the cause is that it differs. It returns NotRejected if there is no reason.
 func (m *StateMachine) rejectionCause(r *record) (cause RejectionCause, found uint64) {
 	switch inForce := m.inForce(); {
 	case invalidReason(r) != "":
@@ -153,13 +156,13 @@
 	}
 	m.dropExpired(m.state.Now)
 	if !m.hasRoom(r.Window) {
-		m.state.Revision++ // so that it is not accepted later either, once this outcome is no longer remembered
+		m.state.Revision++ // prevents acceptance of a duplicate once this outcome is no longer stored
 		return TooManyWindows, 0
 	}
 	return NotRejected, 0
 }
 
-// Outcome is what is known here of a request; the status of one that is not known is policy.StatusUnknown.
+// Outcome returns the outcome of a request; its status is policy.StatusUnknown if the ID is not known.
 func (m *StateMachine) Outcome(id string) Outcome {
 	for _, o := range m.state.Outcomes {
 		if o.ID == id {
@@ -174,17 +177,17 @@
 	return Outcome{ID: id}
 }
 
-// Outcomes are those that are remembered, the newest last.
+// Outcomes returns the stored outcomes, oldest first; at most the latest 24.
 func (m *StateMachine) Outcomes() []Outcome { return slices.Clone(m.state.Outcomes) }
 
-// Snapshot returns the encoded state; the same records give the same bytes.
+// Snapshot returns the encoded state. The same sequence of records gives the same bytes.
 func (m *StateMachine) Snapshot() []byte { return marshal(m.state) }
 
-// ErrSnapshot is wrapped by the error of a snapshot that this build cannot read.
+// ErrSnapshot is wrapped by the error for a snapshot that this build cannot read.
 var ErrSnapshot = errors.New("window: cannot read the snapshot")
 
-// Restore replaces the state by a snapshot's; an empty snapshot has no windows. With an error, which wraps
-// ErrSnapshot, nothing has changed.
+// Restore replaces the state by that of a snapshot; an empty snapshot gives a state without windows. On an
+// error, which wraps ErrSnapshot, the state is unchanged.
 func (m *StateMachine) Restore(data []byte) error {
 	var st state
 	if len(data) > 0 {
@@ -197,7 +200,7 @@
 		}
 		for i, w := range st.Windows {
 			if w == nil || w.isInvalid() {
-				return fmt.Errorf("%w: window %d of it could never have been accepted", ErrSnapshot, i)
+				return fmt.Errorf("%w: window %d in it is invalid", ErrSnapshot, i)
 			}
 		}
 	}
--- a/internal/control/maintenance/transitions.go
+++ b/internal/control/maintenance/transitions.go
@@ -1,8 +1,9 @@
 package maintenance
 
-// applyRecord applies a later record to the window; false: it does not fit the state. A record that was made
-// from an older state never gets here: a kindTrafficFree that is on its way while the window is paused and
-// resumed would otherwise count for agents that missed the pause.
+// applyRecord applies a record other than kindAccepted to the window. It returns false, without a change, if
+// the record is not valid in the present state. The caller must not pass a record that was proposed from an
+// older state: otherwise a kindTrafficFree that is in flight while the window is paused and resumed would
+// take effect although some agents missed the pause.
 func (w *storedWindow) applyRecord(r *record) bool {
 	switch r.Kind {
 	case kindConfirmed:
@@ -21,7 +22,7 @@
 	return false
 }
 
-// confirm notes when a leader had applied the acceptance; a window that is confirmed too late is ended.
+// confirm records when a leader applied the acceptance. A window that is confirmed too late is ended.
 func (w *storedWindow) confirm(r *record) bool {
 	if w.ConfirmedAt != 0 || r.Now <= 0 {
 		return false
@@ -37,7 +38,7 @@
 	if w.State != Planned || w.ConfirmedAt == 0 || w.movedSteps(r.Now) < w.Steps || r.Now >= w.ReturnFrom {
 		return false
 	}
-	w.State = Free // StateSince still is the start of a resumed window's rise, which is over
+	w.State = Free // StateSince remains the time of the last resume
 	return true
 }
 
@@ -57,7 +58,7 @@
 	return true
 }
 
-// returnEarly has the window return from now on, or end where no key is moved.
+// returnEarly makes the window return from now on, or ends it if it has not begun or is past its end.
 func (w *storedWindow) returnEarly(r *record) bool {
 	if w.State == Returning {
 		return false
@@ -77,7 +78,7 @@
 	if r.Now < w.To && (w.State != Returning || w.movedSteps(r.Now) != 0) {
 		return false
 	}
-	if w.State != Returning { // agents without a lease fall from StateSince on
+	if w.State != Returning { // agents without a lease return their keys from StateSince on
 		w.StateSince = r.Now
 	}
 	w.State = Ended
--- a/internal/control/maintenance/turns.go
+++ b/internal/control/maintenance/turns.go
@@ -6,23 +6,25 @@
 	farm "github.com/dgryski/go-farm"
 )
 
-// Turns divides all servers into as many groups, by their zones. Each group has one day in as many days, its
-// turn, on which windows may hold its servers. An agent at policy.ModeBottom, which may not know of the
-// latest windows, keeps off the servers whose turn it is. Zero: no turns, and such an agent may use a server
-// that is free.
+// Turns is the number of groups into which all servers are divided by their zones. The groups take turns of
+// one day each, and a server may be in a window only during its group's turn. An agent at policy.ModeBottom,
+// which may not know of the latest windows, keeps off the servers whose turn it is. Zero disables turns; such
+// an agent may then use a server that was declared free.
 //
-// The zone decides, as operators ask for a whole zone at once; a server without a zone has a turn of its own.
+// Groups are made of whole zones because operators request windows for a whole zone at once. A server without
+// a zone is assigned to a group by its id.
 type Turns int
 
 const (
 	day = 24 * time.Hour
-	// noon UTC is when turns begin: windows are mostly at night, and few would be cut.
-	noon = 12 * time.Hour
-	// TurnMargin is kept free at both ends of a turn, for clocks that differ.
+	// turnStart is the time of day at which turns begin, 12:00 UTC: windows are mostly at night, so few cross
+	// it.
+	turnStart = 12 * time.Hour
+	// TurnMargin is the time left free at both ends of a turn, because clocks differ.
 	TurnMargin = 10 * time.Second
 )
 
-// Of is a server's turn, 0 up to the number of turns.
+// Of returns a server's turn, from 0 to t-1; 0 without turns.
 func (t Turns) Of(id, zone string) int {
 	if t < 1 {
 		return 0
@@ -34,16 +36,17 @@
 	return int(farm.Hash32([]byte(name)) % uint32(t))
 }
 
-// At is whose turn it is at a time (Unix time), and until when; -1 without turns.
+// At returns the turn at a Unix time and when that turn ends. Without turns it returns -1 and at plus a day.
 func (t Turns) At(at time.Duration) (turn int, until time.Duration) {
 	if t < 1 {
 		return -1, at + day
 	}
-	days := (at - noon) / day
-	return int(days % time.Duration(t)), (days+1)*day + noon
+	days := (at - turnStart) / day
+	return int(days % time.Duration(t)), (days+1)*day + turnStart
 }
 
-// Covers tells whether a server may be in a window during all of a time; see PlanInput.IsInTurn.
+// Covers reports whether a server may be in a window during [from, to): the interval must lie within the
+// server's turn less the margin at both ends. See PlanInput.IsInTurn.
 func (t Turns) Covers(id, zone string, from, to time.Duration) bool {
 	if t < 1 {
 		return true
--- a/internal/control/maintenance/turns_test.go
+++ b/internal/control/maintenance/turns_test.go
@@ -7,10 +7,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestTurns: a server that may be in a window during a time is kept off during all of it.
-func TestTurns(t *testing.T) {
+// TestTurnCoversWholeWindow checks that it is a server's turn during all of a window that Covers allows,
+// including the margins.
+func TestTurnCoversWholeWindow(t *testing.T) {
 	for h := range 24 * 8 {
-		from := begin + time.Duration(h)*time.Hour
+		from := mondayNoon + time.Duration(h)*time.Hour
 		to := from + 3*time.Hour
 		for _, id := range []string{"x", "y", "z"} {
 			if Turns(4).Covers(id, "", from, to) {
@@ -22,5 +23,5 @@
 			}
 		}
 	}
-	require.True(t, Turns(0).Covers("x", "", begin, begin+100*time.Hour))
+	require.True(t, Turns(0).Covers("x", "", mondayNoon, mondayNoon+100*time.Hour))
 }
--- a/internal/control/maintenance/utilization.go
+++ b/internal/control/maintenance/utilization.go
@@ -10,23 +10,24 @@
 	"time"
 )
 
-// utilization is what servers carry while the requested window and others are on. It changes only where one
-// of the others begins or ends, so each time between two such edges is checked once.
+// utilization computes the load of servers and the capacity left to tenants while the requested window and
+// others are in progress. These change only where another window begins or ends, so each interval between two
+// such edges is checked once.
 type utilization struct {
 	planner   *planner
-	edges     []time.Duration // where other windows begin or end, in order
-	checked   []bool          // by the time between edges; the first is before all edges
-	conflicts []*Conflict     // the same
+	edges     []time.Duration // where other windows begin or end, ascending
+	checked   []bool          // by interval; interval i ends at edges[i], the last has no end
+	conflicts []*Conflict     // by interval
 
 	tenantNames     []string // of all tenants
 	loads           []float64
 	totalCapacity   float64 // of all servers
-	presentCapacity float64 // of those that are not absent
+	presentCapacity float64 // of the servers that are not absent
 	tenantIndex     map[string]int
 	serverIndex     map[string]int
 
-	moved     []bool    // by tenant and server, of the time that is being checked
-	remaining []float64 // capacity, by tenant, of the time that is being checked
+	moved     []bool    // by tenant and server, in the interval being checked
+	remaining []float64 // capacity by tenant, in the interval being checked
 }
 
 func newUtilization(p *planner) utilization {
@@ -49,7 +50,7 @@
 	return u
 }
 
-// setLoads lists all tenants with their loads. NoTenant has what the others leave.
+// setLoads sets the tenants and their loads. NoTenant has the load that the others leave.
 func (u *utilization) setLoads() {
 	loads, rest := u.planner.input.TenantLoads, 1.0
 	u.tenantNames = append(slices.Collect(maps.Keys(loads)), u.planner.tenants...)
@@ -67,7 +68,7 @@
 	u.loads[u.tenantIndex[NoTenant]] = max(rest, 0)
 }
 
-// conflictDuring is the first conflict within a time; nil: there is none.
+// conflictDuring returns the first conflict in [from, to); nil if there is none.
 func (u *utilization) conflictDuring(from, to time.Duration) *Conflict {
 	after := func(edge, at time.Duration) int {
 		if edge <= at {
@@ -75,10 +76,10 @@
 		}
 		return 1
 	}
-	i, _ := slices.BinarySearchFunc(u.edges, from, after) // the time up to the first edge after from
+	i, _ := slices.BinarySearchFunc(u.edges, from, after) // interval up to the first edge after from
 	for ; i < len(u.checked); i++ {
 		if !u.checked[i] {
-			u.checked[i], u.conflicts[i] = true, u.checkBefore(i)
+			u.checked[i], u.conflicts[i] = true, u.conflictBefore(i)
 		}
 		if u.conflicts[i] != nil {
 			return u.conflicts[i]
@@ -90,8 +91,9 @@
 	return nil
 }
 
-// checkBefore is the conflict in the time before an edge; nil: there is none.
-func (u *utilization) checkBefore(edge int) *Conflict {
+// conflictBefore returns the conflict in the interval that ends at an edge, given by its index; nil if there
+// is none.
+func (u *utilization) conflictBefore(edge int) *Conflict {
 	var open []*Window
 	if edge > 0 {
 		at := u.edges[edge-1]
@@ -116,14 +118,14 @@
 		id := u.planner.input.Servers[i].ID
 		for _, tenant := range u.planner.tenants {
 			if !u.move(tenant, id) {
-				return doubleMove(open, tenant, id)
+				return movedTwiceConflict(open, tenant, id)
 			}
 		}
 	}
 	return cmp.Or(u.keptCapacityConflict(open), u.utilizationConflict(open))
 }
 
-// move moves a tenant off a server; false: it is off already.
+// move moves a tenant off a server. It returns false if the tenant was moved off it before.
 func (u *utilization) move(tenant, id string) bool {
 	t, known := u.tenantIndex[tenant]
 	s, listed := u.serverIndex[id]
@@ -141,13 +143,13 @@
 	return true
 }
 
-// doubleMove names the window that has a tenant off a server already.
-func doubleMove(open []*Window, tenant, id string) *Conflict {
+// movedTwiceConflict returns a conflict that names the window that already moves a tenant off a server.
+func movedTwiceConflict(open []*Window, tenant, id string) *Conflict {
 	c := &Conflict{Kind: MovedTwice, Tenant: tenant}
 	for _, w := range open {
 		if slices.Contains(w.Tenants, tenant) && slices.Contains(w.Nodes, id) {
 			until := time.Unix(0, int64(w.To)).UTC().Format(time.DateTime + " MST")
-			c.Reason = fmt.Sprintf("tenant %s: is off node %s by window %s until %s", tenant, id, w.ID, until)
+			c.Reason = fmt.Sprintf("tenant %s: moved off node %s by window %s until %s", tenant, id, w.ID, until)
 			return c
 		}
 	}
@@ -155,7 +157,8 @@
 	return c
 }
 
-// keptCapacityConflict names a tenant that has less capacity left than its contract keeps.
+// keptCapacityConflict returns a conflict for a requested tenant that would have less capacity left than its
+// contract requires; nil if there is none.
 func (u *utilization) keptCapacityConflict(open []*Window) *Conflict {
 	for i, tenant := range u.planner.tenants {
 		remaining := u.remaining[u.tenantIndex[tenant]]
@@ -165,15 +168,16 @@
 		fraction, kept := remaining/u.totalCapacity, u.planner.contracts[i].KeptCapacity()
 		if fraction < kept-tolerance {
 			return u.planner.tenantConflict(KeptCapacityMissed, i,
-				"%.3g of the capacity remains, its contract keeps %.3g%s", fraction, kept, withWindows(open))
+				"%.3g of the capacity remains, its contract requires %.3g%s", fraction, kept, withWindows(open))
 		}
 	}
 	return nil
 }
 
-// utilizationConflict names the server that is used most, if it is used too much.
+// utilizationConflict returns a conflict for the most utilized server if its utilization exceeds
+// MaxUtilization, or for a tenant that has load and no server; nil if there is none.
 func (u *utilization) utilizationConflict(open []*Window) *Conflict {
-	perTenant := make([]float64, len(u.loads)) // fraction of a server's capacity that the tenant uses
+	perTenant := make([]float64, len(u.loads)) // fraction of a server's capacity used by the tenant
 	all := 0.0
 	for t, load := range u.loads {
 		if load == 0 {
@@ -202,13 +206,13 @@
 	}
 	if highest > u.planner.input.MaxUtilization+tolerance {
 		return &Conflict{Kind: Overutilized, Reason: fmt.Sprintf(
-			"node %s is used to %.3g of what it can, %.3g at most may be%s", id, highest,
+			"node %s would use %.3g of its capacity, which exceeds the limit of %.3g%s", id, highest,
 			u.planner.input.MaxUtilization, withWindows(open))}
 	}
 	return nil
 }
 
-// withWindows names other windows for a conflict's reason, at most four of them.
+// withWindows returns a suffix for a conflict's reason that names up to four other windows; empty if none.
 func withWindows(open []*Window) string {
 	const maxNamed = 4
 	var names []string
