--- a/internal/control/maintenance/maintenancelog/adapter.go
+++ b/internal/control/maintenance/maintenancelog/adapter.go
@@ -1,9 +1,9 @@
-// Package maintenancelog runs package maintenance on a fleet.Node: it is the state machine of the agreed
-// log's records about windows (fleet.StateMachine), says what requests keep off, and brings windows through
-// their course where its voter leads (fleet.Application).
+// Package maintenancelog runs package maintenance on a fleet.Node: it applies the agreed log's records about
+// windows (fleet.StateMachine), computes which servers requests are kept off, and, at the leader, proposes
+// the records that change the state of windows (fleet.Application).
 //
-// It does no input or output and reads no clock. An Adapter is not safe for concurrent use: the goroutine
-// that runs the node owns it.
+// It does no I/O and reads no clock. An Adapter is not safe for concurrent use: the goroutine that runs the
+// node owns it.
 package maintenancelog
 
 import (
@@ -18,41 +18,41 @@
 	"dunestep/internal/fleet/lease"
 )
 
-// Adapter connects one process's part in maintenance windows to its node. The node calls it as a
-// fleet.StateMachine and as a fleet.Application; Exclusions, EncodeProposal and the others are called from
-// where the node is called.
+// Adapter connects the state machine, agent and proposer of maintenance windows in one process to its
+// fleet.Node. The node calls it as a fleet.StateMachine and as a fleet.Application; the other methods are
+// called by the goroutine that runs the node.
 type Adapter struct {
 	settings Settings
 	machine  *maintenance.StateMachine
 	agent    *maintenance.Agent
-	proposer *maintenance.Proposer // nil: not a voter
+	proposer *maintenance.Proposer // nil if the process is not a voter
 
 	counts       []maintenance.TenantCounts // for the next report
 	overloaded   bool
 	reportNumber uint64
-	reportAt     time.Duration // by the monotonic clock
+	reportAt     time.Duration // time of the next report; monotonic clock
 }
 
-// Settings are one agent's.
+// Settings configures the Adapter of one agent.
 type Settings struct {
-	Self          int
+	Self          int // number of this agent
 	IsVoter       bool
 	Incarnation   uint64 // the node's
-	MachineNumber uint8  // the state machine's number in the log's records
+	MachineNumber uint8  // number of the state machine in the log's records
 	Times         policy.Times
-	Turns         int           // the same at all agents; zero: none
-	MaxInFlight   time.Duration // the longest that a request may be in flight; zero: 30 s
-	ClockMargin   time.Duration // for clocks that differ; zero: 10 s
-	MinNotice     time.Duration // of a window; zero: maintenance.MinNotice
-	// InForce is the newest version of the policy that was activated by the records applied so far. The policy's
-	// state machine has to come before this one.
+	Turns         int           // number of turns, the same at all agents; zero: none
+	MaxInFlight   time.Duration // maximum time of a request in flight; zero: 30 s
+	ClockMargin   time.Duration // allowance for differing clocks; zero: 10 s
+	MinNotice     time.Duration // minimum notice of a window; zero: maintenance.MinNotice
+	// InForce returns the newest policy version that was activated by the records applied so far. The
+	// policy's state machine must come before this one in fleet.Settings.Machines.
 	InForce func() uint64
-	// View is what this process sees now. It is called at the voter that leads, while there are windows; nil:
-	// nothing is seen.
+	// View returns the process's local state. It is called at the leader while a window is planned or in
+	// progress; nil: the zero LeaderView is used.
 	View func(now fleet.ClockReading) maintenance.LeaderView
 }
 
-// New returns the Adapter of a process that starts.
+// New returns the Adapter of a process that has just started.
 func New(settings Settings) *Adapter {
 	s := &Adapter{settings: settings, machine: maintenance.NewStateMachine(settings.InForce)}
 	s.start()
@@ -77,11 +77,12 @@
 // Restore implements fleet.StateMachine.
 func (s *Adapter) Restore(data []byte) error { return s.machine.Restore(data) }
 
-// RecordsApplied implements fleet.Application. Nothing of a log that was replaced by a new one counts.
+// RecordsApplied implements fleet.Application. If the log was replaced by a new one, the agent and the
+// proposer are created anew, without what they derived from the old log.
 //
-//nolint:revive // flag-parameter: fleet.Application has it
-func (s *Adapter) RecordsApplied(now fleet.ClockReading, anew bool) {
-	if anew {
+//nolint:revive // flag-parameter: required by fleet.Application
+func (s *Adapter) RecordsApplied(now fleet.ClockReading, logReplaced bool) {
+	if logReplaced {
 		s.start()
 	}
 	s.agent.Learn(s.machine)
@@ -90,10 +91,10 @@
 	}
 }
 
-// LeaseNote implements fleet.Application: windows need no note.
+// LeaseNote implements fleet.Application: maintenance windows attach no note to leases.
 func (s *Adapter) LeaseNote() []byte { return nil }
 
-// MayGrantLease implements fleet.Application: windows have no say in leases, but take note of who holds them.
+// MayGrantLease implements fleet.Application: it always allows the lease, and records its holder at a voter.
 func (s *Adapter) MayGrantLease(now fleet.ClockReading, agent int, _ uint64, _ []byte) bool {
 	if s.proposer != nil {
 		s.proposer.LeaseGranted(now, agent)
@@ -101,7 +102,7 @@
 	return true
 }
 
-// HandleMessage implements fleet.Application: a voter receives an agent's report. Nothing is answered.
+// HandleMessage implements fleet.Application: a voter receives an agent's report. There is no reply.
 func (s *Adapter) HandleMessage(now fleet.ClockReading, from int, data []byte) []byte {
 	if s.proposer != nil {
 		s.proposer.ReportReceived(now, from, data)
@@ -112,7 +113,8 @@
 // HandleReply implements fleet.Application: there are no replies.
 func (s *Adapter) HandleReply(fleet.ClockReading, int, []byte) {}
 
-// NextActions implements fleet.Application. No reports are sent while no window moves traffic.
+// NextActions implements fleet.Application. Reports are sent only while a window moves traffic or begins
+// soon.
 func (s *Adapter) NextActions(now fleet.ClockReading, v fleet.VoterState) (actions fleet.Actions) {
 	moves, next := s.machine.MovesTraffic(now.Unix)
 	actions.Next = now.Mono + min(max(next-now.Unix, maintenance.ReportInterval/4), time.Minute)
@@ -131,7 +133,8 @@
 	return actions
 }
 
-// dueReports is this agent's report to each voter, where it is time for one.
+// dueReports returns this agent's report as a message to each voter, or nil if the next report is not due
+// yet.
 func (s *Adapter) dueReports(now fleet.ClockReading, voters []int) (messages []fleet.Message) {
 	if now.Mono < s.reportAt {
 		return nil
@@ -155,25 +158,26 @@
 	return s.settings.View(now)
 }
 
-// Exclusions is what requests keep off now; nil: nothing. It is the same pointer while nothing changes. The
-// reading, the standing and what is acted on have to be taken for this decision.
+// Exclusions returns which servers requests are kept off now; nil if none. It returns the same pointer while
+// nothing changes. The clock reading, the lease's standing and the active policy must be taken anew for this
+// decision.
 func (s *Adapter) Exclusions(now fleet.ClockReading, standing lease.Standing,
 	active policy.Active,
 ) *balancer.Exclusions {
 	return s.agent.Exclusions(now, standing, active)
 }
 
-// MovesTraffic tells whether a window moves traffic now, so that AddCounts is to be called.
+// MovesTraffic reports whether a window moves traffic now or begins soon, so that AddCounts must be called.
 func (s *Adapter) MovesTraffic(now fleet.ClockReading) bool {
 	moves, _ := s.machine.MovesTraffic(now.Unix)
 	return moves
 }
 
-// SetOverloaded takes whether this agent sheds load.
+// SetOverloaded sets whether the next reports say that this agent sheds load.
 func (s *Adapter) SetOverloaded(overloaded bool) { s.overloaded = overloaded }
 
-// AddCounts takes how tenants' requests have fared since it was called last. Tenants that no window moves are
-// left out.
+// AddCounts adds counts of tenants' requests, made since its previous call, to the next report. It ignores
+// tenants that no window affects now, and tenants beyond the first maintenance.MaxCounts.
 func (s *Adapter) AddCounts(now fleet.ClockReading, counts []maintenance.TenantCounts) {
 	for _, c := range counts {
 		if !s.machine.AffectsTenant(c.Tenant, now.Unix) {
@@ -189,8 +193,8 @@
 	}
 }
 
-// Windows are the known windows, in the states that they are in now; those that are over are among them for a
-// day. They must not be changed.
+// Windows returns the known windows with their states at now, including windows that have been over for up to
+// a day. The caller must not change them.
 func (s *Adapter) Windows(now fleet.ClockReading) []*maintenance.Window {
 	all := s.machine.Windows()
 	for _, w := range all {
@@ -199,21 +203,21 @@
 	return all
 }
 
-// AgreedWindows are the same, in the states that were agreed, whatever the clock shows.
+// AgreedWindows returns the same windows with their agreed states, independent of the clock.
 func (s *Adapter) AgreedWindows() []*maintenance.Window { return s.machine.Windows() }
 
-// Revision is what the next request is planned from.
+// Revision returns the state's revision; see maintenance.Proposal.
 func (s *Adapter) Revision() uint64 { return s.machine.Revision() }
 
-// Outcome is what is known of a request.
+// Outcome returns the outcome of a request; see maintenance.StateMachine.Outcome.
 func (s *Adapter) Outcome(id string) maintenance.Outcome { return s.machine.Outcome(id) }
 
-// Outcomes are the requests that are remembered, the newest last.
+// Outcomes returns the stored outcomes, oldest first.
 func (s *Adapter) Outcomes() []maintenance.Outcome { return s.machine.Outcomes() }
 
-// Plan is the window that a request would be, from this agent's input. Plan sets Now, Windows, CountWindows,
-// IsInTurn, MinNotice and ClockMargin of the input; its contracts have to be those of its PolicyVersion. The
-// error is maintenance.Plan's.
+// Plan returns the window for a request, without proposing it. It sets Now, Windows, CountWindows, IsInTurn,
+// MinNotice and ClockMargin of the input; the input's contracts must be those of its PolicyVersion. The error
+// is that of maintenance.Plan.
 func (s *Adapter) Plan(now fleet.ClockReading, request maintenance.WindowRequest,
 	input maintenance.PlanInput,
 ) (*maintenance.Window, error) {
@@ -227,12 +231,11 @@
 	return maintenance.Plan(request, input)
 }
 
-// ErrPolicyChanged means that a newer version of the policy was activated than the one that this agent acts
-// on.
-var ErrPolicyChanged = errors.New("window: a newer policy takes hold; ask again in a moment")
+// ErrPolicyChanged means that a policy version newer than the one that this agent acts on was activated.
+var ErrPolicyChanged = errors.New("window: a newer policy is taking effect; try again in a moment")
 
-// EncodeProposal returns the record that proposes a request, and the window that it would be. The error is
-// ErrPolicyChanged, maintenance.Plan's, or wraps maintenance.ErrInvalidWindow.
+// EncodeProposal plans a request and returns the record that proposes the window, and the window. The error
+// is ErrPolicyChanged, that of maintenance.Plan, or wraps maintenance.ErrInvalidWindow.
 func (s *Adapter) EncodeProposal(now fleet.ClockReading, request maintenance.WindowRequest,
 	input maintenance.PlanInput,
 ) ([]byte, *maintenance.Window, error) {
@@ -250,7 +253,7 @@
 	return data, w, err
 }
 
-// EncodeStop returns the record by which a window returns at once, or, before it has begun, is ended.
+// EncodeStop returns the record by which a window returns at once, or is ended if it has not begun.
 func (s *Adapter) EncodeStop(now fleet.ClockReading, id, reason string) []byte {
 	return maintenance.EncodeStop(id, s.settings.Self, now.Unix, reason)
 }
--- a/internal/control/maintenance/maintenancelog/adapter_test.go
+++ b/internal/control/maintenance/maintenancelog/adapter_test.go
@@ -13,15 +13,15 @@
 	"dunestep/internal/fleet/lease"
 )
 
-// noon is on a Monday, UTC.
-const noon = 1798459200 * time.Second
+// mondayNoon is 12:00 UTC on a Monday, as Unix time.
+const mondayNoon = 1798459200 * time.Second
 
 func at(after time.Duration) fleet.ClockReading {
-	return fleet.ClockReading{Unix: noon + after, Mono: time.Hour + after}
+	return fleet.ClockReading{Unix: mondayNoon + after, Mono: time.Hour + after}
 }
 
-// world is an adapter at the voter that leads, its log, and what it sees.
-type world struct {
+// leaderFixture is the adapter of the leader, with the policy and the servers that its view returns.
+type leaderFixture struct {
 	*Adapter
 	active policy.Active
 	nodes  []maintenance.Server
@@ -36,8 +36,8 @@
 	return map[string]*contract.Contract{"east": c}
 }
 
-func begin(t *testing.T) *world {
-	w := &world{active: policy.Active{Mode: policy.ModeFull, Version: 1, Effect: &policy.Effect{
+func newLeader(t *testing.T) *leaderFixture {
+	w := &leaderFixture{active: policy.Active{Mode: policy.ModeFull, Version: 1, Effect: &policy.Effect{
 		Contracts: contracts(t, "mon-sun 20:00-06:00"),
 	}}}
 	for _, id := range []string{"n1", "n2", "n3"} {
@@ -52,8 +52,9 @@
 	return w
 }
 
-// run plays the leader, with agents that report how a tenant's requests fare.
-func (w *world) run(from, to time.Duration, c maintenance.TenantCounts, agents int) {
+// runLeader simulates the leader once per second in [from, to), with agents that report the same counts
+// each time.
+func (w *leaderFixture) runLeader(from, to time.Duration, c maintenance.TenantCounts, agents int) {
 	for d := from; d < to; d += time.Second {
 		for i := range agents {
 			w.HandleMessage(at(d), i, maintenance.EncodeReport(maintenance.Report{
@@ -67,96 +68,99 @@
 	}
 }
 
-func (w *world) ask(t *testing.T) *maintenance.Window {
-	ask := maintenance.WindowRequest{
-		ID: "a", Nodes: []string{"n1"}, Tenants: []string{"east"}, From: noon + 9*time.Hour,
-		To: noon + 11*time.Hour,
+func (w *leaderFixture) proposeWindow(t *testing.T) *maintenance.Window {
+	request := maintenance.WindowRequest{
+		ID: "a", Nodes: []string{"n1"}, Tenants: []string{"east"}, From: mondayNoon + 9*time.Hour,
+		To: mondayNoon + 11*time.Hour,
 	}
-	data, win, err := w.EncodeProposal(at(0), ask, maintenance.PlanInput{
+	data, window, err := w.EncodeProposal(at(0), request, maintenance.PlanInput{
 		Servers: w.nodes, Contracts: w.active.Effect.Contracts,
 		TenantLoads: map[string]float64{"east": 0.5}, PeakLoad: 0.5, PolicyVersion: 1,
 	})
 	require.NoError(t, err)
 	w.Apply(1, data)
 	w.RecordsApplied(at(0), false)
-	w.run(0, 2*time.Second, maintenance.TenantCounts{}, 1)
-	return win
+	w.runLeader(0, 2*time.Second, maintenance.TenantCounts{}, 1)
+	return window
 }
 
-var fine = maintenance.TenantCounts{Tenant: "east", Requests: 100, Served: 100}
+var healthyCounts = maintenance.TenantCounts{Tenant: "east", Requests: 100, Served: 100}
 
-func TestCourseOfAWindow(t *testing.T) {
-	const open = 9 * time.Hour
-	state := func(w *world, d time.Duration) maintenance.State { return w.Windows(at(d))[0].State }
-	for name, x := range map[string]func(t *testing.T, w *world, drained time.Duration){
-		"free, and to its end": func(t *testing.T, w *world, drained time.Duration) {
-			w.run(open, drained+39*time.Second, fine, 3)
+// TestWindowLifecycle checks the states that a window passes through without a fault, on each kind of fault,
+// and when an operator stops it.
+func TestWindowLifecycle(t *testing.T) {
+	const begin = 9 * time.Hour
+	state := func(w *leaderFixture, d time.Duration) maintenance.State { return w.Windows(at(d))[0].State }
+	for name, check := range map[string]func(t *testing.T, w *leaderFixture, drained time.Duration){
+		"free, then ended": func(t *testing.T, w *leaderFixture, drained time.Duration) {
+			w.runLeader(begin, drained+39*time.Second, healthyCounts, 3)
 			require.Equal(t, maintenance.Drained, state(w, drained+39*time.Second))
-			w.run(drained+39*time.Second, drained+42*time.Second, fine, 3)
+			w.runLeader(drained+39*time.Second, drained+42*time.Second, healthyCounts, 3)
 			require.Equal(t, maintenance.Free, state(w, drained+42*time.Second))
-			require.Equal(t, maintenance.Returning, state(w, 2*time.Hour+open-time.Second))
-			w.run(2*time.Hour+open, 2*time.Hour+open+11*time.Second, fine, 3)
+			require.Equal(t, maintenance.Returning, state(w, 2*time.Hour+begin-time.Second))
+			w.runLeader(2*time.Hour+begin, 2*time.Hour+begin+11*time.Second, healthyCounts, 3)
 			require.Equal(t, maintenance.Ended, w.AgreedWindows()[0].State)
 		},
-		"no agent reports": func(t *testing.T, w *world, drained time.Duration) {
-			w.run(open, drained+90*time.Second, fine, 0)
+		"no agent reports": func(t *testing.T, w *leaderFixture, drained time.Duration) {
+			w.runLeader(begin, drained+90*time.Second, healthyCounts, 0)
 			require.Equal(t, maintenance.Drained, state(w, drained+90*time.Second))
 		},
-		"paused, and resumed": func(t *testing.T, w *world, drained time.Duration) {
-			w.run(open, open+15*time.Second, maintenance.TenantCounts{Tenant: "east", Requests: 100, Served: 80, Failed: 20}, 3)
-			require.Equal(t, maintenance.Paused, state(w, open+15*time.Second))
-			w.run(open+15*time.Second, open+50*time.Second, fine, 3)
-			require.Equal(t, maintenance.Draining, state(w, open+50*time.Second))
+		"paused, then resumed": func(t *testing.T, w *leaderFixture, drained time.Duration) {
+			w.runLeader(begin, begin+15*time.Second, maintenance.TenantCounts{Tenant: "east", Requests: 100, Served: 80, Failed: 20}, 3)
+			require.Equal(t, maintenance.Paused, state(w, begin+15*time.Second))
+			w.runLeader(begin+15*time.Second, begin+50*time.Second, healthyCounts, 3)
+			require.Equal(t, maintenance.Draining, state(w, begin+50*time.Second))
 		},
-		"paused, and returns": func(t *testing.T, w *world, drained time.Duration) {
-			w.run(open, open+35*time.Second, maintenance.TenantCounts{Tenant: "east", Requests: 100, Served: 80, Failed: 20}, 3)
-			require.Equal(t, maintenance.Returning, state(w, open+35*time.Second))
+		"paused, then returned": func(t *testing.T, w *leaderFixture, drained time.Duration) {
+			w.runLeader(begin, begin+35*time.Second, maintenance.TenantCounts{Tenant: "east", Requests: 100, Served: 80, Failed: 20}, 3)
+			require.Equal(t, maintenance.Returning, state(w, begin+35*time.Second))
 		},
-		"servers are lost": func(t *testing.T, w *world, drained time.Duration) {
-			w.run(open, open+20*time.Second, fine, 3)
+		"servers are lost": func(t *testing.T, w *leaderFixture, drained time.Duration) {
+			w.runLeader(begin, begin+20*time.Second, healthyCounts, 3)
 			w.nodes = w.nodes[:2]
-			w.run(open+20*time.Second, open+55*time.Second, fine, 3)
-			require.Equal(t, maintenance.Returning, state(w, open+55*time.Second))
+			w.runLeader(begin+20*time.Second, begin+55*time.Second, healthyCounts, 3)
+			require.Equal(t, maintenance.Returning, state(w, begin+55*time.Second))
 		},
-		"exclusions are overridden": func(t *testing.T, w *world, drained time.Duration) {
-			w.run(open, drained+60*time.Second, fine, 3)
+		"exclusions are overridden": func(t *testing.T, w *leaderFixture, drained time.Duration) {
+			w.runLeader(begin, drained+60*time.Second, healthyCounts, 3)
 			require.Equal(t, maintenance.Free, state(w, drained+60*time.Second))
-			w.run(drained+60*time.Second, drained+62*time.Second, maintenance.TenantCounts{Tenant: "east", Requests: 9, ExclusionOverrides: 1}, 1)
+			w.runLeader(drained+60*time.Second, drained+62*time.Second, maintenance.TenantCounts{Tenant: "east", Requests: 9, ExclusionOverrides: 1}, 1)
 			require.Equal(t, maintenance.Returning, state(w, drained+62*time.Second))
 		},
-		"the contract changed": func(t *testing.T, w *world, drained time.Duration) {
-			w.run(open, drained+60*time.Second, fine, 3)
+		"the contract changed": func(t *testing.T, w *leaderFixture, drained time.Duration) {
+			w.runLeader(begin, drained+60*time.Second, healthyCounts, 3)
 			w.active.Version, w.active.Effect = 2, &policy.Effect{Contracts: contracts(t, "mon-sun 20:00-22:00")}
-			w.run(drained+60*time.Second, drained+61*time.Second, fine, 3)
+			w.runLeader(drained+60*time.Second, drained+61*time.Second, healthyCounts, 3)
 			require.Equal(t, maintenance.Returning, state(w, drained+61*time.Second))
 		},
-		"stopped before it begins": func(t *testing.T, w *world, drained time.Duration) {
+		"stopped before it begins": func(t *testing.T, w *leaderFixture, drained time.Duration) {
 			w.Apply(0, w.EncodeStop(at(time.Hour), "a", "no"))
 			require.Equal(t, maintenance.Stopped, state(w, time.Hour))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := begin(t)
-			x(t, w, w.ask(t).DrainedAt-noon)
+			w := newLeader(t)
+			check(t, w, w.proposeWindow(t).DrainedAt-mondayNoon)
 		})
 	}
 }
 
-// TestReportsOnlyWhileTrafficMoves: agents report nothing while no window moves traffic, and then about its tenants alone.
+// TestReportsOnlyWhileTrafficMoves checks that agents send reports only while a window moves traffic, at most
+// one per interval, and only about the window's tenants.
 func TestReportsOnlyWhileTrafficMoves(t *testing.T) {
-	w := begin(t)
+	w := newLeader(t)
 	voting := fleet.VoterState{Voters: []int{0, 1, 2}}
 	require.Empty(t, w.NextActions(at(0), voting).Messages)
-	w.ask(t)
-	due := w.NextActions(at(time.Hour), voting)
-	require.Empty(t, due.Messages)
+	w.proposeWindow(t)
+	actions := w.NextActions(at(time.Hour), voting)
+	require.Empty(t, actions.Messages)
 	require.False(t, w.MovesTraffic(at(time.Hour)))
 	now := at(9*time.Hour + time.Second)
 	require.True(t, w.MovesTraffic(now))
 	w.SetOverloaded(true)
-	w.AddCounts(now, []maintenance.TenantCounts{fine, {Tenant: "west", Requests: 5}})
+	w.AddCounts(now, []maintenance.TenantCounts{healthyCounts, {Tenant: "west", Requests: 5}})
 	require.Len(t, w.NextActions(now, voting).Messages, 3)
-	require.Empty(t, w.NextActions(now, voting).Messages, "not again for a while")
+	require.Empty(t, w.NextActions(now, voting).Messages, "the next report must wait for the interval")
 	_, _, err := w.EncodeProposal(now, maintenance.WindowRequest{ID: "b"}, maintenance.PlanInput{PolicyVersion: 2})
 	require.ErrorIs(t, err, ErrPolicyChanged)
 	require.Nil(t, w.HandleMessage(now, 5, []byte("nonsense")))
--- a/internal/control/maintenance/maintenancelog/golden_test.go
+++ b/internal/control/maintenance/maintenancelog/golden_test.go
@@ -15,17 +15,18 @@
 	"dunestep/internal/fleet"
 )
 
-// update has the golden files written anew. They were made by the build before the packages were renamed: a
-// change of them is a change of what other builds read.
-var update = flag.Bool("update", false, "write testdata/golden anew")
+// update rewrites the golden files. They were made by a build that predates the present package names: a
+// change of them changes the format that other builds read.
+var update = flag.Bool("update", false, "rewrite testdata/golden")
 
-// goldenForm is one encoded form by its name in a golden file.
+// goldenForm is an encoded value with its name in a golden file.
 type goldenForm struct {
 	name string
 	data []byte
 }
 
-// requireGolden compares encoded forms with a golden file of lines "name hex", and returns those of the file.
+// requireGolden requires that encoded forms equal those in a golden file of lines "name hex", and returns the
+// decoded bytes of the file by name.
 func requireGolden(t *testing.T, file string, forms []goldenForm) map[string][]byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", file)
@@ -49,16 +50,16 @@
 	return stored
 }
 
-// TestGoldenMessages: the record of an ask that fits, the one by which staff stop a window, and what an agent
-// tells voters while it moves something.
+// TestGoldenMessages checks that the encodings of a proposal, an operator's stop, an agent's report to voters
+// and a snapshot are unchanged.
 func TestGoldenMessages(t *testing.T) {
-	w := begin(t)
+	w := newLeader(t)
 	w.settings.Incarnation = 1800000000123
-	ask := maintenance.WindowRequest{
-		ID: "a", Agent: 3, Nodes: []string{"n1"}, Tenants: []string{"east"}, From: noon + 9*time.Hour,
-		To: noon + 11*time.Hour,
+	request := maintenance.WindowRequest{
+		ID: "a", Agent: 3, Nodes: []string{"n1"}, Tenants: []string{"east"}, From: mondayNoon + 9*time.Hour,
+		To: mondayNoon + 11*time.Hour,
 	}
-	record, _, err := w.EncodeProposal(at(0), ask, maintenance.PlanInput{
+	record, _, err := w.EncodeProposal(at(0), request, maintenance.PlanInput{
 		Servers: w.nodes, Contracts: w.active.Effect.Contracts,
 		TenantLoads: map[string]float64{"east": 0.5}, PeakLoad: 0.5, PolicyVersion: 1,
 	})
@@ -68,12 +69,12 @@
 	moving := at(9*time.Hour + time.Second)
 	w.SetOverloaded(true)
 	w.AddCounts(moving, []maintenance.TenantCounts{{Tenant: "east", Requests: 100, Served: 80, Failed: 15, ExclusionOverrides: 5}})
-	due := w.NextActions(moving, fleet.VoterState{Voters: []int{1}})
-	require.Len(t, due.Messages, 1)
+	actions := w.NextActions(moving, fleet.VoterState{Voters: []int{1}})
+	require.Len(t, actions.Messages, 1)
 	requireGolden(t, "messages.txt", []goldenForm{
 		{"ask", record},
 		{"stop", w.EncodeStop(moving, "a", "by staff")},
-		{"word", due.Messages[0].Data},
+		{"word", actions.Messages[0].Data},
 		{"snapshot", w.Snapshot()},
 	})
 }
