--- a/internal/control/maintenance/plan_test.go
+++ b/internal/control/maintenance/plan_test.go
@@ -42,78 +42,78 @@
 		want   string
 		next   time.Duration
 	}{
-		"fits":            {func(*WindowRequest, *PlanInput) {}, "", none},
-		"touches another": {func(a *WindowRequest, _ *PlanInput) { a.From, a.To = other.To, other.To+time.Hour }, "", none},
-		"touches one after it": {func(a *WindowRequest, _ *PlanInput) {
+		"fits":                             {func(*WindowRequest, *PlanInput) {}, "", none},
+		"begins where another window ends": {func(a *WindowRequest, _ *PlanInput) { a.From, a.To = other.To, other.To+time.Hour }, "", none},
+		"ends where another window begins": {func(a *WindowRequest, _ *PlanInput) {
 			a.Nodes, a.From, a.To = []string{"c", "d"}, other.From-time.Hour, other.From
 		}, "", none},
-		"at the far edge": {
+		"ends within the margin of the hours": {
 			func(a *WindowRequest, _ *PlanInput) { a.From, a.To = at("21 02:00:00"), at("21 02:59:55") },
 			"tenant east: its contract's hours are Tue 2026-10-20 20:00:00 EEST to Wed 2026-10-21 06:00:00 EEST", at("21 17:00:10"),
 		},
-		"without a node": {
+		"all servers moved": {
 			func(a *WindowRequest, s *PlanInput) { a.Nodes, a.Zone, s.Servers = nil, "z", s.Servers[:2] },
 			"tenant east: is left without a node", none,
 		},
-		"a zone":            {func(a *WindowRequest, _ *PlanInput) { a.Nodes, a.Zone = nil, "z" }, "", none},
-		"no contract":       {func(a *WindowRequest, _ *PlanInput) { a.Tenants = []string{"west"} }, "tenant west: has no contract, so its traffic may not be moved", none},
-		"all":               {func(a *WindowRequest, _ *PlanInput) { a.Tenants = []string{AllTenants} }, "tenant -: has no contract", none},
-		"on the list twice": {func(_ *WindowRequest, s *PlanInput) { s.Servers = append(s.Servers, Server{ID: "a"}) }, "node a is listed twice", none},
-		"short":             {func(a *WindowRequest, _ *PlanInput) { a.To = a.From + 4*time.Minute }, "4m0s is too short: at this move rate keys take 1m40s to leave", none},
-		"long":              {func(a *WindowRequest, _ *PlanInput) { a.To = a.From + 3*time.Hour }, "tenant east: its contract limits a window to 2h0m0s", none},
-		"late":              {func(_ *WindowRequest, s *PlanInput) { s.Now = at("20 19:45:01") }, "tenant east: a window must be requested 20m0s in advance", at("20 20:08:00")},
-		"by day": {
+		"a whole zone":                        {func(a *WindowRequest, _ *PlanInput) { a.Nodes, a.Zone = nil, "z" }, "", none},
+		"tenant without a contract":           {func(a *WindowRequest, _ *PlanInput) { a.Tenants = []string{"west"} }, "tenant west: has no contract, so its traffic may not be moved", none},
+		"all tenants, one without a contract": {func(a *WindowRequest, _ *PlanInput) { a.Tenants = []string{AllTenants} }, "tenant -: has no contract", none},
+		"server listed twice":                 {func(_ *WindowRequest, s *PlanInput) { s.Servers = append(s.Servers, Server{ID: "a"}) }, "node a is listed twice", none},
+		"too short":                           {func(a *WindowRequest, _ *PlanInput) { a.To = a.From + 4*time.Minute }, "4m0s is too short: at this move rate keys take 1m40s to leave", none},
+		"longer than the contract allows":     {func(a *WindowRequest, _ *PlanInput) { a.To = a.From + 3*time.Hour }, "tenant east: its contract limits a window to 2h0m0s", none},
+		"too little notice":                   {func(_ *WindowRequest, s *PlanInput) { s.Now = at("20 19:45:01") }, "tenant east: a window must be requested 20m0s in advance", at("20 20:08:00")},
+		"outside the hours": {
 			func(a *WindowRequest, _ *PlanInput) { a.From, a.To = at("21 08:00:00"), at("21 09:00:00") },
 			"tenant east: its contract's hours do not allow Wed 2026-10-21 11:00:00 EEST", at("21 17:00:10"),
 		},
-		"at the edge": {
+		"begins within the margin of the hours": {
 			func(a *WindowRequest, _ *PlanInput) { a.From, a.To = at("21 17:00:00"), at("21 18:00:00") },
 			"tenant east: its contract's hours are Wed 2026-10-21 20:00:00 EEST to Thu 2026-10-22 06:00:00 EEST, and a window must leave 10s free at both ends", at("21 17:00:10"),
 		},
-		"monthly": {func(_ *WindowRequest, s *PlanInput) {
+		"too many windows in the month": {func(_ *WindowRequest, s *PlanInput) {
 			s.CountWindows = func(string, time.Duration, time.Duration) int { return 2 }
 		}, "tenant east: it already has its maximum of 2 windows in 2026-10", none},
-		"twice": {
+		"moved off a server by another window": {
 			func(a *WindowRequest, _ *PlanInput) { a.From, a.To = at("20 18:00:00"), at("20 19:00:00") },
 			"tenant east: moved off node a by window w1 until 2026-10-20 19:00:00 UTC", other.To,
 		},
-		"kept": {
+		"less capacity than the contract requires": {
 			func(a *WindowRequest, _ *PlanInput) {
 				a.Nodes, a.From, a.To = []string{"c"}, at("20 18:00:00"), at("20 19:00:00")
 			},
 			"tenant east: 0.571 of the capacity remains, its contract requires 0.7, with windows w1", other.To,
 		},
-		"too full": {func(_ *WindowRequest, s *PlanInput) { s.PeakLoad = 0.89 }, "node b would use 0.964 of its capacity, which exceeds the limit of 0.9", none},
-		"one is down": {
+		"utilization too high": {func(_ *WindowRequest, s *PlanInput) { s.PeakLoad = 0.89 }, "node b would use 0.964 of its capacity, which exceeds the limit of 0.9", none},
+		"an absent server": {
 			func(a *WindowRequest, s *PlanInput) { a.Nodes, s.Servers[6].Absent = []string{"c", "d"}, true },
 			"tenant east: 0.571 of the capacity remains", none,
 		},
-		"one is down that a window holds": {func(a *WindowRequest, s *PlanInput) {
+		"a server absent in a window until the beginning": {func(a *WindowRequest, s *PlanInput) {
 			a.Nodes, s.Servers[6].Absent = []string{"c", "d"}, true
 			s.Windows = []*Window{{ID: "w0", From: s.Now, To: a.From, Nodes: []string{"g", "on no list"}}}
 		}, "", none},
-		"beside one that is down by a window": {func(a *WindowRequest, s *PlanInput) {
+		"a server absent in an overlapping window": {func(a *WindowRequest, s *PlanInput) {
 			a.Nodes, s.Servers = []string{"c", "d"}, s.Servers[:6]
 			s.Windows = []*Window{{ID: "w0", From: s.Now, To: a.To, Nodes: []string{"g"}, Tenants: []string{"east"}}}
 		}, "tenant east: 0.571 of the capacity remains", at("20 21:00:00")},
-		"no turn": {func(_ *WindowRequest, s *PlanInput) {
+		"server not in its turn": {func(_ *WindowRequest, s *PlanInput) {
 			s.IsInTurn = func(n Server, from, _ time.Duration) bool { return n.ID != "a" || from >= at("22 12:00:00") }
 		}, "node a is not in its turn at that time", at("22 17:00:10")},
-		"unknown node":   {func(a *WindowRequest, _ *PlanInput) { a.Nodes = []string{"a", "q"} }, "not a listed node: q", none},
-		"empty zone":     {func(a *WindowRequest, _ *PlanInput) { a.Zone = "w"; a.Nodes = nil }, "no listed node is in zone w", none},
-		"nothing":        {func(a *WindowRequest, _ *PlanInput) { a.Nodes = nil }, "a window needs a node or a zone", none},
-		"no tenant":      {func(a *WindowRequest, _ *PlanInput) { a.Tenants = nil }, "a window needs a tenant", none},
-		"turned round":   {func(a *WindowRequest, _ *PlanInput) { a.To = a.From }, "a window must end after it begins", none},
-		"years ahead":    {func(a *WindowRequest, _ *PlanInput) { a.From += 2000 * time.Hour; a.To += 2000 * time.Hour }, "a window must begin within 62 days", none},
-		"slow":           {func(a *WindowRequest, _ *PlanInput) { a.MoveRate = 0.0001 }, "the move rate must be a fraction of the keys per second", none},
-		"no number":      {func(a *WindowRequest, _ *PlanInput) { a.MoveRate = math.NaN() }, "the move rate must be a fraction of the keys per second", none},
-		"nameless":       {func(a *WindowRequest, _ *PlanInput) { a.ID = "" }, "a window needs a name of 1 to 64 bytes", none},
-		"names too long": {func(a *WindowRequest, _ *PlanInput) { a.Tenants = append(a.Tenants, strings.Repeat("x", maxNamesSize)) }, "names of 2048 bytes in total", none},
+		"unknown server":          {func(a *WindowRequest, _ *PlanInput) { a.Nodes = []string{"a", "q"} }, "not a listed node: q", none},
+		"zone without servers":    {func(a *WindowRequest, _ *PlanInput) { a.Zone = "w"; a.Nodes = nil }, "no listed node is in zone w", none},
+		"no server":               {func(a *WindowRequest, _ *PlanInput) { a.Nodes = nil }, "a window needs a node or a zone", none},
+		"no tenant":               {func(a *WindowRequest, _ *PlanInput) { a.Tenants = nil }, "a window needs a tenant", none},
+		"end not after beginning": {func(a *WindowRequest, _ *PlanInput) { a.To = a.From }, "a window must end after it begins", none},
+		"too far ahead":           {func(a *WindowRequest, _ *PlanInput) { a.From += 2000 * time.Hour; a.To += 2000 * time.Hour }, "a window must begin within 62 days", none},
+		"move rate too low":       {func(a *WindowRequest, _ *PlanInput) { a.MoveRate = 0.0001 }, "the move rate must be a fraction of the keys per second", none},
+		"move rate NaN":           {func(a *WindowRequest, _ *PlanInput) { a.MoveRate = math.NaN() }, "the move rate must be a fraction of the keys per second", none},
+		"no ID":                   {func(a *WindowRequest, _ *PlanInput) { a.ID = "" }, "a window needs a name of 1 to 64 bytes", none},
+		"names too long":          {func(a *WindowRequest, _ *PlanInput) { a.Tenants = append(a.Tenants, strings.Repeat("x", maxNamesSize)) }, "names of 2048 bytes in total", none},
 	} {
-		a, s := WindowRequest{ID: "w2", Nodes: []string{"a"}, Tenants: []string{"east"}, From: at("20 20:00:00"), To: at("20 21:00:00")}, input
-		s.Servers = slices.Clone(s.Servers)
-		test.change(&a, &s)
-		w, err := Plan(a, s)
+		request, changed := WindowRequest{ID: "w2", Nodes: []string{"a"}, Tenants: []string{"east"}, From: at("20 20:00:00"), To: at("20 21:00:00")}, input
+		changed.Servers = slices.Clone(changed.Servers)
+		test.change(&request, &changed)
+		w, err := Plan(request, changed)
 		if test.want == "" {
 			require.NoError(t, err, name)
 			require.Equal(t, time.Duration(w.Steps)*time.Second, w.DrainedAt-w.From, name)
