--- a/internal/fleet/raftlog/loss.go
+++ b/internal/fleet/raftlog/abandonment.go
@@ -2,12 +2,14 @@
 
 // When a log is abandoned.
 //
-// A voter leaves its log if the log cannot continue: of its voters, by the newest configuration that it
-// knows, a majority is proved gone, and every other configured voter reports that it has no log or is in the
-// same situation; and the log is volatile, or an operator has consented. From then on it is a new store with
-// another nonce.
+// A voter leaves its log, and becomes a new store with another nonce, if all of the following hold:
+//
+//   - a majority of the log's voters, by the newest configuration that this voter knows, is proved gone;
+//   - every other configured voter recently reported that it has no log, or that its log cannot continue;
+//   - no live log was observed for Config.FoundingQuietPeriod;
+//   - the log is volatile, or an operator has consented.
 
-// isStuck reports whether a majority of the voters is proved gone, so that nothing can be committed any more.
+// isStuck reports whether a majority of the voters is proved gone, so that nothing can be committed anymore.
 func (v *Voter) isStuck() bool {
 	if v.raftNode == nil {
 		return false
@@ -25,7 +27,7 @@
 	return len(ids) > 0 && remaining < len(ids)/2+1
 }
 
-// isReplaced reports whether a member's store is gone, as its agent has a newer one.
+// isReplaced reports whether a member's store is gone because its agent has a newer one.
 func (v *Voter) isReplaced(m member) bool {
 	if m.agent == v.config.Agent {
 		return m.nonce < v.identity.Nonce
@@ -33,19 +35,20 @@
 	return m.nonce < v.joining.hellos[m.agent].nonce
 }
 
-// hasLostLearnedLog reports whether this store was added to a log that disappeared before it sent its first
-// snapshot.
-func (v *Voter) hasLostLearnedLog() bool {
-	return v.isLonely() && len(v.confState.GetVoters()) == 0 &&
+// hasLostLogBeforeSnapshot reports whether this store was added to a log that disappeared before it sent its
+// first snapshot.
+func (v *Voter) hasLostLogBeforeSnapshot() bool {
+	return v.isLongLeaderless() && len(v.confState.GetVoters()) == 0 &&
 		v.now.Sub(v.leaderSeenAt) > v.config.FoundingQuietPeriod
 }
 
-// mayAbandonLog reports whether the log cannot continue and may be given up.
+// mayAbandonLog reports whether the log cannot continue and may be abandoned.
 func (v *Voter) mayAbandonLog() bool {
 	return v.isStuck() && (v.config.Volatile || v.joining.isAbandonRequested) && v.hasNoLiveLogElsewhere()
 }
 
-// hasNoLiveLogElsewhere reports whether every other configured voter has no log, or one that cannot continue.
+// hasNoLiveLogElsewhere reports whether every other configured voter recently reported that it has no log or
+// one that cannot continue, and no live log was observed for Config.FoundingQuietPeriod.
 func (v *Voter) hasNoLiveLogElsewhere() bool {
 	for _, a := range v.config.Voters {
 		h, isKnown := v.joining.hellos[a]
@@ -53,5 +56,5 @@
 			return false
 		}
 	}
-	return v.isQuiet()
+	return v.isQuietPeriodOver()
 }
--- a/internal/fleet/raftlog/compact.go
+++ b/internal/fleet/raftlog/compact.go
@@ -5,10 +5,10 @@
 const (
 	// snapshotAfterBytes is the size of the entries in memory after which a snapshot is requested.
 	snapshotAfterBytes = 192 << 10
-	// retainedBytes is how much of the entries before a snapshot is retained, for voters that are a little
-	// behind.
+	// retainedBytes is the maximum size of the entries that are retained before a snapshot, for voters that are
+	// slightly behind.
 	retainedBytes = 32 << 10
-	// entryOverheadBytes is counted for each retained entry beside its data.
+	// entryOverheadBytes is counted for each retained entry in addition to its data.
 	entryOverheadBytes = 16
 )
 
@@ -17,7 +17,7 @@
 		(v.storage.snapshotWanted || v.storage.entryBytes > snapshotAfterBytes)
 }
 
-// handleCompact makes a snapshot with the application's state, and drops the entries that it covers except
+// handleCompact creates a snapshot with the application's state, and drops the entries that it covers except
 // for the retained ones.
 func (v *Voter) handleCompact(in Compact) error {
 	switch {
@@ -35,20 +35,20 @@
 	}
 	snap, err := v.storage.CreateSnapshot(in.Index, v.confState, v.state.encode(in.Data))
 	if err != nil {
-		return fmt.Errorf("raftlog: cannot create a snapshot as of %d: %w", in.Index, err)
+		return fmt.Errorf("raftlog: cannot create a snapshot at index %d: %w", in.Index, err)
 	}
 	v.pendingSnapshot = snap
 	v.storage.snapshotWanted, v.storage.entryBytes = false, 0
 	if through := v.compactThrough(in.Index); through > 0 {
 		if err := v.storage.Compact(through); err != nil {
-			return fmt.Errorf("raftlog: cannot drop the entries up to %d: %w", through, err)
+			return fmt.Errorf("raftlog: cannot drop the entries up to index %d: %w", through, err)
 		}
 	}
 	return nil
 }
 
-// compactThrough returns the index up to which entries are dropped: the entries after it, up to index, have
-// at most retainedBytes. 0: none are dropped.
+// compactThrough returns the index up to which entries are dropped, or 0 if none are: the entries after it,
+// up to index, have at most retainedBytes.
 func (v *Voter) compactThrough(index uint64) uint64 {
 	first, err := v.storage.FirstIndex()
 	if err != nil {
--- a/internal/fleet/raftlog/doc.go
+++ b/internal/fleet/raftlog/doc.go
@@ -6,10 +6,11 @@
 // Consensus is done by go.etcd.io/raft (pre-vote, check-quorum, joint configuration changes). This package
 // drives a raft node and adds what raft leaves to its user:
 //
-//   - Identity. An agent's number is not its raft ID: the log assigns an ID once to one store, and a store is
-//     identified by its nonce. A store that was lost, or a process without a disk, comes back as a new store;
-//     the other voters add it as a learner and let it replace the earlier one (joining.go, membership.go).
-//   - Founding and abandoning a log (founding.go, loss.go).
+//   - Identity. An agent's number is not its raft ID: the log assigns each ID once, to one store, and a store
+//     is identified by its nonce. An agent that lost its store, or runs without a disk, returns with a new
+//     store; the other voters add that store as a learner, and it replaces the earlier one (joining.go,
+//     membership.go).
+//   - Founding and abandoning a log (founding.go, abandonment.go).
 //   - Idempotent proposals with an outcome that is committed, not committed or unknown (proposals.go).
 //   - Freshness: a point in time up to which a voter is known to have applied everything that was committed
 //     (freshness.go).
@@ -21,16 +22,17 @@
 //
 // With durable stores, no record that was reported as committed is lost while a majority of the stores
 // exists, however often processes end. With volatile stores, none is lost while a majority of the processes
-// runs; if a majority ends at once, the log is lost and a new, empty one is founded under a higher epoch.
+// runs; if a majority ends at the same time, the log is lost and a new, empty one is founded under a higher
+// epoch.
 //
-// An agent must not run two voters at the same time: the earlier one has to end before the later one starts
-// (a lock on the state folder, or the hand-over during an upgrade). A replaced process that keeps running
-// cannot harm a log that has a majority, but it can harm a volatile log that is being abandoned.
+// An agent must not run two voters at the same time: the earlier one has to end before the later one starts,
+// which a lock on the state folder and the handover during an upgrade ensure. A replaced process that keeps
+// running cannot harm a log that has a majority, but it can harm a volatile log that is being abandoned.
 //
 // # Determinism, concurrency, bounds
 //
 // A Voter has no clock, network, disk or random source of its own: Step takes one input with its time, and
-// returns what has to be written, sent and applied. Equal inputs give equal outputs. A Voter starts no
+// returns the data to write, send and apply. Equal inputs give equal outputs. A Voter starts no
 // goroutines and is not safe for concurrent use. Memory is bounded. Messages from other agents are validated;
 // a message that raft itself cannot process stops the voter (Phase Broken), not the process.
 package raftlog
--- a/internal/fleet/raftlog/founding.go
+++ b/internal/fleet/raftlog/founding.go
@@ -4,18 +4,19 @@
 
 // How a log is founded.
 //
-// A log is founded by the configured voter with the lowest number, and only when every configured voter
-// recently said that it has no log and has promised itself to this very process, and no live log was observed
-// (LiveLogSeen) for Config.FoundingQuietPeriod. A voter keeps to its last promise, accepts only the log that
-// this founder begins, and belongs to at most one log. Hence, with the same configuration everywhere, two
-// logs cannot both have a majority, and none is founded while there are voters of one that can continue, as
-// those have a log.
+// A log is founded by the configured voter with the lowest number, and only when two conditions are met:
+// every configured voter recently reported that it has no log and has promised to join only a log founded by
+// this process; and no live log was observed (LiveLogSeen) for Config.FoundingQuietPeriod. A voter honors
+// only its last promise: it joins no other founder's new log, and belongs to at most one log. Therefore, if
+// all agents have the same configuration, two logs cannot both have a majority. No log is founded while
+// another one can continue, because the voters of that one have a log.
 //
-// Not covered: agents with different configurations may found two logs if the voters configured in one can
-// reach none of the other's voters, nor an agent that knows of its log. Each log has its epoch; all others
-// follow the highest one.
+// Not covered: agents with different configurations may found two logs if the voters of one configuration can
+// reach neither a voter of the other one nor an agent that knows the other log. Each log has its own epoch,
+// and all other agents follow the log with the highest one.
 
-// notePromise binds a store without a log to the process that may found a log with it.
+// notePromise records the promise of a store without a log to join only a log founded by the sender's
+// process.
 func (v *Voter) notePromise(from uint32, h hello) {
 	isFounder := from == v.config.Voters[0]
 	if v.raftNode == nil && isFounder && h.state == noLog && h.nonce != v.identity.PromisedNonce {
@@ -23,7 +24,7 @@
 	}
 }
 
-// handleLiveLogSeen postpones the founding of a log.
+// handleLiveLogSeen restarts the quiet period that precedes the founding of a log.
 func (v *Voter) handleLiveLogSeen(in LiveLogSeen) {
 	if v.isPlausibleEpoch(in.Epoch) {
 		v.noteEpoch(in.Epoch)
@@ -31,14 +32,14 @@
 	}
 }
 
-// isQuiet reports whether no live log was observed for the quiet period.
-func (v *Voter) isQuiet() bool {
+// isQuietPeriodOver reports whether no live log was observed for Config.FoundingQuietPeriod.
+func (v *Voter) isQuietPeriodOver() bool {
 	return v.now.Sub(v.joining.liveLogSeenAt) >= v.config.FoundingQuietPeriod
 }
 
-// foundLog founds a log if this is the founder and all configured voters are ready for it.
+// foundLog founds a log if this voter is the founder and all configured voters are ready for it.
 func (v *Voter) foundLog() {
-	if v.config.Voters[0] != v.config.Agent || !v.isQuiet() {
+	if v.config.Voters[0] != v.config.Agent || !v.isQuietPeriodOver() {
 		return
 	}
 	founders, isComplete := v.founders()
@@ -54,8 +55,8 @@
 	}
 }
 
-// founders returns the members of a log that this voter founds, itself first. It is incomplete unless each
-// configured voter has no log and has promised itself to this process.
+// founders returns the members of a log that this voter founds, itself first. isComplete reports whether each
+// configured voter has no log and has promised to join the log of this process.
 func (v *Voter) founders() (founders []member, isComplete bool) {
 	founders = []member{{1, v.config.Agent, v.identity.Nonce}}
 	for i, a := range v.config.Voters[1:] {
@@ -68,7 +69,7 @@
 	return founders, true
 }
 
-// foundingSnapshot is the beginning of a log, the same at all its founders.
+// foundingSnapshot returns the initial snapshot of a log, which is the same at all its founders.
 func foundingSnapshot(founders []member) *raftpb.Snapshot {
 	s := logState{founders: founders, members: founders, nextID: uint64(len(founders)) + 1}
 	conf := &raftpb.ConfState{}
--- a/internal/fleet/raftlog/joining.go
+++ b/internal/fleet/raftlog/joining.go
@@ -7,18 +7,18 @@
 
 // How a store becomes a member of a log.
 //
-// A store without a log says hello to all configured voters. Where there is a leader, it adds the store as a
-// learner under the next raft ID that was never used; the store is told its ID, catches up, and is made a
-// voter in the place of the one that its agent had before, or of one whose agent is not configured any more
-// (membership.go). A hello with a higher nonce proves that the agent's earlier store is gone, as an agent
-// must not run two.
+// A store without a log sends hello messages to all configured voters. If there is a leader, it adds the
+// store as a learner under the next raft ID that was never used; the store receives its ID in a welcome
+// message, catches up, and becomes a voter. It replaces the earlier store of its agent, or a voter whose
+// agent is not configured any more (membership.go). A hello with a higher nonce proves that the agent's
+// earlier store is gone, as an agent must not run two.
 
 // recentHelloIntervals is the number of hello intervals for which a hello counts as recent.
 const recentHelloIntervals = 4
 
-// lonelyElections is the number of election timeouts without a leader after which a member asks the others
+// leaderlessElections is the number of election timeouts without a leader after which a member sends hellos
 // again.
-const lonelyElections = 3
+const leaderlessElections = 3
 
 // receivedHello is the last hello of a configured voter.
 type receivedHello struct {
@@ -26,11 +26,12 @@
 	at time.Time
 }
 
-// joinState is what a voter knows of the other stores, beside its log.
+// joinState is what a voter knows about other stores from messages outside the log, with the times of its own
+// hellos and configuration changes.
 type joinState struct {
-	hellos             map[uint32]receivedHello // by the agent, of configured voters only
+	hellos             map[uint32]receivedHello // last hello of each configured voter, by agent
 	nextHello          time.Time
-	lastConfChange     time.Time // when this leader last proposed a configuration change
+	lastConfChange     time.Time // last time this voter, as the leader, proposed a configuration change
 	liveLogSeenAt      time.Time
 	isAbandonRequested bool
 }
@@ -42,19 +43,20 @@
 	return v.now.Sub(h.at) < recentHelloIntervals*v.helloInterval()
 }
 
-// isLonely reports whether this member has had no leader for long.
-func (v *Voter) isLonely() bool {
-	return v.leaderID() == 0 && v.now.Sub(v.leaderSeenAt) > lonelyElections*v.config.electionTimeout()
+// isLongLeaderless reports whether this member has had no leader for more than leaderlessElections election
+// timeouts.
+func (v *Voter) isLongLeaderless() bool {
+	return v.leaderID() == 0 && v.now.Sub(v.leaderSeenAt) > leaderlessElections*v.config.electionTimeout()
 }
 
-// runJoining says hello where that is useful, and founds or leaves a log on the ground of what the others
-// said.
+// runJoining sends hellos while this voter lacks a working log, and founds or leaves a log depending on the
+// hellos of the others.
 func (v *Voter) runJoining() {
 	if v.now.Before(v.joining.nextHello) {
 		return
 	}
 	v.joining.nextHello = v.now.Add(v.helloInterval())
-	if v.raftNode == nil || v.isLonely() || v.isStuck() {
+	if v.raftNode == nil || v.isLongLeaderless() || v.isStuck() {
 		for _, a := range v.config.Voters {
 			if a != v.config.Agent {
 				v.deferMessage(a, v.ownHello().encode())
@@ -64,7 +66,7 @@
 	switch {
 	case v.raftNode == nil:
 		v.foundLog()
-	case v.hasLostLearnedLog(), v.mayAbandonLog():
+	case v.hasLostLogBeforeSnapshot(), v.mayAbandonLog():
 		v.leaveLog()
 	}
 }
@@ -82,9 +84,9 @@
 	return h
 }
 
-// handleHello processes a hello. That of an agent that is not a configured voter is answered but not
-// remembered.
-func (v *Voter) handleHello(from uint32, h hello) (isTaken bool) {
+// handleHello processes a hello, and reports whether it is acceptable. A hello from an agent that is not a
+// configured voter is answered but not remembered.
+func (v *Voter) handleHello(from uint32, h hello) (isAccepted bool) {
 	if slices.Contains(v.config.Voters, from) {
 		if !v.noteHello(from, h) {
 			return false
@@ -103,8 +105,8 @@
 	return true
 }
 
-// noteHello remembers the hello of a configured voter.
-func (v *Voter) noteHello(from uint32, h hello) (isTaken bool) {
+// noteHello remembers the hello of a configured voter, and reports whether it is acceptable.
+func (v *Voter) noteHello(from uint32, h hello) (isAccepted bool) {
 	last, isKnown := v.joining.hellos[from]
 	switch {
 	case h.nonce == 0 || !v.isPlausibleEpoch(max(h.epoch, h.highestEpochSeen)):
@@ -119,8 +121,8 @@
 	return true
 }
 
-// relayHello forwards the hello of a store without a log to the leader, which may not be a configured voter
-// any more, or may not be reachable for the store.
+// relayHello forwards the hello of a store without a log to the leader: the leader may not be a configured
+// voter any more, or the store may not be able to reach it.
 func (v *Voter) relayHello(from uint32, h hello) {
 	leader := v.state.member(v.leaderID())
 	if h.state == noLog && leader != nil && leader.agent != from && leader.id != v.identity.ID {
@@ -128,12 +130,13 @@
 	}
 }
 
-// plausibleNonce is a nonce in Unix milliseconds, of the year 2039: epochs of up to twice that are accepted
-// by any voter.
+// plausibleNonce is a nonce in Unix milliseconds, of the year 2039. Every voter accepts epochs of up to twice
+// this value.
 const plausibleNonce = 1 << 41
 
-// isPlausibleEpoch rejects epochs that would leave no room for higher ones. Epochs begin with a founder's
-// nonce, which follows the Unix time; the times of inputs may be of a clock that begins with the machine.
+// isPlausibleEpoch reports whether an epoch is low enough to be followed by higher ones. Epochs begin with a
+// founder's nonce, which follows the Unix time. The times of inputs cannot serve as the bound, as their clock
+// may start at zero when the machine boots.
 func (v *Voter) isPlausibleEpoch(epoch uint64) bool {
 	return epoch/2 <= max(v.identity.Nonce, plausibleNonce)
 }
@@ -144,7 +147,7 @@
 	}
 }
 
-// sendMembership tells a store its raft ID in this log, or that it was removed.
+// sendMembership notifies a store of its raft ID in this log, or of its removal from it.
 func (v *Voter) sendMembership(to uint32, h hello) {
 	if h.epoch == v.identity.Epoch && h.id != 0 {
 		if h.id < v.state.nextID && v.state.member(h.id) == nil {
@@ -163,11 +166,11 @@
 	}
 }
 
-// handleWelcome joins the log that has assigned a raft ID to this store.
-func (v *Voter) handleWelcome(w welcome) (isTaken bool) {
+// handleWelcome joins the log that has assigned a raft ID to this store, and reports whether it did.
+func (v *Voter) handleWelcome(w welcome) (isAccepted bool) {
 	switch {
 	case v.raftNode != nil || w.nonce != v.identity.Nonce:
-		return false // has a log, or it is for another store of this agent
+		return false // this store has a log, or the message is for another store of this agent
 	case w.epoch == 0 || w.id == 0 || !v.isPlausibleEpoch(w.epoch):
 		return false
 	case v.knowsLaterLog(w.epoch) || !v.isPromisedTo(w):
@@ -176,7 +179,7 @@
 	return v.joinLog(w) == nil
 }
 
-// knowsLaterLog reports whether a configured voter lately reported a log of a higher epoch.
+// knowsLaterLog reports whether a configured voter recently reported a log of a higher epoch.
 func (v *Voter) knowsLaterLog(epoch uint64) bool {
 	for _, a := range v.config.Voters {
 		if h := v.joining.hellos[a]; v.isRecent(h) && h.epoch > epoch {
@@ -186,8 +189,8 @@
 	return false
 }
 
-// isPromisedTo reports whether a founded log is the one that this store promised to join. Logs that it is
-// added to later need no promise.
+// isPromisedTo reports whether a new log is of the founder that this store promised to join. A store that is
+// added to an existing log needs no promise.
 func (v *Voter) isPromisedTo(w welcome) bool {
 	if len(w.founders) == 0 {
 		return true
@@ -212,8 +215,8 @@
 	return nil
 }
 
-// handleRemoved leaves the log if this store was removed from it.
-func (v *Voter) handleRemoved(m removed) (isTaken bool) {
+// handleRemoved leaves the log if this store was removed from it, and reports whether it did.
+func (v *Voter) handleRemoved(m removed) (isAccepted bool) {
 	if v.raftNode == nil || m.epoch != v.identity.Epoch || m.id != v.identity.ID {
 		return false
 	}
@@ -221,7 +224,7 @@
 	return true
 }
 
-// leaveLog makes this a new store without a log. Its raft ID is never used again.
+// leaveLog turns this store into a new one without a log. Its raft ID is never used again.
 func (v *Voter) leaveLog() {
 	v.stopRaft()
 	v.identity = Identity{
--- a/internal/fleet/raftlog/logstate.go
+++ b/internal/fleet/raftlog/logstate.go
@@ -7,11 +7,12 @@
 
 var errSnapshotFormat = errors.New("the snapshot cannot be decoded")
 
-// logState is the state that all voters derive alike from the log, beside the application's.
+// logState is the part of the replicated state that belongs to the log itself, not to the application. All
+// voters derive the same one from the log.
 type logState struct {
 	founders     []member
-	members      []member // by raft ID
-	nextID       uint64   // the next raft ID to be assigned
+	members      []member // ordered by raft ID
+	nextID       uint64   // next raft ID to be assigned
 	settled      map[ProposalID]settledProposal
 	settledOrder []ProposalID // the keys of settled, oldest first
 }
@@ -20,10 +21,10 @@
 type member struct {
 	id    uint64 // raft ID
 	agent uint32
-	nonce uint64 // of its store
+	nonce uint64 // nonce of its store
 }
 
-// member returns the member with a raft ID; nil: there is none.
+// member returns the member with a raft ID, or nil if there is none.
 func (s *logState) member(id uint64) *member {
 	for i := range s.members {
 		if s.members[i].id == id {
@@ -50,18 +51,18 @@
 	return append(b, application...)
 }
 
-// decodeLogState decodes the data of a snapshot.
+// decodeLogState decodes the data of a snapshot into the log's state and the application's.
 func decodeLogState(b []byte) (s logState, application []byte, err error) {
 	r := &reader{b: b}
 	s.nextID = r.u64()
 	s.founders, s.members = readMembers(r), readMembers(r)
 	s.settled = map[ProposalID]settledProposal{}
-	for n := r.u16(); n > 0 && !r.isTooShort; n-- {
+	for n := r.u16(); n > 0 && !r.isTruncated; n-- {
 		id := readID(r)
 		s.settled[id] = settledProposal{r.u64(), r.u8() == 1}
 		s.settledOrder = append(s.settledOrder, id)
 	}
-	if r.isTooShort {
+	if r.isTruncated {
 		return s, nil, errSnapshotFormat
 	}
 	return s, r.b, nil
@@ -78,7 +79,7 @@
 }
 
 func readMembers(r *reader) (members []member) {
-	for n := r.u8(); n > 0 && !r.isTooShort; n-- {
+	for n := r.u8(); n > 0 && !r.isTruncated; n-- {
 		members = append(members, member{r.u64(), r.u32(), r.u64()})
 	}
 	return members
--- a/internal/fleet/raftlog/membership.go
+++ b/internal/fleet/raftlog/membership.go
@@ -10,13 +10,16 @@
 )
 
 const (
-	// caughtUpEntries is how many entries a learner may be behind when it is made a voter.
-	caughtUpEntries = 8
-	// silentLearnerElections is the number of election timeouts after which a silent learner is removed.
+	// maxLearnerLagEntries is the maximum number of entries that a learner may be behind when it becomes a
+	// voter.
+	maxLearnerLagEntries = 8
+	// silentLearnerElections is the number of election timeouts after which a learner that sends no messages is
+	// removed.
 	silentLearnerElections = 10
 )
 
-// reconfigure proposes, as the leader, the next configuration change that is due: one at a time.
+// reconfigure proposes, as the leader, the next configuration change that is due. Changes are made one at a
+// time.
 func (v *Voter) reconfigure() {
 	switch {
 	case len(v.confState.GetVotersOutgoing()) > 0:
@@ -28,12 +31,12 @@
 	}
 	if c := v.nextConfChange(); c != nil {
 		v.joining.lastConfChange = v.now
-		// Raft drops it while an earlier change is not applied yet: it is proposed again.
+		// Raft drops the change while an earlier one is not applied yet; it is proposed again later.
 		_ = v.raftNode.ProposeConfChange(c)
 	}
 }
 
-// nextConfChange returns the next change that is due; nil: none is.
+// nextConfChange returns the next change that is due, or nil if none is.
 func (v *Voter) nextConfChange() *raftpb.ConfChangeV2 {
 	if ids := v.confState.GetLearners(); len(ids) > 0 {
 		return v.learnerConfChange(ids[0])
@@ -52,8 +55,9 @@
 	return nil
 }
 
-// learnerConfChange makes a learner a voter once it has caught up, in the place of a voter that is gone, or
-// removes it if it is gone itself; nil: neither is due.
+// learnerConfChange returns the change that is due for a learner, or nil if none is. A learner that has
+// caught up becomes a voter, and replaces its agent's earlier store or a voter that is not configured any
+// more. A learner that is gone, silent or not configured any more is removed.
 func (v *Voter) learnerConfChange(id uint64) *raftpb.ConfChangeV2 {
 	remove := confChange(nil, singleChange(raftpb.ConfChangeRemoveNode, id))
 	m := v.state.member(id)
@@ -83,7 +87,7 @@
 	v.raftNode.WithProgress(func(i uint64, _ raft.ProgressType, pr tracker.Progress) {
 		if i == id {
 			isCaughtUp = pr.RecentActive && pr.State == tracker.StateReplicate &&
-				pr.Match+caughtUpEntries >= v.appliedIndex
+				pr.Match+maxLearnerLagEntries >= v.appliedIndex
 			isSilent = !pr.RecentActive &&
 				v.now.Sub(v.joining.lastConfChange) > silentLearnerElections*v.config.electionTimeout()
 		}
@@ -91,7 +95,7 @@
 	return isCaughtUp, isSilent
 }
 
-// highestNonce returns the highest nonce of an agent's members; 0: it has none.
+// highestNonce returns the highest nonce of an agent's members, or 0 if it has no members.
 func (v *Voter) highestNonce(agent uint32) (n uint64) {
 	for _, m := range v.state.members {
 		if m.agent == agent {
@@ -101,8 +105,8 @@
 	return n
 }
 
-// unconfiguredVoter returns a voter whose agent is not configured any more, this voter only if there is no
-// other; 0: there is none.
+// unconfiguredVoter returns the raft ID of a voter whose agent is not configured any more, or 0 if there is
+// none. It returns this voter's own ID only if there is no other such voter.
 func (v *Voter) unconfiguredVoter() (id uint64) {
 	for _, m := range v.state.members {
 		if slices.Contains(v.config.Voters, m.agent) || !slices.Contains(v.confState.GetVoters(), m.id) {
@@ -123,14 +127,16 @@
 	return &raftpb.ConfChangeV2{Changes: changes, Context: ctx}
 }
 
-// changeContextBytes is the size of the context of a change that adds a learner: its agent and its nonce.
+// changeContextBytes is the size of the context of a change that adds a learner: its agent's number and its
+// nonce.
 const changeContextBytes = 4 + 8
 
 func addContext(agent uint32, nonce uint64) []byte {
 	return binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint32(nil, agent), nonce)
 }
 
-// isValidChange reports whether a committed configuration change is applied. All voters decide alike.
+// isValidChange reports whether a committed configuration change is valid, and so applied. All voters come to
+// the same result.
 func (s *logState) isValidChange(c *raftpb.ConfChangeV2, conf *raftpb.ConfState) bool {
 	isJoint := len(conf.GetVotersOutgoing()) > 0
 	if c.LeaveJoint() {
@@ -167,7 +173,7 @@
 	return votes > 0
 }
 
-// applyChange updates the members after raft has applied a valid change, which made the configuration conf.
+// applyChange updates the members after raft has applied a valid change; conf is the resulting configuration.
 func (s *logState) applyChange(c *raftpb.ConfChangeV2, conf *raftpb.ConfState) {
 	for _, ch := range c.GetChanges() {
 		if ch.GetType() == raftpb.ConfChangeAddLearnerNode {
@@ -176,7 +182,7 @@
 			s.nextID = ch.GetNodeId() + 1
 		}
 	}
-	// Not in place: the founders may share the array.
+	// A new slice, as founders may share the array of members.
 	remaining := s.members[:0:0]
 	for _, m := range s.members {
 		if isInConfig(conf, m.id) {
--- a/internal/fleet/raftlog/outputs.go
+++ b/internal/fleet/raftlog/outputs.go
@@ -9,15 +9,16 @@
 // Identity identifies a store to the other voters. Its zero value is that of an unused store.
 type Identity struct {
 	Nonce uint64 // unique among all stores of all agents
-	Epoch uint64 // of the log that the store belongs to; 0: none
+	Epoch uint64 // epoch of the log that the store belongs to; 0: none
 	ID    uint64 // the store's raft ID in that log
 	// PromisedNonce is the nonce of the only voter that may found a log with this store while it has none.
 	PromisedNonce uint64
-	// HighestEpochSeen is the highest epoch of which this store was informed.
+	// HighestEpochSeen is the highest epoch of any log that this store was informed of.
 	HighestEpochSeen uint64
 }
 
-// Stored is what was written before the process ended. Its zero value is a new store, or a volatile one.
+// Stored is the state that was written before the process ended. Its zero value is a new store, or a volatile
+// one.
 type Stored struct {
 	Identity  Identity
 	HardState *raftpb.HardState
@@ -25,23 +26,23 @@
 	Entries   []*raftpb.Entry // contiguous; entries covered by the snapshot may be missing
 }
 
-// Persist requests one atomic write. Persisted with its token has to follow once the write is durable, or at
-// once where nothing is stored; no other Persist is returned before.
+// Persist requests one atomic write. The caller has to answer with Persisted and the same token once the
+// write is durable, or at once if nothing is stored. No other Persist is returned before that.
 type Persist struct {
 	Token     uint64
 	Identity  *Identity // nil: unchanged
-	Reset     bool      // everything written before is void
+	Reset     bool      // discard everything that was written before
 	HardState *raftpb.HardState
 	Snapshot  *raftpb.Snapshot
-	// ReplaceEntries reports that all entries written before are void: the snapshot came from another voter.
+	// ReplaceEntries discards all entries that were written before, as the snapshot is of another voter.
 	ReplaceEntries bool
-	// DropThrough is the index up to which entries are void, as the snapshot covers them.
+	// DropThrough is the index up to which entries are discarded, as the snapshot covers them.
 	DropThrough uint64
-	// Entries are appended; entries written before at the index of the first one or above are void.
+	// Entries are appended. They replace the entries written before from the index of the first one on.
 	Entries []*raftpb.Entry
 }
 
-// Apply applies a write to what is stored, as a durable store does.
+// Apply applies a write to the stored state, as a durable store does.
 func (s *Stored) Apply(p *Persist) {
 	if p.Reset {
 		*s = Stored{Identity: s.Identity}
@@ -67,7 +68,7 @@
 
 // Message is a message to the voter of another agent.
 type Message struct {
-	To    uint32 // the agent
+	To    uint32 // receiving agent
 	Bytes []byte
 }
 
@@ -78,19 +79,19 @@
 	Data        []byte
 }
 
-// Restore replaces the application's state: at a start, and where a voter was too far behind to be sent the
-// records.
+// Restore replaces the application's state: at a start, and when the voter was too far behind to receive the
+// records themselves.
 type Restore struct {
 	Epoch, Index uint64
-	Data         []byte // nil: the empty state of a log that begins
+	Data         []byte // nil: the empty state of a new log
 }
 
-// Output is what follows from an input. Restore takes effect before Committed.
+// Output is the result of one input. Restore takes effect before Committed.
 type Output struct {
 	Persist        *Persist
 	Messages       []Message
 	Restore        *Restore
 	Committed      []Entry
 	SnapshotWanted bool  // a Compact is requested
-	Err            error // why the input was rejected: one of this package's errors, or the voter's failure
+	Err            error // reason for the rejection of the input, or the failure that stopped the voter
 }
--- a/internal/fleet/raftlog/proposals.go
+++ b/internal/fleet/raftlog/proposals.go
@@ -2,24 +2,24 @@
 
 import "encoding/binary"
 
-// ProposalID identifies a proposal. Origin and Number are the proposer's: no two proposals have the same.
-// Base is the index of the last record that the proposer knew when it first proposed; the proposal is
-// committed at most ProposalWindow records after it, or never. This bounds the memory that is needed to apply
-// each proposal once.
+// ProposalID identifies a proposal. Origin and Number are chosen by the proposer, and no two proposals have
+// the same pair. Base is the index of the last record that the proposer knew when it first proposed; the
+// proposal is committed at most ProposalWindow records after it, or never. This bounds the memory that is
+// needed to apply each proposal only once.
 type ProposalID struct{ Origin, Number, Base uint64 }
 
-// Outcome is what became of a proposal.
+// Outcome is the outcome of a proposal.
 type Outcome uint8
 
 // The outcomes.
 const (
 	// Unknown proposals may still be committed. They may be repeated or withdrawn.
 	Unknown Outcome = iota
-	// Committed proposals are in the log, once.
+	// Committed proposals are in the log, exactly once.
 	Committed
 	// NotCommitted proposals are not in the log and never will be.
 	NotCommitted
-	// Forgotten proposals are too old to tell.
+	// Forgotten proposals are so old that their outcome is not remembered.
 	Forgotten
 )
 
@@ -34,12 +34,12 @@
 const (
 	proposalIDBytes   = 3 * 8
 	recordHeaderBytes = 1 + proposalIDBytes
-	// rememberedRecords is the number of records for which outcomes are remembered: as long as a proposal may be
-	// committed, and as long again for those who ask what became of it.
+	// rememberedRecords is the number of records for which outcomes are remembered: the window in which a
+	// proposal may be committed, and a second window in which its outcome can be queried.
 	rememberedRecords = 2 * ProposalWindow
 )
 
-// propose proposes a record or its withdrawal, unless the outcome is known already.
+// propose proposes a record or a withdrawal, unless the proposal's outcome is known already.
 func (v *Voter) propose(kind recordKind, id ProposalID, data []byte) error {
 	switch {
 	case len(data) > MaxProposalBytes:
@@ -82,12 +82,12 @@
 
 // settledProposal is a proposal whose outcome is known.
 type settledProposal struct {
-	index       uint64 // of the record that settled it
+	index       uint64 // index of the record that settled it
 	isCommitted bool   // false: withdrawn
 }
 
-// settle processes the record of a proposal at an index, and reports whether the proposal is to be applied:
-// it is the first record of this proposal, within the window, and not a withdrawal.
+// settle processes the record of a proposal at an index, and reports whether the proposal is applied. It is
+// applied if the record is the first one of this proposal, within the window, and not a withdrawal.
 func (s *logState) settle(id ProposalID, index uint64, kind recordKind) (isApplied bool) {
 	for len(s.settledOrder) > 0 && s.settled[s.settledOrder[0]].index+rememberedRecords <= index {
 		delete(s.settled, s.settledOrder[0])
@@ -105,7 +105,7 @@
 	return isApplied
 }
 
-// outcome returns what became of a proposal as of the applied index, and its index if it was committed.
+// outcome returns the outcome of a proposal as of the applied index, and its index if it was committed.
 func (s *logState) outcome(id ProposalID, applied uint64) (Outcome, uint64) {
 	p, isSettled := s.settled[id]
 	switch {
--- a/internal/fleet/raftlog/raftnode.go
+++ b/internal/fleet/raftlog/raftnode.go
@@ -11,14 +11,15 @@
 const (
 	// maxEntryBytesPerMessage bounds the entries of one append message.
 	maxEntryBytesPerMessage = 4 << 10
-	// maxInFlightAppends is one: a long append is fragmented and a short one sent after it would overtake it;
-	// raft would take that for a loss and resend everything.
+	// maxInFlightAppends is 1, as a long append is fragmented and a short one sent after it would overtake it.
+	// Raft would treat that as a loss and resend everything.
 	maxInFlightAppends = 1
-	// maxUncommittedBytes bounds the entries that wait to be committed, and those that are applied in one step.
+	// maxUncommittedBytes bounds the entries that wait to be committed, and the entries that are applied in one
+	// step.
 	maxUncommittedBytes = 256 << 10
 )
 
-// startRaft creates the raft node of a store that belongs to a log.
+// startRaft creates the raft node for a store that belongs to a log.
 func (v *Voter) startRaft(stored Stored) error {
 	s := &storage{MemoryStorage: raft.NewMemoryStorage()}
 	v.confState, v.appliedIndex, v.state = &raftpb.ConfState{}, 0, logState{}
@@ -49,24 +50,24 @@
 	return nil
 }
 
-// stopRaft takes the voter out of its log. Outstanding writes of that log are void.
+// stopRaft discards the raft node and its outstanding work.
 func (v *Voter) stopRaft() {
 	v.raftNode, v.storage, v.pendingReady, v.pendingSnapshot = nil, nil, nil, nil
 }
 
 // storage is raft's view of the durable state: the entries since the last snapshot, and some before it for
-// voters that are a little behind.
+// voters that are slightly behind.
 type storage struct {
 	*raft.MemoryStorage
 	// confIndex is the index of the last configuration change: a voter added by it cannot use an earlier
 	// snapshot.
 	confIndex      uint64
 	snapshotWanted bool // a newer snapshot is needed for a voter that is far behind
-	entryBytes     int  // of the entries since the last snapshot
+	entryBytes     int  // size of the entries since the last snapshot
 }
 
-// Snapshot implements raft.Storage. It reports that the snapshot is unavailable while the last one is too
-// old.
+// Snapshot implements raft.Storage. It returns raft.ErrSnapshotTemporarilyUnavailable, and requests a newer
+// snapshot, while the last one is older than the last configuration change.
 func (s *storage) Snapshot() (*raftpb.Snapshot, error) {
 	snap, err := s.MemoryStorage.Snapshot()
 	if err == nil && snap.GetMetadata().GetIndex() < s.confIndex {
@@ -76,7 +77,7 @@
 	return snap, err
 }
 
-// load takes the hard state and the entries of a store whose snapshot, if any, is already applied.
+// load loads the hard state and the entries of a store whose snapshot, if any, is already applied.
 func (s *storage) load(stored Stored, applied uint64) error {
 	hard := &raftpb.HardState{
 		Term: new(max(stored.HardState.GetTerm(), stored.Snapshot.GetMetadata().GetTerm())),
@@ -113,8 +114,10 @@
 	return nil
 }
 
-var errMissingRecords = errors.New("records are missing")
+var errMissingRecords = errors.New("stored records are missing")
 
+// checkContiguous returns errMissingRecords unless the entries are contiguous and begin at most one record
+// after the applied index.
 func checkContiguous(entries []*raftpb.Entry, applied uint64) error {
 	for i, e := range entries {
 		if first := entries[0].GetIndex(); e.GetIndex() != first+uint64(i) || first > applied+1 {
@@ -124,8 +127,8 @@
 	return nil
 }
 
-// discardLogger is raft's logger: what is worth reporting is in Status. Panics remain panics, for
-// recoverPanic.
+// discardLogger is raft's logger. It discards messages, as Status reports the voter's state, and panics where
+// raft expects its logger to; recoverPanic handles that.
 type discardLogger struct{}
 
 func (discardLogger) Debug(...any)                   {}
--- a/internal/fleet/raftlog/ready.go
+++ b/internal/fleet/raftlog/ready.go
@@ -6,7 +6,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// drainReady takes out of raft what is to be done, until something has to be written first.
+// drainReady carries out the work that raft reports as ready, until a write has to be completed first.
 func (v *Voter) drainReady(out *Output) {
 	for !v.isWritePending {
 		v.releaseMessages(out)
@@ -25,7 +25,7 @@
 	}
 }
 
-// releaseMessages sends the deferred messages if everything that they rest on is written.
+// releaseMessages sends the deferred messages if the identity and the reset that they depend on are written.
 func (v *Voter) releaseMessages(out *Output) {
 	if !v.isIdentityUnwritten && !v.isResetPending {
 		out.Messages = append(out.Messages, v.deferredMessages...)
@@ -33,7 +33,8 @@
 	}
 }
 
-// nextPersist returns what has to be written before anything else happens; nil: nothing.
+// nextPersist returns the write that has to be completed before anything else happens, or nil if there is
+// none.
 func (v *Voter) nextPersist() *Persist {
 	p := &Persist{Reset: v.isResetPending}
 	if v.isIdentityUnwritten {
@@ -63,7 +64,7 @@
 	return p
 }
 
-// handlePersisted continues after a write. Reports of other writes are ignored.
+// handlePersisted continues after the pending write. Reports of other writes are ignored.
 func (v *Voter) handlePersisted(in Persisted, out *Output) {
 	if !v.isWritePending || in.Token != v.writeToken {
 		return
@@ -74,7 +75,7 @@
 	}
 }
 
-// applyReady does what raft asked for, now that it is written.
+// applyReady carries out the pending Ready of raft after its data was written.
 func (v *Voter) applyReady(out *Output) {
 	rd := v.pendingReady
 	v.pendingReady = nil
@@ -103,15 +104,15 @@
 	}
 }
 
-// must panics on errors that only an inconsistency between raft's state and the voter's can cause;
-// recoverPanic stops the voter then.
+// must panics on an error that only an inconsistency between raft's state and the voter's can cause.
+// recoverPanic then stops the voter.
 func must(err error) {
 	if err != nil {
 		panic(err)
 	}
 }
 
-// restoreSnapshot replaces the log's state, and has the application's state returned by the next Step.
+// restoreSnapshot replaces the log's state. The next Step returns the application's state as a Restore.
 func (v *Voter) restoreSnapshot(snap *raftpb.Snapshot) error {
 	state, application, err := decodeLogState(snap.GetData())
 	if err != nil {
@@ -133,7 +134,7 @@
 	}
 }
 
-// applyConfChange applies a change of the voters; an invalid one is ignored, by all voters alike.
+// applyConfChange applies a configuration change. All voters ignore an invalid one.
 func (v *Voter) applyConfChange(e *raftpb.Entry) {
 	c := &raftpb.ConfChangeV2{}
 	if proto.Unmarshal(e.GetData(), c) != nil || !v.state.isValidChange(c, v.confState) {
--- a/internal/fleet/raftlog/receive.go
+++ b/internal/fleet/raftlog/receive.go
@@ -6,39 +6,40 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// handleMessage processes a message of another voter. One that cannot be decoded, or is not for this voter,
-// is dropped and counted.
+// handleMessage processes a message of another voter. A message that cannot be decoded, or is not for this
+// voter, is dropped and counted.
 func (v *Voter) handleMessage(in MessageReceived) {
 	r := &reader{b: in.Bytes}
 	if r.u8() != wireVersion {
 		v.droppedMessages++
 		return
 	}
-	isTaken := false
+	isAccepted := false
 	switch r.u8() {
 	case wireRaft:
-		isTaken = v.handleRaft(in.From, r)
+		isAccepted = v.handleRaft(in.From, r)
 	case wireHello:
 		h := readHello(r)
-		isTaken = !r.isTooShort && h.state <= stuckLog && v.handleHello(in.From, h)
+		isAccepted = !r.isTruncated && h.state <= stuckLog && v.handleHello(in.From, h)
 	case wireRelay:
 		from, h := r.u32(), readHello(r)
-		isTaken = !r.isTooShort && h.state == noLog && v.noteHello(from, h)
+		isAccepted = !r.isTruncated && h.state == noLog && v.noteHello(from, h)
 	case wireWelcome:
 		w := readWelcome(r)
-		isTaken = !r.isTooShort && v.handleWelcome(w)
+		isAccepted = !r.isTruncated && v.handleWelcome(w)
 	case wireRemoved:
 		m := readRemoved(r)
-		isTaken = !r.isTooShort && v.handleRemoved(m)
+		isAccepted = !r.isTruncated && v.handleRemoved(m)
 	}
-	if !isTaken {
+	if !isAccepted {
 		v.droppedMessages++
 	}
 }
 
+// handleRaft passes a message to raft, and reports whether it is acceptable.
 func (v *Voter) handleRaft(from uint32, r *reader) bool {
 	e := readEnvelope(r)
-	if r.isTooShort || v.raftNode == nil || e.epoch != v.identity.Epoch {
+	if r.isTruncated || v.raftNode == nil || e.epoch != v.identity.Epoch {
 		return false
 	}
 	m := &raftpb.Message{}
@@ -47,7 +48,7 @@
 	}
 	v.routes.put(m.GetFrom(), from)
 	before := v.raftNode.BasicStatus()
-	// An error reports that the message is of no use now, or from a store that is not a member any more.
+	// An error reports that raft cannot use the message now, or that its sender is not a member any more.
 	_ = v.raftNode.Step(m)
 	after := v.raftNode.BasicStatus()
 	isFromLeader := after.GetTerm() == m.GetTerm() && after.Lead == m.GetFrom() && isSentByLeader(m.GetType())
@@ -67,7 +68,7 @@
 	return t == raftpb.MsgApp || t == raftpb.MsgHeartbeat || t == raftpb.MsgSnap
 }
 
-// isAcceptable reports whether raft can process a message without a contradiction to its state.
+// isAcceptable reports whether raft can process a message: it is valid and does not contradict raft's state.
 func (v *Voter) isAcceptable(m *raftpb.Message) bool {
 	from := m.GetFrom()
 	if m.GetTo() != v.identity.ID || from == 0 || from == v.identity.ID || raft.IsLocalMsgTarget(from) {
@@ -95,7 +96,7 @@
 	return false
 }
 
-// areProposals reports whether forwarded entries are proposals of an acceptable size, at least one.
+// areProposals reports whether there are forwarded entries, all of them proposals of an acceptable size.
 func areProposals(entries []*raftpb.Entry) bool {
 	for _, e := range entries {
 		if e.GetType() != raftpb.EntryNormal || len(e.GetData()) < recordHeaderBytes ||
@@ -106,7 +107,8 @@
 	return len(entries) > 0
 }
 
-// areAppendable reports whether the entries of an append are contiguous and of terms up to the sender's.
+// areAppendable reports whether the entries of an append are contiguous, and none is of a term after the
+// sender's.
 func areAppendable(m *raftpb.Message) bool {
 	for i, e := range m.GetEntries() {
 		if e.GetIndex() != m.GetIndex()+1+uint64(i) || e.GetTerm() == 0 || e.GetTerm() > m.GetTerm() {
--- a/internal/fleet/raftlog/send.go
+++ b/internal/fleet/raftlog/send.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	// longMessageBytes is the size from which a message counts as long: it is fragmented, and its fragments are
-	// resent by the transport, so that raft must not resend the message at once.
+	// longMessageBytes is the minimum size of a long message: it is fragmented, and the transport resends its
+	// fragments, so that raft must not resend the message at once.
 	longMessageBytes = 200
-	// maxResends bounds the messages that wait to be sent a second time.
+	// maxResends is the maximum number of messages that wait to be sent a second time.
 	maxResends = 8 * MaxVoters
-	// maxLongAppends bounds the receivers for which the last long append is remembered.
+	// maxLongAppends is the number of receivers above which the remembered long appends are cleared.
 	maxLongAppends = 4 * MaxVoters
 	// lossMemoryElections is the number of election timeouts for which a lost heartbeat is remembered.
 	lossMemoryElections = 5
 )
 
-// sendRaft queues a message of raft's for the agent of its receiver.
+// sendRaft queues a raft message for the agent of its receiver. A message to an unknown receiver is dropped.
 func (v *Voter) sendRaft(m *raftpb.Message) {
 	to, isKnown := v.agentOf(m.GetTo())
 	if !isKnown {
@@ -51,18 +51,18 @@
 		covered := v.fresh.coveredReadings[m.GetTo()]
 		e.incarnation, e.reading, e.index = covered.incarnation, covered.reading, v.fresh.confirmed.index
 		if m.GetType() == raftpb.MsgHeartbeat {
-			e.round = timeStamp(v.now)
+			e.round = toStamp(v.now)
 			v.fresh.beginRound(e.round, v.safeCommitIndex())
 		}
 	case raftpb.MsgHeartbeatResp:
 		if r := v.fresh.leaderRound[m.GetTo()]; r.index == m.GetTerm() {
-			e.round, e.incarnation, e.reading = r.startedAt, v.fresh.incarnation, timeStamp(v.now)
+			e.round, e.incarnation, e.reading = r.startedAt, v.fresh.incarnation, toStamp(v.now)
 		}
 	}
 	return e
 }
 
-// deferMessage queues a message until everything that it rests on is written.
+// deferMessage queues a message until the state that it depends on is written.
 func (v *Voter) deferMessage(to uint32, b []byte) {
 	v.deferredMessages = append(v.deferredMessages, Message{to, b})
 }
@@ -71,13 +71,13 @@
 // meanwhile.
 type resend struct {
 	at time.Time
-	id uint64 // of the sender
+	id uint64 // the sender's raft ID
 	Message
 }
 
-// shouldResend reports whether a message is sent twice. Messages are idempotent. An election needs four
-// messages in a row, therefore votes are always sent twice; other messages are while heartbeats were lost
-// lately, as a lost append waits for the next heartbeat.
+// shouldResend reports whether a message is sent twice; messages are idempotent. Votes are always sent twice,
+// as an election needs four messages in a row to arrive. Other messages are sent twice only if heartbeats
+// were lost recently, as raft repeats a lost append only after the next heartbeat.
 func (v *Voter) shouldResend(m *raftpb.Message, size int) bool {
 	memory := lossMemoryElections * v.config.electionTimeout()
 	switch m.GetType() {
@@ -94,6 +94,7 @@
 	return false
 }
 
+// sendDueResends queues the messages that are due to be sent a second time.
 func (v *Voter) sendDueResends() {
 	for len(v.resends) > 0 && !v.now.Before(v.resends[0].at) {
 		if v.resends[0].id == v.identity.ID {
@@ -103,15 +104,15 @@
 	}
 }
 
-// longAppend is a long append message that begins at an index.
+// longAppend is a long append message; index is that of its first entry.
 type longAppend struct {
 	index  uint64
 	sentAt time.Time
 }
 
-// isLongAppendInFlight reports whether a long append of the same entries was sent a moment ago, and notes
-// this one otherwise. Raft repeats an append with each heartbeat that is answered, however long its fragments
-// take.
+// isLongAppendInFlight reports whether a long append from the same index on was sent within the last half of
+// an election timeout, and otherwise remembers this one. Raft repeats an append with each heartbeat that is
+// answered, however long its fragments take to arrive.
 func (v *Voter) isLongAppendInFlight(m *raftpb.Message, size int) bool {
 	if size < longMessageBytes {
 		return false
@@ -127,7 +128,8 @@
 	return false
 }
 
-// agentOf returns the agent of a raft ID: as the log has it, or as messages came from it.
+// agentOf returns the agent of a raft ID: the one in the log, or else the sender of the latest message with
+// that ID.
 func (v *Voter) agentOf(id uint64) (agent uint32, isKnown bool) {
 	if m := v.state.member(id); m != nil {
 		return m.agent, true
@@ -135,8 +137,8 @@
 	return v.routes.get(id)
 }
 
-// routes remembers the agents of the latest senders, for members that this voter's state does not contain
-// yet.
+// routes remembers the agents of the latest senders by raft ID, for members that this voter's state does not
+// contain yet.
 type routes [16]struct {
 	id    uint64
 	agent uint32
--- a/internal/fleet/raftlog/status.go
+++ b/internal/fleet/raftlog/status.go
@@ -10,9 +10,9 @@
 
 // The phases.
 const (
-	// Seeking voters belong to no log, and ask the others for one.
+	// Seeking voters belong to no log, and send hellos to the others to join or found one.
 	Seeking Phase = iota
-	// Learning voters were added to a log and receive what they lack.
+	// Learning voters are learners: they were added to a log and are catching up.
 	Learning
 	// Voting voters follow a leader.
 	Voting
@@ -20,14 +20,14 @@
 	Leading
 	// Leaderless voters know no leader.
 	Leaderless
-	// Stuck voters belong to a log of which a majority of the voters is gone for good: nothing is committed any
-	// more.
+	// Stuck voters belong to a log that has permanently lost a majority of its voters: nothing can be committed
+	// any more.
 	Stuck
-	// Broken voters have stopped, as their state or a message was inconsistent.
+	// Broken voters have stopped because their state or a message was inconsistent.
 	Broken
 )
 
-// phaseNames are shown by operators' commands.
+// phaseNames are the names that operators' commands show.
 var phaseNames = [...]string{"seeking", "learning", "voting", "leading", "leaderless", "stuck", "broken"}
 
 func (p Phase) String() string { return phaseNames[p] }
@@ -36,7 +36,7 @@
 type Member struct {
 	ID    uint64 // raft ID
 	Agent uint32
-	Nonce uint64 // of its store
+	Nonce uint64 // nonce of its store
 	Votes bool   // false: a learner
 }
 
@@ -50,12 +50,12 @@
 	AppliedIndex, CommitIndex uint64
 	Members                   []Member
 	IsJointConfig             bool // a configuration change is in progress: two majorities are needed
-	// FreshAsOf is a time, by the clock of Step, up to which everything that any voter reported as committed is
+	// FreshAsOf is a time, by the clock of Step: everything that any voter reported as committed before it is
 	// applied here.
 	FreshAsOf time.Time
 	// Dropped counts messages that could not be decoded or were not for this voter.
 	Dropped uint64
-	Err     error // why the voter stopped
+	Err     error // failure that stopped the voter; nil: none
 }
 
 // Status returns the voter's current view.
--- a/internal/fleet/raftlog/timers.go
+++ b/internal/fleet/raftlog/timers.go
@@ -7,21 +7,22 @@
 	"go.etcd.io/raft/v3/tracker"
 )
 
-// snapshotRetryElections is the number of election timeouts after which a snapshot in flight counts as lost.
+// snapshotRetryElections is the number of election timeouts after which a snapshot in flight is considered
+// lost.
 const snapshotRetryElections = 5
 
-// resetElectionTimer draws the time at which the voter stands for election: between one and two election
-// timeouts from now. Raft's own timer draws from a source that cannot be seeded; therefore raft's ticks are
-// driven only while the voter leads, and forgetting a leader and campaigning are decided here.
+// resetElectionTimer draws the time at which the voter campaigns: between one and two election timeouts from
+// now. Raft's own timer uses a random source that cannot be seeded. Therefore raft receives ticks only while
+// the voter leads, and this package decides when to forget a leader and when to campaign.
 func (v *Voter) resetElectionTimer() {
 	timeout := v.config.electionTimeout()
 	v.campaignAt = v.now.Add(timeout + time.Duration(v.rng.Int64N(int64(timeout))))
 }
 
-// forgetLeaderAt returns when a silent leader is forgotten.
+// forgetLeaderAt returns the time at which a silent leader is forgotten.
 func (v *Voter) forgetLeaderAt() time.Time { return v.lastContact.Add(v.config.electionTimeout()) }
 
-// nextRaftTimer returns when the next tick, campaign or forgetting of the leader is due.
+// nextRaftTimer returns the time at which the next tick, campaign or forgetting of the leader is due.
 func (v *Voter) nextRaftTimer() time.Time {
 	at := v.campaignAt
 	if v.isLeader() {
@@ -32,8 +33,8 @@
 	return at
 }
 
-// runDue does what is due by time.
-func (v *Voter) runDue() {
+// runTimers runs all timers that are due.
+func (v *Voter) runTimers() {
 	v.runJoining()
 	v.sendDueResends()
 	if v.raftNode == nil {
@@ -52,8 +53,8 @@
 	}
 }
 
-// runLeader drives the ticks of a leader. After a pause raft receives as many ticks as make it step down if
-// no follower answers.
+// runLeader drives the ticks of a leader. After a pause raft receives the ticks of at most one election
+// timeout, enough to make it step down if no follower answers.
 func (v *Voter) runLeader() {
 	v.leaderSeenAt = v.now
 	if term := v.raftNode.BasicStatus().GetTerm(); term != v.lastLedTerm {
@@ -70,15 +71,15 @@
 		}
 	}
 	if !v.isLeader() {
-		v.resetElectionTimer() // stepped down: no quorum answers
+		v.resetElectionTimer() // stepped down, as no quorum answers
 		return
 	}
 	v.retrySnapshots()
 	v.reconfigure()
 }
 
-// safeCommitIndex returns the index up to which everything that was ever committed is known to be committed.
-// It is 0 while that is unknown, as no record of the leader's own term is committed yet.
+// safeCommitIndex returns the commit index if it is known to cover every record that was ever committed. It
+// returns 0 as long as no record of the leader's own term is committed, because that is unknown then.
 func (v *Voter) safeCommitIndex() uint64 {
 	b := v.raftNode.BasicStatus()
 	if term, err := v.storage.Term(b.GetCommit()); err != nil || term != b.GetTerm() {
@@ -87,7 +88,7 @@
 	return b.GetCommit()
 }
 
-// retrySnapshots reports snapshots that may have been lost, so that raft sends them again.
+// retrySnapshots reports snapshots that may have been lost to raft, which then sends them again.
 func (v *Voter) retrySnapshots() {
 	if v.snapshotsSentAt == nil {
 		v.snapshotsSentAt = map[uint64]time.Time{}
--- a/internal/fleet/raftlog/voter.go
+++ b/internal/fleet/raftlog/voter.go
@@ -17,7 +17,7 @@
 	rng      *rand.Rand
 	identity Identity
 	now      time.Time
-	failure  error // not nil: the voter has stopped
+	failure  error // reason why the voter has stopped; nil: it runs
 
 	// The log. raftNode is nil while the store belongs to no log.
 	raftNode     *raft.RawNode
@@ -27,10 +27,10 @@
 	state        logState
 
 	// Elections.
-	lastLedTerm  uint64    // the last term that this voter led
-	lastTick     time.Time // of the leader
-	lastContact  time.Time // the last message of the leader or of another term, or the last vote
-	leaderSeenAt time.Time // the last message of the leader, or the last time as the leader
+	lastLedTerm  uint64    // last term that this voter led
+	lastTick     time.Time // last raft tick as the leader
+	lastContact  time.Time // last message of the leader or of another term, or last vote
+	leaderSeenAt time.Time // last message of the leader, or last time as the leader
 	campaignAt   time.Time
 
 	// Writes: one at a time.
@@ -42,11 +42,11 @@
 	pendingSnapshot     *raftpb.Snapshot // own snapshot that is not written yet
 	pendingRestore      *Restore         // not returned yet
 
-	deferredMessages []Message // wait until what they rest on is written
+	deferredMessages []Message // waiting until the state that they depend on is written
 	resends          []resend
 	routes           routes
-	longAppends      map[uint64]longAppend // the last long append by the receiver's ID
-	snapshotsSentAt  map[uint64]time.Time  // snapshots in flight by the receiver's ID
+	longAppends      map[uint64]longAppend // last long append, by the receiver's raft ID
+	snapshotsSentAt  map[uint64]time.Time  // snapshots in flight, by the receiver's raft ID
 
 	joining         joinState
 	fresh           freshness
@@ -78,7 +78,7 @@
 	return v, nil
 }
 
-// Next returns when Step is due without another input.
+// Next returns the time at which Step is due with TimePassed if no other input arrives earlier.
 func (v *Voter) Next() time.Time {
 	if v.failure != nil {
 		return v.now.Add(time.Hour)
@@ -95,9 +95,9 @@
 	return next
 }
 
-// Step processes one input. Times are this agent's own, of any clock that keeps running while the process is
-// suspended; they are never compared with another agent's. A time before that of the previous Step counts as
-// equal to it.
+// Step processes one input at the time now, and returns the resulting output. The time is of any clock of
+// this agent that keeps running while the process is suspended, and is never compared with another agent's. A
+// time before that of the previous Step counts as equal to it.
 func (v *Voter) Step(now time.Time, in Input) (out Output) {
 	if now.After(v.now) {
 		v.now = now
@@ -114,7 +114,7 @@
 
 func (v *Voter) step(in Input, out *Output) error {
 	err := v.dispatch(in, out)
-	v.runDue()
+	v.runTimers()
 	v.fresh.advance(v.appliedIndex)
 	v.drainReady(out)
 	if v.pendingRestore != nil {
@@ -159,8 +159,8 @@
 	return err
 }
 
-// recoverPanic calls do and turns a panic into an error: raft panics when it is given what contradicts its
-// state. The voter stops then, as its state may be wrong.
+// recoverPanic calls do and turns a panic into an error: raft panics on input that contradicts its state. The
+// voter then stops, as its state may be wrong.
 func (v *Voter) recoverPanic(do func() error) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -171,11 +171,11 @@
 	return do()
 }
 
-// Outcome returns what became of a proposal as far as this voter has applied the log, and its index if it was
+// Outcome returns the outcome of a proposal as far as this voter has applied the log, and its index if it was
 // committed.
 func (v *Voter) Outcome(id ProposalID) (Outcome, uint64) { return v.state.outcome(id, v.appliedIndex) }
 
-// leaderID returns the raft ID of the leader; 0: none is known.
+// leaderID returns the raft ID of the leader, or 0 if none is known.
 func (v *Voter) leaderID() uint64 {
 	if v.raftNode == nil {
 		return 0
--- a/internal/fleet/raftlog/wire.go
+++ b/internal/fleet/raftlog/wire.go
@@ -9,25 +9,26 @@
 const (
 	wireVersion = 1
 
-	wireRaft    = 1 // an envelope and a message of raft's
+	wireRaft    = 1 // an envelope and a raft message
 	wireHello   = 2
 	wireWelcome = 3
 	wireRemoved = 4
-	wireRelay   = 5 // a hello of another agent's store without a log, forwarded to the leader
+	wireRelay   = 5 // a hello of another agent's store that has no log, forwarded to the leader
 
 	wireHeaderBytes = 2
 )
 
-// reader reads big-endian numbers from the front of b. If there are too few bytes, it returns zeros and sets
-// isTooShort.
+// reader reads big-endian numbers from the front of b. If too few bytes are left, it returns zeros and sets
+// isTruncated.
 type reader struct {
-	b          []byte
-	isTooShort bool
+	b           []byte
+	isTruncated bool
 }
 
-func (r *reader) take(n int) []byte {
-	if r.isTooShort || len(r.b) < n {
-		r.isTooShort = true
+// next removes the first n bytes of b and returns them.
+func (r *reader) next(n int) []byte {
+	if r.isTruncated || len(r.b) < n {
+		r.isTruncated = true
 		return make([]byte, n)
 	}
 	b := r.b[:n]
@@ -35,18 +36,19 @@
 	return b
 }
 
-func (r *reader) u8() byte    { return r.take(1)[0] }
-func (r *reader) u16() uint16 { return binary.BigEndian.Uint16(r.take(2)) }
-func (r *reader) u32() uint32 { return binary.BigEndian.Uint32(r.take(4)) }
-func (r *reader) u64() uint64 { return binary.BigEndian.Uint64(r.take(8)) }
+func (r *reader) u8() byte    { return r.next(1)[0] }
+func (r *reader) u16() uint16 { return binary.BigEndian.Uint16(r.next(2)) }
+func (r *reader) u32() uint32 { return binary.BigEndian.Uint32(r.next(4)) }
+func (r *reader) u64() uint64 { return binary.BigEndian.Uint64(r.next(8)) }
 
-// envelope precedes a message of raft's, with the data of freshness.
+// envelope precedes a raft message and carries the freshness data.
 type envelope struct {
 	epoch uint64
 	// round is the stamp of a round of heartbeats, in the heartbeat and in its answer.
 	round uint64
-	// incarnation and reading are a reading of the follower's clock and the process that read it: in an answer
-	// to a heartbeat, and returned by the leader once everything that was committed by then is within index.
+	// reading is a reading of the follower's clock, and incarnation identifies the process that took it. A
+	// follower sends them in its answer to a heartbeat. The leader returns them with the index that covers
+	// everything that was committed before the reading.
 	incarnation, reading, index uint64
 }
 
@@ -62,10 +64,11 @@
 	return envelope{epoch: r.u64(), round: r.u64(), incarnation: r.u64(), reading: r.u64(), index: r.u64()}
 }
 
-// timeStamp is a time in Unix nanoseconds; stampTime is the reverse, of which 0 is the zero time.
-func timeStamp(t time.Time) uint64 { return uint64(t.UnixNano()) }
+// toStamp returns a time as a stamp, in Unix nanoseconds.
+func toStamp(t time.Time) uint64 { return uint64(t.UnixNano()) }
 
-func stampTime(stamp uint64) time.Time {
+// fromStamp returns the time of a stamp. The stamp 0 is the zero time.
+func fromStamp(stamp uint64) time.Time {
 	if stamp == 0 {
 		return time.Time{}
 	}
@@ -76,16 +79,16 @@
 type hello struct {
 	nonce, epoch, id, promisedNonce, highestEpochSeen uint64
 	state                                             storeState
-	isReply                                           bool // not to be answered
+	isReply                                           bool // the receiver does not answer it
 }
 
 // storeState is the state of a store's log.
 type storeState uint8
 
 const (
-	noLog    storeState = iota // may found a log together with the others
-	hasLog                     // the log can continue as far as the store knows
-	stuckLog                   // a majority of the log's voters is gone for good
+	noLog    storeState = iota // the store may found a log together with others
+	hasLog                     // the log can continue, as far as the store knows
+	stuckLog                   // a majority of the log's voters is permanently lost
 )
 
 const helloBytes = wireHeaderBytes + 5*8 + 2
@@ -109,14 +112,14 @@
 	}
 }
 
-// encodeRelay encodes a hello that came from an agent, to be forwarded.
+// encodeRelay encodes a hello that was received from an agent, so that it can be forwarded.
 func (h hello) encodeRelay(from uint32) []byte {
 	b := binary.BigEndian.AppendUint32([]byte{wireVersion, wireRelay}, from)
 	return append(b, h.encode()[wireHeaderBytes:]...)
 }
 
-// welcome tells a store its raft ID in the log of an epoch, and the log's founders if the store is one of
-// them.
+// welcome notifies a store of its raft ID in the log of an epoch, and of the log's founders if the store is
+// one of them.
 type welcome struct {
 	nonce, epoch, id uint64
 	founders         []member
@@ -134,7 +137,7 @@
 	return welcome{nonce: r.u64(), epoch: r.u64(), id: r.u64(), founders: readMembers(r)}
 }
 
-// removed tells a store that its raft ID is not a member of the log any more.
+// removed notifies a store that its raft ID is not a member of the log any more.
 type removed struct{ epoch, id uint64 }
 
 func (m removed) encode() []byte {
