--- a/internal/fleet/raftlog/voterlab/costs_test.go
+++ b/internal/fleet/raftlog/voterlab/costs_test.go
@@ -10,16 +10,16 @@
 	"dunestep/internal/fleet/raftlog"
 )
 
-// The measurements of docs/design/fleet-log.md: what idle voters send, and how long they take to elect a leader and to
-// commit. Checked against bounds in all runs, with more seeds with LONG_TESTS.
-func TestCosts(t *testing.T) {
+// TestIdleTrafficAndLatencies measures the traffic of idle voters and the durations of elections and commits, as given in
+// docs/design/fleet-log.md, and checks them against bounds. LONG_TESTS runs more seeds.
+func TestIdleTrafficAndLatencies(t *testing.T) {
 	for _, voters := range []int{3, 5, 7} {
-		l := New(Options{Voters: voters, Pace: -1})
+		l := New(Options{Voters: voters, CallInterval: -1})
 		l.World.Run(Start.Add(20 * time.Second))
 		before := l.World.Traffic()
 		l.World.Run(Start.Add(120 * time.Second))
-		c := l.World.Traffic()
-		messages, bytes := float64(c.Datagrams-before.Datagrams)/100, float64(c.Bytes-before.Bytes)/100
+		after := l.World.Traffic()
+		messages, bytes := float64(after.Datagrams-before.Datagrams)/100, float64(after.Bytes-before.Bytes)/100
 		t.Logf("%d voters, idle: %.1f datagrams and %.0f bytes per second in total", voters, messages, bytes)
 		require.Less(t, messages, 12*float64(voters))
 	}
@@ -34,16 +34,16 @@
 	}
 }
 
-// quantile returns a quantile, from 0 to 1.
+// quantile returns the quantile q, from 0 to 1, rounded to 1 ms. It sorts d.
 func quantile(d []time.Duration, q float64) time.Duration {
 	slices.Sort(d)
 	return d[int(q*float64(len(d)-1))].Round(time.Millisecond)
 }
 
-// latencies returns the durations of elections and commits.
+// latencies returns the durations of elections after the leader was killed, and of commits at the leader.
 func latencies(t *testing.T, voters int, loss float64, runs int) (elect, commit []time.Duration) {
 	for seed := range runs {
-		l := New(Options{Seed: uint64(seed), Voters: voters, Agents: voters, Loss: loss, Pace: -1})
+		l := New(Options{Seed: uint64(seed), Voters: voters, Agents: voters, Loss: loss, CallInterval: -1})
 		wait := func(done func() bool) time.Duration {
 			from := l.World.Now()
 			for !done() {
@@ -52,7 +52,7 @@
 			}
 			return l.World.Now().Sub(from)
 		}
-		wait(l.Healthy)
+		wait(l.AreVotersHealthy)
 		former, _ := l.Leader()
 		l.World.Kill(former)
 		elect = append(elect, wait(func() bool { _, hasLeader := l.Leader(); return hasLeader }))
--- a/internal/fleet/raftlog/voterlab/faults.go
+++ b/internal/fleet/raftlog/voterlab/faults.go
@@ -6,24 +6,25 @@
 	"dunestep/internal/simnet"
 )
 
-// Hunt injects faults by the seed for a time: loss, delays, duplicates, corruption, cuts of one direction or
-// of an agent, pauses, clocks that are off, restarts with or without the disk, and changes of the configured
-// voters. Disks are lost one at a time, when all voters are healthy; with Volatile each restart is such a
-// loss.
-func (l *Lab) Hunt(length time.Duration) {
+// InjectFaults injects random faults, drawn by the seed, for the given length of time: loss, delays,
+// duplicates, corruption, cuts of one direction or of an agent, pauses, wrong clocks, restarts with or
+// without the disk, and changes of the configured voters. Disks are lost one at a time, and only when all
+// voters are healthy; with Volatile each restart is such a loss.
+func (l *Lab) InjectFaults(length time.Duration) {
 	end := l.World.Now().Add(length)
 	for l.World.Now().Before(end) {
 		l.World.Run(l.World.Now().Add(time.Duration(100+l.rng.IntN(1500)) * time.Millisecond))
-		l.fault()
+		l.injectFault()
 	}
 }
 
-func (l *Lab) fault() {
+// injectFault injects one random fault; some of them end by themselves later.
+func (l *Lab) injectFault() {
 	a, b := uint32(l.rng.IntN(l.opts.Agents)), uint32(l.rng.IntN(l.opts.Agents))
 	end := l.World.Now().Add(time.Duration(100+l.rng.IntN(6000)) * time.Millisecond)
 	switch l.rng.IntN(11) {
 	case 0:
-		l.Calm()
+		l.ClearNetworkFaults()
 	case 1:
 		l.World.Link(a, b).Cut = true
 		l.World.At(end, func() { l.World.Link(a, b).Cut = false })
@@ -31,7 +32,7 @@
 		l.isolate(a, true)
 		l.World.At(end, func() { l.isolate(a, false) })
 	case 3, 4:
-		l.degradeNetwork()
+		l.makeNetworkUnreliable()
 	case 5:
 		l.World.Pause(a)
 		l.World.At(end, func() { l.World.Resume(a) })
@@ -40,8 +41,8 @@
 	case 7, 8:
 		l.restart(a, end)
 	case 9:
-		if l.Healthy() && !l.opts.Volatile {
-			l.Lose(a)
+		if l.AreVotersHealthy() && !l.opts.Volatile {
+			l.KillAndEraseDisk(a)
 			l.World.Start(a)
 		}
 	case 10:
@@ -49,33 +50,35 @@
 	}
 }
 
-// degradeNetwork makes all directions unreliable.
-func (l *Lab) degradeNetwork() {
+// makeNetworkUnreliable makes all links lose, duplicate, delay and corrupt messages.
+func (l *Lab) makeNetworkUnreliable() {
 	loss, duplicate, late := l.rng.Float64()*0.4, l.rng.Float64()*0.3, l.rng.Float64()*0.3
 	corrupt := l.rng.Float64() * 0.02
-	l.World.ChangeAll(func(k *simnet.Link) {
-		*k = simnet.Link{
-			Cut: k.Cut, Loss: loss, Duplicate: duplicate, Late: late, Lateness: 3 * time.Second, Corrupt: corrupt,
+	l.World.ChangeAll(func(link *simnet.Link) {
+		*link = simnet.Link{
+			Cut: link.Cut, Loss: loss, Duplicate: duplicate, Late: late, Lateness: 3 * time.Second, Corrupt: corrupt,
 			Delay: time.Millisecond, Jitter: 30 * time.Millisecond,
 		}
 	})
 }
 
+// isolate cuts all links of an agent, or restores them.
 func (l *Lab) isolate(a uint32, cut bool) {
-	l.World.ChangeEach(func(from, to uint32, k *simnet.Link) {
+	l.World.ChangeEach(func(from, to uint32, link *simnet.Link) {
 		if from == a || to == a {
-			k.Cut = cut
+			link.Cut = cut
 		}
 	})
 }
 
-// restart ends a process and starts it again later, with its disk.
+// restart ends a process and starts it again at startAt, with its disk; with Volatile, it starts 10 ms later
+// without one.
 func (l *Lab) restart(a uint32, startAt time.Time) {
-	if !l.World.IsRunning(a) || l.opts.Volatile && !l.Healthy() {
+	if !l.World.IsRunning(a) || l.opts.Volatile && !l.AreVotersHealthy() {
 		return
 	}
-	if h := l.hosts[a]; h.writing != nil && l.rng.IntN(2) == 0 {
-		h.disk.Apply(h.writing) // it was completed, but not reported
+	if h := l.hosts[a]; h.pendingWrite != nil && l.rng.IntN(2) == 0 {
+		h.disk.Apply(h.pendingWrite) // the write was completed but not reported
 	}
 	l.World.Kill(a)
 	if l.opts.Volatile {
@@ -84,9 +87,9 @@
 	l.World.At(startAt, func() { l.World.Start(a) })
 }
 
-// replaceVoter configures the spare agent in the place of one of the voters.
+// replaceVoter configures the spare agent instead of one of the voters.
 func (l *Lab) replaceVoter() {
-	if !l.Healthy() || l.opts.Agents == l.opts.Voters {
+	if !l.AreVotersHealthy() || l.opts.Agents == l.opts.Voters {
 		return
 	}
 	spare := uint32(0)
--- a/internal/fleet/raftlog/voterlab/host.go
+++ b/internal/fleet/raftlog/voterlab/host.go
@@ -1,7 +1,7 @@
 // Package voterlab runs voters of the fleet's log in a simulated cluster: with the transport, disks that are
-// slow and may be lost, clients that repeat their calls, and fault injection by a seed. It checks from the
-// outside what is guaranteed. A run is determined by its options and calls. It is for tests only, and not
-// safe for concurrent use.
+// slow and may be lost, clients that repeat their calls, and seeded fault injection. It checks the guarantees
+// from the outside. A run is determined by its options and calls. The package is for tests only, and not safe
+// for concurrent use.
 package voterlab
 
 import (
@@ -16,36 +16,36 @@
 	"dunestep/internal/simnet"
 )
 
-// host is the process of a voter. Its state machine is a few registers.
+// host is the process of a voter. Its state machine is a set of registers.
 type host struct {
-	lab        *Lab
-	agent      uint32
-	voter      *raftlog.Voter
-	transport  *fragment.Transport
-	disk       *raftlog.Stored // outlives the process
-	writing    *raftlog.Persist
-	written    time.Time
-	state      registers
-	epoch      uint64
-	since      int      // records since the last snapshot
-	configured []uint32 // the voters, as last seen
-}
-
-// registers are the state of the state machine.
+	lab                  *Lab
+	agent                uint32
+	voter                *raftlog.Voter
+	transport            *fragment.Transport
+	disk                 *raftlog.Stored // outlives the process
+	pendingWrite         *raftlog.Persist
+	writeDoneAt          time.Time
+	state                registers
+	epoch                uint64
+	recordsSinceSnapshot int      // records since the last snapshot
+	configured           []uint32 // configured voters, as last seen
+}
+
+// registers is the state of the state machine.
 type registers struct {
 	index  uint64
-	chain  uint64 // over all records
-	values [keys]uint64
+	chain  uint64 // hash over all records
+	values [registerCount]uint64
 }
 
-const keys = 3
+const registerCount = 3
 
 func (r *registers) encode() []byte {
 	b := binary.BigEndian.AppendUint64(nil, r.chain)
 	for _, v := range r.values {
 		b = binary.BigEndian.AppendUint64(b, v)
 	}
-	// Long enough for several fragments.
+	// Padding, so that a snapshot takes several fragments.
 	return append(b, make([]byte, 600)...)
 }
 
@@ -60,6 +60,7 @@
 	return r
 }
 
+// start starts the process of an agent with its disk, or with a new one if it has none.
 func (l *Lab) start(agent uint32, now time.Time) simnet.Process {
 	l.incarnations++
 	incarnation := uint64(l.World.Now().UnixNano()) + l.incarnations
@@ -99,9 +100,9 @@
 		h.configured = h.lab.configured
 		h.step(now, raftlog.SetVoters{Voters: h.configured})
 	}
-	if h.writing != nil && !now.Before(h.written) {
-		p := h.writing
-		h.writing = nil
+	if h.pendingWrite != nil && !now.Before(h.writeDoneAt) {
+		p := h.pendingWrite
+		h.pendingWrite = nil
 		h.disk.Apply(p)
 		h.step(now, raftlog.Persisted{Token: p.Token})
 	}
@@ -114,8 +115,8 @@
 	if at := h.transport.Next(); !at.IsZero() && at.Before(next) {
 		next = at
 	}
-	if h.writing != nil && h.written.Before(next) {
-		next = h.written
+	if h.pendingWrite != nil && h.writeDoneAt.Before(next) {
+		next = h.writeDoneAt
 	}
 	return next
 }
@@ -128,81 +129,83 @@
 	return out
 }
 
-// step gives the voter an input whose rejection does not matter.
-func (h *host) step(now time.Time, in raftlog.Input) { _ = h.try(now, in) }
+// step passes an input to the voter. A rejection is ignored.
+func (h *host) step(now time.Time, in raftlog.Input) { _ = h.stepErr(now, in) }
 
-// try gives the voter an input, and returns why it was rejected.
-func (h *host) try(now time.Time, in raftlog.Input) error {
+// stepErr passes an input to the voter, carries out its output, and returns the error if it was rejected.
+func (h *host) stepErr(now time.Time, in raftlog.Input) error {
 	out := h.voter.Step(now, in)
 	if out.Persist != nil {
-		if h.writing != nil {
-			h.lab.addViolation("agent %d: a write before the last one was done", h.agent)
+		if h.pendingWrite != nil {
+			h.lab.addViolation("agent %d: requested a write before the last one was done", h.agent)
 		}
-		h.writing = out.Persist
-		h.written = now.Add(h.lab.writeTime())
+		h.pendingWrite = out.Persist
+		h.writeDoneAt = now.Add(h.lab.writeTime())
 	}
 	for _, m := range out.Messages {
 		h.lab.messages++
 		if err := h.transport.Send(now, m.To, 1, m.Bytes); err != nil {
-			h.lab.addViolation("agent %d: %d bytes for %d: %v", h.agent, len(m.Bytes), m.To, err)
+			h.lab.addViolation("agent %d: cannot send %d bytes to %d: %v", h.agent, len(m.Bytes), m.To, err)
 		}
 	}
-	h.take(out)
-	if out.SnapshotWanted || h.since > h.lab.opts.SnapshotAfter && h.voter.Status().Phase != raftlog.Seeking {
-		h.since = 0
-		next := h.voter.Step(now, raftlog.Compact{Index: h.index(), Data: h.state.encode()})
-		if next.Err != nil {
-			h.lab.addViolation("agent %d: snapshot: %v", h.agent, next.Err)
+	h.handleOutput(out)
+	if out.SnapshotWanted ||
+		h.recordsSinceSnapshot > h.lab.opts.SnapshotAfter && h.voter.Status().Phase != raftlog.Seeking {
+		h.recordsSinceSnapshot = 0
+		compacted := h.voter.Step(now, raftlog.Compact{Index: h.index(), Data: h.state.encode()})
+		if compacted.Err != nil {
+			h.lab.addViolation("agent %d: snapshot rejected: %v", h.agent, compacted.Err)
 		}
-		h.takeCompacted(now, next)
+		h.handleCompactOutput(now, compacted)
 	}
 	return out.Err
 }
 
-// takeCompacted processes the output of a snapshot.
-func (h *host) takeCompacted(now time.Time, out raftlog.Output) {
+// handleCompactOutput carries out the output of a Compact.
+func (h *host) handleCompactOutput(now time.Time, out raftlog.Output) {
 	if out.Persist != nil {
-		if h.writing != nil {
-			h.lab.addViolation("agent %d: a write before the last one was done", h.agent)
+		if h.pendingWrite != nil {
+			h.lab.addViolation("agent %d: requested a write before the last one was done", h.agent)
 		}
-		h.writing, h.written = out.Persist, now.Add(h.lab.writeTime())
+		h.pendingWrite, h.writeDoneAt = out.Persist, now.Add(h.lab.writeTime())
 	}
 	for _, m := range out.Messages {
 		_ = h.transport.Send(now, m.To, 1, m.Bytes)
 	}
-	h.take(out)
+	h.handleOutput(out)
 }
 
 func (h *host) index() uint64 { return h.voter.Status().AppliedIndex }
 
-func (h *host) take(out raftlog.Output) {
+// handleOutput applies a restored state and committed records.
+func (h *host) handleOutput(out raftlog.Output) {
 	if r := out.Restore; r != nil {
 		h.epoch, h.state = r.Epoch, decodeRegisters(r.Index, r.Data)
 		h.lab.checkRestored(h)
 	}
 	for _, e := range out.Committed {
-		h.since++
+		h.recordsSinceSnapshot++
 		h.apply(e)
 	}
 }
 
 func (h *host) apply(e raftlog.Entry) {
 	if e.Index <= h.state.index {
-		h.lab.addViolation("agent %d: record %d after %d", h.agent, e.Index, h.state.index)
+		h.lab.addViolation("agent %d: applied record %d after %d", h.agent, e.Index, h.state.index)
 	}
 	h.state.index = e.Index
 	sum := fnv.New64a()
 	// A hash returns no errors.
 	_, _ = fmt.Fprintf(sum, "%d %d %d %v %v", h.state.chain, e.Index, e.Term, e.ID, e.Data)
 	h.state.chain = sum.Sum64()
-	op := readOp(e.Data)
+	op := decodeOp(e.Data)
 	if op.write {
 		h.state.values[op.key] = op.value
 	}
 	h.lab.checkApplied(h, e, h.state.values[op.key])
 }
 
-// op is a client's operation: it writes one register, or reads it by a record of its own.
+// op is a client's operation: it writes one register, or reads it. A read is a record of its own, too.
 type op struct {
 	write bool
 	key   uint8
@@ -214,8 +217,10 @@
 	if o.write {
 		b[0] = 1
 	}
-	// Now and then long enough for several fragments.
+	// Padding, so that some records take several fragments.
 	return append(binary.BigEndian.AppendUint64(b, o.value), make([]byte, o.value%5*100)...)
 }
 
-func readOp(b []byte) op { return op{b[0] == 1, b[1] % keys, binary.BigEndian.Uint64(b[2:])} }
+func decodeOp(b []byte) op {
+	return op{b[0] == 1, b[1] % registerCount, binary.BigEndian.Uint64(b[2:])}
+}
--- a/internal/fleet/raftlog/voterlab/lab.go
+++ b/internal/fleet/raftlog/voterlab/lab.go
@@ -12,67 +12,67 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// Options determine a run. Zero fields stand for the defaults.
+// Options determine a run. Zero fields select the defaults.
 type Options struct {
 	Seed     uint64
 	Voters   int     // default 3
-	Agents   int     // of which the first are voters; default Voters and one that may be configured later
+	Agents   int     // the first ones are voters; default Voters + 1, with one spare to be configured later
 	Volatile bool    // stores do not outlive processes
-	Loss     float64 // between all agents, from 0 to 1
+	Loss     float64 // fraction of the messages lost between any two agents, 0 to 1
 	// WriteTime is the maximum duration of a write; default 5 ms.
 	WriteTime time.Duration
 	// SnapshotAfter is the number of records after which a snapshot is made; default 20.
 	SnapshotAfter int
-	// Pace is the mean time between two calls of a client; default 200 ms, negative: no clients.
-	Pace time.Duration
+	// CallInterval is the mean time between two calls of a client; default 200 ms; negative: no clients.
+	CallInterval time.Duration
 }
 
-// Lab is a run.
+// Lab is a run of a simulated cluster of voters.
 type Lab struct {
 	World *simnet.Cluster
 
 	opts         Options
 	rng          *rand.Rand
-	configured   []uint32 // the voters
+	configured   []uint32 // configured voters
 	disks        []*raftlog.Stored
 	hosts        []*host
 	incarnations uint64
 	messages     uint64
 	violations   []string
 
-	chains           map[place]uint64                        // the hash over all records at an index
-	results          map[raftlog.ProposalID]uint64           // what a read returned
-	leaders          map[place]uint64                        // IDs by the epoch and the term
-	applied          map[place]map[raftlog.ProposalID]uint64 // indexes by the epoch
-	acknowledgements []acknowledged
+	chains           map[epochPosition]uint64                        // hash over all records, by the index
+	results          map[raftlog.ProposalID]uint64                   // result of a read, by its proposal
+	leaders          map[epochPosition]uint64                        // raft IDs by the epoch and the term
+	applied          map[epochPosition]map[raftlog.ProposalID]uint64 // indexes of the proposals, by the epoch
+	acknowledgements []acknowledgement
 	calls            []*call
 	epochs           map[uint64]bool
-	lastNumber       uint64 // of the proposals
+	lastNumber       uint64 // last number of a proposal
 }
 
-// place is an index or a term of an epoch.
-type place struct{ epoch, at uint64 }
+// epochPosition is an index or a term in an epoch.
+type epochPosition struct{ epoch, number uint64 }
 
-// acknowledged is a proposal that was reported to a client as committed, and when.
-type acknowledged struct {
+// acknowledgement is the report to a client that a proposal was committed: its time, and the record's index.
+type acknowledgement struct {
 	at time.Time
-	place
+	epochPosition
 }
 
 // call is an operation of a client.
 type call struct {
-	op           op
-	id           raftlog.ProposalID
-	client       int
-	from, to     time.Time
-	done, absent bool // it has a known outcome, and was not committed
-	result       uint64
+	op                         op
+	id                         raftlog.ProposalID
+	client                     int
+	from, to                   time.Time
+	hasOutcome, isNotCommitted bool // its outcome is known; it was not committed
+	result                     uint64
 }
 
-// Start is when all runs begin.
+// Start is the time at which all runs begin.
 var Start = time.Unix(1_800_000_000, 0)
 
-// New returns a run that has not begun.
+// New returns a run that has not started yet.
 func New(o Options) *Lab {
 	if o.Voters == 0 {
 		o.Voters = 3
@@ -86,41 +86,43 @@
 	if o.SnapshotAfter == 0 {
 		o.SnapshotAfter = 20
 	}
-	if o.Pace == 0 {
-		o.Pace = 200 * time.Millisecond
+	if o.CallInterval == 0 {
+		o.CallInterval = 200 * time.Millisecond
 	}
 	l := &Lab{
 		opts: o, rng: rand.New(rand.NewPCG(o.Seed, 0x1ab)), disks: make([]*raftlog.Stored, o.Agents),
-		hosts: make([]*host, o.Agents), chains: map[place]uint64{}, results: map[raftlog.ProposalID]uint64{},
-		leaders: map[place]uint64{}, applied: map[place]map[raftlog.ProposalID]uint64{}, epochs: map[uint64]bool{},
+		hosts: make([]*host, o.Agents), chains: map[epochPosition]uint64{},
+		results: map[raftlog.ProposalID]uint64{}, leaders: map[epochPosition]uint64{},
+		applied: map[epochPosition]map[raftlog.ProposalID]uint64{}, epochs: map[uint64]bool{},
 	}
 	for a := range o.Voters {
 		l.configured = append(l.configured, uint32(a))
 	}
 	l.World = simnet.NewCluster(o.Seed, Start, o.Agents, l.start)
 	l.World.AfterStep = l.check
-	l.Calm()
+	l.ClearNetworkFaults()
 	for a := range uint32(o.Agents) {
 		l.World.SetClock(a, clockOffset(a))
 	}
 	for _, a := range l.configured {
 		l.World.Start(a)
 	}
-	if o.Pace > 0 {
+	if o.CallInterval > 0 {
 		for c := range 3 {
-			l.World.At(Start.Add(time.Second), func() { l.client(c) })
+			l.World.At(Start.Add(time.Second), func() { l.startCall(c) })
 		}
 	}
 	return l
 }
 
-// Calm ends all faults of the network except for the loss of the options.
-func (l *Lab) Calm() {
-	l.World.ChangeAll(func(k *simnet.Link) {
-		*k = simnet.Link{Loss: l.opts.Loss, Delay: 500 * time.Microsecond, Jitter: time.Millisecond}
+// ClearNetworkFaults ends all faults of the network except for the loss set by the options.
+func (l *Lab) ClearNetworkFaults() {
+	l.World.ChangeAll(func(link *simnet.Link) {
+		*link = simnet.Link{Loss: l.opts.Loss, Delay: 500 * time.Microsecond, Jitter: time.Millisecond}
 	})
 }
 
+// writeTime draws the duration of a write.
 func (l *Lab) writeTime() time.Duration {
 	return time.Duration(l.rng.Int64N(int64(l.opts.WriteTime))) + time.Microsecond
 }
@@ -131,13 +133,13 @@
 	}
 }
 
-// Violations returns descriptions of what violated a guarantee, with the times.
+// Violations returns descriptions of the violated guarantees, with their times; at most 20 are kept.
 func (l *Lab) Violations() []string { return l.violations }
 
-// Messages returns how many messages voters have sent each other.
+// Messages returns the number of messages that voters have sent each other.
 func (l *Lab) Messages() uint64 { return l.messages }
 
-// Status returns the status of an agent's voter; false: it is not running.
+// Status returns the status of an agent's voter, or false if it is not running.
 func (l *Lab) Status(a uint32) (s raftlog.Status, isRunning bool) {
 	if !l.World.IsRunning(a) {
 		return s, false
@@ -145,8 +147,8 @@
 	return l.hosts[a].voter.Status(), true
 }
 
-// Leader returns the agent that leads in the highest epoch and term, of those that are not paused; false:
-// there is none.
+// Leader returns the agent that leads in the highest epoch and term, of those that are not paused, or false
+// if there is none.
 func (l *Lab) Leader() (agent uint32, hasLeader bool) {
 	var best raftlog.Status
 	for a := range l.hosts {
@@ -159,9 +161,9 @@
 	return agent, hasLeader
 }
 
-// Healthy reports whether exactly the configured voters are voters of one log with a leader, and each of them
-// knows that.
-func (l *Lab) Healthy() bool {
+// AreVotersHealthy reports whether every configured voter is running, knows a leader, and sees exactly the
+// configured voters as the members of one log.
+func (l *Lab) AreVotersHealthy() bool {
 	var first raftlog.Status
 	for i, a := range l.configured {
 		s, isRunning := l.Status(a)
@@ -182,7 +184,7 @@
 	return true
 }
 
-// Configure replaces the configured voters; each agent sees that when it next runs.
+// Configure replaces the configured voters. Each agent adopts the change when it next runs.
 func (l *Lab) Configure(voters []uint32) {
 	l.configured = voters
 	for _, a := range voters {
@@ -190,8 +192,8 @@
 	}
 }
 
-// Lose ends an agent's process and deletes its disk.
-func (l *Lab) Lose(a uint32) {
+// KillAndEraseDisk ends an agent's process and erases its disk.
+func (l *Lab) KillAndEraseDisk(a uint32) {
 	l.World.Kill(a)
 	l.disks[a] = nil
 }
@@ -201,12 +203,13 @@
 	l.lastNumber++
 	id = raftlog.ProposalID{Origin: 99, Number: l.lastNumber, Base: l.hosts[a].index()}
 	l.World.Call(a, func(p simnet.Process, now time.Time) {
-		err = p.(*host).try(now, raftlog.Propose{ID: id, Data: op{true, key, value}.encode()})
+		err = p.(*host).stepErr(now, raftlog.Propose{ID: id, Data: op{true, key, value}.encode()})
 	})
 	return id, err
 }
 
-// Outcome returns what an agent's voter knows of a proposal.
+// Outcome returns the outcome of a proposal as an agent's voter knows it; Unknown if the agent is not
+// running.
 func (l *Lab) Outcome(a uint32, id raftlog.ProposalID) raftlog.Outcome {
 	if !l.World.IsRunning(a) {
 		return raftlog.Unknown
@@ -215,15 +218,16 @@
 	return o
 }
 
-// client makes one call after another while the run lasts. It repeats a call at one agent after the other.
-func (l *Lab) client(n int) {
+// startCall starts the next call of a client, which starts another one after its end while the run lasts. A
+// call is repeated at one agent after the other.
+func (l *Lab) startCall(n int) {
 	l.lastNumber++
 	c := &call{
-		op: op{l.rng.IntN(3) > 0, uint8(l.rng.IntN(keys)), l.lastNumber}, client: n, from: l.World.Now(),
+		op: op{l.rng.IntN(3) > 0, uint8(l.rng.IntN(registerCount)), l.lastNumber}, client: n, from: l.World.Now(),
 	}
 	a := l.configured[l.rng.IntN(len(l.configured))]
 	if !l.World.IsRunning(a) || l.hosts[a].epoch == 0 {
-		l.World.At(l.World.Now().Add(l.opts.Pace), func() { l.client(n) })
+		l.World.At(l.World.Now().Add(l.opts.CallInterval), func() { l.startCall(n) })
 		return
 	}
 	c.id = raftlog.ProposalID{Origin: uint64(n), Number: l.lastNumber, Base: l.hosts[a].index()}
@@ -232,19 +236,19 @@
 }
 
 const (
-	// pollInterval is the time between two polls of a call's outcome.
+	// pollInterval is the time between two polls for a call's outcome.
 	pollInterval = 20 * time.Millisecond
 	// maxPolls is the number of polls after which the client continues without knowing the outcome.
 	maxPolls = 60
 	// pollsPerAgent is the number of polls at an agent before the call is repeated at another one.
 	pollsPerAgent = 10
-	// withdrawAtPoll is the poll at which the call is withdrawn.
+	// withdrawAtPoll is the number of the poll at which the call is withdrawn.
 	withdrawAtPoll = 45
 )
 
-// poll proposes a call if that is due, and polls its outcome.
+// poll proposes or withdraws a call if that is due, and polls for its outcome.
 func (l *Lab) poll(c *call, a uint32, polls int) {
-	again := func() { l.client(c.client) }
+	nextCall := func() { l.startCall(c.client) }
 	var o raftlog.Outcome
 	var index uint64
 	l.World.Call(a, func(p simnet.Process, now time.Time) {
@@ -255,14 +259,15 @@
 			h.step(now, raftlog.Withdraw{ID: c.id})
 		}
 		if o, index = h.voter.Outcome(c.id); o == raftlog.Committed {
-			l.acknowledgements = append(l.acknowledgements, acknowledged{l.World.Now(), place{h.epoch, index}})
+			l.acknowledgements = append(l.acknowledgements,
+				acknowledgement{l.World.Now(), epochPosition{h.epoch, index}})
 		}
 	})
 	switch {
 	case o == raftlog.Committed:
-		c.done, c.result = true, l.results[c.id]
+		c.hasOutcome, c.result = true, l.results[c.id]
 	case o == raftlog.NotCommitted:
-		c.done, c.absent = true, true
+		c.hasOutcome, c.isNotCommitted = true, true
 	case polls >= maxPolls:
 	default:
 		if polls%pollsPerAgent == pollsPerAgent-1 {
@@ -272,18 +277,18 @@
 		return
 	}
 	c.to = l.World.Now()
-	wait := time.Duration(l.rng.Int64N(int64(2 * l.opts.Pace)))
-	l.World.At(l.World.Now().Add(wait), again)
+	wait := time.Duration(l.rng.Int64N(int64(2 * l.opts.CallInterval)))
+	l.World.At(l.World.Now().Add(wait), nextCall)
 }
 
-// Outcomes returns how many calls were reported as committed and as not committed, and how many have no known
-// outcome.
+// Outcomes returns the numbers of calls that were reported as committed, that were reported as not committed,
+// and whose outcome is unknown.
 func (l *Lab) Outcomes() (committed, notCommitted, unknown int) {
 	for _, c := range l.calls {
 		switch {
-		case c.done && !c.absent:
+		case c.hasOutcome && !c.isNotCommitted:
 			committed++
-		case c.done:
+		case c.hasOutcome:
 			notCommitted++
 		default:
 			unknown++
@@ -292,29 +297,30 @@
 	return committed, notCommitted, unknown
 }
 
-// Latencies returns how long the committed calls took.
+// Latencies returns the durations of the committed calls.
 func (l *Lab) Latencies() (all []time.Duration) {
 	for _, c := range l.calls {
-		if c.done && !c.absent {
+		if c.hasOutcome && !c.isNotCommitted {
 			all = append(all, c.to.Sub(c.from))
 		}
 	}
 	return all
 }
 
-// Epochs returns how many logs were founded.
+// Epochs returns the number of logs in which a record was applied.
 func (l *Lab) Epochs() int { return len(l.epochs) }
 
+// input is the input of an operation in the model.
 type input struct {
 	write bool
 	key   uint8
 	value uint64
 }
 
-// register is the model of one register.
-var register = porcupine.Model{
+// registerModel is the linearizability model of the registers, each checked by itself.
+var registerModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
-		parts := make([][]porcupine.Operation, keys)
+		parts := make([][]porcupine.Operation, registerCount)
 		for _, o := range history {
 			k := o.Input.(input).key
 			parts[k] = append(parts[k], o)
@@ -330,23 +336,23 @@
 	},
 }
 
-// Linearizable reports whether the registers were linearizable for the clients. It means nothing if a log was
-// lost.
+// Linearizable reports whether the calls of the clients were linearizable. The result is meaningless if a log
+// was lost.
 func (l *Lab) Linearizable() bool {
 	var history []porcupine.Operation
 	end := l.World.Now().Add(time.Hour).Sub(Start)
 	for i, c := range l.calls {
-		if c.absent || !c.done && !c.op.write {
+		if c.isNotCommitted || !c.hasOutcome && !c.op.write {
 			continue
 		}
 		o := porcupine.Operation{
 			ClientId: i, Input: input{c.op.write, c.op.key, c.op.value}, Output: c.result,
 			Call: int64(c.from.Sub(Start)), Return: int64(c.to.Sub(Start)),
 		}
-		if !c.done {
+		if !c.hasOutcome {
 			o.Return = int64(end)
 		}
 		history = append(history, o)
 	}
-	return porcupine.CheckOperationsTimeout(register, history, 10*time.Second) != porcupine.Illegal
+	return porcupine.CheckOperationsTimeout(registerModel, history, 10*time.Second) != porcupine.Illegal
 }
--- a/internal/fleet/raftlog/voterlab/voterlab_test.go
+++ b/internal/fleet/raftlog/voterlab/voterlab_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// seeds returns the number of runs: few, or many with LONG_TESTS.
+// seeds returns the number of runs: few, or many if LONG_TESTS is set.
 func seeds(few, many int) int {
 	if os.Getenv("LONG_TESTS") != "" {
 		return many
@@ -20,16 +20,16 @@
 	return few
 }
 
-// simulate runs a Hunt and settles.
-func simulate(o Options, length time.Duration) *Lab {
+// runWithFaults injects faults for the given length of time, and then waits until the voters are healthy.
+func runWithFaults(o Options, length time.Duration) *Lab {
 	l := New(o)
-	l.Hunt(length)
+	l.InjectFaults(length)
 	l.Settle(40 * time.Second)
 	return l
 }
 
-// The guarantees hold under all faults, for durable and volatile voters.
-func TestHunt(t *testing.T) {
+// TestGuaranteesHoldUnderFaults checks the guarantees under all faults, for durable and volatile voters.
+func TestGuaranteesHoldUnderFaults(t *testing.T) {
 	for _, c := range []struct {
 		voters   int
 		volatile bool
@@ -39,7 +39,7 @@
 			t.Parallel()
 			for seed := range seeds(c.few, 30*c.few) {
 				o := Options{Seed: uint64(seed), Voters: c.voters, Volatile: c.volatile}
-				l := simulate(o, time.Duration(seeds(20, 40))*time.Second)
+				l := runWithFaults(o, time.Duration(seeds(20, 40))*time.Second)
 				require.Empty(t, l.Violations(), "seed %d", seed)
 				require.Equal(t, 1, l.Epochs(), "seed %d", seed)
 				require.True(t, l.Linearizable(), "seed %d", seed)
@@ -48,10 +48,11 @@
 	}
 }
 
-// The same seed gives the same run, including elections, though raft draws their times from a source of its own.
+// TestSameSeedSameRun checks that the same seed gives the same run, including the elections, whose times raft itself would
+// draw from a source that cannot be seeded.
 func TestSameSeedSameRun(t *testing.T) {
 	run := func(seed uint64) (string, int) {
-		l := simulate(Options{Seed: seed, Voters: 5}, 30*time.Second)
+		l := runWithFaults(Options{Seed: seed, Voters: 5}, 30*time.Second)
 		committed, notCommitted, unknown := l.Outcomes()
 		return fmt.Sprint(l.World.Now(), l.World.Traffic(), l.leaders, l.acknowledgements, notCommitted, unknown), committed
 	}
@@ -63,15 +64,16 @@
 	}
 }
 
-// A minority that is cut off in one or both directions stops nothing; a leader that is cut off is replaced in time.
-func TestLeaderCutOff(t *testing.T) {
+// TestIsolatedLeaderIsReplaced checks that a leader which is cut off in one or both directions is replaced, and that
+// proposals are committed without it.
+func TestIsolatedLeaderIsReplaced(t *testing.T) {
 	for seed := range uint64(10) {
-		l := New(Options{Seed: seed, Voters: 5, Pace: -1})
+		l := New(Options{Seed: seed, Voters: 5, CallInterval: -1})
 		l.World.Run(Start.Add(5 * time.Second))
 		former, hasLeader := l.Leader()
 		require.True(t, hasLeader)
-		l.World.ChangeEach(func(from, to uint32, k *simnet.Link) {
-			k.Cut = from == former || to == former && seed%2 == 0 // every other time it still receives from the others
+		l.World.ChangeEach(func(from, to uint32, link *simnet.Link) {
+			link.Cut = from == former || to == former && seed%2 == 0 // with odd seeds it still receives from the others
 		})
 		l.World.Run(l.World.Now().Add(4 * time.Second))
 		s, _ := l.Status(former)
@@ -88,8 +90,9 @@
 	}
 }
 
-// Volatile voters of which a majority ends at once found a new log of a higher epoch; durable ones continue with theirs.
-func TestAllRestartAtOnce(t *testing.T) {
+// TestRestartOfAllVoters checks that volatile voters found a new log of a higher epoch after all of them ended at the same
+// time, and that durable ones continue with their log.
+func TestRestartOfAllVoters(t *testing.T) {
 	for _, volatile := range []bool{false, true} {
 		l := New(Options{Seed: 5, Voters: 3, Agents: 3, Volatile: volatile})
 		l.World.Run(Start.Add(5 * time.Second))
