--- a/internal/fleet/replica/data.go
+++ b/internal/fleet/replica/data.go
@@ -5,13 +5,14 @@
 	"encoding/binary"
 )
 
-// Position is a position in a log: the last record, and the sum over everything up to it.
+// Position is a position in a log: the number of the last record, and the sum over all records up to it.
 type Position struct {
 	Epoch, Seq, Sum uint64
 }
 
-// Covers reports whether a replica at this position has everything that was agreed on at another one: it is
-// of the same epoch, or of a later one that replaced it. Sums are not compared; see Log.Compare.
+// Covers reports whether a replica at position p has everything that was agreed on up to another position: p
+// is not before it in the same epoch, or is of a later epoch, which replaced it. Sums are not compared; see
+// Log.Compare.
 func (p Position) Covers(other Position) bool {
 	return p.Epoch > other.Epoch || p.Epoch == other.Epoch && p.Seq >= other.Seq
 }
@@ -22,19 +23,19 @@
 	Data []byte
 }
 
-// Snapshot is the state that results from all records up to one.
+// Snapshot is the state that results from all records up to number Seq.
 type Snapshot struct {
-	Epoch, Seq, Sum uint64 // Sum is the log's at that record, not that of Data
+	Epoch, Seq, Sum uint64 // Sum is the log's sum at that record, not one over Data
 	Data            []byte
 }
 
 // Position returns the position of the last record that the snapshot covers.
 func (s Snapshot) Position() Position { return Position{Epoch: s.Epoch, Seq: s.Seq, Sum: s.Sum} }
 
-// Digest returns a sum over the complete snapshot, to check it after a transfer.
+// Digest returns a sum over the complete snapshot, which verifies it after a transfer.
 func (s Snapshot) Digest() uint64 { return chainSum(s.Sum, s.Epoch, s.Seq, s.Data) }
 
-// InitialSnapshot returns the snapshot with which an epoch begins.
+// InitialSnapshot returns the empty snapshot with which an epoch begins.
 func InitialSnapshot(epoch uint64) Snapshot {
 	return Snapshot{Epoch: epoch, Sum: chainSum(0, epoch, 0, nil)}
 }
@@ -46,8 +47,9 @@
 	Records       [][]byte
 }
 
-// isOverflowing reports whether the numbers of the records are not those of any log.
-func (s Segment) isOverflowing() bool {
+// hasInvalidNumbers reports whether no log can have records of these numbers: the first number is 0, or the
+// numbers overflow.
+func (s Segment) hasInvalidNumbers() bool {
 	return s.First == 0 || s.First+uint64(len(s.Records)) < s.First
 }
 
--- a/internal/fleet/replica/example_test.go
+++ b/internal/fleet/replica/example_test.go
@@ -7,7 +7,7 @@
 	"dunestep/internal/fleet/replica"
 )
 
-// An agent appends the records that it lacks from another replica, and rejects those that do not follow from its own.
+// An agent appends the records that it lacks from another replica, and rejects records that do not continue its own.
 func Example() {
 	replicaOf := func(records ...string) *replica.Log {
 		log, err := replica.New(replica.InitialSnapshot(1), replica.Limits{})
--- a/internal/fleet/replica/golden_test.go
+++ b/internal/fleet/replica/golden_test.go
@@ -9,7 +9,8 @@
 	"dunestep/internal/fleet/internal/golden"
 )
 
-// TestGoldenSums checks that equal records have equal sums in each build, as replicas are compared by them.
+// TestGoldenSums checks that the sums of given records have not changed, as replicas of different builds are compared
+// by their sums.
 func TestGoldenSums(t *testing.T) {
 	l, err := New(InitialSnapshot(1_800_000_000_000), Limits{})
 	require.NoError(t, err)
--- a/internal/fleet/replica/log.go
+++ b/internal/fleet/replica/log.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// Limits bound a Log. Values that are not positive stand for the defaults.
+// Limits bound a Log. Values that are not positive select the defaults.
 type Limits struct {
-	MaxRecords       int // since the snapshot; default 4096
-	MaxRecordBytes   int // of the data of these records; default 1 MiB
-	MaxSnapshotBytes int // of the snapshot's data; default 1 MiB
+	MaxRecords       int // number of records since the snapshot; default 4096
+	MaxRecordBytes   int // size of the data of these records in total; default 1 MiB
+	MaxSnapshotBytes int // size of the snapshot's data; default 1 MiB
 }
 
 const (
@@ -29,16 +29,16 @@
 	return l
 }
 
-// Log is one replica of the log. Data that it returns must not be changed.
+// Log is one replica of the log. Callers must not change the data that it returns.
 type Log struct {
 	limits   Limits
 	snapshot Snapshot
 	records  []Record
-	sums     []uint64 // after each record
-	bytes    int      // of the records' data
+	sums     []uint64 // sum after each record
+	bytes    int      // size of the records' data
 }
 
-// New returns a Log that begins with a snapshot, or ErrTooLarge.
+// New returns a Log that begins with a snapshot, or ErrTooLarge if the snapshot exceeds its limit.
 func New(s Snapshot, limits Limits) (*Log, error) {
 	limits = limits.withDefaults()
 	if len(s.Data) > limits.MaxSnapshotBytes {
@@ -68,7 +68,7 @@
 // Bytes returns the size of the data of the records since the snapshot.
 func (l *Log) Bytes() int { return l.bytes }
 
-// Record returns the record with a number; false: the log does not contain it, or does not any more.
+// Record returns the record with a number, or false if the log does not contain it, or does not any more.
 func (l *Log) Record(seq uint64) (Record, bool) {
 	if seq <= l.snapshot.Seq || seq > l.Last().Seq {
 		return Record{}, false
@@ -76,7 +76,8 @@
 	return l.records[seq-l.snapshot.Seq-1], true
 }
 
-// SumAt returns the sum after a record; false: the log does not reach to the record, or begins after it.
+// SumAt returns the sum after a record, or false if the record is before the snapshot or after the last
+// record.
 func (l *Log) SumAt(seq uint64) (uint64, bool) {
 	switch {
 	case seq == l.snapshot.Seq:
@@ -88,8 +89,8 @@
 }
 
 // Compare returns a negative number if another replica's position is behind this one, a positive number if it
-// is ahead, and 0 if it is the same. It returns ErrDiverged if the sums differ at that position; a position
-// that is ahead, or before the snapshot, cannot be compared by its sum.
+// is ahead, and 0 if it is the same. It returns ErrDiverged if the sums differ at that position. The sum of a
+// position that is ahead, or before the snapshot, cannot be compared.
 func (l *Log) Compare(other Position) (int, error) {
 	last := l.Last()
 	if other.Epoch != last.Epoch {
@@ -101,7 +102,7 @@
 	return cmp.Compare(other.Seq, last.Seq), nil
 }
 
-// Append appends the next record, as the voters have committed it. A record that the log already has is
+// Append appends the next record that the voters have committed. A record that the log already has is
 // ignored. Errors: ErrGap, ErrDiverged, ErrTooLarge, ErrFull.
 func (l *Log) Append(r Record) error {
 	last := l.Last()
@@ -133,10 +134,11 @@
 	return nil
 }
 
-// AppendSegment appends the records of another replica's segment that are new, and returns how many that are.
-// If the segment is wrong at any place, nothing is appended; with ErrFull, the first records are. The
-// beginning of a higher epoch replaces the log; the state machine has to restart then, as the epoch of Last
-// tells. Errors: ErrOldEpoch, ErrNewEpoch, ErrCorrupt, ErrDiverged, and those of Append.
+// AppendSegment appends the new records of another replica's segment, and returns their number. If any part
+// of the segment is wrong, no record is appended; with ErrFull, the first records are. A segment from the
+// first record of a higher epoch on replaces the log; the caller recognizes that by the epoch of Last, and
+// has to restart the state machine. Errors: ErrOldEpoch, ErrNewEpoch, ErrCorrupt, ErrDiverged, and those of
+// Append.
 func (l *Log) AppendSegment(s Segment) (appended int, err error) {
 	last := l.Last()
 	switch {
@@ -144,7 +146,7 @@
 		return 0, ErrOldEpoch
 	case s.Epoch > last.Epoch && s.First != 1:
 		return 0, ErrNewEpoch
-	case s.isOverflowing() || !s.hasValidSums():
+	case s.hasInvalidNumbers() || !s.hasValidSums():
 		return 0, ErrCorrupt
 	}
 	if s.Epoch > last.Epoch {
@@ -171,7 +173,7 @@
 	return appended, nil
 }
 
-// checkOverlap compares the sums of a segment with the log's wherever both have one.
+// checkOverlap returns ErrDiverged if a sum of a segment differs from the log's sum at the same record.
 func (l *Log) checkOverlap(s Segment) error {
 	sum := s.PriorSum
 	for i := 0; ; i++ {
@@ -186,8 +188,8 @@
 	}
 }
 
-// Segment returns records from a number on, with at most maxBytes of data but at least one record; false: the
-// log does not contain the first one, or does not any more.
+// Segment returns the records from number first on, with at most maxBytes of data but at least one record. It
+// returns false if the log does not contain the first one, or does not any more.
 func (l *Log) Segment(first uint64, maxBytes int) (Segment, bool) {
 	prior, isPriorKnown := l.SumAt(first - 1)
 	if first == 0 || !isPriorKnown || first > l.Last().Seq {
@@ -205,8 +207,8 @@
 	return s, true
 }
 
-// Compact replaces the records up to one that the log contains by a snapshot. Errors: ErrTooLarge, ErrGap,
-// ErrDiverged.
+// Compact drops the records that a snapshot covers, so that the log begins with the snapshot. The log has to
+// contain the last record that the snapshot covers. Errors: ErrTooLarge, ErrGap, ErrDiverged.
 func (l *Log) Compact(s Snapshot) error {
 	if len(s.Data) > l.limits.MaxSnapshotBytes {
 		return ErrTooLarge
@@ -227,9 +229,9 @@
 	return nil
 }
 
-// Install replaces the log by another replica's snapshot if that is ahead, and reports whether it did. All
-// records are dropped then, and the state machine has to continue from the snapshot. Errors: ErrTooLarge,
-// ErrDiverged, ErrOldEpoch.
+// Install replaces the log with another replica's snapshot if the snapshot is ahead, and reports whether it
+// did. If so, all records were dropped, and the state machine has to continue from the snapshot. Errors:
+// ErrTooLarge, ErrDiverged, ErrOldEpoch.
 func (l *Log) Install(s Snapshot) (isInstalled bool, err error) {
 	if len(s.Data) > l.limits.MaxSnapshotBytes {
 		return false, ErrTooLarge
--- a/internal/fleet/replica/log_test.go
+++ b/internal/fleet/replica/log_test.go
@@ -9,7 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-func filled(t require.TestingT, epoch uint64, limits Limits, data ...string) *Log {
+// newFilledLog returns a log of an epoch with the given records.
+func newFilledLog(t require.TestingT, epoch uint64, limits Limits, data ...string) *Log {
 	l, err := New(InitialSnapshot(epoch), limits)
 	require.NoError(t, err)
 	for i, d := range data {
@@ -18,10 +19,11 @@
 	return l
 }
 
-// A segment that does not follow from the log is rejected, and the log is unchanged.
-func TestAppendSegment(t *testing.T) {
+// TestAppendSegmentRejectsUnrelatedSegments checks that a segment which does not continue the log is rejected, and that
+// the log is unchanged then.
+func TestAppendSegmentRejectsUnrelatedSegments(t *testing.T) {
 	segment := func(l *Log, first uint64) Segment { s, _ := l.Segment(first, 1<<20); return s }
-	abc := filled(t, 2, Limits{}, "a", "b", "c")
+	abc := newFilledLog(t, 2, Limits{}, "a", "b", "c")
 	corrupt := segment(abc, 2)
 	corrupt.Records = [][]byte{[]byte("b"), []byte("C")}
 	for name, c := range map[string]struct {
@@ -33,15 +35,15 @@
 		"only the new records":              {segment(abc, 2), 2, nil},
 		"gap":                               {segment(abc, 3), 0, ErrGap},
 		"wrong sums":                        {corrupt, 0, ErrCorrupt},
-		"other earlier records":             {segment(filled(t, 2, Limits{}, "x", "b", "c"), 2), 0, ErrDiverged},
-		"other record inside":               {segment(filled(t, 2, Limits{}, "x", "b", "c"), 1), 0, ErrDiverged},
-		"earlier epoch":                     {segment(filled(t, 1, Limits{}, "a", "b", "c"), 1), 0, ErrOldEpoch},
-		"later epoch":                       {segment(filled(t, 3, Limits{}, "a", "b", "c"), 1), 3, nil},
-		"later epoch without its beginning": {segment(filled(t, 3, Limits{}, "a", "b", "c"), 2), 0, ErrNewEpoch},
+		"other earlier records":             {segment(newFilledLog(t, 2, Limits{}, "x", "b", "c"), 2), 0, ErrDiverged},
+		"other record inside":               {segment(newFilledLog(t, 2, Limits{}, "x", "b", "c"), 1), 0, ErrDiverged},
+		"earlier epoch":                     {segment(newFilledLog(t, 1, Limits{}, "a", "b", "c"), 1), 0, ErrOldEpoch},
+		"later epoch":                       {segment(newFilledLog(t, 3, Limits{}, "a", "b", "c"), 1), 3, nil},
+		"later epoch without its beginning": {segment(newFilledLog(t, 3, Limits{}, "a", "b", "c"), 2), 0, ErrNewEpoch},
 		"numbers overflow":                  {Segment{Epoch: 2, First: 1<<64 - 1, Records: [][]byte{nil, nil}}, 0, ErrCorrupt},
 		"number zero":                       {Segment{Epoch: 2}, 0, ErrCorrupt},
 	} {
-		l := filled(t, 2, Limits{}, "a")
+		l := newFilledLog(t, 2, Limits{}, "a")
 		before := l.Last()
 		appended, err := l.AppendSegment(c.segment)
 		require.ErrorIs(t, err, c.err, name)
@@ -60,9 +62,9 @@
 	require.ErrorIs(t, abc.Append(Record{Seq: 2, Data: []byte("x")}), ErrDiverged)
 }
 
-// TestLimitsAndCompaction checks the limits, Compact and Install.
-func TestLimitsAndCompaction(t *testing.T) {
-	l := filled(t, 1, Limits{MaxRecords: 3, MaxRecordBytes: 4, MaxSnapshotBytes: 2}, "a", "b")
+// TestLimitsCompactAndInstall checks the limits, Compact and Install.
+func TestLimitsCompactAndInstall(t *testing.T) {
+	l := newFilledLog(t, 1, Limits{MaxRecords: 3, MaxRecordBytes: 4, MaxSnapshotBytes: 2}, "a", "b")
 	require.ErrorIs(t, l.Append(Record{Seq: 3, Data: []byte("ccc")}), ErrFull)
 	require.ErrorIs(t, l.Append(Record{Seq: 3, Data: []byte("ccccc")}), ErrTooLarge)
 	sum, _ := l.SumAt(1)
@@ -71,22 +73,22 @@
 	require.ErrorIs(t, l.Compact(Snapshot{Epoch: 1, Seq: 3, Sum: sum}), ErrGap)
 	require.NoError(t, l.Compact(Snapshot{Epoch: 1, Seq: 1, Sum: sum, Data: []byte("S")}))
 	require.NoError(t, l.Append(Record{Seq: 3, Data: []byte("ccc")}))
-	require.Equal(t, filled(t, 1, Limits{}, "a", "b", "ccc").Last(), l.Last(), "a sum does not depend on compaction")
+	require.Equal(t, newFilledLog(t, 1, Limits{}, "a", "b", "ccc").Last(), l.Last(), "a sum does not depend on compaction")
 	require.Equal(t, 4, l.Bytes())
 
-	behind := filled(t, 1, Limits{})
+	behind := newFilledLog(t, 1, Limits{})
 	isInstalled, err := behind.Install(l.Snapshot())
 	require.NoError(t, err)
 	require.True(t, isInstalled)
-	isInstalled, err = behind.Install(filled(t, 1, Limits{}).Snapshot())
+	isInstalled, err = behind.Install(newFilledLog(t, 1, Limits{}).Snapshot())
 	require.NoError(t, err)
 	require.False(t, isInstalled, "an older snapshot is not installed")
 	_, err = behind.Install(InitialSnapshot(0))
 	require.ErrorIs(t, err, ErrOldEpoch)
 }
 
-// Whatever segments and snapshots of two epochs come in whatever order, a replica is always a prefix of the newest epoch
-// that it has seen, and stays within its limits.
+// TestReplicaIsAPrefixOfTheNewestEpoch checks that a replica is always a prefix of the newest epoch that it has seen,
+// and stays within its limits, for any order of segments and snapshots of two epochs.
 func TestReplicaIsAPrefixOfTheNewestEpoch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var sources []*Log
@@ -95,9 +97,9 @@
 			for i := range rapid.IntRange(1, 12).Draw(t, "length") {
 				data = append(data, fmt.Sprint(epoch, i))
 			}
-			sources = append(sources, filled(t, epoch+1, Limits{}, data...))
+			sources = append(sources, newFilledLog(t, epoch+1, Limits{}, data...))
 		}
-		l := filled(t, 1, Limits{MaxRecords: 5})
+		l := newFilledLog(t, 1, Limits{MaxRecords: 5})
 		for range 30 {
 			src := sources[rapid.IntRange(0, 1).Draw(t, "epoch")]
 			before := l.Last()
