--- a/internal/fleet/operatorcommand/command.go
+++ b/internal/fleet/operatorcommand/command.go
@@ -1,9 +1,9 @@
-// Package operatorcommand keeps the commands that operators have given to the whole fleet: which upstream
-// servers are taken out. It is a state machine of the fleet's log; what an agent does about a command is up
-// to the agent.
+// Package operatorcommand stores the commands that operators have given to all agents of the fleet, which
+// take upstream servers out of service or put them back. It is a state machine of the fleet's log; each agent
+// carries out the commands by itself.
 //
-// A command only takes away: it makes no server known, and no agent forwards to a server that is not in its
-// own endpoint list. An agent without a lease keeps to the commands that it has.
+// A command can only exclude a server: it adds none, and no agent forwards to a server that is not in its own
+// endpoint list. An agent without a lease keeps following the commands that it has.
 //
 // The package does no I/O and reads no clock. Its state depends on the applied records only. A List starts no
 // goroutines and is not safe for concurrent use.
@@ -22,7 +22,7 @@
 
 // Errors of Encode and Restore.
 var (
-	// ErrInvalidCommand reports that a command lacks a server's ID of 1 to 256 bytes, or a time.
+	// ErrInvalidCommand reports that a command has no server ID of 1 to 256 bytes, or no time.
 	ErrInvalidCommand = errors.New("an operator command needs a server ID of 1 to 256 bytes and a time")
 	// ErrFormat reports that a state cannot be decoded.
 	ErrFormat = errors.New("the state of the operator commands cannot be decoded")
@@ -31,9 +31,9 @@
 // Command is the latest command about a server.
 type Command struct {
 	Server   string
-	Down     bool          // the server is taken out; false: put back
-	IssuedBy int           // the agent at which the command was given
-	IssuedAt time.Duration // Unix time, by that agent's clock
+	Down     bool          // true: the server is taken out; false: it is put back
+	IssuedBy int           // agent at which the command was given
+	IssuedAt time.Duration // Unix time by that agent's clock
 }
 
 func (c Command) isValid() bool {
@@ -52,7 +52,7 @@
 	return b, nil
 }
 
-// decodeCommand decodes a record; false: it is no valid command.
+// decodeCommand decodes a record. It returns false if the record is not a valid command.
 func decodeCommand(data []byte) (Command, bool) {
 	var w wireCommand
 	if err := cbor.Unmarshal(data, &w); err != nil {
--- a/internal/fleet/operatorcommand/example_test.go
+++ b/internal/fleet/operatorcommand/example_test.go
@@ -7,7 +7,7 @@
 	"dunestep/internal/fleet/operatorcommand"
 )
 
-// An operator takes a server out at one agent; all agents that apply the log know it.
+// An operator takes a server out at one agent. All agents that apply the log have the command.
 func Example() {
 	record, err := operatorcommand.Command{Server: "s-1", Down: true, IssuedBy: 17, IssuedAt: 1_800_000_000 * time.Second}.Encode()
 	if err != nil {
--- a/internal/fleet/operatorcommand/golden_test.go
+++ b/internal/fleet/operatorcommand/golden_test.go
@@ -9,7 +9,7 @@
 	"dunestep/internal/fleet/internal/golden"
 )
 
-// TestGolden checks that records and the state are encoded as ever, and decoded to the same.
+// TestGolden checks that the encoding of records and of the state has not changed, and that decoding reverses it.
 func TestGolden(t *testing.T) {
 	down := Command{Server: "north-2", Down: true, IssuedBy: 17, IssuedAt: 1_800_000_000 * time.Second}
 	up := Command{Server: "north-2", IssuedBy: 0, IssuedAt: 1_800_000_100*time.Second + 5}
--- a/internal/fleet/operatorcommand/list.go
+++ b/internal/fleet/operatorcommand/list.go
@@ -9,10 +9,11 @@
 )
 
 const (
-	// MaxBytes bounds the commands, each counted by its server's ID and OverheadBytes, as the log's snapshot is
-	// bounded. Commands that put servers back are evicted first.
+	// MaxBytes is the maximum size of all commands, each counted as the size of its server's ID and
+	// OverheadBytes. It is needed because the size of the log's snapshot is limited. Only commands that put
+	// servers back are evicted.
 	MaxBytes = 32 << 10
-	// OverheadBytes is counted for each command beside its server's ID.
+	// OverheadBytes is counted for each command in addition to its server's ID.
 	OverheadBytes = 32
 
 	stateFormat = 1
@@ -31,9 +32,8 @@
 	unreadable uint64
 }
 
-// Apply implements fleet.StateMachine. The order of the log counts: a later record replaces an earlier one,
-// whatever its time. If there is no capacity for a further server, the command is ignored, at all agents
-// alike.
+// Apply implements fleet.StateMachine. A later record in the log replaces an earlier one about the same
+// server, regardless of its time. If there is no capacity for another server, all agents ignore the command.
 func (l *List) Apply(_ uint64, data []byte) {
 	c, isValid := decodeCommand(data)
 	if !isValid {
@@ -43,12 +43,12 @@
 	if l.byServer == nil {
 		l.byServer = map[string]Command{}
 	}
-	if former, isKnown := l.byServer[c.Server]; isKnown {
-		// Later than the one that it replaces, even if the clocks of two agents differ.
-		c.IssuedAt = max(c.IssuedAt, former.IssuedAt+1)
+	if previous, isKnown := l.byServer[c.Server]; isKnown {
+		// Later than the command that it replaces, even if the clocks of the two agents differ.
+		c.IssuedAt = max(c.IssuedAt, previous.IssuedAt+1)
 	} else {
 		for l.usedBytes+costBytes(c) > MaxBytes {
-			if !l.evictOldestUp() {
+			if !l.evictOldestUpCommand() {
 				return
 			}
 		}
@@ -57,10 +57,11 @@
 	l.byServer[c.Server] = c
 }
 
+// costBytes returns the size of a command as it is counted against MaxBytes.
 func costBytes(c Command) int { return len(c.Server) + OverheadBytes }
 
-// evictOldestUp removes the oldest command that put a server back, and reports whether there was one.
-func (l *List) evictOldestUp() bool {
+// evictOldestUpCommand removes the oldest command that put a server back, and reports whether there was one.
+func (l *List) evictOldestUpCommand() bool {
 	var oldest *Command
 	for _, c := range l.All() {
 		if !c.Down && (oldest == nil || c.IssuedAt < oldest.IssuedAt) {
@@ -75,13 +76,13 @@
 	return true
 }
 
-// All returns the commands, ordered by their servers.
+// All returns the commands, ordered by server ID.
 func (l *List) All() []Command {
 	byServer := func(a, b Command) int { return cmp.Compare(a.Server, b.Server) }
 	return slices.SortedFunc(maps.Values(l.byServer), byServer)
 }
 
-// Unreadable returns how many records could not be decoded.
+// Unreadable returns the number of records that could not be decoded.
 func (l *List) Unreadable() uint64 { return l.unreadable }
 
 // Snapshot implements fleet.StateMachine.
@@ -94,8 +95,8 @@
 	return b
 }
 
-// Restore implements fleet.StateMachine. It returns ErrFormat, and leaves the list unchanged, for data that
-// is no state.
+// Restore implements fleet.StateMachine. It returns ErrFormat, and leaves the list unchanged, if the data is
+// not a valid state. Without data, the list becomes empty.
 func (l *List) Restore(data []byte) error {
 	byServer, usedBytes := map[string]Command{}, 0
 	if data != nil {
--- a/internal/fleet/operatorcommand/list_test.go
+++ b/internal/fleet/operatorcommand/list_test.go
@@ -10,9 +10,9 @@
 	"pgregory.net/rapid"
 )
 
-// Two lists that have applied the same records are equal, also if one continued from the other's snapshot in between, and
-// the last command about a server counts.
-func TestApply(t *testing.T) {
+// TestListsWithEqualRecordsAreEqual checks that two lists which applied the same records are equal, also if one of them
+// was restored from a snapshot in between, and that the last command about a server takes effect.
+func TestListsWithEqualRecordsAreEqual(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		one, other := &List{}, &List{}
 		last := map[string]bool{}
@@ -47,8 +47,9 @@
 	})
 }
 
-// The list is bounded: commands that put servers back are evicted, and those that take servers out are not.
-func TestMaxBytes(t *testing.T) {
+// TestOnlyUpCommandsAreEvicted checks that the list is bounded, and that commands that put servers back are evicted,
+// but none that takes a server out.
+func TestOnlyUpCommandsAreEvicted(t *testing.T) {
 	l := &List{}
 	apply := func(server string, isDown bool, at int) {
 		raw, err := Command{Server: server, Down: isDown, IssuedAt: time.Duration(at)}.Encode()
@@ -62,7 +63,7 @@
 	apply("further", true, 2)
 	require.Len(t, l.All(), MaxBytes/256)
 	require.NotContains(t, fmt.Sprint(l.All()), "further")
-	apply(id(7), false, 1) // not later by its time, but by the log
+	apply(id(7), false, 1) // later in the log, but its time is not later
 	require.Equal(t, time.Duration(2), l.byServer[id(7)].IssuedAt)
 	apply("further", true, 3)
 	require.Len(t, l.All(), MaxBytes/256)
