--- a/internal/fleet/lease/example_test.go
+++ b/internal/fleet/lease/example_test.go
@@ -8,8 +8,8 @@
 	"dunestep/internal/fleet/replica"
 )
 
-// An agent requests a lease from a voter, which first confirms its position with the leader. Then the voter is cut off,
-// and the lease expires.
+// An agent requests a lease from a voter, which first confirms its position with the leader. The agent then gets no
+// further grant, and the lease expires.
 func Example() {
 	at := func(d time.Duration) lease.ClockReading {
 		return lease.ClockReading{Unix: 1_800_000_000*time.Second + d, Mono: d}
--- a/internal/fleet/lease/granter.go
+++ b/internal/fleet/lease/granter.go
@@ -11,14 +11,15 @@
 type GranterSettings struct {
 	Terms  Terms
 	Agents int // agents 0 to Agents-1 may request leases; requests of others are dropped and counted
-	// MayGrant is called at the time of each grant: false rejects the request. nil: all requests may be granted.
+	// MayGrant reports whether a request may be granted; it is called before each grant. nil: all may be
+	// granted.
 	MayGrant func(now ClockReading, from int, r Request) bool
 }
 
-// GranterStats counts since the start.
+// GranterStats are counters since the start.
 type GranterStats struct {
 	Granted, Rejected, Dropped uint64
-	Pauses                     uint64 // times between two inputs that exceeded Terms.MaxPause
+	Pauses                     uint64 // intervals between two inputs that exceeded Terms.MaxPause
 }
 
 // Reply is a grant to be sent to an agent.
@@ -27,16 +28,16 @@
 	Grant Grant
 }
 
-// ActiveHolder is an agent that was granted a lease here which may still be unexpired.
+// ActiveHolder is an agent that may still hold a lease which this voter granted.
 type ActiveHolder struct {
 	Agent       int
 	Incarnation uint64
-	Applied     replica.Position // as the agent requested the lease; without the sum
+	Applied     replica.Position // position in the agent's request; without the sum
 	GrantedAt   ClockReading
 }
 
-// Granter is the voter's side of leases. Its grants need no memory but the table of ActiveHolders: a voter
-// that lost its state may grant as soon as the leader has confirmed a read.
+// Granter is the voter's side of leases. Its grants do not depend on earlier ones, and it remembers them only
+// for ActiveHolders: a voter that lost its state may grant as soon as the leader has confirmed a read.
 type Granter struct {
 	settings  GranterSettings
 	stats     GranterStats
@@ -50,8 +51,8 @@
 	readStarted    ClockReading
 	lastReadFailed bool
 
-	holders []ActiveHolder // by the agent's number
-	pending map[int]Request
+	holders []ActiveHolder  // by the agent's number
+	pending map[int]Request // requests that wait for a confirmed read, by the agent's number
 }
 
 // NewGranter returns a Granter that knows no position yet.
@@ -65,7 +66,7 @@
 // Stats returns the counters since the start.
 func (g *Granter) Stats() GranterStats { return g.stats }
 
-// noteInput detects pauses of the process, and reads that brought no answer.
+// noteInput detects pauses of the process and unanswered reads.
 func (g *Granter) noteInput(now ClockReading) {
 	if g.hasInput && now.Since(g.lastInput) > g.settings.Terms.MaxPause {
 		g.stats.Pauses++
@@ -77,9 +78,10 @@
 	}
 }
 
-// HandleRequest processes an agent's request. The clocks have to be read after the request was received. It
-// is answered at once, or with the leader's next confirmation. startRead reports that a linearizable read is
-// to be started now; its end is reported by HandleConfirmed.
+// HandleRequest processes an agent's request, and returns the replies to send. The caller has to read the
+// clocks after it received the request. A request without a reply waits for the next confirmed read.
+// startRead reports whether the caller has to start a linearizable read now, and to report its end with
+// HandleConfirmed.
 func (g *Granter) HandleRequest(now ClockReading, from int, r Request) (replies []Reply, startRead bool) {
 	g.noteInput(now)
 	if from < 0 || from >= len(g.holders) || r.Agent != from {
@@ -97,8 +99,8 @@
 	return replies, g.startRead(now)
 }
 
-// startRead starts a read unless one is pending or the position was confirmed within the last half of
-// MaxKnowledgeAge.
+// startRead marks a read as pending, and returns true, unless one is pending already or the position was
+// confirmed less than half of MaxKnowledgeAge ago.
 func (g *Granter) startRead(now ClockReading) bool {
 	if g.isReadPending || g.isConfirmed && now.Since(g.confirmedAsOf) < g.settings.Terms.MaxKnowledgeAge/2 {
 		return false
@@ -107,16 +109,18 @@
 	return true
 }
 
-// isFresh reports whether the position is recent enough to grant leases on it.
+// isFresh reports whether the position was confirmed recently enough to grant leases on it.
 func (g *Granter) isFresh(now ClockReading) bool {
 	return g.isConfirmed && now.Since(g.confirmedAsOf) <= g.settings.Terms.MaxKnowledgeAge
 }
 
+// reject returns the rejection of a request.
 func (g *Granter) reject(to int, r Request) Reply {
 	g.stats.Rejected++
 	return Reply{To: to, Grant: Grant{Nonce: r.Nonce, Rejected: true}}
 }
 
+// grant returns the grant of a request, or its rejection if MayGrant does not allow it.
 func (g *Granter) grant(now ClockReading, to int, r Request) Reply {
 	if g.settings.MayGrant != nil && !g.settings.MayGrant(now, to, r) {
 		return g.reject(to, r)
@@ -132,9 +136,9 @@
 	}}
 }
 
-// HandleConfirmed reports that a linearizable read has ended and that this voter has applied everything that
-// it named, up to position. startedAt is the reading before the read started, never that of its end. A read
-// that ended without an answer is not reported. Pending requests are granted.
+// HandleConfirmed processes the end of a linearizable read, after this voter has applied everything that the
+// read covers, up to position. It returns the replies to pending requests. startedAt is the clock reading
+// before the read started, never that of its end. A read that ended without an answer must not be reported.
 func (g *Granter) HandleConfirmed(now, startedAt ClockReading, position replica.Position) (replies []Reply) {
 	g.noteInput(now)
 	isOlder := g.isConfirmed && startedAt.Mono < g.confirmedAsOf.Mono
@@ -154,15 +158,15 @@
 	return replies
 }
 
-// ActiveHolders returns the agents that may still hold a lease which was granted here, by their numbers.
+// ActiveHolders returns the agents that may still hold a lease which this voter granted, ordered by number.
 func (g *Granter) ActiveHolders(now ClockReading) []ActiveHolder {
 	return slices.DeleteFunc(slices.Clone(g.holders), func(h ActiveHolder) bool {
-		return h.GrantedAt == (ClockReading{}) || now.Since(h.GrantedAt) >= g.maxHolding()
+		return h.GrantedAt == (ClockReading{}) || now.Since(h.GrantedAt) >= g.maxHoldDuration()
 	})
 }
 
-// maxHolding returns how long after a grant its holder may still act, by the granter's clock.
-func (g *Granter) maxHolding() time.Duration {
+// maxHoldDuration returns the maximum time, by the granter's clock, that a holder may act after its grant.
+func (g *Granter) maxHoldDuration() time.Duration {
 	t := g.settings.Terms
 	return time.Duration(float64(t.Duration) * (1 + t.MaxDrift) / (1 - t.MaxDrift))
 }
--- a/internal/fleet/lease/holder_test.go
+++ b/internal/fleet/lease/holder_test.go
@@ -9,9 +9,9 @@
 	"dunestep/internal/fleet/replica"
 )
 
-// TestHolder checks which grants count as a lease and until when.
-func TestHolder(t *testing.T) {
-	bothAt := func(s float64) ClockReading { // with both clocks
+// TestHolderCountsLeaseFromRequest checks which grants count as a lease and until when.
+func TestHolderCountsLeaseFromRequest(t *testing.T) {
+	bothAt := func(s float64) ClockReading { // a reading of both clocks
 		return ClockReading{Unix: 1e6*time.Second + time.Duration(s*1e9), Mono: time.Duration(s * 1e9)}
 	}
 	h := NewHolder(HolderSettings{Self: 1, Incarnation: 3, Voters: []int{4}, Seed: 9}, bothAt(0))
@@ -20,22 +20,22 @@
 	require.True(t, send)
 	h.HandleGrant(bothAt(0.6), to+1, Grant{Nonce: r.Nonce})
 	h.HandleGrant(bothAt(0.6), to, Grant{Nonce: r.Nonce + 1})
-	require.Equal(t, New, h.Standing(bothAt(0.6)), "from another voter, for another request")
+	require.Equal(t, New, h.Standing(bothAt(0.6)), "replies of another voter or to another request are ignored")
 	h.HandleGrant(bothAt(0.6), to, Grant{Nonce: r.Nonce, Epoch: 1, Seq: 5})
-	require.Equal(t, New, h.Standing(bothAt(0.7)), "not applied")
+	require.Equal(t, New, h.Standing(bothAt(0.7)), "the position of the grant is not applied yet")
 	h.SetApplied(replica.Position{Epoch: 1, Seq: 5})
 	require.Equal(t, Full, h.Standing(bothAt(4.4)))
 	setForward := bothAt(0.7)
 	setForward.Unix += 5 * time.Second
-	require.Equal(t, Floor, h.Standing(setForward), "a clock was set forward")
-	require.Equal(t, Floor, h.Standing(bothAt(0.7)), "and back: an expired lease does not come back")
+	require.Equal(t, Floor, h.Standing(setForward), "a Unix clock that is set forward ends the lease")
+	require.Equal(t, Floor, h.Standing(bothAt(0.7)), "an expired lease stays expired after the clock is set back")
 
 	_, r, send = h.Tick(bothAt(5))
 	require.True(t, send)
 	setBack := bothAt(8.9)
 	setBack.Unix -= time.Hour
 	h.HandleGrant(setBack, to, Grant{Nonce: r.Nonce, Epoch: 1, Seq: 4})
-	require.Equal(t, Full, h.Standing(setBack), "a clock that was set back does not count")
+	require.Equal(t, Full, h.Standing(setBack), "a Unix clock that is set back does not extend or end the lease")
 	setBack.Mono += 200 * time.Millisecond
 	require.Equal(t, Floor, h.Standing(setBack))
 	_, r, _ = h.Tick(bothAt(10))
@@ -43,23 +43,23 @@
 	require.Equal(t, HolderStats{Requests: 3, Granted: 2, Late: 1, Unmatched: 2}, h.Stats())
 }
 
-// A voter is waited for as long as replies take, and the voters count as unreachable after as many requests as the
-// known loss explains, not before.
-func TestRetrySchedule(t *testing.T) {
-	for _, lost := range []int{0, 2} { // requests that are lost before each one that is answered
+// TestRetryScheduleFollowsLossAndRoundTrip checks that the delay of the first requests follows the round trip, and that
+// the voters count as unreachable only after more lost requests than the known loss explains.
+func TestRetryScheduleFollowsLossAndRoundTrip(t *testing.T) {
+	for _, lost := range []int{0, 2} { // number of lost requests before each answered one
 		h := NewHolder(HolderSettings{Voters: []int{4, 5, 6}, Seed: 9}, ClockReading{})
 		now := ClockReading{}
 		request := func() (int, Request, time.Duration) {
-			since := now.Mono
+			previous := now.Mono
 			now.Mono = h.Next()
 			now.Unix = now.Mono
 			to, r, send := h.Tick(now)
 			require.True(t, send)
-			return to, r, now.Mono - since
+			return to, r, now.Mono - previous
 		}
 		request()
 		_, _, first := request()
-		require.Greater(t, first, 200*time.Millisecond, "no reply came yet")
+		require.Greater(t, first, 200*time.Millisecond, "the round trip is not known yet")
 		for range 60 {
 			for range lost {
 				request()
@@ -84,8 +84,9 @@
 	}
 }
 
-// An older grant never replaces a newer one, nor one of an earlier epoch one of a later.
-func TestGrantsOutOfOrder(t *testing.T) {
+// TestOlderGrantDoesNotReplaceNewer checks that an older grant does not replace a newer one, and that a grant of an
+// earlier epoch is ignored.
+func TestOlderGrantDoesNotReplaceNewer(t *testing.T) {
 	h := NewHolder(HolderSettings{Voters: []int{4}, Seed: 9}, ClockReading{})
 	h.SetApplied(replica.Position{Epoch: 2, Seq: 5})
 	request := func(s float64) Request {
@@ -100,13 +101,14 @@
 	h.HandleGrant(at(2.7), 4, Grant{Nonce: first.Nonce, Epoch: 2, Seq: 5})
 	require.Equal(t, 3300*time.Millisecond, h.Remaining(at(2.7)))
 	h.HandleGrant(at(3), 4, Grant{Nonce: request(3).Nonce, Epoch: 2, Seq: 6})
-	behind, isBehind := h.Behind()
-	require.True(t, isBehind && behind.Seq == 6 && h.Holds(at(5.9)) && !h.Holds(at(6)), "the former grant holds until it expires")
+	pending, isPending := h.PendingPosition()
+	require.True(t, isPending && pending.Seq == 6 && h.Holds(at(5.9)) && !h.Holds(at(6)), "the former grant holds until it expires")
 
 	rejected := request(4)
 	before := h.nextRequest
 	h.HandleGrant(at(4), 4, Grant{Nonce: rejected.Nonce, Rejected: true})
-	require.Equal(t, before, h.nextRequest, "the only voter is not asked again at once after it rejected")
+	require.Equal(t, before, h.nextRequest, "the only voter gets no request at once after it rejected one")
 }
 
+// at returns a reading of the steady clock in seconds; the Unix clock stands still.
 func at(s float64) ClockReading { return ClockReading{Mono: time.Duration(s * 1e9)} }
--- a/internal/fleet/lease/lab_test.go
+++ b/internal/fleet/lease/lab_test.go
@@ -8,40 +8,40 @@
 	"dunestep/internal/simnet"
 )
 
-// lab simulates voters, whose leader is node 0, and agents. The lab itself knows what was committed and when: the leader
-// answers each read with what is committed as it answers.
+// lab simulates voters, whose leader is node 0, and agents. It records the time of each commit. The leader answers each
+// read with the number of records that are committed at the time of the answer.
 type lab struct {
 	*simnet.Network
-	terms      Terms
-	granters   []*Granter
-	holders    []*Holder
-	applied    []uint64 // the last record by the agent
-	lastInput  []ClockReading
-	commits    []ClockReading // of the leader's clocks, by the record
-	without    string         // the protection that is left out; empty: none
-	decisions  int
-	underLease int
-	violation  string
+	terms              Terms
+	granters           []*Granter
+	holders            []*Holder
+	applied            []uint64 // last applied record, by agent
+	lastInput          []ClockReading
+	commits            []ClockReading // the leader's clocks at each commit, by record
+	disabledProtection string         // protection that is disabled; empty: none
+	decisions          int
+	underLease         int
+	violation          string
 }
 
 const (
 	voters = 3
-	// suspended is an agent whose steady clock stands nearly still while it is paused, and whose Unix time is right.
+	// suspended is the node of an agent whose steady clock nearly stops while it is paused, and whose Unix time is right.
 	suspended = voters
 )
 
-func newLab(seed uint64, agents int, faults simnet.Faults, terms Terms, without string) *lab {
+func newLab(seed uint64, agents int, faults simnet.Faults, terms Terms, disabledProtection string) *lab {
 	l := &lab{
-		Network: simnet.NewNetwork(seed, voters+agents, 1e6*time.Second, faults), terms: terms.WithDefaults(), without: without,
+		Network: simnet.NewNetwork(seed, voters+agents, 1e6*time.Second, faults), terms: terms.WithDefaults(), disabledProtection: disabledProtection,
 		applied: make([]uint64, agents), lastInput: make([]ClockReading, agents),
 	}
-	granting := l.terms
-	if without == "knowledge age" {
-		granting.MaxKnowledgeAge, granting.MaxPause = time.Hour, time.Hour
+	grantTerms := l.terms
+	if disabledProtection == "knowledge age" {
+		grantTerms.MaxKnowledgeAge, grantTerms.MaxPause = time.Hour, time.Hour
 	}
 	l.OnMessage, l.OnTimer = l.deliver, l.tick
 	for range voters {
-		l.granters = append(l.granters, NewGranter(GranterSettings{Terms: granting, Agents: agents}))
+		l.granters = append(l.granters, NewGranter(GranterSettings{Terms: grantTerms, Agents: agents}))
 	}
 	l.holders = make([]*Holder, agents)
 	for a := range agents {
@@ -50,9 +50,10 @@
 	return l
 }
 
+// reading returns the reading of a node's clocks.
 func (l *lab) reading(node int) ClockReading {
 	r := ClockReading{Unix: l.UnixTime(node), Mono: l.SteadyTime(node)}
-	switch l.without {
+	switch l.disabledProtection {
 	case "steady clock":
 		r.Mono = r.Unix - 1e6*time.Second
 	case "Unix time":
@@ -61,6 +62,7 @@
 	return r
 }
 
+// restart replaces an agent's holder, as a restart of its process does.
 func (l *lab) restart(a int, incarnation uint64) {
 	l.holders[a] = NewHolder(HolderSettings{
 		Terms: l.terms, Self: a, Incarnation: incarnation,
@@ -70,6 +72,7 @@
 	l.SetTimer(voters+a, l.holders[a].Next())
 }
 
+// tick sends the request of an agent if one is due.
 func (l *lab) tick(node int) {
 	a := node - voters
 	now := l.reading(node)
@@ -80,7 +83,7 @@
 	l.SetTimer(node, max(l.holders[a].Next(), l.SteadyTime(node)+10*time.Millisecond))
 }
 
-// read is a linearizable read on its way between a voter and the leader.
+// read is the result of a linearizable read.
 type read struct {
 	startedAt ClockReading
 	committed uint64
@@ -105,7 +108,7 @@
 			panic(err)
 		}
 		a := to - voters
-		if l.without == "request time" { // count from when the grant came
+		if l.disabledProtection == "request time" { // count from the arrival of the grant
 			for i := range l.holders[a].outstanding {
 				l.holders[a].outstanding[i].sent = now
 			}
@@ -116,29 +119,29 @@
 	}
 }
 
-// startRead has a voter do a linearizable read at the leader, over the same network as everything else.
+// startRead simulates a linearizable read of a voter at the leader, over the same network as all messages.
 func (l *lab) startRead(voter int, startedAt ClockReading) {
-	w := l.Network
+	network := l.Network
 	exchange := func(done func(read)) {
 		if l.isLost(voter, 0) {
 			return
 		}
-		w.At(w.Now()+l.delay(), func() {
+		network.At(network.Now()+l.delay(), func() {
 			answer := read{startedAt: startedAt, committed: uint64(len(l.commits))}
 			if !l.isLost(0, voter) {
-				w.At(w.Now()+l.delay(), func() { done(answer) })
+				network.At(network.Now()+l.delay(), func() { done(answer) })
 			}
 		})
 	}
 	exchange(func(r read) {
 		var confirm func()
 		confirm = func() {
-			if w.IsPaused(voter) {
-				w.At(w.Now()+50*time.Millisecond, confirm)
+			if network.IsPaused(voter) {
+				network.At(network.Now()+50*time.Millisecond, confirm)
 				return
 			}
 			now := l.reading(voter)
-			if l.without == "read start" { // count from when the answer came
+			if l.disabledProtection == "read start" { // count from the arrival of the answer
 				r.startedAt = now
 			}
 			l.reply(voter, l.granters[voter].HandleConfirmed(now, r.startedAt, replica.Position{Epoch: 1, Seq: r.committed}))
@@ -165,7 +168,7 @@
 	}
 }
 
-// commit adds a record, which each agent learns some time later, or much later.
+// commit adds a record, which each agent applies after a random delay, in one of 8 cases a long one.
 func (l *lab) commit() {
 	l.commits = append(l.commits, l.reading(0))
 	n := uint64(len(l.commits))
@@ -181,19 +184,19 @@
 	}
 }
 
-// decide has every running agent make a decision, and checks whether it may: by the leader's own clocks, and by the Unix
-// time of another machine.
+// decide lets every running agent make a decision, and checks that no agent acts without a record after its fence, by
+// the leader's own clocks and by the Unix time of a random voter.
 func (l *lab) decide() {
-	leader, other := l.reading(0), l.UnixTime(l.Rand().IntN(voters))
+	leader, voterTime := l.reading(0), l.UnixTime(l.Rand().IntN(voters))
 	for a, h := range l.holders {
 		if l.IsPaused(voters + a) {
 			continue
 		}
 		now := l.reading(voters + a)
-		if l.without == "decision time" { // the clocks are not read for the decision itself
+		if l.disabledProtection == "decision time" { // the clocks are not read for the decision itself
 			now = l.lastInput[a]
 		}
-		if l.without == "applied" {
+		if l.disabledProtection == "applied" {
 			h.SetApplied(replica.Position{Epoch: 1, Seq: math.MaxUint64})
 		}
 		l.decisions++
@@ -205,26 +208,26 @@
 			if l.applied[a] > uint64(i) {
 				continue
 			}
-			if l.terms.FencePassed(committed, leader) || other >= l.terms.Fence(committed.Unix) {
+			if l.terms.FencePassed(committed, leader) || voterTime >= l.terms.Fence(committed.Unix) {
 				l.violation = "an agent acts without a record after its fence"
 			}
 		}
 	}
 }
 
-// simulate runs 90 s with all kinds of faults.
-func simulate(seed uint64, without string) *lab {
+// simulate runs 90 s with all kinds of faults, and with one protection disabled.
+func simulate(seed uint64, disabledProtection string) *lab {
 	terms := Terms{Duration: 2 * time.Second, MaxKnowledgeAge: 500 * time.Millisecond, MaxClockError: 400 * time.Millisecond, MaxDrift: 0.01}
 	l := newLab(seed, 6, simnet.Faults{
 		Loss: 0.1, Duplicate: 0.1, MinDelay: time.Millisecond, MaxDelay: 20 * time.Millisecond,
 		Late: 0.1, Lateness: 4 * time.Second,
-	}, terms, without)
+	}, terms, disabledProtection)
 	rng, begin := l.Rand(), l.Now()
 	end := begin + 90*time.Second
 	incarnation := uint64(1)
-	every(l, begin, end, 1500*time.Millisecond, l.commit)
-	every(l, begin, end, 100*time.Millisecond, l.decide)
-	every(l, begin, end, 2*time.Second, func() {
+	scheduleEvery(l, begin, end, 1500*time.Millisecond, l.commit)
+	scheduleEvery(l, begin, end, 100*time.Millisecond, l.decide)
+	scheduleEvery(l, begin, end, 2*time.Second, func() {
 		node := rng.IntN(voters + len(l.holders))
 		switch rng.IntN(5) {
 		case 0:
@@ -234,7 +237,7 @@
 				l.SetClock(node, 0, 0.01)
 				l.At(until, func() { l.SetClock(node, 0, 1) })
 			}
-		case 1: // one direction, for a while
+		case 1: // cut one direction for 8 s
 			other := rng.IntN(voters)
 			l.SetCut(node, other, true)
 			l.At(l.Now()+8*time.Second, func() { l.SetCut(node, other, false) })
@@ -242,7 +245,7 @@
 			other := rng.IntN(voters)
 			l.SetCut(other, node, true)
 			l.At(l.Now()+8*time.Second, func() { l.SetCut(other, node, false) })
-		case 3: // within the terms; an agent's Unix time may be off by more, as nobody else depends on it
+		case 3: // clock errors within the terms; the Unix time of an agent may be off by more, as no other node depends on it
 			offset := (2*rng.Float64() - 1) * float64(terms.MaxClockError)
 			if node >= voters {
 				offset *= 10
@@ -261,7 +264,8 @@
 	return l
 }
 
-func every(l *lab, from, to, step time.Duration, do func()) {
+// scheduleEvery calls do once in each interval of length step, at a random time within it.
+func scheduleEvery(l *lab, from, to, step time.Duration, do func()) {
 	for at := from; at < to; at += step {
 		l.At(at+time.Duration(l.Rand().Int64N(int64(step))), do)
 	}
--- a/internal/fleet/lease/messages.go
+++ b/internal/fleet/lease/messages.go
@@ -19,27 +19,27 @@
 	Agent       int
 	Incarnation uint64 // of the agent's process
 	Nonce       uint64 // returned in the Grant
-	Epoch, Seq  uint64 // how far the agent has applied the log
-	Note        []byte // of the application, at most MaxNoteBytes
+	Epoch, Seq  uint64 // position up to which the agent has applied the log
+	Note        []byte // data of the application, at most MaxNoteBytes
 }
 
 // Grant is a voter's reply to a request.
 type Grant struct {
 	_          struct{} `cbor:",toarray"`
 	Nonce      uint64
-	Epoch, Seq uint64 // what the holder has to have applied
+	Epoch, Seq uint64 // position that the holder has to have applied
 	Rejected   bool
-	Unix       time.Duration // the voter's Unix clock as it granted; see Holder.IsClockOff
+	Unix       time.Duration // the voter's Unix clock at the grant; see Holder.IsClockOff
 }
 
-// Encode returns the encoded message: fewer than 60 bytes and the note.
+// Encode returns the encoded message, which has fewer than 60 bytes plus the note.
 func (r Request) Encode() []byte { return compact.Marshal(r) }
 
-// Encode returns the encoded message: fewer than 50 bytes.
+// Encode returns the encoded message, which has fewer than 50 bytes.
 func (g Grant) Encode() []byte { return compact.Marshal(g) }
 
-// DecodeRequest decodes a Request. It returns an error wrapping compact.ErrMalformed for other data, and an
-// error for a note that is too long.
+// DecodeRequest decodes a Request. It returns an error wrapping compact.ErrMalformed if the data is not one,
+// and another error if the note is too long.
 func DecodeRequest(data []byte) (r Request, err error) {
 	if err = compact.Unmarshal(data, &r); err != nil {
 		return r, fmt.Errorf("cannot decode a lease request: %w", err)
@@ -50,7 +50,7 @@
 	return r, nil
 }
 
-// DecodeGrant decodes a Grant. It returns an error wrapping compact.ErrMalformed for other data.
+// DecodeGrant decodes a Grant. It returns an error wrapping compact.ErrMalformed if the data is not one.
 func DecodeGrant(data []byte) (g Grant, err error) {
 	if err = compact.Unmarshal(data, &g); err != nil {
 		return g, fmt.Errorf("cannot decode a lease grant: %w", err)
--- a/internal/fleet/lease/retryschedule.go
+++ b/internal/fleet/lease/retryschedule.go
@@ -8,38 +8,41 @@
 )
 
 const (
-	// fastRequests is how many requests in a row are spaced by the round trip only, before the spacing grows.
+	// fastRequests is the number of requests in a row that are spaced by the round trip only, before the spacing
+	// grows.
 	fastRequests = 4
-	// minEagerRequests is how many requests in a row are sent before the voters count as unreachable if all
-	// requests were answered so far; maxEagerRequests is how many are at most, if many were lost.
+	// minEagerRequests is the number of requests in a row that are sent before the voters count as unreachable
+	// if all requests were granted so far. maxEagerRequests is the maximum of that number if requests were lost.
 	minEagerRequests, maxEagerRequests = 16, 32
-	// allLostProbability is the probability with which that many requests in a row may all be lost by chance.
+	// allLostProbability is the probability, at the known loss, that all requests in a row are lost although the
+	// voters are reachable. It determines the number of eager requests.
 	allLostProbability = 1e-5
-	// rateSmoothing is the divisor by which a new sample moves the success rate.
+	// rateSmoothing is the divisor of the difference by which a new sample changes the success rate.
 	rateSmoothing = 8
-	// minDelayDivisor is the part of the usual delay for which a reply is waited for at least.
+	// minDelayDivisor is the divisor of the usual delay that gives the minimum wait for a reply.
 	minDelayDivisor = 6
-	// maxFailuresMargin is added to the bound of the counted failures.
+	// maxFailuresMargin is added to the maximum of the counted failures.
 	maxFailuresMargin = 4
 )
 
 // retrySchedule spaces the requests for leases.
 type retrySchedule struct {
 	leaseDuration time.Duration
-	failuresInRow int // requests in a row that brought no lease
+	failuresInRow int // consecutive requests without a grant
 	roundTrip     roundtrip.Estimate
-	successRate   float64 // of the requests, smoothed: the network and the voters lose the rest
+	successRate   float64 // smoothed fraction of the requests that were granted, 0 to 1
 }
 
 func newRetrySchedule(leaseDuration time.Duration) retrySchedule {
 	return retrySchedule{leaseDuration: leaseDuration, successRate: 1}
 }
 
+// noteRequest counts a request as failed until noteSuccess is called.
 func (s *retrySchedule) noteRequest(voters int) {
 	s.failuresInRow = min(s.failuresInRow+1, maxEagerRequests+voters+maxFailuresMargin)
 }
 
-// noteSuccess updates the success rate after a request brought a lease.
+// noteSuccess updates the success rate after a request was granted.
 func (s *retrySchedule) noteSuccess() {
 	if s.failuresInRow > 0 {
 		s.successRate += (1/float64(s.failuresInRow) - s.successRate) / rateSmoothing
@@ -47,9 +50,10 @@
 	s.failuresInRow = 0
 }
 
-// delay returns how long a voter is waited for before the next one is asked. The first requests wait for as
-// long as replies take, the following ones for up to a sixteenth of a lease while the known loss explains
-// that all were lost. After that the voters count as unreachable, and the delay grows up to half a lease.
+// delay returns the time between a request and the next one, to the next voter. For the first requests it
+// follows the usual round trip. It then grows up to a sixteenth of a lease's duration, as long as the
+// known loss explains that all requests were lost. After that the voters count as unreachable, and the delay
+// grows up to half a lease's duration.
 func (s *retrySchedule) delay() time.Duration {
 	usual, eager := s.leaseDuration/16, s.eagerRequests()
 	if s.failuresInRow > eager {
@@ -59,7 +63,7 @@
 	return min(first<<max(s.failuresInRow-fastRequests, 0), usual)
 }
 
-// eagerRequests returns how many requests in a row are sent before the voters count as unreachable.
+// eagerRequests returns the number of requests in a row that are sent before the voters count as unreachable.
 func (s *retrySchedule) eagerRequests() int {
 	if s.successRate >= 1 {
 		return minEagerRequests
--- a/internal/fleet/lease/terms.go
+++ b/internal/fleet/lease/terms.go
@@ -22,15 +22,15 @@
 	maxMaxDrift        = 0.1
 )
 
-// Terms are the parameters of leases, the same at all agents of a fleet. Zero fields stand for the defaults.
+// Terms are the parameters of leases, the same at all agents of a fleet. Zero fields select the defaults.
 type Terms struct {
-	Duration        time.Duration // of a lease, from when it was requested; default 4 s
-	MaxKnowledgeAge time.Duration // of what a voter knows as it grants; default 1 s
-	// MaxPause is the maximum time between two inputs of a voter: after a longer one it discards what it knew;
-	// default MaxKnowledgeAge.
+	Duration        time.Duration // duration of a lease, from the time of its request; default 4 s
+	MaxKnowledgeAge time.Duration // maximum age of the confirmed read that a grant is based on; default 1 s
+	// MaxPause is the maximum time between two inputs of a voter. After a longer one, the voter discards its
+	// confirmed position. Default MaxKnowledgeAge.
 	MaxPause      time.Duration
-	MaxClockError time.Duration // by which a Unix clock may be off; default 100 ms
-	MaxDrift      float64       // of a steady clock, as a fraction of its rate; default 0.001
+	MaxClockError time.Duration // maximum error of a Unix clock; default 100 ms
+	MaxDrift      float64       // maximum drift of a steady clock, as a fraction of its rate; default 0.001
 }
 
 // ErrInvalidTerms reports that the terms are out of bounds.
@@ -54,7 +54,8 @@
 	return t
 }
 
-// Validate returns ErrInvalidTerms if nobody could hold a lease by the terms, or no fence could be computed.
+// Validate returns ErrInvalidTerms if the terms are out of bounds, so that no agent could hold a lease or no
+// fence could be computed.
 func (t Terms) Validate() error {
 	switch {
 	case t.Duration < minDuration || t.Duration > maxTerm:
@@ -69,33 +70,35 @@
 	return nil
 }
 
-// Fence returns the Unix time of any machine after which no agent acts without what was committed at a Unix
-// time of another machine. That time has to be read once it was committed, not before.
+// Fence returns the Unix time, by the clock of any machine, after which no agent acts without the records
+// that were committed at a Unix time of another machine. That machine has to read its clock after the commit,
+// not before.
 func (t Terms) Fence(committed time.Duration) time.Duration {
-	return committed + t.stretched(1/(1-t.MaxDrift)) + 2*t.MaxClockError
+	return committed + t.scaledWait(1/(1-t.MaxDrift)) + 2*t.MaxClockError
 }
 
-// FenceWait returns how long to wait for the fence by one's own steady clock.
-func (t Terms) FenceWait() time.Duration { return t.stretched((1 + t.MaxDrift) / (1 - t.MaxDrift)) }
+// FenceWait returns the time from a commit until the fence has passed, by the machine's own steady clock.
+func (t Terms) FenceWait() time.Duration { return t.scaledWait((1 + t.MaxDrift) / (1 - t.MaxDrift)) }
 
-func (t Terms) stretched(by float64) time.Duration {
-	return time.Duration(math.Ceil(float64(t.MaxKnowledgeAge+t.Duration)*by)) + 1
+// scaledWait returns MaxKnowledgeAge plus Duration, multiplied by a factor and rounded up.
+func (t Terms) scaledWait(factor float64) time.Duration {
+	return time.Duration(math.Ceil(float64(t.MaxKnowledgeAge+t.Duration)*factor)) + 1
 }
 
-// FencePassed reports whether no agent acts any more without what was committed for sure at an earlier
-// reading of the same machine.
+// FencePassed reports whether the fence has passed: no agent acts any more without the records that were
+// certainly committed at an earlier clock reading of the same machine.
 func (t Terms) FencePassed(committed, now ClockReading) bool {
 	return min(now.Unix-committed.Unix, now.Mono-committed.Mono) >= t.FenceWait()
 }
 
-// ClockReading is what a machine's clocks show at one time. Who has only one clock passes it twice, and lacks
-// the protection by the other one.
+// ClockReading is a reading of both clocks of a machine at one time. A caller with only one clock uses it for
+// both fields, and lacks the protection by the other one.
 type ClockReading struct {
-	Unix time.Duration // the Unix time, which may be set
-	Mono time.Duration // a steady clock of any origin, never set, which runs while the machine is suspended
+	Unix time.Duration // Unix time, which may be set
+	Mono time.Duration // steady clock of any origin: never set, and running while the machine is suspended
 }
 
-// Since returns how long ago an earlier reading was, by the clock that shows more.
+// Since returns the time since an earlier reading, by the clock that shows more.
 func (r ClockReading) Since(earlier ClockReading) time.Duration {
 	return max(r.Unix-earlier.Unix, r.Mono-earlier.Mono)
 }
