--- a/internal/fleet/raftlog/abandonment.go
+++ b/internal/fleet/raftlog/abandonment.go
@@ -9,7 +9,7 @@
 //   - no live log was observed for Config.FoundingQuietPeriod;
 //   - the log is volatile, or an operator has consented.
 
-// isStuck reports whether a majority of the voters is proved gone, so that nothing can be committed anymore.
+// isStuck reports whether a majority of the voters is proved gone, so that nothing can be committed any more.
 func (v *Voter) isStuck() bool {
 	if v.raftNode == nil {
 		return false
--- a/internal/fleet/raftlog/golden_test.go
+++ b/internal/fleet/raftlog/golden_test.go
@@ -65,8 +65,8 @@
 	return encoded
 }
 
-// TestGoldenRaftMessages checks the encoding of the first message of each type that three voters send each other while a
-// log is founded, a record is committed, and a voter returns without its store.
+// TestGoldenRaftMessages checks the encoding of the first message of each type that three voters send each other while
+// a log is founded, a record is committed, and a voter returns without its store.
 func TestGoldenRaftMessages(t *testing.T) {
 	firstByType := map[string][]byte{}
 	cluster := newTestCluster(t, false)
--- a/internal/fleet/raftlog/voter_test.go
+++ b/internal/fleet/raftlog/voter_test.go
@@ -42,7 +42,8 @@
 // step passes an input to a voter. A rejection is ignored.
 func (c *testCluster) step(a uint32, in Input) { _ = c.stepErr(a, in) }
 
-// stepErr passes an input to a voter, delivers the messages that it sends, and returns the error if the input is rejected.
+// stepErr passes an input to a voter, delivers the messages that it sends, and returns the error if the input is
+// rejected.
 func (c *testCluster) stepErr(a uint32, in Input) error {
 	out := c.voters[a].Step(c.now, in)
 	c.committed[a] = append(c.committed[a], out.Committed...)
@@ -95,7 +96,8 @@
 	return func(from, to uint32) bool { return from == a || to == a }
 }
 
-// TestOneLogIsFoundedByAllVoters checks that a log is founded only when all configured voters are reachable, and only once.
+// TestOneLogIsFoundedByAllVoters checks that a log is founded only when all configured voters are reachable, and only
+// once.
 func TestOneLogIsFoundedByAllVoters(t *testing.T) {
 	cluster := newTestCluster(t, false)
 	cluster.drop = isolate(2)
@@ -247,8 +249,8 @@
 	}
 }
 
-// TestRememberedOutcomesAreBounded checks that only outcomes of proposals whose window has passed are forgotten, and that
-// an outcome does not change once it was reported.
+// TestRememberedOutcomesAreBounded checks that only outcomes of proposals whose window has passed are forgotten, and
+// that an outcome does not change once it was reported.
 func TestRememberedOutcomesAreBounded(t *testing.T) {
 	var state logState
 	rng := rand.New(rand.NewPCG(1, 1))
--- a/internal/fleet/raftlog/voterlab/costs_test.go
+++ b/internal/fleet/raftlog/voterlab/costs_test.go
@@ -10,8 +10,8 @@
 	"dunestep/internal/fleet/raftlog"
 )
 
-// TestIdleTrafficAndLatencies measures the traffic of idle voters and the durations of elections and commits, as given in
-// docs/design/fleet-log.md, and checks them against bounds. LONG_TESTS runs more seeds.
+// TestIdleTrafficAndLatencies measures the traffic of idle voters and the durations of elections and commits, as given
+// in docs/design/fleet-log.md, and checks them against bounds. LONG_TESTS runs more seeds.
 func TestIdleTrafficAndLatencies(t *testing.T) {
 	for _, voters := range []int{3, 5, 7} {
 		l := New(Options{Voters: voters, CallInterval: -1})
--- a/internal/fleet/raftlog/voterlab/voterlab_test.go
+++ b/internal/fleet/raftlog/voterlab/voterlab_test.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// TestSameSeedSameRun checks that the same seed gives the same run, including the elections, whose times raft itself would
-// draw from a source that cannot be seeded.
+// TestSameSeedSameRun checks that the same seed gives the same run, including the elections, whose times raft itself
+// would draw from a source that cannot be seeded.
 func TestSameSeedSameRun(t *testing.T) {
 	run := func(seed uint64) (string, int) {
 		l := runWithFaults(Options{Seed: seed, Voters: 5}, 30*time.Second)
@@ -90,8 +90,8 @@
 	}
 }
 
-// TestRestartOfAllVoters checks that volatile voters found a new log of a higher epoch after all of them ended at the same
-// time, and that durable ones continue with their log.
+// TestRestartOfAllVoters checks that volatile voters found a new log of a higher epoch after all of them ended at the
+// same time, and that durable ones continue with their log.
 func TestRestartOfAllVoters(t *testing.T) {
 	for _, volatile := range []bool{false, true} {
 		l := New(Options{Seed: 5, Voters: 3, Agents: 3, Volatile: volatile})
