--- a/internal/fleet/raftlog/freshness.go
+++ b/internal/fleet/raftlog/freshness.go
@@ -183,7 +183,7 @@
 }
 
 // noteCovered remembers that this voter is fresh as of a time once it has applied index. An index of 0 is
-// ignored: the leader has not covered the reading.
+// ignored, as it means that the covered index is unknown.
 func (f *freshness) noteCovered(asOf time.Time, index uint64) {
 	if index > 0 && asOf.After(f.pendingAsOf) {
 		f.pendingAsOf, f.pendingIndex = asOf, index
--- a/internal/fleet/raftlog/proposals.go
+++ b/internal/fleet/raftlog/proposals.go
@@ -8,7 +8,7 @@
 // needed to apply each proposal only once.
 type ProposalID struct{ Origin, Number, Base uint64 }
 
-// Outcome is the outcome of a proposal.
+// Outcome is the known result of a proposal.
 type Outcome uint8
 
 // The outcomes.
--- a/internal/fleet/raftlog/timers.go
+++ b/internal/fleet/raftlog/timers.go
@@ -88,7 +88,7 @@
 	return b.GetCommit()
 }
 
-// retrySnapshots reports snapshots that may have been lost to raft, which then sends them again.
+// retrySnapshots notifies raft of snapshots that may have been lost, so that raft sends them again.
 func (v *Voter) retrySnapshots() {
 	if v.snapshotsSentAt == nil {
 		v.snapshotsSentAt = map[uint64]time.Time{}
--- a/internal/fleet/raftlog/voter_test.go
+++ b/internal/fleet/raftlog/voter_test.go
@@ -223,8 +223,8 @@
 	}
 }
 
-// TestProposalOutcomes checks that a proposal which is repeated, at any voter, is committed once, and one that was
-// withdrawn before it is proposed never.
+// TestProposalOutcomes checks that a proposal which is repeated, at any voter, is committed once, and that one
+// which was withdrawn before it is proposed is never committed.
 func TestProposalOutcomes(t *testing.T) {
 	cluster := newTestCluster(t, false)
 	require.ErrorIs(t, cluster.stepErr(0, Propose{ProposalID{1, 1, 0}, nil}), ErrNoLeader)
