--- a/internal/fleet/gossip/budget.go
+++ b/internal/fleet/gossip/budget.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// byteBudget bounds bytes per second; what was not used is available for a second.
+// byteBudget is a token bucket that bounds the bytes per second, with a burst of one second.
 type byteBudget struct {
 	rate      float64 // bytes per second
 	available float64 // bytes; negative: a debt
-	burst     float64 // the maximum of available: at least two messages
+	burst     float64 // maximum of available in bytes, enough for at least two messages
 	updatedAt time.Duration
 }
 
@@ -20,9 +20,10 @@
 	b.updatedAt = now
 }
 
+// covers reports whether the bytes are available.
 func (b *byteBudget) covers(bytes int) bool { return b.available >= float64(bytes) }
 
-// spend takes the bytes if they are available.
+// spend deducts the bytes if they are available, and reports whether they were.
 func (b *byteBudget) spend(bytes int) bool {
 	if !b.covers(bytes) {
 		return false
@@ -31,11 +32,11 @@
 	return true
 }
 
-// charge takes bytes that were received in any case. The debt is bounded, so that others cannot block an
-// agent for long.
+// charge deducts the bytes of a message that was received, whether or not they are available. The debt is
+// bounded, so that other agents cannot block this one for long.
 func (b *byteBudget) charge(bytes int) { b.available = max(b.available-float64(bytes), -b.burst) }
 
-// waitFor returns how long it takes until the bytes are available.
+// waitFor returns the time until the bytes are available.
 func (b *byteBudget) waitFor(bytes int) time.Duration {
 	return time.Duration((float64(bytes)-b.available)/b.rate*float64(time.Second)) + time.Millisecond
 }
--- a/internal/fleet/gossip/catchup.go
+++ b/internal/fleet/gossip/catchup.go
@@ -7,59 +7,61 @@
 	"dunestep/internal/fleet/replica"
 )
 
-// CatchUpState is how far an agent that has started is with catching up.
+// CatchUpState is the state of an agent's catching up after its start.
 type CatchUpState uint8
 
 // The states of catching up.
 const (
-	// Asking agents do not know yet what the others have.
+	// Asking agents, before the deadline, request digests from other agents and pull the records that they lack.
 	Asking CatchUpState = iota
-	// CaughtUp agents have everything that a voter, or several agents that are caught up, know.
+	// CaughtUp agents have all records that a voter, or several agents that have caught up, reported to have.
 	CaughtUp
-	// Late agents have passed the deadline; some others replied, but none that is trusted, or records are still
-	// missing.
+	// Late agents have received replies but did not catch up by the deadline, as too few of the replies were
+	// trusted or records are still missing.
 	Late
-	// Alone agents have passed the deadline without any reply.
+	// Alone agents have received no reply by the deadline.
 	Alone
 )
 
-// String returns the name of the state, as logs show it.
+// String returns the name of the state in log lines.
 func (s CatchUpState) String() string {
 	return [...]string{"asking", "caught up", "late", "alone"}[min(s, Alone)]
 }
 
 const (
-	// maxAskedAgents bounds how many agents are asked at once.
-	maxAskedAgents = 8
-	// resetAfterAttempts is after how many attempts a late agent discards the replies, as they may have been
-	// wrong.
+	// maxQueriedAgents is the maximum number of agents from which a digest is requested at once, without the
+	// voter.
+	maxQueriedAgents = 8
+	// resetAfterAttempts is the number of attempts after which a late agent discards the replies, as they may
+	// have been wrong.
 	resetAfterAttempts = 8
-	// backoffAfterAttempts is after how many attempts the timeout doubles with each, up to maxBackoffDoublings
-	// times.
+	// backoffAfterAttempts is the number of attempts after which the timeout doubles with each further attempt,
+	// up to maxBackoffDoublings times.
 	backoffAfterAttempts = 4
 	maxBackoffDoublings  = 5
 )
 
-// catchUp is the state of catching up after the start.
+// catchUp contains the state of catching up after the start.
 type catchUp struct {
-	state     CatchUpState
-	deadline  time.Duration
-	next      time.Duration // when others are asked again
-	attempts  int
-	lastAsked time.Duration
-	// question is the number of the question: replies to questions of an earlier process do not count.
-	question    uint32
+	state         CatchUpState
+	deadline      time.Duration
+	nextRequestAt time.Duration
+	attempts      int
+	lastRequestAt time.Duration
+	// requestID is the number in this process's requests for a digest. Replies with another number, to an
+	// earlier process of this agent, do not count.
+	requestID   uint32
 	hasReply    bool
-	isUntrusted bool // others must not rely on this agent
+	isUntrusted bool // other agents must not rely on this one
 
-	// Of the trusted replies.
+	// Derived from the trusted replies.
 	hasVoterReply bool
-	agents        []int // up to Settings.AgentQuorum
-	newest        replica.Position
+	agents        []int            // that replied, up to Settings.AgentQuorum
+	newest        replica.Position // newest position of the replies
 }
 
-// CatchUpState returns how far the agent is. While it is Asking, the agent must not report that it is ready.
-// Late and Alone become CaughtUp when they can.
+// CatchUpState returns the state of catching up. While it is Asking, the agent must not report that it is
+// ready. An agent that is Late or Alone can still become CaughtUp.
 func (r *Replicator) CatchUpState(now time.Duration) CatchUpState {
 	if r.catchUp.state == Asking && now >= r.catchUp.deadline {
 		r.catchUp.state = Alone
@@ -70,11 +72,11 @@
 	return r.catchUp.state
 }
 
-// MarkCaughtUp reports that the replica has what the voters had agreed on a moment ago, as a voter learns by
-// a linearizable read: others may rely on this agent from then on.
+// MarkCaughtUp sets the state to CaughtUp, so that other agents may rely on this one. A voter calls it when a
+// linearizable read has shown that the replica has all records that the voters committed before the read.
 func (r *Replicator) MarkCaughtUp() { r.catchUp.state = CaughtUp }
 
-// Trust is whether others may rely on an agent that has caught up.
+// Trust states whether other agents may rely on an agent that has caught up.
 type Trust bool
 
 // The values of Trust.
@@ -83,47 +85,47 @@
 	Untrusted Trust = false
 )
 
-// SetTrust sets whether others may rely on this agent: one without a lease may have fallen behind without
-// knowing. It is Trusted until set otherwise.
+// SetTrust sets whether other agents may rely on this one. An agent without a lease must not be trusted, as
+// it may lag without knowing it. The initial value is Trusted.
 func (r *Replicator) SetTrust(trust Trust) { r.catchUp.isUntrusted = trust == Untrusted }
 
 func (c *catchUp) isTrusted() bool { return c.state == CaughtUp && !c.isUntrusted }
 
-// askToCatchUp asks a voter and some agents, different ones each time, until the agent has caught up; more
-// slowly after some attempts.
-func (r *Replicator) askToCatchUp() {
+// requestDigests requests digests from a voter and some other agents, drawn at random, if a request is due.
+// It repeats this until the agent has caught up, with growing intervals after backoffAfterAttempts.
+func (r *Replicator) requestDigests() {
 	c := &r.catchUp
-	if r.CatchUpState(r.now) == CaughtUp || r.now < c.next {
+	if r.CatchUpState(r.now) == CaughtUp || r.now < c.nextRequestAt {
 		return
 	}
-	asked := r.pickPeers(min(r.settings.AgentQuorum, maxAskedAgents))
+	peers := r.pickPeers(min(r.settings.AgentQuorum, maxQueriedAgents))
 	if len(r.settings.Voters) > 0 {
 		voter := r.settings.Voters[r.rng.IntN(len(r.settings.Voters))]
-		if voter != r.settings.Self && !slices.Contains(asked, voter) {
-			asked = append(asked, voter)
+		if voter != r.settings.Self && !slices.Contains(peers, voter) {
+			peers = append(peers, voter)
 		}
 	}
 	if c.state == Late && c.attempts%resetAfterAttempts == 0 {
 		c.hasVoterReply, c.agents, c.newest = false, nil, replica.Position{}
 	}
-	question := r.ownDigest()
-	question.Question = c.question
-	for _, agent := range asked {
-		r.send(agent, encode(kindDigest, question))
+	request := r.ownDigest()
+	request.Question = c.requestID
+	for _, agent := range peers {
+		r.send(agent, encode(kindDigest, request))
 	}
-	c.attempts, c.lastAsked = c.attempts+1, r.now
+	c.attempts, c.lastRequestAt = c.attempts+1, r.now
 	doublings := min(max(c.attempts-backoffAfterAttempts, 0), maxBackoffDoublings)
-	c.next = r.now + r.jittered(min(r.settings.ReplyTimeout<<doublings, 2*r.settings.IdleInterval))
+	c.nextRequestAt = r.now + r.jittered(min(r.settings.ReplyTimeout<<doublings, 2*r.settings.IdleInterval))
 }
 
-// noteCatchUpReply counts a digest if it answers the question.
+// noteCatchUpReply counts a digest if it is a reply to a request of this process.
 func (r *Replicator) noteCatchUpReply(from int, d digest) {
 	c := &r.catchUp
-	if c.state == CaughtUp || d.AnswerTo != c.question {
+	if c.state == CaughtUp || d.AnswerTo != c.requestID {
 		return
 	}
 	c.hasReply = true
-	r.roundTrip.Note(r.now - c.lastAsked)
+	r.roundTrip.Note(r.now - c.lastRequestAt)
 	if !d.Trusted {
 		return
 	}
@@ -139,11 +141,12 @@
 	r.checkCaughtUp()
 }
 
-// checkCaughtUp ends catching up once enough trusted agents replied and everything that they know is here.
+// checkCaughtUp sets the state to CaughtUp once enough trusted agents have replied and this agent has all
+// records that they reported.
 func (r *Replicator) checkCaughtUp() {
 	c := &r.catchUp
-	isAnswered := c.hasVoterReply || len(c.agents) >= r.settings.AgentQuorum
-	if c.state != CaughtUp && isAnswered && r.log.Last().Covers(c.newest) {
+	hasQuorum := c.hasVoterReply || len(c.agents) >= r.settings.AgentQuorum
+	if c.state != CaughtUp && hasQuorum && r.log.Last().Covers(c.newest) {
 		c.state = CaughtUp
 	}
 }
--- a/internal/fleet/gossip/chunks.go
+++ b/internal/fleet/gossip/chunks.go
@@ -8,32 +8,32 @@
 
 // partialItem is the beginning of a record or a snapshot that is received in chunks.
 type partialItem struct {
-	isStarted bool
-	header    chunk // of the first chunk, without its data
-	data      []byte
-	hasOther  bool // the last chunk that came was of another item
+	isStarted         bool
+	header            chunk // first chunk, without its data
+	data              []byte
+	lastChunkDiffered bool // the last received chunk was of another item
 }
 
-// isContinuedBy reports whether a chunk is the next one of the item.
+// isContinuedBy reports whether a chunk is the next chunk of the item.
 func (p *partialItem) isContinuedBy(c chunk) bool {
 	h := p.header
 	return h.ItemSum == c.ItemSum && h.ItemBytes == c.ItemBytes && h.Snapshot == c.Snapshot && h.Seq == c.Seq &&
 		h.Epoch == c.Epoch && h.PriorSum == c.PriorSum && c.Offset == len(p.data)
 }
 
-// handleChunk adds a chunk to the partial item. Another item replaces it only if two chunks in a row are of
-// another one.
+// handleChunk adds a chunk to the partial item. Another item replaces the partial one only after two chunks
+// in a row that do not belong to it.
 func (r *Replicator) handleChunk(from int, c chunk) {
 	if r.settings.NeverPull {
 		return
 	}
 	if !r.isWithinLimits(c) || !r.extendsLog(c) {
 		r.stats.Rejected++
-		r.endPull(from, received{bytes: len(c.Data), epoch: c.Epoch, lastSeq: c.LastSeq})
+		r.endPull(from, pullResult{bytes: len(c.Data), epoch: c.Epoch, lastSeq: c.LastSeq})
 		return
 	}
 	isOtherItem := r.partial.header.ItemSum != c.ItemSum
-	if !r.partial.isStarted || c.Offset == 0 && isOtherItem && r.partial.hasOther {
+	if !r.partial.isStarted || c.Offset == 0 && isOtherItem && r.partial.lastChunkDiffered {
 		r.partial = partialItem{isStarted: true, header: c}
 		r.partial.header.Data = nil
 	}
@@ -42,17 +42,18 @@
 	if isContinued {
 		p.data = append(p.data, c.Data...)
 	}
-	p.hasOther = p.header.ItemSum != c.ItemSum
+	p.lastChunkDiffered = p.header.ItemSum != c.ItemSum
 	if isContinued && len(p.data) == p.header.ItemBytes {
 		r.completeItem(from)
 	}
 	isSenderAhead := !r.log.Last().Covers(replica.Position{Epoch: c.Epoch, Seq: c.LastSeq})
-	r.endPull(from, received{
+	r.endPull(from, pullResult{
 		bytes: len(c.Data), epoch: c.Epoch, lastSeq: c.LastSeq, hasMore: isContinued && isSenderAhead,
 	})
 }
 
-// isWithinLimits reports whether a chunk lies inside its item, and the item within the limits of the log.
+// isWithinLimits reports whether a chunk lies within its item, and the item within the size limits of the
+// log.
 func (r *Replicator) isWithinLimits(c chunk) bool {
 	limits := r.log.Limits()
 	maxBytes := limits.MaxRecordBytes
@@ -65,8 +66,8 @@
 	return len(c.Data) <= c.ItemBytes-c.Offset && (len(c.Data) > 0 || c.ItemBytes == 0)
 }
 
-// extendsLog reports whether the complete item could be taken, so that chunks which were pulled earlier and
-// come late are not collected.
+// extendsLog reports whether the complete item could be added to the log. Delayed chunks of items that the
+// log already has are not collected.
 func (r *Replicator) extendsLog(c chunk) bool {
 	last := r.log.Last()
 	if c.Snapshot {
@@ -75,7 +76,7 @@
 	return c.Epoch == last.Epoch && c.Seq == last.Seq+1 || c.Epoch > last.Epoch && c.Seq == 1
 }
 
-// completeItem takes the record or the snapshot whose chunks are complete.
+// completeItem adds the record or the snapshot of the partial item, which is complete, to the log.
 func (r *Replicator) completeItem(from int) {
 	h, data := r.partial.header, r.partial.data
 	r.partial = partialItem{}
@@ -100,6 +101,7 @@
 	}
 }
 
+// noteItemError counts the error of adding an item; nil is ignored.
 func (r *Replicator) noteItemError(from int, err error) {
 	switch {
 	case errors.Is(err, replica.ErrDiverged):
--- a/internal/fleet/gossip/doc.go
+++ b/internal/fleet/gossip/doc.go
@@ -1,22 +1,23 @@
 // Package gossip replicates the agreed records from agent to agent, so that no voter has to serve hundreds of
 // agents.
 //
-// An agent with new records pushes to a few others, drawn at random, how far its replica goes (a digest of
-// some 40 bytes) or the newest records themselves. An agent that is behind pulls what follows from one that
-// is ahead, and receives a bounded segment; then it has something new to push itself. The first pushes follow
-// each other quickly, later ones more and more slowly, down to one per Settings.IdleInterval, which never
-// stop: through them an agent that missed everything finds out. So the idle cost of an agent does not depend
-// on the size of the fleet. An agent that receives a digest of less than it has replies with its own. One
-// that is too far behind, or of an earlier epoch, receives the snapshot. What is larger than a message is
-// transferred in chunks, which may come from one agent after the other. Replicas that differ are never mixed
-// (package replica); the difference is reported.
+// An agent with new records pushes a message to a few other agents, drawn at random: the newest records, or a
+// digest of some 40 bytes with the position of its replica. An agent that lags pulls the records that it
+// lacks from an agent that is ahead, and receives a bounded segment of them. It then pushes these records
+// itself. The interval between pushes doubles up to Settings.IdleInterval. Pushes never stop, so that an
+// agent that missed all earlier ones still learns that it lags. The idle traffic of an agent therefore does
+// not depend on the size of the fleet. An agent that receives a digest with an earlier position than its own
+// replies with its own digest. An agent that lags too far, or has a log of an earlier epoch, receives the
+// snapshot. A record or a snapshot larger than a message is transferred in chunks, which may be from several
+// agents in succession. Replicas that differ are never mixed (package replica); the difference is reported.
 //
-// What an agent serves is bounded in bytes per second, and so is what it pulls: above that it does not
-// answer, and the others ask elsewhere.
+// The bytes per second that an agent serves are bounded, and so are those that it pulls. An agent that has
+// reached its bound does not reply, and the others pull from another agent.
 //
-// An agent that starts asks some others, a voter among them, how far they are, and is caught up once one
-// voter or several agents that are caught up themselves have replied and it has everything that they know. In
-// a fleet whose agents all start at once nobody is trusted: only voters that know (MarkCaughtUp) begin it.
+// An agent that starts requests digests from some other agents, among them a voter. It has caught up once a
+// voter, or several agents that have caught up themselves, have replied and it has all records that they
+// reported. If all agents of a fleet start at once, no agent is trusted until a voter has confirmed by a read
+// that it has all committed records (MarkCaughtUp).
 //
 // The package does no I/O and reads no clock: time is that of one steady clock. Equal settings and calls give
 // equal messages. A Replicator starts no goroutines and is not safe for concurrent use.
--- a/internal/fleet/gossip/golden_test.go
+++ b/internal/fleet/gossip/golden_test.go
@@ -8,7 +8,7 @@
 	"dunestep/internal/fleet/internal/golden"
 )
 
-// TestGolden checks that each kind of message is encoded as ever, and decoded to the same.
+// TestGolden checks that the encoding of each kind of message matches the golden file and decodes to the same message.
 func TestGolden(t *testing.T) {
 	for name, c := range map[string]struct {
 		kind    byte
@@ -24,14 +24,14 @@
 		"chunk-snapshot": {kindChunk, chunk{Snapshot: true, Epoch: 1, Seq: 25, PriorSum: 3, ItemSum: 4, ItemBytes: 4, Data: []byte("snap"), LastSeq: 25}},
 	} {
 		file := golden.Bytes(t, name, encode(c.kind, c.message))
-		back, err := decode(file)
+		decoded, err := decode(file)
 		require.NoError(t, err, name)
-		require.Equal(t, c.message, back, name)
-		require.Equal(t, file, encode(file[0], back), name)
+		require.Equal(t, c.message, decoded, name)
+		require.Equal(t, file, encode(file[0], decoded), name)
 	}
 }
 
-// TestGoldenCatchUpStates checks the names that logs show.
+// TestGoldenCatchUpStates checks the names of the states in log lines.
 func TestGoldenCatchUpStates(t *testing.T) {
 	require.Equal(t, []string{"asking", "caught up", "late", "alone", "alone"},
 		[]string{Asking.String(), CaughtUp.String(), Late.String(), Alone.String(), CatchUpState(200).String()})
--- a/internal/fleet/gossip/lab_test.go
+++ b/internal/fleet/gossip/lab_test.go
@@ -8,7 +8,7 @@
 	"dunestep/internal/simnet"
 )
 
-// lab simulates a fleet whose first five agents are voters: what is committed is in all of their logs at once.
+// lab simulates a fleet whose first five agents are voters, which share one log: a committed record is in it at once.
 type lab struct {
 	*simnet.Network
 	settings      Settings
@@ -16,8 +16,8 @@
 	logs          []*replica.Log
 	agents        []*Replicator
 	incarnations  uint64
-	truth         *replica.Log
-	sums          map[uint64]uint64 // of the truth by the record
+	committed     *replica.Log
+	sums          map[uint64]uint64 // checksums of committed by sequence number
 	violation     string
 	lastPositions []replica.Position // after the last input of each agent
 }
@@ -27,7 +27,7 @@
 func newLab(seed uint64, agents int, faults simnet.Faults, set Settings) *lab {
 	l := &lab{
 		Network: simnet.NewNetwork(seed, agents, time.Hour, faults), settings: set, logs: make([]*replica.Log, agents),
-		agents: make([]*Replicator, agents), truth: newLog(replica.Limits{}), sums: map[uint64]uint64{},
+		agents: make([]*Replicator, agents), committed: newLog(replica.Limits{}), sums: map[uint64]uint64{},
 		lastPositions: make([]replica.Position, agents),
 	}
 	l.settings.Agents, l.settings.Voters = agents, []int{0, 1, 2, 3, 4}
@@ -63,7 +63,7 @@
 	l.incarnations++
 	set.Self, set.Seed, set.NeverPull = a, l.incarnations, a < voters
 	if l.logs[a] = newLog(l.limits); a < voters {
-		l.logs[a] = l.truth
+		l.logs[a] = l.committed
 	}
 	l.lastPositions[a] = l.logs[a].Last()
 	l.agents[a] = New(set, l.logs[a], l.SteadyTime(a))
@@ -76,16 +76,16 @@
 	}
 	l.SetTimer(node, l.agents[node].Next())
 	if s := l.logs[node].Snapshot(); node >= voters && !out.IsRestarted && !l.lastPositions[node].Covers(s.Position()) {
-		l.violation = "a state machine is not told to continue from a snapshot"
+		l.violation = "IsRestarted is not set although the log has a new snapshot"
 	}
 	l.lastPositions[node] = l.logs[node].Last()
 	l.compact(l.logs[node])
-	if last := l.logs[node].Last(); last.Epoch == l.truth.Last().Epoch && last.Seq > 0 && l.sums[last.Seq] != last.Sum || out.HasDiverged {
-		l.violation = "a replica is not a prefix of what was agreed"
+	if last := l.logs[node].Last(); last.Epoch == l.committed.Last().Epoch && last.Seq > 0 && l.sums[last.Seq] != last.Sum || out.HasDiverged {
+		l.violation = "a replica is not a prefix of the committed log"
 	}
 }
 
-// compact does the state machine's part: every 40 records a snapshot that is larger than a message.
+// compact compacts a log every 40 records, with a snapshot that is larger than a message.
 func (l *lab) compact(log *replica.Log) {
 	for log.Len() >= 60 {
 		seq := log.Snapshot().Seq + 40
@@ -98,27 +98,27 @@
 }
 
 func (l *lab) commit(size int) {
-	seq := l.truth.Last().Seq + 1
-	if err := l.truth.Append(replica.Record{Seq: seq, Data: slices.Repeat([]byte{byte(seq)}, size)}); err != nil {
+	seq := l.committed.Last().Seq + 1
+	if err := l.committed.Append(replica.Record{Seq: seq, Data: slices.Repeat([]byte{byte(seq)}, size)}); err != nil {
 		panic(err)
 	}
-	l.sums[seq] = l.truth.Last().Sum
-	l.compact(l.truth)
+	l.sums[seq] = l.committed.Last().Sum
+	l.compact(l.committed)
 	for v := range voters {
 		l.carryOut(v, l.agents[v].RecordsAdded(l.SteadyTime(v)))
 	}
 }
 
-// until runs until so many agents have what the voters have, for at most a time, and returns how long that took.
-func (l *lab) until(count int, timeout time.Duration) time.Duration {
+// runUntilEqual runs until count agents have the log of the voters, or the timeout has passed, and returns the time taken.
+func (l *lab) runUntilEqual(count int, timeout time.Duration) time.Duration {
 	for begin := l.Now(); ; l.Run(l.Now() + 10*time.Millisecond) {
-		caughtUp := 0
+		equal := 0
 		for _, log := range l.logs {
-			if log.Last() == l.truth.Last() {
-				caughtUp++
+			if log.Last() == l.committed.Last() {
+				equal++
 			}
 		}
-		if took := l.Now() - begin; caughtUp >= count || took > timeout {
+		if took := l.Now() - begin; equal >= count || took > timeout {
 			return took
 		}
 	}
--- a/internal/fleet/gossip/messages.go
+++ b/internal/fleet/gossip/messages.go
@@ -5,7 +5,7 @@
 	"dunestep/internal/fleet/replica"
 )
 
-// The first byte of a message is its kind; what follows is the compact form of its struct.
+// The first byte of a message is its kind. The rest is its struct in the encoding of package compact.
 const (
 	kindDigest  = 'd'
 	kindPull    = 'p'
@@ -13,12 +13,12 @@
 	kindChunk   = 's'
 )
 
-// digest states how far a replica goes.
+// digest contains the position of a replica.
 type digest struct {
 	_               struct{} `cbor:",toarray"`
 	Epoch, Seq, Sum uint64
-	Question        uint32 // not 0: a digest is requested in reply, with this number as AnswerTo
-	AnswerTo        uint32 // the number of the question that this answers; 0: none
+	Question        uint32 // request ID: requests a digest with this number in AnswerTo; 0: no request
+	AnswerTo        uint32 // request ID to which this digest replies; 0: it is not a reply
 	Trusted         bool   // the sender has caught up: agents that start may rely on it
 }
 
@@ -26,34 +26,34 @@
 	return replica.Position{Epoch: d.Epoch, Seq: d.Seq, Sum: d.Sum}
 }
 
-// pull requests what follows a position, or the next chunk of a partial item.
+// pull requests the records that follow a position, or the next chunk of a partial item.
 type pull struct {
 	_               struct{} `cbor:",toarray"`
-	Epoch, Seq, Sum uint64   // the sender's position
-	PartialSum      uint64   // the ItemSum of the partial item; 0: none
-	Offset          int      // the bytes of it that the sender has
+	Epoch, Seq, Sum uint64   // position of the sender's replica
+	PartialSum      uint64   // ItemSum of the partial item; 0: none
+	Offset          int      // number of bytes of the partial item that the sender has
 }
 
-// segment carries some complete records.
+// segment carries consecutive complete records.
 type segment struct {
 	_             struct{} `cbor:",toarray"`
-	Epoch, First  uint64
-	PriorSum, Sum uint64
+	Epoch, First  uint64   // First: sequence number of the first record
+	PriorSum, Sum uint64   // checksums of the log before the first record and after the last one
 	Records       [][]byte
-	LastSeq       uint64 // the last record of the sender's replica
+	LastSeq       uint64 // sequence number of the last record of the sender's replica
 }
 
-// chunk carries some bytes of an item, a record or a snapshot, that is larger than a message.
+// chunk carries a part of an item, which is a record or a snapshot larger than a message.
 type chunk struct {
 	_          struct{} `cbor:",toarray"`
-	Snapshot   bool     // else a record
+	Snapshot   bool     // the item is a snapshot; false: a record
 	Epoch, Seq uint64
-	PriorSum   uint64 // of the log: before the record, or at the snapshot
-	ItemSum    uint64 // of the log after the record, or the snapshot's digest
-	ItemBytes  int    // of the complete item
-	Offset     int
+	PriorSum   uint64 // checksum of the log before the record, or at the snapshot
+	ItemSum    uint64 // checksum of the log after the record, or the digest of the snapshot
+	ItemBytes  int    // size of the complete item
+	Offset     int    // of Data in the item, in bytes
 	Data       []byte
-	LastSeq    uint64 // the last record of the sender's replica
+	LastSeq    uint64 // sequence number of the last record of the sender's replica
 }
 
 func encode(kind byte, message any) []byte { return append([]byte{kind}, compact.Marshal(message)...) }
--- a/internal/fleet/gossip/pull.go
+++ b/internal/fleet/gossip/pull.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// maxAheadPeers is the number of agents that are remembered as being ahead.
+	// maxAheadPeers is the maximum number of agents that are remembered as being ahead.
 	maxAheadPeers = 8
-	// maxAttempts is how often an agent that does not reply is asked in a row.
+	// maxAttempts is the number of pulls without a reply after which an agent is forgotten.
 	maxAttempts = 6
-	// minTimeoutDivisor is the part of Settings.ReplyTimeout for which a reply is waited for at least.
+	// minTimeoutDivisor is the divisor of Settings.ReplyTimeout that gives the minimum timeout of a pull.
 	minTimeoutDivisor = 4
 )
 
@@ -20,14 +20,15 @@
 type aheadPeer struct {
 	agent    int
 	position replica.Position
-	attempts int // pulls in a row without a reply
+	attempts int // successive pulls without a reply
 }
 
 func (r *Replicator) forgetPeer(agent int) {
 	r.aheadPeers = slices.DeleteFunc(r.aheadPeers, func(p aheadPeer) bool { return p.agent == agent })
 }
 
-// rememberPeer remembers an agent that is ahead, in the place of the oldest one if there are too many.
+// rememberPeer remembers an agent that is ahead. It replaces the least recently added one if there are too
+// many.
 func (r *Replicator) rememberPeer(agent int, position replica.Position) {
 	r.forgetPeer(agent)
 	if r.settings.NeverPull || r.log.Last().Covers(position) {
@@ -39,14 +40,14 @@
 	r.aheadPeers = append(r.aheadPeers, aheadPeer{agent: agent, position: position})
 }
 
-// pullIfDue pulls from one of the agents that are ahead, unless a pull is in progress or the byte budget is
-// exhausted.
+// pullIfDue pulls from one of the agents that are ahead, unless a pull is in progress or the byte budget does
+// not cover a message.
 func (r *Replicator) pullIfDue() {
-	if r.isPulling || len(r.aheadPeers) == 0 || r.now < r.pullUntil {
+	if r.isPulling || len(r.aheadPeers) == 0 || r.now < r.pullWaitUntil {
 		return
 	}
 	if !r.receiveBudget.covers(r.settings.MaxMessageBytes) {
-		r.pullUntil = r.now + r.receiveBudget.waitFor(r.settings.MaxMessageBytes)
+		r.pullWaitUntil = r.now + r.receiveBudget.waitFor(r.settings.MaxMessageBytes)
 		return
 	}
 	r.sendPull(r.aheadPeers[r.rng.IntN(len(r.aheadPeers))].agent)
@@ -59,14 +60,14 @@
 		p.PartialSum, p.Offset = r.partial.header.ItemSum, len(r.partial.data)
 	}
 	timeout := r.roundTrip.Timeout(r.settings.ReplyTimeout, minTimeoutDivisor)
-	r.isPulling, r.pullPeer, r.pullStarted, r.pullUntil = true, agent, r.now, r.now+timeout
+	r.isPulling, r.pullPeer, r.pullStarted, r.pullWaitUntil = true, agent, r.now, r.now+timeout
 	r.send(agent, encode(kindPull, p))
 }
 
-// pullTimedOut ends a pull without a reply. After maxAttempts the agent is forgotten until it sends a digest
-// again.
+// pullTimedOut ends a pull that received no reply. After maxAttempts the agent is forgotten until it sends
+// another digest.
 func (r *Replicator) pullTimedOut() {
-	r.isPulling, r.pullUntil = false, r.now
+	r.isPulling, r.pullWaitUntil = false, r.now
 	for i := range r.aheadPeers {
 		if p := &r.aheadPeers[i]; p.agent == r.pullPeer {
 			if p.attempts++; p.attempts >= maxAttempts {
@@ -77,19 +78,20 @@
 	}
 }
 
-// received is what a segment or a chunk brought.
-type received struct {
+// pullResult is the result of a received segment or chunk.
+type pullResult struct {
 	bytes          int
-	epoch, lastSeq uint64 // the sender's last record
-	hasMore        bool   // it brought something, and the sender has more
+	epoch, lastSeq uint64 // position of the sender's last record
+	hasMore        bool   // the message advanced the replica or the partial item, and the sender has more
 }
 
-// endPull ends the pull that a message answers, if any, and continues with the sender where it has more. An
-// agent that brought nothing is not asked again until it sends a digest.
-func (r *Replicator) endPull(from int, got received) {
+// endPull ends the pull to which a message from an agent replies, if there is one, and pulls from the same
+// agent again if it has more. An agent whose message advanced nothing is forgotten until it sends another
+// digest.
+func (r *Replicator) endPull(from int, got pullResult) {
 	r.receiveBudget.charge(got.bytes)
 	if r.isPulling && r.pullPeer == from {
-		r.isPulling, r.pullUntil = false, r.now
+		r.isPulling, r.pullWaitUntil = false, r.now
 		r.roundTrip.Note(r.now - r.pullStarted)
 	}
 	r.forgetPeer(from)
@@ -102,15 +104,17 @@
 	}
 }
 
-// segmentRole is why a segment was sent.
-type segmentRole uint8
+// segmentOrigin states whether a segment was pulled or pushed.
+type segmentOrigin uint8
 
 const (
-	pulledSegment segmentRole = iota
-	pushedSegment             // an announcement, which also states how far the sender is
+	pulledSegment segmentOrigin = iota
+	pushedSegment               // an announcement, which also serves as the digest of the sender
 )
 
-func (r *Replicator) roleOf(from int, s segment) segmentRole {
+// originOf returns the origin of a segment. A pushed segment contains the last record of the sender and is
+// not from an agent whose reply is awaited.
+func (r *Replicator) originOf(from int, s segment) segmentOrigin {
 	isUpToLast := s.First+uint64(len(s.Records)) == s.LastSeq+1
 	isAwaited := r.isPulling && r.pullPeer == from
 	if isUpToLast && !isAwaited {
@@ -120,16 +124,16 @@
 }
 
 func (r *Replicator) handleSegment(from int, s segment) {
-	role := r.roleOf(from, s)
+	origin := r.originOf(from, s)
 	if !r.settings.NeverPull {
-		r.appendSegment(from, s, role)
+		r.appendSegment(from, s, origin)
 	}
-	if role == pushedSegment {
+	if origin == pushedSegment {
 		r.handleDigest(from, digest{Epoch: s.Epoch, Seq: s.LastSeq, Sum: s.Sum})
 	}
 }
 
-func (r *Replicator) appendSegment(from int, s segment, role segmentRole) {
+func (r *Replicator) appendSegment(from int, s segment, origin segmentOrigin) {
 	appended, err := r.log.AppendSegment(replica.Segment{
 		Epoch: s.Epoch, First: s.First, PriorSum: s.PriorSum, Sum: s.Sum, Records: s.Records,
 	})
@@ -138,8 +142,8 @@
 	switch {
 	case errors.Is(err, replica.ErrDiverged):
 		r.noteDiverged(from)
-	case role == pushedSegment && isMissingEarlier:
-		return // the digest that follows has the missing records pulled
+	case origin == pushedSegment && isMissingEarlier:
+		return // the caller handles the segment as a digest, which leads to a pull of the missing records
 	case err != nil && !isFull:
 		r.stats.Rejected++
 	}
@@ -148,9 +152,10 @@
 	}
 	last := r.log.Last()
 	hasMore := err == nil && appended > 0 && s.Epoch == last.Epoch && s.LastSeq > last.Seq
-	r.endPull(from, received{bytes: totalBytes(s.Records), epoch: s.Epoch, lastSeq: s.LastSeq, hasMore: hasMore})
+	r.endPull(from, pullResult{bytes: totalBytes(s.Records), epoch: s.Epoch, lastSeq: s.LastSeq,
+		hasMore: hasMore})
 	if isFull {
-		r.pullUntil = r.now + r.settings.ReplyTimeout
+		r.pullWaitUntil = r.now + r.settings.ReplyTimeout
 	}
 }
 
--- a/internal/fleet/gossip/pull_test.go
+++ b/internal/fleet/gossip/pull_test.go
@@ -10,10 +10,10 @@
 	"dunestep/internal/fleet/replica"
 )
 
-// News that fits carries the records themselves. If more records are missing, or they do not fit, they are pulled, and
-// pulled again soon if replies usually come soon.
-func TestNewsCarriesRecords(t *testing.T) {
-	announce := func(size int) (out Output, log *replica.Log) {
+// A push carries the newest records if they fit into a message, and else a digest. An agent that lacks earlier records
+// pulls them, with the maximum timeout at first, and with one that follows the round-trip time later.
+func TestPushCarriesRecords(t *testing.T) {
+	push := func(size int) (out Output, log *replica.Log) {
 		log = newLog(replica.Limits{})
 		s := New(Settings{Agents: 2, Seed: 1}, log, 0)
 		s.MarkCaughtUp()
@@ -23,7 +23,7 @@
 		s.RecordsAdded(time.Second)
 		return s.Tick(s.Next()), log
 	}
-	out, log := announce(60)
+	out, log := push(60)
 	require.Len(t, out.Messages, 1)
 	require.LessOrEqual(t, len(out.Messages[0].Data), 200)
 	for _, has := range []uint64{8, 3} {
@@ -41,17 +41,17 @@
 		}
 		require.Equal(t, has, own.Last().Seq)
 		require.Equal(t, byte(kindPull), pulled.Messages[0].Data[0])
-		require.Equal(t, time.Second+150*time.Millisecond, s.Next(), "no reply came yet")
+		require.Equal(t, time.Second+150*time.Millisecond, s.Next(), "the timeout is the maximum before the first reply")
 		s.roundTrip.Note(10 * time.Millisecond)
 		again := s.Tick(s.Next())
 		require.Equal(t, byte(kindPull), again.Messages[0].Data[0])
 		require.Equal(t, time.Second+190*time.Millisecond, s.Next())
 	}
-	out, _ = announce(400)
+	out, _ = push(400)
 	require.Equal(t, byte(kindDigest), out.Messages[0].Data[0])
 }
 
-// However many agents pull, an agent serves at most its bytes per second.
+// An agent serves at most Settings.BytesPerSecond, however many agents pull from it.
 func TestServingIsBounded(t *testing.T) {
 	l := newLab(1, 40, faultsOf(0), Settings{BytesPerSecond: 4 << 10})
 	for range 50 {
@@ -69,11 +69,11 @@
 		throttled += a.Stats().Throttled
 	}
 	require.Positive(t, throttled)
-	require.Less(t, l.until(40, time.Minute), time.Minute)
+	require.Less(t, l.runUntilEqual(40, time.Minute), time.Minute)
 }
 
-// An agent that is behind pulls at most its bytes per second, remembers a bounded number of agents, and forgets one that
-// brings nothing.
+// An agent that lags pulls at most Settings.BytesPerSecond, remembers at most maxAheadPeers agents, and forgets an agent
+// whose segment contains no new records.
 func TestPullingIsBounded(t *testing.T) {
 	l := newLab(1, 10, faultsOf(0), Settings{BytesPerSecond: 1 << 20})
 	for range 50 {
@@ -82,7 +82,7 @@
 	l.Run(l.Now() + 5*time.Second)
 	l.settings.BytesPerSecond = 5 << 10
 	l.restart(9)
-	require.Greater(t, l.until(10, time.Minute), 8*time.Second)
+	require.Greater(t, l.runUntilEqual(10, time.Minute), 8*time.Second)
 
 	s := New(Settings{Agents: 20, Self: 1, Seed: 1}, newLog(replica.Limits{}), 0)
 	farAhead := encode(kindDigest, digest{Epoch: 1, Seq: 50})
@@ -100,5 +100,5 @@
 		require.NotEqual(t, pulled, p.agent)
 	}
 	s.Step(0, 3, encode(kindChunk, chunk{Epoch: 1, Seq: 5, ItemBytes: 100, Data: []byte{1}}))
-	require.False(t, s.partial.isStarted, "it does not extend the log")
+	require.False(t, s.partial.isStarted, "a chunk that does not extend the log is not collected")
 }
--- a/internal/fleet/gossip/push.go
+++ b/internal/fleet/gossip/push.go
@@ -1,7 +1,8 @@
 package gossip
 
-// push sends new records, or a digest, to some agents. The interval doubles with each push; where others send
-// the same position, and when idle, only one agent is sent to.
+// push sends the newest records or a digest to Settings.Fanout agents, drawn at random. It sends to one agent
+// only if the interval has reached Settings.IdleInterval, or if enough other agents have reported the same
+// position. The interval doubles with each push.
 func (r *Replicator) push() {
 	count := r.settings.Fanout
 	if r.pushInterval >= r.settings.IdleInterval || r.equalDigests >= 2*r.settings.Fanout {
@@ -15,8 +16,9 @@
 	r.pushInterval = min(2*r.pushInterval, r.settings.IdleInterval)
 }
 
-// announcement returns the newest records while they are new and fit into one datagram: one message does then
-// what a digest, a pull and its reply would do, each of which may be lost. Otherwise it returns a digest.
+// announcement returns the message of a push. While the newest records are new and fit into one datagram, it
+// contains these records, which replaces a digest, a pull and its reply, each of which may be lost. Otherwise
+// it is a digest.
 func (r *Replicator) announcement() []byte {
 	if r.pushInterval < r.settings.IdleInterval {
 		if message, isFitting := r.newestRecords(); isFitting {
@@ -26,7 +28,8 @@
 	return encode(kindDigest, r.ownDigest())
 }
 
-// newestRecords returns a segment with as many of the newest records as fit; false: none does.
+// newestRecords returns a segment with as many of the newest records as fit into Settings.MaxPushBytes.
+// isFitting is false if not even the last record fits.
 func (r *Replicator) newestRecords() (message []byte, isFitting bool) {
 	last := r.log.Last()
 	for first := last.Seq; first > r.log.Snapshot().Seq; first-- {
@@ -46,7 +49,8 @@
 	return message, isFitting
 }
 
-// handleDigest compares another agent's position with the own one, and replies where that is useful.
+// handleDigest compares another agent's position with that of this replica. It replies with a digest if one
+// is requested, or if the other agent lags and the message is not itself a reply.
 func (r *Replicator) handleDigest(from int, d digest) {
 	order, err := r.log.Compare(d.position())
 	r.noteCatchUpReply(from, d)
--- a/internal/fleet/gossip/replicator.go
+++ b/internal/fleet/gossip/replicator.go
@@ -15,22 +15,22 @@
 	Data []byte
 }
 
-// Output is what follows from an input.
+// Output is the result of an input.
 type Output struct {
 	Messages      []Message
 	HasNewRecords bool
-	IsRestarted   bool // the log begins with another snapshot, from which the state machine has to continue
-	HasDiverged   bool // another agent's replica differs in the same record: to be reported to an operator
-	DivergedFrom  int  // that agent
+	IsRestarted   bool // the log has a new snapshot, from which the state machine has to be restored
+	HasDiverged   bool // another agent has a different record at a position: to be reported to an operator
+	DivergedFrom  int  // that agent, if HasDiverged
 }
 
-// Stats counts since the start.
+// Stats contains counters since the start.
 type Stats struct {
-	Malformed uint64 // messages that cannot be decoded, or of unknown agents
-	Rejected  uint64 // segments and chunks that do not follow from the log
-	Throttled uint64 // questions that were not answered, as the byte budget was exhausted
-	Diverged  uint64 // differing replicas seen
-	Served    uint64 // segments and chunks sent
+	Malformed uint64 // messages that could not be decoded, or from unknown agents
+	Rejected  uint64 // segments and chunks that did not fit the log
+	Throttled uint64 // requests without a reply, as the byte budget was exhausted
+	Diverged  uint64 // messages from agents with a differing replica
+	Served    uint64 // segments and chunks sent in reply to pulls
 	Snapshots uint64 // snapshots installed
 }
 
@@ -45,19 +45,19 @@
 
 	// Pushes.
 	lastAnnounced replica.Position
-	pushInterval  time.Duration // before the push after the next one
+	pushInterval  time.Duration // between the next push and the one after it
 	nextPush      time.Duration
 	lastPush      time.Duration
-	equalDigests  int // digests of the same position, since the last new record
+	equalDigests  int // received digests with the position of this replica, since the last new record
 
 	// Pulls.
-	aheadPeers  []aheadPeer
-	isPulling   bool
-	pullPeer    int
-	pullUntil   time.Duration // when the reply is overdue, or when the next pull may start
-	pullStarted time.Duration
-	roundTrip   roundtrip.Estimate
-	partial     partialItem
+	aheadPeers    []aheadPeer
+	isPulling     bool
+	pullPeer      int
+	pullWaitUntil time.Duration // timeout of the pull in progress, or earliest time of the next pull
+	pullStarted   time.Duration
+	roundTrip     roundtrip.Estimate
+	partial       partialItem
 
 	sendBudget    byteBudget
 	receiveBudget byteBudget
@@ -65,8 +65,8 @@
 	catchUp catchUp
 }
 
-// New returns a Replicator for a log. It asks others at once. If others append to the log, RecordsAdded has
-// to be called.
+// New returns a Replicator for a log. It requests digests from other agents with the first Tick. A caller
+// that appends to the log itself has to call RecordsAdded.
 func New(settings Settings, log *replica.Log, now time.Duration) *Replicator {
 	settings = settings.withDefaults()
 	r := &Replicator{
@@ -75,7 +75,8 @@
 	}
 	r.nextPush = now + r.jittered(settings.IdleInterval)
 	r.sendBudget, r.receiveBudget = newByteBudget(settings, now), newByteBudget(settings, now)
-	r.catchUp = catchUp{deadline: now + settings.CatchUpDeadline, next: now, question: r.rng.Uint32() | 1}
+	r.catchUp = catchUp{deadline: now + settings.CatchUpDeadline, nextRequestAt: now,
+		requestID: r.rng.Uint32() | 1}
 	return r
 }
 
@@ -87,23 +88,23 @@
 	return d*3/4 + time.Duration(r.rng.Int64N(int64(d)/2+1))
 }
 
-// Next returns when Tick is due.
+// Next returns the time when Tick is due.
 func (r *Replicator) Next() time.Duration {
 	next := r.nextPush
 	if r.catchUp.state != CaughtUp {
-		next = min(next, r.catchUp.next)
+		next = min(next, r.catchUp.nextRequestAt)
 	}
 	if r.isPulling || len(r.aheadPeers) > 0 {
-		next = min(next, r.pullUntil)
+		next = min(next, r.pullWaitUntil)
 	}
 	return next
 }
 
-// Tick does what is due.
+// Tick performs the actions that are due: requests for digests, pushes and pulls.
 func (r *Replicator) Tick(now time.Duration) Output {
 	r.beginInput(now)
-	r.askToCatchUp()
-	if r.isPulling && now >= r.pullUntil {
+	r.requestDigests()
+	if r.isPulling && now >= r.pullWaitUntil {
 		r.pullTimedOut()
 	}
 	if now >= r.nextPush {
@@ -113,14 +114,14 @@
 	return r.output
 }
 
-// RecordsAdded reports that the caller has appended records to the log, or replaced it.
+// RecordsAdded notifies the Replicator that the caller has appended records to the log, or replaced it.
 func (r *Replicator) RecordsAdded(now time.Duration) Output {
 	r.beginInput(now)
 	r.noteNewRecords()
 	return r.output
 }
 
-// Step processes a message of another agent.
+// Step processes a message from another agent.
 func (r *Replicator) Step(now time.Duration, from int, data []byte) Output {
 	r.beginInput(now)
 	message, err := decode(data)
@@ -154,7 +155,7 @@
 	r.output.Messages = append(r.output.Messages, Message{To: to, Data: data})
 }
 
-// noteNewRecords starts to push if the log has changed.
+// noteNewRecords schedules a push if the log has changed.
 func (r *Replicator) noteNewRecords() {
 	last := r.log.Last()
 	if last == r.lastAnnounced {
@@ -170,6 +171,7 @@
 	r.checkCaughtUp()
 }
 
+// noteDiverged reports that an agent's replica differs, and forgets the agent.
 func (r *Replicator) noteDiverged(from int) {
 	r.stats.Diverged++
 	r.output.HasDiverged, r.output.DivergedFrom = true, from
@@ -182,7 +184,7 @@
 	return digest{Epoch: last.Epoch, Seq: last.Seq, Sum: last.Sum, Trusted: r.catchUp.isTrusted()}
 }
 
-// pickPeers draws some other agents.
+// pickPeers returns up to count other agents, drawn at random.
 func (r *Replicator) pickPeers(count int) (peers []int) {
 	count = min(count, r.settings.Agents-1)
 	for len(peers) < count {
--- a/internal/fleet/gossip/replicator_test.go
+++ b/internal/fleet/gossip/replicator_test.go
@@ -11,9 +11,9 @@
 	"dunestep/internal/simnet"
 )
 
-// TestLatencyAndCost bounds how long a record takes to reach all agents, and what an idle fleet sends: the table of
-// docs/design/fleet-spread.md.
-func TestLatencyAndCost(t *testing.T) {
+// TestSpreadLatencyAndIdleTraffic bounds the time until a record is at all agents, and the traffic of an idle fleet. It
+// logs the table of docs/design/fleet-spread.md.
+func TestSpreadLatencyAndIdleTraffic(t *testing.T) {
 	for _, n := range []int{5, 50, 300, 1000} {
 		for _, loss := range []float64{0, 0.1, 0.3} {
 			l := newLab(uint64(n), n, faultsOf(loss), Settings{})
@@ -30,7 +30,7 @@
 				l.commit(200)
 				begin := l.Now()
 				for i, count := range []int{(n + 1) / 2, (n*99 + 99) / 100, n} {
-					l.until(count, 30*time.Second)
+					l.runUntilEqual(count, 30*time.Second)
 					took[i] = max(took[i], l.Now()-begin)
 				}
 				l.Run(begin + 5*time.Second)
@@ -43,9 +43,9 @@
 	}
 }
 
-// Under loss, delays, duplicates, cuts, pauses and restarts, each replica is a prefix of what was agreed; an agent that
-// reports that it has caught up has everything that was agreed before it started; and after the faults all agents catch up
-// soon.
+// Under loss, delays, duplicates, cuts, pauses and restarts, each replica is a prefix of the committed log. An agent that
+// reports that it has caught up has all records that were committed before it started. After the faults all agents catch up
+// within 5 s.
 func TestReplicasUnderFaults(t *testing.T) {
 	for seed := range uint64(30) {
 		faults := simnet.Faults{
@@ -69,12 +69,12 @@
 					l.SetCut(other, node, rng.IntN(3) > 0)
 				case 9:
 					l.restart(node)
-					startedAt[node] = l.truth.Last().Seq
+					startedAt[node] = l.committed.Last().Seq
 				}
 				for a := voters; a < 20; a++ {
 					state := l.agents[a].catchUp // several trusted agents may all be behind
 					if state.state == CaughtUp && state.hasVoterReply && l.logs[a].Last().Seq < startedAt[a] {
-						l.violation = "an agent reports that it has caught up, and has not"
+						l.violation = "an agent reports that it has caught up, but lacks records"
 					}
 				}
 			})
@@ -85,22 +85,22 @@
 			l.SetCut(i/20, i%20, false)
 		}
 		l.Run(l.Now() + 5*time.Second) // pauses end
-		require.Less(t, l.until(20, 10*time.Second), 5*time.Second, "seed %d", seed)
+		require.Less(t, l.runUntilEqual(20, 10*time.Second), 5*time.Second, "seed %d", seed)
 		require.Empty(t, l.violation, "seed %d", seed)
 	}
 }
 
-// A later epoch replaces the former one at every agent, also while it is empty, and by its snapshot. A replica that differs
-// in a record is reported, and neither changes.
+// A log of a later epoch replaces the former one at every agent, while it is empty, by its records, and by its snapshot. A
+// replica that differs in a record is reported, and neither replica changes.
 func TestLaterEpochAndDivergence(t *testing.T) {
 	for _, commits := range []int{0, 1, 130} {
 		l := newLab(1, 20, faultsOf(0.1), Settings{BytesPerSecond: 1 << 20})
 		for range 100 {
 			l.commit(100)
 		}
-		require.Less(t, l.until(20, time.Minute), 10*time.Second)
+		require.Less(t, l.runUntilEqual(20, time.Minute), 10*time.Second)
 		l.Pause(19, l.Now()+3*time.Second)
-		isInstalled, err := l.truth.Install(replica.InitialSnapshot(2))
+		isInstalled, err := l.committed.Install(replica.InitialSnapshot(2))
 		require.True(t, isInstalled && err == nil)
 		l.sums = map[uint64]uint64{}
 		for v := range voters {
@@ -109,7 +109,7 @@
 		for range commits {
 			l.commit(100)
 		}
-		require.Less(t, l.until(20, time.Minute), 15*time.Second, "%d records", commits)
+		require.Less(t, l.runUntilEqual(20, time.Minute), 15*time.Second, "%d records", commits)
 		require.Empty(t, l.violation)
 	}
 	var logs []*replica.Log
@@ -121,7 +121,7 @@
 	one, two := New(Settings{Agents: 2, Seed: 1}, logs[0], 0), New(Settings{Agents: 2, Self: 1, Seed: 1}, logs[1], 0)
 	before := logs[0].Last()
 	out := one.Step(0, 1, encode(kindDigest, two.ownDigest()))
-	require.False(t, out.HasDiverged, "a position that is ahead cannot be compared")
+	require.False(t, out.HasDiverged, "a position that is ahead of the log cannot be compared by its checksum")
 	out = two.Step(0, 0, out.Messages[0].Data)
 	require.True(t, out.HasDiverged && out.DivergedFrom == 0)
 	s, _ := logs[1].Segment(2, 100)
@@ -133,9 +133,9 @@
 	require.Equal(t, before, logs[0].Last())
 }
 
-// Arbitrary bytes, and well-formed messages with false content, cause no panic, no record that does not follow, and no
-// memory beyond the bounds.
-func TestArbitraryMessages(t *testing.T) {
+// Arbitrary bytes, and well-formed messages with false content, cause no panic, add no records, and use no memory beyond
+// the limits.
+func TestArbitraryMessagesAreHarmless(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		log := newLog(replica.Limits{MaxRecords: 10, MaxRecordBytes: 5000, MaxSnapshotBytes: 5000})
 		s := New(Settings{Agents: 20, Self: 1, Voters: []int{0}, Seed: 1}, log, 0)
@@ -151,7 +151,7 @@
 			case 0:
 				data = encode(kindDigest, digest{
 					Epoch: any64("e"), Seq: any64("s"), Sum: any64("sum"),
-					Question: uint32(any64("ask")), AnswerTo: s.catchUp.question, Trusted: true,
+					Question: uint32(any64("ask")), AnswerTo: s.catchUp.requestID, Trusted: true,
 				})
 			case 1:
 				data = encode(kindPull, pull{
--- a/internal/fleet/gossip/serve.go
+++ b/internal/fleet/gossip/serve.go
@@ -2,8 +2,8 @@
 
 import "dunestep/internal/fleet/replica"
 
-// handlePull sends an agent that is behind what follows its position, up to one message, within the byte
-// budget.
+// handlePull replies to a pull with one message of records or of a chunk, within the byte budget. If no
+// records follow the position in the pull, the pull is handled as a digest.
 func (r *Replicator) handlePull(from int, p pull) {
 	reply := r.pullReply(p)
 	switch {
@@ -17,7 +17,7 @@
 	}
 }
 
-// pullReply returns the reply to a pull; nil: nothing follows the position.
+// pullReply returns the reply to a pull, or nil if no records follow the position or the replicas differ.
 func (r *Replicator) pullReply(p pull) []byte {
 	last := r.log.Last()
 	if last.Epoch < p.Epoch || last.Epoch == p.Epoch && last.Seq <= p.Seq {
@@ -42,7 +42,7 @@
 	return r.recordChunk(p, s)
 }
 
-// recordChunk returns a chunk of the first record of a segment.
+// recordChunk returns a chunk of the first record of a segment, which is larger than a message.
 func (r *Replicator) recordChunk(p pull, s replica.Segment) []byte {
 	return r.nextChunk(p, s.Records[0], chunk{
 		Epoch: s.Epoch, Seq: s.First, PriorSum: s.PriorSum, ItemSum: s.Sum,
@@ -57,8 +57,8 @@
 	})
 }
 
-// nextChunk returns the chunk of an item at the offset that a pull asks for, or the first one if the pull is
-// for another item.
+// nextChunk returns the chunk of an item at the offset in the pull, or the first chunk if the pull has no
+// part of this item.
 func (r *Replicator) nextChunk(p pull, data []byte, c chunk) []byte {
 	c.ItemBytes, c.LastSeq = len(data), r.log.Last().Seq
 	if p.PartialSum == c.ItemSum && p.Offset > 0 && p.Offset < len(data) {
--- a/internal/fleet/gossip/settings.go
+++ b/internal/fleet/gossip/settings.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// Settings are the settings of one agent. Zero values stand for the defaults.
+// Settings are the settings of one agent. Zero values select the defaults.
 type Settings struct {
-	Agents    int // numbers 0 to Agents-1
+	Agents    int // number of agents, which are numbered from 0
 	Self      int
 	Voters    []int
-	Seed      uint64 // different at each agent and process
+	Seed      uint64 // different for each agent and process
 	NeverPull bool   // for a voter whose replica is filled by consensus
 
-	Fanout          int           // agents to which new records are pushed at once; default 3
-	PushInterval    time.Duration // between the first pushes of new records, doubled with each; default 50 ms
-	IdleInterval    time.Duration // between pushes when nothing changes; default 1.5 s
-	ReplyTimeout    time.Duration // maximum wait for a reply; default 150 ms
+	Fanout          int           // number of agents in a push of new records; default 3
+	PushInterval    time.Duration // between the first pushes of new records, doubled after each; default 50 ms
+	IdleInterval    time.Duration // between pushes without new records; default 1.5 s
+	ReplyTimeout    time.Duration // maximum timeout of a pull; default 150 ms
 	MaxMessageBytes int           // of records or of a snapshot in one message; default 1024
 	MaxPushBytes    int           // of a message that pushes the newest records; default 200
-	BytesPerSecond  int           // served, and pulled, each by itself; default 64 KiB
-	AgentQuorum     int           // replies of agents that count as much as one voter's; default 3
-	CatchUpDeadline time.Duration // for catching up at the start; default 3 s
+	BytesPerSecond  int           // limit of the bytes served, and of the bytes pulled; default 64 KiB
+	AgentQuorum     int           // number of trusted replies that replace the reply of a voter; default 3
+	CatchUpDeadline time.Duration // after the start, for catching up; default 3 s
 }
 
 // Defaults of Settings.
