--- a/internal/fleet/membership/announce.go
+++ b/internal/fleet/membership/announce.go
@@ -6,21 +6,23 @@
 )
 
 const (
-	// ageUnit is the unit of ages; ageUnknown stands for longer ones, and for agents without contact.
+	// ageUnit is the unit of encoded ages; ageUnknown encodes ages that are too long, and agents without
+	// contact.
 	ageUnit    = 500 * time.Millisecond
 	ageUnknown = 255
-	// repeatOneIn: one in so many updates repeats an event that is not pending, for agents that missed it.
+	// repeatOneIn is the mean number of updates per update that repeats an event that is no longer pending, for
+	// agents that missed it.
 	repeatOneIn = 4
 )
 
-// encodeAge returns the age of a time in units, rounded up.
+// encodeAge returns the age of a time in ageUnit, rounded up, or ageUnknown if it is too long.
 func encodeAge(now, then time.Duration) byte {
 	return byte(min((max(now-then, 0)+ageUnit-1)/ageUnit, ageUnknown))
 }
 
-// Update returns the update for a message to another agent, of at most maxBytes; nil: that is too few. 64
-// bytes report on some 40 agents. Updates in voters' grants should be longer, some 200 bytes: voters receive
-// all agents, and are received by all.
+// Update returns the update for a message to another agent, of at most maxBytes, or nil if maxBytes is too
+// small. An update of 64 bytes has the ages of some 40 agents. Updates in voters' grants should be longer,
+// some 200 bytes, as voters exchange messages with all agents.
 func (l *List) Update(now time.Duration, to, maxBytes int) []byte {
 	if !l.isOther(to) || maxBytes < headerBytes {
 		return nil
@@ -47,16 +49,17 @@
 	return u.encode(maxBytes)
 }
 
-// announce has an agent announced so often from now on.
+// announce sets how often the state of an agent is announced in the next updates.
 func (l *List) announce(number int, times uint8) {
 	l.agents[number].announcements = times
 	l.markPending(number)
 }
 
+// markPending records that there may be something to be announced of an agent.
 func (l *List) markPending(number int) { l.pendingAnnouncements[number/64] |= 1 << (number % 64) }
 
-// nextPending returns the next agent from a number on that may have something to be announced; len(agents):
-// there is none.
+// nextPending returns the first agent, from a number on, of which something may have to be announced, or
+// len(agents) if there is none.
 func (l *List) nextPending(from int) int {
 	for i := from / 64; i < len(l.pendingAnnouncements); i++ {
 		set := l.pendingAnnouncements[i]
@@ -70,16 +73,16 @@
 	return len(l.agents)
 }
 
-// urgency is the order in which agents are announced.
+// urgency is the priority with which events are announced.
 type urgency uint8
 
 const (
-	urgent urgency = iota // agents that left, and those that were known before
-	notUrgent
+	urgent    urgency = iota // closed paths, and agents that left or have a new incarnation
+	notUrgent                // agents that were unknown before
 )
 
-// pickEvents returns events that are still to be announced, up to half of the maximum, urgent ones first,
-// from an agent drawn at random on; and now and then one that is not pending.
+// pickEvents returns pending events, up to half of maxCount, urgent ones first, beginning with an agent drawn
+// at random. On average, one in repeatOneIn updates also contains an event that need not be pending.
 func (l *List) pickEvents(now time.Duration, maxCount int) (events []event) {
 	first, end := l.rng.IntN(len(l.agents)), len(l.agents)
 	maxAnnouncements := (maxCount + 1) / 2
@@ -100,7 +103,7 @@
 	return events
 }
 
-// appendEventsOf appends the events of an urgency that are still to be announced of an agent.
+// appendEventsOf appends the pending events of an agent that have an urgency, up to maxCount events in total.
 func (l *List) appendEventsOf(now time.Duration, i int, u urgency, events []event, maxCount int) []event {
 	number, a, hasLeft := uint16(i), &l.agents[i], l.contacts[i].hasLeft
 	own := notUrgent
@@ -117,7 +120,7 @@
 		if u == urgent && r.announcements > 0 && l.isRecent(now, *r) && len(events) < maxCount {
 			r.announcements--
 			events = append(events, event{
-				Agent: number, Incarnation: a.incarnation, By: r.by,
+				Agent: number, Incarnation: a.incarnation, By: r.reporter,
 				Age: encodeAge(now, r.reportedAt),
 			})
 		}
--- a/internal/fleet/membership/apply.go
+++ b/internal/fleet/membership/apply.go
@@ -7,11 +7,11 @@
 	"dunestep/internal/fleet/internal/compact"
 )
 
-// ErrInvalidUpdate reports that data is no update, or from an unknown agent.
+// ErrInvalidUpdate reports that data is not a valid update, or is from an unknown agent.
 var ErrInvalidUpdate = errors.New("not a membership update of another agent")
 
-// ApplyUpdate processes the update of a message from another agent. It returns an error wrapping
-// ErrInvalidUpdate for one that is dropped.
+// ApplyUpdate processes the update in a message from another agent. It returns an error wrapping
+// ErrInvalidUpdate if the update is dropped.
 func (l *List) ApplyUpdate(now time.Duration, from int, data []byte) error {
 	var u update
 	err := compact.Unmarshal(data, &u)
@@ -39,12 +39,13 @@
 	return nil
 }
 
+// isValid reports whether a decoded update is consistent and from another agent of the fleet.
 func (l *List) isValid(now time.Duration, from int, u update) bool {
 	return l.isOther(from) && len(u.Events) <= maxEvents && l.isPlausible(now, u.Incarnation) &&
 		int(u.FirstAgent) < len(l.agents) && len(u.Ages) <= len(l.agents)
 }
 
-// applyEvent processes what another agent reports of an agent.
+// applyEvent processes an event of an agent, as another agent reports it. Invalid events are dropped.
 func (l *List) applyEvent(now time.Duration, e event) {
 	number := int(e.Agent)
 	if number >= len(l.agents) || int(e.By) >= len(l.agents) || !l.isPlausible(now, e.Incarnation) {
@@ -56,7 +57,7 @@
 		return
 	}
 	if c := &l.contacts[number]; !c.isKnown {
-		c.isKnown, c.lastContact = true, now-l.settings.SilenceTimeout/2 // it was alive at some time
+		c.isKnown, c.lastContact = true, now-l.settings.SilenceTimeout/2 // the agent has run, at an unknown time
 	}
 	if e.By == e.Agent {
 		l.noteIncarnation(now, number, agentIncarnation{e.Incarnation, e.Left})
@@ -65,7 +66,7 @@
 	}
 }
 
-// refute takes a higher incarnation after a false report about this agent.
+// refute raises the incarnation of this agent above that of a false report about it.
 func (l *List) refute(e event) {
 	self := &l.agents[l.settings.Self]
 	isFalseLeave := e.Incarnation == self.incarnation && e.Left && !l.isLeaving
--- a/internal/fleet/membership/example_test.go
+++ b/internal/fleet/membership/example_test.go
@@ -7,7 +7,8 @@
 	"dunestep/internal/fleet/membership"
 )
 
-// Agent 2 is received by agent 1 alone, whose update about it reaches agent 0; then agent 2 leaves.
+// Only agent 1 receives messages from agent 2. Its updates report to agent 0 that agent 2 is alive, and later that it has
+// left.
 func Example() {
 	var agents [3]*membership.List
 	for i := range agents {
--- a/internal/fleet/membership/golden_test.go
+++ b/internal/fleet/membership/golden_test.go
@@ -9,14 +9,15 @@
 	"dunestep/internal/fleet/internal/golden"
 )
 
-// TestGolden checks that updates are encoded as ever, by their own encoder and by the general one, and decoded to the same.
+// TestGolden checks that the encoding of updates matches the golden files, with update.encode and with compact.Marshal, and
+// decodes to the same updates.
 func TestGolden(t *testing.T) {
-	born := uint64(1_800_000_000)<<refutationBits | 3
+	incarnation := uint64(1_800_000_000)<<refutationBits | 3
 	for name, u := range map[string]update{
-		"update":         {Incarnation: born, ReceivedAge: 7, FirstAgent: 300, Ages: []byte{0, 1, 23, 24, 254, 255}},
-		"update-leaving": {Incarnation: born, Leaving: true, ReceivedAge: ageUnknown, Ages: []byte{5}},
-		"update-events": {Incarnation: born, ReceivedAge: 24, FirstAgent: 2, Ages: []byte{9}, Events: []event{
-			{Agent: 299, Incarnation: born, Left: true, By: 299},
+		"update":         {Incarnation: incarnation, ReceivedAge: 7, FirstAgent: 300, Ages: []byte{0, 1, 23, 24, 254, 255}},
+		"update-leaving": {Incarnation: incarnation, Leaving: true, ReceivedAge: ageUnknown, Ages: []byte{5}},
+		"update-events": {Incarnation: incarnation, ReceivedAge: 24, FirstAgent: 2, Ages: []byte{9}, Events: []event{
+			{Agent: 299, Incarnation: incarnation, Left: true, By: 299},
 			{Agent: 4, Incarnation: 1 << 8, By: 260, Age: 200},
 			{Agent: 23, By: 23},
 		}},
@@ -30,14 +31,14 @@
 	}
 }
 
-// TestGoldenFirstUpdate checks that the first update is the same for the same settings.
+// TestGoldenFirstUpdate checks that the first update for given settings matches the golden file.
 func TestGoldenFirstUpdate(t *testing.T) {
 	l := New(Settings{Agents: 30, Self: 2, StartedAt: 1_800_000_000e9, Seed: 5}, 0)
 	l.NoteReceived(1e9, 7)
 	golden.Bytes(t, "first-update", l.Update(2e9, 7, 64))
 }
 
-// TestGoldenStatuses checks the names that operators' commands show.
+// TestGoldenStatuses checks the names of statuses in operators' commands.
 func TestGoldenStatuses(t *testing.T) {
 	require.Equal(t, []string{"unheard", "here", "doubted", "cut off on one side", "silent", "left", "left"}, []string{
 		Unknown.String(), Alive.String(), Suspect.String(), OneWay.String(), Silent.String(), Left.String(),
--- a/internal/fleet/membership/list.go
+++ b/internal/fleet/membership/list.go
@@ -9,31 +9,34 @@
 	// refutationBits are the low bits of an incarnation, which count refutations; the others are the start of
 	// the process in Unix seconds.
 	refutationBits = 8
-	// maxAheadSeconds is how far in the future the start of another process may be, as clocks may be off.
+	// maxAheadSeconds is the maximum time by which the start of another process may lie in the future, as clocks
+	// may be off.
 	maxAheadSeconds = 3600
-	// leaveGrace is how long an agent that has left may still be received.
+	// leaveGrace is the time after an agent has left during which contacts are still attributed to the process
+	// that left.
 	leaveGrace = 10 * time.Second
-	// firstAnnouncements is how often an agent that was unknown is announced: when all agents start, there is
-	// nothing else.
+	// firstAnnouncements is the number of times that each agent announces an agent that was unknown. It is low,
+	// as all agents are unknown when a fleet starts.
 	firstAnnouncements = 1
-	// baseAnnounceTimes and announceTimesPerDoubling determine how often other events are announced by each
-	// agent.
+	// baseAnnounceTimes and announceTimesPerDoubling are the number of times that each agent announces another
+	// event: the base, and the addition for each doubling of the fleet's size.
 	baseAnnounceTimes, announceTimesPerDoubling = 3, 4
 )
 
-// contact is what is reported of each agent in most updates. It is stored apart from agent, densely.
+// contact is the part of an agent's state that most updates report. It is stored separately from agent, so
+// that it is dense in memory.
 type contact struct {
-	lastContact time.Duration // the latest one of any agent, if isKnown
-	isKnown     bool          // the agent was reported in this incarnation or an earlier one
+	lastContact time.Duration // latest time at which any agent received a message from it, if isKnown
+	isKnown     bool          // the agent was received or reported, in this incarnation or an earlier one
 	hasLeft     bool
 }
 
-// agent is what else is known of an agent.
+// agent is the rest of an agent's state.
 type agent struct {
 	incarnation   uint64
-	leftAt        time.Duration // when its leaving became known here
-	path          *path         // nil: no messages were exchanged, and no reports received of it
-	announcements uint8         // how often it is still to be announced
+	leftAt        time.Duration // time at which this agent learned the incarnation, or that it has left
+	path          *path         // nil: no messages were exchanged with it, and no closed path was reported
+	announcements uint8         // number of times that it is still to be announced
 }
 
 // List is one agent's view of the fleet.
@@ -43,19 +46,19 @@
 	stats     Stats
 	startedAt time.Duration // by the steady clock
 	isLeaving bool
-	// selfConfirmedAt is the latest time at which others report to have received this agent.
+	// selfConfirmedAt is the latest time at which another agent received a message from this one, by its report.
 	selfConfirmedAt      time.Duration
 	agents               []agent
-	contacts             []contact // by the agent
-	pendingAnnouncements []uint64  // a bit for each agent that may have something to be announced
-	announceTimes        uint8     // how often an event is announced by each agent
+	contacts             []contact // by agent number
+	pendingAnnouncements []uint64  // a bit for each agent of which something may have to be announced
+	announceTimes        uint8     // number of times that each agent announces an event
 	ageBuffer            []byte    // reused by Update
 
-	// Of PresentCount.
+	// State of PresentCount.
 	presentCount   int
-	shrinkSeenAt   time.Duration
-	maxSinceShrink int
-	isShrinking    bool
+	shrinkSeenAt   time.Duration // time at which the present decrease began, if isShrinking
+	maxSinceShrink int           // maximum count since then
+	isShrinking    bool          // fewer agents are present than presentCount
 }
 
 // New returns a List in which all other agents are Unknown.
@@ -83,23 +86,24 @@
 // Incarnation returns the agent's own incarnation.
 func (l *List) Incarnation() uint64 { return l.agents[l.settings.Self].incarnation }
 
-// Leave has all further updates announce that this process leaves.
+// Leave sets that all further updates announce that this process leaves.
 func (l *List) Leave() { l.isLeaving = true }
 
-// NoteReceived reports that a message without an update was received from another agent.
+// NoteReceived records that a message without an update was received from another agent.
 func (l *List) NoteReceived(now time.Duration, from int) {
 	if l.isOther(from) {
-		p := l.agents[from].ownPath()
+		p := l.agents[from].ensurePath()
 		p.hasReceived, p.lastReceived = true, max(p.lastReceived, now)
 		l.noteContact(from, now)
 	}
 }
 
+// isOther reports whether a number is that of another agent of the fleet.
 func (l *List) isOther(number int) bool {
 	return number >= 0 && number < len(l.agents) && number != l.settings.Self
 }
 
-// noteContact records that somebody received something from an agent at a time.
+// noteContact records that some agent received a message from an agent at a time.
 func (l *List) noteContact(number int, at time.Duration) {
 	c := &l.contacts[number]
 	if number == l.settings.Self {
@@ -109,7 +113,7 @@
 		c.lastContact = at
 	}
 	c.isKnown = true
-	// Received after it left, it was restarted, under an incarnation that is not known yet.
+	// A contact after it left means that the agent was restarted, with an incarnation that is not known yet.
 	if c.hasLeft && at > l.agents[number].leftAt+leaveGrace {
 		c.hasLeft = false
 		l.agents[number].incarnation++
@@ -117,19 +121,19 @@
 	}
 }
 
-// isPlausible reports whether the start in an incarnation is not far in the future.
+// isPlausible reports whether the start time in an incarnation is at most maxAheadSeconds in the future.
 func (l *List) isPlausible(now time.Duration, incarnation uint64) bool {
 	seconds := uint64(max((l.settings.StartedAt+now-l.startedAt)/time.Second, 0))
 	return incarnation>>refutationBits <= seconds+maxAheadSeconds
 }
 
-// agentIncarnation is an incarnation of an agent, and whether that has left.
+// agentIncarnation is an incarnation of an agent, and whether it has left.
 type agentIncarnation struct {
 	incarnation uint64
 	hasLeft     bool
 }
 
-// noteIncarnation records a later incarnation of an agent, or that the present one has left.
+// noteIncarnation records a later incarnation of an agent, or that its present incarnation has left.
 func (l *List) noteIncarnation(now time.Duration, number int, n agentIncarnation) {
 	a, c := &l.agents[number], &l.contacts[number]
 	if n.incarnation < a.incarnation || n.incarnation == a.incarnation && (!n.hasLeft || c.hasLeft) {
--- a/internal/fleet/membership/list_test.go
+++ b/internal/fleet/membership/list_test.go
@@ -11,19 +11,19 @@
 	"dunestep/internal/simnet"
 )
 
-// lab simulates what agents send anyway: a digest to another agent each 1.5 s, and a request to one of five voters each
-// 2 s, which is answered.
+// lab simulates the messages to which updates are added: each agent sends a digest to another agent every 1.5 s, and a
+// request to one of five voters every 2 s, to which the voter replies with a grant.
 type lab struct {
 	*simnet.Network
 	lists []*List
 	down  []bool
-	turn  []int
+	ticks []int // count of timer ticks, by agent
 }
 
 const (
-	voters     = 5
-	bytes      = 64 // of the updates in digests and requests
-	grantBytes = 200
+	voters      = 5
+	updateBytes = 64  // of the updates in digests and requests
+	grantBytes  = 200 // of the updates in grants
 )
 
 func newLab(seed uint64, agents int, loss float64) *lab {
@@ -33,7 +33,7 @@
 	}
 	l := &lab{
 		Network: simnet.NewNetwork(seed, agents, time.Hour, faults), lists: make([]*List, agents), down: make([]bool, agents),
-		turn: make([]int, agents),
+		ticks: make([]int, agents),
 	}
 	l.OnMessage = func(to, from int, data []byte) {
 		if l.down[to] {
@@ -51,11 +51,11 @@
 			return
 		}
 		l.lists[node].PresentCount(l.SteadyTime(node))
-		if l.turn[node]++; l.turn[node]%7 < 4 { // four digests and three requests in 6 s
+		if l.ticks[node]++; l.ticks[node]%7 < 4 { // four digests and three requests in 6 s
 			if to := l.Rand().IntN(agents); to != node {
 				l.send(node, to, 'd')
 			}
-		} else if to := l.turn[node] % voters; to != node {
+		} else if to := l.ticks[node] % voters; to != node {
 			l.send(node, to, 'r')
 		}
 		l.SetTimer(node, l.SteadyTime(node)+857*time.Millisecond)
@@ -69,12 +69,12 @@
 func (l *lab) start(a int) {
 	l.down[a] = false
 	l.lists[a] = New(Settings{Agents: len(l.lists), Self: a, StartedAt: l.Now(), Seed: uint64(l.Now()) + uint64(a)}, l.SteadyTime(a))
-	l.turn[a] = l.Rand().IntN(100)
+	l.ticks[a] = l.Rand().IntN(100)
 	l.SetTimer(a, l.SteadyTime(a)+time.Duration(l.Rand().Int64N(int64(time.Second))))
 }
 
 func (l *lab) send(from, to int, kind byte) {
-	maxBytes := bytes
+	maxBytes := updateBytes
 	if kind == 'g' {
 		maxBytes = grantBytes
 	}
@@ -82,7 +82,7 @@
 	l.lists[from].NoteSent(l.SteadyTime(from), to)
 }
 
-// countStatus returns how many agents have an agent at one of some statuses.
+// countStatus returns the number of running agents that see an agent in one of some statuses.
 func (l *lab) countStatus(of int, status ...Status) (count int) {
 	for a, r := range l.lists {
 		for _, s := range status {
@@ -94,8 +94,9 @@
 	return count
 }
 
-// until runs until so many agents have an agent at one of some statuses, and returns how long that took.
-func (l *lab) until(of, count int, status ...Status) time.Duration {
+// runUntil runs until count agents see an agent in one of some statuses, for at most 10 minutes, and returns the time
+// taken.
+func (l *lab) runUntil(of, count int, status ...Status) time.Duration {
 	begin := l.Now()
 	for l.countStatus(of, status...) < count {
 		if l.Now()-begin > 10*time.Minute {
@@ -106,7 +107,7 @@
 	return l.Now() - begin
 }
 
-// countFalse returns how many times a live agent is taken for another one.
+// countFalse returns the number of pairs of agents of which one wrongly sees the other as Silent, Left or OneWay.
 func (l *lab) countFalse() (count int) {
 	for of := range l.lists {
 		count += l.countStatus(of, Silent, Left, OneWay)
@@ -114,7 +115,8 @@
 	return count
 }
 
-// Live agents are never taken for silent, and those that leave or end are detected, at several sizes and losses.
+// Live agents are never seen as silent, and agents that leave or end are detected, at several fleet sizes and packet
+// losses.
 func TestDetection(t *testing.T) {
 	for _, n := range []int{6, 50, 300} {
 		for _, loss := range []float64{0, 0.3} {
@@ -133,26 +135,26 @@
 			l.send(n-1, 1, 'd')
 			l.Run(l.Now() + time.Second)
 			l.down[n-1] = true
-			left := l.until(n-1, all, Left)
+			left := l.runUntil(n-1, all, Left)
 			l.start(n - 1)
-			back := l.until(n-1, all, Alive, Suspect)
+			rejoined := l.runUntil(n-1, all, Alive, Suspect)
 			l.Run(l.Now() + 20*time.Second)
 			l.down[n-2] = true // without announcing it
-			half := l.until(n-2, (all+1)/2, Silent)
-			gone := half + l.until(n-2, all, Silent)
+			halfSilent := l.runUntil(n-2, (all+1)/2, Silent)
+			allSilent := halfSilent + l.runUntil(n-2, all, Silent)
 			t.Logf("%3d agents, loss %2.0f%%: leaving known to all after %v, return %v, end without announcement: half %v, all %v", n, loss*100,
-				left, back, half, gone)
+				left, rejoined, halfSilent, allSilent)
 			require.Less(t, left, time.Minute)
-			require.Less(t, back, time.Minute)
-			require.Less(t, gone, silence*3/2)
+			require.Less(t, rejoined, time.Minute)
+			require.Less(t, allSilent, silence*3/2)
 			l.Run(l.Now() + 15*time.Second)
 			require.Equal(t, all, l.lists[0].PresentCount(l.SteadyTime(0)))
 		}
 	}
 }
 
-// An agent that receives nobody but is received is detected by others and by itself; so is one that receives others and is
-// not received. A single closed path is no more than that.
+// An agent that receives no messages, and one whose messages are not received, are detected by the other agents and by
+// themselves. A single closed path does not make an agent OneWay.
 func TestOneWayPaths(t *testing.T) {
 	l := newLab(3, 50, 0.1)
 	l.Run(l.Now() + time.Minute)
@@ -162,11 +164,11 @@
 		l.SetCut(unreceived, a, true)
 	}
 	l.SetCut(1, single, true)
-	took := l.until(isolated, 48, OneWay)
-	t.Logf("the isolated agent is known to all but one after %v", took)
+	took := l.runUntil(isolated, 48, OneWay)
+	t.Logf("the isolated agent is OneWay at all agents but one after %v", took)
 	require.Less(t, took, 3*time.Minute)
 	require.Equal(t, Isolated, l.lists[isolated].Connection(l.SteadyTime(isolated)))
-	require.Less(t, l.until(unreceived, 48, Silent), time.Minute)
+	require.Less(t, l.runUntil(unreceived, 48, Silent), time.Minute)
 	require.Equal(t, Unconfirmed, l.lists[unreceived].Connection(l.SteadyTime(unreceived)))
 	require.Equal(t, Connected, l.lists[5].Connection(l.SteadyTime(5)))
 	l.Run(l.Now() + time.Minute)
@@ -183,30 +185,30 @@
 	require.Zero(t, l.countFalse())
 }
 
-// An agent that keeps reporting falsely that another one has left is believed by some for a while, and by nobody after it
-// has stopped.
-func TestFalseReportsEnd(t *testing.T) {
+// While an agent repeats a false report that another one has left, some agents accept it. After the reports end, no agent
+// does, as the other agent has refuted them.
+func TestFalseLeaveReportsAreRefuted(t *testing.T) {
 	l := newLab(4, 30, 0.1)
 	l.Run(l.Now() + time.Minute)
-	seen := 0
+	falselyLeft := 0
 	for i := range 60 {
 		of := l.lists[9].Incarnation() + uint64(i%3)<<refutationBits
 		falseReport := update{Incarnation: l.lists[7].Incarnation(), Events: []event{{Agent: 9, Incarnation: of, Left: true, By: 9}}}
-		l.Send(7, 8+i%20, append([]byte{'d'}, falseReport.encode(bytes)...))
+		l.Send(7, 8+i%20, append([]byte{'d'}, falseReport.encode(updateBytes)...))
 		l.Run(l.Now() + 500*time.Millisecond)
-		seen += l.countStatus(9, Left)
+		falselyLeft += l.countStatus(9, Left)
 	}
-	require.Positive(t, seen)
+	require.Positive(t, falselyLeft)
 	l.Run(l.Now() + time.Minute)
 	require.Zero(t, l.countFalse())
 	require.Positive(t, l.lists[9].Stats().Refuted)
-	l.start(9) // started before the incarnation of its refutation
+	l.start(9) // its start time is earlier than the incarnation with which it refuted the reports
 	l.Run(l.Now() + time.Minute)
 	require.Zero(t, l.countFalse())
 }
 
-// Fewer agents are reported only after a delay, more at once, and after the start all are counted.
-func TestPresentCountShrinksLate(t *testing.T) {
+// PresentCount reports all agents after the start, an increase at once, and a decrease only after a delay.
+func TestPresentCountDecreasesAfterDelay(t *testing.T) {
 	r := New(Settings{Agents: 4, SilenceTimeout: 20 * time.Second}, 0)
 	require.Equal(t, 4, r.PresentCount(0))
 	at := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
@@ -220,7 +222,7 @@
 	}
 }
 
-// TestApplyUpdate checks what is accepted of updates, and what is not.
+// TestApplyUpdate checks which updates and events are accepted, and their effect on statuses and closed paths.
 func TestApplyUpdate(t *testing.T) {
 	s := time.Second
 	r := New(Settings{Agents: 6, SilenceTimeout: 40 * s, StartedAt: 1000 * s}, 0)
@@ -237,14 +239,14 @@
 	apply(1*s, 1, update{Incarnation: incarnation(5), Ages: ages, ReceivedAge: ageUnknown})
 	apply(10*s, 1, update{Incarnation: incarnation(5), Events: left(incarnation(0)), ReceivedAge: ageUnknown})
 	apply(12*s, 1, update{Incarnation: incarnation(5), Ages: ages, ReceivedAge: ageUnknown})
-	require.Equal(t, Left, r.Status(12*s, 2), "may be received as it leaves")
+	require.Equal(t, Left, r.Status(12*s, 2), "a contact within leaveGrace does not count as a restart")
 	apply(25*s, 1, update{Incarnation: incarnation(5), Ages: ages, ReceivedAge: ageUnknown})
 	apply(26*s, 1, update{Incarnation: incarnation(5), Events: left(incarnation(0)), ReceivedAge: ageUnknown})
-	require.Equal(t, Alive, r.Status(26*s, 2), "received after that: a later incarnation, of which the event tells nothing")
+	require.Equal(t, Alive, r.Status(26*s, 2), "a contact after leaveGrace is of a later incarnation, to which the event does not apply")
 	apply(30*s, 1, update{Incarnation: incarnation(5), Events: left(incarnation(9)), ReceivedAge: ageUnknown})
 	require.Equal(t, Left, r.Status(30*s, 2))
 	apply(31*s, 1, update{Incarnation: incarnation(4), ReceivedAge: 0})
-	require.Equal(t, 30*s, r.agents[1].path.lastReceived, "a delayed update of an earlier incarnation")
+	require.Equal(t, 30*s, r.agents[1].path.lastReceived, "a delayed update of an earlier incarnation is ignored")
 
 	apply(31*s, 1, update{Incarnation: incarnation(5), Events: []event{{Incarnation: r.Incarnation(), Left: true}}, ReceivedAge: ageUnknown})
 	require.Greater(t, r.Incarnation(), incarnation(0))
@@ -260,12 +262,12 @@
 		r.NoteSent(50*s, 3)
 	}
 	apply(51*s, 3, update{ReceivedAge: 2})
-	require.False(t, r.IsPathClosed(51*s, 3), "still in flight")
+	require.False(t, r.IsPathClosed(51*s, 3), "the messages may still be in flight")
 	apply(60*s, 3, update{ReceivedAge: 30})
 	require.True(t, r.IsPathClosed(60*s, 3))
 	r.agents[3].path.reports[0].announcements = 0
 	apply(61*s, 3, update{ReceivedAge: 32})
-	require.Zero(t, r.agents[3].path.reports[0].announcements, "not new")
+	require.Zero(t, r.agents[3].path.reports[0].announcements, "a report of about the same time is not announced again")
 	apply(62*s, 3, update{ReceivedAge: 0})
 	require.False(t, r.IsPathClosed(62*s, 3))
 
@@ -275,7 +277,7 @@
 		received, present int
 	}{{15 * s, 1, 4}, {21 * s, 1, 4}, {25 * s, 2, 4}, {26 * s, 2, 4}, {44 * s, 2, 3}} {
 		r.NoteReceived(c.now, c.received)
-		require.Equal(t, c.present, r.PresentCount(c.now), "the maximum since the decrease; at %v", c.now)
+		require.Equal(t, c.present, r.PresentCount(c.now), "the maximum since the decrease is reported; at %v", c.now)
 	}
 }
 
@@ -315,5 +317,5 @@
 		}
 	})
 	r := New(Settings{Agents: 300, StartedAt: 1 << 60}, 0)
-	require.Greater(t, len(r.Update(0, 1, bytes)), bytes-eventBytes, "the available bytes are used")
+	require.Greater(t, len(r.Update(0, 1, updateBytes)), updateBytes-eventBytes, "the available bytes are used")
 }
--- a/internal/fleet/membership/messages.go
+++ b/internal/fleet/membership/messages.go
@@ -2,36 +2,36 @@
 
 import "encoding/binary"
 
-// update is what is added to a message for another agent.
+// update is the data that is added to a message to another agent.
 type update struct {
 	_           struct{} `cbor:",toarray"`
-	Incarnation uint64
-	Leaving     bool
-	ReceivedAge byte   // of what was last received from the addressee
-	FirstAgent  uint16 // the agent of the first of Ages; those of the others follow
-	Ages        []byte // of the last contact of each agent
+	Incarnation uint64   // of the sender
+	Leaving     bool     // the sender leaves
+	ReceivedAge byte     // time since the sender last received a message from the addressee, in ageUnit
+	FirstAgent  uint16   // agent of the first of Ages; the others belong to the next numbers, cyclically
+	Ages        []byte   // time since the last contact of each agent, in ageUnit
 	Events      []event
 }
 
-// event is what an age does not express of an agent.
+// event reports an incarnation of an agent, that it left, or that a path to it is closed.
 type event struct {
 	_           struct{} `cbor:",toarray"`
 	Agent       uint16
 	Incarnation uint64
 	Left        bool
-	By          uint16 // the agent that reports a closed path; Agent itself: it is no such report
-	Age         byte   // of the report
+	By          uint16 // the agent that reports a closed path; equal to Agent: no closed path is reported
+	Age         byte   // time since the report of a closed path, in ageUnit
 }
 
 const (
-	// headerBytes is the maximum size of an update without ages and events, eventBytes that of an event.
+	// headerBytes is the maximum size of an update without ages and events; eventBytes is that of an event.
 	headerBytes, eventBytes = 22, 20
-	// maxEvents bounds the events of one update.
+	// maxEvents is the maximum number of events in an update.
 	maxEvents = 4
 )
 
-// encode returns an update of at most maxBytes: the events, and as many ages as fit; nil: the events do not
-// fit. The bytes are those of compact.Marshal, which is slower as it uses reflection.
+// encode encodes an update with its events and as many ages as fit into maxBytes. It returns nil if the
+// events do not fit. The encoding is that of compact.Marshal, which is slower as it uses reflection.
 func (u update) encode(maxBytes int) []byte {
 	b := append(make([]byte, 0, maxBytes), cborArray|6)
 	b = appendNumber(b, cborUint, u.Incarnation)
@@ -62,7 +62,7 @@
 	return b
 }
 
-// The first bytes of CBOR items: the types that are followed by a number, and simple values.
+// First bytes of CBOR items: the major types that are combined with a number, and simple values.
 const (
 	cborUint, cborBytes, cborArray = 0 << 5, 2 << 5, 4 << 5
 
@@ -77,7 +77,7 @@
 	return cborFalse
 }
 
-// appendNumber appends an item of a type with a number, in the shortest form.
+// appendNumber appends the first bytes of an item: a major type with a number, in the shortest form.
 func appendNumber(b []byte, cborType byte, n uint64) []byte {
 	switch {
 	case n < 24:
--- a/internal/fleet/membership/paths.go
+++ b/internal/fleet/membership/paths.go
@@ -6,31 +6,33 @@
 )
 
 const (
-	// closedAfterSends is the number of messages in a row that another agent must not have received, the first
-	// of them sent closedAfter after what it received last, until the path to it counts as closed.
+	// A path to another agent counts as closed if the agent has received none of the last closedAfterSends
+	// messages to it, the first of which was sent more than closedAfter after the message that it received last.
 	closedAfterSends = 8
 	closedAfter      = 3 * time.Second
 	// sentUnit is the unit of path.sentAt.
 	sentUnit = 100 * time.Millisecond
-	// maxReports is the number of reporters that are remembered for an agent; that many make it OneWay.
+	// maxReports is the maximum number of reporters that are remembered for an agent. An agent with as many
+	// recent reports is OneWay.
 	maxReports = 2
-	// reportTimeouts is the number of silence timeouts for which a report is remembered.
+	// reportTimeouts is the number of silence timeouts for which a report counts as recent.
 	reportTimeouts = 2
 )
 
-// path is what is known of the network paths between this agent and another one. In a large fleet most agents
-// exchange no messages for long, so it is allocated when needed.
+// path is the state of the network paths between this agent and another one. It is allocated when needed, as
+// most pairs of agents in a large fleet exchange no messages for a long time.
 type path struct {
 	lastReceived time.Duration
 	hasReceived  bool
-	nextSent     uint8                    // the index of the oldest entry in sentAt
-	sentAt       [closedAfterSends]uint32 // of the last messages, in units since startedAt plus 1; 0: none
+	nextSent     uint8                    // index of the oldest entry in sentAt
+	sentAt       [closedAfterSends]uint32 // times of the last messages, in sentUnit since startedAt + 1; 0: none
 	reports      [maxReports]oneWayReport
 }
 
-// emptyPath stands for a path of which nothing is known; it is never written to.
+// emptyPath is the path of an agent without an allocated one; it must not be modified.
 var emptyPath path
 
+// pathOrEmpty returns the path for reading.
 func (a *agent) pathOrEmpty() *path {
 	if a.path == nil {
 		return &emptyPath
@@ -38,39 +40,42 @@
 	return a.path
 }
 
-func (a *agent) ownPath() *path {
+// ensurePath returns the path for writing, and allocates it if necessary.
+func (a *agent) ensurePath() *path {
 	if a.path == nil {
 		a.path = &path{}
 	}
 	return a.path
 }
 
-// oneWayReport is the report of an agent that it receives another one and is not received by it.
+// oneWayReport is the report of an agent that it receives messages from another one, but not the reverse.
 type oneWayReport struct {
-	by            uint16
+	reporter      uint16
 	reportedAt    time.Duration
 	isSet         bool
-	announcements uint8 // how often it is still to be announced
+	announcements uint8 // number of times that it is still to be announced
 }
 
+// isRecent reports whether a report is set and not too old to count.
 func (l *List) isRecent(now time.Duration, r oneWayReport) bool {
 	return r.isSet && now-r.reportedAt <= reportTimeouts*l.settings.SilenceTimeout
 }
 
-// NoteSent reports that a message, with or without an update, is sent to another agent.
+// NoteSent records that a message, with or without an update, is sent to another agent.
 func (l *List) NoteSent(now time.Duration, to int) {
 	if !l.isOther(to) {
 		return
 	}
-	p := l.agents[to].ownPath()
+	p := l.agents[to].ensurePath()
 	p.sentAt[p.nextSent] = uint32((now-l.startedAt)/sentUnit) + 1
 	p.nextSent = (p.nextSent + 1) % closedAfterSends
 }
 
-// checkReachable compares what another agent has received, as the age in its update tells, with what was sent
-// to it.
+// checkReachable compares the time at which another agent last received a message from this one, as reported
+// in its update, with the times of the messages sent to it, and adds or removes this agent's report of a
+// closed path.
 func (l *List) checkReachable(now time.Duration, from int, receivedAge byte) {
-	received := now - time.Duration(receivedAge)*ageUnit // or earlier
+	received := now - time.Duration(receivedAge)*ageUnit // or earlier, if the age is unknown
 	if receivedAge != ageUnknown {
 		l.selfConfirmedAt = max(l.selfConfirmedAt, received)
 	}
@@ -82,20 +87,21 @@
 	}
 	for i := range p.reports {
 		r := &p.reports[i]
-		if r.isSet && int(r.by) == l.settings.Self && now-received < l.settings.SilenceTimeout/2 {
+		if r.isSet && int(r.reporter) == l.settings.Self && now-received < l.settings.SilenceTimeout/2 {
 			r.isSet = false
 		}
 	}
 }
 
-// addReport remembers a report of a time, in the place of the reporter's earlier one or of the older of two
-// others. A report of about the same time as the remembered one is not new: it would be announced in a
-// circle.
-func (l *List) addReport(number int, by uint16, at time.Duration) {
-	reports := &l.agents[number].ownPath().reports
+// addReport remembers a report of a closed path to an agent, in place of the reporter's earlier report or
+// else of the older of two other reports. A report is ignored if it is less than half a silence timeout newer
+// than the one that it would replace, as agents would otherwise announce the same report to each other
+// endlessly.
+func (l *List) addReport(number int, reporter uint16, at time.Duration) {
+	reports := &l.agents[number].ensurePath().reports
 	place := 0
 	for i, r := range reports {
-		if r.isSet && r.by == by {
+		if r.isSet && r.reporter == reporter {
 			place = i
 			break
 		}
@@ -106,22 +112,23 @@
 	if old := reports[place]; old.isSet && at-old.reportedAt < l.settings.SilenceTimeout/2 {
 		return
 	}
-	reports[place] = oneWayReport{by: by, reportedAt: at, isSet: true, announcements: l.announceTimes}
+	reports[place] = oneWayReport{
+		reporter: reporter, reportedAt: at, isSet: true, announcements: l.announceTimes}
 	l.markPending(number)
 }
 
-// isOneWay reports whether two other agents recently reported that an agent does not receive them.
+// isOneWay reports whether two other agents recently reported that an agent does not receive their messages.
 func (l *List) isOneWay(now time.Duration, a *agent) bool {
 	p := a.pathOrEmpty()
 	return l.isRecent(now, p.reports[0]) && l.isRecent(now, p.reports[1])
 }
 
-// IsPathClosed reports whether this agent receives another one and is not received by it.
+// IsPathClosed reports whether this agent receives messages from another one, but not the reverse.
 func (l *List) IsPathClosed(now time.Duration, number int) bool {
 	if !l.isOther(number) {
 		return false
 	}
 	return slices.ContainsFunc(l.agents[number].pathOrEmpty().reports[:], func(r oneWayReport) bool {
-		return int(r.by) == l.settings.Self && l.isRecent(now, r)
+		return int(r.reporter) == l.settings.Self && l.isRecent(now, r)
 	})
 }
--- a/internal/fleet/membership/present.go
+++ b/internal/fleet/membership/present.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Status returns what is known of an agent now. This agent is Alive to itself until it leaves.
+// Status returns the status of an agent at a time. The status of this agent is Alive until it leaves, and
+// that of a number outside the fleet is Silent.
 func (l *List) Status(now time.Duration, number int) Status {
 	if number < 0 || number >= len(l.agents) {
 		return Silent
@@ -26,7 +27,7 @@
 	return Alive
 }
 
-// Connection returns what this agent knows of its own connection.
+// Connection returns the state of this agent's own connection.
 func (l *List) Connection(now time.Duration) Connection {
 	switch {
 	case !l.isReceiving(now):
@@ -37,7 +38,7 @@
 	return Connected
 }
 
-// isReceiving reports whether this agent received something lately, or has just started.
+// isReceiving reports whether this agent received a message, or started, within the silence timeout.
 func (l *List) isReceiving(now time.Duration) bool {
 	if now-l.startedAt <= l.settings.SilenceTimeout {
 		return true
@@ -51,10 +52,10 @@
 	return false
 }
 
-// PresentCount returns how many agents have to be reckoned with, including this one: those with contact
-// lately, and after the start all of which nothing is known yet. An increase is reported at once, a decrease
-// only after it has lasted for Settings.ShrinkDelay, so that no agent takes a larger share because of a short
-// silence.
+// PresentCount returns the number of agents that count as present, including this one: those with a contact
+// within the silence timeout, and Unknown agents, which exist only after the start. An increase is reported
+// at once, and a decrease only after it has lasted for Settings.ShrinkDelay, so that a short silence does not
+// increase the shares of the other agents.
 func (l *List) PresentCount(now time.Duration) int {
 	count := 0
 	for i := range l.agents {
