--- a/internal/fleet/fragment/config.go
+++ b/internal/fleet/fragment/config.go
@@ -2,20 +2,21 @@
 
 import "time"
 
-// Config bounds what a Transport holds and sends. Zero fields stand for the defaults.
+// Config bounds the memory and the traffic of a Transport. Zero values select the defaults.
 type Config struct {
-	// Agents is the number of agents: their numbers are below it.
+	// Agents is the number of agents, which are numbered from 0.
 	Agents int
-	// Incarnation numbers this process, higher at each start, such as its start in Unix milliseconds.
+	// Incarnation identifies this process. It is higher at each start, such as the start in Unix milliseconds.
 	Incarnation uint64
 	// MemoryBytes bounds the long messages being sent and received, half for each; default 1 MiB.
 	MemoryBytes int
-	// BytesPerSecond and BurstBytes pace what is sent; defaults 128 KiB and 64 KiB.
+	// BytesPerSecond and BurstBytes bound the bytes sent; defaults 128 KiB and 64 KiB.
 	BytesPerSecond, BurstBytes int
-	// ResendAfter is the maximum time without an acknowledgement until a long message is first resent; it is
-	// shorter where acknowledgements come sooner, and doubles with each resend. Default 200 ms.
+	// ResendAfter is the maximum time without an acknowledgement after which a long message is resent for the
+	// first time. The time is shorter if earlier acknowledgements arrived sooner, and doubles with each resend.
+	// Default 200 ms.
 	ResendAfter time.Duration
-	// GiveUpAfter is how long the delivery of a long message is tried; default 10 s.
+	// GiveUpAfter is the time after which an incomplete long message is given up; default 10 s.
 	GiveUpAfter time.Duration
 }
 
--- a/internal/fleet/fragment/example_test.go
+++ b/internal/fleet/fragment/example_test.go
@@ -7,7 +7,7 @@
 	"dunestep/internal/fleet/fragment"
 )
 
-// A message of 10,000 bytes goes from agent 0 to agent 1, and each tenth datagram is lost.
+// A message of 10,000 bytes is sent from agent 0 to agent 1, and every tenth datagram is lost.
 func Example() {
 	now := time.Unix(1_800_000_000, 0)
 	var ends [2]*fragment.Transport
--- a/internal/fleet/fragment/frame.go
+++ b/internal/fleet/fragment/frame.go
@@ -5,17 +5,17 @@
 	"hash/crc32"
 )
 
-// A datagram has a header (FirstByte, Version, the checksum of the rest) and one or more frames. A frame has
-// a kind, a channel, the length of its data, then for a fragment the sender's incarnation, the message's
-// number, the fragment's index and count, and the checksum of the complete message. An acknowledgement has
-// the same beginning up to the number; its data has a bit for each fragment that arrived, or is empty if all
-// have.
+// A datagram consists of a header (FirstByte, Version, and the checksum of the rest) and one or more frames.
+// A frame begins with a kind, a channel and the length of its data. In a fragment these are followed by the
+// sender's incarnation, the message's number, the fragment's index and count, and the checksum of the
+// complete message. An acknowledgement has the same fields up to the message's number. Its data has a bit for
+// each fragment that has arrived, and is empty if all have arrived.
 
 const (
-	// FirstByte is the first byte of each datagram: other datagrams between agents begin with other bytes, and
-	// agents that do not know it drop it.
+	// FirstByte is the first byte of each datagram of this package. Other datagrams between agents begin with
+	// other bytes, and agents without this package drop datagrams that begin with it.
 	FirstByte = 0xF1
-	// Version is the second byte. Datagrams with another one are dropped and counted.
+	// Version is the second byte of each datagram. Datagrams with another version are dropped and counted.
 	Version = 1
 	// MaxDatagramBytes is the maximum size of a datagram.
 	MaxDatagramBytes = 256
@@ -28,7 +28,7 @@
 	shortHeaderBytes    = 3
 	fragmentHeaderBytes = shortHeaderBytes + 8 + 4 + 2 + 2 + 4
 	ackHeaderBytes      = shortHeaderBytes + 8 + 4
-	// fragmentBytes is the size of the data of all fragments but the last.
+	// fragmentBytes is the size of the data of each fragment except the last one.
 	fragmentBytes = MaxDatagramBytes - headerBytes - fragmentHeaderBytes
 	maxFragments  = (MaxMessageBytes + fragmentBytes - 1) / fragmentBytes
 )
@@ -37,7 +37,7 @@
 const (
 	kindShort      = 0 // a complete message
 	kindFragment   = 1
-	kindAckRequest = 2 // a fragment that is to be acknowledged at once
+	kindAckRequest = 2 // a fragment that the receiver has to acknowledge at once
 	kindAck        = 3
 )
 
@@ -45,16 +45,17 @@
 
 func checksum(b []byte) uint32 { return crc32.Checksum(b, castagnoli) }
 
-// seal returns the datagram of some frames.
-func seal(frames []byte) []byte {
+// encodeDatagram returns a datagram with the given encoded frames.
+func encodeDatagram(frames []byte) []byte {
 	d := make([]byte, headerBytes, headerBytes+len(frames))
 	d[0], d[1] = FirstByte, Version
 	binary.BigEndian.PutUint32(d[2:], checksum(frames))
 	return append(d, frames...)
 }
 
-// unseal returns the frames of a datagram.
-func unseal(d []byte) (frames []byte, isIntact bool) {
+// decodeDatagram returns the encoded frames of a datagram. isIntact is false if the header or the checksum is
+// wrong.
+func decodeDatagram(d []byte) (frames []byte, isIntact bool) {
 	if len(d) <= headerBytes || len(d) > MaxDatagramBytes || d[0] != FirstByte || d[1] != Version {
 		return nil, false
 	}
@@ -62,18 +63,18 @@
 	return frames, checksum(frames) == binary.BigEndian.Uint32(d[2:])
 }
 
-// frame is a decoded frame; its data lies in the datagram.
+// frame is a decoded frame.
 type frame struct {
 	kind, channel byte
 	incarnation   uint64 // of the sender of the message
 	number        uint32 // of the message
 	index, count  uint16 // of the fragment
-	checksum      uint32 // of the message
-	data          []byte
+	checksum      uint32 // of the complete message
+	data          []byte // refers to the bytes of the datagram
 }
 
-// readFrame decodes the first frame of b.
-func readFrame(b []byte) (f frame, rest []byte, isValid bool) {
+// decodeFrame decodes the first frame of b, and returns it with the rest of b.
+func decodeFrame(b []byte) (f frame, rest []byte, isValid bool) {
 	if len(b) < shortHeaderBytes {
 		return f, nil, false
 	}
@@ -124,7 +125,8 @@
 	return append(b, f.data...)
 }
 
-// encodeAck encodes the acknowledgement of a fragment's message; nil: it has arrived completely.
+// encodeAck encodes the acknowledgement of a fragment's message. arrived has a bit for each fragment that has
+// arrived, or is nil if the message has arrived completely.
 func encodeAck(f frame, arrived []byte) []byte {
 	b := append(make([]byte, 0, ackHeaderBytes+len(arrived)), kindAck, f.channel, byte(len(arrived)))
 	b = binary.BigEndian.AppendUint64(b, f.incarnation)
@@ -135,7 +137,7 @@
 // fragmentCount returns the number of fragments of a message of n bytes.
 func fragmentCount(n int) int { return (n + fragmentBytes - 1) / fragmentBytes }
 
-// fragmentSet is a set of fragments, a bit for each.
+// fragmentSet is a set of fragment indexes, with a bit for each.
 type fragmentSet []byte
 
 func newFragmentSet(n int) fragmentSet { return make(fragmentSet, (n+7)/8) }
@@ -144,7 +146,7 @@
 
 func (s fragmentSet) set(i int) { s[i/8] |= 1 << (i % 8) }
 
-// count returns how many of the first n fragments are in the set.
+// count returns the number of the first n fragments that are in the set.
 func (s fragmentSet) count(n int) (count int) {
 	for i := range n {
 		if s.has(i) {
--- a/internal/fleet/fragment/golden_test.go
+++ b/internal/fleet/fragment/golden_test.go
@@ -10,20 +10,20 @@
 	"dunestep/internal/fleet/internal/golden"
 )
 
-// frames reads the frames of a datagram.
+// frames decodes the frames of a datagram.
 func frames(t *testing.T, datagram []byte) (fs []frame) {
 	t.Helper()
-	body, isIntact := unseal(datagram)
+	body, isIntact := decodeDatagram(datagram)
 	require.True(t, isIntact)
 	for len(body) > 0 {
-		f, rest, isValid := readFrame(body)
+		f, rest, isValid := decodeFrame(body)
 		require.True(t, isValid)
 		fs, body = append(fs, f), rest
 	}
 	return fs
 }
 
-// encodeFrame writes a frame that was read.
+// encodeFrame encodes a decoded frame of any kind.
 func encodeFrame(f frame) []byte {
 	switch f.kind {
 	case kindShort:
@@ -34,7 +34,7 @@
 	return encodeFragment(f.kind, f.channel, f)
 }
 
-// TestGolden checks that each form of datagram is encoded as ever, and decoded to the same.
+// TestGolden checks that the encoding of each kind of datagram matches the golden file and decodes to the same frames.
 func TestGolden(t *testing.T) {
 	long := make([]byte, 2*fragmentBytes+30)
 	for i := range long {
@@ -69,11 +69,11 @@
 	for name, d := range datagrams {
 		file := golden.Bytes(t, name, d)
 		require.Equal(t, []byte{FirstByte, Version}, file[:2], name)
-		var back []byte
+		var encoded []byte
 		for _, f := range frames(t, file) {
-			back = append(back, encodeFrame(f)...)
+			encoded = append(encoded, encodeFrame(f)...)
 		}
-		require.Equal(t, file, seal(back), name)
+		require.Equal(t, file, encodeDatagram(encoded), name)
 	}
 	require.Equal(t, []Message{{7, 3, []byte("short")}, {7, 4, bytes.Repeat([]byte{1}, 20)}},
 		other.Receive(start, 7, golden.Bytes(t, "short-two", datagrams["short-two"])))
--- a/internal/fleet/fragment/inbox.go
+++ b/internal/fleet/fragment/inbox.go
@@ -2,48 +2,49 @@
 
 import "time"
 
-// completedWindow is the number of message numbers, up to the highest completed one, for which it is
-// remembered whether they are completed. Messages with lower numbers are not accepted any more.
+// completedWindow is the size of the range of message numbers, up to the highest completed one, for which the
+// inbox remembers whether they are completed. Messages with lower numbers count as completed and are not
+// accepted.
 const completedWindow = 64
 
-// inbox holds the long messages being received.
+// inbox contains the long messages being received.
 type inbox struct {
 	senders  map[uint32]*sender
-	messages []*inMessage // in the order in which they began
-	bytes    int
+	messages []*inMessage // in the order in which they were started
+	bytes    int          // memory of all messages
 }
 
-// sender is what is known of an agent's process.
+// sender is the state of an agent's process that sends long messages.
 type sender struct {
 	incarnation      uint64
-	highestCompleted uint32 // the highest number that was delivered or given up
-	completed        uint64 // bit n: highestCompleted-n was
+	highestCompleted uint32 // highest number of a completed message
+	completed        uint64 // bit n: the message highestCompleted-n is completed
 }
 
 // inMessage is a message of which some fragments have arrived.
 type inMessage struct {
 	from      uint32
-	header    frame // without data
+	header    frame // first fragment to arrive, without its data
 	buf       []byte
-	size      int // known once the last fragment has arrived
+	size      int // in bytes, known once the last fragment has arrived
 	received  fragmentSet
 	missing   int
 	startedAt time.Time
 }
 
-// fragmentResult is what follows from a fragment.
+// fragmentResult is the result of a received fragment.
 type fragmentResult struct {
-	message []byte // complete; nil: not yet
-	ack     []byte // a frame to be sent; nil: none
+	message []byte // the complete message; nil: not complete yet
+	ack     []byte // acknowledgement to be sent, as a frame; nil: none
 
-	// What is counted.
+	// Additions to the counters in Stats.
 	staleIncarnation, duplicates, outOfMemory uint64
 }
 
 func newInbox() inbox { return inbox{senders: map[uint32]*sender{}} }
 
-// handleFragment processes a fragment. The messages being received have at most maxBytes. The number of
-// senders is bounded by the caller, as agents are numbered.
+// handleFragment processes a fragment. The messages being received use at most maxBytes. The caller bounds
+// the number of senders, as it accepts datagrams only from the numbers of the fleet's agents.
 func (in *inbox) handleFragment(now time.Time, from uint32, f frame, maxBytes int) (result fragmentResult) {
 	s := in.senders[from]
 	if s == nil {
@@ -58,7 +59,8 @@
 		in.dropSender(from)
 	}
 	if s.isCompleted(f.number) {
-		// The final acknowledgement was lost, or the message was given up: nothing more is needed of it.
+		// The message was delivered and its final acknowledgement was lost, or its number is too low to be
+		// accepted.
 		if result.duplicates = 1; f.kind == kindAckRequest {
 			result.ack = encodeAck(f, nil)
 		}
@@ -81,7 +83,7 @@
 	}
 	in.remove(m)
 	if checksum(m.buf[:m.size]) != m.header.checksum {
-		return result // corrupted despite the datagrams' checksums: it begins anew with what is resent
+		return result // corrupted despite the datagrams' checksums: it is received again when the sender resends it
 	}
 	s.markCompleted(f.number)
 	result.message, result.ack = m.buf[:m.size], encodeAck(f, nil)
@@ -97,8 +99,9 @@
 	return nil
 }
 
-// begin makes room for a message, if necessary by giving up the oldest ones: their senders resend, and they
-// begin anew. It returns nil for a message that is too long, and how many messages were given up.
+// begin starts the reception of a message. If necessary, it gives up the oldest messages to free memory;
+// these are received again when their senders resend them. It returns the message, or nil if that is too
+// long, and the number of messages that were given up.
 func (in *inbox) begin(now time.Time, from uint32, f frame, maxBytes int) (m *inMessage, givenUp uint64) {
 	size := int(f.count) * fragmentBytes
 	if size > maxBytes {
@@ -122,7 +125,7 @@
 	return m, givenUp
 }
 
-// oldestFrom returns the oldest message from an agent, and how many there are.
+// oldestFrom returns the oldest message from an agent, and the number of messages from it.
 func (in *inbox) oldestFrom(from uint32) (oldest *inMessage, n int) {
 	for i := len(in.messages) - 1; i >= 0; i-- {
 		if in.messages[i].from == from {
@@ -154,7 +157,7 @@
 	}
 }
 
-// expire gives up the messages that began long enough ago, and returns how many.
+// expire gives up the messages that were started at least the given time ago, and returns their number.
 func (in *inbox) expire(now time.Time, after time.Duration) (n int) {
 	for len(in.messages) > 0 && !now.Before(in.messages[0].startedAt.Add(after)) {
 		in.remove(in.messages[0])
@@ -163,7 +166,7 @@
 	return n
 }
 
-// nextExpiry returns when the next message is given up; the zero time: never.
+// nextExpiry returns the time when the next message is given up, or the zero time if there is no message.
 func (in *inbox) nextExpiry(after time.Duration) time.Time {
 	if len(in.messages) == 0 {
 		return time.Time{}
@@ -171,7 +174,7 @@
 	return in.messages[0].startedAt.Add(after)
 }
 
-// matches reports whether a fragment is one of the message.
+// matches reports whether a fragment belongs to the message.
 func (m *inMessage) matches(f frame) bool {
 	return f.count == m.header.count && f.checksum == m.header.checksum && f.channel == m.header.channel
 }
--- a/internal/fleet/fragment/outbox.go
+++ b/internal/fleet/fragment/outbox.go
@@ -7,39 +7,41 @@
 )
 
 const (
-	// maxPerAgent bounds the long messages in flight to one agent. It is well below completedWindow, so that the
-	// receiver still knows of each whether it was delivered.
+	// maxPerAgent is the maximum number of long messages in flight to one agent. It is well below
+	// completedWindow, so that the receiver still remembers for each of them whether it was delivered.
 	maxPerAgent = 8
-	// minResendDivisor is the part of Config.ResendAfter after which a message is resent at the earliest.
+	// minResendDivisor is the divisor of Config.ResendAfter that gives the minimum time until a message is
+	// resent.
 	minResendDivisor = 6
-	// maxResendFactor is the multiple of Config.ResendAfter after which a message is resent at the latest.
+	// maxResendFactor is the multiple of Config.ResendAfter that is the maximum time until a message is resent.
 	maxResendFactor = 8
 )
 
-// outbox holds the long messages being sent, in the order in which they were queued.
+// outbox contains the long messages being sent, in the order in which they were queued.
 type outbox struct {
 	messages   []*outMessage
-	bytes      int
-	lastNumber map[uint32]uint32  // of the messages to an agent
-	perAgent   map[uint32]int     // the messages in flight
-	roundTrip  roundtrip.Estimate // from a requested acknowledgement to its arrival
+	bytes      int                // memory of all messages
+	lastNumber map[uint32]uint32  // number of the last message, by agent
+	perAgent   map[uint32]int     // number of messages in flight, by agent
+	roundTrip  roundtrip.Estimate // from the request for an acknowledgement to its arrival
 }
 
-// outMessage is a long message being sent. It is sent in passes: all fragments that are not acknowledged, the
-// last of which requests an acknowledgement. If none comes, one fragment requests it again.
+// outMessage is a long message being sent. It is sent in passes. A pass consists of all fragments that are
+// not acknowledged, and its last fragment requests an acknowledgement. If no acknowledgement arrives in time,
+// a pass of a single fragment requests it again.
 type outMessage struct {
 	to          uint32
 	channel     byte
 	data        []byte
-	header      frame // of its fragments
+	header      frame // common fields of its fragments
 	acked       fragmentSet
 	cursor, end int // the next fragment of the pass, and the one after its last
 	startedAt   time.Time
 	passEndedAt time.Time
 	resendAt    time.Time
-	resendAfter time.Duration
-	minResend   time.Duration
-	maxResend   time.Duration
+	resendAfter time.Duration // timeout for the acknowledgement of the present pass
+	minResend   time.Duration // minimum of resendAfter
+	maxResend   time.Duration // maximum of resendAfter
 }
 
 func newOutbox() outbox { return outbox{lastNumber: map[uint32]uint32{}, perAgent: map[uint32]int{}} }
@@ -90,7 +92,7 @@
 	}
 }
 
-// expire gives up the messages that have been tried for long enough, and returns how many.
+// expire gives up the messages that were queued at least the given time ago, and returns their number.
 func (o *outbox) expire(now time.Time, after time.Duration) (n int) {
 	for i := 0; i < len(o.messages); {
 		if now.Before(o.messages[i].startedAt.Add(after)) {
@@ -103,9 +105,9 @@
 	return n
 }
 
-// handleAck processes an acknowledgement. It may list fewer fragments than before, where the receiver lacked
-// memory. One that comes in the middle of a pass begins no new pass, as it may be older than what was sent
-// since.
+// handleAck processes an acknowledgement. It may list fewer fragments than an earlier one if the receiver
+// gave up the message for lack of memory. An acknowledgement that arrives during a pass does not start a new
+// pass, as it may be older than the fragments sent in the meantime.
 func (o *outbox) handleAck(now time.Time, from uint32, f frame) {
 	for i, m := range o.messages {
 		if m.to != from || m.header.number != f.number {
@@ -120,7 +122,7 @@
 		}
 		acked, count := fragmentSet(f.data), int(m.header.count)
 		if len(acked) != len(m.acked) || acked.count(count) == count {
-			return // not of this message
+			return // malformed: not an acknowledgement of this message
 		}
 		copy(m.acked, f.data)
 		if !m.isInPass() {
@@ -132,14 +134,14 @@
 
 func (m *outMessage) isInPass() bool { return m.cursor < m.end }
 
-// beginPass begins a pass of all fragments that are not acknowledged.
+// beginPass starts a pass of all fragments that are not acknowledged.
 func (m *outMessage) beginPass(now time.Time) {
 	m.cursor, m.end = m.nextMissing(0), int(m.header.count)
 	m.resendAfter = max(m.resendAfter/2, m.minResend)
 	m.resendAt = now
 }
 
-// resendIfDue begins a pass of one fragment if no acknowledgement came in time.
+// resendIfDue starts a pass of one fragment if no acknowledgement has arrived in time.
 func (m *outMessage) resendIfDue(now time.Time) {
 	if m.isInPass() || now.Before(m.resendAt) {
 		return
@@ -149,7 +151,8 @@
 	m.resendAfter = min(2*m.resendAfter, m.maxResend)
 }
 
-// nextMissing returns the first fragment from i on that is not acknowledged.
+// nextMissing returns the index of the first fragment, from i on, that is not acknowledged, or the number of
+// fragments if there is none.
 func (m *outMessage) nextMissing(i int) int {
 	for i < int(m.header.count) && m.acked.has(i) {
 		i++
@@ -157,7 +160,7 @@
 	return i
 }
 
-// nextFragment returns the frame of the next fragment of the pass.
+// nextFragment returns the encoded frame of the next fragment of the pass.
 func (m *outMessage) nextFragment(now time.Time) []byte {
 	f := m.header
 	f.index = uint16(m.cursor)
--- a/internal/fleet/fragment/pacer.go
+++ b/internal/fleet/fragment/pacer.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// tokenBucket paces what is sent; tokens are bytes.
+// tokenBucket bounds the bytes sent; a token is a byte.
 type tokenBucket struct {
-	rate, burst, tokens float64 // rate: per second
+	rate, burst, tokens float64 // rate in bytes per second, the others in bytes
 	updatedAt           time.Time
 }
 
@@ -27,8 +27,8 @@
 	}
 }
 
-// take takes n bytes if they are available.
-func (b *tokenBucket) take(now time.Time, n int) bool {
+// spend deducts n bytes if they are available, and reports whether they were.
+func (b *tokenBucket) spend(now time.Time, n int) bool {
 	b.refill(now)
 	if b.tokens < float64(n) {
 		return false
@@ -37,8 +37,8 @@
 	return true
 }
 
-// takeWithDebt takes n bytes, if necessary of those that become available later, up to one burst.
-func (b *tokenBucket) takeWithDebt(now time.Time, n int) bool {
+// spendWithDebt deducts n bytes, and reports whether it did. It allows a debt of up to one burst.
+func (b *tokenBucket) spendWithDebt(now time.Time, n int) bool {
 	b.refill(now)
 	if b.tokens-float64(n) < -b.burst {
 		return false
@@ -47,7 +47,7 @@
 	return true
 }
 
-// availableAt returns when n bytes are available.
+// availableAt returns the time when n bytes are available.
 func (b *tokenBucket) availableAt(n int) time.Time {
 	if b.tokens >= float64(n) {
 		return b.updatedAt
--- a/internal/fleet/fragment/transport.go
+++ b/internal/fleet/fragment/transport.go
@@ -5,39 +5,39 @@
 	"time"
 )
 
-// Reasons for which Send rejects a message.
+// Errors that Send returns.
 var (
 	// ErrTooLong reports that a message exceeds MaxMessageBytes.
 	ErrTooLong = errors.New("fragment: message too long")
 	// ErrEmpty reports that a message is empty.
 	ErrEmpty = errors.New("fragment: empty message")
-	// ErrUnknownAgent reports that there is no agent of this number.
+	// ErrUnknownAgent reports that there is no agent with this number.
 	ErrUnknownAgent = errors.New("fragment: no such agent")
-	// ErrQueueFull reports that a message is longer than all that may wait to be sent.
+	// ErrQueueFull reports that a message exceeds the memory for outgoing messages by itself.
 	ErrQueueFull = errors.New("fragment: the message exceeds the memory for outgoing messages")
 )
 
 // Message is a received message.
 type Message struct {
-	From    uint32 // the agent
+	From    uint32 // number of the sending agent
 	Channel uint8
 	Bytes   []byte
 }
 
 // Datagram is a datagram to be sent.
 type Datagram struct {
-	To    uint32 // the agent
+	To    uint32 // number of the receiving agent
 	Bytes []byte
 }
 
-// Stats counts what was given up or dropped since the start.
+// Stats counts dropped datagrams, fragments and messages since the start.
 type Stats struct {
-	Damaged          uint64 // datagrams that cannot be decoded
-	StaleIncarnation uint64 // fragments of a process that was restarted since
-	Duplicates       uint64 // fragments of messages that were delivered or given up
-	OutOfMemory      uint64 // messages given up, on either side, for lack of memory
+	Damaged          uint64 // datagrams that could not be decoded
+	StaleIncarnation uint64 // fragments of a process that has been restarted since
+	Duplicates       uint64 // fragments of messages that are already completed
+	OutOfMemory      uint64 // incoming and outgoing messages given up for lack of memory
 	Expired          uint64 // long messages given up after Config.GiveUpAfter
-	RateLimited      uint64 // short messages that were not sent, as the pace was exceeded twice over
+	RateLimited      uint64 // short messages and acknowledgements dropped, as the debt would exceed a burst
 }
 
 // Transport is one agent's end of the transport.
@@ -66,7 +66,9 @@
 // InFlightBytes returns the bytes of the long messages being sent and received.
 func (t *Transport) InFlightBytes() (out, in int) { return t.outbox.bytes, t.inbox.bytes }
 
-// Send queues a message for an agent. Channels separate the users of the transport. The message is copied.
+// Send queues a copy of a message for an agent. The receiver gets the channel with the message; channels
+// separate the users of the transport. If there are too many long messages, the oldest ones are given up. The
+// errors are ErrUnknownAgent, ErrEmpty, ErrTooLong and ErrQueueFull.
 func (t *Transport) Send(now time.Time, to uint32, channel uint8, msg []byte) error {
 	switch {
 	case int64(to) >= int64(t.config.Agents):
@@ -95,11 +97,11 @@
 	return nil
 }
 
-// queueFrame adds a frame to the open datagram of an agent, which goes out with the next Out: what is sent to
-// an agent in one step shares datagrams. Short messages are not delayed by the pace, as they are worthless
-// later; they are dropped if it is exceeded twice over.
+// queueFrame adds a frame to the open datagram of an agent, which the next Out returns, so that frames to the
+// same agent share datagrams. The frame is a short message or an acknowledgement. The rate limit does not
+// delay it, as it would be useless later, but drops it if the debt of bytes would exceed a burst.
 func (t *Transport) queueFrame(now time.Time, to uint32, frame []byte) {
-	if !t.pacer.takeWithDebt(now, len(frame)+headerBytes) {
+	if !t.pacer.spendWithDebt(now, len(frame)+headerBytes) {
 		t.stats.RateLimited++
 		return
 	}
@@ -108,7 +110,7 @@
 	}
 }
 
-// Out returns the datagrams that are to be sent now.
+// Out returns the datagrams to be sent now.
 func (t *Transport) Out(now time.Time) []Datagram {
 	expired := t.outbox.expire(now, t.config.GiveUpAfter) + t.inbox.expire(now, t.config.GiveUpAfter)
 	t.stats.Expired += uint64(expired)
@@ -118,7 +120,8 @@
 	return out
 }
 
-// Next returns when Out is due without another call; the zero time: never.
+// Next returns the time when Out is due if no other method is called before, or the zero time if it is not
+// due.
 func (t *Transport) Next() time.Time {
 	if len(t.pending) > 0 || len(t.batches.order) > 0 {
 		return t.pacer.updatedAt
@@ -139,7 +142,7 @@
 	return next
 }
 
-// sendFragments sends what the pace allows, one fragment of each message in turn.
+// sendFragments sends as many fragments as the rate limit allows, one of each message in turn.
 func (t *Transport) sendFragments(now time.Time) {
 	for hasSent := true; hasSent; {
 		hasSent = false
@@ -148,25 +151,26 @@
 			if !m.isInPass() {
 				continue
 			}
-			if !t.pacer.take(now, MaxDatagramBytes) {
+			if !t.pacer.spend(now, MaxDatagramBytes) {
 				return
 			}
-			t.pending = append(t.pending, Datagram{m.to, seal(m.nextFragment(now))})
+			t.pending = append(t.pending, Datagram{m.to, encodeDatagram(m.nextFragment(now))})
 			hasSent = true
 		}
 	}
 }
 
-// Receive processes a datagram from an agent, and returns the messages that it completes.
+// Receive processes a datagram from an agent, and returns the messages that it completes. A datagram that
+// cannot be decoded is dropped and counted.
 func (t *Transport) Receive(now time.Time, from uint32, datagram []byte) []Message {
-	body, isIntact := unseal(datagram)
+	body, isIntact := decodeDatagram(datagram)
 	if !isIntact || int64(from) >= int64(t.config.Agents) {
 		t.stats.Damaged++
 		return nil
 	}
 	var messages []Message
 	for len(body) > 0 {
-		f, rest, isValid := readFrame(body)
+		f, rest, isValid := decodeFrame(body)
 		if !isValid {
 			t.stats.Damaged++
 			return messages
--- a/internal/fleet/fragment/transport_test.go
+++ b/internal/fleet/fragment/transport_test.go
@@ -12,7 +12,7 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-// body returns a message that contains its number and that no other message equals.
+// body returns a message that contains its number and is unique to it.
 func body(n uint32, size int) []byte {
 	b := make([]byte, max(size, 4))
 	r := rand.New(rand.NewPCG(uint64(n), 1))
@@ -23,20 +23,20 @@
 	return b
 }
 
-// network is a network between two transports whose faults follow a seed.
+// network is a simulated network between two transports, whose faults are determined by a seed.
 type network struct {
 	rng                             *rand.Rand
 	loss, duplicate, corrupt, delay float64
-	inFlight                        []flight
+	inFlight                        []packet
 }
 
-type flight struct {
-	at   time.Time
-	from uint32
-	d    Datagram
+type packet struct {
+	at       time.Time
+	from     uint32
+	datagram Datagram
 }
 
-func (n *network) put(now time.Time, from uint32, out []Datagram) {
+func (n *network) send(now time.Time, from uint32, out []Datagram) {
 	for _, d := range out {
 		for again := true; again; again = n.rng.Float64() < n.duplicate {
 			if n.rng.Float64() < n.loss {
@@ -50,13 +50,13 @@
 			if n.rng.Float64() < n.corrupt {
 				b[n.rng.IntN(len(b))] ^= byte(1 + n.rng.IntN(255))
 			}
-			n.inFlight = append(n.inFlight, flight{at, from, Datagram{d.To, b}})
+			n.inFlight = append(n.inFlight, packet{at, from, Datagram{d.To, b}})
 		}
 	}
 }
 
-func (n *network) due(now time.Time) (due []flight) {
-	var rest []flight
+func (n *network) due(now time.Time) (due []packet) {
+	var rest []packet
 	for _, f := range n.inFlight {
 		if f.at.After(now) {
 			rest = append(rest, f)
@@ -68,8 +68,8 @@
 	return due
 }
 
-// What is delivered is what was sent, long messages at most once to a process, within the memory; and all long messages
-// are delivered if the network loses at most a third and no process is restarted.
+// Delivered messages equal the messages sent, long messages are delivered at most once to a process, and the memory stays
+// within its limits. All long messages are delivered if the network loses at most 30% and no process is restarted.
 func TestDelivery(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nw := &network{rng: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 2))}
@@ -87,7 +87,7 @@
 		for step := range 2000 {
 			now := start.Add(time.Duration(step) * 20 * time.Millisecond)
 			for _, f := range nw.due(now) {
-				for _, m := range ends[f.d.To].Receive(now, f.from, f.d.Bytes) {
+				for _, m := range ends[f.datagram.To].Receive(now, f.from, f.datagram.Bytes) {
 					n := binary.BigEndian.Uint32(m.Bytes)
 					require.Equal(t, body(n, len(m.Bytes)), m.Bytes)
 					require.Equal(t, f.from, m.From)
@@ -95,7 +95,7 @@
 					require.Contains(t, sent, n)
 					if len(m.Bytes) > MaxShortBytes {
 						deliveries[n]++
-						require.Equal(t, 1, deliveries[n], "a long message was delivered twice")
+						require.Equal(t, 1, deliveries[n], "a long message is delivered at most once")
 					}
 				}
 			}
@@ -108,13 +108,14 @@
 				}
 			}
 			if restarts && step%97 == 50 {
-				// The test counts deliveries over restarts, so only the sender restarts.
+				// Only agent 0 restarts, with a higher incarnation. The count of deliveries begins again, as each process may
+				// deliver a long message once.
 				ends[0] = New(Config{Agents: 2, Incarnation: uint64(step), MemoryBytes: memory, GiveUpAfter: 30 * time.Second})
 				ends[0].inbox = newInbox()
 				deliveries = map[uint32]int{}
 			}
 			for i, c := range ends {
-				nw.put(now, uint32(i), c.Out(now))
+				nw.send(now, uint32(i), c.Out(now))
 				out, in := c.InFlightBytes()
 				require.LessOrEqual(t, out, memory/2)
 				require.LessOrEqual(t, in, memory/2)
@@ -126,7 +127,7 @@
 	})
 }
 
-// Fragments from before a restart are not mixed with those after it, though the messages have the same number.
+// Fragments from before and after a restart are not mixed, although the messages have the same number.
 func TestFragmentsOfTwoIncarnations(t *testing.T) {
 	receiver := New(Config{Agents: 2})
 	fragmentsOf := func(incarnation uint64, n uint32) []Datagram {
@@ -146,7 +147,7 @@
 	require.EqualValues(t, 2, receiver.Stats().StaleIncarnation)
 }
 
-// Long messages never exceed the burst and the rate; short ones of one step share datagrams.
+// Long messages never exceed the burst and the rate. Short messages share datagrams, and are dropped above the rate.
 func TestPacing(t *testing.T) {
 	c := New(Config{Agents: 9, BytesPerSecond: 10_000, BurstBytes: 2_000})
 	require.NoError(t, c.Send(start, 1, 1, body(1, 100_000)))
@@ -159,7 +160,7 @@
 	}
 	require.LessOrEqual(t, bytes, 12_000)
 	require.Greater(t, bytes, 9_000)
-	// Nothing is due at once while the pace is exhausted, though acknowledgements are overdue.
+	// Next is later than the present time while the rate limit is exhausted, although acknowledgements are overdue.
 	for range 5 {
 		require.NoError(t, c.Send(now, 1, 1, body(1, 300)))
 	}
@@ -188,13 +189,13 @@
 	require.ErrorIs(t, c.Send(start, 1, 0, make([]byte, MaxMessageBytes+1)), ErrTooLong)
 	require.ErrorIs(t, c.Send(start, 1, 0, make([]byte, 60_000)), ErrQueueFull)
 	require.Less(t, ackHeaderBytes+len(newFragmentSet(maxFragments))+headerBytes, MaxDatagramBytes)
-	for _, damaged := range [][]byte{nil, {FirstByte}, {FirstByte, Version, 0, 0, 0, 0, 1}, make([]byte, 300), seal([]byte{9, 9, 9})} {
+	for _, damaged := range [][]byte{nil, {FirstByte}, {FirstByte, Version, 0, 0, 0, 0, 1}, make([]byte, 300), encodeDatagram([]byte{9, 9, 9})} {
 		require.Empty(t, c.Receive(start, 1, damaged))
 	}
 	require.EqualValues(t, 5, c.Stats().Damaged)
 }
 
-// FuzzReceive checks that no frames cause a panic or exceed the memory.
+// FuzzReceive checks that arbitrary frames cause no panic and do not exceed the memory limit.
 func FuzzReceive(f *testing.F) {
 	c := New(Config{Agents: 2})
 	_ = c.Send(start, 1, 3, body(1, 1000))
@@ -206,15 +207,15 @@
 	f.Fuzz(func(t *testing.T, frames []byte) {
 		c := New(Config{Agents: 2, MemoryBytes: 64 << 10})
 		_ = c.Send(start, 1, 3, body(1, 1000))
-		c.Receive(start, 1, seal(frames))
+		c.Receive(start, 1, encodeDatagram(frames))
 		c.Out(start.Add(time.Second))
 		_, in := c.InFlightBytes()
 		require.LessOrEqual(t, in, 32<<10)
 	})
 }
 
-// A long message that is not acknowledged is resent after the time that acknowledgements usually take, and more and more
-// slowly.
+// A long message that is not acknowledged is resent after a timeout that follows the round-trip time and doubles with each
+// resend.
 func TestResendFollowsRoundTrip(t *testing.T) {
 	sender, receiver := New(Config{Agents: 2, Incarnation: 1}), New(Config{Agents: 2, Incarnation: 1})
 	now := start
@@ -223,7 +224,7 @@
 		sender.Out(now)
 		return sender.Next().Sub(now)
 	}
-	require.Equal(t, 200*time.Millisecond, resendDelay(), "no acknowledgement came yet")
+	require.Equal(t, 200*time.Millisecond, resendDelay(), "the timeout is the maximum before the first acknowledgement")
 	sender = New(Config{Agents: 2, Incarnation: 2})
 	require.NoError(t, sender.Send(now, 1, 1, body(1, 600)))
 	for _, d := range sender.Out(now) {
