--- a/internal/fleet/application.go
+++ b/internal/fleet/application.go
@@ -6,67 +6,72 @@
 	"dunestep/internal/fleet/raftlog"
 )
 
-// Application is what stands on top of the log at one agent, such as the policies: its state machines are
-// among the settings', and it takes part in granting leases. The node calls it, one call at a time.
+// Application uses the log at one agent, as the fleet policy does: its state machines are listed in
+// Settings.Machines, and it decides on lease requests. The node makes one call at a time.
 type Application interface {
-	// RecordsApplied reports that records were applied, or a snapshot restored, before any lease is held or
-	// granted that rests on them. isNewEpoch: they are of a log that was founded anew.
+	// RecordsApplied reports that records were applied or a snapshot was restored. It is called before any lease
+	// that depends on these records is held or granted. With isNewEpoch they belong to a new log, which replaces
+	// the former one.
 	RecordsApplied(now ClockReading, isNewEpoch bool)
-	// LeaseNote returns the note for the next lease request, of at most lease.MaxNoteBytes.
+	// LeaseNote returns the note to be sent with the next lease request, at most lease.MaxNoteBytes long.
 	LeaseNote() []byte
-	// MayGrantLease decides at a voter, at the time of a grant, whether an agent may have a lease.
+	// MayGrantLease reports whether a voter may grant a lease to an agent. It is called at the time of the
+	// grant.
 	MayGrantLease(now ClockReading, agent int, incarnation uint64, note []byte) bool
-	// HandleMessage processes a message of another agent, or this one's own, and returns the reply; nil: none.
+	// HandleMessage processes a message from any agent, including this one, and returns the reply, or nil if
+	// there is none.
 	HandleMessage(now ClockReading, from int, data []byte) (reply []byte)
-	// HandleReply processes a reply.
+	// HandleReply processes a reply to a message that this agent sent.
 	HandleReply(now ClockReading, from int, data []byte)
-	// NextActions returns what is to be done now.
+	// NextActions returns the messages and proposals to be sent now, and when to call it again.
 	NextActions(now ClockReading, v VoterState) Actions
 }
 
-// VoterState is this agent's relation to the voters.
+// VoterState describes this agent's role among the voters.
 type VoterState struct {
 	IsVoter  bool
 	IsLeader bool
 	Voters   []int // configured
-	// Members are the agents of the log's members, and Generation changes with them; known to a voter only.
+	// Members are the agents in the log's configuration, and Generation changes whenever they do. Both are set
+	// at a voter only.
 	Members    []int
 	Generation uint64
 }
 
-// Actions are what an application asks for.
+// Actions are the messages and proposals that an application requests.
 type Actions struct {
 	Messages  []Message
 	Proposals []Proposal    // by this agent; repeated by the application until they are committed
-	Next      time.Duration // when to ask again, by the steady clock
+	Next      time.Duration // time of the next call of NextActions, by the steady clock
 }
 
-// Message is a message to an agent.
+// Message is a message of an application to an agent.
 type Message struct {
 	To   int
 	Data []byte
 }
 
-// Proposal is a record of a state machine.
+// Proposal is a record to be proposed for a state machine.
 type Proposal struct {
-	Machine uint8
+	Machine uint8 // index in Settings.Machines
 	Data    []byte
 }
 
 const (
-	// applicationProposalTimeout is how long a proposal of the application is tried before it is withdrawn.
+	// applicationProposalTimeout is the time after which a proposal of the application is withdrawn.
 	applicationProposalTimeout = time.Second
 	// minApplicationInterval is the minimum time between two calls of NextActions without new records.
 	minApplicationInterval = time.Millisecond
 )
 
-// runApplication does what the application asks for, if it is due.
+// runApplication calls the application's NextActions if it is due, and sends the messages and proposals that
+// it returns.
 func (n *Node) runApplication(now ClockReading) {
-	if n.settings.Application == nil || now.Mono < n.applicationNext {
+	if n.settings.Application == nil || now.Mono < n.nextApplicationCall {
 		return
 	}
 	actions := n.settings.Application.NextActions(now, n.voterState())
-	n.applicationNext = max(actions.Next, now.Mono+minApplicationInterval)
+	n.nextApplicationCall = max(actions.Next, now.Mono+minApplicationInterval)
 	for _, m := range actions.Messages {
 		n.send(now, m.To, channelApplication, m.Data)
 	}
@@ -90,8 +95,8 @@
 // generationPrime is the prime of 64-bit FNV hashes.
 const generationPrime = 0x100000001b3
 
-// voterState returns this agent's relation to the voters. The generation is a hash of the members: a voter
-// with a new store is another one.
+// voterState returns this agent's role among the voters. The generation is a hash of the members' IDs and
+// nonces, so it also changes when a voter returns with a new store.
 func (n *Node) voterState() VoterState {
 	v := VoterState{Voters: n.settings.Voters, IsVoter: n.voter != nil}
 	if n.voter == nil {
--- a/internal/fleet/applicationstack.go
+++ b/internal/fleet/applicationstack.go
@@ -5,17 +5,18 @@
 // maxApplications is the maximum number of stacked applications.
 const maxApplications = 64
 
-// applicationStack is several applications at one node.
+// applicationStack combines several applications at one node.
 type applicationStack struct {
 	first  Application
 	others []Application // nil: the slot is empty
 }
 
-// StackApplications combines several applications at one node: each of them is told of what is applied, in
-// this order, all have to agree to a lease, and the first one's note goes with lease requests. The first
-// one's messages are unchanged, so that agents that have it alone understand them; it must not send any that
-// begin with a byte over 127. A later application may be nil: its slot, by which it is known at other agents,
-// stays empty. There are at most 64.
+// StackApplications combines up to 64 applications at one node; later ones are ignored. Each of them is
+// notified of applied records, in the given order. A lease is granted only if all of them agree, and the note
+// of the first one is sent with lease requests. The messages of the first one are sent unchanged, so that
+// agents that run it alone understand them; they must not begin with a byte over 127. Each later application
+// has a slot, which has to be the same at all agents; nil leaves a slot empty. It returns nil if there are no
+// applications.
 func StackApplications(applications ...Application) Application {
 	if len(applications) == 0 {
 		return nil
@@ -23,19 +24,21 @@
 	return &applicationStack{applications[0], applications[1:min(len(applications), maxApplications)]}
 }
 
-// Messages of the applications after the first begin with a byte for their slot, which none of the first
-// one's does: a policy's begins with the top byte of Unix milliseconds or, as a reply, with a small code. The
-// second byte is the number of zeros at the end: the message is filled up to be longer than any that an agent
-// without a stack accepts, of an earlier build or of other settings. Such an agent drops it.
+// A message of an application after the first begins with a byte that identifies its slot. No message of the
+// first application begins with such a byte: a message of the fleet policy begins with the top byte of Unix
+// milliseconds, or, if it is a reply, with a small code. The second byte is the number of zeros that are
+// appended as padding. The padding makes the message longer than any that an agent without stacked
+// applications accepts, so that such an agent (of an earlier build or with other settings) drops it.
 const (
-	firstSlot       = 0x80
+	firstSlot       = 0x80 // first byte of a message of the first slot
 	slotHeaderBytes = 2
-	minSlottedBytes = 8 + 64 + 1 // more than an incarnation with the longest note
+	minSlottedBytes = 8 + 64 + 1 // one more than an incarnation with the longest note
 )
 
+// isSlotted reports whether a message is of an application after the first.
 func isSlotted(data []byte) bool { return len(data) > 0 && data[0] >= firstSlot }
 
-// encodeSlot returns a message of the application in a slot after the first application.
+// encodeSlot encodes a message of the application in a slot.
 func encodeSlot(slot int, data []byte) []byte {
 	zeros := max(minSlottedBytes-slotHeaderBytes-len(data), 0)
 	b := make([]byte, slotHeaderBytes, slotHeaderBytes+len(data)+zeros)
@@ -43,8 +46,8 @@
 	return append(append(b, data...), make([]byte, zeros)...)
 }
 
-// decodeSlot returns the slot, the application and the content of a message; nil: there is no application in
-// that slot, or the message is malformed.
+// decodeSlot returns the slot, the application and the content of a message. The application is nil if the
+// slot is empty or the message is malformed.
 func (s *applicationStack) decodeSlot(data []byte) (slot int, a Application, content []byte) {
 	slot = int(data[0] - firstSlot)
 	if slot >= len(s.others) || len(data) < minSlottedBytes || int(data[1]) > len(data)-slotHeaderBytes {
@@ -53,7 +56,7 @@
 	return slot, s.others[slot], data[slotHeaderBytes : len(data)-int(data[1])]
 }
 
-// forEach calls do for each application, in order, with the encoding of its messages.
+// forEach calls do for each application, in order, with the function that encodes its messages.
 func (s *applicationStack) forEach(do func(a Application, encode func([]byte) []byte)) {
 	do(s.first, func(data []byte) []byte { return data })
 	for slot, a := range s.others {
@@ -68,11 +71,11 @@
 	s.forEach(func(a Application, _ func([]byte) []byte) { a.RecordsApplied(now, isNewEpoch) })
 }
 
-// LeaseNote implements Application.
+// LeaseNote implements Application. It returns the note of the first application.
 func (s *applicationStack) LeaseNote() []byte { return s.first.LeaseNote() }
 
-// MayGrantLease implements Application. The first one is asked last, and only if the others agree, as it
-// counts what is granted.
+// MayGrantLease implements Application. The first application is called last, and only if the others agree,
+// as it counts the leases that are granted.
 func (s *applicationStack) MayGrantLease(now ClockReading, agent int, incarnation uint64, note []byte) bool {
 	for _, a := range s.others {
 		if a != nil && !a.MayGrantLease(now, agent, incarnation, note) {
--- a/internal/fleet/applicationstack_test.go
+++ b/internal/fleet/applicationstack_test.go
@@ -15,13 +15,13 @@
 	"dunestep/internal/fleet/lease"
 )
 
-// broadcaster sends the same message to all agents and counts what it receives: the message is a rejection of the open
-// policy proposal to an agent that takes it for one.
+// broadcaster is an application that sends the same message to all agents and counts the messages that it receives. An
+// agent that processed the message as one of the fleet policy would read it as the rejection of the open proposal.
 type broadcaster struct {
 	message           []byte
 	received, replies map[int]int // by the sender
 	wrong, applied    int
-	isDenying         bool // leases
+	deniesLeases      bool
 }
 
 func newBroadcaster() *broadcaster {
@@ -32,7 +32,7 @@
 func (b *broadcaster) RecordsApplied(fleet.ClockReading, bool) { b.applied++ }
 func (b *broadcaster) LeaseNote() []byte                       { return []byte("never asked for") }
 func (b *broadcaster) MayGrantLease(fleet.ClockReading, int, uint64, []byte) bool {
-	return !b.isDenying
+	return !b.deniesLeases
 }
 
 func (b *broadcaster) HandleReply(_ fleet.ClockReading, from int, data []byte) {
@@ -58,10 +58,10 @@
 	return actions
 }
 
-// Two of six agents, one of them a voter, are of a build that has policies alone: the messages of the second application at
-// the others reach those that have it, in the same slot, and do nothing at the two, also if they look like a rejection; and
-// policies become active at all agents.
-func TestStackApplications(t *testing.T) {
+// Two of six agents, one of them a voter, are of a build with the fleet policy alone. The other four also have a second
+// application, in slot 1. Its messages reach the agents that have it, and have no effect at the two, although they look
+// like the rejection of a proposal. Policies become active at all agents.
+func TestStackedApplicationsBesideEarlierBuild(t *testing.T) {
 	own := policy.LocalSettings{MaxFailedRatio: 0.25, Settings: balancer.Settings{
 		Tenants: []balancer.Tenant{{Name: "east", QuotaPerSecond: 60}},
 		Classes: []balancer.Class{{Name: "find"}}, Limits: balancer.Limits{MaxAttempts: 3},
@@ -97,12 +97,12 @@
 			require.Positive(t, b.applied)
 		}
 	}
-	broadcasters[0].isDenying, broadcasters[2].isDenying, broadcasters[1].isDenying, broadcasters[3].isDenying = true, true, true, true
+	broadcasters[0].deniesLeases, broadcasters[2].deniesLeases, broadcasters[1].deniesLeases, broadcasters[3].deniesLeases = true, true, true, true
 	l.Run(10 * time.Second)
-	require.Equal(t, lease.Full, l.Node(0).Standing(l.Reading(0)), "granted by the voter that has policies alone")
+	require.Equal(t, lease.Full, l.Node(0).Standing(l.Reading(0)), "granted by the voter of the build with the fleet policy alone")
 	l.Kill(4)
 	l.Run(10 * time.Second)
-	require.Equal(t, lease.Floor, l.Node(0).Standing(l.Reading(0)), "all applications have to agree to a lease")
+	require.Equal(t, lease.Floor, l.Node(0).Standing(l.Reading(0)), "a lease is granted only if all applications agree")
 	require.Empty(t, l.Violations())
 }
 
--- a/internal/fleet/applying.go
+++ b/internal/fleet/applying.go
@@ -2,13 +2,14 @@
 
 import "dunestep/internal/fleet/replica"
 
-// compactThreshold is the part of the replica's limits from which on it is compacted.
+// compactThreshold is the fraction of the replica's limits from which on it is compacted.
 const compactThreshold = 0.75
 
-// Applied returns the position up to which records are applied here.
+// Applied returns the position of the last record that this agent has applied.
 func (n *Node) Applied() replica.Position { return n.applied }
 
-// applyNew applies what the replica has and the state machines have not.
+// applyNew applies the records of the replica that the state machines have not applied yet, or restores them
+// from its snapshot.
 func (n *Node) applyNew(now ClockReading) {
 	if n.log.Last() == n.applied {
 		return
@@ -27,7 +28,7 @@
 	n.applied = n.log.Last()
 	if n.settings.Application != nil {
 		n.settings.Application.RecordsApplied(now, n.applied.Epoch != epoch)
-		n.applicationNext = 0
+		n.nextApplicationCall = 0
 	}
 	n.holder.SetApplied(n.applied)
 	n.output.HasApplied = true
@@ -39,13 +40,13 @@
 	if err := n.machines.apply(r.Seq, r.Data); err != nil {
 		n.addEvent(Event{Kind: UnknownRecord, Position: n.applied, Err: err})
 	}
-	if _, name, _, isValid := decodeRecord(r.Data); isValid && name.origin == n.proposals.origin {
-		n.proposals.settle(name.number, Committed)
+	if _, id, _, isValid := decodeRecord(r.Data); isValid && id.origin == n.proposals.origin {
+		n.proposals.settle(id.number, Committed)
 	}
 }
 
-// restoreMachines has the state machines continue from a snapshot. One that cannot be decoded resets them: it
-// came from an agent of a later build, and the error is reported.
+// restoreMachines restores the state machines from a snapshot. If the snapshot cannot be decoded, as it is
+// from an agent of a later build, the error is reported and the state machines are reset.
 func (n *Node) restoreMachines(s replica.Snapshot) {
 	if s.Epoch > n.applied.Epoch && n.applied.Epoch > 0 {
 		n.addEvent(Event{Kind: LogRestarted, Position: s.Position()})
@@ -58,7 +59,7 @@
 	n.applied = s.Position()
 }
 
-// compactIfFull replaces the replica's records by a snapshot once there are many.
+// compactIfFull replaces the replica's records by a snapshot once they exceed compactThreshold of its limits.
 func (n *Node) compactIfFull() {
 	limits := n.log.Limits()
 	hasFewRecords := float64(n.log.Len()) < compactThreshold*float64(limits.MaxRecords)
@@ -67,9 +68,9 @@
 	}
 	data, err := n.machines.snapshot()
 	if err != nil {
-		return // too large: the log stays as it is
+		return // too large: the records are kept
 	}
-	// An error reports that the snapshot exceeds the limits: the log stays as it is.
+	// An error means that the snapshot exceeds the limits: the records are kept.
 	_ = n.log.Compact(replica.Snapshot{
 		Epoch: n.applied.Epoch, Seq: n.applied.Seq, Sum: n.applied.Sum, Data: data,
 	})
--- a/internal/fleet/events.go
+++ b/internal/fleet/events.go
@@ -5,22 +5,22 @@
 	"dunestep/internal/fleet/replica"
 )
 
-// EventKind is what has happened.
+// EventKind is the kind of an Event.
 type EventKind uint8
 
 // The kinds of events, with the fields of Event that each one uses.
 const (
-	LeadershipGained EventKind = iota // Position: this agent leads the voters from now on
-	LeadershipLost                    // Position: this agent does not lead the voters any more
+	LeadershipGained EventKind = iota // Position: this agent has become the leader of the voters
+	LeadershipLost                    // Position: this agent is no longer the leader of the voters
 	LogRestarted                      // Position: a log of a higher epoch has replaced the former one
-	LogDiverged                       // Position, Agent, Err: an agent has other records of the same numbers
-	VoterStopped                      // Err: this voter takes no part any more
-	LeaseAcquired                     // Position: a lease is held again, or for the first time
-	LeaseLost                         // Position: no lease is held any more
+	LogDiverged                       // Position, Agent, Err: another agent's log has different records
+	VoterStopped                      // Err: this agent no longer takes part as a voter
+	LeaseAcquired                     // Position: this agent has acquired a lease
+	LeaseLost                         // Position: this agent no longer holds a lease
 	UnknownRecord                     // Position, Err: a record of an unknown state machine
 )
 
-// Event is something to be reported to operators.
+// Event is an event to be reported to operators.
 type Event struct {
 	Kind     EventKind
 	Agent    int
@@ -28,7 +28,7 @@
 	Err      error
 }
 
-// maxEvents bounds the events that wait to be taken by Out; later ones are dropped.
+// maxEvents is the maximum number of events until the next call of Out; further ones are dropped.
 const maxEvents = 64
 
 func (n *Node) addEvent(e Event) {
@@ -37,13 +37,13 @@
 	}
 }
 
-// reportLeaseChange reports when a lease was acquired or lost.
+// reportLeaseChange adds an event if a lease was acquired or lost.
 func (n *Node) reportLeaseChange(now ClockReading) {
 	isHolding := n.holder.Holds(now)
-	if isHolding == n.isHolding {
+	if isHolding == n.hadLease {
 		return
 	}
-	n.isHolding = isHolding
+	n.hadLease = isHolding
 	kind := LeaseLost
 	if isHolding {
 		kind = LeaseAcquired
@@ -51,18 +51,19 @@
 	n.addEvent(Event{Kind: kind, Position: n.applied})
 }
 
-// reportVoterChange reports when this agent gained or lost the leadership, and when its voter stopped.
+// reportVoterChange adds an event if this agent became the leader or ceased to be it, and if its voter
+// stopped.
 func (n *Node) reportVoterChange(s raftlog.Status) {
-	if isLeading := s.Phase == raftlog.Leading; isLeading != n.isLeading {
-		n.isLeading = isLeading
+	if isLeading := s.Phase == raftlog.Leading; isLeading != n.wasLeading {
+		n.wasLeading = isLeading
 		kind := LeadershipLost
 		if isLeading {
 			kind = LeadershipGained
 		}
 		n.addEvent(Event{Kind: kind, Position: n.applied})
 	}
-	if s.Phase == raftlog.Broken && !n.isStopped {
-		n.isStopped = true
+	if s.Phase == raftlog.Broken && !n.wasStopped {
+		n.wasStopped = true
 		n.addEvent(Event{Kind: VoterStopped, Err: s.Err})
 	}
 }
--- a/internal/fleet/fleetlab/lab.go
+++ b/internal/fleet/fleetlab/lab.go
@@ -1,7 +1,7 @@
-// Package fleetlab runs complete nodes of a fleet in virtual time: voters, followers, leases and proposals,
-// with fault injection in the network, the clocks, the disks and the processes. It checks from the outside
-// what is guaranteed: see Lab.Violations. A run is determined by its options and calls. It is for tests and
-// searches only, and not safe for concurrent use.
+// Package fleetlab simulates a fleet of complete nodes in virtual time: voters, followers, leases and
+// proposals, with fault injection in the network, the clocks, the disks and the processes. It checks the
+// guarantees of package fleet; see Lab.Violations. A run is determined by its options and calls. The package
+// is for tests and fault searches only. A Lab is not safe for concurrent use.
 package fleetlab
 
 import (
@@ -19,49 +19,51 @@
 // Options determine a run.
 type Options struct {
 	Agents, Voters int
-	Volatile       bool // voters store nothing
+	Volatile       bool // voters have no store
 	Seed           uint64
 	Terms          lease.Terms
-	// ClocksWithin is how far the Unix clocks may be off in a Hunt; default 5 s.
+	// ClocksWithin is the maximum offset of the Unix clocks in a Hunt; default 5 s.
 	ClocksWithin time.Duration
-	// Weaken removes a protection, to check that violations are found; nil: none.
+	// Weaken changes the settings of each process so that a protection is missing, to check that violations are
+	// found; nil: no change.
 	Weaken func(*fleet.Settings)
-	// Application adds an application to a process that starts, with state machines after the lab's; nil: none.
+	// Application adds an application to the settings of each process that starts, and its state machines after
+	// the lab's own; nil: no application.
 	Application func(set *fleet.Settings, now fleet.ClockReading)
 	// OnDecision is called whenever an agent could decide: after each of its steps, and by Decide; nil: not
-	// used.
+	// called.
 	OnDecision func(agent int, at time.Time, now fleet.ClockReading, n *fleet.Node)
-	// Act has the application of an agent do something: the fault ApplicationAct.
+	// Act lets the application of an agent perform an action; it is called for the fault ApplicationAct.
 	Act func(agent int)
 }
 
 // Lab is a simulated fleet.
 type Lab struct {
-	World  *simnet.Cluster
-	opts   Options
-	rng    *rand.Rand
-	hosts  []*host
-	judge  judge
-	begin  time.Time
-	script []Fault
+	World   *simnet.Cluster
+	opts    Options
+	rng     *rand.Rand
+	hosts   []*host
+	checker checker
+	begin   time.Time
+	script  []Fault
 }
 
-// host is the machine of an agent; it outlives processes.
+// host is the machine of an agent. It persists when the agent's process ends.
 type host struct {
 	lab         *Lab
 	self        int
 	incarnation uint64
 	disk        raftlog.Stored
 	node        *fleet.Node // nil: no process
-	tally       *tally
-	writing     *raftlog.Persist
-	writes      uint64 // so far, of all processes
+	counter     *proposalCounter
+	writing     *raftlog.Persist // write in progress; nil: none
+	writes      uint64           // number of completed writes of all processes of the agent
 }
 
 // maxWriteTime is the maximum duration of a write.
 const maxWriteTime = 8 * time.Millisecond
 
-// New returns a fleet without running processes.
+// New returns a fleet with no running processes.
 func New(o Options) *Lab {
 	l := &Lab{opts: o, rng: rand.New(rand.NewPCG(o.Seed, 0xf1ee7)), begin: time.Unix(1_700_000_000, 0)}
 	l.opts.Terms = o.Terms.WithDefaults()
@@ -71,21 +73,23 @@
 	for i := range o.Agents {
 		l.hosts = append(l.hosts, &host{lab: l, self: i})
 	}
-	l.judge = newJudge(l)
+	l.checker = newChecker(l)
 	l.World = simnet.NewCluster(o.Seed, l.begin, o.Agents, l.process)
-	l.World.AfterStep = func(a uint32) { l.judge.check(l.hosts[a]) }
-	l.Calm()
+	l.World.AfterStep = func(a uint32) { l.checker.check(l.hosts[a]) }
+	l.ClearNetworkFaults()
 	return l
 }
 
-// Calm ends all faults of the network: one to five milliseconds in each direction, no loss.
-func (l *Lab) Calm() {
+// ClearNetworkFaults ends all faults of the network: each direction then has a delay of 1 to 5 ms and no
+// loss.
+func (l *Lab) ClearNetworkFaults() {
 	l.World.ChangeAll(func(k *simnet.Link) {
 		*k = simnet.Link{Delay: time.Millisecond, Jitter: 4 * time.Millisecond}
 	})
 }
 
-// Lossy has all directions lose and duplicate fractions of the datagrams, and delay a tenth by up to a time.
+// Lossy sets that all directions lose and duplicate the given fractions of datagrams, and delay a tenth of
+// them by up to lateness.
 func (l *Lab) Lossy(loss, duplicate float64, lateness time.Duration) {
 	l.World.ChangeAll(func(k *simnet.Link) {
 		*k = simnet.Link{
@@ -103,10 +107,10 @@
 	}
 }
 
-// Run runs the fleet for a time.
+// Run runs the fleet for the given time.
 func (l *Lab) Run(length time.Duration) { l.World.Run(l.World.Now().Add(length)) }
 
-// voters returns the voters, which are spread over the agents' numbers as over zones.
+// voters returns the voters, which are spread evenly over the agents' numbers, as they would be over zones.
 func (l *Lab) voters() (v []int) {
 	for i := range l.opts.Voters {
 		v = append(v, i*l.opts.Agents/l.opts.Voters)
@@ -114,16 +118,17 @@
 	return v
 }
 
+// process starts a process of an agent, with a new node.
 func (l *Lab) process(a uint32, now time.Time) simnet.Process {
 	h := l.hosts[a]
 	h.incarnation++
-	h.tally = &tally{}
+	h.counter = &proposalCounter{}
 	h.writing = nil
 	set := fleet.Settings{
 		Self: h.self, Agents: l.opts.Agents, Voters: l.voters(),
 		Seed:        l.opts.Seed*7919 + uint64(h.self),
 		Incarnation: h.incarnation, Terms: l.opts.Terms, IsDurable: !l.opts.Volatile,
-		Machines: []fleet.StateMachine{h.tally},
+		Machines: []fleet.StateMachine{h.counter},
 	}
 	if !l.opts.Volatile {
 		set.Stored = h.disk
@@ -142,8 +147,8 @@
 	return h
 }
 
-// reading returns what the machine's clocks show: the Unix time has the offset that the cluster has set, and
-// the steady clock has another origin at each machine.
+// reading returns the reading of the machine's clocks. The Unix time has the offset that the cluster has set,
+// and the steady clock has a different origin at each machine.
 func (h *host) reading(now time.Time) fleet.ClockReading {
 	steady := h.lab.World.Now().Sub(h.lab.begin) + time.Duration(h.self+1)*time.Hour
 	return fleet.ClockReading{Unix: time.Duration(now.UnixNano()), Mono: steady}
@@ -173,16 +178,17 @@
 	if out.Persist != nil {
 		h.write(out.Persist)
 	}
-	h.lab.judge.checkEvents(h, out.Events)
+	h.lab.checker.checkEvents(h, out.Events)
 	return sent
 }
 
-// write writes to the disk after a while, and notifies the process if it still runs.
+// write writes to the disk after a random time of up to maxWriteTime, and notifies the process. It does
+// nothing if the process has ended before.
 func (h *host) write(p *raftlog.Persist) {
 	incarnation := h.incarnation
 	h.writing = p
-	took := time.Duration(h.lab.rng.Int64N(int64(maxWriteTime)))
-	h.lab.World.At(h.lab.World.Now().Add(took), func() {
+	duration := time.Duration(h.lab.rng.Int64N(int64(maxWriteTime)))
+	h.lab.World.At(h.lab.World.Now().Add(duration), func() {
 		if h.incarnation != incarnation || h.writing != p || !h.lab.World.IsRunning(uint32(h.self)) {
 			return
 		}
@@ -191,7 +197,7 @@
 	})
 }
 
-// notifyWritten reports to the process that a write is durable, once the process is not paused.
+// notifyWritten notifies the process that a write is durable. If the process is paused, it tries again later.
 func (h *host) notifyWritten(incarnation, token uint64) {
 	if h.incarnation != incarnation {
 		return
@@ -210,7 +216,8 @@
 	h.writes++
 }
 
-// Kill ends a process at once. A write in progress may be completed without being reported.
+// Kill ends a process at once. A write in progress is completed with a probability of 1/2, without a
+// notification.
 func (l *Lab) Kill(a int) {
 	if h := l.hosts[a]; h.writing != nil && l.rng.IntN(2) == 0 {
 		h.flush()
@@ -219,21 +226,22 @@
 	l.hosts[a].node = nil
 }
 
-// Lose ends a process and deletes its disk.
-func (l *Lab) Lose(a int) {
+// KillAndEraseDisk ends a process and erases the agent's disk.
+func (l *Lab) KillAndEraseDisk(a int) {
 	l.Kill(a)
 	l.hosts[a].disk = raftlog.Stored{}
 }
 
-// Node returns an agent's node; nil: its process is not running.
+// Node returns an agent's node, or nil if its process is not running.
 func (l *Lab) Node(a int) *fleet.Node { return l.hosts[a].node }
 
-// Reading returns what an agent's clocks show now.
+// Reading returns a reading of an agent's clocks.
 func (l *Lab) Reading(a int) fleet.ClockReading {
 	return l.hosts[a].reading(l.World.Now().Add(l.World.ClockOffset(uint32(a))))
 }
 
-// Leader returns the agent that leads the voters; negative: none does, or several take themselves for it.
+// Leader returns the leader of the voters, or -1 if there is none or several agents take themselves for the
+// leader.
 func (l *Lab) Leader() int {
 	leader := -1
 	for _, v := range l.voters() {
@@ -247,7 +255,7 @@
 	return leader
 }
 
-// Isolate cuts an agent off from all others, in both directions, or reconnects it.
+// Isolate disconnects an agent from all others in both directions, or reconnects it if cut is false.
 func (l *Lab) Isolate(a int, cut bool) {
 	l.World.ChangeEach(func(from, to uint32, k *simnet.Link) {
 		if int(from) == a || int(to) == a {
@@ -256,7 +264,7 @@
 	})
 }
 
-// Partition cuts some agents off from all others.
+// Partition disconnects some agents from all others, or reconnects them if cut is false.
 func (l *Lab) Partition(some []int, cut bool) {
 	l.World.ChangeEach(func(from, to uint32, k *simnet.Link) {
 		if slices.Contains(some, int(from)) != slices.Contains(some, int(to)) {
--- a/internal/fleet/fleetlab/lab_test.go
+++ b/internal/fleet/fleetlab/lab_test.go
@@ -20,7 +20,7 @@
 	return l
 }
 
-// A fleet without faults agrees, holds leases and sends little.
+// In a fleet without faults, proposals are committed, agents hold leases, and the idle traffic is within its bounds.
 func TestWithoutFaults(t *testing.T) {
 	for _, agents := range []int{5, 50, 300} {
 		l := start(Options{Agents: agents, Voters: 3, Seed: 1})
@@ -35,20 +35,21 @@
 		for a := range min(agents, 12) {
 			require.True(t, l.Propose(a))
 		}
-		began := l.World.Now()
-		var all time.Duration
-		for all = 0; all < 3*time.Second && l.countUpToDate() < agents; all = l.World.Now().Sub(began) {
+		startedAt := l.World.Now()
+		var latency time.Duration
+		for latency = 0; latency < 3*time.Second && l.countUpToDate() < agents; latency = l.World.Now().Sub(startedAt) {
 			l.Run(10 * time.Millisecond)
 		}
 		t.Logf("%d agents: idle %.2f datagrams, %.0f bytes per agent and second; 12 records at all agents after %v", agents,
-			datagrams, bytes, all)
+			datagrams, bytes, latency)
 		l.Settle(5 * time.Second)
 		require.Equal(t, map[fleet.Result]int{fleet.Committed: min(agents, 12)}, l.Results())
 		require.Empty(t, l.Violations())
 	}
 }
 
-// What followers and voters of an idle fleet send and receive per second. With LONG_TESTS in fleets of up to 5,000.
+// The traffic of followers and voters of an idle fleet is within its bounds. With LONG_TESTS, fleets have up to 5,000
+// agents.
 func TestIdleTraffic(t *testing.T) {
 	fleets := []int{5, 50}
 	if os.Getenv("LONG_TESTS") != "" {
@@ -84,12 +85,12 @@
 				rates[0], rates[1])
 			require.Less(t, rates[0][0], 4.0)
 			require.Less(t, rates[1][0], 20+0.4*float64(agents)/float64(voters)*2)
-			require.Less(t, rates[1][2], 20+0.4*float64(agents)/float64(voters)*2, "agents without a reply would request more")
+			require.Less(t, rates[1][2], 20+0.4*float64(agents)/float64(voters)*2, "agents that receive no replies would send more requests")
 		}
 	}
 }
 
-// countUpToDate returns how many agents have applied 12 records, or as many as there are agents.
+// countUpToDate returns the number of agents that have applied 12 records, or, in a smaller fleet, one for each agent.
 func (l *Lab) countUpToDate() (n int) {
 	for a := range l.hosts {
 		if l.Node(a).Applied().Seq >= uint64(min(len(l.hosts), 12)) {
@@ -99,8 +100,8 @@
 	return n
 }
 
-// The guarantees hold under all faults of the network, the processes, their clocks and disks.
-func TestHunt(t *testing.T) {
+// The guarantees are met under random faults of the network, the processes, their clocks and disks.
+func TestGuaranteesUnderRandomFaults(t *testing.T) {
 	seeds, agents := uint64(40), []int{5, 9}
 	if os.Getenv("LONG_TESTS") != "" {
 		seeds, agents = 1000, []int{5, 9, 50}
@@ -115,11 +116,11 @@
 	}
 }
 
-// Each removed protection leads to a violation within 200 seeds: the checks can fail.
+// Each removed protection leads to a violation within 200 seeds, which shows that the checks can fail.
 func TestProtectionsAreNeeded(t *testing.T) {
 	for name, weaken := range map[string]func(*fleet.Settings){
-		"leases last longer than agreed": func(s *fleet.Settings) { s.Terms.Duration = 12 * time.Second },
-		"voters grant on old knowledge":  func(s *fleet.Settings) { s.Terms.MaxKnowledgeAge, s.Terms.MaxPause = time.Minute, time.Hour },
+		"leases last longer than the terms allow": func(s *fleet.Settings) { s.Terms.Duration = 12 * time.Second },
+		"voters grant leases on old positions":    func(s *fleet.Settings) { s.Terms.MaxKnowledgeAge, s.Terms.MaxPause = time.Minute, time.Hour },
 	} {
 		isFound := false
 		for seed := uint64(0); seed < 200 && !isFound; seed++ {
@@ -131,9 +132,9 @@
 	}
 }
 
-// An agent that was paused for a minute, while the others agreed on a record, sees by itself that its lease expired, before
-// it decides anything.
-func TestPauseDuringACommit(t *testing.T) {
+// An agent that was paused for a minute, while the other agents committed a record, detects by its clocks that its lease
+// has expired before it makes a decision.
+func TestPausedAgentDetectsExpiredLease(t *testing.T) {
 	l := start(Options{Agents: 5, Voters: 3, Seed: 3})
 	const paused = 2
 	require.Equal(t, lease.Full, l.Node(paused).Standing(l.Reading(paused)))
@@ -141,15 +142,15 @@
 	l.Run(time.Second)
 	require.True(t, l.Propose(0))
 	l.Run(59 * time.Second)
-	require.Equal(t, lease.Floor, l.Node(paused).Standing(l.Reading(paused)), "before it receives anything")
+	require.Equal(t, lease.Floor, l.Node(paused).Standing(l.Reading(paused)), "the lease has expired before the agent receives a message")
 	require.Zero(t, l.Node(paused).Applied().Seq)
 	l.World.Resume(paused)
 	l.Settle(5 * time.Second)
 	require.Empty(t, l.Violations())
 }
 
-// The minority of a fleet, with one voter, is cut off: it falls back to the floor and agrees on nothing; the majority
-// continues, also if the leader is in the minority.
+// A minority of a fleet with one voter is cut off. It falls back to the floor, and its proposals are not committed. The
+// majority continues, also if the leader is in the minority.
 func TestMinorityCutOff(t *testing.T) {
 	for _, withLeader := range []bool{false, true} {
 		l := start(Options{Agents: 9, Voters: 3, Seed: 5})
@@ -166,7 +167,7 @@
 		for _, a := range cut {
 			require.Equal(t, lease.Floor, l.Node(a).Standing(l.Reading(a)))
 		}
-		require.True(t, l.Propose(1), "in the minority")
+		require.True(t, l.Propose(1), "an agent of the minority can propose")
 		require.True(t, l.Propose(8))
 		l.Run(6 * time.Second)
 		require.Equal(t, map[fleet.Result]int{fleet.NotCommitted: 1, fleet.Committed: 1}, l.Results())
@@ -176,7 +177,7 @@
 	}
 }
 
-// All processes end at once and return with their disks: nothing that was reported as committed is lost.
+// All processes end at once and restart with their disks: no record that was reported as committed is lost.
 func TestAllRestartAtOnce(t *testing.T) {
 	l := start(Options{Agents: 9, Voters: 3, Seed: 6})
 	for a := range 9 {
@@ -190,11 +191,11 @@
 	l.Run(time.Second)
 	l.Settle(10 * time.Second)
 	require.Empty(t, l.Violations())
-	require.Len(t, l.hosts[8].tally.times, 9)
+	require.Len(t, l.hosts[8].counter.counts, 9)
 }
 
-// All agents are restarted one after the other, each when the one before reports that it is ready, and voters store nothing:
-// the log is not lost.
+// All agents are restarted one after the other, each after the previous one reports that it is ready. The log is not lost,
+// although voters have no store.
 func TestRollingRestart(t *testing.T) {
 	for seed := range uint64(20) {
 		l := start(Options{Agents: 5, Voters: 3, Volatile: true, Seed: seed})
--- a/internal/fleet/fleetlab/script.go
+++ b/internal/fleet/fleetlab/script.go
@@ -12,36 +12,36 @@
 
 // The kinds, with the fields of Fault that each one uses.
 const (
-	Calm           Kind = "calm"    // ends all faults of the network
-	Cut            Kind = "cut"     // Agent, Other, Lasts: the direction from the one to the other
-	Isolate        Kind = "isolate" // Agent, Lasts
-	Partition      Kind = "part"    // Agents, Lasts
-	Lossy          Kind = "lossy"   // Loss, Double
-	Damage         Kind = "damage"
-	Pause          Kind = "pause" // Agent, Lasts
-	Clock          Kind = "clock" // Agent, Lasts: the offset of its Unix time
-	Kill           Kind = "kill"  // Agent, Lasts: until it is restarted
-	Lose           Kind = "lose"  // Agent: its disk, if all voters are healthy
-	Propose        Kind = "propose"
-	ApplicationAct Kind = "upper" // Agent: Options.Act
+	ClearNetwork   Kind = "calm"    // ends all faults of the network
+	Cut            Kind = "cut"     // Agent, Other, Duration: the direction from Agent to Other
+	Isolate        Kind = "isolate" // Agent, Duration
+	Partition      Kind = "part"    // Agents, Duration
+	Lossy          Kind = "lossy"   // Loss, Duplicate: at all agents, with delays of up to 3 s
+	Corrupt        Kind = "damage"  // corrupts 5% of the datagrams
+	Pause          Kind = "pause"   // Agent, Duration
+	Clock          Kind = "clock"   // Agent, Duration: offset of its Unix time
+	Kill           Kind = "kill"    // Agent, Duration: time until it is restarted
+	EraseDisk      Kind = "lose"    // Agent: restarts it without its disk, if all voters are healthy
+	Propose        Kind = "propose" // Agent
+	ApplicationAct Kind = "upper"   // Agent: calls Options.Act
 )
 
-// Fault is one step of a script. The same options and script give the same run.
+// Fault is a step of a script. Runs with equal options and scripts are equal.
 type Fault struct {
-	At        time.Duration `json:"at"` // since the beginning, in nanoseconds
+	At        time.Duration `json:"at"` // time since the beginning of the run, in nanoseconds
 	Kind      Kind          `json:"kind"`
 	Agent     int           `json:"agent,omitempty"`
 	Other     int           `json:"other,omitempty"`
 	Agents    []int         `json:"some,omitempty"`
-	Lasts     time.Duration `json:"lasts,omitempty"`
+	Duration  time.Duration `json:"lasts,omitempty"`
 	Loss      float64       `json:"loss,omitempty"`
-	Duplicate float64       `json:"twice,omitempty"` // the fraction that is duplicated
+	Duplicate float64       `json:"twice,omitempty"` // fraction of datagrams that are duplicated
 }
 
-// Script returns the faults that were injected so far.
+// Script returns the faults that have been injected so far.
 func (l *Lab) Script() []Fault { return l.script }
 
-// Play injects the faults of a script, in the order of their times, and has all agents decide every 200 ms.
+// Play injects the faults of a script at their times, and checks a decision of each agent every 200 ms.
 func (l *Lab) Play(script []Fault) {
 	const interval = 200 * time.Millisecond
 	for _, f := range script {
@@ -52,42 +52,42 @@
 	}
 }
 
-func (l *Lab) note(f Fault) {
+func (l *Lab) addToScript(f Fault) {
 	f.At = l.World.Now().Sub(l.begin)
 	l.script = append(l.script, f)
 }
 
 // Do injects a fault now, and adds it to the script.
 func (l *Lab) Do(f Fault) {
-	l.note(f)
+	l.addToScript(f)
 	a := uint32(f.Agent)
 	switch f.Kind {
-	case Calm:
-		l.Calm()
+	case ClearNetwork:
+		l.ClearNetworkFaults()
 	case Cut:
 		l.World.Link(a, uint32(f.Other)).Cut = true
-		l.after(f.Lasts, func() { l.World.Link(a, uint32(f.Other)).Cut = false })
+		l.after(f.Duration, func() { l.World.Link(a, uint32(f.Other)).Cut = false })
 	case Isolate:
 		l.Isolate(f.Agent, true)
-		l.after(f.Lasts, func() { l.Isolate(f.Agent, false) })
+		l.after(f.Duration, func() { l.Isolate(f.Agent, false) })
 	case Partition:
 		l.Partition(f.Agents, true)
-		l.after(f.Lasts, func() { l.Partition(f.Agents, false) })
+		l.after(f.Duration, func() { l.Partition(f.Agents, false) })
 	case Lossy:
 		l.Lossy(f.Loss, f.Duplicate, 3*time.Second)
-	case Damage:
+	case Corrupt:
 		l.World.ChangeAll(func(k *simnet.Link) { k.Corrupt = 0.05 })
 	case Pause:
 		l.World.Pause(a)
-		l.after(f.Lasts, func() { l.World.Resume(a) })
+		l.after(f.Duration, func() { l.World.Resume(a) })
 	case Clock:
-		l.World.SetClock(a, f.Lasts)
+		l.World.SetClock(a, f.Duration)
 	case Kill:
 		l.Kill(f.Agent)
-		l.after(f.Lasts, func() { l.World.Start(a) })
-	case Lose: // a majority stays
-		if l.healthy() {
-			l.Lose(f.Agent)
+		l.after(f.Duration, func() { l.World.Start(a) })
+	case EraseDisk: // a majority of the voters keeps its disks
+		if l.areVotersHealthy() {
+			l.KillAndEraseDisk(f.Agent)
 			l.World.Start(a)
 		}
 	case Propose:
@@ -97,8 +97,8 @@
 	}
 }
 
-// Shorten removes the faults of a failing script that are not needed for the failure, and rounds its times:
-// at first half of the faults at a time, then fewer and fewer.
+// Shorten returns a shorter script that still fails: it removes faults that are not needed for the failure,
+// at first half of them at a time and then ever fewer, and rounds the times of the others.
 func Shorten(script []Fault, fails func([]Fault) bool) []Fault {
 	for size := (len(script) + 1) / 2; size > 0; {
 		isShorter := false
@@ -120,7 +120,7 @@
 	for _, unit := range []time.Duration{time.Second, 100 * time.Millisecond, 10 * time.Millisecond} {
 		for i := range script {
 			for _, round := range []func(*Fault){
-				func(f *Fault) { f.At = f.At.Round(unit) }, func(f *Fault) { f.Lasts = f.Lasts.Round(unit) },
+				func(f *Fault) { f.At = f.At.Round(unit) }, func(f *Fault) { f.Duration = f.Duration.Round(unit) },
 			} {
 				rounder := slices.Clone(script)
 				if round(&rounder[i]); rounder[i].At >= script[max(i-1, 0)].At && fails(rounder) {
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -12,24 +12,25 @@
 	"dunestep/internal/fleet/replica"
 )
 
-// tape is a state machine whose state is the data of all records.
-type tape struct{ data []byte }
+// concatenation is a state machine whose state is the concatenated data of all records.
+type concatenation struct{ data []byte }
 
-func (m *tape) Apply(_ uint64, data []byte) { m.data = append(m.data, data...) }
-func (m *tape) Snapshot() []byte            { return m.data }
+func (m *concatenation) Apply(_ uint64, data []byte) { m.data = append(m.data, data...) }
+func (m *concatenation) Snapshot() []byte            { return m.data }
 
-func (m *tape) Restore(data []byte) error {
+func (m *concatenation) Restore(data []byte) error {
 	m.data = append([]byte(nil), data...)
 	return nil
 }
 
-// TestGoldenRecord checks that a record, and a snapshot in the voters' log, are encoded as ever and decoded to the same.
+// TestGoldenRecord checks that the encodings of a record and of a snapshot in the voters' log match the golden files and
+// decode to the same values.
 func TestGoldenRecord(t *testing.T) {
-	name := proposalName{1 << 63, 300}
-	file := golden.Bytes(t, "record", encodeRecord(2, name, []byte("data")))
+	id := proposalID{1 << 63, 300}
+	file := golden.Bytes(t, "record", encodeRecord(2, id, []byte("data")))
 	machine, decoded, data, isValid := decodeRecord(file)
 	require.True(t, isValid)
-	require.Equal(t, name, decoded)
+	require.Equal(t, id, decoded)
 	require.Equal(t, file, encodeRecord(machine, decoded, data))
 
 	s := replica.Snapshot{Epoch: 1_800_000_000_000, Seq: 300, Sum: 1 << 62, Data: []byte("states")}
@@ -40,16 +41,16 @@
 	require.Equal(t, file, encodeSnapshot(read))
 }
 
-// TestGoldenStates checks that the states in a snapshot are encoded as ever, and that what an earlier build keeps for later
-// ones is encoded again as it was.
+// TestGoldenStates checks that the encoding of the states in a snapshot matches the golden file, and that an earlier build
+// encodes the states and records that it keeps for later builds unchanged.
 func TestGoldenStates(t *testing.T) {
-	later := stateMachines{known: []StateMachine{&tape{}, &tape{}, &tape{}}}
-	earlier := stateMachines{known: []StateMachine{&tape{}}}
+	later := stateMachines{known: []StateMachine{&concatenation{}, &concatenation{}, &concatenation{}}}
+	earlier := stateMachines{known: []StateMachine{&concatenation{}}}
 	for seq, c := range []struct {
 		machine uint8
 		data    string
 	}{{0, "zero"}, {1, "one"}, {0, "more"}, {2, ""}} {
-		require.NoError(t, later.apply(uint64(seq)+1, encodeRecord(c.machine, proposalName{9, uint64(seq)}, []byte(c.data))))
+		require.NoError(t, later.apply(uint64(seq)+1, encodeRecord(c.machine, proposalID{9, uint64(seq)}, []byte(c.data))))
 	}
 	b, err := later.snapshot()
 	require.NoError(t, err)
@@ -57,20 +58,20 @@
 	require.NoError(t, earlier.restore(file))
 	b, err = earlier.snapshot()
 	require.NoError(t, err)
-	require.Equal(t, file, b, "an earlier build's")
-	require.ErrorIs(t, earlier.apply(5, encodeRecord(1, proposalName{9, 5}, []byte("kept"))), errUnknownMachine)
+	require.Equal(t, file, b, "an earlier build encodes unknown states unchanged")
+	require.ErrorIs(t, earlier.apply(5, encodeRecord(1, proposalID{9, 5}, []byte("kept"))), errUnknownMachine)
 	b, err = earlier.snapshot()
 	require.NoError(t, err)
 	file = golden.Bytes(t, "states-kept", b)
 	require.NoError(t, earlier.restore(file))
 	b, err = earlier.snapshot()
 	require.NoError(t, err)
-	require.Equal(t, file, b, "an earlier build's")
+	require.Equal(t, file, b, "an earlier build encodes unknown records unchanged")
 	require.NoError(t, later.restore(file))
-	require.Equal(t, "onekept", string(later.known[1].(*tape).data))
+	require.Equal(t, "onekept", string(later.known[1].(*concatenation).data))
 }
 
-// newLeader returns a node that is the only voter, and leads.
+// newLeader returns a node that is the only voter and has become the leader.
 func newLeader(t *testing.T, agents int) (*Node, ClockReading) {
 	t.Helper()
 	now := ClockReading{Unix: 1_800_000_000 * time.Second, Mono: time.Hour}
@@ -85,11 +86,11 @@
 	return n, now
 }
 
-// TestGoldenProposals checks that requests to voters about proposals, and their replies, are encoded as ever, and decoded to
-// the same.
+// TestGoldenProposals checks that the encodings of requests to voters about proposals, and of their replies, match the
+// golden files and decode to the same values.
 func TestGoldenProposals(t *testing.T) {
-	name := proposalName{1 << 63, 300}
-	p := &proposal{name: name, record: encodeRecord(1, name, []byte("data"))}
+	id := proposalID{1 << 63, 300}
+	p := &proposal{id: id, record: encodeRecord(1, id, []byte("data"))}
 	based, withdrawn := *p, *p
 	based.baseIndex, withdrawn.baseIndex, withdrawn.isWithdrawn = 70_000, 70_000, true
 	for form, p := range map[string]*proposal{"propose-first": p, "propose": &based, "withdraw": &withdrawn} {
@@ -101,7 +102,7 @@
 	n, now := newLeader(t, 1)
 	base := n.voter.Status().AppliedIndex
 	n.selfMessages = nil
-	replied := func(form string, p proposal) {
+	checkReply := func(form string, p proposal) {
 		t.Helper()
 		n.handleProposal(now, 0, p.request().encode())
 		require.Len(t, n.selfMessages, 1, form)
@@ -112,17 +113,17 @@
 		require.Equal(t, file, r.encode(), form)
 		n.selfMessages = nil
 	}
-	replied("reply-base", *p)
+	checkReply("reply-base", *p)
 	based.baseIndex = base
-	replied("reply-committed", based)
-	withdrawn.baseIndex, withdrawn.name.number = base, 301
-	replied("reply-not-committed", withdrawn)
-	withdrawn.baseIndex, withdrawn.name.number = base+1000, 302
-	replied("reply-unknown", withdrawn)
+	checkReply("reply-committed", based)
+	withdrawn.baseIndex, withdrawn.id.number = base, 301
+	checkReply("reply-not-committed", withdrawn)
+	withdrawn.baseIndex, withdrawn.id.number = base+1000, 302
+	checkReply("reply-unknown", withdrawn)
 	other, err := New(Settings{Self: 0, Agents: 3, Voters: []int{0, 1, 2}, Incarnation: 1, Seed: 3}, now)
 	require.NoError(t, err)
 	n = other
-	replied("reply-no-leader", based)
+	checkReply("reply-no-leader", based)
 	require.Equal(t, []proposalOutcome{replyUnknown, replyCommitted, replyNotCommitted, replyForgotten}, []proposalOutcome{
 		replyFor(raftlog.Unknown), replyFor(raftlog.Committed), replyFor(raftlog.NotCommitted), replyFor(raftlog.Forgotten),
 	})
@@ -132,7 +133,7 @@
 	})
 }
 
-// TestGoldenDatagrams checks the channels of messages, and that membership updates precede them as ever.
+// TestGoldenDatagrams checks the numbers of the channels, and the encoding of messages with a membership update in front.
 func TestGoldenDatagrams(t *testing.T) {
 	golden.Bytes(t, "channels", []byte{
 		channelRaft, channelGossip, channelLeaseRequest, channelLeaseGrant, channelProposal, channelProposalReply, channelApplication,
@@ -155,15 +156,16 @@
 			require.Equal(t, "propose", string(got[0].Bytes))
 			continue
 		}
-		rest, isValid := n.takeUpdate(now, 5, got[0].Bytes)
+		rest, isValid := n.handleUpdate(now, 5, got[0].Bytes)
 		require.True(t, isValid)
 		require.Equal(t, []string{"digest", "request", "grant"}[i], string(rest))
 	}
 }
 
-// TestGoldenSlots checks that messages of stacked applications after the first are encoded as ever, and decoded to the same.
+// TestGoldenSlots checks that the encodings of messages of applications after the first match the golden files and decode
+// to the same messages.
 func TestGoldenSlots(t *testing.T) {
-	s := &applicationStack{others: []Application{nil, silent{}}}
+	s := &applicationStack{others: []Application{nil, stubApplication{}}}
 	for name, data := range map[string][]byte{
 		"slotted-short": []byte("short"), "slotted-long": make([]byte, minSlottedBytes+10), "slotted-empty": {},
 	} {
@@ -177,10 +179,10 @@
 	}
 }
 
-// silent is an Application that is never called.
-type silent struct{ Application }
+// stubApplication is an Application whose methods must not be called.
+type stubApplication struct{ Application }
 
-// TestGoldenResults checks the names that operators' commands show.
+// TestGoldenResults checks the names of results in operators' commands.
 func TestGoldenResults(t *testing.T) {
 	require.Equal(t, []string{"waiting", "taken", "not taken", "ask again", "ask again"},
 		[]string{Pending.String(), Committed.String(), NotCommitted.String(), Indeterminate.String(), Result(200).String()})
--- a/internal/fleet/gossiping.go
+++ b/internal/fleet/gossiping.go
@@ -5,13 +5,13 @@
 	"dunestep/internal/fleet/raftlog"
 )
 
-// voterReadyFactor is how many times longer a voter without a store waits until it is ready. A fleet is
-// restarted one agent after the other as each reports that it is ready: one that did so before the others had
-// added it again would have the next one stopped, and with a majority of the voters the log would be lost.
+// voterReadyFactor multiplies ReadyTimeout for a voter without a store. A rolling restart stops the next
+// agent once the previous one is ready. If a voter were ready before the others had added it to the log
+// again, the restart could stop a majority of the voters, and the log would be lost.
 const voterReadyFactor = 5
 
-// startGossip starts to exchange records with other agents. A voter does too: until it belongs to a log
-// again, others have what it lacks.
+// startGossip starts to exchange records with other agents. A voter takes part too: until it is a member of a
+// log again, it receives the records from other agents.
 func (n *Node) startGossip(now ClockReading) {
 	n.gossip = gossip.New(gossip.Settings{
 		Agents: n.settings.Agents, Self: n.settings.Self, Voters: n.settings.Voters,
@@ -24,7 +24,7 @@
 	n.carryOutGossip(now, n.gossip.Step(now.Mono, from, b))
 }
 
-// runGossip announces what the voters' log has brought, and does what is due.
+// runGossip announces the records that the voters' log has added, and calls Tick if it is due.
 func (n *Node) runGossip(now ClockReading) {
 	n.gossip.SetTrust(gossip.Trust(n.holder.Holds(now)))
 	if n.log.Last() != n.lastGossiped {
@@ -47,9 +47,10 @@
 	n.lastGossiped = n.log.Last()
 }
 
-// Ready reports whether a process that starts may report that it is ready: it has caught up, or the time for
-// that is over. It has caught up if it has the records of the others, holds a lease if there is an
-// application, and, as a voter, has its place in the log.
+// Ready reports whether a process that has started may report that it is ready, which is if it has caught up
+// or ReadyTimeout has passed, and whether it has caught up. It has caught up if it has the records of the
+// other agents, holds a lease (if there is an application) and is a member of the log (if it is a voter). For
+// a voter without a store, the timeout is multiplied by voterReadyFactor.
 func (n *Node) Ready(now ClockReading) (isReady, isCaughtUp bool) {
 	isCaughtUp = n.hasRecords(now)
 	if n.settings.Application != nil {
@@ -65,19 +66,18 @@
 	return isCaughtUp || now.Mono-n.startedAt >= timeout, isCaughtUp
 }
 
-// IsCaughtUp reports whether a process that starts has the records of the others, or the time for that is
-// over; a lease, or a place among the voters, may still be missing.
+// IsCaughtUp reports whether a process that has started has the records of the other agents, or ReadyTimeout
+// has passed. It may not hold a lease yet, and as a voter not be a member of the log yet.
 func (n *Node) IsCaughtUp(now ClockReading) bool {
 	return n.hasRecords(now) || now.Mono-n.startedAt >= n.settings.ReadyTimeout
 }
 
-// hasRecords reports whether this agent has all records that others had when it started.
+// hasRecords reports whether this agent has all records that other agents had when it started.
 func (n *Node) hasRecords(now ClockReading) bool {
 	return n.gossip.CatchUpState(now.Mono) == gossip.CaughtUp
 }
 
-// isSettledVoter reports whether this voter has its place in the log, and no other one is to be added or
-// replaced.
+// isSettledVoter reports whether this voter is a member of the log and no change of the members is pending.
 func (n *Node) isSettledVoter() bool {
 	s := n.voterStatus()
 	isInLog := s.Phase == raftlog.Voting || s.Phase == raftlog.Leading
--- a/internal/fleet/hunting/hunting.go
+++ b/internal/fleet/hunting/hunting.go
@@ -1,5 +1,6 @@
-// Package hunting selects the seeds of a fault search in virtual time: all of a test's, or those of the
-// environment variable HUNT. It is for tests only.
+// Package hunting selects the seeds of a fault search: those listed in a test, or those given in the
+// environment variable HUNT. A fault search runs a simulated fleet in virtual time with random faults, once
+// for each seed, to find violations of guarantees. The package is for tests only.
 package hunting
 
 import (
@@ -12,11 +13,12 @@
 type Row struct {
 	Agents     int
 	From, To   uint64
-	isSelected bool
+	isSelected bool // by the environment variable
 }
 
-// SelectRows returns the rows, or instead of them the one of HUNT, such as "300 200 400": 300 agents, seeds
-// 200 to 399. So several processes can share the seeds of a search. It panics if HUNT is malformed.
+// SelectRows returns the given rows, or only the one in the environment variable HUNT if that is set, such as
+// "300 200 400" for 300 agents and the seeds 200 to 399. Several processes can share the seeds of a search
+// this way. It panics if HUNT is malformed.
 func SelectRows(rows []Row) []Row {
 	text := os.Getenv("HUNT")
 	if text == "" {
@@ -29,8 +31,8 @@
 	return []Row{r}
 }
 
-// Log logs the result of a seed if seeds were selected, so that the progress of a search is known when it is
-// stopped, and two builds can be compared.
+// Log logs the result of a seed if the row was selected by HUNT. The log shows the progress of a search that
+// was stopped, and allows the results of two builds to be compared.
 func (r Row) Log(t *testing.T, seed uint64, format string, args ...any) {
 	if r.isSelected {
 		t.Logf("%d agents, seed %d: %s", r.Agents, seed, fmt.Sprintf(format, args...))
--- a/internal/fleet/internal/compact/compact.go
+++ b/internal/fleet/internal/compact/compact.go
@@ -1,6 +1,6 @@
-// Package compact encodes the fleet's own messages between agents: CBOR arrays without names. Data of other
-// agents is decoded strictly and within bounds: nothing that an agent sends makes it allocate more than a few
-// times the size of the message. It has no state and is safe for concurrent use.
+// Package compact encodes the messages between the agents of a fleet as CBOR arrays without field names.
+// Messages are decoded strictly and within bounds: decoding allocates at most a few times the size of the
+// message. The package has no state and is safe for concurrent use.
 package compact
 
 import (
@@ -37,17 +37,18 @@
 	return enc, dec
 }
 
-// Marshal encodes a struct with the tag "toarray", of numbers, bytes and such structs. It panics for other
-// types.
+// Marshal encodes a struct with the tag "toarray" whose fields are numbers, byte slices, such structs, or
+// slices of these. It panics if the type cannot be encoded.
 func Marshal(message any) []byte {
 	data, err := encoding.Marshal(message)
 	if err != nil {
-		panic(err) // the type is wrong, whatever its values
+		panic(err) // a programming error: it depends on the type alone, not on the values
 	}
 	return data
 }
 
-// Unmarshal decodes all of data into a struct of Marshal. It returns an error wrapping ErrMalformed.
+// Unmarshal decodes data, which must be exactly one message, into a struct of the type given to Marshal. It
+// returns an error wrapping ErrMalformed.
 func Unmarshal(data []byte, message any) error {
 	if err := decoding.Unmarshal(data, message); err != nil {
 		return fmt.Errorf("%w: %w", ErrMalformed, err)
--- a/internal/fleet/internal/golden/golden.go
+++ b/internal/fleet/internal/golden/golden.go
@@ -1,5 +1,5 @@
-// Package golden compares encoded forms with files, for tests of what must not change: what agents of other
-// builds send, write and read. It is for tests only.
+// Package golden compares encodings with golden files. It is for tests of encodings that must not change, as
+// agents of other builds send, store and read them.
 package golden
 
 import (
@@ -15,11 +15,11 @@
 
 var update = flag.Bool("update", false, "write the golden files from what the code encodes now")
 
-// lineBytes is how many bytes a line of a file shows, in hexadecimal digits.
+// lineBytes is the number of bytes in a line of a file, which are written as hexadecimal digits.
 const lineBytes = 40
 
-// Bytes requires that encoded is what testdata/golden/NAME.hex holds, and returns the file's bytes, to be
-// decoded. With -update it writes the file first.
+// Bytes requires that encoded equals the bytes in testdata/golden/NAME.hex, and returns the bytes of the
+// file, for the test to decode. With -update it writes the file first.
 func Bytes(t *testing.T, name string, encoded []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name+".hex")
--- a/internal/fleet/internal/roundtrip/roundtrip_test.go
+++ b/internal/fleet/internal/roundtrip/roundtrip_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestTimeout checks that the timeout follows the samples within its bounds.
+// TestTimeout checks that the timeout follows the samples within its limits.
 func TestTimeout(t *testing.T) {
 	const ms = time.Millisecond
 	for _, c := range []struct {
--- a/internal/fleet/messages.go
+++ b/internal/fleet/messages.go
@@ -7,23 +7,25 @@
 	"dunestep/internal/fleet/raftlog"
 )
 
-// The channels of messages between nodes.
+// The channels of messages between nodes. On channels whose messages begin with a membership update, the
+// update has its length, one byte, in front; it is left out in messages from an agent to itself.
 const (
 	channelRaft             = iota + 1 // messages of raftlog
-	channelGossip                      // a membership update, and a message of gossip
-	channelLeaseRequest                // a membership update, and a lease.Request
-	channelLeaseGrant                  // a membership update, and a lease.Grant
+	channelGossip                      // a membership update and a message of gossip
+	channelLeaseRequest                // a membership update and a lease.Request
+	channelLeaseGrant                  // a membership update and a lease.Grant
 	channelProposal                    // a proposalRequest
 	channelProposalReply               // a proposalReply
 	channelApplication                 // a message of the application
-	channelApplicationReply            // its reply
+	channelApplicationReply            // a reply of the application
 )
 
 const (
 	// maxUpdateBytes is the maximum size of the membership update in a message.
 	maxUpdateBytes = 64
-	// maxGrantUpdateBytes is its maximum size in a lease grant, as voters receive all agents, in fleets of up to
-	// largeFleetAgents: with more agents a voter sends more grants, and its pace is limited.
+	// maxGrantUpdateBytes is the maximum size of the update in a lease grant in fleets of up to
+	// largeFleetAgents. It is larger than maxUpdateBytes, as voters receive messages from all agents. In larger
+	// fleets it decreases, as a voter sends more grants and its bytes per second are limited.
 	maxGrantUpdateBytes, largeFleetAgents = 200, 1000
 )
 
@@ -38,7 +40,7 @@
 	bytes   []byte
 }
 
-// sendWithUpdate sends a message with a membership update before it.
+// sendWithUpdate sends a message with a membership update in front, or without one to this agent itself.
 func (n *Node) sendWithUpdate(now ClockReading, to int, channel uint8, b []byte) {
 	if to == n.settings.Self {
 		n.send(now, to, channel, b)
@@ -49,16 +51,16 @@
 		maxBytes = n.settings.grantUpdateBytes()
 	}
 	if capacity := fragment.MaxShortBytes - 1 - len(b); capacity > 0 {
-		maxBytes = min(maxBytes, capacity) // a message that fits into one datagram still does
+		maxBytes = min(maxBytes, capacity) // keeps a message that fits into one datagram within one
 	}
 	n.members.NoteSent(now.Mono, to)
 	update := n.members.Update(now.Mono, to, maxBytes)
 	n.send(now, to, channel, slices.Concat([]byte{byte(len(update))}, update, b))
 }
 
-// takeUpdate applies the membership update of a message, and returns the rest; false: the message is
-// malformed.
-func (n *Node) takeUpdate(now ClockReading, from int, b []byte) (rest []byte, isValid bool) {
+// handleUpdate applies the membership update at the front of a message, and returns the rest of the message.
+// isValid is false if the message is malformed.
+func (n *Node) handleUpdate(now ClockReading, from int, b []byte) (rest []byte, isValid bool) {
 	if from == n.settings.Self {
 		return b, true
 	}
@@ -74,7 +76,8 @@
 	return b[1+b[0]:], true
 }
 
-// send sends a message, or queues it for this agent itself. One without capacity is lost, like any other.
+// send sends a message, or queues it if it is for this agent itself. A message that the transport does not
+// accept is counted as dropped; the senders of messages handle it like a message lost by the network.
 func (n *Node) send(now ClockReading, to int, channel uint8, b []byte) {
 	if to == n.settings.Self {
 		n.selfMessages = append(n.selfMessages, selfMessage{channel, b})
@@ -93,7 +96,7 @@
 			n.stepVoter(now, raftlog.MessageReceived{From: uint32(from), Bytes: b})
 		}
 	case channelGossip, channelLeaseRequest, channelLeaseGrant:
-		if rest, isValid := n.takeUpdate(now, from, b); isValid {
+		if rest, isValid := n.handleUpdate(now, from, b); isValid {
 			n.handleMessageAfterUpdate(now, from, channel, rest)
 		}
 	case channelProposal:
@@ -111,7 +114,7 @@
 	}
 }
 
-// handleMessageAfterUpdate processes a message whose membership update was taken off.
+// handleMessageAfterUpdate processes a message without its membership update.
 func (n *Node) handleMessageAfterUpdate(now ClockReading, from int, channel uint8, b []byte) {
 	switch channel {
 	case channelGossip:
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -13,12 +13,12 @@
 	"dunestep/internal/fleet/replica"
 )
 
-// Output is what is to be done.
+// Output contains the actions that a node requests.
 type Output struct {
-	Datagrams  []fragment.Datagram
-	Persist    *raftlog.Persist // to be written, and its token reported by Persisted
-	Events     []Event
-	HasApplied bool // records were applied: what follows from the state machines may have changed
+	Datagrams  []fragment.Datagram // to be sent
+	Persist    *raftlog.Persist    // to be written; its token is then passed to Persisted; nil: nothing to write
+	Events     []Event             // to be reported to operators
+	HasApplied bool                // records were applied, so the state machines may have changed
 }
 
 // Node is one agent's node. It is not safe for concurrent use.
@@ -30,7 +30,7 @@
 
 	transport    *fragment.Transport
 	selfMessages []selfMessage
-	dropped      uint64 // messages that could not be decoded or had no capacity
+	dropped      uint64 // messages that could not be decoded, processed or queued
 
 	log          *replica.Log
 	machines     stateMachines
@@ -40,23 +40,24 @@
 	diverged     map[int]bool // agents whose divergence was reported
 	members      *membership.List
 
-	holder    *lease.Holder
-	isHolding bool // as last reported
+	holder   *lease.Holder
+	hadLease bool // as last reported
 
-	// Of a voter; voter is nil at all other agents.
+	// State of a voter; voter is nil at all other agents.
 	voter         *raftlog.Voter
 	granter       *lease.Granter
-	delivered     uint64    // records that the voters' log has delivered, numbered as in the replica
-	freshAsOf     time.Time // of the voter, as last seen
-	isLeading     bool      // as last reported
-	isStopped     bool      // as last reported
+	delivered     uint64    // sequence number of the last record that the voters' log delivered
+	freshAsOf     time.Time // last value of raftlog.Status.FreshAsOf, by the steady clock
+	wasLeading    bool      // as last reported
+	wasStopped    bool      // as last reported
 	mustStandDown bool
 
-	proposals       proposals
-	applicationNext time.Duration
+	proposals           proposals
+	nextApplicationCall time.Duration // time of the next call of NextActions, by the steady clock
 }
 
-// New returns the node of a process that starts.
+// New returns the node of a process that has just started. It returns an error if a setting is invalid or the
+// voter cannot use its stored state.
 func New(settings Settings, now ClockReading) (*Node, error) {
 	settings = settings.withDefaults()
 	if err := settings.Validate(); err != nil {
@@ -94,13 +95,14 @@
 	return n, nil
 }
 
-// steadyTime converts a reading of the steady clock for the parts that use time.Time; steadyReading is the
-// reverse.
+// steadyTime converts a reading of the steady clock for the packages that use time.Time.
 func steadyTime(now ClockReading) time.Time { return time.Unix(0, int64(now.Mono)) }
 
+// steadyReading is the inverse of steadyTime.
 func steadyReading(t time.Time) time.Duration { return time.Duration(t.UnixNano()) }
 
-// Receive processes a datagram of another agent. One of another kind is dropped and counted.
+// Receive processes a datagram from another agent. A datagram that is not of package fragment is dropped and
+// counted.
 func (n *Node) Receive(now ClockReading, from int, datagram []byte) {
 	for _, m := range n.transport.Receive(steadyTime(now), uint32(from), datagram) {
 		n.handleMessage(now, int(m.From), m.Channel, m.Bytes)
@@ -108,10 +110,10 @@
 	n.runDue(now)
 }
 
-// Wake does what is due by time; see Next.
+// Wake performs the actions that are due at a time; see Next.
 func (n *Node) Wake(now ClockReading) { n.runDue(now) }
 
-// Persisted reports that the Persist with a token is durable.
+// Persisted notifies the node that the Persist with a token is durable.
 func (n *Node) Persisted(now ClockReading, token uint64) {
 	if n.voter != nil {
 		n.stepVoter(now, raftlog.Persisted{Token: token})
@@ -119,7 +121,7 @@
 	n.runDue(now)
 }
 
-// Out returns what is to be done since it was last called.
+// Out returns the actions requested since the last call.
 func (n *Node) Out(now ClockReading) Output {
 	out := n.output
 	out.Datagrams = n.transport.Out(steadyTime(now))
@@ -127,7 +129,7 @@
 	return out
 }
 
-// Next returns when Wake is due, by the steady clock.
+// Next returns the time when Wake is due, by the steady clock.
 func (n *Node) Next() time.Duration {
 	next := min(n.holder.Next(), n.gossip.Next())
 	if t := n.transport.Next(); !t.IsZero() {
@@ -137,7 +139,7 @@
 		next = min(next, steadyReading(n.voter.Next()))
 	}
 	if n.settings.Application != nil {
-		next = min(next, n.applicationNext)
+		next = min(next, n.nextApplicationCall)
 	}
 	for _, p := range n.proposals.pending {
 		next = min(next, p.nextAttempt)
@@ -145,7 +147,8 @@
 	return next
 }
 
-// runDue does what is due, until nothing is.
+// runDue performs all actions that are due, and processes the messages to this agent itself until none is
+// left.
 func (n *Node) runDue(now ClockReading) {
 	if n.voter != nil {
 		n.stepVoter(now, raftlog.TimePassed{})
--- a/internal/fleet/proposalmessages.go
+++ b/internal/fleet/proposalmessages.go
@@ -6,10 +6,11 @@
 	"dunestep/internal/fleet/raftlog"
 )
 
-// proposalName identifies a proposal, whoever repeats it: no two processes have the same origin.
-type proposalName struct{ origin, number uint64 }
+// proposalID identifies a proposal; repetitions have the same ID. The origin is unique to the process that
+// proposes.
+type proposalID struct{ origin, number uint64 }
 
-// requestKind is what a proposalRequest asks for.
+// requestKind is the operation that a proposalRequest requests.
 type requestKind byte
 
 const (
@@ -17,19 +18,19 @@
 	requestWithdraw requestKind = 1
 )
 
-// proposalRequest asks a voter to propose a record or to withdraw it, and what became of it.
+// proposalRequest requests a voter to propose or withdraw a record, and to reply with the outcome.
 type proposalRequest struct {
-	name      proposalName
-	baseIndex uint64 // 0: the voter is to assign one
+	id        proposalID
+	baseIndex uint64 // raft index assigned by the first voter; 0: the voter has to assign one
 	kind      requestKind
-	record    []byte // empty unless it is to be proposed
+	record    []byte // empty unless the record is to be proposed
 }
 
 const proposalHeaderBytes = 3*8 + 1
 
 func (r proposalRequest) encode() []byte {
-	b := binary.BigEndian.AppendUint64(make([]byte, 0, proposalHeaderBytes+len(r.record)), r.name.origin)
-	b = binary.BigEndian.AppendUint64(b, r.name.number)
+	b := binary.BigEndian.AppendUint64(make([]byte, 0, proposalHeaderBytes+len(r.record)), r.id.origin)
+	b = binary.BigEndian.AppendUint64(b, r.id.number)
 	b = binary.BigEndian.AppendUint64(b, r.baseIndex)
 	return append(append(b, byte(r.kind)), r.record...)
 }
@@ -39,26 +40,26 @@
 		return r, false
 	}
 	return proposalRequest{
-		name:      proposalName{binary.BigEndian.Uint64(b), binary.BigEndian.Uint64(b[8:])},
+		id:        proposalID{binary.BigEndian.Uint64(b), binary.BigEndian.Uint64(b[8:])},
 		baseIndex: binary.BigEndian.Uint64(b[16:]), kind: requestKind(b[24]), record: b[proposalHeaderBytes:],
 	}, true
 }
 
-// proposalOutcome is what a voter replies.
+// proposalOutcome is a voter's reply to a proposalRequest.
 type proposalOutcome byte
 
 const (
-	replyBase         proposalOutcome = iota // propose it with this base index
-	replyUnknown                             // it may still be committed
-	replyCommitted                           // it is committed
-	replyNotCommitted                        // it never will be committed
-	replyForgotten                           // it is too old to tell
-	replyNoLeader                            // ask another voter
+	replyBase         proposalOutcome = iota // the proposal is to be repeated with the base index of the reply
+	replyUnknown                             // the proposal may still be committed
+	replyCommitted                           // the proposal is committed
+	replyNotCommitted                        // the proposal is not committed and never will be
+	replyForgotten                           // the proposal is too old for its outcome to be known
+	replyNoLeader                            // the voter knows no leader: another voter has to be used
 )
 
-// proposalReply is a voter's reply to a proposalRequest.
+// proposalReply is the message with which a voter replies to a proposalRequest.
 type proposalReply struct {
-	name      proposalName
+	id        proposalID
 	baseIndex uint64
 	outcome   proposalOutcome
 }
@@ -66,8 +67,8 @@
 const proposalReplyBytes = 2*8 + 8 + 1
 
 func (r proposalReply) encode() []byte {
-	b := binary.BigEndian.AppendUint64(make([]byte, 0, proposalReplyBytes), r.name.origin)
-	b = binary.BigEndian.AppendUint64(b, r.name.number)
+	b := binary.BigEndian.AppendUint64(make([]byte, 0, proposalReplyBytes), r.id.origin)
+	b = binary.BigEndian.AppendUint64(b, r.id.number)
 	b = binary.BigEndian.AppendUint64(b, r.baseIndex)
 	return append(b, byte(r.outcome))
 }
@@ -77,12 +78,12 @@
 		return r, false
 	}
 	return proposalReply{
-		name:      proposalName{binary.BigEndian.Uint64(b), binary.BigEndian.Uint64(b[8:])},
+		id:        proposalID{binary.BigEndian.Uint64(b), binary.BigEndian.Uint64(b[8:])},
 		baseIndex: binary.BigEndian.Uint64(b[16:]), outcome: proposalOutcome(b[24]),
 	}, true
 }
 
-// replyFor returns the reply for an outcome in the log.
+// replyFor returns the reply for an outcome that the voters' log reports.
 func replyFor(o raftlog.Outcome) proposalOutcome {
 	return [...]proposalOutcome{
 		raftlog.Unknown: replyUnknown, raftlog.Committed: replyCommitted,
--- a/internal/fleet/proposals.go
+++ b/internal/fleet/proposals.go
@@ -8,25 +8,26 @@
 	"dunestep/internal/fleet/raftlog"
 )
 
-// Any agent may propose. It asks the voters in turn: each one replies with what it knows of the proposal,
-// which has the same name however often it is repeated, and proposes it to the log if the outcome is unknown.
+// Any agent may propose. It sends its request to the voters in turn. Each voter replies with the outcome of
+// the proposal, and proposes it to the log if the outcome is unknown. A repeated proposal has the same ID, so
+// that it is committed at most once.
 
 // Ticket identifies a proposal of this process.
 type Ticket uint64
 
-// Result is what became of a proposal.
+// Result is the result of a proposal.
 type Result uint8
 
 // The results.
 const (
 	// Pending proposals have no result yet.
 	Pending Result = iota
-	// Committed proposals are in the log, and applied here.
+	// Committed proposals are in the log and applied at this agent.
 	Committed
 	// NotCommitted proposals are not in the log and never will be.
 	NotCommitted
-	// Indeterminate proposals have no result that can be known, as no voter replied in time, or they are too
-	// old. The newest records show it.
+	// Indeterminate proposals have a result that is not known, as no voter replied in time or they are too old.
+	// The newest records show whether they were committed.
 	Indeterminate
 )
 
@@ -35,9 +36,9 @@
 	return [...]string{"waiting", "taken", "not taken", "ask again"}[min(r, Indeterminate)]
 }
 
-// Reasons for which Propose rejects a proposal.
+// Errors that Propose returns.
 var (
-	// ErrTooLong reports that a proposal exceeds what the log accepts.
+	// ErrTooLong reports that a proposal exceeds the maximum size of a record.
 	ErrTooLong = errors.New("fleet: the proposal exceeds the maximum size of a record")
 	// ErrTooMany reports that too many proposals of this process are pending.
 	ErrTooMany = errors.New("fleet: too many proposals are pending")
@@ -47,45 +48,45 @@
 
 const (
 	maxPendingProposals = 16
-	// proposalRetryAfter is after what time without a reply the next voter is asked; proposalFastRetryAfter
-	// applies to the first proposalFastRetries attempts if the request fits into one datagram, which may just be
-	// lost.
+	// proposalRetryAfter is the time without a reply after which the request is sent to the next voter.
+	// proposalFastRetryAfter replaces it for the first proposalFastRetries attempts if the request fits into one
+	// datagram, as the transport does not resend a lost datagram.
 	proposalRetryAfter, proposalFastRetryAfter = 250 * time.Millisecond, 60 * time.Millisecond
 	proposalFastRetries                        = 6
-	// noLeaderRetryAfter is after what time another voter is asked if one knows no leader.
+	// noLeaderRetryAfter is the time after which the next voter is tried if a voter knows no leader.
 	noLeaderRetryAfter = proposalRetryAfter / 4
-	// withdrawalTimeout is how long a withdrawal is tried until the result is Indeterminate.
+	// withdrawalTimeout is the time after which a withdrawal without a reply gives the result Indeterminate.
 	withdrawalTimeout = 2 * time.Second
-	// maxRememberedResults is the number of results, the latest ones, that are remembered.
+	// maxRememberedResults is the maximum number of results that are remembered; the oldest are discarded.
 	maxRememberedResults = 64
 )
 
 // proposal is a pending proposal.
 type proposal struct {
-	name        proposalName
-	baseIndex   uint64 // the raft index that the first voter assigned; 0: none has yet
+	id          proposalID
+	baseIndex   uint64 // raft index that the first voter assigned; 0: not assigned yet
 	record      []byte
-	deadline    time.Duration // by the steady clock, as nextAttempt
-	nextAttempt time.Duration
-	voterTurn   int // the index of the voter that was asked last
+	deadline    time.Duration // by the steady clock
+	nextAttempt time.Duration // by the steady clock
+	voterIndex  int           // index of the voter that was tried last
 	attempts    int
-	isWithdrawn bool // past the deadline: it is withdrawn, so that its result becomes known
+	isWithdrawn bool // the deadline has passed: the proposal is withdrawn, so that its result becomes known
 }
 
-// proposals are those of this process.
+// proposals are the proposals of this process.
 type proposals struct {
 	origin      uint64 // unique to this process
 	lastNumber  uint64
 	pending     map[uint64]*proposal
 	results     map[uint64]Result
-	resultOrder []uint64 // the keys of results, oldest first
+	resultOrder []uint64 // keys of results, oldest first
 }
 
 func newProposals(origin uint64) proposals {
 	return proposals{origin: origin, pending: map[uint64]*proposal{}, results: map[uint64]Result{}}
 }
 
-// settle records the result of a pending proposal.
+// settle records the result of a proposal if it is pending.
 func (p *proposals) settle(number uint64, r Result) {
 	if p.pending[number] == nil {
 		return
@@ -98,8 +99,8 @@
 	}
 }
 
-// pendingNumbers returns the numbers of the pending proposals in ascending order, so that nothing depends on
-// the order of a map.
+// pendingNumbers returns the numbers of the pending proposals in ascending order, so that runs do not depend
+// on the order of a map.
 func (p *proposals) pendingNumbers() (numbers []uint64) {
 	for n := range p.lastNumber {
 		if p.pending[n+1] != nil {
@@ -109,16 +110,16 @@
 	return numbers
 }
 
-// Propose proposes a record of a state machine. After the given time it is withdrawn. Errors: ErrTooLong,
-// ErrTooMany, ErrNoVoters.
-func (n *Node) Propose(now ClockReading, machine uint8, data []byte, within time.Duration) (Ticket, error) {
-	t, err := n.startProposal(now, machine, data, within)
+// Propose proposes a record of a state machine, and returns the ticket with which Result returns its result.
+// The proposal is withdrawn after the timeout. The errors are ErrTooLong, ErrTooMany and ErrNoVoters.
+func (n *Node) Propose(now ClockReading, machine uint8, data []byte, timeout time.Duration) (Ticket, error) {
+	t, err := n.startProposal(now, machine, data, timeout)
 	n.runDue(now)
 	return t, err
 }
 
 func (n *Node) startProposal(
-	now ClockReading, machine uint8, data []byte, within time.Duration,
+	now ClockReading, machine uint8, data []byte, timeout time.Duration,
 ) (Ticket, error) {
 	switch {
 	case len(data) > raftlog.MaxProposalBytes-recordHeaderBytes:
@@ -130,15 +131,16 @@
 	}
 	p := &n.proposals
 	p.lastNumber++
-	name := proposalName{p.origin, p.lastNumber}
+	id := proposalID{p.origin, p.lastNumber}
 	p.pending[p.lastNumber] = &proposal{
-		name: name, record: encodeRecord(machine, name, data), deadline: now.Mono + within,
-		nextAttempt: now.Mono, voterTurn: n.rng.IntN(len(n.settings.Voters)),
+		id: id, record: encodeRecord(machine, id, data), deadline: now.Mono + timeout,
+		nextAttempt: now.Mono, voterIndex: n.rng.IntN(len(n.settings.Voters)),
 	}
 	return Ticket(p.lastNumber), nil
 }
 
-// Result returns what became of a proposal of this process.
+// Result returns the result of a proposal of this process. It is Indeterminate if the proposal is unknown or
+// its result was discarded.
 func (n *Node) Result(t Ticket) Result {
 	if n.proposals.pending[uint64(t)] != nil {
 		return Pending
@@ -149,7 +151,8 @@
 	return Indeterminate
 }
 
-// sendDueProposals asks the voters about the pending proposals that are due.
+// sendDueProposals sends the requests of pending proposals that are due, and withdraws proposals past their
+// deadline.
 func (n *Node) sendDueProposals(now ClockReading) {
 	for _, number := range n.proposals.pendingNumbers() {
 		p := n.proposals.pending[number]
@@ -159,7 +162,7 @@
 		switch {
 		case p.isWithdrawn && now.Mono >= p.deadline+withdrawalTimeout:
 			n.proposals.settle(number, Indeterminate)
-		case p.isWithdrawn && p.baseIndex == 0: // no voter ever had it
+		case p.isWithdrawn && p.baseIndex == 0: // the record was never sent to a voter
 			n.proposals.settle(number, NotCommitted)
 		case now.Mono >= p.nextAttempt:
 			n.sendProposal(now, p)
@@ -167,20 +170,20 @@
 	}
 }
 
-// sendProposal asks the next voter about a proposal.
+// sendProposal sends the request of a proposal to the next voter.
 func (n *Node) sendProposal(now ClockReading, p *proposal) {
 	request := p.request().encode()
 	p.nextAttempt = now.Mono + proposalRetryAfter
 	if p.attempts++; p.attempts <= proposalFastRetries && len(request) <= fragment.MaxShortBytes {
 		p.nextAttempt = now.Mono + proposalFastRetryAfter
 	}
-	p.voterTurn = (p.voterTurn + 1) % len(n.settings.Voters)
-	n.send(now, n.settings.Voters[p.voterTurn], channelProposal, request)
+	p.voterIndex = (p.voterIndex + 1) % len(n.settings.Voters)
+	n.send(now, n.settings.Voters[p.voterIndex], channelProposal, request)
 }
 
-// request returns the next request to a voter. The record is sent once the base index is known.
+// request returns the next request to a voter. It contains the record once the base index is known.
 func (p *proposal) request() proposalRequest {
-	r := proposalRequest{name: p.name, baseIndex: p.baseIndex, kind: requestPropose}
+	r := proposalRequest{id: p.id, baseIndex: p.baseIndex, kind: requestPropose}
 	switch {
 	case p.isWithdrawn:
 		r.kind = requestWithdraw
@@ -190,7 +193,8 @@
 	return r
 }
 
-// handleProposal proposes a record to the log for any agent, and replies with what is known of it.
+// handleProposal processes the request of any agent to propose or withdraw a record, and replies with the
+// outcome.
 func (n *Node) handleProposal(now ClockReading, from int, b []byte) {
 	r, isValid := decodeProposalRequest(b)
 	if n.voter == nil || !isValid {
@@ -198,7 +202,7 @@
 		return
 	}
 	reply := func(outcome proposalOutcome, baseIndex uint64) {
-		n.send(now, from, channelProposalReply, proposalReply{r.name, baseIndex, outcome}.encode())
+		n.send(now, from, channelProposalReply, proposalReply{r.id, baseIndex, outcome}.encode())
 	}
 	status := n.voterStatus()
 	switch {
@@ -209,7 +213,7 @@
 		reply(replyBase, max(status.AppliedIndex, 1))
 		return
 	}
-	id := raftlog.ProposalID{Origin: r.name.origin, Number: r.name.number, Base: r.baseIndex}
+	id := raftlog.ProposalID{Origin: r.id.origin, Number: r.id.number, Base: r.baseIndex}
 	if outcome, _ := n.voter.Outcome(id); outcome != raftlog.Unknown {
 		reply(replyFor(outcome), r.baseIndex)
 		return
@@ -220,23 +224,23 @@
 		n.stepVoter(now, raftlog.Propose{ID: id, Data: r.record})
 	}
 	if n.voter == nil {
-		return // it has just stood down
+		return // this agent has just stopped being a voter
 	}
 	outcome, _ := n.voter.Outcome(id)
 	reply(replyFor(outcome), r.baseIndex)
 }
 
-// handleProposalReply processes a voter's reply. That a proposal was committed is reported once its record is
-// applied here, which is soon: whoever asks for the newest state after that gets it.
+// handleProposalReply processes a voter's reply. A committed proposal gets its result only when its record is
+// applied at this agent, so that the state read after that includes it.
 func (n *Node) handleProposalReply(now ClockReading, b []byte) {
 	r, isValid := decodeProposalReply(b)
-	if !isValid || r.name.origin != n.proposals.origin {
+	if !isValid || r.id.origin != n.proposals.origin {
 		n.dropped++
 		return
 	}
-	p := n.proposals.pending[r.name.number]
+	p := n.proposals.pending[r.id.number]
 	if p == nil {
-		return // it has a result already
+		return // the proposal already has a result
 	}
 	switch r.outcome {
 	case replyBase:
@@ -244,12 +248,12 @@
 			p.baseIndex, p.nextAttempt = r.baseIndex, now.Mono
 		}
 	case replyNotCommitted:
-		n.proposals.settle(r.name.number, NotCommitted)
+		n.proposals.settle(r.id.number, NotCommitted)
 	case replyForgotten:
-		n.proposals.settle(r.name.number, Indeterminate)
+		n.proposals.settle(r.id.number, Indeterminate)
 	case replyNoLeader:
 		p.nextAttempt = min(p.nextAttempt, now.Mono+noLeaderRetryAfter)
 	case replyUnknown, replyCommitted:
-		// Asked again, or applied soon.
+		// If unknown, the request is repeated; if committed, the record will be applied soon.
 	}
 }
--- a/internal/fleet/records.go
+++ b/internal/fleet/records.go
@@ -6,29 +6,29 @@
 	"dunestep/internal/fleet/replica"
 )
 
-// recordHeaderBytes is the size of a record before its data: the number of its state machine, and the name of
-// the proposal.
+// recordHeaderBytes is the size of a record's header: the number of its state machine and the ID of the
+// proposal.
 const recordHeaderBytes = 1 + 8 + 8
 
-func encodeRecord(machine uint8, name proposalName, data []byte) []byte {
+func encodeRecord(machine uint8, id proposalID, data []byte) []byte {
 	b := append(make([]byte, 0, recordHeaderBytes+len(data)), machine)
-	b = binary.BigEndian.AppendUint64(b, name.origin)
-	b = binary.BigEndian.AppendUint64(b, name.number)
+	b = binary.BigEndian.AppendUint64(b, id.origin)
+	b = binary.BigEndian.AppendUint64(b, id.number)
 	return append(b, data...)
 }
 
-// decodeRecord decodes a record; false: no agent proposes such a one.
-func decodeRecord(b []byte) (machine uint8, name proposalName, data []byte, isValid bool) {
+// decodeRecord decodes a record. isValid is false for a record that is too short, which no agent proposes.
+func decodeRecord(b []byte) (machine uint8, id proposalID, data []byte, isValid bool) {
 	if len(b) < recordHeaderBytes {
-		return 0, name, nil, false
+		return 0, id, nil, false
 	}
-	name.origin, name.number = binary.BigEndian.Uint64(b[1:]), binary.BigEndian.Uint64(b[9:])
-	return b[0], name, b[recordHeaderBytes:], true
+	id.origin, id.number = binary.BigEndian.Uint64(b[1:]), binary.BigEndian.Uint64(b[9:])
+	return b[0], id, b[recordHeaderBytes:], true
 }
 
-// snapshotHeaderBytes is the size of a snapshot in the voters' log before its data. That snapshot is one of
-// the replica: records are numbered as there, not by raft, which also counts configuration changes and empty
-// entries.
+// snapshotHeaderBytes is the size of the header of a snapshot in the voters' log: the epoch, sequence number
+// and checksum of the replica. The sequence number counts records only, whereas a raft index also counts
+// configuration changes and empty entries.
 const snapshotHeaderBytes = 3 * 8
 
 func encodeSnapshot(s replica.Snapshot) []byte {
@@ -39,7 +39,7 @@
 	return append(b, s.Data...)
 }
 
-// decodeSnapshot decodes a snapshot in the voters' log. It returns errStateFormat for other data.
+// decodeSnapshot decodes a snapshot in the voters' log. It returns errStateFormat if the data is too short.
 func decodeSnapshot(b []byte) (s replica.Snapshot, err error) {
 	if len(b) < snapshotHeaderBytes {
 		return s, errStateFormat
--- a/internal/fleet/settings.go
+++ b/internal/fleet/settings.go
@@ -16,31 +16,32 @@
 	maxVoters = 7
 )
 
-// ClockReading is what the machine's clocks show; see lease.ClockReading.
+// ClockReading is a reading of the machine's clocks; see lease.ClockReading.
 type ClockReading = lease.ClockReading
 
-// Settings are the settings of one agent. Agents, Voters, Terms and Machines have to be the same at all
-// agents.
+// Settings are the settings of one agent. Agents, Voters, Terms and Machines must be the same at all agents.
 type Settings struct {
 	Self, Agents int
-	Voters       []int // the agents that keep the log; none: the node does nothing
-	// NonVoting reports that this agent is configured as a voter and is none, as its store cannot be used.
+	Voters       []int // the agents that keep the log; empty: the node does nothing
+	// NonVoting excludes this agent from voting although it is configured as a voter, as its store cannot be
+	// used.
 	NonVoting bool
-	// Incarnation numbers this process: its start in Unix milliseconds, or anything higher than before.
+	// Incarnation identifies this process. It is higher than that of the agent's previous process, such as the
+	// start time in Unix milliseconds.
 	Incarnation uint64
-	Seed        uint64 // different at each process
+	Seed        uint64 // different for each process
 	Terms       lease.Terms
-	// ReadyTimeout is after what time an agent that has found no log, or reaches nobody who has it, reports that
-	// it is ready nevertheless; default 2 s.
+	// ReadyTimeout is the time after which an agent reports that it is ready, even if it has found no log or
+	// reaches no agent that has it; default 2 s.
 	ReadyTimeout time.Duration
-	// IsDurable reports that what Persist requests is written to a folder that outlives the process. Otherwise a
-	// voter that is restarted is a new one.
+	// IsDurable means that the data of Output.Persist is written to a folder that outlives the process.
+	// Otherwise a voter that is restarted counts as a new voter.
 	IsDurable bool
-	Stored    raftlog.Stored // what that folder contains
-	// MemoryBytes bounds the messages in flight; BytesPerSecond and BurstBytes pace what is sent. 0: the
-	// defaults of package fragment.
+	Stored    raftlog.Stored // contents of that folder
+	// MemoryBytes bounds the messages in flight, and BytesPerSecond and BurstBytes the bytes sent. Zero values
+	// select the defaults of package fragment.
 	MemoryBytes, BytesPerSecond, BurstBytes int
-	// Machines are by their number in records; those of later builds follow.
+	// Machines are the state machines, in the order of their numbers in records. Later builds append theirs.
 	Machines    []StateMachine
 	Application Application // nil: none
 }
@@ -53,7 +54,7 @@
 	return s
 }
 
-// IsVoter reports whether this agent is one of the voters, and can be.
+// IsVoter reports whether this agent is configured as a voter and not excluded by NonVoting.
 func (s Settings) IsVoter() bool { return slices.Contains(s.Voters, s.Self) && !s.NonVoting }
 
 // Validate returns an error that describes the first invalid setting.
--- a/internal/fleet/statemachines.go
+++ b/internal/fleet/statemachines.go
@@ -9,29 +9,31 @@
 	"dunestep/internal/fleet/replica"
 )
 
-// StateMachine is what records of one kind mean: its state follows from them alone, and is the same at every
-// agent that has applied as many. It must not retain the data that it is given.
+// StateMachine interprets the records of one kind. Its state depends on these records alone, and is the same
+// at every agent that has applied the same records. It must not retain the data that it is given.
 //
-// Agents of an earlier build do not know all state machines. They keep the records of the others, which are
-// applied only where a snapshot of theirs is read: a state machine that is added must not depend on the state
-// of another one, except as the maintenance windows' do on the policy's, which every build knows that has
-// either.
+// Agents of an earlier build do not know all state machines. They store the records of unknown state machines
+// in their snapshots, and an agent of a later build applies them only when it restores such a snapshot, after
+// the states of all state machines. Therefore a new state machine must not depend on the state of another
+// one. The one exception is that of the maintenance windows, which depends on that of the fleet policy: every
+// build that knows either of them knows that of the fleet policy.
 type StateMachine interface {
-	// Apply applies the next record of this state machine. What it cannot decode it ignores: every agent does.
+	// Apply applies the next record of this state machine. It ignores a record that it cannot decode, as every
+	// agent does.
 	Apply(seq uint64, data []byte)
-	// Snapshot returns the state, such that Restore makes the same of it.
+	// Snapshot returns the encoded state, from which Restore restores the same state.
 	Snapshot() []byte
-	// Restore replaces the state; nil is that of a log that begins.
+	// Restore replaces the state; nil selects the state of an empty log.
 	Restore(data []byte) error
 }
 
 const (
 	// maxStateBytes is the maximum size of all states in a snapshot of the voters' log.
 	maxStateBytes = raftlog.MaxSnapshotBytes - snapshotHeaderBytes
-	// unknownRecordsMark stands in place of a state's length: what follows are records that an earlier build
-	// kept. Builds that do not know of them stop reading after the states of their own state machines, which
-	// come before.
-	unknownRecordsMark       = ^uint32(0)
+	// unknownRecordsMarker has the position of a state's length. It is followed by the records that an earlier
+	// build kept. Builds without support for it stop reading after the states of their own state machines, which
+	// precede it.
+	unknownRecordsMarker     = ^uint32(0)
 	lengthBytes              = 4
 	unknownRecordHeaderBytes = 8 + lengthBytes
 )
@@ -43,21 +45,22 @@
 	errStateTooLarge      = errors.New("fleet: the state exceeds the maximum size of a snapshot")
 )
 
-// stateMachines are the state machines that this build knows, and what is kept for agents of later builds:
-// these may continue from a snapshot of this agent, above all of a voter, and would lose what it left out.
+// stateMachines are the state machines that this build knows, and the states and records that it keeps for
+// agents of later builds. Such an agent may continue from a snapshot of this agent, in particular if this
+// agent is a voter, and would lose any data that the snapshot lacks.
 type stateMachines struct {
 	known []StateMachine
-	// unknownStates are the states of the state machines after the known ones, as of the snapshot from which
-	// this process continued, and unknownRecords are their records since.
+	// unknownStates are the states of the state machines after the known ones, from the snapshot that this
+	// process restored, and unknownRecords are their records since then.
 	unknownStates  [][]byte
 	unknownRecords []replica.Record
-	unknownBytes   int  // of the records in a snapshot
-	isFull         bool // no capacity for more: no snapshot is made any more, and the log stays as it is
+	unknownBytes   int  // encoded size of unknownRecords in a snapshot
+	isFull         bool // unknownRecords exceeded the limit: there are no more snapshots or compactions
 	reported       map[uint8]bool
 }
 
-// apply applies a record, or keeps it if its state machine is unknown. It returns errUnknownMachine once for
-// each unknown state machine.
+// apply applies a record, or keeps it if its state machine is unknown. It returns an error wrapping
+// errUnknownMachine for the first record of each unknown state machine.
 func (m *stateMachines) apply(seq uint64, record []byte) error {
 	machine, _, data, isValid := decodeRecord(record)
 	switch {
@@ -83,8 +86,8 @@
 	return fmt.Errorf("%w: %d", errUnknownMachine, machine)
 }
 
-// snapshot returns all states, each with its length, and what is kept. It returns errUnknownRecordsFull or
-// errStateTooLarge if that exceeds the maximum size: no snapshot is made then.
+// snapshot returns all states, each preceded by its length, and the kept records. It returns
+// errUnknownRecordsFull or errStateTooLarge if they exceed the maximum size of a snapshot.
 func (m *stateMachines) snapshot() (b []byte, err error) {
 	if m.isFull {
 		return nil, errUnknownRecordsFull
@@ -99,7 +102,7 @@
 		add(state)
 	}
 	if len(m.unknownRecords) > 0 {
-		b = binary.BigEndian.AppendUint32(b, unknownRecordsMark)
+		b = binary.BigEndian.AppendUint32(b, unknownRecordsMarker)
 	}
 	for _, r := range m.unknownRecords {
 		b = binary.BigEndian.AppendUint64(b, r.Seq)
@@ -115,14 +118,14 @@
 	return nil, errUnknownRecordsFull
 }
 
-// restore replaces the states by those of a snapshot, and applies the records that were kept in it by agents
-// that did not know their state machines. A snapshot of an agent that knows fewer state machines resets the
-// others; nil resets all. It returns an error wrapping errStateFormat.
+// restore replaces the states by those of a snapshot, and applies the records of unknown state machines that
+// earlier builds kept in it. State machines that the snapshot lacks, as it is from an earlier build, are
+// reset; nil resets all. It returns an error wrapping errStateFormat if the snapshot cannot be decoded.
 func (m *stateMachines) restore(b []byte) error {
 	m.unknownStates, m.unknownRecords, m.unknownBytes, m.isFull = nil, nil, 0, false
 	for i := 0; i < len(m.known) || len(b) > 0; i++ {
 		var state []byte
-		if len(b) >= lengthBytes && binary.BigEndian.Uint32(b) == unknownRecordsMark {
+		if len(b) >= lengthBytes && binary.BigEndian.Uint32(b) == unknownRecordsMarker {
 			if i >= len(m.known) {
 				break
 			}
@@ -141,7 +144,7 @@
 	return m.restoreUnknownRecords(b)
 }
 
-// restoreUnknownRecords applies the kept records, from their mark on.
+// restoreUnknownRecords applies the kept records, which are preceded by unknownRecordsMarker; b may be empty.
 func (m *stateMachines) restoreUnknownRecords(b []byte) error {
 	if len(b) > 0 {
 		b = b[lengthBytes:]
@@ -155,14 +158,15 @@
 		if !isValid {
 			return errStateFormat
 		}
-		// An unknown state machine is reported by its next record.
+		// An unknown state machine is reported when its next record is applied.
 		_ = m.apply(seq, data)
 		b = rest
 	}
 	return nil
 }
 
-// cutState cuts a state with its length off the front; the state is nil if it is empty.
+// cutState splits b into a state, which is preceded by its length, and the rest. The state is nil if it is
+// empty.
 func cutState(b []byte) (state, rest []byte, isValid bool) {
 	if len(b) < lengthBytes || uint64(len(b)-lengthBytes) < uint64(binary.BigEndian.Uint32(b)) {
 		return nil, nil, false
--- a/internal/fleet/statemachines_test.go
+++ b/internal/fleet/statemachines_test.go
@@ -14,7 +14,7 @@
 	"dunestep/internal/fleet/lease"
 )
 
-// recorder is a state machine whose state is the beginnings of its records.
+// recorder is a state machine whose state is the first two bytes of each of its records.
 type recorder struct{ records []string }
 
 func (r *recorder) Apply(_ uint64, data []byte) {
@@ -28,8 +28,8 @@
 	return nil
 }
 
-// newMixedFleet runs five agents, of which those that isEarlier names are of a build that does not know the second state
-// machine; recorders are those of the others.
+// newMixedFleet runs five agents. Those selected by isEarlier are of a build that does not know the second state machine;
+// recorders are the second state machines of the others.
 func newMixedFleet(isEarlier *[5]bool) (l *fleetlab.Lab, recorders *[5]*recorder) {
 	recorders = &[5]*recorder{}
 	l = fleetlab.New(fleetlab.Options{Agents: 5, Voters: 3, Seed: 8, Application: func(set *fleet.Settings, _ fleet.ClockReading) {
@@ -44,7 +44,7 @@
 	return l, recorders
 }
 
-// propose proposes records one after the other.
+// propose proposes records one after the other, and waits until each is applied.
 func propose(t *testing.T, l *fleetlab.Lab, machine uint8, records ...string) {
 	for _, r := range records {
 		before := l.Node(2).Applied().Seq
@@ -59,7 +59,7 @@
 	}
 }
 
-// manyRecords returns numbered records of a size.
+// manyRecords returns n numbered records, padded by size bytes.
 func manyRecords(first, n, size int) (all []string) {
 	for i := first; i < first+n; i++ {
 		all = append(all, fmt.Sprintf("%08d%s", i, bytes.Repeat([]byte{'.'}, size)))
@@ -67,8 +67,9 @@
 	return all
 }
 
-// A voter of a build that does not know a state machine compacts its log: whoever continues from its snapshot has the state
-// of that state machine nevertheless, another agent and the voter's own next build, and again from a snapshot made of that.
+// A voter of a build that does not know a state machine compacts its log. Its snapshot still contains the state of that
+// state machine: another agent and the voter's own later build restore it, also after the earlier build has itself restored
+// it from a snapshot.
 func TestEarlierBuildKeepsUnknownState(t *testing.T) {
 	isEarlier := &[5]bool{true, false, false, false, true}
 	l, recorders := newMixedFleet(isEarlier)
@@ -76,11 +77,11 @@
 	for i, round := range []string{"a", "b"} {
 		propose(t, l, 1, round+"1", round+"2")
 		want = append(want, round+"1", round+"2")
-		propose(t, l, 0, manyRecords(100*i, 100, 8<<10)...) // both logs are compacted, at all agents
+		propose(t, l, 0, manyRecords(100*i, 100, 8<<10)...) // the voters' log and the replica are compacted at all agents
 		l.Run(time.Second)
 		require.Equal(t, want, recorders[2].records)
 
-		l.Lose(3) // it returns, and receives the records from the voter of the earlier build alone
+		l.KillAndEraseDisk(3) // when it restarts, it receives the records from the voter of the earlier build alone
 		for a := range 5 {
 			if a != 0 && a != 3 {
 				l.Isolate(a, true)
@@ -93,11 +94,11 @@
 			l.Isolate(a, false)
 		}
 		l.Run(4 * time.Second)
-		l.Lose(0) // the earlier build continues from the others' snapshot itself
+		l.KillAndEraseDisk(0) // the earlier build restores a snapshot of the other agents
 		l.World.Start(0)
 		l.Run(6 * time.Second)
 	}
-	for _, a := range []int{0, 4} { // the next build, with what the earlier one wrote
+	for _, a := range []int{0, 4} { // the later build starts with the data that the earlier build wrote
 		isEarlier[a] = false
 		l.Kill(a)
 		l.World.Start(uint32(a))
@@ -109,9 +110,9 @@
 	require.Empty(t, l.Violations())
 }
 
-// Without capacity to keep more unknown records, a voter of an earlier build makes no snapshot, and stands down once its log
-// is full, rather than lose them; it acts within the floor, and the others continue.
-func TestEarlierBuildStandsDown(t *testing.T) {
+// A voter of an earlier build that cannot keep more unknown records makes no more snapshots, as these would lack records.
+// Once its log is full it stops voting and acts within the floor; the other agents continue.
+func TestEarlierBuildStopsVotingWhenFull(t *testing.T) {
 	isEarlier := &[5]bool{true, false, false, false, false}
 	l, recorders := newMixedFleet(isEarlier)
 	propose(t, l, 1, manyRecords(0, 150, 8<<10)...)
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -10,7 +10,7 @@
 	"dunestep/internal/fleet/replica"
 )
 
-// Status is what a node knows of itself and of the others, for operators.
+// Status describes a node and its view of the other agents, for operators.
 type Status struct {
 	Self, Agents   int
 	Incarnation    uint64
@@ -21,22 +21,22 @@
 	LeaseRemaining time.Duration // 0: no lease is held
 	Ready          bool
 	Connection     membership.Connection
-	Voter          *raftlog.Status // nil: this agent is no voter
-	PresentAgents  int             // including this one
-	Peers          []Peer          // those of which anything is known, by their numbers
-	Dropped        uint64          // messages that could not be decoded or had no capacity
+	Voter          *raftlog.Status // nil: this agent is not a voter
+	PresentAgents  int             // agents that count as present, including this one
+	Peers          []Peer          // agents with a known status, in the order of their numbers
+	Dropped        uint64          // messages that could not be decoded, processed or queued
 	Transport      fragment.Stats
 	Leases         lease.HolderStats
 }
 
-// Peer is what is known of another agent.
+// Peer is the view of another agent.
 type Peer struct {
 	Agent        int
 	State        membership.Status
-	IsPathClosed bool // this agent receives it and is not received by it
+	IsPathClosed bool // this agent receives messages from it, but not the reverse
 }
 
-// Status returns what the node knows now.
+// Status returns the present status.
 func (n *Node) Status(now ClockReading) Status {
 	isReady, _ := n.Ready(now)
 	s := Status{
@@ -64,5 +64,5 @@
 	return peers
 }
 
-// Leave has the other agents informed, with the next messages, that this process leaves.
+// Leave announces to other agents, with the next messages, that this process leaves.
 func (n *Node) Leave() { n.members.Leave() }
--- a/internal/fleet/voting.go
+++ b/internal/fleet/voting.go
@@ -9,7 +9,7 @@
 	"dunestep/internal/fleet/replica"
 )
 
-// startVoter makes this agent one of the voters.
+// startVoter starts the voter of this agent. It returns an error if the stored state cannot be used.
 func (n *Node) startVoter(now ClockReading) error {
 	voters := make([]uint32, 0, len(n.settings.Voters))
 	for _, v := range n.settings.Voters {
@@ -31,7 +31,7 @@
 
 func (n *Node) voterStatus() raftlog.Status { return n.voter.Status() }
 
-// stepVoter gives the voter an input, and carries out what follows from it.
+// stepVoter passes an input to the voter, and carries out the outputs.
 func (n *Node) stepVoter(now ClockReading, in raftlog.Input) {
 	for in != nil {
 		out := n.voter.Step(steadyTime(now), in)
@@ -46,8 +46,8 @@
 	n.confirmLeases(now, s)
 }
 
-// carryOut does what the voter asks for, and returns its next input; nil: none. Rejected inputs need no
-// handling: their senders repeat them.
+// carryOut carries out an output of the voter, and returns the voter's next input, or nil if there is none.
+// Rejected inputs need no handling, as their senders repeat them.
 func (n *Node) carryOut(now ClockReading, out raftlog.Output) (next raftlog.Input) {
 	for _, m := range out.Messages {
 		n.send(now, int(m.To), channelRaft, m.Bytes)
@@ -70,16 +70,16 @@
 	return nil
 }
 
-// standDown ends this agent's part as a voter: it cannot follow the log any more, so it must not grant leases
-// on it. It continues as an agent that is behind, within the floor, until it runs a later build.
+// standDown stops this agent's voter: the agent can no longer append to its replica, so it must not grant
+// leases. It continues without a lease, within the floor, until it runs a later build.
 func (n *Node) standDown() {
 	if n.voter != nil {
 		n.addEvent(Event{Kind: VoterStopped, Position: n.applied, Err: errUnknownRecordsFull})
 	}
-	n.voter, n.granter, n.isStopped = nil, nil, true
+	n.voter, n.granter, n.wasStopped = nil, nil, true
 }
 
-// handleRestore replaces the replica by the state from which the voters' log continues.
+// handleRestore replaces the replica by the snapshot from which the voters' log continues.
 func (n *Node) handleRestore(r *raftlog.Restore) {
 	s := replica.InitialSnapshot(r.Epoch)
 	if len(r.Data) > 0 {
@@ -95,12 +95,12 @@
 	}
 }
 
-// handleCommitted appends a record that the voters committed. The replica may have received it from others
-// already.
+// handleCommitted appends a record that the voters committed, unless the replica has already received it by
+// gossip.
 func (n *Node) handleCommitted(now ClockReading, e raftlog.Entry) {
 	n.delivered++
 	if n.log.Last().Epoch != n.voterStatus().Identity.Epoch {
-		return // a later log, to which this voter does not belong yet, has replaced this one in the replica
+		return // the replica belongs to a later log, of which this voter is not a member yet
 	}
 	err := n.log.Append(replica.Record{Seq: n.delivered, Data: e.Data})
 	if errors.Is(err, replica.ErrFull) && n.machines.isFull {
@@ -116,8 +116,9 @@
 	}
 }
 
-// voterSnapshot returns the state as of the last record that the voters' log delivered; nil: the state
-// machines are not there.
+// voterSnapshot returns the input that compacts the voters' log with a snapshot as of the last record that
+// the log delivered. It returns nil if the state machines are at another position or the snapshot is too
+// large.
 func (n *Node) voterSnapshot(now ClockReading) raftlog.Input {
 	n.applyNew(now)
 	if n.applied.Seq != n.delivered || n.applied.Epoch != n.voterStatus().Identity.Epoch {
@@ -125,7 +126,7 @@
 	}
 	data, err := n.machines.snapshot()
 	if err != nil {
-		return nil // too large: none is made
+		return nil // too large
 	}
 	s := replica.Snapshot{Epoch: n.applied.Epoch, Seq: n.applied.Seq, Sum: n.applied.Sum, Data: data}
 	return raftlog.Compact{Index: n.voterStatus().AppliedIndex, Data: encodeSnapshot(s)}
