--- a/internal/fleet/applying.go
+++ b/internal/fleet/applying.go
@@ -2,7 +2,7 @@
 
 import "dunestep/internal/fleet/replica"
 
-// compactThreshold is the fraction of the replica's limits from which on it is compacted.
+// compactThreshold is the fraction of the replica's limits at which it is compacted.
 const compactThreshold = 0.75
 
 // Applied returns the position of the last record that this agent has applied.
--- a/internal/fleet/doc.go
+++ b/internal/fleet/doc.go
@@ -1,5 +1,5 @@
-// Package fleet lets the agents of a fleet agree on a log of records. It runs one agent's part of it: the
-// voters' log, its replica at every agent, the leases on its newest records, and the membership, which
+// Package fleet lets the agents of a fleet agree on a log of records. It implements one agent's part:
+// the voters' log, its replica at every agent, the leases on its newest records, and the membership, which
 // records which agents are alive.
 //
 // A Node combines the packages raftlog (the voter), replica (the copy of the log), gossip (the replication of
--- a/internal/fleet/fleetlab/randomfaults.go
+++ b/internal/fleet/fleetlab/randomfaults.go
@@ -13,7 +13,7 @@
 	end := l.World.Now().Add(length)
 	for l.World.Now().Before(end) {
 		l.Run(time.Duration(50+l.rng.IntN(1200)) * time.Millisecond)
-		l.injectFault()
+		l.injectRandomFault()
 		for range l.rng.IntN(3) {
 			l.Do(Fault{Kind: Propose, Agent: l.rng.IntN(len(l.hosts))})
 		}
@@ -30,8 +30,8 @@
 // after schedules a call of do after the given time; the call is omitted if the run ends before.
 func (l *Lab) after(d time.Duration, do func()) { l.World.At(l.World.Now().Add(d), do) }
 
-// injectFault injects a fault of a random kind.
-func (l *Lab) injectFault() {
+// injectRandomFault injects a fault of a random kind.
+func (l *Lab) injectRandomFault() {
 	a, length := l.randomTarget()
 	b := l.rng.IntN(len(l.hosts))
 	switch l.rng.IntN(14) {
--- a/internal/fleet/membership/list_test.go
+++ b/internal/fleet/membership/list_test.go
@@ -94,8 +94,7 @@
 	return count
 }
 
-// runUntil runs until count agents see an agent in one of some statuses, for at most 10 minutes, and returns the time
-// taken.
+// runUntil runs until count agents see an agent in one of some statuses, for at most 10 minutes, and returns the duration.
 func (l *lab) runUntil(of, count int, status ...Status) time.Duration {
 	begin := l.Now()
 	for l.countStatus(of, status...) < count {
--- a/internal/fleet/membership/paths.go
+++ b/internal/fleet/membership/paths.go
@@ -25,7 +25,7 @@
 	lastReceived time.Duration
 	hasReceived  bool
 	nextSent     uint8                    // index of the oldest entry in sentAt
-	sentAt       [closedAfterSends]uint32 // times of the last messages, in sentUnit since startedAt + 1; 0: none
+	sentAt       [closedAfterSends]uint32 // of the last messages: sentUnits since the start, plus 1; 0: none
 	reports      [maxReports]oneWayReport
 }
 
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -50,7 +50,7 @@
 	freshAsOf     time.Time // last value of raftlog.Status.FreshAsOf, by the steady clock
 	wasLeading    bool      // as last reported
 	wasStopped    bool      // as last reported
-	mustStandDown bool
+	mustStopVoter bool
 
 	proposals           proposals
 	nextApplicationCall time.Duration // time of the next call of NextActions, by the steady clock
--- a/internal/fleet/statemachines.go
+++ b/internal/fleet/statemachines.go
@@ -30,9 +30,9 @@
 const (
 	// maxStateBytes is the maximum size of all states in a snapshot of the voters' log.
 	maxStateBytes = raftlog.MaxSnapshotBytes - snapshotHeaderBytes
-	// unknownRecordsMarker has the position of a state's length. It is followed by the records that an earlier
-	// build kept. Builds without support for it stop reading after the states of their own state machines, which
-	// precede it.
+	// unknownRecordsMarker is written in place of a state's length. It is followed by the records that an
+	// earlier build kept. Builds without support for it stop reading after the states of their own state
+	// machines, which precede it.
 	unknownRecordsMarker     = ^uint32(0)
 	lengthBytes              = 4
 	unknownRecordHeaderBytes = 8 + lengthBytes
--- a/internal/fleet/voting.go
+++ b/internal/fleet/voting.go
@@ -37,8 +37,8 @@
 		out := n.voter.Step(steadyTime(now), in)
 		in = n.carryOut(now, out)
 	}
-	if n.mustStandDown {
-		n.standDown()
+	if n.mustStopVoter {
+		n.stopVoter()
 		return
 	}
 	s := n.voterStatus()
@@ -70,9 +70,9 @@
 	return nil
 }
 
-// standDown stops this agent's voter: the agent can no longer append to its replica, so it must not grant
+// stopVoter stops this agent's voter: the agent can no longer append to its replica, so it must not grant
 // leases. It continues without a lease, within the floor, until it runs a later build.
-func (n *Node) standDown() {
+func (n *Node) stopVoter() {
 	if n.voter != nil {
 		n.addEvent(Event{Kind: VoterStopped, Position: n.applied, Err: errUnknownRecordsFull})
 	}
@@ -104,7 +104,7 @@
 	}
 	err := n.log.Append(replica.Record{Seq: n.delivered, Data: e.Data})
 	if errors.Is(err, replica.ErrFull) && n.machines.isFull {
-		n.mustStandDown = true
+		n.mustStopVoter = true
 		return
 	}
 	if err != nil {
