--- a/cmd/dunestep/deployments_test.go
+++ b/cmd/dunestep/deployments_test.go
@@ -345,7 +345,7 @@
 	require.NoError(t, w.process.Process.Signal(syscall.SIGHUP))
 	w.until("taken over", func() bool { return strings.Contains(w.log.String(), "configuration applied") })
 	next := w.upgrade()
-	require.Contains(t, next.log.String(), `msg="state not restored" error="state: of another agent or another deployment"`)
+	require.Contains(t, next.log.String(), `msg="state not restored" error="state: belongs to another agent or another deployment"`)
 	require.NotContains(t, next.log.String(), `msg="state restored"`)
 	require.Zero(t, w.quit())
 	require.Zero(t, next.quit())
--- a/internal/state/format.go
+++ b/internal/state/format.go
@@ -9,20 +9,20 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// A file is a fixed part, a header, the content and a checksum over all that is before it:
+// A file consists of a fixed part, a header, the content and a checksum over all preceding bytes:
 //
 //	8 bytes  magic
-//	2        version of the format
-//	2        length of the header
-//	4        length of the content
+//	2        format version
+//	2        header length in bytes
+//	4        content length in bytes
 //	8        generation
-//	         header and content, as CBOR
+//	         header and content in CBOR
 //	4        CRC-32C
 //
-// All numbers are big-endian. Magic, version and checksum stand where they are in every version of the
-// format. The checksum finds every change of up to 32 bits in a row, so each damaged byte for certain.
+// All numbers are big-endian. Magic, version and checksum have the same position in every version of the
+// format. The checksum detects every burst error of up to 32 bits, and therefore any single damaged byte.
 //
-// Format 1 had no generation, and its content had no sections. It is read, and never written.
+// Format 1 has no generation, and its content has no sections. It is read but never written.
 const (
 	magic             = "DUNESTEP"
 	currentFormat     = 2
@@ -30,36 +30,36 @@
 	fixedBytesFormat1 = 16
 	checksumBytes     = 4
 	maxHeaderBytes    = 1<<16 - 1
-	// MaxFileBytes is the longest file that is written or read.
+	// MaxFileBytes is the maximum size of a file that is written or read, in bytes.
 	MaxFileBytes = 4 << 20
 )
 
-// Bounds of the CBOR that is read.
+// Limits for decoded CBOR.
 const (
 	maxArrayElements = 1 << 16
 	maxMapPairs      = 1 << 10
 	maxNesting       = 16
 )
 
-// The ways in which a file can't be read or written.
+// Errors of Encode and Decode.
 var (
-	// ErrNotAStateFile means that this program never wrote the file.
-	ErrNotAStateFile = errors.New("state: not a file of this program")
-	// ErrDamaged means that the file is not as it was written.
+	// ErrNotAStateFile means that the file was not written by this program.
+	ErrNotAStateFile = errors.New("state: not a state file")
+	// ErrDamaged means that the file differs from what was written.
 	ErrDamaged = errors.New("state: damaged")
-	// ErrNewer means that a later build wrote the file, in a format that this one can't read.
+	// ErrNewer means that a later build wrote the file in a format that this build can't read.
 	ErrNewer = errors.New("state: written by a later build")
-	// ErrOtherOwner means that the file is another agent's, or this agent's in another deployment.
-	ErrOtherOwner = errors.New("state: of another agent or another deployment")
-	// ErrTooLong means that the content does not fit into MaxFileBytes.
-	ErrTooLong = errors.New("state: longer than a file may be")
+	// ErrOtherOwner means that the file belongs to another agent, or to this agent in another deployment.
+	ErrOtherOwner = errors.New("state: belongs to another agent or another deployment")
+	// ErrTooLong means that the encoded file would exceed MaxFileBytes.
+	ErrTooLong = errors.New("state: the encoded file is too long")
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli) // never changed
 
 var encoding, decoding = newCodec() // never changed, and safe for concurrent use
 
-// newCodec returns the modes in which CBOR is written and read.
+// newCodec returns the CBOR encoding and decoding modes.
 func newCodec() (cbor.EncMode, cbor.DecMode) {
 	enc, err := cbor.EncOptions{
 		Sort: cbor.SortCoreDeterministic, ShortestFloat: cbor.ShortestFloat16,
@@ -68,7 +68,8 @@
 	if err != nil {
 		panic(err) // the options above are invalid
 	}
-	// Keys that a later build of the same version added are ignored; anything else unexpected is an error.
+	// Unknown map keys are ignored, since a later build may add some within a version. Anything else unexpected
+	// is an error.
 	dec, err := cbor.DecOptions{
 		DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden,
 		TagsMd: cbor.TagsForbidden, MaxArrayElements: maxArrayElements, MaxMapPairs: maxMapPairs,
@@ -80,7 +81,7 @@
 	return enc, dec
 }
 
-// Encode returns the bytes of a file, in the current format. ErrTooLong: it has more than MaxFileBytes.
+// Encode returns a file encoded in the current format. It returns ErrTooLong if that exceeds MaxFileBytes.
 func Encode(f *File) ([]byte, error) {
 	header, err := encoding.Marshal(f.Header)
 	if err != nil {
@@ -104,8 +105,8 @@
 	return binary.BigEndian.AppendUint32(raw, crc32.Checksum(raw, castagnoli)), nil
 }
 
-// Decode reads a file from its bytes: all of it or, with an error that wraps one of those above, nothing. A
-// file of an earlier format is converted to the current one.
+// Decode decodes a complete file. On failure it returns nil and an error that wraps ErrNotAStateFile,
+// ErrDamaged or ErrNewer. A file of an earlier format is converted to the current one.
 func Decode(raw []byte) (*File, error) {
 	body, err := checkFrame(raw)
 	if err != nil {
@@ -137,7 +138,7 @@
 	return f, nil
 }
 
-// checkFrame checks magic, length and checksum of a file, and returns what the checksum covers.
+// checkFrame checks a file's magic, length and checksum, and returns the bytes that the checksum covers.
 func checkFrame(raw []byte) (body []byte, err error) {
 	if len(raw) < len(magic) || string(raw[:len(magic)]) != magic {
 		return nil, ErrNotAStateFile
--- a/internal/state/format_test.go
+++ b/internal/state/format_test.go
@@ -21,8 +21,8 @@
 
 var owner = Owner{Deployment: "d", Agent: "n0"}
 
-// sample is a file of an agent that knows n servers.
-func sample(n int) *File {
+// sampleFile returns the file of an agent with n servers in its endpoint list.
+func sampleFile(n int) *File {
 	config := protocol.EndpointList{Version: 41, Full: true}
 	m := balancer.Snapshot{MeanLatency: 0.0517342, SendRate: 43.1234}
 	for i := range n {
@@ -56,13 +56,13 @@
 	}
 }
 
-// Whichever byte of a file is changed, wherever it is cut and whatever follows it: Decode returns nothing of it.
+// Decode returns an error and no file for any changed byte, for any truncation, and for trailing bytes.
 func TestEveryDamageIsDetected(t *testing.T) {
-	raw, err := Encode(sample(5))
+	raw, err := Encode(sampleFile(5))
 	require.NoError(t, err)
 	decoded, err := Decode(raw)
 	require.NoError(t, err)
-	require.Equal(t, sample(5), decoded)
+	require.Equal(t, sampleFile(5), decoded)
 	old, err := os.ReadFile("testdata/format-1.state")
 	require.NoError(t, err)
 	for _, raw := range [][]byte{raw, old} {
@@ -83,7 +83,7 @@
 	}
 }
 
-// A file of format 1 is read with all that it has, and written in the current format.
+// A format 1 file is decoded completely and encoded in the current format.
 func TestFormat1IsRead(t *testing.T) {
 	raw, err := os.ReadFile("testdata/format-1.state")
 	require.NoError(t, err)
@@ -108,8 +108,8 @@
 	require.Equal(t, currentFormat, g.Format)
 }
 
-// framed puts a header and a content between a fixed part and a checksum that fit them.
-func framed(version int, header, content []byte) []byte {
+// buildRawFile returns a file's bytes: header and content, with a matching fixed part and checksum.
+func buildRawFile(version int, header, content []byte) []byte {
 	raw := binary.BigEndian.AppendUint16([]byte(magic), uint16(version))
 	raw = binary.BigEndian.AppendUint16(raw, uint16(len(header)))
 	raw = binary.BigEndian.AppendUint32(raw, uint32(len(content)))
@@ -123,19 +123,19 @@
 func TestUnknownVersionsAreRefusedOrSkipped(t *testing.T) {
 	header, err := encoding.Marshal(Header{Owner: owner})
 	require.NoError(t, err)
-	_, err = Decode(framed(3, header, nil))
+	_, err = Decode(buildRawFile(3, header, nil))
 	require.ErrorIs(t, err, ErrNewer)
-	_, err = Decode(framed(0, header, nil))
+	_, err = Decode(buildRawFile(0, header, nil))
 	require.ErrorIs(t, err, ErrDamaged)
 	_, err = Decode([]byte("#!/bin/sh\necho some other file here\n"))
 	require.ErrorIs(t, err, ErrNotAStateFile)
 
-	// A section of a later version is skipped, and so is one that is unknown; the others are read.
+	// A section of a later version or of an unknown key is skipped; the others are decoded.
 	list, err := encoding.Marshal(StoredList{Version: 9})
 	require.NoError(t, err)
 	content, err := encoding.Marshal(map[int]any{1: []any{1, cbor.RawMessage(list)}, 2: []any{99, "?"}, 77: []any{1, 2}})
 	require.NoError(t, err)
-	f, err := Decode(framed(2, header, content))
+	f, err := Decode(buildRawFile(2, header, content))
 	require.NoError(t, err)
 	require.Equal(t, int64(9), f.List.Version)
 	require.Nil(t, f.Balancer)
@@ -144,20 +144,20 @@
 	require.Contains(t, f.SkippedSections[0], "module: version 99")
 }
 
-// Whatever a complete file has in it: Decode refuses it, or what it returns can be used.
+// Decode either rejects a file with arbitrary header and content, or returns values that the agent can restore.
 func FuzzDecode(f *testing.F) {
-	for version, raw := range map[int][]byte{1: must(os.ReadFile("testdata/format-1.state")), 2: must(Encode(sample(3)))} {
-		begin := map[int]int{1: fixedBytesFormat1, 2: fixedBytes}[version]
-		header := begin + int(binary.BigEndian.Uint16(raw[10:]))
-		f.Add(uint8(version), raw[begin:header], raw[header:len(raw)-checksumBytes])
+	for version, raw := range map[int][]byte{1: must(os.ReadFile("testdata/format-1.state")), 2: must(Encode(sampleFile(3)))} {
+		headerStart := map[int]int{1: fixedBytesFormat1, 2: fixedBytes}[version]
+		headerEnd := headerStart + int(binary.BigEndian.Uint16(raw[10:]))
+		f.Add(uint8(version), raw[headerStart:headerEnd], raw[headerEnd:len(raw)-checksumBytes])
 	}
-	set := balancer.Settings{
+	settings := balancer.Settings{
 		Tick: time.Millisecond, Balancers: 3, Classes: []balancer.Class{{Name: "consult", Deadline: time.Second}},
 		Tenants: []balancer.Tenant{{Name: "acme", QuotaPerSecond: 10}}, Limits: balancer.Limits{MaxAttempts: 2},
 		Rules: balancer.Rules{SlowStartDuration: time.Second, OverloadWindow: time.Second, OverloadMultiple: 3},
 	}
 	f.Fuzz(func(t *testing.T, version uint8, header, content []byte) {
-		file, err := Decode(framed(int(version), header, content))
+		file, err := Decode(buildRawFile(int(version), header, content))
 		if err != nil {
 			return
 		}
@@ -165,8 +165,8 @@
 			t.Fatal(err)
 		}
 		now := time.Duration(time.Now().UnixNano())
-		b, _ := balancer.New(set, 1)
-		gate, _ := overload.New(set, overload.Config{}, b, 1)
+		b, _ := balancer.New(settings, 1)
+		gate, _ := overload.New(settings, overload.Config{}, b, 1)
 		if file.List != nil {
 			config, err := file.List.EndpointList()
 			if err != nil {
@@ -185,10 +185,10 @@
 			gate.Restore(now, *file.Overload, file.Age(time.Now()))
 		}
 		if file.IdleConnections != nil {
-			l := routing.NewIdleLimit(now, 15*time.Second)
-			l.Restore(*file.IdleConnections, file.Age(time.Now()))
-			if l.Limit() < 0 || l.Limit() > 15*time.Second {
-				t.Fatal(l.Limit())
+			idleLimit := routing.NewIdleLimit(now, 15*time.Second)
+			idleLimit.Restore(*file.IdleConnections, file.Age(time.Now()))
+			if idleLimit.Limit() < 0 || idleLimit.Limit() > 15*time.Second {
+				t.Fatal(idleLimit.Limit())
 			}
 		}
 		for id := range uint32(20) {
@@ -212,25 +212,25 @@
 	return v
 }
 
-// A file with all that can be known of a thousand servers has under 256 KB.
-func TestLengthOfAThousandServers(t *testing.T) {
-	raw, err := Encode(sample(1000))
+// A file with every field set for 1000 servers is smaller than 256 KiB.
+func TestEncodedSizeOfThousandServers(t *testing.T) {
+	raw, err := Encode(sampleFile(1000))
 	require.NoError(t, err)
 	require.Less(t, len(raw), 256<<10)
 	t.Log(len(raw), "bytes")
-	_, err = Encode(sample(60000))
+	_, err = Encode(sampleFile(60000))
 	require.ErrorIs(t, err, ErrTooLong)
 }
 
 func BenchmarkEncode(b *testing.B) {
-	f := sample(1000)
+	f := sampleFile(1000)
 	for b.Loop() {
 		_, _ = Encode(f)
 	}
 }
 
 func BenchmarkDecode(b *testing.B) {
-	raw, _ := Encode(sample(1000))
+	raw, _ := Encode(sampleFile(1000))
 	for b.Loop() {
 		f, err := Decode(raw)
 		if err != nil {
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -15,10 +15,10 @@
 	"dunestep/internal/routing"
 )
 
-var updateGolden = flag.Bool("update", false, "write the golden files anew")
+var updateGolden = flag.Bool("update", false, "rewrite the golden files")
 
-// golden compares bytes with a file of testdata/golden, or writes it.
-func golden(t *testing.T, name string, got []byte) {
+// checkGolden compares got with a file in testdata/golden. With -update it writes the file first.
+func checkGolden(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata/golden", name)
 	if *updateGolden {
@@ -29,8 +29,8 @@
 	require.Equal(t, string(want), string(got), name)
 }
 
-// fillDistinct gives every exported field below v a value of its own, in the order of their declaration.
-// Slices get two elements, maps one.
+// fillDistinct sets every exported field below v to a distinct value, in declaration order. Slices get two
+// elements.
 func fillDistinct(v reflect.Value, n *int) {
 	*n++
 	switch v.Kind() {
@@ -67,19 +67,19 @@
 	}
 }
 
-// The file in testdata/golden was written by the build of commit 3bec2d9: every field of it is read, keeps its
-// name in the JSON that is exported, and is written again byte for byte.
+// The file in testdata/golden was written by the build of commit 3bec2d9. Every field is decoded, keeps its name
+// in the exported JSON, and is encoded byte for byte as before.
 func TestGoldenFormat2(t *testing.T) {
 	if *updateGolden {
 		n := 0
-		f := sample(3)
+		f := sampleFile(3)
 		f.Balancer, f.IdleConnections, f.Overload = &balancer.Snapshot{}, &routing.IdleSnapshot{}, &overload.Snapshot{}
 		fillDistinct(reflect.ValueOf(f.Balancer).Elem(), &n)
 		fillDistinct(reflect.ValueOf(f.IdleConnections).Elem(), &n)
 		fillDistinct(reflect.ValueOf(f.Overload).Elem(), &n)
 		raw, err := Encode(f)
 		require.NoError(t, err)
-		golden(t, "format-2.state", raw)
+		checkGolden(t, "format-2.state", raw)
 	}
 	raw, err := os.ReadFile("testdata/golden/format-2.state")
 	require.NoError(t, err)
@@ -88,16 +88,16 @@
 	require.Empty(t, f.SkippedSections)
 	require.Equal(t, owner, f.Owner)
 	require.Equal(t, uint64(7), f.Generation)
-	require.Equal(t, sample(3).List, f.List)
+	require.Equal(t, sampleFile(3).List, f.List)
 	again, err := Encode(f)
 	require.NoError(t, err)
-	golden(t, "format-2.state", again)
+	checkGolden(t, "format-2.state", again)
 	exported, err := json.MarshalIndent(f, "", "  ")
 	require.NoError(t, err)
-	golden(t, "format-2.json", exported)
+	checkGolden(t, "format-2.json", exported)
 }
 
-// The first format is read, and turned into the present one, as the build of commit 3bec2d9 did it.
+// A format 1 file is converted to the current format with the same result as in the build of commit 3bec2d9.
 func TestGoldenFormat1(t *testing.T) {
 	raw, err := os.ReadFile("testdata/format-1.state")
 	require.NoError(t, err)
@@ -105,8 +105,8 @@
 	require.NoError(t, err)
 	exported, err := json.MarshalIndent(f, "", "  ")
 	require.NoError(t, err)
-	golden(t, "format-1.json", exported)
+	checkGolden(t, "format-1.json", exported)
 	again, err := Encode(f)
 	require.NoError(t, err)
-	golden(t, "format-1-as-2.state", again)
+	checkGolden(t, "format-1-as-2.state", again)
 }
--- a/internal/state/initial.go
+++ b/internal/state/initial.go
@@ -10,25 +10,25 @@
 	"dunestep/internal/routing"
 )
 
-// Initial is what an agent starts from.
+// Initial is the endpoint list and the learned statistics that an agent starts with.
 type Initial struct {
-	// List is the file's or the configuration's, whichever has the higher version.
+	// List is the stored or the configured endpoint list, whichever has the higher version.
 	List       protocol.EndpointList
 	IsFromFile bool
-	// ConfirmedAt is when discovery last confirmed this list, or one before it, in Unix time; zero: not known.
+	// ConfirmedAt is when discovery last confirmed this list or an earlier one, in Unix time; zero: unknown.
 	ConfirmedAt time.Duration
-	// ListAge is how long ago that was; negative: not known, or the clock was set back.
+	// ListAge is the time since ConfirmedAt; negative: unknown, or the clock was set back.
 	ListAge time.Duration
-	// Balancer, Overload and IdleConnections are what was learned until Age before now; nil: nothing.
+	// Balancer, Overload and IdleConnections are the stored statistics, Age old; nil: none are stored.
 	Balancer        *balancer.Snapshot
 	Overload        *overload.Snapshot
 	IdleConnections *routing.IdleSnapshot
 	Age             time.Duration
 }
 
-// NewInitial returns what an agent starts from: the list that its configuration has, and its file, which may
-// be nil. What the file has of a server holds only if that has the same start and address in the list. The
-// error says why the file's list can't be used; then the Initial has the configured list alone.
+// NewInitial combines the configured endpoint list with the stored file, which may be nil. Statistics of a
+// server are kept only if the server has the same start time and address in the resulting list. If the stored
+// list is invalid, the error says why and the Initial contains only the configured list.
 func NewInitial(configured protocol.EndpointList, f *File, now time.Time) (Initial, error) {
 	initial := Initial{List: configured, ListAge: -1}
 	if f == nil {
@@ -43,7 +43,7 @@
 		if stored.Version > configured.Version {
 			initial.List, initial.IsFromFile = stored, true
 		}
-		// A configured list that is newer than the stored one was made after that was confirmed: it is no older.
+		// A configured list newer than the stored one was created after that confirmation, so it is no older.
 		if f.List.ConfirmedMS > 0 {
 			initial.ConfirmedAt = time.Duration(f.List.ConfirmedMS) * time.Millisecond
 			initial.ListAge = now.Sub(time.UnixMilli(f.List.ConfirmedMS))
@@ -54,13 +54,13 @@
 	return initial, nil
 }
 
-// incarnation is what tells one process of a server from the next.
+// incarnation distinguishes one process of a server from the next.
 type incarnation struct {
 	addr      netip.AddrPort
 	startedAt time.Duration
 }
 
-// incarnations are those of a list's servers, by id.
+// incarnations returns the incarnations of a list's servers by server id.
 func incarnations(list protocol.EndpointList) map[string]incarnation {
 	byID := map[string]incarnation{}
 	for _, e := range list.Endpoints {
@@ -69,7 +69,8 @@
 	return byID
 }
 
-// keepSameServers returns a snapshot without the servers that are not the same incarnation in both lists.
+// keepSameServers returns a copy of the snapshot with only the servers that have the same incarnation in both
+// lists; nil if there is no snapshot.
 func keepSameServers(learned *balancer.Snapshot, stored, current protocol.EndpointList) *balancer.Snapshot {
 	if learned == nil {
 		return nil
--- a/internal/state/initial_test.go
+++ b/internal/state/initial_test.go
@@ -15,22 +15,22 @@
 	"dunestep/internal/routing"
 )
 
-// endpoints is a list whose entries are written as id, port and start.
-func endpoints(version int64, servers ...[3]int) protocol.EndpointList {
-	c := protocol.EndpointList{Version: version, Full: true}
+// endpointList returns a list of servers, each given as id, port and start time in nanoseconds.
+func endpointList(version int64, servers ...[3]int) protocol.EndpointList {
+	list := protocol.EndpointList{Version: version, Full: true}
 	for _, s := range servers {
-		c.Endpoints = append(c.Endpoints, protocol.Endpoint{Server: balancer.Server{
+		list.Endpoints = append(list.Endpoints, protocol.Endpoint{Server: balancer.Server{
 			ID: fmt.Sprintf("s-%d", s[0]), Weight: 1,
 			StartedAt: time.Duration(s[2]),
 		}, Addr: netip.MustParseAddrPort(fmt.Sprintf("10.0.0.1:%d", s[1]))})
 	}
-	return c
+	return list
 }
 
-// An agent starts from the newer list, and what was learned holds for the servers that are the same in it.
+// An agent starts with the newer list, and keeps the statistics of servers whose incarnation is unchanged in it.
 func TestInitialPrefersTheNewerList(t *testing.T) {
 	now := time.UnixMilli(1_796_000_000_000)
-	stored := endpoints(41, [3]int{1, 9001}, [3]int{2, 9002}, [3]int{3, 9003, 7})
+	stored := endpointList(41, [3]int{1, 9001}, [3]int{2, 9002}, [3]int{3, 9003, 7})
 	f := &File{
 		Header: Header{WrittenMS: now.Add(-time.Minute).UnixMilli()},
 		Content: Content{
@@ -44,13 +44,13 @@
 		fromFile   bool
 		servers    []string
 	}{
-		"older":    {endpoints(40, [3]int{1, 9001}), 41, true, []string{"s-1", "s-2", "s-3"}},
+		"older":    {endpointList(40, [3]int{1, 9001}), 41, true, []string{"s-1", "s-2", "s-3"}},
 		"the same": {stored, 41, false, []string{"s-1", "s-2", "s-3"}},
 		"newer, moved, replaced, restarted, gone": {
-			endpoints(42, [3]int{1, 9009}, [3]int{3, 9003, 8}, [3]int{4, 9002}),
+			endpointList(42, [3]int{1, 9009}, [3]int{3, 9003, 8}, [3]int{4, 9002}),
 			42, false, nil,
 		},
-		"newer, two the same": {endpoints(42, [3]int{2, 9002}, [3]int{3, 9003, 7}), 42, false, []string{"s-2", "s-3"}},
+		"newer, two the same": {endpointList(42, [3]int{2, 9002}, [3]int{3, 9003, 7}), 42, false, []string{"s-2", "s-3"}},
 	} {
 		initial, err := NewInitial(c.configured, f, now)
 		require.NoError(t, err)
@@ -78,7 +78,7 @@
 	require.Equal(t, Initial{List: stored, ListAge: -1}, unusable)
 }
 
-// balancerSpy is a balancer that records its calls.
+// balancerSpy is a Balancer that records its calls.
 type balancerSpy struct{ calls []string }
 
 func (s *balancerSpy) Snapshot(time.Duration) balancer.Snapshot {
@@ -89,7 +89,7 @@
 	s.calls = append(s.calls, "restore")
 }
 
-// gateSpy is a gate that records the age of what is restored.
+// gateSpy is an OverloadGate that records the age of the restored snapshot.
 type gateSpy struct{ age time.Duration }
 
 func (g *gateSpy) Snapshot(time.Duration) overload.Snapshot { return overload.Snapshot{InFlight: 5} }
@@ -104,43 +104,43 @@
 }
 func (s *balancerSpy) ConfirmServerList() { s.calls = append(s.calls, "confirm") }
 
-// Until discovery confirms the list, what it tells may show that a server is another one than was known; after
-// that nothing more comes of it. What is stored is the list as it is by then, and when it was last confirmed.
-func TestSession(t *testing.T) {
+// Until discovery has confirmed the list, an update can show that a server was replaced, and its statistics are
+// forgotten. Later updates forget nothing. A snapshot has the current list and the time of its last confirmation.
+func TestRecorderForgetsReplacedServersBeforeConfirmation(t *testing.T) {
 	b, gate, idle := &balancerSpy{}, &gateSpy{}, routing.NewIdleLimit(0, 10*time.Second)
-	s := NewRecorder(Initial{
-		List: endpoints(41, [3]int{1, 9001}, [3]int{2, 9002}, [3]int{3, 9003}), Balancer: &balancer.Snapshot{},
+	recorder := NewRecorder(Initial{
+		List: endpointList(41, [3]int{1, 9001}, [3]int{2, 9002}, [3]int{3, 9003}), Balancer: &balancer.Snapshot{},
 		Overload: &overload.Snapshot{InFlight: 7}, Age: time.Minute, ConfirmedAt: 5 * time.Millisecond, ListAge: 30 * time.Second,
 	},
 		b, gate, idle, ProbationSettings{Enabled: true, FullDeploy: time.Minute})
-	s.RestoreLearned(time.Second)
+	recorder.RestoreLearned(time.Second)
 	require.Equal(t, time.Minute+7, gate.age)
-	require.False(t, s.ListUpdated(2*time.Second, balancer.UpdateFailed, protocol.EndpointList{}, routing.Unconfirmed))
-	require.False(t, s.ListUpdated(3*time.Second, balancer.UpdateIncremental, protocol.EndpointList{}, routing.Unconfirmed)) // a call was accepted
-	require.Equal(t, int64(5), s.Snapshot(4*time.Second).Content().List.ConfirmedMS)
-	update := endpoints(43, [3]int{1, 9009}, [3]int{2, 9002, 6}, [3]int{4, 9001})
+	require.False(t, recorder.ListUpdated(2*time.Second, balancer.UpdateFailed, protocol.EndpointList{}, routing.Unconfirmed))
+	require.False(t, recorder.ListUpdated(3*time.Second, balancer.UpdateIncremental, protocol.EndpointList{}, routing.Unconfirmed)) // the watch call was accepted
+	require.Equal(t, int64(5), recorder.Snapshot(4*time.Second).Content().List.ConfirmedMS)
+	update := endpointList(43, [3]int{1, 9009}, [3]int{2, 9002, 6}, [3]int{4, 9001})
 	update.Full = false
-	left := protocol.Endpoint{Server: balancer.Server{ID: "s-3", State: balancer.Gone}}
-	update.Endpoints = append(update.Endpoints, left)
-	require.True(t, s.ListUpdated(5*time.Second, balancer.UpdateIncremental, update, routing.Confirmed))
+	removed := protocol.Endpoint{Server: balancer.Server{ID: "s-3", State: balancer.Gone}}
+	update.Endpoints = append(update.Endpoints, removed)
+	require.True(t, recorder.ListUpdated(5*time.Second, balancer.UpdateIncremental, update, routing.Confirmed))
 	require.Equal(t, []string{"restore", "probation 0.5", "forget s-1", "forget s-2", "confirm"}, b.calls)
-	require.False(t, s.ListUpdated(6*time.Second, balancer.UpdateFull, endpoints(44, [3]int{1, 9010}), routing.Confirmed))
+	require.False(t, recorder.ListUpdated(6*time.Second, balancer.UpdateFull, endpointList(44, [3]int{1, 9010}), routing.Confirmed))
 	require.Len(t, b.calls, 5)
 
-	c := s.Snapshot(9 * time.Second).Content()
-	require.Equal(t, int64(44), c.List.Version)
-	require.InDelta(t, 5.0, c.Overload.InFlight, 0)
-	require.Equal(t, int64(9000), c.List.ConfirmedMS, "the watch confirms the list")
+	content := recorder.Snapshot(9 * time.Second).Content()
+	require.Equal(t, int64(44), content.List.Version)
+	require.InDelta(t, 5.0, content.Overload.InFlight, 0)
+	require.Equal(t, int64(9000), content.List.ConfirmedMS, "an open watch must confirm the list")
 	ids := []string{}
-	for _, s := range c.List.Endpoints {
+	for _, s := range content.List.Endpoints {
 		ids = append(ids, s.ID+" "+s.Addr)
 	}
-	require.Equal(t, []string{"s-1 10.0.0.1:9010"}, slices.Compact(ids), "the last list was complete")
-	s.ListUpdated(10*time.Second, balancer.UpdateFailed, protocol.EndpointList{}, routing.Unconfirmed)
-	require.Equal(t, int64(10000), s.Snapshot(20*time.Second).Content().List.ConfirmedMS)
+	require.Equal(t, []string{"s-1 10.0.0.1:9010"}, slices.Compact(ids), "a full update must replace the whole list")
+	recorder.ListUpdated(10*time.Second, balancer.UpdateFailed, protocol.EndpointList{}, routing.Unconfirmed)
+	require.Equal(t, int64(10000), recorder.Snapshot(20*time.Second).Content().List.ConfirmedMS)
 }
 
-// The limit on idle connections that was learned is restored, and decays as it would have.
+// The learned limit on idle connections is restored and decays with the age of its snapshot.
 func TestIdleLimitIsRestored(t *testing.T) {
 	l := routing.NewIdleLimit(0, 15*time.Second)
 	for range 20 {
@@ -160,23 +160,23 @@
 	}
 }
 
-// The time that the agent's actor spends on a snapshot of a thousand servers.
+// Measures the time that the agent's actor spends on a snapshot of 1000 servers.
 func BenchmarkSnapshot(b *testing.B) {
 	var servers [][3]int
 	for i := range 1000 {
 		servers = append(servers, [3]int{i, 9000 + i})
 	}
-	list := endpoints(1, servers...)
-	set := balancer.Settings{Tick: time.Millisecond, Classes: []balancer.Class{{Deadline: time.Second}}}
-	b0, _ := balancer.New(set, 1)
+	list := endpointList(1, servers...)
+	settings := balancer.Settings{Tick: time.Millisecond, Classes: []balancer.Class{{Deadline: time.Second}}}
+	b0, _ := balancer.New(settings, 1)
 	update := &balancer.ServerListUpdate{Kind: balancer.UpdateFull}
 	for _, s := range list.Endpoints {
 		update.Servers = append(update.Servers, s.Server)
 	}
-	gate, _ := overload.New(set, overload.Config{}, b0, 1)
+	gate, _ := overload.New(settings, overload.Config{}, b0, 1)
 	gate.Step(time.Hour, update)
-	s := NewRecorder(Initial{List: list}, b0, gate, routing.NewIdleLimit(0, time.Second), ProbationSettings{})
+	recorder := NewRecorder(Initial{List: list}, b0, gate, routing.NewIdleLimit(0, time.Second), ProbationSettings{})
 	for b.Loop() {
-		s.Snapshot(time.Hour)
+		recorder.Snapshot(time.Hour)
 	}
 }
--- a/internal/state/recorder.go
+++ b/internal/state/recorder.go
@@ -10,7 +10,7 @@
 	"dunestep/internal/routing"
 )
 
-// Balancer is what a Recorder needs of balancer.Balancer.
+// Balancer is the part of balancer.Balancer that a Recorder uses.
 type Balancer interface {
 	Snapshot(now time.Duration) balancer.Snapshot
 	Restore(now time.Duration, s balancer.Snapshot, age time.Duration)
@@ -19,38 +19,38 @@
 	ConfirmServerList()
 }
 
-// OverloadGate is what a Recorder needs of overload.Gate.
+// OverloadGate is the part of overload.Gate that a Recorder uses.
 type OverloadGate interface {
 	Snapshot(now time.Duration) overload.Snapshot
 	Restore(now time.Duration, s overload.Snapshot, age time.Duration)
 }
 
-// IdleLimiter is what a Recorder needs of routing.IdleLimit.
+// IdleLimiter is the part of routing.IdleLimit that a Recorder uses.
 type IdleLimiter interface {
 	Snapshot(now time.Duration) routing.IdleSnapshot
 	Restore(s routing.IdleSnapshot, age time.Duration)
 }
 
-// Recorder restores what was learned into the parts of a running agent, and takes snapshots of them. It
-// belongs to the agent's actor.
+// Recorder restores stored statistics into the components of a running agent, and takes snapshots of them.
+// Only the agent's actor may use it.
 type Recorder struct {
 	balancer      Balancer
 	gate          OverloadGate
 	idleLimit     IdleLimiter
 	savedList     *routing.SavedList
-	initial       Initial // until RestoreLearned
-	listTrust     float64 // in the list of the start, from 0 to 1
+	initial       Initial // zero after RestoreLearned
+	listTrust     float64 // trust in the initial list, from 0 to 1
 	usesProbation bool
 }
 
-// ProbationSettings says whether servers of a list that is not confirmed are tried with few requests first.
+// ProbationSettings configures whether servers of an unconfirmed list get only few requests at first.
 type ProbationSettings struct {
 	Enabled bool
-	// FullDeploy is how long a deployment of all servers takes: a list as old as that is not trusted at all.
+	// FullDeploy is the duration of a deployment of all servers. A list of at least this age is not trusted.
 	FullDeploy time.Duration
 }
 
-// NewRecorder returns a Recorder for the parts of an agent that starts from initial.
+// NewRecorder returns a Recorder for the components of an agent that starts with initial.
 func NewRecorder(
 	initial Initial,
 	b Balancer,
@@ -65,8 +65,8 @@
 	}
 }
 
-// RestoreLearned restores what was learned. It is called once, right after the balancer was told the list of
-// the start, and before the first request.
+// RestoreLearned restores the stored statistics. It must be called once, right after the balancer has
+// received the initial list and before the first request.
 func (r *Recorder) RestoreLearned(now time.Duration) {
 	if r.initial.Balancer != nil {
 		r.balancer.Restore(now, *r.initial.Balancer, r.initial.Age)
@@ -80,11 +80,11 @@
 	if r.usesProbation {
 		r.balancer.StartProbation(r.listTrust)
 	}
-	r.initial = Initial{} // its memory can be reclaimed
+	r.initial = Initial{} // allows its memory to be reclaimed
 }
 
-// ListUpdated takes an update of the list, right after the balancer was told of it. It returns whether
-// discovery has confirmed the list by that for the first time.
+// ListUpdated applies an update of the endpoint list. It must be called right after the balancer has received
+// the update. It reports whether this is discovery's first confirmation of the list.
 func (r *Recorder) ListUpdated(now time.Duration, kind balancer.UpdateKind, list protocol.EndpointList,
 	confirmation routing.Confirmation,
 ) (firstConfirmation bool) {
@@ -98,16 +98,17 @@
 	return firstConfirmation
 }
 
-// Snapshot is what was known at one time. It shares nothing that changes, so another goroutine may use it.
+// Snapshot is the list and the statistics at one time. It shares no mutable data, so another goroutine may
+// use it.
 type Snapshot struct {
 	list        protocol.EndpointList
-	confirmedAt time.Duration // in Unix time
+	confirmedAt time.Duration // Unix time
 	balancer    balancer.Snapshot
 	overload    overload.Snapshot
 	idle        routing.IdleSnapshot
 }
 
-// Snapshot returns what is known now.
+// Snapshot returns the current list and statistics.
 func (r *Recorder) Snapshot(now time.Duration) Snapshot {
 	return Snapshot{
 		list: r.savedList.List(), confirmedAt: r.savedList.ConfirmedAt(now), balancer: r.balancer.Snapshot(now),
@@ -123,8 +124,8 @@
 	}
 }
 
-// ListVersion returns the version of the list that is known.
+// ListVersion returns the version of the current list.
 func (r *Recorder) ListVersion() int64 { return r.savedList.Version() }
 
-// IsListConfirmed tells whether discovery has confirmed the list since the start.
+// IsListConfirmed reports whether discovery has confirmed the list since the agent started.
 func (r *Recorder) IsListConfirmed() bool { return r.savedList.WasConfirmed() }
--- a/internal/state/sections.go
+++ b/internal/state/sections.go
@@ -10,20 +10,20 @@
 	"dunestep/internal/overload"
 )
 
-// The versions of the sections that this package itself gives a meaning.
+// Versions of the sections whose encoding this package defines.
 const (
 	listVersion = 1
 	idleVersion = 1
 )
 
-// section is a part of the content with a version of its own, so that each can change without the others.
+// section is a part of the content. Each has its own version, so that it can change independently.
 type section struct {
 	_       struct{} `cbor:",toarray"`
 	Version int
 	Value   cbor.RawMessage
 }
 
-// sections is the content as it is laid out; any may be absent. A key is never used again for something else.
+// sections is the encoded form of the content; any section may be absent. Keys must never be reused.
 type sections struct {
 	List            *section `cbor:"1,keyasint,omitempty"`
 	Balancer        *section `cbor:"2,keyasint,omitempty"`
@@ -31,7 +31,7 @@
 	Overload        *section `cbor:"4,keyasint,omitempty"`
 }
 
-// encodeSections encodes the content.
+// encodeSections returns the encoded sections of the content.
 func (c *Content) encodeSections() ([]byte, error) {
 	var all sections
 	err := errors.Join(
@@ -45,7 +45,7 @@
 	return encoding.Marshal(all)
 }
 
-// encodeSection encodes a value into a section; nil: the section is absent.
+// encodeSection encodes a value into a section. It leaves the section absent if value is nil.
 func encodeSection[T any](into **section, version int, value *T) error {
 	if value == nil {
 		return nil
@@ -71,9 +71,9 @@
 		decodeSection(f, "storm", all.Overload, overload.SnapshotVersion, &f.Overload))
 }
 
-// decodeSection decodes a section of the version that this build writes, or of an earlier one, which the
-// migrations from version 1 on convert. Any other version is skipped, and noted in the file. The name is the
-// JSON's.
+// decodeSection decodes a section of the current version, or of an earlier one that the migrations convert;
+// the first of them converts from version 1. A section of any other version is skipped and listed in
+// SkippedSections. The name is the section's key in the exported JSON.
 func decodeSection[T any](
 	f *File,
 	name string,
@@ -86,7 +86,7 @@
 	case from == nil:
 		return nil
 	case from.Version < version-len(migrations) || from.Version > version:
-		skipped := fmt.Sprintf("%s: version %d, known is %d", name, from.Version, version)
+		skipped := fmt.Sprintf("%s: version %d, this build supports %d", name, from.Version, version)
 		f.SkippedSections = append(f.SkippedSections, skipped)
 		return nil
 	}
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// decodeFormat1 decodes the content of format 1: the first versions of two sections, without their version.
+// decodeFormat1 decodes the content of format 1: two sections of version 1, without a version number.
 func (f *File) decodeFormat1(raw []byte) error {
 	var c struct {
 		List     *StoredList        `cbor:"1,keyasint,omitempty"`
--- a/internal/state/storedlist.go
+++ b/internal/state/storedlist.go
@@ -12,12 +12,12 @@
 // StoredList is the endpoint list in its stored form.
 type StoredList struct {
 	Version int64 `cbor:"1,keyasint" json:"version"`
-	// ConfirmedMS is when discovery last confirmed the list, in Unix milliseconds; zero: it never did.
+	// ConfirmedMS is when discovery last confirmed the list, in Unix milliseconds; zero: never.
 	ConfirmedMS int64            `cbor:"2,keyasint,omitempty" json:"confirmed_ms"`
 	Endpoints   []StoredEndpoint `cbor:"3,keyasint,omitempty" json:"servers"`
 }
 
-// StoredEndpoint is an entry of the list.
+// StoredEndpoint is an endpoint in its stored form.
 type StoredEndpoint struct {
 	ID          string               `cbor:"1,keyasint" json:"id"`
 	Addr        string               `cbor:"2,keyasint,omitempty" json:"addr"`
@@ -26,11 +26,12 @@
 	Cell        int                  `cbor:"5,keyasint,omitempty" json:"cell"`
 	State       balancer.ServerState `cbor:"6,keyasint,omitempty" json:"state"`
 	Weight      float64              `cbor:"7,keyasint,omitempty" json:"weight"`
-	// StartedAt is in Unix time; zero: long ago.
+	// StartedAt is the server's start in Unix time; zero: long ago.
 	StartedAt time.Duration `cbor:"8,keyasint,omitempty" json:"started_ns"`
 }
 
-// NewStoredList returns the stored form of a list that was last confirmed at a time, in Unix milliseconds.
+// NewStoredList returns the stored form of a list. confirmedMS is when discovery last confirmed it, in Unix
+// milliseconds.
 func NewStoredList(list protocol.EndpointList, confirmedMS int64) *StoredList {
 	stored := &StoredList{
 		Version: list.Version, ConfirmedMS: confirmedMS,
@@ -49,7 +50,7 @@
 	return stored
 }
 
-// EndpointList returns the list that was stored. The error names the first entry that can't be one.
+// EndpointList returns the stored list, or an error that names its first invalid endpoint.
 func (l *StoredList) EndpointList() (protocol.EndpointList, error) {
 	list := protocol.EndpointList{Version: l.Version, Full: true}
 	for _, stored := range l.Endpoints {
@@ -62,11 +63,11 @@
 	return list, nil
 }
 
-// endpoint returns the entry that was stored. Only one that is ready needs an address.
+// endpoint returns the stored endpoint, or an error if it is invalid. Only a ready one needs an address.
 func (e StoredEndpoint) endpoint() (protocol.Endpoint, error) {
 	addr, err := netip.ParseAddrPort(e.Addr)
 	hasAddr := err == nil && addr.Port() != 0
-	validWeight := e.Weight >= 0 // which NaN is not
+	validWeight := e.Weight >= 0 // false for NaN
 	if e.ID == "" || e.State > balancer.Draining || !validWeight || e.StartedAt < 0 ||
 		e.State == balancer.Ready && !hasAddr {
 		return protocol.Endpoint{}, fmt.Errorf(
