--- a/internal/state/folder/crash_test.go
+++ b/internal/state/folder/crash_test.go
@@ -14,67 +14,67 @@
 	"dunestep/internal/state"
 )
 
-// The file system of these tests keeps what was synced. Of the rest a power cut leaves any part of the bytes, and any
-// of the names, in any order.
+// The simulated file system keeps synced data. A power cut may keep any part of the unsynced bytes and any subset of
+// the unsynced renames.
 
 var (
 	errPowerCut = errors.New("the power is cut")
 	errFault    = errors.New("no space left")
 )
 
-// inode is a file's bytes, whatever its name.
+// inode is the content of a file, independent of its name.
 type inode struct {
 	data   []byte
 	synced bool
 }
 
-// rename is a change of a name that was not synced.
+// rename is an unsynced rename.
 type rename struct {
 	name string
 	to   *inode
 }
 
-// crashDirectory does one thing at each step. From the step cut on it does nothing; the step fault returns an error, and
-// is not done, or half.
+// crashDirectory is a directory that counts its steps. Every step from cutStep on fails, as after a power cut. The
+// step faultStep fails too and leaves its operation undone or half done.
 type crashDirectory struct {
-	durable, now map[string]*inode
-	unsynced     []rename
-	lost         []rename // by a sync that failed: a later one does not bring them back
-	step         int
-	cut, fault   int
-	each         func() // called before each step
-	// Faults of a writer that the search has to find.
+	durable, current   map[string]*inode
+	unsynced           []rename
+	lost               []rename // renames of failed syncs: a later sync does not make them durable
+	step               int
+	cutStep, faultStep int
+	beforeStep         func() // called before each step
+	// Writer faults that the search must find: missing syncs of the files or of the directory.
 	noFileSync, noNameSync bool
 }
 
-func (d *crashDirectory) next() error {
-	d.each()
+func (d *crashDirectory) nextStep() error {
+	d.beforeStep()
 	d.step++
 	switch {
-	case d.step >= d.cut:
+	case d.step >= d.cutStep:
 		return errPowerCut
-	case d.step == d.fault:
+	case d.step == d.faultStep:
 		return errFault
 	}
 	return nil
 }
 
 func (d *crashDirectory) read(name string) ([]byte, error) {
-	if i := d.now[name]; i != nil {
+	if i := d.current[name]; i != nil {
 		return i.data, nil
 	}
 	return nil, fs.ErrNotExist
 }
 
-func (d *crashDirectory) create(name string) (pending, error) {
-	if err := d.next(); err != nil {
+func (d *crashDirectory) create(name string) (pendingFile, error) {
+	if err := d.nextStep(); err != nil {
 		return nil, err
 	}
 	return &crashFile{d, name, &inode{}}, nil
 }
 
 func (d *crashDirectory) sync() error {
-	err := d.next()
+	err := d.nextStep()
 	if err != nil {
 		d.lost = append(d.lost, d.unsynced...)
 		d.unsynced = nil
@@ -94,7 +94,7 @@
 func (d *crashDirectory) removeLeftovers() error { return nil }
 func (d *crashDirectory) close() error           { return nil }
 
-// crashFile is a file that is being written, with the steps of a renameio.PendingFile.
+// crashFile is a pendingFile with the steps of a renameio.PendingFile.
 type crashFile struct {
 	dir  *crashDirectory
 	name string
@@ -104,7 +104,7 @@
 // Write writes in two steps.
 func (f *crashFile) Write(raw []byte) (int, error) {
 	for i, part := range [][]byte{raw[:len(raw)/3], raw[len(raw)/3:]} {
-		if err := f.dir.next(); err != nil {
+		if err := f.dir.nextStep(); err != nil {
 			return i * len(raw) / 3, err
 		}
 		f.file.data = append(f.file.data, part...)
@@ -113,116 +113,117 @@
 }
 
 func (f *crashFile) CloseAtomicallyReplace() error {
-	if err := f.dir.next(); err != nil {
+	if err := f.dir.nextStep(); err != nil {
 		return err
 	}
 	f.file.synced = !f.dir.noFileSync
-	if err := f.dir.next(); err != nil {
+	if err := f.dir.nextStep(); err != nil {
 		return err
 	}
-	f.dir.now[f.name] = f.file
+	f.dir.current[f.name] = f.file
 	f.dir.unsynced = append(f.dir.unsynced, rename{f.name, f.file})
 	return nil
 }
 
-func (f *crashFile) Cleanup() error { return f.dir.next() }
+func (f *crashFile) Cleanup() error { return f.dir.nextStep() }
 
-// torn returns what a power cut may leave of bytes that were not synced.
-func torn(data []byte) [][]byte {
-	half := append([]byte(nil), data...)
-	clear(half[len(half)/2:])
-	back := append([]byte(nil), data...)
-	clear(back[:len(back)/2])
-	return [][]byte{data, {}, data[:len(data)/2], half, back, data[:max(len(data)-1, 0)]}
+// tornVariants returns examples of what a power cut may leave of unsynced bytes.
+func tornVariants(data []byte) [][]byte {
+	firstHalf := append([]byte(nil), data...)
+	clear(firstHalf[len(firstHalf)/2:])
+	secondHalf := append([]byte(nil), data...)
+	clear(secondHalf[:len(secondHalf)/2])
+	return [][]byte{data, {}, data[:len(data)/2], firstHalf, secondHalf, data[:max(len(data)-1, 0)]}
 }
 
-// afterCut calls each with every state that the power cut can leave.
-func (d *crashDirectory) afterCut(each func(*crashDirectory)) {
-	loose := append(append([]rename(nil), d.lost...), d.unsynced...)
-	for some := range 1 << len(loose) {
-		left := maps.Clone(d.durable)
-		for i, r := range loose {
-			if some>>i&1 == 1 {
-				left[r.name] = r.to
+// forEachStateAfterCut calls each with every state that the power cut may leave.
+func (d *crashDirectory) forEachStateAfterCut(each func(*crashDirectory)) {
+	unsynced := append(append([]rename(nil), d.lost...), d.unsynced...)
+	for subset := range 1 << len(unsynced) {
+		names := maps.Clone(d.durable)
+		for i, r := range unsynced {
+			if subset>>i&1 == 1 {
+				names[r.name] = r.to
 			}
 		}
-		d.tear(left, slots[:], each)
+		d.forEachTornState(names, slots[:], each)
 	}
 }
 
-// tear calls each with everything that may be left of the files' bytes.
-func (d *crashDirectory) tear(left map[string]*inode, names []string, each func(*crashDirectory)) {
+// forEachTornState calls each with every combination of tornVariants of the named unsynced files in left.
+func (d *crashDirectory) forEachTornState(left map[string]*inode, names []string, each func(*crashDirectory)) {
 	if len(names) == 0 {
-		each(&crashDirectory{durable: left, now: maps.Clone(left), noFileSync: d.noFileSync, noNameSync: d.noNameSync})
+		each(&crashDirectory{durable: left, current: maps.Clone(left), noFileSync: d.noFileSync, noNameSync: d.noNameSync})
 		return
 	}
 	i := left[names[0]]
 	if i == nil || i.synced {
-		d.tear(left, names[1:], each)
+		d.forEachTornState(left, names[1:], each)
 		return
 	}
-	for _, data := range torn(i.data) {
-		other := maps.Clone(left)
-		other[names[0]] = &inode{data: data, synced: true}
-		d.tear(other, names[1:], each)
+	for _, data := range tornVariants(i.data) {
+		torn := maps.Clone(left)
+		torn[names[0]] = &inode{data: data, synced: true}
+		d.forEachTornState(torn, names[1:], each)
 	}
 }
 
 var owner = state.Owner{Deployment: "d", Agent: "n0"}
 
-func numbered(n int) state.Content {
+func numberedContent(n int) state.Content {
 	return state.Content{List: &state.StoredList{Version: int64(n)}}
 }
 
-// history is what a writer did to a file that one reader may read at any time: the last write that was acknowledged,
-// and the last that was begun. Any reading must be of one between the two: the file is a linearizable register, in
-// which an interrupted write is done or not done.
-type history struct{ acked, begun int }
+// history has the number of the last acknowledged write and of the last started write. A read at any time must
+// return a write between the two: the folder is a linearizable register, in which an interrupted write took effect
+// or did not.
+type history struct{ acknowledged, started int }
 
-func (s history) check(f *Folder) (read int, err error) {
+func (h history) check(f *Folder) (read int, err error) {
 	file, _ := f.Load()
 	if file != nil {
 		read = int(file.List.Version)
 	}
-	if read < s.acked || read > s.begun {
-		return read, fmt.Errorf("read %d, where %d was acknowledged and %d was the last begun", read, s.acked, s.begun)
+	if read < h.acknowledged || read > h.started {
+		return read, fmt.Errorf("read %d, but %d was acknowledged and %d was the last started", read, h.acknowledged, h.started)
 	}
 	return read, nil
 }
 
-// write writes a few times, with the power cut at a step and a fault at another, and checks a reading at each step. It
-// tells whether there were enough steps for the power cut.
-func (s *history) write(d *crashDirectory, times, cut, fault int) (reached bool, err error) {
-	d.cut, d.fault, d.each = cut, fault, func() {}
+// write saves the given number of times, with a power cut at the step cut and an error at the step fault, and checks
+// a read before each step. It reports whether the step of the power cut was reached.
+func (h *history) write(d *crashDirectory, times, cut, fault int) (reached bool, err error) {
+	d.cutStep, d.faultStep, d.beforeStep = cut, fault, func() {}
 	folder := newFolder(d, owner, nil)
 	folder.Load()
 	reader := newFolder(d, owner, nil)
-	d.each = func() {
-		if _, wrong := s.check(reader); wrong != nil && err == nil {
-			err = wrong
+	d.beforeStep = func() {
+		if _, checkErr := h.check(reader); checkErr != nil && err == nil {
+			err = checkErr
 		}
 	}
 	for range times {
-		s.begun++
-		if saved := folder.Save(numbered(s.begun), time.UnixMilli(int64(s.begun))); saved == nil {
-			s.acked = s.begun
+		h.started++
+		if saveErr := folder.Save(numberedContent(h.started), time.UnixMilli(int64(h.started))); saveErr == nil {
+			h.acknowledged = h.started
 		}
 	}
 	return d.step >= cut, err
 }
 
-// crash searches every step at which the power can be cut, with every step at which something fails before that, and
-// everything that can be left; and again from each of these, depth times.
-func crash(first *crashDirectory, s history, times, depth int) (states int, err error) {
+// searchPowerCuts tries a power cut at every step, an error at every step before it, and every state that the cut
+// may leave. It repeats the search from each of these states, depth times. It returns the number of states that it
+// checked.
+func searchPowerCuts(first *crashDirectory, h history, times, depth int) (states int, err error) {
 	for fault := 0; ; fault++ {
 		for cut := fault + 1; ; cut++ {
 			d := &crashDirectory{
-				durable: maps.Clone(first.durable), now: maps.Clone(first.now),
+				durable: maps.Clone(first.durable), current: maps.Clone(first.current),
 				noFileSync: first.noFileSync, noNameSync: first.noNameSync,
 			}
-			after := s
-			reached, wrong := after.write(d, times, cut, fault)
-			if err = errors.Join(err, wrong); err != nil {
+			after := h
+			reached, writeErr := after.write(d, times, cut, fault)
+			if err = errors.Join(err, writeErr); err != nil {
 				return states, fmt.Errorf("fault at %d: %w", fault, err)
 			}
 			if !reached {
@@ -231,16 +232,16 @@
 				}
 				break
 			}
-			d.afterCut(func(left *crashDirectory) {
+			d.forEachStateAfterCut(func(left *crashDirectory) {
 				states++
-				left.cut, left.each = 1<<30, func() {}
-				found, wrong := after.check(newFolder(left, owner, nil))
-				if wrong != nil {
-					err = errors.Join(err, fmt.Errorf("fault at %d, cut at %d: %w", fault, cut, wrong))
+				left.cutStep, left.beforeStep = 1<<30, func() {}
+				found, checkErr := after.check(newFolder(left, owner, nil))
+				if checkErr != nil {
+					err = errors.Join(err, fmt.Errorf("fault at %d, cut at %d: %w", fault, cut, checkErr))
 				} else if depth > 0 {
-					more, wrong := crash(left, history{found, max(after.begun, found)}, 2, depth-1)
+					more, searchErr := searchPowerCuts(left, history{found, max(after.started, found)}, 2, depth-1)
 					states += more
-					err = errors.Join(err, wrong)
+					err = errors.Join(err, searchErr)
 				}
 			})
 			if err != nil {
@@ -250,24 +251,24 @@
 	}
 }
 
-func empty() *crashDirectory {
-	return &crashDirectory{durable: map[string]*inode{}, now: map[string]*inode{}}
+func emptyDirectory() *crashDirectory {
+	return &crashDirectory{durable: map[string]*inode{}, current: map[string]*inode{}}
 }
 
-// A power cut at any step of three writes, with a fault at any step before it, and again in two writes after that: what
-// is read is always complete, and never older than what was acknowledged.
+// After a power cut at any step of three writes, with an error at any step before it, and after a second cut in the
+// two writes that follow, a read returns a complete state that is not older than the last acknowledged one.
 func TestPowerCutsKeepAcknowledgedWrites(t *testing.T) {
-	states, err := crash(empty(), history{}, 3, 1)
+	states, err := searchPowerCuts(emptyDirectory(), history{}, 3, 1)
 	require.NoError(t, err)
 	require.Greater(t, states, 10000)
 	t.Log(states, "states")
 }
 
-// The search finds a writer that does not sync the bytes, or the names.
+// The search finds a writer that does not sync the files, or not the directory.
 func TestPowerCutSearchFindsMissingSyncs(t *testing.T) {
-	for name, d := range map[string]*crashDirectory{"bytes": {noFileSync: true}, "names": {noNameSync: true}} {
-		d.durable, d.now = map[string]*inode{}, map[string]*inode{}
-		_, err := crash(d, history{}, 3, 0)
+	for name, d := range map[string]*crashDirectory{"files not synced": {noFileSync: true}, "directory not synced": {noNameSync: true}} {
+		d.durable, d.current = map[string]*inode{}, map[string]*inode{}
+		_, err := searchPowerCuts(d, history{}, 3, 0)
 		require.Error(t, err, name)
 	}
 }
--- a/internal/state/folder/directory.go
+++ b/internal/state/folder/directory.go
@@ -14,42 +14,43 @@
 	"dunestep/internal/state"
 )
 
-// directory is what a Folder needs of a file system: a rootDirectory. Tests implement one that loses, tears
-// and reorders what was not synced.
+// directory is the part of a file system that a Folder uses. rootDirectory implements it; a test
+// implementation loses, tears and reorders unsynced data.
 type directory interface {
-	// read returns a file, or its first state.MaxFileBytes+1 bytes.
+	// read returns the content of a file, limited to its first state.MaxFileBytes+1 bytes.
 	read(name string) ([]byte, error)
-	// create begins a file that will replace the one of that name, if any.
-	create(name string) (pending, error)
-	// sync makes the replacements durable.
+	// create returns an unnamed file that can later replace the file of that name, if any.
+	create(name string) (pendingFile, error)
+	// sync makes completed replacements durable.
 	sync() error
-	// removeLeftovers removes the files of interrupted writes.
+	// removeLeftovers removes the temporary files of interrupted writes.
 	removeLeftovers() error
 	close() error
 }
 
-// pending is a file that has no name yet: a renameio.PendingFile.
-type pending interface {
+// pendingFile is a temporary file that has not replaced its target yet. renameio.PendingFile implements it.
+type pendingFile interface {
 	io.Writer
-	// CloseAtomicallyReplace syncs the bytes, and then gives the file its name in one step.
+	// CloseAtomicallyReplace syncs the content and then atomically renames the file to its target.
 	CloseAtomicallyReplace() error
-	// Cleanup removes the file, if it was not given the name.
+	// Cleanup removes the file unless it has replaced its target.
 	Cleanup() error
 }
 
-// ErrInUse means that another agent holds the folder.
+// ErrInUse means that another process has locked the folder.
 var ErrInUse = errors.New("state: the folder is in use by another agent")
 
 const lockName = "lock"
 
-// rootDirectory is a folder by its handle: a folder that later takes its path is not written to.
+// rootDirectory accesses a folder by its handle: a folder that is later moved to the same path is not
+// affected.
 type rootDirectory struct {
 	root *os.Root
-	lock *os.File // nil: could not be created, since the folder is read-only
+	lock *os.File // nil if the lock file could not be created because the folder is read-only
 }
 
-// openDirectory opens a folder and locks it until close, or the end of the process. Where it can be read and
-// not written, the second error says why.
+// openDirectory opens a folder and locks it until close is called or the process ends. readOnly says why a
+// folder that can be read can't be written. ErrInUse means that another process has locked it.
 func openDirectory(path string) (d *rootDirectory, readOnly, err error) {
 	root, err := os.OpenRoot(path)
 	if err != nil {
@@ -75,11 +76,11 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = f.Close() }() // it was only read
+	defer func() { _ = f.Close() }() // opened for reading only
 	return io.ReadAll(io.LimitReader(f, state.MaxFileBytes+1))
 }
 
-func (d *rootDirectory) create(name string) (pending, error) {
+func (d *rootDirectory) create(name string) (pendingFile, error) {
 	f, err := renameio.NewPendingFile(name, renameio.WithRoot(d.root), renameio.WithStaticPermissions(0o600))
 	if err != nil {
 		return nil, err
@@ -87,7 +88,7 @@
 	return f, nil
 }
 
-// sync syncs the names, which renameio leaves to its caller.
+// sync syncs the directory entries, which renameio leaves to its caller.
 func (d *rootDirectory) sync() error {
 	f, err := d.root.Open(".")
 	if err != nil {
@@ -96,7 +97,7 @@
 	return errors.Join(f.Sync(), f.Close())
 }
 
-// removeLeftovers removes pending files of renameio, whose names are a dot, the file's name and a number.
+// removeLeftovers removes temporary files of renameio. Their names are a dot, the target's name and a number.
 func (d *rootDirectory) removeLeftovers() error {
 	entries, err := fs.ReadDir(d.root.FS(), ".")
 	for _, entry := range entries {
--- a/internal/state/folder/folder.go
+++ b/internal/state/folder/folder.go
@@ -1,8 +1,8 @@
 // Package folder stores an agent's state in a folder, so that an interrupted write loses at most that write.
 //
-// It owns the folder's two state files and its lock, by which one process at a time uses it. A Folder reads
-// and replaces the files; it is not safe for concurrent use. A Writer is the goroutine that decides when to
-// write; its methods are safe for concurrent use.
+// The folder contains two state files and a lock file that keeps other processes out. A Folder reads and
+// replaces the state files; it is not safe for concurrent use. A Writer runs the goroutine that decides
+// when to write; its methods are safe for concurrent use.
 package folder
 
 import (
@@ -14,21 +14,21 @@
 	"dunestep/internal/state"
 )
 
-// slots are the names of the two generations that are stored. A write replaces the older one: the newer one
-// is not touched until the next write is durable.
+// slots are the names of the two state files, one for each of the last two generations. A write replaces the
+// older one, so that the newer one is untouched until the write is durable.
 var slots = [2]string{"state-a", "state-b"} // never changed
 
 // Folder is the folder of one agent's state. It is not safe for concurrent use.
 type Folder struct {
 	dir        directory
 	owner      state.Owner
-	readOnly   error  // why nothing can be written; nil: it can
-	generation uint64 // of the newest file that was read or written
-	nextSlot   int    // index of the slot that is written next
+	readOnly   error  // reason why nothing can be written; nil if writable
+	generation uint64 // generation of the newest file read or written
+	nextSlot   int    // index in slots of the next file to write
 }
 
-// Open opens a folder, which must exist, for one agent. ErrInUse: another process holds it. Where the folder
-// can be read and not written, Save says why.
+// Open opens and locks an existing folder for one agent. It returns ErrInUse if another process has locked
+// it. If the folder can be read but not written, Open succeeds and Save returns the reason.
 func Open(path string, owner state.Owner) (*Folder, error) {
 	dir, readOnly, err := openDirectory(path)
 	if err != nil {
@@ -47,9 +47,9 @@
 // Close releases the folder.
 func (f *Folder) Close() error { return f.dir.close() }
 
-// Load returns the newest file that is complete and this agent's, or nil, and what was wrong with others. It
-// comes before Save, which goes on from its generation. Another agent's file is never replaced: Save fails
-// from then on.
+// Load returns the newest complete file of this agent, or nil if there is none, and an error for each
+// unusable file. It must be called before Save, which continues from the generation found. Files of another
+// agent are never replaced: if there is one, Save fails from then on.
 func (f *Folder) Load() (newest *state.File, unusable []error) {
 	for slot, name := range slots {
 		file, err := f.read(name)
@@ -67,7 +67,7 @@
 	return newest, unusable
 }
 
-// read reads one file and checks whose it is.
+// read reads and decodes one file. It returns state.ErrOtherOwner if the file belongs to another agent.
 func (f *Folder) read(name string) (*state.File, error) {
 	raw, err := f.dir.read(name)
 	if err != nil {
@@ -83,12 +83,12 @@
 	return file, nil
 }
 
-// Save writes a new generation, and returns once it is durable. After an error the one before is still there.
+// Save writes a new generation and returns once it is durable. After an error the previous one still exists.
 func (f *Folder) Save(content state.Content, now time.Time) error {
 	if f.readOnly != nil {
 		return f.readOnly
 	}
-	f.generation++ // also where this write fails: the file may be there all the same
+	f.generation++ // even if this write fails, since the file may still have been replaced
 	raw, err := state.Encode(&state.File{
 		Content: content,
 		Header:  state.Header{Owner: f.owner, WrittenMS: now.UnixMilli(), Generation: f.generation},
@@ -103,7 +103,7 @@
 	return nil
 }
 
-// replace replaces one file as a whole.
+// replace atomically replaces one file and returns once the replacement is durable.
 func (f *Folder) replace(name string, raw []byte) error {
 	file, err := f.dir.create(name)
 	if err != nil {
--- a/internal/state/folder/golden_test.go
+++ b/internal/state/folder/golden_test.go
@@ -12,12 +12,12 @@
 	"dunestep/internal/state"
 )
 
-var updateGolden = flag.Bool("update", false, "write the golden files anew")
+var updateGolden = flag.Bool("update", false, "rewrite the golden files")
 
 const goldenFolder = "testdata/golden/folder"
 
-// goldenWritten is when the first of the golden generations was written.
-var goldenWritten = time.UnixMilli(1_796_115_624_558)
+// goldenWrittenAt is the write time of the first golden generation.
+var goldenWrittenAt = time.UnixMilli(1_796_115_624_558)
 
 func goldenContent(version int64) state.Content {
 	return state.Content{List: &state.StoredList{Version: version, ConfirmedMS: 1_796_115_624_000, Endpoints: []state.StoredEndpoint{
@@ -25,15 +25,15 @@
 	}}}
 }
 
-// The folder in testdata/golden was written by the build of commit 3bec2d9: its newest generation is found, the
-// next one replaces the older, and both are written again byte for byte.
+// The folder in testdata/golden was written by the build of commit 3bec2d9. Load finds its newest generation, both
+// files are encoded byte for byte as before, and the next write replaces the older file.
 func TestGoldenFolder(t *testing.T) {
 	if *updateGolden {
 		require.NoError(t, os.MkdirAll(goldenFolder, 0o700))
 		f, err := Open(goldenFolder, owner)
 		require.NoError(t, err)
 		for version := range int64(3) {
-			require.NoError(t, f.Save(goldenContent(version), goldenWritten.Add(time.Duration(version)*time.Second)))
+			require.NoError(t, f.Save(goldenContent(version), goldenWrittenAt.Add(time.Duration(version)*time.Second)))
 		}
 		require.NoError(t, f.Close())
 	}
@@ -49,8 +49,8 @@
 
 	f, err := Open(path, owner)
 	require.NoError(t, err)
-	newest, wrong := f.Load()
-	require.Empty(t, wrong)
+	newest, unusable := f.Load()
+	require.Empty(t, unusable)
 	require.Equal(t, uint64(3), newest.Generation)
 	require.Equal(t, goldenContent(2), newest.Content)
 	for _, name := range names[1:] {
@@ -62,7 +62,7 @@
 		require.NoError(t, err)
 		require.Equal(t, raw, again, name)
 	}
-	require.NoError(t, f.Save(goldenContent(3), goldenWritten.Add(time.Minute)))
+	require.NoError(t, f.Save(goldenContent(3), goldenWrittenAt.Add(time.Minute)))
 	require.NoError(t, f.Close())
 	for name, generation := range map[string]uint64{"state-a": 3, "state-b": 4} {
 		raw, err := os.ReadFile(filepath.Join(path, name))
--- a/internal/state/folder/writer.go
+++ b/internal/state/folder/writer.go
@@ -10,45 +10,45 @@
 	"dunestep/internal/state"
 )
 
-// warnInterval is after how long it is logged again that nothing can be written, and after how long a folder
-// with another agent's files is looked at again: to open it more often would keep that agent out.
+// warnInterval is the minimum interval between warnings that nothing can be written. It is also the interval
+// between attempts to open a folder with another agent's files: more frequent ones would lock that agent out.
 const warnInterval = 10 * time.Minute
 
-// WriterSettings says what a Writer writes, where and when.
+// WriterSettings configures a Writer.
 type WriterSettings struct {
 	Path  string
 	Owner state.Owner
-	// Period is after how long the state is written again.
+	// Period is the time from the end of a write to the next periodic write.
 	Period time.Duration
-	// MinInterval is the least time between the end of a write and the next, however much has changed.
+	// MinInterval is the minimum time between the end of a write and the next requested write.
 	MinInterval time.Duration
-	// Collect returns the state to write. It may wait, and returns false where it has nothing before ctx ends.
+	// Collect returns the state to write. It may block, and returns false if there is no state before ctx ends.
 	// It is called from the Writer's goroutine.
 	Collect func(ctx context.Context) (state.Content, bool)
 }
 
-// Writer writes an agent's state, in a goroutine of its own: a slow disk delays nothing but the next write.
-// The goroutine ends with Finish, and closes the folder.
+// Writer writes an agent's state in its own goroutine, so that a slow disk delays only the next write. Finish
+// ends the goroutine, which closes the folder.
 type Writer struct {
 	settings WriterSettings
-	requests chan struct{} // holds one: a write is wanted before the period is over
+	requests chan struct{} // buffer of one: a write is requested before the period ends
 	finish   chan struct{} // closed by Finish
-	done     chan struct{} // closed as the goroutine ends
+	done     chan struct{} // closed when the goroutine ends
 	stop     context.CancelFunc
 	endOnce  sync.Once
 
-	// Of the goroutine.
-	folder          *Folder   // nil: to be opened again
-	warnedAt        time.Time // that nothing can be written; zero: it can
-	otherOwnerUntil time.Time // until then the folder, which has another agent's files, is left alone
+	// Used by the goroutine only.
+	folder          *Folder   // nil if the next write must open it
+	warnedAt        time.Time // time of the last write warning; zero after a successful write
+	otherOwnerUntil time.Time // no write before this time, since the folder has another agent's files
 
 	mu           sync.Mutex
-	lastDuration time.Duration // of the last write
+	lastDuration time.Duration // duration of the last write
 }
 
-// StartWriter starts to write into a folder, whose newest file is so old; negative: not known. A program that
-// is started again and again writes no more often for it. The folder, which becomes the Writer's, may be nil
-// where it could not be opened: the Writer tries again.
+// StartWriter starts a Writer. The age of the folder's newest file counts towards MinInterval, so that
+// frequent restarts of a program cause no additional writes; a negative age is unknown and counts as zero.
+// The Writer takes ownership of the folder, which may be nil if it could not be opened: the Writer retries.
 func StartWriter(settings WriterSettings, folder *Folder, age time.Duration) *Writer {
 	ctx, cancel := context.WithCancel(context.Background())
 	w := &Writer{
@@ -59,21 +59,22 @@
 	return w
 }
 
-// RequestWrite asks for a write as soon as MinInterval allows. It does not wait.
+// RequestWrite requests a write as soon as MinInterval allows. It does not block.
 func (w *Writer) RequestWrite() {
 	select {
 	case w.requests <- struct{}{}:
-	default: // one is asked for already
+	default: // already requested
 	}
 }
 
-// Finish writes a last time and ends the goroutine, within the context. Where the last write took longer than
-// is left of the context, it does not begin one: a process can't end while its disk is at work.
+// Finish writes a last time and ends the goroutine; it returns when ctx ends at the latest. It skips the
+// write if the previous one took longer than the time left before ctx's deadline: a process can't exit
+// while a disk operation is in progress.
 func (w *Writer) Finish(ctx context.Context) {
 	w.mu.Lock()
 	took := w.lastDuration
 	w.mu.Unlock()
-	if until, bound := ctx.Deadline(); bound && time.Until(until) < took {
+	if deadline, hasDeadline := ctx.Deadline(); hasDeadline && time.Until(deadline) < took {
 		slog.Warn("final state write skipped: the disk is too slow", "took", took)
 		w.stop()
 		return
@@ -87,7 +88,7 @@
 	w.stop()
 }
 
-// run writes once a period, and sooner when asked to, but not within MinInterval of the last write.
+// run writes once per period, and earlier on request, but not within MinInterval of the last write.
 func (w *Writer) run(ctx context.Context, lastWrite time.Time) {
 	defer close(w.done)
 	defer w.closeFolder()
@@ -96,8 +97,8 @@
 		timer := time.NewTimer(time.Until(due))
 		select {
 		case <-w.requests:
-			if soonest := lastWrite.Add(w.settings.MinInterval); soonest.Before(due) {
-				due = soonest
+			if earliest := lastWrite.Add(w.settings.MinInterval); earliest.Before(due) {
+				due = earliest
 			}
 		case <-timer.C:
 			w.write(ctx)
@@ -117,22 +118,23 @@
 
 func (w *Writer) closeFolder() {
 	if w.folder != nil {
-		_ = w.folder.Close() // whatever was written is durable, or was told as an error
+		_ = w.folder.Close() // every write is already durable or was reported as an error
 	}
 }
 
-// write writes once. After an error the folder is opened again the next time: it may be another one by then.
+// write writes once. After an error the next write opens the folder again, since another one may have
+// replaced it.
 func (w *Writer) write(ctx context.Context) {
 	if time.Now().Before(w.otherOwnerUntil) {
 		return
 	}
-	content, has := w.settings.Collect(ctx)
-	if !has {
+	content, ok := w.settings.Collect(ctx)
+	if !ok {
 		return
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	err := w.save(content)
-	took := time.Since(began)
+	took := time.Since(startedAt)
 	w.mu.Lock()
 	w.lastDuration = took
 	w.mu.Unlock()
@@ -142,7 +144,7 @@
 	w.logResult(err)
 }
 
-// logResult logs an error once in warnInterval, and the first write that succeeds after one.
+// logResult logs errors at most once per warnInterval, and the first successful write after a warning.
 func (w *Writer) logResult(err error) {
 	switch {
 	case err == nil && !w.warnedAt.IsZero():
@@ -154,14 +156,14 @@
 	}
 }
 
-// save writes content, after opening the folder where that is not open.
+// save writes content. It opens the folder first if that is not open.
 func (w *Writer) save(content state.Content) error {
 	if w.folder == nil {
 		folder, err := Open(w.settings.Path, w.settings.Owner)
 		if err != nil {
 			return err
 		}
-		folder.Load() // for the generation and the owner; what is unusable is replaced
+		folder.Load() // finds the generation and the owner; unusable files are replaced
 		w.folder = folder
 	}
 	err := w.folder.Save(content, time.Now())
