--- a/internal/fleetstore/directory.go
+++ b/internal/fleetstore/directory.go
@@ -10,21 +10,21 @@
 	"syscall"
 )
 
-// directory is what a Store needs of a folder. Tests implement it with faults.
+// directory is the part of a file system that a Store uses. Tests implement it with injected faults.
 type directory interface {
-	// read returns a file's content; an error where it is longer than a number of bytes.
+	// read returns a file's content, or an error if it is longer than maxBytes.
 	read(name string, maxBytes int64) ([]byte, error)
-	// open opens a file that exists for writing.
+	// open opens an existing file for writing.
 	open(name string) (file, error)
-	// create creates a file, or empties the one of that name.
+	// create creates a file, or truncates an existing one.
 	create(name string) (file, error)
 	rename(from, to string) error
 	remove(name string) error
-	// touch has a file of that name exist; its content is synced, its name is not.
+	// touch creates the file if it does not exist. It syncs the file but not its directory entry.
 	touch(name string) error
-	// syncNames makes created, renamed and removed names durable.
-	syncNames() error
-	// close releases the folder.
+	// syncEntries makes created, renamed and removed directory entries durable.
+	syncEntries() error
+	// close unlocks the folder.
 	close()
 }
 
@@ -37,13 +37,14 @@
 
 func isMissing(err error) bool { return errors.Is(err, fs.ErrNotExist) }
 
-// lockedDirectory is a folder of the file system, locked against other processes.
+// lockedDirectory is a folder that is locked against use by other processes.
 type lockedDirectory struct {
 	path string
 	lock *os.File
 }
 
-// lockDirectory locks a folder until close, or the end of the process. ErrLocked: another process has it.
+// lockDirectory locks a folder until close is called or the process ends. It returns ErrLocked if another
+// process has locked it.
 func lockDirectory(path string) (*lockedDirectory, error) {
 	lock, err := os.OpenFile(filepath.Join(path, lockName), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
@@ -66,7 +67,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = f.Close() }() // it was only read
+	defer func() { _ = f.Close() }() // opened for reading only
 	content, err := io.ReadAll(io.LimitReader(f, maxBytes+1))
 	if err == nil && int64(len(content)) > maxBytes {
 		return nil, fmt.Errorf("%w: longer than %d bytes", ErrNotAStore, maxBytes)
@@ -93,7 +94,7 @@
 	return errors.Join(f.Sync(), f.Close())
 }
 
-func (d *lockedDirectory) syncNames() error {
+func (d *lockedDirectory) syncEntries() error {
 	f, err := os.Open(d.path)
 	if err != nil {
 		return err
@@ -101,4 +102,4 @@
 	return errors.Join(f.Sync(), f.Close())
 }
 
-func (d *lockedDirectory) close() { _ = d.lock.Close() } // which unlocks it; nothing was written to it
+func (d *lockedDirectory) close() { _ = d.lock.Close() } // also unlocks it; nothing was written to it
--- a/internal/fleetstore/encoding.go
+++ b/internal/fleetstore/encoding.go
@@ -11,9 +11,9 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// The body of a record: one byte of flags that tell which parts follow, the index up to which entries are
-// dropped, the identity as fixed numbers, and then hard state, snapshot and entries, each with its length
-// before it.
+// The body of a record consists of a byte of flags for the parts that follow, the index through which
+// entries are dropped, the identity as numbers of fixed length, and then hard state, snapshot and entries,
+// each preceded by its length.
 const (
 	hasReset = 1 << iota
 	hasReplace
@@ -30,20 +30,20 @@
 
 var errTruncated = errors.New("the record is too short")
 
-// encode returns the body of a record.
+// encode returns persist encoded as the body of a record.
 func encode(persist *raftlog.Persist) ([]byte, error) {
 	b := []byte{0}
 	b = binary.BigEndian.AppendUint64(b, persist.DropThrough)
-	mark := func(flag byte, present bool) {
+	setFlag := func(flag byte, present bool) {
 		if present {
 			b[0] |= flag
 		}
 	}
-	mark(hasReset, persist.Reset)
-	mark(hasReplace, persist.ReplaceEntries)
-	mark(hasIdentity, persist.Identity != nil)
-	mark(hasHardState, persist.HardState != nil)
-	mark(hasSnapshot, persist.Snapshot != nil)
+	setFlag(hasReset, persist.Reset)
+	setFlag(hasReplace, persist.ReplaceEntries)
+	setFlag(hasIdentity, persist.Identity != nil)
+	setFlag(hasHardState, persist.HardState != nil)
+	setFlag(hasSnapshot, persist.Snapshot != nil)
 	if id := persist.Identity; id != nil {
 		for _, n := range [...]uint64{id.Nonce, id.Epoch, id.ID, id.PromisedNonce, id.HighestEpochSeen} {
 			b = binary.BigEndian.AppendUint64(b, n)
@@ -69,7 +69,7 @@
 	return b, nil
 }
 
-// decode reads the body of a record.
+// decode decodes the body of a record. It returns errTruncated if the body is too short.
 func decode(b []byte) (*raftlog.Persist, error) {
 	if len(b) < bodyHeaderBytes {
 		return nil, errTruncated
@@ -113,7 +113,7 @@
 	return persist, nil
 }
 
-// decodePart reads one part with its length, and returns what follows it.
+// decodePart decodes one length-prefixed part into a message, and returns the bytes after it.
 func decodePart(b []byte, into proto.Message) (rest []byte, err error) {
 	if len(b) < partHeaderBytes {
 		return nil, errTruncated
--- a/internal/fleetstore/faultydirectory_test.go
+++ b/internal/fleetstore/faultydirectory_test.go
@@ -11,14 +11,14 @@
 	errFullDisk = errors.New("no space left")
 )
 
-// faultyDirectory is a directory whose power is cut at a step, or that is full from a file length on. Of what was not
-// synced it keeps sectors and names at random.
+// faultyDirectory is a directory with a power cut after a number of steps, or a limited file length. A power cut
+// keeps a random subset of the unsynced sectors and directory entries.
 type faultyDirectory struct {
-	random  *rand.Rand
-	names   map[string]*faultyFile
-	durable map[string]*faultyFile // the names that are synced
-	steps   int                    // until the power is cut
-	room    int                    // longest file in bytes; zero: any
+	random        *rand.Rand
+	names         map[string]*faultyFile
+	durable       map[string]*faultyFile // the synced directory entries
+	stepsLeft     int                    // steps until the power cut, inclusive
+	capacityBytes int                    // maximum file length in bytes; zero: unlimited
 }
 
 // faultyFile is a file of a faultyDirectory.
@@ -26,12 +26,12 @@
 	dir      *faultyDirectory
 	content  []byte
 	synced   []byte
-	unshared bool // content does not share its bytes with synced
+	unshared bool // content and synced do not share memory
 }
 
-// step counts a step that may fail; at the last one the power is cut.
+// step counts a step. The last step cuts the power; it and all later ones return errPowerCut.
 func (d *faultyDirectory) step() error {
-	if d.steps--; d.steps == 0 {
+	if d.stepsLeft--; d.stepsLeft == 0 {
 		for name, f := range d.names {
 			if d.durable[name] != f && d.random.IntN(2) == 0 {
 				d.durable[name] = f
@@ -42,13 +42,13 @@
 		}
 		d.names = d.durable
 	}
-	if d.steps <= 0 {
+	if d.stepsLeft <= 0 {
 		return errPowerCut
 	}
 	return nil
 }
 
-// tear is what a power cut leaves of a file.
+// tear replaces a file's content by what a power cut leaves of it.
 func (f *faultyFile) tear() {
 	b := append([]byte(nil), f.synced...)
 	if len(f.content) > len(b) && f.dir.random.IntN(2) == 0 {
@@ -93,7 +93,7 @@
 	return d.step()
 }
 
-func (d *faultyDirectory) syncNames() error {
+func (d *faultyDirectory) syncEntries() error {
 	if err := d.step(); err != nil {
 		return err
 	}
@@ -106,7 +106,7 @@
 func (d *faultyDirectory) close() {}
 
 func (f *faultyFile) WriteAt(b []byte, at int64) (int, error) {
-	if end := int(at) + len(b); f.dir.room > 0 && end > f.dir.room {
+	if end := int(at) + len(b); f.dir.capacityBytes > 0 && end > f.dir.capacityBytes {
 		return 0, errFullDisk
 	}
 	if grow := int(at) + len(b) - len(f.content); grow > 0 {
--- a/internal/fleetstore/golden_test.go
+++ b/internal/fleetstore/golden_test.go
@@ -13,12 +13,12 @@
 	"dunestep/internal/fleet/raftlog"
 )
 
-var updateGolden = flag.Bool("update", false, "write the golden files anew")
+var updateGolden = flag.Bool("update", false, "rewrite the golden files")
 
 const goldenFolder = "testdata/golden/voter"
 
-// goldenWrites are a voter's, with each part of one: its identity, votes, entries, a snapshot of its own, and
-// one that another voter sent.
+// goldenWrites returns a voter's writes that together contain every part of a Persist: identity, votes, entries, a
+// snapshot of its own, and one received from another voter.
 func goldenWrites() []*raftlog.Persist {
 	entry := func(index, term uint64, data string) *raftpb.Entry {
 		return &raftpb.Entry{Index: new(index), Term: new(term), Data: []byte(data)}
@@ -42,8 +42,8 @@
 	}
 }
 
-// The folder in testdata/golden was written by the build of commit 3bec2d9: its votes, records and snapshot are
-// read, each record is written again byte for byte, and the store goes on from it.
+// The folder in testdata/golden was written by the build of commit 3bec2d9. Its votes, records and snapshot are
+// loaded, each record is encoded byte for byte as before, and the store accepts further writes.
 func TestGoldenVoterFolder(t *testing.T) {
 	if *updateGolden {
 		require.NoError(t, os.MkdirAll(goldenFolder, 0o700))
@@ -71,19 +71,19 @@
 	require.Equal(t, uint64(13), s.Stored().Identity.PromisedNonce)
 	require.Equal(t, "another voter's", string(s.Stored().Snapshot.GetData()))
 	require.Len(t, s.Stored().Entries, 2)
-	requireSame(t, want, s.Stored())
+	requireEqualStored(t, want, s.Stored())
 
-	head := binary.BigEndian.AppendUint32([]byte("DSFLEET\n"), 1)
-	require.Equal(t, head, raw[:len(head)])
+	header := binary.BigEndian.AppendUint32([]byte("DSFLEET\n"), 1)
+	require.Equal(t, header, raw[:len(header)])
 	at := int64(firstRecordOffset)
 	for i, p := range goldenWrites() {
-		// The first write is a file's first record, which has all that is stored then.
+		// The first write creates the file, whose first record contains everything stored by then.
 		body, found := s.readRecord(raw, at, uint64(i+1))
 		require.True(t, found, "record %d", i+1)
 		var read *raftlog.Persist
 		read, err = decode(body)
 		require.NoError(t, err)
-		for which, one := range map[string]*raftlog.Persist{"read": read, "made": p} {
+		for which, one := range map[string]*raftlog.Persist{"decoded": read, "original": p} {
 			again, encodeErr := encode(one)
 			require.NoError(t, encodeErr)
 			require.Equal(t, body, again, "record %d, %s", i+1, which)
@@ -93,9 +93,9 @@
 	}
 	require.Equal(t, s.nextOffset, at)
 	require.NoError(t, s.writeCommitMark())
-	unchanged, err := os.ReadFile(filepath.Join(path, "fleet.log"))
+	afterMark, err := os.ReadFile(filepath.Join(path, "fleet.log"))
 	require.NoError(t, err)
-	require.Equal(t, raw, unchanged, "the mark")
+	require.Equal(t, raw, afterMark, "the commit mark must be written byte for byte as before")
 
 	more := &raftlog.Persist{Entries: []*raftpb.Entry{{Index: new(uint64(23)), Term: new(uint64(3))}}}
 	require.NoError(t, s.Write(more))
@@ -103,6 +103,6 @@
 	s, err = Open(path)
 	require.NoError(t, err)
 	applyWrite(&want, more)
-	requireSame(t, want, s.Stored())
+	requireEqualStored(t, want, s.Stored())
 	require.NoError(t, s.Close())
 }
--- a/internal/fleetstore/load.go
+++ b/internal/fleetstore/load.go
@@ -6,10 +6,10 @@
 	"hash/crc32"
 )
 
-// maxMarkerBytes bounds what is read of the marker file, which is empty.
+// maxMarkerBytes limits how many bytes are read of the marker file, which is normally empty.
 const maxMarkerBytes = 16
 
-// openStore reads the store of a directory, which becomes the store's to close if there is no error.
+// openStore loads the store in a directory. On success the Store owns the directory and closes it.
 func openStore(dir directory) (*Store, error) {
 	s := &Store{dir: dir}
 	content, err := dir.read(logName, maxFileBytes)
@@ -31,17 +31,17 @@
 	return s, nil
 }
 
-// load takes over the content of a log file.
+// load sets the Store's fields from the content of a log file.
 func (s *Store) load(content []byte) error {
 	if err := checkHeader(content); err != nil {
 		return err
 	}
 	acknowledged, length := readCommitMark(content)
 	if len(content) < firstRecordOffset || uint64(len(content)) < length {
-		return fmt.Errorf("%w: it is shorter than it was", ErrDamaged)
+		return fmt.Errorf("%w: it is shorter than when it was written", ErrDamaged)
 	}
 	s.fileID = binary.BigEndian.Uint64(content[12:])
-	// What follows the last whole step of growth was being added, and is written again.
+	// Bytes after the last full multiple of growBytes are from an interrupted extension, which is repeated.
 	s.fileBytes, s.nextOffset = int64(len(content)/growBytes*growBytes), firstRecordOffset
 	for {
 		body, found := s.readRecord(content, s.nextOffset, s.lastRecord+1)
@@ -62,13 +62,13 @@
 	return nil
 }
 
-// checkHeader checks the header of a log file.
+// checkHeader checks a log file's header. Its error wraps ErrNotAStore, ErrDamaged or ErrVersion.
 func checkHeader(content []byte) error {
 	switch {
 	case len(content) < headerBytes || string(content[:len(fileMagic)]) != fileMagic:
 		return ErrNotAStore
 	case crc32.Checksum(content[:headerBytes-4], castagnoli) != binary.BigEndian.Uint32(content[headerBytes-4:]):
-		return fmt.Errorf("%w: its header's checksum is wrong", ErrDamaged)
+		return fmt.Errorf("%w: the header's checksum is wrong", ErrDamaged)
 	}
 	if version := binary.BigEndian.Uint32(content[len(fileMagic):]); version != formatVersion {
 		return fmt.Errorf("%w: %d, not %d", ErrVersion, version, formatVersion)
@@ -76,8 +76,8 @@
 	return nil
 }
 
-// hasLaterRecord tells whether a complete record follows the last one that was read. Then what is between
-// them is damage, and not a write that was under way.
+// hasLaterRecord reports whether a complete record follows somewhere after the last one read. If so, the
+// bytes between them are damaged rather than left by an interrupted write.
 func (s *Store) hasLaterRecord(content []byte) bool {
 	for offset := s.nextOffset + 1; offset+recordHeaderBytes <= int64(len(content)); offset++ {
 		if binary.BigEndian.Uint64(content[offset:]) != s.fileID {
--- a/internal/fleetstore/store_test.go
+++ b/internal/fleetstore/store_test.go
@@ -18,8 +18,8 @@
 	"dunestep/internal/fleet/raftlog"
 )
 
-// voterWrite is the n-th write of a voter: an entry at index n, with a snapshot at every hundredth, and another vote
-// with every third.
+// voterWrite returns the n-th write of a voter: an entry at index n, a vote that changes with each write, and a
+// snapshot with every hundredth.
 func voterWrite(n uint64) *raftlog.Persist {
 	p := &raftlog.Persist{
 		HardState: &raftpb.HardState{Term: new(n/10 + 1), Vote: new(n % 3), Commit: new(n - 1)},
@@ -35,7 +35,7 @@
 	return p
 }
 
-// storedAfter is what is stored after n writes.
+// storedAfter returns the expected state after n writes.
 func storedAfter(n uint64) (s raftlog.Stored) {
 	for i := uint64(1); i <= n; i++ {
 		applyWrite(&s, voterWrite(i))
@@ -43,7 +43,7 @@
 	return s
 }
 
-// lastIndex is the index of the last entry, zero where there is none.
+// lastIndex returns the index of the last entry, or zero if there is none.
 func lastIndex(s raftlog.Stored) uint64 {
 	if len(s.Entries) == 0 {
 		return 0
@@ -51,8 +51,8 @@
 	return s.Entries[len(s.Entries)-1].GetIndex()
 }
 
-// requireSame compares two stored states by their encoding.
-func requireSame(t *testing.T, want, got raftlog.Stored, msg ...any) {
+// requireEqualStored requires that two stored states have the same encoding.
+func requireEqualStored(t *testing.T, want, got raftlog.Stored, msg ...any) {
 	t.Helper()
 	body := func(s raftlog.Stored) []byte {
 		b, err := encode(&raftlog.Persist{Identity: &s.Identity, HardState: s.HardState, Snapshot: s.Snapshot, Entries: s.Entries})
@@ -62,7 +62,7 @@
 	require.True(t, bytes.Equal(body(want), body(got)), msg...)
 }
 
-// filledFolder is a folder with a store of n writes.
+// filledFolder returns the path of a folder with a store of n writes.
 func filledFolder(t *testing.T, n uint64) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -72,7 +72,7 @@
 	for i := uint64(1); i <= n; i++ {
 		require.NoError(t, s.Write(voterWrite(i)))
 	}
-	requireSame(t, storedAfter(n), s.Stored())
+	requireEqualStored(t, storedAfter(n), s.Stored())
 	require.NoError(t, s.Close())
 	return dir
 }
@@ -82,7 +82,7 @@
 		dir := filledFolder(t, n)
 		s, err := Open(dir)
 		require.NoError(t, err)
-		requireSame(t, storedAfter(n), s.Stored())
+		requireEqualStored(t, storedAfter(n), s.Stored())
 		require.NoError(t, s.Write(voterWrite(n+1)))
 		info, err := os.Stat(filepath.Join(dir, logName))
 		require.NoError(t, err)
@@ -91,7 +91,7 @@
 	}
 }
 
-// Each kind of damage is an error of its own, and never an empty store.
+// Open returns the matching error for each kind of damage, and never an empty store.
 func TestDamageIsDetected(t *testing.T) {
 	flip := func(b []byte, i int, bits byte) []byte { b[i] ^= bits; return b }
 	for name, c := range map[string]struct {
@@ -138,10 +138,10 @@
 	})
 }
 
-// lastByte is the offset of the last byte that is not zero.
+// lastByte returns the offset of the last byte that is not zero.
 func lastByte(b []byte) int { return len(bytes.TrimRight(b, "\x00")) - 1 }
 
-// withVersion gives a file another format version, with a checksum that fits.
+// withVersion sets a file's format version and updates the header's checksum.
 func withVersion(b []byte, version byte) []byte {
 	b[11] = version
 	binary.BigEndian.PutUint32(b[headerBytes-4:], checksum(nil, b[:headerBytes-4]))
@@ -159,32 +159,32 @@
 	require.ErrorIs(t, s.Write(voterWrite(2)), ErrClosed)
 }
 
-// Whenever the power is cut, each acknowledged write is there, and at most one more; and the store accepts writes.
+// After a power cut at a random step, the store has each acknowledged write and at most one more, and accepts writes.
 func TestPowerCutKeepsAcknowledgedWrites(t *testing.T) {
 	for seed := range uint64(60) {
 		r := rand.New(rand.NewPCG(seed, 3))
 		d := &faultyDirectory{random: r, names: map[string]*faultyFile{}, durable: map[string]*faultyFile{}}
 		acknowledged := uint64(0)
 		for range 4 {
-			d.steps = 1 + r.IntN(300)
+			d.stepsLeft = 1 + r.IntN(300)
 			s, err := openStore(d)
 			require.NoError(t, err, "seed %d after %d", seed, acknowledged)
 			n := lastIndex(s.Stored())
 			require.GreaterOrEqual(t, n, acknowledged, "seed %d", seed)
 			require.LessOrEqual(t, n, acknowledged+1, "seed %d", seed)
-			requireSame(t, storedAfter(n), s.Stored(), "seed %d", seed)
+			requireEqualStored(t, storedAfter(n), s.Stored(), "seed %d", seed)
 			for acknowledged = n; s.Write(voterWrite(acknowledged+1)) == nil; acknowledged++ {
-				require.Positive(t, d.steps)
+				require.Positive(t, d.stepsLeft)
 			}
 			require.ErrorIs(t, s.Write(voterWrite(acknowledged+1)), ErrClosed)
 		}
 	}
 }
 
-// A full disk is an error, after which nothing is written, and each acknowledged write is there.
+// A full disk makes a write fail and closes the store. After it is reopened, it has each acknowledged write.
 func TestFullDiskStopsWrites(t *testing.T) {
-	for _, room := range []int{1000, growBytes, growBytes + 1, 2 * growBytes} {
-		d := &faultyDirectory{names: map[string]*faultyFile{}, steps: 1 << 30, room: room}
+	for _, capacityBytes := range []int{1000, growBytes, growBytes + 1, 2 * growBytes} {
+		d := &faultyDirectory{names: map[string]*faultyFile{}, stepsLeft: 1 << 30, capacityBytes: capacityBytes}
 		s, err := openStore(d)
 		require.NoError(t, err)
 		n := uint64(0)
@@ -201,7 +201,7 @@
 	}
 }
 
-// After a process is killed in the middle of writes, each acknowledged write is there.
+// After a process is killed while writing, the store has each acknowledged write.
 func TestKilledProcessKeepsAcknowledgedWrites(t *testing.T) {
 	if dir := os.Getenv("FLEETSTORE_TEST_DIR"); dir != "" {
 		s, err := Open(dir)
@@ -231,7 +231,7 @@
 		require.NoError(t, err)
 		require.GreaterOrEqual(t, lastIndex(s.Stored()), acknowledged)
 		require.Positive(t, acknowledged)
-		requireSame(t, storedAfter(lastIndex(s.Stored())), s.Stored())
+		requireEqualStored(t, storedAfter(lastIndex(s.Stored())), s.Stored())
 		require.NoError(t, s.Close())
 	}
 }
--- a/internal/fleetstore/write.go
+++ b/internal/fleetstore/write.go
@@ -10,8 +10,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// Write writes a Persist as one record, and returns once it is safe on disk. After an error nothing more is
-// written: each further call fails with ErrClosed.
+// Write writes a Persist as one record, and returns once it is durable. After an error, unless
+// persist could not be encoded, each later call fails with ErrClosed.
 func (s *Store) Write(persist *raftlog.Persist) error {
 	if s.failure != nil {
 		return s.failure
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// appendRecord writes one record behind the last, and the commit mark.
+// appendRecord writes and syncs one record after the last one, and updates the commit mark.
 func (s *Store) appendRecord(body []byte) error {
 	if err := s.extend(s.nextOffset + recordHeaderBytes + int64(len(body))); err != nil {
 		return err
@@ -53,7 +53,7 @@
 	return s.writeCommitMark()
 }
 
-// writeCommitMark notes in the file that all its records are acknowledged. It does not sync.
+// writeCommitMark writes the commit mark for all records so far. It does not sync.
 func (s *Store) writeCommitMark() error {
 	if _, err := s.file.WriteAt(s.encodeCommitMark(), headerBytes); err != nil {
 		return fmt.Errorf("cannot write the commit mark of record %d: %w", s.lastRecord, err)
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// extend grows the file, by zeros that are synced, until it has a length.
+// extend appends synced zeros in steps of growBytes until the file has at least this length.
 func (s *Store) extend(length int64) error {
 	for s.fileBytes < length {
 		if s.fileBytes+growBytes > maxFileBytes {
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// rewrite writes a new file with one record of all that is stored, and puts it in the place of the old one.
+// rewrite replaces the log file by a new one with a single record of everything stored.
 func (s *Store) rewrite(stored raftlog.Stored) error {
 	body, err := encode(&raftlog.Persist{
 		Reset: true, Identity: &stored.Identity, HardState: stored.HardState, Snapshot: stored.Snapshot,
@@ -87,51 +87,50 @@
 	if err != nil {
 		return fmt.Errorf("cannot encode the whole store: %w", err)
 	}
-	fresh := &Store{dir: s.dir, fileID: rand.Uint64() | 1} // never zero, which unwritten space has
-	if fresh.file, err = s.dir.create(newName); err != nil {
-		return fmt.Errorf("cannot create %s: %w", newName, err)
+	fresh := &Store{dir: s.dir, fileID: rand.Uint64() | 1} // never zero, since unwritten space is zero
+	if fresh.file, err = s.dir.create(newLogName); err != nil {
+		return fmt.Errorf("cannot create %s: %w", newLogName, err)
 	}
 	if err = fresh.writeNewFile(body); err != nil {
-		// The write has failed, which is what the caller is told; the file that is left over is replaced by the
-		// next rewrite.
+		// Errors here are ignored: the caller gets the write's error, and the next rewrite replaces a file that
+		// could not be removed.
 		_ = fresh.file.Close()
-		_ = s.dir.remove(newName)
+		_ = s.dir.remove(newLogName)
 		return err
 	}
 	if s.file != nil {
-		_ = s.file.Close() // all that it held is in the new file
+		_ = s.file.Close() // its content is in the new file
 	}
 	s.file, s.fileID, s.lastRecord = fresh.file, fresh.fileID, fresh.lastRecord
 	s.nextOffset, s.fileBytes = fresh.nextOffset, fresh.fileBytes
 	return nil
 }
 
-// writeNewFile writes header and first record of a new file, and gives it its name.
+// writeNewFile writes the header and the first record of a new file and renames it to logName.
 func (s *Store) writeNewFile(body []byte) error {
 	s.nextOffset = firstRecordOffset
 	if err := s.extend(s.nextOffset + recordHeaderBytes + int64(len(body))); err != nil {
 		return err
 	}
 	if _, err := s.file.WriteAt(s.encodeHeader(), 0); err != nil {
-		return fmt.Errorf("cannot write the header of %s: %w", newName, err)
+		return fmt.Errorf("cannot write the header of %s: %w", newLogName, err)
 	}
 	if err := s.appendRecord(body); err != nil {
 		return err
 	}
-	if err := s.dir.rename(newName, logName); err != nil {
-		return fmt.Errorf("cannot rename %s to %s: %w", newName, logName, err)
+	if err := s.dir.rename(newLogName, logName); err != nil {
+		return fmt.Errorf("cannot rename %s to %s: %w", newLogName, logName, err)
 	}
 	if err := s.dir.touch(markerName); err != nil {
 		return fmt.Errorf("cannot create %s: %w", markerName, err)
 	}
-	if err := s.dir.syncNames(); err != nil {
-		return fmt.Errorf("cannot sync the names of %s and %s: %w", logName, markerName, err)
+	if err := s.dir.syncEntries(); err != nil {
+		return fmt.Errorf("cannot sync the directory entries of %s and %s: %w", logName, markerName, err)
 	}
 	return nil
 }
 
-// applyWrite changes what is stored as a Persist says. Slices and messages that stored shares with others are
-// not changed.
+// applyWrite applies a Persist to stored. It does not modify slices and messages that stored may share.
 func applyWrite(stored *raftlog.Stored, persist *raftlog.Persist) {
 	if persist.Reset {
 		*stored = raftlog.Stored{Identity: stored.Identity}
@@ -159,7 +158,7 @@
 	stored.Entries = slices.Concat(kept, persist.Entries)
 }
 
-// onlyAppends tells whether no stored entry is dropped or replaced.
+// onlyAppends reports whether a Persist neither drops nor replaces stored entries.
 func onlyAppends(stored *raftlog.Stored, persist *raftlog.Persist) bool {
 	if persist.DropThrough != 0 {
 		return false
