--- a/internal/handover/frame.go
+++ b/internal/handover/frame.go
@@ -12,24 +12,24 @@
 )
 
 const (
-	// frameHeaderBytes have the length of the JSON that follows.
+	// frameHeaderBytes is the size of a frame's header, which is the length of the JSON that follows.
 	frameHeaderBytes = 4
-	// maxFrameBytes bounds how much memory one process makes the other use.
+	// maxFrameBytes limits the memory that one process can make the other use for a frame.
 	maxFrameBytes = 8 << 20
-	// maxSockets is how many sockets a frame carries.
+	// maxSockets is the maximum number of sockets in a frame.
 	maxSockets = 16
-	// descriptorBytes is the length of a descriptor in a control message.
+	// descriptorBytes is the size of a descriptor in a control message.
 	descriptorBytes = 4
 )
 
-// writeFrame writes a value with its length before it, and descriptors beside that.
+// writeFrame sends a value as JSON preceded by its length, and passes the descriptors along with the header.
 func writeFrame(c *net.UnixConn, value any, fds []int) error {
 	raw, err := json.Marshal(value)
 	if err != nil {
 		return fmt.Errorf("cannot encode a %T: %w", value, err)
 	}
 	if len(raw) > maxFrameBytes {
-		return fmt.Errorf("cannot send a %T: %d bytes are too long", value, len(raw))
+		return fmt.Errorf("cannot send a %T: %d bytes exceed the maximum frame length", value, len(raw))
 	}
 	header := binary.BigEndian.AppendUint32(nil, uint32(len(raw)))
 	var rights []byte
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// readFrame reads a value. Descriptors that come with it are closed: none are expected.
+// readFrame reads a value. It closes descriptors passed with it, since none are expected.
 func readFrame(c *net.UnixConn, into any) error {
 	files, err := readFrameWithFiles(c, into)
 	closeAll(files)
@@ -60,7 +60,7 @@
 	if err != nil {
 		return nil, err
 	}
-	files, err := filesOf(rights[:m])
+	files, err := filesFromRights(rights[:m])
 	if err != nil {
 		return files, fmt.Errorf("cannot read the descriptors of a frame: %w", err)
 	}
@@ -74,7 +74,7 @@
 	if length > maxFrameBytes {
 		return files, fmt.Errorf("a frame of %d bytes is too long", length)
 	}
-	// memory grows with what comes, not with the length alone
+	// Reads incrementally, so that the memory used depends on the bytes received, not on the announced length.
 	raw, err := io.ReadAll(io.LimitReader(c, int64(length)))
 	if err == nil && len(raw) < int(length) {
 		err = io.ErrUnexpectedEOF
@@ -85,8 +85,9 @@
 	return files, json.Unmarshal(raw, into)
 }
 
-// filesOf returns the descriptors of a frame's control messages.
-func filesOf(rights []byte) (files []*os.File, err error) {
+// filesFromRights returns the descriptors in a frame's control messages as files. The caller must close them,
+// also after an error.
+func filesFromRights(rights []byte) (files []*os.File, err error) {
 	messages, err := syscall.ParseSocketControlMessage(rights)
 	if err != nil {
 		return nil, err
@@ -105,12 +106,12 @@
 
 func closeAll(files []*os.File) {
 	for _, f := range files {
-		_ = f.Close() // nothing was written to it
+		_ = f.Close() // nothing was written to the descriptor
 	}
 }
 
-// duplicate returns another descriptor of a socket, which stays in non-blocking mode: the library's File
-// would make the socket itself a blocking one.
+// duplicate returns a second descriptor of a socket and leaves the socket in non-blocking mode. The File
+// methods of package net would switch it to blocking mode.
 func duplicate(s syscall.Conn) (fd int, err error) {
 	raw, err := s.SyscallConn()
 	if err != nil {
@@ -130,7 +131,7 @@
 	return int(fd), nil
 }
 
-// checkSameUser returns an error where the process at the other end is another user's.
+// checkSameUser returns an error unless the peer process runs as the same user.
 func checkSameUser(c *net.UnixConn) error {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -141,10 +142,10 @@
 		cred, err = syscall.GetsockoptUcred(int(fd), syscall.SOL_SOCKET, syscall.SO_PEERCRED)
 	})
 	if err = errors.Join(controlErr, err); err != nil {
-		return fmt.Errorf("cannot tell whose process it is: %w", err)
+		return fmt.Errorf("cannot determine the user of the peer process: %w", err)
 	}
 	if int(cred.Uid) != os.Getuid() {
-		return fmt.Errorf("the process is of user %d", cred.Uid)
+		return fmt.Errorf("the peer process belongs to user %d", cred.Uid)
 	}
 	return nil
 }
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -14,14 +14,14 @@
 	"dunestep/internal/routing"
 )
 
-var updateGolden = flag.Bool("update", false, "write the golden files anew")
+var updateGolden = flag.Bool("update", false, "rewrite the golden files")
 
-// golden returns a file of testdata/golden, after writing it if that was asked for.
-func golden(t *testing.T, name string, made []byte) []byte {
+// golden returns the content of a file in testdata/golden. With -update it writes the file first.
+func golden(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata/golden", name)
 	if *updateGolden {
-		require.NoError(t, os.WriteFile(path, made, 0o600))
+		require.NoError(t, os.WriteFile(path, got, 0o600))
 	}
 	raw, err := os.ReadFile(path)
 	require.NoError(t, err)
@@ -35,26 +35,27 @@
 	}
 }
 
-// The file in testdata/golden was written by the build of commit 3bec2d9, under the name that it has there.
+// The file in testdata/golden was written by the build of commit 3bec2d9. Its content and the path of the settings
+// file stay the same.
 func TestGoldenSettingsFile(t *testing.T) {
 	folder := t.TempDir()
-	b := NewSettingsFile(folder, "n0", listenAt)
-	require.Equal(t, "dunestep-a9bba507c866b909.json", filepath.Base(b.path))
-	_, err := b.Update(goldenSettings(), 11)
+	file := NewSettingsFile(folder, "n0", listenAddr)
+	require.Equal(t, "dunestep-a9bba507c866b909.json", filepath.Base(file.path))
+	_, err := file.Update(goldenSettings(), 11)
 	require.NoError(t, err)
-	made, err := os.ReadFile(b.path)
+	got, err := os.ReadFile(file.path)
 	require.NoError(t, err)
-	want := golden(t, "bans.json", made)
-	require.Equal(t, string(want), string(made))
-	require.FileExists(t, b.path+".lock")
+	want := golden(t, "bans.json", got)
+	require.Equal(t, string(want), string(got))
+	require.FileExists(t, file.path+".lock")
 
-	require.NoError(t, os.WriteFile(b.path, want, 0o600))
-	h, err := b.Read()
+	require.NoError(t, os.WriteFile(file.path, want, 0o600))
+	settings, err := file.Read()
 	require.NoError(t, err)
-	require.Equal(t, goldenSettings(), h)
+	require.Equal(t, goldenSettings(), settings)
 }
 
-// socketPair is two ends of a connection.
+// socketPair returns the two ends of a connection.
 func socketPair(t *testing.T) (one, other *net.UnixConn) {
 	pair, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM, 0)
 	require.NoError(t, err)
@@ -70,29 +71,30 @@
 	return ends[0], ends[1]
 }
 
-// checkGoldenFrame checks that a value is sent as the bytes of a file, and that these are read as the value.
+// checkGoldenFrame checks that a value is sent as the bytes of a golden file, and that these bytes are received as
+// the value.
 func checkGoldenFrame[T any](t *testing.T, name string, value T) {
 	t.Helper()
-	out, in := socketPair(t)
-	require.NoError(t, writeFrame(out, value, nil))
-	require.NoError(t, out.CloseWrite())
-	sent, err := io.ReadAll(in)
+	sender, receiver := socketPair(t)
+	require.NoError(t, writeFrame(sender, value, nil))
+	require.NoError(t, sender.CloseWrite())
+	sent, err := io.ReadAll(receiver)
 	require.NoError(t, err)
 	want := golden(t, name, sent)
 	require.Equal(t, string(want), string(sent))
 
-	out, in = socketPair(t)
-	_, err = out.Write(want)
+	sender, receiver = socketPair(t)
+	_, err = sender.Write(want)
 	require.NoError(t, err)
 	var read T
-	require.NoError(t, readFrame(in, &read))
+	require.NoError(t, readFrame(receiver, &read))
 	require.Equal(t, value, read)
 }
 
 // The frames in testdata/golden were sent by the build of commit 3bec2d9.
 func TestGoldenFrames(t *testing.T) {
 	settings := goldenSettings()
-	require.Equal(t, "dunestep-a9bba507c866b909.sock", filepath.Base(pathOf("", "n0", listenAt, socketSuffix)))
+	require.Equal(t, "dunestep-a9bba507c866b909.sock", filepath.Base(filePath("", "n0", listenAddr, socketSuffix)))
 	checkGoldenFrame(t, "hello.frame", hello{Format: protocolFormat, Agent: "n0"})
 	checkGoldenFrame(t, "offer.frame", Offer{
 		Manual: settings, Descriptors: 9, MemoryMB: 8, State: []byte("learned"), FleetState: []byte("agreed"),
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,13 +1,13 @@
-// Package handover passes state between processes of one agent through a folder that they share, $TMPDIR.
+// Package handover passes state between processes of one agent through a shared folder, $TMPDIR.
 //
-// It owns two kinds of files there, whose names come from the agent's name and address, so that agents can
-// share a folder: the settings file (settingsfile.go) with what operators have set by hand, which outlives
-// the process, and a Unix socket. On the socket a starting process connects to the running one (peer.go,
-// listener.go), is given an Offer with listening sockets and state, and both notify each other while they
-// run. Frames are JSON with their length before (frame.go).
+// It creates two kinds of files there. Their names are derived from the agent's name and address, so that
+// several agents can share a folder. The settings file (settingsfile.go) contains the manual settings of
+// operators and outlives the process. The other file is a Unix socket, on which a starting process connects
+// to the running one (peer.go, listener.go) and receives an Offer with listening sockets and state. Both
+// notify each other while they run. Frames are JSON preceded by its length (frame.go).
 //
-// A SettingsFile locks its file against other processes; a Peer's Notify may be called from several
-// goroutines. All else is not safe for concurrent use. No goroutine is started here.
+// A SettingsFile locks its file against other processes, and Peer.Notify is safe for concurrent use.
+// Everything else is not safe for concurrent use. The package starts no goroutine.
 package handover
 
 import (
@@ -18,27 +18,27 @@
 	"path/filepath"
 )
 
-// The kinds of files, by the ends of their names.
+// Suffixes of the names of the two kinds of files.
 const (
 	settingsSuffix = "json"
 	socketSuffix   = "sock"
 )
 
-// maxSocketPath is the longest name of a Unix socket, in bytes, less some for the part that pathOf's caller
-// adds.
-const maxSocketPath = 100
+// maxSocketPathBytes is the maximum length of the agent's socket path in bytes: the system's limit for Unix
+// sockets, less room for the process id that Listener.bind appends.
+const maxSocketPathBytes = 100
 
-// pathOf returns the path of a file of the agent whose clients connect at listen.
-func pathOf(folder, agent string, listen netip.AddrPort, suffix string) string {
+// filePath returns the path of the file with this suffix of the agent whose clients connect at listen.
+func filePath(folder, agent string, listen netip.AddrPort, suffix string) string {
 	sum := fnv.New64a()
-	_, _ = io.WriteString(sum, agent+" "+listen.String()) // a hash's Write does not fail
+	_, _ = io.WriteString(sum, agent+" "+listen.String()) // writing to a hash does not fail
 	return filepath.Join(folder, fmt.Sprintf("dunestep-%016x.%s", sum.Sum64(), suffix))
 }
 
-// socketPathOf returns the path of the agent's socket, or an error where the system takes no such name.
-func socketPathOf(folder, agent string, listen netip.AddrPort) (string, error) {
-	path := pathOf(folder, agent, listen, socketSuffix)
-	if len(path) > maxSocketPath {
+// socketPath returns the path of the agent's socket, or an error if it is too long for a Unix socket.
+func socketPath(folder, agent string, listen netip.AddrPort) (string, error) {
+	path := filePath(folder, agent, listen, socketSuffix)
+	if len(path) > maxSocketPathBytes {
 		return "", fmt.Errorf("handover: the path is too long for a Unix socket: %s", path)
 	}
 	return path, nil
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -19,67 +19,67 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-var listenAt = netip.MustParseAddrPort("127.0.0.1:9000")
+var listenAddr = netip.MustParseAddrPort("127.0.0.1:9000")
 
-// What Update writes is read again, and merged with what is in the file.
+// Read returns what Update wrote, and Update merges its settings into the file.
 func TestSettingsFile(t *testing.T) {
-	b := NewSettingsFile(t.TempDir(), "n0", listenAt)
-	h, err := b.Read()
+	file := NewSettingsFile(t.TempDir(), "n0", listenAddr)
+	got, err := file.Read()
 	require.NoError(t, err)
-	require.Empty(t, h)
+	require.Empty(t, got)
 	want := ManualSettings{Draining: true, Disabled: []routing.DisabledEndpoint{{ID: "s-0", StartedAt: 5}, {ID: "s-1", EnabledAt: 7}}}
-	h, err = b.Update(want, 8)
+	got, err = file.Update(want, 8)
 	require.NoError(t, err)
-	require.Equal(t, want, h)
-	h, err = b.Read()
+	require.Equal(t, want, got)
+	got, err = file.Read()
 	require.NoError(t, err)
-	require.Equal(t, want, h)
-	h, err = b.Update(ManualSettings{Disabled: []routing.DisabledEndpoint{{ID: "s-0", EnabledAt: 9}}}, 9+enabledRetention)
+	require.Equal(t, want, got)
+	got, err = file.Update(ManualSettings{Disabled: []routing.DisabledEndpoint{{ID: "s-0", EnabledAt: 9}}}, 9+enabledRetention)
 	require.NoError(t, err)
-	require.Equal(t, ManualSettings{Disabled: []routing.DisabledEndpoint{{ID: "s-0", EnabledAt: 9}}}, h, "an endpoint that was enabled is forgotten in time, and a drain is not taken over")
-	require.NoError(t, os.WriteFile(b.path, []byte("{"), 0o600))
-	h, err = b.Update(want, 8)
-	require.NoError(t, err, "a file that can't be read is replaced")
-	require.Equal(t, want, h)
-	other := &SettingsFile{path: b.path, agent: "n1"}
+	require.Equal(t, ManualSettings{Disabled: []routing.DisabledEndpoint{{ID: "s-0", EnabledAt: 9}}}, got, "Update must drop endpoints enabled longer ago than enabledRetention, and must not inherit a drain")
+	require.NoError(t, os.WriteFile(file.path, []byte("{"), 0o600))
+	got, err = file.Update(want, 8)
+	require.NoError(t, err, "Update must replace an unreadable file")
+	require.Equal(t, want, got)
+	other := &SettingsFile{path: file.path, agent: "n1"}
 	_, err = other.Read()
-	require.ErrorContains(t, err, `the file is of agent "n0"`)
+	require.ErrorContains(t, err, `the file belongs to agent "n0"`)
 }
 
-// Two processes of an agent disable endpoints at the same time: the file has them all.
+// When two processes of an agent disable endpoints concurrently, the file contains all of them.
 func TestSettingsFileOfTwoProcesses(t *testing.T) {
 	folder := t.TempDir()
 	var updates sync.WaitGroup
 	const each = 40
 	for process := range 2 {
 		updates.Go(func() {
-			b, set := NewSettingsFile(folder, "n0", listenAt), ManualSettings{}
+			file, settings := NewSettingsFile(folder, "n0", listenAddr), ManualSettings{}
 			for i := range each {
-				set.Disabled = routing.MergeDisabled(set.Disabled, []routing.DisabledEndpoint{{ID: fmt.Sprint(process, "-", i), DisabledAt: 1}})
-				_, err := b.Update(set, 2)
+				settings.Disabled = routing.MergeDisabled(settings.Disabled, []routing.DisabledEndpoint{{ID: fmt.Sprint(process, "-", i), DisabledAt: 1}})
+				_, err := file.Update(settings, 2)
 				require.NoError(t, err)
 			}
 		})
 	}
 	updates.Wait()
-	h, err := NewSettingsFile(folder, "n0", listenAt).Read()
+	got, err := NewSettingsFile(folder, "n0", listenAddr).Read()
 	require.NoError(t, err)
-	require.Len(t, h.Disabled, 2*each)
+	require.Len(t, got.Disabled, 2*each)
 }
 
-// A notification that is sent before the offer arrives after it.
+// A notification sent before the offer arrives after it.
 func TestNotificationsWaitForTheOffer(t *testing.T) {
 	folder := t.TempDir()
-	m, err := Listen(folder, "n0", listenAt)
+	listener, err := Listen(folder, "n0", listenAddr)
 	require.NoError(t, err)
-	go m.Serve(func(error) {}, func(p *Peer) bool {
+	go listener.Serve(func(error) {}, func(p *Peer) bool {
 		p.Notify(Notification{Descriptors: 7})
 		_ = p.SendOffer(Offer{Descriptors: 9, MemoryMB: 8}, nil)
 		p.Notify(Notification{Descriptors: 6})
 		p.Receive(func(Notification) {})
 		return false
 	})
-	p, offer, _, err := Connect(folder, "n0", listenAt)
+	p, offer, _, err := Connect(folder, "n0", listenAddr)
 	require.NoError(t, err)
 	require.Equal(t, 9, offer.Descriptors)
 	var received []int
@@ -91,12 +91,13 @@
 	require.Equal(t, []int{7, 6}, received)
 }
 
-// Two processes meet: the offer comes with its sockets, which both listen listenAt, and notes go both ways.
-func TestMeeting(t *testing.T) {
+// A new process receives the offer with a listening socket that both processes can accept on, and notifications pass
+// in both directions.
+func TestConnectReceivesOfferSocketsAndNotifications(t *testing.T) {
 	folder := t.TempDir()
-	_, _, _, err := Connect(folder, "n0", listenAt)
+	_, _, _, err := Connect(folder, "n0", listenAddr)
 	require.ErrorIs(t, err, ErrNoPeer)
-	m, err := Listen(folder, "n0", listenAt)
+	listener, err := Listen(folder, "n0", listenAddr)
 	require.NoError(t, err)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -109,7 +110,7 @@
 	go func() {
 		defer close(served)
 		first := true
-		m.Serve(func(err error) { rejected <- err }, func(p *Peer) bool {
+		listener.Serve(func(err error) { rejected <- err }, func(p *Peer) bool {
 			if !first {
 				_ = p.SendOffer(Offer{Descriptors: 9, MemoryMB: 8}, nil)
 				return false
@@ -123,27 +124,27 @@
 			return true
 		})
 	}()
-	stranger, err := net.Dial("unix", pathOf(folder, "n0", listenAt, socketSuffix))
+	stranger, err := net.Dial("unix", filePath(folder, "n0", listenAddr, socketSuffix))
 	require.NoError(t, err)
 	_, _ = stranger.Write([]byte("\xff\xff\xff\xff"))
 	require.Error(t, <-rejected)
 	_ = stranger.Close()
-	p, got, sockets, err := Connect(folder, "n0", listenAt)
+	p, got, sockets, err := Connect(folder, "n0", listenAddr)
 	require.NoError(t, err)
 	require.Equal(t, offer, got)
 	inherited, err := net.FileListener(sockets["tcp x"])
 	require.NoError(t, err)
 	require.NoError(t, sockets["tcp x"].Close())
 	require.Equal(t, l.Addr().String(), inherited.Addr().String())
-	require.NoError(t, l.Close(), "the duplicate is still listening")
+	require.NoError(t, l.Close(), "the inherited duplicate must stay open")
 	c, err := net.Dial("tcp", inherited.Addr().String())
 	require.NoError(t, err)
 	_ = c.Close()
 	_ = inherited.Close()
 	p.Notify(Notification{Ready: true})
 	require.Equal(t, Notification{Ready: true}, <-received)
-	// The one that took over took the path too, and died: it becomes the first one's again.
-	dead := &Listener{path: m.path, agent: "n0"}
+	// The new process also took over the socket's path and then ended: the first process binds the path again.
+	dead := &Listener{path: listener.path, agent: "n0"}
 	require.NoError(t, dead.bind())
 	_ = dead.listener.Close()
 	p.Receive(func(n Notification) {
@@ -151,7 +152,7 @@
 		p.Close()
 	})
 	require.Eventually(t, func() bool {
-		p, _, sockets, err := Connect(folder, "n0", listenAt)
+		p, _, sockets, err := Connect(folder, "n0", listenAddr)
 		if err == nil {
 			require.Empty(t, sockets)
 			p.Close()
@@ -161,18 +162,18 @@
 	<-served
 }
 
-// FuzzSettings holds what is read of the file to its bounds.
+// FuzzSettings checks that settings decoded without an error are valid.
 func FuzzSettings(f *testing.F) {
 	f.Add([]byte(`{"format":1,"agent":"n0","bans":[{"id":"s-0","started_ns":5}],"drained":true}`))
 	f.Add([]byte(`{"format":1,"agent":"n0","bans":[{"id":""}]}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		if h, err := decodeSettings(raw, "n0"); err == nil {
-			require.NoError(t, h.validate())
+		if settings, err := decodeSettings(raw, "n0"); err == nil {
+			require.NoError(t, settings.validate())
 		}
 	})
 }
 
-// FuzzFrame has a process read any frame: it returns an offer that can be used, or an error, in time.
+// FuzzFrame checks that receiving an arbitrary frame returns a valid offer or an error, and does not hang.
 func FuzzFrame(f *testing.F) {
 	f.Add([]byte("\x00\x00\x00\x1e{\"sockets\":9,\"memory_mb\":8}    "))
 	f.Add([]byte("\xff\xff\xff\xff"))
@@ -199,11 +200,11 @@
 	})
 }
 
-// A path that is too long for a socket is an error.
+// Listen and Connect return an error if the folder's path is too long for a Unix socket.
 func TestFolderTooLongForASocket(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "a-folder-whose-name-is-far-too-long-for-the-name-of-a-socket-in-any-system-that-we-know-of")
-	_, err := Listen(folder, "n0", listenAt)
+	_, err := Listen(folder, "n0", listenAddr)
 	require.ErrorContains(t, err, "too long")
-	_, _, _, err = Connect(folder, "n0", listenAt)
+	_, _, _, err = Connect(folder, "n0", listenAddr)
 	require.ErrorContains(t, err, "too long")
 }
--- a/internal/handover/listener.go
+++ b/internal/handover/listener.go
@@ -9,15 +9,16 @@
 	"time"
 )
 
-// Listener is where a new process connects to a running one.
+// Listener accepts connections of new processes to the running one.
 type Listener struct {
 	listener    *net.UnixListener
 	path, agent string
 }
 
-// Listen has new processes of an agent connect to this one from now on, in place of any before.
+// Listen listens at the agent's socket path. From then on new processes of the agent connect to this one
+// instead of an earlier one.
 func Listen(folder, agent string, listen netip.AddrPort) (*Listener, error) {
-	path, err := socketPathOf(folder, agent, listen)
+	path, err := socketPath(folder, agent, listen)
 	if err != nil {
 		return nil, err
 	}
@@ -25,31 +26,32 @@
 	return l, l.bind()
 }
 
-// bind listens on a socket of this process's own, and renames it to the agent's path: at no moment is there
-// none.
+// bind listens at a path of this process's own and renames it to the agent's path, so that the agent's path
+// always exists.
 func (l *Listener) bind() error {
 	own := fmt.Sprintf("%s.%d", l.path, os.Getpid())
-	_ = os.Remove(own) // of an earlier process with this number; where it can't be removed, the next call fails
+	_ = os.Remove(own) // from an earlier process with the same id; if it can't be removed, listening fails
 	listener, err := net.ListenUnix("unix", &net.UnixAddr{Name: own, Net: "unix"})
 	if err != nil {
 		return fmt.Errorf("handover: cannot listen at %s: %w", own, err)
 	}
-	listener.SetUnlinkOnClose(false) // by then the path may be another process's
+	listener.SetUnlinkOnClose(false) // at that time the path may belong to another process
 	if err := errors.Join(os.Chmod(own, 0o600), os.Rename(own, l.path)); err != nil {
-		_ = listener.Close() // nobody has connected
-		return fmt.Errorf("handover: cannot take the path %s: %w", l.path, err)
+		_ = listener.Close() // no process has connected
+		return fmt.Errorf("handover: cannot rename the socket to %s: %w", l.path, err)
 	}
 	if l.listener != nil {
-		_ = l.listener.Close() // its path is the new one's
+		_ = l.listener.Close() // the new listener has replaced its path
 	}
 	l.listener = listener
 	return nil
 }
 
-// Serve accepts new processes, one after the other. It calls handle with each, which returns when that
-// process has gone, and whether this one continues: then the path, which the other one may have taken,
-// becomes this process's again. Serve returns otherwise, or when the path can't be had. A connection that
-// does not say hello as it must is closed, and rejected is called with the reason.
+// Serve accepts new processes one at a time and calls handle with each. handle must return when the other
+// process has disconnected, and report whether this process continues to run. If it does, Serve binds the
+// agent's path again, which the other process may have taken over. Serve returns if it does not, or if the
+// path can't be bound. A connection without a valid hello is closed, and rejected is called with the
+// reason, as it is if the path can't be bound.
 func (l *Listener) Serve(rejected func(error), handle func(*Peer) (continues bool)) {
 	for {
 		conn, err := l.listener.AcceptUnix()
@@ -65,7 +67,7 @@
 		continues := handle(p)
 		p.Close()
 		if !continues {
-			_ = l.listener.Close() // the process ends
+			_ = l.listener.Close() // the process is about to end
 			return
 		}
 		if err := l.bind(); err != nil {
@@ -75,9 +77,9 @@
 	}
 }
 
-// receiveHello receives the hello of a new process of an agent.
+// receiveHello receives and checks the hello of a new process of the agent.
 func (p *Peer) receiveHello(agent string) error {
-	// fails only on a closed connection, as what follows does
+	// fails only on a closed connection, on which the read fails too
 	_ = p.conn.SetDeadline(time.Now().Add(handshakeTimeout))
 	if err := checkSameUser(p.conn); err != nil {
 		return err
@@ -88,7 +90,7 @@
 	}
 	if h.Format != protocolFormat || h.Agent != agent {
 		return fmt.Errorf(
-			"hello of format %d and agent %q, not %d and %q",
+			"received a hello of format %d for agent %q, expected %d and %q",
 			h.Format,
 			h.Agent,
 			protocolFormat,
--- a/internal/handover/peer.go
+++ b/internal/handover/peer.go
@@ -13,62 +13,65 @@
 
 const (
 	protocolFormat = 1
-	// handshakeTimeout bounds connecting, hello and offer together: a new process has a few seconds to be ready.
+	// handshakeTimeout limits connecting, and separately hello and offer together. A new process has a few
+	// seconds to become ready.
 	handshakeTimeout = 1500 * time.Millisecond
-	// notifyTimeout is how long the other process has to take a notification.
+	// notifyTimeout limits how long the other process may take to receive a notification.
 	notifyTimeout = time.Second
 )
 
 // ErrNoPeer means that no other process of this agent is running.
 var ErrNoPeer = errors.New("handover: no other process of this agent is running")
 
-// errOffer means that the parts of an offer contradict each other.
-var errOffer = errors.New("the offer is inconsistent")
+// errInconsistentOffer means that fields of an offer are invalid or do not match the sockets received with
+// it.
+var errInconsistentOffer = errors.New("the offer is inconsistent")
 
-// Offer is what a running process gives to the one that takes over from it.
+// Offer contains what a running process hands over to the process that replaces it.
 type Offer struct {
 	Manual ManualSettings `json:"hand"`
-	// Descriptors and MemoryMB are what the new process may use until it is notified otherwise.
+	// Descriptors and MemoryMB limit the new process's file descriptors, and its memory in MiB. A Notification
+	// can change Descriptors.
 	Descriptors int   `json:"sockets"`
 	MemoryMB    int64 `json:"memory_mb"`
-	// State is what was learned, as package state encodes it; empty: nothing.
+	// State is the learned state as encoded by package state; empty: none.
 	State []byte `json:"state"`
-	// FleetState is what the agents of the fleet had agreed on, as the program encodes it; empty: nothing.
+	// FleetState is the state that the agents of the fleet agreed on, as encoded by the program; empty: none.
 	FleetState []byte `json:"fleet,omitempty"`
-	// SocketNames are the networks and addresses of the sockets that come with the offer, in their order.
+	// SocketNames are the networks and addresses of the sockets passed with the offer, in the same order.
 	SocketNames []string `json:"handed"`
 }
 
-// Notification is what two processes tell each other while both run. Fields that are absent say nothing.
+// Notification is a message between two processes while both run. Absent fields mean no change.
 type Notification struct {
-	// Ready: the new process accepts clients.
+	// Ready reports that the new process accepts clients.
 	Ready bool `json:"ready,omitempty"`
-	// Manual: operators have set something at the sender.
+	// Manual has the sender's manual settings after an operator changed them.
 	Manual *ManualSettings `json:"hand,omitempty"`
-	// Descriptors is how many the receiver may use from now on.
+	// Descriptors is the maximum number of file descriptors that the receiver may use from now on.
 	Descriptors int `json:"sockets,omitempty"`
 }
 
-// hello is the first frame of a new process.
+// hello is the first frame that a new process sends.
 type hello struct {
 	Format int    `json:"format"`
 	Agent  string `json:"agent"`
 }
 
-// Peer is the other process, while both run.
+// Peer is a connection to the other process while both run.
 type Peer struct {
 	conn *net.UnixConn
 
 	mu           sync.Mutex // held while a frame is written
-	offerPending bool       // the offer is still to be sent, which comes before any notification
+	offerPending bool       // the offer has not been sent yet; notifications are queued until then
 	queued       []Notification
 }
 
-// Connect connects to the running process of an agent and returns its offer, with the sockets by their names,
-// which are the caller's to close. ErrNoPeer: there is none. Any other error says why the two can't work
-// together; then nothing was taken over.
+// Connect connects to the running process of an agent and returns its offer and the sockets by name. The
+// caller must close the sockets. It returns ErrNoPeer if no process is running. After any other error
+// nothing was handed over.
 func Connect(folder, agent string, listen netip.AddrPort) (*Peer, Offer, map[string]*os.File, error) {
-	path, err := socketPathOf(folder, agent, listen)
+	path, err := socketPath(folder, agent, listen)
 	if err != nil {
 		return nil, Offer{}, nil, err
 	}
@@ -83,14 +86,14 @@
 	offer, sockets, err := p.receiveOffer(agent)
 	if err != nil {
 		p.Close()
-		return nil, Offer{}, nil, fmt.Errorf("handover: cannot take the running process's offer: %w", err)
+		return nil, Offer{}, nil, fmt.Errorf("handover: cannot accept the running process's offer: %w", err)
 	}
 	return p, offer, sockets, nil
 }
 
-// receiveOffer sends the hello, and receives the offer.
+// receiveOffer sends the hello and receives the offer with its sockets by name.
 func (p *Peer) receiveOffer(agent string) (offer Offer, sockets map[string]*os.File, err error) {
-	// fails only on a closed connection, as what follows does
+	// fails only on a closed connection, on which the write fails too
 	_ = p.conn.SetDeadline(time.Now().Add(handshakeTimeout))
 	if err = checkSameUser(p.conn); err != nil {
 		return offer, nil, err
@@ -113,21 +116,21 @@
 	return offer, sockets, nil
 }
 
-// validate checks an offer that came with a number of sockets.
+// validate returns an error unless the offer is valid and names this number of sockets.
 func (o Offer) validate(sockets int) error {
 	if o.Descriptors <= 0 || o.MemoryMB <= 0 || sockets != len(o.SocketNames) {
-		return errOffer
+		return errInconsistentOffer
 	}
 	return o.Manual.validate()
 }
 
-// SendOffer sends the offer, with the sockets that it names. They stay this process's too. Notifications that
-// were queued follow.
+// SendOffer sends the offer with the sockets that it names, then the queued notifications. This process keeps
+// the sockets too.
 func (p *Peer) SendOffer(offer Offer, sockets []syscall.Conn) error {
 	var duplicates []int
 	defer func() {
 		for _, fd := range duplicates {
-			_ = syscall.Close(fd) // the other process has its own
+			_ = syscall.Close(fd) // the other process has received its own descriptor
 		}
 	}()
 	for _, s := range sockets {
@@ -139,7 +142,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	// fails only on a closed connection, as the write does
+	// fails only on a closed connection, on which the write fails too
 	_ = p.conn.SetDeadline(time.Now().Add(handshakeTimeout))
 	err := writeFrame(p.conn, offer, duplicates)
 	for _, n := range p.queued {
@@ -149,8 +152,8 @@
 	return err
 }
 
-// Notify sends a notification; one that can't be sent closes the connection. Before SendOffer it is queued:
-// the other process would take it for the offer. It is safe for concurrent use.
+// Notify sends a notification. If that fails, it closes the connection. Before SendOffer it queues the
+// notification, since the other process would mistake it for the offer. It is safe for concurrent use.
 func (p *Peer) Notify(n Notification) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -161,20 +164,20 @@
 	p.send(n)
 }
 
-// send sends a notification; mu is held.
+// send sends a notification, and closes the connection if that fails. The caller must hold mu.
 func (p *Peer) send(n Notification) {
-	// fails only on a closed connection, as the write does
+	// fails only on a closed connection, on which the write fails too
 	_ = p.conn.SetWriteDeadline(time.Now().Add(notifyTimeout))
 	if err := writeFrame(p.conn, n, nil); err != nil {
 		p.Close()
 	}
 }
 
-// Receive calls handle with each notification, until the other process closes the connection or sends an
-// invalid one.
+// Receive calls handle with each notification until the connection ends or the other process sends an invalid
+// one. It closes the connection.
 func (p *Peer) Receive(handle func(Notification)) {
 	defer p.Close()
-	_ = p.conn.SetReadDeadline(time.Time{}) // fails only on a closed connection, as the read does
+	_ = p.conn.SetReadDeadline(time.Time{}) // fails only on a closed connection, on which the read fails too
 	for {
 		var n Notification
 		if err := readFrame(p.conn, &n); err != nil {
@@ -187,5 +190,5 @@
 	}
 }
 
-// Close closes the connection, which ends Receive at both ends.
+// Close closes the connection, which ends Receive in both processes.
 func (p *Peer) Close() { _ = p.conn.Close() }
--- a/internal/handover/settings.go
+++ b/internal/handover/settings.go
@@ -12,26 +12,26 @@
 )
 
 const (
-	// maxDisabled bounds how many endpoints manual settings may name.
+	// maxDisabled is the maximum number of endpoints in manual settings.
 	maxDisabled = 2048
-	// enabledRetention is how long it is remembered that an endpoint was enabled again: longer than any server
-	// is warming up.
+	// enabledRetention is how long the settings keep an endpoint that was enabled again. It is longer than any
+	// server's slow start.
 	enabledRetention = time.Hour
 )
 
-// ManualSettings are what operators have set at the operators' door. The names in JSON are older than the
-// fields'.
+// ManualSettings are the settings that operators have made by hand through the agent's operator interface.
+// The JSON keeps older names for some fields.
 type ManualSettings struct {
 	Disabled []routing.DisabledEndpoint `json:"bans"`
-	// Draining: clients are sent to other agents.
+	// Draining means that the agent directs its clients to other agents.
 	Draining bool `json:"drained"`
-	// DrainSetAt is when Draining was last set, in Unix time.
+	// DrainSetAt is when Draining was last set, in Unix time; zero: never or unknown.
 	DrainSetAt time.Duration `json:"drain_set_ns,omitempty"`
 }
 
-// Merge returns what holds where two processes of one agent were told different things: in each matter what
-// was set last. Endpoints that were enabled again longer than enabledRetention ago are left out. Now is Unix
-// time.
+// Merge combines the manual settings of two processes of one agent. For each endpoint and for draining, the
+// latest change wins. Endpoints that were enabled again longer ago than enabledRetention are omitted. now
+// is Unix time.
 func Merge(one, other ManualSettings, now time.Duration) ManualSettings {
 	merged := one
 	if other.DrainSetAt > one.DrainSetAt {
@@ -44,7 +44,7 @@
 	return merged
 }
 
-// validate returns an error that names the first setting that can't have been made.
+// validate returns an error that describes the first invalid setting, or nil.
 func (s ManualSettings) validate() error {
 	if len(s.Disabled) > maxDisabled {
 		return errors.New("too many endpoints are disabled")
--- a/internal/handover/settingsfile.go
+++ b/internal/handover/settingsfile.go
@@ -16,41 +16,41 @@
 
 const (
 	settingsFormat = 1
-	// maxSettingsBytes bounds what is read of the file.
+	// maxSettingsBytes is the maximum size of a file that is read.
 	maxSettingsBytes = 1 << 20
-	// lockTimeout bounds the wait for another process's change of the file: operators are owed an answer within
-	// a second.
+	// lockTimeout limits the wait for another process's update of the file. Operators must get a response
+	// within a second.
 	lockTimeout = 300 * time.Millisecond
-	// lockRetryInterval is how often the lock is tried.
+	// lockRetryInterval is the time between two attempts to lock the file.
 	lockRetryInterval = 2 * time.Millisecond
 )
 
-// settingsForm is the file's JSON.
-type settingsForm struct {
+// settingsDocument is the JSON document in the file.
+type settingsDocument struct {
 	Format int    `json:"format"`
 	Agent  string `json:"agent"`
 	ManualSettings
 }
 
-// SettingsFile is the file of an agent's manual settings.
+// SettingsFile is the file that stores an agent's manual settings.
 type SettingsFile struct{ path, agent string }
 
-// NewSettingsFile returns the file, in a folder, of the agent whose clients connect at listen.
+// NewSettingsFile returns the settings file in folder of the agent whose clients connect at listen.
 func NewSettingsFile(folder, agent string, listen netip.AddrPort) *SettingsFile {
-	return &SettingsFile{path: pathOf(folder, agent, listen, settingsSuffix), agent: agent}
+	return &SettingsFile{path: filePath(folder, agent, listen, settingsSuffix), agent: agent}
 }
 
-// Update merges settings into the file, which is replaced as a whole, and returns what holds then; it is on
-// disk when Update returns. A lock keeps another process from replacing the file meanwhile, whose settings
-// would be lost. A file that can't be read is replaced. Now is Unix time.
+// Update merges settings into the file, which it replaces as a whole, and returns the merged settings. They
+// are durable when Update returns. A lock prevents lost updates when another process updates the file
+// concurrently. A file that can't be read is replaced. now is Unix time.
 func (f *SettingsFile) Update(settings ManualSettings, now time.Duration) (ManualSettings, error) {
 	unlock := f.lock()
 	defer unlock()
 	if stored, err := f.Read(); err == nil {
-		// Not whether it drains: that ends with the last process, and a running one is notified.
+		// Draining is not read from the file: it ends with the last process, and running ones are notified of it.
 		settings = Merge(settings, ManualSettings{Disabled: stored.Disabled}, now)
 	}
-	raw, err := json.Marshal(settingsForm{Format: settingsFormat, Agent: f.agent, ManualSettings: settings})
+	raw, err := json.Marshal(settingsDocument{Format: settingsFormat, Agent: f.agent, ManualSettings: settings})
 	if err != nil {
 		return settings, fmt.Errorf("cannot encode the manual settings: %w", err)
 	}
@@ -60,9 +60,9 @@
 	return settings, nil
 }
 
-// lock keeps other processes from changing the file until unlock is called. Where the lock can't be had in
-// time (another process is stopped with it, or the folder accepts no file) the update goes on without: a
-// process that runs beside this one is notified all the same.
+// lock prevents other processes from updating the file until unlock is called. If it can't obtain the lock
+// within lockTimeout (because a suspended process holds it, or no file can be created in the folder), the
+// update continues without it, since another running process is notified of the settings anyway.
 func (f *SettingsFile) lock() (unlock func()) {
 	file, err := os.OpenFile(f.path+".lock", os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
@@ -73,11 +73,11 @@
 			break
 		}
 	}
-	return func() { _ = file.Close() } // which unlocks it
+	return func() { _ = file.Close() } // also unlocks it
 }
 
-// Read returns the settings of the file; none where there is no file. The error says why the file can't be
-// used.
+// Read returns the settings in the file, or empty settings if there is no file. The error says why the file
+// is unusable.
 func (f *SettingsFile) Read() (ManualSettings, error) {
 	file, err := os.Open(f.path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -86,7 +86,7 @@
 	if err != nil {
 		return ManualSettings{}, fmt.Errorf("cannot open the manual settings: %w", err)
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // opened for reading only
 	raw, err := io.ReadAll(io.LimitReader(file, maxSettingsBytes+1))
 	if err != nil {
 		return ManualSettings{}, fmt.Errorf("cannot read the manual settings: %w", err)
@@ -98,20 +98,20 @@
 	return settings, nil
 }
 
-// decodeSettings decodes the file of an agent.
+// decodeSettings decodes and validates the content of the agent's settings file.
 func decodeSettings(raw []byte, agent string) (ManualSettings, error) {
 	if len(raw) > maxSettingsBytes {
 		return ManualSettings{}, fmt.Errorf("more than %d bytes", maxSettingsBytes)
 	}
-	var form settingsForm
-	if err := json.Unmarshal(raw, &form); err != nil {
+	var document settingsDocument
+	if err := json.Unmarshal(raw, &document); err != nil {
 		return ManualSettings{}, err
 	}
 	switch {
-	case form.Format != settingsFormat:
-		return ManualSettings{}, fmt.Errorf("format %d, known is %d", form.Format, settingsFormat)
-	case form.Agent != agent:
-		return ManualSettings{}, fmt.Errorf("the file is of agent %q", form.Agent)
+	case document.Format != settingsFormat:
+		return ManualSettings{}, fmt.Errorf("format %d, this build supports %d", document.Format, settingsFormat)
+	case document.Agent != agent:
+		return ManualSettings{}, fmt.Errorf("the file belongs to agent %q", document.Agent)
 	}
-	return form.ManualSettings, form.validate()
+	return document.ManualSettings, document.validate()
 }
