--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -14,9 +14,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// checkGolden compares lines with a golden file.
+// checkGolden compares lines with a golden file. With -update it writes the file first.
 func checkGolden(t *testing.T, name string, lines []string) {
 	t.Helper()
 	path, got := filepath.Join("testdata", "golden", name), strings.Join(lines, "\n")+"\n"
@@ -28,7 +28,7 @@
 	require.Equal(t, string(want), got)
 }
 
-// keys lists every key of the operator file as TABLE.KEY = VALUE, with the key's type and range, by name.
+// keys returns a sorted line TABLE.KEY = VALUE (TYPE MIN..MAX) for each key of the operator file.
 func keys(t *testing.T, file File) (lines []string) {
 	t.Helper()
 	tables := reflect.ValueOf(file)
@@ -46,7 +46,8 @@
 	return lines
 }
 
-// TestKeysGolden: the operator file's keys, their types, ranges and defaults, and what an example of each comes to.
+// The operator file's keys, their types, ranges and defaults stay as in the golden files, and an example that sets
+// every key is read as before.
 func TestKeysGolden(t *testing.T) {
 	checkGolden(t, "defaults.txt", keys(t, Default()))
 	empty, err := Read("")
--- a/internal/operator/read.go
+++ b/internal/operator/read.go
@@ -6,8 +6,8 @@
 	"dunestep/internal/stricttoml"
 )
 
-// Read reads and checks the operator file at path; an empty path gives Default. The error joins everything
-// that is wrong with the file, each problem with line, column and what is allowed; Problems lists them.
+// Read reads and checks the operator file at path; for an empty path it returns Default. The error joins all
+// problems of the file, each with line, column and what is allowed; Problems lists them.
 func Read(path string) (File, error) {
 	file := Default()
 	if path == "" {
@@ -19,12 +19,13 @@
 	return file, nil
 }
 
-// tableChecker is a table with rules between its keys. The problem is empty if they all hold.
+// tableChecker is a table with rules between its keys. check returns the first key that violates one and a
+// description of the problem, or empty strings.
 type tableChecker interface {
 	check() (key, problem string)
 }
 
-// checkTables checks the rules between keys of each table whose keys are valid one by one.
+// checkTables checks the rules between keys of each table whose individual values are valid.
 func (f *File) checkTables(d *stricttoml.Document) {
 	tables := reflect.ValueOf(f).Elem()
 	for i := range tables.NumField() {
@@ -39,8 +40,8 @@
 	}
 }
 
-// Problems splits an error of Read into its problems, in the order of the file. Any other error is returned
-// as the only one.
+// Problems splits an error of Read into its problems, in the order of the file. For any other error it
+// returns only that error.
 func Problems(err error) []error {
 	joined, ok := err.(interface{ Unwrap() []error })
 	if !ok {
--- a/internal/operator/read_test.go
+++ b/internal/operator/read_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestShippedFileHasEveryDefault: the shipped file has every key of every table, with its default.
+// The shipped file has every key of every table with its default value.
 func TestShippedFileHasEveryDefault(t *testing.T) {
 	raw, err := os.ReadFile("../../deploy/operator.toml")
 	require.NoError(t, err)
@@ -29,7 +29,7 @@
 	}
 }
 
-// TestRead: each problem of a file is reported with its place and what is allowed.
+// Read reports each problem of a file with its position and what is allowed.
 func TestRead(t *testing.T) {
 	for name, c := range map[string]struct {
 		text string
