--- a/internal/stricttoml/bind.go
+++ b/internal/stricttoml/bind.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// bindTable sets the fields of a struct from a table.
+// bindTable sets the fields of a struct from a table, and reports unknown and missing keys.
 func (d *Document) bindTable(path string, values map[string]any, into reflect.Value) {
 	d.tables[path] = values
 	tags := make([]fieldTag, into.NumField())
@@ -26,7 +26,7 @@
 		case tag.defaultValue != nil:
 			value = tag.defaultValue
 		case into.Field(i).Kind() == reflect.Struct && !isSpan(into.Field(i).Type()):
-			value = map[string]any{} // a table that is left out: its keys have their defaults
+			value = map[string]any{} // an omitted table: its keys have their defaults
 		default:
 			continue
 		}
@@ -34,9 +34,9 @@
 	}
 }
 
-// reportUnknownKeys reports the keys of a table that its struct does not have.
+// reportUnknownKeys reports the keys of a table that its struct does not define.
 func (d *Document) reportUnknownKeys(path string, tags []fieldTag, into reflect.Value) {
-	keys, expected := make([]string, len(tags)), "table" // a struct of tables only
+	keys, expected := make([]string, len(tags)), "table" // if all fields are tables
 	for i, tag := range tags {
 		keys[i] = tag.key
 		if into.Field(i).Kind() != reflect.Struct || isSpan(into.Field(i).Type()) {
@@ -50,7 +50,7 @@
 	}
 }
 
-// bindValue sets a field from one value, by the type of the field.
+// bindValue sets a field from one value according to the field's type.
 func (d *Document) bindValue(path string, tag fieldTag, value any, into reflect.Value) {
 	switch kind := into.Kind(); {
 	case into.Type() == durationType || kind == reflect.Float64:
@@ -76,7 +76,8 @@
 	}
 }
 
-// bindNumber sets a number or a time. An integer is allowed where any number is.
+// bindNumber sets a float64 or a time.Duration from a number, and returns the number. ok is false if the
+// value is not allowed. An integer is accepted as a number.
 func (d *Document) bindNumber(path string, tag fieldTag, value any, into reflect.Value) (v float64, ok bool) {
 	switch n := value.(type) {
 	case int64:
@@ -108,14 +109,14 @@
 	}
 }
 
-// bindSpan sets a span from a number, or from an array of its low and high end.
+// bindSpan sets a span from a number, or from an array of its minimum and maximum.
 func (d *Document) bindSpan(path string, tag fieldTag, value any, into reflect.Value) {
 	ends, isArray := value.([]any)
 	if !isArray {
 		ends = []any{value, value}
 	}
 	if len(ends) != 2 {
-		d.AddProblem(path, "must be a number%s, or an array of two: the least and the most", tag.rangeText())
+		d.AddProblem(path, "must be a number%s, or an array of two: the minimum and the maximum", tag.rangeText())
 		return
 	}
 	low, ok := d.bindNumber(path, tag, ends[0], into.Field(0))
@@ -123,11 +124,11 @@
 		return
 	}
 	if high, ok := d.bindNumber(path, tag, ends[1], into.Field(1)); ok && low > high {
-		d.AddProblem(path, "the least, %v, is over the most, %v", low, high)
+		d.AddProblem(path, "the minimum, %v, is above the maximum, %v", low, high)
 	}
 }
 
-// maxEntries is the largest number of entries of an array.
+// maxEntries is the maximum number of entries in an array.
 const maxEntries = 1000
 
 // bindArray sets a slice from an array, entry by entry.
@@ -143,7 +144,7 @@
 	}
 }
 
-// bindTableOrMap sets a struct from a table, or a map from a table whose keys the document chooses.
+// bindTableOrMap sets a struct from a table, or a map from a table with arbitrary keys.
 func (d *Document) bindTableOrMap(path string, tag fieldTag, value any, into reflect.Value) {
 	values, ok := value.(map[string]any)
 	switch {
@@ -161,7 +162,7 @@
 	}
 }
 
-// maxStringBytes is the longest string: as long as a path of a file may be.
+// maxStringBytes is the maximum length of a string in bytes; file paths are limited to the same length.
 const maxStringBytes = 4096
 
 // bindString sets a string field.
--- a/internal/stricttoml/position.go
+++ b/internal/stricttoml/position.go
@@ -8,18 +8,18 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// keyPositions is the position of each key in a document, by path.
+// keyPositions has the position of each key in a document by path.
 type keyPositions struct {
-	offsets    map[string]int // in bytes
-	lineStarts []int          // offset of each line, in bytes
+	offsets    map[string]int // byte offset of each key by path
+	lineStarts []int          // byte offset of each line
 }
 
-// maxPathBytes is the longest path of a key whose position is recorded; a problem below a longer path gets
-// the position of the table around it. Without the limit, paths would take memory with the square of a
-// document's size.
+// maxPathBytes is the maximum length of the path of a key whose position is recorded. A problem below a
+// longer path gets the position of the enclosing table. Without the limit, the memory for paths could grow
+// with the square of a document's size.
 const maxPathBytes = 200
 
-// findKeyPositions records the positions of the keys of a document that is known to be valid TOML.
+// findKeyPositions returns the positions of the keys in a document, which must be valid TOML.
 func findKeyPositions(data []byte) keyPositions {
 	p := keyPositions{offsets: map[string]int{}, lineStarts: []int{0}}
 	for i, c := range data {
@@ -29,7 +29,7 @@
 	}
 	var parser unstable.Parser
 	parser.Reset(data)
-	entries := map[string]int{} // so far, of each array of tables
+	entries := map[string]int{} // number of entries so far in each array of tables
 	table := ""
 	for parser.NextExpression() {
 		e := parser.Expression()
@@ -43,7 +43,7 @@
 	return p
 }
 
-// addHeader records a table's header and returns the table's path.
+// addHeader records the keys in a table's header and returns the table's path.
 func (p *keyPositions) addHeader(e *unstable.Node, entries map[string]int) (path string) {
 	for keys := e.Key(); keys.Next(); {
 		path = keyPath(path, string(keys.Node().Data))
@@ -85,14 +85,15 @@
 	}
 }
 
-// add records the position of a key at its first occurrence.
+// add records the position of a key's first occurrence.
 func (p *keyPositions) add(path string, key *unstable.Node) {
 	if _, known := p.offsets[path]; !known && len(path) <= maxPathBytes {
 		p.offsets[path] = int(key.Raw.Offset)
 	}
 }
 
-// find returns the line and column of a key, or of the closest table around it; zeros if there is none.
+// find returns the line and column of a key or of the innermost enclosing table with a position, or zeros if
+// there is none.
 func (p keyPositions) find(path string) (line, column int) {
 	for path != "" {
 		if at, ok := p.offsets[path]; ok {
@@ -104,7 +105,8 @@
 	return 0, 0
 }
 
-// keyPath returns the path of a key in a table. A key below a path that is too long has that path itself.
+// keyPath returns the path of a key in a table. If the table's path is too long, it returns that path
+// unchanged.
 func keyPath(path, key string) string {
 	if key == "" {
 		key = `""`
@@ -118,7 +120,8 @@
 	return path + "." + key
 }
 
-// entryPath returns the path of an array's entry.
+// entryPath returns the path of an array's entry. If the array's path is too long, it returns that path
+// unchanged.
 func entryPath(path string, i int) string {
 	if len(path) > maxPathBytes {
 		return path
--- a/internal/stricttoml/problem.go
+++ b/internal/stricttoml/problem.go
@@ -10,19 +10,19 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Problem is one thing that is wrong with a document. Its text is for the person who wrote the file.
+// Problem describes one fault of a document. Its text is meant for the author of the file.
 type Problem struct {
-	// File is the name that the document was read under.
+	// File is the document's name as passed to Read or ReadFile.
 	File string
 	// Line and Column count from 1, columns in bytes. Both are 0 if the problem has no position.
 	Line, Column int
-	// Key is the path of the key, such as fault[2].at_s; empty: the document as a whole.
+	// Key is the path of the key, such as fault[2].at_s; empty: the whole document.
 	Key string
 	// Text says what is wrong and what is allowed.
 	Text string
 }
 
-// Error returns "FILE:LINE:COLUMN: KEY: TEXT", without the parts that are not known.
+// Error returns "FILE:LINE:COLUMN: KEY: TEXT" without the unknown parts.
 func (p Problem) Error() string {
 	where := p.File + ":"
 	if p.Line > 0 {
@@ -34,16 +34,17 @@
 	return where + " " + p.Text
 }
 
-// Problems is everything that is wrong with a document, in the order of the document.
+// Problems lists the problems of a document, in the order of the document.
 type Problems []Problem
 
-// maxReportedProblems is how many problems of a document are listed; one more says how many are left out.
+// maxReportedProblems is the maximum number of problems in a list. An additional entry has the number of
+// those omitted.
 const maxReportedProblems = 50
 
-// Error returns the problems, each on a line.
+// Error returns the texts of the problems, one per line.
 func (p Problems) Error() string { return errors.Join(p.Unwrap()...).Error() }
 
-// Unwrap returns the problems one by one.
+// Unwrap returns the problems as separate errors.
 func (p Problems) Unwrap() []error {
 	all := make([]error, len(p))
 	for i, one := range p {
@@ -52,7 +53,7 @@
 	return all
 }
 
-// syntaxProblem turns an error of the TOML parser into a problem.
+// syntaxProblem converts an error of the TOML parser to a problem.
 func syntaxProblem(name string, err error) Problem {
 	p := Problem{File: name, Text: strings.TrimPrefix(err.Error(), "toml: ")}
 	var decodeErr *toml.DecodeError
@@ -63,8 +64,7 @@
 	return p
 }
 
-// sortedProblems returns the problems in the order of the document; if there are too many to read, only the
-// first of them.
+// sortedProblems returns the problems in the order of the document, limited to maxReportedProblems.
 func (d *Document) sortedProblems(name string) Problems {
 	all := d.problems
 	slices.SortStableFunc(all, func(p, q Problem) int {
--- a/internal/stricttoml/read.go
+++ b/internal/stricttoml/read.go
@@ -1,22 +1,22 @@
-// Package stricttoml reads TOML documents into tagged structs and reports everything that is wrong with a
-// document at once, each problem with its line, its column and what is allowed. The documents are files that
-// people write: their size is limited, and no nesting, repetition or long key costs more memory than a fixed
-// multiple of that size.
+// Package stricttoml reads TOML documents into tagged structs and reports all problems of a document at once,
+// each with its line, its column and what is allowed. It is made for files written by people: their size is
+// limited, and the memory used is at most a fixed multiple of that size, whatever nesting, repetition or long
+// keys a document has.
 //
 // Every field of a struct is a key. Its tags:
 //
-//	toml:"key"          its name; toml:"key,need" if it is required, and a string not empty
-//	range:"1..9"        the smallest and largest value, or min:"1" max:"9"; for a time in the unit of its key
-//	oneof:"this,that"   the strings that are allowed
-//	default:"[1, 2]"    the value of a key that is left out, in TOML; without it the field is not changed
+//	toml:"key"          the name of the key; toml:"key,need" if it is required (a string must not be empty)
+//	range:"1..9"        the minimum and maximum, or min:"1" max:"9"; for a time in the unit of its key
+//	oneof:"this,that"   the allowed strings
+//	default:"[1, 2]"    the value, in TOML, if the key is omitted; without it the field is not changed
 //
 // A field is a string, a bool, an integer (int, int64, uint64), a float64, a time.Duration (its key ends in
 // _ms or _s), a span (a struct of Low and High, both float64 or both time.Duration: in the document a number
-// or an array of two), a table (a struct), an array of any of these, or a map of any of these whose keys the
-// document chooses. Tags that make no sense are a programming error and panic.
+// or an array of two), a table (a struct), an array of any of these, or a map of any of these with arbitrary
+// keys. Invalid tags are a programming error and cause a panic.
 //
-// The package keeps no state and starts no goroutine. Problems come in the order of the document, whatever
-// the order of maps.
+// The package keeps no state and starts no goroutine. Problems are reported in the order of the document,
+// independent of map order.
 package stricttoml
 
 import (
@@ -31,19 +31,19 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// MaxBytes is the largest document that is read, in bytes. The TOML library compares each key of a table with
-// all others, so that the time for a table grows with the square of its size.
+// MaxBytes is the maximum size of a document, in bytes. The TOML library compares each key of a table with
+// all others, so the time for a table grows with the square of its size.
 const MaxBytes = 256 << 10
 
-// Document is a document that was read, for checks between its keys. It is used by one goroutine.
+// Document is a document that has been read, for checks between its keys. It is not safe for concurrent use.
 type Document struct {
 	positions keyPositions
 	tables    map[string]map[string]any // as written in the document, by path
 	problems  Problems
 }
 
-// ReadFile reads a file as Read does. An error other than Problems means that the file could not be read; it
-// is the one of package os, which names the operation and the path.
+// ReadFile reads a file as Read does. An error other than Problems means that the file could not be read;
+// it is the error of package os, which contains the operation and the path.
 func ReadFile(path string, into any, check func(*Document)) error {
 	f, err := os.Open(path)
 	if err != nil {
@@ -57,8 +57,8 @@
 	return Read(path, data, into, check)
 }
 
-// Read reads a document into the struct that into points to, then calls check for the rules between keys. An
-// error is always Problems, with name as the file; the content of the struct is undefined then.
+// Read reads a document into the struct that into points to, then calls check for the rules between keys. Its
+// errors are always Problems with name as the file. After an error the content of the struct is undefined.
 func Read(name string, data []byte, into any, check func(*Document)) error {
 	if len(data) > MaxBytes {
 		return Problems{{File: name, Text: fmt.Sprintf("is longer than %d bytes", MaxBytes)}}
@@ -76,16 +76,16 @@
 	return d.sortedProblems(name)
 }
 
-// AddProblem reports a problem of the key or table with this path. If the path is not in the document, the
-// problem gets the position of the closest table around it.
+// AddProblem adds a problem of the key or table with this path. If the path is not in the document, the
+// problem gets the position of the innermost enclosing table.
 func (d *Document) AddProblem(path, format string, args ...any) {
 	line, column := d.positions.find(path)
 	text := fmt.Sprintf(format, args...)
 	d.problems = append(d.problems, Problem{Line: line, Column: column, Key: path, Text: text})
 }
 
-// IsValid reports whether no problem was found so far in the table with this path, or in the whole document
-// if the path is empty. Rules between keys apply only to tables whose keys are valid one by one.
+// IsValid reports whether no problem has been found so far in the table with this path, or in the whole
+// document if the path is empty. Rules between keys apply only to tables whose individual values are valid.
 func (d *Document) IsValid(path string) bool {
 	return !slices.ContainsFunc(d.problems, func(p Problem) bool {
 		rest, hasPrefix := strings.CutPrefix(p.Key, path)
@@ -93,10 +93,10 @@
 	})
 }
 
-// Keys returns the keys of a table that are in the document, sorted.
+// Keys returns the sorted keys of a table that are present in the document.
 func (d *Document) Keys(table string) []string { return slices.Sorted(maps.Keys(d.tables[table])) }
 
-// Has reports whether a key is in the document itself, rather than at its default.
+// Has reports whether a key is present in the document, as opposed to having its default.
 func (d *Document) Has(table, key string) bool {
 	_, has := d.tables[table][key]
 	return has
--- a/internal/stricttoml/tag.go
+++ b/internal/stricttoml/tag.go
@@ -16,11 +16,11 @@
 	key          string
 	required     bool
 	min, max     float64  // in the unit of the key
-	allowed      []string // strings; nil: any
-	defaultValue any      // as the TOML library decodes it; nil: the field is not changed
+	allowed      []string // allowed strings; nil: any
+	defaultValue any      // default as decoded by the TOML library; nil: the field is not changed
 }
 
-// parseTag parses a field's tags. It panics if they make no sense.
+// parseTag parses a field's tags. It panics if they are invalid.
 func parseTag(f reflect.StructField) fieldTag {
 	key, option, _ := strings.Cut(f.Tag.Get("toml"), ",")
 	t := fieldTag{key: key, required: option == "need", min: -math.MaxFloat64, max: math.MaxFloat64}
@@ -32,7 +32,7 @@
 	case low != "":
 		t.min, t.max = parseBound(low), parseBound(high)
 	case f.Type == durationType:
-		panic("stricttoml: a time without a range: " + f.Name)
+		panic("stricttoml: duration field without a range: " + f.Name)
 	case f.Type.Kind() == reflect.Uint64:
 		t.min = 0
 	}
@@ -49,19 +49,19 @@
 	return t
 }
 
-// parseBound parses one end of a range.
+// parseBound parses one bound of a range. It panics if it is not a number.
 func parseBound(text string) float64 {
 	v, err := strconv.ParseFloat(text, 64)
 	if err != nil {
-		panic("stricttoml: a range in a tag is no number: " + text)
+		panic("stricttoml: range bound in a tag is not a number: " + text)
 	}
 	return v
 }
 
-// inRange reports whether a number is in the tag's range. NaN and infinities are in no range.
+// inRange reports whether a number is in the tag's range. NaN and infinities never are.
 func (t fieldTag) inRange(v float64) bool { return v >= t.min && v <= t.max }
 
-// rangeText is the tag's range as part of a problem's text, such as " from 1 to 9".
+// rangeText returns the tag's range as part of a problem's text, such as " from 1 to 9"; empty: unlimited.
 func (t fieldTag) rangeText() (text string) {
 	if t.min > -math.MaxFloat64 {
 		text += " from " + strconv.FormatFloat(t.min, 'f', -1, 64)
@@ -72,7 +72,7 @@
 	return text
 }
 
-// keyUnit is the unit of a time, by the suffix of its key: milliseconds for _ms, else seconds.
+// keyUnit returns the unit of a time by the suffix of its key: milliseconds for _ms, otherwise seconds.
 func keyUnit(key string) time.Duration {
 	if strings.HasSuffix(key, "_ms") {
 		return time.Millisecond
--- a/internal/stricttoml/write.go
+++ b/internal/stricttoml/write.go
@@ -6,13 +6,13 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Write encodes the struct that from points to as a document that Read decodes into an equal struct. A field
-// that would have the same value with its key left out, by its tags, is left out.
+// Write encodes the struct that from points to as a document that Read decodes into an equal struct. It omits
+// fields whose value is what Read sets if the key is omitted.
 func Write(from any) ([]byte, error) {
 	return toml.Marshal(encodeTable(reflect.ValueOf(from).Elem()))
 }
 
-// encodeTable returns the keys of a struct's table.
+// encodeTable returns the keys and values of a struct's table.
 func encodeTable(v reflect.Value) map[string]any {
 	doc := map[string]any{}
 	for i := range v.NumField() {
@@ -29,7 +29,7 @@
 	return doc
 }
 
-// isDefault reports whether a field has the value that it gets with its key left out.
+// isDefault reports whether a field has the value that it gets if its key is omitted.
 func isDefault(tag fieldTag, v reflect.Value) bool {
 	absent := reflect.New(v.Type()).Elem()
 	if tag.defaultValue != nil {
