--- a/internal/bytebudget/budget.go
+++ b/internal/bytebudget/budget.go
@@ -6,38 +6,38 @@
 )
 
 const (
-	smallBytes   = 8 << 10 // a reservation up to this is small
-	smallReserve = 8       // the others leave this part of the limit, an eighth, to small ones
-	// delayPerByte is how much later a byte more makes a reservation's turn. It is overtaken by smaller ones
-	// only while they come within its size's worth of time: so the small go first, and the large are not
-	// starved.
-	delayPerByte = time.Microsecond
+	maxSmallBytes       = 8 << 10 // maximum size of a small reservation
+	smallReserveDivisor = 8       // 1/8 of the limit is reserved for small reservations
+	// queueDelayPerByte is the delay that each byte adds to a reservation's queueTime. A reservation can be
+	// overtaken only by smaller ones that arrive within the delay of its size. Small reservations are therefore
+	// granted first, and large ones do not starve.
+	queueDelayPerByte = time.Microsecond
 )
 
-// Holder is who holds memory: an upstream server by its responses, or a client by its requests.
+// Holder identifies a holder of memory: an upstream server for its responses, or a client for its requests.
 type Holder struct {
 	Name      string
 	IsRequest bool
 }
 
-// Ticket is the number of a reservation that waits.
+// Ticket identifies a waiting reservation.
 type Ticket uint64
 
-// Budget decides who may hold how many bytes. Calls that free something return the tickets of the
-// reservations that are granted by that, in order.
+// Budget decides how many bytes each holder may reserve. Calls that can make bytes available return the
+// tickets of the waiting reservations that were granted as a result, in order.
 type Budget struct {
 	limit, reserved    int64
-	reservedByRequests int64 // of used
+	reservedByRequests int64 // part of reserved
 	reservedBy         map[Holder]int64
-	waiting            []reservation // by their turn
-	last               Ticket
+	waiting            []reservation // sorted by queueTime
+	lastTicket         Ticket
 }
 
 type reservation struct {
-	ticket Ticket
-	holder Holder
-	size   int64
-	turn   time.Duration
+	ticket    Ticket
+	holder    Holder
+	size      int64
+	queueTime time.Duration
 }
 
 // NewBudget returns a Budget of limit bytes.
@@ -45,37 +45,40 @@
 	return &Budget{limit: limit, reservedBy: map[Holder]int64{}}
 }
 
-// Reserved is how many bytes are granted.
+// Reserved returns the number of granted bytes.
 func (b *Budget) Reserved() int64 { return b.reserved }
 
-// Waiting is how many reservations wait.
+// Waiting returns the number of waiting reservations.
 func (b *Budget) Waiting() int { return len(b.waiting) }
 
-// Reserve reserves size bytes for a holder. What is not granted at once waits under the ticket, until a later
-// call grants it or Cancel is called.
+// Reserve reserves size bytes for a holder and reports whether they were granted at once. If not, the
+// reservation waits until a later call returns its ticket as granted, or until Cancel is called.
 func (b *Budget) Reserve(now time.Duration, holder Holder, size int64) (t Ticket, granted bool) {
 	if size <= 0 || len(b.waiting) == 0 && b.check(holder, size) == allowed { // the usual case
 		b.reserve(holder, size)
 		return 0, true
 	}
-	b.last++
-	a := reservation{ticket: b.last, holder: holder, size: size, turn: now + time.Duration(size)*delayPerByte}
-	at, _ := slices.BinarySearchFunc(b.waiting, a, func(w, a reservation) int {
-		if w.turn <= a.turn { // of two with the same turn the first one goes first
+	b.lastTicket++
+	added := reservation{
+		ticket: b.lastTicket, holder: holder, size: size,
+		queueTime: now + time.Duration(size)*queueDelayPerByte,
+	}
+	at, _ := slices.BinarySearchFunc(b.waiting, added, func(queued, added reservation) int {
+		if queued.queueTime <= added.queueTime { // with equal queueTime, the earlier reservation comes first
 			return -1
 		}
 		return 1
 	})
-	b.waiting = slices.Insert(b.waiting, at, a)
-	// What waits was not allowed before, so the new one is the only one that can be granted by this.
+	b.waiting = slices.Insert(b.waiting, at, added)
+	// The others could not be granted before, so only the new reservation can be granted here.
 	if len(b.grantWaiting()) > 0 {
 		return 0, true
 	}
-	return a.ticket, false
+	return added.ticket, false
 }
 
-// TryReserve reserves size bytes more only if that keeps nobody waiting, now or soon: never of the second
-// half of the limit, which is for bodies that begin.
+// TryReserve reserves size additional bytes if they are available at once and no reservation waits, and
+// reports whether it did. It never uses the second half of the limit, which is kept for new bodies.
 func (b *Budget) TryReserve(holder Holder, size int64) bool {
 	if len(b.waiting) > 0 || b.reserved+size > b.limit/2 || b.check(holder, size) != allowed {
 		return false
@@ -84,14 +87,14 @@
 	return true
 }
 
-// Release releases size bytes of what a holder was granted.
+// Release releases size of the bytes granted to a holder. It returns the tickets granted as a result.
 func (b *Budget) Release(holder Holder, size int64) []Ticket {
 	b.reserve(holder, -size)
 	return b.grantWaiting()
 }
 
-// Cancel cancels a reservation that waits. Where waited is false, it was granted before, and the bytes are
-// the caller's.
+// Cancel cancels a waiting reservation. If waited is false, the reservation was already granted, and the
+// caller owns the bytes.
 func (b *Budget) Cancel(t Ticket) (granted []Ticket, waited bool) {
 	at := slices.IndexFunc(b.waiting, func(a reservation) bool { return a.ticket == t })
 	if at < 0 {
@@ -101,14 +104,14 @@
 	return b.grantWaiting(), true
 }
 
-// SetLimit changes the limit in bytes. What is granted stays granted: under a lower limit, reservations wait
-// until enough of it was released.
+// SetLimit changes the limit in bytes. Granted bytes stay granted: after the limit is lowered, reservations
+// wait until enough bytes are released. It returns the tickets granted as a result.
 func (b *Budget) SetLimit(limit int64) []Ticket {
 	b.limit = limit
 	return b.grantWaiting()
 }
 
-// reserve counts size bytes of a holder; below zero, it releases them.
+// reserve adds size bytes to a holder's reserved bytes; a negative size releases bytes.
 func (b *Budget) reserve(holder Holder, size int64) {
 	b.reserved += size
 	if holder.IsRequest {
@@ -119,8 +122,9 @@
 	}
 }
 
-// grantWaiting grants what is allowed now, in the order of the turns. One that finds the budget full holds up
-// those after it, or it could wait for ever; one whose holder has its part does not.
+// grantWaiting grants the waiting reservations that are allowed now, in order of queueTime, and returns
+// their tickets. One that finds the budget full blocks those after it, since it could starve otherwise. One
+// that only exceeds its holder's limit does not.
 func (b *Budget) grantWaiting() (granted []Ticket) {
 	for i := 0; i < len(b.waiting); {
 		next := b.waiting[i]
@@ -138,35 +142,35 @@
 	return granted
 }
 
-// verdict is whether a reservation is granted now, or why not.
+// verdict is the result of checking a reservation: allowed, or the reason why it is not.
 type verdict uint8
 
 const (
 	allowed    verdict = iota
-	budgetFull         // too much is granted already
-	holderFull         // too much of it to this holder, or to requests
+	budgetFull         // the total limit is reached
+	holderFull         // the limit of this holder, or of all requests, is reached
 )
 
-// check reports whether size bytes more can be granted. The most of a server, and of all requests together,
-// is half of the limit, of a client a quarter; and half as much more for small reservations. So nobody can
-// have everything, and responses come to their turn whatever requests hold. A response where none holds
-// anything gets what it needs, and so does a request where nothing is held at all, or a limit that was set
-// too low would block for good.
+// check reports whether size additional bytes can be granted. The maximum is half of the limit for a server
+// and for all requests together, a quarter for a client, and in each case half as much again for small
+// reservations. No holder can therefore reserve everything, and responses are granted however much requests
+// hold. A response is always granted if no response holds memory, and a request if nothing is held at all;
+// otherwise a limit that is set too low would block forever.
 func (b *Budget) check(holder Holder, size int64) verdict {
-	all, own := b.limit-b.limit/smallReserve, b.limit/2
-	if size <= smallBytes {
-		all, own = b.limit, b.limit-b.limit/4
+	totalLimit, holderLimit := b.limit-b.limit/smallReserveDivisor, b.limit/2
+	if size <= maxSmallBytes {
+		totalLimit, holderLimit = b.limit, b.limit-b.limit/4
 	}
 	isFirst := b.reserved == 0 || !holder.IsRequest && b.reserved == b.reservedByRequests
 	held := b.reservedBy[holder]
 	switch {
 	case isFirst:
 		return allowed
-	case holder.IsRequest && (b.reservedByRequests+size > own || held > 0 && held+size > own/2):
+	case holder.IsRequest && (b.reservedByRequests+size > holderLimit || held > 0 && held+size > holderLimit/2):
 		return holderFull
-	case !holder.IsRequest && held > 0 && held+size > own:
+	case !holder.IsRequest && held > 0 && held+size > holderLimit:
 		return holderFull
-	case b.reserved+size > all:
+	case b.reserved+size > totalLimit:
 		return budgetFull
 	}
 	return allowed
--- a/internal/bytebudget/budget_test.go
+++ b/internal/bytebudget/budget_test.go
@@ -9,8 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestBudget: whatever is reserved and released in whatever order, no more than the limit is granted (but to one who is
-// alone), no holder has everything, what waits is not allowed yet, and every reservation is granted in the end, once.
+// For random sequences of calls, no more than the limit is granted (except if nothing, or for a response only
+// requests, were granted before), no reservation waits without need, and every reservation is eventually granted
+// exactly once.
 func TestBudget(t *testing.T) {
 	type grant struct {
 		holder Holder
@@ -25,7 +26,7 @@
 		granted := func(tickets []Ticket) {
 			for _, ticket := range tickets {
 				g, ok := waiting[ticket]
-				require.True(t, ok, "granted, but was not waiting")
+				require.True(t, ok, "a granted ticket must have been waiting")
 				delete(waiting, ticket)
 				held = append(held, g)
 			}
@@ -49,20 +50,20 @@
 					waiting[ticket] = g
 				}
 			},
-			"try": func(t *rapid.T) {
+			"try reserve": func(t *rapid.T) {
 				g := grant{rapid.SampledFrom(holders[:2]).Draw(t, "holder"), rapid.Int64Range(1, 1<<18).Draw(t, "size")}
 				if b.TryReserve(g.holder, g.size) {
 					held = append(held, g)
-					require.Empty(t, waiting, "what waits goes first")
+					require.Empty(t, waiting, "TryReserve must not overtake waiting reservations")
 					require.LessOrEqual(t, b.Reserved(), limit)
 				}
 			},
-			"return": func(t *rapid.T) {
+			"release": func(t *rapid.T) {
 				if len(held) > 0 {
 					release(rapid.IntRange(0, len(held)-1).Draw(t, "i"))
 				}
 			},
-			"withdraw": func(t *rapid.T) {
+			"cancel": func(t *rapid.T) {
 				for ticket := range waiting {
 					more, waited := b.Cancel(ticket)
 					require.True(t, waited)
@@ -88,12 +89,12 @@
 				require.Equal(t, sum, b.Reserved())
 				require.Equal(t, len(waiting), b.Waiting())
 				for _, g := range waiting {
-					require.NotZero(t, sum, "something is allowed where nothing is held")
-					require.True(t, g.holder.IsRequest || responses > 0, "a response waits for responses only")
+					require.NotZero(t, sum, "nothing may wait if nothing is held")
+					require.True(t, g.holder.IsRequest || responses > 0, "a response must wait for other responses only")
 				}
 			},
 		})
-		for len(held) > 0 { // with what is held released, all that waits comes to its turn
+		for len(held) > 0 { // releasing everything held must grant all waiting reservations
 			release(0)
 		}
 		require.Empty(t, waiting)
@@ -101,40 +102,39 @@
 	})
 }
 
-// TestBudgetOrder: the small go first, a large one is overtaken only for its size's worth of time, and one holder does not
-// hold up the others.
+// Small reservations are granted first, a large one is overtaken only during the delay of its size, and a reservation
+// beyond its holder's limit does not block the others.
 func TestBudgetOrder(t *testing.T) {
 	const limit = 1 << 20
 	b := NewBudget(limit)
-	ask := func(now time.Duration, holder string, size int64) Ticket {
+	reserveWaiting := func(now time.Duration, holder string, size int64) Ticket {
 		t.Helper()
 		ticket, granted := b.Reserve(now, Holder{Name: holder}, size)
 		require.False(t, granted)
 		return ticket
 	}
-	must := func(holder string, size int64) {
+	reserveNow := func(holder string, size int64) {
 		t.Helper()
 		_, granted := b.Reserve(0, Holder{Name: holder}, size)
 		require.True(t, granted)
 	}
-	must("s-0", limit/2)
-	must("s-1", limit/2-limit/8)
-	must("s-2", 1000) // the last eighth is for the small
-	large := ask(0, "s-2", 100_000)
-	medium := ask(0, "s-2", 50_000)
-	capped := ask(0, "s-0", 10_000)
-	late := ask(101*time.Millisecond, "s-3", 9_000)
+	reserveNow("s-0", limit/2)
+	reserveNow("s-1", limit/2-limit/8)
+	reserveNow("s-2", 1000) // the last eighth is kept for small reservations
+	large := reserveWaiting(0, "s-2", 100_000)
+	medium := reserveWaiting(0, "s-2", 50_000)
+	capped := reserveWaiting(0, "s-0", 10_000)
+	late := reserveWaiting(101*time.Millisecond, "s-3", 9_000)
 	require.Equal(t, []Ticket{medium, large, late}, b.Release(Holder{Name: "s-1"}, 200_000))
 	require.Equal(t, []Ticket{capped}, b.Release(Holder{Name: "s-0"}, 10_000))
-	require.False(t, b.TryReserve(Holder{Name: "s-4"}, 10_000), "the second half cannot be tried for")
+	require.False(t, b.TryReserve(Holder{Name: "s-4"}, 10_000), "TryReserve must not use the second half of the limit")
 	require.Empty(t, b.Release(Holder{Name: "s-1"}, 150_000))
 	require.False(t, b.TryReserve(Holder{Name: "s-4"}, 10_000))
 	require.Empty(t, b.Release(Holder{Name: "s-0"}, 260_000))
 	require.True(t, b.TryReserve(Holder{Name: "s-4"}, 10_000))
 }
 
-// TestBudgetBounds: no client, server or kind of body can have everything, and small requests have capacity beside large
-// ones.
+// No client, server or kind of body can reserve everything, and small requests have capacity beside large ones.
 func TestBudgetBounds(t *testing.T) {
 	const limit = 1 << 20
 	fill := func(b *Budget, h Holder, size int64) (n int64) {
@@ -151,14 +151,14 @@
 	require.EqualValues(t, limit/4, fill(b, Holder{"c-0", true}, 64<<10))
 	require.EqualValues(t, limit/8, fill(b, Holder{"c-0", true}, 1<<10))
 	require.EqualValues(t, limit/8, fill(b, Holder{"c-1", true}, 64<<10))
-	require.EqualValues(t, limit/4, fill(b, Holder{"c-1", true}, 1<<10), "three quarters for all requests")
+	require.EqualValues(t, limit/4, fill(b, Holder{"c-1", true}, 1<<10), "all requests together must get three quarters of the limit")
 	require.EqualValues(t, limit/8, fill(b, Holder{"s-0", false}, 64<<10))
 	b = NewBudget(limit)
 	require.EqualValues(t, limit/2, fill(b, Holder{"s-0", false}, 64<<10))
 	require.EqualValues(t, limit/2-limit/8, fill(b, Holder{"s-1", false}, 64<<10))
 }
 
-// TestPoolWaits: a goroutine waits for its grant until bytes are given back, or its context ends.
+// Reserve waits until bytes are released, or until its context ends.
 func TestPoolWaits(t *testing.T) {
 	p := NewPool(1000)
 	first, err := p.Reserve(t.Context(), Holder{Name: "a"}, 800)
@@ -182,7 +182,7 @@
 	require.Zero(t, p.Reserved())
 }
 
-// TestZeroBytesNeverWait: a body of no bytes does not wait for memory, however full the budget is.
+// A reservation of zero bytes does not wait, even if the budget is full.
 func TestZeroBytesNeverWait(t *testing.T) {
 	b := NewBudget(1000)
 	_, granted := b.Reserve(0, Holder{Name: "s-0"}, 1000)
--- a/internal/bytebudget/pool.go
+++ b/internal/bytebudget/pool.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// ErrFull means that no memory for a body came free in time.
-var ErrFull = errors.New("no memory for a body came free in time")
+// ErrFull means that no memory for a body became available in time.
+var ErrFull = errors.New("no memory for a body became available in time")
 
-// Pool is a Budget for goroutines that wait for their grants. The goroutine that gives bytes back wakes those
-// whose reservations are granted by that.
+// Pool is a Budget for goroutines that wait for their grants. A goroutine that releases bytes wakes those
+// whose reservations are granted as a result.
 type Pool struct {
 	mu        sync.Mutex
 	budget    *Budget
@@ -24,28 +24,28 @@
 	return &Pool{budget: NewBudget(limit), startedAt: time.Now(), waiting: map[Ticket]chan struct{}{}}
 }
 
-// SetLimit changes the limit in bytes; what is granted stays granted.
+// SetLimit changes the limit in bytes; granted bytes stay granted.
 func (p *Pool) SetLimit(limit int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.wake(p.budget.SetLimit(limit))
 }
 
-// Limit is the limit in bytes.
+// Limit returns the limit in bytes.
 func (p *Pool) Limit() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.budget.limit
 }
 
-// Reserved is how many bytes are granted now.
+// Reserved returns the number of granted bytes.
 func (p *Pool) Reserved() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.budget.Reserved()
 }
 
-// Grant is the memory that one body may occupy. It is for one goroutine at a time; the zero Grant is of no
+// Grant is the memory that one body may occupy. It is not safe for concurrent use. The zero Grant has no
 // bytes.
 type Grant struct {
 	pool   *Pool
@@ -53,8 +53,8 @@
 	size   int64
 }
 
-// Reserve waits until the holder may have size bytes, or ctx ends: then the error is ErrFull. The caller must
-// hold no other grant, except that of a request whose response it reads.
+// Reserve waits until size bytes are granted to the holder. It returns ErrFull if ctx ends before that. To
+// avoid deadlock, the caller must hold no other grant, except that of a request whose response it reads.
 func (p *Pool) Reserve(ctx context.Context, holder Holder, size int64) (Grant, error) {
 	g := Grant{pool: p, holder: holder, size: size}
 	p.mu.Lock()
@@ -75,14 +75,14 @@
 	defer p.mu.Unlock()
 	delete(p.waiting, ticket)
 	woken, waited := p.budget.Cancel(ticket)
-	if !waited { // it was granted just now
+	if !waited { // granted after ctx ended
 		woken = p.budget.Release(holder, size)
 	}
 	p.wake(woken)
 	return Grant{}, ErrFull
 }
 
-// wake wakes those whose reservations were granted; mu is held.
+// wake wakes the goroutines whose reservations were granted. The caller must hold mu.
 func (p *Pool) wake(granted []Ticket) {
 	for _, t := range granted {
 		if isGranted, ok := p.waiting[t]; ok {
@@ -92,10 +92,10 @@
 	}
 }
 
-// Size is the size of the grant in bytes.
+// Size returns the size of the grant in bytes.
 func (g *Grant) Size() int64 { return g.size }
 
-// TryGrow adds size bytes to the grant, if that keeps nobody waiting, and reports whether it did.
+// TryGrow adds size bytes to the grant if TryReserve allows them, and reports whether it did.
 func (g *Grant) TryGrow(size int64) bool {
 	g.pool.mu.Lock()
 	defer g.pool.mu.Unlock()
@@ -106,7 +106,7 @@
 	return true
 }
 
-// Shrink gives back all but size bytes.
+// Shrink releases all but size bytes. It does nothing if the grant is not larger.
 func (g *Grant) Shrink(size int64) {
 	if size >= g.size {
 		return
@@ -117,12 +117,12 @@
 	g.size = size
 }
 
-// Split takes size bytes, or all there are, out of the grant, as a grant of their own.
+// Split moves size bytes, or all if there are fewer, from the grant to a new one.
 func (g *Grant) Split(size int64) Grant {
 	size = min(size, g.size)
 	g.size -= size
 	return Grant{pool: g.pool, holder: g.holder, size: size}
 }
 
-// Release gives back all bytes.
+// Release releases all bytes.
 func (g *Grant) Release() { g.Shrink(0) }
