--- a/internal/bodystream/chunk.go
+++ b/internal/bodystream/chunk.go
@@ -2,22 +2,23 @@
 
 import "sync"
 
-// ChunkBytes is the size in bytes of the pieces that a body's memory is divided into. A body that is known to
-// be shorter takes no more than its length.
+// ChunkBytes is the size in bytes of the chunks that a body's memory is divided into. A body that is known to
+// be shorter uses only its length.
 const ChunkBytes = 32 << 10
 
-// chunkPool keeps the chunks of bodies that have passed for the next ones. It is safe for concurrent use, and
-// the only state that bodies share.
+// chunkPool keeps the chunks of finished bodies for reuse. It is safe for concurrent use, and it is the only
+// state that Streams share.
 var chunkPool = sync.Pool{New: func() any { return new([ChunkBytes]byte) }}
 
-// allocate adds a chunk to the queue if the memory is granted; mu is held.
+// allocate adds a chunk to the queue if its memory is granted, and reports whether it did. The caller must
+// hold mu.
 func (s *Stream) allocate() bool {
 	size := int64(ChunkBytes)
 	if left := s.length - s.received; s.length >= 0 && left < size {
 		size = left
 	}
 	if beyond := s.allocated + size - s.grant.Size(); beyond > 0 &&
-		(s.grant.Size()+beyond > s.maxBytes || !s.grant.TryGrow(beyond)) {
+		(s.grant.Size()+beyond > s.maxGrantBytes || !s.grant.TryGrow(beyond)) {
 		return false
 	}
 	s.allocated += size
@@ -29,7 +30,7 @@
 	return true
 }
 
-// freeChunk gives a chunk back; mu is held.
+// freeChunk returns a chunk to chunkPool if it has the pool's size. The caller must hold mu.
 func (s *Stream) freeChunk(chunk []byte) {
 	s.allocated -= int64(cap(chunk))
 	if cap(chunk) == ChunkBytes {
--- a/internal/bodystream/doc.go
+++ b/internal/bodystream/doc.go
@@ -1,9 +1,9 @@
-// Package bodystream carries a body from the connection that brings it to the one that takes it, in budgeted
-// memory.
+// Package bodystream passes a body from the connection that receives it to the one that sends it on, in
+// memory of a byte budget.
 //
-// A Stream is one body. One goroutine writes it: WriteBuffer and Wrote, and at last CloseWrite. One reads it:
-// ReadBuffer and Consumed, and at last CloseRead. Abort, from any goroutine, ends the waiting of both. The
-// Stream owns the memory of its grant, and gives it back after CloseWrite and CloseRead; the goroutines are
-// the callers', but for the one that runs the function of OnStop. The clock is the machine's: times are for
-// Progress only.
+// A Stream is one body. One goroutine writes it with WriteBuffer and Wrote, and finally calls CloseWrite.
+// One goroutine reads it with ReadBuffer and Consumed, and finally calls CloseRead. Abort, from any
+// goroutine, ends the waits of both. The Stream owns its memory grant and releases it after CloseWrite and
+// CloseRead. It starts no goroutine except the one that runs the function set by OnStop. It reads the
+// system clock, only for Progress.
 package bodystream
--- a/internal/bodystream/progress.go
+++ b/internal/bodystream/progress.go
@@ -2,36 +2,36 @@
 
 import "time"
 
-// Progress is how far a body has come.
+// Progress is the state of a body's transfer.
 type Progress struct {
-	Length         int64         // bytes, as announced; below zero: not known
-	Received       int64         // bytes so far
-	LastReceivedAt time.Time     // when the latest of them came; zero: none has
-	DelayedBefore  time.Duration // for how long it was delayed before it could begin to come, for want of memory
-	StalledFor     time.Duration // for how long since then, because earlier bytes were not read
-	ReceivingFor   time.Duration // since the first byte, less SetDelayedBefore
-	SilentFor      time.Duration // for how long nothing has come, though it could; zero after CloseWrite
-	IsComplete     bool          // it was written completely
-	HasConsumed    bool          // some of it has been read, and is gone
+	Length         int64         // announced length in bytes; negative: unknown
+	Received       int64         // bytes received so far
+	LastReceivedAt time.Time     // when the last bytes were received; zero: none yet
+	DelayedBefore  time.Duration // wait for memory before the first byte could be received
+	StalledFor     time.Duration // wait since then because earlier bytes were not read
+	ReceivingFor   time.Duration // time since the first byte, without StalledFor
+	SilentFor      time.Duration // time without bytes although the reader kept up; zero after CloseWrite
+	IsComplete     bool          // the body was written completely
+	HasConsumed    bool          // some bytes were read and are no longer available
 }
 
-// Progress returns how far the body has come.
+// Progress returns the current state of the transfer.
 func (s *Stream) Progress() Progress {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := Progress{
-		Length: s.length, Received: s.received, LastReceivedAt: s.lastReceivedAt, DelayedBefore: s.delayedBefore,
+		Length: s.length, Received: s.received, LastReceivedAt: s.lastReceivedAt, DelayedBefore: s.memoryWait,
 		StalledFor: s.stalledFor, IsComplete: s.isComplete, HasConsumed: s.hasConsumed,
 	}
 	until := s.lastReceivedAt
-	if s.end == nil {
+	if s.writeResult == nil {
 		until = time.Now()
 	}
 	switch {
 	case !s.waitingSince.IsZero():
 		p.StalledFor += until.Sub(s.waitingSince)
-	case s.end == nil && !s.lastReceivedAt.IsZero():
-		p.SilentFor = max(until.Sub(s.lastReceivedAt)-s.stalledFor+s.stalledAtLast, 0)
+	case s.writeResult == nil && !s.lastReceivedAt.IsZero():
+		p.SilentFor = max(until.Sub(s.lastReceivedAt)-s.stalledFor+s.stalledForAtLastReceive, 0)
 	}
 	if !s.firstReceivedAt.IsZero() {
 		p.ReceivingFor = until.Sub(s.firstReceivedAt) - p.StalledFor
--- a/internal/bodystream/stop.go
+++ b/internal/bodystream/stop.go
@@ -1,26 +1,26 @@
 package bodystream
 
-// Abort ends the Stream for both sides, unless it has been closed; the first reason counts.
+// Abort ends the Stream for both sides with a reason. It has no effect after CloseRead or another Abort.
 func (s *Stream) Abort(why error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.stopReason == nil && !s.isClosed {
+	if s.stopReason == nil && !s.isReadClosed {
 		s.stopReason = why
 		s.notifyStopped()
 	}
 }
 
-// IsStopped reports whether the rest of the body is not wanted any more.
+// IsStopped reports whether the rest of the body is no longer wanted.
 func (s *Stream) IsStopped() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.stopErr() != nil
 }
 
-// OnStop has a function called once, in a goroutine of its own, when the rest of the body is not wanted: a
-// writer that waits elsewhere than in WriteBuffer is to be woken by it. The never that it returns, called
-// after CloseWrite, reports that the function has not been called and will not be; otherwise it may still be
-// about to be.
+// OnStop sets a function that is called once, in a new goroutine, when the rest of the body is no longer
+// wanted. It serves to wake a writer that waits elsewhere than in WriteBuffer. The returned function must
+// be called after CloseWrite. It returns true if do was not called and will not be; otherwise the call may
+// still be about to start.
 func (s *Stream) OnStop(do func()) (never func() bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -35,19 +35,19 @@
 	}
 }
 
-// stopErr is why nothing more is wanted, or nil; mu is held.
+// stopErr returns the reason why the rest of the body is no longer wanted, or nil. The caller must hold mu.
 func (s *Stream) stopErr() error {
-	if s.stopReason == nil && s.isClosed {
+	if s.stopReason == nil && s.isReadClosed {
 		return ErrAbandoned
 	}
 	return s.stopReason
 }
 
-// notifyStopped wakes both sides; mu is held.
+// notifyStopped wakes both sides and starts the function set by OnStop. The caller must hold mu.
 func (s *Stream) notifyStopped() {
 	s.changed.Broadcast()
-	if s.onStop != nil && s.end == nil {
-		go s.onStop() // it may take its time, or call back
+	if s.onStop != nil && s.writeResult == nil {
+		go s.onStop() // it may block or call the Stream
 		s.onStop = nil
 	}
 }
--- a/internal/bodystream/stream.go
+++ b/internal/bodystream/stream.go
@@ -8,52 +8,53 @@
 	"dunestep/internal/bytebudget"
 )
 
-// ErrAbandoned means that the reader has stopped, and the rest of the body is not wanted.
-var ErrAbandoned = errors.New("the rest of the body is not wanted")
+// ErrAbandoned means that the reader has stopped and the rest of the body is no longer wanted.
+var ErrAbandoned = errors.New("the rest of the body is no longer wanted")
 
-// Stream is one body on its way.
+// Stream passes one body from a writer to a reader.
 type Stream struct {
-	length   int64 // bytes, as announced; below zero: not known
-	minBytes int64 // of the grant, while the body is being written
-	maxBytes int64 // of the grant
+	length        int64 // announced length in bytes; negative: unknown
+	minGrantBytes int64 // minimum size of the grant in bytes while the body is being written
+	maxGrantBytes int64 // maximum size of the grant in bytes
 
 	mu      sync.Mutex
-	changed sync.Cond // something was written, consumed or ended
+	changed sync.Cond // signals that bytes were written or consumed, or that a side ended
 
 	grant      bytebudget.Grant
-	allocated  int64 // bytes of the grant
+	allocated  int64 // bytes of the grant that chunks use
 	queue      [][]byte
-	queueSpace [2][]byte // the queue's first array
-	consumed   int       // bytes of the first chunk
-	received   int64     // bytes
+	queueArray [2][]byte // initial backing array of queue
+	consumed   int       // bytes consumed of the first chunk
+	received   int64     // bytes received
 
-	firstReceivedAt time.Time
-	lastReceivedAt  time.Time
-	hasConsumed     bool          // some of it
-	delayedBefore   time.Duration // before it began to come
-	stalledFor      time.Duration // since then
-	stalledAtLast   time.Duration // of stalledFor, when the last bytes came
-	waitingSince    time.Time     // since when WriteBuffer waits; zero: it does not
+	firstReceivedAt         time.Time
+	lastReceivedAt          time.Time
+	hasConsumed             bool          // some bytes were consumed
+	memoryWait              time.Duration // wait for memory before the body began
+	stalledFor              time.Duration // total completed waits of WriteBuffer since then
+	stalledForAtLastReceive time.Duration // value of stalledFor when the last bytes were received
+	waitingSince            time.Time     // start of WriteBuffer's current wait; zero: not waiting
 
-	end        error // set by CloseWrite
-	isComplete bool  // end was io.EOF
-	stopReason error // why nothing more is wanted
-	isClosed   bool
-	onStop     func()
-	done       chan struct{}
+	writeResult  error // io.EOF or error passed to CloseWrite; nil before
+	isComplete   bool  // writeResult is io.EOF
+	stopReason   error // reason why the rest is no longer wanted
+	isReadClosed bool
+	onStop       func()
+	done         chan struct{}
 }
 
-// New returns the Stream of a body of length bytes (below zero: not known) in the memory of a grant, which is
-// the Stream's from now on. The grant may grow up to maxBytes while the body is read more slowly than it is
-// written.
+// New returns the Stream of a body of length bytes (negative: unknown). The Stream takes ownership of the
+// grant, whose memory it uses. The grant may grow up to maxBytes while the body is read more slowly than it
+// is written.
 func New(length int64, grant bytebudget.Grant, maxBytes int64) *Stream {
-	s := &Stream{grant: grant, minBytes: grant.Size(), maxBytes: maxBytes, length: length}
+	s := &Stream{grant: grant, minGrantBytes: grant.Size(), maxGrantBytes: maxBytes, length: length}
 	s.changed.L = &s.mu
-	s.queue = s.queueSpace[:0]
+	s.queue = s.queueArray[:0]
 	return s
 }
 
-// Length is the length of the complete body in bytes, or what was announced; below zero: not known.
+// Length returns the length of the body in bytes: the actual one if the body is complete, otherwise the
+// announced one; negative: unknown.
 func (s *Stream) Length() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,46 +64,46 @@
 	return s.length
 }
 
-// ForwardingStarted takes in that the body is being forwarded: from now on a single chunk is all that it
-// needs to get on.
+// ForwardingStarted notifies the Stream that the body is being forwarded. From then on one chunk is enough to
+// make progress, and the Stream reduces its grant accordingly as chunks are consumed.
 func (s *Stream) ForwardingStarted() {
 	s.mu.Lock()
-	s.minBytes = min(s.minBytes, ChunkBytes)
+	s.minGrantBytes = min(s.minGrantBytes, ChunkBytes)
 	s.mu.Unlock()
 }
 
-// Done returns a channel that is closed after CloseWrite and CloseRead: Result is final then. It is for one
-// caller.
+// Done returns a channel that is closed after CloseWrite and CloseRead, when Result is final. Only one caller
+// may use it.
 func (s *Stream) Done() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.done = make(chan struct{})
-	if s.end != nil && s.isClosed {
+	if s.writeResult != nil && s.isReadClosed {
 		close(s.done)
 	}
 	return s.done
 }
 
-// Result is how the Stream ended: io.EOF where the body was written and read completely, else the first
-// reason why not.
+// Result returns how the Stream ended: io.EOF if the body was written and read completely, otherwise the
+// first reason why it was not.
 func (s *Stream) Result() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.stopReason
 }
 
-// releaseIfDone gives the memory back once neither side uses it; mu is held.
+// releaseIfDone releases the memory if both sides are closed. The caller must hold mu.
 func (s *Stream) releaseIfDone() {
-	if s.end == nil || !s.isClosed {
+	if s.writeResult == nil || !s.isReadClosed {
 		return
 	}
 	if s.stopReason == nil {
-		s.stopReason = s.end
+		s.stopReason = s.writeResult
 	}
 	for _, chunk := range s.queue {
 		s.freeChunk(chunk)
 	}
-	s.queue, s.queueSpace = nil, [2][]byte{}
+	s.queue, s.queueArray = nil, [2][]byte{}
 	s.grant.Release()
 	if s.done != nil {
 		close(s.done)
--- a/internal/bodystream/stream_test.go
+++ b/internal/bodystream/stream_test.go
@@ -16,10 +16,10 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// TestAnyTransfer: bodies of all lengths, in pieces of all sizes, written and read by two goroutines, ended in all ways:
-// what is read is what was written, from its beginning on; only a complete body is said to be one; never more memory than
-// granted, and none in the end.
-func TestAnyTransfer(t *testing.T) {
+// Bodies of random lengths are written and read by two goroutines in pieces of random sizes, and ended in random ways.
+// The bytes read are a prefix of those written, only a complete body is reported as complete, the memory stays within
+// the grant, and all of it is released at the end.
+func TestRandomTransfers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pool := bytebudget.NewPool(1 << 20)
 		size := rapid.IntRange(0, 5*ChunkBytes).Draw(t, "size")
@@ -42,19 +42,19 @@
 		breaksAfter := rapid.IntRange(0, 2*size+1).Draw(t, "breaksAfter")
 		stopsAfter := rapid.IntRange(0, 2*size+1).Draw(t, "stopsAfter")
 		pieces := rapid.SliceOfN(rapid.IntRange(1, 2*ChunkBytes), 4, 4).Draw(t, "pieces")
-		cut := rapid.Bool().Draw(t, "cut") // by a third goroutine
+		aborts := rapid.Bool().Draw(t, "aborts")
 		go func() {
 			for at := 0; at < size; {
 				if at >= breaksAfter {
 					s.CloseWrite(broken)
 					return
 				}
-				room, stopErr := s.WriteBuffer()
+				buffer, stopErr := s.WriteBuffer()
 				if stopErr != nil {
 					s.CloseWrite(stopErr)
 					return
 				}
-				n := copy(room[:min(len(room), pieces[at%4])], body[at:])
+				n := copy(buffer[:min(len(buffer), pieces[at%4])], body[at:])
 				s.Wrote(n)
 				at += n
 			}
@@ -71,7 +71,7 @@
 			got = append(got, b[:n]...)
 			s.Consumed(n)
 			if len(got) > stopsAfter {
-				if cut {
+				if aborts {
 					s.Abort(abandoned)
 				}
 				break
@@ -84,7 +84,7 @@
 		case errors.Is(result, io.EOF):
 			require.Len(t, got, size)
 			require.Equal(t, int64(size), s.Length())
-		case len(got) > stopsAfter && cut && len(got) < size:
+		case len(got) > stopsAfter && aborts && len(got) < size:
 			require.Contains(t, []error{abandoned, broken}, result)
 		default:
 			require.True(t, len(got) < size || len(got) > stopsAfter || breaksAfter <= size)
@@ -93,16 +93,17 @@
 	})
 }
 
-// TestStallOfTheReader: the time of a slow reader does not count as the writer's, and a writer that waits is woken.
-func TestStallOfTheReader(t *testing.T) {
+// The time that a writer waits for a slow reader does not count as receiving time, and a waiting writer is woken when the
+// reader continues or the Stream is aborted.
+func TestReaderStallIsNotCountedAsReceiving(t *testing.T) {
 	pool := bytebudget.NewPool(1 << 20)
 	grant, err := pool.Reserve(t.Context(), bytebudget.Holder{Name: "s-0"}, ChunkBytes)
 	require.NoError(t, err)
 	s := New(-1, grant, ChunkBytes)
 	s.SetDelayedBefore(time.Hour)
-	room, err := s.WriteBuffer()
+	buffer, err := s.WriteBuffer()
 	require.NoError(t, err)
-	s.Wrote(len(room))
+	s.Wrote(len(buffer))
 	woken := make(chan error)
 	go func() {
 		_, stopErr := s.WriteBuffer()
@@ -117,9 +118,9 @@
 	require.NoError(t, err)
 	s.Consumed(len(b))
 	require.NoError(t, <-woken)
-	room, err = s.WriteBuffer()
+	buffer, err = s.WriteBuffer()
 	require.NoError(t, err)
-	s.Wrote(len(room))
+	s.Wrote(len(buffer))
 	go func() {
 		_, stopErr := s.WriteBuffer()
 		woken <- stopErr
--- a/internal/bodystream/write.go
+++ b/internal/bodystream/write.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// SetDelayedBefore sets for how long the body was delayed before it could begin to come. It is called before
-// WriteBuffer.
-func (s *Stream) SetDelayedBefore(d time.Duration) { s.delayedBefore += d }
+// SetDelayedBefore adds d to the time that the body waited for memory before it could begin. It must be
+// called before WriteBuffer.
+func (s *Stream) SetDelayedBefore(d time.Duration) { s.memoryWait += d }
 
-// WriteBuffer waits for memory and returns where the next bytes are to be put; beyond the announced length
-// there is none. The error is why no more bytes are wanted.
+// WriteBuffer waits for memory and returns a buffer for the next bytes. The buffer is empty beyond the
+// announced length. The error is the reason why no more bytes are wanted.
 func (s *Stream) WriteBuffer() ([]byte, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -33,7 +33,7 @@
 	}
 }
 
-// Wrote takes in that n bytes were put into the last WriteBuffer.
+// Wrote appends the first n bytes of the last WriteBuffer to the body.
 func (s *Stream) Wrote(n int) {
 	if n == 0 {
 		return
@@ -42,7 +42,7 @@
 	last := &s.queue[len(s.queue)-1]
 	*last = (*last)[:len(*last)+n]
 	s.received += int64(n)
-	s.lastReceivedAt, s.stalledAtLast = time.Now(), s.stalledFor
+	s.lastReceivedAt, s.stalledForAtLastReceive = time.Now(), s.stalledFor
 	if s.firstReceivedAt.IsZero() {
 		s.firstReceivedAt = s.lastReceivedAt
 	}
@@ -50,12 +50,12 @@
 	s.changed.Broadcast()
 }
 
-// CloseWrite ends the writing: io.EOF itself where the body is complete, any other error why it is
+// CloseWrite ends the writing. why is io.EOF itself if the body is complete, otherwise the reason why it is
 // not.
 func (s *Stream) CloseWrite(why error) {
 	s.mu.Lock()
-	s.end = why
-	s.isComplete = why == io.EOF //nolint:errorlint // an error that wraps io.EOF is a body that was cut off
+	s.writeResult = why
+	s.isComplete = why == io.EOF //nolint:errorlint // an error that wraps io.EOF means a truncated body
 	s.grant.Shrink(s.allocated)
 	s.releaseIfDone()
 	s.mu.Unlock()
