--- a/internal/bodystream/progress.go
+++ b/internal/bodystream/progress.go
@@ -10,7 +10,7 @@
 	DelayedBefore  time.Duration // wait for memory before the first byte could be received
 	StalledFor     time.Duration // wait since then because earlier bytes were not read
 	ReceivingFor   time.Duration // time since the first byte, without StalledFor
-	SilentFor      time.Duration // time without bytes although the reader kept up; zero after CloseWrite
+	SilentFor      time.Duration // time since the last bytes, without stalls; zero after CloseWrite
 	IsComplete     bool          // the body was written completely
 	HasConsumed    bool          // some bytes were read and are no longer available
 }
--- a/internal/bodystream/stream_test.go
+++ b/internal/bodystream/stream_test.go
@@ -16,9 +16,9 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// Bodies of random lengths are written and read by two goroutines in pieces of random sizes, and ended in random ways.
-// The bytes read are a prefix of those written, only a complete body is reported as complete, the memory stays within
-// the grant, and all of it is released at the end.
+// Bodies of random lengths are written and read by two goroutines in pieces of random sizes, and ended in random
+// ways. The bytes read are a prefix of those written, only a complete body is reported as complete, the memory stays
+// within the grant, and all of it is released at the end.
 func TestRandomTransfers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pool := bytebudget.NewPool(1 << 20)
@@ -93,8 +93,8 @@
 	})
 }
 
-// The time that a writer waits for a slow reader does not count as receiving time, and a waiting writer is woken when the
-// reader continues or the Stream is aborted.
+// The time that a writer waits for a slow reader does not count as receiving time, and a waiting writer is woken
+// when the reader continues or the Stream is aborted.
 func TestReaderStallIsNotCountedAsReceiving(t *testing.T) {
 	pool := bytebudget.NewPool(1 << 20)
 	grant, err := pool.Reserve(t.Context(), bytebudget.Holder{Name: "s-0"}, ChunkBytes)
--- a/internal/bytebudget/budget.go
+++ b/internal/bytebudget/budget.go
@@ -87,7 +87,7 @@
 	return true
 }
 
-// Release releases size of the bytes granted to a holder. It returns the tickets granted as a result.
+// Release releases size bytes that were granted to a holder. It returns the tickets granted as a result.
 func (b *Budget) Release(holder Holder, size int64) []Ticket {
 	b.reserve(holder, -size)
 	return b.grantWaiting()
--- a/internal/handover/frame.go
+++ b/internal/handover/frame.go
@@ -52,8 +52,8 @@
 	return err
 }
 
-// readFrameWithFiles reads a value and the descriptors that come with it, which are the caller's to close
-// also where there is an error.
+// readFrameWithFiles reads a value and returns the descriptors passed with it as files. The caller must close
+// them, also after an error.
 func readFrameWithFiles(c *net.UnixConn, into any) ([]*os.File, error) {
 	header, rights := make([]byte, frameHeaderBytes), make([]byte, syscall.CmsgSpace(descriptorBytes*maxSockets))
 	n, m, flags, _, err := c.ReadMsgUnix(header, rights)
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -18,7 +18,7 @@
 	"dunestep/internal/routing"
 )
 
-// Owner identifies the agent whose state a file holds.
+// Owner identifies the agent whose state a file contains.
 type Owner struct {
 	Deployment string `cbor:"1,keyasint" json:"deployment"`
 	Agent      string `cbor:"2,keyasint" json:"agent"`
