--- a/internal/protocol/config.go
+++ b/internal/protocol/config.go
@@ -12,25 +12,25 @@
 	Name      string
 	Listen    netip.AddrPort
 	Discovery netip.AddrPort
-	Ops       netip.AddrPort // the operators' door; not valid: there is none
+	Ops       netip.AddrPort // address of the operators' interface; invalid if there is none
 	Seed      uint64
 	Limits    Limits
 	// PeerListen, Peers and PeersAll are set if the settings permit datagrams between agents.
 	PeerListen     netip.AddrPort
-	Peers          []netip.AddrPort // by the agents' numbers, including this one's
+	Peers          []netip.AddrPort // indexed by agent number, including this agent's
 	PeersAll       netip.AddrPort
-	KnownEndpoints EndpointList // an earlier endpoint list; may be old
+	KnownEndpoints EndpointList // earlier endpoint list, possibly outdated
 	Settings       Settings
 }
 
-// Limits are the agent's shares of its machine.
+// Limits are the resources of its machine that the agent may use.
 type Limits struct {
 	Cores    float64
 	MemoryMB int64
 	Sockets  int
 }
 
-// configForm is the configuration file on the wire.
+// configForm is the configuration file as encoded.
 type configForm struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
@@ -61,22 +61,22 @@
 	return c, nil
 }
 
-// decodeConfig decodes the configuration file and collects every problem with its values; the error says that
-// the file could not be read.
+// decodeConfig decodes the configuration file and returns every problem with its values. An error means that
+// the file itself could not be decoded.
 func decodeConfig(raw []byte) (Config, []configError, error) {
-	var f configForm
-	if err := json.Unmarshal(raw, &f); err != nil {
+	var form configForm
+	if err := json.Unmarshal(raw, &form); err != nil {
 		return Config{}, nil, fmt.Errorf("config: %w", err)
 	}
-	c := Config{Name: f.Name, Limits: Limits(f.Limits)}
+	config := Config{Name: form.Name, Limits: Limits(form.Limits)}
 	var errs []configError
-	note := func(path, format string, args ...any) {
+	addError := func(path, format string, args ...any) {
 		errs = append(errs, configError{path, fmt.Errorf("config: "+format, args...)})
 	}
 	addr := func(key, text string) (a netip.AddrPort) {
 		a, err := netip.ParseAddrPort(text)
 		if err != nil || a.Port() == 0 {
-			note(key, "%s: %q is not an address with a port", key, text)
+			addError(key, "%s: %q is not an address with a port", key, text)
 		}
 		return a
 	}
@@ -86,32 +86,33 @@
 		}
 		return addr(key, text)
 	}
-	c.Listen, c.Discovery = addr("listen", f.Listen), addr("discovery", f.Discovery)
-	c.Ops = optionalAddr("ops", f.Ops)
-	c.PeerListen, c.PeersAll = optionalAddr("peer_listen", f.PeerListen), optionalAddr("peers_all", f.PeersAll)
-	for i, p := range f.Peers {
-		c.Peers = append(c.Peers, addr("peers["+strconv.Itoa(i)+"]", p))
+	config.Listen, config.Discovery = addr("listen", form.Listen), addr("discovery", form.Discovery)
+	config.Ops = optionalAddr("ops", form.Ops)
+	config.PeerListen, config.PeersAll = optionalAddr("peer_listen", form.PeerListen),
+		optionalAddr("peers_all", form.PeersAll)
+	for i, p := range form.Peers {
+		config.Peers = append(config.Peers, addr("peers["+strconv.Itoa(i)+"]", p))
 	}
-	seed, err := strconv.ParseUint(f.Seed, 16, 64)
+	seed, err := strconv.ParseUint(form.Seed, 16, 64)
 	if err != nil {
-		note("seed", "seed: %q is not a hexadecimal number", f.Seed)
+		addError("seed", "seed: %q is not a hexadecimal number", form.Seed)
 	}
-	c.Seed = seed
-	if l := c.Limits; l.Cores <= 0 || l.MemoryMB <= 0 || l.Sockets <= 0 {
-		note("limits", "limits: cores, memory_mb and sockets must be above zero")
+	config.Seed = seed
+	if l := config.Limits; l.Cores <= 0 || l.MemoryMB <= 0 || l.Sockets <= 0 {
+		addError("limits", "limits: cores, memory_mb and sockets must be above zero")
 	}
-	noteKnown := func(err error) { note("known", "known: %w", err) }
-	if len(f.Known) > 0 {
-		if c.KnownEndpoints, err = DecodeEndpointList(f.Known, noteKnown); err != nil {
-			noteKnown(err)
+	addKnownError := func(err error) { addError("known", "known: %w", err) }
+	if len(form.Known) > 0 {
+		if config.KnownEndpoints, err = DecodeEndpointList(form.Known, addKnownError); err != nil {
+			addKnownError(err)
 		}
 	}
-	if len(f.Settings) == 0 || string(f.Settings) == "null" {
-		note("settings", "no settings")
-	} else if c.Settings, err = DecodeSettings(f.Settings); err != nil {
-		note("settings", "%w", err)
-	} else if s := c.Settings; s.ConnIdleTimeout <= 0 || s.ConnectTimeout <= 0 {
-		note("settings.bounds", "settings: bounds: connIdle and connectTimeout must be above zero")
+	if len(form.Settings) == 0 || string(form.Settings) == "null" {
+		addError("settings", "no settings")
+	} else if config.Settings, err = DecodeSettings(form.Settings); err != nil {
+		addError("settings", "%w", err)
+	} else if s := config.Settings; s.ConnIdleTimeout <= 0 || s.ConnectTimeout <= 0 {
+		addError("settings.bounds", "settings: bounds: connIdle and connectTimeout must be above zero")
 	}
-	return c, errs, nil
+	return config, errs, nil
 }
--- a/internal/protocol/configcheck.go
+++ b/internal/protocol/configcheck.go
@@ -10,34 +10,35 @@
 	"strings"
 )
 
-// ConfigProblem is one problem of a configuration file.
+// ConfigProblem is a problem in a configuration file.
 type ConfigProblem struct {
-	Line, Column int // from 1
+	Line, Column int // counted from 1
 	Text         string
 }
 
 func (p ConfigProblem) String() string { return fmt.Sprintf("%d:%d: %s", p.Line, p.Column, p.Text) }
 
-// configError is a value that can't be used, by its path in the file.
+// configError is an invalid value, identified by its path in the file.
 type configError struct {
 	path string
 	err  error
 }
 
-// maxProblems bounds the problems that are reported of a file that is no configuration at all.
+// maxProblems is the maximum number of values of the wrong type that are reported, for files that are no
+// configuration at all.
 const maxProblems = 50
 
-// CheckConfig returns every problem of a configuration file, in the order of the file. If there is none,
-// validate checks the configuration, and returns a further problem with its key.
+// CheckConfig returns every problem in a configuration file, ordered by position. If there is none, validate
+// checks the decoded configuration and may return one more problem with its key.
 func CheckConfig(raw []byte, validate func(Config) (key string, err error)) []ConfigProblem {
-	places, err := findValues(raw)
+	spans, err := findValues(raw)
 	if err != nil {
 		return []ConfigProblem{syntaxProblem(raw, err)}
 	}
 	var all []ConfigProblem
-	// paths of values of the wrong type: each ends a decoding, which is repeated without it
+	// paths of values of the wrong type: each makes decoding fail, which is repeated without that value
 	var mistyped []string
-	text, current := raw, places
+	text, current := raw, spans
 	c, errs, err := decodeConfig(text)
 	for len(mistyped) < maxProblems {
 		v, kind, found := current.findMistyped(err, errs)
@@ -46,7 +47,7 @@
 		}
 		mistyped = append(mistyped, v.path)
 		typeErr := fmt.Errorf("config: %s: must not be of type %s", v.path, kind)
-		all = append(all, places.problem(raw, v.path, typeErr))
+		all = append(all, spans.problem(raw, v.path, typeErr))
 		text = slices.Concat(text[:v.start], []byte("null"), text[v.end:])
 		if current, err = findValues(text); err != nil {
 			break
@@ -59,12 +60,12 @@
 	for _, w := range errs {
 		isBelow := func(path string) bool { return strings.HasPrefix(path, w.path) }
 		if !slices.ContainsFunc(mistyped, isBelow) {
-			all = append(all, places.problem(raw, w.path, w.err))
+			all = append(all, spans.problem(raw, w.path, w.err))
 		}
 	}
 	if len(all) == 0 {
 		if key, validateErr := validate(c); validateErr != nil {
-			all = append(all, places.problem(raw, key, validateErr))
+			all = append(all, spans.problem(raw, key, validateErr))
 		}
 	}
 	slices.SortStableFunc(all, func(a, b ConfigProblem) int {
@@ -73,14 +74,15 @@
 	return all
 }
 
-// findMistyped finds the value that an error, or one of a part of the file, says to be of the wrong type.
-func (p valuePlaces) findMistyped(err error, errs []configError) (v valuePlace, kind string, found bool) {
+// findMistyped returns the value that has the wrong type according to err or to one of errs, and the JSON
+// type that it has.
+func (p valueSpans) findMistyped(err error, errs []configError) (v valueSpan, kind string, found bool) {
 	var m *json.UnmarshalTypeError
 	if errors.As(err, &m) {
 		return p.at(m.Offset), m.Value, true
 	}
 	for _, w := range errs {
-		if errors.As(w.err, &m) { // counted from the part's own beginning
+		if errors.As(w.err, &m) { // the offset counts from the start of this part
 			for _, part := range p {
 				if part.path == w.path {
 					return p.at(m.Offset + int64(part.start)), m.Value, true
@@ -91,7 +93,7 @@
 	return v, "", false
 }
 
-// syntaxProblem is the position at which a text ceases to be JSON.
+// syntaxProblem returns the problem of a text that is not valid JSON, with the position of the error.
 func syntaxProblem(raw []byte, err error) ConfigProblem {
 	at := len(raw)
 	if s := (*json.SyntaxError)(nil); errors.As(err, &s) {
@@ -101,24 +103,24 @@
 	return ConfigProblem{line, column, "config: " + err.Error()}
 }
 
-// positionOf is the line and column of an offset, from 1.
+// positionOf returns the line and column of an offset, counted from 1.
 func positionOf(raw []byte, at int) (line, column int) {
 	at = min(max(at, 0), len(raw))
 	before := raw[:at]
 	return 1 + bytes.Count(before, []byte("\n")), at - bytes.LastIndexByte(before, '\n')
 }
 
-// valuePlace is the position of a value in a text, with its path, such as settings.bounds.connIdle or
+// valueSpan is the position of a value in a text, with its path, such as settings.bounds.connIdle or
 // peers[1].
-type valuePlace struct {
+type valueSpan struct {
 	path       string
 	start, end int
 }
 
-type valuePlaces []valuePlace
+type valueSpans []valueSpan
 
-// at is the innermost value that contains an offset or ends at it.
-func (p valuePlaces) at(offset int64) (v valuePlace) {
+// at returns the innermost value that contains an offset or ends at it, or the zero value.
+func (p valueSpans) at(offset int64) (v valueSpan) {
 	for _, w := range p {
 		inside := int64(w.start) < offset && offset <= int64(w.end)
 		if inside && (v.end == 0 || w.end-w.start <= v.end-v.start) {
@@ -128,9 +130,9 @@
 	return v
 }
 
-// problem is a problem with the value of a path or, if there is none, with the nearest value that contains
-// it.
-func (p valuePlaces) problem(raw []byte, path string, err error) ConfigProblem {
+// problem returns the problem err at the value of a path or, if there is no such value, at the innermost
+// value that would contain it.
+func (p valueSpans) problem(raw []byte, path string, err error) ConfigProblem {
 	for {
 		for _, v := range p {
 			if strings.EqualFold(v.path, path) {
@@ -145,24 +147,24 @@
 	}
 }
 
-// maxNesting is how many levels of nesting a configuration may have.
+// maxNesting is the maximum nesting depth of a configuration.
 const maxNesting = 64
 
-// findValues returns the positions of all values of a text.
-func findValues(raw []byte) (valuePlaces, error) {
+// findValues returns the positions of all values in a text.
+func findValues(raw []byte) (valueSpans, error) {
 	var all json.RawMessage
-	if err := json.Unmarshal(raw, &all); err != nil { // checks all of it, unlike the decoder below
+	if err := json.Unmarshal(raw, &all); err != nil { // checks the whole text, unlike the decoder below
 		return nil, err
 	}
 	d := json.NewDecoder(bytes.NewReader(raw))
 	d.UseNumber()
-	var places valuePlaces
-	err := places.addValue(raw, d, "", 0)
-	return places, err
+	var spans valueSpans
+	err := spans.addValue(raw, d, "", 0)
+	return spans, err
 }
 
-// addValue appends the next value of a decoder with all values in it.
-func (p *valuePlaces) addValue(raw []byte, d *json.Decoder, path string, depth int) error {
+// addValue appends the next value of a decoder and all values inside it.
+func (p *valueSpans) addValue(raw []byte, d *json.Decoder, path string, depth int) error {
 	from := int(d.InputOffset())
 	for from < len(raw) && bytes.IndexByte([]byte(" \t\r\n:,"), raw[from]) >= 0 {
 		from++
@@ -175,7 +177,7 @@
 		return err
 	}
 	n := len(*p)
-	*p = append(*p, valuePlace{path: path, start: from})
+	*p = append(*p, valueSpan{path: path, start: from})
 	if open, is := token.(json.Delim); is {
 		for i := 0; d.More() && err == nil; i++ {
 			childPath := fmt.Sprintf("%s[%d]", path, i)
--- a/internal/protocol/configcheck_test.go
+++ b/internal/protocol/configcheck_test.go
@@ -8,27 +8,27 @@
 	"github.com/stretchr/testify/require"
 )
 
-const soundConfig = `{"name": "n0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "8c",
+const validConfig = `{"name": "n0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "8c",
  "limits": {"cores": 1, "memory_mb": 64, "sockets": 64},
  "settings": {"bounds": {"connIdle": 5, "connectTimeout": 5},
   "categories": [{"name": "a", "aim": 5}, {"name": "b", "aim": 6}]}}`
 
-// All that is wrong is told at once, each with its place; values of the wrong type do not hide one another.
+// Every problem is reported at once with its position. A value of the wrong type does not hide others.
 func TestCheckConfig(t *testing.T) {
-	fine := func(Config) (string, error) { return "", nil }
-	require.Empty(t, CheckConfig([]byte(soundConfig), fine))
-	change := func(pairs ...string) string { return strings.NewReplacer(pairs...).Replace(soundConfig) }
+	acceptAll := func(Config) (string, error) { return "", nil }
+	require.Empty(t, CheckConfig([]byte(validConfig), acceptAll))
+	replaced := func(pairs ...string) string { return strings.NewReplacer(pairs...).Replace(validConfig) }
 	for name, c := range map[string]struct {
 		text string
 		want []string
 	}{
-		"no JSON": {change(`"limits":`, `"limits"`), []string{"2:11: config: invalid character '{'"}},
-		"cut":     {soundConfig[:100], []string{"2:"}},
-		"empty":   {"", []string{"1:1: config: unexpected end"}},
-		"values": {change("127.0.0.1:1", "here", `"8c"`, `"xyz"`, `"connIdle": 5`, `"connIdle": 0`), []string{
+		"not JSON": {replaced(`"limits":`, `"limits"`), []string{"2:11: config: invalid character '{'"}},
+		"cut off":  {validConfig[:100], []string{"2:"}},
+		"empty":    {"", []string{"1:1: config: unexpected end"}},
+		"values": {replaced("127.0.0.1:1", "here", `"8c"`, `"xyz"`, `"connIdle": 5`, `"connIdle": 0`), []string{
 			`1:26: config: listen: "here" is not an address`, "1:70: config: seed: ", "3:25: config: settings: bounds: ",
 		}},
-		"types": {change(`"n0"`, "5", `"cores": 1`, `"cores": "1"`, `"aim": 5`, `"aim": "x"`, `"aim": 6`, `"aim": {}`), []string{
+		"types": {replaced(`"n0"`, "5", `"cores": 1`, `"cores": "1"`, `"aim": 5`, `"aim": "x"`, `"aim": 6`, `"aim": {}`), []string{
 			"1:10: config: name: must not be of type number", "2:22: config: limits.cores: must not be of type string",
 			"4:39: config: settings.categories[0].aim: must not be of type string",
 			"4:66: config: settings.categories[1].aim: must not be of type object",
@@ -39,31 +39,31 @@
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			got := CheckConfig([]byte(c.text), fine)
+			got := CheckConfig([]byte(c.text), acceptAll)
 			require.Len(t, got, len(c.want), "%v", got)
 			for i, want := range c.want {
 				require.True(t, strings.HasPrefix(got[i].String(), want), "%v, not %s", got, want)
 			}
 		})
 	}
-	got := CheckConfig([]byte(soundConfig), func(Config) (string, error) { return "settings.categories", errors.New("none") })
+	got := CheckConfig([]byte(validConfig), func(Config) (string, error) { return "settings.categories", errors.New("none") })
 	require.Equal(t, []ConfigProblem{{4, 17, "none"}}, got)
 }
 
-// Whatever the file holds, it is told to be wrong exactly where a start would be refused.
+// For any file, CheckConfig reports a problem exactly if DecodeConfig fails.
 func FuzzCheckConfig(f *testing.F) {
-	f.Add([]byte(soundConfig))
-	f.Add([]byte(strings.Replace(soundConfig, "1,", `"x",`, 1)))
+	f.Add([]byte(validConfig))
+	f.Add([]byte(strings.Replace(validConfig, "1,", `"x",`, 1)))
 	f.Add([]byte(`{"settings":{"categories":[1,2,{"aim":"x"}]},"known":{"servers":7},"limits":[]}`))
 	f.Add([]byte(`[[["a"]]]`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		got := CheckConfig(raw, func(Config) (string, error) { return "", nil })
 		if _, err := DecodeConfig(raw); (err == nil) != (len(got) == 0) {
-			t.Errorf("started with %v, checked %v", err, got)
+			t.Errorf("DecodeConfig returned %v, CheckConfig %v", err, got)
 		}
 		for _, p := range got {
 			if p.Line < 1 || p.Column < 1 {
-				t.Errorf("%v", p)
+				t.Errorf("problem without a position: %v", p)
 			}
 		}
 	})
--- a/internal/protocol/datagram.go
+++ b/internal/protocol/datagram.go
@@ -5,12 +5,12 @@
 	"net/netip"
 )
 
-// MaxDatagram is how many bytes a datagram between agents may have, by the protocol.
+// MaxDatagram is the maximum length of a datagram between agents, in bytes, as the protocol defines it.
 const MaxDatagram = 256
 
 // Datagram is a message between agents.
 type Datagram struct {
-	Agent int // the other agent's number, or AllAgents
+	Agent int // number of the other agent, or AllAgents
 	Data  []byte
 }
 
@@ -30,8 +30,8 @@
 	numberOf map[netip.AddrPort]int
 }
 
-// NewPeerAddresses takes the agents' addresses by their numbers, and the address that reaches all; an invalid
-// one: there is none.
+// NewPeerAddresses returns the mapping for peers, the agents' addresses indexed by their numbers, and all,
+// the address that reaches every agent. If all is invalid, a datagram to AllAgents can't be encoded.
 func NewPeerAddresses(peers []netip.AddrPort, all netip.AddrPort) *PeerAddresses {
 	a := &PeerAddresses{peers: peers, allPeers: all, numberOf: make(map[netip.AddrPort]int, len(peers))}
 	for i, p := range peers {
--- a/internal/protocol/endpointlist.go
+++ b/internal/protocol/endpointlist.go
@@ -18,50 +18,51 @@
 // EndpointList is discovery's list of upstream servers, or the changes to an earlier one.
 type EndpointList struct {
 	Version   int64
-	Full      bool // it is complete: an endpoint that it does not name is gone
+	Full      bool // whether the list is complete: an endpoint missing from it is gone
 	Endpoints []Endpoint
 }
 
-// Endpoint is an entry of the list: what the balancer gets, and where the server listens.
+// Endpoint is an entry of the list: the balancer's description of the server, and the server's address.
 type Endpoint struct {
 	balancer.Server
 	Addr netip.AddrPort
 }
 
-// DecodeEndpointList decodes one of discovery's objects. A malformed entry is dropped and reported; the
-// others hold, since there may be a drain among them.
+// DecodeEndpointList decodes one object sent by discovery. A malformed entry is left out and its error passed
+// to dropped; the other entries are used, since one of them may be a drain.
 func DecodeEndpointList(raw []byte, dropped func(error)) (EndpointList, error) {
-	var f struct {
+	var form struct {
 		Version *int64            `json:"version"`
 		Full    bool              `json:"full"`
 		Servers []json.RawMessage `json:"servers"`
 	}
-	if err := json.Unmarshal(raw, &f); err != nil {
+	if err := json.Unmarshal(raw, &form); err != nil {
 		return EndpointList{}, fmt.Errorf("endpoint list: %w", err)
 	}
-	if f.Version == nil {
+	if form.Version == nil {
 		return EndpointList{}, errors.New("endpoint list: no version")
 	}
-	p := EndpointList{Version: *f.Version, Full: f.Full, Endpoints: make([]Endpoint, 0, len(f.Servers))}
-	for _, raw := range f.Servers {
-		s, err := decodeEndpoint(raw)
+	list := EndpointList{Version: *form.Version, Full: form.Full,
+		Endpoints: make([]Endpoint, 0, len(form.Servers))}
+	for _, raw := range form.Servers {
+		endpoint, err := decodeEndpoint(raw)
 		if err != nil {
 			dropped(err)
 			continue
 		}
-		p.Endpoints = append(p.Endpoints, s)
+		list.Endpoints = append(list.Endpoints, endpoint)
 	}
-	return p, nil
+	return list, nil
 }
 
-// endpointStates are the states by their names on the wire.
+// endpointStates maps the names on the wire to states.
 var endpointStates = map[string]balancer.ServerState{
 	"active": balancer.Ready, "leaving": balancer.Draining, "left": balancer.Gone,
 }
 
-// decodeEndpoint decodes an entry. Only one that is ready needs an address.
+// decodeEndpoint decodes an entry. Only a ready endpoint needs an address.
 func decodeEndpoint(raw []byte) (Endpoint, error) {
-	var f struct {
+	var form struct {
 		ID        string   `json:"id"`
 		Addr      string   `json:"addr"`
 		Zone      string   `json:"zone"`
@@ -71,35 +72,36 @@
 		Weight    *float64 `json:"weight"`
 		StartedMS int64    `json:"started_ms"`
 	}
-	if err := json.Unmarshal(raw, &f); err != nil {
+	if err := json.Unmarshal(raw, &form); err != nil {
 		return Endpoint{}, fmt.Errorf("server: %w", err)
 	}
-	s := Endpoint{Server: balancer.Server{ID: f.ID, Zone: f.Zone, MachineKind: f.Kind, Cell: f.Cell, Weight: 1}}
+	endpoint := Endpoint{Server: balancer.Server{ID: form.ID, Zone: form.Zone, MachineKind: form.Kind,
+		Cell: form.Cell, Weight: 1}}
 	var known bool
-	if s.State, known = endpointStates[f.State]; !known || f.ID == "" {
-		return Endpoint{}, fmt.Errorf("server %q: no id, or unknown state %q", f.ID, f.State)
+	if endpoint.State, known = endpointStates[form.State]; !known || form.ID == "" {
+		return Endpoint{}, fmt.Errorf("server %q: no id, or unknown state %q", form.ID, form.State)
 	}
-	addr, err := netip.ParseAddrPort(f.Addr)
-	if s.State == balancer.Ready && (err != nil || addr.Port() == 0) {
-		return Endpoint{}, fmt.Errorf("server %q: bad address %q", f.ID, f.Addr)
+	addr, err := netip.ParseAddrPort(form.Addr)
+	if endpoint.State == balancer.Ready && (err != nil || addr.Port() == 0) {
+		return Endpoint{}, fmt.Errorf("server %q: bad address %q", form.ID, form.Addr)
 	}
-	if f.Weight != nil {
-		s.Weight = *f.Weight
+	if form.Weight != nil {
+		endpoint.Weight = *form.Weight
 	}
-	if s.Weight < 0 || f.StartedMS < 0 || f.StartedMS > maxUnixMS {
-		return Endpoint{}, fmt.Errorf("server %q: bad weight or start", f.ID)
+	if endpoint.Weight < 0 || form.StartedMS < 0 || form.StartedMS > maxUnixMS {
+		return Endpoint{}, fmt.Errorf("server %q: bad weight or start", form.ID)
 	}
-	s.Addr, s.StartedAt = addr, time.Duration(f.StartedMS)*time.Millisecond
-	return s, nil
+	endpoint.Addr, endpoint.StartedAt = addr, time.Duration(form.StartedMS)*time.Millisecond
+	return endpoint, nil
 }
 
-// maxUnixMS is the latest start, in Unix milliseconds, that a time.Duration can hold.
+// maxUnixMS is the latest start time, in Unix milliseconds, that a time.Duration can represent.
 const maxUnixMS = math.MaxInt64 / int64(time.Millisecond)
 
 // ListRequest is a call to discovery.
 type ListRequest struct {
-	Watch       bool  // a watch, else the complete list once
-	FromVersion int64 // of a watch: the version that the agent has
+	Watch       bool  // true for a watch, false for the complete list once
+	FromVersion int64 // for a watch, the list version that the agent has
 }
 
 // AppendListRequest appends the call as an HTTP request.
@@ -111,7 +113,7 @@
 	return append(append(append(b, " HTTP/1.1\r\nHost: "...), host...), "\r\n\r\n"...)
 }
 
-// ReadListHeader reads the header of discovery's response; the objects are in its body.
+// ReadListHeader reads the header of discovery's response and returns its body, which has the objects.
 func ReadListHeader(r *bufio.Reader) (io.ReadCloser, error) {
 	resp, err := http.ReadResponse(r, nil)
 	if err != nil {
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -15,9 +15,9 @@
 	"dunestep/internal/balancer"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// golden compares what was decoded, line by line, with a golden file.
+// golden collects decoded values, one a line, and compares them with a golden file.
 type golden struct{ lines []string }
 
 func (g *golden) add(key string, value any) {
@@ -42,7 +42,7 @@
 	return raw
 }
 
-// list adds a list of servers by the keys that discovery writes.
+// list adds an endpoint list under the keys on the wire.
 func (g *golden) list(key string, p EndpointList) {
 	g.add(key+"version", p.Version)
 	g.add(key+"full", p.Full)
@@ -61,7 +61,7 @@
 	}
 }
 
-// settings adds settings by the keys of the file.
+// settings adds settings under the keys of the configuration file.
 func (g *golden) settings(s Settings) {
 	g.add("balancers", s.Balancers)
 	g.add("ordinal", s.Self)
@@ -122,7 +122,7 @@
 	g.add("goal.tailMiss", s.ScoreWeights.TailMissRatio)
 }
 
-// TestConfigGolden: what each key of LB_CONFIG comes to, and what is said where it is wrong.
+// TestConfigGolden checks the decoded value of each key of LB_CONFIG, and that a faulty file is rejected.
 func TestConfigGolden(t *testing.T) {
 	for _, name := range []string{"config", "least"} {
 		t.Run(name, func(t *testing.T) {
@@ -158,7 +158,7 @@
 	})
 }
 
-// TestDiscoveryGolden: full lists, changes and what is wrong with either, one object a line.
+// TestDiscoveryGolden decodes complete lists, changes and malformed objects, one a line.
 func TestDiscoveryGolden(t *testing.T) {
 	var g golden
 	n := 0
@@ -180,7 +180,7 @@
 	g.check(t, "discovery.txt")
 }
 
-// TestDiscoveryCallGolden: the calls to discovery, byte for byte, and the heads of its answers.
+// TestDiscoveryCallGolden checks the calls to discovery byte for byte, and reading its response headers.
 func TestDiscoveryCallGolden(t *testing.T) {
 	var b []byte
 	for _, c := range []ListRequest{{}, {Watch: true}, {Watch: true, FromVersion: 1234567890123}, {Watch: true, FromVersion: -1}} {
@@ -192,20 +192,20 @@
 	require.Equal(t, string(readGolden(t, "calls.http")), string(b))
 	for name, c := range map[string]struct {
 		head, body string
-		refused    bool
+		wantErr    bool
 	}{
 		"watch": {
 			"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n13\r\n{\"version\":1}\n{\"ver\r\n6\r\nsion\":\r\n0\r\n\r\n",
 			"{\"version\":1}\n{\"version\":", false,
 		},
-		"whole list": {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}", "{}", false},
-		"busy":       {"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n", "", true},
-		"moved":      {"HTTP/1.1 302 Found\r\nLocation: /\r\nContent-Length: 0\r\n\r\n", "", true},
-		"no HTTP":    {"hello\r\n\r\n", "", true},
+		"full list": {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}", "{}", false},
+		"busy":      {"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n", "", true},
+		"redirect":  {"HTTP/1.1 302 Found\r\nLocation: /\r\nContent-Length: 0\r\n\r\n", "", true},
+		"not HTTP":  {"hello\r\n\r\n", "", true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			body, err := ReadListHeader(bufio.NewReader(strings.NewReader(c.head)))
-			if c.refused {
+			if c.wantErr {
 				require.Error(t, err)
 				return
 			}
--- a/internal/protocol/graphql.go
+++ b/internal/protocol/graphql.go
@@ -14,15 +14,15 @@
 
 // GraphQL is the format of requests and responses in GraphQL over HTTP.
 type GraphQL struct {
-	Path    string // of requests
+	Path    string // path of GraphQL requests
 	Classer *graphql.Classer
-	Classes []balancer.Class // of the settings, for their deadlines
-	// Where an operation's key, tenant, deadline (in milliseconds) and correlation id are.
+	Classes []balancer.Class // classes of the settings, for their deadlines
+	// Key, Tenant, Deadline (in milliseconds) and ID (correlation id) locate these values in a request.
 	Key, Tenant, Deadline, ID Source
 	DefaultTenant             string
 }
 
-// Source is where a value is found in a GraphQL request. The zero value finds none.
+// Source locates a value in a GraphQL request. The zero value locates none.
 type Source struct {
 	kind sourceKind
 	name string
@@ -32,14 +32,14 @@
 type sourceKind uint8
 
 const (
-	nowhere sourceKind = iota
-	inHeader
-	inCookie
-	inVariable
+	sourceNone sourceKind = iota
+	sourceHeader
+	sourceCookie
+	sourceVariable
 )
 
-// ParseSource reads header:NAME, cookie:NAME or variable:NAME, with dots between the names of nested
-// variables; empty: the zero value.
+// ParseSource parses header:NAME, cookie:NAME or variable:NAME, with dots between the names of nested
+// variables. An empty text gives the zero value.
 func ParseSource(text string) (Source, error) {
 	if text == "" {
 		return Source{}, nil
@@ -48,41 +48,42 @@
 	s := Source{name: name}
 	switch kind {
 	case "header":
-		s.kind, s.name = inHeader, http.CanonicalHeaderKey(name)
+		s.kind, s.name = sourceHeader, http.CanonicalHeaderKey(name)
 	case "cookie":
-		s.kind = inCookie
+		s.kind = sourceCookie
 	case "variable":
-		s.kind, s.path = inVariable, strings.Split(name, ".")
+		s.kind, s.path = sourceVariable, strings.Split(name, ".")
 	}
-	if s.kind == nowhere || name == "" {
+	if s.kind == sourceNone || name == "" {
 		return s, fmt.Errorf("%q must be header:NAME, cookie:NAME or variable:NAME", text)
 	}
 	return s, nil
 }
 
-// find returns the value in a request, empty if there is none.
+// find returns the value in a request, or an empty string if there is none.
 func (s Source) find(r *http.Request, variables []byte) string {
 	switch s.kind {
-	case inHeader:
+	case sourceHeader:
 		if v := r.Header[s.name]; len(v) > 0 {
 			return v[0]
 		}
-	case inCookie:
+	case sourceCookie:
 		if c, err := r.Cookie(s.name); err == nil {
 			return c.Value
 		}
-	case inVariable:
+	case sourceVariable:
 		return graphql.Variable(variables, s.path)
 	}
 	return ""
 }
 
-// Everywhere is the Format of a socket for GraphQL alone.
+// Everywhere is the Format of a socket that serves only GraphQL. It accepts every request; Decode rejects
+// other paths.
 func (g *GraphQL) Everywhere(r *http.Request) Exchange {
-	return &graphQLExchange{form: g, request: r, media: graphql.PlainJSON}
+	return &graphQLExchange{format: g, request: r, media: graphql.PlainJSON}
 }
 
-// AtPath is the Format of a socket for other requests, too.
+// AtPath is the Format of a socket that also serves other requests. It accepts only requests to Path.
 func (g *GraphQL) AtPath(r *http.Request) Exchange {
 	if path, _, _ := strings.Cut(r.RequestURI, "?"); path != g.Path {
 		return nil
@@ -92,18 +93,18 @@
 
 // graphQLExchange is one request and its response.
 type graphQLExchange struct {
-	form      *GraphQL
-	request   *http.Request
-	media     graphql.MediaType
-	verdict   graphql.Verdict
-	rejection *graphql.Error // why it was not forwarded; nil: it was
+	format      *GraphQL
+	request     *http.Request
+	media       graphql.MediaType
+	verdict     graphql.Verdict
+	decodeError *graphql.Error // error with which Decode rejected the request; nil if there is none
 }
 
-// Decode decodes a request. The class follows from the operation that would be executed.
+// Decode decodes a request. Its class is that of the operation that would be executed.
 func (x *graphQLExchange) Decode(reserve ReserveMemory) (*Request, error) {
 	op, err := x.decode(reserve)
 	if err != nil {
-		_ = errors.As(err, &x.rejection) // other errors are answered as bad requests
+		_ = errors.As(err, &x.decodeError) // other errors are answered as bad requests
 		if op != nil {
 			op.Release()
 		}
@@ -112,9 +113,9 @@
 	return op, nil
 }
 
-// decode checks the header first. Only the classer reads what the class depends on.
+// decode checks the header before it reads the body. Only the classer parses what the class depends on.
 func (x *graphQLExchange) decode(reserve ReserveMemory) (*Request, error) {
-	g, r := x.form, x.request
+	g, r := x.format, x.request
 	path, query, _ := strings.Cut(r.RequestURI, "?")
 	media, acceptable := graphql.Accepted(r.Header["Accept"])
 	switch {
@@ -150,12 +151,12 @@
 		return op, err
 	}
 	op.Class = x.verdict.Class
-	err = x.describe(op)
+	err = x.setProperties(op)
 	x.verdict.Variables = nil // a part of the body, which may be released before the response is written
 	return op, err
 }
 
-// minTimeLeft is how long the client waits at least, by the header alone.
+// minTimeLeft returns the minimum time that the client waits, as far as the header shows it.
 func (g *GraphQL) minTimeLeft(r *http.Request) time.Duration {
 	if left, err := parseTimeLeft(g.Deadline.find(r, nil)); err == nil {
 		return left
@@ -167,9 +168,10 @@
 	return shortest
 }
 
-// describe sets what plain requests have in header fields and cookie.
-func (x *graphQLExchange) describe(op *Request) error {
-	g, r, variables := x.form, x.request, x.verdict.Variables
+// setProperties sets the key, tenant, correlation id and time left of op. Plain requests have them in header
+// fields and a cookie.
+func (x *graphQLExchange) setProperties(op *Request) error {
+	g, r, variables := x.format, x.request, x.verdict.Variables
 	op.Key, op.Tenant = g.Key.find(r, variables), g.Tenant.find(r, variables)
 	if op.Tenant == "" {
 		op.Tenant = g.DefaultTenant
@@ -177,7 +179,7 @@
 	if op.CorrelationID = g.ID.find(r, variables); op.CorrelationID == "" {
 		op.CorrelationID = fmt.Sprintf("%016x", rand.Uint64())
 	} else if !isCorrelationID(op.CorrelationID) {
-		return errID
+		return errCorrelationID
 	}
 	if text := g.Deadline.find(r, variables); text != "" {
 		left, err := parseTimeLeft(text)
@@ -192,12 +194,12 @@
 	return nil
 }
 
-// Encode writes a response: an upstream server's as it is, one of the agent's own as a GraphQL error.
-func (x *graphQLExchange) Encode(w http.ResponseWriter, a Response) error {
-	if a.Kind == Served {
-		return plainExchange{}.Encode(w, a)
+// Encode writes a response: an upstream server's unchanged, the agent's own as a GraphQL error.
+func (x *graphQLExchange) Encode(w http.ResponseWriter, response Response) error {
+	if response.Kind == Served {
+		return plainExchange{}.Encode(w, response)
 	}
-	e := x.errorOf(a)
+	e := x.errorOf(response)
 	h := w.Header()
 	if e.RetryAfter > 0 {
 		setRetryAfter(h, e.RetryAfter)
@@ -212,29 +214,29 @@
 	return writeResponse(w, e.StatusFor(x.media), string(x.media)+"; charset=utf-8", int64(len(body)), body)
 }
 
-// errorOf is the GraphQL error for a response of the agent's own.
-func (x *graphQLExchange) errorOf(a Response) *graphql.Error {
+// errorOf returns the GraphQL error for one of the agent's own responses.
+func (x *graphQLExchange) errorOf(response Response) *graphql.Error {
 	switch {
-	case a.Kind == Rejected:
+	case response.Kind == Rejected:
 		return &graphql.Error{
-			Code: graphql.CodeBusy, Status: rejectionStatus(a),
-			RetryAfter: a.RetryAfter, Message: "busy: it was not executed",
+			Code: graphql.CodeBusy, Status: rejectionStatus(response),
+			RetryAfter: response.RetryAfter, Message: "busy: it was not executed",
 		}
-	case a.Kind == Failed:
+	case response.Kind == Failed:
 		return &graphql.Error{
 			Code: graphql.CodeFailed, Status: http.StatusBadGateway, Message: "failed",
 			MayHaveRun: x.verdict.Kind != graphql.Query,
 		}
-	case a.Kind == TooLong:
+	case response.Kind == TooLong:
 		return &graphql.Error{
 			Code: graphql.CodeLimit, Status: http.StatusRequestEntityTooLarge,
 			Message: ErrBodyTooLong.Error(),
 		}
-	case x.rejection != nil:
-		return x.rejection
+	case x.decodeError != nil:
+		return x.decodeError
 	}
 	return &graphql.Error{
 		Code: graphql.CodeBadRequest, Status: http.StatusBadRequest,
-		Message: strings.TrimSpace(string(a.Body)),
+		Message: strings.TrimSpace(string(response.Body)),
 	}
 }
--- a/internal/protocol/http.go
+++ b/internal/protocol/http.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// HTTP is the format of plain requests. It takes all.
+// HTTP is the format of plain HTTP requests. It accepts every request.
 func HTTP(r *http.Request) Exchange { return plainExchange{r} }
 
-// plainExchange is a plain request and its response.
+// plainExchange is a plain HTTP request and its response.
 type plainExchange struct{ r *http.Request }
 
-// Decode reads what the application sends as header fields and cookie.
+// Decode reads the request's properties from header fields and a cookie.
 func (p plainExchange) Decode(reserve ReserveMemory) (*Request, error) {
 	r := p.r
 	op := &Request{
@@ -23,7 +23,7 @@
 		ContentType: r.Header.Get("Content-Type"), IdempotencyKeys: r.Header[idempotencyKeyHeader],
 	}
 	if !isCorrelationID(op.CorrelationID) {
-		return nil, errID
+		return nil, errCorrelationID
 	}
 	var err error
 	if op.TimeLeft, err = parseTimeLeft(r.Header.Get("X-Time-Left-Ms")); err != nil {
@@ -46,7 +46,7 @@
 	return op, op.readBody(r, reserve, MaxUpload)
 }
 
-// parseTimeLeft reads a time in milliseconds, up to an hour.
+// parseTimeLeft parses a time in milliseconds. More than an hour is reduced to an hour.
 func parseTimeLeft(ms string) (time.Duration, error) {
 	left, err := strconv.ParseInt(ms, 10, 64)
 	if err != nil || left < 0 {
@@ -55,8 +55,8 @@
 	return time.Duration(min(left, maxTimeLeftMS)) * time.Millisecond, nil
 }
 
-// workHint finds the estimated work among the facts that a client sends, in microseconds under the
-// simulator's name. Other facts, and what is malformed, are ignored.
+// workHint returns the estimated work among the NAME=VALUE pairs that a client sends, where it is in
+// microseconds under the simulator's name; zero if there is none. Other pairs and malformed ones are ignored.
 func workHint(facts string) time.Duration {
 	for fact := range strings.SplitSeq(facts, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(fact), "=")
@@ -68,16 +68,16 @@
 }
 
 // Encode writes a response as plain HTTP.
-func (plainExchange) Encode(w http.ResponseWriter, a Response) error {
-	status := cmp.Or(a.Status, http.StatusOK)
-	switch a.Kind {
+func (plainExchange) Encode(w http.ResponseWriter, response Response) error {
+	status := cmp.Or(response.Status, http.StatusOK)
+	switch response.Kind {
 	case Rejected:
-		status = rejectionStatus(a)
-		if a.RetryAfter > 0 {
-			setRetryAfter(w.Header(), a.RetryAfter)
+		status = rejectionStatus(response)
+		if response.RetryAfter > 0 {
+			setRetryAfter(w.Header(), response.RetryAfter)
 		}
-		if a.Quota.PerSecond > 0 {
-			setRateLimit(w.Header(), a)
+		if response.Quota.PerSecond > 0 {
+			setRateLimit(w.Header(), response)
 		}
 	case Failed:
 		status = http.StatusBadGateway
@@ -86,12 +86,12 @@
 	case TooLong:
 		status = http.StatusRequestEntityTooLarge
 	}
-	length := int64(len(a.Body))
-	if a.BodyStream != nil {
-		length = a.BodyStream.Length()
+	length := int64(len(response.Body))
+	if response.BodyStream != nil {
+		length = response.BodyStream.Length()
 	}
-	if a.ContentType == "" {
-		a.ContentType = "text/plain; charset=utf-8"
+	if response.ContentType == "" {
+		response.ContentType = "text/plain; charset=utf-8"
 	}
-	return writeResponse(w, status, a.ContentType, length, a.Body)
+	return writeResponse(w, status, response.ContentType, length, response.Body)
 }
--- a/internal/protocol/ops.go
+++ b/internal/protocol/ops.go
@@ -13,10 +13,10 @@
 	"dunestep/internal/metrics"
 )
 
-// OpsKind is a kind of call at the operators' door.
+// OpsKind is a kind of call to the operators' interface.
 type OpsKind uint8
 
-// The calls.
+// The kinds of calls. Comments name the fields of OpsCall that a call sets.
 const (
 	OpsReadiness OpsKind = iota
 	OpsStats
@@ -39,12 +39,12 @@
 	OpsWindowOutcome // OpsCall.ID
 )
 
-// OpsCall is a call at the operators' door, decoded.
+// OpsCall is a decoded call to the operators' interface.
 type OpsCall struct {
 	Kind   OpsKind
-	ID     string // of an endpoint, a policy or a window
-	Ticket uint64 // of a proposal to the fleet
-	// Document is a policy, to take effect after EffectiveIn; Version is the number of one.
+	ID     string // id of an endpoint, a policy or a window
+	Ticket uint64 // number of a proposal to the fleet
+	// Document is a policy that takes effect after EffectiveIn. Version is the version number of a policy.
 	Document    []byte
 	EffectiveIn time.Duration
 	Version     uint64
@@ -52,10 +52,11 @@
 	Window WindowRequest
 }
 
-// MaxPolicyBytes is how many bytes a policy's document may have.
+// MaxPolicyBytes is the maximum length of a policy's document, in bytes.
 const MaxPolicyBytes = 14 << 10
 
-// MaxOpsBodyBytes is how many bytes the body of a call at a path may have.
+// MaxOpsBodyBytes returns how many bytes are read at most of the body of a call to a path. It is above the
+// length of a valid body, so that DecodeOpsCall recognises one that is too long.
 func MaxOpsBodyBytes(path string) int64 {
 	switch opsCalls[path].kind {
 	case OpsPolicyPropose:
@@ -66,23 +67,23 @@
 	return MaxEndpointID + 4
 }
 
-// IsFleetCall reports whether the call is about what the agents of a fleet agree on. There are such paths
-// only if the agent takes part.
+// IsFleetCall reports whether the call concerns something that the agents of a fleet agree on. Its path
+// exists only if the agent takes part in that.
 func (c OpsCall) IsFleetCall() bool { return c.Kind >= OpsFleetStatus }
 
-// FleetProposal answers a call that was proposed to the fleet, and a query for its result.
+// FleetProposal is the response to a call that was proposed to the fleet, and to a query for its result.
 type FleetProposal struct {
 	Ticket uint64 `json:"ticket"`
 	// Result is "waiting", "taken", "not taken" or "ask again".
 	Result string `json:"result"`
-	// InForce says that no agent acts without it any more.
+	// InForce reports that no agent acts without the accepted proposal any more.
 	InForce bool `json:"in_force"`
 }
 
-// MaxEndpointID is how many bytes the id of an endpoint may have.
+// MaxEndpointID is the maximum length of an endpoint's id, in bytes.
 const MaxEndpointID = 256
 
-// opsCalls are the calls by their paths on the wire.
+// opsCalls maps paths on the wire to calls.
 var opsCalls = map[string]struct {
 	method string
 	kind   OpsKind
@@ -109,7 +110,8 @@
 	"/ops/fleet/booking-servers/up":   {http.MethodPost, OpsFleetEnable},
 }
 
-// DecodeOpsCall decodes a call. A status other than 200 is the response to a malformed one.
+// DecodeOpsCall decodes a call. A status other than 200 means that the call is malformed, and is the
+// status of the response.
 func DecodeOpsCall(r *http.Request) (call OpsCall, status int) {
 	known, is := opsCalls[r.URL.Path]
 	switch {
@@ -125,7 +127,7 @@
 	if call.Kind > OpsPolicy && call.Kind < OpsWindows {
 		return decodePolicyCall(r, call)
 	}
-	// The longest id with a line end, and one byte that shows that there is more.
+	// The longest id with its line end, and one more byte to recognise a longer body.
 	body, err := io.ReadAll(io.LimitReader(r.Body, MaxEndpointID+3))
 	switch {
 	case err != nil:
@@ -147,7 +149,7 @@
 	return call, http.StatusOK
 }
 
-// Bounds of a call about a policy or a window.
+// Limits for a call about a policy or a window.
 const (
 	maxNameBytes   = 64
 	maxEffectiveIn = time.Hour
@@ -188,13 +190,13 @@
 	return k == OpsDisable || k == OpsEnable || k == OpsFleetDisable || k == OpsFleetEnable
 }
 
-// isReadableID reports whether an id can stand in a log line.
+// isReadableID reports whether an id can be written to a log line.
 func isReadableID(id string) bool {
 	unreadable := func(c rune) bool { return !unicode.IsPrint(c) || unicode.IsSpace(c) }
 	return id != "" && utf8.ValidString(id) && !strings.ContainsFunc(id, unreadable)
 }
 
-// classCounts are the answers of one class, under the names of the statistics.
+// classCounts are the numbers of final answers of one class, under their names in the statistics.
 type classCounts struct {
 	OK     int64 `json:"ok"`
 	Shed   int64 `json:"shed"`
--- a/internal/protocol/opsgolden_test.go
+++ b/internal/protocol/opsgolden_test.go
@@ -14,10 +14,10 @@
 	"dunestep/internal/metrics"
 )
 
-// The paths, methods and queries of the operators' door as of commit 3bec2d9. Each is the form of one call.
+// The paths, methods and queries of the operators' interface are those of commit 3bec2d9, one for each call.
 func TestGoldenOpsCalls(t *testing.T) {
 	const window = `{"nodes":["s-1"],"tenants":["*"],"from":"2026-12-03T10:00:00Z","to":"2026-12-03T12:00:00Z","pace":0.5}`
-	asked := WindowRequest{
+	windowRequest := WindowRequest{
 		Nodes: []string{"s-1"}, Tenants: []string{"*"}, From: time.Date(2026, 12, 3, 10, 0, 0, 0, time.UTC),
 		To: time.Date(2026, 12, 3, 12, 0, 0, 0, time.UTC), Pace: 0.5,
 	}
@@ -43,14 +43,14 @@
 		{"GET", "/ops/fleet/policy/outcome?id=a", "", OpsCall{Kind: OpsPolicyOutcome, ID: "a"}, true},
 		{"GET", "/ops/fleet/policy/document?version=3", "", OpsCall{Kind: OpsPolicyDocument, Version: 3}, true},
 		{"GET", "/ops/fleet/windows", "", OpsCall{Kind: OpsWindows}, true},
-		{"POST", "/ops/fleet/windows/ask?id=w", window, OpsCall{Kind: OpsWindowRequest, ID: "w", Window: asked}, true},
-		{"POST", "/ops/fleet/windows/check", window, OpsCall{Kind: OpsWindowCheck, Window: asked}, true},
+		{"POST", "/ops/fleet/windows/ask?id=w", window, OpsCall{Kind: OpsWindowRequest, ID: "w", Window: windowRequest}, true},
+		{"POST", "/ops/fleet/windows/check", window, OpsCall{Kind: OpsWindowCheck, Window: windowRequest}, true},
 		{"POST", "/ops/fleet/windows/stop?id=w", "", OpsCall{Kind: OpsWindowStop, ID: "w"}, true},
 		{"GET", "/ops/fleet/windows/outcome?id=w", "", OpsCall{Kind: OpsWindowOutcome, ID: "w"}, true},
 		{"POST", "/ops/fleet/booking-servers/down", "s-0", OpsCall{Kind: OpsFleetDisable, ID: "s-0"}, true},
 		{"POST", "/ops/fleet/booking-servers/up", "s-0", OpsCall{Kind: OpsFleetEnable, ID: "s-0"}, true},
 	}
-	require.Len(t, opsCalls, len(calls), "each call is checked here")
+	require.Len(t, opsCalls, len(calls), "every call must be checked here")
 	for _, c := range calls {
 		t.Run(c.method+" "+c.target, func(t *testing.T) {
 			got, status := DecodeOpsCall(httptest.NewRequest(c.method, c.target, strings.NewReader(c.body)))
@@ -68,7 +68,7 @@
 	})
 }
 
-// What is written in answers and calls at the operators' door, byte for byte as of commit 3bec2d9.
+// The bodies of calls to the operators' interface and of its responses are byte for byte those of commit 3bec2d9.
 func TestGoldenOpsBodies(t *testing.T) {
 	stats, err := EncodeOpsStats(metrics.Reading{
 		Attempts: 1, Active: 2, Listed: 3, Ejected: 4,
--- a/internal/protocol/opswindows.go
+++ b/internal/protocol/opswindows.go
@@ -12,26 +12,26 @@
 
 // WindowRequest is an operator's request for a maintenance window, in JSON.
 type WindowRequest struct {
-	// Nodes are endpoints by id. Alternatively Zone names all endpoints of one zone.
+	// Nodes are the ids of endpoints. Alternatively, Zone selects all endpoints of one zone.
 	Nodes []string `json:"nodes,omitempty"`
 	Zone  string   `json:"zone,omitempty"`
-	// Tenants are the names of tenants whose traffic migrates; "*": all, including requests without a known
-	// tenant.
+	// Tenants are the names of tenants whose traffic migrates; "*" selects all traffic, including requests
+	// without a known tenant.
 	Tenants []string  `json:"tenants"`
 	From    time.Time `json:"from"`
 	To      time.Time `json:"to"`
-	// Pace is the fraction of an endpoint's keys that migrates in a second at most; 0: the default.
+	// Pace is the maximum fraction of an endpoint's keys that migrates per second; 0 selects the default.
 	Pace float64 `json:"pace,omitempty"`
 }
 
-// Bounds of a request for a window. MaxWindowNames is of endpoints and of tenants each.
+// Limits for a request for a window. MaxWindowNames applies to endpoints and to tenants separately.
 const (
 	maxWindowBytes = 48 << 10
 	MaxWindowNames = 64
 )
 
-// errInvalidWindow says that a request for a window is malformed or contradicts itself.
-var errInvalidWindow = errors.New("protocol: not a window")
+// errInvalidWindow means that a request for a window is malformed or contradicts itself.
+var errInvalidWindow = errors.New("protocol: invalid request for a maintenance window")
 
 // decodeWindowCall decodes the rest of a call about maintenance windows.
 func decodeWindowCall(r *http.Request, call OpsCall) (OpsCall, int) {
@@ -57,23 +57,24 @@
 	return call, http.StatusOK
 }
 
-// decodeWindowRequest reads a request; unknown keys and trailing bytes are errors.
-func decodeWindowRequest(body []byte) (a WindowRequest, err error) {
+// decodeWindowRequest decodes a request; unknown keys and trailing bytes are errors.
+func decodeWindowRequest(body []byte) (request WindowRequest, err error) {
 	d := json.NewDecoder(bytes.NewReader(body))
 	d.DisallowUnknownFields()
-	if err = d.Decode(&a); err != nil {
-		return a, err
+	if err = d.Decode(&request); err != nil {
+		return request, err
 	}
-	if _, err := d.Token(); !errors.Is(err, io.EOF) || !a.isValid() {
-		return a, errInvalidWindow
+	if _, err := d.Token(); !errors.Is(err, io.EOF) || !request.isValid() {
+		return request, errInvalidWindow
 	}
-	return a, nil
+	return request, nil
 }
 
-// farthest bounds the times that can be named: what is outside is a slip, and overflows nothing later.
+// maxTimeDistance is how far from now the times of a window may be. A time outside of that is a mistake, and
+// could overflow later calculations.
 const maxTimeDistance = 400 * 24 * time.Hour
 
-// isValid checks a request by itself: names, times and pace.
+// isValid reports whether the names, times and pace of a request are valid in themselves.
 func (a WindowRequest) isValid() bool {
 	if len(a.Nodes) > 0 == (a.Zone != "") || len(a.Tenants) == 0 {
 		return false
@@ -103,5 +104,5 @@
 	return true
 }
 
-// isValidName reports whether a name is neither empty nor too long, and can stand in a log line.
+// isValidName reports whether a name is neither empty nor too long, and can be written to a log line.
 func isValidName(n string) bool { return len(n) <= MaxEndpointID && isReadableID(n) }
--- a/internal/protocol/request.go
+++ b/internal/protocol/request.go
@@ -11,89 +11,93 @@
 )
 
 const (
-	// MaxBufferedBody is how many bytes of a request's body are buffered; what is beyond is streamed.
+	// MaxBufferedBody is the maximum number of bytes of a request's body that are buffered; the rest is
+	// streamed.
 	MaxBufferedBody = 64 << 10
-	// MaxUpload is how many bytes a request's body may have.
+	// MaxUpload is the maximum length of a request's body, in bytes.
 	MaxUpload = 33 << 20
-	// maxTimeLeftMS bounds the time that a client can say it waits, in milliseconds.
+	// maxTimeLeftMS is the longest time that a client is taken to wait, in milliseconds.
 	maxTimeLeftMS = int64(time.Hour / time.Millisecond)
 	// correlationIDDigits is the length of a correlation id, in hexadecimal digits.
 	correlationIDDigits = 16
 )
 
-// Request is a client's request, decoded. Requests of all formats are decoded into it, and take the same way
-// from there.
+// Request is a client's request, decoded. Requests of all formats are decoded into it and handled alike from
+// there on.
 type Request struct {
 	CorrelationID string // forwarded unchanged
 	Class         string
 	Tenant        string
-	Key           string        // of consistent hashing; empty: none
-	IsRetry       bool          // marked by the client as a retry of its own
-	TimeLeft      time.Duration // that the client waits, from ArrivedAt on
-	WorkHint      time.Duration // a rough estimate of the work; zero: none
-	ArrivedAt     time.Time     // the earliest time at which it can have been sent, as far as this agent knows
+	Key           string        // key for consistent hashing; empty if there is none
+	IsRetry       bool          // whether the client marked it as a retry of its own
+	TimeLeft      time.Duration // how long the client waits, counted from ArrivedAt
+	WorkHint      time.Duration // rough estimate of the work; zero if there is none
+	ArrivedAt     time.Time     // earliest time at which the client can have sent it, as far as this agent knows
 
-	// Forwarded unchanged.
+	// Method, Target, Host and ContentType are forwarded unchanged.
 	Method, Target, Host, ContentType string
-	Accept                            string // media types; empty: not forwarded
-	// IdempotencyKeys are the values of the Idempotency-Key fields, usually one: by them an upstream server
-	// recognises a retry in a class that is idempotent with a key.
+	Accept                            string // accepted media types; not forwarded if empty
+	// IdempotencyKeys are the values of the Idempotency-Key fields, usually one. An upstream server uses them to
+	// recognise a retry in a class that is idempotent with a key.
 	IdempotencyKeys []string
-	Body            []byte // its first part if it is longer than MaxBufferedBody
-	// Length is the body's length if it is longer than Body; negative: not known; zero: Body is complete.
+	Body            []byte // only the first part of a body that is longer than MaxBufferedBody
+	// Length is zero if Body is complete, else the length of the whole body in bytes; negative if unknown.
 	Length int64
-	// Rest is what follows Body, as it comes; nil: nothing does. BodyComplete is closed when it has come to its
-	// end.
+	// Rest streams what follows Body; nil if Body is complete. BodyComplete is closed when the last byte of the
+	// stream was received.
 	Rest         *bodystream.Stream
 	BodyComplete <-chan struct{}
 
-	// IsGraphQL has a response with a status of 4xx forwarded if its media type is one of GraphQL.
+	// IsGraphQL causes a 4xx response to be forwarded if its media type is one of GraphQL.
 	IsGraphQL bool
 
-	// Release gives back the body's memory; a further call does nothing.
+	// Release releases the body's memory; further calls do nothing.
 	Release func()
 }
 
-// ErrBodyTooLong says that a request's body is longer than permitted. Clients get its text, as that of the
-// errors below.
+// ErrBodyTooLong means that a request's body is longer than permitted. Its text is sent to clients, like
+// those of the errors below.
 var ErrBodyTooLong = errors.New("the body is too long")
 
 // The other ways in which a request can be malformed.
 var (
-	errID       = errors.New("X-Correlation-Id must be 16 hexadecimal digits")
-	errTimeLeft = errors.New("X-Time-Left-Ms must be a whole number of milliseconds")
-	errTarget   = errors.New("the target must be a path, whose first part is the class")
-	errMethod   = errors.New("the method must be GET, without a body, or POST")
+	errCorrelationID = errors.New("X-Correlation-Id must be 16 hexadecimal digits")
+	errTimeLeft      = errors.New("X-Time-Left-Ms must be a whole number of milliseconds")
+	errTarget        = errors.New("the target must be a path, whose first part is the class")
+	errMethod        = errors.New("the method must be GET, without a body, or POST")
 )
 
-// idempotencyKeyHeader is the header field of the IETF's draft, in the form that net/http gives it.
+// idempotencyKeyHeader is the header field of the IETF draft, in net/http's canonical form.
 const idempotencyKeyHeader = "Idempotency-Key"
 
-// isCorrelationID reports whether a text has the form of a correlation id.
+// isCorrelationID reports whether a text is a valid correlation id.
 func isCorrelationID(text string) bool {
 	_, err := strconv.ParseUint(text, 16, 64)
 	return err == nil && len(text) == correlationIDDigits
 }
 
-// Format is a form of requests and responses on a downstream socket. It begins the exchange for a request;
-// nil: the request is not of this form.
+// Format is a format of requests and responses on a downstream socket. It returns the exchange for a request,
+// or nil if the request is not in this format.
 type Format func(r *http.Request) Exchange
 
-// Exchange is a request in its format, and its response.
+// Exchange decodes one request in its format and encodes the response.
 type Exchange interface {
-	// Decode decodes the request and reads its body to the end: only after that does net/http notice that the
-	// client has gone. The header is checked first, so that a malformed request costs no upload.
+	// Decode decodes the request and reads its body to the end, unless the body is streamed: only after that
+	// does net/http notice that the client has disconnected. The header is checked first, so that a malformed
+	// request is rejected without reading its body.
 	Decode(reserve ReserveMemory) (*Request, error)
-	// Encode writes the response, up to a body that is streamed. The error is the connection's.
+	// Encode writes the response, except for a streamed body. An error means that the connection failed.
 	Encode(w http.ResponseWriter, response Response) error
 }
 
-// ReserveMemory reserves memory for a body before it is read. It returns a function that gives back all but a
-// number of bytes of it. timeLeft is how long the client waits, from the sending on.
+// ReserveMemory reserves memory for a body before it is read. The returned function keeps the given number
+// of bytes and releases the others. timeLeft is how long the client waits, counted from when it sent the
+// request.
 type ReserveMemory func(bytes int64, timeLeft time.Duration) (keep func(int64), err error)
 
-// readBody reads the body, or the beginning of one that is longer than MaxBufferedBody if maxBytes permits
-// that: the rest is the caller's to read, and memory for one chunk of it is reserved here.
+// readBody reads the body into memory that it reserves. If the body is longer than MaxBufferedBody and
+// maxBytes permits that, it reads only the beginning: the caller reads the rest, and memory for one chunk
+// of it is reserved here.
 func (op *Request) readBody(r *http.Request, reserve ReserveMemory, maxBytes int64) error {
 	op.Release = func() {}
 	if r.ContentLength == 0 {
@@ -103,7 +107,7 @@
 		return ErrBodyTooLong
 	}
 	needed := r.ContentLength
-	if needed < 0 || needed > MaxBufferedBody { // not known, or not buffered
+	if needed < 0 || needed > MaxBufferedBody { // unknown, or too long to be buffered
 		needed = MaxBufferedBody + bodystream.ChunkBytes
 	}
 	keep, err := reserve(needed, op.TimeLeft)
@@ -128,8 +132,9 @@
 	return nil
 }
 
-// readBody reads up to MaxBufferedBody bytes of a body; length is negative if it is not known. total is zero
-// if that is all of it, else its length, or negative.
+// readBody reads up to MaxBufferedBody bytes of a body, and one more if it must find out whether there are
+// more. length is negative if it is unknown. total is zero if the returned body is complete, else the
+// length of the whole body, or negative if that is unknown.
 func readBody(r io.Reader, length int64) (body []byte, total int64, err error) {
 	if length >= 0 {
 		body = make([]byte, min(length, MaxBufferedBody))
--- a/internal/protocol/response.go
+++ b/internal/protocol/response.go
@@ -11,54 +11,54 @@
 	"dunestep/internal/bodystream"
 )
 
-// ResponseKind is how a request ends.
+// ResponseKind is the kind of a Response.
 type ResponseKind uint8
 
 // The kinds of final answer.
 const (
-	Served    ResponseKind = iota // an upstream server's response
-	Rejected                      // it has surely not run
-	Failed                        // it may have run
-	Malformed                     // it could not be read
-	TooLong                       // its body is longer than permitted
+	Served    ResponseKind = iota // response of an upstream server
+	Rejected                      // the request has certainly not been executed
+	Failed                        // the request may have been executed
+	Malformed                     // the request could not be decoded
+	TooLong                       // the request's body is longer than permitted
 )
 
 // Response is the one final answer to a request.
 type Response struct {
 	Kind        ResponseKind
-	Body        []byte             // a line of text, if there is no BodyStream
-	BodyStream  *bodystream.Stream // the body of an upstream server's response
+	Body        []byte             // line of text; not used if there is a BodyStream
+	BodyStream  *bodystream.Stream // body of an upstream server's response
 	ContentType string
-	Status      int            // of an upstream server's response; zero: 200
-	RetryAfter  time.Duration  // of a rejection; zero: none is sent
-	OverQuota   bool           // rejected for being over the tenant's quota
-	Quota       balancer.Quota // of the tenant, reported with a rejection; zero: it is not
-	Streaming   bool           // the flow is not complete yet
+	Status      int            // status of an upstream server's response; zero means 200
+	RetryAfter  time.Duration  // retry-after of a rejection; not sent if zero
+	OverQuota   bool           // whether it was rejected because the tenant is over its quota
+	Quota       balancer.Quota // quota of the tenant, sent with a rejection; not sent if zero
+	Streaming   bool           // whether BodyStream may not be complete yet
 }
 
-// rejectionStatus distinguishes a tenant over its quota from a service without capacity.
-func rejectionStatus(a Response) int {
-	if a.OverQuota {
+// rejectionStatus returns 429 for a tenant over its quota and 503 for a service without capacity.
+func rejectionStatus(response Response) int {
+	if response.OverQuota {
 		return http.StatusTooManyRequests
 	}
 	return http.StatusServiceUnavailable
 }
 
-// setRateLimit sets the header fields of the IETF's draft: requests per second, those left of them, and in
-// how many seconds there are more.
-func setRateLimit(h http.Header, a Response) {
-	each := max(int64(a.Quota.PerSecond), 1)
-	h.Set("RateLimit-Policy", fmt.Sprintf(`"share";q=%d;w=1`, each))
-	h.Set("RateLimit", fmt.Sprintf(`"share";r=%d;t=%d`, min(int64(a.Quota.Remaining), each),
-		max(int64(math.Ceil(a.RetryAfter.Seconds())), 1)))
+// setRateLimit sets the rate limit fields of the IETF draft: the quota in requests per second, how many of
+// them remain, and the time until more are available, in seconds.
+func setRateLimit(h http.Header, response Response) {
+	perSecond := max(int64(response.Quota.PerSecond), 1)
+	h.Set("RateLimit-Policy", fmt.Sprintf(`"share";q=%d;w=1`, perSecond))
+	h.Set("RateLimit", fmt.Sprintf(`"share";r=%d;t=%d`, min(int64(response.Quota.Remaining), perSecond),
+		max(int64(math.Ceil(response.RetryAfter.Seconds())), 1)))
 }
 
-// setRetryAfter sets the field in seconds, with milliseconds as decimals.
+// setRetryAfter sets the Retry-After field in seconds, with milliseconds as decimals.
 func setRetryAfter(h http.Header, d time.Duration) {
 	h.Set("Retry-After", strconv.FormatFloat(d.Seconds(), 'f', 3, 64))
 }
 
-// writeResponse writes a response, or its beginning. A negative length is not known: it is sent in chunks.
+// writeResponse writes a response, or its beginning. A body of unknown (negative) length is sent in chunks.
 func writeResponse(w http.ResponseWriter, status int, contentType string, length int64, body []byte) error {
 	h := w.Header()
 	h.Set("Content-Type", contentType)
--- a/internal/protocol/settings.go
+++ b/internal/protocol/settings.go
@@ -8,8 +8,8 @@
 	"dunestep/internal/balancer"
 )
 
-// settingsForm is the settings object on the wire. The field names here are the wire's; DecodeSettings maps
-// them.
+// settingsForm is the settings object as encoded. Its field names are those on the wire;
+// DecodeSettings converts it.
 type settingsForm struct {
 	Balancers  int            `json:"balancers"`
 	Ordinal    int            `json:"ordinal"`
@@ -63,7 +63,7 @@
 	} `json:"goal"`
 }
 
-// categoryForm is a request class on the wire.
+// categoryForm is a request class as encoded.
 type categoryForm struct {
 	Name       string  `json:"name"`
 	Effect     string  `json:"effect"`
@@ -77,15 +77,15 @@
 	Stream     bool    `json:"stream"`
 }
 
-// Settings describe the deployment: the balancer's, and those of the sockets.
+// Settings describe the deployment: the settings of the balancer and those of upstream connections.
 type Settings struct {
 	balancer.Settings
-	ConnIdleTimeout time.Duration // after which upstream servers close an idle connection
-	ConnectTimeout  time.Duration // after which an attempt to connect has failed
+	ConnIdleTimeout time.Duration // idle time after which upstream servers close a connection
+	ConnectTimeout  time.Duration // timeout for connecting to an upstream server
 }
 
-// DecodeSettings decodes an agent's settings; unknown ones are ignored. The agent and the simulator's adapter
-// both use it.
+// DecodeSettings decodes an agent's settings; unknown keys are ignored. Both the agent and the simulator's
+// adapter use it.
 func DecodeSettings(raw []byte) (Settings, error) {
 	var e settingsForm
 	if err := json.Unmarshal(raw, &e); err != nil {
@@ -109,7 +109,7 @@
 	}, nil
 }
 
-// limits are the permissions and bounds for attempts.
+// limits returns the permissions and limits for attempts.
 func (e *settingsForm) limits() balancer.Limits {
 	return balancer.Limits{
 		MaxAttempts: e.Bounds.SendCap, Hedging: e.Bounds.SecondCopies,
@@ -118,7 +118,7 @@
 	}
 }
 
-// rules are the operators' rules on drains, polls and slow start.
+// rules returns the operators' rules on drains, polls and slow start.
 func (e *settingsForm) rules() balancer.Rules {
 	return balancer.Rules{
 		DrainGrace:        microseconds(e.Rules.StopSendingWithin),
@@ -131,7 +131,7 @@
 	}
 }
 
-// costs are what work, crossings and messages cost, in the weight of answers.
+// costs returns the costs of cross-zone attempts, wasted work and messages, in units of an answer's weight.
 func (e *settingsForm) costs() balancer.Costs {
 	return balancer.Costs{
 		CrossZone: e.Prices.CrossZone, WastedWork: e.Prices.Waste, Probe: e.Prices.Probe,
@@ -139,7 +139,7 @@
 	}
 }
 
-// scoreWeights are the weights of the operators' score.
+// scoreWeights returns the weights of the operators' score.
 func (e *settingsForm) scoreWeights() balancer.ScoreWeights {
 	return balancer.ScoreWeights{
 		Total: e.Goal.Whole, WorstWindow: e.Goal.WorstWindow,
@@ -148,7 +148,7 @@
 	}
 }
 
-// class is the balancer's form of a request class. One that is not known to be idempotent is not retried.
+// class returns the balancer's request class. A class that is not known to be idempotent is not retried.
 func (c *categoryForm) class() balancer.Class {
 	class := balancer.Class{
 		Name: c.Name, LatencyObjective: microseconds(c.Aim), ObjectivePerWork: c.AimStretch,
@@ -171,5 +171,5 @@
 	return class
 }
 
-// microseconds converts a time on the wire.
+// microseconds converts a duration on the wire.
 func microseconds(v int64) time.Duration { return time.Duration(v) * time.Microsecond }
--- a/internal/protocol/settings_test.go
+++ b/internal/protocol/settings_test.go
@@ -20,12 +20,12 @@
 		t.Errorf("%+v", a)
 	}
 	if s.Classes[1].Idempotency != balancer.NotIdempotent {
-		t.Error("an unknown effect must not be repeated")
+		t.Error("a class with an unknown effect must not be idempotent")
 	}
 	if !s.DiscoveryOnDemand || !s.Rules.GoneUsable || s.Rules.SlowStartDuration != 8800*time.Millisecond || s.Tick != 5*time.Millisecond {
 		t.Errorf("%+v", s)
 	}
 	if _, err := DecodeSettings([]byte(`[1`)); err == nil {
-		t.Error("broken settings accepted")
+		t.Error("malformed settings were accepted")
 	}
 }
--- a/internal/protocol/upstream.go
+++ b/internal/protocol/upstream.go
@@ -14,8 +14,8 @@
 	"dunestep/internal/graphql"
 )
 
-// AppendUpstreamRequest appends an attempt as the HTTP request to an upstream server, up to the body; wait is
-// how long this agent waits for the response.
+// AppendUpstreamRequest appends the HTTP request of an attempt, without the body. wait is how long this agent
+// waits for the response.
 func AppendUpstreamRequest(b []byte, op *Request, wait time.Duration) []byte {
 	field := func(name, value string) {
 		b = append(append(append(append(b, name...), ": "...), value...), "\r\n"...)
@@ -48,36 +48,38 @@
 type UpstreamResponse struct {
 	Outcome     balancer.Outcome
 	ContentType string
-	Status      int                // zero: 200
-	Close       bool               // the connection carries no further request
-	BodyStream  *bodystream.Stream // the body, if Outcome is Served
+	Status      int                // zero means 200
+	Close       bool               // whether the connection must not be reused
+	BodyStream  *bodystream.Stream // body; nil unless Outcome is Served
 }
 
-// UnreadBody is a body that is still to be read; without a Reader there is none. It is not to be closed: that
-// would read on, for as long as the server sends.
+// UnreadBody is a body that has not been read yet; its Reader is nil if there is none. It must not be closed:
+// that would read on for as long as the server sends.
 type UnreadBody struct {
 	io.Reader
-	Length int64 // negative: not announced
+	Length int64 // bytes; negative if not announced
 }
 
-// ErrResponseTooLong says that a response is longer than permitted, or announced as longer.
-var ErrResponseTooLong = errors.New("the answer is too long")
+// ErrResponseTooLong means that an upstream server's response is longer than permitted, or announced as
+// longer.
+var ErrResponseTooLong = errors.New("the response is too long")
 
-// maxDiscardedBytes is how much of a body that is not forwarded is read, so that its connection can be
-// reused.
+// maxDiscardedBytes is the length up to which a body that is not forwarded is read, so that its connection
+// can be reused.
 const maxDiscardedBytes = 64 << 10
 
-// ReadUpstreamResponse reads a response up to the body of a 200, which is the caller's to read; any other
-// body is read to its end. For a GraphQL request, a 4xx with a media type of GraphQL counts like a 200: no
-// other server would answer otherwise. A response that is announced as longer than maxBytes is an error.
-// After an error the connection is of no more use: it ended, or what was received is not a response.
+// ReadUpstreamResponse reads a response. It leaves the body of a 200 to the caller, and reads and discards
+// any other body. For a GraphQL request, a 4xx with a GraphQL media type is treated like a 200: every other
+// server would give the same response. A response that is announced as longer than maxBytes is an error.
+// After an error the connection must not be reused: it has ended, or the bytes received are not a valid
+// response.
 func ReadUpstreamResponse(
 	r *bufio.Reader,
 	maxBytes int64,
 	isGraphQL bool,
 ) (UpstreamResponse, UnreadBody, error) {
 	resp, err := http.ReadResponse(r, nil)
-	for err == nil && resp.StatusCode < http.StatusOK { // 1xx announces the response
+	for err == nil && resp.StatusCode < http.StatusOK { // 1xx precedes the final response
 		resp, err = http.ReadResponse(r, nil)
 	}
 	if err != nil {
@@ -93,7 +95,7 @@
 		out.Outcome, out.ContentType, out.Status = balancer.Served, contentType, resp.StatusCode
 		return out, UnreadBody{resp.Body, resp.ContentLength}, nil
 	case resp.StatusCode == http.StatusServiceUnavailable, resp.StatusCode == http.StatusGatewayTimeout:
-		// Without the mark it may have run.
+		// Without this field the request may have been executed.
 		if resp.Header.Get("X-Unprocessed") == "1" {
 			out.Outcome = balancer.Rejected
 		}
@@ -101,8 +103,8 @@
 	return out, UnreadBody{}, discardBody(resp.Body)
 }
 
-// isGraphQLError reports whether a response is a GraphQL server's to a mistake of the client. Statuses that
-// may be different at another time or server are none.
+// isGraphQLError reports whether a response is a GraphQL server's response to a client error. Statuses that
+// may differ at another time or from another server are excluded.
 func isGraphQLError(status int, contentType string) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusTooEarly, http.StatusTooManyRequests:
@@ -112,7 +114,7 @@
 	return status/100 == 4 && graphql.IsAnswer(strings.TrimSpace(media))
 }
 
-// discardBody reads a body to its end.
+// discardBody reads a body to its end. It returns ErrResponseTooLong after maxDiscardedBytes.
 func discardBody(body io.Reader) error {
 	n, err := io.Copy(io.Discard, io.LimitReader(body, maxDiscardedBytes+1))
 	if err == nil && n > maxDiscardedBytes {
