--- a/internal/protocol/request.go
+++ b/internal/protocol/request.go
@@ -16,7 +16,7 @@
 	MaxBufferedBody = 64 << 10
 	// MaxUpload is the maximum length of a request's body, in bytes.
 	MaxUpload = 33 << 20
-	// maxTimeLeftMS is the longest time that a client is taken to wait, in milliseconds.
+	// maxTimeLeftMS is the maximum time that a client waits, in milliseconds; longer times are reduced to it.
 	maxTimeLeftMS = int64(time.Hour / time.Millisecond)
 	// correlationIDDigits is the length of a correlation id, in hexadecimal digits.
 	correlationIDDigits = 16
--- a/internal/transport/bodies.go
+++ b/internal/transport/bodies.go
@@ -10,49 +10,49 @@
 
 const (
 	// defaultBufferedBytes is the length up to which a response is buffered until it is complete, unless a rule
-	// says otherwise. Clients time the first bytes of a longer one.
+	// sets another. Clients measure the time to the first bytes of a longer one.
 	defaultBufferedBytes = 64 << 10
-	// maxBodyMemoryDivisor: a response is buffered in at most this part of the bodies' memory.
+	// maxBodyMemoryDivisor limits the buffer of one response to 1/4 of the bodies' memory.
 	maxBodyMemoryDivisor = 4
-	// maxReadAhead is how many bytes of one body may be held while it is taken more slowly than it comes: a few
-	// slow clients of long responses must not hold the memory that all others wait for.
+	// maxReadAhead is the maximum number of buffered bytes of one body that is read more slowly than it arrives:
+	// a few slow clients of long responses must not hold the memory that all others wait for.
 	maxReadAhead = 256 << 10
-	// kernelBufferBytes bounds what the kernel holds of a body for one connection, beside the bodies' memory.
-	// Without it, that grows to several MB for a client that does not read.
+	// kernelBufferBytes is the size of the kernel's buffer for one connection, which is not part of the bodies'
+	// memory. Without this limit it grows to several MB for a client that does not read.
 	kernelBufferBytes = 256 << 10
 )
 
 // BodyRules are limits for bodies.
 type BodyRules struct {
-	MaxBytes      int64         // of a response: a longer one, or one announced as longer, is invalid
-	BufferedBytes int64         // a response up to this long is buffered until it is complete; zero: 64 KiB
-	MaxBuffering  time.Duration // of a response that is not known to be as short, from its first byte on
-	ClientStall   time.Duration // a client that takes nothing of its response for so long is cut off
-	// how much longer than the server needs a client may occupy the server's connection
+	MaxBytes      int64         // maximum length of a response; one that is longer, or announced as longer, is invalid
+	BufferedBytes int64         // length up to which a response is buffered until it is complete; zero: 64 KiB
+	MaxBuffering  time.Duration // time from the first byte of a response not known to be that short until it is forwarded
+	ClientStall   time.Duration // time without progress after which a client that reads a response is cut off
+	// maximum time by which a client may occupy the server's connection longer than the server needs it
 	ClientLag time.Duration
 }
 
-// BodyLimits is what bodies share in both directions: memory, and rules that may change while they are in
-// use.
+// BodyLimits are the memory and the rules that request and response bodies share. Both may change while they
+// are in use.
 type BodyLimits struct {
 	Memory *bytebudget.Pool
 	rules  atomic.Pointer[BodyRules]
 }
 
-// NewBodyLimits returns limits of so many bytes for all bodies together.
+// NewBodyLimits returns limits with limit bytes of memory for all bodies together.
 func NewBodyLimits(limit int64, r BodyRules) *BodyLimits {
 	b := &BodyLimits{Memory: bytebudget.NewPool(limit)}
 	b.rules.Store(&r)
 	return b
 }
 
-// Set changes the memory and the rules for bodies that begin from now on.
+// Set changes the memory limit, and the rules for bodies that start from now on.
 func (b *BodyLimits) Set(limit int64, r BodyRules) {
 	b.Memory.SetLimit(limit)
 	b.rules.Store(&r)
 }
 
-// Rules are the rules in force, with defaults filled in and BufferedBytes within the memory.
+// Rules returns the current rules, with defaults filled in and BufferedBytes limited by the memory.
 func (b *BodyLimits) Rules() BodyRules {
 	r := *b.rules.Load()
 	limit := b.Memory.Limit()
@@ -63,9 +63,9 @@
 	return r
 }
 
-// memoryWindow is how many bytes a response needs at least, and how many it may fill; length is negative
-// where it is not known. A response that is not buffered gets a chunk beyond what is: so it shows that it is
-// longer before it is started.
+// memoryWindow returns the minimum number of bytes that a response needs and the maximum that it may buffer;
+// length is negative if it is unknown. A response that may be longer than BufferedBytes gets one chunk more, so
+// that it is known to be longer before it is forwarded.
 func (b *BodyLimits) memoryWindow(length int64, r BodyRules) (minBytes, maxBytes int64) {
 	if length >= 0 && length <= r.BufferedBytes {
 		return length, length
--- a/internal/transport/datagrams.go
+++ b/internal/transport/datagrams.go
@@ -13,17 +13,17 @@
 	"dunestep/internal/protocol"
 )
 
-// Datagrams is the socket on which agents send messages to each other.
+// Datagrams is the socket with which agents exchange messages.
 type Datagrams struct {
 	conn     *net.UDPConn
 	peers    *protocol.PeerAddresses
 	dropLog  rateLimitedLog
 	isActive atomic.Bool
 	mu       sync.Mutex
-	resumed  chan struct{} // closed by Activate; nil: it was never deactivated
+	resumed  chan struct{} // closed by Activate; nil if never deactivated
 }
 
-// ListenDatagrams opens the socket. Datagrams are sent from it too: a peer knows the sender by its address.
+// ListenDatagrams opens the socket. Datagrams are sent from it too: peers identify the sender by its address.
 func ListenDatagrams(addr netip.AddrPort, peers *protocol.PeerAddresses) (*Datagrams, error) {
 	c, err := reusePortConfig().ListenPacket(context.Background(), "udp", addr.String())
 	if err != nil {
@@ -32,14 +32,14 @@
 	return NewDatagrams(c.(*net.UDPConn), peers), nil
 }
 
-// NewDatagrams uses an open socket.
+// NewDatagrams returns Datagrams that use an open socket.
 func NewDatagrams(c *net.UDPConn, peers *protocol.PeerAddresses) *Datagrams {
 	d := &Datagrams{conn: c, peers: peers}
 	d.isActive.Store(true)
 	return d
 }
 
-// Activate has this process send and receive for its agent, as it does from the start.
+// Activate makes this process send and receive for its agent, which is the initial state.
 func (d *Datagrams) Activate() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -50,7 +50,7 @@
 	close(d.resumed)
 }
 
-// Deactivate leaves sending and receiving to another process of this agent that has the socket too: each
+// Deactivate leaves sending and receiving to another process of this agent that shares the socket: each
 // datagram reaches only one of them.
 func (d *Datagrams) Deactivate() {
 	d.mu.Lock()
@@ -62,7 +62,7 @@
 	_ = d.conn.SetReadDeadline(time.Now()) // fails only on a closed socket
 }
 
-// waitActive returns when this process sends and receives for its agent.
+// waitActive waits until this process is active.
 func (d *Datagrams) waitActive() {
 	d.mu.Lock()
 	resumed := d.resumed
@@ -72,13 +72,13 @@
 	}
 }
 
-// Socket is handed to another process of this agent.
+// Socket returns the socket, to be passed to another process of this agent.
 func (d *Datagrams) Socket() *net.UDPConn { return d.conn }
 
-// Receive calls handle with each datagram of a peer, until Close. Malformed ones and those of other senders
-// are dropped and logged.
+// Receive calls handle with each datagram of a peer until Close, and then returns nil. Datagrams that are
+// malformed or from other senders are dropped and logged.
 func (d *Datagrams) Receive(handle func(protocol.Datagram)) error {
-	buffer := make([]byte, protocol.MaxDatagram+1) // one more, so that a longer one is noticed
+	buffer := make([]byte, protocol.MaxDatagram+1) // one byte more, to detect longer datagrams
 	for {
 		n, from, err := d.conn.ReadFromUDPAddrPort(buffer)
 		switch {
@@ -99,7 +99,7 @@
 	}
 }
 
-// Send sends one datagram; it may be lost like any other. It does nothing while deactivated.
+// Send sends one datagram, which may get lost. It sends nothing while deactivated or after Close.
 func (d *Datagrams) Send(datagram protocol.Datagram) error {
 	to, data, err := d.peers.Encode(datagram)
 	if err == nil && d.isActive.Load() {
--- a/internal/transport/descriptors.go
+++ b/internal/transport/descriptors.go
@@ -1,7 +1,7 @@
-// Package transport has the agent's sockets: the listener for clients, connections to upstream servers,
-// datagrams between agents, calls to discovery and the operators' door. It makes no routing decision:
-// requests go to a RequestHandler, and which descriptors and connections are used is decided in package
-// routing. All types are safe for concurrent use unless they say otherwise.
+// Package transport implements the agent's sockets: the listener for clients, connections to upstream servers,
+// datagrams between agents, calls to discovery and the operators' interface. It makes no routing decisions:
+// it passes requests to a RequestHandler, and package routing decides which descriptors and connections are
+// used. All types are safe for concurrent use unless their comments say otherwise.
 package transport
 
 import (
@@ -11,24 +11,24 @@
 	"dunestep/internal/routing"
 )
 
-// evictRetryInterval is how soon a client's connection to evict is looked for again.
+// evictRetryInterval is the time after which acquireDownstream tries again to evict a connection.
 const evictRetryInterval = 20 * time.Millisecond
 
-// Descriptors shares the process's file descriptors between clients' connections and upstream connections, by
-// the rules of routing.Descriptors.
+// Descriptors divides the process's file descriptors between client connections and upstream connections,
+// according to routing.Descriptors.
 type Descriptors struct {
 	mu                           sync.Mutex
-	core                         *routing.Descriptors
-	released                     chan struct{} // receives when a descriptor was released
-	reclaimIdle                  func()        // asks for idle upstream connections to be closed
+	allocation                   *routing.Descriptors
+	released                     chan struct{} // receives a value when a descriptor was released
+	reclaimIdle                  func()        // requests that idle upstream connections be closed
 	downstreamFull, upstreamFull rateLimitedLog
 }
 
-// NewDescriptors shares out the descriptors of a process that may hold limit of them. reclaimIdle is called
-// when one is needed that idle upstream connections hold.
+// NewDescriptors returns Descriptors for a process that may hold limit descriptors. reclaimIdle is called when
+// none is available and idle upstream connections may hold some.
 func NewDescriptors(limit int, reclaimIdle func()) *Descriptors {
 	return &Descriptors{
-		core:        routing.NewDescriptors(limit),
+		allocation:  routing.NewDescriptors(limit),
 		released:    make(chan struct{}, 1),
 		reclaimIdle: reclaimIdle,
 	}
@@ -38,33 +38,33 @@
 func (d *Descriptors) SetLimit(limit int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.core.SetLimit(limit)
+	d.allocation.SetLimit(limit)
 }
 
-// InUse is how many descriptors the process holds, including those that are no connection.
+// InUse returns how many descriptors the process holds, including those that are not connections.
 func (d *Descriptors) InUse() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.core.InUse()
+	return d.allocation.InUse()
 }
 
-// tryDownstream acquires a descriptor for a client, if there is one; isFull reports whether clients hold
-// their whole part.
+// tryDownstream acquires a descriptor for a client, if one is available; isFull reports whether clients hold
+// their whole share.
 func (d *Descriptors) tryDownstream() (ok, isFull bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.core.AcquireDownstream()
+	return d.allocation.AcquireDownstream()
 }
 
-// downstreamPressure is routing.Descriptors.Pressure.
+// downstreamPressure returns routing.Descriptors.Pressure.
 func (d *Descriptors) downstreamPressure() (crowded, pressing bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.core.Pressure()
+	return d.allocation.Pressure()
 }
 
-// acquireDownstream waits until there is a descriptor for one more client, or done is closed. evict closes a
-// client's connection, and reports whether there was one to close.
+// acquireDownstream waits until a descriptor for one more client is available and returns true, or returns
+// false once done is closed. evict closes a client's connection and reports whether there was one to close.
 func (d *Descriptors) acquireDownstream(done <-chan struct{}, evict func(evictionScope) bool) bool {
 	for {
 		select {
@@ -96,19 +96,19 @@
 	}
 }
 
-// releaseDownstream gives back what acquireDownstream acquired.
+// releaseDownstream releases a descriptor that acquireDownstream acquired.
 func (d *Descriptors) releaseDownstream() {
 	d.mu.Lock()
-	d.core.ReleaseDownstream()
+	d.allocation.ReleaseDownstream()
 	d.mu.Unlock()
 	d.signalReleased()
 }
 
-// AcquireUpstream reports whether one more upstream connection may be opened; if so, ReleaseUpstream gives it
-// back.
+// AcquireUpstream acquires a descriptor for an upstream connection and reports whether one was available. If
+// so, the caller must call ReleaseUpstream.
 func (d *Descriptors) AcquireUpstream() bool {
 	d.mu.Lock()
-	ok := d.core.AcquireUpstream()
+	ok := d.allocation.AcquireUpstream()
 	d.mu.Unlock()
 	if !ok {
 		d.upstreamFull.warn("no file descriptor is available", "for", "an upstream server")
@@ -117,15 +117,15 @@
 	return ok
 }
 
-// ReleaseUpstream gives back what AcquireUpstream acquired.
+// ReleaseUpstream releases a descriptor that AcquireUpstream acquired.
 func (d *Descriptors) ReleaseUpstream() {
 	d.mu.Lock()
-	d.core.ReleaseUpstream()
+	d.allocation.ReleaseUpstream()
 	d.mu.Unlock()
 	d.signalReleased()
 }
 
-// signalReleased wakes an acquireDownstream. One signal is enough: the woken one looks for itself.
+// signalReleased wakes a waiting acquireDownstream. One signal is enough, since it checks again itself.
 func (d *Descriptors) signalReleased() {
 	select {
 	case d.released <- struct{}{}:
--- a/internal/transport/discovery.go
+++ b/internal/transport/discovery.go
@@ -17,24 +17,24 @@
 )
 
 const (
-	// responseTimeout is how long discovery may take until its response begins, connecting included. Package
-	// discovery/backoff counts on a failed call taking no longer.
+	// responseTimeout is how long discovery may take until its response begins, including connecting. Package
+	// discovery/backoff relies on failed calls taking no longer.
 	responseTimeout = 2 * time.Second
-	// watchSilenceTimeout ends a watch on which nothing is received. Discovery sends an empty line every 2 s,
-	// and only their absence shows that a watch is cut off.
+	// watchSilenceTimeout ends a watch on which nothing is received. Discovery sends an empty line every 2 s;
+	// only the absence of these lines shows that a watch is cut off.
 	watchSilenceTimeout = 3 * time.Second
-	// objectStallTimeout is how long an object that has begun may make no progress.
+	// objectStallTimeout is how long a partly received object may make no progress.
 	objectStallTimeout = 750 * time.Millisecond
 	maxObjectBytes     = 4 << 20
 )
 
-// errListTooLong says that an object of discovery has more than maxObjectBytes. On-call staff know its text.
+// errListTooLong means that an object of discovery has more than maxObjectBytes. On-call staff know its text.
 var errListTooLong = errors.New("discovery's list is too long")
 
-// CallDiscovery makes one call for the endpoint list: a watch, from a version on, or the complete list once.
-// It returns when the call has ended, nil only for a list that is complete. onAccepted is called when
-// discovery has accepted the call; onObject is called for each object of the response, whose bytes are valid
-// only until it returns. Both are called from the caller's goroutine.
+// CallDiscovery makes one call for the endpoint list: a watch from a version on, or the complete list once. It
+// returns when the call has ended; nil only if a complete list was received. It calls onAccepted when discovery
+// has accepted the call, and onObject for each object of the response, whose bytes are valid only until
+// onObject returns. Both are called from the caller's goroutine.
 func CallDiscovery(ctx context.Context, addr netip.AddrPort, call protocol.ListRequest, onAccepted func(),
 	onObject func([]byte),
 ) error {
@@ -46,7 +46,7 @@
 	if err != nil {
 		return err
 	}
-	closeConn := func() { _ = conn.Close() } // the read that it ends has the error
+	closeConn := func() { _ = conn.Close() } // the interrupted read returns the error
 	defer closeConn()
 	defer context.AfterFunc(ctx, closeConn)()
 	silence := newSilenceTimer(responseTimeout-time.Since(startedAt), closeConn)
@@ -69,7 +69,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = body.Close() }() // what matters of it was read
+	defer func() { _ = body.Close() }() // everything needed was read
 	silence.reset(watchSilenceTimeout)
 	onAccepted()
 	if call.Watch {
@@ -83,8 +83,8 @@
 }
 
 // readObjects reads the objects of a watch until it ends, which is always an error. Discovery sends each
-// object on a line of its own; one that is indented over several lines is read as well, or no drain in it
-// would be noticed.
+// object on a line of its own. An object indented over several lines is accepted as well, so that no drain in
+// it is missed.
 func readObjects(in *watchBody, onObject func([]byte)) error {
 	objects := json.NewDecoder(in)
 	var raw json.RawMessage
@@ -102,15 +102,15 @@
 	}
 }
 
-// watchBody is a watch's body as it comes. It ends the call early if the rest of an object does not come:
-// until the next watch, no drain and no new server would be noticed.
+// watchBody reads the body of a watch while it is received. It shortens the timeout while an object is
+// incomplete: until the next watch, no drain and no new server would be noticed.
 type watchBody struct {
 	io.Reader
 	silence *silenceTimer
-	// bytes that Read returned; without the empty lines between objects, which would pile up unread
+	// bytes that Read returned; excludes empty lines between objects, which would accumulate in the decoder
 	returned  int64
-	nonBlank  int64 // the same up to the last byte that is no white space
-	objectEnd int64 // the same up to the end of the latest object
+	nonBlank  int64 // bytes up to the last one that is not white space
+	objectEnd int64 // bytes up to the end of the latest object
 }
 
 // Read skips empty lines between objects.
@@ -124,7 +124,7 @@
 		if content > 0 {
 			w.nonBlank = w.returned + int64(content)
 		}
-		// empty lines are no progress of an object
+		// empty lines are not progress of an object
 		if isInObject := w.nonBlank > w.objectEnd; content > 0 || n > 0 && !isInObject {
 			w.resetSilence()
 		}
@@ -135,7 +135,7 @@
 	}
 }
 
-// resetSilence gives the next bytes their time.
+// resetSilence restarts the timeout for the next bytes.
 func (w *watchBody) resetSilence() {
 	if w.nonBlank > w.objectEnd {
 		w.silence.reset(objectStallTimeout)
@@ -144,7 +144,7 @@
 	}
 }
 
-// silenceTimer ends a call on which nothing is received for a time, and knows that time.
+// silenceTimer ends a call on which nothing is received for a timeout, and records that timeout.
 type silenceTimer struct {
 	timer     *time.Timer
 	timeout   atomic.Int64 // nanoseconds
@@ -158,7 +158,7 @@
 	return s
 }
 
-// reset gives the next bytes a timeout from now on.
+// reset restarts the timer with a timeout.
 func (s *silenceTimer) reset(timeout time.Duration) {
 	s.timeout.Store(int64(timeout))
 	s.timer.Reset(timeout)
--- a/internal/transport/discovery_test.go
+++ b/internal/transport/discovery_test.go
@@ -17,7 +17,7 @@
 
 // What a watch brings counts however it is laid out. The rest of an object is not waited for as long as the next
 // one is, whatever empty lines come meanwhile.
-func TestObjectsOfAWatch(t *testing.T) {
+func TestWatchObjectsAndStall(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
@@ -54,7 +54,7 @@
 }
 
 // A list without end is not read into memory.
-func TestObjectWithoutEnd(t *testing.T) {
+func TestEndlessObjectIsAnError(t *testing.T) {
 	endless := io.MultiReader(strings.NewReader("{"), endlessBlanks{})
 	silence := newSilenceTimer(time.Hour, func() {})
 	err := readObjects(&watchBody{Reader: endless, silence: silence}, func([]byte) {})
--- a/internal/transport/downstreamconn.go
+++ b/internal/transport/downstreamconn.go
@@ -13,28 +13,28 @@
 )
 
 const (
-	// requestTimeout is how long a client has to send a request: for the first one on a connection counted from
-	// accepting it, else from the request's first byte.
+	// requestTimeout is how long a client has to send a request, counted from accepting the connection for the
+	// first request, else from the request's first byte.
 	requestTimeout = 2300 * time.Millisecond
-	// minIdleTime is how long a connection without an open request stays open at least.
+	// minIdleTime is the minimum time that a connection without an open request stays open.
 	minIdleTime = 2 * time.Second
-	// minSilentTime is the same where descriptors are short and nothing was ever received: a client that has a
+	// minSilentTime is the same if descriptors are short and nothing was ever received: a client that has a
 	// request sends it right after connecting.
 	minSilentTime = 150 * time.Millisecond
-	// closeGracePeriod is how long an evicted client has to close its side, where another client waits for the
+	// closeGracePeriod is how long an evicted client has to close its side while another client waits for the
 	// descriptor.
 	closeGracePeriod = 20 * time.Millisecond
-	// stallTimeout is how long a request that has begun may make no progress where descriptors are short.
+	// stallTimeout is how long a partly received request may make no progress if descriptors are short.
 	stallTimeout = time.Second
 	// lingerTimeout is how long input is read and discarded after the write side was closed.
 	lingerTimeout = time.Second
 )
 
-// connState is what a client's connection is doing.
+// connState is the state of a client's connection.
 type connState uint8
 
 const (
-	connNew     connState = iota // nothing was received yet
+	connNew     connState = iota // nothing has been received yet
 	connReading                  // a request is being received
 	connBusy                     // a request is in flight, or its response is being written
 	connIdle                     // the last request was answered
@@ -42,43 +42,43 @@
 	connClosed
 )
 
-// downstreamConn is a client's connection. It knows its state and where requests on it begin and end. It is
-// read by net/http's goroutine of the connection; all else may come from any goroutine.
+// downstreamConn is a client's connection. It tracks its state and where requests on it begin and end. Read is
+// called by net/http's goroutine of the connection; all other methods may be called from any goroutine.
 type downstreamConn struct {
 	net.Conn
 	conns      *downstreamConns
-	formats    []protocol.Format // in which requests may come on it
+	formats    []protocol.Format // formats that requests on it may have
 	acceptedAt time.Time
 	rawConn    syscall.RawConn
 
 	mu                sync.Mutex
 	state             connState
 	stateSince        time.Time
-	isHeaderRead      bool      // of connReading
-	receivedAt        time.Time // of the latest bytes; of a backlog, the earliest time that they can have come
-	hasBacklog        bool      // bytes came before a Read waited for them, and the kernel may have more
-	backlogReadAt     time.Time // of hasBacklog: when the kernel last had no more
-	isPaused          bool      // nothing is read: the request waits for memory of this agent
-	resumedAt         time.Time // when reading went on after a pause
-	closesUnlessInput bool      // the present Read is to end the connection unless there is input
-	isBodyAbandoned   bool      // the rest of the present body is not wanted
-	skipsLinger       bool      // Close does not wait for the client's end
+	isHeaderRead      bool      // in connReading: the request's header was read
+	receivedAt        time.Time // of the latest bytes; for a backlog, the earliest time at which they can have arrived
+	hasBacklog        bool      // bytes arrived before a Read waited for them, and the kernel may have more
+	backlogReadAt     time.Time // with hasBacklog: when the kernel last had no more
+	isPaused          bool      // nothing is read: the request waits for memory in this agent
+	resumedAt         time.Time // when reading continued after a pause
+	closesUnlessInput bool      // the current Read ends the connection unless there is input
+	isBodyAbandoned   bool      // the rest of the current body is not needed
+	skipsLinger       bool      // Close does not wait for the client to close its side
 	wasEvictedIdle    bool      // evicted with nothing open on it
-	requestsStarted   int       // requests whose header a handler has got
+	requestsStarted   int       // requests whose header was passed to a handler
 	framing           requestFraming
-	// idleTimer checks whether the connection was idle for long enough to be closed. It keeps running while a
-	// request is in flight, which costs less than stopping and starting it with each.
+	// idleTimer checks whether the connection has been idle long enough to be closed. It keeps running while a
+	// request is in flight, which costs less than stopping and starting it for each request.
 	idleTimer *time.Timer
 }
 
 // arrival describes what a Read returned.
 type arrival struct {
-	isBacklog bool // it was there before the Read waited for it
+	isBacklog bool // the bytes were there before the Read waited for them
 	isAll     bool // the kernel had no more
 }
 
-// Read follows the framing of what it returns. A connection in connClosing returns nothing any more: a
-// request that crosses the close was never read, and its client may send it again.
+// Read parses the framing of the bytes that it returns. In connClosing it returns no more bytes: a request
+// that crosses the close counts as never read, and its client may send it again.
 func (c *downstreamConn) Read(b []byte) (int, error) {
 	isBacklog := c.hasPendingBacklog()
 	n, err := c.Conn.Read(b)
@@ -102,15 +102,15 @@
 	return n, err
 }
 
-// hasPendingBacklog reports whether bytes that came before a Read waited for them are still unread.
+// hasPendingBacklog reports whether bytes that arrived before a Read waited for them are still unread.
 func (c *downstreamConn) hasPendingBacklog() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.hasBacklog && c.hasInput()
 }
 
-// recordArrival sets when the bytes of a Read came: now or, where they are of a backlog, when all before them
-// had been read. The caller holds mu.
+// recordArrival sets when the bytes of a Read arrived: now or, if they belong to a backlog, when all bytes
+// before them had been read. The caller holds mu.
 func (c *downstreamConn) recordArrival(a arrival) {
 	c.receivedAt = time.Now()
 	now := c.receivedAt
@@ -145,7 +145,7 @@
 	return deadline, c.framing.bodyFraming
 }
 
-// pauseReading records that this agent does not read for now. A request that makes no progress for that
+// pauseReading records that this agent stops reading for now. A request that makes no progress for that
 // reason is not stalled by its client.
 func (c *downstreamConn) pauseReading() {
 	c.mu.Lock()
@@ -153,7 +153,7 @@
 	c.isPaused = true
 }
 
-// resumeReading ends a pause. receivedAt stays: the client's time counts from there.
+// resumeReading ends a pause. It keeps receivedAt, from which the client's time counts.
 func (c *downstreamConn) resumeReading() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -161,8 +161,8 @@
 	c.resumedAt = time.Now()
 }
 
-// isStalled reports whether a request has begun and makes no progress, through its client's fault. The caller
-// holds mu.
+// isStalled reports whether a request has begun but makes no progress because its client sends nothing. The
+// caller holds mu.
 func (c *downstreamConn) isStalled(now time.Time) bool {
 	if c.state != connReading || c.isPaused || now.Sub(c.stateSince) < stallTimeout {
 		return false
@@ -170,14 +170,14 @@
 	return !c.isHeaderRead || now.Sub(c.receivedAt) >= stallTimeout && now.Sub(c.resumedAt) >= stallTimeout
 }
 
-// requestStartedAt is when the first byte of the present request was received.
+// requestStartedAt returns when the first byte of the current request was received.
 func (c *downstreamConn) requestStartedAt() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.stateSince
 }
 
-// abandonBody ends reads of the present body: its rest is not wanted. It holds until responseDone.
+// abandonBody ends reads of the current body, whose rest is not needed. It has effect until responseDone.
 func (c *downstreamConn) abandonBody() {
 	c.mu.Lock()
 	c.isBodyAbandoned = true
@@ -185,7 +185,7 @@
 	_ = c.SetReadDeadline(time.Now()) // fails only on a closed connection
 }
 
-// responseDone records that the response was written: from then on read deadlines are net/http's again.
+// responseDone records that the response was written: from then on net/http sets the read deadlines again.
 func (c *downstreamConn) responseDone() {
 	c.mu.Lock()
 	c.isBodyAbandoned = false
@@ -193,8 +193,8 @@
 }
 
 // isBodyCompleteDespiteAbandon reports whether the deadline that ended a Read was set by abandonBody for a
-// body that is complete by now. net/http then reads on to notice a client that leaves; without this it would
-// take the deadline for one, and cut off the response.
+// body that is complete by now, and clears it. net/http reads on after a body to notice that the client
+// disconnects; it would mistake the deadline for that, and cut off the response.
 func (c *downstreamConn) isBodyCompleteDespiteAbandon() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -205,8 +205,8 @@
 	return c.SetReadDeadline(time.Time{}) == nil
 }
 
-// requestComplete records that the last byte of a request was read and returns when it was received: from
-// then on the client counts its time.
+// requestComplete records that the last byte of a request was read and returns when it was received. The
+// client's time counts from then.
 func (c *downstreamConn) requestComplete() (receivedAt time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -218,9 +218,9 @@
 	return receivedAt
 }
 
-// shouldClose reports whether the connection is to be closed after its response. Many clients that send one
-// request each and keep their connection would exhaust the descriptors before any of them was idle for long
-// enough to be closed. Clients that have sent more than one request keep theirs for longer.
+// shouldClose reports whether to close the connection after its response. Many clients that send one request
+// each and keep their connection would exhaust the descriptors before any of them was idle long enough to be
+// closed. Clients that have sent more than one request keep their connection longer.
 func (c *downstreamConn) shouldClose() bool {
 	crowded, pressing := c.conns.descriptors.downstreamPressure()
 	c.mu.Lock()
@@ -228,21 +228,21 @@
 	return pressing || crowded && c.framing.headersStarted <= 1
 }
 
-// hasNextRequest reports whether a part of the request after the present one was received. A close after the
-// present response would destroy a pipelined request.
+// hasNextRequest reports whether a part of the request after the current one was received. A close after the
+// current response would lose a pipelined request.
 func (c *downstreamConn) hasNextRequest() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.hasReadNextRequest() || c.framing.bodyLeft == 0 && c.hasInput()
 }
 
-// hasReadNextRequest reports whether a part of the request after the present one was read. The caller holds
+// hasReadNextRequest reports whether a part of the request after the current one was read. The caller holds
 // mu.
 func (c *downstreamConn) hasReadNextRequest() bool {
 	return c.framing.headersStarted > c.requestsStarted
 }
 
-// hasInput reports whether the kernel has unread input of the client, including the end of its side.
+// hasInput reports whether the kernel has unread input from the client, including the end of its stream.
 func (c *downstreamConn) hasInput() (has bool) {
 	err := c.rawConn.Control(func(fd uintptr) { has = hasInput(fd) })
 	return err == nil && has
@@ -271,7 +271,7 @@
 	}
 }
 
-// closeIfIdle closes the connection if it was idle for long enough and clients hold many descriptors.
+// closeIfIdle closes the connection if it has been idle long enough and clients hold many descriptors.
 func (c *downstreamConn) closeIfIdle() {
 	c.mu.Lock()
 	since, isLongEnough := c.stateSince, c.state == connIdle && time.Since(c.stateSince) >= minIdleTime
@@ -281,36 +281,36 @@
 	}
 }
 
-// Close closes the write side, reads and discards what the client still sends for a while, then closes the
-// connection. A close over unread input would reset the connection, and the client's kernel would discard the
-// response before it is read.
+// Close closes the write side, reads and discards input for up to lingerTimeout, then closes the connection.
+// Closing with unread input would reset the connection, and the client's kernel would discard the response
+// before the client has read it.
 func (c *downstreamConn) Close() error {
 	c.mu.Lock()
 	lingers := c.startClosing()
 	c.mu.Unlock()
 	if lingers {
-		_, _ = io.Copy(io.Discard, struct{ io.Reader }{c.Conn}) // ends with the deadline or the client's end
+		_, _ = io.Copy(io.Discard, struct{ io.Reader }{c.Conn}) // ends at the deadline or when the client closes its side
 	}
 	err := c.Conn.Close()
 	c.deregister()
 	return err
 }
 
-// startClosing closes the write side; what the client sends from now on is no request. It returns false if
-// the connection is closed, or is to be closed without lingering. The caller holds mu.
+// startClosing closes the write side; input from now on is discarded. It returns false if the connection is
+// closed, or must be closed without lingering. The caller holds mu.
 func (c *downstreamConn) startClosing() (lingers bool) {
 	if c.skipsLinger || c.state == connClosed {
 		return false
 	}
 	if c.state != connClosing {
-		_ = c.CloseWrite() // fails only where the client has reset the connection
+		_ = c.CloseWrite() // fails only if the client has reset the connection
 		c.setState(connClosing)
 	}
 	return c.SetReadDeadline(c.stateSince.Add(lingerTimeout)) == nil
 }
 
-// discardUnsent has Close discard what the kernel has not sent. For a client that does not read, it would
-// keep that indefinitely.
+// discardUnsent makes Close discard bytes that the kernel has not sent yet. For a client that does not read,
+// the kernel would keep them indefinitely.
 func (c *downstreamConn) discardUnsent() {
 	c.skipLinger()
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
@@ -318,14 +318,14 @@
 	}
 }
 
-// skipLinger has Close not wait for the client.
+// skipLinger makes Close not wait for the client.
 func (c *downstreamConn) skipLinger() {
 	c.mu.Lock()
 	c.skipsLinger = true
 	c.mu.Unlock()
 }
 
-// CloseWrite is called by net/http before it waits a while and closes.
+// CloseWrite closes the write side. net/http calls it, then waits a while before it calls Close.
 func (c *downstreamConn) CloseWrite() error {
 	if tcp, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return tcp.CloseWrite()
--- a/internal/transport/downstreamlistener.go
+++ b/internal/transport/downstreamlistener.go
@@ -9,16 +9,16 @@
 	"dunestep/internal/protocol"
 )
 
-// evictionScope says which connections may be evicted.
+// evictionScope selects the connections that may be evicted.
 type evictionScope uint8
 
 const (
 	evictIdle evictionScope = iota // only those that have been idle for minIdleTime
-	evictAny                       // also others without an answer owed: descriptors are short
+	evictAny                       // also others for which no response is due: descriptors are short
 )
 
-// downstreamListener accepts clients while there are descriptors for them, and evicts connections without an
-// open request where there are not.
+// downstreamListener accepts clients while there are descriptors for them, and otherwise evicts connections
+// without an open request.
 type downstreamListener struct {
 	net.Listener
 	*downstreamConns
@@ -29,13 +29,13 @@
 	closeErr  error
 }
 
-// downstreamConns are the connections of all sockets of a Listener: whichever is short of descriptors, the
-// best candidates of all are evicted.
+// downstreamConns are the connections of all sockets of a Listener. Whichever socket needs a descriptor, the
+// best candidates among all connections are evicted.
 type downstreamConns struct {
 	descriptors *Descriptors
 	mu          sync.Mutex
 	conns       map[*downstreamConn]struct{}
-	allClosed   chan struct{} // receives when the last connection was closed
+	allClosed   chan struct{} // receives a value when the last connection was closed
 }
 
 // Accept waits for a descriptor, then for a client.
@@ -48,7 +48,7 @@
 		l.descriptors.releaseDownstream()
 		return nil, err
 	}
-	_ = conn.(*net.TCPConn).SetWriteBuffer(kernelBufferBytes) // the kernel may refuse it: its default holds then
+	_ = conn.(*net.TCPConn).SetWriteBuffer(kernelBufferBytes) // if the kernel refuses it, its default applies
 	raw, err := conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		_ = conn.Close()
@@ -71,11 +71,12 @@
 	return l.closeErr
 }
 
-// evict closes the best candidate and reports whether there was one; its descriptor is free once its client
-// has closed it too, or has had the time to. Clients that connect and send nothing, send one request and
-// stay, or never complete a request would keep out all others.
+// evict closes the best candidate and reports whether there was one. Its descriptor is released once its
+// client has closed its side too, or the time for that is over. Without eviction, clients that connect and
+// send nothing, that stay connected after one request, or that never complete a request would keep out all
+// others.
 func (l *downstreamConns) evict(scope evictionScope) bool {
-	skipped := map[*downstreamConn]bool{} // have received something meanwhile
+	skipped := map[*downstreamConn]bool{} // candidates that have received input meanwhile
 	for {
 		c, state, since := l.evictionCandidate(scope, skipped)
 		if c == nil || c.evict(state, since) {
@@ -85,8 +86,8 @@
 	}
 }
 
-// evictionCandidate returns the connection with the lowest rank, of those with the same rank the one that has
-// been in its state for longest; nil if there is none.
+// evictionCandidate returns the connection with the lowest rank; among equal ranks, the one that has been in
+// its state longest. It returns nil if there is none.
 func (l *downstreamConns) evictionCandidate(scope evictionScope, skipped map[*downstreamConn]bool) (
 	best *downstreamConn, bestState connState, bestSince time.Time,
 ) {
@@ -108,7 +109,7 @@
 	return best, bestState, bestSince
 }
 
-// remove forgets a closed connection and releases its descriptor.
+// remove removes a closed connection and releases its descriptor.
 func (l *downstreamConns) remove(c *downstreamConn) {
 	l.mu.Lock()
 	delete(l.conns, c)
@@ -132,7 +133,7 @@
 	}
 }
 
-// skipLinger has every connection's Close not wait for its client.
+// skipLinger makes Close of every connection not wait for its client.
 func (l *downstreamConns) skipLinger() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -141,7 +142,7 @@
 	}
 }
 
-// count is the number of open connections.
+// count returns the number of open connections.
 func (l *downstreamConns) count() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/transport/drain.go
+++ b/internal/transport/drain.go
@@ -8,28 +8,29 @@
 )
 
 const (
-	// minDrainIdleTime is how long a connection must have been idle to be closed while draining: a client that
-	// is about to send its next request has the time to.
+	// minDrainIdleTime is how long a connection must have been idle to be closed while draining, so that a client
+	// that is about to send its next request can do so.
 	minDrainIdleTime = 400 * time.Millisecond
-	// sweepInterval is how often idle connections are looked for while draining; slowSweepInterval once the
-	// deadline for all of them has passed.
+	// sweepInterval is the interval at which idle connections are closed while draining; slowSweepInterval is
+	// the interval after the idle deadline.
 	sweepInterval, slowSweepInterval = 50 * time.Millisecond, 500 * time.Millisecond
 )
 
-// idleScope says which idle connections are closed.
+// idleScope selects the idle connections to close.
 type idleScope uint8
 
 const (
 	idleLong idleScope = iota // those that have been idle for minDrainIdleTime
-	idleAll                   // all, except those that were only just accepted
+	idleAll                   // all, except those that were accepted less than minDrainIdleTime ago
 )
 
-// drainState is the one state in which clients are turned to other agents, by an operator or before the
-// process ends: not ready, Connection: close with every response, connections closed as they become idle.
+// drainState is the state of a drain, started by an operator or before the process ends. While draining, the
+// agent is not ready, sends Connection: close with every response and closes connections when they become
+// idle, so that clients move to other agents.
 type drainState struct {
 	mu           sync.Mutex
 	startedAt    time.Time     // zero: not draining
-	idleDeadline time.Duration // after startedAt, all idle connections are closed, however short their idle time
+	idleDeadline time.Duration // time after startedAt from which all idle connections are closed, however short their idle time
 	isFinal      bool          // StopDrain has no effect
 	sweepTimer   *time.Timer
 }
@@ -41,8 +42,8 @@
 	return !d.startedAt.IsZero()
 }
 
-// StartDrain has clients leave: after the idle deadline no connection stays idle any more. New connections
-// are served meanwhile, and closed after their response.
+// StartDrain makes clients move to other agents. After idleDeadline, connections are closed as soon as they are
+// idle. New connections are still served, and closed after their response.
 func (f *Listener) StartDrain(idleDeadline time.Duration) {
 	d := &f.drain
 	d.mu.Lock()
@@ -50,7 +51,7 @@
 	f.startDrain(idleDeadline)
 }
 
-// StartFinalDrain is StartDrain, after which StopDrain has no effect any more.
+// StartFinalDrain is like StartDrain, but StopDrain has no effect any more.
 func (f *Listener) StartFinalDrain(idleDeadline time.Duration) {
 	d := &f.drain
 	d.mu.Lock()
@@ -59,8 +60,8 @@
 	f.startDrain(idleDeadline)
 }
 
-// startDrain starts to drain or, where it has begun, moves the idle deadline if it is sooner. The caller
-// holds the drain's mu.
+// startDrain starts to drain or, if already draining, moves the idle deadline forward if the new one is
+// earlier. The caller holds the drain's mu.
 func (f *Listener) startDrain(idleDeadline time.Duration) {
 	d := &f.drain
 	if d.startedAt.IsZero() {
@@ -71,7 +72,7 @@
 	d.idleDeadline = min(d.idleDeadline, time.Since(d.startedAt)+idleDeadline)
 }
 
-// StopDrain accepts clients again. A connection that is about to be closed is closed.
+// StopDrain ends a drain that is not final. A connection that is already being closed is still closed.
 func (f *Listener) StopDrain() {
 	d := &f.drain
 	d.mu.Lock()
@@ -82,10 +83,10 @@
 	}
 }
 
-// IsDraining reports whether clients are asked to leave.
+// IsDraining reports whether the listener is draining.
 func (f *Listener) IsDraining() bool { return f.drain.isActive() }
 
-// closeIdleConns closes the connections that have been idle for long enough, again and again until StopDrain.
+// closeIdleConns closes the connections that have been idle long enough, and repeats that until StopDrain.
 func (f *Listener) closeIdleConns() {
 	d := &f.drain
 	d.mu.Lock()
@@ -106,14 +107,15 @@
 	}
 }
 
-// StopListening has no further client connect. A socket that another process has too stays open there.
+// StopListening closes the listening sockets. A socket that another process has too stays open there.
 func (f *Listener) StopListening() {
 	for _, l := range f.listeners {
-		_ = l.Close() // an error would leave nothing to do
+		_ = l.Close() // nothing is left to do on an error
 	}
 }
 
-// WaitClosed waits, after StartDrain and StopListening, until all client connections are closed, or ctx ends.
+// WaitClosed waits until all client connections are closed, or ctx ends, whose error it returns. It is called
+// after StartDrain and StopListening.
 func (f *Listener) WaitClosed(ctx context.Context) error {
 	for f.conns.count() > 0 {
 		select {
@@ -129,11 +131,11 @@
 func (f *Listener) Close() {
 	f.StopListening()
 	f.conns.skipLinger()
-	_ = f.server.Close() // of listeners that are closed
+	_ = f.server.Close() // the only errors are those of listeners, which are closed already
 }
 
-// announceClose sets Connection: close where the connection is to be closed, or the listener is draining,
-// unless its next request is already coming: that one is served first.
+// announceClose sets Connection: close if the connection should be closed or the listener is draining, unless
+// a part of the next request was received: that request is served first.
 func (f *Listener) announceClose(c *downstreamConn, response http.Header) {
 	if (f.IsDraining() || c.shouldClose()) && !c.hasNextRequest() {
 		response.Set("Connection", "close")
@@ -147,9 +149,9 @@
 	}
 }
 
-// closeIdle has the connection's reader close it unless there is input: a request that the kernel has by now
-// is served. With idleAll, a client that does not close its side after the write side was closed is not
-// waited for longer than an evicted one.
+// closeIdle makes the goroutine that reads the connection close it unless there is input: a request that the
+// kernel has received by now is served. With idleAll, a client that does not close its side after the write
+// side was closed is given no more time than an evicted one.
 func (c *downstreamConn) closeIdle(scope idleScope) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -165,8 +167,8 @@
 	}
 }
 
-// isReadTimeoutFinal reports whether a Read's timeout ends the connection: not if it was set by closeIdle and
-// there is input by now.
+// isReadTimeoutFinal reports whether a Read's timeout ends the connection. It does not if closeIdle set the
+// timeout and there is input by now.
 func (c *downstreamConn) isReadTimeoutFinal() bool {
 	c.mu.Lock()
 	closesUnlessInput := c.closesUnlessInput
--- a/internal/transport/eviction.go
+++ b/internal/transport/eviction.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// evict closes the connection if it is still in the state in which it was chosen and has no input: first its
-// write side and, if the client does not close its own side in time, the whole connection at the next call.
+// evict closes the connection if it is still in the state in which it was selected and has no input. It closes
+// the write side first and, if the client does not close its own side in time, the whole connection at the
+// next call. It reports whether it closed anything.
 func (c *downstreamConn) evict(state connState, since time.Time) (evicted bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -11,7 +12,7 @@
 	case c.state != state || !c.stateSince.Equal(since):
 		return false
 	case (state != connClosing || c.wasEvictedIdle) && c.hasInput():
-		c.setState(connReading) // no effect in connClosing: the input is discarded first
+		c.setState(connReading) // no effect in connClosing, where the input is discarded first
 		return false
 	case state == connClosing:
 		c.finishClosing()
@@ -21,26 +22,26 @@
 	return c.startClosing()
 }
 
-// finishClosing ends the discarding of input, so that the connection is closed by its reader. The caller
+// finishClosing stops discarding input, so that the goroutine that reads closes the connection. The caller
 // holds mu.
 func (c *downstreamConn) finishClosing() {
 	c.skipsLinger = true
 	_ = c.SetReadDeadline(time.Now()) // fails only on a closed connection
 }
 
-// evictionRank tells how readily a connection is evicted: lower ranks first, each from an age on.
+// evictionRank orders connections for eviction: lower ranks first. A connection gets a rank at a certain age.
 type evictionRank int
 
 const (
 	notEvictable     evictionRank = iota - 1
 	rankIdle                      // idle for minIdleTime, or evicted before and not closed by its client
-	rankSilent                    // nothing was ever received, or it is closing
+	rankSilent                    // nothing was ever received, or the connection is closing
 	rankStalled                   // its request makes no progress
-	rankRecentlyIdle              // idle for a short time: a request that crosses the close is sent again
+	rankRecentlyIdle              // idle for a short time: a client sends a request that crosses the close again
 )
 
-// evictionCandidacy returns how readily the connection can be evicted, and its state. Ranks above rankIdle
-// are for the case that descriptors are short.
+// evictionCandidacy returns the connection's eviction rank, its state and since when it is in that state. Ranks
+// above rankIdle apply only if descriptors are short.
 func (c *downstreamConn) evictionCandidacy(
 	now time.Time,
 ) (rank evictionRank, state connState, since time.Time) {
--- a/internal/transport/framing.go
+++ b/internal/transport/framing.go
@@ -2,39 +2,39 @@
 
 import "time"
 
-// bodyFraming is how the end of a request's body is marked, on the whole connection so far.
+// bodyFraming is how the ends of request bodies on a connection are marked so far.
 type bodyFraming uint8
 
 const (
 	framedByLength bodyFraming = iota
-	framedByChunks             // what follows is not parsed: the connection is closed after it
-	framedByBoth               // by Content-Length and Transfer-Encoding: not to be forwarded
+	framedByChunks             // the rest is not parsed: the connection is closed after this request
+	framedByBoth               // both Content-Length and Transfer-Encoding: must not be forwarded
 )
 
 const (
 	contentLengthName    = "content-length"
 	transferEncodingName = "transfer-encoding"
-	maxContentLength     = 1 << 40 // bytes; larger values are cut off here, the body is rejected elsewhere
+	maxContentLength     = 1 << 40 // bytes; larger values are truncated here, and the body is rejected elsewhere
 )
 
-// requestFraming finds where requests begin and end in what a client sends. A request with both
-// Content-Length and Transfer-Encoding may hide another one in its body, and net/http drops the length, so
-// that its handler can't tell. The zero value is ready for use.
+// requestFraming finds where requests begin and end in a client's input. A request with both Content-Length and
+// Transfer-Encoding may hide another one in its body (request smuggling), and net/http drops the length, so that
+// a handler can't detect it. The zero value is ready for use.
 type requestFraming struct {
-	headerName          [18]byte // the beginning of the present line, in lower case
-	lineLength          int      // bytes of the present line so far, up to one more than headerName holds
+	headerName          [18]byte // beginning of the current line, in lower case
+	lineLength          int      // bytes of the current line so far, counted up to one more than fit in headerName
 	isInValue           bool     // past the first colon of the line
 	contentLength       int64
-	hasContentLength    bool // of the present header, as hasTransferEncoding
+	hasContentLength    bool // whether the current header has the field, as hasTransferEncoding
 	hasTransferEncoding bool
-	bodyLeft            int64 // bytes of a body still to come
+	bodyLeft            int64 // bytes of the current body not received yet
 	headersStarted      int   // requests so far
 	isInHeader          bool
 	bodyFraming         bodyFraming
-	completedAt         []time.Time // of requests that are complete and not answered yet
+	completedAt         []time.Time // times at which requests became complete that are not answered yet
 }
 
-// advance parses bytes that were received at a time.
+// advance parses bytes that were received at the given time.
 func (f *requestFraming) advance(b []byte, at time.Time) {
 	for len(b) > 0 && f.bodyFraming == framedByLength {
 		if f.bodyLeft > 0 {
@@ -45,7 +45,7 @@
 			continue
 		}
 		if !f.isInHeader {
-			if b[0] == '\r' || b[0] == '\n' { // some clients end a body so
+			if b[0] == '\r' || b[0] == '\n' { // some clients send a line end after a body
 				b = b[1:]
 				continue
 			}
@@ -58,7 +58,7 @@
 	}
 }
 
-// recordCompletion records the time if a request is complete.
+// recordCompletion records the time if the current request is complete.
 func (f *requestFraming) recordCompletion(at time.Time) {
 	if !f.isInHeader && f.bodyLeft == 0 && f.bodyFraming == framedByLength {
 		f.completedAt = append(f.completedAt, at)
@@ -95,8 +95,8 @@
 	}
 }
 
-// headerNameIs compares the name of the present line, without the white space that malformed requests have
-// before the colon.
+// headerNameIs reports whether the field name of the current line is name. It ignores the white space that
+// malformed requests have before the colon.
 func (f *requestFraming) headerNameIs(name string) bool {
 	n := min(f.lineLength, len(f.headerName))
 	for n > 0 && (f.headerName[n-1] == ' ' || f.headerName[n-1] == '\t') {
@@ -105,7 +105,7 @@
 	return string(f.headerName[:n]) == name
 }
 
-// finishHeader goes on to the body, if there is one.
+// finishHeader proceeds to the body, if there is one.
 func (f *requestFraming) finishHeader() {
 	switch {
 	case f.hasTransferEncoding && f.hasContentLength:
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -23,19 +23,19 @@
 
 // RequestHandler answers requests.
 type RequestHandler interface {
-	// HandleRequest returns the final answer; false if the client has gone and none is owed.
+	// HandleRequest returns the final answer, or false if the client has disconnected and no answer is due.
 	HandleRequest(ctx context.Context, op *protocol.Request) (protocol.Response, bool)
 	// Ready reports whether requests can be served.
 	Ready() bool
 }
 
 const (
-	keepAliveTimeout = 30 * time.Second // for the next request on a connection
+	keepAliveTimeout = 30 * time.Second // wait for the next request on a connection
 	maxHeaderBytes   = 16 << 10
 )
 
-// Listener is the downstream side: the sockets on which clients connect, and their connections. Listen and
-// Inherit come before Serve; all other methods may be called at any time, from any goroutine.
+// Listener is the downstream side: the sockets to which clients connect, and their connections. Listen and
+// Inherit must be called before Serve; all other methods may be called at any time, from any goroutine.
 type Listener struct {
 	server    *http.Server
 	listeners []*downstreamListener
@@ -61,7 +61,7 @@
 	f.server = &http.Server{
 		// Not a ServeMux: it would clean paths and redirect, and a request's target is forwarded unchanged.
 		Handler: http.HandlerFunc(f.serveHTTP),
-		// No ReadTimeout: it would end a request that takes longer as if its client had gone.
+		// No ReadTimeout: it would cancel a request that takes longer as if its client had disconnected.
 		DisableGeneralOptionsHandler: true, // it would answer 200
 		ReadHeaderTimeout:            requestTimeout, IdleTimeout: keepAliveTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
@@ -77,8 +77,8 @@
 	return f
 }
 
-// Listen opens a socket; Serve begins to accept there. A request on it is read in the first of formats that
-// takes it; the last one takes all.
+// Listen opens a socket, on which Serve accepts clients. A request on it is decoded by the first of formats
+// that accepts it; the last one must accept every request.
 func (f *Listener) Listen(addr netip.AddrPort, formats ...protocol.Format) error {
 	l, inherited := f.inherited[addr]
 	if !inherited {
@@ -94,11 +94,11 @@
 	return nil
 }
 
-// Inherit has Listen use these sockets at their addresses, at which another process of this agent listens
+// Inherit makes Listen use these sockets for their addresses. Another process of this agent listens on them
 // too.
 func (f *Listener) Inherit(sockets map[netip.AddrPort]*net.TCPListener) { f.inherited = sockets }
 
-// Sockets are the listening sockets, by the addresses given to Listen.
+// Sockets returns the listening sockets by the addresses given to Listen.
 func (f *Listener) Sockets() map[netip.AddrPort]*net.TCPListener {
 	all := map[netip.AddrPort]*net.TCPListener{}
 	for _, l := range f.listeners {
@@ -107,8 +107,8 @@
 	return all
 }
 
-// reusePortConfig is for sockets whose address another process of this agent may open too: at an upgrade in
-// which the two processes do not meet, the new one opens its own.
+// reusePortConfig returns the configuration of sockets whose address another process of this agent may open
+// too: in an upgrade without a handover of sockets, the new process opens its own.
 func reusePortConfig() *net.ListenConfig {
 	return &net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) (err error) {
 		controlErr := c.Control(func(fd uintptr) {
@@ -126,7 +126,7 @@
 	return l.(*net.TCPListener), nil
 }
 
-// newExchange begins an exchange in the first format that takes the request.
+// newExchange returns the exchange of the first format that accepts the request.
 func newExchange(formats []protocol.Format, r *http.Request) protocol.Exchange {
 	last := len(formats) - 1
 	for _, format := range formats[:last] {
@@ -137,7 +137,7 @@
 	return formats[last](r)
 }
 
-// Serve accepts clients until StopListening, or until a socket fails.
+// Serve accepts clients until StopListening, or until a socket fails, whose error it returns.
 func (f *Listener) Serve() error {
 	ended := make(chan error, len(f.listeners))
 	for _, l := range f.listeners {
@@ -154,43 +154,43 @@
 // connKey is the context key of a request's connection.
 type connKey struct{}
 
-// connOf is the connection on which a request came.
+// connOf returns the connection on which a request was received.
 func connOf(r *http.Request) *downstreamConn { return r.Context().Value(connKey{}).(*downstreamConn) }
 
-// serveHTTP answers one request: a health check, or one for the handler.
+// serveHTTP answers one request: a health check itself, any other by the handler.
 func (f *Listener) serveHTTP(w http.ResponseWriter, r *http.Request) {
 	conn := connOf(r)
-	x := newExchange(conn.formats, r)
+	exchange := newExchange(conn.formats, r)
 	deadline, framing := conn.startRequest()
 	control := http.NewResponseController(w)
 	isHealthCheck := r.URL.Path == "/health/ready" || r.URL.Path == "/health/live"
-	if isHealthCheck || r.ContentLength != 0 { // something is written before a response sets its own deadline
-		_ = control.SetWriteDeadline(time.Time{}) // takes back the previous response's
+	if isHealthCheck || r.ContentLength != 0 { // something may be written before writeResponse sets a deadline
+		_ = control.SetWriteDeadline(time.Time{}) // clears that of the previous response
 	}
 	if r.ContentLength != 0 {
-		_ = control.SetReadDeadline(deadline) // also for what net/http reads of a body that is not wanted
+		_ = control.SetReadDeadline(deadline) // also applies when net/http reads an unused body
 	}
 	if framing != framedByLength {
-		w.Header().Set("Connection", "close") // what follows could be a part of the body
+		w.Header().Set("Connection", "close") // the bytes that follow could be part of the body
 	}
 	switch {
 	case framing == framedByBoth:
-		f.writeResponse(w, r, x, protocol.Response{Kind: protocol.Malformed, Body: []byte("two lengths\n")}, nil)
+		f.writeResponse(w, r, exchange, protocol.Response{Kind: protocol.Malformed, Body: []byte("two lengths\n")}, nil)
 	case r.URL.Path == "/health/ready":
 		f.announceClose(conn, w.Header())
 		f.serveReadiness(w)
 	case r.URL.Path == "/health/live":
 		f.announceClose(conn, w.Header())
 	default:
-		f.serveRequest(w, r, x, deadline)
+		f.serveRequest(w, r, exchange, deadline)
 	}
 }
 
-// serveRequest decodes a request, has the handler answer it and writes the answer.
+// serveRequest decodes a request, passes it to the handler and writes the response.
 func (f *Listener) serveRequest(
 	w http.ResponseWriter,
 	r *http.Request,
-	x protocol.Exchange,
+	exchange protocol.Exchange,
 	deadline time.Time,
 ) {
 	conn := connOf(r)
@@ -200,7 +200,7 @@
 		r.Body = body
 	}
 	var grant bytebudget.Grant
-	op, err := x.Decode(func(bytes int64, timeLeft time.Duration) (keep func(int64), err error) {
+	op, err := exchange.Decode(func(bytes int64, timeLeft time.Duration) (keep func(int64), err error) {
 		waitedSince := time.Now()
 		conn.pauseReading()
 		grant, err = f.reserveMemory(r, bytes, conn.requestStartedAt().Add(timeLeft-routing.ResponseMargin))
@@ -212,17 +212,17 @@
 	if op != nil {
 		class = op.Class
 	}
-	counted := f.metrics.NewRequest(class)
-	defer counted.End(metrics.Abandoned)
+	requestMetrics := f.metrics.NewRequest(class)
+	defer requestMetrics.End(metrics.Abandoned)
 	if err != nil {
-		f.writeResponse(w, r, x, decodeErrorResponse(err), counted)
+		f.writeResponse(w, r, exchange, decodeErrorResponse(err), requestMetrics)
 		return
 	}
 	if op.Length != 0 {
-		f.serveUpload(w, r, x, op, body, grant.Split(bodystream.ChunkBytes), counted)
+		f.serveUpload(w, r, exchange, op, body, grant.Split(bodystream.ChunkBytes), requestMetrics)
 		return
 	}
-	counted.Start()
+	requestMetrics.Start()
 	op.ArrivedAt = conn.requestComplete()
 	if r.ContentLength != 0 {
 		_ = body.control.SetReadDeadline(time.Time{}) // fails only on a closed connection
@@ -232,10 +232,10 @@
 		panic(http.ErrAbortHandler) // closes the connection: a return would write an empty 200
 	}
 	f.announceClose(conn, w.Header())
-	f.writeResponse(w, r, x, response, counted)
+	f.writeResponse(w, r, exchange, response, requestMetrics)
 }
 
-// decodeErrorResponse is the response to a request that could not be read.
+// decodeErrorResponse returns the response to a request that could not be decoded.
 func decodeErrorResponse(err error) protocol.Response {
 	var tooLong *http.MaxBytesError
 	switch {
@@ -251,24 +251,24 @@
 func (f *Listener) serveUpload(
 	w http.ResponseWriter,
 	r *http.Request,
-	x protocol.Exchange,
+	exchange protocol.Exchange,
 	op *protocol.Request,
 	body *pacedBody,
 	grant bytebudget.Grant,
-	counted *metrics.Request,
+	requestMetrics *metrics.Request,
 ) {
 	conn := connOf(r)
 	ctx, cancelRequest := context.WithCancel(r.Context())
 	defer cancelRequest()
 	op.ArrivedAt = time.Now()
-	up := startUpload(op, body, grant, conn, counted, cancelRequest)
+	up := startUpload(op, body, grant, conn, requestMetrics, cancelRequest)
 	response, isOwed := f.handler.HandleRequest(ctx, op)
 	defer conn.responseDone()
 	isComplete, err := up.stop()
-	if isComplete { // else net/http must not wait for the rest
+	if isComplete { // otherwise net/http must not wait for the rest
 		_ = body.control.SetReadDeadline(time.Time{}) // fails only on a closed connection
 	}
-	counted.Start()
+	requestMetrics.Start()
 	switch {
 	case !isOwed && !isComplete && isClientFault(err):
 		response = decodeErrorResponse(err)
@@ -279,17 +279,17 @@
 		w.Header().Set("Connection", "close")
 	}
 	f.announceClose(conn, w.Header())
-	f.writeResponse(w, r, x, response, counted)
+	f.writeResponse(w, r, exchange, response, requestMetrics)
 }
 
-// isClientFault distinguishes a body that was malformed or too slow from a client that has gone.
+// isClientFault distinguishes a body that was malformed or too slow from a client that has disconnected.
 func isClientFault(err error) bool {
 	return err != nil && !errors.Is(err, bodystream.ErrAbandoned) && !errors.Is(err, io.ErrUnexpectedEOF)
 }
 
-// reserveMemory waits for memory for a request's body, at most until the deadline.
+// reserveMemory reserves memory for a request's body, waiting for it until the deadline at most.
 func (f *Listener) reserveMemory(r *http.Request, bytes int64, deadline time.Time) (bytebudget.Grant, error) {
-	if bytes > protocol.MaxBufferedBody { // its time counts from its last byte, which is far
+	if bytes > protocol.MaxBufferedBody { // the client's time counts from the last byte, which is far off
 		deadline = time.Now().Add(uploadMemoryTimeout)
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), deadline)
--- a/internal/transport/listener_test.go
+++ b/internal/transport/listener_test.go
@@ -24,25 +24,25 @@
 )
 
 // agent answers every operation alike.
-type agent func() protocol.Response
+type responseFunc func() protocol.Response
 
-func (a agent) HandleRequest(context.Context, *protocol.Request) (protocol.Response, bool) {
+func (a responseFunc) HandleRequest(context.Context, *protocol.Request) (protocol.Response, bool) {
 	return a(), true
 }
 
-func (agent) Ready() bool { return true }
+func (responseFunc) Ready() bool { return true }
 
-func busy() protocol.Response {
+func busyResponse() protocol.Response {
 	return protocol.Response{Kind: protocol.Rejected, Body: []byte("busy\n")}
 }
 
-// serveFront serves a front socket and returns a way to connect to it.
-func serveFront(t *testing.T, a agent, bodies *BodyLimits, forms ...protocol.Format) (dial func() net.Conn) {
-	return serveFew(t, 1024, a, bodies, forms...)
+// serveListener serves a front socket and returns a way to connect to it.
+func serveListener(t *testing.T, a responseFunc, bodies *BodyLimits, forms ...protocol.Format) (dial func() net.Conn) {
+	return serveWithDescriptors(t, 1024, a, bodies, forms...)
 }
 
-// serveFew is the same with so many descriptors.
-func serveFew(t *testing.T, descriptors int, a agent, bodies *BodyLimits, forms ...protocol.Format) (dial func() net.Conn) {
+// serveWithDescriptors is the same with so many descriptors.
+func serveWithDescriptors(t *testing.T, descriptors int, a responseFunc, bodies *BodyLimits, forms ...protocol.Format) (dial func() net.Conn) {
 	f := NewListener(NewDescriptors(descriptors, func() {}), bodies, metrics.New(nil), a)
 	require.NoError(t, f.Listen(netip.MustParseAddrPort("127.0.0.1:0"), forms...))
 	served := make(chan struct{})
@@ -62,8 +62,8 @@
 
 // Guards against clients whose requests never end: whatever they ask for, they are answered and their connection
 // is closed.
-func TestRequestsThatNeverEnd(t *testing.T) {
-	dial := serveFront(t, busy, NewBodyLimits(1<<20, BodyRules{MaxBytes: 1 << 20, ClientStall: time.Minute}), protocol.HTTP)
+func TestUnfinishedRequestIsAnsweredAndClosed(t *testing.T) {
+	dial := serveListener(t, busyResponse, NewBodyLimits(1<<20, BodyRules{MaxBytes: 1 << 20, ClientStall: time.Minute}), protocol.HTTP)
 	for name, c := range map[string]struct {
 		request string
 		status  int
@@ -90,7 +90,7 @@
 
 // Guards against a final answer that waits for memory until its client has given up: who has less time than a request
 // may take to come is told sooner.
-func TestNoMemoryInTheClientsTime(t *testing.T) {
+func TestLackOfMemoryIsReportedWithinClientTimeout(t *testing.T) {
 	const deadline = 300 * time.Millisecond
 	bodies := NewBodyLimits(1<<20, BodyRules{MaxBytes: 1 << 20, ClientStall: time.Minute})
 	_, err := bodies.Memory.Reserve(t.Context(), bytebudget.Holder{Name: "s-0"}, 1<<20) // all of it
@@ -104,7 +104,7 @@
 	graphQL := &protocol.GraphQL{Path: "/graphql", Classer: classer, Classes: classes}
 	graphQL.Deadline, err = protocol.ParseSource("header:X-Time-Left-Ms")
 	require.NoError(t, err)
-	dial := serveFront(t, busy, bodies, graphQL.AtPath, protocol.HTTP)
+	dial := serveListener(t, busyResponse, bodies, graphQL.AtPath, protocol.HTTP)
 	const head = " HTTP/1.1\r\nHost: x\r\nContent-Type: application/json\r\nContent-Length: 9\r\n"
 	left := fmt.Sprintf("X-Time-Left-Ms: %d\r\n", deadline.Milliseconds())
 	for name, request := range map[string]string{
@@ -127,7 +127,7 @@
 
 // Guards against a client's time that begins anew after a wait for memory on this side: it runs from the last byte that
 // came.
-func TestWaitForMemoryIsTheClientsTime(t *testing.T) {
+func TestMemoryWaitCountsAgainstClientTimeout(t *testing.T) {
 	came := time.Now().Add(-time.Second)
 	c := &downstreamConn{state: connReading, stateSince: came, receivedAt: came, isHeaderRead: true}
 	c.pauseReading()
@@ -140,11 +140,11 @@
 
 // Guards against a body that waits for memory on this side and is given up as one that does not get on, where
 // descriptors are short: its client sends all that it is asked for.
-func TestBodyThatWaitsForMemoryIsNotGivenUp(t *testing.T) {
+func TestBodyWaitingForMemoryIsNotEvicted(t *testing.T) {
 	bodies := NewBodyLimits(1<<20, BodyRules{MaxBytes: 1 << 20, ClientStall: time.Minute})
 	_, err := bodies.Memory.Reserve(t.Context(), bytebudget.Holder{Name: "s-0"}, 1<<20) // all of it
 	require.NoError(t, err)
-	dial := serveFew(t, 64, busy, bodies, protocol.HTTP)
+	dial := serveWithDescriptors(t, 64, busyResponse, bodies, protocol.HTTP)
 	conn, began := dial(), time.Now()
 	const size = 100_000
 	_, err = fmt.Fprintf(conn, "POST /consult/x HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: 0123456789abcdef\r\n"+
@@ -181,9 +181,9 @@
 }
 
 // Guards against an answer that broke off and looks whole: one without a length ends as such in any version of HTTP.
-func TestBrokenOffWithoutLength(t *testing.T) {
+func TestTruncatedResponseWithoutLengthIsAnError(t *testing.T) {
 	bodies := NewBodyLimits(1<<20, BodyRules{MaxBytes: 1 << 20, ClientStall: time.Minute})
-	dial := serveFront(t, func() protocol.Response {
+	dial := serveListener(t, func() protocol.Response {
 		grant, err := bodies.Memory.Reserve(context.Background(), bytebudget.Holder{Name: "s-0"}, bodystream.ChunkBytes)
 		require.NoError(t, err)
 		f := bodystream.New(-1, grant, bodystream.ChunkBytes)
@@ -209,7 +209,7 @@
 
 // A body's end and the cut of its reading may meet. What has come whole is not ended by it: its connection reads
 // on, for the library to notice a client that leaves. What has not come whole ends at once.
-func TestCutMeetsTheEndOfABody(t *testing.T) {
+func TestAbandonBodyKeepsReadingAfterCompleteBody(t *testing.T) {
 	for _, sent := range []string{"hello", "hell"} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
@@ -249,7 +249,7 @@
 
 // A connection that stands idle is ended while clients are sent away, but not where its next request has come:
 // the close would cross it.
-func TestIdleEndMeetsTheNextRequest(t *testing.T) {
+func TestIdleCloseKeepsConnectionWithInput(t *testing.T) {
 	for _, sent := range []string{"", "GET / HTTP/1.1\r\n\r\n"} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
--- a/internal/transport/ops.go
+++ b/internal/transport/ops.go
@@ -14,41 +14,41 @@
 )
 
 const (
-	// maxOpsCallers is how many connections the operators' door holds at most.
+	// maxOpsCallers is the maximum number of connections to the operators' interface.
 	maxOpsCallers = 16
-	// OpsDescriptors is how many file descriptors are reserved for the operators' door: its callers, its
-	// listener and one that is being accepted.
+	// OpsDescriptors is how many file descriptors are reserved for the operators' interface: for its callers, its
+	// listener and one connection that is being accepted.
 	OpsDescriptors = maxOpsCallers + 2
-	// opsIOTimeout is how long a caller has to send its call, and to take the response.
+	// opsIOTimeout is how long a caller has to send its call, and to read the response.
 	opsIOTimeout = 2 * time.Second
-	// opsResponseTimeout is after how long a call is answered in any case.
+	// opsResponseTimeout is the time after which a call is answered in any case.
 	opsResponseTimeout = 800 * time.Millisecond
 )
 
-// OpsHandler carries out operators' calls.
+// OpsHandler handles operators' calls.
 type OpsHandler interface {
-	// IsReady reports whether this process takes clients.
+	// IsReady reports whether this process accepts clients.
 	IsReady() bool
 	Metrics() metrics.Reading
-	// DisableEndpoint takes an endpoint out of use, EnableEndpoint ends that; listed is false if no endpoint
-	// list ever had the id. The error says why it could not be done.
+	// DisableEndpoint takes an endpoint out of use, EnableEndpoint puts it back into use. listed is false if no
+	// endpoint list ever contained the id. An error means that it could not be done.
 	DisableEndpoint(ctx context.Context, id string) (listed bool, err error)
 	EnableEndpoint(ctx context.Context, id string) (listed bool, err error)
 	// SetDraining starts or stops draining.
 	SetDraining(on bool)
-	// HandleFleetCall answers a call about what the agents of the fleet agree on, as JSON; with a status other
-	// than 200 and 202 the body is a line of text. It answers 404 if this agent takes no part.
+	// HandleFleetCall answers a call that concerns something that the agents of the fleet agree on. The body is
+	// JSON with status 200 or 202, otherwise a line of text. The status is 404 if this agent takes no part.
 	HandleFleetCall(ctx context.Context, call protocol.OpsCall) (status int, body []byte)
 }
 
-// OpsServer is the operators' door. Its descriptors are reserved, and nothing that it does waits for clients'
-// requests.
+// OpsServer is the operators' interface. Its descriptors are reserved, and nothing that it does waits for
+// clients' requests.
 type OpsServer struct {
 	server   *http.Server
 	listener net.Listener
 }
 
-// ListenOps opens the socket; Serve begins to answer there.
+// ListenOps opens the socket, on which Serve answers calls.
 func ListenOps(addr netip.AddrPort, handler OpsHandler) (*OpsServer, error) {
 	l, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(addr))
 	if err != nil {
@@ -67,14 +67,14 @@
 		},
 		ErrorLog: slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug),
 	}}
-	s.server.SetKeepAlivesEnabled(false) // one call to a connection
+	s.server.SetKeepAlivesEnabled(false) // one call per connection
 	return s, nil
 }
 
-// Addr is the address of the socket.
+// Addr returns the address of the socket.
 func (s *OpsServer) Addr() net.Addr { return s.listener.Addr() }
 
-// Serve answers until Close, or until the socket fails.
+// Serve answers calls until Close, or until the socket fails. It always returns an error.
 func (s *OpsServer) Serve() error { return s.server.Serve(s.listener) }
 
 // Close ends Serve and all calls.
@@ -117,10 +117,10 @@
 		text = http.StatusText(status) + "\n"
 	}
 	w.WriteHeader(status)
-	_, _ = w.Write([]byte(text)) // fails only if the caller has gone
+	_, _ = w.Write([]byte(text)) // fails only if the caller has disconnected
 }
 
-// disableResponse is the response to a call that disables or enables an endpoint.
+// disableResponse returns the response to a call that disables or enables an endpoint.
 func disableResponse(listed bool, err error) (status int, text string) {
 	switch {
 	case err != nil:
@@ -131,8 +131,8 @@
 	return http.StatusOK, ""
 }
 
-// opsListener accepts a bounded number of callers: a further one takes the place of the oldest that has sent
-// no complete call.
+// opsListener accepts a bounded number of callers: beyond that, a new caller replaces the oldest one that has
+// not sent a complete call.
 type opsListener struct {
 	net.Listener
 	mu    sync.Mutex
@@ -144,10 +144,10 @@
 	net.Conn
 	listener   *opsListener
 	acceptedAt time.Time
-	hasCall    bool // its call was read; under the listener's mu
+	hasCall    bool // its call was read; guarded by the listener's mu
 }
 
-// Accept evicts a caller if there are too many.
+// Accept accepts a caller, and evicts one if there are too many.
 func (l *opsListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
@@ -164,7 +164,7 @@
 	return c, nil
 }
 
-// evict closes the oldest connection without a complete call; if all have one, the oldest.
+// evict closes the oldest connection without a complete call or, if all have one, the oldest.
 func (l *opsListener) evict() {
 	l.mu.Lock()
 	var oldest *opsConn
--- a/internal/transport/ratelimitedlog.go
+++ b/internal/transport/ratelimitedlog.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// rateLimitedLog logs warnings that peers or clients can cause, at most one a second. Each line has the
-// number of those that were left out since the one before.
+// rateLimitedLog logs warnings that peers or clients can cause, at most one per second. Each line contains the
+// number of warnings skipped since the previous line.
 type rateLimitedLog struct {
 	mu         sync.Mutex
 	lastLogged time.Time
--- a/internal/transport/responsewriter.go
+++ b/internal/transport/responsewriter.go
@@ -16,32 +16,32 @@
 )
 
 // writeResponse writes a response, and counts how the request ended. It aborts the connection if the response
-// can't be written to its end: the part that was written could look complete.
+// can't be written completely: the part that was written could look complete.
 func (f *Listener) writeResponse(
 	w http.ResponseWriter,
 	r *http.Request,
-	x protocol.Exchange,
+	exchange protocol.Exchange,
 	response protocol.Response,
-	counted *metrics.Request,
+	requestMetrics *metrics.Request,
 ) {
 	if response.Kind == protocol.Malformed || response.Kind == protocol.TooLong {
-		w.Header().Set("Connection", "close") // the rest of the request is not waited for
+		w.Header().Set("Connection", "close") // do not wait for the rest of the request
 	}
 	out := &responseWriter{
 		ResponseWriter: w, control: http.NewResponseController(w), isStreaming: response.Streaming,
 		writeTimeout: f.bodies.Rules().ClientStall,
 	}
 	out.extendDeadline()
-	err := x.Encode(out, response)
+	err := exchange.Encode(out, response)
 	if response.BodyStream != nil {
 		defer response.BodyStream.CloseRead()
 		if err == nil {
 			err = out.copyBody(r.Context(), response.BodyStream)
 		}
 	}
-	counted.End(outcomeOf(response.Kind, err, out.isClientLost || r.Context().Err() != nil))
+	requestMetrics.End(outcomeOf(response.Kind, err, out.isClientLost || r.Context().Err() != nil))
 	if err != nil {
-		// HTTP/1.0 has no chunks: only a reset shows that the response is not complete.
+		// HTTP/1.0 has no chunks: only a reset shows that the response is incomplete.
 		if errors.Is(err, os.ErrDeadlineExceeded) || !r.ProtoAtLeast(1, 1) {
 			connOf(r).discardUnsent()
 		}
@@ -50,8 +50,8 @@
 	}
 }
 
-// outcomeOf is how a request ended, by its response and the error of writing that. A client is lost if it
-// takes no more of it.
+// outcomeOf returns how a request ended, by its response and the error of writing it. isClientLost reports
+// that the client does not read the rest of the response.
 func outcomeOf(kind protocol.ResponseKind, err error, isClientLost bool) metrics.Ending {
 	switch {
 	case err != nil && isClientLost:
@@ -66,11 +66,11 @@
 	return metrics.Error
 }
 
-// responseWriter writes a response to a client that makes progress in taking it.
+// responseWriter writes a response, as long as the client makes progress in reading it.
 type responseWriter struct {
 	http.ResponseWriter
 	control      *http.ResponseController
-	writeTimeout time.Duration // of one write
+	writeTimeout time.Duration // timeout of one write
 	isStreaming  bool          // the body is not complete yet when its first bytes are written
 	extendedAt   time.Time
 	isClientLost bool // a write has failed
@@ -89,8 +89,8 @@
 	return err
 }
 
-// deadlineSlack is by how much a write's deadline may be too early: to move it costs as much as a small
-// write.
+// deadlineSlack is by how much a write's deadline may be too early. Moving the deadline costs as much as a
+// small write.
 const deadlineSlack = 10 * time.Millisecond
 
 // extendDeadline sets the deadline of the next write.
@@ -103,9 +103,9 @@
 	_ = w.control.SetWriteDeadline(now.Add(w.writeTimeout)) // the write itself fails on a closed connection
 }
 
-// copyBody writes a body as it comes, and returns when the kernel has all of it.
+// copyBody writes a body while it is received, and returns when the kernel has all of it.
 func (w *responseWriter) copyBody(ctx context.Context, body *bodystream.Stream) error {
-	hasFlushed := false // the client has something, and waits for more
+	hasFlushed := false // the client has a part of the response and waits for more
 	for {
 		if !body.IsReady() {
 			if !hasFlushed {
--- a/internal/transport/upload.go
+++ b/internal/transport/upload.go
@@ -18,22 +18,22 @@
 const (
 	// bodyStallTimeout is how long a request's body may make no progress.
 	bodyStallTimeout = time.Second
-	// minBodyBytesPerSecond is how fast a client must send a body once requestTimeout is over.
+	// minBodyBytesPerSecond is the minimum rate of a body after requestTimeout.
 	minBodyBytesPerSecond = 32 << 10
-	// uploadMemoryTimeout is how long a body that is streamed may wait for memory to begin with. Its time does
-	// not count yet, but its client is owed an answer.
+	// uploadMemoryTimeout is how long a streamed body may wait for its first memory. The client's time does not
+	// count yet, but the client is owed a final answer.
 	uploadMemoryTimeout = 2 * time.Second
 )
 
-// errSlowBody says that a request's body came too slowly, or not at all. Clients get its text.
+// errSlowBody means that a request's body was received too slowly, or not at all. Its text is sent to clients.
 var errSlowBody = errors.New("the body does not come")
 
-// pacedBody reads a request's body from a client that makes progress in sending it: one that never ends is
-// cut off, one that is merely slow is not.
+// pacedBody reads a request's body as long as the client makes progress in sending it: a stalled body is cut
+// off, one that is merely slow is not.
 type pacedBody struct {
 	io.ReadCloser
 	control  *http.ResponseController
-	deadline time.Time // moves with what was received
+	deadline time.Time // extended with each byte received
 }
 
 func (p *pacedBody) Read(b []byte) (int, error) {
@@ -50,35 +50,35 @@
 	return n, err
 }
 
-// extend gives the client the time back in which this agent did not read.
+// extend moves the deadline by a time in which this agent did not read.
 func (p *pacedBody) extend(d time.Duration) { p.deadline = p.deadline.Add(d) }
 
 // upload is the rest of a request's body, streamed by a goroutine of its own until stop.
 type upload struct {
-	body          *pacedBody
-	rest          *bodystream.Stream
-	counted       *metrics.Request
-	conn          *downstreamConn
-	cancelRequest context.CancelFunc // its client sends no more
-	complete      chan struct{}      // closed when the last byte was read
-	done          chan struct{}      // closed when the goroutine has ended
+	body           *pacedBody
+	rest           *bodystream.Stream
+	requestMetrics *metrics.Request
+	conn           *downstreamConn
+	cancelRequest  context.CancelFunc // called if the client does not send the rest
+	complete       chan struct{}      // closed when the last byte was read
+	done           chan struct{}      // closed when the goroutine has ended
 
 	mu          sync.Mutex
-	isAbandoned bool  // the rest is not wanted
-	err         error // why it is not complete
+	isAbandoned bool  // the rest is not needed
+	err         error // why the body is incomplete
 	isComplete  bool
 }
 
-// startUpload begins to read the rest of a request's body, in memory that was reserved with its beginning.
+// startUpload starts to read the rest of a request's body into memory that was reserved by Decode.
 func startUpload(op *protocol.Request, body *pacedBody, grant bytebudget.Grant, conn *downstreamConn,
-	counted *metrics.Request, cancelRequest context.CancelFunc,
+	requestMetrics *metrics.Request, cancelRequest context.CancelFunc,
 ) *upload {
 	length := int64(-1)
 	if op.Length > 0 {
 		length = op.Length - int64(len(op.Body))
 	}
 	u := &upload{
-		body: body, rest: bodystream.New(length, grant, maxReadAhead), conn: conn, counted: counted,
+		body: body, rest: bodystream.New(length, grant, maxReadAhead), conn: conn, requestMetrics: requestMetrics,
 		cancelRequest: cancelRequest, complete: make(chan struct{}), done: make(chan struct{}),
 	}
 	op.Rest, op.BodyComplete = u.rest, u.complete
@@ -93,7 +93,7 @@
 	defer close(u.done)
 	err := u.readRest()
 	if err == nil || errors.Is(err, io.EOF) {
-		u.counted.Start()
+		u.requestMetrics.Start()
 		u.conn.requestComplete()
 		u.rest.CloseWrite(io.EOF)
 		u.mu.Lock()
@@ -112,7 +112,7 @@
 	}
 }
 
-// readRest moves the body into the flow; nil or io.EOF mean that it is complete.
+// readRest copies the body to the stream; nil or io.EOF mean that it is complete.
 func (u *upload) readRest() error {
 	length := u.rest.Length()
 	for received := int64(0); received != length; {
@@ -134,7 +134,7 @@
 	return nil
 }
 
-// stop ends the reading. It reports whether the body is complete, else why not.
+// stop ends the reading and waits for the goroutine. It reports whether the body is complete, else why not.
 func (u *upload) stop() (isComplete bool, err error) {
 	u.mu.Lock()
 	u.isAbandoned = true
--- a/internal/transport/upstream.go
+++ b/internal/transport/upstream.go
@@ -18,42 +18,43 @@
 )
 
 var (
-	// ErrStaleConnection says that a connection had ended before anything was written to it.
+	// ErrStaleConnection means that a connection had ended before anything was written to it.
 	ErrStaleConnection = errors.New("upstream connection had ended before it was used")
-	// ErrNotWritten says that a request was not written to its end: it never ran.
+	// ErrNotWritten means that a request was not written completely, so that it was not executed.
 	ErrNotWritten = errors.New("upstream connection ended before the request was written")
-	// ErrNoDescriptor says that this agent may open no further connection, which is no fault of the upstream
-	// server.
+	// ErrNoDescriptor means that this agent may not open another connection, which is not the upstream server's
+	// fault.
 	ErrNoDescriptor = errors.New("no file descriptor is available for an upstream connection")
-	// ErrClientStopped says that the rest of a streamed request did not come from its client.
+	// ErrClientStopped means that the client did not send the rest of a streamed request.
 	ErrClientStopped = errors.New("client did not send the rest of the request")
-	// ErrInvalidResponse says that what was received can't be a response to the request. It may have run.
+	// ErrInvalidResponse means that the bytes received are not a response to the request, which may have been
+	// executed.
 	ErrInvalidResponse = errors.New("upstream server sent an invalid response")
 )
 
-// UpstreamConn is a connection to an upstream server. It carries one request at a time. One goroutine waits
-// on it until it ends, so that the end of an idle connection is noticed at once. RoundTrip is for one
-// goroutine at a time, all other methods for any.
+// UpstreamConn is a connection to an upstream server. It carries one request at a time. A goroutine reads from
+// it until it ends, so that the end of an idle connection is noticed at once. Only one goroutine at a time may
+// call RoundTrip; all other methods may be called from any goroutine.
 type UpstreamConn struct {
 	conn      net.Conn
 	rawConn   syscall.RawConn
-	server    string // which response memory is accounted to
+	server    string // server to which the memory of responses is accounted
 	bodies    *BodyLimits
 	source    stickyErrorReader
-	limited   io.LimitedReader // of source
+	limited   io.LimitedReader // limits source
 	reader    *bufio.Reader
 	responses chan responseEvent
 	onIdleEnd func(*UpstreamConn)
-	done      chan struct{} // closed when nothing is read any more
+	done      chan struct{} // closed when the connection is not read any more
 	release   func()
 
 	mu       sync.Mutex
-	current  *UpstreamRequest // in flight; nil: none
-	hasEnded bool             // while no request was in flight
+	current  *UpstreamRequest // request in flight; nil if there is none
+	hasEnded bool             // the connection has ended while no request was in flight
 }
 
-// stickyErrorReader returns a connection's first error from then on. bufio reads again after an error in the
-// middle of a line, and the kernel reports a reset once, then an end.
+// stickyErrorReader reads a connection, and keeps returning its first error. bufio reads again after an error in
+// the middle of a line, and the kernel reports a reset only once, then the end of the stream.
 type stickyErrorReader struct {
 	conn io.Reader
 	err  error
@@ -69,20 +70,20 @@
 // UpstreamRequest is a request to be written to an upstream server.
 type UpstreamRequest struct {
 	Head, Body []byte
-	// Rest follows Body as it comes; nil: nothing does. Chunked: its length is not known.
+	// Rest streams what follows Body; nil if Body is complete. Chunked is set if the length is unknown.
 	Rest    *bodystream.Stream
 	Chunked bool
-	// Streamed has the response forwarded from its first byte on.
+	// Streamed causes the response to be forwarded from its first byte on.
 	Streamed bool
-	// IsGraphQL says that the response is one to a GraphQL request.
+	// IsGraphQL reports whether it is a GraphQL request.
 	IsGraphQL bool
 	// OnWritten is called when the last byte has been written.
 	OnWritten func()
-	// OnResponseStart is called, from the goroutine of RoundTrip, when the response is longer than what is
-	// buffered. The response's flow is to be closed by the callee, also if RoundTrip returns an error.
+	// OnResponseStart is called from the goroutine of RoundTrip when the response is not buffered to its end, but
+	// streamed. It must have the response's BodyStream closed, also if RoundTrip returns an error.
 	OnResponseStart func(protocol.UpstreamResponse)
 
-	ctx context.Context // of RoundTrip
+	ctx context.Context // context of RoundTrip
 }
 
 // responseEvent is the start of a streamed response, or the end of a response.
@@ -93,7 +94,7 @@
 }
 
 // DialUpstream connects to an upstream server. onIdleEnd is called from another goroutine if the connection
-// ends, or something is received on it, while no request is in flight.
+// ends, or receives something, while no request is in flight.
 func DialUpstream(
 	ctx context.Context,
 	server string,
@@ -106,18 +107,18 @@
 	if !d.AcquireUpstream() {
 		return nil, ErrNoDescriptor
 	}
-	// keep-alives would find nothing that the idle limit does not
+	// keep-alives would detect nothing that the idle timeout does not
 	dialer := net.Dialer{Timeout: timeout, KeepAlive: -1}
 	conn, err := dialer.DialContext(ctx, "tcp", addr.String())
 	if err != nil {
 		d.ReleaseUpstream()
 		return nil, err
 	}
-	_ = conn.(*net.TCPConn).SetReadBuffer(kernelBufferBytes) // the kernel may refuse it: its default holds then
+	_ = conn.(*net.TCPConn).SetReadBuffer(kernelBufferBytes) // if the kernel refuses it, its default applies
 	return newUpstream(conn, server, bodies, d.ReleaseUpstream, onIdleEnd)
 }
 
-// newUpstream starts the goroutine that waits on a connection; release is called once when it is closed.
+// newUpstream starts the goroutine that reads a connection; release is called once, when it is closed.
 func newUpstream(conn net.Conn, server string, bodies *BodyLimits, release func(),
 	onIdleEnd func(*UpstreamConn),
 ) (*UpstreamConn, error) {
@@ -142,8 +143,8 @@
 	u.release()
 }
 
-// Done is closed once the connection has ended, or something was received on it while no request was in
-// flight.
+// Done returns a channel that is closed once the connection has ended, or has received something while no
+// request was in flight.
 func (u *UpstreamConn) Done() <-chan struct{} { return u.done }
 
 // HasEnded reports whether the connection has ended while no request was in flight.
@@ -154,34 +155,34 @@
 }
 
 // RoundTrip writes a request and waits for the end of its response, or until ctx ends, which closes the
-// connection. After ErrStaleConnection and ErrNotWritten the request cannot have begun to run. Unless reuse
-// is true, the connection is closed on return. The response's flow is the caller's to close, unless
+// connection. After ErrStaleConnection and ErrNotWritten the request cannot have been executed. Unless reuse is
+// true, the connection is closed on return. The caller must close the response's BodyStream, unless
 // OnResponseStart was called.
-func (u *UpstreamConn) RoundTrip(ctx context.Context, s UpstreamRequest) (
-	r protocol.UpstreamResponse, reuse bool, err error,
+func (u *UpstreamConn) RoundTrip(ctx context.Context, request UpstreamRequest) (
+	response protocol.UpstreamResponse, reuse bool, err error,
 ) {
-	s.ctx = ctx
-	if !u.startRequest(&s) { // what would be written from here on proves nothing
+	request.ctx = ctx
+	if !u.startRequest(&request) { // a write on an ended connection may succeed and proves nothing
 		u.Close()
-		return r, false, ErrStaleConnection
+		return response, false, ErrStaleConnection
 	}
 	stop := context.AfterFunc(ctx, u.Close)
-	early, isWritten, err := u.write(&s)
+	early, isWritten, err := u.write(&request)
 	if err != nil {
 		stop()
 		u.Close()
 		go u.discardResponse()
-		return r, false, errors.Join(ErrNotWritten, err)
+		return response, false, errors.Join(ErrNotWritten, err)
 	}
 	if !isWritten {
 		stop()
 		u.Close()
 		return early.UpstreamResponse, false, early.err
 	}
-	if s.OnWritten != nil {
-		s.OnWritten()
+	if request.OnWritten != nil {
+		request.OnWritten()
 	}
-	if early == nil { // the reader ends with the response or with the connection, which ctx closes
+	if early == nil { // sent at the end of the response or of the connection, which ctx closes
 		event := <-u.responses
 		early = &event
 	}
@@ -189,10 +190,10 @@
 	isWanted := func() bool { return true }
 	if event.isStart {
 		isWanted = event.BodyStream.OnStop(u.Close)
-		s.OnResponseStart(event.UpstreamResponse)
+		request.OnResponseStart(event.UpstreamResponse)
 		event = <-u.responses
 	}
-	// Whoever stopped it may be about to close the connection, though the response became complete just then.
+	// Whoever stopped it may be about to close the connection, even if the response has just become complete.
 	if !stop() || !isWanted() || event.err != nil || event.Close {
 		u.Close()
 		return event.UpstreamResponse, false, event.err
@@ -200,33 +201,33 @@
 	return event.UpstreamResponse, true, nil
 }
 
-// write writes a request. If a response came before it was known whether the request was written to its end,
-// it is returned, and isWritten says which.
-func (u *UpstreamConn) write(s *UpstreamRequest) (early *responseEvent, isWritten bool, err error) {
-	if s.Rest == nil {
-		bytes := net.Buffers{s.Head, s.Body}
+// write writes a request. If a response arrived before it was known whether the request was written
+// completely, it returns that response, and isWritten reports whether the request was.
+func (u *UpstreamConn) write(request *UpstreamRequest) (early *responseEvent, isWritten bool, err error) {
+	if request.Rest == nil {
+		bytes := net.Buffers{request.Head, request.Body}
 		_, err = bytes.WriteTo(u.conn)
 		return nil, true, err
 	}
-	defer context.AfterFunc(s.ctx, func() { s.Rest.Abort(bodystream.ErrAbandoned) })()
+	defer context.AfterFunc(request.ctx, func() { request.Rest.Abort(bodystream.ErrAbandoned) })()
 	wrote := make(chan error, 1)
-	go func() { wrote <- writeStreamed(u.conn, s) }()
+	go func() { wrote <- writeStreamed(u.conn, request) }()
 	select {
 	case err := <-wrote:
 		return nil, true, err
 	case event := <-u.responses:
-		early, isWritten := u.resolveEarlyResponse(s, event, wrote)
+		early, isWritten := u.resolveEarlyResponse(request, event, wrote)
 		return early, isWritten, nil
 	}
 }
 
-// earlyResponseWait is how long after an early response the end of the writing may be reported.
+// earlyResponseWait is how long after an early response the result of the write is waited for.
 const earlyResponseWait = 20 * time.Millisecond
 
-// resolveEarlyResponse handles a response that came while its request was being written, and reports whether
-// the request was written to its end, which may have been reported late. The response is not put back into
-// the channel: its end may be there already, and nobody would receive either.
-func (u *UpstreamConn) resolveEarlyResponse(s *UpstreamRequest, event responseEvent, wrote <-chan error) (
+// resolveEarlyResponse handles a response that arrived while its request was being written, and reports whether
+// the request was written completely, which may be known late. The response is not put back into the channel:
+// its end may be there already, and nothing would receive either.
+func (u *UpstreamConn) resolveEarlyResponse(request *UpstreamRequest, event responseEvent, wrote <-chan error) (
 	early *responseEvent, isWritten bool,
 ) {
 	timeout := time.NewTimer(earlyResponseWait)
@@ -237,9 +238,9 @@
 			return &event, true
 		}
 	case <-timeout.C:
-		s.Rest.Abort(bodystream.ErrAbandoned)
+		request.Rest.Abort(bodystream.ErrAbandoned)
 		u.Close()
-		if err := <-wrote; err == nil { // it may have run, whatever becomes of the response
+		if err := <-wrote; err == nil { // the request may have been executed, whatever happens to the response
 			event.Close = true
 			return &event, true
 		}
@@ -248,7 +249,7 @@
 		event.BodyStream.CloseRead()
 		event = <-u.responses
 	}
-	if event.err == nil && event.Outcome == balancer.Rejected { // the one response that may come before the end
+	if event.err == nil && event.Outcome == balancer.Rejected { // the one response that is valid before the request's end
 		return &event, false
 	}
 	if event.BodyStream != nil {
@@ -262,18 +263,18 @@
 	lastChunk = "0\r\n\r\n"
 )
 
-// writeStreamed writes a request whose body is still coming.
-func writeStreamed(w io.Writer, s *UpstreamRequest) error {
-	if _, err := w.Write(s.Head); err != nil {
+// writeStreamed writes a request whose body is still being received.
+func writeStreamed(w io.Writer, request *UpstreamRequest) error {
+	if _, err := w.Write(request.Head); err != nil {
 		return err
 	}
-	if err := writePart(w, s, s.Body); err != nil {
+	if err := writePart(w, request, request.Body); err != nil {
 		return err
 	}
 	for {
-		b, err := s.Rest.ReadBuffer()
+		b, err := request.Rest.ReadBuffer()
 		switch {
-		case errors.Is(err, io.EOF) && s.Chunked:
+		case errors.Is(err, io.EOF) && request.Chunked:
 			_, err = io.WriteString(w, lastChunk)
 			return err
 		case errors.Is(err, io.EOF):
@@ -281,17 +282,17 @@
 		case err != nil:
 			return errors.Join(ErrClientStopped, err)
 		}
-		if err := writePart(w, s, b); err != nil {
+		if err := writePart(w, request, b); err != nil {
 			return err
 		}
-		s.Rest.Consumed(len(b))
+		request.Rest.Consumed(len(b))
 	}
 }
 
 // writePart writes a part of a body, as a chunk if the body is chunked.
-func writePart(w io.Writer, s *UpstreamRequest, b []byte) error {
+func writePart(w io.Writer, request *UpstreamRequest, b []byte) error {
 	parts := net.Buffers{b}
-	if s.Chunked {
+	if request.Chunked {
 		size := strconv.AppendInt(nil, int64(len(b)), 16)
 		parts = net.Buffers{append(size, lineEnd...), b, []byte(lineEnd)}
 	}
@@ -299,8 +300,8 @@
 	return err
 }
 
-// discardResponse receives what the reader still has for a request that was not written to its end: a server
-// may answer before it has read everything, and the memory of that response has to be given back.
+// discardResponse receives the response to a request that was not written completely: a server may respond
+// before it has read everything, and the memory of that response must be released.
 func (u *UpstreamConn) discardResponse() {
 	event := <-u.responses
 	if event.isStart {
@@ -311,9 +312,10 @@
 	}
 }
 
-// startRequest puts a request in flight, unless the connection has ended or something was received on it:
-// what came before its request, such as a duplicate of the last response, must not be taken for the response.
-func (u *UpstreamConn) startRequest(s *UpstreamRequest) bool {
+// startRequest makes a request the one in flight, and returns false if the connection has ended or received
+// something. Bytes that arrive before the request, such as a duplicate of the last response, must not be
+// mistaken for the response.
+func (u *UpstreamConn) startRequest(request *UpstreamRequest) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if !u.hasEnded {
@@ -322,20 +324,19 @@
 		u.hasEnded = err != nil || isReadable
 	}
 	if !u.hasEnded {
-		u.current = s
+		u.current = request
 	}
 	return !u.hasEnded
 }
 
-// hasInput reports whether a socket has something to read, including its end or an error, and leaves it
-// there.
+// hasInput reports whether a socket has something to read, including its end or an error, without reading it.
 func hasInput(fd uintptr) bool {
 	var b [1]byte
 	_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	return !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EINTR)
 }
 
-// readResponses sends one response for each request, until the connection ends. What is received while no
+// readResponses sends one response for each request to u.responses, until the connection ends. Input while no
 // request is in flight ends the connection; it is not read, so that startRequest sees it too, however late
 // this goroutine runs.
 func (u *UpstreamConn) readResponses() {
@@ -343,16 +344,16 @@
 	for {
 		err := u.rawConn.Read(hasInput)
 		u.mu.Lock()
-		s := u.current
-		u.hasEnded = u.hasEnded || s == nil
+		request := u.current
+		u.hasEnded = u.hasEnded || request == nil
 		u.mu.Unlock()
-		if s == nil {
+		if request == nil {
 			u.onIdleEnd(u)
 			return
 		}
 		var event responseEvent
 		if event.err = err; err == nil {
-			event.UpstreamResponse, event.err = u.readResponse(s)
+			event.UpstreamResponse, event.err = u.readResponse(request)
 		}
 		u.mu.Lock()
 		u.current = nil
--- a/internal/transport/upstream_crossings_test.go
+++ b/internal/transport/upstream_crossings_test.go
@@ -37,19 +37,19 @@
 }
 
 // bounded ends what waits for what does not come.
-func bounded(t *testing.T) context.Context {
+func testContext(t *testing.T) context.Context {
 	ctx, cancel := context.WithTimeout(t.Context(), 15*time.Second)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-func reset(t *testing.T, c *net.TCPConn) {
+func resetConn(t *testing.T, c *net.TCPConn) {
 	assert.NoError(t, c.SetLinger(0))
 	assert.NoError(t, c.Close())
 }
 
 // over waits until a connection without a step on it is known to have ended.
-func over(t *testing.T, u *UpstreamConn) {
+func waitEnded(t *testing.T, u *UpstreamConn) {
 	select {
 	case <-u.Done():
 	case <-time.After(15 * time.Second):
@@ -57,14 +57,14 @@
 	}
 }
 
-var getStep = UpstreamRequest{Head: []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n")}
+var getRequest = UpstreamRequest{Head: []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n")}
 
-const lengthless = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
+const headerWithoutLength = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
 
 // An answer that ends with its connection is whole where that ends in good order, and never where it is reset, after
 // however much of it. The reset comes when all that came before it has been read, so that it is the only thing that
 // the next look at the socket finds: nothing may look beside the read that tells of it.
-func TestLengthlessAnswerIsReset(t *testing.T) {
+func TestResetDuringResponseWithoutLength(t *testing.T) {
 	const body = "0123456789"
 	for _, held := range []bool{true, false} {
 		for _, came := range []int{0, 1, len(body) / 2, len(body)} {
@@ -74,7 +74,7 @@
 					wrote, taken := make(chan struct{}), make(chan error, 1)
 					end := func() {
 						if resets {
-							reset(t, server)
+							resetConn(t, server)
 						} else {
 							_ = server.Close()
 						}
@@ -82,7 +82,7 @@
 					go func() {
 						defer close(wrote)
 						_, _ = http.ReadRequest(bufio.NewReader(server))
-						_, _ = io.WriteString(server, lengthless+body[:came])
+						_, _ = io.WriteString(server, headerWithoutLength+body[:came])
 						if !held && came > 0 {
 							return // the reset follows the taking
 						}
@@ -91,7 +91,7 @@
 						}
 						end()
 					}()
-					s := getStep
+					s := getRequest
 					s.Streamed = !held
 					s.OnResponseStart = func(r protocol.UpstreamResponse) {
 						go func() {
@@ -110,7 +110,7 @@
 							taken <- err
 						}()
 					}
-					r, reuse, err := u.RoundTrip(bounded(t), s)
+					r, reuse, err := u.RoundTrip(testContext(t), s)
 					<-wrote
 					require.False(t, reuse)
 					if resets {
@@ -140,7 +140,7 @@
 
 // An answer with a length that came whole stands, whatever becomes of its connection; one of which a part is missing
 // is broken off, and not spoilt.
-func TestAnswerWithLengthIsReset(t *testing.T) {
+func TestResetDuringResponseWithLength(t *testing.T) {
 	const body = "0123456789"
 	text := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	for _, missing := range []int{0, 1, len(body) / 2, len(body), len(text) - 1} {
@@ -149,9 +149,9 @@
 			go func() {
 				_, _ = http.ReadRequest(bufio.NewReader(server))
 				_, _ = io.WriteString(server, text[:len(text)-missing])
-				reset(t, server)
+				resetConn(t, server)
 			}()
-			r, reuse, err := u.RoundTrip(bounded(t), getStep)
+			r, reuse, err := u.RoundTrip(testContext(t), getRequest)
 			if missing > 0 {
 				require.Error(t, err)
 				require.NotErrorIs(t, err, ErrInvalidResponse)
@@ -165,9 +165,9 @@
 			require.Equal(t, body, string(got))
 			r.BodyStream.CloseRead()
 			if reuse { // the reset was not seen yet
-				over(t, u)
+				waitEnded(t, u)
 				require.True(t, u.HasEnded())
-				_, _, err = u.RoundTrip(bounded(t), getStep)
+				_, _, err = u.RoundTrip(testContext(t), getRequest)
 				require.ErrorIs(t, err, ErrStaleConnection, "nothing was written on it")
 			}
 		})
@@ -177,23 +177,23 @@
 // What comes on an idle connection before a step is written on it means that nothing is written: also where nobody
 // has been told yet, as the goroutine that waits on it has not got to it. Half a line, the connection's end and a
 // reset, which a look takes away.
-func TestIdleConnectionEndsBeforeTheWrite(t *testing.T) {
+func TestIdleConnectionEndsBeforeWrite(t *testing.T) {
 	for name, ends := range map[string]func(*testing.T, *net.TCPConn){
 		"in good order": func(_ *testing.T, c *net.TCPConn) { _ = c.Close() },
-		"by a reset":    reset,
+		"by a reset":    resetConn,
 		"half a line":   func(_ *testing.T, c *net.TCPConn) { _, _ = io.WriteString(c, "HTTP/1.1 40") },
 	} {
 		for _, told := range []bool{true, false} {
 			t.Run(fmt.Sprint(name, ", told ", told), func(t *testing.T) {
 				u, _, server := tcpPair(t)
 				ends(t, server)
-				over(t, u)
+				waitEnded(t, u)
 				if !told { // as if the goroutine that waits had not said so yet
 					u.mu.Lock()
 					u.hasEnded = false
 					u.mu.Unlock()
 				}
-				_, reuse, err := u.RoundTrip(bounded(t), getStep)
+				_, reuse, err := u.RoundTrip(testContext(t), getRequest)
 				require.ErrorIs(t, err, ErrStaleConnection)
 				require.False(t, reuse)
 			})
@@ -203,19 +203,19 @@
 
 // A booking server resets its connection under a step: before the last byte is written it never ran, from then on it
 // may have. What is written is more than the sockets hold, and the server reads none of it.
-func TestConnectionEndsDuringTheWrite(t *testing.T) {
+func TestConnectionEndsDuringWrite(t *testing.T) {
 	u, _, server := tcpPair(t)
 	go func() {
 		_, _ = io.ReadFull(server, make([]byte, 1)) // it is being written
-		reset(t, server)
+		resetConn(t, server)
 	}()
-	_, reuse, err := u.RoundTrip(bounded(t), UpstreamRequest{Head: make([]byte, 32<<20)})
+	_, reuse, err := u.RoundTrip(testContext(t), UpstreamRequest{Head: make([]byte, 32<<20)})
 	require.ErrorIs(t, err, ErrNotWritten)
 	require.False(t, reuse)
 
 	for name, ends := range map[string]func(*testing.T, *net.TCPConn){
 		"in good order": func(_ *testing.T, c *net.TCPConn) { _ = c.Close() },
-		"by a reset":    reset,
+		"by a reset":    resetConn,
 	} {
 		t.Run("after the last byte, "+name, func(t *testing.T) {
 			u, _, server := tcpPair(t)
@@ -223,7 +223,7 @@
 				_, _ = http.ReadRequest(bufio.NewReader(server))
 				ends(t, server)
 			}()
-			_, reuse, err := u.RoundTrip(bounded(t), getStep)
+			_, reuse, err := u.RoundTrip(testContext(t), getRequest)
 			require.Error(t, err)
 			require.False(t, reuse)
 			for _, never := range []error{ErrStaleConnection, ErrNotWritten, ErrInvalidResponse} {
@@ -235,7 +235,7 @@
 
 // A booking server's answer may be there before it is told that the step was written, which the machine may tell
 // late: a step that was written whole may have run, and is not taken for one that never did.
-func TestStepIsToldLateToBeWritten(t *testing.T) {
+func TestEarlyResponseWithLateWriteResult(t *testing.T) {
 	u, _, _ := tcpPair(t)
 	wrote := make(chan error, 1)
 	rest := bodystream.New(-1, bytebudget.Grant{}, 0)
@@ -251,7 +251,7 @@
 
 // A booking server ends the connection while a long request is coming, or answers before it has it: it never ran, so
 // that whoever may send it again does, unless a part of it is gone. Only an answer that turns it away is believed.
-func TestServerEndsDuringAnUpload(t *testing.T) {
+func TestServerEndsConnectionDuringUpload(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer string
 		ends   bool
@@ -260,7 +260,7 @@
 		"resets":                       {"", true, ErrNotWritten},
 		"serves and goes on":           {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", false, ErrInvalidResponse},
 		"serves and resets":            {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", true, ErrNotWritten},
-		"serves, no length, and ends":  {lengthless + "ok", true, ErrNotWritten},
+		"serves, no length, and ends":  {headerWithoutLength + "ok", true, ErrNotWritten},
 		"turns away":                   {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", false, nil},
 		"fails, which is not believed": {"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", false, ErrInvalidResponse},
 	} {
@@ -286,10 +286,10 @@
 							time.Sleep(time.Millisecond)
 						}
 					}
-					reset(t, server)
+					resetConn(t, server)
 				}
 			}()
-			r, reuse, err := u.RoundTrip(bounded(t), UpstreamRequest{
+			r, reuse, err := u.RoundTrip(testContext(t), UpstreamRequest{
 				Head: []byte("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n\r\n"),
 				Rest: rest, OnResponseStart: func(protocol.UpstreamResponse) { require.Fail(t, "begun") },
 			})
--- a/internal/transport/upstream_test.go
+++ b/internal/transport/upstream_test.go
@@ -25,7 +25,7 @@
 
 // scripted is a connection to a booking server that writes one text for each request that comes, and ends its
 // sending after the last one. It is a pair of sockets: fuzzing by TCP would use up the machine's ports.
-func scripted(t testing.TB, texts ...[]byte) net.Conn {
+func scriptedServer(t testing.TB, texts ...[]byte) net.Conn {
 	ours, server := socketPair(t)
 	done := make(chan struct{})
 	go func() {
@@ -63,7 +63,7 @@
 
 // oracle is the body that a whole read of the text gives, if it holds an answer that is whole; and whether its
 // connection stays open.
-func oracle(text []byte, longest int) (body []byte, whole, stays bool) {
+func expectedResponse(text []byte, longest int) (body []byte, whole, stays bool) {
 	r := bufio.NewReader(bytes.NewReader(text))
 	resp, err := http.ReadResponse(r, nil)
 	for err == nil && resp.StatusCode < 200 {
@@ -103,12 +103,12 @@
 	second := []byte(head + "Content-Length: 6\r\n\r\nsecond")
 	f.Fuzz(func(t *testing.T, text []byte, leaves uint16, atOnce bool) {
 		bodies := NewBodyLimits(1<<20, BodyRules{MaxBytes: longest, BufferedBytes: held, ClientStall: time.Second})
-		want, whole, stays := oracle(text, longest)
+		want, whole, stays := expectedResponse(text, longest)
 		texts := [][]byte{text}
 		if stays {
 			texts = append(texts, second)
 		}
-		conn := scripted(t, texts...)
+		conn := scriptedServer(t, texts...)
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 		defer cancel()
 		u, err := newUpstream(conn, "s-0", bodies, func() {}, func(*UpstreamConn) {})
@@ -161,7 +161,7 @@
 
 // Guards against an answer that comes before its route step is written, where the writing then fails: the answer
 // is nobody's, and must not hold memory or a goroutine for good.
-func TestAnswerBeforeTheRequestIsWritten(t *testing.T) {
+func TestResponseBeforeRequestIsWritten(t *testing.T) {
 	long := strings.Repeat("0123456789", 20_000)
 	for name, text := range map[string]string{
 		"short":     "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc",
@@ -195,7 +195,7 @@
 
 // Guards against a client that leaves just when its answer's last bytes come: the connection is closed for it, and
 // must not carry the next route step by then.
-func TestClientLeavesWithTheLastBytes(t *testing.T) {
+func TestClientDisconnectsWithLastBytes(t *testing.T) {
 	body := strings.Repeat("0123456789", 1000)
 	head := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(body))
 	bodies := NewBodyLimits(1<<20, BodyRules{MaxBytes: 1 << 20, BufferedBytes: 4000, ClientStall: time.Second})
@@ -232,7 +232,7 @@
 }
 
 // An answer may begin and end before it is told that its route step was written whole: both are still to be had.
-func TestAnswerBeforeItsStepIsKnownToBeWritten(t *testing.T) {
+func TestEarlyResponseStartAndEndAreReceived(t *testing.T) {
 	u := &UpstreamConn{responses: make(chan responseEvent, 1)}
 	u.responses <- responseEvent{} // its end
 	wrote := make(chan error, 1)
--- a/internal/transport/upstreamresponse.go
+++ b/internal/transport/upstreamresponse.go
@@ -12,31 +12,32 @@
 	"dunestep/internal/protocol"
 )
 
-// maxResponseOverhead bounds the bytes that are read for one response beside the body of a 200.
+// maxResponseOverhead is the maximum number of bytes that are read for one response besides the body of a 200.
 const maxResponseOverhead = 80 << 10
 
-// readResponse reads a response, and tells one that ended with its connection from an invalid one.
-func (u *UpstreamConn) readResponse(s *UpstreamRequest) (protocol.UpstreamResponse, error) {
+// readResponse reads a response. Its error distinguishes one that was cut off with its connection from an
+// invalid one.
+func (u *UpstreamConn) readResponse(request *UpstreamRequest) (protocol.UpstreamResponse, error) {
 	u.limited.N = maxResponseOverhead
 	rules := u.bodies.Rules()
-	r, body, err := protocol.ReadUpstreamResponse(u.reader, rules.MaxBytes, s.IsGraphQL)
-	if err == nil && u.limited.N <= 0 && u.reader.Buffered() == 0 { // what ends at the limit may not have ended
+	response, body, err := protocol.ReadUpstreamResponse(u.reader, rules.MaxBytes, request.IsGraphQL)
+	if err == nil && u.limited.N <= 0 && u.reader.Buffered() == 0 { // what ends at the limit may be cut off by it
 		err = ErrInvalidResponse
 	}
 	if err == nil && body.Reader != nil {
 		u.limited.N = math.MaxInt64 // the body's bytes are counted by readBody
-		err = u.readBody(s, &r, body, rules)
+		err = u.readBody(request, &response, body, rules)
 	}
 	if err != nil {
 		return protocol.UpstreamResponse{}, u.classifyReadError(err)
 	}
-	// More than the response: the next request must not take it for its own.
-	r.Close = r.Close || u.reader.Buffered() > 0
-	return r, nil
+	// Bytes after the response must not be mistaken for the next response.
+	response.Close = response.Close || u.reader.Buffered() > 0
+	return response, nil
 }
 
-// classifyReadError distinguishes a response that ended with its connection, or is not wanted, from an
-// invalid one.
+// classifyReadError distinguishes a response that was cut off with its connection, or is not needed any more,
+// from an invalid one, to whose error it adds ErrInvalidResponse.
 func (u *UpstreamConn) classifyReadError(err error) error {
 	switch {
 	case errors.Is(err, bytebudget.ErrFull), errors.Is(err, bodystream.ErrAbandoned):
@@ -47,60 +48,60 @@
 	return errors.Join(ErrInvalidResponse, err)
 }
 
-// readBody reads the body of a response to its end, in memory that it waits for first. A response that comes
-// in time is buffered until it is complete. One that is longer than what may be buffered, or takes longer and
-// is not known to be short, is started as a stream.
-func (u *UpstreamConn) readBody(s *UpstreamRequest, r *protocol.UpstreamResponse, body protocol.UnreadBody,
+// readBody reads the body of a response to its end, into memory that it first waits for. A short response is
+// buffered until it is complete. One that is longer than rules.BufferedBytes, or takes longer than
+// rules.MaxBuffering and is not known to be short, is started as a stream.
+func (u *UpstreamConn) readBody(request *UpstreamRequest, response *protocol.UpstreamResponse, body protocol.UnreadBody,
 	rules BodyRules,
 ) error {
 	minBytes, maxBytes := u.bodies.memoryWindow(body.Length, rules)
 	waitedSince := time.Now()
-	grant, err := u.bodies.Memory.Reserve(s.ctx, bytebudget.Holder{Name: u.server}, minBytes)
+	grant, err := u.bodies.Memory.Reserve(request.ctx, bytebudget.Holder{Name: u.server}, minBytes)
 	if err != nil {
 		return err
 	}
-	flow := bodystream.New(body.Length, grant, maxBytes)
-	flow.SetDelayedBefore(time.Since(waitedSince))
-	r.BodyStream = flow
+	stream := bodystream.New(body.Length, grant, maxBytes)
+	stream.SetDelayedBefore(time.Since(waitedSince))
+	response.BodyStream = stream
 	start := responseStart{start: func() {
-		flow.ForwardingStarted()
+		stream.ForwardingStarted()
 		u.responses <- responseEvent{UpstreamResponse: protocol.UpstreamResponse{
-			Outcome: r.Outcome, ContentType: r.ContentType, Status: r.Status,
-			BodyStream: flow,
+			Outcome: response.Outcome, ContentType: response.ContentType, Status: response.Status,
+			BodyStream: stream,
 		}, isStart: true}
 	}}
-	err = copyResponseBody(flow, body, rules, s.Streamed, &start)
+	err = copyResponseBody(stream, body, rules, request.Streamed, &start)
 	isStarted := start.finish()
-	if err == nil || err == io.EOF { //nolint:errorlint // only the reader's own end is complete, no wrapped one
-		flow.CloseWrite(io.EOF)
+	if err == nil || err == io.EOF { //nolint:errorlint // only the reader's own io.EOF means complete, not a wrapped one
+		stream.CloseWrite(io.EOF)
 		return nil
 	}
-	if flow.IsStopped() { // it was started, and the rest is not wanted
-		flow.CloseWrite(err)
+	if stream.IsStopped() { // it was started, and the rest is not needed
+		stream.CloseWrite(err)
 		return err
 	}
-	flow.CloseWrite(u.classifyReadError(err))
+	stream.CloseWrite(u.classifyReadError(err))
 	if !isStarted {
-		flow.CloseRead()
+		stream.CloseRead()
 	}
 	return err
 }
 
-// copyResponseBody moves a body into its flow, and starts the response as a stream if it may not be buffered.
-func copyResponseBody(flow *bodystream.Stream, body protocol.UnreadBody, rules BodyRules, isStreamed bool,
+// copyResponseBody copies a body to its stream, and starts the response if it may not be buffered any longer.
+func copyResponseBody(stream *bodystream.Stream, body protocol.UnreadBody, rules BodyRules, isStreamed bool,
 	start *responseStart,
 ) error {
 	isKnownShort := body.Length >= 0 && body.Length <= rules.BufferedBytes
 	for received := int64(0); received != body.Length; {
-		buffer, err := flow.WriteBuffer()
-		if err != nil { // only after it was started
+		buffer, err := stream.WriteBuffer()
+		if err != nil { // possible only after the response was started
 			return err
 		}
 		n, err := body.Read(buffer[:min(int64(len(buffer)), rules.MaxBytes+1-received)])
-		if received += int64(n); received > rules.MaxBytes { // also if it ends just there
+		if received += int64(n); received > rules.MaxBytes { // also if it ends right there
 			return protocol.ErrResponseTooLong
 		}
-		flow.Wrote(n)
+		stream.Wrote(n)
 		switch {
 		case err != nil:
 			return err
@@ -114,15 +115,16 @@
 	return nil
 }
 
-// responseStart starts a response as a stream: once, and not after its end. A server that writes a long
-// response in small pieces would else have its first bytes wait for others, and clients time the first bytes.
+// responseStart starts a response as a stream, once and not after its end. Otherwise the first bytes of a long
+// response that a server writes in small pieces would be delayed, and clients measure the time to the first
+// bytes.
 type responseStart struct {
 	start func()
 
 	mu        sync.Mutex
 	isStarted bool
 	isEnded   bool
-	timer     *time.Timer // of the goroutine that reads
+	timer     *time.Timer // used only by the goroutine that reads
 }
 
 // startNow starts the response.
@@ -135,14 +137,14 @@
 	}
 }
 
-// startWithin starts the response that long after the first call.
+// startWithin starts the response a delay after its first call.
 func (s *responseStart) startWithin(delay time.Duration) {
 	if s.timer == nil {
 		s.timer = time.AfterFunc(delay, s.startNow)
 	}
 }
 
-// finish reports whether the response was started; from now on it will not be.
+// finish reports whether the response was started. It can't be started any more from now on.
 func (s *responseStart) finish() (isStarted bool) {
 	if s.timer != nil {
 		s.timer.Stop()
