--- a/internal/transport/bodies.go
+++ b/internal/transport/bodies.go
@@ -24,10 +24,10 @@
 
 // BodyRules are limits for bodies.
 type BodyRules struct {
-	MaxBytes      int64         // maximum length of a response; one that is longer, or announced as longer, is invalid
+	MaxBytes      int64         // of a response; one that is longer, or announced as longer, is invalid
 	BufferedBytes int64         // length up to which a response is buffered until it is complete; zero: 64 KiB
-	MaxBuffering  time.Duration // time from the first byte of a response not known to be that short until it is forwarded
-	ClientStall   time.Duration // time without progress after which a client that reads a response is cut off
+	MaxBuffering  time.Duration // of a response not known to be that short, from its first byte on
+	ClientStall   time.Duration // time after which a client that reads nothing of its response is cut off
 	// maximum time by which a client may occupy the server's connection longer than the server needs it
 	ClientLag time.Duration
 }
@@ -63,9 +63,9 @@
 	return r
 }
 
-// memoryWindow returns the minimum number of bytes that a response needs and the maximum that it may buffer;
-// length is negative if it is unknown. A response that may be longer than BufferedBytes gets one chunk more, so
-// that it is known to be longer before it is forwarded.
+// memoryWindow returns the minimum number of bytes that a response needs and the maximum that it may
+// buffer; length is negative if it is unknown. A response that may be longer than BufferedBytes gets one
+// chunk more, so that it is known to be longer before it is forwarded.
 func (b *BodyLimits) memoryWindow(length int64, r BodyRules) (minBytes, maxBytes int64) {
 	if length >= 0 && length <= r.BufferedBytes {
 		return length, length
--- a/internal/transport/descriptors.go
+++ b/internal/transport/descriptors.go
@@ -1,7 +1,7 @@
-// Package transport implements the agent's sockets: the listener for clients, connections to upstream servers,
-// datagrams between agents, calls to discovery and the operators' interface. It makes no routing decisions:
-// it passes requests to a RequestHandler, and package routing decides which descriptors and connections are
-// used. All types are safe for concurrent use unless their comments say otherwise.
+// Package transport implements the agent's sockets: the listener for clients, connections to upstream
+// servers, datagrams between agents, calls to discovery and the operators' interface. It makes no routing
+// decisions: it passes requests to a RequestHandler, and package routing decides which descriptors and
+// connections are used. All types are safe for concurrent use unless their comments say otherwise.
 package transport
 
 import (
@@ -24,8 +24,8 @@
 	downstreamFull, upstreamFull rateLimitedLog
 }
 
-// NewDescriptors returns Descriptors for a process that may hold limit descriptors. reclaimIdle is called when
-// none is available and idle upstream connections may hold some.
+// NewDescriptors returns Descriptors for a process that may hold limit descriptors. reclaimIdle is called
+// when none is available and idle upstream connections may hold some.
 func NewDescriptors(limit int, reclaimIdle func()) *Descriptors {
 	return &Descriptors{
 		allocation:  routing.NewDescriptors(limit),
--- a/internal/transport/discovery.go
+++ b/internal/transport/discovery.go
@@ -31,10 +31,10 @@
 // errListTooLong means that an object of discovery has more than maxObjectBytes. On-call staff know its text.
 var errListTooLong = errors.New("discovery's list is too long")
 
-// CallDiscovery makes one call for the endpoint list: a watch from a version on, or the complete list once. It
-// returns when the call has ended; nil only if a complete list was received. It calls onAccepted when discovery
-// has accepted the call, and onObject for each object of the response, whose bytes are valid only until
-// onObject returns. Both are called from the caller's goroutine.
+// CallDiscovery makes one call for the endpoint list: a watch from a version on, or the complete list once.
+// It returns when the call has ended; nil only if a complete list was received. It calls onAccepted when
+// discovery has accepted the call, and onObject for each object of the response, whose bytes are valid only
+// until onObject returns. Both are called from the caller's goroutine.
 func CallDiscovery(ctx context.Context, addr netip.AddrPort, call protocol.ListRequest, onAccepted func(),
 	onObject func([]byte),
 ) error {
--- a/internal/transport/discovery_test.go
+++ b/internal/transport/discovery_test.go
@@ -15,8 +15,8 @@
 	"dunestep/internal/routing"
 )
 
-// What a watch brings counts however it is laid out. The rest of an object is not waited for as long as the next
-// one is, whatever empty lines come meanwhile.
+// The objects of a watch are read whatever white space they contain. The timeout for the rest of an object must be
+// shorter than that for the next object, and empty lines must not extend it.
 func TestWatchObjectsAndStall(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -30,12 +30,12 @@
 		if acceptErr != nil {
 			return
 		}
-		gone := make(chan struct{})
-		go func() { _, _ = io.Copy(io.Discard, c); close(gone) }()
+		clientClosed := make(chan struct{})
+		go func() { _, _ = io.Copy(io.Discard, c); close(clientClosed) }()
 		for i := 0; ; i++ {
 			_, _ = io.WriteString(c, pieces[min(i, len(pieces)-1)])
 			select {
-			case <-gone:
+			case <-clientClosed:
 				_ = c.Close()
 				return
 			case <-time.After(20 * time.Millisecond):
@@ -43,17 +43,17 @@
 		}
 	}()
 	var objects []string
-	began := time.Now()
+	startedAt := time.Now()
 	err = CallDiscovery(context.Background(), netip.MustParseAddrPort(l.Addr().String()),
 		protocol.ListRequest{Watch: true}, func() {}, func(raw []byte) { objects = append(objects, string(raw)) })
 	var silence *routing.SilenceError
 	require.ErrorAs(t, err, &silence)
 	require.Equal(t, objectStallTimeout, silence.Duration)
 	require.Equal(t, []string{`{"version":43}`, "{\n  \"version\": 44\n}", `{"version":45}`, `{"version":46}`}, objects)
-	require.Less(t, time.Since(began), watchSilenceTimeout-500*time.Millisecond)
+	require.Less(t, time.Since(startedAt), watchSilenceTimeout-500*time.Millisecond)
 }
 
-// A list without end is not read into memory.
+// An endless object must not be read into memory.
 func TestEndlessObjectIsAnError(t *testing.T) {
 	endless := io.MultiReader(strings.NewReader("{"), endlessBlanks{})
 	silence := newSilenceTimer(time.Hour, func() {})
--- a/internal/transport/downstreamconn.go
+++ b/internal/transport/downstreamconn.go
@@ -42,8 +42,8 @@
 	connClosed
 )
 
-// downstreamConn is a client's connection. It tracks its state and where requests on it begin and end. Read is
-// called by net/http's goroutine of the connection; all other methods may be called from any goroutine.
+// downstreamConn is a client's connection. It tracks its state and where requests on it begin and end. Read
+// is called by net/http's goroutine of the connection; all other methods may be called from any goroutine.
 type downstreamConn struct {
 	net.Conn
 	conns      *downstreamConns
@@ -55,7 +55,7 @@
 	state             connState
 	stateSince        time.Time
 	isHeaderRead      bool      // in connReading: the request's header was read
-	receivedAt        time.Time // of the latest bytes; for a backlog, the earliest time at which they can have arrived
+	receivedAt        time.Time // of the latest bytes; of a backlog, the earliest possible time
 	hasBacklog        bool      // bytes arrived before a Read waited for them, and the kernel may have more
 	backlogReadAt     time.Time // with hasBacklog: when the kernel last had no more
 	isPaused          bool      // nothing is read: the request waits for memory in this agent
@@ -289,7 +289,7 @@
 	lingers := c.startClosing()
 	c.mu.Unlock()
 	if lingers {
-		_, _ = io.Copy(io.Discard, struct{ io.Reader }{c.Conn}) // ends at the deadline or when the client closes its side
+		_, _ = io.Copy(io.Discard, struct{ io.Reader }{c.Conn}) // until the deadline or the client's close
 	}
 	err := c.Conn.Close()
 	c.deregister()
--- a/internal/transport/drain.go
+++ b/internal/transport/drain.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// minDrainIdleTime is how long a connection must have been idle to be closed while draining, so that a client
-	// that is about to send its next request can do so.
+	// minDrainIdleTime is how long a connection must have been idle to be closed while draining, so that a
+	// client that is about to send its next request can do so.
 	minDrainIdleTime = 400 * time.Millisecond
 	// sweepInterval is the interval at which idle connections are closed while draining; slowSweepInterval is
 	// the interval after the idle deadline.
@@ -30,7 +30,7 @@
 type drainState struct {
 	mu           sync.Mutex
 	startedAt    time.Time     // zero: not draining
-	idleDeadline time.Duration // time after startedAt from which all idle connections are closed, however short their idle time
+	idleDeadline time.Duration // after startedAt; from then on, all idle connections are closed
 	isFinal      bool          // StopDrain has no effect
 	sweepTimer   *time.Timer
 }
@@ -42,8 +42,8 @@
 	return !d.startedAt.IsZero()
 }
 
-// StartDrain makes clients move to other agents. After idleDeadline, connections are closed as soon as they are
-// idle. New connections are still served, and closed after their response.
+// StartDrain makes clients move to other agents. After idleDeadline, connections are closed as soon as they
+// are idle. New connections are still served, and closed after their response.
 func (f *Listener) StartDrain(idleDeadline time.Duration) {
 	d := &f.drain
 	d.mu.Lock()
@@ -60,8 +60,8 @@
 	f.startDrain(idleDeadline)
 }
 
-// startDrain starts to drain or, if already draining, moves the idle deadline forward if the new one is
-// earlier. The caller holds the drain's mu.
+// startDrain starts to drain. If the listener is already draining, the earlier of the two idle deadlines
+// applies. The caller holds the drain's mu.
 func (f *Listener) startDrain(idleDeadline time.Duration) {
 	d := &f.drain
 	if d.startedAt.IsZero() {
--- a/internal/transport/eviction.go
+++ b/internal/transport/eviction.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// evict closes the connection if it is still in the state in which it was selected and has no input. It closes
-// the write side first and, if the client does not close its own side in time, the whole connection at the
-// next call. It reports whether it closed anything.
+// evict closes the connection if it is still in the state in which it was selected and has no input. It
+// closes the write side first and, if the client does not close its own side in time, the whole connection
+// at the next call. It reports whether it closed anything.
 func (c *downstreamConn) evict(state connState, since time.Time) (evicted bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -40,8 +40,8 @@
 	rankRecentlyIdle              // idle for a short time: a client sends a request that crosses the close again
 )
 
-// evictionCandidacy returns the connection's eviction rank, its state and since when it is in that state. Ranks
-// above rankIdle apply only if descriptors are short.
+// evictionCandidacy returns the connection's eviction rank, its state and since when it is in that state.
+// Ranks above rankIdle apply only if descriptors are short.
 func (c *downstreamConn) evictionCandidacy(
 	now time.Time,
 ) (rank evictionRank, state connState, since time.Time) {
--- a/internal/transport/framing.go
+++ b/internal/transport/framing.go
@@ -17,15 +17,15 @@
 	maxContentLength     = 1 << 40 // bytes; larger values are truncated here, and the body is rejected elsewhere
 )
 
-// requestFraming finds where requests begin and end in a client's input. A request with both Content-Length and
-// Transfer-Encoding may hide another one in its body (request smuggling), and net/http drops the length, so that
-// a handler can't detect it. The zero value is ready for use.
+// requestFraming finds where requests begin and end in a client's input. A request with both Content-Length
+// and Transfer-Encoding may hide another one in its body (request smuggling), and net/http drops the
+// length, so that a handler can't detect it. The zero value is ready for use.
 type requestFraming struct {
 	headerName          [18]byte // beginning of the current line, in lower case
-	lineLength          int      // bytes of the current line so far, counted up to one more than fit in headerName
+	lineLength          int      // bytes of the current line so far, at most len(headerName)+1
 	isInValue           bool     // past the first colon of the line
 	contentLength       int64
-	hasContentLength    bool // whether the current header has the field, as hasTransferEncoding
+	hasContentLength    bool // whether the current header has the field; likewise below
 	hasTransferEncoding bool
 	bodyLeft            int64 // bytes of the current body not received yet
 	headersStarted      int   // requests so far
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -160,7 +160,7 @@
 // serveHTTP answers one request: a health check itself, any other by the handler.
 func (f *Listener) serveHTTP(w http.ResponseWriter, r *http.Request) {
 	conn := connOf(r)
-	exchange := newExchange(conn.formats, r)
+	x := newExchange(conn.formats, r)
 	deadline, framing := conn.startRequest()
 	control := http.NewResponseController(w)
 	isHealthCheck := r.URL.Path == "/health/ready" || r.URL.Path == "/health/live"
@@ -175,14 +175,14 @@
 	}
 	switch {
 	case framing == framedByBoth:
-		f.writeResponse(w, r, exchange, protocol.Response{Kind: protocol.Malformed, Body: []byte("two lengths\n")}, nil)
+		f.writeResponse(w, r, x, protocol.Response{Kind: protocol.Malformed, Body: []byte("two lengths\n")}, nil)
 	case r.URL.Path == "/health/ready":
 		f.announceClose(conn, w.Header())
 		f.serveReadiness(w)
 	case r.URL.Path == "/health/live":
 		f.announceClose(conn, w.Header())
 	default:
-		f.serveRequest(w, r, exchange, deadline)
+		f.serveRequest(w, r, x, deadline)
 	}
 }
 
@@ -190,7 +190,7 @@
 func (f *Listener) serveRequest(
 	w http.ResponseWriter,
 	r *http.Request,
-	exchange protocol.Exchange,
+	x protocol.Exchange,
 	deadline time.Time,
 ) {
 	conn := connOf(r)
@@ -200,7 +200,7 @@
 		r.Body = body
 	}
 	var grant bytebudget.Grant
-	op, err := exchange.Decode(func(bytes int64, timeLeft time.Duration) (keep func(int64), err error) {
+	op, err := x.Decode(func(bytes int64, timeLeft time.Duration) (keep func(int64), err error) {
 		waitedSince := time.Now()
 		conn.pauseReading()
 		grant, err = f.reserveMemory(r, bytes, conn.requestStartedAt().Add(timeLeft-routing.ResponseMargin))
@@ -215,11 +215,11 @@
 	requestMetrics := f.metrics.NewRequest(class)
 	defer requestMetrics.End(metrics.Abandoned)
 	if err != nil {
-		f.writeResponse(w, r, exchange, decodeErrorResponse(err), requestMetrics)
+		f.writeResponse(w, r, x, decodeErrorResponse(err), requestMetrics)
 		return
 	}
 	if op.Length != 0 {
-		f.serveUpload(w, r, exchange, op, body, grant.Split(bodystream.ChunkBytes), requestMetrics)
+		f.serveUpload(w, r, x, op, body, grant.Split(bodystream.ChunkBytes), requestMetrics)
 		return
 	}
 	requestMetrics.Start()
@@ -232,7 +232,7 @@
 		panic(http.ErrAbortHandler) // closes the connection: a return would write an empty 200
 	}
 	f.announceClose(conn, w.Header())
-	f.writeResponse(w, r, exchange, response, requestMetrics)
+	f.writeResponse(w, r, x, response, requestMetrics)
 }
 
 // decodeErrorResponse returns the response to a request that could not be decoded.
@@ -251,7 +251,7 @@
 func (f *Listener) serveUpload(
 	w http.ResponseWriter,
 	r *http.Request,
-	exchange protocol.Exchange,
+	x protocol.Exchange,
 	op *protocol.Request,
 	body *pacedBody,
 	grant bytebudget.Grant,
@@ -279,7 +279,7 @@
 		w.Header().Set("Connection", "close")
 	}
 	f.announceClose(conn, w.Header())
-	f.writeResponse(w, r, exchange, response, requestMetrics)
+	f.writeResponse(w, r, x, response, requestMetrics)
 }
 
 // isClientFault distinguishes a body that was malformed or too slow from a client that has disconnected.
--- a/internal/transport/listener_crossings_test.go
+++ b/internal/transport/listener_crossings_test.go
@@ -23,24 +23,23 @@
 	"dunestep/internal/protocol"
 )
 
-// The tests here force two events of a client's connection to cross: the closing of it, on every path that closes, is
-// held at its first step while the other event happens.
+// The tests in this file force a race between the closing of a client's connection and another event on it: on every
+// path that closes the connection, the first step of closing waits until the other event has happened.
 
 const (
 	raceTestTimeout                  = 15 * time.Second
-	fewDescriptors                   = 56 // five clients crowd the front socket, a fifteenth makes one of them give way
+	fewDescriptors                   = 56 // with 5 clients the listener is crowded, a 15th causes an eviction
 	crowdingClients, evictingClients = 5, 16
 	testRequest                      = "GET /consult/x HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: 0123456789abcdef\r\nX-Time-Left-Ms: 60000\r\n\r\n"
 )
 
-// hookedConn is the system's end of a client's connection. What is to happen at the first step of its closing is set in
-// crosses.
+// hookedConn is the server side of a client's connection. It calls onClose at the first step of closing.
 type hookedConn struct {
 	*net.TCPConn
-	readBlocked   chan struct{} // is told that a read is held
+	readBlocked   chan struct{} // receives a value when a read is blocked
 	onClose       atomic.Pointer[func()]
 	downstream    *downstreamConn
-	readGate      atomic.Pointer[chan struct{}] // nothing is read of it, standing idle, until this is closed
+	readGate      atomic.Pointer[chan struct{}] // blocks reads of the idle connection until it is closed
 	isWriteClosed atomic.Bool
 	closed        chan struct{}
 	once          sync.Once
@@ -52,7 +51,7 @@
 	}
 }
 
-// blockIdleReads has what comes stay where it is from when the connection stands idle until its closing has begun.
+// blockIdleReads blocks reads from when the connection is idle until its closing has begun.
 func (c *hookedConn) blockIdleReads() {
 	gate := make(chan struct{})
 	c.readGate.Store(&gate)
@@ -86,7 +85,7 @@
 	return c.TCPConn.Close()
 }
 
-// hookedListener hands on the connections that it accepts, held.
+// hookedListener wraps the connections that it accepts in a hookedConn, and sends them to accepted.
 type hookedListener struct {
 	*downstreamListener
 	accepted chan *downstreamConn
@@ -97,22 +96,22 @@
 	if err != nil {
 		return nil, err
 	}
-	front := c.(*downstreamConn)
-	front.Conn = &hookedConn{
-		TCPConn: front.Conn.(*net.TCPConn), downstream: front, readBlocked: make(chan struct{}, 1),
+	downstream := c.(*downstreamConn)
+	downstream.Conn = &hookedConn{
+		TCPConn: downstream.Conn.(*net.TCPConn), downstream: downstream, readBlocked: make(chan struct{}, 1),
 		closed: make(chan struct{}),
 	}
-	l.accepted <- front
-	return front, nil
+	l.accepted <- downstream
+	return downstream, nil
 }
 
-// asked is an operator that notes what it is asked, and answers when it may.
+// recordingHandler records requests, and responds when proceed permits it.
 type recordingHandler struct {
 	count     atomic.Int32
-	arrivedAt atomic.Pointer[time.Time] // since when the latest one's client counts its time
+	arrivedAt atomic.Pointer[time.Time] // ArrivedAt of the latest request
 	response  protocol.Response
-	received  chan struct{} // nil: nobody waits for one
-	proceed   chan struct{} // nil: at once
+	received  chan struct{} // receives a value for each request; nil: not used
+	proceed   chan struct{} // permits one response for each value; nil: responds at once
 }
 
 func (a *recordingHandler) HandleRequest(ctx context.Context, op *protocol.Request) (protocol.Response, bool) {
@@ -133,83 +132,83 @@
 
 func (*recordingHandler) Ready() bool { return true }
 
-// crossing is a front socket whose connections' closing is held.
+// closeRace is a Listener whose connections have hooks in their closing.
 type closeRace struct {
-	t        *testing.T
-	listener *Listener
-	handler  *recordingHandler
-	hooked   *hookedListener
+	t              *testing.T
+	listener       *Listener
+	handler        *recordingHandler
+	hookedListener *hookedListener
 }
 
-func newCloseRace(t *testing.T, descriptors int, operator *recordingHandler, edits ...func(*Listener)) *closeRace {
+func newCloseRace(t *testing.T, descriptors int, handler *recordingHandler, options ...func(*Listener)) *closeRace {
 	t.Parallel()
-	if operator.response.Kind == 0 {
-		operator.response = busyResponse()
+	if handler.response.Kind == 0 {
+		handler.response = busyResponse()
 	}
-	f := NewListener(NewDescriptors(descriptors, func() {}),
-		NewBodyLimits(1<<20, BodyRules{MaxBytes: 1 << 20, ClientStall: time.Minute}), metrics.New(nil), operator)
-	for _, edit := range edits {
-		edit(f)
+	listener := NewListener(NewDescriptors(descriptors, func() {}),
+		NewBodyLimits(1<<20, BodyRules{MaxBytes: 1 << 20, ClientStall: time.Minute}), metrics.New(nil), handler)
+	for _, option := range options {
+		option(listener)
 	}
-	require.NoError(t, f.Listen(netip.MustParseAddrPort("127.0.0.1:0"), protocol.HTTP))
+	require.NoError(t, listener.Listen(netip.MustParseAddrPort("127.0.0.1:0"), protocol.HTTP))
 	x := &closeRace{
-		t: t, listener: f, handler: operator,
-		hooked: &hookedListener{f.listeners[0], make(chan *downstreamConn, 64)},
+		t: t, listener: listener, handler: handler,
+		hookedListener: &hookedListener{listener.listeners[0], make(chan *downstreamConn, 64)},
 	}
 	served := make(chan struct{})
-	go func() { defer close(served); _ = f.server.Serve(x.hooked) }()
+	go func() { defer close(served); _ = listener.server.Serve(x.hookedListener) }()
 	t.Cleanup(func() {
-		f.Close()
+		listener.Close()
 		<-served
 	})
 	return x
 }
 
-// client is both ends of a client's connection.
+// client has both ends of a client's connection.
 type client struct {
 	*net.TCPConn
 	reader     *bufio.Reader
 	downstream *downstreamConn
-	hooked     *hookedConn
+	hookedConn *hookedConn
 }
 
-// connect connects a client, whose machine takes little before it reads.
+// connect connects a client with a small kernel buffer for unread responses.
 func (x *closeRace) connect() *client {
 	d := net.Dialer{Control: func(_, _ string, c syscall.RawConn) error {
 		return c.Control(func(fd uintptr) { _ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096) })
 	}}
-	conn, err := d.Dial("tcp", x.hooked.Addr().String())
+	conn, err := d.Dial("tcp", x.hookedListener.Addr().String())
 	require.NoError(x.t, err)
 	x.t.Cleanup(func() { _ = conn.Close() })
 	require.NoError(x.t, conn.SetDeadline(time.Now().Add(raceTestTimeout)))
-	front := receive(x.t, x.hooked.accepted)
-	return &client{TCPConn: conn.(*net.TCPConn), reader: bufio.NewReader(conn), downstream: front, hooked: front.Conn.(*hookedConn)}
+	downstream := receive(x.t, x.hookedListener.accepted)
+	return &client{TCPConn: conn.(*net.TCPConn), reader: bufio.NewReader(conn), downstream: downstream, hookedConn: downstream.Conn.(*hookedConn)}
 }
 
-// dial connects further clients, which say nothing.
+// connectSilent connects n more clients, which send nothing.
 func (x *closeRace) connectSilent(n int) {
 	for range n {
-		conn, err := net.Dial("tcp", x.hooked.Addr().String())
+		conn, err := net.Dial("tcp", x.hookedListener.Addr().String())
 		require.NoError(x.t, err)
 		x.t.Cleanup(func() { _ = conn.Close() })
 	}
 }
 
-// send sends a text, and returns when the agent's machine has all of it, or the agent has read of it.
+// send sends a text, and returns when the kernel of the agent has received all of it.
 func (x *closeRace) send(c *client, text string) {
 	_, err := io.WriteString(c, text)
 	require.NoError(x.t, err)
-	x.waitUntil("it arrives", c.isDelivered)
+	x.waitUntil("the text is delivered", c.isDelivered)
 }
 
-// sendAndBlockReads asks, and returns once the connection stands idle; from then on nothing of it is read.
+// sendAndBlockReads sends a request, and returns once the connection is idle; from then on reads are blocked.
 func (x *closeRace) sendAndBlockReads(c *client) {
-	c.hooked.blockIdleReads()
+	c.hookedConn.blockIdleReads()
 	x.send(c, testRequest)
-	receive(x.t, c.hooked.readBlocked)
+	receive(x.t, c.hookedConn.readBlocked)
 }
 
-// answer reads a whole answer.
+// readResponse reads a complete response.
 func (x *closeRace) readResponse(c *client) *http.Response {
 	x.t.Helper()
 	r, err := http.ReadResponse(c.reader, nil)
@@ -220,16 +219,16 @@
 	return r
 }
 
-// ends reads the connection's end, which has to be one in good order.
+// expectEOF checks that the server closed the connection without a reset.
 func (x *closeRace) expectEOF(c *client) {
 	x.t.Helper()
 	_, err := c.reader.ReadByte()
 	require.ErrorIs(x.t, err, io.EOF)
 }
 
-// idle returns once the agent has the connection for one that stands idle.
+// waitIdle returns once the connection's state is connIdle.
 func (x *closeRace) waitIdle(c *client) {
-	x.waitUntil("idle", func() bool { return c.downstream.hasState(connIdle) })
+	x.waitUntil("the connection is idle", func() bool { return c.downstream.hasState(connIdle) })
 }
 
 func (c *downstreamConn) hasState(s connState) bool {
@@ -238,7 +237,7 @@
 	return c.state == s
 }
 
-// crosses has a text of the client's arrive at the first step of the connection's closing.
+// sendOnClose makes the client's text arrive at the first step of the connection's closing.
 func (x *closeRace) sendOnClose(c *client, text string) (done chan struct{}) {
 	done = make(chan struct{})
 	cross := func() {
@@ -250,7 +249,7 @@
 			time.Sleep(time.Millisecond)
 		}
 	}
-	c.hooked.onClose.Store(&cross)
+	c.hookedConn.onClose.Store(&cross)
 	return done
 }
 
@@ -264,12 +263,12 @@
 	select {
 	case v = <-c:
 	case <-time.After(raceTestTimeout):
-		require.Fail(t, "it does not come")
+		require.Fail(t, "nothing was received from the channel")
 	}
 	return v
 }
 
-// arrived tells whether the agent's machine has all that was written.
+// isDelivered reports whether the other kernel has acknowledged everything that was written.
 func (c *client) isDelivered() bool {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -280,9 +279,9 @@
 	return errors.Join(inner, err) == nil && n == 0
 }
 
-// Our close of a client's connection crosses its next request, on every path that closes: the client sees a clean end,
-// never a reset, has the answer before whole however late it takes it, and the request, which it sends again elsewhere,
-// is not carried out here.
+// The agent's close of a client's connection crosses the client's next request, on every path that closes. The client
+// must see a clean end and never a reset, and must get the previous response completely however late it reads it. The
+// request, which the client sends again elsewhere, must not be executed.
 func TestRequestCrossingTheCloseIsNotExecuted(t *testing.T) {
 	long := protocol.Response{Kind: protocol.Rejected, Body: []byte(strings.Repeat("chair 4, Monday\n", 10_000))}
 	for name, c := range map[string]struct {
@@ -293,15 +292,15 @@
 		"Connection: close": {1024, func(f *Listener) { f.StartFinalDrain(time.Hour) }, func(x *closeRace, c *client) {
 			x.send(c, testRequest)
 		}},
-		"sweep": {1024, nil, func(x *closeRace, c *client) {
+		"drain": {1024, nil, func(x *closeRace, c *client) {
 			x.send(c, testRequest)
 			x.waitIdle(c)
 			x.listener.StartFinalDrain(0)
 		}},
-		"idle for long": {1024, func(f *Listener) { f.server.IdleTimeout = time.Millisecond }, func(x *closeRace, c *client) {
+		"keep-alive timeout": {1024, func(f *Listener) { f.server.IdleTimeout = time.Millisecond }, func(x *closeRace, c *client) {
 			x.send(c, testRequest)
 		}},
-		"stood": {fewDescriptors, nil, func(x *closeRace, c *client) {
+		"idle and crowded": {fewDescriptors, nil, func(x *closeRace, c *client) {
 			x.sendAndBlockReads(c)
 			x.connectSilent(crowdingClients)
 			c.downstream.mu.Lock()
@@ -312,7 +311,7 @@
 		"evicted": {fewDescriptors, nil, func(x *closeRace, c *client) {
 			x.sendAndBlockReads(c)
 			c.downstream.mu.Lock()
-			c.downstream.stateSince = c.downstream.stateSince.Add(-time.Hour) // it is missed least
+			c.downstream.stateSince = c.downstream.stateSince.Add(-time.Hour) // makes it the best candidate
 			c.downstream.mu.Unlock()
 			x.connectSilent(evictingClients)
 		}},
@@ -327,21 +326,21 @@
 			crossed := x.sendOnClose(client, testRequest)
 			c.close(x, client)
 			receive(t, crossed)
-			receive(t, client.hooked.closed) // nothing of the answer was taken by then but what the machine took
+			receive(t, client.hookedConn.closed) // by then, the client has read nothing of the response
 			x.readResponse(client)
 			x.expectEOF(client)
-			require.EqualValues(t, 1, x.handler.count.Load(), "carried out, though it crossed the end")
-			require.True(t, client.hooked.isWriteClosed.Load(), "the client was told before the close")
+			require.EqualValues(t, 1, x.handler.count.Load(), "a request that crossed the close must not be executed")
+			require.True(t, client.hookedConn.isWriteClosed.Load(), "the write side must be closed before the connection")
 		})
 	}
 }
 
-// A request has come, and is not read yet, as its connection is to be closed for standing idle: it is served.
+// A request that was received but not read when its connection is to be closed as idle must be served.
 func TestUnreadRequestIsServedDespiteIdleClose(t *testing.T) {
 	for name, end := range map[string]func(*closeRace, *client){
-		"sweep": func(x *closeRace, c *client) {
+		"drain": func(x *closeRace, c *client) {
 			x.listener.StartFinalDrain(0)
-			x.waitUntil("to be ended", c.downstream.isMarkedToClose)
+			x.waitUntil("the connection is marked to be closed", c.downstream.isMarkedToClose)
 		},
 		"evicted": func(_ *closeRace, c *client) {
 			_, state, since := c.downstream.evictionCandidacy(time.Now())
@@ -355,15 +354,15 @@
 			x.readResponse(c)
 			x.send(c, testRequest)
 			end(x, c)
-			c.hooked.unblockReads()
+			c.hookedConn.unblockReads()
 			x.readResponse(c)
 			require.EqualValues(t, 2, x.handler.count.Load())
 		})
 	}
 }
 
-// The second of two requests comes while the first is out, and clients are sent away: the close is announced with the
-// last answer, and with no answer before one that is owed.
+// The second of two requests arrives while the first is in flight, and the listener drains. Only the last response
+// must announce the close.
 func TestPipelinedRequestsAreServedBeforeTheClose(t *testing.T) {
 	x := newCloseRace(t, 1024, &recordingHandler{received: make(chan struct{}, 2), proceed: make(chan struct{})})
 	c := x.connect()
@@ -378,7 +377,7 @@
 	require.EqualValues(t, 2, x.handler.count.Load())
 }
 
-// The same where nothing of the second one is read yet: what the agent's machine has of it counts.
+// A next request of which nothing was read yet, but which the kernel has received, counts as a next request.
 func TestHasNextRequestSeesUnreadInput(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -391,49 +390,49 @@
 	defer func() { _ = inner.Close() }()
 	raw, err := inner.(*net.TCPConn).SyscallConn()
 	require.NoError(t, err)
-	front := &downstreamConn{Conn: inner, rawConn: raw, state: connBusy}
-	require.False(t, front.hasNextRequest())
+	downstream := &downstreamConn{Conn: inner, rawConn: raw, state: connBusy}
+	require.False(t, downstream.hasNextRequest())
 	_, err = io.WriteString(conn, testRequest)
 	require.NoError(t, err)
 	require.Eventually(t, (&client{TCPConn: conn.(*net.TCPConn)}).isDelivered, raceTestTimeout, time.Millisecond)
-	require.True(t, front.hasNextRequest())
+	require.True(t, downstream.hasNextRequest())
 }
 
-// A part of the next request comes while the present one is out: the connection does not stand idle after the answer,
-// and is not closed as if it did.
+// A part of the next request arrives while the current one is in flight. The connection must not become idle after the
+// response, nor be closed as idle.
 func TestPartialNextRequestIsNotIdle(t *testing.T) {
 	x := newCloseRace(t, 1024, &recordingHandler{received: make(chan struct{}, 2), proceed: make(chan struct{})})
 	c := x.connect()
 	x.send(c, testRequest)
 	receive(t, x.handler.received)
-	const some = 1 // which the library reads by itself while a request is out
-	x.send(c, testRequest[:some])
-	x.waitUntil("begun", c.hasStartedNextRequest)
+	const firstBytes = 1 // byte, which net/http reads by itself while a request is in flight
+	x.send(c, testRequest[:firstBytes])
+	x.waitUntil("the next request is started", c.hasStartedNextRequest)
 	close(x.handler.proceed)
 	x.readResponse(c)
-	x.waitUntil("answered", func() bool { return !c.downstream.hasState(connBusy) })
+	x.waitUntil("the response is written", func() bool { return !c.downstream.hasState(connBusy) })
 	require.True(t, c.downstream.hasState(connReading))
 	x.listener.conns.closeIdle(idleAll)
-	x.send(c, testRequest[some:])
+	x.send(c, testRequest[firstBytes:])
 	x.readResponse(c)
 	require.EqualValues(t, 2, x.handler.count.Load())
 }
 
-// The same where it is the first one on its connection, or one on a connection that stood idle: what is begun is not
-// closed as clients are sent away.
+// A partly received request, the first one on its connection or one on an idle connection, must not be cut off by a
+// drain.
 func TestPartialRequestIsServedWhileDraining(t *testing.T) {
-	for name, used := range map[string]bool{"first": false, "next": true} {
+	for name, isUsed := range map[string]bool{"first": false, "next": true} {
 		t.Run(name, func(t *testing.T) {
 			x := newCloseRace(t, 1024, &recordingHandler{})
 			c := x.connect()
-			if used {
+			if isUsed {
 				x.send(c, testRequest)
 				x.readResponse(c)
 				x.waitIdle(c)
 			}
 			half := len(testRequest) / 2
 			x.send(c, testRequest[:half])
-			x.waitUntil("reading", func() bool { return c.downstream.hasState(connReading) })
+			x.waitUntil("the request is being read", func() bool { return c.downstream.hasState(connReading) })
 			x.listener.StartFinalDrain(0)
 			x.listener.conns.closeIdle(idleAll)
 			require.False(t, c.downstream.isMarkedToClose())
@@ -444,7 +443,7 @@
 	}
 }
 
-// The same where it waits for memory on this side: nothing is read of it for a while, and it is not closed.
+// A request that waits for memory in this agent, so that it is not read for a while, must not be cut off by a drain.
 func TestRequestWaitingForMemoryIsServedWhileDraining(t *testing.T) {
 	x := newCloseRace(t, 1024, &recordingHandler{})
 	all, err := x.listener.bodies.Memory.Reserve(t.Context(), bytebudget.Holder{Name: "s-0"}, 1<<20) // all of it
@@ -452,7 +451,7 @@
 	c := x.connect()
 	x.send(c, strings.Replace(testRequest, "GET", "POST", 1)[:len(testRequest)-1]+
 		"Content-Length: 15\r\n\r\nchair 4, Monday")
-	x.waitUntil("waits", func() bool {
+	x.waitUntil("the request waits for memory", func() bool {
 		c.downstream.mu.Lock()
 		defer c.downstream.mu.Unlock()
 		return c.downstream.isPaused
@@ -467,7 +466,7 @@
 	x.expectEOF(c)
 }
 
-// ends tells whether the connection is to be ended.
+// isMarkedToClose reports whether the connection is to be closed unless there is input.
 func (c *downstreamConn) isMarkedToClose() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -480,46 +479,46 @@
 	return c.downstream.hasReadNextRequest()
 }
 
-// A request comes while the one before is out: its client's time runs from then, not from when it is turned to. So does
-// that of a third one, which is read together with the second.
+// The time of a request that arrives while the previous one is in flight must count from its arrival, not from when it
+// is handled. The same is true of a third request that is read together with the second.
 func TestPipelinedRequestTimeCountsFromArrival(t *testing.T) {
 	x := newCloseRace(t, 1024, &recordingHandler{received: make(chan struct{}), proceed: make(chan struct{})})
 	c := x.connect()
 	x.send(c, testRequest)
 	receive(t, x.handler.received)
 	x.send(c, testRequest+testRequest)
-	x.waitUntil("begun", c.hasStartedNextRequest)
-	there := time.Now()
+	x.waitUntil("the next request is started", c.hasStartedNextRequest)
+	deliveredAt := time.Now()
 	next := func() time.Time {
 		x.handler.proceed <- struct{}{}
 		x.readResponse(c)
 		receive(t, x.handler.received)
 		return *x.handler.arrivedAt.Load()
 	}
-	require.True(t, next().Before(there), "the second one's time runs from when it was turned to")
+	require.True(t, next().Before(deliveredAt), "the time of the second request must count from its own arrival")
 	x.send(c, testRequest)
-	x.waitUntil("the fourth begun", func() bool {
+	x.waitUntil("the fourth request is started", func() bool {
 		c.downstream.mu.Lock()
 		defer c.downstream.mu.Unlock()
 		return c.downstream.framing.headersStarted == 4
 	})
-	require.True(t, next().Before(there), "the third one's time runs from when another came")
+	require.True(t, next().Before(deliveredAt), "the time of the third request must count from its own arrival")
 	fourth := next()
-	require.True(t, fourth.After(there), "the fourth one's time runs from when others came")
+	require.True(t, fourth.After(deliveredAt), "the time of the fourth request must count from its own arrival")
 	require.True(t, fourth.Before(time.Now()))
 	x.handler.proceed <- struct{}{}
 	x.readResponse(c)
 	x.waitIdle(c)
 	before := time.Now()
-	x.send(c, testRequest) // by itself
+	x.send(c, testRequest) // not pipelined
 	receive(t, x.handler.received)
 	require.True(t, x.handler.arrivedAt.Load().After(before))
 	x.handler.proceed <- struct{}{}
 	x.readResponse(c)
 }
 
-// A client does not end its connection after it was told that no more comes: a process that ends does not wait for it
-// until the connection's time is up.
+// A client does not close its side after the agent has closed the write side. A process that ends must not wait for it
+// until the linger timeout.
 func TestFinalDrainDoesNotWaitForClientsToClose(t *testing.T) {
 	x := newCloseRace(t, 1024, &recordingHandler{})
 	c := x.connect()
@@ -532,11 +531,11 @@
 	c.downstream.mu.Unlock()
 	x.expectEOF(c)
 	x.listener.StartFinalDrain(0)
-	receive(t, c.hooked.closed)
+	receive(t, c.hookedConn.closed)
 }
 
-// A client that gives way was told to end its connection, and what it sent just before lies unread: the connection is
-// not closed over it, which would reset it, but once it is thrown away.
+// An evicted client has sent bytes just before the write side was closed, which are unread. The connection must not be
+// closed before they are discarded, since that would reset it.
 func TestEvictedConnectionIsNotClosedWithUnreadInput(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -550,14 +549,14 @@
 	raw, err := inner.(*net.TCPConn).SyscallConn()
 	require.NoError(t, err)
 	since := time.Now().Add(-time.Hour)
-	front := &downstreamConn{Conn: inner, rawConn: raw, state: connClosing, stateSince: since, wasEvictedIdle: true}
-	rank, _, _ := front.evictionCandidacy(time.Now())
+	downstream := &downstreamConn{Conn: inner, rawConn: raw, state: connClosing, stateSince: since, wasEvictedIdle: true}
+	rank, _, _ := downstream.evictionCandidacy(time.Now())
 	require.Zero(t, rank)
 	_, err = io.WriteString(conn, testRequest)
 	require.NoError(t, err)
 	require.Eventually(t, (&client{TCPConn: conn.(*net.TCPConn)}).isDelivered, raceTestTimeout, time.Millisecond)
-	require.False(t, front.evict(connClosing, since))
+	require.False(t, downstream.evict(connClosing, since))
 	_, err = io.ReadFull(inner, make([]byte, len(testRequest)))
 	require.NoError(t, err)
-	require.True(t, front.evict(connClosing, since))
+	require.True(t, downstream.evict(connClosing, since))
 }
--- a/internal/transport/listener_test.go
+++ b/internal/transport/listener_test.go
@@ -23,7 +23,7 @@
 	"dunestep/internal/protocol"
 )
 
-// agent answers every operation alike.
+// responseFunc is a handler that gives its result as the response to every request.
 type responseFunc func() protocol.Response
 
 func (a responseFunc) HandleRequest(context.Context, *protocol.Request) (protocol.Response, bool) {
@@ -36,23 +36,23 @@
 	return protocol.Response{Kind: protocol.Rejected, Body: []byte("busy\n")}
 }
 
-// serveListener serves a front socket and returns a way to connect to it.
-func serveListener(t *testing.T, a responseFunc, bodies *BodyLimits, forms ...protocol.Format) (dial func() net.Conn) {
-	return serveWithDescriptors(t, 1024, a, bodies, forms...)
+// serveListener serves a Listener and returns a function that connects to it.
+func serveListener(t *testing.T, handler responseFunc, bodies *BodyLimits, formats ...protocol.Format) (dial func() net.Conn) {
+	return serveWithDescriptors(t, 1024, handler, bodies, formats...)
 }
 
-// serveWithDescriptors is the same with so many descriptors.
-func serveWithDescriptors(t *testing.T, descriptors int, a responseFunc, bodies *BodyLimits, forms ...protocol.Format) (dial func() net.Conn) {
-	f := NewListener(NewDescriptors(descriptors, func() {}), bodies, metrics.New(nil), a)
-	require.NoError(t, f.Listen(netip.MustParseAddrPort("127.0.0.1:0"), forms...))
+// serveWithDescriptors is like serveListener, with a given number of descriptors.
+func serveWithDescriptors(t *testing.T, descriptors int, handler responseFunc, bodies *BodyLimits, formats ...protocol.Format) (dial func() net.Conn) {
+	listener := NewListener(NewDescriptors(descriptors, func() {}), bodies, metrics.New(nil), handler)
+	require.NoError(t, listener.Listen(netip.MustParseAddrPort("127.0.0.1:0"), formats...))
 	served := make(chan struct{})
-	go func() { defer close(served); _ = f.Serve() }()
+	go func() { defer close(served); _ = listener.Serve() }()
 	t.Cleanup(func() {
-		f.Close()
+		listener.Close()
 		<-served
 	})
 	return func() net.Conn {
-		c, err := net.Dial("tcp", f.listeners[0].Addr().String())
+		c, err := net.Dial("tcp", listener.listeners[0].Addr().String())
 		require.NoError(t, err)
 		t.Cleanup(func() { _ = c.Close() })
 		require.NoError(t, c.SetDeadline(time.Now().Add(15*time.Second)))
@@ -60,8 +60,7 @@
 	}
 }
 
-// Guards against clients whose requests never end: whatever they ask for, they are answered and their connection
-// is closed.
+// Guards against clients that never complete a request: they must get a response and their connection must be closed.
 func TestUnfinishedRequestIsAnsweredAndClosed(t *testing.T) {
 	dial := serveListener(t, busyResponse, NewBodyLimits(1<<20, BodyRules{MaxBytes: 1 << 20, ClientStall: time.Minute}), protocol.HTTP)
 	for name, c := range map[string]struct {
@@ -83,13 +82,13 @@
 			require.NoError(t, err)
 			require.Equal(t, c.status, resp.StatusCode)
 			_, err = io.Copy(io.Discard, conn)
-			require.NoError(t, err, "the connection stays open")
+			require.NoError(t, err, "the connection must be closed")
 		})
 	}
 }
 
-// Guards against a final answer that waits for memory until its client has given up: who has less time than a request
-// may take to come is told sooner.
+// Guards against a final answer that is delayed by a wait for memory until the client has timed out: a client with a
+// short timeout must be rejected within it.
 func TestLackOfMemoryIsReportedWithinClientTimeout(t *testing.T) {
 	const deadline = 300 * time.Millisecond
 	bodies := NewBodyLimits(1<<20, BodyRules{MaxBytes: 1 << 20, ClientStall: time.Minute})
@@ -108,49 +107,49 @@
 	const head = " HTTP/1.1\r\nHost: x\r\nContent-Type: application/json\r\nContent-Length: 9\r\n"
 	left := fmt.Sprintf("X-Time-Left-Ms: %d\r\n", deadline.Milliseconds())
 	for name, request := range map[string]string{
-		"plain":             "POST /consult/x" + head + "X-Correlation-Id: 0123456789abcdef\r\n" + left,
-		"GraphQL, told":     "POST /graphql" + head + left,
-		"GraphQL, not told": "POST /graphql" + head,
+		"plain":                      "POST /consult/x" + head + "X-Correlation-Id: 0123456789abcdef\r\n" + left,
+		"GraphQL, timeout in header": "POST /graphql" + head + left,
+		"GraphQL, timeout of class":  "POST /graphql" + head,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			// On a busy machine it takes longer now and then, but not each time.
+			// On a busy machine a try may take longer, but not every one.
 			require.Eventually(t, func() bool {
-				conn, began := dial(), time.Now()
+				conn, startedAt := dial(), time.Now()
 				_, _ = io.WriteString(conn, request+"\r\n123456789")
 				resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
-				return err == nil && resp.StatusCode == http.StatusServiceUnavailable && time.Since(began) < requestTimeout/2
+				return err == nil && resp.StatusCode == http.StatusServiceUnavailable && time.Since(startedAt) < requestTimeout/2
 			}, 15*time.Second, time.Millisecond)
 		})
 	}
 }
 
-// Guards against a client's time that begins anew after a wait for memory on this side: it runs from the last byte that
-// came.
+// Guards against a client's time that starts anew after the agent has waited for memory: it must count from the last byte
+// received.
 func TestMemoryWaitCountsAgainstClientTimeout(t *testing.T) {
-	came := time.Now().Add(-time.Second)
-	c := &downstreamConn{state: connReading, stateSince: came, receivedAt: came, isHeaderRead: true}
+	receivedAt := time.Now().Add(-time.Second)
+	c := &downstreamConn{state: connReading, stateSince: receivedAt, receivedAt: receivedAt, isHeaderRead: true}
 	c.pauseReading()
-	require.False(t, c.isStalled(time.Now().Add(time.Minute)), "it is this side that waits")
+	require.False(t, c.isStalled(time.Now().Add(time.Minute)), "a request that waits for memory is not stalled by its client")
 	c.resumeReading()
 	require.False(t, c.isStalled(time.Now()))
 	require.True(t, c.isStalled(time.Now().Add(stallTimeout)))
-	require.Equal(t, came, c.requestComplete())
+	require.Equal(t, receivedAt, c.requestComplete())
 }
 
-// Guards against a body that waits for memory on this side and is given up as one that does not get on, where
-// descriptors are short: its client sends all that it is asked for.
+// Guards against the eviction of a request that waits for memory in this agent as if its client had stalled, while
+// descriptors are short: the client sends everything that is read.
 func TestBodyWaitingForMemoryIsNotEvicted(t *testing.T) {
 	bodies := NewBodyLimits(1<<20, BodyRules{MaxBytes: 1 << 20, ClientStall: time.Minute})
 	_, err := bodies.Memory.Reserve(t.Context(), bytebudget.Holder{Name: "s-0"}, 1<<20) // all of it
 	require.NoError(t, err)
 	dial := serveWithDescriptors(t, 64, busyResponse, bodies, protocol.HTTP)
-	conn, began := dial(), time.Now()
+	conn, startedAt := dial(), time.Now()
 	const size = 100_000
 	_, err = fmt.Fprintf(conn, "POST /consult/x HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: 0123456789abcdef\r\n"+
 		"X-Time-Left-Ms: 5000\r\nContent-Length: %d\r\n\r\n%s", size, strings.Repeat("x", size))
 	require.NoError(t, err)
-	// Others want a descriptor all the time; they are evicted in turn, as silent ones, unless it is.
+	// Other clients need descriptors all the time; these are to be evicted instead.
 	stop := make(chan struct{})
 	defer close(stop)
 	for range 80 {
@@ -160,7 +159,7 @@
 				if dialErr != nil {
 					return
 				}
-				_, _ = io.WriteString(c, "GET /consult/x HTTP/1.1\r\n") // does not get on either
+				_, _ = io.WriteString(c, "GET /consult/x HTTP/1.1\r\n") // makes no progress either
 				select {
 				case <-time.After(1500 * time.Millisecond):
 				case <-stop:
@@ -177,21 +176,21 @@
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	require.NoError(t, err)
 	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode)
-	require.Greater(t, time.Since(began), stallTimeout+stallTimeout/2, "it waited for longer than one may stand still")
+	require.Greater(t, time.Since(startedAt), stallTimeout+stallTimeout/2, "it must have waited longer than a request may be stalled")
 }
 
-// Guards against an answer that broke off and looks whole: one without a length ends as such in any version of HTTP.
+// Guards against a truncated response that looks complete: without a length, it must be an error in any HTTP version.
 func TestTruncatedResponseWithoutLengthIsAnError(t *testing.T) {
 	bodies := NewBodyLimits(1<<20, BodyRules{MaxBytes: 1 << 20, ClientStall: time.Minute})
 	dial := serveListener(t, func() protocol.Response {
 		grant, err := bodies.Memory.Reserve(context.Background(), bytebudget.Holder{Name: "s-0"}, bodystream.ChunkBytes)
 		require.NoError(t, err)
-		f := bodystream.New(-1, grant, bodystream.ChunkBytes)
-		_, err = f.WriteBuffer()
+		stream := bodystream.New(-1, grant, bodystream.ChunkBytes)
+		_, err = stream.WriteBuffer()
 		require.NoError(t, err)
-		f.Wrote(20_000) // more than the library holds back
-		f.CloseWrite(io.ErrUnexpectedEOF)
-		return protocol.Response{BodyStream: f, Streaming: true}
+		stream.Wrote(20_000) // more than net/http buffers
+		stream.CloseWrite(io.ErrUnexpectedEOF)
+		return protocol.Response{BodyStream: stream, Streaming: true}
 	}, bodies, protocol.HTTP)
 	for _, version := range []string{"1.0", "1.1"} {
 		conn := dial()
@@ -207,8 +206,8 @@
 	require.Eventually(t, func() bool { return bodies.Memory.Reserved() == 0 }, 15*time.Second, time.Millisecond)
 }
 
-// A body's end and the cut of its reading may meet. What has come whole is not ended by it: its connection reads
-// on, for the library to notice a client that leaves. What has not come whole ends at once.
+// A body may become complete when abandonBody is called. A complete body must not be cut off: its connection is read on,
+// so that net/http notices a client that disconnects. Reading an incomplete body must end at once.
 func TestAbandonBodyKeepsReadingAfterCompleteBody(t *testing.T) {
 	for _, sent := range []string{"hello", "hell"} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -240,15 +239,14 @@
 		_, err = io.WriteString(client, "GET")
 		require.NoError(t, err)
 		require.NoError(t, <-next)
-		c.responseDone() // from then on a read's time is up when it is
+		c.responseDone() // from then on a read deadline ends reads again
 		require.NoError(t, inner.SetReadDeadline(time.Now()))
 		_, err = c.Read(make([]byte, 9))
 		require.ErrorIs(t, err, os.ErrDeadlineExceeded)
 	}
 }
 
-// A connection that stands idle is ended while clients are sent away, but not where its next request has come:
-// the close would cross it.
+// A drain closes an idle connection, but not if its next request has already been received: the close would cross it.
 func TestIdleCloseKeepsConnectionWithInput(t *testing.T) {
 	for _, sent := range []string{"", "GET / HTTP/1.1\r\n\r\n"} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/transport/ops.go
+++ b/internal/transport/ops.go
@@ -16,8 +16,8 @@
 const (
 	// maxOpsCallers is the maximum number of connections to the operators' interface.
 	maxOpsCallers = 16
-	// OpsDescriptors is how many file descriptors are reserved for the operators' interface: for its callers, its
-	// listener and one connection that is being accepted.
+	// OpsDescriptors is how many file descriptors are reserved for the operators' interface: for its callers,
+	// its listener and one connection that is being accepted.
 	OpsDescriptors = maxOpsCallers + 2
 	// opsIOTimeout is how long a caller has to send its call, and to read the response.
 	opsIOTimeout = 2 * time.Second
--- a/internal/transport/ratelimitedlog.go
+++ b/internal/transport/ratelimitedlog.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// rateLimitedLog logs warnings that peers or clients can cause, at most one per second. Each line contains the
-// number of warnings skipped since the previous line.
+// rateLimitedLog logs warnings that peers or clients can cause, at most one per second. Each line contains
+// the number of warnings skipped since the previous line.
 type rateLimitedLog struct {
 	mu         sync.Mutex
 	lastLogged time.Time
--- a/internal/transport/responsewriter.go
+++ b/internal/transport/responsewriter.go
@@ -20,7 +20,7 @@
 func (f *Listener) writeResponse(
 	w http.ResponseWriter,
 	r *http.Request,
-	exchange protocol.Exchange,
+	x protocol.Exchange,
 	response protocol.Response,
 	requestMetrics *metrics.Request,
 ) {
@@ -32,7 +32,7 @@
 		writeTimeout: f.bodies.Rules().ClientStall,
 	}
 	out.extendDeadline()
-	err := exchange.Encode(out, response)
+	err := x.Encode(out, response)
 	if response.BodyStream != nil {
 		defer response.BodyStream.CloseRead()
 		if err == nil {
--- a/internal/transport/upload.go
+++ b/internal/transport/upload.go
@@ -25,7 +25,8 @@
 	uploadMemoryTimeout = 2 * time.Second
 )
 
-// errSlowBody means that a request's body was received too slowly, or not at all. Its text is sent to clients.
+// errSlowBody means that a request's body was received too slowly, or not at all. Its text is sent to
+// clients.
 var errSlowBody = errors.New("the body does not come")
 
 // pacedBody reads a request's body as long as the client makes progress in sending it: a stalled body is cut
--- a/internal/transport/upstream.go
+++ b/internal/transport/upstream.go
@@ -32,9 +32,9 @@
 	ErrInvalidResponse = errors.New("upstream server sent an invalid response")
 )
 
-// UpstreamConn is a connection to an upstream server. It carries one request at a time. A goroutine reads from
-// it until it ends, so that the end of an idle connection is noticed at once. Only one goroutine at a time may
-// call RoundTrip; all other methods may be called from any goroutine.
+// UpstreamConn is a connection to an upstream server. It carries one request at a time. A goroutine reads
+// from it until it ends, so that the end of an idle connection is noticed at once. Only one goroutine at a
+// time may call RoundTrip; all other methods may be called from any goroutine.
 type UpstreamConn struct {
 	conn      net.Conn
 	rawConn   syscall.RawConn
@@ -53,8 +53,8 @@
 	hasEnded bool             // the connection has ended while no request was in flight
 }
 
-// stickyErrorReader reads a connection, and keeps returning its first error. bufio reads again after an error in
-// the middle of a line, and the kernel reports a reset only once, then the end of the stream.
+// stickyErrorReader reads a connection, and keeps returning its first error. bufio reads again after an
+// error in the middle of a line, and the kernel reports a reset only once, then the end of the stream.
 type stickyErrorReader struct {
 	conn io.Reader
 	err  error
@@ -79,8 +79,8 @@
 	IsGraphQL bool
 	// OnWritten is called when the last byte has been written.
 	OnWritten func()
-	// OnResponseStart is called from the goroutine of RoundTrip when the response is not buffered to its end, but
-	// streamed. It must have the response's BodyStream closed, also if RoundTrip returns an error.
+	// OnResponseStart is called from the goroutine of RoundTrip when the response is not buffered to its end,
+	// but streamed. It must have the response's BodyStream closed, also if RoundTrip returns an error.
 	OnResponseStart func(protocol.UpstreamResponse)
 
 	ctx context.Context // context of RoundTrip
@@ -155,9 +155,9 @@
 }
 
 // RoundTrip writes a request and waits for the end of its response, or until ctx ends, which closes the
-// connection. After ErrStaleConnection and ErrNotWritten the request cannot have been executed. Unless reuse is
-// true, the connection is closed on return. The caller must close the response's BodyStream, unless
-// OnResponseStart was called.
+// connection. After ErrStaleConnection and ErrNotWritten the request cannot have been executed. Unless
+// reuse is true, the connection is closed on return. The caller must close the response's BodyStream,
+// unless OnResponseStart was called.
 func (u *UpstreamConn) RoundTrip(ctx context.Context, request UpstreamRequest) (
 	response protocol.UpstreamResponse, reuse bool, err error,
 ) {
@@ -221,13 +221,15 @@
 	}
 }
 
-// earlyResponseWait is how long after an early response the result of the write is waited for.
+// earlyResponseWait is how long resolveEarlyResponse waits for the result of the write.
 const earlyResponseWait = 20 * time.Millisecond
 
-// resolveEarlyResponse handles a response that arrived while its request was being written, and reports whether
-// the request was written completely, which may be known late. The response is not put back into the channel:
-// its end may be there already, and nothing would receive either.
-func (u *UpstreamConn) resolveEarlyResponse(request *UpstreamRequest, event responseEvent, wrote <-chan error) (
+// resolveEarlyResponse handles a response that arrived while its request was being written, and reports
+// whether the request was written completely, which may be known late. The response is not put back into
+// the channel: its end may be there already, and nothing would receive either.
+func (u *UpstreamConn) resolveEarlyResponse(request *UpstreamRequest, event responseEvent,
+	wrote <-chan error,
+) (
 	early *responseEvent, isWritten bool,
 ) {
 	timeout := time.NewTimer(earlyResponseWait)
@@ -249,7 +251,7 @@
 		event.BodyStream.CloseRead()
 		event = <-u.responses
 	}
-	if event.err == nil && event.Outcome == balancer.Rejected { // the one response that is valid before the request's end
+	if event.err == nil && event.Outcome == balancer.Rejected { // the only response valid this early
 		return &event, false
 	}
 	if event.BodyStream != nil {
--- a/internal/transport/upstream_crossings_test.go
+++ b/internal/transport/upstream_crossings_test.go
@@ -19,7 +19,7 @@
 	"dunestep/internal/protocol"
 )
 
-// tcpPair is a connection to a booking server by TCP, and the server's side of it.
+// tcpPair returns a TCP connection to an upstream server, and the server's side of it.
 func tcpPair(t *testing.T) (u *UpstreamConn, bodies *BodyLimits, server *net.TCPConn) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -36,7 +36,7 @@
 	return u, bodies, c.(*net.TCPConn)
 }
 
-// bounded ends what waits for what does not come.
+// testContext returns a context with a timeout, so that a test does not hang.
 func testContext(t *testing.T) context.Context {
 	ctx, cancel := context.WithTimeout(t.Context(), 15*time.Second)
 	t.Cleanup(cancel)
@@ -48,12 +48,12 @@
 	assert.NoError(t, c.Close())
 }
 
-// over waits until a connection without a step on it is known to have ended.
+// waitEnded waits until the agent has noticed that an idle connection has ended.
 func waitEnded(t *testing.T, u *UpstreamConn) {
 	select {
 	case <-u.Done():
 	case <-time.After(15 * time.Second):
-		require.Fail(t, "it does not end")
+		require.Fail(t, "the end of the connection was not noticed")
 	}
 }
 
@@ -61,17 +61,17 @@
 
 const headerWithoutLength = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
 
-// An answer that ends with its connection is whole where that ends in good order, and never where it is reset, after
-// however much of it. The reset comes when all that came before it has been read, so that it is the only thing that
-// the next look at the socket finds: nothing may look beside the read that tells of it.
+// A response that ends with its connection is complete if the connection is closed normally, and never if it is reset,
+// however much was received. The reset arrives when everything before it has been read, so that it is all that the next
+// read of the socket returns. No other read may consume it before the read that reports it.
 func TestResetDuringResponseWithoutLength(t *testing.T) {
 	const body = "0123456789"
-	for _, held := range []bool{true, false} {
-		for _, came := range []int{0, 1, len(body) / 2, len(body)} {
+	for _, isBuffered := range []bool{true, false} {
+		for _, received := range []int{0, 1, len(body) / 2, len(body)} {
 			for _, resets := range []bool{true, false} {
-				t.Run(fmt.Sprint("held whole ", held, ", after ", came, ", reset ", resets), func(t *testing.T) {
+				t.Run(fmt.Sprint("buffered ", isBuffered, ", bytes ", received, ", reset ", resets), func(t *testing.T) {
 					u, bodies, server := tcpPair(t)
-					wrote, taken := make(chan struct{}), make(chan error, 1)
+					written, bodyEnd := make(chan struct{}), make(chan error, 1)
 					end := func() {
 						if resets {
 							resetConn(t, server)
@@ -80,57 +80,57 @@
 						}
 					}
 					go func() {
-						defer close(wrote)
+						defer close(written)
 						_, _ = http.ReadRequest(bufio.NewReader(server))
-						_, _ = io.WriteString(server, headerWithoutLength+body[:came])
-						if !held && came > 0 {
-							return // the reset follows the taking
+						_, _ = io.WriteString(server, headerWithoutLength+body[:received])
+						if !isBuffered && received > 0 {
+							return // the reset follows once the body is consumed
 						}
-						for held && came > 0 && bodies.Memory.Reserved() == 0 { // the body's beginning has been reached
+						for isBuffered && received > 0 && bodies.Memory.Reserved() == 0 { // until the body is being read
 							time.Sleep(time.Millisecond)
 						}
 						end()
 					}()
-					s := getRequest
-					s.Streamed = !held
-					s.OnResponseStart = func(r protocol.UpstreamResponse) {
+					request := getRequest
+					request.Streamed = !isBuffered
+					request.OnResponseStart = func(response protocol.UpstreamResponse) {
 						go func() {
-							defer r.BodyStream.CloseRead()
-							for n := 0; n < came; {
-								b, err := r.BodyStream.ReadBuffer()
+							defer response.BodyStream.CloseRead()
+							for n := 0; n < received; {
+								b, err := response.BodyStream.ReadBuffer()
 								if err != nil {
 									break
 								}
 								n += len(b)
-								r.BodyStream.Consumed(len(b))
+								response.BodyStream.Consumed(len(b))
 							}
-							<-wrote
+							<-written
 							end()
-							_, err := r.BodyStream.ReadBuffer()
-							taken <- err
+							_, err := response.BodyStream.ReadBuffer()
+							bodyEnd <- err
 						}()
 					}
-					r, reuse, err := u.RoundTrip(testContext(t), s)
-					<-wrote
+					response, reuse, err := u.RoundTrip(testContext(t), request)
+					<-written
 					require.False(t, reuse)
 					if resets {
 						require.Error(t, err)
-						require.NotErrorIs(t, err, ErrNotWritten, "it may have run")
-						require.NotErrorIs(t, err, ErrStaleConnection, "it may have run")
+						require.NotErrorIs(t, err, ErrNotWritten, "the request may have been executed")
+						require.NotErrorIs(t, err, ErrStaleConnection, "the request may have been executed")
 					} else {
 						require.NoError(t, err)
 					}
-					if !held && came > 0 {
-						if end := <-taken; resets {
+					if !isBuffered && received > 0 {
+						if end := <-bodyEnd; resets {
 							require.Error(t, end)
-							require.NotErrorIs(t, end, io.EOF, "a reset is no end")
+							require.NotErrorIs(t, end, io.EOF, "a reset is not the end of the body")
 						} else {
 							require.ErrorIs(t, end, io.EOF)
 						}
 						return
 					}
-					if r.BodyStream != nil {
-						r.BodyStream.CloseRead()
+					if response.BodyStream != nil {
+						response.BodyStream.CloseRead()
 					}
 				})
 			}
@@ -138,8 +138,8 @@
 	}
 }
 
-// An answer with a length that came whole stands, whatever becomes of its connection; one of which a part is missing
-// is broken off, and not spoilt.
+// A response with a length that was received completely is valid, whatever happens to its connection. An incomplete one
+// is an error of the connection, not an invalid response.
 func TestResetDuringResponseWithLength(t *testing.T) {
 	const body = "0123456789"
 	text := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
@@ -164,31 +164,30 @@
 			require.NoError(t, err)
 			require.Equal(t, body, string(got))
 			r.BodyStream.CloseRead()
-			if reuse { // the reset was not seen yet
+			if reuse { // the reset was not noticed yet
 				waitEnded(t, u)
 				require.True(t, u.HasEnded())
 				_, _, err = u.RoundTrip(testContext(t), getRequest)
-				require.ErrorIs(t, err, ErrStaleConnection, "nothing was written on it")
+				require.ErrorIs(t, err, ErrStaleConnection, "nothing must be written to an ended connection")
 			}
 		})
 	}
 }
 
-// What comes on an idle connection before a step is written on it means that nothing is written: also where nobody
-// has been told yet, as the goroutine that waits on it has not got to it. Half a line, the connection's end and a
-// reset, which a look takes away.
+// If anything is received on an idle connection, no request may be written to it, even if the goroutine that reads the
+// connection has not noticed yet. The cases are half a line, the connection's end, and a reset, which a read consumes.
 func TestIdleConnectionEndsBeforeWrite(t *testing.T) {
 	for name, ends := range map[string]func(*testing.T, *net.TCPConn){
-		"in good order": func(_ *testing.T, c *net.TCPConn) { _ = c.Close() },
-		"by a reset":    resetConn,
-		"half a line":   func(_ *testing.T, c *net.TCPConn) { _, _ = io.WriteString(c, "HTTP/1.1 40") },
+		"normally":    func(_ *testing.T, c *net.TCPConn) { _ = c.Close() },
+		"by a reset":  resetConn,
+		"half a line": func(_ *testing.T, c *net.TCPConn) { _, _ = io.WriteString(c, "HTTP/1.1 40") },
 	} {
-		for _, told := range []bool{true, false} {
-			t.Run(fmt.Sprint(name, ", told ", told), func(t *testing.T) {
+		for _, isNoticed := range []bool{true, false} {
+			t.Run(fmt.Sprint(name, ", noticed ", isNoticed), func(t *testing.T) {
 				u, _, server := tcpPair(t)
 				ends(t, server)
 				waitEnded(t, u)
-				if !told { // as if the goroutine that waits had not said so yet
+				if !isNoticed { // as if the goroutine that reads had not noticed yet
 					u.mu.Lock()
 					u.hasEnded = false
 					u.mu.Unlock()
@@ -201,12 +200,13 @@
 	}
 }
 
-// A booking server resets its connection under a step: before the last byte is written it never ran, from then on it
-// may have. What is written is more than the sockets hold, and the server reads none of it.
+// An upstream server resets the connection during a request. The request was not executed if the reset occurs before its
+// last byte was written, and may have been executed afterwards. The request is longer than the socket buffers, and the
+// server reads only its first byte.
 func TestConnectionEndsDuringWrite(t *testing.T) {
 	u, _, server := tcpPair(t)
 	go func() {
-		_, _ = io.ReadFull(server, make([]byte, 1)) // it is being written
+		_, _ = io.ReadFull(server, make([]byte, 1)) // once it is being written
 		resetConn(t, server)
 	}()
 	_, reuse, err := u.RoundTrip(testContext(t), UpstreamRequest{Head: make([]byte, 32<<20)})
@@ -214,8 +214,8 @@
 	require.False(t, reuse)
 
 	for name, ends := range map[string]func(*testing.T, *net.TCPConn){
-		"in good order": func(_ *testing.T, c *net.TCPConn) { _ = c.Close() },
-		"by a reset":    resetConn,
+		"normally":   func(_ *testing.T, c *net.TCPConn) { _ = c.Close() },
+		"by a reset": resetConn,
 	} {
 		t.Run("after the last byte, "+name, func(t *testing.T) {
 			u, _, server := tcpPair(t)
@@ -227,52 +227,52 @@
 			require.Error(t, err)
 			require.False(t, reuse)
 			for _, never := range []error{ErrStaleConnection, ErrNotWritten, ErrInvalidResponse} {
-				require.NotErrorIs(t, err, never, "it may have run")
+				require.NotErrorIs(t, err, never, "the request may have been executed")
 			}
 		})
 	}
 }
 
-// A booking server's answer may be there before it is told that the step was written, which the machine may tell
-// late: a step that was written whole may have run, and is not taken for one that never did.
+// An upstream server's response may arrive before the write of its request returns, which may happen late. A request that
+// was written completely may have been executed, and must not be reported as not written.
 func TestEarlyResponseWithLateWriteResult(t *testing.T) {
 	u, _, _ := tcpPair(t)
 	wrote := make(chan error, 1)
 	rest := bodystream.New(-1, bytebudget.Grant{}, 0)
 	go func() {
-		_, _ = rest.ReadBuffer() // until it is given up, once the wait is over
+		_, _ = rest.ReadBuffer() // blocks until the stream is aborted after the wait
 		wrote <- nil
 	}()
-	first, whole := u.resolveEarlyResponse(&UpstreamRequest{Rest: rest}, responseEvent{UpstreamResponse: protocol.UpstreamResponse{Outcome: balancer.Served}}, wrote)
-	require.True(t, whole, "it may have run")
-	require.NoError(t, first.err)
-	require.True(t, first.Close, "its connection was given up")
+	early, isWritten := u.resolveEarlyResponse(&UpstreamRequest{Rest: rest}, responseEvent{UpstreamResponse: protocol.UpstreamResponse{Outcome: balancer.Served}}, wrote)
+	require.True(t, isWritten, "the request may have been executed")
+	require.NoError(t, early.err)
+	require.True(t, early.Close, "its connection must be closed")
 }
 
-// A booking server ends the connection while a long request is coming, or answers before it has it: it never ran, so
-// that whoever may send it again does, unless a part of it is gone. Only an answer that turns it away is believed.
+// An upstream server ends the connection during an upload, or responds before it has received everything. The request was
+// not executed, so that it may be retried if no part of it was discarded. Of early responses, only a rejection is used.
 func TestServerEndsConnectionDuringUpload(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer string
 		ends   bool
-		want   error // nil: the answer is taken
+		want   error // nil: the response is used
 	}{
-		"resets":                       {"", true, ErrNotWritten},
-		"serves and goes on":           {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", false, ErrInvalidResponse},
-		"serves and resets":            {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", true, ErrNotWritten},
-		"serves, no length, and ends":  {headerWithoutLength + "ok", true, ErrNotWritten},
-		"turns away":                   {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", false, nil},
-		"fails, which is not believed": {"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", false, ErrInvalidResponse},
+		"resets":                      {"", true, ErrNotWritten},
+		"serves, stays open":          {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", false, ErrInvalidResponse},
+		"serves and resets":           {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", true, ErrNotWritten},
+		"serves, no length, and ends": {headerWithoutLength + "ok", true, ErrNotWritten},
+		"rejects":                     {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", false, nil},
+		"fails, which is not used":    {"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", false, ErrInvalidResponse},
 	} {
 		t.Run(name, func(t *testing.T) {
 			u, bodies, server := tcpPair(t)
 			grant, err := bodies.Memory.Reserve(t.Context(), bytebudget.Holder{Name: "s-0"}, 4)
 			require.NoError(t, err)
 			rest := bodystream.New(4, grant, 4)
-			room, err := rest.WriteBuffer()
+			buffer, err := rest.WriteBuffer()
 			require.NoError(t, err)
-			copy(room, "ab")
-			rest.Wrote(2) // and no more comes
+			copy(buffer, "ab")
+			rest.Wrote(2) // the rest never arrives
 			ended := make(chan struct{})
 			go func() {
 				defer close(ended)
@@ -281,7 +281,7 @@
 				_, _ = io.ReadFull(r.Body, make([]byte, 2))
 				_, _ = io.WriteString(server, c.answer)
 				if c.ends {
-					if c.answer != "" { // once it is read
+					if c.answer != "" { // wait until it is read
 						for bodies.Memory.Reserved() < 5 {
 							time.Sleep(time.Millisecond)
 						}
@@ -291,7 +291,7 @@
 			}()
 			r, reuse, err := u.RoundTrip(testContext(t), UpstreamRequest{
 				Head: []byte("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n\r\n"),
-				Rest: rest, OnResponseStart: func(protocol.UpstreamResponse) { require.Fail(t, "begun") },
+				Rest: rest, OnResponseStart: func(protocol.UpstreamResponse) { require.Fail(t, "the response must not be started") },
 			})
 			<-ended
 			require.False(t, reuse)
--- a/internal/transport/upstream_test.go
+++ b/internal/transport/upstream_test.go
@@ -23,8 +23,8 @@
 	"dunestep/internal/protocol"
 )
 
-// scripted is a connection to a booking server that writes one text for each request that comes, and ends its
-// sending after the last one. It is a pair of sockets: fuzzing by TCP would use up the machine's ports.
+// scriptedServer returns a connection to an upstream server that writes one text for each request that it receives, and
+// closes its write side after the last one. It is a socket pair, since fuzzing over TCP would exhaust the machine's ports.
 func scriptedServer(t testing.TB, texts ...[]byte) net.Conn {
 	ours, server := socketPair(t)
 	done := make(chan struct{})
@@ -61,9 +61,9 @@
 	return ends[0], ends[1]
 }
 
-// oracle is the body that a whole read of the text gives, if it holds an answer that is whole; and whether its
+// expectedResponse returns the body of the response in text, whether that is a complete valid response, and whether its
 // connection stays open.
-func expectedResponse(text []byte, longest int) (body []byte, whole, stays bool) {
+func expectedResponse(text []byte, maxLength int) (body []byte, isComplete, staysOpen bool) {
 	r := bufio.NewReader(bytes.NewReader(text))
 	resp, err := http.ReadResponse(r, nil)
 	for err == nil && resp.StatusCode < 200 {
@@ -73,12 +73,12 @@
 		return nil, false, false
 	}
 	body, err = io.ReadAll(resp.Body)
-	return body, err == nil && resp.StatusCode == 200 && len(body) <= longest, err == nil && !resp.Close
+	return body, err == nil && resp.StatusCode == 200 && len(body) <= maxLength, err == nil && !resp.Close
 }
 
-// Whatever a server writes, and whether its answer is held whole or passed on: what is taken is the answer's own
-// bytes, whole only if it is; no more memory than granted; and on a connection that is used again, the next answer
-// is that of the next route step.
+// For any bytes that a server writes, buffered or streamed, the body delivered consists of the response's own bytes and is
+// complete only if the response is. No more memory than reserved is used. On a reused connection, the next response is
+// that to the next request.
 func FuzzAnswers(f *testing.F) {
 	head := "HTTP/1.1 200 OK\r\n"
 	long := strings.Repeat("0123456789", 900)
@@ -99,13 +99,13 @@
 		f.Add([]byte(s), uint16(100), true)
 		f.Add([]byte(s), uint16(60000), false)
 	}
-	const longest, held = 9000, 4000
+	const maxLength, maxBuffered = 9000, 4000
 	second := []byte(head + "Content-Length: 6\r\n\r\nsecond")
-	f.Fuzz(func(t *testing.T, text []byte, leaves uint16, atOnce bool) {
-		bodies := NewBodyLimits(1<<20, BodyRules{MaxBytes: longest, BufferedBytes: held, ClientStall: time.Second})
-		want, whole, stays := expectedResponse(text, longest)
+	f.Fuzz(func(t *testing.T, text []byte, readLimit uint16, isStreamed bool) {
+		bodies := NewBodyLimits(1<<20, BodyRules{MaxBytes: maxLength, BufferedBytes: maxBuffered, ClientStall: time.Second})
+		want, isComplete, staysOpen := expectedResponse(text, maxLength)
 		texts := [][]byte{text}
-		if stays {
+		if staysOpen {
 			texts = append(texts, second)
 		}
 		conn := scriptedServer(t, texts...)
@@ -114,53 +114,53 @@
 		u, err := newUpstream(conn, "s-0", bodies, func() {}, func(*UpstreamConn) {})
 		require.NoError(t, err)
 		defer u.Close()
-		var taken []byte
+		var got []byte
 		var end error
-		take := func(r protocol.UpstreamResponse) {
+		readBody := func(r protocol.UpstreamResponse) {
 			defer r.BodyStream.CloseRead()
-			for end == nil && len(taken) <= int(leaves) {
+			for end == nil && len(got) <= int(readLimit) {
 				var b []byte
 				if b, end = r.BodyStream.ReadBuffer(); end == nil {
 					require.LessOrEqual(t, bodies.Memory.Reserved(), int64(1<<20/maxBodyMemoryDivisor))
-					taken = append(taken, b...)
+					got = append(got, b...)
 					r.BodyStream.Consumed(len(b))
 				}
 			}
 		}
-		begun := false
+		isStarted := false
 		r, reuse, err := u.RoundTrip(ctx, UpstreamRequest{
-			Head: []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"), Streamed: atOnce,
-			OnResponseStart: func(r protocol.UpstreamResponse) { begun = true; take(r) },
+			Head: []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"), Streamed: isStreamed,
+			OnResponseStart: func(r protocol.UpstreamResponse) { isStarted = true; readBody(r) },
 		})
-		if !begun && r.BodyStream != nil {
-			take(r)
+		if !isStarted && r.BodyStream != nil {
+			readBody(r)
 		}
-		require.True(t, bytes.HasPrefix(want, taken), "%q is not of %q", taken, want)
+		require.True(t, bytes.HasPrefix(want, got), "%q is not a prefix of %q", got, want)
 		if errors.Is(end, io.EOF) {
-			require.True(t, whole)
-			require.Len(t, taken, len(want))
+			require.True(t, isComplete)
+			require.Len(t, got, len(want))
 		}
-		if err == nil && !begun && r.Outcome == balancer.Served {
-			require.True(t, whole)
+		if err == nil && !isStarted && r.Outcome == balancer.Served {
+			require.True(t, isComplete)
 		}
-		require.LessOrEqual(t, len(taken), longest)
+		require.LessOrEqual(t, len(got), maxLength)
 		if reuse {
-			taken, end, leaves = nil, nil, 60000
+			got, end, readLimit = nil, nil, 60000
 			r, _, err = u.RoundTrip(ctx, UpstreamRequest{Head: []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n")})
-			// What came late, after the answer, ended the connection before it was used again.
+			// Bytes that arrived after the response ended the connection before it was reused.
 			if !errors.Is(err, ErrStaleConnection) {
 				require.NoError(t, err)
-				take(r)
-				require.Equal(t, "second", string(taken))
+				readBody(r)
+				require.Equal(t, "second", string(got))
 			}
 		}
 		require.Zero(t, bodies.Memory.Reserved())
-		require.NoError(t, ctx.Err(), "waits for what has ended")
+		require.NoError(t, ctx.Err(), "RoundTrip must not wait after the response has ended")
 	})
 }
 
-// Guards against an answer that comes before its route step is written, where the writing then fails: the answer
-// is nobody's, and must not hold memory or a goroutine for good.
+// Guards against a leak: a response arrives before its request is written, and the write then fails. Nothing uses that
+// response, which must not hold memory or a goroutine permanently.
 func TestResponseBeforeRequestIsWritten(t *testing.T) {
 	long := strings.Repeat("0123456789", 20_000)
 	for name, text := range map[string]string{
@@ -175,7 +175,7 @@
 			t.Cleanup(func() { _ = server.Close() })
 			u, err := newUpstream(ours, "s-0", bodies, func() {}, func(*UpstreamConn) {})
 			require.NoError(t, err)
-			go func() { // answers once the first byte is there, and goes when the answer is read
+			go func() { // responds after the first byte, and closes when the response is being read
 				_, _ = io.ReadFull(server, make([]byte, 1))
 				go func() { _, _ = io.WriteString(server, text) }()
 				for bodies.Memory.Reserved() == 0 {
@@ -183,9 +183,9 @@
 				}
 				_ = server.Close()
 			}()
-			// More than the sockets hold, of which the server reads nothing.
+			// Longer than the socket buffers; the server reads only the first byte.
 			_, _, err = u.RoundTrip(t.Context(), UpstreamRequest{Head: make([]byte, 8<<20), OnResponseStart: func(protocol.UpstreamResponse) {
-				require.Fail(t, "begun")
+				require.Fail(t, "the response must not be started")
 			}})
 			require.ErrorIs(t, err, ErrNotWritten)
 			require.Eventually(t, func() bool { return bodies.Memory.Reserved() == 0 }, 10*time.Second, time.Millisecond)
@@ -193,8 +193,8 @@
 	}
 }
 
-// Guards against a client that leaves just when its answer's last bytes come: the connection is closed for it, and
-// must not carry the next route step by then.
+// Guards against a client that disconnects just when the last bytes of its response arrive: the connection is closed for
+// that, and must not be reused.
 func TestClientDisconnectsWithLastBytes(t *testing.T) {
 	body := strings.Repeat("0123456789", 1000)
 	head := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(body))
@@ -208,7 +208,7 @@
 			_, _ = http.ReadRequest(in)
 			_, _ = io.WriteString(server, head+body[:9990])
 		}()
-		step := UpstreamRequest{Head: []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"), OnResponseStart: func(r protocol.UpstreamResponse) {
+		request := UpstreamRequest{Head: []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"), OnResponseStart: func(r protocol.UpstreamResponse) {
 			for r.BodyStream.Progress().Received < 9990 {
 				runtime.Gosched()
 			}
@@ -217,13 +217,13 @@
 			for range i {
 				runtime.Gosched()
 			}
-			r.BodyStream.CloseRead() // the client leaves
+			r.BodyStream.CloseRead() // the client disconnects
 		}}
-		_, reuse, err := u.RoundTrip(t.Context(), step)
+		_, reuse, err := u.RoundTrip(t.Context(), request)
 		if reuse {
 			require.NoError(t, err)
 			time.Sleep(time.Millisecond)
-			require.NoError(t, u.conn.SetDeadline(time.Time{}), "closed by now")
+			require.NoError(t, u.conn.SetDeadline(time.Time{}), "a connection reported as reusable must stay open")
 		}
 		u.Close()
 		require.NoError(t, server.Close())
@@ -231,21 +231,21 @@
 	require.Eventually(t, func() bool { return bodies.Memory.Reserved() == 0 }, 10*time.Second, time.Millisecond)
 }
 
-// An answer may begin and end before it is told that its route step was written whole: both are still to be had.
+// A response may start and end before it is known that its request was written: both events must be received.
 func TestEarlyResponseStartAndEndAreReceived(t *testing.T) {
 	u := &UpstreamConn{responses: make(chan responseEvent, 1)}
-	u.responses <- responseEvent{} // its end
+	u.responses <- responseEvent{} // end of the response
 	wrote := make(chan error, 1)
 	wrote <- nil
 	ended := make(chan bool, 1)
 	go func() {
-		first, whole := u.resolveEarlyResponse(&UpstreamRequest{}, responseEvent{isStart: true}, wrote)
-		ended <- whole && first.isStart && !(<-u.responses).isStart
+		early, isWritten := u.resolveEarlyResponse(&UpstreamRequest{}, responseEvent{isStart: true}, wrote)
+		ended <- isWritten && early.isStart && !(<-u.responses).isStart
 	}()
 	select {
 	case right := <-ended:
 		require.True(t, right)
 	case <-time.After(15 * time.Second):
-		require.Fail(t, "the beginning waits behind the end")
+		require.Fail(t, "the start of the response is blocked by its end")
 	}
 }
--- a/internal/transport/upstreamresponse.go
+++ b/internal/transport/upstreamresponse.go
@@ -12,7 +12,8 @@
 	"dunestep/internal/protocol"
 )
 
-// maxResponseOverhead is the maximum number of bytes that are read for one response besides the body of a 200.
+// maxResponseOverhead is the maximum number of bytes that are read for one response besides the body of a
+// 200.
 const maxResponseOverhead = 80 << 10
 
 // readResponse reads a response. Its error distinguishes one that was cut off with its connection from an
@@ -21,7 +22,7 @@
 	u.limited.N = maxResponseOverhead
 	rules := u.bodies.Rules()
 	response, body, err := protocol.ReadUpstreamResponse(u.reader, rules.MaxBytes, request.IsGraphQL)
-	if err == nil && u.limited.N <= 0 && u.reader.Buffered() == 0 { // what ends at the limit may be cut off by it
+	if err == nil && u.limited.N <= 0 && u.reader.Buffered() == 0 { // the limit may have cut it off
 		err = ErrInvalidResponse
 	}
 	if err == nil && body.Reader != nil {
@@ -51,8 +52,8 @@
 // readBody reads the body of a response to its end, into memory that it first waits for. A short response is
 // buffered until it is complete. One that is longer than rules.BufferedBytes, or takes longer than
 // rules.MaxBuffering and is not known to be short, is started as a stream.
-func (u *UpstreamConn) readBody(request *UpstreamRequest, response *protocol.UpstreamResponse, body protocol.UnreadBody,
-	rules BodyRules,
+func (u *UpstreamConn) readBody(request *UpstreamRequest, response *protocol.UpstreamResponse,
+	body protocol.UnreadBody, rules BodyRules,
 ) error {
 	minBytes, maxBytes := u.bodies.memoryWindow(body.Length, rules)
 	waitedSince := time.Now()
@@ -72,7 +73,7 @@
 	}}
 	err = copyResponseBody(stream, body, rules, request.Streamed, &start)
 	isStarted := start.finish()
-	if err == nil || err == io.EOF { //nolint:errorlint // only the reader's own io.EOF means complete, not a wrapped one
+	if err == nil || err == io.EOF { //nolint:errorlint // a wrapped io.EOF does not mean complete
 		stream.CloseWrite(io.EOF)
 		return nil
 	}
@@ -115,9 +116,9 @@
 	return nil
 }
 
-// responseStart starts a response as a stream, once and not after its end. Otherwise the first bytes of a long
-// response that a server writes in small pieces would be delayed, and clients measure the time to the first
-// bytes.
+// responseStart starts a response as a stream, once and not after its end. Otherwise the first bytes of a
+// long response that a server writes in small pieces would be delayed, and clients measure the time to the
+// first bytes.
 type responseStart struct {
 	start func()
 
