--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -10,17 +10,17 @@
 	"dunestep/internal/balancer"
 )
 
-// maxInterned bounds how many strings a Decoder keeps.
+// maxInterned is the maximum number of strings that a Decoder stores.
 const maxInterned = 1 << 16
 
-// absent is the value of a load report's field that is not there.
+// absent is the value of a field that a load report does not contain.
 const absent = -1
 
 // Message is one decoded message; which fields are set depends on Kind. Times are in microseconds.
 type Message struct {
 	Kind          string
 	Agent         string
-	ID            uint32 // of the request
+	ID            uint32 // request id
 	WorkHint      int64
 	Key           string
 	Tenant        string
@@ -31,28 +31,28 @@
 	Server        string
 	Outcome       string // see ParseOutcome
 	Latency       int64
-	Complete      bool // the client has its final answer
+	Complete      bool // whether the client has its final answer
 	LoadReport    balancer.LoadReport
 	HasLoadReport bool
-	From          int // the sender's number
+	From          int // number of the sending agent
 	Data          []byte
 	Tag           uint64
 	Mode          string // see ParseUpdateKind
-	List          int    // a server list's number
+	List          int    // number of a server list
 	Servers       []balancer.Server
 	Seed          uint64
 	Settings      []byte // JSON
 }
 
-// Decoder decodes batches. Strings that come again are stored once.
+// Decoder decodes batches. It stores repeated strings only once.
 type Decoder struct{ interned map[string]string }
 
-// NewDecoder returns a Decoder that has seen no strings.
+// NewDecoder returns a Decoder without stored strings.
 func NewDecoder() *Decoder { return &Decoder{interned: map[string]string{}} }
 
 // DecodeBatch decodes a line and calls handle for each message in order, with the batch's time, which it also
-// returns. The Message is reused between the calls. An error of handle ends the batch and is returned as it
-// is.
+// returns. The Message is reused between calls. An error from handle ends the batch and is returned
+// unchanged.
 func (d *Decoder) DecodeBatch(
 	line []byte,
 	handle func(now time.Duration, m *Message) error,
@@ -113,9 +113,9 @@
 	return nil
 }
 
-// object decodes a JSON object, with field called for each of its fields that is not null. An unknown field
-// is skipped: field returns false for it.
-func object(l *jlexer.Lexer, field func(key string) bool) {
+// decodeObject decodes a JSON object. It calls field for each of the object's fields that is not null, and
+// skips the field's value if that returns false.
+func decodeObject(l *jlexer.Lexer, field func(key string) bool) {
 	l.Delim('{')
 	for !l.IsDelim('}') {
 		key := l.UnsafeFieldName(false)
@@ -131,12 +131,12 @@
 }
 
 func (d *Decoder) decodeMessage(l *jlexer.Lexer, m *Message) {
-	object(l, func(key string) bool {
+	decodeObject(l, func(key string) bool {
 		return d.decodeRequestField(l, key, m) || d.decodeAttemptField(l, key, m) || d.decodeOtherField(l, key, m)
 	})
 }
 
-// decodeRequestField decodes a field that requests have, and reports whether it did.
+// decodeRequestField decodes a field of requests, and reports whether key is one.
 func (d *Decoder) decodeRequestField(l *jlexer.Lexer, key string, m *Message) bool {
 	switch key {
 	case fieldKind:
@@ -150,7 +150,7 @@
 	case fieldKey:
 		m.Key = d.intern(l)
 	case fieldTenant:
-		m.Tenant = d.optionalName(l)
+		m.Tenant = d.decodeOptionalName(l)
 	case fieldClass:
 		m.Class = d.intern(l)
 	case fieldClientTimeout:
@@ -163,7 +163,7 @@
 	return true
 }
 
-// decodeAttemptField decodes a field of an attempt's or a probe's end, and reports whether it did.
+// decodeAttemptField decodes a field of a finished attempt or probe, and reports whether key is one.
 func (d *Decoder) decodeAttemptField(l *jlexer.Lexer, key string, m *Message) bool {
 	switch key {
 	case fieldAttempt:
@@ -184,13 +184,13 @@
 	return true
 }
 
-// decodeOtherField decodes a field of the other messages, and reports whether it did.
+// decodeOtherField decodes a field of other messages, and reports whether key is one.
 func (d *Decoder) decodeOtherField(l *jlexer.Lexer, key string, m *Message) bool {
 	switch key {
 	case fieldFrom:
 		m.From = l.Int()
 	case fieldData:
-		// Data that is not hexadecimal ends where it stops to be: the balancer ignores invalid messages.
+		// Data ends before its first invalid digit: the balancer ignores invalid messages.
 		m.Data, _ = hex.DecodeString(d.intern(l))
 	case fieldTag:
 		m.Tag = l.Uint64()
@@ -210,7 +210,7 @@
 	return true
 }
 
-// intern decodes a string.
+// intern decodes a string, and returns the stored copy of it if there is one.
 func (d *Decoder) intern(l *jlexer.Lexer) string {
 	b := l.UnsafeBytes()
 	if s, ok := d.interned[string(b)]; ok {
@@ -223,8 +223,8 @@
 	return s
 }
 
-// optionalName decodes a string in whose place the number 0 may stand, for none.
-func (d *Decoder) optionalName(l *jlexer.Lexer) string {
+// decodeOptionalName decodes a string, or the number 0 for none, which gives an empty string.
+func (d *Decoder) decodeOptionalName(l *jlexer.Lexer) string {
 	raw := l.Raw()
 	if len(raw) >= 2 && raw[0] == '"' {
 		sub := jlexer.Lexer{Data: raw}
@@ -262,7 +262,7 @@
 	l.Delim('[')
 	for !l.IsDelim(']') {
 		s := balancer.Server{Weight: 1}
-		object(l, func(key string) bool { return d.decodeServerField(l, key, &s) })
+		decodeObject(l, func(key string) bool { return d.decodeServerField(l, key, &s) })
 		l.WantComma()
 		servers = append(servers, s)
 	}
@@ -297,5 +297,5 @@
 	return true
 }
 
-// Micros converts from the protocol's unit of time.
+// Micros converts a time in microseconds, the protocol's unit.
 func Micros(v int64) time.Duration { return time.Duration(v) * time.Microsecond }
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -7,11 +7,11 @@
 	"dunestep/internal/balancer"
 )
 
-// AppendReplyStart appends the start of a reply to a batch: a line that holds the actions, with commas
-// between them.
+// AppendReplyStart appends the start of a reply to a batch. A reply is a line with actions, which the caller
+// separates by commas.
 func AppendReplyStart(b []byte) []byte { return append(b, `{"`+fieldActions+`":[`...) }
 
-// AppendReplyEnd appends its end, with the line feed.
+// AppendReplyEnd appends the end of a reply, including the line feed.
 func AppendReplyEnd(b []byte) []byte { return append(b, "]}\n"...) }
 
 // AppendAction appends one action of an agent.
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -18,9 +18,9 @@
 	"dunestep/internal/balancer"
 )
 
-var updateGolden = flag.Bool("update", false, "write testdata/golden/actions.txt anew")
+var updateGolden = flag.Bool("update", false, "rewrite testdata/golden/actions.txt")
 
-// dispositions, modes and availabilities are the wire's names by the values that they stand for.
+// dispositions, modes and availabilities are the names on the wire, indexed by the values that they encode.
 var (
 	dispositions = []string{
 		"served", "server_error", "turned_away", "no_answer", "no_connection", "connection_lost", "called_off", "not_sent",
@@ -29,7 +29,7 @@
 	availabilities = []string{"in_service", "terminating", "terminated"}
 )
 
-// A line in the making: the fields of one item, in order.
+// fields builds one item of a line from its fields, in order.
 type fields struct{ text []string }
 
 func (f *fields) add(name string, value any) {
@@ -40,7 +40,7 @@
 
 func quoted(s string) string { return string(AppendString(nil, s)) }
 
-// encoded is the item that a message was decoded from, by what was read.
+// encoded returns the item that a message was decoded from, rebuilt from the message.
 func encoded(m *Message) string {
 	var f fields
 	f.add("kind", quoted(m.Kind))
@@ -126,7 +126,7 @@
 	return "[" + strings.Join(all, ",") + "]"
 }
 
-// Each line of the file is a batch, in the order of fields that encoded has: one for each kind of message.
+// Each line of the file is a batch, with the fields in the order that encoded uses. Every kind of message occurs.
 func TestGoldenBatches(t *testing.T) {
 	file, err := os.ReadFile(filepath.Join("testdata", "golden", "batches.txt"))
 	require.NoError(t, err)
@@ -148,16 +148,16 @@
 			return nil
 		})
 		require.NoError(t, err, lines.Text())
-		again := fmt.Sprintf(`{"time":%d,"items":[%s]}`, now.Microseconds(), strings.Join(items, ","))
-		require.Equal(t, lines.Text(), again)
+		rebuilt := fmt.Sprintf(`{"time":%d,"items":[%s]}`, now.Microseconds(), strings.Join(items, ","))
+		require.Equal(t, lines.Text(), rebuilt)
 	}
 	require.NoError(t, lines.Err())
 	require.Len(t, kinds, 11)
 }
 
-// Each line of the file is an action as it is written.
+// Each line of the file is an encoded action.
 func TestGoldenActions(t *testing.T) {
-	var made bytes.Buffer
+	var output bytes.Buffer
 	for _, a := range []balancer.Action{
 		{Kind: balancer.Send, ID: 1, Server: "backend_abuevth", After: 80 * time.Millisecond},
 		{Kind: balancer.Send, ID: math.MaxUint32, Server: "a\"b\\c\td", After: time.Hour},
@@ -174,14 +174,14 @@
 		{Kind: balancer.Fetch},
 		{Kind: balancer.Log, Text: "two servers known"},
 	} {
-		made.Write(append(AppendAction(nil, "agent-3", &a), '\n'))
+		output.Write(append(AppendAction(nil, "agent-3", &a), '\n'))
 	}
-	made.Write(append(AppendFatal(nil, "agent-3", "no request classes"), '\n'))
+	output.Write(append(AppendFatal(nil, "agent-3", "no request classes"), '\n'))
 	path := filepath.Join("testdata", "golden", "actions.txt")
 	if *updateGolden {
-		require.NoError(t, os.WriteFile(path, made.Bytes(), 0o644))
+		require.NoError(t, os.WriteFile(path, output.Bytes(), 0o644))
 	}
 	want, err := os.ReadFile(path)
 	require.NoError(t, err)
-	require.Equal(t, string(want), made.String())
+	require.Equal(t, string(want), output.String())
 }
--- a/internal/wire/names.go
+++ b/internal/wire/names.go
@@ -8,9 +8,9 @@
 
 // The kinds of messages from the simulator. The names belong to the protocol and do not change.
 const (
-	KindServerList    = "POOL"         // a list that later ServerListUpdates refer to by number
+	KindServerList    = "POOL"         // a server list, to which later list updates refer by number
 	KindNewInstance   = "NEW_INSTANCE" // starts a balancer
-	KindKilled        = "KILLED"       // ends one
+	KindKilled        = "KILLED"       // stops one
 	KindRequest       = "REQUEST"
 	KindAttemptDone   = "DONE"
 	KindListUpdate    = "SYNC"
@@ -77,7 +77,7 @@
 	fieldStartedAt   = "startedAt"
 
 	stateDraining = "terminating"
-	stateGone     = "terminated" // any other name: ready
+	stateGone     = "terminated" // any other state: ready
 )
 
 // The fields of a load report.
@@ -98,8 +98,8 @@
 	fieldText       = "reasonText"
 )
 
-// ParseOutcome returns the outcome of that name; an unknown one counts as an error that may have been
-// processed.
+// ParseOutcome returns the outcome with the given name. An unknown name gives ServerError, after which the
+// request may have been processed.
 func ParseOutcome(name string) balancer.Outcome {
 	switch name {
 	case "served":
@@ -120,7 +120,7 @@
 	return balancer.ServerError
 }
 
-// ParseUpdateKind returns the kind of a server list's update by its mode.
+// ParseUpdateKind returns the kind of a server list update with the given mode. An unknown mode is an error.
 func ParseUpdateKind(mode string) (balancer.UpdateKind, error) {
 	switch mode {
 	case "INCREMENTAL":
@@ -135,7 +135,7 @@
 	return 0, fmt.Errorf("unknown mode %q of a server list update", mode)
 }
 
-// actionKind returns the protocol's name of an action.
+// actionKind returns the protocol's name of an action, or an empty string if there is none.
 func actionKind(k balancer.ActionKind) string {
 	switch k {
 	case balancer.Send:
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -8,7 +8,7 @@
 	"dunestep/internal/balancer"
 )
 
-func TestActionsAreStrict(t *testing.T) {
+func TestAppendActionIsValidJSON(t *testing.T) {
 	for _, c := range []struct {
 		a    balancer.Action
 		want string
