--- a/cmd/benchlink/host.go
+++ b/cmd/benchlink/host.go
@@ -11,15 +11,15 @@
 	"dunestep/internal/wire"
 )
 
-// host runs balancers by the messages of the simulator. It is not safe for concurrent use.
+// host runs balancers and passes the simulator's messages to them. It is not safe for concurrent use.
 type host struct {
 	decoder   *wire.Decoder
-	instances map[string]*overload.Controller // by agent
+	instances map[string]*overload.Controller // by agent id
 	lists     map[int][]balancer.Server
 	out       []byte // the reply
-	isEmpty   bool   // the reply has no action yet
+	isEmpty   bool   // whether the reply has no action yet
 
-	// Events are reused: a step does not keep them.
+	// Events are reused, since Step does not keep them.
 	request     balancer.Request
 	attemptDone balancer.AttemptDone
 	loadReport  balancer.LoadReport
@@ -62,22 +62,22 @@
 		return err
 	}
 	instance := h.instances[m.Agent]
-	if event == nil || instance == nil { // of a later version of the protocol; killed, or never started
+	if event == nil || instance == nil { // kind of a later protocol version; or killed or never started
 		return nil
 	}
 	for _, a := range instance.Step(now, event) {
-		h.separate()
+		h.appendSeparator()
 		h.out = wire.AppendAction(h.out, m.Agent, &a)
 	}
 	return nil
 }
 
-// start starts an instance in place of the agent's last one. One that cannot be started is reported in the
-// reply.
+// start starts an instance, which replaces the agent's previous one. If it cannot be started, the reply
+// reports that.
 func (h *host) start(m *wire.Message) {
 	instance, err := newInstance(m)
 	if err != nil {
-		h.separate()
+		h.appendSeparator()
 		h.out = wire.AppendFatal(h.out, m.Agent, err.Error())
 		delete(h.instances, m.Agent)
 		return
@@ -93,7 +93,7 @@
 	return overload.NewWithBalancer(s.Settings, overload.DefaultConfig(), m.Seed)
 }
 
-// event returns the balancer's event that a message stands for; nil: the protocol's kind is not known.
+// event returns the balancer's event for a message, or nil if the kind of message is unknown.
 func (h *host) event(m *wire.Message) (balancer.Event, error) {
 	switch m.Kind {
 	case wire.KindRequest:
@@ -127,7 +127,7 @@
 	return nil, nil
 }
 
-// report returns a message's load report; nil: it has none.
+// report returns a message's load report, or nil if it has none. It is valid until the next call.
 func (h *host) report(m *wire.Message) *balancer.LoadReport {
 	if !m.HasLoadReport {
 		return nil
@@ -136,7 +136,8 @@
 	return &h.loadReport
 }
 
-// listUpdate returns a server list's update with the list that the message names. A failed call names none.
+// listUpdate returns a server list update with the list that the message refers to. The update for a failed
+// call refers to none.
 func (h *host) listUpdate(m *wire.Message) (balancer.Event, error) {
 	kind, err := wire.ParseUpdateKind(m.Mode)
 	if err != nil {
@@ -147,13 +148,13 @@
 	}
 	servers, ok := h.lists[m.List]
 	if !ok {
-		return nil, fmt.Errorf("an update names server list %d, which is not known", m.List)
+		return nil, fmt.Errorf("list update refers to unknown server list %d", m.List)
 	}
 	return &balancer.ServerListUpdate{Kind: kind, Servers: servers}, nil
 }
 
-// separate puts a comma before each action but the first.
-func (h *host) separate() {
+// appendSeparator appends a comma before each action except the first.
+func (h *host) appendSeparator() {
 	if !h.isEmpty {
 		h.out = append(h.out, ',')
 	}
--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,6 +1,7 @@
-// Command benchlink runs balancers on the simulator's wire: one batch of messages a line on standard input,
-// one reply a line on standard output. It makes no decisions, and its balancers share nothing but the decoded
-// server lists. It runs until the end of its input; a line that it cannot handle ends it with exit code 1.
+// Command benchlink runs balancers for the simulator. It reads one batch of messages per line from standard
+// input, and writes one reply per line to standard output. It makes no decisions, and its balancers share
+// nothing but the decoded server lists. It runs until the end of its input; a line that it cannot handle ends
+// it with exit code 1.
 package main
 
 import (
@@ -14,9 +15,9 @@
 )
 
 const (
-	// gcPercent trades memory for speed: a simulation has few processes and much garbage.
+	// gcPercent trades memory for speed: a simulation runs few processes and produces much garbage.
 	gcPercent = 400
-	// inputBuffer is the length of the longest line, in bytes, that is not copied.
+	// inputBuffer is the length, in bytes, up to which a line is read without copying it.
 	inputBuffer = 1 << 20
 )
 
@@ -53,11 +54,11 @@
 // lineReader reads lines of any length.
 type lineReader struct {
 	in   *bufio.Reader
-	long []byte // a line longer than the reader's buffer
+	long []byte // copy of a line that is longer than the reader's buffer
 }
 
-// next returns the next line with its line feed, valid until the next call. The last line may come with
-// io.EOF.
+// next returns the next line with its line feed, valid until the next call. The last line may be returned
+// together with io.EOF.
 func (r *lineReader) next() ([]byte, error) {
 	line, err := r.in.ReadSlice('\n')
 	if !errors.Is(err, bufio.ErrBufferFull) {
--- a/cmd/benchlink/main_test.go
+++ b/cmd/benchlink/main_test.go
@@ -7,18 +7,18 @@
 	"testing"
 )
 
-const env = `{"balancers":2,"ordinal":0,"zone":"a","resolution":5000,"unheard":[1,{"x":2}],` +
+const settingsJSON = `{"balancers":2,"ordinal":0,"zone":"a","resolution":5000,"unheard":[1,{"x":2}],` +
 	`"categories":[{"name":"c","aim":400000,"deadline":1000000,"effect":"retryable","value":1}],` +
 	`"bounds":{"sendCap":3,"cancel":true,"mayTell":true,"probes":true,"retryAfter":true,"maxRetryAfter":900000},` +
 	`"rules":{"cold":8000000,"startCapacity":0.4,"fallMultiple":3,"fall":2000000},"discovery":"on_request"}`
 
-const newOne = `{"kind":"NEW_INSTANCE","agentId":"agent-1","prng":9,"env":` + env + `}`
+const newInstanceMessage = `{"kind":"NEW_INSTANCE","agentId":"agent-1","prng":9,"env":` + settingsJSON + `}`
 
 type reply struct {
 	Actions []map[string]any `json:"actions"`
 }
 
-func play(t *testing.T, lines ...string) ([]reply, error) {
+func runLines(t *testing.T, lines ...string) ([]reply, error) {
 	t.Helper()
 	var out bytes.Buffer
 	err := run(strings.NewReader(strings.Join(lines, "\n")+"\n"), &out)
@@ -38,12 +38,12 @@
 
 func batch(items ...string) string { return `{"time":1000,"items":[` + strings.Join(items, ",") + `]}` }
 
-func pool(sheet, id string) string {
+func serverList(sheet, id string) string {
 	return `{"kind":"POOL","sheet":` + sheet + `,"members":[{"backend":"` + id +
 		`","campus":"a","availability":"in_service","heft":1,"later":null}]}`
 }
 
-func sync(mode, sheet string) string {
+func listUpdate(mode, sheet string) string {
 	return `{"kind":"SYNC","agentId":"agent-1","mode":"` + mode + `","version":1,"sheet":` + sheet + `}`
 }
 
@@ -64,48 +64,48 @@
 	for _, c := range []struct {
 		name    string
 		lines   []string
-		kind    string // an action that the last reply must hold; empty: no action
+		kind    string // an action that the last reply must contain; empty: the reply must have no action
 		backend string
 	}{
 		{"an empty batch", []string{batch()}, "", ""},
-		{"a saved list makes it subscribe", []string{batch(newOne, pool("0", "s1"), sync("SAVED", "0"))}, "SUBSCRIBE", ""},
-		{"a list's number is taken over within the batch", []string{
-			batch(newOne, pool("0", "s1"), sync("SAVED", "0"), pool("0", "s2"), sync("FULL", "0"), request("7")),
+		{"a saved list causes a subscription", []string{batch(newInstanceMessage, serverList("0", "s1"), listUpdate("SAVED", "0"))}, "SUBSCRIBE", ""},
+		{"a list number is reused within a batch", []string{
+			batch(newInstanceMessage, serverList("0", "s1"), listUpdate("SAVED", "0"), serverList("0", "s2"), listUpdate("FULL", "0"), request("7")),
 		}, "HAND_OFF", "s2"},
-		{"a full list drops others", []string{
-			batch(newOne, pool("0", "s1"), sync("SAVED", "0")),
-			batch(pool("1", "s2"), sync("FULL", "1")), batch(request("7")),
+		{"a full list replaces the previous one", []string{
+			batch(newInstanceMessage, serverList("0", "s1"), listUpdate("SAVED", "0")),
+			batch(serverList("1", "s2"), listUpdate("FULL", "1")), batch(request("7")),
 		}, "HAND_OFF", "s2"},
-		{"a failed call keeps the list, whatever number it names", []string{
-			batch(newOne, pool("0", "s1"), sync("SAVED", "0")),
-			batch(sync("FAILED", "13")), batch(request("7")),
+		{"a failed call keeps the list, whatever number it refers to", []string{
+			batch(newInstanceMessage, serverList("0", "s1"), listUpdate("SAVED", "0")),
+			batch(listUpdate("FAILED", "13")), batch(request("7")),
 		}, "HAND_OFF", "s1"},
-		{"a change applies on top", []string{
-			batch(newOne, pool("0", "s1"), sync("SAVED", "0")),
+		{"an incremental update changes the list", []string{
+			batch(newInstanceMessage, serverList("0", "s1"), listUpdate("SAVED", "0")),
 			batch(`{"kind":"POOL","sheet":2,"members":[{"backend":"s1","campus":"a","availability":"terminating"}]}`,
-				sync("INCREMENTAL", "2")), batch(request("7")),
+				listUpdate("INCREMENTAL", "2")), batch(request("7")),
 		}, "REFUSE", ""},
 		{
 			"killed and restarted in one batch",
 			[]string{
-				batch(newOne, pool("0", "s1"), sync("SAVED", "0"), request("7")),
-				batch(`{"kind":"KILLED","agentId":"agent-1"}`, newOne, pool("0", "s3"), sync("SAVED", "0"), request("8")),
+				batch(newInstanceMessage, serverList("0", "s1"), listUpdate("SAVED", "0"), request("7")),
+				batch(`{"kind":"KILLED","agentId":"agent-1"}`, newInstanceMessage, serverList("0", "s3"), listUpdate("SAVED", "0"), request("8")),
 			},
 			"HAND_OFF", "s3",
 		},
-		{"a killed instance is not heard", []string{
-			batch(newOne, pool("0", "s1"), sync("SAVED", "0")),
+		{"requests to a killed instance are ignored", []string{
+			batch(newInstanceMessage, serverList("0", "s1"), listUpdate("SAVED", "0")),
 			batch(`{"kind":"KILLED","agentId":"agent-1"}`), batch(request("7")),
 		}, "", ""},
-		{"unknown events and fields are passed over", []string{
-			batch(newOne, pool("0", "s1"), sync("SAVED", "0")),
+		{"unknown kinds and fields are ignored", []string{
+			batch(newInstanceMessage, serverList("0", "s1"), listUpdate("SAVED", "0")),
 			batch(`{"kind":"LATER","agentId":"agent-1","deep":{"a":[1,2,{}]}}`),
 		}, "", ""},
-		{"settings that cannot be served", []string{
+		{"invalid settings", []string{
 			batch(`{"kind":"NEW_INSTANCE","agentId":"agent-1","prng":1,"env":{"balancers":1,"categories":[]}}`),
 		}, "FATAL", ""},
 	} {
-		rs, err := play(t, c.lines...)
+		rs, err := runLines(t, c.lines...)
 		if err != nil || len(rs) != len(c.lines) {
 			t.Errorf("%s: %d replies, %v", c.name, len(rs), err)
 			continue
@@ -124,7 +124,7 @@
 	}
 }
 
-func TestEveryOutcomeIsAnswered(t *testing.T) {
+func TestEveryOutcomeGetsReply(t *testing.T) {
 	for _, o := range []string{
 		"served", "server_error", "turned_away", "no_answer", "no_connection", "connection_lost",
 		"called_off", "not_sent", "a_later_one",
@@ -133,29 +133,29 @@
 		if o == "served" {
 			complete = `,"complete":true`
 		}
-		rs, err := play(t, batch(newOne, pool("0", "s1"), sync("SAVED", "0"), request("7")),
+		rs, err := runLines(t, batch(newInstanceMessage, serverList("0", "s1"), listUpdate("SAVED", "0"), request("7")),
 			batch(`{"kind":"DONE","agentId":"agent-1","call":7,"go":0,"backend":"s1","disposition":"`+o+
 				`","latency":900,"stats":{"rif":3.5,"new":1}`+complete+`}`))
 		if err != nil {
 			t.Fatal(err)
 		}
-		// the only server has been tried: what is not served ends with a refusal, the class being safe
+		// the class is idempotent and the only server has been tried: if not served, the request is rejected
 		if answered := action(rs[1], "REFUSE") != nil; answered != (o != "served") {
 			t.Errorf("%s: %v", o, rs[1].Actions)
 		}
 	}
 }
 
-func TestBadInputEndsWithTheLine(t *testing.T) {
+func TestInvalidLineIsAnError(t *testing.T) {
 	for _, c := range []struct{ name, line, want string }{
 		{"not JSON", `nonsense`, "line 2"},
 		{"not a batch", `{"a":1}`, "line 2"},
-		{"an unknown list", batch(sync("FULL", "5")), "list 5"},
-		{"an unknown mode", batch(sync("ODD", "0")), "ODD"},
+		{"an unknown list", batch(listUpdate("FULL", "5")), "list 5"},
+		{"an unknown mode", batch(listUpdate("ODD", "0")), "ODD"},
 		{"cut short", `{"time":5,"items":[{"kind":"TIMER"`, "line 2"},
 		{"no kind", batch(`{"agentId":"agent-1"}`), "kind"},
 	} {
-		rs, err := play(t, batch(newOne, pool("0", "s1"), sync("SAVED", "0")), c.line)
+		rs, err := runLines(t, batch(newInstanceMessage, serverList("0", "s1"), listUpdate("SAVED", "0")), c.line)
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: error %v", c.name, err)
 		}
