--- a/cmd/dunestep/answers_test.go
+++ b/cmd/dunestep/answers_test.go
@@ -26,9 +26,9 @@
 const heldWhole = 64 << 10
 
 // small is a machine with little memory for bodies: 1 MiB, ten answers at once at the most.
-func small(w *world) {
+func small(w *testbed) {
 	w.config["limits"].(object)["memory_mb"] = 8
-	w.operator = "[answers]\nwhole_kb = 64\nhold_ms = 10000\n"
+	w.operatorFile = "[answers]\nwhole_kb = 64\nhold_ms = 10000\n"
 }
 
 // long is a body of n bytes that differs from all others, and at every place from itself.
@@ -40,7 +40,7 @@
 	return b.String()[:n]
 }
 
-func idOf(s step) string { return s.Header.Get("X-Correlation-Id") }
+func idOf(s upstreamAttempt) string { return s.Header.Get("X-Correlation-Id") }
 
 // heads is the two forms of an answer: its head, and how a part of the body is written.
 var forms = map[string]struct {
@@ -85,25 +85,25 @@
 }
 
 // take sends a request on a connection of its own and reads what comes of the answer.
-func (w *world) take(class string, leftMS int) (id string, g got) {
+func (w *testbed) take(class string, leftMS int) (id string, g got) {
 	r := w.request(class, leftMS)
 	r.Close = true
 	resp, err := http.DefaultTransport.RoundTrip(r)
 	if err != nil {
-		return idOf(step{Request: r}), got{err: err}
+		return idOf(upstreamAttempt{Request: r}), got{err: err}
 	}
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
-	return idOf(step{Request: r}), got{resp.StatusCode, string(body), err}
+	return idOf(upstreamAttempt{Request: r}), got{resp.StatusCode, string(body), err}
 }
 
 // served checks that requests are served, by whole answers that begin before they are whole.
-func (w *world) served(class string) {
+func (w *testbed) served(class string) {
 	w.t.Helper()
 	for _, s := range w.servers {
-		s.perform(nil)
+		s.setScript(nil)
 	}
-	w.each(func(s step) string { return reply("200 OK", long(400_000, idOf(s))) })
+	w.answerAll(func(s upstreamAttempt) string { return reply("200 OK", long(400_000, idOf(s))) })
 	for n := 0; n < 3; {
 		id, g := w.take(class, 30000)
 		if g.status == 503 && g.err == nil { // what came before has shaken the module's trust
@@ -118,8 +118,8 @@
 // Healthy servers are not asked again and again for an answer that each of them gave, only
 // because it is long; and it takes no more memory than there is.
 func TestLongAnswers(t *testing.T) {
-	w := start(t, 2, (*world).patient, small)
-	w.each(func(s step) string {
+	w := start(t, 2, (*testbed).useLongTimeouts, small)
+	w.answerAll(func(s upstreamAttempt) string {
 		f := forms["by length"]
 		if s.Method == http.MethodPost {
 			f = forms["by chunks"]
@@ -136,7 +136,7 @@
 		})
 	}
 	wait.Wait()
-	require.Equal(t, 60, w.seen())
+	require.Equal(t, 60, w.attemptCount())
 }
 
 // The server breaks off: up to what is held whole, the class says whether it is asked again; beyond it, the
@@ -149,22 +149,22 @@
 			t.Run(fmt.Sprint(name, " at ", at), func(t *testing.T) {
 				w := start(t, 2, small)
 				for _, class := range []string{"consult", "rezervare"} {
-					before := w.seen()
-					w.first(func(s step) string {
+					before := w.attemptCount()
+					w.answerFirst(func(s upstreamAttempt) string {
 						return f.head(size) + f.part(long(size, idOf(s))[:at]) + hangUp
 					}, ok)
 					id, g := w.take(class, 900)
 					switch {
 					case at > heldWhole:
 						g.broken(t, long(size, id)[:at], heldWhole)
-						require.Equal(t, 1, w.seen()-before)
+						require.Equal(t, 1, w.attemptCount()-before)
 					case class == "consult":
 						require.Equal(t, 200, g.status)
 						require.Contains(t, g.body, id+" s-")
-						require.Equal(t, 2, w.seen()-before)
+						require.Equal(t, 2, w.attemptCount()-before)
 					default:
 						require.Equal(t, 502, g.status)
-						require.Equal(t, 1, w.seen()-before)
+						require.Equal(t, 1, w.attemptCount()-before)
 					}
 				}
 				w.served("rezervare")
@@ -179,13 +179,13 @@
 	t.Parallel()
 	for name, f := range forms {
 		t.Run(name, func(t *testing.T) {
-			w := start(t, 1, (*world).patient, small)
+			w := start(t, 1, (*testbed).useLongTimeouts, small)
 			const size = 400_000
 			for _, at := range []int{heldWhole - 1, heldWhole, heldWhole + 1, size - 1} {
 				for range 4 {
-					before := w.seen()
+					before := w.attemptCount()
 					wrote, hungUp := make(chan struct{}), make(chan struct{})
-					w.servers[0].perform(func(s step, c net.Conn) bool {
+					w.servers[0].setScript(func(s upstreamAttempt, c net.Conn) bool {
 						_, _ = io.WriteString(c, f.head(size)+f.part(long(size, idOf(s))[:at]))
 						close(wrote)
 						if at <= heldWhole { // it is whole in time, and nobody has it any more
@@ -196,7 +196,7 @@
 						return err == nil
 					})
 					r := w.request("consult", 30000)
-					c := w.raw("GET /consult HTTP/1.1\r\nHost: x\r\nX-Time-Left-Ms: 30000\r\nX-Correlation-Id: " + idOf(step{Request: r}) +
+					c := w.sendRaw("GET /consult HTTP/1.1\r\nHost: x\r\nX-Time-Left-Ms: 30000\r\nX-Correlation-Id: " + idOf(upstreamAttempt{Request: r}) +
 						"\r\n\r\n")
 					await(t, wrote)
 					if at > heldWhole { // it has begun
@@ -205,8 +205,8 @@
 					}
 					require.NoError(t, c.Close())
 					close(hungUp)
-					w.until("the server's connection is closed", func() bool { return w.servers[0].open() == 0 })
-					require.Equal(t, 1, w.seen()-before)
+					w.until("the server's connection is closed", func() bool { return w.servers[0].openCount() == 0 })
+					require.Equal(t, 1, w.attemptCount()-before)
 				}
 			}
 			w.served("rezervare")
@@ -218,10 +218,10 @@
 // Whatever the ends and however they cross, on connections that are used again: what a client gets is its own
 // answer or a beginning of it, and it can tell which; and nothing stays held.
 func TestEndsThatCross(t *testing.T) {
-	w := start(t, 3, small, func(w *world) { w.config["limits"].(object)["cores"] = 8 })
+	w := start(t, 3, small, func(w *testbed) { w.config["limits"].(object)["cores"] = 8 })
 	names := []string{"by length", "by chunks"}
 	for _, s := range w.servers {
-		s.perform(func(s step, c net.Conn) bool {
+		s.setScript(func(s upstreamAttempt, c net.Conn) bool {
 			size, f := 1+rand.IntN(300_000), forms[names[rand.IntN(2)]]
 			body := long(size, idOf(s))
 			text := f.head(size) + f.part(body) + f.last
@@ -262,7 +262,7 @@
 					broken.Add(1)
 				}
 				_ = resp.Body.Close()
-				if resp.StatusCode == 200 && !strings.HasPrefix(long(300_000, idOf(step{Request: r})), string(body)) {
+				if resp.StatusCode == 200 && !strings.HasPrefix(long(300_000, idOf(upstreamAttempt{Request: r})), string(body)) {
 					t.Error("bytes that are another's")
 				}
 			}
@@ -283,7 +283,7 @@
 	var n atomic.Int32
 	inTime, second := 0, 0
 	for _, s := range w.servers {
-		s.perform(func(s step, c net.Conn) bool {
+		s.setScript(func(s upstreamAttempt, c net.Conn) bool {
 			if n.Add(1)%2 == 0 {
 				_, err := io.WriteString(c, ok(s))
 				return err == nil
@@ -312,12 +312,12 @@
 
 // A class that the settings mark as streamed is passed on from its first byte on.
 func TestStreamedClass(t *testing.T) {
-	w := start(t, 1, (*world).patient, func(w *world) {
+	w := start(t, 1, (*testbed).useLongTimeouts, func(w *testbed) {
 		w.config["settings"].(object)["categories"].([]object)[0]["stream"] = true
 	})
 	for name, f := range forms {
 		seen := make(chan struct{})
-		w.servers[0].perform(func(s step, c net.Conn) bool {
+		w.servers[0].setScript(func(s upstreamAttempt, c net.Conn) bool {
 			_, _ = io.WriteString(c, f.head(5)+f.part("one"))
 			<-seen
 			_, err := io.WriteString(c, f.part("23")+f.last)
@@ -340,7 +340,7 @@
 func (s *server) pausing(size, at int) (there, goOn chan struct{}) {
 	there, goOn = make(chan struct{}), make(chan struct{})
 	arrive := sync.OnceFunc(func() { close(there) })
-	s.perform(func(s step, c net.Conn) bool {
+	s.setScript(func(s upstreamAttempt, c net.Conn) bool {
 		if s.Method == http.MethodGet {
 			_, err := io.WriteString(c, ok(s))
 			return err == nil
@@ -359,7 +359,7 @@
 // passed on to its end.
 func TestChangesDuringAnAnswer(t *testing.T) {
 	const size = 400_000
-	w := start(t, 2, (*world).patient, small)
+	w := start(t, 2, (*testbed).useLongTimeouts, small)
 	w.until("watch", func() bool { return w.discovery.watched() == 1 })
 	taken := make(chan got, 1)
 	var id string
@@ -375,15 +375,15 @@
 		list(43, false, w.servers[0].entry("left"), w.servers[1].entry("left"), newServer(t, "s-2").entry("active")),
 	} {
 		there, goOn := w.servers[0].pausing(size, heldWhole+1)
-		w.servers[1].perform(w.servers[0].script)
+		w.servers[1].setScript(w.servers[0].script)
 		begin()
 		await(t, there)
 		w.discovery.say(change)
 		w.until("told", func() bool {
 			if version == 0 {
-				return w.ask("consult").status == 503 // nobody takes anything new
+				return w.send("consult").status == 503 // nobody takes anything new
 			}
-			return w.ask("consult").status == 200
+			return w.send("consult").status == 200
 		})
 		close(goOn)
 		await(t, taken).is(t, got{200, long(size, id), nil})
@@ -391,9 +391,9 @@
 			w.discovery.say(list(42, false, w.servers[0].entry("active"), w.servers[1].entry("active")))
 			w.until("back", func() bool {
 				for _, s := range w.servers {
-					s.perform(nil)
+					s.setScript(nil)
 				}
-				return w.ask("consult").status == 200
+				return w.send("consult").status == 200
 			})
 		}
 	}
@@ -405,7 +405,7 @@
 	const size = 400_000
 	for name, ends := range map[string]bool{"that ends": true, "without end": false} {
 		t.Run(name, func(t *testing.T) {
-			w := start(t, 1, (*world).patient, small)
+			w := start(t, 1, (*testbed).useLongTimeouts, small)
 			there, goOn := w.servers[0].pausing(size, heldWhole+1)
 			taken := make(chan got, 1)
 			var id string
@@ -416,7 +416,7 @@
 			}()
 			await(t, there)
 			require.NoError(t, w.process.Process.Signal(syscall.SIGTERM))
-			w.until("no longer ready", func() bool { return w.health() == 503 })
+			w.until("no longer ready", func() bool { return w.readyStatus() == 503 })
 			if ends {
 				close(goOn)
 				await(t, taken).is(t, got{200, long(size, id), nil})
@@ -425,7 +425,7 @@
 				g := await(t, taken)
 				g.broken(t, long(size, id)[:heldWhole+1], heldWhole)
 			}
-			require.Zero(t, w.quit())
+			require.Zero(t, w.stop())
 			require.Equal(t, !ends, strings.Contains(w.log.String(), "drain deadline reached"))
 		})
 	}
@@ -434,7 +434,7 @@
 // An answer that stands still past its time is broken off: its endpoint will not go on.
 func TestTimeOfAnAnswer(t *testing.T) {
 	const size = 3_000_000
-	w := start(t, 1, small, (*world).patient)
+	w := start(t, 1, small, (*testbed).useLongTimeouts)
 	_, goOn := w.servers[0].pausing(size, heldWhole+1)
 	began := time.Now()
 	id, g := w.take("rezervare", 1000)
@@ -442,14 +442,14 @@
 	require.Greater(t, time.Since(began), time.Second)
 	require.Less(t, time.Since(began), 10*time.Second)
 	close(goOn)
-	w.until("given up by closing", func() bool { return w.servers[0].open() == 0 })
+	w.until("given up by closing", func() bool { return w.servers[0].openCount() == 0 })
 }
 
 // A short answer that has begun to be passed on, as the operator has less held whole, and then stands still is
 // broken off at its time: half a second later it would be lost to its client.
 func TestTimeOfAShortAnswer(t *testing.T) {
 	const size, came = 5000, 3000
-	w := start(t, 1, (*world).patient, func(w *world) { w.operator = "[answers]\nwhole_kb = 1\n" })
+	w := start(t, 1, (*testbed).useLongTimeouts, func(w *testbed) { w.operatorFile = "[answers]\nwhole_kb = 1\n" })
 	_, goOn := w.servers[0].pausing(size, came)
 	began := time.Now()
 	id, g := w.take("rezervare", 500)
@@ -467,8 +467,8 @@
 	const size, piece = 300_000, 10_000
 	for name, f := range forms {
 		t.Run(name, func(t *testing.T) {
-			w := start(t, 1, (*world).patient)
-			w.servers[0].perform(func(s step, c net.Conn) bool {
+			w := start(t, 1, (*testbed).useLongTimeouts)
+			w.servers[0].setScript(func(s upstreamAttempt, c net.Conn) bool {
 				text := long(size, idOf(s))
 				if _, err := io.WriteString(c, f.head(size)); err != nil {
 					return false
@@ -489,8 +489,8 @@
 }
 
 // inChunks is an answer of size bytes in many chunks.
-func inChunks(size int) func(step) string {
-	return func(s step) string {
+func inChunks(size int) func(upstreamAttempt) string {
+	return func(s upstreamAttempt) string {
 		f, text := forms["by chunks"], long(size, idOf(s))
 		var b strings.Builder
 		b.WriteString(f.head(0))
@@ -505,28 +505,28 @@
 
 // An answer without length that grows past the bound is broken off when it does.
 func TestAnswerGrowsPastTheBound(t *testing.T) {
-	w := start(t, 1, (*world).patient, small, func(w *world) { w.operator += "longest_kb = 4096\n" })
-	w.each(inChunks(4<<20 + 1))
+	w := start(t, 1, (*testbed).useLongTimeouts, small, func(w *testbed) { w.operatorFile += "longest_kb = 4096\n" })
+	w.answerAll(inChunks(4<<20 + 1))
 	id, g := w.take("rezervare", 30000)
 	g.broken(t, long(4<<20, id), heldWhole)
-	w.until("given up by closing", func() bool { return w.servers[0].open() == 0 })
-	require.Equal(t, 1, w.seen())
+	w.until("given up by closing", func() bool { return w.servers[0].openCount() == 0 })
+	require.Equal(t, 1, w.attemptCount())
 }
 
 // An operator may set the bound, while the agent runs. A file that can't be used changes nothing.
 func TestBoundOfAnswers(t *testing.T) {
-	w := start(t, 1, (*world).patient, small)
-	w.each(inChunks(4 << 20))
+	w := start(t, 1, (*testbed).useLongTimeouts, small)
+	w.answerAll(inChunks(4 << 20))
 	id, g := w.take("rezervare", 30000)
 	g.is(t, got{200, long(4<<20, id), nil})
 	reload := func(operator, log string) {
-		w.operator = operator
+		w.operatorFile = operator
 		w.configure()
 		before := strings.Count(w.log.String(), log)
 		require.NoError(t, w.process.Process.Signal(syscall.SIGHUP))
 		w.until(log, func() bool { return strings.Count(w.log.String(), log) > before })
 	}
-	w.each(func(s step) string { return reply("200 OK", long(64<<10+1, idOf(s))) })
+	w.answerAll(func(s upstreamAttempt) string { return reply("200 OK", long(64<<10+1, idOf(s))) })
 	reload("[answers]\nlongest_kb = 64\nstall = 1\nlag_ms = -1\n", "toml:4:1: answers.lag_ms: must be")
 	require.Contains(t, w.log.String(), "toml:3:1: answers.stall: unknown key")
 	_, g = w.take("rezervare", 30000)
@@ -537,7 +537,7 @@
 }
 
 // crawl asks for an answer and takes a byte of it now and then, until stop is closed.
-func (w *world) crawl(r *http.Request, stop <-chan struct{}) {
+func (w *testbed) crawl(r *http.Request, stop <-chan struct{}) {
 	c, err := net.Dial("tcp", w.addr)
 	if err != nil {
 		w.t.Error(err)
@@ -560,12 +560,12 @@
 // are cut off, and another client is served meanwhile.
 func TestClientsThatCrawl(t *testing.T) {
 	const size = 1_000_000
-	w := start(t, 1, (*world).patient, func(w *world) {
+	w := start(t, 1, (*testbed).useLongTimeouts, func(w *testbed) {
 		w.config["limits"].(object)["memory_mb"] = 32
-		w.operator = "[answers]\nstall_ms = 1000\nlag_ms = 200\n"
+		w.operatorFile = "[answers]\nstall_ms = 1000\nlag_ms = 200\n"
 	})
 	var held atomic.Int32
-	w.servers[0].perform(func(s step, c net.Conn) bool {
+	w.servers[0].setScript(func(s upstreamAttempt, c net.Conn) bool {
 		if s.Method == http.MethodPost {
 			_, err := io.WriteString(c, reply("200 OK", long(400_000, idOf(s))))
 			return err == nil
@@ -596,12 +596,12 @@
 // The server is read no faster than the client takes its answer and memory allows, and gets on when it does.
 func TestServerIsReadNoFaster(t *testing.T) {
 	const size = 4_000_000
-	w := start(t, 1, (*world).patient, func(w *world) {
+	w := start(t, 1, (*testbed).useLongTimeouts, func(w *testbed) {
 		w.config["limits"].(object)["memory_mb"] = 8
-		w.operator = "[answers]\nstall_ms = 60000\nlag_ms = 60000\n"
+		w.operatorFile = "[answers]\nstall_ms = 60000\nlag_ms = 60000\n"
 	})
 	var wrote atomic.Int64
-	w.servers[0].perform(func(s step, c net.Conn) bool {
+	w.servers[0].setScript(func(s upstreamAttempt, c net.Conn) bool {
 		_ = c.(*net.TCPConn).SetWriteBuffer(64 << 10)
 		for text := reply("200 OK", long(size, idOf(s))); len(text) > 0; {
 			n, err := io.WriteString(c, text[:min(len(text), 10_000)])
@@ -630,14 +630,14 @@
 	require.NoError(t, err)
 	body, err := io.ReadAll(resp.Body)
 	require.NoError(t, err)
-	require.Equal(t, long(size, idOf(step{Request: r})), string(body))
+	require.Equal(t, long(size, idOf(upstreamAttempt{Request: r})), string(body))
 }
 
 // memory is the program's peak and present memory, in KiB.
-func (w *world) memory() (peak, now int) { return w.status("VmHWM"), w.status("VmRSS") }
+func (w *testbed) memory() (peak, now int) { return w.status("VmHWM"), w.status("VmRSS") }
 
 // status is a figure of the process, in kB; zero once it has ended.
-func (w *world) status(name string) (kB int) {
+func (w *testbed) status(name string) (kB int) {
 	raw, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", w.process.Process.Pid))
 	if m := regexp.MustCompile(name + `:\s+(\d+) kB`).FindSubmatch(raw); m != nil {
 		kB, _ = strconv.Atoi(string(m[1]))
@@ -648,16 +648,16 @@
 // The memory of many long answers at once is bounded, and it does not grow. The program is one without the race
 // detector, which takes several times as much.
 func TestMemoryOfLongAnswers(t *testing.T) {
-	w := newWorldAlone(t, 3).start(plainly, func(w *world) {
+	w := newSerialTestbed(t, 3).start(usePlainBinary, func(w *testbed) {
 		w.config["limits"].(object)["memory_mb"] = 32
 		w.config["limits"].(object)["sockets"] = 256
-		w.operator = "[answers]\nstall_ms = 60000\nlag_ms = 60000\n" // however late the clients get to read
+		w.operatorFile = "[answers]\nstall_ms = 60000\nlag_ms = 60000\n" // however late the clients get to read
 	})
 	texts := make([]string, 16) // made before: the machine is for the program
 	for i := range texts {
 		texts[i] = long(400_000, strconv.Itoa(i))
 	}
-	w.each(func(s step) string {
+	w.answerAll(func(s upstreamAttempt) string {
 		id, _ := strconv.ParseUint(idOf(s), 16, 64)
 		return reply("200 OK", texts[id%16])
 	})
@@ -679,7 +679,7 @@
 					}
 					body, err := io.ReadAll(resp.Body)
 					_ = resp.Body.Close()
-					id, _ := strconv.ParseUint(idOf(step{Request: r}), 16, 64)
+					id, _ := strconv.ParseUint(idOf(upstreamAttempt{Request: r}), 16, 64)
 					switch {
 					case err != nil:
 						t.Error(err)
@@ -716,21 +716,21 @@
 // Clients that take nothing of long answers leave memory to those who begin. Otherwise a few of them could hold
 // all of it, while others wait until their time is up.
 func TestSlowClientsLeaveMemory(t *testing.T) {
-	w := start(t, 2, (*world).patient, func(w *world) {
+	w := start(t, 2, (*testbed).useLongTimeouts, func(w *testbed) {
 		w.config["limits"].(object)["memory_mb"] = 32
-		w.operator = "[answers]\nstall_ms = 60000\nlag_ms = 60000\n"
+		w.operatorFile = "[answers]\nstall_ms = 60000\nlag_ms = 60000\n"
 	})
 	for _, s := range w.servers {
-		s.set(func(s step) string { return reply("200 OK", long(3_000_000, idOf(s))) })
+		s.setAnswer(func(s upstreamAttempt) string { return reply("200 OK", long(3_000_000, idOf(s))) })
 	}
 	stop := make(chan struct{})
 	defer close(stop)
 	for range 24 {
 		go w.crawl(w.request("consult", 60000), stop)
 	}
-	w.until("they are there", func() bool { return w.seen() == 24 })
+	w.until("they are there", func() bool { return w.attemptCount() == 24 })
 	for _, s := range w.servers {
-		s.set(func(s step) string { return reply("200 OK", long(200_000, idOf(s))) })
+		s.setAnswer(func(s upstreamAttempt) string { return reply("200 OK", long(200_000, idOf(s))) })
 	}
 	for range 5 {
 		id, g := w.take("rezervare", 5000)
--- a/cmd/dunestep/budgets_test.go
+++ b/cmd/dunestep/budgets_test.go
@@ -15,7 +15,7 @@
 
 // paced sends requests at an even pace, each made by its number, until it is ended. It is never ahead of its
 // pace, so that a machine that stood still is followed by no burst.
-func (w *world) paced(perS int, request func(n int) *http.Request, answered func(n, status int)) (end func()) {
+func (w *testbed) paced(perS int, request func(n int) *http.Request, answered func(n, status int)) (end func()) {
 	over := make(chan struct{})
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 300}, Timeout: 5 * time.Second}
 	var wait sync.WaitGroup
@@ -59,7 +59,7 @@
 // coldLimit is how many attempts an endpoint that just started may get in the window within which it would fall
 // over, by the usual rules, if it does capacity a second when it is warm: what is allowed then, and what is chance.
 func coldLimit(capacity float64) float64 {
-	n := 3 * usual.coldShare * capacity * coldWindow.Seconds()
+	n := 3 * defaultDeployment.slowStartCapacity * capacity * coldWindow.Seconds()
 	return n + 2*math.Sqrt(n) + 2
 }
 
@@ -69,7 +69,7 @@
 // it falls over from, whatever comes: what the settings say of cold servers.
 func TestWarmingUpServerIsNotOverloaded(t *testing.T) {
 	const perS, capacity = 200, 60.0 // requests a second: of all, and what a warm server would do
-	w := start(t, 4, (*world).patient)
+	w := start(t, 4, (*testbed).useLongTimeouts)
 	ask := func(sid string) *http.Request {
 		r := w.request("consult", 30000)
 		r.Header.Set("Cookie", "sid="+sid)
@@ -78,7 +78,7 @@
 	var own []string // keys of s-3's
 	for len(own) < 20 {
 		sid := fmt.Sprintf("%x", rand.Uint64())
-		if had := len(w.servers[3].steps()); w.do(ask(sid)).status == 200 && len(w.servers[3].steps()) > had {
+		if had := len(w.servers[3].attempts()); w.do(ask(sid)).status == 200 && len(w.servers[3].attempts()) > had {
 			own = append(own, sid)
 		}
 	}
@@ -89,8 +89,8 @@
 		}
 		return ask(fmt.Sprintf("%x", rand.Uint64()))
 	}, func(int, int) {})
-	seen := w.seen()
-	w.until("its pace is known", func() bool { return w.seen() > seen+2*perS })
+	seen := w.attemptCount()
+	w.until("its pace is known", func() bool { return w.attemptCount() > seen+2*perS })
 	w.until("watch", func() bool { return w.discovery.watched() == 1 })
 	again := w.servers[3].entry("active")
 	again["started_ms"] = time.Now().UnixMilli()
@@ -98,14 +98,14 @@
 	told := time.Now()
 	time.Sleep(200 * time.Millisecond) // until it is taken in
 	hot.Store(true)
-	from, had := time.Now(), len(w.servers[3].steps())
-	w.until("some of it", func() bool { return len(w.servers[3].steps()) > had })
+	from, had := time.Now(), len(w.servers[3].attempts())
+	w.until("some of it", func() bool { return len(w.servers[3].attempts()) > had })
 	time.Sleep(time.Until(told.Add(5 * time.Second)))
 	end()
 	limit := coldLimit(capacity)
 	var came []time.Time
-	for _, st := range w.servers[3].steps() {
-		came = append(came, st.came)
+	for _, st := range w.servers[3].attempts() {
+		came = append(came, st.receivedAt)
 	}
 	most := fullest(came, from.Add(coldWindow-200*time.Millisecond), coldWindow)
 	t.Logf("%d in its fullest 3 s, %.0f at most", most, limit)
@@ -115,7 +115,7 @@
 // slowly has an endpoint work at one request at a time for so long.
 func (s *server) slowly(takes time.Duration) {
 	var one sync.Mutex
-	s.set(func(st step) string {
+	s.setAnswer(func(st upstreamAttempt) string {
 		one.Lock()
 		defer one.Unlock()
 		time.Sleep(takes)
@@ -140,8 +140,8 @@
 // Where twice as much comes as can be served, the class that may wait longer does not shut the other out.
 func TestClassesShareWhatThereIs(t *testing.T) {
 	t.Parallel()
-	fairly(t, func() error {
-		w := newWorldAlone(t, 2).start(plainly, func(w *world) {
+	retryIfStalled(t, func() error {
+		w := newSerialTestbed(t, 2).start(usePlainBinary, func(w *testbed) {
 			for i, class := range w.config["settings"].(object)["categories"].([]object) {
 				class["aim"], class["deadline"] = []int{2400000, 400000}[i], 2500000
 			}
@@ -168,8 +168,8 @@
 // A tenant within its share is served while another one floods the agent.
 func TestTenantsShareWhatThereIs(t *testing.T) {
 	t.Parallel()
-	fairly(t, func() error {
-		w := newWorldAlone(t, 2).start(plainly, func(w *world) {
+	retryIfStalled(t, func() error {
+		w := newSerialTestbed(t, 2).start(usePlainBinary, func(w *testbed) {
 			settings := w.config["settings"].(object)
 			settings["balancers"] = 1
 			settings["customers"] = []object{
--- a/cmd/dunestep/commands_test.go
+++ b/cmd/dunestep/commands_test.go
@@ -16,7 +16,7 @@
 
 // command runs the program to its end.
 func command(t *testing.T, args ...string) (code int, out, errs string) {
-	c := exec.Command(binary, args...)
+	c := exec.Command(raceBinary, args...)
 	c.Env = []string{}
 	var stdout, stderr strings.Builder
 	c.Stdout, c.Stderr = &stdout, &stderr
@@ -30,18 +30,18 @@
 }
 
 func TestCheck(t *testing.T) {
-	w := newWorld(t, 1)
-	w.path = filepath.Join(t.TempDir(), "config.json")
+	w := newTestbed(t, 1)
+	w.configPath = filepath.Join(t.TempDir(), "config.json")
 	w.configure()
-	code, out, errs := command(t, "check", "--config", w.path, "--operator", "../../deploy/operator.toml")
+	code, out, errs := command(t, "check", "--config", w.configPath, "--operator", "../../deploy/operator.toml")
 	require.Zero(t, code, errs)
 	require.NotEmpty(t, out)
 
 	// What is wrong in both files is told at once.
 	w.config["listen"], w.config["seed"] = "here", "xyz"
-	w.operator = "[answers]\nlag_ms = -1\n[log]\nlevel = \"all\"\n"
+	w.operatorFile = "[answers]\nlag_ms = -1\n[log]\nlevel = \"all\"\n"
 	w.configure()
-	code, _, errs = command(t, "check", "--config", w.path, "--operator", w.path+".toml")
+	code, _, errs = command(t, "check", "--config", w.configPath, "--operator", w.configPath+".toml")
 	require.Equal(t, 2, code)
 	require.Equal(t, 4, strings.Count(errs, "\n"), errs)
 	require.Regexp(t, `config.json:1:\d+: config: listen: "here" is`, errs)
@@ -52,15 +52,15 @@
 	w.config["listen"], w.config["seed"] = w.addr, "1"
 	w.config["settings"].(object)["resolution"] = 0
 	w.configure()
-	code, _, errs = command(t, "check", "--config", w.path)
+	code, _, errs = command(t, "check", "--config", w.configPath)
 	require.Equal(t, 2, code)
 	require.Regexp(t, `config.json:1:\d+: balancer: `, errs)
 
 	// And what does not fit together.
 	w.config["settings"].(object)["resolution"] = 5000
-	w.operator = "[graphql]\nlisten = \"front\"\npath = \"/consult\"\nsafe_class = \"none\"\n"
+	w.operatorFile = "[graphql]\nlisten = \"front\"\npath = \"/consult\"\nsafe_class = \"none\"\n"
 	w.configure()
-	code, _, errs = command(t, "check", "--config", w.path, "--operator", w.path+".toml")
+	code, _, errs = command(t, "check", "--config", w.configPath, "--operator", w.configPath+".toml")
 	require.Equal(t, 2, code)
 	require.Equal(t, 2, strings.Count(errs, "operator file: graphql: "), errs)
 
@@ -82,20 +82,20 @@
 
 // The log is in the form and from the level on that the operator file has, also after SIGHUP.
 func TestLog(t *testing.T) {
-	w := start(t, 1, func(w *world) { w.operator = "[log]\nformat = \"json\"\n" })
+	w := start(t, 1, func(w *testbed) { w.operatorFile = "[log]\nformat = \"json\"\n" })
 	first, _, _ := strings.Cut(w.log.String(), "\n")
 	var line struct{ Level, Msg, Name string }
 	require.NoError(t, json.Unmarshal([]byte(first), &line), first)
 	require.Equal(t, "INFO", line.Level)
 	require.Equal(t, "n0", line.Name)
 
-	w.operator = "[log]\nformat = \"text\"\n"
+	w.operatorFile = "[log]\nformat = \"text\"\n"
 	w.configure()
 	require.NoError(t, w.process.Process.Signal(syscall.SIGHUP))
 	w.until("text", func() bool { return strings.Contains(w.log.String(), `level=INFO msg="configuration applied"`) })
 
-	quiet := newWorldAlone(t, 1).start(func(w *world) { w.operator = "[log]\nlevel = \"error\"\n" })
-	require.Equal(t, 200, quiet.ask("consult").status)
-	require.Zero(t, quiet.quit())
+	quiet := newSerialTestbed(t, 1).start(func(w *testbed) { w.operatorFile = "[log]\nlevel = \"error\"\n" })
+	require.Equal(t, 200, quiet.send("consult").status)
+	require.Zero(t, quiet.stop())
 	require.Empty(t, quiet.log.String())
 }
--- a/cmd/dunestep/confined_linux_amd64_test.go
+++ b/cmd/dunestep/confined_linux_amd64_test.go
@@ -46,12 +46,12 @@
 	libraries, err := file.ImportedLibraries()
 	require.NoError(t, err)
 	require.Contains(t, libraries, "libc.so.6")
-	w := start(t, 2, (*world).patient, func(w *world) {
+	w := start(t, 2, (*testbed).useLongTimeouts, func(w *testbed) {
 		w.program, w.env = os.Args[0], []string{confinedProgram + "=" + program}
-		w.each(func(s step) string { return reply("200 OK", long(3_000_000, idOf(s))) })
+		w.answerAll(func(s upstreamAttempt) string { return reply("200 OK", long(3_000_000, idOf(s))) })
 	})
 	for _, class := range []string{"consult", "rezervare"} {
-		require.Equal(t, http.StatusOK, w.ask(class).status)
+		require.Equal(t, http.StatusOK, w.send(class).status)
 	}
 	counted(w)
 	c, id := w.upload(fmt.Sprint("Content-Length: ", 3_000_000))
@@ -62,7 +62,7 @@
 	_, err = w.peer.WriteTo([]byte("nothing known"), w.peer.LocalAddr())
 	require.NoError(t, err)
 	require.NoError(t, w.process.Process.Signal(syscall.SIGHUP))
-	require.Equal(t, http.StatusOK, w.ask("consult").status)
+	require.Equal(t, http.StatusOK, w.send("consult").status)
 }
 
 // What TestConfined rests on: a program that starts another one is ended.
--- a/cmd/dunestep/crossings_client_test.go
+++ b/cmd/dunestep/crossings_client_test.go
@@ -24,13 +24,13 @@
 // rawClient is a client's connection whose bytes are written as they are.
 type rawClient struct {
 	*net.TCPConn
-	w  *world
+	w  *testbed
 	in *bufio.Reader
 }
 
-func (w *world) rawClient() *rawClient {
-	c := w.raw("").(*net.TCPConn)
-	require.NoError(w.t, c.SetDeadline(time.Now().Add(patience)))
+func (w *testbed) rawClient() *rawClient {
+	c := w.sendRaw("").(*net.TCPConn)
+	require.NoError(w.t, c.SetDeadline(time.Now().Add(waitTimeout)))
 	return &rawClient{c, w, bufio.NewReader(c)}
 }
 
@@ -70,23 +70,23 @@
 }
 
 // text is a request as it goes over the wire, with the time that its client has left.
-func (w *world) text(class string, leftMS int) string {
+func (w *testbed) text(class string, leftMS int) string {
 	method, body := http.MethodGet, ""
 	if class == "rezervare" {
 		method, body = http.MethodPost, "chair 4, Monday"
 	}
 	return fmt.Sprintf("%s /%s/x HTTP/1.1\r\nHost: backend.local\r\nX-Correlation-Id: %s\r\nX-Account: acme\r\n"+
-		"X-Time-Left-Ms: %d\r\nContent-Length: %d\r\n\r\n%s", method, class, w.id(), leftMS, len(body), body)
+		"X-Time-Left-Ms: %d\r\nContent-Length: %d\r\n\r\n%s", method, class, w.nextID(), leftMS, len(body), body)
 }
 
 // terminate tells the program to end, and returns once it has begun to.
-func (w *world) terminate() {
+func (w *testbed) terminate() {
 	w.signal(syscall.SIGTERM)
-	w.until("no longer ready", func() bool { return w.health() == http.StatusServiceUnavailable })
+	w.until("no longer ready", func() bool { return w.readyStatus() == http.StatusServiceUnavailable })
 }
 
 // deaf returns once the program, which is ending, takes no further connection.
-func (w *world) deaf() {
+func (w *testbed) deaf() {
 	w.until("takes no connection", func() bool {
 		c, err := net.Dial("tcp", w.addr)
 		if err == nil {
@@ -96,10 +96,10 @@
 	})
 }
 
-func (w *world) signal(s os.Signal) { require.NoError(w.t, w.process.Process.Signal(s)) }
+func (w *testbed) signal(s os.Signal) { require.NoError(w.t, w.process.Process.Signal(s)) }
 
 // ended waits for the program's end, which has to come by itself.
-func (w *world) ended() {
+func (w *testbed) ended() {
 	w.t.Helper()
 	await(w.t, w.exited)
 	require.Zero(w.t, w.process.ProcessState.ExitCode())
@@ -108,8 +108,8 @@
 
 // whole is a deployment in which what is out as the program is told to end may take its time. The program ends at
 // once when it does: with the race detector it would go on serving for a second.
-func whole(w *world) {
-	w.patient()
+func whole(w *testbed) {
+	w.useLongTimeouts()
 	w.env = append(w.env, "GORACE=atexit_sleep_ms=0")
 }
 
@@ -143,7 +143,7 @@
 func TestTerminatedDuringPipelinedRequests(t *testing.T) {
 	w := start(t, 1, whole)
 	in, out := make(chan struct{}), make(chan struct{})
-	w.first(func(s step) string { close(in); <-out; return ok(s) }, ok)
+	w.answerFirst(func(s upstreamAttempt) string { close(in); <-out; return ok(s) }, ok)
 	before, after := w.rawClient(), w.rawClient()
 	before.send(w.text("rezervare", 60000))
 	await(t, in)
@@ -169,7 +169,7 @@
 	t.Run("further attempt", func(t *testing.T) {
 		w := start(t, 2, whole)
 		in, out := make(chan struct{}), make(chan struct{})
-		w.first(func(step) string {
+		w.answerFirst(func(upstreamAttempt) string {
 			close(in)
 			<-out
 			return reply("503 Service Unavailable", "", "X-Unprocessed: 1")
@@ -179,10 +179,10 @@
 		await(t, in)
 		w.terminate()
 		w.deaf()
-		require.Equal(t, 1, w.seen())
+		require.Equal(t, 1, w.attemptCount())
 		close(out)
 		require.Equal(t, 200, c.answer().status)
-		require.Equal(t, 2, w.seen())
+		require.Equal(t, 2, w.attemptCount())
 		w.ended()
 	})
 	t.Run("connecting", func(t *testing.T) {
@@ -192,9 +192,9 @@
 		w.until("muted", s.socket.Full)
 		c := w.rawClient()
 		c.send(w.text("rezervare", 60000))
-		w.until("connecting", func() bool { return connecting(t, w.process.Process.Pid) > 0 })
+		w.until("connecting", func() bool { return countConnecting(t, w.process.Process.Pid) > 0 })
 		w.terminate()
-		require.Zero(t, w.seen())
+		require.Zero(t, w.attemptCount())
 		require.NoError(t, s.socket.Accept())
 		require.Equal(t, 200, c.answer().status)
 		w.ended()
@@ -206,7 +206,7 @@
 	w := start(t, 1, whole)
 	w.until("watched", func() bool { return w.discovery.watched() == 1 })
 	in, out := make(chan struct{}), make(chan struct{})
-	w.first(func(s step) string { close(in); <-out; return ok(s) }, ok)
+	w.answerFirst(func(s upstreamAttempt) string { close(in); <-out; return ok(s) }, ok)
 	c := w.rawClient()
 	c.send(w.text("rezervare", 60000))
 	await(t, in)
@@ -246,10 +246,10 @@
 
 // SIGTERM comes before the program has read its configuration: it starts, and ends at once in good order.
 func TestTerminatedBeforeItIsReady(t *testing.T) {
-	w := newWorld(t, 1)
-	w.path = filepath.Join(t.TempDir(), "config.json")
+	w := newTestbed(t, 1)
+	w.configPath = filepath.Join(t.TempDir(), "config.json")
 	w.configure()
-	text, err := os.ReadFile(w.path)
+	text, err := os.ReadFile(w.configPath)
 	require.NoError(t, err)
 	pipe := filepath.Join(t.TempDir(), "config.pipe")
 	require.NoError(t, syscall.Mkfifo(pipe, 0o600))
@@ -271,14 +271,14 @@
 	t.Parallel()
 	for name, known := range map[string]bool{"a list": true, "no list": false} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, 1)
+			w := newTestbed(t, 1)
 			w.discovery.set(0, true) // it takes calls, and says nothing
 			if !known {
 				w.config["known"] = object{"version": 0, "full": true, "servers": []object{}}
 			}
 			w.launch()
-			w.until("serves", func() bool { return w.health() != 0 })
-			ready := w.health() == http.StatusOK
+			w.until("serves", func() bool { return w.readyStatus() != 0 })
+			ready := w.readyStatus() == http.StatusOK
 			require.Equal(t, known, ready)
 			c := w.rawClient()
 			began := time.Now()
@@ -290,7 +290,7 @@
 				require.Equal(t, 503, got.status)
 				require.Less(t, time.Since(began), 1500*time.Millisecond)
 			}
-			require.Zero(t, w.quit())
+			require.Zero(t, w.stop())
 		})
 	}
 }
@@ -299,22 +299,22 @@
 // connections, requests reach their endpoints over new connections, and discovery is asked again.
 func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
 	const limit = 64
-	w := start(t, 8, func(w *world) {
+	w := start(t, 8, func(w *testbed) {
 		w.config["limits"].(object)["sockets"] = limit
-		w.patient()
+		w.useLongTimeouts()
 	})
 	w.until("watched", func() bool { return w.discovery.watched() == 1 })
 	w.discovery.set(503, false)
 	w.discovery.end()
 	for range 2 * limit {
-		c := w.raw("GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n")
+		c := w.sendRaw("GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n")
 		go func() { _, _ = io.Copy(io.Discard, c) }() // it stays open on this side
 	}
 	for n := range 16 {
 		require.Equal(t, 200, w.alone(http.MethodGet, "/health/ready"))
 		r := w.request([]string{"consult", "rezervare"}[n%2], 60000)
 		r.Header.Set("Cookie", fmt.Sprintf("sid=k%d", n)) // to any of the endpoints
-		client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: patience}
+		client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: waitTimeout}
 		resp, err := client.Do(r)
 		require.NoError(t, err)
 		require.NoError(t, resp.Body.Close())
@@ -329,8 +329,8 @@
 }
 
 // alone asks on a connection of its own.
-func (w *world) alone(method, path string) int {
-	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: patience}
+func (w *testbed) alone(method, path string) int {
+	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: waitTimeout}
 	r, err := http.NewRequest(method, "http://"+w.addr+path, nil)
 	require.NoError(w.t, err)
 	resp, err := client.Do(r)
@@ -353,7 +353,7 @@
 		}
 		require.NotEqual(t, 200, c.answer().status)
 	}
-	require.Zero(t, w.seen())
+	require.Zero(t, w.attemptCount())
 	c.send(w.text("rezervare", 5000))
 	require.Equal(t, 200, c.answer().status)
 }
--- a/cmd/dunestep/crossings_upstream_test.go
+++ b/cmd/dunestep/crossings_upstream_test.go
@@ -11,7 +11,7 @@
 )
 
 // oneServer has the program know one endpoint, with a fault of the wire.
-func oneServer(t *testing.T, w *world) *faulty {
+func oneServer(t *testing.T, w *testbed) *faulty {
 	f := newFaulty(t, "")
 	w.config["known"].(object)["servers"] = []object{f.entry("active")}
 	return f
@@ -24,8 +24,8 @@
 // An endpoint begins to drain while a step waits for its connection: it is not forwarded after the grace, however
 // long the settings would have the connection waited for.
 func TestServerDrainsWhileAConnectionIsAwaited(t *testing.T) {
-	w := newWorld(t, 0)
-	w.patient() // connections are waited for 10 s
+	w := newTestbed(t, 0)
+	w.useLongTimeouts() // connections are waited for 10 s
 	w.config["settings"].(object)["rules"].(object)["stopSendingWithin"] = 1_000_000
 	f := oneServer(t, w)
 	w.start()
@@ -44,10 +44,10 @@
 		_ = resp.Body.Close()
 		answered <- resp.StatusCode
 	}()
-	w.until("it waits for a connection", func() bool { return connecting(t, w.process.Process.Pid) > 0 })
+	w.until("it waits for a connection", func() bool { return countConnecting(t, w.process.Process.Pid) > 0 })
 	w.discovery.say(list(42, false, f.entry("leaving")))
 	told := time.Now()
-	w.until("it is given up", func() bool { return connecting(t, w.process.Process.Pid) == 0 })
+	w.until("it is given up", func() bool { return countConnecting(t, w.process.Process.Pid) == 0 })
 	require.Less(t, time.Since(told), 5*time.Second, "half of the grace, and what a busy machine adds")
 	require.NoError(t, f.Accept())
 	require.Equal(t, http.StatusServiceUnavailable, await(t, answered))
@@ -57,8 +57,8 @@
 // Clients that give less time than the connection, the spacing of further attempts or the answer's margin takes get
 // one answer each, and nothing is forwarded for them later.
 func TestLessTimeThanAnythingTakes(t *testing.T) {
-	w := newWorld(t, 0)
-	w.patient()
+	w := newTestbed(t, 0)
+	w.useLongTimeouts()
 	f := oneServer(t, w)
 	w.start()
 	require.NoError(t, f.Mute())
@@ -72,7 +72,7 @@
 		}
 	}
 	require.NoError(t, f.Accept()) // what is still waited for comes up when the system tries again
-	w.until("nothing is waited for", func() bool { return connecting(t, w.process.Process.Pid) == 0 })
+	w.until("nothing is waited for", func() bool { return countConnecting(t, w.process.Process.Pid) == 0 })
 	w.until("served again", func() bool { return w.do(w.request("consult", 20000)).status == http.StatusOK })
 	require.EqualValues(t, 1, f.got.Load(), "nothing was sent on for clients whose time was up")
 }
@@ -84,13 +84,13 @@
 	const leftMS, held = 20000, 300 * time.Millisecond
 	for name, warm := range map[string]bool{"reused": true, "new": false} {
 		t.Run(name, func(t *testing.T) {
-			w := start(t, 2, (*world).patient)
+			w := start(t, 2, (*testbed).useLongTimeouts)
 			if warm {
 				w.until("both have a connection", func() bool {
 					for _, s := range w.servers {
-						if len(s.steps()) == 0 {
+						if len(s.attempts()) == 0 {
 							r := w.request("consult", leftMS)
-							r.Header.Set("Cookie", "sid="+w.id())
+							r.Header.Set("Cookie", "sid="+w.nextID())
 							w.do(r)
 							return false
 						}
@@ -98,10 +98,10 @@
 					return true
 				})
 			}
-			before := w.seen()
+			before := w.attemptCount()
 			var sent time.Time
 			var first atomic.Value // the endpoint that turns away
-			w.first(func(s step) string {
+			w.answerFirst(func(s upstreamAttempt) string {
 				first.Store(s.server)
 				time.Sleep(time.Until(sent.Add(held)))
 				return reply("503 No", "", "X-Unprocessed: 1")
@@ -109,10 +109,10 @@
 			r := w.request("rezervare", leftMS)
 			sent = time.Now()
 			require.Equal(t, http.StatusOK, w.do(r).status)
-			require.Equal(t, 2, w.seen()-before)
+			require.Equal(t, 2, w.attemptCount()-before)
 			for _, s := range w.servers {
-				for _, st := range s.steps() {
-					if idOf(st) != idOf(step{Request: r}) {
+				for _, st := range s.attempts() {
+					if idOf(st) != idOf(upstreamAttempt{Request: r}) {
 						continue
 					}
 					told, err := strconv.Atoi(st.Header.Get("X-Time-Left-Ms"))
--- a/cmd/dunestep/deployments_test.go
+++ b/cmd/dunestep/deployments_test.go
@@ -18,19 +18,19 @@
 // coast and hills are deployments that have no name, class, tenant, limit, time or effect in common.
 var (
 	coast = deployment{
-		zone: "wharf", kind: "granite", server: "gull-",
+		zone: "wharf", kind: "granite", idPrefix: "gull-",
 		tenants: []string{"lighthouse", "breakwater"}, quota: 900,
 		classes: []class{
 			{"browse", retryable, 15 * time.Second, 25 * time.Second, 1, 0},
 			{"moor", fragile, 20 * time.Second, 40 * time.Second, 9, 0},
 			{"logbook", dedup, 18 * time.Second, 35 * time.Second, 2, 30 * time.Second},
 		},
-		discovery: "on_request", attempts: 3, retryAfter: true, maxRetryAfter: 700 * time.Millisecond,
+		discovery: "on_request", maxAttempts: 3, retryAfter: true, maxRetryAfter: 700 * time.Millisecond,
 		connectTimeout: 8 * time.Second, connIdle: 12 * time.Second, drainGrace: 2 * time.Second,
-		cold: 4 * time.Second, coldShare: 0.5,
+		slowStart: 4 * time.Second, slowStartCapacity: 0.5,
 	}
 	hills = deployment{
-		zone: "ridge", kind: "basalt", server: "marmot-",
+		zone: "ridge", kind: "basalt", idPrefix: "marmot-",
 		tenants: []string{"shepherd", "alpinist", "beekeeper"}, quota: 400,
 		classes: []class{
 			{"summit", fragile, 30 * time.Second, 60 * time.Second, 3, 0},
@@ -39,15 +39,15 @@
 			{"meadow", retryable, 28 * time.Second, 55 * time.Second, 1, 0},
 			{"glacier", fragile, 22 * time.Second, 45 * time.Second, 8, 0},
 		},
-		discovery: "pushed", attempts: 2, retryAfter: false, maxRetryAfter: 4 * time.Second,
+		discovery: "pushed", maxAttempts: 2, retryAfter: false, maxRetryAfter: 4 * time.Second,
 		connectTimeout: 6 * time.Second, connIdle: 20 * time.Second, drainGrace: time.Second,
-		cold: 6 * time.Second, coldShare: 0.25,
+		slowStart: 6 * time.Second, slowStartCapacity: 0.25,
 	}
 )
 
 // words are the names of a deployment.
 func (d deployment) words() []string {
-	all := append([]string{d.zone, d.kind, d.server}, d.tenants...)
+	all := append([]string{d.zone, d.kind, d.idPrefix}, d.tenants...)
 	for _, c := range d.classes {
 		all = append(all, c.name)
 	}
@@ -55,20 +55,20 @@
 }
 
 // requestOf is a request of a class for a tenant, whose client waits for a minute longer than any class does.
-func (w *world) requestOf(class, tenant string) *http.Request {
+func (w *testbed) requestOf(class, tenant string) *http.Request {
 	r := w.request(class, 120_000)
 	r.Header.Set("X-Account", tenant)
-	r.Header.Set("Cookie", "sid="+w.id()) // so that all endpoints get some
+	r.Header.Set("Cookie", "sid="+w.nextID()) // so that all endpoints get some
 	return r
 }
 
 // keysPass looks that every step has the key that its request had, which is none but where the class has keys.
-func (w *world) keysPass() {
+func (w *testbed) keysPass() {
 	w.t.Helper()
 	for _, s := range w.servers {
-		for _, st := range s.steps() {
+		for _, st := range s.attempts() {
 			name, key := strings.Split(st.URL.Path, "/")[1], ""
-			if w.site.named(name).effect == dedup {
+			if w.deployment.classNamed(name).effect == dedup {
 				key = "key of " + st.Header.Get("X-Correlation-Id")
 			}
 			require.Equal(w.t, key, st.Header.Get("Idempotency-Key"), name)
@@ -77,27 +77,27 @@
 }
 
 // servesAll has a request of every class served for every tenant.
-func (w *world) servesAll(site deployment) {
+func (w *testbed) servesAll(site deployment) {
 	w.t.Helper()
 	for _, c := range site.classes {
 		for _, tenant := range site.tenants {
 			r := w.requestOf(c.name, tenant)
 			got := w.do(r)
 			require.Equal(w.t, http.StatusOK, got.status, "%s for %s: %s", c.name, tenant, got.body)
-			require.True(w.t, strings.HasPrefix(got.body, r.Header.Get("X-Correlation-Id")+" "+site.server), got.body)
+			require.True(w.t, strings.HasPrefix(got.body, r.Header.Get("X-Correlation-Id")+" "+site.idPrefix), got.body)
 		}
 	}
 }
 
 // knowsNone has every class of a deployment rejected as unknown, with no word of it forwarded.
-func (w *world) knowsNone(site deployment) {
+func (w *testbed) knowsNone(site deployment) {
 	w.t.Helper()
-	before := w.seen()
+	before := w.attemptCount()
 	for _, c := range site.classes {
 		got := w.do(w.requestOf(c.name, site.tenants[0]))
 		require.Equal(w.t, answer{http.StatusBadRequest, "unknown class\n", got.header}, got, c.name)
 	}
-	require.Equal(w.t, before, w.seen(), "sent on")
+	require.Equal(w.t, before, w.attemptCount(), "sent on")
 }
 
 // The same is asked of two deployments that have nothing in common: what an agent does goes by its settings alone.
@@ -105,12 +105,12 @@
 	t.Parallel()
 	for name, pair := range map[string][2]deployment{"coast": {coast, hills}, "hills": {hills, coast}} {
 		site, other := pair[0], pair[1]
-		for what, look := range map[string]func(*world){
-			"served": func(w *world) {
+		for what, look := range map[string]func(*testbed){
+			"served": func(w *testbed) {
 				w.servesAll(site)
 				for _, s := range w.servers {
-					for _, st := range s.steps() {
-						c := site.named(strings.Split(st.URL.Path, "/")[1])
+					for _, st := range s.attempts() {
+						c := site.classNamed(strings.Split(st.URL.Path, "/")[1])
 						require.Equal(w.t, map[bool]string{true: "GET", false: "POST"}[c.effect == retryable], st.Method)
 						told, err := strconv.Atoi(st.Header.Get("X-Time-Left-Ms"))
 						require.NoError(w.t, err)
@@ -118,62 +118,62 @@
 					}
 				}
 			},
-			"keys": func(w *world) {
+			"keys": func(w *testbed) {
 				for _, c := range site.classes {
-					w.first(func(step) string { return reply("503 No", "", "X-Unprocessed: 1") }, ok)
+					w.answerFirst(func(upstreamAttempt) string { return reply("503 No", "", "X-Unprocessed: 1") }, ok)
 					require.Equal(w.t, http.StatusOK, w.do(w.requestOf(c.name, site.tenants[0])).status, c.name)
 				}
-				require.Equal(w.t, 2*len(site.classes), w.seen())
+				require.Equal(w.t, 2*len(site.classes), w.attemptCount())
 				w.keysPass()
 			},
-			"unknown": func(w *world) { w.knowsNone(other); w.servesAll(site) },
-			"may have run": func(w *world) {
+			"unknown": func(w *testbed) { w.knowsNone(other); w.servesAll(site) },
+			"may have run": func(w *testbed) {
 				for _, c := range site.classes {
-					w.first(func(step) string { return hangUp }, ok)
-					before := w.seen()
+					w.answerFirst(func(upstreamAttempt) string { return hangUp }, ok)
+					before := w.attemptCount()
 					got := w.do(w.requestOf(c.name, site.tenants[0]))
 					status, steps := http.StatusOK, 2
-					if c.effect == fragile || c.effect == dedup && c.memory == 0 {
+					if c.effect == fragile || c.effect == dedup && c.keyRetention == 0 {
 						status, steps = http.StatusBadGateway, 1
 					}
-					require.Equal(w.t, []int{status, steps}, []int{got.status, w.seen() - before}, c.name)
+					require.Equal(w.t, []int{status, steps}, []int{got.status, w.attemptCount() - before}, c.name)
 				}
 			},
-			"refused": func(w *world) {
-				w.each(func(step) string { return reply("503 Service Unavailable", "", "X-Unprocessed: 1") })
+			"refused": func(w *testbed) {
+				w.answerAll(func(upstreamAttempt) string { return reply("503 Service Unavailable", "", "X-Unprocessed: 1") })
 				for _, c := range site.classes {
-					before := w.seen()
+					before := w.attemptCount()
 					got := w.do(w.requestOf(c.name, site.tenants[0]))
 					require.Equal(w.t, http.StatusServiceUnavailable, got.status, c.name)
-					require.LessOrEqual(w.t, w.seen()-before, site.attempts, c.name)
+					require.LessOrEqual(w.t, w.attemptCount()-before, site.maxAttempts, c.name)
 					after, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 					require.Equal(w.t, site.retryAfter, err == nil, got.header)
 					require.LessOrEqual(w.t, after, site.maxRetryAfter.Seconds())
 				}
 			},
-			"attempts": func(w *world) {
-				w.each(func(step) string { return reply("500 Internal Server Error", "") })
+			"attempts": func(w *testbed) {
+				w.answerAll(func(upstreamAttempt) string { return reply("500 Internal Server Error", "") })
 				for _, c := range site.classes {
 					if c.effect == retryable {
 						w.do(w.requestOf(c.name, site.tenants[0]))
 					}
 				}
-				require.Equal(w.t, site.attempts, w.seen())
+				require.Equal(w.t, site.maxAttempts, w.attemptCount())
 			},
-			"drains": func(w *world) {
+			"drains": func(w *testbed) {
 				drains := w.watchDrains()
 				w.until("watch", func() bool { return w.discovery.watched() == 1 })
 				drains.told(w.servers[1], 0)
 				w.discovery.say(list(42, false, w.servers[1].entry("leaving")))
 				drains.hold()
-				require.Empty(w.t, w.servers[0].steps(), "it drained from the start on")
+				require.Empty(w.t, w.servers[0].attempts(), "it drained from the start on")
 			},
 		} {
 			t.Run(name+"/"+what, func(t *testing.T) {
 				t.Parallel()
 				// A failure counts as an answer near the aim, and no further attempt goes to a server that slow: there are
 				// more than fail here.
-				w := newWorldOf(t, site, 8)
+				w := newDeploymentTestbed(t, site, 8)
 				if what == "drains" {
 					w.config["known"] = object{"version": 41, "full": true, "servers": w.entries(w.servers[0])}
 				}
@@ -196,9 +196,9 @@
 }
 
 // show notes what a world's agent has said so far beside its answers.
-func (s *transcript) show(w *world) {
+func (s *transcript) show(w *testbed) {
 	for _, server := range w.servers {
-		for _, st := range server.steps() {
+		for _, st := range server.attempts() {
 			head, err := httputil.DumpRequest(st.Request, false)
 			require.NoError(w.t, err)
 			s.add(string(head), st.body)
@@ -222,14 +222,14 @@
 }
 
 // asks asks for classes of its own, and of another deployment, where the first attempt meets answers of all kinds.
-func (w *world) asks(s *transcript, own, other deployment) {
-	for _, meets := range []func(step) string{
-		ok, func(step) string { return reply("500 No", "") },
-		func(step) string { return reply("503 No", "", "X-Unprocessed: 1") }, func(step) string { return hangUp },
+func (w *testbed) asks(s *transcript, own, other deployment) {
+	for _, meets := range []func(upstreamAttempt) string{
+		ok, func(upstreamAttempt) string { return reply("500 No", "") },
+		func(upstreamAttempt) string { return reply("503 No", "", "X-Unprocessed: 1") }, func(upstreamAttempt) string { return hangUp },
 	} {
 		for _, c := range slices.Concat(own.classes, other.classes) {
 			for _, tenant := range own.tenants {
-				w.first(meets, ok)
+				w.answerFirst(meets, ok)
 				got := w.do(w.requestOf(c.name, tenant))
 				s.add(got.status, got.header, got.body)
 			}
@@ -238,7 +238,7 @@
 }
 
 // statsOf looks that the figures are those of a deployment's classes.
-func (w *world) statsOf(site deployment) {
+func (w *testbed) statsOf(site deployment) {
 	w.t.Helper()
 	var want, got []string
 	for _, c := range site.classes {
@@ -255,18 +255,18 @@
 func TestAgentsSideBySideShareNothing(t *testing.T) {
 	t.Parallel()
 	sites := [2]deployment{coast, hills}
-	var worlds [2]*world
+	var worlds [2]*testbed
 	folder := t.TempDir()
 	for i, site := range sites {
-		worlds[i] = newWorldOf(t, site, 3)
-		worlds[i].folder = folder
+		worlds[i] = newDeploymentTestbed(t, site, 3)
+		worlds[i].tempDir = folder
 		worlds[i].start(door)
 		if i == 0 { // before the other one begins
 			worlds[0].yes("POST", "/ops/booking-servers/down", worlds[0].servers[2].id)
 			worlds[0].yes("POST", "/ops/drain/start", "")
 		}
 	}
-	require.Equal(t, http.StatusOK, worlds[1].health(), "clients of the other one were sent away")
+	require.Equal(t, http.StatusOK, worlds[1].readyStatus(), "clients of the other one were sent away")
 	require.Zero(t, worlds[1].stats().Ejected)
 	require.NotContains(t, worlds[1].log.String(), "taking over")
 	worlds[0].yes("POST", "/ops/drain/stop", "")
@@ -287,7 +287,7 @@
 // that it has, whose classes alone it knows; a process that takes over from it has those of the file alone.
 func TestReloadsKeepDeploymentsApart(t *testing.T) {
 	t.Parallel()
-	w := newWorldOf(t, coast, 3)
+	w := newDeploymentTestbed(t, coast, 3)
 	w.start(door)
 	w.until("watch", func() bool { return w.discovery.watched() == 1 })
 	var said, next transcript
@@ -309,44 +309,44 @@
 	w.config["limits"] = limits
 
 	inherits := w.another()
-	inherits.site = hills
+	inherits.deployment = hills
 	inherits.servers = nil
 	var entries []object
 	for i := range 3 {
-		s := newServer(t, fmt.Sprint(hills.server, i))
+		s := newServer(t, fmt.Sprint(hills.idPrefix, i))
 		s.zone, s.kind = hills.zone, hills.kind
 		inherits.servers, entries = append(inherits.servers, s), append(entries, s.entry("active"))
 	}
 	w.config["known"] = object{"version": 7, "full": true, "servers": entries}
 	inherits.launch()
 	inherits.until("ready", func() bool {
-		resp, err := http.Get("http://" + inherits.ops + "/ops/readiness")
+		resp, err := http.Get("http://" + inherits.opsAddr + "/ops/readiness")
 		if err == nil {
 			_ = resp.Body.Close()
 		}
 		return err == nil && resp.StatusCode == http.StatusOK
 	})
-	require.Zero(t, w.quit())
+	require.Zero(t, w.stop())
 	inherits.servesAll(hills)
 	inherits.knowsNone(coast)
 	inherits.asks(&next, hills, coast)
 	inherits.statsOf(hills)
 	next.show(inherits)
 	next.none(t, coast)
-	require.Zero(t, inherits.quit())
+	require.Zero(t, inherits.stop())
 }
 
 // What an agent has learned is its deployment's of the start, whatever the operator file calls it since: a process
 // that takes over under the new name begins without.
 func TestWhatWasLearnedStaysWithItsDeployment(t *testing.T) {
-	w := start(t, 2, door, func(w *world) { w.operator = "[state]\ndeployment = \"coast\"\n" })
-	w.operator = "[state]\ndeployment = \"hills\"\n"
+	w := start(t, 2, door, func(w *testbed) { w.operatorFile = "[state]\ndeployment = \"coast\"\n" })
+	w.operatorFile = "[state]\ndeployment = \"hills\"\n"
 	w.configure()
 	require.NoError(t, w.process.Process.Signal(syscall.SIGHUP))
 	w.until("taken over", func() bool { return strings.Contains(w.log.String(), "configuration applied") })
 	next := w.upgrade()
 	require.Contains(t, next.log.String(), `msg="state not restored" error="state: of another agent or another deployment"`)
 	require.NotContains(t, next.log.String(), `msg="state restored"`)
-	require.Zero(t, w.quit())
-	require.Zero(t, next.quit())
+	require.Zero(t, w.stop())
+	require.Zero(t, next.stop())
 }
--- a/cmd/dunestep/earlierbuild_test.go
+++ b/cmd/dunestep/earlierbuild_test.go
@@ -40,7 +40,7 @@
 		t.Skip("LONG_TESTS is not set")
 	}
 	earlier := buildOfCommit(t, beforeRenaming)
-	w := start(t, 3, door, (*world).patient, func(w *world) { w.program = earlier })
+	w := start(t, 3, door, (*testbed).useLongTimeouts, func(w *testbed) { w.program = earlier })
 	l := w.load(8)
 	w.until("load", func() bool { return l.ok.Load() > 50 })
 	w.yes("POST", "/ops/booking-servers/down", "s-0")
@@ -50,18 +50,18 @@
 		next.program = program
 		next.launch()
 		next.untilReady()
-		require.Zero(t, now.quit(), now.log.String())
+		require.Zero(t, now.stop(), now.log.String())
 		now, program = next, earlier
-		attemptsBefore := len(w.servers[0].steps())
+		attemptsBefore := len(w.servers[0].attempts())
 		goal := l.ok.Load() + 100
 		w.until("it goes on", func() bool { return l.ok.Load() > goal })
-		require.Len(t, w.servers[0].steps(), attemptsBefore, "a disabled endpoint gets nothing")
+		require.Len(t, w.servers[0].attempts(), attemptsBefore, "a disabled endpoint gets nothing")
 		require.Equal(t, 1, now.stats().Ejected)
 	}
 	l.end()
 	l.none(t)
 	w.once()
-	require.Zero(t, now.quit())
+	require.Zero(t, now.stop())
 }
 
 // A state folder that the earlier build has written is restored by this one, and the other way round.
@@ -71,17 +71,17 @@
 		t.Skip("LONG_TESTS is not set")
 	}
 	earlier := buildOfCommit(t, beforeRenaming)
-	w := newWorld(t, 3)
+	w := newTestbed(t, 3)
 	path := w.keeping("")
-	w.each(busy)
-	w.servers[0].set(func(step) string { return silence })
+	w.answerAll(busy)
+	w.servers[0].setAnswer(func(upstreamAttempt) string { return silence })
 	w.program = earlier
 	w.start()
 	w.until("watch", func() bool { return w.discovery.watched() == 1 })
 	w.discovery.say(list(77, false, w.servers[1].entry("active")))
 	w.offer(2 * time.Second)
 	w.until("ejected", func() bool { return strings.Contains(w.log.String(), "down s-0") })
-	require.Zero(t, w.quit())
+	require.Zero(t, w.stop())
 	for program, restored := range map[string]string{"": `msg="state restored"`, earlier: `msg="state taken over"`} {
 		w.program = program
 		w.again()
@@ -90,8 +90,8 @@
 			calls := w.discovery.called()
 			return strings.HasSuffix(calls[len(calls)-1], "from=77")
 		})
-		require.Equal(t, 200, w.ask("consult").status)
-		require.Zero(t, w.quit())
+		require.Equal(t, 200, w.send("consult").status)
+		require.Zero(t, w.stop())
 		f := newest(t, path)
 		require.Equal(t, int64(77), f.List.Version)
 		require.True(t, f.Balancer.Servers[0].Outlier.Ejected)
@@ -106,7 +106,7 @@
 	}
 	t.Parallel()
 	earlier := buildOfCommit(t, beforeRenaming)
-	program, err := plain()
+	program, err := plainBinary()
 	require.NoError(t, err)
 	folders := t.TempDir()
 	l := lab.Open(t, lab.Options{Agents: 4, Program: program, Ops: true, Seed: 7, Shape: func(c *lab.Config) {
--- a/cmd/dunestep/faults_test.go
+++ b/cmd/dunestep/faults_test.go
@@ -74,7 +74,7 @@
 	} {
 		t.Run("fault "+string(c.fault), func(t *testing.T) {
 			f := newFaulty(t, c.fault)
-			w := newWorld(t, 0)
+			w := newTestbed(t, 0)
 			w.config["known"].(object)["servers"] = []object{{
 				"id": "s-0", "addr": f.Addr(), "zone": "a", "kind": "rapid",
 				"cell": 1, "state": "active", "weight": 1.0,
@@ -125,8 +125,8 @@
 // the wish to connect is given up, and what comes up later carries the next request only.
 func TestNothingIsForwardedForClientsThatLeft(t *testing.T) {
 	f := newFaulty(t, "")
-	w := newWorld(t, 0)
-	w.patient()
+	w := newTestbed(t, 0)
+	w.useLongTimeouts()
 	rules := w.config["settings"].(object)["rules"].(object)
 	rules["stopSendingWithin"] = 60000000 // a connection is waited for half of that at the most
 	w.config["known"].(object)["servers"] = []object{{
@@ -138,14 +138,14 @@
 	w.until("there is no room for a connection", f.Full)
 	var clients []net.Conn
 	for _, head := range []string{"GET /consult", "POST /rezervare"} {
-		clients = append(clients, w.raw(fmt.Sprintf("%s HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: %s\r\nX-Time-Left-Ms: 20000\r\nContent-Length: 0\r\n\r\n", head, w.id())))
+		clients = append(clients, w.sendRaw(fmt.Sprintf("%s HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: %s\r\nX-Time-Left-Ms: 20000\r\nContent-Length: 0\r\n\r\n", head, w.nextID())))
 	}
-	w.until("both wait for a connection", func() bool { return connecting(t, w.process.Process.Pid) == 2 })
+	w.until("both wait for a connection", func() bool { return countConnecting(t, w.process.Process.Pid) == 2 })
 	for _, c := range clients {
 		require.NoError(t, c.Close())
 	}
 	require.NoError(t, f.Accept()) // what is still waited for comes up when the system tries again
-	w.until("nothing is waited for", func() bool { return connecting(t, w.process.Process.Pid) == 0 })
+	w.until("nothing is waited for", func() bool { return countConnecting(t, w.process.Process.Pid) == 0 })
 	r := w.request("consult", 20000)
 	require.Equal(t, r.Header.Get("X-Correlation-Id")+" 0", w.do(r).body)
 	require.EqualValues(t, 1, f.got.Load(), "and nothing of those that left")
--- a/cmd/dunestep/fleet_test.go
+++ b/cmd/dunestep/fleet_test.go
@@ -31,7 +31,7 @@
 func fleetLab(t *testing.T, agents int, keeps durability) *lab.Lab {
 	t.Helper()
 	t.Parallel()
-	program, err := plain()
+	program, err := plainBinary()
 	require.NoError(t, err)
 	folders := t.TempDir()
 	return lab.Open(t, lab.Options{Agents: agents, Program: program, Ops: true, Seed: 7, Shape: func(c *lab.Config) {
@@ -59,7 +59,7 @@
 // fleetCommand runs a fleet command at an agent's door.
 func fleetCommand(t *testing.T, a *lab.Agent, args ...string) (string, error) {
 	t.Helper()
-	program, err := plain()
+	program, err := plainBinary()
 	require.NoError(t, err)
 	var out bytes.Buffer
 	c := exec.CommandContext(t.Context(), program, append([]string{"fleet"}, args...)...)
@@ -254,8 +254,8 @@
 
 // Off, there is no call of the fleet's and no datagram of it.
 func TestFleetOff(t *testing.T) {
-	w := start(t, 1, func(w *world) { w.ops = ownAddr(w.t) })
-	resp, err := http.Get("http://" + w.ops + "/ops/fleet/status")
+	w := start(t, 1, func(w *testbed) { w.opsAddr = uniqueAddr(w.t) })
+	resp, err := http.Get("http://" + w.opsAddr + "/ops/fleet/status")
 	require.NoError(t, err)
 	_ = resp.Body.Close()
 	require.Equal(t, http.StatusNotFound, resp.StatusCode)
--- a/cmd/dunestep/fleetcost_test.go
+++ b/cmd/dunestep/fleetcost_test.go
@@ -51,7 +51,7 @@
 	if os.Getenv("LONG_TESTS") == "" {
 		t.Skip("LONG_TESTS is not set")
 	}
-	program, err := plain()
+	program, err := plainBinary()
 	require.NoError(t, err)
 	ctx := t.Context()
 	open := func(operator string) *lab.Lab {
--- a/cmd/dunestep/fleetstarts_test.go
+++ b/cmd/dunestep/fleetstarts_test.go
@@ -28,7 +28,7 @@
 const coldOne = 3 // the endpoint that starts again
 
 func newColdFleet(t *testing.T, agents int) *coldFleet {
-	program, err := plain()
+	program, err := plainBinary()
 	require.NoError(t, err)
 	f := &coldFleet{t: t, came: map[int][]time.Time{}}
 	f.Lab = lab.Open(t, lab.Options{
@@ -172,7 +172,7 @@
 func TestAllStartBeforeASlowDiscovery(t *testing.T) {
 	t.Parallel()
 	const agents, fleet, most, last = 20, 300, 10 * time.Second, 30 * time.Second
-	program, err := plain()
+	program, err := plainBinary()
 	require.NoError(t, err)
 	d := &turns{takes: 100 * time.Millisecond, most: 6}
 	var l *lab.Lab
--- a/cmd/dunestep/graphql.go
+++ b/cmd/dunestep/graphql.go
@@ -44,7 +44,7 @@
 	return l.Listen(s.Listen, protocol.HTTP)
 }
 
-// graphQLProblems adds to the problems of graphQL where they are.
+// graphQLProblems adds to the problems of graphQLAddr where they are.
 func graphQLProblems(err error) error {
 	problems := operator.Problems(err)
 	for i, problem := range problems {
@@ -53,7 +53,7 @@
 	return errors.Join(problems...)
 }
 
-// graphQL returns the form of GraphQL requests, by the operator file and the deployment's settings. The error
+// graphQLAddr returns the form of GraphQL requests, by the operator file and the deployment's settings. The error
 // joins all problems.
 func (s settings) graphQL() (*protocol.GraphQL, error) {
 	g := s.operator.GraphQL
--- a/cmd/dunestep/graphql_cost_test.go
+++ b/cmd/dunestep/graphql_cost_test.go
@@ -15,7 +15,7 @@
 )
 
 // cpu is the processor time that the program has used.
-func (w *world) cpu() time.Duration {
+func (w *testbed) cpu() time.Duration {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", w.process.Process.Pid))
 	require.NoError(w.t, err)
 	_, after, _ := strings.Cut(string(raw), ") ")
@@ -26,7 +26,7 @@
 }
 
 // flood sends requests by eight clients and returns what each cost the program.
-func (w *world) flood(requests int, make func(i int) *http.Request) time.Duration {
+func (w *testbed) flood(requests int, make func(i int) *http.Request) time.Duration {
 	began := w.cpu()
 	var clients sync.WaitGroup
 	for c := range 8 {
@@ -54,11 +54,11 @@
 func TestGraphQLCost(t *testing.T) {
 	requests, _ := strconv.Atoi(os.Getenv("DUNESTEP_COST"))
 	requests = max(requests, 1000)
-	w := newWorldAlone(t, 4).start(withGraphQL(), plainly, func(w *world) {
+	w := newSerialTestbed(t, 4).start(withGraphQL(), usePlainBinary, func(w *testbed) {
 		w.config["limits"].(object)["memory_mb"] = 48
-		w.patient()
+		w.useLongTimeouts()
 	})
-	w.each(func(s step) string { return reply("200 OK", `{"data":{}}`) })
+	w.answerAll(func(s upstreamAttempt) string { return reply("200 OK", `{"data":{}}`) })
 	document := `query Slots($day: String) { slots(day: $day) { ` + strings.Repeat("startsAt practitioner { displayName } ", 25) + "} }"
 	body := func(day int) string {
 		return fmt.Sprintf(`{"query":%q,"variables":{"day":"day-%d"}}`, document, day)
--- a/cmd/dunestep/graphql_faults_test.go
+++ b/cmd/dunestep/graphql_faults_test.go
@@ -32,7 +32,7 @@
 var tokens = regexp.MustCompile(`[mq]-\d+`)
 
 // execute executes what an attempt asks for, as its document or its hash says.
-func (l *ledger) execute(s step) {
+func (l *ledger) execute(s upstreamAttempt) {
 	text, _ := url.QueryUnescape(s.RequestURI)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -71,7 +71,7 @@
 }
 
 // answer gives a quarter of the attempts one of the troubles.
-func (l *ledger) answer(s step) string {
+func (l *ledger) answer(s upstreamAttempt) string {
 	kind := rand.IntN(4 * len(troubles))
 	if kind >= len(troubles) {
 		l.execute(s)
@@ -134,14 +134,14 @@
 	target, _ := strconv.Atoi(os.Getenv("DUNESTEP_FAULTS"))
 	target = max(target, 400)
 	l := &ledger{executed: map[string]int{}, kinds: map[int]int{}}
-	w := newWorldAlone(t, 8)
+	w := newSerialTestbed(t, 8)
 	withGraphQL(`batch = "strictest"`)(w)
 	for _, class := range w.config["settings"].(object)["categories"].([]object) {
 		class["aim"], class["deadline"] = 100000, 400000
 	}
-	w.each(l.answer)
+	w.answerAll(l.answer)
 	w.launch()
-	w.until("ready", func() bool { return w.health() == http.StatusOK })
+	w.until("ready", func() bool { return w.readyStatus() == http.StatusOK })
 	var served, asked [2]atomic.Int64 // of queries, of mutations
 	done := make(chan struct{})
 	var clients sync.WaitGroup
@@ -166,7 +166,7 @@
 	}
 	close(done)
 	clients.Wait()
-	require.Zero(t, w.quit(), "exit code")
+	require.Zero(t, w.stop(), "exit code")
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	mutations, repeated := 0, l.repeated()
@@ -205,12 +205,12 @@
 }
 
 // askToken sends one operation and counts whether it was served. It is not sent again: that would be another.
-func (w *world) askToken(served, asked *[2]atomic.Int64) {
-	n := w.ids.Add(2)
+func (w *testbed) askToken(served, asked *[2]atomic.Int64) {
+	n := w.lastID.Add(2)
 	kind, prefix := rand.IntN(2), "qm"
 	token, other := fmt.Sprintf("%c-%d", prefix[kind], n), fmt.Sprintf("q-%d", n+1)
 	body := disguise(rand.IntN(8), []operationKind{query, mutation}[kind], token, other)
-	r, err := http.NewRequest(http.MethodPost, "http://"+w.graphQL+"/graphql", io.NopCloser(strings.NewReader(body)))
+	r, err := http.NewRequest(http.MethodPost, "http://"+w.graphQLAddr+"/graphql", io.NopCloser(strings.NewReader(body)))
 	if err != nil {
 		return
 	}
@@ -240,16 +240,16 @@
 )
 
 // deployOne replaces the oldest endpoint: it drains and goes, or dies without a word and the list follows.
-func (w *world) deployOne(version int, answer func(step) string, how ending) int {
+func (w *testbed) deployOne(version int, answer func(upstreamAttempt) string, how ending) int {
 	old := w.servers[0]
 	next := newServer(w.t, fmt.Sprintf("s-%d", version))
-	next.set(answer)
+	next.setAnswer(answer)
 	w.servers = append(w.servers[1:], next)
 	if how == killed {
 		old.stop()
 		time.Sleep(50 * time.Millisecond)
 	} else {
-		old.set(func(step) string { return reply("503 Service Unavailable", "", "X-Unprocessed: 1") })
+		old.setAnswer(func(upstreamAttempt) string { return reply("503 Service Unavailable", "", "X-Unprocessed: 1") })
 		w.discovery.say(list(version, false, old.entry("leaving"), next.entry("active")))
 		time.Sleep(200 * time.Millisecond)
 		old.stop()
@@ -259,12 +259,12 @@
 }
 
 // restart ends the agent, by a kill or a drain, and starts it anew with the servers of now.
-func (w *world) restart(how ending) {
+func (w *testbed) restart(how ending) {
 	if how == killed {
 		_ = w.process.Process.Signal(syscall.SIGKILL)
 		await(w.t, w.exited)
 	} else {
-		require.Zero(w.t, w.quit())
+		require.Zero(w.t, w.stop())
 	}
 	var entries []object
 	for _, s := range w.servers {
@@ -273,5 +273,5 @@
 	w.config["known"] = object{"version": 1, "full": true, "servers": entries}
 	w.exited = make(chan struct{})
 	w.launch()
-	w.until("ready", func() bool { return w.health() == http.StatusOK })
+	w.until("ready", func() bool { return w.readyStatus() == http.StatusOK })
 }
--- a/cmd/dunestep/graphql_test.go
+++ b/cmd/dunestep/graphql_test.go
@@ -23,23 +23,23 @@
 )
 
 // withGraphQL has GraphQL come on a socket of its own, with further lines of the operator's table.
-func withGraphQL(lines ...string) func(*world) {
-	return func(w *world) {
+func withGraphQL(lines ...string) func(*testbed) {
+	return func(w *testbed) {
 		host, _, _ := net.SplitHostPort(w.addr)
 		free, err := net.Listen("tcp", host+":0")
 		require.NoError(w.t, err)
-		w.graphQL = free.Addr().String()
+		w.graphQLAddr = free.Addr().String()
 		require.NoError(w.t, free.Close())
-		w.operator = fmt.Sprintf("[graphql]\nlisten = %q\n%s\n", w.graphQL, strings.Join(lines, "\n"))
+		w.operatorFile = fmt.Sprintf("[graphql]\nlisten = %q\n%s\n", w.graphQLAddr, strings.Join(lines, "\n"))
 	}
 }
 
 // post is a GraphQL request as a client sends it that knows nothing of this application's headers.
-func (w *world) post(document, variables string, headers ...string) *http.Request {
+func (w *testbed) post(document, variables string, headers ...string) *http.Request {
 	query, err := json.Marshal(document)
 	require.NoError(w.t, err)
 	body := fmt.Sprintf(` {"query":%s, "variables":%s}`+"\n", query, variables)
-	r, err := http.NewRequest(http.MethodPost, "http://"+w.graphQL+"/graphql", strings.NewReader(body))
+	r, err := http.NewRequest(http.MethodPost, "http://"+w.graphQLAddr+"/graphql", strings.NewReader(body))
 	require.NoError(w.t, err)
 	r.Header.Set("Content-Type", "application/json; charset=utf-8")
 	for i := 0; i < len(headers); i += 2 {
@@ -66,14 +66,16 @@
 // What a GraphQL client sends goes on byte for byte, with the protocol's headers; what comes back is passed on,
 // also where it tells of errors.
 func TestGraphQLPassesUnchanged(t *testing.T) {
-	for name, edit := range map[string]func(*world){
+	for name, edit := range map[string]func(*testbed){
 		"own socket":   withGraphQL(),
-		"front socket": func(w *world) { w.graphQL, w.operator = w.addr, "graphql = { listen = \"front\" }" },
+		"front socket": func(w *testbed) { w.graphQLAddr, w.operatorFile = w.addr, "graphql = { listen = \"front\" }" },
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := start(t, 1, edit, (*world).patient)
+			w := start(t, 1, edit, (*testbed).useLongTimeouts)
 			body := `{"errors":[{"message":"no such chair"}],"data":null}`
-			w.each(func(step) string { return reply("200 OK", body, "Content-Type: application/graphql-response+json") })
+			w.answerAll(func(upstreamAttempt) string {
+				return reply("200 OK", body, "Content-Type: application/graphql-response+json")
+			})
 			const accept = "application/graphql-response+json, application/json;q=0.9"
 			r := w.post(slotQuery, `{"day":"monday \u0041"}`, "Accept", accept, "Idempotency-Key", "chair-4")
 			sent, _ := io.ReadAll(r.Body)
@@ -82,12 +84,12 @@
 			require.Equal(t, answer{200, body, got.header}, got)
 			require.Equal(t, "application/graphql-response+json", got.header.Get("Content-Type"))
 			target := "/graphql?query=" + url.QueryEscape(slotQuery) + "&variables=%7b%7D&x=%2f"
-			r, err := http.NewRequest(http.MethodGet, "http://"+w.graphQL+target, nil)
+			r, err := http.NewRequest(http.MethodGet, "http://"+w.graphQLAddr+target, nil)
 			require.NoError(t, err)
 			r.Header.Set("X-Correlation-Id", "00000000000000ab")
 			r.Header.Set("X-Time-Left-Ms", "30000")
 			require.Equal(t, 200, w.do(r).status)
-			steps := w.servers[0].steps()
+			steps := w.servers[0].attempts()
 			require.Len(t, steps, 2)
 			require.Equal(t, []string{"POST", "/graphql", string(sent), "application/json; charset=utf-8", accept, "chair-4"},
 				[]string{
@@ -99,15 +101,15 @@
 			require.Equal(t, []string{"GET", target, "", "00000000000000ab"},
 				[]string{steps[1].Method, steps[1].RequestURI, steps[1].body, steps[1].Header.Get("X-Correlation-Id")})
 			require.Less(t, wait(t, steps[1]), 30000)
-			require.Equal(t, 200, w.ask("consult").status, "plain requests come on the front socket")
+			require.Equal(t, 200, w.send("consult").status, "plain requests come on the front socket")
 		})
 	}
 	w := start(t, 1)
-	w.graphQL = w.addr
+	w.graphQLAddr = w.addr
 	require.Equal(t, 400, w.do(w.post(slotQuery, "{}")).status, "it is off by default")
 }
 
-func wait(t *testing.T, s step) int {
+func wait(t *testing.T, s upstreamAttempt) int {
 	ms, err := strconv.Atoi(s.Header.Get("X-Time-Left-Ms"))
 	require.NoError(t, err)
 	return ms
@@ -117,32 +119,32 @@
 // is a GraphQL answer beside the HTTP one.
 func TestGraphQLOutcomes(t *testing.T) {
 	w := start(t, 3, withGraphQL())
-	fail := func(step) string { return reply("500 Internal Server Error", "") }
-	away := func(step) string { return reply("503 Service Unavailable", "", "X-Unprocessed: 1") }
+	fail := func(upstreamAttempt) string { return reply("500 Internal Server Error", "") }
+	away := func(upstreamAttempt) string { return reply("503 Service Unavailable", "", "X-Unprocessed: 1") }
 	for _, c := range []struct {
 		document, code string
-		first, other   func(step) string
+		first, other   func(upstreamAttempt) string
 		status, steps  int
 	}{
 		{slotQuery, "", fail, ok, 200, 2},
 		{bookMutation, "", away, ok, 200, 2},
 		{bookMutation, "FAILED", fail, ok, 502, 1},
 		{`{ slots `, "FAILED", fail, ok, 502, 1}, // what it is can't be told
-		{bookMutation, "", func(step) string { // the client's mistake, and no server's
+		{bookMutation, "", func(upstreamAttempt) string { // the client's mistake, and no server's
 			return reply("400 Bad Request", "{}", "Content-Type: application/graphql-response+json")
 		}, ok, 400, 1},
-		{slotQuery, "", func(step) string { return reply("400 Bad Request", "") }, ok, 200, 2},
-		{slotQuery, "", func(step) string {
+		{slotQuery, "", func(upstreamAttempt) string { return reply("400 Bad Request", "") }, ok, 200, 2},
+		{slotQuery, "", func(upstreamAttempt) string {
 			return reply("429 Too Many Requests", "{}", "Content-Type: application/json")
 		}, ok, 200, 2},
 		{bookMutation, "BUSY", away, away, 503, -1}, // as often as the module likes
 	} {
-		before := w.seen()
-		w.first(c.first, c.other)
+		before := w.attemptCount()
+		w.answerFirst(c.first, c.other)
 		got := w.do(w.post(c.document, "{}"))
 		require.Equal(t, c.status, got.status, "%v", c)
 		require.Equal(t, c.code, got.code(), got.body)
-		require.True(t, c.steps < 0 || c.steps == w.seen()-before, c.document)
+		require.True(t, c.steps < 0 || c.steps == w.attemptCount()-before, c.document)
 		require.Equal(t, c.code == "FAILED", strings.Contains(got.body, `"mayHaveRun":true`))
 		if c.code == "BUSY" {
 			after, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
@@ -157,7 +159,7 @@
 	w := start(t, 1, withGraphQL(`batch = "strictest"`))
 	const graph, plain = "application/graphql-response+json", "application/json"
 	send := func(method, target, accept, contentType, body string) answer {
-		r, err := http.NewRequest(method, "http://"+w.graphQL+target, strings.NewReader(body))
+		r, err := http.NewRequest(method, "http://"+w.graphQLAddr+target, strings.NewReader(body))
 		require.NoError(t, err)
 		r.Header = http.Header{"Accept": {accept}, "Content-Type": {contentType}}
 		return w.do(r)
@@ -190,19 +192,19 @@
 		require.Equal(t, want+"; charset=utf-8", got.header.Get("Content-Type"))
 		require.Equal(t, c.status == 405, got.header.Get("Allow") == "GET, POST")
 	}
-	twoLengths := w.rawTo(w.graphQL, "POST /graphql HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n")
+	twoLengths := w.sendRawTo(w.graphQLAddr, "POST /graphql HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n")
 	answered, err := io.ReadAll(twoLengths)
 	require.NoError(t, err)
 	require.Contains(t, string(answered), "BAD_REQUEST")
-	require.Zero(t, w.seen())
-	w.each(func(step) string { return reply("503 Service Unavailable", "", "X-Unprocessed: 1") })
+	require.Zero(t, w.attemptCount())
+	w.answerAll(func(upstreamAttempt) string { return reply("503 Service Unavailable", "", "X-Unprocessed: 1") })
 	batch := `[{"query":"{ a }"},{"query":"mutation { b }"}]`
 	got := send("POST", "/graphql", plain, plain, batch)
 	require.Equal(t, 503, got.status)
 	var each []struct{ Errors []any }
 	require.NoError(t, json.Unmarshal([]byte(got.body), &each), got.body)
 	require.Len(t, each, 2)
-	resp, err := http.Get("http://" + w.graphQL + "/health/ready")
+	resp, err := http.Get("http://" + w.graphQLAddr + "/health/ready")
 	require.NoError(t, err)
 	_ = resp.Body.Close()
 	require.Equal(t, 200, resp.StatusCode)
@@ -213,16 +215,16 @@
 	trusted := filepath.Join(t.TempDir(), "trusted.json")
 	require.NoError(t, os.WriteFile(trusted, []byte(`{"slots-1":"{ slots { id } }"}`), 0o600))
 	w := start(t, 4, withGraphQL(`key = "variable:input.clinic"`, `deadline = "header:X-Budget"`, `id = "variable:id"`,
-		fmt.Sprintf("trusted = %q", trusted)), (*world).patient)
+		fmt.Sprintf("trusted = %q", trusted)), (*testbed).useLongTimeouts)
 	server := map[string]string{}
 	for i := range 40 {
 		clinic := fmt.Sprintf("clinic-%d", i%8)
-		id := w.id()
-		before := w.seen()
+		id := w.nextID()
+		before := w.attemptCount()
 		r := w.post(slotQuery, fmt.Sprintf(`{"input":{"clinic":%q},"id":%q}`, clinic, id), "X-Budget", "30000")
 		got := w.do(r)
 		require.Equal(t, 200, got.status)
-		require.Equal(t, 1, w.seen()-before)
+		require.Equal(t, 1, w.attemptCount()-before)
 		gotID, by, _ := strings.Cut(got.body, " ")
 		require.Equal(t, id, gotID)
 		if server[clinic] == "" {
@@ -231,7 +233,7 @@
 		require.Equal(t, server[clinic], by, "a clinic stays with its server")
 	}
 	for _, s := range w.servers {
-		for _, step := range s.steps() {
+		for _, step := range s.attempts() {
 			require.LessOrEqual(t, wait(t, step), 30000)
 		}
 	}
@@ -239,7 +241,7 @@
 		got := w.do(bad)
 		require.Equal(t, "BAD_REQUEST", got.code(), "%+v; the log says %s", got, w.log.String())
 	}
-	w.first(func(step) string { return reply("500 Internal Server Error", "") }, ok)
+	w.answerFirst(func(upstreamAttempt) string { return reply("500 Internal Server Error", "") }, ok)
 	r := w.post("", `{}`)
 	r.Body, r.ContentLength = io.NopCloser(strings.NewReader(`{"documentId":"slots-1"}`)), 24
 	require.Equal(t, 200, w.do(r).status, "it is a query, and repeated")
@@ -254,10 +256,10 @@
 		"path = \"/consult\"\n#":           "path /consult is that of a class",
 	} {
 		t.Run(want, func(t *testing.T) {
-			w := newWorld(t, 1)
+			w := newTestbed(t, 1)
 			withGraphQL(lines)(w)
 			if strings.Contains(want, "path") {
-				w.operator = strings.Replace(w.operator, w.graphQL, "front", 1)
+				w.operatorFile = strings.Replace(w.operatorFile, w.graphQLAddr, "front", 1)
 			}
 			w.launch()
 			await(t, w.exited)
--- a/cmd/dunestep/helper_test.go
+++ b/cmd/dunestep/helper_test.go
@@ -26,102 +26,102 @@
 	"dunestep/internal/standin/program"
 )
 
-// The tests start the program as a process and stand round it: as its client, its endpoints, discovery
-// and another agent. Everything is on loopback, on ports that the system picks.
+// The tests run the program as a process and simulate its clients, its endpoints, discovery and a peer agent.
+// Everything is on loopback, on ports that the operating system assigns.
 
-const patience = 15 * time.Second // for what must happen some time
+const waitTimeout = 15 * time.Second // for events without a deadline of their own
 
-var binary, binaries string
+var raceBinary, binaryDir string
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	if side := flag.Lookup("test.parallel"); side.Value.String() == side.DefValue {
-		_ = side.Value.Set(fmt.Sprint(2 * runtime.GOMAXPROCS(0))) // mostly they wait
+	if parallel := flag.Lookup("test.parallel"); parallel.Value.String() == parallel.DefValue {
+		_ = parallel.Value.Set(fmt.Sprint(2 * runtime.GOMAXPROCS(0))) // the tests mostly wait
 	}
 	var err error
-	if binaries, err = os.MkdirTemp("", "dunestep"); err == nil {
-		go func() { _, _ = plain() }() // beside the other
-		// With the race detector: a race ends the process with a code of its own, which quit notices.
-		binary, err = build("dunestep", "-race")
+	if binaryDir, err = os.MkdirTemp("", "dunestep"); err == nil {
+		go func() { _, _ = plainBinary() }() // concurrently with the race build
+		// A data race ends the process with a non-zero exit code, which tests check after stop.
+		raceBinary, err = build("dunestep", "-race")
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
 	code := m.Run()
-	_, _ = plain() // it may not be built yet
-	_ = os.RemoveAll(binaries)
+	_, _ = plainBinary() // waits until the background build has ended
+	_ = os.RemoveAll(binaryDir)
 	os.Exit(code)
 }
 
-// build builds the program under a name and returns its path.
+// build builds the program as a binary of the given name and returns its path.
 func build(name string, flags ...string) (string, error) {
-	path := filepath.Join(binaries, name)
+	path := filepath.Join(binaryDir, name)
 	return path, program.Build(path, "dunestep/cmd/dunestep", flags...)
 }
 
-var plain = sync.OnceValues(func() (string, error) { return build("plain") })
+var plainBinary = sync.OnceValues(func() (string, error) { return build("plain") })
 
-// plainly has the program run without the race detector, which takes several times the memory and time.
-func plainly(w *world) {
-	path, err := plain()
+// usePlainBinary makes w run the program without the race detector, which takes several times the memory and time.
+func usePlainBinary(w *testbed) {
+	path, err := plainBinary()
 	require.NoError(w.t, err)
 	w.program = path
 }
 
 type object = map[string]any
 
-// class is a class of requests as a deployment's settings have it.
+// class is a class of requests in a deployment's settings.
 type class struct {
-	name, effect  string
-	aim, deadline time.Duration
-	worth         float64
-	memory        time.Duration // for which an endpoint remembers a key
+	name, effect               string
+	latencyObjective, deadline time.Duration
+	value                      float64
+	keyRetention               time.Duration // how long an endpoint remembers an idempotency key
 }
 
-// The effects of classes, as the settings name them.
+// The values of a class's effect in the settings.
 const (
 	retryable = "retryable"
 	dedup     = "dedup"
 	fragile   = "fragile"
 )
 
-// deployment is what an agent is told of whom it works for, and what its endpoints are called there.
+// deployment is what the agent's settings say of its environment, and how the endpoints are named.
 type deployment struct {
-	zone, kind, server string // of an endpoint: its zone and kind, and what its id begins with
-	classes            []class
-	tenants            []string
-	quota              float64 // requests a second of each tenant
-	discovery          string
-	attempts           int
-	retryAfter         bool
-	maxRetryAfter      time.Duration
-	connectTimeout     time.Duration
-	connIdle           time.Duration
-	drainGrace         time.Duration
-	cold               time.Duration
-	coldShare          float64
-}
-
-// usual is the deployment of tests that say nothing else, with a class of each kind that occurs there.
-var usual = deployment{
-	zone: "a", kind: "rapid", server: "s-", tenants: []string{"acme"}, quota: 1000,
+	zone, kind, idPrefix string // of an endpoint: zone, machine kind, prefix of its id
+	classes              []class
+	tenants              []string
+	quota                float64 // requests per second of each tenant
+	discovery            string
+	maxAttempts          int
+	retryAfter           bool
+	maxRetryAfter        time.Duration
+	connectTimeout       time.Duration
+	connIdle             time.Duration
+	drainGrace           time.Duration
+	slowStart            time.Duration
+	slowStartCapacity    float64
+}
+
+// defaultDeployment is the deployment of tests that need no other. It has an idempotent and a non-idempotent class.
+var defaultDeployment = deployment{
+	zone: "a", kind: "rapid", idPrefix: "s-", tenants: []string{"acme"}, quota: 1000,
 	classes: []class{
 		{"consult", retryable, 500 * time.Millisecond, 2500 * time.Millisecond, 1, 0},
 		{"rezervare", fragile, 500 * time.Millisecond, time.Second, 2, 0},
 	},
-	discovery: "on_request", attempts: 3, retryAfter: true, maxRetryAfter: 2 * time.Second,
+	discovery: "on_request", maxAttempts: 3, retryAfter: true, maxRetryAfter: 2 * time.Second,
 	connectTimeout: 250 * time.Millisecond, connIdle: 15 * time.Second, drainGrace: 3 * time.Second,
-	cold: 8900 * time.Millisecond, coldShare: 0.31,
+	slowStart: 8900 * time.Millisecond, slowStartCapacity: 0.31,
 }
 
 func (d deployment) settings() object {
 	var categories, customers []object
 	for _, c := range d.classes {
 		categories = append(categories, object{
-			"name": c.name, "effect": c.effect, "value": c.worth,
-			"aim": c.aim.Microseconds(), "deadline": c.deadline.Microseconds(),
-			"memorySpan": c.memory.Microseconds(),
+			"name": c.name, "effect": c.effect, "value": c.value,
+			"aim": c.latencyObjective.Microseconds(), "deadline": c.deadline.Microseconds(),
+			"memorySpan": c.keyRetention.Microseconds(),
 		})
 	}
 	for _, t := range d.tenants {
@@ -131,19 +131,19 @@
 		"balancers": 2, "ordinal": 0, "zone": d.zone, "resolution": 5000, "discovery": d.discovery,
 		"categories": categories, "customers": customers, "clientHabits": object{"marksRetry": true},
 		"bounds": object{
-			"sendCap": d.attempts, "cancel": true, "mayTell": true, "retryAfter": d.retryAfter,
+			"sendCap": d.maxAttempts, "cancel": true, "mayTell": true, "retryAfter": d.retryAfter,
 			"maxRetryAfter": d.maxRetryAfter.Microseconds(), "connIdle": d.connIdle.Microseconds(),
 			"connectTimeout": d.connectTimeout.Microseconds(),
 		},
 		"rules": object{
-			"cold": d.cold.Microseconds(), "startCapacity": d.coldShare, "fallMultiple": 3,
+			"cold": d.slowStart.Microseconds(), "startCapacity": d.slowStartCapacity, "fallMultiple": 3,
 			"fall": 3000000, "askWithin": 10000000, "stopSendingWithin": d.drainGrace.Microseconds(),
 		},
 	}
 }
 
-// named is a class by its name, or one that may be repeated.
-func (d deployment) named(name string) class {
+// classNamed returns the class of that name; if there is none, an idempotent class of that name.
+func (d deployment) classNamed(name string) class {
 	for _, c := range d.classes {
 		if c.name == name {
 			return c
@@ -152,29 +152,29 @@
 	return class{name: name, effect: retryable}
 }
 
-// world is the program and those round it.
-type world struct {
-	t         testing.TB
-	site      deployment
-	config    object
-	env       []string
-	operator  string // text of the operator file; empty: none is named
-	program   string // empty: the one with the race detector
-	path      string
-	addr      string
-	ops       string // the operators' address; empty: there is none
-	folder    string // $TMPDIR
-	graphQL   string // the address of the socket for it
-	process   *exec.Cmd
-	log       *logBuffer
-	exited    chan struct{}
-	servers   []*server
-	discovery *discovery
-	peer      *net.UDPConn
-	ids       atomic.Uint64
-}
-
-// logBuffer is a program's log. Its buffer has a name: embedded, it would offer ways in past the lock.
+// testbed is the program and the simulated processes around it.
+type testbed struct {
+	t            testing.TB
+	deployment   deployment
+	config       object
+	env          []string
+	operatorFile string // text of the operator file; empty: no operator file
+	program      string // path of the binary; empty: the one with the race detector
+	configPath   string
+	addr         string
+	opsAddr      string // the operators' socket's address; empty: no socket
+	tempDir      string // $TMPDIR
+	graphQLAddr  string // the GraphQL socket's address
+	process      *exec.Cmd
+	log          *logBuffer
+	exited       chan struct{}
+	servers      []*server
+	discovery    *discovery
+	peer         *net.UDPConn
+	lastID       atomic.Uint64
+}
+
+// logBuffer collects a program's log. The buffer is not embedded: its methods would bypass the lock.
 type logBuffer struct {
 	mu    sync.Mutex
 	bytes bytes.Buffer
@@ -192,31 +192,33 @@
 	return l.bytes.String()
 }
 
-var worlds atomic.Int32
+var addressCount atomic.Int32
 
-// newWorld prepares n endpoints, which serve, and a list that names them.
-func newWorld(t *testing.T, n int) *world {
+// newTestbed starts n endpoints and prepares a configuration whose endpoint list has them. The test runs in parallel.
+func newTestbed(t *testing.T, n int) *testbed {
 	t.Parallel()
-	return newWorldAlone(t, n)
+	return newSerialTestbed(t, n)
 }
 
-// newWorldAlone is for a test that loads the machine: others would find their programs too slow beside it.
-func newWorldAlone(t testing.TB, n int) *world { return newWorldOf(t, usual, n) }
+// newSerialTestbed is newTestbed for a test that loads the machine: it would slow down tests that run in parallel.
+func newSerialTestbed(t testing.TB, n int) *testbed {
+	return newDeploymentTestbed(t, defaultDeployment, n)
+}
 
-// newWorldOf is a world of a deployment.
-func newWorldOf(t testing.TB, site deployment, n int) *world {
+// newDeploymentTestbed is newSerialTestbed with a deployment other than the default.
+func newDeploymentTestbed(t testing.TB, site deployment, n int) *testbed {
 	require.NoError(t, program.Sources())
-	w := &world{t: t, site: site, log: &logBuffer{}, exited: make(chan struct{}), folder: t.TempDir()}
-	w.ids.Store(uint64(time.Now().UnixNano()))
+	w := &testbed{t: t, deployment: site, log: &logBuffer{}, exited: make(chan struct{}), tempDir: t.TempDir()}
+	w.lastID.Store(uint64(time.Now().UnixNano()))
 	var entries []object
 	for i := range n {
-		s := newServer(t, fmt.Sprint(site.server, i))
+		s := newServer(t, fmt.Sprint(site.idPrefix, i))
 		s.zone, s.kind = site.zone, site.kind
 		w.servers = append(w.servers, s)
 		entries = append(entries, s.entry("active"))
 	}
 	w.discovery = newDiscovery(t)
-	w.addr = ownAddr(t)
+	w.addr = uniqueAddr(t)
 	var err error
 	w.peer, err = net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	require.NoError(t, err)
@@ -230,35 +232,35 @@
 	return w
 }
 
-// ownAddr is an address of a test's own, or another one could take the port, by TCP or by UDP, before the program
-// does.
-func ownAddr(t testing.TB) string {
-	own := worlds.Add(1)
+// uniqueAddr returns a loopback address that no other test uses. Otherwise another test could bind the port, by TCP or
+// UDP, before the program does.
+func uniqueAddr(t testing.TB) string {
+	own := addressCount.Add(1)
 	free, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 64+os.Getpid()%128, own>>8, own&255))
 	require.NoError(t, err)
 	require.NoError(t, free.Close())
 	return free.Addr().String()
 }
 
-// configure writes the configuration and the operator file as they are now.
-func (w *world) configure() {
+// configure writes the current configuration and operator file to disk.
+func (w *testbed) configure() {
 	raw, err := json.Marshal(w.config)
 	require.NoError(w.t, err)
-	require.NoError(w.t, os.WriteFile(w.path, raw, 0o600))
-	require.NoError(w.t, os.WriteFile(w.path+".toml", []byte(w.operator), 0o600))
+	require.NoError(w.t, os.WriteFile(w.configPath, raw, 0o600))
+	require.NoError(w.t, os.WriteFile(w.configPath+".toml", []byte(w.operatorFile), 0o600))
 }
 
-// launch starts the program with the configuration as it is now.
-func (w *world) launch() {
-	w.path = filepath.Join(w.t.TempDir(), "config.json")
+// launch starts the program with the current configuration.
+func (w *testbed) launch() {
+	w.configPath = filepath.Join(w.t.TempDir(), "config.json")
 	w.configure()
-	w.process = exec.Command(cmp.Or(w.program, binary))
-	if w.operator != "" {
-		w.process.Args = append(w.process.Args, "--operator", w.path+".toml")
+	w.process = exec.Command(cmp.Or(w.program, raceBinary))
+	if w.operatorFile != "" {
+		w.process.Args = append(w.process.Args, "--operator", w.configPath+".toml")
 	}
 	w.process.Env = append([]string{
 		"LB_NAME=n0", "LB_LISTEN=" + w.addr, "LB_DISCOVERY=" + w.discovery.addr,
-		"LB_CONFIG=" + w.path, "LB_OPS=" + w.ops, "TMPDIR=" + w.folder,
+		"LB_CONFIG=" + w.configPath, "LB_OPS=" + w.opsAddr, "TMPDIR=" + w.tempDir,
 	}, w.env...)
 	w.process.Stdout, w.process.Stderr = w.log, w.log
 	require.NoError(w.t, w.process.Start())
@@ -272,78 +274,79 @@
 	})
 }
 
-// start launches the program, waits until it is ready and has it end well after the test.
-func start(t *testing.T, n int, edits ...func(*world)) *world {
-	return newWorld(t, n).start(edits...)
+// start launches the program and waits until it is ready. At the test's end, it checks that the program exits with 0.
+func start(t *testing.T, n int, edits ...func(*testbed)) *testbed {
+	return newTestbed(t, n).start(edits...)
 }
 
-func (w *world) start(edits ...func(*world)) *world {
+func (w *testbed) start(edits ...func(*testbed)) *testbed {
 	for _, edit := range edits {
 		edit(w)
 	}
 	w.launch()
-	w.until("ready", func() bool { return w.health() == http.StatusOK })
-	w.t.Cleanup(func() { require.Zero(w.t, w.quit(), "exit code") })
+	w.until("ready", func() bool { return w.readyStatus() == http.StatusOK })
+	w.t.Cleanup(func() { require.Zero(w.t, w.stop(), "exit code") })
 	return w
 }
 
-// quit ends the program by SIGTERM and returns its exit code.
-func (w *world) quit() int {
+// stop sends SIGTERM, waits until the program has exited and returns its exit code.
+func (w *testbed) stop() int {
 	_ = w.process.Process.Signal(syscall.SIGTERM)
 	await(w.t, w.exited)
 	return w.process.ProcessState.ExitCode()
 }
 
-// fairly has a test whose bounds are in real time tried again where the machine kept it waiting: a program that
-// got no processor is not at fault. What is wrong with the program is wrong without that too, and at each of four tries.
-func fairly(t *testing.T, try func() error) {
-	const most, kept = 4, 60 * time.Millisecond
+// retryIfStalled runs a check whose bounds are in real time. A failed try is repeated only where a goroutine was
+// scheduled more than 60 ms late meanwhile, at most four tries in all: a program without a processor misses its
+// deadlines through no fault of its own. A real fault also shows in tries without such a delay.
+func retryIfStalled(t *testing.T, try func() error) {
+	const maxTries, stalled = 4, 60 * time.Millisecond
 	for n := 1; ; n++ {
-		over, longest := make(chan struct{}), make(chan time.Duration)
+		done, longest := make(chan struct{}), make(chan time.Duration)
 		go func() {
-			const nap = 5 * time.Millisecond
-			waited := time.Duration(0)
+			const pause = 5 * time.Millisecond
+			delay := time.Duration(0)
 			for {
 				began := time.Now()
 				select {
-				case <-over:
-					longest <- waited
+				case <-done:
+					longest <- delay
 					return
-				case <-time.After(nap):
-					waited = max(waited, time.Since(began)-nap)
+				case <-time.After(pause):
+					delay = max(delay, time.Since(began)-pause)
 				}
 			}
 		}()
 		err := try()
-		close(over)
-		waited := <-longest
+		close(done)
+		delay := <-longest
 		if err == nil {
 			return
 		}
-		require.True(t, waited > kept && n < most, "try %d, kept waiting for %v: %v", n, waited, err)
-		t.Logf("again: kept waiting for %v: %v", waited, err)
+		require.True(t, delay > stalled && n < maxTries, "try %d, scheduled up to %v late: %v", n, delay, err)
+		t.Logf("retrying: scheduled up to %v late: %v", delay, err)
 	}
 }
 
-// await receives what must come some time.
+// await receives from c; the test fails after waitTimeout.
 func await[T any](t testing.TB, c <-chan T) (v T) {
 	t.Helper()
 	select {
 	case v = <-c:
-	case <-time.After(patience):
-		require.Fail(t, "it does not come")
+	case <-time.After(waitTimeout):
+		require.Fail(t, "nothing was received in time")
 	}
 	return v
 }
 
-// connecting counts a process's connections that have yet to come up.
-func connecting(t testing.TB, pid int) int {
+// countConnecting returns how many of a process's connections are not established yet.
+func countConnecting(t testing.TB, pid int) int {
 	n, err := standin.Connecting(pid)
 	require.NoError(t, err)
 	return n
 }
 
-func (w *world) health() int {
+func (w *testbed) readyStatus() int {
 	resp, err := http.Get("http://" + w.addr + "/health/ready")
 	if err != nil {
 		return 0
@@ -352,39 +355,40 @@
 	return resp.StatusCode
 }
 
-func (w *world) until(what string, is func() bool) {
+func (w *testbed) until(what string, is func() bool) {
 	w.t.Helper()
-	require.Eventually(w.t, is, patience, 5*time.Millisecond, what)
+	require.Eventually(w.t, is, waitTimeout, 5*time.Millisecond, what)
 }
 
-// seen counts the attempts that reached any endpoint.
-func (w *world) seen() (n int) {
+// attemptCount returns how many attempts have reached the endpoints.
+func (w *testbed) attemptCount() (n int) {
 	for _, s := range w.servers {
-		n += len(s.steps())
+		n += len(s.attempts())
 	}
 	return n
 }
 
-// each has every endpoint answer so.
-func (w *world) each(answer func(step) string) {
+// answerAll makes every endpoint answer with answer.
+func (w *testbed) answerAll(answer func(upstreamAttempt) string) {
 	for _, s := range w.servers {
-		s.set(answer)
+		s.setAnswer(answer)
 	}
 }
 
-// first has the first attempt of all answered by one, and those after it by the other.
-func (w *world) first(one, other func(step) string) {
+// answerFirst makes the endpoints answer the first attempt with first and all later ones with rest.
+func (w *testbed) answerFirst(first, rest func(upstreamAttempt) string) {
 	var n atomic.Int32
-	w.each(func(s step) string {
+	w.answerAll(func(s upstreamAttempt) string {
 		if n.Add(1) == 1 {
-			return one(s)
+			return first(s)
 		}
-		return other(s)
+		return rest(s)
 	})
 }
 
-// patient has every class wait for as long as its client does, and a connection come up however busy the machine is.
-func (w *world) patient() {
+// useLongTimeouts sets every class's objective and deadline to 60 s and the connect timeout to 10 s, so that a busy
+// machine fails no request.
+func (w *testbed) useLongTimeouts() {
 	settings := w.config["settings"].(object)
 	for _, class := range settings["categories"].([]object) {
 		class["aim"], class["deadline"] = 60000000, 60000000
@@ -392,21 +396,21 @@
 	settings["bounds"].(object)["connectTimeout"] = 10000000
 }
 
-func (w *world) id() string { return fmt.Sprintf("%016x", w.ids.Add(1)) }
+func (w *testbed) nextID() string { return fmt.Sprintf("%016x", w.lastID.Add(1)) }
 
-// request is a request of a class, for the first tenant: by GET where it is safe to repeat, else by POST with a body,
-// and with a key where endpoints know it by one.
-func (w *world) request(class string, leftMS int) *http.Request {
+// request returns a request of a class for the first tenant: a GET where the class may be retried, otherwise a POST with
+// a body. Where endpoints deduplicate the class, it has an idempotency key.
+func (w *testbed) request(class string, leftMS int) *http.Request {
 	method, body := http.MethodGet, ""
-	effect := w.site.named(class).effect
+	effect := w.deployment.classNamed(class).effect
 	if effect != retryable {
 		method, body = http.MethodPost, "chair 4, Monday"
 	}
 	r, err := http.NewRequest(method, "http://"+w.addr+"/"+class+"/x%2Fy?q=1&r=%20", strings.NewReader(body))
 	require.NoError(w.t, err)
 	r.Host = "backend.local"
-	r.Header.Set("X-Correlation-Id", w.id())
-	r.Header.Set("X-Account", w.site.tenants[0])
+	r.Header.Set("X-Correlation-Id", w.nextID())
+	r.Header.Set("X-Account", w.deployment.tenants[0])
 	r.Header.Set("Cookie", "sid=7f3a9c21e0b4d655")
 	r.Header.Set("X-Time-Left-Ms", fmt.Sprint(leftMS))
 	if effect == dedup {
@@ -421,7 +425,7 @@
 	header http.Header
 }
 
-func (w *world) do(r *http.Request) answer {
+func (w *testbed) do(r *http.Request) answer {
 	w.t.Helper()
 	resp, err := http.DefaultClient.Do(r)
 	require.NoError(w.t, err)
@@ -431,15 +435,15 @@
 	return answer{resp.StatusCode, string(body), resp.Header}
 }
 
-func (w *world) ask(class string) answer {
+func (w *testbed) send(class string) answer {
 	w.t.Helper()
 	return w.do(w.request(class, 900))
 }
 
-// raw writes bytes to the listening socket as they are.
-func (w *world) raw(text string) net.Conn { return w.rawTo(w.addr, text) }
+// sendRaw writes bytes unchanged to the listening socket. The connection is closed at the test's end.
+func (w *testbed) sendRaw(text string) net.Conn { return w.sendRawTo(w.addr, text) }
 
-func (w *world) rawTo(addr, text string) net.Conn {
+func (w *testbed) sendRawTo(addr, text string) net.Conn {
 	c, err := net.Dial("tcp", addr)
 	require.NoError(w.t, err)
 	w.t.Cleanup(func() { _ = c.Close() })
--- a/cmd/dunestep/idempotency_test.go
+++ b/cmd/dunestep/idempotency_test.go
@@ -11,12 +11,12 @@
 // each further one: without it a request of a class that may be repeated under its key would run twice.
 func TestIdempotencyKeyIsForwarded(t *testing.T) {
 	const key = "9b1f03aa-5c7e-2d41"
-	w := start(t, 3, (*world).patient, func(w *world) {
+	w := start(t, 3, (*testbed).useLongTimeouts, func(w *testbed) {
 		class := w.config["settings"].(object)["categories"].([]object)[1]
 		class["effect"], class["keyScope"], class["memorySpan"] = "dedup", "all", 60_000_000
 	})
 	turnedAway := reply("503 Service Unavailable", "", "X-Unprocessed: 1")
-	w.first(func(step) string { return turnedAway }, ok)
+	w.answerFirst(func(upstreamAttempt) string { return turnedAway }, ok)
 	request := w.request("rezervare", 5000)
 	request.Header.Set("Idempotency-Key", key)
 	require.Equal(t, http.StatusOK, w.do(request).status)
@@ -24,9 +24,9 @@
 	require.Equal(t, http.StatusOK, w.do(without).status)
 	attempts := 0
 	for _, s := range w.servers {
-		for _, attempt := range s.steps() {
+		for _, attempt := range s.attempts() {
 			attempts++
-			if idOf(attempt) == idOf(step{Request: request}) {
+			if idOf(attempt) == idOf(upstreamAttempt{Request: request}) {
 				require.Equal(t, []string{key}, attempt.Header["Idempotency-Key"], s.id)
 			} else {
 				require.NotContains(t, attempt.Header, "Idempotency-Key", "its client sent none")
--- a/cmd/dunestep/surroundings_test.go
+++ b/cmd/dunestep/lifecycle_test.go
@@ -13,58 +13,59 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestStartsFromTheKnownList(t *testing.T) {
-	w := start(t, 1, func(w *world) { w.discovery.set(503, false) })
-	require.Equal(t, 200, w.ask("consult").status)
-	w.until("asks again", func() bool { return len(w.discovery.called()) > 1 })
+func TestStartsFromConfiguredEndpointList(t *testing.T) {
+	w := start(t, 1, func(w *testbed) { w.discovery.set(503, false) })
+	require.Equal(t, 200, w.send("consult").status)
+	w.until("discovery polled again", func() bool { return len(w.discovery.called()) > 1 })
 	require.Equal(t, "/registry/instances?watch=1&from=41", w.discovery.called()[0])
 }
 
-// The program is ready only once there is an endpoint: otherwise clients would be rejected.
-func TestReadyOnceAServerIsKnown(t *testing.T) {
-	w := newWorld(t, 1)
+// The program is ready only once it knows an endpoint: before that, it rejects all requests.
+func TestReadyOnceEndpointIsKnown(t *testing.T) {
+	w := newTestbed(t, 1)
 	w.config["known"] = object{"version": 0, "full": true, "servers": []object{}}
 	w.launch()
-	w.until("up", func() bool { return w.health() == 503 && w.discovery.watched() == 1 })
-	require.Equal(t, 503, w.ask("consult").status)
+	w.until("running without being ready", func() bool { return w.readyStatus() == 503 && w.discovery.watched() == 1 })
+	require.Equal(t, 503, w.send("consult").status)
 	w.discovery.say(list(1, true, w.servers[0].entry("active")))
-	w.until("ready", func() bool { return w.health() == 200 })
-	require.Equal(t, 200, w.ask("consult").status)
-	require.Zero(t, w.quit())
+	w.until("ready", func() bool { return w.readyStatus() == 200 })
+	require.Equal(t, 200, w.send("consult").status)
+	require.Zero(t, w.stop())
 }
 
-// The list on the watch: the first object may be changes or the whole list; addresses change; what drains or
-// has left gets nothing new. A malformed entry is dropped, and the drain beside it is heeded.
+// Updates from the watch: the first object may be a delta or the full list, and an endpoint's address may change. A
+// draining or removed endpoint gets no new requests. A malformed entry is dropped, and the valid entries of the same
+// object are applied.
 func TestEndpointList(t *testing.T) {
-	w := start(t, 2, func(w *world) {
-		w.config["settings"].(object)["bounds"].(object)["connIdle"] = 300000000 // nothing is dropped for its idleness
+	w := start(t, 2, func(w *testbed) {
+		w.config["settings"].(object)["bounds"].(object)["connIdle"] = 300000000 // no connection is closed for being idle
 	})
-	spare := newServer(t, "s-1")
+	moved := newServer(t, "s-1")
 	reaches := func(s *server) func() bool {
 		return func() bool {
-			before := len(s.steps())
-			require.Equal(t, 200, w.ask("rezervare").status)
-			return len(s.steps()) > before
+			before := len(s.attempts())
+			require.Equal(t, 200, w.send("rezervare").status)
+			return len(s.attempts()) > before
 		}
 	}
 	w.until("watch", func() bool { return w.discovery.watched() == 1 })
 	w.discovery.say(list(42, false, w.servers[0].entry("leaving"), object{"id": 7}, object{"id": "s-9", "state": "?"},
 		object{"id": "s-8", "state": "active", "addr": "nowhere"}))
-	w.until("drain told", func() bool { return strings.Count(w.log.String(), "entry dropped") == 3 })
+	w.until("update with the drain applied", func() bool { return strings.Count(w.log.String(), "entry dropped") == 3 })
 	for range 10 {
 		require.True(t, reaches(w.servers[1])())
 	}
-	w.discovery.say(list(43, false, spare.entry("active"))) // s-1 has moved
-	w.until("moved", reaches(spare))
-	w.discovery.say(list(44, true, w.servers[0].entry("active"))) // s-1 is not listed any more
-	w.until("back", reaches(w.servers[0]))
+	w.discovery.say(list(43, false, moved.entry("active"))) // s-1 has a new address
+	w.until("new address in use", reaches(moved))
+	w.discovery.say(list(44, true, w.servers[0].entry("active"))) // s-1 is no longer listed
+	w.until("s-0 in use again", reaches(w.servers[0]))
 	for range 10 {
 		require.True(t, reaches(w.servers[0])())
 	}
-	w.until("connections to what left are closed", func() bool { return spare.open() == 0 })
+	w.until("connections to the removed endpoint are closed", func() bool { return moved.openCount() == 0 })
 }
 
-// However a watch ends, the agent watches again from the version that it has; nothing malformed stops it.
+// However a watch ends, also by malformed data, the agent watches again from the version that it has.
 func TestWatchIsRenewed(t *testing.T) {
 	w := start(t, 1)
 	for i, c := range []struct {
@@ -72,42 +73,42 @@
 		ends func()
 		from int
 	}{
-		{"its end", w.discovery.end, 43},
+		{"end of stream", w.discovery.end, 43},
 		{"not JSON", func() { w.discovery.say("{") }, 43},
 		{"no version", func() { w.discovery.say(`{"servers":[]}`) }, 43},
 		{"another type", func() { w.discovery.say(`{"version":"x","servers":{}}`) }, 43},
 		{"silence", func() {
 			w.discovery.set(200, true)
 			w.discovery.end()
-			w.until("a watch that will be silent", func() bool { return w.discovery.watched() == 1 })
+			w.until("watch on which nothing is sent", func() bool { return w.discovery.watched() == 1 })
 		}, 43},
 		{"no answer", func() {
 			calls := len(w.discovery.called())
 			w.discovery.set(0, false)
 			w.discovery.end()
-			w.until("a call that will not be answered", func() bool { return len(w.discovery.called()) > calls })
+			w.until("call that gets no answer", func() bool { return len(w.discovery.called()) > calls })
 		}, 43},
 		{"changes out of order", func() { w.discovery.say(list(12, false)) }, 0},
 	} {
 		w.until("watch", func() bool { return w.discovery.watched() == 1 })
 		w.discovery.say(list(43, i > 0))
 		w.discovery.say(list(43, false, w.servers[0].entry("active")))
-		w.until("told", func() bool { return w.health() == 200 })
+		w.until("endpoint list applied", func() bool { return w.readyStatus() == 200 })
 		calls := len(w.discovery.called())
 		c.ends()
 		if c.name == "silence" || c.name == "no answer" {
 			calls++ // that call itself
 		}
-		w.until("again after "+c.name, func() bool { return len(w.discovery.called()) > calls })
+		w.until("new watch after "+c.name, func() bool { return len(w.discovery.called()) > calls })
 		w.discovery.set(200, false)
 		require.Equal(t, fmt.Sprintf("/registry/instances?watch=1&from=%d", c.from), w.discovery.called()[calls], c.name)
-		w.discovery.end() // this one may be silent too
+		w.discovery.end() // nothing may be sent on this watch either
 	}
-	require.Equal(t, 200, w.ask("consult").status)
+	require.Equal(t, 200, w.send("consult").status)
 }
 
-// A new configuration at SIGHUP: discovery is watched at its new address, from the version that is known, and
-// nothing else stops. A file that can't be used changes nothing.
+// SIGHUP applies a new configuration: discovery is watched at its new address from the known version, and requests are
+// served throughout. A file that cannot be used changes nothing.
 func TestReload(t *testing.T) {
 	w := start(t, 2)
 	first, second := w.discovery, newDiscovery(t)
@@ -117,13 +118,13 @@
 		before := strings.Count(w.log.String(), log)
 		require.NoError(t, w.process.Process.Signal(syscall.SIGHUP))
 		w.until(log, func() bool { return strings.Count(w.log.String(), log) > before })
-		require.Equal(t, 200, w.ask("rezervare").status)
+		require.Equal(t, 200, w.send("rezervare").status)
 	}
 	for _, broken := range []string{"", `{"name":`, `{"discovery":"` + second.addr + `"}`} {
-		require.NoError(t, os.WriteFile(w.path, []byte(broken), 0o600))
+		require.NoError(t, os.WriteFile(w.configPath, []byte(broken), 0o600))
 		reload("configuration not applied")
 	}
-	require.NoError(t, os.Remove(w.path))
+	require.NoError(t, os.Remove(w.configPath))
 	reload("configuration not applied")
 	require.Equal(t, 1, first.watched())
 	require.Empty(t, second.called())
@@ -133,25 +134,25 @@
 	reload("configuration applied")
 	w.until("watch at the new address", func() bool { return second.watched() == 1 })
 	require.Equal(t, "/registry/instances?watch=1&from=44", second.called()[0])
-	w.until("none at the old one", func() bool { return first.watched() == 0 })
+	w.until("no watch at the old address", func() bool { return first.watched() == 0 })
 	second.say(list(45, false, w.servers[0].entry("leaving")))
-	w.until("told", func() bool {
-		before := len(w.servers[0].steps())
+	w.until("drained endpoint gets no requests", func() bool {
+		before := len(w.servers[0].attempts())
 		for range 10 {
-			require.Equal(t, 200, w.ask("rezervare").status)
+			require.Equal(t, 200, w.send("rezervare").status)
 		}
-		return len(w.servers[0].steps()) == before
+		return len(w.servers[0].attempts()) == before
 	})
-	reload("configuration applied") // the same again
+	reload("configuration applied") // unchanged
 	require.Len(t, second.called(), 1)
 	require.Len(t, first.called(), 1)
 }
 
-// Datagrams reach the peers, short enough; what is malformed or from a stranger is dropped.
+// Datagrams of at most 256 bytes reach the peers. Malformed ones and those from unknown senders are dropped.
 func TestDatagrams(t *testing.T) {
 	w := start(t, 1)
 	buf := make([]byte, 1024)
-	require.NoError(t, w.peer.SetReadDeadline(time.Now().Add(patience)))
+	require.NoError(t, w.peer.SetReadDeadline(time.Now().Add(waitTimeout)))
 	n, from, err := w.peer.ReadFromUDP(buf)
 	require.NoError(t, err)
 	require.Equal(t, w.addr, from.String(), "peers know the sender by its address")
@@ -169,57 +170,56 @@
 		return err == nil && strings.Contains(w.log.String(), "not among the peers")
 	})
 	require.Contains(t, w.log.String(), "1 to 256 bytes")
-	require.Equal(t, 200, w.ask("consult").status)
+	require.Equal(t, 200, w.send("consult").status)
 }
 
-// A planned restart: the agent goes on for as long as clients still come, answers all that it has taken, and
-// ends by itself.
+// At SIGTERM, the agent still accepts requests for a while, answers every request that it has accepted, and exits.
 func TestDrain(t *testing.T) {
-	w := start(t, 1, (*world).patient)
-	in, out := make(chan struct{}), make(chan struct{})
-	w.first(func(s step) string { close(in); <-out; return ok(s) }, ok)
-	taken := make(chan int, 1)
-	go func() { taken <- w.do(w.request("rezervare", 60000)).status }()
-	await(t, in)
-	unused := w.raw("") // connections on which nothing comes hold nothing up
-	idle := w.raw("GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n")
+	w := start(t, 1, (*testbed).useLongTimeouts)
+	received, release := make(chan struct{}), make(chan struct{})
+	w.answerFirst(func(s upstreamAttempt) string { close(received); <-release; return ok(s) }, ok)
+	status := make(chan int, 1)
+	go func() { status <- w.do(w.request("rezervare", 60000)).status }()
+	await(t, received)
+	unused := w.sendRaw("") // a connection without a request does not delay the exit
+	idle := w.sendRaw("GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n")
 	_, err := idle.Read(make([]byte, 1))
 	require.NoError(t, err)
 	began := time.Now()
 	require.NoError(t, w.process.Process.Signal(syscall.SIGTERM))
-	w.until("no longer ready", func() bool { return w.health() == 503 })
-	for time.Since(began) < 400*time.Millisecond { // 0.75 s it goes on, at the least
-		require.Equal(t, 200, w.ask("consult").status)
+	w.until("no longer ready", func() bool { return w.readyStatus() == 503 })
+	for time.Since(began) < 400*time.Millisecond { // it accepts requests for at least 0.75 s
+		require.Equal(t, 200, w.send("consult").status)
 	}
-	close(out)
-	require.Equal(t, 200, await(t, taken))
-	require.Zero(t, w.quit())
+	close(release)
+	require.Equal(t, 200, await(t, status))
+	require.Zero(t, w.stop())
 	_ = unused.Close()
 	require.Contains(t, w.log.String(), "stopped")
 	require.NotContains(t, w.log.String(), "drain deadline reached")
 }
 
-// A drain does not wait for an answer until the process is killed: what is unanswered by its deadline fails.
-func TestDrainIsCutShort(t *testing.T) {
-	w := start(t, 1, (*world).patient)
-	in := make(chan struct{})
-	w.each(func(step) string { close(in); return silence })
-	taken := make(chan int, 1)
-	go func() { taken <- w.do(w.request("rezervare", 60000)).status }()
-	await(t, in)
-	w.raw("GET /consult HTTP/1.1\r\n") // what does not come whole holds nothing up for longer
-	require.Zero(t, w.quit())
-	require.Equal(t, 502, await(t, taken))
+// A drain does not wait for answers indefinitely: requests that are unanswered at its deadline fail.
+func TestDrainStopsAtDeadline(t *testing.T) {
+	w := start(t, 1, (*testbed).useLongTimeouts)
+	received := make(chan struct{})
+	w.answerAll(func(upstreamAttempt) string { close(received); return silence })
+	status := make(chan int, 1)
+	go func() { status <- w.do(w.request("rezervare", 60000)).status }()
+	await(t, received)
+	w.sendRaw("GET /consult HTTP/1.1\r\n") // an incomplete request does not delay the exit further
+	require.Zero(t, w.stop())
+	require.Equal(t, 502, await(t, status))
 	require.Contains(t, w.log.String(), "drain deadline reached")
 }
 
-// A configuration that cannot be used ends the start with one plain line.
+// With a configuration that cannot be used, the program prints one line and exits with 1.
 func TestBadConfiguration(t *testing.T) {
 	t.Parallel()
 	broken := filepath.Join(t.TempDir(), "broken.json") // outlives the parallel tests below
 	require.NoError(t, os.WriteFile(broken, []byte(`{"name":`), 0o600))
-	set := func(value any, path ...string) func(*world) {
-		return func(w *world) {
+	set := func(value any, path ...string) func(*testbed) {
+		return func(w *testbed) {
 			at := w.config
 			for _, key := range path[:len(path)-1] {
 				at = at[key].(object)
@@ -227,14 +227,14 @@
 			at[path[len(path)-1]] = value
 		}
 	}
-	for name, edit := range map[string]func(*world){
-		"LB_NAME is not set":      func(w *world) { w.env = []string{"LB_NAME="} },
-		"LB_LISTEN is not set":    func(w *world) { w.env = []string{"LB_LISTEN="} },
-		"LB_DISCOVERY is not set": func(w *world) { w.env = []string{"LB_DISCOVERY="} },
-		"LB_CONFIG is not set":    func(w *world) { w.env = []string{"LB_CONFIG="} },
-		"LB_LISTEN: ":             func(w *world) { w.env = []string{"LB_LISTEN=here"} },
-		"no such file":            func(w *world) { w.env = []string{"LB_CONFIG=" + broken + "x"} },
-		"unexpected end":          func(w *world) { w.env = []string{"LB_CONFIG=" + broken} },
+	for name, edit := range map[string]func(*testbed){
+		"LB_NAME is not set":      func(w *testbed) { w.env = []string{"LB_NAME="} },
+		"LB_LISTEN is not set":    func(w *testbed) { w.env = []string{"LB_LISTEN="} },
+		"LB_DISCOVERY is not set": func(w *testbed) { w.env = []string{"LB_DISCOVERY="} },
+		"LB_CONFIG is not set":    func(w *testbed) { w.env = []string{"LB_CONFIG="} },
+		"LB_LISTEN: ":             func(w *testbed) { w.env = []string{"LB_LISTEN=here"} },
+		"no such file":            func(w *testbed) { w.env = []string{"LB_CONFIG=" + broken + "x"} },
+		"unexpected end":          func(w *testbed) { w.env = []string{"LB_CONFIG=" + broken} },
 		"listen: ":                set("nowhere", "listen"),
 		"discovery: ":             set(nil, "discovery"),
 		"seed: ":                  set("xyz", "seed"),
@@ -248,7 +248,7 @@
 		"cannot unmarshal":        set("x", "settings", "balancers"),
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, 1)
+			w := newTestbed(t, 1)
 			edit(w)
 			w.launch()
 			await(t, w.exited)
--- a/cmd/dunestep/list_test.go
+++ b/cmd/dunestep/list_test.go
@@ -17,17 +17,17 @@
 )
 
 // heeds is how long after a change counts as told an endpoint may still be sent to, with the page's slack.
-func (w *world) heeds() time.Duration { return w.site.drainGrace + 50*time.Millisecond }
+func (w *testbed) heeds() time.Duration { return w.deployment.drainGrace + 50*time.Millisecond }
 
 // drains are endpoints that must get nothing new, each from a time on.
 type drains struct {
-	w    *world
+	w    *testbed
 	from map[*server]time.Time
 	end  func()
 }
 
 // watchDrains has clients ask with ever new keys, so that every endpoint that may have work gets some.
-func (w *world) watchDrains() *drains {
+func (w *testbed) watchDrains() *drains {
 	over := make(chan struct{})
 	var clients sync.WaitGroup
 	for range 4 {
@@ -38,7 +38,7 @@
 					return
 				case <-time.After(5 * time.Millisecond):
 				}
-				r := w.request(w.site.classes[1].name, 900)
+				r := w.request(w.deployment.classes[1].name, 900)
 				r.Header.Set("Cookie", fmt.Sprintf("sid=%x", rand.Uint64()))
 				if resp, err := http.DefaultClient.Do(r); err == nil {
 					_ = resp.Body.Close()
@@ -54,8 +54,8 @@
 // told says that a drain counts as told after a time from now on. Until now the endpoint has had work.
 func (d *drains) told(s *server, after time.Duration) {
 	d.w.t.Helper()
-	had := len(s.steps())
-	d.w.until("work for "+s.id, func() bool { return len(s.steps()) > had })
+	had := len(s.attempts())
+	d.w.until("work for "+s.id, func() bool { return len(s.attempts()) > had })
 	d.from[s] = time.Now().Add(after + d.w.heeds())
 }
 
@@ -71,14 +71,14 @@
 	time.Sleep(time.Until(last.Add(300 * time.Millisecond)))
 	d.end()
 	for s, at := range d.from {
-		for _, st := range s.steps() {
-			require.False(d.w.t, st.came.After(at), "%s got work %v after its drain had to be heeded", s.id, st.came.Sub(at))
+		for _, st := range s.attempts() {
+			require.False(d.w.t, st.receivedAt.After(at), "%s got work %v after its drain had to be heeded", s.id, st.receivedAt.Sub(at))
 		}
 	}
 }
 
 // entries are those of all endpoints, of which some drain.
-func (w *world) entries(drain ...*server) (all []object) {
+func (w *testbed) entries(drain ...*server) (all []object) {
 	for _, s := range w.servers {
 		all = append(all, s.entry("active"))
 		for _, d := range drain {
@@ -100,7 +100,7 @@
 // the endpoint: it is gone, though it still answers.
 func TestFullListLeavesAServerOut(t *testing.T) {
 	t.Parallel()
-	w := newWorldAlone(t, 4).start()
+	w := newSerialTestbed(t, 4).start()
 	d := w.discovery
 	w.until("watch", func() bool { return d.watched() == 1 })
 	drains := w.watchDrains()
@@ -118,11 +118,11 @@
 // A drain is heeded however the list that tells of it comes.
 func TestDrainsInListsOfAnyForm(t *testing.T) {
 	t.Parallel()
-	fairly(t, func() error { return drainsInLists(t) }) // pieces that come over 0.75 s apart end a watch
+	retryIfStalled(t, func() error { return drainsInLists(t) }) // pieces that come over 0.75 s apart end a watch
 }
 
 func drainsInLists(t *testing.T) error {
-	w := newWorldAlone(t, 8).start()
+	w := newSerialTestbed(t, 8).start()
 	d := w.discovery
 	w.until("watch", func() bool { return d.watched() == 1 })
 	drains := w.watchDrains()
@@ -171,7 +171,7 @@
 // Where the settings say that lists are pushed, an endpoint that drains in the list of the start gets
 // nothing from the first moment on, and news are asked for all the same: nothing comes unasked on a socket.
 func TestPushedLists(t *testing.T) {
-	w := newWorld(t, 3)
+	w := newTestbed(t, 3)
 	w.config["settings"].(object)["discovery"] = "pushed"
 	w.config["known"] = object{"version": 41, "full": true, "servers": w.entries(w.servers[0])}
 	w.start()
@@ -180,7 +180,7 @@
 	drains.told(w.servers[1], 0)
 	w.discovery.say(list(42, false, w.servers[1].entry("leaving")))
 	drains.hold()
-	require.Empty(t, w.servers[0].steps())
+	require.Empty(t, w.servers[0].attempts())
 }
 
 // A watch that falls silent is opened anew, and what it missed is heeded 3 s after it counts as told, which is 6 s
@@ -200,7 +200,7 @@
 		"moved":               {2, turn, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := start(t, 3, func(w *world) { w.config["settings"].(object)["balancers"] = c.agents })
+			w := start(t, 3, func(w *testbed) { w.config["settings"].(object)["balancers"] = c.agents })
 			w.until("watch", func() bool { return w.discovery.watched() == 1 })
 			next, told := w.discovery, 6*time.Second-empty
 			if c.moved {
@@ -237,7 +237,7 @@
 	t.Parallel()
 	for _, way := range []string{"on_request", "pushed"} {
 		t.Run(way, func(t *testing.T) {
-			w := newWorld(t, 4)
+			w := newTestbed(t, 4)
 			w.config["settings"].(object)["discovery"] = way
 			w.config["known"] = object{"version": 41, "full": true, "servers": w.entries(w.servers[0])}
 			w.discovery.set(http.StatusServiceUnavailable, false)
@@ -254,7 +254,7 @@
 			before := len(w.discovery.called())
 			w.until("calls in vain again", func() bool { return len(w.discovery.called()) > before+1 })
 			drains.hold()
-			require.Empty(t, w.servers[0].steps())
+			require.Empty(t, w.servers[0].attempts())
 		})
 	}
 }
--- a/cmd/dunestep/ops_test.go
+++ b/cmd/dunestep/ops_test.go
@@ -13,13 +13,13 @@
 )
 
 // door gives the program an operators' socket.
-func door(w *world) { w.ops = ownAddr(w.t) }
+func door(w *testbed) { w.opsAddr = uniqueAddr(w.t) }
 
 // call makes a call at the operators' socket; the answer is owed in a second.
-func (w *world) call(method, path, body string) (int, string) {
+func (w *testbed) call(method, path, body string) (int, string) {
 	w.t.Helper()
 	began := time.Now()
-	r, err := http.NewRequest(method, "http://"+w.ops+path, strings.NewReader(body))
+	r, err := http.NewRequest(method, "http://"+w.opsAddr+path, strings.NewReader(body))
 	require.NoError(w.t, err)
 	resp, err := http.DefaultClient.Do(r)
 	require.NoError(w.t, err)
@@ -31,7 +31,7 @@
 	return resp.StatusCode, string(text)
 }
 
-func (w *world) yes(method, path, body string) {
+func (w *testbed) yes(method, path, body string) {
 	w.t.Helper()
 	status, text := w.call(method, path, body)
 	require.Equal(w.t, 200, status, text)
@@ -45,7 +45,7 @@
 	Ejected   int `json:"pool_ejected"`
 }
 
-func (w *world) stats() (s stats) {
+func (w *testbed) stats() (s stats) {
 	w.t.Helper()
 	status, text := w.call("GET", "/ops/stats", "")
 	require.Equal(w.t, 200, status)
@@ -79,7 +79,7 @@
 		status, text := w.call(c.method, c.path, c.body)
 		require.Equal(t, c.status, status, "%s %s %q: %s", c.method, c.path, c.body, text)
 	}
-	require.Equal(t, 404, w.do(must(http.NewRequest("GET", "http://"+w.ops+"/health/ready", nil))).status)
+	require.Equal(t, 404, w.do(must(http.NewRequest("GET", "http://"+w.opsAddr+"/health/ready", nil))).status)
 }
 
 func must(r *http.Request, err error) *http.Request {
@@ -91,8 +91,8 @@
 
 // Without an address there is no door; a malformed one ends the start.
 func TestWithoutOpsSocket(t *testing.T) {
-	w := newWorld(t, 1)
-	w.ops = "nowhere"
+	w := newTestbed(t, 1)
+	w.opsAddr = "nowhere"
 	w.launch()
 	await(t, w.exited)
 	require.Equal(t, 1, w.process.ProcessState.ExitCode())
@@ -102,8 +102,8 @@
 // The door answers with clients at their descriptor limit and beside many callers who say nothing, or half a
 // call; those give way, oldest first.
 func TestOpsSocketUnderPressure(t *testing.T) {
-	w := start(t, 1, door, (*world).patient, func(w *world) { w.config["limits"].(object)["sockets"] = 96 })
-	w.servers[0].set(func(step) string { return silence })
+	w := start(t, 1, door, (*testbed).useLongTimeouts, func(w *testbed) { w.config["limits"].(object)["sockets"] = 96 })
+	w.servers[0].setAnswer(func(upstreamAttempt) string { return silence })
 	w.until("watch", func() bool { return w.discovery.watched() == 1 })
 	own := w.descriptors()
 	for range 60 { // more than there are descriptors for
@@ -120,15 +120,15 @@
 		return full == before && full > own+30
 	})
 	require.LessOrEqual(t, full-own, 96-32-18, "the door's 18 are set aside, beside the program's 32")
-	first := w.rawTo(w.ops, "")
+	first := w.sendRawTo(w.opsAddr, "")
 	for i := range 100 {
-		w.rawTo(w.ops, []string{"", "GET /ops/stats HTTP/1.1\r\n", "POST /ops/booking-servers/down HTTP/1.1\r\n" +
+		w.sendRawTo(w.opsAddr, []string{"", "GET /ops/stats HTTP/1.1\r\n", "POST /ops/booking-servers/down HTTP/1.1\r\n" +
 			"Host: x\r\nContent-Length: 9\r\n\r\ns-0"}[i%3])
 		if i%20 == 0 {
 			w.yes("GET", "/ops/readiness", "")
 		}
 	}
-	_ = first.SetReadDeadline(time.Now().Add(patience))
+	_ = first.SetReadDeadline(time.Now().Add(waitTimeout))
 	_, err := first.Read(make([]byte, 1))
 	require.ErrorIs(t, err, io.EOF, "the oldest gives way")
 	require.LessOrEqual(t, w.descriptors(), 96)
@@ -136,33 +136,33 @@
 
 // The figures are what those round the program saw, with failures, rejections, resets and clients that leave.
 func TestMetrics(t *testing.T) {
-	w := start(t, 2, door, (*world).patient)
+	w := start(t, 2, door, (*testbed).useLongTimeouts)
 	zero := w.stats()
 	require.Equal(t, []any{0, 0, 2, 0}, []any{zero.Tries, zero.Active, zero.Size, zero.Ejected})
 	require.Len(t, zero.Responses, 2, "classes without a request are there")
-	w.ask("consult")
+	w.send("consult")
 	answers := map[int]int{}
-	for i, with := range []func(step) string{
-		ok, func(step) string { return reply("500 No", "") },
-		func(step) string { return reply("503 No", "", "X-Unprocessed: 1") }, func(step) string { return hangUp },
+	for i, with := range []func(upstreamAttempt) string{
+		ok, func(upstreamAttempt) string { return reply("500 No", "") },
+		func(upstreamAttempt) string { return reply("503 No", "", "X-Unprocessed: 1") }, func(upstreamAttempt) string { return hangUp },
 	} {
-		w.each(with)
+		w.answerAll(with)
 		for range 3 + i {
-			answers[w.ask("rezervare").status]++
+			answers[w.send("rezervare").status]++
 		}
 	}
-	w.each(func(step) string { return silence })
-	before := w.seen()
-	leaves := w.raw("GET /consult/x HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: 9b1f03aa5c7e2d41\r\n" +
+	w.answerAll(func(upstreamAttempt) string { return silence })
+	before := w.attemptCount()
+	leaves := w.sendRaw("GET /consult/x HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: 9b1f03aa5c7e2d41\r\n" +
 		"X-Account: acme\r\nX-Time-Left-Ms: 9000\r\n\r\n")
-	w.until("it is out", func() bool { return w.seen() > before })
+	w.until("it is out", func() bool { return w.attemptCount() > before })
 	require.Equal(t, 1, w.stats().Active)
 	_ = leaves.Close()
 	w.until("it has left", func() bool { return w.stats().Active == 0 })
 	s := w.stats()
 	got := s.Responses["rezervare"]
 	require.Equal(t, []int{answers[200], answers[503] + answers[429], answers[502]}, []int{got.OK, got.Shed, got.Errors})
-	require.Equal(t, w.seen(), s.Tries)
+	require.Equal(t, w.attemptCount(), s.Tries)
 	require.Equal(t, 1, s.Responses["consult"].OK)
 }
 
@@ -171,24 +171,24 @@
 	w := start(t, 2, door)
 	ask := func(n int) {
 		for range n {
-			require.Equal(t, 200, w.ask("consult").status)
+			require.Equal(t, 200, w.send("consult").status)
 		}
 	}
 	use := func(server int) func() bool {
 		return func() bool {
-			before := len(w.servers[server].steps())
+			before := len(w.servers[server].attempts())
 			r := w.request("consult", 900)
-			r.Header.Set("Cookie", "sid="+w.id())
+			r.Header.Set("Cookie", "sid="+w.nextID())
 			w.do(r)
-			return len(w.servers[server].steps()) > before
+			return len(w.servers[server].attempts()) > before
 		}
 	}
 	w.until("both are used", func() bool { return use(0)() })
 	w.until("both are used", func() bool { return use(1)() })
 	w.yes("POST", "/ops/booking-servers/down", "s-0")
 	w.yes("POST", "/ops/booking-servers/down", "s-0")
-	w.until("its connections are closed", func() bool { return w.servers[0].open() == 0 })
-	before := len(w.servers[0].steps())
+	w.until("its connections are closed", func() bool { return w.servers[0].openCount() == 0 })
+	before := len(w.servers[0].attempts())
 	ask(20)
 	w.until("watch", func() bool { return w.discovery.watched() == 1 })
 	w.discovery.say(list(50, true, w.servers[0].entry("active"), w.servers[1].entry("active")))
@@ -200,18 +200,18 @@
 	for range 20 {
 		require.False(t, use(0)())
 	}
-	require.Len(t, w.servers[0].steps(), before)
+	require.Len(t, w.servers[0].attempts(), before)
 	s := w.stats()
 	require.Equal(t, []int{2, 1}, []int{s.Size, s.Ejected})
 	w.yes("POST", "/ops/booking-servers/down", "s-1")
-	require.Equal(t, 503, w.ask("consult").status, "all are out")
+	require.Equal(t, 503, w.send("consult").status, "all are out")
 	w.yes("POST", "/ops/booking-servers/up", "s-1")
 	w.yes("POST", "/ops/booking-servers/up", "s-0")
 	w.until("it is used again", use(0))
 }
 
 // asked is an answer's status, and whether it closes its connection.
-func (w *world) asked() []any {
+func (w *testbed) asked() []any {
 	resp, err := http.DefaultClient.Do(w.request("consult", 900))
 	require.NoError(w.t, err)
 	_ = resp.Body.Close()
@@ -222,22 +222,22 @@
 func TestManualDrain(t *testing.T) {
 	w := start(t, 1, door)
 	w.yes("POST", "/ops/drain/stop", "") // without a start
-	idle := w.raw("GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n")
+	idle := w.sendRaw("GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n")
 	_, err := idle.Read(make([]byte, 1))
 	require.NoError(t, err)
-	silent := w.raw("")
+	silent := w.sendRaw("")
 	for range 2 {
 		w.yes("POST", "/ops/drain/start", "")
-		require.Equal(t, 503, w.health())
+		require.Equal(t, 503, w.readyStatus())
 		require.Equal(t, []any{200, true}, w.asked(), "who comes all the same is served, once")
 	}
 	for _, c := range []net.Conn{idle, silent} {
-		_ = c.SetReadDeadline(time.Now().Add(patience))
+		_ = c.SetReadDeadline(time.Now().Add(waitTimeout))
 		_, err := io.Copy(io.Discard, c)
 		require.NoError(t, err, "closed as it stands idle")
 	}
 	w.yes("POST", "/ops/drain/stop", "")
-	require.Equal(t, 200, w.health())
+	require.Equal(t, 200, w.readyStatus())
 	require.Equal(t, []any{200, false}, w.asked())
 	w.yes("POST", "/ops/drain/start", "") // and SIGTERM comes while drained
 }
--- a/cmd/dunestep/overload_test.go
+++ b/cmd/dunestep/overload_test.go
@@ -23,7 +23,7 @@
 	stop                func()
 }
 
-func (w *world) stream(every time.Duration) *stream {
+func (w *testbed) stream(every time.Duration) *stream {
 	s := &stream{}
 	quit := make(chan struct{})
 	var clients sync.WaitGroup
@@ -61,23 +61,23 @@
 // at once, and the log says so.
 func TestOutageAndRecovery(t *testing.T) {
 	t.Parallel()
-	for name, fault := range map[string]func(step) string{
-		"refusing": func(step) string { return reply("503 Service Unavailable", "", "X-Unprocessed: 1") },
-		"silent":   func(step) string { return silence },
+	for name, fault := range map[string]func(upstreamAttempt) string{
+		"refusing": func(upstreamAttempt) string { return reply("503 Service Unavailable", "", "X-Unprocessed: 1") },
+		"silent":   func(upstreamAttempt) string { return silence },
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := start(t, 4)
 			s := w.stream(8 * time.Millisecond)
 			defer s.stop()
 			w.until("served", func() bool { return s.served.Load() > 200 })
-			w.each(fault)
+			w.answerAll(fault)
 			w.until("seen", func() bool { return strings.Contains(w.log.String(), "nothing was served") })
-			asked, steps := s.asked.Load(), w.seen()
+			asked, steps := s.asked.Load(), w.attemptCount()
 			w.until("goes on", func() bool { return s.asked.Load() > asked+300 })
-			require.Less(t, float64(w.seen()-steps), 0.5*float64(s.asked.Load()-asked))
+			require.Less(t, float64(w.attemptCount()-steps), 0.5*float64(s.asked.Load()-asked))
 			for _, b := range w.servers {
-				b.set(ok)
-				b.hangUpAll() // a request that was never answered stays in the way of the next one
+				b.setAnswer(ok)
+				b.closeConnections() // a request that was never answered stays in the way of the next one
 			}
 			w.until("said", func() bool { return strings.Contains(w.log.String(), "served again") })
 			w.until("served", func() bool {
@@ -93,19 +93,19 @@
 // A tenant beyond its share is told so by 429, others by 503; both when to come back, in seconds that differ;
 // and how much the share is, where the operator wants it.
 func TestRejectionsTellClients(t *testing.T) {
-	w := start(t, 1, func(w *world) {
-		w.operator = "[storm]\nrate_limit_fields = true\n"
+	w := start(t, 1, func(w *testbed) {
+		w.operatorFile = "[storm]\nrate_limit_fields = true\n"
 		w.config["settings"].(object)["customers"] = []object{
 			{"name": "acme", "quotaPerS": 1000, "share": 0.99},
 			{"name": "greedy", "quotaPerS": 1, "share": 0.01},
 		}
 	})
-	w.each(func(step) string { return reply("503 Service Unavailable", "", "X-Unprocessed: 1") })
+	w.answerAll(func(upstreamAttempt) string { return reply("503 Service Unavailable", "", "X-Unprocessed: 1") })
 	seen := map[string]bool{}
 	refused := func(tenant string) answer {
 		r := w.request("consult", 900)
 		r.Header.Set("X-Account", tenant)
-		r.Header.Set("Cookie", "sid="+w.id())
+		r.Header.Set("Cookie", "sid="+w.nextID())
 		return w.do(r)
 	}
 	w.until("an outage", func() bool {
@@ -126,7 +126,7 @@
 			require.Regexp(t, `^"share";r=\d+;t=[12]$`, got.header.Get("RateLimit"))
 		}
 	}
-	w.operator = "[storm]\non = false\n"
+	w.operatorFile = "[storm]\non = false\n"
 	w.configure()
 	require.NoError(t, w.process.Process.Signal(syscall.SIGHUP))
 	w.until("off", func() bool {
@@ -138,17 +138,17 @@
 // BenchmarkRejection measures what a request that is rejected in an outage costs the program, beside one that is
 // served: in CPU time of the process, and in requests a second on one core.
 func BenchmarkRejection(b *testing.B) {
-	for name, answers := range map[string]func(step) string{
+	for name, answers := range map[string]func(upstreamAttempt) string{
 		"served":  ok,
-		"refused": func(step) string { return reply("503 Service Unavailable", "", "X-Unprocessed: 1") },
+		"refused": func(upstreamAttempt) string { return reply("503 Service Unavailable", "", "X-Unprocessed: 1") },
 	} {
 		b.Run(name, func(b *testing.B) {
-			w := newWorldAlone(b, 4).start(plainly)
-			w.each(answers)
+			w := newSerialTestbed(b, 4).start(usePlainBinary)
+			w.answerAll(answers)
 			const clients = 32
 			ask := func(c net.Conn, in *bufio.Reader, n int) {
 				_, err := fmt.Fprintf(c, "GET /consult/x HTTP/1.1\r\nHost: b\r\nX-Correlation-Id: %s\r\nX-Account: acme\r\n"+
-					"Cookie: sid=%d\r\nX-Time-Left-Ms: 900\r\n\r\n", w.id(), n)
+					"Cookie: sid=%d\r\nX-Time-Left-Ms: 900\r\n\r\n", w.nextID(), n)
 				require.NoError(b, err)
 				resp, err := http.ReadResponse(in, nil)
 				require.NoError(b, err)
--- a/cmd/dunestep/policy_test.go
+++ b/cmd/dunestep/policy_test.go
@@ -59,7 +59,7 @@
 func policyLab(t *testing.T, agents int, shape func(*lab.Config)) (*lab.Lab, *tries) {
 	t.Helper()
 	t.Parallel()
-	program, err := plain()
+	program, err := plainBinary()
 	require.NoError(t, err)
 	c := &tries{latest: map[int]string{}, of: map[string]int{}}
 	return lab.Open(t, lab.Options{
--- a/cmd/dunestep/policyfaults_test.go
+++ b/cmd/dunestep/policyfaults_test.go
@@ -29,14 +29,14 @@
 
 // With nothing wrong, two changes: the judge sees each version at the agents.
 func TestPolicyWitnessed(t *testing.T) {
-	w := watchedLab(t, 5, inMemory, nil)
+	w := newObservedLab(t, 5, inMemory, nil)
 	for _, mark := range []int{4, 3} {
-		text, err := w.propose(w.l.Agent(mark%5), mark)
+		text, err := w.propose(w.lab.Agent(mark%5), mark)
 		require.NoError(t, err, text)
-		w.actAll(mark)
+		w.awaitInForce(mark)
 	}
-	w.verdict()
-	require.Empty(t, w.l.EndAll())
+	w.checkDecisions()
+	require.Empty(t, w.lab.EndAll())
 }
 
 // later is what a command says in the end.
@@ -46,7 +46,7 @@
 }
 
 // start proposes in the background.
-func (w *witness) start(a *lab.Agent, mark int, args ...string) <-chan later {
+func (w *policyObserver) start(a *lab.Agent, mark int, args ...string) <-chan later {
 	done := make(chan later, 1)
 	w.wait.Go(func() {
 		text, err := w.propose(a, mark, args...)
@@ -56,10 +56,10 @@
 }
 
 // settled makes the same call again until it is known what became of it, and then once more: it changes once.
-func (w *witness) settled(a *lab.Agent, mark int) (taken bool) {
+func (w *policyObserver) settled(a *lab.Agent, mark int) (taken bool) {
 	w.t.Helper()
 	text := ""
-	require.NoError(w.t, w.l.Wait(w.t.Context(), "the call is settled", func() bool {
+	require.NoError(w.t, w.lab.Wait(w.t.Context(), "the call is settled", func() bool {
 		var err error
 		text, err = w.propose(a, mark)
 		taken = err == nil
@@ -71,9 +71,9 @@
 }
 
 // opened waits until an agent knows of a change that is open.
-func (w *witness) opened(a *lab.Agent) {
+func (w *policyObserver) opened(a *lab.Agent) {
 	w.t.Helper()
-	require.NoError(w.t, w.l.Wait(w.t.Context(), "a change is open", func() bool {
+	require.NoError(w.t, w.lab.Wait(w.t.Context(), "a change is open", func() bool {
 		s, ok := policiesAt(a)
 		return ok && s.Open != nil
 	}))
@@ -88,14 +88,14 @@
 )
 
 // end has whatever became of a mark hold at all, and judges.
-func (w *witness) end(mark int, as acceptance) {
+func (w *policyObserver) end(mark int, as acceptance) {
 	w.t.Helper()
 	if as == rejected {
-		mark = markAtFirst
+		mark = initialMaxAttempts
 	}
-	w.actAll(mark)
-	w.verdict()
-	require.Empty(w.t, w.l.EndAll())
+	w.awaitInForce(mark)
+	w.checkDecisions()
+	require.Empty(w.t, w.lab.EndAll())
 }
 
 // The leader is killed at a step of a change: once it is proposed and only voters have answered, as the others stand still;
@@ -108,23 +108,23 @@
 		activated bool
 	}{"proposed": {[]int{3, 4}, false}, "half answered": {[]int{4}, false}, "activated": {[]int{4}, true}} {
 		t.Run(name, func(t *testing.T) {
-			w := watchedLab(t, 5, inMemory, nil)
-			led := leader(w.l)
+			w := newObservedLab(t, 5, inMemory, nil)
+			led := leader(w.lab)
 			require.NotNil(t, led)
-			other := w.l.Agent((led.Number + 1) % 3)
+			other := w.lab.Agent((led.Number + 1) % 3)
 			for _, n := range step.still {
-				w.l.Agent(n).Pause()
+				w.lab.Agent(n).Pause()
 			}
 			said := w.start(other, 4)
 			if w.opened(other); step.activated {
-				require.NoError(t, w.l.Wait(t.Context(), "it is activated", func() bool {
-					s, ok := policiesAt(w.l.Agent(3))
+				require.NoError(t, w.lab.Wait(t.Context(), "it is activated", func() bool {
+					s, ok := policiesAt(w.lab.Agent(3))
 					return ok && s.InForce.Number > 0
 				}))
 			}
 			led.Kill()
 			for _, n := range step.still {
-				w.l.Agent(n).Resume()
+				w.lab.Agent(n).Resume()
 			}
 			first := <-said
 			require.NoError(t, led.Start(t.Context()))
@@ -138,21 +138,21 @@
 // Of three voters with folders two are killed: nothing is agreed, and agents come to the floor and serve. When they are back
 // the call is settled, and the next one holds.
 func TestPolicyVotersKilled(t *testing.T) {
-	w := watchedLab(t, 5, inFolders, nil)
+	w := newObservedLab(t, 5, inFolders, nil)
 	ctx := t.Context()
-	w.l.Agent(0).Kill()
-	w.l.Agent(2).Kill()
-	require.NoError(t, w.l.Wait(ctx, "the floor", func() bool {
-		return statusAt(w.l.Agent(3)).Standing == "floor" && statusAt(w.l.Agent(1)).Standing == "floor"
+	w.lab.Agent(0).Kill()
+	w.lab.Agent(2).Kill()
+	require.NoError(t, w.lab.Wait(ctx, "the floor", func() bool {
+		return statusAt(w.lab.Agent(3)).Standing == "floor" && statusAt(w.lab.Agent(1)).Standing == "floor"
 	}))
-	text, err := w.propose(w.l.Agent(3), 4, "--wait", "1s")
+	text, err := w.propose(w.lab.Agent(3), 4, "--wait", "1s")
 	require.ErrorContains(t, err, "exit status", text)
-	require.NoError(t, w.l.StartAll(ctx))
-	require.NoError(t, w.l.Wait(ctx, "leases again", all(w.l, full)))
-	if taken := w.settled(w.l.Agent(3), 4); taken {
-		w.actAll(4)
+	require.NoError(t, w.lab.StartAll(ctx))
+	require.NoError(t, w.lab.Wait(ctx, "leases again", all(w.lab, full)))
+	if taken := w.settled(w.lab.Agent(3), 4); taken {
+		w.awaitInForce(4)
 	}
-	text, err = w.propose(w.l.Agent(0), 3)
+	text, err = w.propose(w.lab.Agent(0), 3)
 	require.NoError(t, err, text)
 	w.end(3, accepted)
 }
@@ -163,87 +163,87 @@
 	t.Parallel()
 	for _, keeps := range []durability{inFolders, inMemory} {
 		t.Run(fmt.Sprint("folders ", keeps), func(t *testing.T) {
-			w := watchedLab(t, 5, keeps, nil)
-			text, err := w.propose(w.l.Agent(3), 4)
+			w := newObservedLab(t, 5, keeps, nil)
+			text, err := w.propose(w.lab.Agent(3), 4)
 			require.NoError(t, err, text)
-			w.actAll(4)
-			epoch := statusAt(w.l.Agent(3)).Epoch
-			for _, a := range w.l.Agents() {
+			w.awaitInForce(4)
+			epoch := statusAt(w.lab.Agent(3)).Epoch
+			for _, a := range w.lab.Agents() {
 				a.Kill()
 			}
-			require.NoError(t, w.l.StartAll(t.Context()))
-			require.NoError(t, w.l.Wait(t.Context(), "leases again", all(w.l, full)))
+			require.NoError(t, w.lab.StartAll(t.Context()))
+			require.NoError(t, w.lab.Wait(t.Context(), "leases again", all(w.lab, full)))
 			if keeps == inFolders {
 				w.end(4, accepted)
 				return
 			}
-			w.actAll(markAtFirst)
-			require.Greater(t, statusAt(w.l.Agent(3)).Epoch, epoch)
-			require.Empty(t, w.l.EndAll())
+			w.awaitInForce(initialMaxAttempts)
+			require.Greater(t, statusAt(w.lab.Agent(3)).Epoch, epoch)
+			require.Empty(t, w.lab.EndAll())
 		})
 	}
 }
 
 // All agents are restarted, one after the other, while two changes are made; voters keep nothing.
 func TestPolicyRoll(t *testing.T) {
-	w := watchedLab(t, 7, inMemory, nil)
-	said := w.start(w.l.Agent(6), 4)
-	for _, a := range w.l.Agents() {
+	w := newObservedLab(t, 7, inMemory, nil)
+	said := w.start(w.lab.Agent(6), 4)
+	for _, a := range w.lab.Agents() {
 		if a.Number == 4 { // half way
 			first := <-said
-			require.True(t, w.settled(w.l.Agent(0), 4), first.text)
-			said = w.start(w.l.Agent(0), 3)
+			require.True(t, w.settled(w.lab.Agent(0), 4), first.text)
+			said = w.start(w.lab.Agent(0), 3)
 		}
 		a.Drain()
-		require.NoError(t, w.l.Wait(t.Context(), a.Name+" has ended", func() bool { return !a.Runs() }))
+		require.NoError(t, w.lab.Wait(t.Context(), a.Name+" has ended", func() bool { return !a.Runs() }))
 		require.NoError(t, a.Start(t.Context()))
 	}
 	second := <-said
-	require.True(t, w.settled(w.l.Agent(1), 3), second.text)
+	require.True(t, w.settled(w.lab.Agent(1), 3), second.text)
 	w.end(3, accepted)
 }
 
 // An agent stands still across an activation, with a request in hand whose next attempt is due meanwhile and permitted by
 // the former version alone: what it does when it wakes goes by the floor or by the new version.
 func TestPolicyPausedWithRequests(t *testing.T) {
-	w := watchedLab(t, 5, inMemory, nil)
-	paused := w.l.Agent(4)
-	w.giveInHand(t.Context(), paused)
+	w := newObservedLab(t, 5, inMemory, nil)
+	paused := w.lab.Agent(4)
+	w.startPendingRequest(t.Context(), paused)
 	paused.Pause()
-	stood := unix()
-	heal, err := w.l.Spoil(mishap.Fault{To: []int{4}, Way: mishap.Way{Cut: true}}) // it hears of nothing as it wakes
+	stood := sinceEpoch()
+	heal, err := w.lab.Spoil(mishap.Fault{To: []int{4}, Way: mishap.Way{Cut: true}}) // it hears of nothing as it wakes
 	require.NoError(t, err)
-	text, err := w.propose(w.l.Agent(1), 4)
+	text, err := w.propose(w.lab.Agent(1), 4)
 	require.NoError(t, err, text)
-	for _, a := range w.l.Agents()[:4] {
+	for _, a := range w.lab.Agents()[:4] {
 		s, ok := policiesAt(a)
 		require.True(t, ok && s.InForce.Number == 1)
 	}
 	paused.Resume()
-	w.asked()
+	w.awaitMoreRequests()
 	heal()
 	w.end(4, accepted)
-	i := slices.IndexFunc(w.seen, func(s sighting) bool { return s.waited })
+	i := slices.IndexFunc(w.finished, func(s observedRequest) bool { return s.wasPending })
 	require.GreaterOrEqual(t, i, 0)
-	s := w.seen[i]
-	t.Logf("%d attempts, the first one at %v, the last one at %v, ended at %v from when it stood still", s.tries, s.began-stood,
-		s.last-stood, s.ended-stood)
-	require.False(t, s.tries == markAtFirst && s.last > stood, "the attempt that the former version permits")
+	s := w.finished[i]
+	t.Logf("%d attempts, the first one at %v, the last one at %v, ended at %v from when it stood still", s.attempts, s.firstAttemptAt-stood,
+		s.lastAttemptAt-stood, s.endedAt-stood)
+	require.False(t, s.attempts == initialMaxAttempts && s.lastAttemptAt > stood, "the attempt that the former version permits")
 }
 
 // With three datagrams in ten lost, two doubled and two held back by up to two seconds, changes end and hold.
 func TestPolicyLossy(t *testing.T) {
-	w := watchedLab(t, 5, inMemory, nil)
-	_, err := w.l.Spoil(mishap.Fault{Way: mishap.Way{
+	w := newObservedLab(t, 5, inMemory, nil)
+	_, err := w.lab.Spoil(mishap.Fault{Way: mishap.Way{
 		Loss: 0.3, Double: 0.2, Reorder: 0.2,
 		Held: scenario.TimeSpan{High: 2 * time.Second},
 	}})
 	require.NoError(t, err)
 	taken := 0
 	for _, mark := range []int{4, 3} {
-		if w.settled(w.l.Agent(mark), mark) {
+		if w.settled(w.lab.Agent(mark), mark) {
 			taken = mark
-			w.actAll(mark)
+			w.awaitInForce(mark)
 		}
 	}
 	require.NotZero(t, taken, "neither of the two")
@@ -252,14 +252,14 @@
 
 // Of two changes that are open at once the first one holds and the other is told why it does not.
 func TestPolicyTwoAtOnce(t *testing.T) {
-	w := watchedLab(t, 5, inMemory, nil)
-	w.l.Agent(4).Pause() // so that the first stays open until its lease is over
-	said := w.start(w.l.Agent(0), 4)
-	w.opened(w.l.Agent(1))
-	text, err := w.propose(w.l.Agent(1), 3)
+	w := newObservedLab(t, 5, inMemory, nil)
+	w.lab.Agent(4).Pause() // so that the first stays open until its lease is over
+	said := w.start(w.lab.Agent(0), 4)
+	w.opened(w.lab.Agent(1))
+	text, err := w.propose(w.lab.Agent(1), 3)
 	require.Error(t, err, text)
 	require.Contains(t, text, "not taken: another change, version 1, is open")
-	w.l.Agent(4).Resume()
+	w.lab.Agent(4).Resume()
 	first := <-said
 	require.NoError(t, first.err, first.text)
 	w.end(4, accepted)
@@ -270,22 +270,22 @@
 	t.Parallel()
 	for _, back := range []bool{false, true} {
 		t.Run(fmt.Sprint("back ", back), func(t *testing.T) {
-			w := watchedLab(t, 5, inMemory, nil)
-			led := leader(w.l)
+			w := newObservedLab(t, 5, inMemory, nil)
+			led := leader(w.lab)
 			require.NotNil(t, led)
-			other := w.l.Agent((led.Number + 1) % 3)
-			w.l.Agent(4).Pause()
+			other := w.lab.Agent((led.Number + 1) % 3)
+			w.lab.Agent(4).Pause()
 			said := w.start(other, 4)
 			w.opened(other)
 			f := mishap.Fault{From: []int{led.Number}, Way: mishap.Way{Cut: true}}
 			if back {
 				f = mishap.Fault{To: []int{led.Number}, Way: mishap.Way{Cut: true}}
 			}
-			heal, err := w.l.Spoil(f)
+			heal, err := w.lab.Spoil(f)
 			require.NoError(t, err)
-			w.l.Agent(4).Resume()
-			require.NoError(t, w.l.Wait(t.Context(), "another one leads", func() bool {
-				for _, a := range w.l.Agents()[:3] {
+			w.lab.Agent(4).Resume()
+			require.NoError(t, w.lab.Wait(t.Context(), "another one leads", func() bool {
+				for _, a := range w.lab.Agents()[:3] {
 					if s := statusAt(a); a != led && s.Voter != nil && s.Voter.Phase == "leading" {
 						return true
 					}
@@ -303,30 +303,30 @@
 // Two of five are cut off with one voter: what is proposed among them is agreed nowhere, what the others agree on holds
 // there, and at all once they are back; those that are cut off act within the floor by then.
 func TestPolicySmallerHalf(t *testing.T) {
-	w := watchedLab(t, 5, inMemory, nil)
+	w := newObservedLab(t, 5, inMemory, nil)
 	apart, rest := []int{0, 3}, []int{1, 2, 4}
 	var heal []func()
 	for _, f := range []mishap.Fault{
 		{From: apart, To: rest, Way: mishap.Way{Cut: true}},
 		{From: rest, To: apart, Way: mishap.Way{Cut: true}},
 	} {
-		end, err := w.l.Spoil(f)
+		end, err := w.lab.Spoil(f)
 		require.NoError(t, err)
 		heal = append(heal, end)
 	}
-	said := w.start(w.l.Agent(3), 4, "--wait", "4s")
-	require.True(t, w.settled(w.l.Agent(4), 3))
+	said := w.start(w.lab.Agent(3), 4, "--wait", "4s")
+	require.True(t, w.settled(w.lab.Agent(4), 3))
 	for _, n := range rest {
-		s, ok := policiesAt(w.l.Agent(n))
-		require.True(t, ok && s.InForce.ProposalID == "mark-3", "%+v", s)
+		s, ok := policiesAt(w.lab.Agent(n))
+		require.True(t, ok && s.InForce.ProposalID == "attempts-3", "%+v", s)
 	}
-	w.asked()
+	w.awaitMoreRequests()
 	for _, end := range heal {
 		end()
 	}
 	first := <-said
 	require.Error(t, first.err, first.text)
-	if w.settled(w.l.Agent(3), 4) { // asked again, it is made from what is in force by now
+	if w.settled(w.lab.Agent(3), 4) { // asked again, it is made from what is in force by now
 		w.end(4, accepted)
 		return
 	}
@@ -347,16 +347,16 @@
 	for name, damage := range damaged {
 		t.Run(name, func(t *testing.T) {
 			folder := ""
-			w := watchedLab(t, 5, inFolders, func(c *lab.Config) {
+			w := newObservedLab(t, 5, inFolders, func(c *lab.Config) {
 				if _, rest, is := strings.Cut(c.Operator, "folder = "); is && c.Agent == 1 {
 					_, err := fmt.Sscanf(rest, "%q", &folder)
 					require.NoError(t, err)
 				}
 			})
 			ctx := t.Context()
-			text, err := w.propose(w.l.Agent(3), 4)
+			text, err := w.propose(w.lab.Agent(3), 4)
 			require.NoError(t, err, text)
-			hurt := w.l.Agent(1)
+			hurt := w.lab.Agent(1)
 			hurt.Kill()
 			files, err := filepath.Glob(filepath.Join(folder, "*.log"))
 			require.NoError(t, err)
@@ -368,11 +368,11 @@
 			require.True(t, hurt.Said("the voter's store cannot be used"))
 			require.Nil(t, statusAt(hurt).Voter)
 			require.True(t, w.settled(hurt, 3))
-			w.actAll(3)
+			w.awaitInForce(3)
 			hurt.Kill()
 			require.NoError(t, os.RemoveAll(folder))
 			require.NoError(t, hurt.Start(ctx))
-			require.NoError(t, w.l.Wait(ctx, "it votes again", func() bool {
+			require.NoError(t, w.lab.Wait(ctx, "it votes again", func() bool {
 				v := statusAt(hurt).Voter
 				return v != nil && (v.Phase == "voting" || v.Phase == "leading")
 			}))
@@ -385,7 +385,7 @@
 // back; also one that is cut off does, which hears nobody. Where no switch is on nothing is told.
 func TestFleetSize(t *testing.T) {
 	t.Parallel()
-	program, err := plain()
+	program, err := plainBinary()
 	require.NoError(t, err)
 	l := lab.Open(t, lab.Options{Agents: 6, Program: program, Ops: true, Seed: 3, Shape: func(c *lab.Config) {
 		c.Operator = "[fleet]\non = true\nvoters = [0, 1, 2]\nlease_ms = 2000\nheard_ms = 500\n"
@@ -434,14 +434,14 @@
 	if _, ok := smallDisk(t, "true", voterFolder(t, folders, 0)); !ok {
 		t.Skip("no disk of a size can be made here")
 	}
-	w := watchedLab(t, 5, inMemory, func(c *lab.Config) {
+	w := newObservedLab(t, 5, inMemory, func(c *lab.Config) {
 		if c.Agent < 3 {
 			folder := voterFolder(t, folders, c.Agent)
 			c.Program, _ = smallDisk(t, c.Program, folder)
 			c.Operator = strings.Replace(c.Operator, "[storm]", fmt.Sprintf("folder = %q\n[storm]", folder), 1)
 		}
 	})
-	led := leader(w.l)
+	led := leader(w.lab)
 	require.NotNil(t, led)
 	filler, err := os.Create(fmt.Sprintf("/proc/%d/root%s/filler", led.Pid(), voterFolder(t, folders, led.Number)))
 	require.NoError(t, err)
@@ -457,26 +457,26 @@
 	for n := 0; !led.Said("the voter's log cannot be written"); n++ {
 		require.Less(t, n, 200)
 		var o policyOutcome
-		path := fmt.Sprintf("/ops/fleet/policy/propose?id=mark-%d-%d&within_ms=500", markAtFirst, n)
-		require.NoError(t, opsClient{w.l.Agent(3 + n%2).Ops}.call(http.MethodPost, path, string(text), &o))
-		require.NoError(t, w.l.Wait(t.Context(), "it is in the log", func() bool {
-			callErr := opsClient{w.l.Agent(3 + n%2).Ops}.call(http.MethodGet,
-				fmt.Sprintf("/ops/fleet/policy/outcome?id=mark-%d-%d", markAtFirst, n), "", &o)
-			s, ok := policiesAt(w.l.Agent(3 + n%2))
+		path := fmt.Sprintf("/ops/fleet/policy/propose?id=mark-%d-%d&within_ms=500", initialMaxAttempts, n)
+		require.NoError(t, opsClient{w.lab.Agent(3 + n%2).Ops}.call(http.MethodPost, path, string(text), &o))
+		require.NoError(t, w.lab.Wait(t.Context(), "it is in the log", func() bool {
+			callErr := opsClient{w.lab.Agent(3 + n%2).Ops}.call(http.MethodGet,
+				fmt.Sprintf("/ops/fleet/policy/outcome?id=mark-%d-%d", initialMaxAttempts, n), "", &o)
+			s, ok := policiesAt(w.lab.Agent(3 + n%2))
 			return callErr == nil && o.Status != policy.StatusUnknown.String() || ok && s.Open != nil && s.Open.ProposalID == o.ID
 		}))
 	}
-	require.NoError(t, w.l.Wait(t.Context(), "the last one has taken hold", func() bool {
-		s, ok := policiesAt(w.l.Agent(3))
+	require.NoError(t, w.lab.Wait(t.Context(), "the last one has taken hold", func() bool {
+		s, ok := policiesAt(w.lab.Agent(3))
 		return ok && s.Open == nil && time.Since(s.InForce.EffectiveAt) > 0
 	}))
-	w.startOver(w.l.Agent(3))
-	said, err := w.propose(w.l.Agent(3), 4)
+	w.resetHistory(w.lab.Agent(3))
+	said, err := w.propose(w.lab.Agent(3), 4)
 	require.NoError(t, err, said)
-	w.actAll(4)
+	w.awaitInForce(4)
 	led.Kill()
 	require.NoError(t, led.Start(t.Context()))
-	require.NoError(t, w.l.Wait(t.Context(), "it votes again", func() bool {
+	require.NoError(t, w.lab.Wait(t.Context(), "it votes again", func() bool {
 		v := statusAt(led).Voter
 		return v != nil && (v.Phase == "voting" || v.Phase == "leading")
 	}))
@@ -494,7 +494,7 @@
 		t.Skip("LONG_TESTS is not set")
 	}
 	earlier := buildOfCommit(t, withoutWindows)
-	w := watchedLab(t, 6, inMemory, func(c *lab.Config) {
+	w := newObservedLab(t, 6, inMemory, func(c *lab.Config) {
 		if c.Agent%2 == 1 {
 			c.Program = earlier
 		} else {
@@ -502,17 +502,17 @@
 		}
 	})
 	for _, mark := range []int{4, 3} {
-		text, err := w.propose(w.l.Agent(mark), mark)
+		text, err := w.propose(w.lab.Agent(mark), mark)
 		require.NoError(t, err, text)
-		w.actAll(mark)
+		w.awaitInForce(mark)
 	}
 	path := attemptsDocument(t, 4, "[contracts.acme]\nzone = \"Europe/Bucharest\"\nhours = [\"mon-sun 20:00-06:00\"]\n")
-	text, err := fleetCommand(t, w.l.Agent(0), "policy", "propose", path)
+	text, err := fleetCommand(t, w.lab.Agent(0), "policy", "propose", path)
 	require.Error(t, err, text)
 	require.Contains(t, text, "not taken: ")
 	require.Contains(t, text, "unknown")
-	w.actAll(3)
-	led := leader(w.l)
+	w.awaitInForce(3)
+	led := leader(w.lab)
 	led.Kill()
 	require.NoError(t, led.Start(t.Context()))
 	w.end(3, accepted)
--- a/cmd/dunestep/requests_test.go
+++ b/cmd/dunestep/requests_test.go
@@ -19,12 +19,12 @@
 func TestRequestAndResponsePassUnchanged(t *testing.T) {
 	w := start(t, 1)
 	body := strings.Repeat("\x00free chair\r\n", 4000)
-	w.each(func(step) string { return reply("200 OK", body) })
+	w.answerAll(func(upstreamAttempt) string { return reply("200 OK", body) })
 	for _, class := range []string{"consult", "rezervare"} {
 		r := w.request(class, 900)
 		got := w.do(r)
 		require.Equal(t, answer{200, body, got.header}, got)
-		steps := w.servers[0].steps()
+		steps := w.servers[0].attempts()
 		s := steps[len(steps)-1]
 		require.Equal(t, r.Method, s.Method)
 		require.Equal(t, "/"+class+"/x%2Fy?q=1&r=%20", s.RequestURI)
@@ -36,7 +36,7 @@
 		if class == "rezervare" {
 			require.Equal(t, "chair 4, Monday", s.body)
 		}
-		require.Equal(t, 1, s.conn, "connections are reused")
+		require.Equal(t, 1, s.connNumber, "connections are reused")
 	}
 }
 
@@ -77,11 +77,11 @@
 		{name: "after a 100", answer: "HTTP/1.1 100 Continue\r\n\r\n" + reply("200 OK", "abc"), served: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := start(t, 3, func(w *world) { w.operator = "[answers]\nlongest_kb = 4096\n" })
+			w := start(t, 3, func(w *testbed) { w.operatorFile = "[answers]\nlongest_kb = 4096\n" })
 			for _, class := range []string{"consult", "rezervare"} {
-				w.first(func(step) string { return c.answer }, ok)
-				before := w.seen()
-				got := w.ask(class)
+				w.answerFirst(func(upstreamAttempt) string { return c.answer }, ok)
+				before := w.attemptCount()
+				got := w.send(class)
 				want, steps := 200, 2
 				if c.served {
 					steps = 1
@@ -89,7 +89,7 @@
 					want, steps = 502, 1
 				}
 				require.Equal(t, want, got.status, class)
-				require.Equal(t, steps, w.seen()-before, class)
+				require.Equal(t, steps, w.attemptCount()-before, class)
 				if want == 200 && !c.served {
 					require.Contains(t, got.body, " s-", class)
 				}
@@ -101,10 +101,10 @@
 // No answer is another request's: what comes beyond an answer, at once or later, is never
 // taken for the next one, and the connection is not used again.
 func TestMoreThanTheAnswer(t *testing.T) {
-	w := start(t, 1, func(w *world) { w.config["limits"].(object)["cores"] = 8 }) // so that all orders occur
+	w := start(t, 1, func(w *testbed) { w.config["limits"].(object)["cores"] = 8 }) // so that all orders occur
 	stale := reply("200 OK", "stale")
 	for _, extra := range []string{stale, "noise", "HTTP/1.1 100 Continue\r\n\r\n", stale + stale} {
-		w.each(func(s step) string { return ok(s) + extra })
+		w.answerAll(func(s upstreamAttempt) string { return ok(s) + extra })
 		var wait sync.WaitGroup
 		for range 8 {
 			wait.Go(func() {
@@ -127,8 +127,8 @@
 		wait.Wait()
 	}
 	conns := map[int]int{}
-	for _, s := range w.servers[0].steps() {
-		conns[s.conn]++
+	for _, s := range w.servers[0].attempts() {
+		conns[s.connNumber]++
 	}
 	for _, n := range conns {
 		require.Equal(t, 1, n, "route steps on one connection")
@@ -153,7 +153,7 @@
 	for class, status := range map[string]int{"consult": 503, "rezervare": 502} {
 		t.Run(class, func(t *testing.T) {
 			w := start(t, 1)
-			w.each(func(step) string { return silence })
+			w.answerAll(func(upstreamAttempt) string { return silence })
 			began := time.Now()
 			got := w.do(w.request(class, 30000))
 			require.Equal(t, status, got.status)
@@ -163,15 +163,15 @@
 				require.NoError(t, err)
 				require.Greater(t, after, 0.0)
 			}
-			w.until("given up by closing", func() bool { return w.servers[0].open() == 0 })
+			w.until("given up by closing", func() bool { return w.servers[0].openCount() == 0 })
 		})
 	}
 }
 
 // The time that a slow client needs to send does not count as its request's time, which counts from the last byte.
 func TestTimeLeftCountsFromTheLastByte(t *testing.T) {
-	w := start(t, 1, (*world).patient)
-	w.each(func(step) string { return silence })
+	w := start(t, 1, (*testbed).useLongTimeouts)
+	w.answerAll(func(upstreamAttempt) string { return silence })
 	r := w.request("rezervare", 800)
 	body, send := io.Pipe()
 	r.Body, r.ContentLength = body, 4
@@ -190,24 +190,24 @@
 // There is no work for clients that have gone: their requests are not tried again. The POST shows that
 // the leaving is noticed after a body too.
 func TestClientGone(t *testing.T) {
-	w := start(t, 3, (*world).patient) // no answer comes before the leaving is noticed
+	w := start(t, 3, (*testbed).useLongTimeouts) // no answer comes before the leaving is noticed
 	for _, head := range []string{"GET /consult HTTP/1.1\r\n", "POST /consult HTTP/1.1\r\nContent-Length: 4\r\n"} {
 		in, out := make(chan struct{}), make(chan struct{})
-		w.first(func(step) string { close(in); <-out; return reply("500 Oh", "") }, ok)
-		before := w.seen()
+		w.answerFirst(func(upstreamAttempt) string { close(in); <-out; return reply("500 Oh", "") }, ok)
+		before := w.attemptCount()
 		body := "body"[:4*strings.Count(head, "POST")]
 		r := w.request("consult", 60000)
 		id := r.Header.Get("X-Correlation-Id")
-		c := w.raw(head + "Host: x\r\nX-Correlation-Id: " + id + "\r\nX-Time-Left-Ms: 60000\r\n\r\n" + body)
+		c := w.sendRaw(head + "Host: x\r\nX-Correlation-Id: " + id + "\r\nX-Time-Left-Ms: 60000\r\n\r\n" + body)
 		await(t, in)
 		require.NoError(t, c.(*net.TCPConn).CloseWrite())
-		require.NoError(t, c.SetReadDeadline(time.Now().Add(patience)))
+		require.NoError(t, c.SetReadDeadline(time.Now().Add(waitTimeout)))
 		_, err := c.Read(make([]byte, 1)) // the agent closes its side when it has noticed
 		require.ErrorIs(t, err, io.EOF)
 		close(out)
 		// The id is in use until the step has ended and nothing follows.
 		w.until("ended", func() bool { return w.do(r.Clone(t.Context())).status == 200 })
-		require.Equal(t, before+2, w.seen(), "one step for each operation")
+		require.Equal(t, before+2, w.attemptCount(), "one step for each operation")
 	}
 }
 
@@ -233,15 +233,15 @@
 		"nonsense\r\n\r\n": "400",
 		"POST /consult HTTP/1.1\r\n" + good + "Content-Length: 34603009\r\n\r\n": "413",
 	} {
-		c := w.raw(text)
-		require.NoError(t, c.SetReadDeadline(time.Now().Add(patience)))
+		c := w.sendRaw(text)
+		require.NoError(t, c.SetReadDeadline(time.Now().Add(waitTimeout)))
 		got := make([]byte, 12)
 		_, err := io.ReadFull(c, got)
 		require.NoError(t, err, "%.200s", text)
 		require.Equal(t, "HTTP/1.1 "+status, string(got), "%.200s", text)
 	}
-	require.Zero(t, w.seen())
-	require.Equal(t, 200, w.ask("consult").status)
+	require.Zero(t, w.attemptCount())
+	require.Equal(t, 200, w.send("consult").status)
 }
 
 // The end of an idle connection is noticed while it is idle: a write to it would be a reset.
@@ -250,30 +250,30 @@
 	w.until("watch", func() bool { return w.discovery.watched() == 1 })
 	before := w.descriptors()
 	for range 10 {
-		require.Equal(t, 200, w.ask("rezervare").status)
-		w.servers[0].hangUpAll()
+		require.Equal(t, 200, w.send("rezervare").status)
+		w.servers[0].closeConnections()
 		w.until("noticed", func() bool { return w.descriptors() <= before })
 	}
 }
 
 // A connection that the other machine is about to close for its idleness is not used.
 func TestIdleConnectionIsDroppedEarly(t *testing.T) {
-	w := start(t, 1, func(w *world) {
+	w := start(t, 1, func(w *testbed) {
 		w.config["settings"].(object)["bounds"].(object)["connIdle"] = 1000000
 	})
-	require.Equal(t, 200, w.ask("rezervare").status)
-	w.until("dropped", func() bool { return w.servers[0].open() == 0 })
-	require.Equal(t, 200, w.ask("rezervare").status)
+	require.Equal(t, 200, w.send("rezervare").status)
+	w.until("dropped", func() bool { return w.servers[0].openCount() == 0 })
+	require.Equal(t, 200, w.send("rezervare").status)
 }
 
 // Idle connections may be forgotten on the way long before the settings say, of which only the
 // loss of the next attempt tells: after a few losses they are not used again.
 func TestForgottenIdleConnections(t *testing.T) {
-	w := start(t, 1, func(w *world) { w.servers[0].forgets = 20 * time.Millisecond })
+	w := start(t, 1, func(w *testbed) { w.servers[0].idleTimeout = 20 * time.Millisecond })
 	lost := 0
 	for i := range 60 {
-		time.Sleep(2 * w.servers[0].forgets)
-		if status := w.ask("rezervare").status; status != 200 {
+		time.Sleep(2 * w.servers[0].idleTimeout)
+		if status := w.send("rezervare").status; status != 200 {
 			require.Equal(t, 502, status)
 			require.Less(t, i, 40, "learnt by then")
 			lost++
@@ -289,35 +289,35 @@
 	w := start(t, 1)
 	s := w.servers[0]
 	together := make(chan bool)
-	s.set(func(st step) string { <-together; return ok(st) })
+	s.setAnswer(func(st upstreamAttempt) string { <-together; return ok(st) })
 	answers := make(chan int, 3)
 	for range 3 {
-		go func() { answers <- w.ask("consult").status }()
+		go func() { answers <- w.send("consult").status }()
 	}
-	w.until("three connections", func() bool { return len(s.steps()) == 3 })
+	w.until("three connections", func() bool { return len(s.attempts()) == 3 })
 	close(together)
 	for range 3 {
 		require.Equal(t, 200, await(t, answers))
 	}
-	s.set(func(st step) string {
-		if st.conn <= 3 {
+	s.setAnswer(func(st upstreamAttempt) string {
+		if st.connNumber <= 3 {
 			return silence
 		}
 		return ok(st)
 	})
-	require.Equal(t, 503, w.ask("consult").status)
-	require.Equal(t, 200, w.ask("consult").status, "another silent connection was used")
-	w.until("the others are given up", func() bool { return s.open() == 1 })
+	require.Equal(t, 503, w.send("consult").status)
+	require.Equal(t, 200, w.send("consult").status, "another silent connection was used")
+	w.until("the others are given up", func() bool { return s.openCount() == 1 })
 }
 
 // every request is still answered.
 func TestDescriptorsAreBounded(t *testing.T) {
 	const limit = 64
-	w := start(t, 1, func(w *world) {
+	w := start(t, 1, func(w *testbed) {
 		w.config["limits"].(object)["sockets"] = limit
-		w.patient()
+		w.useLongTimeouts()
 	})
-	w.each(func(step) string { return silence })
+	w.answerAll(func(upstreamAttempt) string { return silence })
 	var wait sync.WaitGroup
 	var most, answered atomic.Int32
 	for range 2 * limit {
@@ -335,24 +335,24 @@
 	require.EqualValues(t, 2*limit, answered.Load())
 	require.LessOrEqual(t, int(most.Load()), limit)
 	require.Contains(t, w.log.String(), `for="an upstream server"`)
-	w.each(ok)
-	w.until("serves again", func() bool { return w.ask("consult").status == 200 })
+	w.answerAll(ok)
+	w.until("serves again", func() bool { return w.send("consult").status == 200 })
 }
 
 // Idle clients give way to others: those that ask once and stay, and those that connect and send nothing, also on the
 // other socket.
 func TestIdleClientsGiveWay(t *testing.T) {
-	w := start(t, 1, withGraphQL(), func(w *world) { w.config["limits"].(object)["sockets"] = 64 })
+	w := start(t, 1, withGraphQL(), func(w *testbed) { w.config["limits"].(object)["sockets"] = 64 })
 	const live = "GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n"
-	for _, c := range []struct{ text, addr string }{{live, w.addr}, {"", w.addr}, {live, w.graphQL}, {"", w.graphQL}} {
+	for _, c := range []struct{ text, addr string }{{live, w.addr}, {"", w.addr}, {live, w.graphQLAddr}, {"", w.graphQLAddr}} {
 		text := c.text
 		for range 40 {
-			c := w.rawTo(c.addr, text)
+			c := w.sendRawTo(c.addr, text)
 			if text != "" { // else the eager close would find it unread
 				go func() { _, _ = io.Copy(io.Discard, c) }()
 			}
 		}
-		client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: patience}
+		client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: waitTimeout}
 		resp, err := client.Do(w.request("consult", 900))
 		require.NoError(t, err)
 		require.NoError(t, resp.Body.Close())
@@ -363,7 +363,7 @@
 // Clients may ask once and keep their connections, faster than these may stand idle: where they
 // take up the descriptors, a close comes with the answer. All others keep theirs.
 func TestConnectionsCloseWithTheResponseWhenDescriptorsAreShort(t *testing.T) {
-	w := start(t, 1, func(w *world) { w.config["limits"].(object)["sockets"] = 64 })
+	w := start(t, 1, func(w *testbed) { w.config["limits"].(object)["sockets"] = 64 })
 	http.DefaultClient.CloseIdleConnections()
 	for i := range 20 {
 		r := w.request("consult", 900)
@@ -394,16 +394,16 @@
 		began := time.Now()
 		var conns []net.Conn
 		for _, text := range []string{"", "GET /con", head, head + "Content-Length: 9\r\n\r\nhalf"} {
-			conns = append(conns, w.raw(text))
+			conns = append(conns, w.sendRaw(text))
 		}
 		for _, c := range conns {
-			require.NoError(t, c.SetReadDeadline(began.Add(patience)))
+			require.NoError(t, c.SetReadDeadline(began.Add(waitTimeout)))
 			_, err := io.Copy(io.Discard, c)
 			require.NoError(t, err)
 		}
 		return time.Since(began) < 3*time.Second
 	})
-	require.Zero(t, w.seen())
+	require.Zero(t, w.attemptCount())
 }
 
 // No request can hide in the body of another, which whoever reads the other length would pass on.
@@ -418,14 +418,14 @@
 		strings.Replace(head, "/consult", "/health/live", 1) + length + coding,
 		head + "Content-Length: 2\r\n\r\n{}" + head + length + coding, // after another, in one go
 	} {
-		c := w.raw(text + "\r\n0\r\n\r\n" + hidden)
-		require.NoError(t, c.SetReadDeadline(time.Now().Add(patience)))
+		c := w.sendRaw(text + "\r\n0\r\n\r\n" + hidden)
+		require.NoError(t, c.SetReadDeadline(time.Now().Add(waitTimeout)))
 		got, err := io.ReadAll(c)
 		require.NoError(t, err)
 		require.Contains(t, string(got), "HTTP/1.1 400")
 		require.Equal(t, 1, strings.Count(string(got), "HTTP/1.1"), "and a close")
 	}
-	require.Zero(t, w.seen())
+	require.Zero(t, w.attemptCount())
 }
 
 // An error reaches a client whose machine is still sending: a close with unread
@@ -437,17 +437,17 @@
 		"POST" + good + "Content-Length: 40000000\r\n\r\n": "413",
 		"no HTTP at all" + good + "\r\n":                   "400",
 	} {
-		c := w.raw(head)
+		c := w.sendRaw(head)
 		_, err := io.WriteString(c, strings.Repeat("x", 40000000))
 		require.NoError(t, err)
-		require.NoError(t, c.SetReadDeadline(time.Now().Add(patience)))
+		require.NoError(t, c.SetReadDeadline(time.Now().Add(waitTimeout)))
 		got, err := io.ReadAll(c)
 		require.NoError(t, err)
 		require.Contains(t, string(got), "HTTP/1.1 "+status)
 	}
 }
 
-func (w *world) descriptors() int {
+func (w *testbed) descriptors() int {
 	entries, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", w.process.Process.Pid))
 	return len(entries)
 }
--- a/cmd/dunestep/restart_test.go
+++ b/cmd/dunestep/restart_test.go
@@ -25,10 +25,10 @@
 )
 
 // again launches the program anew, after its end, and waits until it is ready.
-func (w *world) again() {
+func (w *testbed) again() {
 	w.exited = make(chan struct{})
 	w.launch()
-	w.until("ready again", func() bool { return w.health() == http.StatusOK })
+	w.until("ready again", func() bool { return w.readyStatus() == http.StatusOK })
 }
 
 // often is how often a test repeats what takes its time: few, or as often as RESTART_RUNS says.
@@ -40,7 +40,7 @@
 }
 
 // busy answers after some tens of milliseconds.
-func busy(s step) string {
+func busy(s upstreamAttempt) string {
 	time.Sleep(20*time.Millisecond + rand.N(40*time.Millisecond))
 	return ok(s)
 }
@@ -51,7 +51,7 @@
 func (s *service) share() float64 { return float64(s.served.Load()) / float64(max(s.asked.Load(), 1)) }
 
 // offer sends 60 requests a second, seven of ten safe ones, and returns the services of both classes.
-func (w *world) offer(lasts time.Duration) (safe, unsafe *service) {
+func (w *testbed) offer(lasts time.Duration) (safe, unsafe *service) {
 	safe, unsafe = &service{}, &service{}
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}, Timeout: 3 * time.Second}
 	defer client.CloseIdleConnections()
@@ -100,17 +100,17 @@
 func TestStartWithoutDiscovery(t *testing.T) {
 	t.Parallel()
 	for name, die := range map[string]func(*testing.T, *server){
-		"silent":        func(_ *testing.T, s *server) { s.set(func(step) string { return silence }) },
+		"silent":        func(_ *testing.T, s *server) { s.setAnswer(func(upstreamAttempt) string { return silence }) },
 		"not listening": func(_ *testing.T, s *server) { s.stop() },
 		"never up":      func(t *testing.T, s *server) { s.neverUp(t) },
 		"another program": func(_ *testing.T, s *server) {
-			s.set(func(step) string { return reply("404 Not Found", "there is no such page") })
+			s.setAnswer(func(upstreamAttempt) string { return reply("404 Not Found", "there is no such page") })
 		},
 	} {
 		for run := range often(1) {
 			t.Run(fmt.Sprint(name, " ", run), func(t *testing.T) {
-				w := newWorld(t, 10)
-				w.each(busy)
+				w := newTestbed(t, 10)
+				w.answerAll(busy)
 				for _, s := range w.servers[:5] {
 					die(t, s)
 				}
@@ -120,7 +120,7 @@
 				}
 				w.config["known"].(object)["servers"] = listed
 				w.discovery.set(503, false)
-				w.operator = "[state]\nprove_list = " + strconv.FormatBool(os.Getenv("RESTART_UNPROVED") == "")
+				w.operatorFile = "[state]\nprove_list = " + strconv.FormatBool(os.Getenv("RESTART_UNPROVED") == "")
 				w.start()
 				lasts := 3 * time.Second
 				if often(1) > 1 {
@@ -143,13 +143,13 @@
 				w.until("told", func() bool { return strings.Contains(w.log.String(), "discovery confirmed the endpoint list") })
 				before := make([]int, 6)
 				for i, s := range w.servers[:6] {
-					before[i] = len(s.steps())
+					before[i] = len(s.attempts())
 				}
 				for range 30 {
-					require.Equal(t, 200, w.ask("consult").status)
+					require.Equal(t, 200, w.send("consult").status)
 				}
 				for i, s := range w.servers[:6] {
-					require.Len(t, s.steps(), before[i], s.id)
+					require.Len(t, s.attempts(), before[i], s.id)
 				}
 			})
 		}
@@ -157,9 +157,9 @@
 }
 
 // keeping has the program keep its state in a folder, and returns that.
-func (w *world) keeping(more string) string {
+func (w *testbed) keeping(more string) string {
 	path := w.t.TempDir()
-	w.operator = fmt.Sprintf("[state]\nfolder = %q\nperiod_s = 1\nwrites_a_minute = 60\n%s", path, more)
+	w.operatorFile = fmt.Sprintf("[state]\nfolder = %q\nperiod_s = 1\nwrites_a_minute = 60\n%s", path, more)
 	return path
 }
 
@@ -181,7 +181,7 @@
 }
 
 // beside starts another agent with the same operator file, and returns its log and what ends it.
-func (w *world) beside() (log *logBuffer, end func()) {
+func (w *testbed) beside() (log *logBuffer, end func()) {
 	free, err := net.Listen("tcp", w.addr[:strings.LastIndex(w.addr, ":")]+":0")
 	require.NoError(w.t, err)
 	config := maps.Clone(w.config)
@@ -192,7 +192,7 @@
 	path := filepath.Join(w.t.TempDir(), "other.json")
 	log = &logBuffer{}
 	require.NoError(w.t, os.WriteFile(path, raw, 0o600))
-	other := exec.Command(binary, "--operator", w.path+".toml")
+	other := exec.Command(raceBinary, "--operator", w.configPath+".toml")
 	other.Env = []string{
 		"LB_NAME=n1", fmt.Sprint("LB_LISTEN=", config["listen"]), "LB_DISCOVERY=" + w.discovery.addr,
 		"LB_CONFIG=" + path,
@@ -210,10 +210,10 @@
 // What was learned of a server is there after a restart, and so is the list. Another agent that is given the same
 // folder goes on without, and nothing of the first one's is written over.
 func TestStateIsRestored(t *testing.T) {
-	w := newWorld(t, 3)
+	w := newTestbed(t, 3)
 	path := w.keeping("")
-	w.each(busy)
-	w.servers[0].set(func(step) string { return silence })
+	w.answerAll(busy)
+	w.servers[0].setAnswer(func(upstreamAttempt) string { return silence })
 	w.start()
 	w.until("watch", func() bool { return w.discovery.watched() == 1 })
 	w.discovery.say(list(77, false, w.servers[1].entry("active")))
@@ -225,16 +225,16 @@
 	require.Contains(t, log.String(), "in use by another agent")
 	end()
 
-	require.Zero(t, w.quit())
+	require.Zero(t, w.stop())
 	f := newest(t, path)
 	require.Equal(t, "n0", f.Owner.Agent)
 	require.Equal(t, int64(77), f.List.Version)
 	require.True(t, f.Balancer.Servers[0].Outlier.Ejected)
-	out, err := exec.Command(binary, "state", "show", filepath.Join(path, "state-a")).CombinedOutput()
+	out, err := exec.Command(raceBinary, "state", "show", filepath.Join(path, "state-a")).CombinedOutput()
 	require.NoError(t, err, string(out))
 	require.Contains(t, string(out), w.servers[1].socket.Addr())
 
-	silent := len(w.servers[0].steps())
+	silent := len(w.servers[0].attempts())
 	w.again()
 	require.Contains(t, w.log.String(), "state restored")
 	w.until("from the version that it had", func() bool {
@@ -244,28 +244,28 @@
 	safe, unsafe := w.offer(2 * time.Second)
 	require.InDelta(t, 1.0, unsafe.share(), 0)
 	require.Greater(t, safe.share(), 0.97)
-	require.Less(t, len(w.servers[0].steps())-silent, 6, "trials only")
-	require.Zero(t, w.quit())
+	require.Less(t, len(w.servers[0].attempts())-silent, 6, "trials only")
+	require.Zero(t, w.stop())
 
 	// Damaged: told, and the start goes on without.
 	require.NoError(t, os.WriteFile(filepath.Join(path, "state-a"), []byte("DUNESTEP, but nothing that fits"), 0o600))
 	require.NoError(t, os.Remove(filepath.Join(path, "state-b")))
 	w.again()
 	require.Contains(t, w.log.String(), "damaged")
-	require.Equal(t, 200, w.ask("rezervare").status)
-	require.Zero(t, w.quit())
+	require.Equal(t, 200, w.send("rezervare").status)
+	require.Zero(t, w.stop())
 	require.NotNil(t, newest(t, path))
-	require.Error(t, exec.Command(binary, "state", "check", w.path).Run())
+	require.Error(t, exec.Command(raceBinary, "state", "check", w.configPath).Run())
 }
 
 // Killed again and again, also within the write at the end: every start finds a whole file.
 func TestKilledWithState(t *testing.T) {
-	w := newWorld(t, 2)
+	w := newTestbed(t, 2)
 	path := w.keeping("")
 	w.start()
 	last := uint64(0)
 	for range often(12) {
-		require.Equal(t, 200, w.ask("consult").status)
+		require.Equal(t, 200, w.send("consult").status)
 		require.NoError(t, w.process.Process.Signal(syscall.SIGTERM))
 		time.Sleep(rand.N(8 * time.Millisecond))
 		require.NoError(t, w.process.Process.Kill())
@@ -278,5 +278,5 @@
 		require.NotRegexp(t, "not restored|not applied|cannot be used|takeover from the running process failed", w.log.String())
 	}
 	require.NotZero(t, last)
-	require.Zero(t, w.quit())
+	require.Zero(t, w.stop())
 }
--- a/cmd/dunestep/ring_test.go
+++ b/cmd/dunestep/ring_test.go
@@ -33,7 +33,7 @@
 // loses its keys once, and gets none of them while it does, though the list has it.
 func TestRing(t *testing.T) {
 	t.Parallel()
-	program, err := plain()
+	program, err := plainBinary()
 	require.NoError(t, err)
 	l := lab.Open(t, lab.Options{
 		Agents: 5, Servers: 4, Program: program, Ops: true, Seed: 13, Patience: 3 * time.Minute,
@@ -106,7 +106,7 @@
 // again when the window is over, as all others do.
 func TestRingInWindow(t *testing.T) {
 	t.Parallel()
-	program, err := plain()
+	program, err := plainBinary()
 	require.NoError(t, err)
 	set := lab.Deployment()
 	set.Tenants = []balancer.Tenant{{Name: "east", QuotaPerSecond: 1000, Share: 1}}
@@ -166,7 +166,7 @@
 		t.Skip("LONG_TESTS is not set")
 	}
 	t.Parallel()
-	program, err := plain()
+	program, err := plainBinary()
 	require.NoError(t, err)
 	l := lab.Open(t, lab.Options{
 		Agents: 5, Servers: 5, Program: program, Ops: true, Seed: 19, Patience: 3 * time.Minute,
--- a/cmd/dunestep/ringfaults_test.go
+++ b/cmd/dunestep/ringfaults_test.go
@@ -37,7 +37,7 @@
 func newRingRig(t *testing.T, o lab.Options, listed int) *ringRig {
 	t.Helper()
 	t.Parallel()
-	program, err := plain()
+	program, err := plainBinary()
 	require.NoError(t, err)
 	r := &ringRig{t: t, points: map[uint64]map[string]int{}}
 	o.Program, o.Ops, o.Seed, o.Patience = program, true, 17, 3*time.Minute
--- a/cmd/dunestep/server_test.go
+++ b/cmd/dunestep/server_test.go
@@ -15,16 +15,18 @@
 	"dunestep/internal/standin"
 )
 
-// step is an attempt as an endpoint got it.
-type step struct {
+// upstreamAttempt is an attempt as an endpoint received it.
+type upstreamAttempt struct {
 	*http.Request
-	body   string
-	conn   int
-	server string
-	came   time.Time
+	body       string
+	connNumber int
+	server     string
+	receivedAt time.Time
 }
 
-func ok(s step) string { return reply("200 OK", s.Header.Get("X-Correlation-Id")+" "+s.server) }
+func ok(s upstreamAttempt) string {
+	return reply("200 OK", s.Header.Get("X-Correlation-Id")+" "+s.server)
+}
 
 func reply(status, body string, headers ...string) string {
 	head := strings.Join(append(headers, fmt.Sprintf("Content-Length: %d", len(body))), "\r\n")
@@ -32,34 +34,34 @@
 }
 
 const (
-	hangUp  = "hang up" // close the connection
-	silence = ""        // answer nothing
+	hangUp  = "hang up" // suffix of an answer: close the connection after it
+	silence = ""        // send no answer
 )
 
-// server is an endpoint on a stand-in's socket. What it answers is written as it is.
+// server is a simulated endpoint. Its answers are written to the connection unchanged.
 type server struct {
 	id, zone, kind string
 	socket         *standin.Server
 
-	mu      sync.Mutex
-	answer  func(step) string
-	script  func(step, net.Conn) bool // in place of answer; false: the connection is closed
-	got     []step
-	conns   int           // open
-	opened  int           // so far
-	forgets time.Duration // idle connections after so long, and tells nobody; zero: never
+	mu          sync.Mutex
+	answer      func(upstreamAttempt) string
+	script      func(upstreamAttempt, net.Conn) bool // used instead of answer if not nil; false: the connection is closed
+	received    []upstreamAttempt
+	openConns   int           // currently open
+	openedConns int           // since the start
+	idleTimeout time.Duration // a request on a connection idle for longer is dropped and the connection closed; zero: no limit
 }
 
 // serverConn is a connection to a server.
 type serverConn struct {
-	n        int
-	answered time.Time // or opened
+	number   int
+	lastUsed time.Time // when the last answer was sent, or the connection opened
 }
 
 func newServer(t testing.TB, id string) *server {
-	s := &server{id: id, zone: usual.zone, kind: usual.kind, answer: ok}
+	s := &server{id: id, zone: defaultDeployment.zone, kind: defaultDeployment.kind, answer: ok}
 	var err error
-	s.socket, err = standin.Listen("127.0.0.1:0", standin.Events{Opened: s.accept, Came: s.serve, Ended: s.lose})
+	s.socket, err = standin.Listen("127.0.0.1:0", standin.Events{Opened: s.connectionOpened, Came: s.serve, Ended: s.connectionEnded})
 	require.NoError(t, err)
 	t.Cleanup(s.stop)
 	return s
@@ -72,65 +74,65 @@
 	}
 }
 
-func (s *server) set(answer func(step) string) {
+func (s *server) setAnswer(answer func(upstreamAttempt) string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.answer = answer
 }
 
-// perform has the server answer by a script.
-func (s *server) perform(script func(step, net.Conn) bool) {
+// setScript makes the server answer by script instead of answer.
+func (s *server) setScript(script func(upstreamAttempt, net.Conn) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.script = script
 }
 
-func (s *server) steps() []step {
+func (s *server) attempts() []upstreamAttempt {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]step(nil), s.got...)
+	return append([]upstreamAttempt(nil), s.received...)
 }
 
-func (s *server) open() int {
+func (s *server) openCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.conns
+	return s.openConns
 }
 
-// hangUpAll closes what is open and goes on listening.
-func (s *server) hangUpAll() { s.socket.HangUp() }
+// closeConnections closes all open connections. The server continues to listen.
+func (s *server) closeConnections() { s.socket.HangUp() }
 
 func (s *server) stop() {
 	s.socket.Refuse()
 	s.socket.HangUp()
 }
 
-func (s *server) accept(c *standin.Conn) {
+func (s *server) connectionOpened(c *standin.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.opened++
-	s.conns++
-	c.Handle = &serverConn{s.opened, time.Now()}
+	s.openedConns++
+	s.openConns++
+	c.Handle = &serverConn{s.openedConns, time.Now()}
 }
 
-func (s *server) lose(*standin.Conn) {
+func (s *server) connectionEnded(*standin.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.conns--
+	s.openConns--
 }
 
 func (s *server) serve(c *standin.Conn, r *http.Request, body []byte) {
 	conn := c.Handle.(*serverConn)
-	if s.forgets > 0 && time.Since(conn.answered) > s.forgets {
+	if s.idleTimeout > 0 && time.Since(conn.lastUsed) > s.idleTimeout {
 		c.Close()
 		return
 	}
-	st := step{r, string(body), conn.n, s.id, time.Now()}
+	st := upstreamAttempt{r, string(body), conn.number, s.id, time.Now()}
 	s.mu.Lock()
-	s.got = append(s.got, st)
+	s.received = append(s.received, st)
 	answer, script := s.answer, s.script
 	s.mu.Unlock()
-	defer func() { conn.answered = time.Now() }()
+	defer func() { conn.lastUsed = time.Now() }()
 	if script != nil {
 		if !script(st, c.Socket()) {
 			c.Close()
--- a/cmd/dunestep/shutdown_test.go
+++ b/cmd/dunestep/shutdown_test.go
@@ -29,7 +29,7 @@
 // callers are clients that send one request after another, each on a connection of its own for as long as that
 // stays open.
 type callers struct {
-	w     *world
+	w     *testbed
 	think func() time.Duration // between an answer and the next request
 	dials atomic.Bool          // new connections may be opened
 	over  chan struct{}
@@ -63,7 +63,7 @@
 }
 
 // callers has clients begin to send.
-func (w *world) callers(clients int, think func() time.Duration) *callers {
+func (w *testbed) callers(clients int, think func() time.Duration) *callers {
 	c := &callers{
 		w: w, think: think, over: make(chan struct{}), ends: map[string]int{},
 		crossed: map[string]bool{},
@@ -115,7 +115,7 @@
 ) {
 	const left = 2500
 	class, method, body, size := "consult", "GET", "", rand.N(100_000)
-	id := c.w.id()
+	id := c.w.nextID()
 	if n := rand.N(4); n > 0 {
 		class, method, body = "rezervare", "POST", long([]int{20, 60_000, 200_000}[n-1], id)
 	}
@@ -200,7 +200,7 @@
 func (c *callers) verdict() error {
 	reached := map[string]bool{}
 	for _, s := range c.w.servers {
-		for _, st := range s.steps() {
+		for _, st := range s.attempts() {
 			id := idOf(st)
 			reached[id] = true
 			if c.crossed[id] && !strings.Contains(st.URL.RawQuery, again) {
@@ -234,20 +234,20 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			fairly(t, func() error { return restartUnder(t, c.clients, c.think) })
+			retryIfStalled(t, func() error { return restartUnder(t, c.clients, c.think) })
 		})
 	}
 }
 
 func restartUnder(t *testing.T, clients int, think func() time.Duration) error {
-	w := newWorldAlone(t, 4).start(plainly, func(w *world) {
+	w := newSerialTestbed(t, 4).start(usePlainBinary, func(w *testbed) {
 		for _, class := range w.config["settings"].(object)["categories"].([]object) {
 			class["aim"], class["deadline"] = 2400000, 2500000
 		}
-		w.each(func(s step) string {
+		w.answerAll(func(s upstreamAttempt) string {
 			wait := 50*time.Millisecond + time.Duration(rand.ExpFloat64()*float64(300*time.Millisecond))
 			if strings.HasPrefix(s.URL.RawQuery, hanging) {
-				wait = patience // longer than any client waits
+				wait = waitTimeout // longer than any client waits
 			}
 			time.Sleep(wait)
 			var size int
@@ -273,7 +273,7 @@
 	callers.dials.Store(true)
 	time.Sleep(time.Second)
 	callers.stop()
-	require.Zero(t, w.quit())
+	require.Zero(t, w.stop())
 	if code != 0 {
 		return fmt.Errorf("it ended with %d after SIGTERM", code)
 	}
