--- a/cmd/dunestep/upgrade_test.go
+++ b/cmd/dunestep/upgrade_test.go
@@ -21,7 +21,7 @@
 )
 
 // upgrade starts the program a second time, with another ops address, and waits until it says yes.
-func (w *world) upgrade() *world {
+func (w *testbed) upgrade() *testbed {
 	next := w.another()
 	next.launch()
 	next.untilReady()
@@ -29,9 +29,9 @@
 }
 
 // untilReady waits until the process says yes at its ops address.
-func (w *world) untilReady() {
+func (w *testbed) untilReady() {
 	w.until("ready", func() bool {
-		resp, err := http.Get("http://" + w.ops + "/ops/readiness")
+		resp, err := http.Get("http://" + w.opsAddr + "/ops/readiness")
 		if err != nil {
 			return false
 		}
@@ -41,12 +41,12 @@
 }
 
 // another is the same agent's next process, not started yet.
-func (w *world) another() *world {
-	next := &world{
-		t: w.t, site: w.site, config: w.config, env: w.env, operator: w.operator, program: w.program, addr: w.addr,
-		folder: w.folder, log: &logBuffer{}, exited: make(chan struct{}), servers: w.servers, discovery: w.discovery,
+func (w *testbed) another() *testbed {
+	next := &testbed{
+		t: w.t, deployment: w.deployment, config: w.config, env: w.env, operatorFile: w.operatorFile, program: w.program, addr: w.addr,
+		tempDir: w.tempDir, log: &logBuffer{}, exited: make(chan struct{}), servers: w.servers, discovery: w.discovery,
 	}
-	next.ids.Store(w.ids.Load() + 1_000_000)
+	next.lastID.Store(w.lastID.Load() + 1_000_000)
 	door(next)
 	return next
 }
@@ -73,19 +73,19 @@
 		l.ok.Load(), l.first.Load())
 }
 
-func (w *world) load(clients int) *load {
+func (w *testbed) load(clients int) *load {
 	return w.begin(clients, &load{pause: 2 * time.Millisecond})
 }
 
 // loadOfLong is a load of bodies that are passed on as they come, both ways.
-func (w *world) loadOfLong(clients int) *load {
+func (w *testbed) loadOfLong(clients int) *load {
 	const size = 150_000
 	rest := strings.Repeat("x", size)
-	w.each(func(s step) string { return reply("200 OK", idOf(s)+rest) })
+	w.answerAll(func(s upstreamAttempt) string { return reply("200 OK", idOf(s)+rest) })
 	return w.begin(clients, &load{body: size, pause: 15 * time.Millisecond})
 }
 
-func (w *world) begin(clients int, l *load) *load {
+func (w *testbed) begin(clients int, l *load) *load {
 	l.stop = make(chan struct{})
 	for range clients {
 		l.wait.Go(func() {
@@ -147,11 +147,11 @@
 func (l *load) end() { close(l.stop); l.wait.Wait() }
 
 // once tells that no booking ran twice.
-func (w *world) once() {
+func (w *testbed) once() {
 	w.t.Helper()
 	ran := map[string]int{}
 	for _, s := range w.servers {
-		for _, step := range s.steps() {
+		for _, step := range s.attempts() {
 			if strings.HasPrefix(step.URL.Path, "/rezervare") {
 				ran[idOf(step)]++
 			}
@@ -165,7 +165,7 @@
 // Upgrades under load, one after the other, with endpoints out by hand before, between and after: nothing is
 // lost, nothing turned back, no booking runs twice, bans hold, and the old process ends by itself.
 func TestUpgrades(t *testing.T) {
-	w := start(t, 3, door, (*world).patient)
+	w := start(t, 3, door, (*testbed).useLongTimeouts)
 	l := w.load(8)
 	w.until("load", func() bool { return l.ok.Load() > 50 })
 	now, out := w, 0
@@ -179,25 +179,25 @@
 		next := now.upgrade()
 		require.Contains(t, next.log.String(), "taking over from the running process")
 		ban((i + 1) % 3) // told to the old one while both run
-		require.Zero(t, now.quit(), now.log.String())
+		require.Zero(t, now.stop(), now.log.String())
 		now = next
 		now.until("full limits", func() bool { return strings.Contains(now.log.String(), "full limits") })
-		before := len(w.servers[out].steps())
+		before := len(w.servers[out].attempts())
 		goal := l.ok.Load() + 100
 		w.until("it goes on", func() bool { return l.ok.Load() > goal })
-		require.Len(t, w.servers[out].steps(), before, "a booking server that is out gets nothing")
+		require.Len(t, w.servers[out].attempts(), before, "a booking server that is out gets nothing")
 		require.Equal(t, 1, now.stats().Ejected)
 	}
 	l.end()
 	l.none(t)
 	w.once()
-	require.Zero(t, now.quit())
+	require.Zero(t, now.stop())
 }
 
 // A new process that dies before it takes clients, or at any time, leaves the old one as it was; an old one that is
 // killed leaves all to the new one.
 func TestUpgradeThatFails(t *testing.T) {
-	w := start(t, 2, door, (*world).patient)
+	w := start(t, 2, door, (*testbed).useLongTimeouts)
 	for _, wait := range []time.Duration{0, 2, 5, 10, 20, 50} {
 		next := w.another()
 		next.launch()
@@ -205,11 +205,11 @@
 		_ = next.process.Process.Kill()
 		await(t, next.exited)
 		for range 5 {
-			require.Equal(t, 200, w.ask("consult").status)
+			require.Equal(t, 200, w.send("consult").status)
 		}
 	}
 	taken := w.another()
-	taken.ops = w.ops // an address that is in use ends its start
+	taken.opsAddr = w.opsAddr // an address that is in use ends its start
 	taken.launch()
 	await(t, taken.exited)
 	require.Equal(t, 1, taken.process.ProcessState.ExitCode())
@@ -218,12 +218,12 @@
 	_ = w.process.Process.Kill()
 	await(t, w.exited)
 	next.until("full limits", func() bool { return strings.Contains(next.log.String(), "full limits") })
-	before := len(w.servers[1].steps())
+	before := len(w.servers[1].attempts())
 	for range 20 {
-		require.Equal(t, 200, next.ask("consult").status)
+		require.Equal(t, 200, next.send("consult").status)
 	}
-	require.Len(t, w.servers[1].steps(), before)
-	require.Zero(t, next.quit())
+	require.Len(t, w.servers[1].attempts(), before)
+	require.Zero(t, next.stop())
 	w.process = exec.Command("true") // it was killed: there is no exit code to look at
 	require.NoError(t, w.process.Run())
 }
@@ -234,23 +234,23 @@
 	for round := range 4 {
 		next := now.upgrade()
 		var calls sync.WaitGroup
-		for i, p := range []*world{now, next} {
+		for i, p := range []*testbed{now, next} {
 			calls.Go(func() { p.yes("POST", "/ops/booking-servers/down", fmt.Sprint("s-", (round+i)%4)) })
 		}
 		calls.Wait()
-		for _, p := range []*world{now, next} {
+		for _, p := range []*testbed{now, next} {
 			p.until("both are out", func() bool { return p.stats().Ejected == 2 })
 		}
-		require.Zero(t, now.quit())
+		require.Zero(t, now.stop())
 		now = next.upgrade()
 		require.Equal(t, 2, now.stats().Ejected, "over the next upgrade")
-		require.Zero(t, next.quit())
+		require.Zero(t, next.stop())
 		for i := range 2 {
 			now.yes("POST", "/ops/booking-servers/up", fmt.Sprint("s-", (round+i)%4))
 		}
 		require.Zero(t, now.stats().Ejected)
 	}
-	require.Zero(t, now.quit())
+	require.Zero(t, now.stop())
 }
 
 // A drain by hand holds over an upgrade, the new process says that it has taken over, and takes clients at the stop.
@@ -258,19 +258,19 @@
 	w := start(t, 1, door)
 	w.yes("POST", "/ops/drain/start", "")
 	next := w.upgrade()
-	require.Equal(t, 503, next.health())
-	require.Zero(t, w.quit())
-	require.Equal(t, 503, next.health())
+	require.Equal(t, 503, next.readyStatus())
+	require.Zero(t, w.stop())
+	require.Equal(t, 503, next.readyStatus())
 	next.yes("POST", "/ops/drain/stop", "")
-	require.Equal(t, 200, next.health())
-	require.Zero(t, next.quit())
+	require.Equal(t, 200, next.readyStatus())
+	require.Zero(t, next.stop())
 }
 
 // What lies in the folder may be anything: the start is a fresh one then, with a line in the log.
 func TestStrangeThingsInTheFolder(t *testing.T) {
 	first := start(t, 1, door)
 	first.yes("POST", "/ops/booking-servers/down", "s-0")
-	files, err := filepath.Glob(filepath.Join(first.folder, "dunestep-*"))
+	files, err := filepath.Glob(filepath.Join(first.tempDir, "dunestep-*"))
 	require.NoError(t, err)
 	var file, socket string
 	for _, f := range files {
@@ -306,7 +306,7 @@
 		}()
 		next := first.upgrade()
 		require.Contains(t, next.log.String(), "takeover from the running process failed", name)
-		require.Zero(t, next.quit(), name)
+		require.Zero(t, next.stop(), name)
 		_ = l.Close()
 	}
 	_ = syscall.Unlink(socket)
@@ -315,7 +315,7 @@
 // A long body and a long answer that are on their way go on to their ends at the old process, while it ends.
 func TestUpgradeWithLongBodies(t *testing.T) {
 	const size = 400_000
-	w := start(t, 1, door, (*world).patient)
+	w := start(t, 1, door, (*testbed).useLongTimeouts)
 	came, goOn := w.servers[0].pausing(size, size/2)
 	begun, _ := w.upload("Content-Length: 2")
 	_, _ = io.WriteString(begun, "ab")
@@ -333,20 +333,20 @@
 		require.Equal(t, 200, status)
 		require.Len(t, text, size)
 	}
-	require.Zero(t, w.quit())
-	require.Zero(t, next.quit())
+	require.Zero(t, w.stop())
+	require.Zero(t, next.stop())
 }
 
 // Memory and descriptors of both processes together stay within one agent's limits while one takes over from the
 // other under a load of long bodies both ways, and nothing is lost.
 func TestUpgradeWithinTheLimits(t *testing.T) {
 	const memoryMB, sockets = 32, 256
-	w := newWorldAlone(t, 3).start(door, (*world).patient, plainly, func(w *world) {
+	w := newSerialTestbed(t, 3).start(door, (*testbed).useLongTimeouts, usePlainBinary, func(w *testbed) {
 		w.config["limits"].(object)["memory_mb"] = memoryMB
 		w.config["limits"].(object)["sockets"] = sockets
 	})
 	l := w.loadOfLong(80) // a third of the descriptors
-	both := []*world{w}
+	both := []*testbed{w}
 	most := func() (kB, descriptors int) {
 		file := 0 // of the program, the same pages in both
 		for _, p := range both {
@@ -373,7 +373,7 @@
 		require.Contains(t, next.log.String(), "taking over from the running process")
 		require.NoError(t, old.process.Process.Signal(syscall.SIGTERM))
 		look(time.Second)
-		require.Zero(t, old.quit())
+		require.Zero(t, old.stop())
 		both = both[1:]
 	}
 	l.end()
@@ -382,21 +382,21 @@
 	require.LessOrEqual(t, peakKB, memoryMB<<10)
 	require.LessOrEqual(t, peakDescriptors, sockets)
 	w.once()
-	require.Zero(t, both[0].quit())
+	require.Zero(t, both[0].stop())
 }
 
 // Either process is killed at any stage, with long bodies on the way: only what it had taken is lost, at most one
 // request of each client, none runs twice, and the other goes on with what was set by hand.
 func TestKillsDuringUpgrades(t *testing.T) {
 	const clients = 8
-	w := start(t, 3, door, (*world).patient)
+	w := start(t, 3, door, (*testbed).useLongTimeouts)
 	l := w.loadOfLong(clients)
 	now, out, lost := w, w.servers[2], int64(0)
 	now.yes("POST", "/ops/booking-servers/down", "s-2")
 	goesOn := func(stage string) {
-		before, goal := len(out.steps()), l.ok.Load()+40
+		before, goal := len(out.attempts()), l.ok.Load()+40
 		now.until(stage, func() bool { return l.ok.Load() > goal })
-		require.Len(t, out.steps(), before, stage)
+		require.Len(t, out.attempts(), before, stage)
 		require.LessOrEqual(t, l.lost.Load()-lost, int64(clients), stage)
 		lost = l.lost.Load()
 	}
@@ -423,7 +423,7 @@
 	l.end()
 	require.Zero(t, l.no.Load(), "no connection was refused")
 	w.once()
-	require.Zero(t, now.quit())
+	require.Zero(t, now.stop())
 	w.process = exec.Command("true") // it was killed: there is no exit code to look at
 	require.NoError(t, w.process.Run())
 }
@@ -438,26 +438,26 @@
 	w.until("both watch", func() bool { return first.watched() == 2 })
 	w.config["discovery"] = second.addr // both have it
 	w.config["limits"].(object)["sockets"] = 700
-	for _, p := range []*world{w, next} {
+	for _, p := range []*testbed{w, next} {
 		p.configure()
 		require.NoError(t, p.process.Process.Signal(syscall.SIGHUP))
 	}
 	w.until("both watch the new address", func() bool { return second.watched() == 2 && first.watched() == 0 })
-	for _, p := range []*world{w, next} {
+	for _, p := range []*testbed{w, next} {
 		require.Contains(t, p.log.String(), "sockets=700")
 	}
 	second.say(list(60, false, w.servers[0].entry("leaving")))
-	for _, p := range []*world{w, next} {
+	for _, p := range []*testbed{w, next} {
 		p.until("told", func() bool { return p.stats().Size == 2 })
 	}
-	require.Zero(t, w.quit())
+	require.Zero(t, w.stop())
 	next.until("full limits", func() bool { return strings.Contains(next.log.String(), "full limits") })
-	before := len(w.servers[0].steps())
+	before := len(w.servers[0].attempts())
 	for range 20 {
-		require.Equal(t, 200, next.ask("consult").status)
+		require.Equal(t, 200, next.send("consult").status)
 	}
-	require.Len(t, w.servers[0].steps(), before, "what drains by the new address gets nothing")
-	require.Zero(t, next.quit())
+	require.Len(t, w.servers[0].attempts(), before, "what drains by the new address gets nothing")
+	require.Zero(t, next.stop())
 }
 
 // The agent's datagrams go on whichever process of an upgrade ends, from the same address.
@@ -466,7 +466,7 @@
 	heard := func(what string) {
 		buf := make([]byte, 1024)
 		for range 2 { // what is on its way may be of the one that ended
-			require.NoError(t, w.peer.SetReadDeadline(time.Now().Add(patience)))
+			require.NoError(t, w.peer.SetReadDeadline(time.Now().Add(waitTimeout)))
 			_, from, err := w.peer.ReadFromUDP(buf)
 			require.NoError(t, err, what)
 			require.Equal(t, w.addr, from.String(), what)
@@ -480,7 +480,7 @@
 	w.until("it goes on", func() bool { return strings.Contains(w.log.String(), "this one continues") })
 	heard("the new one has died")
 	next := w.upgrade()
-	require.Zero(t, w.quit())
+	require.Zero(t, w.stop())
 	heard("the old one has ended")
-	require.Zero(t, next.quit())
+	require.Zero(t, next.stop())
 }
--- a/cmd/dunestep/uploads_test.go
+++ b/cmd/dunestep/uploads_test.go
@@ -15,27 +15,27 @@
 )
 
 // counted has an endpoint answer with how long a body was that it got, and whether it is the client's.
-func counted(w *world) {
-	w.each(func(s step) string {
+func counted(w *testbed) {
+	w.answerAll(func(s upstreamAttempt) string {
 		return reply("200 OK", fmt.Sprint(len(s.body), s.body == long(len(s.body), idOf(s))))
 	})
 }
 
 // upload begins a request with a body and returns its connection and id.
-func (w *world) upload(head string) (net.Conn, string) {
-	id := w.id()
+func (w *testbed) upload(head string) (net.Conn, string) {
+	id := w.nextID()
 	return w.uploadAs(id, head), id
 }
 
 // uploadAs is upload with an id, by which the body is made before: one that stands still for 1 s is cut off.
-func (w *world) uploadAs(id, head string) net.Conn {
-	return w.raw("POST /rezervare/x HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: " + id + "\r\nX-Account: acme\r\n" +
+func (w *testbed) uploadAs(id, head string) net.Conn {
+	return w.sendRaw("POST /rezervare/x HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: " + id + "\r\nX-Account: acme\r\n" +
 		"X-Time-Left-Ms: 3000\r\n" + head + "\r\n\r\n")
 }
 
 // answered reads an answer.
 func answered(t *testing.T, c net.Conn) (int, string) {
-	_ = c.SetReadDeadline(time.Now().Add(patience))
+	_ = c.SetReadDeadline(time.Now().Add(waitTimeout))
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	require.NoError(t, err)
 	body, err := io.ReadAll(resp.Body)
@@ -45,7 +45,7 @@
 
 // Bodies of any size pass, in every form, and in small pieces; memory does not grow with them.
 func TestUploads(t *testing.T) {
-	w := start(t, 2, (*world).patient, counted, plainly, func(w *world) {
+	w := start(t, 2, (*testbed).useLongTimeouts, counted, usePlainBinary, func(w *testbed) {
 		w.config["limits"].(object)["memory_mb"] = 32
 	})
 	for _, size := range []int{65535, 65536, 65537, 100_000, 3_000_000, 32 << 20} {
@@ -53,7 +53,7 @@
 			fmt.Sprint("Content-Length: ", size), "Transfer-Encoding: chunked",
 			fmt.Sprintf("Content-Length: %d\r\nExpect: 100-continue", size),
 		} {
-			id := w.id()
+			id := w.nextID()
 			body := long(size, id)
 			if strings.Contains(head, "chunked") {
 				body = fmt.Sprintf("1;a=b\r\n%s\r\n%x\r\n%s\r\n0\r\nA: b\r\n\r\n", body[:1], size-1, body[1:])
@@ -78,8 +78,8 @@
 // A slow head and a body at 64 kB/s are served, though they take longer than the request's time.
 func TestSlowUpload(t *testing.T) {
 	w := start(t, 2, counted)
-	id := w.id()
-	c := w.raw("POST /rezervare/x HTTP/1.1\r\n")
+	id := w.nextID()
+	c := w.sendRaw("POST /rezervare/x HTTP/1.1\r\n")
 	time.Sleep(1800 * time.Millisecond)
 	const size = 128 << 10
 	_, _ = fmt.Fprintf(c, "Host: x\r\nX-Correlation-Id: %s\r\nX-Account: acme\r\nX-Time-Left-Ms: 900\r\n"+
@@ -115,7 +115,7 @@
 	go func() { _, _ = io.WriteString(c, "2200000\r\n"+strings.Repeat("x", 0x2200000)) }()
 	status, _ = answered(t, c)
 	require.Equal(t, 413, status)
-	require.Zero(t, w.seen())
+	require.Zero(t, w.attemptCount())
 	w.served("rezervare")
 	require.NotContains(t, w.log.String(), "ejected")
 }
@@ -123,7 +123,7 @@
 // A body that has not been passed on yet goes to another endpoint; one that has is refused honestly, since
 // nothing has run.
 func TestRejectedUpload(t *testing.T) {
-	w := start(t, 2, (*world).patient, counted)
+	w := start(t, 2, (*testbed).useLongTimeouts, counted)
 	w.servers[0].stop()
 	w.servers[1].stop()
 	c, id := w.upload("Content-Length: 200000")
@@ -134,7 +134,7 @@
 
 // An endpoint that answers before it has the whole body is believed only where it turns away.
 func TestAnswerBeforeTheBody(t *testing.T) {
-	w := start(t, 2, (*world).patient)
+	w := start(t, 2, (*testbed).useLongTimeouts)
 	early := make(chan struct{}, 9)
 	for _, s := range w.servers {
 		s.socket.Close()
@@ -164,9 +164,9 @@
 // begins, whichever comes first.
 func TestLongAnswersToLongBodies(t *testing.T) {
 	const size = 200_000
-	w := start(t, 1, (*world).patient, plainly, func(w *world) { w.config["limits"].(object)["cores"] = 4 })
+	w := start(t, 1, (*testbed).useLongTimeouts, usePlainBinary, func(w *testbed) { w.config["limits"].(object)["cores"] = 4 })
 	rest := strings.Repeat("x", size)
-	w.servers[0].perform(func(s step, c net.Conn) bool {
+	w.servers[0].setScript(func(s upstreamAttempt, c net.Conn) bool {
 		text := reply("200 OK", idOf(s)+rest)
 		for len(text) > 0 { // so that each part is waited for
 			n := min(len(text), 20_000)
@@ -197,12 +197,12 @@
 // Bodies of 32 MB both ways, several at a time, in an agent that has 32 MB and 256 descriptors.
 func TestBodiesBothWaysInLittleMemory(t *testing.T) {
 	const size, clients = 32_000_000, 4
-	w := newWorldAlone(t, 2).start((*world).patient, plainly, func(w *world) {
+	w := newSerialTestbed(t, 2).start((*testbed).useLongTimeouts, usePlainBinary, func(w *testbed) {
 		w.config["limits"].(object)["memory_mb"] = 32
 		w.config["limits"].(object)["sockets"] = 256
 	})
 	body := strings.Repeat("0123456789abcdef", size/16)
-	w.each(func(s step) string {
+	w.answerAll(func(s upstreamAttempt) string {
 		if s.body != body {
 			return reply("500 No", "")
 		}
--- a/cmd/dunestep/window_test.go
+++ b/cmd/dunestep/window_test.go
@@ -53,7 +53,7 @@
 func openWindowRig(r *windowRig, o lab.Options, shape func(*lab.Config)) *windowRig {
 	t := r.t
 	t.Helper()
-	program, err := plain()
+	program, err := plainBinary()
 	require.NoError(t, err)
 	set := lab.Deployment()
 	set.Tenants = []balancer.Tenant{{Name: "east", QuotaPerSecond: 1000, Share: 0.5}, {Name: "west", QuotaPerSecond: 1000, Share: 0.5}}
--- a/cmd/dunestep/windowfaults_test.go
+++ b/cmd/dunestep/windowfaults_test.go
@@ -221,8 +221,8 @@
 	folders := t.TempDir()
 	var zones []string
 	if turns > 0 { // the first server alone is in its turn now
-		now, until := maintenance.Turns(turns).At(unix())
-		if until < unix()+15*time.Minute {
+		now, until := maintenance.Turns(turns).At(sinceEpoch())
+		if until < sinceEpoch()+15*time.Minute {
 			t.Skip("a turn ends too soon")
 		}
 		for n := 0; len(zones) < 4; n++ {
