--- a/cmd/dunestep/check.go
+++ b/cmd/dunestep/check.go
@@ -16,10 +16,11 @@
 // checkCommand checks the files that the agent would be started with.
 type checkCommand struct {
 	Config   string `help:"Check the configuration FILE." placeholder:"FILE" env:"LB_CONFIG"`
-	Defaults bool   `help:"Print an operator file with every default, and check nothing."`
+	Defaults bool   `help:"Print an operator file with all defaults, and check nothing."`
 }
 
-// Run prints all that is wrong, a line each with the file, the line and the column.
+// Run prints each problem on a line of its own, with the file, line and column. It returns errInvalidFiles if
+// there are any.
 func (c checkCommand) Run(line *commandLine) error {
 	if c.Defaults {
 		text, err := toml.Marshal(operator.Default())
@@ -29,7 +30,7 @@
 		return err
 	}
 	if c.Config == "" && line.Operator == "" {
-		return errors.New("there is nothing to check: name a file by --config, LB_CONFIG or --operator")
+		return errors.New("nothing to check: name a file with --config, LB_CONFIG or --operator")
 	}
 	problems := checkConfig(c.Config)
 	if _, err := operator.Read(line.Operator); err != nil {
@@ -48,7 +49,7 @@
 	return nil
 }
 
-// checkTogether returns what is wrong between two files that are valid by themselves.
+// checkTogether returns the conflicts between a configuration and an operator file that are each valid.
 func checkTogether(configFile, operatorFile string) (problems []string) {
 	s, err := readSettings(configFile, operatorFile)
 	if err == nil && s.operator.GraphQL.Listen != "" {
@@ -62,7 +63,7 @@
 	return problems
 }
 
-// checkConfig returns what is wrong with a configuration file; without a path there is none.
+// checkConfig returns the problems of a configuration file. An empty path has none.
 func checkConfig(path string) (problems []string) {
 	if path == "" {
 		return nil
--- a/cmd/dunestep/fleet.go
+++ b/cmd/dunestep/fleet.go
@@ -20,19 +20,19 @@
 )
 
 const (
-	// proposalTimeout is how long a proposal is tried before it is withdrawn.
+	// proposalTimeout is how long a proposal is retried before it is withdrawn.
 	proposalTimeout = 5 * time.Second
 	// reloadTimeout bounds the wait for the actor at a reload.
 	reloadTimeout = time.Second
-	// leaveTimeout bounds the wait of a process that shuts down for its actor to tell the others.
+	// leaveTimeout bounds how long a process that shuts down waits for its actor to notify the other agents.
 	leaveTimeout = 100 * time.Millisecond
 )
 
 var errNoDatagrams = errors.New(
-	"fleet: the configuration has no way between agents: mayTell, peers and peer_listen")
+	"fleet: agents cannot communicate: the configuration needs mayTell, peers and peer_listen")
 
-// fleetMember is this agent's part in what the fleet agrees on. A nil one takes no part. Its methods are safe
-// for concurrent use where they say nothing else.
+// fleetMember is this agent's membership in the fleet. A nil fleetMember is not a member. Its methods are
+// safe for concurrent use unless documented otherwise.
 type fleetMember struct {
 	settings  settings
 	datagrams *transport.Datagrams
@@ -40,21 +40,22 @@
 
 	mu      sync.Mutex
 	manual  *manualControl
-	tickets map[uint64]*ticket // of operators' commands, by number
-	latest  []uint64           // the tickets' numbers, the oldest first
-
-	// Of the fleet's actor, that is of functions that it calls.
-	commands     *operatorcommand.List
-	policies     *policylog.Adapter // nil: policies are off here
-	comparedZone uint64             // the policy version whose time zones were last compared
-	endpoints    []balancer.Server  // of this agent's own list, as it was last looked at
-	maintenance  *windowControl     // nil: maintenance windows are off here
-	ring         *ringControl       // nil: agreed ring assignments are off here
-
-	inherited *inheritedState // of the agent's actor; nil: nothing
+	tickets map[uint64]*ticket // tickets of operators' commands, by number
+	latest  []uint64           // ticket numbers, the oldest first
+
+	// Accessed only by the fleet's actor, in functions that it calls.
+	commands           *operatorcommand.List
+	policies           *policylog.Adapter // nil: policies are disabled here
+	zoneCheckedVersion uint64             // the last policy version whose time zone rules were checked
+	endpoints          []balancer.Server  // this agent's own list when it was last read
+	maintenance        *windowControl     // nil: maintenance windows are disabled here
+	ring               *ringControl       // nil: agreed ring assignments are disabled here
+
+	inherited *inheritedState // accessed only by the agent's actor; nil: nothing was inherited
 }
 
-// newFleetMember returns this agent's part in the fleet; nil: it takes none.
+// newFleetMember returns this agent's membership in the fleet; nil if the fleet is disabled. It returns
+// errNoDatagrams where agents cannot communicate, and an error where the node's settings are invalid.
 func newFleetMember(s settings, d *transport.Datagrams) (*fleetMember, error) {
 	if !s.operator.Fleet.Enabled {
 		return nil, nil
@@ -71,16 +72,17 @@
 	return f, f.nodeSettings().Validate()
 }
 
-// startFleet joins the fleet, unless the previous process still takes part: then this one joins once that has
-// exited.
+// startFleet joins the fleet. While the previous process is still a member, it does nothing: followPrevious
+// joins once that process has exited.
 func (p *process) startFleet() error {
-	if p.upgrade.previous != nil { // nothing else changes it yet
+	if p.upgrade.previous != nil { // the goroutines that change it have not started
 		return nil
 	}
 	return p.fleet.start(p.manual)
 }
 
-// start opens the voter's store, where there is one, and starts the actor and what watches for it.
+// start opens the voter's store, if this agent is a voter with a folder, and starts the actor and the
+// goroutines that report to it.
 func (f *fleetMember) start(m *manualControl) error {
 	if f == nil {
 		return nil
@@ -103,7 +105,7 @@
 	return nil
 }
 
-// reload applies what SIGHUP has changed of the settings that policies are checked against.
+// reload applies the reloaded settings against which policies are checked.
 func (f *fleetMember) reload(s settings) {
 	if f == nil || !f.settings.operator.Fleet.Policy {
 		return
@@ -120,8 +122,8 @@
 	}
 }
 
-// receiver returns a function that passes the fleet's datagrams to its actor, and the others to the
-// balancer's.
+// receiver returns a function that passes the fleet's datagrams to the fleet's actor, and all others to
+// toBalancer. Before the actor has started, it drops the fleet's.
 func (f *fleetMember) receiver(toBalancer func(protocol.Datagram)) func(protocol.Datagram) {
 	return func(d protocol.Datagram) {
 		switch actor := f.actor.Load(); {
@@ -133,7 +135,7 @@
 	}
 }
 
-// leave has the other agents told that this process exits.
+// leave notifies the other agents that this process exits.
 func (f *fleetMember) leave() {
 	if f == nil {
 		return
@@ -145,8 +147,8 @@
 	}
 }
 
-// isReady tells whether this agent has what was agreed, as far as it can be had. While the previous process
-// still takes part there is nothing to wait for.
+// isReady reports whether this agent has the agreed state, or has waited for it for the maximum time. While
+// the previous process is still a member, it returns true: there is nothing to wait for.
 func (f *fleetMember) isReady() bool {
 	if f == nil {
 		return true
@@ -155,8 +157,8 @@
 	return actor == nil || actor.IsReady()
 }
 
-// isCaughtUp tells whether this process has what was agreed, handed over or from others, or has tried for
-// long enough.
+// isCaughtUp reports whether this process has the agreed state, from the previous process or from other
+// agents, or has waited for it for the maximum time.
 func (f *fleetMember) isCaughtUp() bool {
 	if f == nil || f.inherited != nil {
 		return true
@@ -165,8 +167,8 @@
 	return actor == nil || actor.IsCaughtUp()
 }
 
-// onApplied is called by the actor after records were applied. Operators' commands to the fleet hold beside
-// what was set at this agent: in each matter the latest.
+// onApplied is called by the actor after it has applied records. It merges operators' commands to the fleet
+// with those to this agent: for each endpoint, the latest command wins.
 func (f *fleetMember) onApplied() {
 	f.logWindows()
 	f.compareTimeZones()
@@ -179,6 +181,6 @@
 		changed = append(changed, e)
 	}
 	if len(changed) > 0 {
-		go f.manual.merge(handover.ManualSettings{Disabled: changed}) // which waits for the agent's actor
+		go f.manual.merge(handover.ManualSettings{Disabled: changed}) // waits for the agent's actor
 	}
 }
--- a/cmd/dunestep/fleet_test.go
+++ b/cmd/dunestep/fleet_test.go
@@ -126,7 +126,7 @@
 	}
 	text, err = fleetCommand(t, l.Agent(4), "down", "s-unknown")
 	require.Error(t, err)
-	require.Contains(t, text, "no such booking server was ever listed")
+	require.Contains(t, text, "no such upstream server was ever listed")
 	text, err = fleetCommand(t, l.Agent(4), "up", "s-0")
 	require.NoError(t, err, text)
 	require.NoError(t, l.Wait(ctx, "s-0 is back", func() bool {
--- a/cmd/dunestep/fleetcommands.go
+++ b/cmd/dunestep/fleetcommands.go
@@ -11,24 +11,24 @@
 	"dunestep/internal/protocol"
 )
 
-// fleetCommands ask a running agent, at its operators' socket, about the fleet.
+// fleetCommands query and control the fleet through a running agent's operators' socket.
 type fleetCommands struct {
-	Status fleetStatusCommand `cmd:"" help:"Show what an agent knows of the fleet, and what is agreed."`
-	Down   fleetDownCommand   `cmd:"" help:"Take a booking server out at all agents, and wait until it is."`
-	Up     fleetUpCommand     `cmd:"" help:"Put a booking server back at all agents, and wait until it is."`
-	Policy policyCommands     `cmd:"" help:"Policies that hold at all agents or at none."`
-	Window windowCommands     `cmd:"" help:"Times in which servers are left alone for maintenance."`
+	Status fleetStatusCommand `cmd:"" help:"Show an agent's view of the fleet, and the agreed state."`
+	Down   fleetDownCommand   `cmd:"" help:"Disable an upstream server at all agents, and wait for that."`
+	Up     fleetUpCommand     `cmd:"" help:"Enable an upstream server at all agents, and wait for that."`
+	Policy policyCommands     `cmd:"" help:"Policies, which take effect at all agents together."`
+	Window windowCommands     `cmd:"" help:"Maintenance windows, in which servers get no requests."`
 }
 
-// How a command to the fleet can end without being in force.
+// The outcomes of a command to the fleet that is not in force.
 var (
-	errNotCommitted  = errors.New("not taken: no voter could agree to it in time")
-	errIndeterminate = errors.New("not known whether it was taken: look at fleet status, and ask again")
+	errNotCommitted  = errors.New("not taken: the voters did not commit it in time")
+	errIndeterminate = errors.New("not known whether it was taken: check fleet status, and retry")
 )
 
 type fleetStatusCommand struct {
 	opsClient
-	JSON bool `help:"Write it as JSON."`
+	JSON bool `help:"Print JSON."`
 }
 
 // Run prints the fleet's status as a table, or as JSON.
@@ -46,7 +46,7 @@
 // endpointCommand changes one endpoint at all agents.
 type endpointCommand struct {
 	opsClient
-	ID   string        `arg:"" help:"The booking server's id."`
+	ID   string        `arg:"" help:"The upstream server's id."`
 	Wait time.Duration `help:"How long to wait until it is in force." default:"30s"`
 }
 
@@ -61,7 +61,8 @@
 // Run enables the endpoint at all agents.
 func (c fleetUpCommand) Run() error { return c.propose("/ops/fleet/booking-servers/up") }
 
-// propose proposes the command, and waits until it is in force. Otherwise the error says what is known.
+// propose proposes the command, and waits until it is in force. If it is not in force after Wait, the error
+// has its last known state.
 func (c endpointCommand) propose(path string) error {
 	var p protocol.FleetProposal
 	if err := c.call(http.MethodPost, path, c.ID, &p); err != nil {
@@ -81,5 +82,5 @@
 			return errIndeterminate
 		}
 	}
-	return fmt.Errorf("%s, and not in force everywhere yet", p.Result)
+	return fmt.Errorf("%s, but not in force at all agents yet", p.Result)
 }
--- a/cmd/dunestep/fleetforms.go
+++ b/cmd/dunestep/fleetforms.go
@@ -10,9 +10,10 @@
 	"dunestep/internal/fleet/raftlog"
 )
 
-// The JSON of the fleet's status at the operators' socket. Names and words in it are older than the fields'.
+// The JSON of the fleet's status at the operators' socket. Its keys and values are kept for compatibility and
+// differ from the fields' names.
 
-// connectionWord is the word for what an agent knows of its own connection to the others.
+// connectionWord returns the JSON value for an agent's connection to the others; empty: unknown.
 func connectionWord(c membership.Connection) string {
 	switch c {
 	case membership.Connected:
@@ -25,10 +26,10 @@
 	return ""
 }
 
-// presentWord is the status of a member that was heard of lately.
-const presentWord = "here"
+// aliveState is the JSON value for the state of a member that is alive.
+const aliveState = "here"
 
-// fleetStatus is what operators see of the fleet at one agent.
+// fleetStatus is the fleet's status at one agent, for operators.
 type fleetStatus struct {
 	Agent       int             `json:"agent"`
 	Agents      int             `json:"agents"`
@@ -45,7 +46,7 @@
 	Peers       []peerStatus    `json:"others"`
 	Commands    []commandStatus `json:"orders"`
 	Dropped     uint64          `json:"messages_dropped"`
-	// Ring is the agreed ring assignment; nil: that is off.
+	// Ring is the agreed ring assignment; nil: disabled.
 	Ring *ringStatus `json:"ring,omitempty"`
 }
 
@@ -58,15 +59,15 @@
 	Error   string `json:"error,omitempty"`
 }
 
-// peerStatus is what the agent knows of another one.
+// peerStatus is the status of another agent, as this one knows it.
 type peerStatus struct {
 	Agent int    `json:"agent"`
 	State string `json:"state"`
-	// PathClosed: it is heard, and does not hear this agent.
+	// PathClosed means that datagrams from that agent arrive here, but this agent's do not arrive there.
 	PathClosed bool `json:"closed,omitempty"`
 }
 
-// commandStatus is an operators' command to the fleet.
+// commandStatus is the status of an operator's command to the fleet.
 type commandStatus struct {
 	Endpoint string    `json:"server"`
 	Down     bool      `json:"down"`
@@ -74,7 +75,7 @@
 	IssuedAt time.Time `json:"at"`
 }
 
-// newFleetStatus returns the form of a node's status.
+// newFleetStatus returns a node's status in its JSON form.
 func newFleetStatus(s fleet.Status, commands []operatorcommand.Command) fleetStatus {
 	out := fleetStatus{
 		Agent:       s.Self,
@@ -105,7 +106,7 @@
 	return out
 }
 
-// newVoterStatus returns the form of a voter's status.
+// newVoterStatus returns a voter's status in its JSON form.
 func newVoterStatus(v *raftlog.Status) *voterStatus {
 	out := &voterStatus{Phase: v.Phase.String(), Term: v.Term, Members: []int{}}
 	if v.HasLeader {
@@ -121,7 +122,7 @@
 	return out
 }
 
-// write prints the status for people.
+// write prints the status as a table.
 func (s fleetStatus) write(to io.Writer) error {
 	t := newTable(to)
 	t.row("agent\t%d of %d\tready %t", s.Agent, s.Agents, s.Ready)
@@ -129,11 +130,11 @@
 	t.row("log\tepoch %d\trecord %d", s.Epoch, s.Record)
 	t.row("voters\t%v\t", s.Voters)
 	s.Voter.write(t)
-	t.row("here\t%d\t", s.Present)
+	t.row("present\t%d agents\t", s.Present)
 	for _, p := range s.Peers {
 		if p.PathClosed {
-			t.row("agent %d\t%s\tdoes not hear this one", p.Agent, p.State)
-		} else if p.State != presentWord {
+			t.row("agent %d\t%s\tdoes not receive from this one", p.Agent, p.State)
+		} else if p.State != aliveState {
 			t.row("agent %d\t%s\t", p.Agent, p.State)
 		}
 	}
@@ -148,7 +149,7 @@
 	return t.flush()
 }
 
-// write prints a voter's status; nil: the agent has none.
+// write prints a voter's status; nothing for nil, which means that the agent is no voter.
 func (v *voterStatus) write(t *table) {
 	if v == nil {
 		return
--- a/cmd/dunestep/fleetops.go
+++ b/cmd/dunestep/fleetops.go
@@ -12,13 +12,14 @@
 	"dunestep/internal/protocol"
 )
 
-// maxTickets is how many commands operators can ask about: the latest ones.
+// maxTickets is how many commands' outcomes are kept: those of the latest.
 const maxTickets = 64
 
-// ticket is an operators' command that was proposed to the fleet. It is of the fleet's actor.
+// ticket is the state of an operator's command that was proposed to the fleet. Only the fleet's actor
+// accesses its fields.
 type ticket struct {
 	committed   bool
-	committedAt fleet.ClockReading // when that was seen: not before it was
+	committedAt fleet.ClockReading // when this agent first saw it committed
 }
 
 // HandleFleetCall answers a call about the fleet at the operators' socket.
@@ -32,7 +33,7 @@
 	}
 	actor := f.actor.Load()
 	if actor == nil {
-		return http.StatusServiceUnavailable, []byte("another process of this agent still takes part\n")
+		return http.StatusServiceUnavailable, []byte("another process of this agent is still the fleet's member\n")
 	}
 	switch call.Kind {
 	case protocol.OpsFleetStatus:
@@ -50,7 +51,7 @@
 	return http.StatusNotFound, nil
 }
 
-// answerStatus answers with what this agent knows of the fleet.
+// answerStatus returns the response with the fleet's status as this agent knows it.
 func (f *fleetMember) answerStatus(ctx context.Context, actor *agent.FleetActor) (int, []byte) {
 	var s fleet.Status
 	var commands []operatorcommand.Command
@@ -58,20 +59,22 @@
 	if !actor.Do(ctx, func(n *fleet.Node, now fleet.ClockReading) {
 		s, commands, ring = n.Status(now), f.commands.All(), f.ringStatus(n, now)
 	}) {
-		return noAnswer()
+		return actorTimeout()
 	}
 	out := newFleetStatus(s, commands)
 	out.Ring = ring
 	return answerJSON(http.StatusOK, out)
 }
 
-// noAnswer is the answer where the actor did not answer in time.
-func noAnswer() (int, []byte) { return http.StatusServiceUnavailable, []byte("no answer in time\n") }
+// actorTimeout returns the response for an actor that did not finish in time.
+func actorTimeout() (int, []byte) {
+	return http.StatusServiceUnavailable, []byte("no answer in time\n")
+}
 
-// answerError is an answer with an error as its text.
+// answerError returns a response with the error's text.
 func answerError(status int, err error) (int, []byte) { return status, []byte(err.Error() + "\n") }
 
-// answerJSON is an answer with a value as JSON.
+// answerJSON returns a response with the value as JSON.
 func answerJSON(status int, v any) (int, []byte) {
 	raw, err := json.Marshal(v)
 	if err != nil {
@@ -80,15 +83,15 @@
 	return status, append(raw, '\n')
 }
 
-// proposeCommand proposes to the fleet that an endpoint is disabled or enabled at all agents. Its ticket
-// tells later what became of it.
+// proposeCommand proposes to the fleet to disable or enable an endpoint at all agents. It responds with a
+// ticket, by which the outcome can be polled.
 func (f *fleetMember) proposeCommand(
 	ctx context.Context,
 	actor *agent.FleetActor,
 	call protocol.OpsCall,
 ) (int, []byte) {
 	if !f.manual.agent.WasListed(ctx, call.ID) {
-		return http.StatusNotFound, []byte("no such booking server was ever listed\n")
+		return http.StatusNotFound, []byte("no such upstream server was ever listed\n")
 	}
 	record, err := operatorcommand.Command{
 		Server: call.ID, Down: call.Kind == protocol.OpsFleetDisable,
@@ -103,7 +106,7 @@
 			f.addTicket(uint64(number))
 		}
 	}) {
-		return noAnswer()
+		return actorTimeout()
 	}
 	if err != nil {
 		return answerError(http.StatusServiceUnavailable, err)
@@ -116,7 +119,7 @@
 	})
 }
 
-// addTicket remembers a ticket, and forgets the oldest where there are too many.
+// addTicket adds a ticket. Beyond maxTickets, it removes the oldest.
 func (f *fleetMember) addTicket(number uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -127,7 +130,7 @@
 	}
 }
 
-// answerTicket answers with what became of a command.
+// answerTicket returns the response with a command's outcome.
 func (f *fleetMember) answerTicket(
 	ctx context.Context,
 	actor *agent.FleetActor,
@@ -150,7 +153,7 @@
 		}
 		answer.InForce = n.FencePassed(t.committedAt, now)
 	}) {
-		return noAnswer()
+		return actorTimeout()
 	}
 	return answerJSON(http.StatusOK, answer)
 }
--- a/cmd/dunestep/fleetsettings.go
+++ b/cmd/dunestep/fleetsettings.go
@@ -14,7 +14,7 @@
 	"dunestep/internal/fleetstore"
 )
 
-// The state machines of the fleet's log, by their number in records. The numbers are part of what is agreed.
+// The numbers of the fleet log's state machines in records. All agents must use the same numbers.
 const (
 	commandMachine = iota
 	policyMachine
@@ -22,7 +22,7 @@
 	ringMachine
 )
 
-// nodeSettings are those of the fleet's node, with the operators' commands as its first state machine.
+// nodeSettings returns the fleet node's settings, with the operators' commands as its first state machine.
 func (f *fleetMember) nodeSettings() fleet.Settings {
 	o := f.settings.operator.Fleet
 	set := fleet.Settings{
@@ -46,9 +46,9 @@
 	return set
 }
 
-// openStore opens a voter's store. Where it can't be used, because it is damaged, of another version or
-// missing, this agent runs without a vote: that is no reason to reject requests, and a voter that took its
-// store for an empty one could break the log.
+// openStore opens a voter's store. If the store is damaged, missing or of another version, this agent runs
+// without a vote: it can still serve requests, and a voter that treated its store as empty could break the
+// log's consistency.
 func (f *fleetMember) openStore(set *agent.FleetSettings) {
 	folder := f.settings.operator.Fleet.Folder
 	if folder == "" || !set.Node.IsVoter() {
@@ -64,9 +64,9 @@
 	set.Store, set.Node.Stored, set.Node.IsDurable = store, store.Stored(), true
 }
 
-// addStateMachines adds the state machines of policies, maintenance windows and the ring, and for those that
-// are on here the adapters that act on them. An agent at which one is off has its state all the same: others
-// may go on from a snapshot of this agent.
+// addStateMachines adds the state machines of policies, maintenance windows and the ring, each wrapped in its
+// adapter where the feature is enabled here. An agent keeps the state of disabled features too: other agents
+// may restore from its snapshot.
 func (f *fleetMember) addStateMachines(n *fleet.Settings) {
 	if !f.settings.operator.Fleet.Policy {
 		policies := policy.NewStateMachine()
@@ -94,10 +94,10 @@
 	n.Application = fleet.StackApplications(f.policies, applications[0], applications[1])
 }
 
-// policyInForce is the newest version of the policy that was activated; zero: none.
+// policyInForce returns the newest activated version of the policy; zero: none.
 func (f *fleetMember) policyInForce() uint64 { return f.policies.State().InForce.Number }
 
-// policyTimes are those by which policies take effect.
+// policyTimes returns the times that decide when policies take effect.
 func (f *fleetMember) policyTimes(terms lease.Terms) policy.Times {
 	return policy.Times{Terms: terms, FloorValidity: seconds(f.settings.operator.Fleet.FloorValidityS)}
 }
--- a/cmd/dunestep/fleetstate.go
+++ b/cmd/dunestep/fleetstate.go
@@ -15,10 +15,10 @@
 	"dunestep/internal/fleet/lease"
 )
 
-// fleetState is what the fleet had agreed on, as one process of an agent hands it to the next: snapshots of
-// the state machines. Of the two only one takes part. Without it, the next process would go by its settings
-// where a policy holds, send to endpoints that are under maintenance, and use another ring, until it takes
-// part itself.
+// fleetState is the agreed state that one process of an agent hands over to the next: snapshots of the state
+// machines. Only one of the two processes is a member of the fleet at a time. Without this state, the next
+// process would ignore the policy in force, send to endpoints under maintenance, and use another ring until
+// it is a member itself.
 type fleetState struct {
 	HeldLease   bool   `json:"held"`
 	Policy      []byte `json:"policy,omitempty"`
@@ -26,7 +26,7 @@
 	Ring        []byte `json:"placement,omitempty"`
 }
 
-// encodeStateTimeout bounds how long the next process waits for the fleet's state.
+// encodeStateTimeout bounds how long the handover waits for the fleet's state.
 const encodeStateTimeout = 500 * time.Millisecond
 
 // encodeState returns the fleet's state for the next process; empty: there is none.
@@ -57,17 +57,17 @@
 	return raw
 }
 
-// inheritedState is the fleet's state that a new process goes by until it holds a lease of its own, as an
-// agent does that is cut off: within the policy's floor, by the planned windows, on the ring assignment that
-// was agreed. It is of the agent's actor.
+// inheritedState is the fleet's state that a new process applies until it has held a lease itself. Like an
+// agent that is cut off from the fleet, the process applies the policy's floor, the planned windows and the
+// agreed ring assignment. Only the agent's actor accesses it.
 type inheritedState struct {
 	policy      *policy.Agent
-	maintenance *maintenance.Agent    // nil: off, or not handed over
-	ring        *ringassignment.Agent // the same
+	maintenance *maintenance.Agent    // nil: disabled, or not handed over
+	ring        *ringassignment.Agent // nil: disabled, or not handed over
 }
 
-// inherit decodes the fleet's state that the previous process has handed over; nil: there is none, or it
-// can't be used.
+// inherit decodes the fleet's state that the previous process has handed over. It returns nil where there is
+// none, or where it cannot be used.
 func (f *fleetMember) inherit(raw []byte, now fleet.ClockReading) *inheritedState {
 	if len(raw) == 0 || !f.settings.operator.Fleet.Policy {
 		return nil
@@ -86,7 +86,7 @@
 		policy: policy.NewAgent(f.settings.localPolicySettings(), f.policyTimes(f.nodeSettings().Terms)),
 	}
 	inherited.policy.Learn(policies)
-	inherited.policy.Active(now, lease.Full) // the floor's validity counts from here
+	inherited.policy.Active(now, lease.Full) // the floor's validity period starts now
 	windows := maintenance.NewStateMachine(func() uint64 { return policies.State().InForce.Number })
 	if o := f.settings.operator.Fleet; o.Windows && windows.Restore(s.Maintenance) == nil {
 		inherited.maintenance = maintenance.NewAgent(int(o.MaintenanceGroups))
@@ -101,8 +101,8 @@
 	return inherited
 }
 
-// readStanding calls read with the clocks and this process's standing; instead it returns true where the
-// process goes by the state that it inherited: until it has held a lease.
+// readStanding calls read with the clocks and this process's lease standing. While the process still applies
+// the inherited state, which is until it has held a lease, it returns true instead of calling read.
 func (f *fleetMember) readStanding(
 	read func(now fleet.ClockReading, standing lease.Standing),
 ) (usesInherited bool) {
@@ -119,8 +119,7 @@
 	return usesInherited
 }
 
-// policyEffect returns the effect of the policy that this agent goes by at this moment; nil: its settings
-// alone.
+// policyEffect returns the effect of the policy that this agent applies now; nil: only its settings apply.
 func (f *fleetMember) policyEffect() (e *policy.Effect) {
 	if f == nil || !f.settings.operator.Fleet.Policy {
 		return nil
@@ -133,7 +132,7 @@
 	return e
 }
 
-// exclusions returns which endpoints tenants' requests avoid at this moment; nil: none.
+// exclusions returns the endpoints that tenants' requests avoid now; nil: none.
 func (f *fleetMember) exclusions() (x *balancer.Exclusions) {
 	if f == nil || !f.settings.operator.Fleet.Windows {
 		return nil
@@ -147,7 +146,7 @@
 	return x
 }
 
-// ringAssignment returns the agreed ring assignment at this moment; nil: there is none.
+// ringAssignment returns the agreed ring assignment that applies now; nil: none.
 func (f *fleetMember) ringAssignment() (a *balancer.RingAssignment) {
 	if f == nil || !f.settings.operator.Fleet.RingAssignment {
 		return nil
--- a/cmd/dunestep/graphql.go
+++ b/cmd/dunestep/graphql.go
@@ -20,7 +20,7 @@
 
 var errTrustedTooLong = errors.New("the file is longer than 4 MiB")
 
-// listen opens the listening socket, and the one for GraphQL where the operator file asks for one.
+// listen opens the main socket, and a separate one for GraphQL where the operator file configures it.
 func (s settings) listen(l *transport.Listener) error {
 	g := s.operator.GraphQL
 	if g.Listen == "" {
@@ -44,7 +44,7 @@
 	return l.Listen(s.Listen, protocol.HTTP)
 }
 
-// graphQLProblems adds to the problems of graphQLAddr where they are.
+// graphQLProblems prefixes each problem that graphQL has returned with its place in the operator file.
 func graphQLProblems(err error) error {
 	problems := operator.Problems(err)
 	for i, problem := range problems {
@@ -53,8 +53,8 @@
 	return errors.Join(problems...)
 }
 
-// graphQLAddr returns the form of GraphQL requests, by the operator file and the deployment's settings. The error
-// joins all problems.
+// graphQL returns the protocol of GraphQL requests from the operator file and the deployment's settings. The
+// error joins all problems.
 func (s settings) graphQL() (*protocol.GraphQL, error) {
 	g := s.operator.GraphQL
 	trusted, err := readTrusted(g.TrustedDocuments)
@@ -72,7 +72,7 @@
 		},
 	})
 	if g.Listen == operator.MainListener && s.isClassPath(g.Path) {
-		err = errors.Join(err, fmt.Errorf("path %s is that of a class on the front socket", g.Path))
+		err = errors.Join(err, fmt.Errorf("path %s is the path of a class on the main socket", g.Path))
 	}
 	form := &protocol.GraphQL{
 		Path: g.Path, Classer: classer, Classes: s.Settings.Classes,
@@ -89,13 +89,13 @@
 	return form, err
 }
 
-// isClassPath tells whether the first part of a path names a class: plain requests have their class there.
+// isClassPath reports whether the first segment of a path names a class, as it does in plain requests.
 func (s settings) isClassPath(path string) bool {
 	first, _, _ := strings.Cut(path[1:], "/")
 	return slices.ContainsFunc(s.Settings.Classes, func(c balancer.Class) bool { return c.Name == first })
 }
 
-// readTrusted reads the file of trusted documents; without a path there are none.
+// readTrusted reads the file of trusted documents. An empty path has none.
 func readTrusted(path string) (map[string]string, error) {
 	if path == "" {
 		return nil, nil
--- a/cmd/dunestep/handover.go
+++ b/cmd/dunestep/handover.go
@@ -16,26 +16,26 @@
 )
 
 const (
-	// shareUpdateInterval is how often it is looked how many descriptors the other process may use.
+	// shareUpdateInterval is how often the other process's share of descriptors is recomputed.
 	shareUpdateInterval = 100 * time.Millisecond
-	// spareDescriptors is how many a process that shuts down may open beyond what it has, for further attempts.
+	// spareDescriptors is how many more descriptors a process that shuts down may open, for further attempts.
 	spareDescriptors = 8
-	// snapshotTimeout bounds the wait for what was learned.
+	// snapshotTimeout bounds the wait for the learned state.
 	snapshotTimeout = 500 * time.Millisecond
 )
 
-// upgrade is this process's part in the replacement of one process of the agent by the next: as the one that
-// takes over, as the one that hands over, or neither.
+// upgrade is the state of the replacement of one process of the agent by the next. This process may be the
+// one that takes over, the one that hands over, or neither.
 type upgrade struct {
 	mu        sync.Mutex
-	share     limitsShare    // of the agent's limits, while two processes run
+	share     limitsShare    // this process's share of the agent's limits while two processes run
 	previous  *handover.Peer // this process takes over from it
-	next      *handover.Peer // it takes over from this process
+	next      *handover.Peer // this process hands over to it
 	nextReady bool           // the next process accepts clients
 	stopping  bool
 }
 
-// end tells that this process shuts down, and returns whether the next one accepts its clients.
+// end marks this process as shutting down, and returns whether the next one accepts its clients.
 func (u *upgrade) end() successor {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -43,9 +43,9 @@
 	return successor(u.nextReady)
 }
 
-// listenForHandover opens the socket at which a process connects that takes over from this one; nil: that
-// can't be had. It comes before clients and operators are told that this process is ready: one that is
-// started on their word has to find it.
+// listenForHandover opens the socket to which a process that takes over from this one connects; nil: it
+// cannot be opened. It must be open before this process reports that it is ready, because the next process
+// may be started as soon as it does.
 func (p *process) listenForHandover() *handover.Listener {
 	l, err := handover.Listen(os.TempDir(), p.settings.Name, p.settings.Listen)
 	if err != nil {
@@ -55,10 +55,10 @@
 	return l
 }
 
-// serveHandover hands over to processes that connect, until this one ends. The previous process, where there
-// is one, is notified as soon as this one accepts clients.
+// serveHandover starts to hand over to processes that connect, until this one ends. The previous process, if
+// any, is notified as soon as this one accepts clients.
 func (p *process) serveHandover(l *handover.Listener) {
-	if previous := p.upgrade.previous; previous != nil { // the goroutines that change it start here
+	if previous := p.upgrade.previous; previous != nil { // only these goroutines change it
 		go p.notifyReady(previous)
 		go p.followPrevious(previous)
 	}
@@ -69,8 +69,8 @@
 	}
 }
 
-// handOver hands over to a process that takes over from this one. It returns once that has exited, with
-// whether this one continues.
+// handOver hands over to a process that takes over from this one. Once that process has exited, it returns
+// whether this one continues to serve.
 func (p *process) handOver(next *handover.Peer) (continues bool) {
 	sockets, names := p.socketsToHandOver()
 	limits := p.currentLimits()
@@ -99,8 +99,8 @@
 	return !p.upgrade.stopping
 }
 
-// runBeside receives the next process's notifications until it exits, and shares descriptors with it, of
-// which it has been told a number.
+// runBeside receives the next process's notifications until it exits, and shares the descriptors with it. The
+// offer gave the next process the number descriptors.
 func (p *process) runBeside(next *handover.Peer, descriptors int) {
 	stop := make(chan struct{})
 	defer close(stop)
@@ -114,7 +114,7 @@
 	})
 }
 
-// yieldClients leaves new clients and datagrams to the next process, which accepts them.
+// yieldClients leaves new clients and datagrams to the next process.
 func (p *process) yieldClients() {
 	p.upgrade.mu.Lock()
 	p.upgrade.nextReady = true
@@ -125,16 +125,16 @@
 	slog.Info("the new process accepts clients")
 }
 
-// setNext sets the next process, nil: none, and this one's share of the limits.
+// setNext sets the next process and this one's share of the limits. A nil next means that there is none.
 func (p *process) setNext(next *handover.Peer, share limitsShare) {
 	p.upgrade.mu.Lock()
 	p.upgrade.next, p.upgrade.share, p.upgrade.nextReady = next, share, false
 	p.upgrade.mu.Unlock()
 	p.applyLimits()
-	p.agent.ReleaseIdle() // idle connections are what can be closed first
+	p.agent.ReleaseIdle() // idle connections are closed first
 }
 
-// notifyManual notifies the other process, where there is one, of what operators have set.
+// notifyManual notifies the other process, if any, of the operators' settings.
 func (p *process) notifyManual(settings handover.ManualSettings) {
 	p.upgrade.mu.Lock()
 	others := []*handover.Peer{p.upgrade.previous, p.upgrade.next}
@@ -146,15 +146,15 @@
 	}
 }
 
-// currentLimits returns the agent's limits, for all its processes together.
+// currentLimits returns the agent's limits, which apply to all its processes together.
 func (p *process) currentLimits() protocol.Limits {
 	p.upgrade.mu.Lock()
 	defer p.upgrade.mu.Unlock()
 	return p.settings.Limits
 }
 
-// descriptorsForNext returns how many descriptors the next process may use beside this one: half, or, once
-// this one shuts down, all that it does not need.
+// descriptorsForNext returns how many descriptors the next process may use beside this one: at most half, or,
+// once this one shuts down, all that it does not need. The result is at least 1.
 func (p *process) descriptorsForNext(l protocol.Limits) int {
 	inUse := p.descriptors.InUse()
 	if p.settings.Ops.IsValid() {
@@ -168,8 +168,8 @@
 	return max(l.Sockets-max(inUse, l.Sockets/2), 1)
 }
 
-// shareDescriptors notifies the next process, until stop, of how many descriptors it may use where that has
-// changed.
+// shareDescriptors notifies the next process of its number of descriptors whenever that changes, until stop
+// is closed.
 func (p *process) shareDescriptors(next *handover.Peer, notified int, stop <-chan struct{}) {
 	interval := time.NewTicker(shareUpdateInterval)
 	defer interval.Stop()
@@ -193,7 +193,7 @@
 	}
 }
 
-// socketsToHandOver returns the sockets that the next process gets, and their names.
+// socketsToHandOver returns the sockets for the next process, and their names in the same order.
 func (p *process) socketsToHandOver() (sockets []syscall.Conn, names []string) {
 	for addr, l := range p.listener.Sockets() {
 		sockets, names = append(sockets, l), append(names, networkTCP+" "+addr.String())
@@ -205,8 +205,8 @@
 	return sockets, names
 }
 
-// encodeState returns what was learned, as a state file; empty where it does not come in time. Its owner is
-// that of the start, as all that was learned is: the operator file may name another deployment since.
+// encodeState returns the learned state as a state file; nil where it is not available in time. Its owner is
+// that of the settings at the start, since a reloaded operator file may name another deployment.
 func (p *process) encodeState() []byte {
 	ctx, cancel := context.WithTimeout(context.Background(), snapshotTimeout)
 	defer cancel()
--- a/cmd/dunestep/limits.go
+++ b/cmd/dunestep/limits.go
@@ -9,43 +9,44 @@
 	"dunestep/internal/transport"
 )
 
-// How much of the machine's memory the garbage collector may fill.
+// The fractions of the process's memory limit that the Go runtime may use.
 const (
 	memoryFraction    = 0.7
 	minMemoryFraction = 0.5
-	// outsideBytes are set aside for what the collector does not count: the binary, and bursts of sockets.
-	outsideBytes = 15 << 20
+	// nonHeapBytes is the memory reserved for what the runtime's limit does not count: the binary, and bursts of
+	// sockets.
+	nonHeapBytes = 15 << 20
 )
 
-// By how many per cent the heap may grow between collections. Within the memory limit fewer collections cost
-// the requests in flight less; the memory that this takes is there from ampleMemoryMB on.
+// The growth of the heap between collections, in percent. Fewer collections cost the requests in flight less
+// time. From a limit of ampleMemoryMB on, there is enough memory for this.
 const (
 	ampleHeapGrowth   = 400
 	defaultHeapGrowth = 100
 	ampleMemoryMB     = 96
 )
 
-// applyRuntimeLimits keeps this process's use of cores and memory within limits.
+// applyRuntimeLimits sets the Go runtime's limits on cores and memory.
 func applyRuntimeLimits(l protocol.Limits) {
 	runtime.GOMAXPROCS(int(max(math.Ceil(l.Cores), 1)))
 	memory := l.MemoryMB << 20
-	part := min(int64(memoryFraction*float64(memory)), memory-outsideBytes)
+	part := min(int64(memoryFraction*float64(memory)), memory-nonHeapBytes)
 	if l.MemoryMB >= ampleMemoryMB {
 		debug.SetGCPercent(ampleHeapGrowth)
-	} else { // also after an upgrade halved the memory
+	} else { // also when an upgrade halves the memory
 		debug.SetGCPercent(defaultHeapGrowth)
 	}
 	debug.SetMemoryLimit(max(part, int64(minMemoryFraction*float64(memory))))
 }
 
-// limitsShare is one process's part of the agent's limits, while two run; zero: all of them.
+// limitsShare is one process's share of the agent's limits while two run. A zero field means the full limit.
 type limitsShare struct {
 	descriptors int
 	memoryMB    int64
 }
 
-// of returns the limits of the process.
-func (s limitsShare) of(l protocol.Limits) protocol.Limits {
+// apply returns the limits reduced to this share.
+func (s limitsShare) apply(l protocol.Limits) protocol.Limits {
 	if s.descriptors > 0 {
 		l.Sockets = min(l.Sockets, s.descriptors)
 	}
@@ -55,18 +56,19 @@
 	return l
 }
 
-// applyLimits keeps the process within its part of the agent's limits from now on.
+// applyLimits applies the process's current share of the agent's limits.
 func (p *process) applyLimits() {
 	p.upgrade.mu.Lock()
 	defer p.upgrade.mu.Unlock()
 	own := p.settings
-	own.Limits = p.upgrade.share.of(own.Limits)
+	own.Limits = p.upgrade.share.apply(own.Limits)
 	applyRuntimeLimits(own.Limits)
 	p.descriptors.SetLimit(p.connectionDescriptors(own.Limits))
 	p.bodies.Set(own.bodyLimits())
 }
 
-// connectionDescriptors is how many descriptors there are without those of the operators' socket.
+// connectionDescriptors returns how many descriptors remain for connections beside those reserved for the
+// operators' socket.
 func (p *process) connectionDescriptors(l protocol.Limits) int {
 	if p.settings.Ops.IsValid() {
 		return l.Sockets - transport.OpsDescriptors
--- a/cmd/dunestep/log.go
+++ b/cmd/dunestep/log.go
@@ -12,8 +12,7 @@
 // logging is the program's log. The handler is never replaced; a reload may change its format and level.
 var logging = newLogHandler(os.Stderr)
 
-// logHandler writes the log in the format, and from the level on, that hold at that moment. It is safe for
-// concurrent use.
+// logHandler writes the log in the current format, from the current level on. It is safe for concurrent use.
 type logHandler struct {
 	text, json slog.Handler
 	level      *slog.LevelVar
@@ -30,12 +29,12 @@
 // set applies an operator file's settings.
 func (h logHandler) set(l operator.Log) {
 	var level slog.Level
-	_ = level.UnmarshalText([]byte(l.Level)) // the file's reader has checked it
+	_ = level.UnmarshalText([]byte(l.Level)) // was validated when the file was read
 	h.level.Set(level)
 	h.useJSON.Store(l.Format == operator.FormatJSON)
 }
 
-// current is the handler of the format that holds now.
+// current returns the handler of the current format.
 func (h logHandler) current() slog.Handler {
 	if h.useJSON.Load() {
 		return h.json
--- a/cmd/dunestep/main.go
+++ b/cmd/dunestep/main.go
@@ -1,11 +1,11 @@
 // Command dunestep is the agent: it runs beside one copy of the calling application, accepts its requests,
-// and forwards each to an upstream server that the balancer selects. Its other commands check files, and talk
-// to a running agent at its operators' socket.
+// and forwards each to an upstream server that the balancer selects. Its other commands check files, and call
+// a running agent's operators' socket.
 //
-// The package wires the agent together and owns what concerns the whole process: settings and their reload
+// The package wires the agent together and has what concerns the whole process: settings and their reload
 // (settings.go, serve.go), resource limits (limits.go), start and shutdown (process.go, shutdown.go), the
-// handover between two processes of one agent (takeover.go, handover.go), what operators set
-// (manual.go), and this agent's part in the fleet (fleet*.go, policy*.go, maintenance*.go, ring*.go).
+// handover between two processes of one agent (takeover.go, handover.go), operators' settings
+// (manual.go), and this agent's membership in the fleet (fleet*.go, policy*.go, maintenance*.go, ring*.go).
 // Decisions are made in the packages below internal.
 package main
 
@@ -19,25 +19,25 @@
 	"dunestep/internal/operator"
 )
 
-// The exit codes of an error. A command that succeeds exits with 0.
+// Exit codes of commands that fail. A command that succeeds exits with 0.
 const (
 	exitFailure = 1
-	// exitInvalidFiles is of a check that has found something.
+	// exitInvalidFiles is the exit code of a check that has found problems.
 	exitInvalidFiles = 2
 )
 
-// errInvalidFiles ends a check that has printed what is wrong.
+// errInvalidFiles is returned by a check that has printed the problems.
 var errInvalidFiles = errors.New("the files can't be used")
 
-// commandLine is the program's command line. The names of its fields are those of commands and flags.
+// commandLine is the program's command line. Kong derives the commands' and flags' names from the fields'.
 type commandLine struct {
 	Operator string `help:"Read the operator file FILE." placeholder:"FILE"`
 
-	Serve   serveCommand   `cmd:"" default:"1" help:"Serve, as the configuration says (the default)."`
-	Check   checkCommand   `cmd:"" help:"Tell all that is wrong with the files, and start nothing."`
-	Version versionCommand `cmd:"" help:"Tell which program this is."`
-	State   stateCommands  `cmd:"" help:"Look into a file that is kept over a restart."`
-	Fleet   fleetCommands  `cmd:"" help:"Ask an agent what the fleet agrees on, and tell the whole fleet."`
+	Serve   serveCommand   `cmd:"" default:"1" help:"Run the agent (the default)."`
+	Check   checkCommand   `cmd:"" help:"Print all problems of the files, without starting the agent."`
+	Version versionCommand `cmd:"" help:"Print the program's version."`
+	State   stateCommands  `cmd:"" help:"Inspect a file with the state that survives a restart."`
+	Fleet   fleetCommands  `cmd:"" help:"Query and control the fleet through one of its agents."`
 }
 
 func main() {
@@ -54,7 +54,7 @@
 	}
 }
 
-// run runs the command of a command line. Where help is asked for, it prints that and exits.
+// run runs the command that args name. For --help, it prints the help and exits the process.
 func run(args []string) error {
 	var line commandLine
 	parser, err := kong.New(&line, kong.Name("dunestep"),
--- a/cmd/dunestep/maintenance.go
+++ b/cmd/dunestep/maintenance.go
@@ -14,27 +14,28 @@
 	"dunestep/internal/fleet"
 )
 
-// windowControl is this agent's part in maintenance windows. It is of the fleet's actor, but for before.
+// windowControl carries out maintenance windows at this agent. Only the fleet's actor accesses it, except for
+// lastStats.
 type windowControl struct {
-	adapter *maintenancelog.Adapter
-	logged  map[string]windowLog            // what the log has of each window, by id
-	before  map[string]balancer.TenantStats // the last counts, by tenant; of the watching goroutine
+	adapter   *maintenancelog.Adapter
+	logged    map[string]windowLog            // the last logged state of each window, by id
+	lastStats map[string]balancer.TenantStats // the previous counts, by tenant; of watchEndpoints
 }
 
-// windowLog is what was logged of a window.
+// windowLog is the last logged state of a window.
 type windowLog struct {
 	state  maintenance.State
 	reason string
 }
 
-// endpointsInterval is how often this agent's list is looked at for windows and the ring, and how often
+// endpointListInterval is how often this agent's list is read for windows and the ring, and how often
 // tenants' requests are counted while a window moves traffic.
-const endpointsInterval = 2 * time.Second
+const endpointListInterval = 2 * time.Second
 
-// startMaintenance has maintenance windows hold here.
+// startMaintenance enables maintenance windows, and returns their adapter.
 func (f *fleetMember) startMaintenance(n *fleet.Settings) *maintenancelog.Adapter {
 	o := f.settings.operator.Fleet
-	f.maintenance = &windowControl{logged: map[string]windowLog{}, before: map[string]balancer.TenantStats{}}
+	f.maintenance = &windowControl{logged: map[string]windowLog{}, lastStats: map[string]balancer.TenantStats{}}
 	f.maintenance.adapter = maintenancelog.New(maintenancelog.Settings{
 		Self: n.Self, IsVoter: n.IsVoter(), Incarnation: n.Incarnation, MachineNumber: maintenanceMachine,
 		Times: f.policyTimes(n.Terms), Turns: int(o.MaintenanceGroups), MaxInFlight: seconds(o.MaxRequestS),
@@ -44,7 +45,7 @@
 	return f.maintenance.adapter
 }
 
-// leaderView is what a leader sees here. The fleet's actor calls it.
+// leaderView returns what a leader's decisions depend on at this agent. The fleet's actor calls it.
 func (f *fleetMember) leaderView(now fleet.ClockReading) maintenance.LeaderView {
 	s := f.policies.State()
 	v := maintenance.LeaderView{InForce: s.InForce.Number, ChangeOpen: s.OpenChange != nil}
@@ -56,7 +57,7 @@
 	return v
 }
 
-// maintenanceServers are the servers of this agent's own list that are not gone.
+// maintenanceServers returns the servers of this agent's own list that are not gone.
 func (f *fleetMember) maintenanceServers(e *policy.Effect) (servers []maintenance.Server) {
 	for _, s := range f.endpoints {
 		if s.State != balancer.Gone {
@@ -69,18 +70,19 @@
 	return servers
 }
 
-// watchEndpoints tells windows and ring what this agent sees, until the process ends.
+// watchEndpoints reports this agent's endpoint list and counts to windows and ring. It does not return.
 func (f *fleetMember) watchEndpoints(actor *agent.FleetActor) {
 	for {
 		f.updateView(actor)
 		f.reportPaces(actor)
-		f.watchRing(actor, time.Now().Add(endpointsInterval))
+		f.watchRing(actor, time.Now().Add(endpointListInterval))
 	}
 }
 
-// updateView takes over this agent's list, and counts tenants' requests while a window moves traffic.
+// updateView reads this agent's list, and reports the counts of tenants' requests while a window moves
+// traffic.
 func (f *fleetMember) updateView(actor *agent.FleetActor) {
-	ctx, cancel := context.WithTimeout(context.Background(), endpointsInterval)
+	ctx, cancel := context.WithTimeout(context.Background(), endpointListInterval)
 	defer cancel()
 	endpoints, known := f.manual.agent.Endpoints(ctx)
 	moving := false
@@ -95,11 +97,11 @@
 	if moving {
 		f.reportTenants(ctx, actor)
 	} else if f.maintenance != nil {
-		clear(f.maintenance.before)
+		clear(f.maintenance.lastStats)
 	}
 }
 
-// reportTenants tells the windows how the tenants' requests fare.
+// reportTenants reports the outcomes of the tenants' requests to the windows.
 func (f *fleetMember) reportTenants(ctx context.Context, actor *agent.FleetActor) {
 	stats, shedding := f.manual.agent.TenantStats(ctx)
 	if stats == nil {
@@ -112,12 +114,13 @@
 	})
 }
 
-// countsSince returns the counts since the last call; nothing at the first one while traffic moves.
+// countsSince returns the counts since the last call. The first call while a window moves traffic returns
+// nil.
 func (c *windowControl) countsSince(stats []balancer.TenantStats) (counts []maintenance.TenantCounts) {
-	isFirst := len(c.before) == 0
+	isFirst := len(c.lastStats) == 0
 	for _, s := range stats {
-		before := c.before[s.Tenant]
-		if c.before[s.Tenant] = s; isFirst {
+		before := c.lastStats[s.Tenant]
+		if c.lastStats[s.Tenant] = s; isFirst {
 			continue
 		}
 		since := func(now, before uint64) uint32 { return uint32(min(now-before, math.MaxUint32)) }
@@ -140,7 +143,7 @@
 	for _, w := range f.maintenance.adapter.Windows(agent.ReadClocks()) {
 		now := windowLog{w.State, w.Reason}
 		logged[w.ID] = now
-		if before, was := f.maintenance.logged[w.ID]; was && before == now {
+		if before, ok := f.maintenance.logged[w.ID]; ok && before == now {
 			continue
 		}
 		level := slog.LevelInfo
--- a/cmd/dunestep/maintenanceforms.go
+++ b/cmd/dunestep/maintenanceforms.go
@@ -9,55 +9,57 @@
 	"dunestep/internal/control/policy"
 )
 
-// The JSON of maintenance windows at the operators' socket. Names and words in it are older than the fields'.
+// The JSON of maintenance windows at the operators' socket. Its keys and values are kept for compatibility
+// and differ from the fields' names.
 
-// windowsState is what operators see of the maintenance windows at one agent.
+// windowsState is the state of the maintenance windows at one agent, for operators.
 type windowsState struct {
-	Policy   uint64          `json:"policy"` // the version whose contracts hold here now
+	Policy   uint64          `json:"policy"` // the version whose contracts are in force here
 	Windows  []windowState   `json:"windows"`
 	Outcomes []windowOutcome `json:"calls"` // the newest last
 }
 
-// windowState is one window.
+// windowState is the state of one window.
 type windowState struct {
 	ID         string    `json:"id"`
 	Agent      int       `json:"who"`
 	Nodes      []string  `json:"nodes"`
 	Tenants    []string  `json:"tenants"`
-	From       time.Time `json:"from"`    // the first keys leave
-	DrainedAt  time.Time `json:"drained"` // all have left, by the plan
-	ReturnFrom time.Time `json:"back"`    // the first return
-	To         time.Time `json:"to"`      // all have returned
+	From       time.Time `json:"from"`    // when the first keys are moved away
+	DrainedAt  time.Time `json:"drained"` // when all keys are planned to be moved away
+	ReturnFrom time.Time `json:"back"`    // when the first keys return
+	To         time.Time `json:"to"`      // when all keys have returned
 	State      string    `json:"state"`
 	StateSince time.Time `json:"since,omitzero"`
-	// Moved is the fraction of the keys that avoids the nodes now, at this agent.
+	// Moved is the fraction of the keys that avoid the nodes now at this agent, 0 to 1.
 	Moved float64 `json:"moved"`
-	// FreeUntil is until when the nodes get no requests, where the window is free.
+	// FreeUntil is the time until which the nodes get no requests, set while the window is free.
 	FreeUntil time.Time `json:"free_until,omitzero"`
 	WaitsFor  string    `json:"waits,omitempty"`
 	Reason    string    `json:"reason,omitempty"`
 }
 
-// windowOutcome is what became of a request for a window, and, where it does not fit, when it would.
+// windowOutcome is the outcome of a request for a window. Where the window does not fit, NextFit is the next
+// time at which it would.
 type windowOutcome struct {
 	ID      string    `json:"id,omitempty"`
 	Status  string    `json:"end"`
 	Reason  string    `json:"reason,omitempty"`
 	Tenant  string    `json:"tenant,omitempty"`
 	NextFit time.Time `json:"next,omitzero"`
-	// Window is what would be, or was, accepted.
+	// Window is the window that was accepted, or would be.
 	Window *windowState `json:"window,omitempty"`
 }
 
 const (
-	// reasonPolicyChanging is why nothing was planned or proposed at this moment: the same call can be made
-	// again.
+	// reasonPolicyChanging is the reason of a call that planned and proposed nothing because a policy is taking
+	// effect. The same call can be repeated.
 	reasonPolicyChanging = "a policy takes hold: ask again in a moment"
 	// statusFits is the status of a check without a conflict.
 	statusFits = "fits"
 )
 
-// newWindowState returns the form of a window.
+// newWindowState returns a window in its JSON form, without Moved.
 func newWindowState(w *maintenance.Window) windowState {
 	s := windowState{
 		ID: w.ID, Agent: w.Agent, Nodes: w.Nodes, Tenants: w.Tenants, From: unixTime(w.From),
@@ -70,24 +72,24 @@
 	return s
 }
 
-// waitsFor describes what a window waits for.
+// waitsFor describes what a window waits for; empty: nothing.
 func waitsFor(w *maintenance.Window) string {
 	switch w.State {
 	case maintenance.Planned:
-		return "its beginning"
+		return "its start"
 	case maintenance.Draining:
-		return "the traffic to leave, until " + formatTime(unixTime(w.DrainedAt))
+		return "the traffic to move away, until " + formatTime(unixTime(w.DrainedAt))
 	case maintenance.Drained:
-		return "what may be on its way, and all agents' leases"
+		return "requests in flight, and all agents' leases"
 	case maintenance.Paused:
-		return "enough to be served elsewhere"
+		return "enough capacity elsewhere"
 	case maintenance.Returning:
-		return "the traffic to be back"
+		return "the traffic to return"
 	}
 	return ""
 }
 
-// rejection describes why a window was rejected, and when it would fit.
+// rejection describes why a window was rejected, and when it would next fit.
 func (o windowOutcome) rejection() string {
 	text := "not taken: " + o.Reason
 	if !o.NextFit.IsZero() {
@@ -96,7 +98,7 @@
 	return text
 }
 
-// write prints the windows for people.
+// write prints the windows as a table.
 func (s windowsState) write(to io.Writer) error {
 	t := newTable(to)
 	if len(s.Windows) == 0 {
--- a/cmd/dunestep/maintenanceops.go
+++ b/cmd/dunestep/maintenanceops.go
@@ -21,9 +21,9 @@
 )
 
 const (
-	// minDrainedMargins is for how many times the clocks' margin nodes are to be without keys at least.
+	// minDrainedMargins is the shortest time that nodes stay without keys, in multiples of the clocks' margin.
 	minDrainedMargins = 6
-	// checkID is the id of a window that is only checked.
+	// checkID is the id of a window that is checked and not requested.
 	checkID = "check"
 )
 
@@ -49,9 +49,9 @@
 			status, body = answerJSON(http.StatusOK, f.windowOutcome(now, call.ID))
 		}
 	case protocol.OpsWindowCheck, protocol.OpsWindowRequest:
-		endpoints, known := f.manual.agent.Endpoints(ctx) // the list as it is now, not as it was seconds ago
+		endpoints, known := f.manual.agent.Endpoints(ctx) // f.endpoints may be seconds old
 		if !known {
-			return noAnswer()
+			return actorTimeout()
 		}
 		answer = func(n *fleet.Node, now fleet.ClockReading) {
 			f.endpoints = endpoints
@@ -65,13 +65,13 @@
 		answer = func(n *fleet.Node, now fleet.ClockReading) { status, body = f.stopWindow(n, now, call.ID) }
 	}
 	if !actor.Do(ctx, answer) {
-		return noAnswer()
+		return actorTimeout()
 	}
 	return status, body
 }
 
-// planningPolicy returns the policy to plan by. Where refused is not nil nothing can be planned now, and
-// refused answers.
+// planningPolicy returns the policy to plan by. If refused is not nil, nothing can be planned now, and
+// refused returns the response.
 func (f *fleetMember) planningPolicy(n *fleet.Node, now fleet.ClockReading) (active policy.Active,
 	refused func() (int, []byte),
 ) {
@@ -80,7 +80,7 @@
 	switch {
 	case standing != lease.Full:
 		return active, func() (int, []byte) {
-			return http.StatusServiceUnavailable, []byte("this agent holds no lease: ask another\n")
+			return http.StatusServiceUnavailable, []byte("this agent holds no lease: call another agent\n")
 		}
 	case active.Mode != policy.ModeFull: // between two versions
 		return active, answerPolicyChanging
@@ -88,14 +88,14 @@
 	return active, nil
 }
 
-// answerPolicyChanging answers that the same call can be made again.
+// answerPolicyChanging returns the response that asks for the same call to be repeated.
 func answerPolicyChanging() (int, []byte) {
 	return answerJSON(http.StatusOK, windowOutcome{
 		Status: policy.StatusUnknown.String(), Reason: reasonPolicyChanging,
 	})
 }
 
-// checkWindow tells whether a window would fit.
+// checkWindow returns the response to whether a window would fit.
 func (f *fleetMember) checkWindow(
 	n *fleet.Node,
 	now fleet.ClockReading,
@@ -111,8 +111,8 @@
 	return answerPlan(statusFits, w, err)
 }
 
-// requestWindow plans a window by what is known here, and proposes it. A call with the id of an earlier one
-// is answered with what became of that.
+// requestWindow plans a window by this agent's view, and proposes it. A call with the id of an earlier one
+// gets that one's outcome.
 func (f *fleetMember) requestWindow(
 	n *fleet.Node,
 	now fleet.ClockReading,
@@ -135,7 +135,7 @@
 	return answerPlan(policy.StatusUnknown.String(), w, err)
 }
 
-// windowRequest is the request of a call.
+// windowRequest returns the request of a call.
 func (f *fleetMember) windowRequest(call protocol.OpsCall) maintenance.WindowRequest {
 	return maintenance.WindowRequest{
 		ID: call.ID, Agent: f.settings.Settings.Self, Nodes: call.Window.Nodes, Zone: call.Window.Zone,
@@ -144,7 +144,7 @@
 	}
 }
 
-// answerPlan answers with a window that fits and its status, or with why there is none.
+// answerPlan returns the response with a window that fits and its status, or with the reason why none fits.
 func answerPlan(status string, w *maintenance.Window, err error) (int, []byte) {
 	var conflict maintenance.Conflict
 	switch {
@@ -162,7 +162,7 @@
 	return answerJSON(http.StatusOK, windowOutcome{ID: w.ID, Status: status, Window: &s})
 }
 
-// planInput is what a plan depends on, as this agent sees it.
+// planInput returns what a plan depends on, as this agent sees it.
 func (f *fleetMember) planInput(active policy.Active) maintenance.PlanInput {
 	e, o := active.Effect, f.settings.operator.Fleet
 	return maintenance.PlanInput{
@@ -173,8 +173,8 @@
 	}
 }
 
-// tenantLoads are the tenants' fractions of the load: by the settings, and as the policy's quotas have
-// changed them.
+// tenantLoads returns the tenants' fractions of the load: the settings' shares, scaled by the policy's
+// quotas. Their sum is at most 1.
 func (f *fleetMember) tenantLoads(e *policy.Effect) map[string]float64 {
 	loads, sum := map[string]float64{}, 0.0
 	for i, t := range f.settings.Settings.Tenants {
@@ -213,7 +213,7 @@
 	return answerJSON(http.StatusAccepted, windowOutcome{ID: id, Status: policy.StatusUnknown.String()})
 }
 
-// windowOutcome is what is known here of a request.
+// windowOutcome returns the outcome of a request, as far as it is known here.
 func (f *fleetMember) windowOutcome(now fleet.ClockReading, id string) windowOutcome {
 	o := f.maintenance.adapter.Outcome(id)
 	out := windowOutcome{ID: id, Status: o.Status.String()}
@@ -229,7 +229,7 @@
 	return out
 }
 
-// windowsState is what this agent knows of all windows.
+// windowsState returns the state of all windows at this agent.
 func (f *fleetMember) windowsState(n *fleet.Node, now fleet.ClockReading) windowsState {
 	standing := n.Standing(now)
 	active := f.policies.Active(now, standing)
@@ -246,17 +246,18 @@
 	return out
 }
 
-// movedFraction is the least fraction of the keys that avoids any of a window's nodes here.
+// movedFraction returns the fraction of keys that avoid a window's nodes here: the lowest over its tenants
+// and nodes, 0 to 1.
 func movedFraction(w *maintenance.Window, x *balancer.Exclusions) float64 {
-	least := uint32(math.MaxUint32)
+	lowest := uint32(math.MaxUint32)
 	for _, tenant := range w.Tenants {
 		for _, node := range w.Nodes {
 			excludedBelow := uint32(0)
 			if x != nil {
 				excludedBelow = x.Tenants[tenant][node]
 			}
-			least = min(least, excludedBelow)
+			lowest = min(lowest, excludedBelow)
 		}
 	}
-	return float64(least) / math.MaxUint32
+	return float64(lowest) / math.MaxUint32
 }
--- a/cmd/dunestep/manual.go
+++ b/cmd/dunestep/manual.go
@@ -14,30 +14,30 @@
 	"dunestep/internal/transport"
 )
 
-// manualDrainIdle is after how long, once operators drain this agent, no connection stands idle any more.
-// Whoever has a connection open then has sent a request within the last two seconds.
+// manualDrainIdle is how long a client's connection may be idle while operators drain this agent. A client
+// whose connection is still open has sent a request within the last two seconds.
 const manualDrainIdle = 1700 * time.Millisecond
 
-// manualControl carries out what operators ask for at their socket. It implements transport.OpsHandler. It is
+// manualControl carries out operators' calls at their socket. It implements transport.OpsHandler. It is
 // safe for concurrent use.
 type manualControl struct {
 	agent    *agent.Agent
 	listener *transport.Listener
 	metrics  *metrics.Counters
 	file     *handover.SettingsFile
-	changed  func(handover.ManualSettings) // called after something was set and stored
-	fleet    *fleetMember                  // nil: this agent takes no part
+	changed  func(handover.ManualSettings) // called after settings have changed and been stored
+	fleet    *fleetMember                  // nil: this agent is not in a fleet
 
-	mu       sync.Mutex // held over each change with its write, so that the file has the latest
+	mu       sync.Mutex // held for each change and its write, so that the file has the latest settings
 	set      handover.ManualSettings
 	serving  bool
 	stopping bool
-	// inheritedDrain: the process began drained, as another one was told to. It reports to be ready all the
-	// same: otherwise that process could not be replaced.
+	// inheritedDrain means that this process started drained because operators had drained the previous one. It
+	// still reports that it is ready: otherwise it could not replace that process.
 	inheritedDrain bool
 }
 
-// startServing tells that clients are accepted from now on.
+// startServing marks this process as accepting clients. It starts the drain that operators have set.
 func (m *manualControl) startServing() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -48,38 +48,38 @@
 	}
 }
 
-// stopServing tells that the process shuts down.
+// stopServing marks this process as shutting down.
 func (m *manualControl) stopServing() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.stopping = true
 }
 
-// IsReady tells whether this process accepts clients.
+// IsReady reports whether this process accepts clients.
 func (m *manualControl) IsReady() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.serving && !m.stopping && (!m.set.Draining || m.inheritedDrain) && m.agent.Ready()
 }
 
-// Metrics returns what the agent has counted.
+// Metrics returns the current values of the agent's counters.
 func (m *manualControl) Metrics() metrics.Reading { return m.metrics.Read() }
 
-// DisableEndpoint takes an endpoint out of use. The file has it when it returns without an error.
+// DisableEndpoint takes an endpoint out of use. If it returns true without an error, the file has the change.
 func (m *manualControl) DisableEndpoint(ctx context.Context, id string) (listed bool, err error) {
 	return m.change(ctx, id, m.agent.DisableEndpoint, func() {
 		slog.Info("endpoint disabled by operator", "server", id)
 	})
 }
 
-// EnableEndpoint puts an endpoint back into use.
+// EnableEndpoint puts an endpoint back into use. Its results are those of DisableEndpoint.
 func (m *manualControl) EnableEndpoint(ctx context.Context, id string) (listed bool, err error) {
 	return m.change(ctx, id, m.agent.EnableEndpoint, func() {
 		slog.Info("endpoint enabled by operator", "server", id)
 	})
 }
 
-// change disables or enables an endpoint, logs that and stores it.
+// change disables or enables an endpoint by do, logs the change and stores it.
 func (m *manualControl) change(ctx context.Context, id string,
 	do func(context.Context, string) ([]routing.DisabledEndpoint, bool, error), logDone func(),
 ) (listed bool, err error) {
@@ -105,7 +105,7 @@
 	}
 }
 
-// applyDrain has the listener do what is set; mu is held.
+// applyDrain starts or stops the listener's drain as set; mu is held.
 func (m *manualControl) applyDrain() {
 	slog.Info("client drain set by operator", "sent_away", m.set.Draining)
 	if m.set.Draining {
@@ -116,7 +116,7 @@
 }
 
 // store writes the settings to the file, applies what another process has written there, and notifies that
-// one; mu is held.
+// process; mu is held.
 func (m *manualControl) store() error {
 	merged, err := m.file.Update(m.set, unixNow())
 	m.apply(merged)
@@ -126,7 +126,7 @@
 	return err
 }
 
-// merge applies what was set at another process of this agent, or in the fleet, where that is newer.
+// merge applies the settings of another process of this agent, or of the fleet, where they are newer.
 func (m *manualControl) merge(set handover.ManualSettings) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -146,7 +146,7 @@
 	}
 }
 
-// current returns the settings.
+// current returns the current settings.
 func (m *manualControl) current() handover.ManualSettings {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/cmd/dunestep/output.go
+++ b/cmd/dunestep/output.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// columnGap is how many blanks stand between columns.
+// columnGap is the number of spaces between columns.
 const columnGap = 2
 
-// table prints rows with aligned columns, which tabs separate. The first error is flush's.
+// table prints rows of tab-separated columns, aligned. Errors are returned by flush.
 type table struct {
 	w   *tabwriter.Writer
 	err error
@@ -22,7 +22,7 @@
 	return &table{w: tabwriter.NewWriter(to, 0, 0, columnGap, ' ', 0)}
 }
 
-// row prints a row.
+// row adds a row.
 func (t *table) row(format string, args ...any) {
 	if _, err := fmt.Fprintf(t.w, format+"\n", args...); err != nil && t.err == nil {
 		t.err = err
@@ -37,12 +37,12 @@
 	return t.w.Flush()
 }
 
-// printJSON prints a value as JSON that people can read.
+// printJSON prints a value as indented JSON.
 func printJSON(v any) error {
 	out := json.NewEncoder(os.Stdout)
 	out.SetIndent("", "  ")
 	return out.Encode(v)
 }
 
-// formatTime formats a time for people.
+// formatTime formats a time as RFC 3339 in UTC.
 func formatTime(t time.Time) string { return t.UTC().Format(time.RFC3339) }
--- a/cmd/dunestep/policycommands.go
+++ b/cmd/dunestep/policycommands.go
@@ -13,27 +13,28 @@
 	"dunestep/internal/control/policy"
 )
 
-// policyCommands ask a running agent, at its operators' socket, about policies; check needs none.
+// policyCommands query and propose policies through a running agent's operators' socket. Check needs no
+// agent.
 type policyCommands struct {
 	Check   policyCheckCommand   `cmd:"" help:"Check a document, also against an agent's settings."`
-	Propose policyProposeCommand `cmd:"" help:"Propose a document to the fleet, and wait what becomes of it."`
-	Show    policyShowCommand    `cmd:"" help:"Show what is in force, or a version's document."`
-	History policyHistoryCommand `cmd:"" help:"Show the versions that are remembered, and what became of calls."`
-	Back    policyBackCommand    `cmd:"" help:"Propose an earlier version's document anew."`
+	Propose policyProposeCommand `cmd:"" help:"Propose a document to the fleet, and wait for the outcome."`
+	Show    policyShowCommand    `cmd:"" help:"Show the document in force, or that of a version."`
+	History policyHistoryCommand `cmd:"" help:"Show the stored versions, and the outcomes of calls."`
+	Back    policyBackCommand    `cmd:"" help:"Propose an earlier version's document again."`
 }
 
-// errNoDocument means that version 0 was named, which stands for the settings alone.
-var errNoDocument = errors.New("version 0 has no document: propose one that says nothing but its format")
+// errNoDocument means that version 0 was named, in which only the settings apply.
+var errNoDocument = errors.New("version 0 has no document: propose one that has only its format")
 
-// maxClockDifference is how far two machines' clocks may differ, as the leases have it.
+// maxClockDifference is the largest difference between two machines' clocks that leases allow for.
 const maxClockDifference = 200 * time.Millisecond
 
 type policyCheckCommand struct {
 	File   string `arg:"" help:"The document." type:"path"`
-	Config string `help:"Check it against the settings of this FILE." placeholder:"FILE" env:"LB_CONFIG"`
+	Config string `help:"Check it also against the settings of this FILE." placeholder:"FILE" env:"LB_CONFIG"`
 }
 
-// Run prints all that is wrong with the document, a line each.
+// Run checks the document. The error has its problems.
 func (c policyCheckCommand) Run(line *commandLine) error {
 	text, err := os.ReadFile(c.File)
 	if err != nil {
@@ -51,7 +52,7 @@
 	return nil
 }
 
-// checkPolicy checks a document against the settings of files.
+// checkPolicy checks a document against the settings in a configuration and an operator file.
 func checkPolicy(text []byte, configFile, operatorFile string) error {
 	s, err := readSettings(configFile, operatorFile)
 	if err != nil {
@@ -67,9 +68,9 @@
 type policyProposeCommand struct {
 	opsClient
 	File   string        `arg:"" help:"The document." type:"path"`
-	ID     string        `help:"A name for this call, by which it can be made again; empty: a new one."`
-	Within time.Duration `help:"How soon it is to take hold." default:"1s"`
-	Wait   time.Duration `help:"How long to wait for what becomes of it." default:"30s"`
+	ID     string        `help:"Idempotency key of this call, to repeat it with; empty: a new one."`
+	Within time.Duration `help:"Time until it takes effect." default:"1s"`
+	Wait   time.Duration `help:"How long to wait for the outcome." default:"30s"`
 }
 
 // Run proposes the document.
@@ -81,8 +82,8 @@
 	return c.propose(string(text))
 }
 
-// propose proposes a document, and waits until it is in force. Where it can't be known what became of it, the
-// error names the id with which the same call can be made again.
+// propose proposes a document, and waits until it is in force. If the outcome is not known in time, the error
+// has the id with which the same call can be repeated.
 func (c policyProposeCommand) propose(document string) error {
 	if c.ID == "" {
 		c.ID = rand.Text()
@@ -103,24 +104,24 @@
 	switch o.Status {
 	case policy.StatusAccepted.String():
 		fmt.Printf(
-			"taken: version %d holds everywhere from %s on\n",
+			"taken: version %d is in force everywhere from %s on\n",
 			o.Version,
 			o.EffectiveAt.Format(time.RFC3339Nano),
 		)
-		time.Sleep(min(time.Until(o.EffectiveAt)+maxClockDifference, c.Wait)) // what is done next is done under it
+		time.Sleep(min(time.Until(o.EffectiveAt)+maxClockDifference, c.Wait)) // the command's caller can rely on it
 		return nil
 	case policy.StatusRejected.String():
 		return fmt.Errorf("not taken: %s", o.Reason)
 	}
-	return fmt.Errorf("not known yet: ask again with --id %s", c.ID)
+	return fmt.Errorf("not known yet: repeat the call with --id %s", c.ID)
 }
 
 type policyShowCommand struct {
 	opsClient
-	Version string `arg:"" optional:"" help:"A version's number; empty: what is in force."`
+	Version string `arg:"" optional:"" help:"A version's number; empty: the version in force."`
 }
 
-// Run prints a document; for the one in force, with the mode in which the agent goes by it.
+// Run prints a document. For the one in force, it also prints the mode in which the agent applies it.
 func (c policyShowCommand) Run() error {
 	number := c.Version
 	if number == "" {
@@ -128,9 +129,9 @@
 		if err := c.call(http.MethodGet, "/ops/fleet/policy", "", &s); err != nil {
 			return err
 		}
-		fmt.Printf("# acting: %s of version %d\n", s.Mode, s.Version)
+		fmt.Printf("# applied: %s of version %d\n", s.Mode, s.Version)
 		if s.InForce.Number == 0 {
-			fmt.Println("# version 0: the settings as they are")
+			fmt.Println("# version 0: only the settings apply")
 			return nil
 		}
 		number = strconv.FormatUint(s.InForce.Number, 10)
@@ -142,7 +143,7 @@
 	return err
 }
 
-// policyDocument returns the document of a version.
+// policyDocument returns a version's document.
 func (c opsClient) policyDocument(number string) (text string, err error) {
 	err = c.call(http.MethodGet, "/ops/fleet/policy/document?version="+url.QueryEscape(number), "", &text)
 	return text, err
@@ -150,10 +151,10 @@
 
 type policyHistoryCommand struct {
 	opsClient
-	JSON bool `help:"Write it as JSON."`
+	JSON bool `help:"Print JSON."`
 }
 
-// Run prints the versions and what became of proposals.
+// Run prints the versions and the outcomes of proposals.
 func (c policyHistoryCommand) Run() error {
 	var s policyState
 	if err := c.call(http.MethodGet, "/ops/fleet/policy", "", &s); err != nil {
@@ -182,9 +183,9 @@
 
 type policyBackCommand struct {
 	opsClient
-	Version uint64        `arg:"" help:"The version whose document is proposed anew."`
-	Within  time.Duration `help:"How soon it is to take hold." default:"1s"`
-	Wait    time.Duration `help:"How long to wait for what becomes of it." default:"30s"`
+	Version uint64        `arg:"" help:"The version whose document is proposed again."`
+	Within  time.Duration `help:"Time until it takes effect." default:"1s"`
+	Wait    time.Duration `help:"How long to wait for the outcome." default:"30s"`
 }
 
 // Run proposes the document again, as a new version.
--- a/cmd/dunestep/policyforms.go
+++ b/cmd/dunestep/policyforms.go
@@ -6,9 +6,10 @@
 	"dunestep/internal/control/policy"
 )
 
-// The JSON of policies at the operators' socket. Names in it are older than the fields'.
+// The JSON of policies at the operators' socket. Its keys are kept for compatibility and differ from the
+// fields' names.
 
-// policyState is what operators see of the policies at one agent.
+// policyState is the state of the policies at one agent, for operators.
 type policyState struct {
 	Mode     string          `json:"acting"` // full, floor or bottom
 	Version  uint64          `json:"version"`
@@ -26,7 +27,7 @@
 	ProposedBy  int       `json:"who"` // an agent's number
 }
 
-// policyOutcome is what became of a proposal.
+// policyOutcome is the outcome of a proposal.
 type policyOutcome struct {
 	ID          string    `json:"id"`
 	Status      string    `json:"end"`
--- a/cmd/dunestep/policyops.go
+++ b/cmd/dunestep/policyops.go
@@ -42,12 +42,12 @@
 		answer = func(n *fleet.Node, now fleet.ClockReading) { status, body = f.proposePolicy(n, now, call) }
 	}
 	if !actor.Do(ctx, answer) {
-		return noAnswer()
+		return actorTimeout()
 	}
 	return status, body
 }
 
-// policyState is what this agent knows of the policies.
+// policyState returns the state of the policies as this agent knows it.
 func (f *fleetMember) policyState(n *fleet.Node, now fleet.ClockReading) policyState {
 	s, active := f.policies.State(), f.policies.Active(now, n.Standing(now))
 	out := policyState{
@@ -70,13 +70,13 @@
 func (f *fleetMember) answerPolicyDocument(version uint64) (int, []byte) {
 	text, ok := f.policies.Document(version)
 	if !ok {
-		return http.StatusNotFound, []byte("that version's document is not kept any more, or never was\n")
+		return http.StatusNotFound, []byte("no document of that version is stored\n")
 	}
 	return answerJSON(http.StatusOK, string(text))
 }
 
 // proposePolicy checks a document against this agent's own settings, and proposes it to the fleet. A call
-// with the id of an earlier one is answered with what became of that.
+// with the id of an earlier one gets that one's outcome.
 func (f *fleetMember) proposePolicy(
 	n *fleet.Node,
 	now fleet.ClockReading,
@@ -105,25 +105,25 @@
 }
 
 // compareTimeZones logs, once for each version of the policy that comes into force, where its time zone rules
-// differ from this machine's zone data: one of the two is out of date. Nothing else follows from it, since
-// contracts' hours go by the agreed rules. It is called by the fleet's actor.
+// differ from this machine's zone data: one of the two is out of date. It only logs, since contracts' hours
+// use the agreed rules. It is called by the fleet's actor.
 func (f *fleetMember) compareTimeZones() {
-	if f.policies == nil || f.policyInForce() == f.comparedZone {
+	if f.policies == nil || f.policyInForce() == f.zoneCheckedVersion {
 		return
 	}
-	f.comparedZone = f.policyInForce()
-	text, ok := f.policies.Document(f.comparedZone)
+	f.zoneCheckedVersion = f.policyInForce()
+	text, ok := f.policies.Document(f.zoneCheckedVersion)
 	if !ok {
 		return
 	}
-	go func(version uint64) { // zone data are read from files
+	go func(version uint64) { // reads zone data from files
 		document, err := policy.ParseDocument("policy", text)
 		if err != nil {
-			return // the policy's own part reports it
+			return // the policy's adapter reports it
 		}
 		if err := document.ZoneDifferences(); err != nil {
 			slog.Warn("fleet: the policy's time zone rules differ from this machine's zone data", "version", version,
 				"error", err)
 		}
-	}(f.comparedZone)
+	}(f.zoneCheckedVersion)
 }
--- a/cmd/dunestep/process.go
+++ b/cmd/dunestep/process.go
@@ -16,8 +16,8 @@
 	"dunestep/internal/transport"
 )
 
-// process is the running agent with its parts. Its fields are set by start and not changed after, but for
-// upgrade and what upgrade's mutex guards.
+// process is the running agent with its parts. Its fields are set by start and not changed afterwards, except
+// for upgrade and the fields that upgrade's mutex guards.
 type process struct {
 	settings    settings // Limits and operator: guarded by upgrade.mu
 	metrics     *metrics.Counters
@@ -29,16 +29,16 @@
 	listener    *transport.Listener
 	manual      *manualControl
 	manualFile  *handover.SettingsFile
-	fleet       *fleetMember         // nil: this agent takes no part
+	fleet       *fleetMember         // nil: this agent is not in a fleet
 	ops         *transport.OpsServer // nil: there is no operators' socket
 	upgrade     upgrade
-	served      chan error // why a listening socket is not served any more
+	serveErrors chan error // the errors that ended the serving of a socket
 }
 
 // start starts all parts, each after those that it needs.
 func (p *process) start() error {
 	s := p.settings
-	p.served = make(chan error, 2) // the listener's and the operators' socket's
+	p.serveErrors = make(chan error, 2) // one each of the listener and the operators' socket
 	p.manualFile = handover.NewSettingsFile(os.TempDir(), s.Name, s.Listen)
 	taken := p.takeOver()
 	p.bodies = transport.NewBodyLimits(s.bodyLimits())
@@ -63,15 +63,15 @@
 		return err
 	}
 	handoverListener := p.listenForHandover()
-	go func() { p.served <- p.listener.Serve() }()
+	go func() { p.serveErrors <- p.listener.Serve() }()
 	p.manual.startServing()
 	p.serveHandover(handoverListener)
 	slog.Info("serving", "name", s.Name, "listen", s.Listen, "known", len(p.state.initial.List.Endpoints))
 	return nil
 }
 
-// startAgent starts the agent and what it depends on: the state of the last process, the agents' datagrams,
-// and this agent's part in the fleet.
+// startAgent starts the agent and what it depends on: the previous process's state, the socket for datagrams,
+// and this agent's membership in the fleet.
 func (p *process) startAgent(taken takenOver) (err error) {
 	p.state = startStateKeeper(p.settings, taken.file)
 	if p.settings.Settings.Limits.Gossip && p.settings.PeerListen.IsValid() {
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// agentSettings are the agent's, with the endpoints that operators have disabled.
+// agentSettings returns the agent's settings, with the endpoints that operators have disabled.
 func (p *process) agentSettings(disabled []routing.DisabledEndpoint) agent.Settings {
 	s := p.settings
 	set := agent.Settings{
@@ -132,7 +132,7 @@
 	return transport.ListenDatagrams(p.settings.PeerListen, peers)
 }
 
-// receiveDatagrams passes datagrams to the fleet's part and the agent, until the socket is closed.
+// receiveDatagrams passes datagrams to the fleet member and the agent until the socket is closed.
 func (p *process) receiveDatagrams() {
 	receive := p.agent.ReceiveDatagram
 	if p.fleet != nil {
@@ -151,7 +151,7 @@
 	if p.ops, err = transport.ListenOps(p.settings.Ops, p.manual); err != nil {
 		return err
 	}
-	go func() { p.served <- p.ops.Serve() }()
+	go func() { p.serveErrors <- p.ops.Serve() }()
 	return nil
 }
 
--- a/cmd/dunestep/ring.go
+++ b/cmd/dunestep/ring.go
@@ -15,25 +15,25 @@
 	"dunestep/internal/fleet"
 )
 
-// ringControl is this agent's part in agreed ring assignments. It is of the fleet's actor, but for
-// nextMeasurement.
+// ringControl carries out agreed ring assignments at this agent. Only the fleet's actor accesses it, except
+// for nextMeasurement.
 type ringControl struct {
 	adapter         *assignmentlog.Adapter
-	isVoter         bool // it may lead, and propose assignments by its own list
+	isVoter         bool // as the leader, it proposes assignments from its own list
 	meter           ringassignment.PaceMeter
-	loggedPaces     map[string]uint16 // agreed paces in per cent, by machine kind, as they were logged
-	nextMeasurement time.Time         // of paces; of the watching goroutine
+	loggedPaces     map[string]uint16 // last logged paces in percent, by machine kind
+	nextMeasurement time.Time         // of paces; accessed only by watchEndpoints
 }
 
 const (
-	// voterListInterval is how often a voter's list is looked at for changes: servers that come and go within
-	// seconds are to be in the next assignment, or to be held off.
+	// voterListInterval is how often a voter's list is checked for changes. The next assignment must take
+	// servers into account that appear and disappear within seconds.
 	voterListInterval = 200 * time.Millisecond
 	// paceInterval is how often the paces of machine kinds are measured.
 	paceInterval = 10 * time.Second
 )
 
-// startRing has agreed ring assignments hold here.
+// startRing enables agreed ring assignments, and returns their adapter.
 func (f *fleetMember) startRing(n *fleet.Settings) *assignmentlog.Adapter {
 	f.ring = &ringControl{isVoter: n.IsVoter(), adapter: assignmentlog.New(assignmentlog.Settings{
 		IsVoter: n.IsVoter(), Incarnation: n.Incarnation, MachineNumber: ringMachine,
@@ -46,7 +46,7 @@
 	return f.ring.adapter
 }
 
-// updateRingView tells the ring's part this agent's own list. The fleet's actor calls it.
+// updateRingView passes this agent's own list to the ring's adapter. The fleet's actor calls it.
 func (f *fleetMember) updateRingView(n *fleet.Node, now fleet.ClockReading) {
 	if f.ring == nil {
 		return
@@ -58,7 +58,7 @@
 	})
 }
 
-// fullyDrained are the servers that maintenance windows keep all keys off now, by id.
+// fullyDrained returns the ids of the servers whose keys are now all moved away by maintenance windows.
 func (f *fleetMember) fullyDrained(n *fleet.Node, now fleet.ClockReading) map[string]bool {
 	if f.maintenance == nil {
 		return nil
@@ -72,14 +72,15 @@
 	return maintenance.FullyDrained(exclusions, tenants)
 }
 
-// reportPaces measures the paces of machine kinds, reports them to voters, and logs those that are agreed.
+// reportPaces measures the paces of machine kinds every paceInterval, reports them to voters, and logs the
+// agreed ones.
 func (f *fleetMember) reportPaces(actor *agent.FleetActor) {
 	if f.ring == nil || !f.settings.operator.Fleet.BaselineLatencies ||
 		time.Now().Before(f.ring.nextMeasurement) {
 		return
 	}
 	f.ring.nextMeasurement = time.Now().Add(paceInterval)
-	ctx, cancel := context.WithTimeout(context.Background(), endpointsInterval)
+	ctx, cancel := context.WithTimeout(context.Background(), endpointListInterval)
 	defer cancel()
 	latencies := f.manual.agent.BaselineLatencies(ctx)
 	actor.Do(ctx, func(n *fleet.Node, now fleet.ClockReading) {
@@ -104,7 +105,8 @@
 	r.loggedPaces = agreed
 }
 
-// watchRing tells a voter's part, until a time, of changes of its own list.
+// watchRing returns at the time until. At a voter, it passes changes of its own list to the ring's adapter
+// meanwhile.
 func (f *fleetMember) watchRing(actor *agent.FleetActor, until time.Time) {
 	for time.Now().Add(voterListInterval).Before(until) {
 		time.Sleep(voterListInterval)
@@ -115,9 +117,9 @@
 	time.Sleep(time.Until(until))
 }
 
-// updateChangedList takes over this agent's list where it has changed.
+// updateChangedList reads this agent's list, and updates the ring's view if the list has changed.
 func (f *fleetMember) updateChangedList(actor *agent.FleetActor) {
-	ctx, cancel := context.WithTimeout(context.Background(), endpointsInterval)
+	ctx, cancel := context.WithTimeout(context.Background(), endpointListInterval)
 	defer cancel()
 	endpoints, known := f.manual.agent.Endpoints(ctx)
 	if !known {
@@ -131,7 +133,7 @@
 	})
 }
 
-// ringServers is this agent's own list in the form from which assignments are made.
+// ringServers returns an endpoint list in the form from which assignments are computed.
 func ringServers(endpoints []balancer.Server, c policy.Capacity) (servers []ringassignment.Server) {
 	for _, s := range endpoints {
 		servers = append(servers, ringassignment.Server{
--- a/cmd/dunestep/ringforms.go
+++ b/cmd/dunestep/ringforms.go
@@ -9,18 +9,18 @@
 	"dunestep/internal/fleet"
 )
 
-// percent is what a pace is agreed in.
+// percent is the unit of agreed paces: 100 is a pace of 1.
 const percent = 100
 
-// ringStatus is the JSON of the agreed ring assignment at the operators' socket. Names in it are older than
-// the fields'.
+// ringStatus is the JSON of the agreed ring assignment at the operators' socket. Its keys are kept for
+// compatibility and differ from the fields' names.
 type ringStatus struct {
 	Generation  uint64    `json:"generation"`
 	EffectiveAt time.Time `json:"by,omitzero"`
-	Suspended   bool      `json:"off,omitempty"` // agents place by their own lists for now
+	Suspended   bool      `json:"off,omitempty"` // agents place by their own lists meanwhile
 	Active      uint64    `json:"acting"`        // the generation that this agent places by; 0: none
 	// Paces are the agreed speeds of machine kinds relative to their configured capacity; those that are 1 are
-	// left out. PaceReporters is how many agents have reported theirs to this voter lately.
+	// omitted. PaceReporters is how many agents have recently reported theirs to this voter.
 	Paces         map[string]float64 `json:"paces,omitempty"`
 	PaceReporters int                `json:"tell,omitempty"`
 	Servers       []ringServer       `json:"servers"`
@@ -33,7 +33,7 @@
 	Points int    `json:"points"` // on the ring
 }
 
-// ringStatus returns the present assignment's status; nil: ring assignments are off here.
+// ringStatus returns the current assignment's status; nil: ring assignments are disabled here.
 func (f *fleetMember) ringStatus(n *fleet.Node, now fleet.ClockReading) *ringStatus {
 	if f.ring == nil {
 		return nil
@@ -59,7 +59,7 @@
 	return out
 }
 
-// write prints the status for people; nil: nothing.
+// write adds the status to a table; nothing for nil.
 func (r *ringStatus) write(t *table) {
 	if r == nil {
 		return
--- a/cmd/dunestep/serve.go
+++ b/cmd/dunestep/serve.go
@@ -15,10 +15,10 @@
 
 // Run serves until SIGTERM or SIGINT, or until a listening socket fails. SIGHUP reloads the files.
 func (serveCommand) Run(line *commandLine) error {
-	signal.Ignore(syscall.SIGPIPE) // the end of whoever reads the log must not end the agent
+	signal.Ignore(syscall.SIGPIPE) // a log reader that exits must not end the agent
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM, os.Interrupt)
-	// Before anything that takes time: until it is asked for, SIGHUP ends the program.
+	// Before anything that takes time: without a handler, SIGHUP ends the process.
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
 	s, err := readStartSettings(line.Operator)
@@ -34,7 +34,7 @@
 	defer p.close()
 	for {
 		select {
-		case err := <-p.served:
+		case err := <-p.serveErrors:
 			return err
 		case <-hangup:
 			p.reload(line.Operator)
@@ -47,8 +47,9 @@
 	}
 }
 
-// reload reads the configuration and the operator file again and applies discovery's address, the limits and
-// what the operator set. Where one of the files can't be used nothing changes.
+// reload reads the configuration and the operator file again, and applies discovery's address, the limits,
+// and the operator file's settings for the log, overload control and policies. If a file cannot be used, it
+// changes nothing and logs the problems.
 func (p *process) reload(operatorFile string) {
 	s, err := readSettings(os.Getenv("LB_CONFIG"), operatorFile)
 	if err != nil {
--- a/cmd/dunestep/settings.go
+++ b/cmd/dunestep/settings.go
@@ -21,17 +21,17 @@
 	"dunestep/internal/transport"
 )
 
-// maxConfigBytes bounds what is read of the configuration file, and of an answer at the operators' socket.
+// maxConfigBytes bounds the size of a configuration file, and of a response of an operators' socket.
 const maxConfigBytes = 16 << 20
 
-// settings are all that the program was configured with: the configuration file with the environment, and the
+// settings are all settings of the program: the configuration file, overridden by the environment, and the
 // operator file.
 type settings struct {
 	protocol.Config
 	operator operator.File
 }
 
-// readStartSettings reads the settings of a start. The variables of the environment are all required but
+// readStartSettings reads the settings at the start. The environment variables are required, except for
 // LB_OPS, and take precedence over the configuration file.
 func readStartSettings(operatorFile string) (s settings, err error) {
 	env := map[string]string{}
@@ -58,7 +58,7 @@
 	return s, nil
 }
 
-// readSettings reads both files.
+// readSettings reads the configuration and the operator file.
 func readSettings(configFile, operatorFile string) (s settings, err error) {
 	if s.Config, err = readConfig(configFile); err != nil {
 		return s, err
@@ -79,17 +79,17 @@
 	return c, nil
 }
 
-// readBounded returns a file, or its first maxBytes bytes.
+// readBounded returns a file's content, at most its first maxBytes bytes.
 func readBounded(path string, maxBytes int64) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = f.Close() }() // it was only read
+	defer func() { _ = f.Close() }() // opened only for reading
 	return io.ReadAll(io.LimitReader(f, maxBytes))
 }
 
-// bodyLimits are the memory for bodies, in bytes, and their rules.
+// bodyLimits returns the memory for bodies, in bytes, and their rules.
 func (s settings) bodyLimits() (memoryBytes int64, rules transport.BodyRules) {
 	a := s.operator.Bodies
 	return int64(a.MemoryFraction * float64(s.Limits.MemoryMB<<20)), transport.BodyRules{
@@ -98,7 +98,7 @@
 	}
 }
 
-// overloadConfig is the configuration of overload control.
+// overloadConfig returns the configuration of overload control.
 func (s settings) overloadConfig() overload.Config {
 	t := s.operator.Overload
 	return overload.Config{
@@ -117,7 +117,7 @@
 	}
 }
 
-// slowStartParams are the limits of servers that are warming up, as the balancer has them.
+// slowStartParams returns the balancer's parameters of slow start.
 func (s settings) slowStartParams() slowstart.Params {
 	rules, tuning := s.Settings.Rules, balancer.DefaultTuning()
 	return slowstart.Params{
@@ -127,7 +127,8 @@
 	}
 }
 
-// localPolicySettings are the settings that policies are checked against, and that hold without one.
+// localPolicySettings returns the settings against which policies are checked, and which apply without a
+// policy.
 func (s settings) localPolicySettings() policy.LocalSettings {
 	return policy.LocalSettings{
 		Settings:       routing.Permitted(s.Settings.Settings),
@@ -135,8 +136,8 @@
 	}
 }
 
-// stateOwner identifies this agent in state files. Without a deployment's name, its classes' names identify
-// it.
+// stateOwner returns the identity of this agent in state files. A deployment without a name is identified by
+// its classes' names.
 func (s settings) stateOwner() state.Owner {
 	deployment := s.operator.State.Deployment
 	if deployment == "" {
--- a/cmd/dunestep/shutdown.go
+++ b/cmd/dunestep/shutdown.go
@@ -12,7 +12,7 @@
 	"dunestep/internal/transport"
 )
 
-// successor tells whether another process of this agent accepts its clients by now.
+// successor reports whether another process of this agent already accepts its clients.
 type successor bool
 
 // The values of successor.
@@ -21,8 +21,8 @@
 	hasSuccessor successor = true
 )
 
-// stop shuts the process down gracefully: the fleet is told, clients are drained, and the state is written
-// meanwhile.
+// stop shuts the process down gracefully: it notifies the fleet, and drains clients while the state is
+// written.
 func (p *process) stop() {
 	p.manual.stopServing()
 	p.fleet.leave()
@@ -32,7 +32,7 @@
 }
 
 // drain goes through the phases of a shutdown. It returns when all accepted requests have their responses, or
-// when the time for it is over. Where another process accepts clients, this one stops at once.
+// at the deadline. If another process accepts clients, this one stops listening at once.
 func drain(listener *transport.Listener, a *agent.Agent, classes []balancer.Class, next successor) {
 	began := time.Now()
 	plan := routing.NewShutdownPlan(0, classes)
@@ -57,7 +57,7 @@
 		case routing.ShutdownFailing:
 			failAll()
 		case routing.ShutdownOver:
-			failAll() // where the process got no time in the phase before
+			failAll() // if the process was not scheduled during the phase before
 			return
 		}
 		ctx, cancel := context.WithDeadline(context.Background(), began.Add(until))
--- a/cmd/dunestep/statecommands.go
+++ b/cmd/dunestep/statecommands.go
@@ -10,11 +10,12 @@
 	"dunestep/internal/state"
 )
 
-// stateCommands read files of the state folder, also beside a running agent. They write nothing.
+// stateCommands inspect files of the state folder, which a running agent may use meanwhile. They write no
+// files.
 type stateCommands struct {
-	Show   showState   `cmd:"" help:"Show what a state file holds."`
-	Check  checkState  `cmd:"" help:"Check that a state file is whole, and say whose it is."`
-	Export exportState `cmd:"" help:"Write what a state file holds as JSON."`
+	Show   showState   `cmd:"" help:"Show a state file's content."`
+	Check  checkState  `cmd:"" help:"Check that a state file is intact, and print its owner."`
+	Export exportState `cmd:"" help:"Print a state file's content as JSON."`
 }
 
 type (
@@ -23,12 +24,12 @@
 	exportState struct{ stateFile }
 )
 
-// stateFile is the file that a command is given.
+// stateFile is a command's argument.
 type stateFile struct {
 	File string `arg:"" help:"The file: state-a or state-b in the folder." type:"path"`
 }
 
-// read reads the file, and returns its length in bytes too.
+// read returns the decoded file and its length in bytes.
 func (s stateFile) read() (*state.File, int, error) {
 	raw, err := readBounded(s.File, state.MaxFileBytes+1)
 	if err != nil {
@@ -41,7 +42,7 @@
 	return file, len(raw), nil
 }
 
-// Run prints whose the file is, or returns what is wrong with it.
+// Run prints the file's header, or returns why the file is not valid.
 func (s checkState) Run() error {
 	f, length, err := s.read()
 	if err != nil {
@@ -55,7 +56,7 @@
 	return nil
 }
 
-// Run prints all of the file as JSON.
+// Run prints the whole file as JSON.
 func (s exportState) Run() error {
 	f, _, err := s.read()
 	if err != nil {
@@ -64,7 +65,7 @@
 	return printJSON(f)
 }
 
-// Run prints what matters of the file to people.
+// Run prints a summary of the file.
 func (s showState) Run() error {
 	if err := checkState(s).Run(); err != nil {
 		return err
@@ -100,7 +101,7 @@
 	return t.flush()
 }
 
-// describeEndpoint describes what was learned of an endpoint; nil: nothing.
+// describeEndpoint describes an endpoint's learned state; a nil learned means that there is none.
 func describeEndpoint(e state.StoredEndpoint, learned *balancer.ServerSnapshot) string {
 	var words []string
 	if e.State == balancer.Draining {
--- a/cmd/dunestep/statekeeper.go
+++ b/cmd/dunestep/statekeeper.go
@@ -10,9 +10,9 @@
 	"dunestep/internal/state/folder"
 )
 
-// stateKeeper restores what this agent had learned, and stores what it learns over a restart.
+// stateKeeper restores this agent's learned state at the start, and stores it while the agent runs.
 type stateKeeper struct {
-	settings settings // of the start: what was learned is stored under its owner, also after a reload
+	settings settings // those at the start: state is stored under their owner, also after a reload
 	initial  state.Initial
 	writer   *folder.Writer // nil: nothing is stored
 
@@ -20,8 +20,8 @@
 	agent    *agent.Agent
 }
 
-// startStateKeeper reads what is stored, or takes what was handed over, which is newer, and starts to store.
-// What can't be restored is logged, and the agent starts without it.
+// startStateKeeper restores the state that was handed over or, without that, the stored state, which is
+// older. It then starts to store. State that cannot be restored is logged, and the agent starts without it.
 func startStateKeeper(s settings, handed *state.File) *stateKeeper {
 	k := &stateKeeper{settings: s, hasAgent: make(chan struct{})}
 	stateFolder, file := openStateFolder(s)
@@ -45,7 +45,8 @@
 	return k
 }
 
-// openStateFolder opens the folder for state, and reads its newest file; nil: there is none.
+// openStateFolder opens the state folder, and reads its newest valid file. Each result is nil if there is
+// none.
 func openStateFolder(s settings) (*folder.Folder, *state.File) {
 	path := s.operator.State.Folder
 	if path == "" {
@@ -63,7 +64,7 @@
 	return f, newest
 }
 
-// logRestored logs what the agent starts from.
+// logRestored logs the state from which the agent starts.
 func logRestored(file *state.File, initial state.Initial) {
 	age := any(initial.Age)
 	if initial.Age < 0 {
@@ -80,20 +81,20 @@
 	}
 }
 
-// requestWrite asks for a write soon: something of importance has changed.
+// requestWrite requests a write soon, after an important change.
 func (k *stateKeeper) requestWrite() {
 	if k.writer != nil {
 		k.writer.RequestWrite()
 	}
 }
 
-// setAgent tells which agent has the state from now on. It is called once.
+// setAgent sets the agent whose state is stored from now on. It is called once.
 func (k *stateKeeper) setAgent(a *agent.Agent) {
 	k.agent = a
 	close(k.hasAgent)
 }
 
-// snapshot returns what is known now; false where there is no agent, or no answer, before ctx ends.
+// snapshot returns the agent's current state. It returns false if ctx ends first.
 func (k *stateKeeper) snapshot(ctx context.Context) (state.Content, bool) {
 	select {
 	case <-k.hasAgent:
@@ -103,8 +104,8 @@
 	}
 }
 
-// finish writes a last time, beside the drain, and returns a channel that is closed when that is done, or the
-// time is over.
+// finish starts the last write, which runs concurrently with the drain. It returns a channel that is closed
+// after the write, at the latest after timeout.
 func (k *stateKeeper) finish(timeout time.Duration) <-chan struct{} {
 	done := make(chan struct{})
 	go func() {
--- a/cmd/dunestep/takeover.go
+++ b/cmd/dunestep/takeover.go
@@ -14,32 +14,33 @@
 	"dunestep/internal/state"
 )
 
-// readyPollInterval is how often a process that takes over looks whether it accepts clients.
+// readyPollInterval is how often a process that takes over checks whether it accepts clients.
 const readyPollInterval = 5 * time.Millisecond
 
-// The networks of sockets that are handed over, as they stand before the address in a socket's name.
+// The networks in the names of handed-over sockets, where they precede the address.
 const (
 	networkTCP = "tcp"
 	networkUDP = "udp"
 )
 
-// takenOver is what a process starts with that takes over from another, or finds its file.
+// takenOver is what a process starts with: the offer of the process from which it takes over, or what that
+// has left in files.
 type takenOver struct {
 	manual    handover.ManualSettings
 	file      *state.File // nil: no state
 	listeners map[netip.AddrPort]*net.TCPListener
 	datagrams *net.UDPConn // nil: none
-	fleet     []byte       // what was agreed; empty: nothing is known of it
+	fleet     []byte       // the agreed state; empty: none
 }
 
-// takeOver takes over from a running process of this agent, where there is one, and reads the manual
-// settings. What can't be taken over is logged, and the process starts without it.
+// takeOver reads the stored manual settings, and takes over from a running process of this agent, if there is
+// one. Whatever cannot be taken over is logged, and the process starts without it.
 func (p *process) takeOver() (taken takenOver) {
 	stored, err := p.manualFile.Read()
 	if err != nil {
 		slog.Warn("manual settings of the previous process cannot be used", "error", err)
 	}
-	taken.manual.Disabled = stored.Disabled // whether it drains is not taken: that ends with the last process
+	taken.manual.Disabled = stored.Disabled // a stored drain does not apply: it ended with the previous process
 	previous, offer, sockets, err := handover.Connect(os.TempDir(), p.settings.Name, p.settings.Listen)
 	if errors.Is(err, handover.ErrNoPeer) {
 		return taken
@@ -73,8 +74,7 @@
 	return file, nil
 }
 
-// openSockets opens the sockets that were handed over, and closes their files. One that can't be used is
-// logged.
+// openSockets opens the handed-over sockets, and closes their files. A socket that cannot be used is logged.
 func (t *takenOver) openSockets(sockets map[string]*os.File) {
 	t.listeners = map[netip.AddrPort]*net.TCPListener{}
 	for name, f := range sockets {
@@ -85,8 +85,8 @@
 	}
 }
 
-// openSocket opens one socket by its name: the network and the address. One that is not what its name says,
-// or of a network that this build does not know, is not used.
+// openSocket opens a socket by its name, which has the network and the address. It ignores a socket that does
+// not match its name, and one whose network this build does not know.
 func (t *takenOver) openSocket(name string, f *os.File) error {
 	network, text, _ := strings.Cut(name, " ")
 	addr, err := netip.ParseAddrPort(text)
@@ -99,8 +99,8 @@
 		if err != nil {
 			return err
 		}
-		tcp, is := l.(*net.TCPListener)
-		if !is || l.Addr().String() != text {
+		tcp, ok := l.(*net.TCPListener)
+		if !ok || l.Addr().String() != text {
 			return l.Close()
 		}
 		t.listeners[addr] = tcp
@@ -109,8 +109,8 @@
 		if err != nil {
 			return err
 		}
-		udp, is := c.(*net.UDPConn)
-		if !is || t.datagrams != nil || c.LocalAddr().String() != text {
+		udp, ok := c.(*net.UDPConn)
+		if !ok || t.datagrams != nil || c.LocalAddr().String() != text {
 			return c.Close()
 		}
 		t.datagrams = udp
@@ -126,8 +126,8 @@
 	previous.Notify(handover.Notification{Ready: true})
 }
 
-// followPrevious receives what the previous process notifies until that has exited. Then this one uses all of
-// the limits, and joins the fleet.
+// followPrevious receives the previous process's notifications until that has exited. Then this process uses
+// the full limits and joins the fleet.
 func (p *process) followPrevious(previous *handover.Peer) {
 	previous.Receive(p.handleNotification)
 	p.upgrade.mu.Lock()
--- a/cmd/dunestep/version.go
+++ b/cmd/dunestep/version.go
@@ -6,18 +6,18 @@
 	"runtime/debug"
 )
 
-// versionCommand prints which program this is.
+// versionCommand prints the program's version.
 type versionCommand struct{}
 
-const noRevision = "of no revision"
+const unknownRevision = "unknown revision"
 
-// Run prints what the build knows of itself.
+// Run prints the module's version, the revision and the Go version from the binary's build information.
 func (versionCommand) Run() error {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
-		return errors.New("the program was built without a note of its version")
+		return errors.New("the program was built without version information")
 	}
-	revision, modified := noRevision, ""
+	revision, modified := unknownRevision, ""
 	for _, s := range info.Settings {
 		switch {
 		case s.Key == "vcs.revision":
--- a/cmd/dunestep/windowcommands.go
+++ b/cmd/dunestep/windowcommands.go
@@ -15,31 +15,31 @@
 	"dunestep/internal/protocol"
 )
 
-// windowCommands ask a running agent, at its operators' socket, about maintenance windows.
+// windowCommands query and request maintenance windows through a running agent's operators' socket.
 type windowCommands struct {
-	Ask   windowAskCommand   `cmd:"" help:"Ask for a time in which nodes get no requests of tenants."`
-	Check windowCheckCommand `cmd:"" help:"Tell whether it would fit, or when it would next."`
-	List  windowListCommand  `cmd:"" help:"Show the windows and how far they are, and what became of calls."`
-	Stop  windowStopCommand  `cmd:"" help:"Have a window end early: the traffic comes back at its pace."`
+	Ask   windowAskCommand   `cmd:"" help:"Request a window, in which nodes get no requests of tenants."`
+	Check windowCheckCommand `cmd:"" help:"Check whether a window would fit, or when it would next."`
+	List  windowListCommand  `cmd:"" help:"Show the windows with their progress, and rejected calls."`
+	Stop  windowStopCommand  `cmd:"" help:"End a window early: the traffic returns at the window's pace."`
 }
 
 var (
-	errNodesOrZone   = errors.New("name servers by --node, or a zone by --zone")
-	errWindowUnknown = errors.New("not known yet: ask again")
+	errNodesOrZone   = errors.New("name servers with --node, or a zone with --zone, not both")
+	errWindowUnknown = errors.New("not known yet: repeat the call")
 )
 
 // windowFlags are the flags of a request for a window.
 type windowFlags struct {
 	opsClient
-	Node   []string `help:"A server by ID, as often as there are any." placeholder:"ID" sep:"none"`
-	Zone   string   `help:"All servers of zone Z, in place of --node." placeholder:"Z"`
-	Tenant []string `help:"A clinic group T, again for more; *: all." placeholder:"T" sep:"none" required:""`
-	From   string   `help:"When the traffic begins to leave: RFC 3339, or +30m." placeholder:"TIME" required:""`
-	To     string   `help:"When all of it is back: RFC 3339, or +3h from now." placeholder:"TIME" required:""`
-	Pace   float64  `help:"The part of a server's keys that moves in a second at the most; 0: 0.01." default:"0"`
+	Node   []string `help:"A server's ID; may be repeated." placeholder:"ID" sep:"none"`
+	Zone   string   `help:"All servers of zone Z, instead of --node." placeholder:"Z"`
+	Tenant []string `help:"Tenant T; may be repeated; *: all." placeholder:"T" sep:"none" required:""`
+	From   string   `help:"When traffic begins to move away: RFC 3339, or +30m." placeholder:"TIME" required:""`
+	To     string   `help:"When all traffic is back: RFC 3339, or +3h from now." placeholder:"TIME" required:""`
+	Pace   float64  `help:"Maximum fraction of a server's keys that moves per second; 0: 0.01." default:"0"`
 }
 
-// body returns the body of the call.
+// body returns the call's body. Relative times count from now.
 func (w windowFlags) body(now time.Time) (string, error) {
 	request := protocol.WindowRequest{Nodes: w.Node, Zone: w.Zone, Tenants: w.Tenant, Pace: w.Pace}
 	if len(w.Node) > 0 == (w.Zone != "") {
@@ -56,7 +56,7 @@
 	return string(raw), err
 }
 
-// parseTime parses a time, or with a plus sign how long after now it is.
+// parseTime parses a time in RFC 3339, or, after a plus sign, a duration from now.
 func parseTime(text string, now time.Time) (time.Time, error) {
 	if after, relative := strings.CutPrefix(text, "+"); relative {
 		d, err := time.ParseDuration(after)
@@ -67,12 +67,12 @@
 
 type windowAskCommand struct {
 	windowFlags
-	ID   string        `help:"A name for this call, by which it can be made again; empty: a new one."`
-	Wait time.Duration `help:"How long to wait for what becomes of it." default:"30s"`
+	ID   string        `help:"Idempotency key of this call, to repeat it with; empty: a new one."`
+	Wait time.Duration `help:"How long to wait for the outcome." default:"30s"`
 }
 
-// Run requests a window, and waits. Where it can't be known what became of it, the error names the id with
-// which the same call can be made again.
+// Run requests a window, and waits for the outcome. If that is not known in time, the error has the id with
+// which the same call can be repeated.
 func (c windowAskCommand) Run() error {
 	body, err := c.body(time.Now())
 	if err != nil {
@@ -100,10 +100,11 @@
 	case policy.StatusRejected.String():
 		return errors.New(o.rejection())
 	}
-	return fmt.Errorf("not known yet: ask again with --id %s", c.ID)
+	return fmt.Errorf("not known yet: repeat the call with --id %s", c.ID)
 }
 
-// planWindow has an agent plan a window, again while a policy is taking effect there.
+// planWindow makes an agent plan a window. While a policy is taking effect there, it retries until
+// opsTimeout.
 func (c opsClient) planWindow(path, body string) (o windowOutcome, err error) {
 	for until := time.Now().Add(opsTimeout); ; time.Sleep(outcomePollInterval) {
 		o = windowOutcome{}
@@ -114,7 +115,7 @@
 	}
 }
 
-// awaitWindow waits until it is known what became of a request.
+// awaitWindow polls the outcome of a request until it is known, or for the duration wait, and sets o to it.
 func (c opsClient) awaitWindow(o *windowOutcome, id string, wait time.Duration) error {
 	path := "/ops/fleet/windows/outcome?id=" + url.QueryEscape(id)
 	unknown := policy.StatusUnknown.String()
@@ -129,7 +130,7 @@
 
 type windowCheckCommand struct{ windowFlags }
 
-// Run tells whether a window would fit.
+// Run prints when a window would move traffic. If it does not fit, the error has the reason.
 func (c windowCheckCommand) Run() error {
 	body, err := c.body(time.Now())
 	if err != nil {
@@ -149,7 +150,7 @@
 
 type windowListCommand struct {
 	opsClient
-	JSON bool `help:"Write it as JSON."`
+	JSON bool `help:"Print JSON."`
 }
 
 // Run prints the windows.
@@ -166,8 +167,8 @@
 
 type windowStopCommand struct {
 	opsClient
-	ID   string        `arg:"" help:"The window."`
-	Wait time.Duration `help:"How long to wait until it is known." default:"30s"`
+	ID   string        `arg:"" help:"The window's id."`
+	Wait time.Duration `help:"How long to wait for the outcome." default:"30s"`
 }
 
 // Run ends a window early, and waits until that is agreed.
@@ -179,7 +180,7 @@
 			return err
 		}
 		if o.Status == policy.StatusAccepted.String() {
-			fmt.Println("stopped: the traffic comes back")
+			fmt.Println("stopped: the traffic returns")
 			return nil
 		}
 		if o.Status == policy.StatusRejected.String() {
--- a/cmd/dunestep/witness_test.go
+++ b/cmd/dunestep/witness_test.go
@@ -222,7 +222,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var version uint64
-	if n, _ := fmt.Sscanf(text, "taken: version %d holds", &version); n == 1 {
+	if n, _ := fmt.Sscanf(text, "taken: version %d is in force", &version); n == 1 {
 		w.history.ProposalAnswered(sinceEpoch(), id, version, 0) // the command ends once the version is in force
 	} else if strings.Contains(text, "not taken: ") && !strings.Contains(text, "usage") {
 		w.history.ProposalAnswered(sinceEpoch(), id, 0, 0)
