--- a/cmd/dunestep/graphql.go
+++ b/cmd/dunestep/graphql.go
@@ -72,7 +72,7 @@
 		},
 	})
 	if g.Listen == operator.MainListener && s.isClassPath(g.Path) {
-		err = errors.Join(err, fmt.Errorf("path %s is the path of a class on the main socket", g.Path))
+		err = errors.Join(err, fmt.Errorf("path %s is that of a class on the main socket", g.Path))
 	}
 	form := &protocol.GraphQL{
 		Path: g.Path, Classer: classer, Classes: s.Settings.Classes,
--- a/cmd/dunestep/maintenanceops.go
+++ b/cmd/dunestep/maintenanceops.go
@@ -95,7 +95,7 @@
 	})
 }
 
-// checkWindow returns the response to whether a window would fit.
+// checkWindow returns the response that says whether a window would fit.
 func (f *fleetMember) checkWindow(
 	n *fleet.Node,
 	now fleet.ClockReading,
--- a/cmd/dunestep/opsclient.go
+++ b/cmd/dunestep/opsclient.go
@@ -26,8 +26,8 @@
 	Ops string `help:"Address ADDR of an agent's operators' socket." placeholder:"ADDR" env:"LB_OPS" required:""`
 }
 
-// call makes a call, whose path may have a query, and decodes the response's JSON into into. A response with
-// an error status becomes an error with its text, or errNoFleet.
+// call makes a call, whose path may have a query, and decodes the JSON response into the value that into
+// points to. A response with an error status becomes an error with its text, or errNoFleet.
 func (c opsClient) call(method, path, body string, into any) error {
 	u := url.URL{Scheme: "http", Host: c.Ops}
 	u.Path, u.RawQuery, _ = strings.Cut(path, "?")
--- a/cmd/dunestep/statecommands.go
+++ b/cmd/dunestep/statecommands.go
@@ -103,24 +103,24 @@
 
 // describeEndpoint describes an endpoint's learned state; a nil learned means that there is none.
 func describeEndpoint(e state.StoredEndpoint, learned *balancer.ServerSnapshot) string {
-	var words []string
+	var parts []string
 	if e.State == balancer.Draining {
-		words = append(words, "leaving")
+		parts = append(parts, "leaving")
 	}
 	if learned == nil {
-		return strings.Join(append(words, "nothing known"), ", ")
+		return strings.Join(append(parts, "nothing known"), ", ")
 	}
 	if learned.Latency > 0 {
-		words = append(words, fmt.Sprintf("%.0f ms", 1000*learned.Latency))
+		parts = append(parts, fmt.Sprintf("%.0f ms", 1000*learned.Latency))
 	}
 	if learned.Outlier.Ejected {
-		words = append(words, "down: "+learned.Outlier.Reason)
+		parts = append(parts, "down: "+learned.Outlier.Reason)
 	}
 	if learned.DampedFor > 0 {
-		words = append(words, fmt.Sprintf("damped for %v", learned.DampedFor.Round(time.Second)))
+		parts = append(parts, fmt.Sprintf("damped for %v", learned.DampedFor.Round(time.Second)))
 	}
 	if learned.RecoveredAgo > 0 {
-		words = append(words, "cold")
+		parts = append(parts, "cold")
 	}
-	return strings.Join(words, ", ")
+	return strings.Join(parts, ", ")
 }
--- a/cmd/dunestep/witness_test.go
+++ b/cmd/dunestep/witness_test.go
@@ -40,13 +40,13 @@
 	wait sync.WaitGroup
 
 	mu           sync.Mutex
-	open         map[string]*observedRequest // by request id
+	open         map[string]*observedRequest // requests in progress, by id
 	finished     []observedRequest
 	pending      int // number of requests that wait for their last attempt
 	history      *judge.History
-	firstVersion uint64 // the history begins with this version
-	versions     map[uint64]policyVersion
-	maxAttempts  map[uint64]int
+	firstVersion uint64                   // the history begins with this version
+	versions     map[uint64]policyVersion // by number
+	maxAttempts  map[uint64]int           // limits of attempts, by version
 }
 
 // observedRequest is a request as the endpoints and its caller observed it. Times are Unix times.
