--- a/cmd/dunestep/deployments_test.go
+++ b/cmd/dunestep/deployments_test.go
@@ -195,7 +195,7 @@
 	fmt.Fprintln(&s.text, what...)
 }
 
-// show notes what a world's agent has said so far beside its answers.
+// show notes what a testbed's agent has said so far beside its answers.
 func (s *transcript) show(w *testbed) {
 	for _, server := range w.servers {
 		for _, st := range server.attempts() {
--- a/cmd/dunestep/fleetops.go
+++ b/cmd/dunestep/fleetops.go
@@ -33,7 +33,7 @@
 	}
 	actor := f.actor.Load()
 	if actor == nil {
-		return http.StatusServiceUnavailable, []byte("another process of this agent is still a member of the fleet\n")
+		return http.StatusServiceUnavailable, []byte("another process of this agent is still a fleet member\n")
 	}
 	switch call.Kind {
 	case protocol.OpsFleetStatus:
