--- a/internal/rehearsal/world/bench_test.go
+++ b/internal/rehearsal/world/bench_test.go
@@ -10,20 +10,20 @@
 )
 
 // nobody is a sink that keeps nothing.
-type nobody struct{}
+type discardingSink struct{}
 
-func (nobody) Begin(record.Day)          {}
-func (nobody) Server(int, record.Server) {}
-func (nobody) Take(*record.Event)        {}
-func (nobody) Sample(*record.Sample)     {}
-func (nobody) End(time.Duration)         {}
+func (discardingSink) Begin(record.Day)          {}
+func (discardingSink) Server(int, record.Server) {}
+func (discardingSink) Take(*record.Event)        {}
+func (discardingSink) Sample(*record.Sample)     {}
+func (discardingSink) End(time.Duration)         {}
 
 func benchmarkMinute(b *testing.B, troubles ...scenario.Trouble) {
 	set := deployment(time.Minute)
 	set.Troubles = troubles
 	b.ReportAllocs()
 	for i := range b.N {
-		if err := Play(context.Background(), set, uint64(i), nobody{}, Options{}); err != nil {
+		if err := Play(context.Background(), set, uint64(i), discardingSink{}, Options{}); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -32,8 +32,8 @@
 // BenchmarkMinute plays a minute of the deployment's day: 13 servers, 5 agents, 330 requests a second.
 func BenchmarkMinute(b *testing.B) { benchmarkMinute(b) }
 
-// BenchmarkRoughMinute plays one with servers silent during a rolling deploy and four times the traffic.
-func BenchmarkRoughMinute(b *testing.B) {
+// BenchmarkMinuteWithFaults plays one with servers silent during a rolling deploy and four times the traffic.
+func BenchmarkMinuteWithFaults(b *testing.B) {
 	at, lasts := ms(10000, 10000), ms(25000, 25000)
 	benchmarkMinute(b, scenario.Trouble{Kind: scenario.Silent, At: at, For: lasts, Part: span(0.19, 0.19)},
 		scenario.Trouble{
--- a/internal/rehearsal/world/byhand.go
+++ b/internal/rehearsal/world/byhand.go
@@ -11,54 +11,57 @@
 
 // What staff do at the agents' door, as far as a day in virtual time has it.
 
-// awayBy is when, after clients were sent away by hand, none of their connections stands idle any more.
-const awayBy = 1700 * time.Millisecond
+// sendAwayTime is the time after which an agent that sends its clients away closes their idle
+// connections.
+const sendAwayTime = 1700 * time.Millisecond
 
-// takeOut has an agent that runs send nothing new to the servers from now on, whatever discovery tells.
-func (a *agent) takeOut(servers []*server) {
-	l := a.life
-	if l == nil || l.remote {
+// disableServers makes a running agent send no new attempts to the servers, whatever discovery lists.
+func (a *agent) disableServers(servers []*server) {
+	l := a.proc
+	if l == nil || l.external {
 		return
 	}
 	for _, s := range servers {
 		news, known, err := l.list.Disable(s.id, l.clock())
 		if !known || err != nil {
-			continue // no list of this agent's ever had it
+			continue // never on this agent's list
 		}
-		if a.out == nil {
-			a.out = map[*server]bool{}
+		if a.disabledServers == nil {
+			a.disabledServers = map[*server]bool{}
 		}
-		a.out[s] = true
-		l.writes([]listed{s.entry(balancer.Ready)}, false)
-		l.heed(news)
+		a.disabledServers[s] = true
+		l.recordList([]listEntry{s.entry(balancer.Ready)}, false)
+		l.executeList(news)
 	}
-	a.bans = l.list.Disabled()
+	a.disabled = l.list.Disabled()
 }
 
-// putBack ends the bans of the servers. An agent that does not run now keeps them, as its folder does.
-func (a *agent) putBack(servers []*server) {
-	l := a.life
-	if l == nil || l.remote {
+// enableServers ends the disabling of the servers. An agent that is not running keeps it, as its state
+// file does.
+func (a *agent) enableServers(servers []*server) {
+	l := a.proc
+	if l == nil || l.external {
 		return
 	}
 	for _, s := range servers {
-		if !a.out[s] {
+		if !a.disabledServers[s] {
 			continue
 		}
-		delete(a.out, s)
+		delete(a.disabledServers, s)
 		news, _ := l.list.Enable(s.id, l.clock())
-		l.writes([]listed{s.entry(s.standing())}, false)
-		l.heed(news)
+		l.recordList([]listEntry{s.entry(s.listState())}, false)
+		l.executeList(news)
 	}
-	a.bans = l.list.Disabled()
+	a.disabled = l.list.Disabled()
 }
 
-// restartByHand ends the processes of the servers that staff have taken out; they start again at its end.
-type restartByHand trouble
+// operatorRestart stops the processes of the servers that an operator has disabled. They start again
+// when the injection ends.
+type operatorRestart injection
 
-func (r *restartByHand) happen() {
-	t := (*trouble)(r)
-	if t.over {
+func (r *operatorRestart) fire() {
+	t := (*injection)(r)
+	if t.ended {
 		return
 	}
 	t.processes = nil
@@ -70,59 +73,60 @@
 	}
 }
 
-// sendAway has an agent that runs send its clients away: answers close their connections, and those that
-// stand idle are closed in a while. It goes on, and serves who comes all the same.
-func (a *agent) sendAway() {
-	l := a.life
-	if l == nil || l.remote || l.away {
+// sendClientsAway makes a running agent send its clients away: answers close their connections, and
+// idle ones are closed after sendAwayTime. The agent still serves requests that arrive.
+func (a *agent) sendClientsAway() {
+	l := a.proc
+	if l == nil || l.external || l.sendingAway {
 		return
 	}
-	l.away, l.awayFrom = true, a.w.now
-	a.w.after(awayBy, rankTimer, (*noneIdle)(l))
+	l.sendingAway, l.sendingAwaySince = true, a.w.now
+	a.w.scheduleAfter(sendAwayTime, rankTimer, (*closeIdleClients)(l))
 }
 
-// takeAgain has an agent take clients again.
-func (a *agent) takeAgain() {
-	if a.life != nil {
-		a.life.away = false
+// acceptClients ends sendClientsAway.
+func (a *agent) acceptClients() {
+	if a.proc != nil {
+		a.proc.sendingAway = false
 	}
 }
 
-// noneIdle closes the connections that still stand idle at an agent that sends its clients away.
-type noneIdle life
+// closeIdleClients closes the remaining idle connections of an agent that sends its clients away.
+type closeIdleClients agentProcess
 
-func (n *noneIdle) happen() {
-	l := (*life)(n)
-	if l.dead || l.still(n) || !l.away || l.w.now < l.awayFrom+awayBy {
+func (n *closeIdleClients) fire() {
+	l := (*agentProcess)(n)
+	if l.dead || l.deferIfPaused(n) || !l.sendingAway || l.w.now < l.sendingAwaySince+sendAwayTime {
 		return
 	}
 	l.closeIdle()
 }
 
-// upgrades tells whether the day has any.
-func (w *world) upgrades() bool {
-	return slices.ContainsFunc(w.set.Troubles, func(t scenario.Trouble) bool {
+// hasUpgrades reports whether the scenario upgrades agents.
+func (w *world) hasUpgrades() bool {
+	return slices.ContainsFunc(w.scenario.Troubles, func(t scenario.Trouble) bool {
 		return t.Kind == scenario.Upgraded
 	})
 }
 
-// upgrade has a new run of an agent's program take over from one that serves, with what that one has learned
-// and what staff have set. The old one takes no new connection, and ends in order.
+// upgrade starts a new process of an agent, which takes over what the running one has learned and what
+// operators have set. The old process accepts no new connection and shuts down gracefully.
 func (a *agent) upgrade() {
-	old := a.life
-	if old == nil || old.remote || old.end.told || old.session == nil { // none has one that sees late
+	old := a.proc
+	// There is no recorder with Options.Late.
+	if old == nil || old.external || old.shutdown.requested || old.recorder == nil {
 		return
 	}
-	raw, err := state.Encode(old.content())
+	raw, err := state.Encode(old.stateFile())
 	if err != nil {
 		return
 	}
 	disk := a.disk
-	a.disk, a.life, old.replaced = raw, nil, true
-	err = a.begin()
-	if a.disk = disk; err != nil { // its settings were good when the day began
+	a.disk, a.proc, old.replaced = raw, nil, true
+	err = a.start()
+	if a.disk = disk; err != nil { // the same settings were valid at the start of the run
 		return
 	}
 	old.drain()
-	old.away, old.awayFrom = true, a.w.now
+	old.sendingAway, old.sendingAwaySince = true, a.w.now
 }
--- a/internal/rehearsal/world/calendar.go
+++ b/internal/rehearsal/world/calendar.go
@@ -6,47 +6,49 @@
 	"dunestep/internal/eventqueue"
 )
 
-// A happening is something that takes place at an instant: a piece of work ends, a message arrives, a
-// timer comes due. It is a pointer to what it concerns under a name of its own, so that to enter it costs
-// no memory.
-type happening interface{ happen() }
-
-// rank orders what takes place at one instant; within a rank, what was entered first comes first. So an
-// answer that crosses a time-out or the client's leaving counts as there, and a drain is seen by what
-// arrives with it.
+// event takes place at one virtual time: work ends, a message arrives or a timer is due. Each kind of
+// event is a pointer to the entity it concerns, converted to a type of its own, so that scheduling
+// allocates nothing.
+type event interface{ fire() }
+
+// rank orders the events of one instant; within a rank, they fire in the order of scheduling. So an
+// answer that arrives at the instant of a timeout or of the client's leaving counts as received, and a
+// drain takes effect before the requests that arrive with it.
 type rank uint8
 
 const (
-	rankTrouble rank = iota // the world changes
-	rankServer              // a booking server's work goes on or ends
-	rankArrival             // what is on its way arrives
-	rankTimer               // an agent's wait is over
-	rankClient              // a client asks, or leaves
-	rankSample              // the second is counted
-	rankBits    = 3
+	rankEnvironment rank = iota // faults, process starts, discovery updates
+	rankServer                  // upstream servers and discovery
+	rankArrival                 // arrivals from the network
+	rankTimer                   // agents' timers
+	rankClient                  // clients send or leave
+	rankSample                  // the sample of the second
+	rankBits        = 3
 )
 
-// calendar holds what is still to take place, and the time.
+// calendar holds the scheduled events and the virtual time.
 type calendar struct {
-	now                         time.Duration
-	entered                     uint64
-	eventqueue.Queue[happening] // ordered by the rank in the highest bits, then the sequence
+	now                     time.Duration
+	sequence                uint64
+	eventqueue.Queue[event] // ordered by time, then by rank in the highest bits and sequence
 }
 
-// enter has a happening take place; one in the past takes place now, after all of its rank that are due
-// now.
-func (c *calendar) enter(at time.Duration, r rank, what happening) {
-	c.entered++
-	c.Add(eventqueue.Item[happening]{
-		DueAt: max(at, c.now), Order: uint64(r)<<(64-rankBits) | c.entered, Event: what,
+// schedule adds an event. A time in the past means now, after the events of its rank that are due now.
+func (c *calendar) schedule(at time.Duration, r rank, what event) {
+	c.sequence++
+	c.Add(eventqueue.Item[event]{
+		DueAt: max(at, c.now), Order: uint64(r)<<(64-rankBits) | c.sequence, Event: what,
 	})
 }
 
-// after has a happening take place so much later.
-func (c *calendar) after(wait time.Duration, r rank, what happening) { c.enter(c.now+wait, r, what) }
+// scheduleAfter adds an event after a delay.
+func (c *calendar) scheduleAfter(wait time.Duration, r rank, what event) {
+	c.schedule(c.now+wait, r, what)
+}
 
-// next takes out what comes next, if that is not after the time given, and sets the clock to it.
-func (c *calendar) next(until time.Duration) (happening, bool) {
+// next removes the next event that is due by the given time and sets the clock to it. It reports false
+// if there is none.
+func (c *calendar) next(until time.Duration) (event, bool) {
 	first, ok := c.Next(until)
 	if ok {
 		c.now = first.DueAt
--- a/internal/rehearsal/world/client.go
+++ b/internal/rehearsal/world/client.go
@@ -14,9 +14,11 @@
 
 // agentIdle is how long an agent leaves a client's connection idle; crowdedIdle, where clients hold many.
 const (
+	// agentIdle is how long an agent keeps an idle client connection open; crowdedIdle applies when
+	// clients hold many connections.
 	agentIdle   = 30 * time.Second
 	crowdedIdle = 2 * time.Second
-	// wireSlack is what the time for an answer is longer by on sockets.
+	// wireSlack is added to the answer slack because real sockets take time.
 	wireSlack = 50 * time.Millisecond
 )
 
@@ -24,344 +26,346 @@
 type client struct {
 	w     *world
 	agent *agent
-	idle  []*frontConn // the one used last at the end
+	idle  []*clientConn // the most recently used last
 }
 
-// frontConn is a client's connection to an agent.
-type frontConn struct {
+// clientConn is a client's connection to an agent.
+type clientConn struct {
 	client    *client
-	life      *life
-	counted   bool // the agent holds a descriptor for it
-	answered  bool
+	proc      *agentProcess
+	counted   bool // the agent has a descriptor for it
+	used      bool
 	closed    bool
 	idleSince time.Duration
-	checking  bool // an idle check is entered
-	trying    *try // of a real connection: that it is used for
+	idleCheck bool // an idle check is scheduled
+	activeTry *try // of a connection to a real agent: the try that uses it
 	Handle    FrontHandle
 }
 
-// frontSocket is the agent's end: the tries whose connections wait for a descriptor.
-type frontSocket struct {
-	waiting []*try
-	held    int // connections that were taken
+// listener is the agent's listener; waiting are tries whose connections wait for a descriptor.
+type listener struct {
+	waiting  []*try
+	accepted int // accepted connections
 }
 
-// request is what a caller wants, over all its tries.
+// request is one request of a caller, including its retries.
 type request struct {
 	client   *client
 	class    int
 	tenant   uint8
-	key      uint32 // counted from one; zero: none
+	key      uint32 // numbered from 1; 0: none
 	work     float64
-	lots     uint64 // for what is drawn by lot
+	drawSeed uint64 // seed of its random draws
 	deadline time.Duration
-	chain    uint32 // the number of its first try
+	chain    uint32 // op of its first try
 }
 
-// try is one try at a request.
+// try is one try of a client's request, as sent to an agent.
 type try struct {
-	request   *request
-	agent     *agent
-	life      *life
-	conn      *frontConn
-	operation *operation
-	op        uint32
-	nth       int
-	asked     time.Duration
-	leaves    time.Duration // when its time is over
-	impatient bool          // the client leaves before that, for good
-	sends     int           // of a real agent's, that booking servers have seen
-	taken     bool          // by the agent
-	untaken   bool          // there was no agent to take it
-	shut      bool          // there was one, which is ending: it closed the new connection with no answer
-	late      bool          // its time is over: an answer is of no use any more
-	over      bool
-	told      bool // its answer is on its way
-	answer    record.Answer
-	advice    time.Duration
-	attempt   int // whose answer it is; below zero: no booking server's
-}
-
-// ask makes a request's next try, at the agent beside the client or, where that is down and the clients
-// do so, at the next one that is up; the first try too, where the agent has said that it takes no clients.
-func (q *request) ask(nth int) {
+	request          *request
+	agent            *agent
+	proc             *agentProcess
+	conn             *clientConn
+	agentRequest     *agentRequest
+	op               uint32
+	number           int
+	sentAt           time.Duration
+	deadline         time.Duration // when the client stops waiting
+	impatient        bool          // the client leaves earlier and does not retry
+	attemptsSeen     int           // attempts that upstream servers have received, with real agents
+	accepted         bool          // the agent has accepted it
+	notAccepted      bool          // no agent accepted it
+	closedUnanswered bool          // a stopping agent closed the new connection without an answer
+	timedOut         bool          // timed out: an answer no longer counts
+	ended            bool
+	answerSent       bool // the answer has been sent
+	answer           record.Answer
+	retryAfter       time.Duration
+	attempt          int // the attempt that produced the answer; negative: none did
+}
+
+// send makes the request's nth try. It goes to the agent beside the client. A retry, or a first try
+// while that agent sends its clients away, goes to the next agent that accepts connections if the
+// scenario lets clients do so.
+func (q *request) send(nth int) {
 	w := q.client.w
 	a := q.client.agent
-	if (nth > 0 || a.life != nil && a.life.away) && w.set.Clients.Elsewhere {
+	if (nth > 0 || a.proc != nil && a.proc.sendingAway) && w.scenario.Clients.Elsewhere {
 		for range w.agents {
-			if a.takes() {
+			if a.accepting() {
 				break
 			}
 			a = w.agents[(a.number+1)%len(w.agents)]
 		}
 	}
-	w.ops++
-	w.open++
-	t := &try{request: q, agent: a, nth: nth, op: w.ops, asked: w.now, attempt: -1}
-	if a.takes() {
-		t.life = a.life
+	w.tryCount++
+	w.pending++
+	t := &try{request: q, agent: a, number: nth, op: w.tryCount, sentAt: w.now, attempt: -1}
+	if a.accepting() {
+		t.proc = a.proc
 	}
 	if nth == 0 {
 		q.chain = t.op
 	}
-	deadline := w.set.Classes[q.class].Deadline
-	t.leaves = min(w.now+time.Duration(w.tryShare*float64(deadline)), q.deadline)
-	if t.impatient = lot(q.lots, uint64(nth), lotLeaves) < w.impatient; t.impatient {
-		leaves := time.Duration(lot(q.lots, uint64(nth), lotLeavesWhen) * float64(t.leaves-w.now))
-		w.after(leaves, rankClient, (*tryLeaves)(t))
+	deadline := w.scenario.Classes[q.class].Deadline
+	t.deadline = min(w.now+time.Duration(w.tryTimeoutShare*float64(deadline)), q.deadline)
+	if t.impatient = hashedDraw(q.drawSeed, uint64(nth), lotLeaves) < w.impatientShare; t.impatient {
+		leaves := time.Duration(hashedDraw(q.drawSeed, uint64(nth), lotLeavesWhen) * float64(t.deadline-w.now))
+		w.scheduleAfter(leaves, rankClient, (*clientLeaves)(t))
 	} else {
-		w.enter(t.leaves, rankClient, (*tryLate)(t))
+		w.schedule(t.deadline, rankClient, (*tryTimesOut)(t))
 	}
-	if t.conn = a.client.connection(t.life); t.life != nil {
-		t.life = t.conn.life // which another life may have replaced
+	if t.conn = a.client.acquire(t.proc); t.proc != nil {
+		t.proc = t.conn.proc // the connection may belong to an earlier process
 	}
-	w.after(w.network.client, rankArrival, (*tryReaches)(t))
+	w.scheduleAfter(w.network.client, rankArrival, (*tryArrives)(t))
 }
 
-// connection takes an idle connection, or begins a new one.
-func (c *client) connection(l *life) *frontConn {
+// connection returns an idle connection or a new one.
+func (c *client) acquire(l *agentProcess) *clientConn {
 	if n := len(c.idle); n > 0 {
 		f := c.idle[n-1]
 		c.idle = c.idle[:n-1]
 		return f
 	}
-	return &frontConn{client: c, life: l}
+	return &clientConn{client: c, proc: l}
 }
 
-// The happenings of a try.
+// The events of a try.
 type (
-	tryReaches   try // its last byte is at the agent
-	tryUnreached try // the client learns that there is no agent
-	tryAnswered  try // the answer's last byte is at the client
+	tryArrives   try // its last byte reaches the agent
+	tryUnreached try // the client learns that no agent accepted it
+	tryAnswered  try // the answer's last byte reaches the client
 	tryLost      try // the client learns that the agent has ended the connection
-	tryLate      try // its time is over
-	tryLeaves    try // its client leaves
-	tryAgain     try // its client tries again
-	tryLeft      try // the agent learns that the client has left
+	tryTimesOut  try // its timeout expires
+	clientLeaves try // its client leaves
+	tryRetries   try // its client retries
+	clientLeft   try // the agent learns that the client has left
 )
 
-func (r *tryReaches) happen() {
+func (r *tryArrives) fire() {
 	t := (*try)(r)
-	l := t.life
+	l := t.proc
 	switch {
-	case t.over:
+	case t.ended:
 	case l == nil || l.dead:
 		t.unreached()
-	case l.remote:
-		t.askRemote()
+	case l.external:
+		t.sendExternal()
 	case t.conn.counted:
-		t.take()
-	case l.end.closing:
+		t.accept()
+	case l.shutdown.closing:
 		t.unreached()
 	default:
-		l.clients.waiting = append(l.clients.waiting, t)
-		l.clients.freed(l)
+		l.listener.waiting = append(l.listener.waiting, t)
+		l.listener.acceptWaiting(l)
 	}
 }
 
+// unreached ends the try's connection because no agent accepts it.
 func (t *try) unreached() {
 	w := t.agent.w
-	t.untaken = true
-	t.shut = t.life != nil && (t.life.end.closing || t.life.end.over)
+	t.notAccepted = true
+	t.closedUnanswered = t.proc != nil && (t.proc.shutdown.closing || t.proc.shutdown.exited)
 	t.conn.closed = true
 	w.record.try(record.Unreached, t)
-	w.after(w.network.client, rankArrival, (*tryUnreached)(t))
+	w.scheduleAfter(w.network.client, rankArrival, (*tryUnreached)(t))
 }
 
-// freed takes waiting connections in as far as there are descriptors.
-func (f *frontSocket) freed(l *life) {
+// acceptWaiting accepts waiting connections while descriptors are available.
+func (f *listener) acceptWaiting(l *agentProcess) {
 	for len(f.waiting) > 0 {
 		t := f.waiting[0]
-		if !t.over {
+		if !t.ended {
 			if ok, _ := l.descriptors.AcquireDownstream(); !ok {
 				return
 			}
 		}
-		f.waiting = f.waiting[1:] // before it is taken, which may free others
-		if !t.over {
+		f.waiting = f.waiting[1:] // before accept, which may release descriptors and recurse
+		if !t.ended {
 			t.conn.counted = true
-			f.held++
-			t.take()
+			f.accepted++
+			t.accept()
 		}
 	}
 }
 
-// take has the agent take the try.
-func (t *try) take() {
-	t.taken = true
+// accept passes the try to the agent.
+func (t *try) accept() {
+	t.accepted = true
 	t.agent.w.record.try(record.Asked, t)
-	if s := t.agent.w.sights; s != nil {
-		s.asked += t.request.work
+	if s := t.agent.w.delayedView; s != nil {
+		s.arrivedWork += t.request.work
 	}
-	t.life.post(message{kind: operationCame, try: t})
+	t.proc.post(message{kind: requestArrived, try: t})
 }
 
-// answer sends the router's one final answer to the client, and closes the connection where clients crowd
-// the agent.
-func (l *life) answer(o *routing.Output) {
-	t := l.operations[o.Request].try
-	if t.told { // the judge is to see it: the client, with one answer, would wait for no other
+// respond sends the router's final answer to the client. It closes the connection if descriptors are
+// short or the agent is shutting down or sending its clients away.
+func (l *agentProcess) respond(o *routing.Output) {
+	t := l.requests[o.Request].try
+	if t.answerSent { // a second answer: the client ignores it, and the judge must see it
 		l.w.record.answered(t)
 		return
 	}
-	t.told = true
+	t.answerSent = true
 	switch o.Result {
 	case protocol.Served:
 		t.answer, t.attempt = record.Served, o.Attempt
 	case protocol.Rejected:
-		t.answer, t.advice = record.Refused, o.After
+		t.answer, t.retryAfter = record.Refused, o.After
 	default:
 		t.answer = record.Failed
 	}
 	f := t.conn
 	crowded, pressing := l.descriptors.Pressure()
-	if pressing || crowded && !f.answered || l.end.closing || l.away {
+	if pressing || crowded && !f.used || l.shutdown.closing || l.sendingAway {
 		f.close()
 	}
-	f.answered = true
-	l.w.after(l.w.network.client, rankArrival, (*tryAnswered)(t))
+	f.used = true
+	l.w.scheduleAfter(l.w.network.client, rankArrival, (*tryAnswered)(t))
 }
 
 // close closes the connection at both ends.
-func (f *frontConn) close() {
+func (f *clientConn) close() {
 	if f.closed {
 		return
 	}
 	f.closed = true
-	if f.life.remote {
+	if f.proc.external {
 		f.client.w.wire.HangUp(f)
 	}
-	if f.counted && !f.life.dead {
+	if f.counted && !f.proc.dead {
 		f.counted = false
-		f.life.descriptors.ReleaseDownstream()
-		f.life.clients.held--
-		f.life.clients.freed(f.life)
-		f.life.endIfEmpty()
+		f.proc.descriptors.ReleaseDownstream()
+		f.proc.listener.accepted--
+		f.proc.listener.acceptWaiting(f.proc)
+		f.proc.exitIfUnused()
 	}
 }
 
-func (a *tryAnswered) happen() {
+func (a *tryAnswered) fire() {
 	t := (*try)(a)
-	if t.life.dead { // what its machine had not delivered is gone with it
-		(*tryLost)(t).happen()
+	if t.proc.dead { // undelivered data is lost with the process
+		(*tryLost)(t).fire()
 		return
 	}
-	if t.over {
+	if t.ended {
 		return
 	}
 	t.end()
 	w := t.agent.w
 	w.record.answered(t)
-	t.conn.rest()
+	t.conn.release()
 	if t.answer != record.Served {
-		t.again(t.answer == record.Refused)
+		t.retry(t.answer == record.Refused)
 	}
 }
 
-// rest puts a connection back for the next try, unless it is closed or connections are not kept.
-func (f *frontConn) rest() {
+// release keeps the connection for the next try, unless it is closed or clients keep no idle
+// connections.
+func (f *clientConn) release() {
 	w := f.client.w
-	keep := w.set.Clients.KeepIdle
+	keep := w.scenario.Clients.KeepIdle
 	switch {
-	case f.closed || f.life.dead:
+	case f.closed || f.proc.dead:
 	case keep == 0:
 		f.close()
 	default:
 		f.idleSince = w.now
 		f.client.idle = append(f.client.idle, f)
-		if !f.checking {
-			f.checking = true
-			w.after(f.mayRest(), rankClient, (*frontIdle)(f))
+		if !f.idleCheck {
+			f.idleCheck = true
+			w.scheduleAfter(f.idleTimeout(), rankClient, (*clientConnIdle)(f))
 		}
 	}
 }
 
-// mayRest is how long the connection may stand idle as things are.
-func (f *frontConn) mayRest() time.Duration {
-	most := min(f.client.w.set.Clients.KeepIdle, agentIdle)
-	if crowded, _ := f.life.descriptors.Pressure(); crowded {
+// idleTimeout is how long the connection may stay idle at present.
+func (f *clientConn) idleTimeout() time.Duration {
+	most := min(f.client.w.scenario.Clients.KeepIdle, agentIdle)
+	if crowded, _ := f.proc.descriptors.Pressure(); crowded {
 		most = min(most, crowdedIdle)
 	}
 	return most
 }
 
-type frontIdle frontConn
+type clientConnIdle clientConn
 
-func (i *frontIdle) happen() {
-	f := (*frontConn)(i)
-	f.checking = false
+func (i *clientConnIdle) fire() {
+	f := (*clientConn)(i)
+	f.idleCheck = false
 	at := slices.Index(f.client.idle, f)
-	if f.closed || f.life.dead || at < 0 {
+	if f.closed || f.proc.dead || at < 0 {
 		return
 	}
 	w := f.client.w
-	if left := f.idleSince + f.mayRest() - w.now; left > 0 {
-		f.checking = true
-		w.after(left, rankClient, i)
+	if left := f.idleSince + f.idleTimeout() - w.now; left > 0 {
+		f.idleCheck = true
+		w.scheduleAfter(left, rankClient, i)
 		return
 	}
 	f.client.idle = slices.Delete(f.client.idle, at, at+1)
 	f.close()
 }
 
-// happen has the client try again, or give up. It leaves a little later: an answer that comes by then is
-// late but not missing.
-func (l *tryLate) happen() {
+// fire makes the client retry or give up. The client leaves a little later, so that an answer within
+// the slack is recorded as late and not as missing.
+func (l *tryTimesOut) fire() {
 	t := (*try)(l)
-	if t.over {
+	if t.ended {
 		return
 	}
-	t.agent.w.after(t.agent.w.set.Rules.AnswerSlack+wireSlack, rankClient, (*tryLeaves)(t))
-	t.again(false)
-	t.late = true
+	t.agent.w.scheduleAfter(t.agent.w.scenario.Rules.AnswerSlack+wireSlack, rankClient, (*clientLeaves)(t))
+	t.retry(false)
+	t.timedOut = true
 }
 
-func (l *tryLeaves) happen() {
+func (l *clientLeaves) fire() {
 	t := (*try)(l)
-	if t.over {
+	if t.ended {
 		return
 	}
 	t.end()
 	w := t.agent.w
-	if t.taken {
-		w.record.take(record.Event{Kind: record.Left, Op: t.op, Agent: int32(t.agent.number)})
-	} else if !t.untaken { // it never got as far as the agent
+	if t.accepted {
+		w.record.add(record.Event{Kind: record.Left, Op: t.op, Agent: int32(t.agent.number)})
+	} else if !t.notAccepted { // it never reached the agent
 		w.record.try(record.Unreached, t)
 	}
-	w.after(w.network.client, rankArrival, (*tryLeft)(t))
+	w.scheduleAfter(w.network.client, rankArrival, (*clientLeft)(t))
 }
 
-func (l *tryLeft) happen() {
+func (l *clientLeft) fire() {
 	t := (*try)(l)
 	t.conn.close()
-	if t.taken && t.life.remote {
-		delete(t.life.operations, t.op)
+	if t.accepted && t.proc.external {
+		delete(t.proc.requests, t.op)
 	}
-	if t.taken && !t.life.dead {
-		t.life.post(message{kind: clientGone, try: t})
+	if t.accepted && !t.proc.dead {
+		t.proc.post(message{kind: clientGone, try: t})
 	}
 }
 
-// resetAll breaks the connections of a client whose agent was killed.
-func (c *client) resetAll(l *life) {
-	c.idle = slices.DeleteFunc(c.idle, func(f *frontConn) bool { return f.life == l })
+// resetAll breaks the client's connections to an agent process that has ended.
+func (c *client) resetAll(l *agentProcess) {
+	c.idle = slices.DeleteFunc(c.idle, func(f *clientConn) bool { return f.proc == l })
 	w := c.w
 	for _, t := range l.unanswered() {
-		w.after(w.network.client, rankArrival, (*tryLost)(t))
+		w.scheduleAfter(w.network.client, rankArrival, (*tryLost)(t))
 	}
-	for _, t := range l.clients.waiting {
-		if !t.over {
+	for _, t := range l.listener.waiting {
+		if !t.ended {
 			t.unreached()
 		}
 	}
 }
 
-// unanswered returns the tries that the agent has taken and whose clients still wait, in the order in which
-// they came.
-func (l *life) unanswered() []*try {
+// unanswered returns the accepted tries whose clients still wait, in order of arrival.
+func (l *agentProcess) unanswered() []*try {
 	var held []*try
-	for _, o := range l.operations {
-		if !o.try.over && !o.try.told {
+	for _, o := range l.requests {
+		if !o.try.ended && !o.try.answerSent {
 			held = append(held, o.try)
 		}
 	}
@@ -369,151 +373,150 @@
 	return held
 }
 
-func (l *tryLost) happen() {
+func (l *tryLost) fire() {
 	t := (*try)(l)
-	if t.over {
+	if t.ended {
 		return
 	}
 	t.end()
-	t.agent.w.record.take(record.Event{Kind: record.Lost, Op: t.op, Agent: int32(t.agent.number)})
-	t.again(false)
+	t.agent.w.record.add(record.Event{Kind: record.Lost, Op: t.op, Agent: int32(t.agent.number)})
+	t.retry(false)
 }
 
-func (u *tryUnreached) happen() {
-	if t := (*try)(u); !t.over {
+func (u *tryUnreached) fire() {
+	if t := (*try)(u); !t.ended {
 		t.end()
-		t.again(true)
+		t.retry(true)
 	}
 }
 
-// end ends the try: the client waits for nothing more of it.
+// end ends the try: the client no longer waits for it.
 func (t *try) end() {
-	t.over = true
-	t.agent.w.open--
+	t.ended = true
+	t.agent.w.pending--
 }
 
-// again has the client try again after what cannot have run, or what may be repeated, as often as it does
-// so and while there is time. Where its time was over it has done so already.
-func (t *try) again(neverRan bool) {
-	if t.late {
+// retry schedules the client's next try, if the request cannot have run or is safe to repeat, and if
+// retries and time are left. After a timeout the retry has already been scheduled.
+func (t *try) retry(neverRan bool) {
+	if t.timedOut {
 		return
 	}
 	q := t.request
 	w := t.agent.w
-	set := &w.set.Clients
-	class := &w.set.Classes[q.class]
+	set := &w.scenario.Clients
+	class := &w.scenario.Classes[q.class]
 	wait := w.backoff
 	switch set.Backoff {
 	case scenario.AtOnce:
 		wait = 0
 	case scenario.Exponential:
-		wait <<= min(t.nth, 20)
+		wait <<= min(t.number, 20)
 	}
-	if w.set.Allow.RetryAfter && lot(q.lots, 0, lotHonours) < w.honour {
-		wait = max(wait, min(t.advice, w.set.Allow.MaxRetryAfter))
+	if w.scenario.Allow.RetryAfter && hashedDraw(q.drawSeed, 0, lotHonors) < w.honorShare {
+		wait = max(wait, min(t.retryAfter, w.scenario.Allow.MaxRetryAfter))
 	}
 	may := neverRan || class.Effect == scenario.Safe
-	if !may || t.nth >= set.Retries || w.now+wait >= q.deadline {
+	if !may || t.number >= set.Retries || w.now+wait >= q.deadline {
 		return
 	}
-	w.open++
-	w.after(wait, rankClient, (*tryAgain)(t))
+	w.pending++
+	w.scheduleAfter(wait, rankClient, (*tryRetries)(t))
 }
 
-func (a *tryAgain) happen() {
+func (a *tryRetries) fire() {
 	t := (*try)(a)
-	t.agent.w.open--
-	t.request.ask(t.nth + 1)
+	t.agent.w.pending--
+	t.request.send(t.number + 1)
 }
 
-// source draws a client's requests ahead of whatever becomes of them: first tries come whether or not those
-// before are answered.
+// source generates the first tries of a client in an open loop, independent of the answers.
 type source struct {
 	client *client
-	chance stream
-	perS   float64 // the mean
+	rng    stream
+	perS   float64 // mean requests per second
 	from   time.Duration
 	until  time.Duration
 	next   time.Duration
 }
 
-// start draws the first request.
+// start schedules the first request.
 func (s *source) start() {
 	s.next = s.from
-	s.plan()
+	s.scheduleNext()
 }
 
-// plan finds when the next request, or burst of them, comes: at the highest rate of the day, of which so
-// many are passed over that the rate at that time is left.
-func (s *source) plan() {
+// scheduleNext draws the time of the next request or burst by thinning: candidates come at the run's
+// peak rate and are discarded so that the rate at that time remains.
+func (s *source) scheduleNext() {
 	w := s.client.w
-	highest := s.perS * w.highest
-	if w.set.Load.Arrivals == scenario.Bursty {
-		highest /= max(w.set.Load.BurstMean, 1)
+	highest := s.perS * w.peakFactor
+	if w.scenario.Load.Arrivals == scenario.Bursty {
+		highest /= max(w.scenario.Load.BurstMean, 1)
 	}
 	if highest <= 0 {
 		return
 	}
 	for {
-		s.next += time.Duration(s.chance.ExpFloat64() / highest * float64(time.Second))
+		s.next += time.Duration(s.rng.ExpFloat64() / highest * float64(time.Second))
 		if s.next >= s.until || s.next < 0 {
 			return
 		}
-		if s.chance.Float64()*w.highest < w.swings(s.next) {
+		if s.rng.Float64()*w.peakFactor < w.loadFactor(s.next) {
 			break
 		}
 	}
-	w.enter(s.next, rankClient, s)
+	w.schedule(s.next, rankClient, s)
 }
 
-func (s *source) happen() {
+func (s *source) fire() {
 	w := s.client.w
 	n, span := 1, time.Duration(0)
-	if w.set.Load.Arrivals == scenario.Bursty {
-		span = w.set.Load.BurstSpan
-		if mean := w.set.Load.BurstMean; mean > 1 {
-			n += int(math.Log(1-s.chance.Float64()) / math.Log(1-1/mean))
+	if w.scenario.Load.Arrivals == scenario.Bursty {
+		span = w.scenario.Load.BurstSpan
+		if mean := w.scenario.Load.BurstMean; mean > 1 {
+			n += int(math.Log(1-s.rng.Float64()) / math.Log(1-1/mean))
 		}
 	}
 	for range n {
 		q := s.draw()
-		wait := time.Duration(s.chance.Float64() * float64(span))
-		left := w.keeps < 1 && lot(q.lots, 0, lotKept) >= w.keeps
-		if left || s.next+wait >= s.until { // a burst is cut off by the day's end
+		wait := time.Duration(s.rng.Float64() * float64(span))
+		left := w.trafficKept < 1 && hashedDraw(q.drawSeed, 0, lotKept) >= w.trafficKept
+		if left || s.next+wait >= s.until { // no request after the end of the run
 			continue
 		}
-		w.open++
-		w.after(wait, rankClient, (*requestComes)(q))
+		w.pending++
+		w.scheduleAfter(wait, rankClient, (*requestStarts)(q))
 	}
-	s.plan()
+	s.scheduleNext()
 }
 
-type requestComes request
+type requestStarts request
 
-func (r *requestComes) happen() {
+func (r *requestStarts) fire() {
 	q := (*request)(r)
 	w := q.client.w
-	w.open--
+	w.pending--
 	if w.plan != nil {
-		w.plan.planned(w.now, q)
+		w.plan.addArrival(w.now, q)
 		return
 	}
-	q.deadline = w.now + w.set.Classes[q.class].Deadline
-	q.ask(0)
+	q.deadline = w.now + w.scenario.Classes[q.class].Deadline
+	q.send(0)
 }
 
-// draw draws what a request is.
+// draw draws a request's properties.
 func (s *source) draw() *request {
 	w := s.client.w
-	q := &request{client: s.client, class: w.classes.pick(s.chance), tenant: record.NoTenant}
+	q := &request{client: s.client, class: w.classes.pick(s.rng), tenant: record.NoTenant}
 	if len(w.tenants) > 0 {
-		q.tenant = uint8(w.tenants.pick(s.chance))
+		q.tenant = uint8(w.tenants.pick(s.rng))
 	}
 	if len(w.keys) > 0 {
-		q.key = uint32(w.keys.pick(s.chance)) + 1
+		q.key = uint32(w.keys.pick(s.rng)) + 1
 	}
-	class := &w.set.Classes[q.class]
-	exp, normal := s.chance.ExpFloat64(), s.chance.NormFloat64()
+	class := &w.scenario.Classes[q.class]
+	exp, normal := s.rng.ExpFloat64(), s.rng.NormFloat64()
 	q.work = w.meanWork[q.class].Seconds()
 	switch class.Dist {
 	case "exp":
@@ -522,6 +525,6 @@
 		q.work *= lognormal(w.workCV[q.class], normal)
 	}
 	q.work = max(q.work, 1e-6)
-	q.lots = s.chance.Uint64()
+	q.drawSeed = s.rng.Uint64()
 	return q
 }
--- a/internal/rehearsal/world/client_test.go
+++ b/internal/rehearsal/world/client_test.go
@@ -17,14 +17,14 @@
 	"dunestep/internal/routing"
 )
 
-// TestTraffic: the first tries come as often as the scenario says, over the day and in its course.
-func TestTraffic(t *testing.T) {
+// TestFirstTriesFollowLoad: the first tries come as often as the scenario says, over the day and in its course.
+func TestFirstTriesFollowLoad(t *testing.T) {
 	for _, shape := range []scenario.Shape{scenario.Steady, scenario.Ramp, scenario.Wave} {
 		for _, arrivals := range []scenario.Arrivals{scenario.Poisson, scenario.Bursty} {
-			set := deployment(dayLength)
+			set := deployment(runLength)
 			set.Load.Shape, set.Load.Swing, set.Load.Arrivals = shape, span(0.5, 0.5), arrivals
 			d := play(t, set, 7, Options{})
-			first, second := d.count(record.Asked, 0, dayLength/2, firstTry), d.count(record.Asked, dayLength/2, dayLength, firstTry)
+			first, second := d.count(record.Asked, 0, runLength/2, firstTry), d.count(record.Asked, runLength/2, runLength, firstTry)
 			scatter := math.Sqrt(330 * 20)
 			if arrivals == scenario.Bursty {
 				scatter *= math.Sqrt(2 * set.Load.BurstMean)
@@ -34,7 +34,7 @@
 			require.InDelta(t, 330*20*(1-lean), second, 4*scatter, "%s %s", shape, arrivals)
 			classes, keys := [2]float64{}, map[uint32]int{}
 			work := [2]float64{}
-			for _, e := range d.of(record.Asked) {
+			for _, e := range d.ofKind(record.Asked) {
 				if e.Try == 0 {
 					classes[e.Class]++
 					keys[e.Key]++
@@ -43,15 +43,15 @@
 			}
 			n := classes[0] + classes[1]
 			require.InDelta(t, 0.72, classes[0]/n, 0.02)
-			require.InDelta(t, d.day.MeanWork[0].Seconds(), work[0]/classes[0], 0.006)
-			require.InDelta(t, d.day.MeanWork[1].Seconds(), work[1]/classes[1], 0.006)
+			require.InDelta(t, d.run.MeanWork[0].Seconds(), work[0]/classes[0], 0.006)
+			require.InDelta(t, d.run.MeanWork[1].Seconds(), work[1]/classes[1], 0.006)
 			require.Greater(t, keys[1], 3*keys[100], "some keys are far more popular")
 		}
 	}
 }
 
-// TestRetries: every server turns all away; clients come again as often and after such waits as they do.
-func TestRetries(t *testing.T) {
+// TestClientRetryBackoff: every server turns all away; clients come again as often and after such waits as they do.
+func TestClientRetryBackoff(t *testing.T) {
 	const wait = 60 * time.Millisecond
 	for _, c := range []struct {
 		backoff scenario.Backoff
@@ -65,7 +65,7 @@
 		{scenario.Fixed, 0, 0, nil},
 		{scenario.Fixed, 1, 1, nil},
 	} {
-		d := troubled(t, scenario.Trouble{Kind: scenario.Refusing, Part: span(1, 1)}, func(set *scenario.Scenario) {
+		d := playFault(t, scenario.Trouble{Kind: scenario.Refusing, Part: span(1, 1)}, func(set *scenario.Scenario) {
 			set.Clients.Backoff, set.Clients.Retries, set.Clients.BackoffWait = c.backoff, c.retries, ms(60, 60)
 			set.Clients.Honour, set.Clients.Impatient = span(c.honour, c.honour), span(0, 0)
 			set.Clients.TryShare = span(1, 1)
@@ -79,7 +79,7 @@
 		waits := map[int][]time.Duration{}
 		heeded := 0
 		for _, e := range d.events {
-			if e.At < troubleFrom+time.Second || e.At > troubleTo-time.Second {
+			if e.At < faultStart+time.Second || e.At > faultEnd-time.Second {
 				continue
 			}
 			switch e.Kind {
@@ -111,8 +111,8 @@
 	}
 }
 
-// TestSameDay plays one day in processes of their own with one core and with eight.
-func TestSameDay(t *testing.T) {
+// TestSameRunOnAnyCoreCount plays one day in processes of their own with one core and with eight.
+func TestSameRunOnAnyCoreCount(t *testing.T) {
 	if os.Getenv("WORLD_PRINT_DAY") != "" {
 		set := deployment(20 * time.Second)
 		for _, k := range []scenario.TroubleKind{scenario.Deploy, scenario.AgentsKilled, scenario.Silent, scenario.Reset} {
@@ -122,7 +122,7 @@
 			})
 		}
 		d := play(t, set, 11, Options{})
-		fmt.Printf("day %x\n", sha256.Sum256(fmt.Append(nil, d.day, d.servers, d.events, d.samples)))
+		fmt.Printf("day %x\n", sha256.Sum256(fmt.Append(nil, d.run, d.servers, d.events, d.samples)))
 		return
 	}
 	var days []string
@@ -142,21 +142,21 @@
 }
 
 // A second answer to one operation is put on record, though the client has its answer: the judge is to find it.
-func TestSecondAnswerIsOnRecord(t *testing.T) {
-	l := newLab(func(*scenario.Scenario, *machine) {})
-	life := &life{w: l.world, agent: l.agents[0], descriptors: routing.NewDescriptors(1024)}
+func TestSecondAnswerIsRecorded(t *testing.T) {
+	l := newTestbed(func(*scenario.Scenario, *machine) {})
+	life := &agentProcess{w: l.world, agent: l.agents[0], descriptors: routing.NewDescriptors(1024)}
 	l.agents[0].client = &client{w: l.world, agent: l.agents[0]}
 	q := &request{client: l.agents[0].client}
 	tried := &try{
-		request: q, agent: l.agents[0], life: life, op: 1, taken: true,
-		conn: &frontConn{client: l.agents[0].client, life: life},
+		request: q, agent: l.agents[0], proc: life, op: 1, accepted: true,
+		conn: &clientConn{client: l.agents[0].client, proc: life},
 	}
-	life.operations = map[uint32]*operation{7: {try: tried}}
+	life.requests = map[uint32]*agentRequest{7: {try: tried}}
 	answer := routing.Output{Kind: routing.Respond, Request: 7, Result: protocol.Failed}
-	life.answer(&answer)
-	l.run(time.Second)
-	require.Len(t, l.diary.of(record.Answered), 1)
-	life.answer(&answer)
-	l.run(time.Second)
-	require.Len(t, l.diary.of(record.Answered), 2)
+	life.respond(&answer)
+	l.advance(time.Second)
+	require.Len(t, l.sink.ofKind(record.Answered), 1)
+	life.respond(&answer)
+	l.advance(time.Second)
+	require.Len(t, l.sink.ofKind(record.Answered), 2)
 }
--- a/internal/rehearsal/world/conn.go
+++ b/internal/rehearsal/world/conn.go
@@ -8,125 +8,126 @@
 	"dunestep/internal/routing"
 )
 
-// readsSlowly is how much later a slow reader has a request.
-const readsSlowly = 100 * time.Millisecond
+// slowReaderDelay is the extra time a slow reader takes to read a request.
+const slowReaderDelay = 100 * time.Millisecond
 
-// noSettling is how long an agent's connections rest after an answer: in this world no second answer comes
-// late, and agents that wait for one gain nothing. Live, agents do.
-const noSettling = 0
+// noSettleTime is how long an agent keeps a connection unused after an answer. Simulated servers send
+// no second answer, so that agents gain nothing by waiting; agents in real time do wait.
+const noSettleTime = 0
 
-// conn is a connection from an agent to a booking server's process. Each end has its own view of it, as
-// what passes between them takes time.
+// conn is a connection from an agent to an upstream server's process. Each end has its own view of it,
+// because data takes time to pass between them.
 type conn struct {
-	link    *link
-	life    *life // the agent's, that opened it
-	pool    *upstream
-	slot    int      // among those that the agent has open
-	process *process // nil until the machine has accepted it
-	step    *step    // on it now
+	link      *link
+	proc      *agentProcess // the agent process that opened it
+	upstream  *upstream
+	openIndex int            // index in the agent's open connections
+	process   *serverProcess // nil until the server has accepted it
+	attempt   *attempt       // in progress on it
 
 	// The agent's end.
 	closed bool
 
-	// The machine's end.
-	place         int  // in the process's connections; below zero: not there
-	over          bool // the process takes and gives nothing more
-	lost          bool // forgotten on the way, without a word
-	greeted       bool // the handshake is done or in work
+	// The server's end.
+	processIndex  int  // index in the process's connections; negative: not there
+	ended         bool // the process reads and writes nothing more
+	forgotten     bool // forgotten by a middlebox without a notice to either end
+	handshakeDone bool // the handshake is done or in progress
 	handshakeWork float64
-	idleCheck     bool // one is entered
-	quietSince    time.Duration
+	idleCheck     bool // an idle check is scheduled
+	idleSince     time.Duration
 
-	wire        StepConn // of a real agent's; nil: the network is a model
-	greetedOnce bool     // a route step has come on it
+	wire StepConn // of a real agent; nil: simulated
+	used bool     // it has carried an attempt
 
-	usedAt             time.Duration // when something last passed, as the agent sees it
-	toProcess, toAgent time.Duration // arrival of what was sent last
-	counted            bool          // as open, in the record
+	usedAt                    time.Duration // last transfer, as the agent sees it
+	lastToServer, lastToAgent time.Duration // arrival time of the last data sent
+	counted                   bool          // recorded as open
 }
 
 type (
-	connReaches  conn // the wish to connect is at the machine
-	connUp       conn // the machine's consent is at the agent
-	connClosing  conn // the agent's close is at the machine
-	connBreaking conn // the machine's close or reset is at the agent
-	connIdle     conn // it may have stood idle for the deployment's time
+	connArrives   conn // the connect reaches the server
+	connAccepted  conn // the server's acceptance reaches the agent
+	connClosing   conn // the agent's close reaches the server
+	connBreaking  conn // the server's close or reset reaches the agent
+	connIdleCheck conn // checks the server's idle timeout
 )
 
-// open begins to connect to whoever is at the address. Where the way is cut, nothing answers in time.
+// open begins to connect to the server at the address. If the path is cut, nothing answers in time.
 func (c *conn) open() {
 	w := c.link.w
-	if c.link.cutUntil() > 0 || c.link.server.mute {
+	if c.link.cutUntil() > 0 || c.link.server.unanswering {
 		return
 	}
-	if late := w.lateBy(); late > 0 {
-		w.after(late, rankTimer, (*connLate)(c))
+	if late := w.connectDelay(); late > 0 {
+		w.scheduleAfter(late, rankTimer, (*connRetransmit)(c))
 		return
 	}
-	c.reach()
+	c.sendConnect()
 }
 
-// reach has the wish to connect arrive at the machine.
-func (c *conn) reach() {
-	c.link.w.enter(c.link.arrival(&c.toProcess, 1), rankArrival, (*connReaches)(c))
+// sendConnect sends the connect to the server.
+func (c *conn) sendConnect() {
+	c.link.w.schedule(c.link.arrival(&c.lastToServer, 1), rankArrival, (*connArrives)(c))
 }
 
-func (e *connReaches) happen() {
+func (e *connArrives) fire() {
 	c := (*conn)(e)
 	w := c.link.w
 	p := c.link.server.process
 	if c.link.agent.toServers.reset > w.now || !p.accept(c) {
-		w.enter(c.link.arrival(&c.toAgent, 1), rankArrival, (*connBreaking)(c))
+		w.schedule(c.link.arrival(&c.lastToAgent, 1), rankArrival, (*connBreaking)(c))
 		return
 	}
 	c.process = p
-	c.quietSince = w.now
+	c.idleSince = w.now
 	m := &p.server.machine
 	c.handshakeWork = m.handshakeWork
 	c.counted = true
 	w.record.conn(record.Opened, c)
-	w.enter(c.link.arrival(&c.toAgent, 1), rankArrival, (*connUp)(c))
+	w.schedule(c.link.arrival(&c.lastToAgent, 1), rankArrival, (*connAccepted)(c))
 	c.watchIdle()
 }
 
-func (e *connUp) happen() {
+func (e *connAccepted) fire() {
 	c := (*conn)(e)
-	if c.life.still(e) || c.closed || c.wire != nil { // a real agent writes when it likes
+	if c.proc.deferIfPaused(e) || c.closed || c.wire != nil { // a real agent writes on its own
 		return
 	}
-	c.life.connects.Connected(c.link.w.now - c.usedAt)
+	c.proc.connectTimeouts.Connected(c.link.w.now - c.usedAt)
 	c.usedAt = c.link.w.now
-	c.write()
+	c.send()
 }
 
-// write sends the route step that is on the connection. The first has the rest of the handshake before it.
-func (c *conn) write() {
+// write sends the connection's attempt. The first one is preceded by the rest of the handshake.
+func (c *conn) send() {
 	w := c.link.w
-	s := c.step
+	s := c.attempt
 	s.phase = routing.AwaitingResponse
 	w.record.sent(s)
-	if c.lost {
+	if c.forgotten {
 		return
 	}
-	// A machine on the way answers with a reset where it does not know the connection any more.
-	if w.forgetsAfter > 0 && w.now-c.usedAt > w.forgetsAfter {
-		w.enter(c.link.arrival(&c.toAgent, 2), rankArrival, (*connBreaking)(c))
+	// A middlebox that has forgotten the connection answers with a reset.
+	if w.idleForgetting > 0 && w.now-c.usedAt > w.idleForgetting {
+		w.schedule(c.link.arrival(&c.lastToAgent, 2), rankArrival, (*connBreaking)(c))
 		return
 	}
 	trips := 1.0
-	if !c.greeted {
+	if !c.handshakeDone {
 		trips += 2 * max(c.link.server.machine.trips-1, 0)
-		if c.wire != nil { // on loopback it is up at once
+		if c.wire != nil { // a loopback connect takes no round trip
 			trips += 2
 		}
 	}
 	c.usedAt = w.now
-	c.toProcess = max(c.toProcess, c.link.agent.toServers.out)
-	arrives := c.link.arrival(&c.toProcess, trips)
-	if v := c.link.server; v.fault == scenario.SlowReader && lot(w.seed, s.number, lotFault) < v.faulty {
-		arrives += readsSlowly
+	c.lastToServer = max(c.lastToServer, c.link.agent.toServers.out)
+	arrives := c.link.arrival(&c.lastToServer, trips)
+	if v := c.link.server; v.fault == scenario.SlowReader &&
+		hashedDraw(w.seed, s.drawSeed, lotFault) < v.faultShare {
+		arrives += slowReaderDelay
 	}
-	w.enter(arrives, rankArrival, (*stepReaches)(s))
+	w.schedule(arrives, rankArrival, (*attemptArrives)(s))
 }
 
 // close closes the agent's end.
@@ -135,22 +136,22 @@
 		return
 	}
 	c.closed = true
-	c.life.released(c)
-	c.toProcess = max(c.toProcess, c.link.agent.toServers.out)
-	c.link.w.enter(c.link.arrival(&c.toProcess, 1), rankArrival, (*connClosing)(c))
+	c.proc.connReleased(c)
+	c.lastToServer = max(c.lastToServer, c.link.agent.toServers.out)
+	c.link.w.schedule(c.link.arrival(&c.lastToServer, 1), rankArrival, (*connClosing)(c))
 }
 
-func (e *connClosing) happen() { (*conn)(e).hungUp() }
+func (e *connClosing) fire() { (*conn)(e).closedByAgent() }
 
-// hungUp takes in at the machine that the agent has closed.
-func (c *conn) hungUp() {
-	if c.over || c.process == nil {
+// closedByAgent handles the agent's close at the server.
+func (c *conn) closedByAgent() {
+	if c.ended || c.process == nil {
 		return
 	}
-	c.over = true
+	c.ended = true
 	c.uncount()
 	if c.process.state != processDown {
-		c.process.hangUp(c)
+		c.process.connClosed(c)
 	}
 }
 
@@ -161,22 +162,22 @@
 	}
 }
 
-// reset breaks the connection at the machine's end; the process no longer has it.
+// reset breaks the connection from the server's end, after the process has removed it.
 func (c *conn) reset() {
-	if c.over {
+	if c.ended {
 		return
 	}
-	c.over = true
+	c.ended = true
 	c.uncount()
-	if a := c.link.agent; a.toServers.reset <= c.link.w.now { // a reset comes through
-		c.toAgent = max(c.toAgent, a.toServers.back)
+	if a := c.link.agent; a.toServers.reset <= c.link.w.now { // not delayed if the stream fault is a reset
+		c.lastToAgent = max(c.lastToAgent, a.toServers.back)
 	}
-	c.link.w.enter(c.link.arrival(&c.toAgent, 1), rankArrival, (*connBreaking)(c))
+	c.link.w.schedule(c.link.arrival(&c.lastToAgent, 1), rankArrival, (*connBreaking)(c))
 }
 
-// drop has the process give the connection up.
+// drop makes the process give up the connection.
 func (c *conn) drop() {
-	if c.over {
+	if c.ended {
 		return
 	}
 	if c.process.state != processDown {
@@ -185,35 +186,35 @@
 	c.reset()
 }
 
-func (e *connBreaking) happen() {
+func (e *connBreaking) fire() {
 	c := (*conn)(e)
-	if c.life.still(e) || c.closed {
+	if c.proc.deferIfPaused(e) || c.closed {
 		return
 	}
 	if c.wire != nil {
-		c.breakWire()
+		c.breakExternal()
 		return
 	}
-	if s := c.step; s != nil && !s.ended {
+	if s := c.attempt; s != nil && !s.ended {
 		s.end(routing.BrokenByEndpoint)
 		return
 	}
-	closeAll(c.pool.pool.ConnectionEnded(c))
+	closeAll(c.upstream.pool.ConnectionEnded(c))
 }
 
-// answer sends a process's answer to the agent, unless the connection is over.
-func (c *conn) answer(s *step, kind replyKind) {
+// answer sends a process's answer to the agent, unless the connection has ended.
+func (c *conn) answer(s *attempt, kind replyKind) {
 	w := c.link.w
-	if c.over {
+	if c.ended {
 		return
 	}
-	if s.resets && s.resetsAfter { // it has run
+	if s.reset && s.resetAfterRun { // after it has run
 		c.drop()
 		return
 	}
 	s.reply = kind
-	c.quietSince = w.now
-	c.lost = s.fault == scenario.Forgets
+	c.idleSince = w.now
+	c.forgotten = s.fault == scenario.Forgets
 	if c.wire == nil {
 		switch s.fault.Effect() {
 		case scenario.Unanswered:
@@ -222,32 +223,32 @@
 			c.drop()
 			return
 		case scenario.Spoils:
-			s.reply = replySpoilt
+			s.reply = replyUnreadable
 		case scenario.LastAnswer:
 			defer c.drop()
 		}
 	}
-	c.toAgent = max(c.toAgent, c.link.agent.toServers.back)
-	w.enter(c.link.arrival(&c.toAgent, 1), rankArrival, (*stepAnswered)(s))
+	c.lastToAgent = max(c.lastToAgent, c.link.agent.toServers.back)
+	w.schedule(c.link.arrival(&c.lastToAgent, 1), rankArrival, (*attemptAnswered)(s))
 	c.watchIdle()
 }
 
-// watchIdle has the machine close the connection once it has stood idle for the deployment's time.
+// watchIdle schedules the server's close of the connection after the idle timeout.
 func (c *conn) watchIdle() {
 	if !c.idleCheck {
 		c.idleCheck = true
-		c.link.w.enter(c.quietSince+c.link.w.set.Connections.Idle, rankServer, (*connIdle)(c))
+		c.link.w.schedule(c.idleSince+c.link.w.scenario.Connections.Idle, rankServer, (*connIdleCheck)(c))
 	}
 }
 
-func (e *connIdle) happen() {
+func (e *connIdleCheck) fire() {
 	c := (*conn)(e)
 	c.idleCheck = false
-	busy := c.step != nil && c.step.job != nil
+	busy := c.attempt != nil && c.attempt.job != nil
 	switch {
-	case c.over:
-	case busy: // the answer will look again
-	case c.link.w.now-c.quietSince < c.link.w.set.Connections.Idle:
+	case c.ended:
+	case busy: // the answer schedules the next check
+	case c.link.w.now-c.idleSince < c.link.w.scenario.Connections.Idle:
 		c.watchIdle()
 	default:
 		c.drop()
--- a/internal/rehearsal/world/discovery.go
+++ b/internal/rehearsal/world/discovery.go
@@ -11,124 +11,126 @@
 	"dunestep/internal/rehearsal/record"
 )
 
-// listed is a booking server as discovery lists it.
-type listed struct {
+// listEntry is an upstream server's entry in the endpoint list.
+type listEntry struct {
 	server  *server
 	state   balancer.ServerState
-	started time.Duration // zero: long ago
+	started time.Duration // zero: before the run
 }
 
-// discovery keeps the list and answers when asked. It learns late what the processes do, works through
-// its calls one after another, and tells its watches what has changed now and then.
+// discovery keeps the endpoint list and answers calls. It learns of process changes with a delay,
+// handles its calls one after another, and sends changes to its watches periodically.
 type discovery struct {
-	w       *world
-	known   []listed // by the server's number: what it holds to be so
-	version int64
-	log     []change // all that was ever published
-	listing []listed // as published, by the server's number
-	learnt  []int    // the number of the latest news of each server that it has taken in
-	news    []int    // that there is
-	emptied int      // troubles that empty the list
-	down    int      // troubles that keep it down
+	w             *world
+	learned       []listEntry // by server number: the state that it has learned
+	version       int64
+	changes       []change    // all published changes
+	published     []listEntry // by server number: the published state
+	appliedUpdate []int       // by server number: the last update that it has applied
+	lastUpdate    []int       // by server number: the last update that was sent to it
+	emptyFaults   int         // active faults that empty the list
+	downFaults    int         // active faults that keep it down
 
 	notice, silentNotice, join, period, spread, timeout time.Duration
-	each                                                time.Duration // that a call takes
+	callCost                                            time.Duration // processing time of a call
 	freeAt                                              time.Duration
-	calls                                               []*call // waiting or watching, in the order they came
+	calls                                               []*call // waiting calls and open watches, by arrival
 	flushing                                            bool
-	whole                                               protocol.EndpointList // put together last
+	cachedFull                                          protocol.EndpointList // last one built
 }
 
-// change is an entry of the list as it changed with a version.
+// change is a published entry, with the list version that it came with.
 type change struct {
-	listed
+	listEntry
 	version int64
 	at      time.Duration
 }
 
-// call is an agent's call, which waits for its turn and then, where it is a watch, stays.
+// call is an agent's call. It waits until discovery handles it; a watch then stays open.
 type call struct {
-	d      *discovery
-	life   *life
-	number int
-	watch  bool
-	told   int64 // the version that the agent has
-	taken  bool
-	over   bool
-	lag    time.Duration // after the first watches are told
-	spoke  time.Duration // when something last came on it, but for the lines that say that nothing changes
-	silent bool          // nothing comes any more
-	wire   ListConn      // of a real agent's
+	d           *discovery
+	proc        *agentProcess
+	number      int
+	watch       bool
+	sentVersion int64 // the list version that was sent last
+	accepted    bool
+	ended       bool
+	lag         time.Duration // delay of updates after the first watches get them
+	lastSent    time.Duration // last message on it, keep-alive lines excluded
+	silent      bool          // nothing more is sent on it
+	wire        ListConn      // of a real agent
 }
 
 var (
-	errDown      = errors.New("discovery is down")
-	errWaited    = errors.New("the call waited too long")
-	errCancelled = errors.New("the call was ended")
-	errReset     = errors.New("the call was reset")
+	errDown        = errors.New("discovery is down")
+	errCallTimeout = errors.New("the call waited too long")
+	errCanceled    = errors.New("the call was ended")
+	errReset       = errors.New("the call was reset")
 )
 
 func newDiscovery(w *world) *discovery {
-	s := &w.set.Discovery
-	chance := newStream(w.seed, "discovery")
+	s := &w.scenario.Discovery
+	rng := newStream(w.seed, "discovery")
 	d := &discovery{
-		w: w, notice: s.Notice.Draw(chance.Rand), silentNotice: s.SilentNotice.Draw(chance.Rand),
-		join: s.Join.Draw(chance.Rand), period: s.Period.Draw(chance.Rand), spread: s.Spread.Draw(chance.Rand),
+		w: w, notice: s.Notice.Draw(rng.Rand), silentNotice: s.SilentNotice.Draw(rng.Rand),
+		join: s.Join.Draw(rng.Rand), period: s.Period.Draw(rng.Rand), spread: s.Spread.Draw(rng.Rand),
 		timeout: s.Timeout, version: 1,
 	}
-	d.each = time.Duration(float64(time.Second) / s.CallsPerS.Draw(chance.Rand))
+	d.callCost = time.Duration(float64(time.Second) / s.CallsPerS.Draw(rng.Rand))
 	return d
 }
 
-// begin lists the servers that run when the day begins.
-func (d *discovery) begin() {
+// publishInitial lists the servers that run at the start.
+func (d *discovery) publishInitial() {
 	for _, s := range d.w.servers {
-		d.room(s)
-		d.known[s.number] = s.entry(balancer.Ready)
-		d.listing[s.number] = d.known[s.number]
-		d.log = append(d.log, change{listed: d.known[s.number], version: d.version})
+		d.grow(s)
+		d.learned[s.number] = s.entry(balancer.Ready)
+		d.published[s.number] = d.learned[s.number]
+		d.changes = append(d.changes, change{listEntry: d.learned[s.number], version: d.version})
 	}
 }
 
-// room makes room for a server; until it is known it counts as gone.
-func (d *discovery) room(s *server) {
-	for len(d.known) <= s.number {
-		gone := listed{server: d.w.servers[len(d.known)], state: balancer.Gone}
-		d.known, d.listing = append(d.known, gone), append(d.listing, gone)
-		d.learnt, d.news = append(d.learnt, 0), append(d.news, 0)
+// grow extends the lists to include a server; it counts as gone until discovery learns of it.
+func (d *discovery) grow(s *server) {
+	for len(d.learned) <= s.number {
+		gone := listEntry{server: d.w.servers[len(d.learned)], state: balancer.Gone}
+		d.learned, d.published = append(d.learned, gone), append(d.published, gone)
+		d.appliedUpdate, d.lastUpdate = append(d.appliedUpdate, 0), append(d.lastUpdate, 0)
 	}
 }
 
-// hears has discovery learn of a server after a time. Older news that comes later is passed over.
-func (d *discovery) hears(l listed, after time.Duration) {
-	d.room(l.server)
-	d.news[l.server.number]++
-	d.w.after(after, rankTrouble, &notice{d: d, listed: l, number: d.news[l.server.number]})
+// learnAfter makes discovery learn of a server's state after a delay. An older update that arrives
+// later is ignored.
+func (d *discovery) learnAfter(l listEntry, after time.Duration) {
+	d.grow(l.server)
+	d.lastUpdate[l.server.number]++
+	d.w.scheduleAfter(after, rankEnvironment,
+		&pendingUpdate{d: d, listEntry: l, number: d.lastUpdate[l.server.number]})
 }
 
-type notice struct {
+type pendingUpdate struct {
 	d *discovery
-	listed
+	listEntry
 	number int
 }
 
-func (n *notice) happen() {
+func (n *pendingUpdate) fire() {
 	d := n.d
 	i := n.server.number
-	if n.number < d.learnt[i] {
+	if n.number < d.appliedUpdate[i] {
 		return
 	}
-	d.learnt[i] = n.number
-	d.known[i] = n.listed
-	if d.emptied == 0 {
-		d.publish(n.listed)
+	d.appliedUpdate[i] = n.number
+	d.learned[i] = n.listEntry
+	if d.emptyFaults == 0 {
+		d.publish(n.listEntry)
 	}
 }
 
-// empty has the list name no server as there; refill ends that.
-func (d *discovery) empty() {
-	d.emptied++
-	for _, l := range d.listing {
+// clearList publishes a list without servers; restoreList ends that.
+func (d *discovery) clearList() {
+	d.emptyFaults++
+	for _, l := range d.published {
 		if l.state != balancer.Gone {
 			l.state = balancer.Gone
 			d.publish(l)
@@ -136,23 +138,23 @@
 	}
 }
 
-func (d *discovery) refill() {
-	if d.emptied--; d.emptied == 0 {
-		for _, l := range d.known {
+func (d *discovery) restoreList() {
+	if d.emptyFaults--; d.emptyFaults == 0 {
+		for _, l := range d.learned {
 			d.publish(l)
 		}
 	}
 }
 
-// publish puts an entry on the list, and has the watches told soon.
-func (d *discovery) publish(l listed) {
+// publish changes an entry of the list and schedules the update of the watches.
+func (d *discovery) publish(l listEntry) {
 	i := l.server.number
-	if d.listing[i] == l {
+	if d.published[i] == l {
 		return
 	}
-	d.listing[i] = l
+	d.published[i] = l
 	d.version++
-	d.log = append(d.log, change{listed: l, version: d.version, at: d.w.now})
+	d.changes = append(d.changes, change{listEntry: l, version: d.version, at: d.w.now})
 	d.w.record.listed(record.Changed, nil, l)
 	if !d.flushing {
 		d.flushing = true
@@ -160,25 +162,25 @@
 		if d.period > 0 {
 			wait = d.period - d.w.now%d.period
 		}
-		d.w.after(wait, rankServer, (*watchesTold)(d))
+		d.w.scheduleAfter(wait, rankServer, (*watchFlush)(d))
 	}
 }
 
-type watchesTold discovery
+type watchFlush discovery
 
-func (f *watchesTold) happen() {
+func (f *watchFlush) fire() {
 	d := (*discovery)(f)
 	d.flushing = false
 	for _, c := range d.calls {
-		if c.watch && c.taken {
-			d.w.after(c.lag, rankServer, (*watchTold)(c))
+		if c.watch && c.accepted {
+			d.w.scheduleAfter(c.lag, rankServer, (*watchUpdate)(c))
 		}
 	}
 }
 
-// stop ends all calls: discovery goes down.
+// stop takes discovery down and ends all calls.
 func (d *discovery) stop() {
-	d.down++
+	d.downFaults++
 	calls := d.calls
 	d.calls = nil
 	for _, c := range calls {
@@ -187,35 +189,35 @@
 	d.freeAt = d.w.now
 }
 
-func (d *discovery) start() { d.down-- }
+func (d *discovery) start() { d.downFaults-- }
 
-// asOf is the list as it was published at a time, and its version.
-func (d *discovery) asOf(at time.Duration) (list []listed, version int64) {
-	list = make([]listed, len(d.listing))
-	for _, c := range d.log {
+// asOf returns the list as it was published at a time, and its version.
+func (d *discovery) asOf(at time.Duration) (list []listEntry, version int64) {
+	list = make([]listEntry, len(d.published))
+	for _, c := range d.changes {
 		if c.at <= at {
-			list[c.server.number], version = c.listed, c.version
+			list[c.server.number], version = c.listEntry, c.version
 		}
 	}
 	return list, version
 }
 
-// asOfVersion is the list as it was with a version.
-func (d *discovery) asOfVersion(version int64) []listed {
-	list := make([]listed, len(d.listing))
-	for _, c := range d.log {
+// asOfVersion returns the list as it was at a version.
+func (d *discovery) asOfVersion(version int64) []listEntry {
+	list := make([]listEntry, len(d.published))
+	for _, c := range d.changes {
 		if c.version <= version {
-			list[c.server.number] = c.listed
+			list[c.server.number] = c.listEntry
 		}
 	}
 	return list
 }
 
-// config is a list, or what changed, in the form that agents get. A whole list leaves out what is gone;
-// agents that get the same one share it.
-func (d *discovery) config(list []listed, version int64, full bool) protocol.EndpointList {
-	if full && d.whole.Version == version {
-		return d.whole
+// endpointList returns a full list, or changes, in the form that agents receive. A full list omits
+// servers that are gone; agents that get the same one share it.
+func (d *discovery) endpointList(list []listEntry, version int64, full bool) protocol.EndpointList {
+	if full && d.cachedFull.Version == version {
+		return d.cachedFull
 	}
 	config := protocol.EndpointList{Version: version, Full: full}
 	for _, l := range list {
@@ -224,7 +226,7 @@
 		}
 		s := l.server
 		e := balancer.Server{
-			ID: s.id, Zone: d.w.set.Network.Zones[s.zone], MachineKind: s.machine.kind, Cell: s.cell,
+			ID: s.id, Zone: d.w.scenario.Network.Zones[s.zone], MachineKind: s.machine.kind, Cell: s.cell,
 			State: l.state, Weight: s.weight,
 		}
 		if l.started > 0 {
@@ -233,131 +235,132 @@
 		config.Endpoints = append(config.Endpoints, protocol.Endpoint{Server: e, Addr: s.addr})
 	}
 	if full {
-		d.whole = config
+		d.cachedFull = config
 	}
 	return config
 }
 
-// since is what changed after a version, each server once.
-func (d *discovery) since(version int64) []listed {
-	var out []listed
-	from, _ := slices.BinarySearchFunc(d.log, version+1,
+// changesSince returns the entries that changed after a version, each server once.
+func (d *discovery) changesSince(version int64) []listEntry {
+	var out []listEntry
+	from, _ := slices.BinarySearchFunc(d.changes, version+1,
 		func(c change, v int64) int { return cmp.Compare(c.version, v) })
-	for _, c := range d.log[from:] {
-		if d.listing[c.server.number] == c.listed && !slices.Contains(out, c.listed) {
-			out = append(out, c.listed)
+	for _, c := range d.changes[from:] {
+		if d.published[c.server.number] == c.listEntry && !slices.Contains(out, c.listEntry) {
+			out = append(out, c.listEntry)
 		}
 	}
 	return out
 }
 
-// The happenings of a call.
+// The events of a call.
 type (
-	callReaches call
-	callTurn    call
-	callWaited  call
-	watchTold   call
+	callArrives  call
+	callHandled  call
+	callTimesOut call
+	watchUpdate  call
 )
 
-func (r *callReaches) happen() {
+func (r *callArrives) fire() {
 	c := (*call)(r)
 	d := c.d
 	switch {
-	case c.over:
-	case d.down > 0:
+	case c.ended:
+	case d.downFaults > 0:
 		c.fail(errDown)
-	case c.life.agent.toDiscovery.reset > d.w.now:
+	case c.proc.agent.toDiscovery.reset > d.w.now:
 		c.fail(errReset)
 	default:
 		d.calls = append(d.calls, c)
 		begin := max(d.freeAt, d.w.now)
 		if begin-d.w.now > d.timeout {
-			d.w.after(d.timeout, rankServer, (*callWaited)(c))
+			d.w.scheduleAfter(d.timeout, rankServer, (*callTimesOut)(c))
 			return
 		}
-		d.freeAt = begin + d.each
-		d.w.enter(d.freeAt, rankServer, (*callTurn)(c))
+		d.freeAt = begin + d.callCost
+		d.w.schedule(d.freeAt, rankServer, (*callHandled)(c))
 	}
 }
 
-func (e *callWaited) happen() {
-	if c := (*call)(e); !c.over {
-		c.fail(errWaited)
+func (e *callTimesOut) fire() {
+	if c := (*call)(e); !c.ended {
+		c.fail(errCallTimeout)
 	}
 }
 
-func (t *callTurn) happen() {
+func (t *callHandled) fire() {
 	c := (*call)(t)
 	d := c.d
-	if c.over || c.unheard(t) {
+	if c.ended || c.deferIfBlocked(t) {
 		return
 	}
-	c.taken, c.spoke = true, d.w.now
+	c.accepted, c.lastSent = true, d.w.now
 	if !c.watch {
-		d.w.record.agent(record.Asking, c.life.agent)
-		c.tell(d.listing, true)
+		d.w.record.agent(record.Asking, c.proc.agent)
+		c.sendList(d.published, true)
 		c.finish(nil)
 		return
 	}
-	d.w.record.agent(record.Watching, c.life.agent)
-	c.send(message{kind: callBegun, number: c.number})
-	if c.told == 0 {
-		c.tell(d.listing, true)
+	d.w.record.agent(record.Watching, c.proc.agent)
+	c.send(message{kind: callAccepted, number: c.number})
+	if c.sentVersion == 0 {
+		c.sendList(d.published, true)
 	} else {
-		c.tell(d.since(c.told), false)
+		c.sendList(d.changesSince(c.sentVersion), false)
 	}
 }
 
-func (t *watchTold) happen() {
-	if c := (*call)(t); !c.over && !c.unheard(t) {
-		c.tell(c.d.since(c.told), false)
+func (t *watchUpdate) fire() {
+	if c := (*call)(t); !c.ended && !c.deferIfBlocked(t) {
+		c.sendList(c.d.changesSince(c.sentVersion), false)
 	}
 }
 
-// unheard tells whether nothing reaches the agent at present, and then has what was to be said wait.
-func (c *call) unheard(says happening) bool {
-	back := c.life.agent.toDiscovery.back
+// deferIfBlocked reports whether nothing reaches the agent at present, and then reschedules the event.
+func (c *call) deferIfBlocked(says event) bool {
+	back := c.proc.agent.toDiscovery.back
 	if back > c.d.w.now {
-		c.d.w.enter(back, rankServer, says)
+		c.d.w.schedule(back, rankServer, says)
 	}
 	return back > c.d.w.now
 }
 
-// callArrives is when what an agent says now is at discovery.
-func (a *agent) callArrives(d *discovery) time.Duration {
-	return max(a.w.now, a.toDiscovery.out) + d.distance(a)
+// callArrival returns when a call that the agent makes now reaches discovery.
+func (a *agent) callArrival(d *discovery) time.Duration {
+	return max(a.w.now, a.toDiscovery.out) + d.delay(a)
 }
 
-// tell writes an object of the list to the agent.
-func (c *call) tell(list []listed, full bool) {
+// sendList sends a full list or changes to the agent.
+func (c *call) sendList(list []listEntry, full bool) {
 	d := c.d
 	if c.silent {
 		return
 	}
-	c.told = d.version
+	c.sentVersion = d.version
 	if len(list) == 0 {
 		return
 	}
-	c.spoke = d.w.now
-	c.life.writes(list, full)
-	c.send(message{kind: callSays, number: c.number, config: d.config(list, d.version, full)})
+	c.lastSent = d.w.now
+	c.proc.recordList(list, full)
+	c.send(message{kind: callReceived, number: c.number, list: d.endpointList(list, d.version, full)})
 }
 
-// writes records what an agent is told: each entry, and of a whole list also which servers it lacks that
-// the agent had. What staff have taken out drains for this agent, whatever it is told.
-func (l *life) writes(list []listed, full bool) {
+// recordList records what an agent is sent: each entry, and for a full list also the servers that are
+// missing and that the agent had. A server that operators have disabled drains for this agent, whatever
+// the list says.
+func (l *agentProcess) recordList(list []listEntry, full bool) {
 	for _, e := range list {
 		if e.server == nil {
 			continue
 		}
-		for len(l.told) <= e.server.number {
-			l.told = append(l.told, false)
+		for len(l.sentServers) <= e.server.number {
+			l.sentServers = append(l.sentServers, false)
 		}
-		if e.state == balancer.Ready && l.agent.out[e.server] {
+		if e.state == balancer.Ready && l.agent.disabledServers[e.server] {
 			e.state = balancer.Draining
 		}
-		had, there := l.told[e.server.number], e.state != balancer.Gone
-		l.told[e.server.number] = there
+		had, there := l.sentServers[e.server.number], e.state != balancer.Gone
+		l.sentServers[e.server.number] = there
 		if !full || there || had {
 			l.w.record.listed(record.Told, l.agent, e)
 		}
@@ -366,29 +369,29 @@
 
 // fail ends a call from discovery's side.
 func (c *call) fail(err error) {
-	c.d.w.record.agent(record.CallFailed, c.life.agent)
+	c.d.w.record.agent(record.CallFailed, c.proc.agent)
 	c.finish(err)
 }
 
 func (c *call) finish(err error) {
-	c.forget()
+	c.remove()
 	c.send(message{kind: callEnded, number: c.number, err: err})
 }
 
-func (c *call) forget() {
-	c.over = true
+func (c *call) remove() {
+	c.ended = true
 	if i := slices.Index(c.d.calls, c); i >= 0 {
 		c.d.calls = slices.Delete(c.d.calls, i, i+1)
 	}
 }
 
-// send has a message arrive at the agent.
+// send sends a message to the agent.
 func (c *call) send(m message) {
-	m.life = c.life
-	a := c.life.agent
-	c.d.w.enter(max(c.d.w.now, a.toDiscovery.back)+c.d.distance(a), rankArrival, &m)
+	m.proc = c.proc
+	a := c.proc.agent
+	c.d.w.schedule(max(c.d.w.now, a.toDiscovery.back)+c.d.delay(a), rankArrival, &m)
 }
 
-// distance is the way between an agent and discovery, which stands in the first zone. All messages take
-// as long: they keep their order.
-func (d *discovery) distance(a *agent) time.Duration { return d.w.network.oneWay[a.zone][0] }
+// delay is the one-way delay between an agent and discovery, which runs in the first zone. It has no
+// jitter, so that messages keep their order.
+func (d *discovery) delay(a *agent) time.Duration { return d.w.network.oneWay[a.zone][0] }
--- a/internal/rehearsal/world/discovery_test.go
+++ b/internal/rehearsal/world/discovery_test.go
@@ -10,14 +10,14 @@
 	"dunestep/internal/rehearsal/scenario"
 )
 
-// TestDiscoveryWorksThroughItsCalls: many agents begin at once; calls are taken up one after another, and those
+// TestDiscoveryQueuesCalls: many agents begin at once; calls are taken up one after another, and those
 // that waited too long fail and come again.
-func TestDiscoveryWorksThroughItsCalls(t *testing.T) {
+func TestDiscoveryQueuesCalls(t *testing.T) {
 	set := deployment(30 * time.Second)
 	set.Agents.Count, set.Load.PerS = 30, span(20, 20)
 	set.Discovery.CallsPerS, set.Discovery.Timeout = span(4, 4), time.Second
 	d := play(t, set, 7, Options{})
-	watching := d.of(record.Watching)
+	watching := d.ofKind(record.Watching)
 	taken := map[int32]bool{}
 	for i, e := range watching {
 		taken[e.Agent] = true
@@ -26,32 +26,32 @@
 		}
 	}
 	require.Len(t, taken, 30, "each agent's watch is taken up in the end")
-	failed := d.of(record.CallFailed)
+	failed := d.ofKind(record.CallFailed)
 	require.Greater(t, len(failed), 20)
 	require.GreaterOrEqual(t, failed[0].At, time.Second, "a call fails when it has waited, not before")
 }
 
-// TestDiscoveryTellsLate follows processes that die and come back: discovery notices after its time, and its
+// TestDiscoveryDelays follows processes that die and come back: discovery notices after its time, and its
 // watches are told at the next of its periods, each a little apart.
-func TestDiscoveryTellsLate(t *testing.T) {
+func TestDiscoveryDelays(t *testing.T) {
 	notice, join, period, spread := 2*time.Second, 1500*time.Millisecond, 700*time.Millisecond, 90*time.Millisecond
-	d := troubled(t, scenario.Trouble{Kind: scenario.Crashed, Part: span(0.3, 0.3)}, func(set *scenario.Scenario) {
+	d := playFault(t, scenario.Trouble{Kind: scenario.Crashed, Part: span(0.3, 0.3)}, func(set *scenario.Scenario) {
 		set.Discovery.Notice, set.Discovery.Join = ms(2000, 2000), ms(1500, 1500)
 		set.Discovery.Period, set.Discovery.Spread = ms(700, 700), ms(90, 90)
 	})
-	changed := d.of(record.Changed)
+	changed := d.ofKind(record.Changed)
 	require.Len(t, changed, 2*4)
 	for i, e := range changed {
 		if i < 4 {
 			require.Equal(t, record.Gone, e.State)
-			require.Equal(t, troubleFrom+notice, e.At)
+			require.Equal(t, faultStart+notice, e.At)
 		} else {
 			require.Equal(t, record.Active, e.State)
-			require.Equal(t, troubleTo, e.Started)
-			require.Equal(t, troubleTo+join, e.At)
+			require.Equal(t, faultEnd, e.Started)
+			require.Equal(t, faultEnd+join, e.At)
 		}
 		told := map[int32]int{}
-		for _, u := range d.of(record.Told) {
+		for _, u := range d.ofKind(record.Told) {
 			if u.Server == e.Server && u.State == e.State && u.Started == e.Started && u.At >= e.At {
 				told[u.Agent]++
 				next := e.At + period - e.At%period
@@ -63,35 +63,35 @@
 	}
 }
 
-// TestDiscoveryPassesOverOldNews: a machine that vanishes and is back before its silence is noticed stays listed,
+// TestDiscoveryIgnoresStaleUpdates: a machine that vanishes and is back before its silence is noticed stays listed,
 // and one whose process starts again is never listed as gone after that.
-func TestDiscoveryPassesOverOldNews(t *testing.T) {
+func TestDiscoveryIgnoresStaleUpdates(t *testing.T) {
 	slowNotice := func(set *scenario.Scenario) {
 		set.Discovery.Notice, set.Discovery.SilentNotice = ms(15000, 15000), ms(15000, 15000)
 		set.Discovery.Join = ms(1000, 1000)
 	}
-	d := troubled(t, scenario.Trouble{Kind: scenario.Vanished, Part: span(0.3, 0.3)}, slowNotice)
-	require.Empty(t, d.of(record.Changed))
-	d = troubled(t, scenario.Trouble{Kind: scenario.Crashed, Part: span(0.3, 0.3)}, slowNotice)
-	require.Len(t, d.of(record.Changed), 4)
-	for _, e := range d.of(record.Changed) {
+	d := playFault(t, scenario.Trouble{Kind: scenario.Vanished, Part: span(0.3, 0.3)}, slowNotice)
+	require.Empty(t, d.ofKind(record.Changed))
+	d = playFault(t, scenario.Trouble{Kind: scenario.Crashed, Part: span(0.3, 0.3)}, slowNotice)
+	require.Len(t, d.ofKind(record.Changed), 4)
+	for _, e := range d.ofKind(record.Changed) {
 		require.Equal(t, record.Active, e.State)
 	}
 }
 
-// TestAgentStartsWithAnOldList: an agent that comes back is told at first what discovery listed a while before.
-func TestAgentStartsWithAnOldList(t *testing.T) {
-	set := deployment(dayLength)
+// TestAgentStartsWithOlderList: an agent that comes back is told at first what discovery listed a while before.
+func TestAgentStartsWithOlderList(t *testing.T) {
+	set := deployment(runLength)
 	set.Discovery.KnownAge, set.Discovery.Notice = ms(15000, 15000), ms(1000, 1000)
 	set.Troubles = []scenario.Trouble{
 		{Kind: scenario.Crashed, At: ms(10000, 10000), For: ms(25000, 25000), Part: span(0.3, 0.3)},
 		{Kind: scenario.AgentsKilled, At: ms(15000, 15000), For: ms(1000, 1000), Count: 1},
 	}
 	d := play(t, set, 7, Options{})
-	up := d.of(record.AgentUp)
+	up := d.ofKind(record.AgentUp)
 	require.Len(t, up, 6)
 	first, later := map[int32]record.State{}, map[int32]record.State{}
-	for _, e := range d.of(record.Told) {
+	for _, e := range d.ofKind(record.Told) {
 		if e.Agent == 0 && e.At == up[5].At {
 			first[e.Server] = e.State
 		} else if e.Agent == 0 && e.At > up[5].At && e.At < 30*time.Second {
--- a/internal/rehearsal/world/fault_test.go
+++ b/internal/rehearsal/world/fault_test.go
@@ -25,7 +25,7 @@
 }
 
 // Each fault of the wire shows in a model's day as what it comes to, and breaks no rule.
-func TestFaultsInTheModel(t *testing.T) {
+func TestWireFaultOutcomes(t *testing.T) {
 	for _, f := range scenario.Faults {
 		t.Run(string(f), func(t *testing.T) {
 			set, err := scenario.Load("../../../rehearsals/calm-monday.toml")
--- a/internal/rehearsal/world/graphql.go
+++ b/internal/rehearsal/world/graphql.go
@@ -7,18 +7,19 @@
 	"dunestep/internal/graphql"
 )
 
-// graphQL is how agents see the requests of GraphQL clients.
+// graphQL describes how agents classify the requests of GraphQL clients.
 type graphQL struct {
-	front  *graphql.Classer // nil: agents have none
-	bodies [][]string       // for each class, requests for an operation of its own root field
-	opaque int              // the class of a POST that nobody looks into
+	classer *graphql.Classer // nil: agents have none
+	bodies  [][]string       // by class: request bodies that select its root field
+	opaque  int              // class of a POST whose body is not inspected
 }
 
-// graphQLHeader is that of every such request.
+// graphQLHeader is the header of every GraphQL request.
 var graphQLHeader = map[string][]string{"Content-Type": {"application/json"}}
 
-// ways are how clients ask for one root field. The words of the other kind of operation are never far.
-var ways = []string{
+// queryTemplates are the bodies that clients use to select one root field. Each contains the keywords
+// of the other kind of operation where they must be ignored.
+var queryTemplates = []string{
 	`{"query":"%[1]s { %[2]s { id } }"}`,
 	`{"operationName":"Run","query":"query Other { x } mutation More { y } %[1]s Run { %[2]s { id } }"}`,
 	`{"query":"%[1]s Run($v: Boolean = true) { ...F }` +
@@ -26,7 +27,8 @@
 	`{"query":"# mutation { x }\n%[1]s { query: %[2]s { mutation } }","variables":{"query":"mutation { x }"}}`,
 }
 
-// buildGraphQL makes ready what the agents classify GraphQL by. The scenario has a safe and an unsafe class.
+// buildGraphQL prepares the agents' GraphQL classification. The scenario has a safe and an unsafe
+// class.
 func (w *world) buildGraphQL() error {
 	var err error
 	rules := graphql.Rules{
@@ -46,31 +48,33 @@
 		}
 		table[field] = c.Name
 		var bodies []string
-		for _, way := range ways {
+		for _, way := range queryTemplates {
 			bodies = append(bodies, fmt.Sprintf(way, kind, field))
 		}
 		w.graphQL.bodies = append([][]string{bodies}, w.graphQL.bodies...)
 	}
-	if w.set.Clients.GraphQLFront {
-		w.graphQL.front, err = graphql.NewClasser(rules)
+	if w.scenario.Clients.GraphQLFront {
+		w.graphQL.classer, err = graphql.NewClasser(rules)
 	}
 	return err
 }
 
-// told is the class that the agent takes a request for.
-func (q *request) told() string {
+// agentClass returns the class under which the agent handles the request.
+func (q *request) agentClass() string {
 	w := q.client.w
 	class := q.class
-	if w.set.Clients.GraphQL > 0 && lot(q.lots, 0, lotGraphQL) < w.set.Clients.GraphQL {
-		if w.graphQL.front != nil {
-			body := w.graphQL.bodies[class][int(lot(q.lots, 0, lotGraphQLWay)*float64(len(ways)))]
-			v, err := w.graphQL.front.Class(graphql.Request{Method: "POST", Header: graphQLHeader, Body: []byte(body)})
+	if w.scenario.Clients.GraphQL > 0 && hashedDraw(q.drawSeed, 0, lotGraphQL) < w.scenario.Clients.GraphQL {
+		if w.graphQL.classer != nil {
+			body := w.graphQL.bodies[class][int(hashedDraw(q.drawSeed, 0, lotGraphQLWay)*float64(len(queryTemplates)))]
+			v, err := w.graphQL.classer.Class(graphql.Request{
+				Method: "POST", Header: graphQLHeader, Body: []byte(body),
+			})
 			if err != nil {
-				panic(err) // the requests above are wrong
+				panic(err) // queryTemplates has an invalid request
 			}
 			return v.Class
 		}
 		class = w.graphQL.opaque
 	}
-	return w.set.Classes[class].Name
+	return w.scenario.Classes[class].Name
 }
--- a/internal/rehearsal/world/hardship.go
+++ b/internal/rehearsal/world/hardship.go
@@ -7,20 +7,19 @@
 	"dunestep/internal/rehearsal/scenario"
 )
 
-// This file has the troubles that come over the agents themselves and the ways between them: datagrams,
-// streams that pass nothing, processes that stand still.
+// Faults of the agents and of the paths between them: lost datagrams, blocked streams and paused processes.
 
-// agents is the agents that the trouble comes over.
-func (t *trouble) agents() []*agent {
+// targets returns the agents that the fault affects.
+func (t *injection) targets() []*agent {
 	all := t.w.agents
-	if len(t.set.Agents) == 0 {
-		if t.set.Count == 0 {
+	if len(t.config.Agents) == 0 {
+		if t.config.Count == 0 {
 			return all
 		}
-		return all[:min(t.set.Count, len(all))]
+		return all[:min(t.config.Count, len(all))]
 	}
 	var some []*agent
-	for _, n := range t.set.Agents {
+	for _, n := range t.config.Agents {
 		if n < len(all) {
 			some = append(some, all[n])
 		}
@@ -28,54 +27,54 @@
 	return some
 }
 
-// hinder has the trouble begin, where it is of these kinds.
-func (t *trouble) hinder() {
-	switch w := t.w; t.set.Kind {
+// startAgentFault starts a fault of one of these kinds.
+func (t *injection) startAgentFault() {
+	switch w := t.w; t.config.Kind {
 	case scenario.Datagrams:
-		id, err := w.mishaps.Begin(t.fault)
-		if t.fate = id; err != nil { // the scenario's figures were checked
+		id, err := w.datagramFaults.Begin(t.datagramFault)
+		if t.datagramFaultID = id; err != nil { // the scenario has been validated
 			panic(err)
 		}
 	case scenario.Streams:
-		until := w.now + t.lasts
-		if t.on > 0 {
-			until = min(w.now+t.on, t.at+t.lasts)
+		until := w.now + t.duration
+		if t.onTime > 0 {
+			until = min(w.now+t.onTime, t.start+t.duration)
 		}
-		for _, a := range t.agents() {
-			a.hold(t.set.Stream, t.set.Fault, until)
-			t.wireStreams(a, true)
+		for _, a := range t.targets() {
+			a.blockStreams(t.config.Stream, t.config.Fault, until)
+			t.setWireStreams(a, true)
 		}
 	case scenario.AgentsPaused:
-		t.lives = t.lives[:0]
-		for _, a := range t.agents() {
-			if l := a.alive(); l != nil {
-				t.lives = append(t.lives, l)
-				if l.stands++; l.stands == 1 {
+		t.paused = t.paused[:0]
+		for _, a := range t.targets() {
+			if l := a.current(); l != nil {
+				t.paused = append(t.paused, l)
+				if l.pauseFaults++; l.pauseFaults == 1 {
 					w.record.agent(record.AgentStill, a)
 				}
 				l.pause()
 			}
 		}
 	case scenario.AgentsSlowed:
-		(*slowSlice)(t).happen()
+		(*slowSlice)(t).fire()
 	}
 }
 
-// relieve has it end.
-func (t *trouble) relieve() {
-	switch t.set.Kind {
+// endAgentFault ends a fault of one of these kinds.
+func (t *injection) endAgentFault() {
+	switch t.config.Kind {
 	case scenario.Datagrams:
-		t.w.mishaps.End(t.fate)
+		t.w.datagramFaults.End(t.datagramFaultID)
 	case scenario.Streams:
-		for _, a := range t.agents() {
-			t.wireStreams(a, false)
+		for _, a := range t.targets() {
+			t.setWireStreams(a, false)
 		}
-		if t.set.Stream != "servers" && t.set.Fault != scenario.StreamReset {
-			t.w.discovery.heardAgain(t.agents())
+		if t.config.Stream != "servers" && t.config.Fault != scenario.StreamReset {
+			t.w.discovery.resumeWatches(t.targets())
 		}
 	case scenario.AgentsPaused:
-		for _, l := range t.lives {
-			if l.stands--; l.stands == 0 && !l.dead {
+		for _, l := range t.paused {
+			if l.pauseFaults--; l.pauseFaults == 0 && !l.dead {
 				t.w.record.agent(record.AgentOn, l.agent)
 			}
 			l.resume()
@@ -83,76 +82,78 @@
 	}
 }
 
-// wireStreams has a real agent's streams to discovery hindered, or no longer: what the stand-in says there by
-// itself, its empty lines, is none of the world's.
-func (t *trouble) wireStreams(a *agent, on bool) {
-	if t.w.wire != nil && t.set.Stream != "servers" {
-		t.w.wire.Hinder(a.number, t.set.Fault, on)
+// setWireStreams turns the fault of a real agent's streams to discovery on or off. The stand-in sends
+// its keep-alive lines itself, so that the simulation cannot hold them back.
+func (t *injection) setWireStreams(a *agent, on bool) {
+	if t.w.wire != nil && t.config.Stream != "servers" {
+		t.w.wire.Hinder(a.number, t.config.Fault, on)
 	}
 }
 
-// slowSlice has slowed agents stand still for the rest of a slice, after they have run for their part.
-type slowSlice trouble
+// slowSlice pauses slowed agents for the part of a time slice in which they do not run.
+type slowSlice injection
 
-func (s *slowSlice) happen() {
-	t := (*trouble)(s)
-	if t.over {
+func (s *slowSlice) fire() {
+	t := (*injection)(s)
+	if t.ended {
 		return
 	}
 	still := time.Duration((1 - t.size) * float64(scenario.SlowSlice))
-	for _, a := range t.agents() {
-		if l := a.alive(); l != nil {
+	for _, a := range t.targets() {
+		if l := a.current(); l != nil {
 			l.pause()
-			t.w.after(still, rankTrouble, (*lifeOn)(l))
+			t.w.scheduleAfter(still, rankEnvironment, (*agentPauseEnds)(l))
 		}
 	}
-	t.w.after(scenario.SlowSlice, rankTrouble, s)
+	t.w.scheduleAfter(scenario.SlowSlice, rankEnvironment, s)
 }
 
-// lifeOn ends one pause of a life.
-type lifeOn life
+// pauseStops ends one pause of an agent process.
+type agentPauseEnds agentProcess
 
-func (o *lifeOn) happen() { (*life)(o).resume() }
+func (o *agentPauseEnds) fire() { (*agentProcess)(o).resume() }
 
-// pause has an agent's process stand still: nothing of it happens until it is resumed as often as paused.
-func (l *life) pause() {
-	if l.pauses++; l.pauses == 1 && l.remote && !l.dead {
+// pause stops an agent's process: it handles no event until it is resumed as often as paused.
+func (l *agentProcess) pause() {
+	if l.pauseCount++; l.pauseCount == 1 && l.external && !l.dead {
 		l.w.wire.Pause(l.agent.number)
 	}
 }
 
-// resume has it go on: all that came, and all that came due, happens now, in its order.
-func (l *life) resume() {
-	if l.pauses--; l.pauses > 0 || l.dead {
+// resume ends one pause. After the last one, the events that were deferred fire now, in their order.
+func (l *agentProcess) resume() {
+	if l.pauseCount--; l.pauseCount > 0 || l.dead {
 		return
 	}
-	if l.remote {
+	if l.external {
 		l.w.wire.Resume(l.agent.number)
 		return
 	}
-	for len(l.held) > 0 && l.pauses == 0 && !l.dead {
-		next := l.held[0]
-		l.held = l.held[1:]
-		next.happen()
+	for len(l.deferred) > 0 && l.pauseCount == 0 && !l.dead {
+		next := l.deferred[0]
+		l.deferred = l.deferred[1:]
+		next.fire()
 	}
-	if len(l.held) == 0 {
-		l.held = nil
+	if len(l.deferred) == 0 {
+		l.deferred = nil
 	}
 }
 
-// still tells whether the process stands still, and then keeps the happening for when it goes on.
-func (l *life) still(h happening) bool {
-	if l.pauses == 0 || l.remote || l.dead {
+// deferIfPaused reports whether the process is paused, and defers the event until it is resumed.
+func (l *agentProcess) deferIfPaused(h event) bool {
+	if l.pauseCount == 0 || l.external || l.dead {
 		return false
 	}
-	l.held = append(l.held, h)
+	l.deferred = append(l.deferred, h)
 	return true
 }
 
-// hindrance is until when nothing passes between an agent and something, each way.
-type hindrance struct{ out, back, reset time.Duration }
+// streamBlock holds the times until which an agent's streams pass nothing in each direction, or are
+// reset.
+type streamBlock struct{ out, back, reset time.Duration }
 
-func (h *hindrance) add(fault scenario.Fault, until time.Duration) {
+// add extends the block by a fault until a time.
+func (h *streamBlock) add(fault scenario.Fault, until time.Duration) {
 	switch fault {
 	case scenario.StreamReset:
 		h.reset = max(h.reset, until)
@@ -165,12 +166,12 @@
 	}
 }
 
-// hold hinders an agent's streams until a time.
-func (a *agent) hold(stream string, fault scenario.Fault, until time.Duration) {
+// blockStreams applies a stream fault to an agent until a time.
+func (a *agent) blockStreams(stream string, fault scenario.Fault, until time.Duration) {
 	reset := fault == scenario.StreamReset
 	if stream != "servers" {
 		a.toDiscovery.add(fault, until)
-		a.w.discovery.unheard(a, reset)
+		a.w.discovery.blockCalls(a, reset)
 	}
 	if stream == "discovery" {
 		return
@@ -179,7 +180,7 @@
 	for _, s := range a.w.servers {
 		if p := s.process; reset && p != nil && p.state != processDown {
 			for _, c := range append([]*conn(nil), p.conns...) {
-				if c.life.agent == a {
+				if c.proc.agent == a {
 					c.drop()
 				}
 			}
@@ -187,38 +188,39 @@
 	}
 }
 
-// unheard takes in that an agent's calls are hindered, or reset. Nobody can expect it to know of news.
-func (d *discovery) unheard(a *agent, reset bool) {
+// blockCalls applies a stream fault to an agent's calls. It is recorded, because the agent cannot know
+// of list changes from then on.
+func (d *discovery) blockCalls(a *agent, reset bool) {
 	for _, c := range append([]*call(nil), d.calls...) {
 		switch {
-		case c.life.agent != a || c.over:
+		case c.proc.agent != a || c.ended:
 		case reset:
 			c.fail(errReset)
-		case c.taken && c.watch && a.toDiscovery.back > d.w.now:
+		case c.accepted && c.watch && a.toDiscovery.back > d.w.now:
 			d.w.record.agent(record.CallFailed, a)
 			if c.wire == nil { // a real agent finds out by itself
-				d.w.enter(c.missed(), rankArrival, (*watchHeld)(c))
+				d.w.schedule(c.silenceDetected(), rankArrival, (*watchBlocked)(c))
 			}
 		}
 	}
 }
 
-// heardAgain takes in that watches which were hindered go on: they are told what has changed.
-func (d *discovery) heardAgain(agents []*agent) {
+// resumeWatches sends the changes since then on watches whose stream fault has ended.
+func (d *discovery) resumeWatches(agents []*agent) {
 	for _, a := range agents {
 		for _, c := range d.calls {
-			if c.life.agent == a && !c.over && c.watch && c.taken {
+			if c.proc.agent == a && !c.ended && c.watch && c.accepted {
 				d.w.record.agent(record.Watching, a)
-				d.w.enter(a.toDiscovery.back, rankServer, (*watchTold)(c))
+				d.w.schedule(a.toDiscovery.back, rankServer, (*watchUpdate)(c))
 			}
 		}
 	}
 }
 
-// words says what the trouble does, for the timeline.
-func (t *trouble) words() string {
-	if t.set.Kind == scenario.Datagrams {
-		return t.set.Words() + ": " + t.fault.Way.String()
+// description describes the fault for the timeline.
+func (t *injection) description() string {
+	if t.config.Kind == scenario.Datagrams {
+		return t.config.Words() + ": " + t.datagramFault.Way.String()
 	}
-	return t.set.Words()
+	return t.config.Words()
 }
--- a/internal/rehearsal/world/hardship_test.go
+++ b/internal/rehearsal/world/hardship_test.go
@@ -12,104 +12,104 @@
 	"dunestep/internal/rehearsal/timeline"
 )
 
-func by(agent int32) func(record.Event) bool {
+func ofAgent(agent int32) func(record.Event) bool {
 	return func(e record.Event) bool { return e.Agent == agent }
 }
 
-func way(from, to int32) func(record.Event) bool {
+func between(from, to int32) func(record.Event) bool {
 	return func(e record.Event) bool { return e.From == from && e.Agent == to }
 }
 
 // What comes over the agents and the ways between them looks as it says, on the wire, for those that it names
 // alone, and is over when it is.
-func TestHardships(t *testing.T) {
-	const settled = troubleFrom + 500*time.Millisecond // what was on its way is there
+func TestAgentFaults(t *testing.T) {
+	const settled = faultStart + 500*time.Millisecond // what was on its way is there
 	some := []int{0}
 	for name, c := range map[string]struct {
 		trouble scenario.Trouble
-		check   func(t *testing.T, d *diary)
+		check   func(t *testing.T, d *recordingSink)
 	}{
 		"cut one way": {
 			scenario.Trouble{Kind: scenario.Datagrams, From: some, To: []int{1}, Cut: true},
-			func(t *testing.T, d *diary) {
-				require.Zero(t, d.count(record.Datagram, settled, troubleTo, way(0, 1)))
-				require.Positive(t, d.count(record.Datagram, settled, troubleTo, way(1, 0)))
-				require.Positive(t, d.count(record.Datagram, settled, troubleTo, way(0, 2)))
-				require.Positive(t, d.count(record.Datagram, troubleTo, dayLength, way(0, 1)))
+			func(t *testing.T, d *recordingSink) {
+				require.Zero(t, d.count(record.Datagram, settled, faultEnd, between(0, 1)))
+				require.Positive(t, d.count(record.Datagram, settled, faultEnd, between(1, 0)))
+				require.Positive(t, d.count(record.Datagram, settled, faultEnd, between(0, 2)))
+				require.Positive(t, d.count(record.Datagram, faultEnd, runLength, between(0, 1)))
 			},
 		},
 		"doubled": {
 			scenario.Trouble{Kind: scenario.Datagrams, To: []int{1}, Double: span(1, 1)},
-			func(t *testing.T, d *diary) {
+			func(t *testing.T, d *recordingSink) {
 				twice, once := 0, 0
 				for _, from := range []int32{0, 3, 4} {
-					twice += d.count(record.Datagram, settled, troubleTo, way(from, 1))
-					once += d.count(record.Datagram, settled, troubleTo, way(from, 2))
+					twice += d.count(record.Datagram, settled, faultEnd, between(from, 1))
+					once += d.count(record.Datagram, settled, faultEnd, between(from, 2))
 				}
 				require.InDelta(t, 2, float64(twice)/float64(once), 0.5, "%d and %d", twice, once)
 			},
 		},
-		"paused": {scenario.Trouble{Kind: scenario.AgentsPaused, Agents: some}, func(t *testing.T, d *diary) {
+		"paused": {scenario.Trouble{Kind: scenario.AgentsPaused, Agents: some}, func(t *testing.T, d *recordingSink) {
 			for _, kind := range []record.Kind{record.Sent, record.Answered} {
-				require.Zero(t, d.count(kind, settled, troubleTo, by(0)), "it stands still")
-				require.Positive(t, d.count(kind, settled, troubleTo, by(1)))
+				require.Zero(t, d.count(kind, settled, faultEnd, ofAgent(0)), "it stands still")
+				require.Positive(t, d.count(kind, settled, faultEnd, ofAgent(1)))
 			}
-			require.Positive(t, d.count(record.Asked, settled, troubleTo, by(0)), "its machine takes what comes")
-			require.Positive(t, d.count(record.Sent, troubleTo, troubleTo+100*time.Millisecond, by(0)), "what waited")
-			require.Greater(t, d.count(record.Answered, 30*time.Second, dayLength, served), 1000)
+			require.Positive(t, d.count(record.Asked, settled, faultEnd, ofAgent(0)), "its machine takes what comes")
+			require.Positive(t, d.count(record.Sent, faultEnd, faultEnd+100*time.Millisecond, ofAgent(0)), "what waited")
+			require.Greater(t, d.count(record.Answered, 30*time.Second, runLength, served), 1000)
 		}},
 		"slowed": {
 			scenario.Trouble{Kind: scenario.AgentsSlowed, Agents: some, Size: span(0.2, 0.2)},
-			func(t *testing.T, d *diary) {
-				n := d.count(record.Sent, troubleFrom, troubleTo, func(e record.Event) bool {
+			func(t *testing.T, d *recordingSink) {
+				n := d.count(record.Sent, faultStart, faultEnd, func(e record.Event) bool {
 					still := time.Duration(0.8 * float64(scenario.SlowSlice))
-					return e.Agent == 0 && (e.At-troubleFrom)%scenario.SlowSlice < still
+					return e.Agent == 0 && (e.At-faultStart)%scenario.SlowSlice < still
 				})
 				require.Zero(t, n, "sent while it stood still")
-				require.Positive(t, d.count(record.Sent, settled, troubleTo, by(0)))
+				require.Positive(t, d.count(record.Sent, settled, faultEnd, ofAgent(0)))
 			},
 		},
 		"servers hear, and are not heard": {scenario.Trouble{
 			Kind: scenario.Streams, Stream: "servers", Agents: some,
 			Fault: scenario.StreamFromAgent,
-		}, func(t *testing.T, d *diary) {
-			require.Positive(t, d.count(record.Reached, settled, troubleTo, by(0)))
-			require.Zero(t, d.count(record.Ended, settled, troubleTo,
+		}, func(t *testing.T, d *recordingSink) {
+			require.Positive(t, d.count(record.Reached, settled, faultEnd, ofAgent(0)))
+			require.Zero(t, d.count(record.Ended, settled, faultEnd,
 				func(e record.Event) bool { return e.Agent == 0 && e.Outcome == record.OK }))
 		}},
 		"servers do not hear": {scenario.Trouble{
 			Kind: scenario.Streams, Stream: "servers", Agents: some,
 			Fault: scenario.StreamToAgent,
-		}, func(t *testing.T, d *diary) {
-			require.Zero(t, d.count(record.Reached, settled, troubleTo, by(0)))
-			require.Positive(t, d.count(record.Reached, settled, troubleTo, by(1)))
+		}, func(t *testing.T, d *recordingSink) {
+			require.Zero(t, d.count(record.Reached, settled, faultEnd, ofAgent(0)))
+			require.Positive(t, d.count(record.Reached, settled, faultEnd, ofAgent(1)))
 		}},
 		"servers reset": {scenario.Trouble{
 			Kind: scenario.Streams, Stream: "servers", Agents: some,
 			Fault: scenario.StreamReset,
-		}, func(t *testing.T, d *diary) {
-			require.Zero(t, d.count(record.Opened, settled, troubleTo, by(0)))
-			require.Positive(t, d.count(record.Ended, settled, troubleTo, ended(record.NoConnection)))
-			require.Positive(t, d.count(record.Opened, troubleTo, dayLength, by(0)))
+		}, func(t *testing.T, d *recordingSink) {
+			require.Zero(t, d.count(record.Opened, settled, faultEnd, ofAgent(0)))
+			require.Positive(t, d.count(record.Ended, settled, faultEnd, ended(record.NoConnection)))
+			require.Positive(t, d.count(record.Opened, faultEnd, runLength, ofAgent(0)))
 		}},
 		"discovery resets": {scenario.Trouble{
 			Kind: scenario.Streams, Stream: "discovery", Agents: some,
 			Fault: scenario.StreamReset,
-		}, func(t *testing.T, d *diary) {
-			require.Positive(t, d.count(record.CallFailed, troubleFrom, troubleTo, by(0)))
-			require.Zero(t, d.count(record.CallFailed, troubleFrom, troubleTo, by(1)))
-			require.Zero(t, d.count(record.Watching, troubleFrom, troubleTo, by(0)))
-			require.Positive(t, d.count(record.Watching, troubleTo, dayLength, by(0)))
+		}, func(t *testing.T, d *recordingSink) {
+			require.Positive(t, d.count(record.CallFailed, faultStart, faultEnd, ofAgent(0)))
+			require.Zero(t, d.count(record.CallFailed, faultStart, faultEnd, ofAgent(1)))
+			require.Zero(t, d.count(record.Watching, faultStart, faultEnd, ofAgent(0)))
+			require.Positive(t, d.count(record.Watching, faultEnd, runLength, ofAgent(0)))
 		}},
 	} {
-		t.Run(name, func(t *testing.T) { c.check(t, troubled(t, c.trouble, nil)) })
+		t.Run(name, func(t *testing.T) { c.check(t, playFault(t, c.trouble, nil)) })
 	}
 }
 
 // What discovery has to say to an agent that hears nothing reaches it when the fault is over, and not before.
-func TestHeardLate(t *testing.T) {
+func TestBlockedDiscoveryStream(t *testing.T) {
 	told := func(fault scenario.Fault) (agents [2]int, after int) {
-		d := troubled(t, scenario.Trouble{Kind: scenario.Streams, Stream: "discovery", Agents: []int{0}, Fault: fault},
+		d := playFault(t, scenario.Trouble{Kind: scenario.Streams, Stream: "discovery", Agents: []int{0}, Fault: fault},
 			func(set *scenario.Scenario) {
 				set.Troubles = append(set.Troubles, scenario.Trouble{
 					Kind: scenario.Deploy, At: ms(11000, 11000),
@@ -117,9 +117,9 @@
 				})
 			})
 		for i := range agents {
-			agents[i] = d.count(record.Told, 11*time.Second, troubleTo, by(int32(i)))
+			agents[i] = d.count(record.Told, 11*time.Second, faultEnd, ofAgent(int32(i)))
 		}
-		return agents, d.count(record.Told, troubleTo, troubleTo+time.Second, by(0))
+		return agents, d.count(record.Told, faultEnd, faultEnd+time.Second, ofAgent(0))
 	}
 	for _, fault := range []scenario.Fault{scenario.StreamSilent, scenario.StreamFromAgent} {
 		n, after := told(fault)
@@ -132,7 +132,7 @@
 }
 
 // The timeline has each trouble's beginning and end, in words.
-func TestTimeline(t *testing.T) {
+func TestTimelineHasFaults(t *testing.T) {
 	var line timeline.Timeline
 	set := deployment(3 * time.Second)
 	set.Troubles = []scenario.Trouble{{
--- a/internal/rehearsal/world/leave.go
+++ b/internal/rehearsal/world/leave.go
@@ -6,52 +6,54 @@
 	"dunestep/internal/rehearsal/scenario"
 )
 
-// This file has what short days have of clients that go and of connections that are slow to come up.
+// Faults of clients that leave and of connections that are slow to establish.
 
-// leave has part of the clients that wait for an answer leave at this moment, for good.
-func (t *trouble) leave() {
+// clientsLeave makes a share of the waiting clients leave now, without a retry.
+func (t *injection) clientsLeave() {
 	for _, a := range t.w.agents {
-		if a.life == nil {
+		if a.proc == nil {
 			continue
 		}
-		for _, y := range a.life.unanswered() {
-			if t.chance.Float64() < t.part {
-				t.w.after(0, rankClient, (*tryLeaves)(y))
+		for _, y := range a.proc.unanswered() {
+			if t.rng.Float64() < t.share {
+				t.w.scheduleAfter(0, rankClient, (*clientLeaves)(y))
 			}
 		}
 	}
 }
 
-// lateBy is how much later than usual a connection that is begun now comes up.
-func (w *world) lateBy() (late time.Duration) {
+// connectDelay draws the extra delay of a connection that is opened now.
+func (w *world) connectDelay() (late time.Duration) {
 	for _, t := range w.active {
-		if t.set.Kind == scenario.LateConnections && t.late.Float64() < t.part {
-			late = max(late, t.set.Delay.Draw(t.late.Rand))
+		if t.config.Kind == scenario.LateConnections && t.delayRNG.Float64() < t.share {
+			late = max(late, t.config.Delay.Draw(t.delayRNG.Rand))
 		}
 	}
 	return late
 }
 
-// connLate is a connection whose first packet was lost and is sent again, unless its agent has given it up.
-type connLate conn
+// connRetransmit sends a connection's first packet again after it was lost, unless the agent has given
+// it up.
+type connRetransmit conn
 
-func (l *connLate) happen() {
+func (l *connRetransmit) fire() {
 	if c := (*conn)(l); !c.closed {
-		c.reach()
+		c.sendConnect()
 	}
 }
 
-// lateSlot is for how long a real agent's wishes to connect to a server go unheard: its system sends them
-// again a second later.
-const lateSlot = time.Second
+// connectLossInterval is how long a real agent's connects to a server are lost. It is one second
+// because the agent's system retransmits them after a second.
+const connectLossInterval = time.Second
 
-// unheard tells whether a real agent's wish to connect to a server goes unheard now: it comes up late.
-func (l *link) unheard() bool {
+// connectLost reports whether a real agent's connect to a server is lost now, which delays it until a
+// retransmission.
+func (l *link) connectLost() bool {
 	w := l.w
-	slot := uint64(max(w.now, 0) / lateSlot)
+	slot := uint64(max(w.now, 0) / connectLossInterval)
 	for _, t := range w.active {
-		if t.set.Kind == scenario.LateConnections &&
-			lot(w.seed, mix(uint64(l.agent.number)<<32+uint64(l.server.number))+slot, lotLate) < t.part {
+		if t.config.Kind == scenario.LateConnections &&
+			hashedDraw(w.seed, mix(uint64(l.agent.number)<<32+uint64(l.server.number))+slot, lotLate) < t.share {
 			return true
 		}
 	}
--- a/internal/rehearsal/world/life.go
+++ b/internal/rehearsal/world/life.go
@@ -13,29 +13,28 @@
 	"dunestep/internal/state"
 )
 
-// clockStart is where the agents' clock, Unix time, stands when a day begins: a Monday after Easter,
-// 06:00 UTC.
+// clockStart is the agents' Unix time at the start of a run: Monday, 13 April 2026, 06:00 UTC.
 const clockStart = time.Duration(1776060000) * time.Second
 
-// agent is an agent by its name, whatever becomes of its process.
+// agent is one agent, across the restarts of its process.
 type agent struct {
-	w      *world
-	number int
-	name   string
-	zone   int
-	part   float64 // of the day's first tries
-	links  []*link // by the booking server's number
-	chance stream  // of its datagrams
-	starts int
-	kept   int   // troubles that keep it down
-	life   *life // nil: killed, or not ready again yet
-	coming *life // of a real program that is not ready yet
-	client *client
+	w          *world
+	number     int
+	name       string
+	zone       int
+	share      float64 // of the run's first tries
+	links      []*link // by server number
+	rng        stream  // for its datagrams and starts
+	starts     int
+	downFaults int           // active faults that keep it down
+	proc       *agentProcess // nil: killed or not ready yet
+	starting   *agentProcess // of a real agent that is not ready yet
+	client     *client
 
-	toDiscovery, toServers hindrance // of its streams
-	disk                   []byte    // that outlives it: the file as it was last written whole
-	bans                   []routing.DisabledEndpoint
-	out                    map[*server]bool // of the bans: those that hold
+	toDiscovery, toServers streamBlock // faults of its streams
+	disk                   []byte      // its state file as last written completely; survives the process
+	disabled               []routing.DisabledEndpoint
+	disabledServers        map[*server]bool // those of disabled that are enforced
 }
 
 func (a *agent) link(s *server) *link {
@@ -48,101 +47,102 @@
 	return a.links[s.number]
 }
 
-// life is one run of an agent's program: the routing core that the daemon runs, with virtual time and a
-// virtual network in place of its actors' sockets. Inputs wait in a mailbox until the one before is
-// carried out.
-type life struct {
-	w           *world
-	agent       *agent
-	dead        bool
-	remote      bool // the program is real: of what follows, it has the most itself
-	router      *routing.Router
-	list        *routing.ListTracker
-	idle        *routing.IdleLimit
-	connects    routing.ConnectTimeouts
-	session     *state.Recorder // nil: nothing is kept, and no list is doubted
-	descriptors *routing.Descriptors
-	upstreams   map[string]*upstream
-	operations  map[uint32]*operation
-	calls       map[int]*call
-	told        []bool  // by the booking server's number: that it is there
-	open        []*conn // to booking servers
-	clients     frontSocket
-	mail        []message
-	handling    bool
-	end         draining
-	replaced    bool        // another life has taken over
-	stands      int         // troubles that pause it
-	pauses      int         // for which the process stands still
-	held        []happening // that wait until it goes on
-	away        bool        // clients are sent away by hand
-	awayFrom    time.Duration
-	taken       uint64           // operations so far, for their ids on the socket
-	wire        protocol.Request // used again: the router keeps none
-	actsOn      *policy.Effect
-	ring        *ringassignment.Agent    // nil: it places by its own list alone
-	placed      *balancer.RingAssignment // that the router goes by
-	heard       time.Duration            // when it was last not cut off from the voters
-	avoids      *balancer.Exclusions     // that the router goes by
+// agentProcess is one run of an agent's program: the daemon's routing core with virtual time and a
+// virtual network in place of sockets and goroutines. Messages wait in a mailbox until the one before
+// is handled.
+type agentProcess struct {
+	w                 *world
+	agent             *agent
+	dead              bool
+	external          bool // a real program, which keeps most of the following state itself
+	router            *routing.Router
+	list              *routing.ListTracker
+	idleLimit         *routing.IdleLimit
+	connectTimeouts   routing.ConnectTimeouts
+	recorder          *state.Recorder // nil: no state is saved, and lists are not verified
+	descriptors       *routing.Descriptors
+	upstreams         map[string]*upstream
+	requests          map[uint32]*agentRequest
+	calls             map[int]*call
+	sentServers       []bool  // by server number: on the list that it was sent
+	openConns         []*conn // to upstream servers
+	listener          listener
+	mailbox           []message
+	handling          bool
+	shutdown          shutdown
+	replaced          bool    // another process has taken over
+	pauseFaults       int     // active pause faults
+	pauseCount        int     // pauses not yet resumed
+	deferred          []event // events until it is resumed
+	sendingAway       bool    // an operator has it send its clients away
+	sendingAwaySince  time.Duration
+	accepted          uint64                   // requests so far, for their IDs on the wire
+	wireRequest       protocol.Request         // reused: the router does not retain it
+	appliedPolicy     *policy.Effect           // last one given to the router
+	ring              *ringassignment.Agent    // nil: keys are placed by the agent's own list
+	appliedAssignment *balancer.RingAssignment // last one given to the router
+	lastConnected     time.Duration            // last time with a connection to the voters
+	appliedExclusions *balancer.Exclusions     // last ones given to the router
 }
 
-// operation is a client's try that the agent has taken.
-type operation struct {
-	id    uint32
-	try   *try
-	steps []*step
+// agentRequest is a client's try that the agent has accepted.
+type agentRequest struct {
+	id       uint32
+	try      *try
+	attempts []*attempt
 }
 
-// upstream is a booking server as the agent knows it, with its connections.
+// upstream is an upstream server as an agent process knows it, with its connections.
 type upstream struct {
-	life   *life
+	proc   *agentProcess
 	pool   *routing.Pool[*conn]
-	expiry time.Duration // when idle connections are looked at; zero: not entered
+	expiry time.Duration // next check of idle connections; zero: none scheduled
 }
 
-// message is something that an agent's router or list is told.
+// message is an input of an agent's router or list tracker.
 type message struct {
-	kind    messageKind
-	life    *life
-	number  int // of a call
-	err     error
-	sync    balancer.UpdateKind
-	word    balancer.WatchStatus
-	config  protocol.EndpointList
-	proves  bool // that the list is so
-	id      uint32
-	attempt int
-	saw     routing.AttemptResult
-	tag     uint64
-	from    int
-	data    []byte
-	try     *try
+	kind        messageKind
+	proc        *agentProcess
+	number      int // of a call
+	err         error
+	update      balancer.UpdateKind
+	watchStatus balancer.WatchStatus
+	list        protocol.EndpointList
+	confirms    bool // it confirms the list
+	id          uint32
+	attempt     int
+	result      routing.AttemptResult
+	tag         uint64
+	sender      int
+	data        []byte
+	try         *try
 }
 
 type messageKind uint8
 
 const (
-	poolNews messageKind = iota
-	callBegun
-	callSays
-	callQuiet
+	listUpdated messageKind = iota
+	callAccepted
+	callReceived
+	callIdle
 	callEnded
-	operationCame
+	requestArrived
 	clientGone
-	stepEnded
+	attemptEnded
 	timerDue
-	datagramCame
-	reclaim
-	abandon
+	datagramReceived
+	releaseIdle
+	failAll
 )
 
-func (m *message) happen() { m.life.post(*m) }
+func (m *message) fire() { m.proc.post(*m) }
 
-// begin starts an agent's program, with the list as discovery had it a while ago and what is on its disk.
-func (a *agent) begin() error {
+// start starts an agent's program. It gets the list as discovery published it some time before, and its
+// state file.
+func (a *agent) start() error {
 	w := a.w
 	if w.wire != nil {
-		a.beginRemote()
+		a.startExternal()
 		return nil
 	}
 	set := routing.Permitted(w.deployment(a))
@@ -152,180 +152,181 @@
 	if err != nil {
 		return err
 	}
-	gate, err := overload.New(set, w.o.Storm, decisions, seed)
+	gate, err := overload.New(set, w.options.Storm, decisions, seed)
 	if err != nil {
 		return err
 	}
-	age := w.set.Discovery.KnownAge.Draw(a.chance.Rand)
+	age := w.scenario.Discovery.KnownAge.Draw(a.rng.Rand)
 	list, version := w.discovery.asOf(max(w.now-age, 0))
-	known := w.discovery.config(list, version, true)
-	start := a.recall(known)
+	known := w.discovery.endpointList(list, version, true)
+	start := a.loadState(known)
 	if start.IsFromFile {
 		known = start.List
 		list = w.discovery.asOfVersion(known.Version)
 	}
 	module := routing.Module(gate)
-	if w.sights != nil {
-		module = w.sights.policy(set, seed)
+	if w.delayedView != nil {
+		module = w.delayedView.policy(set, seed)
 	}
-	l := &life{
+	l := &agentProcess{
 		w: w, agent: a, router: routing.NewRouter(set, module),
-		list:        routing.NewListTracker(serverAddr(0), known, a.bans),
-		idle:        routing.NewIdleLimit(clockStart+w.now, w.set.Connections.Idle),
-		descriptors: routing.NewDescriptors(w.set.Agents.Sockets), upstreams: map[string]*upstream{},
-		operations: map[uint32]*operation{}, calls: map[int]*call{},
+		list:        routing.NewListTracker(serverAddr(0), known, a.disabled),
+		idleLimit:   routing.NewIdleLimit(clockStart+w.now, w.scenario.Connections.Idle),
+		descriptors: routing.NewDescriptors(w.scenario.Agents.Sockets), upstreams: map[string]*upstream{},
+		requests: map[uint32]*agentRequest{}, calls: map[int]*call{},
 	}
-	a.life = l
+	a.proc = l
 	l.joinRing()
-	if s := &w.set.Agents; w.sights == nil && (s.KeepEvery > 0 || s.ProvesList || w.upgrades()) {
-		l.session = state.NewRecorder(start, decisions, gate, l.idle,
+	if s := &w.scenario.Agents; w.delayedView == nil && (s.KeepEvery > 0 || s.ProvesList || w.hasUpgrades()) {
+		l.recorder = state.NewRecorder(start, decisions, gate, l.idleLimit,
 			state.ProbationSettings{Enabled: s.ProvesList, FullDeploy: s.DeployTakes})
 	}
-	if every := w.set.Agents.KeepEvery; every > 0 {
-		w.after(every, rankTimer, (*keeps)(l))
+	if every := w.scenario.Agents.KeepEvery; every > 0 {
+		w.scheduleAfter(every, rankTimer, (*periodicSave)(l))
 	}
 	w.record.agent(record.AgentUp, a)
-	l.writes(list, true)
-	l.post(message{kind: poolNews, sync: balancer.UpdateCached, config: l.list.ApplyDisabled(known)})
+	l.recordList(list, true)
+	l.post(message{kind: listUpdated, update: balancer.UpdateCached, list: l.list.ApplyDisabled(known)})
 	return nil
 }
 
-// kill ends the program: all that it held is void, and its machine resets its connections.
+// kill ends the program: all its state is lost and its connections are reset.
 func (a *agent) kill() {
-	l := a.life
+	l := a.proc
 	if l == nil {
 		return
 	}
-	a.life = nil
+	a.proc = nil
 	a.w.record.agent(record.AgentDown, a)
-	l.finish()
+	l.terminate()
 }
 
-// finish ends one run of the program: its machine resets its connections.
-func (l *life) finish() {
+// terminate ends the process and resets its connections.
+func (l *agentProcess) terminate() {
 	l.dead = true
 	for _, c := range l.calls {
-		c.forget()
+		c.remove()
 	}
-	if l.remote {
-		l.endRemote()
+	if l.external {
+		l.killExternal()
 	}
-	for len(l.open) > 0 {
-		c := l.open[len(l.open)-1]
-		if s := c.step; s != nil && !s.ended {
-			s.over(record.GivenUp)
+	for len(l.openConns) > 0 {
+		c := l.openConns[len(l.openConns)-1]
+		if s := c.attempt; s != nil && !s.ended {
+			s.finish(record.GivenUp)
 		}
 		c.close()
 	}
 	l.agent.client.resetAll(l)
 }
 
-func (l *life) clock() time.Duration { return clockStart + l.w.now }
+func (l *agentProcess) clock() time.Duration { return clockStart + l.w.now }
 
-// post hands a message to the router or the list, now or when those before it are carried out.
-func (l *life) post(m message) {
-	if l.remote {
-		l.postRemote(m)
+// post passes a message to the router or the list tracker, now or after those that wait.
+func (l *agentProcess) post(m message) {
+	if l.external {
+		l.postExternal(m)
 		return
 	}
 	if l.dead {
 		return
 	}
-	if l.pauses > 0 { // apart: to keep it, it must be on the heap
-		l.postLater(m)
+	if l.pauseCount > 0 { // in a function of its own: only there the message escapes to the heap
+		l.postDeferred(m)
 		return
 	}
-	l.mail = append(l.mail, m)
+	l.mailbox = append(l.mailbox, m)
 	if l.handling {
 		return
 	}
 	l.handling = true
-	for i := 0; i < len(l.mail); i++ {
-		l.handle(&l.mail[i])
+	for i := 0; i < len(l.mailbox); i++ {
+		l.handle(&l.mailbox[i])
 	}
-	clear(l.mail)
-	l.mail = l.mail[:0]
+	clear(l.mailbox)
+	l.mailbox = l.mailbox[:0]
 	l.handling = false
 }
 
-func (l *life) postLater(m message) {
-	m.life = l
-	l.still(&m)
+func (l *agentProcess) postDeferred(m message) {
+	m.proc = l
+	l.deferIfPaused(&m)
 }
 
-// follow has the router go by what is agreed at this moment, as agent.Agent does before each message.
-func (l *life) follow() {
-	if acting := l.w.o.Acting; acting != nil {
-		if e := acting(l.agent.number, l.w.now); e != l.actsOn {
-			l.actsOn = e
+// updatePolicy applies the present fleet policy to the router, as agent.Agent does before each message.
+func (l *agentProcess) updatePolicy() {
+	if acting := l.w.options.Acting; acting != nil {
+		if e := acting(l.agent.number, l.w.now); e != l.appliedPolicy {
+			l.appliedPolicy = e
 			l.router.SetFleetPolicy(e)
 		}
 	}
 }
 
-func (l *life) handle(at *message) {
-	m := *at // the mailbox may grow
-	l.follow()
-	l.places()
-	l.keepsOff()
+func (l *agentProcess) handle(at *message) {
+	m := *at // a copy: the mailbox may grow
+	l.updatePolicy()
+	l.updateAssignment()
+	l.updateExclusions()
 	switch now := l.clock(); m.kind {
-	case poolNews:
-		l.carry(l.router.ListUpdated(now, m.sync, m.config, m.word))
-		l.remember(&m)
-	case callBegun:
-		l.heed(l.list.CallAccepted(m.number))
-		l.w.after(quietWait, rankTimer, &message{kind: callQuiet, life: l, number: m.number})
-	case callQuiet:
-		l.heed(l.list.CallIdle(m.number))
-	case callSays:
-		l.heed(l.list.CallReceived(m.number, m.config))
+	case listUpdated:
+		l.execute(l.router.ListUpdated(now, m.update, m.list, m.watchStatus))
+		l.recordUpdate(&m)
+	case callAccepted:
+		l.executeList(l.list.CallAccepted(m.number))
+		l.w.scheduleAfter(callIdleWait, rankTimer, &message{kind: callIdle, proc: l, number: m.number})
+	case callIdle:
+		l.executeList(l.list.CallIdle(m.number))
+	case callReceived:
+		l.executeList(l.list.CallReceived(m.number, m.list))
 	case callEnded:
 		delete(l.calls, m.number)
-		l.heed(l.list.CallEnded(m.number, m.err))
-	case operationCame:
-		l.arrive(m.try)
+		l.executeList(l.list.CallEnded(m.number, m.err))
+	case requestArrived:
+		l.requestArrived(m.try)
 	case clientGone:
-		if m.try.operation != nil {
-			l.carry(l.router.ClientGone(now, m.try.operation.id))
+		if m.try.agentRequest != nil {
+			l.execute(l.router.ClientGone(now, m.try.agentRequest.id))
 		}
-	case stepEnded:
-		l.carry(l.router.AttemptEnded(now, m.id, m.attempt, m.saw))
+	case attemptEnded:
+		l.execute(l.router.AttemptEnded(now, m.id, m.attempt, m.result))
 	case timerDue:
-		l.carry(l.router.TimerDue(now, m.tag))
-	case datagramCame:
-		l.carry(l.router.DatagramReceived(now, protocol.Datagram{Agent: m.from, Data: m.data}))
-	case reclaim:
-		l.carry(l.router.ReleaseIdle())
-	case abandon:
-		l.carry(l.router.FailAll())
+		l.execute(l.router.TimerDue(now, m.tag))
+	case datagramReceived:
+		l.execute(l.router.DatagramReceived(now, protocol.Datagram{Agent: m.sender, Data: m.data}))
+	case releaseIdle:
+		l.execute(l.router.ReleaseIdle())
+	case failAll:
+		l.execute(l.router.FailAll())
 	}
 }
 
-// arrive hands a client's try to the router.
-func (l *life) arrive(t *try) {
+// requestArrived passes a client's try to the router.
+func (l *agentProcess) requestArrived(t *try) {
 	w := l.w
 	q := t.request
-	l.taken++
-	op := &l.wire
+	l.accepted++
+	op := &l.wireRequest
 	*op = protocol.Request{
-		CorrelationID: wireID(l.taken), Class: q.told(),
-		IsRetry: t.nth > 0 && w.set.Clients.MarksRetry, TimeLeft: (t.leaves - t.asked).Truncate(time.Millisecond),
+		CorrelationID: wireID(l.accepted), Class: q.agentClass(),
+		IsRetry:  t.number > 0 && w.scenario.Clients.MarksRetry,
+		TimeLeft: (t.deadline - t.sentAt).Truncate(time.Millisecond),
 	}
 	if q.key > 0 {
 		op.Key = w.keyNames[q.key-1]
 	}
 	if q.tenant != record.NoTenant {
-		op.Tenant = w.set.Tenants[q.tenant].Name
+		op.Tenant = w.scenario.Tenants[q.tenant].Name
 	}
-	o := &operation{try: t}
-	t.operation = o
+	o := &agentRequest{try: t}
+	t.agentRequest = o
 	id, out := l.router.RequestArrived(l.clock(), op, l.clock())
 	o.id = id
-	l.operations[id] = o
-	l.carry(out)
+	l.requests[id] = o
+	l.execute(out)
 }
 
-// wireID is an operation's id on the socket.
+// wireID formats a request's ID on the wire.
 func wireID(n uint64) string {
 	const digits = "0123456789abcdef"
 	var b [16]byte
@@ -336,38 +337,40 @@
 	return string(b[:])
 }
 
-// carry does what the router wants done.
-func (l *life) carry(outputs []routing.Output) {
+// execute executes the router's outputs.
+func (l *agentProcess) execute(outputs []routing.Output) {
 	w := l.w
 	for i := range outputs {
 		o := &outputs[i]
 		switch o.Kind {
 		case routing.Respond:
-			l.answer(o)
+			l.respond(o)
 		case routing.StartAttempt:
-			l.startStep(o)
+			l.startAttempt(o)
 		case routing.CancelAttempt:
-			if s := l.operations[o.Request].step(o.Attempt); s != nil && !s.ended {
+			if s := l.requests[o.Request].attempt(o.Attempt); s != nil && !s.ended {
 				s.end(o.Why)
 			}
 		case routing.CancelIfUnsent:
-			if s := l.operations[o.Request].step(o.Attempt); s != nil && !s.ended && s.phase == routing.Connecting {
+			if s := l.requests[o.Request].attempt(o.Attempt); s != nil && !s.ended && s.phase == routing.Connecting {
 				s.end(routing.Canceled)
 			}
 		case routing.ForgetRequest:
-			delete(l.operations, o.Request)
+			delete(l.requests, o.Request)
 		case routing.SetTimer:
-			w.enter(o.At-clockStart, rankTimer, &message{kind: timerDue, life: l, tag: o.Tag})
+			w.schedule(o.At-clockStart, rankTimer, &message{kind: timerDue, proc: l, tag: o.Tag})
 		case routing.SendDatagram:
-			if !l.replaced { // one process speaks for the agent
-				l.tell(o.Peer, o.Data)
+			if !l.replaced { // only the new process sends gossip
+				l.sendDatagram(o.Peer, o.Data)
 			}
 		case routing.WatchList:
-			l.heed(l.list.Watch())
+			l.executeList(l.list.Watch())
 		case routing.FetchList:
-			l.heed(l.list.Fetch())
+			l.executeList(l.list.Fetch())
 		case routing.OpenEndpoint:
-			l.upstreams[o.Endpoint] = &upstream{life: l, pool: routing.NewPool[*conn](o.Addr, l.idle, noSettling)}
+			l.upstreams[o.Endpoint] = &upstream{
+				proc: l, pool: routing.NewPool[*conn](o.Addr, l.idleLimit, noSettleTime),
+			}
 		case routing.SetEndpointAddress:
 			closeAll(l.upstreams[o.Endpoint].pool.SetAddress(o.Addr))
 		case routing.RemoveEndpoint:
@@ -378,42 +381,47 @@
 		case routing.ReleaseIdle:
 			closeAll(l.upstreams[o.Endpoint].pool.CloseIdleHalf())
 		case routing.LogDecision:
-			if w.o.Log != nil {
-				w.o.Log(w.now, l.agent.name, o.Text)
+			if w.options.Log != nil {
+				w.options.Log(w.now, l.agent.name, o.Text)
 			}
 		case routing.UnsupportedProbe:
-			if w.o.Log != nil {
-				w.o.Log(w.now, l.agent.name, "not allowed: probe "+o.Endpoint)
+			if w.options.Log != nil {
+				w.options.Log(w.now, l.agent.name, "not allowed: probe "+o.Endpoint)
 			}
 		}
 	}
 }
 
-func (o *operation) step(attempt int) *step {
-	for _, s := range o.steps {
-		if s.attempt == attempt {
+func (o *agentRequest) attempt(attempt int) *attempt {
+	for _, s := range o.attempts {
+		if s.index == attempt {
 			return s
 		}
 	}
 	return nil
 }
 
-// heed does what the list wants done.
-func (l *life) heed(outputs []routing.ListOutput) {
+// executeList executes the list tracker's outputs.
+func (l *agentProcess) executeList(outputs []routing.ListOutput) {
 	for i := range outputs {
 		switch o := &outputs[i]; o.Kind {
 		case routing.StartCall:
-			c := &call{d: l.w.discovery, life: l, number: o.Call, watch: o.Request.Watch, told: o.Request.FromVersion}
-			c.lag = time.Duration(l.agent.chance.Float64() * float64(c.d.spread))
+			c := &call{
+				d: l.w.discovery, proc: l, number: o.Call, watch: o.Request.Watch,
+				sentVersion: o.Request.FromVersion,
+			}
+			c.lag = time.Duration(l.agent.rng.Float64() * float64(c.d.spread))
 			l.calls[o.Call] = c
-			l.w.enter(l.agent.callArrives(c.d), rankArrival, (*callReaches)(c))
+			l.w.schedule(l.agent.callArrival(c.d), rankArrival, (*callArrives)(c))
 		case routing.EndCall:
-			if c := l.calls[o.Call]; c != nil && !c.over {
-				c.forget()
-				l.w.after(0, rankArrival, &message{kind: callEnded, life: l, number: o.Call, err: errCancelled})
+			if c := l.calls[o.Call]; c != nil && !c.ended {
+				c.remove()
+				l.w.scheduleAfter(0, rankArrival, &message{kind: callEnded, proc: l, number: o.Call, err: errCanceled})
 			}
 		case routing.ListUpdate:
-			l.post(message{kind: poolNews, sync: o.Update, config: o.List, word: o.Watch, proves: o.Confirms})
+			l.post(message{
+				kind: listUpdated, update: o.Update, list: o.List, watchStatus: o.Watch, confirms: o.Confirms,
+			})
 		}
 	}
 }
--- a/internal/rehearsal/world/live.go
+++ b/internal/rehearsal/world/live.go
@@ -16,59 +16,60 @@
 	"dunestep/internal/rehearsal/scenario"
 )
 
-// Wire carries out on real sockets, with real agents, what a model carries out by their code. It is called
-// from the goroutine that plays the day and must not wait for anything; what comes of it is told to Live.
+// Wire connects a run in real time to real agents over sockets. Its methods are called from the
+// goroutine that runs the simulation and must not block; results are reported to Live.
 type Wire interface {
-	// Server has every agent find something at a booking server's address; a further call does nothing.
+	// Server makes an upstream server's address reachable for every agent. A repeated call has no
+	// effect.
 	Server(addr netip.AddrPort) error
-	// Gate says what becomes of an agent's wish to connect to an address.
+	// Gate sets how an agent's connects to an address are handled.
 	Gate(agent int, addr netip.AddrPort, g Gate)
-	// Ask sends a client's try to an agent, on a connection that is kept or on a new one.
+	// Ask sends a client's try to an agent, on a kept connection or a new one.
 	Ask(f *FrontConn, q *Query)
 	// HangUp closes a client's connection.
 	HangUp(f *FrontConn)
-	// Datagram hands an agent what another has sent.
+	// Datagram delivers a datagram from one agent to another.
 	Datagram(from, to int, data []byte)
-	// Start starts an agent's program, for the run of a number; Kill ends it at once, Drain tells it to end.
+	// Start starts an agent's program as run number run; Kill kills it, Drain tells it to shut down.
 	Start(agent, run int, known protocol.EndpointList)
 	Kill(agent int)
 	Drain(agent int)
-	// Pause has an agent's process stand still, Resume go on.
+	// Pause stops an agent's process, Resume continues it.
 	Pause(agent int)
 	Resume(agent int)
-	// Hinder has an agent's streams to discovery have a fault of streams, or no longer.
+	// Hinder turns a stream fault of an agent's connections to discovery on or off.
 	Hinder(agent int, fault scenario.Fault, on bool)
 }
 
-// Gate is what becomes of a wish to connect.
+// Gate is how a connect is handled.
 type Gate uint8
 
-// The gates: it is accepted, refused, or not answered at all.
+// The gates: a connect is accepted, refused or left unanswered.
 const (
 	Open Gate = iota
 	Shut
 	Mute
 )
 
-// A StepConn is an agent's connection to a booking server, as the wire has it.
+// A StepConn is the wire's side of an agent's connection to an upstream server.
 type StepConn interface {
 	Answer(a Answer) // writes an answer
 	Reset()          // breaks the connection
-	Close()          // ends it in good order
+	Close()          // closes it in an orderly way
 }
 
-// Answer is what a booking server answers.
+// Answer is an upstream server's answer.
 type Answer struct {
 	Op      uint32
 	Attempt int
 	Kind    AnswerKind
-	Fault   scenario.Fault // of the wire, in place of a sound answer
+	Fault   scenario.Fault // fault on the wire that replaces a valid answer
 }
 
-// AnswerKind is what is said in an answer.
+// AnswerKind is the kind of an answer.
 type AnswerKind uint8
 
-// The kinds of answer.
+// The kinds of answers.
 const (
 	AnswerServed AnswerKind = iota
 	AnswerError
@@ -76,15 +77,15 @@
 	AnswerSpoilt
 )
 
-// A ListConn is an agent's call to discovery, as the wire has it.
+// A ListConn is the wire's side of an agent's call to discovery.
 type ListConn interface {
 	Begin()                           // the call is accepted
-	Say(config protocol.EndpointList) // an object of the list
-	End(ok bool)                      // the call is over; false: it has failed
-	Silence()                         // nothing more comes on it, and it stays open
+	Say(config protocol.EndpointList) // sends a full list or changes
+	End(ok bool)                      // ends the call; false: it has failed
+	Silence()                         // sends nothing more and keeps the call open
 }
 
-// Query is a client's try, for the wire.
+// Query is a client's try in the form that the wire sends.
 type Query struct {
 	Agent    int
 	Op       uint32
@@ -92,9 +93,9 @@
 	Tenant   string
 	Key      string
 	Repeat   bool
-	Update   bool // by POST
+	Update   bool // sent as a POST
 	TimeLeft time.Duration
-	Due      time.Duration // when it should go out
+	Due      time.Duration // when it is to be sent
 	try      *try
 }
 
@@ -102,66 +103,67 @@
 type Final struct {
 	Answer  record.Answer
 	After   time.Duration
-	Attempt int  // whose body it is; below zero: no booking server's
-	Closes  bool // the connection carries no further try
+	Attempt int  // the attempt that produced the body; negative: none did
+	Closes  bool // the connection cannot carry another try
 }
 
-// FrontConn is a client's connection to an agent. The wire keeps what it needs of it in Handle.
-type FrontConn = frontConn
+// FrontConn is a client's connection to an agent. The wire keeps its own state of it in Handle.
+type FrontConn = clientConn
 
-// FrontHandle is the wire's part of a client's connection.
+// FrontHandle is the wire's state of a client's connection.
 type FrontHandle any
 
-// Lateness is how late the kit itself was.
+// Lateness is how late the rehearsal kit itself fired its events.
 type Lateness struct {
-	Happenings *hdrhistogram.Histogram // of everything that it had to do at a time, in microseconds
+	Happenings *hdrhistogram.Histogram // of all events, in microseconds
 	Most       time.Duration
-	MostAt     time.Duration // of the day
+	MostAt     time.Duration // virtual time of the maximum
 }
 
-// Live is a day that is played in real time. Its methods may be called from any goroutine.
+// Live is a run in real time. Its methods may be called from any goroutine.
 type Live struct {
-	w     *world
-	ready []bool // of the agents, before the day begins
-	set   bool   // they all are, and time zero is set
+	w       *world
+	ready   []bool // by agent, before the start
+	started bool   // all agents are ready and time zero is set
 
 	mu     sync.Mutex
-	inbox  []posted
-	began  time.Time // the day's time zero
+	inbox  []inboxItem
+	zero   time.Time // time zero of the run
 	asleep atomic.Bool
-	wake   int // an event descriptor
+	wake   int // eventfd
 	late   Lateness
 }
 
-// posted is something that came from the wire.
-type posted struct {
-	at   time.Duration
-	what happening
+// inboxItem is an event from the wire.
+type inboxItem struct {
+	at    time.Duration
+	event event
 }
 
-// called is a happening that is a call.
-type called func()
+// eventFunc is an event that calls a function.
+type eventFunc func()
 
-func (c called) happen() { c() }
+func (c eventFunc) fire() { c() }
 
 const (
-	// setUp is how long before its time zero a day may begin, for its agents to get ready.
-	setUp = 60 * time.Second
-	// settles is what ready agents are given until the first request.
-	settles = 500 * time.Millisecond
-	// gateStep is how often it is looked who may connect where.
-	gateStep = 10 * time.Millisecond
-	// remembers is how long past its time a try is known to the booking servers.
-	remembers = 2 * time.Second
+	// maxSetup is the time in which the agents must become ready, before time zero.
+	maxSetup = 60 * time.Second
+	// startDelay is the time from when all agents are ready to time zero.
+	startDelay = 500 * time.Millisecond
+	// gateInterval is the time between two updates of the gates.
+	gateInterval = 10 * time.Millisecond
+	// tryRetention is how long after a try's deadline upstream servers still accept attempts of it.
+	tryRetention = 2 * time.Second
 )
 
-// errNotReady ends a day whose agents do not get ready.
+// errNotReady ends a run whose agents do not get ready within maxSetup.
 var errNotReady = errors.New("the agents did not get ready within a minute")
 
-// NewLive draws a day that is to be played in real time.
+// NewLive prepares a run in real time.
 func NewLive(set *scenario.Scenario, seed uint64, sink record.Sink, o Options) (*Live, error) {
 	w := &world{
-		seed: seed, set: set, sink: sink, o: o, at: map[netip.AddrPort]*server{}, slow: 1, keeps: 1,
+		seed: seed, scenario: set, sink: sink, options: o, byAddr: map[netip.AddrPort]*server{},
+		slowdown: 1, trafficKept: 1,
 		tries: map[uint32]*try{},
 	}
 	w.record.w = w
@@ -175,26 +177,27 @@
 	return v, nil
 }
 
-// Close gives back what the day holds of the system; it must not be played any more.
+// Close releases the system resources of the run, which must have ended.
 func (v *Live) Close() { _ = unix.Close(v.wake) }
 
-// Deployment is the agents' settings, for their configuration files.
+// Deployment returns an agent's settings, for its configuration file.
 func (v *Live) Deployment(agent int) protocol.Settings {
-	c := &v.w.set.Connections
+	c := &v.w.scenario.Connections
 	return protocol.Settings{
 		Settings: v.w.deployment(v.w.agents[agent]), ConnIdleTimeout: c.Idle,
 		ConnectTimeout: c.ConnectTimeout,
 	}
 }
 
-// Zero is the day's time zero on the clock of the machine, as far as it is known.
+// Zero returns the run's time zero on the machine's clock. It may move until all agents are ready.
 func (v *Live) Zero() time.Time {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.began
+	return v.zero
 }
 
-// StartedMS is a start on the list in the clock of the machine; zero where it was long ago.
+// StartedMS converts a process start on the list to the machine's clock, in Unix milliseconds; zero:
+// before the run.
 func (v *Live) StartedMS(started time.Duration) int64 {
 	if started == 0 {
 		return 0
@@ -202,17 +205,18 @@
 	return v.Zero().Add(started - clockStart).UnixMilli()
 }
 
-// Late is how late the kit was, once the day is over.
+// Late returns how late the kit was, once the run has ended.
 func (v *Live) Late() Lateness { return v.late }
 
-// Play plays the day.
+// Play runs the scenario in real time. It returns an error if the agents do not get ready, the wire
+// fails or the context ends.
 func (v *Live) Play(ctx context.Context, wire Wire) error {
 	w := v.w
 	w.wire = wire
-	v.began = time.Now().Add(setUp)
-	w.now = -setUp
+	v.zero = time.Now().Add(maxSetup)
+	w.now = -maxSetup
 	w.build()
-	if w.set.Clients.GraphQL > 0 { // its clients ask by the class that a front would tell
+	if w.scenario.Clients.GraphQL > 0 { // clients name the class that a classifier would choose
 		if err := w.buildGraphQL(); err != nil {
 			return err
 		}
@@ -222,34 +226,34 @@
 			return err
 		}
 	}
-	(*gatesLook)(w).happen()
+	(*gateUpdate)(w).fire()
 	for _, a := range w.agents {
-		_ = a.begin()
+		_ = a.start()
 	}
-	w.enter(time.Second, rankSample, &sampling{w: w})
-	defer context.AfterFunc(ctx, v.nudge)()
+	w.schedule(time.Second, rankSample, &sampling{w: w})
+	defer context.AfterFunc(ctx, v.wakeUp)()
 	return v.run(ctx)
 }
 
-// run has everything happen when it is due, until the last request is over and the servers have done their
-// work.
+// run fires events when they are due, until the last request has ended and the servers have finished
+// their work.
 func (v *Live) run(ctx context.Context) error {
 	w := v.w
-	last := w.set.Day.Length
-	for i := range w.set.Classes {
-		last = max(last, w.set.Day.Length+w.set.Classes[i].Deadline)
+	last := w.scenario.Day.Length
+	for i := range w.scenario.Classes {
+		last = max(last, w.scenario.Day.Length+w.scenario.Classes[i].Deadline)
 	}
 	shown := time.Duration(0)
 	for {
-		v.take()
+		v.drainInbox()
 		wall := v.clock()
-		for n := 0; n < lookEvery; n++ {
+		for n := 0; n < cancelCheckEvents; n++ {
 			what, is := w.next(wall)
 			if !is {
 				break
 			}
-			v.note(wall)
-			what.happen()
+			v.recordLateness(wall)
+			what.fire()
 		}
 		switch {
 		case w.failed != nil || ctx.Err() != nil:
@@ -258,25 +262,25 @@
 				return w.failed
 			}
 			return ctx.Err()
-		case !v.set && v.allReady():
-			v.begin()
-		case !v.set && wall >= -time.Second:
+		case !v.started && v.allReady():
+			v.setZero()
+		case !v.started && wall >= -time.Second:
 			w.sink.End(0)
 			return errNotReady
-		case w.now >= last+lingers || w.now >= w.set.Day.Length && w.open == 0 && w.quiet():
+		case w.now >= last+maxOverrun || w.now >= w.scenario.Day.Length && w.pending == 0 && w.idle():
 			v.finish()
 			return nil
 		}
-		if second := w.now.Truncate(time.Second); w.o.Progress != nil && second > shown {
+		if second := w.now.Truncate(time.Second); w.options.Progress != nil && second > shown {
 			shown = second
-			w.o.Progress(second)
+			w.options.Progress(second)
 		}
 		v.sleep()
 	}
 }
 
-// note counts how late something happens. Before the day begins nothing depends on it.
-func (v *Live) note(wall time.Duration) {
+// recordLateness records how late an event fires. Events before time zero do not count.
+func (v *Live) recordLateness(wall time.Duration) {
 	late := wall - v.w.now
 	if v.w.now <= 0 {
 		return
@@ -287,11 +291,11 @@
 	}
 }
 
-// finish ends the day.
+// finish ends the run.
 func (v *Live) finish() {
 	for _, s := range v.w.servers {
 		if s.process.state != processDown {
-			s.process.die()
+			s.process.terminate()
 		}
 	}
 	v.w.sink.End(v.w.now)
@@ -306,44 +310,44 @@
 	return true
 }
 
-// begin sets the day's time zero, now that all agents are ready.
-func (v *Live) begin() {
+// setZero sets the run's time zero, now that all agents are ready.
+func (v *Live) setZero() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.began, v.set = time.Now().Add(settles), true
+	v.zero, v.started = time.Now().Add(startDelay), true
 }
 
-// clock is the day's time on the machine's clock.
+// clock returns the run's time by the machine's clock.
 func (v *Live) clock() time.Duration { return time.Since(v.Zero()) }
 
-// post has something that came from the wire happen, as of now.
-func (v *Live) post(what happening) {
+// post schedules an event from the wire for now.
+func (v *Live) post(what event) {
 	v.mu.Lock()
-	v.inbox = append(v.inbox, posted{time.Since(v.began), what})
+	v.inbox = append(v.inbox, inboxItem{time.Since(v.zero), what})
 	v.mu.Unlock()
 	if v.asleep.CompareAndSwap(true, false) {
-		v.nudge()
+		v.wakeUp()
 	}
 }
 
-func (v *Live) nudge() {
+func (v *Live) wakeUp() {
 	one := [8]byte{0: 1}
 	_, _ = unix.Write(v.wake, one[:])
 }
 
-// take enters what has come from the wire.
-func (v *Live) take() {
+// drainInbox schedules the events that have arrived from the wire.
+func (v *Live) drainInbox() {
 	v.mu.Lock()
 	came := v.inbox
 	v.inbox = nil
 	v.mu.Unlock()
 	for _, p := range came {
-		v.w.enter(p.at, rankArrival, p.what)
+		v.w.schedule(p.at, rankArrival, p.event)
 	}
 }
 
-// sleep waits until something is due or has come. It waits in the kernel itself: the library's timers come up
-// to a millisecond late on an idle machine.
+// sleep waits until an event is due or has arrived. It uses ppoll because the Go runtime's timers fire
+// up to a millisecond late on an idle machine.
 func (v *Live) sleep() {
 	wait := 100 * time.Millisecond
 	if at, is := v.w.NextAt(); is {
--- a/internal/rehearsal/world/memory.go
+++ b/internal/rehearsal/world/memory.go
@@ -9,15 +9,15 @@
 	"dunestep/internal/state"
 )
 
-// quietWait is how long after discovery has accepted a watch an agent takes its silence for no news.
-const quietWait = 200 * time.Millisecond
+// callIdleWait is the silence after an accepted watch that an agent takes as no changes.
+const callIdleWait = 200 * time.Millisecond
 
-// owner is whose the files on an agent's disk are.
-func (a *agent) owner() state.Owner { return state.Owner{Deployment: a.w.set.Name, Agent: a.name} }
+// owner identifies the agent in its state file.
+func (a *agent) owner() state.Owner { return state.Owner{Deployment: a.w.scenario.Name, Agent: a.name} }
 
-// recall puts together what an agent starts from: the known list and its disk. What can't be read is left
-// out.
-func (a *agent) recall(known protocol.EndpointList) state.Initial {
+// loadState returns what an agent starts with, from the known list and its state file. A state file
+// that cannot be read or has another owner is ignored.
+func (a *agent) loadState(known protocol.EndpointList) state.Initial {
 	var file *state.File
 	if a.disk != nil {
 		if f, err := state.Decode(a.disk); err == nil && f.Owner == a.owner() {
@@ -28,59 +28,59 @@
 	return start
 }
 
-// wallClock is what the agents' machines show.
+// wallClock returns the time on the agents' machines.
 func (w *world) wallClock() time.Time { return time.Unix(0, int64(clockStart+w.now)) }
 
-// remember tells the session of news that the router has just been told.
-func (l *life) remember(m *message) {
+// recordUpdate passes a list update to the state recorder after the router has handled it.
+func (l *agentProcess) recordUpdate(m *message) {
 	switch {
-	case l.session == nil:
-	case m.sync == balancer.UpdateCached:
-		l.session.RestoreLearned(l.clock())
+	case l.recorder == nil:
+	case m.update == balancer.UpdateCached:
+		l.recorder.RestoreLearned(l.clock())
 	default:
-		l.session.ListUpdated(l.clock(), m.sync, m.config, routing.Confirmation(m.proves))
+		l.recorder.ListUpdated(l.clock(), m.update, m.list, routing.Confirmation(m.confirms))
 	}
 }
 
-// keeps is when an agent writes what it has learned to its disk, also when it is told to end. It is there
-// once it is written whole, unless the agent was killed before.
-type keeps life
+// periodicSave writes an agent's state file at intervals, until it shuts down. A file counts once it is
+// written completely; a kill before that discards it.
+type periodicSave agentProcess
 
-func (k *keeps) happen() {
-	l := (*life)(k)
-	if l.dead || l.still(k) || l.end.told {
+func (k *periodicSave) fire() {
+	l := (*agentProcess)(k)
+	if l.dead || l.deferIfPaused(k) || l.shutdown.requested {
 		return
 	}
-	l.keep()
-	l.w.after(l.w.set.Agents.KeepEvery+l.w.set.Agents.KeepTakes, rankTimer, k)
+	l.saveState()
+	l.w.scheduleAfter(l.w.scenario.Agents.KeepEvery+l.w.scenario.Agents.KeepTakes, rankTimer, k)
 }
 
-// keep begins to write what the agent knows, where it has a disk.
-func (l *life) keep() {
-	if l.w.set.Agents.KeepEvery == 0 || l.session == nil {
+// saveState begins to write the state file, if the agent has one.
+func (l *agentProcess) saveState() {
+	if l.w.scenario.Agents.KeepEvery == 0 || l.recorder == nil {
 		return
 	}
-	if raw, err := state.Encode(l.content()); err == nil {
-		l.w.after(l.w.set.Agents.KeepTakes, rankTimer, &written{l, raw})
+	if raw, err := state.Encode(l.stateFile()); err == nil {
+		l.w.scheduleAfter(l.w.scenario.Agents.KeepTakes, rankTimer, &saveCompleted{l, raw})
 	}
 }
 
-// content is what the agent knows now.
-func (l *life) content() *state.File {
+// stateFile returns the agent's present state.
+func (l *agentProcess) stateFile() *state.File {
 	return &state.File{
-		Content: l.session.Snapshot(l.clock()).Content(),
+		Content: l.recorder.Snapshot(l.clock()).Content(),
 		Header:  state.Header{Owner: l.agent.owner(), WrittenMS: l.w.wallClock().UnixMilli()},
 	}
 }
 
-// written is when a write is whole.
-type written struct {
-	life *life
+// saveCompleted is the completion of a write of the state file.
+type saveCompleted struct {
+	proc *agentProcess
 	raw  []byte
 }
 
-func (w *written) happen() {
-	if !w.life.still(w) && !w.life.dead {
-		w.life.agent.disk = w.raw
+func (w *saveCompleted) fire() {
+	if !w.proc.deferIfPaused(w) && !w.proc.dead {
+		w.proc.agent.disk = w.raw
 	}
 }
--- a/internal/rehearsal/world/network.go
+++ b/internal/rehearsal/world/network.go
@@ -8,11 +8,11 @@
 	"dunestep/internal/rehearsal/scenario"
 )
 
-// network holds the delays between zones, as drawn for the day.
+// network holds the delays between zones, as drawn for the run.
 type network struct {
-	oneWay [][]time.Duration // by the two zones' numbers
+	oneWay [][]time.Duration // by the indexes of the two zones
 	jitter float64
-	client time.Duration // between an application and its agent
+	client time.Duration // between a client and its agent
 }
 
 func newNetwork(s *scenario.Scenario, seed uint64) *network {
@@ -29,31 +29,31 @@
 			n.oneWay[j][i] = n.oneWay[i][j]
 		}
 	}
-	chance := newStream(seed, "network")
-	n.jitter = s.Network.Jitter.Draw(chance.Rand)
-	n.client = s.Network.Client.Draw(chance.Rand)
+	rng := newStream(seed, "network")
+	n.jitter = s.Network.Jitter.Draw(rng.Rand)
+	n.client = s.Network.Client.Draw(rng.Rand)
 	return n
 }
 
-// link is the way between an agent and a booking server's machine.
+// link is the network path between an agent and an upstream server.
 type link struct {
 	w       *world
 	agent   *agent
 	server  *server
-	chance  stream
+	rng     stream
 	oneWay  time.Duration
 	crosses bool // to another zone
-	gate    Gate // as a real wire has it
+	gate    Gate // last one set on the wire, with real agents
 }
 
 func newLink(w *world, a *agent, s *server) *link {
 	return &link{
-		w: w, agent: a, server: s, chance: newStream(w.seed, "link "+a.name+" "+s.id),
+		w: w, agent: a, server: s, rng: newStream(w.seed, "link "+a.name+" "+s.id),
 		oneWay: w.network.oneWay[a.zone][s.zone], crosses: a.zone != s.zone,
 	}
 }
 
-// cutUntil tells until when nothing passes; zero: it does.
+// cutUntil returns until when the path is cut; zero: it is open.
 func (l *link) cutUntil() time.Duration {
 	until := l.server.cutUntil
 	if l.crosses {
@@ -65,16 +65,17 @@
 	return until
 }
 
-// arrival is when what is sent now arrives, but not before what was sent on the same connection: that is
-// kept in last. What is sent while the way is cut is sent again until it passes.
+// arrival returns when data that is sent now arrives, but not before the data sent earlier on the same
+// connection, whose arrival is *last; it updates *last. On a cut path, data is retransmitted until it
+// passes.
 func (l *link) arrival(last *time.Duration, trips float64) time.Duration {
-	delay := time.Duration(float64(l.oneWay) * trips * lognormal(l.w.network.jitter, l.chance.NormFloat64()))
+	delay := time.Duration(float64(l.oneWay) * trips * lognormal(l.w.network.jitter, l.rng.NormFloat64()))
 	*last = max(max(l.w.now, l.cutUntil())+delay, *last)
 	return *last
 }
 
-// tell sends a datagram to an agent, or to all others.
-func (l *life) tell(peer int, data []byte) {
+// sendDatagram sends a datagram to one agent or to all others.
+func (l *agentProcess) sendDatagram(peer int, data []byte) {
 	for _, a := range l.w.agents {
 		if a != l.agent && (peer == protocol.AllAgents || peer == a.number) {
 			l.w.send(l.agent, a, append([]byte(nil), data...))
@@ -84,14 +85,14 @@
 
 // send sends a datagram, which may be lost.
 func (w *world) send(from, to *agent, data []byte) {
-	delay := w.set.Network.Datagram.Draw(from.chance.Rand)
-	lost := from.chance.Float64()
+	delay := w.scenario.Network.Datagram.Draw(from.rng.Rand)
+	lost := from.rng.Float64()
 	cut := from.zone != to.zone && max(w.zoneCut[from.zone], w.zoneCut[to.zone]) > w.now
-	if cut || lost < max(w.datagramLoss, w.datagramsLost[to.zone]) {
+	if cut || lost < max(w.datagramLoss, w.datagramLossByZone[to.zone]) {
 		return
 	}
-	for _, c := range w.mishaps.Pass(w.now, from.number, to.number, data) {
-		w.after(delay+c.After, rankArrival, &datagram{from: from, to: to, data: c.Data})
+	for _, c := range w.datagramFaults.Pass(w.now, from.number, to.number, data) {
+		w.scheduleAfter(delay+c.After, rankArrival, &datagram{from: from, to: to, data: c.Data})
 	}
 }
 
@@ -100,13 +101,13 @@
 	data     []byte
 }
 
-func (d *datagram) happen() {
-	if l := d.to.life; l != nil {
+func (d *datagram) fire() {
+	if l := d.to.proc; l != nil {
 		w := l.w
-		w.record.take(record.Event{
+		w.record.add(record.Event{
 			Kind: record.Datagram, Agent: int32(d.to.number), From: int32(d.from.number),
 			Bytes: uint32(len(d.data)),
 		})
-		l.post(message{kind: datagramCame, from: d.from.number, data: d.data})
+		l.post(message{kind: datagramReceived, sender: d.from.number, data: d.data})
 	}
 }
--- a/internal/rehearsal/world/placed.go
+++ b/internal/rehearsal/world/placed.go
@@ -10,225 +10,229 @@
 	"dunestep/internal/fleet/lease"
 )
 
-// Agreed generations of the ring (package placement) over a day: the council of a voter makes them out of
-// the list as that agent has it, and each agent learns of them some time after. The log and the leases are
-// reduced to what they promise: records come one after the other, from a leader that is not cut off.
+// Generations of the agreed ring assignment (package ringassignment) during a run. The proposer of one voter
+// computes them from that agent's endpoint list, and each agent learns of them after a delay. The Raft log
+// and the leases are reduced to their guarantees: records are applied in order, and the leader is not cut off.
 
 const (
-	// ringLooks is how often the leader looks whether there is a next generation.
-	ringLooks = 100 * time.Millisecond
-	// ringVoters are the agents that may lead, the first of them that can.
-	ringVoters = 5
-	// A generation is known to an agent so long after it was proposed.
-	ringToldLeast, ringToldMost = 30 * time.Millisecond, 350 * time.Millisecond
-	// ringSettles is how long a calm before the day lasts: the day begins with what it came to.
-	ringSettles, ringSettleStep = 10 * time.Minute, 250 * time.Millisecond
-	// ringLeases is for how long a lease holds at the most, and ringTells what it takes until the voters have
-	// told each other that all have a generation: what leases are asked for may lack it for a second.
-	ringLeases, ringTells = 5100 * time.Millisecond, 1100 * time.Millisecond
-	// steadyFrom keeps the steady clock above zero in that calm.
-	steadyFrom = time.Hour
+	// proposeInterval is how often the leader checks for a new generation.
+	proposeInterval = 100 * time.Millisecond
+	// voterCount is the number of agents that may lead; the first one that can does.
+	voterCount = 5
+	// An agent learns of a generation this long after it was proposed.
+	minLearnDelay, maxLearnDelay = 30 * time.Millisecond, 350 * time.Millisecond
+	// settleTime is simulated before the run, without faults, so that the run begins with settled
+	// generations.
+	settleTime, settleStep = 10 * time.Minute, 250 * time.Millisecond
+	// maxLeaseTime is the maximum time for which a lease is valid. reportDelay is the time until the
+	// voters have told each other that every agent has a generation: a lease request may miss it for a
+	// second.
+	maxLeaseTime, reportDelay = 5100 * time.Millisecond, 1100 * time.Millisecond
+	// monotonicStart keeps the monotonic clock positive during settleTime.
+	monotonicStart = time.Hour
 )
 
-// generations makes a day's generations of the ring.
+// generations produces the generations of the ring assignment during a run.
 type generations struct {
-	w       *world
-	figures ringassignment.Parameters
-	machine *ringassignment.StateMachine // never changed once others have it
-	council *ringassignment.Proposer
-	leader  *life
-	mark    ringassignment.Mark // of the present one
-	allHave time.Duration       // since when all that hold a lease have it; zero: they don't
-	chance  stream
-	sizes   map[string]float64 // agreed capacities, by kind
+	w            *world
+	parameters   ringassignment.Parameters
+	stateMachine *ringassignment.StateMachine // immutable once agents have it
+	proposer     *ringassignment.Proposer
+	leader       *agentProcess
+	mark         ringassignment.Mark // of the present generation
+	allAppliedAt time.Duration       // when all lease holders had applied it; zero: they have not
+	rng          stream
+	kindCapacity map[string]float64 // agreed capacities, by machine kind
 }
 
 func newGenerations(w *world) *generations {
-	f, r := balancer.DefaultTuning(), &w.set.Rules
+	f, r := balancer.DefaultTuning(), &w.scenario.Rules
 	g := &generations{
-		w: w, machine: ringassignment.NewStateMachine(), chance: newStream(w.seed, "generations"),
-		sizes: map[string]float64{},
+		w: w, stateMachine: ringassignment.NewStateMachine(), rng: newStream(w.seed, "generations"),
+		kindCapacity: map[string]float64{},
 	}
-	g.figures.SlowStart = slowstart.Params{
+	g.parameters.SlowStart = slowstart.Params{
 		InitialCapacity:  r.ColdShare,
 		Duration:         r.ColdFor,
 		OverloadMultiple: r.FallMultiple,
 		OverloadWindow:   r.FallWindow,
 		Margin:           f.SlowStartMargin,
 		MaxOfWarm:        f.SlowStartMax,
-		Balancers:        w.set.Agents.Count,
+		Balancers:        w.scenario.Agents.Count,
 	}
 	mean := 0.0
-	for i := range w.set.Kinds {
-		k := &w.set.Kinds[i]
-		g.sizes[k.Name] = float64(k.Cores) * k.Speed.Mean()
-		mean += k.Share * g.sizes[k.Name]
+	for i := range w.scenario.Kinds {
+		k := &w.scenario.Kinds[i]
+		g.kindCapacity[k.Name] = float64(k.Cores) * k.Speed.Mean()
+		mean += k.Share * g.kindCapacity[k.Name]
 	}
-	for kind := range g.sizes {
-		g.sizes[kind] /= mean
+	for kind := range g.kindCapacity {
+		g.kindCapacity[kind] /= mean
 	}
 	return g
 }
 
-// reading is what clocks show now: all machines' are right.
-func (w *world) reading() lease.ClockReading {
-	return lease.ClockReading{Unix: clockStart + w.now, Mono: steadyFrom + w.now}
+// clockReading returns the time on the machines' clocks, which are all exact.
+func (w *world) clockReading() lease.ClockReading {
+	return lease.ClockReading{Unix: clockStart + w.now, Mono: monotonicStart + w.now}
 }
 
-// settle has a calm pass before the day, with the servers that run when it begins.
+// settle computes the generations of the settling time, with the servers that run at its end.
 func (g *generations) settle() {
 	var view ringassignment.View
-	for _, l := range g.w.discovery.known {
-		view.Servers = append(view.Servers, g.seen(balancer.Server{
+	for _, l := range g.w.discovery.learned {
+		view.Servers = append(view.Servers, g.serverView(balancer.Server{
 			ID: l.server.id, MachineKind: l.server.machine.kind,
-			Zone: g.w.set.Network.Zones[l.server.zone],
+			Zone: g.w.scenario.Network.Zones[l.server.zone],
 		}))
 	}
 	at := func(t time.Duration) lease.ClockReading {
-		return lease.ClockReading{Unix: clockStart - t, Mono: steadyFrom - t}
+		return lease.ClockReading{Unix: clockStart - t, Mono: monotonicStart - t}
 	}
-	council := ringassignment.NewProposer(g.figures, at(ringSettles))
-	council.SetMembers(at(ringSettles), g.members(), 1)
-	for left := ringSettles; left > 0; left -= ringSettleStep {
+	proposer := ringassignment.NewProposer(g.parameters, at(settleTime))
+	proposer.SetMembers(at(settleTime), g.members(), 1)
+	for left := settleTime; left > 0; left -= settleStep {
 		now := at(left)
 		view.Now = now.Unix
-		council.SetView(now, view)
-		records, _ := council.Due(now)
+		proposer.SetView(now, view)
+		records, _ := proposer.Due(now)
 		for _, r := range records {
-			g.machine.Apply(0, r)
-			council.Learn(now, g.machine)
+			g.stateMachine.Apply(0, r)
+			proposer.Learn(now, g.stateMachine)
 		}
 	}
-	g.note()
-	g.w.after(ringLooks, rankTimer, g)
+	g.updateMark()
+	g.w.scheduleAfter(proposeInterval, rankTimer, g)
 }
 
-// members are the voters: in effect one, whose word on leases is that of all.
+// members returns the voters. There is effectively one, which reports the leases of all agents.
 func (g *generations) members() []int { return []int{0} }
 
-// note takes in that the present generation is another one.
-func (g *generations) note() {
+// updateMark records that there is a new generation.
+func (g *generations) updateMark() {
 	all := ringassignment.NewAgent()
-	all.Learn(g.machine)
-	g.mark, g.allHave = all.Applied(), 0
+	all.Learn(g.stateMachine)
+	g.mark, g.allAppliedAt = all.Applied(), 0
 }
 
-// report has the council know that all who hold a lease have the present generation, as soon as they have
-// told that.
+// report tells the proposer that all lease holders have applied the present generation, once they have
+// had time to report it.
 func (g *generations) report() {
 	w, have := g.w, true
 	for _, a := range w.agents {
-		l := a.life
+		l := a.proc
 		switch {
 		case l == nil || l.ring == nil:
-		case !g.cut(a) && l.pauses == 0:
-			l.heard = w.now
+		case !g.isolated(a) && l.pauseCount == 0:
+			l.lastConnected = w.now
 			have = have && l.ring.Applied() == g.mark
-		default: // its lease may hold
-			have = have && (l.ring.Applied() == g.mark || w.now-l.heard > ringLeases)
+		default: // its lease may still be valid
+			have = have && (l.ring.Applied() == g.mark || w.now-l.lastConnected > maxLeaseTime)
 		}
 	}
-	if g.allHave == 0 && have {
-		g.allHave = w.now
+	if g.allAppliedAt == 0 && have {
+		g.allAppliedAt = w.now
 	}
-	if g.allHave > 0 && w.now-g.allHave >= ringTells {
-		g.council.ReportReceived(0, g.mark)
+	if g.allAppliedAt > 0 && w.now-g.allAppliedAt >= reportDelay {
+		g.proposer.ReportReceived(0, g.mark)
 	}
 }
 
-// seen is how a server of an agent's list is told the council.
-func (g *generations) seen(s balancer.Server) ringassignment.Server {
+// serverView converts a server of an agent's list for the proposer.
+func (g *generations) serverView(s balancer.Server) ringassignment.Server {
 	return ringassignment.Server{
 		ID: s.ID, Zone: s.Zone, Kind: s.MachineKind, Ready: s.State == balancer.Ready,
-		Draining: s.State == balancer.Draining, StartedAt: s.StartedAt, Capacity: g.sizes[s.MachineKind],
+		Draining: s.State == balancer.Draining, StartedAt: s.StartedAt, Capacity: g.kindCapacity[s.MachineKind],
 	}
 }
 
-// happen is a look for the next generation.
-func (g *generations) happen() {
-	w, now := g.w, g.w.reading()
-	w.after(ringLooks, rankTimer, g)
-	if !g.leads() {
+// fire proposes the next generation, if there is one.
+func (g *generations) fire() {
+	w, now := g.w, g.w.clockReading()
+	w.scheduleAfter(proposeInterval, rankTimer, g)
+	if !g.elect() {
 		return
 	}
-	view := ringassignment.View{Now: now.Unix, FullyDrained: maintenance.FullyDrained(w.avoid, w.tenantNames())}
+	view := ringassignment.View{
+		Now: now.Unix, FullyDrained: maintenance.FullyDrained(w.exclusions, w.tenantNames()),
+	}
 	for _, s := range g.leader.list.Endpoints() {
-		view.Servers = append(view.Servers, g.seen(s))
+		view.Servers = append(view.Servers, g.serverView(s))
 	}
-	g.council.SetView(now, view)
+	g.proposer.SetView(now, view)
 	g.report()
-	records, _ := g.council.Due(now)
+	records, _ := g.proposer.Due(now)
 	for _, r := range records {
-		next := *g.machine
+		next := *g.stateMachine
 		next.Apply(0, r)
-		g.machine = &next
-		g.council.Learn(now, g.machine)
-		g.note()
+		g.stateMachine = &next
+		g.proposer.Learn(now, g.stateMachine)
+		g.updateMark()
 		for _, a := range w.agents {
-			wait := ringToldLeast + time.Duration(g.chance.Float64()*float64(ringToldMost-ringToldLeast))
-			w.after(wait, rankArrival, &ringTold{agent: a, machine: g.machine})
+			wait := minLearnDelay + time.Duration(g.rng.Float64()*float64(maxLearnDelay-minLearnDelay))
+			w.scheduleAfter(wait, rankArrival, &assignmentLearned{agent: a, stateMachine: g.stateMachine})
 		}
 	}
 }
 
-// leads finds who leads now: the one that did, as long as it can.
-func (g *generations) leads() bool {
-	can := func(l *life) bool { return l != nil && !l.dead && l.pauses == 0 && !g.cut(l.agent) }
+// elect selects the leader, which stays the same while it can lead, and reports whether there is one.
+func (g *generations) elect() bool {
+	can := func(l *agentProcess) bool { return l != nil && !l.dead && l.pauseCount == 0 && !g.isolated(l.agent) }
 	if can(g.leader) {
 		return true
 	}
-	for _, a := range g.w.agents[:min(ringVoters, len(g.w.agents))] {
-		if can(a.life) {
-			g.leader, g.council = a.life, ringassignment.NewProposer(g.figures, g.w.reading())
-			g.council.SetMembers(g.w.reading(), g.members(), uint64(a.number)+2)
-			g.council.Learn(g.w.reading(), g.machine)
+	for _, a := range g.w.agents[:min(voterCount, len(g.w.agents))] {
+		if can(a.proc) {
+			g.leader, g.proposer = a.proc, ringassignment.NewProposer(g.parameters, g.w.clockReading())
+			g.proposer.SetMembers(g.w.clockReading(), g.members(), uint64(a.number)+2)
+			g.proposer.Learn(g.w.clockReading(), g.stateMachine)
 			return true
 		}
 	}
 	return false
 }
 
-// cut tells whether an agent hears nothing of the others: the zone that it is in is cut off.
-func (g *generations) cut(a *agent) bool { return g.w.zoneCut[a.zone] > g.w.now }
+// isolated reports whether an agent gets nothing from the others, because its zone is cut off.
+func (g *generations) isolated(a *agent) bool { return g.w.zoneCut[a.zone] > g.w.now }
 
-// ringTold is when an agent learns of a generation, once it is not cut off.
-type ringTold struct {
-	agent   *agent
-	machine *ringassignment.StateMachine
+// assignmentLearned delivers a generation to an agent, once it is not cut off.
+type assignmentLearned struct {
+	agent        *agent
+	stateMachine *ringassignment.StateMachine
 }
 
-func (t *ringTold) happen() {
+func (t *assignmentLearned) fire() {
 	w := t.agent.w
-	if w.rings.cut(t.agent) {
-		w.enter(w.zoneCut[t.agent.zone]+ringToldMost, rankArrival, t)
-	} else if l := t.agent.life; l != nil && l.ring != nil {
-		if l.pauses > 0 {
-			w.after(ringLooks, rankArrival, t)
+	if w.generations.isolated(t.agent) {
+		w.schedule(w.zoneCut[t.agent.zone]+maxLearnDelay, rankArrival, t)
+	} else if l := t.agent.proc; l != nil && l.ring != nil {
+		if l.pauseCount > 0 {
+			w.scheduleAfter(proposeInterval, rankArrival, t)
 			return
 		}
-		l.ring.Learn(t.machine)
+		l.ring.Learn(t.stateMachine)
 	}
 }
 
-// places has an agent go by the generation of this moment, before it is told of anything.
-func (l *life) places() {
+// updateAssignment applies the present generation to the router before the next message.
+func (l *agentProcess) updateAssignment() {
 	if l.ring == nil {
 		return
 	}
 	standing := lease.Full
-	if l.w.rings.cut(l.agent) {
+	if l.w.generations.isolated(l.agent) {
 		standing = lease.Floor
 	}
-	if p := l.ring.Assignment(l.w.reading(), standing); p != l.placed {
-		l.placed = p
+	if p := l.ring.Assignment(l.w.clockReading(), standing); p != l.appliedAssignment {
+		l.appliedAssignment = p
 		l.router.SetRingAssignment(p)
 	}
 }
 
-// joinRing gives an agent that begins the present generation: it waits for that before it is ready.
-func (l *life) joinRing() {
-	if l.w.rings != nil {
+// joinRing gives a starting agent the present generation, which it needs to become ready.
+func (l *agentProcess) joinRing() {
+	if l.w.generations != nil {
 		l.ring = ringassignment.NewAgent()
-		l.ring.Learn(l.w.rings.machine)
+		l.ring.Learn(l.w.generations.stateMachine)
 	}
 }
--- a/internal/rehearsal/world/placed_test.go
+++ b/internal/rehearsal/world/placed_test.go
@@ -15,7 +15,7 @@
 // A day on which agents place by generations: they begin by what a calm came to, by the kinds of machines, go on
 // to others under a deploy and a cut, and at its end all have the same one, without the servers that are gone. The
 // same day is the same again, and without the key it is another.
-func TestPlacedDay(t *testing.T) {
+func TestRingAssignmentRun(t *testing.T) {
 	set := deployment(40 * time.Second)
 	set.Kinds[0].Speed, set.Kinds[1].Speed = span(2, 2), span(1, 1)
 	set.Agents.Placed = true
@@ -30,37 +30,37 @@
 		},
 		{Kind: scenario.AgentsKilled, At: scenario.Always(12 * time.Second), For: scenario.Always(2 * time.Second), Count: 1},
 	}
-	d := &diary{}
-	w, err := begin(set, 3, d, Options{})
+	d := &recordingSink{}
+	w, err := newRun(set, 3, d, Options{})
 	require.NoError(t, err)
-	before := w.agents[0].life.ring.Assignment(w.reading(), 0)
+	before := w.agents[0].proc.ring.Assignment(w.clockReading(), 0)
 	require.Nil(t, before, "without a standing there is none")
-	at := w.rings.machine.State()
+	at := w.generations.stateMachine.State()
 	require.Len(t, at.Members, 13)
 	for _, s := range w.servers {
 		for _, n := range at.Members {
 			if n.ID == s.id {
-				require.InDelta(t, 200*w.rings.sizes[s.machine.kind], n.OnRing(), 25, "settled on the kind's size")
+				require.InDelta(t, 200*w.generations.kindCapacity[s.machine.kind], n.OnRing(), 25, "settled on the kind's size")
 			}
 		}
 	}
 	require.NoError(t, w.run(context.Background()))
-	requireWhole(t, d)
-	require.Greater(t, w.rings.machine.State().Number, at.Number+2)
+	requireBalanced(t, d)
+	require.Greater(t, w.generations.stateMachine.State().Number, at.Number+2)
 	var last *balancer.RingAssignment
 	for _, a := range w.agents {
-		require.NotNil(t, a.life.placed)
+		require.NotNil(t, a.proc.appliedAssignment)
 		if last == nil {
-			last = a.life.placed
+			last = a.proc.appliedAssignment
 		}
-		require.Equal(t, last, a.life.placed, a.name)
+		require.Equal(t, last, a.proc.appliedAssignment, a.name)
 	}
 	for _, s := range w.servers {
-		require.Equal(t, !s.left, last.Points[s.id] > 0, s.id)
+		require.Equal(t, !s.leaving, last.Points[s.id] > 0, s.id)
 	}
 	again := play(t, set, 3, Options{})
 	require.Equal(t, len(d.events), len(again.events))
-	require.Equal(t, d.of(record.Sent), again.of(record.Sent))
+	require.Equal(t, d.ofKind(record.Sent), again.ofKind(record.Sent))
 	set.Agents.Placed = false
 	require.NotEqual(t, len(d.events), len(play(t, set, 3, Options{}).events))
 	require.Equal(t, len(d.events), len(play(t, set, 3, Options{Placed: true}).events))
--- a/internal/rehearsal/world/plan.go
+++ b/internal/rehearsal/world/plan.go
@@ -8,8 +8,8 @@
 	"dunestep/internal/rehearsal/scenario"
 )
 
-// Plan is what of a day is fixed before it is played, by its scenario and seed: the first tries and the
-// troubles.
+// Plan is the part of a run that its scenario and seed determine, whatever the agents do: first tries
+// and faults.
 type Plan struct {
 	Arrivals []Arrival
 	Troubles []Spell
@@ -25,7 +25,7 @@
 	Tenant uint8
 }
 
-// Spell is a trouble, as drawn.
+// Spell is a fault injection, as drawn.
 type Spell struct {
 	Kind    scenario.TroubleKind
 	At, For time.Duration
@@ -33,34 +33,34 @@
 	Size    float64
 }
 
-// NewPlan draws a day's plan. The day is gone through without agents: what they do has no part in it.
+// NewPlan draws a plan. It advances the simulation without agents.
 func NewPlan(set *scenario.Scenario, seed uint64) *Plan {
 	p := &Plan{}
 	w := &world{
-		seed: seed, set: set, sink: unheard{}, at: map[netip.AddrPort]*server{}, slow: 1,
-		keeps: 1, plan: p,
+		seed: seed, scenario: set, sink: discardSink{}, byAddr: map[netip.AddrPort]*server{}, slowdown: 1,
+		trafficKept: 1, plan: p,
 	}
 	w.record.w = w
 	w.build()
 	for what, any := w.next(set.Day.Length); any; what, any = w.next(set.Day.Length) {
-		what.happen()
+		what.fire()
 	}
 	return p
 }
 
-// planned notes a request in the plan that is drawn.
-func (p *Plan) planned(at time.Duration, q *request) {
+// addArrival adds a request to the plan.
+func (p *Plan) addArrival(at time.Duration, q *request) {
 	p.Arrivals = append(p.Arrivals, Arrival{
 		At: at, Work: seconds(q.work), Key: q.key, Class: uint8(q.class),
 		Tenant: q.tenant, Agent: int32(q.client.agent.number),
 	})
 }
 
-// unheard is a sink that takes nothing in.
-type unheard struct{}
+// discardSink is a sink that discards everything.
+type discardSink struct{}
 
-func (unheard) Begin(record.Day)          {}
-func (unheard) Server(int, record.Server) {}
-func (unheard) Take(*record.Event)        {}
-func (unheard) Sample(*record.Sample)     {}
-func (unheard) End(time.Duration)         {}
+func (discardSink) Begin(record.Day)          {}
+func (discardSink) Server(int, record.Server) {}
+func (discardSink) Take(*record.Event)        {}
+func (discardSink) Sample(*record.Sample)     {}
+func (discardSink) End(time.Duration)         {}
--- a/internal/rehearsal/world/cutoff_test.go
+++ b/internal/rehearsal/world/policyfloor_test.go
@@ -17,36 +17,36 @@
 // Of five agents the last is cut off from the fleet, but not from its clients and servers, for 30 s; its lease is over
 // after 4 s, and a new policy holds at the others after 5 s.
 const (
-	cutOff   = 4
-	cutFrom  = 15 * time.Second
-	cutTo    = 45 * time.Second
-	leaseEnd = cutFrom + 4*time.Second
-	newFrom  = cutFrom + 5*time.Second
+	cutAgent    = 4
+	cutFrom     = 15 * time.Second
+	cutTo       = 45 * time.Second
+	leaseEnd    = cutFrom + 4*time.Second
+	newPolicyAt = cutFrom + 5*time.Second
 )
 
 // newPolicy narrows what the settings permit: one attempt less, and no second copies.
 const newPolicy = "format = 1\n[classes.consult]\nattempts = 2\ncopies = false\n[throttle]\nin_vain = 0.2\n"
 
 // conducts are what a cut-off agent may do, beside refusing all: that is "not cut off" without what it served.
-var conducts = []string{"not cut off", "floor", "staleness"}
+var policyModes = []string{"not cut off", "floor", "staleness"}
 
-// cutOffDay plays a day in which the agent goes one of the conducts, and returns what part of first tries were served while it
+// playCut plays a day in which the agent goes one of the conducts, and returns what part of first tries were served while it
 // was cut off: its own, all, and all but its own; whichever try of a request it was that was. Old counts its first tries under the former
 // version when the new one held.
-func cutOffDay(t *testing.T, day string, seed uint64, way string) (own, all, others float64, old int) {
+func playCut(t *testing.T, day string, seed uint64, way string) (own, all, others float64, old int) {
 	set, err := scenario.Load("../../../rehearsals/" + day + ".toml")
 	require.NoError(t, err)
 	set.Day.Length, set.Agents.Count = time.Minute, 5
-	d := &diary{}
+	d := &recordingSink{}
 	var before, after, floor *policy.Effect
 	acting := func(agent int, at time.Duration) *policy.Effect {
 		if before == nil {
-			before, after, floor = effects(t, set, d.day.Quotas)
+			before, after, floor = effects(t, set, d.run.Quotas)
 		}
-		switch isCut := agent == cutOff && at >= leaseEnd && at < cutTo; {
+		switch isCut := agent == cutAgent && at >= leaseEnd && at < cutTo; {
 		case isCut && way == "floor":
 			return floor
-		case isCut && way == "staleness", at < newFrom:
+		case isCut && way == "staleness", at < newPolicyAt:
 			return before
 		}
 		return after
@@ -60,7 +60,7 @@
 			chain[e.Op] = e.Chain
 			if e.Try == 0 && e.At >= leaseEnd && e.At < cutTo {
 				of[e.Chain] = int(e.Agent)
-				if e.Agent == cutOff && e.At >= newFrom && way == "staleness" {
+				if e.Agent == cutAgent && e.At >= newPolicyAt && way == "staleness" {
 					old++
 				}
 			}
@@ -70,11 +70,11 @@
 	}
 	var ownServed, ownAll, allServed float64
 	for c, agent := range of {
-		if agent == cutOff {
+		if agent == cutAgent {
 			ownAll++
 		}
 		if served[c] {
-			if allServed++; agent == cutOff {
+			if allServed++; agent == cutAgent {
 				ownServed++
 			}
 		}
@@ -110,16 +110,16 @@
 // A cut-off agent on the floor serves nearly as if it were not cut off, and never by what was replaced; one that refuses all
 // loses what it would have served, and one that goes on as before decides by what was replaced. Figures for the design note
 // with LONG_TESTS.
-func TestCutOffService(t *testing.T) {
+func TestCutOffAgentOnPolicyFloor(t *testing.T) {
 	days, seeds := []string{"calm-monday"}, uint64(1)
 	if os.Getenv("LONG_TESTS") != "" {
 		days, seeds = []string{"calm-monday", "fast-failures", "flapping", "one-group-too-much"}, 3
 	}
 	for _, day := range days {
 		own, all, fenced, old := map[string]float64{}, map[string]float64{}, 0.0, 0
-		for _, way := range conducts {
+		for _, way := range policyModes {
 			for seed := range seeds {
-				o, a, others, n := cutOffDay(t, day, seed+1, way)
+				o, a, others, n := playCut(t, day, seed+1, way)
 				own[way] += o / float64(seeds)
 				all[way] += a / float64(seeds)
 				if old += n; way == "not cut off" {
@@ -128,7 +128,7 @@
 			}
 		}
 		line := day + ":"
-		for _, way := range conducts {
+		for _, way := range policyModes {
 			line += fmt.Sprintf(" %s %.3f (all %.3f);", way, own[way], all[way])
 		}
 		t.Logf("%s fencing 0 (all %.3f); first tries by the former version %d", line, fenced, old)
--- a/internal/rehearsal/world/process.go
+++ b/internal/rehearsal/world/process.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	// coldStep is how often the capacity of a cold process is looked at anew: it grows all the time.
-	coldStep = 50 * time.Millisecond
-	// leastEfficiency is what is left of a process's speed however many requests it holds.
-	leastEfficiency = 0.2
+	// warmupInterval is the time between two updates of the capacity of a process that is warming up.
+	warmupInterval = 50 * time.Millisecond
+	// minEfficiency is the lowest efficiency of an overcommitted process.
+	minEfficiency = 0.2
 )
 
-// processState is what a process is at.
+// processState is the state of a server process.
 type processState uint8
 
 const (
@@ -22,186 +22,188 @@
 	processDown
 )
 
-// process is one run of a booking server's program: it has its connections and its work, and starts cold.
-// Its cores share themselves evenly among the requests in work. So all of these get on at one pace, and a
-// request is done when what each has got since the process began (attained) has grown by its work.
-type process struct {
+// process is one run of an upstream server's program, with its connections and its work.
+//
+// Its cores are shared evenly among the running jobs, so that all of them progress at one rate. A job
+// is done when the work that each job has received since the process started (attained) has grown by
+// the job's work.
+type serverProcess struct {
 	w       *world
 	server  *server
 	state   processState
 	started time.Duration
-	cold    bool
+	warming bool
 
 	pausing bool
 
-	at       time.Duration // up to which the following are reckoned
-	attained float64       // seconds of standard work that each request in work has got
-	pace     float64       // by which that grows in a second
+	at       time.Duration // time of the last update of the following
+	attained float64       // work that a running job has received, in seconds of standard work
+	rate     float64       // growth of attained per second
 	done     float64       // work done
-	busy     float64       // seconds of cores in use
-	due      time.Duration // of the next end of a request, as entered; zero: none
-
-	running jobHeap // in work: at most the slots, and handshakes beside them
-	slots   int     // in use
-	waiting jobQueue
-	unread  []*job // come while it was silent
-	conns   []*conn
-	seen    keyMemory
-	pushed  push
+	busy     float64       // core seconds used
+	nextDone time.Duration // when the next job is done, as scheduled; zero: none
+
+	running    jobHeap // up to slots attempts, and any number of handshakes
+	slots      int     // in use
+	waiting    jobQueue
+	unread     []*job // arrived while the server was silent
+	conns      []*conn
+	keys       keyCache
+	warmupLoad warmupLoad
 }
 
-// job is work at a process: a route step's, or a new connection's handshake.
+// job is work of a process: an attempt or the handshake of a new connection.
 type job struct {
-	process   *process
+	process   *serverProcess
 	conn      *conn
-	step      *step
+	attempt   *attempt
 	handshake bool
 	work      float64 // seconds on a standard core
-	target    float64 // of attained, at which it is done
-	waits     bool
+	target    float64 // value of attained at which it is done
+	waiting   bool
 }
 
-// efficiency is the part of its speed that a process keeps with so many requests in work: it loses beyond a
-// number for each core.
-func (p *process) efficiency() float64 {
+// efficiency is the fraction of its speed that a process keeps with its running jobs. It falls once
+// there are more than thrashAt jobs per core.
+func (p *serverProcess) efficiency() float64 {
 	m := &p.server.machine
 	over := float64(len(p.running.jobs))/float64(m.cores) - m.thrashAt
 	if over <= 0 {
 		return 1
 	}
-	return max(1-m.thrash*over, leastEfficiency)
+	return max(1-m.thrash*over, minEfficiency)
 }
 
-// warmth is the part of its capacity that a process has since it started: it grows while it has work, and
-// never slower than evenly over the time in the rules.
-func (p *process) warmth() float64 {
-	if !p.cold {
+// warmth is the fraction of its capacity that a process has reached since it started. It grows with the
+// work done, and at least linearly over the rules' slow start duration.
+func (p *serverProcess) warmupLevel() float64 {
+	if !p.warming {
 		return 1
 	}
 	m := &p.server.machine
 	grown := 1.0
-	if m.coldFor > 0 {
-		grown = p.busy / (m.coldFor.Seconds() * float64(m.cores))
+	if m.warmupTime > 0 {
+		grown = p.busy / (m.warmupTime.Seconds() * float64(m.cores))
 	}
-	if most := p.w.set.Rules.ColdFor; most > 0 {
+	if most := p.w.scenario.Rules.ColdFor; most > 0 {
 		grown = max(grown, float64(p.w.now-p.started)/float64(most))
 	}
-	return m.coldFrom + (1-m.coldFrom)*min(grown, 1)
+	return m.initialCapacity + (1-m.initialCapacity)*min(grown, 1)
 }
 
-// capacity is the work that the process can do in a second now, uncrowded.
-func (p *process) capacity() float64 {
+// capacity is the work that the process can do per second now, at full efficiency.
+func (p *serverProcess) capacity() float64 {
 	m := &p.server.machine
 	full := 0.0
 	if m.conns > 0 {
 		full = min(float64(len(p.conns))/float64(m.conns), 1)
 	}
-	return float64(m.cores) * m.speed * p.warmth() * (1 - m.fullTax*full) / p.w.slow
+	return float64(m.cores) * m.speed * p.warmupLevel() * (1 - m.connOverhead*full) / p.w.slowdown
 }
 
-// reckon brings the work done up to now. It is called before whatever changes the pace.
-func (p *process) reckon() {
+// advance accounts for the work done up to now. It must be called before any change of the rate.
+func (p *serverProcess) advance() {
 	passed := (p.w.now - p.at).Seconds()
 	p.at = p.w.now
 	if n := len(p.running.jobs); n > 0 && passed > 0 {
-		p.attained += p.pace * passed
-		p.done += p.pace * passed * float64(n)
-		if p.pace > 0 {
+		p.attained += p.rate * passed
+		p.done += p.rate * passed * float64(n)
+		if p.rate > 0 {
 			p.busy += min(float64(n), float64(p.server.machine.cores)) * passed
 		}
 	}
 }
 
-// replan finds the pace anew and enters when the next request is done. It is called after whatever
-// changes it.
-func (p *process) replan() {
+// replan recomputes the rate and schedules the next completion. It must be called after any change of
+// the rate.
+func (p *serverProcess) replan() {
 	n := len(p.running.jobs)
-	p.pace = 0
+	p.rate = 0
 	if n == 0 || p.server.silent || p.pausing {
-		p.due = 0
+		p.nextDone = 0
 		return
 	}
 	m := &p.server.machine
-	p.pace = p.capacity() * p.efficiency() / float64(max(n, m.cores))
+	p.rate = p.capacity() * p.efficiency() / float64(max(n, m.cores))
 	left := max(p.running.jobs[0].target-p.attained, 0)
-	// A nanosecond more, so that rounding never brings the end before the work is done.
-	if due := p.w.now + time.Duration(left/p.pace*1e9) + 1; due != p.due {
-		p.due = due
-		p.w.enter(due, rankServer, (*workDone)(p))
+	// One nanosecond more, so that rounding never schedules the end before the work is done.
+	if due := p.w.now + time.Duration(left/p.rate*1e9) + 1; due != p.nextDone {
+		p.nextDone = due
+		p.w.schedule(due, rankServer, (*workDone)(p))
 	}
 }
 
-// workDone is when the request with the least work left is done.
-type workDone process
+// workDone is the completion of the running job with the least work left.
+type workDone serverProcess
 
-func (d *workDone) happen() {
-	p := (*process)(d)
-	if p.state == processDown || p.w.now != p.due { // planned anew since
+func (d *workDone) fire() {
+	p := (*serverProcess)(d)
+	if p.state == processDown || p.w.now != p.nextDone { // rescheduled since
 		return
 	}
-	p.due = 0
-	p.reckon()
+	p.nextDone = 0
+	p.advance()
 	for len(p.running.jobs) > 0 && p.running.jobs[0].target <= p.attained+1e-12 {
 		p.finish(p.running.pop())
 	}
 	p.replan()
 }
 
-// coldGrows looks at a cold process's capacity again.
-type coldGrows process
+// warmupUpdate updates the capacity of a process that is warming up.
+type warmupUpdate serverProcess
 
-func (g *coldGrows) happen() {
-	p := (*process)(g)
-	if p.state == processDown || !p.cold {
+func (g *warmupUpdate) fire() {
+	p := (*serverProcess)(g)
+	if p.state == processDown || !p.warming {
 		return
 	}
-	p.reckon()
-	if p.warmth() >= 1 {
-		p.cold = false
+	p.advance()
+	if p.warmupLevel() >= 1 {
+		p.warming = false
 	} else {
-		p.w.after(coldStep, rankServer, g)
+		p.w.scheduleAfter(warmupInterval, rankServer, g)
 	}
 	p.replan()
 }
 
-// pauseBegins and pauseEnds are a process's own pauses, in which nothing gets on.
+// pauseBegins and pauseStops bound a process's own pauses, in which no job progresses.
 type (
-	pauseBegins process
-	pauseEnds   process
+	pauseBegins serverProcess
+	pauseStops  serverProcess
 )
 
-func (b *pauseBegins) happen() {
-	p := (*process)(b)
+func (b *pauseBegins) fire() {
+	p := (*serverProcess)(b)
 	if p.state == processDown {
 		return
 	}
-	p.reckon()
+	p.advance()
 	p.pausing = true
 	p.replan()
-	lasts := time.Duration(p.server.chance.Float64() * float64(p.server.machine.pause))
-	p.w.after(lasts, rankServer, (*pauseEnds)(p))
+	lasts := time.Duration(p.server.rng.Float64() * float64(p.server.machine.pause))
+	p.w.scheduleAfter(lasts, rankServer, (*pauseStops)(p))
 }
 
-func (e *pauseEnds) happen() {
-	p := (*process)(e)
+func (e *pauseStops) fire() {
+	p := (*serverProcess)(e)
 	if p.state == processDown {
 		return
 	}
-	p.reckon()
+	p.advance()
 	p.pausing = false
 	p.replan()
 	p.planPause()
 }
 
-func (p *process) planPause() {
+func (p *serverProcess) planPause() {
 	if m := &p.server.machine; m.pauseEvery > 0 && m.pause > 0 {
-		p.w.after(p.server.chance.wait(m.pauseEvery), rankServer, (*pauseBegins)(p))
+		p.w.scheduleAfter(p.server.rng.wait(m.pauseEvery), rankServer, (*pauseBegins)(p))
 	}
 }
 
-// arrive takes in a route step whose last byte has come. The first on a connection waits for its handshake.
-func (p *process) arrive(s *step) {
-	j := &job{process: p, conn: s.conn, step: s, work: s.work}
+// arrive handles an attempt whose last byte has arrived.
+func (p *serverProcess) arrive(s *attempt) {
+	j := &job{process: p, conn: s.conn, attempt: s, work: s.work}
 	s.job = j
 	if p.server.silent {
 		p.unread = append(p.unread, j)
@@ -210,17 +212,17 @@
 	p.read(j)
 }
 
-// read takes a route step from its connection.
-func (p *process) read(j *job) {
-	p.press(j)
-	if p.state == processDown { // it was one too many
+// read reads an attempt from its connection. The first one on a connection waits for the handshake.
+func (p *serverProcess) read(j *job) {
+	p.countLoad(j)
+	if p.state == processDown { // crashed by overload
 		return
 	}
-	if !j.conn.greeted {
-		j.conn.greeted = true
+	if !j.conn.handshakeDone {
+		j.conn.handshakeDone = true
 		if work := j.conn.handshakeWork; work > 0 {
-			p.reckon()
-			p.begin(&job{process: p, conn: j.conn, step: j.step, handshake: true, work: work})
+			p.advance()
+			p.begin(&job{process: p, conn: j.conn, attempt: j.attempt, handshake: true, work: work})
 			p.replan()
 			return
 		}
@@ -228,158 +230,158 @@
 	p.admit(j)
 }
 
-// admit puts a route step to work, has it wait, or turns it away.
-func (p *process) admit(j *job) {
+// admit starts, queues or rejects an attempt.
+func (p *serverProcess) admit(j *job) {
 	m := &p.server.machine
-	s := j.step
+	s := j.attempt
 	switch {
-	case j.conn.over:
+	case j.conn.ended:
 		s.done(0)
 	case p.state == processDraining || p.server.refusing:
-		p.turnAway(s, replyUnprocessed)
-	case p.server.failing > 0 && lot(p.w.seed, s.number, lotFailing) < p.server.failing:
-		p.turnAway(s, replyError)
+		p.reject(s, replyUnprocessed)
+	case p.server.failing > 0 && hashedDraw(p.w.seed, s.drawSeed, lotFailing) < p.server.failing:
+		p.reject(s, replyError)
 	case p.slots < m.slots:
-		p.reckon()
-		p.beginStep(j)
+		p.advance()
+		p.beginAttempt(j)
 		p.replan()
 	case p.waiting.len() < m.queue:
-		j.waits = true
+		j.waiting = true
 		p.waiting.push(j)
 	default:
-		p.turnAway(s, replyUnprocessed)
+		p.reject(s, replyUnprocessed)
 	}
 }
 
-// turnAway answers a route step without having begun with it.
-func (p *process) turnAway(s *step, kind replyKind) {
+// reject answers an attempt without running it.
+func (p *serverProcess) reject(s *attempt, kind replyKind) {
 	s.done(0)
 	s.conn.answer(s, kind)
 }
 
-// beginStep begins with a route step's work, which is less where its key has been met lately.
-func (p *process) beginStep(j *job) {
+// beginAttempt runs an attempt. It is less work if its key is cached.
+func (p *serverProcess) beginAttempt(j *job) {
 	m := &p.server.machine
-	if key := j.step.try.request.key; key != 0 && p.seen.meet(key, p.w.now) {
-		j.work *= 1 - m.warmGain
+	if key := j.attempt.try.request.key; key != 0 && p.keys.touch(key, p.w.now) {
+		j.work *= 1 - m.cacheSaving
 	}
 	p.slots++
-	j.step.ran = true
+	j.attempt.ran = true
 	p.begin(j)
 }
 
-func (p *process) begin(j *job) {
+func (p *serverProcess) begin(j *job) {
 	j.target = p.attained + j.work
 	p.running.push(j)
 }
 
-// finish ends a piece of work: a handshake's is followed by the route step that waits for it, a route
-// step's by its answer and by the next that waits.
-func (p *process) finish(j *job) {
+// finish completes a job. After a handshake the process admits the attempt that waits for it; after an
+// attempt it sends the answer and starts waiting attempts.
+func (p *serverProcess) finish(j *job) {
 	if j.handshake {
-		p.admit(j.step.job)
+		p.admit(j.attempt.job)
 		return
 	}
 	p.slots--
-	s := j.step
+	s := j.attempt
 	s.done(j.work)
 	kind := replyServed
-	if lot(p.w.seed, s.number, lotError) < p.server.machine.errorRate {
+	if hashedDraw(p.w.seed, s.drawSeed, lotError) < p.server.machine.errorRate {
 		kind = replyError
-	} else if lot(p.w.seed, s.number, lotSpoilt) < p.server.spoiling {
-		kind = replySpoilt
+	} else if hashedDraw(p.w.seed, s.drawSeed, lotUnreadable) < p.server.unreadable {
+		kind = replyUnreadable
 	}
-	if lot(p.w.seed, s.number, lotFault) < p.server.faulty {
+	if hashedDraw(p.w.seed, s.drawSeed, lotFault) < p.server.faultShare {
 		s.fault = p.server.fault
 	}
 	s.conn.answer(s, kind)
-	p.refill()
+	p.startWaiting()
 }
 
-// refill takes waiting route steps into the free slots.
-func (p *process) refill() {
+// startWaiting starts waiting attempts in the free slots.
+func (p *serverProcess) startWaiting() {
 	m := &p.server.machine
 	for p.slots < m.slots {
 		j := p.waiting.pop()
 		if j == nil {
 			return
 		}
-		if m.dropsExpired && p.w.now >= j.step.until {
-			p.turnAway(j.step, replyUnprocessed)
+		if m.dropsExpired && p.w.now >= j.attempt.deadline {
+			p.reject(j.attempt, replyUnprocessed)
 			continue
 		}
-		p.beginStep(j)
+		p.beginAttempt(j)
 	}
 }
 
-// hangUp takes in that the other side has closed a connection: what still waits is dropped where the
-// machine is of such a kind. What runs goes on.
-func (p *process) hangUp(c *conn) {
-	p.reckon()
+// connClosed handles the agent's close of a connection. A waiting attempt is dropped if the machine's
+// kind does so; a running one continues.
+func (p *serverProcess) connClosed(c *conn) {
+	p.advance()
 	p.remove(c)
-	if s := c.step; s != nil && s.job != nil && s.job.waits && p.server.machine.dropsWaiting {
+	if s := c.attempt; s != nil && s.job != nil && s.job.waiting && p.server.machine.dropsWaiting {
 		p.waiting.drop(s.job)
 		s.done(0)
 	}
 	p.replan()
 }
 
-func (p *process) remove(c *conn) {
+func (p *serverProcess) remove(c *conn) {
 	last := len(p.conns) - 1
-	if c.place < 0 {
+	if c.processIndex < 0 {
 		return
 	}
-	p.conns[c.place] = p.conns[last]
-	p.conns[c.place].place = c.place
+	p.conns[c.processIndex] = p.conns[last]
+	p.conns[c.processIndex].processIndex = c.processIndex
 	p.conns[last] = nil
 	p.conns = p.conns[:last]
-	c.place = -1
+	c.processIndex = -1
 }
 
-// accept takes a new connection, unless there are too many.
-func (p *process) accept(c *conn) bool {
+// accept adds a new connection and reports whether there was room for it.
+func (p *serverProcess) accept(c *conn) bool {
 	if p.state == processDown || p.full() {
 		return false
 	}
-	p.reckon()
-	c.place = len(p.conns)
+	p.advance()
+	c.processIndex = len(p.conns)
 	p.conns = append(p.conns, c)
 	p.replan()
 	return true
 }
 
-// full tells whether the process takes no further connection.
-func (p *process) full() bool {
-	return float64(len(p.conns)) >= max(float64(p.server.machine.conns)*p.server.accepting, 1)
+// full reports whether the process accepts no further connection.
+func (p *serverProcess) full() bool {
+	return float64(len(p.conns)) >= max(float64(p.server.machine.conns)*p.server.connShare, 1)
 }
 
-// thaw reads what has come while the process was silent, but nothing that its client has given up: a
-// process that reads from a connection finds that it has ended.
-func (p *process) thaw() {
+// readPending reads what arrived while the process was silent. It drops attempts on connections that
+// have ended meanwhile, as a process finds out when it reads.
+func (p *serverProcess) readPending() {
 	unread := p.unread
 	p.unread = nil
 	for _, j := range unread {
-		if j.conn.over || p.state == processDown {
-			j.step.done(0)
+		if j.conn.ended || p.state == processDown {
+			j.attempt.done(0)
 		} else {
 			p.read(j)
 		}
 	}
 }
 
-// change changes something that the pace depends on.
-func (p *process) change(f func()) {
-	p.reckon()
+// change runs f, which may change the rate.
+func (p *serverProcess) change(f func()) {
+	p.advance()
 	f()
 	p.replan()
 }
 
-// die ends the process: its connections are reset and its work is lost.
-func (p *process) die() {
+// terminate ends the process: its connections are reset and its work is lost.
+func (p *serverProcess) terminate() {
 	if p.state == processDown {
 		return
 	}
-	p.reckon()
+	p.advance()
 	p.state = processDown
 	lost := p.unread
 	for j := p.waiting.pop(); j != nil; j = p.waiting.pop() {
@@ -387,51 +389,52 @@
 	}
 	for _, j := range p.running.jobs {
 		if j.handshake {
-			j.step.done(0)
+			j.attempt.done(0)
 		} else {
-			j.step.done(j.work - max(j.target-p.attained, 0))
+			j.attempt.done(j.work - max(j.target-p.attained, 0))
 		}
 	}
 	for _, j := range lost {
-		j.step.done(0)
+		j.attempt.done(0)
 	}
 	for len(p.conns) > 0 {
 		c := p.conns[len(p.conns)-1]
 		p.remove(c)
 		c.reset()
 	}
-	p.running, p.unread, p.slots, p.due, p.pace = jobHeap{}, nil, 0, 0, 0
+	p.running, p.unread, p.slots, p.nextDone, p.rate = jobHeap{}, nil, 0, 0, 0
 }
 
-// push is what a cold process was sent lately.
-type push struct {
-	sent []pushed // the oldest first, from the place first on
-	from int
-	sum  float64
+// warmupLoad is the work recently sent to a process that is warming up.
+type warmupLoad struct {
+	sent  []sentWork // by time; entries before from have expired
+	first int
+	sum   float64
 }
 
-type pushed struct {
+type sentWork struct {
 	at   time.Duration
 	work float64
 }
 
-// press counts what a cold process is sent, also what it turns away: more than the rules allow by what it can
-// do now, over their window, and it falls over and stays down.
-func (p *process) press(j *job) {
-	if !p.cold {
+// countLoad counts the work that a process gets while it is warming up, including what it rejects. If
+// that exceeds the rules' multiple of its present capacity over their window, the process crashes and
+// stays down.
+func (p *serverProcess) countLoad(j *job) {
+	if !p.warming {
 		return
 	}
-	rules := &p.w.set.Rules
-	q := &p.pushed
-	q.sent = append(q.sent, pushed{p.w.now, j.work})
+	rules := &p.w.scenario.Rules
+	q := &p.warmupLoad
+	q.sent = append(q.sent, sentWork{p.w.now, j.work})
 	q.sum += j.work
-	for q.sent[q.from].at <= p.w.now-rules.FallWindow {
-		q.sum -= q.sent[q.from].work
-		q.from++
+	for q.sent[q.first].at <= p.w.now-rules.FallWindow {
+		q.sum -= q.sent[q.first].work
+		q.first++
 	}
-	if q.sum > rules.FallLimit(p.capacity(), p.w.set.MeanWork(p.w.meanWork)).Seconds() {
+	if q.sum > rules.FallLimit(p.capacity(), p.w.scenario.MeanWork(p.w.meanWork)).Seconds() {
 		p.w.record.server(record.Fell, p)
-		j.step.done(0)
+		j.attempt.done(0)
 		p.server.stop()
 	}
 }
--- a/internal/rehearsal/world/record_test.go
+++ b/internal/rehearsal/world/record_test.go
@@ -12,7 +12,7 @@
 
 // What the gate asks of is on record: how long a restarted agent took until it was ready, and the time that each
 // attempt tells its server, which is no more than its client has left.
-func TestStartsAndTimesAreOnRecord(t *testing.T) {
+func TestRecordsStartTimesAndDeadlines(t *testing.T) {
 	set := deployment(12 * time.Second)
 	set.Agents.BackIn = 700 * time.Millisecond
 	set.Troubles = []scenario.Trouble{
