--- a/internal/rehearsal/world/remote.go
+++ b/internal/rehearsal/world/remote.go
@@ -12,162 +12,163 @@
 // This file is what stands in place of an agent's code where the agents are real: it tells the wire what the
 // world does, and the world what came from the wire.
 
-// beginRemote starts an agent's real program. Its life begins when it says that it is ready.
-func (a *agent) beginRemote() {
+// startExternal starts an agent's real program. Its process counts once it reports ready.
+func (a *agent) startExternal() {
 	w := a.w
 	a.starts++
 	w.record.agent(record.AgentStarts, a)
-	age := w.set.Discovery.KnownAge.Draw(a.chance.Rand)
+	age := w.scenario.Discovery.KnownAge.Draw(a.rng.Rand)
 	list, version := w.discovery.asOf(max(w.now-age, 0))
-	l := &life{
-		w: w, agent: a, remote: true, descriptors: routing.NewDescriptors(w.set.Agents.Sockets),
-		operations: map[uint32]*operation{}, calls: map[int]*call{},
+	l := &agentProcess{
+		w: w, agent: a, external: true, descriptors: routing.NewDescriptors(w.scenario.Agents.Sockets),
+		requests: map[uint32]*agentRequest{}, calls: map[int]*call{},
 	}
-	a.coming = l
-	l.writes(list, true)
-	w.wire.Start(a.number, a.starts, w.discovery.config(list, version, true))
+	a.starting = l
+	l.recordList(list, true)
+	w.wire.Start(a.number, a.starts, w.discovery.endpointList(list, version, true))
 }
 
-// AgentReady tells that an agent's program is ready, in the run of a number.
+// AgentReady reports that the numbered run of an agent's program is ready.
 func (v *Live) AgentReady(agent, run int) {
-	v.post(called(func() {
+	v.post(eventFunc(func() {
 		a := v.w.agents[agent]
 		v.ready[agent] = true
-		if run == a.starts && a.coming != nil {
-			a.life, a.coming = a.coming, nil
+		if run == a.starts && a.starting != nil {
+			a.proc, a.starting = a.starting, nil
 			v.w.record.agent(record.AgentUp, a)
 		}
 	}))
 }
 
-// AgentEnded tells that an agent's program has ended, in the run of a number. Crashed: nobody had told it to.
+// AgentEnded reports that the numbered run of an agent's program has ended; crashed: without having
+// been told to.
 func (v *Live) AgentEnded(agent, run int, crashed bool) {
-	v.post(called(func() {
+	v.post(eventFunc(func() {
 		a := v.w.agents[agent]
 		switch {
 		case run != a.starts:
-		case a.coming != nil: // it never got ready
-			a.coming = nil
-			v.w.after(restartsAfter, rankTrouble, (*agentBack)(a))
-		case a.life != nil && crashed:
+		case a.starting != nil: // ended before it was ready
+			a.starting = nil
+			v.w.scheduleAfter(crashRestartDelay, rankEnvironment, (*agentRestarts)(a))
+		case a.proc != nil && crashed:
 			a.kill()
-			v.w.after(restartsAfter, rankTrouble, (*agentBack)(a))
-		case a.life != nil:
-			(*lifeOver)(a.life).happen()
+			v.w.scheduleAfter(crashRestartDelay, rankEnvironment, (*agentRestarts)(a))
+		case a.proc != nil:
+			(*processExits)(a.proc).fire()
 		}
 	}))
 }
 
-// restartsAfter is when a real program that ended by itself is started again.
-const restartsAfter = time.Second
+// crashRestartDelay is the delay before a real program that crashed is started again.
+const crashRestartDelay = time.Second
 
-// Fail ends the day: it can't be played.
-func (v *Live) Fail(err error) { v.post(called(func() { v.w.failed = err })) }
+// Fail ends the run with an error.
+func (v *Live) Fail(err error) { v.post(eventFunc(func() { v.w.failed = err })) }
 
-// endRemote ends the life of an agent that is real: its sockets tell the rest.
-func (l *life) endRemote() {
+// killExternal kills a real agent's program. The rest shows on its sockets.
+func (l *agentProcess) killExternal() {
 	for _, f := range l.agent.client.idle {
 		l.w.wire.HangUp(f)
 	}
 	l.w.wire.Kill(l.agent.number)
 }
 
-// postRemote hands an agent that is real what the world has for it.
-func (l *life) postRemote(m message) {
+// postExternal passes a message to a real agent.
+func (l *agentProcess) postExternal(m message) {
 	w := l.w
 	switch m.kind {
-	case callBegun, callSays, callEnded:
+	case callAccepted, callReceived, callEnded:
 		c := l.calls[m.number]
 		if c == nil {
 			return
 		}
 		switch m.kind {
-		case callBegun:
+		case callAccepted:
 			c.wire.Begin()
-		case callSays:
-			c.wire.Say(m.config)
+		case callReceived:
+			c.wire.Say(m.list)
 		case callEnded:
 			c.wire.End(m.err == nil)
 			delete(l.calls, m.number)
 		}
-	case datagramCame:
-		w.wire.Datagram(m.from, l.agent.number, m.data)
+	case datagramReceived:
+		w.wire.Datagram(m.sender, l.agent.number, m.data)
 	}
 }
 
-// alive is an agent's program, as far as it runs: also before it is ready.
-func (a *agent) alive() *life {
-	if a.life != nil {
-		return a.life
+// current returns the agent's process, also before it is ready; nil if it has none.
+func (a *agent) current() *agentProcess {
+	if a.proc != nil {
+		return a.proc
 	}
-	return a.coming
+	return a.starting
 }
 
-// Call is an agent's call to discovery; the wire tells of its end by Gone.
+// Call is an agent's call to discovery. The wire reports its end by Uncalled.
 type Call = call
 
-// Called tells that an agent calls discovery: for a watch from a version on, or for the whole list.
+// Called reports that an agent calls discovery: for a watch from a version on, or for the full list.
 func (v *Live) Called(agent int, watch bool, from int64, wire ListConn) *Call {
-	c := &call{d: v.w.discovery, watch: watch, told: from, wire: wire}
-	v.post(called(func() {
+	c := &call{d: v.w.discovery, watch: watch, sentVersion: from, wire: wire}
+	v.post(eventFunc(func() {
 		w := v.w
-		l := w.agents[agent].alive()
+		l := w.agents[agent].current()
 		if l == nil {
 			wire.End(false)
 			return
 		}
-		l.taken++
-		c.life, c.number = l, int(l.taken)
+		l.accepted++
+		c.proc, c.number = l, int(l.accepted)
 		l.calls[c.number] = c
-		c.lag = time.Duration(l.agent.chance.Float64() * float64(c.d.spread))
-		w.enter(l.agent.callArrives(c.d), rankArrival, (*callReaches)(c))
+		c.lag = time.Duration(l.agent.rng.Float64() * float64(c.d.spread))
+		w.schedule(l.agent.callArrival(c.d), rankArrival, (*callArrives)(c))
 	}))
 	return c
 }
 
-// Uncalled tells that an agent has ended its call.
+// Uncalled reports that an agent has ended its call.
 func (v *Live) Uncalled(c *Call) {
-	v.post(called(func() {
-		if c.life != nil && !c.over {
-			c.forget()
-			delete(c.life.calls, c.number)
+	v.post(eventFunc(func() {
+		if c.proc != nil && !c.ended {
+			c.remove()
+			delete(c.proc.calls, c.number)
 		}
 	}))
 }
 
-// Told tells of a datagram that an agent has sent to another, or to all others.
+// Told reports that an agent has sent a datagram to another or to all others.
 func (v *Live) Told(agent, peer int, data []byte) {
-	v.post(called(func() {
-		if l := v.w.agents[agent].alive(); l != nil {
-			l.tell(peer, data)
+	v.post(eventFunc(func() {
+		if l := v.w.agents[agent].current(); l != nil {
+			l.sendDatagram(peer, data)
 		}
 	}))
 }
 
-// Conn is an agent's connection to a booking server, as the world has it.
+// Conn is an agent's connection to an upstream server.
 type Conn = conn
 
-// Connected tells that an agent has connected to a booking server's address.
+// Connected reports that an agent has connected to an upstream server's address.
 func (v *Live) Connected(agent int, addr netip.AddrPort, wire StepConn) *Conn {
-	c := &conn{place: -1, wire: wire}
-	v.post(called(func() {
+	c := &conn{processIndex: -1, wire: wire}
+	v.post(eventFunc(func() {
 		w := v.w
-		l, s := w.agents[agent].alive(), w.at[addr]
+		l, s := w.agents[agent].current(), w.byAddr[addr]
 		if l == nil || s == nil {
 			c.closed = true
 			wire.Reset()
 			return
 		}
-		c.life, c.link, c.usedAt = l, l.agent.link(s), w.now
-		(*connReaches)(c).happen()
+		c.proc, c.link, c.usedAt = l, l.agent.link(s), w.now
+		(*connArrives)(c).fire()
 	}))
 	return c
 }
 
-// Sent tells that a route step has come on an agent's connection: for a client's try, with the time that the
-// agent waits. Known is false for what can't be a route step.
+// Sent reports that an attempt of the try op has arrived on an agent's connection, with the time that
+// the agent waits for it. The connection is reset if no try of that number is known.
 func (v *Live) Sent(c *Conn, op uint32, left time.Duration) {
-	v.post(called(func() {
+	v.post(eventFunc(func() {
 		t := v.w.tries[op]
 		if c.closed || c.link == nil {
 			return
@@ -177,159 +178,163 @@
 			c.wire.Reset()
 			return
 		}
-		s := &step{w: v.w, life: c.life, try: t, attempt: t.sends, conn: c, begun: v.w.now, until: v.w.now + left}
-		s.lease.Reused = c.greetedOnce
-		c.greetedOnce = true
-		t.sends++
-		s.number = mix(t.request.lots + uint64(t.nth)<<32 + uint64(s.attempt))
-		s.work = t.request.work * lognormal(v.w.noise[t.request.class], lotNormalOf(v.w.seed, s.number))
-		v.w.open++
-		c.step = s
-		c.write()
+		s := &attempt{
+			w: v.w, proc: c.proc, try: t, index: t.attemptsSeen, conn: c, startedAt: v.w.now,
+			deadline: v.w.now + left,
+		}
+		s.checkout.Reused = c.used
+		c.used = true
+		t.attemptsSeen++
+		s.drawSeed = mix(t.request.drawSeed + uint64(t.number)<<32 + uint64(s.index))
+		s.work = t.request.work * lognormal(v.w.noise[t.request.class], hashedNormal(v.w.seed, s.drawSeed))
+		v.w.pending++
+		c.attempt = s
+		c.send()
 	}))
 }
 
-// Disconnected tells that an agent has ended its connection.
+// Disconnected reports that an agent has closed its connection.
 func (v *Live) Disconnected(c *Conn) {
-	v.post(called(func() {
+	v.post(eventFunc(func() {
 		if c.closed || c.link == nil {
 			return
 		}
 		c.closed = true
-		if s := c.step; s != nil && !s.ended {
-			s.over(record.GivenUp)
+		if s := c.attempt; s != nil && !s.ended {
+			s.finish(record.GivenUp)
 		}
-		v.w.enter(c.link.arrival(&c.toProcess, 1), rankArrival, (*connClosing)(c))
+		v.w.schedule(c.link.arrival(&c.lastToServer, 1), rankArrival, (*connClosing)(c))
 	}))
 }
 
-// breakWire carries out that the machine has ended a connection.
-func (c *conn) breakWire() {
+// breakExternal ends the connection of a real agent from the server's end.
+func (c *conn) breakExternal() {
 	c.closed = true
-	if s := c.step; s != nil && !s.ended {
-		s.over(record.Broken)
+	if s := c.attempt; s != nil && !s.ended {
+		s.finish(record.Broken)
 		c.wire.Reset()
 		return
 	}
 	c.wire.Close()
 }
 
-// answerWire sends a booking server's answer on its way to an agent that is real.
-func (s *step) answerWire() {
-	a := Answer{Op: s.try.op, Attempt: s.attempt, Kind: AnswerKind(s.reply), Fault: s.fault}
+// answerExternal sends an upstream server's answer to a real agent.
+func (s *attempt) answerExternal() {
+	a := Answer{Op: s.try.op, Attempt: s.index, Kind: AnswerKind(s.reply), Fault: s.fault}
 	switch s.fault.Effect() {
-	case scenario.Unanswered: // until the agent gives it up
+	case scenario.Unanswered: // the agent gives it up
 	case scenario.Breaks:
-		s.over(record.Broken)
+		s.finish(record.Broken)
 	case scenario.Spoils:
-		s.over(record.SpoiltAnswer)
+		s.finish(record.SpoiltAnswer)
 	default:
-		s.over(s.wireOutcome())
+		s.finish(s.wireOutcome())
 	}
 	s.conn.wire.Answer(a)
 }
 
-// wireOutcome is what the agent sees of an answer.
-func (s *step) wireOutcome() record.Outcome {
+// wireOutcome returns the outcome that the agent sees.
+func (s *attempt) wireOutcome() record.Outcome {
 	switch s.reply {
 	case replyServed:
 		return record.OK
 	case replyUnprocessed:
 		return record.TurnedAway
-	case replySpoilt:
+	case replyUnreadable:
 		return record.SpoiltAnswer
 	}
 	return record.Error
 }
 
-// askRemote sends a try to an agent that is real.
-func (t *try) askRemote() {
+// sendExternal sends a try to a real agent.
+func (t *try) sendExternal() {
 	w := t.agent.w
 	q := t.request
-	t.taken = true
-	t.life.operations[t.op] = &operation{try: t}
+	t.accepted = true
+	t.proc.requests[t.op] = &agentRequest{try: t}
 	w.tries[t.op] = t
-	w.enter(t.leaves+remembers, rankClient, (*tryForgotten)(t))
+	w.schedule(t.deadline+tryRetention, rankClient, (*tryExpires)(t))
 	w.record.try(record.Asked, t)
 	query := &Query{
-		Agent: t.agent.number, Op: t.op, Class: q.told(),
-		Update: w.set.Classes[q.class].Effect != scenario.Safe,
-		Repeat: t.nth > 0 && w.set.Clients.MarksRetry, TimeLeft: (t.leaves - t.asked).Truncate(time.Millisecond),
-		Due: w.now, try: t,
+		Agent: t.agent.number, Op: t.op, Class: q.agentClass(),
+		Update:   w.scenario.Classes[q.class].Effect != scenario.Safe,
+		Repeat:   t.number > 0 && w.scenario.Clients.MarksRetry,
+		TimeLeft: (t.deadline - t.sentAt).Truncate(time.Millisecond),
+		Due:      w.now, try: t,
 	}
 	if q.key > 0 {
 		query.Key = w.keyNames[q.key-1]
 	}
 	if q.tenant != record.NoTenant {
-		query.Tenant = w.set.Tenants[q.tenant].Name
+		query.Tenant = w.scenario.Tenants[q.tenant].Name
 	}
-	t.conn.trying = t
+	t.conn.activeTry = t
 	w.wire.Ask(t.conn, query)
 }
 
-type tryForgotten try
+type tryExpires try
 
-func (f *tryForgotten) happen() { delete(f.agent.w.tries, f.op) }
+func (f *tryExpires) fire() { delete(f.agent.w.tries, f.op) }
 
-// current is the try that a connection of a client's is used for, if its client still waits.
-func (f *frontConn) current() *try {
-	if t := f.trying; t != nil && !t.over {
+// pendingTry returns the try that uses the connection, if its client still waits.
+func (f *clientConn) pendingTry() *try {
+	if t := f.activeTry; t != nil && !t.ended {
 		return t
 	}
 	return nil
 }
 
-// Answered tells that an agent's final answer has come.
+// Answered reports that an agent's final answer has arrived.
 func (v *Live) Answered(f *FrontConn, a Final) {
-	v.post(called(func() {
-		t := f.current()
+	v.post(eventFunc(func() {
+		t := f.pendingTry()
 		if t == nil {
 			return
 		}
-		f.trying = nil
-		t.told, t.answer, t.advice, t.attempt = true, a.Answer, a.After, a.Attempt
-		delete(t.life.operations, t.op)
-		f.answered = true
+		f.activeTry = nil
+		t.answerSent, t.answer, t.retryAfter, t.attempt = true, a.Answer, a.After, a.Attempt
+		delete(t.proc.requests, t.op)
+		f.used = true
 		if a.Closes {
 			f.close()
 		}
-		(*tryAnswered)(t).happen()
+		(*tryAnswered)(t).fire()
 	}))
 }
 
-// Lost tells that an agent has ended a connection. Unread: it had not read what was on it, or may not have;
-// what it has sent on it has read.
+// Lost reports that an agent has closed a connection. Unread means that the agent may not have read the
+// try; it has read it if it sent an attempt of it.
 func (v *Live) Lost(f *FrontConn, unread bool) {
-	v.post(called(func() {
+	v.post(eventFunc(func() {
 		f.close()
-		f.client.unrest(f)
-		t := f.current()
+		f.client.removeIdle(f)
+		t := f.pendingTry()
 		if t == nil {
 			return
 		}
-		f.trying = nil
-		delete(t.life.operations, t.op)
-		if unread && t.sends == 0 {
-			t.untakenRemote()
+		f.activeTry = nil
+		delete(t.proc.requests, t.op)
+		if unread && t.attemptsSeen == 0 {
+			t.unreadByExternal()
 			return
 		}
-		(*tryLost)(t).happen()
+		(*tryLost)(t).fire()
 	}))
 }
 
-// untakenRemote ends a try that the agent has not read: its client asks again at once.
-func (t *try) untakenRemote() {
+// unreadByExternal ends a try that the agent has not read; its client retries at once.
+func (t *try) unreadByExternal() {
 	w := t.agent.w
 	t.end()
-	w.record.take(record.Event{
+	w.record.add(record.Event{
 		Kind: record.Left, Op: t.op, Agent: int32(t.agent.number),
-		Shut: !t.conn.answered, Unread: true,
+		Shut: !t.conn.used, Unread: true,
 	})
-	t.again(true)
+	t.retry(true)
 }
 
-// unrest takes a connection out of those that rest.
-func (c *client) unrest(f *frontConn) {
+// removeIdle removes a connection from the idle ones.
+func (c *client) removeIdle(f *clientConn) {
 	for i, g := range c.idle {
 		if g == f {
 			c.idle = append(c.idle[:i], c.idle[i+1:]...)
@@ -338,14 +343,15 @@
 	}
 }
 
-// gatesLook looks who may connect where: what a process's connections, its end or a cut change shows soon.
-type gatesLook world
+// gateUpdate sets each gate that has changed since its last update, because a process's connections,
+// its end or a cut have changed.
+type gateUpdate world
 
-func (g *gatesLook) happen() {
+func (g *gateUpdate) fire() {
 	w := (*world)(g)
 	for _, a := range w.agents {
 		for _, s := range w.servers {
-			if w.at[s.addr] != s {
+			if w.byAddr[s.addr] != s {
 				continue
 			}
 			gate := w.gate(a, s)
@@ -358,13 +364,13 @@
 	// From now on the clock, not from when this look was due: the day's time zero is set once all agents are
 	// ready, and to make up for the looks of the time that is skipped then kept the kit late for a second with
 	// 200 agents.
-	w.enter(max(w.now+gateStep, w.live.clock()), rankTrouble, g)
+	w.schedule(max(w.now+gateInterval, w.live.clock()), rankEnvironment, g)
 }
 
-// gate is what becomes of an agent's wish to connect to a booking server now.
+// gate returns how an agent's connect to an upstream server is handled now.
 func (w *world) gate(a *agent, s *server) Gate {
 	switch p := s.process; {
-	case a.link(s).cutUntil() > 0 || s.mute || a.link(s).unheard():
+	case a.link(s).cutUntil() > 0 || s.unanswering || a.link(s).connectLost():
 		return Mute
 	case p == nil || p.state == processDown || p.full():
 		return Shut
--- a/internal/rehearsal/world/restart.go
+++ b/internal/rehearsal/world/restart.go
@@ -7,66 +7,66 @@
 	"dunestep/internal/routing"
 )
 
-// lateClients is how long clients still open connections to an agent that was told to end.
-const lateClients = 300 * time.Millisecond
+// clientNoticeTime is how long clients still open connections to an agent that shuts down.
+const clientNoticeTime = 300 * time.Millisecond
 
-// draining is a life's planned end.
-type draining struct {
-	course  routing.ShutdownPlan
-	told    bool
-	arrives time.Duration // until when clients open connections to it
-	over    bool          // it ended by itself
-	closing bool          // no connection is taken, and those there are close as they fall idle
+// shutdown is the state of a process's graceful shutdown.
+type shutdown struct {
+	plan         routing.ShutdownPlan
+	requested    bool
+	acceptsUntil time.Duration // until when clients open connections to it
+	exited       bool          // the process has exited by itself
+	closing      bool          // no connection is accepted, and open ones are closed when idle
 }
 
-// drain tells the program to end: it does as the daemon does, and is gone when that is over.
-func (l *life) drain() {
-	if l.end.told {
+// drain tells the program to shut down, in the same phases as the daemon.
+func (l *agentProcess) drain() {
+	if l.shutdown.requested {
 		return
 	}
-	if l.remote {
-		l.end = draining{told: true, arrives: l.w.now + lateClients}
+	if l.external {
+		l.shutdown = shutdown{requested: true, acceptsUntil: l.w.now + clientNoticeTime}
 		l.w.wire.Drain(l.agent.number)
 		return
 	}
-	l.end = draining{
-		course: routing.NewShutdownPlan(l.clock(), l.w.deployment(l.agent).Classes), told: true,
-		arrives: l.w.now + lateClients,
+	l.shutdown = shutdown{
+		plan: routing.NewShutdownPlan(l.clock(), l.w.deployment(l.agent).Classes), requested: true,
+		acceptsUntil: l.w.now + clientNoticeTime,
 	}
-	l.keep()
-	(*drainPhase)(l).happen()
+	l.saveState()
+	(*shutdownPhase)(l).fire()
 }
 
 type (
-	drainPhase life // the next phase of a drain begins
-	lifeOver   life // a drain is over
+	shutdownPhase agentProcess // the next phase of a shutdown begins
+	processExits  agentProcess // a shutdown is complete
 )
 
-func (d *drainPhase) happen() {
-	l := (*life)(d)
-	if l.dead || l.still(d) {
+func (d *shutdownPhase) fire() {
+	l := (*agentProcess)(d)
+	if l.dead || l.deferIfPaused(d) {
 		return
 	}
-	phase, until := l.end.course.PhaseAt(l.clock())
+	phase, until := l.shutdown.plan.PhaseAt(l.clock())
 	switch phase {
 	case routing.ShutdownClosing:
-		l.end.closing = true
+		l.shutdown.closing = true
 		l.closeIdle()
-		l.endIfEmpty()
+		l.exitIfUnused()
 	case routing.ShutdownFailing:
-		l.post(message{kind: abandon})
+		l.post(message{kind: failAll})
 	case routing.ShutdownOver:
-		(*lifeOver)(l).happen()
+		(*processExits)(l).fire()
 		return
 	}
-	l.w.enter(until-clockStart, rankTimer, d)
+	l.w.schedule(until-clockStart, rankTimer, d)
 }
 
-// closeIdle closes the clients' connections that stand idle.
-func (l *life) closeIdle() {
-	var own, others []*frontConn
+// closeIdle closes the clients' idle connections.
+func (l *agentProcess) closeIdle() {
+	var own, others []*clientConn
 	for _, f := range l.agent.client.idle {
-		if f.life == l {
+		if f.proc == l {
 			own = append(own, f)
 		} else {
 			others = append(others, f)
@@ -78,64 +78,66 @@
 	}
 }
 
-// endIfEmpty ends a draining life that holds no client connection any more, once its last answer is there.
-func (l *life) endIfEmpty() {
-	if l.end.closing && l.clients.held == 0 && len(l.clients.waiting) == 0 {
-		l.w.after(l.w.network.client, rankTimer, (*lifeOver)(l))
+// exitIfUnused exits a process that is shutting down once it has no client connections and its last
+// answer has arrived.
+func (l *agentProcess) exitIfUnused() {
+	if l.shutdown.closing && l.listener.accepted == 0 && len(l.listener.waiting) == 0 {
+		l.w.scheduleAfter(l.w.network.client, rankTimer, (*processExits)(l))
 	}
 }
 
-func (o *lifeOver) happen() {
-	l := (*life)(o)
-	if l.dead || l.still(o) {
+func (o *processExits) fire() {
+	l := (*agentProcess)(o)
+	if l.dead || l.deferIfPaused(o) {
 		return
 	}
 	w, a := l.w, l.agent
-	l.end.over = true
-	for _, t := range l.unanswered() { // this end was the agent's own: what it has not answered is lost
-		w.record.take(record.Event{Kind: record.Lost, Op: t.op, Agent: int32(a.number)})
+	l.shutdown.exited = true
+	for _, t := range l.unanswered() { // the program exited by itself: unanswered tries are lost
+		w.record.add(record.Event{Kind: record.Lost, Op: t.op, Agent: int32(a.number)})
 		t.end()
-		t.again(false)
+		t.retry(false)
 	}
 	if l.replaced {
-		l.finish()
+		l.terminate()
 		return
 	}
 	a.kill()
-	a.rise()
+	a.restart()
 }
 
-// takes tells whether a client can reach the agent: by a connection that it has, or a new one.
-func (a *agent) takes() bool {
-	l := a.life
+// accepting reports whether a client can reach the agent, on an idle connection or a new one.
+func (a *agent) accepting() bool {
+	l := a.proc
 	switch {
 	case l == nil:
 		return false
 	case len(a.client.idle) > 0:
 		return true
 	}
-	return (!l.end.told || a.w.now < l.end.arrives) && (!l.away || a.w.now < l.awayFrom+lateClients)
+	return (!l.shutdown.requested || a.w.now < l.shutdown.acceptsUntil) &&
+		(!l.sendingAway || a.w.now < l.sendingAwaySince+clientNoticeTime)
 }
 
-// rise starts the agent's program again, unless it runs or a trouble keeps it down.
-func (a *agent) rise() {
-	if a.life != nil || a.kept > 0 {
+// restart starts the agent's program again, unless it runs or a fault keeps it down.
+func (a *agent) restart() {
+	if a.proc != nil || a.downFaults > 0 {
 		return
 	}
-	wait := a.w.set.Agents.BackIn
-	if a.w.wire != nil { // a real one takes its own time
+	wait := a.w.scenario.Agents.BackIn
+	if a.w.wire != nil { // a real program needs its own start time
 		wait = 0
 	} else {
 		a.w.record.agent(record.AgentStarts, a)
 	}
-	a.w.after(wait, rankTrouble, (*agentBack)(a))
+	a.w.scheduleAfter(wait, rankEnvironment, (*agentRestarts)(a))
 }
 
-type agentBack agent
+type agentRestarts agent
 
-func (b *agentBack) happen() {
+func (b *agentRestarts) fire() {
 	a := (*agent)(b)
-	if a.life == nil && a.coming == nil && a.kept == 0 {
-		_ = a.begin() // its settings were good when the day began
+	if a.proc == nil && a.starting == nil && a.downFaults == 0 {
+		_ = a.start() // the same settings were valid at the start of the run
 	}
 }
--- a/internal/rehearsal/world/day_test.go
+++ b/internal/rehearsal/world/run_test.go
@@ -14,33 +14,33 @@
 )
 
 // diary is a sink that keeps a day.
-type diary struct {
-	day     record.Day
+type recordingSink struct {
+	run     record.Day
 	servers []record.Server
 	events  []record.Event
 	samples []record.Sample
 	ended   time.Duration
 }
 
-func (d *diary) Begin(day record.Day)          { d.day = day }
-func (d *diary) Server(_ int, s record.Server) { d.servers = append(d.servers, s) }
-func (d *diary) Take(e *record.Event)          { d.events = append(d.events, *e) }
-func (d *diary) End(at time.Duration)          { d.ended = at }
-func (d *diary) Sample(s *record.Sample) {
+func (d *recordingSink) Begin(day record.Day)          { d.run = day }
+func (d *recordingSink) Server(_ int, s record.Server) { d.servers = append(d.servers, s) }
+func (d *recordingSink) Take(e *record.Event)          { d.events = append(d.events, *e) }
+func (d *recordingSink) End(at time.Duration)          { d.ended = at }
+func (d *recordingSink) Sample(s *record.Sample) {
 	kept := *s
 	kept.Servers = append([]record.Load(nil), s.Servers...)
 	kept.Held = append([]int(nil), s.Held...)
 	d.samples = append(d.samples, kept)
 }
 
-func play(t require.TestingT, set *scenario.Scenario, seed uint64, o Options) *diary {
-	d := &diary{}
+func play(t require.TestingT, set *scenario.Scenario, seed uint64, o Options) *recordingSink {
+	d := &recordingSink{}
 	require.NoError(t, Play(context.Background(), set, seed, d, o))
 	return d
 }
 
 // of returns the events of a kind.
-func (d *diary) of(kind record.Kind) (found []record.Event) {
+func (d *recordingSink) ofKind(kind record.Kind) (found []record.Event) {
 	for _, e := range d.events {
 		if e.Kind == kind {
 			found = append(found, e)
@@ -55,8 +55,8 @@
 	attempt int8
 }
 
-// requireWhole checks what holds on any day: each thing that begins on the wire ends there, once.
-func requireWhole(t require.TestingT, d *diary) {
+// requireBalanced checks what holds on any day: each thing that begins on the wire ends there, once.
+func requireBalanced(t require.TestingT, d *recordingSink) {
 	wrong := func(e record.Event, why string) { require.Fail(t, why, "%+v", e) }
 	type counts struct{ tries, taken, ends, sent, ended, reached, worked int }
 	seen := map[attemptKey]*counts{}
@@ -118,8 +118,8 @@
 	}
 }
 
-// anyTrouble draws a trouble of any kind within a day of 20 s.
-func anyTrouble(t *rapid.T, i int) scenario.Trouble {
+// anyFault draws a trouble of any kind within a day of 20 s.
+func anyFault(t *rapid.T, i int) scenario.Trouble {
 	kinds := []scenario.TroubleKind{
 		scenario.Silent, scenario.Failing, scenario.Refusing, scenario.Deploy, scenario.Slow,
 		scenario.Vanished, scenario.Crashed, scenario.AgentsKilled, scenario.AgentsRestarted, scenario.TakenOut, scenario.SentAway, scenario.Upgraded,
@@ -156,8 +156,8 @@
 	return u
 }
 
-// TestAnyDay plays days with any troubles together: whatever goes wrong, everything that begins ends once.
-func TestAnyDay(t *testing.T) {
+// TestEverythingEndsOnce plays days with any troubles together: whatever goes wrong, everything that begins ends once.
+func TestEverythingEndsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := deployment(20 * time.Second)
 		set.Load.PerS = span(100, 100)
@@ -174,8 +174,8 @@
 			set.Load.Keys, set.Tenants, set.Network.Zones = span(0, 0), nil, []string{"buc-pipera", "cluj-est"}
 		}
 		for i := range rapid.IntRange(0, 4).Draw(t, "troubles") {
-			set.Troubles = append(set.Troubles, anyTrouble(t, i))
+			set.Troubles = append(set.Troubles, anyFault(t, i))
 		}
-		requireWhole(t, play(t, set, rapid.Uint64().Draw(t, "seed"), Options{}))
+		requireBalanced(t, play(t, set, rapid.Uint64().Draw(t, "seed"), Options{}))
 	})
 }
--- a/internal/rehearsal/world/server.go
+++ b/internal/rehearsal/world/server.go
@@ -11,8 +11,8 @@
 	"dunestep/internal/rehearsal/scenario"
 )
 
-// server is a booking server as the list knows it: a name, a machine and an address, with a process or
-// none.
+// server is an upstream server as the list names it: an ID, a machine and an address, with or without a
+// process.
 type server struct {
 	w       *world
 	number  int
@@ -22,106 +22,106 @@
 	addr    netip.AddrPort
 	machine machine
 	weight  float64
-	chance  stream // what comes by chance while it runs
-	process *process
-	left    bool // replaced, or on its way out
-
-	// Troubles.
-	silent    bool
-	refusing  bool
-	failing   float64 // part of the requests that it fails at once
-	spoiling  float64 // part of the answers that cannot be read
-	accepting float64 // part of the usual connections
-	fault     scenario.Fault
-	faulty    float64 // part of the answers that have it
-	mute      bool    // no connection is accepted
-	cutUntil  time.Duration
+	rng     stream // for events while it runs
+	process *serverProcess
+	leaving bool // replaced or draining
+
+	// Effects of active faults.
+	silent      bool
+	refusing    bool
+	failing     float64 // fraction of attempts that it answers with an error at once
+	unreadable  float64 // fraction of answers that cannot be read
+	connShare   float64 // fraction of the machine's connection limit
+	fault       scenario.Fault
+	faultShare  float64 // fraction of answers that have it
+	unanswering bool    // connects get no answer
+	cutUntil    time.Duration
 }
 
-// machine is what a booking server's machine is like, as drawn for the day.
+// machine is an upstream server's hardware and configuration, as drawn for the run.
 type machine struct {
 	kind                 string
 	cores                int
 	speed                float64
 	slots, queue, conns  int
 	thrash, thrashAt     float64
-	fullTax              float64
-	coldFrom             float64
-	coldFor              time.Duration
+	connOverhead         float64
+	initialCapacity      float64
+	warmupTime           time.Duration
 	pauseEvery, pause    time.Duration
 	errorRate            float64
 	dropsWaiting         bool
 	dropsExpired         bool
-	warmGain             float64
-	warmFor              time.Duration
-	warmKeys             int
+	cacheSaving          float64
+	cacheTTL             time.Duration
+	cacheKeys            int
 	handshakeWork, trips float64 // seconds on a standard core; round trips
 }
 
-// drawMachine draws the figures of a server's machine. Every figure is drawn, in one order, so that a
-// change of one leaves the others as they were.
-func drawMachine(s *scenario.Scenario, k *scenario.Kind, chance stream) machine {
-	draw := func(v scenario.Span) float64 { return v.Draw(chance.Rand) }
+// drawMachine draws the figures of a server's machine. Every figure is drawn, in a fixed order, so that
+// changing one leaves the others unchanged.
+func drawMachine(s *scenario.Scenario, k *scenario.Kind, rng stream) machine {
+	draw := func(v scenario.Span) float64 { return v.Draw(rng.Rand) }
 	cores := float64(k.Cores)
 	perCore := func(v scenario.Span) int { return int(math.Round(draw(v) * cores)) }
 	m := machine{
 		kind: k.Name, cores: k.Cores, speed: draw(k.Speed), slots: max(perCore(k.SlotsPerCore), 1),
 		queue: perCore(k.QueuePerCore), conns: perCore(k.ConnsPerCore), thrash: draw(k.Thrash),
-		thrashAt: draw(k.ThrashAt), coldFrom: draw(k.ColdFrom), coldFor: k.Cold.Draw(chance.Rand),
-		pauseEvery: k.PauseEvery.Draw(chance.Rand), pause: k.Pause.Draw(chance.Rand),
+		thrashAt: draw(k.ThrashAt), initialCapacity: draw(k.ColdFrom), warmupTime: k.Cold.Draw(rng.Rand),
+		pauseEvery: k.PauseEvery.Draw(rng.Rand), pause: k.Pause.Draw(rng.Rand),
 		errorRate: draw(k.ErrorRate), dropsExpired: k.DropsExpired,
 	}
-	either := chance.Float64() < 0.5
+	either := rng.Float64() < 0.5
 	m.dropsWaiting = k.Cancel == "queued" || k.Cancel == "either" && either
 	return m
 }
 
-// drawDay sets those figures that all machines have alike on a day.
-func (m *machine) drawDay(s *scenario.Scenario, seed uint64) {
-	chance := newStream(seed, "machines")
+// drawShared sets the figures that all machines of a run share.
+func (m *machine) drawShared(s *scenario.Scenario, seed uint64) {
+	rng := newStream(seed, "machines")
 	cores := float64(m.cores)
-	m.fullTax = s.Connections.FullTax.Draw(chance.Rand)
-	m.trips = s.Connections.HandshakeTrips.Draw(chance.Rand)
-	m.handshakeWork = s.Connections.HandshakeWork.Draw(chance.Rand).Seconds()
-	m.warmGain = s.Affinity.Gain.Draw(chance.Rand)
-	m.warmFor = s.Affinity.Remembered.Draw(chance.Rand)
-	m.warmKeys = int(math.Round(s.Affinity.KeysPerCore.Draw(chance.Rand) * cores))
+	m.connOverhead = s.Connections.FullTax.Draw(rng.Rand)
+	m.trips = s.Connections.HandshakeTrips.Draw(rng.Rand)
+	m.handshakeWork = s.Connections.HandshakeWork.Draw(rng.Rand).Seconds()
+	m.cacheSaving = s.Affinity.Gain.Draw(rng.Rand)
+	m.cacheTTL = s.Affinity.Remembered.Draw(rng.Rand)
+	m.cacheKeys = int(math.Round(s.Affinity.KeysPerCore.Draw(rng.Rand) * cores))
 }
 
-// full is what the machine can do in a second once warm and uncrowded.
-func (m *machine) full() float64 { return float64(m.cores) * m.speed }
+// capacity is the work that the machine can do per second once warm, at full efficiency.
+func (m *machine) capacity() float64 { return float64(m.cores) * m.speed }
 
-// roughly is how far a listed size may lie from the true one, either way.
-const roughly = 0.2
+// weightError is the maximum relative error of a rough weight, in either direction.
+const weightError = 0.2
 
-// newServer puts a booking server on a machine. Its address is drawn from its number where it is not given.
+// newServer puts an upstream server on a machine. Without an address, it gets one from its number.
 func (w *world) newServer(zone int, m machine, addr netip.AddrPort) *server {
 	n := len(w.servers)
 	s := &server{
 		w: w, number: n, id: fmt.Sprintf("s-%08x", uint32(nameSeed(w.seed, fmt.Sprint("server ", n)))),
-		zone: zone, cell: n / max(w.set.Fleet.CellSize, 1), machine: m, addr: addr, weight: 1, accepting: 1,
+		zone: zone, cell: n / max(w.scenario.Fleet.CellSize, 1), machine: m, addr: addr, weight: 1, connShare: 1,
 	}
 	if !addr.IsValid() {
 		s.addr = serverAddr(n)
 	}
-	s.chance = newStream(w.seed, "server "+s.id)
-	rough := 1 + roughly*(2*s.chance.Float64()-1)
-	switch w.set.Fleet.Weights {
+	s.rng = newStream(w.seed, "server "+s.id)
+	rough := 1 + weightError*(2*s.rng.Float64()-1)
+	switch w.scenario.Fleet.Weights {
 	case "nominal":
-		s.weight = m.full()
+		s.weight = m.capacity()
 	case "rough":
-		s.weight = m.full() * rough
+		s.weight = m.capacity() * rough
 	}
 	w.servers = append(w.servers, s)
-	w.at[s.addr] = s
+	w.byAddr[s.addr] = s
 	if w.wire != nil && w.now > 0 {
 		if err := w.wire.Server(s.addr); err != nil {
 			w.failed = err
 		}
 	}
 	w.sink.Server(n, record.Server{
-		ID: s.id, Zone: w.set.Network.Zones[zone], Kind: m.kind,
-		Addr: s.addr.String(), Cell: s.cell, Capacity: m.full(),
+		ID: s.id, Zone: w.scenario.Network.Zones[zone], Kind: m.kind,
+		Addr: s.addr.String(), Cell: s.cell, Capacity: m.capacity(),
 	})
 	return s
 }
@@ -130,47 +130,50 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(n >> 8), byte(n)}), 9000)
 }
 
-// start starts the server's process, cold unless it has run for long. Discovery learns of it when told so.
+// start starts the server's process; warming tells whether it begins in slow start. The caller informs
+// discovery.
 func (s *server) start(cold bool) {
 	w := s.w
-	p := &process{w: w, server: s, at: w.now, cold: cold}
-	p.seen = keyMemory{most: s.machine.warmKeys, keeps: s.machine.warmFor, met: map[uint32]time.Duration{}}
+	p := &serverProcess{w: w, server: s, at: w.now, warming: cold}
+	p.keys = keyCache{limit: s.machine.cacheKeys, ttl: s.machine.cacheTTL, lastSeen: map[uint32]time.Duration{}}
 	s.process = p
 	if cold {
 		p.started = w.now
-		w.after(coldStep, rankServer, (*coldGrows)(p))
+		w.scheduleAfter(warmupInterval, rankServer, (*warmupUpdate)(p))
 	}
 	w.record.server(record.ServerUp, p)
 	p.planPause()
 }
 
-// stop ends the process; discovery notices.
+// stop ends the process; discovery learns of it after its notice time.
 func (s *server) stop() {
 	s.w.record.server(record.ServerDown, s.process)
-	s.process.die()
-	s.w.discovery.hears(s.entry(balancer.Gone), s.w.discovery.notice)
+	s.process.terminate()
+	s.w.discovery.learnAfter(s.entry(balancer.Gone), s.w.discovery.notice)
 }
 
-// leave has the process take nothing new.
-func (s *server) leave() {
-	s.left = true
+// drain makes the process take no new attempts.
+func (s *server) drain() {
+	s.leaving = true
 	if p := s.process; p.state == processUp {
 		p.state = processDraining
 	}
 }
 
-// running tells whether the server has a process that takes requests.
-func (s *server) running() bool { return s.process != nil && s.process.state == processUp && !s.left }
+// running reports whether the server has a process that takes attempts.
+func (s *server) running() bool {
+	return s.process != nil && s.process.state == processUp && !s.leaving
+}
 
-// standing is how the list should have the server.
-func (s *server) standing() balancer.ServerState {
-	if s.left {
+// listState returns the state in which discovery should list the server.
+func (s *server) listState() balancer.ServerState {
+	if s.leaving {
 		return balancer.Draining
 	}
 	return balancer.Ready
 }
 
-// entry is how discovery lists the server.
-func (s *server) entry(state balancer.ServerState) listed {
-	return listed{server: s, state: state, started: s.process.started}
+// entry returns the server's entry in the endpoint list.
+func (s *server) entry(state balancer.ServerState) listEntry {
+	return listEntry{server: s, state: state, started: s.process.started}
 }
--- a/internal/rehearsal/world/sight.go
+++ b/internal/rehearsal/world/sight.go
@@ -9,51 +9,54 @@
 )
 
 const (
-	sightStep = 100 * time.Millisecond // between two looks at the servers
-	sightFade = 0.3                    // weight of the last look in what comes
-	// wellEnough is the part of its requests that a server may fail and still count as one that answers.
-	wellEnough = 0.5
+	// snapshotInterval is the time between two snapshots of the servers.
+	snapshotInterval = 100 * time.Millisecond // between two looks at the servers
+	loadSmoothing    = 0.3                    // weight of the last interval in the smoothed load
+	// maxFailingShare is the fraction of errors from which a server counts as not serving.
+	maxFailingShare = 0.5
 )
 
-// sights are how the servers stood lately, for agents that see it late.
-type sights struct {
-	w     *world
-	delay time.Duration
-	looks []*late.Sight // the oldest first; as many as fit into the delay
-	asked float64       // work that came to the agents since the last look, seconds of standard work
-	came  float64       // the same a second, of late
+// delayedView holds recent snapshots of the servers' true state, for agents that see it with a delay.
+type delayedView struct {
+	w           *world
+	delay       time.Duration
+	views       []*late.Sight // oldest first; as many as fit into the delay
+	arrivedWork float64       // that reached the agents since the last snapshot, in standard seconds
+	workPerS    float64       // smoothed work per second that reaches the agents
 }
 
-func newSights(w *world, delay time.Duration) *sights { return &sights{w: w, delay: delay} }
+func newDelayedView(w *world, delay time.Duration) *delayedView {
+	return &delayedView{w: w, delay: delay}
+}
 
-// happen looks at the servers.
-func (s *sights) happen() {
+// fire takes a snapshot of the servers.
+func (s *delayedView) fire() {
 	all := make([]late.Server, 0, len(s.w.servers))
 	for _, v := range s.w.servers {
 		p := v.process
 		if p == nil || p.state != processUp {
 			continue
 		}
-		p.reckon()
+		p.advance()
 		all = append(all, late.Server{
 			ID: v.id, Capacity: p.capacity(),
 			Speed: p.capacity() * p.efficiency(), Cores: float64(v.machine.cores),
 			Held:  float64(len(p.running.jobs) + p.waiting.len()),
-			Takes: !v.silent && !v.refusing && v.failing < wellEnough && s.w.now >= v.cutUntil,
+			Takes: !v.silent && !v.refusing && v.failing < maxFailingShare && s.w.now >= v.cutUntil,
 		})
 	}
-	s.came += (s.asked/sightStep.Seconds() - s.came) * sightFade
-	s.asked = 0
-	if s.looks = append(s.looks, late.NewSight(all, s.came)); len(s.looks) > int(s.delay/sightStep)+1 {
-		s.looks = s.looks[1:]
+	s.workPerS += (s.arrivedWork/snapshotInterval.Seconds() - s.workPerS) * loadSmoothing
+	s.arrivedWork = 0
+	if s.views = append(s.views, late.NewSight(all, s.workPerS)); len(s.views) > int(s.delay/snapshotInterval)+1 {
+		s.views = s.views[1:]
 	}
-	s.w.after(sightStep, rankSample, s)
+	s.w.scheduleAfter(snapshotInterval, rankSample, s)
 }
 
-// late is what is seen now: the oldest look.
-func (s *sights) late() *late.Sight { return s.looks[0] }
+// oldest returns the snapshot that agents see now.
+func (s *delayedView) oldest() *late.Sight { return s.views[0] }
 
-// policy is an agent's module on a day of agents that see the true state late.
-func (s *sights) policy(set balancer.Settings, seed uint64) routing.Module {
-	return late.New(set, s.w.set.MeanWork(s.w.meanWork), seed, s.late)
+// policy returns the balancer of an agent that sees the true state with a delay.
+func (s *delayedView) policy(set balancer.Settings, seed uint64) routing.Module {
+	return late.New(set, s.w.scenario.MeanWork(s.w.meanWork), seed, s.oldest)
 }
--- a/internal/rehearsal/world/silence.go
+++ b/internal/rehearsal/world/silence.go
@@ -8,62 +8,65 @@
 )
 
 const (
-	// emptyLines is how often a watch says that nothing changes.
-	emptyLines = 2 * time.Second
-	// silenceWait is how long an agent hears nothing on a watch until it ends it.
-	silenceWait = 3 * time.Second
+	// keepAliveInterval is the time between two empty lines on a watch without changes.
+	keepAliveInterval = 2 * time.Second
+	// silenceTimeout is the time without a message after which an agent ends a watch.
+	silenceTimeout = 3 * time.Second
 )
 
-// The happenings of a watch that falls silent.
+// The events of a watch that falls silent.
 type (
-	watchSilent  call
-	watchGivenUp call
+	watchSilent    call
+	watchAbandoned call
 )
 
-// silence has the watches that are open fall silent, each at its own time within the trouble's length.
-func (t *trouble) silence() {
+// silenceWatches makes the open watches fall silent, each at its own time within the fault's duration.
+func (t *injection) silenceWatches() {
 	for _, c := range t.w.discovery.calls {
-		if c.watch && c.taken {
-			t.w.after(time.Duration(t.chance.Float64()*float64(t.lasts)), rankServer, (*watchSilent)(c))
+		if c.watch && c.accepted {
+			t.w.scheduleAfter(time.Duration(t.rng.Float64()*float64(t.duration)), rankServer, (*watchSilent)(c))
 		}
 	}
 }
 
-func (s *watchSilent) happen() {
+func (s *watchSilent) fire() {
 	c := (*call)(s)
-	if c.over || c.silent {
+	if c.ended || c.silent {
 		return
 	}
 	w := c.d.w
 	c.silent = true
-	w.record.agent(record.WatchSilent, c.life.agent)
-	if c.wire != nil { // a real agent finds out by itself
-		w.after(c.d.distance(c.life.agent), rankArrival, called(c.wire.Silence)) // after what was told before
+	w.record.agent(record.WatchSilent, c.proc.agent)
+	if c.wire != nil { // a real agent detects it by itself
+		// After the messages that were sent before.
+		w.scheduleAfter(c.d.delay(c.proc.agent), rankArrival, eventFunc(c.wire.Silence))
 		return
 	}
-	w.enter(c.missed(), rankArrival, (*watchGivenUp)(c))
+	w.schedule(c.silenceDetected(), rankArrival, (*watchAbandoned)(c))
 }
 
-// missed is when the agent has heard nothing for too long, if nothing comes from now on.
-func (c *call) missed() time.Duration {
+// silenceDetected returns when the agent ends the watch if it gets nothing from now on.
+func (c *call) silenceDetected() time.Duration {
 	w := c.d.w
-	heard := c.spoke + (w.now-c.spoke)/emptyLines*emptyLines
-	return max(heard+c.d.distance(c.life.agent)+silenceWait, w.now)
+	heard := c.lastSent + (w.now-c.lastSent)/keepAliveInterval*keepAliveInterval
+	return max(heard+c.d.delay(c.proc.agent)+silenceTimeout, w.now)
 }
 
-// watchHeld is when an agent ends a watch of which it hears nothing, unless it does again.
-type watchHeld call
+// watchBlocked makes an agent end a watch whose stream is still blocked.
+type watchBlocked call
 
-func (h *watchHeld) happen() {
-	if c := (*call)(h); c.life.agent.toDiscovery.back > c.d.w.now {
-		(*watchGivenUp)(c).happen()
+func (h *watchBlocked) fire() {
+	if c := (*call)(h); c.proc.agent.toDiscovery.back > c.d.w.now {
+		(*watchAbandoned)(c).fire()
 	}
 }
 
-func (g *watchGivenUp) happen() {
+func (g *watchAbandoned) fire() {
 	c := (*call)(g)
-	if !c.over {
-		c.forget()
-		c.life.post(message{kind: callEnded, number: c.number, err: &routing.SilenceError{Duration: silenceWait}})
+	if !c.ended {
+		c.remove()
+		c.proc.post(message{
+			kind: callEnded, number: c.number, err: &routing.SilenceError{Duration: silenceTimeout},
+		})
 	}
 }
--- a/internal/rehearsal/world/silence_test.go
+++ b/internal/rehearsal/world/silence_test.go
@@ -12,8 +12,8 @@
 
 // Watches fall silent, each once and at its own time; nothing comes on them from then on, and each agent gives its own
 // up 3 s after it last heard of it, an empty line every 2 s, and calls anew.
-func TestWatchesFallSilent(t *testing.T) {
-	d := troubled(t, scenario.Trouble{Kind: scenario.WatchesSilent}, func(set *scenario.Scenario) {
+func TestSilentWatchesAreReplaced(t *testing.T) {
+	d := playFault(t, scenario.Trouble{Kind: scenario.WatchesSilent}, func(set *scenario.Scenario) {
 		set.Agents.Count = 8
 		set.Discovery.CallsPerS = span(100, 100)
 		set.Troubles = append(set.Troubles, scenario.Trouble{
@@ -22,13 +22,13 @@
 		})
 	})
 	silent := map[int32]time.Duration{}
-	for _, e := range d.of(record.WatchSilent) {
+	for _, e := range d.ofKind(record.WatchSilent) {
 		require.NotContains(t, silent, e.Agent)
-		require.True(t, e.At >= troubleFrom && e.At <= troubleTo)
+		require.True(t, e.At >= faultStart && e.At <= faultEnd)
 		silent[e.Agent] = e.At
 	}
 	require.Len(t, silent, 8)
-	for _, e := range d.of(record.Told) {
+	for _, e := range d.ofKind(record.Told) {
 		_, again := d.next(record.Watching, e.Agent, silent[e.Agent])
 		require.False(t, e.At > silent[e.Agent] && e.At < again, "agent %d was told in its silence", e.Agent)
 	}
@@ -36,16 +36,16 @@
 		is, again := d.next(record.Watching, agent, at)
 		require.True(t, is, "agent %d never watches again", agent)
 		require.Greater(t, again-at, time.Second) // 2 s at the most since the last line
-		require.Less(t, again-at, 3*time.Second+wholeTurn, "and the module's own wait")
+		require.Less(t, again-at, 3*time.Second+maxRewatchTime, "and the module's own wait")
 	}
 }
 
-// wholeTurn is longer than the module waits after a silence, with the calls of all.
-const wholeTurn = 2 * time.Second
+// maxRewatchTime is longer than the module waits after a silence, with the calls of all.
+const maxRewatchTime = 2 * time.Second
 
 // next finds when an agent's next event of a kind is.
-func (d *diary) next(kind record.Kind, agent int32, after time.Duration) (is bool, at time.Duration) {
-	for _, e := range d.of(kind) {
+func (d *recordingSink) next(kind record.Kind, agent int32, after time.Duration) (is bool, at time.Duration) {
+	for _, e := range d.ofKind(kind) {
 		if e.Agent == agent && e.At > after {
 			return true, e.At
 		}
--- a/internal/rehearsal/world/step.go
+++ b/internal/rehearsal/world/step.go
@@ -9,62 +9,62 @@
 	"dunestep/internal/routing"
 )
 
-// replyKind is what a process answers.
+// replyKind is the kind of a process's answer.
 type replyKind uint8
 
 const (
 	replyServed replyKind = iota
 	replyError
 	replyUnprocessed
-	replySpoilt
+	replyUnreadable
 )
 
-// step is a route step on its way.
-type step struct {
-	w         *world
-	life      *life
-	operation *operation
-	try       *try
-	attempt   int
-	pool      *upstream
-	conn      *conn
-	number    uint64 // for its lots
-	work      float64
-	begun     time.Duration
-	until     time.Duration // when the agent gives it up, as it tells the booking server
-	lease     routing.Checkout[*conn]
-	phase     routing.AttemptPhase
-	ended     bool // at the agent
-	reply     replyKind
+// attempt is one attempt of a request at an upstream server.
+type attempt struct {
+	w            *world
+	proc         *agentProcess
+	agentRequest *agentRequest
+	try          *try
+	index        int
+	upstream     *upstream
+	conn         *conn
+	drawSeed     uint64 // seed of its random draws
+	work         float64
+	startedAt    time.Duration
+	deadline     time.Duration // when the agent gives it up, as it tells the server
+	checkout     routing.Checkout[*conn]
+	phase        routing.AttemptPhase
+	ended        bool // at the agent
+	reply        replyKind
 
-	job         *job // at the process, until that is done with it
-	ran         bool
-	resets      bool // a trouble resets its connection
-	resetsAfter bool // only when it has run
-	fault       scenario.Fault
+	job           *job // at the process, until it is done or dropped
+	ran           bool
+	reset         bool // a fault resets its connection
+	resetAfterRun bool // after it has run
+	fault         scenario.Fault
 }
 
 type (
-	stepReaches  step // its last byte is at the machine
-	stepAnswered step // the answer's last byte is at the agent
-	stepOver     step // the agent waits no longer
-	stepUnheard  step // the connection is not up in time
+	attemptArrives  attempt // its last byte reaches the server
+	attemptAnswered attempt // the answer's last byte reaches the agent
+	attemptTimesOut attempt // its deadline expires
+	connectTimesOut attempt // its connection is not established in time
 )
 
-func (r *stepReaches) happen() {
-	s := (*step)(r)
+func (r *attemptArrives) fire() {
+	s := (*attempt)(r)
 	c := s.conn
-	if c.process == nil || c.over { // what comes for a connection that is over is answered with a reset
-		s.w.enter(c.link.arrival(&c.toAgent, 1), rankArrival, (*connBreaking)(c))
+	if c.process == nil || c.ended { // data on a connection that has ended is answered with a reset
+		s.w.schedule(c.link.arrival(&c.lastToAgent, 1), rankArrival, (*connBreaking)(c))
 		return
 	}
 	p := c.process
-	c.quietSince = s.w.now
+	c.idleSince = s.w.now
 	s.w.record.reached(s, p)
-	if reset := s.w.resetting; reset > 0 && lot(s.w.seed, s.number, lotReset) < reset {
-		s.resets = true
-		s.resetsAfter = lot(s.w.seed, s.number, lotResetWhen) < 0.5
-		if !s.resetsAfter {
+	if reset := s.w.resetShare; reset > 0 && hashedDraw(s.w.seed, s.drawSeed, lotReset) < reset {
+		s.reset = true
+		s.resetAfterRun = hashedDraw(s.w.seed, s.drawSeed, lotResetWhen) < 0.5
+		if !s.resetAfterRun {
 			s.done(0)
 			c.drop()
 			return
@@ -73,24 +73,25 @@
 	p.arrive(s)
 }
 
-// done notes that the process is done with it, or has dropped it, with so much work spent.
-func (s *step) done(spent float64) {
+// done records that the process has finished or dropped it, with the work spent in seconds of standard
+// work.
+func (s *attempt) done(spent float64) {
 	s.job = nil
 	s.w.record.worked(s, spent)
 }
 
-func (a *stepAnswered) happen() {
-	s := (*step)(a)
-	if s.life.still(a) || s.ended || s.conn.closed {
+func (a *attemptAnswered) fire() {
+	s := (*attempt)(a)
+	if s.proc.deferIfPaused(a) || s.ended || s.conn.closed {
 		return
 	}
 	s.conn.usedAt = s.w.now
 	if s.conn.wire != nil {
-		s.answerWire()
+		s.answerExternal()
 		return
 	}
 	s.phase = routing.Responding
-	if s.reply == replySpoilt {
+	if s.reply == replyUnreadable {
 		s.end(routing.InvalidResponse)
 	} else {
 		s.end(routing.Completed)
@@ -107,77 +108,77 @@
 	return balancer.ServerError
 }
 
-func (o *stepOver) happen() {
-	s := (*step)(o)
-	if !s.life.still(o) && !s.ended && !s.life.dead {
+func (o *attemptTimesOut) fire() {
+	s := (*attempt)(o)
+	if !s.proc.deferIfPaused(o) && !s.ended && !s.proc.dead {
 		s.end(routing.TimedOut)
 	}
 }
 
-func (u *stepUnheard) happen() {
-	s := (*step)(u)
-	if !s.life.still(u) && !s.ended && !s.life.dead && s.phase == routing.Connecting {
-		s.life.connects.GaveUp()
+func (u *connectTimesOut) fire() {
+	s := (*attempt)(u)
+	if !s.proc.deferIfPaused(u) && !s.ended && !s.proc.dead && s.phase == routing.Connecting {
+		s.proc.connectTimeouts.GaveUp()
 		s.end(routing.TimedOut)
 	}
 }
 
-// startStep sends an operation to a booking server, on a connection that is idle or a new one.
-func (l *life) startStep(o *routing.Output) {
+// startAttempt sends a request to an upstream server, on an idle connection or a new one.
+func (l *agentProcess) startAttempt(o *routing.Output) {
 	w := l.w
-	op := l.operations[o.Request]
+	op := l.requests[o.Request]
 	u := l.upstreams[o.Endpoint]
 	t := op.try
-	s := &step{
-		w: w, life: l, operation: op, try: t, attempt: o.Attempt, pool: u, begun: w.now,
-		until: o.At - clockStart,
+	s := &attempt{
+		w: w, proc: l, agentRequest: op, try: t, index: o.Attempt, upstream: u, startedAt: w.now,
+		deadline: o.At - clockStart,
 	}
-	s.number = mix(t.request.lots + uint64(t.nth)<<32 + uint64(o.Attempt))
-	s.work = t.request.work * lognormal(w.noise[t.request.class], lotNormalOf(w.seed, s.number))
-	op.steps = append(op.steps, s)
-	w.open++
+	s.drawSeed = mix(t.request.drawSeed + uint64(t.number)<<32 + uint64(o.Attempt))
+	s.work = t.request.work * lognormal(w.noise[t.request.class], hashedNormal(w.seed, s.drawSeed))
+	op.attempts = append(op.attempts, s)
+	w.pending++
 	lease, closing := u.pool.Acquire(l.clock())
 	closeAll(closing)
-	s.lease = lease
-	w.enter(s.until, rankTimer, (*stepOver)(s))
+	s.checkout = lease
+	w.schedule(s.deadline, rankTimer, (*attemptTimesOut)(s))
 	if !lease.Reused {
 		l.dial(s)
 		return
 	}
 	s.conn = lease.Conn
-	s.conn.step = s
-	s.conn.write()
+	s.conn.attempt = s
+	s.conn.send()
 }
 
-// dial opens a connection for a route step.
-func (l *life) dial(s *step) {
+// dial opens a connection for an attempt.
+func (l *agentProcess) dial(s *attempt) {
 	w := l.w
 	if !l.descriptors.AcquireUpstream() {
-		l.post(message{kind: reclaim})
+		l.post(message{kind: releaseIdle})
 		s.end(routing.BrokenByEndpoint)
 		return
 	}
-	to := w.at[s.lease.Addr]
+	to := w.byAddr[s.checkout.Addr]
 	c := &conn{
-		link: l.agent.link(to), life: l, pool: s.pool, step: s, place: -1, usedAt: w.now,
-		slot: len(l.open),
+		link: l.agent.link(to), proc: l, upstream: s.upstream, attempt: s, processIndex: -1, usedAt: w.now,
+		openIndex: len(l.openConns),
 	}
-	l.open = append(l.open, c)
+	l.openConns = append(l.openConns, c)
 	s.conn = c
 	c.open()
-	wait := l.connects.Timeout(w.set.Connections.ConnectTimeout, s.until-w.now)
-	w.enter(min(w.now+wait, s.until), rankTimer, (*stepUnheard)(s))
+	wait := l.connectTimeouts.Timeout(w.scenario.Connections.ConnectTimeout, s.deadline-w.now)
+	w.schedule(min(w.now+wait, s.deadline), rankTimer, (*connectTimesOut)(s))
 }
 
-// released takes in that a connection is closed.
-func (l *life) released(c *conn) {
+// connReleased updates the open connections after one is closed.
+func (l *agentProcess) connReleased(c *conn) {
 	l.descriptors.ReleaseUpstream()
-	last := len(l.open) - 1
-	l.open[c.slot] = l.open[last]
-	l.open[c.slot].slot = c.slot
-	l.open[last] = nil
-	l.open = l.open[:last]
-	l.clients.freed(l)
+	last := len(l.openConns) - 1
+	l.openConns[c.openIndex] = l.openConns[last]
+	l.openConns[c.openIndex].openIndex = c.openIndex
+	l.openConns[last] = nil
+	l.openConns = l.openConns[:last]
+	l.listener.acceptWaiting(l)
 }
 
 func closeAll(conns []*conn) {
@@ -186,44 +187,44 @@
 	}
 }
 
-// end ends a route step at the agent. The connection is closed, unless it can carry another.
-func (s *step) end(how routing.EndReason) {
-	l := s.life
+// end ends an attempt at the agent. Its connection is kept if it can be reused, and closed otherwise.
+func (s *attempt) end(how routing.EndReason) {
+	l := s.proc
 	saw := routing.AttemptResult{
-		Phase: s.phase, EndReason: how, Response: s.reply.outcome(), Latency: s.w.now - s.begun,
-		Reused: s.lease.Reused, IdleFor: s.lease.IdleFor,
+		Phase: s.phase, EndReason: how, Response: s.reply.outcome(), Latency: s.w.now - s.startedAt,
+		Reused: s.checkout.Reused, IdleFor: s.checkout.IdleFor,
 	}
 	if s.phase == routing.Connecting && how == routing.BrokenByEndpoint {
 		saw.Refused, saw.LocalFault = s.conn != nil, s.conn == nil
 	}
 	if stood, lost, counts := saw.IdleEvidence(); counts {
-		l.idle.Record(l.clock(), stood, lost)
+		l.idleLimit.Record(l.clock(), stood, lost)
 	}
-	s.over(wireOutcome(saw))
+	s.finish(wireOutcome(saw))
 	if c := s.conn; how == routing.Completed {
-		closeAll(s.pool.pool.Release(l.clock(), c, s.lease.Addr, false))
-		s.pool.planExpiry()
+		closeAll(s.upstream.pool.Release(l.clock(), c, s.checkout.Addr, false))
+		s.upstream.scheduleExpiry()
 	} else {
 		if saw.IsUnanswered() {
-			closeAll(s.pool.pool.ReleaseUnanswered(l.clock() - (s.w.now - s.begun)))
+			closeAll(s.upstream.pool.ReleaseUnanswered(l.clock() - (s.w.now - s.startedAt)))
 		} else {
-			s.pool.pool.ReleaseClosed()
+			s.upstream.pool.ReleaseClosed()
 		}
 		if c != nil {
 			c.close()
 		}
 	}
-	l.post(message{kind: stepEnded, id: s.operation.id, attempt: s.attempt, saw: saw})
+	l.post(message{kind: attemptEnded, id: s.agentRequest.id, attempt: s.index, result: saw})
 }
 
-// over notes how the route step ended.
-func (s *step) over(how record.Outcome) {
+// finish records the outcome of the attempt.
+func (s *attempt) finish(how record.Outcome) {
 	s.ended = true
-	s.w.open--
+	s.w.pending--
 	s.w.record.ended(s, how)
 }
 
-// wireOutcome is what passed on the wire, whatever the agent makes of it.
+// wireOutcome returns the outcome on the wire, however the agent classifies it.
 func wireOutcome(saw routing.AttemptResult) record.Outcome {
 	switch {
 	case saw.Phase <= routing.Writing:
@@ -242,23 +243,23 @@
 	return record.Error
 }
 
-// planExpiry has the idle connections looked at when the first has stood for as long as it may.
-func (u *upstream) planExpiry() {
+// scheduleExpiry schedules the check of idle connections for when the first one expires.
+func (u *upstream) scheduleExpiry() {
 	at, any := u.pool.NextExpiry()
 	if at -= clockStart; any && (u.expiry == 0 || at < u.expiry) {
 		u.expiry = at
-		u.life.w.enter(at, rankTimer, (*idleDue)(u))
+		u.proc.w.schedule(at, rankTimer, (*idleDue)(u))
 	}
 }
 
 type idleDue upstream
 
-func (d *idleDue) happen() {
+func (d *idleDue) fire() {
 	u := (*upstream)(d)
-	if u.life.dead || u.life.still(d) || u.expiry == 0 || u.expiry > u.life.w.now {
+	if u.proc.dead || u.proc.deferIfPaused(d) || u.expiry == 0 || u.expiry > u.proc.w.now {
 		return
 	}
 	u.expiry = 0
-	closeAll(u.pool.Expire(u.life.clock()))
-	u.planExpiry()
+	closeAll(u.pool.Expire(u.proc.clock()))
+	u.scheduleExpiry()
 }
--- a/internal/rehearsal/world/stream.go
+++ b/internal/rehearsal/world/stream.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// A stream is one entity's own source of chance. It is seeded by the day's seed and the entity's name, so
-// that a further entity or trouble leaves what the others draw as it was.
+// A stream is one entity's random number generator. It is seeded by the run's seed and the entity's
+// name, so that adding an entity or a fault does not change what the others draw.
 type stream struct{ *rand.Rand }
 
 func newStream(seed uint64, name string) stream {
@@ -18,11 +18,11 @@
 // nameSeed mixes a name into a seed.
 func nameSeed(seed uint64, name string) uint64 {
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(name)) // a hash takes all
+	_, _ = h.Write([]byte(name)) // a hash never returns an error
 	return mix(h.Sum64() ^ mix(seed))
 }
 
-// mix is the finaliser of SplitMix64: every bit of the result hangs on every bit of v.
+// mix is the finalizer of SplitMix64: every bit of the result depends on every bit of v.
 func mix(v uint64) uint64 {
 	v += 0x9E3779B97F4A7C15
 	v = (v ^ v>>30) * 0xBF58476D1CE4E5B9
@@ -30,16 +30,16 @@
 	return v ^ v>>31
 }
 
-// The uses of a lot, so that two draws for one thing do not hang together.
+// The uses of a hashed draw, so that two draws for one entity are independent.
 const (
 	lotNoise uint64 = iota + 1
 	lotNormal
 	lotError
 	lotReset
 	lotResetWhen
-	lotSpoilt
+	lotUnreadable
 	lotFailing
-	lotHonours
+	lotHonors
 	lotLeaves
 	lotLeavesWhen
 	lotKept
@@ -49,30 +49,31 @@
 	lotLate
 )
 
-// lot draws evenly from 0 to 1 for one thing, by its number and the use: whatever else is drawn, and in
-// whatever order, it comes out the same.
-func lot(seed, number, use uint64) float64 {
+// lot returns a uniform draw from [0, 1) for an entity's number and a use. It does not depend on other
+// draws or their order.
+func hashedDraw(seed, number, use uint64) float64 {
 	return float64(mix(seed^mix(number^use<<56))>>11) / (1 << 53)
 }
 
-// lotNormalOf draws from the normal distribution for one thing.
-func lotNormalOf(seed, number uint64) float64 {
-	u := max(lot(seed, number, lotNoise), 1e-12)
-	return math.Sqrt(-2*math.Log(u)) * math.Cos(2*math.Pi*lot(seed, number, lotNormal))
+// hashedNormal returns a draw from the standard normal distribution for an entity's number.
+func hashedNormal(seed, number uint64) float64 {
+	u := max(hashedDraw(seed, number, lotNoise), 1e-12)
+	return math.Sqrt(-2*math.Log(u)) * math.Cos(2*math.Pi*hashedDraw(seed, number, lotNormal))
 }
 
-// wait draws an exponential time.
+// wait draws an exponentially distributed time.
 func (s stream) wait(mean time.Duration) time.Duration {
 	return time.Duration(s.ExpFloat64() * float64(mean))
 }
 
-// lognormal is a factor of mean 1 with a coefficient of variation, from a normal draw.
+// lognormal turns a standard normal draw into a factor of mean 1 with the given coefficient of
+// variation.
 func lognormal(cv, normal float64) float64 {
 	variance := math.Log(1 + cv*cv)
 	return math.Exp(math.Sqrt(variance)*normal - variance/2)
 }
 
-// picker draws an index by its weight; it holds the sums of the weights up to each.
+// picker draws an index by weight; it holds the cumulative weights.
 type picker []float64
 
 func newPicker(weights []float64) picker {
@@ -85,7 +86,7 @@
 	return p
 }
 
-// zipf weighs n things by the power of their place.
+// zipf returns weights of n items: rank to the power of -power.
 func zipf(n int, power float64) []float64 {
 	weights := make([]float64, n)
 	for i := range weights {
--- a/internal/rehearsal/world/trouble.go
+++ b/internal/rehearsal/world/trouble.go
@@ -15,225 +15,225 @@
 	"dunestep/internal/rehearsal/scenario"
 )
 
-// healStep is how often it is looked whether a shared slowdown heals.
-const healStep = 100 * time.Millisecond
+// healCheckInterval is the time between two checks whether a shared slowdown ends early.
+const healCheckInterval = 100 * time.Millisecond
 
-// trouble is something that goes wrong, as drawn for the day.
-type trouble struct {
+// injection is one fault injection of the run, as drawn.
+type injection struct {
 	w      *world
-	number int // in the scenario
+	index  int // index in the scenario
 	name   string
-	set    *scenario.Trouble
-	chance stream
+	config *scenario.Trouble
+	rng    stream
 
-	at, lasts       time.Duration
-	on, off         time.Duration // of one that comes and goes
-	part, size      float64
-	idle, drain     time.Duration
-	late            stream // by which each connection is late, or not
-	sameAddress     float64
-	healsBelow      float64
-	healsRest       time.Duration
-	servers         []*server // that it has come over
-	processes       []*process
-	over            bool
-	batch, replaced int                 // of a deploy, or of agents that are restarted in turn
-	calm            time.Duration       // for which the servers have been less busy
-	busy            map[int]float64     // of each server's process, when last looked at
-	fault           mishap.Fault        // between agents
-	fate            int                 // its number in the network
-	lives           []*life             // that it has paused
-	window          *maintenance.Window // that it is
+	start, duration    time.Duration
+	onTime, offTime    time.Duration // of an intermittent fault; zero: continuous
+	share, size        float64
+	idle, drain        time.Duration
+	delayRNG           stream // decides which connections are delayed
+	sameAddress        float64
+	healThreshold      float64
+	healTime           time.Duration
+	servers            []*server // affected
+	processes          []*serverProcess
+	ended              bool
+	batchSize, handled int                 // of a deploy or rolling restart: per step, and so far
+	calmTime           time.Duration       // how long the servers have been below the heal threshold
+	lastBusy           map[int]float64     // by server: core seconds used at the last heal check
+	datagramFault      mishap.Fault        // on datagrams
+	datagramFaultID    int                 // ID in world.mishaps
+	paused             []*agentProcess     // paused by it
+	window             *maintenance.Window // of a maintenance window; otherwise nil
 }
 
-// newTrouble draws a trouble. Its name is its kind and how many of that kind came before, so that others
-// can be left out or added without changing it.
-func newTrouble(w *world, number, nth int) *trouble {
-	set := &w.set.Troubles[number]
-	t := &trouble{w: w, number: number, set: set, name: fmt.Sprint("trouble ", set.Kind, " ", nth)}
-	t.chance = newStream(w.seed, t.name)
-	draw := func(v scenario.Span) float64 { return v.Draw(t.chance.Rand) }
-	span := func(v scenario.TimeSpan) time.Duration { return v.Draw(t.chance.Rand) }
-	t.at, t.lasts, t.part, t.size = span(set.At), span(set.For), draw(set.Part), draw(set.Size)
+// newInjection draws a fault injection. Its name is its kind and its index within that kind, so that
+// adding or removing faults of another kind does not change its draws.
+func newInjection(w *world, number, nth int) *injection {
+	set := &w.scenario.Troubles[number]
+	t := &injection{w: w, index: number, config: set, name: fmt.Sprint("trouble ", set.Kind, " ", nth)}
+	t.rng = newStream(w.seed, t.name)
+	draw := func(v scenario.Span) float64 { return v.Draw(t.rng.Rand) }
+	span := func(v scenario.TimeSpan) time.Duration { return v.Draw(t.rng.Rand) }
+	t.start, t.duration, t.share, t.size = span(set.At), span(set.For), draw(set.Part), draw(set.Size)
 	t.idle, t.drain, t.sameAddress = span(set.Idle), span(set.Drain), draw(set.SameAddress)
-	t.healsBelow, t.healsRest = draw(set.HealsBelow), span(set.HealsRest)
-	t.on, t.off = span(set.On), span(set.Off)
+	t.healThreshold, t.healTime = draw(set.HealsBelow), span(set.HealsRest)
+	t.onTime, t.offTime = span(set.On), span(set.Off)
 	if set.Kind == scenario.Window {
-		t.window = t.planWindow(span(set.Moves))
+		t.window = t.newWindow(span(set.Moves))
 	}
 	if set.Kind == scenario.LateConnections {
-		t.late = newStream(w.seed, t.name+" connections")
+		t.delayRNG = newStream(w.seed, t.name+" connections")
 	}
 	if set.Kind == scenario.Datagrams {
-		t.fault = mishap.FromTrouble(set, t.chance.Rand)
+		t.datagramFault = mishap.FromTrouble(set, t.rng.Rand)
 	}
 	return t
 }
 
 type (
-	troubleBegins trouble
-	troubleEnds   trouble
+	injectionStarts injection
+	injectionEnds   injection
 )
 
-func (b *troubleBegins) happen() {
-	t := (*trouble)(b)
+func (b *injectionStarts) fire() {
+	t := (*injection)(b)
 	w := t.w
-	w.record.trouble(record.Began, t.number)
+	w.record.trouble(record.Began, t.index)
 	w.active = append(w.active, t)
-	w.mark(t.words())
-	stays := t.lasts
-	if t.on > 0 {
-		stays = min(t.on, t.at+t.lasts-w.now)
+	w.mark(t.description())
+	stays := t.duration
+	if t.onTime > 0 {
+		stays = min(t.onTime, t.start+t.duration-w.now)
 	}
-	w.after(stays, rankTrouble, (*troubleEnds)(t))
-	switch t.set.Kind {
+	w.scheduleAfter(stays, rankEnvironment, (*injectionEnds)(t))
+	switch t.config.Kind {
 	case scenario.Silent, scenario.Failing, scenario.Refusing, scenario.Spoilt, scenario.FewConnections,
 		scenario.OnWire:
-		t.servers = t.pick()
-		t.weigh()
+		t.servers = t.pickServers()
+		t.updateServers()
 	case scenario.Deploy:
-		t.servers = t.pick()
-		t.batch = max(int(math.Round(t.size*float64(w.set.Fleet.Servers))), 1)
-		(*deployStep)(t).happen()
+		t.servers = t.pickServers()
+		t.batchSize = max(int(math.Round(t.size*float64(w.scenario.Fleet.Servers))), 1)
+		(*deployStep)(t).fire()
 	case scenario.Vanished:
-		t.servers = t.pick()
+		t.servers = t.pickServers()
 		for _, s := range t.servers {
-			s.cutUntil = max(s.cutUntil, w.now+t.lasts)
-			w.discovery.hears(s.entry(balancer.Gone), w.discovery.silentNotice)
+			s.cutUntil = max(s.cutUntil, w.now+t.duration)
+			w.discovery.learnAfter(s.entry(balancer.Gone), w.discovery.silentNotice)
 		}
 	case scenario.Crashed:
-		t.servers, t.processes = t.pick(), nil
+		t.servers, t.processes = t.pickServers(), nil
 		for _, s := range t.servers {
 			t.processes = append(t.processes, s.process)
 			s.stop()
 		}
 	case scenario.AgentsKilled, scenario.AgentsRestarted:
 		if t.size > 0 {
-			t.batch = max(int(math.Round(t.size*float64(len(t.agents())))), 1)
-			(*restartStep)(t).happen()
+			t.batchSize = max(int(math.Round(t.size*float64(len(t.targets())))), 1)
+			(*restartStep)(t).fire()
 			break
 		}
-		for _, a := range t.agents() {
-			a.kept++
-			if t.set.Kind == scenario.AgentsKilled {
+		for _, a := range t.targets() {
+			a.downFaults++
+			if t.config.Kind == scenario.AgentsKilled {
 				a.kill()
-				if t.set.Folder == "empty" {
+				if t.config.Folder == "empty" {
 					a.disk = nil
 				}
-			} else if a.life != nil {
-				a.life.drain()
+			} else if a.proc != nil {
+				a.proc.drain()
 			}
 		}
 	case scenario.TakenOut:
-		t.servers = t.pick()
+		t.servers = t.pickServers()
 		for _, a := range w.agents {
-			a.takeOut(t.servers)
+			a.disableServers(t.servers)
 		}
-		w.after(t.lasts/2, rankTrouble, (*restartByHand)(t))
+		w.scheduleAfter(t.duration/2, rankEnvironment, (*operatorRestart)(t))
 	case scenario.Upgraded:
-		for _, a := range w.agents[:min(t.set.Count, len(w.agents))] {
+		for _, a := range w.agents[:min(t.config.Count, len(w.agents))] {
 			a.upgrade()
 		}
 	case scenario.SentAway:
-		for _, a := range w.agents[:min(t.set.Count, len(w.agents))] {
-			a.sendAway()
+		for _, a := range w.agents[:min(t.config.Count, len(w.agents))] {
+			a.sendClientsAway()
 		}
 	case scenario.Window:
-		t.beginWindow()
+		t.startWindow()
 	case scenario.DiscoveryDown:
 		w.discovery.stop()
 	case scenario.WatchesSilent:
-		t.silence()
+		t.silenceWatches()
 	case scenario.EmptyList:
-		w.discovery.empty()
+		w.discovery.clearList()
 	case scenario.Surge:
 		t.surge()
 	case scenario.ClientsLeave:
-		t.leave()
+		t.clientsLeave()
 	case scenario.Partition:
-		zone := slices.Index(w.set.Network.Zones, t.set.Zone)
-		w.zoneCut[zone] = max(w.zoneCut[zone], w.now+t.lasts)
+		zone := slices.Index(w.scenario.Network.Zones, t.config.Zone)
+		w.zoneCut[zone] = max(w.zoneCut[zone], w.now+t.duration)
 	default:
-		t.hinder()
+		t.startAgentFault()
 	}
-	w.weigh()
-	if t.set.Kind == scenario.Slow && t.healsRest > 0 {
-		t.busy = map[int]float64{}
-		(*healLook)(t).happen()
+	w.updateShared()
+	if t.config.Kind == scenario.Slow && t.healTime > 0 {
+		t.lastBusy = map[int]float64{}
+		(*healCheck)(t).fire()
 	}
 }
 
-func (e *troubleEnds) happen() { (*trouble)(e).end() }
+func (e *injectionEnds) fire() { (*injection)(e).end() }
 
-// end ends the trouble, unless it has ended before its time.
-func (t *trouble) end() {
+// end ends the injection, unless it has already ended.
+func (t *injection) end() {
 	w := t.w
-	if t.over {
+	if t.ended {
 		return
 	}
-	t.over = true
-	w.active = slices.DeleteFunc(w.active, func(u *trouble) bool { return u == t })
-	w.record.trouble(record.Over, t.number)
-	w.mark("over: " + t.words())
-	switch t.set.Kind {
+	t.ended = true
+	w.active = slices.DeleteFunc(w.active, func(u *injection) bool { return u == t })
+	w.record.trouble(record.Over, t.index)
+	w.mark("over: " + t.description())
+	switch t.config.Kind {
 	case scenario.Silent, scenario.Failing, scenario.Refusing, scenario.Spoilt, scenario.FewConnections,
 		scenario.OnWire:
-		t.weigh()
+		t.updateServers()
 	case scenario.Vanished:
 		for _, s := range t.servers {
 			if s.process.state != processDown && s.cutUntil <= w.now {
-				w.discovery.hears(s.entry(s.standing()), w.discovery.join)
+				w.discovery.learnAfter(s.entry(s.listState()), w.discovery.join)
 			}
 		}
 	case scenario.Crashed:
-		t.startAgain()
+		t.restartServers()
 	case scenario.AgentsKilled, scenario.AgentsRestarted:
 		if t.size > 0 {
 			break
 		}
-		for _, a := range t.agents() {
-			a.kept--
-			a.rise()
+		for _, a := range t.targets() {
+			a.downFaults--
+			a.restart()
 		}
 	case scenario.TakenOut:
-		t.startAgain()
+		t.restartServers()
 		for _, a := range w.agents {
-			a.putBack(t.servers)
+			a.enableServers(t.servers)
 		}
 	case scenario.SentAway:
-		for _, a := range w.agents[:min(t.set.Count, len(w.agents))] {
-			a.takeAgain()
+		for _, a := range w.agents[:min(t.config.Count, len(w.agents))] {
+			a.acceptClients()
 		}
 	case scenario.DiscoveryDown:
 		w.discovery.start()
 	case scenario.EmptyList:
-		w.discovery.refill()
+		w.discovery.restoreList()
 	default:
-		t.relieve()
+		t.endAgentFault()
 	}
-	w.weigh()
-	if t.off > 0 && w.now+t.off < t.at+t.lasts {
-		t.over = false
-		w.after(t.off, rankTrouble, (*troubleBegins)(t))
+	w.updateShared()
+	if t.offTime > 0 && w.now+t.offTime < t.start+t.duration {
+		t.ended = false
+		w.scheduleAfter(t.offTime, rankEnvironment, (*injectionStarts)(t))
 	}
 }
 
-// startAgain starts the servers whose processes the trouble has ended, cold, but for those that were replaced
-// meanwhile.
-func (t *trouble) startAgain() {
+// restartServers starts the servers whose processes the fault has ended, except those that were
+// replaced meanwhile. The new processes are warming up.
+func (t *injection) restartServers() {
 	for i, s := range t.servers[:len(t.processes)] {
-		if s.process == t.processes[i] && !s.left {
+		if s.process == t.processes[i] && !s.leaving {
 			s.start(true)
-			t.w.discovery.hears(s.entry(balancer.Ready), t.w.discovery.join)
+			t.w.discovery.learnAfter(s.entry(balancer.Ready), t.w.discovery.join)
 		}
 	}
 }
 
-// pick chooses the trouble's part of the servers that run: by lots of their own, so that one more server
-// does not change how the others stand.
-func (t *trouble) pick() []*server {
+// pickServers returns the affected share of the running servers, at least one. Each server's rank is
+// hashed from its own ID, so that one more server does not change the others' order.
+func (t *injection) pickServers() []*server {
 	var running []*server
-	zone := slices.Index(t.w.set.Network.Zones, t.set.Zone) // below zero: of all
+	zone := slices.Index(t.w.scenario.Network.Zones, t.config.Zone) // negative: servers of all zones
 	for _, s := range t.w.servers {
 		if s.running() && (zone < 0 || s.zone == zone) {
 			running = append(running, s)
@@ -244,23 +244,23 @@
 		lots[s] = nameSeed(t.w.seed, t.name+" "+s.id)
 	}
 	slices.SortFunc(running, func(a, b *server) int { return cmp.Compare(lots[a], lots[b]) })
-	n := max(int(math.Round(t.part*float64(len(running)))), 1)
+	n := max(int(math.Round(t.share*float64(len(running)))), 1)
 	return running[:min(n, len(running))]
 }
 
-// weigh finds anew how the trouble's servers stand under all that has come over them.
-func (t *trouble) weigh() {
+// updateServers recomputes the state of the injection's servers from all active faults.
+func (t *injection) updateServers() {
 	for _, s := range t.servers {
 		silent := s.silent
-		s.silent, s.refusing, s.mute = false, false, false
-		s.fault, s.faulty = "", 0
+		s.silent, s.refusing, s.unanswering = false, false, false
+		s.fault, s.faultShare = "", 0
 		sound, readable := 1.0, 1.0
-		s.accepting = 1
+		s.connShare = 1
 		for _, u := range t.w.active {
 			if !slices.Contains(u.servers, s) {
 				continue
 			}
-			switch u.set.Kind {
+			switch u.config.Kind {
 			case scenario.Silent:
 				s.silent = true
 			case scenario.Refusing:
@@ -270,56 +270,56 @@
 			case scenario.Spoilt:
 				readable *= 1 - u.size
 			case scenario.FewConnections:
-				s.accepting *= u.size
+				s.connShare *= u.size
 			case scenario.OnWire:
-				s.fault, s.faulty = u.set.Fault, u.size
-				s.mute = s.mute || u.set.Fault == scenario.NoAccept
+				s.fault, s.faultShare = u.config.Fault, u.size
+				s.unanswering = s.unanswering || u.config.Fault == scenario.NoAccept
 			}
 		}
-		s.failing, s.spoiling = 1-sound, 1-readable
+		s.failing, s.unreadable = 1-sound, 1-readable
 		if p := s.process; p.state != processDown {
 			p.change(func() {})
 			if silent && !s.silent {
-				p.thaw()
+				p.readPending()
 			}
 		}
 	}
 }
 
-// weigh finds anew how things stand that are alike for all.
-func (w *world) weigh() {
+// updateShared recomputes the effects that are the same for all servers and agents.
+func (w *world) updateShared() {
 	slow := 1.0
-	w.resetting, w.forgetsAfter, w.keeps = 0, 0, 1
-	w.datagramsLost = make([]float64, len(w.set.Network.Zones))
+	w.resetShare, w.idleForgetting, w.trafficKept = 0, 0, 1
+	w.datagramLossByZone = make([]float64, len(w.scenario.Network.Zones))
 	for _, t := range w.active {
-		switch t.set.Kind {
+		switch t.config.Kind {
 		case scenario.Slow:
 			slow *= t.size
 		case scenario.Reset:
-			w.resetting = 1 - (1-w.resetting)*(1-t.size)
+			w.resetShare = 1 - (1-w.resetShare)*(1-t.size)
 		case scenario.Forgotten:
-			if w.forgetsAfter == 0 || t.idle < w.forgetsAfter {
-				w.forgetsAfter = t.idle
+			if w.idleForgetting == 0 || t.idle < w.idleForgetting {
+				w.idleForgetting = t.idle
 			}
 		case scenario.DatagramsLost:
-			for i, zone := range w.set.Network.Zones {
-				if t.set.Zone == "" || t.set.Zone == zone {
-					w.datagramsLost[i] = max(w.datagramsLost[i], t.size)
+			for i, zone := range w.scenario.Network.Zones {
+				if t.config.Zone == "" || t.config.Zone == zone {
+					w.datagramLossByZone[i] = max(w.datagramLossByZone[i], t.size)
 				}
 			}
 		case scenario.Surge:
-			w.keeps = min(w.keeps, t.size)
+			w.trafficKept = min(w.trafficKept, t.size)
 		}
 	}
-	if slow == w.slow {
+	if slow == w.slowdown {
 		return
 	}
 	for _, s := range w.servers {
 		if s.process.state != processDown {
-			s.process.reckon()
+			s.process.advance()
 		}
 	}
-	w.slow = slow
+	w.slowdown = slow
 	for _, s := range w.servers {
 		if s.process.state != processDown {
 			s.process.replan()
@@ -327,104 +327,105 @@
 	}
 }
 
-// surge has more requests come, from sources of the trouble's own.
-func (t *trouble) surge() {
+// surge adds request sources for the extra traffic.
+func (t *injection) surge() {
 	for _, a := range t.w.agents {
 		s := &source{
-			client: a.client, chance: newStream(t.w.seed, t.name+" "+a.name),
-			perS: (t.size - 1) * t.w.perS * a.part, from: t.w.now, until: min(t.w.now+t.lasts, t.w.set.Day.Length),
+			client: a.client, rng: newStream(t.w.seed, t.name+" "+a.name),
+			perS: (t.size - 1) * t.w.perS * a.share, from: t.w.now,
+			until: min(t.w.now+t.duration, t.w.scenario.Day.Length),
 		}
 		s.start()
 	}
 }
 
-// deployStep replaces the next servers of a deploy.
-type deployStep trouble
+// deployStep drains the next batch of a deploy and schedules its replacements.
+type deployStep injection
 
-func (d *deployStep) happen() {
-	t := (*trouble)(d)
+func (d *deployStep) fire() {
+	t := (*injection)(d)
 	w := t.w
-	for range t.batch {
-		if t.replaced == len(t.servers) {
+	for range t.batchSize {
+		if t.handled == len(t.servers) {
 			return
 		}
-		s := t.servers[t.replaced]
-		t.replaced++
+		s := t.servers[t.handled]
+		t.handled++
 		if s.running() {
-			s.leave()
-			w.discovery.hears(s.entry(balancer.Draining), w.discovery.notice)
-			w.after(t.drain, rankTrouble, &successor{trouble: t, server: s})
+			s.drain()
+			w.discovery.learnAfter(s.entry(balancer.Draining), w.discovery.notice)
+			w.scheduleAfter(t.drain, rankEnvironment, &successor{trouble: t, server: s})
 		}
 	}
-	batches := (len(t.servers) + t.batch - 1) / t.batch
-	w.after(t.lasts/time.Duration(batches), rankTrouble, d)
+	batches := (len(t.servers) + t.batchSize - 1) / t.batchSize
+	w.scheduleAfter(t.duration/time.Duration(batches), rankEnvironment, d)
 }
 
-// restartStep restarts the next agents of a rolling restart.
-type restartStep trouble
+// restartStep restarts the next batch of agents of a rolling restart.
+type restartStep injection
 
-func (r *restartStep) happen() {
-	t := (*trouble)(r)
-	w, all := t.w, t.agents()
-	for range t.batch {
-		if t.replaced == len(all) {
+func (r *restartStep) fire() {
+	t := (*injection)(r)
+	w, all := t.w, t.targets()
+	for range t.batchSize {
+		if t.handled == len(all) {
 			return
 		}
-		if a := all[t.replaced]; a.life != nil {
-			a.life.drain()
+		if a := all[t.handled]; a.proc != nil {
+			a.proc.drain()
 		}
-		t.replaced++
+		t.handled++
 	}
-	w.after(t.lasts/time.Duration((len(all)+t.batch-1)/t.batch), rankTrouble, r)
+	w.scheduleAfter(t.duration/time.Duration((len(all)+t.batchSize-1)/t.batchSize), rankEnvironment, r)
 }
 
-// successor takes the place of a server that has drained.
+// successor replaces a drained server by a new one.
 type successor struct {
-	trouble *trouble
+	trouble *injection
 	server  *server
 }
 
-func (n *successor) happen() {
+func (n *successor) fire() {
 	w, old := n.trouble.w, n.server
 	if old.process.state != processDown {
 		old.stop()
 	}
 	var addr netip.AddrPort
-	if n.trouble.chance.Float64() < n.trouble.sameAddress {
+	if n.trouble.rng.Float64() < n.trouble.sameAddress {
 		addr = old.addr
 	}
 	s := w.newServer(old.zone, old.machine, addr)
 	s.start(true)
-	w.discovery.hears(s.entry(balancer.Ready), w.discovery.join)
+	w.discovery.learnAfter(s.entry(balancer.Ready), w.discovery.join)
 }
 
-// healLook looks how busy the servers are. A slowdown that heals ends when they have been less busy than
-// a share for a while: a load that keeps them busier keeps it alive.
-type healLook trouble
+// healCheck measures the servers' utilization. A slowdown that heals ends once utilization has been
+// below its threshold for its rest time; a higher load keeps it going.
+type healCheck injection
 
-func (h *healLook) happen() {
-	t := (*trouble)(h)
+func (h *healCheck) fire() {
+	t := (*injection)(h)
 	w := t.w
-	if t.over {
+	if t.ended {
 		return
 	}
 	used, cores := 0.0, 0.0
 	for _, s := range w.servers {
 		if p := s.process; p.state != processDown {
-			p.reckon()
-			used += max(p.busy-t.busy[s.number], 0)
-			t.busy[s.number] = p.busy
+			p.advance()
+			used += max(p.busy-t.lastBusy[s.number], 0)
+			t.lastBusy[s.number] = p.busy
 			cores += float64(s.machine.cores)
 		}
 	}
-	if used < t.healsBelow*cores*healStep.Seconds() {
-		t.calm += healStep
+	if used < t.healThreshold*cores*healCheckInterval.Seconds() {
+		t.calmTime += healCheckInterval
 	} else {
-		t.calm = 0
+		t.calmTime = 0
 	}
-	if t.calm > t.healsRest {
+	if t.calmTime > t.healTime {
 		t.end()
 		return
 	}
-	w.after(healStep, rankTrouble, h)
+	w.scheduleAfter(healCheckInterval, rankEnvironment, h)
 }
--- a/internal/rehearsal/world/trouble_test.go
+++ b/internal/rehearsal/world/trouble_test.go
@@ -13,14 +13,14 @@
 
 // The troubles of these days come after 10 s and last 12.
 const (
-	troubleFrom = 10 * time.Second
-	troubleTo   = 22 * time.Second
-	dayLength   = 40 * time.Second
+	faultStart = 10 * time.Second
+	faultEnd   = 22 * time.Second
+	runLength  = 40 * time.Second
 )
 
 // troubled plays a day of the deployment with one trouble.
-func troubled(t *testing.T, u scenario.Trouble, change func(*scenario.Scenario)) *diary {
-	set := deployment(dayLength)
+func playFault(t *testing.T, u scenario.Trouble, change func(*scenario.Scenario)) *recordingSink {
+	set := deployment(runLength)
 	u.At, u.For = ms(10000, 10000), ms(12000, 12000)
 	set.Troubles = []scenario.Trouble{u}
 	if change != nil {
@@ -28,13 +28,13 @@
 	}
 	// The module alone: what the storm gate makes of a trouble is not the world's.
 	d := play(t, set, 7, Options{Storm: overload.Config{Disabled: true}})
-	requireWhole(t, d)
+	requireBalanced(t, d)
 	return d
 }
 
 // count counts the events of a kind that match, from one time to another.
-func (d *diary) count(kind record.Kind, from, to time.Duration, match func(record.Event) bool) (n int) {
-	for _, e := range d.of(kind) {
+func (d *recordingSink) count(kind record.Kind, from, to time.Duration, match func(record.Event) bool) (n int) {
+	for _, e := range d.ofKind(kind) {
 		if e.At >= from && e.At < to && (match == nil || match(e)) {
 			n++
 		}
@@ -49,43 +49,43 @@
 	return func(e record.Event) bool { return e.Outcome == o }
 }
 
-// TestTroubles plays each kind of trouble and looks for what it is to look like on the wire, while it lasts and
+// TestFaultKinds plays each kind of trouble and looks for what it is to look like on the wire, while it lasts and
 // after.
-func TestTroubles(t *testing.T) {
+func TestFaultKinds(t *testing.T) {
 	const second = time.Second
 	all := span(1, 1)
 	for _, c := range []struct {
 		trouble scenario.Trouble
 		change  func(*scenario.Scenario)
-		check   func(t *testing.T, d *diary)
+		check   func(t *testing.T, d *recordingSink)
 	}{
-		{trouble: scenario.Trouble{Kind: scenario.Silent, Part: all}, check: func(t *testing.T, d *diary) {
-			require.Zero(t, d.count(record.Worked, troubleFrom, troubleTo, func(e record.Event) bool { return e.Ran }))
-			require.Zero(t, d.count(record.Answered, troubleFrom+second, troubleTo, served))
-			require.Less(t, d.count(record.Answered, troubleTo, troubleTo+second, served), 150,
+		{trouble: scenario.Trouble{Kind: scenario.Silent, Part: all}, check: func(t *testing.T, d *recordingSink) {
+			require.Zero(t, d.count(record.Worked, faultStart, faultEnd, func(e record.Event) bool { return e.Ran }))
+			require.Zero(t, d.count(record.Answered, faultStart+second, faultEnd, served))
+			require.Less(t, d.count(record.Answered, faultEnd, faultEnd+second, served), 150,
 				"agents are slow to come back")
 			require.Greater(t, d.count(record.Answered, 32*second, 33*second, served), 280)
 		}},
 		{
 			trouble: scenario.Trouble{Kind: scenario.Failing, Part: span(0.19, 0.19), Size: span(0.9, 0.9)},
-			check: func(t *testing.T, d *diary) {
-				require.Greater(t, d.count(record.Ended, troubleFrom, troubleTo, ended(record.Error)), 30)
-				require.Less(t, d.count(record.Ended, troubleTo, dayLength, ended(record.Error)), 20)
+			check: func(t *testing.T, d *recordingSink) {
+				require.Greater(t, d.count(record.Ended, faultStart, faultEnd, ended(record.Error)), 30)
+				require.Less(t, d.count(record.Ended, faultEnd, runLength, ended(record.Error)), 20)
 			},
 		},
-		{trouble: scenario.Trouble{Kind: scenario.Refusing, Part: all}, check: func(t *testing.T, d *diary) {
-			require.Zero(t, d.count(record.Answered, troubleFrom+second, troubleTo, served))
-			require.Greater(t, d.count(record.Ended, troubleFrom, troubleTo, ended(record.TurnedAway)), 1000)
-			require.Zero(t, d.count(record.Worked, troubleFrom+2*second, troubleTo,
+		{trouble: scenario.Trouble{Kind: scenario.Refusing, Part: all}, check: func(t *testing.T, d *recordingSink) {
+			require.Zero(t, d.count(record.Answered, faultStart+second, faultEnd, served))
+			require.Greater(t, d.count(record.Ended, faultStart, faultEnd, ended(record.TurnedAway)), 1000)
+			require.Zero(t, d.count(record.Worked, faultStart+2*second, faultEnd,
 				func(e record.Event) bool { return e.Ran }))
 		}},
 		{trouble: scenario.Trouble{
 			Kind: scenario.Deploy, Part: span(0.8, 0.8), Size: span(0.18, 0.18),
 			Drain: ms(3000, 3000), SameAddress: span(0.5, 0.5),
-		}, check: func(t *testing.T, d *diary) {
+		}, check: func(t *testing.T, d *recordingSink) {
 			require.Len(t, d.servers, 13+10)
-			require.Equal(t, 10, d.count(record.ServerDown, troubleFrom+3*second, troubleTo+3*second, nil))
-			require.Equal(t, 10, d.count(record.ServerUp, troubleFrom+3*second, troubleTo+3*second,
+			require.Equal(t, 10, d.count(record.ServerDown, faultStart+3*second, faultEnd+3*second, nil))
+			require.Equal(t, 10, d.count(record.ServerUp, faultStart+3*second, faultEnd+3*second,
 				func(e record.Event) bool { return e.Cold && e.Capacity < 0.6*d.servers[e.Server].Capacity }))
 			addrs := map[string]bool{}
 			for _, s := range d.servers {
@@ -94,7 +94,7 @@
 			require.Less(t, len(addrs), 23, "some come up at old addresses")
 			require.Greater(t, len(addrs), 13, "and some at new ones")
 		}},
-		{trouble: scenario.Trouble{Kind: scenario.Slow, Size: span(2.5, 2.5)}, check: func(t *testing.T, d *diary) {
+		{trouble: scenario.Trouble{Kind: scenario.Slow, Size: span(2.5, 2.5)}, check: func(t *testing.T, d *recordingSink) {
 			capacity := func(second int) (sum float64) {
 				for _, s := range d.samples[second-1].Servers {
 					sum += s.Capacity
@@ -107,217 +107,217 @@
 		{
 			trouble: scenario.Trouble{Kind: scenario.Vanished, Part: span(0.19, 0.19)},
 			change:  func(set *scenario.Scenario) { set.Discovery.SilentNotice = ms(5000, 5000) },
-			check: func(t *testing.T, d *diary) {
+			check: func(t *testing.T, d *recordingSink) {
 				gone := map[int32]bool{}
-				for _, e := range d.of(record.Changed) {
-					gone[e.Server] = gone[e.Server] || e.State == record.Gone && e.At == troubleFrom+5*second
+				for _, e := range d.ofKind(record.Changed) {
+					gone[e.Server] = gone[e.Server] || e.State == record.Gone && e.At == faultStart+5*second
 				}
 				require.Len(t, gone, 2)
 				from := func(e record.Event) bool { return gone[e.Server] }
-				require.Zero(t, d.count(record.Reached, troubleFrom+5*time.Millisecond, troubleTo, from))
-				require.Zero(t, d.count(record.Ended, troubleFrom+5*time.Millisecond, troubleTo, func(e record.Event) bool {
+				require.Zero(t, d.count(record.Reached, faultStart+5*time.Millisecond, faultEnd, from))
+				require.Zero(t, d.count(record.Ended, faultStart+5*time.Millisecond, faultEnd, func(e record.Event) bool {
 					return gone[e.Server] && e.Outcome != record.GivenUp && e.Outcome != record.NoConnection
 				}), "nothing comes of them")
-				require.Greater(t, d.count(record.Reached, troubleTo+5*second, dayLength, from), 100, "they are back")
+				require.Greater(t, d.count(record.Reached, faultEnd+5*second, runLength, from), 100, "they are back")
 			},
 		},
-		{trouble: scenario.Trouble{Kind: scenario.Crashed, Part: span(0.19, 0.19)}, check: func(t *testing.T, d *diary) {
-			require.Equal(t, 2, d.count(record.ServerDown, troubleFrom, troubleFrom+1, nil))
-			require.Equal(t, 2, d.count(record.ServerUp, troubleTo, troubleTo+1,
-				func(e record.Event) bool { return e.Cold && e.Started == troubleTo }))
-			require.Greater(t, d.count(record.Ended, troubleFrom, troubleFrom+second, ended(record.NoConnection))+
-				d.count(record.Ended, troubleFrom, troubleFrom+second, ended(record.Broken)), 0)
+		{trouble: scenario.Trouble{Kind: scenario.Crashed, Part: span(0.19, 0.19)}, check: func(t *testing.T, d *recordingSink) {
+			require.Equal(t, 2, d.count(record.ServerDown, faultStart, faultStart+1, nil))
+			require.Equal(t, 2, d.count(record.ServerUp, faultEnd, faultEnd+1,
+				func(e record.Event) bool { return e.Cold && e.Started == faultEnd }))
+			require.Greater(t, d.count(record.Ended, faultStart, faultStart+second, ended(record.NoConnection))+
+				d.count(record.Ended, faultStart, faultStart+second, ended(record.Broken)), 0)
 		}},
-		{trouble: scenario.Trouble{Kind: scenario.AgentsKilled, Count: 1}, check: func(t *testing.T, d *diary) {
-			require.Equal(t, 1, d.count(record.AgentDown, troubleFrom, troubleFrom+1, nil))
-			require.Equal(t, 1, d.count(record.AgentUp, troubleTo+300*time.Millisecond, dayLength, nil))
-			require.Greater(t, d.count(record.Lost, troubleFrom, troubleFrom+second, nil), 0)
-			require.Zero(t, d.count(record.Asked, troubleFrom, troubleTo,
+		{trouble: scenario.Trouble{Kind: scenario.AgentsKilled, Count: 1}, check: func(t *testing.T, d *recordingSink) {
+			require.Equal(t, 1, d.count(record.AgentDown, faultStart, faultStart+1, nil))
+			require.Equal(t, 1, d.count(record.AgentUp, faultEnd+300*time.Millisecond, runLength, nil))
+			require.Greater(t, d.count(record.Lost, faultStart, faultStart+second, nil), 0)
+			require.Zero(t, d.count(record.Asked, faultStart, faultEnd,
 				func(e record.Event) bool { return e.Agent == 0 }))
-			elsewhere := d.count(record.Asked, troubleFrom, troubleTo, func(e record.Event) bool { return e.Try > 0 })
-			require.InDelta(t, d.count(record.Unreached, troubleFrom, troubleTo, firstTry), elsewhere, 100)
-			require.Greater(t, d.count(record.Answered, 30*second, dayLength,
+			elsewhere := d.count(record.Asked, faultStart, faultEnd, func(e record.Event) bool { return e.Try > 0 })
+			require.InDelta(t, d.count(record.Unreached, faultStart, faultEnd, firstTry), elsewhere, 100)
+			require.Greater(t, d.count(record.Answered, 30*second, runLength,
 				func(e record.Event) bool { return e.Agent == 0 && served(e) }), 500)
 		}},
-		{trouble: scenario.Trouble{Kind: scenario.AgentsRestarted, Count: 2}, check: func(t *testing.T, d *diary) {
-			require.Zero(t, d.count(record.Lost, 0, dayLength, nil), "what it has taken it answers")
-			require.Equal(t, 2, d.count(record.AgentDown, troubleFrom+750*time.Millisecond, troubleFrom+4*second, nil))
-			require.Equal(t, 2, d.count(record.AgentUp, troubleTo, troubleTo+second, nil))
+		{trouble: scenario.Trouble{Kind: scenario.AgentsRestarted, Count: 2}, check: func(t *testing.T, d *recordingSink) {
+			require.Zero(t, d.count(record.Lost, 0, runLength, nil), "what it has taken it answers")
+			require.Equal(t, 2, d.count(record.AgentDown, faultStart+750*time.Millisecond, faultStart+4*second, nil))
+			require.Equal(t, 2, d.count(record.AgentUp, faultEnd, faultEnd+second, nil))
 			busiest := func(e record.Event) bool { return e.Agent == 0 }
-			require.Greater(t, d.count(record.Asked, troubleFrom+300*time.Millisecond, troubleFrom+4*second, busiest), 10,
+			require.Greater(t, d.count(record.Asked, faultStart+300*time.Millisecond, faultStart+4*second, busiest), 10,
 				"clients go on using what connections they have")
-			require.Greater(t, d.count(record.Asked, troubleTo+second, dayLength, busiest), 500)
+			require.Greater(t, d.count(record.Asked, faultEnd+second, runLength, busiest), 500)
 		}},
-		{trouble: scenario.Trouble{Kind: scenario.TakenOut, Part: span(0.19, 0.19)}, check: func(t *testing.T, d *diary) {
+		{trouble: scenario.Trouble{Kind: scenario.TakenOut, Part: span(0.19, 0.19)}, check: func(t *testing.T, d *recordingSink) {
 			out := map[int32]bool{}
-			for _, e := range d.of(record.ServerDown) {
-				require.Equal(t, troubleFrom+6*second, e.At, "restarted half way")
+			for _, e := range d.ofKind(record.ServerDown) {
+				require.Equal(t, faultStart+6*second, e.At, "restarted half way")
 				out[e.Server] = true
 			}
 			require.Len(t, out, 2)
 			from := func(e record.Event) bool { return out[e.Server] }
-			require.Zero(t, d.count(record.Sent, troubleFrom+100*time.Millisecond, troubleTo, from), "nothing new but on connections that were coming up")
-			require.Equal(t, 2, d.count(record.ServerUp, troubleTo, troubleTo+1,
-				func(e record.Event) bool { return e.Cold && e.Started == troubleTo }))
-			require.Greater(t, d.count(record.Sent, troubleTo, troubleTo+6*second, from), 10, "and they are used again")
+			require.Zero(t, d.count(record.Sent, faultStart+100*time.Millisecond, faultEnd, from), "nothing new but on connections that were coming up")
+			require.Equal(t, 2, d.count(record.ServerUp, faultEnd, faultEnd+1,
+				func(e record.Event) bool { return e.Cold && e.Started == faultEnd }))
+			require.Greater(t, d.count(record.Sent, faultEnd, faultEnd+6*second, from), 10, "and they are used again")
 		}},
-		{trouble: scenario.Trouble{Kind: scenario.Upgraded, Count: 3}, check: func(t *testing.T, d *diary) {
-			require.Zero(t, d.count(record.Lost, 0, dayLength, nil), "what either has taken it answers")
-			require.Zero(t, d.count(record.Unreached, 0, dayLength, nil), "and no client is turned back")
-			require.Equal(t, 3, d.count(record.AgentUp, troubleFrom, troubleFrom+1, nil))
-			require.Zero(t, d.count(record.AgentDown, 0, dayLength, nil), "it is one agent")
-			require.Greater(t, d.count(record.Answered, troubleFrom+2*second, dayLength,
+		{trouble: scenario.Trouble{Kind: scenario.Upgraded, Count: 3}, check: func(t *testing.T, d *recordingSink) {
+			require.Zero(t, d.count(record.Lost, 0, runLength, nil), "what either has taken it answers")
+			require.Zero(t, d.count(record.Unreached, 0, runLength, nil), "and no client is turned back")
+			require.Equal(t, 3, d.count(record.AgentUp, faultStart, faultStart+1, nil))
+			require.Zero(t, d.count(record.AgentDown, 0, runLength, nil), "it is one agent")
+			require.Greater(t, d.count(record.Answered, faultStart+2*second, runLength,
 				func(e record.Event) bool { return e.Agent == 0 && served(e) }), 500)
 		}},
-		{trouble: scenario.Trouble{Kind: scenario.SentAway, Count: 1}, check: func(t *testing.T, d *diary) {
-			require.Zero(t, d.count(record.Lost, 0, dayLength, nil), "what it has taken it answers")
-			require.Zero(t, d.count(record.AgentDown, 0, dayLength, nil), "it goes on")
+		{trouble: scenario.Trouble{Kind: scenario.SentAway, Count: 1}, check: func(t *testing.T, d *recordingSink) {
+			require.Zero(t, d.count(record.Lost, 0, runLength, nil), "what it has taken it answers")
+			require.Zero(t, d.count(record.AgentDown, 0, runLength, nil), "it goes on")
 			busiest := func(e record.Event) bool { return e.Agent == 0 }
-			require.Greater(t, d.count(record.Asked, troubleFrom, troubleFrom+second, busiest), 10)
-			require.Zero(t, d.count(record.Asked, troubleFrom+2*second, troubleTo, busiest))
-			require.Greater(t, d.count(record.Asked, troubleTo+second, dayLength, busiest), 500)
+			require.Greater(t, d.count(record.Asked, faultStart, faultStart+second, busiest), 10)
+			require.Zero(t, d.count(record.Asked, faultStart+2*second, faultEnd, busiest))
+			require.Greater(t, d.count(record.Asked, faultEnd+second, runLength, busiest), 500)
 		}},
-		{trouble: scenario.Trouble{Kind: scenario.DiscoveryDown}, check: func(t *testing.T, d *diary) {
-			require.Equal(t, 5, d.count(record.CallFailed, troubleFrom, troubleFrom+1, nil), "each agent's watch ends")
-			require.Zero(t, d.count(record.Watching, troubleFrom, troubleTo, nil))
-			require.Equal(t, 5, d.count(record.Watching, troubleTo, dayLength, nil))
+		{trouble: scenario.Trouble{Kind: scenario.DiscoveryDown}, check: func(t *testing.T, d *recordingSink) {
+			require.Equal(t, 5, d.count(record.CallFailed, faultStart, faultStart+1, nil), "each agent's watch ends")
+			require.Zero(t, d.count(record.Watching, faultStart, faultEnd, nil))
+			require.Equal(t, 5, d.count(record.Watching, faultEnd, runLength, nil))
 		}},
-		{trouble: scenario.Trouble{Kind: scenario.EmptyList}, check: func(t *testing.T, d *diary) {
-			require.Equal(t, 13*5, d.count(record.Told, troubleFrom, troubleFrom+2*second,
+		{trouble: scenario.Trouble{Kind: scenario.EmptyList}, check: func(t *testing.T, d *recordingSink) {
+			require.Equal(t, 13*5, d.count(record.Told, faultStart, faultStart+2*second,
 				func(e record.Event) bool { return e.State == record.Gone }))
-			require.Zero(t, d.count(record.Sent, troubleFrom+2*second, troubleTo, nil))
-			require.Greater(t, d.count(record.Sent, troubleTo+2*second, troubleTo+3*second, nil), 200)
+			require.Zero(t, d.count(record.Sent, faultStart+2*second, faultEnd, nil))
+			require.Greater(t, d.count(record.Sent, faultEnd+2*second, faultEnd+3*second, nil), 200)
 		}},
-		{trouble: scenario.Trouble{Kind: scenario.Reset, Size: span(0.08, 0.08)}, check: func(t *testing.T, d *diary) {
-			reached := d.count(record.Reached, troubleFrom, troubleTo, nil)
-			broken := d.count(record.Ended, troubleFrom, troubleTo, ended(record.Broken))
+		{trouble: scenario.Trouble{Kind: scenario.Reset, Size: span(0.08, 0.08)}, check: func(t *testing.T, d *recordingSink) {
+			reached := d.count(record.Reached, faultStart, faultEnd, nil)
+			broken := d.count(record.Ended, faultStart, faultEnd, ended(record.Broken))
 			require.InDelta(t, 0.08, float64(broken)/float64(reached), 0.015)
 			lost := map[attemptKey]bool{}
-			for _, e := range d.of(record.Ended) {
+			for _, e := range d.ofKind(record.Ended) {
 				lost[attemptKey{e.Op, e.Attempt}] = e.Outcome == record.Broken
 			}
-			ran := d.count(record.Worked, troubleFrom, troubleTo, func(e record.Event) bool {
+			ran := d.count(record.Worked, faultStart, faultEnd, func(e record.Event) bool {
 				return e.Ran && lost[attemptKey{e.Op, e.Attempt}]
 			})
 			require.InDelta(t, 0.5, float64(ran)/float64(broken), 0.1, "half of them had run")
-			require.Zero(t, d.count(record.Ended, troubleTo+second, dayLength, ended(record.Broken)))
+			require.Zero(t, d.count(record.Ended, faultEnd+second, runLength, ended(record.Broken)))
 		}},
-		{trouble: scenario.Trouble{Kind: scenario.Forgotten, Idle: ms(500, 500)}, check: func(t *testing.T, d *diary) {
-			early := d.count(record.Ended, troubleFrom, troubleFrom+4*second, ended(record.Broken))
+		{trouble: scenario.Trouble{Kind: scenario.Forgotten, Idle: ms(500, 500)}, check: func(t *testing.T, d *recordingSink) {
+			early := d.count(record.Ended, faultStart, faultStart+4*second, ended(record.Broken))
 			require.Greater(t, early, 10)
-			require.Less(t, d.count(record.Ended, troubleTo-4*second, troubleTo, ended(record.Broken)), early/2,
+			require.Less(t, d.count(record.Ended, faultEnd-4*second, faultEnd, ended(record.Broken)), early/2,
 				"agents learn how long connections last")
 		}},
 		{
 			trouble: scenario.Trouble{Kind: scenario.Spoilt, Part: span(0.2, 0.2), Size: span(0.2, 0.2)},
-			check: func(t *testing.T, d *diary) {
-				require.Greater(t, d.count(record.Ended, troubleFrom, troubleTo, ended(record.SpoiltAnswer)), 30)
-				require.Zero(t, d.count(record.Ended, troubleTo+second, dayLength, ended(record.SpoiltAnswer)))
+			check: func(t *testing.T, d *recordingSink) {
+				require.Greater(t, d.count(record.Ended, faultStart, faultEnd, ended(record.SpoiltAnswer)), 30)
+				require.Zero(t, d.count(record.Ended, faultEnd+second, runLength, ended(record.SpoiltAnswer)))
 			},
 		},
-		{trouble: scenario.Trouble{Kind: scenario.Surge, Size: span(4, 4)}, check: func(t *testing.T, d *diary) {
-			require.InDelta(t, 4*12*330, d.count(record.Asked, troubleFrom, troubleTo, firstTry), 5*130)
+		{trouble: scenario.Trouble{Kind: scenario.Surge, Size: span(4, 4)}, check: func(t *testing.T, d *recordingSink) {
+			require.InDelta(t, 4*12*330, d.count(record.Asked, faultStart, faultEnd, firstTry), 5*130)
 		}},
-		{trouble: scenario.Trouble{Kind: scenario.Surge, Size: span(0.25, 0.25)}, check: func(t *testing.T, d *diary) {
-			require.InDelta(t, 12*330/4, d.count(record.Asked, troubleFrom, troubleTo, firstTry), 5*32)
+		{trouble: scenario.Trouble{Kind: scenario.Surge, Size: span(0.25, 0.25)}, check: func(t *testing.T, d *recordingSink) {
+			require.InDelta(t, 12*330/4, d.count(record.Asked, faultStart, faultEnd, firstTry), 5*32)
 		}},
-		{trouble: scenario.Trouble{Kind: scenario.Partition, Zone: "buc-pipera"}, check: func(t *testing.T, d *diary) {
+		{trouble: scenario.Trouble{Kind: scenario.Partition, Zone: "buc-pipera"}, check: func(t *testing.T, d *recordingSink) {
 			inA := func(e record.Event) bool {
-				return crossing(e) && (d.servers[e.Server].Zone == "buc-pipera" || d.day.Agents[e.Agent].Zone == "buc-pipera")
+				return crossing(e) && (d.servers[e.Server].Zone == "buc-pipera" || d.run.Agents[e.Agent].Zone == "buc-pipera")
 			}
-			require.Greater(t, d.count(record.Reached, 0, troubleFrom, inA), 100)
-			require.Zero(t, d.count(record.Reached, troubleFrom+5*time.Millisecond, troubleTo, inA))
-			require.Greater(t, d.count(record.Reached, troubleTo+5*second, dayLength, inA), 100)
+			require.Greater(t, d.count(record.Reached, 0, faultStart, inA), 100)
+			require.Zero(t, d.count(record.Reached, faultStart+5*time.Millisecond, faultEnd, inA))
+			require.Greater(t, d.count(record.Reached, faultEnd+5*second, runLength, inA), 100)
 		}},
-		{trouble: scenario.Trouble{Kind: scenario.DatagramsLost, Size: all}, check: func(t *testing.T, d *diary) {
-			require.Greater(t, d.count(record.Datagram, 0, troubleFrom, nil), 50)
-			require.Zero(t, d.count(record.Datagram, troubleFrom+30*time.Millisecond, troubleTo, nil))
+		{trouble: scenario.Trouble{Kind: scenario.DatagramsLost, Size: all}, check: func(t *testing.T, d *recordingSink) {
+			require.Greater(t, d.count(record.Datagram, 0, faultStart, nil), 50)
+			require.Zero(t, d.count(record.Datagram, faultStart+30*time.Millisecond, faultEnd, nil))
 		}},
-		{trouble: scenario.Trouble{Kind: scenario.DatagramsLost, Size: all, Zone: "buc-pipera"}, check: func(t *testing.T, d *diary) {
+		{trouble: scenario.Trouble{Kind: scenario.DatagramsLost, Size: all, Zone: "buc-pipera"}, check: func(t *testing.T, d *recordingSink) {
 			in := func(of func(record.Event) int32) int {
-				return d.count(record.Datagram, troubleFrom+30*time.Millisecond, troubleTo, func(e record.Event) bool {
-					return d.day.Agents[of(e)].Zone == "buc-pipera"
+				return d.count(record.Datagram, faultStart+30*time.Millisecond, faultEnd, func(e record.Event) bool {
+					return d.run.Agents[of(e)].Zone == "buc-pipera"
 				})
 			}
 			require.Zero(t, in(func(e record.Event) int32 { return e.Agent }), "its agents hear nothing")
 			require.Greater(t, in(func(e record.Event) int32 { return e.From }), 5, "and are heard")
 		}},
-		{trouble: scenario.Trouble{Kind: scenario.Crashed, Part: all, Zone: "buc-pipera"}, check: func(t *testing.T, d *diary) {
-			for _, e := range d.of(record.ServerDown) {
+		{trouble: scenario.Trouble{Kind: scenario.Crashed, Part: all, Zone: "buc-pipera"}, check: func(t *testing.T, d *recordingSink) {
+			for _, e := range d.ofKind(record.ServerDown) {
 				require.Equal(t, "buc-pipera", d.servers[e.Server].Zone)
 			}
-			require.Greater(t, d.count(record.ServerDown, troubleFrom, troubleFrom+1, nil), 2, "all that there are in it")
+			require.Greater(t, d.count(record.ServerDown, faultStart, faultStart+1, nil), 2, "all that there are in it")
 		}},
-		{trouble: scenario.Trouble{Kind: scenario.AgentsRestarted, Count: 5, Size: span(0.4, 0.4)}, check: func(t *testing.T, d *diary) {
-			require.Zero(t, d.count(record.Lost, 0, dayLength, nil))
-			require.Equal(t, 5, d.count(record.AgentDown, 0, dayLength, nil))
-			require.Equal(t, 2, d.count(record.AgentDown, 0, troubleFrom+4*second, nil), "two at a time, the next 4 s later")
-			require.Equal(t, 5, d.count(record.AgentUp, troubleFrom, dayLength, nil), "each as soon as it has drained")
+		{trouble: scenario.Trouble{Kind: scenario.AgentsRestarted, Count: 5, Size: span(0.4, 0.4)}, check: func(t *testing.T, d *recordingSink) {
+			require.Zero(t, d.count(record.Lost, 0, runLength, nil))
+			require.Equal(t, 5, d.count(record.AgentDown, 0, runLength, nil))
+			require.Equal(t, 2, d.count(record.AgentDown, 0, faultStart+4*second, nil), "two at a time, the next 4 s later")
+			require.Equal(t, 5, d.count(record.AgentUp, faultStart, runLength, nil), "each as soon as it has drained")
 		}},
 		{
 			trouble: scenario.Trouble{Kind: scenario.FewConnections, Part: all, Size: span(0.005, 0.005)},
-			check: func(t *testing.T, d *diary) {
-				require.Greater(t, d.count(record.Ended, troubleFrom, troubleTo, ended(record.NoConnection)), 10)
-				require.Zero(t, d.count(record.Ended, 0, troubleFrom, ended(record.NoConnection)))
+			check: func(t *testing.T, d *recordingSink) {
+				require.Greater(t, d.count(record.Ended, faultStart, faultEnd, ended(record.NoConnection)), 10)
+				require.Zero(t, d.count(record.Ended, 0, faultStart, ended(record.NoConnection)))
 			},
 		},
-		{trouble: scenario.Trouble{Kind: scenario.ClientsLeave, Part: all}, check: func(t *testing.T, d *diary) {
+		{trouble: scenario.Trouble{Kind: scenario.ClientsLeave, Part: all}, check: func(t *testing.T, d *recordingSink) {
 			leave := map[uint32]bool{}
-			for _, e := range d.of(record.Left) {
-				if e.At == troubleFrom {
+			for _, e := range d.ofKind(record.Left) {
+				if e.At == faultStart {
 					leave[e.Op] = true
 				}
 			}
 			require.Greater(t, len(leave), 5)
-			require.Zero(t, d.count(record.Answered, troubleFrom, dayLength, func(e record.Event) bool { return leave[e.Op] }))
-			require.Zero(t, d.count(record.Asked, troubleFrom, dayLength, func(e record.Event) bool {
-				return e.Try > 0 && leave[e.Chain] && e.At > troubleFrom
+			require.Zero(t, d.count(record.Answered, faultStart, runLength, func(e record.Event) bool { return leave[e.Op] }))
+			require.Zero(t, d.count(record.Asked, faultStart, runLength, func(e record.Event) bool {
+				return e.Try > 0 && leave[e.Chain] && e.At > faultStart
 			}), "they don't come back")
 		}},
 		{
 			trouble: scenario.Trouble{Kind: scenario.LateConnections, Part: all, Delay: ms(900, 900)},
 			change:  func(set *scenario.Scenario) { set.Connections.Idle = 200 * time.Millisecond }, // many new ones
-			check: func(t *testing.T, d *diary) {
-				early := troubleFrom + 10*time.Millisecond // some were begun before
-				require.Greater(t, d.count(record.Opened, troubleFrom-second, troubleFrom, nil), 20)
-				require.Zero(t, d.count(record.Opened, early, troubleFrom+900*time.Millisecond, nil))
-				require.Greater(t, d.count(record.Ended, early, troubleTo, ended(record.NoConnection)), 100)
+			check: func(t *testing.T, d *recordingSink) {
+				early := faultStart + 10*time.Millisecond // some were begun before
+				require.Greater(t, d.count(record.Opened, faultStart-second, faultStart, nil), 20)
+				require.Zero(t, d.count(record.Opened, early, faultStart+900*time.Millisecond, nil))
+				require.Greater(t, d.count(record.Ended, early, faultEnd, ended(record.NoConnection)), 100)
 			},
 		},
 	} {
-		t.Run(string(c.trouble.Kind), func(t *testing.T) { c.check(t, troubled(t, c.trouble, c.change)) })
+		t.Run(string(c.trouble.Kind), func(t *testing.T) { c.check(t, playFault(t, c.trouble, c.change)) })
 	}
 }
 
-// TestSlowSpellHeals: a shared slowdown that heals ends early where the load leaves the servers idle enough, and
+// TestSlowdownHealsWhenIdle: a shared slowdown that heals ends early where the load leaves the servers idle enough, and
 // goes on to its latest end where it keeps them busy.
-func TestSlowSpellHeals(t *testing.T) {
+func TestSlowdownHealsWhenIdle(t *testing.T) {
 	for load, heals := range map[float64]bool{0.15: true, 0.8: false} {
-		d := troubled(t, scenario.Trouble{
+		d := playFault(t, scenario.Trouble{
 			Kind: scenario.Slow, Size: span(2.5, 2.5), HealsBelow: span(0.5, 0.5),
 			HealsRest: ms(2000, 2000),
 		}, func(set *scenario.Scenario) {
 			set.Load.PerS, set.Load.OfCapacity = span(0, 0), span(load, load)
 		})
-		over := d.of(record.Over)
+		over := d.ofKind(record.Over)
 		require.Len(t, over, 1)
 		if heals {
 			require.InDelta(t, 12.1, over[0].At.Seconds(), 1.5)
 		} else {
-			require.Equal(t, troubleTo, over[0].At)
+			require.Equal(t, faultEnd, over[0].At)
 		}
 	}
 }
 
-// TestTroublesLeaveOthersAlone: a trouble more, or a server or agent more, and the others' days stay as they were.
-func TestTroublesLeaveOthersAlone(t *testing.T) {
+// TestDrawsAreIndependent: a trouble more, or a server or agent more, and the others' days stay as they were.
+func TestDrawsAreIndependent(t *testing.T) {
 	type ask struct {
 		at            time.Duration
 		class, tenant uint8
 		key           uint32
 		work          time.Duration
 	}
-	asks := func(d *diary, agent int32) (all []ask) {
+	asks := func(d *recordingSink, agent int32) (all []ask) {
 		for _, e := range d.events {
 			if (e.Kind == record.Asked || e.Kind == record.Unreached) && e.Try == 0 && e.Agent == agent {
 				all = append(all, ask{e.At, e.Class, e.Tenant, e.Key, e.Work})
@@ -325,20 +325,20 @@
 		}
 		return all
 	}
-	calm := play(t, deployment(dayLength), 7, Options{})
+	calm := play(t, deployment(runLength), 7, Options{})
 	for _, u := range []scenario.Trouble{
 		{Kind: scenario.Silent, Part: span(0.5, 0.5)},
 		{Kind: scenario.Deploy, Part: span(1, 1), Size: span(0.2, 0.2)},
 		{Kind: scenario.DiscoveryDown},
 	} {
-		d := troubled(t, u, nil)
+		d := playFault(t, u, nil)
 		require.Equal(t, calm.servers, d.servers[:13])
 		for agent := range int32(5) {
 			require.Equal(t, asks(calm, agent), asks(d, agent), "%s", u.Kind)
 		}
 	}
 	// With the same traffic for each agent, one server and one agent more.
-	set := deployment(dayLength)
+	set := deployment(runLength)
 	set.Troubles = []scenario.Trouble{{
 		Kind: scenario.Crashed, At: ms(10000, 10000), For: ms(12000, 12000),
 		Part: span(0.3, 0.3),
@@ -352,20 +352,20 @@
 		require.Equal(t, asks(base, agent), asks(more, agent))
 	}
 	down := map[int32]bool{}
-	for _, e := range base.of(record.ServerDown) {
+	for _, e := range base.ofKind(record.ServerDown) {
 		down[e.Server] = true
 	}
-	same := more.count(record.ServerDown, 0, dayLength, func(e record.Event) bool { return down[e.Server] })
+	same := more.count(record.ServerDown, 0, runLength, func(e record.Event) bool { return down[e.Server] })
 	require.GreaterOrEqual(t, same, 3, "of the four, but for the new one the same crash")
 	// A trouble's own draws do not hang on another kind's.
-	two := deployment(dayLength)
+	two := deployment(runLength)
 	two.Troubles = []scenario.Trouble{
 		{Kind: scenario.Reset, At: ms(0, 5000), For: ms(1000, 2000), Size: span(0, 1)},
 		{Kind: scenario.Silent, At: ms(0, 5000), For: ms(1000, 2000), Part: span(0, 1)},
 	}
-	began := play(t, two, 7, Options{}).of(record.Began)
+	began := play(t, two, 7, Options{}).ofKind(record.Began)
 	two.Troubles = two.Troubles[1:]
-	alone := play(t, two, 7, Options{}).of(record.Began)
+	alone := play(t, two, 7, Options{}).ofKind(record.Began)
 	for _, e := range began {
 		if e.Trouble == 1 {
 			require.Equal(t, alone[0].At, e.At)
--- a/internal/rehearsal/world/window.go
+++ b/internal/rehearsal/world/window.go
@@ -10,96 +10,96 @@
 	"dunestep/internal/rehearsal/scenario"
 )
 
-// Maintenance windows: each agent goes by the plan alone, which it has known for long, by a clock that is
-// right. Whether one may be is not asked here, nor is one ever paused: package window/lab has that.
+// Maintenance windows: each agent follows a plan that it has known in advance, by an exact clock. Whether a
+// window is admitted or paused is not simulated here.
 
 const (
-	// windowSteps are those in which keys leave, and come back.
+	// windowSteps is the number of steps in which keys leave the servers, and in which they return.
 	windowSteps = 20
-	// windowLingers is on top of the longest deadline, after which nothing can be on its way any more.
-	windowLingers = time.Second
+	// windowMargin is added to the longest deadline: after that no attempt of a moved key is under way.
+	windowMargin = time.Second
 )
 
-// planWindow is the plan of the trouble that is a window.
-func (t *trouble) planWindow(moves time.Duration) *maintenance.Window {
-	from, to := clockStart+t.at, clockStart+t.at+t.lasts
+// newWindow returns the maintenance window of an injection of that kind.
+func (t *injection) newWindow(moves time.Duration) *maintenance.Window {
+	from, to := clockStart+t.start, clockStart+t.start+t.duration
 	return &maintenance.Window{
-		ID: t.name, Tenants: t.set.Tenants, Steps: windowSteps, From: from,
+		ID: t.name, Tenants: t.config.Tenants, Steps: windowSteps, From: from,
 		DrainedAt: from + moves, ReturnFrom: to - moves, To: to,
 	}
 }
 
-// beginWindow has the keys leave.
-func (t *trouble) beginWindow() {
-	t.servers = t.pick()
+// startWindow starts moving the window's keys off its servers.
+func (t *injection) startWindow() {
+	t.servers = t.pickServers()
 	longest := time.Duration(0)
-	for i := range t.w.set.Classes {
-		longest = max(longest, t.w.set.Classes[i].Deadline)
+	for i := range t.w.scenario.Classes {
+		longest = max(longest, t.w.scenario.Classes[i].Deadline)
 	}
-	if free := t.window.DrainedAt + longest + windowLingers; free < t.window.ReturnFrom {
-		t.w.enter(free-clockStart, rankTrouble, (*windowEmptied)(t))
-		t.w.enter(t.window.ReturnFrom-clockStart, rankTrouble, (*windowReturns)(t))
+	if free := t.window.DrainedAt + longest + windowMargin; free < t.window.ReturnFrom {
+		t.w.schedule(free-clockStart, rankEnvironment, (*windowDrained)(t))
+		t.w.schedule(t.window.ReturnFrom-clockStart, rankEnvironment, (*windowReturns)(t))
 	}
-	(*windowStep)(t).happen()
+	(*windowStep)(t).fire()
 }
 
 type (
-	windowStep    trouble
-	windowEmptied trouble
-	windowReturns trouble
+	windowStep    injection
+	windowDrained injection
+	windowReturns injection
 )
 
-func (s *windowStep) happen() {
+func (s *windowStep) fire() {
 	w, p := s.w, s.window
-	w.keepOff()
+	w.excludeWindowed()
 	if clockStart+w.now < p.To {
-		w.after((p.DrainedAt-p.From)/windowSteps, rankTrouble, s)
+		w.scheduleAfter((p.DrainedAt-p.From)/windowSteps, rankEnvironment, s)
 	}
 }
 
-func (e *windowEmptied) happen() {
+func (e *windowDrained) fire() {
 	for _, s := range e.servers {
-		e.w.record.window(record.Emptied, (*trouble)(e), s)
+		e.w.record.window(record.Emptied, (*injection)(e), s)
 	}
 }
 
-func (r *windowReturns) happen() {
+func (r *windowReturns) fire() {
 	for _, s := range r.servers {
-		r.w.record.window(record.Returns, (*trouble)(r), s)
+		r.w.record.window(record.Returns, (*injection)(r), s)
 	}
 }
 
-// keepOff finds what is to be kept off now, by all windows.
-func (w *world) keepOff() {
-	w.avoid = nil
+// excludeWindowed computes the exclusions at this time from all active windows.
+func (w *world) excludeWindowed() {
+	w.exclusions = nil
 	for _, t := range w.active {
 		if t.window == nil {
 			continue
 		}
 		part := t.window.PlannedFraction(clockStart + w.now)
-		below := uint32(math.MaxUint32) // all
+		below := uint32(math.MaxUint32) // all keys
 		if part < 1 {
 			below = uint32(part * (1 << 32))
 		}
 		if below == 0 {
 			continue
 		}
-		if w.avoid == nil {
-			w.avoid = &balancer.Exclusions{Tenants: map[string]map[string]uint32{}}
+		if w.exclusions == nil {
+			w.exclusions = &balancer.Exclusions{Tenants: map[string]map[string]uint32{}}
 		}
-		for _, name := range w.movedBy(t.set) {
-			if w.avoid.Tenants[name] == nil {
-				w.avoid.Tenants[name] = map[string]uint32{}
+		for _, name := range w.windowTenants(t.config) {
+			if w.exclusions.Tenants[name] == nil {
+				w.exclusions.Tenants[name] = map[string]uint32{}
 			}
 			for _, s := range t.servers {
-				w.avoid.Tenants[name][s.id] = max(w.avoid.Tenants[name][s.id], below)
+				w.exclusions.Tenants[name][s.id] = max(w.exclusions.Tenants[name][s.id], below)
 			}
 		}
 	}
 }
 
-// movedBy are the tenants of a window.
-func (w *world) movedBy(set *scenario.Trouble) (names []string) {
+// windowTenants returns the tenants that a window moves.
+func (w *world) windowTenants(set *scenario.Trouble) (names []string) {
 	for _, name := range set.Tenants {
 		if name != maintenance.AllTenants {
 			names = append(names, name)
@@ -111,16 +111,16 @@
 }
 
 func (w *world) tenantNames() (names []string) {
-	for i := range w.set.Tenants {
-		names = append(names, w.set.Tenants[i].Name)
+	for i := range w.scenario.Tenants {
+		names = append(names, w.scenario.Tenants[i].Name)
 	}
 	return names
 }
 
-// keepsOff has an agent go by the plans of this moment, before it is told of anything.
-func (l *life) keepsOff() {
-	if v := l.w.avoid; v != l.avoids {
-		l.avoids = v
+// updateExclusions applies the present exclusions to the router before the next message.
+func (l *agentProcess) updateExclusions() {
+	if v := l.w.exclusions; v != l.appliedExclusions {
+		l.appliedExclusions = v
 		l.router.SetExclusions(v)
 	}
 }
--- a/internal/rehearsal/world/window_test.go
+++ b/internal/rehearsal/world/window_test.go
@@ -12,7 +12,7 @@
 
 // A window moves its tenants' requests away in steps and has them back, at agents that began in it too; the
 // others' go on. Without the plan they would go on to its servers.
-func TestWindowDay(t *testing.T) {
+func TestWindowMovesTenants(t *testing.T) {
 	set := deployment(60 * time.Second)
 	set.Troubles = []scenario.Trouble{
 		{
@@ -22,13 +22,13 @@
 		{Kind: scenario.AgentsKilled, At: scenario.Always(20 * time.Second), For: scenario.Always(2 * time.Second), Count: 1},
 	}
 	d := play(t, set, 1, Options{})
-	requireWhole(t, d)
+	requireBalanced(t, d)
 	emptied := map[int32]time.Duration{}
-	for _, e := range d.of(record.Emptied) {
+	for _, e := range d.ofKind(record.Emptied) {
 		emptied[e.Server] = e.At
 	}
 	require.Len(t, emptied, 4, "of 13")
-	returned := d.of(record.Returns)
+	returned := d.ofKind(record.Returns)
 	require.Len(t, returned, 4)
 	require.Equal(t, 45*time.Second, returned[0].At)
 	tenant := map[uint32]uint8{}
--- a/internal/rehearsal/world/week_test.go
+++ b/internal/rehearsal/world/windowservice_test.go
@@ -12,21 +12,21 @@
 )
 
 // week are days of a week, each with its own trouble.
-var week = []string{"calm-monday", "fast-failures", "flapping", "agent-killed", "slow-for-a-while", "agents-restarted", "taken-out"}
+var weekScenarios = []string{"calm-monday", "fast-failures", "flapping", "agent-killed", "slow-for-a-while", "agents-restarted", "taken-out"}
 
 const (
-	weekDay    = 100 * time.Second
-	windowFrom = 15 * time.Second
-	windowTo   = 85 * time.Second
+	weekRunLength = 100 * time.Second
+	windowFrom    = 15 * time.Second
+	windowTo      = 85 * time.Second
 )
 
-// windowedDay plays a day, with a window that takes a quarter of the servers from two clinic groups or without, and
+// playWindow plays a day, with a window that takes a quarter of the servers from two clinic groups or without, and
 // returns how many of these groups' first tries between its beginning and its end came, and how many of them were
 // served in the end.
-func windowedDay(t *testing.T, day string, seed uint64, windowed bool) (came, served int) {
+func playWindow(t *testing.T, day string, seed uint64, windowed bool) (came, served int) {
 	set, err := scenario.Load("../../../rehearsals/" + day + ".toml")
 	require.NoError(t, err)
-	set.Day.Length = weekDay
+	set.Day.Length = weekRunLength
 	if windowed {
 		set.Troubles = append(set.Troubles, scenario.Trouble{
 			Kind: scenario.Window, At: scenario.Always(windowFrom),
@@ -34,7 +34,7 @@
 			Tenants: []string{set.Tenants[0].Name, set.Tenants[1].Name},
 		})
 	}
-	d := &diary{}
+	d := &recordingSink{}
 	require.NoError(t, Play(t.Context(), set, seed, d, Options{}))
 	of, is, chain := map[uint32]bool{}, map[uint32]bool{}, map[uint32]uint32{}
 	for _, e := range d.events {
@@ -58,17 +58,17 @@
 
 // Over a week the moved groups are served within 0.01 of the same week without windows. All seven days, of three seeds,
 // with LONG_TESTS; else one.
-func TestWindowWeek(t *testing.T) {
-	days, seeds := week[:1], uint64(1)
+func TestWindowServiceOverWeek(t *testing.T) {
+	days, seeds := weekScenarios[:1], uint64(1)
 	if os.Getenv("LONG_TESTS") != "" {
-		days, seeds = week, 3
+		days, seeds = weekScenarios, 3
 	}
 	var came, served [2]int
 	for seed := range seeds {
 		for _, day := range days {
 			var part [2]float64
 			for i, windowed := range []bool{false, true} {
-				c, s := windowedDay(t, day, seed+1, windowed)
+				c, s := playWindow(t, day, seed+1, windowed)
 				came[i], served[i], part[i] = came[i]+c, served[i]+s, float64(s)/float64(c)
 			}
 			t.Logf("%s, seed %d: without %.4f, with a window %.4f, %+.4f", day, seed+1, part[0], part[1], part[1]-part[0])
--- a/internal/rehearsal/world/work.go
+++ b/internal/rehearsal/world/work.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// jobHeap holds the jobs in work, the one that is done first at the top.
+// jobHeap holds the running jobs; the one that finishes first is at the top.
 type jobHeap struct{ jobs []*job }
 
 func (h *jobHeap) push(j *job) {
@@ -46,34 +46,35 @@
 	return top
 }
 
-// jobQueue holds the jobs that wait, the first come first. One that is dropped leaves a gap until its turn.
+// jobQueue holds the waiting jobs in order of arrival. A dropped job leaves a gap until its place is
+// reached.
 type jobQueue struct {
-	jobs    []*job
-	from    int
-	present int
+	jobs  []*job
+	first int
+	count int
 }
 
-func (q *jobQueue) len() int { return q.present }
+func (q *jobQueue) len() int { return q.count }
 
 func (q *jobQueue) push(j *job) {
-	if q.from > 32 && q.from > len(q.jobs)/2 {
-		n := copy(q.jobs, q.jobs[q.from:])
+	if q.first > 32 && q.first > len(q.jobs)/2 {
+		n := copy(q.jobs, q.jobs[q.first:])
 		clear(q.jobs[n:])
-		q.jobs, q.from = q.jobs[:n], 0
+		q.jobs, q.first = q.jobs[:n], 0
 	}
 	q.jobs = append(q.jobs, j)
-	q.present++
+	q.count++
 }
 
-// pop takes the first out; nil where none waits.
+// pop removes and returns the first job; nil if none waits.
 func (q *jobQueue) pop() *job {
-	for q.from < len(q.jobs) {
-		j := q.jobs[q.from]
-		q.jobs[q.from] = nil
-		q.from++
-		if j.waits {
-			j.waits = false
-			q.present--
+	for q.first < len(q.jobs) {
+		j := q.jobs[q.first]
+		q.jobs[q.first] = nil
+		q.first++
+		if j.waiting {
+			j.waiting = false
+			q.count--
 			return j
 		}
 	}
@@ -81,52 +82,52 @@
 }
 
 func (q *jobQueue) drop(j *job) {
-	j.waits = false
-	q.present--
+	j.waiting = false
+	q.count--
 }
 
-// keyMemory is what a process remembers of the keys that it has met: a bounded number, the latest.
-type keyMemory struct {
-	most  int
-	keeps time.Duration
-	met   map[uint32]time.Duration
-	order []met // the latest last, with those met again since still in their old places
-	from  int
+// keyCache is a process's cache of recent keys, of bounded size.
+type keyCache struct {
+	limit    int
+	ttl      time.Duration
+	lastSeen map[uint32]time.Duration
+	order    []keyUse // by time; a key seen again keeps its old entries until compact
+	first    int
 }
 
-type met struct {
+type keyUse struct {
 	key uint32
 	at  time.Duration
 }
 
-// meet notes a key, and tells whether it had been met lately.
-func (m *keyMemory) meet(key uint32, now time.Duration) bool {
-	if m.most == 0 {
+// touch records a key and reports whether it was already cached.
+func (m *keyCache) touch(key uint32, now time.Duration) bool {
+	if m.limit == 0 {
 		return false
 	}
-	at, known := m.met[key]
-	m.met[key] = now
-	m.order = append(m.order, met{key, now})
-	for len(m.met) > m.most {
-		oldest := m.order[m.from]
-		m.from++
-		if m.met[oldest.key] == oldest.at { // not met again since
-			delete(m.met, oldest.key)
+	at, known := m.lastSeen[key]
+	m.lastSeen[key] = now
+	m.order = append(m.order, keyUse{key, now})
+	for len(m.lastSeen) > m.limit {
+		oldest := m.order[m.first]
+		m.first++
+		if m.lastSeen[oldest.key] == oldest.at { // not seen again since
+			delete(m.lastSeen, oldest.key)
 		}
 	}
-	if m.from > 64 && m.from > len(m.order)/2 || len(m.order) > 8*m.most+64 {
+	if m.first > 64 && m.first > len(m.order)/2 || len(m.order) > 8*m.limit+64 {
 		m.compact()
 	}
-	return known && now-at <= m.keeps
+	return known && now-at <= m.ttl
 }
 
-// compact leaves out of the order what has been met again or forgotten since.
-func (m *keyMemory) compact() {
+// compact removes entries of keys that were seen again or evicted since.
+func (m *keyCache) compact() {
 	kept := m.order[:0]
-	for _, k := range m.order[m.from:] {
-		if at, known := m.met[k.key]; known && at == k.at {
+	for _, k := range m.order[m.first:] {
+		if at, known := m.lastSeen[k.key]; known && at == k.at {
 			kept = append(kept, k)
 		}
 	}
-	m.order, m.from = kept, 0
+	m.order, m.first = kept, 0
 }
--- a/internal/rehearsal/world/world.go
+++ b/internal/rehearsal/world/world.go
@@ -1,11 +1,12 @@
-// Package world plays a day in virtual time: booking servers, clients, discovery, the network and what
-// goes wrong with them, as a scenario has it, and agents that run the routing core that the daemon runs
-// (internal/core and decide). Whatever passes on the wire goes to a record.Sink.
+// Package world simulates a scenario run in virtual time: upstream servers, clients, discovery, the
+// network and the faults that the scenario injects. The simulated agents run the daemon's own routing
+// core (internal/routing and internal/balancer). Everything that passes on the wire goes to a
+// record.Sink.
 //
-// A day is one thread through a calendar of happenings. Each entity draws from a stream of its own, by
-// its name; what concerns one route step alone is drawn by lot from its number. So the same scenario and
-// seed give the same day on any machine, and one more server, agent or trouble leaves what the others
-// draw as it was.
+// A run is one goroutine that works through a calendar of events. Each entity draws from a random
+// stream of its own, seeded by its name; draws for a single attempt are hashed from its identifier. So
+// the same scenario and seed give the same run on any machine, and adding a server, an agent or a fault
+// does not change what the others draw.
 package world
 
 import (
@@ -25,102 +26,106 @@
 )
 
 const (
-	// lingers is how long after the last client's deadline a day may still run until its work is done.
-	lingers = 30 * time.Second
-	// lookEvery is how many happenings pass between looks whether the day is to be broken off.
-	lookEvery = 1024
+	// maxOverrun is how long after the last client's deadline a run may continue to finish pending
+	// work.
+	maxOverrun = 30 * time.Second
+	// cancelCheckEvents is the number of events between two checks of the context.
+	cancelCheckEvents = 1024
 )
 
-// Options is what a day is played with beside its scenario and seed.
+// Options are the settings of a run besides its scenario and seed.
 type Options struct {
-	// Progress is told the day's time once each of its seconds; nil: nobody is.
+	// Progress is called with the virtual time once per simulated second; nil: no calls.
 	Progress func(at time.Duration)
-	// Figures replace the module's own; zero: those that ship.
+	// Figures replace the balancer's tuning; zero: the defaults.
 	Figures balancer.Tuning
-	// Storm are the figures of the gate before the module; zero: those that ship.
+	// Storm is the configuration of the load shedder in front of the balancer; zero: the defaults.
 	Storm overload.Config
-	// Late has the agents go by late.Policy, which sees the servers' true state so long after; zero: by the code
-	// that ships.
+	// Late replaces the agents' balancer by late.Policy, which sees the servers' true state after this
+	// delay; zero: the agents run their own balancer.
 	Late time.Duration
-	// Acting tells at each moment what its fleet has agreed on that an agent goes by, as agent.Settings has
-	// it; nil: there is nothing.
+	// Acting returns the fleet policy that is in effect at an agent, in the form of agent.Settings;
+	// nil: there is no fleet policy.
 	Acting func(agent int, at time.Duration) *policy.Effect
-	// Placed has the agents place by agreed generations, whatever the scenario says.
+	// Placed turns ring assignment on, whatever the scenario sets.
 	Placed bool
-	// Log is told what the agents' modules say; nil: nobody is.
+	// Log is called with the lines that the agents' balancers log; nil: no calls.
 	Log func(at time.Duration, agent, says string)
-	// Timeline is told of the troubles, in its lane of faults; nil: nobody is.
+	// Timeline receives the start and end of each fault in its lane of faults; nil: none.
 	Timeline *timeline.Timeline
 }
 
-// world is a day that is being played.
+// world is the state of one scenario run.
 type world struct {
 	calendar
-	seed   uint64
-	set    *scenario.Scenario
-	sink   record.Sink
-	record recorder
-	o      Options
+	seed     uint64
+	scenario *scenario.Scenario
+	sink     record.Sink
+	record   recorder
+	options  Options
 
 	network   *network
 	discovery *discovery
 	servers   []*server
-	at        map[netip.AddrPort]*server // who is at an address now
+	byAddr    map[netip.AddrPort]*server // the server that has an address now
 	agents    []*agent
-	active    []*trouble
-	zoneCut   []time.Duration // until when a zone is cut off from the others
+	active    []*injection
+	zoneCut   []time.Duration // by zone: until when it is cut off from the others
 
-	// Troubles that are alike for all.
-	slow          float64 // times as long as usual, for what all servers depend on
-	resetting     float64 // part of the route steps whose connection is reset
-	forgetsAfter  time.Duration
-	datagramsLost []float64 // part of those to the agents of a zone
-	mishaps       *mishap.Net
-	keeps         float64 // part of the usual traffic that comes
+	// Effects of active faults that are the same for all servers and agents.
+	slowdown           float64 // factor on the service time of all servers
+	resetShare         float64 // fraction of attempts whose connection is reset
+	idleForgetting     time.Duration
+	datagramLossByZone []float64 // by the receiving agents' zone: fraction lost
+	datagramFaults     *mishap.Net
+	trafficKept        float64 // fraction of the usual traffic that is sent
 
-	// The load, as drawn.
-	perS             float64
-	swing            float64
-	highest          float64 // of swings
-	classes, tenants picker
-	keys             picker
-	keyNames         []string
-	meanWork         []time.Duration
-	workCV, noise    []float64
-	quotas           []float64
-	tryShare, honour float64
-	impatient        float64
-	backoff          time.Duration
-	datagramLoss     float64
-	graphQL          graphQL
+	// The load, as drawn for the run.
+	perS                        float64
+	swing                       float64
+	peakFactor                  float64 // maximum of loadFactor
+	classes, tenants            picker
+	keys                        picker
+	keyNames                    []string
+	meanWork                    []time.Duration
+	workCV, noise               []float64
+	quotas                      []float64
+	tryTimeoutShare, honorShare float64
+	impatientShare              float64
+	backoff                     time.Duration
+	datagramLoss                float64
+	graphQL                     graphQL
 
-	// Of a day that is played in real time.
-	live   *Live
-	wire   Wire                 // nil: the agents are their code, and the network is a model
-	tries  map[uint32]*try      // that booking servers may see
-	failed error                // why the day can't be played on
-	sights *sights              // nil: the agents' own code decides
-	rings  *generations         // nil: each agent places by its own list
-	avoid  *balancer.Exclusions // by the windows that are on; nil: none moves anything
-	plan   *Plan                // that is drawn: nothing is played
+	// Of a run in real time.
+	live        *Live
+	wire        Wire                 // nil: agents and network are simulated
+	tries       map[uint32]*try      // by number: tries that upstream servers may still receive attempts of
+	failed      error                // why the run cannot continue
+	delayedView *delayedView         // nil: the agents run their own balancer
+	generations *generations         // nil: each agent places keys by its own list
+	exclusions  *balancer.Exclusions // of the active maintenance windows; nil: none excludes anything
+	plan        *Plan                // receives the drawn plan; nothing is simulated then
 
-	ops  uint32 // tries so far
-	open int    // tries and route steps that are out or to come
+	tryCount uint32 // tries so far
+	pending  int    // tries and attempts that are pending or scheduled
 }
 
-// Play plays a day of the scenario and puts it into the sink. A context that ends breaks it off: what
-// there is of the day is in the sink, and the context's error is returned.
+// Play simulates a run of the scenario and writes it to the sink. If the context ends first, the sink
+// keeps the run so far and Play returns the context's error.
 func Play(ctx context.Context, set *scenario.Scenario, seed uint64, sink record.Sink, o Options) error {
-	w, err := begin(set, seed, sink, o)
+	w, err := newRun(set, seed, sink, o)
 	if err != nil {
 		return err
 	}
 	return w.run(ctx)
 }
 
-// begin draws a day and has its agents begin.
-func begin(set *scenario.Scenario, seed uint64, sink record.Sink, o Options) (*world, error) {
-	w := &world{seed: seed, set: set, sink: sink, o: o, at: map[netip.AddrPort]*server{}, slow: 1, keeps: 1}
+// newRun draws a run and starts its agents.
+func newRun(set *scenario.Scenario, seed uint64, sink record.Sink, o Options) (*world, error) {
+	w := &world{
+		seed: seed, scenario: set, sink: sink, options: o, byAddr: map[netip.AddrPort]*server{},
+		slowdown: 1, trafficKept: 1,
+	}
 	w.record.w = w
 	w.build()
 	if set.Clients.GraphQL > 0 {
@@ -129,65 +134,65 @@
 		}
 	}
 	if (o.Placed || set.Agents.Placed) && o.Late == 0 {
-		w.rings = newGenerations(w)
-		w.rings.settle()
+		w.generations = newGenerations(w)
+		w.generations.settle()
 	}
 	if o.Late > 0 {
-		w.sights = newSights(w, o.Late)
-		w.sights.happen()
+		w.delayedView = newDelayedView(w, o.Late)
+		w.delayedView.fire()
 	}
 	for _, a := range w.agents {
-		if err := a.begin(); err != nil {
+		if err := a.start(); err != nil {
 			return nil, fmt.Errorf("agent %s: %w", a.name, err)
 		}
 	}
-	w.enter(time.Second, rankSample, &sampling{w: w})
+	w.schedule(time.Second, rankSample, &sampling{w: w})
 	return w, nil
 }
 
-// mark puts what a trouble does on the timeline.
+// mark adds a line on a fault to the timeline.
 func (w *world) mark(text string) {
-	if w.o.Timeline != nil {
-		w.o.Timeline.Mark(w.now, timeline.Faults, "", text)
+	if w.options.Timeline != nil {
+		w.options.Timeline.Mark(w.now, timeline.Faults, "", text)
 	}
 }
 
-// run has everything happen, until the last request is over and the servers have done their work.
+// run fires events until the last request has ended and the servers have finished their work.
 func (w *world) run(ctx context.Context) error {
-	last := w.set.Day.Length
-	for i := range w.set.Classes {
-		last = max(last, w.set.Day.Length+w.set.Classes[i].Deadline)
+	last := w.scenario.Day.Length
+	for i := range w.scenario.Classes {
+		last = max(last, w.scenario.Day.Length+w.scenario.Classes[i].Deadline)
 	}
 	shown := time.Duration(0)
 	for n := 0; ; n++ {
-		if n%lookEvery == 0 && ctx.Err() != nil {
+		if n%cancelCheckEvents == 0 && ctx.Err() != nil {
 			w.sink.End(w.now)
 			return ctx.Err()
 		}
-		what, any := w.next(last + lingers)
+		what, any := w.next(last + maxOverrun)
 		if !any {
 			break
 		}
-		what.happen()
-		if second := w.now.Truncate(time.Second); w.o.Progress != nil && second > shown {
+		what.fire()
+		if second := w.now.Truncate(time.Second); w.options.Progress != nil && second > shown {
 			shown = second
-			w.o.Progress(second)
+			w.options.Progress(second)
 		}
-		if w.now >= w.set.Day.Length && w.open == 0 && w.quiet() {
+		if w.now >= w.scenario.Day.Length && w.pending == 0 && w.idle() {
 			break
 		}
 	}
-	for _, s := range w.servers { // what is still at work counts as dropped
+	for _, s := range w.servers { // unfinished work counts as dropped
 		if s.process.state != processDown {
-			s.process.die()
+			s.process.terminate()
 		}
 	}
 	w.sink.End(w.now)
 	return nil
 }
 
-// quiet tells whether no process has work.
-func (w *world) quiet() bool {
+// idle reports whether no server process has work.
+func (w *world) idle() bool {
 	for _, s := range w.servers {
 		if p := s.process; len(p.running.jobs) > 0 || p.waiting.len() > 0 || len(p.unread) > 0 {
 			return false
@@ -196,13 +201,13 @@
 	return true
 }
 
-// build draws the day and sets it up.
+// build draws the run and sets it up.
 func (w *world) build() {
-	s := w.set
+	s := w.scenario
 	w.network = newNetwork(s, w.seed)
-	w.mishaps = mishap.New(nameSeed(w.seed, "mishaps"), s.Agents.Count)
+	w.datagramFaults = mishap.New(nameSeed(w.seed, "mishaps"), s.Agents.Count)
 	w.zoneCut = make([]time.Duration, len(s.Network.Zones))
-	w.datagramsLost = make([]float64, len(s.Network.Zones))
+	w.datagramLossByZone = make([]float64, len(s.Network.Zones))
 	w.datagramLoss = s.Network.DatagramLoss.Draw(newStream(w.seed, "datagrams").Rand)
 	machines, zones := w.machines()
 	w.drawLoad(machines)
@@ -212,35 +217,35 @@
 		names[i] = record.Agent{Name: a.name, Zone: s.Network.Zones[a.zone]}
 	}
 	w.sink.Begin(record.Day{
-		Agents: names, Capacity: full(machines), RatePerS: w.perS, Quotas: w.quotas,
+		Agents: names, Capacity: totalCapacity(machines), RatePerS: w.perS, Quotas: w.quotas,
 		MeanWork: w.meanWork,
 	})
 	for i, m := range machines {
 		w.newServer(zones[i], m, netip.AddrPort{}).start(false)
 	}
 	w.discovery = newDiscovery(w)
-	w.discovery.begin()
+	w.discovery.publishInitial()
 	for _, a := range w.agents {
 		(&source{
-			client: a.client, chance: newStream(w.seed, "client "+a.name), perS: w.perS * a.part,
+			client: a.client, rng: newStream(w.seed, "client "+a.name), perS: w.perS * a.share,
 			until: s.Day.Length,
 		}).start()
 	}
 	nth := map[scenario.TroubleKind]int{}
 	for i := range s.Troubles {
-		t := newTrouble(w, i, nth[s.Troubles[i].Kind])
-		nth[t.set.Kind]++
+		t := newInjection(w, i, nth[s.Troubles[i].Kind])
+		nth[t.config.Kind]++
 		if w.plan != nil {
-			w.plan.Troubles = append(w.plan.Troubles, Spell{t.set.Kind, t.at, t.lasts, t.part, t.size})
+			w.plan.Troubles = append(w.plan.Troubles, Spell{t.config.Kind, t.start, t.duration, t.share, t.size})
 		}
-		w.enter(t.at, rankTrouble, (*troubleBegins)(t))
+		w.schedule(t.start, rankEnvironment, (*injectionStarts)(t))
 	}
 }
 
-// machines draws the fleet's machines and their zones. Each kind and zone has its share of the first few
-// as well as of all, so that one more server leaves the others as they were.
+// machines draws the servers' machines and zones. Each kind and zone has its share of any first n
+// servers as well as of all, so that one more server leaves the others unchanged.
 func (w *world) machines() (machines []machine, zones []int) {
-	s := w.set
+	s := w.scenario
 	shares := make([]float64, len(s.Kinds))
 	for i := range s.Kinds {
 		shares[i] = s.Kinds[i].Share
@@ -249,16 +254,17 @@
 	zones = apportion(s.Fleet.Servers, w.zoneShares(s.Fleet.ZoneSkew, "fleet"))
 	for i := range s.Fleet.Servers {
 		m := drawMachine(s, &s.Kinds[kinds[i]], newStream(w.seed, fmt.Sprint("machine ", i)))
-		m.drawDay(s, w.seed)
+		m.drawShared(s, w.seed)
 		machines = append(machines, m)
 	}
 	return machines, zones
 }
 
-// zoneShares weighs the zones: a skew of the whole goes to the first on top of its even part of the rest.
+// zoneShares returns the zones' weights: the first zone gets skew of the total on top of an even share
+// of the rest.
 func (w *world) zoneShares(skew scenario.Span, whose string) []float64 {
 	first := skew.Draw(newStream(w.seed, "zones of the "+whose).Rand)
-	shares := make([]float64, len(w.set.Network.Zones))
+	shares := make([]float64, len(w.scenario.Network.Zones))
 	for i := range shares {
 		shares[i] = (1 - first) / float64(len(shares))
 	}
@@ -266,7 +272,7 @@
 	return shares
 }
 
-// apportion deals places out one after another, each to whom most is lacking.
+// apportion assigns n places one after another, each to the index that is furthest below its share.
 func apportion(n int, shares []float64) []int {
 	dealt := make([]float64, len(shares))
 	out := make([]int, n)
@@ -283,16 +289,17 @@
 	return out
 }
 
-func full(machines []machine) (sum float64) {
+// totalCapacity is the capacity of all machines once warm, in seconds of standard work per second.
+func totalCapacity(machines []machine) (sum float64) {
 	for i := range machines {
-		sum += machines[i].full()
+		sum += machines[i].capacity()
 	}
 	return sum
 }
 
-// drawAgents draws the agents and their parts of the traffic, the busiest first.
+// drawAgents draws the agents and their shares of the traffic, the busiest agent first.
 func (w *world) drawAgents() {
-	s := w.set
+	s := w.scenario
 	parts := zipf(s.Agents.Count, s.Agents.Zipf.Draw(newStream(w.seed, "agents").Rand))
 	sum := 0.0
 	for _, p := range parts {
@@ -300,38 +307,38 @@
 	}
 	zones := apportion(s.Agents.Count, w.zoneShares(s.Agents.ZoneSkew, "agents"))
 	for i, part := range parts {
-		a := &agent{w: w, number: i, name: fmt.Sprint("n", i), zone: zones[i], part: part / sum}
-		a.chance = newStream(w.seed, "agent "+a.name)
+		a := &agent{w: w, number: i, name: fmt.Sprint("n", i), zone: zones[i], share: part / sum}
+		a.rng = newStream(w.seed, "agent "+a.name)
 		a.client = &client{w: w, agent: a}
 		w.agents = append(w.agents, a)
 	}
 }
 
-// drawLoad draws the traffic and what the clients are like.
+// drawLoad draws the traffic and the clients' behavior.
 func (w *world) drawLoad(machines []machine) {
-	s := w.set
-	chance := newStream(w.seed, "load")
-	draw := func(v scenario.Span) float64 { return v.Draw(chance.Rand) }
+	s := w.scenario
+	rng := newStream(w.seed, "load")
+	draw := func(v scenario.Span) float64 { return v.Draw(rng.Rand) }
 	perS, ofCapacity := draw(s.Load.PerS), draw(s.Load.OfCapacity)
 	w.swing = draw(s.Load.Swing)
 	keys, keyZipf := int(math.Round(draw(s.Load.Keys))), draw(s.Load.KeyZipf)
 	quotaPerS, quotaOfCapacity := draw(s.Load.QuotaPerS), draw(s.Load.QuotaOfCapacity)
-	w.tryShare, w.honour = draw(s.Clients.TryShare), draw(s.Clients.Honour)
-	w.impatient = draw(s.Clients.Impatient)
-	w.backoff = s.Clients.BackoffWait.Draw(chance.Rand)
+	w.tryTimeoutShare, w.honorShare = draw(s.Clients.TryShare), draw(s.Clients.Honour)
+	w.impatientShare = draw(s.Clients.Impatient)
+	w.backoff = s.Clients.BackoffWait.Draw(rng.Rand)
 	var shares []float64
 	mean := 0.0
 	for i := range s.Classes {
 		c := &s.Classes[i]
-		chance := newStream(w.seed, "class "+c.Name)
-		w.meanWork = append(w.meanWork, c.Work.Draw(chance.Rand))
-		w.workCV = append(w.workCV, c.CV.Draw(chance.Rand))
-		w.noise = append(w.noise, c.Noise.Draw(chance.Rand))
+		rng := newStream(w.seed, "class "+c.Name)
+		w.meanWork = append(w.meanWork, c.Work.Draw(rng.Rand))
+		w.workCV = append(w.workCV, c.CV.Draw(rng.Rand))
+		w.noise = append(w.noise, c.Noise.Draw(rng.Rand))
 		shares = append(shares, c.Share)
 		mean += c.Share * w.meanWork[i].Seconds()
 	}
 	w.classes = newPicker(shares)
-	capacity := full(machines) / mean // in requests a second
+	capacity := totalCapacity(machines) / mean // in requests per second
 	if w.perS = perS; s.Load.OfCapacity.High > 0 {
 		w.perS = ofCapacity * capacity
 	}
@@ -349,16 +356,16 @@
 	for i := range keys {
 		w.keyNames = append(w.keyNames, fmt.Sprintf("k%05d", i))
 	}
-	w.highest = 1
+	w.peakFactor = 1
 	if s.Load.Shape != scenario.Steady {
-		w.highest = 1 + w.swing
+		w.peakFactor = 1 + w.swing
 	}
 }
 
-// swings is the rate at a time, over the day's mean.
-func (w *world) swings(at time.Duration) float64 {
-	through := float64(at) / float64(w.set.Day.Length)
-	switch w.set.Load.Shape {
+// loadFactor is the request rate at a time relative to the mean of the run.
+func (w *world) loadFactor(at time.Duration) float64 {
+	through := float64(at) / float64(w.scenario.Day.Length)
+	switch w.scenario.Load.Shape {
 	case scenario.Ramp:
 		return 1 + w.swing*(2*through-1)
 	case scenario.Wave:
@@ -367,13 +374,13 @@
 	return 1
 }
 
-// deployment is what an agent is told of its deployment.
+// deployment returns an agent's settings.
 func (w *world) deployment(a *agent) balancer.Settings {
-	s := w.set
+	s := w.scenario
 	set := balancer.Settings{
 		Self: a.number, Balancers: len(w.agents), Zone: s.Network.Zones[a.zone],
 		OverQuotaWeight: s.Load.OverShareWorth, DiscoveryOnDemand: true, ClientsMarkRetries: s.Clients.MarksRetry,
-		Tick: s.Agents.Tick, Tuning: w.o.Figures,
+		Tick: s.Agents.Tick, Tuning: w.options.Figures,
 		Limits: balancer.Limits{
 			MaxAttempts: s.Allow.MaxAttempts, Hedging: s.Allow.SecondCopies,
 			Cancel: s.Allow.Cancel, Gossip: s.Allow.Peers, RetryAfter: s.Allow.RetryAfter,
