--- a/internal/rehearsal/world/bench_test.go
+++ b/internal/rehearsal/world/bench_test.go
@@ -9,7 +9,7 @@
 	"dunestep/internal/rehearsal/scenario"
 )
 
-// nobody is a sink that keeps nothing.
+// discardingSink is a sink that discards everything.
 type discardingSink struct{}
 
 func (discardingSink) Begin(record.Day)          {}
@@ -29,10 +29,11 @@
 	}
 }
 
-// BenchmarkMinute plays a minute of the deployment's day: 13 servers, 5 agents, 330 requests a second.
+// BenchmarkMinute simulates one minute: 13 servers, 5 agents, 330 requests a second.
 func BenchmarkMinute(b *testing.B) { benchmarkMinute(b) }
 
-// BenchmarkMinuteWithFaults plays one with servers silent during a rolling deploy and four times the traffic.
+// BenchmarkMinuteWithFaults simulates a minute with silent servers during a rolling deploy and four
+// times the traffic.
 func BenchmarkMinuteWithFaults(b *testing.B) {
 	at, lasts := ms(10000, 10000), ms(25000, 25000)
 	benchmarkMinute(b, scenario.Trouble{Kind: scenario.Silent, At: at, For: lasts, Part: span(0.19, 0.19)},
--- a/internal/rehearsal/world/byhand.go
+++ b/internal/rehearsal/world/byhand.go
@@ -9,7 +9,7 @@
 	"dunestep/internal/state"
 )
 
-// What staff do at the agents' door, as far as a day in virtual time has it.
+// Operator actions on agents, as far as runs in virtual time simulate them.
 
 // sendAwayTime is the time after which an agent that sends its clients away closes their idle
 // connections.
@@ -22,7 +22,7 @@
 		return
 	}
 	for _, s := range servers {
-		news, known, err := l.list.Disable(s.id, l.clock())
+		outputs, known, err := l.list.Disable(s.id, l.clock())
 		if !known || err != nil {
 			continue // never on this agent's list
 		}
@@ -31,13 +31,13 @@
 		}
 		a.disabledServers[s] = true
 		l.recordList([]listEntry{s.entry(balancer.Ready)}, false)
-		l.executeList(news)
+		l.executeList(outputs)
 	}
 	a.disabled = l.list.Disabled()
 }
 
-// enableServers ends the disabling of the servers. An agent that is not running keeps it, as its state
-// file does.
+// enableServers makes a running agent use the servers again. An agent that is not running keeps them
+// disabled, as its state file does.
 func (a *agent) enableServers(servers []*server) {
 	l := a.proc
 	if l == nil || l.external {
@@ -48,9 +48,9 @@
 			continue
 		}
 		delete(a.disabledServers, s)
-		news, _ := l.list.Enable(s.id, l.clock())
+		outputs, _ := l.list.Enable(s.id, l.clock())
 		l.recordList([]listEntry{s.entry(s.listState())}, false)
-		l.executeList(news)
+		l.executeList(outputs)
 	}
 	a.disabled = l.list.Disabled()
 }
@@ -84,7 +84,7 @@
 	a.w.scheduleAfter(sendAwayTime, rankTimer, (*closeIdleClients)(l))
 }
 
-// acceptClients ends sendClientsAway.
+// acceptClients makes an agent accept clients again after sendClientsAway.
 func (a *agent) acceptClients() {
 	if a.proc != nil {
 		a.proc.sendingAway = false
@@ -96,7 +96,7 @@
 
 func (n *closeIdleClients) fire() {
 	l := (*agentProcess)(n)
-	if l.dead || l.deferIfPaused(n) || !l.sendingAway || l.w.now < l.sendingAwaySince+sendAwayTime {
+	if l.ended || l.deferIfPaused(n) || !l.sendingAway || l.w.now < l.sendingAwaySince+sendAwayTime {
 		return
 	}
 	l.closeIdle()
@@ -121,10 +121,10 @@
 	if err != nil {
 		return
 	}
-	disk := a.disk
-	a.disk, a.proc, old.replaced = raw, nil, true
+	disk := a.savedState
+	a.savedState, a.proc, old.replaced = raw, nil, true
 	err = a.start()
-	if a.disk = disk; err != nil { // the same settings were valid at the start of the run
+	if a.savedState = disk; err != nil { // the same settings were valid at the start of the run
 		return
 	}
 	old.drain()
--- a/internal/rehearsal/world/calendar.go
+++ b/internal/rehearsal/world/calendar.go
@@ -34,16 +34,16 @@
 }
 
 // schedule adds an event. A time in the past means now, after the events of its rank that are due now.
-func (c *calendar) schedule(at time.Duration, r rank, what event) {
+func (c *calendar) schedule(at time.Duration, r rank, ev event) {
 	c.sequence++
 	c.Add(eventqueue.Item[event]{
-		DueAt: max(at, c.now), Order: uint64(r)<<(64-rankBits) | c.sequence, Event: what,
+		DueAt: max(at, c.now), Order: uint64(r)<<(64-rankBits) | c.sequence, Event: ev,
 	})
 }
 
 // scheduleAfter adds an event after a delay.
-func (c *calendar) scheduleAfter(wait time.Duration, r rank, what event) {
-	c.schedule(c.now+wait, r, what)
+func (c *calendar) scheduleAfter(wait time.Duration, r rank, ev event) {
+	c.schedule(c.now+wait, r, ev)
 }
 
 // next removes the next event that is due by the given time and sets the clock to it. It reports false
--- a/internal/rehearsal/world/client.go
+++ b/internal/rehearsal/world/client.go
@@ -12,7 +12,6 @@
 	"dunestep/internal/routing"
 )
 
-// agentIdle is how long an agent leaves a client's connection idle; crowdedIdle, where clients hold many.
 const (
 	// agentIdle is how long an agent keeps an idle client connection open; crowdedIdle applies when
 	// clients hold many connections.
@@ -34,7 +33,7 @@
 	client    *client
 	proc      *agentProcess
 	counted   bool // the agent has a descriptor for it
-	used      bool
+	used      bool // an answer has been sent on it
 	closed    bool
 	idleSince time.Duration
 	idleCheck bool // an idle check is scheduled
@@ -42,10 +41,10 @@
 	Handle    FrontHandle
 }
 
-// listener is the agent's listener; waiting are tries whose connections wait for a descriptor.
+// listener is an agent's listener.
 type listener struct {
-	waiting  []*try
-	accepted int // accepted connections
+	waiting  []*try // on new connections that wait for a descriptor
+	accepted int    // open connections that have a descriptor
 }
 
 // request is one request of a caller, including its retries.
@@ -53,9 +52,9 @@
 	client   *client
 	class    int
 	tenant   uint8
-	key      uint32 // numbered from 1; 0: none
-	work     float64
-	drawSeed uint64 // seed of its random draws
+	key      uint32  // numbered from 1; 0: none
+	work     float64 // seconds on a standard core
+	drawSeed uint64  // seed of its random draws
 	deadline time.Duration
 	chain    uint32 // op of its first try
 }
@@ -67,8 +66,8 @@
 	proc             *agentProcess
 	conn             *clientConn
 	agentRequest     *agentRequest
-	op               uint32
-	number           int
+	op               uint32 // unique in the run
+	number           int    // 0: the first try of the request
 	sentAt           time.Duration
 	deadline         time.Duration // when the client stops waiting
 	impatient        bool          // the client leaves earlier and does not retry
@@ -76,21 +75,21 @@
 	accepted         bool          // the agent has accepted it
 	notAccepted      bool          // no agent accepted it
 	closedUnanswered bool          // a stopping agent closed the new connection without an answer
-	timedOut         bool          // timed out: an answer no longer counts
+	timedOut         bool          // an answer no longer counts
 	ended            bool
-	answerSent       bool // the answer has been sent
+	answerSent       bool
 	answer           record.Answer
 	retryAfter       time.Duration
 	attempt          int // the attempt that produced the answer; negative: none did
 }
 
-// send makes the request's nth try. It goes to the agent beside the client. A retry, or a first try
-// while that agent sends its clients away, goes to the next agent that accepts connections if the
-// scenario lets clients do so.
-func (q *request) send(nth int) {
+// send makes a try of the request, the first with number 0. It goes to the agent beside the client. A
+// retry, or a first try while that agent sends its clients away, goes to the next agent that accepts
+// connections if the scenario lets clients do so.
+func (q *request) send(number int) {
 	w := q.client.w
 	a := q.client.agent
-	if (nth > 0 || a.proc != nil && a.proc.sendingAway) && w.scenario.Clients.Elsewhere {
+	if (number > 0 || a.proc != nil && a.proc.sendingAway) && w.scenario.Clients.Elsewhere {
 		for range w.agents {
 			if a.accepting() {
 				break
@@ -100,18 +99,18 @@
 	}
 	w.tryCount++
 	w.pending++
-	t := &try{request: q, agent: a, number: nth, op: w.tryCount, sentAt: w.now, attempt: -1}
+	t := &try{request: q, agent: a, number: number, op: w.tryCount, sentAt: w.now, attempt: -1}
 	if a.accepting() {
 		t.proc = a.proc
 	}
-	if nth == 0 {
+	if number == 0 {
 		q.chain = t.op
 	}
 	deadline := w.scenario.Classes[q.class].Deadline
 	t.deadline = min(w.now+time.Duration(w.tryTimeoutShare*float64(deadline)), q.deadline)
-	if t.impatient = hashedDraw(q.drawSeed, uint64(nth), lotLeaves) < w.impatientShare; t.impatient {
-		leaves := time.Duration(hashedDraw(q.drawSeed, uint64(nth), lotLeavesWhen) * float64(t.deadline-w.now))
-		w.scheduleAfter(leaves, rankClient, (*clientLeaves)(t))
+	if t.impatient = hashedDraw(q.drawSeed, uint64(number), drawLeaves) < w.impatientShare; t.impatient {
+		wait := time.Duration(hashedDraw(q.drawSeed, uint64(number), drawLeaveTime) * float64(t.deadline-w.now))
+		w.scheduleAfter(wait, rankClient, (*clientLeaves)(t))
 	} else {
 		w.schedule(t.deadline, rankClient, (*tryTimesOut)(t))
 	}
@@ -121,7 +120,7 @@
 	w.scheduleAfter(w.network.client, rankArrival, (*tryArrives)(t))
 }
 
-// connection returns an idle connection or a new one.
+// acquire returns an idle connection or a new one.
 func (c *client) acquire(l *agentProcess) *clientConn {
 	if n := len(c.idle); n > 0 {
 		f := c.idle[n-1]
@@ -133,14 +132,14 @@
 
 // The events of a try.
 type (
-	tryArrives   try // its last byte reaches the agent
-	tryUnreached try // the client learns that no agent accepted it
-	tryAnswered  try // the answer's last byte reaches the client
-	tryLost      try // the client learns that the agent has ended the connection
-	tryTimesOut  try // its timeout expires
-	clientLeaves try // its client leaves
-	tryRetries   try // its client retries
-	clientLeft   try // the agent learns that the client has left
+	tryArrives          try // its last byte reaches the agent
+	clientSeesUnreached try // the client learns that no agent accepted it
+	tryAnswered         try // the answer's last byte reaches the client
+	clientSeesLost      try // the client learns that the agent has ended the connection
+	tryTimesOut         try // its timeout expires
+	clientLeaves        try // its client leaves
+	tryRetries          try // its client retries
+	clientLeft          try // the agent learns that the client has left
 )
 
 func (r *tryArrives) fire() {
@@ -148,7 +147,7 @@
 	l := t.proc
 	switch {
 	case t.ended:
-	case l == nil || l.dead:
+	case l == nil || l.ended:
 		t.unreached()
 	case l.external:
 		t.sendExternal()
@@ -169,7 +168,7 @@
 	t.closedUnanswered = t.proc != nil && (t.proc.shutdown.closing || t.proc.shutdown.exited)
 	t.conn.closed = true
 	w.record.try(record.Unreached, t)
-	w.scheduleAfter(w.network.client, rankArrival, (*tryUnreached)(t))
+	w.scheduleAfter(w.network.client, rankArrival, (*clientSeesUnreached)(t))
 }
 
 // acceptWaiting accepts waiting connections while descriptors are available.
@@ -235,7 +234,7 @@
 	if f.proc.external {
 		f.client.w.wire.HangUp(f)
 	}
-	if f.counted && !f.proc.dead {
+	if f.counted && !f.proc.ended {
 		f.counted = false
 		f.proc.descriptors.ReleaseDownstream()
 		f.proc.listener.accepted--
@@ -246,8 +245,8 @@
 
 func (a *tryAnswered) fire() {
 	t := (*try)(a)
-	if t.proc.dead { // undelivered data is lost with the process
-		(*tryLost)(t).fire()
+	if t.proc.ended { // undelivered data is lost with the process
+		(*clientSeesLost)(t).fire()
 		return
 	}
 	if t.ended {
@@ -268,7 +267,7 @@
 	w := f.client.w
 	keep := w.scenario.Clients.KeepIdle
 	switch {
-	case f.closed || f.proc.dead:
+	case f.closed || f.proc.ended:
 	case keep == 0:
 		f.close()
 	default:
@@ -276,27 +275,28 @@
 		f.client.idle = append(f.client.idle, f)
 		if !f.idleCheck {
 			f.idleCheck = true
-			w.scheduleAfter(f.idleTimeout(), rankClient, (*clientConnIdle)(f))
+			w.scheduleAfter(f.idleTimeout(), rankClient, (*clientConnIdleCheck)(f))
 		}
 	}
 }
 
 // idleTimeout is how long the connection may stay idle at present.
 func (f *clientConn) idleTimeout() time.Duration {
-	most := min(f.client.w.scenario.Clients.KeepIdle, agentIdle)
+	timeout := min(f.client.w.scenario.Clients.KeepIdle, agentIdle)
 	if crowded, _ := f.proc.descriptors.Pressure(); crowded {
-		most = min(most, crowdedIdle)
+		timeout = min(timeout, crowdedIdle)
 	}
-	return most
+	return timeout
 }
 
-type clientConnIdle clientConn
+// clientConnIdleCheck closes a connection that has been idle for idleTimeout.
+type clientConnIdleCheck clientConn
 
-func (i *clientConnIdle) fire() {
+func (i *clientConnIdleCheck) fire() {
 	f := (*clientConn)(i)
 	f.idleCheck = false
 	at := slices.Index(f.client.idle, f)
-	if f.closed || f.proc.dead || at < 0 {
+	if f.closed || f.proc.ended || at < 0 {
 		return
 	}
 	w := f.client.w
@@ -342,17 +342,17 @@
 	if t.accepted && t.proc.external {
 		delete(t.proc.requests, t.op)
 	}
-	if t.accepted && !t.proc.dead {
+	if t.accepted && !t.proc.ended {
 		t.proc.post(message{kind: clientGone, try: t})
 	}
 }
 
-// resetAll breaks the client's connections to an agent process that has ended.
-func (c *client) resetAll(l *agentProcess) {
+// resetConns breaks the client's connections to an agent process that has ended.
+func (c *client) resetConns(l *agentProcess) {
 	c.idle = slices.DeleteFunc(c.idle, func(f *clientConn) bool { return f.proc == l })
 	w := c.w
 	for _, t := range l.unanswered() {
-		w.scheduleAfter(w.network.client, rankArrival, (*tryLost)(t))
+		w.scheduleAfter(w.network.client, rankArrival, (*clientSeesLost)(t))
 	}
 	for _, t := range l.listener.waiting {
 		if !t.ended {
@@ -363,17 +363,17 @@
 
 // unanswered returns the accepted tries whose clients still wait, in order of arrival.
 func (l *agentProcess) unanswered() []*try {
-	var held []*try
+	var waiting []*try
 	for _, o := range l.requests {
 		if !o.try.ended && !o.try.answerSent {
-			held = append(held, o.try)
+			waiting = append(waiting, o.try)
 		}
 	}
-	slices.SortFunc(held, func(a, b *try) int { return cmp.Compare(a.op, b.op) })
-	return held
+	slices.SortFunc(waiting, func(a, b *try) int { return cmp.Compare(a.op, b.op) })
+	return waiting
 }
 
-func (l *tryLost) fire() {
+func (l *clientSeesLost) fire() {
 	t := (*try)(l)
 	if t.ended {
 		return
@@ -383,7 +383,7 @@
 	t.retry(false)
 }
 
-func (u *tryUnreached) fire() {
+func (u *clientSeesUnreached) fire() {
 	if t := (*try)(u); !t.ended {
 		t.end()
 		t.retry(true)
@@ -404,20 +404,20 @@
 	}
 	q := t.request
 	w := t.agent.w
-	set := &w.scenario.Clients
+	clients := &w.scenario.Clients
 	class := &w.scenario.Classes[q.class]
 	wait := w.backoff
-	switch set.Backoff {
+	switch clients.Backoff {
 	case scenario.AtOnce:
 		wait = 0
 	case scenario.Exponential:
 		wait <<= min(t.number, 20)
 	}
-	if w.scenario.Allow.RetryAfter && hashedDraw(q.drawSeed, 0, lotHonors) < w.honorShare {
+	if w.scenario.Allow.RetryAfter && hashedDraw(q.drawSeed, 0, drawHonorsRetryAfter) < w.honorShare {
 		wait = max(wait, min(t.retryAfter, w.scenario.Allow.MaxRetryAfter))
 	}
-	may := neverRan || class.Effect == scenario.Safe
-	if !may || t.number >= set.Retries || w.now+wait >= q.deadline {
+	repeatable := neverRan || class.Effect == scenario.Safe
+	if !repeatable || t.number >= clients.Retries || w.now+wait >= q.deadline {
 		return
 	}
 	w.pending++
@@ -450,15 +450,15 @@
 // peak rate and are discarded so that the rate at that time remains.
 func (s *source) scheduleNext() {
 	w := s.client.w
-	highest := s.perS * w.peakFactor
+	peak := s.perS * w.peakFactor
 	if w.scenario.Load.Arrivals == scenario.Bursty {
-		highest /= max(w.scenario.Load.BurstMean, 1)
+		peak /= max(w.scenario.Load.BurstMean, 1)
 	}
-	if highest <= 0 {
+	if peak <= 0 {
 		return
 	}
 	for {
-		s.next += time.Duration(s.rng.ExpFloat64() / highest * float64(time.Second))
+		s.next += time.Duration(s.rng.ExpFloat64() / peak * float64(time.Second))
 		if s.next >= s.until || s.next < 0 {
 			return
 		}
@@ -481,8 +481,8 @@
 	for range n {
 		q := s.draw()
 		wait := time.Duration(s.rng.Float64() * float64(span))
-		left := w.trafficKept < 1 && hashedDraw(q.drawSeed, 0, lotKept) >= w.trafficKept
-		if left || s.next+wait >= s.until { // no request after the end of the run
+		dropped := w.trafficKept < 1 && hashedDraw(q.drawSeed, 0, drawKept) >= w.trafficKept
+		if dropped || s.next+wait >= s.until { // no request after the end of the run
 			continue
 		}
 		w.pending++
@@ -491,6 +491,7 @@
 	s.scheduleNext()
 }
 
+// requestStarts sends the first try of a request.
 type requestStarts request
 
 func (r *requestStarts) fire() {
--- a/internal/rehearsal/world/client_test.go
+++ b/internal/rehearsal/world/client_test.go
@@ -17,7 +17,8 @@
 	"dunestep/internal/routing"
 )
 
-// TestFirstTriesFollowLoad: the first tries come as often as the scenario says, over the day and in its course.
+// TestFirstTriesFollowLoad checks that first tries arrive at the rate that the scenario sets, in each
+// half of the run, with the class shares, work and key popularity that it sets.
 func TestFirstTriesFollowLoad(t *testing.T) {
 	for _, shape := range []scenario.Shape{scenario.Steady, scenario.Ramp, scenario.Wave} {
 		for _, arrivals := range []scenario.Arrivals{scenario.Poisson, scenario.Bursty} {
@@ -50,7 +51,8 @@
 	}
 }
 
-// TestClientRetryBackoff: every server turns all away; clients come again as often and after such waits as they do.
+// TestClientRetryBackoff checks how often and after which waits clients retry when every server rejects
+// all attempts.
 func TestClientRetryBackoff(t *testing.T) {
 	const wait = 60 * time.Millisecond
 	for _, c := range []struct {
@@ -70,36 +72,36 @@
 			set.Clients.Honour, set.Clients.Impatient = span(c.honour, c.honour), span(0, 0)
 			set.Clients.TryShare = span(1, 1)
 		})
-		type place struct {
+		type tryKey struct {
 			chain uint32
 			try   uint8
 		}
-		asked := map[uint32]place{}
-		refused := map[place]record.Event{}
+		sent := map[uint32]tryKey{}
+		rejected := map[tryKey]record.Event{}
 		waits := map[int][]time.Duration{}
-		heeded := 0
+		honored := 0
 		for _, e := range d.events {
 			if e.At < faultStart+time.Second || e.At > faultEnd-time.Second {
 				continue
 			}
 			switch e.Kind {
 			case record.Answered:
-				refused[asked[e.Op]] = e
+				rejected[sent[e.Op]] = e
 			case record.Asked:
-				asked[e.Op] = place{e.Chain, e.Try}
-				before, known := refused[place{e.Chain, e.Try - 1}]
+				sent[e.Op] = tryKey{e.Chain, e.Try}
+				before, known := rejected[tryKey{e.Chain, e.Try - 1}]
 				if !known {
 					continue
 				}
 				waits[int(e.Try)] = append(waits[int(e.Try)], e.At-before.At)
 				if before.After > 0 && c.honour > 0 {
 					require.GreaterOrEqual(t, e.At-before.At, min(before.After, 2*time.Second))
-					heeded++
+					honored++
 				}
 			}
 		}
 		if c.honour > 0 {
-			require.Greater(t, heeded, 10)
+			require.Greater(t, honored, 10)
 			continue
 		}
 		require.Len(t, waits, c.retries)
@@ -111,7 +113,8 @@
 	}
 }
 
-// TestSameRunOnAnyCoreCount plays one day in processes of their own with one core and with eight.
+// TestSameRunOnAnyCoreCount checks that one seed gives the same run in processes with one core and with
+// eight.
 func TestSameRunOnAnyCoreCount(t *testing.T) {
 	if os.Getenv("WORLD_PRINT_DAY") != "" {
 		set := deployment(20 * time.Second)
@@ -125,38 +128,39 @@
 		fmt.Printf("day %x\n", sha256.Sum256(fmt.Append(nil, d.run, d.servers, d.events, d.samples)))
 		return
 	}
-	var days []string
+	var runs []string
 	for _, cores := range []string{"1", "8", "8"} {
-		again := exec.Command(os.Args[0], "-test.run=^TestSameDay$", "-test.v")
-		again.Env = append(os.Environ(), "WORLD_PRINT_DAY=1", "GOMAXPROCS="+cores)
-		out, err := again.CombinedOutput()
+		child := exec.Command(os.Args[0], "-test.run=^TestSameRunOnAnyCoreCount$", "-test.v")
+		child.Env = append(os.Environ(), "WORLD_PRINT_DAY=1", "GOMAXPROCS="+cores)
+		out, err := child.CombinedOutput()
 		require.NoError(t, err, "%s", out)
 		require.Contains(t, string(out), "day ")
-		var day string
-		_, err = fmt.Sscanf(string(out[len("=== RUN   TestSameDay\n"):]), "day %s", &day)
+		var run string
+		_, err = fmt.Sscanf(string(out[len("=== RUN   TestSameRunOnAnyCoreCount\n"):]), "day %s", &run)
 		require.NoError(t, err, "%s", out)
-		days = append(days, day)
+		runs = append(runs, run)
 	}
-	require.Equal(t, days[0], days[1])
-	require.Equal(t, days[1], days[2])
+	require.Equal(t, runs[0], runs[1])
+	require.Equal(t, runs[1], runs[2])
 }
 
-// A second answer to one operation is put on record, though the client has its answer: the judge is to find it.
+// TestSecondAnswerIsRecorded checks that a second answer to a request is recorded for the judge,
+// although the client ignores it.
 func TestSecondAnswerIsRecorded(t *testing.T) {
 	l := newTestbed(func(*scenario.Scenario, *machine) {})
-	life := &agentProcess{w: l.world, agent: l.agents[0], descriptors: routing.NewDescriptors(1024)}
+	proc := &agentProcess{w: l.world, agent: l.agents[0], descriptors: routing.NewDescriptors(1024)}
 	l.agents[0].client = &client{w: l.world, agent: l.agents[0]}
 	q := &request{client: l.agents[0].client}
 	tried := &try{
-		request: q, agent: l.agents[0], proc: life, op: 1, accepted: true,
-		conn: &clientConn{client: l.agents[0].client, proc: life},
+		request: q, agent: l.agents[0], proc: proc, op: 1, accepted: true,
+		conn: &clientConn{client: l.agents[0].client, proc: proc},
 	}
-	life.requests = map[uint32]*agentRequest{7: {try: tried}}
+	proc.requests = map[uint32]*agentRequest{7: {try: tried}}
 	answer := routing.Output{Kind: routing.Respond, Request: 7, Result: protocol.Failed}
-	life.respond(&answer)
+	proc.respond(&answer)
 	l.advance(time.Second)
 	require.Len(t, l.sink.ofKind(record.Answered), 1)
-	life.respond(&answer)
+	proc.respond(&answer)
 	l.advance(time.Second)
 	require.Len(t, l.sink.ofKind(record.Answered), 2)
 }
--- a/internal/rehearsal/world/conn.go
+++ b/internal/rehearsal/world/conn.go
@@ -12,14 +12,14 @@
 const slowReaderDelay = 100 * time.Millisecond
 
 // noSettleTime is how long an agent keeps a connection unused after an answer. Simulated servers send
-// no second answer, so that agents gain nothing by waiting; agents in real time do wait.
+// no second answer, so that agents gain nothing by waiting; agents in real time do.
 const noSettleTime = 0
 
 // conn is a connection from an agent to an upstream server's process. Each end has its own view of it,
 // because data takes time to pass between them.
 type conn struct {
 	link      *link
-	proc      *agentProcess // the agent process that opened it
+	proc      *agentProcess // that opened it
 	upstream  *upstream
 	openIndex int            // index in the agent's open connections
 	process   *serverProcess // nil until the server has accepted it
@@ -31,7 +31,7 @@
 	// The server's end.
 	processIndex  int  // index in the process's connections; negative: not there
 	ended         bool // the process reads and writes nothing more
-	forgotten     bool // forgotten by a middlebox without a notice to either end
+	forgotten     bool // by a middlebox, without notifying either end
 	handshakeDone bool // the handshake is done or in progress
 	handshakeWork float64
 	idleCheck     bool // an idle check is scheduled
@@ -46,7 +46,7 @@
 }
 
 type (
-	connArrives   conn // the connect reaches the server
+	connArrives   conn // the connection request reaches the server
 	connAccepted  conn // the server's acceptance reaches the agent
 	connClosing   conn // the agent's close reaches the server
 	connBreaking  conn // the server's close or reset reaches the agent
@@ -56,7 +56,7 @@
 // open begins to connect to the server at the address. If the path is cut, nothing answers in time.
 func (c *conn) open() {
 	w := c.link.w
-	if c.link.cutUntil() > 0 || c.link.server.unanswering {
+	if c.link.cutUntil() > 0 || c.link.server.ignoringConnects {
 		return
 	}
 	if late := w.connectDelay(); late > 0 {
@@ -66,7 +66,7 @@
 	c.sendConnect()
 }
 
-// sendConnect sends the connect to the server.
+// sendConnect sends the connection request to the server.
 func (c *conn) sendConnect() {
 	c.link.w.schedule(c.link.arrival(&c.lastToServer, 1), rankArrival, (*connArrives)(c))
 }
@@ -99,7 +99,7 @@
 	c.send()
 }
 
-// write sends the connection's attempt. The first one is preceded by the rest of the handshake.
+// send sends the connection's attempt. The first one is preceded by the rest of the handshake.
 func (c *conn) send() {
 	w := c.link.w
 	s := c.attempt
@@ -124,7 +124,7 @@
 	c.lastToServer = max(c.lastToServer, c.link.agent.toServers.out)
 	arrives := c.link.arrival(&c.lastToServer, trips)
 	if v := c.link.server; v.fault == scenario.SlowReader &&
-		hashedDraw(w.seed, s.drawSeed, lotFault) < v.faultShare {
+		hashedDraw(w.seed, s.drawSeed, drawWireFault) < v.faultShare {
 		arrives += slowReaderDelay
 	}
 	w.schedule(arrives, rankArrival, (*attemptArrives)(s))
@@ -155,6 +155,7 @@
 	}
 }
 
+// uncount records that the server's end is closed.
 func (c *conn) uncount() {
 	if c.counted {
 		c.counted = false
@@ -208,7 +209,7 @@
 	if c.ended {
 		return
 	}
-	if s.reset && s.resetAfterRun { // after it has run
+	if s.reset && s.resetAfterRun {
 		c.drop()
 		return
 	}
--- a/internal/rehearsal/world/discovery.go
+++ b/internal/rehearsal/world/discovery.go
@@ -31,12 +31,17 @@
 	emptyFaults   int         // active faults that empty the list
 	downFaults    int         // active faults that keep it down
 
-	notice, silentNotice, join, period, spread, timeout time.Duration
-	callCost                                            time.Duration // processing time of a call
-	freeAt                                              time.Duration
-	calls                                               []*call // waiting calls and open watches, by arrival
-	flushing                                            bool
-	cachedFull                                          protocol.EndpointList // last one built
+	// noticeDelay, silentNoticeDelay and joinDelay are the times until it learns that a process has ended, that
+	// a machine has vanished, and that a server has started. Watches get updates every updatePeriod, each up to
+	// updateSpread late. A call fails if it would wait for longer than callTimeout.
+	noticeDelay, silentNoticeDelay, joinDelay,
+	updatePeriod, updateSpread, callTimeout time.Duration
+
+	callCost   time.Duration // processing time of a call
+	freeAt     time.Duration
+	calls      []*call // waiting calls and open watches, by arrival
+	flushing   bool
+	cachedFull protocol.EndpointList // last one built
 }
 
 // change is a published entry, with the list version that it came with.
@@ -48,14 +53,14 @@
 
 // call is an agent's call. It waits until discovery handles it; a watch then stays open.
 type call struct {
-	d           *discovery
+	discovery   *discovery
 	proc        *agentProcess
 	number      int
 	watch       bool
 	sentVersion int64 // the list version that was sent last
 	accepted    bool
 	ended       bool
-	lag         time.Duration // delay of updates after the first watches get them
+	updateDelay time.Duration // delay of its updates, up to updateSpread
 	lastSent    time.Duration // last message on it, keep-alive lines excluded
 	silent      bool          // nothing more is sent on it
 	wire        ListConn      // of a real agent
@@ -63,8 +68,8 @@
 
 var (
 	errDown        = errors.New("discovery is down")
-	errCallTimeout = errors.New("the call waited too long")
-	errCanceled    = errors.New("the call was ended")
+	errCallTimeout = errors.New("the call timed out in the queue")
+	errCanceled    = errors.New("the call was canceled")
 	errReset       = errors.New("the call was reset")
 )
 
@@ -72,9 +77,10 @@
 	s := &w.scenario.Discovery
 	rng := newStream(w.seed, "discovery")
 	d := &discovery{
-		w: w, notice: s.Notice.Draw(rng.Rand), silentNotice: s.SilentNotice.Draw(rng.Rand),
-		join: s.Join.Draw(rng.Rand), period: s.Period.Draw(rng.Rand), spread: s.Spread.Draw(rng.Rand),
-		timeout: s.Timeout, version: 1,
+		w: w, noticeDelay: s.Notice.Draw(rng.Rand), silentNoticeDelay: s.SilentNotice.Draw(rng.Rand),
+		joinDelay: s.Join.Draw(rng.Rand), updatePeriod: s.Period.Draw(rng.Rand),
+		updateSpread: s.Spread.Draw(rng.Rand),
+		callTimeout:  s.Timeout, version: 1,
 	}
 	d.callCost = time.Duration(float64(time.Second) / s.CallsPerS.Draw(rng.Rand))
 	return d
@@ -105,17 +111,18 @@
 	d.grow(l.server)
 	d.lastUpdate[l.server.number]++
 	d.w.scheduleAfter(after, rankEnvironment,
-		&pendingUpdate{d: d, listEntry: l, number: d.lastUpdate[l.server.number]})
+		&pendingUpdate{discovery: d, listEntry: l, number: d.lastUpdate[l.server.number]})
 }
 
+// pendingUpdate is the moment at which discovery learns of a server's state.
 type pendingUpdate struct {
-	d *discovery
+	discovery *discovery
 	listEntry
 	number int
 }
 
 func (n *pendingUpdate) fire() {
-	d := n.d
+	d := n.discovery
 	i := n.server.number
 	if n.number < d.appliedUpdate[i] {
 		return
@@ -127,7 +134,7 @@
 	}
 }
 
-// clearList publishes a list without servers; restoreList ends that.
+// clearList publishes a list without servers.
 func (d *discovery) clearList() {
 	d.emptyFaults++
 	for _, l := range d.published {
@@ -138,6 +145,7 @@
 	}
 }
 
+// restoreList ends clearList and publishes the learned state.
 func (d *discovery) restoreList() {
 	if d.emptyFaults--; d.emptyFaults == 0 {
 		for _, l := range d.learned {
@@ -159,13 +167,14 @@
 	if !d.flushing {
 		d.flushing = true
 		wait := time.Duration(0)
-		if d.period > 0 {
-			wait = d.period - d.w.now%d.period
+		if d.updatePeriod > 0 {
+			wait = d.updatePeriod - d.w.now%d.updatePeriod
 		}
 		d.w.scheduleAfter(wait, rankServer, (*watchFlush)(d))
 	}
 }
 
+// watchFlush sends pending changes to all watches.
 type watchFlush discovery
 
 func (f *watchFlush) fire() {
@@ -173,7 +182,7 @@
 	d.flushing = false
 	for _, c := range d.calls {
 		if c.watch && c.accepted {
-			d.w.scheduleAfter(c.lag, rankServer, (*watchUpdate)(c))
+			d.w.scheduleAfter(c.updateDelay, rankServer, (*watchUpdate)(c))
 		}
 	}
 }
@@ -219,7 +228,7 @@
 	if full && d.cachedFull.Version == version {
 		return d.cachedFull
 	}
-	config := protocol.EndpointList{Version: version, Full: full}
+	out := protocol.EndpointList{Version: version, Full: full}
 	for _, l := range list {
 		if l.server == nil || full && l.state == balancer.Gone {
 			continue
@@ -232,12 +241,12 @@
 		if l.started > 0 {
 			e.StartedAt = clockStart + l.started
 		}
-		config.Endpoints = append(config.Endpoints, protocol.Endpoint{Server: e, Addr: s.addr})
+		out.Endpoints = append(out.Endpoints, protocol.Endpoint{Server: e, Addr: s.addr})
 	}
 	if full {
-		d.cachedFull = config
+		d.cachedFull = out
 	}
-	return config
+	return out
 }
 
 // changesSince returns the entries that changed after a version, each server once.
@@ -255,15 +264,15 @@
 
 // The events of a call.
 type (
-	callArrives  call
-	callHandled  call
-	callTimesOut call
-	watchUpdate  call
+	callArrives  call // it reaches discovery
+	callHandled  call // discovery has processed it
+	callTimesOut call // it has waited for callTimeout
+	watchUpdate  call // changes are sent on it
 )
 
 func (r *callArrives) fire() {
 	c := (*call)(r)
-	d := c.d
+	d := c.discovery
 	switch {
 	case c.ended:
 	case d.downFaults > 0:
@@ -272,12 +281,12 @@
 		c.fail(errReset)
 	default:
 		d.calls = append(d.calls, c)
-		begin := max(d.freeAt, d.w.now)
-		if begin-d.w.now > d.timeout {
-			d.w.scheduleAfter(d.timeout, rankServer, (*callTimesOut)(c))
+		startAt := max(d.freeAt, d.w.now)
+		if startAt-d.w.now > d.callTimeout {
+			d.w.scheduleAfter(d.callTimeout, rankServer, (*callTimesOut)(c))
 			return
 		}
-		d.freeAt = begin + d.callCost
+		d.freeAt = startAt + d.callCost
 		d.w.schedule(d.freeAt, rankServer, (*callHandled)(c))
 	}
 }
@@ -290,7 +299,7 @@
 
 func (t *callHandled) fire() {
 	c := (*call)(t)
-	d := c.d
+	d := c.discovery
 	if c.ended || c.deferIfBlocked(t) {
 		return
 	}
@@ -312,17 +321,17 @@
 
 func (t *watchUpdate) fire() {
 	if c := (*call)(t); !c.ended && !c.deferIfBlocked(t) {
-		c.sendList(c.d.changesSince(c.sentVersion), false)
+		c.sendList(c.discovery.changesSince(c.sentVersion), false)
 	}
 }
 
 // deferIfBlocked reports whether nothing reaches the agent at present, and then reschedules the event.
-func (c *call) deferIfBlocked(says event) bool {
+func (c *call) deferIfBlocked(ev event) bool {
 	back := c.proc.agent.toDiscovery.back
-	if back > c.d.w.now {
-		c.d.w.schedule(back, rankServer, says)
+	if back > c.discovery.w.now {
+		c.discovery.w.schedule(back, rankServer, ev)
 	}
-	return back > c.d.w.now
+	return back > c.discovery.w.now
 }
 
 // callArrival returns when a call that the agent makes now reaches discovery.
@@ -332,7 +341,7 @@
 
 // sendList sends a full list or changes to the agent.
 func (c *call) sendList(list []listEntry, full bool) {
-	d := c.d
+	d := c.discovery
 	if c.silent {
 		return
 	}
@@ -359,9 +368,9 @@
 		if e.state == balancer.Ready && l.agent.disabledServers[e.server] {
 			e.state = balancer.Draining
 		}
-		had, there := l.sentServers[e.server.number], e.state != balancer.Gone
-		l.sentServers[e.server.number] = there
-		if !full || there || had {
+		wasListed, isListed := l.sentServers[e.server.number], e.state != balancer.Gone
+		l.sentServers[e.server.number] = isListed
+		if !full || isListed || wasListed {
 			l.w.record.listed(record.Told, l.agent, e)
 		}
 	}
@@ -369,19 +378,21 @@
 
 // fail ends a call from discovery's side.
 func (c *call) fail(err error) {
-	c.d.w.record.agent(record.CallFailed, c.proc.agent)
+	c.discovery.w.record.agent(record.CallFailed, c.proc.agent)
 	c.finish(err)
 }
 
+// finish ends a call with a result for the agent.
 func (c *call) finish(err error) {
 	c.remove()
 	c.send(message{kind: callEnded, number: c.number, err: err})
 }
 
+// remove ends a call without notifying the agent.
 func (c *call) remove() {
 	c.ended = true
-	if i := slices.Index(c.d.calls, c); i >= 0 {
-		c.d.calls = slices.Delete(c.d.calls, i, i+1)
+	if i := slices.Index(c.discovery.calls, c); i >= 0 {
+		c.discovery.calls = slices.Delete(c.discovery.calls, i, i+1)
 	}
 }
 
@@ -389,7 +400,7 @@
 func (c *call) send(m message) {
 	m.proc = c.proc
 	a := c.proc.agent
-	c.d.w.schedule(max(c.d.w.now, a.toDiscovery.back)+c.d.delay(a), rankArrival, &m)
+	c.discovery.w.schedule(max(c.discovery.w.now, a.toDiscovery.back)+c.discovery.delay(a), rankArrival, &m)
 }
 
 // delay is the one-way delay between an agent and discovery, which runs in the first zone. It has no
--- a/internal/rehearsal/world/discovery_test.go
+++ b/internal/rehearsal/world/discovery_test.go
@@ -10,29 +10,29 @@
 	"dunestep/internal/rehearsal/scenario"
 )
 
-// TestDiscoveryQueuesCalls: many agents begin at once; calls are taken up one after another, and those
-// that waited too long fail and come again.
+// TestDiscoveryQueuesCalls checks that discovery handles the calls of many starting agents one after
+// another, and that calls which wait too long fail and are repeated.
 func TestDiscoveryQueuesCalls(t *testing.T) {
 	set := deployment(30 * time.Second)
 	set.Agents.Count, set.Load.PerS = 30, span(20, 20)
 	set.Discovery.CallsPerS, set.Discovery.Timeout = span(4, 4), time.Second
 	d := play(t, set, 7, Options{})
 	watching := d.ofKind(record.Watching)
-	taken := map[int32]bool{}
+	accepted := map[int32]bool{}
 	for i, e := range watching {
-		taken[e.Agent] = true
+		accepted[e.Agent] = true
 		if i > 0 {
 			require.GreaterOrEqual(t, e.At-watching[i-1].At, 250*time.Millisecond)
 		}
 	}
-	require.Len(t, taken, 30, "each agent's watch is taken up in the end")
+	require.Len(t, accepted, 30, "each agent's watch is accepted eventually")
 	failed := d.ofKind(record.CallFailed)
 	require.Greater(t, len(failed), 20)
-	require.GreaterOrEqual(t, failed[0].At, time.Second, "a call fails when it has waited, not before")
+	require.GreaterOrEqual(t, failed[0].At, time.Second, "a call fails only after the timeout")
 }
 
-// TestDiscoveryDelays follows processes that die and come back: discovery notices after its time, and its
-// watches are told at the next of its periods, each a little apart.
+// TestDiscoveryDelays checks that discovery learns of crashed and restarted processes after its delays,
+// and updates its watches at the next period, spread over a short time.
 func TestDiscoveryDelays(t *testing.T) {
 	notice, join, period, spread := 2*time.Second, 1500*time.Millisecond, 700*time.Millisecond, 90*time.Millisecond
 	d := playFault(t, scenario.Trouble{Kind: scenario.Crashed, Part: span(0.3, 0.3)}, func(set *scenario.Scenario) {
@@ -50,21 +50,21 @@
 			require.Equal(t, faultEnd, e.Started)
 			require.Equal(t, faultEnd+join, e.At)
 		}
-		told := map[int32]int{}
+		updates := map[int32]int{}
 		for _, u := range d.ofKind(record.Told) {
 			if u.Server == e.Server && u.State == e.State && u.Started == e.Started && u.At >= e.At {
-				told[u.Agent]++
+				updates[u.Agent]++
 				next := e.At + period - e.At%period
 				require.GreaterOrEqual(t, u.At, next)
 				require.LessOrEqual(t, u.At, next+spread)
 			}
 		}
-		require.Equal(t, map[int32]int{0: 1, 1: 1, 2: 1, 3: 1, 4: 1}, told, "each watch, once")
+		require.Equal(t, map[int32]int{0: 1, 1: 1, 2: 1, 3: 1, 4: 1}, updates, "each watch is updated once")
 	}
 }
 
-// TestDiscoveryIgnoresStaleUpdates: a machine that vanishes and is back before its silence is noticed stays listed,
-// and one whose process starts again is never listed as gone after that.
+// TestDiscoveryIgnoresStaleUpdates checks that a machine which vanishes and returns before discovery
+// learns of it stays listed, and that a restarted process is not listed as gone afterwards.
 func TestDiscoveryIgnoresStaleUpdates(t *testing.T) {
 	slowNotice := func(set *scenario.Scenario) {
 		set.Discovery.Notice, set.Discovery.SilentNotice = ms(15000, 15000), ms(15000, 15000)
@@ -79,7 +79,8 @@
 	}
 }
 
-// TestAgentStartsWithOlderList: an agent that comes back is told at first what discovery listed a while before.
+// TestAgentStartsWithOlderList checks that a restarted agent first gets the list as discovery published
+// it some time before.
 func TestAgentStartsWithOlderList(t *testing.T) {
 	set := deployment(runLength)
 	set.Discovery.KnownAge, set.Discovery.Notice = ms(15000, 15000), ms(1000, 1000)
@@ -101,10 +102,10 @@
 	require.Len(t, first, 13)
 	gone := 0
 	for server, state := range first {
-		require.Equal(t, record.Active, state, "as it was 15 s before")
+		require.Equal(t, record.Active, state, "the list of 15 s before")
 		if later[server] == record.Gone {
 			gone++
 		}
 	}
-	require.Equal(t, 4, gone, "and soon it is told better")
+	require.Equal(t, 4, gone, "later updates correct the list")
 }
--- a/internal/rehearsal/world/fault_test.go
+++ b/internal/rehearsal/world/fault_test.go
@@ -11,7 +11,7 @@
 	"dunestep/internal/rehearsal/scenario"
 )
 
-// outcomes counts how attempts ended, beside the judge.
+// outcomes counts how attempts ended, in addition to judging the run.
 type outcomes struct {
 	*judge.Judge
 	ended [record.SpoiltAnswer + 1]int
@@ -24,7 +24,8 @@
 	o.Judge.Take(e)
 }
 
-// Each fault of the wire shows in a model's day as what it comes to, and breaks no rule.
+// TestWireFaultOutcomes checks that each fault on the wire leads to its outcome in a simulated run and
+// breaks no rule.
 func TestWireFaultOutcomes(t *testing.T) {
 	for _, f := range scenario.Faults {
 		t.Run(string(f), func(t *testing.T) {
--- a/internal/rehearsal/world/graphql.go
+++ b/internal/rehearsal/world/graphql.go
@@ -48,8 +48,8 @@
 		}
 		table[field] = c.Name
 		var bodies []string
-		for _, way := range queryTemplates {
-			bodies = append(bodies, fmt.Sprintf(way, kind, field))
+		for _, template := range queryTemplates {
+			bodies = append(bodies, fmt.Sprintf(template, kind, field))
 		}
 		w.graphQL.bodies = append([][]string{bodies}, w.graphQL.bodies...)
 	}
@@ -63,9 +63,10 @@
 func (q *request) agentClass() string {
 	w := q.client.w
 	class := q.class
-	if w.scenario.Clients.GraphQL > 0 && hashedDraw(q.drawSeed, 0, lotGraphQL) < w.scenario.Clients.GraphQL {
+	if w.scenario.Clients.GraphQL > 0 && hashedDraw(q.drawSeed, 0, drawGraphQL) < w.scenario.Clients.GraphQL {
 		if w.graphQL.classer != nil {
-			body := w.graphQL.bodies[class][int(hashedDraw(q.drawSeed, 0, lotGraphQLWay)*float64(len(queryTemplates)))]
+			body := w.graphQL.bodies[class][int(
+				hashedDraw(q.drawSeed, 0, drawGraphQLTemplate)*float64(len(queryTemplates)))]
 			v, err := w.graphQL.classer.Class(graphql.Request{
 				Method: "POST", Header: graphQLHeader, Body: []byte(body),
 			})
--- a/internal/rehearsal/world/hardship.go
+++ b/internal/rehearsal/world/hardship.go
@@ -27,7 +27,7 @@
 	return some
 }
 
-// startAgentFault starts a fault of one of these kinds.
+// startAgentFault starts a fault of an agent or its paths; other kinds have no effect here.
 func (t *injection) startAgentFault() {
 	switch w := t.w; t.config.Kind {
 	case scenario.Datagrams:
@@ -60,7 +60,7 @@
 	}
 }
 
-// endAgentFault ends a fault of one of these kinds.
+// endAgentFault ends a fault of an agent or its paths.
 func (t *injection) endAgentFault() {
 	switch t.config.Kind {
 	case scenario.Datagrams:
@@ -74,7 +74,7 @@
 		}
 	case scenario.AgentsPaused:
 		for _, l := range t.paused {
-			if l.pauseFaults--; l.pauseFaults == 0 && !l.dead {
+			if l.pauseFaults--; l.pauseFaults == 0 && !l.ended {
 				t.w.record.agent(record.AgentOn, l.agent)
 			}
 			l.resume()
@@ -98,38 +98,38 @@
 	if t.ended {
 		return
 	}
-	still := time.Duration((1 - t.size) * float64(scenario.SlowSlice))
+	pause := time.Duration((1 - t.size) * float64(scenario.SlowSlice))
 	for _, a := range t.targets() {
 		if l := a.current(); l != nil {
 			l.pause()
-			t.w.scheduleAfter(still, rankEnvironment, (*agentPauseEnds)(l))
+			t.w.scheduleAfter(pause, rankEnvironment, (*agentPauseEnds)(l))
 		}
 	}
 	t.w.scheduleAfter(scenario.SlowSlice, rankEnvironment, s)
 }
 
-// pauseStops ends one pause of an agent process.
+// agentPauseEnds ends one pause of an agent process.
 type agentPauseEnds agentProcess
 
 func (o *agentPauseEnds) fire() { (*agentProcess)(o).resume() }
 
 // pause stops an agent's process: it handles no event until it is resumed as often as paused.
 func (l *agentProcess) pause() {
-	if l.pauseCount++; l.pauseCount == 1 && l.external && !l.dead {
+	if l.pauseCount++; l.pauseCount == 1 && l.external && !l.ended {
 		l.w.wire.Pause(l.agent.number)
 	}
 }
 
 // resume ends one pause. After the last one, the events that were deferred fire now, in their order.
 func (l *agentProcess) resume() {
-	if l.pauseCount--; l.pauseCount > 0 || l.dead {
+	if l.pauseCount--; l.pauseCount > 0 || l.ended {
 		return
 	}
 	if l.external {
 		l.w.wire.Resume(l.agent.number)
 		return
 	}
-	for len(l.deferred) > 0 && l.pauseCount == 0 && !l.dead {
+	for len(l.deferred) > 0 && l.pauseCount == 0 && !l.ended {
 		next := l.deferred[0]
 		l.deferred = l.deferred[1:]
 		next.fire()
@@ -140,16 +140,16 @@
 }
 
 // deferIfPaused reports whether the process is paused, and defers the event until it is resumed.
-func (l *agentProcess) deferIfPaused(h event) bool {
-	if l.pauseCount == 0 || l.external || l.dead {
+func (l *agentProcess) deferIfPaused(ev event) bool {
+	if l.pauseCount == 0 || l.external || l.ended {
 		return false
 	}
-	l.deferred = append(l.deferred, h)
+	l.deferred = append(l.deferred, ev)
 	return true
 }
 
-// streamBlock holds the times until which an agent's streams pass nothing in each direction, or are
-// reset.
+// streamBlock holds the times until which an agent's streams pass nothing from the agent (out) or to it
+// (back), or are reset.
 type streamBlock struct{ out, back, reset time.Duration }
 
 // add extends the block by a fault until a time.
@@ -188,8 +188,8 @@
 	}
 }
 
-// blockCalls applies a stream fault to an agent's calls. It is recorded, because the agent cannot know
-// of list changes from then on.
+// blockCalls applies a stream fault to an agent's calls. A watch that is blocked is recorded as failed,
+// because the agent cannot learn of list changes from then on.
 func (d *discovery) blockCalls(a *agent, reset bool) {
 	for _, c := range append([]*call(nil), d.calls...) {
 		switch {
@@ -198,14 +198,14 @@
 			c.fail(errReset)
 		case c.accepted && c.watch && a.toDiscovery.back > d.w.now:
 			d.w.record.agent(record.CallFailed, a)
-			if c.wire == nil { // a real agent finds out by itself
+			if c.wire == nil { // a real agent detects it by itself
 				d.w.schedule(c.silenceDetected(), rankArrival, (*watchBlocked)(c))
 			}
 		}
 	}
 }
 
-// resumeWatches sends the changes since then on watches whose stream fault has ended.
+// resumeWatches sends the changes that watches have missed during a stream fault that has ended.
 func (d *discovery) resumeWatches(agents []*agent) {
 	for _, a := range agents {
 		for _, c := range d.calls {
--- a/internal/rehearsal/world/hardship_test.go
+++ b/internal/rehearsal/world/hardship_test.go
@@ -20,10 +20,10 @@
 	return func(e record.Event) bool { return e.From == from && e.Agent == to }
 }
 
-// What comes over the agents and the ways between them looks as it says, on the wire, for those that it names
-// alone, and is over when it is.
+// TestAgentFaults checks that faults of the agents and their paths show on the wire as specified, only
+// for the agents that they name, and only while they last.
 func TestAgentFaults(t *testing.T) {
-	const settled = faultStart + 500*time.Millisecond // what was on its way is there
+	const settled = faultStart + 500*time.Millisecond // after earlier messages have arrived
 	some := []int{0}
 	for name, c := range map[string]struct {
 		trouble scenario.Trouble
@@ -51,11 +51,11 @@
 		},
 		"paused": {scenario.Trouble{Kind: scenario.AgentsPaused, Agents: some}, func(t *testing.T, d *recordingSink) {
 			for _, kind := range []record.Kind{record.Sent, record.Answered} {
-				require.Zero(t, d.count(kind, settled, faultEnd, ofAgent(0)), "it stands still")
+				require.Zero(t, d.count(kind, settled, faultEnd, ofAgent(0)), "a paused agent does nothing")
 				require.Positive(t, d.count(kind, settled, faultEnd, ofAgent(1)))
 			}
-			require.Positive(t, d.count(record.Asked, settled, faultEnd, ofAgent(0)), "its machine takes what comes")
-			require.Positive(t, d.count(record.Sent, faultEnd, faultEnd+100*time.Millisecond, ofAgent(0)), "what waited")
+			require.Positive(t, d.count(record.Asked, settled, faultEnd, ofAgent(0)), "its machine still accepts requests")
+			require.Positive(t, d.count(record.Sent, faultEnd, faultEnd+100*time.Millisecond, ofAgent(0)), "deferred events fire")
 			require.Greater(t, d.count(record.Answered, 30*time.Second, runLength, served), 1000)
 		}},
 		"slowed": {
@@ -65,11 +65,11 @@
 					still := time.Duration(0.8 * float64(scenario.SlowSlice))
 					return e.Agent == 0 && (e.At-faultStart)%scenario.SlowSlice < still
 				})
-				require.Zero(t, n, "sent while it stood still")
+				require.Zero(t, n, "sent while paused")
 				require.Positive(t, d.count(record.Sent, settled, faultEnd, ofAgent(0)))
 			},
 		},
-		"servers hear, and are not heard": {scenario.Trouble{
+		"servers receive, answers blocked": {scenario.Trouble{
 			Kind: scenario.Streams, Stream: "servers", Agents: some,
 			Fault: scenario.StreamFromAgent,
 		}, func(t *testing.T, d *recordingSink) {
@@ -77,7 +77,7 @@
 			require.Zero(t, d.count(record.Ended, settled, faultEnd,
 				func(e record.Event) bool { return e.Agent == 0 && e.Outcome == record.OK }))
 		}},
-		"servers do not hear": {scenario.Trouble{
+		"servers receive nothing": {scenario.Trouble{
 			Kind: scenario.Streams, Stream: "servers", Agents: some,
 			Fault: scenario.StreamToAgent,
 		}, func(t *testing.T, d *recordingSink) {
@@ -106,9 +106,10 @@
 	}
 }
 
-// What discovery has to say to an agent that hears nothing reaches it when the fault is over, and not before.
+// TestBlockedDiscoveryStream checks that list changes reach an agent whose stream from discovery is
+// blocked after the fault, and not before.
 func TestBlockedDiscoveryStream(t *testing.T) {
-	told := func(fault scenario.Fault) (agents [2]int, after int) {
+	updates := func(fault scenario.Fault) (agents [2]int, after int) {
 		d := playFault(t, scenario.Trouble{Kind: scenario.Streams, Stream: "discovery", Agents: []int{0}, Fault: fault},
 			func(set *scenario.Scenario) {
 				set.Troubles = append(set.Troubles, scenario.Trouble{
@@ -122,16 +123,16 @@
 		return agents, d.count(record.Told, faultEnd, faultEnd+time.Second, ofAgent(0))
 	}
 	for _, fault := range []scenario.Fault{scenario.StreamSilent, scenario.StreamFromAgent} {
-		n, after := told(fault)
+		n, after := updates(fault)
 		require.Zero(t, n[0], "%s", fault)
 		require.Positive(t, n[1])
 		require.Positive(t, after)
 	}
-	n, _ := told(scenario.StreamToAgent)
+	n, _ := updates(scenario.StreamToAgent)
 	require.Positive(t, n[0])
 }
 
-// The timeline has each trouble's beginning and end, in words.
+// TestTimelineHasFaults checks that the timeline describes each fault at its start and end.
 func TestTimelineHasFaults(t *testing.T) {
 	var line timeline.Timeline
 	set := deployment(3 * time.Second)
--- a/internal/rehearsal/world/testbed_test.go
+++ b/internal/rehearsal/world/lab_test.go
@@ -16,7 +16,7 @@
 	"dunestep/internal/routing"
 )
 
-// lab is a world of one booking server, to which a test sends route steps by hand.
+// testbed is a simulation of one upstream server, to which a test sends attempts directly.
 type testbed struct {
 	*world
 	sink   *recordingSink
@@ -24,7 +24,8 @@
 	sent   uint64
 }
 
-// newTestbed puts a server on a plain machine of three cores, which a test may change before it starts.
+// newTestbed puts a server on a plain machine of three cores, which a test may change before the server
+// starts.
 func newTestbed(change func(*scenario.Scenario, *machine)) *testbed {
 	set := deployment(time.Minute)
 	l := &testbed{sink: &recordingSink{}}
@@ -41,7 +42,8 @@
 	return l
 }
 
-// send has a route step arrive at the server's process, on a connection of its own. The agent has lost interest.
+// deliver makes an attempt arrive at the server's process on a connection of its own. The agent ignores
+// its end.
 func (l *testbed) deliver(work float64, key uint32) *attempt {
 	l.sent++
 	c := &conn{
@@ -61,16 +63,17 @@
 	return s
 }
 
-// run lets so much time pass.
-func (l *testbed) advance(lasts time.Duration) {
-	until := l.now + lasts
-	for what, any := l.next(until); any; what, any = l.next(until) {
-		what.fire()
+// advance runs the simulation for a time.
+func (l *testbed) advance(duration time.Duration) {
+	until := l.now + duration
+	for ev, ok := l.next(until); ok; ev, ok = l.next(until) {
+		ev.fire()
 	}
 	l.now = until
 }
 
-// worked tells when a step was done with, and the work spent on it.
+// workOf returns when the server was done with an attempt, the work spent on it, and whether it ran; at
+// is negative if it is not done.
 func (l *testbed) workOf(s *attempt) (at time.Duration, work time.Duration, ran bool) {
 	for _, e := range l.sink.ofKind(record.Worked) {
 		if e.Op == s.try.op {
@@ -80,8 +83,9 @@
 	return -1, 0, false
 }
 
-// TestProcessSharesCores compares a process with a slow reckoning of the same: its cores shared evenly among the
-// requests in its slots, the others waiting in turn, fewer done where it is crowded.
+// TestProcessSharesCores compares a process with a time-stepped model: cores are shared evenly among
+// the requests in slots, others wait in order of arrival, and efficiency falls with the requests in
+// slots.
 func TestProcessSharesCores(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(1, 8).Draw(t, "slots")
@@ -92,14 +96,14 @@
 		l.server.start(false)
 		type job struct{ at, left, done float64 }
 		var jobs []job
-		var steps []*attempt
+		var attempts []*attempt
 		at := 0.0
 		for range rapid.IntRange(1, 20).Draw(t, "n") {
 			at += rapid.Float64Range(0, 0.2).Draw(t, "gap")
 			work := rapid.Float64Range(0.001, 0.5).Draw(t, "work")
 			jobs = append(jobs, job{at: at, left: work})
 			l.advance(seconds(at) - l.now)
-			steps = append(steps, l.deliver(work, 0))
+			attempts = append(attempts, l.deliver(work, 0))
 		}
 		l.advance(time.Minute)
 		const tick = 50e-6
@@ -111,14 +115,14 @@
 				}
 			}
 			n := float64(len(in))
-			pace := 1.5 * min(1, 3/n) * max(1-thrash*max(n/3-1, 0), minEfficiency)
+			rate := 1.5 * min(1, 3/n) * max(1-thrash*max(n/3-1, 0), minEfficiency)
 			for _, j := range in {
-				if j.left -= pace * tick; j.left <= 0 {
+				if j.left -= rate * tick; j.left <= 0 {
 					j.done = now + tick
 				}
 			}
 		}
-		for i, s := range steps {
+		for i, s := range attempts {
 			done, _, ran := l.workOf(s)
 			require.True(t, ran)
 			require.InDelta(t, jobs[i].done, done.Seconds(), 0.005, "request %d", i)
@@ -129,19 +133,19 @@
 func TestProcessRejectsAndDrops(t *testing.T) {
 	l := newTestbed(func(_ *scenario.Scenario, m *machine) { m.slots, m.queue, m.dropsWaiting = 1, 2, true })
 	l.server.start(false)
-	running, waiting, later, over := l.deliver(1, 0), l.deliver(1, 0), l.deliver(1, 0), l.deliver(1, 0)
-	_, _, ran := l.workOf(over)
-	require.Equal(t, replyUnprocessed, over.reply)
-	require.False(t, ran, "the waiting room was full")
+	running, waiting, later, rejected := l.deliver(1, 0), l.deliver(1, 0), l.deliver(1, 0), l.deliver(1, 0)
+	_, _, ran := l.workOf(rejected)
+	require.Equal(t, replyUnprocessed, rejected.reply)
+	require.False(t, ran, "the queue was full")
 	running.conn.closedByAgent()
 	waiting.conn.closedByAgent()
 	l.advance(10 * time.Second)
 	at, work, ran := l.workOf(running)
-	require.True(t, ran, "what runs goes on after its client has left")
+	require.True(t, ran, "a running attempt continues after its connection has closed")
 	require.InDelta(t, 1/1.5, at.Seconds(), 1e-6)
 	require.InDelta(t, 1, work.Seconds(), 1e-6)
 	_, _, ran = l.workOf(waiting)
-	require.False(t, ran, "what waits is dropped")
+	require.False(t, ran, "a waiting attempt is dropped")
 	at, _, _ = l.workOf(later)
 	require.InDelta(t, 2/1.5, at.Seconds(), 1e-6)
 
@@ -153,12 +157,12 @@
 	_, _, ran = l.workOf(patient)
 	require.True(t, ran)
 	_, _, ran = l.workOf(expired)
-	require.False(t, ran, "its time was over when its turn came")
+	require.False(t, ran, "its deadline had passed before a slot was free")
 	require.Equal(t, replyUnprocessed, expired.reply)
 
 	l.server.drain()
 	drained := l.deliver(1, 0)
-	require.Equal(t, replyUnprocessed, drained.reply, "a draining process takes nothing new")
+	require.Equal(t, replyUnprocessed, drained.reply, "a draining process rejects new attempts")
 }
 
 func TestCachedKeysAreLessWork(t *testing.T) {
@@ -171,37 +175,38 @@
 		return work.Seconds()
 	}
 	require.InDelta(t, 0.3, took(1), 1e-6)
-	require.InDelta(t, 0.15, took(1), 1e-6, "met a second ago")
+	require.InDelta(t, 0.15, took(1), 1e-6, "seen a second ago")
 	l.advance(5 * time.Second)
-	require.InDelta(t, 0.3, took(1), 1e-6, "met too long ago")
+	require.InDelta(t, 0.3, took(1), 1e-6, "seen too long ago")
 	took(2)
 	took(3)
-	require.InDelta(t, 0.3, took(1), 1e-6, "two others met since: forgotten")
+	require.InDelta(t, 0.3, took(1), 1e-6, "evicted by two other keys")
 }
 
-// TestKeyCache compares what a process remembers with a plain list, the key met last at the end.
+// TestKeyCache compares the cache with a plain list that has the most recent key last.
 func TestKeyCache(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		most := rapid.IntRange(0, 4).Draw(t, "most")
-		m := keyCache{limit: most, ttl: 10, lastSeen: map[uint32]time.Duration{}}
-		var plain []keyUse
+		limit := rapid.IntRange(0, 4).Draw(t, "most")
+		m := keyCache{limit: limit, ttl: 10, lastSeen: map[uint32]time.Duration{}}
+		var list []keyUse
 		for now := time.Duration(0); now < 300; now++ {
 			key := rapid.Uint32Range(1, 7).Draw(t, "key")
-			at := slices.IndexFunc(plain, func(k keyUse) bool { return k.key == key })
-			lately := at >= 0 && now-plain[at].at <= 10
+			at := slices.IndexFunc(list, func(k keyUse) bool { return k.key == key })
+			cached := at >= 0 && now-list[at].at <= 10
 			if at >= 0 {
-				plain = slices.Delete(plain, at, at+1)
+				list = slices.Delete(list, at, at+1)
 			}
-			plain = append(plain, keyUse{key, now})
-			plain = plain[max(len(plain)-most, 0):]
-			require.Equal(t, lately, m.touch(key, now))
-			require.LessOrEqual(t, len(m.lastSeen), most)
-			require.LessOrEqual(t, len(m.order), 8*most+65, "its memory is bounded")
+			list = append(list, keyUse{key, now})
+			list = list[max(len(list)-limit, 0):]
+			require.Equal(t, cached, m.touch(key, now))
+			require.LessOrEqual(t, len(m.lastSeen), limit)
+			require.LessOrEqual(t, len(m.order), 8*limit+65, "its size is bounded")
 		}
 	})
 }
 
-// TestProcessWarmsUp: cold at the start, warm after its time with work, and without work by the rules' time.
+// TestProcessWarmsUp checks that a process warms up by its work within its warm-up time, and without
+// work within the rules' slow start duration.
 func TestProcessWarmsUp(t *testing.T) {
 	for _, busy := range []bool{true, false} {
 		l := newTestbed(func(set *scenario.Scenario, m *machine) {
@@ -223,19 +228,20 @@
 			p.advance()
 			require.GreaterOrEqual(t, p.capacity(), before)
 		}
-		part := 0.4 + 0.6*3/8
+		level := 0.4 + 0.6*3/8
 		if busy {
-			part = 0.4 + 0.6*3/4
+			level = 0.4 + 0.6*3/4
 		}
-		require.InDelta(t, part*4.5, p.capacity(), 0.02)
+		require.InDelta(t, level*4.5, p.capacity(), 0.02)
 		l.advance(map[bool]time.Duration{true: 1100 * time.Millisecond, false: 5100 * time.Millisecond}[busy])
 		require.False(t, p.warming)
 		require.InDelta(t, 4.5, p.capacity(), 1e-9)
 	}
 }
 
-// TestWarmingProcessCrashesOnOverload: a cold process is sent evenly a little less and a little more than what makes it fall,
-// and a warm one far more. What it turns away counts as well.
+// TestWarmingProcessCrashesOnOverload checks that a process that is warming up crashes at a little more
+// than its overload limit and not at a little less, that rejected attempts count, and that a warm
+// process withstands far more.
 func TestWarmingProcessCrashesOnOverload(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -258,7 +264,7 @@
 			l.advance(time.Minute)
 			if c.falls {
 				require.Greater(t, l.sink.ofKind(record.Fell)[0].At, 3*time.Second)
-				require.Equal(t, processDown, l.server.process.state, "it stays down")
+				require.Equal(t, processDown, l.server.process.state, "a crashed process stays down")
 				require.Empty(t, l.server.process.conns)
 			}
 			require.Len(t, l.sink.ofKind(record.Worked), len(l.sink.ofKind(record.Reached)))
@@ -266,30 +272,31 @@
 	}
 }
 
-// TestCalendarOrder: what happens comes by time, then by rank, then as entered, however entering and happening mix.
+// TestCalendarOrder checks that events fire by time, then by rank, then in the order of scheduling,
+// whatever is scheduled in between.
 func TestCalendarOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var c calendar
 		var due []*testEvent
-		entered := 0
+		scheduled := 0
 		for range rapid.IntRange(0, 200).Draw(t, "n") {
 			if rapid.Bool().Draw(t, "enter") {
-				entered++
+				scheduled++
 				p := &testEvent{
 					at:   c.now + time.Duration(rapid.IntRange(0, 5).Draw(t, "wait")),
-					rank: rank(rapid.IntRange(0, int(rankSample)).Draw(t, "rank")), number: entered,
+					rank: rank(rapid.IntRange(0, int(rankSample)).Draw(t, "rank")), number: scheduled,
 				}
 				due = append(due, p)
 				c.schedule(p.at, p.rank, p)
 				continue
 			}
-			what, any := c.next(c.now + 100)
-			require.Equal(t, len(due) > 0, any)
-			if any {
+			ev, ok := c.next(c.now + 100)
+			require.Equal(t, len(due) > 0, ok)
+			if ok {
 				first := slices.MinFunc(due, func(a, b *testEvent) int {
 					return slices.Compare([]int{int(a.at), int(a.rank), a.number}, []int{int(b.at), int(b.rank), b.number})
 				})
-				require.Same(t, first, what)
+				require.Same(t, first, ev)
 				require.Equal(t, first.at, c.now)
 				due = slices.DeleteFunc(due, func(p *testEvent) bool { return p == first })
 			}
@@ -297,55 +304,56 @@
 	})
 }
 
-// TestAnswerAtDeadlineCounts: an answer that arrives at the instant at which its client's time is over, or its route step's,
-// counts as there, though it was entered later.
+// TestAnswerAtDeadlineCounts checks that an answer which arrives at the instant of its client's or its
+// attempt's timeout counts as received, although it was scheduled later.
 func TestAnswerAtDeadlineCounts(t *testing.T) {
 	l := newTestbed(func(*scenario.Scenario, *machine) {})
 	a := l.agents[0]
 	a.client = &client{w: l.world, agent: a}
-	alive := &agentProcess{w: l.world, agent: a, descriptors: routing.NewDescriptors(1024)}
-	asked := &try{
-		request: &request{client: a.client, deadline: time.Hour}, agent: a, proc: alive, op: 1,
-		conn: &clientConn{client: a.client, proc: alive}, accepted: true,
+	proc := &agentProcess{w: l.world, agent: a, descriptors: routing.NewDescriptors(1024)}
+	sent := &try{
+		request: &request{client: a.client, deadline: time.Hour}, agent: a, proc: proc, op: 1,
+		conn: &clientConn{client: a.client, proc: proc}, accepted: true,
 	}
-	l.schedule(time.Second, rankClient, (*tryTimesOut)(asked))
-	l.schedule(time.Second, rankClient, (*clientLeaves)(asked))
-	l.schedule(time.Second, rankArrival, (*tryAnswered)(asked))
+	l.schedule(time.Second, rankClient, (*tryTimesOut)(sent))
+	l.schedule(time.Second, rankClient, (*clientLeaves)(sent))
+	l.schedule(time.Second, rankArrival, (*tryAnswered)(sent))
 	l.advance(time.Second)
 	require.Len(t, l.sink.ofKind(record.Answered), 1)
 	require.Empty(t, l.sink.ofKind(record.Left))
 
-	stepEnds := func(timeOut time.Duration) record.Event {
+	outcomeWith := func(timeout time.Duration) record.Event {
 		l := newTestbed(func(*scenario.Scenario, *machine) {})
 		l.server.start(false)
 		idle := routing.NewIdleLimit(0, time.Minute)
-		alive := &agentProcess{
+		proc := &agentProcess{
 			w: l.world, agent: l.agents[0], idleLimit: idle, descriptors: routing.NewDescriptors(1024),
 			router: routing.NewRouter(balancer.Settings{}, nil),
 		}
-		over := &attempt{}
-		l.schedule(timeOut, rankTimer, (*connTimeout)(over))
+		timed := &attempt{}
+		l.schedule(timeout, rankTimer, (*connTimeout)(timed))
 		s := l.deliver(1.5, 0)
-		s.ended, s.proc, s.agentRequest = false, alive, &agentRequest{}
-		s.upstream = &upstream{proc: alive, pool: routing.NewPool[*conn](l.server.addr, idle, noSettleTime)}
-		s.phase, s.conn.proc, s.conn.closed = routing.AwaitingResponse, alive, false
-		alive.openConns = []*conn{s.conn}
-		over.conn = s.conn
+		s.ended, s.proc, s.agentRequest = false, proc, &agentRequest{}
+		s.upstream = &upstream{proc: proc, pool: routing.NewPool[*conn](l.server.addr, idle, noSettleTime)}
+		s.phase, s.conn.proc, s.conn.closed = routing.AwaitingResponse, proc, false
+		proc.openConns = []*conn{s.conn}
+		timed.conn = s.conn
 		l.advance(time.Minute)
 		require.Len(t, l.sink.ofKind(record.Ended), 1)
 		return l.sink.ofKind(record.Ended)[0]
 	}
-	answered := stepEnds(30 * time.Second)
+	answered := outcomeWith(30 * time.Second)
 	require.Equal(t, record.OK, answered.Outcome)
-	require.Equal(t, record.OK, stepEnds(answered.At).Outcome)
-	require.Equal(t, record.GivenUp, stepEnds(answered.At-1).Outcome)
+	require.Equal(t, record.OK, outcomeWith(answered.At).Outcome)
+	require.Equal(t, record.GivenUp, outcomeWith(answered.At-1).Outcome)
 }
 
-// connTimeout is the time-out of the route step that is on its connection by then.
+// connTimeout is the timeout of the attempt that is on its connection at that time.
 type connTimeout attempt
 
 func (l *connTimeout) fire() { (*attemptTimesOut)(l.conn.attempt).fire() }
 
+// testEvent is an event without an effect.
 type testEvent struct {
 	at     time.Duration
 	rank   rank
--- a/internal/rehearsal/world/leave.go
+++ b/internal/rehearsal/world/leave.go
@@ -14,22 +14,22 @@
 		if a.proc == nil {
 			continue
 		}
-		for _, y := range a.proc.unanswered() {
+		for _, waiting := range a.proc.unanswered() {
 			if t.rng.Float64() < t.share {
-				t.w.scheduleAfter(0, rankClient, (*clientLeaves)(y))
+				t.w.scheduleAfter(0, rankClient, (*clientLeaves)(waiting))
 			}
 		}
 	}
 }
 
 // connectDelay draws the extra delay of a connection that is opened now.
-func (w *world) connectDelay() (late time.Duration) {
+func (w *world) connectDelay() (delay time.Duration) {
 	for _, t := range w.active {
 		if t.config.Kind == scenario.LateConnections && t.delayRNG.Float64() < t.share {
-			late = max(late, t.config.Delay.Draw(t.delayRNG.Rand))
+			delay = max(delay, t.config.Delay.Draw(t.delayRNG.Rand))
 		}
 	}
-	return late
+	return delay
 }
 
 // connRetransmit sends a connection's first packet again after it was lost, unless the agent has given
@@ -42,18 +42,19 @@
 	}
 }
 
-// connectLossInterval is how long a real agent's connects to a server are lost. It is one second
-// because the agent's system retransmits them after a second.
+// connectLossInterval is how long a real agent's connection requests to a server are lost. The agent's
+// system retransmits a request after one second.
 const connectLossInterval = time.Second
 
-// connectLost reports whether a real agent's connect to a server is lost now, which delays it until a
-// retransmission.
+// connectLost reports whether a real agent's connection request to a server is lost now, which delays
+// it until a retransmission.
 func (l *link) connectLost() bool {
 	w := l.w
 	slot := uint64(max(w.now, 0) / connectLossInterval)
 	for _, t := range w.active {
 		if t.config.Kind == scenario.LateConnections &&
-			hashedDraw(w.seed, mix(uint64(l.agent.number)<<32+uint64(l.server.number))+slot, lotLate) < t.share {
+			hashedDraw(w.seed, mix(uint64(l.agent.number)<<32+uint64(l.server.number))+slot,
+				drawConnectLoss) < t.share {
 			return true
 		}
 	}
--- a/internal/rehearsal/world/life.go
+++ b/internal/rehearsal/world/life.go
@@ -22,21 +22,22 @@
 	number     int
 	name       string
 	zone       int
-	share      float64 // of the run's first tries
-	links      []*link // by server number
-	rng        stream  // for its datagrams and starts
-	starts     int
+	share      float64       // of the run's first tries
+	links      []*link       // by server number
+	rng        stream        // for its datagrams and starts
+	starts     int           // of its program so far
 	downFaults int           // active faults that keep it down
 	proc       *agentProcess // nil: killed or not ready yet
 	starting   *agentProcess // of a real agent that is not ready yet
 	client     *client
 
 	toDiscovery, toServers streamBlock // faults of its streams
-	disk                   []byte      // its state file as last written completely; survives the process
+	savedState             []byte      // its state file as last written completely; survives the process
 	disabled               []routing.DisabledEndpoint
 	disabledServers        map[*server]bool // those of disabled that are enforced
 }
 
+// link returns the agent's path to a server.
 func (a *agent) link(s *server) *link {
 	for len(a.links) <= s.number {
 		a.links = append(a.links, nil)
@@ -53,7 +54,7 @@
 type agentProcess struct {
 	w                 *world
 	agent             *agent
-	dead              bool
+	ended             bool
 	external          bool // a real program, which keeps most of the following state itself
 	router            *routing.Router
 	list              *routing.ListTracker
@@ -81,7 +82,7 @@
 	appliedPolicy     *policy.Effect           // last one given to the router
 	ring              *ringassignment.Agent    // nil: keys are placed by the agent's own list
 	appliedAssignment *balancer.RingAssignment // last one given to the router
-	lastConnected     time.Duration            // last time with a connection to the voters
+	lastConnected     time.Duration            // last time at which it was not cut off from the voters
 	appliedExclusions *balancer.Exclusions     // last ones given to the router
 }
 
@@ -108,7 +109,7 @@
 	update      balancer.UpdateKind
 	watchStatus balancer.WatchStatus
 	list        protocol.EndpointList
-	confirms    bool // it confirms the list
+	confirms    bool // the update confirms the list
 	id          uint32
 	attempt     int
 	result      routing.AttemptResult
@@ -145,14 +146,14 @@
 		a.startExternal()
 		return nil
 	}
-	set := routing.Permitted(w.deployment(a))
+	settings := routing.Permitted(w.deployment(a))
 	a.starts++
 	seed := nameSeed(w.seed, a.name) + uint64(a.starts)
-	decisions, err := balancer.New(set, seed)
+	decisions, err := balancer.New(settings, seed)
 	if err != nil {
 		return err
 	}
-	gate, err := overload.New(set, w.options.Storm, decisions, seed)
+	shedder, err := overload.New(settings, w.options.Storm, decisions, seed)
 	if err != nil {
 		return err
 	}
@@ -164,12 +165,12 @@
 		known = start.List
 		list = w.discovery.asOfVersion(known.Version)
 	}
-	module := routing.Module(gate)
+	module := routing.Module(shedder)
 	if w.delayedView != nil {
-		module = w.delayedView.policy(set, seed)
+		module = w.delayedView.policy(settings, seed)
 	}
 	l := &agentProcess{
-		w: w, agent: a, router: routing.NewRouter(set, module),
+		w: w, agent: a, router: routing.NewRouter(settings, module),
 		list:        routing.NewListTracker(serverAddr(0), known, a.disabled),
 		idleLimit:   routing.NewIdleLimit(clockStart+w.now, w.scenario.Connections.Idle),
 		descriptors: routing.NewDescriptors(w.scenario.Agents.Sockets), upstreams: map[string]*upstream{},
@@ -178,7 +179,7 @@
 	a.proc = l
 	l.joinRing()
 	if s := &w.scenario.Agents; w.delayedView == nil && (s.KeepEvery > 0 || s.ProvesList || w.hasUpgrades()) {
-		l.recorder = state.NewRecorder(start, decisions, gate, l.idleLimit,
+		l.recorder = state.NewRecorder(start, decisions, shedder, l.idleLimit,
 			state.ProbationSettings{Enabled: s.ProvesList, FullDeploy: s.DeployTakes})
 	}
 	if every := w.scenario.Agents.KeepEvery; every > 0 {
@@ -203,7 +204,7 @@
 
 // terminate ends the process and resets its connections.
 func (l *agentProcess) terminate() {
-	l.dead = true
+	l.ended = true
 	for _, c := range l.calls {
 		c.remove()
 	}
@@ -217,7 +218,7 @@
 		}
 		c.close()
 	}
-	l.agent.client.resetAll(l)
+	l.agent.client.resetConns(l)
 }
 
 func (l *agentProcess) clock() time.Duration { return clockStart + l.w.now }
@@ -228,10 +229,10 @@
 		l.postExternal(m)
 		return
 	}
-	if l.dead {
+	if l.ended {
 		return
 	}
-	if l.pauseCount > 0 { // in a function of its own: only there the message escapes to the heap
+	if l.pauseCount > 0 { // separate, so that only there the message escapes to the heap
 		l.postDeferred(m)
 		return
 	}
@@ -263,8 +264,8 @@
 	}
 }
 
-func (l *agentProcess) handle(at *message) {
-	m := *at // a copy: the mailbox may grow
+func (l *agentProcess) handle(msg *message) {
+	m := *msg // a copy: the mailbox may grow
 	l.updatePolicy()
 	l.updateAssignment()
 	l.updateExclusions()
@@ -306,21 +307,21 @@
 	w := l.w
 	q := t.request
 	l.accepted++
-	op := &l.wireRequest
-	*op = protocol.Request{
+	req := &l.wireRequest
+	*req = protocol.Request{
 		CorrelationID: wireID(l.accepted), Class: q.agentClass(),
 		IsRetry:  t.number > 0 && w.scenario.Clients.MarksRetry,
 		TimeLeft: (t.deadline - t.sentAt).Truncate(time.Millisecond),
 	}
 	if q.key > 0 {
-		op.Key = w.keyNames[q.key-1]
+		req.Key = w.keyNames[q.key-1]
 	}
 	if q.tenant != record.NoTenant {
-		op.Tenant = w.scenario.Tenants[q.tenant].Name
+		req.Tenant = w.scenario.Tenants[q.tenant].Name
 	}
 	o := &agentRequest{try: t}
 	t.agentRequest = o
-	id, out := l.router.RequestArrived(l.clock(), op, l.clock())
+	id, out := l.router.RequestArrived(l.clock(), req, l.clock())
 	o.id = id
 	l.requests[id] = o
 	l.execute(out)
@@ -337,7 +338,7 @@
 	return string(b[:])
 }
 
-// execute executes the router's outputs.
+// execute carries out the router's outputs.
 func (l *agentProcess) execute(outputs []routing.Output) {
 	w := l.w
 	for i := range outputs {
@@ -392,27 +393,28 @@
 	}
 }
 
-func (o *agentRequest) attempt(attempt int) *attempt {
+// attempt returns the attempt of an index; nil if there is none.
+func (o *agentRequest) attempt(index int) *attempt {
 	for _, s := range o.attempts {
-		if s.index == attempt {
+		if s.index == index {
 			return s
 		}
 	}
 	return nil
 }
 
-// executeList executes the list tracker's outputs.
+// executeList carries out the list tracker's outputs.
 func (l *agentProcess) executeList(outputs []routing.ListOutput) {
 	for i := range outputs {
 		switch o := &outputs[i]; o.Kind {
 		case routing.StartCall:
 			c := &call{
-				d: l.w.discovery, proc: l, number: o.Call, watch: o.Request.Watch,
+				discovery: l.w.discovery, proc: l, number: o.Call, watch: o.Request.Watch,
 				sentVersion: o.Request.FromVersion,
 			}
-			c.lag = time.Duration(l.agent.rng.Float64() * float64(c.d.spread))
+			c.updateDelay = time.Duration(l.agent.rng.Float64() * float64(c.discovery.updateSpread))
 			l.calls[o.Call] = c
-			l.w.schedule(l.agent.callArrival(c.d), rankArrival, (*callArrives)(c))
+			l.w.schedule(l.agent.callArrival(c.discovery), rankArrival, (*callArrives)(c))
 		case routing.EndCall:
 			if c := l.calls[o.Call]; c != nil && !c.ended {
 				c.remove()
--- a/internal/rehearsal/world/live.go
+++ b/internal/rehearsal/world/live.go
@@ -22,7 +22,7 @@
 	// Server makes an upstream server's address reachable for every agent. A repeated call has no
 	// effect.
 	Server(addr netip.AddrPort) error
-	// Gate sets how an agent's connects to an address are handled.
+	// Gate sets how an agent's connection requests to an address are handled.
 	Gate(agent int, addr netip.AddrPort, g Gate)
 	// Ask sends a client's try to an agent, on a kept connection or a new one.
 	Ask(f *FrontConn, q *Query)
@@ -41,10 +41,10 @@
 	Hinder(agent int, fault scenario.Fault, on bool)
 }
 
-// Gate is how a connect is handled.
+// Gate is how a connection request is handled.
 type Gate uint8
 
-// The gates: a connect is accepted, refused or left unanswered.
+// The gates: a connection request is accepted, refused or left unanswered.
 const (
 	Open Gate = iota
 	Shut
@@ -92,7 +92,7 @@
 	Class    string
 	Tenant   string
 	Key      string
-	Repeat   bool
+	Repeat   bool // marked as a retry
 	Update   bool // sent as a POST
 	TimeLeft time.Duration
 	Due      time.Duration // when it is to be sent
@@ -102,9 +102,9 @@
 // Final is an agent's final answer.
 type Final struct {
 	Answer  record.Answer
-	After   time.Duration
-	Attempt int  // the attempt that produced the body; negative: none did
-	Closes  bool // the connection cannot carry another try
+	After   time.Duration // Retry-After; zero: none
+	Attempt int           // the attempt that produced the body; negative: none did
+	Closes  bool          // the connection cannot carry another try
 }
 
 // FrontConn is a client's connection to an agent. The wire keeps its own state of it in Handle.
@@ -126,12 +126,12 @@
 	ready   []bool // by agent, before the start
 	started bool   // all agents are ready and time zero is set
 
-	mu     sync.Mutex
-	inbox  []inboxItem
-	zero   time.Time // time zero of the run
-	asleep atomic.Bool
-	wake   int // eventfd
-	late   Lateness
+	mu       sync.Mutex
+	inbox    []inboxItem
+	zero     time.Time // time zero of the run
+	sleeping atomic.Bool
+	eventFD  int // eventfd
+	late     Lateness
 }
 
 // inboxItem is an event from the wire.
@@ -171,14 +171,14 @@
 	if err != nil {
 		return nil, err
 	}
-	v := &Live{w: w, wake: fd, ready: make([]bool, set.Agents.Count)}
+	v := &Live{w: w, eventFD: fd, ready: make([]bool, set.Agents.Count)}
 	v.late.Happenings = hdrhistogram.New(1, int64(10*time.Minute/time.Microsecond), 3)
 	w.live = v
 	return v, nil
 }
 
 // Close releases the system resources of the run, which must have ended.
-func (v *Live) Close() { _ = unix.Close(v.wake) }
+func (v *Live) Close() { _ = unix.Close(v.eventFD) }
 
 // Deployment returns an agent's settings, for its configuration file.
 func (v *Live) Deployment(agent int) protocol.Settings {
@@ -243,17 +243,17 @@
 	for i := range w.scenario.Classes {
 		last = max(last, w.scenario.Day.Length+w.scenario.Classes[i].Deadline)
 	}
-	shown := time.Duration(0)
+	reported := time.Duration(0)
 	for {
 		v.drainInbox()
 		wall := v.clock()
 		for n := 0; n < cancelCheckEvents; n++ {
-			what, is := w.next(wall)
-			if !is {
+			ev, ok := w.next(wall)
+			if !ok {
 				break
 			}
 			v.recordLateness(wall)
-			what.fire()
+			ev.fire()
 		}
 		switch {
 		case w.failed != nil || ctx.Err() != nil:
@@ -271,8 +271,8 @@
 			v.finish()
 			return nil
 		}
-		if second := w.now.Truncate(time.Second); w.options.Progress != nil && second > shown {
-			shown = second
+		if second := w.now.Truncate(time.Second); w.options.Progress != nil && second > reported {
+			reported = second
 			w.options.Progress(second)
 		}
 		v.sleep()
@@ -321,27 +321,27 @@
 func (v *Live) clock() time.Duration { return time.Since(v.Zero()) }
 
 // post schedules an event from the wire for now.
-func (v *Live) post(what event) {
+func (v *Live) post(ev event) {
 	v.mu.Lock()
-	v.inbox = append(v.inbox, inboxItem{time.Since(v.zero), what})
+	v.inbox = append(v.inbox, inboxItem{time.Since(v.zero), ev})
 	v.mu.Unlock()
-	if v.asleep.CompareAndSwap(true, false) {
+	if v.sleeping.CompareAndSwap(true, false) {
 		v.wakeUp()
 	}
 }
 
 func (v *Live) wakeUp() {
 	one := [8]byte{0: 1}
-	_, _ = unix.Write(v.wake, one[:])
+	_, _ = unix.Write(v.eventFD, one[:])
 }
 
 // drainInbox schedules the events that have arrived from the wire.
 func (v *Live) drainInbox() {
 	v.mu.Lock()
-	came := v.inbox
+	items := v.inbox
 	v.inbox = nil
 	v.mu.Unlock()
-	for _, p := range came {
+	for _, p := range items {
 		v.w.schedule(p.at, rankArrival, p.event)
 	}
 }
@@ -350,23 +350,23 @@
 // up to a millisecond late on an idle machine.
 func (v *Live) sleep() {
 	wait := 100 * time.Millisecond
-	if at, is := v.w.NextAt(); is {
+	if at, ok := v.w.NextAt(); ok {
 		wait = min(wait, at-v.clock())
 	}
 	if wait <= 0 {
 		return
 	}
-	v.asleep.Store(true)
+	v.sleeping.Store(true)
 	v.mu.Lock()
-	any := len(v.inbox) > 0
+	nonEmpty := len(v.inbox) > 0
 	v.mu.Unlock()
-	if !any {
+	if !nonEmpty {
 		timeout := unix.NsecToTimespec(int64(wait))
-		fds := []unix.PollFd{{Fd: int32(v.wake), Events: unix.POLLIN}}
+		fds := []unix.PollFd{{Fd: int32(v.eventFD), Events: unix.POLLIN}}
 		if n, err := unix.Ppoll(fds, &timeout, nil); err == nil && n > 0 {
 			var count [8]byte
-			_, _ = unix.Read(v.wake, count[:])
+			_, _ = unix.Read(v.eventFD, count[:])
 		}
 	}
-	v.asleep.Store(false)
+	v.sleeping.Store(false)
 }
--- a/internal/rehearsal/world/memory.go
+++ b/internal/rehearsal/world/memory.go
@@ -19,13 +19,13 @@
 // that cannot be read or has another owner is ignored.
 func (a *agent) loadState(known protocol.EndpointList) state.Initial {
 	var file *state.File
-	if a.disk != nil {
-		if f, err := state.Decode(a.disk); err == nil && f.Owner == a.owner() {
+	if a.savedState != nil {
+		if f, err := state.Decode(a.savedState); err == nil && f.Owner == a.owner() {
 			file = f
 		}
 	}
-	start, _ := state.NewInitial(known, file, a.w.wallClock())
-	return start
+	initial, _ := state.NewInitial(known, file, a.w.wallClock())
+	return initial
 }
 
 // wallClock returns the time on the agents' machines.
@@ -48,7 +48,7 @@
 
 func (k *periodicSave) fire() {
 	l := (*agentProcess)(k)
-	if l.dead || l.deferIfPaused(k) || l.shutdown.requested {
+	if l.ended || l.deferIfPaused(k) || l.shutdown.requested {
 		return
 	}
 	l.saveState()
@@ -80,7 +80,7 @@
 }
 
 func (w *saveCompleted) fire() {
-	if !w.proc.deferIfPaused(w) && !w.proc.dead {
-		w.proc.agent.disk = w.raw
+	if !w.proc.deferIfPaused(w) && !w.proc.ended {
+		w.proc.agent.savedState = w.raw
 	}
 }
--- a/internal/rehearsal/world/network.go
+++ b/internal/rehearsal/world/network.go
@@ -37,26 +37,26 @@
 
 // link is the network path between an agent and an upstream server.
 type link struct {
-	w       *world
-	agent   *agent
-	server  *server
-	rng     stream
-	oneWay  time.Duration
-	crosses bool // to another zone
-	gate    Gate // last one set on the wire, with real agents
+	w           *world
+	agent       *agent
+	server      *server
+	rng         stream
+	oneWay      time.Duration
+	crossesZone bool // to another zone
+	gate        Gate // last one set on the wire, with real agents
 }
 
 func newLink(w *world, a *agent, s *server) *link {
 	return &link{
 		w: w, agent: a, server: s, rng: newStream(w.seed, "link "+a.name+" "+s.id),
-		oneWay: w.network.oneWay[a.zone][s.zone], crosses: a.zone != s.zone,
+		oneWay: w.network.oneWay[a.zone][s.zone], crossesZone: a.zone != s.zone,
 	}
 }
 
 // cutUntil returns until when the path is cut; zero: it is open.
 func (l *link) cutUntil() time.Duration {
 	until := l.server.cutUntil
-	if l.crosses {
+	if l.crossesZone {
 		until = max(until, l.w.zoneCut[l.agent.zone], l.w.zoneCut[l.server.zone])
 	}
 	if until <= l.w.now {
@@ -86,9 +86,9 @@
 // send sends a datagram, which may be lost.
 func (w *world) send(from, to *agent, data []byte) {
 	delay := w.scenario.Network.Datagram.Draw(from.rng.Rand)
-	lost := from.rng.Float64()
+	draw := from.rng.Float64()
 	cut := from.zone != to.zone && max(w.zoneCut[from.zone], w.zoneCut[to.zone]) > w.now
-	if cut || lost < max(w.datagramLoss, w.datagramLossByZone[to.zone]) {
+	if cut || draw < max(w.datagramLoss, w.datagramLossByZone[to.zone]) {
 		return
 	}
 	for _, c := range w.datagramFaults.Pass(w.now, from.number, to.number, data) {
@@ -96,6 +96,7 @@
 	}
 }
 
+// datagram is the arrival of a datagram at an agent.
 type datagram struct {
 	from, to *agent
 	data     []byte
--- a/internal/rehearsal/world/placed.go
+++ b/internal/rehearsal/world/placed.go
@@ -12,7 +12,8 @@
 
 // Generations of the agreed ring assignment (package ringassignment) during a run. The proposer of one voter
 // computes them from that agent's endpoint list, and each agent learns of them after a delay. The Raft log
-// and the leases are reduced to their guarantees: records are applied in order, and the leader is not cut off.
+// and the leases are reduced to their guarantees: records are applied in order, and the leader is not cut
+// off.
 
 const (
 	// proposeInterval is how often the leader checks for a new generation.
@@ -28,7 +29,7 @@
 	// voters have told each other that every agent has a generation: a lease request may miss it for a
 	// second.
 	maxLeaseTime, reportDelay = 5100 * time.Millisecond, 1100 * time.Millisecond
-	// monotonicStart keeps the monotonic clock positive during settleTime.
+	// monotonicStart is the monotonic clock at the start of the run; it keeps it positive during settleTime.
 	monotonicStart = time.Hour
 )
 
@@ -177,7 +178,9 @@
 
 // elect selects the leader, which stays the same while it can lead, and reports whether there is one.
 func (g *generations) elect() bool {
-	can := func(l *agentProcess) bool { return l != nil && !l.dead && l.pauseCount == 0 && !g.isolated(l.agent) }
+	can := func(l *agentProcess) bool {
+		return l != nil && !l.ended && l.pauseCount == 0 && !g.isolated(l.agent)
+	}
 	if can(g.leader) {
 		return true
 	}
--- a/internal/rehearsal/world/placed_test.go
+++ b/internal/rehearsal/world/placed_test.go
@@ -12,9 +12,9 @@
 	"dunestep/internal/rehearsal/scenario"
 )
 
-// A day on which agents place by generations: they begin by what a calm came to, by the kinds of machines, go on
-// to others under a deploy and a cut, and at its end all have the same one, without the servers that are gone. The
-// same day is the same again, and without the key it is another.
+// TestRingAssignmentRun checks a run with ring assignment: agents start with settled shares by machine
+// kind, new generations follow a deploy and a partition, and at the end all agents have the same one,
+// without servers that are gone. The run is reproducible, and another run results without the setting.
 func TestRingAssignmentRun(t *testing.T) {
 	set := deployment(40 * time.Second)
 	set.Kinds[0].Speed, set.Kinds[1].Speed = span(2, 2), span(1, 1)
@@ -34,19 +34,19 @@
 	w, err := newRun(set, 3, d, Options{})
 	require.NoError(t, err)
 	before := w.agents[0].proc.ring.Assignment(w.clockReading(), 0)
-	require.Nil(t, before, "without a standing there is none")
-	at := w.generations.stateMachine.State()
-	require.Len(t, at.Members, 13)
+	require.Nil(t, before, "there is no assignment without a lease")
+	settled := w.generations.stateMachine.State()
+	require.Len(t, settled.Members, 13)
 	for _, s := range w.servers {
-		for _, n := range at.Members {
+		for _, n := range settled.Members {
 			if n.ID == s.id {
-				require.InDelta(t, 200*w.generations.kindCapacity[s.machine.kind], n.OnRing(), 25, "settled on the kind's size")
+				require.InDelta(t, 200*w.generations.kindCapacity[s.machine.kind], n.OnRing(), 25, "settled on the kind's capacity")
 			}
 		}
 	}
 	require.NoError(t, w.run(context.Background()))
 	requireBalanced(t, d)
-	require.Greater(t, w.generations.stateMachine.State().Number, at.Number+2)
+	require.Greater(t, w.generations.stateMachine.State().Number, settled.Number+2)
 	var last *balancer.RingAssignment
 	for _, a := range w.agents {
 		require.NotNil(t, a.proc.appliedAssignment)
--- a/internal/rehearsal/world/plan.go
+++ b/internal/rehearsal/world/plan.go
@@ -42,8 +42,8 @@
 	}
 	w.record.w = w
 	w.build()
-	for what, any := w.next(set.Day.Length); any; what, any = w.next(set.Day.Length) {
-		what.fire()
+	for ev, ok := w.next(set.Day.Length); ok; ev, ok = w.next(set.Day.Length) {
+		ev.fire()
 	}
 	return p
 }
--- a/internal/rehearsal/world/policyfloor_test.go
+++ b/internal/rehearsal/world/policyfloor_test.go
@@ -24,17 +24,19 @@
 	newPolicyAt = cutFrom + 5*time.Second
 )
 
-// newPolicy narrows what the settings permit: one attempt less, and no second copies.
+// newPolicy restricts the settings: one attempt fewer and no hedged requests.
 const newPolicy = "format = 1\n[classes.consult]\nattempts = 2\ncopies = false\n[throttle]\nin_vain = 0.2\n"
 
-// conducts are what a cut-off agent may do, beside refusing all: that is "not cut off" without what it served.
+// policyModes are the ways in which a cut-off agent may act. Rejecting everything is not simulated: it
+// is "not cut off" without what that agent served.
 var policyModes = []string{"not cut off", "floor", "staleness"}
 
-// playCut plays a day in which the agent goes one of the conducts, and returns what part of first tries were served while it
-// was cut off: its own, all, and all but its own; whichever try of a request it was that was. Old counts its first tries under the former
-// version when the new one held.
-func playCut(t *testing.T, day string, seed uint64, way string) (own, all, others float64, old int) {
-	set, err := scenario.Load("../../../rehearsals/" + day + ".toml")
+// playCut simulates a run with the cut-off agent in a policy mode. It returns the fractions of first
+// tries during the cut whose request was served, by any of its tries: of the agent's own, of all, and
+// of all but without its own. Old counts its first tries under the replaced policy after the new one
+// was in effect.
+func playCut(t *testing.T, name string, seed uint64, mode string) (own, all, others float64, old int) {
+	set, err := scenario.Load("../../../rehearsals/" + name + ".toml")
 	require.NoError(t, err)
 	set.Day.Length, set.Agents.Count = time.Minute, 5
 	d := &recordingSink{}
@@ -44,23 +46,23 @@
 			before, after, floor = effects(t, set, d.run.Quotas)
 		}
 		switch isCut := agent == cutAgent && at >= leaseEnd && at < cutTo; {
-		case isCut && way == "floor":
+		case isCut && mode == "floor":
 			return floor
-		case isCut && way == "staleness", at < newPolicyAt:
+		case isCut && mode == "staleness", at < newPolicyAt:
 			return before
 		}
 		return after
 	}
 	require.NoError(t, Play(t.Context(), set, seed, d, Options{Acting: acting}))
-	served, of := map[uint32]bool{}, map[uint32]int{}
+	served, agentOf := map[uint32]bool{}, map[uint32]int{}
 	chain := map[uint32]uint32{}
 	for _, e := range d.events {
 		switch {
 		case e.Kind == record.Asked || e.Kind == record.Unreached:
 			chain[e.Op] = e.Chain
 			if e.Try == 0 && e.At >= leaseEnd && e.At < cutTo {
-				of[e.Chain] = int(e.Agent)
-				if e.Agent == cutAgent && e.At >= newPolicyAt && way == "staleness" {
+				agentOf[e.Chain] = int(e.Agent)
+				if e.Agent == cutAgent && e.At >= newPolicyAt && mode == "staleness" {
 					old++
 				}
 			}
@@ -69,7 +71,7 @@
 		}
 	}
 	var ownServed, ownAll, allServed float64
-	for c, agent := range of {
+	for c, agent := range agentOf {
 		if agent == cutAgent {
 			ownAll++
 		}
@@ -79,11 +81,11 @@
 			}
 		}
 	}
-	n := float64(len(of))
+	n := float64(len(agentOf))
 	return ownServed / max(ownAll, 1), allServed / n, (allServed - ownServed) / n, old
 }
 
-// effects are those of the settings as they are, of the new policy, and of its floor.
+// effects returns the effects of the settings alone, of the new policy, and of the new policy's floor.
 func effects(t *testing.T, set *scenario.Scenario, quotas []float64) (before, after, floor *policy.Effect) {
 	own := policy.LocalSettings{MaxFailedRatio: 0.25, Settings: balancer.Settings{Limits: balancer.Limits{
 		MaxAttempts: set.Allow.MaxAttempts,
@@ -107,31 +109,32 @@
 	return before, after, floor
 }
 
-// A cut-off agent on the floor serves nearly as if it were not cut off, and never by what was replaced; one that refuses all
-// loses what it would have served, and one that goes on as before decides by what was replaced. Figures for the design note
-// with LONG_TESTS.
+// TestCutOffAgentOnPolicyFloor checks that a cut-off agent on the policy floor serves nearly as much as
+// if it were not cut off, and never under the replaced policy. An agent that rejects everything loses
+// its share, and one that continues as before applies the replaced policy. LONG_TESTS covers more
+// scenarios and seeds.
 func TestCutOffAgentOnPolicyFloor(t *testing.T) {
-	days, seeds := []string{"calm-monday"}, uint64(1)
+	names, seeds := []string{"calm-monday"}, uint64(1)
 	if os.Getenv("LONG_TESTS") != "" {
-		days, seeds = []string{"calm-monday", "fast-failures", "flapping", "one-group-too-much"}, 3
+		names, seeds = []string{"calm-monday", "fast-failures", "flapping", "one-group-too-much"}, 3
 	}
-	for _, day := range days {
+	for _, name := range names {
 		own, all, fenced, old := map[string]float64{}, map[string]float64{}, 0.0, 0
-		for _, way := range policyModes {
+		for _, mode := range policyModes {
 			for seed := range seeds {
-				o, a, others, n := playCut(t, day, seed+1, way)
-				own[way] += o / float64(seeds)
-				all[way] += a / float64(seeds)
-				if old += n; way == "not cut off" {
+				o, a, others, n := playCut(t, name, seed+1, mode)
+				own[mode] += o / float64(seeds)
+				all[mode] += a / float64(seeds)
+				if old += n; mode == "not cut off" {
 					fenced += others / float64(seeds)
 				}
 			}
 		}
-		line := day + ":"
-		for _, way := range policyModes {
-			line += fmt.Sprintf(" %s %.3f (all %.3f);", way, own[way], all[way])
+		line := name + ":"
+		for _, mode := range policyModes {
+			line += fmt.Sprintf(" %s %.3f (all %.3f);", mode, own[mode], all[mode])
 		}
-		t.Logf("%s fencing 0 (all %.3f); first tries by the former version %d", line, fenced, old)
+		t.Logf("%s fencing 0 (all %.3f); first tries under the replaced policy %d", line, fenced, old)
 		require.Positive(t, old)
 		require.Greater(t, all["floor"], fenced+0.05)
 		require.InDelta(t, all["not cut off"], all["floor"], 0.05)
--- a/internal/rehearsal/world/process.go
+++ b/internal/rehearsal/world/process.go
@@ -22,7 +22,7 @@
 	processDown
 )
 
-// process is one run of an upstream server's program, with its connections and its work.
+// serverProcess is one run of an upstream server's program, with its connections and its work.
 //
 // Its cores are shared evenly among the running jobs, so that all of them progress at one rate. A job
 // is done when the work that each job has received since the process started (attained) has grown by
@@ -36,15 +36,15 @@
 
 	pausing bool
 
-	at       time.Duration // time of the last update of the following
-	attained float64       // work that a running job has received, in seconds of standard work
-	rate     float64       // growth of attained per second
-	done     float64       // work done
-	busy     float64       // core seconds used
-	nextDone time.Duration // when the next job is done, as scheduled; zero: none
+	updatedAt time.Duration // time of the last update of the following
+	attained  float64       // work that a running job has received, in seconds of standard work
+	rate      float64       // growth of attained per second
+	doneWork  float64       // total work done, in seconds of standard work
+	busy      float64       // core seconds used
+	nextDone  time.Duration // when the next job is done, as scheduled; zero: none
 
 	running    jobHeap // up to slots attempts, and any number of handshakes
-	slots      int     // in use
+	usedSlots  int     // in use
 	waiting    jobQueue
 	unread     []*job // arrived while the server was silent
 	conns      []*conn
@@ -74,42 +74,42 @@
 	return max(1-m.thrash*over, minEfficiency)
 }
 
-// warmth is the fraction of its capacity that a process has reached since it started. It grows with the
+// warmupLevel is the fraction of its capacity that a process has reached since it started. It grows with the
 // work done, and at least linearly over the rules' slow start duration.
 func (p *serverProcess) warmupLevel() float64 {
 	if !p.warming {
 		return 1
 	}
 	m := &p.server.machine
-	grown := 1.0
+	progress := 1.0
 	if m.warmupTime > 0 {
-		grown = p.busy / (m.warmupTime.Seconds() * float64(m.cores))
+		progress = p.busy / (m.warmupTime.Seconds() * float64(m.cores))
 	}
-	if most := p.w.scenario.Rules.ColdFor; most > 0 {
-		grown = max(grown, float64(p.w.now-p.started)/float64(most))
+	if slowStart := p.w.scenario.Rules.ColdFor; slowStart > 0 {
+		progress = max(progress, float64(p.w.now-p.started)/float64(slowStart))
 	}
-	return m.initialCapacity + (1-m.initialCapacity)*min(grown, 1)
+	return m.initialCapacity + (1-m.initialCapacity)*min(progress, 1)
 }
 
 // capacity is the work that the process can do per second now, at full efficiency.
 func (p *serverProcess) capacity() float64 {
 	m := &p.server.machine
-	full := 0.0
+	connUse := 0.0
 	if m.conns > 0 {
-		full = min(float64(len(p.conns))/float64(m.conns), 1)
+		connUse = min(float64(len(p.conns))/float64(m.conns), 1)
 	}
-	return float64(m.cores) * m.speed * p.warmupLevel() * (1 - m.connOverhead*full) / p.w.slowdown
+	return float64(m.cores) * m.speed * p.warmupLevel() * (1 - m.connOverhead*connUse) / p.w.slowdown
 }
 
 // advance accounts for the work done up to now. It must be called before any change of the rate.
 func (p *serverProcess) advance() {
-	passed := (p.w.now - p.at).Seconds()
-	p.at = p.w.now
-	if n := len(p.running.jobs); n > 0 && passed > 0 {
-		p.attained += p.rate * passed
-		p.done += p.rate * passed * float64(n)
+	elapsed := (p.w.now - p.updatedAt).Seconds()
+	p.updatedAt = p.w.now
+	if n := len(p.running.jobs); n > 0 && elapsed > 0 {
+		p.attained += p.rate * elapsed
+		p.doneWork += p.rate * elapsed * float64(n)
 		if p.rate > 0 {
-			p.busy += min(float64(n), float64(p.server.machine.cores)) * passed
+			p.busy += min(float64(n), float64(p.server.machine.cores)) * elapsed
 		}
 	}
 }
@@ -166,13 +166,13 @@
 	p.replan()
 }
 
-// pauseBegins and pauseStops bound a process's own pauses, in which no job progresses.
+// serverPauseStarts and serverPauseEnds bound a process's own pauses, in which no job progresses.
 type (
-	pauseBegins serverProcess
-	pauseStops  serverProcess
+	serverPauseStarts serverProcess
+	serverPauseEnds   serverProcess
 )
 
-func (b *pauseBegins) fire() {
+func (b *serverPauseStarts) fire() {
 	p := (*serverProcess)(b)
 	if p.state == processDown {
 		return
@@ -180,11 +180,11 @@
 	p.advance()
 	p.pausing = true
 	p.replan()
-	lasts := time.Duration(p.server.rng.Float64() * float64(p.server.machine.pause))
-	p.w.scheduleAfter(lasts, rankServer, (*pauseStops)(p))
+	duration := time.Duration(p.server.rng.Float64() * float64(p.server.machine.pause))
+	p.w.scheduleAfter(duration, rankServer, (*serverPauseEnds)(p))
 }
 
-func (e *pauseStops) fire() {
+func (e *serverPauseEnds) fire() {
 	p := (*serverProcess)(e)
 	if p.state == processDown {
 		return
@@ -192,12 +192,13 @@
 	p.advance()
 	p.pausing = false
 	p.replan()
-	p.planPause()
+	p.schedulePause()
 }
 
-func (p *serverProcess) planPause() {
+// schedulePause schedules the next pause, if the machine has any.
+func (p *serverProcess) schedulePause() {
 	if m := &p.server.machine; m.pauseEvery > 0 && m.pause > 0 {
-		p.w.scheduleAfter(p.server.rng.wait(m.pauseEvery), rankServer, (*pauseBegins)(p))
+		p.w.scheduleAfter(p.server.rng.wait(m.pauseEvery), rankServer, (*serverPauseStarts)(p))
 	}
 }
 
@@ -222,7 +223,7 @@
 		j.conn.handshakeDone = true
 		if work := j.conn.handshakeWork; work > 0 {
 			p.advance()
-			p.begin(&job{process: p, conn: j.conn, attempt: j.attempt, handshake: true, work: work})
+			p.startJob(&job{process: p, conn: j.conn, attempt: j.attempt, handshake: true, work: work})
 			p.replan()
 			return
 		}
@@ -239,9 +240,9 @@
 		s.done(0)
 	case p.state == processDraining || p.server.refusing:
 		p.reject(s, replyUnprocessed)
-	case p.server.failing > 0 && hashedDraw(p.w.seed, s.drawSeed, lotFailing) < p.server.failing:
+	case p.server.failing > 0 && hashedDraw(p.w.seed, s.drawSeed, drawFailing) < p.server.failing:
 		p.reject(s, replyError)
-	case p.slots < m.slots:
+	case p.usedSlots < m.slots:
 		p.advance()
 		p.beginAttempt(j)
 		p.replan()
@@ -265,12 +266,13 @@
 	if key := j.attempt.try.request.key; key != 0 && p.keys.touch(key, p.w.now) {
 		j.work *= 1 - m.cacheSaving
 	}
-	p.slots++
+	p.usedSlots++
 	j.attempt.ran = true
-	p.begin(j)
+	p.startJob(j)
 }
 
-func (p *serverProcess) begin(j *job) {
+// startJob adds a job to the running ones.
+func (p *serverProcess) startJob(j *job) {
 	j.target = p.attained + j.work
 	p.running.push(j)
 }
@@ -282,16 +284,16 @@
 		p.admit(j.attempt.job)
 		return
 	}
-	p.slots--
+	p.usedSlots--
 	s := j.attempt
 	s.done(j.work)
 	kind := replyServed
-	if hashedDraw(p.w.seed, s.drawSeed, lotError) < p.server.machine.errorRate {
+	if hashedDraw(p.w.seed, s.drawSeed, drawError) < p.server.machine.errorRate {
 		kind = replyError
-	} else if hashedDraw(p.w.seed, s.drawSeed, lotUnreadable) < p.server.unreadable {
+	} else if hashedDraw(p.w.seed, s.drawSeed, drawUnreadable) < p.server.unreadable {
 		kind = replyUnreadable
 	}
-	if hashedDraw(p.w.seed, s.drawSeed, lotFault) < p.server.faultShare {
+	if hashedDraw(p.w.seed, s.drawSeed, drawWireFault) < p.server.faultShare {
 		s.fault = p.server.fault
 	}
 	s.conn.answer(s, kind)
@@ -301,7 +303,7 @@
 // startWaiting starts waiting attempts in the free slots.
 func (p *serverProcess) startWaiting() {
 	m := &p.server.machine
-	for p.slots < m.slots {
+	for p.usedSlots < m.slots {
 		j := p.waiting.pop()
 		if j == nil {
 			return
@@ -326,6 +328,7 @@
 	p.replan()
 }
 
+// remove removes a connection, if the process has it.
 func (p *serverProcess) remove(c *conn) {
 	last := len(p.conns) - 1
 	if c.processIndex < 0 {
@@ -402,12 +405,12 @@
 		p.remove(c)
 		c.reset()
 	}
-	p.running, p.unread, p.slots, p.nextDone, p.rate = jobHeap{}, nil, 0, 0, 0
+	p.running, p.unread, p.usedSlots, p.nextDone, p.rate = jobHeap{}, nil, 0, 0, 0
 }
 
 // warmupLoad is the work recently sent to a process that is warming up.
 type warmupLoad struct {
-	sent  []sentWork // by time; entries before from have expired
+	sent  []sentWork // by time; entries before first have expired
 	first int
 	sum   float64
 }
--- a/internal/rehearsal/world/record.go
+++ b/internal/rehearsal/world/record.go
@@ -14,6 +14,7 @@
 	startedAt map[int]time.Duration // by agent number: start of a process that is not ready yet
 }
 
+// add writes an event with the present time.
 func (r *recorder) add(ev record.Event) {
 	ev.At = max(r.w.now, 0) // real agents get ready before time zero
 	r.ev = ev
@@ -45,7 +46,7 @@
 	}
 	if s.conn != nil {
 		ev.Server = int32(s.conn.link.server.number)
-		ev.Crossed = s.conn.link.crosses
+		ev.Crossed = s.conn.link.crossesZone
 	}
 	return ev
 }
@@ -102,7 +103,7 @@
 
 func (r *recorder) agent(kind record.Kind, a *agent) {
 	ev := record.Event{Kind: kind, Agent: int32(a.number)}
-	switch began, starts := r.startedAt[a.number]; kind {
+	switch startedAt, ok := r.startedAt[a.number]; kind {
 	case record.AgentStarts:
 		if r.startedAt == nil {
 			r.startedAt = map[int]time.Duration{}
@@ -112,15 +113,15 @@
 			return
 		}
 	case record.AgentUp:
-		if starts {
-			ev.After = r.w.now - began
+		if ok {
+			ev.After = r.w.now - startedAt
 			delete(r.startedAt, a.number)
 		}
 	}
 	r.add(ev)
 }
 
-func (r *recorder) trouble(kind record.Kind, n int) {
+func (r *recorder) fault(kind record.Kind, n int) {
 	r.add(record.Event{Kind: kind, Trouble: int16(n)})
 }
 
@@ -156,7 +157,7 @@
 		s.sample.Servers = append(s.sample.Servers, record.Load{
 			Server: i,
 			Busy:   (p.busy - s.busy[i]) / float64(v.machine.cores), Capacity: p.capacity(),
-			Running: p.slots, Waiting: p.waiting.len(), Conns: len(p.conns),
+			Running: p.usedSlots, Waiting: p.waiting.len(), Conns: len(p.conns),
 		})
 		s.busy[i] = p.busy
 	}
--- a/internal/rehearsal/world/remote.go
+++ b/internal/rehearsal/world/remote.go
@@ -9,8 +9,8 @@
 	"dunestep/internal/routing"
 )
 
-// This file is what stands in place of an agent's code where the agents are real: it tells the wire what the
-// world does, and the world what came from the wire.
+// With real agents, this file replaces the simulated agents: it passes the simulation's actions to the wire
+// and the wire's reports to the simulation.
 
 // startExternal starts an agent's real program. Its process counts once it reports ready.
 func (a *agent) startExternal() {
@@ -109,7 +109,7 @@
 
 // Called reports that an agent calls discovery: for a watch from a version on, or for the full list.
 func (v *Live) Called(agent int, watch bool, from int64, wire ListConn) *Call {
-	c := &call{d: v.w.discovery, watch: watch, sentVersion: from, wire: wire}
+	c := &call{discovery: v.w.discovery, watch: watch, sentVersion: from, wire: wire}
 	v.post(eventFunc(func() {
 		w := v.w
 		l := w.agents[agent].current()
@@ -120,8 +120,8 @@
 		l.accepted++
 		c.proc, c.number = l, int(l.accepted)
 		l.calls[c.number] = c
-		c.lag = time.Duration(l.agent.rng.Float64() * float64(c.d.spread))
-		w.schedule(l.agent.callArrival(c.d), rankArrival, (*callArrives)(c))
+		c.updateDelay = time.Duration(l.agent.rng.Float64() * float64(c.discovery.updateSpread))
+		w.schedule(l.agent.callArrival(c.discovery), rankArrival, (*callArrives)(c))
 	}))
 	return c
 }
@@ -233,7 +233,7 @@
 	s.conn.wire.Answer(a)
 }
 
-// wireOutcome returns the outcome that the agent sees.
+// wireOutcome returns the outcome that a real agent sees.
 func (s *attempt) wireOutcome() record.Outcome {
 	switch s.reply {
 	case replyServed:
@@ -272,6 +272,7 @@
 	w.wire.Ask(t.conn, query)
 }
 
+// tryExpires makes upstream servers reject further attempts of a try.
 type tryExpires try
 
 func (f *tryExpires) fire() { delete(f.agent.w.tries, f.op) }
@@ -318,7 +319,7 @@
 			t.unreadByExternal()
 			return
 		}
-		(*tryLost)(t).fire()
+		(*clientSeesLost)(t).fire()
 	}))
 }
 
@@ -361,16 +362,15 @@
 			}
 		}
 	}
-	// From now on the clock, not from when this look was due: the day's time zero is set once all agents are
-	// ready, and to make up for the looks of the time that is skipped then kept the kit late for a second with
-	// 200 agents.
+	// Scheduled by the clock, not by when this update was due: time zero is moved once all agents are ready, and
+	// making up for the updates of the skipped time kept the kit late for a second with 200 agents.
 	w.schedule(max(w.now+gateInterval, w.live.clock()), rankEnvironment, g)
 }
 
-// gate returns how an agent's connect to an upstream server is handled now.
+// gate returns how an agent's connection request to an upstream server is handled now.
 func (w *world) gate(a *agent, s *server) Gate {
 	switch p := s.process; {
-	case a.link(s).cutUntil() > 0 || s.unanswering || a.link(s).connectLost():
+	case a.link(s).cutUntil() > 0 || s.ignoringConnects || a.link(s).connectLost():
 		return Mute
 	case p == nil || p.state == processDown || p.full():
 		return Shut
--- a/internal/rehearsal/world/restart.go
+++ b/internal/rehearsal/world/restart.go
@@ -37,6 +37,7 @@
 	(*shutdownPhase)(l).fire()
 }
 
+// The events of a shutdown.
 type (
 	shutdownPhase agentProcess // the next phase of a shutdown begins
 	processExits  agentProcess // a shutdown is complete
@@ -44,7 +45,7 @@
 
 func (d *shutdownPhase) fire() {
 	l := (*agentProcess)(d)
-	if l.dead || l.deferIfPaused(d) {
+	if l.ended || l.deferIfPaused(d) {
 		return
 	}
 	phase, until := l.shutdown.plan.PhaseAt(l.clock())
@@ -88,7 +89,7 @@
 
 func (o *processExits) fire() {
 	l := (*agentProcess)(o)
-	if l.dead || l.deferIfPaused(o) {
+	if l.ended || l.deferIfPaused(o) {
 		return
 	}
 	w, a := l.w, l.agent
@@ -133,6 +134,7 @@
 	a.w.scheduleAfter(wait, rankEnvironment, (*agentRestarts)(a))
 }
 
+// agentRestarts starts an agent's program again.
 type agentRestarts agent
 
 func (b *agentRestarts) fire() {
--- a/internal/rehearsal/world/run_test.go
+++ b/internal/rehearsal/world/run_test.go
@@ -13,7 +13,7 @@
 	"dunestep/internal/rehearsal/scenario"
 )
 
-// diary is a sink that keeps a day.
+// recordingSink is a sink that keeps a run in memory.
 type recordingSink struct {
 	run     record.Day
 	servers []record.Server
@@ -39,7 +39,7 @@
 	return d
 }
 
-// of returns the events of a kind.
+// ofKind returns the events of a kind.
 func (d *recordingSink) ofKind(kind record.Kind) (found []record.Event) {
 	for _, e := range d.events {
 		if e.Kind == kind {
@@ -49,22 +49,23 @@
 	return found
 }
 
-// attemptKey names an attempt, or with a number below zero its client's try.
+// attemptKey identifies an attempt, or with a negative index its client's try.
 type attemptKey struct {
 	op      uint32
 	attempt int8
 }
 
-// requireBalanced checks what holds on any day: each thing that begins on the wire ends there, once.
+// requireBalanced checks an invariant of every run: whatever begins on the wire ends there exactly
+// once.
 func requireBalanced(t require.TestingT, d *recordingSink) {
-	wrong := func(e record.Event, why string) { require.Fail(t, why, "%+v", e) }
-	type counts struct{ tries, taken, ends, sent, ended, reached, worked int }
+	fail := func(e record.Event, why string) { require.Fail(t, why, "%+v", e) }
+	type counts struct{ tries, accepted, ends, sent, ended, reached, worked int }
 	seen := map[attemptKey]*counts{}
 	open := map[[2]int32]int{}
 	last := time.Duration(0)
 	for _, e := range d.events {
 		if e.At < last {
-			wrong(e, "time runs backwards")
+			fail(e, "time runs backwards")
 		}
 		last = e.At
 		key := attemptKey{e.Op, e.Attempt}
@@ -82,24 +83,24 @@
 			c.ends++
 		case record.Asked:
 			c.tries++
-			c.taken++
+			c.accepted++
 		case record.Answered, record.Left, record.Lost:
-			if c.ends++; c.taken != 1 {
-				wrong(e, "ends and was never taken")
+			if c.ends++; c.accepted != 1 {
+				fail(e, "ends without having been accepted")
 			}
 		case record.Sent:
 			if c.sent++; c.ended > 0 {
-				wrong(e, "sent after its end")
+				fail(e, "sent after it has ended")
 			}
 		case record.Ended:
 			c.ended++
 		case record.Reached:
 			if c.reached++; c.sent != 1 {
-				wrong(e, "reached and never sent")
+				fail(e, "reached the server without having been sent")
 			}
 		case record.Worked:
 			if c.worked++; c.reached != 1 || !e.Ran && e.Work != 0 {
-				wrong(e, "work that never came, or without having run")
+				fail(e, "work on an attempt that never arrived or never ran")
 			}
 		case record.Opened:
 			open[[2]int32{e.Agent, e.Server}]++
@@ -110,15 +111,15 @@
 	for key, c := range seen {
 		if c.tries > 1 || c.ends != c.tries || c.sent > 1 || c.ended < c.sent || c.ended > 1 || c.reached > 1 ||
 			c.worked != c.reached {
-			require.Fail(t, "something does not end once", "%+v %+v", key, *c)
+			require.Fail(t, "does not begin and end exactly once", "%+v %+v", key, *c)
 		}
 	}
-	for way, n := range open {
-		require.Zero(t, n, "connections left open: %v", way)
+	for link, n := range open {
+		require.Zero(t, n, "connections left open: %v", link)
 	}
 }
 
-// anyFault draws a trouble of any kind within a day of 20 s.
+// anyFault draws a fault of any kind within a run of 20 s.
 func anyFault(t *rapid.T, i int) scenario.Trouble {
 	kinds := []scenario.TroubleKind{
 		scenario.Silent, scenario.Failing, scenario.Refusing, scenario.Deploy, scenario.Slow,
@@ -129,10 +130,10 @@
 		scenario.AgentsSlowed, scenario.ClientsLeave, scenario.LateConnections,
 	}
 	kind := rapid.SampledFrom(kinds).Draw(t, fmt.Sprint("kind ", i))
-	at, lasts := rapid.Float64Range(0, 18000).Draw(t, "at"), rapid.Float64Range(100, 15000).Draw(t, "for")
+	at, duration := rapid.Float64Range(0, 18000).Draw(t, "at"), rapid.Float64Range(100, 15000).Draw(t, "for")
 	size := rapid.Float64Range(0.05, 1).Draw(t, "size")
 	u := scenario.Trouble{
-		Kind: kind, At: ms(at, at), For: ms(lasts, lasts), Count: 1 + int(size*4), Zone: "cluj-est",
+		Kind: kind, At: ms(at, at), For: ms(duration, duration), Count: 1 + int(size*4), Zone: "cluj-est",
 		Part: span(0.01, 1), Size: span(size, size), Idle: ms(50, 2000), Drain: ms(0, 5000), SameAddress: span(0, 1),
 	}
 	switch kind {
@@ -156,7 +157,8 @@
 	return u
 }
 
-// TestEverythingEndsOnce plays days with any troubles together: whatever goes wrong, everything that begins ends once.
+// TestEverythingEndsOnce checks the invariant of requireBalanced for runs with any combination of
+// faults.
 func TestEverythingEndsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := deployment(20 * time.Second)
--- a/internal/rehearsal/world/scenario_test.go
+++ b/internal/rehearsal/world/scenario_test.go
@@ -11,7 +11,7 @@
 	return scenario.TimeSpan{Low: time.Duration(low * 1e6), High: time.Duration(high * 1e6)}
 }
 
-// deployment is an even day of the deployment: 13 servers, 5 agents, 330 requests a second.
+// deployment returns a scenario with steady load: 13 servers, 5 agents, 330 requests a second.
 func deployment(length time.Duration) *scenario.Scenario {
 	set, err := scenario.Load("../../../rehearsals/calm-monday.toml")
 	if err != nil {
--- a/internal/rehearsal/world/server.go
+++ b/internal/rehearsal/world/server.go
@@ -21,21 +21,21 @@
 	cell    int
 	addr    netip.AddrPort
 	machine machine
-	weight  float64
-	rng     stream // for events while it runs
+	weight  float64 // as listed by discovery
+	rng     stream  // for events while it runs
 	process *serverProcess
 	leaving bool // replaced or draining
 
 	// Effects of active faults.
-	silent      bool
-	refusing    bool
-	failing     float64 // fraction of attempts that it answers with an error at once
-	unreadable  float64 // fraction of answers that cannot be read
-	connShare   float64 // fraction of the machine's connection limit
-	fault       scenario.Fault
-	faultShare  float64 // fraction of answers that have it
-	unanswering bool    // connects get no answer
-	cutUntil    time.Duration
+	silent           bool
+	refusing         bool
+	failing          float64 // fraction of attempts that it answers with an error at once
+	unreadable       float64 // fraction of answers that cannot be read
+	connShare        float64 // fraction of the machine's connection limit
+	fault            scenario.Fault
+	faultShare       float64 // fraction of answers that have it
+	ignoringConnects bool    // connection requests get no answer
+	cutUntil         time.Duration
 }
 
 // machine is an upstream server's hardware and configuration, as drawn for the run.
@@ -43,16 +43,16 @@
 	kind                 string
 	cores                int
 	speed                float64
-	slots, queue, conns  int
-	thrash, thrashAt     float64
-	connOverhead         float64
-	initialCapacity      float64
-	warmupTime           time.Duration
-	pauseEvery, pause    time.Duration
+	slots, queue, conns  int           // limits of running and waiting attempts and of connections
+	thrash, thrashAt     float64       // efficiency lost per job and core above thrashAt; jobs per core
+	connOverhead         float64       // fraction of capacity lost at the connection limit
+	initialCapacity      float64       // fraction of capacity at the start
+	warmupTime           time.Duration // with all cores busy
+	pauseEvery, pause    time.Duration // mean interval; maximum duration
 	errorRate            float64
-	dropsWaiting         bool
-	dropsExpired         bool
-	cacheSaving          float64
+	dropsWaiting         bool    // waiting attempts whose connection is closed
+	dropsExpired         bool    // waiting attempts whose deadline has passed
+	cacheSaving          float64 // fraction of work saved on a cached key
 	cacheTTL             time.Duration
 	cacheKeys            int
 	handshakeWork, trips float64 // seconds on a standard core; round trips
@@ -132,24 +132,24 @@
 
 // start starts the server's process; warming tells whether it begins in slow start. The caller informs
 // discovery.
-func (s *server) start(cold bool) {
+func (s *server) start(warming bool) {
 	w := s.w
-	p := &serverProcess{w: w, server: s, at: w.now, warming: cold}
+	p := &serverProcess{w: w, server: s, updatedAt: w.now, warming: warming}
 	p.keys = keyCache{limit: s.machine.cacheKeys, ttl: s.machine.cacheTTL, lastSeen: map[uint32]time.Duration{}}
 	s.process = p
-	if cold {
+	if warming {
 		p.started = w.now
 		w.scheduleAfter(warmupInterval, rankServer, (*warmupUpdate)(p))
 	}
 	w.record.server(record.ServerUp, p)
-	p.planPause()
+	p.schedulePause()
 }
 
 // stop ends the process; discovery learns of it after its notice time.
 func (s *server) stop() {
 	s.w.record.server(record.ServerDown, s.process)
 	s.process.terminate()
-	s.w.discovery.learnAfter(s.entry(balancer.Gone), s.w.discovery.notice)
+	s.w.discovery.learnAfter(s.entry(balancer.Gone), s.w.discovery.noticeDelay)
 }
 
 // drain makes the process take no new attempts.
--- a/internal/rehearsal/world/sight.go
+++ b/internal/rehearsal/world/sight.go
@@ -9,19 +9,20 @@
 )
 
 const (
-	// snapshotInterval is the time between two snapshots of the servers.
-	snapshotInterval = 100 * time.Millisecond // between two looks at the servers
-	loadSmoothing    = 0.3                    // weight of the last interval in the smoothed load
+	// viewInterval is the time between two views of the servers.
+	viewInterval = 100 * time.Millisecond
+	// loadSmoothing is the weight of the last interval in the smoothed load.
+	loadSmoothing = 0.3
 	// maxFailingShare is the fraction of errors from which a server counts as not serving.
 	maxFailingShare = 0.5
 )
 
-// delayedView holds recent snapshots of the servers' true state, for agents that see it with a delay.
+// delayedView holds recent views of the servers' true state, for agents that see it with a delay.
 type delayedView struct {
 	w           *world
 	delay       time.Duration
 	views       []*late.Sight // oldest first; as many as fit into the delay
-	arrivedWork float64       // that reached the agents since the last snapshot, in standard seconds
+	arrivedWork float64       // that reached the agents since the last view, in standard seconds
 	workPerS    float64       // smoothed work per second that reaches the agents
 }
 
@@ -29,31 +30,31 @@
 	return &delayedView{w: w, delay: delay}
 }
 
-// fire takes a snapshot of the servers.
+// fire takes a view of the servers.
 func (s *delayedView) fire() {
-	all := make([]late.Server, 0, len(s.w.servers))
+	seen := make([]late.Server, 0, len(s.w.servers))
 	for _, v := range s.w.servers {
 		p := v.process
 		if p == nil || p.state != processUp {
 			continue
 		}
 		p.advance()
-		all = append(all, late.Server{
+		seen = append(seen, late.Server{
 			ID: v.id, Capacity: p.capacity(),
 			Speed: p.capacity() * p.efficiency(), Cores: float64(v.machine.cores),
 			Held:  float64(len(p.running.jobs) + p.waiting.len()),
 			Takes: !v.silent && !v.refusing && v.failing < maxFailingShare && s.w.now >= v.cutUntil,
 		})
 	}
-	s.workPerS += (s.arrivedWork/snapshotInterval.Seconds() - s.workPerS) * loadSmoothing
+	s.workPerS += (s.arrivedWork/viewInterval.Seconds() - s.workPerS) * loadSmoothing
 	s.arrivedWork = 0
-	if s.views = append(s.views, late.NewSight(all, s.workPerS)); len(s.views) > int(s.delay/snapshotInterval)+1 {
+	if s.views = append(s.views, late.NewSight(seen, s.workPerS)); len(s.views) > int(s.delay/viewInterval)+1 {
 		s.views = s.views[1:]
 	}
-	s.w.scheduleAfter(snapshotInterval, rankSample, s)
+	s.w.scheduleAfter(viewInterval, rankSample, s)
 }
 
-// oldest returns the snapshot that agents see now.
+// oldest returns the view that agents see now.
 func (s *delayedView) oldest() *late.Sight { return s.views[0] }
 
 // policy returns the balancer of an agent that sees the true state with a delay.
--- a/internal/rehearsal/world/silence.go
+++ b/internal/rehearsal/world/silence.go
@@ -34,12 +34,12 @@
 	if c.ended || c.silent {
 		return
 	}
-	w := c.d.w
+	w := c.discovery.w
 	c.silent = true
 	w.record.agent(record.WatchSilent, c.proc.agent)
 	if c.wire != nil { // a real agent detects it by itself
 		// After the messages that were sent before.
-		w.scheduleAfter(c.d.delay(c.proc.agent), rankArrival, eventFunc(c.wire.Silence))
+		w.scheduleAfter(c.discovery.delay(c.proc.agent), rankArrival, eventFunc(c.wire.Silence))
 		return
 	}
 	w.schedule(c.silenceDetected(), rankArrival, (*watchAbandoned)(c))
@@ -47,16 +47,16 @@
 
 // silenceDetected returns when the agent ends the watch if it gets nothing from now on.
 func (c *call) silenceDetected() time.Duration {
-	w := c.d.w
-	heard := c.lastSent + (w.now-c.lastSent)/keepAliveInterval*keepAliveInterval
-	return max(heard+c.d.delay(c.proc.agent)+silenceTimeout, w.now)
+	w := c.discovery.w
+	lastHeard := c.lastSent + (w.now-c.lastSent)/keepAliveInterval*keepAliveInterval
+	return max(lastHeard+c.discovery.delay(c.proc.agent)+silenceTimeout, w.now)
 }
 
 // watchBlocked makes an agent end a watch whose stream is still blocked.
 type watchBlocked call
 
 func (h *watchBlocked) fire() {
-	if c := (*call)(h); c.proc.agent.toDiscovery.back > c.d.w.now {
+	if c := (*call)(h); c.proc.agent.toDiscovery.back > c.discovery.w.now {
 		(*watchAbandoned)(c).fire()
 	}
 }
--- a/internal/rehearsal/world/silence_test.go
+++ b/internal/rehearsal/world/silence_test.go
@@ -10,8 +10,9 @@
 	"dunestep/internal/rehearsal/scenario"
 )
 
-// Watches fall silent, each once and at its own time; nothing comes on them from then on, and each agent gives its own
-// up 3 s after it last heard of it, an empty line every 2 s, and calls anew.
+// TestSilentWatchesAreReplaced checks that watches fall silent once each, at different times, and carry
+// nothing from then on. Each agent ends its watch 3 s after the last message, with a keep-alive every 2
+// s, and opens a new one.
 func TestSilentWatchesAreReplaced(t *testing.T) {
 	d := playFault(t, scenario.Trouble{Kind: scenario.WatchesSilent}, func(set *scenario.Scenario) {
 		set.Agents.Count = 8
@@ -29,22 +30,22 @@
 	}
 	require.Len(t, silent, 8)
 	for _, e := range d.ofKind(record.Told) {
-		_, again := d.next(record.Watching, e.Agent, silent[e.Agent])
-		require.False(t, e.At > silent[e.Agent] && e.At < again, "agent %d was told in its silence", e.Agent)
+		_, rewatched := d.next(record.Watching, e.Agent, silent[e.Agent])
+		require.False(t, e.At > silent[e.Agent] && e.At < rewatched, "agent %d was sent an update on a silent watch", e.Agent)
 	}
 	for agent, at := range silent {
-		is, again := d.next(record.Watching, agent, at)
-		require.True(t, is, "agent %d never watches again", agent)
-		require.Greater(t, again-at, time.Second) // 2 s at the most since the last line
-		require.Less(t, again-at, 3*time.Second+maxRewatchTime, "and the module's own wait")
+		ok, rewatched := d.next(record.Watching, agent, at)
+		require.True(t, ok, "agent %d opens no new watch", agent)
+		require.Greater(t, rewatched-at, time.Second) // the last keep-alive is at most 2 s old
+		require.Less(t, rewatched-at, 3*time.Second+maxRewatchTime, "and the balancer's own wait")
 	}
 }
 
-// maxRewatchTime is longer than the module waits after a silence, with the calls of all.
+// maxRewatchTime is longer than the balancer waits after a silent watch, with the calls of all agents.
 const maxRewatchTime = 2 * time.Second
 
-// next finds when an agent's next event of a kind is.
-func (d *recordingSink) next(kind record.Kind, agent int32, after time.Duration) (is bool, at time.Duration) {
+// next returns the time of an agent's next event of a kind.
+func (d *recordingSink) next(kind record.Kind, agent int32, after time.Duration) (ok bool, at time.Duration) {
 	for _, e := range d.ofKind(kind) {
 		if e.Agent == agent && e.At > after {
 			return true, e.At
--- a/internal/rehearsal/world/step.go
+++ b/internal/rehearsal/world/step.go
@@ -28,8 +28,8 @@
 	index        int
 	upstream     *upstream
 	conn         *conn
-	drawSeed     uint64 // seed of its random draws
-	work         float64
+	drawSeed     uint64  // seed of its random draws
+	work         float64 // seconds on a standard core
 	startedAt    time.Duration
 	deadline     time.Duration // when the agent gives it up, as it tells the server
 	checkout     routing.Checkout[*conn]
@@ -40,10 +40,11 @@
 	job           *job // at the process, until it is done or dropped
 	ran           bool
 	reset         bool // a fault resets its connection
-	resetAfterRun bool // after it has run
+	resetAfterRun bool // only after it has run
 	fault         scenario.Fault
 }
 
+// The events of an attempt.
 type (
 	attemptArrives  attempt // its last byte reaches the server
 	attemptAnswered attempt // the answer's last byte reaches the agent
@@ -61,9 +62,9 @@
 	p := c.process
 	c.idleSince = s.w.now
 	s.w.record.reached(s, p)
-	if reset := s.w.resetShare; reset > 0 && hashedDraw(s.w.seed, s.drawSeed, lotReset) < reset {
+	if reset := s.w.resetShare; reset > 0 && hashedDraw(s.w.seed, s.drawSeed, drawReset) < reset {
 		s.reset = true
-		s.resetAfterRun = hashedDraw(s.w.seed, s.drawSeed, lotResetWhen) < 0.5
+		s.resetAfterRun = hashedDraw(s.w.seed, s.drawSeed, drawResetTime) < 0.5
 		if !s.resetAfterRun {
 			s.done(0)
 			c.drop()
@@ -110,14 +111,14 @@
 
 func (o *attemptTimesOut) fire() {
 	s := (*attempt)(o)
-	if !s.proc.deferIfPaused(o) && !s.ended && !s.proc.dead {
+	if !s.proc.deferIfPaused(o) && !s.ended && !s.proc.ended {
 		s.end(routing.TimedOut)
 	}
 }
 
 func (u *connectTimesOut) fire() {
 	s := (*attempt)(u)
-	if !s.proc.deferIfPaused(u) && !s.ended && !s.proc.dead && s.phase == routing.Connecting {
+	if !s.proc.deferIfPaused(u) && !s.ended && !s.proc.ended && s.phase == routing.Connecting {
 		s.proc.connectTimeouts.GaveUp()
 		s.end(routing.TimedOut)
 	}
@@ -126,26 +127,26 @@
 // startAttempt sends a request to an upstream server, on an idle connection or a new one.
 func (l *agentProcess) startAttempt(o *routing.Output) {
 	w := l.w
-	op := l.requests[o.Request]
+	req := l.requests[o.Request]
 	u := l.upstreams[o.Endpoint]
-	t := op.try
+	t := req.try
 	s := &attempt{
-		w: w, proc: l, agentRequest: op, try: t, index: o.Attempt, upstream: u, startedAt: w.now,
+		w: w, proc: l, agentRequest: req, try: t, index: o.Attempt, upstream: u, startedAt: w.now,
 		deadline: o.At - clockStart,
 	}
 	s.drawSeed = mix(t.request.drawSeed + uint64(t.number)<<32 + uint64(o.Attempt))
 	s.work = t.request.work * lognormal(w.noise[t.request.class], hashedNormal(w.seed, s.drawSeed))
-	op.attempts = append(op.attempts, s)
+	req.attempts = append(req.attempts, s)
 	w.pending++
-	lease, closing := u.pool.Acquire(l.clock())
+	checkout, closing := u.pool.Acquire(l.clock())
 	closeAll(closing)
-	s.checkout = lease
+	s.checkout = checkout
 	w.schedule(s.deadline, rankTimer, (*attemptTimesOut)(s))
-	if !lease.Reused {
+	if !checkout.Reused {
 		l.dial(s)
 		return
 	}
-	s.conn = lease.Conn
+	s.conn = checkout.Conn
 	s.conn.attempt = s
 	s.conn.send()
 }
@@ -158,9 +159,9 @@
 		s.end(routing.BrokenByEndpoint)
 		return
 	}
-	to := w.byAddr[s.checkout.Addr]
+	server := w.byAddr[s.checkout.Addr]
 	c := &conn{
-		link: l.agent.link(to), proc: l, upstream: s.upstream, attempt: s, processIndex: -1, usedAt: w.now,
+		link: l.agent.link(server), proc: l, upstream: s.upstream, attempt: s, processIndex: -1, usedAt: w.now,
 		openIndex: len(l.openConns),
 	}
 	l.openConns = append(l.openConns, c)
@@ -170,7 +171,7 @@
 	w.schedule(min(w.now+wait, s.deadline), rankTimer, (*connectTimesOut)(s))
 }
 
-// connReleased updates the open connections after one is closed.
+// connReleased removes a closed connection from the open ones and releases its descriptor.
 func (l *agentProcess) connReleased(c *conn) {
 	l.descriptors.ReleaseUpstream()
 	last := len(l.openConns) - 1
@@ -188,24 +189,24 @@
 }
 
 // end ends an attempt at the agent. Its connection is kept if it can be reused, and closed otherwise.
-func (s *attempt) end(how routing.EndReason) {
+func (s *attempt) end(reason routing.EndReason) {
 	l := s.proc
-	saw := routing.AttemptResult{
-		Phase: s.phase, EndReason: how, Response: s.reply.outcome(), Latency: s.w.now - s.startedAt,
+	result := routing.AttemptResult{
+		Phase: s.phase, EndReason: reason, Response: s.reply.outcome(), Latency: s.w.now - s.startedAt,
 		Reused: s.checkout.Reused, IdleFor: s.checkout.IdleFor,
 	}
-	if s.phase == routing.Connecting && how == routing.BrokenByEndpoint {
-		saw.Refused, saw.LocalFault = s.conn != nil, s.conn == nil
+	if s.phase == routing.Connecting && reason == routing.BrokenByEndpoint {
+		result.Refused, result.LocalFault = s.conn != nil, s.conn == nil
 	}
-	if stood, lost, counts := saw.IdleEvidence(); counts {
-		l.idleLimit.Record(l.clock(), stood, lost)
+	if idleFor, lost, counts := result.IdleEvidence(); counts {
+		l.idleLimit.Record(l.clock(), idleFor, lost)
 	}
-	s.finish(wireOutcome(saw))
-	if c := s.conn; how == routing.Completed {
+	s.finish(wireOutcome(result))
+	if c := s.conn; reason == routing.Completed {
 		closeAll(s.upstream.pool.Release(l.clock(), c, s.checkout.Addr, false))
 		s.upstream.scheduleExpiry()
 	} else {
-		if saw.IsUnanswered() {
+		if result.IsUnanswered() {
 			closeAll(s.upstream.pool.ReleaseUnanswered(l.clock() - (s.w.now - s.startedAt)))
 		} else {
 			s.upstream.pool.ReleaseClosed()
@@ -214,30 +215,30 @@
 			c.close()
 		}
 	}
-	l.post(message{kind: attemptEnded, id: s.agentRequest.id, attempt: s.index, result: saw})
+	l.post(message{kind: attemptEnded, id: s.agentRequest.id, attempt: s.index, result: result})
 }
 
 // finish records the outcome of the attempt.
-func (s *attempt) finish(how record.Outcome) {
+func (s *attempt) finish(outcome record.Outcome) {
 	s.ended = true
 	s.w.pending--
-	s.w.record.ended(s, how)
+	s.w.record.ended(s, outcome)
 }
 
 // wireOutcome returns the outcome on the wire, however the agent classifies it.
-func wireOutcome(saw routing.AttemptResult) record.Outcome {
+func wireOutcome(result routing.AttemptResult) record.Outcome {
 	switch {
-	case saw.Phase <= routing.Writing:
+	case result.Phase <= routing.Writing:
 		return record.NoConnection
-	case saw.EndReason == routing.BrokenByEndpoint:
+	case result.EndReason == routing.BrokenByEndpoint:
 		return record.Broken
-	case saw.EndReason == routing.InvalidResponse:
+	case result.EndReason == routing.InvalidResponse:
 		return record.SpoiltAnswer
-	case saw.EndReason != routing.Completed:
+	case result.EndReason != routing.Completed:
 		return record.GivenUp
-	case saw.Response == balancer.Served:
+	case result.Response == balancer.Served:
 		return record.OK
-	case saw.Response == balancer.Rejected:
+	case result.Response == balancer.Rejected:
 		return record.TurnedAway
 	}
 	return record.Error
@@ -248,15 +249,16 @@
 	at, any := u.pool.NextExpiry()
 	if at -= clockStart; any && (u.expiry == 0 || at < u.expiry) {
 		u.expiry = at
-		u.proc.w.schedule(at, rankTimer, (*idleDue)(u))
+		u.proc.w.schedule(at, rankTimer, (*upstreamIdleCheck)(u))
 	}
 }
 
-type idleDue upstream
+// upstreamIdleCheck closes the connections that have been idle for too long.
+type upstreamIdleCheck upstream
 
-func (d *idleDue) fire() {
+func (d *upstreamIdleCheck) fire() {
 	u := (*upstream)(d)
-	if u.proc.dead || u.proc.deferIfPaused(d) || u.expiry == 0 || u.expiry > u.proc.w.now {
+	if u.proc.ended || u.proc.deferIfPaused(d) || u.expiry == 0 || u.expiry > u.proc.w.now {
 		return
 	}
 	u.expiry = 0
--- a/internal/rehearsal/world/stream.go
+++ b/internal/rehearsal/world/stream.go
@@ -32,24 +32,24 @@
 
 // The uses of a hashed draw, so that two draws for one entity are independent.
 const (
-	lotNoise uint64 = iota + 1
-	lotNormal
-	lotError
-	lotReset
-	lotResetWhen
-	lotUnreadable
-	lotFailing
-	lotHonors
-	lotLeaves
-	lotLeavesWhen
-	lotKept
-	lotGraphQL
-	lotGraphQLWay
-	lotFault
-	lotLate
+	drawNoise uint64 = iota + 1
+	drawNormal
+	drawError
+	drawReset
+	drawResetTime
+	drawUnreadable
+	drawFailing
+	drawHonorsRetryAfter
+	drawLeaves
+	drawLeaveTime
+	drawKept
+	drawGraphQL
+	drawGraphQLTemplate
+	drawWireFault
+	drawConnectLoss
 )
 
-// lot returns a uniform draw from [0, 1) for an entity's number and a use. It does not depend on other
+// hashedDraw returns a uniform draw from [0, 1) for an entity's number and a use. It does not depend on other
 // draws or their order.
 func hashedDraw(seed, number, use uint64) float64 {
 	return float64(mix(seed^mix(number^use<<56))>>11) / (1 << 53)
@@ -57,8 +57,8 @@
 
 // hashedNormal returns a draw from the standard normal distribution for an entity's number.
 func hashedNormal(seed, number uint64) float64 {
-	u := max(hashedDraw(seed, number, lotNoise), 1e-12)
-	return math.Sqrt(-2*math.Log(u)) * math.Cos(2*math.Pi*hashedDraw(seed, number, lotNormal))
+	u := max(hashedDraw(seed, number, drawNoise), 1e-12)
+	return math.Sqrt(-2*math.Log(u)) * math.Cos(2*math.Pi*hashedDraw(seed, number, drawNormal))
 }
 
 // wait draws an exponentially distributed time.
--- a/internal/rehearsal/world/trouble.go
+++ b/internal/rehearsal/world/trouble.go
@@ -21,55 +21,57 @@
 // injection is one fault injection of the run, as drawn.
 type injection struct {
 	w      *world
-	index  int // index in the scenario
+	index  int // in the scenario
 	name   string
 	config *scenario.Trouble
 	rng    stream
 
-	start, duration    time.Duration
-	onTime, offTime    time.Duration // of an intermittent fault; zero: continuous
-	share, size        float64
-	idle, drain        time.Duration
-	delayRNG           stream // decides which connections are delayed
-	sameAddress        float64
-	healThreshold      float64
-	healTime           time.Duration
-	servers            []*server // affected
-	processes          []*serverProcess
-	ended              bool
-	batchSize, handled int                 // of a deploy or rolling restart: per step, and so far
-	calmTime           time.Duration       // how long the servers have been below the heal threshold
-	lastBusy           map[int]float64     // by server: core seconds used at the last heal check
-	datagramFault      mishap.Fault        // on datagrams
-	datagramFaultID    int                 // ID in world.mishaps
-	paused             []*agentProcess     // paused by it
-	window             *maintenance.Window // of a maintenance window; otherwise nil
+	start, duration     time.Duration
+	onTime, offTime     time.Duration // of an intermittent fault; zero: continuous
+	share, size         float64       // affected fraction; strength, in the unit of its kind
+	idleTime, drainTime time.Duration
+	delayRNG            stream  // decides which connections are delayed
+	sameAddress         float64 // probability that a successor keeps the address
+	healThreshold       float64
+	healTime            time.Duration
+	servers             []*server // affected
+	processes           []*serverProcess
+	ended               bool
+	batchSize, handled  int                 // of a deploy or rolling restart: per step, and so far
+	calmTime            time.Duration       // how long the servers have been below the heal threshold
+	lastBusy            map[int]float64     // by server: core seconds used at the last heal check
+	datagramFault       mishap.Fault        // on datagrams
+	datagramFaultID     int                 // ID in world.mishaps
+	paused              []*agentProcess     // that it has paused
+	window              *maintenance.Window // of a maintenance window; otherwise nil
 }
 
 // newInjection draws a fault injection. Its name is its kind and its index within that kind, so that
 // adding or removing faults of another kind does not change its draws.
-func newInjection(w *world, number, nth int) *injection {
-	set := &w.scenario.Troubles[number]
-	t := &injection{w: w, index: number, config: set, name: fmt.Sprint("trouble ", set.Kind, " ", nth)}
+func newInjection(w *world, index, nth int) *injection {
+	config := &w.scenario.Troubles[index]
+	t := &injection{w: w, index: index, config: config, name: fmt.Sprint("trouble ", config.Kind, " ", nth)}
 	t.rng = newStream(w.seed, t.name)
 	draw := func(v scenario.Span) float64 { return v.Draw(t.rng.Rand) }
 	span := func(v scenario.TimeSpan) time.Duration { return v.Draw(t.rng.Rand) }
-	t.start, t.duration, t.share, t.size = span(set.At), span(set.For), draw(set.Part), draw(set.Size)
-	t.idle, t.drain, t.sameAddress = span(set.Idle), span(set.Drain), draw(set.SameAddress)
-	t.healThreshold, t.healTime = draw(set.HealsBelow), span(set.HealsRest)
-	t.onTime, t.offTime = span(set.On), span(set.Off)
-	if set.Kind == scenario.Window {
-		t.window = t.newWindow(span(set.Moves))
+	t.start, t.duration, t.share, t.size = span(config.At), span(config.For),
+		draw(config.Part), draw(config.Size)
+	t.idleTime, t.drainTime, t.sameAddress = span(config.Idle), span(config.Drain), draw(config.SameAddress)
+	t.healThreshold, t.healTime = draw(config.HealsBelow), span(config.HealsRest)
+	t.onTime, t.offTime = span(config.On), span(config.Off)
+	if config.Kind == scenario.Window {
+		t.window = t.newWindow(span(config.Moves))
 	}
-	if set.Kind == scenario.LateConnections {
+	if config.Kind == scenario.LateConnections {
 		t.delayRNG = newStream(w.seed, t.name+" connections")
 	}
-	if set.Kind == scenario.Datagrams {
-		t.datagramFault = mishap.FromTrouble(set, t.rng.Rand)
+	if config.Kind == scenario.Datagrams {
+		t.datagramFault = mishap.FromTrouble(config, t.rng.Rand)
 	}
 	return t
 }
 
+// The events of an injection. An intermittent fault starts and ends several times.
 type (
 	injectionStarts injection
 	injectionEnds   injection
@@ -78,14 +80,14 @@
 func (b *injectionStarts) fire() {
 	t := (*injection)(b)
 	w := t.w
-	w.record.trouble(record.Began, t.index)
+	w.record.fault(record.Began, t.index)
 	w.active = append(w.active, t)
 	w.mark(t.description())
-	stays := t.duration
+	duration := t.duration
 	if t.onTime > 0 {
-		stays = min(t.onTime, t.start+t.duration-w.now)
+		duration = min(t.onTime, t.start+t.duration-w.now)
 	}
-	w.scheduleAfter(stays, rankEnvironment, (*injectionEnds)(t))
+	w.scheduleAfter(duration, rankEnvironment, (*injectionEnds)(t))
 	switch t.config.Kind {
 	case scenario.Silent, scenario.Failing, scenario.Refusing, scenario.Spoilt, scenario.FewConnections,
 		scenario.OnWire:
@@ -99,7 +101,7 @@
 		t.servers = t.pickServers()
 		for _, s := range t.servers {
 			s.cutUntil = max(s.cutUntil, w.now+t.duration)
-			w.discovery.learnAfter(s.entry(balancer.Gone), w.discovery.silentNotice)
+			w.discovery.learnAfter(s.entry(balancer.Gone), w.discovery.silentNoticeDelay)
 		}
 	case scenario.Crashed:
 		t.servers, t.processes = t.pickServers(), nil
@@ -118,7 +120,7 @@
 			if t.config.Kind == scenario.AgentsKilled {
 				a.kill()
 				if t.config.Folder == "empty" {
-					a.disk = nil
+					a.savedState = nil
 				}
 			} else if a.proc != nil {
 				a.proc.drain()
@@ -173,7 +175,7 @@
 	}
 	t.ended = true
 	w.active = slices.DeleteFunc(w.active, func(u *injection) bool { return u == t })
-	w.record.trouble(record.Over, t.index)
+	w.record.fault(record.Over, t.index)
 	w.mark("over: " + t.description())
 	switch t.config.Kind {
 	case scenario.Silent, scenario.Failing, scenario.Refusing, scenario.Spoilt, scenario.FewConnections,
@@ -182,7 +184,7 @@
 	case scenario.Vanished:
 		for _, s := range t.servers {
 			if s.process.state != processDown && s.cutUntil <= w.now {
-				w.discovery.learnAfter(s.entry(s.listState()), w.discovery.join)
+				w.discovery.learnAfter(s.entry(s.listState()), w.discovery.joinDelay)
 			}
 		}
 	case scenario.Crashed:
@@ -224,13 +226,14 @@
 	for i, s := range t.servers[:len(t.processes)] {
 		if s.process == t.processes[i] && !s.leaving {
 			s.start(true)
-			t.w.discovery.learnAfter(s.entry(balancer.Ready), t.w.discovery.join)
+			t.w.discovery.learnAfter(s.entry(balancer.Ready), t.w.discovery.joinDelay)
 		}
 	}
 }
 
-// pickServers returns the affected share of the running servers, at least one. Each server's rank is
-// hashed from its own ID, so that one more server does not change the others' order.
+// pickServers returns the affected share of the running servers, at least one. The order in
+// which they are picked is hashed from each server's ID, so that one more server does not change the
+// others' order.
 func (t *injection) pickServers() []*server {
 	var running []*server
 	zone := slices.Index(t.w.scenario.Network.Zones, t.config.Zone) // negative: servers of all zones
@@ -239,11 +242,11 @@
 			running = append(running, s)
 		}
 	}
-	lots := make(map[*server]uint64, len(running))
+	order := make(map[*server]uint64, len(running))
 	for _, s := range running {
-		lots[s] = nameSeed(t.w.seed, t.name+" "+s.id)
+		order[s] = nameSeed(t.w.seed, t.name+" "+s.id)
 	}
-	slices.SortFunc(running, func(a, b *server) int { return cmp.Compare(lots[a], lots[b]) })
+	slices.SortFunc(running, func(a, b *server) int { return cmp.Compare(order[a], order[b]) })
 	n := max(int(math.Round(t.share*float64(len(running)))), 1)
 	return running[:min(n, len(running))]
 }
@@ -252,7 +255,7 @@
 func (t *injection) updateServers() {
 	for _, s := range t.servers {
 		silent := s.silent
-		s.silent, s.refusing, s.unanswering = false, false, false
+		s.silent, s.refusing, s.ignoringConnects = false, false, false
 		s.fault, s.faultShare = "", 0
 		sound, readable := 1.0, 1.0
 		s.connShare = 1
@@ -273,7 +276,7 @@
 				s.connShare *= u.size
 			case scenario.OnWire:
 				s.fault, s.faultShare = u.config.Fault, u.size
-				s.unanswering = s.unanswering || u.config.Fault == scenario.NoAccept
+				s.ignoringConnects = s.ignoringConnects || u.config.Fault == scenario.NoAccept
 			}
 		}
 		s.failing, s.unreadable = 1-sound, 1-readable
@@ -298,8 +301,8 @@
 		case scenario.Reset:
 			w.resetShare = 1 - (1-w.resetShare)*(1-t.size)
 		case scenario.Forgotten:
-			if w.idleForgetting == 0 || t.idle < w.idleForgetting {
-				w.idleForgetting = t.idle
+			if w.idleForgetting == 0 || t.idleTime < w.idleForgetting {
+				w.idleForgetting = t.idleTime
 			}
 		case scenario.DatagramsLost:
 			for i, zone := range w.scenario.Network.Zones {
@@ -353,8 +356,8 @@
 		t.handled++
 		if s.running() {
 			s.drain()
-			w.discovery.learnAfter(s.entry(balancer.Draining), w.discovery.notice)
-			w.scheduleAfter(t.drain, rankEnvironment, &successor{trouble: t, server: s})
+			w.discovery.learnAfter(s.entry(balancer.Draining), w.discovery.noticeDelay)
+			w.scheduleAfter(t.drainTime, rankEnvironment, &successor{injection: t, server: s})
 		}
 	}
 	batches := (len(t.servers) + t.batchSize - 1) / t.batchSize
@@ -381,22 +384,22 @@
 
 // successor replaces a drained server by a new one.
 type successor struct {
-	trouble *injection
-	server  *server
+	injection *injection
+	server    *server
 }
 
 func (n *successor) fire() {
-	w, old := n.trouble.w, n.server
+	w, old := n.injection.w, n.server
 	if old.process.state != processDown {
 		old.stop()
 	}
 	var addr netip.AddrPort
-	if n.trouble.rng.Float64() < n.trouble.sameAddress {
+	if n.injection.rng.Float64() < n.injection.sameAddress {
 		addr = old.addr
 	}
 	s := w.newServer(old.zone, old.machine, addr)
 	s.start(true)
-	w.discovery.learnAfter(s.entry(balancer.Ready), w.discovery.join)
+	w.discovery.learnAfter(s.entry(balancer.Ready), w.discovery.joinDelay)
 }
 
 // healCheck measures the servers' utilization. A slowdown that heals ends once utilization has been
--- a/internal/rehearsal/world/trouble_test.go
+++ b/internal/rehearsal/world/trouble_test.go
@@ -11,14 +11,14 @@
 	"dunestep/internal/rehearsal/scenario"
 )
 
-// The troubles of these days come after 10 s and last 12.
+// Faults start after 10 s and last 12 s.
 const (
 	faultStart = 10 * time.Second
 	faultEnd   = 22 * time.Second
 	runLength  = 40 * time.Second
 )
 
-// troubled plays a day of the deployment with one trouble.
+// playFault simulates a run with one fault.
 func playFault(t *testing.T, u scenario.Trouble, change func(*scenario.Scenario)) *recordingSink {
 	set := deployment(runLength)
 	u.At, u.For = ms(10000, 10000), ms(12000, 12000)
@@ -26,13 +26,13 @@
 	if change != nil {
 		change(set)
 	}
-	// The module alone: what the storm gate makes of a trouble is not the world's.
+	// Without load shedding, which would hide the effects of faults.
 	d := play(t, set, 7, Options{Storm: overload.Config{Disabled: true}})
 	requireBalanced(t, d)
 	return d
 }
 
-// count counts the events of a kind that match, from one time to another.
+// count returns the number of matching events of a kind in a time interval.
 func (d *recordingSink) count(kind record.Kind, from, to time.Duration, match func(record.Event) bool) (n int) {
 	for _, e := range d.ofKind(kind) {
 		if e.At >= from && e.At < to && (match == nil || match(e)) {
@@ -49,8 +49,7 @@
 	return func(e record.Event) bool { return e.Outcome == o }
 }
 
-// TestFaultKinds plays each kind of trouble and looks for what it is to look like on the wire, while it lasts and
-// after.
+// TestFaultKinds checks how each kind of fault shows on the wire while it lasts and afterwards.
 func TestFaultKinds(t *testing.T) {
 	const second = time.Second
 	all := span(1, 1)
@@ -63,7 +62,7 @@
 			require.Zero(t, d.count(record.Worked, faultStart, faultEnd, func(e record.Event) bool { return e.Ran }))
 			require.Zero(t, d.count(record.Answered, faultStart+second, faultEnd, served))
 			require.Less(t, d.count(record.Answered, faultEnd, faultEnd+second, served), 150,
-				"agents are slow to come back")
+				"agents return to the servers slowly")
 			require.Greater(t, d.count(record.Answered, 32*second, 33*second, served), 280)
 		}},
 		{
@@ -91,8 +90,8 @@
 			for _, s := range d.servers {
 				addrs[s.Addr] = true
 			}
-			require.Less(t, len(addrs), 23, "some come up at old addresses")
-			require.Greater(t, len(addrs), 13, "and some at new ones")
+			require.Less(t, len(addrs), 23, "some new servers reuse addresses")
+			require.Greater(t, len(addrs), 13, "and some have new ones")
 		}},
 		{trouble: scenario.Trouble{Kind: scenario.Slow, Size: span(2.5, 2.5)}, check: func(t *testing.T, d *recordingSink) {
 			capacity := func(second int) (sum float64) {
@@ -117,8 +116,8 @@
 				require.Zero(t, d.count(record.Reached, faultStart+5*time.Millisecond, faultEnd, from))
 				require.Zero(t, d.count(record.Ended, faultStart+5*time.Millisecond, faultEnd, func(e record.Event) bool {
 					return gone[e.Server] && e.Outcome != record.GivenUp && e.Outcome != record.NoConnection
-				}), "nothing comes of them")
-				require.Greater(t, d.count(record.Reached, faultEnd+5*second, runLength, from), 100, "they are back")
+				}), "no attempt at them succeeds")
+				require.Greater(t, d.count(record.Reached, faultEnd+5*second, runLength, from), 100, "they are used again")
 			},
 		},
 		{trouble: scenario.Trouble{Kind: scenario.Crashed, Part: span(0.19, 0.19)}, check: func(t *testing.T, d *recordingSink) {
@@ -140,45 +139,45 @@
 				func(e record.Event) bool { return e.Agent == 0 && served(e) }), 500)
 		}},
 		{trouble: scenario.Trouble{Kind: scenario.AgentsRestarted, Count: 2}, check: func(t *testing.T, d *recordingSink) {
-			require.Zero(t, d.count(record.Lost, 0, runLength, nil), "what it has taken it answers")
+			require.Zero(t, d.count(record.Lost, 0, runLength, nil), "it answers all accepted requests")
 			require.Equal(t, 2, d.count(record.AgentDown, faultStart+750*time.Millisecond, faultStart+4*second, nil))
 			require.Equal(t, 2, d.count(record.AgentUp, faultEnd, faultEnd+second, nil))
 			busiest := func(e record.Event) bool { return e.Agent == 0 }
 			require.Greater(t, d.count(record.Asked, faultStart+300*time.Millisecond, faultStart+4*second, busiest), 10,
-				"clients go on using what connections they have")
+				"clients use their existing connections")
 			require.Greater(t, d.count(record.Asked, faultEnd+second, runLength, busiest), 500)
 		}},
 		{trouble: scenario.Trouble{Kind: scenario.TakenOut, Part: span(0.19, 0.19)}, check: func(t *testing.T, d *recordingSink) {
 			out := map[int32]bool{}
 			for _, e := range d.ofKind(record.ServerDown) {
-				require.Equal(t, faultStart+6*second, e.At, "restarted half way")
+				require.Equal(t, faultStart+6*second, e.At, "restarted half-way")
 				out[e.Server] = true
 			}
 			require.Len(t, out, 2)
 			from := func(e record.Event) bool { return out[e.Server] }
-			require.Zero(t, d.count(record.Sent, faultStart+100*time.Millisecond, faultEnd, from), "nothing new but on connections that were coming up")
+			require.Zero(t, d.count(record.Sent, faultStart+100*time.Millisecond, faultEnd, from), "only attempts on connections being established")
 			require.Equal(t, 2, d.count(record.ServerUp, faultEnd, faultEnd+1,
 				func(e record.Event) bool { return e.Cold && e.Started == faultEnd }))
-			require.Greater(t, d.count(record.Sent, faultEnd, faultEnd+6*second, from), 10, "and they are used again")
+			require.Greater(t, d.count(record.Sent, faultEnd, faultEnd+6*second, from), 10, "they are used again")
 		}},
 		{trouble: scenario.Trouble{Kind: scenario.Upgraded, Count: 3}, check: func(t *testing.T, d *recordingSink) {
-			require.Zero(t, d.count(record.Lost, 0, runLength, nil), "what either has taken it answers")
-			require.Zero(t, d.count(record.Unreached, 0, runLength, nil), "and no client is turned back")
+			require.Zero(t, d.count(record.Lost, 0, runLength, nil), "both processes answer all accepted requests")
+			require.Zero(t, d.count(record.Unreached, 0, runLength, nil), "no client finds the agent closed")
 			require.Equal(t, 3, d.count(record.AgentUp, faultStart, faultStart+1, nil))
-			require.Zero(t, d.count(record.AgentDown, 0, runLength, nil), "it is one agent")
+			require.Zero(t, d.count(record.AgentDown, 0, runLength, nil), "the agent stays up")
 			require.Greater(t, d.count(record.Answered, faultStart+2*second, runLength,
 				func(e record.Event) bool { return e.Agent == 0 && served(e) }), 500)
 		}},
 		{trouble: scenario.Trouble{Kind: scenario.SentAway, Count: 1}, check: func(t *testing.T, d *recordingSink) {
-			require.Zero(t, d.count(record.Lost, 0, runLength, nil), "what it has taken it answers")
-			require.Zero(t, d.count(record.AgentDown, 0, runLength, nil), "it goes on")
+			require.Zero(t, d.count(record.Lost, 0, runLength, nil), "it answers all accepted requests")
+			require.Zero(t, d.count(record.AgentDown, 0, runLength, nil), "the agent stays up")
 			busiest := func(e record.Event) bool { return e.Agent == 0 }
 			require.Greater(t, d.count(record.Asked, faultStart, faultStart+second, busiest), 10)
 			require.Zero(t, d.count(record.Asked, faultStart+2*second, faultEnd, busiest))
 			require.Greater(t, d.count(record.Asked, faultEnd+second, runLength, busiest), 500)
 		}},
 		{trouble: scenario.Trouble{Kind: scenario.DiscoveryDown}, check: func(t *testing.T, d *recordingSink) {
-			require.Equal(t, 5, d.count(record.CallFailed, faultStart, faultStart+1, nil), "each agent's watch ends")
+			require.Equal(t, 5, d.count(record.CallFailed, faultStart, faultStart+1, nil), "each agent's watch fails")
 			require.Zero(t, d.count(record.Watching, faultStart, faultEnd, nil))
 			require.Equal(t, 5, d.count(record.Watching, faultEnd, runLength, nil))
 		}},
@@ -199,14 +198,14 @@
 			ran := d.count(record.Worked, faultStart, faultEnd, func(e record.Event) bool {
 				return e.Ran && lost[attemptKey{e.Op, e.Attempt}]
 			})
-			require.InDelta(t, 0.5, float64(ran)/float64(broken), 0.1, "half of them had run")
+			require.InDelta(t, 0.5, float64(ran)/float64(broken), 0.1, "half of the broken attempts had run")
 			require.Zero(t, d.count(record.Ended, faultEnd+second, runLength, ended(record.Broken)))
 		}},
 		{trouble: scenario.Trouble{Kind: scenario.Forgotten, Idle: ms(500, 500)}, check: func(t *testing.T, d *recordingSink) {
 			early := d.count(record.Ended, faultStart, faultStart+4*second, ended(record.Broken))
 			require.Greater(t, early, 10)
 			require.Less(t, d.count(record.Ended, faultEnd-4*second, faultEnd, ended(record.Broken)), early/2,
-				"agents learn how long connections last")
+				"agents learn the idle time that connections survive")
 		}},
 		{
 			trouble: scenario.Trouble{Kind: scenario.Spoilt, Part: span(0.2, 0.2), Size: span(0.2, 0.2)},
@@ -239,20 +238,20 @@
 					return d.run.Agents[of(e)].Zone == "buc-pipera"
 				})
 			}
-			require.Zero(t, in(func(e record.Event) int32 { return e.Agent }), "its agents hear nothing")
-			require.Greater(t, in(func(e record.Event) int32 { return e.From }), 5, "and are heard")
+			require.Zero(t, in(func(e record.Event) int32 { return e.Agent }), "its agents receive nothing")
+			require.Greater(t, in(func(e record.Event) int32 { return e.From }), 5, "datagrams from them arrive")
 		}},
 		{trouble: scenario.Trouble{Kind: scenario.Crashed, Part: all, Zone: "buc-pipera"}, check: func(t *testing.T, d *recordingSink) {
 			for _, e := range d.ofKind(record.ServerDown) {
 				require.Equal(t, "buc-pipera", d.servers[e.Server].Zone)
 			}
-			require.Greater(t, d.count(record.ServerDown, faultStart, faultStart+1, nil), 2, "all that there are in it")
+			require.Greater(t, d.count(record.ServerDown, faultStart, faultStart+1, nil), 2, "all servers of the zone")
 		}},
 		{trouble: scenario.Trouble{Kind: scenario.AgentsRestarted, Count: 5, Size: span(0.4, 0.4)}, check: func(t *testing.T, d *recordingSink) {
 			require.Zero(t, d.count(record.Lost, 0, runLength, nil))
 			require.Equal(t, 5, d.count(record.AgentDown, 0, runLength, nil))
 			require.Equal(t, 2, d.count(record.AgentDown, 0, faultStart+4*second, nil), "two at a time, the next 4 s later")
-			require.Equal(t, 5, d.count(record.AgentUp, faultStart, runLength, nil), "each as soon as it has drained")
+			require.Equal(t, 5, d.count(record.AgentUp, faultStart, runLength, nil), "each one after its drain")
 		}},
 		{
 			trouble: scenario.Trouble{Kind: scenario.FewConnections, Part: all, Size: span(0.005, 0.005)},
@@ -272,13 +271,13 @@
 			require.Zero(t, d.count(record.Answered, faultStart, runLength, func(e record.Event) bool { return leave[e.Op] }))
 			require.Zero(t, d.count(record.Asked, faultStart, runLength, func(e record.Event) bool {
 				return e.Try > 0 && leave[e.Chain] && e.At > faultStart
-			}), "they don't come back")
+			}), "they do not retry")
 		}},
 		{
 			trouble: scenario.Trouble{Kind: scenario.LateConnections, Part: all, Delay: ms(900, 900)},
 			change:  func(set *scenario.Scenario) { set.Connections.Idle = 200 * time.Millisecond }, // many new ones
 			check: func(t *testing.T, d *recordingSink) {
-				early := faultStart + 10*time.Millisecond // some were begun before
+				early := faultStart + 10*time.Millisecond // some were opened before
 				require.Greater(t, d.count(record.Opened, faultStart-second, faultStart, nil), 20)
 				require.Zero(t, d.count(record.Opened, early, faultStart+900*time.Millisecond, nil))
 				require.Greater(t, d.count(record.Ended, early, faultEnd, ended(record.NoConnection)), 100)
@@ -289,8 +288,8 @@
 	}
 }
 
-// TestSlowdownHealsWhenIdle: a shared slowdown that heals ends early where the load leaves the servers idle enough, and
-// goes on to its latest end where it keeps them busy.
+// TestSlowdownHealsWhenIdle checks that a shared slowdown that heals ends early if the load leaves the
+// servers idle enough, and otherwise lasts for its whole duration.
 func TestSlowdownHealsWhenIdle(t *testing.T) {
 	for load, heals := range map[float64]bool{0.15: true, 0.8: false} {
 		d := playFault(t, scenario.Trouble{
@@ -309,35 +308,36 @@
 	}
 }
 
-// TestDrawsAreIndependent: a trouble more, or a server or agent more, and the others' days stay as they were.
+// TestDrawsAreIndependent checks that one more fault, server or agent leaves the draws of the others
+// unchanged.
 func TestDrawsAreIndependent(t *testing.T) {
-	type ask struct {
+	type firstTry struct {
 		at            time.Duration
 		class, tenant uint8
 		key           uint32
 		work          time.Duration
 	}
-	asks := func(d *recordingSink, agent int32) (all []ask) {
+	firstTries := func(d *recordingSink, agent int32) (all []firstTry) {
 		for _, e := range d.events {
 			if (e.Kind == record.Asked || e.Kind == record.Unreached) && e.Try == 0 && e.Agent == agent {
-				all = append(all, ask{e.At, e.Class, e.Tenant, e.Key, e.Work})
+				all = append(all, firstTry{e.At, e.Class, e.Tenant, e.Key, e.Work})
 			}
 		}
 		return all
 	}
-	calm := play(t, deployment(runLength), 7, Options{})
+	baseline := play(t, deployment(runLength), 7, Options{})
 	for _, u := range []scenario.Trouble{
 		{Kind: scenario.Silent, Part: span(0.5, 0.5)},
 		{Kind: scenario.Deploy, Part: span(1, 1), Size: span(0.2, 0.2)},
 		{Kind: scenario.DiscoveryDown},
 	} {
 		d := playFault(t, u, nil)
-		require.Equal(t, calm.servers, d.servers[:13])
+		require.Equal(t, baseline.servers, d.servers[:13])
 		for agent := range int32(5) {
-			require.Equal(t, asks(calm, agent), asks(d, agent), "%s", u.Kind)
+			require.Equal(t, firstTries(baseline, agent), firstTries(d, agent), "%s", u.Kind)
 		}
 	}
-	// With the same traffic for each agent, one server and one agent more.
+	// The same traffic per agent, with one more server and one more agent.
 	set := deployment(runLength)
 	set.Troubles = []scenario.Trouble{{
 		Kind: scenario.Crashed, At: ms(10000, 10000), For: ms(12000, 12000),
@@ -349,15 +349,15 @@
 	more := play(t, set, 7, Options{})
 	require.Equal(t, base.servers, more.servers[:13])
 	for agent := range int32(4) {
-		require.Equal(t, asks(base, agent), asks(more, agent))
+		require.Equal(t, firstTries(base, agent), firstTries(more, agent))
 	}
 	down := map[int32]bool{}
 	for _, e := range base.ofKind(record.ServerDown) {
 		down[e.Server] = true
 	}
 	same := more.count(record.ServerDown, 0, runLength, func(e record.Event) bool { return down[e.Server] })
-	require.GreaterOrEqual(t, same, 3, "of the four, but for the new one the same crash")
-	// A trouble's own draws do not hang on another kind's.
+	require.GreaterOrEqual(t, same, 3, "the same servers crash, except at most one")
+	// A fault's draws do not depend on faults of another kind.
 	two := deployment(runLength)
 	two.Troubles = []scenario.Trouble{
 		{Kind: scenario.Reset, At: ms(0, 5000), For: ms(1000, 2000), Size: span(0, 1)},
--- a/internal/rehearsal/world/window.go
+++ b/internal/rehearsal/world/window.go
@@ -20,7 +20,7 @@
 	windowMargin = time.Second
 )
 
-// newWindow returns the maintenance window of an injection of that kind.
+// newWindow returns the injection's maintenance window. Keys take the time moves to leave, and to return.
 func (t *injection) newWindow(moves time.Duration) *maintenance.Window {
 	from, to := clockStart+t.start, clockStart+t.start+t.duration
 	return &maintenance.Window{
@@ -36,17 +36,18 @@
 	for i := range t.w.scenario.Classes {
 		longest = max(longest, t.w.scenario.Classes[i].Deadline)
 	}
-	if free := t.window.DrainedAt + longest + windowMargin; free < t.window.ReturnFrom {
-		t.w.schedule(free-clockStart, rankEnvironment, (*windowDrained)(t))
+	if emptyAt := t.window.DrainedAt + longest + windowMargin; emptyAt < t.window.ReturnFrom {
+		t.w.schedule(emptyAt-clockStart, rankEnvironment, (*windowDrained)(t))
 		t.w.schedule(t.window.ReturnFrom-clockStart, rankEnvironment, (*windowReturns)(t))
 	}
 	(*windowStep)(t).fire()
 }
 
+// The events of a maintenance window.
 type (
-	windowStep    injection
-	windowDrained injection
-	windowReturns injection
+	windowStep    injection // keys move; the exclusions are computed again
+	windowDrained injection // no attempt of a moved key is under way any more
+	windowReturns injection // the first keys return
 )
 
 func (s *windowStep) fire() {
@@ -76,10 +77,10 @@
 		if t.window == nil {
 			continue
 		}
-		part := t.window.PlannedFraction(clockStart + w.now)
+		fraction := t.window.PlannedFraction(clockStart + w.now)
 		below := uint32(math.MaxUint32) // all keys
-		if part < 1 {
-			below = uint32(part * (1 << 32))
+		if fraction < 1 {
+			below = uint32(fraction * (1 << 32))
 		}
 		if below == 0 {
 			continue
@@ -99,8 +100,8 @@
 }
 
 // windowTenants returns the tenants that a window moves.
-func (w *world) windowTenants(set *scenario.Trouble) (names []string) {
-	for _, name := range set.Tenants {
+func (w *world) windowTenants(config *scenario.Trouble) (names []string) {
+	for _, name := range config.Tenants {
 		if name != maintenance.AllTenants {
 			names = append(names, name)
 			continue
--- a/internal/rehearsal/world/window_test.go
+++ b/internal/rehearsal/world/window_test.go
@@ -10,8 +10,9 @@
 	"dunestep/internal/rehearsal/scenario"
 )
 
-// A window moves its tenants' requests away in steps and has them back, at agents that began in it too; the
-// others' go on. Without the plan they would go on to its servers.
+// TestWindowMovesTenants checks that a window moves its tenants' requests off its servers and back,
+// also at an agent that starts during the window, while requests of other tenants still reach these
+// servers.
 func TestWindowMovesTenants(t *testing.T) {
 	set := deployment(60 * time.Second)
 	set.Troubles = []scenario.Trouble{
@@ -32,7 +33,7 @@
 	require.Len(t, returned, 4)
 	require.Equal(t, 45*time.Second, returned[0].At)
 	tenant := map[uint32]uint8{}
-	var moved, others [60]int // that reached these servers, by the second
+	var moved, others [60]int // attempts that reached these servers, by second
 	for _, e := range d.events {
 		switch at := emptied[e.Server]; {
 		case e.Kind == record.Asked:
@@ -49,7 +50,7 @@
 		}
 		return sum
 	}
-	require.Zero(t, sum(moved[19:45]), "from when they have left until they come back")
+	require.Zero(t, sum(moved[19:45]), "no moved request while its servers are drained")
 	require.Greater(t, sum(moved[:5]), 2*sum(moved[10:15]))
 	require.Greater(t, sum(moved[55:]), sum(moved[45:50]))
 	require.Greater(t, sum(others[19:45])/26, sum(others[:5])/10)
--- a/internal/rehearsal/world/world.go
+++ b/internal/rehearsal/world/world.go
@@ -73,27 +73,27 @@
 	zoneCut   []time.Duration // by zone: until when it is cut off from the others
 
 	// Effects of active faults that are the same for all servers and agents.
-	slowdown           float64 // factor on the service time of all servers
-	resetShare         float64 // fraction of attempts whose connection is reset
-	idleForgetting     time.Duration
-	datagramLossByZone []float64 // by the receiving agents' zone: fraction lost
+	slowdown           float64       // factor on the service time of all servers
+	resetShare         float64       // fraction of attempts whose connection is reset
+	idleForgetting     time.Duration // idle time after which middleboxes forget connections; zero: never
+	datagramLossByZone []float64     // by the receiving agents' zone: fraction lost
 	datagramFaults     *mishap.Net
 	trafficKept        float64 // fraction of the usual traffic that is sent
 
 	// The load, as drawn for the run.
-	perS                        float64
+	perS                        float64 // mean rate of first tries
 	swing                       float64
 	peakFactor                  float64 // maximum of loadFactor
-	classes, tenants            picker
+	classes, tenants            picker  // by their share of the requests
 	keys                        picker
 	keyNames                    []string
-	meanWork                    []time.Duration
-	workCV, noise               []float64
-	quotas                      []float64
-	tryTimeoutShare, honorShare float64
-	impatientShare              float64
+	meanWork                    []time.Duration // by class, on a standard core
+	workCV, noise               []float64       // by class: variation between requests and between attempts
+	quotas                      []float64       // by tenant: first tries per second
+	tryTimeoutShare, honorShare float64         // try timeout over deadline; fraction of requests
+	impatientShare              float64         // fraction of tries whose client leaves before the timeout
 	backoff                     time.Duration
-	datagramLoss                float64
+	datagramLoss                float64 // fraction lost without a fault
 	graphQL                     graphQL
 
 	// Of a run in real time.
@@ -150,7 +150,7 @@
 	return w, nil
 }
 
-// mark adds a line on a fault to the timeline.
+// mark adds a line about a fault to the timeline.
 func (w *world) mark(text string) {
 	if w.options.Timeline != nil {
 		w.options.Timeline.Mark(w.now, timeline.Faults, "", text)
@@ -163,19 +163,19 @@
 	for i := range w.scenario.Classes {
 		last = max(last, w.scenario.Day.Length+w.scenario.Classes[i].Deadline)
 	}
-	shown := time.Duration(0)
+	reported := time.Duration(0)
 	for n := 0; ; n++ {
 		if n%cancelCheckEvents == 0 && ctx.Err() != nil {
 			w.sink.End(w.now)
 			return ctx.Err()
 		}
-		what, any := w.next(last + maxOverrun)
-		if !any {
+		ev, ok := w.next(last + maxOverrun)
+		if !ok {
 			break
 		}
-		what.fire()
-		if second := w.now.Truncate(time.Second); w.options.Progress != nil && second > shown {
-			shown = second
+		ev.fire()
+		if second := w.now.Truncate(time.Second); w.options.Progress != nil && second > reported {
+			reported = second
 			w.options.Progress(second)
 		}
 		if w.now >= w.scenario.Day.Length && w.pending == 0 && w.idle() {
@@ -262,8 +262,8 @@
 
 // zoneShares returns the zones' weights: the first zone gets skew of the total on top of an even share
 // of the rest.
-func (w *world) zoneShares(skew scenario.Span, whose string) []float64 {
-	first := skew.Draw(newStream(w.seed, "zones of the "+whose).Rand)
+func (w *world) zoneShares(skew scenario.Span, population string) []float64 {
+	first := skew.Draw(newStream(w.seed, "zones of the "+population).Rand)
 	shares := make([]float64, len(w.scenario.Network.Zones))
 	for i := range shares {
 		shares[i] = (1 - first) / float64(len(shares))
@@ -274,16 +274,16 @@
 
 // apportion assigns n places one after another, each to the index that is furthest below its share.
 func apportion(n int, shares []float64) []int {
-	dealt := make([]float64, len(shares))
+	assigned := make([]float64, len(shares))
 	out := make([]int, n)
 	for i := range out {
 		best := 0
 		for k := range shares {
-			if shares[k]*float64(i+1)-dealt[k] > shares[best]*float64(i+1)-dealt[best] {
+			if shares[k]*float64(i+1)-assigned[k] > shares[best]*float64(i+1)-assigned[best] {
 				best = k
 			}
 		}
-		dealt[best]++
+		assigned[best]++
 		out[i] = best
 	}
 	return out
@@ -300,14 +300,14 @@
 // drawAgents draws the agents and their shares of the traffic, the busiest agent first.
 func (w *world) drawAgents() {
 	s := w.scenario
-	parts := zipf(s.Agents.Count, s.Agents.Zipf.Draw(newStream(w.seed, "agents").Rand))
+	weights := zipf(s.Agents.Count, s.Agents.Zipf.Draw(newStream(w.seed, "agents").Rand))
 	sum := 0.0
-	for _, p := range parts {
+	for _, p := range weights {
 		sum += p
 	}
 	zones := apportion(s.Agents.Count, w.zoneShares(s.Agents.ZoneSkew, "agents"))
-	for i, part := range parts {
-		a := &agent{w: w, number: i, name: fmt.Sprint("n", i), zone: zones[i], share: part / sum}
+	for i, weight := range weights {
+		a := &agent{w: w, number: i, name: fmt.Sprint("n", i), zone: zones[i], share: weight / sum}
 		a.rng = newStream(w.seed, "agent "+a.name)
 		a.client = &client{w: w, agent: a}
 		w.agents = append(w.agents, a)
@@ -364,12 +364,12 @@
 
 // loadFactor is the request rate at a time relative to the mean of the run.
 func (w *world) loadFactor(at time.Duration) float64 {
-	through := float64(at) / float64(w.scenario.Day.Length)
+	progress := float64(at) / float64(w.scenario.Day.Length)
 	switch w.scenario.Load.Shape {
 	case scenario.Ramp:
-		return 1 + w.swing*(2*through-1)
+		return 1 + w.swing*(2*progress-1)
 	case scenario.Wave:
-		return 1 + w.swing*math.Sin(2*math.Pi*through)
+		return 1 + w.swing*math.Sin(2*math.Pi*progress)
 	}
 	return 1
 }
@@ -377,7 +377,7 @@
 // deployment returns an agent's settings.
 func (w *world) deployment(a *agent) balancer.Settings {
 	s := w.scenario
-	set := balancer.Settings{
+	settings := balancer.Settings{
 		Self: a.number, Balancers: len(w.agents), Zone: s.Network.Zones[a.zone],
 		OverQuotaWeight: s.Load.OverShareWorth, DiscoveryOnDemand: true, ClientsMarkRetries: s.Clients.MarksRetry,
 		Tick: s.Agents.Tick, Tuning: w.options.Figures,
@@ -415,13 +415,13 @@
 		if c.Effect == scenario.Safe {
 			k.Idempotency = balancer.Idempotent
 		}
-		set.Classes = append(set.Classes, k)
+		settings.Classes = append(settings.Classes, k)
 	}
 	for i := range s.Tenants {
-		set.Tenants = append(set.Tenants, balancer.Tenant{
+		settings.Tenants = append(settings.Tenants, balancer.Tenant{
 			Name: s.Tenants[i].Name, QuotaPerSecond: w.quotas[i],
 			Share: s.Tenants[i].Share,
 		})
 	}
-	return set
+	return settings
 }
