--- a/internal/rehearsal/world/live.go
+++ b/internal/rehearsal/world/live.go
@@ -30,7 +30,7 @@
 	HangUp(f *FrontConn)
 	// Datagram delivers a datagram from one agent to another.
 	Datagram(from, to int, data []byte)
-	// Start starts an agent's program as run number run; Kill kills it, Drain tells it to shut down.
+	// Start starts an agent's program as run number run; Kill kills it, Drain starts its shutdown.
 	Start(agent, run int, known protocol.EndpointList)
 	Kill(agent int)
 	Drain(agent int)
@@ -310,7 +310,7 @@
 	return true
 }
 
-// setZero sets the run's time zero, now that all agents are ready.
+// setZero sets the run's time zero when all agents are ready.
 func (v *Live) setZero() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/internal/rehearsal/world/placed.go
+++ b/internal/rehearsal/world/placed.go
@@ -20,14 +20,15 @@
 	proposeInterval = 100 * time.Millisecond
 	// voterCount is the number of agents that may lead; the first one that can does.
 	voterCount = 5
-	// An agent learns of a generation this long after it was proposed.
+	// minLearnDelay and maxLearnDelay bound the time from the proposal of a generation until an agent
+	// learns of it.
 	minLearnDelay, maxLearnDelay = 30 * time.Millisecond, 350 * time.Millisecond
 	// settleTime is simulated before the run, without faults, so that the run begins with settled
 	// generations.
 	settleTime, settleStep = 10 * time.Minute, 250 * time.Millisecond
 	// maxLeaseTime is the maximum time for which a lease is valid. reportDelay is the time until the
-	// voters have told each other that every agent has a generation: a lease request may miss it for a
-	// second.
+	// voters have reported to each other that every agent has a generation: a lease request may miss it
+	// for a second.
 	maxLeaseTime, reportDelay = 5100 * time.Millisecond, 1100 * time.Millisecond
 	// monotonicStart is the monotonic clock at the start of the run; it keeps it positive during settleTime.
 	monotonicStart = time.Hour
@@ -116,8 +117,8 @@
 	g.mark, g.allAppliedAt = all.Applied(), 0
 }
 
-// report tells the proposer that all lease holders have applied the present generation, once they have
-// had time to report it.
+// report reports to the proposer that all lease holders have applied the present generation, after
+// reportDelay.
 func (g *generations) report() {
 	w, have := g.w, true
 	for _, a := range w.agents {
--- a/internal/rehearsal/world/plan.go
+++ b/internal/rehearsal/world/plan.go
@@ -8,7 +8,7 @@
 	"dunestep/internal/rehearsal/scenario"
 )
 
-// Plan is the part of a run that its scenario and seed determine, whatever the agents do: first tries
+// Plan is the part of a run that depends on its scenario and seed alone, not on the agents: first tries
 // and faults.
 type Plan struct {
 	Arrivals []Arrival
--- a/internal/rehearsal/world/remote.go
+++ b/internal/rehearsal/world/remote.go
@@ -40,8 +40,8 @@
 	}))
 }
 
-// AgentEnded reports that the numbered run of an agent's program has ended; crashed: without having
-// been told to.
+// AgentEnded reports that the numbered run of an agent's program has ended; crashed means without a
+// shutdown request.
 func (v *Live) AgentEnded(agent, run int, crashed bool) {
 	v.post(eventFunc(func() {
 		a := v.w.agents[agent]
--- a/internal/rehearsal/world/restart.go
+++ b/internal/rehearsal/world/restart.go
@@ -19,7 +19,7 @@
 	closing      bool          // no connection is accepted, and open ones are closed when idle
 }
 
-// drain tells the program to shut down, in the same phases as the daemon.
+// drain starts a graceful shutdown of the program, in the same phases as the daemon's.
 func (l *agentProcess) drain() {
 	if l.shutdown.requested {
 		return
--- a/internal/rehearsal/world/server.go
+++ b/internal/rehearsal/world/server.go
@@ -44,7 +44,7 @@
 	cores                int
 	speed                float64
 	slots, queue, conns  int           // limits of running and waiting attempts and of connections
-	thrash, thrashAt     float64       // efficiency lost per job and core above thrashAt; jobs per core
+	thrash, thrashAt     float64       // efficiency lost per job per core above thrashAt; jobs per core
 	connOverhead         float64       // fraction of capacity lost at the connection limit
 	initialCapacity      float64       // fraction of capacity at the start
 	warmupTime           time.Duration // with all cores busy
@@ -130,7 +130,7 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(n >> 8), byte(n)}), 9000)
 }
 
-// start starts the server's process; warming tells whether it begins in slow start. The caller informs
+// start starts the server's process; warming makes it begin in slow start. The caller informs
 // discovery.
 func (s *server) start(warming bool) {
 	w := s.w
--- a/internal/rehearsal/world/step.go
+++ b/internal/rehearsal/world/step.go
@@ -31,7 +31,7 @@
 	drawSeed     uint64  // seed of its random draws
 	work         float64 // seconds on a standard core
 	startedAt    time.Duration
-	deadline     time.Duration // when the agent gives it up, as it tells the server
+	deadline     time.Duration // when the agent gives it up; sent to the server
 	checkout     routing.Checkout[*conn]
 	phase        routing.AttemptPhase
 	ended        bool // at the agent
--- a/internal/rehearsal/world/trouble_test.go
+++ b/internal/rehearsal/world/trouble_test.go
@@ -155,7 +155,7 @@
 			}
 			require.Len(t, out, 2)
 			from := func(e record.Event) bool { return out[e.Server] }
-			require.Zero(t, d.count(record.Sent, faultStart+100*time.Millisecond, faultEnd, from), "only attempts on connections being established")
+			require.Zero(t, d.count(record.Sent, faultStart+100*time.Millisecond, faultEnd, from), "no new attempts once pending connections are established")
 			require.Equal(t, 2, d.count(record.ServerUp, faultEnd, faultEnd+1,
 				func(e record.Event) bool { return e.Cold && e.Started == faultEnd }))
 			require.Greater(t, d.count(record.Sent, faultEnd, faultEnd+6*second, from), 10, "they are used again")
@@ -311,16 +311,16 @@
 // TestDrawsAreIndependent checks that one more fault, server or agent leaves the draws of the others
 // unchanged.
 func TestDrawsAreIndependent(t *testing.T) {
-	type firstTry struct {
+	type arrival struct {
 		at            time.Duration
 		class, tenant uint8
 		key           uint32
 		work          time.Duration
 	}
-	firstTries := func(d *recordingSink, agent int32) (all []firstTry) {
+	firstTries := func(d *recordingSink, agent int32) (all []arrival) {
 		for _, e := range d.events {
 			if (e.Kind == record.Asked || e.Kind == record.Unreached) && e.Try == 0 && e.Agent == agent {
-				all = append(all, firstTry{e.At, e.Class, e.Tenant, e.Key, e.Work})
+				all = append(all, arrival{e.At, e.Class, e.Tenant, e.Key, e.Work})
 			}
 		}
 		return all
--- a/internal/rehearsal/world/world.go
+++ b/internal/rehearsal/world/world.go
@@ -96,7 +96,7 @@
 	datagramLoss                float64 // fraction lost without a fault
 	graphQL                     graphQL
 
-	// Of a run in real time.
+	// Optional parts: real time, delayed views, ring assignment, maintenance windows and plans.
 	live        *Live
 	wire        Wire                 // nil: agents and network are simulated
 	tries       map[uint32]*try      // by number: tries that upstream servers may still receive attempts of
