--- a/internal/rehearsal/world/conn.go
+++ b/internal/rehearsal/world/conn.go
@@ -116,7 +116,7 @@
 	trips := 1.0
 	if !c.handshakeDone {
 		trips += 2 * max(c.link.server.machine.trips-1, 0)
-		if c.wire != nil { // a loopback connect takes no round trip
+		if c.wire != nil { // loopback connects at once: adds the round trip
 			trips += 2
 		}
 	}
--- a/internal/rehearsal/world/life.go
+++ b/internal/rehearsal/world/life.go
@@ -13,7 +13,8 @@
 	"dunestep/internal/state"
 )
 
-// clockStart is the agents' Unix time at the start of a run: Monday, 13 April 2026, 06:00 UTC.
+// clockStart is the agents' Unix time at the start of a run: 06:00 UTC on Monday, 13 April 2026, after
+// Easter.
 const clockStart = time.Duration(1776060000) * time.Second
 
 // agent is one agent, across the restarts of its process.
