--- a/cmd/dunestep/fleetforms.go
+++ b/cmd/dunestep/fleetforms.go
@@ -130,7 +130,7 @@
 	t.row("log\tepoch %d\trecord %d", s.Epoch, s.Record)
 	t.row("voters\t%v\t", s.Voters)
 	s.Voter.write(t)
-	t.row("present\t%d agents\t", s.Present)
+	t.row("here\t%d\t", s.Present)
 	for _, p := range s.Peers {
 		if p.PathClosed {
 			t.row("agent %d\t%s\tdoes not receive from this one", p.Agent, p.State)
--- a/cmd/dunestep/maintenanceforms.go
+++ b/cmd/dunestep/maintenanceforms.go
@@ -76,15 +76,15 @@
 func waitsFor(w *maintenance.Window) string {
 	switch w.State {
 	case maintenance.Planned:
-		return "its start"
+		return "its beginning"
 	case maintenance.Draining:
-		return "the traffic to move away, until " + formatTime(unixTime(w.DrainedAt))
+		return "the traffic to leave, until " + formatTime(unixTime(w.DrainedAt))
 	case maintenance.Drained:
-		return "requests in flight, and all agents' leases"
+		return "what may be on its way, and all agents' leases"
 	case maintenance.Paused:
-		return "enough capacity elsewhere"
+		return "enough to be served elsewhere"
 	case maintenance.Returning:
-		return "the traffic to return"
+		return "the traffic to be back"
 	}
 	return ""
 }
