--- a/internal/rehearsal/record/record.go
+++ b/internal/rehearsal/record/record.go
@@ -1,86 +1,88 @@
-// Package record holds what a rehearsed day yields: events of what passed on the wire, in order, and
-// samples of the booking servers each second. Whoever plays a day puts them into a Sink as they happen, so
-// that an hour need not be held in memory; whoever judges it reads nothing else.
+// Package record defines the recording of a scenario run: ordered events from the wire and the machines,
+// and samples of the upstream servers once a second. The program that plays a run passes them to a Sink as
+// they happen, so that an hour of traffic is never held in memory. The judge uses no other input.
 package record
 
 import "time"
 
-// Sink takes in a day as it is played. Calls come in the order of virtual time, from one goroutine; among
-// things of one instant, in the order in which they took effect.
+// Sink receives a run as it is played. Calls come from one goroutine in the order of virtual time; events
+// with the same time come in the order in which they took effect.
 type Sink interface {
 	Begin(Day)
-	// Server tells of a booking server before its first event. Numbers count up from 0 and are never used
-	// again: a process that starts anew on its machine is the same server, a deploy's successor a new one.
+	// Server announces an upstream server before its first event. Numbers start at 0 and are never reused: a
+	// process that restarts on its machine keeps its number, the successor in a deploy gets a new one.
 	Server(n int, s Server)
-	Take(*Event) // the event is the caller's: what is kept of it is copied
+	Take(*Event) // must be copied if kept: the caller reuses it
 	Sample(*Sample)
 	End(at time.Duration)
 }
 
-// Day is what a day is, once its figures are drawn.
+// Day describes a run after its random values have been drawn.
 type Day struct {
 	Agents   []Agent
-	Capacity float64         // of the warm fleet, seconds of standard work a second
-	RatePerS float64         // first tries a second, the mean that was drawn
-	Quotas   []float64       // of each tenant, in the scenario's order: first tries a second within its share
-	MeanWork []time.Duration // of each class, in the scenario's order: what its work was drawn round
+	Capacity float64         // of the warmed-up fleet, in seconds of standard work per second
+	RatePerS float64         // drawn mean rate of first tries per second
+	Quotas   []float64       // first tries per second within each tenant's quota, in the scenario's order
+	MeanWork []time.Duration // drawn mean work of each class, in the scenario's order
 }
 
-// Agent is one of the day's agents, by its number in Day.Agents.
+// Agent describes the agent with the same number in Day.Agents.
 type Agent struct{ Name, Zone string }
 
-// Server is a booking server.
+// Server describes an upstream server.
 type Server struct {
 	ID, Zone, Kind, Addr string
 	Cell                 int
-	Capacity             float64 // once warm, seconds of standard work a second
+	Capacity             float64 // after warm-up, in seconds of standard work per second
 }
 
-// Kind names an event.
+// Kind is the kind of an event.
 type Kind uint8
 
-// The events, with the fields of Event that each one uses beside At.
+// The events. Parentheses list the fields of Event that each one sets besides At.
 const (
-	// A client's try. Asked: an agent that runs has the request's last byte (Op, Chain, Try, Agent, Class,
-	// Tenant, Key, Work, Left). Unreached: no agent took it (the same fields, Shut). Answered: the last byte of
-	// the final answer reached the client (Op, Agent, Answer, After; Attempt: whose body it is, below zero
-	// where no server made it). Lost: the agent ended the connection with no whole answer (Op, Agent). Left:
-	// the client closed its connection, its time over or out of patience (Op, Agent), or has learnt that the
-	// agent had not read the request (Unread).
+	// Tries of clients. Asked: a running agent has received the last byte of the request (Op, Chain, Try,
+	// Agent, Class, Tenant, Key, Work, Left). Unreached: no agent received it (the same fields, Shut).
+	// Answered: the client received the last byte of the final answer (Op, Agent, Answer, After, Attempt: the
+	// attempt whose body it is, negative if it came from no server). Lost: the agent ended the connection
+	// without a complete answer (Op, Agent). Left: the client closed its connection because its time was up or
+	// it lost patience (Op, Agent), or it learned that the agent had not read the request (Unread).
 	Asked Kind = iota
 	Unreached
 	Answered
 	Lost
 	Left
-	// An attempt. Sent: the first byte left the agent (Op, Agent, Server, Attempt, NewConn, Crossed, Left: the
-	// time that it tells the server). Reached:
-	// the last byte reached a booking server, whether it takes it or not (Op, Agent, Server, Attempt, Work:
-	// what it would take, Capacity: the server's at present, Cold). Ended: what the agent saw of it (Op,
-	// Agent, Server, Attempt, Outcome). Worked: the server is done with it, or dropped it (Op, Server,
-	// Attempt, Work: spent on it so far in standard work, Ran: it began to run).
+	// Attempts. Sent: the first byte left the agent (Op, Agent, Server, Attempt, NewConn, Crossed, Left: the
+	// timeout announced to the server). Reached: the last byte arrived at an upstream server, even if the
+	// server rejects it (Op, Agent, Server, Attempt, Work: what it would cost, Capacity: the server's current
+	// one, Cold). Ended: how it ended for the agent (Op, Agent, Server, Attempt, Outcome). Worked: the server
+	// finished or dropped it (Op, Server, Attempt, Work: standard work spent on it so far, Ran: whether it
+	// started to run).
 	Sent
 	Reached
 	Ended
 	Worked
-	// Connections and datagrams. Opened and Closed: a connection to a booking server, as the server counts them
-	// (Agent, Server). Datagram: delivered to an agent (Agent, From, Bytes).
+	// Connections and datagrams. Opened and Closed: a connection to an upstream server, as counted by the
+	// server (Agent, Server). Datagram: delivered to an agent (Agent, From, Bytes).
 	Opened
 	Closed
 	Datagram
-	// The list. Changed: discovery knows (Server, State, Started). Told: discovery has written it to the agent
-	// (Agent, Server, State, Started). Watching, Asking, CallFailed: the agent's watch was taken up, it asked
-	// for the whole list, or its call failed or its watch ended (Agent). WatchSilent: nothing more comes on its
-	// call, which stays open (Agent, Left: how long the call might have waited for its answer).
+	// The endpoint list. Changed: discovery learned of a change (Server, State, Started). Told: discovery has
+	// written it to the agent (Agent, Server, State, Started). Watching: the agent's watch was accepted
+	// (Agent). Asking: the agent requested the whole list (Agent). CallFailed: the agent's call failed or its
+	// watch ended (Agent). WatchSilent: discovery sends nothing more on the agent's call, which stays open
+	// (Agent, Left: how long the call might have waited for its answer).
 	Changed
 	Told
 	Watching
 	Asking
 	CallFailed
 	WatchSilent
-	// Processes. AgentStarts: its process starts again (Agent). AgentUp: ready (Agent, After: how long it
-	// took, where that is known). AgentDown: killed, all that it held is void (Agent). AgentStill:
-	// paused, and AgentOn: it goes on (Agent). ServerUp: starts (Server, Cold, Capacity: at present).
-	// ServerDown: its process ends (Server). Fell: pushed over while cold (Server).
+	// Processes. AgentStarts: an agent's process starts again (Agent). AgentUp: it is ready (Agent, After: the
+	// startup time, where known). AgentDown: it was killed and everything it held is void (Agent). AgentStill:
+	// it was paused (Agent). AgentOn: it was resumed (Agent). ServerUp: a server starts (Server, Cold,
+	// Capacity: its current one). ServerDown: a server's process ends (Server). Fell: a server was overloaded
+	// during slow start and crashed (Server).
 	AgentStarts
 	AgentUp
 	AgentDown
@@ -89,25 +91,26 @@
 	ServerUp
 	ServerDown
 	Fell
-	// Troubles. Began and Over (Trouble: its number in the scenario). Over is when its cause ends: of a slow
-	// spell that heals, when it has healed.
+	// Faults. Began and Over (Trouble: the fault's number in the scenario). Over is when the fault's cause
+	// ends; for a slow period that ends by itself, when it has ended.
 	Began
 	Over
-	// A maintenance window (Trouble, Server). Emptied: its tenants' keys have left, and for as long that nothing
-	// of them can be on its way any more. Returns: they may come back from now on.
+	// Maintenance windows (Trouble, Server). Emptied: the keys of the window's tenants have left the server,
+	// long enough ago that none of their requests can still be on the way. Returns: from now on they may come
+	// back.
 	Emptied
 	Returns
 	kinds
 )
 
-// Answer is a client's final answer.
+// Answer is the kind of a client's final answer.
 type Answer uint8
 
 // The final answers.
 const (
 	Served  Answer = iota
 	Refused        // 429 or 503
-	Failed         // any other, or one that the client can tell is not whole
+	Failed         // any other status, or an answer that the client can tell is incomplete
 )
 
 // Outcome is how an attempt ended on the wire.
@@ -115,78 +118,78 @@
 
 // The outcomes.
 const (
-	OK           Outcome = iota // a 200 and its whole body
-	Error                       // a 500: it may have run
-	TurnedAway                  // never ran
-	NoConnection                // refused, not up in time, or broken before the last byte was written: never ran
-	Broken                      // the connection ended after that: it may have run
-	GivenUp                     // the agent stopped waiting, its last byte written: it may have run, or may yet
-	Unwritten                   // the agent stopped before the last byte was written: never ran
-	SpoiltAnswer                // can't be read: it has run
+	OK           Outcome = iota // 200 with a complete body
+	Error                       // 500; it may have run
+	TurnedAway                  // rejected; never ran
+	NoConnection                // refused, timed out, or broken before the last byte was written; never ran
+	Broken                      // connection ended after the last byte; it may have run
+	GivenUp                     // the agent stopped waiting after the last byte; it may have run or run later
+	Unwritten                   // the agent stopped before the last byte was written; never ran
+	SpoiltAnswer                // unreadable answer; it has run
 )
 
-// NeverRan tells whether the outcome proves that the attempt had no effect.
+// NeverRan reports whether the outcome proves that the attempt had no effect.
 func (o Outcome) NeverRan() bool { return o == TurnedAway || o == NoConnection || o == Unwritten }
 
-// State is a booking server's standing on discovery's list.
+// State is the state of an upstream server on discovery's list.
 type State uint8
 
 // The states.
 const (
 	Active State = iota
 	Leaving
-	Gone // said so, or missing from a whole list
+	Gone // announced as gone, or missing from a full list
 )
 
-// Event is something that passed on the wire, or that happened to a machine. It is kept small: an hour of the
-// deployment's traffic has some ten million of them.
+// Event is something that passed on the wire or happened to a machine. It is kept small: an hour of the
+// deployment's traffic has about ten million events.
 type Event struct {
 	At       time.Duration
 	Work     time.Duration // on a standard core
-	Left     time.Duration // that the client will wait for this try, or that an attempt tells
-	After    time.Duration // advised by Retry-After; zero: none; of AgentUp: since its process began
-	Started  time.Duration // of a server's process; zero: long ago
-	Capacity float64       // seconds of standard work a second
-	Op       uint32        // a client's try; no two share one
-	Chain    uint32        // the Op of its first try
+	Left     time.Duration // the client's remaining wait for this try, or an attempt's announced timeout
+	After    time.Duration // advised by Retry-After, 0 for none; for AgentUp: since the process started
+	Started  time.Duration // start of a server's process; 0: long ago
+	Capacity float64       // in seconds of standard work per second
+	Op       uint32        // number of a client's try, unique in the run
+	Chain    uint32        // Op of the chain's first try
 	Key      uint32
 	Bytes    uint32
 	Server   int32
 	Agent    int32
-	From     int32 // the agent that sent a datagram
+	From     int32 // sender of a datagram
 	Trouble  int16
 	Class    uint8
-	Tenant   uint8 // by number in the scenario; NoTenant where it has none
-	Try      uint8 // 0: a first try
-	Attempt  int8  // of an operation, from 0
+	Tenant   uint8 // number in the scenario, or NoTenant
+	Try      uint8 // 0: the first try
+	Attempt  int8  // number within the request, from 0
 	Kind     Kind
 	Answer   Answer
 	Outcome  Outcome
 	State    State
-	NewConn  bool // the attempt waits for a connection of its own to come up
-	Crossed  bool // to another zone
-	Cold     bool // the server is not yet warm
+	NewConn  bool // the attempt waits for a new connection
+	Crossed  bool // sent to another zone
+	Cold     bool // the server is in slow start
 	Ran      bool
-	Shut     bool // of Left and of Unreached: by an agent that is ending, whose new connection it was closed
-	Unread   bool // of Left
+	Shut     bool // for Left and Unreached: an agent that is shutting down closed the new connection
+	Unread   bool // for Left: the agent had not read the request
 }
 
-// NoTenant is the tenant of a scenario without tenants.
+// NoTenant is the tenant number in a scenario without tenants.
 const NoTenant = 255
 
-// Sample is how the booking servers and agents stand at the end of a second.
+// Sample is the state of the upstream servers and agents at the end of a second.
 type Sample struct {
 	At      time.Duration
-	Servers []Load // of those that run, by number
-	Held    []int  // operations that each agent holds, by its number
+	Servers []Load // the running servers, by number
+	Held    []int  // number of requests held by each agent, by its number
 }
 
-// Load is how a booking server stands.
+// Load is the load of an upstream server.
 type Load struct {
 	Server   int
-	Busy     float64 // of the second's core time, that was spent on work of any kind
-	Capacity float64 // at present, seconds of standard work a second
-	Running  int     // requests in its slots
-	Waiting  int     // requests in its waiting room
+	Busy     float64 // part of the second's core time spent on any work
+	Capacity float64 // current capacity, in seconds of standard work per second
+	Running  int     // requests in execution slots
+	Waiting  int     // requests in the queue
 	Conns    int     // open connections
 }
