--- a/internal/rehearsal/late/late.go
+++ b/internal/rehearsal/late/late.go
@@ -1,12 +1,13 @@
-// Package late is the policy that a rehearsed day's shares are measured by: it sees every booking server's
-// true state as it was some time ago, and how much work came to all agents, which no agent can. It is plain
-// on purpose: of what comes it lets in, by lot, what the servers can do; each request goes to a server by
-// lot, by what each can do, but to none where it would take over half of its aim beside those that are
-// there; what may be repeated is tried again elsewhere while there is time. It knows no keys, zones, shares
-// or budgets. The server that was free soonest would be worse: all agents would send there until they see
-// it.
+// Package late is the reference policy that the shares served in a scenario run are compared with. It sees
+// the true state of every upstream server with a delay, and the total work that arrived at all agents,
+// which no agent can see. The policy is simple on purpose. It admits a random part of the requests, as much
+// as the servers can do. It picks a server at random, weighted by capacity, and skips a server where the
+// request would take more than half of its latency objective next to the requests that are already there. A
+// request that may be repeated is retried on another server while there is time. The policy uses no keys,
+// zones, quotas or budgets. Choosing the least loaded server instead would be worse: all agents would send
+// to the same server until they see its load.
 //
-// It does no input or output and reads no clock. A Policy is not safe for concurrent use.
+// The package does no I/O and reads no clock. A Policy is not safe for concurrent use.
 package late
 
 import (
@@ -17,134 +18,135 @@
 	"dunestep/internal/balancer"
 )
 
-// Server is a booking server's true state.
+// Server is the true state of an upstream server.
 type Server struct {
 	ID       string
-	Takes    bool    // requests, and answers most of them
-	Capacity float64 // at present, seconds of standard work a second
-	Speed    float64 // the same, with what it loses by holding so many
-	Held     float64 // requests in work or waiting
+	Takes    bool    // accepts requests and answers most of them
+	Capacity float64 // current capacity, in seconds of standard work per second
+	Speed    float64 // Capacity less what is lost to the number of requests it holds
+	Held     float64 // requests executing or queued
 	Cores    float64
 }
 
-// Sight is how all servers stood at one time.
+// Sight is the state of all servers at one time.
 type Sight struct {
-	room    float64   // part of what comes that the servers can do
-	servers []Server  // that take requests and can do something
-	upTo    []float64 // their capacities, added up
-	byID    map[string]int
+	admitted   float64   // part of the arriving work that the servers can do
+	servers    []Server  // servers that accept requests and have capacity
+	cumulative []float64 // cumulative sums of the servers' capacities
+	byID       map[string]int
 }
 
-// busiest is the part of what the servers can do that is given out: the rest is for chance.
-const busiest = 0.7
+// maxUtilization is the part of the servers' capacity that is handed out. The rest absorbs random
+// variation.
+const maxUtilization = 0.7
 
-// NewSight returns a sight of the servers; asked is the work that came to all agents, seconds of standard
-// work a second.
+// NewSight returns the state of the given servers. asked is the work that arrived at all agents, in seconds
+// of standard work per second.
 func NewSight(all []Server, asked float64) *Sight {
-	s := &Sight{room: 1, byID: make(map[string]int, len(all))}
+	s := &Sight{admitted: 1, byID: make(map[string]int, len(all))}
 	sum := 0.0
 	for _, v := range all {
 		if v.Takes && v.Capacity > 0 {
 			sum += v.Capacity
 			s.byID[v.ID] = len(s.servers)
-			s.servers, s.upTo = append(s.servers, v), append(s.upTo, sum)
+			s.servers, s.cumulative = append(s.servers, v), append(s.cumulative, sum)
 		}
 	}
 	if asked > 0 {
-		s.room = min(busiest*sum/asked, 1)
+		s.admitted = min(maxUtilization*sum/asked, 1)
 	}
 	return s
 }
 
-// draw returns a server, each as often as its capacity is of all; nil where there is none.
+// draw returns a random server weighted by capacity, or nil if there is none.
 func (s *Sight) draw(rng *rand.Rand) *Server {
 	if len(s.servers) == 0 {
 		return nil
 	}
-	at := rng.Float64() * s.upTo[len(s.upTo)-1]
-	return &s.servers[min(sort.SearchFloat64s(s.upTo, at), len(s.servers)-1)]
+	at := rng.Float64() * s.cumulative[len(s.cumulative)-1]
+	return &s.servers[min(sort.SearchFloat64s(s.cumulative, at), len(s.servers)-1)]
 }
 
 const (
-	draws    = 16 // that may find a server which the agent has not on its list, or has tried
-	tagAsk   = 1
-	askAgain = time.Second // at least, after a call that failed
-	// partOfAim: a request of mean work may take one part of so many of its aim.
-	partOfAim  = 2
-	passedOver = 1 // full servers, that were drawn
-	mostTries  = 3 // tries of a request, where the deployment allows so many
+	maxDraws         = 16 // random draws to find a server that is on the agent's list and untried
+	tagResubscribe   = 1
+	resubscribeDelay = time.Second // minimum delay after a failed call
+	// A request of mean work may take at most 1/aimDivisor of its latency objective.
+	aimDivisor     = 2
+	maxFullSkipped = 1 // full servers that were drawn
+	maxAttempts    = 3 // attempts per request, where the deployment allows that many
 )
 
-// Policy is one agent that goes by what it sees late. It implements the routing core's Module.
+// Policy is one agent that decides by the delayed view. It implements the routing core's Module.
 type Policy struct {
-	set      balancer.Settings
-	sight    func() *Sight
-	work     time.Duration // a request's, on the mean
-	rng      *rand.Rand
-	ready    map[string]bool
-	out      map[string]int // this agent's requests at each server
-	requests map[uint32]*request
-	classes  map[string]balancer.Class
-	acts     []balancer.Action
-	asked    bool
+	settings    balancer.Settings
+	view        func() *Sight
+	meanWork    time.Duration // of a request
+	rng         *rand.Rand
+	ready       map[string]bool
+	outstanding map[string]int // this agent's requests at each server
+	requests    map[uint32]*request
+	classes     map[string]balancer.Class
+	actions     []balancer.Action
+	subscribed  bool
 }
 
 type request struct {
-	class balancer.Class
-	until time.Duration
-	tried []string
-	over  bool
+	class    balancer.Class
+	deadline time.Duration
+	tried    []string
+	canceled bool
 }
 
-// New returns a Policy that sees by sight, which returns how the servers stood some time ago. Work is the
-// mean work of a request on a standard core.
-func New(set balancer.Settings, work time.Duration, seed uint64, sight func() *Sight) *Policy {
+// New returns a Policy. sight returns the state of the servers as it was some time ago; work is the mean
+// work of a request on a standard core.
+func New(settings balancer.Settings, work time.Duration, seed uint64, view func() *Sight) *Policy {
 	p := &Policy{
-		set: set, sight: sight, work: work, rng: rand.New(rand.NewPCG(seed, 0x6c617465)),
-		ready: map[string]bool{}, out: map[string]int{}, requests: map[uint32]*request{},
+		settings: settings, view: view, meanWork: work, rng: rand.New(rand.NewPCG(seed, 0x6c617465)),
+		ready: map[string]bool{}, outstanding: map[string]int{}, requests: map[uint32]*request{},
 		classes: map[string]balancer.Class{},
 	}
-	for _, c := range set.Classes {
+	for _, c := range settings.Classes {
 		p.classes[c.Name] = c
 	}
 	return p
 }
 
-// Step takes an event in and returns the actions to take, valid until the next Step.
+// Step processes an event and returns the resulting actions, which are valid until the next Step.
 func (p *Policy) Step(now time.Duration, ev balancer.Event) []balancer.Action {
-	p.acts = p.acts[:0]
+	p.actions = p.actions[:0]
 	switch e := ev.(type) {
 	case *balancer.Request:
-		r := &request{class: p.classes[e.Class], until: now + e.ClientTimeout}
+		r := &request{class: p.classes[e.Class], deadline: now + e.ClientTimeout}
 		p.requests[e.ID] = r
 		p.send(now, e.ID, r)
 	case *balancer.AttemptDone:
-		p.ended(now, e)
+		p.attemptDone(now, e)
 	case *balancer.ClientGone:
 		if r := p.requests[e.ID]; r != nil {
-			r.over = true
+			r.canceled = true
 			for i := range r.tried {
-				p.acts = append(p.acts, balancer.Action{Kind: balancer.Cancel, ID: e.ID, Attempt: i})
+				p.actions = append(p.actions, balancer.Action{Kind: balancer.Cancel, ID: e.ID, Attempt: i})
 			}
 			delete(p.requests, e.ID)
 		}
 	case *balancer.ServerListUpdate:
-		p.listed(e)
+		p.listUpdated(e)
 	case *balancer.TimerDue:
-		p.acts = append(p.acts, balancer.Action{Kind: balancer.Subscribe})
+		p.actions = append(p.actions, balancer.Action{Kind: balancer.Subscribe})
 	}
-	return p.acts
+	return p.actions
 }
 
-func (p *Policy) listed(e *balancer.ServerListUpdate) {
-	if !p.asked {
-		p.asked = true
-		p.acts = append(p.acts, balancer.Action{Kind: balancer.Subscribe})
+func (p *Policy) listUpdated(e *balancer.ServerListUpdate) {
+	if !p.subscribed {
+		p.subscribed = true
+		p.actions = append(p.actions, balancer.Action{Kind: balancer.Subscribe})
 	}
 	switch e.Kind {
 	case balancer.UpdateFailed:
-		wait := time.Duration(float64(askAgain) * (1 + 2*p.rng.Float64()))
-		p.acts = append(p.acts, balancer.Action{Kind: balancer.SetTimer, After: wait, Tag: tagAsk})
+		wait := time.Duration(float64(resubscribeDelay) * (1 + 2*p.rng.Float64()))
+		p.actions = append(p.actions, balancer.Action{Kind: balancer.SetTimer, After: wait, Tag: tagResubscribe})
 		return
 	case balancer.UpdateFull, balancer.UpdateCached:
 		clear(p.ready)
@@ -156,44 +158,44 @@
 
 func (p *Policy) send(now time.Duration, id uint32, r *request) {
 	var best *Server
-	if len(r.tried) > 0 || p.rng.Float64() < p.sight().room {
+	if len(r.tried) > 0 || p.rng.Float64() < p.view().admitted {
 		best = p.choose(r)
 	}
 	if best == nil {
 		kind := balancer.Reject
 		if len(r.tried) > 0 && r.class.Idempotency == balancer.Idempotent {
-			kind = balancer.Fail // an attempt of it may have run
+			kind = balancer.Fail // an attempt may have run
 		}
 		p.finish(id, kind)
 		return
 	}
 	r.tried = append(r.tried, best.ID)
-	p.out[best.ID]++
-	p.acts = append(p.acts, balancer.Action{
+	p.outstanding[best.ID]++
+	p.actions = append(p.actions, balancer.Action{
 		Kind: balancer.Send, ID: id, Attempt: len(r.tried) - 1, Server: best.ID,
-		After: r.until - now,
+		After: r.deadline - now,
 	})
 }
 
 func (p *Policy) finish(id uint32, kind balancer.ActionKind) {
 	delete(p.requests, id)
-	p.acts = append(p.acts, balancer.Action{Kind: kind, ID: id})
+	p.actions = append(p.actions, balancer.Action{Kind: kind, ID: id})
 }
 
-// choose draws a server where the request would likely be done in time; nil: none was found. Few full ones
-// are passed over: all that comes would else meet at the few that were seen with room.
+// choose draws a server where the request would likely finish in time, or returns nil if none was found. It
+// skips few full servers: otherwise all requests would meet at the few servers that were seen with room.
 func (p *Policy) choose(r *request) *Server {
-	sight, full := p.sight(), 0
-	for range draws {
-		s := sight.draw(p.rng)
-		if s == nil || full > passedOver {
+	view, full := p.view(), 0
+	for range maxDraws {
+		s := view.draw(p.rng)
+		if s == nil || full > maxFullSkipped {
 			break
 		}
-		if !p.ready[s.ID] || r.has(s.ID) {
+		if !p.ready[s.ID] || r.hasTried(s.ID) {
 			continue
 		}
-		held := max(s.Held, float64(p.out[s.ID])) + 1
-		if time.Duration(max(held, s.Cores)*float64(p.work)/s.Speed) <= r.class.LatencyObjective/partOfAim {
+		held := max(s.Held, float64(p.outstanding[s.ID])) + 1
+		if time.Duration(max(held, s.Cores)*float64(p.meanWork)/s.Speed) <= r.class.LatencyObjective/aimDivisor {
 			return s
 		}
 		full++
@@ -201,7 +203,7 @@
 	return nil
 }
 
-func (r *request) has(id string) bool {
+func (r *request) hasTried(id string) bool {
 	for _, t := range r.tried {
 		if t == id {
 			return true
@@ -210,9 +212,9 @@
 	return false
 }
 
-func (p *Policy) ended(now time.Duration, e *balancer.AttemptDone) {
-	if p.out[e.Server]--; p.out[e.Server] <= 0 {
-		delete(p.out, e.Server)
+func (p *Policy) attemptDone(now time.Duration, e *balancer.AttemptDone) {
+	if p.outstanding[e.Server]--; p.outstanding[e.Server] <= 0 {
+		delete(p.outstanding, e.Server)
 	}
 	r := p.requests[e.ID]
 	switch {
@@ -221,7 +223,7 @@
 		delete(p.requests, e.ID)
 	case !e.Outcome.Unprocessed() && r.class.Idempotency != balancer.Idempotent:
 		p.finish(e.ID, balancer.Fail)
-	case len(r.tried) >= min(p.set.Limits.MaxAttempts, mostTries) || now >= r.until:
+	case len(r.tried) >= min(p.settings.Limits.MaxAttempts, maxAttempts) || now >= r.deadline:
 		kind := balancer.Fail
 		if e.Outcome.Unprocessed() && r.class.Idempotency != balancer.Idempotent {
 			kind = balancer.Reject
--- a/internal/rehearsal/late/late_test.go
+++ b/internal/rehearsal/late/late_test.go
@@ -9,19 +9,19 @@
 	"dunestep/internal/balancer"
 )
 
-// What comes beyond what the servers can do is refused; the rest goes where there is room, in the parts of what each
-// can do; what may be repeated is tried elsewhere, and nothing else is.
-func TestPolicy(t *testing.T) {
-	sight := NewSight([]Server{
+// Work beyond the servers' capacity is rejected. The rest goes to servers with room, in proportion to their
+// capacity. A request that may be repeated is retried on another server, any other request is not.
+func TestPolicyAdmitsChoosesAndRetries(t *testing.T) {
+	view := NewSight([]Server{
 		{ID: "a", Takes: true, Capacity: 1, Speed: 1, Cores: 1},
 		{ID: "b", Takes: true, Capacity: 3, Speed: 3, Cores: 3},
 		{ID: "full", Takes: true, Capacity: 1, Speed: 1, Held: 9, Cores: 1},
 		{ID: "silent", Capacity: 100, Speed: 100, Cores: 1},
 	}, 7)
-	set := balancer.Settings{Limits: balancer.Limits{MaxAttempts: 3}, Classes: []balancer.Class{
+	settings := balancer.Settings{Limits: balancer.Limits{MaxAttempts: 3}, Classes: []balancer.Class{
 		{Name: "consult", LatencyObjective: time.Second}, {Name: "rezervare", LatencyObjective: time.Second, Idempotency: balancer.NotIdempotent},
 	}}
-	p := New(set, 100*time.Millisecond, 1, func() *Sight { return sight })
+	p := New(settings, 100*time.Millisecond, 1, func() *Sight { return view })
 	var list balancer.ServerListUpdate
 	for _, id := range []string{"a", "b", "full", "silent"} {
 		list.Servers = append(list.Servers, balancer.Server{ID: id})
@@ -29,21 +29,21 @@
 	require.Equal(t, []balancer.Action{{Kind: balancer.Subscribe}}, p.Step(0, &list))
 	sent, refused := map[string]int{}, 0
 	for id := range uint32(1000) {
-		acts := p.Step(0, &balancer.Request{ID: id, Class: "consult", ClientTimeout: time.Second})
-		require.Len(t, acts, 1)
-		if acts[0].Kind != balancer.Send {
+		actions := p.Step(0, &balancer.Request{ID: id, Class: "consult", ClientTimeout: time.Second})
+		require.Len(t, actions, 1)
+		if actions[0].Kind != balancer.Send {
 			refused++
 			continue
 		}
-		sent[acts[0].Server]++
-		p.Step(0, &balancer.AttemptDone{ID: id, Server: acts[0].Server, Outcome: balancer.Served})
+		sent[actions[0].Server]++
+		p.Step(0, &balancer.AttemptDone{ID: id, Server: actions[0].Server, Outcome: balancer.Served})
 	}
-	require.InDelta(t, 500, refused, 100, "seven tenths of 5 of 7, and few that were drawn where it is full")
+	require.InDelta(t, 500, refused, 100, "admits 0.7 * 5 of 7, and rejects few that only draw full servers")
 	require.InDelta(t, 3, float64(sent["b"])/float64(sent["a"]), 0.8)
 	require.Len(t, sent, 2)
 	require.Empty(t, p.requests)
 
-	sight.room = 1
+	view.admitted = 1
 	first := p.Step(0, &balancer.Request{ID: 1, Class: "consult", ClientTimeout: time.Second})[0].Server
 	again := p.Step(0, &balancer.AttemptDone{ID: 1, Server: first, Outcome: balancer.ServerError})[0]
 	require.Equal(t, balancer.Send, again.Kind)
