--- a/internal/rehearsal/timeline/timeline.go
+++ b/internal/rehearsal/timeline/timeline.go
@@ -1,5 +1,5 @@
-// Package timeline holds what happened in a fleet, in lanes side by side: faults, and what others put beside
-// them, such as views, versions and breaches. Whoever plays or watches a fleet marks it; a report shows it.
+// Package timeline records what happened in a fleet in parallel lanes: faults, and others such as views,
+// versions and breaches. The program that plays or watches a fleet adds the entries; a report shows them.
 package timeline
 
 import (
@@ -9,24 +9,25 @@
 	"time"
 )
 
-// Faults is the lane of what was done to the fleet on purpose. The other lanes are whatever is marked.
+// Faults is the lane of the injected faults. Every other lane exists as soon as it has an entry.
 const Faults = "faults"
 
-// maxMarks bounds a timeline; what comes later is counted as dropped.
-const maxMarks = 20_000
+// maxEntries limits the entries of a timeline. Later entries are only counted as dropped.
+const maxEntries = 20_000
 
-// Mark is something that happened.
+// Mark is one entry of a timeline.
 type Mark struct {
-	At    time.Duration // since the day began
+	At    time.Duration // since the start of the run
 	Lane  string
-	Agent string // by name; empty: it concerns the fleet
+	Agent string // name of the agent; empty: the whole fleet
 	Text  string
 }
 
-// Reader tells what a line of an agent's log puts on the timeline, and in which lane; no lane: nothing.
+// Reader extracts a timeline entry from a line of an agent's log. An empty lane means that the line has
+// none.
 type Reader func(line string) (lane, text string)
 
-// Read marks what a line of an agent's log says; a nil reader reads nothing.
+// Read adds the entry that r finds in a line of an agent's log. A nil reader finds none.
 func (t *Timeline) Read(r Reader, at time.Duration, agent, line string) {
 	if r == nil {
 		return
@@ -36,36 +37,36 @@
 	}
 }
 
-// Timeline is marks in the order in which they were made. Its methods may be called from any goroutine; the
-// zero value is ready for use.
+// Timeline holds entries in the order in which they were added. Its methods are safe for concurrent use;
+// the zero value is ready to use.
 type Timeline struct {
 	mu      sync.Mutex
-	marks   []Mark
+	entries []Mark
 	dropped int
 }
 
-// Mark notes something.
+// Mark adds an entry.
 func (t *Timeline) Mark(at time.Duration, lane, agent, text string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if len(t.marks) >= maxMarks {
+	if len(t.entries) >= maxEntries {
 		t.dropped++
 		return
 	}
-	t.marks = append(t.marks, Mark{at, lane, agent, text})
+	t.entries = append(t.entries, Mark{at, lane, agent, text})
 }
 
-// Marks are all, by their time; those of one time as they were made. Dropped is how many there was no room
-// for.
+// Marks returns all entries sorted by time, entries of the same time in the order in which they were added,
+// and the number of entries dropped above the limit.
 func (t *Timeline) Marks() (marks []Mark, dropped int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	marks = slices.Clone(t.marks)
+	marks = slices.Clone(t.entries)
 	slices.SortStableFunc(marks, func(a, b Mark) int { return cmp.Compare(a.At, b.At) })
 	return marks, t.dropped
 }
 
-// Lanes are the names of the lanes that have marks: faults first, then as they first occur.
+// Lanes returns the names of the lanes with entries: Faults first, then in the order of their first entry.
 func Lanes(marks []Mark) []string {
 	var lanes []string
 	for _, m := range marks {
