--- a/internal/rehearsal/judge/judge_test.go
+++ b/internal/rehearsal/judge/judge_test.go
@@ -771,8 +771,8 @@
 // start.
 func TestSlowStartWindows(t *testing.T) {
 	for name, test := range map[string]struct {
-		told   int // of 9 sends, the last ones
-		broken bool
+		notified int // of 9 sends, the last ones
+		broken   bool
 	}{"two thirds": {6, false}, "over two thirds": {7, true}} {
 		t.Run(name, func(t *testing.T) {
 			p := newHarness(t, nil)
@@ -792,7 +792,7 @@
 			reached(4200, 1, 0, limit/2) // the first send has left the window by then
 			for i := range 9 {
 				agent := int32(0)
-				if i >= 9-test.told {
+				if i >= 9-test.notified {
 					agent = 1
 				}
 				reached(1200+i, 0, agent, limit/8)
@@ -804,7 +804,7 @@
 			require.Equal(t, 1, v.Cold.Fell)
 			require.Equal(t, "s0", v.Cold.Server)
 			require.InDelta(t, 9.0/8, v.Cold.Fullest, 1e-6)
-			require.InDelta(t, float64(test.told)/9, v.Cold.Told, 1e-6)
+			require.InDelta(t, float64(test.notified)/9, v.Cold.Told, 1e-6)
 			require.InDelta(t, 0.5, p.slowStarts.all[1].fullest, 1e-6)
 		})
 	}
--- a/internal/rehearsal/judge/shares.go
+++ b/internal/rehearsal/judge/shares.go
@@ -83,13 +83,13 @@
 
 // Measure sets the minimum of each share from what a policy with a delayed view of the true state serves in
 // the same run.
-func (v *Verdict) Measure(late *Verdict) {
+func (v *Verdict) Measure(delayed *Verdict) {
 	for i := range v.Shares {
 		s := &v.Shares[i]
-		if i >= len(late.Shares) {
+		if i >= len(delayed.Shares) {
 			continue
 		}
-		s.Late = late.Shares[i].Served
+		s.Late = delayed.Shares[i].Served
 		if s.Small || s.Late < s.minDelayed {
 			continue
 		}
--- a/internal/rehearsal/judge/terms.go
+++ b/internal/rehearsal/judge/terms.go
@@ -190,13 +190,13 @@
 	t.sentAfterLeft.Asked, t.sentAfterLeft.Broken = true, t.sentAfterLeft.Count >= minSentAfterLeft &&
 		t.sentAfterLeft.Count*sentAfterLeftOneIn > t.sentAfterLeft.Of
 	t.announced.Asked, t.announced.Broken = true, t.announced.Count*announcedOneIn > t.announced.Of
-	may := t.scenario.Gate.TurnAway
+	allowed := t.scenario.Gate.TurnAway
 	if calm {
-		may = min(may, calmRejectingPart)
+		allowed = min(allowed, calmRejectingPart)
 	}
 	t.rejecting.Of = len(t.agents)
-	t.rejecting.Asked = may < 1
-	t.rejecting.Broken = float64(t.rejecting.Count) > may*float64(t.rejecting.Of)
+	t.rejecting.Asked = allowed < 1
+	t.rejecting.Broken = float64(t.rejecting.Count) > allowed*float64(t.rejecting.Of)
 	t.restarts.Asked, t.restarts.Broken = true, t.restarts.Count*lateReadyOneIn > t.restarts.Of
 	t.startups.Asked, t.startups.Broken, t.startups.Of = true, t.startups.Count > 0, t.restarts.Of
 	return []Term{t.sentAfterLeft, t.announced, t.rejecting, t.restarts, t.startups}
--- a/internal/rehearsal/judge/verdict.go
+++ b/internal/rehearsal/judge/verdict.go
@@ -178,17 +178,17 @@
 
 func (j *Judge) prices() []Price {
 	s, p := &j.service, j.scenario.Prices
-	waste, late := 0.0, 0.0
+	waste, lateFail := 0.0, 0.0
 	if s.askedWork > 0 {
 		waste = float64(s.wastedWork) / float64(s.askedWork)
 	}
 	if s.total.asked > 0 {
-		late = s.lateFailWorth / s.total.asked
+		lateFail = s.lateFailWorth / s.total.asked
 	}
 	all := []Price{
 		{Name: "new connections", Rate: s.perFirstTry(float64(s.opened)), Off: p.Handshake},
 		{Name: "work wasted", Rate: waste, Off: p.Waste},
-		{Name: "failing only late", Rate: late, Off: p.LateFail},
+		{Name: "failing only late", Rate: lateFail, Off: p.LateFail},
 		{Name: "crossing zones", Rate: s.perFirstTry(float64(s.crossings)), Off: p.CrossZone},
 		{Name: "messages between agents", Rate: s.perFirstTry(s.peerBytes / messageBytes), Off: p.Peer},
 		{Name: "turned back unheard",
