--- a/internal/rehearsal/scenario/check.go
+++ b/internal/rehearsal/scenario/check.go
@@ -12,13 +12,13 @@
 	"dunestep/internal/stricttoml"
 )
 
-// The most that a day may hold. Guards against a day that no machine plays to its end.
+// The largest run that is accepted, as a guard against runs that no machine plays to the end.
 const (
 	maxRequests = 20_000_000
-	maxPairs    = 500_000 // agents times servers: each agent keeps a ring of them all
+	maxPairs    = 500_000 // agents times servers; each agent keeps a ring of all servers
 )
 
-// check looks for figures that are fine one by one and make no sense together.
+// check reports values that are valid one by one but inconsistent together.
 func (s *Scenario) check(d *stricttoml.Document) {
 	if !d.IsValid("") {
 		return
@@ -29,24 +29,25 @@
 	checkNames(d, s)
 	checkClasses(d, s)
 	for i := range s.Troubles {
-		checkTrouble(d, s, fmt.Sprintf("trouble[%d]", i), &s.Troubles[i])
+		checkFaultSpec(d, s, fmt.Sprintf("trouble[%d]", i), &s.Troubles[i])
 	}
 }
 
 func checkSize(d *stricttoml.Document, s *Scenario) {
 	if s.Day.From >= s.Day.Length {
-		d.AddProblem("day.from_s", "must be before the day ends")
+		d.AddProblem("day.from_s", "must be before the end of the run")
 	}
 	if pairs := s.Agents.Count * s.Fleet.Servers; pairs > maxPairs {
 		d.AddProblem("fleet.servers", "%d agents times %d servers is over %d", s.Agents.Count, s.Fleet.Servers,
 			maxPairs)
 	}
 	if n := s.firstTries(); n > maxRequests {
-		d.AddProblem("day.length_s", "the day would have some %.0f first tries; %d at most", n, maxRequests)
+		d.AddProblem("day.length_s", "the run would have about %.0f first tries; at most %d are allowed", n,
+			maxRequests)
 	}
 }
 
-// firstTries is about how many first tries the busiest draw of the day has.
+// firstTries returns the approximate number of first tries with the largest drawable values.
 func (s *Scenario) firstTries() float64 {
 	perS := s.Load.PerS.High
 	if perS == 0 && len(s.Classes) > 0 {
@@ -85,7 +86,7 @@
 	}
 }
 
-const shareSlack = 0.001 // for shares that are rounded
+const shareSlack = 0.001 // tolerance for rounded shares
 
 func checkShares(d *stricttoml.Document, s *Scenario) {
 	sums := map[string]float64{}
@@ -109,9 +110,9 @@
 	}
 }
 
-const maxGroups = 200 // classes or tenants: events hold their numbers in a byte
+const maxGroups = 200 // classes or tenants; events store their numbers in a byte
 
-// fileName is what a scenario's name must be: a hunt names files by it.
+// fileName matches the names allowed for a scenario: hunt names files after them.
 var fileName = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,99}$`)
 
 func checkNames(d *stricttoml.Document, s *Scenario) {
@@ -136,15 +137,16 @@
 
 func checkList(d *stricttoml.Document, path string, names []string, need bool) {
 	if need && len(names) == 0 {
-		d.AddProblem(path, "there must be one at least")
+		d.AddProblem(path, "must have at least one entry")
 	}
 	if len(names) > maxGroups {
-		d.AddProblem(path, "there may be %d at most", maxGroups)
+		d.AddProblem(path, "must have at most %d entries", maxGroups)
 	}
 	seen := map[string]bool{}
 	for i, name := range names {
 		if seen[name] || name == "" || strings.ContainsAny(name, " /?#\"\\\n\r\t") {
-			d.AddProblem(fmt.Sprintf("%s[%d]", path, i), "the name %q is empty, given twice, or no plain word", name)
+			d.AddProblem(fmt.Sprintf("%s[%d]", path, i), "the name %q is empty, given twice, or not a plain word",
+				name)
 		}
 		seen[name] = true
 	}
@@ -166,31 +168,31 @@
 		d.AddProblem("rules.cold_s", "must be above zero where a server starts at less than its capacity")
 	}
 	for i, k := range s.Kinds {
-		// What agents are told must hold, or they would be blamed for trusting it.
+		// Agents rely on these values, so they must be true.
 		if k.ColdFrom.Low < s.Rules.ColdShare || k.Cold.High > s.Rules.ColdFor {
 			d.AddProblem(fmt.Sprintf("kind[%d]", i), "starts colder than rules.cold_share or stays so for longer "+
-				"than rules.cold_s, which agents go by")
+				"than rules.cold_s, which agents rely on")
 		}
 	}
 }
 
-func checkTrouble(d *stricttoml.Document, s *Scenario, path string, t *Trouble) {
-	fields, known := troubleKinds[t.Kind]
+func checkFaultSpec(d *stricttoml.Document, s *Scenario, path string, t *Trouble) {
+	fields, known := faultKinds[t.Kind]
 	if !known {
 		var all []string
-		for kind := range troubleKinds {
+		for kind := range faultKinds {
 			all = append(all, string(kind))
 		}
 		slices.Sort(all)
-		d.AddProblem(path+".kind", "%q is unknown; allowed: %s", t.Kind, list(all))
+		d.AddProblem(path+".kind", "%q is unknown; allowed: %s", t.Kind, joinNames(all))
 		return
 	}
 	if t.At.High >= s.Day.Length {
-		d.AddProblem(path+".at_s", "is not before the day's end, %v", s.Day.Length)
+		d.AddProblem(path+".at_s", "is not before the run's end, %v", s.Day.Length)
 	}
-	checkTroubleKeys(d, path, t.Kind, fields)
-	if d.Has(path, "size") && (t.Size.Low < fields.least || t.Size.High > fields.most) {
-		d.AddProblem(path+".size", "is out of range for %s: %v to %v", t.Kind, fields.least, fields.most)
+	checkFaultKeys(d, path, t.Kind, fields)
+	if d.Has(path, "size") && (t.Size.Low < fields.minSize || t.Size.High > fields.maxSize) {
+		d.AddProblem(path+".size", "is out of range for %s: %v to %v", t.Kind, fields.minSize, fields.maxSize)
 	}
 	for _, pair := range [][2]string{{"heals_below", "heals_rest_s"}, {"on_s", "off_s"}} {
 		if d.Has(path, pair[0]) != d.Has(path, pair[1]) {
@@ -198,7 +200,7 @@
 		}
 	}
 	if d.Has(path, "zone") && !slices.Contains(s.Network.Zones, t.Zone) {
-		d.AddProblem(path+".zone", "%q is unknown; allowed: %s", t.Zone, list(s.Network.Zones))
+		d.AddProblem(path+".zone", "%q is unknown; allowed: %s", t.Zone, joinNames(s.Network.Zones))
 	}
 	for kind, faults := range map[TroubleKind][]Fault{OnWire: Faults, Streams: StreamFaults} {
 		if t.Kind == kind && !slices.Contains(faults, t.Fault) {
@@ -206,7 +208,7 @@
 			for _, f := range faults {
 				all = append(all, string(f))
 			}
-			d.AddProblem(path+".fault", "%q is unknown; allowed: %s", t.Fault, list(all))
+			d.AddProblem(path+".fault", "%q is unknown; allowed: %s", t.Fault, joinNames(all))
 		}
 	}
 	if d.Has(path, "count") && t.Count > s.Agents.Count {
@@ -220,13 +222,13 @@
 			}
 		}
 	}
-	checkFault(d, path, t)
+	checkAgentFault(d, path, t)
 	if t.Kind == Window {
 		checkWindow(d, s, path, t)
 	}
 }
 
-// checkWindow looks for tenants that are not there, and for a window that is over before all have left.
+// checkWindow checks that a window's tenants exist and that all keys can leave before it ends.
 func checkWindow(d *stricttoml.Document, s *Scenario, path string, t *Trouble) {
 	for i, name := range t.Tenants {
 		known := slices.ContainsFunc(s.Tenants, func(t Tenant) bool { return t.Name == name })
@@ -235,20 +237,20 @@
 		}
 	}
 	if len(t.Tenants) == 0 {
-		d.AddProblem(path+".tenants", "there must be one at least")
+		d.AddProblem(path+".tenants", "must have at least one entry")
 	}
 	if 2*t.Moves.High >= t.For.Low {
-		d.AddProblem(path+".moves_s", "twice this must be under for_s")
+		d.AddProblem(path+".moves_s", "must be less than half of for_s")
 	}
 }
 
-// checkFault looks for what makes no sense in a fault between agents or of their processes.
-func checkFault(d *stricttoml.Document, path string, t *Trouble) {
+// checkAgentFault checks faults between agents or of their processes for values that are inconsistent.
+func checkAgentFault(d *stricttoml.Document, path string, t *Trouble) {
 	switch {
 	case t.Kind == AgentsPaused && !d.Has(path, "on_s") && t.For.High > LongestPause:
-		d.AddProblem(path+".for_s", "an agent is paused for %v at the most", LongestPause)
+		d.AddProblem(path+".for_s", "an agent may be paused for at most %v", LongestPause)
 	case t.Kind == AgentsPaused && t.On.High > LongestPause:
-		d.AddProblem(path+".on_s", "an agent is paused for %v at the most", LongestPause)
+		d.AddProblem(path+".on_s", "an agent may be paused for at most %v", LongestPause)
 	case t.Kind == Datagrams && (t.BurstLoss.High > 0) != (d.Has(path, "calm_ms") && d.Has(path, "bad_ms")):
 		d.AddProblem(path, "burst_loss, calm_ms and bad_ms go together")
 	case t.Kind == Datagrams && (t.Reorder.High > 0) != (t.Held.High > 0):
@@ -256,9 +258,9 @@
 	}
 }
 
-func checkTroubleKeys(d *stricttoml.Document, path string, kind TroubleKind, fields troubleFields) {
-	allowed := slices.Concat([]string{"kind", "at_s", "for_s"}, fields.need, fields.oneOf, fields.may)
-	for _, key := range fields.need {
+func checkFaultKeys(d *stricttoml.Document, path string, kind TroubleKind, fields faultFields) {
+	allowed := slices.Concat([]string{"kind", "at_s", "for_s"}, fields.required, fields.oneOf, fields.optional)
+	for _, key := range fields.required {
 		if !d.Has(path, key) {
 			d.AddProblem(path, "a trouble of kind %s needs the key %s", kind, key)
 		}
@@ -272,18 +274,18 @@
 	switch {
 	case len(fields.oneOf) == 0:
 	case given == 0:
-		d.AddProblem(path, "a trouble of kind %s needs one of the keys %s", kind, list(fields.oneOf))
+		d.AddProblem(path, "a trouble of kind %s needs one of the keys %s", kind, joinNames(fields.oneOf))
 	case given > 1 && !fields.anyOf:
-		d.AddProblem(path, "a trouble of kind %s has only one of the keys %s", kind, list(fields.oneOf))
+		d.AddProblem(path, "a trouble of kind %s has only one of the keys %s", kind, joinNames(fields.oneOf))
 	}
 	for _, key := range d.Keys(path) {
 		if !slices.Contains(allowed, key) {
-			d.AddProblem(path+"."+key, "means nothing for %s; allowed: %s", kind, list(allowed))
+			d.AddProblem(path+"."+key, "means nothing for %s; allowed: %s", kind, joinNames(allowed))
 		}
 	}
 }
 
-// Ends is when the last trouble is over at the latest.
+// Ends returns the latest possible end of all faults.
 func (s *Scenario) Ends() time.Duration {
 	last := time.Duration(0)
 	for _, t := range s.Troubles {
@@ -292,4 +294,4 @@
 	return last
 }
 
-func list(words []string) string { return strings.Join(words, ", ") }
+func joinNames(names []string) string { return strings.Join(names, ", ") }
--- a/internal/rehearsal/scenario/fault.go
+++ b/internal/rehearsal/scenario/fault.go
@@ -1,63 +1,64 @@
 package scenario
 
-// Fault is what goes wrong with a booking server's answer on the wire.
+// Fault is a fault of a connection: of an upstream server's answer on the wire, or of a stream.
 type Fault string
 
-// The faults of the wire.
+// The faults of an answer on the wire.
 const (
-	// NoAccept: connections are not accepted; those that are open go on.
+	// NoAccept accepts no connections; those that are open continue.
 	NoAccept Fault = "no_accept"
-	// SilentHead and SilentBody: the answer stops in the middle of its head or body, and the connection stays.
+	// SilentHead and SilentBody stop the answer in the middle of its head or body and keep the connection
+	// open.
 	SilentHead Fault = "silent_head"
 	SilentBody Fault = "silent_body"
-	// ResetBefore and ResetAfter: the connection is reset before the answer's first byte, or after its last.
+	// ResetBefore and ResetAfter reset the connection before the answer's first byte or after its last.
 	ResetBefore Fault = "reset_before"
 	ResetAfter  Fault = "reset_after"
-	// Hints: a 1xx comes before the answer.
+	// Hints sends a 1xx response before the answer.
 	Hints Fault = "hints"
-	// TwoAnswers: the answer comes twice.
+	// TwoAnswers sends the answer twice.
 	TwoAnswers Fault = "two_answers"
-	// Noise: what comes is no HTTP.
+	// Noise sends bytes that are not HTTP.
 	Noise Fault = "noise"
-	// EndlessHead: a head that does not end.
+	// EndlessHead sends a head that does not end.
 	EndlessHead Fault = "endless_head"
-	// CutBody: the connection ends in the middle of the body.
+	// CutBody closes the connection in the middle of the body.
 	CutBody Fault = "cut_body"
-	// OpenBody: the answer has no length, and the connection is reset in the middle of the body.
+	// OpenBody sends the answer without a length and resets the connection in the middle of the body.
 	OpenBody Fault = "open_body"
-	// HalfClose: the server closes its side after the answer, and still reads.
+	// HalfClose closes the server's side after the answer while the server still reads.
 	HalfClose Fault = "half_close"
-	// SlowReader: the server takes the request so slowly that its last byte is read late.
+	// SlowReader reads the request so slowly that its last byte is read late.
 	SlowReader Fault = "slow_reader"
-	// Forgets: the server's machine forgets the connection after the answer, without a word.
+	// Forgets drops the connection's state on the server's machine after the answer, without notice.
 	Forgets Fault = "forgets"
 )
 
-// Faults are all faults.
+// Faults lists all faults of an answer.
 var Faults = []Fault{
 	NoAccept, SilentHead, SilentBody, ResetBefore, ResetAfter, Hints, TwoAnswers, Noise,
 	EndlessHead, CutBody, OpenBody, HalfClose, SlowReader, Forgets,
 }
 
-// The faults of streams. What can't pass waits, and passes when the fault is over.
+// The faults of streams. Data that cannot pass waits and passes when the fault is over.
 const (
-	// StreamSilent: nothing passes either way; connections come up, and those that are open stay so.
+	// StreamSilent passes nothing in either direction; connections can be opened and stay open.
 	StreamSilent Fault = "silent"
-	// StreamReset: connections are reset, and so is each new one.
+	// StreamReset resets open connections and each new one.
 	StreamReset Fault = "reset"
-	// StreamFromAgent and StreamToAgent: only what the agent says passes, or only what it is told.
+	// StreamFromAgent passes only data from the agent, StreamToAgent only data to the agent.
 	StreamFromAgent Fault = "from_agent"
 	StreamToAgent   Fault = "to_agent"
 )
 
-// StreamFaults are all faults of streams.
+// StreamFaults lists all faults of streams.
 var StreamFaults = []Fault{StreamSilent, StreamReset, StreamFromAgent, StreamToAgent}
 
-// FaultEffect is what a fault comes to for the route step that meets it.
+// FaultEffect is the effect of a fault on the attempt that meets it.
 type FaultEffect uint8
 
-// The effects: none, no whole answer within its time, a connection that broke before the answer was whole, an
-// answer that can't be read, and one after which the connection is of no more use.
+// The effects: none, no complete answer in time, a connection that breaks before the answer is complete, an
+// unreadable answer, and a complete answer after which the connection is unusable.
 const (
 	Harmless FaultEffect = iota
 	Unanswered
@@ -66,7 +67,7 @@
 	LastAnswer
 )
 
-// Effect is what the fault comes to.
+// Effect returns the effect of the fault on an attempt.
 func (f Fault) Effect() FaultEffect {
 	switch f {
 	case SilentHead, SilentBody:
--- a/internal/rehearsal/scenario/trouble.go
+++ b/internal/rehearsal/scenario/faultspec.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// Exactly is a figure that every day draws the same.
+// Exactly returns a span with a single value.
 func Exactly(v float64) Span { return Span{v, v} }
 
-// Always is a time that every day draws the same.
+// Always returns a time span with a single value.
 func Always(d time.Duration) TimeSpan { return TimeSpan{d, d} }
 
-// Words says in a line what comes over whom, for people.
+// Words returns a one-line description of the fault and what it affects.
 func (t *Trouble) Words() string {
 	some := func(numbers []int, what string) string {
 		if len(numbers) == 0 {
@@ -37,28 +37,28 @@
 	return text
 }
 
-// Check checks troubles that a program has put together as those of a file are checked, for a fleet of so
-// many agents. It returns them with their defaults filled in; the error is stricttoml.Problems, whose keys
-// tell where.
-func Check(agents int, troubles []Trouble) ([]Trouble, error) {
-	s, err := Parse("troubles", []byte(checkDay))
+// Check validates faults that were built by a program, for a fleet with the given number of agents, like
+// faults from a file. It returns them with their defaults filled in; errors are stricttoml.Problems, whose
+// keys give the position.
+func Check(agents int, faults []Trouble) ([]Trouble, error) {
+	s, err := Parse("troubles", []byte(checkScenario))
 	if err != nil {
 		return nil, err
 	}
 	s.Agents.Count = agents
 	last := time.Duration(0)
-	for _, t := range troubles {
-		if t.Stream == "" {
-			t.Stream = "both"
+	for _, f := range faults {
+		if f.Stream == "" {
+			f.Stream = "both"
 		}
-		if t.Folder == "" {
-			t.Folder = "lasts"
+		if f.Folder == "" {
+			f.Folder = "lasts"
 		}
-		if t.Drain == (TimeSpan{}) {
-			t.Drain = TimeSpan{2700 * time.Millisecond, 5400 * time.Millisecond} // the key's default
+		if f.Drain == (TimeSpan{}) {
+			f.Drain = TimeSpan{2700 * time.Millisecond, 5400 * time.Millisecond} // the key's default
 		}
-		last = max(last, t.At.High)
-		s.Troubles = append(s.Troubles, t)
+		last = max(last, f.At.High)
+		s.Troubles = append(s.Troubles, f)
 	}
 	s.Day.Length = max(time.Duration(math.Ceil(last.Seconds()))*time.Second, 0) + time.Second
 	text, err := Encode(s)
@@ -72,8 +72,8 @@
 	return checked.Troubles, nil
 }
 
-// checkDay is a day that troubles are put into to be checked.
-const checkDay = `schema = 1
+// checkScenario is the scenario that Check puts the faults into.
+const checkScenario = `schema = 1
 name = "troubles"
 floor = 0
 day = {length_s = 1, from_s = 0}
--- a/internal/rehearsal/scenario/load.go
+++ b/internal/rehearsal/scenario/load.go
@@ -2,7 +2,7 @@
 
 import "dunestep/internal/stricttoml"
 
-// Load reads a scenario's file. The error is stricttoml.Problems where the file could be read.
+// Load reads a scenario file. The error is of type stricttoml.Problems if the file could be read.
 func Load(name string) (*Scenario, error) {
 	s := &Scenario{}
 	if err := stricttoml.ReadFile(name, s, s.check); err != nil {
@@ -11,7 +11,7 @@
 	return s, nil
 }
 
-// Parse reads a scenario. The name is for the errors, which are stricttoml.Problems.
+// Parse reads a scenario. name is used in the errors, which are of type stricttoml.Problems.
 func Parse(name string, data []byte) (*Scenario, error) {
 	s := &Scenario{}
 	if err := stricttoml.Read(name, data, s, s.check); err != nil {
@@ -20,6 +20,6 @@
 	return s, nil
 }
 
-// Encode writes a scenario as a file that Parse reads back into the same value. What is at its default is
-// left out.
+// Encode returns a scenario as TOML that Parse reads back into the same value. Values equal to their
+// default are omitted.
 func Encode(s *Scenario) ([]byte, error) { return stricttoml.Write(s) }
--- a/internal/rehearsal/scenario/load_test.go
+++ b/internal/rehearsal/scenario/load_test.go
@@ -15,7 +15,7 @@
 	"dunestep/internal/stricttoml"
 )
 
-const small = `schema = 1
+const minimalScenario = `schema = 1
 name = "small"
 floor = 0.5
 day = {length_s = 10}
@@ -39,48 +39,48 @@
 effect = "safe"
 `
 
-// What is wrong is told with its place, and everything at once.
-func TestProblemsAreToldTogether(t *testing.T) {
+// All problems are reported at once, each with its position.
+func TestParseReportsAllProblems(t *testing.T) {
 	with := func(old, new string) string {
-		require.Contains(t, small, old)
-		return strings.Replace(small, old, new, 1)
+		require.Contains(t, minimalScenario, old)
+		return strings.Replace(minimalScenario, old, new, 1)
 	}
-	trouble := func(text string) string { return small + "\n[[trouble]]\n" + text }
+	withFault := func(text string) string { return minimalScenario + "\n[[trouble]]\n" + text }
 	for name, test := range map[string]struct{ text, want string }{
-		"empty":               {"", "needs the key schema"},
-		"no file name":        {with(`"small"`, `"../small"`), "2:1: name: must be at most 100 small letters"},
-		"negative":            {with("length_s = 10", "length_s = -10"), "4:8: day.length_s: must be a number from 1 to 86400"},
-		"no servers":          {with("servers = 2", "servers = 0"), "fleet.servers: must be a whole number from 1 to 5000"},
-		"no kinds":            {strings.Replace(small, "[[kind]]", "[[tenant]]", 1), "needs the key kind"},
-		"shares":              {with("share = 1\ncores", "share = 0.7\ncores"), "9:3: kind: the shares add up to 0.7"},
-		"two loads":           {with("{per_s = 20}", "{per_s = 20, of_capacity = 1}"), "either per_s or of_capacity"},
-		"no traffic":          {with("{per_s = 20}", "{per_s = 0}"), "the traffic must be above zero"},
-		"aim after deadline":  {with("aim_ms = 500", "aim_ms = 1500"), "19:1: class[0].aim_ms: the aim is after the deadline"},
-		"too large":           {with("per_s = 20", "per_s = 1e6") + "\n[[trouble]]\nkind = \"surge\"\nat_s = 1\nfor_s = 1\nsize = 9", "some 90000000 first tries"},
-		"window too short":    {trouble("kind = \"window\"\nat_s = 1\nfor_s = 9\npart = 0.1\ntenants = [\"*\"]\nmoves_s = 5\n"), "twice this must be under for_s"},
-		"window of none":      {trouble("kind = \"window\"\nat_s = 1\nfor_s = 9\npart = 0.1\ntenants = [\"acme\"]\nmoves_s = 1\n"), "there is no tenant"},
-		"too many pairs":      {strings.Replace(with("servers = 2", "servers = 5000"), "count = 1", "count = 5000", 1), "5000 agents times 5000 servers"},
-		"colder than told":    {with("speed = 1", "speed = 1\ncold_from = 0.1"), "starts colder than rules.cold_share"},
-		"quota, no tenants":   {with("{per_s = 20}", "{per_s = 20, quota_per_s = 5}"), "quota"},
-		"unknown trouble":     {trouble("kind = \"flood\"\nat_s = 1\nfor_s = 1"), `"flood" is unknown; allowed: agents_killed, `},
-		"trouble too late":    {trouble("kind = \"surge\"\nat_s = 10\nfor_s = 1\nsize = 4"), "26:1: trouble[0].at_s: is not before the day's end, 10s"},
-		"trouble lacks":       {trouble("kind = \"surge\"\nat_s = 1\nfor_s = 1"), "trouble[0]: a trouble of kind surge needs the key size"},
-		"trouble's other key": {trouble("kind = \"silent\"\nat_s = 1\nfor_s = 1\npart = 1\nsize = 1"), "trouble[0].size: means nothing for silent"},
-		"trouble's size":      {trouble("kind = \"spoilt\"\nat_s = 1\nfor_s = 1\npart = 1\nsize = 2"), "trouble[0].size: is out of range for spoilt: 0 to 1"},
-		"unknown zone":        {trouble("kind = \"partition\"\nat_s = 1\nfor_s = 1\nzone = \"mars\""), `"mars" is unknown; allowed: buc-pipera`},
-		"half a healing":      {trouble("kind = \"slow\"\nat_s = 1\nfor_s = 1\nsize = 2\nheals_below = 0.5"), "go together"},
-		"more than agents":    {trouble("kind = \"agents_killed\"\nat_s = 1\nfor_s = 1\ncount = 2"), "there are only 1 agents"},
-		"neither":             {trouble("kind = \"agents_paused\"\nat_s = 1\nfor_s = 1"), "needs one of the keys count, agents"},
-		"both":                {trouble("kind = \"agents_paused\"\nat_s = 1\nfor_s = 1\ncount = 1\nagents = [0]"), "only one of the keys count, agents"},
-		"paused too long":     {trouble("kind = \"agents_paused\"\nat_s = 1\nfor_s = 61\ncount = 1"), "27:1: trouble[0].for_s: an agent is paused for 1m0s at the most"},
-		"no such agent":       {trouble("kind = \"datagrams\"\nat_s = 1\nfor_s = 1\nloss = 1\nfrom = [0]\nto = [1]"), "30:1: trouble[0].to[0]: there are only 1 agents, from 0"},
-		"does nothing":        {trouble("kind = \"datagrams\"\nat_s = 1\nfor_s = 1\nfrom = [0]"), "needs one of the keys cut, loss"},
-		"no share":            {trouble("kind = \"datagrams\"\nat_s = 1\nfor_s = 1\nloss = 1.5"), "28:1: trouble[0].loss: must be a number from 0 to 1"},
-		"half a burst":        {trouble("kind = \"datagrams\"\nat_s = 1\nfor_s = 1\nburst_loss = 1\nbad_ms = 5"), "burst_loss, calm_ms and bad_ms go together"},
-		"held by nothing":     {trouble("kind = \"datagrams\"\nat_s = 1\nfor_s = 1\nreorder = 1"), "reorder and held_ms go together"},
-		"unknown stream":      {trouble("kind = \"streams\"\nat_s = 1\nfor_s = 1\nfault = \"silent\"\nstream = \"peers\""), "29:1: trouble[0].stream: \"peers\" is unknown; allowed: discovery, servers, both"},
-		"stream's fault":      {trouble("kind = \"streams\"\nat_s = 1\nfor_s = 1\nfault = \"noise\""), "allowed: silent, reset, from_agent, to_agent"},
-		"same name twice":     {trouble("kind = \"discovery_down\"\nat_s = 1\nfor_s = 1") + "\n[[tenant]]\nname = \"a b\"\nshare = 1", "no plain word"},
+		"empty":                   {"", "needs the key schema"},
+		"invalid name":            {with(`"small"`, `"../small"`), "2:1: name: must be at most 100 small letters"},
+		"negative":                {with("length_s = 10", "length_s = -10"), "4:8: day.length_s: must be a number from 1 to 86400"},
+		"no servers":              {with("servers = 2", "servers = 0"), "fleet.servers: must be a whole number from 1 to 5000"},
+		"no kinds":                {strings.Replace(minimalScenario, "[[kind]]", "[[tenant]]", 1), "needs the key kind"},
+		"shares":                  {with("share = 1\ncores", "share = 0.7\ncores"), "9:3: kind: the shares add up to 0.7"},
+		"two loads":               {with("{per_s = 20}", "{per_s = 20, of_capacity = 1}"), "either per_s or of_capacity"},
+		"no traffic":              {with("{per_s = 20}", "{per_s = 0}"), "the traffic must be above zero"},
+		"aim after deadline":      {with("aim_ms = 500", "aim_ms = 1500"), "19:1: class[0].aim_ms: the aim is after the deadline"},
+		"too large":               {with("per_s = 20", "per_s = 1e6") + "\n[[trouble]]\nkind = \"surge\"\nat_s = 1\nfor_s = 1\nsize = 9", "about 90000000 first tries"},
+		"window too short":        {withFault("kind = \"window\"\nat_s = 1\nfor_s = 9\npart = 0.1\ntenants = [\"*\"]\nmoves_s = 5\n"), "must be less than half of for_s"},
+		"unknown tenant":          {withFault("kind = \"window\"\nat_s = 1\nfor_s = 9\npart = 0.1\ntenants = [\"acme\"]\nmoves_s = 1\n"), "there is no tenant"},
+		"too many pairs":          {strings.Replace(with("servers = 2", "servers = 5000"), "count = 1", "count = 5000", 1), "5000 agents times 5000 servers"},
+		"colder than the rules":   {with("speed = 1", "speed = 1\ncold_from = 0.1"), "starts colder than rules.cold_share"},
+		"quota, no tenants":       {with("{per_s = 20}", "{per_s = 20, quota_per_s = 5}"), "quota"},
+		"unknown kind":            {withFault("kind = \"flood\"\nat_s = 1\nfor_s = 1"), `"flood" is unknown; allowed: agents_killed, `},
+		"fault after the end":     {withFault("kind = \"surge\"\nat_s = 10\nfor_s = 1\nsize = 4"), "26:1: trouble[0].at_s: is not before the run's end, 10s"},
+		"required key missing":    {withFault("kind = \"surge\"\nat_s = 1\nfor_s = 1"), "trouble[0]: a trouble of kind surge needs the key size"},
+		"key of another kind":     {withFault("kind = \"silent\"\nat_s = 1\nfor_s = 1\npart = 1\nsize = 1"), "trouble[0].size: means nothing for silent"},
+		"size out of range":       {withFault("kind = \"spoilt\"\nat_s = 1\nfor_s = 1\npart = 1\nsize = 2"), "trouble[0].size: is out of range for spoilt: 0 to 1"},
+		"unknown zone":            {withFault("kind = \"partition\"\nat_s = 1\nfor_s = 1\nzone = \"mars\""), `"mars" is unknown; allowed: buc-pipera`},
+		"heals_rest_s missing":    {withFault("kind = \"slow\"\nat_s = 1\nfor_s = 1\nsize = 2\nheals_below = 0.5"), "go together"},
+		"more agents than exist":  {withFault("kind = \"agents_killed\"\nat_s = 1\nfor_s = 1\ncount = 2"), "there are only 1 agents"},
+		"no key of oneOf":         {withFault("kind = \"agents_paused\"\nat_s = 1\nfor_s = 1"), "needs one of the keys count, agents"},
+		"two keys of oneOf":       {withFault("kind = \"agents_paused\"\nat_s = 1\nfor_s = 1\ncount = 1\nagents = [0]"), "only one of the keys count, agents"},
+		"paused too long":         {withFault("kind = \"agents_paused\"\nat_s = 1\nfor_s = 61\ncount = 1"), "27:1: trouble[0].for_s: an agent may be paused for at most 1m0s"},
+		"no such agent":           {withFault("kind = \"datagrams\"\nat_s = 1\nfor_s = 1\nloss = 1\nfrom = [0]\nto = [1]"), "30:1: trouble[0].to[0]: there are only 1 agents, from 0"},
+		"no effect":               {withFault("kind = \"datagrams\"\nat_s = 1\nfor_s = 1\nfrom = [0]"), "needs one of the keys cut, loss"},
+		"no share":                {withFault("kind = \"datagrams\"\nat_s = 1\nfor_s = 1\nloss = 1.5"), "28:1: trouble[0].loss: must be a number from 0 to 1"},
+		"burst without means":     {withFault("kind = \"datagrams\"\nat_s = 1\nfor_s = 1\nburst_loss = 1\nbad_ms = 5"), "burst_loss, calm_ms and bad_ms go together"},
+		"reorder without held_ms": {withFault("kind = \"datagrams\"\nat_s = 1\nfor_s = 1\nreorder = 1"), "reorder and held_ms go together"},
+		"unknown stream":          {withFault("kind = \"streams\"\nat_s = 1\nfor_s = 1\nfault = \"silent\"\nstream = \"peers\""), "29:1: trouble[0].stream: \"peers\" is unknown; allowed: discovery, servers, both"},
+		"fault of another kind":   {withFault("kind = \"streams\"\nat_s = 1\nfor_s = 1\nfault = \"noise\""), "allowed: silent, reset, from_agent, to_agent"},
+		"name with a space":       {withFault("kind = \"discovery_down\"\nat_s = 1\nfor_s = 1") + "\n[[tenant]]\nname = \"a b\"\nshare = 1", "not a plain word"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := Parse("day.toml", []byte(test.text))
@@ -89,12 +89,12 @@
 			require.Contains(t, err.Error(), test.want)
 		})
 	}
-	_, err := Parse("day.toml", []byte(strings.NewReplacer("floor = 0.5", "floor = 5", "cores = 2", "cores = 0").Replace(small)))
+	_, err := Parse("day.toml", []byte(strings.NewReplacer("floor = 0.5", "floor = 5", "cores = 2", "cores = 0").Replace(minimalScenario)))
 	require.ErrorContains(t, err, "day.toml:3:1: floor: must be a number from 0 to 1\nday.toml:12:1: kind[0].cores: ")
 }
 
-func TestWhatIsLeftOutTakesItsDefault(t *testing.T) {
-	s, err := Parse("", []byte(small))
+func TestParseFillsDefaults(t *testing.T) {
+	s, err := Parse("", []byte(minimalScenario))
 	require.NoError(t, err)
 	require.Equal(t, 3, s.Allow.MaxAttempts)
 	require.Len(t, s.Network.Zones, 4)
@@ -102,8 +102,8 @@
 	require.Equal(t, Span{1, 1}, s.Kinds[0].Speed)
 }
 
-// Every scenario that is shipped can be read, and what is written of it is read back as the same.
-func TestShippedScenarios(t *testing.T) {
+// Every shipped scenario can be read, and reads back the same after encoding.
+func TestShippedScenariosRoundTrip(t *testing.T) {
 	files, err := filepath.Glob("../../../rehearsals/*.toml")
 	require.NoError(t, err)
 	require.NotEmpty(t, files)
@@ -111,11 +111,11 @@
 		s, err := Load(file)
 		require.NoError(t, err)
 		require.Equal(t, strings.TrimSuffix(filepath.Base(file), ".toml"), s.Name)
-		sameAgain(t, s)
+		requireRoundTrip(t, s)
 	}
 }
 
-func sameAgain(t *testing.T, s *Scenario) {
+func requireRoundTrip(t *testing.T, s *Scenario) {
 	text, err := Encode(s)
 	require.NoError(t, err)
 	again, err := Parse("again", text)
@@ -123,7 +123,7 @@
 	require.Equal(t, s, again)
 }
 
-// The operators' page names every key and every kind of trouble.
+// The operators' page names every key and every kind of fault.
 func TestPageNamesEveryKey(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/rehearsal.md")
 	require.NoError(t, err)
@@ -143,15 +143,15 @@
 		}
 	}
 	named(reflect.TypeFor[Scenario]())
-	for kind := range troubleKinds {
+	for kind := range faultKinds {
 		require.Contains(t, string(page), "| `"+string(kind)+"` |")
 	}
 }
 
-// Whatever a file holds, it is refused with Problems or it is a scenario with finite figures that can be
-// written and read back.
+// Any input is either rejected with Problems or is a scenario with finite values that can be encoded and
+// read back.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(small))
+	f.Add([]byte(minimalScenario))
 	if text, err := os.ReadFile("../../../rehearsals/calm-monday.toml"); err == nil {
 		f.Add(text)
 	}
@@ -164,12 +164,12 @@
 			return
 		}
 		require.False(t, math.IsNaN(s.firstTries()) || s.firstTries() > maxRequests)
-		sameAgain(t, s)
+		requireRoundTrip(t, s)
 	})
 }
 
-// Troubles that a program has put together are checked as a file's are, and come back as a file's do.
-func TestCheckTroubles(t *testing.T) {
+// Faults built by a program are checked like those of a file and come back the same.
+func TestCheckFaults(t *testing.T) {
 	good := Trouble{
 		Kind: Datagrams, At: Always(time.Second), For: Always(2 * time.Second), From: []int{1}, Loss: Exactly(0.3),
 		Delay: TimeSpan{0, 30 * time.Millisecond},
