--- a/internal/rehearsal/record/record.go
+++ b/internal/rehearsal/record/record.go
@@ -42,17 +42,18 @@
 // The events. Parentheses list the fields of Event that each one sets besides At.
 const (
 	// Tries of clients. Asked: a running agent has received the last byte of the request (Op, Chain, Try,
-	// Agent, Class, Tenant, Key, Work, Left). Unreached: no agent received it (the same fields, Shut).
-	// Answered: the client received the last byte of the final answer (Op, Agent, Answer, After, Attempt: the
-	// attempt whose body it is, negative if it came from no server). Lost: the agent ended the connection
-	// without a complete answer (Op, Agent). Left: the client closed its connection because its time was up or
-	// it lost patience (Op, Agent), or it learned that the agent had not read the request (Unread).
+	// Agent, Class, Tenant, Key, Work, and the time that the client will wait). Unreached: no agent received
+	// it (the same fields, Shut). Answered: the client received the last byte of the final answer (Op, Agent,
+	// Answer, After, Attempt: the attempt whose body it is, negative if it came from no server). Lost: the
+	// agent ended the connection without a complete answer (Op, Agent). Left: the client closed its connection
+	// because its time was up or it lost patience (Op, Agent), or it learned that the agent had not read the
+	// request (Unread).
 	Asked Kind = iota
 	Unreached
 	Answered
 	Lost
 	Left
-	// Attempts. Sent: the first byte left the agent (Op, Agent, Server, Attempt, NewConn, Crossed, Left: the
+	// Attempts. Sent: the first byte left the agent (Op, Agent, Server, Attempt, NewConn, Crossed, and the
 	// timeout announced to the server). Reached: the last byte arrived at an upstream server, even if the
 	// server rejects it (Op, Agent, Server, Attempt, Work: what it would cost, Capacity: the server's current
 	// one, Cold). Ended: how it ended for the agent (Op, Agent, Server, Attempt, Outcome). Worked: the server
@@ -71,7 +72,7 @@
 	// written it to the agent (Agent, Server, State, Started). Watching: the agent's watch was accepted
 	// (Agent). Asking: the agent requested the whole list (Agent). CallFailed: the agent's call failed or its
 	// watch ended (Agent). WatchSilent: discovery sends nothing more on the agent's call, which stays open
-	// (Agent, Left: how long the call might have waited for its answer).
+	// (Agent, and the time that the call might have waited for its answer).
 	Changed
 	Told
 	Watching
@@ -146,7 +147,7 @@
 type Event struct {
 	At       time.Duration
 	Work     time.Duration // on a standard core
-	Left     time.Duration // the client's remaining wait for this try, or an attempt's announced timeout
+	Left     time.Duration // remaining wait of the client or the silent call, or timeout announced by an attempt
 	After    time.Duration // advised by Retry-After, 0 for none; for AgentUp: since the process started
 	Started  time.Duration // start of a server's process; 0: long ago
 	Capacity float64       // in seconds of standard work per second
--- a/internal/rehearsal/scenario/load_test.go
+++ b/internal/rehearsal/scenario/load_test.go
@@ -168,7 +168,7 @@
 	})
 }
 
-// Faults built by a program are checked like those of a file and come back the same.
+// Check validates injected faults built by a program like those of a file, and returns them unchanged.
 func TestCheckFaults(t *testing.T) {
 	good := Trouble{
 		Kind: Datagrams, At: Always(time.Second), For: Always(2 * time.Second), From: []int{1}, Loss: Exactly(0.3),
--- a/internal/rehearsal/scenario/scenario.go
+++ b/internal/rehearsal/scenario/scenario.go
@@ -84,8 +84,8 @@
 	Bursty  Arrivals = "bursty"
 )
 
-// Traffic defines the first tries. They are drawn in advance and do not wait for answers. Exactly one of
-// PerS and OfCapacity is set.
+// Traffic defines the first tries. They are drawn in advance and do not wait for answers. Either PerS or
+// OfCapacity is set.
 type Traffic struct {
 	// Mean rate of first tries over the run, per second.
 	PerS Span `toml:"per_s" range:"0..1000000"`
