--- a/internal/rehearsal/late/late.go
+++ b/internal/rehearsal/late/late.go
@@ -73,7 +73,7 @@
 	resubscribeDelay = time.Second // minimum delay after a failed call
 	// A request of mean work may take at most 1/aimDivisor of its latency objective.
 	aimDivisor     = 2
-	maxFullSkipped = 1 // full servers that were drawn
+	maxFullSkipped = 1 // full servers that may be drawn before the last one
 	maxAttempts    = 3 // attempts per request, where the deployment allows that many
 )
 
@@ -98,7 +98,7 @@
 	canceled bool
 }
 
-// New returns a Policy. sight returns the state of the servers as it was some time ago; work is the mean
+// New returns a Policy. view returns the state of the servers as it was some time ago; work is the mean
 // work of a request on a standard core.
 func New(settings balancer.Settings, work time.Duration, seed uint64, view func() *Sight) *Policy {
 	p := &Policy{
