--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -12,44 +12,44 @@
 	"time"
 )
 
-// Client is a client's connection to an agent, which carries one request at a time. Use Dial.
+// Client is a client's connection to an agent, which carries one request at a time. Dial creates one.
 type Client struct {
-	answered func(*http.Response, []byte) // a whole answer
-	ended    func(unread bool)
+	onResponse func(*http.Response, []byte) // called with each complete response
+	onEnd      func(unread bool)
 
-	up chan struct{} // closed once it is, or is given up
+	dialDone chan struct{} // closed when the first request is written or the dial has failed
 
-	mu     sync.Mutex
-	conn   *net.TCPConn // nil: not up yet
-	asked  bool         // a request is out
-	used   bool         // it has carried an answer
-	closed bool
+	mu             sync.Mutex
+	conn           *net.TCPConn // nil: not established yet
+	awaitsResponse bool         // a request was sent and its response is not complete
+	hadResponse    bool         // a response was received on this connection
+	closed         bool
 }
 
-// dialWait is how long an agent's machine may take to answer a wish to connect.
-const dialWait = 2 * time.Second
+// dialTimeout limits the time until the connection is established.
+const dialTimeout = 2 * time.Second
 
-// Dial connects to an agent and writes a request, without waiting for either. Answered is told each whole
-// answer; ended, once, that the connection has ended otherwise than by Close. Unread: it can be told that
-// the agent has not read the request that was out, if one was, or the connection has ended between requests
-// in good order, and the request may have crossed that. Then nothing of it may have been sent on, which is
-// for the caller to look at. Both are called from a goroutine of the connection's.
-func Dial(addr string, request []byte, answered func(*http.Response, []byte),
-	ended func(unread bool),
+// Dial connects to an agent and writes a request, without waiting for either. It calls onResponse with each
+// complete response, and onEnd once if the connection ends other than by Close, both from a goroutine of the
+// connection. unread is true if the agent has demonstrably not read the outstanding request, if no request is
+// outstanding, or if the agent closed a reused connection before a response began, as the request may have
+// crossed the close. The agent should then have forwarded nothing of the request; the caller checks that.
+func Dial(addr string, request []byte, onResponse func(*http.Response, []byte),
+	onEnd func(unread bool),
 ) *Client {
-	c := &Client{answered: answered, ended: ended, asked: true, up: make(chan struct{})}
+	c := &Client{onResponse: onResponse, onEnd: onEnd, awaitsResponse: true, dialDone: make(chan struct{})}
 	go c.run(addr, request)
 	return c
 }
 
 func (c *Client) run(addr string, request []byte) {
-	ctx, cancel := context.WithTimeout(context.Background(), dialWait)
+	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	var d net.Dialer
 	conn, err := d.DialContext(ctx, "tcp", addr)
 	cancel()
 	if err != nil {
-		close(c.up)
-		c.ended(true)
+		close(c.dialDone)
+		c.onEnd(true)
 		return
 	}
 	c.mu.Lock()
@@ -59,23 +59,23 @@
 	}
 	c.mu.Unlock()
 	_, err = conn.Write(request)
-	close(c.up)
+	close(c.dialDone)
 	if err != nil {
-		c.over(err, true)
+		c.handleEnd(err, true)
 		return
 	}
 	c.read()
 }
 
-// Ask writes a further request, once the one before is answered, or the next part of one.
+// Ask writes the next request, once the former one is answered, or the next part of a request.
 func (c *Client) Ask(request []byte) {
-	<-c.up
+	<-c.dialDone
 	c.mu.Lock()
-	c.asked = true
+	c.awaitsResponse = true
 	conn := c.conn
 	c.mu.Unlock()
 	if conn != nil {
-		_, _ = conn.Write(request) // an error is the reader's too
+		_, _ = conn.Write(request) // the reader sees the error too
 	}
 }
 
@@ -89,54 +89,55 @@
 	}
 }
 
-const maxAnswer = 8 << 20
+const maxResponseBytes = 8 << 20
 
 func (c *Client) read() {
 	in := bufio.NewReader(c.conn)
 	for {
 		_, err := in.Peek(1)
 		if err != nil {
-			c.over(err, true)
+			c.handleEnd(err, true)
 			return
 		}
 		r, err := http.ReadResponse(in, nil)
 		var body []byte
 		if err == nil {
-			body, err = io.ReadAll(io.LimitReader(r.Body, maxAnswer))
+			body, err = io.ReadAll(io.LimitReader(r.Body, maxResponseBytes))
 		}
 		if err != nil {
-			c.over(err, false)
+			c.handleEnd(err, false)
 			return
 		}
 		c.mu.Lock()
-		c.asked, c.used = false, true
+		c.awaitsResponse, c.hadResponse = false, true
 		c.mu.Unlock()
-		c.answered(r, body)
+		c.onResponse(r, body)
 	}
 }
 
-// resetsWithin is how soon after the end of a connection a reset comes if what was on it had not been read.
-const resetsWithin = 2 * time.Millisecond
+// resetWait is how long a reset may take to follow the end of a connection whose data was not read.
+const resetWait = 2 * time.Millisecond
 
-// over tells of the connection's end. Nothing: no byte of an answer has come.
-func (c *Client) over(err error, nothing bool) {
+// handleEnd calls onEnd unless Close was called. noResponse is true if no byte of a response was received.
+func (c *Client) handleEnd(err error, noResponse bool) {
 	c.mu.Lock()
-	asked, used, closed := c.asked, c.used, c.closed
+	awaiting, reused, closed := c.awaitsResponse, c.hadResponse, c.closed
 	c.mu.Unlock()
 	if closed {
 		return
 	}
-	unread := !asked || nothing && (used || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE))
-	if asked && nothing && !unread {
-		time.Sleep(resetsWithin)
-		unread = c.broken()
+	unread := !awaiting || noResponse && (reused ||
+		errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE))
+	if awaiting && noResponse && !unread {
+		time.Sleep(resetWait)
+		unread = c.wasReset()
 	}
 	_ = c.conn.Close()
-	c.ended(unread)
+	c.onEnd(unread)
 }
 
-// broken tells whether the agent's machine has answered what was on the connection with a reset.
-func (c *Client) broken() (is bool) {
+// wasReset reports whether the agent's machine has reset the connection.
+func (c *Client) wasReset() (is bool) {
 	raw, err := c.conn.SyscallConn()
 	if err != nil {
 		return false
--- a/internal/standin/connecting.go
+++ b/internal/standin/connecting.go
@@ -10,37 +10,37 @@
 	"golang.org/x/sys/unix"
 )
 
-// Connecting counts a process's TCP connections over IPv4 that have been asked for and have not come up. Only
-// on Linux.
+// Connecting returns the number of a process's outgoing TCP connections over IPv4 that are not established
+// yet. It works on Linux only.
 func Connecting(pid int) (n int, err error) {
-	waiting, err := synSent()
+	connecting, err := synSentSockets()
 	if err != nil {
-		return 0, fmt.Errorf("connections that have not come up: %w", err)
+		return 0, fmt.Errorf("listing connections in SYN_SENT: %w", err)
 	}
 	descriptors, err := filepath.Glob(fmt.Sprintf("/proc/%d/fd/*", pid))
 	if err != nil {
 		return 0, err
 	}
 	for _, d := range descriptors {
-		if to, err := os.Readlink(d); err == nil && waiting[to] { // else it was closed just now
+		if target, err := os.Readlink(d); err == nil && connecting[target] { // an error: closed meanwhile
 			n++
 		}
 	}
 	return n, nil
 }
 
-// Where fields stand in the structures of sock_diag(7), and how long they are.
+// Offsets and lengths in the structures of sock_diag(7), in bytes.
 const (
 	diagRequestLength = 56
-	diagStatesAt      = 4  // in inet_diag_req_v2
-	diagInodeAt       = 68 // in inet_diag_msg
+	diagStatesOffset  = 4  // in inet_diag_req_v2
+	diagInodeOffset   = 68 // in inet_diag_msg
 	diagReplyLength   = 72
 )
 
-// synSent is the set of the system's sockets in the state SYN_SENT, as links of descriptors name them. Guards
-// against reading the system's table of all, which has those that ended in the last minute, too: with a
-// hundred thousand of them that takes longer than some connections are waited for.
-func synSent() (map[string]bool, error) {
+// synSentSockets returns the system's sockets in the state SYN_SENT, named as in the links of /proc/PID/fd.
+// It asks the kernel for these alone, as the table of all sockets also has those closed in the last minute:
+// with a hundred thousand of them, reading it takes longer than the timeout of some connections.
+func synSentSockets() (map[string]bool, error) {
 	fd, err := unix.Socket(unix.AF_NETLINK, unix.SOCK_DGRAM|unix.SOCK_CLOEXEC, unix.NETLINK_INET_DIAG)
 	if err != nil {
 		return nil, err
@@ -50,12 +50,12 @@
 		return nil, err
 	}
 	found := map[string]bool{}
-	for room := make([]byte, 1<<16); ; {
-		n, _, err := unix.Recvfrom(fd, room, 0)
+	for buf := make([]byte, 1<<16); ; {
+		n, _, err := unix.Recvfrom(fd, buf, 0)
 		if err != nil {
 			return nil, err
 		}
-		messages, err := syscall.ParseNetlinkMessage(room[:n])
+		messages, err := syscall.ParseNetlinkMessage(buf[:n])
 		if err != nil {
 			return nil, err
 		}
@@ -64,16 +64,16 @@
 			case m.Header.Type == unix.NLMSG_DONE:
 				return found, nil
 			case m.Header.Type == unix.SOCK_DIAG_BY_FAMILY && len(m.Data) >= diagReplyLength:
-				inode := binary.NativeEndian.Uint32(m.Data[diagInodeAt:])
+				inode := binary.NativeEndian.Uint32(m.Data[diagInodeOffset:])
 				found[fmt.Sprintf("socket:[%d]", inode)] = true
 			default:
-				return nil, fmt.Errorf("sock_diag: a message of type %d", m.Header.Type)
+				return nil, fmt.Errorf("sock_diag: unexpected message of type %d", m.Header.Type)
 			}
 		}
 	}
 }
 
-// synSentRequest asks for all TCP sockets over IPv4 in the state SYN_SENT.
+// synSentRequest returns the netlink request for all TCP sockets over IPv4 in the state SYN_SENT.
 func synSentRequest() []byte {
 	b := make([]byte, unix.NLMSG_HDRLEN+diagRequestLength)
 	binary.NativeEndian.PutUint32(b, uint32(len(b)))
@@ -81,6 +81,6 @@
 	binary.NativeEndian.PutUint16(b[6:], unix.NLM_F_REQUEST|unix.NLM_F_DUMP)
 	request := b[unix.NLMSG_HDRLEN:]
 	request[0], request[1] = unix.AF_INET, unix.IPPROTO_TCP
-	binary.NativeEndian.PutUint32(request[diagStatesAt:], 1<<unix.BPF_TCP_SYN_SENT)
+	binary.NativeEndian.PutUint32(request[diagStatesOffset:], 1<<unix.BPF_TCP_SYN_SENT)
 	return b
 }
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -9,95 +9,95 @@
 	"time"
 )
 
-// Discovery is the socket of the service that keeps the list of booking servers.
+// Discovery is the socket of the discovery service, which has the endpoint list.
 type Discovery struct {
-	Addr  string
-	serve *http.Server
-	empty time.Duration
-	came  func(*Call)
-	gone  func(*Call)
-	way   Strait
-	wait  sync.WaitGroup
+	Addr              string
+	server            *http.Server
+	emptyLineInterval time.Duration
+	onCall            func(*Call)
+	onCallEnd         func(*Call)
+	link              Strait
+	wait              sync.WaitGroup
 }
 
-// ListenDiscovery opens discovery's socket at a loopback address. Came is told each call, from a goroutine of
-// the call's own; gone, that its agent has ended it. On a watch that has begun, an empty line is written as
-// often as empty says.
-func ListenDiscovery(addr string, empty time.Duration, came, gone func(*Call)) (*Discovery, error) {
+// ListenDiscovery opens discovery's socket at a loopback address. onCall is called with each call and
+// onCallEnd when its agent has ended it, both from a goroutine of the call. While a watch is answered, an
+// empty line is written each interval; zero: none.
+func ListenDiscovery(addr string, interval time.Duration, onCall, onCallEnd func(*Call)) (*Discovery, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	d := &Discovery{Addr: l.Addr().String(), empty: empty, came: came, gone: gone}
-	// The time for a head is longer than any fault that holds one.
-	d.serve = &http.Server{Handler: d, ReadHeaderTimeout: time.Hour}
-	d.wait.Go(func() { _ = d.serve.Serve(&straitListener{l.(*net.TCPListener), &d.way}) })
+	d := &Discovery{Addr: l.Addr().String(), emptyLineInterval: interval, onCall: onCall, onCallEnd: onCallEnd}
+	// The timeout exceeds the duration of any fault that holds a request's header.
+	d.server = &http.Server{Handler: d, ReadHeaderTimeout: time.Hour}
+	d.wait.Go(func() { _ = d.server.Serve(&linkListener{l.(*net.TCPListener), &d.link}) })
 	return d, nil
 }
 
-// Way is the way between discovery and its agents, over which faults come.
-func (d *Discovery) Way() *Strait { return &d.way }
+// Way returns the link between discovery and its agents, on which faults can be started.
+func (d *Discovery) Way() *Strait { return &d.link }
 
-// Close ends the service and all calls.
+// Close closes the service and all calls, and waits for its goroutines.
 func (d *Discovery) Close() {
-	d.way.close()
-	_ = d.serve.Close()
+	d.link.close()
+	_ = d.server.Close()
 	d.wait.Wait()
 }
 
-// Call is an agent's call.
+// Call is an agent's request to discovery.
 type Call struct {
-	Target string // as it came
+	Target string // the request target as received
 	Watch  bool
-	From   int64 // of a watch: the version that the agent has
-	Mute   bool  // no empty lines are written; set in came
-	Handle any   // for whoever uses the stand-in; set in came
+	From   int64 // of a watch: the agent's version of the endpoint list
+	Mute   bool  // no empty lines are written; set in onCall
+	Handle any   // the caller's own data; set in onCall
 
 	mu     sync.Mutex
-	queue  []said
+	queue  []callStep
 	signal chan struct{}
 }
 
-// said is something to be written, or the answer's status, or the end.
-type said struct {
-	status int
-	text   string
-	end    bool
-	mute   bool
+// callStep is a status, a text or silence on a call, or its end.
+type callStep struct {
+	status  int
+	text    string
+	end     bool
+	silence bool
 }
 
-func (c *Call) say(s said) {
+func (c *Call) enqueue(step callStep) {
 	c.mu.Lock()
-	c.queue = append(c.queue, s)
+	c.queue = append(c.queue, step)
 	c.mu.Unlock()
 	select {
 	case c.signal <- struct{}{}:
-	default: // it is to look already
+	default: // a signal is pending already
 	}
 }
 
 // Begin answers the call with a status.
-func (c *Call) Begin(status int) { c.say(said{status: status}) }
+func (c *Call) Begin(status int) { c.enqueue(callStep{status: status}) }
 
-// Say writes a line.
+// Say writes a line; it appends the line feed.
 func (c *Call) Say(line string) { c.Write(line + "\n") }
 
-// Write writes a piece of a line, or of several, as it is.
-func (c *Call) Write(text string) { c.say(said{text: text}) }
+// Write writes text as it is.
+func (c *Call) Write(text string) { c.enqueue(callStep{text: text}) }
 
-// Silence has nothing more come on the call, no empty lines either, which stays open until End or its agent
-// ends it.
-func (c *Call) Silence() { c.say(said{mute: true}) }
+// Silence stops all output on the call, empty lines included. The call stays open until End or until its
+// agent ends it.
+func (c *Call) Silence() { c.enqueue(callStep{silence: true}) }
 
-// Hush has no further empty lines written: the call falls silent.
+// Hush stops the empty lines; other output continues.
 func (c *Call) Hush() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.Mute = true
 }
 
-// End ends the call; one that was not answered has its connection closed.
-func (c *Call) End() { c.say(said{end: true}) }
+// End ends the call. If nothing was written yet, it closes the connection without a response.
+func (c *Call) End() { c.enqueue(callStep{end: true}) }
 
 // ServeHTTP implements http.Handler.
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -106,19 +106,19 @@
 		Target: r.RequestURI, Watch: r.URL.Query().Get("watch") == "1", From: from,
 		signal: make(chan struct{}, 1),
 	}
-	d.came(c)
-	var empty <-chan time.Time
-	begun, mute := false, false
+	d.onCall(c)
+	var emptyLineTick <-chan time.Time
+	started, silenced := false, false
 	for {
 		select {
 		case <-r.Context().Done():
-			d.gone(c)
+			d.onCallEnd(c)
 			return
-		case <-empty:
+		case <-emptyLineTick:
 			c.mu.Lock()
-			mute := c.Mute
+			silenced := c.Mute
 			c.mu.Unlock()
-			if mute {
+			if silenced {
 				continue
 			}
 			_, _ = io.WriteString(w, "\n")
@@ -130,27 +130,27 @@
 		c.mu.Unlock()
 		for _, s := range queue {
 			switch {
-			case s.end && !begun:
+			case s.end && !started:
 				panic(http.ErrAbortHandler)
 			case s.end:
 				return
-			case mute || s.mute:
-				mute, empty = true, nil
+			case silenced || s.silence:
+				silenced, emptyLineTick = true, nil
 			case s.status != 0:
-				begun = true
+				started = true
 				w.WriteHeader(s.status)
-				if c.Watch && !c.Mute && d.empty > 0 {
-					tick := time.NewTicker(d.empty)
+				if c.Watch && !c.Mute && d.emptyLineInterval > 0 {
+					tick := time.NewTicker(d.emptyLineInterval)
 					defer tick.Stop()
-					empty = tick.C
+					emptyLineTick = tick.C
 				}
 			default:
-				begun = true
+				started = true
 				_, _ = io.WriteString(w, s.text)
 			}
 		}
-		if begun && http.NewResponseController(w).Flush() != nil {
-			d.gone(c)
+		if started && http.NewResponseController(w).Flush() != nil {
+			d.onCallEnd(c)
 			return
 		}
 	}
--- a/internal/standin/network.go
+++ b/internal/standin/network.go
@@ -11,37 +11,38 @@
 	"dunestep/internal/rehearsal/mishap"
 )
 
-// Network is the network between the agents of a fleet, with the faults that a mishap.Net has: Peers, and
-// what is on its way meanwhile. Use ListenNetwork. Its methods may be called from any goroutine.
+// Network is the network between the agents of a fleet, with the faults of a mishap.Net: it forwards the
+// datagrams of Peers, at once or with a delay. ListenNetwork creates one. Its methods are safe for concurrent
+// use.
 type Network struct {
-	agents int
-	peers  *Peers
-	began  time.Time
-
-	mu      sync.Mutex
-	faults  *mishap.Net
-	waiting delayed
-	full    int // copies that there was no room for
-	passed  int // datagrams from one agent to one other that came to the network
-	late    *hdrhistogram.Histogram
-	closed  bool
-	wake    chan struct{}
-	wait    sync.WaitGroup
+	agents    int
+	peers     *Peers
+	startedAt time.Time
+
+	mu         sync.Mutex
+	faults     *mishap.Net
+	delayed    copyHeap
+	overflowed int // copies dropped because maxDelayed were delayed
+	datagrams  int // received; a broadcast counts once for each receiver
+	lateness   *hdrhistogram.Histogram
+	closed     bool
+	wake       chan struct{}
+	wait       sync.WaitGroup
 }
 
-// maxDelayed bounds the copies that are on their way; what comes then is dropped, as a full queue's would be.
+// maxDelayed is the maximum number of delayed copies; more are dropped, as by a full queue.
 const maxDelayed = 1 << 16
 
-// ListenNetwork opens the network between the agents that listen at these addresses, on an IP address at
-// which none of them does. The seed is for the fate of the datagrams.
+// ListenNetwork opens the network between the agents that listen at these addresses. Its own sockets are at
+// ip, at which no agent listens. The seed determines which datagrams the faults affect.
 func ListenNetwork(ip string, agents []netip.AddrPort, seed uint64) (*Network, error) {
 	n := &Network{
-		agents: len(agents), began: time.Now(), faults: mishap.New(seed, len(agents)),
-		wake: make(chan struct{}, 1), late: hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3),
+		agents: len(agents), startedAt: time.Now(), faults: mishap.New(seed, len(agents)),
+		wake: make(chan struct{}, 1), lateness: hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3),
 	}
 	var err error
-	n.mu.Lock() // until there are peers to tell
-	n.peers, err = ListenPeers(ip, agents, n.told)
+	n.mu.Lock() // receive waits until n.peers is set
+	n.peers, err = ListenPeers(ip, agents, n.receive)
 	n.mu.Unlock()
 	if err != nil {
 		return nil, err
@@ -50,91 +51,91 @@
 	return n, nil
 }
 
-// Addrs are the addresses that an agent is told, as Peers has them.
+// Addrs returns the addresses for an agent's configuration, as Peers.Addrs does.
 func (n *Network) Addrs(agent int) (each []string, all string) { return n.peers.Addrs(agent) }
 
-// Begin has a fault come over the network; End with its number takes it away. The error is that it makes no
-// sense.
+// Begin starts a fault and returns its id, with which End ends it. It returns an error if the fault is
+// invalid.
 func (n *Network) Begin(f mishap.Fault) (id int, err error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.faults.Begin(f)
 }
 
-// End takes a fault away. What it has made late still is.
+// End ends a fault. Copies that it has delayed stay delayed.
 func (n *Network) End(id int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.faults.End(id)
 }
 
-// Figures is what the network has carried.
+// Figures counts what the network has carried.
 type Figures struct {
-	mishap.Counts     // under faults
-	Passed        int // datagrams from one agent to one other, also without
-	Full          int // copies that there was no room for
-	// Late is by how many microseconds copies with a delay came later than they should.
+	mishap.Counts     // of datagrams affected by faults
+	Passed        int // all datagrams, with or without faults; a broadcast counts once for each receiver
+	Full          int // copies dropped because too many were delayed
+	// Late has how late delayed copies were sent after they were due, in microseconds.
 	Late *hdrhistogram.Histogram
 }
 
-// Figures tells what the network has carried so far.
+// Figures returns what the network has carried so far.
 func (n *Network) Figures() Figures {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return Figures{
-		Counts: n.faults.Counts(), Passed: n.passed, Full: n.full,
-		Late: hdrhistogram.Import(n.late.Export()),
+		Counts: n.faults.Counts(), Passed: n.datagrams, Full: n.overflowed,
+		Late: hdrhistogram.Import(n.lateness.Export()),
 	}
 }
 
-// told takes in what an agent says to another, or to all.
-func (n *Network) told(from, to int, data []byte) {
-	if to != Everyone {
-		n.pass(from, to, data)
+// receive handles a datagram from an agent to another one or to AllAgents.
+func (n *Network) receive(from, to int, data []byte) {
+	if to != AllAgents {
+		n.forward(from, to, data)
 		return
 	}
 	for i := range n.agents {
 		if i != from {
-			n.pass(from, i, data)
+			n.forward(from, i, data)
 		}
 	}
 }
 
-func (n *Network) pass(from, to int, data []byte) {
-	now := time.Since(n.began)
+func (n *Network) forward(from, to int, data []byte) {
+	now := time.Since(n.startedAt)
 	n.mu.Lock()
-	n.passed++
-	var at []mishap.Copy // once
+	n.datagrams++
+	var immediate []mishap.Copy // without a delay
 	for _, c := range n.faults.Pass(now, from, to, data) {
 		if c.After == 0 {
-			at = append(at, c)
-		} else if len(n.waiting) < maxDelayed {
-			heap.Push(&n.waiting, underway{now + c.After, from, to, c.Data})
+			immediate = append(immediate, c)
+		} else if len(n.delayed) < maxDelayed {
+			heap.Push(&n.delayed, delayedCopy{now + c.After, from, to, c.Data})
 		} else {
-			n.full++
+			n.overflowed++
 		}
 	}
 	n.mu.Unlock()
-	for _, c := range at {
+	for _, c := range immediate {
 		n.peers.Tell(from, to, c.Data)
 	}
-	n.nudge()
+	n.wakeDeliverer()
 }
 
-func (n *Network) nudge() {
+func (n *Network) wakeDeliverer() {
 	select {
 	case n.wake <- struct{}{}:
 	default:
 	}
 }
 
-// deliver hands over what was late, when it is due.
+// deliver sends delayed copies when they are due, until Close.
 func (n *Network) deliver() {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for {
-		wait, done := n.hand()
-		if done {
+		wait, closed := n.deliverDue()
+		if closed {
 			return
 		}
 		timer.Reset(wait)
@@ -145,67 +146,68 @@
 	}
 }
 
-// hand hands over what is due, and tells how long it is until more is.
-func (n *Network) hand() (wait time.Duration, done bool) {
+// deliverDue sends the copies that are due and returns the time until the next one is.
+func (n *Network) deliverDue() (wait time.Duration, closed bool) {
 	for {
-		due, wait, done := n.due()
-		for _, u := range due { // without the lock, for which what comes would wait
+		due, wait, closed := n.takeDue()
+		for _, u := range due { // without the lock, which receive needs
 			n.peers.Tell(u.from, u.to, u.data)
 		}
-		if len(due) == 0 || done {
-			return wait, done
+		if len(due) == 0 || closed {
+			return wait, closed
 		}
 	}
 }
 
-// due takes out what is due.
-func (n *Network) due() (due []underway, wait time.Duration, done bool) {
+// takeDue removes and returns the copies that are due, the time until the next one is, and whether the
+// network is closed.
+func (n *Network) takeDue() (due []delayedCopy, wait time.Duration, closed bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	now := time.Since(n.began)
-	for len(n.waiting) > 0 && n.waiting[0].due <= now {
-		u := heap.Pop(&n.waiting).(underway)
-		_ = n.late.RecordValue(max((now - u.due).Microseconds(), 1))
+	now := time.Since(n.startedAt)
+	for len(n.delayed) > 0 && n.delayed[0].dueAt <= now {
+		u := heap.Pop(&n.delayed).(delayedCopy)
+		_ = n.lateness.RecordValue(max((now - u.dueAt).Microseconds(), 1))
 		due = append(due, u)
 	}
-	if len(n.waiting) > 0 {
-		return due, n.waiting[0].due - now, n.closed
+	if len(n.delayed) > 0 {
+		return due, n.delayed[0].dueAt - now, n.closed
 	}
 	return due, time.Hour, n.closed
 }
 
-// Close ends the network; what is on its way is lost.
+// Close closes the network; delayed copies are lost.
 func (n *Network) Close() {
 	n.peers.Close()
 	n.mu.Lock()
 	n.closed = true
 	n.mu.Unlock()
-	n.nudge()
+	n.wakeDeliverer()
 	n.wait.Wait()
 }
 
-// underway is a copy on its way.
-type underway struct {
-	due      time.Duration
+// delayedCopy is a copy of a datagram that is sent later.
+type delayedCopy struct {
+	dueAt    time.Duration
 	from, to int
 	data     []byte
 }
 
-// delayed is a heap of copies, the next to come first.
-type delayed []underway
+// copyHeap is a heap of copies, the one due first at its root.
+type copyHeap []delayedCopy
 
-func (d delayed) Len() int           { return len(d) }
-func (d delayed) Less(i, j int) bool { return d[i].due < d[j].due }
-func (d delayed) Swap(i, j int)      { d[i], d[j] = d[j], d[i] }
+func (d copyHeap) Len() int           { return len(d) }
+func (d copyHeap) Less(i, j int) bool { return d[i].dueAt < d[j].dueAt }
+func (d copyHeap) Swap(i, j int)      { d[i], d[j] = d[j], d[i] }
 
 // Push implements heap.Interface.
-func (d *delayed) Push(x any) { *d = append(*d, x.(underway)) }
+func (d *copyHeap) Push(x any) { *d = append(*d, x.(delayedCopy)) }
 
 // Pop implements heap.Interface.
-func (d *delayed) Pop() any {
+func (d *copyHeap) Pop() any {
 	old := *d
 	last := old[len(old)-1]
-	old[len(old)-1] = underway{}
+	old[len(old)-1] = delayedCopy{}
 	*d = old[:len(old)-1]
 	return last
 }
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -1,6 +1,6 @@
-// Package standin holds stand-ins for what an agent talks to, on loopback sockets: booking servers,
-// discovery, the other agents and clients. They are the wire only, with what can go wrong on it. What is
-// said on it, and when, is up to whoever uses them: the rehearsal's world, or a test's script.
+// Package standin has stand-ins for the peers of an agent on loopback sockets: upstream servers, discovery,
+// the other agents and clients. They implement only connections and messages, and the faults of these.
+// Their callers decide which messages are sent and when: the simulated world of a rehearsal, or a test.
 package standin
 
 import (
@@ -22,32 +22,33 @@
 	"dunestep/internal/rehearsal/scenario"
 )
 
-// Events is what a Server tells of, each from a goroutine of the connection's own.
+// Events are the callbacks of a Server, called from a goroutine of the connection. Opened and Ended may be
+// nil.
 type Events struct {
 	Opened func(*Conn)
-	Came   func(*Conn, *http.Request, []byte) // a request, read whole, and its body
-	Ended  func(*Conn)                        // after which nothing comes of the connection any more
+	Came   func(*Conn, *http.Request, []byte) // a complete request and its body
+	Ended  func(*Conn)                        // the last callback for the connection
 }
 
-// Server is a booking server's socket. Use Listen.
+// Server is the socket of an upstream server. Listen creates one.
 type Server struct {
 	events Events
 	addr   *net.TCPAddr
-	way    Strait
-
-	mu       sync.Mutex
-	listener *net.TCPListener // nil: wishes to connect are refused
-	mute     bool             // they are not answered
-	fills    int              // how many goroutines still take the room for connections
-	fillers  map[string]net.Conn
-	conns    map[*Conn]struct{}
-	closed   bool
-	slow     time.Duration // between the bytes that are read; zero: they are read as they come
-	wait     sync.WaitGroup
+	link   Strait
+
+	mu          sync.Mutex
+	listener    *net.TCPListener    // nil: connection attempts are refused
+	isMuted     bool                // connection attempts are not answered
+	activeFills int                 // goroutines in fillBacklog
+	fillers     map[string]net.Conn // the server's own connections in its backlog, by local address
+	conns       map[*Conn]struct{}
+	closed      bool
+	readPause   time.Duration // before each read; zero: none
+	wait        sync.WaitGroup
 }
 
-// Listen opens a booking server's socket at a loopback address; port 0: one that the system picks. It keeps
-// its address while it refuses and when it accepts again.
+// Listen opens an upstream server's socket at a loopback address; with port 0 the system picks a port. The
+// server keeps its address after Refuse, Mute and Accept.
 func Listen(addr string, events Events) (*Server, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -61,37 +62,37 @@
 	return s, nil
 }
 
-// Addr is where the server listens.
+// Addr returns the address at which the server listens.
 func (s *Server) Addr() string { return s.addr.String() }
 
-// Way is the way between the server and its agents, over which faults come.
-func (s *Server) Way() *Strait { return &s.way }
+// Way returns the link between the server and its agents, on which faults can be started.
+func (s *Server) Way() *Strait { return &s.link }
 
-// ReadSlowly has requests read a few bytes at a time, with a pause between; zero: as they come.
+// ReadSlowly sets a pause before each read of at most 4 KiB; zero: reads are not slowed.
 func (s *Server) ReadSlowly(pause time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.slow = pause
+	s.readPause = pause
 }
 
-// fullBacklog is how many connections wait for Accept at the most.
-const fullBacklog = 1024
+// acceptBacklog is the listen backlog of a server that accepts.
+const acceptBacklog = 1024
 
-// Accept has wishes to connect accepted, after Refuse or Mute. The error is that the port was taken
-// meanwhile.
+// Accept makes the server accept connections again after Refuse or Mute. It returns an error if another
+// socket has taken the port meanwhile, or after Close.
 func (s *Server) Accept() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
 		return net.ErrClosed
 	}
-	if s.mute {
-		s.mute = false
-		s.turnOut()
+	if s.isMuted {
+		s.isMuted = false
+		s.resetWaiting()
 		for _, c := range s.fillers {
 			_ = c.Close()
 		}
-		_ = s.backlog(fullBacklog)
+		_ = s.setBacklog(acceptBacklog)
 		_ = s.listener.SetDeadline(time.Time{})
 		l := s.listener
 		s.wait.Go(func() { s.accept(l) })
@@ -102,14 +103,14 @@
 	}
 	l, err := net.ListenTCP("tcp", s.addr)
 	if err != nil {
-		return fmt.Errorf("a booking server's port: %w", err)
+		return fmt.Errorf("reopening an upstream server's port: %w", err)
 	}
 	s.listener = l
 	s.wait.Go(func() { s.accept(l) })
 	return nil
 }
 
-// Refuse has wishes to connect refused, as a machine does on which nothing listens.
+// Refuse makes connection attempts fail with a reset, as at a port where nothing listens.
 func (s *Server) Refuse() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,34 +118,34 @@
 		_ = s.listener.Close()
 		s.listener = nil
 	}
-	s.mute = false
+	s.isMuted = false
 }
 
-// Mute has wishes to connect not answered at all, as where the way is cut: the system has room for no further
-// one, and drops them. That is so once Full says so, which takes a moment.
+// Mute leaves connection attempts without an answer, as if the network were cut: the listen backlog is full
+// and the system drops them. This takes effect when Full returns true, a moment later.
 func (s *Server) Mute() error {
-	if err := s.Accept(); err != nil { // nothing to fill, else
+	if err := s.Accept(); err != nil { // the backlog needs a listener
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.mute {
+	if s.isMuted {
 		return nil
 	}
-	s.mute = true
+	s.isMuted = true
 	_ = s.listener.SetDeadline(time.Unix(1, 0)) // ends accept
-	if err := s.backlog(0); err != nil {
+	if err := s.setBacklog(0); err != nil {
 		return err
 	}
-	s.admit()
-	clear(s.fillers) // of those before none is left that waits
-	s.fills++
-	s.wait.Go(s.fill)
+	s.acceptWaiting()
+	clear(s.fillers) // those of an earlier Mute do not wait any more
+	s.activeFills++
+	s.wait.Go(s.fillBacklog)
 	return nil
 }
 
-// backlog sets how many connections the system keeps for the listener beyond one.
-func (s *Server) backlog(n int) error {
+// setBacklog sets the listen backlog: the system queues one connection more than n.
+func (s *Server) setBacklog(n int) error {
 	raw, err := s.listener.SyscallConn()
 	if err != nil {
 		return err
@@ -152,23 +153,23 @@
 	return errors.Join(err, raw.Control(func(fd uintptr) { err = syscall.Listen(int(fd), n) }), err)
 }
 
-// Full tells whether the system has no room for a further connection: from then on a muted server answers
-// none. Only on Linux; false where the server does not listen, and while it still takes the room, which it
-// may have to give up again.
+// Full reports whether the listen backlog is full: from then on a muted server answers no connection attempt.
+// It works on Linux only. It returns false if the server does not listen, and while fillBacklog runs, as that
+// may accept a connection and free its place.
 func (s *Server) Full() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.fills == 0 && s.noRoom()
+	return s.activeFills == 0 && s.isBacklogFull()
 }
 
-// noRoom tells whether the system has no room for a further connection.
-func (s *Server) noRoom() (full bool) {
+// isBacklogFull reports whether the listen backlog is full.
+func (s *Server) isBacklogFull() (full bool) {
 	if s.listener == nil {
 		return false
 	}
 	if raw, err := s.listener.SyscallConn(); err == nil {
 		_ = raw.Control(func(fd uintptr) {
-			// Of a socket that listens these are the connections that wait to be accepted, and how many may.
+			// For a listening socket, Unacked is the length of the accept queue and Sacked its limit.
 			i, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
 			full = err == nil && i.Unacked > i.Sacked
 		})
@@ -176,92 +177,93 @@
 	return full
 }
 
-// mostFillers guards against filling for ever.
-const mostFillers = 8
+// maxFillers limits the attempts of fillBacklog.
+const maxFillers = 8
 
-// fillerWait is how long one of the server's own connections may take to come up: there was room for it.
-const fillerWait = 200 * time.Millisecond
+// fillerDialTimeout limits the time until a filler is established, for which there was room.
+const fillerDialTimeout = 200 * time.Millisecond
 
-// fill takes the room for connections that nobody accepts, with connections of its own. One that does not
-// come up may have met a busy machine, or an agent's connection that was quicker: only the system knows
-// whether there is room. What came in before the room was taken is up, and is served: else its request
-// would lie unread until the server accepts again, and look as if it had been sent then.
-func (s *Server) fill() {
-	for range mostFillers {
-		if s.filled() {
+// fillBacklog fills the listen backlog with connections of the server's own. A dial can fail on a busy
+// machine or because an agent's connection was faster, so that only the system's count shows whether the
+// backlog is full. Agents' connections established before are served: otherwise their requests would stay
+// unread until the server accepts again, and seem to have been sent then.
+func (s *Server) fillBacklog() {
+	for range maxFillers {
+		if s.fillersHoldBacklog() {
 			break
 		}
-		d := net.Dialer{Timeout: fillerWait}
+		d := net.Dialer{Timeout: fillerDialTimeout}
 		c, err := d.DialContext(context.Background(), "tcp", s.addr.String())
 		if err != nil {
 			continue
 		}
 		s.mu.Lock()
-		if s.fillers[c.LocalAddr().String()] = c; !s.mute {
+		if s.fillers[c.LocalAddr().String()] = c; !s.isMuted {
 			_ = c.Close()
 		}
 		s.mu.Unlock()
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fills--
+	s.activeFills--
 }
 
-// filled tells whether one of the server's own connections has the room; else it takes in who has.
-func (s *Server) filled() bool {
+// fillersHoldBacklog reports whether the backlog is full and has one of the server's own connections. If it
+// is full without one, it serves the waiting connections and returns false.
+func (s *Server) fillersHoldBacklog() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.noRoom() {
+	if !s.isBacklogFull() {
 		return false
 	}
-	if s.mute && len(s.fillers) == 0 {
-		s.admit()
+	if s.isMuted && len(s.fillers) == 0 {
+		s.acceptWaiting()
 		return false
 	}
 	return true
 }
 
-// admit takes in the connections that wait to be accepted.
-func (s *Server) admit() {
-	for c := acceptOne(s.listener); c != nil; c = acceptOne(s.listener) {
-		s.admitted(c)
+// acceptWaiting accepts and serves the connections in the backlog.
+func (s *Server) acceptWaiting() {
+	for c := acceptIfWaiting(s.listener); c != nil; c = acceptIfWaiting(s.listener) {
+		s.serveConn(c)
 	}
 }
 
-// turnOut resets connections that have the room in place of the server's own: two that come up at one
-// moment may both think that they have it. What was written on them was never read, and must not look as if
-// it came now.
-func (s *Server) turnOut() {
-	for c := acceptOne(s.listener); c != nil; c = acceptOne(s.listener) {
+// resetWaiting resets the connections in the backlog. Agents' connections can be among them, as two that are
+// established at the same moment may both get in. Their data was never read, and must not seem to have been
+// sent when the server accepts again.
+func (s *Server) resetWaiting() {
+	for c := acceptIfWaiting(s.listener); c != nil; c = acceptIfWaiting(s.listener) {
 		delete(s.fillers, c.RemoteAddr().String())
 		_ = c.SetLinger(0)
 		_ = c.Close()
 	}
 }
 
-// acceptOne accepts a connection that waits already; nil: there is none.
-func acceptOne(l *net.TCPListener) *net.TCPConn {
+// acceptIfWaiting accepts a connection from the backlog without blocking; it returns nil if there is none.
+func acceptIfWaiting(l *net.TCPListener) *net.TCPConn {
 	raw, err := l.SyscallConn()
 	if err != nil {
 		return nil
 	}
 	fd := -1
-	_ = raw.Control(func(listens uintptr) {
-		fd, _, err = unix.Accept4(int(listens), unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
+	_ = raw.Control(func(listenerFD uintptr) {
+		fd, _, err = unix.Accept4(int(listenerFD), unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 	})
 	if err != nil || fd < 0 {
 		return nil
 	}
 	file := os.NewFile(uintptr(fd), "")
 	defer file.Close()
-	c, err := net.FileConn(file) // a descriptor of its own
+	c, err := net.FileConn(file) // duplicates the descriptor
 	if err != nil {
 		return nil
 	}
 	return c.(*net.TCPConn)
 }
 
-// HangUp closes the open connections; the server goes on as it is.
+// HangUp closes the open connections; the server continues.
 func (s *Server) HangUp() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -270,7 +272,7 @@
 	}
 }
 
-// Close ends the server and its connections, and waits until nothing of them runs.
+// Close closes the server and its connections, and waits for their goroutines.
 func (s *Server) Close() {
 	s.Refuse()
 	s.mu.Lock()
@@ -279,7 +281,7 @@
 		_ = c.Close()
 	}
 	s.mu.Unlock()
-	s.way.close()
+	s.link.close()
 	s.HangUp()
 	s.wait.Wait()
 }
@@ -291,39 +293,39 @@
 			return
 		}
 		s.mu.Lock()
-		s.admitted(c)
+		s.serveConn(c)
 		s.mu.Unlock()
 	}
 }
 
-// admitted serves an accepted connection, unless it is the server's own.
-func (s *Server) admitted(c *net.TCPConn) {
+// serveConn serves an accepted connection, or closes it if it is a filler. Needs the lock.
+func (s *Server) serveConn(c *net.TCPConn) {
 	from := c.RemoteAddr().String()
-	_, own := s.fillers[from]
+	_, isFiller := s.fillers[from]
 	delete(s.fillers, from)
-	if own || s.closed {
+	if isFiller || s.closed {
 		_ = c.Close()
-	} else if taken := s.way.take(c); taken != nil {
-		conn := &Conn{conn: taken, server: s}
+	} else if attached := s.link.attach(c); attached != nil {
+		conn := &Conn{conn: attached, server: s}
 		s.conns[conn] = struct{}{}
 		s.wait.Go(conn.serve)
 	}
 }
 
-// Conn is an agent's connection to a booking server.
+// Conn is an agent's connection to an upstream server.
 type Conn struct {
-	Handle any // for whoever uses the stand-in; set in Opened
+	Handle any // the caller's own data; set in Opened
 
-	conn   *straitConn
+	conn   *linkConn
 	server *Server
 }
 
-const maxRequest = 64 << 20
+const maxRequestBytes = 64 << 20
 
-// Read reads from the connection, slowly where the server does so.
+// Read reads from the connection, slowly after ReadSlowly.
 func (c *Conn) Read(b []byte) (int, error) {
 	c.server.mu.Lock()
-	pause := c.server.slow
+	pause := c.server.readPause
 	c.server.mu.Unlock()
 	if pause > 0 {
 		time.Sleep(pause)
@@ -343,7 +345,7 @@
 		if err != nil {
 			break
 		}
-		body, err := io.ReadAll(io.LimitReader(r.Body, maxRequest))
+		body, err := io.ReadAll(io.LimitReader(r.Body, maxRequestBytes))
 		if err != nil {
 			break
 		}
@@ -358,25 +360,25 @@
 	}
 }
 
-// Socket is the connection itself, for what is written otherwise than by a Reply.
+// Socket returns the underlying TCP connection, which bypasses the link's faults.
 func (c *Conn) Socket() *net.TCPConn { return c.conn.raw }
 
 // Write writes bytes as they are.
 func (c *Conn) Write(b []byte) (int, error) { return c.conn.Write(b) }
 
-// Close ends the connection in good order.
+// Close closes the connection.
 func (c *Conn) Close() { _ = c.conn.Close() }
 
-// CloseWrite ends the server's side of the connection; it still reads.
+// CloseWrite closes the server's direction of the connection; the server still reads.
 func (c *Conn) CloseWrite() { _ = c.conn.CloseWrite() }
 
-// Reset breaks the connection.
+// Reset resets the connection.
 func (c *Conn) Reset() { c.conn.Reset() }
 
-// Reply is a booking server's answer.
+// Reply is an upstream server's response.
 type Reply struct {
 	Status  int
-	Headers string // further ones, each with its line's end
+	Headers string // additional header lines, each ending in CRLF
 	Body    string
 }
 
@@ -385,12 +387,11 @@
 		len(r.Body), r.Headers)
 }
 
-// endlessFor is how long an endless head goes on, if the agent takes it for so long.
-const endlessFor = 5 * time.Second
+// endlessHeadTimeout is how long an endless header is written, if the agent reads it that long.
+const endlessHeadTimeout = 5 * time.Second
 
-// Reply writes an answer, with what goes wrong with it on the wire. Of the faults that are no answer's,
-// NoAccept and SlowReader, it knows nothing, nor of Forgets: who forgets a connection answers nothing more
-// on it.
+// Reply writes a response with a fault. It ignores the faults that do not concern a response, NoAccept and
+// SlowReader, and also Forgets: a server that forgets a connection calls no Reply on it.
 func (c *Conn) Reply(r Reply, fault scenario.Fault) {
 	head := r.head()
 	write := func(parts ...string) { _, _ = io.WriteString(c.conn, strings.Join(parts, "")) }
@@ -418,7 +419,7 @@
 	case scenario.Noise:
 		write("\x16\x03\x01\x00\xa5 no answer at all\r\n\r\n")
 	case scenario.EndlessHead:
-		go c.endless()
+		go c.writeEndlessHead()
 	case scenario.HalfClose:
 		write(head, r.Body)
 		c.CloseWrite()
@@ -427,8 +428,8 @@
 	}
 }
 
-func (c *Conn) endless() {
-	_ = c.conn.SetWriteDeadline(time.Now().Add(endlessFor))
+func (c *Conn) writeEndlessHead() {
+	_ = c.conn.SetWriteDeadline(time.Now().Add(endlessHeadTimeout))
 	line := "X-Chair: " + strings.Repeat("4", 1000) + "\r\n"
 	_, err := io.WriteString(c.conn, "HTTP/1.1 200 OK\r\n")
 	for err == nil {
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -20,12 +20,12 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// booked answers every request.
-func booked(fault scenario.Fault) Events {
+// answerOK answers every request with status 200.
+func answerOK(fault scenario.Fault) Events {
 	return Events{Came: func(c *Conn, _ *http.Request, _ []byte) { c.Reply(Reply{Status: 200, Body: "booked\n"}, fault) }}
 }
 
-func ask(s *Server) (string, error) {
+func sendRequest(s *Server) (string, error) {
 	c, err := net.DialTimeout("tcp", s.Addr(), 300*time.Millisecond)
 	if err != nil {
 		return "", err
@@ -38,23 +38,24 @@
 	return string(buf[:n]), err
 }
 
-// A server refuses, says nothing and accepts again, at one address, as often as it is told to.
-func TestGates(t *testing.T) {
-	s, err := Listen("127.77.0.1:0", booked(""))
+// TestServerRefusesMutesAndAcceptsAgain: a server can refuse, leave unanswered and accept connections repeatedly at the
+// same address.
+func TestServerRefusesMutesAndAcceptsAgain(t *testing.T) {
+	s, err := Listen("127.77.0.1:0", answerOK(""))
 	require.NoError(t, err)
 	defer s.Close()
 	for range 3 {
 		require.NoError(t, s.Accept())
 		require.Eventually(t, func() bool {
-			text, err := ask(s)
+			text, err := sendRequest(s)
 			return err == nil && strings.HasSuffix(text, "booked\n")
 		}, 10*time.Second, time.Millisecond)
 		s.Refuse()
-		_, err = ask(s)
+		_, err = sendRequest(s)
 		require.ErrorContains(t, err, "refused")
 		require.NoError(t, s.Mute())
 		require.Eventually(t, func() bool {
-			_, err := ask(s)
+			_, err := sendRequest(s)
 			timedOut, is := err.(net.Error)
 			return is && timedOut.Timeout()
 		}, 10*time.Second, time.Millisecond)
@@ -63,15 +64,15 @@
 	require.ErrorIs(t, s.Accept(), net.ErrClosed)
 }
 
-// A connection that came up as the server was muted is served: its request does not lie unread until the server
-// accepts again.
-func TestUpBeforeTheMute(t *testing.T) {
-	s, err := Listen("127.77.0.1:0", booked(""))
+// TestMuteServesConnectionsAlreadyUp: a connection established just before Mute is served: its request does not stay
+// unread until the server accepts again.
+func TestMuteServesConnectionsAlreadyUp(t *testing.T) {
+	s, err := Listen("127.77.0.1:0", answerOK(""))
 	require.NoError(t, err)
 	defer s.Close()
 	for range 20 {
 		require.NoError(t, s.Accept())
-		_ = s.listener.SetDeadline(time.Unix(1, 0)) // it is slow to accept
+		_ = s.listener.SetDeadline(time.Unix(1, 0)) // stops accept
 		c, err := net.Dial("tcp", s.Addr())
 		require.NoError(t, err)
 		require.NoError(t, s.Mute())
@@ -86,16 +87,16 @@
 	}
 }
 
-// A server that still takes the room for connections does not say that there is none: a connection of its own that has
-// the room for the system, and for itself came too late, is taken in, and whoever comes next is up.
-func TestNotFullWhileTheRoomIsTaken(t *testing.T) {
-	s, err := Listen("127.77.0.1:0", booked(""))
+// TestFullReturnsFalseWhileFilling: Full returns false while fillBacklog runs. A filler can fill the backlog although
+// its dial timed out; the server then accepts it, and the next connection attempt succeeds.
+func TestFullReturnsFalseWhileFilling(t *testing.T) {
+	s, err := Listen("127.77.0.1:0", answerOK(""))
 	require.NoError(t, err)
 	defer s.Close()
-	_ = s.listener.SetDeadline(time.Unix(1, 0)) // nobody accepts
+	_ = s.listener.SetDeadline(time.Unix(1, 0)) // stops accept
 	s.mu.Lock()
-	require.NoError(t, s.backlog(0))
-	s.fills++
+	require.NoError(t, s.setBacklog(0))
+	s.activeFills++
 	s.mu.Unlock()
 	c, err := net.Dial("tcp", s.Addr())
 	require.NoError(t, err)
@@ -103,18 +104,19 @@
 	require.Eventually(t, func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return s.noRoom()
+		return s.isBacklogFull()
 	}, 10*time.Second, time.Millisecond)
 	require.False(t, s.Full())
 	s.mu.Lock()
-	s.fills--
+	s.activeFills--
 	s.mu.Unlock()
 	require.True(t, s.Full())
 }
 
-// A connection that does not come up is counted, and of its own process alone; one that is up is not.
-func TestConnecting(t *testing.T) {
-	s, err := Listen("127.77.0.1:0", booked(""))
+// TestConnectingCountsOwnProcessOnly: a connection that is not established is counted for its own process only, and an
+// established one is not.
+func TestConnectingCountsOwnProcessOnly(t *testing.T) {
+	s, err := Listen("127.77.0.1:0", answerOK(""))
 	require.NoError(t, err)
 	defer s.Close()
 	up, err := net.Dial("tcp", s.Addr())
@@ -144,15 +146,16 @@
 	require.Equal(t, before, n)
 }
 
-// What has got into a muted server all the same is reset when it accepts again: its request is old by then.
-func TestInspiteOfTheMute(t *testing.T) {
-	s, err := Listen("127.77.0.1:0", booked(""))
+// TestAcceptResetsConnectionsMadeWhileMuted: a connection that got into a muted server's backlog is reset when the server
+// accepts again, as its request is old by then.
+func TestAcceptResetsConnectionsMadeWhileMuted(t *testing.T) {
+	s, err := Listen("127.77.0.1:0", answerOK(""))
 	require.NoError(t, err)
 	defer s.Close()
 	require.NoError(t, s.Mute())
 	require.Eventually(t, s.Full, 10*time.Second, time.Millisecond)
 	s.mu.Lock()
-	require.NoError(t, s.backlog(1)) // as where two come up at one moment
+	require.NoError(t, s.setBacklog(1)) // as if two were established at the same moment
 	s.mu.Unlock()
 	c, err := net.Dial("tcp", s.Addr())
 	require.NoError(t, err)
@@ -163,14 +166,15 @@
 	_ = c.SetDeadline(time.Now().Add(5 * time.Second))
 	_, err = c.Read(make([]byte, 1))
 	require.ErrorIs(t, err, syscall.ECONNRESET)
-	text, err := ask(s)
+	text, err := sendRequest(s)
 	require.NoError(t, err)
 	require.Contains(t, text, "200")
 }
 
-// What a client makes of the end of its connection: an agent that has not read a request resets, and one that has
-// ends without a word. Between requests an end without a word may have crossed the request.
-func TestUnread(t *testing.T) {
+// TestClientReportsUnreadRequests: a client tells from the end of its connection whether the agent read the request. An
+// agent that has not read it resets the connection, and one that has closes it in order. Between requests, a close in
+// order may have crossed the next request.
+func TestClientReportsUnreadRequests(t *testing.T) {
 	const answered = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 	for name, c := range map[string]struct {
 		agent  func(net.Conn)
@@ -220,7 +224,7 @@
 			require.NoError(t, err)
 			raw, err := agent.(*net.TCPConn).SyscallConn()
 			require.NoError(t, err)
-			require.NoError(t, raw.Read(func(fd uintptr) bool { // it has come, read or not
+			require.NoError(t, raw.Read(func(fd uintptr) bool { // the request has arrived
 				n, _, _ := syscall.Recvfrom(int(fd), make([]byte, 1024), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 				return n == len(request)
 			}))
--- a/internal/standin/strait.go
+++ b/internal/standin/strait.go
@@ -10,69 +10,68 @@
 	"dunestep/internal/rehearsal/scenario"
 )
 
-// Strait is the way that streams take between an agent and a stand-in. What a fault keeps from passing
-// waits, as bytes wait that the system sends again, and passes when the fault is over; connections come up
-// and stay open. The zero value lets all pass. Its methods may be called from any goroutine and wait for
-// nothing but Close.
+// Strait is the link between agents and a stand-in, with faults of streams. Bytes that a fault holds are
+// delivered when it ends, as with TCP retransmission; meanwhile connections are still established and stay
+// open. The zero value has no faults. Its methods are safe for concurrent use and do not block, except close.
 type Strait struct {
-	mu     sync.Mutex
-	lifted *sync.Cond
-	out    int // faults that hold what the agent says,
-	back   int // what it is told,
-	reset  int // and that reset its connections
-	conns  map[*straitConn]struct{}
-	over   bool
-	wait   sync.WaitGroup // those that say what was held
+	mu            sync.Mutex
+	changed       *sync.Cond
+	inboundHolds  int // active faults that hold bytes from the agents
+	outboundHolds int // active faults that hold bytes to the agents
+	resetFaults   int // active faults that reset connections
+	conns         map[*linkConn]struct{}
+	closed        bool
+	wait          sync.WaitGroup // for the goroutines in flush
 }
 
-// maxHeld bounds what waits on a connection; one on which more is said is reset.
-const maxHeld = 4 << 20
+// maxHeldBytes is the maximum of bytes held on a connection; with more it is reset.
+const maxHeldBytes = 4 << 20
 
-var errHeld = errors.New("standin: more is held on a connection than there is room for")
+var errHeldOverflow = errors.New("standin: too many bytes held on a connection")
 
-// Begin has a fault of streams come over the way; it stays until End, as often as it has begun. Any other
-// fault does nothing.
+// Begin starts a fault of streams. It lasts until End was called as often as Begin. Other faults have no
+// effect.
 func (s *Strait) Begin(fault scenario.Fault) {
 	s.mu.Lock()
-	s.count(fault, 1)
-	var broken []*straitConn
+	s.addFault(fault, 1)
+	var toReset []*linkConn
 	if fault == scenario.StreamReset {
 		for c := range s.conns {
-			broken = append(broken, c)
+			toReset = append(toReset, c)
 		}
 	}
 	s.mu.Unlock()
-	for _, c := range broken {
-		c.kill()
+	for _, c := range toReset {
+		c.resetNow()
 	}
 }
 
-// End takes a fault away.
+// End undoes one Begin of a fault.
 func (s *Strait) End(fault scenario.Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.count(fault, -1)
-	s.lift()
+	s.addFault(fault, -1)
+	s.releaseHeld()
 }
 
-func (s *Strait) count(fault scenario.Fault, n int) {
+func (s *Strait) addFault(fault scenario.Fault, delta int) {
 	switch fault {
 	case scenario.StreamSilent:
-		s.out, s.back = max(s.out+n, 0), max(s.back+n, 0)
+		s.inboundHolds, s.outboundHolds = max(s.inboundHolds+delta, 0), max(s.outboundHolds+delta, 0)
 	case scenario.StreamFromAgent:
-		s.back = max(s.back+n, 0)
+		s.outboundHolds = max(s.outboundHolds+delta, 0)
 	case scenario.StreamToAgent:
-		s.out = max(s.out+n, 0)
+		s.inboundHolds = max(s.inboundHolds+delta, 0)
 	case scenario.StreamReset:
-		s.reset = max(s.reset+n, 0)
+		s.resetFaults = max(s.resetFaults+delta, 0)
 	}
 }
 
-// lift lets pass what may. The lock is held.
-func (s *Strait) lift() {
+// releaseHeld wakes readers and flushes held writes where no fault holds them any more. Needs the lock.
+func (s *Strait) releaseHeld() {
 	s.cond().Broadcast()
 	for c := range s.conns {
-		if s.back == 0 && !c.flushing && (len(c.later) > 0 || c.ending != nil) {
+		if s.outboundHolds == 0 && !c.flushing && (len(c.heldWrites) > 0 || c.heldEnd != nil) {
 			c.flushing = true
 			s.wait.Go(c.flush)
 		}
@@ -80,122 +79,123 @@
 }
 
 func (s *Strait) cond() *sync.Cond {
-	if s.lifted == nil {
-		s.lifted = sync.NewCond(&s.mu)
+	if s.changed == nil {
+		s.changed = sync.NewCond(&s.mu)
 	}
-	return s.lifted
+	return s.changed
 }
 
-// close ends the way and all connections on it.
+// close ends all faults and closes the link's connections.
 func (s *Strait) close() {
 	s.mu.Lock()
-	s.over, s.out, s.back, s.reset = true, 0, 0, 0
+	s.closed, s.inboundHolds, s.outboundHolds, s.resetFaults = true, 0, 0, 0
 	for c := range s.conns {
 		c.closed = true
 		_ = c.Conn.Close()
 	}
-	s.lift()
+	s.releaseHeld()
 	s.mu.Unlock()
 	s.wait.Wait()
 }
 
-// take has a new connection use the way; nil: it was reset.
-func (s *Strait) take(raw *net.TCPConn) *straitConn {
-	c := &straitConn{Conn: raw, raw: raw, way: s}
+// attach puts a new connection on the link; it returns nil if the connection was reset.
+func (s *Strait) attach(raw *net.TCPConn) *linkConn {
+	c := &linkConn{Conn: raw, raw: raw, link: s}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.reset > 0 || s.over {
+	if s.resetFaults > 0 || s.closed {
 		_ = raw.SetLinger(0)
 		_ = raw.Close()
 		return nil
 	}
 	if s.conns == nil {
-		s.conns = map[*straitConn]struct{}{}
+		s.conns = map[*linkConn]struct{}{}
 	}
 	s.conns[c] = struct{}{}
 	return c
 }
 
-// straitConn is the stand-in's end of a connection. The library's own short cuts round Read and Write are not
-// to be had: net.Conn hides them.
-type straitConn struct {
+// linkConn is the stand-in's end of a connection. It embeds the interface net.Conn, which hides ReadFrom and
+// WriteTo of *net.TCPConn: io.Copy would bypass Read and Write with them.
+type linkConn struct {
 	net.Conn
-	raw *net.TCPConn
-	way *Strait
+	raw  *net.TCPConn
+	link *Strait
 
-	kept    []byte // read just as a fault began; for the one reader
-	keptErr error
+	readAhead    []byte // read while a fault began; used by the reader alone
+	readAheadErr error
 
-	// Under the way's lock.
-	aborted  bool // reading is to end at once
-	closed   bool
-	flushing bool
-	later    []byte // to be said when that may pass
-	ending   func() // and then the connection's end
+	// Guarded by the link's lock.
+	readAborted bool // the read deadline has passed
+	closed      bool
+	flushing    bool
+	heldWrites  []byte // written when no fault holds them any more
+	heldEnd     func() // called after heldWrites: closes or resets the connection; nil: none
 }
 
-// await waits until what the agent says may pass.
-func (c *straitConn) await() error {
-	s := c.way
+// waitInbound waits until no fault holds bytes from the agent. It returns an error if the connection is
+// closed or its read deadline passes.
+func (c *linkConn) waitInbound() error {
+	s := c.link
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for s.out > 0 && !c.closed && !c.aborted {
+	for s.inboundHolds > 0 && !c.closed && !c.readAborted {
 		s.cond().Wait()
 	}
 	switch {
 	case c.closed:
 		return net.ErrClosed
-	case s.out > 0:
+	case s.inboundHolds > 0:
 		return os.ErrDeadlineExceeded
 	}
 	return nil
 }
 
 // Read implements net.Conn.
-func (c *straitConn) Read(b []byte) (int, error) {
-	if err := c.await(); err != nil {
+func (c *linkConn) Read(b []byte) (int, error) {
+	if err := c.waitInbound(); err != nil {
 		return 0, err
 	}
-	if len(c.kept) > 0 || c.keptErr != nil {
-		n := copy(b, c.kept)
-		if c.kept = c.kept[n:]; n > 0 {
+	if len(c.readAhead) > 0 || c.readAheadErr != nil {
+		n := copy(b, c.readAhead)
+		if c.readAhead = c.readAhead[n:]; n > 0 {
 			return n, nil
 		}
-		return 0, c.keptErr
+		return 0, c.readAheadErr
 	}
 	n, err := c.Conn.Read(b)
 	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) {
 		return 0, err
 	}
-	if wait := c.await(); wait != nil {
-		c.kept, c.keptErr = append(c.kept, b[:n]...), err
-		return 0, wait
+	if waitErr := c.waitInbound(); waitErr != nil {
+		c.readAhead, c.readAheadErr = append(c.readAhead, b[:n]...), err
+		return 0, waitErr
 	}
 	return n, err
 }
 
-// SetReadDeadline implements net.Conn; one in the past ends a reading that waits.
-func (c *straitConn) SetReadDeadline(t time.Time) error {
-	c.way.mu.Lock()
-	c.aborted = !t.IsZero() && !t.After(time.Now())
-	c.way.cond().Broadcast()
-	c.way.mu.Unlock()
+// SetReadDeadline implements net.Conn. A deadline in the past ends a Read that waits for a fault's end.
+func (c *linkConn) SetReadDeadline(t time.Time) error {
+	c.link.mu.Lock()
+	c.readAborted = !t.IsZero() && !t.After(time.Now())
+	c.link.cond().Broadcast()
+	c.link.mu.Unlock()
 	return c.Conn.SetReadDeadline(t)
 }
 
 // SetDeadline implements net.Conn.
-func (c *straitConn) SetDeadline(t time.Time) error {
+func (c *linkConn) SetDeadline(t time.Time) error {
 	return errors.Join(c.SetReadDeadline(t), c.Conn.SetWriteDeadline(t))
 }
 
-// Write implements net.Conn; what can't pass counts as written.
-func (c *straitConn) Write(b []byte) (int, error) {
-	s := c.way
+// Write implements net.Conn. It counts held bytes as written.
+func (c *linkConn) Write(b []byte) (int, error) {
+	s := c.link
 	s.mu.Lock()
-	closed, held := c.closed, s.back > 0 || c.flushing || len(c.later) > 0
-	full := len(c.later)+len(b) > maxHeld
+	closed, held := c.closed, s.outboundHolds > 0 || c.flushing || len(c.heldWrites) > 0
+	full := len(c.heldWrites)+len(b) > maxHeldBytes
 	if held && !closed && !full {
-		c.later = append(c.later, b...)
+		c.heldWrites = append(c.heldWrites, b...)
 	}
 	s.mu.Unlock()
 	switch {
@@ -204,65 +204,66 @@
 	case !held:
 		return c.Conn.Write(b)
 	case full:
-		c.kill()
-		return 0, errHeld
+		c.resetNow()
+		return 0, errHeldOverflow
 	}
 	return len(b), nil
 }
 
 // Close implements net.Conn.
-func (c *straitConn) Close() error {
+func (c *linkConn) Close() error {
 	end := func() error {
-		c.gone()
+		c.detach()
 		return c.Conn.Close()
 	}
-	if c.endLater(true, func() { _ = end() }) {
+	if c.holdEnd(true, func() { _ = end() }) {
 		return nil
 	}
 	return end()
 }
 
-// CloseWrite ends the stand-in's side.
-func (c *straitConn) CloseWrite() error {
-	if c.endLater(false, func() { _ = c.raw.CloseWrite() }) {
+// CloseWrite closes the stand-in's direction of the connection.
+func (c *linkConn) CloseWrite() error {
+	if c.holdEnd(false, func() { _ = c.raw.CloseWrite() }) {
 		return nil
 	}
 	return c.raw.CloseWrite()
 }
 
-// Reset breaks the connection.
-func (c *straitConn) Reset() {
-	if !c.endLater(true, c.kill) {
-		c.kill()
+// Reset resets the connection.
+func (c *linkConn) Reset() {
+	if !c.holdEnd(true, c.resetNow) {
+		c.resetNow()
 	}
 }
 
-// endLater has the connection end when that may pass, where it may not now.
-func (c *straitConn) endLater(closes bool, end func()) bool {
-	s := c.way
+// holdEnd defers end until held bytes are written, and reports whether it did: not where nothing is held.
+// closes is true if the connection is closed in both directions.
+func (c *linkConn) holdEnd(closes bool, end func()) bool {
+	s := c.link
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.over || s.back == 0 && !c.flushing {
+	if s.closed || s.outboundHolds == 0 && !c.flushing {
 		return false
 	}
 	c.closed = c.closed || closes
-	if c.ending == nil {
-		c.ending = end
+	if c.heldEnd == nil {
+		c.heldEnd = end
 	}
 	s.cond().Broadcast()
 	return true
 }
 
-// kill breaks the connection, whatever is held.
-func (c *straitConn) kill() {
+// resetNow resets the connection and drops held bytes.
+func (c *linkConn) resetNow() {
 	_ = c.raw.SetLinger(0)
-	c.gone()
+	c.detach()
 	_ = c.Conn.Close()
 }
 
-// gone takes the connection from its way.
-func (c *straitConn) gone() {
-	s := c.way
+// detach removes the connection from its link.
+func (c *linkConn) detach() {
+	s := c.link
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c.closed = true
@@ -270,19 +271,19 @@
 	s.cond().Broadcast()
 }
 
-// flush says what was held, and then ends the connection if that is its turn.
-func (c *straitConn) flush() {
-	s := c.way
+// flush writes the held bytes, then calls heldEnd; it returns early if a fault begins.
+func (c *linkConn) flush() {
+	s := c.link
 	for {
 		s.mu.Lock()
-		if s.back > 0 {
+		if s.outboundHolds > 0 {
 			c.flushing = false
 			s.mu.Unlock()
 			return
 		}
-		text, end := c.later, c.ending
-		if c.later = nil; len(text) == 0 {
-			c.flushing, c.ending = false, nil
+		data, end := c.heldWrites, c.heldEnd
+		if c.heldWrites = nil; len(data) == 0 {
+			c.flushing, c.heldEnd = false, nil
 			s.mu.Unlock()
 			if end != nil {
 				end()
@@ -290,26 +291,26 @@
 			return
 		}
 		s.mu.Unlock()
-		if _, err := c.Conn.Write(text); err != nil {
-			c.gone()
+		if _, err := c.Conn.Write(data); err != nil {
+			c.detach()
 		}
 	}
 }
 
-// straitListener accepts connections that use a way.
-type straitListener struct {
+// linkListener accepts connections and attaches them to a link.
+type linkListener struct {
 	*net.TCPListener
-	way *Strait
+	link *Strait
 }
 
 // Accept implements net.Listener.
-func (l *straitListener) Accept() (net.Conn, error) {
+func (l *linkListener) Accept() (net.Conn, error) {
 	for {
 		raw, err := l.AcceptTCP()
 		if err != nil {
 			return nil, err
 		}
-		if c := l.way.take(raw); c != nil {
+		if c := l.link.attach(raw); c != nil {
 			return c, nil
 		}
 	}
--- a/internal/standin/strait_test.go
+++ b/internal/standin/strait_test.go
@@ -14,27 +14,27 @@
 	"dunestep/internal/rehearsal/scenario"
 )
 
-// caller is an agent's end of a connection.
-type caller struct {
+// agentConn is an agent's end of a connection.
+type agentConn struct {
 	t *testing.T
 	net.Conn
 	in *bufio.Reader
 }
 
-func call(t *testing.T, addr string) *caller {
+func dialAgentConn(t *testing.T, addr string) *agentConn {
 	c, err := net.Dial("tcp", addr)
-	require.NoError(t, err, "it comes up whatever the fault")
+	require.NoError(t, err, "connections are established during faults")
 	t.Cleanup(func() { _ = c.Close() })
-	return &caller{t, c, bufio.NewReader(c)}
+	return &agentConn{t, c, bufio.NewReader(c)}
 }
 
-func (c *caller) ask() {
+func (c *agentConn) sendRequest() {
 	_, err := io.WriteString(c, "GET /?watch=1 HTTP/1.1\r\nHost: x\r\n\r\n")
 	require.NoError(c.t, err)
 }
 
-// hears tells whether an answer's head comes soon; its error is that it is not silence.
-func (c *caller) hears(within time.Duration) (bool, error) {
+// hasInputWithin reports whether a byte arrives within a time. It returns an error if the connection ends.
+func (c *agentConn) hasInputWithin(within time.Duration) (bool, error) {
 	_ = c.SetReadDeadline(time.Now().Add(within))
 	_, err := c.in.Peek(1)
 	if timedOut, is := err.(net.Error); is && timedOut.Timeout() {
@@ -44,48 +44,48 @@
 }
 
 const (
-	quiet = 150 * time.Millisecond // in which nothing is to come
-	soon  = 10 * time.Second       // by when what is to come has come
+	silencePeriod = 150 * time.Millisecond // in which nothing may arrive
+	eventTimeout  = 10 * time.Second       // limit for an expected event
 )
 
-// Each fault keeps from passing what it says, on open connections and on new ones, and what waited comes when it is
-// over.
-func TestStrait(t *testing.T) {
-	for fault, reaches := range map[scenario.Fault]bool{
+// TestLinkHoldsBytesUntilFaultEnds: each fault holds the bytes of its directions, on open connections and on new
+// ones, and they are delivered when the fault ends.
+func TestLinkHoldsBytesUntilFaultEnds(t *testing.T) {
+	for fault, reachesServer := range map[scenario.Fault]bool{
 		scenario.StreamSilent: false, scenario.StreamToAgent: false,
 		scenario.StreamFromAgent: true,
 	} {
 		t.Run(string(fault), func(t *testing.T) {
-			var came atomic.Int32
+			var requests atomic.Int32
 			s, err := Listen("127.0.0.1:0", Events{Came: func(c *Conn, _ *http.Request, _ []byte) {
-				came.Add(1)
+				requests.Add(1)
 				c.Reply(Reply{Status: 200, Body: "booked\n"}, "")
-				c.Close() // which is held with the rest
+				c.Close() // held like the response
 			}})
 			require.NoError(t, err)
 			defer s.Close()
-			open := call(t, s.Addr())
-			for range 2 { // as often as it likes
+			open := dialAgentConn(t, s.Addr())
+			for range 2 { // faults are counted
 				s.Way().Begin(fault)
 			}
 			s.Way().End(fault)
-			both := []*caller{open, call(t, s.Addr())}
-			for _, c := range both {
-				c.ask()
-				any, err := c.hears(quiet)
-				require.NoError(t, err, "silence, and no end")
-				require.False(t, any)
+			conns := []*agentConn{open, dialAgentConn(t, s.Addr())}
+			for _, c := range conns {
+				c.sendRequest()
+				hasInput, err := c.hasInputWithin(silencePeriod)
+				require.NoError(t, err, "no data and no end of the connection")
+				require.False(t, hasInput)
 			}
-			if reaches {
-				require.Eventually(t, func() bool { return came.Load() == 2 }, soon, time.Millisecond)
+			if reachesServer {
+				require.Eventually(t, func() bool { return requests.Load() == 2 }, eventTimeout, time.Millisecond)
 			} else {
-				require.Zero(t, came.Load())
+				require.Zero(t, requests.Load())
 			}
 			s.Way().End(fault)
-			for _, c := range both {
-				any, err := c.hears(soon)
+			for _, c := range conns {
+				hasInput, err := c.hasInputWithin(eventTimeout)
 				require.NoError(t, err)
-				require.True(t, any)
+				require.True(t, hasInput)
 				r, err := http.ReadResponse(c.in, nil)
 				require.NoError(t, err)
 				body, err := io.ReadAll(r.Body)
@@ -96,49 +96,49 @@
 	}
 }
 
-func TestStraitResets(t *testing.T) {
-	s, err := Listen("127.0.0.1:0", booked(""))
+func TestLinkResetsConnections(t *testing.T) {
+	s, err := Listen("127.0.0.1:0", answerOK(""))
 	require.NoError(t, err)
 	defer s.Close()
-	open := call(t, s.Addr())
+	open := dialAgentConn(t, s.Addr())
 	s.Way().Begin(scenario.StreamReset)
-	c, err := net.Dial("tcp", s.Addr()) // which may see the reset already
+	c, err := net.Dial("tcp", s.Addr()) // may fail with the reset already
 	if err == nil {
 		defer c.Close()
-		_, err = (&caller{t, c, bufio.NewReader(c)}).hears(soon)
+		_, err = (&agentConn{t, c, bufio.NewReader(c)}).hasInputWithin(eventTimeout)
 	}
 	require.ErrorContains(t, err, "reset")
-	any, err := open.hears(soon)
+	hasInput, err := open.hasInputWithin(eventTimeout)
 	require.ErrorContains(t, err, "reset")
-	require.False(t, any)
+	require.False(t, hasInput)
 	s.Way().End(scenario.StreamReset)
-	after := call(t, s.Addr())
-	after.ask()
-	any, err = after.hears(soon)
+	after := dialAgentConn(t, s.Addr())
+	after.sendRequest()
+	hasInput, err = after.hasInputWithin(eventTimeout)
 	require.NoError(t, err)
-	require.True(t, any)
+	require.True(t, hasInput)
 }
 
-// Discovery too: its empty lines are not heard while it is silent, and closing it waits for no fault's end.
-func TestStraitOfDiscovery(t *testing.T) {
+// TestLinkHoldsDiscoveryStream: a fault also holds discovery's empty lines, and Close does not wait for a fault's end.
+func TestLinkHoldsDiscoveryStream(t *testing.T) {
 	d, err := ListenDiscovery("127.0.0.1:0", 10*time.Millisecond, func(c *Call) { c.Begin(200) }, func(*Call) {})
 	require.NoError(t, err)
-	c := call(t, d.Addr)
-	c.ask()
-	any, _ := c.hears(soon)
-	require.True(t, any)
+	c := dialAgentConn(t, d.Addr)
+	c.sendRequest()
+	hasInput, _ := c.hasInputWithin(eventTimeout)
+	require.True(t, hasInput)
 	d.Way().Begin(scenario.StreamFromAgent)
-	require.Eventually(t, func() bool { // what was on its way is read
+	require.Eventually(t, func() bool { // reads what was sent before the fault
 		_, _ = c.in.Discard(c.in.Buffered())
-		any, err := c.hears(quiet)
-		return !any && err == nil
-	}, soon, time.Millisecond)
-	waits := call(t, d.Addr)
-	waits.ask()
+		hasInput, err := c.hasInputWithin(silencePeriod)
+		return !hasInput && err == nil
+	}, eventTimeout, time.Millisecond)
+	waiting := dialAgentConn(t, d.Addr)
+	waiting.sendRequest()
 	d.Way().End(scenario.StreamFromAgent)
-	any, _ = waits.hears(soon)
-	require.True(t, any)
+	hasInput, _ = waiting.hasInputWithin(eventTimeout)
+	require.True(t, hasInput)
 	d.Way().Begin(scenario.StreamSilent)
-	call(t, d.Addr).ask()
+	dialAgentConn(t, d.Addr).sendRequest()
 	d.Close()
 }
