--- a/internal/standin/program/build.go
+++ b/internal/standin/program/build.go
@@ -8,7 +8,7 @@
 	"sync"
 )
 
-// Build builds a program of this module, by its package, to a path.
+// Build builds a main package of this module into the file to.
 func Build(to, pkg string, flags ...string) error {
 	args := append(append([]string{"build", "-o", to}, flags...), pkg)
 	if out, err := exec.Command("go", args...).CombinedOutput(); err != nil {
@@ -17,12 +17,12 @@
 	return nil
 }
 
-// Sources has go test know, within a test, that this rests on what the programs of this module are built
-// from. Guards against a verdict on an earlier program: the test's own binary has nothing of the one that it
-// starts, and so go test would give the result that it kept. It looks again at what a test has opened below
-// the module's root, at a folder by the sizes and times of what is in it; not at what TestMain opens.
+// Sources makes the result that go test caches for the calling test depend on the sources of this module's
+// programs. Without it, go test reuses a result for an earlier version of a program that the test starts, as
+// that program is not part of the test's binary. go test checks what a test has opened below the module's
+// root, a folder by the sizes and times of its entries, but not what TestMain opens.
 func Sources() error {
-	all, err := folders()
+	all, err := sourceFolders()
 	if err != nil {
 		return err
 	}
@@ -34,12 +34,12 @@
 	return nil
 }
 
-// folders are those that the module's programs are built from.
-var folders = sync.OnceValues(func() ([]string, error) {
+// sourceFolders returns the folders of the packages of which the module's programs are built.
+var sourceFolders = sync.OnceValues(func() ([]string, error) {
 	format := "{{with .Module}}{{if .Main}}{{$.Dir}}{{end}}{{end}}"
 	out, err := exec.Command("go", "list", "-deps", "-f", format, "dunestep/cmd/...").Output()
 	if err != nil {
-		return nil, fmt.Errorf("listing what the programs are built from: %w", err)
+		return nil, fmt.Errorf("listing the source folders of the programs: %w", err)
 	}
 	return strings.Fields(string(out)), nil
 })
--- a/internal/standin/program/config.go
+++ b/internal/standin/program/config.go
@@ -10,10 +10,10 @@
 	"dunestep/internal/protocol"
 )
 
-// Object is an object of an agent's configuration, or of discovery.
+// Object is a JSON object of an agent's configuration or of discovery.
 type Object = map[string]any
 
-// SettingsObject writes a deployment's settings as an agent's configuration has them.
+// SettingsObject returns an agent's configuration with a deployment's settings.
 func SettingsObject(s protocol.Settings) Object {
 	var classes, tenants []Object
 	for _, c := range s.Classes {
@@ -64,26 +64,27 @@
 	}
 }
 
-var stateWords = map[balancer.ServerState]string{
+var stateNames = map[balancer.ServerState]string{
 	balancer.Ready: "active", balancer.Draining: "leaving", balancer.Gone: "left",
 }
 
-// ListObject writes discovery's object. Where tells at which address an agent finds a booking server, since
-// what each one of them does is to be told apart; started is in milliseconds of Unix time.
-func ListObject(c protocol.EndpointList, where func(netip.AddrPort) string,
-	started func(time.Duration) int64,
+// ListObject returns discovery's object for an endpoint list. addrOf returns the address at which the agent
+// reaches an upstream server, so that each agent can have addresses of its own; startedMS returns a start
+// time in milliseconds of Unix time.
+func ListObject(c protocol.EndpointList, addrOf func(netip.AddrPort) string,
+	startedMS func(time.Duration) int64,
 ) Object {
 	entries := []Object{}
 	for _, s := range c.Endpoints {
 		entries = append(entries, Object{
-			"id": s.ID, "addr": where(s.Addr), "zone": s.Zone, "kind": s.MachineKind,
-			"cell": s.Cell, "state": stateWords[s.State], "weight": s.Weight, "started_ms": started(s.StartedAt),
+			"id": s.ID, "addr": addrOf(s.Addr), "zone": s.Zone, "kind": s.MachineKind,
+			"cell": s.Cell, "state": stateNames[s.State], "weight": s.Weight, "started_ms": startedMS(s.StartedAt),
 		})
 	}
 	return Object{"version": c.Version, "full": c.Full, "servers": entries}
 }
 
-// Line is an object in JSON; all that it is used for can be written so.
+// Line returns an object as JSON on one line. It panics if the object cannot be encoded.
 func Line(o Object) string {
 	text, err := json.Marshal(o)
 	if err != nil {
--- a/internal/standin/program/program.go
+++ b/internal/standin/program/program.go
@@ -1,6 +1,6 @@
-// Package program runs agents: processes of the program that ships, started, paused, slowed, ended and
-// started again, with nothing left behind on any way out. What they talk to are the stand-ins of package
-// standin.
+// Package program runs agents as processes of the real program: it starts, pauses, slows, ends and restarts
+// them, and leaves no process or file behind however the caller ends. Their peers are the stand-ins of
+// package standin.
 package program
 
 import (
@@ -24,41 +24,42 @@
 )
 
 const (
-	readyEvery = 20 * time.Millisecond
-	// SpareDescriptors are what a process has beside the sockets that it may hold: its log, the poller and such.
+	readyPollInterval = 20 * time.Millisecond
+	// SpareDescriptors is the number of descriptors allowed to a process beside its sockets, such as for its log
+	// and the poller.
 	SpareDescriptors = 64
-	// endsWithin is how long an agent that was told to end may take: the longest wait of a client, the grace
-	// until SIGKILL could come, and what a busy machine adds.
-	endsWithin = 3*time.Second + 700*time.Millisecond + 1300*time.Millisecond
-	keptLines  = 12 // of a log
+	// drainTimeout is how long an agent may take to end after SIGTERM: the longest wait of a client (3 s), the
+	// grace before a SIGKILL (700 ms), and an allowance for a busy machine.
+	drainTimeout = 3*time.Second + 700*time.Millisecond + 1300*time.Millisecond
+	keptLogLines = 12 // for LastWords
 )
 
-// Agent is an agent by its name, as processes one after another. The exported fields are set before the first
-// start, or between two.
+// Agent is a named agent, which runs as one process after another. The exported fields are set while no
+// process runs.
 type Agent struct {
 	Name    string
-	Program string   // its path
-	Addr    string   // where it listens
-	Env     []string // beside what an agent is always told
+	Program string   // path of the executable
+	Addr    string   // of its listener
+	Env     []string // in addition to the variables that Start sets
 	Args    []string
-	// Operator is the text of its operator file; empty: there is none.
+	// Operator is the content of its operator file; empty: none.
 	Operator string
-	// Folder is its $TMPDIR; empty: it is told of none.
+	// Folder is its $TMPDIR; empty: not set.
 	Folder  string
-	Sockets int           // that it may hold, beside SpareDescriptors; 0: as many as this process
-	Look    time.Duration // how often it is looked what its process takes; 0: never
+	Sockets int           // limit of its descriptors beside SpareDescriptors; 0: this process's limit
+	Look    time.Duration // interval between measurements of its memory and descriptors; 0: never
 	Log     func(name, line string)
 	Spawn   *Spawner
 
-	mu    sync.Mutex
-	now   *Process // nil: none runs
-	over  bool     // none is to be started any more
-	use   Use
-	lines []string // the last of its log
+	mu        sync.Mutex
+	current   *Process // nil: not running
+	ended     bool     // by End: no process is started any more
+	usage     Usage
+	lastLines []string // the last lines of its log
 }
 
-// Use is what an agent's processes took, and what they did that they must not.
-type Use struct {
+// Usage is the resource usage of an agent's processes, and their faults.
+type Usage struct {
 	Starts      int
 	PeakMB      float64
 	Descriptors int
@@ -68,22 +69,22 @@
 
 // Process is one run of an agent's program.
 type Process struct {
-	agent  *Agent
-	cmd    *exec.Cmd
-	ended  chan struct{}
-	told   bool // to end
-	killed bool
-	pace   pace
+	agent      *Agent
+	cmd        *exec.Cmd
+	ended      chan struct{}
+	drained    bool // SIGTERM was sent
+	killed     bool
+	suspension suspension
 }
 
-// Spawner starts processes from one thread that lives as long as it does: the system ends those processes
-// when that thread ends, so that even a kill of this program leaves none behind.
+// Spawner starts processes from a thread that it keeps until Close. The kernel kills processes that were
+// started with Pdeathsig when that thread ends, so that even a kill of this program leaves none behind.
 type Spawner struct {
 	work chan func()
 	wait sync.WaitGroup
 }
 
-// NewSpawner begins the thread; Close ends it, and with it what it has started.
+// NewSpawner starts the thread. Close ends it, and with it the processes that it has started.
 func NewSpawner() *Spawner {
 	s := &Spawner{work: make(chan func())}
 	s.wait.Go(func() {
@@ -98,7 +99,7 @@
 // Start starts a process.
 func (s *Spawner) Start(cmd *exec.Cmd) error { return s.Do(cmd.Start) }
 
-// Do carries something out on the thread.
+// Do runs f on the thread and returns its error.
 func (s *Spawner) Do(f func() error) error {
 	done := make(chan error)
 	s.work <- func() { done <- f() }
@@ -111,7 +112,7 @@
 	s.wait.Wait()
 }
 
-// MemoryFile is a file that is in memory only, and gone with the last process that has it open.
+// MemoryFile creates a file with a text in memory only. It is deleted when no process has it open any more.
 func MemoryFile(name, text string) (*os.File, error) {
 	fd, err := unix.MemfdCreate(name, unix.MFD_CLOEXEC)
 	if err != nil {
@@ -122,13 +123,13 @@
 	return f, err
 }
 
-// errOver is that an agent is not to be started any more.
-var errOver = errors.New("program: the agent has been ended for good")
+// errAgentEnded is returned by Start after End.
+var errAgentEnded = errors.New("program: the agent cannot be started after End")
 
-// Start starts the agent's program with a configuration, once the process before has ended. Ended is called,
-// once, when it has ended; unasked: it was not told to.
+// Start starts the agent's program with a configuration, after its former process has ended. It calls ended
+// once when the process has ended; unasked is true if neither SIGTERM nor Kill was sent to it.
 func (a *Agent) Start(config, discovery string, ended func(unasked bool)) (*Process, error) {
-	if old := a.Running(); old != nil { // it has been killed
+	if old := a.Running(); old != nil { // it was killed and ends soon
 		<-old.ended
 	}
 	cmd := exec.Command(a.Program, a.Args...)
@@ -163,10 +164,10 @@
 func (a *Agent) launch(cmd *exec.Cmd, out io.Reader, ended func(bool)) (*Process, error) {
 	p := &Process{agent: a, cmd: cmd, ended: make(chan struct{})}
 	a.mu.Lock()
-	over := a.over
+	hasEnded := a.ended
 	a.mu.Unlock()
-	if over {
-		return nil, errOver
+	if hasEnded {
+		return nil, errAgentEnded
 	}
 	if err := a.Spawn.Start(cmd); err != nil {
 		return nil, err
@@ -176,59 +177,59 @@
 		_ = unix.Prlimit(cmd.Process.Pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: limit, Max: limit}, nil)
 	}
 	a.mu.Lock()
-	a.now = p
-	a.use.Starts++
-	over = a.over
+	a.current = p
+	a.usage.Starts++
+	hasEnded = a.ended
 	a.mu.Unlock()
 	go p.wait(out, ended)
 	if a.Look > 0 {
-		go p.look()
+		go p.measureUntilEnd()
 	}
-	if over { // meanwhile
+	if hasEnded { // End was called meanwhile
 		p.Kill()
 	}
 	return p, nil
 }
 
-// Running is the process that runs now; nil: none does.
+// Running returns the running process, or nil.
 func (a *Agent) Running() *Process {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.now
+	return a.current
 }
 
 func (p *Process) wait(out io.Reader, ended func(bool)) {
 	a := p.agent
 	lines := bufio.NewScanner(out)
 	for lines.Scan() {
-		a.took(lines.Text())
+		a.keepLogLine(lines.Text())
 	}
-	_, _ = io.Copy(io.Discard, out) // a line that is too long for the scanner
+	_, _ = io.Copy(io.Discard, out) // the rest after a line too long for the scanner
 	err := p.cmd.Wait()
-	p.pace.end()
+	p.suspension.end()
 	a.mu.Lock()
-	unasked := !p.told && !p.killed
+	unasked := !p.drained && !p.killed
 	state := p.cmd.ProcessState
-	a.use.CPUS += (state.UserTime() + state.SystemTime()).Seconds()
+	a.usage.CPUS += (state.UserTime() + state.SystemTime()).Seconds()
 	if err != nil && !p.killed {
-		a.use.Problems = append(a.use.Problems, "ended with "+err.Error())
+		a.usage.Problems = append(a.usage.Problems, "ended with "+err.Error())
 	} else if unasked {
-		a.use.Problems = append(a.use.Problems, "ended by itself")
+		a.usage.Problems = append(a.usage.Problems, "ended by itself")
 	}
-	if a.now == p {
-		a.now = nil
+	if a.current == p {
+		a.current = nil
 	}
 	a.mu.Unlock()
 	close(p.ended)
 	ended(unasked)
 }
 
-// took keeps the last lines of the log.
-func (a *Agent) took(line string) {
+// keepLogLine keeps a line among the last lines of the log and passes it to Log.
+func (a *Agent) keepLogLine(line string) {
 	a.mu.Lock()
-	a.lines = append(a.lines, line)
-	if len(a.lines) > keptLines {
-		a.lines = a.lines[1:]
+	a.lastLines = append(a.lastLines, line)
+	if len(a.lastLines) > keptLogLines {
+		a.lastLines = a.lastLines[1:]
 	}
 	a.mu.Unlock()
 	if a.Log != nil {
@@ -236,15 +237,15 @@
 	}
 }
 
-// LastWords are the last lines of the agent's log.
+// LastWords returns the last lines of the agent's log.
 func (a *Agent) LastWords() string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return strings.Join(a.lines, "\n")
+	return strings.Join(a.lastLines, "\n")
 }
 
-// look looks at what the process takes, until it ends.
-func (p *Process) look() {
+// measureUntilEnd measures the process at each interval until it ends.
+func (p *Process) measureUntilEnd() {
 	tick := time.NewTicker(p.agent.Look)
 	defer tick.Stop()
 	for {
@@ -267,18 +268,18 @@
 	a := p.agent
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.use.PeakMB = max(a.use.PeakMB, kb/1024)
-	a.use.Descriptors = max(a.use.Descriptors, len(open))
+	a.usage.PeakMB = max(a.usage.PeakMB, kb/1024)
+	a.usage.Descriptors = max(a.usage.Descriptors, len(open))
 }
 
-// Ready waits until the process says that it is ready; false: it has ended before.
+// Ready waits until the process reports that it is ready. It returns false if the process ends first.
 func (p *Process) Ready() bool {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for {
 		select {
 		case <-p.ended:
 			return false
-		case <-time.After(readyEvery):
+		case <-time.After(readyPollInterval):
 		}
 		resp, err := client.Get("http://" + p.agent.Addr + "/health/ready")
 		if err != nil {
@@ -291,22 +292,22 @@
 	}
 }
 
-// Pid is the process's number.
+// Pid returns the process id.
 func (p *Process) Pid() int { return p.cmd.Process.Pid }
 
-// Ended is closed when the process has ended.
+// Ended returns a channel that is closed when the process has ended.
 func (p *Process) Ended() <-chan struct{} { return p.ended }
 
-// Drain tells the process to end; one that stands still does so when it goes on.
+// Drain sends SIGTERM. A stopped process handles it when it continues.
 func (p *Process) Drain() {
 	p.measure()
 	p.agent.mu.Lock()
-	p.told = true
+	p.drained = true
 	p.agent.mu.Unlock()
 	_ = p.cmd.Process.Signal(syscall.SIGTERM)
 }
 
-// Kill ends it at once.
+// Kill sends SIGKILL.
 func (p *Process) Kill() {
 	p.agent.mu.Lock()
 	p.killed = true
@@ -314,11 +315,11 @@
 	_ = p.cmd.Process.Kill()
 }
 
-// End has the agent's process end in good order, or by force where it takes too long, and starts none any
-// more.
+// End ends the agent's process and waits for its end; Start fails from then on. gently sends SIGTERM first,
+// and SIGKILL only after drainTimeout.
 func (a *Agent) End(gently bool) {
 	a.mu.Lock()
-	a.over = true
+	a.ended = true
 	a.mu.Unlock()
 	p := a.Running()
 	if p == nil {
@@ -326,16 +327,16 @@
 	}
 	if gently {
 		p.Drain()
-		p.pace.end()
-		if p.pace.stood() { // or it would not hear
+		p.suspension.end()
+		if p.suspension.isSuspended() { // a stopped process does not handle SIGTERM
 			_ = p.cmd.Process.Signal(syscall.SIGCONT)
 		}
 		select {
 		case <-p.ended:
 			return
-		case <-time.After(endsWithin):
+		case <-time.After(drainTimeout):
 			a.mu.Lock()
-			a.use.Problems = append(a.use.Problems, fmt.Sprintf("did not end within %v of SIGTERM", endsWithin))
+			a.usage.Problems = append(a.usage.Problems, fmt.Sprintf("did not end within %v of SIGTERM", drainTimeout))
 			a.mu.Unlock()
 		}
 	}
@@ -343,7 +344,7 @@
 	<-p.ended
 }
 
-// EndAll ends the agents' processes, all at once.
+// EndAll calls End of all agents at the same time and waits for them.
 func EndAll(agents []*Agent, gently bool) {
 	var wait sync.WaitGroup
 	for _, a := range agents {
@@ -352,16 +353,17 @@
 	wait.Wait()
 }
 
-// Used is what the agent took in all, with what was wrong.
-func (a *Agent) Used() Use {
+// Used returns the usage of all the agent's processes so far.
+func (a *Agent) Used() Usage {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	u := a.use
+	u := a.usage
 	u.Problems = append([]string{}, u.Problems...)
 	return u
 }
 
-// FreeAddr finds a port that the system picks, by TCP and by UDP, at an IP address that is this kit's alone.
+// FreeAddr returns an address with a port that is free for TCP and UDP, at an IP address that no other
+// process uses.
 func FreeAddr(ip string) (string, error) {
 	l, err := net.Listen("tcp", net.JoinHostPort(ip, "0"))
 	if err != nil {
@@ -374,25 +376,26 @@
 	return l.Addr().String(), errors.Join(err, l.Close())
 }
 
-// OwnIP is a loopback address of this process's own for an agent. Nothing else may listen there: a port that
-// the system picks for a stand-in might be the agent's, which is free until its program takes it.
-func OwnIP(pid, agent int) string { return ownIP(pid, 2*(agent%ownAgents)) }
+// OwnIP returns a loopback address for an agent, by the process id of the caller. Nothing else may listen
+// there: the system could pick the agent's port for a stand-in, as the port is free until the agent's
+// program opens it.
+func OwnIP(pid, agent int) string { return processIP(pid, 2*(agent%distinctAgents)) }
 
-// RoundIP is a loopback address of this process's own for what stands round an agent.
-func RoundIP(pid, agent int) string { return ownIP(pid, 2*(agent%ownAgents)+1) }
+// RoundIP returns a loopback address for an agent's stand-ins, by the process id of the caller.
+func RoundIP(pid, agent int) string { return processIP(pid, 2*(agent%distinctAgents)+1) }
 
-// ownAgents is how many agents have addresses that differ; of more, some share theirs.
-const ownAgents = 125
+// distinctAgents is the number of agents with addresses of their own; with more, some share an address.
+const distinctAgents = 125
 
-func ownIP(pid, last int) string {
+func processIP(pid, last int) string {
 	return fmt.Sprintf("127.%d.%d.%d", 64+pid%128, 1+pid/128%250, 1+last)
 }
 
-// Find finds the agent's program.
+// Find returns the path of the agent's program; an empty name: bin/dunestep.
 func Find(name string) (string, error) {
 	path, err := exec.LookPath(cmp.Or(name, "bin/dunestep"))
 	if err != nil {
-		return "", fmt.Errorf("the agent's program: %w", err)
+		return "", fmt.Errorf("finding the agent's program: %w", err)
 	}
 	return path, nil
 }
--- a/internal/standin/program/program_test.go
+++ b/internal/standin/program/program_test.go
@@ -14,17 +14,17 @@
 	"go.uber.org/goleak"
 )
 
-const patience = 15 * time.Second
+const eventTimeout = 15 * time.Second
 
 func TestMain(m *testing.M) {
 	if os.Getenv("PROGRAM_DIES") != "" {
-		dies()
+		startChildrenAndPanic()
 	}
 	goleak.VerifyTestMain(m)
 }
 
-// busy is an agent that only keeps its core busy, or whatever else a shell does.
-func busy(script string) *Agent {
+// shellAgent returns an agent whose program is a shell script.
+func shellAgent(script string) *Agent {
 	return &Agent{Name: "n0", Program: "/bin/sh", Args: []string{"-c", script}, Spawn: NewSpawner()}
 }
 
@@ -38,8 +38,8 @@
 	return p
 }
 
-// used is the processor time that a process has taken, in seconds, and its state.
-func used(p *Process) (seconds float64, state string) {
+// cpuTimeAndState returns the processor time that a process has used, in seconds, and its state.
+func cpuTimeAndState(p *Process) (seconds float64, state string) {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.Pid()))
 	_, after, _ := strings.Cut(string(text), ") ")
 	fields := strings.Fields(after)
@@ -51,48 +51,49 @@
 	return (user + system) / 100, fields[0]
 }
 
-// A paused process takes no processor time until it is resumed as often as it was paused.
-func TestPause(t *testing.T) {
-	p := busy("while :; do :; done").begin(t)
+// TestResumeMatchesEachPause: a paused process uses no processor time until it is resumed as often as it was paused.
+func TestResumeMatchesEachPause(t *testing.T) {
+	p := shellAgent("while :; do :; done").begin(t)
 	p.Pause()
 	p.Pause()
 	require.True(t, p.Stands())
-	before, state := used(p)
+	before, state := cpuTimeAndState(p)
 	require.Equal(t, "T", state)
 	p.Resume()
 	time.Sleep(200 * time.Millisecond)
-	after, _ := used(p)
+	after, _ := cpuTimeAndState(p)
 	require.Equal(t, before, after)
 	p.Resume()
-	require.Eventually(t, func() bool { now, _ := used(p); return now > after }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { now, _ := cpuTimeAndState(p); return now > after }, eventTimeout, time.Millisecond)
 	p.Pause()
 	p.Kill()
 	<-p.Ended()
 	require.False(t, p.Stands())
-	p.Resume() // of nobody
+	p.Resume() // no effect: the process has ended
 }
 
-// A slowed process gets no more than its share of the time, and some; then all again.
-func TestSlow(t *testing.T) {
+// TestSlowLimitsProcessorTime: a slowed process uses at most its share of the time and a margin, and is not stopped any
+// more after the slowing.
+func TestSlowLimitsProcessorTime(t *testing.T) {
 	const share, slice = 0.2, 50 * time.Millisecond
-	p := busy("while :; do :; done").begin(t)
+	p := shellAgent("while :; do :; done").begin(t)
 	p.Slow(0.9, slice) // replaced
 	p.Slow(share, slice)
-	before, _ := used(p)
-	began := time.Now()
+	before, _ := cpuTimeAndState(p)
+	startedAt := time.Now()
 	time.Sleep(time.Second)
-	after, _ := used(p)
-	took := time.Since(began).Seconds()
-	require.Less(t, after-before, (share+0.2)*took, "of %v s", took)
-	require.Eventually(t, func() bool { now, _ := used(p); return now > before }, patience, time.Millisecond)
+	after, _ := cpuTimeAndState(p)
+	elapsed := time.Since(startedAt).Seconds()
+	require.Less(t, after-before, (share+0.2)*elapsed, "processor time used in %v s", elapsed)
+	require.Eventually(t, func() bool { now, _ := cpuTimeAndState(p); return now > before }, eventTimeout, time.Millisecond)
 	p.Slow(1, slice)
-	_, state := used(p)
+	_, state := cpuTimeAndState(p)
 	require.NotEqual(t, "T", state)
 }
 
-// An agent that was paused by this kit still ends in good order; a second start waits for the end of the first.
-func TestEnds(t *testing.T) {
-	a := busy(`trap "exit 0" TERM; echo up >&2; while :; do sleep 0.01; done`)
+// TestAgentEndsInOrderWhilePaused: End ends a paused agent in order, and Start waits for the end of a killed process.
+func TestAgentEndsInOrderWhilePaused(t *testing.T) {
+	a := shellAgent(`trap "exit 0" TERM; echo up >&2; while :; do sleep 0.01; done`)
 	up := make(chan bool, 9)
 	a.Log = func(_, line string) { up <- line == "up" }
 	p := a.begin(t)
@@ -107,13 +108,13 @@
 	a.End(true)
 	require.Empty(t, a.Used().Problems)
 	_, err = a.Start("{}", "127.0.0.1:1", func(bool) {})
-	require.ErrorIs(t, err, errOver)
+	require.ErrorIs(t, err, errAgentEnded)
 }
 
-// dies starts a process that stands still and another, and ends by a panic.
-func dies() {
+// startChildrenAndPanic starts a paused process and a running one, prints their ids, and panics.
+func startChildrenAndPanic() {
 	for i := range 2 {
-		p, err := busy("while :; do :; done").Start("{}", "x", func(bool) {})
+		p, err := shellAgent("while :; do :; done").Start("{}", "x", func(bool) {})
 		if err != nil {
 			panic(err)
 		}
@@ -126,8 +127,8 @@
 	panic("on purpose")
 }
 
-// Where this kit itself panics, or is killed, what it has started ends with it, also what stands still.
-func TestNothingIsLeft(t *testing.T) {
+// TestChildrenEndWithKit: when the kit itself panics, the processes that it has started end, also paused ones.
+func TestChildrenEndWithKit(t *testing.T) {
 	c := exec.Command(os.Args[0])
 	c.Env = append(os.Environ(), "PROGRAM_DIES=1")
 	out, err := c.StdoutPipe()
@@ -143,12 +144,12 @@
 	require.Error(t, c.Wait())
 	require.Len(t, pids, 2)
 	for _, pid := range pids {
-		require.Eventually(t, func() bool { return syscall.Kill(pid, 0) == syscall.ESRCH || zombie(pid) }, patience, time.Millisecond)
+		require.Eventually(t, func() bool { return syscall.Kill(pid, 0) == syscall.ESRCH || isZombie(pid) }, eventTimeout, time.Millisecond)
 	}
 }
 
-// zombie tells whether a process has ended and nobody has taken notice: who should is not this test's.
-func zombie(pid int) bool {
+// isZombie reports whether a process has ended but was not waited for. Its parent at that time is outside this test.
+func isZombie(pid int) bool {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	return strings.Contains(string(text), ") Z ")
 }
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -159,11 +159,11 @@
 func (s *Server) Full() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.activeFills == 0 && s.isBacklogFull()
+	return s.activeFills == 0 && s.acceptQueueFull()
 }
 
-// isBacklogFull reports whether the listen backlog is full.
-func (s *Server) isBacklogFull() (full bool) {
+// acceptQueueFull reports whether the listen backlog is full.
+func (s *Server) acceptQueueFull() (full bool) {
 	if s.listener == nil {
 		return false
 	}
@@ -213,7 +213,7 @@
 func (s *Server) fillersHoldBacklog() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.isBacklogFull() {
+	if !s.acceptQueueFull() {
 		return false
 	}
 	if s.isMuted && len(s.fillers) == 0 {
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -104,7 +104,7 @@
 	require.Eventually(t, func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return s.isBacklogFull()
+		return s.acceptQueueFull()
 	}, 10*time.Second, time.Millisecond)
 	require.False(t, s.Full())
 	s.mu.Lock()
