--- a/internal/eventqueue/queue.go
+++ b/internal/eventqueue/queue.go
@@ -13,7 +13,7 @@
 	DueAt time.Duration
 	// Order ranks items that are due at the same time: the lowest comes first. It must differ between them.
 	Order uint64
-	// Event is what the simulation does then.
+	// Event is the value that the simulation handles then.
 	Event T
 }
 
--- a/internal/simnet/cluster.go
+++ b/internal/simnet/cluster.go
@@ -30,8 +30,8 @@
 type Link struct {
 	Loss, Duplicate, Corrupt float64 // fractions of all datagrams, from 0 to 1
 	Delay, Jitter            time.Duration
-	Late                     float64       // the fraction that comes later by up to Lateness
-	Lateness                 time.Duration // so that others overtake it
+	Late                     float64       // fraction of datagrams delayed by up to Lateness more
+	Lateness                 time.Duration // makes later datagrams overtake
 	Cut                      bool
 }
 
@@ -61,7 +61,7 @@
 	agents      []agent
 	defaultLink Link                     // of all directions while links is nil
 	links       []Link                   // by the sender and the receiver; nil: all are the default link
-	events      eventqueue.Queue[func()] // by the time since the beginning
+	events      eventqueue.Queue[func()] // by the time since begin
 	serial      uint64                   // of the last event
 	traffic     Traffic
 }
@@ -161,10 +161,10 @@
 	g.incarnation++
 }
 
-// Pause pauses an agent's process; what comes meanwhile waits in its buffer.
+// Pause pauses an agent's process; what arrives meanwhile waits in its buffer.
 func (c *Cluster) Pause(a uint32) { c.agents[a].isPaused = c.agents[a].process != nil }
 
-// Resume has an agent's process continue, with what is in its buffer.
+// Resume continues an agent's process, which first processes what is in its buffer.
 func (c *Cluster) Resume(a uint32) {
 	g := &c.agents[a]
 	g.isPaused = false
@@ -175,7 +175,7 @@
 	}
 }
 
-// At has do called at a time, or now if that is past.
+// At schedules a call of do at a time, or now if that is past.
 func (c *Cluster) At(at time.Time, do func()) {
 	c.serial++
 	c.events.Add(eventqueue.Item[func()]{DueAt: at.Sub(c.begin), Order: c.serial, Event: do})
@@ -235,11 +235,11 @@
 	})
 }
 
-// anyIncarnation stands for whichever process an agent has.
+// anyIncarnation matches whichever process an agent has.
 const anyIncarnation = 0
 
-// deliver has something done to a process of an incarnation, or buffers it while the process is paused.
-// Datagrams, which are for any incarnation, are lost if the buffer is full.
+// deliver calls do if the agent's process has this incarnation, and buffers the call while the process is
+// paused. Datagrams, which are for any incarnation, are lost if the buffer is full.
 func (c *Cluster) deliver(a uint32, incarnation uint64, do func()) {
 	switch g := &c.agents[a]; {
 	case g.process == nil || incarnation != anyIncarnation && g.incarnation != incarnation:
--- a/internal/simnet/cluster_test.go
+++ b/internal/simnet/cluster_test.go
@@ -48,8 +48,8 @@
 	return processes[1].received
 }
 
-// TestCluster checks the faults of links and processes, and that a run follows its seed.
-func TestCluster(t *testing.T) {
+// TestClusterAppliesFaultsAndFollowsSeed checks the faults of links and processes, and that a run follows its seed.
+func TestClusterAppliesFaultsAndFollowsSeed(t *testing.T) {
 	at := func(s float64) time.Time { return start.Add(time.Duration(s * float64(time.Second))) }
 	complete := simulate(1, func(c *Cluster) { c.Link(0, 1).Delay = time.Millisecond })
 	require.Len(t, complete, 11)
--- a/internal/simnet/network.go
+++ b/internal/simnet/network.go
@@ -10,7 +10,7 @@
 // Faults are the faults of every direction of a Network.
 type Faults struct {
 	Loss, Duplicate    float64       // fractions of the messages
-	MinDelay, MaxDelay time.Duration // the delay of a message is drawn evenly between them
+	MinDelay, MaxDelay time.Duration // the delay of a message is uniformly distributed between them
 	Late               float64       // the fraction that takes up to Lateness longer
 	Lateness           time.Duration
 }
@@ -46,9 +46,9 @@
 	setAt      time.Duration // the true time at which the steady clock showed steady
 }
 
-// nodeEvent is something to be done while a node is not paused.
+// nodeEvent is a call that is made while a node is not paused.
 type nodeEvent struct {
-	node int // noNode: in any case
+	node int // noNode: the call does not depend on a node
 	do   func()
 }
 
@@ -74,7 +74,7 @@
 // Now returns the true time.
 func (n *Network) Now() time.Duration { return n.now }
 
-// At has do called at a true time, whether or not nodes are paused.
+// At schedules a call of do at a true time, whether or not nodes are paused.
 func (n *Network) At(at time.Duration, do func()) { n.add(at, noNode, do) }
 
 func (n *Network) add(at time.Duration, node int, do func()) {
@@ -113,7 +113,7 @@
 // IsCut reports whether the direction from one node to another is cut.
 func (n *Network) IsCut(from, to int) bool { return n.isCut[from*len(n.clocks)+to] }
 
-// Pause pauses a node until a true time. What would have been done before is done then.
+// Pause pauses a node until a true time. Its messages and timers due before are handled then.
 func (n *Network) Pause(node int, until time.Duration) {
 	n.pausedUntil[node] = max(n.pausedUntil[node], until)
 }
--- a/internal/simnet/network_test.go
+++ b/internal/simnet/network_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Messages in a direction that is cut are lost, a paused node receives its messages later, timers follow the node's own
-// clock, and the same seed gives the same run.
-func TestNetwork(t *testing.T) {
+// TestNetworkAppliesFaultsAndFollowsSeed: messages in a cut direction are lost, a paused node receives its messages
+// later, timers follow the node's own clock, and the same seed gives the same run.
+func TestNetworkAppliesFaultsAndFollowsSeed(t *testing.T) {
 	simulate := func(seed uint64) (log []string, n *Network) {
 		n = NewNetwork(seed, 3, time.Hour, Faults{Loss: 0.2, Duplicate: 0.2, MaxDelay: time.Second, Late: 0.1, Lateness: time.Second})
 		note := func(what string) { log = append(log, fmt.Sprint(n.Now()-time.Hour, what)) }
