--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -31,9 +31,9 @@
 
 // Dial connects to an agent and writes a request, without waiting for either. It calls onResponse with each
 // complete response, and onEnd once if the connection ends other than by Close, both from a goroutine of the
-// connection. unread is true if the agent has demonstrably not read the outstanding request, if no request is
-// outstanding, or if the agent closed a reused connection before a response began, as the request may have
-// crossed the close. The agent should then have forwarded nothing of the request; the caller checks that.
+// connection. unread is true if the agent is known not to have read the outstanding request, if no request is
+// outstanding, or if a reused connection ended before a response began, as the request may have crossed the
+// close. The agent should then have forwarded nothing of the request; the caller checks that.
 func Dial(addr string, request []byte, onResponse func(*http.Response, []byte),
 	onEnd func(unread bool),
 ) *Client {
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -85,8 +85,7 @@
 // Write writes text as it is.
 func (c *Call) Write(text string) { c.enqueue(callStep{text: text}) }
 
-// Silence stops all output on the call, empty lines included. The call stays open until End or until its
-// agent ends it.
+// Silence stops all output on the call, empty lines included. The call stays open until either side ends it.
 func (c *Call) Silence() { c.enqueue(callStep{silence: true}) }
 
 // Hush stops the empty lines; other output continues.
--- a/internal/standin/instantserver.go
+++ b/internal/standin/instantserver.go
@@ -20,7 +20,7 @@
 	headerEnd       = []byte("\r\n\r\n")
 )
 
-// ListenQuick opens ann InstantServer server.
+// ListenQuick opens an InstantServer at an address.
 func ListenQuick(addr string) (*InstantServer, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
--- a/internal/standin/network.go
+++ b/internal/standin/network.go
@@ -74,7 +74,7 @@
 	mishap.Counts     // of datagrams affected by faults
 	Passed        int // all datagrams, with or without faults; a broadcast counts once for each receiver
 	Full          int // copies dropped because too many were delayed
-	// Late has how late delayed copies were sent after they were due, in microseconds.
+	// Late has how long after their due time delayed copies were sent, in microseconds.
 	Late *hdrhistogram.Histogram
 }
 
--- a/internal/standin/program/program_test.go
+++ b/internal/standin/program/program_test.go
@@ -127,7 +127,8 @@
 	panic("on purpose")
 }
 
-// TestChildrenEndWithKit: when the kit itself panics, the processes that it has started end, also paused ones.
+// TestChildrenEndWithKit: when the kit itself panics or is killed, the processes that it has started end, also paused
+// ones. The test's kit panics.
 func TestChildrenEndWithKit(t *testing.T) {
 	c := exec.Command(os.Args[0])
 	c.Env = append(os.Environ(), "PROGRAM_DIES=1")
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// Refuse makes connection attempts fail with a reset, as at a port where nothing listens.
+// Refuse closes the listener, so that the system refuses connection attempts.
 func (s *Server) Refuse() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -298,7 +298,7 @@
 	}
 }
 
-// serveConn serves an accepted connection, or closes it if it is a filler. Needs the lock.
+// serveConn serves an accepted connection, or closes it if it is a filler. The caller holds the lock.
 func (s *Server) serveConn(c *net.TCPConn) {
 	from := c.RemoteAddr().String()
 	_, isFiller := s.fillers[from]
--- a/internal/standin/strait.go
+++ b/internal/standin/strait.go
@@ -67,7 +67,8 @@
 	}
 }
 
-// releaseHeld wakes readers and flushes held writes where no fault holds them any more. Needs the lock.
+// releaseHeld wakes readers and flushes held writes where no fault holds them any more. The caller
+// holds the lock.
 func (s *Strait) releaseHeld() {
 	s.cond().Broadcast()
 	for c := range s.conns {
--- a/internal/standin/strait_test.go
+++ b/internal/standin/strait_test.go
@@ -73,7 +73,7 @@
 			for _, c := range conns {
 				c.sendRequest()
 				hasInput, err := c.hasInputWithin(silencePeriod)
-				require.NoError(t, err, "no data and no end of the connection")
+				require.NoError(t, err, "the connection must stay open without data")
 				require.False(t, hasInput)
 			}
 			if reachesServer {
