--- a/internal/standin/program/pace.go
+++ b/internal/standin/program/pace.go
@@ -8,41 +8,43 @@
 	"golang.org/x/sys/unix"
 )
 
-// pace is how a process is held up: it stands still as long as anybody has it paused, or while a slice of a
-// slowed one is used up.
-type pace struct {
-	mu     sync.Mutex
-	pauses int
-	rests  bool          // of a slowed one: the rest of its slice
-	slow   chan struct{} // closed to end the slowing; nil: it is not slowed
-	wait   sync.WaitGroup
-	over   bool
+// suspension is the state of pausing and slowing a process: it is stopped while a Pause is not undone, and
+// during the rest of each slice while it is slowed.
+type suspension struct {
+	mu          sync.Mutex
+	pauses      int
+	inRest      bool          // a slowed process has used its share of the slice
+	stopSlowing chan struct{} // closed to end the slowing; nil: not slowed
+	wait        sync.WaitGroup
+	ended       bool // no more signals are sent
 }
 
-// Pause has the process stand still, by SIGSTOP; it goes on when it is resumed as often as it was paused. Its
-// machine goes on: connections come up and bytes are taken in. The call does not wait until it stands.
-func (p *Process) Pause() { p.hold(func() { p.pace.pauses++ }) }
+// Pause stops the process by SIGSTOP; it continues when it was resumed as often as paused. The kernel still
+// establishes its connections and receives bytes for it. Pause does not wait until the process is stopped.
+func (p *Process) Pause() { p.updateSuspension(func() { p.suspension.pauses++ }) }
 
 // Resume undoes a Pause, by SIGCONT.
-func (p *Process) Resume() { p.hold(func() { p.pace.pauses = max(p.pace.pauses-1, 0) }) }
+func (p *Process) Resume() {
+	p.updateSuspension(func() { p.suspension.pauses = max(p.suspension.pauses-1, 0) })
+}
 
-// hold changes why the process stands still, and tells it so where that makes a difference.
-func (p *Process) hold(change func()) {
-	p.pace.mu.Lock()
-	defer p.pace.mu.Unlock()
-	stood := p.pace.pauses > 0 || p.pace.rests
+// updateSuspension changes the state of suspension and sends the signal that this requires, if any.
+func (p *Process) updateSuspension(change func()) {
+	p.suspension.mu.Lock()
+	defer p.suspension.mu.Unlock()
+	wasStopped := p.suspension.pauses > 0 || p.suspension.inRest
 	change()
-	if stands := p.pace.pauses > 0 || p.pace.rests; stands == stood || p.pace.over {
+	if stopped := p.suspension.pauses > 0 || p.suspension.inRest; stopped == wasStopped || p.suspension.ended {
 		return
-	} else if stands {
+	} else if stopped {
 		_ = p.cmd.Process.Signal(syscall.SIGSTOP)
 	} else {
 		_ = p.cmd.Process.Signal(syscall.SIGCONT)
 	}
 }
 
-// Stands waits until the system has the process, or all of its threads, stopped after a Pause; false: it has
-// ended.
+// Stands waits until all threads of the process are stopped after a Pause. It returns false if the process
+// has ended.
 func (p *Process) Stands() bool {
 	for {
 		err := unix.Waitid(unix.P_PID, p.Pid(), nil, unix.WSTOPPED|unix.WNOWAIT, nil)
@@ -52,45 +54,45 @@
 	}
 }
 
-// Slow has the process run for a share of each slice of time and stand still for the rest; 1 or more: always
-// run, as before. Each call takes the place of the one before.
+// Slow lets the process run for a share of each slice of time and stops it for the rest. A share of 1 or more
+// ends the slowing. Each call replaces the former one.
 func (p *Process) Slow(share float64, slice time.Duration) {
-	p.pace.stopSlow()
-	p.hold(func() { p.pace.rests = false })
+	p.suspension.stopSlow()
+	p.updateSuspension(func() { p.suspension.inRest = false })
 	if share >= 1 {
 		return
 	}
-	p.pace.mu.Lock()
-	defer p.pace.mu.Unlock()
-	if p.pace.over {
+	p.suspension.mu.Lock()
+	defer p.suspension.mu.Unlock()
+	if p.suspension.ended {
 		return
 	}
 	stop := make(chan struct{})
-	p.pace.slow = stop
-	p.pace.wait.Go(func() { p.slowly(share, slice, stop) })
+	p.suspension.stopSlowing = stop
+	p.suspension.wait.Go(func() { p.alternate(share, slice, stop) })
 }
 
-func (p *Process) slowly(share float64, slice time.Duration, stop chan struct{}) {
-	runs := time.Duration(share * float64(slice))
-	for rests := true; ; rests = !rests {
-		p.hold(func() { p.pace.rests = rests })
-		wait := runs
-		if rests {
-			wait = slice - runs
+func (p *Process) alternate(share float64, slice time.Duration, stop chan struct{}) {
+	runTime := time.Duration(share * float64(slice))
+	for inRest := true; ; inRest = !inRest {
+		p.updateSuspension(func() { p.suspension.inRest = inRest })
+		wait := runTime
+		if inRest {
+			wait = slice - runTime
 		}
 		select {
 		case <-stop:
-			p.hold(func() { p.pace.rests = false })
+			p.updateSuspension(func() { p.suspension.inRest = false })
 			return
 		case <-time.After(wait):
 		}
 	}
 }
 
-func (c *pace) stopSlow() {
+func (c *suspension) stopSlow() {
 	c.mu.Lock()
-	stop := c.slow
-	c.slow = nil
+	stop := c.stopSlowing
+	c.stopSlowing = nil
 	c.mu.Unlock()
 	if stop != nil {
 		close(stop)
@@ -98,17 +100,17 @@
 	c.wait.Wait()
 }
 
-// stood tells whether the process was last told to stand still.
-func (c *pace) stood() bool {
+// isSuspended reports whether the last signal sent was SIGSTOP.
+func (c *suspension) isSuspended() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.pauses > 0 || c.rests
+	return c.pauses > 0 || c.inRest
 }
 
-// end ends the slowing, and has no signal sent any more: the number may be another process's.
-func (c *pace) end() {
+// end ends the slowing and prevents further signals, as the process id may be reused.
+func (c *suspension) end() {
 	c.mu.Lock()
-	c.over = true
+	c.ended = true
 	c.mu.Unlock()
 	c.stopSlow()
 }
