--- a/cmd/dunestep/answers_test.go
+++ b/cmd/dunestep/answers_test.go
@@ -22,16 +22,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// heldWhole is up to how many bytes an answer is held whole in these tests.
-const heldWhole = 64 << 10
+// maxBufferedBytes is the largest answer, in bytes, that the agent buffers whole in these tests before it forwards it.
+const maxBufferedBytes = 64 << 10
 
-// small is a machine with little memory for bodies: 1 MiB, ten answers at once at the most.
-func small(w *testbed) {
+// withLittleMemory configures a machine with 1 MiB of memory for bodies, which is enough for ten answers at once.
+func withLittleMemory(w *testbed) {
 	w.config["limits"].(object)["memory_mb"] = 8
 	w.operatorFile = "[answers]\nwhole_kb = 64\nhold_ms = 10000\n"
 }
 
-// long is a body of n bytes that differs from all others, and at every place from itself.
+// long returns a body of n bytes. Bodies of different ids differ, and no part of a body repeats.
 func long(n int, id string) string {
 	var b strings.Builder
 	for sum := sha256.Sum256([]byte(id)); b.Len() < n; sum = sha256.Sum256(sum[:]) {
@@ -42,62 +42,64 @@
 
 func idOf(s upstreamAttempt) string { return s.Header.Get("X-Correlation-Id") }
 
-// heads is the two forms of an answer: its head, and how a part of the body is written.
-var forms = map[string]struct {
+// framings are the two ways to frame an answer's body: the answer's head, how a part of the body is written, and what
+// ends the body.
+var framings = map[string]struct {
 	head func(length int) string
 	part func(string) string
 	last string
 }{
-	"by length": {
+	"content length": {
 		func(n int) string { return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", n) },
 		func(s string) string { return s }, "",
 	},
-	"by chunks": {
+	"chunked": {
 		func(int) string { return "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" },
 		func(s string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(s), s) }, "0\r\n\r\n",
 	},
 }
 
-// got is an answer as far as it came.
-type got struct {
+// receivedAnswer is an answer as far as the client received it.
+type receivedAnswer struct {
 	status int
 	body   string
-	err    error // nil: it came whole
+	err    error // nil: the answer is complete
 }
 
-// is compares answers that are too long to be printed.
-func (g got) is(t testing.TB, want got) {
+// requireEqual checks that g equals want. Its message does not print the bodies, which are too long.
+func (g receivedAnswer) requireEqual(t testing.TB, want receivedAnswer) {
 	t.Helper()
 	if !errors.Is(g.err, want.err) || g.status != want.status || g.body != want.body {
-		t.Fatalf("status %d, %d bytes, %v; not %d, %d bytes, %v, or other bytes", g.status, len(g.body), g.err,
+		t.Fatalf("got status %d, %d bytes, %v; want status %d, %d bytes, %v, and the same bytes", g.status, len(g.body), g.err,
 			want.status, len(want.body), want.err)
 	}
 }
 
-// broken checks that an answer broke off where the client can tell, with no byte that is not its own.
-func (g got) broken(t *testing.T, whole string, least int) {
+// requireTruncated checks that an answer was truncated after at least minBytes, that the client can detect this, and that
+// all bytes received belong to the answer.
+func (g receivedAnswer) requireTruncated(t *testing.T, whole string, minBytes int) {
 	t.Helper()
-	if !errors.Is(g.err, io.ErrUnexpectedEOF) || g.status != 200 || len(g.body) < least ||
+	if !errors.Is(g.err, io.ErrUnexpectedEOF) || g.status != 200 || len(g.body) < minBytes ||
 		!strings.HasPrefix(whole, g.body) {
-		t.Fatalf("status %d, %d bytes, %v; not %d bytes at least, broken off, or other bytes", g.status,
-			len(g.body), g.err, least)
+		t.Fatalf("got status %d, %d bytes, %v; want at least %d bytes of this answer, truncated", g.status,
+			len(g.body), g.err, minBytes)
 	}
 }
 
-// take sends a request on a connection of its own and reads what comes of the answer.
-func (w *testbed) take(class string, leftMS int) (id string, g got) {
+// sendAndRead sends a request on a connection of its own and reads the answer as far as it arrives.
+func (w *testbed) sendAndRead(class string, leftMS int) (id string, g receivedAnswer) {
 	r := w.request(class, leftMS)
 	r.Close = true
 	resp, err := http.DefaultTransport.RoundTrip(r)
 	if err != nil {
-		return idOf(upstreamAttempt{Request: r}), got{err: err}
+		return idOf(upstreamAttempt{Request: r}), receivedAnswer{err: err}
 	}
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
-	return idOf(upstreamAttempt{Request: r}), got{resp.StatusCode, string(body), err}
+	return idOf(upstreamAttempt{Request: r}), receivedAnswer{resp.StatusCode, string(body), err}
 }
 
-// served checks that requests are served, by whole answers that begin before they are whole.
+// served checks that the agent serves requests with complete long answers.
 func (w *testbed) served(class string) {
 	w.t.Helper()
 	for _, s := range w.servers {
@@ -105,32 +107,32 @@
 	}
 	w.answerAll(func(s upstreamAttempt) string { return reply("200 OK", long(400_000, idOf(s))) })
 	for n := 0; n < 3; {
-		id, g := w.take(class, 30000)
-		if g.status == 503 && g.err == nil { // what came before has shaken the module's trust
+		id, g := w.sendAndRead(class, 30000)
+		if g.status == 503 && g.err == nil { // earlier faults have made the balancer reject requests for a while
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
-		g.is(w.t, got{200, long(400_000, id), nil})
+		g.requireEqual(w.t, receivedAnswer{200, long(400_000, id), nil})
 		n++
 	}
 }
 
-// Healthy servers are not asked again and again for an answer that each of them gave, only
-// because it is long; and it takes no more memory than there is.
-func TestLongAnswers(t *testing.T) {
-	w := start(t, 2, (*testbed).useLongTimeouts, small)
+// A long answer of a healthy server is not retried at another one because of its length. Sixty such answers at once fit
+// into the memory limit.
+func TestLongAnswersAreNotRetried(t *testing.T) {
+	w := start(t, 2, (*testbed).useLongTimeouts, withLittleMemory)
 	w.answerAll(func(s upstreamAttempt) string {
-		f := forms["by length"]
+		f := framings["content length"]
 		if s.Method == http.MethodPost {
-			f = forms["by chunks"]
+			f = framings["chunked"]
 		}
 		return f.head(400_000) + f.part(long(400_000, idOf(s))) + f.last
 	})
 	var wait sync.WaitGroup
 	for i := range 60 {
 		wait.Go(func() {
-			id, g := w.take([]string{"consult", "rezervare"}[i%2], 60000)
-			if g != (got{200, long(400_000, id), nil}) {
+			id, g := w.sendAndRead([]string{"consult", "rezervare"}[i%2], 60000)
+			if g != (receivedAnswer{200, long(400_000, id), nil}) {
 				t.Errorf("status %d, %d bytes, %v", g.status, len(g.body), g.err)
 			}
 		})
@@ -139,24 +141,24 @@
 	require.Equal(t, 60, w.attemptCount())
 }
 
-// The server breaks off: up to what is held whole, the class says whether it is asked again; beyond it, the
-// client can tell.
-func TestServerBreaksOff(t *testing.T) {
+// The server closes the connection within the answer. If the answer has not been forwarded, the class decides whether
+// the request is retried. Otherwise the client receives a truncated answer and can detect it.
+func TestServerTruncatesAnswer(t *testing.T) {
 	t.Parallel()
 	const size = 400_000
-	for name, f := range forms {
-		for _, at := range []int{heldWhole - 1, heldWhole, heldWhole + 1, size - 1} {
+	for name, f := range framings {
+		for _, at := range []int{maxBufferedBytes - 1, maxBufferedBytes, maxBufferedBytes + 1, size - 1} {
 			t.Run(fmt.Sprint(name, " at ", at), func(t *testing.T) {
-				w := start(t, 2, small)
+				w := start(t, 2, withLittleMemory)
 				for _, class := range []string{"consult", "rezervare"} {
 					before := w.attemptCount()
 					w.answerFirst(func(s upstreamAttempt) string {
 						return f.head(size) + f.part(long(size, idOf(s))[:at]) + hangUp
 					}, ok)
-					id, g := w.take(class, 900)
+					id, g := w.sendAndRead(class, 900)
 					switch {
-					case at > heldWhole:
-						g.broken(t, long(size, id)[:at], heldWhole)
+					case at > maxBufferedBytes:
+						g.requireTruncated(t, long(size, id)[:at], maxBufferedBytes)
 						require.Equal(t, 1, w.attemptCount()-before)
 					case class == "consult":
 						require.Equal(t, 200, g.status)
@@ -173,23 +175,23 @@
 	}
 }
 
-// The client leaves: nothing is asked again, the server's connection is closed once the answer has begun, and the
-// server is not blamed, or it would be taken for down.
-func TestClientLeaves(t *testing.T) {
+// The client disconnects during the answer: the request is not retried and the connection to the server is closed. The
+// disconnect does not count as the server's failure, which would eject it.
+func TestClientDisconnectsDuringAnswer(t *testing.T) {
 	t.Parallel()
-	for name, f := range forms {
+	for name, f := range framings {
 		t.Run(name, func(t *testing.T) {
-			w := start(t, 1, (*testbed).useLongTimeouts, small)
+			w := start(t, 1, (*testbed).useLongTimeouts, withLittleMemory)
 			const size = 400_000
-			for _, at := range []int{heldWhole - 1, heldWhole, heldWhole + 1, size - 1} {
+			for _, at := range []int{maxBufferedBytes - 1, maxBufferedBytes, maxBufferedBytes + 1, size - 1} {
 				for range 4 {
 					before := w.attemptCount()
-					wrote, hungUp := make(chan struct{}), make(chan struct{})
+					written, disconnected := make(chan struct{}), make(chan struct{})
 					w.servers[0].setScript(func(s upstreamAttempt, c net.Conn) bool {
 						_, _ = io.WriteString(c, f.head(size)+f.part(long(size, idOf(s))[:at]))
-						close(wrote)
-						if at <= heldWhole { // it is whole in time, and nobody has it any more
-							<-hungUp
+						close(written)
+						if at <= maxBufferedBytes { // the server completes the answer after the client has disconnected
+							<-disconnected
 							_, _ = io.WriteString(c, f.part(long(size, idOf(s))[at:])+f.last)
 						}
 						_, err := c.Read(make([]byte, 1))
@@ -198,13 +200,13 @@
 					r := w.request("consult", 30000)
 					c := w.sendRaw("GET /consult HTTP/1.1\r\nHost: x\r\nX-Time-Left-Ms: 30000\r\nX-Correlation-Id: " + idOf(upstreamAttempt{Request: r}) +
 						"\r\n\r\n")
-					await(t, wrote)
-					if at > heldWhole { // it has begun
-						_, err := io.ReadFull(c, make([]byte, heldWhole))
+					await(t, written)
+					if at > maxBufferedBytes { // the answer is being forwarded
+						_, err := io.ReadFull(c, make([]byte, maxBufferedBytes))
 						require.NoError(t, err)
 					}
 					require.NoError(t, c.Close())
-					close(hungUp)
+					close(disconnected)
 					w.until("the server's connection is closed", func() bool { return w.servers[0].openCount() == 0 })
 					require.Equal(t, 1, w.attemptCount()-before)
 				}
@@ -215,71 +217,72 @@
 	}
 }
 
-// Whatever the ends and however they cross, on connections that are used again: what a client gets is its own
-// answer or a beginning of it, and it can tell which; and nothing stays held.
-func TestEndsThatCross(t *testing.T) {
-	w := start(t, 3, small, func(w *testbed) { w.config["limits"].(object)["cores"] = 8 })
-	names := []string{"by length", "by chunks"}
+// Servers truncate answers and clients disconnect concurrently, on reused connections. A client receives its own answer or
+// a prefix of it, and can detect a truncation. Afterwards the agent serves requests as before: it leaks no memory or
+// connection.
+func TestConcurrentTruncationsAndDisconnects(t *testing.T) {
+	w := start(t, 3, withLittleMemory, func(w *testbed) { w.config["limits"].(object)["cores"] = 8 })
+	names := []string{"content length", "chunked"}
 	for _, s := range w.servers {
 		s.setScript(func(s upstreamAttempt, c net.Conn) bool {
-			size, f := 1+rand.IntN(300_000), forms[names[rand.IntN(2)]]
+			size, f := 1+rand.IntN(300_000), framings[names[rand.IntN(2)]]
 			body := long(size, idOf(s))
 			text := f.head(size) + f.part(body) + f.last
 			keep := true
 			switch rand.IntN(6) {
-			case 0: // broken off
+			case 0: // truncated
 				text, keep = text[:len(f.head(size))+rand.IntN(size)], false
-			case 1: // more than belongs to it
+			case 1: // surplus bytes after the answer
 				text += reply("200 OK", "stale")
-			case 2: // chunks that can't be read
-				text = forms["by chunks"].head(0) + forms["by chunks"].part(body) + "zz\r\n"
+			case 2: // malformed chunk
+				text = framings["chunked"].head(0) + framings["chunked"].part(body) + "zz\r\n"
 			}
 			_, err := io.WriteString(c, text)
 			return keep && err == nil
 		})
 	}
 	var wait sync.WaitGroup
-	var whole, broken, left atomic.Int32
+	var complete, truncated, disconnected atomic.Int32
 	for range 8 {
 		wait.Go(func() {
 			for range 60 {
 				r := w.request([]string{"consult", "rezervare"}[rand.IntN(2)], 30000)
 				resp, err := http.DefaultTransport.RoundTrip(r)
 				if err != nil {
-					continue // it broke off before its head was written
+					continue // the connection was closed before the answer's head
 				}
 				var body []byte
 				if rand.IntN(4) == 0 {
 					body, _ = io.ReadAll(io.LimitReader(resp.Body, int64(rand.IntN(300_000))))
-					left.Add(1)
+					disconnected.Add(1)
 				} else if body, err = io.ReadAll(resp.Body); err == nil && resp.StatusCode == 200 {
-					whole.Add(1)
+					complete.Add(1)
 					size, _ := strconv.Atoi(resp.Header.Get("Content-Length"))
 					if size > 0 && size != len(body) {
-						t.Errorf("%d of %d bytes, and no error", len(body), size)
+						t.Errorf("got %d of %d bytes and no error", len(body), size)
 					}
 				} else if err != nil {
-					broken.Add(1)
+					truncated.Add(1)
 				}
 				_ = resp.Body.Close()
 				if resp.StatusCode == 200 && !strings.HasPrefix(long(300_000, idOf(upstreamAttempt{Request: r})), string(body)) {
-					t.Error("bytes that are another's")
+					t.Error("got bytes of another answer")
 				}
 			}
 		})
 	}
 	wait.Wait()
-	require.Positive(t, whole.Load())
-	require.Positive(t, broken.Load())
-	require.Positive(t, left.Load())
+	require.Positive(t, complete.Load())
+	require.Positive(t, truncated.Load())
+	require.Positive(t, disconnected.Load())
 	w.served("consult")
 }
 
-// An answer begins just when its attempt is given up and a further one is served: whichever comes first, the
-// client has one answer, and it is whole or the client can tell.
-func TestBeginningThatCrossesItsTime(t *testing.T) {
+// An answer begins at about the time at which its attempt is abandoned and another attempt is served. Whichever happens
+// first, the client receives exactly one answer, complete or with a truncation that it can detect.
+func TestAnswerBeginsAtAttemptTimeout(t *testing.T) {
 	const size = 100_000
-	w := start(t, 2, small)
+	w := start(t, 2, withLittleMemory)
 	var n atomic.Int32
 	inTime, second := 0, 0
 	for _, s := range w.servers {
@@ -289,37 +292,37 @@
 				return err == nil
 			}
 			text := reply("200 OK", long(size, idOf(s)))
-			at := len(text) - size + heldWhole
+			at := len(text) - size + maxBufferedBytes
 			_, _ = io.WriteString(c, text[:at])
-			time.Sleep(490*time.Millisecond + time.Duration(rand.IntN(20))*time.Millisecond) // the aim is 500 ms
+			time.Sleep(490*time.Millisecond + time.Duration(rand.IntN(20))*time.Millisecond) // the latency objective is 500 ms
 			_, err := io.WriteString(c, text[at:])
 			return err == nil
 		})
 	}
 	for range 20 {
-		switch id, g := w.take("consult", 2000); {
-		case g == (got{200, long(size, id), nil}):
+		switch id, g := w.sendAndRead("consult", 2000); {
+		case g == (receivedAnswer{200, long(size, id), nil}):
 			inTime++
 		case g.err == nil && strings.HasPrefix(g.body, id+" s-"):
 			second++
-		case g.status != 503: // an attempt was lost to its time, and the module sees no use in another
+		case g.status != 503: // 503: an attempt timed out, and the balancer expects no success from another one
 			t.Fatalf("status %d, %d bytes, %v", g.status, len(g.body), g.err)
 		}
 	}
-	t.Logf("%d began in time, %d were answered by the second route step", inTime, second)
+	t.Logf("%d answers began in time, %d requests were answered by the second attempt", inTime, second)
 	w.served("consult")
 }
 
-// A class that the settings mark as streamed is passed on from its first byte on.
-func TestStreamedClass(t *testing.T) {
+// An answer of a class that the settings mark as streamed is forwarded from its first byte.
+func TestStreamedClassIsForwardedFromFirstByte(t *testing.T) {
 	w := start(t, 1, (*testbed).useLongTimeouts, func(w *testbed) {
 		w.config["settings"].(object)["categories"].([]object)[0]["stream"] = true
 	})
-	for name, f := range forms {
-		seen := make(chan struct{})
+	for name, f := range framings {
+		received := make(chan struct{})
 		w.servers[0].setScript(func(s upstreamAttempt, c net.Conn) bool {
 			_, _ = io.WriteString(c, f.head(5)+f.part("one"))
-			<-seen
+			<-received
 			_, err := io.WriteString(c, f.part("23")+f.last)
 			return err == nil
 		})
@@ -328,18 +331,18 @@
 		first := make([]byte, 3)
 		_, err = io.ReadFull(resp.Body, first)
 		require.NoError(t, err, name)
-		close(seen)
+		close(received)
 		rest, err := io.ReadAll(resp.Body)
 		require.NoError(t, err)
 		require.Equal(t, "one23", string(first)+string(rest))
 	}
 }
 
-// pausing has the server stop in its answers to rezervare after at bytes until it is told to go on, which is closed when it
-// has come there.
-func (s *server) pausing(size, at int) (there, goOn chan struct{}) {
-	there, goOn = make(chan struct{}), make(chan struct{})
-	arrive := sync.OnceFunc(func() { close(there) })
+// pausing makes the server pause in its answers to rezervare after at bytes of the body. It closes paused at the first
+// pause, and continues once the caller closes resume.
+func (s *server) pausing(size, at int) (paused, resume chan struct{}) {
+	paused, resume = make(chan struct{}), make(chan struct{})
+	closePaused := sync.OnceFunc(func() { close(paused) })
 	s.setScript(func(s upstreamAttempt, c net.Conn) bool {
 		if s.Method == http.MethodGet {
 			_, err := io.WriteString(c, ok(s))
@@ -347,49 +350,48 @@
 		}
 		text := reply("200 OK", long(size, idOf(s)))
 		_, _ = io.WriteString(c, text[:len(text)-size+at])
-		arrive()
-		<-goOn
+		closePaused()
+		<-resume
 		_, err := io.WriteString(c, text[len(text)-size+at:])
 		return err == nil
 	})
-	return there, goOn
+	return paused, resume
 }
 
-// During an answer that has begun, the agent drains, or the server drains or is gone from the list: the answer is
-// passed on to its end.
-func TestChangesDuringAnAnswer(t *testing.T) {
+// The server begins to drain, or is removed from the endpoint list, during an answer: the answer is forwarded to its end.
+func TestAnswerCompletesWhenEndpointDrainsOrIsRemoved(t *testing.T) {
 	const size = 400_000
-	w := start(t, 2, (*testbed).useLongTimeouts, small)
+	w := start(t, 2, (*testbed).useLongTimeouts, withLittleMemory)
 	w.until("watch", func() bool { return w.discovery.watched() == 1 })
-	taken := make(chan got, 1)
+	received := make(chan receivedAnswer, 1)
 	var id string
 	begin := func() {
 		go func() {
-			var g got
-			id, g = w.take("rezervare", 30000)
-			taken <- g
+			var g receivedAnswer
+			id, g = w.sendAndRead("rezervare", 30000)
+			received <- g
 		}()
 	}
 	for version, change := range []string{
 		list(42, false, w.servers[0].entry("leaving"), w.servers[1].entry("leaving")),
 		list(43, false, w.servers[0].entry("left"), w.servers[1].entry("left"), newServer(t, "s-2").entry("active")),
 	} {
-		there, goOn := w.servers[0].pausing(size, heldWhole+1)
+		paused, resume := w.servers[0].pausing(size, maxBufferedBytes+1)
 		w.servers[1].setScript(w.servers[0].script)
 		begin()
-		await(t, there)
+		await(t, paused)
 		w.discovery.say(change)
-		w.until("told", func() bool {
+		w.until("update applied", func() bool {
 			if version == 0 {
-				return w.send("consult").status == 503 // nobody takes anything new
+				return w.send("consult").status == 503 // no server accepts new requests
 			}
 			return w.send("consult").status == 200
 		})
-		close(goOn)
-		await(t, taken).is(t, got{200, long(size, id), nil})
+		close(resume)
+		await(t, received).requireEqual(t, receivedAnswer{200, long(size, id), nil})
 		if version == 0 {
 			w.discovery.say(list(42, false, w.servers[0].entry("active"), w.servers[1].entry("active")))
-			w.until("back", func() bool {
+			w.until("servers in use again", func() bool {
 				for _, s := range w.servers {
 					s.setScript(nil)
 				}
@@ -399,31 +401,31 @@
 	}
 }
 
-// A planned restart in the middle of an answer waits for it; one that would last too long is broken off.
-func TestDrainDuringAnAnswer(t *testing.T) {
+// A drain waits for an answer that is being forwarded. An answer that has not ended at the drain deadline is truncated.
+func TestDrainWaitsForAnswer(t *testing.T) {
 	t.Parallel()
 	const size = 400_000
-	for name, ends := range map[string]bool{"that ends": true, "without end": false} {
+	for name, ends := range map[string]bool{"answer ends": true, "answer does not end": false} {
 		t.Run(name, func(t *testing.T) {
-			w := start(t, 1, (*testbed).useLongTimeouts, small)
-			there, goOn := w.servers[0].pausing(size, heldWhole+1)
-			taken := make(chan got, 1)
+			w := start(t, 1, (*testbed).useLongTimeouts, withLittleMemory)
+			paused, resume := w.servers[0].pausing(size, maxBufferedBytes+1)
+			received := make(chan receivedAnswer, 1)
 			var id string
 			go func() {
-				var g got
-				id, g = w.take("rezervare", 30000)
-				taken <- g
+				var g receivedAnswer
+				id, g = w.sendAndRead("rezervare", 30000)
+				received <- g
 			}()
-			await(t, there)
+			await(t, paused)
 			require.NoError(t, w.process.Process.Signal(syscall.SIGTERM))
 			w.until("no longer ready", func() bool { return w.readyStatus() == 503 })
 			if ends {
-				close(goOn)
-				await(t, taken).is(t, got{200, long(size, id), nil})
+				close(resume)
+				await(t, received).requireEqual(t, receivedAnswer{200, long(size, id), nil})
 			} else {
-				defer close(goOn)
-				g := await(t, taken)
-				g.broken(t, long(size, id)[:heldWhole+1], heldWhole)
+				defer close(resume)
+				g := await(t, received)
+				g.requireTruncated(t, long(size, id)[:maxBufferedBytes+1], maxBufferedBytes)
 			}
 			require.Zero(t, w.stop())
 			require.Equal(t, !ends, strings.Contains(w.log.String(), "drain deadline reached"))
@@ -431,41 +433,42 @@
 	}
 }
 
-// An answer that stands still past its time is broken off: its endpoint will not go on.
-func TestTimeOfAnAnswer(t *testing.T) {
+// An answer that makes no progress is truncated once the client's deadline has passed: its server is not expected to
+// continue.
+func TestStalledAnswerIsTruncatedAtDeadline(t *testing.T) {
 	const size = 3_000_000
-	w := start(t, 1, small, (*testbed).useLongTimeouts)
-	_, goOn := w.servers[0].pausing(size, heldWhole+1)
+	w := start(t, 1, withLittleMemory, (*testbed).useLongTimeouts)
+	_, resume := w.servers[0].pausing(size, maxBufferedBytes+1)
 	began := time.Now()
-	id, g := w.take("rezervare", 1000)
-	g.broken(t, long(size, id)[:heldWhole+1], heldWhole)
+	id, g := w.sendAndRead("rezervare", 1000)
+	g.requireTruncated(t, long(size, id)[:maxBufferedBytes+1], maxBufferedBytes)
 	require.Greater(t, time.Since(began), time.Second)
 	require.Less(t, time.Since(began), 10*time.Second)
-	close(goOn)
-	w.until("given up by closing", func() bool { return w.servers[0].openCount() == 0 })
+	close(resume)
+	w.until("server connection is closed", func() bool { return w.servers[0].openCount() == 0 })
 }
 
-// A short answer that has begun to be passed on, as the operator has less held whole, and then stands still is
-// broken off at its time: half a second later it would be lost to its client.
-func TestTimeOfAShortAnswer(t *testing.T) {
-	const size, came = 5000, 3000
+// A short answer that the agent has begun to forward, because the operator file sets whole_kb to less than its length,
+// and that then makes no progress is truncated at the client's deadline. Half a second later the client would have given up.
+func TestStalledShortAnswerIsTruncatedAtDeadline(t *testing.T) {
+	const size, received = 5000, 3000
 	w := start(t, 1, (*testbed).useLongTimeouts, func(w *testbed) { w.operatorFile = "[answers]\nwhole_kb = 1\n" })
-	_, goOn := w.servers[0].pausing(size, came)
+	_, resume := w.servers[0].pausing(size, received)
 	began := time.Now()
-	id, g := w.take("rezervare", 500)
-	took := time.Since(began)
-	close(goOn)
-	g.broken(t, long(size, id)[:came], came)
-	require.Greater(t, took, 400*time.Millisecond)
-	require.Less(t, took, 2*time.Second, "an answer of which the last byte is timed is waited for after its time")
+	id, g := w.sendAndRead("rezervare", 500)
+	elapsed := time.Since(began)
+	close(resume)
+	g.requireTruncated(t, long(size, id)[:received], received)
+	require.Greater(t, elapsed, 400*time.Millisecond)
+	require.Less(t, elapsed, 2*time.Second, "an answer whose last byte has a deadline is not waited for after that deadline")
 }
 
-// Only the first bytes of a long answer are timed. What its server still gives is not cut off, and
-// a beginning that comes in pieces is not held back.
-func TestAnswerThatOutlastsItsTime(t *testing.T) {
+// The deadline applies only to the first bytes of a long answer. An answer that makes progress continues after it, and
+// one whose beginning arrives in small pieces is forwarded.
+func TestSteadyAnswerContinuesPastDeadline(t *testing.T) {
 	t.Parallel()
 	const size, piece = 300_000, 10_000
-	for name, f := range forms {
+	for name, f := range framings {
 		t.Run(name, func(t *testing.T) {
 			w := start(t, 1, (*testbed).useLongTimeouts)
 			w.servers[0].setScript(func(s upstreamAttempt, c net.Conn) bool {
@@ -482,16 +485,16 @@
 				_, err := io.WriteString(c, f.last)
 				return err == nil && f.last != hangUp
 			})
-			id, g := w.take("rezervare", 1000) // at this pace it takes 3 s
-			g.is(t, got{200, long(size, id), nil})
+			id, g := w.sendAndRead("rezervare", 1000) // the answer takes 3 s
+			g.requireEqual(t, receivedAnswer{200, long(size, id), nil})
 		})
 	}
 }
 
-// inChunks is an answer of size bytes in many chunks.
-func inChunks(size int) func(upstreamAttempt) string {
+// chunkedAnswer returns a function that answers with a body of size bytes in chunks of at most 50,000 bytes.
+func chunkedAnswer(size int) func(upstreamAttempt) string {
 	return func(s upstreamAttempt) string {
-		f, text := forms["by chunks"], long(size, idOf(s))
+		f, text := framings["chunked"], long(size, idOf(s))
 		var b strings.Builder
 		b.WriteString(f.head(0))
 		for len(text) > 0 {
@@ -503,22 +506,22 @@
 	}
 }
 
-// An answer without length that grows past the bound is broken off when it does.
-func TestAnswerGrowsPastTheBound(t *testing.T) {
-	w := start(t, 1, (*testbed).useLongTimeouts, small, func(w *testbed) { w.operatorFile += "longest_kb = 4096\n" })
-	w.answerAll(inChunks(4<<20 + 1))
-	id, g := w.take("rezervare", 30000)
-	g.broken(t, long(4<<20, id), heldWhole)
-	w.until("given up by closing", func() bool { return w.servers[0].openCount() == 0 })
+// A chunked answer is truncated once it exceeds the maximum length.
+func TestChunkedAnswerExceedsMaxLength(t *testing.T) {
+	w := start(t, 1, (*testbed).useLongTimeouts, withLittleMemory, func(w *testbed) { w.operatorFile += "longest_kb = 4096\n" })
+	w.answerAll(chunkedAnswer(4<<20 + 1))
+	id, g := w.sendAndRead("rezervare", 30000)
+	g.requireTruncated(t, long(4<<20, id), maxBufferedBytes)
+	w.until("server connection is closed", func() bool { return w.servers[0].openCount() == 0 })
 	require.Equal(t, 1, w.attemptCount())
 }
 
-// An operator may set the bound, while the agent runs. A file that can't be used changes nothing.
-func TestBoundOfAnswers(t *testing.T) {
-	w := start(t, 1, (*testbed).useLongTimeouts, small)
-	w.answerAll(inChunks(4 << 20))
-	id, g := w.take("rezervare", 30000)
-	g.is(t, got{200, long(4<<20, id), nil})
+// The operator file sets the maximum length of an answer, also by a reload. A file that cannot be used changes nothing.
+func TestMaxAnswerLengthReload(t *testing.T) {
+	w := start(t, 1, (*testbed).useLongTimeouts, withLittleMemory)
+	w.answerAll(chunkedAnswer(4 << 20))
+	id, g := w.sendAndRead("rezervare", 30000)
+	g.requireEqual(t, receivedAnswer{200, long(4<<20, id), nil})
 	reload := func(operator, log string) {
 		w.operatorFile = operator
 		w.configure()
@@ -529,15 +532,15 @@
 	w.answerAll(func(s upstreamAttempt) string { return reply("200 OK", long(64<<10+1, idOf(s))) })
 	reload("[answers]\nlongest_kb = 64\nstall = 1\nlag_ms = -1\n", "toml:4:1: answers.lag_ms: must be")
 	require.Contains(t, w.log.String(), "toml:3:1: answers.stall: unknown key")
-	_, g = w.take("rezervare", 30000)
+	_, g = w.sendAndRead("rezervare", 30000)
 	require.Equal(t, 200, g.status)
 	reload("[answers]\nlongest_kb = 64\n", "configuration applied")
-	_, g = w.take("rezervare", 30000)
-	require.Equal(t, 502, g.status, "refused by its head")
+	_, g = w.sendAndRead("rezervare", 30000)
+	require.Equal(t, 502, g.status, "an answer whose Content-Length exceeds the maximum is rejected")
 }
 
-// crawl asks for an answer and takes a byte of it now and then, until stop is closed.
-func (w *testbed) crawl(r *http.Request, stop <-chan struct{}) {
+// readSlowly sends a request and reads one byte of the answer each second until stop is closed.
+func (w *testbed) readSlowly(r *http.Request, stop <-chan struct{}) {
 	c, err := net.Dial("tcp", w.addr)
 	if err != nil {
 		w.t.Error(err)
@@ -556,22 +559,22 @@
 	}
 }
 
-// A hundred clients that take a byte a second hold neither the server's connections nor the memory: all of them
-// are cut off, and another client is served meanwhile.
-func TestClientsThatCrawl(t *testing.T) {
+// A hundred clients that read one byte a second occupy neither the server's connections nor the memory indefinitely: all
+// of them are disconnected, and another client is served meanwhile.
+func TestSlowReadersAreDisconnected(t *testing.T) {
 	const size = 1_000_000
 	w := start(t, 1, (*testbed).useLongTimeouts, func(w *testbed) {
 		w.config["limits"].(object)["memory_mb"] = 32
 		w.operatorFile = "[answers]\nstall_ms = 1000\nlag_ms = 200\n"
 	})
-	var held atomic.Int32
+	var openAnswers atomic.Int32
 	w.servers[0].setScript(func(s upstreamAttempt, c net.Conn) bool {
 		if s.Method == http.MethodPost {
 			_, err := io.WriteString(c, reply("200 OK", long(400_000, idOf(s))))
 			return err == nil
 		}
-		held.Add(1)
-		defer held.Add(-1)
+		openAnswers.Add(1)
+		defer openAnswers.Add(-1)
 		_ = c.(*net.TCPConn).SetWriteBuffer(64 << 10)
 		_, err := io.WriteString(c, reply("200 OK", long(size, idOf(s))))
 		return err == nil
@@ -581,26 +584,27 @@
 	stop := make(chan struct{})
 	defer close(stop)
 	for range 100 {
-		go w.crawl(w.request("consult", 60000), stop)
+		go w.readSlowly(w.request("consult", 60000), stop)
 	}
-	w.until("they are there", func() bool { return held.Load() > 10 })
+	w.until("slow clients are being answered", func() bool { return openAnswers.Load() > 10 })
 	for range 5 {
-		id, g := w.take("rezervare", 60000)
-		g.is(t, got{200, long(400_000, id), nil})
+		id, g := w.sendAndRead("rezervare", 60000)
+		g.requireEqual(t, receivedAnswer{200, long(400_000, id), nil})
 	}
-	w.until("the server is rid of them", func() bool { return held.Load() == 0 })
-	w.until("they are cut off", func() bool { return w.descriptors() < before+20 })
+	w.until("the server has no such answer open", func() bool { return openAnswers.Load() == 0 })
+	w.until("slow clients are disconnected", func() bool { return w.descriptors() < before+20 })
 	require.NotContains(t, w.log.String(), "server s-0 ejected")
 }
 
-// The server is read no faster than the client takes its answer and memory allows, and gets on when it does.
-func TestServerIsReadNoFaster(t *testing.T) {
+// The agent reads an answer from the server no faster than the client reads it and memory allows. It continues when the
+// client reads on.
+func TestBackpressureOnServer(t *testing.T) {
 	const size = 4_000_000
 	w := start(t, 1, (*testbed).useLongTimeouts, func(w *testbed) {
 		w.config["limits"].(object)["memory_mb"] = 8
 		w.operatorFile = "[answers]\nstall_ms = 60000\nlag_ms = 60000\n"
 	})
-	var wrote atomic.Int64
+	var written atomic.Int64
 	w.servers[0].setScript(func(s upstreamAttempt, c net.Conn) bool {
 		_ = c.(*net.TCPConn).SetWriteBuffer(64 << 10)
 		for text := reply("200 OK", long(size, idOf(s))); len(text) > 0; {
@@ -608,7 +612,7 @@
 			if err != nil {
 				return false
 			}
-			wrote.Add(int64(n))
+			written.Add(int64(n))
 			text = text[n:]
 		}
 		return true
@@ -619,12 +623,12 @@
 	defer func() { _ = c.Close() }()
 	require.NoError(t, c.(*net.TCPConn).SetReadBuffer(16<<10))
 	require.NoError(t, r.Write(c))
-	w.until("held up", func() bool {
-		before := wrote.Load()
+	w.until("server cannot send more", func() bool {
+		before := written.Load()
 		time.Sleep(200 * time.Millisecond)
-		return before > 0 && wrote.Load() == before
+		return before > 0 && written.Load() == before
 	})
-	require.Less(t, wrote.Load(), int64(size/2))
+	require.Less(t, written.Load(), int64(size/2))
 	require.NoError(t, c.(*net.TCPConn).SetReadBuffer(1<<20))
 	resp, err := http.ReadResponse(bufio.NewReader(c), r)
 	require.NoError(t, err)
@@ -633,10 +637,10 @@
 	require.Equal(t, long(size, idOf(upstreamAttempt{Request: r})), string(body))
 }
 
-// memory is the program's peak and present memory, in KiB.
+// memory returns the program's peak and current resident memory in KiB.
 func (w *testbed) memory() (peak, now int) { return w.status("VmHWM"), w.status("VmRSS") }
 
-// status is a figure of the process, in kB; zero once it has ended.
+// status returns the value of a line of /proc/PID/status, in kB. It returns 0 once the process has ended.
 func (w *testbed) status(name string) (kB int) {
 	raw, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", w.process.Process.Pid))
 	if m := regexp.MustCompile(name + `:\s+(\d+) kB`).FindSubmatch(raw); m != nil {
@@ -645,15 +649,15 @@
 	return kB
 }
 
-// The memory of many long answers at once is bounded, and it does not grow. The program is one without the race
-// detector, which takes several times as much.
+// Many long answers at once stay within the memory limit, and memory does not grow over time. The program is built
+// without the race detector, which takes several times as much memory.
 func TestMemoryOfLongAnswers(t *testing.T) {
 	w := newSerialTestbed(t, 3).start(usePlainBinary, func(w *testbed) {
 		w.config["limits"].(object)["memory_mb"] = 32
 		w.config["limits"].(object)["sockets"] = 256
-		w.operatorFile = "[answers]\nstall_ms = 60000\nlag_ms = 60000\n" // however late the clients get to read
+		w.operatorFile = "[answers]\nstall_ms = 60000\nlag_ms = 60000\n" // no client is disconnected for reading late
 	})
-	texts := make([]string, 16) // made before: the machine is for the program
+	texts := make([]string, 16) // prepared in advance, so that the program has the processors
 	for i := range texts {
 		texts[i] = long(400_000, strconv.Itoa(i))
 	}
@@ -662,19 +666,19 @@
 		return reply("200 OK", texts[id%16])
 	})
 	began := time.Now()
-	var asked, served, refused atomic.Int64
+	var sent, served, rejected atomic.Int64
 	round := func(answers int64) {
 		var wait sync.WaitGroup
-		until := served.Load() + answers
+		goal := served.Load() + answers
 		for range 200 {
 			wait.Go(func() {
 				client := http.Client{Transport: &http.Transport{}}
 				defer client.CloseIdleConnections()
-				for served.Load() < until {
+				for served.Load() < goal {
 					r := w.request("consult", 60000)
-					asked.Add(1)
+					sent.Add(1)
 					resp, err := client.Do(r)
-					if err != nil { // it crossed the close of a connection that was not used
+					if err != nil { // the program closed the idle connection as the request was sent
 						continue
 					}
 					body, err := io.ReadAll(resp.Body)
@@ -684,8 +688,8 @@
 					case err != nil:
 						t.Error(err)
 						return
-					case resp.StatusCode == 503 || resp.StatusCode == 429: // no descriptor was free for an endpoint
-						refused.Add(1)
+					case resp.StatusCode == 503 || resp.StatusCode == 429: // no descriptor was free for a connection to a server
+						rejected.Add(1)
 						after, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 						time.Sleep(time.Duration(after * float64(time.Second)))
 					case string(body) != texts[id%16]:
@@ -707,15 +711,15 @@
 	_, before := w.memory()
 	round(answers - 1000)
 	peak, after := w.memory()
-	t.Logf("asked %d, served %d, refused %d; peak %d KiB, %d KiB after 1000, %d KiB at the end, after %s", asked.Load(),
-		served.Load(), refused.Load(), peak, before, after, time.Since(began))
-	require.Less(t, peak, 29<<10) // 26.5 to 27.2 MB were seen with the fleet's parts linked, 24.3 to 24.9 before; 32 is the least limit
+	t.Logf("sent %d, served %d, rejected %d; peak %d KiB, %d KiB after 1000, %d KiB at the end, after %s", sent.Load(),
+		served.Load(), rejected.Load(), peak, before, after, time.Since(began))
+	require.Less(t, peak, 29<<10) // 26.5 to 27.2 MB with the fleet's packages linked, 24.3 to 24.9 MB without; 32 MB is the smallest limit
 	require.Less(t, after, before+2<<10)
 }
 
-// Clients that take nothing of long answers leave memory to those who begin. Otherwise a few of them could hold
-// all of it, while others wait until their time is up.
-func TestSlowClientsLeaveMemory(t *testing.T) {
+// Clients that read long answers slowly leave memory to new requests. Otherwise a few of them could hold all of it, and
+// other requests would time out.
+func TestSlowReadersLeaveMemoryToOthers(t *testing.T) {
 	w := start(t, 2, (*testbed).useLongTimeouts, func(w *testbed) {
 		w.config["limits"].(object)["memory_mb"] = 32
 		w.operatorFile = "[answers]\nstall_ms = 60000\nlag_ms = 60000\n"
@@ -726,14 +730,14 @@
 	stop := make(chan struct{})
 	defer close(stop)
 	for range 24 {
-		go w.crawl(w.request("consult", 60000), stop)
+		go w.readSlowly(w.request("consult", 60000), stop)
 	}
-	w.until("they are there", func() bool { return w.attemptCount() == 24 })
+	w.until("slow clients' requests have reached the servers", func() bool { return w.attemptCount() == 24 })
 	for _, s := range w.servers {
 		s.setAnswer(func(s upstreamAttempt) string { return reply("200 OK", long(200_000, idOf(s))) })
 	}
 	for range 5 {
-		id, g := w.take("rezervare", 5000)
-		g.is(t, got{200, long(200_000, id), nil})
+		id, g := w.sendAndRead("rezervare", 5000)
+		g.requireEqual(t, receivedAnswer{200, long(200_000, id), nil})
 	}
 }
--- a/cmd/dunestep/budgets_test.go
+++ b/cmd/dunestep/budgets_test.go
@@ -13,20 +13,20 @@
 	"github.com/stretchr/testify/require"
 )
 
-// paced sends requests at an even pace, each made by its number, until it is ended. It is never ahead of its
-// pace, so that a machine that stood still is followed by no burst.
-func (w *testbed) paced(perS int, request func(n int) *http.Request, answered func(n, status int)) (end func()) {
-	over := make(chan struct{})
+// sendAtRate sends perS requests a second at even intervals until the caller calls end. request makes the request with a
+// number, answered gets its status; 0: no response. After a stall of the machine, it does not catch up with a burst.
+func (w *testbed) sendAtRate(perS int, request func(n int) *http.Request, answered func(n, status int)) (end func()) {
+	done := make(chan struct{})
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 300}, Timeout: 5 * time.Second}
 	var wait sync.WaitGroup
 	wait.Go(func() {
-		beat := time.NewTicker(time.Second / time.Duration(perS))
-		defer beat.Stop()
+		ticker := time.NewTicker(time.Second / time.Duration(perS))
+		defer ticker.Stop()
 		for n := 0; ; n++ {
 			select {
-			case <-over:
+			case <-done:
 				return
-			case <-beat.C:
+			case <-ticker.C:
 			}
 			wait.Go(func() {
 				status := 0
@@ -38,107 +38,109 @@
 			})
 		}
 	})
-	end = sync.OnceFunc(func() { close(over); wait.Wait(); client.CloseIdleConnections() })
+	end = sync.OnceFunc(func() { close(done); wait.Wait(); client.CloseIdleConnections() })
 	w.t.Cleanup(end)
 	return end
 }
 
-// fullest is the most attempts of any window of that length that ends after a time; came is in order.
-func fullest(came []time.Time, from time.Time, window time.Duration) (most int) {
-	for first, last := 0, 0; last < len(came); last++ {
-		for came[last].Sub(came[first]) >= window {
+// maxInWindow returns the maximum number of arrivals in any window of that length that ends at from or later. The arrivals
+// are in order.
+func maxInWindow(arrivals []time.Time, from time.Time, window time.Duration) (count int) {
+	for first, last := 0, 0; last < len(arrivals); last++ {
+		for arrivals[last].Sub(arrivals[first]) >= window {
 			first++
 		}
-		if !came[last].Before(from) {
-			most = max(most, last-first+1)
+		if !arrivals[last].Before(from) {
+			count = max(count, last-first+1)
 		}
 	}
-	return most
+	return count
 }
 
-// coldLimit is how many attempts an endpoint that just started may get in the window within which it would fall
-// over, by the usual rules, if it does capacity a second when it is warm: what is allowed then, and what is chance.
-func coldLimit(capacity float64) float64 {
-	n := 3 * defaultDeployment.slowStartCapacity * capacity * coldWindow.Seconds()
+// slowStartLimit returns how many attempts an endpoint that has just started may get within slowStartWindow. A warm
+// endpoint serves capacity requests a second. It crashes from three times its current capacity within that window, by the
+// default deployment's rules. The limit includes a margin of two standard deviations for random variation.
+func slowStartLimit(capacity float64) float64 {
+	n := 3 * defaultDeployment.slowStartCapacity * capacity * slowStartWindow.Seconds()
 	return n + 2*math.Sqrt(n) + 2
 }
 
-const coldWindow = 3 * time.Second
+const slowStartWindow = 3 * time.Second
 
-// An endpoint that starts again, and owns all that is asked for, gets some of it at once and never as much as
-// it falls over from, whatever comes: what the settings say of cold servers.
-func TestWarmingUpServerIsNotOverloaded(t *testing.T) {
-	const perS, capacity = 200, 60.0 // requests a second: of all, and what a warm server would do
+// An endpoint has just restarted and owns the keys of all requests. It gets some of them at once, and never as many as
+// would overload it, whatever the load: the settings' slow start limits it.
+func TestSlowStartServerIsNotOverloaded(t *testing.T) {
+	const perS, capacity = 200, 60.0 // requests a second: of all clients; that a warm server serves
 	w := start(t, 4, (*testbed).useLongTimeouts)
-	ask := func(sid string) *http.Request {
+	request := func(sid string) *http.Request {
 		r := w.request("consult", 30000)
 		r.Header.Set("Cookie", "sid="+sid)
 		return r
 	}
-	var own []string // keys of s-3's
-	for len(own) < 20 {
+	var ownedKeys []string // keys that s-3 owns
+	for len(ownedKeys) < 20 {
 		sid := fmt.Sprintf("%x", rand.Uint64())
-		if had := len(w.servers[3].attempts()); w.do(ask(sid)).status == 200 && len(w.servers[3].attempts()) > had {
-			own = append(own, sid)
+		if before := len(w.servers[3].attempts()); w.do(request(sid)).status == 200 && len(w.servers[3].attempts()) > before {
+			ownedKeys = append(ownedKeys, sid)
 		}
 	}
-	var hot atomic.Bool
-	end := w.paced(perS, func(n int) *http.Request {
-		if hot.Load() {
-			return ask(own[n%len(own)])
+	var useOwnedKeys atomic.Bool
+	end := w.sendAtRate(perS, func(n int) *http.Request {
+		if useOwnedKeys.Load() {
+			return request(ownedKeys[n%len(ownedKeys)])
 		}
-		return ask(fmt.Sprintf("%x", rand.Uint64()))
+		return request(fmt.Sprintf("%x", rand.Uint64()))
 	}, func(int, int) {})
-	seen := w.attemptCount()
-	w.until("its pace is known", func() bool { return w.attemptCount() > seen+2*perS })
+	sent := w.attemptCount()
+	w.until("the agent has measured the request rate", func() bool { return w.attemptCount() > sent+2*perS })
 	w.until("watch", func() bool { return w.discovery.watched() == 1 })
-	again := w.servers[3].entry("active")
-	again["started_ms"] = time.Now().UnixMilli()
-	w.discovery.say(list(42, false, again))
-	told := time.Now()
-	time.Sleep(200 * time.Millisecond) // until it is taken in
-	hot.Store(true)
-	from, had := time.Now(), len(w.servers[3].attempts())
-	w.until("some of it", func() bool { return len(w.servers[3].attempts()) > had })
-	time.Sleep(time.Until(told.Add(5 * time.Second)))
+	restarted := w.servers[3].entry("active")
+	restarted["started_ms"] = time.Now().UnixMilli()
+	w.discovery.say(list(42, false, restarted))
+	updatedAt := time.Now()
+	time.Sleep(200 * time.Millisecond) // until the update is applied
+	useOwnedKeys.Store(true)
+	from, before := time.Now(), len(w.servers[3].attempts())
+	w.until("the restarted server gets a request", func() bool { return len(w.servers[3].attempts()) > before })
+	time.Sleep(time.Until(updatedAt.Add(5 * time.Second)))
 	end()
-	limit := coldLimit(capacity)
-	var came []time.Time
+	limit := slowStartLimit(capacity)
+	var arrivals []time.Time
 	for _, st := range w.servers[3].attempts() {
-		came = append(came, st.receivedAt)
+		arrivals = append(arrivals, st.receivedAt)
 	}
-	most := fullest(came, from.Add(coldWindow-200*time.Millisecond), coldWindow)
-	t.Logf("%d in its fullest 3 s, %.0f at most", most, limit)
-	require.Less(t, float64(most), limit)
+	count := maxInWindow(arrivals, from.Add(slowStartWindow-200*time.Millisecond), slowStartWindow)
+	t.Logf("at most %d attempts in 3 s, limit %.0f", count, limit)
+	require.Less(t, float64(count), limit)
 }
 
-// slowly has an endpoint work at one request at a time for so long.
-func (s *server) slowly(takes time.Duration) {
-	var one sync.Mutex
+// answerOneAtATime makes an endpoint process one request at a time. Each takes processingTime.
+func (s *server) answerOneAtATime(processingTime time.Duration) {
+	var mu sync.Mutex
 	s.setAnswer(func(st upstreamAttempt) string {
-		one.Lock()
-		defer one.Unlock()
-		time.Sleep(takes)
+		mu.Lock()
+		defer mu.Unlock()
+		time.Sleep(processingTime)
 		return ok(st)
 	})
 }
 
-// parts counts what is asked and served by kind of request.
-type parts struct{ asked, served [2]atomic.Int64 }
+// servedCounts counts the requests that are sent and served, for two kinds of request.
+type servedCounts struct{ sent, served [2]atomic.Int64 }
 
-func (p *parts) of(kind int) float64 {
-	return float64(p.served[kind].Load()) / float64(max(p.asked[kind].Load(), 1))
+func (p *servedCounts) servedRatio(kind int) float64 {
+	return float64(p.served[kind].Load()) / float64(max(p.sent[kind].Load(), 1))
 }
 
-func (p *parts) note(kind, status int) {
-	p.asked[kind].Add(1)
+func (p *servedCounts) record(kind, status int) {
+	p.sent[kind].Add(1)
 	if status == http.StatusOK {
 		p.served[kind].Add(1)
 	}
 }
 
-// Where twice as much comes as can be served, the class that may wait longer does not shut the other out.
-func TestClassesShareWhatThereIs(t *testing.T) {
+// Under twice the load that can be served, the class with the longer latency objective does not displace the other one.
+func TestClassesShareCapacity(t *testing.T) {
 	t.Parallel()
 	retryIfStalled(t, func() error {
 		w := newSerialTestbed(t, 2).start(usePlainBinary, func(w *testbed) {
@@ -146,27 +148,27 @@
 				class["aim"], class["deadline"] = []int{2400000, 400000}[i], 2500000
 			}
 			for _, s := range w.servers {
-				s.slowly(20 * time.Millisecond)
+				s.answerOneAtATime(20 * time.Millisecond)
 			}
 		})
-		var p parts
-		end := w.paced(200, func(n int) *http.Request {
+		var counts servedCounts
+		end := w.sendAtRate(200, func(n int) *http.Request {
 			r := w.request([]string{"consult", "rezervare"}[n%2], []int{2400, 400}[n%2])
 			r.Header.Set("Cookie", fmt.Sprintf("sid=%x", rand.Uint64()))
 			return r
-		}, func(n, status int) { p.note(n%2, status) })
+		}, func(n, status int) { counts.record(n%2, status) })
 		time.Sleep(6 * time.Second)
 		end()
-		t.Logf("served: consult %.2f, rezervare %.2f", p.of(0), p.of(1))
-		if p.of(1) < p.of(0)/2 {
-			return fmt.Errorf("rezervare is shut out: %.2f, %.2f", p.of(1), p.of(0))
+		t.Logf("served: consult %.2f, rezervare %.2f", counts.servedRatio(0), counts.servedRatio(1))
+		if counts.servedRatio(1) < counts.servedRatio(0)/2 {
+			return fmt.Errorf("rezervare is displaced: %.2f of it are served, %.2f of consult", counts.servedRatio(1), counts.servedRatio(0))
 		}
 		return nil
 	})
 }
 
-// A tenant within its share is served while another one floods the agent.
-func TestTenantsShareWhatThereIs(t *testing.T) {
+// A tenant within its quota is served while another one sends far more than its own.
+func TestTenantsShareCapacity(t *testing.T) {
 	t.Parallel()
 	retryIfStalled(t, func() error {
 		w := newSerialTestbed(t, 2).start(usePlainBinary, func(w *testbed) {
@@ -177,23 +179,23 @@
 				{"name": "greedy", "quotaPerS": 40, "share": 0.5},
 			}
 			for _, s := range w.servers {
-				s.slowly(20 * time.Millisecond)
+				s.answerOneAtATime(20 * time.Millisecond)
 			}
 		})
-		var p parts
-		end := w.paced(240, func(n int) *http.Request {
+		var counts servedCounts
+		end := w.sendAtRate(240, func(n int) *http.Request {
 			r := w.request("consult", 900)
 			r.Header.Set("Cookie", fmt.Sprintf("sid=%x", rand.Uint64()))
 			if n%6 > 0 {
 				r.Header.Set("X-Account", "greedy")
 			}
 			return r
-		}, func(n, status int) { p.note(min(n%6, 1), status) })
+		}, func(n, status int) { counts.record(min(n%6, 1), status) })
 		time.Sleep(5 * time.Second)
 		end()
-		t.Logf("served: within its share %.2f, beyond it %.2f", p.of(0), p.of(1))
-		if p.of(0) < 0.7 {
-			return fmt.Errorf("who stays within its share is served %.2f, who floods %.2f", p.of(0), p.of(1))
+		t.Logf("served: within the quota %.2f, beyond it %.2f", counts.servedRatio(0), counts.servedRatio(1))
+		if counts.servedRatio(0) < 0.7 {
+			return fmt.Errorf("of the tenant within its quota %.2f are served, of the other one %.2f", counts.servedRatio(0), counts.servedRatio(1))
 		}
 		return nil
 	})
--- a/cmd/dunestep/commands_test.go
+++ b/cmd/dunestep/commands_test.go
@@ -14,7 +14,7 @@
 	"dunestep/internal/operator"
 )
 
-// command runs the program to its end.
+// command runs the program with an empty environment until it exits. It returns the exit code, stdout and stderr.
 func command(t *testing.T, args ...string) (code int, out, errs string) {
 	c := exec.Command(raceBinary, args...)
 	c.Env = []string{}
@@ -37,7 +37,7 @@
 	require.Zero(t, code, errs)
 	require.NotEmpty(t, out)
 
-	// What is wrong in both files is told at once.
+	// Faults of both files are reported together.
 	w.config["listen"], w.config["seed"] = "here", "xyz"
 	w.operatorFile = "[answers]\nlag_ms = -1\n[log]\nlevel = \"all\"\n"
 	w.configure()
@@ -48,7 +48,7 @@
 	require.Contains(t, errs, "config.json.toml:2:1: answers.lag_ms: must be")
 	require.Contains(t, errs, "config.json.toml:4:1: log.level: must be")
 
-	// And what only the module finds.
+	// Faults that only the balancer detects.
 	w.config["listen"], w.config["seed"] = w.addr, "1"
 	w.config["settings"].(object)["resolution"] = 0
 	w.configure()
@@ -56,7 +56,7 @@
 	require.Equal(t, 2, code)
 	require.Regexp(t, `config.json:1:\d+: balancer: `, errs)
 
-	// And what does not fit together.
+	// Conflicts between the files.
 	w.config["settings"].(object)["resolution"] = 5000
 	w.operatorFile = "[graphql]\nlisten = \"front\"\npath = \"/consult\"\nsafe_class = \"none\"\n"
 	w.configure()
@@ -80,7 +80,7 @@
 	require.Contains(t, out, "dunestep ")
 }
 
-// The log is in the form and from the level on that the operator file has, also after SIGHUP.
+// The operator file sets the log's format and minimum level, also by a reload.
 func TestLog(t *testing.T) {
 	w := start(t, 1, func(w *testbed) { w.operatorFile = "[log]\nformat = \"json\"\n" })
 	first, _, _ := strings.Cut(w.log.String(), "\n")
@@ -92,7 +92,7 @@
 	w.operatorFile = "[log]\nformat = \"text\"\n"
 	w.configure()
 	require.NoError(t, w.process.Process.Signal(syscall.SIGHUP))
-	w.until("text", func() bool { return strings.Contains(w.log.String(), `level=INFO msg="configuration applied"`) })
+	w.until("log in text format", func() bool { return strings.Contains(w.log.String(), `level=INFO msg="configuration applied"`) })
 
 	quiet := newSerialTestbed(t, 1).start(func(w *testbed) { w.operatorFile = "[log]\nlevel = \"error\"\n" })
 	require.Equal(t, 200, quiet.send("consult").status)
--- a/cmd/dunestep/confined_linux_amd64_test.go
+++ b/cmd/dunestep/confined_linux_amd64_test.go
@@ -15,30 +15,31 @@
 	"dunestep/internal/standin"
 )
 
-// confinedProgram, in its environment, has this test's binary put a program in its own place, confined.
-const confinedProgram = "DUNESTEP_CONFINED"
+// confinedProgramEnv names an environment variable. Where it is set, this test binary replaces itself with the program at
+// that path, confined.
+const confinedProgramEnv = "DUNESTEP_CONFINED"
 
 func init() {
-	if program := os.Getenv(confinedProgram); program != "" {
+	if program := os.Getenv(confinedProgramEnv); program != "" {
 		fmt.Fprintln(os.Stderr, standin.Confined(program, os.Args, os.Environ()))
 		os.Exit(3)
 	}
 }
 
-// linked builds the program as the deploy file does.
-var linked = sync.OnceValues(func() (string, error) {
+// externallyLinkedBinary builds the program as the deploy file does, with the external linker.
+var externallyLinkedBinary = sync.OnceValues(func() (string, error) {
 	if err := os.Setenv("CGO_ENABLED", "1"); err != nil {
 		return "", err
 	}
 	return build("linked", "-ldflags=-linkmode=external")
 })
 
-// The operators' bench loads a library of its own into the agent, which needs one that is linked against the C
-// library, and refuses the calls that start other programs or move data past the process. So an agent that
-// makes one is ended here, whatever it passes on: short answers and long ones, bodies both ways, a list that
-// changes, other files at SIGHUP, datagrams, the end.
+// The operators' bench loads a library of its own into the agent, so that the binary must be linked against the C library.
+// It refuses system calls that start other programs or move data without passing through the process. Here, such a call
+// ends the agent. The agent must make none: for short and long answers, request and response bodies, endpoint list
+// updates, a reload, datagrams and its exit.
 func TestConfined(t *testing.T) {
-	program, err := linked()
+	program, err := externallyLinkedBinary()
 	require.NoError(t, err)
 	file, err := elf.Open(program)
 	require.NoError(t, err)
@@ -47,7 +48,7 @@
 	require.NoError(t, err)
 	require.Contains(t, libraries, "libc.so.6")
 	w := start(t, 2, (*testbed).useLongTimeouts, func(w *testbed) {
-		w.program, w.env = os.Args[0], []string{confinedProgram + "=" + program}
+		w.program, w.env = os.Args[0], []string{confinedProgramEnv + "=" + program}
 		w.answerAll(func(s upstreamAttempt) string { return reply("200 OK", long(3_000_000, idOf(s))) })
 	})
 	for _, class := range []string{"consult", "rezervare"} {
@@ -65,14 +66,14 @@
 	require.Equal(t, http.StatusOK, w.send("consult").status)
 }
 
-// What TestConfined rests on: a program that starts another one is ended.
-func TestConfinementEndsWhoStartsAnother(t *testing.T) {
+// The confinement that TestConfined relies on kills a program that starts another one.
+func TestConfinementKillsProgramThatStartsAnother(t *testing.T) {
 	t.Parallel()
-	for script, ended := range map[string]bool{"exit 0": false, "/bin/true; exit 0": true} {
+	for script, killed := range map[string]bool{"exit 0": false, "/bin/true; exit 0": true} {
 		c := exec.Command(os.Args[0], "-c", script)
-		c.Env = []string{confinedProgram + "=/bin/sh"}
+		c.Env = []string{confinedProgramEnv + "=/bin/sh"}
 		err := c.Run()
-		if !ended {
+		if !killed {
 			require.NoError(t, err, script)
 			continue
 		}
--- a/cmd/dunestep/crossings_client_test.go
+++ b/cmd/dunestep/crossings_client_test.go
@@ -18,39 +18,40 @@
 	system "golang.org/x/sys/unix"
 )
 
-// The tests here force what can cross on the clients' side of the program and at its end. What it is held at is a
-// request that comes in parts, an answer that the endpoint holds, or what the program's machine has of either.
+// These tests produce races between requests, the program's exit and discovery outages deterministically. To hold the
+// program in a state, they send a request in parts, delay the endpoint's answer, or wait until the kernel has received
+// data.
 
-// rawClient is a client's connection whose bytes are written as they are.
+// newRawClient is a client's connection whose bytes are written as they are.
 type rawClient struct {
 	*net.TCPConn
 	w  *testbed
 	in *bufio.Reader
 }
 
-func (w *testbed) rawClient() *rawClient {
+func (w *testbed) newRawClient() *rawClient {
 	c := w.sendRaw("").(*net.TCPConn)
 	require.NoError(w.t, c.SetDeadline(time.Now().Add(waitTimeout)))
 	return &rawClient{c, w, bufio.NewReader(c)}
 }
 
-// send writes a text, and returns once the program's machine has it.
+// send writes a text, and returns once the kernel on the program's side has acknowledged all of it.
 func (c *rawClient) send(text string) {
 	_, err := io.WriteString(c, text)
 	require.NoError(c.w.t, err)
-	c.w.until("it arrives", func() bool {
+	c.w.until("data acknowledged", func() bool {
 		raw, err := c.SyscallConn()
 		if err != nil {
 			return false
 		}
-		left := 0
-		inner := raw.Control(func(fd uintptr) { left, err = system.IoctlGetInt(int(fd), system.SIOCOUTQ) })
-		return errors.Join(inner, err) == nil && left == 0
+		unacknowledged := 0
+		controlErr := raw.Control(func(fd uintptr) { unacknowledged, err = system.IoctlGetInt(int(fd), system.SIOCOUTQ) })
+		return errors.Join(controlErr, err) == nil && unacknowledged == 0
 	})
 }
 
-// answer reads a whole answer.
-func (c *rawClient) answer() answer {
+// readAnswer reads one complete answer.
+func (c *rawClient) readAnswer() answer {
 	c.w.t.Helper()
 	r, err := http.ReadResponse(c.in, nil)
 	require.NoError(c.w.t, err)
@@ -62,15 +63,15 @@
 	return answer{r.StatusCode, string(body), r.Header}
 }
 
-// ends reads the connection's end, which has to be one in good order.
-func (c *rawClient) ends() {
+// requireEOF checks that the program closes the connection without further data and without a reset.
+func (c *rawClient) requireEOF() {
 	c.w.t.Helper()
 	_, err := c.in.ReadByte()
 	require.ErrorIs(c.w.t, err, io.EOF)
 }
 
-// text is a request as it goes over the wire, with the time that its client has left.
-func (w *testbed) text(class string, leftMS int) string {
+// requestText returns a request of a class in wire format, with the time that its client has left.
+func (w *testbed) requestText(class string, leftMS int) string {
 	method, body := http.MethodGet, ""
 	if class == "rezervare" {
 		method, body = http.MethodPost, "chair 4, Monday"
@@ -79,15 +80,15 @@
 		"X-Time-Left-Ms: %d\r\nContent-Length: %d\r\n\r\n%s", method, class, w.nextID(), leftMS, len(body), body)
 }
 
-// terminate tells the program to end, and returns once it has begun to.
+// terminate sends SIGTERM to the program, and returns once the program has begun to drain.
 func (w *testbed) terminate() {
 	w.signal(syscall.SIGTERM)
 	w.until("no longer ready", func() bool { return w.readyStatus() == http.StatusServiceUnavailable })
 }
 
-// deaf returns once the program, which is ending, takes no further connection.
-func (w *testbed) deaf() {
-	w.until("takes no connection", func() bool {
+// awaitListenerClosed returns once the draining program accepts no further connections.
+func (w *testbed) awaitListenerClosed() {
+	w.until("connections are refused", func() bool {
 		c, err := net.Dial("tcp", w.addr)
 		if err == nil {
 			_ = c.Close()
@@ -98,31 +99,31 @@
 
 func (w *testbed) signal(s os.Signal) { require.NoError(w.t, w.process.Process.Signal(s)) }
 
-// ended waits for the program's end, which has to come by itself.
-func (w *testbed) ended() {
+// requireExit checks that the program exits with 0 before its drain deadline, without another signal.
+func (w *testbed) requireExit() {
 	w.t.Helper()
 	await(w.t, w.exited)
 	require.Zero(w.t, w.process.ProcessState.ExitCode())
 	require.NotContains(w.t, w.log.String(), "drain deadline reached")
 }
 
-// whole is a deployment in which what is out as the program is told to end may take its time. The program ends at
-// once when it does: with the race detector it would go on serving for a second.
-func whole(w *testbed) {
+// withLongTimeouts sets long timeouts, so that requests in progress at SIGTERM do not time out. It removes the race
+// detector's delay at exit, in which the program would serve requests for another second.
+func withLongTimeouts(w *testbed) {
 	w.useLongTimeouts()
 	w.env = append(w.env, "GORACE=atexit_sleep_ms=0")
 }
 
-// SIGTERM meets a request of which a part has come, at any place: the rest is waited for, and it is answered.
-func TestTerminatedDuringARequest(t *testing.T) {
-	w := start(t, 1, whole)
+// At SIGTERM, the program has received part of a request, cut at any place. It waits for the rest and answers the request.
+func TestSIGTERMDuringPartialRequest(t *testing.T) {
+	w := start(t, 1, withLongTimeouts)
 	var clients []*rawClient
 	var rests []string
 	for _, class := range []string{"consult", "rezervare"} {
-		text := w.text(class, 60000)
+		text := w.requestText(class, 60000)
 		head := strings.Index(text, "\r\n\r\n")
 		for _, at := range []int{1, head / 2, head + 2, len(text) - 1} {
-			c := w.rawClient()
+			c := w.newRawClient()
 			c.send(text[:at])
 			clients, rests = append(clients, c), append(rests, text[at:])
 		}
@@ -130,122 +131,122 @@
 	w.terminate()
 	for i, c := range clients {
 		c.send(rests[i])
-		got := c.answer()
+		got := c.readAnswer()
 		require.Equal(t, 200, got.status)
 		require.Equal(t, "close", got.header.Get("Connection"))
-		c.ends()
+		c.requireEOF()
 	}
-	w.ended()
+	w.requireExit()
 }
 
-// SIGTERM meets requests that were sent at once on one connection, as the first is out, and as nothing of them has come:
-// each is answered, and no close comes before the last answer.
-func TestTerminatedDuringPipelinedRequests(t *testing.T) {
-	w := start(t, 1, whole)
-	in, out := make(chan struct{}), make(chan struct{})
-	w.answerFirst(func(s upstreamAttempt) string { close(in); <-out; return ok(s) }, ok)
-	before, after := w.rawClient(), w.rawClient()
-	before.send(w.text("rezervare", 60000))
-	await(t, in)
-	before.send(w.text("consult", 60000) + w.text("rezervare", 60000))
+// Pipelined requests on one connection are all answered, and the connection is not closed before the last answer. On one
+// connection the first request is at an endpoint at SIGTERM, on the other one the requests arrive after SIGTERM.
+func TestSIGTERMDuringPipelinedRequests(t *testing.T) {
+	w := start(t, 1, withLongTimeouts)
+	received, release := make(chan struct{}), make(chan struct{})
+	w.answerFirst(func(s upstreamAttempt) string { close(received); <-release; return ok(s) }, ok)
+	before, after := w.newRawClient(), w.newRawClient()
+	before.send(w.requestText("rezervare", 60000))
+	await(t, received)
+	before.send(w.requestText("consult", 60000) + w.requestText("rezervare", 60000))
 	w.terminate()
-	after.send(w.text("rezervare", 60000) + w.text("consult", 60000) + w.text("consult", 60000))
-	close(out)
+	after.send(w.requestText("rezervare", 60000) + w.requestText("consult", 60000) + w.requestText("consult", 60000))
+	close(release)
 	for _, c := range []*rawClient{before, after} {
 		for n := range 3 {
-			got := c.answer()
+			got := c.readAnswer()
 			require.Equal(t, 200, got.status)
 			require.Equal(t, n == 2, got.header.Get("Connection") == "close")
 		}
-		c.ends()
+		c.requireEOF()
 	}
-	w.ended()
+	w.requireExit()
 }
 
-// SIGTERM meets a request whose attempt is rejected after that, so that a further attempt begins in a program that is
-// ending; and one whose connection to an endpoint comes up after that.
-func TestTerminatedBeforeAnAttempt(t *testing.T) {
+// A draining program still begins attempts: a retry, if an endpoint rejects an attempt after SIGTERM, and the first
+// attempt, if the connection to the endpoint is established after SIGTERM.
+func TestSIGTERMBeforeAttempt(t *testing.T) {
 	t.Parallel()
-	t.Run("further attempt", func(t *testing.T) {
-		w := start(t, 2, whole)
-		in, out := make(chan struct{}), make(chan struct{})
+	t.Run("retry", func(t *testing.T) {
+		w := start(t, 2, withLongTimeouts)
+		received, release := make(chan struct{}), make(chan struct{})
 		w.answerFirst(func(upstreamAttempt) string {
-			close(in)
-			<-out
+			close(received)
+			<-release
 			return reply("503 Service Unavailable", "", "X-Unprocessed: 1")
 		}, ok)
-		c := w.rawClient()
-		c.send(w.text("rezervare", 60000))
-		await(t, in)
+		c := w.newRawClient()
+		c.send(w.requestText("rezervare", 60000))
+		await(t, received)
 		w.terminate()
-		w.deaf()
+		w.awaitListenerClosed()
 		require.Equal(t, 1, w.attemptCount())
-		close(out)
-		require.Equal(t, 200, c.answer().status)
+		close(release)
+		require.Equal(t, 200, c.readAnswer().status)
 		require.Equal(t, 2, w.attemptCount())
-		w.ended()
+		w.requireExit()
 	})
 	t.Run("connecting", func(t *testing.T) {
-		w := start(t, 1, whole)
+		w := start(t, 1, withLongTimeouts)
 		s := w.servers[0]
 		require.NoError(t, s.socket.Mute())
-		w.until("muted", s.socket.Full)
-		c := w.rawClient()
-		c.send(w.text("rezervare", 60000))
+		w.until("no connection is accepted", s.socket.Full)
+		c := w.newRawClient()
+		c.send(w.requestText("rezervare", 60000))
 		w.until("connecting", func() bool { return countConnecting(t, w.process.Process.Pid) > 0 })
 		w.terminate()
 		require.Zero(t, w.attemptCount())
 		require.NoError(t, s.socket.Accept())
-		require.Equal(t, 200, c.answer().status)
-		w.ended()
+		require.Equal(t, 200, c.readAnswer().status)
+		w.requireExit()
 	})
 }
 
-// A second SIGTERM, SIGHUP and discovery's end meet the end of the program: what was taken is answered all the same.
-func TestTerminatedTwice(t *testing.T) {
-	w := start(t, 1, whole)
-	w.until("watched", func() bool { return w.discovery.watched() == 1 })
-	in, out := make(chan struct{}), make(chan struct{})
-	w.answerFirst(func(s upstreamAttempt) string { close(in); <-out; return ok(s) }, ok)
-	c := w.rawClient()
-	c.send(w.text("rezervare", 60000))
-	await(t, in)
+// During a drain, discovery fails and the program receives SIGHUP and a second SIGTERM. It still answers the requests that
+// it has accepted.
+func TestSecondSIGTERMDuringDrain(t *testing.T) {
+	w := start(t, 1, withLongTimeouts)
+	w.until("watch", func() bool { return w.discovery.watched() == 1 })
+	received, release := make(chan struct{}), make(chan struct{})
+	w.answerFirst(func(s upstreamAttempt) string { close(received); <-release; return ok(s) }, ok)
+	c := w.newRawClient()
+	c.send(w.requestText("rezervare", 60000))
+	await(t, received)
 	w.discovery.set(503, false)
 	w.discovery.end()
 	w.terminate()
 	w.signal(syscall.SIGHUP)
 	w.signal(syscall.SIGTERM)
-	later := w.rawClient() // a new client, too
-	later.send(w.text("consult", 60000))
-	require.Equal(t, 200, later.answer().status)
-	w.deaf()
-	close(out)
-	require.Equal(t, 200, c.answer().status)
-	c.ends()
-	w.ended()
+	later := w.newRawClient() // a client that connects during the drain
+	later.send(w.requestText("consult", 60000))
+	require.Equal(t, 200, later.readAnswer().status)
+	w.awaitListenerClosed()
+	close(release)
+	require.Equal(t, 200, c.readAnswer().status)
+	c.requireEOF()
+	w.requireExit()
 }
 
-// Clients that rest until the program ends their connections see an end in good order, also one that never ends it
-// itself, and the program ends.
-func TestTerminatedWithClientsAtRest(t *testing.T) {
-	w := start(t, 1, whole)
+// The program closes idle connections without a reset and exits, although no client closes its side.
+func TestSIGTERMWithIdleClients(t *testing.T) {
+	w := start(t, 1, withLongTimeouts)
 	var clients []*rawClient
 	for range 8 {
-		c := w.rawClient()
-		c.send(w.text("consult", 60000))
-		require.Equal(t, 200, c.answer().status)
+		c := w.newRawClient()
+		c.send(w.requestText("consult", 60000))
+		require.Equal(t, 200, c.readAnswer().status)
 		clients = append(clients, c)
 	}
-	clients = append(clients, w.rawClient()) // it has never asked
+	clients = append(clients, w.newRawClient()) // it has sent no request
 	w.signal(syscall.SIGTERM)
 	for _, c := range clients {
-		c.ends()
+		c.requireEOF()
 	}
-	w.ended() // none of them is closed on this side
+	w.requireExit() // no client has closed its side
 }
 
-// SIGTERM comes before the program has read its configuration: it starts, and ends at once in good order.
-func TestTerminatedBeforeItIsReady(t *testing.T) {
+// SIGTERM arrives before the program has read its configuration: it starts, drains and exits with 0.
+func TestSIGTERMBeforeReady(t *testing.T) {
 	w := newTestbed(t, 1)
 	w.configPath = filepath.Join(t.TempDir(), "config.json")
 	w.configure()
@@ -255,35 +256,35 @@
 	require.NoError(t, syscall.Mkfifo(pipe, 0o600))
 	w.env = append(w.env, "LB_CONFIG="+pipe)
 	w.launch()
-	f, err := os.OpenFile(pipe, os.O_WRONLY, 0) // returns once the program reads it
+	f, err := os.OpenFile(pipe, os.O_WRONLY, 0) // blocks until the program opens the pipe
 	require.NoError(t, err)
 	w.signal(syscall.SIGTERM)
 	_, err = f.Write(text)
 	require.NoError(t, err)
 	require.NoError(t, f.Close())
-	w.ended()
+	w.requireExit()
 	require.Contains(t, w.log.String(), "draining")
 }
 
-// A program that is started while discovery is down, with a list and with none, is ready or is not, and leaves no
-// request unanswered.
-func TestStartedWithDiscoveryDown(t *testing.T) {
+// A program that starts while discovery does not respond is ready only if its configuration has an endpoint list. It
+// answers every request in either case.
+func TestStartWithDiscoveryDown(t *testing.T) {
 	t.Parallel()
-	for name, known := range map[string]bool{"a list": true, "no list": false} {
+	for name, known := range map[string]bool{"endpoint list": true, "no endpoint list": false} {
 		t.Run(name, func(t *testing.T) {
 			w := newTestbed(t, 1)
-			w.discovery.set(0, true) // it takes calls, and says nothing
+			w.discovery.set(0, true) // it accepts calls and sends nothing
 			if !known {
 				w.config["known"] = object{"version": 0, "full": true, "servers": []object{}}
 			}
 			w.launch()
-			w.until("serves", func() bool { return w.readyStatus() != 0 })
+			w.until("listening", func() bool { return w.readyStatus() != 0 })
 			ready := w.readyStatus() == http.StatusOK
 			require.Equal(t, known, ready)
-			c := w.rawClient()
+			c := w.newRawClient()
 			began := time.Now()
-			c.send(w.text("consult", 1000))
-			got := c.answer()
+			c.send(w.requestText("consult", 1000))
+			got := c.readAnswer()
 			if known {
 				require.Equal(t, 200, got.status)
 			} else {
@@ -295,25 +296,25 @@
 	}
 }
 
-// Idle clients take all descriptors that clients may have while discovery is down: the health door opens to new
-// connections, requests reach their endpoints over new connections, and discovery is asked again.
+// While discovery is down, idle clients occupy all descriptors that clients may use. New connections still get health
+// checks and requests answered, and the agent still polls discovery.
 func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
 	const limit = 64
 	w := start(t, 8, func(w *testbed) {
 		w.config["limits"].(object)["sockets"] = limit
 		w.useLongTimeouts()
 	})
-	w.until("watched", func() bool { return w.discovery.watched() == 1 })
+	w.until("watch", func() bool { return w.discovery.watched() == 1 })
 	w.discovery.set(503, false)
 	w.discovery.end()
 	for range 2 * limit {
 		c := w.sendRaw("GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n")
-		go func() { _, _ = io.Copy(io.Discard, c) }() // it stays open on this side
+		go func() { _, _ = io.Copy(io.Discard, c) }() // the client does not close it
 	}
 	for n := range 16 {
-		require.Equal(t, 200, w.alone(http.MethodGet, "/health/ready"))
+		require.Equal(t, 200, w.statusOnNewConn(http.MethodGet, "/health/ready"))
 		r := w.request([]string{"consult", "rezervare"}[n%2], 60000)
-		r.Header.Set("Cookie", fmt.Sprintf("sid=k%d", n)) // to any of the endpoints
+		r.Header.Set("Cookie", fmt.Sprintf("sid=k%d", n)) // requests go to different endpoints
 		client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: waitTimeout}
 		resp, err := client.Do(r)
 		require.NoError(t, err)
@@ -322,14 +323,14 @@
 	}
 	require.LessOrEqual(t, w.descriptors(), limit)
 	before := len(w.discovery.called())
-	w.until("it goes on asking", func() bool { return len(w.discovery.called()) > before })
+	w.until("discovery polled again", func() bool { return len(w.discovery.called()) > before })
 	w.discovery.set(200, false)
-	w.until("watched again", func() bool { return w.discovery.watched() == 1 })
-	require.Equal(t, 200, w.alone(http.MethodGet, "/health/ready"))
+	w.until("watch again", func() bool { return w.discovery.watched() == 1 })
+	require.Equal(t, 200, w.statusOnNewConn(http.MethodGet, "/health/ready"))
 }
 
-// alone asks on a connection of its own.
-func (w *testbed) alone(method, path string) int {
+// statusOnNewConn sends a request on a new connection and returns the answer's status.
+func (w *testbed) statusOnNewConn(method, path string) int {
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: waitTimeout}
 	r, err := http.NewRequest(method, "http://"+w.addr+path, nil)
 	require.NoError(w.t, err)
@@ -339,21 +340,21 @@
 	return resp.StatusCode
 }
 
-// A request comes a few bytes at a time from a client whose time is shorter than what is taken off for the answer's way:
-// it is answered, on a connection that stays, and nothing of it is forwarded.
+// A request arrives a few bytes at a time, and its client has less time left than the agent reserves for returning the
+// answer. The agent rejects it without forwarding it and keeps the connection open.
 func TestSlowRequestsWithLittleTime(t *testing.T) {
 	w := start(t, 1)
-	c := w.rawClient()
+	c := w.newRawClient()
 	for _, left := range []int{1, 4, 2} {
-		text := w.text("rezervare", left)
+		text := w.requestText("rezervare", left)
 		for len(text) > 0 {
 			n := min(len(text), 40)
 			c.send(text[:n])
 			text = text[n:]
 		}
-		require.NotEqual(t, 200, c.answer().status)
+		require.NotEqual(t, 200, c.readAnswer().status)
 	}
 	require.Zero(t, w.attemptCount())
-	c.send(w.text("rezervare", 5000))
-	require.Equal(t, 200, c.answer().status)
+	c.send(w.requestText("rezervare", 5000))
+	require.Equal(t, 200, c.readAnswer().status)
 }
--- a/cmd/dunestep/crossings_upstream_test.go
+++ b/cmd/dunestep/crossings_upstream_test.go
@@ -10,28 +10,28 @@
 	"github.com/stretchr/testify/require"
 )
 
-// oneServer has the program know one endpoint, with a fault of the wire.
-func oneServer(t *testing.T, w *testbed) *faulty {
-	f := newFaulty(t, "")
+// useFaultyServer has the program know one endpoint, with a fault of the wire.
+func useFaultyServer(t *testing.T, w *testbed) *faultyServer {
+	f := newFaultyServer(t, "")
 	w.config["known"].(object)["servers"] = []object{f.entry("active")}
 	return f
 }
 
-func (f *faulty) entry(state string) object {
+func (f *faultyServer) entry(state string) object {
 	return object{"id": "s-0", "addr": f.Addr(), "zone": "a", "kind": "rapid", "cell": 1, "state": state, "weight": 1.0}
 }
 
-// An endpoint begins to drain while a step waits for its connection: it is not forwarded after the grace, however
-// long the settings would have the connection waited for.
-func TestServerDrainsWhileAConnectionIsAwaited(t *testing.T) {
+// An endpoint begins to drain while an attempt waits for a connection to it. The attempt is abandoned within the drain
+// grace, although the connect timeout is longer.
+func TestServerDrainsWhileConnecting(t *testing.T) {
 	w := newTestbed(t, 0)
-	w.useLongTimeouts() // connections are waited for 10 s
+	w.useLongTimeouts() // the connect timeout is 10 s
 	w.config["settings"].(object)["rules"].(object)["stopSendingWithin"] = 1_000_000
-	f := oneServer(t, w)
+	f := useFaultyServer(t, w)
 	w.start()
 	w.until("watch", func() bool { return w.discovery.watched() == 1 })
 	require.NoError(t, f.Mute())
-	w.until("there is no room for a connection", f.Full)
+	w.until("the accept queue is full", f.Full)
 	answered := make(chan int, 1)
 	r := w.request("rezervare", 60000)
 	r.Close = true
@@ -44,25 +44,25 @@
 		_ = resp.Body.Close()
 		answered <- resp.StatusCode
 	}()
-	w.until("it waits for a connection", func() bool { return countConnecting(t, w.process.Process.Pid) > 0 })
+	w.until("connecting", func() bool { return countConnecting(t, w.process.Process.Pid) > 0 })
 	w.discovery.say(list(42, false, f.entry("leaving")))
-	told := time.Now()
-	w.until("it is given up", func() bool { return countConnecting(t, w.process.Process.Pid) == 0 })
-	require.Less(t, time.Since(told), 5*time.Second, "half of the grace, and what a busy machine adds")
+	updatedAt := time.Now()
+	w.until("connection attempt abandoned", func() bool { return countConnecting(t, w.process.Process.Pid) == 0 })
+	require.Less(t, time.Since(updatedAt), 5*time.Second, "half of the drain grace, and a margin for a busy machine")
 	require.NoError(t, f.Accept())
 	require.Equal(t, http.StatusServiceUnavailable, await(t, answered))
-	require.Zero(t, f.got.Load(), "nothing was sent on")
+	require.Zero(t, f.requests.Load(), "nothing was forwarded")
 }
 
-// Clients that give less time than the connection, the spacing of further attempts or the answer's margin takes get
-// one answer each, and nothing is forwarded for them later.
-func TestLessTimeThanAnythingTakes(t *testing.T) {
+// A client has less time left than a connection, the delay before a retry or the agent's margin for returning the answer
+// takes. It gets one answer, and nothing is forwarded for it later.
+func TestTimeLeftTooShortForAttempt(t *testing.T) {
 	w := newTestbed(t, 0)
 	w.useLongTimeouts()
-	f := oneServer(t, w)
+	f := useFaultyServer(t, w)
 	w.start()
 	require.NoError(t, f.Mute())
-	w.until("there is no room for a connection", f.Full)
+	w.until("the accept queue is full", f.Full)
 	for _, class := range []string{"consult", "rezervare"} {
 		for _, leftMS := range []int{0, 1, 4, 5, 6, 20, 60} {
 			began := time.Now()
@@ -71,22 +71,22 @@
 			require.Contains(t, []int{429, 502, 503}, status, "%s, %d ms", class, leftMS)
 		}
 	}
-	require.NoError(t, f.Accept()) // what is still waited for comes up when the system tries again
-	w.until("nothing is waited for", func() bool { return countConnecting(t, w.process.Process.Pid) == 0 })
+	require.NoError(t, f.Accept()) // pending connections are established when the kernel retransmits
+	w.until("no connection is pending", func() bool { return countConnecting(t, w.process.Process.Pid) == 0 })
 	w.until("served again", func() bool { return w.do(w.request("consult", 20000)).status == http.StatusOK })
-	require.EqualValues(t, 1, f.got.Load(), "nothing was sent on for clients whose time was up")
+	require.EqualValues(t, 1, f.requests.Load(), "nothing was forwarded for clients whose time was up")
 }
 
-// What a further attempt tells its endpoint is what is left to the client then, on a reused connection and on a
-// new one: the attempt before it is rejected when so much of the time has passed.
-func TestRetriesTellTheTimeLeft(t *testing.T) {
+// A retry's X-Time-Left-Ms is the time that the client has left when the retry begins, on a reused connection and on a new
+// one. The first attempt is rejected only after some time, so that the retry must have less left.
+func TestRetriesCarryTimeLeft(t *testing.T) {
 	t.Parallel()
-	const leftMS, held = 20000, 300 * time.Millisecond
-	for name, warm := range map[string]bool{"reused": true, "new": false} {
+	const leftMS, delay = 20000, 300 * time.Millisecond
+	for name, connected := range map[string]bool{"reused": true, "new": false} {
 		t.Run(name, func(t *testing.T) {
 			w := start(t, 2, (*testbed).useLongTimeouts)
-			if warm {
-				w.until("both have a connection", func() bool {
+			if connected {
+				w.until("both servers have a connection", func() bool {
 					for _, s := range w.servers {
 						if len(s.attempts()) == 0 {
 							r := w.request("consult", leftMS)
@@ -100,10 +100,10 @@
 			}
 			before := w.attemptCount()
 			var sent time.Time
-			var first atomic.Value // the endpoint that turns away
+			var rejectedBy atomic.Value // the endpoint that rejects
 			w.answerFirst(func(s upstreamAttempt) string {
-				first.Store(s.server)
-				time.Sleep(time.Until(sent.Add(held)))
+				rejectedBy.Store(s.server)
+				time.Sleep(time.Until(sent.Add(delay)))
 				return reply("503 No", "", "X-Unprocessed: 1")
 			}, ok)
 			r := w.request("rezervare", leftMS)
@@ -115,11 +115,11 @@
 					if idOf(st) != idOf(upstreamAttempt{Request: r}) {
 						continue
 					}
-					told, err := strconv.Atoi(st.Header.Get("X-Time-Left-Ms"))
+					timeLeft, err := strconv.Atoi(st.Header.Get("X-Time-Left-Ms"))
 					require.NoError(t, err)
-					require.LessOrEqual(t, told, leftMS)
-					if st.server != first.Load() {
-						require.LessOrEqual(t, told, leftMS-int(held.Milliseconds()))
+					require.LessOrEqual(t, timeLeft, leftMS)
+					if st.server != rejectedBy.Load() {
+						require.LessOrEqual(t, timeLeft, leftMS-int(delay.Milliseconds()))
 					}
 				}
 			}
--- a/cmd/dunestep/deployments_test.go
+++ b/cmd/dunestep/deployments_test.go
@@ -46,7 +46,7 @@
 )
 
 // words are the names of a deployment.
-func (d deployment) words() []string {
+func (d deployment) allNames() []string {
 	all := append([]string{d.zone, d.kind, d.idPrefix}, d.tenants...)
 	for _, c := range d.classes {
 		all = append(all, c.name)
@@ -54,16 +54,16 @@
 	return all
 }
 
-// requestOf is a request of a class for a tenant, whose client waits for a minute longer than any class does.
-func (w *testbed) requestOf(class, tenant string) *http.Request {
+// requestFor is a request of a class for a tenant, whose client waits for a minute longer than any class does.
+func (w *testbed) requestFor(class, tenant string) *http.Request {
 	r := w.request(class, 120_000)
 	r.Header.Set("X-Account", tenant)
 	r.Header.Set("Cookie", "sid="+w.nextID()) // so that all endpoints get some
 	return r
 }
 
-// keysPass looks that every step has the key that its request had, which is none but where the class has keys.
-func (w *testbed) keysPass() {
+// requireKeysForwarded looks that every step has the key that its request had, which is none but where the class has keys.
+func (w *testbed) requireKeysForwarded() {
 	w.t.Helper()
 	for _, s := range w.servers {
 		for _, st := range s.attempts() {
@@ -76,12 +76,12 @@
 	}
 }
 
-// servesAll has a request of every class served for every tenant.
-func (w *testbed) servesAll(site deployment) {
+// requireAllServed has a request of every class served for every tenant.
+func (w *testbed) requireAllServed(site deployment) {
 	w.t.Helper()
 	for _, c := range site.classes {
 		for _, tenant := range site.tenants {
-			r := w.requestOf(c.name, tenant)
+			r := w.requestFor(c.name, tenant)
 			got := w.do(r)
 			require.Equal(w.t, http.StatusOK, got.status, "%s for %s: %s", c.name, tenant, got.body)
 			require.True(w.t, strings.HasPrefix(got.body, r.Header.Get("X-Correlation-Id")+" "+site.idPrefix), got.body)
@@ -89,12 +89,12 @@
 	}
 }
 
-// knowsNone has every class of a deployment rejected as unknown, with no word of it forwarded.
-func (w *testbed) knowsNone(site deployment) {
+// requireAllUnknown has every class of a deployment rejected as unknown, with no word of it forwarded.
+func (w *testbed) requireAllUnknown(site deployment) {
 	w.t.Helper()
 	before := w.attemptCount()
 	for _, c := range site.classes {
-		got := w.do(w.requestOf(c.name, site.tenants[0]))
+		got := w.do(w.requestFor(c.name, site.tenants[0]))
 		require.Equal(w.t, answer{http.StatusBadRequest, "unknown class\n", got.header}, got, c.name)
 	}
 	require.Equal(w.t, before, w.attemptCount(), "sent on")
@@ -107,7 +107,7 @@
 		site, other := pair[0], pair[1]
 		for what, look := range map[string]func(*testbed){
 			"served": func(w *testbed) {
-				w.servesAll(site)
+				w.requireAllServed(site)
 				for _, s := range w.servers {
 					for _, st := range s.attempts() {
 						c := site.classNamed(strings.Split(st.URL.Path, "/")[1])
@@ -121,17 +121,17 @@
 			"keys": func(w *testbed) {
 				for _, c := range site.classes {
 					w.answerFirst(func(upstreamAttempt) string { return reply("503 No", "", "X-Unprocessed: 1") }, ok)
-					require.Equal(w.t, http.StatusOK, w.do(w.requestOf(c.name, site.tenants[0])).status, c.name)
+					require.Equal(w.t, http.StatusOK, w.do(w.requestFor(c.name, site.tenants[0])).status, c.name)
 				}
 				require.Equal(w.t, 2*len(site.classes), w.attemptCount())
-				w.keysPass()
+				w.requireKeysForwarded()
 			},
-			"unknown": func(w *testbed) { w.knowsNone(other); w.servesAll(site) },
+			"unknown": func(w *testbed) { w.requireAllUnknown(other); w.requireAllServed(site) },
 			"may have run": func(w *testbed) {
 				for _, c := range site.classes {
 					w.answerFirst(func(upstreamAttempt) string { return hangUp }, ok)
 					before := w.attemptCount()
-					got := w.do(w.requestOf(c.name, site.tenants[0]))
+					got := w.do(w.requestFor(c.name, site.tenants[0]))
 					status, steps := http.StatusOK, 2
 					if c.effect == fragile || c.effect == dedup && c.keyRetention == 0 {
 						status, steps = http.StatusBadGateway, 1
@@ -143,7 +143,7 @@
 				w.answerAll(func(upstreamAttempt) string { return reply("503 Service Unavailable", "", "X-Unprocessed: 1") })
 				for _, c := range site.classes {
 					before := w.attemptCount()
-					got := w.do(w.requestOf(c.name, site.tenants[0]))
+					got := w.do(w.requestFor(c.name, site.tenants[0]))
 					require.Equal(w.t, http.StatusServiceUnavailable, got.status, c.name)
 					require.LessOrEqual(w.t, w.attemptCount()-before, site.maxAttempts, c.name)
 					after, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
@@ -155,7 +155,7 @@
 				w.answerAll(func(upstreamAttempt) string { return reply("500 Internal Server Error", "") })
 				for _, c := range site.classes {
 					if c.effect == retryable {
-						w.do(w.requestOf(c.name, site.tenants[0]))
+						w.do(w.requestFor(c.name, site.tenants[0]))
 					}
 				}
 				require.Equal(w.t, site.maxAttempts, w.attemptCount())
@@ -196,7 +196,7 @@
 }
 
 // show notes what a testbed's agent has said so far beside its answers.
-func (s *transcript) show(w *testbed) {
+func (s *transcript) addOutput(w *testbed) {
 	for _, server := range w.servers {
 		for _, st := range server.attempts() {
 			head, err := httputil.DumpRequest(st.Request, false)
@@ -212,17 +212,17 @@
 }
 
 // none looks that nothing of a deployment was said.
-func (s *transcript) none(t *testing.T, of deployment) {
+func (s *transcript) requireNoNameOf(t *testing.T, of deployment) {
 	t.Helper()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, word := range of.words() {
+	for _, word := range of.allNames() {
 		require.NotContains(t, s.text.String(), word)
 	}
 }
 
 // asks asks for classes of its own, and of another deployment, where the first attempt meets answers of all kinds.
-func (w *testbed) asks(s *transcript, own, other deployment) {
+func (w *testbed) sendAllCombinations(s *transcript, own, other deployment) {
 	for _, meets := range []func(upstreamAttempt) string{
 		ok, func(upstreamAttempt) string { return reply("500 No", "") },
 		func(upstreamAttempt) string { return reply("503 No", "", "X-Unprocessed: 1") }, func(upstreamAttempt) string { return hangUp },
@@ -230,15 +230,15 @@
 		for _, c := range slices.Concat(own.classes, other.classes) {
 			for _, tenant := range own.tenants {
 				w.answerFirst(meets, ok)
-				got := w.do(w.requestOf(c.name, tenant))
+				got := w.do(w.requestFor(c.name, tenant))
 				s.add(got.status, got.header, got.body)
 			}
 		}
 	}
 }
 
-// statsOf looks that the figures are those of a deployment's classes.
-func (w *testbed) statsOf(site deployment) {
+// requireStatsOf looks that the figures are those of a deployment's classes.
+func (w *testbed) requireStatsOf(site deployment) {
 	w.t.Helper()
 	var want, got []string
 	for _, c := range site.classes {
@@ -273,19 +273,19 @@
 	var all sync.WaitGroup
 	var said [2]transcript
 	for i, w := range worlds {
-		all.Go(func() { w.asks(&said[i], sites[i], sites[1-i]) })
+		all.Go(func() { w.sendAllCombinations(&said[i], sites[i], sites[1-i]) })
 	}
 	all.Wait()
 	for i, w := range worlds {
-		w.statsOf(sites[i])
-		said[i].show(w)
-		said[i].none(t, sites[1-i])
+		w.requireStatsOf(sites[i])
+		said[i].addOutput(w)
+		said[i].requireNoNameOf(t, sites[1-i])
 	}
 }
 
 // An agent that is told to read the configuration again, and finds another deployment's, goes on with the settings
 // that it has, whose classes alone it knows; a process that takes over from it has those of the file alone.
-func TestReloadsKeepDeploymentsApart(t *testing.T) {
+func TestReloadIgnoresSettingsOfAnotherDeployment(t *testing.T) {
 	t.Parallel()
 	w := newDeploymentTestbed(t, coast, 3)
 	w.start(door)
@@ -300,12 +300,12 @@
 		w.until("taken over", func() bool {
 			return strings.Contains(w.log.String(), fmt.Sprintf("memory_mb=%d sockets=%d", 160+round, 900+round))
 		})
-		w.knowsNone(hills)
-		w.asks(&said, coast, hills)
-		w.statsOf(coast)
+		w.requireAllUnknown(hills)
+		w.sendAllCombinations(&said, coast, hills)
+		w.requireStatsOf(coast)
 	}
-	said.show(w)
-	said.none(t, hills)
+	said.addOutput(w)
+	said.requireNoNameOf(t, hills)
 	w.config["limits"] = limits
 
 	inherits := w.another()
@@ -327,18 +327,18 @@
 		return err == nil && resp.StatusCode == http.StatusOK
 	})
 	require.Zero(t, w.stop())
-	inherits.servesAll(hills)
-	inherits.knowsNone(coast)
-	inherits.asks(&next, hills, coast)
-	inherits.statsOf(hills)
-	next.show(inherits)
-	next.none(t, coast)
+	inherits.requireAllServed(hills)
+	inherits.requireAllUnknown(coast)
+	inherits.sendAllCombinations(&next, hills, coast)
+	inherits.requireStatsOf(hills)
+	next.addOutput(inherits)
+	next.requireNoNameOf(t, coast)
 	require.Zero(t, inherits.stop())
 }
 
 // What an agent has learned is its deployment's of the start, whatever the operator file calls it since: a process
 // that takes over under the new name begins without.
-func TestWhatWasLearnedStaysWithItsDeployment(t *testing.T) {
+func TestStateIsNotRestoredForAnotherDeployment(t *testing.T) {
 	w := start(t, 2, door, func(w *testbed) { w.operatorFile = "[state]\ndeployment = \"coast\"\n" })
 	w.operatorFile = "[state]\ndeployment = \"hills\"\n"
 	w.configure()
--- a/cmd/dunestep/discovery_test.go
+++ b/cmd/dunestep/discovery_test.go
@@ -15,41 +15,41 @@
 // discovery is the service of that name, on a stand-in's socket. Until told otherwise it accepts watches and says
 // nothing but the empty lines.
 type discovery struct {
-	addr    string
-	mu      sync.Mutex
-	status  int
-	mute    bool          // no empty lines
-	news    string        // that a watch begins with
-	turn    time.Duration // that a call waits for
-	calls   []string
-	watches map[*standin.Call]bool
+	addr              string
+	mu                sync.Mutex
+	status            int
+	withoutKeepalives bool          // no empty lines
+	news              string        // that a watch begins with
+	turn              time.Duration // that a call waits for
+	calls             []string
+	watches           map[*standin.Call]bool
 }
 
 func newDiscovery(t testing.TB) *discovery {
 	d := &discovery{status: http.StatusOK, watches: map[*standin.Call]bool{}}
-	socket, err := standin.ListenDiscovery("127.0.0.1:0", 500*time.Millisecond, d.came, d.gone)
+	socket, err := standin.ListenDiscovery("127.0.0.1:0", 500*time.Millisecond, d.callReceived, d.callEnded)
 	require.NoError(t, err)
 	d.addr = socket.Addr
 	t.Cleanup(socket.Close)
 	return d
 }
 
-func (d *discovery) came(c *standin.Call) {
+func (d *discovery) callReceived(c *standin.Call) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.calls = append(d.calls, c.Target)
-	c.Mute = d.mute
+	c.Mute = d.withoutKeepalives
 	switch d.status {
 	case 0: // not answered at all
 	case http.StatusOK:
 		if d.turn == 0 {
-			d.begin(c)
+			d.beginWatch(c)
 			return
 		}
 		time.AfterFunc(d.turn, func() {
 			d.mu.Lock()
 			defer d.mu.Unlock()
-			d.begin(c)
+			d.beginWatch(c)
 		})
 	default:
 		c.Begin(d.status)
@@ -58,13 +58,13 @@
 }
 
 // begin takes a watch up; mu is held.
-func (d *discovery) begin(c *standin.Call) {
+func (d *discovery) beginWatch(c *standin.Call) {
 	d.watches[c] = true
 	c.Begin(http.StatusOK)
 	c.Write(d.news)
 }
 
-func (d *discovery) gone(c *standin.Call) {
+func (d *discovery) callEnded(c *standin.Call) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delete(d.watches, c)
@@ -73,7 +73,7 @@
 func (d *discovery) set(status int, mute bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.status, d.mute = status, mute
+	d.status, d.withoutKeepalives = status, mute
 }
 
 func (d *discovery) called() []string {
--- a/cmd/dunestep/earlierbuild_test.go
+++ b/cmd/dunestep/earlierbuild_test.go
@@ -119,7 +119,7 @@
 			fmt.Sprintf("folder = %q\n", folder)
 	}})
 	ctx := t.Context()
-	isDisabled := out("s-0")
+	isDisabled := isDown("s-0")
 	isEnabled := func(a *lab.Agent, s fleetStatus) bool { return full(a, s) && !isDisabled(a, s) }
 	runs := []struct { // by the earlier build, this one, the earlier one
 		holds   func(*lab.Agent, fleetStatus) bool
--- a/cmd/dunestep/faults_test.go
+++ b/cmd/dunestep/faults_test.go
@@ -17,20 +17,20 @@
 )
 
 // faulty is an endpoint whose first answer has a fault of the wire; it forgets a connection where it is told.
-type faulty struct {
+type faultyServer struct {
 	*standin.Server
-	fault scenario.Fault
-	got   atomic.Int32
-	conns atomic.Int32
+	fault       scenario.Fault
+	requests    atomic.Int32
+	connections atomic.Int32
 }
 
-func newFaulty(t *testing.T, fault scenario.Fault) *faulty {
-	f := &faulty{fault: fault}
+func newFaultyServer(t *testing.T, fault scenario.Fault) *faultyServer {
+	f := &faultyServer{fault: fault}
 	var err error
 	f.Server, err = standin.Listen("127.0.0.1:0", standin.Events{
-		Opened: func(*standin.Conn) { f.conns.Add(1) },
+		Opened: func(*standin.Conn) { f.connections.Add(1) },
 		Came: func(c *standin.Conn, r *http.Request, body []byte) {
-			n := f.got.Add(1)
+			n := f.requests.Add(1)
 			if c.Handle != nil { // the connection is forgotten
 				return
 			}
@@ -50,7 +50,7 @@
 // What the program makes of each fault of the wire at the only endpoint there is: what is passed on, what is
 // refused because nothing can have run, what fails because something may have, and whether the connection is used
 // again. A request after it is served by its own answer.
-func TestFaultsOfTheWire(t *testing.T) {
+func TestWireFaults(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		fault  scenario.Fault
@@ -73,7 +73,7 @@
 		{scenario.Forgets, 200, true},
 	} {
 		t.Run("fault "+string(c.fault), func(t *testing.T) {
-			f := newFaulty(t, c.fault)
+			f := newFaultyServer(t, c.fault)
 			w := newTestbed(t, 0)
 			w.config["known"].(object)["servers"] = []object{{
 				"id": "s-0", "addr": f.Addr(), "zone": "a", "kind": "rapid",
@@ -99,7 +99,7 @@
 				require.Equal(t, own, got.body)
 			}
 			if c.fault != scenario.NoAccept {
-				require.EqualValues(t, 1, f.got.Load(), "what may have run is not sent again")
+				require.EqualValues(t, 1, f.requests.Load(), "what may have run is not sent again")
 			}
 			require.NoError(t, f.Accept())
 			if c.fault == scenario.Forgets { // nothing tells of it but the time that the next one takes
@@ -113,9 +113,9 @@
 				return got.status == 200
 			})
 			if c.again && c.fault != scenario.Forgets {
-				require.EqualValues(t, 1, f.conns.Load())
+				require.EqualValues(t, 1, f.connections.Load())
 			} else if c.fault != scenario.NoAccept {
-				require.Greater(t, f.conns.Load(), int32(1))
+				require.Greater(t, f.connections.Load(), int32(1))
 			}
 		})
 	}
@@ -123,8 +123,8 @@
 
 // A client that leaves while its request's connection is still to come up has nobody ask the endpoint any more:
 // the wish to connect is given up, and what comes up later carries the next request only.
-func TestNothingIsForwardedForClientsThatLeft(t *testing.T) {
-	f := newFaulty(t, "")
+func TestNothingIsForwardedForDisconnectedClients(t *testing.T) {
+	f := newFaultyServer(t, "")
 	w := newTestbed(t, 0)
 	w.useLongTimeouts()
 	rules := w.config["settings"].(object)["rules"].(object)
@@ -148,5 +148,5 @@
 	w.until("nothing is waited for", func() bool { return countConnecting(t, w.process.Process.Pid) == 0 })
 	r := w.request("consult", 20000)
 	require.Equal(t, r.Header.Get("X-Correlation-Id")+" 0", w.do(r).body)
-	require.EqualValues(t, 1, f.got.Load(), "and nothing of those that left")
+	require.EqualValues(t, 1, f.requests.Load(), "and nothing of those that left")
 }
--- a/cmd/dunestep/fleet_test.go
+++ b/cmd/dunestep/fleet_test.go
@@ -27,8 +27,8 @@
 	inFolders durability = true
 )
 
-// fleetLab is a lab whose agents take part in a fleet, of which the first three are voters.
-func fleetLab(t *testing.T, agents int, keeps durability) *lab.Lab {
+// newFleetLab is a lab whose agents take part in a fleet, of which the first three are voters.
+func newFleetLab(t *testing.T, agents int, keeps durability) *lab.Lab {
 	t.Helper()
 	t.Parallel()
 	program, err := plainBinary()
@@ -91,7 +91,7 @@
 
 func full(_ *lab.Agent, s fleetStatus) bool { return s.Standing == "full" }
 
-func out(id string) func(*lab.Agent, fleetStatus) bool {
+func isDown(id string) func(*lab.Agent, fleetStatus) bool {
 	return func(_ *lab.Agent, s fleetStatus) bool {
 		for _, o := range s.Commands {
 			if o.Endpoint == id {
@@ -105,7 +105,7 @@
 // An endpoint that is taken out for the fleet gets nothing more at any agent once the command says so: also with
 // three datagrams in ten lost, doubled and late, and with an agent that was down meanwhile, when it comes back.
 func TestFleetCommand(t *testing.T) {
-	l := fleetLab(t, 5, inMemory)
+	l := newFleetLab(t, 5, inMemory)
 	ctx := t.Context()
 	require.NoError(t, l.StartAll(ctx))
 	require.NoError(t, l.Wait(ctx, "leases", all(l, full)))
@@ -117,7 +117,7 @@
 	require.Contains(t, text, "in force at all agents that hold a lease")
 	require.NoError(t, l.Agent(4).Start(ctx))
 	for _, a := range l.Agents() {
-		require.True(t, out("s-0")(a, statusAt(a)), a.Name+" is ready and has it")
+		require.True(t, isDown("s-0")(a, statusAt(a)), a.Name+" is ready and has it")
 		for i := range 20 {
 			_, body, askErr := a.Ask(ctx, "consult", fmt.Sprint("k", i))
 			require.NoError(t, askErr)
@@ -142,7 +142,7 @@
 // The leader is killed, and then one that leads is paused: another one leads, and what was agreed stays. The one that
 // was paused leads no more and has lost its lease when it goes on.
 func TestFleetLeaderKilledAndPaused(t *testing.T) {
-	l := fleetLab(t, 5, inFolders)
+	l := newFleetLab(t, 5, inFolders)
 	ctx := t.Context()
 	require.NoError(t, l.StartAll(ctx))
 	require.NoError(t, l.Wait(ctx, "leases", all(l, full)))
@@ -162,7 +162,7 @@
 	second.Pause()
 	require.NoError(t, l.Wait(ctx, "a third one leads", func() bool {
 		for _, a := range l.Agents()[:3] {
-			if s := statusAt2(ctx, a, second); s.Voter != nil && s.Voter.Phase == "leading" {
+			if s := statusUnlessPaused(ctx, a, second); s.Voter != nil && s.Voter.Phase == "leading" {
 				return true
 			}
 		}
@@ -175,13 +175,13 @@
 		return second.SaidSince(logged, "fleet: lease lost") || second.SaidSince(logged, "this agent is no longer the leader")
 	}))
 	require.NoError(t, l.Wait(ctx, "all have both orders", all(l, func(a *lab.Agent, s fleetStatus) bool {
-		return full(a, s) && out("s-0")(a, s) && out("s-1")(a, s)
+		return full(a, s) && isDown("s-0")(a, s) && isDown("s-1")(a, s)
 	})))
 	require.Empty(t, l.EndAll())
 }
 
-// statusAt2 is statusAt, but for an agent that is paused and would not answer.
-func statusAt2(_ context.Context, a, paused *lab.Agent) (s fleetStatus) {
+// statusUnlessPaused is statusAt, but for an agent that is paused and would not answer.
+func statusUnlessPaused(_ context.Context, a, paused *lab.Agent) (s fleetStatus) {
 	if a != paused {
 		s = statusAt(a)
 	}
@@ -190,11 +190,11 @@
 
 // All agents are killed at once and started again: with folders nothing is lost; without, the log begins anew under a
 // higher epoch, and all say so.
-func TestFleetAllKilled(t *testing.T) {
+func TestFleetRestartAfterAllKilled(t *testing.T) {
 	t.Parallel()
 	for _, keeps := range []durability{inFolders, inMemory} {
 		t.Run(fmt.Sprint("folders ", keeps), func(t *testing.T) {
-			l := fleetLab(t, 5, keeps)
+			l := newFleetLab(t, 5, keeps)
 			ctx := t.Context()
 			require.NoError(t, l.StartAll(ctx))
 			require.NoError(t, l.Wait(ctx, "leases", all(l, full)))
@@ -206,7 +206,7 @@
 			}
 			require.NoError(t, l.StartAll(ctx))
 			require.NoError(t, l.Wait(ctx, "leases again", all(l, func(a *lab.Agent, s fleetStatus) bool {
-				return full(a, s) && (s.Epoch == before.Epoch) == (keeps == inFolders) && out("s-0")(a, s) == (keeps == inFolders)
+				return full(a, s) && (s.Epoch == before.Epoch) == (keeps == inFolders) && isDown("s-0")(a, s) == (keeps == inFolders)
 			})))
 			require.Empty(t, l.EndAll())
 		})
@@ -215,8 +215,8 @@
 
 // One way between the leader and the others is cut, and a minority is cut off: nothing is agreed there, and what was
 // agreed elsewhere holds everywhere once the network is whole.
-func TestFleetCutOff(t *testing.T) {
-	l := fleetLab(t, 6, inMemory)
+func TestFleetPartition(t *testing.T) {
+	l := newFleetLab(t, 6, inMemory)
 	ctx := t.Context()
 	require.NoError(t, l.StartAll(ctx))
 	require.NoError(t, l.Wait(ctx, "leases", all(l, full)))
@@ -247,7 +247,7 @@
 	require.Error(t, err, text)
 	text, err = fleetCommand(t, l.Agent(4), "down", "s-1")
 	require.NoError(t, err, text)
-	require.False(t, out("s-1")(l.Agent(3), statusAt(l.Agent(3))))
+	require.False(t, isDown("s-1")(l.Agent(3), statusAt(l.Agent(3))))
 	require.True(t, l.Agent(3).Serves(ctx), "cut off from the fleet it serves")
 	require.Empty(t, l.EndAll())
 }
--- a/cmd/dunestep/fleetcost_test.go
+++ b/cmd/dunestep/fleetcost_test.go
@@ -17,7 +17,7 @@
 
 // Off, there is no part of the fleet's at all: nothing is started, so no timer runs and no datagram is sent; what asks it
 // is told that there is nothing; and each datagram is the module's.
-func TestFleetOffIsNothing(t *testing.T) {
+func TestFleetOffStartsNothing(t *testing.T) {
 	p, err := newFleetMember(settings{}, nil)
 	require.NoError(t, err)
 	require.Nil(t, p)
@@ -32,7 +32,7 @@
 }
 
 // used is a process's time on a processor so far, and its memory in MB.
-func used(t *testing.T, pid int) (cpu time.Duration, resident float64) {
+func processUsage(t *testing.T, pid int) (cpu time.Duration, resident float64) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	require.NoError(t, err)
 	fields := strings.Fields(string(stat[strings.LastIndexByte(string(stat), ')')+2:]))
@@ -67,13 +67,13 @@
 	var idle [2][2]time.Duration // of a voter and of another agent
 	for i, l := range labs {
 		for j, a := range []*lab.Agent{l.Agent(0), l.Agent(4)} {
-			idle[i][j], _ = used(t, a.Pid())
+			idle[i][j], _ = processUsage(t, a.Pid())
 		}
 	}
 	time.Sleep(10 * time.Second) // how long is part of the figure, and nothing is waited for
 	for i, l := range labs {
 		for j, a := range []*lab.Agent{l.Agent(0), l.Agent(4)} {
-			cpu, resident := used(t, a.Pid())
+			cpu, resident := processUsage(t, a.Pid())
 			t.Logf("fleet on %t, voter %t: %.2f%% of a processor when idle, %.1f MB", i == 1, j == 0,
 				(cpu-idle[i][j]).Seconds()*10, resident)
 		}
--- a/cmd/dunestep/fleetsettings_test.go
+++ b/cmd/dunestep/fleetsettings_test.go
@@ -11,7 +11,7 @@
 
 // An agent at which policies are off keeps their state, the windows' and the ring's, as who goes on from its snapshot
 // needs them.
-func TestStateMachinesWherePoliciesAreOff(t *testing.T) {
+func TestStateMachinesAreAddedWithPoliciesOff(t *testing.T) {
 	p := &fleetMember{}
 	set := fleet.Settings{Machines: []fleet.StateMachine{nil}}
 	p.addStateMachines(&set)
--- a/cmd/dunestep/fleetstarts_test.go
+++ b/cmd/dunestep/fleetstarts_test.go
@@ -16,27 +16,27 @@
 	"dunestep/internal/standin"
 )
 
-// coldFleet is a fleet whose agents are asked for what one endpoint owns, and what came there.
-type coldFleet struct {
+// slowStartFleet is a fleet whose agents are asked for what one endpoint owns, and what came there.
+type slowStartFleet struct {
 	*lab.Lab
 	t *testing.T
 
-	mu   sync.Mutex
-	came map[int][]time.Time // attempts, by endpoint
+	mu       sync.Mutex
+	attempts map[int][]time.Time // attempts, by endpoint
 }
 
-const coldOne = 3 // the endpoint that starts again
+const restartedServer = 3 // the endpoint that starts again
 
-func newColdFleet(t *testing.T, agents int) *coldFleet {
+func newSlowStartFleet(t *testing.T, agents int) *slowStartFleet {
 	program, err := plainBinary()
 	require.NoError(t, err)
-	f := &coldFleet{t: t, came: map[int][]time.Time{}}
+	f := &slowStartFleet{t: t, attempts: map[int][]time.Time{}}
 	f.Lab = lab.Open(t, lab.Options{
 		Agents: agents, Servers: 4, Program: program, Seed: 21,
 		Answer: func(s lab.Step) standin.Reply {
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			f.came[s.Server] = append(f.came[s.Server], time.Now())
+			f.attempts[s.Server] = append(f.attempts[s.Server], time.Now())
 			return standin.Reply{Status: http.StatusOK, Body: "booked"}
 		},
 	})
@@ -44,19 +44,19 @@
 }
 
 // count is how many attempts the server got that starts again.
-func (f *coldFleet) count() int {
+func (f *slowStartFleet) attemptCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return len(f.came[coldOne])
+	return len(f.attempts[restartedServer])
 }
 
-// ownKeys finds keys that the endpoint owns which starts again.
-func (f *coldFleet) ownKeys(n int) (own []string) {
+// findOwnedKeys finds keys that the endpoint owns which starts again.
+func (f *slowStartFleet) findOwnedKeys(n int) (own []string) {
 	for len(own) < n {
-		key, had := fmt.Sprintf("%x", rand.Uint64()), f.count()
+		key, had := fmt.Sprintf("%x", rand.Uint64()), f.attemptCount()
 		status, _, err := f.Agent(0).Ask(f.t.Context(), "consult", key)
 		require.NoError(f.t, err)
-		if status == http.StatusOK && f.count() > had {
+		if status == http.StatusOK && f.attemptCount() > had {
 			own = append(own, key)
 		}
 	}
@@ -64,7 +64,7 @@
 }
 
 // load has every agent asked at an even pace for one of the keys, until the test ends.
-func (f *coldFleet) load(perS int, keys func() string) {
+func (f *slowStartFleet) sendLoad(perS int, keys func() string) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var wait sync.WaitGroup
 	f.t.Cleanup(func() { cancel(); wait.Wait() })
@@ -87,16 +87,16 @@
 // Twenty-four agents have all that they are asked for owned by an endpoint that has just started. Half of them have
 // started just then, too, and know nothing of how much comes: what all of them send there together is less than it falls
 // over from, and it gets some.
-func TestWarmingUpServerUnderAFleet(t *testing.T) {
+func TestSlowStartServerUnderFleetLoad(t *testing.T) {
 	t.Parallel()
 	const agents, perS, capacity = 24, 8, 60.0 // requests a second: of each agent, and what a warm server would do
-	f := newColdFleet(t, agents)
+	f := newSlowStartFleet(t, agents)
 	ctx := t.Context()
 	require.NoError(t, f.StartAll(ctx))
-	own := f.ownKeys(12)
+	own := f.findOwnedKeys(12)
 	var mu sync.Mutex
 	hot := false
-	f.load(perS, func() string {
+	f.sendLoad(perS, func() string {
 		mu.Lock()
 		defer mu.Unlock()
 		if hot {
@@ -104,8 +104,8 @@
 		}
 		return fmt.Sprintf("%x", rand.Uint64())
 	})
-	had := f.count()
-	require.NoError(t, f.Wait(ctx, "its pace is known", func() bool { return f.count() > had+2*agents*perS/4 }))
+	had := f.attemptCount()
+	require.NoError(t, f.Wait(ctx, "its pace is known", func() bool { return f.attemptCount() > had+2*agents*perS/4 }))
 	for _, a := range f.Agents()[:agents/2] {
 		a.Kill()
 	}
@@ -118,39 +118,39 @@
 		}
 		return true
 	}))
-	f.Restarted(coldOne)
+	f.Restarted(restartedServer)
 	const takenIn = 200 * time.Millisecond
 	told := time.Now()
 	require.NoError(t, f.Wait(ctx, "it is taken in", func() bool { return time.Since(told) > takenIn }))
 	mu.Lock()
 	hot = true
 	mu.Unlock()
-	from, had := time.Now(), f.count()
-	require.NoError(t, f.Wait(ctx, "the windows are over", func() bool { return time.Since(from) > 2*coldWindow }))
+	from, had := time.Now(), f.attemptCount()
+	require.NoError(t, f.Wait(ctx, "the windows are over", func() bool { return time.Since(from) > 2*slowStartWindow }))
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	most := fullest(f.came[coldOne], from.Add(coldWindow), coldWindow)
-	t.Logf("%d in its fullest %v, %.0f at most", most, coldWindow, coldLimit(capacity))
-	require.Greater(t, len(f.came[coldOne]), had, "it gets some")
-	require.Less(t, float64(most), coldLimit(capacity))
+	most := maxInWindow(f.attempts[restartedServer], from.Add(slowStartWindow), slowStartWindow)
+	t.Logf("%d in its fullest %v, %.0f at most", most, slowStartWindow, slowStartLimit(capacity))
+	require.Greater(t, len(f.attempts[restartedServer]), had, "it gets some")
+	require.Less(t, float64(most), slowStartLimit(capacity))
 }
 
 // turns is discovery that works through calls one after the other, and refuses those that would wait too long.
-type turns struct {
-	takes  time.Duration // for one call
-	most   int           // that wait
-	mu     sync.Mutex
-	queue  int
-	served sync.Mutex // held by the call that is worked at
+type serialDiscovery struct {
+	callDuration time.Duration // for one call
+	maxQueue     int           // that wait
+	mu           sync.Mutex
+	queued       int
+	working      sync.Mutex // held by the call that is worked at
 }
 
 // answer works through an agent's call in its turn.
-func (d *turns) answer(a *lab.Agent, c *standin.Call) {
+func (d *serialDiscovery) answer(a *lab.Agent, c *standin.Call) {
 	d.mu.Lock()
-	d.queue++
-	full := d.queue > d.most
+	d.queued++
+	full := d.queued > d.maxQueue
 	if full {
-		d.queue--
+		d.queued--
 	}
 	d.mu.Unlock()
 	if full {
@@ -158,23 +158,23 @@
 		c.End()
 		return
 	}
-	d.served.Lock()
-	time.Sleep(d.takes) // its work
-	d.served.Unlock()
+	d.working.Lock()
+	time.Sleep(d.callDuration) // its work
+	d.working.Unlock()
 	a.Tell(c)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.queue--
+	d.queued--
 }
 
 // Twenty agents of a fleet of three hundred start at once and know no list, before a discovery that takes 100 ms for a
 // call, one at a time, and refuses all but six: nine in ten are ready within ten seconds, and all within thirty.
-func TestAllStartBeforeASlowDiscovery(t *testing.T) {
+func TestAgentsStartWithSlowDiscovery(t *testing.T) {
 	t.Parallel()
 	const agents, fleet, most, last = 20, 300, 10 * time.Second, 30 * time.Second
 	program, err := plainBinary()
 	require.NoError(t, err)
-	d := &turns{takes: 100 * time.Millisecond, most: 6}
+	d := &serialDiscovery{callDuration: 100 * time.Millisecond, maxQueue: 6}
 	var l *lab.Lab
 	l = lab.Open(t, lab.Options{
 		Agents: agents, Servers: 2, Program: program, Seed: 22,
--- a/cmd/dunestep/golden_test.go
+++ b/cmd/dunestep/golden_test.go
@@ -26,7 +26,7 @@
 var updateGolden = flag.Bool("update", false, "write the golden files anew")
 
 // golden compares a text with a file of testdata/golden, or writes it.
-func golden(t *testing.T, name, got string) {
+func requireGolden(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata/golden", name)
 	if *updateGolden {
@@ -71,7 +71,7 @@
 		require.Zero(t, code, errs)
 		fmt.Fprintf(&all, "# dunestep %s\n%s\n", args, usageForm(out))
 	}
-	golden(t, "command-lines.txt", all.String())
+	requireGolden(t, "command-lines.txt", all.String())
 }
 
 // What commands print for programs, and their exit codes, as of commit 3bec2d9.
@@ -119,7 +119,7 @@
 				require.NotEmpty(t, errs)
 			}
 			if c.out != "" {
-				golden(t, c.out, out)
+				requireGolden(t, c.out, out)
 			}
 		})
 	}
@@ -173,14 +173,14 @@
 	fillDistinct(reflect.ValueOf(&value).Elem(), &n)
 	text, err := json.MarshalIndent(value, "", "  ")
 	require.NoError(t, err)
-	golden(t, name, string(text))
+	requireGolden(t, name, string(text))
 	raw, err := os.ReadFile(filepath.Join("testdata/golden", name))
 	require.NoError(t, err)
 	require.NoError(t, json.Unmarshal(raw, &read))
 	require.Equal(t, value, read, "every key is read")
 	text, err = json.Marshal(*new(T))
 	require.NoError(t, err)
-	golden(t, "empty-"+name, string(text))
+	requireGolden(t, "empty-"+name, string(text))
 }
 
 func TestGoldenOpsJSON(t *testing.T) {
@@ -193,7 +193,7 @@
 }
 
 // words are the texts of values.
-func words[T fmt.Stringer](values ...T) (texts []string) {
+func stringsOf[T fmt.Stringer](values ...T) (texts []string) {
 	for _, v := range values {
 		texts = append(texts, v.String())
 	}
@@ -201,32 +201,32 @@
 }
 
 // The words that stand as values in answers at the operators' socket, as of commit 3bec2d9.
-func TestGoldenOpsWords(t *testing.T) {
+func TestGoldenOpsValues(t *testing.T) {
 	for _, c := range []struct{ want, got []string }{
 		{
 			[]string{"connected", "unsaid", "deaf"},
 			[]string{connectionWord(membership.Connected), connectionWord(membership.Unconfirmed), connectionWord(membership.Isolated)},
 		},
-		{[]string{"new", "floor", "full"}, words(lease.New, lease.Floor, lease.Full)},
+		{[]string{"new", "floor", "full"}, stringsOf(lease.New, lease.Floor, lease.Full)},
 		{
 			[]string{"unheard", "here", "doubted", "cut off on one side", "silent", "left"},
-			words(membership.Unknown, membership.Alive, membership.Suspect, membership.OneWay, membership.Silent, membership.Left),
+			stringsOf(membership.Unknown, membership.Alive, membership.Suspect, membership.OneWay, membership.Silent, membership.Left),
 		},
-		{[]string{"waiting", "taken", "not taken", "ask again"}, words(fleet.Pending, fleet.Committed, fleet.NotCommitted, fleet.Indeterminate)},
-		{[]string{"bottom", "floor", "full"}, words(policy.ModeBottom, policy.ModeFloor, policy.ModeFull)},
-		{[]string{"ask again", "taken", "not taken"}, words(policy.StatusUnknown, policy.StatusAccepted, policy.StatusRejected)},
+		{[]string{"waiting", "taken", "not taken", "ask again"}, stringsOf(fleet.Pending, fleet.Committed, fleet.NotCommitted, fleet.Indeterminate)},
+		{[]string{"bottom", "floor", "full"}, stringsOf(policy.ModeBottom, policy.ModeFloor, policy.ModeFull)},
+		{[]string{"ask again", "taken", "not taken"}, stringsOf(policy.StatusUnknown, policy.StatusAccepted, policy.StatusRejected)},
 		{
 			[]string{"planned", "draining", "drained", "free", "paused", "returning", "ended", "stopped"},
-			words(maintenance.Planned, maintenance.Draining, maintenance.Drained, maintenance.Free, maintenance.Paused, maintenance.Returning,
+			stringsOf(maintenance.Planned, maintenance.Draining, maintenance.Drained, maintenance.Free, maintenance.Paused, maintenance.Returning,
 				maintenance.Ended, maintenance.Stopped),
 		},
 		{
 			[]string{"whole", "expected", "joining", "suspect", "", "away", "gone"},
-			words(ringassignment.Complete, ringassignment.Expected, ringassignment.Joining, ringassignment.Suspect, ringassignment.Phase(4), ringassignment.Away, ringassignment.Gone),
+			stringsOf(ringassignment.Complete, ringassignment.Expected, ringassignment.Joining, ringassignment.Suspect, ringassignment.Phase(4), ringassignment.Away, ringassignment.Gone),
 		},
 		{
 			[]string{"seeking", "learning", "voting", "leading", "leaderless", "stuck", "broken"},
-			words(raftlog.Seeking, raftlog.Learning, raftlog.Voting, raftlog.Leading, raftlog.Leaderless, raftlog.Stuck,
+			stringsOf(raftlog.Seeking, raftlog.Learning, raftlog.Voting, raftlog.Leading, raftlog.Leaderless, raftlog.Stuck,
 				raftlog.Broken),
 		},
 		{[]string{"a policy takes hold: ask again in a moment", "fits"}, []string{reasonPolicyChanging, statusFits}},
--- a/cmd/dunestep/graphql_cost_test.go
+++ b/cmd/dunestep/graphql_cost_test.go
@@ -26,7 +26,7 @@
 }
 
 // flood sends requests by eight clients and returns what each cost the program.
-func (w *testbed) flood(requests int, make func(i int) *http.Request) time.Duration {
+func (w *testbed) costPerRequest(requests int, make func(i int) *http.Request) time.Duration {
 	began := w.cpu()
 	var clients sync.WaitGroup
 	for c := range 8 {
@@ -71,17 +71,17 @@
 		r.Header.Set("Content-Type", "application/json")
 		return r
 	}
-	graphQL := func(i int) *http.Request { return w.post(document, fmt.Sprintf(`{"day":"day-%d"}`, i)) }
+	graphQL := func(i int) *http.Request { return w.graphQLRequest(document, fmt.Sprintf(`{"day":"day-%d"}`, i)) }
 	var cost [2]time.Duration
 	for range 5 {
-		cost[0] += w.flood(requests, plain) / 5
-		cost[1] += w.flood(requests, graphQL) / 5
+		cost[0] += w.costPerRequest(requests, plain) / 5
+		cost[1] += w.costPerRequest(requests, graphQL) / 5
 	}
-	other := w.flood(requests, func(i int) *http.Request {
-		return w.post(strings.Replace(document, "Slots", fmt.Sprint("Slots", i), 1), "{}")
+	other := w.costPerRequest(requests, func(i int) *http.Request {
+		return w.graphQLRequest(strings.Replace(document, "Slots", fmt.Sprint("Slots", i), 1), "{}")
 	})
-	bomb := w.flood(requests, func(i int) *http.Request {
-		return w.post(fmt.Sprintf("query Q%d ", i)+strings.Repeat("{a", 4000), "{}")
+	bomb := w.costPerRequest(requests, func(i int) *http.Request {
+		return w.graphQLRequest(fmt.Sprintf("query Q%d ", i)+strings.Repeat("{a", 4000), "{}")
 	})
 	peak, now := w.memory()
 	t.Logf("processor time of a request: plain %v, GraphQL %v (%+.1f%%), by documents not seen before %v, that are bombs %v; "+
--- a/cmd/dunestep/graphql_faults_test.go
+++ b/cmd/dunestep/graphql_faults_test.go
@@ -22,28 +22,28 @@
 )
 
 // ledger is what the endpoints executed, by the tokens of operations: m-1 is a mutation's, q-2 a query's.
-type ledger struct {
-	mu       sync.Mutex
-	executed map[string]int
-	faults   int
-	kinds    map[int]int // of faults, by the numbers of troubles
+type executionLog struct {
+	mu         sync.Mutex
+	executed   map[string]int
+	faults     int
+	faultKinds map[int]int // of faults, by the numbers of troubles
 }
 
-var tokens = regexp.MustCompile(`[mq]-\d+`)
+var tokenPattern = regexp.MustCompile(`[mq]-\d+`)
 
 // execute executes what an attempt asks for, as its document or its hash says.
-func (l *ledger) execute(s upstreamAttempt) {
+func (l *executionLog) execute(s upstreamAttempt) {
 	text, _ := url.QueryUnescape(s.RequestURI)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, token := range tokens.FindAllString(s.body+text, -1) {
+	for _, token := range tokenPattern.FindAllString(s.body+text, -1) {
 		l.executed[token]++
 	}
 }
 
 // troubles is what may happen to an attempt that has reached an endpoint: whether it is executed, how long
 // the answer then takes, and what it is; $ stands for a good one.
-var troubles = []struct {
+var attemptFaults = []struct {
 	executes bool
 	wait     time.Duration
 	answer   string
@@ -71,17 +71,17 @@
 }
 
 // answer gives a quarter of the attempts one of the troubles.
-func (l *ledger) answer(s upstreamAttempt) string {
-	kind := rand.IntN(4 * len(troubles))
-	if kind >= len(troubles) {
+func (l *executionLog) answer(s upstreamAttempt) string {
+	kind := rand.IntN(4 * len(attemptFaults))
+	if kind >= len(attemptFaults) {
 		l.execute(s)
 		return ok(s)
 	}
 	l.mu.Lock()
-	l.kinds[kind]++
+	l.faultKinds[kind]++
 	l.faults++
 	l.mu.Unlock()
-	trouble := troubles[kind]
+	trouble := attemptFaults[kind]
 	if trouble.executes && kind%2 == 0 { // when the answer is late, the execution may be, too
 		l.execute(s)
 	}
@@ -102,7 +102,7 @@
 
 // disguises are the ways in which an operation of a kind may come. Mutations come among queries, by name, through
 // fragments, in words that look like queries, by their hash, and in batches.
-func disguise(way int, kind operationKind, token, other string) (body string) {
+func operationBody(way int, kind operationKind, token, other string) (body string) {
 	field := map[operationKind]string{query: "slots", mutation: "book"}[kind]
 	text := func(s string) string { raw, _ := json.Marshal(s); return string(raw) }
 	variables := fmt.Sprintf(`"variables":{"token":%q}`, token)
@@ -133,7 +133,7 @@
 func TestNoMutationRunsTwice(t *testing.T) {
 	target, _ := strconv.Atoi(os.Getenv("DUNESTEP_FAULTS"))
 	target = max(target, 400)
-	l := &ledger{executed: map[string]int{}, kinds: map[int]int{}}
+	l := &executionLog{executed: map[string]int{}, faultKinds: map[int]int{}}
 	w := newSerialTestbed(t, 8)
 	withGraphQL(`batch = "strictest"`)(w)
 	for _, class := range w.config["settings"].(object)["categories"].([]object) {
@@ -153,15 +153,15 @@
 					return
 				default:
 				}
-				w.askToken(&served, &asked)
+				w.sendOperation(&served, &asked)
 			}
 		})
 	}
-	for version, round := 100, 0; !l.done(target); round++ {
+	for version, round := 100, 0; !l.isDone(target); round++ {
 		time.Sleep(400 * time.Millisecond)
-		version = w.deployOne(version, l.answer, ending(round%3 == 2))
+		version = w.replaceOldestServer(version, l.answer, exitMode(round%3 == 2))
 		if round%4 == 1 {
-			w.restart(ending(round%8 == 1))
+			w.restart(exitMode(round%8 == 1))
 		}
 	}
 	close(done)
@@ -169,7 +169,7 @@
 	require.Zero(t, w.stop(), "exit code")
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	mutations, repeated := 0, l.repeated()
+	mutations, repeated := 0, l.repeatedQueries()
 	for token, n := range l.executed {
 		if strings.HasPrefix(token, "m-") {
 			mutations++
@@ -179,7 +179,7 @@
 	share := func(i int) float64 { return float64(served[i].Load()) / float64(asked[i].Load()) }
 	t.Logf("%d faults, %d mutations executed once each, %d queries executed again; served: %.3f of queries, %.3f of mutations",
 		l.faults, mutations, repeated, share(0), share(1))
-	require.Len(t, l.kinds, len(troubles))
+	require.Len(t, l.faultKinds, len(attemptFaults))
 	require.Greater(t, repeated, target/20)
 	if target >= 10000 { // with fewer, chance could have it otherwise
 		require.Greater(t, share(0), share(1))
@@ -188,14 +188,14 @@
 
 // done tells whether enough faults were injected, and enough queries executed again. How many are depends on how often
 // the fleet is out, so there may be several times as many faults until they are; more than that is the program's fault.
-func (l *ledger) done(target int) bool {
+func (l *executionLog) isDone(target int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.faults >= target && l.repeated() > target/20 || l.faults >= 5*target
+	return l.faults >= target && l.repeatedQueries() > target/20 || l.faults >= 5*target
 }
 
 // repeated counts the queries that were executed more than once. The lock is held.
-func (l *ledger) repeated() (n int) {
+func (l *executionLog) repeatedQueries() (n int) {
 	for token, executed := range l.executed {
 		if strings.HasPrefix(token, "q-") && executed > 1 {
 			n++
@@ -204,12 +204,12 @@
 	return n
 }
 
-// askToken sends one operation and counts whether it was served. It is not sent again: that would be another.
-func (w *testbed) askToken(served, asked *[2]atomic.Int64) {
+// sendOperation sends one operation and counts whether it was served. It is not sent again: that would be another.
+func (w *testbed) sendOperation(served, asked *[2]atomic.Int64) {
 	n := w.lastID.Add(2)
 	kind, prefix := rand.IntN(2), "qm"
 	token, other := fmt.Sprintf("%c-%d", prefix[kind], n), fmt.Sprintf("q-%d", n+1)
-	body := disguise(rand.IntN(8), []operationKind{query, mutation}[kind], token, other)
+	body := operationBody(rand.IntN(8), []operationKind{query, mutation}[kind], token, other)
 	r, err := http.NewRequest(http.MethodPost, "http://"+w.graphQLAddr+"/graphql", io.NopCloser(strings.NewReader(body)))
 	if err != nil {
 		return
@@ -232,15 +232,15 @@
 }
 
 // ending is how a process ends.
-type ending bool
+type exitMode bool
 
 const (
-	drained ending = false
-	killed  ending = true
+	drained exitMode = false
+	killed  exitMode = true
 )
 
-// deployOne replaces the oldest endpoint: it drains and goes, or dies without a word and the list follows.
-func (w *testbed) deployOne(version int, answer func(upstreamAttempt) string, how ending) int {
+// replaceOldestServer replaces the oldest endpoint: it drains and goes, or dies without a word and the list follows.
+func (w *testbed) replaceOldestServer(version int, answer func(upstreamAttempt) string, how exitMode) int {
 	old := w.servers[0]
 	next := newServer(w.t, fmt.Sprintf("s-%d", version))
 	next.setAnswer(answer)
@@ -259,7 +259,7 @@
 }
 
 // restart ends the agent, by a kill or a drain, and starts it anew with the servers of now.
-func (w *testbed) restart(how ending) {
+func (w *testbed) restart(how exitMode) {
 	if how == killed {
 		_ = w.process.Process.Signal(syscall.SIGKILL)
 		await(w.t, w.exited)
--- a/cmd/dunestep/graphql_test.go
+++ b/cmd/dunestep/graphql_test.go
@@ -35,7 +35,7 @@
 }
 
 // post is a GraphQL request as a client sends it that knows nothing of this application's headers.
-func (w *testbed) post(document, variables string, headers ...string) *http.Request {
+func (w *testbed) graphQLRequest(document, variables string, headers ...string) *http.Request {
 	query, err := json.Marshal(document)
 	require.NoError(w.t, err)
 	body := fmt.Sprintf(` {"query":%s, "variables":%s}`+"\n", query, variables)
@@ -77,7 +77,7 @@
 				return reply("200 OK", body, "Content-Type: application/graphql-response+json")
 			})
 			const accept = "application/graphql-response+json, application/json;q=0.9"
-			r := w.post(slotQuery, `{"day":"monday \u0041"}`, "Accept", accept, "Idempotency-Key", "chair-4")
+			r := w.graphQLRequest(slotQuery, `{"day":"monday \u0041"}`, "Accept", accept, "Idempotency-Key", "chair-4")
 			sent, _ := io.ReadAll(r.Body)
 			r.Body = io.NopCloser(strings.NewReader(string(sent)))
 			got := w.do(r)
@@ -97,19 +97,19 @@
 					steps[0].Header.Get("Accept"), steps[0].Header.Get("Idempotency-Key"),
 				})
 			require.Regexp(t, "^[0-9a-f]{16}$", steps[0].Header.Get("X-Correlation-Id"))
-			require.Greater(t, wait(t, steps[0]), 40000, "by the class's deadline")
+			require.Greater(t, timeLeftMS(t, steps[0]), 40000, "by the class's deadline")
 			require.Equal(t, []string{"GET", target, "", "00000000000000ab"},
 				[]string{steps[1].Method, steps[1].RequestURI, steps[1].body, steps[1].Header.Get("X-Correlation-Id")})
-			require.Less(t, wait(t, steps[1]), 30000)
+			require.Less(t, timeLeftMS(t, steps[1]), 30000)
 			require.Equal(t, 200, w.send("consult").status, "plain requests come on the front socket")
 		})
 	}
 	w := start(t, 1)
 	w.graphQLAddr = w.addr
-	require.Equal(t, 400, w.do(w.post(slotQuery, "{}")).status, "it is off by default")
+	require.Equal(t, 400, w.do(w.graphQLRequest(slotQuery, "{}")).status, "it is off by default")
 }
 
-func wait(t *testing.T, s upstreamAttempt) int {
+func timeLeftMS(t *testing.T, s upstreamAttempt) int {
 	ms, err := strconv.Atoi(s.Header.Get("X-Time-Left-Ms"))
 	require.NoError(t, err)
 	return ms
@@ -141,7 +141,7 @@
 	} {
 		before := w.attemptCount()
 		w.answerFirst(c.first, c.other)
-		got := w.do(w.post(c.document, "{}"))
+		got := w.do(w.graphQLRequest(c.document, "{}"))
 		require.Equal(t, c.status, got.status, "%v", c)
 		require.Equal(t, c.code, got.code(), got.body)
 		require.True(t, c.steps < 0 || c.steps == w.attemptCount()-before, c.document)
@@ -221,7 +221,7 @@
 		clinic := fmt.Sprintf("clinic-%d", i%8)
 		id := w.nextID()
 		before := w.attemptCount()
-		r := w.post(slotQuery, fmt.Sprintf(`{"input":{"clinic":%q},"id":%q}`, clinic, id), "X-Budget", "30000")
+		r := w.graphQLRequest(slotQuery, fmt.Sprintf(`{"input":{"clinic":%q},"id":%q}`, clinic, id), "X-Budget", "30000")
 		got := w.do(r)
 		require.Equal(t, 200, got.status)
 		require.Equal(t, 1, w.attemptCount()-before)
@@ -234,20 +234,20 @@
 	}
 	for _, s := range w.servers {
 		for _, step := range s.attempts() {
-			require.LessOrEqual(t, wait(t, step), 30000)
+			require.LessOrEqual(t, timeLeftMS(t, step), 30000)
 		}
 	}
-	for _, bad := range []*http.Request{w.post(slotQuery, `{"id":"12"}`), w.post(slotQuery, `{}`, "X-Budget", "soon")} {
+	for _, bad := range []*http.Request{w.graphQLRequest(slotQuery, `{"id":"12"}`), w.graphQLRequest(slotQuery, `{}`, "X-Budget", "soon")} {
 		got := w.do(bad)
 		require.Equal(t, "BAD_REQUEST", got.code(), "%+v; the log says %s", got, w.log.String())
 	}
 	w.answerFirst(func(upstreamAttempt) string { return reply("500 Internal Server Error", "") }, ok)
-	r := w.post("", `{}`)
+	r := w.graphQLRequest("", `{}`)
 	r.Body, r.ContentLength = io.NopCloser(strings.NewReader(`{"documentId":"slots-1"}`)), 24
 	require.Equal(t, 200, w.do(r).status, "it is a query, and repeated")
 }
 
-func TestGraphQLBadTable(t *testing.T) {
+func TestGraphQLBadConfiguration(t *testing.T) {
 	t.Parallel()
 	for lines, want := range map[string]string{
 		`safe_class = "rezervare"`:         `no class "rezervare" in the settings is safe to repeat`,
