--- a/cmd/dunestep/crossings_client_test.go
+++ b/cmd/dunestep/crossings_client_test.go
@@ -22,7 +22,7 @@
 // program in a state, they send a request in parts, delay the endpoint's answer, or wait until the kernel has received
 // data.
 
-// newRawClient is a client's connection whose bytes are written as they are.
+// rawClient is a client connection to which the test writes bytes directly.
 type rawClient struct {
 	*net.TCPConn
 	w  *testbed
--- a/cmd/dunestep/crossings_upstream_test.go
+++ b/cmd/dunestep/crossings_upstream_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// useFaultyServer has the program know one endpoint, with a fault of the wire.
+// useFaultyServer replaces the endpoint list by a single faultyServer, which has no fault.
 func useFaultyServer(t *testing.T, w *testbed) *faultyServer {
 	f := newFaultyServer(t, "")
 	w.config["known"].(object)["servers"] = []object{f.entry("active")}
--- a/cmd/dunestep/deployments_test.go
+++ b/cmd/dunestep/deployments_test.go
@@ -35,7 +35,7 @@
 		classes: []class{
 			{"summit", fragile, 30 * time.Second, 60 * time.Second, 3, 0},
 			{"orchard", dedup, 24 * time.Second, 50 * time.Second, 5, 40 * time.Second},
-			{"garden", dedup, 26 * time.Second, 65 * time.Second, 4, 0}, // whose key is forgotten at once
+			{"garden", dedup, 26 * time.Second, 65 * time.Second, 4, 0}, // keys are not retained
 			{"meadow", retryable, 28 * time.Second, 55 * time.Second, 1, 0},
 			{"glacier", fragile, 22 * time.Second, 45 * time.Second, 8, 0},
 		},
@@ -45,7 +45,7 @@
 	}
 )
 
-// words are the names of a deployment.
+// allNames returns the names that a deployment uses: of zone, machine kind, endpoints, tenants and classes.
 func (d deployment) allNames() []string {
 	all := append([]string{d.zone, d.kind, d.idPrefix}, d.tenants...)
 	for _, c := range d.classes {
@@ -54,29 +54,29 @@
 	return all
 }
 
-// requestFor is a request of a class for a tenant, whose client waits for a minute longer than any class does.
+// requestFor returns a request of a class for a tenant. Its time left is about a minute longer than any class's deadline.
 func (w *testbed) requestFor(class, tenant string) *http.Request {
 	r := w.request(class, 120_000)
 	r.Header.Set("X-Account", tenant)
-	r.Header.Set("Cookie", "sid="+w.nextID()) // so that all endpoints get some
+	r.Header.Set("Cookie", "sid="+w.nextID()) // so that the requests go to all endpoints
 	return r
 }
 
-// requireKeysForwarded looks that every step has the key that its request had, which is none but where the class has keys.
+// requireKeysForwarded checks that every attempt carries its request's idempotency key, or none if the class uses no keys.
 func (w *testbed) requireKeysForwarded() {
 	w.t.Helper()
 	for _, s := range w.servers {
-		for _, st := range s.attempts() {
-			name, key := strings.Split(st.URL.Path, "/")[1], ""
+		for _, attempt := range s.attempts() {
+			name, key := strings.Split(attempt.URL.Path, "/")[1], ""
 			if w.deployment.classNamed(name).effect == dedup {
-				key = "key of " + st.Header.Get("X-Correlation-Id")
+				key = "key of " + attempt.Header.Get("X-Correlation-Id")
 			}
-			require.Equal(w.t, key, st.Header.Get("Idempotency-Key"), name)
+			require.Equal(w.t, key, attempt.Header.Get("Idempotency-Key"), name)
 		}
 	}
 }
 
-// requireAllServed has a request of every class served for every tenant.
+// requireAllServed checks that a request of every class is served for every tenant.
 func (w *testbed) requireAllServed(site deployment) {
 	w.t.Helper()
 	for _, c := range site.classes {
@@ -89,7 +89,8 @@
 	}
 }
 
-// requireAllUnknown has every class of a deployment rejected as unknown, with no word of it forwarded.
+// requireAllUnknown checks that requests of every class of a deployment are rejected as of an unknown class, and that none
+// is forwarded.
 func (w *testbed) requireAllUnknown(site deployment) {
 	w.t.Helper()
 	before := w.attemptCount()
@@ -97,28 +98,28 @@
 		got := w.do(w.requestFor(c.name, site.tenants[0]))
 		require.Equal(w.t, answer{http.StatusBadRequest, "unknown class\n", got.header}, got, c.name)
 	}
-	require.Equal(w.t, before, w.attemptCount(), "sent on")
+	require.Equal(w.t, before, w.attemptCount(), "no request was forwarded")
 }
 
-// The same is asked of two deployments that have nothing in common: what an agent does goes by its settings alone.
+// The same checks pass for two deployments that have nothing in common: an agent's behaviour depends on its settings only.
 func TestDeployments(t *testing.T) {
 	t.Parallel()
 	for name, pair := range map[string][2]deployment{"coast": {coast, hills}, "hills": {hills, coast}} {
 		site, other := pair[0], pair[1]
-		for what, look := range map[string]func(*testbed){
+		for check, run := range map[string]func(*testbed){
 			"served": func(w *testbed) {
 				w.requireAllServed(site)
 				for _, s := range w.servers {
-					for _, st := range s.attempts() {
-						c := site.classNamed(strings.Split(st.URL.Path, "/")[1])
-						require.Equal(w.t, map[bool]string{true: "GET", false: "POST"}[c.effect == retryable], st.Method)
-						told, err := strconv.Atoi(st.Header.Get("X-Time-Left-Ms"))
+					for _, attempt := range s.attempts() {
+						c := site.classNamed(strings.Split(attempt.URL.Path, "/")[1])
+						require.Equal(w.t, map[bool]string{true: "GET", false: "POST"}[c.effect == retryable], attempt.Method)
+						timeLeft, err := strconv.Atoi(attempt.Header.Get("X-Time-Left-Ms"))
 						require.NoError(w.t, err)
-						require.LessOrEqual(w.t, time.Duration(told)*time.Millisecond, c.deadline, c.name)
+						require.LessOrEqual(w.t, time.Duration(timeLeft)*time.Millisecond, c.deadline, c.name)
 					}
 				}
 			},
-			"keys": func(w *testbed) {
+			"idempotency keys": func(w *testbed) {
 				for _, c := range site.classes {
 					w.answerFirst(func(upstreamAttempt) string { return reply("503 No", "", "X-Unprocessed: 1") }, ok)
 					require.Equal(w.t, http.StatusOK, w.do(w.requestFor(c.name, site.tenants[0])).status, c.name)
@@ -126,20 +127,20 @@
 				require.Equal(w.t, 2*len(site.classes), w.attemptCount())
 				w.requireKeysForwarded()
 			},
-			"unknown": func(w *testbed) { w.requireAllUnknown(other); w.requireAllServed(site) },
+			"unknown classes": func(w *testbed) { w.requireAllUnknown(other); w.requireAllServed(site) },
 			"may have run": func(w *testbed) {
 				for _, c := range site.classes {
 					w.answerFirst(func(upstreamAttempt) string { return hangUp }, ok)
 					before := w.attemptCount()
 					got := w.do(w.requestFor(c.name, site.tenants[0]))
-					status, steps := http.StatusOK, 2
+					status, attempts := http.StatusOK, 2
 					if c.effect == fragile || c.effect == dedup && c.keyRetention == 0 {
-						status, steps = http.StatusBadGateway, 1
+						status, attempts = http.StatusBadGateway, 1
 					}
-					require.Equal(w.t, []int{status, steps}, []int{got.status, w.attemptCount() - before}, c.name)
+					require.Equal(w.t, []int{status, attempts}, []int{got.status, w.attemptCount() - before}, c.name)
 				}
 			},
-			"refused": func(w *testbed) {
+			"rejected": func(w *testbed) {
 				w.answerAll(func(upstreamAttempt) string { return reply("503 Service Unavailable", "", "X-Unprocessed: 1") })
 				for _, c := range site.classes {
 					before := w.attemptCount()
@@ -166,24 +167,24 @@
 				drains.told(w.servers[1], 0)
 				w.discovery.say(list(42, false, w.servers[1].entry("leaving")))
 				drains.hold()
-				require.Empty(w.t, w.servers[0].attempts(), "it drained from the start on")
+				require.Empty(w.t, w.servers[0].attempts(), "the endpoint was draining from the start")
 			},
 		} {
-			t.Run(name+"/"+what, func(t *testing.T) {
+			t.Run(name+"/"+check, func(t *testing.T) {
 				t.Parallel()
-				// A failure counts as an answer near the aim, and no further attempt goes to a server that slow: there are
-				// more than fail here.
+				// A failure counts as an answer that takes about the latency objective, and the balancer makes no attempt
+				// at a server that slow. So there are more servers than failures.
 				w := newDeploymentTestbed(t, site, 8)
-				if what == "drains" {
+				if check == "drains" {
 					w.config["known"] = object{"version": 41, "full": true, "servers": w.entries(w.servers[0])}
 				}
-				look(w.start())
+				run(w.start())
 			})
 		}
 	}
 }
 
-// transcript is all that an agent says to anybody: in answers, to endpoints, at its operators' socket and in its log.
+// transcript collects an agent's output: answers, forwarded requests, responses of its operators' socket, and its log.
 type transcript struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -195,13 +196,13 @@
 	fmt.Fprintln(&s.text, what...)
 }
 
-// show notes what a testbed's agent has said so far beside its answers.
+// addOutput adds the output of a testbed's agent so far, except its answers.
 func (s *transcript) addOutput(w *testbed) {
 	for _, server := range w.servers {
-		for _, st := range server.attempts() {
-			head, err := httputil.DumpRequest(st.Request, false)
+		for _, attempt := range server.attempts() {
+			head, err := httputil.DumpRequest(attempt.Request, false)
 			require.NoError(w.t, err)
-			s.add(string(head), st.body)
+			s.add(string(head), attempt.body)
 		}
 	}
 	for _, path := range []string{"/ops/stats", "/ops/readiness"} {
@@ -211,25 +212,26 @@
 	s.add(w.log.String())
 }
 
-// none looks that nothing of a deployment was said.
+// requireNoNameOf checks that the output contains no name of a deployment.
 func (s *transcript) requireNoNameOf(t *testing.T, of deployment) {
 	t.Helper()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, word := range of.allNames() {
-		require.NotContains(t, s.text.String(), word)
+	for _, name := range of.allNames() {
+		require.NotContains(t, s.text.String(), name)
 	}
 }
 
-// asks asks for classes of its own, and of another deployment, where the first attempt meets answers of all kinds.
+// sendAllCombinations sends requests of all classes of both deployments for all tenants of its own, with each kind of answer
+// to the first attempt. It adds the answers to the transcript.
 func (w *testbed) sendAllCombinations(s *transcript, own, other deployment) {
-	for _, meets := range []func(upstreamAttempt) string{
+	for _, answer := range []func(upstreamAttempt) string{
 		ok, func(upstreamAttempt) string { return reply("500 No", "") },
 		func(upstreamAttempt) string { return reply("503 No", "", "X-Unprocessed: 1") }, func(upstreamAttempt) string { return hangUp },
 	} {
 		for _, c := range slices.Concat(own.classes, other.classes) {
 			for _, tenant := range own.tenants {
-				w.answerFirst(meets, ok)
+				w.answerFirst(answer, ok)
 				got := w.do(w.requestFor(c.name, tenant))
 				s.add(got.status, got.header, got.body)
 			}
@@ -237,7 +239,7 @@
 	}
 }
 
-// requireStatsOf looks that the figures are those of a deployment's classes.
+// requireStatsOf checks that the agent's statistics have exactly a deployment's classes.
 func (w *testbed) requireStatsOf(site deployment) {
 	w.t.Helper()
 	var want, got []string
@@ -250,100 +252,100 @@
 	require.ElementsMatch(w.t, want, got)
 }
 
-// Two agents of one name that share a machine and a folder, each with settings of its own, know nothing of each other:
-// neither what was asked of the other one nor what staff told it.
+// Two agents with the same name and temporary folder run on one machine, each with its own settings. Neither is affected
+// by the other one's requests or by operators' commands to it.
 func TestAgentsSideBySideShareNothing(t *testing.T) {
 	t.Parallel()
 	sites := [2]deployment{coast, hills}
-	var worlds [2]*testbed
+	var testbeds [2]*testbed
 	folder := t.TempDir()
 	for i, site := range sites {
-		worlds[i] = newDeploymentTestbed(t, site, 3)
-		worlds[i].tempDir = folder
-		worlds[i].start(door)
-		if i == 0 { // before the other one begins
-			worlds[0].yes("POST", "/ops/booking-servers/down", worlds[0].servers[2].id)
-			worlds[0].yes("POST", "/ops/drain/start", "")
+		testbeds[i] = newDeploymentTestbed(t, site, 3)
+		testbeds[i].tempDir = folder
+		testbeds[i].start(door)
+		if i == 0 { // before the other agent starts
+			testbeds[0].yes("POST", "/ops/booking-servers/down", testbeds[0].servers[2].id)
+			testbeds[0].yes("POST", "/ops/drain/start", "")
 		}
 	}
-	require.Equal(t, http.StatusOK, worlds[1].readyStatus(), "clients of the other one were sent away")
-	require.Zero(t, worlds[1].stats().Ejected)
-	require.NotContains(t, worlds[1].log.String(), "taking over")
-	worlds[0].yes("POST", "/ops/drain/stop", "")
+	require.Equal(t, http.StatusOK, testbeds[1].readyStatus(), "the drain of the other agent does not affect this one")
+	require.Zero(t, testbeds[1].stats().Ejected)
+	require.NotContains(t, testbeds[1].log.String(), "taking over")
+	testbeds[0].yes("POST", "/ops/drain/stop", "")
 	var all sync.WaitGroup
-	var said [2]transcript
-	for i, w := range worlds {
-		all.Go(func() { w.sendAllCombinations(&said[i], sites[i], sites[1-i]) })
+	var transcripts [2]transcript
+	for i, w := range testbeds {
+		all.Go(func() { w.sendAllCombinations(&transcripts[i], sites[i], sites[1-i]) })
 	}
 	all.Wait()
-	for i, w := range worlds {
+	for i, w := range testbeds {
 		w.requireStatsOf(sites[i])
-		said[i].addOutput(w)
-		said[i].requireNoNameOf(t, sites[1-i])
+		transcripts[i].addOutput(w)
+		transcripts[i].requireNoNameOf(t, sites[1-i])
 	}
 }
 
-// An agent that is told to read the configuration again, and finds another deployment's, goes on with the settings
-// that it has, whose classes alone it knows; a process that takes over from it has those of the file alone.
+// An agent that reloads the configuration of another deployment keeps its own settings, and still knows only the classes
+// of these. A process that takes over from it uses only the settings of the file.
 func TestReloadIgnoresSettingsOfAnotherDeployment(t *testing.T) {
 	t.Parallel()
 	w := newDeploymentTestbed(t, coast, 3)
 	w.start(door)
 	w.until("watch", func() bool { return w.discovery.watched() == 1 })
-	var said, next transcript
+	var output, successorOutput transcript
 	own, limits := w.config["settings"], w.config["limits"]
-	for round, with := range []any{hills.settings(), own, hills.settings()} {
-		w.config["settings"] = with
+	for round, settings := range []any{hills.settings(), own, hills.settings()} {
+		w.config["settings"] = settings
 		w.config["limits"] = object{"cores": 1.0, "memory_mb": 160 + round, "sockets": 900 + round}
 		w.configure()
 		require.NoError(t, w.process.Process.Signal(syscall.SIGHUP))
-		w.until("taken over", func() bool {
+		w.until("configuration applied", func() bool {
 			return strings.Contains(w.log.String(), fmt.Sprintf("memory_mb=%d sockets=%d", 160+round, 900+round))
 		})
 		w.requireAllUnknown(hills)
-		w.sendAllCombinations(&said, coast, hills)
+		w.sendAllCombinations(&output, coast, hills)
 		w.requireStatsOf(coast)
 	}
-	said.addOutput(w)
-	said.requireNoNameOf(t, hills)
+	output.addOutput(w)
+	output.requireNoNameOf(t, hills)
 	w.config["limits"] = limits
 
-	inherits := w.another()
-	inherits.deployment = hills
-	inherits.servers = nil
+	successor := w.another()
+	successor.deployment = hills
+	successor.servers = nil
 	var entries []object
 	for i := range 3 {
 		s := newServer(t, fmt.Sprint(hills.idPrefix, i))
 		s.zone, s.kind = hills.zone, hills.kind
-		inherits.servers, entries = append(inherits.servers, s), append(entries, s.entry("active"))
+		successor.servers, entries = append(successor.servers, s), append(entries, s.entry("active"))
 	}
 	w.config["known"] = object{"version": 7, "full": true, "servers": entries}
-	inherits.launch()
-	inherits.until("ready", func() bool {
-		resp, err := http.Get("http://" + inherits.opsAddr + "/ops/readiness")
+	successor.launch()
+	successor.until("ready", func() bool {
+		resp, err := http.Get("http://" + successor.opsAddr + "/ops/readiness")
 		if err == nil {
 			_ = resp.Body.Close()
 		}
 		return err == nil && resp.StatusCode == http.StatusOK
 	})
 	require.Zero(t, w.stop())
-	inherits.requireAllServed(hills)
-	inherits.requireAllUnknown(coast)
-	inherits.sendAllCombinations(&next, hills, coast)
-	inherits.requireStatsOf(hills)
-	next.addOutput(inherits)
-	next.requireNoNameOf(t, coast)
-	require.Zero(t, inherits.stop())
+	successor.requireAllServed(hills)
+	successor.requireAllUnknown(coast)
+	successor.sendAllCombinations(&successorOutput, hills, coast)
+	successor.requireStatsOf(hills)
+	successorOutput.addOutput(successor)
+	successorOutput.requireNoNameOf(t, coast)
+	require.Zero(t, successor.stop())
 }
 
-// What an agent has learned is its deployment's of the start, whatever the operator file calls it since: a process
-// that takes over under the new name begins without.
+// An agent's state belongs to the deployment that the operator file named at its start, although a reload changed the
+// name. A process that takes over under the new name does not restore the state.
 func TestStateIsNotRestoredForAnotherDeployment(t *testing.T) {
 	w := start(t, 2, door, func(w *testbed) { w.operatorFile = "[state]\ndeployment = \"coast\"\n" })
 	w.operatorFile = "[state]\ndeployment = \"hills\"\n"
 	w.configure()
 	require.NoError(t, w.process.Process.Signal(syscall.SIGHUP))
-	w.until("taken over", func() bool { return strings.Contains(w.log.String(), "configuration applied") })
+	w.until("configuration applied", func() bool { return strings.Contains(w.log.String(), "configuration applied") })
 	next := w.upgrade()
 	require.Contains(t, next.log.String(), `msg="state not restored" error="state: belongs to another agent or another deployment"`)
 	require.NotContains(t, next.log.String(), `msg="state restored"`)
--- a/cmd/dunestep/discovery_test.go
+++ b/cmd/dunestep/discovery_test.go
@@ -12,15 +12,15 @@
 	"dunestep/internal/standin"
 )
 
-// discovery is the service of that name, on a stand-in's socket. Until told otherwise it accepts watches and says
-// nothing but the empty lines.
+// discovery is a simulated discovery service. By default it accepts watches and sends only empty lines on them, as
+// keepalives.
 type discovery struct {
 	addr              string
 	mu                sync.Mutex
 	status            int
-	withoutKeepalives bool          // no empty lines
-	news              string        // that a watch begins with
-	turn              time.Duration // that a call waits for
+	withoutKeepalives bool          // send no empty lines
+	news              string        // first text on each new watch
+	turn              time.Duration // delay before a call is answered
 	calls             []string
 	watches           map[*standin.Call]bool
 }
@@ -40,7 +40,7 @@
 	d.calls = append(d.calls, c.Target)
 	c.Mute = d.withoutKeepalives
 	switch d.status {
-	case 0: // not answered at all
+	case 0: // send no response
 	case http.StatusOK:
 		if d.turn == 0 {
 			d.beginWatch(c)
@@ -57,7 +57,7 @@
 	}
 }
 
-// begin takes a watch up; mu is held.
+// beginWatch accepts a watch. The caller holds mu.
 func (d *discovery) beginWatch(c *standin.Call) {
 	d.watches[c] = true
 	c.Begin(http.StatusOK)
@@ -70,29 +70,31 @@
 	delete(d.watches, c)
 }
 
+// set sets how later calls are answered. Status 0: no response; mute: watches get no empty lines.
 func (d *discovery) set(status int, mute bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.status, d.withoutKeepalives = status, mute
 }
 
+// called returns the request targets of all calls so far.
 func (d *discovery) called() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return append([]string(nil), d.calls...)
 }
 
-// watched tells how many watches are open.
+// watched returns how many watches are open.
 func (d *discovery) watched() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.watches)
 }
 
-// say writes a line on the open watches.
+// say writes a line to the open watches.
 func (d *discovery) say(line string) { d.write(line + "\n") }
 
-// write writes text as it is on the open watches.
+// write writes text unchanged to the open watches.
 func (d *discovery) write(text string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -101,14 +103,14 @@
 	}
 }
 
-// begins has every watch from now on begin with a text.
+// begins sets the text that is sent first on each later watch.
 func (d *discovery) begins(with string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.news = with
 }
 
-// hush has the open watches fall silent.
+// hush stops the empty lines on the open watches.
 func (d *discovery) hush() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -127,7 +129,7 @@
 	}
 }
 
-// list is an object of discovery's.
+// list returns an endpoint list update in JSON, as discovery sends it.
 func list(version int, full bool, entries ...object) string {
 	raw, _ := json.Marshal(object{"version": version, "full": full, "servers": entries})
 	return string(raw)
--- a/cmd/dunestep/earlierbuild_test.go
+++ b/cmd/dunestep/earlierbuild_test.go
@@ -14,11 +14,12 @@
 	"dunestep/internal/rehearsal/lab"
 )
 
-// beforeRenaming is the last commit before the code was renamed to the field's terms. What its build writes has to stay
-// readable, and what this one writes readable to it.
+// beforeRenaming is the last commit before most identifiers were renamed. Each of the two builds must be able to read the
+// data that the other one writes.
 const beforeRenaming = "3bec2d9"
 
-// buildOfCommit builds the program of an earlier commit, which takes a repository. The test is skipped without one.
+// buildOfCommit builds the program of an earlier commit and returns its path. Without a git repository that has the commit,
+// the test is skipped.
 func buildOfCommit(t *testing.T, commit string) (path string) {
 	t.Helper()
 	tree := t.TempDir()
@@ -27,14 +28,15 @@
 		"cd " + tree + " && go build -o earlier ./cmd/dunestep",
 	} {
 		if out, err := exec.CommandContext(t.Context(), "sh", "-c", c).CombinedOutput(); err != nil {
-			t.Skipf("the earlier build can't be had: %v: %s", err, out)
+			t.Skipf("the earlier commit cannot be built: %v: %s", err, out)
 		}
 	}
 	return filepath.Join(tree, "earlier")
 }
 
-// An upgrade from the earlier build to this one and back, under load: nothing is lost or rejected, no booking runs twice,
-// and a disabled endpoint stays disabled. Long, and from a repository alone: LONG_TESTS.
+// Upgrades from the earlier build to this one and back under load lose and reject no request and execute no booking twice,
+// and an endpoint that an operator disabled stays disabled. The test is long and needs a git repository: it runs only with
+// LONG_TESTS.
 func TestUpgradeFromEarlierBuildAndBack(t *testing.T) {
 	if os.Getenv("LONG_TESTS") == "" {
 		t.Skip("LONG_TESTS is not set")
@@ -44,28 +46,28 @@
 	l := w.load(8)
 	w.until("load", func() bool { return l.ok.Load() > 50 })
 	w.yes("POST", "/ops/booking-servers/down", "s-0")
-	now, program := w, ""
+	current, program := w, ""
 	for range 2 {
-		next := now.another()
+		next := current.another()
 		next.program = program
 		next.launch()
 		next.untilReady()
-		require.Zero(t, now.stop(), now.log.String())
-		now, program = next, earlier
+		require.Zero(t, current.stop(), current.log.String())
+		current, program = next, earlier
 		attemptsBefore := len(w.servers[0].attempts())
 		goal := l.ok.Load() + 100
-		w.until("it goes on", func() bool { return l.ok.Load() > goal })
-		require.Len(t, w.servers[0].attempts(), attemptsBefore, "a disabled endpoint gets nothing")
-		require.Equal(t, 1, now.stats().Ejected)
+		w.until("100 more requests are served", func() bool { return l.ok.Load() > goal })
+		require.Len(t, w.servers[0].attempts(), attemptsBefore, "a disabled endpoint gets no attempts")
+		require.Equal(t, 1, current.stats().Ejected)
 	}
 	l.end()
 	l.none(t)
 	w.once()
-	require.Zero(t, now.stop())
+	require.Zero(t, current.stop())
 }
 
-// A state folder that the earlier build has written is restored by this one, and the other way round.
-// Long, and from a repository alone: LONG_TESTS.
+// This build restores a state folder that the earlier build has written, and vice versa. The test is long and needs a git
+// repository: it runs only with LONG_TESTS.
 func TestStateOfEarlierBuildAndBack(t *testing.T) {
 	if os.Getenv("LONG_TESTS") == "" {
 		t.Skip("LONG_TESTS is not set")
@@ -86,7 +88,7 @@
 		w.program = program
 		w.again()
 		w.until("restored", func() bool { return strings.Contains(w.log.String(), restored) })
-		w.until("from the version that it had", func() bool {
+		w.until("watch from the restored version", func() bool {
 			calls := w.discovery.called()
 			return strings.HasSuffix(calls[len(calls)-1], "from=77")
 		})
@@ -98,8 +100,8 @@
 	}
 }
 
-// Voters' folders that the earlier build has written are read by this one, and the other way round: what was agreed on
-// holds, in the same log. Long, and from a repository alone: LONG_TESTS.
+// This build reads the voters' folders that the earlier build has written, and vice versa: committed commands stay in force
+// and the log's epoch stays the same. The test is long and needs a git repository: it runs only with LONG_TESTS.
 func TestVoterFoldersOfEarlierBuildAndBack(t *testing.T) {
 	if os.Getenv("LONG_TESTS") == "" {
 		t.Skip("LONG_TESTS is not set")
@@ -121,7 +123,7 @@
 	ctx := t.Context()
 	isDisabled := isDown("s-0")
 	isEnabled := func(a *lab.Agent, s fleetStatus) bool { return full(a, s) && !isDisabled(a, s) }
-	runs := []struct { // by the earlier build, this one, the earlier one
+	runs := []struct { // of the earlier build, this one, the earlier one
 		holds   func(*lab.Agent, fleetStatus) bool
 		command string
 	}{{full, "down"}, {isDisabled, "up"}, {isEnabled, "down"}}
@@ -129,10 +131,10 @@
 	for i, run := range runs {
 		require.NoError(t, l.StartAll(ctx))
 		require.NoError(t, l.Wait(ctx, "leases", all(l, full)))
-		require.NoError(t, l.Wait(ctx, "what was agreed holds", all(l, run.holds)))
+		require.NoError(t, l.Wait(ctx, "the previous run's commands are in force", all(l, run.holds)))
 		status := statusAt(l.Agent(3))
 		if i > 0 {
-			require.Equal(t, epoch, status.Epoch, "the log goes on")
+			require.Equal(t, epoch, status.Epoch, "the log has the same epoch")
 		}
 		epoch = status.Epoch
 		text, err := fleetCommand(t, l.Agent(3), run.command, "s-0")
--- a/cmd/dunestep/faults_test.go
+++ b/cmd/dunestep/faults_test.go
@@ -16,7 +16,8 @@
 	"dunestep/internal/standin"
 )
 
-// faulty is an endpoint whose first answer has a fault of the wire; it forgets a connection where it is told.
+// faultyServer is an endpoint whose first answer has a wire fault. After scenario.Forgets it answers no further request on
+// that connection.
 type faultyServer struct {
 	*standin.Server
 	fault       scenario.Fault
@@ -31,7 +32,7 @@
 		Opened: func(*standin.Conn) { f.connections.Add(1) },
 		Came: func(c *standin.Conn, r *http.Request, body []byte) {
 			n := f.requests.Add(1)
-			if c.Handle != nil { // the connection is forgotten
+			if c.Handle != nil { // after scenario.Forgets
 				return
 			}
 			if n > 1 {
@@ -47,15 +48,15 @@
 	return f
 }
 
-// What the program makes of each fault of the wire at the only endpoint there is: what is passed on, what is
-// refused because nothing can have run, what fails because something may have, and whether the connection is used
-// again. A request after it is served by its own answer.
+// Each wire fault occurs once, at the only endpoint. The client gets the endpoint's answer, a 503 where the request cannot
+// have been executed, or a 502 where it may have been. Only a connection in a known state is reused. A later request is
+// served with its own answer.
 func TestWireFaults(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		fault  scenario.Fault
-		unsafe int  // what the client of an unsafe request sees
-		again  bool // the connection is used again
+		unsafe int  // status that the client of an unsafe request gets
+		reused bool // the connection is reused
 	}{
 		{"", 200, true},
 		{scenario.NoAccept, 503, false},
@@ -83,36 +84,36 @@
 			switch c.fault {
 			case scenario.NoAccept:
 				require.NoError(t, f.Mute())
-				w.until("there is no room for a connection", f.Full)
+				w.until("the accept queue is full", f.Full)
 			case scenario.SlowReader:
 				f.ReadSlowly(10 * time.Millisecond)
 			}
-			ask := func() (answer, string) {
-				body := strings.Repeat("b", 60<<10) // more than fits into a read
+			send := func() (answer, string) {
+				body := strings.Repeat("b", 60<<10) // more than one read returns
 				r := w.request("rezervare", 900)
 				r.Body, r.ContentLength = io.NopCloser(strings.NewReader(body)), int64(len(body))
 				return w.do(r), r.Header.Get("X-Correlation-Id") + fmt.Sprint(" ", len(body))
 			}
-			got, own := ask()
+			got, want := send()
 			require.Equal(t, c.unsafe, got.status, got.body)
 			if c.unsafe == 200 {
-				require.Equal(t, own, got.body)
+				require.Equal(t, want, got.body)
 			}
 			if c.fault != scenario.NoAccept {
-				require.EqualValues(t, 1, f.requests.Load(), "what may have run is not sent again")
+				require.EqualValues(t, 1, f.requests.Load(), "a request that may have been executed is not retried")
 			}
 			require.NoError(t, f.Accept())
-			if c.fault == scenario.Forgets { // nothing tells of it but the time that the next one takes
-				got, _ = ask()
+			if c.fault == scenario.Forgets { // the agent detects it only when the next request times out
+				got, _ = send()
 				require.Equal(t, 502, got.status)
 			}
-			w.until("served again, by its own answer", func() bool {
-				if got, own = ask(); got.status == 200 {
-					require.Equal(t, own, got.body, "not that of another")
+			w.until("served again", func() bool {
+				if got, want = send(); got.status == 200 {
+					require.Equal(t, want, got.body, "the answer belongs to this request")
 				}
 				return got.status == 200
 			})
-			if c.again && c.fault != scenario.Forgets {
+			if c.reused && c.fault != scenario.Forgets {
 				require.EqualValues(t, 1, f.connections.Load())
 			} else if c.fault != scenario.NoAccept {
 				require.Greater(t, f.connections.Load(), int32(1))
@@ -121,32 +122,32 @@
 	}
 }
 
-// A client that leaves while its request's connection is still to come up has nobody ask the endpoint any more:
-// the wish to connect is given up, and what comes up later carries the next request only.
+// Clients disconnect while the agent connects to the endpoint for their requests. Nothing is forwarded for them: the
+// connection attempts are abandoned, and a connection that is established later carries the next request only.
 func TestNothingIsForwardedForDisconnectedClients(t *testing.T) {
 	f := newFaultyServer(t, "")
 	w := newTestbed(t, 0)
 	w.useLongTimeouts()
 	rules := w.config["settings"].(object)["rules"].(object)
-	rules["stopSendingWithin"] = 60000000 // a connection is waited for half of that at the most
+	rules["stopSendingWithin"] = 60000000 // the agent waits for a connection at most half as long
 	w.config["known"].(object)["servers"] = []object{{
 		"id": "s-0", "addr": f.Addr(), "zone": "a", "kind": "rapid", "cell": 1,
 		"state": "active", "weight": 1.0,
 	}}
 	w.start()
 	require.NoError(t, f.Mute())
-	w.until("there is no room for a connection", f.Full)
+	w.until("the accept queue is full", f.Full)
 	var clients []net.Conn
 	for _, head := range []string{"GET /consult", "POST /rezervare"} {
 		clients = append(clients, w.sendRaw(fmt.Sprintf("%s HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: %s\r\nX-Time-Left-Ms: 20000\r\nContent-Length: 0\r\n\r\n", head, w.nextID())))
 	}
-	w.until("both wait for a connection", func() bool { return countConnecting(t, w.process.Process.Pid) == 2 })
+	w.until("both requests wait for a connection", func() bool { return countConnecting(t, w.process.Process.Pid) == 2 })
 	for _, c := range clients {
 		require.NoError(t, c.Close())
 	}
-	require.NoError(t, f.Accept()) // what is still waited for comes up when the system tries again
-	w.until("nothing is waited for", func() bool { return countConnecting(t, w.process.Process.Pid) == 0 })
+	require.NoError(t, f.Accept()) // pending connections are established when the kernel retransmits
+	w.until("no connection is pending", func() bool { return countConnecting(t, w.process.Process.Pid) == 0 })
 	r := w.request("consult", 20000)
 	require.Equal(t, r.Header.Get("X-Correlation-Id")+" 0", w.do(r).body)
-	require.EqualValues(t, 1, f.requests.Load(), "and nothing of those that left")
+	require.EqualValues(t, 1, f.requests.Load(), "nothing was forwarded for the disconnected clients")
 }
--- a/cmd/dunestep/fleet_test.go
+++ b/cmd/dunestep/fleet_test.go
@@ -19,7 +19,7 @@
 	"dunestep/internal/rehearsal/mishap"
 )
 
-// durability tells where voters of a test keep their log.
+// durability is where the voters of a test store their log.
 type durability bool
 
 const (
@@ -27,8 +27,8 @@
 	inFolders durability = true
 )
 
-// newFleetLab is a lab whose agents take part in a fleet, of which the first three are voters.
-func newFleetLab(t *testing.T, agents int, keeps durability) *lab.Lab {
+// newFleetLab returns a lab whose agents form a fleet. The first three agents are voters.
+func newFleetLab(t *testing.T, agents int, stores durability) *lab.Lab {
 	t.Helper()
 	t.Parallel()
 	program, err := plainBinary()
@@ -36,7 +36,7 @@
 	folders := t.TempDir()
 	return lab.Open(t, lab.Options{Agents: agents, Program: program, Ops: true, Seed: 7, Shape: func(c *lab.Config) {
 		c.Operator = "[fleet]\non = true\nvoters = [0, 1, 2]\nlease_ms = 2000\nheard_ms = 500\n"
-		if keeps == inFolders {
+		if stores == inFolders {
 			folder := filepath.Join(folders, fmt.Sprint(c.Agent))
 			require.NoError(t, os.MkdirAll(folder, 0o700))
 			c.Operator += fmt.Sprintf("folder = %q\n", folder)
@@ -44,7 +44,7 @@
 	}})
 }
 
-// statusAt is what an agent says of the fleet; a zero one if it says nothing.
+// statusAt returns the fleet status that an agent reports, or a zero status if it does not respond.
 func statusAt(a *lab.Agent) (s fleetStatus) {
 	resp, err := http.Get("http://" + a.Ops + "/ops/fleet/status")
 	if err != nil {
@@ -56,7 +56,7 @@
 	return s
 }
 
-// fleetCommand runs a fleet command at an agent's door.
+// fleetCommand runs a fleet command at an agent's operators' socket. It returns the output and the exit error.
 func fleetCommand(t *testing.T, a *lab.Agent, args ...string) (string, error) {
 	t.Helper()
 	program, err := plainBinary()
@@ -69,6 +69,7 @@
 	return out.String(), err
 }
 
+// leader returns an agent that reports that it is the leader, or nil.
 func leader(l *lab.Lab) *lab.Agent {
 	for _, a := range l.Agents() {
 		if s := statusAt(a); s.Voter != nil && s.Voter.Phase == "leading" {
@@ -78,6 +79,7 @@
 	return nil
 }
 
+// all returns a condition: is holds for every agent and its status.
 func all(l *lab.Lab, is func(a *lab.Agent, s fleetStatus) bool) func() bool {
 	return func() bool {
 		for _, a := range l.Agents() {
@@ -89,8 +91,10 @@
 	}
 }
 
+// full reports whether an agent has a lease and applies all that the fleet has agreed on.
 func full(_ *lab.Agent, s fleetStatus) bool { return s.Standing == "full" }
 
+// isDown returns a condition: the agent's status has the endpoint taken down.
 func isDown(id string) func(*lab.Agent, fleetStatus) bool {
 	return func(_ *lab.Agent, s fleetStatus) bool {
 		for _, o := range s.Commands {
@@ -102,8 +106,8 @@
 	}
 }
 
-// An endpoint that is taken out for the fleet gets nothing more at any agent once the command says so: also with
-// three datagrams in ten lost, doubled and late, and with an agent that was down meanwhile, when it comes back.
+// Once the command that takes an endpoint down has returned, no agent sends requests to it. This includes an agent that did
+// not run meanwhile, once it has restarted. Of the datagrams, 30 % are lost and 20 % duplicated.
 func TestFleetCommand(t *testing.T) {
 	l := newFleetLab(t, 5, inMemory)
 	ctx := t.Context()
@@ -117,7 +121,7 @@
 	require.Contains(t, text, "in force at all agents that hold a lease")
 	require.NoError(t, l.Agent(4).Start(ctx))
 	for _, a := range l.Agents() {
-		require.True(t, isDown("s-0")(a, statusAt(a)), a.Name+" is ready and has it")
+		require.True(t, isDown("s-0")(a, statusAt(a)), a.Name+" is ready and has the command")
 		for i := range 20 {
 			_, body, askErr := a.Ask(ctx, "consult", fmt.Sprint("k", i))
 			require.NoError(t, askErr)
@@ -129,7 +133,7 @@
 	require.Contains(t, text, "no such upstream server was ever listed")
 	text, err = fleetCommand(t, l.Agent(4), "up", "s-0")
 	require.NoError(t, err, text)
-	require.NoError(t, l.Wait(ctx, "s-0 is back", func() bool {
+	require.NoError(t, l.Wait(ctx, "s-0 gets requests again", func() bool {
 		_, body, askErr := l.Agent(0).Ask(ctx, "consult", fmt.Sprint(l.Now()))
 		return askErr == nil && strings.Contains(body, "s-0")
 	}))
@@ -139,8 +143,8 @@
 	require.Empty(t, l.EndAll())
 }
 
-// The leader is killed, and then one that leads is paused: another one leads, and what was agreed stays. The one that
-// was paused leads no more and has lost its lease when it goes on.
+// The leader is killed, and later the new leader is paused. Each time another voter becomes the leader, and committed
+// commands stay in force. The paused agent no longer leads and has lost its lease when it continues.
 func TestFleetLeaderKilledAndPaused(t *testing.T) {
 	l := newFleetLab(t, 5, inFolders)
 	ctx := t.Context()
@@ -151,16 +155,16 @@
 	first := leader(l)
 	require.NotNil(t, first)
 	first.Kill()
-	other := func(than *lab.Agent) func() bool {
+	anotherLeads := func(than *lab.Agent) func() bool {
 		return func() bool { now := leader(l); return now != nil && now != than }
 	}
-	require.NoError(t, l.Wait(ctx, "another one leads", other(first)))
+	require.NoError(t, l.Wait(ctx, "another agent leads", anotherLeads(first)))
 	require.NoError(t, first.Start(ctx))
 	require.NoError(t, l.Wait(ctx, "leases again", all(l, full)))
 	second := leader(l)
 	logged := second.Logged()
 	second.Pause()
-	require.NoError(t, l.Wait(ctx, "a third one leads", func() bool {
+	require.NoError(t, l.Wait(ctx, "a third agent leads", func() bool {
 		for _, a := range l.Agents()[:3] {
 			if s := statusUnlessPaused(ctx, a, second); s.Voter != nil && s.Voter.Phase == "leading" {
 				return true
@@ -171,16 +175,16 @@
 	text, err = fleetCommand(t, l.Agent(3), "down", "s-0")
 	require.NoError(t, err, text)
 	second.Resume()
-	require.NoError(t, l.Wait(ctx, "it has lost its lease", func() bool {
+	require.NoError(t, l.Wait(ctx, "the paused agent has lost its lease", func() bool {
 		return second.SaidSince(logged, "fleet: lease lost") || second.SaidSince(logged, "this agent is no longer the leader")
 	}))
-	require.NoError(t, l.Wait(ctx, "all have both orders", all(l, func(a *lab.Agent, s fleetStatus) bool {
+	require.NoError(t, l.Wait(ctx, "all agents have both commands", all(l, func(a *lab.Agent, s fleetStatus) bool {
 		return full(a, s) && isDown("s-0")(a, s) && isDown("s-1")(a, s)
 	})))
 	require.Empty(t, l.EndAll())
 }
 
-// statusUnlessPaused is statusAt, but for an agent that is paused and would not answer.
+// statusUnlessPaused is statusAt, with a zero status for the paused agent, which would not respond.
 func statusUnlessPaused(_ context.Context, a, paused *lab.Agent) (s fleetStatus) {
 	if a != paused {
 		s = statusAt(a)
@@ -188,13 +192,13 @@
 	return s
 }
 
-// All agents are killed at once and started again: with folders nothing is lost; without, the log begins anew under a
-// higher epoch, and all say so.
+// All agents are killed at once and restarted. With folders, the log and its commands are kept. Without, a new log begins
+// in another epoch, and the commands are lost.
 func TestFleetRestartAfterAllKilled(t *testing.T) {
 	t.Parallel()
-	for _, keeps := range []durability{inFolders, inMemory} {
-		t.Run(fmt.Sprint("folders ", keeps), func(t *testing.T) {
-			l := newFleetLab(t, 5, keeps)
+	for _, stores := range []durability{inFolders, inMemory} {
+		t.Run(fmt.Sprint("folders ", stores), func(t *testing.T) {
+			l := newFleetLab(t, 5, stores)
 			ctx := t.Context()
 			require.NoError(t, l.StartAll(ctx))
 			require.NoError(t, l.Wait(ctx, "leases", all(l, full)))
@@ -206,41 +210,41 @@
 			}
 			require.NoError(t, l.StartAll(ctx))
 			require.NoError(t, l.Wait(ctx, "leases again", all(l, func(a *lab.Agent, s fleetStatus) bool {
-				return full(a, s) && (s.Epoch == before.Epoch) == (keeps == inFolders) && isDown("s-0")(a, s) == (keeps == inFolders)
+				return full(a, s) && (s.Epoch == before.Epoch) == (stores == inFolders) && isDown("s-0")(a, s) == (stores == inFolders)
 			})))
 			require.Empty(t, l.EndAll())
 		})
 	}
 }
 
-// One way between the leader and the others is cut, and a minority is cut off: nothing is agreed there, and what was
-// agreed elsewhere holds everywhere once the network is whole.
+// First the datagrams from the leader are lost: another agent leads. Then a minority is partitioned: it has the floor
+// standing, commands fail there, it does not apply the majority's commands, and it still serves requests.
 func TestFleetPartition(t *testing.T) {
 	l := newFleetLab(t, 6, inMemory)
 	ctx := t.Context()
 	require.NoError(t, l.StartAll(ctx))
 	require.NoError(t, l.Wait(ctx, "leases", all(l, full)))
-	led := leader(l)
-	require.NotNil(t, led)
-	heal, err := l.Spoil(mishap.Fault{From: []int{led.Number}, Way: mishap.Way{Cut: true}})
+	first := leader(l)
+	require.NotNil(t, first)
+	heal, err := l.Spoil(mishap.Fault{From: []int{first.Number}, Way: mishap.Way{Cut: true}})
 	require.NoError(t, err)
-	require.NoError(t, l.Wait(ctx, "another one leads", func() bool {
+	require.NoError(t, l.Wait(ctx, "another agent leads", func() bool {
 		now := leader(l)
-		return now != nil && now != led
+		return now != nil && now != first
 	}))
 	heal()
 	require.NoError(t, l.Wait(ctx, "leases again", all(l, full)))
-	apart := []int{0, 3}
-	rest := []int{1, 2, 4, 5}
+	minority := []int{0, 3}
+	majority := []int{1, 2, 4, 5}
 	for _, f := range []mishap.Fault{
-		{From: apart, To: rest, Way: mishap.Way{Cut: true}},
-		{From: rest, To: apart, Way: mishap.Way{Cut: true}},
+		{From: minority, To: majority, Way: mishap.Way{Cut: true}},
+		{From: majority, To: minority, Way: mishap.Way{Cut: true}},
 	} {
-		end, spoilErr := l.Spoil(f)
+		endFault, spoilErr := l.Spoil(f)
 		require.NoError(t, spoilErr)
-		defer end()
+		defer endFault()
 	}
-	require.NoError(t, l.Wait(ctx, "the smaller part is on the floor", func() bool {
+	require.NoError(t, l.Wait(ctx, "the minority has the floor standing", func() bool {
 		return statusAt(l.Agent(0)).Standing == "floor" && statusAt(l.Agent(3)).Standing == "floor"
 	}))
 	text, err := fleetCommand(t, l.Agent(3), "down", "s-0")
@@ -248,11 +252,11 @@
 	text, err = fleetCommand(t, l.Agent(4), "down", "s-1")
 	require.NoError(t, err, text)
 	require.False(t, isDown("s-1")(l.Agent(3), statusAt(l.Agent(3))))
-	require.True(t, l.Agent(3).Serves(ctx), "cut off from the fleet it serves")
+	require.True(t, l.Agent(3).Serves(ctx), "serves requests without the fleet")
 	require.Empty(t, l.EndAll())
 }
 
-// Off, there is no call of the fleet's and no datagram of it.
+// With the fleet off, the operators' socket has no fleet calls and the log does not mention the fleet.
 func TestFleetOff(t *testing.T) {
 	w := start(t, 1, func(w *testbed) { w.opsAddr = uniqueAddr(w.t) })
 	resp, err := http.Get("http://" + w.opsAddr + "/ops/fleet/status")
--- a/cmd/dunestep/fleetcost_test.go
+++ b/cmd/dunestep/fleetcost_test.go
@@ -15,8 +15,8 @@
 	"dunestep/internal/rehearsal/lab"
 )
 
-// Off, there is no part of the fleet's at all: nothing is started, so no timer runs and no datagram is sent; what asks it
-// is told that there is nothing; and each datagram is the module's.
+// With the fleet off, there is no fleet member: nothing is started, so that no timer runs and no datagram is sent. Its
+// methods do nothing, and fleet calls at the operators' socket get a 404.
 func TestFleetOffStartsNothing(t *testing.T) {
 	p, err := newFleetMember(settings{}, nil)
 	require.NoError(t, err)
@@ -45,8 +45,8 @@
 	return time.Duration(user+system) * 10 * time.Millisecond, float64(pages) * 4 / 1024
 }
 
-// With the fleet and policies on and off, in turns at two labs side by side: how long requests take, and what processes use.
-// Metrics alone; long: LONG_TESTS.
+// Measures latency and process usage with the fleet and policies on and off, alternately in two labs side by side. The test
+// only logs its measurements, and is long: it runs only with LONG_TESTS.
 func TestFleetCost(t *testing.T) {
 	if os.Getenv("LONG_TESTS") == "" {
 		t.Skip("LONG_TESTS is not set")
@@ -63,19 +63,19 @@
 	}
 	labs := []*lab.Lab{open(""), open("[fleet]\non = true\npolicy = true\nvoters = [0, 1, 2]\n")}
 	require.NoError(t, labs[1].Wait(ctx, "leases", all(labs[1], full)))
-	var took [2][]time.Duration
-	var idle [2][2]time.Duration // of a voter and of another agent
+	var latencies [2][]time.Duration
+	var cpuBefore [2][2]time.Duration // of a voter and of another agent, before the idle period
 	for i, l := range labs {
 		for j, a := range []*lab.Agent{l.Agent(0), l.Agent(4)} {
-			idle[i][j], _ = processUsage(t, a.Pid())
+			cpuBefore[i][j], _ = processUsage(t, a.Pid())
 		}
 	}
-	time.Sleep(10 * time.Second) // how long is part of the figure, and nothing is waited for
+	time.Sleep(10 * time.Second) // the measured idle period, not a wait for an event
 	for i, l := range labs {
 		for j, a := range []*lab.Agent{l.Agent(0), l.Agent(4)} {
 			cpu, resident := processUsage(t, a.Pid())
 			t.Logf("fleet on %t, voter %t: %.2f%% of a processor when idle, %.1f MB", i == 1, j == 0,
-				(cpu-idle[i][j]).Seconds()*10, resident)
+				(cpu-cpuBefore[i][j]).Seconds()*10, resident)
 		}
 	}
 	for turn := range 200 {
@@ -85,11 +85,11 @@
 			status, _, err := l.Agent(n%5).Ask(ctx, "consult", fmt.Sprint(turn, n))
 			require.NoError(t, err)
 			require.Equal(t, 200, status)
-			took[turn%2] = append(took[turn%2], time.Since(began))
+			latencies[turn%2] = append(latencies[turn%2], time.Since(began))
 		}
 	}
-	for i, all := range took {
+	for i, all := range latencies {
 		slices.Sort(all)
-		t.Logf("fleet on %t: %d requests, half within %v, 99 in 100 within %v", i == 1, len(all), all[len(all)/2], all[len(all)*99/100])
+		t.Logf("fleet on %t: %d requests, median %v, 99th percentile %v", i == 1, len(all), all[len(all)/2], all[len(all)*99/100])
 	}
 }
--- a/cmd/dunestep/fleetsettings_test.go
+++ b/cmd/dunestep/fleetsettings_test.go
@@ -9,8 +9,8 @@
 	"dunestep/internal/fleet"
 )
 
-// An agent at which policies are off keeps their state, the windows' and the ring's, as who goes on from its snapshot
-// needs them.
+// An agent with policies off also keeps the replicated state of policies, maintenance windows and the ring assignment. A
+// replica that continues from its snapshot needs all of them.
 func TestStateMachinesAreAddedWithPoliciesOff(t *testing.T) {
 	p := &fleetMember{}
 	set := fleet.Settings{Machines: []fleet.StateMachine{nil}}
--- a/cmd/dunestep/fleetstarts_test.go
+++ b/cmd/dunestep/fleetstarts_test.go
@@ -16,16 +16,16 @@
 	"dunestep/internal/standin"
 )
 
-// slowStartFleet is a fleet whose agents are asked for what one endpoint owns, and what came there.
+// slowStartFleet is a fleet whose clients request keys that one endpoint owns. It records the attempts at the endpoints.
 type slowStartFleet struct {
 	*lab.Lab
 	t *testing.T
 
 	mu       sync.Mutex
-	attempts map[int][]time.Time // attempts, by endpoint
+	attempts map[int][]time.Time // arrival times, by endpoint
 }
 
-const restartedServer = 3 // the endpoint that starts again
+const restartedServer = 3 // number of the endpoint that restarts
 
 func newSlowStartFleet(t *testing.T, agents int) *slowStartFleet {
 	program, err := plainBinary()
@@ -43,39 +43,39 @@
 	return f
 }
 
-// count is how many attempts the server got that starts again.
+// attemptCount returns how many attempts restartedServer has received.
 func (f *slowStartFleet) attemptCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.attempts[restartedServer])
 }
 
-// findOwnedKeys finds keys that the endpoint owns which starts again.
-func (f *slowStartFleet) findOwnedKeys(n int) (own []string) {
-	for len(own) < n {
-		key, had := fmt.Sprintf("%x", rand.Uint64()), f.attemptCount()
+// findOwnedKeys returns n keys that restartedServer owns.
+func (f *slowStartFleet) findOwnedKeys(n int) (owned []string) {
+	for len(owned) < n {
+		key, before := fmt.Sprintf("%x", rand.Uint64()), f.attemptCount()
 		status, _, err := f.Agent(0).Ask(f.t.Context(), "consult", key)
 		require.NoError(f.t, err)
-		if status == http.StatusOK && f.attemptCount() > had {
-			own = append(own, key)
+		if status == http.StatusOK && f.attemptCount() > before {
+			owned = append(owned, key)
 		}
 	}
-	return own
+	return owned
 }
 
-// load has every agent asked at an even pace for one of the keys, until the test ends.
+// sendLoad sends perS requests a second to every agent at even intervals until the test ends. keys returns a request's key.
 func (f *slowStartFleet) sendLoad(perS int, keys func() string) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var wait sync.WaitGroup
 	f.t.Cleanup(func() { cancel(); wait.Wait() })
 	for _, a := range f.Agents() {
 		wait.Go(func() {
-			beat := time.NewTicker(time.Second / time.Duration(perS))
-			defer beat.Stop()
+			ticker := time.NewTicker(time.Second / time.Duration(perS))
+			defer ticker.Stop()
 			for {
 				select {
-				case <-beat.C:
-					wait.Go(func() { _, _, _ = a.Ask(ctx, "consult", keys()) }) // some agents are down meanwhile
+				case <-ticker.C:
+					wait.Go(func() { _, _, _ = a.Ask(ctx, "consult", keys()) }) // requests to agents that do not run fail
 				case <-ctx.Done():
 					return
 				}
@@ -84,33 +84,33 @@
 	}
 }
 
-// Twenty-four agents have all that they are asked for owned by an endpoint that has just started. Half of them have
-// started just then, too, and know nothing of how much comes: what all of them send there together is less than it falls
-// over from, and it gets some.
+// An endpoint has just restarted and owns the keys of all requests to 24 agents. Half of the agents have just restarted, too,
+// and have not measured their request rate yet. The endpoint gets some requests, and fewer from all agents together than
+// would overload it.
 func TestSlowStartServerUnderFleetLoad(t *testing.T) {
 	t.Parallel()
-	const agents, perS, capacity = 24, 8, 60.0 // requests a second: of each agent, and what a warm server would do
+	const agents, perS, capacity = 24, 8, 60.0 // requests a second: of each agent's clients; that a warm server serves
 	f := newSlowStartFleet(t, agents)
 	ctx := t.Context()
 	require.NoError(t, f.StartAll(ctx))
-	own := f.findOwnedKeys(12)
+	ownedKeys := f.findOwnedKeys(12)
 	var mu sync.Mutex
-	hot := false
+	useOwnedKeys := false
 	f.sendLoad(perS, func() string {
 		mu.Lock()
 		defer mu.Unlock()
-		if hot {
-			return own[rand.IntN(len(own))]
+		if useOwnedKeys {
+			return ownedKeys[rand.IntN(len(ownedKeys))]
 		}
 		return fmt.Sprintf("%x", rand.Uint64())
 	})
-	had := f.attemptCount()
-	require.NoError(t, f.Wait(ctx, "its pace is known", func() bool { return f.attemptCount() > had+2*agents*perS/4 }))
+	before := f.attemptCount()
+	require.NoError(t, f.Wait(ctx, "the agents have measured the request rate", func() bool { return f.attemptCount() > before+2*agents*perS/4 }))
 	for _, a := range f.Agents()[:agents/2] {
 		a.Kill()
 	}
 	require.NoError(t, f.StartAll(ctx))
-	require.NoError(t, f.Wait(ctx, "all watch", func() bool {
+	require.NoError(t, f.Wait(ctx, "all agents watch", func() bool {
 		for _, a := range f.Agents() {
 			if a.Watches() == 0 {
 				return false
@@ -119,32 +119,32 @@
 		return true
 	}))
 	f.Restarted(restartedServer)
-	const takenIn = 200 * time.Millisecond
-	told := time.Now()
-	require.NoError(t, f.Wait(ctx, "it is taken in", func() bool { return time.Since(told) > takenIn }))
+	const updateDelay = 200 * time.Millisecond
+	updatedAt := time.Now()
+	require.NoError(t, f.Wait(ctx, "the update is applied", func() bool { return time.Since(updatedAt) > updateDelay }))
 	mu.Lock()
-	hot = true
+	useOwnedKeys = true
 	mu.Unlock()
-	from, had := time.Now(), f.attemptCount()
-	require.NoError(t, f.Wait(ctx, "the windows are over", func() bool { return time.Since(from) > 2*slowStartWindow }))
+	from, before := time.Now(), f.attemptCount()
+	require.NoError(t, f.Wait(ctx, "two slow start windows have passed", func() bool { return time.Since(from) > 2*slowStartWindow }))
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	most := maxInWindow(f.attempts[restartedServer], from.Add(slowStartWindow), slowStartWindow)
-	t.Logf("%d in its fullest %v, %.0f at most", most, slowStartWindow, slowStartLimit(capacity))
-	require.Greater(t, len(f.attempts[restartedServer]), had, "it gets some")
-	require.Less(t, float64(most), slowStartLimit(capacity))
+	count := maxInWindow(f.attempts[restartedServer], from.Add(slowStartWindow), slowStartWindow)
+	t.Logf("at most %d attempts in %v, limit %.0f", count, slowStartWindow, slowStartLimit(capacity))
+	require.Greater(t, len(f.attempts[restartedServer]), before, "the restarted server gets requests")
+	require.Less(t, float64(count), slowStartLimit(capacity))
 }
 
-// turns is discovery that works through calls one after the other, and refuses those that would wait too long.
+// serialDiscovery is a discovery service that processes one call at a time and rejects calls when its queue is full.
 type serialDiscovery struct {
-	callDuration time.Duration // for one call
-	maxQueue     int           // that wait
+	callDuration time.Duration // for each call
+	maxQueue     int           // maximum number of calls in progress or waiting
 	mu           sync.Mutex
 	queued       int
-	working      sync.Mutex // held by the call that is worked at
+	working      sync.Mutex // held by the call in progress
 }
 
-// answer works through an agent's call in its turn.
+// answer processes an agent's call, after the calls before it.
 func (d *serialDiscovery) answer(a *lab.Agent, c *standin.Call) {
 	d.mu.Lock()
 	d.queued++
@@ -159,7 +159,7 @@
 		return
 	}
 	d.working.Lock()
-	time.Sleep(d.callDuration) // its work
+	time.Sleep(d.callDuration) // processing of the call
 	d.working.Unlock()
 	a.Tell(c)
 	d.mu.Lock()
@@ -167,11 +167,11 @@
 	d.queued--
 }
 
-// Twenty agents of a fleet of three hundred start at once and know no list, before a discovery that takes 100 ms for a
-// call, one at a time, and refuses all but six: nine in ten are ready within ten seconds, and all within thirty.
+// Twenty agents, whose settings have a fleet of 300, start at once without an endpoint list. Discovery processes one call at
+// a time, each in 100 ms, and rejects calls beyond a queue of six. 90 % of the agents are ready within 10 s, all within 30 s.
 func TestAgentsStartWithSlowDiscovery(t *testing.T) {
 	t.Parallel()
-	const agents, fleet, most, last = 20, 300, 10 * time.Second, 30 * time.Second
+	const agents, fleet, mostWithin, allWithin = 20, 300, 10 * time.Second, 30 * time.Second
 	program, err := plainBinary()
 	require.NoError(t, err)
 	d := &serialDiscovery{callDuration: 100 * time.Millisecond, maxQueue: 6}
@@ -188,22 +188,22 @@
 		},
 	})
 	began := time.Now()
-	took := make([]time.Duration, agents)
+	readyAfter := make([]time.Duration, agents)
 	var wait sync.WaitGroup
 	for n, a := range l.Agents() {
 		wait.Go(func() {
 			assert.NoError(t, a.Start(t.Context())) //nolint:testifylint // require may not be called from another goroutine
-			took[n] = time.Since(began)
+			readyAfter[n] = time.Since(began)
 		})
 	}
 	wait.Wait()
-	late := 0
-	for _, one := range took {
-		if one > most {
-			late++
+	lateCount := 0
+	for _, elapsed := range readyAfter {
+		if elapsed > mostWithin {
+			lateCount++
 		}
-		require.Less(t, one, last)
+		require.Less(t, elapsed, allWithin)
 	}
-	t.Log("ready after", took)
-	require.LessOrEqual(t, late, agents/10)
+	t.Log("ready after", readyAfter)
+	require.LessOrEqual(t, lateCount, agents/10)
 }
--- a/cmd/dunestep/fleetstate_test.go
+++ b/cmd/dunestep/fleetstate_test.go
@@ -12,8 +12,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// At an upgrade the new process goes by what the one before had agreed on, while that still takes part for the agent:
-// within the policy's floor, off the server that is free, and on the same ring.
+// During an upgrade, the new process applies the fleet state of the old one, which still takes part in the fleet for the
+// agent. The new process keeps to the policy's floor, sends nothing to a server that a maintenance window has freed, and
+// uses the same ring.
 func TestInheritedFleetState(t *testing.T) {
 	w := newTestbed(t, 4)
 	usePlainBinary(w)
@@ -25,31 +26,32 @@
 	text := "format = 1\n[contracts.acme]\nzone = \"UTC\"\nhours = [\"mon-sun 00:00-24:00\"]\nkeep = 0.5\n[capacity]\nload = 0.3\n" +
 		"[floor]\nattempts = 1\n"
 	require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
-	d := opsClient{w.opsAddr}
+	client := opsClient{w.opsAddr}
 	w.until("a lease", func() bool {
 		var s fleetStatus
-		return d.call(http.MethodGet, "/ops/fleet/status", "", &s) == nil && s.Standing == "full" && s.Ring.Active > 0
+		return client.call(http.MethodGet, "/ops/fleet/status", "", &s) == nil && s.Standing == "full" && s.Ring.Active > 0
 	})
-	require.NoError(t, policyProposeCommand{opsClient: d, File: file, Within: time.Second, Wait: waitTimeout}.Run())
+	require.NoError(t, policyProposeCommand{opsClient: client, File: file, Within: time.Second, Wait: waitTimeout}.Run())
 	require.NoError(t, windowAskCommand{windowFlags: windowFlags{
-		opsClient: d, Node: []string{"s-0"}, Tenant: []string{"acme"},
+		opsClient: client, Node: []string{"s-0"}, Tenant: []string{"acme"},
 		From: "+8s", To: "+20m", Pace: 1,
 	}, ID: "w", Wait: waitTimeout}.Run())
 	require.Eventually(t, func() bool {
 		var s windowsState
-		return d.call(http.MethodGet, "/ops/fleet/windows", "", &s) == nil && s.Windows[0].State == "free"
+		return client.call(http.MethodGet, "/ops/fleet/windows", "", &s) == nil && s.Windows[0].State == "free"
 	}, 2*waitTimeout, 50*time.Millisecond, "free")
 	next := w.upgrade()
-	// The old process ends, and has a request in hand meanwhile: the new one alone takes clients, and takes no part.
+	// The old process drains and has a request in progress meanwhile. Only the new one accepts clients, and it does not take
+	// part in the fleet yet.
 	w.answerAll(func(upstreamAttempt) string { return silence })
 	before := w.attemptCount()
 	go func() { _, _ = http.DefaultClient.Do(w.request("consult", 60_000)) }()
-	w.until("a request is in hand", func() bool { return w.attemptCount() > before })
+	w.until("a request is in progress", func() bool { return w.attemptCount() > before })
 	require.NoError(t, w.process.Process.Signal(syscall.SIGTERM))
-	w.until("it ends", func() bool { return strings.Contains(w.log.String(), "draining") })
+	w.until("old process drains", func() bool { return strings.Contains(w.log.String(), "draining") })
 	w.answerAll(ok)
-	seen := len(w.servers[0].attempts())
-	ask := func(n int) (tried int) {
+	attemptsAtFreed := len(w.servers[0].attempts())
+	maxAttempts := func(n int) (most int) {
 		ids := map[string]int{}
 		for i := range n {
 			r := next.request("consult", 5000)
@@ -58,19 +60,19 @@
 			next.do(r)
 		}
 		for _, s := range w.servers {
-			for _, step := range s.attempts() {
-				if _, is := ids[step.Header.Get("X-Correlation-Id")]; is {
-					ids[step.Header.Get("X-Correlation-Id")]++
-					tried = max(tried, ids[step.Header.Get("X-Correlation-Id")])
+			for _, attempt := range s.attempts() {
+				if _, sent := ids[attempt.Header.Get("X-Correlation-Id")]; sent {
+					ids[attempt.Header.Get("X-Correlation-Id")]++
+					most = max(most, ids[attempt.Header.Get("X-Correlation-Id")])
 				}
 			}
 		}
-		return tried
+		return most
 	}
-	require.Equal(t, 1, ask(40))
-	require.Len(t, w.servers[0].attempts(), seen, "it is free")
+	require.Equal(t, 1, maxAttempts(40))
+	require.Len(t, w.servers[0].attempts(), attemptsAtFreed, "the freed server gets no requests")
 	w.answerAll(func(s upstreamAttempt) string { return reply("503 Service Unavailable", "", "X-Unprocessed: 1") })
-	require.Equal(t, 1, ask(3), "one attempt, as the floor has it")
-	require.NotContains(t, next.log.String(), "fleet: lease acquired", "all that before it took part itself")
+	require.Equal(t, 1, maxAttempts(3), "the policy's floor permits one attempt")
+	require.NotContains(t, next.log.String(), "fleet: lease acquired", "the new process does not take part in the fleet yet")
 	require.Zero(t, next.stop())
 }
--- a/cmd/dunestep/golden_test.go
+++ b/cmd/dunestep/golden_test.go
@@ -23,9 +23,9 @@
 	"dunestep/internal/fleet/raftlog"
 )
 
-var updateGolden = flag.Bool("update", false, "write the golden files anew")
+var updateGolden = flag.Bool("update", false, "rewrite the golden files")
 
-// golden compares a text with a file of testdata/golden, or writes it.
+// requireGolden checks that a text equals a file of testdata/golden. With -update, it writes the file first.
 func requireGolden(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata/golden", name)
@@ -37,8 +37,8 @@
 	require.Equal(t, string(want), got, name)
 }
 
-// usageForm is what of a command's help is its form: the usage line, commands, arguments and flags, with their
-// variables and defaults, without the prose.
+// usageForm returns a command's help without its prose: the usage line, commands, arguments and flags, with their
+// environment variables and default values.
 func usageForm(help string) string {
 	var form strings.Builder
 	variable := regexp.MustCompile(`\(\$[A-Z_]+\)`)
@@ -57,7 +57,7 @@
 	return form.String()
 }
 
-// The commands with their arguments and flags, as of commit 3bec2d9.
+// The commands, arguments and flags are the same as of commit 3bec2d9.
 func TestGoldenCommandLines(t *testing.T) {
 	t.Parallel()
 	var all strings.Builder
@@ -74,7 +74,7 @@
 	requireGolden(t, "command-lines.txt", all.String())
 }
 
-// What commands print for programs, and their exit codes, as of commit 3bec2d9.
+// The output that other programs read, and the exit codes, are the same as of commit 3bec2d9.
 func TestGoldenExitCodes(t *testing.T) {
 	t.Parallel()
 	const state = "../../internal/state/testdata/golden/format-2.state"
@@ -83,20 +83,20 @@
 	require.NoError(t, err)
 	raw[40] ^= 1
 	require.NoError(t, os.WriteFile(damaged, raw, 0o600))
-	odd := filepath.Join(t.TempDir(), "config.json")
-	require.NoError(t, os.WriteFile(odd, []byte("{"), 0o600))
+	malformed := filepath.Join(t.TempDir(), "config.json")
+	require.NoError(t, os.WriteFile(malformed, []byte("{"), 0o600))
 	for _, c := range []struct {
 		name string
 		args []string
 		code int
-		out  string // file of testdata/golden; empty: whatever is printed
+		out  string // file of testdata/golden; empty: any output
 	}{
 		{"version", []string{"version"}, 0, ""},
 		{"defaults", []string{"check", "--defaults"}, 0, ""},
 		{"nothing to check", []string{"check"}, 1, ""},
-		{"unusable file", []string{"check", "--config", odd}, 2, ""},
-		{"missing file", []string{"check", "--config", odd + ".gone"}, 2, ""},
-		{"usable file", []string{"check", "--operator", "../../deploy/operator.toml"}, 0, "check.txt"},
+		{"malformed file", []string{"check", "--config", malformed}, 2, ""},
+		{"missing file", []string{"check", "--config", malformed + ".gone"}, 2, ""},
+		{"valid file", []string{"check", "--operator", "../../deploy/operator.toml"}, 0, "check.txt"},
 		{"state check", []string{"state", "check", state}, 0, "state-check.txt"},
 		{"state show", []string{"state", "show", state}, 0, "state-show.txt"},
 		{"state export", []string{"state", "export", state}, 0, "state-export.json"},
@@ -107,10 +107,10 @@
 		{"unknown flag", []string{"check", "--sing"}, 1, ""},
 		{"serve without its environment", nil, 1, ""},
 		{"no address", []string{"fleet", "status"}, 1, ""},
-		{"nobody there", []string{"fleet", "status", "--ops", "127.0.0.1:1"}, 1, ""},
-		{"nobody to ask for windows", []string{"fleet", "window", "list", "--ops", "127.0.0.1:1"}, 1, ""},
-		{"nobody to ask for policies", []string{"fleet", "policy", "show", "--ops", "127.0.0.1:1"}, 1, ""},
-		{"missing policy", []string{"fleet", "policy", "check", odd + ".gone"}, 1, ""},
+		{"no agent", []string{"fleet", "status", "--ops", "127.0.0.1:1"}, 1, ""},
+		{"no agent for windows", []string{"fleet", "window", "list", "--ops", "127.0.0.1:1"}, 1, ""},
+		{"no agent for policies", []string{"fleet", "policy", "show", "--ops", "127.0.0.1:1"}, 1, ""},
+		{"missing policy", []string{"fleet", "policy", "check", malformed + ".gone"}, 1, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			code, out, errs := command(t, c.args...)
@@ -125,11 +125,10 @@
 	}
 }
 
-// fillDistinct gives every field below v a value of its own, in the order of their declaration. Slices and maps
-// get one element.
+// fillDistinct sets every field below v to a distinct value, in the order of declaration. Slices and maps get one element.
 func fillDistinct(v reflect.Value, n *int) {
 	*n++
-	if at, is := v.Addr().Interface().(*time.Time); is {
+	if at, isTime := v.Addr().Interface().(*time.Time); isTime {
 		*at = time.Unix(1_796_115_624+int64(*n), 0).UTC()
 		return
 	}
@@ -164,8 +163,8 @@
 	}
 }
 
-// checkGoldenJSON checks that a file of testdata/golden, which has every key of an answer at the operators' socket
-// as commit 3bec2d9 gave it, is read and written again byte for byte.
+// checkGoldenJSON checks that a file of testdata/golden is decoded completely and encoded again byte for byte. The file has
+// every key of a response at the operators' socket as of commit 3bec2d9.
 func checkGoldenJSON[T any](t *testing.T, name string) {
 	t.Helper()
 	var value, read T
@@ -177,7 +176,7 @@
 	raw, err := os.ReadFile(filepath.Join("testdata/golden", name))
 	require.NoError(t, err)
 	require.NoError(t, json.Unmarshal(raw, &read))
-	require.Equal(t, value, read, "every key is read")
+	require.Equal(t, value, read, "every key is decoded")
 	text, err = json.Marshal(*new(T))
 	require.NoError(t, err)
 	requireGolden(t, "empty-"+name, string(text))
@@ -192,7 +191,7 @@
 	checkGoldenJSON[fleetState](t, "handed-over.json")
 }
 
-// words are the texts of values.
+// stringsOf returns the texts of values.
 func stringsOf[T fmt.Stringer](values ...T) (texts []string) {
 	for _, v := range values {
 		texts = append(texts, v.String())
@@ -200,7 +199,7 @@
 	return texts
 }
 
-// The words that stand as values in answers at the operators' socket, as of commit 3bec2d9.
+// The texts that are values in responses at the operators' socket are the same as of commit 3bec2d9.
 func TestGoldenOpsValues(t *testing.T) {
 	for _, c := range []struct{ want, got []string }{
 		{
--- a/cmd/dunestep/graphql_cost_test.go
+++ b/cmd/dunestep/graphql_cost_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// cpu is the processor time that the program has used.
+// cpu returns the processor time that the program has used.
 func (w *testbed) cpu() time.Duration {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", w.process.Process.Pid))
 	require.NoError(w.t, err)
@@ -25,16 +25,16 @@
 	return time.Duration(user+system) * 10 * time.Millisecond
 }
 
-// flood sends requests by eight clients and returns what each cost the program.
-func (w *testbed) costPerRequest(requests int, make func(i int) *http.Request) time.Duration {
-	began := w.cpu()
+// costPerRequest sends requests from eight clients and returns the program's processor time for each request.
+func (w *testbed) costPerRequest(requests int, newRequest func(i int) *http.Request) time.Duration {
+	before := w.cpu()
 	var clients sync.WaitGroup
 	for c := range 8 {
 		clients.Go(func() {
 			client := http.Client{Transport: &http.Transport{}}
 			defer client.CloseIdleConnections()
 			for i := c; i < requests; i += 8 {
-				resp, err := client.Do(make(i))
+				resp, err := client.Do(newRequest(i))
 				if err != nil {
 					w.t.Error(err)
 					return
@@ -45,12 +45,12 @@
 		})
 	}
 	clients.Wait()
-	return (w.cpu() - began) / time.Duration(requests)
+	return (w.cpu() - before) / time.Duration(requests)
 }
 
-// What GraphQL costs beside plain requests with the same bytes, and the memory that it takes with all stores full
-// and requests that ask for too much work. The program is one without the race detector. DUNESTEP_COST sets how
-// many requests a phase has: what processor time they cost is only told by many.
+// Measures the processor time of GraphQL requests and of plain requests with the same bodies, and checks memory with all
+// caches full and with requests whose documents exceed the limits. The program is built without the race detector.
+// DUNESTEP_COST sets the number of requests in each phase: processor time is accurate only over many requests.
 func TestGraphQLCost(t *testing.T) {
 	requests, _ := strconv.Atoi(os.Getenv("DUNESTEP_COST"))
 	requests = max(requests, 1000)
@@ -77,15 +77,15 @@
 		cost[0] += w.costPerRequest(requests, plain) / 5
 		cost[1] += w.costPerRequest(requests, graphQL) / 5
 	}
-	other := w.costPerRequest(requests, func(i int) *http.Request {
+	unseen := w.costPerRequest(requests, func(i int) *http.Request {
 		return w.graphQLRequest(strings.Replace(document, "Slots", fmt.Sprint("Slots", i), 1), "{}")
 	})
-	bomb := w.costPerRequest(requests, func(i int) *http.Request {
+	tooDeep := w.costPerRequest(requests, func(i int) *http.Request {
 		return w.graphQLRequest(fmt.Sprintf("query Q%d ", i)+strings.Repeat("{a", 4000), "{}")
 	})
 	peak, now := w.memory()
-	t.Logf("processor time of a request: plain %v, GraphQL %v (%+.1f%%), by documents not seen before %v, that are bombs %v; "+
-		"memory %.1f MB at most, %.1f MB at the end", cost[0], cost[1], 100*(float64(cost[1])/float64(cost[0])-1), other, bomb,
+	t.Logf("processor time of a request: plain %v, GraphQL %v (%+.1f%%), with documents not seen before %v, too deep %v; "+
+		"memory %.1f MB at its peak, %.1f MB at the end", cost[0], cost[1], 100*(float64(cost[1])/float64(cost[0])-1), unseen, tooDeep,
 		float64(peak)/1024, float64(now)/1024)
 	require.Less(t, peak, 48<<10)
 }
--- a/cmd/dunestep/graphql_faults_test.go
+++ b/cmd/dunestep/graphql_faults_test.go
@@ -21,17 +21,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// ledger is what the endpoints executed, by the tokens of operations: m-1 is a mutation's, q-2 a query's.
+// ledger counts what the endpoints executed, by the operations' tokens. m-1 is a mutation's token, q-2 a query's.
 type executionLog struct {
 	mu         sync.Mutex
 	executed   map[string]int
 	faults     int
-	faultKinds map[int]int // of faults, by the numbers of troubles
+	faultKinds map[int]int // count of each of attemptFaults, by index
 }
 
 var tokenPattern = regexp.MustCompile(`[mq]-\d+`)
 
-// execute executes what an attempt asks for, as its document or its hash says.
+// execute records the execution of an attempt's operations, whose tokens are in its body or target.
 func (l *executionLog) execute(s upstreamAttempt) {
 	text, _ := url.QueryUnescape(s.RequestURI)
 	l.mu.Lock()
@@ -41,8 +41,8 @@
 	}
 }
 
-// troubles is what may happen to an attempt that has reached an endpoint: whether it is executed, how long
-// the answer then takes, and what it is; $ stands for a good one.
+// attemptFaults are faults of an endpoint at an attempt: whether the endpoint executes the attempt, the delay of its answer,
+// and the answer, in which $ is replaced by a correct answer.
 var attemptFaults = []struct {
 	executes bool
 	wait     time.Duration
@@ -70,7 +70,7 @@
 	{true, 0, reply("200 OK", "x", "Connection: close")},
 }
 
-// answer gives a quarter of the attempts one of the troubles.
+// answer answers an attempt. One attempt in four gets one of attemptFaults.
 func (l *executionLog) answer(s upstreamAttempt) string {
 	kind := rand.IntN(4 * len(attemptFaults))
 	if kind >= len(attemptFaults) {
@@ -81,15 +81,15 @@
 	l.faultKinds[kind]++
 	l.faults++
 	l.mu.Unlock()
-	trouble := attemptFaults[kind]
-	if trouble.executes && kind%2 == 0 { // when the answer is late, the execution may be, too
+	fault := attemptFaults[kind]
+	if fault.executes && kind%2 == 0 { // executed before the delay or after it
 		l.execute(s)
 	}
-	time.Sleep(trouble.wait)
-	if trouble.executes && kind%2 == 1 {
+	time.Sleep(fault.wait)
+	if fault.executes && kind%2 == 1 {
 		l.execute(s)
 	}
-	return strings.Replace(trouble.answer, "$", ok(s), 1)
+	return strings.Replace(fault.answer, "$", ok(s), 1)
 }
 
 // operationKind is the keyword of a GraphQL operation.
@@ -100,15 +100,16 @@
 	mutation operationKind = "mutation"
 )
 
-// disguises are the ways in which an operation of a kind may come. Mutations come among queries, by name, through
-// fragments, in words that look like queries, by their hash, and in batches.
-func operationBody(way int, kind operationKind, token, other string) (body string) {
+// operationBody returns the body of a request with an operation of that kind, in one of eight forms. Among them are
+// documents with several operations, fragments, text that looks like another operation, hashes, and batches. other is the
+// token of a second operation in a batch.
+func operationBody(form int, kind operationKind, token, other string) (body string) {
 	field := map[operationKind]string{query: "slots", mutation: "book"}[kind]
 	text := func(s string) string { raw, _ := json.Marshal(s); return string(raw) }
 	variables := fmt.Sprintf(`"variables":{"token":%q}`, token)
 	document := fmt.Sprintf(`%s Run($token: ID) { %s(token: $token) { id } }`, kind, field)
 	persisted := fmt.Sprintf(`"extensions":{"persistedQuery":{"version":1,"sha256Hash":"%x"}}`, sha256.Sum256([]byte(document)))
-	switch way {
+	switch form {
 	case 0:
 		document = `query A { slots } mutation B { book } ` + document
 		return fmt.Sprintf(`{"operationName":"Run","query":%s,%s}`, text(document), variables)
@@ -116,11 +117,11 @@
 		document = fmt.Sprintf(`%s { ...F @skip(if: false) } fragment F on Any { %s(note: """query { x }""") } # query {`, kind, field)
 	case 2:
 		return fmt.Sprintf(`{"query":%s,%s,%s}`, text(document), variables, persisted)
-	case 3: // it is known by now, mostly
+	case 3: // the hash is mostly known by now
 		return fmt.Sprintf(`{%s,%s}`, variables, persisted)
-	case 5: // a hash that nobody has seen with its document
+	case 5: // a hash whose document was never sent
 		return fmt.Sprintf(`{%s,"documentId":"sha256:%x"}`, variables, sha256.Sum256([]byte(token)))
-	case 6: // what is no GraphQL yet
+	case 6: // a syntax that GraphQL does not have yet
 		return fmt.Sprintf(`{"query":%s,%s}`, text(string(kind)+` { `+field+`! }`), variables)
 	case 4:
 		return fmt.Sprintf(`[{"query":"{ slots }","variables":{"token":%q}},{"query":%s,%s}]`, other, text(document), variables)
@@ -128,21 +129,21 @@
 	return fmt.Sprintf(`{"query":%s,%s}`, text(document), variables)
 }
 
-// No mutation runs twice, whatever happens to its attempts, to the endpoints, to the list and to the
-// agent; and queries are repeated and so served more often. DUNESTEP_FAULTS sets how many faults are injected.
+// No mutation is executed twice under faults of attempts and endpoints, endpoint list updates and restarts of the agent.
+// Queries are retried, so that more of them are served. DUNESTEP_FAULTS sets the number of injected faults.
 func TestNoMutationRunsTwice(t *testing.T) {
 	target, _ := strconv.Atoi(os.Getenv("DUNESTEP_FAULTS"))
 	target = max(target, 400)
-	l := &executionLog{executed: map[string]int{}, faultKinds: map[int]int{}}
+	executions := &executionLog{executed: map[string]int{}, faultKinds: map[int]int{}}
 	w := newSerialTestbed(t, 8)
 	withGraphQL(`batch = "strictest"`)(w)
 	for _, class := range w.config["settings"].(object)["categories"].([]object) {
 		class["aim"], class["deadline"] = 100000, 400000
 	}
-	w.answerAll(l.answer)
+	w.answerAll(executions.answer)
 	w.launch()
 	w.until("ready", func() bool { return w.readyStatus() == http.StatusOK })
-	var served, asked [2]atomic.Int64 // of queries, of mutations
+	var served, sent [2]atomic.Int64 // of queries, of mutations
 	done := make(chan struct{})
 	var clients sync.WaitGroup
 	for range 48 {
@@ -153,13 +154,13 @@
 					return
 				default:
 				}
-				w.sendOperation(&served, &asked)
+				w.sendOperation(&served, &sent)
 			}
 		})
 	}
-	for version, round := 100, 0; !l.isDone(target); round++ {
+	for version, round := 100, 0; !executions.isDone(target); round++ {
 		time.Sleep(400 * time.Millisecond)
-		version = w.replaceOldestServer(version, l.answer, exitMode(round%3 == 2))
+		version = w.replaceOldestServer(version, executions.answer, exitMode(round%3 == 2))
 		if round%4 == 1 {
 			w.restart(exitMode(round%8 == 1))
 		}
@@ -167,34 +168,35 @@
 	close(done)
 	clients.Wait()
 	require.Zero(t, w.stop(), "exit code")
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	mutations, repeated := 0, l.repeatedQueries()
-	for token, n := range l.executed {
+	executions.mu.Lock()
+	defer executions.mu.Unlock()
+	mutations, repeated := 0, executions.repeatedQueries()
+	for token, n := range executions.executed {
 		if strings.HasPrefix(token, "m-") {
 			mutations++
 			require.Equal(t, 1, n, token)
 		}
 	}
-	share := func(i int) float64 { return float64(served[i].Load()) / float64(asked[i].Load()) }
-	t.Logf("%d faults, %d mutations executed once each, %d queries executed again; served: %.3f of queries, %.3f of mutations",
-		l.faults, mutations, repeated, share(0), share(1))
-	require.Len(t, l.faultKinds, len(attemptFaults))
+	share := func(i int) float64 { return float64(served[i].Load()) / float64(sent[i].Load()) }
+	t.Logf("%d faults, %d mutations executed once each, %d queries executed more than once; served: %.3f of queries, %.3f of mutations",
+		executions.faults, mutations, repeated, share(0), share(1))
+	require.Len(t, executions.faultKinds, len(attemptFaults))
 	require.Greater(t, repeated, target/20)
-	if target >= 10000 { // with fewer, chance could have it otherwise
+	if target >= 10000 { // with fewer faults, random variation could reverse the order
 		require.Greater(t, share(0), share(1))
 	}
 }
 
-// done tells whether enough faults were injected, and enough queries executed again. How many are depends on how often
-// the fleet is out, so there may be several times as many faults until they are; more than that is the program's fault.
+// isDone reports whether enough faults were injected and enough queries were executed more than once. The latter depends on
+// how often all endpoints are unavailable, so it may take several times as many faults. It also reports true at five times
+// the target: then the program is at fault.
 func (l *executionLog) isDone(target int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.faults >= target && l.repeatedQueries() > target/20 || l.faults >= 5*target
 }
 
-// repeated counts the queries that were executed more than once. The lock is held.
+// repeatedQueries returns how many queries were executed more than once. The caller holds mu.
 func (l *executionLog) repeatedQueries() (n int) {
 	for token, executed := range l.executed {
 		if strings.HasPrefix(token, "q-") && executed > 1 {
@@ -204,8 +206,8 @@
 	return n
 }
 
-// sendOperation sends one operation and counts whether it was served. It is not sent again: that would be another.
-func (w *testbed) sendOperation(served, asked *[2]atomic.Int64) {
+// sendOperation sends one operation once and counts whether it was served.
+func (w *testbed) sendOperation(served, sent *[2]atomic.Int64) {
 	n := w.lastID.Add(2)
 	kind, prefix := rand.IntN(2), "qm"
 	token, other := fmt.Sprintf("%c-%d", prefix[kind], n), fmt.Sprintf("q-%d", n+1)
@@ -216,9 +218,9 @@
 	}
 	r.ContentLength = int64(len(body))
 	r.Header.Set("Content-Type", "application/json")
-	asked[kind].Add(1)
+	sent[kind].Add(1)
 	resp, err := http.DefaultClient.Do(r)
-	if err != nil { // the agent is away
+	if err != nil { // the agent does not run
 		time.Sleep(20 * time.Millisecond)
 		return
 	}
@@ -231,7 +233,7 @@
 	}
 }
 
-// ending is how a process ends.
+// exitMode is how a process is ended.
 type exitMode bool
 
 const (
@@ -239,7 +241,8 @@
 	killed  exitMode = true
 )
 
-// replaceOldestServer replaces the oldest endpoint: it drains and goes, or dies without a word and the list follows.
+// replaceOldestServer replaces the oldest endpoint and returns the next version of the endpoint list. The endpoint drains
+// before it stops, or stops first and is then removed from the list.
 func (w *testbed) replaceOldestServer(version int, answer func(upstreamAttempt) string, how exitMode) int {
 	old := w.servers[0]
 	next := newServer(w.t, fmt.Sprintf("s-%d", version))
@@ -258,7 +261,7 @@
 	return version + 2
 }
 
-// restart ends the agent, by a kill or a drain, and starts it anew with the servers of now.
+// restart ends the agent, by a kill or a drain, and starts it with the current servers as its endpoint list.
 func (w *testbed) restart(how exitMode) {
 	if how == killed {
 		_ = w.process.Process.Signal(syscall.SIGKILL)
--- a/cmd/dunestep/graphql_test.go
+++ b/cmd/dunestep/graphql_test.go
@@ -22,7 +22,7 @@
 	bookMutation = `mutation Book($chair: Int) { book(chair: $chair) { id } }`
 )
 
-// withGraphQL has GraphQL come on a socket of its own, with further lines of the operator's table.
+// withGraphQL enables GraphQL on a socket of its own. lines are further lines of the operator file's graphql table.
 func withGraphQL(lines ...string) func(*testbed) {
 	return func(w *testbed) {
 		host, _, _ := net.SplitHostPort(w.addr)
@@ -34,7 +34,7 @@
 	}
 }
 
-// post is a GraphQL request as a client sends it that knows nothing of this application's headers.
+// graphQLRequest returns a GraphQL request without the application's headers. headers are pairs of names and values.
 func (w *testbed) graphQLRequest(document, variables string, headers ...string) *http.Request {
 	query, err := json.Marshal(document)
 	require.NoError(w.t, err)
@@ -48,7 +48,7 @@
 	return r
 }
 
-// code is that of a GraphQL error.
+// code returns the code of the answer's first GraphQL error, or "" if it has none.
 func (a answer) code() string {
 	var got struct {
 		Errors []struct {
@@ -63,8 +63,8 @@
 	return got.Errors[0].Extensions.Code
 }
 
-// What a GraphQL client sends goes on byte for byte, with the protocol's headers; what comes back is passed on,
-// also where it tells of errors.
+// A GraphQL request is forwarded byte for byte, with the protocol's headers added. The answer is returned unchanged, also
+// if it reports errors.
 func TestGraphQLPassesUnchanged(t *testing.T) {
 	for name, edit := range map[string]func(*testbed){
 		"own socket":   withGraphQL(),
@@ -89,62 +89,63 @@
 			r.Header.Set("X-Correlation-Id", "00000000000000ab")
 			r.Header.Set("X-Time-Left-Ms", "30000")
 			require.Equal(t, 200, w.do(r).status)
-			steps := w.servers[0].attempts()
-			require.Len(t, steps, 2)
+			attempts := w.servers[0].attempts()
+			require.Len(t, attempts, 2)
 			require.Equal(t, []string{"POST", "/graphql", string(sent), "application/json; charset=utf-8", accept, "chair-4"},
 				[]string{
-					steps[0].Method, steps[0].RequestURI, steps[0].body, steps[0].Header.Get("Content-Type"),
-					steps[0].Header.Get("Accept"), steps[0].Header.Get("Idempotency-Key"),
+					attempts[0].Method, attempts[0].RequestURI, attempts[0].body, attempts[0].Header.Get("Content-Type"),
+					attempts[0].Header.Get("Accept"), attempts[0].Header.Get("Idempotency-Key"),
 				})
-			require.Regexp(t, "^[0-9a-f]{16}$", steps[0].Header.Get("X-Correlation-Id"))
-			require.Greater(t, timeLeftMS(t, steps[0]), 40000, "by the class's deadline")
+			require.Regexp(t, "^[0-9a-f]{16}$", attempts[0].Header.Get("X-Correlation-Id"))
+			require.Greater(t, timeLeftMS(t, attempts[0]), 40000, "time left by the class's deadline")
 			require.Equal(t, []string{"GET", target, "", "00000000000000ab"},
-				[]string{steps[1].Method, steps[1].RequestURI, steps[1].body, steps[1].Header.Get("X-Correlation-Id")})
-			require.Less(t, timeLeftMS(t, steps[1]), 30000)
-			require.Equal(t, 200, w.send("consult").status, "plain requests come on the front socket")
+				[]string{attempts[1].Method, attempts[1].RequestURI, attempts[1].body, attempts[1].Header.Get("X-Correlation-Id")})
+			require.Less(t, timeLeftMS(t, attempts[1]), 30000)
+			require.Equal(t, 200, w.send("consult").status, "plain requests are served on the front socket")
 		})
 	}
 	w := start(t, 1)
 	w.graphQLAddr = w.addr
-	require.Equal(t, 400, w.do(w.graphQLRequest(slotQuery, "{}")).status, "it is off by default")
+	require.Equal(t, 400, w.do(w.graphQLRequest(slotQuery, "{}")).status, "GraphQL is off by default")
 }
 
+// timeLeftMS returns the time left that an attempt carries, in ms.
 func timeLeftMS(t *testing.T, s upstreamAttempt) int {
 	ms, err := strconv.Atoi(s.Header.Get("X-Time-Left-Ms"))
 	require.NoError(t, err)
 	return ms
 }
 
-// A query is repeated until it is served, a mutation only where it cannot have run; and what the agent says of it
-// is a GraphQL answer beside the HTTP one.
+// A query is retried until it is served, a mutation only if it cannot have been executed. The agent's own answers have a
+// GraphQL error in addition to the HTTP status.
 func TestGraphQLOutcomes(t *testing.T) {
 	w := start(t, 3, withGraphQL())
 	fail := func(upstreamAttempt) string { return reply("500 Internal Server Error", "") }
-	away := func(upstreamAttempt) string { return reply("503 Service Unavailable", "", "X-Unprocessed: 1") }
+	reject := func(upstreamAttempt) string { return reply("503 Service Unavailable", "", "X-Unprocessed: 1") }
 	for _, c := range []struct {
-		document, code string
-		first, other   func(upstreamAttempt) string
-		status, steps  int
+		document, code   string
+		first, other     func(upstreamAttempt) string
+		status, attempts int
 	}{
 		{slotQuery, "", fail, ok, 200, 2},
-		{bookMutation, "", away, ok, 200, 2},
+		{bookMutation, "", reject, ok, 200, 2},
 		{bookMutation, "FAILED", fail, ok, 502, 1},
-		{`{ slots `, "FAILED", fail, ok, 502, 1}, // what it is can't be told
-		{bookMutation, "", func(upstreamAttempt) string { // the client's mistake, and no server's
+		{`{ slots `, "FAILED", fail, ok, 502, 1}, // its kind cannot be determined
+		{bookMutation, "", func(upstreamAttempt) string { // an error of the client, not of the server
 			return reply("400 Bad Request", "{}", "Content-Type: application/graphql-response+json")
 		}, ok, 400, 1},
 		{slotQuery, "", func(upstreamAttempt) string { return reply("400 Bad Request", "") }, ok, 200, 2},
 		{slotQuery, "", func(upstreamAttempt) string {
 			return reply("429 Too Many Requests", "{}", "Content-Type: application/json")
 		}, ok, 200, 2},
-		{bookMutation, "BUSY", away, away, 503, -1}, // as often as the module likes
+		{bookMutation, "BUSY", reject, reject, 503, -1}, // -1: the balancer decides how many attempts it makes
 	} {
 		before := w.attemptCount()
 		w.answerFirst(c.first, c.other)
 		got := w.do(w.graphQLRequest(c.document, "{}"))
 		require.Equal(t, c.status, got.status, "%v", c)
 		require.Equal(t, c.code, got.code(), got.body)
-		require.True(t, c.steps < 0 || c.steps == w.attemptCount()-before, c.document)
+		require.True(t, c.attempts < 0 || c.attempts == w.attemptCount()-before, c.document)
 		require.Equal(t, c.code == "FAILED", strings.Contains(got.body, `"mayHaveRun":true`))
 		if c.code == "BUSY" {
 			after, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
@@ -154,7 +155,8 @@
 	}
 }
 
-// What the agent refuses itself is not forwarded, and has the status and type that the client's Accept asks for.
+// Requests that the agent itself rejects are not forwarded. The answer's status and content type follow the client's Accept
+// header.
 func TestGraphQLRejections(t *testing.T) {
 	w := start(t, 1, withGraphQL(`batch = "strictest"`))
 	const graph, plain = "application/graphql-response+json", "application/json"
@@ -210,7 +212,8 @@
 	require.Equal(t, 200, resp.StatusCode)
 }
 
-// Key, tenant, deadline and id come from where the operator says; a trusted document is known by its id.
+// The key, deadline and id are read from the sources that the operator file sets. A trusted document is identified by its
+// id.
 func TestGraphQLSources(t *testing.T) {
 	trusted := filepath.Join(t.TempDir(), "trusted.json")
 	require.NoError(t, os.WriteFile(trusted, []byte(`{"slots-1":"{ slots { id } }"}`), 0o600))
@@ -225,26 +228,26 @@
 		got := w.do(r)
 		require.Equal(t, 200, got.status)
 		require.Equal(t, 1, w.attemptCount()-before)
-		gotID, by, _ := strings.Cut(got.body, " ")
+		gotID, servedBy, _ := strings.Cut(got.body, " ")
 		require.Equal(t, id, gotID)
 		if server[clinic] == "" {
-			server[clinic] = by
+			server[clinic] = servedBy
 		}
-		require.Equal(t, server[clinic], by, "a clinic stays with its server")
+		require.Equal(t, server[clinic], servedBy, "a clinic's requests go to one server")
 	}
 	for _, s := range w.servers {
-		for _, step := range s.attempts() {
-			require.LessOrEqual(t, timeLeftMS(t, step), 30000)
+		for _, attempt := range s.attempts() {
+			require.LessOrEqual(t, timeLeftMS(t, attempt), 30000)
 		}
 	}
 	for _, bad := range []*http.Request{w.graphQLRequest(slotQuery, `{"id":"12"}`), w.graphQLRequest(slotQuery, `{}`, "X-Budget", "soon")} {
 		got := w.do(bad)
-		require.Equal(t, "BAD_REQUEST", got.code(), "%+v; the log says %s", got, w.log.String())
+		require.Equal(t, "BAD_REQUEST", got.code(), "%+v; log: %s", got, w.log.String())
 	}
 	w.answerFirst(func(upstreamAttempt) string { return reply("500 Internal Server Error", "") }, ok)
 	r := w.graphQLRequest("", `{}`)
 	r.Body, r.ContentLength = io.NopCloser(strings.NewReader(`{"documentId":"slots-1"}`)), 24
-	require.Equal(t, 200, w.do(r).status, "it is a query, and repeated")
+	require.Equal(t, 200, w.do(r).status, "the trusted document is a query, which is retried")
 }
 
 func TestGraphQLBadConfiguration(t *testing.T) {
