--- a/cmd/dunestep/answers_test.go
+++ b/cmd/dunestep/answers_test.go
@@ -25,7 +25,7 @@
 // maxBufferedBytes is the largest answer, in bytes, that the agent buffers whole in these tests before it forwards it.
 const maxBufferedBytes = 64 << 10
 
-// withLittleMemory configures a machine with 1 MiB of memory for bodies, which is enough for ten answers at once.
+// withLittleMemory configures a machine with 1 MiB of memory for bodies, which is enough for at most ten answers at once.
 func withLittleMemory(w *testbed) {
 	w.config["limits"].(object)["memory_mb"] = 8
 	w.operatorFile = "[answers]\nwhole_kb = 64\nhold_ms = 10000\n"
@@ -117,8 +117,8 @@
 	}
 }
 
-// A long answer of a healthy server is not retried at another one because of its length. Sixty such answers at once fit
-// into the memory limit.
+// A long answer of a healthy server is not retried at another one because of its length. Sixty such answers
+// at once are served although there is 1 MiB of memory for bodies.
 func TestLongAnswersAreNotRetried(t *testing.T) {
 	w := start(t, 2, (*testbed).useLongTimeouts, withLittleMemory)
 	w.answerAll(func(s upstreamAttempt) string {
@@ -449,7 +449,8 @@
 }
 
 // A short answer that the agent has begun to forward, because the operator file sets whole_kb to less than its length,
-// and that then makes no progress is truncated at the client's deadline. Half a second later the client would have given up.
+// and that then makes no progress is truncated at the client's deadline. Half a second after the
+// deadline, the client would no longer receive it.
 func TestStalledShortAnswerIsTruncatedAtDeadline(t *testing.T) {
 	const size, received = 5000, 3000
 	w := start(t, 1, (*testbed).useLongTimeouts, func(w *testbed) { w.operatorFile = "[answers]\nwhole_kb = 1\n" })
--- a/cmd/dunestep/budgets_test.go
+++ b/cmd/dunestep/budgets_test.go
@@ -128,14 +128,14 @@
 // servedCounts counts the requests that are sent and served, for two kinds of request.
 type servedCounts struct{ sent, served [2]atomic.Int64 }
 
-func (p *servedCounts) servedRatio(kind int) float64 {
-	return float64(p.served[kind].Load()) / float64(max(p.sent[kind].Load(), 1))
+func (c *servedCounts) servedRatio(kind int) float64 {
+	return float64(c.served[kind].Load()) / float64(max(c.sent[kind].Load(), 1))
 }
 
-func (p *servedCounts) record(kind, status int) {
-	p.sent[kind].Add(1)
+func (c *servedCounts) record(kind, status int) {
+	c.sent[kind].Add(1)
 	if status == http.StatusOK {
-		p.served[kind].Add(1)
+		c.served[kind].Add(1)
 	}
 }
 
--- a/cmd/dunestep/crossings_client_test.go
+++ b/cmd/dunestep/crossings_client_test.go
@@ -107,16 +107,16 @@
 	require.NotContains(w.t, w.log.String(), "drain deadline reached")
 }
 
-// withLongTimeouts sets long timeouts, so that requests in progress at SIGTERM do not time out. It removes the race
+// withLongTimeoutsAndFastExit sets long timeouts, so that requests in progress at SIGTERM do not time out. It removes the race
 // detector's delay at exit, in which the program would serve requests for another second.
-func withLongTimeouts(w *testbed) {
+func withLongTimeoutsAndFastExit(w *testbed) {
 	w.useLongTimeouts()
 	w.env = append(w.env, "GORACE=atexit_sleep_ms=0")
 }
 
 // At SIGTERM, the program has received part of a request, cut at any place. It waits for the rest and answers the request.
 func TestSIGTERMDuringPartialRequest(t *testing.T) {
-	w := start(t, 1, withLongTimeouts)
+	w := start(t, 1, withLongTimeoutsAndFastExit)
 	var clients []*rawClient
 	var rests []string
 	for _, class := range []string{"consult", "rezervare"} {
@@ -142,7 +142,7 @@
 // Pipelined requests on one connection are all answered, and the connection is not closed before the last answer. On one
 // connection the first request is at an endpoint at SIGTERM, on the other one the requests arrive after SIGTERM.
 func TestSIGTERMDuringPipelinedRequests(t *testing.T) {
-	w := start(t, 1, withLongTimeouts)
+	w := start(t, 1, withLongTimeoutsAndFastExit)
 	received, release := make(chan struct{}), make(chan struct{})
 	w.answerFirst(func(s upstreamAttempt) string { close(received); <-release; return ok(s) }, ok)
 	before, after := w.newRawClient(), w.newRawClient()
@@ -168,7 +168,7 @@
 func TestSIGTERMBeforeAttempt(t *testing.T) {
 	t.Parallel()
 	t.Run("retry", func(t *testing.T) {
-		w := start(t, 2, withLongTimeouts)
+		w := start(t, 2, withLongTimeoutsAndFastExit)
 		received, release := make(chan struct{}), make(chan struct{})
 		w.answerFirst(func(upstreamAttempt) string {
 			close(received)
@@ -187,10 +187,10 @@
 		w.requireExit()
 	})
 	t.Run("connecting", func(t *testing.T) {
-		w := start(t, 1, withLongTimeouts)
+		w := start(t, 1, withLongTimeoutsAndFastExit)
 		s := w.servers[0]
 		require.NoError(t, s.socket.Mute())
-		w.until("no connection is accepted", s.socket.Full)
+		w.until("the accept queue is full", s.socket.Full)
 		c := w.newRawClient()
 		c.send(w.requestText("rezervare", 60000))
 		w.until("connecting", func() bool { return countConnecting(t, w.process.Process.Pid) > 0 })
@@ -205,7 +205,7 @@
 // During a drain, discovery fails and the program receives SIGHUP and a second SIGTERM. It still answers the requests that
 // it has accepted.
 func TestSecondSIGTERMDuringDrain(t *testing.T) {
-	w := start(t, 1, withLongTimeouts)
+	w := start(t, 1, withLongTimeoutsAndFastExit)
 	w.until("watch", func() bool { return w.discovery.watched() == 1 })
 	received, release := make(chan struct{}), make(chan struct{})
 	w.answerFirst(func(s upstreamAttempt) string { close(received); <-release; return ok(s) }, ok)
@@ -229,7 +229,7 @@
 
 // The program closes idle connections without a reset and exits, although no client closes its side.
 func TestSIGTERMWithIdleClients(t *testing.T) {
-	w := start(t, 1, withLongTimeouts)
+	w := start(t, 1, withLongTimeoutsAndFastExit)
 	var clients []*rawClient
 	for range 8 {
 		c := w.newRawClient()
--- a/cmd/dunestep/graphql_test.go
+++ b/cmd/dunestep/graphql_test.go
@@ -67,8 +67,8 @@
 // if it reports errors.
 func TestGraphQLPassesUnchanged(t *testing.T) {
 	for name, edit := range map[string]func(*testbed){
-		"own socket":   withGraphQL(),
-		"front socket": func(w *testbed) { w.graphQLAddr, w.operatorFile = w.addr, "graphql = { listen = \"front\" }" },
+		"own socket":  withGraphQL(),
+		"main socket": func(w *testbed) { w.graphQLAddr, w.operatorFile = w.addr, "graphql = { listen = \"front\" }" },
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := start(t, 1, edit, (*testbed).useLongTimeouts)
@@ -101,7 +101,7 @@
 			require.Equal(t, []string{"GET", target, "", "00000000000000ab"},
 				[]string{attempts[1].Method, attempts[1].RequestURI, attempts[1].body, attempts[1].Header.Get("X-Correlation-Id")})
 			require.Less(t, timeLeftMS(t, attempts[1]), 30000)
-			require.Equal(t, 200, w.send("consult").status, "plain requests are served on the front socket")
+			require.Equal(t, 200, w.send("consult").status, "plain requests are served on the main socket")
 		})
 	}
 	w := start(t, 1)
