--- a/cmd/dunestep/fleet_test.go
+++ b/cmd/dunestep/fleet_test.go
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// all returns a condition: is holds for every agent and its status.
+// all returns a function that reports whether is returns true for every agent and its status.
 func all(l *lab.Lab, is func(a *lab.Agent, s fleetStatus) bool) func() bool {
 	return func() bool {
 		for _, a := range l.Agents() {
@@ -91,10 +91,10 @@
 	}
 }
 
-// full reports whether an agent has a lease and applies all that the fleet has agreed on.
+// full reports whether an agent has full standing: it holds a lease.
 func full(_ *lab.Agent, s fleetStatus) bool { return s.Standing == "full" }
 
-// isDown returns a condition: the agent's status has the endpoint taken down.
+// isDown returns a function that reports whether an agent's status has the endpoint taken down.
 func isDown(id string) func(*lab.Agent, fleetStatus) bool {
 	return func(_ *lab.Agent, s fleetStatus) bool {
 		for _, o := range s.Commands {
--- a/cmd/dunestep/fleetcost_test.go
+++ b/cmd/dunestep/fleetcost_test.go
@@ -31,7 +31,7 @@
 	require.Empty(t, body)
 }
 
-// used is a process's time on a processor so far, and its memory in MB.
+// processUsage returns a process's processor time so far and its resident memory in MiB.
 func processUsage(t *testing.T, pid int) (cpu time.Duration, resident float64) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	require.NoError(t, err)
--- a/cmd/dunestep/graphql_faults_test.go
+++ b/cmd/dunestep/graphql_faults_test.go
@@ -21,7 +21,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// ledger counts what the endpoints executed, by the operations' tokens. m-1 is a mutation's token, q-2 a query's.
+// executionLog counts what the endpoints executed, by the operations' tokens. m-1 is a mutation's token, q-2 a query's.
 type executionLog struct {
 	mu         sync.Mutex
 	executed   map[string]int
