--- a/cmd/dunestep/fleetstarts_test.go
+++ b/cmd/dunestep/fleetstarts_test.go
@@ -16,66 +16,66 @@
 	"dunestep/internal/standin"
 )
 
-// coldFleet is a fleet whose agents are asked for what one endpoint owns, and what came there.
-type coldFleet struct {
+// slowStartFleet is a fleet whose clients request keys that one endpoint owns. It records the attempts at the endpoints.
+type slowStartFleet struct {
 	*lab.Lab
 	t *testing.T
 
-	mu   sync.Mutex
-	came map[int][]time.Time // attempts, by endpoint
+	mu       sync.Mutex
+	attempts map[int][]time.Time // arrival times, by endpoint
 }
 
-const coldOne = 3 // the endpoint that starts again
+const restartedServer = 3 // number of the endpoint that restarts
 
-func newColdFleet(t *testing.T, agents int) *coldFleet {
+func newSlowStartFleet(t *testing.T, agents int) *slowStartFleet {
 	program, err := plainBinary()
 	require.NoError(t, err)
-	f := &coldFleet{t: t, came: map[int][]time.Time{}}
+	f := &slowStartFleet{t: t, attempts: map[int][]time.Time{}}
 	f.Lab = lab.Open(t, lab.Options{
 		Agents: agents, Servers: 4, Program: program, Seed: 21,
 		Answer: func(s lab.Step) standin.Reply {
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			f.came[s.Server] = append(f.came[s.Server], time.Now())
+			f.attempts[s.Server] = append(f.attempts[s.Server], time.Now())
 			return standin.Reply{Status: http.StatusOK, Body: "booked"}
 		},
 	})
 	return f
 }
 
-// count is how many attempts the server got that starts again.
-func (f *coldFleet) count() int {
+// attemptCount returns how many attempts restartedServer has received.
+func (f *slowStartFleet) attemptCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return len(f.came[coldOne])
+	return len(f.attempts[restartedServer])
 }
 
-// ownKeys finds keys that the endpoint owns which starts again.
-func (f *coldFleet) ownKeys(n int) (own []string) {
-	for len(own) < n {
-		key, had := fmt.Sprintf("%x", rand.Uint64()), f.count()
+// findOwnedKeys returns n keys that restartedServer owns.
+func (f *slowStartFleet) findOwnedKeys(n int) (owned []string) {
+	for len(owned) < n {
+		key, before := fmt.Sprintf("%x", rand.Uint64()), f.attemptCount()
 		status, _, err := f.Agent(0).Ask(f.t.Context(), "consult", key)
 		require.NoError(f.t, err)
-		if status == http.StatusOK && f.count() > had {
-			own = append(own, key)
+		if status == http.StatusOK && f.attemptCount() > before {
+			owned = append(owned, key)
 		}
 	}
-	return own
+	return owned
 }
 
-// load has every agent asked at an even pace for one of the keys, until the test ends.
-func (f *coldFleet) load(perS int, keys func() string) {
+// sendLoad sends perS requests a second to every agent at even intervals until the test ends. keys returns a request's key.
+func (f *slowStartFleet) sendLoad(perS int, keys func() string) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var wait sync.WaitGroup
 	f.t.Cleanup(func() { cancel(); wait.Wait() })
 	for _, a := range f.Agents() {
 		wait.Go(func() {
-			beat := time.NewTicker(time.Second / time.Duration(perS))
-			defer beat.Stop()
+			ticker := time.NewTicker(time.Second / time.Duration(perS))
+			defer ticker.Stop()
 			for {
 				select {
-				case <-beat.C:
-					wait.Go(func() { _, _, _ = a.Ask(ctx, "consult", keys()) }) // some agents are down meanwhile
+				case <-ticker.C:
+					wait.Go(func() { _, _, _ = a.Ask(ctx, "consult", keys()) }) // requests to agents that do not run fail
 				case <-ctx.Done():
 					return
 				}
@@ -84,33 +84,33 @@
 	}
 }
 
-// Twenty-four agents have all that they are asked for owned by an endpoint that has just started. Half of them have
-// started just then, too, and know nothing of how much comes: what all of them send there together is less than it falls
-// over from, and it gets some.
-func TestWarmingUpServerUnderAFleet(t *testing.T) {
+// An endpoint has just restarted and owns the keys of all requests to 24 agents. Half of the agents have just restarted, too,
+// and have not measured their request rate yet. The endpoint gets some requests, and fewer from all agents together than
+// would overload it.
+func TestSlowStartServerUnderFleetLoad(t *testing.T) {
 	t.Parallel()
-	const agents, perS, capacity = 24, 8, 60.0 // requests a second: of each agent, and what a warm server would do
-	f := newColdFleet(t, agents)
+	const agents, perS, capacity = 24, 8, 60.0 // requests a second: of each agent's clients; that a warm server serves
+	f := newSlowStartFleet(t, agents)
 	ctx := t.Context()
 	require.NoError(t, f.StartAll(ctx))
-	own := f.ownKeys(12)
+	ownedKeys := f.findOwnedKeys(12)
 	var mu sync.Mutex
-	hot := false
-	f.load(perS, func() string {
+	useOwnedKeys := false
+	f.sendLoad(perS, func() string {
 		mu.Lock()
 		defer mu.Unlock()
-		if hot {
-			return own[rand.IntN(len(own))]
+		if useOwnedKeys {
+			return ownedKeys[rand.IntN(len(ownedKeys))]
 		}
 		return fmt.Sprintf("%x", rand.Uint64())
 	})
-	had := f.count()
-	require.NoError(t, f.Wait(ctx, "its pace is known", func() bool { return f.count() > had+2*agents*perS/4 }))
+	before := f.attemptCount()
+	require.NoError(t, f.Wait(ctx, "the agents have measured the request rate", func() bool { return f.attemptCount() > before+2*agents*perS/4 }))
 	for _, a := range f.Agents()[:agents/2] {
 		a.Kill()
 	}
 	require.NoError(t, f.StartAll(ctx))
-	require.NoError(t, f.Wait(ctx, "all watch", func() bool {
+	require.NoError(t, f.Wait(ctx, "all agents watch", func() bool {
 		for _, a := range f.Agents() {
 			if a.Watches() == 0 {
 				return false
@@ -118,39 +118,39 @@
 		}
 		return true
 	}))
-	f.Restarted(coldOne)
-	const takenIn = 200 * time.Millisecond
-	told := time.Now()
-	require.NoError(t, f.Wait(ctx, "it is taken in", func() bool { return time.Since(told) > takenIn }))
+	f.Restarted(restartedServer)
+	const updateDelay = 200 * time.Millisecond
+	updatedAt := time.Now()
+	require.NoError(t, f.Wait(ctx, "the update is applied", func() bool { return time.Since(updatedAt) > updateDelay }))
 	mu.Lock()
-	hot = true
+	useOwnedKeys = true
 	mu.Unlock()
-	from, had := time.Now(), f.count()
-	require.NoError(t, f.Wait(ctx, "the windows are over", func() bool { return time.Since(from) > 2*coldWindow }))
+	from, before := time.Now(), f.attemptCount()
+	require.NoError(t, f.Wait(ctx, "two slow start windows have passed", func() bool { return time.Since(from) > 2*slowStartWindow }))
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	most := fullest(f.came[coldOne], from.Add(coldWindow), coldWindow)
-	t.Logf("%d in its fullest %v, %.0f at most", most, coldWindow, coldLimit(capacity))
-	require.Greater(t, len(f.came[coldOne]), had, "it gets some")
-	require.Less(t, float64(most), coldLimit(capacity))
+	count := maxInWindow(f.attempts[restartedServer], from.Add(slowStartWindow), slowStartWindow)
+	t.Logf("at most %d attempts in %v, limit %.0f", count, slowStartWindow, slowStartLimit(capacity))
+	require.Greater(t, len(f.attempts[restartedServer]), before, "the restarted server gets requests")
+	require.Less(t, float64(count), slowStartLimit(capacity))
 }
 
-// turns is discovery that works through calls one after the other, and refuses those that would wait too long.
-type turns struct {
-	takes  time.Duration // for one call
-	most   int           // that wait
-	mu     sync.Mutex
-	queue  int
-	served sync.Mutex // held by the call that is worked at
+// serialDiscovery is a discovery service that processes one call at a time and rejects calls when its queue is full.
+type serialDiscovery struct {
+	callDuration time.Duration // for each call
+	maxQueue     int           // maximum number of calls in progress or waiting
+	mu           sync.Mutex
+	queued       int
+	working      sync.Mutex // held by the call in progress
 }
 
-// answer works through an agent's call in its turn.
-func (d *turns) answer(a *lab.Agent, c *standin.Call) {
+// answer processes an agent's call, after the calls before it.
+func (d *serialDiscovery) answer(a *lab.Agent, c *standin.Call) {
 	d.mu.Lock()
-	d.queue++
-	full := d.queue > d.most
+	d.queued++
+	full := d.queued > d.maxQueue
 	if full {
-		d.queue--
+		d.queued--
 	}
 	d.mu.Unlock()
 	if full {
@@ -158,23 +158,23 @@
 		c.End()
 		return
 	}
-	d.served.Lock()
-	time.Sleep(d.takes) // its work
-	d.served.Unlock()
+	d.working.Lock()
+	time.Sleep(d.callDuration) // processing of the call
+	d.working.Unlock()
 	a.Tell(c)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.queue--
+	d.queued--
 }
 
-// Twenty agents of a fleet of three hundred start at once and know no list, before a discovery that takes 100 ms for a
-// call, one at a time, and refuses all but six: nine in ten are ready within ten seconds, and all within thirty.
-func TestAllStartBeforeASlowDiscovery(t *testing.T) {
+// Twenty agents, whose settings have a fleet of 300, start at once without an endpoint list. Discovery processes one call at
+// a time, each in 100 ms, and rejects calls beyond a queue of six. 90 % of the agents are ready within 10 s, all within 30 s.
+func TestAgentsStartWithSlowDiscovery(t *testing.T) {
 	t.Parallel()
-	const agents, fleet, most, last = 20, 300, 10 * time.Second, 30 * time.Second
+	const agents, fleet, mostWithin, allWithin = 20, 300, 10 * time.Second, 30 * time.Second
 	program, err := plainBinary()
 	require.NoError(t, err)
-	d := &turns{takes: 100 * time.Millisecond, most: 6}
+	d := &serialDiscovery{callDuration: 100 * time.Millisecond, maxQueue: 6}
 	var l *lab.Lab
 	l = lab.Open(t, lab.Options{
 		Agents: agents, Servers: 2, Program: program, Seed: 22,
@@ -188,22 +188,22 @@
 		},
 	})
 	began := time.Now()
-	took := make([]time.Duration, agents)
+	readyAfter := make([]time.Duration, agents)
 	var wait sync.WaitGroup
 	for n, a := range l.Agents() {
 		wait.Go(func() {
 			assert.NoError(t, a.Start(t.Context())) //nolint:testifylint // require may not be called from another goroutine
-			took[n] = time.Since(began)
+			readyAfter[n] = time.Since(began)
 		})
 	}
 	wait.Wait()
-	late := 0
-	for _, one := range took {
-		if one > most {
-			late++
+	lateCount := 0
+	for _, elapsed := range readyAfter {
+		if elapsed > mostWithin {
+			lateCount++
 		}
-		require.Less(t, one, last)
+		require.Less(t, elapsed, allWithin)
 	}
-	t.Log("ready after", took)
-	require.LessOrEqual(t, late, agents/10)
+	t.Log("ready after", readyAfter)
+	require.LessOrEqual(t, lateCount, agents/10)
 }
