--- a/internal/rehearsal/lab/agent.go
+++ b/internal/rehearsal/lab/agent.go
@@ -18,47 +18,47 @@
 	"dunestep/internal/standin/program"
 )
 
-// Processes is the lane of what becomes of the agents' processes.
+// Processes is the timeline lane of process starts and ends.
 const Processes = "processes"
 
-// Agent is one of the lab's agents, as processes one after another, with its stand-ins.
+// Agent is one of the lab's agents with its stand-ins. Its process may be restarted.
 type Agent struct {
 	Number int
 	Name   string
-	Addr   string // of its front socket and of its datagrams
-	Ops    string // of its operators' door; empty: it has none
-	Folder string // its $TMPDIR, unless its Config has another
+	Addr   string // of its listener (TCP) and its gossip (UDP)
+	Ops    string // of its operator listener; empty: it has none
+	Folder string // its $TMPDIR, unless Config.Folder replaces it
 
 	lab       *Lab
-	round     string // the IP address of what stands round it
+	standinIP string // IP address of its stand-ins
 	program   *program.Agent
 	discovery *standin.Discovery
 	servers   []*standin.Server
 
-	mu    sync.Mutex
-	runs  int
-	lines []string // of its log, of all runs
-	cut   int      // that were forgotten
-	steps int
-	calls map[*standin.Call]bool // watches that are open
+	mu           sync.Mutex
+	runs         int
+	lines        []string // last log lines, of all runs
+	droppedLines int      // number of older log lines that were dropped
+	attempts     int
+	watches      map[*standin.Call]bool // open watches of discovery
 }
 
-// keptLines bounds the log lines kept of an agent; past it the older half is forgotten.
-const keptLines = 20_000
+// maxLogLines limits the log lines kept of an agent. At the limit the older half is dropped.
+const maxLogLines = 20_000
 
 func newAgent(l *Lab, n int) (*Agent, error) {
-	a := &Agent{Number: n, Name: fmt.Sprint("n", n), lab: l, calls: map[*standin.Call]bool{}}
+	a := &Agent{Number: n, Name: fmt.Sprint("n", n), lab: l, watches: map[*standin.Call]bool{}}
 	a.Folder = filepath.Join(l.folder, a.Name)
-	a.program = &program.Agent{Name: a.Name, Spawn: l.spawn, Log: a.took}
-	own := int(agentsSoFar.Add(1) - 1)
-	ip := program.OwnIP(os.Getpid(), own)
-	a.round = program.RoundIP(os.Getpid(), own)
+	a.program = &program.Agent{Name: a.Name, Spawn: l.spawn, Log: a.logReceived}
+	number := int(agentsCreated.Add(1) - 1)
+	ip := program.OwnIP(os.Getpid(), number)
+	a.standinIP = program.RoundIP(os.Getpid(), number)
 	var err error
 	if a.Addr, err = program.FreeAddr(ip); err != nil {
 		return a, err
 	}
 	a.program.Addr = a.Addr
-	for l.o.Ops && (a.Ops == "" || a.Ops == a.Addr) { // both are free until the program takes them
+	for l.options.Ops && (a.Ops == "" || a.Ops == a.Addr) { // FreeAddr may repeat an unused port
 		if a.Ops, err = program.FreeAddr(ip); err != nil {
 			return a, err
 		}
@@ -66,12 +66,13 @@
 	if err := os.Mkdir(a.Folder, 0o700); err != nil {
 		return a, err
 	}
-	if a.discovery, err = standin.ListenDiscovery(a.round+":0", emptyLines, a.called, a.uncalled); err != nil {
+	if a.discovery, err = standin.ListenDiscovery(a.standinIP+":0", watchKeepalive, a.discoveryCalled,
+		a.discoveryEnded); err != nil {
 		return a, err
 	}
-	for s := range l.o.Servers {
-		server, err := standin.Listen(a.round+":0", standin.Events{
-			Came: func(c *standin.Conn, r *http.Request, body []byte) { a.came(c, Step{n, s, r, body}) },
+	for s := range l.options.Servers {
+		server, err := standin.Listen(a.standinIP+":0", standin.Events{
+			Came: func(c *standin.Conn, r *http.Request, body []byte) { a.attemptReceived(c, Step{n, s, r, body}) },
 		})
 		if err != nil {
 			return a, err
@@ -90,25 +91,27 @@
 	}
 }
 
-// Launch starts the agent's program, and waits for nothing but the end of the process before.
+// Launch starts the agent's program after its previous process has ended. It does not wait until the agent is
+// ready.
 func (a *Agent) Launch() error {
 	a.mu.Lock()
 	a.runs++
 	run := a.runs
 	a.mu.Unlock()
-	c := a.config(run)
-	if a.lab.o.Shape != nil {
-		a.lab.o.Shape(c)
+	config := a.config(run)
+	if a.lab.options.Shape != nil {
+		a.lab.options.Shape(config)
 	}
 	p := a.program
-	p.Program, p.Env, p.Args, p.Operator, p.Folder = c.Program, c.Env, c.Args, c.Operator, c.Folder
+	p.Program, p.Env, p.Args, p.Operator, p.Folder = config.Program, config.Env, config.Args, config.Operator,
+		config.Folder
 	if a.Ops != "" {
 		p.Env = append([]string{"LB_OPS=" + a.Ops}, p.Env...)
 	}
-	_, err := p.Start(program.Line(c.File), a.discovery.Addr, func(unasked bool) {
-		text := "ended"
-		if unasked {
-			text = "ended by itself"
+	_, err := p.Start(program.Line(config.File), a.discovery.Addr, func(unexpected bool) {
+		text := "exited"
+		if unexpected {
+			text = "exited unexpectedly"
 		}
 		a.lab.Mark(Processes, a.Name, text)
 	})
@@ -119,7 +122,7 @@
 	return nil
 }
 
-// Start launches the agent, unless it runs, and waits until it says that it is ready.
+// Start launches the agent unless it is running, and waits until it is ready.
 func (a *Agent) Start(ctx context.Context) error {
 	if a.program.Running() == nil {
 		if err := a.Launch(); err != nil {
@@ -129,15 +132,15 @@
 	return a.Ready(ctx)
 }
 
-// Ready waits until the agent says that it is ready. The error has its last words.
+// Ready waits until the agent reports that it is ready. The error includes its last log lines.
 func (a *Agent) Ready(ctx context.Context) error {
-	ctx, cancel := a.lab.patient(ctx)
+	ctx, cancel := a.lab.withWaitTimeout(ctx)
 	defer cancel()
-	for !a.IsReady() { // not by Wait: each event would have every agent that starts asked
+	for !a.IsReady() { // Wait would poll every starting agent at each event
 		var err error
 		if !a.Runs() {
 			err = errors.New("it ended before it was ready")
-		} else if err = sleep(ctx, lookAgain); err == nil {
+		} else if err = sleep(ctx, pollInterval); err == nil {
 			continue
 		}
 		return fmt.Errorf("lab: agent %s is not ready: %w\n%s", a.Name, err, a.program.LastWords())
@@ -146,12 +149,13 @@
 	return nil
 }
 
-// asks is for how agents are, each time on a connection of its own: the process may be another one by then.
-var asks = http.Client{Timeout: askWait, Transport: &http.Transport{DisableKeepAlives: true}}
+// healthClient polls the agents' health. It opens a connection for each request, because the process may have
+// been replaced since the last one.
+var healthClient = http.Client{Timeout: requestTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// IsReady tells whether the agent says now that it is ready.
+// IsReady reports whether the agent's readiness check succeeds.
 func (a *Agent) IsReady() bool {
-	resp, err := asks.Get("http://" + a.Addr + "/health/ready")
+	resp, err := healthClient.Get("http://" + a.Addr + "/health/ready")
 	if err != nil {
 		return false
 	}
@@ -159,18 +163,18 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// Ask sends a request of a class that is safe to repeat, and returns the answer's status and body. It is the
-// first clinic group's of the settings, where there is any.
+// Ask sends a request of an idempotent class and returns the status and body of the answer. The request is of
+// the first tenant of the settings, if there is one.
 func (a *Agent) Ask(ctx context.Context, class, key string) (status int, body string, err error) {
 	tenant := ""
-	if tenants := a.lab.o.Settings.Tenants; len(tenants) > 0 {
+	if tenants := a.lab.options.Settings.Tenants; len(tenants) > 0 {
 		tenant = tenants[0].Name
 	}
 	return a.AskFor(ctx, tenant, class, key)
 }
 
-// AskFor is Ask for a clinic group; empty: of none. Booking servers are not told whose a request is, so its
-// target says it too: ?clinic=NAME.
+// AskFor is like Ask for a given tenant; empty: none. The agent does not forward the tenant to upstream
+// servers, so the request's target repeats it as ?clinic=NAME.
 func (a *Agent) AskFor(ctx context.Context, tenant, class, key string) (status int, body string, err error) {
 	target := "http://" + a.Addr + "/" + class + "/book?clinic=" + url.QueryEscape(tenant)
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
@@ -178,7 +182,7 @@
 		return 0, "", err
 	}
 	r.Host = "backend.local"
-	r.Header.Set("X-Correlation-Id", fmt.Sprintf("%016x", a.lab.ids.Add(1)))
+	r.Header.Set("X-Correlation-Id", fmt.Sprintf("%016x", a.lab.lastRequestID.Add(1)))
 	r.Header.Set("X-Time-Left-Ms", "2000")
 	if tenant != "" {
 		r.Header.Set("X-Account", tenant)
@@ -195,13 +199,13 @@
 	return resp.StatusCode, string(text), err
 }
 
-// Serves asks once whether the agent serves a request.
+// Serves sends one request and reports whether the agent answers with status 200.
 func (a *Agent) Serves(ctx context.Context) bool {
-	status, _, err := a.Ask(ctx, a.lab.o.Settings.Classes[0].Name, "")
+	status, _, err := a.Ask(ctx, a.lab.options.Settings.Classes[0].Name, "")
 	return err == nil && status == http.StatusOK
 }
 
-// Pid is the number of the process that runs; 0: none does.
+// Pid returns the process ID of the running process, or 0 if none is running.
 func (a *Agent) Pid() int {
 	if p := a.program.Running(); p != nil {
 		return p.Pid()
@@ -209,10 +213,10 @@
 	return 0
 }
 
-// Pause has the process stand still, and returns when it does; it goes on when it was resumed as often.
+// Pause stops the process and returns once it has stopped. It continues after as many calls of Resume.
 func (a *Agent) Pause() { a.pause() }
 
-// pause pauses the process that runs now; what it returns resumes the same.
+// pause pauses the running process. The returned function resumes that same process.
 func (a *Agent) pause() (resume func()) {
 	p := a.program.Running()
 	if p == nil {
@@ -236,15 +240,15 @@
 	p.Resume()
 }
 
-// Slow has the process run for that share of the time; 1: always again.
-func (a *Agent) Slow(share float64) {
+// SetCPUShare lets the process run for a share of the time, from 0 to 1; 1 removes the limit.
+func (a *Agent) SetCPUShare(share float64) {
 	if p := a.program.Running(); p != nil {
-		a.lab.Mark(timeline.Faults, a.Name, fmt.Sprintf("runs for %.3g of the time", share))
+		a.lab.Mark(timeline.Faults, a.Name, fmt.Sprintf("CPU share set to %.3g", share))
 		p.Slow(share, scenario.SlowSlice)
 	}
 }
 
-// Kill ends the process at once, and returns when it has ended.
+// Kill kills the process and returns once it has ended.
 func (a *Agent) Kill() {
 	if p := a.program.Running(); p != nil {
 		a.lab.Mark(timeline.Faults, a.Name, "killed")
@@ -253,18 +257,18 @@
 	}
 }
 
-// Drain tells the process to end in good order, and returns at once.
+// Drain requests a graceful shutdown of the process. It does not wait for the end.
 func (a *Agent) Drain() {
 	if p := a.program.Running(); p != nil {
-		a.lab.Mark(timeline.Faults, a.Name, "told to end")
+		a.lab.Mark(timeline.Faults, a.Name, "drain requested")
 		p.Drain()
 	}
 }
 
-// Runs tells whether a process runs.
+// Runs reports whether a process is running.
 func (a *Agent) Runs() bool { return a.program.Running() != nil }
 
-// Empty removes all that lies in the agent's Folder, as a machine that is new has it.
+// Empty removes everything in the agent's Folder, as on a new machine.
 func (a *Agent) Empty() error {
 	entries, err := os.ReadDir(a.Folder)
 	for _, e := range entries {
@@ -273,86 +277,86 @@
 	return err
 }
 
-// Hinder has the agent's streams to discovery, to the booking servers or to both ("discovery", "servers",
-// "both") have a fault of scenario.StreamFaults, until end is called.
+// Hinder applies a fault of scenario.StreamFaults to the agent's connections to discovery, to the upstream
+// servers or to both ("discovery", "servers", "both"), until end is called.
 func (a *Agent) Hinder(stream string, fault scenario.Fault) (end func()) {
-	words := "streams to " + stream + ": " + string(fault)
-	a.lab.Mark(timeline.Faults, a.Name, words)
-	var ways []*standin.Strait
+	text := "streams to " + stream + ": " + string(fault)
+	a.lab.Mark(timeline.Faults, a.Name, text)
+	var streams []*standin.Strait
 	if stream != "servers" {
-		ways = append(ways, a.discovery.Way())
+		streams = append(streams, a.discovery.Way())
 	}
 	if stream != "discovery" {
 		for _, s := range a.servers {
-			ways = append(ways, s.Way())
+			streams = append(streams, s.Way())
 		}
 	}
-	for _, w := range ways {
+	for _, w := range streams {
 		w.Begin(fault)
 	}
 	var once sync.Once
 	return func() {
 		once.Do(func() {
-			for _, w := range ways {
+			for _, w := range streams {
 				w.End(fault)
 			}
-			a.lab.Mark(timeline.Faults, a.Name, "over: "+words)
+			a.lab.Mark(timeline.Faults, a.Name, "over: "+text)
 		})
 	}
 }
 
-// Server is the stand-in for a booking server as this agent sees it.
+// Server returns the stand-in of an upstream server for this agent.
 func (a *Agent) Server(n int) *standin.Server { return a.servers[n] }
 
-// Steps counts the route steps that booking servers had from the agent.
+// Steps returns the number of attempts that upstream servers received from the agent.
 func (a *Agent) Steps() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.steps
+	return a.attempts
 }
 
-func (a *Agent) came(c *standin.Conn, s Step) {
+func (a *Agent) attemptReceived(c *standin.Conn, s Step) {
 	reply := standin.Reply{Status: http.StatusOK, Body: fmt.Sprintf("booked by s-%d\n", s.Server)}
-	if a.lab.o.Answer != nil {
-		reply = a.lab.o.Answer(s)
+	if a.lab.options.Answer != nil {
+		reply = a.lab.options.Answer(s)
 	}
 	a.mu.Lock()
-	a.steps++
+	a.attempts++
 	a.mu.Unlock()
-	a.lab.happened()
+	a.lab.signalEvent()
 	c.Reply(reply, "")
 }
 
-func (a *Agent) took(_, line string) {
+func (a *Agent) logReceived(_, line string) {
 	a.mu.Lock()
-	if len(a.lines) >= keptLines {
-		a.cut += keptLines / 2
-		a.lines = append([]string(nil), a.lines[keptLines/2:]...)
+	if len(a.lines) >= maxLogLines {
+		a.droppedLines += maxLogLines / 2
+		a.lines = append([]string(nil), a.lines[maxLogLines/2:]...)
 	}
 	a.lines = append(a.lines, line)
 	a.mu.Unlock()
-	a.lab.Timeline.Read(a.lab.o.Lanes, a.lab.Now(), a.Name, line)
-	if a.lab.o.Log != nil {
-		a.lab.o.Log(a.Name, line)
+	a.lab.Timeline.Read(a.lab.options.Lanes, a.lab.Now(), a.Name, line)
+	if a.lab.options.Log != nil {
+		a.lab.options.Log(a.Name, line)
 	}
-	a.lab.happened()
+	a.lab.signalEvent()
 }
 
-// Logged is how many lines the agent has written so far, over all its runs: what SaidSince counts from.
+// Logged returns the number of lines that the agent has logged over all its runs, for use with SaidSince.
 func (a *Agent) Logged() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.cut + len(a.lines)
+	return a.droppedLines + len(a.lines)
 }
 
-// Said tells whether a line of the agent's log has a text in it.
+// Said reports whether a line of the agent's log contains text.
 func (a *Agent) Said(text string) bool { return a.SaidSince(0, text) }
 
-// SaidSince tells the same of the lines after the first so many.
-func (a *Agent) SaidSince(line int, text string) bool {
+// SaidSince is like Said but ignores the first skip lines, a count returned by Logged.
+func (a *Agent) SaidSince(skip int, text string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, l := range a.lines[min(max(line-a.cut, 0), len(a.lines)):] {
+	for _, l := range a.lines[min(max(skip-a.droppedLines, 0), len(a.lines)):] {
 		if strings.Contains(l, text) {
 			return true
 		}
--- a/internal/rehearsal/lab/deployment.go
+++ b/internal/rehearsal/lab/deployment.go
@@ -12,9 +12,9 @@
 	"dunestep/internal/standin/program"
 )
 
-// Deployment is the settings that a lab's agents have if nobody says otherwise: a class that is safe to
-// repeat, "consult", and one that is not, "rezervare"; one clinic group, "acme", of whose traffic the agents
-// tell one another; times that a busy machine keeps.
+// Deployment returns the default settings of a lab's agents: an idempotent class, "consult", and one that is
+// not, "rezervare"; one tenant, "acme", whose traffic the agents gossip about; and timeouts long enough for a
+// busy machine.
 func Deployment() *protocol.Settings {
 	return &protocol.Settings{
 		ConnIdleTimeout: 15 * time.Second, ConnectTimeout: time.Second,
@@ -49,61 +49,61 @@
 	}
 }
 
-// config is what an agent is started with in a run.
+// config returns the configuration of a run of an agent.
 func (a *Agent) config(run int) *Config {
 	l := a.lab
-	set := *l.o.Settings
-	set.Self, set.Balancers = a.Number, len(l.agents)
+	settings := *l.options.Settings
+	settings.Self, settings.Balancers = a.Number, len(l.agents)
 	l.mu.Lock()
-	known := l.list.whole(a)
+	known := l.list.full(a)
 	l.mu.Unlock()
 	file := program.Object{
 		"name": a.Name, "listen": a.Addr, "discovery": a.discovery.Addr,
-		"seed":   fmt.Sprintf("%016x", l.o.Seed<<32|uint64(a.Number)<<16|uint64(run)),
+		"seed":   fmt.Sprintf("%016x", l.options.Seed<<32|uint64(a.Number)<<16|uint64(run)),
 		"limits": program.Object{"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "known": known,
-		"settings": program.SettingsObject(set),
+		"settings": program.SettingsObject(settings),
 	}
-	if set.Limits.Gossip {
+	if settings.Limits.Gossip {
 		file["peer_listen"] = a.Addr
 		file["peers"], file["peers_all"] = l.network.Addrs(a.Number)
 	}
-	return &Config{Agent: a.Number, Run: run, Program: l.o.Program, Folder: a.Folder, File: file}
+	return &Config{Agent: a.Number, Run: run, Program: l.options.Program, Folder: a.Folder, File: file}
 }
 
-// list is discovery's list of booking servers. It is alike for all agents, but for the addresses.
-type list struct {
+// endpointList is discovery's endpoint list. It is the same for all agents except for the addresses.
+type endpointList struct {
 	version int64
-	states  []string    // of each server, as agents are told it
-	started []time.Time // of each server; zero: long ago
+	states  []string    // state of each server: "active", "leaving" or "left"
+	started []time.Time // start of each server; zero: long ago
 }
 
-func newList(servers int) list {
-	return list{
+func newEndpointList(servers int) endpointList {
+	return endpointList{
 		version: 1, states: slices.Repeat([]string{"active"}, servers),
 		started: make([]time.Time, servers),
 	}
 }
 
-// of is what is said of a number, or else what is usual.
-func of(said []string, n int, usual string) string {
-	if n < len(said) {
-		return said[n]
+// valueOr returns values[n], or fallback if there is no such entry.
+func valueOr(values []string, n int, fallback string) string {
+	if n < len(values) {
+		return values[n]
 	}
-	return usual
+	return fallback
 }
 
-func (v *list) entry(a *Agent, n int) program.Object {
-	o, started := &a.lab.o, int64(0)
+func (v *endpointList) entry(a *Agent, n int) program.Object {
+	o, started := &a.lab.options, int64(0)
 	if at := v.started[n]; !at.IsZero() {
 		started = at.UnixMilli()
 	}
 	return program.Object{
-		"id": fmt.Sprint("s-", n), "addr": a.servers[n].Addr(), "zone": of(o.Zones, n, "a"),
-		"kind": of(o.Kinds, n, "rapid"), "cell": 1, "state": v.states[n], "weight": 1.0, "started_ms": started,
+		"id": fmt.Sprint("s-", n), "addr": a.servers[n].Addr(), "zone": valueOr(o.Zones, n, "a"),
+		"kind": valueOr(o.Kinds, n, "rapid"), "cell": 1, "state": v.states[n], "weight": 1.0, "started_ms": started,
 	}
 }
 
-func (v *list) whole(a *Agent) program.Object {
+func (v *endpointList) full(a *Agent) program.Object {
 	entries := []program.Object{}
 	for n, state := range v.states {
 		if state != "left" {
@@ -113,24 +113,24 @@
 	return program.Object{"version": v.version, "full": true, "servers": entries}
 }
 
-// List has discovery tell all agents from now on that a booking server is "active", "leaving" or has "left".
+// List sets an upstream server's state in discovery to "active", "leaving" or "left" and notifies all agents.
 func (l *Lab) List(server int, state string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.list.states[server] = state
-	l.tell(server)
+	l.sendUpdate(server)
 }
 
-// Restarted has discovery tell all agents that a booking server has started just now.
+// Restarted sets an upstream server's start time in discovery to now and notifies all agents.
 func (l *Lab) Restarted(server int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.list.started[server] = time.Now()
-	l.tell(server)
+	l.sendUpdate(server)
 }
 
-// tell tells all agents what the list says of a booking server. The lock is held.
-func (l *Lab) tell(server int) {
+// sendUpdate sends the list entry of an upstream server to all agents. The caller holds the lock.
+func (l *Lab) sendUpdate(server int) {
 	l.list.version++
 	for _, a := range l.agents {
 		text := program.Line(program.Object{
@@ -138,51 +138,52 @@
 			"servers": []program.Object{l.list.entry(a, server)},
 		})
 		a.mu.Lock()
-		for c := range a.calls {
+		for c := range a.watches {
 			c.Say(text)
 		}
 		a.mu.Unlock()
 	}
 }
 
-// called answers an agent's call to discovery: with the whole list where it is not up to date.
-func (a *Agent) called(c *standin.Call) {
-	if answer := a.lab.o.Call; answer != nil && answer(a.Number, c) {
+// discoveryCalled answers an agent's poll or watch of discovery.
+func (a *Agent) discoveryCalled(c *standin.Call) {
+	if answer := a.lab.options.Call; answer != nil && answer(a.Number, c) {
 		return
 	}
 	a.Tell(c)
 }
 
-// Tell answers an agent's call to discovery with the list, as the lab does where nobody else answers it.
+// Tell answers an agent's poll or watch of discovery with the endpoint list, as the lab does unless
+// Options.Call answers. A watch whose version is current gets no list.
 func (a *Agent) Tell(c *standin.Call) {
 	l := a.lab
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c.Begin(http.StatusOK)
 	if !c.Watch || c.From != l.list.version {
-		c.Say(program.Line(l.list.whole(a)))
+		c.Say(program.Line(l.list.full(a)))
 	}
 	if !c.Watch {
 		c.End()
 		return
 	}
 	a.mu.Lock()
-	a.calls[c] = true
+	a.watches[c] = true
 	a.mu.Unlock()
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-func (a *Agent) uncalled(c *standin.Call) {
+func (a *Agent) discoveryEnded(c *standin.Call) {
 	a.mu.Lock()
-	delete(a.calls, c)
+	delete(a.watches, c)
 	a.mu.Unlock()
-	a.lab.happened()
+	a.lab.signalEvent()
 }
 
-// Watches is how many watches of discovery the agent has open.
+// Watches returns the number of watches of discovery that the agent has open.
 func (a *Agent) Watches() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return len(a.calls)
+	return len(a.watches)
 }
--- a/internal/rehearsal/lab/example_test.go
+++ b/internal/rehearsal/lab/example_test.go
@@ -9,7 +9,7 @@
 	"dunestep/internal/rehearsal/scenario"
 )
 
-// Compiled, not run: docs/rehearsal.md has its lines.
+// The example is compiled but not run. docs/rehearsal.md contains its lines.
 func Example() {
 	var (
 		t           *testing.T
--- a/internal/rehearsal/lab/lab.go
+++ b/internal/rehearsal/lab/lab.go
@@ -1,11 +1,10 @@
-// Package lab runs a fleet of agents, processes of the program that ships, on loopback, with stand-ins round
-// each of them and a network between every pair that fails on purpose. A script of faults is a list of a
-// scenario's troubles, from a file or from a program, drawn by a seed; what is waited for is an event, never
-// a time. However the lab ends, also by a panic, a time-out or a kill of the program that has it, no process
-// of its is left.
+// Package lab runs a fleet of agents on loopback: processes of the released program, with stand-ins for
+// each and a network between them that injects faults. A fault script is a list of a scenario's troubles,
+// from a file or from code, with values drawn from a seed. Tests wait for events, not for fixed times. The
+// agents end with the lab, even if the process that runs it panics, times out or is killed.
 //
-// A live rehearsal plays a day and judges it; a lab has neither load nor judge of its own. It is for what is
-// asked of processes: who knows what when which of them is paused, killed or cut off.
+// A live rehearsal runs a scenario under load and judges it; a lab has neither load nor judge. It tests what
+// agents know and do while some of them are paused, killed or partitioned.
 //
 //	l := lab.Open(t, lab.Options{Agents: 5, Program: path})
 //	l.StartAll(ctx)
@@ -34,95 +33,96 @@
 	"dunestep/internal/standin/program"
 )
 
-// Options is what a lab is made of.
+// Options configures a lab.
 type Options struct {
 	Agents  int
-	Servers int // booking servers, each of which every agent finds at an address of its own; 0: two
-	// Zones and Kinds are the booking servers', one after the other; the others are in zone "a", and "rapid".
+	Servers int // number of upstream servers, each with a separate address for each agent; 0: two
+	// Zones and Kinds of the upstream servers, by number; a server without an entry is in zone "a" and of kind
+	// "rapid".
 	Zones, Kinds []string
-	Seed         uint64 // of the datagrams' fates, and of what a script draws
-	Program      string // the agents'; empty: bin/dunestep
-	Ops          bool   // agents have their operators' door, at Agent.Ops
-	// Settings are the deployment's but for Self and Balancers; nil: Deployment.
+	Seed         uint64 // for the datagrams' faults and the values drawn for scripts
+	Program      string // path of the agent program; empty: bin/dunestep
+	Ops          bool   // whether agents have an operator listener, at Agent.Ops
+	// Settings of the deployment, except for Self and Balancers; nil: Deployment().
 	Settings *protocol.Settings
-	// Shape may change what an agent is started with, before each of its starts; nil: nobody does.
+	// Shape may change an agent's configuration before each start; may be nil.
 	Shape func(*Config)
-	// Answer is what a booking server answers to a route step, from a goroutine of its connection; nil: a 200
-	// with the server's name.
+	// Answer returns an upstream server's reply to an attempt. It is called from the connection's goroutine;
+	// nil: status 200 with the server's name.
 	Answer func(Step) standin.Reply
-	// Call may answer an agent's call to discovery in the lab's place, and tells whether it does; nil: nobody
-	// does.
+	// Call may answer an agent's poll or watch of discovery instead of the lab, and reports whether it does; may
+	// be nil.
 	Call func(agent int, c *standin.Call) bool
-	// Log is told the agents' logs; nil: nobody is.
+	// Log receives the agents' log lines; may be nil.
 	Log func(agent, line string)
-	// Lanes is what of the agents' logs goes to the timeline; nil: nothing.
+	// Lanes selects log lines for the timeline; nil: none.
 	Lanes timeline.Reader
-	// Patience is how long Wait waits where its context has no deadline; 0: a minute.
+	// Patience is the timeout of Wait if its context has no deadline; 0: a minute.
 	Patience time.Duration
 }
 
-// Config is what an agent is started with.
+// Config is the configuration of one start of an agent.
 type Config struct {
-	Agent, Run int    // by number, from 0; the run counts from 1
-	Program    string // another build than the others', say
+	Agent, Run int    // agent number from 0; run number from 1
+	Program    string // path of the agent program, which may differ between agents
 	Env, Args  []string
-	// Operator is the text of the operator file; empty: there is none.
+	// Operator is the text of the operator file; empty: no file.
 	Operator string
-	// Folder is $TMPDIR, which lasts over restarts; the lab's own is gone with the lab.
+	// Folder is $TMPDIR, which is kept across restarts. The default is removed with the lab.
 	Folder string
 	// File is the configuration file.
 	File program.Object
 }
 
-// Step is a route step that a booking server has.
+// Step is an attempt that an upstream server received.
 type Step struct {
 	Agent, Server int
 	Request       *http.Request
 	Body          []byte
 }
 
-// Lab is a fleet. Use New or Open; its methods may be called from any goroutine.
+// Lab is a fleet of agents. Create it with New or Open. Its methods are safe for concurrent use.
 type Lab struct {
-	// Timeline has what happened: the faults, the processes, and what whoever uses the lab marks beside them.
+	// Timeline records faults, process starts and ends, and the marks set by users of the lab.
 	Timeline *timeline.Timeline
 
-	o       Options
-	agents  []*Agent
-	network *standin.Network
-	spawn   *program.Spawner
-	folder  string
-	began   time.Time
-	ids     atomic.Uint64 // of requests
-	client  http.Client   // sends requests, and keeps its connections as applications do
+	options       Options
+	agents        []*Agent
+	network       *standin.Network
+	spawn         *program.Spawner
+	folder        string
+	began         time.Time
+	lastRequestID atomic.Uint64
+	client        http.Client // sends requests over persistent connections
 
-	mu      sync.Mutex
-	changed chan struct{} // closed at the next event
-	list    list
-	script  int // scripts so far, for their chances
-	closed  bool
+	mu            sync.Mutex
+	changed       chan struct{} // closed at the next event
+	list          endpointList
+	scriptsPlayed int // number of scripts played, part of each script's random seed
+	closed        bool
 }
 
 const (
-	defaultServers  = 2
-	defaultPatience = time.Minute
-	emptyLines      = 500 * time.Millisecond // between those on a watch
-	lookAgain       = 20 * time.Millisecond  // at what is no event of the lab's
-	// restBetweenLooks is the least time between the beginnings of two: under load there are hundreds of
-	// events a second, and a look may ask an agent.
-	restBetweenLooks = 10 * time.Millisecond
+	defaultServers     = 2
+	defaultWaitTimeout = time.Minute
+	watchKeepalive     = 500 * time.Millisecond // between empty lines on an idle watch
+	pollInterval       = 20 * time.Millisecond  // for conditions that no event of the lab announces
+	// minCheckInterval is the minimum time between two checks of a condition: under load there are hundreds of
+	// events per second, and a check may send a request to an agent.
+	minCheckInterval = 10 * time.Millisecond
 
-	askWait         = 5 * time.Second // for an agent's answer
-	keptConnections = 16              // of the lab's client to each agent
+	requestTimeout = 5 * time.Second
+	maxIdleConns   = 16 // from the lab's client to each agent
 )
 
-// agentsSoFar counts the agents of all labs of this process: each has an IP address of its own, or two labs
-// could take each other's ports.
-var agentsSoFar atomic.Int64
+// agentsCreated counts the agents of all labs of this process. Each agent has its own IP address; otherwise
+// two labs could take each other's ports.
+var agentsCreated atomic.Int64
 
-// New opens a lab: stand-ins and the network. No agent runs yet. Close it.
+// New opens a lab with its stand-ins and network, without starting an agent. The caller must Close it.
 func New(o Options) (*Lab, error) {
 	if o.Agents < 1 {
-		return nil, fmt.Errorf("lab: %d agents", o.Agents)
+		return nil, fmt.Errorf("lab: %d agents; at least 1 is needed", o.Agents)
 	}
 	path, err := program.Find(o.Program)
 	if err != nil {
@@ -133,17 +133,17 @@
 		o.Servers = defaultServers
 	}
 	if o.Patience == 0 {
-		o.Patience = defaultPatience
+		o.Patience = defaultWaitTimeout
 	}
 	if o.Settings == nil {
 		o.Settings = Deployment()
 	}
 	l := &Lab{
-		Timeline: &timeline.Timeline{}, o: o, began: time.Now(), changed: make(chan struct{}),
-		spawn: program.NewSpawner(), list: newList(o.Servers),
-		client: http.Client{Timeout: askWait, Transport: &http.Transport{MaxIdleConnsPerHost: keptConnections}},
+		Timeline: &timeline.Timeline{}, options: o, began: time.Now(), changed: make(chan struct{}),
+		spawn: program.NewSpawner(), list: newEndpointList(o.Servers),
+		client: http.Client{Timeout: requestTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConns}},
 	}
-	l.ids.Store(uint64(l.began.UnixNano()))
+	l.lastRequestID.Store(uint64(l.began.UnixNano()))
 	if err := l.open(); err != nil {
 		l.Close()
 		return nil, err
@@ -156,7 +156,7 @@
 		return err
 	}
 	var addrs []netip.AddrPort
-	for i := range l.o.Agents {
+	for i := range l.options.Agents {
 		a, err := newAgent(l, i)
 		l.agents = append(l.agents, a)
 		if err != nil {
@@ -164,7 +164,7 @@
 		}
 		addrs = append(addrs, netip.MustParseAddrPort(a.Addr))
 	}
-	l.network, err = standin.ListenNetwork(l.agents[0].round, addrs, l.o.Seed)
+	l.network, err = standin.ListenNetwork(l.agents[0].standinIP, addrs, l.options.Seed)
 	return err
 }
 
@@ -177,8 +177,8 @@
 	Log(args ...any)
 }
 
-// Open is New for a test: the lab ends with it, and a test that fails has the timeline and the agents' last
-// words.
+// Open is New for a test: the lab is closed at the end of the test, and a failed test logs the timeline and
+// the agents' last log lines.
 func Open(t TB, o Options) *Lab {
 	t.Helper()
 	if err := program.Sources(); err != nil {
@@ -197,7 +197,8 @@
 	return l
 }
 
-// Close kills what runs, ends the stand-ins and removes the lab's folder. A second call does nothing.
+// Close kills the running agents, ends the stand-ins and removes the lab's folder. A second call does
+// nothing.
 func (l *Lab) Close() {
 	l.mu.Lock()
 	closed := l.closed
@@ -206,7 +207,7 @@
 	if closed {
 		return
 	}
-	l.end(false)
+	l.endAgents(false)
 	l.client.CloseIdleConnections()
 	l.spawn.Close()
 	if l.network != nil {
@@ -220,10 +221,10 @@
 	}
 }
 
-// EndAll ends all agents in good order, as SIGTERM does, and returns what any of their processes did that it
-// must not: end by itself or with an error, or not end in time.
+// EndAll shuts all agents down gracefully, as SIGTERM does. It returns the problems of their processes over
+// all runs: an unexpected exit, an exit with an error, or no exit in time.
 func (l *Lab) EndAll() (problems []string) {
-	l.end(true)
+	l.endAgents(true)
 	for _, a := range l.agents {
 		for _, p := range a.program.Used().Problems {
 			problems = append(problems, a.Name+" "+p)
@@ -232,7 +233,7 @@
 	return problems
 }
 
-func (l *Lab) end(gently bool) {
+func (l *Lab) endAgents(gently bool) {
 	var all []*program.Agent
 	for _, a := range l.agents {
 		all = append(all, a.program)
@@ -240,13 +241,13 @@
 	program.EndAll(all, gently)
 }
 
-// Agents are all agents, Agent the one of a number.
+// Agents returns all agents.
 func (l *Lab) Agents() []*Agent { return l.agents }
 
-// Agent is the agent of a number, from 0.
+// Agent returns the agent with number n, from 0.
 func (l *Lab) Agent(n int) *Agent { return l.agents[n] }
 
-// StartAll starts all agents that do not run, and waits until they are ready.
+// StartAll starts all agents that are not running, and waits until all are ready.
 func (l *Lab) StartAll(ctx context.Context) error {
 	errs := make([]error, len(l.agents))
 	var wait sync.WaitGroup
@@ -257,91 +258,91 @@
 	return errors.Join(errs...)
 }
 
-// Spoil has a fault come over the network between the agents, until end is called.
+// Spoil applies a fault to the network between the agents until end is called.
 func (l *Lab) Spoil(f mishap.Fault) (end func(), err error) {
 	id, err := l.network.Begin(f)
 	if err != nil {
 		return nil, err
 	}
-	words := fmt.Sprintf("datagrams from %v to %v: %v", f.From, f.To, f.Way)
-	l.Mark(timeline.Faults, "", words)
+	text := fmt.Sprintf("datagrams from %v to %v: %v", f.From, f.To, f.Way)
+	l.Mark(timeline.Faults, "", text)
 	var once sync.Once
 	return func() {
 		once.Do(func() {
 			l.network.End(id)
-			l.Mark(timeline.Faults, "", "over: "+words)
+			l.Mark(timeline.Faults, "", "over: "+text)
 		})
 	}, nil
 }
 
-// Network is what the network between the agents has carried.
+// Network returns the traffic counts of the network between the agents.
 func (l *Lab) Network() standin.Figures { return l.network.Figures() }
 
-// Now is the time since the lab was opened, as its timeline has it.
+// Now returns the time since the lab was opened, the time base of its timeline.
 func (l *Lab) Now() time.Duration { return time.Since(l.began) }
 
-// Mark puts something on the timeline, as of now, and is an event.
+// Mark adds a mark to the timeline at the current time and wakes the callers of Wait.
 func (l *Lab) Mark(lane, agent, text string) {
 	l.Timeline.Mark(l.Now(), lane, agent, text)
-	l.happened()
+	l.signalEvent()
 }
 
-// happened wakes those who wait for an event.
-func (l *Lab) happened() {
+// signalEvent wakes the goroutines that wait for an event.
+func (l *Lab) signalEvent() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-func (l *Lab) event() <-chan struct{} {
+func (l *Lab) nextEvent() <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.changed
 }
 
-// patient gives a context without a deadline one.
-func (l *Lab) patient(ctx context.Context) (context.Context, context.CancelFunc) {
-	if _, any := ctx.Deadline(); any {
+// withWaitTimeout adds the lab's timeout to a context without a deadline.
+func (l *Lab) withWaitTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
+	if _, ok := ctx.Deadline(); ok {
 		return ctx, func() {}
 	}
-	return context.WithTimeout(ctx, l.o.Patience)
+	return context.WithTimeout(ctx, l.options.Patience)
 }
 
-// Wait waits until something is so, which is looked at after each event: a line of a log, a route step, a
-// call to discovery, a process's start or end, a mark; and now and then beside. It may call what it likes of
-// the lab. The error says what was waited for in vain.
-func (l *Lab) Wait(ctx context.Context, what string, is func() bool) error {
-	ctx, cancel := l.patient(ctx)
+// Wait waits until met returns true. It calls met after each event (a log line, an attempt, a call to
+// discovery, the start or end of a process, a mark) and every pollInterval. The function may call any
+// method of the lab. The error names the condition, what, that was not met before the context ended.
+func (l *Lab) Wait(ctx context.Context, what string, met func() bool) error {
+	ctx, cancel := l.withWaitTimeout(ctx)
 	defer cancel()
 	for {
-		next, looked := l.event(), time.Now()
-		if is() {
+		next, checkedAt := l.nextEvent(), time.Now()
+		if met() {
 			return nil
 		}
 		select {
 		case <-next:
-		case <-time.After(lookAgain):
+		case <-time.After(pollInterval):
 		case <-ctx.Done():
 		}
-		if err := sleep(ctx, restBetweenLooks-time.Since(looked)); err != nil {
-			return fmt.Errorf("lab: waited in vain: %s: %w", what, err)
+		if err := sleep(ctx, minCheckInterval-time.Since(checkedAt)); err != nil {
+			return fmt.Errorf("lab: condition not met: %s: %w", what, err)
 		}
 	}
 }
 
-// mostShown is how many of the last marks String has.
-const mostShown = 100
+// maxShownMarks is the number of most recent marks in String.
+const maxShownMarks = 100
 
-// String is the end of the timeline and the agents' last words.
+// String returns the most recent marks of the timeline and the agents' last log lines.
 func (l *Lab) String() string {
 	var b strings.Builder
 	marks, _ := l.Timeline.Marks()
-	for _, m := range marks[max(len(marks)-mostShown, 0):] {
+	for _, m := range marks[max(len(marks)-maxShownMarks, 0):] {
 		fmt.Fprintf(&b, "%9.3f  %-10s %-4s %s\n", m.At.Seconds(), m.Lane, m.Agent, m.Text)
 	}
 	for _, a := range l.agents {
-		fmt.Fprintf(&b, "%s said last:\n%s\n", a.Name, a.program.LastWords())
+		fmt.Fprintf(&b, "last log lines of %s:\n%s\n", a.Name, a.program.LastWords())
 	}
 	return b.String()
 }
--- a/internal/rehearsal/lab/lab_test.go
+++ b/internal/rehearsal/lab/lab_test.go
@@ -22,16 +22,16 @@
 	"dunestep/internal/standin/program"
 )
 
-var shipped string
+var agentProgram string
 
 func TestMain(m *testing.M) {
-	if shipped = os.Getenv("LAB_DIES"); shipped != "" {
-		dies()
+	if agentProgram = os.Getenv("LAB_DIES"); agentProgram != "" {
+		runLabThatDies()
 	}
 	dir, err := os.MkdirTemp("", "lab")
 	if err == nil {
-		shipped = filepath.Join(dir, "dunestep")
-		err = program.Build(shipped, "dunestep/cmd/dunestep")
+		agentProgram = filepath.Join(dir, "dunestep")
+		err = program.Build(agentProgram, "dunestep/cmd/dunestep")
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -46,20 +46,20 @@
 	os.Exit(code)
 }
 
-// running are the processes that run a program.
-func running(of string) (links []string) {
+// processesRunning returns the /proc/PID/exe links of the processes that run a program.
+func processesRunning(path string) (links []string) {
 	all, _ := filepath.Glob("/proc/[0-9]*/exe")
 	for _, link := range all {
-		if exe, err := os.Readlink(link); err == nil && exe == of {
+		if exe, err := os.Readlink(link); err == nil && exe == path {
 			links = append(links, link)
 		}
 	}
 	return links
 }
 
-func gone(pid int) bool { return errors.Is(syscall.Kill(pid, 0), syscall.ESRCH) }
+func hasExited(pid int) bool { return errors.Is(syscall.Kill(pid, 0), syscall.ESRCH) }
 
-const script = `schema = 1
+const fiveAgentsScenario = `schema = 1
 name = "five"
 floor = 0
 seed = 11
@@ -80,11 +80,11 @@
 ]
 `
 
-// Five agents under a script of a file with everything in it: in the end all serve, and nothing is left.
-func TestFiveAgents(t *testing.T) {
-	set, err := scenario.Parse("five.toml", []byte(script))
+// After a script with every supported kind of fault, all five agents serve, and the lab leaves no process or folder.
+func TestScriptLeavesAllAgentsServing(t *testing.T) {
+	set, err := scenario.Parse("five.toml", []byte(fiveAgentsScenario))
 	require.NoError(t, err)
-	l := Open(t, Options{Agents: set.Agents.Count, Program: shipped, Seed: set.Seed, Ops: true})
+	l := Open(t, Options{Agents: set.Agents.Count, Program: agentProgram, Seed: set.Seed, Ops: true})
 	ctx := t.Context()
 	require.NoError(t, l.StartAll(ctx))
 	var pids []int
@@ -93,16 +93,16 @@
 		pids = append(pids, a.Pid())
 	}
 	stop := make(chan struct{})
-	asked := make(chan struct{})
-	go func() { // so that the agents have something to tell one another
-		defer close(asked)
+	sendersDone := make(chan struct{})
+	go func() { // gives the agents traffic to gossip about
+		defer close(sendersDone)
 		for n := 0; ; n++ {
 			select {
 			case <-stop:
 				return
 			case <-time.After(time.Millisecond):
-				quick, cancel := context.WithTimeout(ctx, 50*time.Millisecond)
-				_, _, _ = l.Agent(n%5).Ask(quick, "consult", fmt.Sprint(n))
+				short, cancel := context.WithTimeout(ctx, 50*time.Millisecond)
+				_, _, _ = l.Agent(n%5).Ask(short, "consult", fmt.Sprint(n))
 				cancel()
 			}
 		}
@@ -111,18 +111,18 @@
 	end, err := l.Spoil(mishap.Fault{From: []int{0, 1}, Way: mishap.Way{Cut: true}})
 	require.NoError(t, err)
 	before := l.Network().Cut
-	require.NoError(t, l.Wait(ctx, "n0 or n1 speaks and is not heard", func() bool { return l.Network().Cut > before }))
+	require.NoError(t, l.Wait(ctx, "a datagram of n0 or n1 is dropped", func() bool { return l.Network().Cut > before }))
 	end()
 	close(stop)
-	<-asked
+	<-sendersDone
 	for i, a := range l.Agents() {
 		require.NoError(t, a.Start(ctx))
 		require.NoError(t, l.Wait(ctx, a.Name+" serves", func() bool { return a.Serves(ctx) }))
 		restarted := i == 2 || i == 3
 		require.Equal(t, restarted, a.Pid() != pids[i])
-		require.Equal(t, restarted, gone(pids[i]))
+		require.Equal(t, restarted, hasExited(pids[i]))
 		_, err := os.Stat(filepath.Join(a.Folder, "mine"))
-		require.Equal(t, i == 2, os.IsNotExist(err), "n2 alone found its folder empty")
+		require.Equal(t, i == 2, os.IsNotExist(err), "only n2's folder is emptied")
 		require.NoError(t, l.Wait(ctx, a.Name+" watches", func() bool { return a.Watches() == 1 }))
 		require.NotEmpty(t, a.Ops)
 	}
@@ -131,20 +131,20 @@
 	text := l.String()
 	for _, want := range []string{
 		"datagrams from [0] to [1 2]: cut", "over: datagrams from [0] to", "n1   paused", "n1   resumed",
-		"n2   killed", "n3   told to end", "n4   runs for 0.3 of the time", "n0   streams to discovery: silent", "run 2 starts",
+		"n2   killed", "n3   drain requested", "n4   CPU share set to 0.3", "n0   streams to discovery: silent", "run 2 starts",
 	} {
 		require.Contains(t, text, want)
 	}
 	require.Empty(t, l.EndAll())
 	l.Close()
-	require.Empty(t, running(shipped))
+	require.Empty(t, processesRunning(agentProgram))
 	require.NoDirExists(t, l.folder)
 }
 
-// What an agent is started with is the caller's to choose, for each agent and run; the list of booking servers too.
-func TestShape(t *testing.T) {
+// Options.Shape sets program, environment and files for each agent and run, and List changes the endpoint list.
+func TestConfigurePerAgentAndRun(t *testing.T) {
 	other := filepath.Join(t.TempDir(), "older")
-	raw, err := os.ReadFile(shipped)
+	raw, err := os.ReadFile(agentProgram)
 	require.NoError(t, err)
 	require.NoError(t, os.WriteFile(other, raw, 0o700))
 	folder := t.TempDir()
@@ -154,7 +154,7 @@
 		}
 		return "", ""
 	}
-	l := Open(t, Options{Agents: 2, Program: shipped, Lanes: serving, Shape: func(c *Config) {
+	l := Open(t, Options{Agents: 2, Program: agentProgram, Lanes: serving, Shape: func(c *Config) {
 		if c.Agent == 1 {
 			c.Env = append(c.Env, fmt.Sprint("LAB_RUN=", c.Run))
 			c.Operator, c.Folder = "[storm]\non = false\n", folder
@@ -165,16 +165,16 @@
 	}})
 	ctx := t.Context()
 	a := l.Agent(1)
-	for run, program := range []string{other, shipped} {
+	for run, program := range []string{other, agentProgram} {
 		require.NoError(t, a.Start(ctx))
-		require.Equal(t, []string{fmt.Sprintf("/proc/%d/exe", a.Pid())}, running(program))
+		require.Equal(t, []string{fmt.Sprintf("/proc/%d/exe", a.Pid())}, processesRunning(program))
 		environ, err := os.ReadFile(fmt.Sprintf("/proc/%d/environ", a.Pid()))
 		require.NoError(t, err)
 		require.Contains(t, string(environ), fmt.Sprint("LAB_RUN=", run+1))
 		require.Contains(t, string(environ), "TMPDIR="+folder)
 		a.Kill()
 	}
-	require.Zero(t, l.Agent(0).Pid(), "it was never started")
+	require.Zero(t, l.Agent(0).Pid(), "the agent was never started")
 	require.NoError(t, a.Start(ctx))
 	require.NoError(t, l.Wait(ctx, "it watches", func() bool { return a.Watches() == 1 }))
 	l.List(0, "left")
@@ -190,36 +190,36 @@
 	require.Equal(t, 3, strings.Count(l.String(), "views      n1   serves"))
 }
 
-// What can't be is told: a program that is none, a bad configuration, a wait in vain, a script that needs a day.
-func TestInVain(t *testing.T) {
+// Errors name a missing program, a bad configuration, a condition that is not met and an unsupported kind of fault.
+func TestErrorsNameTheCause(t *testing.T) {
 	_, err := New(Options{Agents: 1, Program: "none"})
 	require.ErrorContains(t, err, "the agent's program")
-	_, err = New(Options{Program: shipped})
-	require.ErrorContains(t, err, "0 agents")
+	_, err = New(Options{Program: agentProgram})
+	require.ErrorContains(t, err, "0 agents; at least 1 is needed")
 	l := Open(t, Options{
-		Agents: 1, Program: shipped,
+		Agents: 1, Program: agentProgram,
 		Shape: func(c *Config) { c.Operator = "[storm]\non = 7\n" },
 	})
 	ctx := t.Context()
 	err = l.StartAll(ctx)
 	require.ErrorContains(t, err, "n0 is not ready: it ended before it was ready")
-	require.ErrorContains(t, err, "storm.on", "its last words")
+	require.ErrorContains(t, err, "storm.on", "the error includes the last log lines")
 	require.True(t, l.Agent(0).Said("storm.on"))
 	require.False(t, l.Agent(0).SaidSince(l.Agent(0).Logged(), "storm.on"))
 	short, cancel := context.WithTimeout(ctx, 50*time.Millisecond)
 	defer cancel()
-	require.ErrorContains(t, l.Wait(short, "the moon falls", func() bool { return false }), "waited in vain: the moon falls")
-	spell := scenario.Trouble{Kind: scenario.Surge, At: scenario.Always(0), For: scenario.Always(time.Second), Size: scenario.Exactly(2)}
-	require.ErrorContains(t, l.Play(ctx, []scenario.Trouble{spell}), `trouble[0]: kind "surge" needs a day`)
-	spell.Kind = scenario.Datagrams
-	require.ErrorContains(t, l.Play(ctx, []scenario.Trouble{spell}), "trouble[0].size: means nothing for datagrams")
+	require.ErrorContains(t, l.Wait(short, "never true", func() bool { return false }), "condition not met: never true")
+	trouble := scenario.Trouble{Kind: scenario.Surge, At: scenario.Always(0), For: scenario.Always(time.Second), Size: scenario.Exactly(2)}
+	require.ErrorContains(t, l.Play(ctx, []scenario.Trouble{trouble}), `trouble[0]: kind "surge" needs a scenario run`)
+	trouble.Kind = scenario.Datagrams
+	require.ErrorContains(t, l.Play(ctx, []scenario.Trouble{trouble}), "trouble[0].size: means nothing for datagrams")
 	_, err = l.Spoil(mishap.Fault{From: []int{1}})
 	require.ErrorContains(t, err, "no agent 1 of 1")
 }
 
-// A script that is broken off takes its faults away.
-func TestBrokenOff(t *testing.T) {
-	l := Open(t, Options{Agents: 2, Program: shipped})
+// A script whose context is canceled ends its faults and launches stopped agents again.
+func TestCanceledScriptEndsItsFaults(t *testing.T) {
+	l := Open(t, Options{Agents: 2, Program: agentProgram})
 	ctx, cancel := context.WithCancel(t.Context())
 	require.NoError(t, l.StartAll(ctx))
 	hour := scenario.Always(time.Hour)
@@ -232,7 +232,7 @@
 			{Kind: scenario.Datagrams, At: hour, For: hour, Loss: scenario.Exactly(1)},
 		})
 	}()
-	require.NoError(t, l.Wait(ctx, "all are there", func() bool {
+	require.NoError(t, l.Wait(ctx, "all faults are active", func() bool {
 		marks, _ := l.Timeline.Marks()
 		faults := 0
 		for _, m := range marks {
@@ -245,15 +245,15 @@
 	cancel()
 	require.ErrorIs(t, <-done, context.Canceled)
 	require.NoError(t, l.StartAll(t.Context()))
-	require.True(t, l.Agent(1).Serves(t.Context()), "it was resumed")
+	require.True(t, l.Agent(1).Serves(t.Context()), "the agent is resumed")
 	before := l.Network().Cut
-	l.network.Begin(mishap.Fault{}) // counts, and does nothing
+	l.network.Begin(mishap.Fault{}) // a fault without effect
 	require.Equal(t, before, l.Network().Cut)
 }
 
-// dies has a lab with two agents, one of which stands still, and ends by a panic or waits to be killed.
-func dies() {
-	l, err := New(Options{Agents: 2, Program: shipped})
+// runLabThatDies opens a lab with two agents, one paused and one slowed, and then panics or waits to be killed.
+func runLabThatDies() {
+	l, err := New(Options{Agents: 2, Program: agentProgram})
 	if err == nil {
 		err = l.StartAll(context.Background())
 	}
@@ -261,19 +261,19 @@
 		panic(err)
 	}
 	l.Agent(0).Pause()
-	l.Agent(1).Slow(0.1)
+	l.Agent(1).SetCPUShare(0.1)
 	fmt.Println(l.Agent(0).Pid(), l.Agent(1).Pid(), l.folder)
 	if os.Getenv("LAB_PANICS") != "" {
-		panic("on purpose")
+		panic("simulated crash of the lab")
 	}
 	select {}
 }
 
-// Where the program that has the lab panics or is killed, its agents end with it, also those that stand still.
-func TestNothingIsLeft(t *testing.T) {
+// If the process that runs the lab panics or is killed, its agents end too, also paused ones.
+func TestAgentsEndWithTheLabProcess(t *testing.T) {
 	for _, panics := range []string{"", "yes"} {
 		c := exec.Command(os.Args[0])
-		c.Env = append(os.Environ(), "LAB_DIES="+shipped, "LAB_PANICS="+panics)
+		c.Env = append(os.Environ(), "LAB_DIES="+agentProgram, "LAB_PANICS="+panics)
 		out, err := c.StdoutPipe()
 		require.NoError(t, err)
 		require.NoError(t, c.Start())
@@ -291,20 +291,20 @@
 		for _, pid := range pids {
 			require.Eventually(t, func() bool {
 				state, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
-				return gone(pid) || strings.Contains(string(state), ") Z ") // nobody has taken notice of its end
+				return hasExited(pid) || strings.Contains(string(state), ") Z ") // a zombie that its parent has not reaped
 			}, 15*time.Second, 5*time.Millisecond)
 		}
 		require.NoError(t, os.RemoveAll(folder))
 	}
 }
 
-// BenchmarkFleet is how long it takes until so many agents are ready, what the network between them carries while they
-// serve some requests with half of their datagrams late, and how late the lab itself is with those.
+// BenchmarkFleet measures the time until all agents are ready, the network's throughput while they serve requests with
+// half of the datagrams delayed, and how late the lab itself delivers those.
 func BenchmarkFleet(b *testing.B) {
 	for _, agents := range []int{5, 25, 100, 300} {
 		b.Run(fmt.Sprint(agents), func(b *testing.B) {
 			for b.Loop() {
-				l := Open(b, Options{Agents: agents, Program: shipped})
+				l := Open(b, Options{Agents: agents, Program: agentProgram})
 				began := time.Now()
 				require.NoError(b, l.StartAll(b.Context()))
 				b.ReportMetric(time.Since(began).Seconds(), "s-until-ready")
--- a/internal/rehearsal/lab/script.go
+++ b/internal/rehearsal/lab/script.go
@@ -13,40 +13,40 @@
 	"dunestep/internal/rehearsal/scenario"
 )
 
-// Play plays a script of faults, a scenario's troubles, from now on, and returns when all are over. Figures
-// are drawn by the lab's seed and which script of the lab's it is. Where the context ends first, all faults
-// end then, and its error is returned; an agent that a fault keeps down is started again.
+// Play plays a script of faults, given as a scenario's troubles, and returns when all have ended. Values
+// are drawn from the lab's seed and the number of the script. If the context ends first, all faults end
+// then, agents that a fault stopped are launched again, and the context's error is returned.
 //
-// A lab plays datagrams, streams, agents_paused, agents_slowed, agents_killed and agents_restarted; of the
-// others, which need a day's load and servers, the error tells.
+// A lab supports the kinds datagrams, streams, agents_paused, agents_slowed, agents_killed and
+// agents_restarted. The other kinds need a scenario's load and servers; Play returns an error for them.
 func (l *Lab) Play(ctx context.Context, troubles []scenario.Trouble) error {
 	troubles, err := scenario.Check(len(l.agents), troubles)
 	if err != nil {
 		return err
 	}
 	l.mu.Lock()
-	l.script++
-	chance := rand.New(rand.NewPCG(l.o.Seed, uint64(l.script)))
+	l.scriptsPlayed++
+	random := rand.New(rand.NewPCG(l.options.Seed, uint64(l.scriptsPlayed)))
 	l.mu.Unlock()
-	var turns []*turn
+	var events []*faultEvent
 	for i := range troubles {
-		f, err := l.fault(&troubles[i], chance)
+		f, err := l.newFault(&troubles[i], random)
 		if err != nil {
 			return fmt.Errorf("lab: trouble[%d]: %w", i, err)
 		}
-		turns = append(turns, f.turns(&troubles[i], chance)...)
+		events = append(events, f.events(&troubles[i], random)...)
 	}
-	slices.SortStableFunc(turns, func(a, b *turn) int { return cmp.Compare(a.at, b.at) })
-	began := time.Now()
+	slices.SortStableFunc(events, func(a, b *faultEvent) int { return cmp.Compare(a.at, b.at) })
+	start := time.Now()
 	var failed error
-	for _, t := range turns {
+	for _, event := range events {
 		if failed == nil {
-			failed = sleep(ctx, t.at-time.Since(began))
+			failed = sleep(ctx, event.at-time.Since(start))
 		}
-		if failed != nil && t.begins { // only what is there is to be ended
+		if failed != nil && event.starts { // after an error, only active faults are ended
 			continue
 		}
-		if err := t.happen(context.WithoutCancel(ctx)); err != nil && failed == nil {
+		if err := event.run(context.WithoutCancel(ctx)); err != nil && failed == nil {
 			failed = err
 		}
 	}
@@ -63,22 +63,22 @@
 	return ctx.Err()
 }
 
-// fault is a trouble that can begin, and then end.
+// fault is a fault of a script that can begin and end.
 type fault struct {
 	begin func() (end func(ctx context.Context) error, err error)
-	end   func(context.Context) error // nil: it is not there
+	end   func(context.Context) error // nil: the fault is not active
 }
 
-// turn is when a fault begins or ends.
-type turn struct {
+// faultEvent is the start or the end of a fault.
+type faultEvent struct {
 	at     time.Duration
-	begins bool
+	starts bool
 	fault  *fault
 }
 
-func (t *turn) happen(ctx context.Context) (err error) {
-	f := t.fault
-	if t.begins {
+func (e *faultEvent) run(ctx context.Context) (err error) {
+	f := e.fault
+	if e.starts {
 		f.end, err = f.begin()
 		return err
 	}
@@ -89,30 +89,30 @@
 	return nil
 }
 
-// turns are when a trouble comes and goes.
-func (f *fault) turns(t *scenario.Trouble, chance *rand.Rand) (turns []*turn) {
-	at, lasts := t.At.Draw(chance), t.For.Draw(chance)
-	on, off := t.On.Draw(chance), t.Off.Draw(chance)
-	over := at + lasts
+// events draws the times at which a fault starts and ends, in pairs.
+func (f *fault) events(t *scenario.Trouble, random *rand.Rand) (events []*faultEvent) {
+	at, duration := t.At.Draw(random), t.For.Draw(random)
+	on, off := t.On.Draw(random), t.Off.Draw(random)
+	end := at + duration
 	if on == 0 {
-		on = lasts
+		on = duration
 	}
-	for ; at < over; at += on + off {
-		turns = append(turns, &turn{at, true, f}, &turn{min(at+on, over), false, f})
+	for ; at < end; at += on + off {
+		events = append(events, &faultEvent{at, true, f}, &faultEvent{min(at+on, end), false, f})
 		if off == 0 {
 			break
 		}
 	}
-	return turns
+	return events
 }
 
-// fault is what a trouble does in a lab.
-func (l *Lab) fault(t *scenario.Trouble, chance *rand.Rand) (*fault, error) {
-	who := l.whom(t)
+// newFault returns the fault that a scenario's trouble describes.
+func (l *Lab) newFault(t *scenario.Trouble, random *rand.Rand) (*fault, error) {
+	agents := l.targets(t)
 	each := func(begin func(*Agent) (end func())) *fault {
 		return &fault{begin: func() (func(context.Context) error, error) {
 			var ends []func()
-			for _, a := range who {
+			for _, a := range agents {
 				ends = append(ends, begin(a))
 			}
 			return func(context.Context) error {
@@ -125,9 +125,9 @@
 	}
 	switch t.Kind {
 	case scenario.Datagrams:
-		spoils := mishap.FromTrouble(t, chance)
+		networkFault := mishap.FromTrouble(t, random)
 		return &fault{begin: func() (func(context.Context) error, error) {
-			end, err := l.Spoil(spoils)
+			end, err := l.Spoil(networkFault)
 			if err != nil {
 				return nil, err
 			}
@@ -138,10 +138,10 @@
 	case scenario.AgentsPaused:
 		return each(func(a *Agent) func() { return a.pause() }), nil
 	case scenario.AgentsSlowed:
-		share := t.Size.Draw(chance)
-		return each(func(a *Agent) func() { a.Slow(share); return func() { a.Slow(1) } }), nil
+		share := t.Size.Draw(random)
+		return each(func(a *Agent) func() { a.SetCPUShare(share); return func() { a.SetCPUShare(1) } }), nil
 	case scenario.AgentsKilled:
-		return l.down(who, func(a *Agent) error {
+		return l.processFault(agents, func(a *Agent) error {
 			a.Kill()
 			if t.Folder == "empty" {
 				return a.Empty()
@@ -149,19 +149,20 @@
 			return nil
 		}), nil
 	case scenario.AgentsRestarted:
-		return l.down(who, func(a *Agent) error { a.Drain(); return nil }), nil
+		return l.processFault(agents, func(a *Agent) error { a.Drain(); return nil }), nil
 	}
-	return nil, fmt.Errorf("kind %q needs a day, as rehearse plays it", t.Kind)
+	return nil, fmt.Errorf("kind %q needs a scenario run; a lab does not support it", t.Kind)
 }
 
-// down is a fault that ends processes. They are launched again when it ends, and not waited for.
-func (l *Lab) down(who []*Agent, stop func(*Agent) error) *fault {
+// processFault returns a fault that stops agents. When it ends, they are launched again without waiting until
+// they are ready.
+func (l *Lab) processFault(agents []*Agent, stop func(*Agent) error) *fault {
 	return &fault{begin: func() (end func(context.Context) error, err error) {
-		for _, a := range who {
+		for _, a := range agents {
 			err = errors.Join(err, stop(a))
 		}
 		return func(ctx context.Context) error {
-			for _, a := range who {
+			for _, a := range agents {
 				if err := l.Wait(ctx, a.Name+" has ended", func() bool { return !a.Runs() }); err != nil {
 					return err
 				}
@@ -174,14 +175,14 @@
 	}}
 }
 
-// whom are the agents that a trouble comes over.
-func (l *Lab) whom(t *scenario.Trouble) []*Agent {
+// targets returns the agents that a fault affects.
+func (l *Lab) targets(t *scenario.Trouble) []*Agent {
 	if len(t.Agents) > 0 {
-		var some []*Agent
+		var agents []*Agent
 		for _, n := range t.Agents {
-			some = append(some, l.agents[n])
+			agents = append(agents, l.agents[n])
 		}
-		return some
+		return agents
 	}
 	if t.Count > 0 {
 		return l.agents[:t.Count]
