--- a/internal/rehearsal/mishap/mishap.go
+++ b/internal/rehearsal/mishap/mishap.go
@@ -1,8 +1,8 @@
-// Package mishap decides what becomes of the datagrams between agents on a network that fails on purpose,
-// for each direction of each pair by itself: lost, late, overtaken, doubled, with bits flipped, cut short,
-// or nothing at all. It has no I/O, clock or goroutine: the time comes with each datagram, and the copies to
-// deliver come back, each with how much later it is to arrive. So the rehearsal's virtual time and the
-// sockets of a live fleet fail by the same code, and the same seed gives the same fate.
+// Package mishap injects faults into the datagrams between agents: loss, delay, reordering, duplication,
+// flipped bits and truncation, separately for each direction of each pair of agents. It has no I/O, clock
+// or goroutine: the caller passes the time with each datagram and gets the copies to deliver with their
+// delays. Virtual-time rehearsals and the sockets of a live fleet share this code, and the same seed gives
+// the same faults.
 package mishap
 
 import (
@@ -16,50 +16,51 @@
 	"dunestep/internal/rehearsal/scenario"
 )
 
-// Burst is a way that is calm or bad by turns (Gilbert and Elliott): both last for exponential times of these
-// means, and in bad ones Loss of the datagrams are lost. The zero value is never bad.
+// Burst is the Gilbert-Elliott model of bursty loss: a direction alternates between a calm and a bad state,
+// whose durations are exponential with the means Calm and Bad. In the bad state the share Loss of the
+// datagrams is lost. The zero value is always calm.
 type Burst struct {
 	Calm, Bad time.Duration
 	Loss      float64
 }
 
-// Way is what a direction does to datagrams. The zero value does nothing; shares are from 0 to 1, and times
-// are drawn evenly for each copy.
+// Way describes the faults of a direction. The zero value has no faults. Shares are from 0 to 1; delays are
+// drawn uniformly for each copy.
 type Way struct {
-	Cut     bool    // nothing passes
-	Loss    float64 // share that is lost
+	Cut     bool    // drops every datagram
+	Loss    float64 // share of datagrams that are lost, independently of one another
 	Burst   Burst
-	Delay   scenario.TimeSpan // by how much each copy is late
-	Reorder float64           // share of the copies that are held back further, so that others overtake them,
-	Held    scenario.TimeSpan // by so much
-	Double  float64           // share that comes twice, each copy with a fate of its own
-	Flip    float64           // share of the copies with up to maxFlips bits flipped
-	Shorten float64           // share of the copies that lose their end
+	Delay   scenario.TimeSpan // delay of each copy
+	Reorder float64           // share of copies that are held back so that others overtake them
+	Held    scenario.TimeSpan // additional delay of a copy that is held back
+	Double  float64           // share of datagrams delivered twice, with other faults drawn for each copy
+	Flip    float64           // share of copies with up to maxFlips bits flipped
+	Shorten float64           // share of copies that are truncated
 }
 
-// Fault is a way between some agents.
+// Fault applies a Way to the datagrams between some agents.
 type Fault struct {
 	Way
-	From, To []int // agents' numbers; empty: all
+	From, To []int // agent numbers, from 0; empty: all
 }
 
-// FromTrouble is the fault of a scenario's trouble between agents; the shares and mean times that a day draws
-// are drawn.
-func FromTrouble(t *scenario.Trouble, chance *rand.Rand) Fault {
+// FromTrouble returns the fault that a scenario's trouble of kind datagrams describes, with its shares and
+// mean times drawn.
+func FromTrouble(t *scenario.Trouble, random *rand.Rand) Fault {
 	return Fault{From: t.From, To: t.To, Way: Way{
-		Cut: t.Cut, Loss: t.Loss.Draw(chance),
-		Burst: Burst{Calm: t.Calm.Draw(chance), Bad: t.Bad.Draw(chance), Loss: t.BurstLoss.Draw(chance)},
-		Delay: t.Delay, Reorder: t.Reorder.Draw(chance), Held: t.Held, Double: t.Double.Draw(chance),
-		Flip: t.Flip.Draw(chance), Shorten: t.Shorten.Draw(chance),
+		Cut: t.Cut, Loss: t.Loss.Draw(random),
+		Burst: Burst{Calm: t.Calm.Draw(random), Bad: t.Bad.Draw(random), Loss: t.BurstLoss.Draw(random)},
+		Delay: t.Delay, Reorder: t.Reorder.Draw(random), Held: t.Held, Double: t.Double.Draw(random),
+		Flip: t.Flip.Draw(random), Shorten: t.Shorten.Draw(random),
 	}}
 }
 
-// String says what the way does, in words.
+// String lists the faults in words.
 func (w Way) String() string {
-	var words []string
-	add := func(does bool, format string, args ...any) {
-		if does {
-			words = append(words, fmt.Sprintf(format, args...))
+	var parts []string
+	add := func(condition bool, format string, args ...any) {
+		if condition {
+			parts = append(parts, fmt.Sprintf(format, args...))
 		}
 	}
 	add(w.Cut, "cut")
@@ -70,19 +71,19 @@
 	add(w.Double > 0, "doubles %.3g", w.Double)
 	add(w.Flip > 0, "flips bits in %.3g", w.Flip)
 	add(w.Shorten > 0, "shortens %.3g", w.Shorten)
-	return strings.Join(words, ", ")
+	return strings.Join(parts, ", ")
 }
 
-// The most that a fault may hold.
+// Limits of a fault.
 const (
 	maxDelay = 10 * time.Minute
 	maxFlips = 8
-	// maxDirections bounds what is remembered of directions. Past it all is forgotten at once, and bursts begin
-	// anew: a fleet of over a thousand agents that all talk to all.
+	// maxDirections limits the directions with stored state. A fleet of more than a thousand agents that all
+	// exchange datagrams exceeds it; all state is then dropped at once, and bursts restart.
 	maxDirections = 1 << 20
 )
 
-// Check tells what is out of range in a fault among so many agents.
+// Check returns an error for a value of the fault that is out of range for the given number of agents.
 func (f *Fault) Check(agents int) error {
 	for _, s := range []struct {
 		name  string
@@ -96,7 +97,7 @@
 		{"shorten", f.Shorten},
 	} {
 		if !(s.share >= 0 && s.share <= 1) {
-			return fmt.Errorf("mishap: %s is %v, which is no share from 0 to 1", s.name, s.share)
+			return fmt.Errorf("mishap: %s is %v; allowed: 0 to 1", s.name, s.share)
 		}
 	}
 	for _, s := range []scenario.TimeSpan{f.Delay, f.Held} {
@@ -105,133 +106,134 @@
 		}
 	}
 	if b := f.Burst; b.Calm < 0 || b.Bad < 0 || b.Loss > 0 && (b.Calm == 0 || b.Bad == 0) {
-		return fmt.Errorf("mishap: bursts need mean times above zero for calm, %v, and bad, %v", b.Calm, b.Bad)
+		return fmt.Errorf("mishap: bursts need mean times above zero; calm is %v, bad is %v", b.Calm, b.Bad)
 	}
 	for _, a := range append(slices.Clone(f.From), f.To...) {
 		if a < 0 || a >= agents {
-			return fmt.Errorf("mishap: there is no agent %d of %d", a, agents)
+			return fmt.Errorf("mishap: no agent %d of %d", a, agents)
 		}
 	}
 	return nil
 }
 
-func (f *Fault) concerns(from, to int) bool {
+func (f *Fault) appliesTo(from, to int) bool {
 	return (len(f.From) == 0 || slices.Contains(f.From, from)) && (len(f.To) == 0 || slices.Contains(f.To, to))
 }
 
-// Copy is a datagram to deliver, so much later than it would have come.
+// Copy is a datagram to deliver, After later than without faults.
 type Copy struct {
 	After time.Duration
 	Data  []byte
 }
 
-// Counts is what became of the datagrams that came while a fault concerned their direction.
+// Counts counts the datagrams that were sent while a fault applied to their direction, by what happened to
+// them.
 type Counts struct {
-	Came    int // to the network
-	Cut     int // and did not pass
-	Lost    int // by chance
-	Doubled int
-	Held    int // copies, as are those that follow
-	Flipped int
-	Short   int
-	Copies  int // to deliver: Came - Cut - Lost + Doubled
+	Came    int // datagrams sent
+	Cut     int // datagrams dropped by Way.Cut
+	Lost    int // datagrams dropped at random
+	Doubled int // datagrams delivered twice
+	Held    int // copies held back
+	Flipped int // copies with flipped bits
+	Short   int // truncated copies
+	Copies  int // copies to deliver: Came - Cut - Lost + Doubled
 }
 
-// Net is the network between the agents. It is for one goroutine.
+// Net is the network between the agents. It is not safe for concurrent use.
 type Net struct {
-	seed   uint64
-	agents int
-	next   int
-	active []active
-	states map[direction]*state
-	era    uint64 // how often the directions were forgotten
-	counts Counts
+	seed       uint64
+	agents     int
+	lastID     int
+	active     []activeFault
+	states     map[direction]*directionState
+	generation uint64 // number of times that states was cleared; part of the random seed
+	counts     Counts
 }
 
-type active struct {
+type activeFault struct {
 	id int
 	Fault
 }
 
 type direction struct{ from, to int32 }
 
-// state is what is remembered of a direction.
-type state struct {
-	n      uint64 // datagrams so far
-	bursts []burst
+// directionState is the stored state of a direction.
+type directionState struct {
+	datagrams uint64 // number of datagrams so far
+	bursts    []burstState
 }
 
-// burst is whether a fault's bursts had the direction at a time.
-type burst struct {
+// burstState is the state of a fault's burst model in a direction at a time.
+type burstState struct {
 	id  int
 	bad bool
 	at  time.Duration
 }
 
-// New is a network without faults between so many agents.
+// New returns a network without faults between the given number of agents.
 func New(seed uint64, agents int) *Net {
-	return &Net{seed: seed, agents: agents, states: map[direction]*state{}}
+	return &Net{seed: seed, agents: agents, states: map[direction]*directionState{}}
 }
 
-// Begin has a fault come over the network, beside those that there are: losses add up as independent ones do,
-// delays one after the other. End with the number that it returns takes it away. The error is Check's.
+// Begin adds a fault to the network and returns the ID with which End removes it. Concurrent faults combine:
+// losses as independent events, delays by addition. The error is that of Fault.Check.
 func (n *Net) Begin(f Fault) (id int, err error) {
 	if err := f.Check(n.agents); err != nil {
 		return 0, err
 	}
-	n.next++
-	n.active = append(n.active, active{n.next, f})
-	return n.next, nil
+	n.lastID++
+	n.active = append(n.active, activeFault{n.lastID, f})
+	return n.lastID, nil
 }
 
-// End takes a fault away; one that there is not is none.
+// End removes a fault. An unknown ID is ignored.
 func (n *Net) End(id int) {
-	n.active = slices.DeleteFunc(n.active, func(a active) bool { return a.id == id })
-	if len(n.active) == 0 { // so that a spell's fate does not hang on how many came in the one before
+	n.active = slices.DeleteFunc(n.active, func(a activeFault) bool { return a.id == id })
+	if len(n.active) == 0 { // makes later faults independent of the datagrams sent before
 		clear(n.states)
-		n.era++
+		n.generation++
 	}
 }
 
-// Counts is what became of the datagrams so far.
+// Counts returns the counts so far.
 func (n *Net) Counts() Counts { return n.counts }
 
-// Pass tells what becomes of a datagram that an agent sends to another at a time: the copies to deliver.
-// Data is not changed; copies that are whole share it.
+// Pass applies the faults to a datagram that one agent sends to another at time now, and returns the copies
+// to deliver: none, one or two. It does not change data; unchanged copies share it.
 func (n *Net) Pass(now time.Duration, from, to int, data []byte) []Copy {
-	w, concerned := Way{}, false
-	var s *state
+	faults, applies := Way{}, false
+	var state *directionState
 	for i := range n.active {
 		a := &n.active[i]
-		if !a.concerns(from, to) {
+		if !a.appliesTo(from, to) {
 			continue
 		}
-		if !concerned {
-			concerned, s = true, n.state(direction{int32(from), int32(to)})
+		if !applies {
+			applies, state = true, n.state(direction{int32(from), int32(to)})
 		}
-		w.add(a.Way)
-		if a.Burst.Loss > 0 && s.isBad(now, a, n.chance(from, to, uint64(a.id)<<32|s.n)) {
-			w.Loss = either(w.Loss, a.Burst.Loss)
+		faults.add(a.Way)
+		if a.Burst.Loss > 0 && state.inLossBurst(now, a, n.newRand(from, to, uint64(a.id)<<32|state.datagrams)) {
+			faults.Loss = eitherProbability(faults.Loss, a.Burst.Loss)
 		}
 	}
-	if !concerned {
+	if !applies {
 		return []Copy{{Data: data}}
 	}
-	s.n++
+	state.datagrams++
 	n.counts.Came++
-	return n.copies(&w, n.chance(from, to, s.n), data)
+	return n.deliveries(&faults, n.newRand(from, to, state.datagrams), data)
 }
 
-// chance is a source for one datagram of a direction: what is drawn for others does not change its fate.
-func (n *Net) chance(from, to int, nth uint64) *rand.Rand {
-	return rand.New(rand.NewPCG(n.seed+n.era<<48, mix(uint64(from)<<32|uint64(uint32(to)))^mix(nth)))
+// newRand returns the random source of one datagram of a direction, independent of draws for other datagrams.
+func (n *Net) newRand(from, to int, nth uint64) *rand.Rand {
+	return rand.New(rand.NewPCG(n.seed+n.generation<<48, mix(uint64(from)<<32|uint64(uint32(to)))^mix(nth)))
 }
 
-// copies draws a datagram's fate. All is drawn, used or not, in one order.
-func (n *Net) copies(w *Way, chance *rand.Rand, data []byte) []Copy {
-	lost, doubled := chance.Float64() < w.Loss, chance.Float64() < w.Double
+// deliveries draws the faults of a datagram. All values are drawn, used or not, in a fixed order.
+func (n *Net) deliveries(faults *Way, random *rand.Rand, data []byte) []Copy {
+	lost, doubled := random.Float64() < faults.Loss, random.Float64() < faults.Double
 	switch {
-	case w.Cut:
+	case faults.Cut:
 		n.counts.Cut++
 		return nil
 	case lost:
@@ -244,31 +246,31 @@
 		out = out[:2]
 	}
 	for i := range out {
-		out[i] = n.copy(w, chance, data)
+		out[i] = n.delivery(faults, random, data)
 	}
 	n.counts.Copies += len(out)
 	return out
 }
 
-func (n *Net) copy(w *Way, chance *rand.Rand, data []byte) Copy {
-	c := Copy{After: w.Delay.Draw(chance), Data: data}
-	held, by := chance.Float64() < w.Reorder, w.Held.Draw(chance)
-	flips, short := chance.Float64() < w.Flip, chance.Float64() < w.Shorten
+func (n *Net) delivery(faults *Way, random *rand.Rand, data []byte) Copy {
+	c := Copy{After: faults.Delay.Draw(random), Data: data}
+	held, holdTime := random.Float64() < faults.Reorder, faults.Held.Draw(random)
+	flip, shorten := random.Float64() < faults.Flip, random.Float64() < faults.Shorten
 	if held {
 		n.counts.Held++
-		c.After += by
+		c.After += holdTime
 	}
-	if short && len(data) > 0 {
+	if shorten && len(data) > 0 {
 		n.counts.Short++
-		c.Data = data[:chance.IntN(len(data)):len(data)]
+		c.Data = data[:random.IntN(len(data)):len(data)]
 	}
-	if flips && len(c.Data) > 0 {
+	if flip && len(c.Data) > 0 {
 		n.counts.Flipped++
 		c.Data = slices.Clone(c.Data)
-		first := chance.IntN(8 * len(c.Data))
-		c.Data[first/8] ^= 1 << (first % 8) // one for sure: two others might cancel out
-		for range chance.IntN(maxFlips) {
-			if bit := chance.IntN(8 * len(c.Data)); bit != first {
+		first := random.IntN(8 * len(c.Data))
+		c.Data[first/8] ^= 1 << (first % 8) // this bit stays flipped; further flips may cancel each other out
+		for range random.IntN(maxFlips) {
+			if bit := random.IntN(8 * len(c.Data)); bit != first {
 				c.Data[bit/8] ^= 1 << (bit % 8)
 			}
 		}
@@ -276,60 +278,60 @@
 	return c
 }
 
-// state is what is known of a direction.
-func (n *Net) state(d direction) *state {
+// state returns the stored state of a direction and creates it if necessary.
+func (n *Net) state(d direction) *directionState {
 	s := n.states[d]
 	if s == nil {
 		if len(n.states) >= maxDirections {
 			clear(n.states)
-			n.era++
+			n.generation++
 		}
-		s = &state{}
+		s = &directionState{}
 		n.states[d] = s
 	}
 	return s
 }
 
-// isBad tells whether a fault's burst has the direction now. Between two datagrams the chain is not followed:
-// its state after any time is drawn at once, which is exact and costs the same after an hour.
-func (s *state) isBad(now time.Duration, a *active, chance *rand.Rand) bool {
-	i := slices.IndexFunc(s.bursts, func(b burst) bool { return b.id == a.id })
+// inLossBurst reports whether a fault's burst model is in the bad state in this direction. It draws the state
+// directly from the previous one and the time since, which is exact and has the same cost for any interval.
+func (s *directionState) inLossBurst(now time.Duration, a *activeFault, random *rand.Rand) bool {
+	i := slices.IndexFunc(s.bursts, func(b burstState) bool { return b.id == a.id })
 	share := a.Burst.Bad.Seconds() / (a.Burst.Bad + a.Burst.Calm).Seconds()
-	bad := share // the chance of it
+	probability := share // probability of the bad state
 	if i < 0 {
-		if len(s.bursts) >= 64 { // of faults that have ended
+		if len(s.bursts) >= 64 { // entries of faults that have ended accumulate
 			s.bursts = s.bursts[:0]
 		}
 		i = len(s.bursts)
-		s.bursts = append(s.bursts, burst{id: a.id})
+		s.bursts = append(s.bursts, burstState{id: a.id})
 	} else {
-		was := 0.0
+		previous := 0.0
 		if s.bursts[i].bad {
-			was = 1
+			previous = 1
 		}
-		passed := max(now-s.bursts[i].at, 0).Seconds()
-		bad += (was - share) * math.Exp(-passed/a.Burst.Bad.Seconds()-passed/a.Burst.Calm.Seconds())
+		elapsed := max(now-s.bursts[i].at, 0).Seconds()
+		probability += (previous - share) * math.Exp(-elapsed/a.Burst.Bad.Seconds()-elapsed/a.Burst.Calm.Seconds())
 	}
-	s.bursts[i].bad, s.bursts[i].at = chance.Float64() < bad, now
+	s.bursts[i].bad, s.bursts[i].at = random.Float64() < probability, now
 	return s.bursts[i].bad
 }
 
-// add puts a way after another.
+// add combines w with the faults of v.
 func (w *Way) add(v Way) {
 	w.Cut = w.Cut || v.Cut
-	w.Loss, w.Double = either(w.Loss, v.Loss), either(w.Double, v.Double)
-	w.Flip, w.Shorten = either(w.Flip, v.Flip), either(w.Shorten, v.Shorten)
+	w.Loss, w.Double = eitherProbability(w.Loss, v.Loss), eitherProbability(w.Double, v.Double)
+	w.Flip, w.Shorten = eitherProbability(w.Flip, v.Flip), eitherProbability(w.Shorten, v.Shorten)
 	w.Delay.Low, w.Delay.High = w.Delay.Low+v.Delay.Low, w.Delay.High+v.Delay.High
-	if v.Reorder > 0 { // of two that hold back, the longer
-		w.Reorder = either(w.Reorder, v.Reorder)
+	if v.Reorder > 0 { // if both hold copies back, the longer range applies
+		w.Reorder = eitherProbability(w.Reorder, v.Reorder)
 		w.Held.Low, w.Held.High = max(w.Held.Low, v.Held.Low), max(w.Held.High, v.Held.High)
 	}
 }
 
-// either is the chance of one or both of two.
-func either(a, b float64) float64 { return 1 - (1-a)*(1-b) }
+// eitherProbability returns the probability that at least one of two independent events occurs.
+func eitherProbability(a, b float64) float64 { return 1 - (1-a)*(1-b) }
 
-// mix is the finaliser of SplitMix64: every bit of the result hangs on every bit of v.
+// mix is the finalizer of SplitMix64: every bit of the result depends on every bit of v.
 func mix(v uint64) uint64 {
 	v += 0x9E3779B97F4A7C15
 	v = (v ^ v>>30) * 0xBF58476D1CE4E5B9
--- a/internal/rehearsal/mishap/mishap_test.go
+++ b/internal/rehearsal/mishap/mishap_test.go
@@ -14,7 +14,7 @@
 
 const ms = time.Millisecond
 
-func within(low, high time.Duration) scenario.TimeSpan {
+func delayRange(low, high time.Duration) scenario.TimeSpan {
 	return scenario.TimeSpan{Low: low, High: high}
 }
 
@@ -24,21 +24,22 @@
 	return id
 }
 
-// sent is a datagram that a test sends.
-type sent struct {
+// datagram is a datagram that a test sends.
+type datagram struct {
 	at       time.Duration
 	from, to int
 	data     []byte
 }
 
-// Whatever the faults: what is not lost comes, twice where it is doubled, each copy in its delay's range, and
-// what is not spoilt is whole; the same seed gives the same fate, and what others send does not change it.
-func TestConservation(t *testing.T) {
+// For any faults, a datagram that is not lost is delivered, or delivered twice if doubled; each copy's delay is in range,
+// and a copy is unchanged unless bits are flipped or it is truncated. The same seed gives the same copies, and the
+// datagrams of one sender do not change those of another.
+func TestCopiesMatchFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		share := func(name string) float64 { return rapid.SampledFrom([]float64{0, 0.3, 1}).Draw(t, name) }
 		span := func(name string) scenario.TimeSpan {
 			low := time.Duration(rapid.IntRange(0, 50).Draw(t, name)) * ms
-			return within(low, low+time.Duration(rapid.IntRange(0, 50).Draw(t, name))*ms)
+			return delayRange(low, low+time.Duration(rapid.IntRange(0, 50).Draw(t, name))*ms)
 		}
 		w := Way{
 			Cut: rapid.Bool().Draw(t, "cut"), Loss: share("loss"), Delay: span("delay"), Reorder: share("reorder"),
@@ -47,16 +48,16 @@
 		}
 		from := rapid.SampledFrom([][]int{nil, {0}, {1, 2}}).Draw(t, "from")
 		seed := rapid.Uint64().Draw(t, "seed")
-		var datagrams []sent
+		var datagrams []datagram
 		at := time.Duration(0)
 		for range rapid.IntRange(1, 60).Draw(t, "n") {
 			at += time.Duration(rapid.IntRange(0, 20).Draw(t, "gap")) * ms
-			datagrams = append(datagrams, sent{
+			datagrams = append(datagrams, datagram{
 				at, rapid.IntRange(0, 2).Draw(t, "from"), rapid.IntRange(0, 2).Draw(t, "to"),
 				bytes.Repeat([]byte{0x5a}, rapid.IntRange(0, 40).Draw(t, "length")),
 			})
 		}
-		play := func(only int) (out [][]Copy, c Counts) {
+		run := func(only int) (out [][]Copy, c Counts) {
 			n := New(seed, 3)
 			begin(t, n, Fault{Way: w, From: from})
 			for _, s := range datagrams {
@@ -66,32 +67,32 @@
 			}
 			return out, n.Counts()
 		}
-		first, counts := play(-1)
-		again, _ := play(-1)
+		first, counts := run(-1)
+		again, _ := run(-1)
 		require.Equal(t, first, again)
 		f := Fault{From: from}
-		copies, came := 0, 0
-		var ofOne [][]Copy
+		copies, sent := 0, 0
+		var fromOne [][]Copy
 		for i, s := range datagrams {
 			if s.from == 1 {
-				ofOne = append(ofOne, first[i])
+				fromOne = append(fromOne, first[i])
 			}
-			if !f.concerns(s.from, s.to) {
+			if !f.appliesTo(s.from, s.to) {
 				require.Equal(t, []Copy{{Data: s.data}}, first[i])
 				continue
 			}
-			came++
+			sent++
 			copies += len(first[i])
 			require.LessOrEqual(t, len(first[i]), 2)
 			for _, c := range first[i] {
 				requireCopy(t, &w, s.data, c)
 			}
 		}
-		alone, _ := play(1)
-		require.Equal(t, ofOne, alone)
-		require.Equal(t, came, counts.Came)
+		alone, _ := run(1)
+		require.Equal(t, fromOne, alone)
+		require.Equal(t, sent, counts.Came)
 		require.Equal(t, copies, counts.Copies)
-		require.Equal(t, came-counts.Cut-counts.Lost+counts.Doubled, copies)
+		require.Equal(t, sent-counts.Cut-counts.Lost+counts.Doubled, copies)
 		if w.Cut {
 			require.Zero(t, copies)
 		}
@@ -99,14 +100,14 @@
 }
 
 func requireCopy(t *rapid.T, w *Way, data []byte, c Copy) {
-	least, most := w.Delay.Low, w.Delay.High
+	low, high := w.Delay.Low, w.Delay.High
 	if w.Reorder > 0 {
-		most += w.Held.High
+		high += w.Held.High
 	}
 	if w.Reorder == 1 {
-		least += w.Held.Low
+		low += w.Held.Low
 	}
-	require.True(t, c.After >= least && c.After <= most, "%v", c.After)
+	require.True(t, c.After >= low && c.After <= high, "%v", c.After)
 	if w.Shorten == 0 {
 		require.Len(t, c.Data, len(data))
 	}
@@ -121,11 +122,11 @@
 	if w.Flip == 1 && len(c.Data) > 0 {
 		require.Positive(t, flipped)
 	}
-	require.Equal(t, bytes.Repeat([]byte{0x5a}, len(data)), data, "the sender's own bytes")
+	require.Equal(t, bytes.Repeat([]byte{0x5a}, len(data)), data, "the sender's data is unchanged")
 }
 
-// Each share is kept to in the mean, over many datagrams.
-func TestShares(t *testing.T) {
+// Over many datagrams the observed share of each fault is close to the configured one.
+func TestObservedSharesMatchFault(t *testing.T) {
 	const many = 20_000
 	count := func(f Fault) Counts {
 		n := New(9, 2)
@@ -142,7 +143,7 @@
 	}{
 		"loss":    {Way{Loss: 0.3}, func(c Counts) int { return c.Lost }, 0.3},
 		"double":  {Way{Double: 0.2}, func(c Counts) int { return c.Doubled }, 0.2},
-		"reorder": {Way{Reorder: 0.1, Held: within(ms, ms)}, func(c Counts) int { return c.Held }, 0.1},
+		"reorder": {Way{Reorder: 0.1, Held: delayRange(ms, ms)}, func(c Counts) int { return c.Held }, 0.1},
 		"flip":    {Way{Flip: 0.4}, func(c Counts) int { return c.Flipped }, 0.4},
 		"shorten": {Way{Shorten: 0.25}, func(c Counts) int { return c.Short }, 0.25},
 		"bursts": {
@@ -154,50 +155,50 @@
 	}
 }
 
-// Losses in bursts come together: after one that is lost the next is lost much more often than any is.
-func TestBurstsLast(t *testing.T) {
+// Burst losses are correlated: after a loss, the next datagram is lost much more often than the average.
+func TestBurstLossesAreCorrelated(t *testing.T) {
 	n := New(3, 2)
 	begin(t, n, Fault{Way: Way{Burst: Burst{Calm: 900 * ms, Bad: 100 * ms, Loss: 1}}})
 	lost, pairs, before := 0, 0, false
 	for i := range 50_000 {
-		gone := len(n.Pass(time.Duration(i)*10*ms, 0, 1, nil)) == 0
-		if gone {
+		isLost := len(n.Pass(time.Duration(i)*10*ms, 0, 1, nil)) == 0
+		if isLost {
 			lost++
 			if before {
 				pairs++
 			}
 		}
-		before = gone
+		before = isLost
 	}
 	require.InDelta(t, 0.1, float64(lost)/50_000, 0.02)
-	// exp(-10 ms/90 ms) of the departure from the mean is left after 10 ms: 0.1 + 0.9 * 0.895.
+	// After 10 ms, exp(-10 ms/90 ms) of the deviation from the mean remains: 0.1 + 0.9 * 0.895.
 	require.InDelta(t, 0.905, float64(pairs)/float64(lost), 0.03)
 }
 
-// Faults add up, each ends by itself, and one direction's is none of the other's.
-func TestFaultsTogether(t *testing.T) {
+// Concurrent faults add up, end separately and apply only to their own direction.
+func TestConcurrentFaultsAddUp(t *testing.T) {
 	n := New(1, 3)
-	late := func(from, to int) time.Duration {
+	delay := func(from, to int) time.Duration {
 		c := n.Pass(0, from, to, []byte("x"))
 		if len(c) == 0 {
 			return -1
 		}
 		return c[0].After
 	}
-	a := begin(t, n, Fault{From: []int{0}, To: []int{1}, Way: Way{Delay: within(ms, ms)}})
-	b := begin(t, n, Fault{From: []int{0}, Way: Way{Delay: within(5*ms, 5*ms)}})
+	a := begin(t, n, Fault{From: []int{0}, To: []int{1}, Way: Way{Delay: delayRange(ms, ms)}})
+	b := begin(t, n, Fault{From: []int{0}, Way: Way{Delay: delayRange(5*ms, 5*ms)}})
 	c := begin(t, n, Fault{To: []int{2}, Way: Way{Cut: true}})
-	require.Equal(t, []time.Duration{6 * ms, 0, -1, -1}, []time.Duration{late(0, 1), late(1, 0), late(0, 2), late(1, 2)})
+	require.Equal(t, []time.Duration{6 * ms, 0, -1, -1}, []time.Duration{delay(0, 1), delay(1, 0), delay(0, 2), delay(1, 2)})
 	n.End(a)
 	n.End(c)
-	require.Equal(t, []time.Duration{5 * ms, 5 * ms, 0}, []time.Duration{late(0, 1), late(0, 2), late(1, 2)})
+	require.Equal(t, []time.Duration{5 * ms, 5 * ms, 0}, []time.Duration{delay(0, 1), delay(0, 2), delay(1, 2)})
 	n.End(b)
-	require.Zero(t, late(0, 1))
+	require.Zero(t, delay(0, 1))
 	require.Empty(t, n.states)
 }
 
-// Directions have chances of their own, and so has a second spell.
-func TestDirectionsDiffer(t *testing.T) {
+// Directions draw independently, and so does a second fault after the first has ended.
+func TestDirectionsAndGenerationsAreIndependent(t *testing.T) {
 	n := New(1, 3)
 	seen := map[[64]bool]bool{}
 	for range 2 {
@@ -214,13 +215,13 @@
 	require.Len(t, seen, 8)
 }
 
-func TestOutOfRange(t *testing.T) {
+func TestCheckRejectsOutOfRangeFaults(t *testing.T) {
 	n := New(1, 2)
 	for want, f := range map[string]Fault{
 		"loss is 1.5":     {Way: Way{Loss: 1.5}},
 		"flip is -1":      {Way: Way{Flip: -1}},
-		"a delay from 2":  {Way: Way{Delay: within(2*ms, ms)}},
-		"allowed: 0 to":   {Way: Way{Held: within(0, time.Hour)}},
+		"a delay from 2":  {Way: Way{Delay: delayRange(2*ms, ms)}},
+		"allowed: 0 to":   {Way: Way{Held: delayRange(0, time.Hour)}},
 		"no agent 2 of 2": {To: []int{2}},
 		"bursts need":     {Way: Way{Burst: Burst{Loss: 0.5, Bad: ms}}},
 	} {
@@ -233,7 +234,7 @@
 func BenchmarkPass(b *testing.B) {
 	n := New(1, 50)
 	begin(b, n, Fault{Way: Way{
-		Loss: 0.1, Double: 0.1, Reorder: 0.1, Delay: within(ms, 30*ms), Flip: 0.01,
+		Loss: 0.1, Double: 0.1, Reorder: 0.1, Delay: delayRange(ms, 30*ms), Flip: 0.01,
 		Burst: Burst{Calm: time.Second, Bad: 100 * ms, Loss: 0.9},
 	}})
 	data := make([]byte, 256)
