--- a/internal/rehearsal/compare/compare.go
+++ b/internal/rehearsal/compare/compare.go
@@ -1,5 +1,5 @@
-// Package compare says how two sides of a rehearsal differ, figure by figure, and whether a difference is
-// beyond the noise of the rounds that each was played in.
+// Package compare computes the differences between the reports of two rehearsals, figure by figure, and
+// whether each difference is significant given the noise between rounds.
 package compare
 
 import (
@@ -17,7 +17,7 @@
 	Value float64
 }
 
-// Figures are the figures of a report that are compared.
+// Figures returns the figures of a report that are compared.
 func Figures(r *report.Report) []Figure {
 	c := r.Counts
 	per := func(n int) float64 { return float64(n) / float64(max(c.FirstTries, 1)) }
@@ -55,25 +55,25 @@
 		Figure{"peak memory of an agent, MB", memory}, Figure{"peak descriptors of an agent", float64(descriptors)})
 }
 
-// Difference is how a figure differs between two sides.
+// Difference is the difference of a figure between two sides.
 type Difference struct {
 	Name   string  `json:"name"`
-	A      float64 `json:"a"` // means of the rounds
+	A      float64 `json:"a"` // mean over the rounds, as is B
 	B      float64 `json:"b"`
-	Change float64 `json:"change"` // B less A
-	// The change lies within Change +- Within with a confidence of 95 in 100; below zero: not known.
+	Change float64 `json:"change"` // B minus A
+	// Within is half the width of the 95% confidence interval around Change; negative: unknown.
 	Within float64 `json:"within"`
 	Beyond bool    `json:"beyond_noise"`
 }
 
-// Rounds compares two sides that were played in rounds, side by side: entry i of each is of the same round.
-// The test is Student's for paired samples, two-sided, at 5 in 100, of each figure by itself: of twenty
-// figures that do not differ, one may look as if it did. One round tells nothing of the noise.
+// Rounds compares two sides over paired rounds: entry i of a and of b are from the same round. Each figure is
+// tested by itself with Student's two-sided t-test for paired samples at the 5% level, so about one in twenty
+// figures without a real difference is reported as different. With a single round the noise is unknown.
 func Rounds(a, b []*report.Report) []Difference {
 	n := min(len(a), len(b))
-	var all []Difference
+	var differences []Difference
 	if n == 0 {
-		return all
+		return differences
 	}
 	for k, f := range Figures(a[0]) {
 		d := Difference{Name: f.Name, Within: -1}
@@ -81,7 +81,7 @@
 		for i := range n {
 			one, other := Figures(a[i]), Figures(b[i])
 			if k >= len(one) || k >= len(other) {
-				return all // reports of different kinds have no further figures in common
+				return differences // reports of different kinds share only the first figures
 			}
 			d.A += one[k].Value / float64(n)
 			d.B += other[k].Value / float64(n)
@@ -89,18 +89,18 @@
 		}
 		d.Change = d.B - d.A
 		if n > 1 {
-			d.Within = tQuantile(n-1) * deviation(changes) / math.Sqrt(float64(n))
-			d.Beyond = math.Abs(d.Change) > d.Within+tiny
+			d.Within = tQuantile(n-1) * standardDeviation(changes) / math.Sqrt(float64(n))
+			d.Beyond = math.Abs(d.Change) > d.Within+roundingTolerance
 		}
-		all = append(all, d)
+		differences = append(differences, d)
 	}
-	return all
+	return differences
 }
 
-// tiny is beyond what rounding makes.
-const tiny = 1e-9
+// roundingTolerance exceeds the rounding errors of the figures.
+const roundingTolerance = 1e-9
 
-func deviation(v []float64) float64 {
+func standardDeviation(v []float64) float64 {
 	mean, sum := 0.0, 0.0
 	for _, x := range v {
 		mean += x / float64(len(v))
@@ -111,7 +111,7 @@
 	return math.Sqrt(sum / float64(len(v)-1))
 }
 
-// tQuantiles are the 97.5th percentiles of Student's distribution, for 1, 2, ... degrees of freedom.
+// tQuantiles are the 97.5th percentiles of Student's t-distribution for 1, 2, ... degrees of freedom.
 var tQuantiles = []float64{
 	12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201,
 	2.179, 2.160, 2.145, 2.131, 2.120, 2.110, 2.101, 2.093, 2.086,
@@ -119,24 +119,24 @@
 
 func tQuantile(freedom int) float64 {
 	if freedom > len(tQuantiles) {
-		return tQuantiles[len(tQuantiles)-1] // a little on the safe side
+		return tQuantiles[len(tQuantiles)-1] // slightly too large, hence conservative
 	}
 	return tQuantiles[freedom-1]
 }
 
-// Text writes differences for a terminal.
+// Text writes differences as a text table.
 func Text(w io.Writer, a, b string, rounds int, all []Difference) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "\t%s\t%s\tchange\t95%% within\t\n", a, b)
 	for _, d := range all {
-		within, word := "not known", ""
+		within, verdict := "not known", ""
 		if d.Within >= 0 {
 			within = fmt.Sprintf("+-%.4g", d.Within)
-			if word = "noise"; d.Beyond {
-				word = "BEYOND NOISE"
+			if verdict = "noise"; d.Beyond {
+				verdict = "BEYOND NOISE"
 			}
 		}
-		fmt.Fprintf(t, "%s\t%.4g\t%.4g\t%+.4g\t%s\t%s\n", d.Name, d.A, d.B, d.Change, within, word)
+		fmt.Fprintf(t, "%s\t%.4g\t%.4g\t%+.4g\t%s\t%s\n", d.Name, d.A, d.B, d.Change, within, verdict)
 	}
 	fmt.Fprintf(t, "\n%d rounds each; beyond noise: Student's test for paired rounds, two-sided, 5 in 100, "+
 		"each figure by itself\n", rounds)
--- a/internal/rehearsal/compare/compare_test.go
+++ b/internal/rehearsal/compare/compare_test.go
@@ -17,8 +17,8 @@
 	return all
 }
 
-// A difference well over the noise is found, and of pairs without one, some five in a hundred look like one.
-func TestRounds(t *testing.T) {
+// A difference far beyond the noise is detected; without one, about five in a hundred comparisons report one.
+func TestRoundsDetectsDifferencesBeyondNoise(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	falsely := 0
 	for range 400 {
@@ -31,7 +31,7 @@
 		require.InDelta(t, -0.1, d.Change, 0.03)
 	}
 	require.InDelta(t, 20, falsely, 15)
-	require.False(t, Rounds(rounds(r, 1, 0.9, 0), rounds(r, 1, 0.1, 0))[0].Beyond, "one round tells nothing of noise")
+	require.False(t, Rounds(rounds(r, 1, 0.9, 0), rounds(r, 1, 0.1, 0))[0].Beyond, "the noise is unknown after a single round")
 	require.False(t, Rounds(rounds(r, 3, 0.9, 0), rounds(r, 3, 0.9, 0))[0].Beyond)
 	require.Empty(t, Rounds(nil, nil))
 }
