--- a/internal/rehearsal/breaking.go
+++ b/internal/rehearsal/breaking.go
@@ -8,28 +8,28 @@
 	"dunestep/internal/rehearsal/scenario"
 )
 
-// BreakOptions is what the highest load is looked for with.
+// BreakOptions configures Break.
 type BreakOptions struct {
-	Least, Most float64 // of the scenario's load, between which it is looked for
-	Steps       int     // of the bisection
-	// Play plays a day; nil: a model's, with the seed. It may be a live day.
+	Least, Most float64 // bounds of the search, in multiples of the scenario's load
+	Steps       int     // number of bisection steps
+	// Play runs a scenario, possibly live; nil: Play of this package with Seed.
 	Play     func(ctx context.Context, set *scenario.Scenario) (*report.Report, error)
 	Seed     uint64
-	Progress func(load float64) // told which load is played; nil: nobody is
+	Progress func(load float64) // called before each run with its load; may be nil
 }
 
-// Break looks for the highest load that a scenario's day still passes under: no rule broken, and service at
-// or above the floor. Load is counted in times the scenario's own. It returns the highest that passed, zero
-// where none did, and every day played, in the order of their load. It takes for granted that what passes
-// under a load passes under a lower one.
-func Break(ctx context.Context, set *scenario.Scenario, o BreakOptions) (float64, []report.AtLoad, error) {
+// Break searches for the highest load under which a scenario passes: no rule is broken and service is at or
+// above the floor. Loads are multiples of the scenario's own. Break returns the highest load that passed,
+// or zero if none did, and the results of all runs by increasing load. It assumes that a scenario that
+// passes under a load also passes under any lower load.
+func Break(ctx context.Context, set *scenario.Scenario, o BreakOptions) (float64, []report.LoadRun, error) {
 	if o.Play == nil {
 		o.Play = func(ctx context.Context, set *scenario.Scenario) (*report.Report, error) {
 			return Play(ctx, set, Options{Seed: o.Seed})
 		}
 	}
-	var played []report.AtLoad
-	try := func(load float64) (bool, error) {
+	var results []report.LoadRun
+	passesUnder := func(load float64) (bool, error) {
 		if o.Progress != nil {
 			o.Progress(load)
 		}
@@ -40,21 +40,21 @@
 		if !r.Judged() {
 			return false, fmt.Errorf("%s: %s", set.Name, r.Live.Measured.NotJudged)
 		}
-		played = report.InsertLoad(played, report.AtLoad{Load: load, Report: r})
+		results = report.InsertLoad(results, report.LoadRun{Load: load, Report: r})
 		return r.Passed, nil
 	}
-	if passed, err := try(o.Least); err != nil || !passed {
-		return 0, played, err
+	if passed, err := passesUnder(o.Least); err != nil || !passed {
+		return 0, results, err
 	}
-	if passed, err := try(o.Most); err != nil || passed {
-		return o.Most, played, err
+	if passed, err := passesUnder(o.Most); err != nil || passed {
+		return o.Most, results, err
 	}
 	low, high := o.Least, o.Most
 	for range o.Steps {
 		middle := (low + high) / 2
-		passed, err := try(middle)
+		passed, err := passesUnder(middle)
 		if err != nil {
-			return low, played, err
+			return low, results, err
 		}
 		if passed {
 			low = middle
@@ -62,10 +62,10 @@
 			high = middle
 		}
 	}
-	return low, played, nil
+	return low, results, nil
 }
 
-// underLoad is the scenario with so many times its load. The tenants' shares stay as they are.
+// underLoad returns the scenario with its load multiplied by load. The tenants' shares are unchanged.
 func underLoad(set *scenario.Scenario, load float64) *scenario.Scenario {
 	changed := *set
 	for _, span := range []*scenario.Span{&changed.Load.PerS, &changed.Load.OfCapacity} {
--- a/internal/rehearsal/breaking_test.go
+++ b/internal/rehearsal/breaking_test.go
@@ -12,13 +12,13 @@
 	"dunestep/internal/rehearsal/scenario"
 )
 
-// Whatever load a day breaks under, the highest that passes is found as near as the steps allow, and every day that
-// was played is there, in the order of its load.
-func TestBreak(t *testing.T) {
+// For any breaking load, Break finds the highest passing load to the precision of its steps and returns all runs by
+// increasing load.
+func TestBreakFindsHighestPassingLoad(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit, steps := rapid.Float64Range(0, 3).Draw(t, "limit"), rapid.IntRange(0, 10).Draw(t, "steps")
 		set := &scenario.Scenario{Load: scenario.Traffic{PerS: scenario.Span{Low: 100, High: 200}}}
-		got, played, err := Break(t.Context(), set, BreakOptions{
+		got, results, err := Break(t.Context(), set, BreakOptions{
 			Least: 0.5, Most: 2, Steps: steps,
 			Play: func(_ context.Context, s *scenario.Scenario) (*report.Report, error) {
 				require.InDelta(t, 2*s.Load.PerS.Low, s.Load.PerS.High, 1e-9)
@@ -34,10 +34,10 @@
 		default:
 			require.LessOrEqual(t, got, limit)
 			require.Greater(t, got+1.5/float64(int(1)<<steps)+1e-9, limit)
-			require.Len(t, played, 2+steps)
+			require.Len(t, results, 2+steps)
 		}
-		for i := 1; i < len(played); i++ {
-			require.Less(t, played[i-1].Load, played[i].Load)
+		for i := 1; i < len(results); i++ {
+			require.Less(t, results[i-1].Load, results[i].Load)
 		}
 	})
 	require.Zero(t, underLoad(&scenario.Scenario{}, 2).Load.OfCapacity.High)
--- a/internal/rehearsal/fleet_test.go
+++ b/internal/rehearsal/fleet_test.go
@@ -12,11 +12,11 @@
 	"dunestep/internal/rehearsal/scenario"
 )
 
-// The days of hundreds of agents pass the gate: as they are with LONG_TESTS, else with a third of their fleet.
-func TestFleetDays(t *testing.T) {
-	var sets []*scenario.Scenario
+// Scenarios with hundreds of agents pass the gate: at full size with LONG_TESTS, otherwise with a third of the fleet.
+func TestFleetScenariosPassGate(t *testing.T) {
+	var scenarios []*scenario.Scenario
 	for _, name := range []string{"calm", "roll", "herd", "zone", "split", "join"} {
-		set := load(t, "fleet-"+name)
+		set := loadScenario(t, "fleet-"+name)
 		if os.Getenv("LONG_TESTS") == "" {
 			set.Agents.Count /= 3
 			set.Fleet.Servers /= 3
@@ -26,38 +26,38 @@
 				set.Troubles[i].Count /= 3
 			}
 		}
-		sets = append(sets, set)
+		scenarios = append(scenarios, set)
 	}
-	days, err := Gate(context.Background(), sets, GateOptions{})
+	results, err := Gate(context.Background(), scenarios, GateOptions{})
 	require.NoError(t, err)
-	require.Len(t, days, len(sets))
-	for _, d := range days {
-		t.Log(d.Scenario, d.Says)
-		require.True(t, d.Passed, "%s: %s", d.Scenario, d.Says)
+	require.Len(t, results, len(scenarios))
+	for _, result := range results {
+		t.Log(result.Scenario, result.Says)
+		require.True(t, result.Passed, "%s: %s", result.Scenario, result.Says)
 	}
 }
 
-// hoarder is a leak: it keeps the whole record of a day.
-type hoarder struct {
-	nowhere
+// leakingSink simulates a memory leak: it keeps the whole record of a run.
+type leakingSink struct {
+	discardSink
 	kept []*record.Event
 }
 
-func (h *hoarder) Take(e *record.Event) {
+func (h *leakingSink) Take(e *record.Event) {
 	kept := *e
 	h.kept = append(h.kept, &kept)
 }
 
-// What agents hold does not grow on a quiet day, and a leak shows. Not side by side with other days: it looks at the
-// memory of the process.
-func TestSoak(t *testing.T) {
-	set := load(t, "fleet-soak")
+// The agents' memory does not grow in a quiet run, and Soak detects a leak. The test must not run in parallel with
+// others, because it measures the memory of the process.
+func TestSoakDetectsLeak(t *testing.T) {
+	set := loadScenario(t, "fleet-soak")
 	set.Day.Length, set.Agents.Count, set.Fleet.Servers = 2*time.Minute, 3, 13
 	set.Load.PerS = scenario.Span{Low: 40, High: 40}
 	s, err := Soak(context.Background(), set, Options{Seed: 1})
 	require.NoError(t, err)
 	require.Less(t, s.Growth(), 64e3, "%+v", s.Held)
-	leak := &hoarder{}
+	leak := &leakingSink{}
 	s, err = soak(context.Background(), set, Options{Seed: 1}, leak)
 	require.NoError(t, err)
 	require.Greater(t, s.Growth(), 64e3, "%+v", s.Held)
--- a/internal/rehearsal/gate.go
+++ b/internal/rehearsal/gate.go
@@ -10,17 +10,17 @@
 	"dunestep/internal/rehearsal/scenario"
 )
 
-// Gated is a day that was put to the gate.
+// Gated is the gate's result for one run, or for all short runs together.
 type Gated struct {
 	Scenario string
 	Seed     uint64
-	Passed   bool    // every rule kept, no crash, the service at or above the floor, and no share too low
+	Passed   bool    // no rule broken, no crash, service at or above the floor, and no share too low
 	Service  float64 // 0 to 1
-	Says     string  // the verdict in a line, with the shares and the cold servers
+	Says     string  // one-line verdict with the shares and the servers in slow start
 	shares   []judge.Share
 }
 
-// String is the verdict in a line, with the day.
+// String returns the verdict in one line, with the scenario and seed.
 func (g *Gated) String() string {
 	if g.shares == nil {
 		return g.Scenario + ": " + g.Says
@@ -28,30 +28,31 @@
 	return fmt.Sprintf("%s, seed %d: %s", g.Scenario, g.Seed, g.Says)
 }
 
-// GateOptions is what days are put to the gate with.
+// GateOptions configures Gate.
 type GateOptions struct {
-	Seeds    int // of each scenario, its own first; 0: 1
-	Without  []string
-	Progress func(done int) // told after each day, from one goroutine at a time; nil: nobody is
+	Seeds    int            // consecutive seeds for each scenario, from its own; 0: 1
+	Without  []string       // names of protections to disable
+	Progress func(done int) // called after each run, never concurrently; may be nil
 }
 
-// pairsAtOnce is how many pairs of an agent and a booking server are played side by side: some 4 GB.
-const pairsAtOnce = 400_000
+// maxPairs limits the pairs of an agent and an upstream server in concurrent runs, to about 4 GB of
+// memory.
+const maxPairs = 400_000
 
-// Gate plays days and says of each whether it may pass. They come back in the order of the scenarios and
-// seeds, however many are played side by side. Where the context ends first, its error comes with those
-// that were played.
-func Gate(ctx context.Context, sets []*scenario.Scenario, o GateOptions) ([]Gated, error) {
+// Gate runs scenarios and judges each run by the terms of the gate. The results are in the order of the
+// scenarios and seeds, followed by the combined result of the short runs, if any. If the context ends
+// first, Gate returns the results so far with its error.
+func Gate(ctx context.Context, scenarios []*scenario.Scenario, o GateOptions) ([]Gated, error) {
 	o.Seeds = max(o.Seeds, 1)
-	most := 1
-	for _, s := range sets {
-		most = max(most, s.Agents.Count*s.Fleet.Servers)
+	pairs := 1
+	for _, s := range scenarios {
+		pairs = max(pairs, s.Agents.Count*s.Fleet.Servers)
 	}
-	days := make([]Gated, len(sets)*o.Seeds)
+	results := make([]Gated, len(scenarios)*o.Seeds)
 	var mu sync.Mutex
 	done := 0
-	err := onCores(ctx, min(runtime.GOMAXPROCS(0), max(pairsAtOnce/most, 1)), len(days), func(i int) error {
-		set := sets[i/o.Seeds]
+	err := onCores(ctx, min(runtime.GOMAXPROCS(0), max(maxPairs/pairs, 1)), len(results), func(i int) error {
+		set := scenarios[i/o.Seeds]
 		seed := set.Seed + uint64(i%o.Seeds)
 		r, err := Play(ctx, set, Options{Seed: seed, Without: o.Without, Late: true})
 		if err != nil {
@@ -59,24 +60,24 @@
 		}
 		mu.Lock()
 		defer mu.Unlock()
-		says, passed := r.GateLine()
-		days[i] = Gated{set.Name, seed, passed, r.Service, says, r.Shares}
+		line, passed := r.GateLine()
+		results[i] = Gated{set.Name, seed, passed, r.Service, line, r.Shares}
 		if done++; o.Progress != nil {
 			o.Progress(done)
 		}
 		return nil
 	})
-	played, short := days[:0], newShort()
-	for i, d := range days {
-		if d.Scenario == "" {
+	finished, shortResults := results[:0], newShortRuns()
+	for i, result := range results {
+		if result.Scenario == "" {
 			continue
 		}
-		if played = append(played, d); sets[i/o.Seeds].Gate.Short {
-			short.add(sets[i/o.Seeds], d.shares)
+		if finished = append(finished, result); scenarios[i/o.Seeds].Gate.Short {
+			shortResults.add(scenarios[i/o.Seeds], result.shares)
 		}
 	}
-	if sum, any := short.gated(); any && err == nil {
-		played = append(played, sum)
+	if combined, ok := shortResults.result(); ok && err == nil {
+		finished = append(finished, combined)
 	}
-	return played, err
+	return finished, err
 }
--- a/internal/rehearsal/graphql_test.go
+++ b/internal/rehearsal/graphql_test.go
@@ -12,73 +12,73 @@
 	"dunestep/internal/rehearsal/world"
 )
 
-// executions counts how often the booking servers executed each request, over all its tries.
-type executions struct {
+// executionCounter counts how often the upstream servers executed each request, over all its retries.
+type executionCounter struct {
 	record.Sink
-	unsafe   []bool            // by class
-	chains   map[uint32]uint32 // by try
-	unsafely map[uint32]int    // executions of what must not run twice
-	again    int               // of other requests, beyond the first
-	safely   map[uint32]int
-	failures int // attempts that failed
+	unsafe         []bool            // by class
+	requests       map[uint32]uint32 // request ID by the ID of each try
+	unsafeRuns     map[uint32]int    // executions of each request that must not run twice
+	safeRepeats    int               // executions of idempotent requests beyond the first
+	safeRuns       map[uint32]int
+	failedAttempts int
 }
 
-func (x *executions) Take(e *record.Event) {
+func (x *executionCounter) Take(e *record.Event) {
 	x.Sink.Take(e)
 	switch e.Kind {
 	case record.Asked:
-		x.chains[e.Op] = e.Chain
+		x.requests[e.Op] = e.Chain
 		if x.unsafe[e.Class] {
-			x.unsafely[e.Chain] += 0
+			x.unsafeRuns[e.Chain] += 0
 		}
 	case record.Ended:
 		if e.Outcome != record.OK {
-			x.failures++
+			x.failedAttempts++
 		}
 	case record.Worked:
-		chain := x.chains[e.Op]
-		if _, unsafe := x.unsafely[chain]; unsafe && e.Ran {
-			x.unsafely[chain]++
+		request := x.requests[e.Op]
+		if _, unsafe := x.unsafeRuns[request]; unsafe && e.Ran {
+			x.unsafeRuns[request]++
 		} else if e.Ran {
-			if x.safely[chain]++; x.safely[chain] > 1 {
-				x.again++
+			if x.safeRuns[request]++; x.safeRuns[request] > 1 {
+				x.safeRepeats++
 			}
 		}
 	}
 }
 
-// GraphQL requests on a day on which all that can fails: none that must not run twice does, and without a front
-// for them, as opaque POSTs, the day is worse, since queries are not repeated.
-func TestGraphQLDay(t *testing.T) {
+// With every kind of fault, no GraphQL request that must not run twice does. Without the GraphQL listener, as opaque
+// POSTs, service is lower, because queries are not retried.
+func TestGraphQLMutationsRunAtMostOnce(t *testing.T) {
 	set, err := scenario.Load("../../rehearsals/graphql.toml")
 	require.NoError(t, err)
 	var service [2]float64
-	failures, again, executed := 0, 0, 0
-	const days = 3
-	for front := range service {
-		set.Clients.GraphQLFront = front == 1
-		for seed := range uint64(days) {
-			j := judge.New(set)
-			x := &executions{Sink: j, chains: map[uint32]uint32{}, unsafely: map[uint32]int{}, safely: map[uint32]int{}}
+	failures, repeats, executed := 0, 0, 0
+	const runs = 3
+	for listener := range service {
+		set.Clients.GraphQLFront = listener == 1
+		for seed := range uint64(runs) {
+			verdicts := judge.New(set)
+			counter := &executionCounter{Sink: verdicts, requests: map[uint32]uint32{}, unsafeRuns: map[uint32]int{}, safeRuns: map[uint32]int{}}
 			for _, c := range set.Classes {
-				x.unsafe = append(x.unsafe, c.Effect == scenario.Unsafe)
+				counter.unsafe = append(counter.unsafe, c.Effect == scenario.Unsafe)
 			}
-			require.NoError(t, world.Play(t.Context(), set, seed+1, x, world.Options{Figures: balancer.DefaultTuning()}))
-			for chain, n := range x.unsafely {
-				require.LessOrEqual(t, n, 1, "request %d on day %d", chain, seed+1)
+			require.NoError(t, world.Play(t.Context(), set, seed+1, counter, world.Options{Figures: balancer.DefaultTuning()}))
+			for chain, n := range counter.unsafeRuns {
+				require.LessOrEqual(t, n, 1, "request %d with seed %d", chain, seed+1)
 				executed += n
 			}
-			v := j.Verdict()
-			service[front] += v.Service / days
-			failures += x.failures
-			if front == 1 {
-				again += x.again
+			v := verdicts.Verdict()
+			service[listener] += v.Service / runs
+			failures += counter.failedAttempts
+			if listener == 1 {
+				repeats += counter.safeRepeats
 			}
 		}
 	}
 	t.Logf("%d attempts failed, %d requests that must not run twice ran once, %d queries ran again; service %.3f, "+
-		"%.3f as opaque POSTs", failures, executed, again, service[1], service[0])
+		"%.3f as opaque POSTs", failures, executed, repeats, service[1], service[0])
 	require.Greater(t, failures, 10000)
-	require.Greater(t, again, 1000)
+	require.Greater(t, repeats, 1000)
 	require.Greater(t, service[1], service[0]+0.03)
 }
--- a/internal/rehearsal/hunt.go
+++ b/internal/rehearsal/hunt.go
@@ -13,34 +13,34 @@
 	"dunestep/internal/rehearsal/scenario"
 )
 
-// Found is a day of a hunt.
+// Found is the result of one seed of a hunt.
 type Found struct {
 	Seed     uint64   `json:"seed"`
 	Passed   bool     `json:"passed"`
 	Crashed  bool     `json:"crashed"`
 	Service  float64  `json:"service"`
-	Broken   []string `json:"broken"`   // the rules that were, and the gate's terms, by name
-	Findings []string `json:"findings"` // by name, each once
+	Broken   []string `json:"broken"`   // names of the broken rules and gate terms
+	Findings []string `json:"findings"` // names, each once
 }
 
-// HuntOptions is what a hunt plays beside its scenario.
+// HuntOptions configures Hunt.
 type HuntOptions struct {
-	First    uint64 // seed
-	Seeds    int
-	Without  []string
-	Placed   bool                   // agents place by agreed generations in any case
-	Progress func(done, failed int) // told after each day, from one goroutine at a time; nil: nobody is
+	First    uint64                 // first seed
+	Seeds    int                    // number of consecutive seeds
+	Without  []string               // names of protections to disable
+	Placed   bool                   // agents use ring assignment whatever the scenario says
+	Progress func(done, failed int) // called after each run, never concurrently; may be nil
 }
 
-// Hunt plays the scenario with many seeds on all cores and returns the days, the worst first: those that
-// crashed, then those with more rules broken, then those with less service, then by seed. Where the context
-// ends first, the days played so far come with its error.
+// Hunt runs the scenario with many seeds on all cores and returns the results, worst first: crashes, then
+// by the number of broken rules, then by service, then by seed. If the context ends first, Hunt returns the
+// results so far with its error.
 func Hunt(ctx context.Context, set *scenario.Scenario, o HuntOptions) ([]Found, error) {
-	if _, _, err := figuresWithout(o.Without); err != nil {
+	if _, _, err := tuningWithout(o.Without); err != nil {
 		return nil, err
 	}
 	var mu sync.Mutex
-	var all []Found
+	var results []Found
 	failed := 0
 	err := onAllCores(ctx, o.Seeds, func(i int) error {
 		seed := o.First + uint64(i)
@@ -50,24 +50,24 @@
 		}
 		mu.Lock()
 		defer mu.Unlock()
-		all = append(all, found(r))
+		results = append(results, newFound(r))
 		if !r.Passed {
 			failed++
 		}
 		if o.Progress != nil {
-			o.Progress(len(all), failed)
+			o.Progress(len(results), failed)
 		}
 		return nil
 	})
-	slices.SortFunc(all, func(a, b Found) int {
-		return cmp.Or(cmp.Compare(b.harm(), a.harm()), cmp.Compare(a.Service, b.Service),
+	slices.SortFunc(results, func(a, b Found) int {
+		return cmp.Or(cmp.Compare(b.severity(), a.severity()), cmp.Compare(a.Service, b.Service),
 			cmp.Compare(a.Seed, b.Seed))
 	})
-	return all, err
+	return results, err
 }
 
-// harm is how bad a day is apart from its service: a crash counts for more than all rules broken.
-func (f Found) harm() int {
+// severity ranks a result apart from its service. A crash ranks above any number of broken rules.
+func (f Found) severity() int {
 	const crash = 100
 	if f.Crashed {
 		return crash + len(f.Broken)
@@ -75,7 +75,7 @@
 	return len(f.Broken)
 }
 
-func found(r *report.Report) Found {
+func newFound(r *report.Report) Found {
 	f := Found{
 		Seed: r.Seed, Passed: r.Passed, Crashed: r.Crash != nil, Service: r.Service,
 		Broken: []string{}, Findings: []string{},
@@ -98,22 +98,22 @@
 	return f
 }
 
-// onAllCores calls do with 0 to n-1, as many at a time as there are cores, until one fails or the context
-// ends, and returns the first error.
+// onAllCores calls do with 0 to n-1, GOMAXPROCS calls at a time, until one fails or the context ends. It
+// returns the first error.
 func onAllCores(ctx context.Context, n int, do func(i int) error) error {
 	return onCores(ctx, runtime.GOMAXPROCS(0), n, do)
 }
 
-// onCores is onAllCores with so many at a time.
+// onCores is onAllCores with cores calls at a time.
 func onCores(ctx context.Context, cores, n int, do func(i int) error) error {
-	group, until := errgroup.WithContext(ctx)
+	group, groupCtx := errgroup.WithContext(ctx)
 	group.SetLimit(cores)
 	for i := range n {
-		if until.Err() != nil {
+		if groupCtx.Err() != nil {
 			break
 		}
 		group.Go(func() error {
-			if until.Err() != nil { // while this one waited for its turn
+			if groupCtx.Err() != nil { // an earlier call failed, or the context ended, before this one started
 				return nil
 			}
 			return do(i)
--- a/internal/rehearsal/live/parts.go
+++ b/internal/rehearsal/live/baselines.go
@@ -10,15 +10,15 @@
 	"sync/atomic"
 )
 
-// RunPart is one of the parts that a bench compares with, as a process of its own: it listens at an address
-// and passes all on to the servers, in turn. It runs until it is ended.
+// RunPart runs one of the proxies that RunBench compares the agent with, in a process of its own. It
+// listens at an address and forwards to the servers in rotation. It returns only with an error.
 func RunPart(part, listen string, servers []string) error {
 	l, err := net.Listen("tcp", listen)
 	if err != nil {
 		return err
 	}
-	var turn atomic.Uint64
-	next := func() string { return servers[turn.Add(1)%uint64(len(servers))] }
+	var count atomic.Uint64
+	next := func() string { return servers[count.Add(1)%uint64(len(servers))] }
 	switch part {
 	case PartProxy:
 		proxy := &httputil.ReverseProxy{
@@ -35,14 +35,14 @@
 			if err != nil {
 				return err
 			}
-			go copyBetween(c, next())
+			go proxyConn(c, next())
 		}
 	}
 	return fmt.Errorf("unknown part %q", part)
 }
 
-// copyBetween passes bytes both ways until one side ends.
-func copyBetween(c net.Conn, server string) {
+// proxyConn copies bytes in both directions until one side closes.
+func proxyConn(c net.Conn, server string) {
 	defer c.Close()
 	s, err := net.Dial("tcp", server)
 	if err != nil {
@@ -50,15 +50,15 @@
 	}
 	defer s.Close()
 	go func() {
-		pass(s, c)
+		copyBytes(s, c)
 		_ = s.Close()
 	}()
-	pass(c, s)
+	copyBytes(c, s)
 }
 
-// pass copies by reading and writing: the system's own short cut is no measure for a program that looks at
-// what it passes on.
-func pass(to io.Writer, from io.Reader) {
+// copyBytes copies with plain reads and writes. It avoids splice(2), which would not be comparable to a
+// program that inspects the data it forwards.
+func copyBytes(to io.Writer, from io.Reader) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
--- a/internal/rehearsal/live/bench.go
+++ b/internal/rehearsal/live/bench.go
@@ -22,75 +22,75 @@
 	"dunestep/internal/standin/program"
 )
 
-// BenchOptions is what the agent's own cost is measured with.
+// BenchOptions configures a benchmark of the agent's own cost.
 type BenchOptions struct {
-	Programs []string      // the agents'
-	Rounds   int           // that each is measured in, one after another
-	Self     []string      // starts this kit's Part: its program and arguments, to which the part's are added
-	Conns    int           // kept connections
-	Servers  int           // stand-ins that answer at once
-	Length   time.Duration // of each measurement
-	Rates    []float64     // a second; empty: a quarter, a half and three quarters of the first agent's
+	Programs []string      // paths of the agent programs to measure
+	Rounds   int           // number of measurements of each subject
+	Self     []string      // command line that runs RunPart; its arguments are appended
+	Conns    int           // number of persistent client connections
+	Servers  int           // number of upstream servers, stand-ins that answer immediately
+	Length   time.Duration // duration of each measurement
+	Rates    []float64     // in requests per second; empty: 1/4, 1/2 and 3/4 of the first subject's maximum
 }
 
-// Cost is what one of those that stand between a client and the servers costs.
+// Cost is the measured cost of one subject between the client and the upstream servers.
 type Cost struct {
-	Name    string
-	Flat    *Load   // as much as it can do
-	CPUS    float64 // processor seconds in that measurement
-	AtRates []*Load
+	Name       string
+	Saturated  *Load   // at the highest rate the subject sustains
+	CPUSeconds float64 // CPU time during the saturated measurement, in seconds
+	AtRates    []*Load // one for each of Bench.Rates
 }
 
-// add takes a further round in.
-func (c *Cost) add(d Cost) {
-	c.Name = d.Name
-	c.CPUS += d.CPUS
-	if c.Flat == nil {
-		c.Flat, c.AtRates = d.Flat, d.AtRates
+// add merges the results of a further round.
+func (c *Cost) add(round Cost) {
+	c.Name = round.Name
+	c.CPUSeconds += round.CPUSeconds
+	if c.Saturated == nil {
+		c.Saturated, c.AtRates = round.Saturated, round.AtRates
 		return
 	}
-	c.Flat.add(d.Flat)
+	c.Saturated.add(round.Saturated)
 	for i := range c.AtRates {
-		c.AtRates[i].add(d.AtRates[i])
+		c.AtRates[i].add(round.AtRates[i])
 	}
 }
 
-// Bench is what was measured.
+// Bench is the result of a benchmark.
 type Bench struct {
-	Rates []float64
+	Rates []float64 // requests per second
 	Costs []Cost
 }
 
-// The parts that the kit itself plays beside the agent.
+// The kit's own programs that the agent is compared with.
 const (
 	PartProxy  = "proxy"  // net/http/httputil's ReverseProxy
-	PartCopier = "copier" // a bare copier of bytes
+	PartCopier = "copier" // a TCP proxy that copies bytes unread
 )
 
-var errOneCore = errors.New("a core for the measured program and one for the rest are needed")
+var errTooFewCores = errors.New("the benchmark needs a core for the measured program and one for the load")
 
-// RunBench measures agents, the library's reverse proxy and a copier of bytes in turn, each on one core by
-// itself, with load and stand-ins on the others; and the load on a stand-in with nothing between. Who is
-// first changes with each round.
+// RunBench measures the agents, the standard library's reverse proxy, a byte copier and direct requests to an
+// upstream server. Each measured process runs on a core of its own; the load and the upstream servers run on
+// the other cores. The order of the subjects rotates with each round.
 func RunBench(ctx context.Context, o BenchOptions) (*Bench, error) {
-	subject, rest, err := splitCores()
+	benchCore, loadCores, err := reserveCore()
 	if err != nil {
 		return nil, err
 	}
-	if err := pinSelf(rest); err != nil {
+	if err := pinSelf(loadCores); err != nil {
 		return nil, err
 	}
-	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(rest.Count()))
+	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(loadCores.Count()))
 	spawn := program.NewSpawner()
 	defer spawn.Close()
 	var servers []string
 	for range o.Servers {
-		q, err := standin.ListenQuick("127.0.0.1:0")
+		server, err := standin.ListenQuick("127.0.0.1:0")
 		if err != nil {
 			return nil, err
 		}
-		defer q.Close()
-		servers = append(servers, q.Addr())
+		defer server.Close()
+		servers = append(servers, server.Addr())
 	}
 	var subjects []benchSubject
 	for _, name := range o.Programs {
@@ -111,64 +111,64 @@
 		}},
 		{"nothing between", nil},
 	}...)
-	b := &Bench{Rates: o.Rates, Costs: make([]Cost, len(subjects))}
+	bench := &Bench{Rates: o.Rates, Costs: make([]Cost, len(subjects))}
 	for round := range o.Rounds {
-		for turn := range subjects {
-			which := (round + turn) % len(subjects)
-			s := subjects[which]
+		for position := range subjects {
+			i := (round + position) % len(subjects)
+			subject := subjects[i]
 			if ctx.Err() != nil {
 				return nil, ctx.Err()
 			}
-			cost, err := s.measure(ctx, o, b, spawn, subject, servers[0])
+			cost, err := subject.measure(ctx, o, bench, spawn, benchCore, servers[0])
 			if err != nil {
-				return nil, fmt.Errorf("%s: %w", s.name, err)
+				return nil, fmt.Errorf("%s: %w", subject.name, err)
 			}
-			b.Costs[which].add(cost)
+			bench.Costs[i].add(cost)
 		}
 	}
-	return b, nil
+	return bench, nil
 }
 
-// benchSubject is something that is measured.
+// benchSubject is a program that is measured, or the direct connection.
 type benchSubject struct {
 	name    string
-	command func(addr string) (*exec.Cmd, io.Closer, error) // nil: nothing is started
+	command func(addr string) (*exec.Cmd, io.Closer, error) // nil: direct requests to an upstream server
 }
 
 const (
-	lookAgain  = 20 * time.Millisecond // whether it listens
-	warmUp     = time.Second
-	benchReady = 10 * time.Second
+	dialRetryPeriod = 20 * time.Millisecond
+	warmUpTime      = time.Second
+	listenTimeout   = 10 * time.Second
 )
 
-func (s benchSubject) measure(ctx context.Context, o BenchOptions, b *Bench, spawn *program.Spawner,
+func (s benchSubject) measure(ctx context.Context, o BenchOptions, bench *Bench, spawn *program.Spawner,
 	core unix.CPUSet, direct string,
 ) (c Cost, err error) {
 	c.Name = s.name
 	addr := direct
 	var cmd *exec.Cmd
 	if s.command != nil {
-		if addr, err = program.FreeAddr(addresses{os.Getpid()}.of(0)); err != nil {
+		if addr, err = program.FreeAddr(addresses{os.Getpid()}.agent(0)); err != nil {
 			return c, err
 		}
-		var beside io.Closer
-		if cmd, beside, err = s.command(addr); err != nil {
+		var companion io.Closer
+		if cmd, companion, err = s.command(addr); err != nil {
 			return c, err
 		}
-		if beside != nil {
-			defer beside.Close()
+		if companion != nil {
+			defer companion.Close()
 		}
-		var words strings.Builder
-		cmd.Stderr = &words
+		var stderr strings.Builder
+		cmd.Stderr = &stderr
 		cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-		if err := startOn(spawn, cmd, core); err != nil {
+		if err := startOnCores(spawn, cmd, core); err != nil {
 			return c, err
 		}
 		defer func() { _ = cmd.Process.Kill(); _ = cmd.Wait() }()
-		if err := awaitSocket(ctx, addr); err != nil {
+		if err := waitForListener(ctx, addr); err != nil {
 			_ = cmd.Process.Kill()
-			_ = cmd.Wait() // all that it said is there then
-			return c, fmt.Errorf("%w: %s", err, words.String())
+			_ = cmd.Wait() // afterwards all of its standard error has been read
+			return c, fmt.Errorf("%w: %s", err, stderr.String())
 		}
 	}
 	l, err := newLoader(addr, o.Conns, benchRequest)
@@ -177,19 +177,20 @@
 	}
 	defer l.close()
 	defer context.AfterFunc(ctx, l.close)()
-	if _, err := l.flatOut(warmUp); err != nil {
+	if _, err := l.saturate(warmUpTime); err != nil {
 		return c, err
 	}
-	before := cpuOf(cmd)
-	if c.Flat, err = l.flatOut(o.Length); err != nil {
+	before := cpuSeconds(cmd)
+	if c.Saturated, err = l.saturate(o.Length); err != nil {
 		return c, err
 	}
-	c.CPUS = cpuOf(cmd) - before
-	if len(b.Rates) == 0 {
-		b.Rates = []float64{c.Flat.PerS() / 4, c.Flat.PerS() / 2, c.Flat.PerS() * 3 / 4}
+	c.CPUSeconds = cpuSeconds(cmd) - before
+	if len(bench.Rates) == 0 {
+		bench.Rates = []float64{c.Saturated.PerSecond() / 4, c.Saturated.PerSecond() / 2,
+			c.Saturated.PerSecond() * 3 / 4}
 	}
-	for i, rate := range b.Rates {
-		load, err := l.onTime(Schedule(uint64(i+1), rate, o.Length))
+	for i, rate := range bench.Rates {
+		load, err := l.runSchedule(Schedule(uint64(i+1), rate, o.Length))
 		if err != nil {
 			return c, err
 		}
@@ -198,15 +199,16 @@
 	return c, nil
 }
 
-// benchRequest is the nth request, without a body.
+// benchRequest returns the nth request, which has no body.
 func benchRequest(n int) []byte {
 	return fmt.Appendf(nil, "GET /any/book HTTP/1.1\r\nHost: backend.local\r\nX-Correlation-Id: %016x\r\n"+
 		"X-Time-Left-Ms: 2000\r\nCookie: sid=k%05d\r\n\r\n", n, n%1000)
 }
 
-// benchAgent is the agent with a deployment of its own: one class, and servers on a list that never changes.
+// benchAgent returns the command of an agent with one request class and an endpoint list that never changes.
+// The closer ends its discovery stand-in and releases the configuration file.
 func benchAgent(path, addr string, servers []string) (*exec.Cmd, io.Closer, error) {
-	d, err := standin.ListenDiscovery("127.0.0.1:0", emptyLines, func(c *standin.Call) { c.Begin(200) },
+	d, err := standin.ListenDiscovery("127.0.0.1:0", watchKeepalive, func(c *standin.Call) { c.Begin(200) },
 		func(*standin.Call) {})
 	if err != nil {
 		return nil, nil, err
@@ -274,9 +276,9 @@
 	return cmd
 }
 
-// awaitSocket waits until something listens at an address.
-func awaitSocket(ctx context.Context, addr string) error {
-	ctx, cancel := context.WithTimeout(ctx, benchReady)
+// waitForListener waits until a connection to addr succeeds, up to listenTimeout.
+func waitForListener(ctx context.Context, addr string) error {
+	ctx, cancel := context.WithTimeout(ctx, listenTimeout)
 	defer cancel()
 	for {
 		c, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
@@ -286,12 +288,12 @@
 		if ctx.Err() != nil {
 			return err
 		}
-		time.Sleep(lookAgain)
+		time.Sleep(dialRetryPeriod)
 	}
 }
 
-// cpuOf is the processor time that a process has used, in seconds.
-func cpuOf(cmd *exec.Cmd) float64 {
+// cpuSeconds returns the CPU time that a process has used, in seconds; zero for a nil cmd.
+func cpuSeconds(cmd *exec.Cmd) float64 {
 	if cmd == nil {
 		return 0
 	}
@@ -302,11 +304,11 @@
 	if len(fields) > 13 {
 		_, _ = fmt.Sscan(fields[11]+" "+fields[12], &user, &system)
 	}
-	return (user + system) / 100 // the system's ticks
+	return (user + system) / 100 // 100 clock ticks per second
 }
 
-// splitCores takes one of the cores that this process may use for what is measured.
-func splitCores() (one, rest unix.CPUSet, err error) {
+// reserveCore splits the cores that this process may use into one for the measured program and the rest.
+func reserveCore() (one, rest unix.CPUSet, err error) {
 	if err := unix.SchedGetaffinity(0, &rest); err != nil {
 		return one, rest, err
 	}
@@ -317,10 +319,10 @@
 			return one, rest, nil
 		}
 	}
-	return one, rest, errOneCore
+	return one, rest, errTooFewCores
 }
 
-// pinSelf keeps this process on cores, with all its threads; those to come are begun by these.
+// pinSelf restricts all threads of this process to cores. Later threads inherit the restriction.
 func pinSelf(cores unix.CPUSet) error {
 	tasks, err := os.ReadDir("/proc/self/task")
 	if err != nil {
@@ -336,8 +338,8 @@
 	return nil
 }
 
-// startOn starts a process on cores: it takes over those of the thread that starts it.
-func startOn(s *program.Spawner, cmd *exec.Cmd, cores unix.CPUSet) error {
+// startOnCores starts a process on cores. The process inherits the CPU affinity of the thread that starts it.
+func startOnCores(s *program.Spawner, cmd *exec.Cmd, cores unix.CPUSet) error {
 	return s.Do(func() error {
 		var before unix.CPUSet
 		err := unix.SchedGetaffinity(0, &before)
@@ -351,7 +353,7 @@
 	})
 }
 
-// Text writes what was measured for a terminal.
+// Text writes the results as a text table.
 func (b *Bench) Text(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprint(t, "on one core\tflat out\tprocessor time of a request")
@@ -360,14 +362,15 @@
 	}
 	fmt.Fprintln(t)
 	for _, c := range b.Costs {
-		fmt.Fprintf(t, "%s\t%.0f/s\t", c.Name, c.Flat.PerS())
-		if c.CPUS > 0 {
-			fmt.Fprintf(t, "%.1f us", c.CPUS/float64(c.Flat.Asked)*1e6)
+		fmt.Fprintf(t, "%s\t%.0f/s\t", c.Name, c.Saturated.PerSecond())
+		if c.CPUSeconds > 0 {
+			fmt.Fprintf(t, "%.1f us", c.CPUSeconds/float64(c.Saturated.Requests)*1e6)
 		}
 		for _, l := range c.AtRates {
 			h := l.Latency
-			fmt.Fprintf(t, "\t%s\t%s\t%s\t%s", micros(h.ValueAtQuantile(50)), micros(h.ValueAtQuantile(99)),
-				micros(h.ValueAtQuantile(99.9)), micros(l.Lateness.ValueAtQuantile(99)))
+			fmt.Fprintf(t, "\t%s\t%s\t%s\t%s", formatMicros(h.ValueAtQuantile(50)),
+				formatMicros(h.ValueAtQuantile(99)),
+				formatMicros(h.ValueAtQuantile(99.9)), formatMicros(l.Lateness.ValueAtQuantile(99)))
 			if l.Errors > 0 {
 				fmt.Fprintf(t, " (%d errors)", l.Errors)
 			}
@@ -377,4 +380,4 @@
 	return t.Flush()
 }
 
-func micros(us int64) string { return fmt.Sprintf("%.2f ms", float64(us)/1000) }
+func formatMicros(us int64) string { return fmt.Sprintf("%.2f ms", float64(us)/1000) }
--- a/internal/rehearsal/live/benchload.go
+++ b/internal/rehearsal/live/benchload.go
@@ -17,8 +17,8 @@
 	"dunestep/internal/standin/program"
 )
 
-// loadDay is a day for the load alone.
-const loadDay = `schema = 1
+// loadScenario measures the load generator alone: it has no faults and no client retries.
+const loadScenario = `schema = 1
 name = "load"
 floor = 0
 day = { length_s = %g, from_s = 0 }
@@ -38,50 +38,50 @@
 effect = "safe"
 `
 
-// LoadBench is what the load of a live day did by itself.
+// LoadBench is the result of running the load generator of a live scenario run by itself.
 type LoadBench struct {
-	PerS     float64 // answered
-	Asked    int
-	Answered int
+	PerS     float64 // answered requests per second
+	Asked    int     // requests sent
+	Answered int     // requests answered
 	Late     world.Lateness
-	CPUS     float64
+	CPUS     float64 // CPU time of the load generator, in seconds
 	Cores    int
 }
 
-// RunLoadBench plays a live day's clients, and nothing else, at stand-ins that answer at once: so many
-// requests a second on so many cores.
+// RunLoadBench sends the clients' requests of a live scenario run to stand-ins that answer immediately,
+// with no agents or upstream servers. It sends perS requests per second on the given number of cores.
 func RunLoadBench(ctx context.Context, perS float64, length time.Duration, cores int) (*LoadBench, error) {
-	set, err := scenario.Parse("load", fmt.Appendf(nil, loadDay, length.Seconds(), perS))
+	set, err := scenario.Parse("load", fmt.Appendf(nil, loadScenario, length.Seconds(), perS))
 	if err != nil {
 		return nil, err
 	}
-	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(cores * sparePs))
-	defer debug.SetGCPercent(debug.SetGCPercent(fewCollections))
-	counts := &counting{}
-	day, err := world.NewLive(set, 1, counts, world.Options{})
+	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(cores * procsPerCore))
+	defer debug.SetGCPercent(debug.SetGCPercent(gcPercent))
+	counter := &requestCounter{}
+	env, err := world.NewLive(set, 1, counter, world.Options{})
 	if err != nil {
 		return nil, err
 	}
-	defer day.Close()
-	w := &quickWire{wire: wire{set: set, day: day}}
+	defer env.Close()
+	w := &quickWire{wire: wire{set: set, env: env}}
 	for i := range set.Agents.Count {
-		q, err := standin.ListenQuick(addresses{os.Getpid()}.of(i) + ":0")
+		server, err := standin.ListenQuick(addresses{os.Getpid()}.agent(i) + ":0")
 		if err != nil {
 			return nil, err
 		}
-		defer q.Close()
-		w.agents = append(w.agents, &surroundings{number: i, agent: &program.Agent{Addr: q.Addr()}})
+		defer server.Close()
+		w.agents = append(w.agents, &agentStandins{number: i, agent: &program.Agent{Addr: server.Addr()}})
 	}
-	began, before := time.Now(), kitTime()
-	err = day.Play(ctx, w)
-	took := time.Since(began)
+	start, cpuBefore := time.Now(), kitCPUTime()
+	err = env.Play(ctx, w)
+	elapsed := time.Since(start)
 	return &LoadBench{
-		PerS: float64(counts.answered) / min(took, length).Seconds(), Asked: counts.asked,
-		Answered: counts.answered, Late: day.Late(), CPUS: (kitTime() - before).Seconds(), Cores: cores,
+		PerS: float64(counter.answered) / min(elapsed, length).Seconds(), Asked: counter.requests,
+		Answered: counter.answered, Late: env.Late(), CPUS: (kitCPUTime() - cpuBefore).Seconds(), Cores: cores,
 	}, err
 }
 
-// quickWire has a stand-in in place of each agent: there are no booking servers behind it.
+// quickWire replaces each agent by a stand-in that answers immediately, without upstream servers.
 type quickWire struct{ wire }
 
 // Server implements world.Wire.
@@ -91,29 +91,29 @@
 func (w *quickWire) Gate(int, netip.AddrPort, world.Gate) {}
 
 // Start implements world.Wire.
-func (w *quickWire) Start(number, run int, _ protocol.EndpointList) { w.day.AgentReady(number, run) }
+func (w *quickWire) Start(number, run int, _ protocol.EndpointList) { w.env.AgentReady(number, run) }
 
-// counting counts what a load comes to.
-type counting struct{ asked, answered int }
+// requestCounter counts requests and answers.
+type requestCounter struct{ requests, answered int }
 
 // Begin implements record.Sink.
-func (c *counting) Begin(record.Day) {}
+func (c *requestCounter) Begin(record.Day) {}
 
 // Server implements record.Sink.
-func (c *counting) Server(int, record.Server) {}
+func (c *requestCounter) Server(int, record.Server) {}
 
 // Take implements record.Sink.
-func (c *counting) Take(e *record.Event) {
+func (c *requestCounter) Take(e *record.Event) {
 	switch e.Kind {
 	case record.Asked:
-		c.asked++
+		c.requests++
 	case record.Answered:
 		c.answered++
 	}
 }
 
 // Sample implements record.Sink.
-func (c *counting) Sample(*record.Sample) {}
+func (c *requestCounter) Sample(*record.Sample) {}
 
 // End implements record.Sink.
-func (c *counting) End(time.Duration) {}
+func (c *requestCounter) End(time.Duration) {}
--- a/internal/rehearsal/live/live.go
+++ b/internal/rehearsal/live/live.go
@@ -1,7 +1,7 @@
-// Package live plays a scenario's day in real time at real agents: processes of the program that ships, with
-// stand-ins round them on loopback sockets. Booking servers, clients, discovery, the network's delays and the
-// troubles are the rehearsal's world (internal/rehearsal/world), as in a model; its record goes to the same
-// judge and the same report.
+// Package live runs a scenario in real time with real agents: processes of the released program that talk to
+// stand-ins on loopback sockets. The upstream servers, clients, discovery, network delays and faults are
+// simulated by internal/rehearsal/world, as in a virtual-time run; its record goes to the same judge and the
+// same report.
 package live
 
 import (
@@ -24,45 +24,46 @@
 	"dunestep/internal/standin/program"
 )
 
-// Options is what a day is played with beside its scenario.
+// Options configures a live run beyond its scenario.
 type Options struct {
 	Seed     uint64
-	Program  string                   // the agent's; empty: bin/dunestep
-	Progress func(at time.Duration)   // told how far the day is; nil: nobody is
-	Log      func(agent, line string) // told the agents' logs; nil: nobody is
-	Lanes    timeline.Reader          // what of the agents' logs goes to the report's timeline; nil: nothing
+	Program  string                   // path of the agent program; empty: bin/dunestep
+	Progress func(at time.Duration)   // receives the elapsed time; nil: no progress reports
+	Log      func(agent, line string) // receives the agents' log lines; nil: discards them
+	Lanes    timeline.Reader          // selects log lines for the report's timeline; nil: none
 }
 
-// The kit's own lateness up to which a day is judged. A late kit makes booking servers slower than they
-// are, and clients later: beyond these it would be in the figures.
+// The kit's own lateness up to which a run is judged. A late kit makes upstream servers slower and clients
+// later than the scenario says; beyond these limits it would distort the results.
 const (
-	lateP99  = 10 * time.Millisecond
-	lateMost = 250 * time.Millisecond
+	maxLatenessP99 = 10 * time.Millisecond
+	maxLateness    = 250 * time.Millisecond
 )
 
-// Play plays a day. Where the context ends first, the report is of the day so far and the context's error
-// comes with it; with any other error there is no report. However it ends, no process or socket is left.
+// Play runs a scenario and returns its report. If the context ends first, the report covers the run so far
+// and is returned with the context's error; with any other error there is no report. All processes and
+// sockets are closed on return.
 func Play(ctx context.Context, set *scenario.Scenario, o Options) (_ *report.Report, err error) {
 	path, err := program.Find(o.Program)
 	if err != nil {
 		return nil, err
 	}
-	if err := checkPlan(set); err != nil {
+	if err := checkPlayable(set); err != nil {
 		return nil, err
 	}
-	defer debug.SetGCPercent(debug.SetGCPercent(fewCollections))
-	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(runtime.NumCPU() * sparePs))
+	defer debug.SetGCPercent(debug.SetGCPercent(gcPercent))
+	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(runtime.NumCPU() * procsPerCore))
 	plan := world.NewPlan(set, o.Seed)
-	j, line := judge.New(set), &timeline.Timeline{}
-	day, err := world.NewLive(set, o.Seed, j, world.Options{Progress: o.Progress, Timeline: line})
+	verdicts, events := judge.New(set), &timeline.Timeline{}
+	env, err := world.NewLive(set, o.Seed, verdicts, world.Options{Progress: o.Progress, Timeline: events})
 	if err != nil {
 		return nil, err
 	}
-	defer day.Close()
+	defer env.Close()
 	spawn := program.NewSpawner()
 	defer spawn.Close()
 	agents, err := newAgents(set, path, spawn, func(agent, text string) {
-		line.Read(o.Lanes, max(time.Since(day.Zero()), 0), agent, text)
+		events.Read(o.Lanes, max(time.Since(env.Zero()), 0), agent, text)
 		if o.Log != nil {
 			o.Log(agent, text)
 		}
@@ -70,35 +71,36 @@
 	if err != nil {
 		return nil, err
 	}
-	w, err := newWire(set, day, addresses{os.Getpid()}, agents)
+	w, err := newWire(set, env, addresses{os.Getpid()}, agents)
 	if err != nil {
 		return nil, err
 	}
-	ended := false
-	end := func(gently bool) {
-		if !ended {
-			ended = true
+	closed := false
+	closeAll := func(gently bool) {
+		if !closed {
+			closed = true
 			program.EndAll(agents, gently)
 			w.close()
 		}
 	}
-	defer end(false) // also where the kit itself panics
-	began := kitTime()
-	err = day.Play(ctx, w)
-	kit := kitTime() - began
+	defer closeAll(false) // also if the kit itself panics
+	cpuBefore := kitCPUTime()
+	err = env.Play(ctx, w)
+	kitCPU := kitCPUTime() - cpuBefore
 	if err != nil && ctx.Err() == nil {
 		return nil, err
 	}
-	end(err == nil)
-	r := report.New(set.Name, set.About, o.Seed, nil, j.Verdict())
-	r.SetTimeline(line)
-	r.CutShort = err != nil
-	r.Live = &report.Live{Plan: planPart(plan), Measured: measured(o.Program, day.Late(), kit, set, agents)}
-	r.Passed = r.Passed && r.Judged() && !r.CutShort
-	for _, a := range r.Live.Measured.Agents {
-		r.Passed = r.Passed && len(a.Problems) == 0
-	}
-	return r, err
+	closeAll(err == nil)
+	result := report.New(set.Name, set.About, o.Seed, nil, verdicts.Verdict())
+	result.SetTimeline(events)
+	result.CutShort = err != nil
+	result.Live = &report.Live{Plan: planPart(plan),
+		Measured: measured(o.Program, env.Late(), kitCPU, set, agents)}
+	result.Passed = result.Passed && result.Judged() && !result.CutShort
+	for _, a := range result.Live.Measured.Agents {
+		result.Passed = result.Passed && len(a.Problems) == 0
+	}
+	return result, err
 }
 
 func newAgents(set *scenario.Scenario, path string, spawn *program.Spawner, log func(string, string)) (
@@ -107,9 +109,9 @@
 	for i := range set.Agents.Count {
 		a := &program.Agent{
 			Name: fmt.Sprint("n", i), Program: path, Sockets: set.Agents.Sockets, Spawn: spawn,
-			Log: log, Look: lookEvery * time.Duration(max(set.Agents.Count/looksAtATime, 1)),
+			Log: log, Look: usageSamplePeriod * time.Duration(max(set.Agents.Count/agentsPerSamplePeriod, 1)),
 		}
-		if a.Addr, err = program.FreeAddr(addresses{os.Getpid()}.of(i)); err != nil {
+		if a.Addr, err = program.FreeAddr(addresses{os.Getpid()}.agent(i)); err != nil {
 			return nil, err
 		}
 		agents = append(agents, a)
@@ -118,45 +120,47 @@
 }
 
 const (
-	lookEvery    = 100 * time.Millisecond // at what a process takes, where they are few,
-	looksAtATime = 16                     // and of more at so many in that time
+	usageSamplePeriod     = 100 * time.Millisecond // between samples of a process's resource usage
+	agentsPerSamplePeriod = 16                     // with more agents the period grows in proportion
 )
 
-// used is what an agent took in all, with what was wrong.
-func used(a *program.Agent, set *scenario.Scenario) report.AgentUse {
+// agentUsage returns the resources that an agent used over all its runs, and the problems found.
+func agentUsage(a *program.Agent, set *scenario.Scenario) report.AgentUsage {
 	u, memory := a.Used(), set.Agents.MemoryMB
 	if u.PeakMB > float64(memory) {
-		u.Problems = append(u.Problems, fmt.Sprintf("took %.1f MB of %d", u.PeakMB, memory))
+		u.Problems = append(u.Problems, fmt.Sprintf("used %.1f MB of %d", u.PeakMB, memory))
 	}
-	return report.AgentUse{
+	return report.AgentUsage{
 		Name: a.Name, Starts: u.Starts, PeakMB: u.PeakMB, LimitMB: memory,
 		Descriptors: u.Descriptors, Limit: set.Agents.Sockets + program.SpareDescriptors, CPUS: u.CPUS,
 		Problems: u.Problems,
 	}
 }
 
-// checkPlan tells whether the day can be played live, on this machine, at all.
-func checkPlan(set *scenario.Scenario) error {
+// checkPlayable returns an error if the scenario cannot run live or needs more file descriptors than this
+// process may have.
+func checkPlayable(set *scenario.Scenario) error {
 	for i, t := range set.Troubles {
 		switch t.Kind {
 		case scenario.TakenOut, scenario.SentAway, scenario.Upgraded, scenario.Window:
-			return fmt.Errorf("trouble %d: %q is not played live yet", i+1, t.Kind)
+			return fmt.Errorf("trouble %d: kind %q is not supported in live runs", i+1, t.Kind)
 		}
 	}
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		return err
 	}
-	if need := descriptors(set); need > limit.Cur {
-		return fmt.Errorf("the plan may need %d descriptors, and this process may have %d (ulimit -n)", need,
+	if need := descriptorsNeeded(set); need > limit.Cur {
+		return fmt.Errorf("the scenario may need %d file descriptors, but the limit is %d (ulimit -n)", need,
 			limit.Cur)
 	}
 	return nil
 }
 
-// descriptors is about how many the kit needs at the most: sockets for each agent and booking server, also
-// for those that a deploy brings, and both ends of what the agents may open.
-func descriptors(set *scenario.Scenario) uint64 {
+// descriptorsNeeded estimates the maximum number of file descriptors that the kit needs: sockets for each
+// pair of an agent and an upstream server, including servers that a deploy adds, and for the connections
+// that the agents may open.
+func descriptorsNeeded(set *scenario.Scenario) uint64 {
 	servers := set.Fleet.Servers
 	for _, t := range set.Troubles {
 		if t.Kind == scenario.Deploy {
@@ -166,10 +170,10 @@
 	return uint64(set.Agents.Count*(servers+8+set.Agents.Sockets) + 100)
 }
 
-// planPart is the plan's part of the report.
+// planPart returns the plan section of the report.
 func planPart(p *world.Plan) report.PlanPart {
 	digest := sha256.New()
-	_ = WritePlan(digest, p) // a hash takes all
+	_ = WritePlan(digest, p) // writing to a hash never fails
 	part := report.PlanPart{
 		Arrivals: len(p.Arrivals), Digest: hex.EncodeToString(digest.Sum(nil)),
 		Troubles: []report.PlanTrouble{},
@@ -183,8 +187,8 @@
 	return part
 }
 
-// WritePlan writes a plan, a line for each trouble and each first try. It is the same, byte for byte, for the
-// same scenario and seed.
+// WritePlan writes a plan as text, one line for each fault and for each client request except retries. The
+// output is byte for byte the same for the same scenario and seed.
 func WritePlan(w io.Writer, p *world.Plan) error {
 	for _, t := range p.Troubles {
 		if _, err := fmt.Fprintf(w, "trouble %s at %v for %v part %g size %g\n", t.Kind, t.At, t.For, t.Part,
@@ -207,33 +211,34 @@
 	h := late.Happenings
 	m := report.Measured{Program: path, Cores: runtime.NumCPU(), Kit: report.Kit{
 		P50US: h.ValueAtQuantile(50),
-		P99US: h.ValueAtQuantile(99), P999US: h.ValueAtQuantile(99.9), MostMS: late.Most.Seconds() * 1000,
-		MostAt: late.MostAt.Seconds(), CPUS: kit.Seconds(),
+		P99US: h.ValueAtQuantile(99), P999US: h.ValueAtQuantile(99.9), MaxMS: late.Most.Seconds() * 1000,
+		MaxAtS: late.MostAt.Seconds(), CPUS: kit.Seconds(),
 	}}
 	for _, a := range agents {
-		m.Agents = append(m.Agents, used(a, set))
+		m.Agents = append(m.Agents, agentUsage(a, set))
 	}
 	switch p99 := time.Duration(m.Kit.P99US) * time.Microsecond; {
-	case p99 > lateP99:
+	case p99 > maxLatenessP99:
 		m.NotJudged = fmt.Sprintf("the kit itself was late by %v at the 99th percentile", p99)
-	case late.Most > lateMost:
+	case late.Most > maxLateness:
 		m.NotJudged = fmt.Sprintf("the kit itself was late by %v at %.1f s", late.Most.Round(time.Millisecond),
 			late.MostAt.Seconds())
 	}
 	return m
 }
 
-// kitTime is the processor time that the kit has used.
-func kitTime() time.Duration {
+// kitCPUTime returns the CPU time that this process has used.
+func kitCPUTime() time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// fewCollections is how much the heap may grow between collections, in per cent: each makes the kit late.
-const fewCollections = 400
+// gcPercent is the heap growth between garbage collections, in percent. It is high because each collection
+// delays the kit.
+const gcPercent = 400
 
-// sparePs is by how much more goroutines may run at once than there are cores. The goroutine that plays the
-// day comes back from waiting in the kernel; with none to spare it would queue behind those that serve
+// procsPerCore is the ratio of GOMAXPROCS to the number of cores. The goroutine that runs the scenario
+// waits in the kernel; without a spare P on its return it would queue behind the goroutines that serve
 // sockets.
-const sparePs = 3
+const procsPerCore = 3
--- a/internal/rehearsal/live/live_test.go
+++ b/internal/rehearsal/live/live_test.go
@@ -24,13 +24,13 @@
 	"dunestep/internal/standin/program"
 )
 
-var shipped string
+var agentProgram string
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "live")
 	if err == nil {
-		shipped = filepath.Join(dir, "dunestep")
-		err = program.Build(shipped, "dunestep/cmd/dunestep")
+		agentProgram = filepath.Join(dir, "dunestep")
+		err = program.Build(agentProgram, "dunestep/cmd/dunestep")
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -41,8 +41,8 @@
 	os.Exit(code)
 }
 
-// shortDay is a day of some seconds, with troubles of its own.
-func shortDay(t testing.TB, seconds int, agents int, troubles ...string) *scenario.Scenario {
+// shortScenario returns a scenario of a few seconds with the given faults.
+func shortScenario(t testing.TB, seconds int, agents int, troubles ...string) *scenario.Scenario {
 	require.NoError(t, program.Sources())
 	text := fmt.Sprintf(`schema = 1
 name = "short"
@@ -80,20 +80,20 @@
 	return set
 }
 
-// processes are those that run a program.
-func processes(of string) (ids []int) {
+// processesRunning returns the IDs of the processes that run a program.
+func processesRunning(path string) (ids []int) {
 	dirs, _ := filepath.Glob("/proc/[0-9]*")
 	for _, dir := range dirs {
 		exe, err := os.Readlink(dir + "/exe")
-		if id, notID := strconv.Atoi(filepath.Base(dir)); err == nil && notID == nil && exe == of {
+		if id, notID := strconv.Atoi(filepath.Base(dir)); err == nil && notID == nil && exe == path {
 			ids = append(ids, id)
 		}
 	}
 	return ids
 }
 
-// kept tells whether the rules were kept, where the kit's own lateness does not stand for a breach.
-func kept(t *testing.T, r *report.Report) {
+// requireRulesKept requires that no rule was broken and the service floor was met, unless the kit was too late to judge.
+func requireRulesKept(t *testing.T, r *report.Report) {
 	if !r.Judged() {
 		t.Log("not judged:", r.Live.Measured.NotJudged)
 		return
@@ -104,10 +104,10 @@
 	require.GreaterOrEqual(t, r.Service, r.Floor)
 }
 
-// A day with every way of a trouble on the wire: no rule is broken, what was planned was asked, and nothing is left.
-func TestDay(t *testing.T) {
+// A run with every kind of fault breaks no rule, sends every planned request and leaves no process.
+func TestPlayWithEveryTrouble(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	set := shortDay(t, 6, 3,
+	set := shortScenario(t, 6, 3,
 		`kind = "agents_restarted"; at_s = 1; for_s = 2; count = 1`,
 		`kind = "agents_killed"; at_s = 4; for_s = 0.5; count = 1`,
 		`kind = "crashed"; at_s = 1.5; for_s = 1; part = 0.2`,
@@ -126,13 +126,13 @@
 		`kind = "datagrams"; at_s = 0.5; for_s = 4; from = [0]; loss = 0.2; double = 0.2; flip = 0.1; delay_ms = [0, 50]`,
 		`kind = "streams"; at_s = 4; for_s = 0.5; agents = [1]; stream = "discovery"; fault = "silent"`,
 		`kind = "streams"; at_s = 5; for_s = 0.3; agents = [1]; fault = "reset"`)
-	r, err := Play(t.Context(), set, Options{Seed: 3, Program: shipped})
+	r, err := Play(t.Context(), set, Options{Seed: 3, Program: agentProgram})
 	require.NoError(t, err)
-	kept(t, r)
+	requireRulesKept(t, r)
 	require.Equal(t, r.Live.Plan.Arrivals, r.Counts.FirstTries)
 	require.Len(t, r.Spells, len(set.Troubles))
 	faults := slices.DeleteFunc(slices.Clone(r.Timeline), func(m report.Mark) bool { return m.Lane != timeline.Faults })
-	require.Len(t, faults, 2*len(set.Troubles), "each one's beginning and end")
+	require.Len(t, faults, 2*len(set.Troubles), "each fault's beginning and end")
 	for i, a := range r.Live.Measured.Agents {
 		require.Empty(t, a.Problems)
 		require.Positive(t, a.PeakMB)
@@ -142,32 +142,32 @@
 			require.Equal(t, 3, a.Starts)
 		}
 	}
-	require.Empty(t, processes(shipped))
+	require.Empty(t, processesRunning(agentProgram))
 }
 
-// The faults of the wire, one after another: none makes an agent break a rule.
-func TestFaults(t *testing.T) {
+// Faults of the upstream responses, one after another, make no agent break a rule.
+func TestUpstreamResponseFaultsBreakNoRule(t *testing.T) {
 	var troubles []string
 	for i, f := range scenario.Faults {
 		troubles = append(troubles, fmt.Sprintf(`kind = "on_wire"; at_s = %g; for_s = 0.3; part = 0.3; size = 0.2; fault = "%s"`,
 			0.2+0.35*float64(i), f))
 	}
-	r, err := Play(t.Context(), shortDay(t, 6, 2, troubles...), Options{Seed: 5, Program: shipped})
+	r, err := Play(t.Context(), shortScenario(t, 6, 2, troubles...), Options{Seed: 5, Program: agentProgram})
 	require.NoError(t, err)
-	kept(t, r)
+	requireRulesKept(t, r)
 	for _, a := range r.Live.Measured.Agents {
 		require.Empty(t, a.Problems)
 	}
 }
 
-// An agent that crashes is started again and told of; one that hangs and does not end is ended.
-func TestBadAgents(t *testing.T) {
+// An agent that crashes is restarted and reported; one that hangs at the end is killed and reported.
+func TestCrashedAndHungAgentsAreReported(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go func() {
 		for ctx.Err() == nil {
-			if ids := processes(shipped); len(ids) == 2 {
-				time.Sleep(time.Second) // until they serve
+			if ids := processesRunning(agentProgram); len(ids) == 2 {
+				time.Sleep(time.Second) // gives the agents time to serve
 				_ = syscall.Kill(ids[0], syscall.SIGABRT)
 				_ = syscall.Kill(ids[1], syscall.SIGSTOP)
 				return
@@ -175,32 +175,32 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 	}()
-	r, err := Play(ctx, shortDay(t, 4, 2), Options{Seed: 1, Program: shipped})
+	r, err := Play(ctx, shortScenario(t, 4, 2), Options{Seed: 1, Program: agentProgram})
 	require.NoError(t, err)
 	require.False(t, r.Passed)
-	words := fmt.Sprint(r.Live.Measured.Agents[0].Problems, r.Live.Measured.Agents[1].Problems)
-	require.Contains(t, words, "ended with")
-	require.Contains(t, words, "did not end within")
+	problems := fmt.Sprint(r.Live.Measured.Agents[0].Problems, r.Live.Measured.Agents[1].Problems)
+	require.Contains(t, problems, "ended with")
+	require.Contains(t, problems, "did not end within")
 	require.Equal(t, 3, r.Live.Measured.Agents[0].Starts+r.Live.Measured.Agents[1].Starts)
-	require.Empty(t, processes(shipped))
+	require.Empty(t, processesRunning(agentProgram))
 }
 
-// What can't be played is told as such, at once.
-func TestCannotPlay(t *testing.T) {
+// Play fails at once for a missing program, an agent that exits, or too many file descriptors.
+func TestPlayReportsStartErrors(t *testing.T) {
 	dir := t.TempDir()
 	script := filepath.Join(dir, "agent")
 	require.NoError(t, os.WriteFile(script, []byte("#!/bin/sh\necho the port is taken >&2\nexit 1\n"), 0o700))
-	tooMany := shortDay(t, 2, 2)
+	tooMany := shortScenario(t, 2, 2)
 	tooMany.Agents.Sockets = 1_000_000
 	for name, c := range map[string]struct {
 		set     *scenario.Scenario
 		program string
 		want    string
 	}{
-		"no program":  {shortDay(t, 2, 2), filepath.Join(dir, "none"), "the agent's program"},
-		"ends":        {shortDay(t, 2, 2), script, "ended before it was ready:\nthe port is taken"},
-		"descriptors": {tooMany, shipped, "descriptors"},
-		"agents":      {shortDay(t, 2, 1000), shipped, "descriptors"},
+		"no program":  {shortScenario(t, 2, 2), filepath.Join(dir, "none"), "the agent's program"},
+		"ends":        {shortScenario(t, 2, 2), script, "ended before it was ready:\nthe port is taken"},
+		"descriptors": {tooMany, agentProgram, "descriptors"},
+		"agents":      {shortScenario(t, 2, 1000), agentProgram, "descriptors"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			defer goleak.VerifyNone(t)
@@ -210,23 +210,23 @@
 	}
 }
 
-// A day that is broken off gives the report of what there was, and leaves nothing.
-func TestBrokenOff(t *testing.T) {
+// A canceled run returns the report of its finished part and leaves no process or socket.
+func TestCanceledPlayReportsAndCleansUp(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	for _, after := range []time.Duration{0, 50 * time.Millisecond, 1200 * time.Millisecond} {
 		ctx, cancel := context.WithTimeoutCause(t.Context(), after, errors.New("broken off"))
-		r, err := Play(ctx, shortDay(t, 60, 2), Options{Program: shipped})
+		r, err := Play(ctx, shortScenario(t, 60, 2), Options{Program: agentProgram})
 		cancel()
 		require.Error(t, err)
 		require.True(t, r.CutShort)
 		require.False(t, r.Passed)
-		require.Empty(t, processes(shipped))
+		require.Empty(t, processesRunning(agentProgram))
 	}
 }
 
 // The plan is the same, byte for byte, for the same scenario and seed.
-func TestPlan(t *testing.T) {
-	set := shortDay(t, 30, 3, `kind = "surge"; at_s = [1, 5]; for_s = 5; size = 3`)
+func TestPlanIsDeterministic(t *testing.T) {
+	set := shortScenario(t, 30, 3, `kind = "surge"; at_s = [1, 5]; for_s = 5; size = 3`)
 	text := func(seed uint64) string {
 		var b bytes.Buffer
 		require.NoError(t, WritePlan(&b, world.NewPlan(set, seed)))
@@ -237,7 +237,7 @@
 	require.Greater(t, strings.Count(text(7), "\n"), 1000)
 }
 
-// BenchmarkSchedule is a load's schedule on one connection less than it would need: how late the load itself is.
+// BenchmarkSchedule measures how fast the due times of a load are drawn.
 func BenchmarkSchedule(b *testing.B) {
 	for b.Loop() {
 		Schedule(1, 20_000, time.Second)
--- a/internal/rehearsal/live/load.go
+++ b/internal/rehearsal/live/load.go
@@ -16,23 +16,23 @@
 	"golang.org/x/sys/unix"
 )
 
-// Load is what a load was answered with.
+// Load is the measured result of a load.
 type Load struct {
-	Asked    int
-	Errors   int // no 200, or none at all
-	Took     time.Duration
-	Latency  *hdrhistogram.Histogram // in microseconds, from when a request was due
-	Lateness *hdrhistogram.Histogram // of the load itself, where it has a schedule
+	Requests int
+	Errors   int // requests without an answer of status 200
+	Elapsed  time.Duration
+	Latency  *hdrhistogram.Histogram // in microseconds, from the due time of each request
+	Lateness *hdrhistogram.Histogram // of the sender against its schedule, in microseconds; empty for saturate
 }
 
-// PerS is how many a second were answered.
-func (l *Load) PerS() float64 { return float64(l.Asked-l.Errors) / l.Took.Seconds() }
+// PerSecond returns the successful requests per second.
+func (l *Load) PerSecond() float64 { return float64(l.Requests-l.Errors) / l.Elapsed.Seconds() }
 
-// add takes a further measurement in.
+// add merges a further measurement.
 func (l *Load) add(m *Load) {
-	l.Asked += m.Asked
+	l.Requests += m.Requests
 	l.Errors += m.Errors
-	l.Took += m.Took
+	l.Elapsed += m.Elapsed
 	l.Latency.Merge(m.Latency)
 	l.Lateness.Merge(m.Lateness)
 }
@@ -41,12 +41,13 @@
 	return &Load{Latency: hdrhistogram.New(1, 60e6, 3), Lateness: hdrhistogram.New(1, 60e6, 3)}
 }
 
-// Schedule draws when the requests of a load are due: independent of one another, so many a second.
+// Schedule draws the due times of a load's requests: a Poisson process of perS requests per second over
+// length.
 func Schedule(seed uint64, perS float64, length time.Duration) (due []time.Duration) {
-	chance := rand.New(rand.NewPCG(seed, 1))
+	random := rand.New(rand.NewPCG(seed, 1))
 	at := time.Duration(0)
 	for {
-		at += time.Duration(chance.ExpFloat64() / perS * float64(time.Second))
+		at += time.Duration(random.ExpFloat64() / perS * float64(time.Second))
 		if at >= length {
 			return due
 		}
@@ -54,31 +55,31 @@
 	}
 }
 
-// loader keeps connections to one address, each of which carries one request at a time.
+// loader sends requests over persistent connections to one address, one request at a time on each.
 type loader struct {
 	conns   []*loadConn
 	request func(n int) []byte
 
-	mu      sync.Mutex
-	began   time.Time
-	free    []*loadConn
-	waiting []time.Duration // due, but no connection was free
-	next    int
-	load    *Load
-	out     int
-	ended   bool
-	drained chan struct{}
+	mu         sync.Mutex
+	began      time.Time
+	idle       []*loadConn
+	queue      []time.Duration // due times of requests that wait for a connection
+	lastNumber int
+	load       *Load
+	inFlight   int
+	allSent    bool
+	drained    chan struct{}
 }
 
 type loadConn struct {
 	net.Conn
 	buf []byte
-	due time.Duration // of the request that is out
+	due time.Duration // due time of the request in flight
 }
 
-const loadPatience = 10 * time.Second // for an answer
+const responseTimeout = 10 * time.Second
 
-// newLoader opens connections; request gives the nth request.
+// newLoader opens connections. request returns the nth request.
 func newLoader(addr string, conns int, request func(n int) []byte) (*loader, error) {
 	l := &loader{request: request}
 	for range conns {
@@ -98,25 +99,25 @@
 	}
 }
 
-// flatOut has each connection ask again as soon as it is answered.
-func (l *loader) flatOut(length time.Duration) (*Load, error) {
+// saturate sends on each connection, for length, a new request as soon as the last one is answered.
+func (l *loader) saturate(length time.Duration) (*Load, error) {
 	load := newLoad()
-	began := time.Now()
-	var failed error
+	start := time.Now()
+	var errs error
 	var wait sync.WaitGroup
 	for _, c := range l.conns {
 		wait.Go(func() {
-			for time.Since(began) < length {
-				asked := time.Now()
+			for time.Since(start) < length {
+				sentAt := time.Now()
 				l.mu.Lock()
-				l.next++
-				n := l.next
+				l.lastNumber++
+				n := l.lastNumber
 				l.mu.Unlock()
 				ok, err := c.exchange(l.request(n))
-				took := time.Since(asked)
+				latency := time.Since(sentAt)
 				l.mu.Lock()
-				load.note(took, ok)
-				failed = errors.Join(failed, err)
+				load.record(latency, ok)
+				errs = errors.Join(errs, err)
 				l.mu.Unlock()
 				if err != nil {
 					return
@@ -125,38 +126,38 @@
 		})
 	}
 	wait.Wait()
-	load.Took = time.Since(began)
-	return load, failed
+	load.Elapsed = time.Since(start)
+	return load, errs
 }
 
-func (l *Load) note(took time.Duration, ok bool) {
-	l.Asked++
+func (l *Load) record(latency time.Duration, ok bool) {
+	l.Requests++
 	if !ok {
 		l.Errors++
 	}
-	_ = l.Latency.RecordValue(min(max(took.Microseconds(), 1), 60e6))
+	_ = l.Latency.RecordValue(min(max(latency.Microseconds(), 1), 60e6))
 }
 
-// exchange writes a request and reads the answer.
+// exchange writes a request and reads the response; ok reports whether its status is 200.
 func (c *loadConn) exchange(request []byte) (ok bool, err error) {
 	if _, err := c.Write(request); err != nil {
 		return false, err
 	}
-	return c.answer()
+	return c.readResponse()
 }
 
 var (
-	okStart    = []byte("HTTP/1.1 200")
-	lengthName = []byte("\r\nContent-Length: ")
-	headDone   = []byte("\r\n\r\n")
+	okStatusLine      = []byte("HTTP/1.1 200")
+	contentLengthName = []byte("\r\nContent-Length: ")
+	headerEnd         = []byte("\r\n\r\n")
 )
 
-// answer reads an answer that has a length.
-func (c *loadConn) answer() (ok bool, err error) {
-	_ = c.SetReadDeadline(time.Now().Add(loadPatience))
+// readResponse reads a response, which must have a Content-Length; ok reports whether its status is 200.
+func (c *loadConn) readResponse() (ok bool, err error) {
+	_ = c.SetReadDeadline(time.Now().Add(responseTimeout))
 	c.buf = c.buf[:0]
-	whole := -1
-	for whole < 0 || len(c.buf) < whole {
+	total := -1
+	for total < 0 || len(c.buf) < total {
 		if len(c.buf) == cap(c.buf) {
 			return false, io.ErrShortBuffer
 		}
@@ -165,23 +166,23 @@
 			return false, err
 		}
 		c.buf = c.buf[:len(c.buf)+n]
-		if end := bytes.Index(c.buf, headDone); whole < 0 && end >= 0 {
-			_, after, found := bytes.Cut(c.buf[:end+2], lengthName)
+		if end := bytes.Index(c.buf, headerEnd); total < 0 && end >= 0 {
+			_, after, found := bytes.Cut(c.buf[:end+2], contentLengthName)
 			digits, _, _ := bytes.Cut(after, []byte("\r"))
 			length, err := strconv.Atoi(string(digits))
 			if !found || err != nil {
-				return false, fmt.Errorf("an answer without a length: %q", c.buf[:end])
+				return false, fmt.Errorf("response without a valid Content-Length: %q", c.buf[:end])
 			}
-			whole = end + len(headDone) + length
+			total = end + len(headerEnd) + length
 		}
 	}
-	return bytes.HasPrefix(c.buf, okStart), nil
+	return bytes.HasPrefix(c.buf, okStatusLine), nil
 }
 
-// onTime asks by a schedule, whatever becomes of the answers. A request whose time has come while no
-// connection is free waits for one, and its latency counts from when it was due.
-func (l *loader) onTime(due []time.Duration) (*Load, error) {
-	l.load, l.free, l.out, l.ended = newLoad(), append(l.free[:0], l.conns...), 0, false
+// runSchedule sends requests at their due times, whether or not earlier ones have been answered. A request
+// that is due while no connection is idle waits for one; its latency still counts from its due time.
+func (l *loader) runSchedule(due []time.Duration) (*Load, error) {
+	l.load, l.idle, l.inFlight, l.allSent = newLoad(), append(l.idle[:0], l.conns...), 0, false
 	l.drained = make(chan struct{})
 	l.began = time.Now()
 	var wait sync.WaitGroup
@@ -193,7 +194,7 @@
 		wake[i] = make(chan struct{}, 1)
 		wait.Go(func() {
 			for range wake[i] {
-				if err := l.follow(c); err != nil {
+				if err := l.readAndSendQueued(c); err != nil {
 					failed <- err
 					return
 				}
@@ -205,24 +206,24 @@
 		l.sleepUntil(at)
 		l.mu.Lock()
 		_ = l.load.Lateness.RecordValue(max((time.Since(l.began) - at).Microseconds(), 1))
-		l.out++
-		if n := len(l.free); n > 0 {
-			c := l.free[n-1]
-			l.free = l.free[:n-1]
+		l.inFlight++
+		if n := len(l.idle); n > 0 {
+			c := l.idle[n-1]
+			l.idle = l.idle[:n-1]
 			c.due = at
-			l.next++
-			request := l.request(l.next)
+			l.lastNumber++
+			request := l.request(l.lastNumber)
 			l.mu.Unlock()
-			_, _ = c.Write(request) // the reader finds what is wrong
+			_, _ = c.Write(request) // the reader detects a failed write
 			wake[index[c]] <- struct{}{}
 			continue
 		}
-		l.waiting = append(l.waiting, at)
+		l.queue = append(l.queue, at)
 		l.mu.Unlock()
 	}
 	runtime.UnlockOSThread()
 	l.mu.Lock()
-	if l.ended = true; l.out == 0 {
+	if l.allSent = true; l.inFlight == 0 {
 		close(l.drained)
 	}
 	l.mu.Unlock()
@@ -236,41 +237,43 @@
 		close(w)
 	}
 	wait.Wait()
-	l.load.Took = time.Since(l.began)
+	l.load.Elapsed = time.Since(l.began)
 	return l.load, err
 }
 
-// sleepUntil waits in the kernel: the library's timers come up to a millisecond late on an idle machine.
+// sleepUntil waits in the kernel, because the runtime's timers fire up to a millisecond late on an idle
+// machine.
 func (l *loader) sleepUntil(at time.Duration) {
 	if wait := at - time.Since(l.began); wait > 0 {
 		t := unix.NsecToTimespec(int64(wait))
-		_ = unix.ClockNanosleep(unix.CLOCK_MONOTONIC, 0, &t, nil) // ended early, it counts as on time
+		_ = unix.ClockNanosleep(unix.CLOCK_MONOTONIC, 0, &t, nil) // a sleep that ends early counts as on time
 	}
 }
 
-// follow reads the answer to what is out on a connection, and then carries out what waits.
-func (l *loader) follow(c *loadConn) error {
+// readAndSendQueued reads the response in flight on a connection and then sends queued requests on it until
+// the queue is empty.
+func (l *loader) readAndSendQueued(c *loadConn) error {
 	for {
-		ok, err := c.answer()
+		ok, err := c.readResponse()
 		l.mu.Lock()
-		l.load.note(time.Since(l.began)-c.due, ok)
-		l.out--
-		if l.out == 0 && l.ended {
+		l.load.record(time.Since(l.began)-c.due, ok)
+		l.inFlight--
+		if l.inFlight == 0 && l.allSent {
 			close(l.drained)
 		}
 		if err != nil {
 			l.mu.Unlock()
 			return err
 		}
-		if len(l.waiting) == 0 {
-			l.free = append(l.free, c)
+		if len(l.queue) == 0 {
+			l.idle = append(l.idle, c)
 			l.mu.Unlock()
 			return nil
 		}
-		c.due = l.waiting[0]
-		l.waiting = l.waiting[1:]
-		l.next++
-		request := l.request(l.next)
+		c.due = l.queue[0]
+		l.queue = l.queue[1:]
+		l.lastNumber++
+		request := l.request(l.lastNumber)
 		l.mu.Unlock()
 		if _, err := c.Write(request); err != nil {
 			return err
--- a/internal/rehearsal/live/load_test.go
+++ b/internal/rehearsal/live/load_test.go
@@ -13,15 +13,15 @@
 	"go.uber.org/goleak"
 )
 
-// A server that stalls can't hide it: the requests that were due meanwhile count from then, also those for which no
-// connection was free. A load that waits for its answers would see a single slow one.
-func TestStallIsSeen(t *testing.T) {
+// Latencies count from the due time of a request, also while no connection is idle. A load generator that waits for
+// each answer would record a stall of the server as a single slow request.
+func TestLatencyCountsFromDueTime(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	const stall = 300 * time.Millisecond
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
-	var lock sync.Mutex // all of the server's connections stall together
+	var lock sync.Mutex // stalls all connections of the server together
 	stalled := time.Time{}
 	go func() {
 		for {
@@ -51,11 +51,11 @@
 	require.NoError(t, err)
 	defer load.close()
 	due := Schedule(7, 500, time.Second)
-	got, err := load.onTime(due)
+	got, err := load.runSchedule(due)
 	require.NoError(t, err)
 	require.Zero(t, got.Errors)
-	require.Equal(t, len(due), got.Asked)
-	// Some 150 of 500 were due in the stall, one after another: their latencies fall from all of it to nothing.
+	require.Equal(t, len(due), got.Requests)
+	// About 150 of the 500 requests are due during the stall; their latencies fall from its full length to zero.
 	require.Greater(t, got.Latency.ValueAtQuantile(85), int64(stall.Microseconds()/3))
 	require.GreaterOrEqual(t, got.Latency.Max(), stall.Microseconds()*9/10)
 }
--- a/internal/rehearsal/live/wire.go
+++ b/internal/rehearsal/live/wire.go
@@ -18,48 +18,49 @@
 )
 
 const (
-	emptyLines = time.Second // between those on a watch
-	body       = "chair 4, Monday"
+	watchKeepalive = time.Second // between empty lines on an idle watch
+	requestBody    = "chair 4, Monday"
 )
 
-// wire is the world's way to real agents: stand-ins round each of them.
+// wire connects the simulated world to real agents through stand-ins. It implements world.Wire.
 type wire struct {
 	set    *scenario.Scenario
-	day    *world.Live
+	env    *world.Live
 	ips    addresses
-	agents []*surroundings
-	peers  *standin.Peers // nil: the agents send one another nothing
+	agents []*agentStandins
+	peers  *standin.Peers // nil: the agents exchange no gossip
 
-	mu      sync.Mutex
-	closing bool
-	starts  sync.WaitGroup
+	mu            sync.Mutex
+	closing       bool
+	pendingStarts sync.WaitGroup
 }
 
-// addresses are loopback addresses of this kit's own, so that its ports are nobody else's.
+// addresses returns loopback addresses that only this process uses, so that its ports cannot collide with
+// others.
 type addresses struct{ pid int }
 
-// of is the address of an agent's; round, that of what stands round it.
-func (a addresses) of(agent int) string    { return program.OwnIP(a.pid, agent) }
-func (a addresses) round(agent int) string { return program.RoundIP(a.pid, agent) }
+// agent returns the IP address of an agent; standins returns that of its stand-ins.
+func (a addresses) agent(agent int) string    { return program.OwnIP(a.pid, agent) }
+func (a addresses) standins(agent int) string { return program.RoundIP(a.pid, agent) }
 
-// surroundings is an agent with what stands round it.
-type surroundings struct {
+// agentStandins is an agent with its stand-ins.
+type agentStandins struct {
 	number    int
 	agent     *program.Agent
 	discovery *standin.Discovery
-	servers   map[netip.AddrPort]*standin.Server // by the address in the world
+	servers   map[netip.AddrPort]*standin.Server // by simulated address
 }
 
-// newWire opens the stand-ins round each agent.
-func newWire(set *scenario.Scenario, day *world.Live, ips addresses, agents []*program.Agent) (*wire, error) {
-	w := &wire{set: set, day: day, ips: ips}
+// newWire opens the stand-ins of each agent.
+func newWire(set *scenario.Scenario, env *world.Live, ips addresses, agents []*program.Agent) (*wire, error) {
+	w := &wire{set: set, env: env, ips: ips}
 	for i, a := range agents {
-		s := &surroundings{number: i, agent: a, servers: map[netip.AddrPort]*standin.Server{}}
+		s := &agentStandins{number: i, agent: a, servers: map[netip.AddrPort]*standin.Server{}}
 		w.agents = append(w.agents, s)
 		var err error
-		s.discovery, err = standin.ListenDiscovery(ips.round(i)+":0", emptyLines,
-			func(c *standin.Call) { c.Handle = day.Called(i, c.Watch, c.From, &listConn{c, w, s}) },
-			func(c *standin.Call) { day.Uncalled(c.Handle.(*world.Call)) })
+		s.discovery, err = standin.ListenDiscovery(ips.standins(i)+":0", watchKeepalive,
+			func(c *standin.Call) { c.Handle = env.Called(i, c.Watch, c.From, &discoveryCall{c, w, s}) },
+			func(c *standin.Call) { env.Uncalled(c.Handle.(*world.Call)) })
 		if err != nil {
 			w.close()
 			return nil, err
@@ -73,19 +74,19 @@
 		addrs = append(addrs, netip.MustParseAddrPort(a.Addr))
 	}
 	var err error
-	if w.peers, err = standin.ListenPeers(ips.round(0), addrs, day.Told); err != nil {
+	if w.peers, err = standin.ListenPeers(ips.standins(0), addrs, env.Told); err != nil {
 		w.close()
 		return nil, err
 	}
 	return w, nil
 }
 
-// close ends the stand-ins. The agents are to be ended before.
+// close ends the stand-ins. The agents must have ended before.
 func (w *wire) close() {
 	w.mu.Lock()
 	w.closing = true
 	w.mu.Unlock()
-	w.starts.Wait()
+	w.pendingStarts.Wait()
 	if w.peers != nil {
 		w.peers.Close()
 	}
@@ -93,8 +94,8 @@
 		if s.discovery != nil {
 			s.discovery.Close()
 		}
-		for _, v := range s.servers {
-			v.Close()
+		for _, server := range s.servers {
+			server.Close()
 		}
 	}
 }
@@ -105,25 +106,25 @@
 		if s.servers[addr] != nil {
 			continue
 		}
-		v, err := standin.Listen(w.ips.round(s.number)+":0", standin.Events{
-			Opened: func(c *standin.Conn) { c.Handle = w.day.Connected(s.number, addr, stepConn{c}) },
+		server, err := standin.Listen(w.ips.standins(s.number)+":0", standin.Events{
+			Opened: func(c *standin.Conn) { c.Handle = w.env.Connected(s.number, addr, upstreamConn{c}) },
 			Came: func(c *standin.Conn, r *http.Request, _ []byte) {
-				op, left := routeStep(r)
-				w.day.Sent(c.Handle.(*world.Conn), op, left)
+				requestID, timeLeft := parseAttempt(r)
+				w.env.Sent(c.Handle.(*world.Conn), requestID, timeLeft)
 			},
-			Ended: func(c *standin.Conn) { w.day.Disconnected(c.Handle.(*world.Conn)) },
+			Ended: func(c *standin.Conn) { w.env.Disconnected(c.Handle.(*world.Conn)) },
 		})
 		if err != nil {
-			return fmt.Errorf("a booking server's socket: %w", err)
+			return fmt.Errorf("upstream server socket: %w", err)
 		}
-		s.servers[addr] = v
+		s.servers[addr] = server
 	}
 	return nil
 }
 
-// routeStep reads a route step's head: for which client's try it is, and how long the agent waits. What has
-// no such number is for no try.
-func routeStep(r *http.Request) (op uint32, left time.Duration) {
+// parseAttempt returns the ID of the client's request that an attempt is for, and how long the agent waits
+// for the answer. The ID is zero if the header has none.
+func parseAttempt(r *http.Request) (requestID uint32, timeLeft time.Duration) {
 	id, err := strconv.ParseUint(r.Header.Get("X-Correlation-Id"), 16, 32)
 	if err != nil {
 		return 0, 0
@@ -133,27 +134,27 @@
 }
 
 // Gate implements world.Wire.
-func (w *wire) Gate(agent int, addr netip.AddrPort, g world.Gate) {
-	v := w.agents[agent].servers[addr]
+func (w *wire) Gate(agent int, addr netip.AddrPort, state world.Gate) {
+	server := w.agents[agent].servers[addr]
 	var err error
-	switch g {
+	switch state {
 	case world.Open:
-		err = v.Accept()
+		err = server.Accept()
 	case world.Shut:
-		v.Refuse()
+		server.Refuse()
 	case world.Mute:
-		err = v.Mute()
+		err = server.Mute()
 	}
 	if err != nil {
-		w.day.Fail(err)
+		w.env.Fail(err)
 	}
 }
 
-// stepConn is an agent's connection to a booking server.
-type stepConn struct{ conn *standin.Conn }
+// upstreamConn is an agent's connection to an upstream server.
+type upstreamConn struct{ conn *standin.Conn }
 
-func (c stepConn) Reset() { c.conn.Reset() }
-func (c stepConn) Close() { c.conn.Close() }
+func (c upstreamConn) Reset() { c.conn.Reset() }
+func (c upstreamConn) Close() { c.conn.Close() }
 
 var replies = map[world.AnswerKind]standin.Reply{
 	world.AnswerServed:      {Status: http.StatusOK},
@@ -162,7 +163,7 @@
 	world.AnswerSpoilt:      {Status: http.StatusOK},
 }
 
-func (c stepConn) Answer(a world.Answer) {
+func (c upstreamConn) Answer(a world.Answer) {
 	r, fault := replies[a.Kind], a.Fault
 	if r.Body = answerBody(a.Op, a.Attempt); a.Kind == world.AnswerSpoilt {
 		fault = scenario.Noise
@@ -170,80 +171,84 @@
 	c.conn.Reply(r, fault)
 }
 
-// answerBody says whose answer it is.
-func answerBody(op uint32, attempt int) string { return fmt.Sprintf("booked %d %d\n", op, attempt) }
+// answerBody returns a response body that identifies the request and the attempt.
+func answerBody(requestID uint32, attempt int) string {
+	return fmt.Sprintf("booked %d %d\n", requestID, attempt)
+}
 
-// attemptOf is the attempt that has made an answer; below zero: none of that operation's.
-func attemptOf(body []byte, op uint32) int {
-	var of uint32
+// parseAnswerBody returns the attempt that produced a response body, or -1 if the body is not an answer to
+// the request.
+func parseAnswerBody(body []byte, requestID uint32) int {
+	var id uint32
 	var attempt int
-	if n, err := fmt.Sscanf(string(body), "booked %d %d\n", &of, &attempt); n < 2 || err != nil || of != op {
+	if n, err := fmt.Sscanf(string(body), "booked %d %d\n", &id, &attempt); n < 2 || err != nil ||
+		id != requestID {
 		return -1
 	}
 	return attempt
 }
 
-// listConn is an agent's call to discovery.
-type listConn struct {
-	call   *standin.Call
-	wire   *wire
-	around *surroundings
+// discoveryCall is an agent's poll or watch of discovery.
+type discoveryCall struct {
+	call     *standin.Call
+	wire     *wire
+	standins *agentStandins
 }
 
-func (c *listConn) Begin() { c.call.Begin(http.StatusOK) }
+func (c *discoveryCall) Begin() { c.call.Begin(http.StatusOK) }
 
-func (c *listConn) Say(config protocol.EndpointList) {
-	c.call.Say(program.Line(program.ListObject(config, c.around.where, c.wire.day.StartedMS)))
+func (c *discoveryCall) Say(config protocol.EndpointList) {
+	c.call.Say(program.Line(program.ListObject(config, c.standins.serverAddr, c.wire.env.StartedMS)))
 }
 
-func (c *listConn) End(bool) { c.call.End() }
+func (c *discoveryCall) End(bool) { c.call.End() }
 
-func (c *listConn) Silence() { c.call.Silence() }
+func (c *discoveryCall) Silence() { c.call.Silence() }
 
-// where is the address at which the agent finds a booking server.
-func (s *surroundings) where(addr netip.AddrPort) string { return s.servers[addr].Addr() }
+// serverAddr returns the address at which the agent reaches an upstream server.
+func (s *agentStandins) serverAddr(addr netip.AddrPort) string { return s.servers[addr].Addr() }
 
 // Datagram implements world.Wire.
 func (w *wire) Datagram(from, to int, data []byte) { w.peers.Tell(from, to, data) }
 
-// front is a client's connection, with the operation that is on it.
-type front struct {
-	conn *standin.Client
-	mu   sync.Mutex
-	op   uint32
+// clientConn is a client's connection to an agent, with its current request.
+type clientConn struct {
+	conn      *standin.Client
+	mu        sync.Mutex
+	requestID uint32
 }
 
-func (f *front) operation() uint32 {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.op
+func (c *clientConn) currentRequest() uint32 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.requestID
 }
 
 // Ask implements world.Wire.
 func (w *wire) Ask(c *world.FrontConn, q *world.Query) {
 	request := requestText(q)
-	if f, is := c.Handle.(*front); is {
-		f.mu.Lock()
-		f.op = q.Op
-		f.mu.Unlock()
-		f.conn.Ask(request)
+	if client, ok := c.Handle.(*clientConn); ok {
+		client.mu.Lock()
+		client.requestID = q.Op
+		client.mu.Unlock()
+		client.conn.Ask(request)
 		return
 	}
-	f := &front{op: q.Op}
-	c.Handle = f
-	f.conn = standin.Dial(w.agents[q.Agent].agent.Addr, request,
-		func(r *http.Response, body []byte) { w.day.Answered(c, final(r, body, f.operation())) },
-		func(unread bool) { w.day.Lost(c, unread) })
+	client := &clientConn{requestID: q.Op}
+	c.Handle = client
+	client.conn = standin.Dial(w.agents[q.Agent].agent.Addr, request,
+		func(r *http.Response, body []byte) { w.env.Answered(c, parseFinal(r, body, client.currentRequest())) },
+		func(unread bool) { w.env.Lost(c, unread) })
 }
 
 // HangUp implements world.Wire.
 func (w *wire) HangUp(c *world.FrontConn) {
-	if f, is := c.Handle.(*front); is {
-		f.conn.Close()
+	if client, ok := c.Handle.(*clientConn); ok {
+		client.conn.Close()
 	}
 }
 
-// requestText is a client's try as its request to the agent.
+// requestText encodes a client's request as HTTP.
 func requestText(q *world.Query) []byte {
 	b := make([]byte, 0, 400)
 	method := "GET /"
@@ -262,32 +267,33 @@
 		b = append(b, "X-Repeat: 1\r\n"...)
 	}
 	if q.Update {
-		b = fmt.Appendf(b, "Content-Type: text/plain\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+		b = fmt.Appendf(b, "Content-Type: text/plain\r\nContent-Length: %d\r\n\r\n%s", len(requestBody),
+			requestBody)
 		return b
 	}
 	return append(b, "\r\n"...)
 }
 
-// final reads an agent's answer to an operation.
-func final(r *http.Response, body []byte, op uint32) world.Final {
-	f := world.Final{Answer: record.Failed, Attempt: -1, Closes: r.Close}
+// parseFinal converts an agent's response to a request into the world's form.
+func parseFinal(r *http.Response, body []byte, requestID uint32) world.Final {
+	answer := world.Final{Answer: record.Failed, Attempt: -1, Closes: r.Close}
 	switch r.StatusCode {
 	case http.StatusOK:
-		f.Answer, f.Attempt = record.Served, attemptOf(body, op)
+		answer.Answer, answer.Attempt = record.Served, parseAnswerBody(body, requestID)
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		f.Answer = record.Refused
-		after, err := strconv.ParseFloat(strings.TrimSpace(r.Header.Get("Retry-After")), 64)
-		if err == nil && after > 0 {
-			f.After = time.Duration(after * float64(time.Second))
+		answer.Answer = record.Refused
+		seconds, err := strconv.ParseFloat(strings.TrimSpace(r.Header.Get("Retry-After")), 64)
+		if err == nil && seconds > 0 {
+			answer.After = time.Duration(seconds * float64(time.Second))
 		}
 	}
-	return f
+	return answer
 }
 
 // Start implements world.Wire.
 func (w *wire) Start(number, run int, known protocol.EndpointList) {
 	s := w.agents[number]
-	deployment := w.day.Deployment(number)
+	settings := w.env.Deployment(number)
 	config := program.Object{
 		"name": s.agent.Name, "listen": s.agent.Addr, "discovery": s.discovery.Addr,
 		"seed": fmt.Sprintf("%016x", uint64(number)<<32|uint64(run)),
@@ -295,8 +301,8 @@
 			"cores": w.set.Agents.Cores, "memory_mb": w.set.Agents.MemoryMB,
 			"sockets": w.set.Agents.Sockets,
 		},
-		"known":    program.ListObject(known, s.where, w.day.StartedMS),
-		"settings": program.SettingsObject(deployment),
+		"known":    program.ListObject(known, s.serverAddr, w.env.StartedMS),
+		"settings": program.SettingsObject(settings),
 	}
 	if w.peers != nil {
 		config["peer_listen"] = s.agent.Addr
@@ -308,25 +314,25 @@
 	if w.closing {
 		return
 	}
-	w.starts.Go(func() { w.launch(s, run, text) })
+	w.pendingStarts.Go(func() { w.launch(s, run, text) })
 }
 
-// launch starts an agent's program and waits until it is ready.
-func (w *wire) launch(s *surroundings, run int, config string) {
+// launch starts an agent's program and waits until it is ready or has ended.
+func (w *wire) launch(s *agentStandins, run int, config string) {
 	ready := false
-	p, err := s.agent.Start(config, s.discovery.Addr, func(unasked bool) {
-		w.day.AgentEnded(s.number, run, unasked)
+	p, err := s.agent.Start(config, s.discovery.Addr, func(unexpected bool) {
+		w.env.AgentEnded(s.number, run, unexpected)
 	})
 	if err == nil {
 		ready = p.Ready()
 	}
 	switch {
 	case err != nil:
-		w.day.Fail(fmt.Errorf("agent %s can't be started: %w", s.agent.Name, err))
+		w.env.Fail(fmt.Errorf("start agent %s: %w", s.agent.Name, err))
 	case ready:
-		w.day.AgentReady(s.number, run)
+		w.env.AgentReady(s.number, run)
 	case run == 1:
-		w.day.Fail(fmt.Errorf("agent %s ended before it was ready:\n%s", s.agent.Name, s.agent.LastWords()))
+		w.env.Fail(fmt.Errorf("agent %s ended before it was ready:\n%s", s.agent.Name, s.agent.LastWords()))
 	}
 }
 
@@ -360,10 +366,10 @@
 
 // Hinder implements world.Wire.
 func (w *wire) Hinder(number int, fault scenario.Fault, on bool) {
-	way := w.agents[number].discovery.Way()
+	stream := w.agents[number].discovery.Way()
 	if on {
-		way.Begin(fault)
+		stream.Begin(fault)
 	} else {
-		way.End(fault)
+		stream.End(fault)
 	}
 }
--- a/internal/rehearsal/rehearsal.go
+++ b/internal/rehearsal/rehearsal.go
@@ -1,5 +1,6 @@
-// Package rehearsal rehearses days: it plays a scenario in virtual time, hunts through many seeds for bad
-// days, and shrinks a bad day to the smallest scenario that still shows what is wrong.
+// Package rehearsal runs scenarios in virtual time: single runs, searches over many seeds for bad runs,
+// searches for the highest load that passes, and reduction of a failing scenario to a small one that fails
+// in the same way.
 package rehearsal
 
 import (
@@ -16,133 +17,135 @@
 	"dunestep/internal/rehearsal/world"
 )
 
-// never is a figure so large that what it limits is never limited.
-const never = 1e9
+// unlimited is a value so large that a limit set to it never applies.
+const unlimited = 1e9
 
-// Protections are the agent's protections that a rehearsal can take out, each by its figures.
+// Protections are the agent's protections that a rehearsal can disable through the agent's settings.
 var Protections = []struct {
 	Name, Text string
-	takeOut    func(*balancer.Tuning, *overload.Config)
+	disable    func(*balancer.Tuning, *overload.Config)
 }{
 	{
-		"damping", "flapping servers are left alone for a while",
-		func(f *balancer.Tuning, _ *overload.Config) { f.SuppressLimit = never },
+		"damping", "a flapping server gets no requests for a while",
+		func(t *balancer.Tuning, _ *overload.Config) { t.SuppressLimit = unlimited },
 	},
 	{
-		"cold-budget", "a starting server gets no more than its part",
-		func(f *balancer.Tuning, _ *overload.Config) { f.SlowStartMargin, f.SlowStartMax = never, never },
+		"cold-budget", "a server in slow start gets a limited part of the load",
+		func(t *balancer.Tuning, _ *overload.Config) { t.SlowStartMargin, t.SlowStartMax = unlimited, unlimited },
 	},
 	{
 		"spill", "an owner over the bounded load passes its keys on",
-		func(f *balancer.Tuning, _ *overload.Config) { f.BoundedLoadFactor = never },
+		func(t *balancer.Tuning, _ *overload.Config) { t.BoundedLoadFactor = unlimited },
 	},
 	{
-		"retry-budget", "an agent's further sends are a part of its requests",
-		func(f *balancer.Tuning, _ *overload.Config) {
-			f.RetryRatio, f.RetryBurst, f.UnprocessedRetryRatio, f.UnprocessedRetryBurst = never, never, never, never
+		"retry-budget", "retries and hedged requests are limited to a part of an agent's requests",
+		func(t *balancer.Tuning, _ *overload.Config) {
+			t.RetryRatio, t.RetryBurst, t.UnprocessedRetryRatio, t.UnprocessedRetryBurst = unlimited,
+				unlimited, unlimited, unlimited
 		},
 	},
 	{
-		"quota", "traffic beyond a tenant's share waits in shorter queues only",
-		func(f *balancer.Tuning, _ *overload.Config) { f.OverQuotaQueueFraction = 1 },
+		"quota", "traffic beyond a tenant's quota waits in shorter queues only",
+		func(t *balancer.Tuning, _ *overload.Config) { t.OverQuotaQueueFraction = 1 },
 	},
 	{
-		"throttle", "an agent of a large fleet lets in little more than what is answered",
-		func(_ *balancer.Tuning, f *overload.Config) { f.WastedFraction = never },
+		"throttle", "an agent of a large fleet admits little more than what is answered",
+		func(_ *balancer.Tuning, c *overload.Config) { c.WastedFraction = unlimited },
 	},
 	{
-		"storm", "slow spells are purged, and storms and returning servers met with fewer sends",
-		func(_ *balancer.Tuning, f *overload.Config) { f.Disabled = true },
+		"storm", "load shedding: fewer attempts during overload and while servers recover",
+		func(_ *balancer.Tuning, c *overload.Config) { c.Disabled = true },
 	},
 }
 
-// figuresWithout are the figures of the module and of the gate before it, with protections taken out.
-func figuresWithout(names []string) (balancer.Tuning, overload.Config, error) {
-	f, gate := balancer.DefaultTuning(), overload.DefaultConfig()
+// tuningWithout returns the default settings of the balancer and of load shedding with the named protections
+// disabled.
+func tuningWithout(names []string) (balancer.Tuning, overload.Config, error) {
+	tuning, shedding := balancer.DefaultTuning(), overload.DefaultConfig()
 	for _, name := range names {
 		known := false
 		for _, p := range Protections {
 			if p.Name == name {
-				p.takeOut(&f, &gate)
+				p.disable(&tuning, &shedding)
 				known = true
 			}
 		}
 		if !known {
-			return f, gate, fmt.Errorf("unknown protection %q", name)
+			return tuning, shedding, fmt.Errorf("unknown protection %q", name)
 		}
 	}
-	return f, gate, nil
+	return tuning, shedding, nil
 }
 
-// Options is what a day is played with beside its scenario.
+// Options configures Play beyond the scenario.
 type Options struct {
 	Seed     uint64
-	Without  []string                                   // names of protections that are taken out
-	Placed   bool                                       // agents place by agreed generations in any case
-	Late     bool                                       // play it too with late.Policy, to measure the shares by
-	Progress func(at time.Duration)                     // told how far the day is; nil: nobody is
-	Log      func(at time.Duration, agent, says string) // told what the agents' modules say; nil: nobody is
-	Lanes    timeline.Reader                            // what of that goes to the timeline; nil: nothing
+	Without  []string                                   // names of protections to disable
+	Placed   bool                                       // agents use ring assignment whatever the scenario says
+	Late     bool                                       // also run late.Policy, the reference for the shares
+	Progress func(at time.Duration)                     // receives the elapsed time; may be nil
+	Log      func(at time.Duration, agent, line string) // receives the agents' log lines; may be nil
+	Lanes    timeline.Reader                            // selects log lines for the timeline; nil: none
 }
 
-// Play plays a day. Where the context ends first, the report is of the day so far and the context's error
-// comes with it; with any other error there is no report.
+// Play runs a scenario in virtual time and returns its report. If the context ends first, the report covers
+// the run so far and is returned with the context's error; with any other error there is no report.
 func Play(ctx context.Context, set *scenario.Scenario, o Options) (*report.Report, error) {
-	figures, gate, err := figuresWithout(o.Without)
+	tuning, shedding, err := tuningWithout(o.Without)
 	if err != nil {
 		return nil, err
 	}
-	j, line := judge.New(set), &timeline.Timeline{}
-	crash, err := play(ctx, set, o.Seed, j,
+	verdicts, events := judge.New(set), &timeline.Timeline{}
+	crash, err := play(ctx, set, o.Seed, verdicts,
 		world.Options{
-			Figures: figures, Storm: gate, Progress: o.Progress, Log: o.reads(line), Timeline: line,
+			Figures: tuning, Storm: shedding, Progress: o.Progress, Log: o.logFunc(events), Timeline: events,
 			Placed: o.Placed,
 		})
 	if err != nil && ctx.Err() == nil {
 		return nil, err
 	}
-	r := report.New(set.Name, set.About, o.Seed, o.Without, j.Verdict())
-	r.SetTimeline(line)
+	r := report.New(set.Name, set.About, o.Seed, o.Without, verdicts.Verdict())
+	r.SetTimeline(events)
 	if r.CutShort = err != nil || crash != nil; crash != nil {
 		r.Crash = crash
 	}
 	r.Passed = r.Passed && !r.CutShort
 	if o.Late && err == nil {
-		err = measure(ctx, set, o.Seed, r)
+		err = measureShares(ctx, set, o.Seed, r)
 	}
 	return r, err
 }
 
-// reads is the log's listener, who also puts on the timeline what is to be there.
-func (o Options) reads(t *timeline.Timeline) func(at time.Duration, agent, says string) {
+// logFunc returns a log function that also adds the selected lines to the timeline.
+func (o Options) logFunc(t *timeline.Timeline) func(at time.Duration, agent, line string) {
 	if o.Lanes == nil {
 		return o.Log
 	}
-	return func(at time.Duration, agent, says string) {
-		t.Read(o.Lanes, at, agent, says)
+	return func(at time.Duration, agent, line string) {
+		t.Read(o.Lanes, at, agent, line)
 		if o.Log != nil {
-			o.Log(at, agent, says)
+			o.Log(at, agent, line)
 		}
 	}
 }
 
-// lateBy is how long after the policy that the shares are measured by sees the servers' true state.
-const lateBy = 500 * time.Millisecond
+// latePolicyDelay is the delay with which the reference policy sees the servers' true state.
+const latePolicyDelay = 500 * time.Millisecond
 
-// measure plays the day with agents that see the true state late, and asks of the report's shares their parts
-// of what those serve.
-func measure(ctx context.Context, set *scenario.Scenario, seed uint64, r *report.Report) error {
-	j := judge.New(set)
-	if err := world.Play(ctx, set, seed, j, world.Options{Late: lateBy}); err != nil {
+// measureShares runs the scenario with the reference policy, which sees the servers' true state late, and
+// sets what the report's shares must reach from what that policy serves.
+func measureShares(ctx context.Context, set *scenario.Scenario, seed uint64, r *report.Report) error {
+	verdicts := judge.New(set)
+	if err := world.Play(ctx, set, seed, verdicts, world.Options{Late: latePolicyDelay}); err != nil {
 		return err
 	}
-	v := j.Verdict()
+	v := verdicts.Verdict()
 	r.Measure(&v)
 	return nil
 }
 
-// play plays a day into a judge. Code that panics ends the day, not the rehearsal: the agents' code runs in
-// it, and an agent that crashes is what a hunt is for.
+// play runs a scenario and records it with a judge. A panic ends the run and is returned as a crash: the
+// agents' code runs in this process, and a hunt must find agents that crash.
 func play(ctx context.Context, set *scenario.Scenario, seed uint64, j *judge.Judge, o world.Options) (
 	crash *report.Crash, err error,
 ) {
--- a/internal/rehearsal/rehearsal_test.go
+++ b/internal/rehearsal/rehearsal_test.go
@@ -20,108 +20,108 @@
 	"dunestep/internal/rehearsal/scenario"
 )
 
-func load(t testing.TB, name string) *scenario.Scenario {
+func loadScenario(t testing.TB, name string) *scenario.Scenario {
 	t.Helper()
 	set, err := scenario.Load(filepath.Join("../../rehearsals", name+".toml"))
 	require.NoError(t, err)
 	return set
 }
 
-func playDay(t testing.TB, set *scenario.Scenario, without ...string) *report.Report {
+func playScenario(t testing.TB, set *scenario.Scenario, without ...string) *report.Report {
 	t.Helper()
 	r, err := Play(context.Background(), set, Options{Seed: set.Seed, Without: without})
 	require.NoError(t, err)
 	return r
 }
 
-// The model can fail: each protection taken out costs the day that shows what it is for 0.05 of its service, or
-// brings a starting server nearer to its fall. What each costs changes with the module; the design note has the table.
-func TestEachProtectionIsMissedSomewhere(t *testing.T) {
-	for protection, day := range map[string]string{
+// For each protection there is a scenario in which disabling it costs 0.05 of the service, or brings a starting server
+// nearer to overload. The design note has a table of the exact costs, which change with the balancer.
+func TestEachProtectionMatters(t *testing.T) {
+	for protection, name := range map[string]string{
 		"damping": "flapping", "cold-budget": "storms-mixed", "spill": "few-keys-slow",
 		"retry-budget": "many-refusing", "quota": "one-group-too-much", "storm": "slow-until-idle",
 	} {
 		t.Run(protection, func(t *testing.T) {
 			t.Parallel()
-			set := load(t, day)
-			with, without := playDay(t, set), playDay(t, set, protection)
+			set := loadScenario(t, name)
+			with, without := playScenario(t, set), playScenario(t, set, protection)
 			require.True(t, with.Passed)
 			if protection == "cold-budget" {
-				require.Greater(t, without.Cold.Fullest, 2*with.Cold.Fullest, "of what a starting server stands")
+				require.Greater(t, without.Cold.Fullest, 2*with.Cold.Fullest, "fullest window of a starting server, as a part of its limit")
 				return
 			}
 			require.Greater(t, with.Service-without.Service, 0.05)
 		})
 	}
-	_, err := Play(context.Background(), load(t, "flapping"), Options{Without: []string{"luck"}})
+	_, err := Play(context.Background(), loadScenario(t, "flapping"), Options{Without: []string{"luck"}})
 	require.ErrorContains(t, err, `unknown protection "luck"`)
 }
 
-// What the model must be able to show of the module alone; with the storm gate before it, it is gone.
-func TestKnownTroublesShow(t *testing.T) {
-	silent := playDay(t, load(t, "all-silent"), "storm")
-	require.GreaterOrEqual(t, silent.Spells[0].RecoveredS, 3.0, "the servers are well and the agent is slow to see it")
+// The model reproduces the known overload behavior of the balancer alone; with load shedding it disappears.
+func TestModelReproducesKnownOverloads(t *testing.T) {
+	silent := playScenario(t, loadScenario(t, "all-silent"), "storm")
+	require.GreaterOrEqual(t, silent.Spells[0].RecoveredS, 3.0, "the servers have recovered, but the agent detects it late")
 	require.Less(t, silent.Spells[0].IdleBusy, 0.6)
-	require.Greater(t, playDay(t, load(t, "all-refusing"), "storm").Spells[0].SendsPer, 2.0)
-	require.Less(t, playDay(t, load(t, "all-silent")).Spells[0].RecoveredS, 3.0)
-	require.Less(t, playDay(t, load(t, "all-refusing")).Spells[0].SendsPer, 0.5)
-	days, err := Hunt(context.Background(), load(t, "slow-kept-alive"), HuntOptions{
+	require.Greater(t, playScenario(t, loadScenario(t, "all-refusing"), "storm").Spells[0].SendsPer, 2.0)
+	require.Less(t, playScenario(t, loadScenario(t, "all-silent")).Spells[0].RecoveredS, 3.0)
+	require.Less(t, playScenario(t, loadScenario(t, "all-refusing")).Spells[0].SendsPer, 0.5)
+	results, err := Hunt(context.Background(), loadScenario(t, "slow-kept-alive"), HuntOptions{
 		First: 1, Seeds: 16,
 		Without: []string{"storm"},
 	})
 	require.NoError(t, err)
-	require.True(t, slices.ContainsFunc(days, func(f Found) bool {
+	require.True(t, slices.ContainsFunc(results, func(f Found) bool {
 		return slices.Contains(f.Findings, judge.KeptAlive)
-	}), "%+v", days)
+	}), "%+v", results)
 }
 
-// Days that a hunt found something wrong on, shrunk. They pass since it was mended.
-func TestFoundDaysStayMended(t *testing.T) {
+// Shrunk scenarios of faults that hunts found and that are fixed still pass.
+func TestFixedScenariosStillPass(t *testing.T) {
 	files, err := filepath.Glob("../../rehearsals/found/*.toml")
 	require.NoError(t, err)
 	require.NotEmpty(t, files)
 	for _, file := range files {
 		set, err := scenario.Load(file)
 		require.NoError(t, err)
-		r := playDay(t, set)
+		r := playScenario(t, set)
 		require.True(t, r.Passed, "%s: service %.3f, crash %+v", file, r.Service, r.Crash)
 	}
 }
 
-// A hunt finds the same on one core and on many, and gives back what it has when it is broken off.
-func TestHunt(t *testing.T) {
-	set := load(t, "most-refusing")
+// A hunt returns the same results on one core and on many, and its results so far when it is canceled.
+func TestHuntIsDeterministicAndCancelable(t *testing.T) {
+	set := loadScenario(t, "most-refusing")
 	hunt := func(cores int) []Found {
 		defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(cores))
-		days, err := Hunt(context.Background(), set, HuntOptions{First: 3, Seeds: 12})
+		results, err := Hunt(context.Background(), set, HuntOptions{First: 3, Seeds: 12})
 		require.NoError(t, err)
-		return days
+		return results
 	}
-	set.Floor = hunt(1)[5].Service // half of them pass
-	days := hunt(1)
-	require.Equal(t, days, hunt(8))
-	require.Len(t, days, 12)
-	require.False(t, days[0].Passed)
-	require.True(t, days[11].Passed)
-	for i := range days[1:] {
-		require.LessOrEqual(t, days[i].Service, days[i+1].Service)
+	set.Floor = hunt(1)[5].Service // half of the runs pass
+	results := hunt(1)
+	require.Equal(t, results, hunt(8))
+	require.Len(t, results, 12)
+	require.False(t, results[0].Passed)
+	require.True(t, results[11].Passed)
+	for i := range results[1:] {
+		require.LessOrEqual(t, results[i].Service, results[i+1].Service)
 	}
 
-	ctx, stop := context.WithCancel(context.Background())
-	some, err := Hunt(ctx, set, HuntOptions{Seeds: 1e6, Progress: func(int, int) { stop() }})
+	ctx, cancel := context.WithCancel(context.Background())
+	partial, err := Hunt(ctx, set, HuntOptions{Seeds: 1e6, Progress: func(int, int) { cancel() }})
 	require.ErrorIs(t, err, context.Canceled)
-	require.NotEmpty(t, some)
-	require.Less(t, len(some), 100)
+	require.NotEmpty(t, partial)
+	require.Less(t, len(partial), 100)
 }
 
-// What is left of a bad day is much smaller, shows the same, and is itself a scenario.
-func TestShrink(t *testing.T) {
-	set := load(t, "most-refusing")
+// A shrunk scenario is much smaller, fails in the same way and is a valid scenario.
+func TestShrinkKeepsTheFailure(t *testing.T) {
+	set := loadScenario(t, "most-refusing")
 	set.Floor = 0.9
-	require.False(t, playDay(t, set).Passed)
+	require.False(t, playScenario(t, set).Passed)
 	small, err := Shrink(context.Background(), set, ShrinkOptions{})
 	require.NoError(t, err)
-	require.Less(t, playDay(t, small).Service, 0.9)
+	require.Less(t, playScenario(t, small).Service, 0.9)
 	require.Less(t, small.Day.Length, set.Day.Length)
 	require.LessOrEqual(t, small.Fleet.Servers, set.Fleet.Servers)
 	parts := func(s *scenario.Scenario) int {
@@ -134,9 +134,9 @@
 	require.ErrorIs(t, err, ErrNothingWrong)
 }
 
-// An agent that panics ends its day, with a report that says where, and a hunt goes on.
-func TestCrashIsAVerdict(t *testing.T) {
-	set := load(t, "flapping")
+// A panic of an agent ends the run; the report names the cause and the calls, and is usable as a symptom.
+func TestCrashIsReported(t *testing.T) {
+	set := loadScenario(t, "flapping")
 	r, err := Play(context.Background(), set, Options{Seed: 2, Log: func(time.Duration, string, string) {
 		panic("planted")
 	}})
@@ -145,26 +145,26 @@
 	require.Equal(t, "planted", r.Crash.Cause)
 	require.Contains(t, strings.Join(r.Crash.Calls, "\n"), "world.(*life).carry (life.go:")
 	require.NotContains(t, strings.Join(r.Crash.Calls, ""), "0x")
-	require.Contains(t, text(t, r.Text), "crashed: planted")
-	wrong, any := symptomOf(r)
-	require.True(t, any && wrong.shows(r))
-	require.False(t, wrong.shows(playDay(t, set)))
+	require.Contains(t, writtenText(t, r.Text), "crashed: planted")
+	failure, ok := symptomOf(r)
+	require.True(t, ok && failure.presentIn(r))
+	require.False(t, failure.presentIn(playScenario(t, set)))
 }
 
-func text(t *testing.T, write func(io.Writer) error) string {
+func writtenText(t *testing.T, write func(io.Writer) error) string {
 	var b bytes.Buffer
 	require.NoError(t, write(&b))
 	return b.String()
 }
 
-// The page needs nothing from elsewhere, and what a scenario says can't become a part of it. The JSON says
-// which version of its schema it is.
-func TestReport(t *testing.T) {
-	set := load(t, "slow-kept-alive")
+// The HTML page loads nothing from elsewhere and escapes the texts of a scenario. The JSON report names its schema
+// version.
+func TestReportIsSelfContained(t *testing.T) {
+	set := loadScenario(t, "slow-kept-alive")
 	set.About = "<script>alert(1)</script>"
-	r := playDay(t, set, "retry-budget")
+	r := playScenario(t, set, "retry-budget")
 	r.Findings = append(r.Findings, judge.Finding{Name: judge.KeptAlive, Text: "by <repeats>"})
-	page := text(t, r.HTML)
+	page := writtenText(t, r.HTML)
 	require.NotContains(t, page, "<script")
 	for _, elsewhere := range []string{"src=", "href=\"http", "@import", "url("} {
 		require.NotContains(t, page, elsewhere)
@@ -176,37 +176,37 @@
 		}
 	}
 	var doc map[string]any
-	require.NoError(t, json.Unmarshal([]byte(text(t, r.JSON)), &doc))
+	require.NoError(t, json.Unmarshal([]byte(writtenText(t, r.JSON)), &doc))
 	require.EqualValues(t, report.Schema, doc["schema"])
 	require.Equal(t, []any{"retry-budget"}, doc["without"])
-	require.NotContains(t, text(t, r.JSON), "null")
-	require.Contains(t, text(t, r.Text), "slow-kept-alive, seed 1, without retry-budget: ")
-	require.Contains(t, text(t, r.Text), "kept alive by retries")
+	require.NotContains(t, writtenText(t, r.JSON), "null")
+	require.Contains(t, writtenText(t, r.Text), "slow-kept-alive, seed 1, without retry-budget: ")
+	require.Contains(t, writtenText(t, r.Text), "kept alive by retries")
 	require.Contains(t, page, "by &lt;repeats&gt;")
 }
 
-// A short day of two servers makes a report too.
-func TestReportOfLittle(t *testing.T) {
-	set := load(t, "calm-monday")
+// A run of two seconds with one server and one agent produces a report.
+func TestReportOfMinimalScenario(t *testing.T) {
+	set := loadScenario(t, "calm-monday")
 	set.Day.Length, set.Day.From, set.Fleet.Servers, set.Agents.Count = 2*time.Second, 0, 1, 1
 	set.Load.OfCapacity = scenario.Span{Low: 0.01, High: 0.01}
-	r := playDay(t, set)
-	require.NotEmpty(t, text(t, r.HTML))
-	require.NotEmpty(t, text(t, r.JSON))
+	r := playScenario(t, set)
+	require.NotEmpty(t, writtenText(t, r.HTML))
+	require.NotEmpty(t, writtenText(t, r.JSON))
 }
 
-// A minute of the deployment: 13 servers, 5 agents, 330 requests a second.
-func BenchmarkMinute(b *testing.B) {
-	set := load(b, "calm-monday")
+// One minute of the deployment: 13 servers, 5 agents, 330 requests per second.
+func BenchmarkPlayOneMinute(b *testing.B) {
+	set := loadScenario(b, "calm-monday")
 	set.Load.OfCapacity, set.Load.PerS = scenario.Span{}, scenario.Span{Low: 330, High: 330}
 	for b.Loop() {
-		require.True(b, playDay(b, set).Passed)
+		require.True(b, playScenario(b, set).Passed)
 	}
 }
 
-// A hunt through minutes with a deploy and silent servers, on all cores; the time is of one day.
-func BenchmarkHuntedMinute(b *testing.B) {
-	set := load(b, "silent-during-deploy")
+// A hunt through runs of a minute with a deploy and silent servers, on all cores; the time is that of one run.
+func BenchmarkHuntOneMinute(b *testing.B) {
+	set := loadScenario(b, "silent-during-deploy")
 	_, err := Hunt(context.Background(), set, HuntOptions{Seeds: b.N})
 	require.NoError(b, err)
 }
--- a/internal/rehearsal/report/live.go
+++ b/internal/rehearsal/report/live.go
@@ -2,49 +2,49 @@
 
 import "fmt"
 
-// Live is what a report of a live rehearsal has beside. All figures of such a report are measured but for the
-// plan, which a scenario and seed give again byte for byte.
+// Live is the additional part of the report of a live run. All figures of such a report are measured except
+// for the plan, which is byte for byte the same for the same scenario and seed.
 type Live struct {
 	Plan     PlanPart `json:"plan"`
 	Measured Measured `json:"measured"`
 }
 
-// PlanPart is what was fixed before the day began.
+// PlanPart is the part of the run that was drawn before it began.
 type PlanPart struct {
-	Arrivals int           `json:"arrivals"` // first tries
-	Digest   string        `json:"sha256"`   // of the plan as rehearse live --plan writes it
+	Arrivals int           `json:"arrivals"` // number of client requests, not counting retries
+	Digest   string        `json:"sha256"`   // hash of the plan as written by rehearse live --plan
 	Troubles []PlanTrouble `json:"troubles"`
 }
 
-// PlanTrouble is a trouble as drawn.
+// PlanTrouble is a planned trouble with its drawn times.
 type PlanTrouble struct {
 	Kind string  `json:"kind"`
 	AtS  float64 `json:"at_s"`
 	ForS float64 `json:"for_s"`
 }
 
-// Measured is what was measured beside the day itself.
+// Measured has measurements of the kit and of the agents' processes.
 type Measured struct {
-	Program string     `json:"program"`
-	Cores   int        `json:"cores"` // that the kit and the agents could use together
-	Kit     Kit        `json:"kit"`
-	Agents  []AgentUse `json:"agents"`
-	// Why the day is not judged; empty: it is.
+	Program string       `json:"program"`
+	Cores   int          `json:"cores"` // cores shared by the kit and the agents
+	Kit     Kit          `json:"kit"`
+	Agents  []AgentUsage `json:"agents"`
+	// NotJudged is the reason why the run is not judged; empty: it is judged.
 	NotJudged string `json:"not_judged"`
 }
 
-// Kit is how late the kit itself was with what it had to do at a time.
+// Kit is the lateness of the kit's own scheduled actions.
 type Kit struct {
 	P50US  int64   `json:"late_p50_us"`
 	P99US  int64   `json:"late_p99_us"`
 	P999US int64   `json:"late_p999_us"`
-	MostMS float64 `json:"late_most_ms"`
-	MostAt float64 `json:"late_most_at_s"`
+	MaxMS  float64 `json:"late_most_ms"`
+	MaxAtS float64 `json:"late_most_at_s"`
 	CPUS   float64 `json:"cpu_s"`
 }
 
-// AgentUse is what an agent's program took, over all its runs.
-type AgentUse struct {
+// AgentUsage is the resource usage of an agent over all its process runs.
+type AgentUsage struct {
 	Name        string   `json:"name"`
 	Starts      int      `json:"starts"`
 	PeakMB      float64  `json:"peak_mb"`
@@ -52,10 +52,10 @@
 	Descriptors int      `json:"peak_descriptors"`
 	Limit       int      `json:"limit_descriptors"`
 	CPUS        float64  `json:"cpu_s"`
-	Problems    []string `json:"problems"` // what its processes did that they must not
+	Problems    []string `json:"problems"` // unexpected behavior of its processes
 }
 
-// Judged tells whether the day is judged: a live one is not where the kit was late itself.
+// Judged reports whether the run is judged: a live run is not judged if the kit itself was late.
 func (r *Report) Judged() bool { return r.Live == nil || r.Live.Measured.NotJudged == "" }
 
 func (r *Report) liveTables() []table {
@@ -64,7 +64,7 @@
 	kit.add("half of the time", fmt.Sprintf("%d us", m.Kit.P50US), "")
 	kit.add("p99", fmt.Sprintf("%d us", m.Kit.P99US), "")
 	kit.add("p99.9", fmt.Sprintf("%d us", m.Kit.P999US), "")
-	kit.add("most", millis(m.Kit.MostMS), fmt.Sprintf("at %.1f s", m.Kit.MostAt))
+	kit.add("most", millis(m.Kit.MaxMS), fmt.Sprintf("at %.1f s", m.Kit.MaxAtS))
 	kit.add("processor time", fmt.Sprintf("%.1f s", m.Kit.CPUS),
 		fmt.Sprintf("on %d cores, with the agents", m.Cores))
 	agents := table{title: "Agents (measured)", head: []string{
--- a/internal/rehearsal/report/loads.go
+++ b/internal/rehearsal/report/loads.go
@@ -12,29 +12,29 @@
 	"gonum.org/v1/plot/plotter"
 )
 
-// AtLoad is a day that was played under a load, in times the scenario's own.
-type AtLoad struct {
+// LoadRun is a run under a load, given as a multiple of the scenario's load.
+type LoadRun struct {
 	Load   float64
 	Report *Report
 }
 
-// InsertLoad puts a day among others, in the order of their load.
-func InsertLoad(all []AtLoad, a AtLoad) []AtLoad {
-	i, _ := slices.BinarySearchFunc(all, a, func(x, y AtLoad) int { return cmp.Compare(x.Load, y.Load) })
+// InsertLoad inserts a run into a list ordered by load.
+func InsertLoad(all []LoadRun, a LoadRun) []LoadRun {
+	i, _ := slices.BinarySearchFunc(all, a, func(x, y LoadRun) int { return cmp.Compare(x.Load, y.Load) })
 	return slices.Insert(all, i, a)
 }
 
-// p99 is the highest 99th percentile of the classes, in milliseconds.
-func (a AtLoad) p99() (most float64) {
+// maxP99 returns the highest 99th latency percentile of the classes, in milliseconds.
+func (a LoadRun) maxP99() (highest float64) {
 	for _, c := range a.Report.Classes {
-		most = max(most, c.Latency.P99MS)
+		highest = max(highest, c.Latency.P99MS)
 	}
-	return most
+	return highest
 }
 
-// cpu is what the agents took of a core, each of them on the mean; of a model, how busy the booking servers
-// were.
-func (a AtLoad) cpu() float64 {
+// cpu returns the mean number of cores that an agent used in a live run, or the mean utilization of the
+// upstream servers in a virtual-time run.
+func (a LoadRun) cpu() float64 {
 	if l := a.Report.Live; l != nil {
 		sum := 0.0
 		for _, u := range l.Measured.Agents {
@@ -49,19 +49,19 @@
 	return sum / float64(max(len(a.Report.Servers), 1))
 }
 
-func cpuName(all []AtLoad) string {
+func cpuLabel(all []LoadRun) string {
 	if len(all) > 0 && all[0].Report.Live != nil {
 		return "cores of an agent"
 	}
 	return "servers busy"
 }
 
-// LoadsText writes days under several loads for a terminal.
-func LoadsText(w io.Writer, highest float64, all []AtLoad) error {
+// LoadsText writes runs under several loads as a text table.
+func LoadsText(w io.Writer, highest float64, all []LoadRun) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(t, "load\tservice\tp99\t%s\t\n", cpuName(all))
+	fmt.Fprintf(t, "load\tservice\tp99\t%s\t\n", cpuLabel(all))
 	for _, a := range all {
-		fmt.Fprintf(t, "%.3f\t%.3f\t%s\t%.3f\t%s\n", a.Load, a.Report.Service, millis(a.p99()), a.cpu(),
+		fmt.Fprintf(t, "%.3f\t%.3f\t%s\t%.3f\t%s\n", a.Load, a.Report.Service, millis(a.maxP99()), a.cpu(),
 			a.Report.Outcome())
 	}
 	if err := t.Flush(); err != nil {
@@ -76,16 +76,17 @@
 
 var loadsPage = template.Must(template.New("loads").Parse(loadsText))
 
-// LoadsHTML writes them as a page with plots of service, latency and processor time against load.
-func LoadsHTML(w io.Writer, highest float64, all []AtLoad) error {
+// LoadsHTML writes runs under several loads as an HTML page with plots of service, latency and CPU usage
+// against load.
+func LoadsHTML(w io.Writer, highest float64, all []LoadRun) error {
 	figures := []figure{}
 	for _, f := range []struct {
 		title, axis string
-		of          func(AtLoad) float64
+		of          func(LoadRun) float64
 	}{
-		{"Service", "service", func(a AtLoad) float64 { return a.Report.Service }},
-		{"99th percentile of the slowest class", "ms", AtLoad.p99},
-		{"Processor time", cpuName(all), AtLoad.cpu},
+		{"Service", "service", func(a LoadRun) float64 { return a.Report.Service }},
+		{"99th percentile of the slowest class", "ms", LoadRun.maxP99},
+		{"Processor time", cpuLabel(all), LoadRun.cpu},
 	} {
 		p := newPlot("load, in times the scenario's", f.axis)
 		p.Y.Min = 0
--- a/internal/rehearsal/report/page.go
+++ b/internal/rehearsal/report/page.go
@@ -15,14 +15,14 @@
 
 var page = template.Must(template.New("page").Parse(pageText))
 
-// A pageTable is a table as the page's template reads it.
+// A pageTable is a table in the form that the page's template reads.
 type pageTable struct {
 	Title string
 	Head  []string
 	Rows  [][]string
 }
 
-// HTML writes the report as one page: tables and plots, no scripts and nothing from elsewhere.
+// HTML writes the report as a self-contained page of tables and plots, without scripts.
 func (r *Report) HTML(w io.Writer) error {
 	figures, err := r.figures()
 	if err != nil {
@@ -33,14 +33,14 @@
 		Outcome, WithoutWords string
 		Figures               []figure
 		Tables                []pageTable
-	}{Report: r, Outcome: r.Outcome(), WithoutWords: r.withoutWords(), Figures: figures}
+	}{Report: r, Outcome: r.Outcome(), WithoutWords: r.withoutText(), Figures: figures}
 	for _, t := range r.tables() {
 		data.Tables = append(data.Tables, pageTable{t.title, t.head, t.rows})
 	}
 	return page.Execute(w, data)
 }
 
-// kthLargest is the mean busy time of the kth busiest server.
+// kthLargest returns the mean utilization of the kth busiest server.
 func kthLargest(servers []judge.ServerDay, k int) float64 {
 	sorted := slices.SortedFunc(slices.Values(servers), func(a, b judge.ServerDay) int {
 		return cmp.Compare(b.MeanBusy, a.MeanBusy)
--- a/internal/rehearsal/report/plots.go
+++ b/internal/rehearsal/report/plots.go
@@ -18,13 +18,13 @@
 	"dunestep/internal/rehearsal/judge"
 )
 
-// A figure is a plot on the page, with what a reader should look for.
+// A figure is a plot on the page, with an explanation for the reader.
 type figure struct {
 	Title, Text string
 	SVG         template.HTML
 }
 
-// The colours tell apart for those who see few, too (after Okabe and Ito).
+// Colors that are distinguishable with color blindness (after Okabe and Ito).
 var (
 	blue    = color.RGBA{0, 114, 178, 255}
 	orange  = color.RGBA{230, 159, 0, 255}
@@ -39,20 +39,20 @@
 const (
 	plotWidth  = 24 * vg.Centimeter
 	plotHeight = 7 * vg.Centimeter
-	mostPoints = 600 // of a line; of a longer day several seconds are taken together
-	mostTicks  = 14
+	maxPoints  = 600 // points of a line; longer runs combine several seconds into a point
+	maxTicks   = 14
 	headroom   = 1.35
 	serviceTop = 1.3
 )
 
-// A line is something drawn over the seconds of the day.
+// A line is a series plotted over the seconds of the run.
 type line struct {
 	name  string
 	color color.Color
-	of    func(s []judge.Second) (y float64, ok bool) // of the seconds that one point stands for
+	of    func(s []judge.Second) (y float64, ok bool) // value of a point from the seconds that it covers
 }
 
-// mean makes a line of the mean of a figure.
+// mean returns a line function that averages a figure.
 func mean(of func(s *judge.Second) float64) func([]judge.Second) (float64, bool) {
 	return func(seconds []judge.Second) (float64, bool) {
 		sum := 0.0
@@ -63,12 +63,12 @@
 	}
 }
 
-// count makes a line of how many of something there were in a second.
+// count returns a line function that averages a count per second.
 func count(of func(s *judge.Second) int) func([]judge.Second) (float64, bool) {
 	return mean(func(s *judge.Second) float64 { return float64(of(s)) })
 }
 
-// ratio makes a line of one figure over another.
+// ratio returns a line function of the ratio of two figures.
 func ratio(of, over func(s *judge.Second) float64) func([]judge.Second) (float64, bool) {
 	return func(seconds []judge.Second) (float64, bool) {
 		a, _ := mean(of)(seconds)
@@ -147,11 +147,11 @@
 func (r *Report) latencyFigure() (figure, error) {
 	latency := func(of func(s *judge.Second) float64) func([]judge.Second) (float64, bool) {
 		return func(seconds []judge.Second) (float64, bool) {
-			most := 0.0
+			highest := 0.0
 			for i := range seconds {
-				most = max(most, of(&seconds[i]))
+				highest = max(highest, of(&seconds[i]))
 			}
-			return most, most > 0
+			return highest, highest > 0
 		}
 	}
 	return r.overTime(figure{Title: "Latencies", Text: "Of served answers, from the first try on."}, "ms", 0,
@@ -168,18 +168,18 @@
 		line{"new", red, count(func(s *judge.Second) int { return s.Opened })})
 }
 
-// lived is the whole seconds that the day lasted.
-func (r *Report) lived() []judge.Second {
+// lastedSeconds returns the full seconds that the run lasted, at least one.
+func (r *Report) lastedSeconds() []judge.Second {
 	return r.Seconds[:min(max(int(r.LastedS), 1), len(r.Seconds))]
 }
 
-// overTime draws lines over the seconds of the day, with its troubles.
+// overTime draws lines over the seconds of the run, with its troubles shaded.
 func (r *Report) overTime(f figure, unit string, top float64, lines ...line) (figure, error) {
-	seconds := r.lived()
-	step := (len(seconds) + mostPoints - 1) / mostPoints
+	seconds := r.lastedSeconds()
+	step := (len(seconds) + maxPoints - 1) / maxPoints
 	p := newPlot("second of the day", unit)
 	p.X.Min, p.X.Max, p.Y.Min = 0, float64(len(seconds)), 0
-	p.Add(plotter.NewGrid(), bands{r.Spells})
+	p.Add(plotter.NewGrid(), troubleBands{r.Spells})
 	for _, l := range lines {
 		var points plotter.XYs
 		for at := 0; at < len(seconds); at += step {
@@ -188,7 +188,7 @@
 			}
 		}
 		if len(points) == 0 {
-			continue // nothing of it happened
+			continue // the line has no data
 		}
 		drawn, err := plotter.NewLine(points)
 		if err != nil {
@@ -198,7 +198,7 @@
 		p.Add(drawn)
 		p.Legend.Add(l.name, drawn)
 	}
-	// Names and legend stand above the lines.
+	// Leaves room for names and legend above the lines.
 	p.Y.Min, p.Y.Max = 0, max(p.Y.Max*headroom, 0.1)
 	if top > 0 {
 		p.Y.Max = top
@@ -215,11 +215,11 @@
 	return p
 }
 
-// secondTicks puts some ten labels at even seconds.
+// secondTicks returns about ten ticks at multiples of a round number of seconds.
 func secondTicks(from, to float64) (ticks []plot.Tick) {
 	step := 1.0
 	for _, next := range []float64{2, 5, 10, 30, 60, 300, 600, 1800, 3600, 7200} {
-		if (to-from)/step > mostTicks {
+		if (to-from)/step > maxTicks {
 			step = next
 		}
 	}
@@ -229,20 +229,20 @@
 	return ticks
 }
 
-// bands is a plotter that shades the times of the troubles and names them.
-type bands struct{ spells []judge.Spell }
+// troubleBands is a plotter that shades and labels the times of the troubles.
+type troubleBands struct{ troubles []judge.Spell }
 
 // Plot implements plot.Plotter.
-func (b bands) Plot(c draw.Canvas, p *plot.Plot) {
+func (b troubleBands) Plot(c draw.Canvas, p *plot.Plot) {
 	x, _ := p.Transforms(&c)
 	style := p.X.Tick.Label
 	style.Font.Size, style.XAlign, style.YAlign, style.Color = 8, draw.XLeft, draw.YTop, grey
-	for i, s := range b.spells {
-		over := s.OverS
-		if over < 0 || over > p.X.Max {
-			over = p.X.Max
+	for i, s := range b.troubles {
+		end := s.OverS
+		if end < 0 || end > p.X.Max {
+			end = p.X.Max
 		}
-		left, right := x(s.BeganS), x(over)
+		left, right := x(s.BeganS), x(end)
 		c.FillPolygon(shading, []vg.Point{
 			{X: left, Y: c.Min.Y},
 			{X: right, Y: c.Min.Y},
@@ -255,17 +255,17 @@
 	}
 }
 
-// A heat is the load of servers over time, as the heat map wants it.
-type heat struct {
+// A loadGrid is the load of servers over time in the form that the heat map reads.
+type loadGrid struct {
 	rows  []judge.ServerDay
 	width int
 	step  int
 }
 
-func (h heat) Dims() (c, r int) { return h.width, len(h.rows) }
-func (h heat) X(c int) float64  { return (float64(c) + 0.5) * float64(h.step) }
-func (h heat) Y(r int) float64  { return float64(r) }
-func (h heat) Z(c, r int) float64 {
+func (h loadGrid) Dims() (c, r int) { return h.width, len(h.rows) }
+func (h loadGrid) X(c int) float64  { return (float64(c) + 0.5) * float64(h.step) }
+func (h loadGrid) Y(r int) float64  { return float64(r) }
+func (h loadGrid) Z(c, r int) float64 {
 	if busy := h.rows[r].Busy; c < len(busy) {
 		return float64(busy[c])
 	}
@@ -273,28 +273,28 @@
 }
 
 const (
-	mostRows  = 80 // servers on the heat map
+	maxRows   = 80 // servers on the heat map
 	rowHeight = 0.32 * vg.Centimeter
 )
 
-// loadFigure draws the load of each server; of a large fleet that of the busiest.
+// loadFigure draws the load of each server, or of the busiest ones of a large fleet.
 func (r *Report) loadFigure() (figure, error) {
 	f := figure{
 		Title: "Load of each booking server",
 		Text:  "How busy each was, from light (idle) to dark (all of its time). Blank: it did not run.",
 	}
 	rows := r.Servers
-	if len(rows) > mostRows {
-		rows = busiest(rows, mostRows)
-		f.Text += fmt.Sprintf(" Of %d servers the %d that were busiest.", len(r.Servers), mostRows)
+	if len(rows) > maxRows {
+		rows = busiestServers(rows, maxRows)
+		f.Text += fmt.Sprintf(" Of %d servers the %d that were busiest.", len(r.Servers), maxRows)
 	}
-	h := heat{rows: rows, step: r.StepS}
+	h := loadGrid{rows: rows, step: r.StepS}
 	names := make([]string, len(rows))
 	for i, s := range rows {
 		h.width = max(h.width, len(s.Busy))
 		names[i] = s.ID
 	}
-	if h.width < 2 || len(rows) < 2 { // the heat map wants two of each
+	if h.width < 2 || len(rows) < 2 { // the heat map needs at least two columns and two rows
 		f.Text = "Too short a day, or too few servers, to draw."
 		return f, nil
 	}
@@ -309,12 +309,12 @@
 	return f.of(p, 2*vg.Centimeter+rowHeight*vg.Length(len(rows)))
 }
 
-// busiest returns the servers that were busiest on the mean, in their order.
-func busiest(servers []judge.ServerDay, n int) []judge.ServerDay {
-	least := kthLargest(servers, n)
+// busiestServers returns the n servers with the highest mean utilization, in their original order.
+func busiestServers(servers []judge.ServerDay, n int) []judge.ServerDay {
+	threshold := kthLargest(servers, n)
 	var rows []judge.ServerDay
 	for _, s := range servers {
-		if s.MeanBusy >= least && len(rows) < n {
+		if s.MeanBusy >= threshold && len(rows) < n {
 			rows = append(rows, s)
 		}
 	}
@@ -336,7 +336,7 @@
 	return all
 }
 
-// chainsFigure draws how many tries and sends first tries came to.
+// chainsFigure draws the distribution of tries and attempts per client request.
 func (r *Report) chainsFigure() (figure, error) {
 	f := figure{Title: "First tries, by how many tries and sends they came to"}
 	p := newPlot("", "part of the first tries")
@@ -369,7 +369,7 @@
 	return f.of(p, plotHeight)
 }
 
-// of draws the plot into the figure, without what only a file of its own needs.
+// of renders the plot into the figure as an SVG element without a file header.
 func (f figure) of(p *plot.Plot, height vg.Length) (figure, error) {
 	c := vgsvg.New(plotWidth, height)
 	p.Draw(draw.New(c))
@@ -378,6 +378,6 @@
 		return f, err
 	}
 	svg := b.String()
-	f.SVG = template.HTML(svg[strings.Index(svg, "<svg"):]) // drawn here from numbers and checked names
+	f.SVG = template.HTML(svg[strings.Index(svg, "<svg"):]) // safe: made of numbers and validated names only
 	return f, nil
 }
--- a/internal/rehearsal/report/report.go
+++ b/internal/rehearsal/report/report.go
@@ -1,6 +1,6 @@
-// Package report writes how a rehearsed day went: as JSON for programs, as text for a terminal, and as one
-// page of HTML that needs nothing else. The same day gives the same bytes in all three: no clock, no map
-// order and nothing of the machine goes into them.
+// Package report writes the result of a rehearsal as JSON for programs, as text for a terminal, and as a
+// self-contained HTML page. The same virtual-time run gives the same bytes in all three: the output does not
+// depend on the clock, on map order or on the machine.
 package report
 
 import (
@@ -15,21 +15,21 @@
 	"dunestep/internal/rehearsal/judge"
 )
 
-// Schema is the version of the JSON form. It goes up when a key changes its meaning or goes away; new keys
-// may come without.
+// Schema is the version of the JSON form. It is incremented when a key is removed or changes its meaning;
+// new keys may be added without an increment.
 const Schema = 1
 
-// Report is a rehearsed day.
+// Report is the result of a run.
 type Report struct {
 	Schema   int      `json:"schema"`
 	Scenario string   `json:"scenario"`
 	About    string   `json:"about"`
 	Seed     uint64   `json:"seed"`
-	Without  []string `json:"without"`   // the module's protections that were taken out
-	CutShort bool     `json:"cut_short"` // the day was broken off; the rest is of the day so far
+	Without  []string `json:"without"`   // names of the disabled protections
+	CutShort bool     `json:"cut_short"` // the run ended early; the report covers the run so far
 	Crash    *Crash   `json:"crash,omitempty"`
-	Live     *Live    `json:"live,omitempty"` // of a day that was played by real agents
-	// Timeline is what happened, in lanes side by side. MarksDropped: there was no room for so many more.
+	Live     *Live    `json:"live,omitempty"` // set for a live run
+	// Timeline has the marks in order of time. MarksDropped is the number of marks beyond the limit.
 	Timeline     []Mark `json:"timeline,omitempty"`
 	MarksDropped int    `json:"timeline_dropped,omitempty"`
 	judge.Verdict
@@ -37,7 +37,7 @@
 	lanes []string
 }
 
-// New puts a report together.
+// New returns a report of a verdict.
 func New(scenario, about string, seed uint64, without []string, v judge.Verdict) *Report {
 	return &Report{
 		Schema: Schema, Scenario: scenario, About: about, Seed: seed,
@@ -45,28 +45,29 @@
 	}
 }
 
-// Crash is a panic of the code that was played.
+// Crash is a panic of the agents' code during a virtual-time run.
 type Crash struct {
-	AfterS float64  `json:"after_s"` // whole seconds of the day that had been played
+	AfterS float64  `json:"after_s"` // whole seconds of the run before the panic
 	Cause  string   `json:"cause"`
-	Calls  []string `json:"calls"` // the functions it came up through, the innermost first
+	Calls  []string `json:"calls"` // stack of the panic, innermost function first
 }
 
 const (
-	mostCalls  = 40
+	maxCalls   = 40
 	ownModule  = "dunestep/"
 	panicOwner = "runtime."
 )
 
-// NewCrash words a panic, where it is recovered. It holds no addresses, which differ from run to run.
+// NewCrash returns the crash for a recovered panic. It must be called from the deferred function that
+// recovers. It contains no addresses, which differ between runs.
 func NewCrash(after time.Duration, cause any) *Crash {
 	c := &Crash{AfterS: after.Seconds(), Cause: fmt.Sprint(cause)}
-	var calls [mostCalls]uintptr
-	frames := runtime.CallersFrames(calls[:runtime.Callers(2, calls[:])])
+	var callers [maxCalls]uintptr
+	frames := runtime.CallersFrames(callers[:runtime.Callers(2, callers[:])])
 	for panicked := false; ; {
 		f, more := frames.Next()
 		if strings.HasPrefix(f.Function, panicOwner) {
-			panicked = true // what lies above it is the recovery
+			panicked = true // the frames before it belong to the recovery
 		} else if panicked && strings.HasPrefix(f.Function, ownModule) {
 			c.Calls = append(c.Calls, fmt.Sprintf("%s (%s:%d)", f.Function, path.Base(f.File), f.Line))
 		}
@@ -76,7 +77,7 @@
 	}
 }
 
-// JSON writes the report for programs.
+// JSON writes the report as indented JSON.
 func (r *Report) JSON(w io.Writer) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", " ")
--- a/internal/rehearsal/report/text.go
+++ b/internal/rehearsal/report/text.go
@@ -9,10 +9,10 @@
 	"dunestep/internal/rehearsal/judge"
 )
 
-// Text writes the report for a terminal.
+// Text writes the report as plain text.
 func (r *Report) Text(w io.Writer) error {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s, seed %d%s: %s\n", r.Scenario, r.Seed, r.withoutWords(), r.Outcome())
+	fmt.Fprintf(&b, "%s, seed %d%s: %s\n", r.Scenario, r.Seed, r.withoutText(), r.Outcome())
 	if r.About != "" {
 		fmt.Fprintf(&b, "%s\n", r.About)
 	}
@@ -24,31 +24,31 @@
 	return err
 }
 
-func (r *Report) withoutWords() string {
+func (r *Report) withoutText() string {
 	if len(r.Without) == 0 {
 		return ""
 	}
 	return ", without " + strings.Join(r.Without, ", ")
 }
 
-// Outcome says in a line whether the day passed, and why not.
+// Outcome returns one line that says whether the run passed, and if not, why.
 func (r *Report) Outcome() string {
-	var why []string
+	var reasons []string
 	if r.Crash != nil {
-		why = append(why, "crashed: "+r.Crash.Cause)
+		reasons = append(reasons, "crashed: "+r.Crash.Cause)
 	}
 	for _, rule := range r.Rules {
 		if rule.First != nil {
-			why = append(why, fmt.Sprintf("rule broken: %s (%d times)", rule.Name, rule.Breaches))
+			reasons = append(reasons, fmt.Sprintf("rule broken: %s (%d times)", rule.Name, rule.Breaches))
 		}
 	}
 	for _, term := range r.Terms {
 		if term.Broken {
-			why = append(why, fmt.Sprintf("term broken: %s (%d of %d)", term.Name, term.Count, term.Of))
+			reasons = append(reasons, fmt.Sprintf("term broken: %s (%d of %d)", term.Name, term.Count, term.Of))
 		}
 	}
 	if r.Service < r.Floor {
-		why = append(why, "service below the floor")
+		reasons = append(reasons, "service below the floor")
 	}
 	text := fmt.Sprintf("service %.3f, floor %.2f", r.Service, r.Floor)
 	if r.CutShort {
@@ -60,20 +60,20 @@
 	if r.Live != nil {
 		for _, a := range r.Live.Measured.Agents {
 			for _, p := range a.Problems {
-				why = append(why, a.Name+" "+p)
+				reasons = append(reasons, a.Name+" "+p)
 			}
 		}
 	}
 	if r.Passed {
 		return "passed, " + text
 	}
-	if len(why) == 0 {
+	if len(reasons) == 0 {
 		return "NOT PASSED, " + text
 	}
-	return "FAILED, " + text + ", " + strings.Join(why, ", ")
+	return "FAILED, " + text + ", " + strings.Join(reasons, ", ")
 }
 
-// A table is what both the text and the page show.
+// A table is shown both in the text and on the page.
 type table struct {
 	title string
 	head  []string
@@ -90,7 +90,7 @@
 	w.Flush()
 }
 
-// tables puts the day into words, most important first.
+// tables returns the tables of the report, most important first.
 func (r *Report) tables() []table {
 	all := []table{r.serviceTable(), r.rulesTable()}
 	if r.Crash != nil {
@@ -120,7 +120,7 @@
 	}
 	all = append(all, r.groupsTable(), r.sharesTable())
 	if r.Cold != nil {
-		all = append(all, r.coldTable())
+		all = append(all, r.slowStartTable())
 	}
 	return append(all, r.countsTable(), r.repeatsTable(), r.serversTable())
 }
@@ -155,17 +155,17 @@
 func (r *Report) termsTable() table {
 	t := table{title: "Terms of the gate", head: []string{"term", "", "of", "what it asks, and the first"}}
 	for _, term := range r.Terms {
-		count, says := fmt.Sprint(term.Count), term.Text
+		count, text := fmt.Sprint(term.Count), term.Text
 		switch {
 		case term.Broken:
 			count += " BROKEN"
 		case !term.Asked:
-			says = "not asked of this day"
+			text = "not asked of this day"
 		}
 		if term.First != "" {
-			says += fmt.Sprintf("; %.3f: %s", term.At.Seconds(), term.First)
+			text += fmt.Sprintf("; %.3f: %s", term.At.Seconds(), term.First)
 		}
-		t.add(term.Name, count, fmt.Sprint(term.Of), says)
+		t.add(term.Name, count, fmt.Sprint(term.Of), text)
 	}
 	return t
 }
@@ -185,18 +185,18 @@
 		"sends per first try", "back after", "servers busy meanwhile",
 	}}
 	for _, s := range r.Spells {
-		over, back, busy := "-", "not", "-"
+		end, recovery, utilization := "-", "not", "-"
 		if s.OverS >= 0 {
-			over = fmt.Sprintf("%.1f s", s.OverS)
+			end = fmt.Sprintf("%.1f s", s.OverS)
 		}
 		if s.RecoveredS >= 0 {
-			back = fmt.Sprintf("%.0f s", s.RecoveredS)
+			recovery = fmt.Sprintf("%.0f s", s.RecoveredS)
 		}
 		if s.RecoveredS != 0 && s.OverS >= 0 {
-			busy = percent(s.IdleBusy)
+			utilization = percent(s.IdleBusy)
 		}
-		t.add(s.Kind, fmt.Sprintf("%.1f s", s.BeganS), over, share(s.Before), share(s.During),
-			fmt.Sprintf("%.2f", s.SendsPer), back, busy)
+		t.add(s.Kind, fmt.Sprintf("%.1f s", s.BeganS), end, share(s.Before), share(s.During),
+			fmt.Sprintf("%.2f", s.SendsPer), recovery, utilization)
 	}
 	return t
 }
@@ -225,48 +225,49 @@
 	return t
 }
 
-// sharesTable tells what was served of the day's parts, before prices, and what the gate asks of them.
+// sharesTable returns the service of each part of the run, before prices, and what the gate requires of it.
 func (r *Report) sharesTable() table {
 	t := table{
 		title: "Shares, before prices",
 		head:  []string{"of", "served", "by the policy that sees late", "asked"},
 	}
 	for _, s := range r.Shares {
-		by, asked := "-", "-"
+		reference, required := "-", "-"
 		if s.Late > 0 {
-			by, asked = share(s.Late), share(s.Wants)
+			reference, required = share(s.Late), share(s.Wants)
 		}
 		if s.Short() {
-			asked += " SHORT"
+			required += " SHORT"
 		}
-		t.add(s.Of, share(s.Served), by, asked)
+		t.add(s.Of, share(s.Served), reference, required)
 	}
 	return t
 }
 
-// GateLine says in a line whether the day passes the gate, why not, its shares, and how near its cold
-// servers came to falling over.
-func (r *Report) GateLine() (says string, passed bool) {
-	says, passed = r.Outcome(), r.Passed
-	var served, short []string
+// GateLine returns whether the run passes the gate, and one line with the reasons if not, the shares, and
+// how near the servers in slow start came to their limit.
+func (r *Report) GateLine() (line string, passed bool) {
+	line, passed = r.Outcome(), r.Passed
+	var served, low []string
 	for i := range r.Shares {
 		s := &r.Shares[i]
 		served = append(served, fmt.Sprintf("%s %.2f (%.2f)", s.Of, s.Served, s.Wants))
 		if s.Short() {
-			short = append(short, fmt.Sprintf("%s served %.3f, asked %.3f", s.Of, s.Served, s.Wants))
+			low = append(low, fmt.Sprintf("%s served %.3f, asked %.3f", s.Of, s.Served, s.Wants))
 		}
 	}
-	if len(short) > 0 {
+	if len(low) > 0 {
 		if passed {
-			says = "FAILED, " + strings.TrimPrefix(says, "passed, ")
+			line = "FAILED, " + strings.TrimPrefix(line, "passed, ")
 		}
-		says, passed = says+", share too low: "+strings.Join(short, ", "), false
+		line, passed = line+", share too low: "+strings.Join(low, ", "), false
 	}
-	return says + "; served (asked): " + strings.Join(served, ", ") + r.coldWords(), passed
+	return line + "; served (asked): " + strings.Join(served, ", ") + r.slowStartSummary(), passed
 }
 
-// coldTable tells how full the fullest windows of the servers that started cold were: at 1 one falls.
-func (r *Report) coldTable() table {
+// slowStartTable returns how full the fullest windows of the servers in slow start were, as a part of their
+// limit: at 1 a server crashes.
+func (r *Report) slowStartTable() table {
 	c := r.Cold
 	t := table{
 		title: "Cold servers, by the fullest window of each over what it stood then",
@@ -282,8 +283,8 @@
 	return t
 }
 
-// coldWords says the same in a few words, for a line of the gate; empty where no server started.
-func (r *Report) coldWords() string {
+// slowStartSummary is a short form of slowStartTable for GateLine; empty if no server started.
+func (r *Report) slowStartSummary() string {
 	c := r.Cold
 	if c == nil {
 		return ""
@@ -328,7 +329,7 @@
 	return t
 }
 
-// countLabel names a count; the last one stands for all above it too.
+// countLabel returns the label of a count; the last label includes all higher counts.
 func countLabel(n, labels int) string {
 	if n == labels-1 {
 		return fmt.Sprintf("%d+", n)
--- a/internal/rehearsal/report/lanes.go
+++ b/internal/rehearsal/report/timeline.go
@@ -7,10 +7,10 @@
 	"dunestep/internal/rehearsal/timeline"
 )
 
-// Mark is an entry of the day's timeline.
+// Mark is an entry of a run's timeline.
 type Mark struct {
 	AtS   float64 `json:"at_s"`
-	Lane  string  `json:"lane"` // faults, breaches, or what a layer of the agents calls its own
+	Lane  string  `json:"lane"` // faults, breaches, or a name that a layer of the agents chooses
 	Agent string  `json:"agent,omitempty"`
 	Text  string  `json:"text"`
 }
@@ -18,7 +18,7 @@
 // Breaches is the lane of the first breach of each rule.
 const Breaches = "breaches"
 
-// SetTimeline puts a day's timeline into the report, with the first breach of each rule beside the rest.
+// SetTimeline adds a run's timeline to the report, together with the first breach of each rule.
 func (r *Report) SetTimeline(t *timeline.Timeline) {
 	for _, rule := range r.Rules {
 		if rule.First != nil {
@@ -33,13 +33,13 @@
 	r.lanes = timeline.Lanes(marks)
 }
 
-// shownMarks is how many marks the text and the page show; the JSON has all.
-const shownMarks = 200
+// maxShownMarks limits the marks in the text and on the page; the JSON has all.
+const maxShownMarks = 200
 
-// timelineTable has a column for each lane, and a row for each mark.
+// timelineTable returns a table with a column for each lane and a row for each mark.
 func (r *Report) timelineTable() table {
 	t := table{title: "Timeline", head: append([]string{"second"}, r.lanes...)}
-	for _, m := range r.Timeline[:min(len(r.Timeline), shownMarks)] {
+	for _, m := range r.Timeline[:min(len(r.Timeline), maxShownMarks)] {
 		row := []string{fmt.Sprintf("%.3f", m.AtS)}
 		for _, lane := range r.lanes {
 			text := ""
@@ -53,7 +53,7 @@
 		}
 		t.add(row...)
 	}
-	if more := len(r.Timeline) - shownMarks + r.MarksDropped; more > 0 && len(r.Timeline) > shownMarks {
+	if more := len(r.Timeline) - maxShownMarks + r.MarksDropped; more > 0 && len(r.Timeline) > maxShownMarks {
 		t.add("...", fmt.Sprintf("and %d more", more))
 	}
 	return t
--- a/internal/rehearsal/report/lanes_test.go
+++ b/internal/rehearsal/report/timeline_test.go
@@ -11,8 +11,8 @@
 	"dunestep/internal/rehearsal/timeline"
 )
 
-// The timeline has its lanes side by side, faults first, and the first breach of each rule beside what others mark.
-func TestLanes(t *testing.T) {
+// The timeline has a column for each lane, faults first, and contains the first breach of each rule.
+func TestTimelineLanesAndFirstBreaches(t *testing.T) {
 	var line timeline.Timeline
 	line.Mark(3*time.Second, "versions", "n1", "acts on 7")
 	line.Mark(time.Second, timeline.Faults, "", "n1 paused")
@@ -30,8 +30,8 @@
 	}
 	r.SetTimeline(&line)
 	require.Equal(t, 20_000, len(r.Timeline))
-	require.Equal(t, 5_004, r.MarksDropped, "with the breach that was marked again")
+	require.Equal(t, 5_004, r.MarksDropped, "includes the breach, which is marked a second time")
 	rows := r.timelineTable().rows
-	require.Len(t, rows, shownMarks+1)
-	require.Equal(t, "and 24804 more", rows[shownMarks][1])
+	require.Len(t, rows, maxShownMarks+1)
+	require.Equal(t, "and 24804 more", rows[maxShownMarks][1])
 }
--- a/internal/rehearsal/short.go
+++ b/internal/rehearsal/short.go
@@ -8,25 +8,26 @@
 	"dunestep/internal/rehearsal/scenario"
 )
 
-// ofLateTogether is what is asked of all short days together, beside the policy that sees late: of all that
-// they are worth, of each class, and of the classes of each effect.
-const ofLateTogether = 1.0 / 3
+// minPartOfLatePolicy is the part of the reference policy's service that all short runs together must
+// reach: over all requests, in each class, and over the classes of each effect.
+const minPartOfLatePolicy = 1.0 / 3
 
-// short adds the short days up.
-type short struct {
-	days   int
-	names  []string // in the order in which they came
-	served map[string]*sum
+// shortRuns adds up the results of short runs.
+type shortRuns struct {
+	runs   int
+	names  []string // keys of totals in order of first use
+	totals map[string]*worthTotals
 }
 
-// sum is the worth that was asked for, what of it was served, and what the policy that sees late serves.
-type sum struct{ asked, served, late float64 }
+// worthTotals is the total worth of the requests, the part that was served, and the part that the reference
+// policy serves.
+type worthTotals struct{ requested, served, late float64 }
 
-func newShort() *short { return &short{served: map[string]*sum{}} }
+func newShortRuns() *shortRuns { return &shortRuns{totals: map[string]*worthTotals{}} }
 
-// add takes a day in.
-func (s *short) add(set *scenario.Scenario, shares []judge.Share) {
-	s.days++
+// add adds the shares of a run.
+func (s *shortRuns) add(set *scenario.Scenario, shares []judge.Share) {
+	s.runs++
 	s.count("all", shares[0])
 	for i, c := range set.Classes {
 		s.count("class "+c.Name, shares[1+i])
@@ -34,36 +35,36 @@
 	}
 }
 
-func (s *short) count(name string, v judge.Share) {
-	of := s.served[name]
-	if of == nil {
-		of = &sum{}
-		s.served[name], s.names = of, append(s.names, name)
+func (s *shortRuns) count(name string, share judge.Share) {
+	totals := s.totals[name]
+	if totals == nil {
+		totals = &worthTotals{}
+		s.totals[name], s.names = totals, append(s.names, name)
 	}
-	of.asked += v.Worth
-	of.served += v.Served * v.Worth
-	of.late += v.Late * v.Worth
+	totals.requested += share.Worth
+	totals.served += share.Served * share.Worth
+	totals.late += share.Late * share.Worth
 }
 
-// gated says of all of them together whether they may pass; any is false where there was none.
-func (s *short) gated() (g Gated, any bool) {
-	g = Gated{Scenario: fmt.Sprintf("all %d short days", s.days), Passed: true}
-	var said, low []string
+// result judges all added runs together; ok is false if there were none.
+func (s *shortRuns) result() (g Gated, ok bool) {
+	g = Gated{Scenario: fmt.Sprintf("all %d short days", s.runs), Passed: true}
+	var texts, low []string
 	for _, name := range s.names {
-		of := s.served[name]
-		if of.asked <= 0 {
+		totals := s.totals[name]
+		if totals.requested <= 0 {
 			continue
 		}
-		served, wants := of.served/of.asked, ofLateTogether*of.late/of.asked
-		said = append(said, fmt.Sprintf("%s %.2f (%.2f)", name, served, wants))
-		if served < wants {
-			low = append(low, fmt.Sprintf("%s served %.3f, asked %.3f", name, served, wants))
+		served, required := totals.served/totals.requested, minPartOfLatePolicy*totals.late/totals.requested
+		texts = append(texts, fmt.Sprintf("%s %.2f (%.2f)", name, served, required))
+		if served < required {
+			low = append(low, fmt.Sprintf("%s served %.3f, asked %.3f", name, served, required))
 		}
 	}
 	g.Says = "passed"
 	if len(low) > 0 {
 		g.Passed, g.Says = false, "FAILED, share too low: "+strings.Join(low, ", ")
 	}
-	g.Says += "; served (asked): " + strings.Join(said, ", ")
-	return g, s.days > 0
+	g.Says += "; served (asked): " + strings.Join(texts, ", ")
+	return g, s.runs > 0
 }
--- a/internal/rehearsal/shrink.go
+++ b/internal/rehearsal/shrink.go
@@ -11,21 +11,22 @@
 	"dunestep/internal/rehearsal/scenario"
 )
 
-// ErrNothingWrong is the answer to shrinking a day that passes.
-var ErrNothingWrong = errors.New("the day passes: there is nothing to shrink it to")
+// ErrNothingWrong is returned by Shrink for a scenario that passes.
+var ErrNothingWrong = errors.New("the scenario passes; there is no failure to reproduce")
 
-// leastFirstTries is what a shrunk day keeps, so that a low service is not that of a handful of requests.
-const leastFirstTries = 100
+// minFirstTries is the minimum number of requests of a shrunk run, so that its service is not that of a
+// handful of requests.
+const minFirstTries = 100
 
-// A symptom is what is wrong with a day and must still be wrong with a smaller one.
+// A symptom is a failure of a run that a smaller scenario must reproduce.
 type symptom struct {
 	crash   bool
-	rule    string // or term of the gate, that is broken; empty: the service is too low
-	finding string // named in the report as well; empty: none was
+	rule    string // broken rule or gate term; empty: the service is too low
+	finding string // finding that the report must contain as well; empty: none
 	floor   float64
 }
 
-// symptomOf finds what is wrong with a day; ok is false where nothing is.
+// symptomOf returns the failure that a report shows; ok is false if the run passed.
 func symptomOf(r *report.Report) (s symptom, ok bool) {
 	if r.Crash != nil {
 		return symptom{crash: true}, true
@@ -50,7 +51,7 @@
 	return s, true
 }
 
-func (s symptom) shows(r *report.Report) bool {
+func (s symptom) presentIn(r *report.Report) bool {
 	if s.crash {
 		return r.Crash != nil
 	}
@@ -60,31 +61,31 @@
 			slices.ContainsFunc(r.Terms, func(k judge.Term) bool { return k.Name == s.rule && k.Broken })
 	}
 	named := func(f judge.Finding) bool { return f.Name == s.finding }
-	return r.Service < s.floor && r.Counts.FirstTries >= leastFirstTries &&
+	return r.Service < s.floor && r.Counts.FirstTries >= minFirstTries &&
 		(s.finding == "" || slices.ContainsFunc(r.Findings, named))
 }
 
-// ShrinkOptions is what a day is shrunk with.
+// ShrinkOptions configures Shrink.
 type ShrinkOptions struct {
-	Without  []string
-	Progress func(played int, now *scenario.Scenario) // told after each round of days; nil: nobody is
+	Without  []string                                 // names of protections to disable
+	Progress func(played int, now *scenario.Scenario) // called after each reduction; may be nil
 }
 
-// Shrink returns the smallest scenario it finds that still shows what is wrong with the day: fewer
-// troubles, servers, agents and clients, less time, and fewer of the world's habits. The seed is the
-// scenario's own. Where the context ends first, the smallest so far comes with its error.
+// Shrink returns the smallest scenario it finds that still fails in the same way: with fewer troubles,
+// servers, agents and clients, a shorter duration and fewer features. It uses the scenario's own seed. If
+// the context ends first, Shrink returns the smallest scenario so far with the context's error.
 func Shrink(ctx context.Context, set *scenario.Scenario, o ShrinkOptions) (*scenario.Scenario, error) {
 	r, err := Play(ctx, set, Options{Seed: set.Seed, Without: o.Without})
 	if err != nil {
 		return nil, err
 	}
-	wrong, any := symptomOf(r)
-	if !any {
+	failure, ok := symptomOf(r)
+	if !ok {
 		return nil, ErrNothingWrong
 	}
 	played := 1
 	for {
-		smaller, n, err := firstThatShows(ctx, wrong, candidates(set), o)
+		smaller, n, err := firstWithSymptom(ctx, failure, candidates(set), o)
 		if played += n; err != nil || smaller == nil {
 			return set, err
 		}
@@ -94,48 +95,48 @@
 	}
 }
 
-// firstThatShows plays the candidates on all cores and returns the first, in their order, that shows what is
-// wrong; nil: none does.
-func firstThatShows(ctx context.Context, wrong symptom, all []*scenario.Scenario, o ShrinkOptions) (
+// firstWithSymptom runs the candidates on all cores and returns the first in their order that shows the
+// symptom, or nil if none does, with the number of runs.
+func firstWithSymptom(ctx context.Context, failure symptom, all []*scenario.Scenario, o ShrinkOptions) (
 	first *scenario.Scenario, played int, err error,
 ) {
-	const together = 16
-	for group := range slices.Chunk(all, together) {
-		shows := make([]bool, len(group))
+	const groupSize = 16
+	for group := range slices.Chunk(all, groupSize) {
+		failed := make([]bool, len(group))
 		err := onAllCores(ctx, len(group), func(i int) error {
 			r, err := Play(ctx, group[i], Options{Seed: group[i].Seed, Without: o.Without})
-			shows[i] = err == nil && wrong.shows(r)
+			failed[i] = err == nil && failure.presentIn(r)
 			return err
 		})
 		played += len(group)
 		if err != nil {
 			return nil, played, err
 		}
-		if i := slices.Index(shows, true); i >= 0 {
+		if i := slices.Index(failed, true); i >= 0 {
 			return group[i], played, nil
 		}
 	}
 	return nil, played, nil
 }
 
-// A step makes a scenario smaller in one way; it returns false where there is nothing to take.
-type step func(s *scenario.Scenario) bool
+// A reduction makes a scenario smaller in one way; it returns false if it does not apply.
+type reduction func(s *scenario.Scenario) bool
 
-// candidates are the scenarios one step smaller that are scenarios still, the largest steps first.
+// candidates returns the valid scenarios that are one reduction smaller, largest reductions first.
 func candidates(set *scenario.Scenario) []*scenario.Scenario {
-	var steps []step
+	var reductions []reduction
 	for i := range set.Troubles {
-		steps = append(steps, func(s *scenario.Scenario) bool {
+		reductions = append(reductions, func(s *scenario.Scenario) bool {
 			s.Troubles = slices.Delete(s.Troubles, i, i+1)
 			return true
 		})
 	}
-	steps = append(steps, halveDay, cutLead, halve(agents), halve(servers), thinLoad(0.5), oneLess(agents),
-		oneLess(servers), thinLoad(0.8), shortenDay)
-	steps = append(steps, plainer...)
+	reductions = append(reductions, halveDuration, cutLead, halve(agentCount), halve(serverCount),
+		reduceLoad(0.5), decrement(agentCount), decrement(serverCount), reduceLoad(0.8), shortenDuration)
+	reductions = append(reductions, featureRemovals...)
 	var all []*scenario.Scenario
-	for _, take := range steps {
-		if s := clone(set); take(s) {
+	for _, reduce := range reductions {
+		if s := clone(set); reduce(s) {
 			if s = valid(s); s != nil {
 				all = append(all, s)
 			}
@@ -144,7 +145,7 @@
 	return all
 }
 
-// clone copies a scenario with all that it holds.
+// clone returns a copy of a scenario that shares no slices with it.
 func clone(set *scenario.Scenario) *scenario.Scenario {
 	s := *set
 	s.Kinds, s.Classes = slices.Clone(s.Kinds), slices.Clone(s.Classes)
@@ -153,7 +154,7 @@
 	return &s
 }
 
-// valid is the scenario as its file would be read; nil: it would not.
+// valid returns the scenario as parsed from its encoded file, or nil if it does not parse.
 func valid(s *scenario.Scenario) *scenario.Scenario {
 	text, err := scenario.Encode(s)
 	if err != nil {
@@ -166,10 +167,10 @@
 	return again
 }
 
-func agents(s *scenario.Scenario) *int  { return &s.Agents.Count }
-func servers(s *scenario.Scenario) *int { return &s.Fleet.Servers }
+func agentCount(s *scenario.Scenario) *int  { return &s.Agents.Count }
+func serverCount(s *scenario.Scenario) *int { return &s.Fleet.Servers }
 
-func halve(of func(*scenario.Scenario) *int) step {
+func halve(of func(*scenario.Scenario) *int) reduction {
 	return func(s *scenario.Scenario) bool {
 		n := of(s)
 		*n /= 2
@@ -177,7 +178,7 @@
 	}
 }
 
-func oneLess(of func(*scenario.Scenario) *int) step {
+func decrement(of func(*scenario.Scenario) *int) reduction {
 	return func(s *scenario.Scenario) bool {
 		n := of(s)
 		*n--
@@ -185,7 +186,8 @@
 	}
 }
 
-// fitTroubles has troubles come over no more agents than there are; those that name none any more go.
+// fitTroubles limits troubles to the existing agents and removes those that named only agents that no longer
+// exist.
 func fitTroubles(s *scenario.Scenario) bool {
 	var fit []scenario.Trouble
 	for _, t := range s.Troubles {
@@ -206,8 +208,8 @@
 	return true
 }
 
-// thinLoad takes clients away.
-func thinLoad(part float64) step {
+// reduceLoad multiplies the load by part.
+func reduceLoad(part float64) reduction {
 	return func(s *scenario.Scenario) bool {
 		for _, v := range []*scenario.Span{&s.Load.PerS, &s.Load.OfCapacity} {
 			v.Low, v.High = v.Low*part, v.High*part
@@ -216,23 +218,23 @@
 	}
 }
 
-func halveDay(s *scenario.Scenario) bool { return endDay(s, s.Day.Length/2) }
+func halveDuration(s *scenario.Scenario) bool { return endAt(s, s.Day.Length/2) }
 
-func shortenDay(s *scenario.Scenario) bool {
-	return endDay(s, s.Day.Length-max(s.Day.Length/10, time.Second))
+func shortenDuration(s *scenario.Scenario) bool {
+	return endAt(s, s.Day.Length-max(s.Day.Length/10, time.Second))
 }
 
-// endDay ends the day sooner; troubles that begin later go.
-func endDay(s *scenario.Scenario, length time.Duration) bool {
+// endAt shortens the run to length and removes the troubles that begin later.
+func endAt(s *scenario.Scenario, length time.Duration) bool {
 	s.Day.Length = length.Truncate(time.Second)
 	tooLate := func(t scenario.Trouble) bool { return t.At.High >= s.Day.Length }
 	s.Troubles = slices.DeleteFunc(s.Troubles, tooLate)
 	return s.Day.Length > 0
 }
 
-const leastLead = 2 * time.Second
+const minLead = 2 * time.Second
 
-// cutLead halves the time before the first trouble.
+// cutLead halves the time before the first trouble, to no less than minLead.
 func cutLead(s *scenario.Scenario) bool {
 	if len(s.Troubles) == 0 {
 		return false
@@ -242,7 +244,7 @@
 		first = min(first, t.At.Low)
 	}
 	cut := (first / 2).Truncate(time.Second)
-	if cut == 0 || first-cut < leastLead {
+	if cut == 0 || first-cut < minLead {
 		return false
 	}
 	for i := range s.Troubles {
@@ -253,48 +255,48 @@
 	return true
 }
 
-// plainer are the steps that take away what else a day has.
-var plainer = []step{
+// featureRemovals are the reductions that each remove a feature of the scenario.
+var featureRemovals = []reduction{
 	func(s *scenario.Scenario) bool {
-		any := len(s.Tenants) > 0
+		changed := len(s.Tenants) > 0
 		s.Tenants, s.Load.QuotaPerS, s.Load.QuotaOfCapacity = nil, scenario.Span{}, scenario.Span{}
-		return any
+		return changed
 	},
 	func(s *scenario.Scenario) bool {
-		any := len(s.Kinds) > 1
+		changed := len(s.Kinds) > 1
 		s.Kinds = s.Kinds[:1]
 		s.Kinds[0].Share = 1
-		return any
+		return changed
 	},
 	func(s *scenario.Scenario) bool {
-		any := len(s.Network.Zones) > 1
+		changed := len(s.Network.Zones) > 1
 		s.Network.Zones = s.Network.Zones[:1]
-		return any
+		return changed
 	},
-	oneClass(0), oneClass(1),
+	keepOneClass(0), keepOneClass(1),
 	func(s *scenario.Scenario) bool {
-		any := s.Clients.Retries > 0
+		changed := s.Clients.Retries > 0
 		s.Clients.Retries = 0
-		return any
+		return changed
 	},
 	func(s *scenario.Scenario) bool {
-		any := s.Load.Shape != scenario.Steady
+		changed := s.Load.Shape != scenario.Steady
 		s.Load.Shape = scenario.Steady
-		return any
+		return changed
 	},
-	none(func(s *scenario.Scenario) *scenario.Span { return &s.Load.Keys }),
-	none(func(s *scenario.Scenario) *scenario.Span { return &s.Clients.Impatient }),
-	none(func(s *scenario.Scenario) *scenario.Span { return &s.Network.Jitter }),
-	none(func(s *scenario.Scenario) *scenario.Span { return &s.Kinds[0].ErrorRate }),
-	none(func(s *scenario.Scenario) *scenario.Span { return &s.Kinds[0].Thrash }),
+	zeroSpan(func(s *scenario.Scenario) *scenario.Span { return &s.Load.Keys }),
+	zeroSpan(func(s *scenario.Scenario) *scenario.Span { return &s.Clients.Impatient }),
+	zeroSpan(func(s *scenario.Scenario) *scenario.Span { return &s.Network.Jitter }),
+	zeroSpan(func(s *scenario.Scenario) *scenario.Span { return &s.Kinds[0].ErrorRate }),
+	zeroSpan(func(s *scenario.Scenario) *scenario.Span { return &s.Kinds[0].Thrash }),
 	func(s *scenario.Scenario) bool {
-		any := s.Kinds[0].PauseEvery.High > 0
+		changed := s.Kinds[0].PauseEvery.High > 0
 		s.Kinds[0].PauseEvery = scenario.TimeSpan{}
-		return any
+		return changed
 	},
 }
 
-func oneClass(n int) step {
+func keepOneClass(n int) reduction {
 	return func(s *scenario.Scenario) bool {
 		if len(s.Classes) < 2 || n >= len(s.Classes) {
 			return false
@@ -305,12 +307,12 @@
 	}
 }
 
-// none takes a habit away.
-func none(of func(*scenario.Scenario) *scenario.Span) step {
+// zeroSpan returns a reduction that sets a span of the scenario to zero.
+func zeroSpan(of func(*scenario.Scenario) *scenario.Span) reduction {
 	return func(s *scenario.Scenario) bool {
 		v := of(s)
-		any := v.High > 0
+		changed := v.High > 0
 		*v = scenario.Span{}
-		return any
+		return changed
 	}
 }
--- a/internal/rehearsal/soak.go
+++ b/internal/rehearsal/soak.go
@@ -11,30 +11,30 @@
 	"dunestep/internal/rehearsal/world"
 )
 
-// Held is what was held in memory at a time of the day.
+// Held is the memory in use at a time of the run.
 type Held struct {
 	At   time.Duration
-	Heap uint64 // bytes that are in use, of all agents and of the model round them
+	Heap uint64 // heap bytes in use by all agents and the simulated world
 }
 
-// Soaked is how a day went on the memory of the process that played it.
+// Soaked is the memory use over a run.
 type Soaked struct {
-	Held   []Held // at the end of each tenth of the day
+	Held   []Held // at the end of each tenth of the run
 	Agents int
 }
 
-// soakParts is how many times a day its memory is looked at.
-const soakParts = 10
+// soakSamples is the number of memory samples in a run.
+const soakSamples = 10
 
-// Soak plays a day and looks at what is held in memory, which a report can't have: it differs a little from
-// run to run. It must be the only day that the process plays meanwhile. Nothing is judged, so that no
-// record of the day is held either: what grows is the agents, or the model round them.
+// Soak runs a scenario and samples the memory in use, which is not part of a report because it varies from
+// run to run. No other run may be in progress in the process. Nothing is judged, so no record of the run is
+// kept: memory that grows belongs to the agents or the simulated world.
 func Soak(ctx context.Context, set *scenario.Scenario, o Options) (*Soaked, error) {
-	return soak(ctx, set, o, nowhere{})
+	return soak(ctx, set, o, discardSink{})
 }
 
 func soak(ctx context.Context, set *scenario.Scenario, o Options, sink record.Sink) (*Soaked, error) {
-	figures, gate, err := figuresWithout(o.Without)
+	tuning, shedding, err := tuningWithout(o.Without)
 	if err != nil {
 		return nil, err
 	}
@@ -43,47 +43,47 @@
 		if o.Progress != nil {
 			o.Progress(at)
 		}
-		if len(s.Held) < soakParts && at >= set.Day.Length/soakParts*time.Duration(len(s.Held)+1) {
-			s.look(at)
+		if len(s.Held) < soakSamples && at >= set.Day.Length/soakSamples*time.Duration(len(s.Held)+1) {
+			s.sample(at)
 		}
 	}
 	err = world.Play(ctx, set, o.Seed, sink,
-		world.Options{Figures: figures, Storm: gate, Progress: progress, Log: o.Log})
-	if err == nil && len(s.Held) < soakParts {
-		err = errors.New("the day is too short to look at its memory ten times")
+		world.Options{Figures: tuning, Storm: shedding, Progress: progress, Log: o.Log})
+	if err == nil && len(s.Held) < soakSamples {
+		err = errors.New("the run is too short for ten memory samples")
 	}
 	return s, err
 }
 
-func (s *Soaked) look(at time.Duration) {
+func (s *Soaked) sample(at time.Duration) {
 	var m runtime.MemStats
-	runtime.GC() // the second one frees what finalizers and pools kept
+	runtime.GC() // the second collection frees what finalizers and pools kept alive
 	runtime.GC()
 	runtime.ReadMemStats(&m)
 	s.Held = append(s.Held, Held{at, m.HeapAlloc})
 }
 
-// Growth is how many bytes were held more at the end than a third of the day before, for each agent: the
-// median of the last three looks less that of the three before, so that a moment's requests in flight are
-// no growth.
+// Growth returns the growth in bytes per agent toward the end of the run: the median of the last three
+// samples less the median of the three before. The medians exclude the memory of momentary peaks of
+// requests in flight.
 func (s *Soaked) Growth() float64 {
-	if len(s.Held) < soakParts {
+	if len(s.Held) < soakSamples {
 		return 0
 	}
 	n := len(s.Held)
-	return (middle(s.Held[n-3:]) - middle(s.Held[n-6:n-3])) / float64(max(s.Agents, 1))
+	return (medianOfThree(s.Held[n-3:]) - medianOfThree(s.Held[n-6:n-3])) / float64(max(s.Agents, 1))
 }
 
-func middle(h []Held) float64 {
-	a, b, c := h[0].Heap, h[1].Heap, h[2].Heap
+func medianOfThree(samples []Held) float64 {
+	a, b, c := samples[0].Heap, samples[1].Heap, samples[2].Heap
 	return float64(max(min(a, b), min(max(a, b), c)))
 }
 
-// nowhere is where the record of a day goes that nobody judges.
-type nowhere struct{}
+// discardSink discards the record of a run.
+type discardSink struct{}
 
-func (nowhere) Begin(record.Day)          {}
-func (nowhere) Server(int, record.Server) {}
-func (nowhere) Take(*record.Event)        {}
-func (nowhere) Sample(*record.Sample)     {}
-func (nowhere) End(time.Duration)         {}
+func (discardSink) Begin(record.Day)          {}
+func (discardSink) Server(int, record.Server) {}
+func (discardSink) Take(*record.Event)        {}
+func (discardSink) Sample(*record.Sample)     {}
+func (discardSink) End(time.Duration)         {}
