--- a/internal/control/policy/judge/history.go
+++ b/internal/control/policy/judge/history.go
@@ -8,25 +8,25 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// History is what proposers and readers at any agents saw of one fleet's policies. It is checked against one
-// register that each accepted proposal changes once: some order of all operations has to explain what was
-// seen, in which operations that did not overlap keep their order. It is not safe for concurrent use.
+// History records the operations on one fleet's policy versions that proposers and readers observed at any
+// agents. It checks them for linearizability against a single register, which each accepted proposal changes
+// once. It is not safe for concurrent use.
 type History struct {
 	clockError time.Duration
-	proposedAt map[string]time.Duration // when each proposal was first made, by its ID
+	proposedAt map[string]time.Duration // time at which each proposal was first made, by its ID
 	reads      map[uint64]*versionReads // by version
 	operations []porcupine.Operation
 }
 
-// versionReads are the read of a version that ended first and the one that began last. A version is in force
-// from one moment to another, so whatever order these two allow, all reads between them do; with hundreds of
-// reads that overlap, a search would not come to an end.
-type versionReads struct{ first, last readTime }
+// versionReads keeps two reads of a version: the one that ended first and the one that began last. A version
+// is in force during one interval, so any order that explains these two explains all other reads of it. With
+// hundreds of overlapping reads the linearizability check would not terminate.
+type versionReads struct{ first, last readInterval }
 
-type readTime struct{ from, to time.Duration }
+type readInterval struct{ from, to time.Duration }
 
-// NewHistory returns an empty History. ClockError is how far two agents' clocks may be apart: a version that
-// takes effect at a time does so at each agent within this of the others.
+// NewHistory returns an empty History. clockError is the maximum difference between two agents' clocks, and
+// so between the times at which a version takes effect at two agents.
 func NewHistory(clockError time.Duration) *History {
 	return &History{
 		clockError: clockError, proposedAt: map[string]time.Duration{},
@@ -34,16 +34,16 @@
 	}
 }
 
-// ProposalMade takes that somebody has proposed, under an ID; the same one may come again.
+// ProposalMade records that a proposal with an ID was made. For a repeated ID the first time counts.
 func (h *History) ProposalMade(at time.Duration, id string) {
 	if _, known := h.proposedAt[id]; !known {
 		h.proposedAt[id] = at
 	}
 }
 
-// ProposalAnswered takes what a proposer was answered: that its proposal was accepted as a version that takes
-// effect at a time, or, with version 0, that it was rejected. A proposal without an answer has to be asked
-// about again first: nothing else explains the version that it was accepted as.
+// ProposalAnswered records the answer to a proposal: it was accepted as a version that takes effect at
+// effectiveAt, or rejected if version is 0. The caller must repeat a proposal that got no answer until it
+// gets one, because otherwise no operation explains the version as which it may have been accepted.
 func (h *History) ProposalAnswered(at time.Duration, id string, version uint64, effectiveAt time.Duration) {
 	h.operations = append(h.operations, porcupine.Operation{
 		ClientId: len(h.operations), Input: operationInput{proposalID: id}, Output: version,
@@ -51,9 +51,9 @@
 	})
 }
 
-// VersionRead takes that some agent acted on a version at some moment between two.
+// VersionRead records that an agent acted on a version at some moment between from and to.
 func (h *History) VersionRead(from, to time.Duration, version uint64) {
-	r := readTime{from - h.clockError, to + h.clockError}
+	r := readInterval{from - h.clockError, to + h.clockError}
 	reads := h.reads[version]
 	if reads == nil {
 		h.reads[version] = &versionReads{r, r}
@@ -67,11 +67,12 @@
 	}
 }
 
-// IsLinearizable tells whether one register explains all that was seen.
+// IsLinearizable reports whether all recorded operations are linearizable. It returns false if the check does
+// not finish within a minute.
 func (h *History) IsLinearizable() bool {
 	operations := slices.Clone(h.operations)
 	for version, reads := range h.reads {
-		for _, r := range []readTime{reads.first, reads.last} {
+		for _, r := range []readInterval{reads.first, reads.last} {
 			operations = append(operations, porcupine.Operation{
 				ClientId: len(operations), Input: operationInput{}, Output: version,
 				Call: int64(r.from), Return: int64(r.to),
@@ -81,17 +82,17 @@
 	return porcupine.CheckOperationsTimeout(registerModel, operations, time.Minute) == porcupine.Ok
 }
 
-// operationInput is a proposal by its ID, or a read where that is empty.
+// operationInput is the ID of a proposal; it is empty for a read.
 type operationInput struct{ proposalID string }
 
-// registerState is the version, and which one each proposal was accepted as.
+// registerState is the current version, and the version as which each proposal was accepted.
 type registerState struct {
 	version  uint64
 	accepted map[string]uint64
 }
 
-// registerModel is what all agents act on; nobody changes it. Numbers rise; versions that were accepted and
-// whose proposer never learnt it may lie between two.
+// registerModel is the model of the register; it is not modified. Version numbers increase, but with gaps for
+// accepted versions whose proposer never received the answer.
 var registerModel = porcupine.Model{
 	Init: func() any { return registerState{} },
 	Step: func(state, input, output any) (bool, any) {
--- a/internal/control/policy/judge/history_test.go
+++ b/internal/control/policy/judge/history_test.go
@@ -7,55 +7,55 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestHistory: what one register explains, and what it does not; each planted fault is found.
-func TestHistory(t *testing.T) {
+// TestHistoryIsLinearizable checks that histories without a fault are linearizable, and that each injected fault is found.
+func TestHistoryIsLinearizable(t *testing.T) {
 	const s = time.Second
 	for name, c := range map[string]struct {
-		play func(h *History)
-		want bool
+		record func(h *History)
+		want   bool
 	}{
 		"in order": {func(h *History) {
 			h.ProposalMade(1*s, "a")
 			h.VersionRead(2*s, 2*s, 0)
 			h.ProposalAnswered(3*s, "a", 1, 4*s)
 			h.VersionRead(4*s, 4*s, 1)
-			h.VersionRead(4*s, 4*s, 0) // within the clocks' error
+			h.VersionRead(4*s, 4*s, 0) // within the clock error
 			h.VersionRead(5*s, 5*s, 1)
 		}, true},
-		"a proposal that is made again changes once": {func(h *History) {
+		"a repeated proposal is applied once": {func(h *History) {
 			h.ProposalMade(1*s, "a")
 			h.ProposalAnswered(3*s, "a", 1, 2*s)
 			h.ProposalMade(3*s, "a")
 			h.ProposalAnswered(4*s, "a", 1, 2*s)
 			h.VersionRead(5*s, 5*s, 1)
 		}, true},
-		"one proposal changes twice": {func(h *History) {
+		"one proposal accepted as two versions": {func(h *History) {
 			h.ProposalMade(1*s, "a")
 			h.ProposalAnswered(3*s, "a", 1, 2*s)
 			h.ProposalAnswered(4*s, "a", 2, 2*s)
 		}, false},
-		"the older version after the newer": {func(h *History) {
+		"older version read after the newer": {func(h *History) {
 			h.ProposalMade(1*s, "a")
 			h.ProposalAnswered(2*s, "a", 1, 2*s)
 			h.VersionRead(3*s, 3*s, 1)
 			h.VersionRead(4*s, 4*s, 0)
 		}, false},
-		"before it was proposed": {func(h *History) {
+		"version read before it was proposed": {func(h *History) {
 			h.VersionRead(s, s, 1)
 			h.ProposalMade(3*s, "a")
 			h.ProposalAnswered(4*s, "a", 1, 4*s)
 		}, false},
-		"accepted, and never acted on": {func(h *History) {
+		"accepted version never read": {func(h *History) {
 			h.ProposalMade(s, "a")
 			h.ProposalAnswered(2*s, "a", 1, 2*s)
 			h.VersionRead(5*s, 5*s, 0)
 		}, false},
-		"a rejected proposal is acted on": {func(h *History) {
+		"rejected proposal read": {func(h *History) {
 			h.ProposalMade(s, "a")
 			h.ProposalAnswered(2*s, "a", 0, 0)
 			h.VersionRead(5*s, 5*s, 1)
 		}, false},
-		"two proposals with one number": {func(h *History) {
+		"two proposals accepted as one version": {func(h *History) {
 			h.ProposalMade(s, "a")
 			h.ProposalMade(s, "b")
 			h.ProposalAnswered(2*s, "a", 1, 0)
@@ -63,7 +63,7 @@
 		}, false},
 	} {
 		h := NewHistory(200 * time.Millisecond)
-		c.play(h)
+		c.record(h)
 		require.Equal(t, c.want, h.IsLinearizable(), name)
 	}
 }
--- a/internal/control/policy/judge/judge.go
+++ b/internal/control/policy/judge/judge.go
@@ -1,7 +1,8 @@
-// Package judge checks from the outside whether a fleet keeps what package policy promises: from the
-// decisions that its agents made, when, and under which version. It knows nothing of how they agreed.
+// Package judge checks whether a fleet's agents decide under the policy versions that package policy permits.
+// Its input is the decisions that the agents made, with their times and policy versions; it is independent of
+// the protocol by which the versions were agreed.
 //
-// It reads no clock and does no input or output; all times are true times that the caller passes. Its types
+// The package reads no clock and does no I/O. All times are true times, which the caller passes. Its types
 // are not safe for concurrent use.
 package judge
 
@@ -12,25 +13,25 @@
 	"dunestep/internal/control/policy"
 )
 
-// Decision is one of an agent's, at a true time. Decisions are passed in the order of their times.
+// Decision is a decision of an agent. Decisions are passed in the order of At.
 type Decision struct {
-	At time.Duration
-	// LatestAt is the latest time at which it can have been made, where it was seen from outside only, and not
-	// before At; zero: it was made at At.
+	At time.Duration // true time of the decision, or the earliest possible one
+	// LatestAt is the latest time at which the decision can have been made, if only bounds are known; zero means
+	// that it was made at At.
 	LatestAt time.Duration
 	Agent    int
 	Mode     policy.Mode
-	Version  uint64 // acted on, or whose floor it was
+	Version  uint64 // version in use, or whose floor was in use
 }
 
-// Version is one that was activated.
+// Version is a policy version that was activated.
 type Version struct {
 	Number        uint64
 	EffectiveAt   time.Duration
-	Effect, Floor *policy.Effect // with the settings of all agents
+	Effect, Floor *policy.Effect // evaluated with the local settings of all agents
 }
 
-// Violation is a decision that should not have been made.
+// Violation is a decision that the policy does not permit.
 type Violation struct {
 	Decision
 	Reason string
@@ -40,40 +41,41 @@
 	return fmt.Sprintf("%v: agent %d, %v of version %d: %s", b.At, b.Agent, b.Mode, b.Version, b.Reason)
 }
 
-// maxViolations is how many violations are kept; all are counted.
+// maxViolations is the number of violations that are kept; all are counted.
 const maxViolations = 20
 
 // Judge checks the decisions of one fleet.
 type Judge struct {
-	// Violations are the first ones, Count is how many there were.
+	// Violations holds the first maxViolations violations; Count is the number of all of them.
 	Violations []Violation
 	Count      int
-	// Decisions are counted by their modes.
+	// Decisions is the number of decisions by mode.
 	Decisions [policy.ModeFull + 1]int
 
 	clockError time.Duration
-	versions   []*version // by number
+	versions   []*version // by increasing number
 }
 
 type version struct {
 	Version
 	activatedAt  time.Duration
-	firstActedAt time.Duration // by any agent
+	firstActedAt time.Duration // true time of the first decision by any agent; valid if wasActedOn
 	wasActedOn   bool
 }
 
-// New returns a Judge of a fleet that begins with a version. ClockError is how far two agents' clocks may be
-// apart.
-func New(clockError time.Duration, begin Version) *Judge {
-	return &Judge{clockError: clockError, versions: []*version{{Version: begin}}}
+// New returns a Judge of a fleet that starts with a version. clockError is the maximum difference between two
+// agents' clocks.
+func New(clockError time.Duration, initial Version) *Judge {
+	return &Judge{clockError: clockError, versions: []*version{{Version: initial}}}
 }
 
-// VersionActivated takes a version, before any decision that could be made under it. Numbers rise.
+// VersionActivated adds a version, which must be newer than the former ones. It must be called before any
+// decision that can be made under the version.
 func (j *Judge) VersionActivated(at time.Duration, v Version) {
 	j.versions = append(j.versions, &version{Version: v, activatedAt: at})
 }
 
-// DecisionMade takes a decision, and tells whether it is allowed.
+// DecisionMade checks a decision, and reports whether it is allowed.
 func (j *Judge) DecisionMade(d Decision) bool {
 	j.Decisions[min(d.Mode, policy.ModeFull)]++
 	reason := ""
@@ -101,18 +103,18 @@
 	return nil
 }
 
-// checkFull says why a decision under a version is not allowed; empty: it is.
+// checkFull returns why a decision under a version is not allowed, or an empty string if it is allowed.
 func (j *Judge) checkFull(d Decision) string {
 	v, latest := j.find(d.Version), max(d.At, d.LatestAt)
 	switch {
 	case v == nil:
 		return "the version was never activated"
 	case latest < v.EffectiveAt-j.clockError:
-		return "before the version takes hold"
+		return "the version has not taken effect"
 	}
 	for i := len(j.versions) - 1; i >= 0 && j.versions[i].Number > d.Version; i-- {
 		if newer := j.versions[i]; newer.wasActedOn && d.At > newer.firstActedAt+j.clockError {
-			return fmt.Sprintf("version %d was acted on since %v", newer.Number, newer.firstActedAt)
+			return fmt.Sprintf("newer version %d has been in use since %v", newer.Number, newer.firstActedAt)
 		}
 	}
 	if !v.wasActedOn || latest < v.firstActedAt {
@@ -121,8 +123,8 @@
 	return ""
 }
 
-// checkFloor says why a decision within a floor is not allowed; empty: it is. The version in force has to
-// allow the floor, or one of two versions while one follows the other.
+// checkFloor returns why a decision within a floor is not allowed, or an empty string if it is allowed. The
+// version in force must allow the floor; within the clock error of a change of versions either may allow it.
 func (j *Judge) checkFloor(d Decision) string {
 	v := j.find(d.Version)
 	if v == nil {
@@ -130,14 +132,14 @@
 	}
 	for i := len(j.versions) - 1; i >= 0; i-- {
 		inForce := j.versions[i]
-		begins := max(inForce.EffectiveAt, inForce.activatedAt)
+		start := max(inForce.EffectiveAt, inForce.activatedAt)
 		switch {
-		case d.At < begins-j.clockError:
+		case d.At < start-j.clockError:
 			continue
 		case inForce.Effect.Allows(v.Floor):
 			return ""
-		case d.At > begins+j.clockError:
-			return fmt.Sprintf("version %d is in force and does not allow it", inForce.Number)
+		case d.At > start+j.clockError:
+			return fmt.Sprintf("version %d is in force and does not allow the floor", inForce.Number)
 		}
 	}
 	return ""
