--- a/internal/control/maintenance/lab/lab.go
+++ b/internal/control/maintenance/lab/lab.go
@@ -101,7 +101,7 @@
 	}
 	times := policy.Times{}.WithDefaults()
 	l.Lab = policylab.New(policylab.Setup{
-		Seed: set.Seed, Voters: voters, Agents: set.Agents, Begin: begin,
+		Seed: set.Seed, Voters: voters, Agents: set.Agents, StartTime: begin,
 		Times: times, LeadTime: 2 * time.Second, NewApplication: l.newApplication,
 		Faults: simnet.Faults{
 			Loss: 0.05, Duplicate: 0.05, MinDelay: time.Millisecond, MaxDelay: 20 * time.Millisecond,
@@ -112,7 +112,7 @@
 		ClockError: 2*times.Terms.MaxClockError + time.Millisecond, Turns: turns,
 		LearnDelay: times.Terms.FenceWait(), Keys: set.Keys, ReportPeriod: 12 * time.Second,
 	})
-	l.Decided, l.OnApplicationRecord = l.decided, l.recordAgreed
+	l.OnDecision, l.OnApplicationRecord = l.decided, l.recordAgreed
 	for range set.Agents {
 		l.counts = append(l.counts, map[string]*maintenance.TenantCounts{})
 	}
--- a/internal/control/policy/lab/application.go
+++ b/internal/control/policy/lab/application.go
@@ -7,8 +7,8 @@
 	"dunestep/internal/fleet/lease"
 )
 
-// Application is what runs beside the policy in one process, with records of its own in the same log: a
-// fleet.StateMachine, and the parts of a fleet.Application that the lab plays.
+// Application runs beside the policy in one process and has records of its own in the same log. It is a
+// fleet.StateMachine with the methods of a fleet.Application that the lab calls.
 type Application interface {
 	fleet.StateMachine
 	RecordsApplied(now lease.ClockReading, anew bool)
@@ -17,8 +17,8 @@
 	NextActions(now lease.ClockReading, v fleet.VoterState) fleet.Actions
 }
 
-// applicationRecord is the first byte of an application's records in the log; the policy's never begin with
-// it.
+// applicationRecord is the first byte of an application's records in the log. No record of the policy begins
+// with it.
 const applicationRecord = 0
 
 func isApplicationRecord(data []byte) bool { return data[0] == applicationRecord }
@@ -29,16 +29,17 @@
 	if l.setup.NewApplication == nil {
 		return
 	}
-	before := nd.application
+	former := nd.application
 	nd.application = l.setup.NewApplication(nd.number, now)
-	if nd.known > 0 {
-		if err := nd.application.Restore(before.Snapshot()); err != nil {
-			panic(err) // it is the same build's
+	if nd.applied > 0 {
+		if err := nd.application.Restore(former.Snapshot()); err != nil {
+			panic(err) // the snapshot is of the same build
 		}
 	}
 }
 
-// runApplication does what is due at a node's application, and returns when it is again.
+// runApplication executes the next actions of a node's application, and returns when it is next due, by the
+// node's monotonic clock.
 func (l *Lab) runApplication(nd *node, now lease.ClockReading) time.Duration {
 	if nd.application == nil {
 		return now.Mono + time.Hour
@@ -57,7 +58,8 @@
 	return actions.Next
 }
 
-// checkInterval is how often a node checks what is open; less often while nothing is, in labs of days.
+// checkInterval returns the interval of a node's checks. It is longer while no change is open if the lab
+// has an application, because such labs simulate days.
 func (l *Lab) checkInterval(nd *node) time.Duration {
 	if l.setup.NewApplication != nil && nd.replica.StateMachine.State().OpenChange == nil {
 		return 500 * time.Millisecond
@@ -65,14 +67,15 @@
 	return 100 * time.Millisecond
 }
 
-// SubmitApplicationRecord has a node ask the leader for a record of its application, once.
+// SubmitApplicationRecord sends a record of a node's application to the leader, once. It does nothing if the
+// node is not running or is paused.
 func (l *Lab) SubmitApplicationRecord(n int, data []byte) {
 	if l.node(n).incarnation > 0 && !l.IsPaused(n) {
 		l.submit(n, encodeApplicationRecord(data))
 	}
 }
 
-// Application is a node's; nil: its process does not run.
+// Application returns a node's application, or nil if the node's process is not running.
 func (l *Lab) Application(n int) Application {
 	if l.node(n).incarnation == 0 {
 		return nil
@@ -80,5 +83,5 @@
 	return l.node(n).application
 }
 
-// AgreedApplication follows the agreed log.
+// AgreedApplication returns the application that has applied the whole agreed log.
 func (l *Lab) AgreedApplication() Application { return l.agreedApplication }
--- a/internal/control/policy/lab/faults.go
+++ b/internal/control/policy/lab/faults.go
@@ -6,10 +6,10 @@
 	"dunestep/internal/simnet"
 )
 
-// injectFault has one thing go wrong, for a while.
+// injectFault injects one random fault, which ends before end at the latest.
 func (l *Lab) injectFault(end time.Duration) {
 	rng := l.Rand()
-	if l.isQuiet() && rng.IntN(4) > 0 {
+	if l.hasFewFaults() && rng.IntN(4) > 0 {
 		return
 	}
 	n := rng.IntN(l.nodeCount())
@@ -23,7 +23,7 @@
 		l.Pause(n, until)
 	case 1:
 		l.cut(n, other, until)
-	case 2: // from all, one way
+	case 2: // all messages to the node
 		for i := range l.nodeCount() {
 			l.cut(i, n, until)
 		}
@@ -41,9 +41,11 @@
 	}
 }
 
+// restart stops a node, and starts it again at a time. Half of the restarts take 200 ms at most, and half
+// keep the stored records.
 func (l *Lab) restart(n int, until time.Duration) {
 	l.Stop(n)
-	if l.Rand().IntN(2) == 0 { // at once, while leases that it granted still hold
+	if l.Rand().IntN(2) == 0 { // while leases that it granted are still valid
 		until = min(until, l.Now()+200*time.Millisecond)
 	}
 	storage := StorageLost
@@ -57,17 +59,17 @@
 	})
 }
 
-// injectFaultsAtRecords has things go wrong right after one of a change's records: the leader or another
-// voter ends, and as a change is proposed an agent is cut off that still holds leases, and a voter that
-// granted one forgets it.
+// injectFaultsAtRecords injects faults right after records of a change are agreed: the leader or another
+// voter restarts. When a change is proposed, an agent that holds leases may be cut off, and a voter that
+// granted one may restart and lose it.
 func (l *Lab) injectFaultsAtRecords() {
 	untilRestart, wasOpen := l.Rand().IntN(6), false
-	l.onRecord = func(open bool) {
-		if begins := open && !wasOpen; begins && (l.focus == voterForgets || l.Rand().IntN(2) == 0) {
+	l.onPolicyRecord = func(open bool) {
+		if wasProposed := open && !wasOpen; wasProposed && (l.focus == voterForgets || l.Rand().IntN(2) == 0) {
 			l.injectFaultAtProposal()
 		}
 		wasOpen = open
-		if untilRestart--; untilRestart > 0 || l.leader < 0 || l.isQuiet() {
+		if untilRestart--; untilRestart > 0 || l.leader < 0 || l.hasFewFaults() {
 			return
 		}
 		untilRestart = 1 + l.Rand().IntN(8)
@@ -79,6 +81,7 @@
 	}
 }
 
+// injectFaultAtProposal cuts off an agent for 3 s, and injects the fault of the scenario's focus.
 func (l *Lab) injectFaultAtProposal() {
 	l.cutOff(len(l.voters)+l.Rand().IntN(len(l.agents)), l.Now()+3*time.Second)
 	switch l.focus {
@@ -92,6 +95,7 @@
 	}
 }
 
+// cutOff cuts all connections from and to a node until a time.
 func (l *Lab) cutOff(n int, until time.Duration) {
 	for i := range l.nodeCount() {
 		l.cut(i, n, until)
@@ -99,14 +103,15 @@
 	}
 }
 
+// cut drops all messages in one direction until a time.
 func (l *Lab) cut(from, to int, until time.Duration) {
 	l.SetCut(from, to, true)
 	l.At(until, func() { l.SetCut(from, to, false) })
 }
 
-// heal has all nodes run and reach each other.
+// heal starts all stopped nodes, restores all connections and reduces the network faults.
 func (l *Lab) heal() {
-	l.onRecord = nil
+	l.onPolicyRecord = nil
 	for n := range l.nodeCount() {
 		if l.node(n).incarnation == 0 {
 			l.Start(n, StorageLost)
--- a/internal/control/policy/lab/lab.go
+++ b/internal/control/policy/lab/lab.go
@@ -10,101 +10,101 @@
 	"dunestep/internal/simnet"
 )
 
-// Setup is what a Lab is made from.
+// Setup configures a Lab.
 type Setup struct {
 	Seed           uint64
 	Voters, Agents int
-	Begin          time.Duration // true time, which is Unix time; zero: 1e6 s
+	StartTime      time.Duration // true time, which is Unix time; zero: defaultStartTime
 	Faults         simnet.Faults
 	Times          policy.Times
-	LeadTime       time.Duration // how far ahead changes are to take effect
-	Without        Protection    // that is removed
-	// NewApplication, where set, makes what runs beside the policy in a node's process; for a node below zero,
-	// in none, to follow the agreed log.
+	LeadTime       time.Duration // time from a proposal to its effective time
+	Without        Protection    // disabled protection; empty: none
+	// NewApplication, if set, returns the application that runs beside the policy in a node's process. A
+	// negative n stands for the application that applies the agreed log outside of any process.
 	NewApplication func(n int, now lease.ClockReading) Application
 }
 
-// Protection is one that can be removed, to see that the judge finds it; empty: none.
+// Protection names a part of the protocol that can be disabled, to check that the judge detects its absence.
 type Protection string
 
 const (
-	withoutPromise     Protection = "promise"     // agents act on the former version for too long
-	withoutPrepare     Protection = "prepare"     // what is proposed is activated at once
-	withoutFence       Protection = "fence"       // a tenth of the fence is waited for
-	withoutOutstanding Protection = "outstanding" // voters report while leases still hold
-	withoutBegin       Protection = "begin"       // voters ignore the leases of an earlier process of theirs
-	withoutCheck       Protection = "check"       // agents accept what allows less than the floor
-	withoutSettle      Protection = "settle"      // a floor that was replaced does not count any more at once
-	withoutRunOut      Protection = "run out"     // agents that are cut off act by their floor for ever
-	withoutDecline     Protection = "decline"     // voters grant leases whatever the answer, and forget it
-	withoutOwn         Protection = "own"         // leaders activate documents that they have not checked
+	withoutPromise       Protection = "promise"     // agents act on the version in force despite their promise
+	withoutPreparation   Protection = "prepare"     // a proposed change is activated at once
+	withoutFence         Protection = "fence"       // the proposer waits for a tenth of the fence
+	withoutLeaseExpiry   Protection = "outstanding" // voters report while leases are still valid
+	withoutEarlierLeases Protection = "begin"       // voters ignore leases that their earlier processes granted
+	withoutDocumentCheck Protection = "check"       // agents accept documents that allow less than the floor
+	withoutFloorWait     Protection = "settle"      // a replaced floor no longer counts at once
+	withoutFloorExpiry   Protection = "run out"     // agents that are cut off use their floor without limit
+	withoutRejections    Protection = "decline"     // voters grant leases regardless of rejections
+	withoutLeaderCheck   Protection = "own"         // leaders activate documents without a check of their own
 )
 
-// Protections are all of them.
+// Protections returns all protections.
 func Protections() []Protection {
 	return []Protection{
-		withoutPromise, withoutPrepare, withoutFence, withoutOutstanding, withoutBegin, withoutCheck, withoutSettle,
-		withoutRunOut, withoutDecline, withoutOwn,
+		withoutPromise, withoutPreparation, withoutFence, withoutLeaseExpiry, withoutEarlierLeases,
+		withoutDocumentCheck, withoutFloorWait, withoutFloorExpiry, withoutRejections, withoutLeaderCheck,
 	}
 }
 
-// Lab is a fleet in virtual time.
+// Lab is a simulated fleet in virtual time.
 type Lab struct {
 	*simnet.Network
 	Judge *judge.Judge
-	// Acted is when each agent first acted on a version, by version and agent; true time.
-	Acted map[uint64]map[int]time.Duration
-	// UnusableActivations counts agents that held a lease as a version was activated that they cannot use.
+	// FirstActedAt is the true time at which each agent first acted on a version, by version and agent.
+	FirstActedAt map[uint64]map[int]time.Duration
+	// UnusableActivations counts the agents that held a lease when a version was activated that they cannot use.
 	UnusableActivations int
-	// LongestOpen is the longest time for which a change was open while the leader reached a majority all along.
+	// LongestOpen is the longest time that a change was open since the leader last lacked a majority.
 	LongestOpen time.Duration
 
-	// Decided is called with each decision, OnApplicationRecord with each agreed record of the application.
-	Decided             func(agent int, now lease.ClockReading, standing lease.Standing, active policy.Active)
+	// OnDecision is called for each decision, OnApplicationRecord for each agreed record of the application.
+	OnDecision          func(agent int, now lease.ClockReading, standing lease.Standing, active policy.Active)
 	OnApplicationRecord func()
 
 	setup             Setup
-	pausedUntil       time.Duration // all nodes
-	droppedMessages   int           // at the front of messages
-	agreedApplication Application   // follows the agreed log
+	pausedUntil       time.Duration // all nodes are paused until this true time
+	droppedMessages   int           // number of messages that were dropped from the front of messages
+	agreedApplication Application   // has applied the whole agreed log
 	focus             focus
 	log               [][]byte
-	reference         *policy.StateMachine // follows the agreed log
+	reference         *policy.StateMachine // has applied the whole agreed log
 	voters            []*voter
 	agents            []*agent
 	messages          []message
-	leader            int             // below zero: none
-	majorityAt        time.Duration   // when the leader last reached a majority
-	openSince         time.Duration   // the open change
-	onRecord          func(open bool) // called after each agreed record
+	leader            int             // below zero: no leader
+	lastMajorityAt    time.Duration   // true time at which the leader last reached a majority
+	changeOpenSince   time.Duration   // true time of the proposal, or of the last lack of a majority
+	onPolicyRecord    func(open bool) // called after each agreed record of the policy
 	proposals         []*proposal
 }
 
-// node is what voters and agents have in common.
+// node is the common part of voters and agents.
 type node struct {
 	number       int
-	incarnation  int // of its process; zero: none runs
-	incarnations int // that have run
-	known        int // records
+	incarnation  int // of its process; zero: not running
+	incarnations int // number of processes started so far
+	applied      int // number of records applied
 	replica      *policy.Replica
 	application  Application
-	nextPull     time.Duration // when it asks another node for records
+	nextPull     time.Duration // when it next requests records, by its monotonic clock
 }
 
 type voter struct {
 	node
-	granter  *lease.Granter
-	reads    []message
-	requests map[uint64]message // for leases, by nonce
+	granter      *lease.Granter
+	pendingReads []message
+	requests     map[uint64]message // requests for leases, by nonce
 }
 
 type agent struct {
 	node
-	holder *lease.Holder
-	local  policy.LocalSettings
+	holder        *lease.Holder
+	localSettings policy.LocalSettings
 }
 
-// LocalSettings are the settings of all agents.
+// LocalSettings returns the local settings of all agents.
 func LocalSettings() policy.LocalSettings {
 	return policy.LocalSettings{MaxFailedRatio: 0.25, Settings: balancer.Settings{
 		Tenants: []balancer.Tenant{{Name: "east", QuotaPerSecond: 60}, {Name: "west", QuotaPerSecond: 40}},
@@ -113,18 +113,18 @@
 	}}
 }
 
-// defaultBegin is when a Lab begins, in true time.
-const defaultBegin = 1e6 * time.Second
+// defaultStartTime is the true time at which a Lab starts if the Setup has none.
+const defaultStartTime = 1e6 * time.Second
 
-// New returns a Lab with all nodes running and version 0 of the policy.
+// New returns a Lab in which all nodes are running with version 0 of the policy.
 func New(setup Setup) *Lab {
 	setup.Times = setup.Times.WithDefaults()
-	if setup.Begin == 0 {
-		setup.Begin = defaultBegin
+	if setup.StartTime == 0 {
+		setup.StartTime = defaultStartTime
 	}
 	l := &Lab{
-		Network: simnet.NewNetwork(setup.Seed, setup.Voters+setup.Agents, setup.Begin, setup.Faults), setup: setup,
-		reference: policy.NewStateMachine(), Acted: map[uint64]map[int]time.Duration{},
+		Network: simnet.NewNetwork(setup.Seed, setup.Voters+setup.Agents, setup.StartTime, setup.Faults),
+		setup:   setup, reference: policy.NewStateMachine(), FirstActedAt: map[uint64]map[int]time.Duration{},
 	}
 	initial, err := evaluate(LocalSettings(), "format = 1\n")
 	if err != nil {
@@ -139,25 +139,25 @@
 		l.voters = append(l.voters, &voter{node: node{number: i}})
 	}
 	for i := range setup.Agents {
-		l.agents = append(l.agents, &agent{node: node{number: setup.Voters + i}, local: LocalSettings()})
+		l.agents = append(l.agents, &agent{node: node{number: setup.Voters + i}, localSettings: LocalSettings()})
 	}
 	for i := range setup.Voters + setup.Agents {
 		l.Start(i, StorageLost)
 	}
-	l.watchLeader()
+	l.checkLeader()
 	return l
 }
 
-// evaluate is what a document means at an agent with these settings.
-func evaluate(own policy.LocalSettings, document string) (v judge.Version, err error) {
+// evaluate returns the effect and the floor of a document for an agent with local settings.
+func evaluate(local policy.LocalSettings, document string) (v judge.Version, err error) {
 	d, err := policy.ParseDocument("lab", []byte(document))
 	if err != nil {
 		return v, err
 	}
-	if v.Effect, err = d.Effect(own); err != nil {
+	if v.Effect, err = d.Effect(local); err != nil {
 		return v, err
 	}
-	v.Floor = d.Floor().Effect(own)
+	v.Floor = d.Floor().Effect(local)
 	return v, nil
 }
 
@@ -181,19 +181,20 @@
 	return numbers
 }
 
-// LimitAttempts has an agent's settings permit two attempts: it cannot use what others can.
+// LimitAttempts limits an agent's local settings to two attempts, so that it rejects some documents that
+// other agents accept.
 func (l *Lab) LimitAttempts(agent int) {
-	own := LocalSettings()
-	own.Settings.Limits.MaxAttempts = 2
-	l.agents[agent].local = own
-	l.agents[agent].replica.Agent.SetLocalSettings(own)
+	local := LocalSettings()
+	local.Settings.Limits.MaxAttempts = 2
+	l.agents[agent].localSettings = local
+	l.agents[agent].replica.Agent.SetLocalSettings(local)
 }
 
-// State is the agreed state.
+// State returns the agreed state.
 func (l *Lab) State() policy.State { return l.reference.State() }
 
-// Active is what a node's process acts on now. A voter counts as one with a lease while it leads and reaches
-// a majority.
+// Active returns the standing of a node's lease and the policy that the node acts on now. A voter counts as
+// holding a lease while it leads and reaches a majority.
 func (l *Lab) Active(n int) (lease.Standing, policy.Active) {
 	nd, now, standing := l.node(n), l.reading(n), lease.Floor
 	if n >= len(l.voters) {
@@ -204,23 +205,23 @@
 	return standing, nd.replica.Agent.Active(now, standing)
 }
 
-// Reading is a node's clocks.
+// Reading returns the present reading of a node's clocks.
 func (l *Lab) Reading(n int) lease.ClockReading { return l.reading(n) }
 
-// StateMachine is a node's, of the policy.
+// StateMachine returns a node's state machine of the policy.
 func (l *Lab) StateMachine(n int) *policy.StateMachine { return l.node(n).replica.StateMachine }
 
-// Leader is the voter that leads; below zero: none does.
+// Leader returns the number of the voter that leads, or a negative number if none does.
 func (l *Lab) Leader() int { return l.leader }
 
-// Incarnation tells processes of a node apart; zero: none runs.
+// Incarnation returns the number of a node's running process, from 1, or zero if none runs.
 func (l *Lab) Incarnation(n int) int { return l.node(n).incarnation }
 
-// CutOff cuts all connections from and to a node, until a true time.
+// CutOff cuts all connections from and to a node until a true time.
 func (l *Lab) CutOff(n int, until time.Duration) { l.cutOff(n, until) }
 
-// PauseAll has time pass up to a true one in which nothing happens: all nodes are paused. Messages in flight
-// are lost.
+// PauseAll pauses all nodes and advances the time to until, a true time. Messages in flight are lost. It does
+// nothing if until is past.
 func (l *Lab) PauseAll(until time.Duration) {
 	if until <= l.Now() {
 		return
--- a/internal/control/policy/lab/messages.go
+++ b/internal/control/policy/lab/messages.go
@@ -11,16 +11,16 @@
 type messageKind uint8
 
 const (
-	messageRecords       messageKind = iota // records: how many the sender has
-	messageRecordsWanted                    // the same, and asks for more
-	messageLeaseRequest                     // with the agent's answer
-	messageGrant                            // or a rejection of the request
-	messageAnswer                           // an agent's, beside its requests for leases
-	messageAcknowledged                     // that a voter has an answer
-	messageProposal                         // data, for the leader
-	messageReadRequest                      // a voter asks the leader what is agreed
-	messageReadReply                        // records are
-	messageApplication                      // data, between applications
+	messageRecords        messageKind = iota // records: number of records that the sender has applied
+	messageRecordsRequest                    // the same, and requests newer records
+	messageLeaseRequest                      // with the agent's answer to an open change
+	messageGrant                             // or rejection of a lease request
+	messageAnswer                            // the agent's answer, sent outside of a lease request
+	messageAcknowledged                      // confirms an answer to its agent
+	messageProposal                          // data: a record for the leader to commit
+	messageReadRequest                       // requests the length of the agreed log from the leader
+	messageReadReply                         // records: length of the agreed log
+	messageApplication                       // data: a message between applications
 )
 
 type message struct {
@@ -31,7 +31,7 @@
 	request     lease.Request
 	grant       lease.Grant
 	data        []byte
-	askedAt     lease.ClockReading // of the voter that reads
+	requestedAt lease.ClockReading // reading of the voter that sent the read request
 }
 
 func (l *Lab) send(from, to int, m message) {
@@ -41,7 +41,7 @@
 }
 
 func (l *Lab) deliver(to, from int, data []byte) {
-	i, _ := binary.Uvarint(data) // send has made it
+	i, _ := binary.Uvarint(data) // encoded by send
 	nd := l.node(to)
 	if nd.incarnation == 0 || int(i) < l.droppedMessages {
 		return
@@ -51,10 +51,10 @@
 	case messageApplication:
 		nd.application.HandleMessage(l.reading(to), from, m.data)
 		return
-	case messageRecords, messageRecordsWanted:
-		l.learn(to, m.records)
-		if nd.known > m.records {
-			l.send(to, from, message{kind: messageRecords, records: nd.known})
+	case messageRecords, messageRecordsRequest:
+		l.applyRecords(to, m.records)
+		if nd.applied > m.records {
+			l.send(to, from, message{kind: messageRecords, records: nd.applied})
 		}
 		return
 	case messageProposal:
@@ -62,7 +62,7 @@
 		return
 	case messageReadRequest:
 		if to == l.leader && l.hasMajority() {
-			l.send(to, from, message{kind: messageReadReply, records: len(l.log), askedAt: m.askedAt})
+			l.send(to, from, message{kind: messageReadReply, records: len(l.log), requestedAt: m.requestedAt})
 		}
 		return
 	}
@@ -92,28 +92,29 @@
 		replies, read := v.granter.HandleRequest(now, agent, m.request)
 		l.sendGrants(v, now, replies)
 		if read {
-			l.readAgreed(v, now)
+			l.readAgreedPosition(v, now)
 		}
 	case messageAnswer:
-		if l.setup.Without != withoutDecline {
+		if l.setup.Without != withoutRejections {
 			v.replica.Voter.AnswerReceived(agent, uint64(m.incarnation), m.answer)
 		}
 		l.send(v.number, from, message{kind: messageAcknowledged, answer: m.answer})
 		l.propose(v, now)
 	case messageReadReply:
-		v.reads = append(v.reads, m)
+		v.pendingReads = append(v.pendingReads, m)
 		l.confirm(v)
 	}
 }
 
-// readAgreed has a voter ask the leader what is agreed.
-func (l *Lab) readAgreed(v *voter, now lease.ClockReading) {
+// readAgreedPosition requests the length of the agreed log for a voter; the leader itself confirms it with a
+// majority. The reply arrives at confirm.
+func (l *Lab) readAgreedPosition(v *voter, now lease.ClockReading) {
 	incarnation := v.incarnation
 	if v.number != l.leader {
-		for i := range 3 { // as a leader's heartbeats are repeated
+		for i := range 3 { // repeated, as a leader repeats heartbeats
 			l.At(l.Now()+time.Duration(i)*100*time.Millisecond, func() {
 				if v.incarnation == incarnation && l.leader >= 0 {
-					l.send(v.number, l.leader, message{kind: messageReadRequest, askedAt: now})
+					l.send(v.number, l.leader, message{kind: messageReadRequest, requestedAt: now})
 				}
 			})
 		}
@@ -121,25 +122,28 @@
 	}
 	l.At(l.Now()+5*time.Millisecond, func() {
 		if v.incarnation == incarnation && v.number == l.leader && l.hasMajority() {
-			v.reads = append(v.reads, message{records: len(l.log), askedAt: now})
+			v.pendingReads = append(v.pendingReads, message{records: len(l.log), requestedAt: now})
 			l.confirm(v)
 		}
 	})
 }
 
-// confirm takes the leader's replies for which all records that they cover are applied.
+// confirm handles those of the leader's replies whose records the voter has all applied, and keeps the
+// others.
 func (l *Lab) confirm(v *voter) {
-	now, later := l.reading(v.number), v.reads[:0]
-	for _, m := range v.reads {
-		if m.records > v.known {
-			later = append(later, m)
+	now, remaining := l.reading(v.number), v.pendingReads[:0]
+	for _, m := range v.pendingReads {
+		if m.records > v.applied {
+			remaining = append(remaining, m)
 			continue
 		}
-		l.sendGrants(v, now, v.granter.HandleConfirmed(now, m.askedAt, position(m.records)))
+		l.sendGrants(v, now, v.granter.HandleConfirmed(now, m.requestedAt, position(m.records)))
 	}
-	v.reads = later
+	v.pendingReads = remaining
 }
 
+// sendGrants sends a voter's replies to lease requests. It rejects those that the policy or the application
+// does not allow.
 func (l *Lab) sendGrants(v *voter, now lease.ClockReading, replies []lease.Reply) {
 	for _, reply := range replies {
 		r := v.requests[reply.Grant.Nonce]
@@ -152,7 +156,7 @@
 }
 
 func (l *Lab) mayGrantLease(v *voter, now lease.ClockReading, to int, m message) bool {
-	if l.setup.Without == withoutDecline {
+	if l.setup.Without == withoutRejections {
 		if open := v.replica.StateMachine.State().OpenChange; open != nil {
 			m.answer = policy.Answer{Version: open.Number}.Encode()
 		}
--- a/internal/control/policy/lab/process.go
+++ b/internal/control/policy/lab/process.go
@@ -8,36 +8,36 @@
 	"dunestep/internal/fleet/replica"
 )
 
-// Storage is what a process that starts finds of the records that the one before had.
+// Storage is what a starting process finds of the records that its predecessor had applied.
 type Storage uint8
 
 const (
-	// StorageLost means that it finds none.
+	// StorageLost means that no records were kept.
 	StorageLost Storage = iota
-	// StorageKept means that it finds all.
+	// StorageKept means that all records were kept.
 	StorageKept
 )
 
 // Stop ends a node's process.
 func (l *Lab) Stop(n int) { l.node(n).incarnation = 0 }
 
-// Start starts a node's process anew.
+// Start starts a new process of a node.
 func (l *Lab) Start(n int, storage Storage) {
 	nd, now := l.node(n), l.reading(n)
 	nd.incarnations++
 	nd.incarnation = nd.incarnations
-	before := nd.replica
-	if storage == StorageLost || before == nil {
-		nd.known = 0
+	formerReplica := nd.replica
+	if storage == StorageLost || formerReplica == nil {
+		nd.applied = 0
 	}
 	if n < len(l.voters) {
 		l.startVoter(l.voters[n], now)
 	} else {
 		l.startAgent(l.agents[n-len(l.voters)], now)
 	}
-	if nd.known > 0 {
-		if err := nd.replica.StateMachine.Restore(before.StateMachine.Snapshot()); err != nil {
-			panic(err) // it is the same build's
+	if nd.applied > 0 {
+		if err := nd.replica.StateMachine.Restore(formerReplica.StateMachine.Snapshot()); err != nil {
+			panic(err) // the snapshot is of the same build
 		}
 	}
 	l.startApplication(nd, now)
@@ -51,58 +51,60 @@
 		Incarnation: uint64(a.incarnation), Voters: l.voterNumbers(), Seed: l.setup.Seed ^ uint64(a.number)<<32,
 	}, now)
 	times := l.setup.Times
-	if l.setup.Without == withoutRunOut {
+	if l.setup.Without == withoutFloorExpiry {
 		times.FloorValidity = time.Hour
 	}
-	a.replica = policy.NewReplica(a.local, times, now)
+	a.replica = policy.NewReplica(a.localSettings, times, now)
 }
 
 func (l *Lab) startVoter(v *voter, now lease.ClockReading) {
-	voterTimes, proposerTimes, begin := l.setup.Times, l.setup.Times, now
+	voterTimes, proposerTimes, startedAt := l.setup.Times, l.setup.Times, now
 	switch l.setup.Without {
-	case withoutPrepare:
+	case withoutPreparation:
 		proposerTimes.Terms.Duration, proposerTimes.Terms.MaxKnowledgeAge = 1, 1
 	case withoutFence:
 		proposerTimes.Terms.Duration /= 10
 		proposerTimes.Terms.MaxKnowledgeAge /= 10
-	case withoutSettle:
+	case withoutFloorWait:
 		proposerTimes.Terms.Duration, proposerTimes.Terms.MaxKnowledgeAge = 1, 1
 		proposerTimes.FloorValidity = 1
-	case withoutOutstanding:
+	case withoutLeaseExpiry:
 		voterTimes.Terms.Duration = 1
-	case withoutBegin:
-		begin = lease.ClockReading{}
+	case withoutEarlierLeases:
+		startedAt = lease.ClockReading{}
 	}
 	v.granter = lease.NewGranter(lease.GranterSettings{Terms: l.setup.Times.Terms, Agents: l.setup.Agents})
 	v.replica = policy.NewVoterReplica(v.number, LocalSettings(), l.setup.Times, now)
-	v.replica.Voter = policy.NewVoter(v.number, voterTimes, begin)
+	v.replica.Voter = policy.NewVoter(v.number, voterTimes, startedAt)
 	v.replica.Proposer = policy.NewProposer(v.number, proposerTimes)
 	v.replica.Proposer.SetVoters(now, l.voterNumbers(), 1)
-	v.reads, v.requests = nil, map[uint64]message{}
+	v.pendingReads, v.requests = nil, map[uint64]message{}
 }
 
 func position(n int) replica.Position { return replica.Position{Epoch: 1, Seq: uint64(n)} }
 
-// learn has a node apply records up to a number.
-func (l *Lab) learn(n, upTo int) {
+// applyRecords applies the agreed records up to number upTo at a node, and informs three random nodes of
+// them.
+func (l *Lab) applyRecords(n, upTo int) {
 	nd := l.node(n)
-	if nd.known >= upTo {
+	if nd.applied >= upTo {
 		return
 	}
-	for ; nd.known < upTo; nd.known++ {
-		if data := l.log[nd.known]; isApplicationRecord(data) {
-			nd.application.Apply(uint64(nd.known+1), data[1:])
+	for ; nd.applied < upTo; nd.applied++ {
+		if data := l.log[nd.applied]; isApplicationRecord(data) {
+			nd.application.Apply(uint64(nd.applied+1), data[1:])
 		} else {
-			nd.replica.StateMachine.Apply(uint64(nd.known+1), data)
+			nd.replica.StateMachine.Apply(uint64(nd.applied+1), data)
 		}
 	}
 	l.recordsApplied(n)
 	for range 3 {
-		l.send(n, l.Rand().IntN(l.nodeCount()), message{kind: messageRecords, records: nd.known})
+		l.send(n, l.Rand().IntN(l.nodeCount()), message{kind: messageRecords, records: nd.applied})
 	}
 }
 
-// recordsApplied has a node's parts learn what was applied, in the order that a fleet.Node has.
+// recordsApplied updates the components of a node after records were applied, in the same order as
+// fleet.Node.
 func (l *Lab) recordsApplied(n int) {
 	now := l.reading(n)
 	l.node(n).replica.Learn(now)
@@ -111,18 +113,18 @@
 	}
 	if n < len(l.voters) {
 		v := l.voters[n]
-		if l.setup.Without == withoutOwn || l.setup.Without == withoutCheck {
-			v.replica.Proposer.Learn(now, v.replica.StateMachine, accepting(v.replica.Agent.EncodedAnswer()))
+		if l.setup.Without == withoutLeaderCheck || l.setup.Without == withoutDocumentCheck {
+			v.replica.Proposer.Learn(now, v.replica.StateMachine, acceptingAnswer(v.replica.Agent.EncodedAnswer()))
 		}
 		l.confirm(v)
 		return
 	}
 	a := l.agents[n-len(l.voters)]
-	a.holder.SetApplied(position(a.known))
+	a.holder.SetApplied(position(a.applied))
 	l.notifyVoters(a, now)
 }
 
-// tick does what is due at a node.
+// tick executes the due actions of a node, and sets its next timer.
 func (l *Lab) tick(n int) {
 	nd, now := l.node(n), l.reading(n)
 	if nd.incarnation == 0 {
@@ -130,7 +132,7 @@
 	}
 	if now.Mono >= nd.nextPull {
 		nd.nextPull = now.Mono + 400*time.Millisecond
-		l.send(n, l.Rand().IntN(l.nodeCount()), message{kind: messageRecordsWanted, records: nd.known})
+		l.send(n, l.Rand().IntN(l.nodeCount()), message{kind: messageRecordsRequest, records: nd.applied})
 	}
 	next := now.Mono + l.checkInterval(nd)
 	if n < len(l.voters) {
@@ -146,27 +148,29 @@
 	l.SetTimer(n, max(min(next, l.runApplication(nd, now)), now.Mono+time.Millisecond))
 }
 
-// answer is the agent's, or an accepting one where agents do not check documents.
+// answer returns the agent's encoded answer, or an accepting one if withoutDocumentCheck is set.
 func (l *Lab) answer(a *agent) []byte {
-	if l.setup.Without == withoutCheck {
-		return accepting(a.replica.Agent.EncodedAnswer())
+	if l.setup.Without == withoutDocumentCheck {
+		return acceptingAnswer(a.replica.Agent.EncodedAnswer())
 	}
 	return a.replica.Agent.EncodedAnswer()
 }
 
-// accepting is the same answer, but one that accepts.
-func accepting(answer []byte) []byte {
-	a, _ := policy.DecodeAnswer(answer) // it is of the same process
+// acceptingAnswer returns an accepting answer to the same version.
+func acceptingAnswer(answer []byte) []byte {
+	a, _ := policy.DecodeAnswer(answer) // encoded by the same process
 	return policy.Answer{Version: a.Version}.Encode()
 }
 
+// notifyVoters sends the agent's answer to the voters that have not acknowledged it.
 func (l *Lab) notifyVoters(a *agent, now lease.ClockReading) {
 	for _, v := range a.replica.Agent.VotersToNotify(now, l.voterNumbers()) {
 		l.send(a.number, v, message{kind: messageAnswer, answer: l.answer(a)})
 	}
 }
 
-// propose does what is due at a voter, and returns when it is again.
+// propose submits the records that are due at a voter, and returns when it is next due, by its monotonic
+// clock.
 func (l *Lab) propose(v *voter, now lease.ClockReading) (next time.Duration) {
 	due := v.replica.Due
 	if v.number == l.leader {
--- a/internal/control/policy/lab/proposals.go
+++ b/internal/control/policy/lab/proposals.go
@@ -9,7 +9,7 @@
 	"dunestep/internal/fleet/lease"
 )
 
-// proposal is a change that is asked for at a node, again and again until its outcome is known.
+// proposal is a change that is proposed at a node, and repeated until its outcome is known there.
 type proposal struct {
 	node   int
 	id     string
@@ -17,7 +17,7 @@
 	status policy.ProposalStatus
 }
 
-// Propose asks for a change at a node, until its outcome is known there.
+// Propose proposes a change at a node, and repeats it every 500 ms until its outcome is known there.
 func (l *Lab) Propose(n int, document string) {
 	state := l.node(n).replica.StateMachine.State()
 	p := &proposal{node: n, id: fmt.Sprint("change ", len(l.proposals))}
@@ -31,10 +31,11 @@
 	}
 	p.data = data
 	l.proposals = append(l.proposals, p)
-	l.retry(p)
+	l.retryProposal(p)
 }
 
-func (l *Lab) retry(p *proposal) {
+// retryProposal submits a proposal unless its outcome is known, and schedules the next retry.
+func (l *Lab) retryProposal(p *proposal) {
 	p.status = l.node(p.node).replica.StateMachine.Outcome(p.id).Status
 	if p.status != policy.StatusUnknown {
 		return
@@ -42,11 +43,11 @@
 	if l.node(p.node).incarnation > 0 && !l.IsPaused(p.node) {
 		l.submit(p.node, p.data)
 	}
-	l.At(l.Now()+500*time.Millisecond, func() { l.retry(p) })
+	l.At(l.Now()+500*time.Millisecond, func() { l.retryProposal(p) })
 }
 
-// Unsettled counts the changes that were asked for whose outcome is not agreed.
-func (l *Lab) Unsettled() (n int) {
+// CountUnknownOutcomes returns the number of proposals whose outcome is not in the agreed log.
+func (l *Lab) CountUnknownOutcomes() (n int) {
 	for _, p := range l.proposals {
 		if l.reference.Outcome(p.id).Status == policy.StatusUnknown {
 			n++
@@ -55,7 +56,7 @@
 	return n
 }
 
-// Decide has every agent that runs make a decision.
+// Decide makes a decision at each agent that is running and not paused.
 func (l *Lab) Decide() {
 	for i, a := range l.agents {
 		if a.incarnation > 0 && !l.IsPaused(a.number) {
@@ -64,12 +65,13 @@
 	}
 }
 
+// decide makes a decision at an agent, and passes it to the judge.
 func (l *Lab) decide(i int, a *agent) {
 	now := l.reading(a.number)
 	standing := a.holder.Standing(now)
 	active := a.replica.Agent.Active(now, standing)
-	if l.Decided != nil {
-		l.Decided(i, now, standing, active)
+	if l.OnDecision != nil {
+		l.OnDecision(i, now, standing, active)
 	}
 	isBound := standing == lease.Full && active.Mode == policy.ModeFloor && a.replica.Agent.IsUsable()
 	if isBound && l.setup.Without == withoutPromise {
@@ -79,12 +81,12 @@
 	if active.Mode != policy.ModeFull {
 		return
 	}
-	acted := l.Acted[active.Version]
-	if acted == nil {
-		acted = map[int]time.Duration{}
-		l.Acted[active.Version] = acted
+	firstActedAt := l.FirstActedAt[active.Version]
+	if firstActedAt == nil {
+		firstActedAt = map[int]time.Duration{}
+		l.FirstActedAt[active.Version] = firstActedAt
 	}
-	if _, before := acted[i]; !before {
-		acted[i] = l.Now()
+	if _, known := firstActedAt[i]; !known {
+		firstActedAt[i] = l.Now()
 	}
 }
--- a/internal/control/policy/lab/scenario.go
+++ b/internal/control/policy/lab/scenario.go
@@ -9,7 +9,7 @@
 	"dunestep/internal/simnet"
 )
 
-// ShortTimes are those of the scenarios: short, so that much happens in little time.
+// ShortTimes returns the times of the scenarios. They are short, so that a short run has many events.
 func ShortTimes() policy.Times {
 	return policy.Times{Terms: lease.Terms{
 		Duration: 2 * time.Second, MaxKnowledgeAge: 500 * time.Millisecond,
@@ -18,24 +18,25 @@
 }
 
 const (
-	faultyTime  = 20 * time.Second // for how long a scenario has faults
-	healthyTime = 8 * time.Second  // for how long after that it has none
+	faultyTime  = 20 * time.Second // duration of the part with faults
+	healthyTime = 8 * time.Second  // duration of the part without faults that follows
 )
 
-// focus is what a scenario has more of than others.
+// focus is the kind of event that a scenario emphasizes.
 type focus int
 
 const (
 	mixed         focus = iota
-	voterForgets        // as a change is proposed a voter forgets the leases that it granted
-	agentsCutOff        // as a change is proposed all agents are cut off: none is left that could reject it
-	floorNarrowed       // the floor is narrowed, and used, while an agent is cut off
+	voterForgets        // when a change is proposed, a voter loses the leases that it granted
+	agentsCutOff        // when a change is proposed, all agents are cut off, so that none can reject it
+	floorNarrowed       // the floor is narrowed and used while an agent is cut off
 )
 
-// isQuiet tells whether fewer other faults happen, so that what the scenario focuses on comes about.
-func (l *Lab) isQuiet() bool { return l.focus == voterForgets || l.focus == floorNarrowed }
+// hasFewFaults reports whether the scenario has fewer other faults, so that its focus occurs.
+func (l *Lab) hasFewFaults() bool { return l.focus == voterForgets || l.focus == floorNarrowed }
 
-// RunScenario plays changes among all faults, and then for a while without.
+// RunScenario runs policy changes with all faults for faultyTime, and then without faults for healthyTime. It
+// returns the Lab at the end.
 func RunScenario(seed uint64, agents int, without Protection) *Lab {
 	l := New(Setup{
 		Seed: seed, Voters: 3, Agents: agents, Times: ShortTimes(), LeadTime: 800 * time.Millisecond,
@@ -47,7 +48,7 @@
 	begin := l.Now()
 	end := begin + faultyTime
 	l.every(begin, end+healthyTime, 100*time.Millisecond, l.Decide)
-	l.every(begin+2*time.Second, end, 1500*time.Millisecond, l.proposeSomething)
+	l.every(begin+2*time.Second, end, 1500*time.Millisecond, l.proposeRandomChange)
 	l.every(begin+2*time.Second, end, 800*time.Millisecond, func() { l.injectFault(end) })
 	l.injectFaultsAtRecords()
 	if l.focus = focus(seed % 4); l.focus == floorNarrowed {
@@ -62,22 +63,23 @@
 	return l
 }
 
+// every calls do once in each step between two true times, at a random time within the step.
 func (l *Lab) every(from, to, step time.Duration, do func()) {
 	for at := from; at < to; at += step {
 		l.At(at+time.Duration(l.Rand().Int64N(int64(step))), do)
 	}
 }
 
-// proposeSomething has some node ask for a change.
-func (l *Lab) proposeSomething() {
+// proposeRandomChange proposes a random document at a random node, unless that node is stopped or paused.
+func (l *Lab) proposeRandomChange() {
 	n := l.Rand().IntN(l.nodeCount())
 	if l.node(n).incarnation == 0 || l.IsPaused(n) {
 		return
 	}
-	attempts := max(1, l.Rand().IntN(4)) // one in half of the cases, which is less than some floors
+	attempts := max(1, l.Rand().IntN(4)) // 1 in half of the cases, which is below some floors
 	floor := min(1+l.Rand().IntN(2), attempts)
 	switch {
-	case l.focus == voterForgets: // every agent can use it
+	case l.focus == voterForgets: // every agent can use this document
 		floor, attempts = 2, 2
 	case l.focus == floorNarrowed && l.State().InForce.Number == 0:
 		floor, attempts = 1, 2
@@ -87,8 +89,8 @@
 	l.Propose(n, ExampleDocument(floor, attempts, 0.3+0.4*l.Rand().Float64()))
 }
 
-// ExampleDocument has a floor of a number of attempts, a number of attempts of a class, and the share of one
-// of the tenants.
+// ExampleDocument returns a policy document with the attempts of the floor, the attempts of class find and
+// the share of tenant east.
 func ExampleDocument(floor, attempts int, share float64) string {
 	return fmt.Sprintf("format = 1\n[floor]\nattempts = %d\nshare = 0.4\n[classes.find]\nattempts = %d\n"+
 		"[tenants.east]\nshare = %.3f\n[tenants.west]\nshare = %.3f\n", floor, attempts, share, 1-share-0.001)
--- a/internal/control/policy/lab/timetoeffect.go
+++ b/internal/control/policy/lab/timetoeffect.go
@@ -8,16 +8,16 @@
 	"dunestep/internal/simnet"
 )
 
-// TimeToEffect is how long a change took, from the proposal, until fractions of the agents that run first
-// acted on it; below zero where they never did.
+// TimeToEffect is the time from the proposal of a change until fractions of the running agents have acted
+// on it; negative if they never did.
 type TimeToEffect struct{ Half, NinetyNinePercent, All time.Duration }
 
-// AgentFaults are the fractions of the agents that are down or cut off as the change is proposed.
+// AgentFaults are the fractions of the agents that are down or cut off when the change is proposed.
 type AgentFaults struct {
 	Down, CutOff float64
 }
 
-// MeasureTimeToEffect plays one change.
+// MeasureTimeToEffect simulates one change in a fleet of three voters, with a loss rate of datagrams.
 func MeasureTimeToEffect(seed uint64, agents int, loss float64, leadTime time.Duration,
 	faults AgentFaults,
 ) TimeToEffect {
@@ -25,7 +25,7 @@
 		Seed: seed, Voters: 3, Agents: agents, LeadTime: leadTime,
 		Faults: simnet.Faults{Loss: loss, MinDelay: time.Millisecond, MaxDelay: 10 * time.Millisecond},
 	})
-	// Voters report before the fence only once they have run for longer than a lease.
+	// Voters report before the end of the fence only if they have run for longer than a lease.
 	l.Run(l.Now() + 12*time.Second)
 	proposedAt := l.Now()
 	affected := int(float64(agents) * (faults.Down + faults.CutOff))
@@ -46,19 +46,21 @@
 	}
 	l.Run(proposedAt + 15*time.Second)
 	var took []time.Duration
-	for _, at := range l.Acted[1] {
+	for _, at := range l.FirstActedAt[1] {
 		took = append(took, at-proposedAt)
 	}
 	return timeToEffect(took, agents-affected)
 }
 
+// timeToEffect returns the quantiles of the times that a number of agents took. Agents that are missing in
+// took never acted.
 func timeToEffect(took []time.Duration, agents int) TimeToEffect {
 	slices.Sort(took)
-	until := func(fraction float64) time.Duration {
+	quantile := func(fraction float64) time.Duration {
 		if n := int(math.Ceil(fraction*float64(agents))) - 1; n < len(took) {
 			return took[n]
 		}
 		return -1
 	}
-	return TimeToEffect{until(0.5), until(0.99), until(1)}
+	return TimeToEffect{quantile(0.5), quantile(0.99), quantile(1)}
 }
--- a/internal/control/policy/lab/timetoeffect_test.go
+++ b/internal/control/policy/lab/timetoeffect_test.go
@@ -8,14 +8,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestTimeToEffect: a change is in effect at half of the agents that run within a second without loss, and within a lease
-// and a little where some are down or cut off. With LONG_TESTS, all the figures of the design note.
+// TestTimeToEffect checks that half of the running agents act on a change within a second without loss, and within 6 s, a
+// lease and a margin, if some agents are down. With LONG_TESTS it measures all figures of the design document.
 func TestTimeToEffect(t *testing.T) {
 	type row struct {
-		agents int
-		loss   float64
-		faults AgentFaults
-		most   time.Duration
+		agents  int
+		loss    float64
+		faults  AgentFaults
+		maxHalf time.Duration
 	}
 	rows := []row{
 		{50, 0, AgentFaults{}, time.Second},
@@ -26,8 +26,8 @@
 		rows = nil
 		for _, agents := range []int{5, 50, 300} {
 			for _, loss := range []float64{0, 0.1, 0.3} {
-				for _, tr := range []AgentFaults{{}, {Down: 0.2}, {CutOff: 0.2}} {
-					rows = append(rows, row{agents, loss, tr, 10 * time.Second})
+				for _, faults := range []AgentFaults{{}, {Down: 0.2}, {CutOff: 0.2}} {
+					rows = append(rows, row{agents, loss, faults, 10 * time.Second})
 				}
 			}
 		}
@@ -35,14 +35,14 @@
 	for _, r := range rows {
 		var worst TimeToEffect
 		for seed := range uint64(5) {
-			s := MeasureTimeToEffect(seed, r.agents, r.loss, 900*time.Millisecond, r.faults)
-			require.Positive(t, s.Half, "seed %d", seed)
-			if s.All < 0 { // an agent that finds no lease for longer than the lab runs
-				s.All = 15 * time.Second
+			result := MeasureTimeToEffect(seed, r.agents, r.loss, 900*time.Millisecond, r.faults)
+			require.Positive(t, result.Half, "seed %d: expected half of the agents to act on the change", seed)
+			if result.All < 0 { // an agent got no lease before the end of the run
+				result.All = 15 * time.Second
 			}
-			worst = TimeToEffect{max(worst.Half, s.Half), max(worst.NinetyNinePercent, s.NinetyNinePercent), max(worst.All, s.All)}
+			worst = TimeToEffect{max(worst.Half, result.Half), max(worst.NinetyNinePercent, result.NinetyNinePercent), max(worst.All, result.All)}
 		}
-		t.Logf("%d agents, loss %.1f, %+v: the worst of 5 seeds %v", r.agents, r.loss, r.faults, worst)
-		require.LessOrEqual(t, worst.Half, r.most)
+		t.Logf("%d agents, loss %.1f, %+v: slowest of 5 seeds %v", r.agents, r.loss, r.faults, worst)
+		require.LessOrEqual(t, worst.Half, r.maxHalf)
 	}
 }
