--- a/internal/control/policy/search/doc.go
+++ b/internal/control/policy/search/doc.go
@@ -1,11 +1,12 @@
-// Package search model-checks one change of policy in a small world: two voters or three, any of which may
-// lead at any moment, two agents, and time that passes in whole seconds. In each state every step is tried
-// that is possible there: a record is learnt, a lease requested and granted, an answer received, a report or
-// a decision proposed, agreed or lost, a process ended and started anew. A step that is not taken stands for
-// what is lost or late, and an agent that takes none for one that is paused. The parts are those of package
-// policy itself; leases are reduced to the rules by which package lease grants and counts them.
+// Package search model-checks one policy change in a small system: two or three voters, any of which may
+// lead at any moment, two agents, and time that advances in whole seconds. From each state it explores
+// every possible step: a record is applied, a lease is requested and granted, an answer is received, a
+// report or a decision is proposed, agreed or lost, a process is restarted. A step that is not taken
+// represents a lost or late message, and an agent that takes no step represents a paused one. The
+// components are those of package policy; leases are reduced to the rules by which package lease grants and
+// expires them.
 //
-// What a part does is worked out once for each key and cached by each worker: a part is identified by its
-// fingerprint and what it has learnt. States are distinguished by hashes. Workers are goroutines that Run
-// starts and waits for.
+// Each worker caches the results of components by key; a component is identified by its fingerprint and the
+// records that it has applied. States are distinguished by hashes. Workers are goroutines that Run starts and
+// waits for.
 package search
--- a/internal/control/policy/search/search.go
+++ b/internal/control/policy/search/search.go
@@ -13,20 +13,20 @@
 	"dunestep/internal/modelcheck"
 )
 
-// Setup is a search. A zero value stands for the least.
+// Setup configures a search. Zero values select the smallest system.
 type Setup struct {
-	Voters         int    // two or three; zero: two
-	Seconds        int    // that pass after the change is proposed
-	Postponements  int    // of the change, at most
-	Grants         int    // of leases after that, at most
-	Restarts       int    // of processes, at most
+	Voters         int    // 2 or 3; zero: 2
+	Seconds        int    // time after the proposal of the change
+	Postponements  int    // maximum number of postponements of the change
+	Grants         int    // maximum number of leases granted after the proposal
+	Restarts       int    // maximum number of process restarts
 	RejectingAgent bool   // one of the agents cannot use the document
-	Without        string // a protection that is removed: one of Protections; empty: none
+	Without        string // disabled protection, one of Protections; empty: none
 	Workers        int    // zero: one
-	Exhaustive     bool   // without leaving out what has no effect any more: for comparison
+	Exhaustive     bool   // distinguishes states also by what no longer has an effect
 }
 
-// Protections are those that can be removed; package lab explains them.
+// Protections returns the protections that can be disabled. Package lab describes them.
 func Protections() []string {
 	return []string{"promise", "prepare", "fence", "outstanding", "begin", "decline"}
 }
@@ -34,41 +34,41 @@
 // Result is the result of a search.
 type Result struct {
 	States    int
-	Distinct  int      // of an exhaustive search: those that differ in what has an effect
-	Violation string   // empty: none
-	Steps     []string // that lead to it
-	Accepted  int      // states in which the change was activated
-	Rejected  int      // in which it was abandoned
+	Distinct  int      // states of an exhaustive search that differ in what still has an effect
+	Violation string   // empty: none found
+	Steps     []string // steps that lead to the violation
+	Accepted  int      // number of states in which the change was activated
+	Rejected  int      // number of states in which the change was abandoned
 }
 
 const (
-	maxVoters, agents, maxGrants   = 3, 2, 8
-	leaseSeconds, knowledgeSeconds = 3, 1
-	// second is how long a step of time takes: a little longer, for the clocks' drift.
-	second = time.Second + 10*time.Microsecond
+	maxVoters, agentCount, maxGrants = 3, 2, 8
+	leaseSeconds, knowledgeSeconds   = 3, 1
+	// stepLength is the duration of one second of the model. It is slightly longer to allow for clock drift.
+	stepLength = time.Second + 10*time.Microsecond
 )
 
-// times are those of all parts, unless a protection is removed; nobody changes them.
+// times are the times of all components, unless a protection is disabled. They are not modified.
 var times = policy.Times{ActivationLead: time.Second / 2, Terms: lease.Terms{
 	Duration:        leaseSeconds * time.Second,
 	MaxKnowledgeAge: knowledgeSeconds * time.Second, MaxPause: time.Hour,
 	MaxClockError: time.Nanosecond, MaxDrift: 1e-6,
 }}
 
-// reading is what all clocks show at a second.
+// reading returns the reading of all clocks at a second.
 func reading(s int) lease.ClockReading {
-	return lease.ClockReading{Unix: time.Duration(1000+s) * second, Mono: time.Duration(1000+s) * second}
+	return lease.ClockReading{Unix: time.Duration(1000+s) * stepLength, Mono: time.Duration(1000+s) * stepLength}
 }
 
-// search is what all workers share.
+// search is the state that all workers share.
 type search struct {
 	setup        Setup
-	voterNumbers []int // of the voters
+	voterNumbers []int
 	seed         maphash.Seed
 	seen         *modelcheck.StateSet
 	distinct     *modelcheck.StateSet // of an exhaustive search
 
-	sync.Mutex    // guards the fields up to result, and all calls of parts
+	sync.Mutex    // guards the fields up to result, and all calls of components
 	emptyLog      *logPosition
 	positionCount uint16
 	proposals     map[string]*proposal
@@ -78,7 +78,7 @@
 	accepted, rejected atomic.Int64
 }
 
-// localSettings permit a number of attempts.
+// localSettings returns local settings that permit a number of attempts.
 func localSettings(attempts int) policy.LocalSettings {
 	return policy.LocalSettings{Settings: balancer.Settings{
 		Classes: []balancer.Class{{Name: "find"}},
@@ -86,29 +86,30 @@
 	}}
 }
 
-// Run tries all steps in all states. It panics where Setup is too large.
-func Run(set Setup) Result {
-	if set.Voters == 0 {
-		set.Voters = 2
+// Run explores all steps from all reachable states, until a violation is found. It panics if the setup is too
+// large.
+func Run(setup Setup) Result {
+	if setup.Voters == 0 {
+		setup.Voters = 2
 	}
-	if set.Voters > maxVoters || set.Voters+set.Grants > maxGrants {
-		panic(fmt.Sprintf("%+v: there is no room for so many voters and leases", set))
+	if setup.Voters > maxVoters || setup.Voters+setup.Grants > maxGrants {
+		panic(fmt.Sprintf("%+v: too many voters or leases", setup))
 	}
 	s := &search{
-		setup: set, voterNumbers: []int{0, 1, 2}[:set.Voters], seed: maphash.MakeSeed(),
+		setup: setup, voterNumbers: []int{0, 1, 2}[:setup.Voters], seed: maphash.MakeSeed(),
 		seen:     modelcheck.NewStateSet(),
 		distinct: modelcheck.NewStateSet(), proposals: map[string]*proposal{},
 		emptyLog: &logPosition{stateMachine: policy.NewStateMachine()},
 	}
-	var began []job
+	var initialJobs []job
 	for _, age := range [][maxVoters]int{{0, 0, 0}, {0, 2, 1}, {1, 1, 2}, {2, 1, 0}} {
-		began = append(began, job{world: s.initialWorld(age)})
+		initialJobs = append(initialJobs, job{state: s.initialState(age)})
 	}
-	modelcheck.Run(set.Workers, began, func(jobs *modelcheck.JobQueue[job]) func(job) {
+	modelcheck.Run(setup.Workers, initialJobs, func(jobs *modelcheck.JobQueue[job]) func(job) {
 		k := newWorker(s, jobs)
 		return func(j job) {
 			k.steps = j.steps
-			k.visit(&j.world)
+			k.visit(&j.state)
 		}
 	})
 	s.result.States, s.result.Distinct = s.seen.Count(), s.distinct.Count()
@@ -116,7 +117,7 @@
 	return s.result
 }
 
-// addViolation notes a violation. All workers end then.
+// addViolation stores the first violation, and makes all workers stop.
 func (s *search) addViolation(text string, steps []step) {
 	s.Lock()
 	defer s.Unlock()
@@ -124,7 +125,7 @@
 		return
 	}
 	s.result.Violation = text
-	for _, t := range steps {
-		s.result.Steps = append(s.result.Steps, t.String())
+	for _, taken := range steps {
+		s.result.Steps = append(s.result.Steps, taken.String())
 	}
 }
--- a/internal/control/policy/search/search_test.go
+++ b/internal/control/policy/search/search_test.go
@@ -11,17 +11,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestMain has the garbage collector run less often: little is kept, and much is made on the way.
+// TestMain raises the garbage collector's target, because a search allocates much and keeps little.
 func TestMain(m *testing.M) {
 	debug.SetGCPercent(800)
 	os.Exit(m.Run())
 }
 
-// TestNoStepsBreakThePromise: in each small world no order of steps breaks the promise.
-func TestNoStepsBreakThePromise(t *testing.T) {
-	worlds := []Setup{{Seconds: 4, Grants: 1}, {Seconds: 2, Restarts: 1}, {Seconds: 2, RejectingAgent: true}, {Voters: 3, Seconds: 2}}
+// TestAllStepOrdersKeepVersionRules checks that in small systems no order of steps violates the rules on versions.
+func TestAllStepOrdersKeepVersionRules(t *testing.T) {
+	setups := []Setup{{Seconds: 4, Grants: 1}, {Seconds: 2, Restarts: 1}, {Seconds: 2, RejectingAgent: true}, {Voters: 3, Seconds: 2}}
 	if os.Getenv("LONG_TESTS") != "" {
-		worlds = []Setup{
+		setups = []Setup{
 			{Seconds: 6, Grants: 2},
 			{Seconds: 5, Grants: 1, Restarts: 1},
 			{Seconds: 4, Postponements: 1},
@@ -31,57 +31,57 @@
 			{Voters: 3, Seconds: 4, Postponements: 1},
 		}
 	}
-	if text := os.Getenv("SEARCH"); text != "" { // voters, seconds, postponements, leases, restarts, whether an agent rejects
-		set := Setup{}
-		_, err := fmt.Sscan(text, &set.Voters, &set.Seconds, &set.Postponements, &set.Grants, &set.Restarts, &set.RejectingAgent)
+	if text := os.Getenv("SEARCH"); text != "" { // Setup fields: Voters, Seconds, Postponements, Grants, Restarts, RejectingAgent
+		setup := Setup{}
+		_, err := fmt.Sscan(text, &setup.Voters, &setup.Seconds, &setup.Postponements, &setup.Grants, &setup.Restarts, &setup.RejectingAgent)
 		require.NoError(t, err)
-		worlds = []Setup{set}
+		setups = []Setup{setup}
 	}
-	for _, set := range worlds {
+	for _, setup := range setups {
 		t.Run("", func(t *testing.T) {
-			set.Workers = runtime.GOMAXPROCS(0)
-			began := time.Now()
-			f := Run(set)
-			t.Logf("%+v: %d states in %v, accepted in %d, rejected in %d", set, f.States, time.Since(began), f.Accepted, f.Rejected)
-			require.Empty(t, f.Violation, "%v", f.Steps)
-			require.NotZero(t, f.Accepted+f.Rejected)
-			require.Equal(t, set.RejectingAgent, f.Rejected > 0)
+			setup.Workers = runtime.GOMAXPROCS(0)
+			started := time.Now()
+			result := Run(setup)
+			t.Logf("%+v: %d states in %v, accepted in %d, rejected in %d", setup, result.States, time.Since(started), result.Accepted, result.Rejected)
+			require.Empty(t, result.Violation, "%v", result.Steps)
+			require.NotZero(t, result.Accepted+result.Rejected)
+			require.Equal(t, setup.RejectingAgent, result.Rejected > 0)
 		})
 	}
 }
 
-// TestWhatIsLeftOutHasNoEffect: an exhaustive search, which leaves nothing out, meets the same states apart from it. A
-// fingerprint that does not distinguish two parts which behave differently shows here too.
-func TestWhatIsLeftOutHasNoEffect(t *testing.T) {
-	worlds := []Setup{{Seconds: 4, Grants: 1}, {Seconds: 2, Restarts: 1}, {Seconds: 2, RejectingAgent: true}}
+// TestReducedSearchCoversExhaustiveSearch checks that a search that ignores what no longer has an effect reaches as many
+// distinct states as an exhaustive one. It also detects fingerprints that are equal for components that behave differently.
+func TestReducedSearchCoversExhaustiveSearch(t *testing.T) {
+	setups := []Setup{{Seconds: 4, Grants: 1}, {Seconds: 2, Restarts: 1}, {Seconds: 2, RejectingAgent: true}}
 	if os.Getenv("LONG_TESTS") != "" {
-		worlds = []Setup{{Seconds: 4, Grants: 1, Restarts: 1}, {Seconds: 4, Postponements: 1}, {Voters: 3, Seconds: 2, RejectingAgent: true}}
+		setups = []Setup{{Seconds: 4, Grants: 1, Restarts: 1}, {Seconds: 4, Postponements: 1}, {Voters: 3, Seconds: 2, RejectingAgent: true}}
 	}
-	for _, set := range worlds {
-		set.Workers = runtime.GOMAXPROCS(0)
-		f := Run(set)
-		set.Exhaustive = true
-		whole := Run(set)
-		t.Logf("%+v: %d states, of which %d are distinct", set, whole.States, f.States)
-		require.Equal(t, whole.Distinct, f.States)
-		require.Less(t, f.States, whole.States)
+	for _, setup := range setups {
+		setup.Workers = runtime.GOMAXPROCS(0)
+		reduced := Run(setup)
+		setup.Exhaustive = true
+		exhaustive := Run(setup)
+		t.Logf("%+v: %d states, of which %d are distinct", setup, exhaustive.States, reduced.States)
+		require.Equal(t, exhaustive.Distinct, reduced.States)
+		require.Less(t, reduced.States, exhaustive.States)
 	}
 }
 
-// TestEachProtectionIsNeeded: each protection that is removed is missed.
+// TestEachProtectionIsNeeded checks that without any one protection a violation is found.
 func TestEachProtectionIsNeeded(t *testing.T) {
 	for _, without := range Protections() {
 		t.Run(without, func(t *testing.T) {
-			set := Setup{Seconds: 4, Grants: 1, Without: without}
+			setup := Setup{Seconds: 4, Grants: 1, Without: without}
 			switch without {
 			case "begin":
-				set.Grants, set.Restarts = 0, 1
+				setup.Grants, setup.Restarts = 0, 1
 			case "decline":
-				set.Grants, set.RejectingAgent = 2, true
+				setup.Grants, setup.RejectingAgent = 2, true
 			}
-			f := Run(set)
-			require.NotEmpty(t, f.Violation)
-			t.Logf("found after %d states, %d steps: %s", f.States, len(f.Steps), f.Violation)
+			result := Run(setup)
+			require.NotEmpty(t, result.Violation)
+			t.Logf("found after %d states, %d steps: %s", result.States, len(result.Steps), result.Violation)
 		})
 	}
 }
--- a/internal/control/policy/search/state.go
+++ b/internal/control/policy/search/state.go
@@ -6,27 +6,29 @@
 	"dunestep/internal/control/policy"
 )
 
-// leaseGrant is a lease of an agent: when it was requested, in seconds, and how many records it covers.
-type leaseGrant struct{ requestedAt, covers int8 }
+// leaseGrant is a lease of an agent: the second at which it was requested, and the number of records that the
+// agent must have applied to use it.
+type leaseGrant struct{ requestedAt, coveredRecords int8 }
 
-// agent is an agent's part. Parts are never changed: a step works on a fork. The fingerprint distinguishes it
-// from others that have learnt the same records.
+// agent is the state of an agent. Its policy.Agent is never modified: a step works on a fork. The fingerprint
+// distinguishes it from others that have applied the same records.
 type agent struct {
-	known, incarnation, grantCount int8
-	grants                         [maxGrants]leaseGrant
-	fingerprint                    uint64
-	agent                          *policy.Agent
+	applied, incarnation, grantCount int8
+	grants                           [maxGrants]leaseGrant
+	fingerprint                      uint64
+	agent                            *policy.Agent
 }
 
+// voter is the state of a voter. Its components are never modified, like those of an agent.
 type voter struct {
-	known                            int8
+	applied                          int8
 	fingerprint, proposerFingerprint uint64
 	voter                            *policy.Voter
 	proposer                         *policy.Proposer
 }
 
-// logPosition is a position in a log, with the state there. Records that change nothing are left out, and a
-// report replaces the position that it is about.
+// logPosition is a position in a log, with the state after its records. A record that does not change the
+// state adds no position, and a report replaces the position before it.
 type logPosition struct {
 	id           uint16
 	depth        int8
@@ -37,53 +39,53 @@
 	next         map[*proposal]*logPosition
 }
 
-// proposal is a record; the same bytes are the same one.
+// proposal is a proposed record. There is one proposal for each encoding.
 type proposal struct {
 	id                              uint16
 	data                            []byte
 	isPromiseReport, isPostponement bool
 }
 
-// world is a state. It has no pointers to what changes: a copy of it is independent.
-type world struct {
-	log              *logPosition // its last position
-	pending          *proposal    // the last postponement that was proposed; it is agreed late, or never
-	agents           [agents]agent
-	voters           [maxVoters]voter
-	now              int8
-	knownASecondAgo  int8 // how many records there were a second ago
-	newestActedOn    int8 // the newest version that an agent has acted on
-	grants, restarts int8
-	postponements    int8
+// systemState is a state of the whole system. It has no pointers to mutable data, so a copy is independent.
+type systemState struct {
+	log                 *logPosition // last position
+	pendingPostponement *proposal    // last proposed postponement, which may still be agreed
+	agents              [agentCount]agent
+	voters              [maxVoters]voter
+	now                 int8
+	recordsOneSecondAgo int8 // number of records a second ago
+	newestActedOn       int8 // newest version that an agent has acted on
+	grants, restarts    int8
+	postponements       int8
 }
 
-// initialWorld is a world in which each agent holds leases of all voters, of some age in seconds at each, and
-// the change has just been proposed.
-func (s *search) initialWorld(age [maxVoters]int) world {
-	w := world{
+// initialState returns a state in which the change has just been proposed. Each agent holds a lease from each
+// voter; age is the age of these leases by voter, in seconds.
+func (s *search) initialState(age [maxVoters]int) systemState {
+	state := systemState{
 		grants: int8(s.setup.Grants), restarts: int8(s.setup.Restarts),
 		postponements: int8(s.setup.Postponements), log: s.emptyLog,
 	}
 	for v := range s.voterNumbers {
-		n := voter{
+		initial := voter{
 			voter:    policy.NewVoter(v, s.voterTimes(), reading(-100)),
 			proposer: policy.NewProposer(v, s.proposerTimes()),
 		}
-		n.proposer.SetVoters(reading(-100), s.voterNumbers, 1)
-		s.learn(&n, s.emptyLog, 0)
-		for i := range w.agents {
-			n.voter.AllowLease(reading(-age[v]), i, 0, nil)
+		initial.proposer.SetVoters(reading(-100), s.voterNumbers, 1)
+		s.learn(&initial, s.emptyLog, 0)
+		for i := range state.agents {
+			initial.voter.AllowLease(reading(-age[v]), i, 0, nil)
 		}
-		s.updateFingerprints(&n, 0)
-		w.voters[v] = n
+		s.updateFingerprints(&initial, 0)
+		state.voters[v] = initial
 	}
-	for i := range w.agents {
-		a := s.newAgent(i, s.emptyLog, 0)
+	for i := range state.agents {
+		holder := s.newAgent(i, s.emptyLog, 0)
 		for v := range s.voterNumbers {
-			a.grants[a.grantCount] = leaseGrant{requestedAt: int8(-age[v])}
-			a.grantCount++
+			holder.grants[holder.grantCount] = leaseGrant{requestedAt: int8(-age[v])}
+			holder.grantCount++
 		}
-		w.agents[i] = a
+		state.agents[i] = holder
 	}
 	data, err := policy.EncodeProposal(policy.Proposal{
 		ID: "change", Now: reading(0).Unix, EffectiveAt: reading(2).Unix,
@@ -92,11 +94,11 @@
 	if err != nil {
 		panic(err) // the document is a constant
 	}
-	w.log = s.appendRecord(w.log, s.proposal(data))
-	return w
+	state.log = s.appendRecord(state.log, s.proposal(data))
+	return state
 }
 
-// proposal is the proposal of a record. The search is locked, here and in all calls of parts.
+// proposal returns the proposal of a record. The search must be locked, as for all calls of components.
 func (s *search) proposal(data []byte) *proposal {
 	p := s.proposals[string(data)]
 	if p == nil {
@@ -109,7 +111,8 @@
 	return p
 }
 
-// appendRecord adds a record to the log. The state of a report replaces the one that it is about.
+// appendRecord returns the position after a record is appended at a position. The position of a report
+// replaces the one before it.
 func (s *search) appendRecord(last *logPosition, p *proposal) *logPosition {
 	next := last.next[p]
 	if next != nil {
@@ -117,7 +120,7 @@
 	}
 	m := policy.NewStateMachine()
 	if err := m.Restore(last.stateMachine.Snapshot()); err != nil {
-		panic(err) // it is the same build's
+		panic(err) // the snapshot is of the same build
 	}
 	m.Apply(uint64(last.depth+1), p.data)
 	if next = last; !bytes.Equal(m.Snapshot(), last.stateMachine.Snapshot()) {
@@ -138,7 +141,7 @@
 	return next
 }
 
-// at is the position after a number of records.
+// at returns the position after a number of records.
 func (p *logPosition) at(depth int8) *logPosition {
 	for p.depth > depth {
 		p = p.before
--- a/internal/control/policy/search/steps.go
+++ b/internal/control/policy/search/steps.go
@@ -5,13 +5,13 @@
 	"slices"
 )
 
-// step is a step that was taken.
+// step is a step that was taken, at a second, with the numbers of one node or two.
 type step struct {
 	at, node, other int8
 	kind            stepKind
 }
 
-// stepKind is what may happen in a state.
+// stepKind is the kind of a step.
 type stepKind uint8
 
 const (
@@ -24,181 +24,188 @@
 	leaseGranted
 	answerReceived
 	agentRestarts
-	secondPasses
+	timeAdvances
 )
 
-func (t step) String() string {
+func (s step) String() string {
 	text := [...]string{
-		"a postponement is agreed", "voter %d is restarted", "voter %d learns a record",
+		"a postponement is agreed", "voter %d is restarted", "voter %d applies a record",
 		"voter %d reports",
-		"voter %d leads", "agent %d learns a record", "agent %d is granted a lease by voter %d",
-		"agent %d has its answer received by voter %d",
+		"voter %d leads", "agent %d applies a record", "agent %d is granted a lease by voter %d",
+		"the answer of agent %d is received by voter %d",
 		"agent %d is restarted", "a second passes",
-	}[t.kind]
-	switch t.kind {
-	case postponementAgreed, secondPasses:
+	}[s.kind]
+	switch s.kind {
+	case postponementAgreed, timeAdvances:
 	case leaseGranted, answerReceived:
-		text = fmt.Sprintf(text, t.node, t.other)
+		text = fmt.Sprintf(text, s.node, s.other)
 	default:
-		text = fmt.Sprintf(text, t.node)
+		text = fmt.Sprintf(text, s.node)
 	}
-	return fmt.Sprintf("%d s: %s", t.at, text)
+	return fmt.Sprintf("%d s: %s", s.at, text)
 }
 
-// takeStep goes on with the world after a step, or leaves it to a worker that has nothing to do.
-func (k *worker) takeStep(w, n *world, t step) {
-	t.at = w.now
+// exploreStep continues the search with the state next, which follows state by a step, or offers it to an
+// idle worker.
+func (k *worker) exploreStep(state, next *systemState, t step) {
+	t.at = state.now
 	k.steps = append(k.steps, t)
-	if !k.jobs.HasIdleWorker() || int(w.now) >= k.setup.Seconds-1 ||
-		!k.jobs.Offer(job{*n, slices.Clone(k.steps)}) {
-		k.visit(n)
+	if !k.jobs.HasIdleWorker() || int(state.now) >= k.setup.Seconds-1 ||
+		!k.jobs.Offer(job{*next, slices.Clone(k.steps)}) {
+		k.visit(next)
 	}
 	k.steps = k.steps[:len(k.steps)-1]
 }
 
-func (k *worker) takeAllSteps(w *world) {
-	if w.pending != nil {
-		n := *w
-		k.appendRecord(&n, w.pending)
-		n.pending = nil
-		k.takeStep(w, &n, step{kind: postponementAgreed})
+// exploreAllSteps explores each possible step from a state. At the last second it checks that the change can
+// complete.
+func (k *worker) exploreAllSteps(state *systemState) {
+	if state.pendingPostponement != nil {
+		next := *state
+		k.appendRecord(&next, state.pendingPostponement)
+		next.pendingPostponement = nil
+		k.exploreStep(state, &next, step{kind: postponementAgreed})
 	}
 	for v := range k.voterNumbers {
-		k.takeVoterSteps(w, v)
+		k.exploreVoterSteps(state, v)
 	}
-	for a := range w.agents {
-		k.takeAgentSteps(w, a)
+	for a := range state.agents {
+		k.exploreAgentSteps(state, a)
 	}
-	if int(w.now) < k.setup.Seconds {
-		n := *w
-		k.passSecond(&n)
-		k.takeStep(w, &n, step{kind: secondPasses})
-	} else if !k.checkEnd(w) {
+	if int(state.now) < k.setup.Seconds {
+		next := *state
+		k.advanceTime(&next)
+		k.exploreStep(state, &next, step{kind: timeAdvances})
+	} else if !k.checkCompletion(state) {
 		k.addViolation("the change is neither activated nor abandoned", k.steps)
 	}
 }
 
-// passSecond has a second pass, and drops leases that have expired.
-func (k *worker) passSecond(w *world) {
-	w.now++
-	w.knownASecondAgo = w.log.depth
-	for i := range w.agents {
-		a := &w.agents[i]
-		a.keepGrants(func(g leaseGrant) bool { return w.now-g.requestedAt < leaseSeconds })
+// advanceTime advances a state by one second, and drops expired leases.
+func (k *worker) advanceTime(state *systemState) {
+	state.now++
+	state.recordsOneSecondAgo = state.log.depth
+	for i := range state.agents {
+		a := &state.agents[i]
+		a.keepGrants(func(g leaseGrant) bool { return state.now-g.requestedAt < leaseSeconds })
 	}
 	for i := range k.voterNumbers {
-		v := w.voters[i]
+		v := state.voters[i]
 		key := voterKey{
-			kind: secondPasses, i: int8(i), now: w.now, fingerprint: v.fingerprint,
+			kind: timeAdvances, i: int8(i), now: state.now, fingerprint: v.fingerprint,
 			proposerFingerprint: v.proposerFingerprint,
-			p:                   w.log.at(v.known),
+			p:                   state.log.at(v.applied),
 		}
-		w.voters[i] = cached(k, k.voterResults, key, func() voter {
-			n := v
-			k.updateFingerprints(&n, int(w.now))
-			return n
+		state.voters[i] = cached(k, k.voterResults, key, func() voter {
+			next := v
+			k.updateFingerprints(&next, int(state.now))
+			return next
 		})
 	}
 }
 
-func (k *worker) takeVoterSteps(w *world, i int) {
-	v := w.voters[i]
-	who := step{node: int8(i)}
-	if w.restarts > 0 {
-		n, p := *w, w.log.at(v.known)
-		n.restarts--
-		key := voterKey{kind: voterRestarts, i: int8(i), now: w.now, p: p}
-		n.voters[i] = cached(k, k.voterResults, key, func() voter {
-			return k.restartVoter(i, p, int(w.now))
+// exploreVoterSteps explores each possible step of a voter.
+func (k *worker) exploreVoterSteps(state *systemState, i int) {
+	v := state.voters[i]
+	taken := step{node: int8(i)}
+	if state.restarts > 0 {
+		next, p := *state, state.log.at(v.applied)
+		next.restarts--
+		key := voterKey{kind: voterRestarts, i: int8(i), now: state.now, p: p}
+		next.voters[i] = cached(k, k.voterResults, key, func() voter {
+			return k.restartVoter(i, p, int(state.now))
 		})
-		who.kind = voterRestarts
-		k.takeStep(w, &n, who)
+		taken.kind = voterRestarts
+		k.exploreStep(state, &next, taken)
 	}
-	if v.known < w.log.depth {
-		n := *w
-		k.learnVoter(&n, i, w.log.at(v.known+1))
-		who.kind = voterLearns
-		k.takeStep(w, &n, who)
+	if v.applied < state.log.depth {
+		next := *state
+		k.learnVoter(&next, i, state.log.at(v.applied+1))
+		taken.kind = voterLearns
+		k.exploreStep(state, &next, taken)
 	}
-	k.propose(w, i, voterReports)
-	k.propose(w, i, voterLeads)
+	k.propose(state, i, voterReports)
+	k.propose(state, i, voterLeads)
 }
 
-// propose has what a voter proposes be agreed at once: what it reports stays true, so an agreement later is
-// the same as a proposal later. A postponement names a time, and may be agreed late.
-func (k *worker) propose(w *world, i int, kind stepKind) {
-	v, n := w.voters[i], *w
+// propose explores a voter's proposals. They are agreed at once, because reports stay true, so that a later
+// agreement equals a later proposal. A postponement depends on the time at which it was proposed, so it stays
+// pending and may be agreed later.
+func (k *worker) propose(state *systemState, i int, kind stepKind) {
+	v, next := state.voters[i], *state
 	key := voterKey{
-		kind: kind, i: int8(i), now: w.now, fingerprint: v.fingerprint,
-		proposerFingerprint: v.proposerFingerprint, p: w.log.at(v.known),
+		kind: kind, i: int8(i), now: state.now, fingerprint: v.fingerprint,
+		proposerFingerprint: v.proposerFingerprint, p: state.log.at(v.applied),
 	}
-	ask := func() []*proposal { return k.due(v, int(w.now), kind) }
-	for _, p := range cached(k, k.recordResults, key, ask) {
+	due := func() []*proposal { return k.due(v, int(state.now), kind) }
+	for _, p := range cached(k, k.recordResults, key, due) {
 		if !p.isPostponement {
-			k.appendRecord(&n, p)
-		} else if n.postponements > 0 {
-			n.pending, n.postponements = p, n.postponements-1
+			k.appendRecord(&next, p)
+		} else if next.postponements > 0 {
+			next.pendingPostponement, next.postponements = p, next.postponements-1
 		}
 	}
-	if n.log != w.log || n.pending != w.pending {
-		k.takeStep(w, &n, step{node: int8(i), kind: kind})
+	if next.log != state.log || next.pendingPostponement != state.pendingPostponement {
+		k.exploreStep(state, &next, step{node: int8(i), kind: kind})
 	}
 }
 
-func (k *worker) takeAgentSteps(w *world, i int) {
-	a := w.agents[i]
-	if a.known < w.log.depth {
-		n := *w
-		k.learnAgent(&n, i, w.log.at(a.known+1))
-		k.takeStep(w, &n, step{node: int8(i), kind: agentLearns})
+// exploreAgentSteps explores each possible step of an agent.
+func (k *worker) exploreAgentSteps(state *systemState, i int) {
+	a := state.agents[i]
+	if a.applied < state.log.depth {
+		next := *state
+		k.learnAgent(&next, i, state.log.at(a.applied+1))
+		k.exploreStep(state, &next, step{node: int8(i), kind: agentLearns})
 	}
 	for v := range k.voterNumbers {
-		if w.grants > 0 && w.voters[v].known >= w.knownASecondAgo {
-			k.grant(w, i, v)
+		if state.grants > 0 && state.voters[v].applied >= state.recordsOneSecondAgo {
+			k.grant(state, i, v)
 		}
 		if k.setup.Without != "decline" {
-			k.sendAnswer(w, i, v)
+			k.sendAnswer(state, i, v)
 		}
 	}
-	if w.restarts > 0 {
-		n, p := *w, w.log.at(a.known)
-		n.restarts--
-		n.agents[i] = cached(k, k.agentResults, agentKey{kind: agentRestarts, i: int8(i), p: p}, func() agent {
+	if state.restarts > 0 {
+		next, p := *state, state.log.at(a.applied)
+		next.restarts--
+		next.agents[i] = cached(k, k.agentResults, agentKey{kind: agentRestarts, i: int8(i), p: p}, func() agent {
 			return k.newAgent(i, p, 0)
 		})
-		n.agents[i].incarnation = a.incarnation + 1
-		k.takeStep(w, &n, step{node: int8(i), kind: agentRestarts})
+		next.agents[i].incarnation = a.incarnation + 1
+		k.exploreStep(state, &next, step{node: int8(i), kind: agentRestarts})
 	}
 }
 
-func (k *worker) sendAnswer(w *world, i, v int) {
-	h := cached(k, k.replyResults, k.replyKey(w, i, v, answerReceived), func() voterReply {
-		return k.receiveAnswer(w.voters[v], i, w.agents[i], int(w.now))
+// sendAnswer explores the receipt of an agent's answer by a voter, if the voter has not received it yet.
+func (k *worker) sendAnswer(state *systemState, i, v int) {
+	reply := cached(k, k.replyResults, k.replyKey(state, i, v, answerReceived), func() voterReply {
+		return k.receiveAnswer(state.voters[v], i, state.agents[i], int(state.now))
 	})
-	if h.changed {
-		n := *w
-		n.voters[v] = h.voter
-		k.takeStep(w, &n, step{node: int8(i), other: int8(v), kind: answerReceived})
+	if reply.changed {
+		next := *state
+		next.voters[v] = reply.voter
+		k.exploreStep(state, &next, step{node: int8(i), other: int8(v), kind: answerReceived})
 	}
 }
 
-// grant grants a lease as package lease does: what the voter has learnt from the leader may be a second old,
-// and it has all that was agreed then; the lease counts from when it was requested. It is requested and
-// granted in one step: one that took longer is shorter, and its answer older.
-func (k *worker) grant(w *world, i, v int) {
-	m := k.replyKey(w, i, v, leaseGranted)
-	h := cached(k, k.replyResults, m, func() voterReply {
-		return k.requestLease(w.voters[v], m.p, i, w.agents[i], int(w.now))
+// grant explores the grant of a lease by the rules of package lease: the voter's knowledge of the leader
+// may be a second old, and the voter has applied all records agreed by then; the lease counts from its
+// request. One step covers request and grant: a slower grant equals a shorter lease with an older answer.
+func (k *worker) grant(state *systemState, i, v int) {
+	key := k.replyKey(state, i, v, leaseGranted)
+	reply := cached(k, k.replyResults, key, func() voterReply {
+		return k.requestLease(state.voters[v], key.p, i, state.agents[i], int(state.now))
 	})
-	if !h.granted {
+	if !reply.granted {
 		return
 	}
-	n := *w
-	n.grants--
-	n.voters[v] = h.voter
-	a := &n.agents[i]
-	a.keepGrants(func(g leaseGrant) bool { return g.covers < n.knownASecondAgo })
-	a.grants[a.grantCount] = leaseGrant{n.now, n.knownASecondAgo}
+	next := *state
+	next.grants--
+	next.voters[v] = reply.voter
+	a := &next.agents[i]
+	a.keepGrants(func(g leaseGrant) bool { return g.coveredRecords < next.recordsOneSecondAgo })
+	a.grants[a.grantCount] = leaseGrant{next.now, next.recordsOneSecondAgo}
 	a.grantCount++
-	k.takeStep(w, &n, step{node: int8(i), other: int8(v), kind: leaseGranted})
+	k.exploreStep(state, &next, step{node: int8(i), other: int8(v), kind: leaseGranted})
 }
--- a/internal/control/policy/search/worker.go
+++ b/internal/control/policy/search/worker.go
@@ -11,49 +11,49 @@
 	"dunestep/internal/modelcheck"
 )
 
-// detail is how much a hash distinguishes.
+// detail selects which differences between states a hash distinguishes.
 type detail uint8
 
 const (
-	effectiveOnly detail = iota // what still has an effect
-	everything
+	relevantState detail = iota // only differences that still have an effect
+	fullState                   // all differences
 )
 
 // job is a state from which a worker continues.
 type job struct {
-	world world
+	state systemState
 	steps []step
 }
 
-// worker caches what parts do: for the same key it is the same.
+// worker explores states. It caches the results of components, which are equal for equal keys.
 type worker struct {
 	*search
-	jobs            *modelcheck.JobQueue[job]
-	steps           []step
-	positions       map[positionKey]*logPosition
-	voterResults    map[voterKey]voter
-	recordResults   map[voterKey][]*proposal
-	replyResults    map[replyKey]voterReply
-	agentResults    map[agentKey]agent
-	decisionResults map[agentKey]decision
-	endResults      map[voterKey]bool
+	jobs              *modelcheck.JobQueue[job]
+	steps             []step
+	positions         map[positionKey]*logPosition
+	voterResults      map[voterKey]voter
+	recordResults     map[voterKey][]*proposal
+	replyResults      map[replyKey]voterReply
+	agentResults      map[agentKey]agent
+	decisionResults   map[agentKey]decision
+	completionResults map[voterKey]bool
 }
 
-// positionKey is a record that is added to a log.
+// positionKey is a position and the record that is appended there.
 type positionKey struct {
 	last *logPosition
 	p    *proposal
 }
 
-// voterKey is what a voter is to do, and everything that the result depends on.
+// voterKey identifies an operation of a voter, with everything that its result depends on.
 type voterKey struct {
 	kind                             stepKind
-	i, now, known                    int8
+	i, now, applied                  int8
 	fingerprint, proposerFingerprint uint64
 	p                                *logPosition
 }
 
-// replyKey is a voter's reply to an agent, and everything that it depends on.
+// replyKey identifies a voter's reply to an agent, with everything that it depends on.
 type replyKey struct {
 	kind                   stepKind
 	voter                  uint64
@@ -63,7 +63,7 @@
 	proposerFingerprint    uint64
 }
 
-// agentKey is what an agent is to do, and everything that the result depends on.
+// agentKey identifies an operation of an agent, with everything that its result depends on.
 type agentKey struct {
 	kind        stepKind
 	i, now      int8
@@ -77,11 +77,11 @@
 		search: s, jobs: jobs, positions: map[positionKey]*logPosition{}, voterResults: map[voterKey]voter{},
 		recordResults: map[voterKey][]*proposal{}, replyResults: map[replyKey]voterReply{},
 		agentResults:    map[agentKey]agent{},
-		decisionResults: map[agentKey]decision{}, endResults: map[voterKey]bool{},
+		decisionResults: map[agentKey]decision{}, completionResults: map[voterKey]bool{},
 	}
 }
 
-// cached is the cached result of a key, or calls do for it.
+// cached returns the result cached in m for a key. If there is none, it calls do and caches its result.
 func cached[K comparable, V any](k *worker, m map[K]V, key K, do func() V) V {
 	v, found := m[key]
 	if !found {
@@ -93,156 +93,161 @@
 	return v
 }
 
-// appendRecord adds a record to a world's log. Parts that know everything but a report learn of the report
-// too: it has no effect on an agent, and a voter that does not know of it only leads later.
-func (k *worker) appendRecord(w *world, p *proposal) {
-	before := w.log
-	w.log = cached(k, k.positions, positionKey{before, p}, func() *logPosition {
+// appendRecord appends a record to a state's log. A report is applied at once by all voters and agents that
+// have applied every record before it. That loses no behaviour: a report has no effect on an agent, and a
+// voter that has not applied it only leads later.
+func (k *worker) appendRecord(state *systemState, p *proposal) {
+	before := state.log
+	state.log = cached(k, k.positions, positionKey{before, p}, func() *logPosition {
 		return k.search.appendRecord(before, p)
 	})
-	if w.log == before || w.log.depth > before.depth {
+	if state.log == before || state.log.depth > before.depth {
 		return
 	}
 	for i := range k.voterNumbers {
-		if w.voters[i].known == before.depth {
-			k.learnVoter(w, i, w.log)
+		if state.voters[i].applied == before.depth {
+			k.learnVoter(state, i, state.log)
 		}
 	}
-	for i := range w.agents {
-		if w.agents[i].known == before.depth {
-			k.learnAgent(w, i, w.log)
+	for i := range state.agents {
+		if state.agents[i].applied == before.depth {
+			k.learnAgent(state, i, state.log)
 		}
 	}
 }
 
-// learnVoter has a voter learn the agreed state up to a position.
-func (k *worker) learnVoter(w *world, i int, p *logPosition) {
-	v := w.voters[i]
+// learnVoter applies the records up to a position at a voter.
+func (k *worker) learnVoter(state *systemState, i int, p *logPosition) {
+	v := state.voters[i]
 	key := voterKey{
-		kind: voterLearns, i: int8(i), now: w.now, fingerprint: v.fingerprint,
+		kind: voterLearns, i: int8(i), now: state.now, fingerprint: v.fingerprint,
 		proposerFingerprint: v.proposerFingerprint, p: p,
 	}
-	w.voters[i] = cached(k, k.voterResults, key, func() voter {
-		n := v.fork()
-		k.learn(&n, p, int(w.now))
-		return n
+	state.voters[i] = cached(k, k.voterResults, key, func() voter {
+		fork := v.fork()
+		k.learn(&fork, p, int(state.now))
+		return fork
 	})
 }
 
-func (k *worker) learnAgent(w *world, i int, p *logPosition) {
-	a := &w.agents[i]
+// learnAgent applies the records up to a position at an agent.
+func (k *worker) learnAgent(state *systemState, i int, p *logPosition) {
+	a := &state.agents[i]
 	key := agentKey{kind: agentLearns, i: int8(i), fingerprint: a.fingerprint, p: p}
-	n := cached(k, k.agentResults, key, func() agent {
-		part := a.agent.Fork()
-		part.Learn(p.stateMachine)
-		return agent{agent: part, fingerprint: k.agentFingerprint(part)}
+	result := cached(k, k.agentResults, key, func() agent {
+		fork := a.agent.Fork()
+		fork.Learn(p.stateMachine)
+		return agent{agent: fork, fingerprint: k.agentFingerprint(fork)}
 	})
-	a.known, a.agent, a.fingerprint = p.depth, n.agent, n.fingerprint
+	a.applied, a.agent, a.fingerprint = p.depth, result.agent, result.fingerprint
 }
 
-// visit checks a state, and goes on to all states that can follow.
-func (k *worker) visit(w *world) {
+// visit checks a state. If the state is new, it explores all steps from it.
+func (k *worker) visit(state *systemState) {
 	if k.violated.Load() {
 		return
 	}
-	if text := k.checkDecisions(w); text != "" {
+	if text := k.checkDecisions(state); text != "" {
 		k.addViolation(text, k.steps)
 		return
 	}
-	wanted := effectiveOnly
+	distinguished := relevantState
 	if k.setup.Exhaustive {
-		wanted = everything
-		n := *w
-		n.dropRedundantLeases()
-		k.distinct.Add(k.hash(&n, effectiveOnly))
+		distinguished = fullState
+		reduced := *state
+		reduced.dropRedundantLeases()
+		k.distinct.Add(k.hash(&reduced, relevantState))
 	} else {
-		w.dropRedundantLeases()
+		state.dropRedundantLeases()
 	}
-	if !k.seen.Add(k.hash(w, wanted)) {
+	if !k.seen.Add(k.hash(state, distinguished)) {
 		return
 	}
-	switch w.log.status {
+	switch state.log.status {
 	case policy.StatusAccepted:
 		k.accepted.Add(1)
 	case policy.StatusRejected:
 		k.rejected.Add(1)
 	}
-	k.takeAllSteps(w)
+	k.exploreAllSteps(state)
 }
 
-func (k *worker) replyKey(w *world, i, v int, kind stepKind) replyKey {
-	vo, a := &w.voters[v], &w.agents[i]
+func (k *worker) replyKey(state *systemState, i, v int, kind stepKind) replyKey {
+	granter, a := &state.voters[v], &state.agents[i]
 	return replyKey{
-		kind: kind, voter: vo.fingerprint, proposerFingerprint: vo.proposerFingerprint, p: w.log.at(vo.known),
-		v: int8(v), i: int8(i), incarnation: a.incarnation,
-		now: w.now, agent: a.fingerprint,
+		kind: kind, voter: granter.fingerprint, proposerFingerprint: granter.proposerFingerprint,
+		p: state.log.at(granter.applied), v: int8(v), i: int8(i), incarnation: a.incarnation,
+		now: state.now, agent: a.fingerprint,
 	}
 }
 
-// checkDecisions has each agent make a decision, and says what is wrong with one; empty: nothing.
-func (k *worker) checkDecisions(w *world) string {
-	for i := range w.agents {
-		a := &w.agents[i]
+// checkDecisions makes a decision at each agent, and returns a description of the first violation, or an
+// empty string if there is none.
+func (k *worker) checkDecisions(state *systemState) string {
+	for i := range state.agents {
+		a := &state.agents[i]
 		standing := lease.New
 		for _, g := range a.grants[:a.grantCount] {
-			if w.now-g.requestedAt < leaseSeconds && a.known >= g.covers {
+			if state.now-g.requestedAt < leaseSeconds && a.applied >= g.coveredRecords {
 				standing = lease.Full
 			}
 		}
 		key := agentKey{
-			kind: secondPasses, i: int8(i), now: w.now, standing: standing, fingerprint: a.fingerprint,
-			p: w.log.at(a.known),
+			kind: timeAdvances, i: int8(i), now: state.now, standing: standing, fingerprint: a.fingerprint,
+			p: state.log.at(a.applied),
 		}
-		d := cached(k, k.decisionResults, key, func() decision { return k.decide(*a, int(w.now), standing) })
+		d := cached(k, k.decisionResults, key, func() decision { return k.decide(*a, int(state.now), standing) })
 		a.agent, a.fingerprint = d.after.agent, d.after.fingerprint
 		switch {
 		case d.mode != policy.ModeFull:
-		case d.version < w.newestActedOn:
-			return fmt.Sprintf("agent %d acts on version %d after another acted on %d", i, d.version, w.newestActedOn)
-		case uint64(d.version) > w.log.stateMachine.State().InForce.Number:
+		case d.version < state.newestActedOn:
+			return fmt.Sprintf("agent %d acts on version %d after another acted on %d",
+				i, d.version, state.newestActedOn)
+		case uint64(d.version) > state.log.stateMachine.State().InForce.Number:
 			return fmt.Sprintf("agent %d acts on version %d, which was never activated", i, d.version)
 		default:
-			w.newestActedOn = d.version
+			state.newestActedOn = d.version
 		}
 	}
 	return ""
 }
 
-func (k *worker) checkEnd(w *world) bool {
-	v := w.voters[0]
+// checkCompletion reports whether the change is complete, or completes without further faults.
+func (k *worker) checkCompletion(state *systemState) bool {
+	v := state.voters[0]
 	key := voterKey{
-		known: v.known, now: w.now, fingerprint: v.fingerprint,
-		proposerFingerprint: v.proposerFingerprint, p: w.log,
+		applied: v.applied, now: state.now, fingerprint: v.fingerprint,
+		proposerFingerprint: v.proposerFingerprint, p: state.log,
 	}
-	return !w.log.open || cached(k, k.endResults, key, func() bool {
-		return k.comesToAnEnd(v, w.log, int(w.now))
+	return !state.log.open || cached(k, k.completionResults, key, func() bool {
+		return k.changeCompletes(v, state.log, int(state.now))
 	})
 }
 
-// hash is a hash of the state. Once the change has come to its end, what voters know of leases and for how
-// long has no effect any more, as reports and decisions are about an open change.
-func (k *worker) hash(w *world, detail detail) uint64 {
+// hash returns a hash of the state. Once the change is complete, the voters' knowledge of leases and its
+// age no longer have an effect, because reports and decisions concern an open change.
+func (k *worker) hash(state *systemState, detail detail) uint64 {
 	b := make([]byte, 0, 160)
-	b = binary.LittleEndian.AppendUint16(b, w.log.id)
+	b = binary.LittleEndian.AppendUint16(b, state.log.id)
 	pending := uint16(0)
-	if w.pending != nil {
-		pending = w.pending.id
+	if state.pendingPostponement != nil {
+		pending = state.pendingPostponement.id
 	}
 	b = binary.LittleEndian.AppendUint16(b, pending)
-	b = append(b, byte(w.now), byte(w.newestActedOn), byte(w.grants), byte(w.restarts),
-		byte(w.postponements), byte(w.knownASecondAgo))
-	for i := range w.agents {
-		a := &w.agents[i]
-		b = append(b, byte(a.known), byte(a.incarnation), byte(a.grantCount))
+	b = append(b, byte(state.now), byte(state.newestActedOn), byte(state.grants), byte(state.restarts),
+		byte(state.postponements), byte(state.recordsOneSecondAgo))
+	for i := range state.agents {
+		a := &state.agents[i]
+		b = append(b, byte(a.applied), byte(a.incarnation), byte(a.grantCount))
 		for _, g := range a.grants[:a.grantCount] {
-			b = append(b, byte(g.requestedAt), byte(g.covers))
+			b = append(b, byte(g.requestedAt), byte(g.coveredRecords))
 		}
 		b = binary.LittleEndian.AppendUint64(b, a.fingerprint)
 	}
 	for i := range k.voterNumbers {
-		v := &w.voters[i]
-		b = append(b, byte(v.known))
-		if detail == everything || w.log.open {
+		v := &state.voters[i]
+		b = append(b, byte(v.applied))
+		if detail == fullState || state.log.open {
 			b = binary.LittleEndian.AppendUint64(b, v.fingerprint)
 			b = binary.LittleEndian.AppendUint64(b, v.proposerFingerprint)
 		}
@@ -250,7 +255,7 @@
 	return maphash.Bytes(k.seed, b)
 }
 
-// keepGrants keeps some of the leases.
+// keepGrants drops the leases for which keep returns false.
 func (a *agent) keepGrants(keep func(leaseGrant) bool) {
 	count := int8(0)
 	for _, g := range a.grants[:a.grantCount] {
@@ -263,26 +268,27 @@
 	a.grantCount = count
 }
 
-// alreadyCovered stands for the records of a lease that the agent knows already.
+// alreadyCovered is the value of coveredRecords once the agent has applied all records that a lease covers.
 const alreadyCovered = -1
 
-// dropRedundantLeases drops leases beside another that was requested as late and covers no more records.
-func (w *world) dropRedundantLeases() {
-	for i := range w.agents {
-		a := &w.agents[i]
+// dropRedundantLeases drops each lease for which there is another that was requested at the same time or
+// later and covers no more records.
+func (state *systemState) dropRedundantLeases() {
+	for i := range state.agents {
+		a := &state.agents[i]
 		for j := range a.grants[:a.grantCount] {
-			if g := &a.grants[j]; a.known >= g.covers {
-				g.covers = alreadyCovered
+			if g := &a.grants[j]; a.applied >= g.coveredRecords {
+				g.coveredRecords = alreadyCovered
 			}
 		}
 		all := a.grants[:a.grantCount]
 		slices.SortFunc(all, func(x, y leaseGrant) int {
-			return int(x.requestedAt-y.requestedAt)*100 + int(y.covers-x.covers)
+			return int(x.requestedAt-y.requestedAt)*100 + int(y.coveredRecords-x.coveredRecords)
 		})
 		for j := int8(0); j < a.grantCount; j++ {
 			g := a.grants[j]
-			stands := func(o leaseGrant) bool { return o.covers <= g.covers }
-			if slices.ContainsFunc(a.grants[j+1:a.grantCount], stands) {
+			coversNoMore := func(o leaseGrant) bool { return o.coveredRecords <= g.coveredRecords }
+			if slices.ContainsFunc(a.grants[j+1:a.grantCount], coversNoMore) {
 				copy(a.grants[j:], a.grants[j+1:])
 				a.grantCount--
 				j--
