--- a/internal/control/maintenance/judge/judge.go
+++ b/internal/control/maintenance/judge/judge.go
@@ -1,8 +1,8 @@
-// Package judge checks from the outside whether a fleet keeps what package maintenance promises: from the
-// requests that its agents sent, the windows that were accepted, and the contracts by their versions. It
-// knows nothing of how agents decide.
+// Package judge checks whether a fleet follows the rules of package maintenance. Its input is the requests
+// that the agents sent, the windows that were accepted, and the contracts by policy version; it is
+// independent of how agents decide.
 //
-// It reads no clock and does no input or output; all times are true Unix times that the caller passes. Its
+// The package reads no clock and does no I/O. All times are true Unix times, which the caller passes. Its
 // types are not safe for concurrent use.
 package judge
 
@@ -16,100 +16,102 @@
 	"dunestep/internal/control/policy"
 )
 
-// Request is one that an agent decided on. Requests are passed in the order of their times.
+// Request is a request for which an agent chose a server. Requests are passed in the order of At.
 type Request struct {
-	At                  time.Duration // of the decision
-	ArrivesAt           time.Duration // at the server
+	At                  time.Duration // time of the decision
+	ArrivesAt           time.Duration // time of arrival at the server
 	Agent               int
 	Incarnation         int // of the agent's process
 	Tenant              string
 	Hash                uint32
-	Server              string   // empty: none
-	Excluded            []string // servers that it would have gone to before, and was kept off
-	OverridesExclusions bool     // it should have kept off the server, but no other was left
-	Listed              int      // servers on the agent's endpoint list
+	Server              string   // chosen server; empty: none
+	Excluded            []string // servers that were preferred to Server, but excluded
+	OverridesExclusions bool     // Server was excluded, but no other server was left
+	Listed              int      // number of servers on the agent's endpoint list
 	Mode                policy.Mode
 	Version             uint64
 }
 
-// Violation is a request that should not have been sent, or not to its server.
+// Violation is a request that must not be sent, or not to its server.
 type Violation struct {
 	Request
 	Reason string
 }
 
 func (b Violation) String() string {
-	return fmt.Sprintf("%v: agent %d, %v of version %d, tenant %s, server %q, kept off %v: %s", clock(b.At),
+	return fmt.Sprintf("%v: agent %d, %v of version %d, tenant %s, server %q, excluded %v: %s", formatTime(b.At),
 		b.Agent, b.Mode, b.Version, b.Tenant, b.Server, b.Excluded, b.Reason)
 }
 
-func clock(at time.Duration) string {
+// formatTime formats a Unix time in UTC.
+func formatTime(at time.Duration) string {
 	return time.Unix(0, int64(at)).UTC().Format("Mon 02.01. 15:04:05.000")
 }
 
-// Settings are what the promises are checked with.
+// Settings are the parameters of the checks.
 type Settings struct {
-	ClockError   time.Duration     // how far a Unix clock may be off
-	Turns        maintenance.Turns // of agents at policy.ModeBottom
-	LearnDelay   time.Duration     // with which an agent may learn of a window's state: the fence
-	Keys         int               // how many keys of a tenant are sent again and again
-	ReportPeriod time.Duration     // after which overridden exclusions have been reported to the leader
+	ClockError   time.Duration     // maximum error of a Unix clock
+	Turns        maintenance.Turns // turns of servers, which agents at policy.ModeBottom use
+	LearnDelay   time.Duration     // maximum delay until an agent knows a window's state: the fence
+	Keys         int               // number of a tenant's keys that are sent repeatedly
+	ReportPeriod time.Duration     // time within which overridden exclusions are reported to the leader
 }
 
 // Judge checks the requests of one fleet.
 type Judge struct {
-	// Violations are the first ones, Count is how many there were.
+	// Violations holds the first maxViolations violations; Count is the number of all of them.
 	Violations []Violation
 	Count      int
-	// ExcludedRequests counts requests that were kept off a server, RequestsWhileFree those that arrived
-	// anywhere while a window of their tenant was free.
+	// ExcludedRequests is the number of exclusions of servers over all requests, RequestsWhileFree the number of
+	// requests that arrived at any server while the servers of a window of their tenant were free.
 	ExcludedRequests, RequestsWhileFree int
 
-	settings     Settings
-	windows      []*acceptedWindow
-	contracts    map[uint64]map[string]*contract.Contract // by version and tenant
-	moveAccounts map[moveAccountKey]*moveAccount
+	settings    Settings
+	windows     []*acceptedWindow
+	contracts   map[uint64]map[string]*contract.Contract // by version and tenant
+	moveBudgets map[moveBudgetKey]*moveBudget
 }
 
-// acceptedWindow is a window, and what was seen of it.
+// acceptedWindow is an accepted window, and what was observed of it.
 type acceptedWindow struct {
 	*maintenance.Window
-	moveRate    float64
-	freeAt      time.Duration // zero: never
-	withdrawnAt time.Duration // when it stopped being free; zero: never
-	overriding  map[int]bool  // agents whose last request before that overrode exclusions
-	sending     map[int]bool  // agents that sent requests before that
-	// mostOverrideSince is since when most agents that send override exclusions.
-	mostOverrideSince time.Duration
-	inFlight          []Request // that arrive long after they were sent, before the window is free
+	moveRate    float64       // maximum fraction of a server's keys moved per second
+	freeAt      time.Duration // time at which it was declared free; zero: never
+	withdrawnAt time.Duration // time at which it stopped being free; zero: never
+	overriding  map[int]bool  // agents whose last request before freeAt overrode exclusions
+	sending     map[int]bool  // agents that sent requests before freeAt
+	// majorityOverridesSince is the time since which most of the sending agents override exclusions.
+	majorityOverridesSince time.Duration
+	inFlight               []Request // requests with a long flight time, sent before freeAt
 }
 
-// maxViolations is how many violations are kept; all are counted.
+// maxViolations is the number of violations that are kept; all are counted.
 const maxViolations = 20
 
 // New returns a Judge of a fleet without windows.
 func New(settings Settings) *Judge {
 	return &Judge{
 		settings: settings, contracts: map[uint64]map[string]*contract.Contract{},
-		moveAccounts: map[moveAccountKey]*moveAccount{},
+		moveBudgets: map[moveBudgetKey]*moveBudget{},
 	}
 }
 
-// WindowAccepted takes a window, and the fraction of a server's keys that may be moved in a second.
+// WindowAccepted adds a window. moveRate is the fraction of a server's keys that may be moved per second.
 func (j *Judge) WindowAccepted(w *maintenance.Window, moveRate float64) {
 	j.windows = append(j.windows, &acceptedWindow{
 		Window: w, moveRate: moveRate, overriding: map[int]bool{}, sending: map[int]bool{},
 	})
 }
 
-// SetContracts takes the contracts of a version, before any request that is made under it.
+// SetContracts sets the contracts of a policy version by tenant. It must be called before any request under
+// the version.
 func (j *Judge) SetContracts(version uint64, contracts map[string]*contract.Contract) {
 	j.contracts[version] = contracts
 }
 
-// SetFree takes that operators were told a window's servers are free, or that they are not any more.
+// SetFree records that a window's servers were reported free to operators, or no longer are.
 //
-//nolint:revive // flag-parameter: it is a state
+//nolint:revive // flag-parameter: free is a state
 func (j *Judge) SetFree(at time.Duration, id string, free bool) {
 	for _, w := range j.windows {
 		switch {
@@ -119,8 +121,9 @@
 			for _, r := range w.inFlight {
 				j.checkWhileFree(w, r)
 			}
-			if w.isMostlyOverridden() && at-w.mostOverrideSince > j.settings.ReportPeriod {
-				j.addViolation(Request{At: at}, fmt.Sprintf("%s is told to be free while serving goes first", id))
+			if w.isOverriddenByMajority() && at-w.majorityOverridesSince > j.settings.ReportPeriod {
+				j.addViolation(Request{At: at},
+					fmt.Sprintf("%s is declared free while most agents override its exclusions", id))
 			}
 		case !free && w.withdrawnAt == 0:
 			w.withdrawnAt = at
@@ -128,8 +131,8 @@
 	}
 }
 
-// isMostlyOverridden tells whether most agents that send override exclusions.
-func (w *acceptedWindow) isMostlyOverridden() bool { return 2*len(w.overriding) > len(w.sending) }
+// isOverriddenByMajority reports whether most of the sending agents override exclusions.
+func (w *acceptedWindow) isOverriddenByMajority() bool { return 2*len(w.overriding) > len(w.sending) }
 
 func (j *Judge) addViolation(r Request, reason string) {
 	if j.Count++; len(j.Violations) < maxViolations {
@@ -140,11 +143,11 @@
 // RequestSent checks a request.
 func (j *Judge) RequestSent(r Request) {
 	if r.Server == "" && r.Listed > 0 {
-		j.addViolation(r, "no server, while one is listed")
+		j.addViolation(r, "no server was chosen, although one is listed")
 	}
 	for _, server := range r.Excluded {
 		j.ExcludedRequests++
-		if reason := j.exclusionFault(r, server); reason != "" {
+		if reason := j.exclusionViolation(r, server); reason != "" {
 			j.addViolation(r, reason)
 		}
 	}
@@ -156,9 +159,10 @@
 	}
 }
 
-// exclusionFault says why a request may not be kept off a server; empty: it may.
-func (j *Judge) exclusionFault(r Request, server string) string {
-	reason := "kept off a node that no window holds"
+// exclusionViolation returns why a server must not be excluded for a request, or an empty string if it may
+// be.
+func (j *Judge) exclusionViolation(r Request, server string) string {
+	reason := "excluded server is in no window of the tenant"
 	for _, w := range j.windows {
 		if !slices.Contains(w.Nodes, server) || !slices.Contains(w.Tenants, r.Tenant) ||
 			r.At < w.From-j.settings.ClockError || r.At >= w.To+j.settings.ClockError {
@@ -171,7 +175,7 @@
 		if j.isAllowed(version, r.Tenant, r.At) {
 			return ""
 		}
-		reason = "outside the hours of its contract"
+		reason = "excluded outside the hours of the contract"
 	}
 	if r.Mode == policy.ModeBottom && j.settings.Turns > 0 && j.isInTurn(r.At, server) {
 		return ""
@@ -179,28 +183,29 @@
 	return reason
 }
 
-// isInTurn tells whether it is a server's turn, by any clock that is right.
+// isInTurn reports whether it may be a server's turn, within the clock error.
 func (j *Judge) isInTurn(at time.Duration, server string) bool {
-	of := j.settings.Turns.Of(server, "")
+	serverTurn := j.settings.Turns.Of(server, "")
 	for _, clockError := range []time.Duration{0, -j.settings.ClockError, j.settings.ClockError} {
-		if turn, _ := j.settings.Turns.At(at + clockError); turn == of {
+		if turn, _ := j.settings.Turns.At(at + clockError); turn == serverTurn {
 			return true
 		}
 	}
 	return false
 }
 
-// isAllowed tells whether a version's contract allows a tenant to be moved, by any clock that is right.
+// isAllowed reports whether a version's contract may allow a tenant to be moved, within the clock error.
 func (j *Judge) isAllowed(version uint64, tenant string, at time.Duration) bool {
 	c := j.contracts[version][tenant]
 	return c != nil && (c.Allows(at) || c.Allows(at-j.settings.ClockError) || c.Allows(at+j.settings.ClockError))
 }
 
-// longFlight is from when on a request that was sent before a window is free may arrive after it.
-const longFlight = time.Second
+// minLongFlight is the minimum flight time of requests that are kept until a window is free, to check their
+// arrival then.
+const minLongFlight = time.Second
 
-// checkArrival checks a request against the window's state. Before the window is free it notes which agents
-// override exclusions, as the leader has reports of that, and which requests are in flight.
+// checkArrival checks a request against the window's state. Before the window is free it records which agents
+// override exclusions, which the leader knows from reports, and which requests are in flight.
 func (j *Judge) checkArrival(w *acceptedWindow, r Request) {
 	toWindow := slices.Contains(w.Nodes, r.Server)
 	if w.freeAt == 0 && r.At >= w.DrainedAt {
@@ -210,19 +215,20 @@
 		} else {
 			delete(w.overriding, r.Agent)
 		}
-		if !w.isMostlyOverridden() {
-			w.mostOverrideSince = r.At
+		if !w.isOverriddenByMajority() {
+			w.majorityOverridesSince = r.At
 		}
 	}
 	if w.freeAt > 0 {
 		j.checkWhileFree(w, r)
-	} else if r.ArrivesAt > r.At+longFlight && toWindow {
+	} else if r.ArrivesAt > r.At+minLongFlight && toWindow {
 		w.inFlight = slices.DeleteFunc(w.inFlight, func(earlier Request) bool { return earlier.ArrivesAt < r.At })
 		w.inFlight = append(w.inFlight, r)
 	}
 }
 
-// checkWhileFree checks that a request does not arrive at a window's servers while they are free.
+// checkWhileFree adds a violation if a request arrives at a window's servers while they are free. Requests
+// that override exclusions are allowed.
 func (j *Judge) checkWhileFree(w *acceptedWindow, r Request) {
 	if w.freeAt == 0 || r.ArrivesAt < w.freeAt || r.ArrivesAt >= w.ReturnFrom-j.settings.ClockError ||
 		w.withdrawnAt > 0 && r.ArrivesAt >= w.withdrawnAt {
@@ -233,8 +239,8 @@
 		return
 	}
 	if r.Mode != policy.ModeBottom && !j.isAllowed(r.Version, r.Tenant, r.At) {
-		return // the contract was changed, which applies at once
+		return // a changed contract applies at once
 	}
-	j.addViolation(r,
-		fmt.Sprintf("arrives at %v, after %s was free at %v", clock(r.ArrivesAt), w.ID, clock(w.freeAt)))
+	j.addViolation(r, fmt.Sprintf("arrives at %v, after %s was declared free at %v",
+		formatTime(r.ArrivesAt), w.ID, formatTime(w.freeAt)))
 }
--- a/internal/control/maintenance/judge/moverate.go
+++ b/internal/control/maintenance/judge/moverate.go
@@ -8,38 +8,39 @@
 	"dunestep/internal/control/policy"
 )
 
-// moveAccountKey is a tenant's keys at a server, as one agent moves them.
-type moveAccountKey struct {
+// moveBudgetKey identifies the budget for the moves of a tenant's keys at a server by one agent.
+type moveBudgetKey struct {
 	agent        int
 	tenant, node string
 }
 
-// moveAccount is how fast keys leave or come back. It fills up with the move rate as time passes, and each
-// key that is moved takes one from it. An agent without a lease may learn late that a window returns, and
-// then has its keys come back at once; keys that leave follow the rate there too.
-type moveAccount struct {
+// moveBudget is a token bucket that limits how fast keys leave a server or return to it. It fills with the
+// move rate, and each moved key takes one token. An agent without a lease may learn late that a window
+// returns, and then returns its keys at once, so only keys that leave are limited there.
+type moveBudget struct {
 	incarnation int
 	mode        policy.Mode
 	version     uint64
-	at          time.Duration
-	fresh       bool // what an agent moves at once when it starts, wakes up, or gets or loses a lease
-	remaining   float64
-	keys        map[uint32]bool // whether the key was moved, by hash
+	at          time.Duration   // time of the last request
+	isExempt    bool            // moves cost nothing until the time advances: see budget
+	remaining   float64         // tokens
+	movedKeys   map[uint32]bool // whether the key was moved, by hash
 }
 
-// maxGap is how long an agent may send nothing before it counts as one that was paused.
+// maxGap is the time without requests after which an agent counts as paused.
 const maxGap = 3 * time.Second
 
-// keyPlace is where a request of a key went.
-type keyPlace uint8
+// keyLocation is where a key's request was sent.
+type keyLocation uint8
 
 const (
-	atServer keyPlace = iota // to the window's server
-	movedOff                 // kept off it
+	atServer keyLocation = iota // the window's server
+	movedOff                    // another server, because the window's server was excluded
 )
 
-// checkMoves counts keys that were moved, or back, since they were seen last. Keys that another window has
-// off the same server meanwhile count for that one.
+// checkMoves checks a request's key for a move since its last request, at each server of a window. It
+// ignores requests outside of the window's time. A key that another window has already moved off the same
+// server counts for that window only.
 func (j *Judge) checkMoves(w *acceptedWindow, r Request) {
 	if r.At < w.From-maxGap || r.At > w.To+maxGap || r.OverridesExclusions {
 		return
@@ -54,46 +55,48 @@
 }
 
 // checkMove checks a key at one server of a window.
-func (j *Judge) checkMove(w *acceptedWindow, r Request, server string, place keyPlace) {
-	account := j.account(w, r, server)
-	if r.At > account.at {
-		account.fresh = false
-		filled := account.remaining + w.moveRate*float64(j.settings.Keys)*(r.At-account.at).Seconds()
-		account.remaining = min(filled, j.maxMovesAtOnce(w))
-		account.at = r.At
+func (j *Judge) checkMove(w *acceptedWindow, r Request, server string, place keyLocation) {
+	budget := j.budget(w, r, server)
+	if r.At > budget.at {
+		budget.isExempt = false
+		filled := budget.remaining + w.moveRate*float64(j.settings.Keys)*(r.At-budget.at).Seconds()
+		budget.remaining = min(filled, j.maxMovesAtOnce(w))
+		budget.at = r.At
 	}
 	moved := place == movedOff
-	before, known := account.keys[r.Hash]
-	account.keys[r.Hash] = moved
-	if !known || before == moved || account.fresh || r.Mode != policy.ModeFull && !moved {
+	wasMoved, known := budget.movedKeys[r.Hash]
+	budget.movedKeys[r.Hash] = moved
+	if !known || wasMoved == moved || budget.isExempt || r.Mode != policy.ModeFull && !moved {
 		return
 	}
-	if account.remaining--; account.remaining < 0 {
+	if budget.remaining--; budget.remaining < 0 {
 		j.addViolation(r, fmt.Sprintf("%s moves keys faster than %.3f a second", w.ID, w.moveRate))
 	}
 }
 
-// account is the account of a request's keys, a new one where the agent has just begun to act as it does.
-func (j *Judge) account(w *acceptedWindow, r Request, server string) *moveAccount {
-	key := moveAccountKey{r.Agent, r.Tenant, server}
-	a := j.moveAccounts[key]
-	if a != nil && a.incarnation == r.Incarnation && a.mode == r.Mode && a.version == r.Version &&
-		r.At-a.at <= maxGap {
-		return a
+// budget returns the budget for a request's key. It starts a new budget, with the known locations of the
+// keys, if the agent restarted, changed its mode or version, or was paused.
+func (j *Judge) budget(w *acceptedWindow, r Request, server string) *moveBudget {
+	key := moveBudgetKey{r.Agent, r.Tenant, server}
+	b := j.moveBudgets[key]
+	if b != nil && b.incarnation == r.Incarnation && b.mode == r.Mode && b.version == r.Version &&
+		r.At-b.at <= maxGap {
+		return b
 	}
 	keys := map[uint32]bool{}
-	if a != nil {
-		keys = a.keys
+	if b != nil {
+		keys = b.movedKeys
 	}
-	a = &moveAccount{
-		incarnation: r.Incarnation, mode: r.Mode, version: r.Version, at: r.At, fresh: true,
-		remaining: j.maxMovesAtOnce(w), keys: keys,
+	b = &moveBudget{
+		incarnation: r.Incarnation, mode: r.Mode, version: r.Version, at: r.At, isExempt: true,
+		remaining: j.maxMovesAtOnce(w), movedKeys: keys,
 	}
-	j.moveAccounts[key] = a
-	return a
+	j.moveBudgets[key] = b
+	return b
 }
 
-// maxMovesAtOnce is how many keys may be moved at once: a step, what is learnt late, and chance on both.
+// maxMovesAtOnce returns the number of keys that may be moved at once: one step and the moves of the learning
+// delay, with a margin for random variation.
 func (j *Judge) maxMovesAtOnce(w *acceptedWindow) float64 {
 	n := float64(j.settings.Keys) * (w.moveRate*j.settings.LearnDelay.Seconds() + 1/float64(w.Steps))
 	return n + 3*max(n, 1)/2
--- a/internal/control/maintenance/judge/planchecker.go
+++ b/internal/control/maintenance/judge/planchecker.go
@@ -11,33 +11,34 @@
 	"dunestep/internal/control/maintenance/contract"
 )
 
-// PlanChecker checks whether a request fits, by going through each rule at each moment. It uses the tables of
-// the contracts and what they allow at a moment, and shares nothing else with maintenance.Plan. Moments are
-// multiples of Grid, and so have to be all times of the input.
+// PlanChecker checks whether a window request fits by evaluating each rule at each moment. It is
+// independent of maintenance.Plan, except for the tables of the contracts and Contract.Allows. Moments are
+// multiples of Grid, and all times of the input must be, too.
 type PlanChecker struct {
-	Input   maintenance.PlanInput // with its ClockMargin
+	Input   maintenance.PlanInput // including its ClockMargin
 	Tables  map[string]contract.Table
-	Windows []*maintenance.Window // all, over or not
+	Windows []*maintenance.Window // all windows, including past ones
 	Grid    time.Duration
 }
 
-// Rule is one that a request may break; empty: none.
+// Rule names a rule that a request may violate; empty: none.
 type Rule string
 
 // The rules.
 const (
-	RuleLength     Rule = "short" // too short to move all keys and back
+	RuleLength     Rule = "short" // too short to move all keys and return them
 	RuleContract   Rule = "contract"
 	RuleMaxLength  Rule = "longest"
 	RuleNotice     Rule = "notice"
 	RuleHours      Rule = "hours"
 	RuleMonthly    Rule = "monthly"
 	RuleTurn       Rule = "turn"
-	RuleMovedTwice Rule = "twice" // a tenant is off the server already
+	RuleMovedTwice Rule = "twice" // the tenant is already moved off the server by another window
 	RuleCapacity   Rule = "capacity"
 )
 
-// Defaults of a request, a contract's table and a plan's input, written down again here.
+// Defaults of a request, a contract's table and a plan's input. They repeat those of the code under test so
+// that the check is independent.
 const (
 	defaultMoveRate       = 0.01
 	defaultMaxLengthMin   = 480
@@ -46,52 +47,52 @@
 	defaultPeakLoad       = 0.7
 	defaultMaxUtilization = 0.9
 
-	tolerance = 1e-6 // of capacities, for rounding
+	tolerance = 1e-6 // rounding tolerance of capacities
 )
 
-// FirstBroken is the first rule that a request breaks; empty: it fits.
-func (p PlanChecker) FirstBroken(a maintenance.WindowRequest) Rule {
-	tenants := p.tenants(a)
-	steps := math.Ceil(1/cmp.Or(a.MoveRate, defaultMoveRate) - 1e-9)
-	if a.To-a.From < 2*time.Duration(steps)*time.Second+cmp.Or(p.Input.MinDrained, maintenance.MinDrained) {
+// FirstViolatedRule returns the first rule that a request violates, or an empty Rule if it fits.
+func (p PlanChecker) FirstViolatedRule(r maintenance.WindowRequest) Rule {
+	tenants := p.tenants(r)
+	steps := math.Ceil(1/cmp.Or(r.MoveRate, defaultMoveRate) - 1e-9)
+	if r.To-r.From < 2*time.Duration(steps)*time.Second+cmp.Or(p.Input.MinDrained, maintenance.MinDrained) {
 		return RuleLength
 	}
 	for _, name := range tenants {
-		if table, is := p.Tables[name]; !is {
+		if table, known := p.Tables[name]; !known {
 			return RuleContract
-		} else if a.To-a.From > time.Duration(cmp.Or(table.MaxLengthMin, defaultMaxLengthMin))*time.Minute {
+		} else if r.To-r.From > time.Duration(cmp.Or(table.MaxLengthMin, defaultMaxLengthMin))*time.Minute {
 			return RuleMaxLength
 		}
 	}
 	for _, name := range tenants {
-		least := max(time.Duration(p.Tables[name].NoticeMin)*time.Minute, maintenance.MinNotice)
-		if a.From-p.Input.Now < least {
+		minNotice := max(time.Duration(p.Tables[name].NoticeMin)*time.Minute, maintenance.MinNotice)
+		if r.From-p.Input.Now < minNotice {
 			return RuleNotice
 		}
 	}
 	for _, name := range tenants {
-		if broken := p.checkContractTimes(a, name); broken != "" {
-			return broken
+		if rule := p.checkContractTimes(r, name); rule != "" {
+			return rule
 		}
 	}
-	nodes := p.requestedServers(a)
+	nodes := p.requestedServers(r)
 	for _, n := range nodes {
-		if p.Input.IsInTurn != nil && !p.Input.IsInTurn(n, a.From, a.To) {
+		if p.Input.IsInTurn != nil && !p.Input.IsInTurn(n, r.From, r.To) {
 			return RuleTurn
 		}
 	}
-	for at := a.From; at < a.To; at += p.Grid {
-		if broken := p.checkMoment(at, tenants, nodes); broken != "" {
-			return broken
+	for at := r.From; at < r.To; at += p.Grid {
+		if rule := p.checkMoment(at, tenants, nodes); rule != "" {
+			return rule
 		}
 	}
 	return ""
 }
 
-// tenants are the request's tenants, each once.
-func (p PlanChecker) tenants(a maintenance.WindowRequest) []string {
-	if a.Tenants[0] != maintenance.AllTenants {
-		return a.Tenants
+// tenants returns the request's tenants without duplicates.
+func (p PlanChecker) tenants(request maintenance.WindowRequest) []string {
+	if request.Tenants[0] != maintenance.AllTenants {
+		return request.Tenants
 	}
 	all := map[string]bool{maintenance.NoTenant: true}
 	for name := range p.Input.TenantLoads {
@@ -103,19 +104,20 @@
 	return slices.Sorted(maps.Keys(all))
 }
 
-// requestedServers are the request's servers.
-func (p PlanChecker) requestedServers(a maintenance.WindowRequest) (nodes []maintenance.Server) {
+// requestedServers returns the request's servers.
+func (p PlanChecker) requestedServers(request maintenance.WindowRequest) (servers []maintenance.Server) {
 	for _, n := range p.Input.Servers {
-		if slices.Contains(a.Nodes, n.ID) || a.Zone != "" && n.Zone == a.Zone {
-			nodes = append(nodes, n)
+		if slices.Contains(request.Nodes, n.ID) || request.Zone != "" && n.Zone == request.Zone {
+			servers = append(servers, n)
 		}
 	}
-	return nodes
+	return servers
 }
 
-// checkContractTimes checks what a tenant's contract says of times.
-func (p PlanChecker) checkContractTimes(a maintenance.WindowRequest, tenant string) Rule {
-	for at := a.From - p.Input.ClockMargin; at < a.To+p.Input.ClockMargin; at += p.Grid {
+// checkContractTimes returns the rule on hours or on the number of windows a month that a request violates
+// for a tenant, or an empty Rule.
+func (p PlanChecker) checkContractTimes(request maintenance.WindowRequest, tenant string) Rule {
+	for at := request.From - p.Input.ClockMargin; at < request.To+p.Input.ClockMargin; at += p.Grid {
 		if !p.Input.Contracts[tenant].Allows(at) {
 			return RuleHours
 		}
@@ -127,7 +129,7 @@
 	month := func(at time.Duration) string { return time.Unix(0, int64(at)).In(zone).Format("2006-01") }
 	count := 0
 	for _, w := range p.Windows {
-		if slices.Contains(w.Tenants, tenant) && month(w.From) == month(a.From) {
+		if slices.Contains(w.Tenants, tenant) && month(w.From) == month(request.From) {
 			count++
 		}
 	}
@@ -137,22 +139,22 @@
 	return ""
 }
 
-// checkMoment checks what each server carries at a moment.
-func (p PlanChecker) checkMoment(at time.Duration, tenants []string, asked []maintenance.Server) Rule {
+// checkMoment returns the rule on capacity that is violated at a moment, or an empty Rule.
+func (p PlanChecker) checkMoment(at time.Duration, tenants []string, requested []maintenance.Server) Rule {
 	listed, total := p.allServers()
-	used := map[string]float64{} // fraction of a server's capacity
+	used := map[string]float64{} // fraction of each server's capacity
 	for tenant, share := range p.loads(tenants) {
-		var mine []maintenance.Server
+		var moved []maintenance.Server
 		if slices.Contains(tenants, tenant) {
-			mine = asked
+			moved = requested
 		}
-		remaining, broken := p.remainingServers(at, tenant, listed, mine)
-		if broken != "" {
-			return broken
+		remaining, rule := p.remainingServers(at, tenant, listed, moved)
+		if rule != "" {
+			return rule
 		}
 		capacity := sumCapacity(remaining)
-		if mine != nil && capacity < total*cmp.Or(p.Tables[tenant].KeptCapacity, defaultKeptCapacity)-tolerance ||
-			capacity < tolerance && (mine != nil || share > 0) {
+		if moved != nil && capacity < total*cmp.Or(p.Tables[tenant].KeptCapacity, defaultKeptCapacity)-tolerance ||
+			capacity < tolerance && (moved != nil || share > 0) {
 			return RuleCapacity
 		}
 		for _, n := range remaining {
@@ -167,20 +169,21 @@
 	return ""
 }
 
-// loads are all tenants' fractions of the load.
+// loads returns the fraction of the load by tenant, for tenants, those with a load and NoTenant.
 func (p PlanChecker) loads(tenants []string) map[string]float64 {
-	all, rest := map[string]float64{}, 1.0
+	all, remaining := map[string]float64{}, 1.0
 	for _, name := range tenants {
 		all[name] = 0
 	}
 	for name, share := range p.Input.TenantLoads {
-		all[name], rest = share, rest-share
+		all[name], remaining = share, remaining-share
 	}
-	all[maintenance.NoTenant] = rest
+	all[maintenance.NoTenant] = remaining
 	return all
 }
 
-// allServers are the servers that the fleet has: those of the list, and those that windows hold.
+// allServers returns the listed servers and those in windows, and their total capacity. A server that is not
+// listed counts with the mean capacity.
 func (p PlanChecker) allServers() (all []maintenance.Server, total float64) {
 	all = slices.Clone(p.Input.Servers)
 	mean := sumCapacity(all) / float64(len(all))
@@ -201,24 +204,25 @@
 	return total
 }
 
-// remainingServers are the servers that a tenant may use at a moment, without those of the request.
+// remainingServers returns the servers that a tenant may use at a moment, without those of the request. It
+// returns RuleMovedTwice if the tenant is already moved off one of these.
 func (p PlanChecker) remainingServers(at time.Duration, tenant string,
-	listed, asked []maintenance.Server,
+	listed, requested []maintenance.Server,
 ) ([]maintenance.Server, Rule) {
-	var left []maintenance.Server
+	var remaining []maintenance.Server
 	for _, n := range listed {
-		off, held := false, false
+		isMoved, inWindow := false, false
 		for _, w := range p.Input.Windows {
-			has := slices.Contains(w.Nodes, n.ID)
-			off = off || has && w.From <= at && at < w.To && slices.Contains(w.Tenants, tenant)
-			held = held || has && w.From <= p.Input.Now && p.Input.Now < w.To
+			contains := slices.Contains(w.Nodes, n.ID)
+			isMoved = isMoved || contains && w.From <= at && at < w.To && slices.Contains(w.Tenants, tenant)
+			inWindow = inWindow || contains && w.From <= p.Input.Now && p.Input.Now < w.To
 		}
-		switch mine := slices.Contains(asked, n); {
-		case mine && off:
+		switch isRequested := slices.Contains(requested, n); {
+		case isRequested && isMoved:
 			return nil, RuleMovedTwice
-		case !mine && !off && (held || !n.Absent):
-			left = append(left, n)
+		case !isRequested && !isMoved && (inWindow || !n.Absent):
+			remaining = append(remaining, n)
 		}
 	}
-	return left, ""
+	return remaining, ""
 }
--- a/internal/control/maintenance/lab/doc.go
+++ b/internal/control/maintenance/lab/doc.go
@@ -1,11 +1,11 @@
-// Package lab plays weeks with maintenance windows in virtual time, with all that can go wrong: agents that
-// are cut off before, in the middle and across the end of the hours, paused or restarted, leaders that end at
-// each record of a window, contracts that change in the middle, nights on which clocks change, servers that
-// fail, overload, operators who stop windows. The agreed log, leases and the policy are those of the policy's
-// lab; package maintenancelog runs beside them as it is shipped. Time in which nothing happens is skipped:
-// all nodes are paused then, and find out by their own clocks where they are. Package judge checks the
-// agents' requests from the outside.
+// Package lab simulates weeks with maintenance windows in virtual time, with fault injection: agents that
+// are cut off before, during and across the end of a window, paused or restarted, leaders that stop at any
+// record of a window, contracts that change during a window, nights with a change to or from summer time,
+// failing servers, overload, and operators who stop windows. The agreed log, leases and the policy are
+// simulated by the lab of package policy; the production code of package maintenancelog runs beside them.
+// Time without events is skipped: all nodes are paused then, and learn the new time from their own clocks.
+// Package judge checks the agents' requests.
 //
-// A Lab is deterministic: the same Setup gives the same week. It is not safe for concurrent use; several may
-// run at once.
+// A Lab is deterministic: the same Setup gives the same week. It is not safe for concurrent use; different
+// Labs may run concurrently.
 package lab
--- a/internal/control/maintenance/lab/faults.go
+++ b/internal/control/maintenance/lab/faults.go
@@ -8,7 +8,8 @@
 	policylab "dunestep/internal/control/policy/lab"
 )
 
-// injectFault has one thing go wrong.
+// injectFault injects a fault of the week's focus, and one random fault; fewer of these if the week has a
+// focus.
 func (l *Lab) injectFault() {
 	rng := l.Rand()
 	l.injectFocusedFault()
@@ -34,14 +35,14 @@
 	case 6:
 		l.restart(max(l.Leader(), 0), until)
 	case 7:
-		for i := range voters { // one way
+		for i := range voters { // cuts the messages from voters to the node
 			l.SetCut(i, n, true)
 			l.At(until, func() { l.SetCut(i, n, false) })
 		}
 	}
 }
 
-// injectFocusedFault has go wrong what the week focuses on.
+// injectFocusedFault injects a fault of the week's focus, if a random open window is under way.
 func (l *Lab) injectFocusedFault() {
 	rng := l.Rand()
 	all := openWindows(l.windows())
@@ -77,12 +78,12 @@
 	}
 }
 
-// failOtherServers has all servers but a window's be down while there are no voters. These are restarted when
-// the window would otherwise be free: nobody has reported to them.
+// failOtherServers takes down all servers but a window's for 90 s, and stops all voters. It restarts the
+// voters when the window would otherwise be declared free, so that they have received no reports.
 func (l *Lab) failOtherServers(w *maintenance.Window) {
 	for i := range servers {
-		if !slices.Contains(w.Nodes, server(i)) {
-			l.failingUntil[server(i)] = l.Now() + 90*time.Second
+		if !slices.Contains(w.Nodes, serverID(i)) {
+			l.downUntil[serverID(i)] = l.Now() + 90*time.Second
 		}
 	}
 	at := w.DrainedAt + clockMargin + maxInFlight + time.Duration(l.Rand().Int64N(int64(5*time.Second)))
@@ -92,14 +93,15 @@
 	}
 }
 
-// startNode starts a node's process if none runs.
+// startNode starts a node's process unless one is running.
 func (l *Lab) startNode(n int, storage policylab.Storage) {
 	if l.Incarnation(n) == 0 {
 		l.Start(n, storage)
 	}
 }
 
-// disturbWindow has an operator stop a window, or servers, tenants or agents be in trouble.
+// disturbWindow injects a random disturbance of a window: an operator's stop, unlisted servers, failing
+// requests of a tenant, or overloaded agents.
 func (l *Lab) disturbWindow(w *maintenance.Window) {
 	rng := l.Rand()
 	until := l.Now() + time.Duration(rng.Int64N(int64(time.Minute)))
@@ -112,7 +114,7 @@
 		}
 	case 1, 2:
 		for range 4 {
-			l.lostUntil[server(rng.IntN(servers))] = until
+			l.unlistedUntil[serverID(rng.IntN(servers))] = until
 		}
 	case 3:
 		l.underservedUntil[w.Tenants[0]] = until
@@ -123,7 +125,7 @@
 	}
 }
 
-// restart ends a node's process, and starts it again later.
+// restart stops a node, and starts it again at a time. Half of the restarts keep the stored records.
 func (l *Lab) restart(n int, until time.Duration) {
 	l.Stop(n)
 	storage := policylab.StorageLost
@@ -133,12 +135,12 @@
 	l.At(until, func() { l.startNode(n, storage) })
 }
 
-// injectFaultsAtRecords has things go wrong right after one of a window's records: the leader ends, or an
-// agent is cut off that still holds a lease.
+// injectFaultsAtRecords injects faults right after records of a window are agreed: the leader restarts, or an
+// agent that still holds a lease is cut off. After a resumed window, requests are slow for 8 s.
 func (l *Lab) injectFaultsAtRecords() {
-	l.onState = func(_ string, was, is maintenance.State) {
+	l.onStateChange = func(_ string, former, state maintenance.State) {
 		rng := l.Rand()
-		resumed := was == maintenance.Paused && is == maintenance.Planned
+		resumed := former == maintenance.Paused && state == maintenance.Planned
 		if resumed {
 			l.slowUntil = l.Now() + 8*time.Second
 		}
@@ -154,7 +156,7 @@
 	}
 }
 
-// heal has all nodes run and reach each other.
+// heal starts all stopped nodes and restores all connections.
 func (l *Lab) heal() {
 	for n := range voters + l.setup.Agents {
 		l.startNode(n, policylab.StorageKept)
--- a/internal/control/maintenance/lab/lab.go
+++ b/internal/control/maintenance/lab/lab.go
@@ -12,30 +12,30 @@
 	"dunestep/internal/simnet"
 )
 
-// Protection is one that can be removed, to see that the judge finds it; empty: none.
+// Protection names a part of the design that can be disabled, to check that the judge detects its absence.
 type Protection string
 
 const (
-	withoutNotice      Protection = "notice"       // windows are accepted a few minutes ahead
-	withoutOwnClock    Protection = "own clock"    // an agent that is cut off stays where it was
-	withoutFence       Protection = "fence"        // the leader does not wait for the fence
-	withoutLinger      Protection = "linger"       // nor until requests in flight have arrived
-	withoutContract    Protection = "contract"     // agents do not check the contract at each moment
-	withoutTurns       Protection = "turns"        // at policy.ModeBottom agents use all servers
-	withoutEarlyReturn Protection = "early return" // agents begin to return at the end
-	withoutBegin       Protection = "begin"        // a voter that is restarted counts from long ago
-	withoutStrangers   Protection = "strangers"    // agents that report nothing are ignored
+	withoutNotice           Protection = "notice"       // windows are accepted only minutes in advance
+	withoutOwnClock         Protection = "own clock"    // agents that are cut off keep an old time
+	withoutFence            Protection = "fence"        // the leader does not wait for the fence
+	withoutInFlightWait     Protection = "linger"       // the leader does not wait for requests in flight
+	withoutContract         Protection = "contract"     // agents do not check the contract
+	withoutTurns            Protection = "turns"        // agents at policy.ModeBottom use all servers
+	withoutEarlyReturn      Protection = "early return" // agents start to return keys only at the end
+	withoutStartTime        Protection = "begin"        // a restarted voter assumes that it started long ago
+	withoutSilentAgentCheck Protection = "strangers"    // agents that send no reports are ignored
 )
 
-// Protections are all of them.
+// Protections returns all protections.
 func Protections() []Protection {
 	return []Protection{
-		withoutNotice, withoutOwnClock, withoutFence, withoutLinger, withoutContract, withoutTurns,
-		withoutEarlyReturn, withoutBegin, withoutStrangers,
+		withoutNotice, withoutOwnClock, withoutFence, withoutInFlightWait, withoutContract, withoutTurns,
+		withoutEarlyReturn, withoutStartTime, withoutSilentAgentCheck,
 	}
 }
 
-// The fleet of each week.
+// Settings of the simulated fleet.
 const (
 	voters        = 3
 	servers       = 8
@@ -45,63 +45,63 @@
 	turns         = 2
 )
 
-// tenants are those of the fleet; nobody changes them.
+// tenants are the tenants of the fleet. They are not modified.
 var tenants = []string{"east", "west"}
 
-// Lab is a fleet in a week.
+// Lab is a simulated fleet during a week.
 type Lab struct {
 	*policylab.Lab
 	Judge *judge.Judge
-	// Accepted, Freed, ReturnedEarly and Ended count windows.
+	// Accepted, Freed, ReturnedEarly and Ended are numbers of windows. Ended includes stopped ones.
 	Accepted, Freed, ReturnedEarly, Ended  int
-	Rejected                               map[string]int // requests, by the tenant it was about
-	Reasons                                map[string]int // of windows that were paused or returned early
+	Rejected                               map[string]int // rejected window requests by tenant
+	Reasons                                map[string]int // changes of windows' states by reason
 	Requests, ExclusionOverrides, Unserved int
 
 	setup            Setup
 	focus            focus
-	beginsAt         time.Duration
-	slowUntil        time.Duration // requests take as long as they may
-	version          uint64        // whose contracts the judge knows
-	lastStates       map[string]maintenance.State
-	moveRates        map[string]float64
-	requested        int
-	keys             map[string][]key // by tenant
-	lostUntil        map[string]time.Duration
-	failingUntil     map[string]time.Duration // servers that are listed, and known to be down
-	underservedUntil map[string]time.Duration // tenants
-	overloadedUntil  map[int]time.Duration
-	counts           []map[string]*maintenance.TenantCounts // by agent and tenant, since its last report
-	reportedAt       []time.Duration
-	lastLeased       []lease.ClockReading // by agent
-	onState          func(id string, was, is maintenance.State)
+	startsAt         time.Duration
+	slowUntil        time.Duration                // until then requests take almost maxInFlight
+	contractsVersion uint64                       // newest policy version whose contracts the judge has
+	lastStates       map[string]maintenance.State // by window ID
+	moveRates        map[string]float64           // by window ID
+	requestCount     int
+	keys             map[string][]key                       // by tenant
+	unlistedUntil    map[string]time.Duration               // servers that are not listed until then
+	downUntil        map[string]time.Duration               // servers that are listed, but known to be down
+	underservedUntil map[string]time.Duration               // tenants of which half of the requests fail
+	overloadedUntil  map[int]time.Duration                  // by agent
+	counts           []map[string]*maintenance.TenantCounts // by agent and tenant, since the agent's last report
+	reportedAt       []time.Duration                        // by agent, by its monotonic clock
+	lastLeaseAt      []lease.ClockReading                   // last decision with a lease, by agent
+	onStateChange    func(id string, former, state maintenance.State)
 }
 
-// Setup is what a Lab is made from. The same one gives the same week.
+// Setup configures a Lab. The same Setup gives the same week.
 type Setup struct {
 	Seed    uint64
 	Agents  int
 	Days    int
-	Keys    int        // of each tenant, requested by each agent in each round; zero: 40
-	Without Protection // that is removed
+	Keys    int        // keys of each tenant, requested by each agent in each round; zero: 40
+	Without Protection // disabled protection; empty: none
 }
 
-// New returns a week at its beginning.
-func New(set Setup, begin time.Duration) *Lab {
-	if set.Keys == 0 {
-		set.Keys = 40
+// New returns a Lab at the start of a week.
+func New(setup Setup, start time.Duration) *Lab {
+	if setup.Keys == 0 {
+		setup.Keys = 40
 	}
 	l := &Lab{
-		setup: set, beginsAt: begin, Rejected: map[string]int{},
+		setup: setup, startsAt: start, Rejected: map[string]int{},
 		Reasons: map[string]int{}, lastStates: map[string]maintenance.State{},
-		moveRates: map[string]float64{}, keys: map[string][]key{}, lostUntil: map[string]time.Duration{},
-		failingUntil: map[string]time.Duration{}, underservedUntil: map[string]time.Duration{},
+		moveRates: map[string]float64{}, keys: map[string][]key{}, unlistedUntil: map[string]time.Duration{},
+		downUntil: map[string]time.Duration{}, underservedUntil: map[string]time.Duration{},
 		overloadedUntil: map[int]time.Duration{},
-		reportedAt:      make([]time.Duration, set.Agents), lastLeased: make([]lease.ClockReading, set.Agents),
+		reportedAt:      make([]time.Duration, setup.Agents), lastLeaseAt: make([]lease.ClockReading, setup.Agents),
 	}
 	times := policy.Times{}.WithDefaults()
 	l.Lab = policylab.New(policylab.Setup{
-		Seed: set.Seed, Voters: voters, Agents: set.Agents, StartTime: begin,
+		Seed: setup.Seed, Voters: voters, Agents: setup.Agents, StartTime: start,
 		Times: times, LeadTime: 2 * time.Second, NewApplication: l.newApplication,
 		Faults: simnet.Faults{
 			Loss: 0.05, Duplicate: 0.05, MinDelay: time.Millisecond, MaxDelay: 20 * time.Millisecond,
@@ -110,17 +110,17 @@
 	})
 	l.Judge = judge.New(judge.Settings{
 		ClockError: 2*times.Terms.MaxClockError + time.Millisecond, Turns: turns,
-		LearnDelay: times.Terms.FenceWait(), Keys: set.Keys, ReportPeriod: 12 * time.Second,
+		LearnDelay: times.Terms.FenceWait(), Keys: setup.Keys, ReportPeriod: 12 * time.Second,
 	})
-	l.OnDecision, l.OnApplicationRecord = l.decided, l.recordAgreed
-	for range set.Agents {
+	l.OnDecision, l.OnApplicationRecord = l.sendRequests, l.recordAgreed
+	for range setup.Agents {
 		l.counts = append(l.counts, map[string]*maintenance.TenantCounts{})
 	}
 	for _, t := range tenants {
-		for range set.Keys {
+		for range setup.Keys {
 			k := key{hash: l.Rand().Uint32()}
 			for _, s := range l.Rand().Perm(servers) {
-				k.order = append(k.order, server(s))
+				k.order = append(k.order, serverID(s))
 			}
 			l.keys[t] = append(l.keys[t], k)
 		}
@@ -128,30 +128,33 @@
 	return l
 }
 
-// server is the id of a server.
-func server(i int) string { return fmt.Sprint("s", i) }
+// serverID returns the ID of a server.
+func serverID(i int) string { return fmt.Sprint("s", i) }
 
-// inForce is the newest activated version of the policy at a node, or below zero by the agreed log.
-func (l *Lab) inForce(n int) uint64 {
+// versionInForce returns the newest activated policy version at a node. For a negative n it is that of the
+// agreed log.
+func (l *Lab) versionInForce(n int) uint64 {
 	if n < 0 {
 		return l.State().InForce.Number
 	}
 	return l.StateMachine(n).State().InForce.Number
 }
 
-// view is what a voter's process sees.
-func (l *Lab) view(n int) maintenance.LeaderView {
-	v := maintenance.LeaderView{InForce: l.inForce(n), ChangeOpen: l.StateMachine(n).State().OpenChange != nil}
+// leaderView returns the present view of a voter's process.
+func (l *Lab) leaderView(n int) maintenance.LeaderView {
+	v := maintenance.LeaderView{
+		InForce: l.versionInForce(n), ChangeOpen: l.StateMachine(n).State().OpenChange != nil,
+	}
 	v.Standing, v.Active = l.Active(n)
 	v.Servers = l.listedServers()
 	return v
 }
 
-// listedServers are the servers of every endpoint list.
+// listedServers returns the servers on all endpoint lists.
 func (l *Lab) listedServers() (all []maintenance.Server) {
 	for i := range servers {
-		if l.lostUntil[server(i)] <= l.Now() {
-			all = append(all, maintenance.Server{ID: server(i), Capacity: 1})
+		if l.unlistedUntil[serverID(i)] <= l.Now() {
+			all = append(all, maintenance.Server{ID: serverID(i), Capacity: 1})
 		}
 	}
 	return all
--- a/internal/control/maintenance/lab/lab_test.go
+++ b/internal/control/maintenance/lab/lab_test.go
@@ -15,20 +15,20 @@
 	"dunestep/internal/fleet/hunting"
 )
 
-// TestMain has the garbage collector run less often: little is kept, and much is made on the way.
+// TestMain raises the garbage collector's target, because the simulations allocate much and keep little.
 func TestMain(m *testing.M) {
 	debug.SetGCPercent(800)
 	os.Exit(m.Run())
 }
 
-// inParallel plays weeks two at a time, and has each checked in order.
-func inParallel(from, to uint64, play func(seed uint64) *Lab, check func(seed uint64, l *Lab) (more bool)) {
+// inParallel runs two seeds at a time, and calls check for each in order of the seeds, until it returns false.
+func inParallel(from, to uint64, run func(seed uint64) *Lab, check func(seed uint64, l *Lab) (more bool)) {
 	const width = 2
 	for first := from; first < to; first += width {
 		var wait sync.WaitGroup
 		labs := make([]*Lab, min(width, to-first))
 		for i := range labs {
-			wait.Go(func() { labs[i] = play(first + uint64(i)) })
+			wait.Go(func() { labs[i] = run(first + uint64(i)) })
 		}
 		wait.Wait()
 		for i, l := range labs {
@@ -39,19 +39,20 @@
 	}
 }
 
-// TestWeeks: whatever goes wrong, no request breaks a promise, and each window comes to an end.
-func TestWeeks(t *testing.T) {
+// TestWindowsUnderFaults runs weeks with random faults. It checks that the judge finds no violation, and that each window
+// ends or is stopped.
+func TestWindowsUnderFaults(t *testing.T) {
 	rows := []hunting.Row{{Agents: 5, To: 24}}
 	if os.Getenv("LONG_TESTS") != "" {
 		rows = []hunting.Row{{Agents: 5, To: 1000}, {Agents: 50, To: 1000}, {Agents: 300, To: 1000}}
 	}
 	for _, r := range hunting.SelectRows(rows) {
-		t.Run(fmt.Sprint(r.Agents, " agents"), func(t *testing.T) { hunt(t, r) })
+		t.Run(fmt.Sprint(r.Agents, " agents"), func(t *testing.T) { searchSeeds(t, r) })
 	}
 }
 
-// setup is a week of a fleet, or some nights of it.
-func setup(agents int) Setup {
+// weekSetup returns the setup for a fleet of a size: a week, or some nights of it for large fleets and short tests.
+func weekSetup(agents int) Setup {
 	switch {
 	case agents >= 300:
 		return Setup{Agents: agents, Days: 1, Keys: 6}
@@ -63,64 +64,64 @@
 	return Setup{Agents: agents, Days: 2}
 }
 
-// hunt plays the weeks of a row.
-func hunt(t *testing.T, r hunting.Row) {
-	set, seeds := setup(r.Agents), r.To-r.From
-	var accepted, freed, back, moved, arrived, requests, first int
-	refused, reasons := map[string]int{}, map[string]int{}
-	began := time.Now()
+// searchSeeds runs the weeks of a row and checks each.
+func searchSeeds(t *testing.T, r hunting.Row) {
+	setup, seeds := weekSetup(r.Agents), r.To-r.From
+	var accepted, freed, returnedEarly, excluded, whileFree, requests, overrides int
+	rejected, reasons := map[string]int{}, map[string]int{}
+	started := time.Now()
 	inParallel(r.From, r.To, func(seed uint64) *Lab {
-		return PlayWeek(Setup{Seed: seed, Agents: set.Agents, Days: set.Days, Keys: set.Keys})
+		return RunWeek(Setup{Seed: seed, Agents: setup.Agents, Days: setup.Days, Keys: setup.Keys})
 	},
 		func(seed uint64, l *Lab) bool {
 			require.Zero(t, l.Judge.Count, "seed %d, %v: %v", seed, l.focus, l.Judge.Violations)
 			for _, w := range l.windows() {
-				require.Contains(t, []maintenance.State{maintenance.Ended, maintenance.Stopped}, w.State, "seed %d", seed)
+				require.Contains(t, []maintenance.State{maintenance.Ended, maintenance.Stopped}, w.State, "seed %d: expected each window to be over", seed)
 			}
-			accepted, freed, back = accepted+l.Accepted, freed+l.Freed, back+l.ReturnedEarly
-			moved, arrived, requests, first = moved+l.Judge.ExcludedRequests, arrived+l.Judge.RequestsWhileFree, requests+l.Requests, first+l.ExclusionOverrides
+			accepted, freed, returnedEarly = accepted+l.Accepted, freed+l.Freed, returnedEarly+l.ReturnedEarly
+			excluded, whileFree, requests, overrides = excluded+l.Judge.ExcludedRequests, whileFree+l.Judge.RequestsWhileFree, requests+l.Requests, overrides+l.ExclusionOverrides
 			for r, n := range l.Rejected {
-				refused[r] += n
+				rejected[r] += n
 			}
 			for r, n := range l.Reasons {
 				reasons[r] += n
 			}
-			r.Log(t, seed, "%v: %d windows, %d free, %d back, %d of %d requests kept off, %d while free, %d first", l.focus,
+			r.Log(t, seed, "%v: %d windows, %d free, %d returned early, %d of %d requests excluded, %d while free, %d overrides", l.focus,
 				l.Accepted, l.Freed, l.ReturnedEarly, l.Judge.ExcludedRequests, l.Requests, l.Judge.RequestsWhileFree, l.ExclusionOverrides)
 			return true
 		})
-	t.Logf("%d agents, %d courses of %d nights from seed %d in %v: %d windows, %d free, %d back early; of %d requests %d were kept off, %d fell while a node "+
-		"was free, %d were served first", r.Agents, seeds, set.Days, r.From, time.Since(began), accepted, freed, back, requests, moved, arrived, first)
-	t.Logf("refused: %v, paused or returned: %v", refused, reasons)
-	require.GreaterOrEqual(t, len(reasons), 3, "or if nothing ever went wrong")
-	require.Greater(t, freed, int(seeds)/2, "the property would hold if nothing were ever free")
-	require.Greater(t, moved, 1000)
-	require.Positive(t, first)
+	t.Logf("%d agents, %d runs of %d nights from seed %d in %v: %d windows, %d free, %d returned early; of %d requests %d were excluded, %d arrived while a "+
+		"window was free, %d overrode exclusions", r.Agents, seeds, setup.Days, r.From, time.Since(started), accepted, freed, returnedEarly, requests, excluded, whileFree, overrides)
+	t.Logf("rejected: %v, paused or returned: %v", rejected, reasons)
+	require.GreaterOrEqual(t, len(reasons), 3, "expected at least 3 kinds of faults")
+	require.Greater(t, freed, int(seeds)/2, "expected enough free windows for the checks to be meaningful")
+	require.Greater(t, excluded, 1000, "expected excluded requests")
+	require.Positive(t, overrides, "expected overridden exclusions")
 }
 
-// expectedViolations are in the reason of a violation where a protection is removed.
+// expectedViolations are parts of the reason of a violation that is found without a protection.
 var expectedViolations = map[Protection]string{
-	withoutNotice: "arrives", withoutOwnClock: "arrives", withoutFence: "arrives", withoutLinger: "arrives",
-	withoutContract: "hours", withoutTurns: "arrives", withoutEarlyReturn: "no window holds", withoutBegin: "serving goes first",
-	withoutStrangers: "arrives",
+	withoutNotice: "arrives", withoutOwnClock: "arrives", withoutFence: "arrives", withoutInFlightWait: "arrives",
+	withoutContract: "hours", withoutTurns: "arrives", withoutEarlyReturn: "is in no window", withoutStartTime: "override its exclusions",
+	withoutSilentAgentCheck: "arrives",
 }
 
-// TestEachProtectionIsNeeded: each protection that is removed is missed within 200 seeds.
+// TestEachProtectionIsNeeded checks that without any one protection the expected violation is found within 200 seeds.
 func TestEachProtectionIsNeeded(t *testing.T) {
 	for _, without := range Protections() {
 		t.Run(string(without), func(t *testing.T) {
 			found := false
-			inParallel(0, 200, func(seed uint64) *Lab { return PlayWeek(Setup{Seed: seed, Agents: 5, Days: 2, Without: without}) },
+			inParallel(0, 200, func(seed uint64) *Lab { return RunWeek(Setup{Seed: seed, Agents: 5, Days: 2, Without: without}) },
 				func(seed uint64, l *Lab) bool {
-					for _, b := range l.Judge.Violations {
-						if !found && strings.Contains(b.Reason, expectedViolations[without]) {
+					for _, v := range l.Judge.Violations {
+						if !found && strings.Contains(v.Reason, expectedViolations[without]) {
 							found = true
-							t.Logf("found by seed %d, %v: %v", seed, l.focus, b)
+							t.Logf("found by seed %d, %v: %v", seed, l.focus, v)
 						}
 					}
 					return !found
 				})
-			require.True(t, found, "removed, and not missed within 200 seeds")
+			require.True(t, found, "expected a violation within 200 seeds")
 		})
 	}
 }
--- a/internal/control/maintenance/lab/requests.go
+++ b/internal/control/maintenance/lab/requests.go
@@ -11,28 +11,29 @@
 	"dunestep/internal/fleet/lease"
 )
 
-// key is one that agents get requests of, with the servers in its order.
+// key is a key of requests, with all servers in its order of preference.
 type key struct {
 	hash  uint32
 	order []string
 }
 
-// noteContracts has the judge know the contracts of a version that an agent acts on.
-func (l *Lab) noteContracts(active policy.Active) {
-	if active.Mode == policy.ModeFull && active.Version > l.version {
-		l.version = active.Version
+// updateContracts passes the contracts of a version that an agent acts on to the judge.
+func (l *Lab) updateContracts(active policy.Active) {
+	if active.Mode == policy.ModeFull && active.Version > l.contractsVersion {
+		l.contractsVersion = active.Version
 	}
 	if active.Mode != policy.ModeBottom && active.Effect != nil {
 		l.Judge.SetContracts(active.Version, active.Effect.Contracts)
 	}
 }
 
-// decided has an agent send a round of requests.
-func (l *Lab) decided(i int, now lease.ClockReading, standing lease.Standing, active policy.Active) {
+// sendRequests sends a round of requests from an agent, one for each key of each tenant, and reports its
+// counts.
+func (l *Lab) sendRequests(i int, now lease.ClockReading, standing lease.Standing, active policy.Active) {
 	n := voters + i
-	l.noteContracts(active)
+	l.updateContracts(active)
 	if standing == lease.Full {
-		l.lastLeased[i] = now
+		l.lastLeaseAt[i] = now
 	}
 	p := l.Application(n).(*application)
 	exclusions := p.Exclusions(l.removeProtection(i, now, &active), standing, active)
@@ -47,11 +48,12 @@
 	l.reportCounts(i, now, p)
 }
 
-// removeProtection changes what an agent acts on where a protection is removed.
+// removeProtection returns the time that an agent uses, and changes its active policy, as the disabled
+// protection requires.
 func (l *Lab) removeProtection(i int, now lease.ClockReading, active *policy.Active) lease.ClockReading {
 	switch l.setup.Without {
 	case withoutOwnClock:
-		now.Unix = l.lastLeased[i].Unix
+		now.Unix = l.lastLeaseAt[i].Unix
 	case withoutEarlyReturn:
 		for _, w := range l.windows() {
 			if now.Unix >= w.ReturnFrom && now.Unix < 2*w.To-w.ReturnFrom {
@@ -71,7 +73,7 @@
 	return now
 }
 
-// alwaysAllowed is a contract that allows any time; nobody changes it.
+// alwaysAllowed is a contract that allows any time. It is not modified.
 var alwaysAllowed = func() *contract.Contract {
 	c, err := contract.Table{
 		Zone: "UTC", Hours: []string{"mon-sun 00:00-24:00"}, NoticeMin: 20, MaxLengthMin: 600,
@@ -83,8 +85,9 @@
 	return c
 }()
 
-// sendRequest sends a request to the first of its key's servers that is listed, not known to be down and not
-// excluded; where there is none, to the first that is listed and not down, or listed.
+// sendRequest sends a request to the first server in its key's order that is listed, not known to be down
+// and not excluded. If there is none, it uses the first that is listed and not down, and otherwise the
+// first listed.
 func (l *Lab) sendRequest(i int, tenant string, k key, active policy.Active,
 	exclusions *balancer.Exclusions,
 ) {
@@ -101,7 +104,7 @@
 	}
 	excluded, listed := "", ""
 	for _, s := range k.order {
-		if l.lostUntil[s] > l.Now() {
+		if l.unlistedUntil[s] > l.Now() {
 			continue
 		}
 		r.Listed++
@@ -109,7 +112,7 @@
 			listed = s
 		}
 		switch {
-		case r.Server != "" || l.failingUntil[s] > l.Now():
+		case r.Server != "" || l.downUntil[s] > l.Now():
 		case isExcluded(exclusions, tenant, k.hash, s):
 			if r.Excluded = append(r.Excluded, s); excluded == "" {
 				excluded = s
@@ -128,17 +131,17 @@
 	l.countRequest(i, r)
 }
 
-// isExcluded tells whether a key of a tenant is to keep off a server.
-func isExcluded(a *balancer.Exclusions, tenant string, hash uint32, server string) bool {
-	if a == nil {
+// isExcluded reports whether a server is excluded for a tenant's key.
+func isExcluded(exclusions *balancer.Exclusions, tenant string, hash uint32, server string) bool {
+	if exclusions == nil {
 		return false
 	}
-	below := a.Tenants[tenant][server]
-	return below > 0 && (below == 1<<32-1 || balancer.KeyRank(hash, server) < below) ||
-		a.AllTenants != nil && a.AllTenants(server, "")
+	maxRank := exclusions.Tenants[tenant][server]
+	return maxRank > 0 && (maxRank == 1<<32-1 || balancer.KeyRank(hash, server) < maxRank) ||
+		exclusions.AllTenants != nil && exclusions.AllTenants(server, "")
 }
 
-// countRequest counts a request for the agent's report.
+// countRequest adds a request to the counts of the agent's next report.
 func (l *Lab) countRequest(i int, r judge.Request) {
 	c := l.counts[i][r.Tenant]
 	if c == nil {
@@ -147,7 +150,7 @@
 	}
 	c.Requests++
 	switch {
-	case r.Server == "" || l.failingUntil[r.Server] > l.Now() ||
+	case r.Server == "" || l.downUntil[r.Server] > l.Now() ||
 		l.underservedUntil[r.Tenant] > l.Now() && r.Hash%2 == 0:
 		c.Failed++
 		l.Unserved++
@@ -160,7 +163,7 @@
 	}
 }
 
-// reportCounts has an agent's counts be reported.
+// reportCounts passes an agent's counts to its application, if the report interval has passed.
 func (l *Lab) reportCounts(i int, now lease.ClockReading, p *application) {
 	if now.Mono < l.reportedAt[i]+maintenance.ReportInterval && now.Mono >= l.reportedAt[i] {
 		return
--- a/internal/control/maintenance/lab/scenario.go
+++ b/internal/control/maintenance/lab/scenario.go
@@ -9,23 +9,23 @@
 	"dunestep/internal/control/policy"
 )
 
-// focus is what a week has more of than others.
+// focus is the kind of event that a week emphasizes.
 type focus int
 
 const (
 	mixed           focus = iota
-	cutOffBefore          // an agent is cut off shortly before a window is asked for
-	cutOffLong            // an agent is cut off for much longer
-	cutOffAcross          // agents are cut off in the middle, and across the end
-	contractsChange       // contracts change in the middle
+	cutOffBefore          // an agent is cut off shortly before a window is requested
+	cutOffLong            // an agent is cut off long before a window is requested
+	cutOffAcross          // agents are cut off during a window and across its end
+	contractsChange       // contracts change during a window
 	pausedLate            // windows are paused just before all keys are moved
-	othersFail            // all other servers fail when all keys are moved, and the leader is lost
-	disturbed             // windows are stopped, servers lost, tenants served badly, agents overloaded
-	olderBuild            // an agent is of a build that knows no windows
-	focuses
+	othersFail            // all other servers fail when all keys are moved, and the voters are stopped
+	disturbed             // windows are stopped, servers not listed, requests of tenants fail, agents overloaded
+	olderBuild            // an agent runs a build without maintenance windows
+	focusCount
 )
 
-// String names it for test logs.
+// String returns the name of the focus for test logs.
 func (t focus) String() string {
 	return [...]string{
 		"mixed", "cut off before", "cut off long", "cut off across", "contracts change", "paused late",
@@ -35,14 +35,15 @@
 
 const day = 24 * time.Hour
 
-// weeks begin on Mondays, 00:00 UTC: those of both nights on which clocks change in Bucharest, on their last
-// day, and two others. Nobody changes them.
-var weeks = []time.Duration{
+// weekStarts are the starts of weeks, Mondays 00:00 UTC: two weeks whose last day has a change to or from
+// summer time in Bucharest, and two others. They are not modified.
+var weekStarts = []time.Duration{
 	1774224000 * time.Second, 1792368000 * time.Second, 1780272000 * time.Second,
 	1798416000 * time.Second,
 }
 
-// contractsFormat is a policy document with the contracts of both tenants; the hours of one are left out.
+// contractsFormat is the format of a policy document with the contracts of both tenants. Its argument is the
+// hours of tenant east.
 const contractsFormat = `format = 1
 [contracts.east]
 zone = "Europe/Bucharest"
@@ -62,43 +63,44 @@
 served = 0.9
 `
 
-// eastHours are hours of that tenant; nobody changes them.
+// eastHours are hours of tenant east's contract. They are not modified.
 var eastHours = []string{
 	"mon-sun 21:00-06:00", "mon-sun 22:00-05:00", "mon-sun 00:00-04:00",
 	"mon-fri 21:00-01:00", "mon-sun 20:00-07:00",
 }
 
-// contractsDocument is a document as an agent proposes it, with one of eastHours.
-func (l *Lab) contractsDocument(of int) string {
-	document := fmt.Appendf(nil, contractsFormat, eastHours[of])
-	text, err := policy.AddZoneRules(document, time.Unix(0, int64(l.beginsAt)))
+// contractsDocument returns a policy document with one of eastHours and the zone rules that an agent adds.
+func (l *Lab) contractsDocument(hours int) string {
+	document := fmt.Appendf(nil, contractsFormat, eastHours[hours])
+	text, err := policy.AddZoneRules(document, time.Unix(0, int64(l.startsAt)))
 	if err != nil {
 		panic(err) // the document is a constant
 	}
 	return string(text)
 }
 
-// PlayWeek plays a week.
-func PlayWeek(set Setup) *Lab {
-	l := New(set, weeks[set.Seed/uint64(focuses)%uint64(len(weeks))])
-	l.focus = focus(set.Seed % uint64(focuses))
+// RunWeek runs a week, then heals all faults, and returns the Lab at the end.
+func RunWeek(setup Setup) *Lab {
+	l := New(setup, weekStarts[setup.Seed/uint64(focusCount)%uint64(len(weekStarts))])
+	l.focus = focus(setup.Seed % uint64(focusCount))
 	l.injectFaultsAtRecords()
-	l.playScene(l.beginsAt+10*time.Hour, 14*time.Second, nil, func() {
+	l.runPhase(l.startsAt+10*time.Hour, 14*time.Second, nil, func() {
 		l.Propose(0, l.contractsDocument(0))
 	})
-	for d := range set.Days {
-		// The last days are those on which clocks change.
-		l.playNight(l.beginsAt + time.Duration(7-set.Days+d)*day)
+	for d := range setup.Days {
+		// Summer time changes in the last days of a week.
+		l.runNight(l.startsAt + time.Duration(7-setup.Days+d)*day)
 	}
 	l.heal()
-	l.playScene(l.beginsAt+8*day, 30*time.Second, nil, nil)
+	l.runPhase(l.startsAt+8*day, 30*time.Second, nil, nil)
 	return l
 }
 
-// playNight plays a night: one window or two are asked for in the afternoon, or a little before they begin.
-func (l *Lab) playNight(midnight time.Duration) {
+// runNight runs a night with one or two windows, which are requested in the afternoon or shortly before
+// they start.
+func (l *Lab) runNight(midnight time.Duration) {
 	rng := l.Rand()
-	l.playScene(midnight+11*time.Hour, 8*time.Second, nil, l.heal)
+	l.runPhase(midnight+11*time.Hour, 8*time.Second, nil, l.heal)
 	from := midnight + 18*time.Hour + time.Duration(rng.Int64N(int64(9*time.Hour)))
 	requests := []maintenance.WindowRequest{l.drawRequest(from)}
 	if rng.IntN(2) == 0 {
@@ -112,56 +114,57 @@
 		at = from - 4*time.Minute
 	}
 	cutOff := voters + rng.IntN(l.setup.Agents)
-	if l.focus == cutOffLong { // since long before
-		l.playScene(at-30*time.Minute, 8*time.Second, nil, nil)
+	if l.focus == cutOffLong {
+		l.runPhase(at-30*time.Minute, 8*time.Second, nil, nil)
 		l.CutOff(cutOff, from+6*time.Hour)
 	}
-	l.playScene(at-8*time.Second, 6*time.Second, nil, nil)
+	l.runPhase(at-8*time.Second, 6*time.Second, nil, nil)
 	if l.focus == cutOffBefore {
 		l.CutOff(cutOff, from+6*time.Hour)
 	}
-	l.playScene(at, 20*time.Second, nil, func() {
-		for _, a := range requests {
-			l.RequestWindow(a)
+	l.runPhase(at, 20*time.Second, nil, func() {
+		for _, request := range requests {
+			l.RequestWindow(request)
 		}
 	})
-	l.playWindows(from - time.Minute)
+	l.runWindows(from - time.Minute)
 }
 
-// drawRequest is for one server or more, and one tenant or both.
+// drawRequest draws a window request for 1 to 3 servers of the present turn, and one tenant or both.
 func (l *Lab) drawRequest(from time.Duration) maintenance.WindowRequest {
 	rng := l.Rand()
-	a := maintenance.WindowRequest{From: from, MoveRate: 0.02}
-	a.To = from + 10*time.Minute + time.Duration(rng.Int64N(int64(2*time.Hour)))
+	request := maintenance.WindowRequest{From: from, MoveRate: 0.02}
+	request.To = from + 10*time.Minute + time.Duration(rng.Int64N(int64(2*time.Hour)))
 	turn, _ := maintenance.Turns(turns).At(from)
 	for _, s := range rng.Perm(servers) {
-		if id := server(s); len(a.Nodes) < 3 && maintenance.Turns(turns).Of(id, "") == turn {
-			if a.Nodes = append(a.Nodes, id); rng.IntN(2) == 0 {
+		if id := serverID(s); len(request.Nodes) < 3 && maintenance.Turns(turns).Of(id, "") == turn {
+			if request.Nodes = append(request.Nodes, id); rng.IntN(2) == 0 {
 				break
 			}
 		}
 	}
-	a.Tenants = [][]string{{"east"}, {"west"}, {"east", "west"}, {"east", "west"}}[rng.IntN(4)]
-	return a
+	request.Tenants = [][]string{{"east"}, {"west"}, {"east", "west"}, {"east", "west"}}[rng.IntN(4)]
+	return request
 }
 
-// span is a time in which much happens.
+// span is an interval of time that is simulated in full.
 type span struct{ from, to time.Duration }
 
-// playWindows plays the windows that are ahead: around their beginning, their middle and their end.
-func (l *Lab) playWindows(after time.Duration) {
+// runWindows runs the open windows: their start, a part in the middle, and their end.
+func (l *Lab) runWindows(after time.Duration) {
 	for {
 		next, ok := l.nextSpan(after)
 		if !ok {
 			return
 		}
 		from := max(next.from, after)
-		l.playScene(from, next.to-from, l.injectFault, nil)
+		l.runPhase(from, next.to-from, l.injectFault, nil)
 		after = next.to
 	}
 }
 
-// nextSpan is the next span that is not over, joined with those that touch it.
+// nextSpan returns the first span that ends after a time, joined with the spans that overlap it, but 3 min
+// long at most. It returns false if there is none.
 func (l *Lab) nextSpan(after time.Duration) (s span, ok bool) {
 	var all []span
 	for _, w := range openWindows(l.windows()) {
@@ -198,8 +201,10 @@
 	return span{all[0].from, min(all[0].to, all[0].from+3*time.Minute)}, true
 }
 
-// playScene jumps to a time, and plays for some time. Agents wake up some seconds before what happens.
-func (l *Lab) playScene(at, length time.Duration, fault, first func()) {
+// runPhase pauses all nodes until a time, calls first if it is not nil, and then simulates the fleet for a
+// length of time, with decisions each second and calls of fault every 7 s. Callers start it some seconds
+// before an event, so that agents are awake by then.
+func (l *Lab) runPhase(at, length time.Duration, fault, first func()) {
 	l.PauseAll(at)
 	if first != nil {
 		first()
--- a/internal/control/maintenance/lab/windows.go
+++ b/internal/control/maintenance/lab/windows.go
@@ -11,19 +11,19 @@
 	"dunestep/internal/fleet/lease"
 )
 
-// recordAgreed follows the agreed windows from the outside.
+// recordAgreed counts the agreed changes of windows, and passes them to the judge.
 func (l *Lab) recordAgreed() {
 	for _, w := range l.windows() {
-		was, known := l.lastStates[w.ID]
+		former, known := l.lastStates[w.ID]
 		l.lastStates[w.ID] = w.State
 		if !known {
 			l.Accepted++
 			l.Judge.WindowAccepted(w, l.moveRates[w.ID])
 		}
-		if known && was == w.State {
+		if known && former == w.State {
 			continue
 		}
-		if w.Reason != "" && was != w.State {
+		if w.Reason != "" && former != w.State {
 			l.Reasons[w.Reason]++
 		}
 		switch w.State {
@@ -37,50 +37,51 @@
 			l.Ended++
 			l.Judge.SetFree(l.Now(), w.ID, false)
 		}
-		if l.onState != nil {
-			l.onState(w.ID, was, w.State)
+		if l.onStateChange != nil {
+			l.onStateChange(w.ID, former, w.State)
 		}
 	}
 }
 
-// windows are the agreed ones, in the agreed states.
+// windows returns the agreed windows in their agreed states.
 func (l *Lab) windows() []*maintenance.Window {
 	return l.AgreedApplication().(*application).AgreedWindows()
 }
 
-// openWindows are those that are not over.
+// openWindows returns the windows that are neither ended nor stopped.
 func openWindows(all []*maintenance.Window) []*maintenance.Window {
 	return slices.DeleteFunc(all, func(w *maintenance.Window) bool {
 		return w.State == maintenance.Ended || w.State == maintenance.Stopped
 	})
 }
 
-// isRunning tells whether a node takes part now.
+// isRunning reports whether a node's process runs and is not paused.
 func (l *Lab) isRunning(n int) bool { return l.Incarnation(n) > 0 && !l.IsPaused(n) }
 
-// RequestWindow has some node that can ask for a window, until the outcome is known.
+// RequestWindow requests a window at random voters until its outcome is known, 30 times at most.
 func (l *Lab) RequestWindow(request maintenance.WindowRequest) {
-	l.requested++
-	request.ID = fmt.Sprint("window ", l.requested)
+	l.requestCount++
+	request.ID = fmt.Sprint("window ", l.requestCount)
 	l.moveRates[request.ID] = request.MoveRate
 	attempts := 0
-	var again func()
-	again = func() {
+	var retry func()
+	retry = func() {
 		if attempts++; attempts > 30 || l.isOutcomeKnown(request.ID) || !l.proposeWindow(&request) {
 			return
 		}
-		l.At(l.Now()+400*time.Millisecond, again)
+		l.At(l.Now()+400*time.Millisecond, retry)
 	}
-	again()
+	retry()
 }
 
-// isOutcomeKnown tells whether the outcome of a request is agreed.
+// isOutcomeKnown reports whether the outcome of a request is agreed.
 func (l *Lab) isOutcomeKnown(id string) bool {
 	return l.AgreedApplication().(*application).Outcome(id).Status != policy.StatusUnknown
 }
 
-// proposeWindow has one node that holds a lease propose a window. Where it does not fit, the next time that
-// fits is asked for, if that is in the same night.
+// proposeWindow proposes a window at a random voter, if that holds a lease. If the window does not fit and
+// the next fitting time is less than 8 h later, it moves the request there. It reports whether to try
+// again.
 func (l *Lab) proposeWindow(request *maintenance.WindowRequest) (again bool) {
 	n := l.Rand().IntN(voters)
 	if !l.isRunning(n) {
--- a/internal/control/policy/lab/lab.go
+++ b/internal/control/policy/lab/lab.go
@@ -19,8 +19,8 @@
 	Times          policy.Times
 	LeadTime       time.Duration // time from a proposal to its effective time
 	Without        Protection    // disabled protection; empty: none
-	// NewApplication, if set, returns the application that runs beside the policy in a node's process. A
-	// negative n stands for the application that applies the agreed log outside of any process.
+	// NewApplication, if set, returns the application that runs beside the policy in a node's process. With a
+	// negative n it returns one that runs in no process and applies the agreed log.
 	NewApplication func(n int, now lease.ClockReading) Application
 }
 
