--- a/internal/control/maintenance/search/components.go
+++ b/internal/control/maintenance/search/components.go
@@ -9,72 +9,73 @@
 	"dunestep/internal/fleet/lease"
 )
 
-// proposerSettings are those of each voter's proposer.
+// proposerSettings returns the settings of all proposers.
 func (s *search) proposerSettings() maintenance.ProposerSettings {
-	set := maintenance.ProposerSettings{
+	settings := maintenance.ProposerSettings{
 		Times: policy.Times{Terms: terms}, MaxInFlight: maxInFlight * 12 * time.Second,
 		ClockMargin: clockMargin * 12 * time.Second,
 	}
 	switch s.setup.Without {
 	case "linger":
-		set.MaxInFlight = 1
+		settings.MaxInFlight = 1
 	case "fence":
-		set.Times.Terms.Duration, set.Times.Terms.MaxKnowledgeAge = 1, 1
+		settings.Times.Terms.Duration, settings.Times.Terms.MaxKnowledgeAge = 1, 1
 	}
-	return set
+	return settings
 }
 
-// learn has a proposer learn the agreed state at a time, with the fingerprints that it has later.
-func (s *search) learn(c *maintenance.Proposer, p *logPosition, now, later int) voter {
-	c = c.Fork()
-	c.Learn(reading(now), p.stateMachine)
-	return voter{known: p.depth, fingerprints: s.fingerprintsOf(c, later), proposer: c}
+// learn returns a voter whose proposer has applied the agreed state at time now, with its fingerprints at
+// time later. Times are in steps.
+func (s *search) learn(proposer *maintenance.Proposer, p *logPosition, now, later int) voter {
+	proposer = proposer.Fork()
+	proposer.Learn(reading(now), p.stateMachine)
+	return voter{applied: p.depth, fingerprints: s.fingerprintsOf(proposer, later), proposer: proposer}
 }
 
-// fingerprintsOf is the fingerprints of a proposer at a time.
-func (s *search) fingerprintsOf(c *maintenance.Proposer, now int) (all fingerprints) {
+// fingerprintsOf returns the fingerprints of a proposer at a time.
+func (s *search) fingerprintsOf(proposer *maintenance.Proposer, now int) (all fingerprints) {
 	for d := range all {
-		fingerprint := c.Fingerprint(reading(now), maxAge*stepLength, maintenance.FingerprintDetail(d), nil)
+		fingerprint := proposer.Fingerprint(reading(now), maxAge*stepLength, maintenance.FingerprintDetail(d), nil)
 		all[d] = maphash.Bytes(s.seed, fingerprint)
 	}
 	return all
 }
 
-// leaderResult is a proposer after it has checked windows as the leader's.
+// leaderResult is the result of a leader's check of its windows.
 type leaderResult struct {
-	proposer     *maintenance.Proposer
+	proposer     *maintenance.Proposer // after the check
 	fingerprints fingerprints
-	changed      bool // the council itself
+	changed      bool // the fingerprints changed
 	records      []*proposal
 }
 
-// lead has a proposer check windows as the leader's, with a fault where kind is voterSeesFault.
-func (s *search) lead(c *maintenance.Proposer, at int, kind stepKind) (l leaderResult) {
-	c, now := c.Fork(), reading(at)
-	before := s.fingerprintsOf(c, at)
+// runAsLeader returns the result of a leader's check of its windows, with a fault if kind is voterSeesFault.
+func (s *search) runAsLeader(proposer *maintenance.Proposer, at int, kind stepKind) (result leaderResult) {
+	proposer, now := proposer.Fork(), reading(at)
+	before := s.fingerprintsOf(proposer, at)
 	count := maintenance.TenantCounts{Tenant: "east", Requests: 100, Served: 100}
 	if kind == voterSeesFault {
 		count.Served, count.Failed = 50, 50
 	}
-	c.SetReports(now, []maintenance.TenantCounts{count})
-	records, _ := c.Due(now, func() maintenance.LeaderView {
+	proposer.SetReports(now, []maintenance.TenantCounts{count})
+	records, _ := proposer.Due(now, func() maintenance.LeaderView {
 		return maintenance.LeaderView{
 			Standing: lease.Full, Active: s.active[policy.ModeFull], InForce: 1,
 			Servers: []maintenance.Server{{ID: "n", Capacity: 1}, {ID: "m", Capacity: 9}},
 		}
 	})
-	c.ResetRetries()
-	l.proposer, l.fingerprints = c, s.fingerprintsOf(c, at)
-	l.changed = l.fingerprints != before
+	proposer.ResetRetries()
+	result.proposer, result.fingerprints = proposer, s.fingerprintsOf(proposer, at)
+	result.changed = result.fingerprints != before
 	for _, r := range records {
-		l.records = append(l.records, s.proposal(r))
+		result.records = append(result.records, s.proposal(r))
 	}
-	return l
+	return result
 }
 
-// agentAt is an agent that has learnt a state.
-func (s *search) agentAt(m *maintenance.StateMachine) *maintenance.Agent {
-	turns := 1 // each server has its turn: the window is in it
+// newAgentAt returns an agent that has applied a state.
+func (s *search) newAgentAt(m *maintenance.StateMachine) *maintenance.Agent {
+	turns := 1 // all servers are in turn, so the window always is
 	if s.setup.Without == "turns" {
 		turns = 0
 	}
--- a/internal/control/maintenance/search/requests.go
+++ b/internal/control/maintenance/search/requests.go
@@ -9,79 +9,84 @@
 	"dunestep/internal/fleet/lease"
 )
 
-// mode is what an agent acts on now.
-func (w *world) mode(a *agent) policy.Mode {
+// agentMode returns the present mode of an agent, and updates its lastLeaseAt.
+func (state *systemState) agentMode(a *agent) policy.Mode {
 	for _, g := range a.grants[:a.grantCount] {
-		if w.now-g.requestedAt < leaseLength && a.known >= g.covers {
-			a.lastLeased = w.now
+		if state.now-g.requestedAt < leaseLength && a.applied >= g.coveredRecords {
+			a.lastLeaseAt = state.now
 			return policy.ModeFull
 		}
 	}
-	if a.lastLeased != never && w.now-a.lastLeased < floorValidity {
+	if a.lastLeaseAt != never && state.now-a.lastLeaseAt < floorValidity {
 		return policy.ModeFloor
 	}
 	return policy.ModeBottom
 }
 
-// checkRequests has each agent send a request, and says what is wrong with one; empty: nothing.
-func (k *worker) checkRequests(w *world) string {
-	for i := range w.agents[:k.setup.Agents] {
-		a := &w.agents[i]
-		how := w.mode(a)
-		p, off := w.log.at(a.known), exclusion{}
-		if p.agent != nil || how == policy.ModeBottom {
-			off = k.exclusionOf(w, a, p, how)
+// checkRequests sends a request from each agent. It returns a description of the first violation, or an empty
+// string if there is none.
+func (k *worker) checkRequests(state *systemState) string {
+	for i := range state.agents[:k.setup.Agents] {
+		a := &state.agents[i]
+		mode := state.agentMode(a)
+		p, excluded := state.log.at(a.applied), exclusion{}
+		if p.agent != nil || mode == policy.ModeBottom {
+			excluded = k.exclusionFor(state, a, p, mode)
 		}
-		if text := k.sendRequest(w, i, off); text != "" {
+		if text := k.sendRequest(state, i, excluded); text != "" {
 			return text
 		}
 	}
-	if w.log.state == maintenance.Free && w.now < returnFrom && w.now < w.lastSent+maxInFlight {
-		return fmt.Sprintf("what was sent at %d arrives while the server is free", w.lastSent)
+	if state.log.state == maintenance.Free && state.now < returnFrom &&
+		state.now < state.lastSentAt+maxInFlight {
+		return fmt.Sprintf("a request sent at %d may arrive while the server is free", state.lastSentAt)
 	}
 	return ""
 }
 
-// exclusionOf is what an agent keeps off, as the protections leave it.
-func (k *worker) exclusionOf(w *world, a *agent, p *logPosition, how policy.Mode) exclusion {
-	at := w.now
+// exclusionFor returns what an agent excludes, with the disabled protection taken into account.
+func (k *worker) exclusionFor(state *systemState, a *agent, p *logPosition, mode policy.Mode) exclusion {
+	at := state.now
 	switch {
 	case k.setup.Without == "own clock":
-		at = max(a.lastLeased, windowFrom-1)
+		at = max(a.lastLeaseAt, windowFrom-1)
 	case k.setup.Without == "early return" && at >= returnFrom && at < windowTo+windowTo-returnFrom:
 		at -= windowTo - returnFrom
 	}
 	standing := lease.Floor
-	if how == policy.ModeFull {
+	if mode == policy.ModeFull {
 		standing = lease.Full
-	} else if a.lastLeased == never {
+	} else if a.lastLeaseAt == never {
 		standing = lease.New
 	}
-	return cached(k, k.exclusionResults, exclusionKey{p, at, standing, how}, func() exclusion {
-		part := p.agent
-		if part == nil {
-			part = k.agentAt(k.emptyLog.stateMachine)
+	return cached(k, k.exclusionResults, exclusionKey{p, at, standing, mode}, func() exclusion {
+		component := p.agent
+		if component == nil {
+			component = k.newAgentAt(k.emptyLog.stateMachine)
 		}
-		avoid := part.Exclusions(reading(int(at)), standing, k.active[how])
-		if avoid == nil {
+		exclusions := component.Exclusions(reading(int(at)), standing, k.active[mode])
+		if exclusions == nil {
 			return exclusion{}
 		}
-		return exclusion{avoid.Tenants["east"]["n"], avoid.AllTenants != nil && avoid.AllTenants("n", "")}
+		return exclusion{
+			exclusions.Tenants["east"]["n"], exclusions.AllTenants != nil && exclusions.AllTenants("n", ""),
+		}
 	})
 }
 
-// sendRequest has an agent send a request of a key that is moved last, unless it keeps off the server, and
-// one of a key that is moved first. It says what is wrong with them; empty: nothing.
-func (k *worker) sendRequest(w *world, i int, off exclusion) string {
-	if off.below > 0 && (w.now < windowFrom || w.now >= windowTo) {
-		return fmt.Sprintf("agent %d keeps off the server outside the window's time", i)
+// sendRequest sends a request with the key that is moved last, unless the server is excluded for it, and
+// one with the key that is moved first. It returns a description of a violation, or an empty string if
+// there is none.
+func (k *worker) sendRequest(state *systemState, i int, excluded exclusion) string {
+	if excluded.below > 0 && (state.now < windowFrom || state.now >= windowTo) {
+		return fmt.Sprintf("agent %d excludes the server outside the window's time", i)
 	}
-	if off.below == math.MaxUint32 || off.turn {
+	if excluded.below == math.MaxUint32 || excluded.byTurn {
 		return ""
 	}
-	if w.now < returnFrom && w.log.state == maintenance.Free {
+	if state.now < returnFrom && state.log.state == maintenance.Free {
 		return fmt.Sprintf("agent %d sends to the server while it is free", i)
 	}
-	w.lastSent = w.now
+	state.lastSentAt = state.now
 	return ""
 }
--- a/internal/control/maintenance/search/search.go
+++ b/internal/control/maintenance/search/search.go
@@ -14,18 +14,18 @@
 	"dunestep/internal/modelcheck"
 )
 
-// Setup is a search.
+// Setup configures a search.
 type Setup struct {
 	Voters, Agents int
-	Grants         int    // of leases, at most, at each agent
-	Faults         int    // that leaders see, at most
-	Restarts       int    // of voters, at most
-	Without        string // a protection that is removed: one of Protections; empty: none
+	Grants         int    // maximum number of leases granted to each agent
+	Faults         int    // maximum number of faults that leaders observe
+	Restarts       int    // maximum number of voter restarts
+	Without        string // disabled protection, one of Protections; empty: none
 	Workers        int    // zero: one
-	Exhaustive     bool   // without leaving out what has no effect any more: for comparison
+	Exhaustive     bool   // distinguishes states also by what no longer has an effect
 }
 
-// Protections are those that can be removed; package lab explains them.
+// Protections returns the protections that can be disabled. Package lab describes them.
 func Protections() []string {
 	return []string{"notice", "own clock", "fence", "linger", "turns", "early return", "begin"}
 }
@@ -33,43 +33,43 @@
 // Result is the result of a search.
 type Result struct {
 	States    int
-	Distinct  int      // of an exhaustive search: those that differ in what has an effect
-	Violation string   // empty: none
-	Steps     []string // that lead to it
-	Free      int      // states in which the window is free
+	Distinct  int      // states of an exhaustive search that differ in what still has an effect
+	Violation string   // empty: none found
+	Steps     []string // steps that lead to the violation
+	Free      int      // number of states in which the window is free
 }
 
-// Times in steps.
+// Times in steps of stepLength.
 const (
-	leaseLength, knowledgeAge = 4, 1 // of leases
-	floorValidity             = 9    // after the last lease
+	leaseLength, knowledgeAge = 4, 1
+	floorValidity             = 9 // after the last decision with a lease
 	maxInFlight, clockMargin  = 3, 1
 	minNotice                 = 17
 	windowFrom, windowDrained = 1, 3
 	returnFrom, windowTo      = 13, 15
 	lastStep                  = windowTo + 1
-	maxAge                    = leaseLength + knowledgeAge + maxInFlight // greater ages make no difference
+	maxAge                    = leaseLength + knowledgeAge + maxInFlight // maximum age that makes a difference
 )
 
-// stepLength is longer than counts are summed up, and than clocks are off.
+// stepLength exceeds the 12 s over which counts are summed, and the clock error.
 const stepLength = 12*time.Second + 100*time.Microsecond
 
-// terms are those of all parts, unless a protection is removed; nobody changes them.
+// terms are the lease terms of all components, unless a protection is disabled. They are not modified.
 var terms = lease.Terms{
 	Duration: leaseLength * 12 * time.Second, MaxKnowledgeAge: knowledgeAge * 12 * time.Second,
 	MaxPause: time.Hour, MaxClockError: time.Nanosecond, MaxDrift: 1e-6,
 }
 
-// reading is what all clocks show at a step.
+// reading returns the reading of all clocks at a step.
 func reading(s int) lease.ClockReading {
 	at := 1798459200*time.Second + time.Duration(s)*stepLength
 	return lease.ClockReading{Unix: at, Mono: at}
 }
 
-// maxVoters, maxAgents and maxGrants are what a world has room for.
+// maxVoters, maxAgents and maxGrants limit the size of a state.
 const maxVoters, maxAgents, maxGrants = 3, 2, 4
 
-// search is what all workers share.
+// search is the state that all workers share.
 type search struct {
 	setup       Setup
 	seed        maphash.Seed
@@ -78,7 +78,7 @@
 	active      [policy.ModeFull + 1]policy.Active
 	initialJobs []job
 
-	sync.Mutex    // guards the fields up to result, and all calls of parts
+	sync.Mutex    // guards the fields up to result, and all calls of components
 	emptyLog      *logPosition
 	positionCount uint16
 	proposals     map[string]*proposal
@@ -88,13 +88,14 @@
 	free     atomic.Int64
 }
 
-// Run tries all steps in all states. It panics where Setup is too large.
-func Run(set Setup) Result {
-	if set.Voters > maxVoters || set.Agents > maxAgents || set.Grants >= maxGrants {
-		panic(fmt.Sprintf("%+v: there is no room for so many voters, agents and leases", set))
+// Run explores all steps from all reachable states, until a violation is found. It panics if the setup is too
+// large.
+func Run(setup Setup) Result {
+	if setup.Voters > maxVoters || setup.Agents > maxAgents || setup.Grants >= maxGrants {
+		panic(fmt.Sprintf("%+v: too many voters, agents or leases", setup))
 	}
 	s := &search{
-		setup: set, seed: maphash.MakeSeed(), proposals: map[string]*proposal{},
+		setup: setup, seed: maphash.MakeSeed(), proposals: map[string]*proposal{},
 		seen: modelcheck.NewStateSet(), distinct: modelcheck.NewStateSet(),
 	}
 	s.emptyLog = &logPosition{stateMachine: maintenance.NewStateMachine(func() uint64 { return 1 })}
@@ -112,11 +113,11 @@
 		policy.ModeFull:   {Mode: policy.ModeFull, Version: 1, Effect: effect},
 	}
 	s.addInitialJobs(nil)
-	modelcheck.Run(set.Workers, s.initialJobs, func(jobs *modelcheck.JobQueue[job]) func(job) {
+	modelcheck.Run(setup.Workers, s.initialJobs, func(jobs *modelcheck.JobQueue[job]) func(job) {
 		k := newWorker(s, jobs)
 		return func(j job) {
 			k.steps = j.steps
-			k.visit(&j.world)
+			k.visit(&j.state)
 		}
 	})
 	s.result.States, s.result.Distinct = s.seen.Count(), s.distinct.Count()
@@ -124,7 +125,7 @@
 	return s.result
 }
 
-// addViolation notes a violation. All workers end then.
+// addViolation stores the first violation, and makes all workers stop.
 func (s *search) addViolation(text string, steps []takenStep) {
 	s.Lock()
 	defer s.Unlock()
@@ -132,7 +133,7 @@
 		return
 	}
 	s.result.Violation = text
-	for _, t := range steps {
-		s.result.Steps = append(s.result.Steps, t.String())
+	for _, taken := range steps {
+		s.result.Steps = append(s.result.Steps, taken.String())
 	}
 }
--- a/internal/control/maintenance/search/search_test.go
+++ b/internal/control/maintenance/search/search_test.go
@@ -11,82 +11,82 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestMain has the garbage collector run less often: little is kept, and much is made on the way.
+// TestMain raises the garbage collector's target, because a search allocates much and keeps little.
 func TestMain(m *testing.M) {
 	debug.SetGCPercent(800)
 	os.Exit(m.Run())
 }
 
-// TestNoStepsBreakThePromise: in each small world no order of steps breaks the promise.
-func TestNoStepsBreakThePromise(t *testing.T) {
-	worlds := []Setup{
+// TestAllStepOrdersKeepWindowRules checks that in small systems no order of steps violates the rules on windows.
+func TestAllStepOrdersKeepWindowRules(t *testing.T) {
+	setups := []Setup{
 		{Voters: 1, Agents: 1, Grants: 1},
 		{Voters: 3, Agents: 1, Faults: 1},
 		{Voters: 3, Agents: 1, Grants: 1, Restarts: 1},
 	}
 	if os.Getenv("LONG_TESTS") != "" {
-		worlds = []Setup{
+		setups = []Setup{
 			{Voters: 1, Agents: 1, Grants: 2, Faults: 1},
 			{Voters: 2, Agents: 2, Faults: 1},
 			{Voters: 3, Agents: 1, Grants: 1, Faults: 1},
 			{Voters: 3, Agents: 1, Faults: 1, Restarts: 1},
 		}
 	}
-	if text := os.Getenv("SEARCH"); text != "" { // voters, agents, leases, faults, voters' restarts
-		set := Setup{}
-		_, err := fmt.Sscan(text, &set.Voters, &set.Agents, &set.Grants, &set.Faults, &set.Restarts)
+	if text := os.Getenv("SEARCH"); text != "" { // Setup fields: Voters, Agents, Grants, Faults, Restarts
+		setup := Setup{}
+		_, err := fmt.Sscan(text, &setup.Voters, &setup.Agents, &setup.Grants, &setup.Faults, &setup.Restarts)
 		require.NoError(t, err)
-		worlds = []Setup{set}
+		setups = []Setup{setup}
 	}
-	for _, set := range worlds {
+	for _, setup := range setups {
 		t.Run("", func(t *testing.T) {
-			set.Workers = runtime.GOMAXPROCS(0)
-			began := time.Now()
-			f := Run(set)
-			t.Logf("%+v: %d states in %v, free in %d", set, f.States, time.Since(began), f.Free)
-			require.Empty(t, f.Violation, "%v", f.Steps)
-			require.NotZero(t, f.Free)
+			setup.Workers = runtime.GOMAXPROCS(0)
+			started := time.Now()
+			result := Run(setup)
+			t.Logf("%+v: %d states in %v, free in %d", setup, result.States, time.Since(started), result.Free)
+			require.Empty(t, result.Violation, "%v", result.Steps)
+			require.NotZero(t, result.Free)
 		})
 	}
 }
 
-// TestWhatIsLeftOutHasNoEffect: an exhaustive search, which leaves nothing out, meets the same states apart from it. A
-// fingerprint that does not distinguish two parts which behave differently shows here too.
-func TestWhatIsLeftOutHasNoEffect(t *testing.T) {
-	worlds := []Setup{{Voters: 1, Agents: 1, Grants: 1}, {Voters: 1, Agents: 1, Faults: 1}, {Voters: 2, Agents: 1, Restarts: 1}}
+// TestReducedSearchCoversExhaustiveSearch checks that a search that ignores what no longer has an effect reaches as many
+// distinct states as an exhaustive one. It also detects fingerprints that are equal for components that behave differently.
+func TestReducedSearchCoversExhaustiveSearch(t *testing.T) {
+	setups := []Setup{{Voters: 1, Agents: 1, Grants: 1}, {Voters: 1, Agents: 1, Faults: 1}, {Voters: 2, Agents: 1, Restarts: 1}}
 	if os.Getenv("LONG_TESTS") != "" {
-		worlds = []Setup{
+		setups = []Setup{
 			{Voters: 1, Agents: 1, Grants: 1, Faults: 1},
 			{Voters: 2, Agents: 1, Faults: 1},
 			{Voters: 2, Agents: 2, Grants: 1},
 			{Voters: 1, Agents: 1, Faults: 1, Restarts: 1},
 		}
 	}
-	for _, set := range worlds {
-		set.Workers = runtime.GOMAXPROCS(0)
-		f := Run(set)
-		set.Exhaustive = true
-		whole := Run(set)
-		t.Logf("%+v: %d states, of which %d are distinct", set, whole.States, f.States)
-		require.Equal(t, whole.Distinct, f.States)
-		require.Less(t, f.States, whole.States/2)
+	for _, setup := range setups {
+		setup.Workers = runtime.GOMAXPROCS(0)
+		reduced := Run(setup)
+		setup.Exhaustive = true
+		exhaustive := Run(setup)
+		t.Logf("%+v: %d states, of which %d are distinct", setup, exhaustive.States, reduced.States)
+		require.Equal(t, exhaustive.Distinct, reduced.States)
+		require.Less(t, reduced.States, exhaustive.States/2)
 	}
 }
 
-// TestEachProtectionIsNeeded: each protection that is removed is missed.
+// TestEachProtectionIsNeeded checks that without any one protection a violation is found.
 func TestEachProtectionIsNeeded(t *testing.T) {
 	for _, without := range Protections() {
 		t.Run(without, func(t *testing.T) {
-			set := Setup{Voters: 1, Agents: 1, Without: without}
+			setup := Setup{Voters: 1, Agents: 1, Without: without}
 			switch without {
 			case "fence":
-				set.Grants, set.Faults = 1, 1
+				setup.Grants, setup.Faults = 1, 1
 			case "begin":
-				set.Grants, set.Faults, set.Restarts = 1, 1, 1
+				setup.Grants, setup.Faults, setup.Restarts = 1, 1, 1
 			}
-			f := Run(set)
-			require.NotEmpty(t, f.Violation)
-			t.Logf("found after %d states, %d steps: %s %v", f.States, len(f.Steps), f.Violation, f.Steps)
+			result := Run(setup)
+			require.NotEmpty(t, result.Violation)
+			t.Logf("found after %d states, %d steps: %s %v", result.States, len(result.Steps), result.Violation, result.Steps)
 		})
 	}
 }
--- a/internal/control/maintenance/search/state.go
+++ b/internal/control/maintenance/search/state.go
@@ -7,30 +7,32 @@
 	"dunestep/internal/control/maintenance"
 )
 
-// leaseGrant is a lease of an agent: when it was requested, and how many records it covers.
-type leaseGrant struct{ requestedAt, covers int8 }
+// leaseGrant is a lease of an agent: the step at which it was requested, and the number of records that the
+// agent must have applied to use it.
+type leaseGrant struct{ requestedAt, coveredRecords int8 }
 
-// agent is what an agent knows, and its leases.
+// agent is the state of an agent.
 type agent struct {
-	known      int8
-	lastLeased int8 // when it acted on a lease last
-	grantsLeft int8 // grants that may come
-	grantCount int8
-	grants     [maxGrants]leaseGrant
+	applied     int8 // number of records applied
+	lastLeaseAt int8 // time of its last decision with a lease
+	grantsLeft  int8 // number of further leases that it may be granted
+	grantCount  int8
+	grants      [maxGrants]leaseGrant
 }
 
-// voter is a voter's proposer. It is never changed: a step works on a fork. The fingerprints distinguish it
-// from others that have learnt the same records.
+// voter is the state of a voter. Its proposer is never modified: a step works on a fork. The fingerprints
+// distinguish it from others that have applied the same records.
 type voter struct {
-	known        int8
+	applied      int8
 	fingerprints fingerprints
 	proposer     *maintenance.Proposer
 }
 
-// fingerprints are those of all details.
+// fingerprints are the fingerprints of a proposer by detail.
 type fingerprints [maintenance.FingerprintDetails]uint64
 
-// logPosition is a position in a log, with the state there. Records that change nothing are left out.
+// logPosition is a position in a log, with the state after its records. A record that does not change the
+// state adds no position.
 type logPosition struct {
 	id           uint16
 	depth        int8
@@ -38,32 +40,32 @@
 	stateMachine *maintenance.StateMachine
 	state        maintenance.State
 	next         map[*proposal]*logPosition
-	agent        *maintenance.Agent // of one that has learnt so far
+	agent        *maintenance.Agent // an agent that has applied the records
 }
 
-// proposal is a record; the same bytes are the same one.
+// proposal is a proposed record. There is one proposal for each encoding.
 type proposal struct {
 	id           uint16
 	data         []byte
 	declaresFree bool
 }
 
-// world is a state. It has no pointers to what changes: a copy of it is independent.
-type world struct {
-	log              *logPosition // the last in it
-	pending          *proposal
-	agents           [maxAgents]agent
-	voters           [maxVoters]voter
-	now              int8
-	knownAStepAgo    int8 // how many records there were a step ago
-	lastSent         int8 // when a request was sent to the node last
-	faults, restarts int8
+// systemState is a state of the whole system. It has no pointers to mutable data, so a copy is independent.
+type systemState struct {
+	log               *logPosition // last position
+	pendingFree       *proposal    // record that declares the servers free, which may still be agreed
+	agents            [maxAgents]agent
+	voters            [maxVoters]voter
+	now               int8
+	recordsOneStepAgo int8 // number of records a step ago
+	lastSentAt        int8 // time of the last request to the window's server
+	faults, restarts  int8
 }
 
-// never is a step at which nothing has happened.
+// never is a time before all events.
 const never = -100
 
-// proposedAt is when the window was accepted and confirmed.
+// proposedAt returns the time at which the window is accepted and confirmed.
 func (s *search) proposedAt() int {
 	if s.setup.Without == "notice" {
 		return windowFrom - 1
@@ -71,28 +73,33 @@
 	return windowFrom - minNotice
 }
 
-// addInitialJobs adds all states that agents can be in as the window is about to begin: each has had its last
-// lease at any time, or none, and knows the window if one of its leases covers it.
+// addInitialJobs adds jobs for all possible states just before the window starts, given the first agents:
+// each other agent has had its last lease at any time or never, and knows the window if one of its leases
+// covers it.
 func (s *search) addInitialJobs(agents []agent) {
 	if len(agents) < s.setup.Agents {
 		left := int8(s.setup.Grants)
 		for last := s.proposedAt() - 1; last <= 0; last++ {
-			s.addInitialJobs(append(slices.Clone(agents), agent{lastLeased: int8(last), grantsLeft: left}))
+			s.addInitialJobs(append(slices.Clone(agents), agent{lastLeaseAt: int8(last), grantsLeft: left}))
 			if last >= s.proposedAt() {
-				s.addInitialJobs(append(slices.Clone(agents), agent{lastLeased: int8(last), grantsLeft: left, known: 2}))
+				s.addInitialJobs(append(slices.Clone(agents),
+					agent{lastLeaseAt: int8(last), grantsLeft: left, applied: 2}))
 			}
 		}
-		s.addInitialJobs(append(slices.Clone(agents), agent{lastLeased: never, grantsLeft: left}))
+		s.addInitialJobs(append(slices.Clone(agents), agent{lastLeaseAt: never, grantsLeft: left}))
 		return
 	}
-	if w, can := s.initialWorld(agents); can {
-		s.initialJobs = append(s.initialJobs, job{world: w})
+	if state, isPossible := s.initialState(agents); isPossible {
+		s.initialJobs = append(s.initialJobs, job{state: state})
 	}
 }
 
-// initialWorld is a world in which the window was accepted and confirmed; false: the agents cannot be so.
-func (s *search) initialWorld(agents []agent) (w world, can bool) {
-	w = world{log: s.emptyLog, lastSent: never, faults: int8(s.setup.Faults), restarts: int8(s.setup.Restarts)}
+// initialState returns a state in which the window was accepted and confirmed. It returns false if the
+// agents cannot be in these states.
+func (s *search) initialState(agents []agent) (state systemState, isPossible bool) {
+	state = systemState{
+		log: s.emptyLog, lastSentAt: never, faults: int8(s.setup.Faults), restarts: int8(s.setup.Restarts),
+	}
 	at := reading(s.proposedAt())
 	data, err := maintenance.EncodeProposal(maintenance.Proposal{
 		Now: at.Unix, PolicyVersion: 1, MinNotice: reading(windowFrom).Unix - at.Unix,
@@ -106,38 +113,38 @@
 	if err != nil {
 		panic(err) // the values are constants
 	}
-	w.log = s.appendRecord(w.log, s.proposal(data))
+	state.log = s.appendRecord(state.log, s.proposal(data))
 	proposer := maintenance.NewProposer(s.proposerSettings())
-	proposer.Learn(at, w.log.stateMachine)
-	result := s.lead(proposer, s.proposedAt(), voterLeads)
+	proposer.Learn(at, state.log.stateMachine)
+	result := s.runAsLeader(proposer, s.proposedAt(), voterLeads)
 	for _, p := range result.records {
-		w.log = s.appendRecord(w.log, p)
+		state.log = s.appendRecord(state.log, p)
 	}
-	w.knownAStepAgo = w.log.depth
+	state.recordsOneStepAgo = state.log.depth
 	for i, a := range agents {
-		// A lease that it acted on for its last time was asked for up to so long before, by a voter that knew all
-		// up to a step before that.
-		if covered := int(a.lastLeased)-leaseLength+1-knowledgeAge > s.proposedAt(); covered && a.known == 0 {
-			return w, false // another of the initial worlds
+		// The lease of its last decision was requested up to leaseLength-1 steps before, and granted by a voter
+		// that had applied all records up to knowledgeAge steps before the request.
+		if covered := int(a.lastLeaseAt)-leaseLength+1-knowledgeAge > s.proposedAt(); covered && a.applied == 0 {
+			return state, false // covered by another initial state
 		}
-		if a.lastLeased == 0 {
-			a.grantCount, a.grants[0] = 1, leaseGrant{requestedAt: 0, covers: a.known}
-			if a.known == 0 {
+		if a.lastLeaseAt == 0 {
+			a.grantCount, a.grants[0] = 1, leaseGrant{requestedAt: 0, coveredRecords: a.applied}
+			if a.applied == 0 {
 				a.grants[0].requestedAt = int8(s.proposedAt())
 			}
 		}
-		w.agents[i] = a
+		state.agents[i] = a
 	}
 	for i := range s.setup.Voters {
-		w.voters[i] = s.learn(maintenance.NewProposer(s.proposerSettings()), w.log, s.proposedAt(), 0)
+		state.voters[i] = s.learn(maintenance.NewProposer(s.proposerSettings()), state.log, s.proposedAt(), 0)
 	}
 	if s.setup.Voters > 0 {
-		w.voters[0] = s.learn(result.proposer, w.log, s.proposedAt(), 0)
+		state.voters[0] = s.learn(result.proposer, state.log, s.proposedAt(), 0)
 	}
-	return w, true
+	return state, true
 }
 
-// proposal is the proposal of a record. The search is locked, here and in all calls of parts.
+// proposal returns the proposal of a record. The search must be locked, as for all calls of components.
 func (s *search) proposal(data []byte) *proposal {
 	p := s.proposals[string(data)]
 	if p == nil {
@@ -150,7 +157,7 @@
 	return p
 }
 
-// appendRecord adds a record to the log.
+// appendRecord returns the position after a record is appended at a position.
 func (s *search) appendRecord(last *logPosition, p *proposal) *logPosition {
 	next := last.next[p]
 	if next != nil {
@@ -158,14 +165,14 @@
 	}
 	m := maintenance.NewStateMachine(func() uint64 { return 1 })
 	if err := m.Restore(last.stateMachine.Snapshot()); err != nil {
-		panic(err) // it is the same build's
+		panic(err) // the snapshot is of the same build
 	}
 	m.Apply(uint64(last.depth+1), p.data)
 	if next = last; !bytes.Equal(m.Snapshot(), last.stateMachine.Snapshot()) {
 		s.positionCount++
 		next = &logPosition{
 			id: s.positionCount, depth: last.depth + 1, before: last, stateMachine: m,
-			state: m.Windows()[0].State, agent: s.agentAt(m),
+			state: m.Windows()[0].State, agent: s.newAgentAt(m),
 		}
 	}
 	if last.next == nil {
@@ -175,7 +182,7 @@
 	return next
 }
 
-// at is the position after a number of records.
+// at returns the position after a number of records.
 func (p *logPosition) at(depth int8) *logPosition {
 	for p.depth > depth {
 		p = p.before
--- a/internal/control/maintenance/search/steps.go
+++ b/internal/control/maintenance/search/steps.go
@@ -8,13 +8,13 @@
 	"dunestep/internal/control/maintenance"
 )
 
-// takenStep is a step that was taken.
+// takenStep is a step that was taken, at a time in steps and by a voter or agent.
 type takenStep struct {
 	at, node int8
 	kind     stepKind
 }
 
-// stepKind is what may happen in a state.
+// stepKind is the kind of a step.
 type stepKind uint8
 
 const (
@@ -26,14 +26,14 @@
 	freeProposed
 	agentLearns
 	leaseGranted
-	stepPasses
+	timeAdvances
 )
 
 func (t takenStep) String() string {
 	text := [...]string{
-		"it is agreed late that the server is free", "voter %d is restarted", "voter %d learns a record",
-		"voter %d leads", "voter %d leads, and sees a fault", "voter %d proposes that the server is free",
-		"agent %d learns a record", "agent %d is granted a lease", "time passes",
+		"a delayed record is agreed: the server is free", "voter %d is restarted", "voter %d applies a record",
+		"voter %d leads", "voter %d leads, and observes a fault", "voter %d proposes that the server is free",
+		"agent %d applies a record", "agent %d is granted a lease", "time passes",
 	}[t.kind]
 	if bytes.ContainsRune([]byte(text), '%') {
 		text = fmt.Sprintf(text, t.node)
@@ -41,135 +41,137 @@
 	return fmt.Sprintf("%d: %s", t.at, text)
 }
 
-// takeStep goes on with the world after a step, or leaves it to a worker that has nothing to do.
-func (k *worker) takeStep(w *world, n *world, who int, kind stepKind) {
-	k.steps = append(k.steps, takenStep{w.now, int8(who), kind})
-	if !k.jobs.HasIdleWorker() || w.now >= lastStep-2 || !k.jobs.Offer(job{*n, slices.Clone(k.steps)}) {
-		k.visit(n)
+// exploreStep continues the search with the state next, which follows state by a step, or offers it to an
+// idle worker.
+func (k *worker) exploreStep(state *systemState, next *systemState, who int, kind stepKind) {
+	k.steps = append(k.steps, takenStep{state.now, int8(who), kind})
+	if !k.jobs.HasIdleWorker() || state.now >= lastStep-2 || !k.jobs.Offer(job{*next, slices.Clone(k.steps)}) {
+		k.visit(next)
 	}
 	k.steps = k.steps[:len(k.steps)-1]
 }
 
-// takeAllSteps takes each step that is possible in a state.
-func (k *worker) takeAllSteps(w *world) {
-	if w.pending != nil {
-		n := *w
-		k.appendRecord(&n, w.pending)
-		n.pending = nil
-		k.takeStep(w, &n, 0, freeAgreedLate)
+// exploreAllSteps explores each possible step from a state.
+func (k *worker) exploreAllSteps(state *systemState) {
+	if state.pendingFree != nil {
+		next := *state
+		k.appendRecord(&next, state.pendingFree)
+		next.pendingFree = nil
+		k.exploreStep(state, &next, 0, freeAgreedLate)
 	}
 	for v := range k.setup.Voters {
-		k.takeVoterSteps(w, v)
+		k.exploreVoterSteps(state, v)
 	}
 	for a := range k.setup.Agents {
-		k.takeAgentSteps(w, a)
+		k.exploreAgentSteps(state, a)
 	}
-	if w.now < lastStep {
-		n := *w
-		k.passStep(&n)
-		k.takeStep(w, &n, 0, stepPasses)
+	if state.now < lastStep {
+		next := *state
+		k.advanceTime(&next)
+		k.exploreStep(state, &next, 0, timeAdvances)
 	}
 }
 
-// passStep has a step of time pass, and drops leases that have expired.
-func (k *worker) passStep(w *world) {
-	w.now++
-	w.knownAStepAgo = w.log.depth
-	for i := range w.agents[:k.setup.Agents] {
-		a := &w.agents[i]
+// advanceTime advances a state by one step of time, and drops expired leases.
+func (k *worker) advanceTime(state *systemState) {
+	state.now++
+	state.recordsOneStepAgo = state.log.depth
+	for i := range state.agents[:k.setup.Agents] {
+		a := &state.agents[i]
 		count := int8(0)
 		for _, g := range a.grants[:a.grantCount] {
-			if w.now-g.requestedAt < leaseLength {
+			if state.now-g.requestedAt < leaseLength {
 				a.grants[count] = g
 				count++
 			}
 		}
 		a.grantCount = count
 	}
-	for i := range w.voters[:k.setup.Voters] {
-		v := &w.voters[i]
-		key := passKey{k.fingerprint(v), w.log.at(v.known), w.now}
+	for i := range state.voters[:k.setup.Voters] {
+		v := &state.voters[i]
+		key := advanceKey{k.fingerprint(v), state.log.at(v.applied), state.now}
 		v.fingerprints = cached(k, k.fingerprintResults, key, func() fingerprints {
-			return k.fingerprintsOf(v.proposer, int(w.now))
+			return k.fingerprintsOf(v.proposer, int(state.now))
 		})
 	}
 }
 
-// takeVoterSteps takes each step of a voter.
-func (k *worker) takeVoterSteps(w *world, i int) {
-	v := w.voters[i]
-	if w.restarts > 0 {
-		n := *w
-		n.restarts--
-		n.voters[i] = k.restartVoter(w, v)
-		k.takeStep(w, &n, i, voterRestarts)
-	}
-	if v.known < w.log.depth {
-		n, p := *w, w.log.at(v.known+1)
-		n.voters[i] = cached(k, k.voterResults, learnKey{k.fingerprint(&v), p, w.now}, func() voter {
-			return k.learn(v.proposer, p, int(w.now), int(w.now))
+// exploreVoterSteps explores each possible step of a voter.
+func (k *worker) exploreVoterSteps(state *systemState, i int) {
+	v := state.voters[i]
+	if state.restarts > 0 {
+		next := *state
+		next.restarts--
+		next.voters[i] = k.restartVoter(state, v)
+		k.exploreStep(state, &next, i, voterRestarts)
+	}
+	if v.applied < state.log.depth {
+		next, p := *state, state.log.at(v.applied+1)
+		next.voters[i] = cached(k, k.voterResults, learnKey{k.fingerprint(&v), p, state.now}, func() voter {
+			return k.learn(v.proposer, p, int(state.now), int(state.now))
 		})
-		k.takeStep(w, &n, i, voterLearns)
+		k.exploreStep(state, &next, i, voterLearns)
 	}
-	k.leadOnce(w, i, voterLeads)
-	if w.faults > 0 {
-		k.leadOnce(w, i, voterSeesFault)
+	k.exploreLeaderStep(state, i, voterLeads)
+	if state.faults > 0 {
+		k.exploreLeaderStep(state, i, voterSeesFault)
 	}
 }
 
-// restartVoter is a voter whose process has just started, and that knows the same records.
-func (k *worker) restartVoter(w *world, v voter) voter {
-	at := int(w.now)
+// restartVoter returns a voter just after a restart, with the same records applied.
+func (k *worker) restartVoter(state *systemState, v voter) voter {
+	at := int(state.now)
 	if k.setup.Without == "begin" {
 		at -= maxAge
 	}
-	p := w.log.at(v.known)
-	return cached(k, k.voterResults, learnKey{0, p, w.now}, func() voter {
-		return k.learn(maintenance.NewProposer(k.proposerSettings()), p, at, int(w.now))
+	p := state.log.at(v.applied)
+	return cached(k, k.voterResults, learnKey{0, p, state.now}, func() voter {
+		return k.learn(maintenance.NewProposer(k.proposerSettings()), p, at, int(state.now))
 	})
 }
 
-// leadOnce has what a proposer proposes be agreed at once; that the servers are free, late as well.
-func (k *worker) leadOnce(w *world, i int, kind stepKind) {
-	v, n := w.voters[i], *w
+// exploreLeaderStep explores a leader's check of its windows. Its proposals are agreed at once; a record
+// that declares the servers free may also be agreed later.
+func (k *worker) exploreLeaderStep(state *systemState, i int, kind stepKind) {
+	v, next := state.voters[i], *state
 	if kind == voterSeesFault {
-		n.faults--
+		next.faults--
 	}
-	key := leadKey{k.fingerprint(&v), w.log.at(v.known), w.now, kind}
-	l := cached(k, k.leaderResults, key, func() leaderResult {
-		return k.lead(v.proposer, int(w.now), kind)
+	key := leadKey{k.fingerprint(&v), state.log.at(v.applied), state.now, kind}
+	result := cached(k, k.leaderResults, key, func() leaderResult {
+		return k.runAsLeader(v.proposer, int(state.now), kind)
 	})
-	n.voters[i].proposer, n.voters[i].fingerprints = l.proposer, l.fingerprints
-	for _, p := range l.records {
-		if p.declaresFree && n.pending == nil && k.setup.Faults > 0 {
-			m := n
-			m.pending = p
-			k.takeStep(w, &m, i, freeProposed)
+	next.voters[i].proposer, next.voters[i].fingerprints = result.proposer, result.fingerprints
+	for _, p := range result.records {
+		if p.declaresFree && next.pendingFree == nil && k.setup.Faults > 0 {
+			later := next
+			later.pendingFree = p
+			k.exploreStep(state, &later, i, freeProposed)
 		}
-		k.appendRecord(&n, p)
+		k.appendRecord(&next, p)
 	}
-	if l.changed || n.log != w.log {
-		k.takeStep(w, &n, i, kind)
+	if result.changed || next.log != state.log {
+		k.exploreStep(state, &next, i, kind)
 	}
 }
 
-// takeAgentSteps takes each step of an agent.
-func (k *worker) takeAgentSteps(w *world, i int) {
-	if w.agents[i].known < w.log.depth {
-		n := *w
-		n.agents[i].known++
-		k.takeStep(w, &n, i, agentLearns)
-	}
-	a, g := &w.agents[i], leaseGrant{w.now, w.knownAStepAgo}
+// exploreAgentSteps explores each possible step of an agent.
+func (k *worker) exploreAgentSteps(state *systemState, i int) {
+	if state.agents[i].applied < state.log.depth {
+		next := *state
+		next.agents[i].applied++
+		k.exploreStep(state, &next, i, agentLearns)
+	}
+	a, g := &state.agents[i], leaseGrant{state.now, state.recordsOneStepAgo}
 	if !k.setup.Exhaustive {
-		g = a.withKnown(g)
+		g = a.withoutApplied(g)
 	}
 	if a.grantsLeft > 0 && a.grantCount < maxGrants && !slices.Contains(a.grants[:a.grantCount], g) {
-		n := *w
-		b := &n.agents[i]
-		b.grantsLeft--
-		b.grants[b.grantCount] = g
-		b.grantCount++
-		k.takeStep(w, &n, i, leaseGranted)
+		next := *state
+		nextAgent := &next.agents[i]
+		nextAgent.grantsLeft--
+		nextAgent.grants[nextAgent.grantCount] = g
+		nextAgent.grantCount++
+		k.exploreStep(state, &next, i, leaseGranted)
 	}
 }
--- a/internal/control/maintenance/search/worker.go
+++ b/internal/control/maintenance/search/worker.go
@@ -12,21 +12,21 @@
 	"dunestep/internal/modelcheck"
 )
 
-// detail is how much a hash distinguishes.
+// detail selects which differences between states a hash distinguishes.
 type detail uint8
 
 const (
-	effectiveOnly detail = iota // what still has an effect
-	everything
+	relevantState detail = iota // only differences that still have an effect
+	fullState                   // all differences
 )
 
 // job is a state from which a worker continues.
 type job struct {
-	world world
+	state systemState
 	steps []takenStep
 }
 
-// worker caches what parts do: for the same key it is the same.
+// worker explores states. It caches the results of components, which are equal for equal keys.
 type worker struct {
 	*search
 	jobs               *modelcheck.JobQueue[job]
@@ -34,24 +34,24 @@
 	positions          map[positionKey]*logPosition
 	voterResults       map[learnKey]voter
 	leaderResults      map[leadKey]leaderResult
-	fingerprintResults map[passKey]fingerprints
+	fingerprintResults map[advanceKey]fingerprints
 	exclusionResults   map[exclusionKey]exclusion
 }
 
-// positionKey is a record that is added to a log.
+// positionKey is a position and the record that is appended there.
 type positionKey struct {
 	last *logPosition
 	p    *proposal
 }
 
-// learnKey is a proposer that learns a state at a time.
+// learnKey identifies the result of a proposer that applies a state at a time.
 type learnKey struct {
 	fingerprint uint64
 	p           *logPosition
 	at          int8
 }
 
-// leadKey is a proposer that checks windows as the leader's at a time.
+// leadKey identifies the result of a leader's check of its windows at a time.
 type leadKey struct {
 	fingerprint uint64
 	p           *logPosition
@@ -59,14 +59,14 @@
 	kind        stepKind
 }
 
-// passKey is a proposer after a step of time.
-type passKey struct {
+// advanceKey identifies the fingerprints of a proposer after a step of time.
+type advanceKey struct {
 	fingerprint uint64
 	p           *logPosition
 	at          int8
 }
 
-// exclusionKey is everything that an agent's exclusions depend on.
+// exclusionKey identifies an agent's exclusions by everything that they depend on.
 type exclusionKey struct {
 	p        *logPosition
 	at       int8
@@ -74,21 +74,21 @@
 	mode     policy.Mode
 }
 
-// exclusion is what an agent keeps off.
+// exclusion is how an agent excludes the window's server.
 type exclusion struct {
-	below uint32
-	turn  bool
+	below  uint32 // rank below which keys are excluded; math.MaxUint32: all keys
+	byTurn bool   // because of its turn
 }
 
 func newWorker(s *search, jobs *modelcheck.JobQueue[job]) *worker {
 	return &worker{
 		search: s, jobs: jobs, positions: map[positionKey]*logPosition{}, voterResults: map[learnKey]voter{},
 		leaderResults:      map[leadKey]leaderResult{},
-		fingerprintResults: map[passKey]fingerprints{}, exclusionResults: map[exclusionKey]exclusion{},
+		fingerprintResults: map[advanceKey]fingerprints{}, exclusionResults: map[exclusionKey]exclusion{},
 	}
 }
 
-// cached is the cached result of a key, or calls do for it.
+// cached returns the result cached in m for a key. If there is none, it calls do and caches its result.
 func cached[K comparable, V any](k *worker, m map[K]V, key K, do func() V) V {
 	v, found := m[key]
 	if !found {
@@ -100,41 +100,41 @@
 	return v
 }
 
-// appendRecord adds a record to a world's log.
-func (k *worker) appendRecord(w *world, p *proposal) {
-	w.log = cached(k, k.positions, positionKey{w.log, p}, func() *logPosition {
-		return k.search.appendRecord(w.log, p)
+// appendRecord appends a record to a state's log.
+func (k *worker) appendRecord(state *systemState, p *proposal) {
+	state.log = cached(k, k.positions, positionKey{state.log, p}, func() *logPosition {
+		return k.search.appendRecord(state.log, p)
 	})
 }
 
-// visit checks a state, and goes on to all states that can follow.
-func (k *worker) visit(w *world) {
+// visit checks a state. If the state is new, it explores all steps from it.
+func (k *worker) visit(state *systemState) {
 	if k.violated.Load() {
 		return
 	}
-	if text := k.checkRequests(w); text != "" {
+	if text := k.checkRequests(state); text != "" {
 		k.addViolation(text, k.steps)
 		return
 	}
-	wanted := effectiveOnly
+	distinguished := relevantState
 	if k.setup.Exhaustive {
-		wanted = everything
-		n := *w
-		k.dropIrrelevant(&n)
-		k.distinct.Add(k.hash(&n, effectiveOnly))
+		distinguished = fullState
+		reduced := *state
+		k.dropIrrelevant(&reduced)
+		k.distinct.Add(k.hash(&reduced, relevantState))
 	} else {
-		k.dropIrrelevant(w)
+		k.dropIrrelevant(state)
 	}
-	if !k.seen.Add(k.hash(w, wanted)) {
+	if !k.seen.Add(k.hash(state, distinguished)) {
 		return
 	}
-	if w.log.state == maintenance.Free && w.now < returnFrom {
+	if state.log.state == maintenance.Free && state.now < returnFrom {
 		k.free.Add(1)
 	}
-	k.takeAllSteps(w)
+	k.exploreAllSteps(state)
 }
 
-// fingerprint distinguishes what a proposer does from what others do.
+// fingerprint returns a hash that is equal for proposers that behave equally.
 func (k *worker) fingerprint(v *voter) uint64 {
 	if k.setup.Exhaustive {
 		return v.fingerprints[maintenance.Everything]
@@ -142,35 +142,36 @@
 	return v.fingerprints[maintenance.Alive]
 }
 
-// dropIrrelevant drops what has no effect any more: leases beside which another stands; where the window
-// returns, is over or past returnFrom, what voters have seen, as all that they can still propose is its end,
-// and each can have learnt by then what there is to know.
-func (k *worker) dropIrrelevant(w *world) {
-	for i := range w.agents[:k.setup.Agents] {
-		w.agents[i].dropRedundantLeases()
+// dropIrrelevant resets what no longer has an effect: redundant leases, and, if the window returns, is over
+// or is past returnFrom, what voters have observed. They can only propose the window's end by then, and
+// each may have applied all records.
+func (k *worker) dropIrrelevant(state *systemState) {
+	for i := range state.agents[:k.setup.Agents] {
+		state.agents[i].dropRedundantLeases()
 	}
-	state := w.log.state
-	returns := state == maintenance.Returning || state == maintenance.Ended || state == maintenance.Stopped
-	if !returns && w.now < returnFrom {
+	windowState := state.log.state
+	isReturning := windowState == maintenance.Returning || windowState == maintenance.Ended ||
+		windowState == maintenance.Stopped
+	if !isReturning && state.now < returnFrom {
 		return
 	}
-	w.faults, w.restarts, w.lastSent = 0, 0, never
-	if returns {
-		w.pending = nil
+	state.faults, state.restarts, state.lastSentAt = 0, 0, never
+	if isReturning {
+		state.pendingFree = nil
 	}
-	for i := range w.voters[:k.setup.Voters] {
-		w.voters[i] = k.restartVoter(w, voter{known: w.log.depth})
+	for i := range state.voters[:k.setup.Voters] {
+		state.voters[i] = k.restartVoter(state, voter{applied: state.log.depth})
 	}
 }
 
-// alreadyCovered stands for the records of a lease that the agent knows already.
+// alreadyCovered is the value of coveredRecords once the agent has applied all records that a lease covers.
 const alreadyCovered = -1
 
-// dropRedundantLeases keeps the newest lease of those that cover the same records.
+// dropRedundantLeases keeps only the newest of the leases that cover the same records.
 func (a *agent) dropRedundantLeases() {
 	count := int8(0)
 	for _, g := range a.grants[:a.grantCount] {
-		if g = a.withKnown(g); count > 0 && a.grants[count-1].covers == g.covers {
+		if g = a.withoutApplied(g); count > 0 && a.grants[count-1].coveredRecords == g.coveredRecords {
 			count--
 		}
 		a.grants[count] = g
@@ -180,25 +181,26 @@
 	a.grantCount = count
 }
 
-// withKnown is a lease without the records that the agent knows already.
-func (a *agent) withKnown(g leaseGrant) leaseGrant {
-	if a.known >= g.covers {
-		g.covers = alreadyCovered
+// withoutApplied returns a lease with alreadyCovered for its records if the agent has applied them.
+func (a *agent) withoutApplied(g leaseGrant) leaseGrant {
+	if a.applied >= g.coveredRecords {
+		g.coveredRecords = alreadyCovered
 	}
 	return g
 }
 
-// relevantFingerprint distinguishes a proposer from others that may do something else some time.
-func (v *voter) relevantFingerprint(w *world, detail detail) uint64 {
-	isLagging := v.known < w.log.depth
+// relevantFingerprint returns a hash that is equal for proposers that behave equally in all states that can
+// follow.
+func (v *voter) relevantFingerprint(state *systemState, detail detail) uint64 {
+	isLagging := v.applied < state.log.depth
 	switch {
-	case detail == everything:
+	case detail == fullState:
 		return v.fingerprints[maintenance.Everything]
-	case w.faults > 0 && isLagging:
+	case state.faults > 0 && isLagging:
 		return v.fingerprints[maintenance.Lagging]
-	case w.faults > 0:
+	case state.faults > 0:
 		return v.fingerprints[maintenance.Alive]
-	case isLagging && w.log.state == maintenance.Paused:
+	case isLagging && state.log.state == maintenance.Paused:
 		return v.fingerprints[maintenance.QuietLagging]
 	case isLagging:
 		return 0
@@ -206,41 +208,42 @@
 	return v.fingerprints[maintenance.Quiet]
 }
 
-// hash is a hash of the state. Agents, and voters, that have changed places are the same.
-func (k *worker) hash(w *world, detail detail) uint64 {
+// hash returns a hash of the state, which does not depend on the order of agents or of voters.
+func (k *worker) hash(state *systemState, detail detail) uint64 {
 	b := make([]byte, 0, 128)
-	b = binary.LittleEndian.AppendUint16(b, w.log.id)
+	b = binary.LittleEndian.AppendUint16(b, state.log.id)
 	pending := uint16(0)
-	if w.pending != nil {
-		pending = w.pending.id
+	if state.pendingFree != nil {
+		pending = state.pendingFree.id
 	}
 	b = binary.LittleEndian.AppendUint16(b, pending)
-	b = append(b, byte(w.now), byte(w.knownAStepAgo), byte(w.faults), byte(w.restarts),
-		byte(min(w.now-w.lastSent, maxInFlight)))
+	b = append(b, byte(state.now), byte(state.recordsOneStepAgo), byte(state.faults), byte(state.restarts),
+		byte(min(state.now-state.lastSentAt, maxInFlight)))
 	var agents [maxAgents][4 + 2*maxGrants]byte
-	for i, a := range w.agents[:k.setup.Agents] {
-		last := byte(min(int(w.now)-int(a.lastLeased), floorValidity))
+	for i, a := range state.agents[:k.setup.Agents] {
+		last := byte(min(int(state.now)-int(a.lastLeaseAt), floorValidity))
 		if k.setup.Without == "own clock" {
-			last = byte(a.lastLeased)
+			last = byte(a.lastLeaseAt)
 		}
-		e := append(agents[i][:0], byte(a.known), byte(a.grantsLeft), last, byte(a.grantCount))
+		encoded := append(agents[i][:0], byte(a.applied), byte(a.grantsLeft), last, byte(a.grantCount))
 		for _, g := range a.grants[:a.grantCount] {
-			e = append(e, byte(g.requestedAt), byte(g.covers))
+			encoded = append(encoded, byte(g.requestedAt), byte(g.coveredRecords))
 		}
 	}
-	each := agents[:k.setup.Agents]
-	slices.SortFunc(each, func(x, y [4 + 2*maxGrants]byte) int { return bytes.Compare(x[:], y[:]) })
-	for i := range each {
-		b = append(b, each[i][:]...)
+	sortedAgents := agents[:k.setup.Agents]
+	slices.SortFunc(sortedAgents, func(x, y [4 + 2*maxGrants]byte) int { return bytes.Compare(x[:], y[:]) })
+	for i := range sortedAgents {
+		b = append(b, sortedAgents[i][:]...)
 	}
 	var voters [maxVoters][9]byte
-	for i, v := range w.voters[:k.setup.Voters] {
-		binary.LittleEndian.PutUint64(append(voters[i][:0], byte(v.known))[1:9], v.relevantFingerprint(w, detail))
-	}
-	all := voters[:k.setup.Voters]
-	slices.SortFunc(all, func(x, y [9]byte) int { return bytes.Compare(x[:], y[:]) })
-	for i := range all {
-		b = append(b, all[i][:]...)
+	for i, v := range state.voters[:k.setup.Voters] {
+		binary.LittleEndian.PutUint64(append(voters[i][:0], byte(v.applied))[1:9],
+			v.relevantFingerprint(state, detail))
+	}
+	sortedVoters := voters[:k.setup.Voters]
+	slices.SortFunc(sortedVoters, func(x, y [9]byte) int { return bytes.Compare(x[:], y[:]) })
+	for i := range sortedVoters {
+		b = append(b, sortedVoters[i][:]...)
 	}
 	return maphash.Bytes(k.seed, b)
 }
