--- a/internal/control/ringassignment/lab/lab.go
+++ b/internal/control/ringassignment/lab/lab.go
@@ -1,9 +1,10 @@
-// Package lab plays a fleet's ring in virtual time, with all that can go wrong: servers that join, drain,
-// vanish, flap, come back cold, lists that are late or hear nothing, capacities told wildly, agents that are
-// cut off, stand still or end, leaders that end at any step. The agreed log and leases are reduced to what
-// they promise: records come one after the other, from a leader that reaches a majority; a lease covers all
-// that was agreed Heard before it was asked for, and holds for Length since then (see package lease). What
-// the agents place by is judged from the outside (package judge).
+// Package lab simulates a fleet's ring assignment in virtual time, with fault injection: servers that join,
+// drain, vanish, flap and restart cold, endpoint lists that are late, capacities that are wrong, agents
+// that are cut off, paused or stopped, and leaders that stop at any step. The agreed log and leases are
+// reduced to their guarantees: a leader that reaches a majority appends records in sequence; a lease covers
+// all records that were agreed up to Terms.MaxKnowledgeAge before its request, and is valid for
+// Terms.Duration from then (see package lease). Package judge checks the key owners that the agents
+// compute.
 package lab
 
 import (
@@ -21,201 +22,203 @@
 	"dunestep/internal/simnet"
 )
 
-// Setup is one course. The same one is the same course.
+// Setup configures a Lab. The same Setup gives the same events.
 type Setup struct {
-	Seed    uint64
-	Agents  int // the first three of them vote
-	Servers int
-	Keys    int
-	Faults  simnet.Faults
-	Figures ringassignment.Parameters // zero: Usual
-	Warm    time.Duration             // how long servers take to be warm; zero: 9 s
-	Without string                    // a protection that is taken out: one of Protections, or All
+	Seed              uint64
+	Agents            int // number of agents; the first three are voters
+	Servers           int
+	Keys              int
+	Faults            simnet.Faults
+	Parameters        ringassignment.Parameters // zero fields: defaults
+	SlowStartDuration time.Duration             // zero: 9 s
+	Without           string                    // one of Protections, or WithoutGenerations; empty: none
 }
 
-// All has agents place by their own lists alone, as without generations.
-const All = "all"
+// WithoutGenerations is a value of Setup.Without: agents assign keys by their own lists alone, as if there
+// were no generations.
+const WithoutGenerations = "all"
 
-// Protections can be taken out, to see that the judge finds it.
+// Protections can be disabled, to check that the judge detects their absence.
 var Protections = []string{
-	"hold-down",   // what is back is used at once, however often it went
-	"outstanding", // voters report without a thought of leases that still hold
-	"begin",       // nor of those that a former process of theirs granted
+	"hold-down",   // restored servers are used at once, however often they were lost
+	"outstanding", // voters report while leases are still valid
+	"begin",       // voters ignore leases that their earlier processes granted
 	"fence",       // the next generation is proposed after a tenth of the fence
-	"bound",       // all moves at once
-	"nested",      // points of another number are others
-	"own list",    // agents use what the generation names
+	"bound",       // all keys move at once
+	"nested",      // a different number of points gives different points
+	"own list",    // agents use the generation's servers even if their own list lacks them
 	"warmth",      // cold servers join with all their points
-	"hysteresis",  // each word on a capacity counts at once
-	"emptied",     // the leader is not told which servers windows have emptied
-	"stays",       // and takes those that they have off the ring
+	"hysteresis",  // each reported capacity counts at once
+	"emptied",     // the leader does not know which servers are drained by windows
+	"stays",       // and it also takes drained servers off the ring
 }
 
 const (
 	voters = 3
-	// mostLate is how late any agent hears of a change, but for those whose list is late on purpose.
-	mostLate = 300 * time.Millisecond
+	// maxListDelay is the maximum delay with which an agent receives a list, unless a fault delays it.
+	maxListDelay = 300 * time.Millisecond
 )
 
-// Cold are the terms on cold servers.
-func (s *Setup) Cold() slowstart.Params {
-	warm := s.Warm
-	if warm == 0 {
-		warm = 9 * time.Second
+// SlowStart returns the parameters of the servers' slow start.
+func (s *Setup) SlowStart() slowstart.Params {
+	duration := s.SlowStartDuration
+	if duration == 0 {
+		duration = 9 * time.Second
 	}
 	return slowstart.Params{
-		InitialCapacity: 0.31, Duration: warm, OverloadMultiple: 3, OverloadWindow: 3 * time.Second,
+		InitialCapacity: 0.31, Duration: duration, OverloadMultiple: 3, OverloadWindow: 3 * time.Second,
 		Margin: 0.4, MaxOfWarm: 1,
 	}
 }
 
-// Lab is one course.
+// Lab is a simulated fleet of agents and servers in virtual time.
 type Lab struct {
 	*simnet.Network
 	Judge *judge.Judge
 
-	set      Setup
-	f        ringassignment.Parameters
-	terms    lease.Terms                  // by which leases are granted, whatever is taken out
-	ref      *ringassignment.StateMachine // of all that is agreed
-	planned  *maintenance.StateMachine    // the same
-	log      []agreed
-	nodes    []*node
-	messages []message
-	leader   int // below zero: none
-	lonely   time.Duration
-	rings    rings
-	list     []server // as it truly is
-	lists    [][]server
-	proposed func()         // after each record
-	slow     time.Duration  // by how much some agents heard late on purpose
-	wild     bool           // capacities are told wildly
-	thought  func(int) bool // servers that leaders take for draining, before they do
-	lies     bool           // some agents' words on paces are worth nothing
-	speed    float64        // of the rapid servers, for what is agreed
+	setup              Setup
+	parameters         ringassignment.Parameters
+	terms              lease.Terms                  // of leases, whatever protection is disabled
+	reference          *ringassignment.StateMachine // has applied the whole agreed log
+	plannedWindows     *maintenance.StateMachine    // has applied the whole agreed log
+	log                []agreedRecord
+	nodes              []*node
+	messages           []message
+	leader             int // below zero: no leader
+	lastMajorityAt     time.Duration
+	rings              ringCache
+	servers            []server // true state
+	lists              [][]server
+	onRecord           func()         // called after each agreed record
+	maxInjectedDelay   time.Duration  // maximum list delay that was injected
+	hasWrongCapacities bool           // views have wrong capacities
+	assumedDraining    func(int) bool // servers that leaders assume to be draining; nil: none
+	hasFalseReports    bool           // one agent reports false paces, two measure few requests
+	fastKindSpeed      float64        // true speed of the fast servers, relative to the initial one
 }
 
-type agreed struct {
-	data   []byte
-	at     time.Duration
-	window bool // it is about windows
+type agreedRecord struct {
+	data     []byte
+	at       time.Duration
+	isWindow bool // the record belongs to maintenance windows
 }
 
-// node is an agent's process.
+// node is an agent and its process.
 type node struct {
-	number  int
-	life    int // zero: none runs
-	lives   int
-	known   int // records
-	machine *ringassignment.StateMachine
-	agent   *ringassignment.Agent
-	council *ringassignment.Proposer // nil: not a voter
-	windows *maintenance.StateMachine
-	keeps   *maintenance.Agent // off servers in windows
-	paced   paced
-	leases  []granted
-	held    bool
-	asks    time.Duration // by the steady clock
-	pull    time.Duration
-	late    time.Duration           // by how much it hears of changes
-	deaf    bool                    // it hears of none
-	seen    int                     // the list that it has
-	missing map[int32]time.Duration // since when its list says of a server that it is not ready
-	has     ringassignment.Mark
-	since   time.Duration
-	heard   [voters]bool  // of the mark
-	told    time.Duration // when it last gave its council a view
+	number           int
+	incarnation      int // of the process; zero: not running
+	incarnations     int // number of processes started so far
+	applied          int // number of records applied
+	stateMachine     *ringassignment.StateMachine
+	agent            *ringassignment.Agent
+	proposer         *ringassignment.Proposer // nil if the agent is not a voter
+	windows          *maintenance.StateMachine
+	windowAgent      *maintenance.Agent // determines the excluded servers
+	pace             paceState
+	leases           []leaseGrant
+	hadLease         bool
+	nextLeaseRequest time.Duration // by the monotonic clock
+	nextPull         time.Duration
+	listDelay        time.Duration           // delay with which it receives lists
+	isCutFromLists   bool                    // it receives no lists
+	list             int                     // index of its list in Lab.lists
+	unusableSince    map[int32]time.Duration // time since which its list has a server as unusable
+	generation       ringassignment.Mark
+	generationSince  time.Duration
+	generationAcked  [voters]bool  // voters that acknowledged generation
+	viewSetAt        time.Duration // when its proposer last got a view, by the monotonic clock
 }
 
-type granted struct {
-	asked  time.Duration // by the steady clock
-	covers int
+type leaseGrant struct {
+	requestedAt    time.Duration // by the monotonic clock
+	coveredRecords int
 }
 
 type message struct {
-	kind kind
-	n    int
-	more bool // the sender asks for more
-	life int  // of the sender
-	mark ringassignment.Mark
-	word []byte
+	kind        messageKind
+	records     int
+	wantsNewer  bool // the sender requests newer records
+	incarnation int  // of the sender's process
+	generation  ringassignment.Mark
+	paceReport  []byte
 }
 
-type kind uint8
+type messageKind uint8
 
 const (
-	news   kind = iota
-	told        // what the sender has
-	heard       // that it was
-	report      // a voter's
-	word        // how quick the sender finds the kinds of servers
+	messageRecords      messageKind = iota // records: number of records that the sender has applied
+	messageApplied                         // generation that the sender has applied
+	messageAcknowledged                    // acknowledges messageApplied
+	messageVoterReport                     // all holders of the sender's leases have applied a generation
+	messagePaceReport                      // paces of machine kinds that the sender measured
 )
 
-// server is one as it is at a time.
+// server is the true state of a server.
 type server struct {
-	name     string
-	zone     string
-	capacity float64
-	listed   bool
-	ready    bool
-	draining bool
-	started  time.Duration
-	window   bool          // one is planned, or was
-	lost     time.Duration // when it was last
-	losses   []time.Duration
+	name      string
+	zone      string
+	capacity  float64
+	listed    bool
+	ready     bool
+	draining  bool
+	startedAt time.Duration
+	hasWindow bool          // a window was planned for it
+	lostAt    time.Duration // time of the last loss; zero: never
+	lossTimes []time.Duration
 }
 
-func (s *server) there() bool { return s.listed && s.ready && !s.draining }
+func (s *server) isUsable() bool { return s.listed && s.ready && !s.draining }
 
-// New returns a course at its beginning: all run, no generation yet.
-func New(set Setup) *Lab {
-	f := set.Figures
-	f.SlowStart = set.Cold()
-	judged := f.WithDefaults()
-	switch set.Without {
+// New returns a Lab in which all agents are running and no generation exists.
+func New(setup Setup) *Lab {
+	parameters := setup.Parameters
+	parameters.SlowStart = setup.SlowStart()
+	defaults := parameters.WithDefaults()
+	switch setup.Without {
 	case "hold-down":
-		f.MinReadyTime, f.PenaltyHalfLife = time.Nanosecond, time.Nanosecond
+		parameters.MinReadyTime, parameters.PenaltyHalfLife = time.Nanosecond, time.Nanosecond
 	case "fence":
-		f.Terms.Duration, f.Terms.MaxKnowledgeAge = 400*time.Millisecond, 100*time.Millisecond
+		parameters.Terms.Duration, parameters.Terms.MaxKnowledgeAge = 400*time.Millisecond, 100*time.Millisecond
 	case "bound":
-		f.MaxMoveRate = 1000
+		parameters.MaxMoveRate = 1000
 	case "warmth":
-		f.SlowStart.Duration = 0
+		parameters.SlowStart.Duration = 0
 	case "hysteresis":
-		f.CapacitySettleTime, f.MinCapacityChange = time.Nanosecond, 0.01
+		parameters.CapacitySettleTime, parameters.MinCapacityChange = time.Nanosecond, 0.01
 	}
 	l := &Lab{
-		Network: simnet.NewNetwork(set.Seed, set.Agents, 1e6*time.Second, set.Faults), set: set,
-		speed: 1, f: f.WithDefaults(), terms: judged.Terms,
-		ref: ringassignment.NewStateMachine(), planned: newWindows(),
+		Network: simnet.NewNetwork(setup.Seed, setup.Agents, 1e6*time.Second, setup.Faults), setup: setup,
+		fastKindSpeed: 1, parameters: parameters.WithDefaults(), terms: defaults.Terms,
+		reference: ringassignment.NewStateMachine(), plannedWindows: newWindows(),
 	}
-	l.rings = rings{lab: l, owners: map[owning]*judge.Owners{}}
+	l.rings = ringCache{lab: l, owners: map[ownersKey]*judge.Owners{}}
 	l.Judge = judge.New(judge.Settings{
-		MaxMoveRate: judged.MaxMoveRate, MaxMoveBurst: judged.MaxMoveBurst, OwedValidity: judged.OwedValidity,
-		SampleError: 1.2 / math.Sqrt(float64(set.Keys)),
+		MaxMoveRate: defaults.MaxMoveRate, MaxMoveBurst: defaults.MaxMoveBurst, OwedValidity: defaults.OwedValidity,
+		SampleError: 1.2 / math.Sqrt(float64(setup.Keys)),
 	}, truth{l})
 	l.OnMessage, l.OnTimer = l.deliver, l.tick
-	for i := range set.Servers {
-		s := server{name: name(i), zone: string(rune('a' + i%3)), capacity: 0.9, listed: true, ready: true}
+	for i := range setup.Servers {
+		s := server{name: serverName(i), zone: string(rune('a' + i%3)), capacity: 0.9, listed: true, ready: true}
 		if i%9 < 4 {
 			s.capacity = 1.8
 		}
-		l.list = append(l.list, s)
+		l.servers = append(l.servers, s)
 	}
-	l.lists = [][]server{append([]server(nil), l.list...)}
-	for i := range set.Agents {
+	l.lists = [][]server{append([]server(nil), l.servers...)}
+	for i := range setup.Agents {
 		l.nodes = append(l.nodes, &node{
-			number: i, missing: map[int32]time.Duration{},
-			late: time.Duration(l.Rand().Int64N(int64(mostLate))),
+			number: i, unusableSince: map[int32]time.Duration{},
+			listDelay: time.Duration(l.Rand().Int64N(int64(maxListDelay))),
 		})
 		l.Start(i, false)
 	}
-	l.watchLeader()
+	l.checkLeader()
 	return l
 }
 
-// name is one of which none is the beginning of another, as the points of these would fall together.
-func name(i int) string { return fmt.Sprintf("s-%08x", uint32(i+1)*2654435761) }
+// serverName returns the name of a server. No name is a prefix of another, because the points of such
+// servers would coincide.
+func serverName(i int) string { return fmt.Sprintf("s-%08x", uint32(i+1)*2654435761) }
 
 func (l *Lab) reading(n int) lease.ClockReading {
 	return lease.ClockReading{Unix: l.UnixTime(n), Mono: l.SteadyTime(n)}
@@ -223,34 +226,35 @@
 
 // Stop ends an agent's process.
 func (l *Lab) Stop(n int) {
-	l.nodes[n].life = 0
+	l.nodes[n].incarnation = 0
 	l.Judge.ProcessEnded(n)
 }
 
-// Start begins a process anew. Keeps tells whether it finds the records that it had.
-func (l *Lab) Start(n int, keeps bool) {
+// Start starts a new process of an agent. keepsRecords is whether it finds the records of its predecessor.
+func (l *Lab) Start(n int, keepsRecords bool) {
 	nd, now := l.nodes[n], l.reading(n)
-	nd.lives++
-	was := nd.machine
+	nd.incarnations++
+	former := nd.stateMachine
 	windows := nd.windows
-	nd.life, nd.machine, nd.agent = nd.lives, ringassignment.NewStateMachine(), ringassignment.NewAgent()
-	nd.windows, nd.keeps = newWindows(), maintenance.NewAgent(0)
-	nd.leases, nd.held, nd.council = nil, false, nil
-	if !keeps || was == nil {
-		nd.known = 0
+	nd.incarnation, nd.stateMachine,
+		nd.agent = nd.incarnations, ringassignment.NewStateMachine(), ringassignment.NewAgent()
+	nd.windows, nd.windowAgent = newWindows(), maintenance.NewAgent(0)
+	nd.leases, nd.hadLease, nd.proposer = nil, false, nil
+	if !keepsRecords || former == nil {
+		nd.applied = 0
 	} else {
-		nd.restore(was, windows)
+		nd.restore(former, windows)
 	}
 	if n < voters {
-		begin := now
-		if l.set.Without == "begin" {
-			begin = lease.ClockReading{Unix: now.Unix - time.Minute, Mono: now.Mono - time.Minute}
+		startedAt := now
+		if l.setup.Without == "begin" {
+			startedAt = lease.ClockReading{Unix: now.Unix - time.Minute, Mono: now.Mono - time.Minute}
 		}
-		nd.council = ringassignment.NewProposer(l.f, begin)
-		nd.council.SetMembers(begin, []int{0, 1, 2}, 1)
+		nd.proposer = ringassignment.NewProposer(l.parameters, startedAt)
+		nd.proposer.SetMembers(startedAt, []int{0, 1, 2}, 1)
 	}
-	l.hears(nd, len(l.lists)-1)
-	l.learned(nd)
+	l.receiveList(nd, len(l.lists)-1)
+	l.recordsApplied(nd)
 	l.SetTimer(n, now.Mono)
 }
 
@@ -262,265 +266,280 @@
 func (l *Lab) deliver(to, from int, data []byte) {
 	i, _ := binary.Uvarint(data)
 	m, nd := l.messages[i], l.nodes[to]
-	if nd.life == 0 {
+	if nd.incarnation == 0 {
 		return
 	}
 	switch m.kind {
-	case news:
-		l.learn(nd, m.n)
-		if m.more && nd.known > m.n {
-			l.send(to, from, message{n: nd.known})
+	case messageRecords:
+		l.applyRecords(nd, m.records)
+		if m.wantsNewer && nd.applied > m.records {
+			l.send(to, from, message{records: nd.applied})
 		}
-	case told:
-		nd.council.MarkReceived(l.reading(to), from, uint64(m.life), m.mark)
-		l.send(to, from, message{kind: heard, mark: m.mark})
-	case heard:
-		if m.mark == nd.agent.Applied() {
-			nd.heard[from] = true
+	case messageApplied:
+		nd.proposer.MarkReceived(l.reading(to), from, uint64(m.incarnation), m.generation)
+		l.send(to, from, message{kind: messageAcknowledged, generation: m.generation})
+	case messageAcknowledged:
+		if m.generation == nd.agent.Applied() {
+			nd.generationAcked[from] = true
 		}
-	case report:
-		nd.council.ReportReceived(from, m.mark)
-	case word:
-		l.hearWord(nd, from, m.word)
+	case messageVoterReport:
+		nd.proposer.ReportReceived(from, m.generation)
+	case messagePaceReport:
+		l.receivePaceReport(nd, from, m.paceReport)
 	}
 }
 
-// marks has a node tell voters what it has, and a voter the others that all have.
-func (l *Lab) marks(nd *node, now lease.ClockReading) {
-	has := nd.agent.Applied()
-	if has != nd.has {
-		nd.has, nd.since, nd.heard = has, now.Mono, [voters]bool{}
+// reportGeneration reports the generation that an agent has applied to the voters until they acknowledge
+// it, for 5 s at most. A voter also reports to the other voters that all holders of its leases have applied
+// a generation.
+func (l *Lab) reportGeneration(nd *node, now lease.ClockReading) {
+	applied := nd.agent.Applied()
+	if applied != nd.generation {
+		nd.generation, nd.generationSince, nd.generationAcked = applied, now.Mono, [voters]bool{}
 	}
-	if has.Number == 0 || now.Mono-nd.since > 5*time.Second {
+	if applied.Number == 0 || now.Mono-nd.generationSince > 5*time.Second {
 		return
 	}
 	for v := range voters {
-		if !nd.heard[v] {
-			l.send(nd.number, v, message{kind: told, life: nd.life, mark: has})
+		if !nd.generationAcked[v] {
+			l.send(nd.number, v, message{kind: messageApplied, incarnation: nd.incarnation, generation: applied})
 		}
 	}
-	if nd.council == nil {
+	if nd.proposer == nil {
 		return
 	}
-	if m, tell := nd.council.Report(now); tell || l.set.Without == "outstanding" {
+	if generation, isDue := nd.proposer.Report(now); isDue || l.setup.Without == "outstanding" {
 		for v := range voters {
-			l.send(nd.number, v, message{kind: report, mark: m})
+			l.send(nd.number, v, message{kind: messageVoterReport, generation: generation})
 		}
 	}
 }
 
-// learn has a node apply records up to a number, and tell others.
-func (l *Lab) learn(nd *node, upTo int) {
-	if nd.known >= upTo {
+// applyRecords applies the agreed records up to number upTo at an agent, and informs three random agents of
+// them.
+func (l *Lab) applyRecords(nd *node, upTo int) {
+	if nd.applied >= upTo {
 		return
 	}
-	for ; nd.known < upTo; nd.known++ {
-		apply(l.log[nd.known], uint64(nd.known+1), nd.machine, nd.windows)
+	for ; nd.applied < upTo; nd.applied++ {
+		applyRecord(l.log[nd.applied], uint64(nd.applied+1), nd.stateMachine, nd.windows)
 	}
-	l.learned(nd)
+	l.recordsApplied(nd)
 	for range 3 {
-		l.send(nd.number, l.Rand().IntN(len(l.nodes)), message{n: nd.known})
+		l.send(nd.number, l.Rand().IntN(len(l.nodes)), message{records: nd.applied})
 	}
 }
 
-// restore has a process go on from what its former one had.
+// restore restores the state machines of a process from those of its predecessor.
 func (nd *node) restore(ring *ringassignment.StateMachine, windows *maintenance.StateMachine) {
-	err := errors.Join(nd.machine.Restore(ring.Snapshot()), nd.windows.Restore(windows.Snapshot()))
+	err := errors.Join(nd.stateMachine.Restore(ring.Snapshot()), nd.windows.Restore(windows.Snapshot()))
 	if err != nil {
-		panic(err) // of its own
+		panic(err) // the snapshots are of the same build
 	}
 }
 
-// apply has the machine that a record is for apply it.
-func apply(a agreed, seq uint64, ring *ringassignment.StateMachine, windows *maintenance.StateMachine) {
-	if a.window {
-		windows.Apply(seq, a.data)
+// applyRecord applies a record to the state machine that it belongs to.
+func applyRecord(r agreedRecord, seq uint64,
+	ringState *ringassignment.StateMachine, windowState *maintenance.StateMachine,
+) {
+	if r.isWindow {
+		windowState.Apply(seq, r.data)
 	} else {
-		ring.Apply(seq, a.data)
+		ringState.Apply(seq, r.data)
 	}
 }
 
-func (l *Lab) learned(nd *node) {
-	nd.agent.Learn(nd.machine)
-	nd.keeps.Learn(nd.windows)
-	if nd.council != nil {
-		nd.council.Learn(l.reading(nd.number), nd.machine)
+// recordsApplied updates the components of an agent after records were applied.
+func (l *Lab) recordsApplied(nd *node) {
+	nd.agent.Learn(nd.stateMachine)
+	nd.windowAgent.Learn(nd.windows)
+	if nd.proposer != nil {
+		nd.proposer.Learn(l.reading(nd.number), nd.stateMachine)
 	}
 }
 
+// tick executes the due actions of an agent, and sets its next timer.
 func (l *Lab) tick(n int) {
 	nd, now := l.nodes[n], l.reading(n)
-	if nd.life == 0 {
+	if nd.incarnation == 0 {
 		return
 	}
-	if now.Mono >= nd.pull {
-		nd.pull = now.Mono + 400*time.Millisecond
-		l.send(n, l.Rand().IntN(len(l.nodes)), message{n: nd.known, more: true})
+	if now.Mono >= nd.nextPull {
+		nd.nextPull = now.Mono + 400*time.Millisecond
+		l.send(n, l.Rand().IntN(len(l.nodes)), message{records: nd.applied, wantsNewer: true})
 	}
-	if now.Mono >= nd.asks {
-		nd.asks = now.Mono + l.terms.Duration/4
-		l.lease(nd, now)
+	if now.Mono >= nd.nextLeaseRequest {
+		nd.nextLeaseRequest = now.Mono + l.terms.Duration/4
+		l.requestLease(nd, now)
 	}
-	l.marks(nd, now)
-	if l.f.UsePaces {
-		l.paces(nd, now.Mono)
+	l.reportGeneration(nd, now)
+	if l.parameters.UsePaces {
+		l.runPaceReports(nd, now.Mono)
 	}
-	if nd.council != nil {
-		l.council(nd, now)
+	if nd.proposer != nil {
+		l.runProposer(nd, now)
 	}
 	l.SetTimer(n, now.Mono+100*time.Millisecond)
 }
 
-// lease has an agent ask some voter, which has heard of the leader some time before.
-func (l *Lab) lease(nd *node, now lease.ClockReading) {
+// requestLease requests a lease from a random voter, whose knowledge of the leader may be MaxKnowledgeAge
+// old.
+func (l *Lab) requestLease(nd *node, now lease.ClockReading) {
 	v := l.Rand().IntN(voters)
 	reached := nd.number == v || !l.IsCut(nd.number, v) && !l.IsCut(v, nd.number)
-	if !reached || l.nodes[v].life == 0 || l.IsPaused(v) || !l.majority() || !l.linked(v, l.leader) {
+	if !reached || l.nodes[v].incarnation == 0 || l.IsPaused(v) || !l.hasMajority() ||
+		!l.isConnected(v, l.leader) {
 		return
 	}
-	at, covers := l.Now()-time.Duration(l.Rand().Int64N(int64(l.terms.MaxKnowledgeAge))), len(l.log)
-	for covers > 0 && l.log[covers-1].at > at {
-		covers--
+	at, coveredRecords := l.Now()-time.Duration(l.Rand().Int64N(int64(l.terms.MaxKnowledgeAge))), len(l.log)
+	for coveredRecords > 0 && l.log[coveredRecords-1].at > at {
+		coveredRecords--
 	}
-	l.nodes[v].council.LeaseGranted(l.reading(v), nd.number, uint64(nd.life))
-	nd.leases = append(nd.leases, granted{now.Mono, covers})
+	l.nodes[v].proposer.LeaseGranted(l.reading(v), nd.number, uint64(nd.incarnation))
+	nd.leases = append(nd.leases, leaseGrant{now.Mono, coveredRecords})
 	if len(nd.leases) > 8 {
 		nd.leases = nd.leases[1:]
 	}
 }
 
+// standing returns the standing of an agent's lease.
 func (l *Lab) standing(nd *node) lease.Standing {
 	now := l.SteadyTime(nd.number)
 	for _, g := range nd.leases {
-		if now-g.asked < l.terms.Duration && nd.known >= g.covers {
-			nd.held = true
+		if now-g.requestedAt < l.terms.Duration && nd.applied >= g.coveredRecords {
+			nd.hadLease = true
 			return lease.Full
 		}
 	}
-	if nd.held {
+	if nd.hadLease {
 		return lease.Floor
 	}
 	return lease.New
 }
 
-// council has a voter look, and the leader propose.
-func (l *Lab) council(nd *node, now lease.ClockReading) {
-	if now.Mono-nd.told >= time.Second {
-		l.see(nd)
+// runProposer updates the view of a voter's proposer each second, and commits what the leader's proposes.
+func (l *Lab) runProposer(nd *node, now lease.ClockReading) {
+	if now.Mono-nd.viewSetAt >= time.Second {
+		l.setView(nd)
 	}
 	if nd.number != l.leader {
 		return
 	}
-	records, _ := nd.council.Due(now)
+	records, _ := nd.proposer.Due(now)
 	for _, r := range records {
 		l.commit(nd, r, false)
 	}
 }
 
-// see gives a voter's council what its list says.
-func (l *Lab) see(nd *node) {
+// setView passes the voter's endpoint list and the drained servers to its proposer.
+func (l *Lab) setView(nd *node) {
 	now := l.reading(nd.number)
-	nd.told = now.Mono
-	v := ringassignment.View{Now: now.Unix, FullyDrained: l.emptied(nd)}
-	taken := v.FullyDrained
-	if l.set.Without == "emptied" || l.set.Without == "stays" {
+	nd.viewSetAt = now.Mono
+	v := ringassignment.View{Now: now.Unix, FullyDrained: l.drainedServers(nd)}
+	drained := v.FullyDrained
+	if l.setup.Without == "emptied" || l.setup.Without == "stays" {
 		v.FullyDrained = nil
 	}
-	for i, s := range l.lists[nd.seen] {
+	for i, s := range l.lists[nd.list] {
 		if !s.listed {
 			continue
 		}
 		capacity := s.capacity
-		if l.wild && l.Rand().IntN(2) == 0 {
+		if l.hasWrongCapacities && l.Rand().IntN(2) == 0 {
 			capacity *= []float64{0.5, 2}[l.Rand().IntN(2)]
 		}
 		v.Servers = append(v.Servers, ringassignment.Server{
 			ID: s.name, Zone: s.zone, Kind: kindOf(s.capacity),
-			Ready:     s.ready,
-			Draining:  s.draining || l.set.Without == "stays" && taken[s.name] || l.thought != nil && l.thought(i),
-			StartedAt: s.started, Capacity: capacity,
+			Ready: s.ready,
+			Draining: s.draining || l.setup.Without == "stays" && drained[s.name] ||
+				l.assumedDraining != nil && l.assumedDraining(i),
+			StartedAt: s.startedAt, Capacity: capacity,
 		})
 	}
-	nd.council.SetView(now, v)
+	nd.proposer.SetView(now, v)
 }
 
-// commit has a record agreed after some time, if the leader is there still and reaches a majority.
-func (l *Lab) commit(by *node, data []byte, window bool) {
-	life := by.life
+// commit appends a record to the agreed log after 2 to 16 ms, if the process still leads then and reaches a
+// majority.
+func (l *Lab) commit(by *node, data []byte, isWindow bool) {
+	incarnation := by.incarnation
 	l.At(l.Now()+time.Duration(2+l.Rand().IntN(15))*time.Millisecond, func() {
-		if by.number != l.leader || by.life != life || l.IsPaused(by.number) || !l.majority() {
+		if by.number != l.leader || by.incarnation != incarnation || l.IsPaused(by.number) || !l.hasMajority() {
 			return
 		}
-		l.log = append(l.log, agreed{data, l.Now(), window})
-		apply(l.log[len(l.log)-1], uint64(len(l.log)), l.ref, l.planned)
-		l.learn(by, len(l.log))
+		l.log = append(l.log, agreedRecord{data, l.Now(), isWindow})
+		applyRecord(l.log[len(l.log)-1], uint64(len(l.log)), l.reference, l.plannedWindows)
+		l.applyRecords(by, len(l.log))
 		for i := range voters {
-			l.send(by.number, i, message{n: len(l.log)})
+			l.send(by.number, i, message{records: len(l.log)})
 		}
-		if l.proposed != nil {
-			l.proposed()
+		if l.onRecord != nil {
+			l.onRecord()
 		}
 	})
 }
 
-func (l *Lab) linked(a, b int) bool { return a == b || !l.IsCut(a, b) && !l.IsCut(b, a) }
+// isConnected reports whether two agents are the same one or reach each other in both directions.
+func (l *Lab) isConnected(a, b int) bool { return a == b || !l.IsCut(a, b) && !l.IsCut(b, a) }
 
-func (l *Lab) majority() bool { return l.leader >= 0 && l.reaches(l.leader) }
+// hasMajority reports whether there is a leader that reaches a majority.
+func (l *Lab) hasMajority() bool { return l.leader >= 0 && l.reachesMajority(l.leader) }
 
-func (l *Lab) reaches(n int) bool {
-	if l.nodes[n].life == 0 || l.IsPaused(n) {
+// reachesMajority reports whether a voter runs and reaches a majority, itself included.
+func (l *Lab) reachesMajority(n int) bool {
+	if l.nodes[n].incarnation == 0 || l.IsPaused(n) {
 		return false
 	}
 	count := 0
 	for i := range voters {
-		if l.nodes[i].life > 0 && !l.IsPaused(i) && l.linked(n, i) {
+		if l.nodes[i].incarnation > 0 && !l.IsPaused(i) && l.isConnected(n, i) {
 			count++
 		}
 	}
 	return 2*count > voters
 }
 
-// watchLeader has another voter lead where the leader has reached no majority for a second. It has all that
-// was agreed, as a majority has.
-func (l *Lab) watchLeader() {
-	l.At(l.Now()+100*time.Millisecond, l.watchLeader)
-	if l.majority() {
-		l.lonely = l.Now()
+// checkLeader runs every 100 ms. It replaces a leader that has reached no majority for a second by another
+// voter, which applies the whole agreed log, as a majority holds it.
+func (l *Lab) checkLeader() {
+	l.At(l.Now()+100*time.Millisecond, l.checkLeader)
+	if l.hasMajority() {
+		l.lastMajorityAt = l.Now()
 		return
 	}
-	if l.leader >= 0 && l.Now()-l.lonely < time.Second {
+	if l.leader >= 0 && l.Now()-l.lastMajorityAt < time.Second {
 		return
 	}
 	l.leader = -1
 	first := l.Rand().IntN(voters)
 	for i := range voters {
-		if n := (first + i) % voters; l.reaches(n) {
-			l.leader, l.lonely = n, l.Now()
-			l.learn(l.nodes[n], len(l.log))
+		if n := (first + i) % voters; l.reachesMajority(n) {
+			l.leader, l.lastMajorityAt = n, l.Now()
+			l.applyRecords(l.nodes[n], len(l.log))
 			return
 		}
 	}
 }
 
-// State is that of all that is agreed.
-func (l *Lab) State() ringassignment.State { return l.ref.State() }
+// State returns the agreed state of the ring assignment.
+func (l *Lab) State() ringassignment.State { return l.reference.State() }
 
-// Sample has the judge hear of every agent that runs.
+// Sample passes the owners of all keys at each agent that is running and not paused to the judge.
 func (l *Lab) Sample() {
 	for i, nd := range l.nodes {
-		if nd.life == 0 || l.IsPaused(i) {
+		if nd.incarnation == 0 || l.IsPaused(i) {
 			continue
 		}
 		standing := l.standing(nd)
-		p := nd.agent.Assignment(l.reading(i), standing)
-		s := judge.Sample{At: l.Now(), Agent: i, HasLease: standing == lease.Full}
-		if l.set.Without == All {
-			p = nil
+		assignment := nd.agent.Assignment(l.reading(i), standing)
+		sample := judge.Sample{At: l.Now(), Agent: i, HasLease: standing == lease.Full}
+		if l.setup.Without == WithoutGenerations {
+			assignment = nil
 		}
-		if p != nil {
-			s.Generation = p.Generation
+		if assignment != nil {
+			sample.Generation = assignment.Generation
 		}
-		s.Owners = l.rings.of(p, nd.seen, l.avoid(nd))
-		l.Judge.AddSample(s)
+		sample.Owners = l.rings.ownersFor(assignment, nd.list, l.exclusions(nd))
+		l.Judge.AddSample(sample)
 	}
 }
--- a/internal/control/ringassignment/lab/measure.go
+++ b/internal/control/ringassignment/lab/measure.go
@@ -8,74 +8,77 @@
 	"dunestep/internal/simnet"
 )
 
-// Events are what Measure can have happen to a quiet fleet.
+// Events are the events that Measure can inject into a stable fleet.
 var Events = []string{
 	"join", "drain", "replace", "flap", "zone", "wild", "late", "window", "restarts",
 	"window cut", "capacity", "cut", "foreseen", "half foreseen", "misjudged", "third", "third misjudged",
 }
 
-// Result is what an event did at an agent, as parts of all keys.
+// Result is the effect of an event at one agent, in fractions of all keys.
 type Result struct {
-	Moved       float64 // keys that went to another server, each time that they did
-	Least       float64 // moves that are left with hindsight: see meter.least
-	Forced      float64 // and without: see meter.forced
-	Cold        float64 // keys that met a server without them
-	Fullest     float64 // the fullest server in the end, against its part by capacity
-	Worst       float64 // the fullest server that could be used, at any moment
-	Late        float64 // of the keys of servers in windows, the part elsewhere a second after the windows' end
-	Generations int
-	Breaches    int
+	Moved        float64 // moves of keys to another server
+	MinMoved     float64 // minimum with knowledge of the future: see meter.minMoved
+	Forced       float64 // minimum without knowledge of the future: see meter.forced
+	ColdRequests float64 // requests of keys that were new to the server's process
+	FinalMaxLoad float64 // maximum load of a server at the end, relative to its capacity
+	PeakLoad     float64 // maximum load of a usable server at any time, relative to its capacity
+	LateReturn   float64 // fraction of the keys of servers in windows that is elsewhere 1 s after the end
+	Generations  int
+	Violations   int
 }
 
 const (
-	settles = 200 * time.Second // until the first generation has become that of the capacities
-	lasts   = 150 * time.Second // an event and what it brings
+	settleTime = 200 * time.Second // time until the first generation matches the capacities
+	eventTime  = 150 * time.Second // duration of an event and its consequences
 )
 
-// Measure plays one event in a fleet of so many servers of two kinds.
+// Measure simulates one event in a fleet with servers of two capacities.
 func Measure(seed uint64, agents, servers int, without, event string) Result {
 	l := New(Setup{
 		Seed: seed, Agents: agents, Servers: servers, Keys: 5000, Without: without,
 		Faults: simnet.Faults{Loss: 0.01, MinDelay: time.Millisecond, MaxDelay: 10 * time.Millisecond},
 	})
-	l.Run(l.Now() + settles)
+	l.Run(l.Now() + settleTime)
 	l.Sample()
-	m := &meter{l: l, agent: agents - 1, lost: map[int32]bool{}, has: map[int32]*has{}}
-	m.begin()
+	m := &meter{l: l, agent: agents - 1, everUnusable: map[int32]bool{}, seenKeys: map[int32]*processKeys{}}
+	m.start()
 	generation := l.State().Number
-	for at := time.Duration(0); at < lasts; at += 100 * time.Millisecond {
+	for at := time.Duration(0); at < eventTime; at += 100 * time.Millisecond {
 		l.At(l.Now()+at, m.sample)
 	}
-	l.happens(event)
-	l.At(l.Now()+10*time.Second+2*windowMoves+61*time.Second, func() { m.late = m.off(len(l.list) / 10) })
-	l.Run(l.Now() + lasts)
+	l.injectEvent(event)
+	l.At(l.Now()+10*time.Second+2*windowMoveTime+61*time.Second, func() {
+		m.lateReturn = m.movedFraction(len(l.servers) / 10)
+	})
+	l.Run(l.Now() + eventTime)
 	l.Sample()
-	keys := float64(l.set.Keys)
+	keys := float64(l.setup.Keys)
 	return Result{
-		Moved: float64(m.moved) / keys, Least: m.least(), Forced: m.forced(),
-		Cold: float64(m.cold) / keys, Late: m.late, Worst: m.worst,
-		Fullest: l.Fullest(m.agent, 100_000), Generations: int(l.State().Number - generation),
-		Breaches: l.Judge.Count,
+		Moved: float64(m.moved) / keys, MinMoved: m.minMoved(), Forced: m.forced(),
+		ColdRequests: float64(m.coldRequests) / keys, LateReturn: m.lateReturn, PeakLoad: m.peakLoad,
+		FinalMaxLoad: l.MaxLoad(m.agent, 100_000), Generations: int(l.State().Number - generation),
+		Violations: l.Judge.Count,
 	}
 }
 
-// inWindow has so many servers be in a planned window, within which they begin anew so often.
-func (l *Lab) inWindow(servers, anew int) {
-	var of []int
+// planTestWindow plans a window for the first servers, during which they restart a number of times.
+func (l *Lab) planTestWindow(servers, restarts int) {
+	var numbers []int
 	for i := range servers {
-		of = append(of, i)
+		numbers = append(numbers, i)
 	}
-	l.Window(of, 10*time.Second, 60*time.Second, anew)
+	l.PlanWindow(numbers, 10*time.Second, 60*time.Second, restarts)
 }
 
-func (l *Lab) happens(event string) {
+// injectEvent starts an event of Events.
+func (l *Lab) injectEvent(event string) {
 	after := func(d time.Duration, do func()) { l.At(l.Now()+d, do) }
-	tenth := len(l.list) / 10
-	sixty := func(i int) bool { return i < 6*tenth }
+	tenth := len(l.servers) / 10
+	isReplaced := func(i int) bool { return i < 6*tenth }
 	switch event {
 	case "join":
 		for i := range tenth {
-			after(time.Duration(i)*200*time.Millisecond, func() { l.Join(l.list[i].capacity) })
+			after(time.Duration(i)*200*time.Millisecond, func() { l.Join(l.servers[i].capacity) })
 		}
 	case "drain":
 		for i := range tenth {
@@ -86,207 +89,212 @@
 	case "third":
 		l.Replace(0.3)
 	case "foreseen":
-		l.foresee(0.6, sixty)
+		l.replaceWithAssumption(0.6, isReplaced)
 	case "half foreseen":
-		l.foresee(0.6, func(i int) bool { return sixty(i) && i%2 == 0 })
+		l.replaceWithAssumption(0.6, func(i int) bool { return isReplaced(i) && i%2 == 0 })
 	case "misjudged":
-		l.foresee(0.6, func(i int) bool { return i*37%(10*tenth) < 6*tenth })
+		l.replaceWithAssumption(0.6, func(i int) bool { return i*37%(10*tenth) < 6*tenth })
 	case "third misjudged":
-		l.foresee(0.3, sixty)
+		l.replaceWithAssumption(0.3, isReplaced)
 	case "flap":
 		l.Flap(0, 2*time.Second, 10)
 	case "zone":
 		l.LoseZone("a", 15*time.Second)
 	case "wild":
-		l.Wild(l.Now() + 30*time.Second)
+		l.FalsifyCapacities(l.Now() + 30*time.Second)
 	case "late":
-		l.Late(5*time.Second, l.Now()+60*time.Second)
-		l.happens("join")
-		after(5*time.Second, func() { l.happens("drain") })
+		l.DelayLists(5*time.Second, l.Now()+60*time.Second)
+		l.injectEvent("join")
+		after(5*time.Second, func() { l.injectEvent("drain") })
 	case "window":
-		l.inWindow(tenth, 1)
+		l.planTestWindow(tenth, 1)
 	case "restarts":
-		l.inWindow(tenth, 6)
+		l.planTestWindow(tenth, 6)
 	case "window cut":
-		l.inWindow(tenth, 1)
-		after(10*time.Second+windowMoves+20*time.Second, func() {
+		l.planTestWindow(tenth, 1)
+		after(10*time.Second+windowMoveTime+20*time.Second, func() {
 			l.cutOff(len(l.nodes)-1, l.Now()+80*time.Second)
 		})
 	case "capacity":
-		l.change(func() {
+		l.changeServers(func() {
 			for i := range tenth {
-				l.list[i].capacity *= 0.5
+				l.servers[i].capacity *= 0.5
 			}
 		})
 	case "cut":
 		for i := 0; i < len(l.nodes); i += 3 {
 			l.cutOff(i, l.Now()+30*time.Second)
 		}
-		l.happens("join")
+		l.injectEvent("join")
 	}
 }
 
-// foresee has a part of the servers be replaced, and leaders take some for draining as soon as the first do.
-func (l *Lab) foresee(part float64, thought func(int) bool) {
-	began := len(l.list)
+// replaceWithAssumption replaces a fraction of the servers. Between 0.5 s and 10 s after the start, leaders
+// assume that certain servers are draining.
+func (l *Lab) replaceWithAssumption(fraction float64, assumed func(int) bool) {
+	initialCount := len(l.servers)
 	l.At(l.Now()+500*time.Millisecond, func() {
-		l.thought = func(i int) bool { return i < began && thought(i) }
+		l.assumedDraining = func(i int) bool { return i < initialCount && assumed(i) }
 	})
-	l.At(l.Now()+10*time.Second, func() { l.thought = nil })
-	l.Replace(part)
+	l.At(l.Now()+10*time.Second, func() { l.assumedDraining = nil })
+	l.Replace(fraction)
 }
 
-// meter watches one agent.
+// meter measures the moved keys of one agent.
 type meter struct {
-	l     *Lab
-	agent int
-	from  judge.Owners
-	now   judge.Owners
-	lost  map[int32]bool // servers that could not be used at some time
-	has   map[int32]*has
-	turn  int
-	cold  int
-	moved int
-	away  int          // of these, from servers that could not be used
-	after judge.Owners // who had each key after its last move of that kind
-	late  float64
-	worst float64
+	l                 *Lab
+	agent             int
+	initialOwners     judge.Owners
+	currentOwners     judge.Owners
+	everUnusable      map[int32]bool // servers that were unusable at some time
+	seenKeys          map[int32]*processKeys
+	nextTenth         int
+	coldRequests      int
+	moved             int
+	movedFromUnusable int          // number of these moves from unusable servers
+	ownersAfterLoss   judge.Owners // owner of each key after its last such move
+	lateReturn        float64
+	peakLoad          float64
 }
 
-// has are the keys that a server's process has had.
-type has struct {
-	started time.Duration
-	keys    []bool
+// processKeys are the keys that a server's process has received.
+type processKeys struct {
+	startedAt time.Duration
+	keys      []bool
 }
 
+// owners returns the present owners of all keys at the agent.
 func (m *meter) owners() judge.Owners {
 	nd := m.l.nodes[m.agent]
-	p := nd.agent.Assignment(m.l.reading(m.agent), m.l.standing(nd))
-	if m.l.set.Without != All {
-		return *m.l.rings.of(p, nd.seen, m.l.avoid(nd))
+	assignment := nd.agent.Assignment(m.l.reading(m.agent), m.l.standing(nd))
+	if m.l.setup.Without != WithoutGenerations {
+		return *m.l.rings.ownersFor(assignment, nd.list, m.l.exclusions(nd))
 	}
-	// Without generations each agent gives a cold server what its budget allows, and passes the rest of its keys
-	// on; here these are the same keys at each moment, which is better than what budgets do.
-	r, list := &m.l.rings, m.l.lists[nd.seen]
-	a := m.l.avoid(nd)
-	r.place(r.points(nil, list), a)
-	open := r.open(a)
-	return r.walk(func(k int, o int32) bool {
-		if !open(k, o) {
+	// Without generations each agent gives a cold server the keys that its slow start permits, and passes the
+	// others on. Here these are the same keys at each moment, so this moves fewer keys than a real agent.
+	r, list := &m.l.rings, m.l.lists[nd.list]
+	exclusions := m.l.exclusions(nd)
+	r.ownersOf(r.usablePoints(nil, list), exclusions)
+	allowed := r.allowsKey(exclusions)
+	return r.assignKeys(func(key int, server int32) bool {
+		if !allowed(key, server) {
 			return false
 		}
-		warm := truth{m.l}.SlowStartFraction(o, m.l.Now()+time.Minute)
-		return warm == 1 || float64((r.keys[k]^uint32(o)*0x85ebca6b)*0x9E3779B1)/(1<<32) < warm
+		slowStart := truth{m.l}.SlowStartFraction(server, m.l.Now()+time.Minute)
+		return slowStart == 1 || float64((r.keys[key]^uint32(server)*0x85ebca6b)*0x9E3779B1)/(1<<32) < slowStart
 	})
 }
 
-// begin has each server have all keys that it owns now.
-func (m *meter) begin() {
-	m.from = m.owners()
-	m.now, m.after = m.from, slices.Clone(m.from)
-	for k, o := range m.from {
-		m.meets(int32(k), o)
+// start records the present owners, and marks each key as received by its owner.
+func (m *meter) start() {
+	m.initialOwners = m.owners()
+	m.currentOwners, m.ownersAfterLoss = m.initialOwners, slices.Clone(m.initialOwners)
+	for k, o := range m.initialOwners {
+		m.receiveRequest(int32(k), o)
 	}
-	m.cold = 0
+	m.coldRequests = 0
 }
 
-// meets tells a server of a request.
-func (m *meter) meets(key, o int32) {
-	if o == judge.NoOwner {
+// receiveRequest counts a request of a key at a server. It is a cold request if the server's process has
+// not received the key before.
+func (m *meter) receiveRequest(key, server int32) {
+	if server == judge.NoOwner {
 		return
 	}
-	h := m.has[o]
-	if s := m.l.list[o].started; h == nil || h.started != s {
-		h = &has{s, make([]bool, m.l.set.Keys)}
-		m.has[o] = h
+	received := m.seenKeys[server]
+	if startedAt := m.l.servers[server].startedAt; received == nil || received.startedAt != startedAt {
+		received = &processKeys{startedAt, make([]bool, m.l.setup.Keys)}
+		m.seenKeys[server] = received
 	}
-	if !h.keys[key] {
-		h.keys[key] = true
-		m.cold++
+	if !received.keys[key] {
+		received.keys[key] = true
+		m.coldRequests++
 	}
 }
 
-// sample has each tenth key come, and the judge hear.
+// sample takes a sample for the judge and sends a request of every tenth key.
 func (m *meter) sample() {
 	m.l.Sample()
-	was := m.now
-	m.now = m.owners()
-	for k := range was {
-		if m.now[k] != was[k] && was[k] != judge.NoOwner {
+	former := m.currentOwners
+	m.currentOwners = m.owners()
+	for k := range former {
+		if m.currentOwners[k] != former[k] && former[k] != judge.NoOwner {
 			m.moved++
-			if !(truth{m.l}).IsReady(was[k]) {
-				m.away++
-				m.after[k] = m.now[k]
+			if !(truth{m.l}).IsReady(former[k]) {
+				m.movedFromUnusable++
+				m.ownersAfterLoss[k] = m.currentOwners[k]
 			}
 		}
 	}
-	m.worst = max(m.worst, m.fullest())
-	for k := m.turn; k < len(m.now); k += 10 {
-		m.meets(int32(k), m.now[k])
+	m.peakLoad = max(m.peakLoad, m.maxLoad())
+	for k := m.nextTenth; k < len(m.currentOwners); k += 10 {
+		m.receiveRequest(int32(k), m.currentOwners[k])
 	}
-	m.turn = (m.turn + 1) % 10
-	for i, s := range m.l.lists[m.l.nodes[m.agent].seen] {
+	m.nextTenth = (m.nextTenth + 1) % 10
+	for i, s := range m.l.lists[m.l.nodes[m.agent].list] {
 		if !s.listed || !s.ready || s.draining {
-			m.lost[int32(i)] = true
+			m.everUnusable[int32(i)] = true
 		}
 	}
 }
 
-// fullest is the fullest server that can be used now, against its part by capacity of those that can.
-func (m *meter) fullest() (most float64) {
-	keys, all := map[int32]float64{}, 0.0
-	for _, o := range m.now {
+// maxLoad returns the maximum over all usable servers of the server's fraction of the keys, relative to its
+// fraction of the usable capacity.
+func (m *meter) maxLoad() (maxLoad float64) {
+	keys, capacity := map[int32]float64{}, 0.0
+	for _, o := range m.currentOwners {
 		keys[o]++
 	}
-	for i, s := range m.l.list {
+	for i, s := range m.l.servers {
 		if (truth{m.l}).IsReady(int32(i)) {
-			all += s.capacity
+			capacity += s.capacity
 		}
 	}
 	for o, n := range keys {
 		if o != judge.NoOwner && (truth{m.l}).IsReady(o) {
-			most = max(most, n/float64(len(m.now))*all/m.l.list[o].capacity)
+			maxLoad = max(maxLoad, n/float64(len(m.currentOwners))*capacity/m.l.servers[o].capacity)
 		}
 	}
-	return most
+	return maxLoad
 }
 
-// off is the part of the first servers' keys that are elsewhere now.
-func (m *meter) off(servers int) float64 {
-	had, off := 0, 0
-	for k, o := range m.from {
+// movedFraction returns the fraction of the first servers' initial keys that have another owner now.
+func (m *meter) movedFraction(servers int) float64 {
+	count, moved := 0, 0
+	for k, o := range m.initialOwners {
 		if int(o) < servers && o != judge.NoOwner {
-			if had++; m.now[k] != o {
-				off++
+			if count++; m.currentOwners[k] != o {
+				moved++
 			}
 		}
 	}
-	return float64(off) / float64(max(had, 1))
+	return float64(moved) / float64(max(count, 1))
 }
 
-// least is how often keys had to move for who knows all that will come: away from servers that were lost, and
-// to who has them in the end.
-func (m *meter) least() float64 {
+// minMoved returns the minimum number of moves with knowledge of the future, as a fraction of all keys:
+// away from servers that became unusable, and to the final owners.
+func (m *meter) minMoved() float64 {
 	moves := 0
-	for k, o := range m.from {
+	for k, o := range m.initialOwners {
 		switch {
-		case m.lost[o] && m.now[k] == o:
+		case m.everUnusable[o] && m.currentOwners[k] == o:
 			moves += 2
-		case m.lost[o] || m.now[k] != o:
+		case m.everUnusable[o] || m.currentOwners[k] != o:
 			moves++
 		}
 	}
-	return float64(moves) / float64(len(m.from))
+	return float64(moves) / float64(len(m.initialOwners))
 }
 
-// forced is least for who cannot know what will come: each move away from a server that could not be used at
-// that moment, and one more for each key that ends elsewhere than the last such move left it.
+// forced returns the minimum number of moves without knowledge of the future, as a fraction of all keys:
+// each move away from a server that was unusable then, and one more for each key whose final owner differs
+// from the one after its last such move.
 func (m *meter) forced() float64 {
-	moves := m.away
-	for k, o := range m.after {
-		if m.now[k] != o {
+	moves := m.movedFromUnusable
+	for k, o := range m.ownersAfterLoss {
+		if m.currentOwners[k] != o {
 			moves++
 		}
 	}
-	return float64(moves) / float64(len(m.after))
+	return float64(moves) / float64(len(m.ownersAfterLoss))
 }
--- a/internal/control/ringassignment/lab/paces.go
+++ b/internal/control/ringassignment/lab/paces.go
@@ -9,166 +9,171 @@
 	"dunestep/internal/simnet"
 )
 
-// PaceProtections can be taken out of a course of paces, to see that the judge finds it.
+// PaceProtections can be disabled in RunPaceChange, to check that the judge detects their absence.
 var PaceProtections = []string{
-	"median",  // the words of the one that lies are those of three
-	"samples", // what few answers show counts
+	"median",  // the agent with false paces also reports as three others
+	"samples", // paces from few answers count
 }
 
-// The kinds of servers.
+// Machine kinds.
 const (
-	rapid = "rapid"
-	lent  = "lent"
+	fastKind = "rapid"
+	slowKind = "lent"
 )
 
 const (
-	gaugeEvery = 10 * time.Second
-	wordEvery  = 30 * time.Second
-	answers    = 4.0 // of each kind, that an agent has a second
+	measureInterval  = 10 * time.Second
+	reportInterval   = 30 * time.Second
+	answersPerSecond = 4.0 // answers of each kind that an agent gets per second
 )
 
-// paced is what an agent does about paces.
-type paced struct {
-	gauge ringassignment.PaceMeter
-	seen  time.Duration // answers until then, true time
-	had   float64       // answers
-	word  []byte
-	gauged,
-	told time.Duration // by the steady clock
+// paceState is an agent's state of pace measurements and reports.
+type paceState struct {
+	meter        ringassignment.PaceMeter
+	answersUntil time.Duration // true time until which answers are counted
+	answers      float64       // number of answers of each kind
+	report       []byte
+	nextMeasureAt,
+	nextReportAt time.Duration // by the monotonic clock
 }
 
+// kindOf returns the machine kind of a server by its capacity.
 func kindOf(capacity float64) string {
 	if capacity > 1 {
-		return rapid
+		return fastKind
 	}
-	return lent
+	return slowKind
 }
 
-// paces has an agent measure kinds, and tell voters.
-func (l *Lab) paces(nd *node, mono time.Duration) {
-	p := &nd.paced
-	if mono >= p.gauged {
-		p.gauged = mono + gaugeEvery
-		p.word = ringassignment.EncodePaceReport(l.says(nd, p.gauge.Measure(mono, l.answered(nd), l.listed(nd))))
+// runPaceReports measures the paces of machine kinds at an agent and reports them to the voters, each when
+// due.
+func (l *Lab) runPaceReports(nd *node, mono time.Duration) {
+	p := &nd.pace
+	if mono >= p.nextMeasureAt {
+		p.nextMeasureAt = mono + measureInterval
+		p.report = ringassignment.EncodePaceReport(
+			l.reportedPaces(nd, p.meter.Measure(mono, l.baselineLatencies(nd), l.listedServers(nd))))
 	}
-	if mono >= p.told && len(p.word) > 1 {
-		p.told = mono + wordEvery
+	if mono >= p.nextReportAt && len(p.report) > 1 {
+		p.nextReportAt = mono + reportInterval
 		for v := range voters {
-			l.send(nd.number, v, message{kind: word, word: p.word})
+			l.send(nd.number, v, message{kind: messagePaceReport, paceReport: p.report})
 		}
 	}
 }
 
-// says is what an agent tells of what it found: one lies.
-func (l *Lab) says(nd *node, found map[string]float64) map[string]float64 {
-	if l.lies && nd.number == len(l.nodes)-1 {
-		return map[string]float64{rapid: 100, lent: 0.01}
+// reportedPaces returns the paces that an agent reports: those that it measured, or false ones at the last
+// agent.
+func (l *Lab) reportedPaces(nd *node, measured map[string]float64) map[string]float64 {
+	if l.hasFalseReports && nd.number == len(l.nodes)-1 {
+		return map[string]float64{fastKind: 100, slowKind: 0.01}
 	}
-	return found
+	return measured
 }
 
-// few tells whether an agent has hardly any requests.
-func (l *Lab) few(nd *node) bool {
-	return l.lies && nd.number < len(l.nodes)-1 && nd.number >= len(l.nodes)-3
+// hasFewRequests reports whether an agent gets hardly any requests.
+func (l *Lab) hasFewRequests(nd *node) bool {
+	return l.hasFalseReports && nd.number < len(l.nodes)-1 && nd.number >= len(l.nodes)-3
 }
 
-// answered is what a balancer has seen of the kinds.
-func (l *Lab) answered(nd *node) (all []balancer.BaselineLatency) {
-	p, rate := &nd.paced, answers
-	if l.few(nd) {
+// baselineLatencies returns the latencies and the numbers of answers by kind as a balancer measures them.
+func (l *Lab) baselineLatencies(nd *node) (all []balancer.BaselineLatency) {
+	p, rate := &nd.pace, answersPerSecond
+	if l.hasFewRequests(nd) {
 		rate = 0.02
 	}
-	p.had += rate * (l.Now() - p.seen).Seconds()
-	p.seen = l.Now()
-	for _, kind := range []string{lent, rapid} {
-		took := 0.96 + 0.08*l.Rand().Float64()
-		if kind == rapid {
-			took /= 2 * l.speed
+	p.answers += rate * (l.Now() - p.answersUntil).Seconds()
+	p.answersUntil = l.Now()
+	for _, kind := range []string{slowKind, fastKind} {
+		latency := 0.96 + 0.08*l.Rand().Float64()
+		if kind == fastKind {
+			latency /= 2 * l.fastKindSpeed
 		}
-		if l.few(nd) && kind == lent {
-			took *= 3
+		if l.hasFewRequests(nd) && kind == slowKind {
+			latency *= 3
 		}
 		all = append(all, balancer.BaselineLatency{
-			MachineKind: kind, Latency: time.Duration(took * float64(20*time.Millisecond)),
-			Samples: p.had,
+			MachineKind: kind, Latency: time.Duration(latency * float64(20*time.Millisecond)),
+			Samples: p.answers,
 		})
 	}
 	return all
 }
 
-// listed is an agent's own list, as it sees it.
-func (l *Lab) listed(nd *node) (all []ringassignment.Server) {
-	for _, s := range l.lists[nd.seen] {
+// listedServers returns the servers on an agent's own list.
+func (l *Lab) listedServers(nd *node) (all []ringassignment.Server) {
+	for _, s := range l.lists[nd.list] {
 		if s.listed {
 			all = append(all, ringassignment.Server{
 				ID: s.name, Zone: s.zone, Kind: kindOf(s.capacity), Ready: s.ready,
-				Draining: s.draining, StartedAt: s.started, Capacity: s.capacity,
+				Draining: s.draining, StartedAt: s.startedAt, Capacity: s.capacity,
 			})
 		}
 	}
 	return all
 }
 
-// hearWord has a voter hear what an agent says of the kinds.
-func (l *Lab) hearWord(nd *node, from int, data []byte) {
+// receivePaceReport passes an agent's pace report to a voter's proposer.
+func (l *Lab) receivePaceReport(nd *node, from int, data []byte) {
 	now := l.reading(nd.number)
-	nd.council.PaceReportReceived(now, from, data)
+	nd.proposer.PaceReportReceived(now, from, data)
 	for i := range 3 {
-		if l.set.Without == "median" && from == len(l.nodes)-1 {
-			nd.council.PaceReportReceived(now, 100*i+from, data)
+		if l.setup.Without == "median" && from == len(l.nodes)-1 {
+			nd.proposer.PaceReportReceived(now, 100*i+from, data)
 		}
 	}
 }
 
-// Paces plays a fleet whose servers of one kind become half as quick, after a time in which nothing has
-// changed; an agent lies, some have hardly any requests, agents are cut off and leaders end.
-func Paces(seed uint64, without string, lasts time.Duration) (l *Lab, j *judge.PaceJudge) {
-	set := Setup{
+// RunPaceChange runs a fleet in which the servers of one kind become half as fast after stableTime, for a
+// further time. One agent reports false paces, two have hardly any requests, agents are cut off and leaders
+// stop.
+func RunPaceChange(seed uint64, without string, duration time.Duration) (l *Lab, j *judge.PaceJudge) {
+	setup := Setup{
 		Seed: seed, Agents: 5, Servers: 20, Keys: 4000, Without: without,
 		Faults: simnet.Faults{
 			Loss: 0.1, Duplicate: 0.1, MinDelay: time.Millisecond,
 			MaxDelay: 20 * time.Millisecond,
 		},
 	}
-	set.Figures.UsePaces = true
-	l = New(set)
-	l.lies = true
+	setup.Parameters.UsePaces = true
+	l = New(setup)
+	l.hasFalseReports = true
 	if without == "samples" {
 		for _, nd := range l.nodes {
-			nd.paced.gauge.MinAnswers = 1
+			nd.pace.meter.MinAnswers = 1
 		}
 	}
 	j = &judge.PaceJudge{}
-	l.Run(l.Now() + settles)
-	begin := l.Now()
-	end := begin + calm + lasts
-	l.every(begin, end, 10*time.Second, func() { j.AddDensity(l.Now(), l.density()) })
-	l.every(begin, end-time.Minute, 20*time.Second, func() { l.fault(end - time.Minute) })
-	l.Run(begin + calm)
-	l.speed = 0.5
+	l.Run(l.Now() + settleTime)
+	start := l.Now()
+	end := start + stableTime + duration
+	l.every(start, end, 10*time.Second, func() { j.AddDensity(l.Now(), l.density()) })
+	l.every(start, end-time.Minute, 20*time.Second, func() { l.injectAgentFault(end - time.Minute) })
+	l.Run(start + stableTime)
+	l.fastKindSpeed = 0.5
 	j.KindChanged(l.Now())
 	l.Run(end)
 	return l, j
 }
 
-// calm is how long nothing changes first: longer than a pace needs to be another.
-const calm = 8 * time.Minute
+// stableTime is the time before the change. It is longer than a measured pace needs to change.
+const stableTime = 8 * time.Minute
 
-// density is how many keys the rapid servers have for their capacity, against the others, where most agents
-// are.
+// density returns the keys per capacity of the fast servers, relative to those of the slow ones, in the
+// agreed generation.
 func (l *Lab) density() float64 {
-	st := l.ref.State()
+	state := l.reference.State()
 	points := map[string]int{}
-	for i := range st.Members {
-		points[st.Members[i].ID] = st.Members[i].OnRing()
+	for i := range state.Members {
+		points[state.Members[i].ID] = state.Members[i].OnRing()
 	}
-	owners := l.rings.place(points, nil)
+	owners := l.rings.ownersOf(points, nil)
 	keys, capacity := map[string]float64{}, map[string]float64{}
 	for _, o := range owners {
-		keys[kindOf(l.list[o].capacity)]++
+		keys[kindOf(l.servers[o].capacity)]++
 	}
-	for i := range l.list {
-		capacity[kindOf(l.list[i].capacity)] += l.list[i].capacity
+	for i := range l.servers {
+		capacity[kindOf(l.servers[i].capacity)] += l.servers[i].capacity
 	}
-	return keys[rapid] / capacity[rapid] / (keys[lent] / capacity[lent])
+	return keys[fastKind] / capacity[fastKind] / (keys[slowKind] / capacity[slowKind])
 }
--- a/internal/control/ringassignment/lab/windows.go
+++ b/internal/control/ringassignment/lab/windows.go
@@ -15,58 +15,59 @@
 )
 
 const (
-	windowNotice = 5 * time.Second // that windows have here
-	windowMoves  = 4 * time.Second // that keys take to leave, and to return
+	windowNotice   = 5 * time.Second // minimum notice of windows
+	windowMoveTime = 4 * time.Second // time in which all keys leave, and in which they return
 )
 
+// newWindows returns a state machine without windows.
 func newWindows() *maintenance.StateMachine {
 	return maintenance.NewStateMachine(func() uint64 { return 0 })
 }
 
-// quiet is how long windows have servers without keys: enough to be warm again by the end.
-func (l *Lab) quiet() time.Duration { return 2*l.set.Cold().Duration + 20*time.Second }
+// emptyTime returns how long windows keep servers without keys: long enough to be warm again at the end.
+func (l *Lab) emptyTime() time.Duration { return 2*l.setup.SlowStart().Duration + 20*time.Second }
 
-// Window has a window planned that takes servers for all tenants, so long ahead, free of keys for a while,
-// within which all of them begin anew a number of times. Where it can't be agreed on, staff do so without.
-func (l *Lab) Window(of []int, ahead, quiet time.Duration, anew int) {
+// PlanWindow plans a window for servers and all tenants that starts after a time. The servers have no keys
+// for emptyTime, and restart a number of times in it. They restart even if the window is not agreed.
+func (l *Lab) PlanWindow(servers []int, ahead, emptyTime time.Duration, restarts int) {
 	if l.leader < 0 {
 		return
 	}
 	w := &maintenance.Window{
-		ID: fmt.Sprint("w", len(l.log), "-", of[0]), Tenants: []string{maintenance.NoTenant}, Steps: 8,
-		From: l.Now() + ahead, DrainedAt: l.Now() + ahead + windowMoves,
+		ID: fmt.Sprint("w", len(l.log), "-", servers[0]), Tenants: []string{maintenance.NoTenant}, Steps: 8,
+		From: l.Now() + ahead, DrainedAt: l.Now() + ahead + windowMoveTime,
 	}
-	w.ReturnFrom = w.DrainedAt + quiet
-	w.To = w.ReturnFrom + windowMoves
-	for _, i := range of {
-		l.list[i].window = true
-		w.Nodes = append(w.Nodes, l.list[i].name)
+	w.ReturnFrom = w.DrainedAt + emptyTime
+	w.To = w.ReturnFrom + windowMoveTime
+	for _, i := range servers {
+		l.servers[i].hasWindow = true
+		w.Nodes = append(w.Nodes, l.servers[i].name)
 	}
 	slices.Sort(w.Nodes)
-	r, err := maintenance.EncodeProposal(maintenance.Proposal{
-		Window: w, Now: l.UnixTime(l.leader), Revision: l.planned.Revision(),
+	record, err := maintenance.EncodeProposal(maintenance.Proposal{
+		Window: w, Now: l.UnixTime(l.leader), Revision: l.plannedWindows.Revision(),
 		MinNotice: windowNotice,
 	})
 	if err != nil {
-		panic(err) // of its own
+		panic(err) // the window is valid
 	}
-	l.commit(l.nodes[l.leader], r, true)
-	l.At(l.Now()+time.Second, func() { l.follow(w, of) })
-	each := (quiet - l.set.Cold().Duration - 3*time.Second) / time.Duration(anew)
-	for n := range anew {
-		for _, i := range of {
-			l.At(w.DrainedAt+2*time.Second+time.Duration(n)*each, func() { l.Vanish(i) })
-			l.At(w.DrainedAt+2*time.Second+time.Duration(n)*each+each/2, func() { l.Back(i, true) })
+	l.commit(l.nodes[l.leader], record, true)
+	l.At(l.Now()+time.Second, func() { l.passWindowToJudge(w, servers) })
+	interval := (emptyTime - l.setup.SlowStart().Duration - 3*time.Second) / time.Duration(restarts)
+	for n := range restarts {
+		for _, i := range servers {
+			l.At(w.DrainedAt+2*time.Second+time.Duration(n)*interval, func() { l.Remove(i) })
+			l.At(w.DrainedAt+2*time.Second+time.Duration(n)*interval+interval/2, func() { l.Restore(i, true) })
 		}
 	}
 }
 
-// follow has the judge look at a window that was agreed on.
-func (l *Lab) follow(w *maintenance.Window, of []int) {
-	if l.planned.Outcome(w.ID).Status != policy.StatusAccepted {
+// passWindowToJudge adds a window to the judge if it was accepted.
+func (l *Lab) passWindowToJudge(w *maintenance.Window, servers []int) {
+	if l.plannedWindows.Outcome(w.ID).Status != policy.StatusAccepted {
 		return
 	}
-	for _, i := range of {
+	for _, i := range servers {
 		l.Judge.WindowPlanned(judge.Window{
 			Server: int32(i), From: w.From, DrainedAt: w.DrainedAt, ReturnFrom: w.ReturnFrom,
 			To: w.To,
@@ -74,30 +75,34 @@
 	}
 }
 
-// avoid is what an agent keeps off now.
-func (l *Lab) avoid(nd *node) *balancer.Exclusions {
-	return nd.keeps.Exclusions(l.reading(nd.number), l.standing(nd), policy.Active{})
+// exclusions returns the present exclusions of an agent.
+func (l *Lab) exclusions(nd *node) *balancer.Exclusions {
+	return nd.windowAgent.Exclusions(l.reading(nd.number), l.standing(nd), policy.Active{})
 }
 
-func (l *Lab) emptied(nd *node) map[string]bool { return maintenance.FullyDrained(l.avoid(nd), nil) }
+// drainedServers returns the servers that an agent's exclusions drain fully.
+func (l *Lab) drainedServers(nd *node) map[string]bool {
+	return maintenance.FullyDrained(l.exclusions(nd), nil)
+}
 
-// below are by server the keys that keep off it, of all tenants alike.
-func below(a *balancer.Exclusions) map[string]uint32 {
-	if a == nil {
+// excludedRanks returns by server the rank below which keys are excluded; it is the same for all tenants.
+func excludedRanks(exclusions *balancer.Exclusions) map[string]uint32 {
+	if exclusions == nil {
 		return nil
 	}
-	return a.Tenants[maintenance.NoTenant]
+	return exclusions.Tenants[maintenance.NoTenant]
 }
 
-// named tells what is kept off apart from anything else.
-func named(a *balancer.Exclusions) string {
+// exclusionsKey returns a text that identifies exclusions.
+func exclusionsKey(exclusions *balancer.Exclusions) string {
 	var b strings.Builder
-	for _, id := range slices.Sorted(maps.Keys(below(a))) {
-		fmt.Fprint(&b, id, below(a)[id], " ")
+	for _, id := range slices.Sorted(maps.Keys(excludedRanks(exclusions))) {
+		fmt.Fprint(&b, id, excludedRanks(exclusions)[id], " ")
 	}
 	return b.String()
 }
 
-func keepsOff(below uint32, hash uint32, server string) bool {
-	return below == math.MaxUint32 || below > 0 && balancer.KeyRank(hash, server) < below
+// isExcluded reports whether a server is excluded for a key, given the rank below which keys are excluded.
+func isExcluded(maxRank uint32, hash uint32, server string) bool {
+	return maxRank == math.MaxUint32 || maxRank > 0 && balancer.KeyRank(hash, server) < maxRank
 }
