--- a/internal/control/maintenance/lab/requests.go
+++ b/internal/control/maintenance/lab/requests.go
@@ -36,7 +36,7 @@
 		l.lastLeaseAt[i] = now
 	}
 	p := l.Application(n).(*application)
-	exclusions := p.Exclusions(l.removeProtection(i, now, &active), standing, active)
+	exclusions := p.Exclusions(l.disableProtection(i, now, &active), standing, active)
 	if l.focus == olderBuild && i == 0 {
 		exclusions = nil
 	}
@@ -48,9 +48,9 @@
 	l.reportCounts(i, now, p)
 }
 
-// removeProtection returns the time that an agent uses, and changes its active policy, as the disabled
+// disableProtection returns the time that an agent uses, and changes its active policy, as the disabled
 // protection requires.
-func (l *Lab) removeProtection(i int, now lease.ClockReading, active *policy.Active) lease.ClockReading {
+func (l *Lab) disableProtection(i int, now lease.ClockReading, active *policy.Active) lease.ClockReading {
 	switch l.setup.Without {
 	case withoutOwnClock:
 		now.Unix = l.lastLeaseAt[i].Unix
--- a/internal/control/maintenance/search/search.go
+++ b/internal/control/maintenance/search/search.go
@@ -51,7 +51,7 @@
 	maxAge                    = leaseLength + knowledgeAge + maxInFlight // maximum age that makes a difference
 )
 
-// stepLength exceeds the 12 s over which counts are summed, and the clock error.
+// stepLength is longer than maintenance.SumPeriod and the clock error.
 const stepLength = 12*time.Second + 100*time.Microsecond
 
 // terms are the lease terms of all components, unless a protection is disabled. They are not modified.
--- a/internal/control/ringassignment/lab/lab.go
+++ b/internal/control/ringassignment/lab/lab.go
@@ -50,7 +50,7 @@
 	"warmth",      // cold servers join with all their points
 	"hysteresis",  // each reported capacity counts at once
 	"emptied",     // the leader does not know which servers are drained by windows
-	"stays",       // and it also takes drained servers off the ring
+	"stays",       // as "emptied", and the leader takes drained servers off the ring
 }
 
 const (
