--- a/internal/control/maintenance/search/parts.go
+++ b/internal/control/maintenance/search/components.go
@@ -9,29 +9,30 @@
 	"dunestep/internal/fleet/lease"
 )
 
-// proposerSettings are those of each voter's proposer.
+// proposerSettings returns the settings of all proposers.
 func (s *search) proposerSettings() maintenance.ProposerSettings {
-	set := maintenance.ProposerSettings{
+	settings := maintenance.ProposerSettings{
 		Times: policy.Times{Terms: terms}, MaxInFlight: maxInFlight * 12 * time.Second,
 		ClockMargin: clockMargin * 12 * time.Second,
 	}
 	switch s.setup.Without {
 	case "linger":
-		set.MaxInFlight = 1
+		settings.MaxInFlight = 1
 	case "fence":
-		set.Times.Terms.Duration, set.Times.Terms.MaxKnowledgeAge = 1, 1
+		settings.Times.Terms.Duration, settings.Times.Terms.MaxKnowledgeAge = 1, 1
 	}
-	return set
+	return settings
 }
 
-// learn has a proposer learn the agreed state at a time, with the fingerprints that it has later.
+// learn returns a voter whose proposer has applied the agreed state at time now, with its fingerprints at
+// time later. Times are in steps.
 func (s *search) learn(c *maintenance.Proposer, p *logPosition, now, later int) voter {
 	c = c.Fork()
 	c.Learn(reading(now), p.stateMachine)
-	return voter{known: p.depth, fingerprints: s.fingerprintsOf(c, later), proposer: c}
+	return voter{applied: p.depth, fingerprints: s.fingerprintsOf(c, later), proposer: c}
 }
 
-// fingerprintsOf is the fingerprints of a proposer at a time.
+// fingerprintsOf returns the fingerprints of a proposer at a time.
 func (s *search) fingerprintsOf(c *maintenance.Proposer, now int) (all fingerprints) {
 	for d := range all {
 		fingerprint := c.Fingerprint(reading(now), maxAge*stepLength, maintenance.FingerprintDetail(d), nil)
@@ -40,16 +41,16 @@
 	return all
 }
 
-// leaderResult is a proposer after it has checked windows as the leader's.
+// leaderResult is the result of a leader's check of its windows.
 type leaderResult struct {
-	proposer     *maintenance.Proposer
+	proposer     *maintenance.Proposer // after the check
 	fingerprints fingerprints
-	changed      bool // the council itself
+	changed      bool // the fingerprints changed
 	records      []*proposal
 }
 
-// lead has a proposer check windows as the leader's, with a fault where kind is voterSeesFault.
-func (s *search) lead(c *maintenance.Proposer, at int, kind stepKind) (l leaderResult) {
+// runAsLeader returns the result of a leader's check of its windows, with a fault if kind is voterSeesFault.
+func (s *search) runAsLeader(c *maintenance.Proposer, at int, kind stepKind) (result leaderResult) {
 	c, now := c.Fork(), reading(at)
 	before := s.fingerprintsOf(c, at)
 	count := maintenance.TenantCounts{Tenant: "east", Requests: 100, Served: 100}
@@ -64,17 +65,17 @@
 		}
 	})
 	c.ResetRetries()
-	l.proposer, l.fingerprints = c, s.fingerprintsOf(c, at)
-	l.changed = l.fingerprints != before
+	result.proposer, result.fingerprints = c, s.fingerprintsOf(c, at)
+	result.changed = result.fingerprints != before
 	for _, r := range records {
-		l.records = append(l.records, s.proposal(r))
+		result.records = append(result.records, s.proposal(r))
 	}
-	return l
+	return result
 }
 
-// agentAt is an agent that has learnt a state.
-func (s *search) agentAt(m *maintenance.StateMachine) *maintenance.Agent {
-	turns := 1 // each server has its turn: the window is in it
+// newAgentAt returns an agent that has applied a state.
+func (s *search) newAgentAt(m *maintenance.StateMachine) *maintenance.Agent {
+	turns := 1 // all servers are in turn, so the window always is
 	if s.setup.Without == "turns" {
 		turns = 0
 	}
--- a/internal/control/ringassignment/lab/course.go
+++ b/internal/control/ringassignment/lab/course.go
@@ -10,91 +10,94 @@
 )
 
 const (
-	troubled = 80 * time.Second  // for how long a course has faults
-	healed   = 220 * time.Second // and for how long none
+	faultyTime  = 80 * time.Second  // duration of the part with faults
+	healthyTime = 220 * time.Second // duration of the part without faults that follows
 )
 
-// hears has an agent's list be another one.
-func (l *Lab) hears(nd *node, list int) {
-	nd.seen = max(nd.seen, list)
-	for i, s := range l.lists[nd.seen] {
-		if _, is := nd.missing[int32(i)]; s.listed && s.ready && !s.draining {
-			delete(nd.missing, int32(i))
-		} else if !is {
-			nd.missing[int32(i)] = l.Now()
+// receiveList replaces an agent's endpoint list by a list unless it has a newer one. A voter's proposer
+// gets the new view at once.
+func (l *Lab) receiveList(nd *node, list int) {
+	nd.list = max(nd.list, list)
+	for i, s := range l.lists[nd.list] {
+		if _, known := nd.unusableSince[int32(i)]; s.listed && s.ready && !s.draining {
+			delete(nd.unusableSince, int32(i))
+		} else if !known {
+			nd.unusableSince[int32(i)] = l.Now()
 		}
 	}
-	if nd.council != nil {
-		l.see(nd)
+	if nd.proposer != nil {
+		l.setView(nd)
 	}
 }
 
-// change has servers be otherwise, and all agents hear of it, each some time later.
-func (l *Lab) change(do func()) {
-	was := append([]server(nil), l.list...)
+// changeServers calls do, which changes the servers. All agents receive the new list, each after its own
+// delay.
+func (l *Lab) changeServers(do func()) {
+	former := append([]server(nil), l.servers...)
 	do()
-	for i := range was {
-		if was[i].there() && !l.list[i].there() {
-			l.list[i].lost = l.Now()
-			l.list[i].losses = append(slices.Clone(l.list[i].losses), l.Now())
+	for i := range former {
+		if former[i].isUsable() && !l.servers[i].isUsable() {
+			l.servers[i].lostAt = l.Now()
+			l.servers[i].lossTimes = append(slices.Clone(l.servers[i].lossTimes), l.Now())
 		}
 	}
-	l.lists = append(l.lists, append([]server(nil), l.list...))
+	l.lists = append(l.lists, append([]server(nil), l.servers...))
 	list := len(l.lists) - 1
 	for _, nd := range l.nodes {
-		l.At(l.Now()+nd.late, func() {
-			if nd.life > 0 && !nd.deaf {
-				l.hears(nd, list)
+		l.At(l.Now()+nd.listDelay, func() {
+			if nd.incarnation > 0 && !nd.isCutFromLists {
+				l.receiveList(nd, list)
 			}
 		})
 	}
 }
 
-// Vanish has a server be gone, with nothing said before.
-func (l *Lab) Vanish(i int) { l.change(func() { l.list[i].listed = false }) }
+// Remove takes a server off the list without a drain.
+func (l *Lab) Remove(i int) { l.changeServers(func() { l.servers[i].listed = false }) }
 
-// Back has it be there again, cold or as it was.
-func (l *Lab) Back(i int, cold bool) {
-	l.change(func() {
-		l.list[i].listed, l.list[i].ready, l.list[i].draining = true, true, false
+// Restore lists a server again. If it is cold, it has just started.
+func (l *Lab) Restore(i int, cold bool) {
+	l.changeServers(func() {
+		l.servers[i].listed, l.servers[i].ready, l.servers[i].draining = true, true, false
 		if cold {
-			l.list[i].started = l.Now()
+			l.servers[i].startedAt = l.Now()
 		}
 	})
 }
 
-// Drain has it drain, and go 3 s later.
+// Drain starts to drain a server, and removes it 3 s later.
 func (l *Lab) Drain(i int) {
-	l.change(func() { l.list[i].draining = true })
+	l.changeServers(func() { l.servers[i].draining = true })
 	l.At(l.Now()+3*time.Second, func() {
-		if l.list[i].draining {
-			l.Vanish(i)
+		if l.servers[i].draining {
+			l.Remove(i)
 		}
 	})
 }
 
-// Join has a new server start, cold.
+// Join adds a new server, which has just started.
 func (l *Lab) Join(capacity float64) {
-	l.change(func() {
-		l.list = append(l.list, server{
-			name: name(len(l.list)), zone: string(rune('a' + len(l.list)%3)),
-			capacity: capacity, listed: true, ready: true, started: l.Now(),
+	l.changeServers(func() {
+		l.servers = append(l.servers, server{
+			name: serverName(len(l.servers)), zone: string(rune('a' + len(l.servers)%3)),
+			capacity: capacity, listed: true, ready: true, startedAt: l.Now(),
 		})
 	})
 }
 
-// Flap has a server vanish and be back, warm, so often.
-func (l *Lab) Flap(i int, every time.Duration, times int) {
+// Flap removes a server and restores it warm a number of times, with an interval between any two changes.
+func (l *Lab) Flap(i int, interval time.Duration, times int) {
 	for n := range times {
-		l.At(l.Now()+time.Duration(2*n)*every, func() { l.Vanish(i) })
-		l.At(l.Now()+time.Duration(2*n+1)*every, func() { l.Back(i, false) })
+		l.At(l.Now()+time.Duration(2*n)*interval, func() { l.Remove(i) })
+		l.At(l.Now()+time.Duration(2*n+1)*interval, func() { l.Restore(i, false) })
 	}
 }
 
-// Replace has a part of the servers drain, each with a new one of its capacity in its place, within 7 s.
-func (l *Lab) Replace(part float64) {
-	for i := range int(part * float64(len(l.list))) {
-		if s := l.list[i]; s.listed && !s.draining {
+// Replace drains a fraction of the servers, and adds a new one of the same capacity for each, at random
+// times within 7 s.
+func (l *Lab) Replace(fraction float64) {
+	for i := range int(fraction * float64(len(l.servers))) {
+		if s := l.servers[i]; s.listed && !s.draining {
 			at := l.Now() + time.Duration(l.Rand().Int64N(int64(7*time.Second)))
 			l.At(at, func() { l.Drain(i) })
 			l.At(at, func() { l.Join(s.capacity) })
@@ -102,131 +105,136 @@
 	}
 }
 
-// LoseZone has a zone vanish, and be back cold after a time.
-func (l *Lab) LoseZone(zone string, back time.Duration) {
-	for i := range l.list {
-		if s := &l.list[i]; s.zone == zone && s.listed && !s.draining {
-			l.Vanish(i)
-			l.At(l.Now()+back+time.Duration(l.Rand().Int64N(int64(time.Second))), func() { l.Back(i, true) })
+// LoseZone removes all servers of a zone, and restores them cold after a time and up to a second more.
+func (l *Lab) LoseZone(zone string, after time.Duration) {
+	for i := range l.servers {
+		if s := &l.servers[i]; s.zone == zone && s.listed && !s.draining {
+			l.Remove(i)
+			l.At(l.Now()+after+time.Duration(l.Rand().Int64N(int64(time.Second))), func() { l.Restore(i, true) })
 		}
 	}
 }
 
-// Late has half of the agents hear of changes so much later.
-func (l *Lab) Late(by time.Duration, until time.Duration) {
-	l.slow = max(l.slow, by)
+// DelayLists delays the lists of every second agent until a time.
+func (l *Lab) DelayLists(delay time.Duration, until time.Duration) {
+	l.maxInjectedDelay = max(l.maxInjectedDelay, delay)
 	for i := 0; i < len(l.nodes); i += 2 {
 		nd := l.nodes[i]
-		was := nd.late
-		nd.late = by
-		l.At(until, func() { nd.late = was })
+		former := nd.listDelay
+		nd.listDelay = delay
+		l.At(until, func() { nd.listDelay = former })
 	}
 }
 
-// Wild has each view tell capacities doubled or halved.
-func (l *Lab) Wild(until time.Duration) {
-	l.wild = true
-	l.At(until, func() { l.wild = false })
+// FalsifyCapacities halves or doubles half of the capacities in each view at random, until a time.
+func (l *Lab) FalsifyCapacities(until time.Duration) {
+	l.hasWrongCapacities = true
+	l.At(until, func() { l.hasWrongCapacities = false })
 }
 
-// Course plays a fleet of servers among all faults, and then a while without.
-func Course(seed uint64, agents int, without string) *Lab {
-	warm := 9 * time.Second
+// RunScenario runs a fleet with all faults for faultyTime, and then without faults for healthyTime. It
+// returns the Lab at the end.
+func RunScenario(seed uint64, agents int, without string) *Lab {
+	slowStartDuration := 9 * time.Second
 	if seed%4 == 2 {
-		warm = 40 * time.Second
+		slowStartDuration = 40 * time.Second
 	}
 	l := New(Setup{
-		Seed: seed, Agents: agents, Servers: 20, Keys: 1000, Warm: warm, Without: without,
+		Seed: seed, Agents: agents, Servers: 20, Keys: 1000, SlowStartDuration: slowStartDuration, Without: without,
 		Faults: simnet.Faults{
 			Loss: 0.1, Duplicate: 0.1, MinDelay: time.Millisecond, MaxDelay: 20 * time.Millisecond,
 			Late: 0.05, Lateness: 3 * time.Second,
 		},
 	})
-	begin := l.Now()
-	end := begin + troubled
+	start := l.Now()
+	end := start + faultyTime
 	step := 200 * time.Millisecond
 	if agents > 50 {
 		step = time.Second
 	}
-	l.every(begin, end+healed, step, l.Sample)
-	l.every(begin+8*time.Second, end, 5*time.Second, func() { l.trouble(end) })
-	l.every(begin+8*time.Second, end, 2*time.Second, func() { l.fault(end) })
+	l.every(start, end+healthyTime, step, l.Sample)
+	l.every(start+8*time.Second, end, 5*time.Second, func() { l.injectServerFault(end) })
+	l.every(start+8*time.Second, end, 2*time.Second, func() { l.injectAgentFault(end) })
 	if seed%4 == 1 {
-		l.forgotten()
+		l.loseLeasesAtRecords()
 	} else {
-		l.atSteps()
+		l.injectFaultsAtRecords()
 	}
 	l.Run(end)
 	l.heal()
-	l.Run(end + healed)
+	l.Run(end + healthyTime)
 	return l
 }
 
+// every calls do once in each step between two true times, at a random time within the step.
 func (l *Lab) every(from, to, step time.Duration, do func()) {
 	for at := from; at < to; at += step {
 		l.At(at+time.Duration(l.Rand().Int64N(int64(step))), do)
 	}
 }
 
-// trouble has something happen to servers.
-func (l *Lab) trouble(end time.Duration) {
-	rng, i := l.Rand(), l.Rand().IntN(len(l.list))
-	s := l.list[i]
-	there := s.listed && s.ready && !s.draining
-	left := max(end-l.Now(), time.Second)
-	upTo := func(d time.Duration) time.Duration { return time.Duration(rng.Int64N(int64(min(d, left)))) }
-	what := rng.IntN(10)
-	if l.windowed() && rng.IntN(2) == 0 {
-		what = 9
+// injectServerFault injects a random change of the servers, or of what agents know of them.
+func (l *Lab) injectServerFault(end time.Duration) {
+	rng, i := l.Rand(), l.Rand().IntN(len(l.servers))
+	s := l.servers[i]
+	isUsable := s.listed && s.ready && !s.draining
+	remaining := max(end-l.Now(), time.Second)
+	upTo := func(d time.Duration) time.Duration { return time.Duration(rng.Int64N(int64(min(d, remaining)))) }
+	event := rng.IntN(10)
+	if l.hasManyWindows() && rng.IntN(2) == 0 {
+		event = 9
 	}
-	switch what {
+	switch event {
 	case 0, 1:
-		if there {
+		if isUsable {
 			l.Flap(i, 2*time.Second, int(upTo(20*time.Second)/(4*time.Second)))
 		}
 	case 2:
 		l.Join(s.capacity)
 	case 3:
-		if there {
+		if isUsable {
 			l.Drain(i)
 		}
 	case 4:
-		if len(l.list) < 40 {
+		if len(l.servers) < 40 {
 			l.Replace(0.6)
 		}
 	case 5:
 		l.LoseZone(string(rune('a'+rng.IntN(3))), upTo(15*time.Second))
 	case 6:
-		l.Wild(l.Now() + upTo(30*time.Second))
+		l.FalsifyCapacities(l.Now() + upTo(30*time.Second))
 	case 7:
-		if there {
-			l.Back(i, true) // began anew, and nobody saw it be gone
+		if isUsable {
+			l.Restore(i, true) // restarted, without being unlisted in between
 		}
 	case 8:
-		l.Late(5*time.Second, l.Now()+upTo(20*time.Second))
+		l.DelayLists(5*time.Second, l.Now()+upTo(20*time.Second))
 	case 9:
-		if there && !s.window {
+		if isUsable && !s.hasWindow {
 			ahead := 10*time.Second + upTo(20*time.Second)
-			l.Window([]int{i}, ahead, l.quiet(), 1+rng.IntN(5))
-			if l.windowed() {
-				l.cutInside(ahead)
+			l.PlanWindow([]int{i}, ahead, l.emptyTime(), 1+rng.IntN(5))
+			if l.hasManyWindows() {
+				l.cutOffDuringWindow(ahead)
 			}
 		}
 	}
 }
 
-// windowed tells whether a course has more windows than others.
-func (l *Lab) windowed() bool { return l.set.Seed%4 == 3 }
+// hasManyWindows reports whether the scenario has more maintenance windows than others.
+func (l *Lab) hasManyWindows() bool { return l.setup.Seed%4 == 3 }
 
-// cutInside has an agent be cut off inside of a window that is so long ahead, until it is over.
-func (l *Lab) cutInside(ahead time.Duration) {
+// cutOffDuringWindow cuts off a random agent during a window that starts after a time, until the window is
+// over.
+func (l *Lab) cutOffDuringWindow(ahead time.Duration) {
 	n := l.Rand().IntN(len(l.nodes))
-	inside := ahead + windowMoves + time.Duration(l.Rand().Int64N(int64(l.quiet())))
-	l.At(l.Now()+inside, func() { l.cutOff(n, l.Now()+ahead+2*windowMoves+l.quiet()+8*time.Second-inside) })
+	delay := ahead + windowMoveTime + time.Duration(l.Rand().Int64N(int64(l.emptyTime())))
+	l.At(l.Now()+delay, func() {
+		l.cutOff(n, l.Now()+ahead+2*windowMoveTime+l.emptyTime()+8*time.Second-delay)
+	})
 }
 
-// fault has something happen to agents, for a while.
-func (l *Lab) fault(end time.Duration) {
+// injectAgentFault injects a random fault of agents, which ends before end at the latest.
+func (l *Lab) injectAgentFault(end time.Duration) {
 	rng := l.Rand()
 	n := rng.IntN(len(l.nodes))
 	if rng.IntN(3) == 0 {
@@ -238,13 +246,13 @@
 		l.Pause(n, until)
 	case 1:
 		l.cut(n, rng.IntN(len(l.nodes)), until)
-	case 2: // from all, one way
+	case 2: // all messages to the agent
 		for i := range l.nodes {
 			l.cut(i, n, until)
 		}
 	case 3:
 		l.cutOff(n, until)
-	case 4: // a third of all
+	case 4: // a third of all agents
 		for i := n % 3; i < len(l.nodes); i += 3 {
 			l.cutOff(i, until)
 		}
@@ -256,45 +264,47 @@
 	}
 }
 
+// restart stops an agent, and starts it again at a time. Half of the restarts keep the stored records.
 func (l *Lab) restart(n int, until time.Duration) {
 	l.Stop(n)
-	keeps := l.Rand().IntN(2) == 0
+	keepsRecords := l.Rand().IntN(2) == 0
 	l.At(until, func() {
-		if l.nodes[n].life == 0 {
-			l.Start(n, keeps)
+		if l.nodes[n].incarnation == 0 {
+			l.Start(n, keepsRecords)
 		}
 	})
 }
 
-// atSteps has the leader end, or others be cut off, right after a generation was agreed on.
-func (l *Lab) atSteps() {
-	left := l.Rand().IntN(6)
-	l.proposed = func() {
+// injectFaultsAtRecords injects faults right after records are agreed: the leader restarts, or a random
+// agent is cut off.
+func (l *Lab) injectFaultsAtRecords() {
+	untilRestart := l.Rand().IntN(6)
+	l.onRecord = func() {
 		if l.Rand().IntN(3) == 0 {
 			l.cutOff(l.Rand().IntN(len(l.nodes)), l.Now()+4*time.Second)
 		}
-		if left--; left > 0 || l.leader < 0 {
+		if untilRestart--; untilRestart > 0 || l.leader < 0 {
 			return
 		}
-		left = 1 + l.Rand().IntN(6)
+		untilRestart = 1 + l.Rand().IntN(6)
 		l.restart(l.leader, l.Now()+time.Duration(l.Rand().Int64N(int64(3*time.Second))))
 	}
 }
 
-// forgotten has an agent be cut off that still holds leases, right as a generation was agreed on, and all
-// voters forget that they granted them.
-func (l *Lab) forgotten() {
-	left := 0
-	l.proposed = func() {
-		if left--; left > 0 {
+// loseLeasesAtRecords cuts off an agent that still holds leases right after some records are agreed, and
+// restarts all voters, which lose the leases that they granted.
+func (l *Lab) loseLeasesAtRecords() {
+	untilFault := 0
+	l.onRecord = func() {
+		if untilFault--; untilFault > 0 {
 			return
 		}
-		left = 3 + l.Rand().IntN(3)
+		untilFault = 3 + l.Rand().IntN(3)
 		l.cutOff(voters+l.Rand().IntN(len(l.nodes)-voters), l.Now()+4*time.Second)
 		for v := range voters {
 			l.Stop(v)
 			l.At(l.Now()+50*time.Millisecond, func() {
-				if l.nodes[v].life == 0 {
+				if l.nodes[v].incarnation == 0 {
 					l.Start(v, true)
 				}
 			})
@@ -302,6 +312,7 @@
 	}
 }
 
+// cutOff cuts all connections from and to an agent until a time.
 func (l *Lab) cutOff(n int, until time.Duration) {
 	for i := range l.nodes {
 		l.cut(i, n, until)
@@ -309,6 +320,7 @@
 	}
 }
 
+// cut drops all messages in one direction until a time.
 func (l *Lab) cut(from, to int, until time.Duration) {
 	if from == to {
 		return
@@ -317,74 +329,76 @@
 	l.At(until, func() { l.SetCut(from, to, false) })
 }
 
-// heal has all run and reach each other, and all servers that are listed be ready.
+// heal starts all stopped agents, restores all connections, ends delays and false capacities, and reduces
+// the network faults.
 func (l *Lab) heal() {
-	l.proposed, l.wild = nil, false
+	l.onRecord, l.hasWrongCapacities = nil, false
 	for n := range l.nodes {
-		if l.nodes[n].life == 0 {
+		if l.nodes[n].incarnation == 0 {
 			l.Start(n, false)
 		}
 		for i := range l.nodes {
 			l.SetCut(n, i, false)
 		}
-		l.nodes[n].late = min(l.nodes[n].late, mostLate)
+		l.nodes[n].listDelay = min(l.nodes[n].listDelay, maxListDelay)
 	}
 	l.Faults = simnet.Faults{Loss: 0.01, MinDelay: time.Millisecond, MaxDelay: 20 * time.Millisecond}
 }
 
-// Settled tells what is not as it should be at the end; empty: all have one generation, in which all servers
-// that are ready are whole, and no other has points.
-func (l *Lab) Settled() string {
-	st := l.State()
+// CheckSettled returns what is wrong at the end of a scenario, or an empty string: all agents must use the
+// newest generation, in which all ready servers are complete and no other server has points.
+func (l *Lab) CheckSettled() string {
+	state := l.State()
 	for i, nd := range l.nodes {
-		if p := nd.agent.Assignment(l.reading(i), l.standing(nd)); p == nil || p.Generation != st.Number {
-			return fmt.Sprint("agent ", i, " is not on generation ", st.Number)
+		if p := nd.agent.Assignment(l.reading(i), l.standing(nd)); p == nil || p.Generation != state.Number {
+			return fmt.Sprint("agent ", i, " does not use generation ", state.Number)
 		}
 	}
 	ready := map[string]bool{}
-	for _, s := range l.list {
+	for _, s := range l.servers {
 		if s.listed && s.ready && !s.draining {
 			ready[s.name] = true
 		}
 	}
-	for _, n := range st.Members {
+	for _, n := range state.Members {
 		switch {
 		case ready[n.ID] && (n.Phase != ringassignment.Complete || n.FullPoints != 0):
 			return fmt.Sprintf("%s is %v with %d points of %d", n.ID, n.Phase, n.Points, n.FullPoints)
 		case !ready[n.ID] && n.OnRing() > 0:
-			return fmt.Sprintf("%s is %v with %d points, and is not ready", n.ID, n.Phase, n.Points)
+			return fmt.Sprintf("%s is %v with %d points, although it is not ready", n.ID, n.Phase, n.Points)
 		}
 		delete(ready, n.ID)
 	}
 	if len(ready) > 0 {
-		return fmt.Sprint("not in the generation: ", ready)
+		return fmt.Sprint("ready servers that are not in the generation: ", ready)
 	}
 	return ""
 }
 
-// Fullest is how much the fullest server has of its part by capacity at an agent, over so many keys.
-func (l *Lab) Fullest(agent, keys int) float64 {
+// MaxLoad returns the maximum over all servers of the server's fraction of the keys at an agent, relative
+// to its fraction of the ready capacity.
+func (l *Lab) MaxLoad(agent, keys int) float64 {
 	nd := l.nodes[agent]
 	p := nd.agent.Assignment(l.reading(agent), l.standing(nd))
-	if l.set.Without == All {
+	if l.setup.Without == WithoutGenerations {
 		p = nil
 	}
-	was := l.set.Keys
-	l.set.Keys = keys
-	owners := l.rings.place(l.rings.points(p, l.lists[nd.seen]), l.avoid(nd))
-	l.set.Keys = was
-	counts, all := map[int32]int{}, 0.0
+	formerKeys := l.setup.Keys
+	l.setup.Keys = keys
+	owners := l.rings.ownersOf(l.rings.usablePoints(p, l.lists[nd.list]), l.exclusions(nd))
+	l.setup.Keys = formerKeys
+	counts, capacity := map[int32]int{}, 0.0
 	for _, o := range owners {
 		counts[o]++
 	}
-	for i := range l.list {
+	for i := range l.servers {
 		if (truth{l}).IsReady(int32(i)) {
-			all += l.list[i].capacity
+			capacity += l.servers[i].capacity
 		}
 	}
-	most := 0.0
+	maxLoad := 0.0
 	for o, n := range counts {
-		most = max(most, float64(n)/float64(keys)/(l.list[o].capacity/all))
+		maxLoad = max(maxLoad, float64(n)/float64(keys)/(l.servers[o].capacity/capacity))
 	}
-	return most
+	return maxLoad
 }
--- a/internal/control/ringassignment/lab/rings.go
+++ b/internal/control/ringassignment/lab/rings.go
@@ -10,44 +10,48 @@
 	"dunestep/internal/control/ringassignment/judge"
 )
 
-// rings are who owns which keys, by a generation and a list.
-type rings struct {
+// ringCache computes and caches the owners of all keys by generation, list and exclusions.
+type ringCache struct {
 	lab    *Lab
-	owners map[owning]*judge.Owners
+	owners map[ownersKey]*judge.Owners
 	ring   *ring.Ring[int32]
 	places map[string]*ring.Place[int32]
 	keys   []uint32
 }
 
-type owning struct {
-	number uint64
-	list   int
-	kept   string // off: see named
+// ownersKey is everything that the owners depend on.
+type ownersKey struct {
+	generation uint64
+	list       int
+	exclusions string // see exclusionsKey
 }
 
-// of is what an agent does with a generation, its own list and what it keeps off: see balancer.RingAssignment
-// and balancer.Exclusions. It is the same pointer for the same owners.
-func (r *rings) of(p *balancer.RingAssignment, list int, a *balancer.Exclusions) *judge.Owners {
-	key := owning{list: list, kept: named(a)}
-	if p != nil {
-		key.number = p.Generation
+// ownersFor returns the owners that an agent computes from an assignment, its own list and its exclusions:
+// see balancer.RingAssignment and balancer.Exclusions. It returns the same pointer for the same owners.
+func (r *ringCache) ownersFor(assignment *balancer.RingAssignment, list int,
+	exclusions *balancer.Exclusions,
+) *judge.Owners {
+	key := ownersKey{list: list, exclusions: exclusionsKey(exclusions)}
+	if assignment != nil {
+		key.generation = assignment.Generation
 	}
-	if o := r.owners[key]; o != nil {
-		return o
+	if owners := r.owners[key]; owners != nil {
+		return owners
 	}
-	points := r.points(p, r.lab.lists[list])
-	o := r.place(points, a)
+	points := r.usablePoints(assignment, r.lab.lists[list])
+	owners := r.ownersOf(points, exclusions)
 	for _, other := range r.owners {
-		if equal(*other, o) {
+		if sameOwners(*other, owners) {
 			r.owners[key] = other
 			return other
 		}
 	}
-	r.owners[key] = &o
-	return &o
+	r.owners[key] = &owners
+	return &owners
 }
 
-func equal(a, b judge.Owners) bool {
+// sameOwners reports whether all keys have the same owners.
+func sameOwners(a, b judge.Owners) bool {
 	for i := range a {
 		if a[i] != b[i] {
 			return false
@@ -56,37 +60,39 @@
 	return true
 }
 
-// points are those that are usable by the list.
-func (r *rings) points(p *balancer.RingAssignment, list []server) map[string]int {
+// usablePoints returns the points on the ring by server. Servers that the list has as unusable get none;
+// without any points left, all usable servers get the default.
+func (r *ringCache) usablePoints(assignment *balancer.RingAssignment, list []server) map[string]int {
 	usable := map[string]int{}
 	for _, s := range list {
 		ready := s.listed && s.ready && !s.draining
 		switch {
-		case p == nil && ready:
+		case assignment == nil && ready:
 			usable[s.name] = ringassignment.DefaultPoints
-		case p != nil && (ready || r.lab.set.Without == "own list"):
-			usable[s.name] = p.Points[s.name]
+		case assignment != nil && (ready || r.lab.setup.Without == "own list"):
+			usable[s.name] = assignment.Points[s.name]
 		}
 	}
 	sum := 0
 	for _, n := range usable {
 		sum += n
 	}
-	if p != nil && sum == 0 {
-		return r.points(nil, list)
+	if assignment != nil && sum == 0 {
+		return r.usablePoints(nil, list)
 	}
 	return usable
 }
 
-// place is the owners of all keys. The ring is kept from one call to the next, as balancers keep theirs.
-func (r *rings) place(points map[string]int, a *balancer.Exclusions) judge.Owners {
+// ownersOf returns the owners of all keys. The ring is kept from one call to the next, as balancers keep
+// theirs.
+func (r *ringCache) ownersOf(points map[string]int, exclusions *balancer.Exclusions) judge.Owners {
 	if r.ring == nil {
 		r.ring, r.places = ring.New[int32](ringassignment.DefaultPoints), map[string]*ring.Place[int32]{}
 	}
-	for i, s := range r.lab.list {
+	for i, s := range r.lab.servers {
 		n := points[s.name]
 		switch {
-		case r.lab.set.Without == "nested": // points depend on how many there are
+		case r.lab.setup.Without == "nested": // points depend on their number
 			r.ring.Remove(r.places[s.name])
 			r.places[s.name] = r.ring.JoinWithPoints(fmt.Sprint(s.name, "/", n, "/"), int32(i), n)
 		case n > 0:
@@ -95,73 +101,77 @@
 			r.ring.Leave(r.places[s.name])
 		}
 	}
-	for len(r.keys) < r.lab.set.Keys {
+	for len(r.keys) < r.lab.setup.Keys {
 		r.keys = append(r.keys, ring.Hash(fmt.Sprint("key ", len(r.keys))))
 	}
-	return r.walk(r.open(a))
+	return r.assignKeys(r.allowsKey(exclusions))
 }
 
-// open tells which keys need not keep off a server.
-func (r *rings) open(a *balancer.Exclusions) func(key int, o int32) bool {
-	kept := below(a)
-	return func(key int, o int32) bool {
-		id := r.lab.list[o].name
-		return !keepsOff(kept[id], r.keys[key], id)
+// allowsKey returns a function that reports whether a server is not excluded for a key.
+func (r *ringCache) allowsKey(exclusions *balancer.Exclusions) func(key int, server int32) bool {
+	ranks := excludedRanks(exclusions)
+	return func(key int, server int32) bool {
+		id := r.lab.servers[server].name
+		return !isExcluded(ranks[id], r.keys[key], id)
 	}
 }
 
-// walk is the owners of all keys on the ring as it is, of those that take a key.
-func (r *rings) walk(takes func(key int, o int32) bool) judge.Owners {
-	owners := make(judge.Owners, r.lab.set.Keys)
+// assignKeys returns the owners of all keys on the present ring: the first server for which accepts returns
+// true.
+func (r *ringCache) assignKeys(accepts func(key int, server int32) bool) judge.Owners {
+	owners := make(judge.Owners, r.lab.setup.Keys)
 	for k := range owners {
 		owners[k] = judge.NoOwner
-		r.ring.Walk(r.keys[k], func(o int32) bool {
-			if !takes(k, o) {
+		r.ring.Walk(r.keys[k], func(server int32) bool {
+			if !accepts(k, server) {
 				return true
 			}
-			owners[k] = o
+			owners[k] = server
 			return false
 		})
 	}
 	return owners
 }
 
-// truth is what the judge may know.
+// truth is the judge's view of the true state of servers.
 type truth struct{ l *Lab }
 
-// IsReady does not hold for a while after a server was lost: agents hear of that late.
+// IsReady reports whether a server is usable. It returns false for a while after a loss even if the server
+// is back, because agents learn of the loss late and then move its keys.
 func (t truth) IsReady(i int32) bool {
-	s := &t.l.list[i]
-	return s.there() && (s.lost == 0 || t.l.Now()-s.lost > 2*mostLate+time.Second/2)
+	s := &t.l.servers[i]
+	return s.isUsable() && (s.lostAt == 0 || t.l.Now()-s.lostAt > 2*maxListDelay+time.Second/2)
 }
 
-// IsKnownGone has an agent's list say for a second that a server is not to be used.
+// IsKnownGone reports whether the agent's list has had the server as unusable for more than a second.
 func (t truth) IsKnownGone(agent int, i int32) bool {
-	since, is := t.l.nodes[agent].missing[i]
-	return is && t.l.Now()-since > time.Second
+	since, known := t.l.nodes[agent].unusableSince[i]
+	return known && t.l.Now()-since > time.Second
 }
 
-// IsSteady goes by when the server was lost, and began anew.
+// IsSteady depends on the times at which the server was lost and started.
 func (t truth) IsSteady(agent int, i int32, from, to time.Duration) bool {
-	s, warm := &t.l.list[i], t.l.set.Cold().Duration+3*time.Second
-	if _, missing := t.l.nodes[agent].missing[i]; missing || !s.there() || s.started > to-warm {
+	s, warmUp := &t.l.servers[i], t.l.setup.SlowStart().Duration+3*time.Second
+	if _, missing := t.l.nodes[agent].unusableSince[i]; missing || !s.isUsable() || s.startedAt > to-warmUp {
 		return false
 	}
-	for _, at := range s.losses {
-		if at > t.l.Now()-2*time.Minute && (at < from+2*mostLate || at > to-warm) {
+	for _, at := range s.lossTimes {
+		if at > t.l.Now()-2*time.Minute && (at < from+2*maxListDelay || at > to-warmUp) {
 			return false
 		}
 	}
 	return true
 }
 
-func (t truth) Capacity(i int32) float64 { return t.l.list[i].capacity }
+// Capacity returns the capacity of a warm server.
+func (t truth) Capacity(i int32) float64 { return t.l.servers[i].capacity }
 
-// SlowStartFraction is of a server that started before the leader could know of it 1.
+// SlowStartFraction returns 1 if the leader could not know of the server's start when it made the
+// generation.
 func (t truth) SlowStartFraction(i int32, made time.Duration) float64 {
-	s, c := &t.l.list[i], t.l.set.Cold()
-	if s.started == 0 || s.started > made-2*time.Second-t.l.slow {
+	s, slowStart := &t.l.servers[i], t.l.setup.SlowStart()
+	if s.startedAt == 0 || s.startedAt > made-2*time.Second-t.l.maxInjectedDelay {
 		return 1
 	}
-	return min(1, c.Margin*c.OverloadMultiple*c.CapacityFraction(t.l.Now(), s.started))
+	return min(1, slowStart.Margin*slowStart.OverloadMultiple*slowStart.CapacityFraction(t.l.Now(), s.startedAt))
 }
