--- a/cmd/dunestep/list_test.go
+++ b/cmd/dunestep/list_test.go
@@ -17,17 +17,19 @@
 )
 
 // heeds is how long after a change counts as told an endpoint may still be sent to, with the page's slack.
-func (w *testbed) heeds() time.Duration { return w.deployment.drainGrace + 50*time.Millisecond }
+func (w *testbed) drainGraceWithSlack() time.Duration {
+	return w.deployment.drainGrace + 50*time.Millisecond
+}
 
 // drains are endpoints that must get nothing new, each from a time on.
-type drains struct {
-	w    *testbed
-	from map[*server]time.Time
-	end  func()
+type drainChecker struct {
+	w           *testbed
+	deadlines   map[*server]time.Time
+	stopClients func()
 }
 
 // watchDrains has clients ask with ever new keys, so that every endpoint that may have work gets some.
-func (w *testbed) watchDrains() *drains {
+func (w *testbed) watchDrains() *drainChecker {
 	over := make(chan struct{})
 	var clients sync.WaitGroup
 	for range 4 {
@@ -48,29 +50,29 @@
 	}
 	end := sync.OnceFunc(func() { close(over); clients.Wait() })
 	w.t.Cleanup(end)
-	return &drains{w: w, from: map[*server]time.Time{}, end: end}
+	return &drainChecker{w: w, deadlines: map[*server]time.Time{}, stopClients: end}
 }
 
 // told says that a drain counts as told after a time from now on. Until now the endpoint has had work.
-func (d *drains) told(s *server, after time.Duration) {
+func (d *drainChecker) told(s *server, after time.Duration) {
 	d.w.t.Helper()
 	had := len(s.attempts())
 	d.w.until("work for "+s.id, func() bool { return len(s.attempts()) > had })
-	d.from[s] = time.Now().Add(after + d.w.heeds())
+	d.deadlines[s] = time.Now().Add(after + d.w.drainGraceWithSlack())
 }
 
 // hold waits until every drain binds, and looks that none was broken.
-func (d *drains) hold() {
+func (d *drainChecker) hold() {
 	d.w.t.Helper()
 	last := time.Now()
-	for _, at := range d.from {
+	for _, at := range d.deadlines {
 		if at.After(last) {
 			last = at
 		}
 	}
 	time.Sleep(time.Until(last.Add(300 * time.Millisecond)))
-	d.end()
-	for s, at := range d.from {
+	d.stopClients()
+	for s, at := range d.deadlines {
 		for _, st := range s.attempts() {
 			require.False(d.w.t, st.receivedAt.After(at), "%s got work %v after its drain had to be heeded", s.id, st.receivedAt.Sub(at))
 		}
@@ -98,7 +100,7 @@
 
 // A watch ends instead of telling of a drain, and the call in its place is answered by a whole list that does not name
 // the endpoint: it is gone, though it still answers.
-func TestFullListLeavesAServerOut(t *testing.T) {
+func TestFullListRemovesUnlistedEndpoint(t *testing.T) {
 	t.Parallel()
 	w := newSerialTestbed(t, 4).start()
 	d := w.discovery
@@ -116,12 +118,12 @@
 }
 
 // A drain is heeded however the list that tells of it comes.
-func TestDrainsInListsOfAnyForm(t *testing.T) {
+func TestDrainAppliesInAnyListForm(t *testing.T) {
 	t.Parallel()
-	retryIfStalled(t, func() error { return drainsInLists(t) }) // pieces that come over 0.75 s apart end a watch
+	retryIfStalled(t, func() error { return tryDrainListForms(t) }) // pieces that come over 0.75 s apart end a watch
 }
 
-func drainsInLists(t *testing.T) error {
+func tryDrainListForms(t *testing.T) error {
 	w := newSerialTestbed(t, 8).start()
 	d := w.discovery
 	w.until("watch", func() bool { return d.watched() == 1 })
@@ -170,7 +172,7 @@
 
 // Where the settings say that lists are pushed, an endpoint that drains in the list of the start gets
 // nothing from the first moment on, and news are asked for all the same: nothing comes unasked on a socket.
-func TestPushedLists(t *testing.T) {
+func TestPushedDiscoveryIsStillWatched(t *testing.T) {
 	w := newTestbed(t, 3)
 	w.config["settings"].(object)["discovery"] = "pushed"
 	w.config["known"] = object{"version": 41, "full": true, "servers": w.entries(w.servers[0])}
@@ -186,7 +188,7 @@
 // A watch that falls silent is opened anew, and what it missed is heeded 3 s after it counts as told, which is 6 s
 // after the silence began, or 4 s after SIGHUP has moved discovery: in a large fleet, where the call that replaces
 // the watch waits in discovery's turn, and where the watch falls silent while the call to the new address waits.
-func TestDrainsThatASilentWatchMissed(t *testing.T) {
+func TestDrainMissedBySilentWatch(t *testing.T) {
 	t.Parallel()
 	const empty, turn = 500 * time.Millisecond, 1500 * time.Millisecond
 	for name, c := range map[string]struct {
@@ -224,7 +226,7 @@
 }
 
 // A watch that brings empty lines and no news is left alone: each call for a list is work for discovery.
-func TestWatchWithoutNewsGoesOn(t *testing.T) {
+func TestWatchWithoutUpdatesStaysOpen(t *testing.T) {
 	w := start(t, 1)
 	w.until("watch", func() bool { return w.discovery.watched() == 1 })
 	time.Sleep(4 * time.Second)
@@ -233,7 +235,7 @@
 
 // The list that an agent holds binds where discovery can't be asked: from a new process's first moment on, in an
 // outage, and what it gets at the return in the next one.
-func TestListBindsWithoutDiscovery(t *testing.T) {
+func TestListAppliesWithoutDiscovery(t *testing.T) {
 	t.Parallel()
 	for _, way := range []string{"on_request", "pushed"} {
 		t.Run(way, func(t *testing.T) {
@@ -248,7 +250,7 @@
 			w.discovery.begins(list(42, false, w.servers[1].entry("leaving")) + "\n")
 			w.discovery.set(http.StatusOK, false)
 			w.until("watch", func() bool { return w.discovery.watched() == 1 })
-			drains.from[w.servers[1]] = time.Now().Add(w.heeds())
+			drains.deadlines[w.servers[1]] = time.Now().Add(w.drainGraceWithSlack())
 			w.discovery.set(http.StatusServiceUnavailable, false)
 			w.discovery.end()
 			before := len(w.discovery.called())
--- a/cmd/dunestep/names_test.go
+++ b/cmd/dunestep/names_test.go
@@ -17,16 +17,16 @@
 
 const root = "../.."
 
-// knownNames are those of the deployment that the agent is developed beside: of itself, its classes, tenants, zones,
+// deploymentNames are those of the deployment that the agent is developed beside: of itself, its classes, tenants, zones,
 // kinds of machine and service.
-var knownNames = []string{
+var deploymentNames = []string{
 	"carpatica", "carpatica-programari", "programari", "consult", "rezervare", "rapid", "lent",
 	"buc-pipera", "buc-militari", "cluj-est", "brasov-nord", "zambet-plus", "dentamed-nord", "clinica-olt", "dent-somes",
 	"surasul-mures", "stoma-vaslui",
 }
 
 // data are names in code of rehearsals and labs, which is in no program that ships.
-var data = []struct {
+var allowedNames = []struct {
 	file   string
 	names  []string
 	reason string
@@ -74,7 +74,7 @@
 }
 
 // found are which of the names stand in a text as words, in any case.
-func found(names []string, text string) (found []string) {
+func namesIn(names []string, text string) (found []string) {
 	for _, name := range names {
 		if regexp.MustCompile(`(?i)\b` + regexp.QuoteMeta(name) + `\b`).MatchString(text) {
 			found = append(found, name)
@@ -120,29 +120,29 @@
 	for _, file := range files {
 		raw, err := os.ReadFile(filepath.Join(root, file))
 		require.NoError(t, err)
-		names := slices.Clone(knownNames)
+		names := slices.Clone(deploymentNames)
 		for site, own := range of {
 			if site != file {
 				names = append(names, own...)
 			}
 		}
 		var listed []string
-		for _, d := range data {
+		for _, d := range allowedNames {
 			if d.file == file {
 				listed = d.names
 			}
 		}
-		require.ElementsMatch(t, listed, found(names, string(raw)), file)
+		require.ElementsMatch(t, listed, namesIn(names, string(raw)), file)
 	}
-	for _, pkg := range shipped(t) {
-		for _, d := range data {
+	for _, pkg := range shippedPackages(t) {
+		for _, d := range allowedNames {
 			require.NotEqual(t, path.Dir(d.file), pkg, "%s is in a program that ships", d.file)
 		}
 	}
 }
 
 // shipped are the folders of this module's packages of which the agent and the simulator's adapter are built.
-func shipped(t *testing.T) (folders []string) {
+func shippedPackages(t *testing.T) (folders []string) {
 	out, err := exec.Command("go", "list", "-deps", "dunestep/cmd/dunestep", "dunestep/cmd/benchlink").Output()
 	require.NoError(t, err)
 	for _, pkg := range strings.Fields(string(out)) {
--- a/cmd/dunestep/ops_test.go
+++ b/cmd/dunestep/ops_test.go
@@ -90,7 +90,7 @@
 }
 
 // Without an address there is no door; a malformed one ends the start.
-func TestWithoutOpsSocket(t *testing.T) {
+func TestMalformedOpsAddressEndsStart(t *testing.T) {
 	w := newTestbed(t, 1)
 	w.opsAddr = "nowhere"
 	w.launch()
@@ -135,7 +135,7 @@
 }
 
 // The figures are what those round the program saw, with failures, rejections, resets and clients that leave.
-func TestMetrics(t *testing.T) {
+func TestStatsMatchObservedTraffic(t *testing.T) {
 	w := start(t, 2, door, (*testbed).useLongTimeouts)
 	zero := w.stats()
 	require.Equal(t, []any{0, 0, 2, 0}, []any{zero.Tries, zero.Active, zero.Size, zero.Ejected})
@@ -211,7 +211,7 @@
 }
 
 // asked is an answer's status, and whether it closes its connection.
-func (w *testbed) asked() []any {
+func (w *testbed) sendForClose() []any {
 	resp, err := http.DefaultClient.Do(w.request("consult", 900))
 	require.NoError(w.t, err)
 	_ = resp.Body.Close()
@@ -229,7 +229,7 @@
 	for range 2 {
 		w.yes("POST", "/ops/drain/start", "")
 		require.Equal(t, 503, w.readyStatus())
-		require.Equal(t, []any{200, true}, w.asked(), "who comes all the same is served, once")
+		require.Equal(t, []any{200, true}, w.sendForClose(), "who comes all the same is served, once")
 	}
 	for _, c := range []net.Conn{idle, silent} {
 		_ = c.SetReadDeadline(time.Now().Add(waitTimeout))
@@ -238,6 +238,6 @@
 	}
 	w.yes("POST", "/ops/drain/stop", "")
 	require.Equal(t, 200, w.readyStatus())
-	require.Equal(t, []any{200, false}, w.asked())
+	require.Equal(t, []any{200, false}, w.sendForClose())
 	w.yes("POST", "/ops/drain/start", "") // and SIGTERM comes while drained
 }
--- a/cmd/dunestep/overload_test.go
+++ b/cmd/dunestep/overload_test.go
@@ -18,13 +18,13 @@
 )
 
 // stream asks at an even pace, each time for another chair, and counts what came of it.
-type stream struct {
-	asked, served, busy atomic.Int64
-	stop                func()
+type requestStream struct {
+	sent, served, rejected atomic.Int64
+	stop                   func()
 }
 
-func (w *testbed) stream(every time.Duration) *stream {
-	s := &stream{}
+func (w *testbed) startStream(every time.Duration) *requestStream {
+	s := &requestStream{}
 	quit := make(chan struct{})
 	var clients sync.WaitGroup
 	clients.Go(func() {
@@ -37,7 +37,7 @@
 			}
 			clients.Go(func() {
 				r := w.request("consult", 900)
-				r.Header.Set("Cookie", fmt.Sprint("sid=", s.asked.Add(1)))
+				r.Header.Set("Cookie", fmt.Sprint("sid=", s.sent.Add(1)))
 				resp, err := http.DefaultClient.Do(r)
 				if err != nil {
 					return
@@ -48,7 +48,7 @@
 				case http.StatusOK:
 					s.served.Add(1)
 				case http.StatusServiceUnavailable:
-					s.busy.Add(1)
+					s.rejected.Add(1)
 				}
 			})
 		}
@@ -67,23 +67,23 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := start(t, 4)
-			s := w.stream(8 * time.Millisecond)
+			s := w.startStream(8 * time.Millisecond)
 			defer s.stop()
 			w.until("served", func() bool { return s.served.Load() > 200 })
 			w.answerAll(fault)
 			w.until("seen", func() bool { return strings.Contains(w.log.String(), "nothing was served") })
-			asked, steps := s.asked.Load(), w.attemptCount()
-			w.until("goes on", func() bool { return s.asked.Load() > asked+300 })
-			require.Less(t, float64(w.attemptCount()-steps), 0.5*float64(s.asked.Load()-asked))
+			asked, steps := s.sent.Load(), w.attemptCount()
+			w.until("goes on", func() bool { return s.sent.Load() > asked+300 })
+			require.Less(t, float64(w.attemptCount()-steps), 0.5*float64(s.sent.Load()-asked))
 			for _, b := range w.servers {
 				b.setAnswer(ok)
 				b.closeConnections() // a request that was never answered stays in the way of the next one
 			}
 			w.until("said", func() bool { return strings.Contains(w.log.String(), "served again") })
 			w.until("served", func() bool {
-				asked, served := s.asked.Load(), s.served.Load()
+				asked, served := s.sent.Load(), s.served.Load()
 				time.Sleep(300 * time.Millisecond)
-				return float64(s.served.Load()-served) > 0.95*float64(s.asked.Load()-asked)
+				return float64(s.served.Load()-served) > 0.95*float64(s.sent.Load()-asked)
 			})
 			w.until("over", func() bool { return strings.Contains(w.log.String(), "outage over") })
 		})
@@ -92,7 +92,7 @@
 
 // A tenant beyond its share is told so by 429, others by 503; both when to come back, in seconds that differ;
 // and how much the share is, where the operator wants it.
-func TestRejectionsTellClients(t *testing.T) {
+func TestRejectionStatusAndRetryAfter(t *testing.T) {
 	w := start(t, 1, func(w *testbed) {
 		w.operatorFile = "[storm]\nrate_limit_fields = true\n"
 		w.config["settings"].(object)["customers"] = []object{
--- a/cmd/dunestep/policyfaults_test.go
+++ b/cmd/dunestep/policyfaults_test.go
@@ -28,7 +28,7 @@
 }
 
 // With nothing wrong, two changes: the judge sees each version at the agents.
-func TestPolicyWitnessed(t *testing.T) {
+func TestPolicyVersionsObserved(t *testing.T) {
 	w := newObservedLab(t, 5, inMemory, nil)
 	for _, mark := range []int{4, 3} {
 		text, err := w.propose(w.lab.Agent(mark%5), mark)
@@ -40,23 +40,23 @@
 }
 
 // later is what a command says in the end.
-type later struct {
+type commandResult struct {
 	text string
 	err  error
 }
 
 // start proposes in the background.
-func (w *policyObserver) start(a *lab.Agent, mark int, args ...string) <-chan later {
-	done := make(chan later, 1)
+func (w *policyObserver) proposeInBackground(a *lab.Agent, mark int, args ...string) <-chan commandResult {
+	done := make(chan commandResult, 1)
 	w.wait.Go(func() {
 		text, err := w.propose(a, mark, args...)
-		done <- later{text, err}
+		done <- commandResult{text, err}
 	})
 	return done
 }
 
 // settled makes the same call again until it is known what became of it, and then once more: it changes once.
-func (w *policyObserver) settled(a *lab.Agent, mark int) (taken bool) {
+func (w *policyObserver) awaitOutcome(a *lab.Agent, mark int) (taken bool) {
 	w.t.Helper()
 	text := ""
 	require.NoError(w.t, w.lab.Wait(w.t.Context(), "the call is settled", func() bool {
@@ -71,7 +71,7 @@
 }
 
 // opened waits until an agent knows of a change that is open.
-func (w *policyObserver) opened(a *lab.Agent) {
+func (w *policyObserver) awaitOpenChange(a *lab.Agent) {
 	w.t.Helper()
 	require.NoError(w.t, w.lab.Wait(w.t.Context(), "a change is open", func() bool {
 		s, ok := policiesAt(a)
@@ -88,7 +88,7 @@
 )
 
 // end has whatever became of a mark hold at all, and judges.
-func (w *policyObserver) end(mark int, as acceptance) {
+func (w *policyObserver) finish(mark int, as acceptance) {
 	w.t.Helper()
 	if as == rejected {
 		mark = initialMaxAttempts
@@ -115,8 +115,8 @@
 			for _, n := range step.still {
 				w.lab.Agent(n).Pause()
 			}
-			said := w.start(other, 4)
-			if w.opened(other); step.activated {
+			said := w.proposeInBackground(other, 4)
+			if w.awaitOpenChange(other); step.activated {
 				require.NoError(t, w.lab.Wait(t.Context(), "it is activated", func() bool {
 					s, ok := policiesAt(w.lab.Agent(3))
 					return ok && s.InForce.Number > 0
@@ -128,9 +128,9 @@
 			}
 			first := <-said
 			require.NoError(t, led.Start(t.Context()))
-			taken := w.settled(other, 4)
+			taken := w.awaitOutcome(other, 4)
 			require.True(t, taken || !step.activated, first.text)
-			w.end(4, acceptance(taken))
+			w.finish(4, acceptance(taken))
 		})
 	}
 }
@@ -149,17 +149,17 @@
 	require.ErrorContains(t, err, "exit status", text)
 	require.NoError(t, w.lab.StartAll(ctx))
 	require.NoError(t, w.lab.Wait(ctx, "leases again", all(w.lab, full)))
-	if taken := w.settled(w.lab.Agent(3), 4); taken {
+	if taken := w.awaitOutcome(w.lab.Agent(3), 4); taken {
 		w.awaitInForce(4)
 	}
 	text, err = w.propose(w.lab.Agent(0), 3)
 	require.NoError(t, err, text)
-	w.end(3, accepted)
+	w.finish(3, accepted)
 }
 
 // All processes are killed at once. With folders the policy that held is the first that they act on again; without, the log
 // begins anew and the settings hold.
-func TestPolicyAllKilled(t *testing.T) {
+func TestPolicyAfterAllAgentsKilled(t *testing.T) {
 	t.Parallel()
 	for _, keeps := range []durability{inFolders, inMemory} {
 		t.Run(fmt.Sprint("folders ", keeps), func(t *testing.T) {
@@ -174,7 +174,7 @@
 			require.NoError(t, w.lab.StartAll(t.Context()))
 			require.NoError(t, w.lab.Wait(t.Context(), "leases again", all(w.lab, full)))
 			if keeps == inFolders {
-				w.end(4, accepted)
+				w.finish(4, accepted)
 				return
 			}
 			w.awaitInForce(initialMaxAttempts)
@@ -185,27 +185,27 @@
 }
 
 // All agents are restarted, one after the other, while two changes are made; voters keep nothing.
-func TestPolicyRoll(t *testing.T) {
+func TestPolicyDuringRollingRestart(t *testing.T) {
 	w := newObservedLab(t, 7, inMemory, nil)
-	said := w.start(w.lab.Agent(6), 4)
+	said := w.proposeInBackground(w.lab.Agent(6), 4)
 	for _, a := range w.lab.Agents() {
 		if a.Number == 4 { // half way
 			first := <-said
-			require.True(t, w.settled(w.lab.Agent(0), 4), first.text)
-			said = w.start(w.lab.Agent(0), 3)
+			require.True(t, w.awaitOutcome(w.lab.Agent(0), 4), first.text)
+			said = w.proposeInBackground(w.lab.Agent(0), 3)
 		}
 		a.Drain()
 		require.NoError(t, w.lab.Wait(t.Context(), a.Name+" has ended", func() bool { return !a.Runs() }))
 		require.NoError(t, a.Start(t.Context()))
 	}
 	second := <-said
-	require.True(t, w.settled(w.lab.Agent(1), 3), second.text)
-	w.end(3, accepted)
+	require.True(t, w.awaitOutcome(w.lab.Agent(1), 3), second.text)
+	w.finish(3, accepted)
 }
 
 // An agent stands still across an activation, with a request in hand whose next attempt is due meanwhile and permitted by
 // the former version alone: what it does when it wakes goes by the floor or by the new version.
-func TestPolicyPausedWithRequests(t *testing.T) {
+func TestPolicyAfterPauseWithPendingRequest(t *testing.T) {
 	w := newObservedLab(t, 5, inMemory, nil)
 	paused := w.lab.Agent(4)
 	w.startPendingRequest(t.Context(), paused)
@@ -222,7 +222,7 @@
 	paused.Resume()
 	w.awaitMoreRequests()
 	heal()
-	w.end(4, accepted)
+	w.finish(4, accepted)
 	i := slices.IndexFunc(w.finished, func(s observedRequest) bool { return s.wasPending })
 	require.GreaterOrEqual(t, i, 0)
 	s := w.finished[i]
@@ -232,7 +232,7 @@
 }
 
 // With three datagrams in ten lost, two doubled and two held back by up to two seconds, changes end and hold.
-func TestPolicyLossy(t *testing.T) {
+func TestPolicyUnderDatagramLoss(t *testing.T) {
 	w := newObservedLab(t, 5, inMemory, nil)
 	_, err := w.lab.Spoil(mishap.Fault{Way: mishap.Way{
 		Loss: 0.3, Double: 0.2, Reorder: 0.2,
@@ -241,32 +241,32 @@
 	require.NoError(t, err)
 	taken := 0
 	for _, mark := range []int{4, 3} {
-		if w.settled(w.lab.Agent(mark), mark) {
+		if w.awaitOutcome(w.lab.Agent(mark), mark) {
 			taken = mark
 			w.awaitInForce(mark)
 		}
 	}
 	require.NotZero(t, taken, "neither of the two")
-	w.end(taken, accepted)
+	w.finish(taken, accepted)
 }
 
 // Of two changes that are open at once the first one holds and the other is told why it does not.
-func TestPolicyTwoAtOnce(t *testing.T) {
+func TestPolicyConcurrentProposals(t *testing.T) {
 	w := newObservedLab(t, 5, inMemory, nil)
 	w.lab.Agent(4).Pause() // so that the first stays open until its lease is over
-	said := w.start(w.lab.Agent(0), 4)
-	w.opened(w.lab.Agent(1))
+	said := w.proposeInBackground(w.lab.Agent(0), 4)
+	w.awaitOpenChange(w.lab.Agent(1))
 	text, err := w.propose(w.lab.Agent(1), 3)
 	require.Error(t, err, text)
 	require.Contains(t, text, "not taken: another change, version 1, is open")
 	w.lab.Agent(4).Resume()
 	first := <-said
 	require.NoError(t, first.err, first.text)
-	w.end(4, accepted)
+	w.finish(4, accepted)
 }
 
 // The way from the leader to all others is cut, or the way back, while a change is open: another one leads, and it ends.
-func TestPolicyOneWay(t *testing.T) {
+func TestPolicyOneWayPartition(t *testing.T) {
 	t.Parallel()
 	for _, back := range []bool{false, true} {
 		t.Run(fmt.Sprint("back ", back), func(t *testing.T) {
@@ -275,8 +275,8 @@
 			require.NotNil(t, led)
 			other := w.lab.Agent((led.Number + 1) % 3)
 			w.lab.Agent(4).Pause()
-			said := w.start(other, 4)
-			w.opened(other)
+			said := w.proposeInBackground(other, 4)
+			w.awaitOpenChange(other)
 			f := mishap.Fault{From: []int{led.Number}, Way: mishap.Way{Cut: true}}
 			if back {
 				f = mishap.Fault{To: []int{led.Number}, Way: mishap.Way{Cut: true}}
@@ -295,14 +295,14 @@
 			first := <-said
 			heal()
 			t.Log(first.text)
-			w.end(4, acceptance(w.settled(other, 4)))
+			w.finish(4, acceptance(w.awaitOutcome(other, 4)))
 		})
 	}
 }
 
 // Two of five are cut off with one voter: what is proposed among them is agreed nowhere, what the others agree on holds
 // there, and at all once they are back; those that are cut off act within the floor by then.
-func TestPolicySmallerHalf(t *testing.T) {
+func TestPolicyMinorityPartition(t *testing.T) {
 	w := newObservedLab(t, 5, inMemory, nil)
 	apart, rest := []int{0, 3}, []int{1, 2, 4}
 	var heal []func()
@@ -314,8 +314,8 @@
 		require.NoError(t, err)
 		heal = append(heal, end)
 	}
-	said := w.start(w.lab.Agent(3), 4, "--wait", "4s")
-	require.True(t, w.settled(w.lab.Agent(4), 3))
+	said := w.proposeInBackground(w.lab.Agent(3), 4, "--wait", "4s")
+	require.True(t, w.awaitOutcome(w.lab.Agent(4), 3))
 	for _, n := range rest {
 		s, ok := policiesAt(w.lab.Agent(n))
 		require.True(t, ok && s.InForce.ProposalID == "attempts-3", "%+v", s)
@@ -326,15 +326,15 @@
 	}
 	first := <-said
 	require.Error(t, first.err, first.text)
-	if w.settled(w.lab.Agent(3), 4) { // asked again, it is made from what is in force by now
-		w.end(4, accepted)
+	if w.awaitOutcome(w.lab.Agent(3), 4) { // asked again, it is made from what is in force by now
+		w.finish(4, accepted)
 		return
 	}
-	w.end(3, accepted)
+	w.finish(3, accepted)
 }
 
 // damaged does something to a voter's store.
-var damaged = map[string]func([]byte) []byte{
+var storeDamage = map[string]func([]byte) []byte{
 	"torn":         func(b []byte) []byte { return b[:len(b)-len(b)/3] },
 	"other build":  func(b []byte) []byte { return append([]byte("fleet of an older build"), b[23:]...) },
 	"not a record": func(b []byte) []byte { clear(b[40:300]); return b },
@@ -342,9 +342,9 @@
 
 // A voter's store is torn, or not of this build: it starts, serves and follows, goes by what is agreed and says what is
 // wrong; the others go on. With its folder emptied it is a voter again, a new one.
-func TestPolicyVoterStore(t *testing.T) {
+func TestPolicyDamagedVoterStore(t *testing.T) {
 	t.Parallel()
-	for name, damage := range damaged {
+	for name, damage := range storeDamage {
 		t.Run(name, func(t *testing.T) {
 			folder := ""
 			w := newObservedLab(t, 5, inFolders, func(c *lab.Config) {
@@ -367,7 +367,7 @@
 			require.NoError(t, hurt.Start(ctx))
 			require.True(t, hurt.Said("the voter's store cannot be used"))
 			require.Nil(t, statusAt(hurt).Voter)
-			require.True(t, w.settled(hurt, 3))
+			require.True(t, w.awaitOutcome(hurt, 3))
 			w.awaitInForce(3)
 			hurt.Kill()
 			require.NoError(t, os.RemoveAll(folder))
@@ -376,7 +376,7 @@
 				v := statusAt(hurt).Voter
 				return v != nil && (v.Phase == "voting" || v.Phase == "leading")
 			}))
-			w.end(3, accepted)
+			w.finish(3, accepted)
 		})
 	}
 }
@@ -417,9 +417,9 @@
 	require.Empty(t, l.EndAll())
 }
 
-// smallDisk has a program run with a folder of its own on a disk of 1 MB, which is gone with it; false: this machine does not
+// wrapWithSmallDisk has a program run with a folder of its own on a disk of 1 MB, which is gone with it; false: this machine does not
 // let one be made.
-func smallDisk(t *testing.T, program, folder string) (wrapped string, ok bool) {
+func wrapWithSmallDisk(t *testing.T, program, folder string) (wrapped string, ok bool) {
 	script := filepath.Join(t.TempDir(), "small")
 	text := fmt.Sprintf("#!/bin/sh\nexec unshare -rm sh -c 'mount -t tmpfs -o size=1m none %s && exec \"$0\" \"$@\"' \"%s\" \"$@\"\n",
 		folder, program)
@@ -431,13 +431,13 @@
 // wrong. Started with a new disk it is a voter again.
 func TestPolicyDiskFull(t *testing.T) {
 	folders := t.TempDir()
-	if _, ok := smallDisk(t, "true", voterFolder(t, folders, 0)); !ok {
+	if _, ok := wrapWithSmallDisk(t, "true", voterFolder(t, folders, 0)); !ok {
 		t.Skip("no disk of a size can be made here")
 	}
 	w := newObservedLab(t, 5, inMemory, func(c *lab.Config) {
 		if c.Agent < 3 {
 			folder := voterFolder(t, folders, c.Agent)
-			c.Program, _ = smallDisk(t, c.Program, folder)
+			c.Program, _ = wrapWithSmallDisk(t, c.Program, folder)
 			c.Operator = strings.Replace(c.Operator, "[storm]", fmt.Sprintf("folder = %q\n[storm]", folder), 1)
 		}
 	})
@@ -480,11 +480,11 @@
 		v := statusAt(led).Voter
 		return v != nil && (v.Phase == "voting" || v.Phase == "leading")
 	}))
-	w.end(4, accepted)
+	w.finish(4, accepted)
 }
 
-// withoutWindows is a commit whose build has policies and knows neither contracts nor windows.
-const withoutWindows = "455e822"
+// commitWithoutWindows is a commit whose build has policies and knows neither contracts nor windows.
+const commitWithoutWindows = "455e822"
 
 // Half of the agents, a voter among them, are of an earlier build, the others have maintenance windows on: they agree on
 // what both can read, each decision judged, and what the earlier build can't read holds nowhere, with its reason.
@@ -493,7 +493,7 @@
 	if os.Getenv("LONG_TESTS") == "" {
 		t.Skip("LONG_TESTS is not set")
 	}
-	earlier := buildOfCommit(t, withoutWindows)
+	earlier := buildOfCommit(t, commitWithoutWindows)
 	w := newObservedLab(t, 6, inMemory, func(c *lab.Config) {
 		if c.Agent%2 == 1 {
 			c.Program = earlier
@@ -515,5 +515,5 @@
 	led := leader(w.lab)
 	led.Kill()
 	require.NoError(t, led.Start(t.Context()))
-	w.end(3, accepted)
+	w.finish(3, accepted)
 }
--- a/cmd/dunestep/requests_test.go
+++ b/cmd/dunestep/requests_test.go
@@ -42,7 +42,7 @@
 
 // What an endpoint does, and what it means: PROTOCOL's table of outcomes. The first step of a request
 // meets it, a further one is served. An unsafe request goes out again only where it cannot have run.
-func TestOutcomes(t *testing.T) {
+func TestUpstreamOutcomes(t *testing.T) {
 	t.Parallel()
 	long := strings.Repeat("x", 64<<10)
 	longest := strings.Repeat("x", 4<<20)
@@ -100,7 +100,7 @@
 
 // No answer is another request's: what comes beyond an answer, at once or later, is never
 // taken for the next one, and the connection is not used again.
-func TestMoreThanTheAnswer(t *testing.T) {
+func TestBytesAfterResponseAreDiscarded(t *testing.T) {
 	w := start(t, 1, func(w *testbed) { w.config["limits"].(object)["cores"] = 8 }) // so that all orders occur
 	stale := reply("200 OK", "stale")
 	for _, extra := range []string{stale, "noise", "HTTP/1.1 100 Continue\r\n\r\n", stale + stale} {
@@ -137,7 +137,7 @@
 
 // An unsafe request does not fail because an endpoint cannot be reached, nor because of a new
 // connection that never comes up being waited for longer than the settings say.
-func TestUnreachableNeverRan(t *testing.T) {
+func TestUnreachableEndpointIsRetried(t *testing.T) {
 	w := start(t, 2)
 	w.servers[0].stop()
 	for i := range 20 {
@@ -148,7 +148,7 @@
 }
 
 // Silence of an endpoint ends before the client gives up, and no answer is held back.
-func TestSilenceIsAnsweredInTime(t *testing.T) {
+func TestSilentEndpointIsAnsweredInTime(t *testing.T) {
 	t.Parallel()
 	for class, status := range map[string]int{"consult": 503, "rezervare": 502} {
 		t.Run(class, func(t *testing.T) {
@@ -169,7 +169,7 @@
 }
 
 // The time that a slow client needs to send does not count as its request's time, which counts from the last byte.
-func TestTimeLeftCountsFromTheLastByte(t *testing.T) {
+func TestTimeLeftCountsFromLastRequestByte(t *testing.T) {
 	w := start(t, 1, (*testbed).useLongTimeouts)
 	w.answerAll(func(upstreamAttempt) string { return silence })
 	r := w.request("rezervare", 800)
@@ -189,7 +189,7 @@
 
 // There is no work for clients that have gone: their requests are not tried again. The POST shows that
 // the leaving is noticed after a body too.
-func TestClientGone(t *testing.T) {
+func TestNoRetryAfterClientDisconnects(t *testing.T) {
 	w := start(t, 3, (*testbed).useLongTimeouts) // no answer comes before the leaving is noticed
 	for _, head := range []string{"GET /consult HTTP/1.1\r\n", "POST /consult HTTP/1.1\r\nContent-Length: 4\r\n"} {
 		in, out := make(chan struct{}), make(chan struct{})
@@ -245,7 +245,7 @@
 }
 
 // The end of an idle connection is noticed while it is idle: a write to it would be a reset.
-func TestIdleConnectionThatEnds(t *testing.T) {
+func TestIdleConnectionCloseIsDetected(t *testing.T) {
 	w := start(t, 1)
 	w.until("watch", func() bool { return w.discovery.watched() == 1 })
 	before := w.descriptors()
@@ -257,7 +257,7 @@
 }
 
 // A connection that the other machine is about to close for its idleness is not used.
-func TestIdleConnectionIsDroppedEarly(t *testing.T) {
+func TestIdleConnectionIsClosedBeforeEndpointDoes(t *testing.T) {
 	w := start(t, 1, func(w *testbed) {
 		w.config["settings"].(object)["bounds"].(object)["connIdle"] = 1000000
 	})
@@ -268,7 +268,7 @@
 
 // Idle connections may be forgotten on the way long before the settings say, of which only the
 // loss of the next attempt tells: after a few losses they are not used again.
-func TestForgottenIdleConnections(t *testing.T) {
+func TestSilentlyDroppedIdleConnections(t *testing.T) {
 	w := start(t, 1, func(w *testbed) { w.servers[0].idleTimeout = 20 * time.Millisecond })
 	lost := 0
 	for i := range 60 {
@@ -285,7 +285,7 @@
 // The process does not run out of descriptors: listening socket and upstream connections share what there is, and
 // A machine that was cut off for a while leaves its connections open and silent: one that gives no answer speaks
 // for those that have not been used since.
-func TestSilentConnectionsAreGivenUpTogether(t *testing.T) {
+func TestSilentConnectionsAreClosedTogether(t *testing.T) {
 	w := start(t, 1)
 	s := w.servers[0]
 	together := make(chan bool)
@@ -341,7 +341,7 @@
 
 // Idle clients give way to others: those that ask once and stay, and those that connect and send nothing, also on the
 // other socket.
-func TestIdleClientsGiveWay(t *testing.T) {
+func TestIdleClientsAreClosedForNewOnes(t *testing.T) {
 	w := start(t, 1, withGraphQL(), func(w *testbed) { w.config["limits"].(object)["sockets"] = 64 })
 	const live = "GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n"
 	for _, c := range []struct{ text, addr string }{{live, w.addr}, {"", w.addr}, {live, w.graphQLAddr}, {"", w.graphQLAddr}} {
@@ -407,7 +407,7 @@
 }
 
 // No request can hide in the body of another, which whoever reads the other length would pass on.
-func TestTwoLengths(t *testing.T) {
+func TestConflictingBodyLengthsAreRejected(t *testing.T) {
 	w := start(t, 1)
 	const hidden = "GET /consult HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: 00000000000000ab\r\nX-Time-Left-Ms: 900\r\n\r\n"
 	head := "POST /consult HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: 00000000000000aa\r\nX-Time-Left-Ms: 900\r\n"
--- a/cmd/dunestep/restart_test.go
+++ b/cmd/dunestep/restart_test.go
@@ -32,7 +32,7 @@
 }
 
 // often is how often a test repeats what takes its time: few, or as often as RESTART_RUNS says.
-func often(few int) int {
+func repeatCount(few int) int {
 	if n, err := strconv.Atoi(os.Getenv("RESTART_RUNS")); err == nil {
 		return n
 	}
@@ -46,13 +46,15 @@
 }
 
 // service is how many of the requests of a class were served within the aim.
-type service struct{ asked, served atomic.Int64 }
+type serviceCount struct{ sent, served atomic.Int64 }
 
-func (s *service) share() float64 { return float64(s.served.Load()) / float64(max(s.asked.Load(), 1)) }
+func (s *serviceCount) servedFraction() float64 {
+	return float64(s.served.Load()) / float64(max(s.sent.Load(), 1))
+}
 
 // offer sends 60 requests a second, seven of ten safe ones, and returns the services of both classes.
-func (w *testbed) offer(lasts time.Duration) (safe, unsafe *service) {
-	safe, unsafe = &service{}, &service{}
+func (w *testbed) offer(lasts time.Duration) (safe, unsafe *serviceCount) {
+	safe, unsafe = &serviceCount{}, &serviceCount{}
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}, Timeout: 3 * time.Second}
 	defer client.CloseIdleConnections()
 	var wait sync.WaitGroup
@@ -64,7 +66,7 @@
 		}
 		r := w.request(class, 900)
 		r.Header.Set("Cookie", fmt.Sprintf("sid=k%d", n%97))
-		count.asked.Add(1)
+		count.sent.Add(1)
 		wait.Go(func() {
 			sent := time.Now()
 			resp, err := client.Do(r)
@@ -83,8 +85,8 @@
 	return safe, unsafe
 }
 
-// neverUp has connections to the server never come up: what listens there takes none.
-func (s *server) neverUp(t *testing.T) {
+// fillBacklog has connections to the server never come up: what listens there takes none.
+func (s *server) fillBacklog(t *testing.T) {
 	require.NoError(t, s.socket.Mute())
 	s.socket.HangUp()
 	for up := true; up; { // until its queue is full
@@ -102,12 +104,12 @@
 	for name, die := range map[string]func(*testing.T, *server){
 		"silent":        func(_ *testing.T, s *server) { s.setAnswer(func(upstreamAttempt) string { return silence }) },
 		"not listening": func(_ *testing.T, s *server) { s.stop() },
-		"never up":      func(t *testing.T, s *server) { s.neverUp(t) },
+		"never up":      func(t *testing.T, s *server) { s.fillBacklog(t) },
 		"another program": func(_ *testing.T, s *server) {
 			s.setAnswer(func(upstreamAttempt) string { return reply("404 Not Found", "there is no such page") })
 		},
 	} {
-		for run := range often(1) {
+		for run := range repeatCount(1) {
 			t.Run(fmt.Sprint(name, " ", run), func(t *testing.T) {
 				w := newTestbed(t, 10)
 				w.answerAll(busy)
@@ -123,13 +125,13 @@
 				w.operatorFile = "[state]\nprove_list = " + strconv.FormatBool(os.Getenv("RESTART_UNPROVED") == "")
 				w.start()
 				lasts := 3 * time.Second
-				if often(1) > 1 {
+				if repeatCount(1) > 1 {
 					lasts = 10 * time.Second
 				}
 				safe, unsafe := w.offer(lasts)
-				t.Logf("%s: consult %.4f rezervare %.4f", name, safe.share(), unsafe.share())
+				t.Logf("%s: consult %.4f rezervare %.4f", name, safe.servedFraction(), unsafe.servedFraction())
 				if os.Getenv("RESTART_UNPROVED") == "" {
-					require.Greater(t, min(safe.share(), unsafe.share()), 0.9)
+					require.Greater(t, min(safe.servedFraction(), unsafe.servedFraction()), 0.9)
 				}
 				require.Contains(t, w.log.String(), "discovery not reachable since the start")
 
@@ -181,7 +183,7 @@
 }
 
 // beside starts another agent with the same operator file, and returns its log and what ends it.
-func (w *testbed) beside() (log *logBuffer, end func()) {
+func (w *testbed) startSecondAgent() (log *logBuffer, end func()) {
 	free, err := net.Listen("tcp", w.addr[:strings.LastIndex(w.addr, ":")]+":0")
 	require.NoError(w.t, err)
 	config := maps.Clone(w.config)
@@ -220,7 +222,7 @@
 	w.offer(2 * time.Second)
 	w.until("down", func() bool { return strings.Contains(w.log.String(), "server s-0 ejected") })
 
-	log, end := w.beside()
+	log, end := w.startSecondAgent()
 	w.until("the other one serves", func() bool { return strings.Contains(log.String(), "serving name=n1") })
 	require.Contains(t, log.String(), "in use by another agent")
 	end()
@@ -242,8 +244,8 @@
 		return strings.HasSuffix(calls[len(calls)-1], "from=77")
 	})
 	safe, unsafe := w.offer(2 * time.Second)
-	require.InDelta(t, 1.0, unsafe.share(), 0)
-	require.Greater(t, safe.share(), 0.97)
+	require.InDelta(t, 1.0, unsafe.servedFraction(), 0)
+	require.Greater(t, safe.servedFraction(), 0.97)
 	require.Less(t, len(w.servers[0].attempts())-silent, 6, "trials only")
 	require.Zero(t, w.stop())
 
@@ -259,12 +261,12 @@
 }
 
 // Killed again and again, also within the write at the end: every start finds a whole file.
-func TestKilledWithState(t *testing.T) {
+func TestKillLeavesReadableState(t *testing.T) {
 	w := newTestbed(t, 2)
 	path := w.keeping("")
 	w.start()
 	last := uint64(0)
-	for range often(12) {
+	for range repeatCount(12) {
 		require.Equal(t, 200, w.send("consult").status)
 		require.NoError(t, w.process.Process.Signal(syscall.SIGTERM))
 		time.Sleep(rand.N(8 * time.Millisecond))
--- a/cmd/dunestep/ring_test.go
+++ b/cmd/dunestep/ring_test.go
@@ -17,8 +17,8 @@
 	"dunestep/internal/standin"
 )
 
-// ringAt is a server in the generation that an agent knows.
-func ringAt(a *lab.Agent, id string) (s ringServer) {
+// ringServerAt is a server in the generation that an agent knows.
+func ringServerAt(a *lab.Agent, id string) (s ringServer) {
 	if r := statusAt(a).Ring; r != nil {
 		for _, one := range r.Servers {
 			if one.ID == id {
@@ -31,7 +31,7 @@
 
 // A server that joins gets its points bit by bit, the same at all agents; one that comes and goes in discovery's list
 // loses its keys once, and gets none of them while it does, though the list has it.
-func TestRing(t *testing.T) {
+func TestRingServerJoinsAndFlaps(t *testing.T) {
 	t.Parallel()
 	program, err := plainBinary()
 	require.NoError(t, err)
@@ -47,12 +47,12 @@
 	require.NoError(t, l.Wait(ctx, "all place by a generation", all(l, func(a *lab.Agent, s fleetStatus) bool {
 		return s.Ring != nil && s.Ring.Active > 0 && s.Ring.Active == statusAt(l.Agent(0)).Ring.Active
 	})))
-	full := ringAt(l.Agent(0), "s-0").Points
+	full := ringServerAt(l.Agent(0), "s-0").Points
 	require.Positive(t, full)
 	l.List(3, "active")
 	grown := map[int]bool{}
 	require.NoError(t, l.Wait(ctx, "it grows", func() bool {
-		now := ringAt(l.Agent(4), "s-3").Points
+		now := ringServerAt(l.Agent(4), "s-3").Points
 		grown[now] = true
 		return now >= full // a busy machine's looks miss some
 	}))
@@ -77,12 +77,12 @@
 	for range 3 {
 		l.List(3, "left")
 		require.NoError(t, l.Wait(ctx, "it has no keys anywhere", all(l, func(a *lab.Agent, s fleetStatus) bool {
-			return s.Ring.Active == s.Ring.Generation && ringAt(a, "s-3").Points == 0
+			return s.Ring.Active == s.Ring.Generation && ringServerAt(a, "s-3").Points == 0
 		})))
 		l.List(3, "active")
 		for _, a := range l.Agents() {
 			there := asked(a, its)
-			if ringAt(a, "s-3").Points == 0 { // it was not back meanwhile
+			if ringServerAt(a, "s-3").Points == 0 { // it was not back meanwhile
 				require.Empty(t, there, "it is listed again")
 				held++
 			}
@@ -97,20 +97,20 @@
 	require.Empty(t, l.EndAll())
 }
 
-// emptyingContracts allow all windows, of requests of no tenant too.
-const emptyingContracts = "format = 1\n[contracts.east]\nzone = \"UTC\"\nhours = [\"mon-sun 00:00-24:00\"]\nkeep = 0.25\n" +
+// permissiveContracts allow all windows, of requests of no tenant too.
+const permissiveContracts = "format = 1\n[contracts.east]\nzone = \"UTC\"\nhours = [\"mon-sun 00:00-24:00\"]\nkeep = 0.25\n" +
 	"[contracts.-]\nzone = \"UTC\"\nhours = [\"mon-sun 00:00-24:00\"]\nkeep = 0.25\n[capacity]\nload = 0.2\n"
 
 // A server that a window has emptied is out of discovery's list, as is one in no window: the ring goes without that
 // one, and the other stays as it is. An agent that was cut off meanwhile, and has heard of nothing since, sends there
 // again when the window is over, as all others do.
-func TestRingInWindow(t *testing.T) {
+func TestRingDuringWindow(t *testing.T) {
 	t.Parallel()
 	program, err := plainBinary()
 	require.NoError(t, err)
 	set := lab.Deployment()
 	set.Tenants = []balancer.Tenant{{Name: "east", QuotaPerSecond: 1000, Share: 1}}
-	r := &windowRig{t: t}
+	r := &windowObserver{t: t}
 	r.Lab = lab.Open(t, lab.Options{
 		Agents: 5, Servers: 4, Program: program, Ops: true, Seed: 17, Settings: set,
 		Patience: 3 * time.Minute, Answer: func(s lab.Step) standin.Reply {
@@ -121,28 +121,28 @@
 	ctx := t.Context()
 	require.NoError(t, r.StartAll(ctx))
 	require.NoError(t, r.Wait(ctx, "leases", all(r.Lab, full)))
-	r.propose(emptyingContracts)
+	r.propose(permissiveContracts)
 	by := func(is func(a *lab.Agent) bool) func() bool {
 		return all(r.Lab, func(a *lab.Agent, s fleetStatus) bool { return s.Ring != nil && s.Ring.Active > 0 && is(a) })
 	}
 	require.NoError(t, r.Wait(ctx, "all are whole", by(func(a *lab.Agent) bool {
-		return ringAt(a, "s-0").Phase == "whole"
+		return ringServerAt(a, "s-0").Phase == "whole"
 	})))
-	text, err := r.ask(3, "w", "s-0", "+8s", "+32s", "--tenant", "-", "--pace", "1")
+	text, err := r.requestWindow(3, "w", "s-0", "+8s", "+32s", "--tenant", "-", "--pace", "1")
 	require.NoError(t, err, text)
-	w := r.until(0, "w", "drained", "free")
+	w := r.awaitState(0, "w", "drained", "free")
 	r.List(0, "left")
 	r.List(1, "left")
 	require.NoError(t, r.Wait(ctx, "the ring goes without the other", by(func(a *lab.Agent) bool {
-		return ringAt(a, "s-1").Points == 0
+		return ringServerAt(a, "s-1").Points == 0
 	})))
 	heal := r.cutOff(4)
 	defer heal()
 	r.List(0, "active")
 	require.Less(t, time.Now(), w.ReturnFrom, "too late to tell anything")
 	for _, a := range r.Agents() {
-		require.Equal(t, "whole", ringAt(a, "s-0").Phase)
-		require.Positive(t, ringAt(a, "s-0").Points)
+		require.Equal(t, "whole", ringServerAt(a, "s-0").Phase)
+		require.Positive(t, ringServerAt(a, "s-0").Points)
 	}
 	require.NoError(t, r.Wait(ctx, "the window is over", func() bool { return time.Now().After(w.To.Add(time.Second)) }))
 	for n, a := range r.Agents() {
@@ -161,7 +161,7 @@
 
 // Servers of one kind answer more slowly than their capacity says. While two agents tell so nothing changes, though
 // generations go on; when a third does the kinds' points differ by a tenth, at all agents. Long: LONG_TESTS.
-func TestRingPaces(t *testing.T) {
+func TestRingFollowsMeasuredPaces(t *testing.T) {
 	if os.Getenv("LONG_TESTS") == "" {
 		t.Skip("LONG_TESTS is not set")
 	}
--- a/cmd/dunestep/ringfaults_test.go
+++ b/cmd/dunestep/ringfaults_test.go
@@ -19,27 +19,27 @@
 	"dunestep/internal/rehearsal/scenario"
 )
 
-// ringRig is a fleet that places by generations, looked at all the while: of two agents that hold leases none may act
+// ringObserver is a fleet that places by generations, looked at all the while: of two agents that hold leases none may act
 // two generations behind what another acted on before, and a generation has the same points at all.
-type ringRig struct {
+type ringObserver struct {
 	*lab.Lab
-	t      *testing.T
-	mu     sync.Mutex
-	newest uint64                    // that an agent acted on
-	points map[uint64]map[string]int // of each generation
-	looks  int
-	wrong  []string
+	t            *testing.T
+	mu           sync.Mutex
+	newestActive uint64                    // that an agent acted on
+	points       map[uint64]map[string]int // of each generation
+	pollCount    int
+	violations   []string
 }
 
-// lookAtRing is the pause between two looks at an agent.
-const lookAtRing = 100 * time.Millisecond
+// ringPollInterval is the pause between two looks at an agent.
+const ringPollInterval = 100 * time.Millisecond
 
-func newRingRig(t *testing.T, o lab.Options, listed int) *ringRig {
+func newRingObserver(t *testing.T, o lab.Options, listed int) *ringObserver {
 	t.Helper()
 	t.Parallel()
 	program, err := plainBinary()
 	require.NoError(t, err)
-	r := &ringRig{t: t, points: map[uint64]map[string]int{}}
+	r := &ringObserver{t: t, points: map[uint64]map[string]int{}}
 	o.Program, o.Ops, o.Seed, o.Patience = program, true, 17, 3*time.Minute
 	o.Shape = func(c *lab.Config) {
 		c.Operator = "[fleet]\non = true\npolicy = true\nplacement = true\nvoters = [0, 1, 2]\nlease_ms = 2000\nheard_ms = 500\n"
@@ -58,17 +58,17 @@
 	for _, a := range r.Agents() {
 		wait.Go(func() {
 			for ctx.Err() == nil {
-				r.look(a)
-				time.Sleep(lookAtRing)
+				r.poll(a)
+				time.Sleep(ringPollInterval)
 			}
 		})
 	}
 	return r
 }
 
-func (r *ringRig) look(a *lab.Agent) {
+func (r *ringObserver) poll(a *lab.Agent) {
 	r.mu.Lock()
-	before := r.newest
+	before := r.newestActive
 	r.mu.Unlock()
 	s := statusAt(a)
 	r.mu.Lock()
@@ -81,26 +81,26 @@
 		points[one.ID] = one.Points
 	}
 	if known, is := r.points[s.Ring.Generation]; is && !maps.Equal(known, points) {
-		r.wrong = append(r.wrong, fmt.Sprintf("%s has %v in generation %d, another %v", a.Name, points, s.Ring.Generation, known))
+		r.violations = append(r.violations, fmt.Sprintf("%s has %v in generation %d, another %v", a.Name, points, s.Ring.Generation, known))
 	}
 	r.points[s.Ring.Generation] = points
 	if s.Standing != "full" || s.Ring.Active == 0 {
 		return
 	}
-	r.looks++
-	if r.newest = max(r.newest, s.Ring.Active); s.Ring.Active+1 < before {
-		r.wrong = append(r.wrong, fmt.Sprintf("%s acts on %d after another did on %d", a.Name, s.Ring.Active, before))
+	r.pollCount++
+	if r.newestActive = max(r.newestActive, s.Ring.Active); s.Ring.Active+1 < before {
+		r.violations = append(r.violations, fmt.Sprintf("%s acts on %d after another did on %d", a.Name, s.Ring.Active, before))
 	}
 }
 
 // pass lets time go by, as a script of faults has it.
-func (r *ringRig) pass(d time.Duration) {
+func (r *ringObserver) wait(d time.Duration) {
 	began := time.Now()
 	require.NoError(r.t, r.Wait(r.t.Context(), "time goes by", func() bool { return time.Since(began) >= d }))
 }
 
 // at is how many points a server has by what agent 0 knows; below zero: it is in no generation.
-func (r *ringRig) at(server int) int {
+func (r *ringObserver) pointsOf(server int) int {
 	if s := statusAt(r.Agent(0)); s.Ring != nil {
 		for _, one := range s.Ring.Servers {
 			if one.ID == fmt.Sprint("s-", server) {
@@ -111,13 +111,13 @@
 	return -1
 }
 
-func (r *ringRig) until(what string, is func() bool) {
+func (r *ringObserver) until(what string, is func() bool) {
 	r.t.Helper()
 	require.NoError(r.t, r.Wait(r.t.Context(), what, is))
 }
 
 // served asks each agent for some keys; each is served at once, or the second time that it is asked for.
-func (r *ringRig) served() {
+func (r *ringObserver) checkServed() {
 	for _, a := range r.Agents() {
 		for n := range 10 {
 			status, _, err := a.Ask(r.t.Context(), "consult", fmt.Sprint("k", n))
@@ -131,7 +131,7 @@
 }
 
 // end waits until all agents send each key to the same server, and judges what was seen.
-func (r *ringRig) end() {
+func (r *ringObserver) finish() {
 	r.t.Helper()
 	r.until("all agree", func() bool {
 		var first []string
@@ -150,38 +150,38 @@
 	})
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	require.Empty(r.t, r.wrong)
+	require.Empty(r.t, r.violations)
 	require.Greater(r.t, len(r.points), 1)
-	r.t.Logf("%d generations in %d looks", len(r.points), r.looks)
+	r.t.Logf("%d generations in %d looks", len(r.points), r.pollCount)
 }
 
 // Six in ten servers of two kinds are replaced within 7 s: those that came have points in the end, and those that went
 // none; agents agree.
-func TestRingServersReplaced(t *testing.T) {
+func TestRingReplacesServers(t *testing.T) {
 	kinds := slices.Repeat([]string{"rapid", "lent"}, 8)
-	r := newRingRig(t, lab.Options{Agents: 5, Servers: 16, Kinds: kinds}, 10)
+	r := newRingObserver(t, lab.Options{Agents: 5, Servers: 16, Kinds: kinds}, 10)
 	for n := range 6 {
 		r.List(10+n, "active")
 		r.List(n, "leaving")
-		r.pass(time.Second)
+		r.wait(time.Second)
 		r.List(n, "left")
-		r.served()
+		r.checkServed()
 	}
 	r.until("the new ones have all that the old ones had", func() bool {
 		for n := range 6 {
-			if r.at(n) > 0 || r.at(10+n) <= 0 {
+			if r.pointsOf(n) > 0 || r.pointsOf(10+n) <= 0 {
 				return false
 			}
 		}
 		return true
 	})
-	r.end()
+	r.finish()
 	require.Empty(t, r.EndAll())
 }
 
 // A zone is lost, its servers refusing and gone from the list, and is back cold: requests are served all the while.
-func TestRingZoneLost(t *testing.T) {
-	r := newRingRig(t, lab.Options{Agents: 5, Servers: 6, Zones: []string{"b", "b", "c", "c"}}, 6)
+func TestRingAfterZoneLoss(t *testing.T) {
+	r := newRingObserver(t, lab.Options{Agents: 5, Servers: 6, Zones: []string{"b", "b", "c", "c"}}, 6)
 	lost := []int{0, 1}
 	for _, n := range lost {
 		for _, a := range r.Agents() {
@@ -190,23 +190,23 @@
 		}
 		r.List(n, "left")
 	}
-	r.until("none of its servers has a point", func() bool { return r.at(0) <= 0 && r.at(1) <= 0 })
-	r.served()
+	r.until("none of its servers has a point", func() bool { return r.pointsOf(0) <= 0 && r.pointsOf(1) <= 0 })
+	r.checkServed()
 	for _, n := range lost {
 		for _, a := range r.Agents() {
 			require.NoError(t, a.Server(n).Accept())
 		}
 		r.List(n, "active")
 	}
-	r.until("they have points again", func() bool { return r.at(0) > 0 && r.at(1) > 0 })
-	r.served()
-	r.end()
+	r.until("they have points again", func() bool { return r.pointsOf(0) > 0 && r.pointsOf(1) > 0 })
+	r.checkServed()
+	r.finish()
 	require.Empty(t, r.EndAll())
 }
 
 // A server's capacity is told doubled and halved every two seconds: it has what the others have all the while.
-func TestRingCapacity(t *testing.T) {
-	r := newRingRig(t, lab.Options{Agents: 5, Servers: 4}, 4)
+func TestRingCapacityChanges(t *testing.T) {
+	r := newRingObserver(t, lab.Options{Agents: 5, Servers: 4}, 4)
 	most := 0
 	for _, c := range []string{"2.0", "0.5", "2.0", "0.5", "2.0"} {
 		path := filepath.Join(t.TempDir(), "policy.toml")
@@ -215,40 +215,40 @@
 		require.NoError(t, err, text)
 		told := time.Now()
 		r.until("two seconds", func() bool {
-			most = max(most, r.at(0)-r.at(1), r.at(1)-r.at(0))
+			most = max(most, r.pointsOf(0)-r.pointsOf(1), r.pointsOf(1)-r.pointsOf(0))
 			return time.Since(told) > 2*time.Second
 		})
 	}
-	t.Logf("%d points apart at the most, of %d", most, r.at(0))
+	t.Logf("%d points apart at the most, of %d", most, r.pointsOf(0))
 	require.Less(t, most, 4)
-	r.end()
+	r.finish()
 	require.Empty(t, r.EndAll())
 }
 
 // Three of five agents, a voter among them, have a list that is 5 s older while a server joins and another one drains.
-func TestRingOldLists(t *testing.T) {
-	r := newRingRig(t, lab.Options{Agents: 5, Servers: 5}, 4)
+func TestRingWithStaleEndpointLists(t *testing.T) {
+	r := newRingObserver(t, lab.Options{Agents: 5, Servers: 5}, 4)
 	var ends []func()
 	for _, n := range []int{0, 3, 4} {
 		ends = append(ends, r.Agent(n).Hinder("discovery", scenario.StreamSilent))
 	}
 	r.List(4, "active")
 	r.List(0, "leaving")
-	r.pass(5 * time.Second)
-	r.served()
+	r.wait(5 * time.Second)
+	r.checkServed()
 	for _, end := range ends {
 		end()
 	}
-	r.until("the new one has points, the old one none", func() bool { return r.at(4) > 0 && r.at(0) <= 0 })
+	r.until("the new one has points, the old one none", func() bool { return r.pointsOf(4) > 0 && r.pointsOf(0) <= 0 })
 	r.List(0, "left")
-	r.end()
+	r.finish()
 	require.Empty(t, r.EndAll())
 }
 
 // A third of the agents is cut off while servers join and drain, with datagrams lost: what the others agree on they act on, and
 // all do once they are back.
-func TestRingCutOff(t *testing.T) {
-	r := newRingRig(t, lab.Options{Agents: 6, Servers: 9}, 6)
+func TestRingWithAgentsCutOff(t *testing.T) {
+	r := newRingObserver(t, lab.Options{Agents: 6, Servers: 9}, 6)
 	_, err := r.Spoil(mishap.Fault{Way: mishap.Way{Loss: 0.2}})
 	require.NoError(t, err)
 	cut := []int{4, 5}
@@ -261,16 +261,16 @@
 	for n := range 3 { // more than one generation's worth, before the leases of those that are cut off are over
 		r.List(6+n, "active")
 		r.List(n, "leaving")
-		r.pass(400 * time.Millisecond)
+		r.wait(400 * time.Millisecond)
 	}
-	r.until("it has points where they can agree", func() bool { return r.at(8) > 0 && ringAt(r.Agent(3), "s-8").Points > 0 })
-	require.Zero(t, ringAt(r.Agent(4), "s-8").Points)
+	r.until("it has points where they can agree", func() bool { return r.pointsOf(8) > 0 && ringServerAt(r.Agent(3), "s-8").Points > 0 })
+	require.Zero(t, ringServerAt(r.Agent(4), "s-8").Points)
 	r.until("the others are without a lease", func() bool { return statusAt(r.Agent(4)).Standing != "full" })
-	r.served()
+	r.checkServed()
 	for _, end := range ends {
 		end()
 	}
-	r.end()
-	require.Positive(t, ringAt(r.Agent(4), "s-8").Points)
+	r.finish()
+	require.Positive(t, ringServerAt(r.Agent(4), "s-8").Points)
 	require.Empty(t, r.EndAll())
 }
--- a/cmd/dunestep/upgrade_test.go
+++ b/cmd/dunestep/upgrade_test.go
@@ -54,38 +54,38 @@
 // load has clients ask all the time, on connections that they keep, and counts what they get. A request that
 // meets a close which it crossed is sent once more, as the protocol says.
 type load struct {
-	body               int           // of what must not run twice; zero: a short one
-	pause              time.Duration // of each client
-	stop               chan struct{}
-	wait               sync.WaitGroup
-	ok, busy, lost, no atomic.Int64
-	other              atomic.Int64 // answers that say that it failed
-	first              atomic.Value // of what was lost or failed
+	bodySize                    int           // of what must not run twice; zero: a short one
+	pause                       time.Duration // of each client
+	stop                        chan struct{}
+	wait                        sync.WaitGroup
+	ok, rejected, lost, refused atomic.Int64
+	failed                      atomic.Int64 // answers that say that it failed
+	firstFailure                atomic.Value // of what was lost or failed
 }
 
 // tell keeps what was lost or failed first.
-func (l *load) tell(what ...any) { l.first.CompareAndSwap(nil, fmt.Sprint(what...)) }
+func (l *load) noteFailure(what ...any) { l.firstFailure.CompareAndSwap(nil, fmt.Sprint(what...)) }
 
 // none tells that nothing was lost, turned back or failed.
 func (l *load) none(t *testing.T) {
 	t.Helper()
-	require.Equal(t, []int64{0, 0, 0}, []int64{l.lost.Load(), l.no.Load(), l.other.Load()}, "beside %d that were served: %v",
-		l.ok.Load(), l.first.Load())
+	require.Equal(t, []int64{0, 0, 0}, []int64{l.lost.Load(), l.refused.Load(), l.failed.Load()}, "beside %d that were served: %v",
+		l.ok.Load(), l.firstFailure.Load())
 }
 
 func (w *testbed) load(clients int) *load {
-	return w.begin(clients, &load{pause: 2 * time.Millisecond})
+	return w.runLoad(clients, &load{pause: 2 * time.Millisecond})
 }
 
-// loadOfLong is a load of bodies that are passed on as they come, both ways.
-func (w *testbed) loadOfLong(clients int) *load {
+// startLongBodyLoad is a load of bodies that are passed on as they come, both ways.
+func (w *testbed) startLongBodyLoad(clients int) *load {
 	const size = 150_000
 	rest := strings.Repeat("x", size)
 	w.answerAll(func(s upstreamAttempt) string { return reply("200 OK", idOf(s)+rest) })
-	return w.begin(clients, &load{body: size, pause: 15 * time.Millisecond})
+	return w.runLoad(clients, &load{bodySize: size, pause: 15 * time.Millisecond})
 }
 
-func (w *testbed) begin(clients int, l *load) *load {
+func (w *testbed) runLoad(clients int, l *load) *load {
 	l.stop = make(chan struct{})
 	for range clients {
 		l.wait.Go(func() {
@@ -98,31 +98,31 @@
 				case <-time.After(l.pause):
 				}
 				r := w.request([]string{"consult", "rezervare"}[n%2], 2000)
-				if l.body > 0 && n%2 == 1 {
-					r.ContentLength = int64(l.body)
+				if l.bodySize > 0 && n%2 == 1 {
+					r.ContentLength = int64(l.bodySize)
 					r.GetBody = func() (io.ReadCloser, error) {
-						return io.NopCloser(strings.NewReader(strings.Repeat("y", l.body))), nil
+						return io.NopCloser(strings.NewReader(strings.Repeat("y", l.bodySize))), nil
 					}
 					r.Body, _ = r.GetBody()
 				}
-				l.ask(client, r)
+				l.send(client, r)
 			}
 		})
 	}
 	return l
 }
 
-func (l *load) ask(client *http.Client, r *http.Request) {
+func (l *load) send(client *http.Client, r *http.Request) {
 	resp, err := client.Do(r)
 	if errors.Is(err, syscall.ECONNRESET) && r.GetBody != nil { // the library sends a long one no second time
 		r.Body, _ = r.GetBody()
 		resp, err = client.Do(r)
 	}
 	if err != nil {
-		l.tell(err)
+		l.noteFailure(err)
 		var op *net.OpError
 		if errors.As(err, &op) && op.Op == "dial" {
-			l.no.Add(1)
+			l.refused.Add(1)
 		} else {
 			l.lost.Add(1)
 		}
@@ -132,15 +132,15 @@
 	body, err := io.ReadAll(resp.Body)
 	switch {
 	case err != nil || resp.StatusCode == 200 && !strings.HasPrefix(string(body), r.Header.Get("X-Correlation-Id")):
-		l.tell(resp.StatusCode, len(body), err)
+		l.noteFailure(resp.StatusCode, len(body), err)
 		l.lost.Add(1)
 	case resp.StatusCode == 200:
 		l.ok.Add(1)
 	case resp.StatusCode == 503, resp.StatusCode == 429:
-		l.busy.Add(1)
+		l.rejected.Add(1)
 	default:
-		l.tell(resp.StatusCode, string(body))
-		l.other.Add(1)
+		l.noteFailure(resp.StatusCode, string(body))
+		l.failed.Add(1)
 	}
 }
 
@@ -164,7 +164,7 @@
 
 // Upgrades under load, one after the other, with endpoints out by hand before, between and after: nothing is
 // lost, nothing turned back, no booking runs twice, bans hold, and the old process ends by itself.
-func TestUpgrades(t *testing.T) {
+func TestConsecutiveUpgradesUnderLoad(t *testing.T) {
 	w := start(t, 3, door, (*testbed).useLongTimeouts)
 	l := w.load(8)
 	w.until("load", func() bool { return l.ok.Load() > 50 })
@@ -196,7 +196,7 @@
 
 // A new process that dies before it takes clients, or at any time, leaves the old one as it was; an old one that is
 // killed leaves all to the new one.
-func TestUpgradeThatFails(t *testing.T) {
+func TestFailedUpgradeLeavesOldProcess(t *testing.T) {
 	w := start(t, 2, door, (*testbed).useLongTimeouts)
 	for _, wait := range []time.Duration{0, 2, 5, 10, 20, 50} {
 		next := w.another()
@@ -229,7 +229,7 @@
 }
 
 // Staff tell both processes of an upgrade at the same moment: both hold what either was told, and so does the next.
-func TestCallsAtBothProcesses(t *testing.T) {
+func TestOpsCallsAtBothProcesses(t *testing.T) {
 	now := start(t, 4, door)
 	for round := range 4 {
 		next := now.upgrade()
@@ -267,7 +267,7 @@
 }
 
 // What lies in the folder may be anything: the start is a fresh one then, with a line in the log.
-func TestStrangeThingsInTheFolder(t *testing.T) {
+func TestInvalidHandoverFiles(t *testing.T) {
 	first := start(t, 1, door)
 	first.yes("POST", "/ops/booking-servers/down", "s-0")
 	files, err := filepath.Glob(filepath.Join(first.tempDir, "dunestep-*"))
@@ -339,13 +339,13 @@
 
 // Memory and descriptors of both processes together stay within one agent's limits while one takes over from the
 // other under a load of long bodies both ways, and nothing is lost.
-func TestUpgradeWithinTheLimits(t *testing.T) {
+func TestUpgradeStaysWithinLimits(t *testing.T) {
 	const memoryMB, sockets = 32, 256
 	w := newSerialTestbed(t, 3).start(door, (*testbed).useLongTimeouts, usePlainBinary, func(w *testbed) {
 		w.config["limits"].(object)["memory_mb"] = memoryMB
 		w.config["limits"].(object)["sockets"] = sockets
 	})
-	l := w.loadOfLong(80) // a third of the descriptors
+	l := w.startLongBodyLoad(80) // a third of the descriptors
 	both := []*testbed{w}
 	most := func() (kB, descriptors int) {
 		file := 0 // of the program, the same pages in both
@@ -377,7 +377,7 @@
 		both = both[1:]
 	}
 	l.end()
-	t.Logf("at most %d kB and %d descriptors, %d served, %d refused", peakKB, peakDescriptors, l.ok.Load(), l.busy.Load())
+	t.Logf("at most %d kB and %d descriptors, %d served, %d refused", peakKB, peakDescriptors, l.ok.Load(), l.rejected.Load())
 	l.none(t)
 	require.LessOrEqual(t, peakKB, memoryMB<<10)
 	require.LessOrEqual(t, peakDescriptors, sockets)
@@ -390,7 +390,7 @@
 func TestKillsDuringUpgrades(t *testing.T) {
 	const clients = 8
 	w := start(t, 3, door, (*testbed).useLongTimeouts)
-	l := w.loadOfLong(clients)
+	l := w.startLongBodyLoad(clients)
 	now, out, lost := w, w.servers[2], int64(0)
 	now.yes("POST", "/ops/booking-servers/down", "s-2")
 	goesOn := func(stage string) {
@@ -421,7 +421,7 @@
 		require.Equal(t, 1, now.stats().Ejected)
 	}
 	l.end()
-	require.Zero(t, l.no.Load(), "no connection was refused")
+	require.Zero(t, l.refused.Load(), "no connection was refused")
 	w.once()
 	require.Zero(t, now.stop())
 	w.process = exec.Command("true") // it was killed: there is no exit code to look at
@@ -430,7 +430,7 @@
 
 // SIGHUP in the middle of an upgrade is taken by both processes: each has the list from the new address, and the
 // limits that are there once the old one has ended are the new ones.
-func TestReloadDuringAnUpgrade(t *testing.T) {
+func TestReloadDuringUpgrade(t *testing.T) {
 	w := start(t, 2, door)
 	first, second := w.discovery, newDiscovery(t)
 	w.until("watch", func() bool { return first.watched() == 1 })
--- a/cmd/dunestep/uploads_test.go
+++ b/cmd/dunestep/uploads_test.go
@@ -24,11 +24,11 @@
 // upload begins a request with a body and returns its connection and id.
 func (w *testbed) upload(head string) (net.Conn, string) {
 	id := w.nextID()
-	return w.uploadAs(id, head), id
+	return w.uploadWithID(id, head), id
 }
 
-// uploadAs is upload with an id, by which the body is made before: one that stands still for 1 s is cut off.
-func (w *testbed) uploadAs(id, head string) net.Conn {
+// uploadWithID is upload with an id, by which the body is made before: one that stands still for 1 s is cut off.
+func (w *testbed) uploadWithID(id, head string) net.Conn {
 	return w.sendRaw("POST /rezervare/x HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: " + id + "\r\nX-Account: acme\r\n" +
 		"X-Time-Left-Ms: 3000\r\n" + head + "\r\n\r\n")
 }
@@ -44,7 +44,7 @@
 }
 
 // Bodies of any size pass, in every form, and in small pieces; memory does not grow with them.
-func TestUploads(t *testing.T) {
+func TestUploadSizesAndForms(t *testing.T) {
 	w := start(t, 2, (*testbed).useLongTimeouts, counted, usePlainBinary, func(w *testbed) {
 		w.config["limits"].(object)["memory_mb"] = 32
 	})
@@ -58,7 +58,7 @@
 			if strings.Contains(head, "chunked") {
 				body = fmt.Sprintf("1;a=b\r\n%s\r\n%x\r\n%s\r\n0\r\nA: b\r\n\r\n", body[:1], size-1, body[1:])
 			}
-			c := w.uploadAs(id, head)
+			c := w.uploadWithID(id, head)
 			if strings.Contains(head, "Expect") {
 				goOn := make([]byte, 25)
 				_, err := io.ReadFull(c, goOn)
@@ -95,7 +95,7 @@
 }
 
 // A body that stands still is answered in time, and endpoints never had it whole.
-func TestUploadThatStops(t *testing.T) {
+func TestStalledUpload(t *testing.T) {
 	w := start(t, 2, counted)
 	for _, sent := range []int{0, 1000, 100_000} {
 		c, id := w.upload("Content-Length: 200000")
@@ -122,7 +122,7 @@
 
 // A body that has not been passed on yet goes to another endpoint; one that has is refused honestly, since
 // nothing has run.
-func TestRejectedUpload(t *testing.T) {
+func TestUploadWithoutReachableEndpoint(t *testing.T) {
 	w := start(t, 2, (*testbed).useLongTimeouts, counted)
 	w.servers[0].stop()
 	w.servers[1].stop()
@@ -133,7 +133,7 @@
 }
 
 // An endpoint that answers before it has the whole body is believed only where it turns away.
-func TestAnswerBeforeTheBody(t *testing.T) {
+func TestEarlyRejectionOfUpload(t *testing.T) {
 	w := start(t, 2, (*testbed).useLongTimeouts)
 	early := make(chan struct{}, 9)
 	for _, s := range w.servers {
@@ -162,7 +162,7 @@
 
 // A long answer is not cut off by the end of its request's long body: the two meet as the answer
 // begins, whichever comes first.
-func TestLongAnswersToLongBodies(t *testing.T) {
+func TestLongResponsesToLongBodies(t *testing.T) {
 	const size = 200_000
 	w := start(t, 1, (*testbed).useLongTimeouts, usePlainBinary, func(w *testbed) { w.config["limits"].(object)["cores"] = 4 })
 	rest := strings.Repeat("x", size)
@@ -195,7 +195,7 @@
 }
 
 // Bodies of 32 MB both ways, several at a time, in an agent that has 32 MB and 256 descriptors.
-func TestBodiesBothWaysInLittleMemory(t *testing.T) {
+func TestLongBodiesBothWaysInLittleMemory(t *testing.T) {
 	const size, clients = 32_000_000, 4
 	w := newSerialTestbed(t, 2).start((*testbed).useLongTimeouts, usePlainBinary, func(w *testbed) {
 		w.config["limits"].(object)["memory_mb"] = 32
