--- a/cmd/dunestep/idempotency_test.go
+++ b/cmd/dunestep/idempotency_test.go
@@ -7,16 +7,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The Idempotency-Key of a request reaches the endpoint as its client sent it, with the first attempt and with
-// each further one: without it a request of a class that may be repeated under its key would run twice.
+// The Idempotency-Key of a request is forwarded unchanged with each attempt. Otherwise a request of a class whose
+// endpoints deduplicate by key could run twice.
 func TestIdempotencyKeyIsForwarded(t *testing.T) {
 	const key = "9b1f03aa-5c7e-2d41"
 	w := start(t, 3, (*testbed).useLongTimeouts, func(w *testbed) {
 		class := w.config["settings"].(object)["categories"].([]object)[1]
 		class["effect"], class["keyScope"], class["memorySpan"] = "dedup", "all", 60_000_000
 	})
-	turnedAway := reply("503 Service Unavailable", "", "X-Unprocessed: 1")
-	w.answerFirst(func(upstreamAttempt) string { return turnedAway }, ok)
+	rejection := reply("503 Service Unavailable", "", "X-Unprocessed: 1")
+	w.answerFirst(func(upstreamAttempt) string { return rejection }, ok)
 	request := w.request("rezervare", 5000)
 	request.Header.Set("Idempotency-Key", key)
 	require.Equal(t, http.StatusOK, w.do(request).status)
@@ -29,9 +29,9 @@
 			if idOf(attempt) == idOf(upstreamAttempt{Request: request}) {
 				require.Equal(t, []string{key}, attempt.Header["Idempotency-Key"], s.id)
 			} else {
-				require.NotContains(t, attempt.Header, "Idempotency-Key", "its client sent none")
+				require.NotContains(t, attempt.Header, "Idempotency-Key", "the client sent no key")
 			}
 		}
 	}
-	require.Equal(t, 3, attempts, "two and one")
+	require.Equal(t, 3, attempts, "two attempts for the request with a key, one for the other")
 }
--- a/cmd/dunestep/list_test.go
+++ b/cmd/dunestep/list_test.go
@@ -16,27 +16,28 @@
 	"github.com/stretchr/testify/require"
 )
 
-// heeds is how long after a change counts as told an endpoint may still be sent to, with the page's slack.
+// drainGraceWithSlack returns for how long after a drain has been reported an endpoint may still get requests, with a
+// tolerance of 50 ms.
 func (w *testbed) drainGraceWithSlack() time.Duration {
 	return w.deployment.drainGrace + 50*time.Millisecond
 }
 
-// drains are endpoints that must get nothing new, each from a time on.
+// drainChecker checks that draining endpoints get no requests after their deadlines.
 type drainChecker struct {
 	w           *testbed
-	deadlines   map[*server]time.Time
+	deadlines   map[*server]time.Time // the last time at which an endpoint may get requests
 	stopClients func()
 }
 
-// watchDrains has clients ask with ever new keys, so that every endpoint that may have work gets some.
+// watchDrains starts clients that send requests with new keys all the time, so that every endpoint in use gets requests.
 func (w *testbed) watchDrains() *drainChecker {
-	over := make(chan struct{})
+	done := make(chan struct{})
 	var clients sync.WaitGroup
 	for range 4 {
 		clients.Go(func() {
 			for {
 				select {
-				case <-over:
+				case <-done:
 					return
 				case <-time.After(5 * time.Millisecond):
 				}
@@ -48,20 +49,20 @@
 			}
 		})
 	}
-	end := sync.OnceFunc(func() { close(over); clients.Wait() })
+	end := sync.OnceFunc(func() { close(done); clients.Wait() })
 	w.t.Cleanup(end)
 	return &drainChecker{w: w, deadlines: map[*server]time.Time{}, stopClients: end}
 }
 
-// told says that a drain counts as told after a time from now on. Until now the endpoint has had work.
-func (d *drainChecker) told(s *server, after time.Duration) {
+// told waits until the endpoint gets requests, and sets its deadline: its drain counts as reported after the delay.
+func (d *drainChecker) told(s *server, delay time.Duration) {
 	d.w.t.Helper()
-	had := len(s.attempts())
-	d.w.until("work for "+s.id, func() bool { return len(s.attempts()) > had })
-	d.deadlines[s] = time.Now().Add(after + d.w.drainGraceWithSlack())
+	before := len(s.attempts())
+	d.w.until("request at "+s.id, func() bool { return len(s.attempts()) > before })
+	d.deadlines[s] = time.Now().Add(delay + d.w.drainGraceWithSlack())
 }
 
-// hold waits until every drain binds, and looks that none was broken.
+// hold waits until after all deadlines, and requires that no endpoint got a request after its own.
 func (d *drainChecker) hold() {
 	d.w.t.Helper()
 	last := time.Now()
@@ -74,12 +75,12 @@
 	d.stopClients()
 	for s, at := range d.deadlines {
 		for _, st := range s.attempts() {
-			require.False(d.w.t, st.receivedAt.After(at), "%s got work %v after its drain had to be heeded", s.id, st.receivedAt.Sub(at))
+			require.False(d.w.t, st.receivedAt.After(at), "%s got a request %v after the deadline of its drain", s.id, st.receivedAt.Sub(at))
 		}
 	}
 }
 
-// entries are those of all endpoints, of which some drain.
+// entries returns the list entries of all endpoints. Those given are draining.
 func (w *testbed) entries(drain ...*server) (all []object) {
 	for _, s := range w.servers {
 		all = append(all, s.entry("active"))
@@ -93,85 +94,90 @@
 }
 
 func indented(t *testing.T, line string) string {
-	var out bytes.Buffer
-	require.NoError(t, json.Indent(&out, []byte(line), "", "  "))
-	return out.String()
+	var text bytes.Buffer
+	require.NoError(t, json.Indent(&text, []byte(line), "", "  "))
+	return text.String()
 }
 
-// A watch ends instead of telling of a drain, and the call in its place is answered by a whole list that does not name
-// the endpoint: it is gone, though it still answers.
+// A watch ends before it reports a drain, and the next watch begins with a full list without the endpoint. The agent
+// removes the endpoint, although it still answers.
 func TestFullListRemovesUnlistedEndpoint(t *testing.T) {
 	t.Parallel()
 	w := newSerialTestbed(t, 4).start()
-	d := w.discovery
-	w.until("watch", func() bool { return d.watched() == 1 })
+	discovery := w.discovery
+	w.until("watch", func() bool { return discovery.watched() == 1 })
 	drains := w.watchDrains()
-	left, others := w.servers[3], []object{}
+	unlisted, others := w.servers[3], []object{}
 	for _, s := range w.servers[:3] {
 		others = append(others, s.entry("active"))
 	}
-	d.begins(list(43, true, others...) + "\n")
-	drains.told(left, 0)
-	d.end()
-	w.until("another watch", func() bool { return d.watched() == 1 })
+	discovery.begins(list(43, true, others...) + "\n")
+	drains.told(unlisted, 0)
+	discovery.end()
+	w.until("new watch", func() bool { return discovery.watched() == 1 })
 	drains.hold()
 }
 
-// A drain is heeded however the list that tells of it comes.
+// A drain is applied whatever the form of the list that reports it.
 func TestDrainAppliesInAnyListForm(t *testing.T) {
 	t.Parallel()
-	retryIfStalled(t, func() error { return tryDrainListForms(t) }) // pieces that come over 0.75 s apart end a watch
+	retryIfStalled(t, func() error { return tryDrainListForms(t) }) // pieces that arrive over 0.75 s apart end a watch
 }
 
 func tryDrainListForms(t *testing.T) error {
 	w := newSerialTestbed(t, 8).start()
-	d := w.discovery
-	w.until("watch", func() bool { return d.watched() == 1 })
+	discovery := w.discovery
+	w.until("watch", func() bool { return discovery.watched() == 1 })
 	drains := w.watchDrains()
-	next, asked := 0, true
-	leaves := func() object { next++; return w.servers[next].entry("leaving") }
-	for i, say := range []func(version int){
-		func(v int) { d.say(indented(t, list(v, false, leaves()))) },
-		func(v int) {
-			for _, piece := range strings.SplitAfter(list(v, false, leaves())+"\n", `"`) {
-				d.write(piece)
+	lastDraining, fullRequested := 0, true
+	nextDraining := func() object { lastDraining++; return w.servers[lastDraining].entry("leaving") }
+	for i, report := range []func(version int){
+		func(version int) { discovery.say(indented(t, list(version, false, nextDraining()))) },
+		func(version int) {
+			for _, piece := range strings.SplitAfter(list(version, false, nextDraining())+"\n", `"`) {
+				discovery.write(piece)
 				time.Sleep(10 * time.Millisecond)
 			}
 		},
-		func(v int) { line := list(v, false, leaves()); d.write(line + "\n" + line + "\n") },
-		func(v int) { d.write(list(v, false) + list(v, false, leaves()) + "\n\n\n") },
-		func(v int) { // out of order: the whole list is asked for
-			d.begins(indented(t, list(v, true, w.entries(append(w.servers[1:next+1], w.servers[next+1])...)...)) + "\n")
-			next++
-			d.say(list(12, false, w.servers[1].entry("active")))
-			all := func() bool { calls := d.called(); return strings.HasSuffix(calls[len(calls)-1], "from=0") }
-			for until := time.Now().Add(5 * time.Second); !all() && time.Now().Before(until); {
+		func(version int) {
+			line := list(version, false, nextDraining())
+			discovery.write(line + "\n" + line + "\n")
+		},
+		func(version int) {
+			discovery.write(list(version, false) + list(version, false, nextDraining()) + "\n\n\n")
+		},
+		func(version int) { // out of order: the agent requests the full list
+			discovery.begins(indented(t, list(version, true, w.entries(append(w.servers[1:lastDraining+1], w.servers[lastDraining+1])...)...)) + "\n")
+			lastDraining++
+			discovery.say(list(12, false, w.servers[1].entry("active")))
+			requested := func() bool { calls := discovery.called(); return strings.HasSuffix(calls[len(calls)-1], "from=0") }
+			for until := time.Now().Add(5 * time.Second); !requested() && time.Now().Before(until); {
 				time.Sleep(time.Millisecond)
 			}
-			asked = all() // not where a busy machine has had the watch end before
+			fullRequested = requested() // false if a busy machine let the watch end before
 		},
-		func(int) { // versions that begin anew
-			d.begins(list(1, true, w.entries(w.servers[1:next+1]...)...) + "\n")
-			d.end()
-			w.until("another watch", func() bool { return d.watched() == 1 })
-			d.say(list(2, false, leaves()))
+		func(int) { // versions that restart at 1
+			discovery.begins(list(1, true, w.entries(w.servers[1:lastDraining+1]...)...) + "\n")
+			discovery.end()
+			w.until("new watch", func() bool { return discovery.watched() == 1 })
+			discovery.say(list(2, false, nextDraining()))
 		},
 	} {
 		drains.told(w.servers[i+1], 0)
-		say(42 + i)
+		report(42 + i)
 	}
 	drains.hold()
-	if !asked {
-		return errors.New("a list that is out of order: the whole list is not asked for")
+	if !fullRequested {
+		return errors.New("the full list was not requested after a list that is out of order")
 	}
-	if n := len(d.called()); n != 3 {
-		return fmt.Errorf("%d calls: a watch ends only where it is out of order, or discovery ends it", n)
+	if n := len(discovery.called()); n != 3 {
+		return fmt.Errorf("%d calls: a watch may only end when a list is out of order or discovery ends it", n)
 	}
 	return nil
 }
 
-// Where the settings say that lists are pushed, an endpoint that drains in the list of the start gets
-// nothing from the first moment on, and news are asked for all the same: nothing comes unasked on a socket.
+// With discovery set to pushed, the agent watches discovery all the same, as nothing is pushed over a socket. An endpoint
+// that is draining in the configured list gets no requests from the start.
 func TestPushedDiscoveryIsStillWatched(t *testing.T) {
 	w := newTestbed(t, 3)
 	w.config["settings"].(object)["discovery"] = "pushed"
@@ -185,36 +191,37 @@
 	require.Empty(t, w.servers[0].attempts())
 }
 
-// A watch that falls silent is opened anew, and what it missed is heeded 3 s after it counts as told, which is 6 s
-// after the silence began, or 4 s after SIGHUP has moved discovery: in a large fleet, where the call that replaces
-// the watch waits in discovery's turn, and where the watch falls silent while the call to the new address waits.
+// A silent watch is replaced, and a drain that it missed is applied 3 s after it counts as reported. That is 6 s after
+// the silence began, or 4 s after SIGHUP has changed discovery's address. This also applies in a large fleet, where
+// discovery delays the call that replaces the watch, and where the watch falls silent while the call to the new address
+// waits.
 func TestDrainMissedBySilentWatch(t *testing.T) {
 	t.Parallel()
-	const empty, turn = 500 * time.Millisecond, 1500 * time.Millisecond
+	const emptyLineInterval, callDelay = 500 * time.Millisecond, 1500 * time.Millisecond
 	for name, c := range map[string]struct {
-		agents int
-		turn   time.Duration
-		moved  bool
+		agents    int
+		callDelay time.Duration
+		moved     bool
 	}{
-		"large fleet":         {318, 0, false},
-		"large fleet, a turn": {318, turn, false},
-		"a turn":              {2, turn, false},
-		"moved":               {2, turn, true},
+		"large fleet":               {318, 0, false},
+		"large fleet, delayed call": {318, callDelay, false},
+		"delayed call":              {2, callDelay, false},
+		"new address":               {2, callDelay, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := start(t, 3, func(w *testbed) { w.config["settings"].(object)["balancers"] = c.agents })
 			w.until("watch", func() bool { return w.discovery.watched() == 1 })
-			next, told := w.discovery, 6*time.Second-empty
+			next, reportedAfter := w.discovery, 6*time.Second-emptyLineInterval
 			if c.moved {
-				next, told = newDiscovery(t), 4*time.Second
+				next, reportedAfter = newDiscovery(t), 4*time.Second
 				w.config["discovery"] = next.addr
 				w.configure()
 			}
 			next.mu.Lock()
-			next.turn, next.news = c.turn, indented(t, list(42, false, w.servers[0].entry("leaving")))+"\n"
+			next.turn, next.news = c.callDelay, indented(t, list(42, false, w.servers[0].entry("leaving")))+"\n"
 			next.mu.Unlock()
 			drains := w.watchDrains()
-			drains.told(w.servers[0], told)
+			drains.told(w.servers[0], reportedAfter)
 			w.discovery.hush()
 			if c.moved {
 				require.NoError(t, w.process.Process.Signal(syscall.SIGHUP))
@@ -225,7 +232,7 @@
 	}
 }
 
-// A watch that brings empty lines and no news is left alone: each call for a list is work for discovery.
+// A watch on which only empty lines arrive stays open: each new call costs discovery work.
 func TestWatchWithoutUpdatesStaysOpen(t *testing.T) {
 	w := start(t, 1)
 	w.until("watch", func() bool { return w.discovery.watched() == 1 })
@@ -233,19 +240,19 @@
 	require.Len(t, w.discovery.called(), 1)
 }
 
-// The list that an agent holds binds where discovery can't be asked: from a new process's first moment on, in an
-// outage, and what it gets at the return in the next one.
+// While discovery is unreachable the agent applies the list that it has: the configured one from the start, and in the
+// next outage what it received in between.
 func TestListAppliesWithoutDiscovery(t *testing.T) {
 	t.Parallel()
-	for _, way := range []string{"on_request", "pushed"} {
-		t.Run(way, func(t *testing.T) {
+	for _, mode := range []string{"on_request", "pushed"} {
+		t.Run(mode, func(t *testing.T) {
 			w := newTestbed(t, 4)
-			w.config["settings"].(object)["discovery"] = way
+			w.config["settings"].(object)["discovery"] = mode
 			w.config["known"] = object{"version": 41, "full": true, "servers": w.entries(w.servers[0])}
 			w.discovery.set(http.StatusServiceUnavailable, false)
 			w.start()
 			drains := w.watchDrains()
-			w.until("a call in vain", func() bool { return len(w.discovery.called()) > 0 })
+			w.until("failed call", func() bool { return len(w.discovery.called()) > 0 })
 			drains.told(w.servers[1], 0)
 			w.discovery.begins(list(42, false, w.servers[1].entry("leaving")) + "\n")
 			w.discovery.set(http.StatusOK, false)
@@ -254,7 +261,7 @@
 			w.discovery.set(http.StatusServiceUnavailable, false)
 			w.discovery.end()
 			before := len(w.discovery.called())
-			w.until("calls in vain again", func() bool { return len(w.discovery.called()) > before+1 })
+			w.until("more failed calls", func() bool { return len(w.discovery.called()) > before+1 })
 			drains.hold()
 			require.Empty(t, w.servers[0].attempts())
 		})
--- a/cmd/dunestep/names_test.go
+++ b/cmd/dunestep/names_test.go
@@ -17,15 +17,16 @@
 
 const root = "../.."
 
-// deploymentNames are those of the deployment that the agent is developed beside: of itself, its classes, tenants, zones,
-// kinds of machine and service.
+// deploymentNames are the names of the deployment that the agent is developed with: its own, and those of its service,
+// classes, tenants, zones and machine kinds.
 var deploymentNames = []string{
 	"carpatica", "carpatica-programari", "programari", "consult", "rezervare", "rapid", "lent",
 	"buc-pipera", "buc-militari", "cluj-est", "brasov-nord", "zambet-plus", "dentamed-nord", "clinica-olt", "dent-somes",
 	"surasul-mures", "stoma-vaslui",
 }
 
-// data are names in code of rehearsals and labs, which is in no program that ships.
+// allowedNames lists the deployment names that the code of rehearsals and labs may contain. No shipped program contains
+// that code.
 var allowedNames = []struct {
 	file   string
 	names  []string
@@ -34,19 +35,19 @@
 	{
 		"internal/rehearsal/lab/deployment.go",
 		[]string{"consult", "rezervare", "rapid"},
-		"the settings of a lab's agents: process tests hand them to the program as any others",
+		"the settings of a lab's agents, which process tests pass to the program",
 	},
-	{"internal/rehearsal/lab/lab.go", []string{"rapid"}, "tells of the same"},
+	{"internal/rehearsal/lab/lab.go", []string{"rapid"}, "describes the same settings"},
 	{
 		"internal/rehearsal/scenario/scenario.go",
 		[]string{"buc-pipera", "buc-militari", "cluj-est", "brasov-nord"},
-		"the zones of a rehearsal that names none: each delay is drawn by a zone's name, so all days' figures rest on them",
+		"the zones of a rehearsal that names none: delays are drawn by zone name, so the results of all rehearsals depend on them",
 	},
-	{"internal/control/ringassignment/lab/paces.go", []string{"rapid", "lent"}, "two kinds of machine in virtual time"},
-	{"internal/control/ringassignment/lab/lab.go", []string{"rapid"}, "tells of the same"},
+	{"internal/control/ringassignment/lab/paces.go", []string{"rapid", "lent"}, "two machine kinds in virtual time"},
+	{"internal/control/ringassignment/lab/lab.go", []string{"rapid"}, "describes the same settings"},
 }
 
-// siteNames are the names in a site file for the bench.
+// siteNames returns the names in a site file for the bench.
 func siteNames(t *testing.T, file string) []string {
 	type named []struct{ Name string }
 	var site struct {
@@ -66,14 +67,14 @@
 	for _, tier := range site.Tier {
 		names, all = append(names, tier.Name), append(all, tier.Kind...)
 	}
-	for _, n := range all {
-		names = append(names, n.Name)
+	for _, entry := range all {
+		names = append(names, entry.Name)
 	}
 	require.Greater(t, len(names), 6, file)
 	return names
 }
 
-// found are which of the names stand in a text as words, in any case.
+// namesIn returns those of the names that a text contains as words, in any case.
 func namesIn(names []string, text string) (found []string) {
 	for _, name := range names {
 		if regexp.MustCompile(`(?i)\b` + regexp.QuoteMeta(name) + `\b`).MatchString(text) {
@@ -83,7 +84,7 @@
 	return found
 }
 
-// codeFiles are the Go files that are no tests, and those of deploy/ but for what is copied there from a kit.
+// codeFiles returns the Go files without tests, and the files of deploy/ without those copied there from a kit.
 func codeFiles(t *testing.T) (files []string) {
 	kits := []string{"deploy/sites/design.json", "deploy/sites/real.json", "deploy/sites/unlock.txt", "deploy/sites/wire.json"}
 	require.NoError(t, filepath.WalkDir(root, func(at string, entry fs.DirEntry, err error) error {
@@ -104,16 +105,16 @@
 	return files
 }
 
-// No deployment's names stand in the code or in deploy/, but for what is listed above as data and, in a site file, its
-// own. What is listed stands there still, and is in nothing that the deploy file runs.
+// The code and deploy/ contain no names of a deployment, except those of allowedNames and a site file's own. Each of
+// allowedNames still occurs in its file, and no shipped program contains it.
 func TestNoDeploymentIsNamedInCode(t *testing.T) {
 	t.Parallel()
 	sites, err := filepath.Glob(filepath.Join(root, "deploy/sites/*.toml"))
 	require.NoError(t, err)
 	require.GreaterOrEqual(t, len(sites), 2)
-	of := map[string][]string{} // by site file
+	bySite := map[string][]string{} // names by site file
 	for _, file := range sites {
-		of["deploy/sites/"+filepath.Base(file)] = siteNames(t, file)
+		bySite["deploy/sites/"+filepath.Base(file)] = siteNames(t, file)
 	}
 	files := codeFiles(t)
 	require.Greater(t, len(files), 100)
@@ -121,32 +122,32 @@
 		raw, err := os.ReadFile(filepath.Join(root, file))
 		require.NoError(t, err)
 		names := slices.Clone(deploymentNames)
-		for site, own := range of {
+		for site, own := range bySite {
 			if site != file {
 				names = append(names, own...)
 			}
 		}
 		var listed []string
-		for _, d := range allowedNames {
-			if d.file == file {
-				listed = d.names
+		for _, allowed := range allowedNames {
+			if allowed.file == file {
+				listed = allowed.names
 			}
 		}
 		require.ElementsMatch(t, listed, namesIn(names, string(raw)), file)
 	}
 	for _, pkg := range shippedPackages(t) {
-		for _, d := range allowedNames {
-			require.NotEqual(t, path.Dir(d.file), pkg, "%s is in a program that ships", d.file)
+		for _, allowed := range allowedNames {
+			require.NotEqual(t, path.Dir(allowed.file), pkg, "%s is part of a shipped program", allowed.file)
 		}
 	}
 }
 
-// shipped are the folders of this module's packages of which the agent and the simulator's adapter are built.
+// shippedPackages returns the folders of this module's packages that the agent and the simulator's adapter are built of.
 func shippedPackages(t *testing.T) (folders []string) {
 	out, err := exec.Command("go", "list", "-deps", "dunestep/cmd/dunestep", "dunestep/cmd/benchlink").Output()
 	require.NoError(t, err)
 	for _, pkg := range strings.Fields(string(out)) {
-		if folder, own := strings.CutPrefix(pkg, "dunestep/"); own {
+		if folder, ours := strings.CutPrefix(pkg, "dunestep/"); ours {
 			folders = append(folders, folder)
 		}
 	}
--- a/cmd/dunestep/ops_test.go
+++ b/cmd/dunestep/ops_test.go
@@ -12,10 +12,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// door gives the program an operators' socket.
+// door configures an operators' socket.
 func door(w *testbed) { w.opsAddr = uniqueAddr(w.t) }
 
-// call makes a call at the operators' socket; the answer is owed in a second.
+// call sends a request to the operators' socket. It requires an answer within 3 s.
 func (w *testbed) call(method, path, body string) (int, string) {
 	w.t.Helper()
 	began := time.Now()
@@ -26,11 +26,12 @@
 	defer func() { _ = resp.Body.Close() }()
 	text, err := io.ReadAll(resp.Body)
 	require.NoError(w.t, err)
-	require.True(w.t, resp.Close, "one call to a connection")
+	require.True(w.t, resp.Close, "a connection serves one call")
 	require.Less(w.t, time.Since(began), 3*time.Second)
 	return resp.StatusCode, string(text)
 }
 
+// yes sends a request to the operators' socket and requires that it succeeds.
 func (w *testbed) yes(method, path, body string) {
 	w.t.Helper()
 	status, text := w.call(method, path, body)
@@ -53,7 +54,7 @@
 	return s
 }
 
-// Each call has its answer, and what is no call has another.
+// Each call is answered with its status. Unknown paths, wrong methods and malformed bodies are rejected.
 func TestOpsCalls(t *testing.T) {
 	w := start(t, 2, door)
 	for _, c := range []struct {
@@ -89,7 +90,7 @@
 	return r
 }
 
-// Without an address there is no door; a malformed one ends the start.
+// With a malformed address of the operators' socket, the program prints an error and exits.
 func TestMalformedOpsAddressEndsStart(t *testing.T) {
 	w := newTestbed(t, 1)
 	w.opsAddr = "nowhere"
@@ -99,27 +100,27 @@
 	require.Equal(t, "dunestep: LB_OPS: \"nowhere\" is not an address with a port\n", w.log.String())
 }
 
-// The door answers with clients at their descriptor limit and beside many callers who say nothing, or half a
-// call; those give way, oldest first.
+// The operators' socket answers while clients use all their descriptors, and while many callers are connected that send
+// nothing or an incomplete call. The oldest of such connections is closed first.
 func TestOpsSocketUnderPressure(t *testing.T) {
 	w := start(t, 1, door, (*testbed).useLongTimeouts, func(w *testbed) { w.config["limits"].(object)["sockets"] = 96 })
 	w.servers[0].setAnswer(func(upstreamAttempt) string { return silence })
 	w.until("watch", func() bool { return w.discovery.watched() == 1 })
-	own := w.descriptors()
-	for range 60 { // more than there are descriptors for
+	base := w.descriptors()
+	for range 60 { // more than there are descriptors
 		c, err := net.Dial("tcp", w.addr)
 		require.NoError(t, err)
 		defer func() { _ = c.Close() }()
 		_ = w.request("consult", 30000).Write(c)
 	}
-	full := own
-	w.until("clients have all that is theirs", func() bool {
+	full := base
+	w.until("clients use all their descriptors", func() bool {
 		before := full
 		time.Sleep(200 * time.Millisecond)
 		full = w.descriptors()
-		return full == before && full > own+30
+		return full == before && full > base+30
 	})
-	require.LessOrEqual(t, full-own, 96-32-18, "the door's 18 are set aside, beside the program's 32")
+	require.LessOrEqual(t, full-base, 96-32-18, "18 descriptors are reserved for the operators' socket, and 32 for the program")
 	first := w.sendRawTo(w.opsAddr, "")
 	for i := range 100 {
 		w.sendRawTo(w.opsAddr, []string{"", "GET /ops/stats HTTP/1.1\r\n", "POST /ops/booking-servers/down HTTP/1.1\r\n" +
@@ -130,35 +131,35 @@
 	}
 	_ = first.SetReadDeadline(time.Now().Add(waitTimeout))
 	_, err := first.Read(make([]byte, 1))
-	require.ErrorIs(t, err, io.EOF, "the oldest gives way")
+	require.ErrorIs(t, err, io.EOF, "the oldest connection is closed")
 	require.LessOrEqual(t, w.descriptors(), 96)
 }
 
-// The figures are what those round the program saw, with failures, rejections, resets and clients that leave.
+// The statistics match what clients and endpoints observed, with failures, rejections, resets and clients that disconnect.
 func TestStatsMatchObservedTraffic(t *testing.T) {
 	w := start(t, 2, door, (*testbed).useLongTimeouts)
-	zero := w.stats()
-	require.Equal(t, []any{0, 0, 2, 0}, []any{zero.Tries, zero.Active, zero.Size, zero.Ejected})
-	require.Len(t, zero.Responses, 2, "classes without a request are there")
+	initial := w.stats()
+	require.Equal(t, []any{0, 0, 2, 0}, []any{initial.Tries, initial.Active, initial.Size, initial.Ejected})
+	require.Len(t, initial.Responses, 2, "classes without a request are listed")
 	w.send("consult")
 	answers := map[int]int{}
-	for i, with := range []func(upstreamAttempt) string{
+	for i, answer := range []func(upstreamAttempt) string{
 		ok, func(upstreamAttempt) string { return reply("500 No", "") },
 		func(upstreamAttempt) string { return reply("503 No", "", "X-Unprocessed: 1") }, func(upstreamAttempt) string { return hangUp },
 	} {
-		w.answerAll(with)
+		w.answerAll(answer)
 		for range 3 + i {
 			answers[w.send("rezervare").status]++
 		}
 	}
 	w.answerAll(func(upstreamAttempt) string { return silence })
 	before := w.attemptCount()
-	leaves := w.sendRaw("GET /consult/x HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: 9b1f03aa5c7e2d41\r\n" +
+	client := w.sendRaw("GET /consult/x HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: 9b1f03aa5c7e2d41\r\n" +
 		"X-Account: acme\r\nX-Time-Left-Ms: 9000\r\n\r\n")
-	w.until("it is out", func() bool { return w.attemptCount() > before })
+	w.until("the request is forwarded", func() bool { return w.attemptCount() > before })
 	require.Equal(t, 1, w.stats().Active)
-	_ = leaves.Close()
-	w.until("it has left", func() bool { return w.stats().Active == 0 })
+	_ = client.Close()
+	w.until("the client's disconnect is noticed", func() bool { return w.stats().Active == 0 })
 	s := w.stats()
 	got := s.Responses["rezervare"]
 	require.Equal(t, []int{answers[200], answers[503] + answers[429], answers[502]}, []int{got.OK, got.Shed, got.Errors})
@@ -166,15 +167,15 @@
 	require.Equal(t, 1, s.Responses["consult"].OK)
 }
 
-// An endpoint that is out gets nothing, whatever discovery says, and is used again after the lift.
+// A disabled endpoint gets no requests, whatever discovery reports, until it is enabled again.
 func TestDisableEndpoint(t *testing.T) {
 	w := start(t, 2, door)
-	ask := func(n int) {
+	sendSome := func(n int) {
 		for range n {
 			require.Equal(t, 200, w.send("consult").status)
 		}
 	}
-	use := func(server int) func() bool {
+	reaches := func(server int) func() bool {
 		return func() bool {
 			before := len(w.servers[server].attempts())
 			r := w.request("consult", 900)
@@ -183,13 +184,13 @@
 			return len(w.servers[server].attempts()) > before
 		}
 	}
-	w.until("both are used", func() bool { return use(0)() })
-	w.until("both are used", func() bool { return use(1)() })
+	w.until("both are used", func() bool { return reaches(0)() })
+	w.until("both are used", func() bool { return reaches(1)() })
 	w.yes("POST", "/ops/booking-servers/down", "s-0")
 	w.yes("POST", "/ops/booking-servers/down", "s-0")
-	w.until("its connections are closed", func() bool { return w.servers[0].openCount() == 0 })
+	w.until("connections to s-0 are closed", func() bool { return w.servers[0].openCount() == 0 })
 	before := len(w.servers[0].attempts())
-	ask(20)
+	sendSome(20)
 	w.until("watch", func() bool { return w.discovery.watched() == 1 })
 	w.discovery.say(list(50, true, w.servers[0].entry("active"), w.servers[1].entry("active")))
 	w.discovery.say(list(51, false, w.servers[0].entry("active")))
@@ -198,27 +199,28 @@
 		w.discovery.say(list(version+1, false, w.servers[0].entry("active")))
 	}
 	for range 20 {
-		require.False(t, use(0)())
+		require.False(t, reaches(0)())
 	}
 	require.Len(t, w.servers[0].attempts(), before)
 	s := w.stats()
 	require.Equal(t, []int{2, 1}, []int{s.Size, s.Ejected})
 	w.yes("POST", "/ops/booking-servers/down", "s-1")
-	require.Equal(t, 503, w.send("consult").status, "all are out")
+	require.Equal(t, 503, w.send("consult").status, "all endpoints are disabled")
 	w.yes("POST", "/ops/booking-servers/up", "s-1")
 	w.yes("POST", "/ops/booking-servers/up", "s-0")
-	w.until("it is used again", use(0))
+	w.until("s-0 is used again", reaches(0))
 }
 
-// asked is an answer's status, and whether it closes its connection.
-func (w *testbed) sendForClose() []any {
+// statusAndClose sends a request, and returns the response's status and whether the agent closes the connection.
+func (w *testbed) statusAndClose() []any {
 	resp, err := http.DefaultClient.Do(w.request("consult", 900))
 	require.NoError(w.t, err)
 	_ = resp.Body.Close()
 	return []any{resp.StatusCode, resp.Close}
 }
 
-// Clients are sent away by hand and taken again, in any order of calls; the agent goes on.
+// A drain is started and stopped by operators, in any order of calls: the agent is not ready meanwhile and closes its
+// clients' connections, but still answers requests.
 func TestManualDrain(t *testing.T) {
 	w := start(t, 1, door)
 	w.yes("POST", "/ops/drain/stop", "") // without a start
@@ -229,15 +231,15 @@
 	for range 2 {
 		w.yes("POST", "/ops/drain/start", "")
 		require.Equal(t, 503, w.readyStatus())
-		require.Equal(t, []any{200, true}, w.sendForClose(), "who comes all the same is served, once")
+		require.Equal(t, []any{200, true}, w.statusAndClose(), "a request is served, and its connection closed")
 	}
 	for _, c := range []net.Conn{idle, silent} {
 		_ = c.SetReadDeadline(time.Now().Add(waitTimeout))
 		_, err := io.Copy(io.Discard, c)
-		require.NoError(t, err, "closed as it stands idle")
+		require.NoError(t, err, "idle connections are closed")
 	}
 	w.yes("POST", "/ops/drain/stop", "")
 	require.Equal(t, 200, w.readyStatus())
-	require.Equal(t, []any{200, false}, w.sendForClose())
-	w.yes("POST", "/ops/drain/start", "") // and SIGTERM comes while drained
+	require.Equal(t, []any{200, false}, w.statusAndClose())
+	w.yes("POST", "/ops/drain/start", "") // SIGTERM follows while drained
 }
--- a/cmd/dunestep/overload_test.go
+++ b/cmd/dunestep/overload_test.go
@@ -17,27 +17,28 @@
 	"github.com/stretchr/testify/require"
 )
 
-// stream asks at an even pace, each time for another chair, and counts what came of it.
+// requestStream counts the requests of clients that send at a constant rate, each with a new key, and their outcomes.
 type requestStream struct {
 	sent, served, rejected atomic.Int64
 	stop                   func()
 }
 
-func (w *testbed) startStream(every time.Duration) *requestStream {
-	s := &requestStream{}
-	quit := make(chan struct{})
+// startStream starts sending a request per interval.
+func (w *testbed) startStream(interval time.Duration) *requestStream {
+	stream := &requestStream{}
+	done := make(chan struct{})
 	var clients sync.WaitGroup
 	clients.Go(func() {
-		for tick := time.NewTicker(every); ; {
+		for tick := time.NewTicker(interval); ; {
 			select {
-			case <-quit:
+			case <-done:
 				tick.Stop()
 				return
 			case <-tick.C:
 			}
 			clients.Go(func() {
 				r := w.request("consult", 900)
-				r.Header.Set("Cookie", fmt.Sprint("sid=", s.sent.Add(1)))
+				r.Header.Set("Cookie", fmt.Sprint("sid=", stream.sent.Add(1)))
 				resp, err := http.DefaultClient.Do(r)
 				if err != nil {
 					return
@@ -46,19 +47,19 @@
 				_ = resp.Body.Close()
 				switch resp.StatusCode {
 				case http.StatusOK:
-					s.served.Add(1)
+					stream.served.Add(1)
 				case http.StatusServiceUnavailable:
-					s.rejected.Add(1)
+					stream.rejected.Add(1)
 				}
 			})
 		}
 	})
-	s.stop = func() { close(quit); clients.Wait() }
-	return s
+	stream.stop = func() { close(done); clients.Wait() }
+	return stream
 }
 
-// While all endpoints refuse, or say nothing, they get few attempts; once they are well they are used again
-// at once, and the log says so.
+// While all endpoints reject requests or do not answer, they get few attempts. Once they recover they are used again at
+// once. The log reports both.
 func TestOutageAndRecovery(t *testing.T) {
 	t.Parallel()
 	for name, fault := range map[string]func(upstreamAttempt) string{
@@ -67,31 +68,31 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := start(t, 4)
-			s := w.startStream(8 * time.Millisecond)
-			defer s.stop()
-			w.until("served", func() bool { return s.served.Load() > 200 })
+			stream := w.startStream(8 * time.Millisecond)
+			defer stream.stop()
+			w.until("served", func() bool { return stream.served.Load() > 200 })
 			w.answerAll(fault)
-			w.until("seen", func() bool { return strings.Contains(w.log.String(), "nothing was served") })
-			asked, steps := s.sent.Load(), w.attemptCount()
-			w.until("goes on", func() bool { return s.sent.Load() > asked+300 })
-			require.Less(t, float64(w.attemptCount()-steps), 0.5*float64(s.sent.Load()-asked))
-			for _, b := range w.servers {
-				b.setAnswer(ok)
-				b.closeConnections() // a request that was never answered stays in the way of the next one
+			w.until("outage logged", func() bool { return strings.Contains(w.log.String(), "nothing was served") })
+			sent, attempts := stream.sent.Load(), w.attemptCount()
+			w.until("more requests sent", func() bool { return stream.sent.Load() > sent+300 })
+			require.Less(t, float64(w.attemptCount()-attempts), 0.5*float64(stream.sent.Load()-sent))
+			for _, endpoint := range w.servers {
+				endpoint.setAnswer(ok)
+				endpoint.closeConnections() // an unanswered request blocks the next one on its connection
 			}
-			w.until("said", func() bool { return strings.Contains(w.log.String(), "served again") })
+			w.until("recovery logged", func() bool { return strings.Contains(w.log.String(), "served again") })
 			w.until("served", func() bool {
-				asked, served := s.sent.Load(), s.served.Load()
+				sent, served := stream.sent.Load(), stream.served.Load()
 				time.Sleep(300 * time.Millisecond)
-				return float64(s.served.Load()-served) > 0.95*float64(s.sent.Load()-asked)
+				return float64(stream.served.Load()-served) > 0.95*float64(stream.sent.Load()-sent)
 			})
-			w.until("over", func() bool { return strings.Contains(w.log.String(), "outage over") })
+			w.until("end of the outage logged", func() bool { return strings.Contains(w.log.String(), "outage over") })
 		})
 	}
 }
 
-// A tenant beyond its share is told so by 429, others by 503; both when to come back, in seconds that differ;
-// and how much the share is, where the operator wants it.
+// In an outage, requests of a tenant that exceeds its share are rejected with 429, others with 503. Each rejection has a
+// different Retry-After, and rate limit fields if the operator file enables them.
 func TestRejectionStatusAndRetryAfter(t *testing.T) {
 	w := start(t, 1, func(w *testbed) {
 		w.operatorFile = "[storm]\nrate_limit_fields = true\n"
@@ -102,25 +103,25 @@
 	})
 	w.answerAll(func(upstreamAttempt) string { return reply("503 Service Unavailable", "", "X-Unprocessed: 1") })
 	seen := map[string]bool{}
-	refused := func(tenant string) answer {
+	sendAs := func(tenant string) answer {
 		r := w.request("consult", 900)
 		r.Header.Set("X-Account", tenant)
 		r.Header.Set("Cookie", "sid="+w.nextID())
 		return w.do(r)
 	}
-	w.until("an outage", func() bool {
-		refused("acme")
+	w.until("outage logged", func() bool {
+		sendAs("acme")
 		return strings.Contains(w.log.String(), "nothing was served")
 	})
-	w.until("greedy", func() bool { return refused("greedy").status == http.StatusTooManyRequests })
+	w.until("rejection with 429", func() bool { return sendAs("greedy").status == http.StatusTooManyRequests })
 	for tenant, status := range map[string]int{"acme": 503, "greedy": 429} {
 		for range 3 {
-			got := refused(tenant)
+			got := sendAs(tenant)
 			require.Equal(t, status, got.status)
 			after, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 			require.NoError(t, err)
 			require.True(t, after > 0 && after <= 2, "%v", after)
-			require.False(t, seen[got.header.Get("Retry-After")], "told twice the same")
+			require.False(t, seen[got.header.Get("Retry-After")], "Retry-After must differ")
 			seen[got.header.Get("Retry-After")] = true
 			require.Regexp(t, `^"share";q=\d+;w=1$`, got.header.Get("RateLimit-Policy"))
 			require.Regexp(t, `^"share";r=\d+;t=[12]$`, got.header.Get("RateLimit"))
@@ -129,14 +130,14 @@
 	w.operatorFile = "[storm]\non = false\n"
 	w.configure()
 	require.NoError(t, w.process.Process.Signal(syscall.SIGHUP))
-	w.until("off", func() bool {
-		got := refused("greedy")
+	w.until("rate limit fields are off", func() bool {
+		got := sendAs("greedy")
 		return got.status == 503 && got.header.Get("RateLimit") == ""
 	})
 }
 
-// BenchmarkRejection measures what a request that is rejected in an outage costs the program, beside one that is
-// served: in CPU time of the process, and in requests a second on one core.
+// BenchmarkRejection measures the cost of a request that is rejected in an outage and of one that is served: the
+// process's CPU time per request, and the time per request.
 func BenchmarkRejection(b *testing.B) {
 	for name, answers := range map[string]func(upstreamAttempt) string{
 		"served":  ok,
@@ -146,7 +147,7 @@
 			w := newSerialTestbed(b, 4).start(usePlainBinary)
 			w.answerAll(answers)
 			const clients = 32
-			ask := func(c net.Conn, in *bufio.Reader, n int) {
+			send := func(c net.Conn, in *bufio.Reader, n int) {
 				_, err := fmt.Fprintf(c, "GET /consult/x HTTP/1.1\r\nHost: b\r\nX-Correlation-Id: %s\r\nX-Account: acme\r\n"+
 					"Cookie: sid=%d\r\nX-Time-Left-Ms: 900\r\n\r\n", w.nextID(), n)
 				require.NoError(b, err)
@@ -154,9 +155,9 @@
 				require.NoError(b, err)
 				_, _ = io.Copy(io.Discard, resp.Body)
 			}
-			var todo atomic.Int64
+			var remaining atomic.Int64
 			run := func(n int64) {
-				todo.Store(n)
+				remaining.Store(n)
 				var all sync.WaitGroup
 				for range clients {
 					all.Go(func() {
@@ -164,8 +165,8 @@
 						require.NoError(b, err)
 						defer func() { _ = c.Close() }()
 						in := bufio.NewReader(c)
-						for n := todo.Add(-1); n >= 0; n = todo.Add(-1) {
-							ask(c, in, int(n))
+						for n := remaining.Add(-1); n >= 0; n = remaining.Add(-1) {
+							send(c, in, int(n))
 						}
 					})
 				}
--- a/cmd/dunestep/policy_test.go
+++ b/cmd/dunestep/policy_test.go
@@ -22,12 +22,12 @@
 	"dunestep/internal/standin"
 )
 
-// tries counts the attempts of each agent's latest request, at endpoints that turn the first two away unheard
-// and serve the third.
+// attemptCounter answers for endpoints: it rejects the first two attempts of a request unprocessed and serves the third.
+// It counts the attempts of each request.
 type attemptCounter struct {
 	mu        sync.Mutex
-	latestIDs map[int]string // ids, by agent
-	attempts  map[string]int
+	latestIDs map[int]string // id of each agent's latest request
+	attempts  map[string]int // number of attempts of each request, by id
 }
 
 func (c *attemptCounter) answer(s lab.Step) standin.Reply {
@@ -41,7 +41,7 @@
 	return standin.Reply{Status: http.StatusOK, Body: "booked"}
 }
 
-// at is how many attempts an agent makes for a request that is rejected everywhere.
+// attemptsBy sends a request to an agent, and returns how many attempts the agent made; 0 if no endpoint received it.
 func (c *attemptCounter) attemptsBy(ctx context.Context, t *testing.T, a *lab.Agent) int {
 	t.Helper()
 	before := a.Steps()
@@ -55,7 +55,7 @@
 	return c.attempts[c.latestIDs[a.Number]]
 }
 
-// policyLab is a fleet whose agents go by policies, before endpoints that turn all away.
+// policyLab returns a lab whose agents apply policies, and the counter that answers for its endpoints.
 func policyLab(t *testing.T, agents int, shape func(*lab.Config)) (*lab.Lab, *attemptCounter) {
 	t.Helper()
 	t.Parallel()
@@ -73,6 +73,8 @@
 	}), c
 }
 
+// attemptsDocument writes a policy document and returns its path. It limits the attempts of the class consult, if attempts
+// is not 0, and ends with the floor's text.
 func attemptsDocument(t *testing.T, attempts int, floor string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "policy.toml")
@@ -85,88 +87,89 @@
 	return path
 }
 
-// A policy holds at all agents once the command says so, also at the one that was down when it was made, before it says
-// that it is ready; one that an agent can't use holds nowhere, with the reason; back is a new version.
+// Once the command reports a policy as taken, all agents apply it. An agent that was down meanwhile applies it before it
+// reports that it is ready. A policy that one agent cannot apply is rejected with the reason. Going back to an earlier
+// version creates a new version.
 func TestPolicyAppliesAtAllAgentsOrNone(t *testing.T) {
-	l, tried := policyLab(t, 5, func(c *lab.Config) {
-		if c.Agent == 3 { // its settings permit less than the others'
+	l, counter := policyLab(t, 5, func(c *lab.Config) {
+		if c.Agent == 3 { // its settings permit fewer attempts than those of the others
 			c.File["settings"].(map[string]any)["bounds"].(map[string]any)["sendCap"] = 2
 		}
 	})
 	ctx := t.Context()
 	require.NoError(t, l.StartAll(ctx))
 	require.NoError(t, l.Wait(ctx, "leases", all(l, full)))
-	text, err := fleetCommand(t, l.Agent(1), "policy", "propose", attemptsDocument(t, 3, ""))
-	require.Error(t, err, text)
-	require.Contains(t, text, "not taken")
-	require.Contains(t, text, "the settings permit 2 attempts")
-	require.Equal(t, 3, tried.attemptsBy(ctx, t, l.Agent(0)), "nowhere")
+	output, err := fleetCommand(t, l.Agent(1), "policy", "propose", attemptsDocument(t, 3, ""))
+	require.Error(t, err, output)
+	require.Contains(t, output, "not taken")
+	require.Contains(t, output, "the settings permit 2 attempts")
+	require.Equal(t, 3, counter.attemptsBy(ctx, t, l.Agent(0)), "the rejected policy is not applied")
 
 	l.Agent(4).Kill()
 	_, err = l.Spoil(mishap.Fault{Way: mishap.Way{Loss: 0.2, Double: 0.2}})
 	require.NoError(t, err)
-	text, err = fleetCommand(t, l.Agent(2), "policy", "propose", attemptsDocument(t, 2, ""))
-	require.NoError(t, err, text)
-	require.Contains(t, text, "taken: version")
+	output, err = fleetCommand(t, l.Agent(2), "policy", "propose", attemptsDocument(t, 2, ""))
+	require.NoError(t, err, output)
+	require.Contains(t, output, "taken: version")
 	for _, a := range l.Agents()[:4] {
-		require.NoError(t, l.Wait(ctx, "it holds at "+a.Name, func() bool { return tried.attemptsBy(ctx, t, a) == 2 }))
+		require.NoError(t, l.Wait(ctx, "policy applied by "+a.Name, func() bool { return counter.attemptsBy(ctx, t, a) == 2 }))
 	}
 	require.NoError(t, l.Agent(4).Start(ctx))
-	require.Equal(t, 2, tried.attemptsBy(ctx, t, l.Agent(4)), "before it has said anything else")
+	require.Equal(t, 2, counter.attemptsBy(ctx, t, l.Agent(4)), "the policy applies from the first request after the start")
 	var s policyState
 	require.NoError(t, opsClient{l.Agent(0).Ops}.call(http.MethodGet, "/ops/fleet/policy", "", &s))
-	restrained := s.InForce.Number
+	limited := s.InForce.Number
 
-	text, err = fleetCommand(t, l.Agent(4), "policy", "propose", attemptsDocument(t, 0, ""))
-	require.NoError(t, err, text)
-	require.NoError(t, l.Wait(ctx, "as the settings", func() bool { return tried.attemptsBy(ctx, t, l.Agent(0)) == 3 }))
-	text, err = fleetCommand(t, l.Agent(0), "policy", "back", fmt.Sprint(restrained))
-	require.NoError(t, err, text)
-	require.NoError(t, l.Wait(ctx, "two attempts again", func() bool { return tried.attemptsBy(ctx, t, l.Agent(1)) == 2 }))
-	text, err = fleetCommand(t, l.Agent(0), "policy", "history")
-	require.NoError(t, err, text)
-	require.Contains(t, text, "in force")
-	text, err = fleetCommand(t, l.Agent(1), "policy", "show")
-	require.NoError(t, err, text)
-	require.Contains(t, text, "attempts = 2")
+	output, err = fleetCommand(t, l.Agent(4), "policy", "propose", attemptsDocument(t, 0, ""))
+	require.NoError(t, err, output)
+	require.NoError(t, l.Wait(ctx, "the limit of the settings applies", func() bool { return counter.attemptsBy(ctx, t, l.Agent(0)) == 3 }))
+	output, err = fleetCommand(t, l.Agent(0), "policy", "back", fmt.Sprint(limited))
+	require.NoError(t, err, output)
+	require.NoError(t, l.Wait(ctx, "two attempts again", func() bool { return counter.attemptsBy(ctx, t, l.Agent(1)) == 2 }))
+	output, err = fleetCommand(t, l.Agent(0), "policy", "history")
+	require.NoError(t, err, output)
+	require.Contains(t, output, "in force")
+	output, err = fleetCommand(t, l.Agent(1), "policy", "show")
+	require.NoError(t, err, output)
+	require.Contains(t, output, "attempts = 2")
 	require.Empty(t, l.EndAll())
 }
 
-// An agent that is cut off while a policy is made comes to the floor, by itself, before the policy holds anywhere, and
-// to the policy once it is back; it serves all the while.
+// An agent that is cut off while a policy is agreed on applies the floor by itself, before the policy is in force
+// anywhere, and the policy once it is connected again. It serves requests throughout.
 func TestPolicyFloorWhileCutOff(t *testing.T) {
 	const floor = "[floor]\nattempts = 1\n"
-	l, tried := policyLab(t, 5, nil)
+	l, counter := policyLab(t, 5, nil)
 	ctx := t.Context()
 	require.NoError(t, l.StartAll(ctx))
 	require.NoError(t, l.Wait(ctx, "leases", all(l, full)))
-	text, err := fleetCommand(t, l.Agent(0), "policy", "propose", attemptsDocument(t, 3, floor))
-	require.NoError(t, err, text)
+	output, err := fleetCommand(t, l.Agent(0), "policy", "propose", attemptsDocument(t, 3, floor))
+	require.NoError(t, err, output)
 	var ends []func()
-	for _, f := range []mishap.Fault{{From: []int{4}, Way: mishap.Way{Cut: true}}, {To: []int{4}, Way: mishap.Way{Cut: true}}} {
-		end, spoilErr := l.Spoil(f)
+	for _, fault := range []mishap.Fault{{From: []int{4}, Way: mishap.Way{Cut: true}}, {To: []int{4}, Way: mishap.Way{Cut: true}}} {
+		end, spoilErr := l.Spoil(fault)
 		require.NoError(t, spoilErr)
 		ends = append(ends, end)
 	}
-	text, err = fleetCommand(t, l.Agent(1), "policy", "propose", attemptsDocument(t, 2, floor))
-	require.NoError(t, err, text)
-	require.NoError(t, l.Wait(ctx, "it holds", func() bool { return tried.attemptsBy(ctx, t, l.Agent(0)) == 2 }))
-	require.Equal(t, 1, tried.attemptsBy(ctx, t, l.Agent(4)), "the floor, and not what was replaced")
+	output, err = fleetCommand(t, l.Agent(1), "policy", "propose", attemptsDocument(t, 2, floor))
+	require.NoError(t, err, output)
+	require.NoError(t, l.Wait(ctx, "the policy is in force", func() bool { return counter.attemptsBy(ctx, t, l.Agent(0)) == 2 }))
+	require.Equal(t, 1, counter.attemptsBy(ctx, t, l.Agent(4)), "the floor applies instead of the replaced policy")
 	for _, end := range ends {
 		end()
 	}
-	require.NoError(t, l.Wait(ctx, "it is back", func() bool { return tried.attemptsBy(ctx, t, l.Agent(4)) == 2 }))
+	require.NoError(t, l.Wait(ctx, "the policy is applied after the cut", func() bool { return counter.attemptsBy(ctx, t, l.Agent(4)) == 2 }))
 	require.Empty(t, l.EndAll())
 }
 
-// Forty agents, eight of them down while a policy is made and three datagrams in ten lost: it holds at all that are
-// there, and at the others when they come back. Long: LONG_TESTS.
+// Forty agents apply a policy that is agreed on while eight of them are down and 30 % of the datagrams are lost. The eight
+// apply it after their start. Long: runs only with LONG_TESTS.
 func TestPolicyWithFortyAgents(t *testing.T) {
 	if os.Getenv("LONG_TESTS") == "" {
 		t.Skip("LONG_TESTS is not set")
 	}
 	const agents = 40
-	l, tried := policyLab(t, agents, func(c *lab.Config) {
+	l, counter := policyLab(t, agents, func(c *lab.Config) {
 		c.Operator = strings.Replace(c.Operator, "[0, 1, 2]", "[0, 8, 16, 24, 32]", 1)
 	})
 	ctx := t.Context()
@@ -181,37 +184,37 @@
 		}
 	}
 	began := l.Now()
-	text, err := fleetCommand(t, l.Agent(1), "policy", "propose", attemptsDocument(t, 2, ""))
-	require.NoError(t, err, text)
+	output, err := fleetCommand(t, l.Agent(1), "policy", "propose", attemptsDocument(t, 2, ""))
+	require.NoError(t, err, output)
 	taken := l.Now() - began
 	for _, a := range l.Agents() {
 		if !down(a) {
-			require.NoError(t, l.Wait(ctx, "it holds at "+a.Name, func() bool { return tried.attemptsBy(ctx, t, a) == 2 }))
+			require.NoError(t, l.Wait(ctx, "policy applied by "+a.Name, func() bool { return counter.attemptsBy(ctx, t, a) == 2 }))
 		}
 	}
-	held := l.Now() - began
+	applied := l.Now() - began
 	for _, a := range l.Agents() {
 		if down(a) {
 			require.NoError(t, a.Start(ctx))
-			require.NoError(t, l.Wait(ctx, "it holds at "+a.Name, func() bool { return tried.attemptsBy(ctx, t, a) == 2 }))
+			require.NoError(t, l.Wait(ctx, "policy applied by "+a.Name, func() bool { return counter.attemptsBy(ctx, t, a) == 2 }))
 		}
 	}
-	t.Logf("taken and in force by its word after %v, seen at all %d that are there after %v", taken, agents*4/5, held)
+	t.Logf("reported as in force after %v, observed at all %d running agents after %v", taken, agents*4/5, applied)
 	require.Empty(t, l.EndAll())
 }
 
-// What SIGHUP changes of an agent's own settings counts: a figure of its own that is lower than the agreed one stays.
+// After SIGHUP has changed an agent's own settings, a local limit that is lower than the agreed one applies.
 func TestReloadAppliesLowerLocalLimit(t *testing.T) {
-	own := settings{}
-	own.Settings.Limits.MaxAttempts = 3
-	own.Settings.Classes = []balancer.Class{{Name: "consult"}}
-	own.operator.Fleet.Policy = true
-	own.operator.Overload.WastedFraction = 0.5
-	require.InDelta(t, 0.5, own.localPolicySettings().MaxFailedRatio, 1e-9)
-	s := policylog.New(policylog.Settings{Local: own.localPolicySettings(), Times: policy.Times{}.WithDefaults()}, fleet.ClockReading{})
-	before := s.Active(fleet.ClockReading{}, lease.Full).Effect
+	local := settings{}
+	local.Settings.Limits.MaxAttempts = 3
+	local.Settings.Classes = []balancer.Class{{Name: "consult"}}
+	local.operator.Fleet.Policy = true
+	local.operator.Overload.WastedFraction = 0.5
+	require.InDelta(t, 0.5, local.localPolicySettings().MaxFailedRatio, 1e-9)
+	log := policylog.New(policylog.Settings{Local: local.localPolicySettings(), Times: policy.Times{}.WithDefaults()}, fleet.ClockReading{})
+	before := log.Active(fleet.ClockReading{}, lease.Full).Effect
 	require.InDelta(t, 0.5, before.MaxFailedRatio, 1e-9)
-	own.operator.Overload.WastedFraction = 0.3
-	s.SetLocalSettings(own.localPolicySettings())
-	require.InDelta(t, 0.3, s.Active(fleet.ClockReading{}, lease.Full).Effect.MaxFailedRatio, 1e-9)
+	local.operator.Overload.WastedFraction = 0.3
+	log.SetLocalSettings(local.localPolicySettings())
+	require.InDelta(t, 0.3, log.Active(fleet.ClockReading{}, lease.Full).Effect.MaxFailedRatio, 1e-9)
 }
--- a/cmd/dunestep/policyfaults_test.go
+++ b/cmd/dunestep/policyfaults_test.go
@@ -20,57 +20,58 @@
 	"dunestep/internal/rehearsal/scenario"
 )
 
-// voterFolder is where a voter keeps the log, over all runs of a test.
+// voterFolder creates and returns the folder in which a voter stores the log across its restarts in a test.
 func voterFolder(t *testing.T, of string, agent int) string {
 	folder := filepath.Join(of, fmt.Sprint(agent))
 	require.NoError(t, os.MkdirAll(folder, 0o700))
 	return folder
 }
 
-// With nothing wrong, two changes: the judge sees each version at the agents.
+// Without faults, the judge observes each of two versions at the agents.
 func TestPolicyVersionsObserved(t *testing.T) {
 	w := newObservedLab(t, 5, inMemory, nil)
-	for _, mark := range []int{4, 3} {
-		text, err := w.propose(w.lab.Agent(mark%5), mark)
-		require.NoError(t, err, text)
-		w.awaitInForce(mark)
+	for _, attempts := range []int{4, 3} {
+		output, err := w.propose(w.lab.Agent(attempts%5), attempts)
+		require.NoError(t, err, output)
+		w.awaitInForce(attempts)
 	}
 	w.checkDecisions()
 	require.Empty(t, w.lab.EndAll())
 }
 
-// later is what a command says in the end.
+// commandResult is a command's output, and its error.
 type commandResult struct {
 	text string
 	err  error
 }
 
-// start proposes in the background.
-func (w *policyObserver) proposeInBackground(a *lab.Agent, mark int, args ...string) <-chan commandResult {
+// proposeInBackground is propose in a goroutine. The channel receives its result.
+func (w *policyObserver) proposeInBackground(a *lab.Agent, attempts int, args ...string) <-chan commandResult {
 	done := make(chan commandResult, 1)
 	w.wait.Go(func() {
-		text, err := w.propose(a, mark, args...)
-		done <- commandResult{text, err}
+		output, err := w.propose(a, attempts, args...)
+		done <- commandResult{output, err}
 	})
 	return done
 }
 
-// settled makes the same call again until it is known what became of it, and then once more: it changes once.
-func (w *policyObserver) awaitOutcome(a *lab.Agent, mark int) (taken bool) {
+// awaitOutcome repeats a proposal until its outcome is known, and reports whether it was accepted. Another repetition must
+// get the same answer, as a proposal takes effect at most once.
+func (w *policyObserver) awaitOutcome(a *lab.Agent, attempts int) (isAccepted bool) {
 	w.t.Helper()
-	text := ""
-	require.NoError(w.t, w.lab.Wait(w.t.Context(), "the call is settled", func() bool {
+	output := ""
+	require.NoError(w.t, w.lab.Wait(w.t.Context(), "the proposal's outcome is known", func() bool {
 		var err error
-		text, err = w.propose(a, mark)
-		taken = err == nil
-		return taken || strings.Contains(text, "not taken: ")
+		output, err = w.propose(a, attempts)
+		isAccepted = err == nil
+		return isAccepted || strings.Contains(output, "not taken: ")
 	}))
-	again, _ := w.propose(a, mark)
-	require.Equal(w.t, text, again)
-	return taken
+	repeated, _ := w.propose(a, attempts)
+	require.Equal(w.t, output, repeated)
+	return isAccepted
 }
 
-// opened waits until an agent knows of a change that is open.
+// awaitOpenChange waits until an agent knows of an open change.
 func (w *policyObserver) awaitOpenChange(a *lab.Agent) {
 	w.t.Helper()
 	require.NoError(w.t, w.lab.Wait(w.t.Context(), "a change is open", func() bool {
@@ -79,7 +80,7 @@
 	}))
 }
 
-// acceptance tells whether a proposal was accepted.
+// acceptance reports whether a proposal was accepted.
 type acceptance bool
 
 const (
@@ -87,85 +88,86 @@
 	rejected acceptance = false
 )
 
-// end has whatever became of a mark hold at all, and judges.
-func (w *policyObserver) finish(mark int, as acceptance) {
+// finish waits until all agents apply the limit of attempts of a proposal, or the initial one if it was rejected, and
+// judges the observed decisions.
+func (w *policyObserver) finish(attempts int, outcome acceptance) {
 	w.t.Helper()
-	if as == rejected {
-		mark = initialMaxAttempts
+	if outcome == rejected {
+		attempts = initialMaxAttempts
 	}
-	w.awaitInForce(mark)
+	w.awaitInForce(attempts)
 	w.checkDecisions()
 	require.Empty(w.t, w.lab.EndAll())
 }
 
-// The leader is killed at a step of a change: once it is proposed and only voters have answered, as the others stand still;
-// once all but one have; once it is activated and an agent knows. It ends either way, at all alike, and the call that is made
-// again says which.
+// The leader is killed during a change: after the proposal, while only voters have answered because the other agents are
+// paused; after all agents but one have answered; or after the activation, once an agent knows of it. The change is either
+// accepted or rejected, with the same outcome at all agents, and a repeated proposal reports which.
 func TestPolicyLeaderKilled(t *testing.T) {
 	t.Parallel()
 	for name, step := range map[string]struct {
-		still     []int // agents that stand still meanwhile
+		paused    []int // agents that are paused meanwhile
 		activated bool
-	}{"proposed": {[]int{3, 4}, false}, "half answered": {[]int{4}, false}, "activated": {[]int{4}, true}} {
+	}{"proposed": {[]int{3, 4}, false}, "answered by all but one": {[]int{4}, false}, "activated": {[]int{4}, true}} {
 		t.Run(name, func(t *testing.T) {
 			w := newObservedLab(t, 5, inMemory, nil)
-			led := leader(w.lab)
-			require.NotNil(t, led)
-			other := w.lab.Agent((led.Number + 1) % 3)
-			for _, n := range step.still {
+			leading := leader(w.lab)
+			require.NotNil(t, leading)
+			other := w.lab.Agent((leading.Number + 1) % 3)
+			for _, n := range step.paused {
 				w.lab.Agent(n).Pause()
 			}
-			said := w.proposeInBackground(other, 4)
+			result := w.proposeInBackground(other, 4)
 			if w.awaitOpenChange(other); step.activated {
-				require.NoError(t, w.lab.Wait(t.Context(), "it is activated", func() bool {
+				require.NoError(t, w.lab.Wait(t.Context(), "the change is activated", func() bool {
 					s, ok := policiesAt(w.lab.Agent(3))
 					return ok && s.InForce.Number > 0
 				}))
 			}
-			led.Kill()
-			for _, n := range step.still {
+			leading.Kill()
+			for _, n := range step.paused {
 				w.lab.Agent(n).Resume()
 			}
-			first := <-said
-			require.NoError(t, led.Start(t.Context()))
-			taken := w.awaitOutcome(other, 4)
-			require.True(t, taken || !step.activated, first.text)
-			w.finish(4, acceptance(taken))
+			proposal := <-result
+			require.NoError(t, leading.Start(t.Context()))
+			isAccepted := w.awaitOutcome(other, 4)
+			require.True(t, isAccepted || !step.activated, proposal.text)
+			w.finish(4, acceptance(isAccepted))
 		})
 	}
 }
 
-// Of three voters with folders two are killed: nothing is agreed, and agents come to the floor and serve. When they are back
-// the call is settled, and the next one holds.
+// Two of three voters with folders are killed: nothing can be agreed on, and the agents apply the floor and serve requests.
+// After the restart the outcome of the pending proposal becomes known, and the next one is accepted.
 func TestPolicyVotersKilled(t *testing.T) {
 	w := newObservedLab(t, 5, inFolders, nil)
 	ctx := t.Context()
 	w.lab.Agent(0).Kill()
 	w.lab.Agent(2).Kill()
-	require.NoError(t, w.lab.Wait(ctx, "the floor", func() bool {
+	require.NoError(t, w.lab.Wait(ctx, "agents apply the floor", func() bool {
 		return statusAt(w.lab.Agent(3)).Standing == "floor" && statusAt(w.lab.Agent(1)).Standing == "floor"
 	}))
-	text, err := w.propose(w.lab.Agent(3), 4, "--wait", "1s")
-	require.ErrorContains(t, err, "exit status", text)
+	output, err := w.propose(w.lab.Agent(3), 4, "--wait", "1s")
+	require.ErrorContains(t, err, "exit status", output)
 	require.NoError(t, w.lab.StartAll(ctx))
 	require.NoError(t, w.lab.Wait(ctx, "leases again", all(w.lab, full)))
-	if taken := w.awaitOutcome(w.lab.Agent(3), 4); taken {
+	if isAccepted := w.awaitOutcome(w.lab.Agent(3), 4); isAccepted {
 		w.awaitInForce(4)
 	}
-	text, err = w.propose(w.lab.Agent(0), 3)
-	require.NoError(t, err, text)
+	output, err = w.propose(w.lab.Agent(0), 3)
+	require.NoError(t, err, output)
 	w.finish(3, accepted)
 }
 
-// All processes are killed at once. With folders the policy that held is the first that they act on again; without, the log
-// begins anew and the settings hold.
+// All agents are killed at once. With folders, they apply the same policy after the restart. Without, the log starts empty
+// with a higher epoch and the settings apply.
 func TestPolicyAfterAllAgentsKilled(t *testing.T) {
 	t.Parallel()
-	for _, keeps := range []durability{inFolders, inMemory} {
-		t.Run(fmt.Sprint("folders ", keeps), func(t *testing.T) {
-			w := newObservedLab(t, 5, keeps, nil)
-			text, err := w.propose(w.lab.Agent(3), 4)
-			require.NoError(t, err, text)
+	for _, storage := range []durability{inFolders, inMemory} {
+		t.Run(fmt.Sprint("folders ", storage), func(t *testing.T) {
+			w := newObservedLab(t, 5, storage, nil)
+			output, err := w.propose(w.lab.Agent(3), 4)
+			require.NoError(t, err, output)
 			w.awaitInForce(4)
 			epoch := statusAt(w.lab.Agent(3)).Epoch
 			for _, a := range w.lab.Agents() {
@@ -173,7 +175,7 @@
 			}
 			require.NoError(t, w.lab.StartAll(t.Context()))
 			require.NoError(t, w.lab.Wait(t.Context(), "leases again", all(w.lab, full)))
-			if keeps == inFolders {
+			if storage == inFolders {
 				w.finish(4, accepted)
 				return
 			}
@@ -184,37 +186,37 @@
 	}
 }
 
-// All agents are restarted, one after the other, while two changes are made; voters keep nothing.
+// All agents are restarted, one after the other, while two changes are agreed on. Voters store nothing.
 func TestPolicyDuringRollingRestart(t *testing.T) {
 	w := newObservedLab(t, 7, inMemory, nil)
-	said := w.proposeInBackground(w.lab.Agent(6), 4)
+	result := w.proposeInBackground(w.lab.Agent(6), 4)
 	for _, a := range w.lab.Agents() {
-		if a.Number == 4 { // half way
-			first := <-said
+		if a.Number == 4 { // halfway
+			first := <-result
 			require.True(t, w.awaitOutcome(w.lab.Agent(0), 4), first.text)
-			said = w.proposeInBackground(w.lab.Agent(0), 3)
+			result = w.proposeInBackground(w.lab.Agent(0), 3)
 		}
 		a.Drain()
 		require.NoError(t, w.lab.Wait(t.Context(), a.Name+" has ended", func() bool { return !a.Runs() }))
 		require.NoError(t, a.Start(t.Context()))
 	}
-	second := <-said
+	second := <-result
 	require.True(t, w.awaitOutcome(w.lab.Agent(1), 3), second.text)
 	w.finish(3, accepted)
 }
 
-// An agent stands still across an activation, with a request in hand whose next attempt is due meanwhile and permitted by
-// the former version alone: what it does when it wakes goes by the floor or by the new version.
+// An agent is paused across an activation. Its pending request's next attempt falls due meanwhile, and only the previous
+// version permits it. After the pause the agent must apply the floor or the new version.
 func TestPolicyAfterPauseWithPendingRequest(t *testing.T) {
 	w := newObservedLab(t, 5, inMemory, nil)
 	paused := w.lab.Agent(4)
 	w.startPendingRequest(t.Context(), paused)
 	paused.Pause()
-	stood := sinceEpoch()
-	heal, err := w.lab.Spoil(mishap.Fault{To: []int{4}, Way: mishap.Way{Cut: true}}) // it hears of nothing as it wakes
+	pausedAt := sinceEpoch()
+	heal, err := w.lab.Spoil(mishap.Fault{To: []int{4}, Way: mishap.Way{Cut: true}}) // it receives nothing after the pause
 	require.NoError(t, err)
-	text, err := w.propose(w.lab.Agent(1), 4)
-	require.NoError(t, err, text)
+	output, err := w.propose(w.lab.Agent(1), 4)
+	require.NoError(t, err, output)
 	for _, a := range w.lab.Agents()[:4] {
 		s, ok := policiesAt(a)
 		require.True(t, ok && s.InForce.Number == 1)
@@ -226,12 +228,12 @@
 	i := slices.IndexFunc(w.finished, func(s observedRequest) bool { return s.wasPending })
 	require.GreaterOrEqual(t, i, 0)
 	s := w.finished[i]
-	t.Logf("%d attempts, the first one at %v, the last one at %v, ended at %v from when it stood still", s.attempts, s.firstAttemptAt-stood,
-		s.lastAttemptAt-stood, s.endedAt-stood)
-	require.False(t, s.attempts == initialMaxAttempts && s.lastAttemptAt > stood, "the attempt that the former version permits")
+	t.Logf("%d attempts, the first at %v, the last at %v, end at %v after the pause began", s.attempts, s.firstAttemptAt-pausedAt,
+		s.lastAttemptAt-pausedAt, s.endedAt-pausedAt)
+	require.False(t, s.attempts == initialMaxAttempts && s.lastAttemptAt > pausedAt, "an attempt that only the previous version permits")
 }
 
-// With three datagrams in ten lost, two doubled and two held back by up to two seconds, changes end and hold.
+// Proposals are decided and applied while 30 % of the datagrams are lost, 20 % duplicated and 20 % delayed by up to 2 s.
 func TestPolicyUnderDatagramLoss(t *testing.T) {
 	w := newObservedLab(t, 5, inMemory, nil)
 	_, err := w.lab.Spoil(mishap.Fault{Way: mishap.Way{
@@ -239,60 +241,61 @@
 		Held: scenario.TimeSpan{High: 2 * time.Second},
 	}})
 	require.NoError(t, err)
-	taken := 0
-	for _, mark := range []int{4, 3} {
-		if w.awaitOutcome(w.lab.Agent(mark), mark) {
-			taken = mark
-			w.awaitInForce(mark)
+	lastAccepted := 0
+	for _, attempts := range []int{4, 3} {
+		if w.awaitOutcome(w.lab.Agent(attempts), attempts) {
+			lastAccepted = attempts
+			w.awaitInForce(attempts)
 		}
 	}
-	require.NotZero(t, taken, "neither of the two")
-	w.finish(taken, accepted)
+	require.NotZero(t, lastAccepted, "one of the two proposals must be accepted")
+	w.finish(lastAccepted, accepted)
 }
 
-// Of two changes that are open at once the first one holds and the other is told why it does not.
+// Of two concurrent proposals the first is accepted, and the other is rejected with the reason.
 func TestPolicyConcurrentProposals(t *testing.T) {
 	w := newObservedLab(t, 5, inMemory, nil)
-	w.lab.Agent(4).Pause() // so that the first stays open until its lease is over
-	said := w.proposeInBackground(w.lab.Agent(0), 4)
+	w.lab.Agent(4).Pause() // keeps the first change open until the agent's lease expires
+	result := w.proposeInBackground(w.lab.Agent(0), 4)
 	w.awaitOpenChange(w.lab.Agent(1))
-	text, err := w.propose(w.lab.Agent(1), 3)
-	require.Error(t, err, text)
-	require.Contains(t, text, "not taken: another change, version 1, is open")
+	output, err := w.propose(w.lab.Agent(1), 3)
+	require.Error(t, err, output)
+	require.Contains(t, output, "not taken: another change, version 1, is open")
 	w.lab.Agent(4).Resume()
-	first := <-said
+	first := <-result
 	require.NoError(t, first.err, first.text)
 	w.finish(4, accepted)
 }
 
-// The way from the leader to all others is cut, or the way back, while a change is open: another one leads, and it ends.
+// The datagrams from the leader, or those to it, are lost while a change is open. Another agent becomes leader, and the
+// change is decided.
 func TestPolicyOneWayPartition(t *testing.T) {
 	t.Parallel()
-	for _, back := range []bool{false, true} {
-		t.Run(fmt.Sprint("back ", back), func(t *testing.T) {
+	for _, toLeader := range []bool{false, true} {
+		t.Run(fmt.Sprint("to leader ", toLeader), func(t *testing.T) {
 			w := newObservedLab(t, 5, inMemory, nil)
-			led := leader(w.lab)
-			require.NotNil(t, led)
-			other := w.lab.Agent((led.Number + 1) % 3)
+			leading := leader(w.lab)
+			require.NotNil(t, leading)
+			other := w.lab.Agent((leading.Number + 1) % 3)
 			w.lab.Agent(4).Pause()
-			said := w.proposeInBackground(other, 4)
+			result := w.proposeInBackground(other, 4)
 			w.awaitOpenChange(other)
-			f := mishap.Fault{From: []int{led.Number}, Way: mishap.Way{Cut: true}}
-			if back {
-				f = mishap.Fault{To: []int{led.Number}, Way: mishap.Way{Cut: true}}
+			fault := mishap.Fault{From: []int{leading.Number}, Way: mishap.Way{Cut: true}}
+			if toLeader {
+				fault = mishap.Fault{To: []int{leading.Number}, Way: mishap.Way{Cut: true}}
 			}
-			heal, err := w.lab.Spoil(f)
+			heal, err := w.lab.Spoil(fault)
 			require.NoError(t, err)
 			w.lab.Agent(4).Resume()
-			require.NoError(t, w.lab.Wait(t.Context(), "another one leads", func() bool {
+			require.NoError(t, w.lab.Wait(t.Context(), "another agent leads", func() bool {
 				for _, a := range w.lab.Agents()[:3] {
-					if s := statusAt(a); a != led && s.Voter != nil && s.Voter.Phase == "leading" {
+					if s := statusAt(a); a != leading && s.Voter != nil && s.Voter.Phase == "leading" {
 						return true
 					}
 				}
 				return false
 			}))
-			first := <-said
+			first := <-result
 			heal()
 			t.Log(first.text)
 			w.finish(4, acceptance(w.awaitOutcome(other, 4)))
@@ -300,23 +303,23 @@
 	}
 }
 
-// Two of five are cut off with one voter: what is proposed among them is agreed nowhere, what the others agree on holds
-// there, and at all once they are back; those that are cut off act within the floor by then.
+// Two of five agents, one of them a voter, are cut off. What is proposed among them is not accepted. What the others agree
+// on applies there, and at all agents once they are connected again. Until then the two apply the floor.
 func TestPolicyMinorityPartition(t *testing.T) {
 	w := newObservedLab(t, 5, inMemory, nil)
-	apart, rest := []int{0, 3}, []int{1, 2, 4}
+	minority, majority := []int{0, 3}, []int{1, 2, 4}
 	var heal []func()
-	for _, f := range []mishap.Fault{
-		{From: apart, To: rest, Way: mishap.Way{Cut: true}},
-		{From: rest, To: apart, Way: mishap.Way{Cut: true}},
+	for _, fault := range []mishap.Fault{
+		{From: minority, To: majority, Way: mishap.Way{Cut: true}},
+		{From: majority, To: minority, Way: mishap.Way{Cut: true}},
 	} {
-		end, err := w.lab.Spoil(f)
+		end, err := w.lab.Spoil(fault)
 		require.NoError(t, err)
 		heal = append(heal, end)
 	}
-	said := w.proposeInBackground(w.lab.Agent(3), 4, "--wait", "4s")
+	result := w.proposeInBackground(w.lab.Agent(3), 4, "--wait", "4s")
 	require.True(t, w.awaitOutcome(w.lab.Agent(4), 3))
-	for _, n := range rest {
+	for _, n := range majority {
 		s, ok := policiesAt(w.lab.Agent(n))
 		require.True(t, ok && s.InForce.ProposalID == "attempts-3", "%+v", s)
 	}
@@ -324,56 +327,56 @@
 	for _, end := range heal {
 		end()
 	}
-	first := <-said
+	first := <-result
 	require.Error(t, first.err, first.text)
-	if w.awaitOutcome(w.lab.Agent(3), 4) { // asked again, it is made from what is in force by now
+	if w.awaitOutcome(w.lab.Agent(3), 4) { // repeated, it is based on the version that is in force now
 		w.finish(4, accepted)
 		return
 	}
 	w.finish(3, accepted)
 }
 
-// damaged does something to a voter's store.
+// storeDamage has functions that damage the contents of a voter's store.
 var storeDamage = map[string]func([]byte) []byte{
 	"torn":         func(b []byte) []byte { return b[:len(b)-len(b)/3] },
 	"other build":  func(b []byte) []byte { return append([]byte("fleet of an older build"), b[23:]...) },
 	"not a record": func(b []byte) []byte { clear(b[40:300]); return b },
 }
 
-// A voter's store is torn, or not of this build: it starts, serves and follows, goes by what is agreed and says what is
-// wrong; the others go on. With its folder emptied it is a voter again, a new one.
+// A voter whose store is truncated, damaged or of another build starts, serves requests, applies what is agreed on and
+// logs the error. The other voters continue. With its folder removed it votes again, as a new voter.
 func TestPolicyDamagedVoterStore(t *testing.T) {
 	t.Parallel()
 	for name, damage := range storeDamage {
 		t.Run(name, func(t *testing.T) {
 			folder := ""
 			w := newObservedLab(t, 5, inFolders, func(c *lab.Config) {
-				if _, rest, is := strings.Cut(c.Operator, "folder = "); is && c.Agent == 1 {
+				if _, rest, ok := strings.Cut(c.Operator, "folder = "); ok && c.Agent == 1 {
 					_, err := fmt.Sscanf(rest, "%q", &folder)
 					require.NoError(t, err)
 				}
 			})
 			ctx := t.Context()
-			text, err := w.propose(w.lab.Agent(3), 4)
-			require.NoError(t, err, text)
-			hurt := w.lab.Agent(1)
-			hurt.Kill()
+			output, err := w.propose(w.lab.Agent(3), 4)
+			require.NoError(t, err, output)
+			voter := w.lab.Agent(1)
+			voter.Kill()
 			files, err := filepath.Glob(filepath.Join(folder, "*.log"))
 			require.NoError(t, err)
 			require.Len(t, files, 1)
-			b, err := os.ReadFile(files[0])
+			content, err := os.ReadFile(files[0])
 			require.NoError(t, err)
-			require.NoError(t, os.WriteFile(files[0], damage(b), 0o600))
-			require.NoError(t, hurt.Start(ctx))
-			require.True(t, hurt.Said("the voter's store cannot be used"))
-			require.Nil(t, statusAt(hurt).Voter)
-			require.True(t, w.awaitOutcome(hurt, 3))
+			require.NoError(t, os.WriteFile(files[0], damage(content), 0o600))
+			require.NoError(t, voter.Start(ctx))
+			require.True(t, voter.Said("the voter's store cannot be used"))
+			require.Nil(t, statusAt(voter).Voter)
+			require.True(t, w.awaitOutcome(voter, 3))
 			w.awaitInForce(3)
-			hurt.Kill()
+			voter.Kill()
 			require.NoError(t, os.RemoveAll(folder))
-			require.NoError(t, hurt.Start(ctx))
-			require.NoError(t, w.lab.Wait(ctx, "it votes again", func() bool {
-				v := statusAt(hurt).Voter
+			require.NoError(t, voter.Start(ctx))
+			require.NoError(t, w.lab.Wait(ctx, "the agent votes again", func() bool {
+				v := statusAt(voter).Voter
 				return v != nil && (v.Phase == "voting" || v.Phase == "leading")
 			}))
 			w.finish(3, accepted)
@@ -381,8 +384,9 @@
 	}
 }
 
-// With a third of the agents gone, those that are there divide by how many they are, and by all of them again once they are
-// back; also one that is cut off does, which hears nobody. Where no switch is on nothing is told.
+// With a third of the agents stopped, the present agents divide limits by their own number, and by the number of all agents
+// once those are back. An agent that is cut off, and so sees no other agent, also divides by all. An agent with none of the
+// here_ settings logs nothing of it.
 func TestFleetSize(t *testing.T) {
 	t.Parallel()
 	program, err := plainBinary()
@@ -396,29 +400,29 @@
 	ctx := t.Context()
 	require.NoError(t, l.StartAll(ctx))
 	a := l.Agent(0)
-	says := func(text string) {
+	awaitLog := func(text string) {
 		t.Helper()
 		logged := 0
 		require.NoError(t, l.Wait(ctx, text, func() bool { return a.SaidSince(logged, text) }))
 		logged = a.Logged()
 	}
-	says("there=6 counted=6")
+	awaitLog("there=6 counted=6")
 	for _, n := range []int{4, 5} {
 		l.Agent(n).Drain()
 	}
-	says("there=4 counted=4")
+	awaitLog("there=4 counted=4")
 	require.NoError(t, l.StartAll(ctx))
-	require.NoError(t, l.Wait(ctx, "all are back", func() bool { return statusAt(a).Present == 6 }))
+	require.NoError(t, l.Wait(ctx, "all agents are present", func() bool { return statusAt(a).Present == 6 }))
 	heal, err := l.Spoil(mishap.Fault{To: []int{0}, Way: mishap.Way{Cut: true}})
 	require.NoError(t, err)
-	says("there=0 counted=6")
+	awaitLog("there=0 counted=6")
 	heal()
 	require.False(t, l.Agent(1).Said("number of present agents changed"))
 	require.Empty(t, l.EndAll())
 }
 
-// wrapWithSmallDisk has a program run with a folder of its own on a disk of 1 MB, which is gone with it; false: this machine does not
-// let one be made.
+// wrapWithSmallDisk returns a script that runs a program with the folder on a disk of 1 MB, which exists only for that
+// process; false: this machine does not permit such a disk.
 func wrapWithSmallDisk(t *testing.T, program, folder string) (wrapped string, ok bool) {
 	script := filepath.Join(t.TempDir(), "small")
 	text := fmt.Sprintf("#!/bin/sh\nexec unshare -rm sh -c 'mount -t tmpfs -o size=1m none %s && exec \"$0\" \"$@\"' \"%s\" \"$@\"\n",
@@ -427,12 +431,12 @@
 	return script, exec.Command("unshare", "-rm", "mount", "-t", "tmpfs", "-o", "size=1m", "none", folder).Run() == nil
 }
 
-// The leader's disk is full: it serves on, a change that is made then holds at all, itself included, and its log says what is
-// wrong. Started with a new disk it is a voter again.
+// A leader whose disk is full continues to serve requests and logs the error. A change that is made then applies at all
+// agents, itself included. Started with a new disk it votes again.
 func TestPolicyDiskFull(t *testing.T) {
 	folders := t.TempDir()
 	if _, ok := wrapWithSmallDisk(t, "true", voterFolder(t, folders, 0)); !ok {
-		t.Skip("no disk of a size can be made here")
+		t.Skip("this machine does not permit a disk of limited size")
 	}
 	w := newObservedLab(t, 5, inMemory, func(c *lab.Config) {
 		if c.Agent < 3 {
@@ -441,54 +445,54 @@
 			c.Operator = strings.Replace(c.Operator, "[storm]", fmt.Sprintf("folder = %q\n[storm]", folder), 1)
 		}
 	})
-	led := leader(w.lab)
-	require.NotNil(t, led)
-	filler, err := os.Create(fmt.Sprintf("/proc/%d/root%s/filler", led.Pid(), voterFolder(t, folders, led.Number)))
+	leading := leader(w.lab)
+	require.NotNil(t, leading)
+	filler, err := os.Create(fmt.Sprintf("/proc/%d/root%s/filler", leading.Pid(), voterFolder(t, folders, leading.Number)))
 	require.NoError(t, err)
 	for err == nil {
 		_, err = filler.Write(make([]byte, 4096))
 	}
 	require.ErrorIs(t, err, syscall.ENOSPC)
 	require.NoError(t, filler.Close())
-	// Each is a record of the log, also where another one is open and it is refused.
-	much := attemptsDocument(t, 0, "# "+strings.Repeat("much to write ", 900)+"\n")
-	text, err := os.ReadFile(much)
+	// Each proposal adds a record to the log, even if it is rejected because another change is open.
+	longDocument := attemptsDocument(t, 0, "# "+strings.Repeat("much to write ", 900)+"\n")
+	text, err := os.ReadFile(longDocument)
 	require.NoError(t, err)
-	for n := 0; !led.Said("the voter's log cannot be written"); n++ {
+	for n := 0; !leading.Said("the voter's log cannot be written"); n++ {
 		require.Less(t, n, 200)
-		var o policyOutcome
+		var outcome policyOutcome
 		path := fmt.Sprintf("/ops/fleet/policy/propose?id=mark-%d-%d&within_ms=500", initialMaxAttempts, n)
-		require.NoError(t, opsClient{w.lab.Agent(3 + n%2).Ops}.call(http.MethodPost, path, string(text), &o))
-		require.NoError(t, w.lab.Wait(t.Context(), "it is in the log", func() bool {
+		require.NoError(t, opsClient{w.lab.Agent(3 + n%2).Ops}.call(http.MethodPost, path, string(text), &outcome))
+		require.NoError(t, w.lab.Wait(t.Context(), "the proposal is in the log", func() bool {
 			callErr := opsClient{w.lab.Agent(3 + n%2).Ops}.call(http.MethodGet,
-				fmt.Sprintf("/ops/fleet/policy/outcome?id=mark-%d-%d", initialMaxAttempts, n), "", &o)
+				fmt.Sprintf("/ops/fleet/policy/outcome?id=mark-%d-%d", initialMaxAttempts, n), "", &outcome)
 			s, ok := policiesAt(w.lab.Agent(3 + n%2))
-			return callErr == nil && o.Status != policy.StatusUnknown.String() || ok && s.Open != nil && s.Open.ProposalID == o.ID
+			return callErr == nil && outcome.Status != policy.StatusUnknown.String() || ok && s.Open != nil && s.Open.ProposalID == outcome.ID
 		}))
 	}
-	require.NoError(t, w.lab.Wait(t.Context(), "the last one has taken hold", func() bool {
+	require.NoError(t, w.lab.Wait(t.Context(), "the last change is in force", func() bool {
 		s, ok := policiesAt(w.lab.Agent(3))
 		return ok && s.Open == nil && time.Since(s.InForce.EffectiveAt) > 0
 	}))
 	w.resetHistory(w.lab.Agent(3))
-	said, err := w.propose(w.lab.Agent(3), 4)
-	require.NoError(t, err, said)
+	output, err := w.propose(w.lab.Agent(3), 4)
+	require.NoError(t, err, output)
 	w.awaitInForce(4)
-	led.Kill()
-	require.NoError(t, led.Start(t.Context()))
-	require.NoError(t, w.lab.Wait(t.Context(), "it votes again", func() bool {
-		v := statusAt(led).Voter
+	leading.Kill()
+	require.NoError(t, leading.Start(t.Context()))
+	require.NoError(t, w.lab.Wait(t.Context(), "the agent votes again", func() bool {
+		v := statusAt(leading).Voter
 		return v != nil && (v.Phase == "voting" || v.Phase == "leading")
 	}))
 	w.finish(4, accepted)
 }
 
-// commitWithoutWindows is a commit whose build has policies and knows neither contracts nor windows.
+// commitWithoutWindows is a commit whose build supports policies, but neither contracts nor windows.
 const commitWithoutWindows = "455e822"
 
-// Half of the agents, a voter among them, are of an earlier build, the others have maintenance windows on: they agree on
-// what both can read, each decision judged, and what the earlier build can't read holds nowhere, with its reason.
-// Long, and from a repository alone: LONG_TESTS.
+// Half of the agents, a voter among them, run an earlier build, and the others have maintenance windows enabled. They agree
+// on policies that both builds can read. A policy that the earlier build cannot read is rejected with the reason.
+// Long, and needs the repository: runs only with LONG_TESTS.
 func TestPolicyEarlierBuild(t *testing.T) {
 	if os.Getenv("LONG_TESTS") == "" {
 		t.Skip("LONG_TESTS is not set")
@@ -501,19 +505,19 @@
 			c.Operator = strings.Replace(c.Operator, "policy = true\n", "policy = true\nwindows = true\n", 1)
 		}
 	})
-	for _, mark := range []int{4, 3} {
-		text, err := w.propose(w.lab.Agent(mark), mark)
-		require.NoError(t, err, text)
-		w.awaitInForce(mark)
+	for _, attempts := range []int{4, 3} {
+		output, err := w.propose(w.lab.Agent(attempts), attempts)
+		require.NoError(t, err, output)
+		w.awaitInForce(attempts)
 	}
 	path := attemptsDocument(t, 4, "[contracts.acme]\nzone = \"Europe/Bucharest\"\nhours = [\"mon-sun 20:00-06:00\"]\n")
-	text, err := fleetCommand(t, w.lab.Agent(0), "policy", "propose", path)
-	require.Error(t, err, text)
-	require.Contains(t, text, "not taken: ")
-	require.Contains(t, text, "unknown")
+	output, err := fleetCommand(t, w.lab.Agent(0), "policy", "propose", path)
+	require.Error(t, err, output)
+	require.Contains(t, output, "not taken: ")
+	require.Contains(t, output, "unknown")
 	w.awaitInForce(3)
-	led := leader(w.lab)
-	led.Kill()
-	require.NoError(t, led.Start(t.Context()))
+	leading := leader(w.lab)
+	leading.Kill()
+	require.NoError(t, leading.Start(t.Context()))
 	w.finish(3, accepted)
 }
--- a/cmd/dunestep/restart_test.go
+++ b/cmd/dunestep/restart_test.go
@@ -24,14 +24,14 @@
 	"dunestep/internal/state"
 )
 
-// again launches the program anew, after its end, and waits until it is ready.
+// again launches the program again after its exit, and waits until it is ready.
 func (w *testbed) again() {
 	w.exited = make(chan struct{})
 	w.launch()
 	w.until("ready again", func() bool { return w.readyStatus() == http.StatusOK })
 }
 
-// often is how often a test repeats what takes its time: few, or as often as RESTART_RUNS says.
+// repeatCount returns how often a test repeats a slow part: RESTART_RUNS times if that is set, otherwise few times.
 func repeatCount(few int) int {
 	if n, err := strconv.Atoi(os.Getenv("RESTART_RUNS")); err == nil {
 		return n
@@ -39,30 +39,31 @@
 	return few
 }
 
-// busy answers after some tens of milliseconds.
+// busy answers after 20 to 60 ms.
 func busy(s upstreamAttempt) string {
 	time.Sleep(20*time.Millisecond + rand.N(40*time.Millisecond))
 	return ok(s)
 }
 
-// service is how many of the requests of a class were served within the aim.
+// serviceCount counts the requests of a class, and those of them that were served within the latency objective.
 type serviceCount struct{ sent, served atomic.Int64 }
 
 func (s *serviceCount) servedFraction() float64 {
 	return float64(s.served.Load()) / float64(max(s.sent.Load(), 1))
 }
 
-// offer sends 60 requests a second, seven of ten safe ones, and returns the services of both classes.
-func (w *testbed) offer(lasts time.Duration) (safe, unsafe *serviceCount) {
-	safe, unsafe = &serviceCount{}, &serviceCount{}
+// offer sends 60 requests per second, 70 % of them idempotent, and returns the counts of the idempotent and the
+// non-idempotent class.
+func (w *testbed) offer(duration time.Duration) (idempotent, nonIdempotent *serviceCount) {
+	idempotent, nonIdempotent = &serviceCount{}, &serviceCount{}
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}, Timeout: 3 * time.Second}
 	defer client.CloseIdleConnections()
 	var wait sync.WaitGroup
 	began := time.Now()
-	for n := 0; time.Since(began) < lasts; n++ {
-		class, count := "consult", safe
+	for n := 0; time.Since(began) < duration; n++ {
+		class, count := "consult", idempotent
 		if n%10 >= 7 {
-			class, count = "rezervare", unsafe
+			class, count = "rezervare", nonIdempotent
 		}
 		r := w.request(class, 900)
 		r.Header.Set("Cookie", fmt.Sprintf("sid=k%d", n%97))
@@ -82,29 +83,29 @@
 		time.Sleep(time.Until(began.Add(time.Duration(n+1) * time.Second / 60)))
 	}
 	wait.Wait()
-	return safe, unsafe
+	return idempotent, nonIdempotent
 }
 
-// fillBacklog has connections to the server never come up: what listens there takes none.
+// fillBacklog makes the server accept no more connections and fills its backlog, so that new ones are never established.
 func (s *server) fillBacklog(t *testing.T) {
 	require.NoError(t, s.socket.Mute())
 	s.socket.HangUp()
-	for up := true; up; { // until its queue is full
+	for connected := true; connected; { // until the backlog is full
 		c, err := net.DialTimeout("tcp", s.socket.Addr(), 200*time.Millisecond)
-		if up = err == nil; up {
+		if connected = err == nil; connected {
 			t.Cleanup(func() { _ = c.Close() })
 		}
 	}
 }
 
-// Half of the list is dead and discovery can't be asked: both classes are served all the same. When it is back,
-// nothing goes to what it reports as gone.
+// Half of the listed endpoints are unusable and discovery is unreachable: both classes are served all the same. Once
+// discovery is reachable, endpoints that it reports as removed get no requests.
 func TestStartWithoutDiscovery(t *testing.T) {
 	t.Parallel()
-	for name, die := range map[string]func(*testing.T, *server){
-		"silent":        func(_ *testing.T, s *server) { s.setAnswer(func(upstreamAttempt) string { return silence }) },
-		"not listening": func(_ *testing.T, s *server) { s.stop() },
-		"never up":      func(t *testing.T, s *server) { s.fillBacklog(t) },
+	for name, disable := range map[string]func(*testing.T, *server){
+		"silent":         func(_ *testing.T, s *server) { s.setAnswer(func(upstreamAttempt) string { return silence }) },
+		"not listening":  func(_ *testing.T, s *server) { s.stop() },
+		"never connects": func(t *testing.T, s *server) { s.fillBacklog(t) },
 		"another program": func(_ *testing.T, s *server) {
 			s.setAnswer(func(upstreamAttempt) string { return reply("404 Not Found", "there is no such page") })
 		},
@@ -114,7 +115,7 @@
 				w := newTestbed(t, 10)
 				w.answerAll(busy)
 				for _, s := range w.servers[:5] {
-					die(t, s)
+					disable(t, s)
 				}
 				var listed []object
 				for _, s := range w.servers {
@@ -124,25 +125,25 @@
 				w.discovery.set(503, false)
 				w.operatorFile = "[state]\nprove_list = " + strconv.FormatBool(os.Getenv("RESTART_UNPROVED") == "")
 				w.start()
-				lasts := 3 * time.Second
+				duration := 3 * time.Second
 				if repeatCount(1) > 1 {
-					lasts = 10 * time.Second
+					duration = 10 * time.Second
 				}
-				safe, unsafe := w.offer(lasts)
-				t.Logf("%s: consult %.4f rezervare %.4f", name, safe.servedFraction(), unsafe.servedFraction())
+				idempotent, nonIdempotent := w.offer(duration)
+				t.Logf("%s: consult %.4f rezervare %.4f", name, idempotent.servedFraction(), nonIdempotent.servedFraction())
 				if os.Getenv("RESTART_UNPROVED") == "" {
-					require.Greater(t, min(safe.servedFraction(), unsafe.servedFraction()), 0.9)
+					require.Greater(t, min(idempotent.servedFraction(), nonIdempotent.servedFraction()), 0.9)
 				}
 				require.Contains(t, w.log.String(), "discovery not reachable since the start")
 
 				w.discovery.set(200, false)
-				w.until("watched", func() bool { return w.discovery.watched() == 1 })
-				var gone []object
-				for _, s := range w.servers[:6] { // one of these serves
-					gone = append(gone, s.entry("left"))
+				w.until("watch", func() bool { return w.discovery.watched() == 1 })
+				var removed []object
+				for _, s := range w.servers[:6] { // one of these was serving
+					removed = append(removed, s.entry("left"))
 				}
-				w.discovery.say(list(42, false, gone...))
-				w.until("told", func() bool { return strings.Contains(w.log.String(), "discovery confirmed the endpoint list") })
+				w.discovery.say(list(42, false, removed...))
+				w.until("list confirmed", func() bool { return strings.Contains(w.log.String(), "discovery confirmed the endpoint list") })
 				before := make([]int, 6)
 				for i, s := range w.servers[:6] {
 					before[i] = len(s.attempts())
@@ -158,14 +159,14 @@
 	}
 }
 
-// keeping has the program keep its state in a folder, and returns that.
+// keeping makes the program store its state in a folder, and returns that folder. More is added to the operator file.
 func (w *testbed) keeping(more string) string {
 	path := w.t.TempDir()
 	w.operatorFile = fmt.Sprintf("[state]\nfolder = %q\nperiod_s = 1\nwrites_a_minute = 60\n%s", path, more)
 	return path
 }
 
-// newest reads the newest file in a folder.
+// newest returns the newest state file of a folder; nil: it has none.
 func newest(t *testing.T, path string) (newest *state.File) {
 	for _, name := range []string{"state-a", "state-b"} {
 		raw, err := os.ReadFile(filepath.Join(path, name))
@@ -182,7 +183,7 @@
 	return newest
 }
 
-// beside starts another agent with the same operator file, and returns its log and what ends it.
+// startSecondAgent starts another agent with the same operator file, and returns its log and a function that kills it.
 func (w *testbed) startSecondAgent() (log *logBuffer, end func()) {
 	free, err := net.Listen("tcp", w.addr[:strings.LastIndex(w.addr, ":")]+":0")
 	require.NoError(w.t, err)
@@ -209,8 +210,8 @@
 	return log, end
 }
 
-// What was learned of a server is there after a restart, and so is the list. Another agent that is given the same
-// folder goes on without, and nothing of the first one's is written over.
+// What the agent has learned of servers, and the endpoint list, are restored after a restart. Another agent with the same
+// folder runs without stored state and does not overwrite the first agent's.
 func TestStateIsRestored(t *testing.T) {
 	w := newTestbed(t, 3)
 	path := w.keeping("")
@@ -220,36 +221,36 @@
 	w.until("watch", func() bool { return w.discovery.watched() == 1 })
 	w.discovery.say(list(77, false, w.servers[1].entry("active")))
 	w.offer(2 * time.Second)
-	w.until("down", func() bool { return strings.Contains(w.log.String(), "server s-0 ejected") })
+	w.until("s-0 ejected", func() bool { return strings.Contains(w.log.String(), "server s-0 ejected") })
 
 	log, end := w.startSecondAgent()
-	w.until("the other one serves", func() bool { return strings.Contains(log.String(), "serving name=n1") })
+	w.until("the second agent serves", func() bool { return strings.Contains(log.String(), "serving name=n1") })
 	require.Contains(t, log.String(), "in use by another agent")
 	end()
 
 	require.Zero(t, w.stop())
-	f := newest(t, path)
-	require.Equal(t, "n0", f.Owner.Agent)
-	require.Equal(t, int64(77), f.List.Version)
-	require.True(t, f.Balancer.Servers[0].Outlier.Ejected)
+	stored := newest(t, path)
+	require.Equal(t, "n0", stored.Owner.Agent)
+	require.Equal(t, int64(77), stored.List.Version)
+	require.True(t, stored.Balancer.Servers[0].Outlier.Ejected)
 	out, err := exec.Command(raceBinary, "state", "show", filepath.Join(path, "state-a")).CombinedOutput()
 	require.NoError(t, err, string(out))
 	require.Contains(t, string(out), w.servers[1].socket.Addr())
 
-	silent := len(w.servers[0].attempts())
+	attemptsBefore := len(w.servers[0].attempts())
 	w.again()
 	require.Contains(t, w.log.String(), "state restored")
-	w.until("from the version that it had", func() bool {
+	w.until("watch from the restored version", func() bool {
 		calls := w.discovery.called()
 		return strings.HasSuffix(calls[len(calls)-1], "from=77")
 	})
-	safe, unsafe := w.offer(2 * time.Second)
-	require.InDelta(t, 1.0, unsafe.servedFraction(), 0)
-	require.Greater(t, safe.servedFraction(), 0.97)
-	require.Less(t, len(w.servers[0].attempts())-silent, 6, "trials only")
+	idempotent, nonIdempotent := w.offer(2 * time.Second)
+	require.InDelta(t, 1.0, nonIdempotent.servedFraction(), 0)
+	require.Greater(t, idempotent.servedFraction(), 0.97)
+	require.Less(t, len(w.servers[0].attempts())-attemptsBefore, 6, "probes only")
 	require.Zero(t, w.stop())
 
-	// Damaged: told, and the start goes on without.
+	// A damaged file is logged, and the agent starts without it.
 	require.NoError(t, os.WriteFile(filepath.Join(path, "state-a"), []byte("DUNESTEP, but nothing that fits"), 0o600))
 	require.NoError(t, os.Remove(filepath.Join(path, "state-b")))
 	w.again()
@@ -260,7 +261,7 @@
 	require.Error(t, exec.Command(raceBinary, "state", "check", w.configPath).Run())
 }
 
-// Killed again and again, also within the write at the end: every start finds a whole file.
+// The process is killed repeatedly, also while it writes its state at the end. Every start finds a complete file.
 func TestKillLeavesReadableState(t *testing.T) {
 	w := newTestbed(t, 2)
 	path := w.keeping("")
@@ -272,9 +273,9 @@
 		time.Sleep(rand.N(8 * time.Millisecond))
 		require.NoError(t, w.process.Process.Kill())
 		await(t, w.exited)
-		if f := newest(t, path); f != nil {
-			require.GreaterOrEqual(t, f.Generation, last)
-			last = f.Generation
+		if stored := newest(t, path); stored != nil {
+			require.GreaterOrEqual(t, stored.Generation, last)
+			last = stored.Generation
 		}
 		w.again()
 		require.NotRegexp(t, "not restored|not applied|cannot be used|takeover from the running process failed", w.log.String())
--- a/cmd/dunestep/ring_test.go
+++ b/cmd/dunestep/ring_test.go
@@ -17,7 +17,7 @@
 	"dunestep/internal/standin"
 )
 
-// ringServerAt is a server in the generation that an agent knows.
+// ringServerAt returns a server in an agent's latest generation; a zero one if it is not in it.
 func ringServerAt(a *lab.Agent, id string) (s ringServer) {
 	if r := statusAt(a).Ring; r != nil {
 		for _, one := range r.Servers {
@@ -29,8 +29,8 @@
 	return s
 }
 
-// A server that joins gets its points bit by bit, the same at all agents; one that comes and goes in discovery's list
-// loses its keys once, and gets none of them while it does, though the list has it.
+// A server that joins gets its points in steps, the same at all agents. One that leaves and rejoins discovery's list
+// repeatedly loses its keys once and gets none of them back while it does so, even when it is listed.
 func TestRingServerJoinsAndFlaps(t *testing.T) {
 	t.Parallel()
 	program, err := plainBinary()
@@ -44,75 +44,75 @@
 	ctx := t.Context()
 	l.List(3, "left")
 	require.NoError(t, l.StartAll(ctx))
-	require.NoError(t, l.Wait(ctx, "all place by a generation", all(l, func(a *lab.Agent, s fleetStatus) bool {
+	require.NoError(t, l.Wait(ctx, "all agents use a generation", all(l, func(a *lab.Agent, s fleetStatus) bool {
 		return s.Ring != nil && s.Ring.Active > 0 && s.Ring.Active == statusAt(l.Agent(0)).Ring.Active
 	})))
 	full := ringServerAt(l.Agent(0), "s-0").Points
 	require.Positive(t, full)
 	l.List(3, "active")
-	grown := map[int]bool{}
-	require.NoError(t, l.Wait(ctx, "it grows", func() bool {
+	steps := map[int]bool{}
+	require.NoError(t, l.Wait(ctx, "s-3 has all its points", func() bool {
 		now := ringServerAt(l.Agent(4), "s-3").Points
-		grown[now] = true
-		return now >= full // a busy machine's looks miss some
+		steps[now] = true
+		return now >= full // on a busy machine polls miss some steps
 	}))
-	require.Greater(t, len(grown), 5, "bit by bit")
-	asked := func(a *lab.Agent, keys []string) (there []string) {
+	require.Greater(t, len(steps), 5, "the points grow in steps")
+	keysServedByS3 := func(a *lab.Agent, keys []string) (sentToS3 []string) {
 		for _, key := range keys {
 			_, body, askErr := a.Ask(ctx, "consult", key)
 			require.NoError(t, askErr)
 			if strings.Contains(body, "s-3") {
-				there = append(there, key)
+				sentToS3 = append(sentToS3, key)
 			}
 		}
-		return there
+		return sentToS3
 	}
 	var keys []string
 	for i := range 60 {
 		keys = append(keys, fmt.Sprint("k", i))
 	}
-	its := asked(l.Agent(1), keys)
-	require.NotEmpty(t, its)
-	held := 0
+	keysOfS3 := keysServedByS3(l.Agent(1), keys)
+	require.NotEmpty(t, keysOfS3)
+	withoutKeys := 0
 	for range 3 {
 		l.List(3, "left")
-		require.NoError(t, l.Wait(ctx, "it has no keys anywhere", all(l, func(a *lab.Agent, s fleetStatus) bool {
+		require.NoError(t, l.Wait(ctx, "s-3 has no keys at any agent", all(l, func(a *lab.Agent, s fleetStatus) bool {
 			return s.Ring.Active == s.Ring.Generation && ringServerAt(a, "s-3").Points == 0
 		})))
 		l.List(3, "active")
 		for _, a := range l.Agents() {
-			there := asked(a, its)
-			if ringServerAt(a, "s-3").Points == 0 { // it was not back meanwhile
-				require.Empty(t, there, "it is listed again")
-				held++
+			sentToS3 := keysServedByS3(a, keysOfS3)
+			if ringServerAt(a, "s-3").Points == 0 { // it has not rejoined meanwhile
+				require.Empty(t, sentToS3, "s-3 gets no requests, although it is listed again")
+				withoutKeys++
 			}
 		}
 	}
-	require.Positive(t, held)
-	t.Logf("grew in %d steps; held off at %d of %d looks, by generation %d", len(grown), held, 3*len(l.Agents()),
+	require.Positive(t, withoutKeys)
+	t.Logf("grew in %d steps; without keys in %d of %d polls, up to generation %d", len(steps), withoutKeys, 3*len(l.Agents()),
 		statusAt(l.Agent(0)).Ring.Generation)
-	text, err := fleetCommand(t, l.Agent(2), "status")
-	require.NoError(t, err, text)
-	require.Contains(t, text, "s-3")
+	output, err := fleetCommand(t, l.Agent(2), "status")
+	require.NoError(t, err, output)
+	require.Contains(t, output, "s-3")
 	require.Empty(t, l.EndAll())
 }
 
-// permissiveContracts allow all windows, of requests of no tenant too.
+// permissiveContracts allow all windows, also for requests without a tenant.
 const permissiveContracts = "format = 1\n[contracts.east]\nzone = \"UTC\"\nhours = [\"mon-sun 00:00-24:00\"]\nkeep = 0.25\n" +
 	"[contracts.-]\nzone = \"UTC\"\nhours = [\"mon-sun 00:00-24:00\"]\nkeep = 0.25\n[capacity]\nload = 0.2\n"
 
-// A server that a window has emptied is out of discovery's list, as is one in no window: the ring goes without that
-// one, and the other stays as it is. An agent that was cut off meanwhile, and has heard of nothing since, sends there
-// again when the window is over, as all others do.
+// A server drained by a window and a server outside any window both leave discovery's list. The ring drops only the
+// latter. When the window is over, all agents send requests to the drained server again, also one that was cut off
+// meanwhile and has received no update.
 func TestRingDuringWindow(t *testing.T) {
 	t.Parallel()
 	program, err := plainBinary()
 	require.NoError(t, err)
-	set := lab.Deployment()
-	set.Tenants = []balancer.Tenant{{Name: "east", QuotaPerSecond: 1000, Share: 1}}
+	settings := lab.Deployment()
+	settings.Tenants = []balancer.Tenant{{Name: "east", QuotaPerSecond: 1000, Share: 1}}
 	r := &windowObserver{t: t}
 	r.Lab = lab.Open(t, lab.Options{
-		Agents: 5, Servers: 4, Program: program, Ops: true, Seed: 17, Settings: set,
+		Agents: 5, Servers: 4, Program: program, Ops: true, Seed: 17, Settings: settings,
 		Patience: 3 * time.Minute, Answer: func(s lab.Step) standin.Reply {
 			return standin.Reply{Status: http.StatusOK, Body: fmt.Sprint("s-", s.Server)}
 		},
@@ -122,45 +122,46 @@
 	require.NoError(t, r.StartAll(ctx))
 	require.NoError(t, r.Wait(ctx, "leases", all(r.Lab, full)))
 	r.propose(permissiveContracts)
-	by := func(is func(a *lab.Agent) bool) func() bool {
-		return all(r.Lab, func(a *lab.Agent, s fleetStatus) bool { return s.Ring != nil && s.Ring.Active > 0 && is(a) })
+	allAgents := func(condition func(a *lab.Agent) bool) func() bool {
+		return all(r.Lab, func(a *lab.Agent, s fleetStatus) bool { return s.Ring != nil && s.Ring.Active > 0 && condition(a) })
 	}
-	require.NoError(t, r.Wait(ctx, "all are whole", by(func(a *lab.Agent) bool {
+	require.NoError(t, r.Wait(ctx, "s-0 is whole at all agents", allAgents(func(a *lab.Agent) bool {
 		return ringServerAt(a, "s-0").Phase == "whole"
 	})))
-	text, err := r.requestWindow(3, "w", "s-0", "+8s", "+32s", "--tenant", "-", "--pace", "1")
-	require.NoError(t, err, text)
+	output, err := r.requestWindow(3, "w", "s-0", "+8s", "+32s", "--tenant", "-", "--pace", "1")
+	require.NoError(t, err, output)
 	w := r.awaitState(0, "w", "drained", "free")
 	r.List(0, "left")
 	r.List(1, "left")
-	require.NoError(t, r.Wait(ctx, "the ring goes without the other", by(func(a *lab.Agent) bool {
+	require.NoError(t, r.Wait(ctx, "the ring has dropped s-1", allAgents(func(a *lab.Agent) bool {
 		return ringServerAt(a, "s-1").Points == 0
 	})))
 	heal := r.cutOff(4)
 	defer heal()
 	r.List(0, "active")
-	require.Less(t, time.Now(), w.ReturnFrom, "too late to tell anything")
+	require.Less(t, time.Now(), w.ReturnFrom, "the window must not be over yet")
 	for _, a := range r.Agents() {
 		require.Equal(t, "whole", ringServerAt(a, "s-0").Phase)
 		require.Positive(t, ringServerAt(a, "s-0").Points)
 	}
 	require.NoError(t, r.Wait(ctx, "the window is over", func() bool { return time.Now().After(w.To.Add(time.Second)) }))
 	for n, a := range r.Agents() {
-		came := 0
+		received := 0
 		for i := range 60 {
 			_, body, err := a.AskFor(ctx, "east", "consult", fmt.Sprint("k", i))
 			require.NoError(t, err)
 			if body == "s-0" {
-				came++
+				received++
 			}
 		}
-		require.Greater(t, came, 6, n)
+		require.Greater(t, received, 6, n)
 	}
 	require.Empty(t, r.EndAll())
 }
 
-// Servers of one kind answer more slowly than their capacity says. While two agents tell so nothing changes, though
-// generations go on; when a third does the kinds' points differ by a tenth, at all agents. Long: LONG_TESTS.
+// Servers of one machine kind answer more slowly than their capacity suggests. While two agents report it, new generations
+// keep the capacities. Once a third agent reports it, that kind's capacity is reduced by 10 % at all agents. Long: runs only
+// with LONG_TESTS.
 func TestRingFollowsMeasuredPaces(t *testing.T) {
 	if os.Getenv("LONG_TESTS") == "" {
 		t.Skip("LONG_TESTS is not set")
@@ -186,7 +187,7 @@
 	loading, end := context.WithCancel(ctx)
 	var wait sync.WaitGroup
 	t.Cleanup(func() { end(); wait.Wait() })
-	loads := func(agents ...int) {
+	startLoad := func(agents ...int) {
 		for _, a := range agents {
 			for c := range 4 {
 				wait.Go(func() {
@@ -201,31 +202,31 @@
 			}
 		}
 	}
-	tell := func(agents int) func() bool {
+	reporters := func(agents int) func() bool {
 		return func() bool {
-			led := leader(l)
-			if led == nil {
+			leading := leader(l)
+			if leading == nil {
 				return false
 			}
-			r := statusAt(led).Ring
+			r := statusAt(leading).Ring
 			return r != nil && r.PaceReporters == agents
 		}
 	}
-	loads(0, 3)
-	require.NoError(t, l.Wait(ctx, "two tell", tell(2)))
-	was := statusAt(l.Agent(0)).Ring.Generation
+	startLoad(0, 3)
+	require.NoError(t, l.Wait(ctx, "two agents report", reporters(2)))
+	before := statusAt(l.Agent(0)).Ring.Generation
 	l.List(4, "left")
-	require.NoError(t, l.Wait(ctx, "another generation", all(l, func(_ *lab.Agent, s fleetStatus) bool {
-		return s.Ring.Generation > was && s.Ring.Active == s.Ring.Generation
+	require.NoError(t, l.Wait(ctx, "the next generation", all(l, func(_ *lab.Agent, s fleetStatus) bool {
+		return s.Ring.Generation > before && s.Ring.Active == s.Ring.Generation
 	})))
 	require.Empty(t, statusAt(l.Agent(0)).Ring.Paces)
 	l.List(4, "active")
-	loads(4)
-	require.NoError(t, l.Wait(ctx, "it is agreed", all(l, func(_ *lab.Agent, s fleetStatus) bool { return len(s.Ring.Paces) > 0 })))
-	require.Equal(t, map[string]float64{"rapid": 0.9}, statusAt(l.Agent(1)).Ring.Paces, "no more at once")
-	text, err := fleetCommand(t, l.Agent(2), "status")
-	require.NoError(t, err, text)
-	require.Contains(t, text, "measured 0.90 of its capacity")
+	startLoad(4)
+	require.NoError(t, l.Wait(ctx, "the pace is agreed on", all(l, func(_ *lab.Agent, s fleetStatus) bool { return len(s.Ring.Paces) > 0 })))
+	require.Equal(t, map[string]float64{"rapid": 0.9}, statusAt(l.Agent(1)).Ring.Paces, "at most 10 % per step")
+	output, err := fleetCommand(t, l.Agent(2), "status")
+	require.NoError(t, err, output)
+	require.Contains(t, output, "measured 0.90 of its capacity")
 	end()
 	require.Empty(t, l.EndAll())
 }
--- a/cmd/dunestep/shutdown_test.go
+++ b/cmd/dunestep/shutdown_test.go
@@ -17,20 +17,18 @@
 	"dunestep/internal/standin"
 )
 
-// What the pages say of a planned restart: how long new connections go on coming after SIGTERM, when SIGKILL
-// comes at the soonest beside the longest deadline, how late an answer may be, and how many may end unsent.
+// The documented limits of a planned restart.
 const (
-	lateConnectPeriod = 400 * time.Millisecond
-	killGrace         = 700 * time.Millisecond
-	maxResponseDelay  = 500 * time.Millisecond
-	maxUnsentFraction = 1.0 / 200
+	lateConnectPeriod = 400 * time.Millisecond // for which new connections still arrive after SIGTERM
+	killGrace         = 700 * time.Millisecond // minimum time from the longest deadline to SIGKILL
+	maxResponseDelay  = 500 * time.Millisecond // after the end of a request's time
+	maxUnsentFraction = 1.0 / 200              // of all requests
 )
 
-// callers are clients that send one request after another, each on a connection of its own for as long as that
-// stays open.
+// callers are clients that send one request after another, each on its own connection while that stays open.
 type callers struct {
 	w         *testbed
-	thinkTime func() time.Duration // between an answer and the next request
+	thinkTime func() time.Duration // returns the pause between an answer and the next request
 	mayDial   atomic.Bool          // new connections may be opened
 	done      chan struct{}
 	stop      func()
@@ -38,34 +36,34 @@
 
 	mu       sync.Mutex
 	requests int
-	outcomes map[string]int // of the requests
-	unsent   []string       // ids of those that failed, or whose new connection was closed with no answer
-	lost     []string       // how requests ended that were owed an answer
-	// crossed are the ids of those whose connection was closed as they were sent: nothing of them may have been
-	// forwarded but what is marked as sent again.
+	outcomes map[string]int // number of requests by outcome
+	unsent   []string       // ids of requests that failed, or whose new connection was closed without an answer
+	lost     []string       // outcome and id of requests without the answer that they must get
+	// crossed has the ids of requests whose connection was closed while they were sent. Of these, only those marked as
+	// sent again may be forwarded.
 	crossed map[string]bool
 }
 
-// What a request's query says.
+// Marks in a request's query.
 const (
 	unansweredMark = "hangs"  // the endpoint does not answer
-	resentMark     = "&again" // it is sent once more
+	resentMark     = "&again" // the request is sent again
 )
 
-// crossingWindow is how soon after a request its connection ends if the two have crossed.
+// crossingWindow is the longest time from sending a request to the close of its connection if the two have crossed.
 const crossingWindow = time.Second
 
-// heard is what comes of a connection: an answer, or its end.
+// connEvent is what a connection delivers: an answer, or its close.
 type connEvent struct {
 	*http.Response
 	body   []byte
-	unread bool
+	unread bool // whether it was closed before the request was read
 }
 
-// callers has clients begin to send.
-func (w *testbed) startCallers(clients int, think func() time.Duration) *callers {
+// startCallers starts the clients. Each waits for thinkTime before a request.
+func (w *testbed) startCallers(clients int, thinkTime func() time.Duration) *callers {
 	c := &callers{
-		w: w, thinkTime: think, done: make(chan struct{}), outcomes: map[string]int{},
+		w: w, thinkTime: thinkTime, done: make(chan struct{}), outcomes: map[string]int{},
 		crossed: map[string]bool{},
 	}
 	c.mayDial.Store(true)
@@ -79,7 +77,7 @@
 
 func (c *callers) runClient() {
 	var conn *standin.Client
-	var hears chan connEvent
+	var received chan connEvent
 	for {
 		select {
 		case <-c.done:
@@ -87,8 +85,8 @@
 				conn.Close()
 			}
 			return
-		case <-hears: // closed between requests
-			conn, hears = nil, nil
+		case <-received: // closed between requests
+			conn, received = nil, nil
 			continue
 		case <-time.After(c.thinkTime()):
 		}
@@ -103,17 +101,17 @@
 		if rand.N(20) == 0 {
 			query = unansweredMark
 		}
-		conn, hears = c.exchange(conn, hears, late, query)
+		conn, received = c.exchange(conn, received, late, query)
 	}
 }
 
-// exchange sends a request, on a new connection where there is none, and once more where the close of the one
-// that there was has crossed it. Late is when its end comes; query is hanging where no response is wanted. It
-// returns the connection if that is still to be used.
-func (c *callers) exchange(conn *standin.Client, hears chan connEvent, late time.Duration, query string) (*standin.Client,
+// exchange sends a request, on a new connection if conn is nil, and again if it crossed the close of conn. Half of the body
+// is sent late, if late is not 0. The query is unansweredMark if the endpoint must not answer. It returns the connection if
+// it can be used again.
+func (c *callers) exchange(conn *standin.Client, received chan connEvent, late time.Duration, query string) (*standin.Client,
 	chan connEvent,
 ) {
-	const left = 2500
+	const timeLeftMS = 2500
 	class, method, body, size := "consult", "GET", "", rand.N(100_000)
 	id := c.w.nextID()
 	if n := rand.N(4); n > 0 {
@@ -123,7 +121,7 @@
 	for used := conn != nil; ; used, query = false, query+resentMark {
 		request := fmt.Appendf(nil, "%s /%s/%d?%s HTTP/1.1\r\nHost: backend.local\r\nX-Correlation-Id: %s\r\n"+
 			"X-Account: acme\r\nCookie: sid=%x\r\nX-Time-Left-Ms: %d\r\nContent-Length: %d\r\n\r\n%s",
-			method, class, size, query, id, key, left, len(body), body)
+			method, class, size, query, id, key, timeLeftMS, len(body), body)
 		rest := len(request)
 		if late > 0 {
 			rest -= len(body) / 2
@@ -131,28 +129,28 @@
 		if used {
 			conn.Ask(request[:rest])
 		} else {
-			to := make(chan connEvent, 2)
-			hears = to
+			events := make(chan connEvent, 2)
+			received = events
 			conn = standin.Dial(c.w.addr, request[:rest],
-				func(r *http.Response, body []byte) { to <- connEvent{Response: r, body: body} },
-				func(unread bool) { to <- connEvent{unread: unread} })
+				func(r *http.Response, body []byte) { events <- connEvent{Response: r, body: body} },
+				func(unread bool) { events <- connEvent{unread: unread} })
 		}
 		if late > 0 {
 			time.Sleep(late)
 			conn.Ask(request[rest:])
 		}
 		sent := time.Now()
-		var h connEvent
-		until := left*time.Millisecond + maxResponseDelay
+		var event connEvent
+		maxDuration := timeLeftMS*time.Millisecond + maxResponseDelay
 		select {
-		case h = <-hears:
-		case <-time.After(until + time.Second):
+		case event = <-received:
+		case <-time.After(maxDuration + time.Second):
 			conn.Close()
 		}
 		if used && time.Since(sent) > crossingWindow {
-			h.unread = false // it was taken, and then dropped
+			event.unread = false // it was accepted and then dropped
 		}
-		if h.Response == nil && h.unread && used {
+		if event.Response == nil && event.unread && used {
 			c.mu.Lock()
 			c.crossed[id] = true
 			c.mu.Unlock()
@@ -160,51 +158,51 @@
 				continue
 			}
 		}
-		c.record(id, h, h.Response != nil && string(h.body) == long(size, id), time.Since(sent) > until)
-		if h.Response == nil || h.Close {
+		c.record(id, event, event.Response != nil && string(event.body) == long(size, id), time.Since(sent) > maxDuration)
+		if event.Response == nil || event.Close {
 			conn.Close()
 			return nil, nil
 		}
-		return conn, hears
+		return conn, received
 	}
 }
 
-// end notes how a request ended.
-func (c *callers) record(id string, h connEvent, whole, late bool) {
+// record records a request's outcome.
+func (c *callers) record(id string, event connEvent, bodyMatches, late bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.requests++
-	how := "no answer"
+	outcome := "no answer"
 	switch {
-	case h.Response == nil && h.unread: // a new one, or there was nowhere to send it once more
-		how = "connection closed"
+	case event.Response == nil && event.unread: // a new connection, or no connection on which to send it again
+		outcome = "connection closed"
 		c.unsent = append(c.unsent, id)
-	case h.Response == nil:
+	case event.Response == nil:
 	case late:
-		how = "late"
-	case h.StatusCode == http.StatusOK && !whole:
-		how = "another body"
+		outcome = "late"
+	case event.StatusCode == http.StatusOK && !bodyMatches:
+		outcome = "another body"
 	default:
-		how = fmt.Sprint(h.StatusCode)
-		if h.StatusCode != http.StatusOK && h.StatusCode != http.StatusServiceUnavailable {
+		outcome = fmt.Sprint(event.StatusCode)
+		if event.StatusCode != http.StatusOK && event.StatusCode != http.StatusServiceUnavailable {
 			c.unsent = append(c.unsent, id)
 		}
 	}
-	c.outcomes[how]++
-	if how == "no answer" || how == "late" || how == "another body" {
-		c.lost = append(c.lost, how+": "+id)
+	c.outcomes[outcome]++
+	if outcome == "no answer" || outcome == "late" || outcome == "another body" {
+		c.lost = append(c.lost, outcome+": "+id)
 	}
 }
 
-// verdict tells what is wrong with the ends of all requests, if anything.
+// check returns an error if requests were lost, or too many ended unsent.
 func (c *callers) check() error {
 	reached := map[string]bool{}
 	for _, s := range c.w.servers {
-		for _, st := range s.attempts() {
-			id := idOf(st)
+		for _, attempt := range s.attempts() {
+			id := idOf(attempt)
 			reached[id] = true
-			if c.crossed[id] && !strings.Contains(st.URL.RawQuery, resentMark) {
-				c.lost = append(c.lost, "sent on, though it crossed a close: "+id)
+			if c.crossed[id] && !strings.Contains(attempt.URL.RawQuery, resentMark) {
+				c.lost = append(c.lost, "forwarded, though it crossed a close: "+id)
 			}
 		}
 	}
@@ -214,16 +212,16 @@
 			unsent++
 		}
 	}
-	c.w.t.Logf("%d asked: %v, %d sent again, %d ended unsent", c.requests, c.outcomes, len(c.crossed), unsent)
+	c.w.t.Logf("%d requests: %v, %d sent again, %d ended unsent", c.requests, c.outcomes, len(c.crossed), unsent)
 	if len(c.lost) > 0 || float64(unsent) > maxUnsentFraction*float64(c.requests) {
 		return fmt.Errorf("lost %v, %d of %d unsent", c.lost, unsent, c.requests)
 	}
 	return nil
 }
 
-// After SIGTERM clients send on all connections that stay open, at a busy agent and at one whose clients are
-// idle, with long bodies both ways, while endpoints are slow. All that is taken is answered, by what is
-// left of the process until it could be killed, and a new one under its name serves at once.
+// After SIGTERM clients continue to send on all connections that stay open, with long bodies both ways and slow endpoints,
+// at a busy agent and at one with mostly idle clients. The process answers all accepted requests before it could be killed,
+// and a new process of the same agent serves at once.
 func TestRestartUnderOpenConnections(t *testing.T) {
 	for name, c := range map[string]struct {
 		clients int
@@ -239,7 +237,7 @@
 	}
 }
 
-func tryRestart(t *testing.T, clients int, think func() time.Duration) error {
+func tryRestart(t *testing.T, clients int, thinkTime func() time.Duration) error {
 	w := newSerialTestbed(t, 4).start(usePlainBinary, func(w *testbed) {
 		for _, class := range w.config["settings"].(object)["categories"].([]object) {
 			class["aim"], class["deadline"] = 2400000, 2500000
@@ -255,17 +253,17 @@
 			return reply("200 OK", long(size, idOf(s)))
 		})
 	})
-	callers := w.startCallers(clients, think)
+	callers := w.startCallers(clients, thinkTime)
 	time.Sleep(time.Second)
 	require.NoError(t, w.process.Process.Signal(syscall.SIGTERM))
-	told := time.Now()
+	terminatedAt := time.Now()
 	time.Sleep(lateConnectPeriod * 3 / 4)
-	for range 4 { // they come late, and can't be answered before it ends
+	for range 4 { // sent late, so that they cannot be answered before the exit
 		callers.wait.Go(func() { callers.exchange(nil, nil, killGrace, unansweredMark) })
 	}
-	time.Sleep(time.Until(told.Add(lateConnectPeriod)))
+	time.Sleep(time.Until(terminatedAt.Add(lateConnectPeriod)))
 	callers.mayDial.Store(false)
-	kill := time.AfterFunc(time.Until(told.Add(2500*time.Millisecond+killGrace)), func() { _ = w.process.Process.Kill() })
+	kill := time.AfterFunc(time.Until(terminatedAt.Add(2500*time.Millisecond+killGrace)), func() { _ = w.process.Process.Kill() })
 	await(t, w.exited)
 	kill.Stop()
 	code := w.process.ProcessState.ExitCode()
@@ -275,7 +273,7 @@
 	callers.stop()
 	require.Zero(t, w.stop())
 	if code != 0 {
-		return fmt.Errorf("it ended with %d after SIGTERM", code)
+		return fmt.Errorf("exit code %d after SIGTERM", code)
 	}
 	return callers.check()
 }
--- a/cmd/dunestep/upgrade_test.go
+++ b/cmd/dunestep/upgrade_test.go
@@ -20,7 +20,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// upgrade starts the program a second time, with another ops address, and waits until it says yes.
+// upgrade starts the agent's next process, with its own address of the operators' socket, and waits until it is ready.
 func (w *testbed) upgrade() *testbed {
 	next := w.another()
 	next.launch()
@@ -28,7 +28,7 @@
 	return next
 }
 
-// untilReady waits until the process says yes at its ops address.
+// untilReady waits until the process reports at its operators' socket that it is ready.
 func (w *testbed) untilReady() {
 	w.until("ready", func() bool {
 		resp, err := http.Get("http://" + w.opsAddr + "/ops/readiness")
@@ -40,7 +40,7 @@
 	})
 }
 
-// another is the same agent's next process, not started yet.
+// another returns the same agent's next process, not started yet.
 func (w *testbed) another() *testbed {
 	next := &testbed{
 		t: w.t, deployment: w.deployment, config: w.config, env: w.env, operatorFile: w.operatorFile, program: w.program, addr: w.addr,
@@ -51,25 +51,25 @@
 	return next
 }
 
-// load has clients ask all the time, on connections that they keep, and counts what they get. A request that
-// meets a close which it crossed is sent once more, as the protocol says.
+// load is clients that send requests all the time, on persistent connections, and counts of their outcomes. A request that
+// crosses the close of its connection is sent again, as the protocol permits.
 type load struct {
-	bodySize                    int           // of what must not run twice; zero: a short one
-	pause                       time.Duration // of each client
+	bodySize                    int           // size of the body of non-idempotent requests; zero: a short one
+	pause                       time.Duration // between a client's requests
 	stop                        chan struct{}
 	wait                        sync.WaitGroup
 	ok, rejected, lost, refused atomic.Int64
-	failed                      atomic.Int64 // answers that say that it failed
-	firstFailure                atomic.Value // of what was lost or failed
+	failed                      atomic.Int64 // error responses
+	firstFailure                atomic.Value // first loss or failure
 }
 
-// tell keeps what was lost or failed first.
+// noteFailure records the first loss or failure.
 func (l *load) noteFailure(what ...any) { l.firstFailure.CompareAndSwap(nil, fmt.Sprint(what...)) }
 
-// none tells that nothing was lost, turned back or failed.
+// none requires that no request was lost, refused or failed.
 func (l *load) none(t *testing.T) {
 	t.Helper()
-	require.Equal(t, []int64{0, 0, 0}, []int64{l.lost.Load(), l.refused.Load(), l.failed.Load()}, "beside %d that were served: %v",
+	require.Equal(t, []int64{0, 0, 0}, []int64{l.lost.Load(), l.refused.Load(), l.failed.Load()}, "%d were served; first failure: %v",
 		l.ok.Load(), l.firstFailure.Load())
 }
 
@@ -77,7 +77,7 @@
 	return w.runLoad(clients, &load{pause: 2 * time.Millisecond})
 }
 
-// startLongBodyLoad is a load of bodies that are passed on as they come, both ways.
+// startLongBodyLoad starts a load with bodies both ways that are too long to be buffered and so are streamed.
 func (w *testbed) startLongBodyLoad(clients int) *load {
 	const size = 150_000
 	rest := strings.Repeat("x", size)
@@ -114,7 +114,7 @@
 
 func (l *load) send(client *http.Client, r *http.Request) {
 	resp, err := client.Do(r)
-	if errors.Is(err, syscall.ECONNRESET) && r.GetBody != nil { // the library sends a long one no second time
+	if errors.Is(err, syscall.ECONNRESET) && r.GetBody != nil { // net/http does not send a long body again
 		r.Body, _ = r.GetBody()
 		resp, err = client.Do(r)
 	}
@@ -146,7 +146,7 @@
 
 func (l *load) end() { close(l.stop); l.wait.Wait() }
 
-// once tells that no booking ran twice.
+// once requires that no non-idempotent request reached endpoints twice.
 func (w *testbed) once() {
 	w.t.Helper()
 	ran := map[string]int{}
@@ -162,40 +162,40 @@
 	}
 }
 
-// Upgrades under load, one after the other, with endpoints out by hand before, between and after: nothing is
-// lost, nothing turned back, no booking runs twice, bans hold, and the old process ends by itself.
+// Consecutive upgrades under load, with endpoints disabled by operators before, during and after each: no request is lost,
+// refused or run twice, disabled endpoints stay disabled, and the old process exits by itself.
 func TestConsecutiveUpgradesUnderLoad(t *testing.T) {
 	w := start(t, 3, door, (*testbed).useLongTimeouts)
-	l := w.load(8)
-	w.until("load", func() bool { return l.ok.Load() > 50 })
-	now, out := w, 0
-	ban := func(id int) {
-		now.yes("POST", "/ops/booking-servers/up", fmt.Sprint("s-", out))
-		out = id
-		now.yes("POST", "/ops/booking-servers/down", fmt.Sprint("s-", out))
+	load := w.load(8)
+	w.until("load", func() bool { return load.ok.Load() > 50 })
+	current, disabled := w, 0
+	disable := func(id int) {
+		current.yes("POST", "/ops/booking-servers/up", fmt.Sprint("s-", disabled))
+		disabled = id
+		current.yes("POST", "/ops/booking-servers/down", fmt.Sprint("s-", disabled))
 	}
-	ban(0)
+	disable(0)
 	for i := range 3 {
-		next := now.upgrade()
+		next := current.upgrade()
 		require.Contains(t, next.log.String(), "taking over from the running process")
-		ban((i + 1) % 3) // told to the old one while both run
-		require.Zero(t, now.stop(), now.log.String())
-		now = next
-		now.until("full limits", func() bool { return strings.Contains(now.log.String(), "full limits") })
-		before := len(w.servers[out].attempts())
-		goal := l.ok.Load() + 100
-		w.until("it goes on", func() bool { return l.ok.Load() > goal })
-		require.Len(t, w.servers[out].attempts(), before, "a booking server that is out gets nothing")
-		require.Equal(t, 1, now.stats().Ejected)
+		disable((i + 1) % 3) // reported to the old process while both run
+		require.Zero(t, current.stop(), current.log.String())
+		current = next
+		current.until("full limits", func() bool { return strings.Contains(current.log.String(), "full limits") })
+		before := len(w.servers[disabled].attempts())
+		goal := load.ok.Load() + 100
+		w.until("requests are still served", func() bool { return load.ok.Load() > goal })
+		require.Len(t, w.servers[disabled].attempts(), before, "a disabled endpoint gets no requests")
+		require.Equal(t, 1, current.stats().Ejected)
 	}
-	l.end()
-	l.none(t)
+	load.end()
+	load.none(t)
 	w.once()
-	require.Zero(t, now.stop())
+	require.Zero(t, current.stop())
 }
 
-// A new process that dies before it takes clients, or at any time, leaves the old one as it was; an old one that is
-// killed leaves all to the new one.
+// A new process that dies during the upgrade, or cannot start, does not affect the old one. If the old process is killed
+// after the upgrade, the new one continues with its state.
 func TestFailedUpgradeLeavesOldProcess(t *testing.T) {
 	w := start(t, 2, door, (*testbed).useLongTimeouts)
 	for _, wait := range []time.Duration{0, 2, 5, 10, 20, 50} {
@@ -208,11 +208,11 @@
 			require.Equal(t, 200, w.send("consult").status)
 		}
 	}
-	taken := w.another()
-	taken.opsAddr = w.opsAddr // an address that is in use ends its start
-	taken.launch()
-	await(t, taken.exited)
-	require.Equal(t, 1, taken.process.ProcessState.ExitCode())
+	conflicting := w.another()
+	conflicting.opsAddr = w.opsAddr // with an address that is in use it cannot start
+	conflicting.launch()
+	await(t, conflicting.exited)
+	require.Equal(t, 1, conflicting.process.ProcessState.ExitCode())
 	w.yes("POST", "/ops/booking-servers/down", "s-1")
 	next := w.upgrade()
 	_ = w.process.Process.Kill()
@@ -224,36 +224,37 @@
 	}
 	require.Len(t, w.servers[1].attempts(), before)
 	require.Zero(t, next.stop())
-	w.process = exec.Command("true") // it was killed: there is no exit code to look at
+	w.process = exec.Command("true") // replaces the killed process, for the exit code check
 	require.NoError(t, w.process.Run())
 }
 
-// Staff tell both processes of an upgrade at the same moment: both hold what either was told, and so does the next.
+// Operators disable endpoints at both processes of an upgrade at the same time: both processes, and the next one, apply
+// both changes.
 func TestOpsCallsAtBothProcesses(t *testing.T) {
-	now := start(t, 4, door)
+	current := start(t, 4, door)
 	for round := range 4 {
-		next := now.upgrade()
+		next := current.upgrade()
 		var calls sync.WaitGroup
-		for i, p := range []*testbed{now, next} {
+		for i, p := range []*testbed{current, next} {
 			calls.Go(func() { p.yes("POST", "/ops/booking-servers/down", fmt.Sprint("s-", (round+i)%4)) })
 		}
 		calls.Wait()
-		for _, p := range []*testbed{now, next} {
-			p.until("both are out", func() bool { return p.stats().Ejected == 2 })
+		for _, p := range []*testbed{current, next} {
+			p.until("both endpoints are disabled", func() bool { return p.stats().Ejected == 2 })
 		}
-		require.Zero(t, now.stop())
-		now = next.upgrade()
-		require.Equal(t, 2, now.stats().Ejected, "over the next upgrade")
+		require.Zero(t, current.stop())
+		current = next.upgrade()
+		require.Equal(t, 2, current.stats().Ejected, "endpoints stay disabled over the next upgrade")
 		require.Zero(t, next.stop())
 		for i := range 2 {
-			now.yes("POST", "/ops/booking-servers/up", fmt.Sprint("s-", (round+i)%4))
+			current.yes("POST", "/ops/booking-servers/up", fmt.Sprint("s-", (round+i)%4))
 		}
-		require.Zero(t, now.stats().Ejected)
+		require.Zero(t, current.stats().Ejected)
 	}
-	require.Zero(t, now.stop())
+	require.Zero(t, current.stop())
 }
 
-// A drain by hand holds over an upgrade, the new process says that it has taken over, and takes clients at the stop.
+// A drain by operators lasts over an upgrade: the new process takes over, and accepts clients once the drain is stopped.
 func TestUpgradeWhileDrained(t *testing.T) {
 	w := start(t, 1, door)
 	w.yes("POST", "/ops/drain/start", "")
@@ -266,7 +267,8 @@
 	require.Zero(t, next.stop())
 }
 
-// What lies in the folder may be anything: the start is a fresh one then, with a line in the log.
+// Unusable files or a broken server in the handover folder: the new process logs a failed takeover and starts without the
+// old one's state.
 func TestInvalidHandoverFiles(t *testing.T) {
 	first := start(t, 1, door)
 	first.yes("POST", "/ops/booking-servers/down", "s-0")
@@ -284,17 +286,17 @@
 	raw, err := os.ReadFile(file)
 	require.NoError(t, err)
 	require.True(t, json.Valid(raw))
-	for name, spoil := range map[string]func(){
-		"torn":      func() { require.NoError(t, os.WriteFile(file, raw[:len(raw)/2], 0o600)) },
-		"foreign":   func() { require.NoError(t, os.WriteFile(file, []byte(`{"format":1,"agent":"n7"}`), 0o600)) },
-		"a folder":  func() { require.NoError(t, os.Mkdir(file, 0o700)) },
-		"of future": func() { require.NoError(t, os.WriteFile(file, []byte(`{"format":9,"agent":"n0"}`), 0o600)) },
+	for name, replace := range map[string]func(){
+		"truncated":     func() { require.NoError(t, os.WriteFile(file, raw[:len(raw)/2], 0o600)) },
+		"another agent": func() { require.NoError(t, os.WriteFile(file, []byte(`{"format":1,"agent":"n7"}`), 0o600)) },
+		"a folder":      func() { require.NoError(t, os.Mkdir(file, 0o700)) },
+		"later format":  func() { require.NoError(t, os.WriteFile(file, []byte(`{"format":9,"agent":"n0"}`), 0o600)) },
 	} {
 		require.NoError(t, os.RemoveAll(file))
-		spoil()
+		replace()
 		l, err := net.Listen("unix", socket+".x")
 		require.NoError(t, err)
-		require.NoError(t, os.Rename(socket+".x", socket)) // one who says nothing sensible
+		require.NoError(t, os.Rename(socket+".x", socket)) // a server that sends garbage
 		go func() {
 			for {
 				c, err := l.Accept()
@@ -312,23 +314,23 @@
 	_ = syscall.Unlink(socket)
 }
 
-// A long body and a long answer that are on their way go on to their ends at the old process, while it ends.
+// A long body and a long answer in transit are completed by the old process while it drains.
 func TestUpgradeWithLongBodies(t *testing.T) {
 	const size = 400_000
 	w := start(t, 1, door, (*testbed).useLongTimeouts)
-	came, goOn := w.servers[0].pausing(size, size/2)
-	begun, _ := w.upload("Content-Length: 2")
-	_, _ = io.WriteString(begun, "ab")
-	await(t, came)
+	received, release := w.servers[0].pausing(size, size/2)
+	slowResponse, _ := w.upload("Content-Length: 2")
+	_, _ = io.WriteString(slowResponse, "ab")
+	await(t, received)
 	upload, id := w.upload(fmt.Sprint("Content-Length: ", size))
 	body := long(size, id)
 	_, _ = io.WriteString(upload, body[:size/2])
 	next := w.upgrade()
 	require.NoError(t, w.process.Process.Signal(syscall.SIGTERM))
-	w.until("it ends", func() bool { return strings.Contains(w.log.String(), "draining") })
-	close(goOn)
+	w.until("the old process drains", func() bool { return strings.Contains(w.log.String(), "draining") })
+	close(release)
 	_, _ = io.WriteString(upload, body[size/2:])
-	for _, c := range []net.Conn{begun, upload} {
+	for _, c := range []net.Conn{slowResponse, upload} {
 		status, text := answered(t, c)
 		require.Equal(t, 200, status)
 		require.Len(t, text, size)
@@ -337,106 +339,106 @@
 	require.Zero(t, next.stop())
 }
 
-// Memory and descriptors of both processes together stay within one agent's limits while one takes over from the
-// other under a load of long bodies both ways, and nothing is lost.
+// During upgrades under a load of long bodies both ways, memory and descriptors of both processes together stay within one
+// agent's limits, and no request is lost.
 func TestUpgradeStaysWithinLimits(t *testing.T) {
 	const memoryMB, sockets = 32, 256
 	w := newSerialTestbed(t, 3).start(door, (*testbed).useLongTimeouts, usePlainBinary, func(w *testbed) {
 		w.config["limits"].(object)["memory_mb"] = memoryMB
 		w.config["limits"].(object)["sockets"] = sockets
 	})
-	l := w.startLongBodyLoad(80) // a third of the descriptors
-	both := []*testbed{w}
-	most := func() (kB, descriptors int) {
-		file := 0 // of the program, the same pages in both
-		for _, p := range both {
+	load := w.startLongBodyLoad(80) // a third of the descriptors
+	processes := []*testbed{w}
+	usage := func() (kB, descriptors int) {
+		file := 0 // pages of the binary, which both processes share
+		for _, p := range processes {
 			kB, descriptors = kB+p.status("RssAnon"), descriptors+p.descriptors()
 			file = max(file, p.status("RssFile"))
 		}
 		return kB + file, descriptors
 	}
 	var peakKB, peakDescriptors int
-	look := func(span time.Duration) {
+	recordPeaks := func(span time.Duration) {
 		for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
-			kB, descriptors := most()
+			kB, descriptors := usage()
 			peakKB, peakDescriptors = max(peakKB, kB), max(peakDescriptors, descriptors)
 		}
 	}
 	for range 3 {
-		old := both[0]
-		goal := l.ok.Load() + 50
-		w.until("it goes on", func() bool { return l.ok.Load() > goal })
+		old := processes[0]
+		goal := load.ok.Load() + 50
+		w.until("requests are still served", func() bool { return load.ok.Load() > goal })
 		next := old.another()
 		next.launch()
-		both = append(both, next)
-		look(500 * time.Millisecond)
+		processes = append(processes, next)
+		recordPeaks(500 * time.Millisecond)
 		require.Contains(t, next.log.String(), "taking over from the running process")
 		require.NoError(t, old.process.Process.Signal(syscall.SIGTERM))
-		look(time.Second)
+		recordPeaks(time.Second)
 		require.Zero(t, old.stop())
-		both = both[1:]
+		processes = processes[1:]
 	}
-	l.end()
-	t.Logf("at most %d kB and %d descriptors, %d served, %d refused", peakKB, peakDescriptors, l.ok.Load(), l.rejected.Load())
-	l.none(t)
+	load.end()
+	t.Logf("at most %d kB and %d descriptors, %d served, %d rejected", peakKB, peakDescriptors, load.ok.Load(), load.rejected.Load())
+	load.none(t)
 	require.LessOrEqual(t, peakKB, memoryMB<<10)
 	require.LessOrEqual(t, peakDescriptors, sockets)
 	w.once()
-	require.Zero(t, both[0].stop())
+	require.Zero(t, processes[0].stop())
 }
 
-// Either process is killed at any stage, with long bodies on the way: only what it had taken is lost, at most one
-// request of each client, none runs twice, and the other goes on with what was set by hand.
+// Either process is killed at any stage of an upgrade, with long bodies in transit: at most the requests that it had
+// accepted are lost, one per client. None runs twice, and the other process continues with the operators' settings.
 func TestKillsDuringUpgrades(t *testing.T) {
 	const clients = 8
 	w := start(t, 3, door, (*testbed).useLongTimeouts)
-	l := w.startLongBodyLoad(clients)
-	now, out, lost := w, w.servers[2], int64(0)
-	now.yes("POST", "/ops/booking-servers/down", "s-2")
-	goesOn := func(stage string) {
-		before, goal := len(out.attempts()), l.ok.Load()+40
-		now.until(stage, func() bool { return l.ok.Load() > goal })
-		require.Len(t, out.attempts(), before, stage)
-		require.LessOrEqual(t, l.lost.Load()-lost, int64(clients), stage)
-		lost = l.lost.Load()
+	load := w.startLongBodyLoad(clients)
+	current, disabled, lost := w, w.servers[2], int64(0)
+	current.yes("POST", "/ops/booking-servers/down", "s-2")
+	requireServing := func(stage string) {
+		before, goal := len(disabled.attempts()), load.ok.Load()+40
+		current.until(stage, func() bool { return load.ok.Load() > goal })
+		require.Len(t, disabled.attempts(), before, stage)
+		require.LessOrEqual(t, load.lost.Load()-lost, int64(clients), stage)
+		lost = load.lost.Load()
 	}
-	goesOn("alone")
+	requireServing("alone")
 	require.Zero(t, lost)
 	for _, wait := range []time.Duration{0, 5, 15, 30, 60, 200} {
-		next := now.another()
+		next := current.another()
 		next.launch()
 		time.Sleep(wait * time.Millisecond)
 		_ = next.process.Process.Kill()
 		await(t, next.exited)
-		goesOn(fmt.Sprint("the new one killed after ", wait*time.Millisecond))
+		requireServing(fmt.Sprint("the new process killed after ", wait*time.Millisecond))
 	}
 	for _, wait := range []time.Duration{0, 20, 100} { // after its SIGTERM
-		next := now.upgrade()
-		_ = now.process.Process.Signal(syscall.SIGTERM)
+		next := current.upgrade()
+		_ = current.process.Process.Signal(syscall.SIGTERM)
 		time.Sleep(wait * time.Millisecond)
-		_ = now.process.Process.Kill()
-		await(t, now.exited)
-		now = next
-		goesOn(fmt.Sprint("the old one killed ", wait*time.Millisecond, " after its SIGTERM"))
-		require.Equal(t, 1, now.stats().Ejected)
+		_ = current.process.Process.Kill()
+		await(t, current.exited)
+		current = next
+		requireServing(fmt.Sprint("the old process killed ", wait*time.Millisecond, " after its SIGTERM"))
+		require.Equal(t, 1, current.stats().Ejected)
 	}
-	l.end()
-	require.Zero(t, l.refused.Load(), "no connection was refused")
+	load.end()
+	require.Zero(t, load.refused.Load(), "no connection was refused")
 	w.once()
-	require.Zero(t, now.stop())
-	w.process = exec.Command("true") // it was killed: there is no exit code to look at
+	require.Zero(t, current.stop())
+	w.process = exec.Command("true") // replaces the killed process, for the exit code check
 	require.NoError(t, w.process.Run())
 }
 
-// SIGHUP in the middle of an upgrade is taken by both processes: each has the list from the new address, and the
-// limits that are there once the old one has ended are the new ones.
+// SIGHUP during an upgrade is applied by both processes: each watches discovery at the new address, and once the old one
+// has exited the new limits apply.
 func TestReloadDuringUpgrade(t *testing.T) {
 	w := start(t, 2, door)
 	first, second := w.discovery, newDiscovery(t)
 	w.until("watch", func() bool { return first.watched() == 1 })
 	next := w.upgrade()
 	w.until("both watch", func() bool { return first.watched() == 2 })
-	w.config["discovery"] = second.addr // both have it
+	w.config["discovery"] = second.addr // both processes have the same configuration
 	w.config["limits"].(object)["sockets"] = 700
 	for _, p := range []*testbed{w, next} {
 		p.configure()
@@ -448,7 +450,7 @@
 	}
 	second.say(list(60, false, w.servers[0].entry("leaving")))
 	for _, p := range []*testbed{w, next} {
-		p.until("told", func() bool { return p.stats().Size == 2 })
+		p.until("update applied", func() bool { return p.stats().Size == 2 })
 	}
 	require.Zero(t, w.stop())
 	next.until("full limits", func() bool { return strings.Contains(next.log.String(), "full limits") })
@@ -456,31 +458,31 @@
 	for range 20 {
 		require.Equal(t, 200, next.send("consult").status)
 	}
-	require.Len(t, w.servers[0].attempts(), before, "what drains by the new address gets nothing")
+	require.Len(t, w.servers[0].attempts(), before, "an endpoint draining at the new address gets no requests")
 	require.Zero(t, next.stop())
 }
 
-// The agent's datagrams go on whichever process of an upgrade ends, from the same address.
+// Datagrams are sent from the same address, whichever process of an upgrade ends.
 func TestDatagramsDuringUpgrades(t *testing.T) {
 	w := start(t, 1, door)
-	heard := func(what string) {
+	requireDatagrams := func(what string) {
 		buf := make([]byte, 1024)
-		for range 2 { // what is on its way may be of the one that ended
+		for range 2 { // a datagram in transit may be from the process that ended
 			require.NoError(t, w.peer.SetReadDeadline(time.Now().Add(waitTimeout)))
 			_, from, err := w.peer.ReadFromUDP(buf)
 			require.NoError(t, err, what)
 			require.Equal(t, w.addr, from.String(), what)
 		}
 	}
-	heard("alone")
+	requireDatagrams("alone")
 	failed := w.upgrade()
-	w.until("the new one speaks", func() bool { return strings.Contains(w.log.String(), "the new process accepts clients") })
+	w.until("the new process accepts clients", func() bool { return strings.Contains(w.log.String(), "the new process accepts clients") })
 	_ = failed.process.Process.Kill()
 	await(t, failed.exited)
-	w.until("it goes on", func() bool { return strings.Contains(w.log.String(), "this one continues") })
-	heard("the new one has died")
+	w.until("the old process continues", func() bool { return strings.Contains(w.log.String(), "this one continues") })
+	requireDatagrams("after the new process died")
 	next := w.upgrade()
 	require.Zero(t, w.stop())
-	heard("the old one has ended")
+	requireDatagrams("after the old process ended")
 	require.Zero(t, next.stop())
 }
--- a/cmd/dunestep/uploads_test.go
+++ b/cmd/dunestep/uploads_test.go
@@ -14,26 +14,27 @@
 	"github.com/stretchr/testify/require"
 )
 
-// counted has an endpoint answer with how long a body was that it got, and whether it is the client's.
+// counted makes all endpoints answer with the length of the received body and whether it is the one that was sent.
 func counted(w *testbed) {
 	w.answerAll(func(s upstreamAttempt) string {
 		return reply("200 OK", fmt.Sprint(len(s.body), s.body == long(len(s.body), idOf(s))))
 	})
 }
 
-// upload begins a request with a body and returns its connection and id.
+// upload sends the head of a request with a body, and returns the connection and the request's id.
 func (w *testbed) upload(head string) (net.Conn, string) {
 	id := w.nextID()
 	return w.uploadWithID(id, head), id
 }
 
-// uploadWithID is upload with an id, by which the body is made before: one that stands still for 1 s is cut off.
+// uploadWithID is upload with a given id, so that the body, which depends on it, can be prepared before: an upload that
+// stalls for 1 s is aborted.
 func (w *testbed) uploadWithID(id, head string) net.Conn {
 	return w.sendRaw("POST /rezervare/x HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: " + id + "\r\nX-Account: acme\r\n" +
 		"X-Time-Left-Ms: 3000\r\n" + head + "\r\n\r\n")
 }
 
-// answered reads an answer.
+// answered reads a response, and returns its status and body.
 func answered(t *testing.T, c net.Conn) (int, string) {
 	_ = c.SetReadDeadline(time.Now().Add(waitTimeout))
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -43,7 +44,7 @@
 	return resp.StatusCode, string(body)
 }
 
-// Bodies of any size pass, in every form, and in small pieces; memory does not grow with them.
+// Bodies of any size and coding are forwarded unchanged. Memory does not grow with their size.
 func TestUploadSizesAndForms(t *testing.T) {
 	w := start(t, 2, (*testbed).useLongTimeouts, counted, usePlainBinary, func(w *testbed) {
 		w.config["limits"].(object)["memory_mb"] = 32
@@ -60,10 +61,10 @@
 			}
 			c := w.uploadWithID(id, head)
 			if strings.Contains(head, "Expect") {
-				goOn := make([]byte, 25)
-				_, err := io.ReadFull(c, goOn)
+				interim := make([]byte, 25)
+				_, err := io.ReadFull(c, interim)
 				require.NoError(t, err)
-				require.Equal(t, "HTTP/1.1 100 Continue\r\n\r\n", string(goOn))
+				require.Equal(t, "HTTP/1.1 100 Continue\r\n\r\n", string(interim))
 			}
 			go func() { _, _ = io.WriteString(c, body) }()
 			status, text := answered(t, c)
@@ -75,7 +76,7 @@
 	require.Less(t, peak, 32<<10)
 }
 
-// A slow head and a body at 64 kB/s are served, though they take longer than the request's time.
+// A request with a slow head and a body at 64 kB/s is served, although it takes longer than the request's time.
 func TestSlowUpload(t *testing.T) {
 	w := start(t, 2, counted)
 	id := w.nextID()
@@ -94,7 +95,7 @@
 	require.Equal(t, fmt.Sprint(size, true), text)
 }
 
-// A body that stands still is answered in time, and endpoints never had it whole.
+// An upload that stalls is answered in time. Stalled, aborted and too large uploads reach no endpoint, and eject none.
 func TestStalledUpload(t *testing.T) {
 	w := start(t, 2, counted)
 	for _, sent := range []int{0, 1000, 100_000} {
@@ -107,7 +108,7 @@
 	}
 	c, id := w.upload("Content-Length: 200000")
 	_, _ = io.WriteString(c, long(200_000, id)[:100_000])
-	_ = c.Close() // or its client leaves
+	_ = c.Close() // or the client disconnects
 	c, _ = w.upload("Content-Length: 60000000")
 	status, _ := answered(t, c)
 	require.Equal(t, 413, status)
@@ -120,8 +121,7 @@
 	require.NotContains(t, w.log.String(), "ejected")
 }
 
-// A body that has not been passed on yet goes to another endpoint; one that has is refused honestly, since
-// nothing has run.
+// An upload is rejected with 503 if no endpoint is reachable, since none has processed it.
 func TestUploadWithoutReachableEndpoint(t *testing.T) {
 	w := start(t, 2, (*testbed).useLongTimeouts, counted)
 	w.servers[0].stop()
@@ -132,7 +132,7 @@
 	require.Equal(t, 503, status)
 }
 
-// An endpoint that answers before it has the whole body is believed only where it turns away.
+// A response that an endpoint sends before it has received the whole body is used only if it is a rejection.
 func TestEarlyRejectionOfUpload(t *testing.T) {
 	w := start(t, 2, (*testbed).useLongTimeouts)
 	early := make(chan struct{}, 9)
@@ -160,15 +160,14 @@
 	await(t, early)
 }
 
-// A long answer is not cut off by the end of its request's long body: the two meet as the answer
-// begins, whichever comes first.
+// A long response is not truncated by the end of its request's long body, whichever of the two comes first.
 func TestLongResponsesToLongBodies(t *testing.T) {
 	const size = 200_000
 	w := start(t, 1, (*testbed).useLongTimeouts, usePlainBinary, func(w *testbed) { w.config["limits"].(object)["cores"] = 4 })
 	rest := strings.Repeat("x", size)
 	w.servers[0].setScript(func(s upstreamAttempt, c net.Conn) bool {
 		text := reply("200 OK", idOf(s)+rest)
-		for len(text) > 0 { // so that each part is waited for
+		for len(text) > 0 { // in parts that the agent has to wait for
 			n := min(len(text), 20_000)
 			if _, err := io.WriteString(c, text[:n]); err != nil {
 				return false
@@ -194,7 +193,7 @@
 	clients.Wait()
 }
 
-// Bodies of 32 MB both ways, several at a time, in an agent that has 32 MB and 256 descriptors.
+// Bodies of 32 MB both ways, four at a time, pass through an agent that is limited to 32 MB and 256 descriptors.
 func TestLongBodiesBothWaysInLittleMemory(t *testing.T) {
 	const size, clients = 32_000_000, 4
 	w := newSerialTestbed(t, 2).start((*testbed).useLongTimeouts, usePlainBinary, func(w *testbed) {
@@ -208,9 +207,9 @@
 		}
 		return reply("200 OK", body)
 	})
-	var asked sync.WaitGroup
+	var uploads sync.WaitGroup
 	for range clients {
-		asked.Go(func() {
+		uploads.Go(func() {
 			c, _ := w.upload(fmt.Sprint("Content-Length: ", size))
 			go func() { _, _ = io.WriteString(c, body) }()
 			status, text := answered(t, c)
@@ -218,7 +217,7 @@
 			require.Equal(t, body, text)
 		})
 	}
-	asked.Wait()
+	uploads.Wait()
 	peak, _ := w.memory()
 	t.Logf("at most %d kB", peak)
 	require.Less(t, peak, 32<<10)
--- a/cmd/dunestep/window_test.go
+++ b/cmd/dunestep/window_test.go
@@ -21,50 +21,52 @@
 	"dunestep/internal/standin"
 )
 
-// arrival is a request that an endpoint had.
+// arrival is a request that an endpoint received.
 type arrival struct {
 	at            time.Time
 	agent, server int
 	tenant        string
 }
 
-// windowObserver is a fleet whose agents hold maintenance windows, under load of two tenants, and what arrived
-// where. Times are short: the fleet's terms are, and with them the notice that a window needs.
+// windowObserver is a fleet with maintenance windows under load of two tenants. It records which requests arrived at which
+// endpoint. The fleet's times are short, and so is the notice that a window needs.
 type windowObserver struct {
 	*lab.Lab
 	t            *testing.T
 	mu           sync.Mutex
 	arrivals     []arrival
-	failing      map[int]bool  // servers that answer nothing of use
-	requestPause time.Duration // between two requests of a tenant at an agent
-	awaitsReady  bool          // an agent that was down is asked once it says that it is ready
+	failing      map[int]bool  // servers that answer with errors
+	requestPause time.Duration // pause between two requests of a tenant at an agent
+	awaitsReady  bool          // the load of an agent that was down waits until it is ready
 }
 
+// shortTerms is the operator file's [fleet] section, with short times.
 const shortTerms = "[fleet]\non = true\npolicy = true\nwindows = true\nvoters = [0, 1, 2]\nlease_ms = 2000\nheard_ms = 500\n" +
 	"floor_s = 2\nnotice_s = 6\nmargin_s = 1\nlinger_s = 1\nturns = 0\n"
 
-// newWindowObserver starts the fleet; shape, where it is not nil, may change what agents are started with.
+// newWindowObserver starts the fleet. A shape that is not nil may change the agents' configuration.
 func newWindowObserver(t *testing.T, agents int, shape func(*lab.Config)) *windowObserver {
 	t.Helper()
 	t.Parallel()
 	return openWindowObserver(&windowObserver{t: t, failing: map[int]bool{}, requestPause: 15 * time.Millisecond}, lab.Options{Agents: agents}, shape)
 }
 
-func openWindowObserver(r *windowObserver, o lab.Options, shape func(*lab.Config)) *windowObserver {
+// openWindowObserver starts a fleet with the options and its load, and proposes contracts.
+func openWindowObserver(r *windowObserver, options lab.Options, shape func(*lab.Config)) *windowObserver {
 	t := r.t
 	t.Helper()
 	program, err := plainBinary()
 	require.NoError(t, err)
-	set := lab.Deployment()
-	set.Tenants = []balancer.Tenant{{Name: "east", QuotaPerSecond: 1000, Share: 0.5}, {Name: "west", QuotaPerSecond: 1000, Share: 0.5}}
-	o.Servers, o.Program, o.Ops, o.Seed, o.Settings, o.Answer = 4, program, true, 11, set, r.answer
-	o.Patience = max(o.Patience, 3*time.Minute)
-	o.Shape = func(c *lab.Config) {
+	settings := lab.Deployment()
+	settings.Tenants = []balancer.Tenant{{Name: "east", QuotaPerSecond: 1000, Share: 0.5}, {Name: "west", QuotaPerSecond: 1000, Share: 0.5}}
+	options.Servers, options.Program, options.Ops, options.Seed, options.Settings, options.Answer = 4, program, true, 11, settings, r.answer
+	options.Patience = max(options.Patience, 3*time.Minute)
+	options.Shape = func(c *lab.Config) {
 		if c.Operator = shortTerms; shape != nil {
 			shape(c)
 		}
 	}
-	r.Lab = lab.Open(t, o)
+	r.Lab = lab.Open(t, options)
 	require.NoError(t, r.StartAll(t.Context()))
 	require.NoError(t, r.Wait(t.Context(), "leases", all(r.Lab, full)))
 	r.startLoad()
@@ -82,7 +84,7 @@
 	return standin.Reply{Status: http.StatusOK, Body: "booked"}
 }
 
-// load has both tenants ask every agent until the test ends, with many keys.
+// startLoad sends requests of both tenants with many keys to every agent until the test ends.
 func (r *windowObserver) startLoad() {
 	ctx, cancel := context.WithCancel(context.Background())
 	var wait sync.WaitGroup
@@ -91,8 +93,8 @@
 		for _, tenant := range []string{"east", "west"} {
 			wait.Go(func() {
 				for n := 0; ctx.Err() == nil; n++ {
-					if _, _, err := a.AskFor(ctx, tenant, "consult", fmt.Sprint("k", n%257)); err != nil { // it is down
-						_ = r.Wait(ctx, "it runs", func() bool { return a.Runs() && (!r.awaitsReady || a.IsReady()) })
+					if _, _, err := a.AskFor(ctx, tenant, "consult", fmt.Sprint("k", n%257)); err != nil { // the agent is down
+						_ = r.Wait(ctx, "the agent runs", func() bool { return a.Runs() && (!r.awaitsReady || a.IsReady()) })
 					}
 					select {
 					case <-time.After(r.requestPause):
@@ -104,27 +106,28 @@
 	}
 }
 
-// contracts allow all hours; a server may be done without.
+// contracts allow windows at all hours, and leave enough capacity for one server to be in a window.
 const contracts = "format = 1\n[contracts.east]\nzone = \"UTC\"\nhours = [\"mon-sun 00:00-24:00\"]\nkeep = 0.5\n" +
 	"[contracts.west]\nzone = \"UTC\"\nhours = [\"mon-sun 00:00-24:00\"]\nkeep = 0.7\n[capacity]\nload = 0.4\n"
 
-func (r *windowObserver) propose(text string) {
+// propose proposes a policy document, which must be accepted.
+func (r *windowObserver) propose(document string) {
 	r.t.Helper()
 	path := filepath.Join(r.t.TempDir(), "policy.toml")
-	require.NoError(r.t, os.WriteFile(path, []byte(text), 0o600))
-	out, err := fleetCommand(r.t, r.Agent(0), "policy", "propose", path)
-	require.NoError(r.t, err, out)
+	require.NoError(r.t, os.WriteFile(path, []byte(document), 0o600))
+	output, err := fleetCommand(r.t, r.Agent(0), "policy", "propose", path)
+	require.NoError(r.t, err, output)
 }
 
-// ask asks an agent for a window of east's traffic.
-func (r *windowObserver) requestWindow(at int, id, node, from, to string, more ...string) (string, error) {
-	return fleetCommand(r.t, r.Agent(at), append([]string{
-		"window", "ask", "--id", id, "--node", node, "--tenant", "east",
+// requestWindow requests a window for east's requests at an agent.
+func (r *windowObserver) requestWindow(agent int, id, server, from, to string, args ...string) (string, error) {
+	return fleetCommand(r.t, r.Agent(agent), append([]string{
+		"window", "ask", "--id", id, "--node", server, "--tenant", "east",
 		"--from", from, "--to", to, "--pace", "0.2",
-	}, more...)...)
+	}, args...)...)
 }
 
-// at is a window as an agent has it.
+// windowAt returns a window as an agent reports it; a zero one if it reports none.
 func (r *windowObserver) windowAt(agent int, id string) (w windowState) {
 	var s windowsState
 	if (opsClient{r.Agent(agent).Ops}).call(http.MethodGet, "/ops/fleet/windows", "", &s) != nil {
@@ -138,6 +141,7 @@
 	return w
 }
 
+// awaitState waits until an agent reports a window in one of the states, and returns the window.
 func (r *windowObserver) awaitState(agent int, id string, states ...string) windowState {
 	r.t.Helper()
 	var w windowState
@@ -148,31 +152,32 @@
 	return w
 }
 
-// arrived are the requests of a tenant at a server in a time; of one agent, or below zero of all.
-func (r *windowObserver) arrivalsAt(agent, server int, tenant string, from, to time.Time) (some []arrival) {
+// arrivalsAt returns a tenant's requests that a server received during [from, to) from an agent; -1: from all agents.
+func (r *windowObserver) arrivalsAt(agent, server int, tenant string, from, to time.Time) (selected []arrival) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, a := range r.arrivals {
 		if a.server == server && a.tenant == tenant && (agent < 0 || a.agent == agent) && !a.at.Before(from) && a.at.Before(to) {
-			some = append(some, a)
+			selected = append(selected, a)
 		}
 	}
-	return some
+	return selected
 }
 
-// returns waits until a tenant's requests of an agent, -1: of any, arrive at the first server again.
+// awaitReturn waits until a tenant's requests from an agent (-1: from any agent) arrive at the first server again.
 func (r *windowObserver) awaitReturn(agent int, tenant string) {
 	r.t.Helper()
 	from := time.Now()
-	require.NoError(r.t, r.Wait(r.t.Context(), fmt.Sprintf("%s of n%d is back at s-0", tenant, agent), func() bool {
+	require.NoError(r.t, r.Wait(r.t.Context(), fmt.Sprintf("%s from n%d arrives at s-0 again", tenant, agent), func() bool {
 		return len(r.arrivalsAt(agent, 0, tenant, from, time.Now())) > 0
 	}))
 }
 
+// cutOff drops all datagrams from and to an agent until heal is called.
 func (r *windowObserver) cutOff(agent int) (heal func()) {
 	var ends []func()
-	for _, f := range []mishap.Fault{{From: []int{agent}, Way: mishap.Way{Cut: true}}, {To: []int{agent}, Way: mishap.Way{Cut: true}}} {
-		end, err := r.Spoil(f)
+	for _, fault := range []mishap.Fault{{From: []int{agent}, Way: mishap.Way{Cut: true}}, {To: []int{agent}, Way: mishap.Way{Cut: true}}} {
+		end, err := r.Spoil(fault)
 		require.NoError(r.t, err)
 		ends = append(ends, end)
 	}
@@ -183,16 +188,16 @@
 	}
 }
 
-// A window drains in steps; once it is said to be free no request of the tenant arrives until its end, from any
-// agent: also not from one that was cut off while it drained, which ends it by its own clock, nor from one that was
-// killed inside it and started again. The other group's requests arrive all the while.
+// A window drains in steps. Once it is free, no request of its tenant arrives until it returns. This includes an agent that
+// was cut off while the window drained, which ends the window by its own clock, and one that was killed and restarted during
+// the window. The other tenant's requests arrive throughout.
 func TestFreeWindowGetsNoRequests(t *testing.T) {
 	r := newWindowObserver(t, 6, nil)
-	text, err := r.requestWindow(3, "w", "s-0", "+10s", "+50s")
-	require.NoError(t, err, text)
-	require.Contains(t, text, "taken: window w")
+	output, err := r.requestWindow(3, "w", "s-0", "+10s", "+50s")
+	require.NoError(t, err, output)
+	require.Contains(t, output, "taken: window w")
 	moved := map[float64]bool{}
-	require.NoError(t, r.Wait(t.Context(), "it drains in steps", func() bool {
+	require.NoError(t, r.Wait(t.Context(), "the window drains in steps", func() bool {
 		if m := r.windowAt(4, "w").Moved; m > 0 && m < 1 {
 			moved[m] = true
 		}
@@ -200,42 +205,41 @@
 	}))
 	heal := r.cutOff(5)
 	w := r.awaitState(0, "w", "free")
-	free := time.Now()
+	freeSince := time.Now()
 	r.Agent(4).Kill()
-	prompt, err := r.Spoil(mishap.Fault{To: []int{4}, Way: mishap.Way{Delay: scenario.TimeSpan{Low: 50 * time.Millisecond, High: 50 * time.Millisecond}}})
+	endDelay, err := r.Spoil(mishap.Fault{To: []int{4}, Way: mishap.Way{Delay: scenario.TimeSpan{Low: 50 * time.Millisecond, High: 50 * time.Millisecond}}})
 	require.NoError(t, err)
-	require.NoError(t, r.Agent(4).Start(t.Context())) // requests come before it has heard of anything
-	require.Equal(t, "free", r.windowAt(4, "w").State, "it has what is agreed")
-	prompt()
+	require.NoError(t, r.Agent(4).Start(t.Context())) // requests arrive before any datagram of another agent
+	require.Equal(t, "free", r.windowAt(4, "w").State, "the restarted agent has the agreed state")
+	endDelay()
 	r.awaitReturn(4, "west")
 	r.awaitState(0, "w", "returning")
-	require.Empty(t, r.arrivalsAt(-1, 0, "east", free, w.ReturnFrom))
-	for a := range r.Agents() {
-		require.NotEmpty(t, r.arrivalsAt(a, 0, "west", free, w.ReturnFrom), a)
+	require.Empty(t, r.arrivalsAt(-1, 0, "east", freeSince, w.ReturnFrom))
+	for agent := range r.Agents() {
+		require.NotEmpty(t, r.arrivalsAt(agent, 0, "west", freeSince, w.ReturnFrom), agent)
 	}
-	require.NoError(t, r.Wait(t.Context(), "all is back", func() bool { return time.Now().After(w.To) }))
+	require.NoError(t, r.Wait(t.Context(), "the window is over", func() bool { return time.Now().After(w.To) }))
 	r.awaitReturn(5, "east")
 	heal()
 	r.awaitState(0, "w", "ended")
-	for a := range r.Agents() {
-		r.awaitReturn(a, "east")
+	for agent := range r.Agents() {
+		r.awaitReturn(agent, "east")
 	}
 	require.Empty(t, r.EndAll())
 }
 
-// The leader is killed at each step of a window's course, in two of them: it becomes free all the same, stays so, and
-// ends.
+// The leader is killed at each state of a window, in two runs. The window still becomes free, stays free and ends.
 func TestWindowLeaderKilled(t *testing.T) {
 	t.Parallel()
 	for _, steps := range [][]string{{"draining", "free"}, {"planned", "drained", "returning"}} {
 		t.Run(strings.Join(steps, " "), func(t *testing.T) {
 			r := newWindowObserver(t, 5, nil)
-			text, err := r.requestWindow(4, "w", "s-1", "+10s", "+55s")
-			require.NoError(t, err, text)
-			free := time.Time{}
+			output, err := r.requestWindow(4, "w", "s-1", "+10s", "+55s")
+			require.NoError(t, err, output)
+			freeSince := time.Time{}
 			for _, state := range []string{"planned", "draining", "drained", "free", "returning"} {
 				if r.awaitState(4, "w", state); state == "free" {
-					free = time.Now()
+					freeSince = time.Now()
 				}
 				if slices.Contains(steps, state) {
 					r.replaceLeader()
@@ -243,61 +247,63 @@
 			}
 			w := r.awaitState(4, "w", "ended")
 			require.Empty(t, w.Reason)
-			require.Empty(t, r.arrivalsAt(-1, 1, "east", free, w.ReturnFrom))
-			require.NotEmpty(t, r.arrivalsAt(-1, 1, "west", free, w.ReturnFrom))
+			require.Empty(t, r.arrivalsAt(-1, 1, "east", freeSince, w.ReturnFrom))
+			require.NotEmpty(t, r.arrivalsAt(-1, 1, "west", freeSince, w.ReturnFrom))
 			require.Empty(t, r.EndAll())
 		})
 	}
 }
 
-// replaceLeader kills whoever leads, waits until another one does, and starts it again.
+// replaceLeader kills the leader, waits until another agent leads, and starts the killed one again.
 func (r *windowObserver) replaceLeader() {
 	r.t.Helper()
-	led := leader(r.Lab)
-	require.NotNil(r.t, led)
-	led.Kill()
-	require.NoError(r.t, r.Wait(r.t.Context(), "another one leads", func() bool {
+	former := leader(r.Lab)
+	require.NotNil(r.t, former)
+	former.Kill()
+	require.NoError(r.t, r.Wait(r.t.Context(), "another agent leads", func() bool {
 		now := leader(r.Lab)
-		return now != nil && now != led
+		return now != nil && now != former
 	}))
-	require.NoError(r.t, led.Start(r.t.Context()))
+	require.NoError(r.t, former.Start(r.t.Context()))
 }
 
-// Staff stop a window, and a policy no longer allows another: the traffic comes back long before their ends.
+// A window ends early when it is stopped by operators, or when a policy no longer allows it: requests return long before its
+// planned end.
 func TestWindowEndsEarly(t *testing.T) {
 	r := newWindowObserver(t, 5, nil)
-	text, err := r.requestWindow(3, "one", "s-0", "+9s", "+20m")
-	require.NoError(t, err, text)
+	output, err := r.requestWindow(3, "one", "s-0", "+9s", "+20m")
+	require.NoError(t, err, output)
 	r.awaitState(3, "one", "free")
-	text, err = fleetCommand(t, r.Agent(2), "window", "stop", "one")
-	require.NoError(t, err, text)
-	for a := range r.Agents() {
-		r.awaitReturn(a, "east")
+	output, err = fleetCommand(t, r.Agent(2), "window", "stop", "one")
+	require.NoError(t, err, output)
+	for agent := range r.Agents() {
+		r.awaitReturn(agent, "east")
 	}
-	r.awaitState(4, "one", "stopped", "ended") // where the next one is asked for
-	text, err = r.requestWindow(4, "two", "s-0", "+9s", "+20m")
-	require.NoError(t, err, text)
+	r.awaitState(4, "one", "stopped", "ended") // the agent at which the next window is requested
+	output, err = r.requestWindow(4, "two", "s-0", "+9s", "+20m")
+	require.NoError(t, err, output)
 	r.awaitState(4, "two", "free")
 	r.propose(strings.Replace(contracts, "[contracts.east]", "[contracts.-]", 1))
-	for a := range r.Agents() {
-		r.awaitReturn(a, "east")
+	for agent := range r.Agents() {
+		r.awaitReturn(agent, "east")
 	}
 	w := r.awaitState(1, "two", "returning", "ended")
 	require.Contains(t, w.Reason, "contract")
 	require.Empty(t, r.EndAll())
 }
 
-// All other servers fail while one is free: serving goes first, an agent says so, and it is free no more.
+// While a window is free, all other servers fail. Serving has priority: its server gets requests, an agent logs this, and
+// the window is no longer free.
 func TestWindowYieldsToServing(t *testing.T) {
 	r := newWindowObserver(t, 5, nil)
-	text, err := r.requestWindow(3, "w", "s-0", "+9s", "+20m")
-	require.NoError(t, err, text)
+	output, err := r.requestWindow(3, "w", "s-0", "+9s", "+20m")
+	require.NoError(t, err, output)
 	r.awaitState(3, "w", "free")
 	r.mu.Lock()
 	r.failing = map[int]bool{1: true, 2: true, 3: true}
 	r.mu.Unlock()
 	r.awaitReturn(-1, "east")
-	require.NoError(t, r.Wait(t.Context(), "an agent says so", func() bool {
+	require.NoError(t, r.Wait(t.Context(), "an agent logs the override", func() bool {
 		for _, a := range r.Agents() {
 			if a.Said("exclusion overridden: tenant east") {
 				return true
@@ -309,40 +315,40 @@
 	require.Empty(t, r.EndAll())
 }
 
-// Two windows that together would leave too little: the second is refused, with when it fits. The same name twice
-// changes once. What makes no sense, or no contract allows, is refused.
+// A window that would leave too little capacity beside others is rejected with the next time at which it fits. A repeated
+// request with the same id takes effect once. Windows that are invalid or that no contract allows are rejected.
 func TestWindowRejected(t *testing.T) {
 	r := newWindowObserver(t, 5, nil)
-	text, err := r.requestWindow(3, "one", "s-0", "+1h", "+2h")
-	require.NoError(t, err, text)
-	again, err := r.requestWindow(1, "one", "s-0", "+1h", "+2h")
-	require.NoError(t, err, again)
-	require.Equal(t, text, again)
-	text, err = r.requestWindow(4, "two", "s-1", "+90m", "+150m")
-	require.NoError(t, err, text)
-	text, err = r.requestWindow(2, "three", "s-2", "+90m", "+100m")
-	require.Error(t, err, text)
-	require.Contains(t, text, "not taken: ")
-	require.Contains(t, text, ", fits next at ")
-	_, at, _ := strings.Cut(strings.TrimSpace(text), ", fits next at ")
+	output, err := r.requestWindow(3, "one", "s-0", "+1h", "+2h")
+	require.NoError(t, err, output)
+	repeated, err := r.requestWindow(1, "one", "s-0", "+1h", "+2h")
+	require.NoError(t, err, repeated)
+	require.Equal(t, output, repeated)
+	output, err = r.requestWindow(4, "two", "s-1", "+90m", "+150m")
+	require.NoError(t, err, output)
+	output, err = r.requestWindow(2, "three", "s-2", "+90m", "+100m")
+	require.Error(t, err, output)
+	require.Contains(t, output, "not taken: ")
+	require.Contains(t, output, ", fits next at ")
+	_, at, _ := strings.Cut(strings.TrimSpace(output), ", fits next at ")
 	next, err := time.Parse(time.RFC3339, at)
 	require.NoError(t, err)
-	text, err = r.requestWindow(2, "three", "s-2", next.Add(time.Second).Format(time.RFC3339), next.Add(11*time.Minute).Format(time.RFC3339))
-	require.NoError(t, err, text)
-	for name, c := range map[string][]string{
+	output, err = r.requestWindow(2, "three", "s-2", next.Add(time.Second).Format(time.RFC3339), next.Add(11*time.Minute).Format(time.RFC3339))
+	require.NoError(t, err, output)
+	for name, args := range map[string][]string{
 		"notice":   {"--node", "s-3", "--tenant", "east", "--from", "+1s", "--to", "+1h"},
 		"kept":     {"--node", "s-3", "--node", "s-1", "--tenant", "west", "--from", "+5h", "--to", "+6h"},
 		"server":   {"--node", "s-9", "--tenant", "east", "--from", "+5h", "--to", "+6h"},
 		"backward": {"--node", "s-3", "--tenant", "east", "--from", "+6h", "--to", "+5h"},
 	} {
-		text, err = fleetCommand(t, r.Agent(1), append([]string{"window", "check"}, c...)...)
-		require.Error(t, err, name+text)
+		output, err = fleetCommand(t, r.Agent(1), append([]string{"window", "check"}, args...)...)
+		require.Error(t, err, name+output)
 	}
-	text, err = fleetCommand(t, r.Agent(1), "window", "check", "--node", "s-3", "--tenant", "*", "--from", "+5h", "--to", "+6h")
-	require.Error(t, err, "requests of no clinic group have no contract")
-	require.Contains(t, text, "contract")
-	text, err = fleetCommand(t, r.Agent(1), "window", "list")
-	require.NoError(t, err, text)
-	require.Contains(t, text, "planned")
+	output, err = fleetCommand(t, r.Agent(1), "window", "check", "--node", "s-3", "--tenant", "*", "--from", "+5h", "--to", "+6h")
+	require.Error(t, err, "requests without a tenant have no contract")
+	require.Contains(t, output, "contract")
+	output, err = fleetCommand(t, r.Agent(1), "window", "list")
+	require.NoError(t, err, output)
+	require.Contains(t, output, "planned")
 	require.Empty(t, r.EndAll())
 }
