--- a/cmd/dunestep/ops_test.go
+++ b/cmd/dunestep/ops_test.go
@@ -15,7 +15,8 @@
 // door configures an operators' socket.
 func door(w *testbed) { w.opsAddr = uniqueAddr(w.t) }
 
-// call sends a request to the operators' socket. It requires an answer within 3 s.
+// call sends a request to the operators' socket and returns the status and body of the answer. An answer is due within 1 s;
+// the test tolerates 3 s.
 func (w *testbed) call(method, path, body string) (int, string) {
 	w.t.Helper()
 	began := time.Now()
@@ -107,7 +108,7 @@
 	w.servers[0].setAnswer(func(upstreamAttempt) string { return silence })
 	w.until("watch", func() bool { return w.discovery.watched() == 1 })
 	base := w.descriptors()
-	for range 60 { // more than there are descriptors
+	for range 60 { // more than descriptors are available
 		c, err := net.Dial("tcp", w.addr)
 		require.NoError(t, err)
 		defer func() { _ = c.Close() }()
--- a/cmd/dunestep/shutdown_test.go
+++ b/cmd/dunestep/shutdown_test.go
@@ -105,9 +105,9 @@
 	}
 }
 
-// exchange sends a request, on a new connection if conn is nil, and again if it crossed the close of conn. Half of the body
-// is sent late, if late is not 0. The query is unansweredMark if the endpoint must not answer. It returns the connection if
-// it can be used again.
+// exchange sends a request, on a new connection if conn is nil, and again if it crossed the close of conn. The second half
+// of the body is sent after the delay late, unless that is 0. The query is unansweredMark if the endpoint must not answer.
+// It returns the connection if it can be used again.
 func (c *callers) exchange(conn *standin.Client, received chan connEvent, late time.Duration, query string) (*standin.Client,
 	chan connEvent,
 ) {
--- a/cmd/dunestep/upgrade_test.go
+++ b/cmd/dunestep/upgrade_test.go
@@ -51,7 +51,7 @@
 	return next
 }
 
-// load is clients that send requests all the time, on persistent connections, and counts of their outcomes. A request that
+// load has clients that send requests all the time on persistent connections, and counts the outcomes. A request that
 // crosses the close of its connection is sent again, as the protocol permits.
 type load struct {
 	bodySize                    int           // size of the body of non-idempotent requests; zero: a short one
@@ -412,7 +412,7 @@
 		await(t, next.exited)
 		requireServing(fmt.Sprint("the new process killed after ", wait*time.Millisecond))
 	}
-	for _, wait := range []time.Duration{0, 20, 100} { // after its SIGTERM
+	for _, wait := range []time.Duration{0, 20, 100} { // from SIGTERM to SIGKILL
 		next := current.upgrade()
 		_ = current.process.Process.Signal(syscall.SIGTERM)
 		time.Sleep(wait * time.Millisecond)
--- a/cmd/dunestep/windowfaults_test.go
+++ b/cmd/dunestep/windowfaults_test.go
@@ -84,9 +84,9 @@
 	return fleetCommand(r.t, r.Agent(3), args...)
 }
 
-// Clocks go forward when east's hours have half an hour left, which ends them, and back when west's hours have a minute
-// left, which extends them by an hour. East's window must end before the change, with its requests returned. West's window
-// may last over it.
+// East's clocks go forward when its hours have half an hour left, which ends them. West's clocks go back when its hours
+// have a minute left, which extends them by an hour. East's window must end before the change, with its requests returned.
+// West's window may last over it.
 func TestWindowAcrossClockChange(t *testing.T) {
 	r := newWindowObserver(t, 5, nil)
 	change := time.Now().Truncate(time.Second).Add(32 * time.Second)
@@ -368,7 +368,7 @@
 	return n
 }
 
-// observesTurns reports whether agents that are cut off keep off servers in their turn at a time.
+// observesTurns reports whether agents that are cut off keep off the servers in their turn at a given time.
 func (f *fortyAgents) observesTurns(at, hoursEnd time.Time) bool {
 	return !f.awaitsReady && !at.Before(hoursEnd)
 }
