--- a/cmd/dunestep/policyfaults_test.go
+++ b/cmd/dunestep/policyfaults_test.go
@@ -461,11 +461,11 @@
 	for n := 0; !leading.Said("the voter's log cannot be written"); n++ {
 		require.Less(t, n, 200)
 		var outcome policyOutcome
-		path := fmt.Sprintf("/ops/fleet/policy/propose?id=mark-%d-%d&within_ms=500", initialMaxAttempts, n)
+		path := fmt.Sprintf("/ops/fleet/policy/propose?id=attempts-%d-%d&within_ms=500", initialMaxAttempts, n)
 		require.NoError(t, opsClient{w.lab.Agent(3 + n%2).Ops}.call(http.MethodPost, path, string(text), &outcome))
 		require.NoError(t, w.lab.Wait(t.Context(), "the proposal is in the log", func() bool {
 			callErr := opsClient{w.lab.Agent(3 + n%2).Ops}.call(http.MethodGet,
-				fmt.Sprintf("/ops/fleet/policy/outcome?id=mark-%d-%d", initialMaxAttempts, n), "", &outcome)
+				fmt.Sprintf("/ops/fleet/policy/outcome?id=attempts-%d-%d", initialMaxAttempts, n), "", &outcome)
 			s, ok := policiesAt(w.lab.Agent(3 + n%2))
 			return callErr == nil && outcome.Status != policy.StatusUnknown.String() || ok && s.Open != nil && s.Open.ProposalID == outcome.ID
 		}))
