--- a/internal/graphql/cache.go
+++ b/internal/graphql/cache.go
@@ -5,15 +5,15 @@
 	"sync"
 )
 
-// entryCost is about what an entry costs beside its key and its document, in bytes.
+// entryCost is the approximate overhead of an entry besides its key and document, in bytes.
 const entryCost = 256
 
-// cache keeps what was read last, within a number of bytes.
+// cache is an LRU cache of documents, bounded in bytes.
 type cache struct {
-	mu         sync.Mutex
-	most, held int
-	entries    map[string]*list.Element
-	order      *list.List // the last used first
+	mu                  sync.Mutex
+	maxBytes, usedBytes int
+	entries             map[string]*list.Element
+	order               *list.List // most recently used first
 }
 
 type entry struct {
@@ -21,8 +21,8 @@
 	document *document
 }
 
-func newCache(most int) *cache {
-	return &cache{most: most, entries: map[string]*list.Element{}, order: list.New()}
+func newCache(maxBytes int) *cache {
+	return &cache{maxBytes: maxBytes, entries: map[string]*list.Element{}, order: list.New()}
 }
 
 func (c *cache) get(key []byte) *document {
@@ -36,20 +36,20 @@
 	return e.Value.(*entry).document
 }
 
-// put makes room by letting the ones go that were not used for longest. What needs the whole cache is not
-// kept.
+// put adds a document and evicts the least recently used entries to make room. It ignores an entry that is
+// larger than the whole cache.
 func (c *cache) put(key string, d *document) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	e := &entry{key, d}
-	if c.entries[key] != nil || e.size() > c.most {
+	if c.entries[key] != nil || e.size() > c.maxBytes {
 		return
 	}
 	c.entries[key] = c.order.PushFront(e)
-	for c.held += e.size(); c.held > c.most; {
+	for c.usedBytes += e.size(); c.usedBytes > c.maxBytes; {
 		last := c.order.Remove(c.order.Back()).(*entry)
 		delete(c.entries, last.key)
-		c.held -= last.size()
+		c.usedBytes -= last.size()
 	}
 }
 
--- a/internal/graphql/document.go
+++ b/internal/graphql/document.go
@@ -17,15 +17,15 @@
 	"github.com/vektah/gqlparser/v2/parser"
 )
 
-// document is what is kept of one.
+// document is the cached summary of a GraphQL document.
 type document struct {
 	hash       [sha256.Size]byte
-	operations []operation // none: what it would do can't be told
+	operations []operation // empty if the document's effect cannot be determined
 }
 
-// operation is one of a document's.
+// operation is one operation of a document.
 type operation struct {
-	name  string // empty: it has none
+	name  string // empty if anonymous
 	kind  Kind
 	class int
 }
@@ -37,9 +37,10 @@
 	return n
 }
 
-// executed finds the operation that a server executes; nil: that can't be told. A document in which an
-// operation without a name stands beside others is wrong, and what becomes of it is up to the server.
-func (d *document) executed(p parameters) (found *operation) {
+// executedOperation returns the operation that a server executes, or nil if that cannot be determined. A
+// document with several operations of which one is anonymous is invalid, and servers differ in how they
+// handle it.
+func (d *document) executedOperation(p parameters) (found *operation) {
 	if len(d.operations) == 1 && (len(p.operation) == 0 || d.operations[0].name == string(p.operation)) {
 		return &d.operations[0]
 	}
@@ -55,8 +56,9 @@
 	return found
 }
 
-// find gets the document of a request; nil where nothing is known of it but its hash.
-func (c *Classer) find(p parameters) (d *document, err error) {
+// findDocument returns the document of a request. It returns nil if only the document's hash or id is
+// known, or if it is unclear which document a server would use.
+func (c *Classer) findDocument(p parameters) (d *document, err error) {
 	id := p.documentID
 	if p.hash != "" {
 		if id != "" {
@@ -66,50 +68,51 @@
 	}
 	switch {
 	case p.query != nil:
-		if d, err = c.read(p.query); err != nil || id == "" {
+		if d, err = c.readDocument(p.query); err != nil || id == "" {
 			return d, err
 		}
-		return c.confirm(d, id)
+		return c.checkID(d, id)
 	case id == "":
 		return nil, badRequest("there is no query")
 	}
 	if d = c.trusted[id]; d == nil {
-		d = c.seen.get([]byte(id))
+		d = c.byHash.get([]byte(id))
 	}
 	return d, nil
 }
 
-// idPrefix goes before a documentId that is the document's hash; such a one and extensions.persistedQuery are
-// the same.
+// idPrefix marks a documentId that is the document's hash. Such an id is equivalent to
+// extensions.persistedQuery.
 const idPrefix = "sha256:"
 
-// confirm checks that an id is that of the document which came with it; nil: it can't be told which of the
-// two a server would go by.
-func (c *Classer) confirm(d *document, id string) (*document, error) {
+// checkID checks that an id belongs to the document that was sent with it. It returns nil if the id is
+// unknown, because it is then unclear which of the two a server would use. The error is an *Error.
+func (c *Classer) checkID(d *document, id string) (*document, error) {
 	trusted := c.trusted[id]
 	hash, isHash := strings.CutPrefix(id, idPrefix)
 	if trusted != nil && trusted.hash != d.hash || isHash && hash != fmt.Sprintf("%x", d.hash) {
 		return nil, &Error{Code: CodeMismatch, Status: 400, Message: "the id or hash is not that of the document"}
 	}
 	if isHash {
-		c.seen.put(id, d)
+		c.byHash.put(id, d)
 	} else if trusted == nil {
 		return nil, nil
 	}
 	return d, nil
 }
 
-// ReadTrusted reads a file of trusted documents: a JSON object from hashes or ids to documents.
+// ReadTrusted parses a file of trusted documents: a JSON object that maps hashes or ids to documents.
 func ReadTrusted(raw []byte) (documents map[string]string, err error) {
 	return documents, json.Unmarshal(raw, &documents)
 }
 
-// trust takes the operator's documents in. Where an id is a hash it must be that of its document.
-func (c *Classer) trust(documents map[string]string) (errs []error) {
+// addTrusted parses the operator's trusted documents and stores them. An id that is a hash must be the
+// hash of its document.
+func (c *Classer) addTrusted(documents map[string]string) (errs []error) {
 	for _, id := range slices.Sorted(maps.Keys(documents)) {
 		d, err := c.parse(documents[id])
 		if err == nil && len(d.operations) == 0 {
-			err = errors.New("what it does cannot be told")
+			err = errors.New("the effect of its operations cannot be determined")
 		}
 		if err != nil {
 			errs = append(errs, fmt.Errorf("trusted document %s: %w", id, err))
@@ -118,7 +121,7 @@
 		bare := strings.TrimPrefix(id, idPrefix)
 		if isHash(bare) {
 			if bare != fmt.Sprintf("%x", d.hash) {
-				errs = append(errs, fmt.Errorf("trusted document %s: that is not its hash", id))
+				errs = append(errs, fmt.Errorf("trusted document %s: the id is not the hash of the document", id))
 			}
 			c.trusted[idPrefix+bare], c.trusted[bare] = d, d
 		}
@@ -127,9 +130,9 @@
 	return errs
 }
 
-// read gets a document from the JSON string that holds it, from the cache where it was read before.
-func (c *Classer) read(literal []byte) (*document, error) {
-	if d := c.documents.get(literal); d != nil {
+// readDocument returns the document in a JSON string literal, from the cache if it was parsed before.
+func (c *Classer) readDocument(literal []byte) (*document, error) {
+	if d := c.byLiteral.get(literal); d != nil {
 		return d, nil
 	}
 	text, err := jsontext.AppendUnquote(nil, literal)
@@ -138,26 +141,26 @@
 	}
 	d, err := c.parse(string(text))
 	if err == nil {
-		c.documents.put(string(literal), d)
+		c.byLiteral.put(string(literal), d)
 	}
 	return d, err
 }
 
-// parse reads a document. The error is an *Error: it is beyond a limit. One that cannot be read has no
-// operations: servers may know more of the language than this does.
+// parse parses a document. The error is an *Error that reports an exceeded limit. A document with a syntax
+// error has no operations and is no error: a server may support a newer version of the language.
 func (c *Classer) parse(text string) (*document, error) {
 	l := c.rules.Limits
 	if len(text) > l.Document {
 		return nil, overLimit("a document has %d bytes at most", l.Document)
 	}
 	d := &document{hash: sha256.Sum256([]byte(text))}
-	if !readAlike(text) {
+	if !tokenizesUnambiguously(text) {
 		return d, nil
 	}
 	q, err := parser.ParseQueryWithTokenLimit(&ast.Source{Input: text}, l.Tokens)
 	if err != nil {
 		var e *gqlerror.Error
-		if errors.As(err, &e) && strings.HasPrefix(e.Message, "exceeded ") { // it has no other mark
+		if errors.As(err, &e) && strings.HasPrefix(e.Message, "exceeded ") { // identifiable by its text only
 			return nil, overLimit("a document has %d tokens at most, and no more than %d levels", l.Tokens, l.Depth)
 		}
 		return d, nil
@@ -165,9 +168,9 @@
 	if len(q.Operations) > l.Operations {
 		return nil, overLimit("a document has %d operations at most", l.Operations)
 	}
-	w := &walk{fragments: map[string]*fragment{}, clear: true}
+	w := &walker{fragments: map[string]*fragment{}, resolved: true}
 	for _, f := range q.Fragments {
-		w.clear = w.clear && w.fragments[f.Name] == nil
+		w.resolved = w.resolved && w.fragments[f.Name] == nil
 		w.fragments[f.Name] = &fragment{definition: f}
 	}
 	var operations []operation
@@ -178,17 +181,17 @@
 		case s.aliases > l.Aliases:
 			return nil, overLimit("an operation has %d aliases at most", l.Aliases)
 		}
-		operations = append(operations, c.operation(w, o))
+		operations = append(operations, c.classifyOperation(w, o))
 	}
-	if w.clear {
+	if w.resolved {
 		d.operations = operations
 	}
 	return d, nil
 }
 
-// readAlike tells whether servers surely see the same tokens in a document. What some of them take for the
-// end of a line, and so of a comment, or for the end of a text, others do not.
-func readAlike(text string) bool {
+// tokenizesUnambiguously reports whether all servers split a document into the same tokens. Servers differ
+// in which characters end a line, and with it a comment, and in where a string ends.
+func tokenizesUnambiguously(text string) bool {
 	for i, r := range text {
 		switch {
 		case r == '\t' || r == '\n':
@@ -203,8 +206,8 @@
 	if !strings.Contains(text, `"""`) {
 		return true
 	}
-	// Three quotes are an empty text and the beginning of another to older servers, and one more before the last
-	// three belongs to the text or not.
+	// Older servers, without block strings, read three quotes as an empty string and the start of another.
+	// Servers also differ in whether a quote directly before the closing three belongs to the string.
 	for l := lexer.New(&ast.Source{Input: text}); ; {
 		t, err := l.ReadToken()
 		switch {
@@ -216,11 +219,11 @@
 	}
 }
 
-// operation finds the class of an operation by its root fields: the strictest of them. Directives count for
-// nothing: what a variable leaves out today it may let in tomorrow.
-func (c *Classer) operation(w *walk, o *ast.OperationDefinition) operation {
+// classifyOperation returns an operation with the strictest class of its root fields. It ignores
+// directives: a field that a variable excludes in one request may be included in the next.
+func (c *Classer) classifyOperation(w *walker, o *ast.OperationDefinition) operation {
 	kind, class, table := Query, c.safe, c.queries
-	name := strings.Clone(o.Name) // the parser's is a part of the document, which would be kept for it
+	name := strings.Clone(o.Name) // a substring would keep the whole document in memory
 	switch o.Operation {
 	case ast.Mutation:
 		kind, class, table = Mutation, c.unsafe, c.mutations
@@ -228,30 +231,30 @@
 		return operation{name: name, kind: Subscription, class: c.unsafe}
 	}
 	if len(table) > 0 {
-		usual := class
+		defaultClass := class
 		class = -1
-		w.roots(o.SelectionSet, map[string]bool{}, func(field string) {
+		w.forEachRootField(o.SelectionSet, map[string]bool{}, func(field string) {
 			k, listed := table[field]
 			if !listed {
-				k = usual
+				k = defaultClass
 			}
 			if class >= 0 {
 				k = c.strictest(class, k)
 			}
 			class = k
 		})
-		if class < 0 { // it spreads nothing but what is not there
+		if class < 0 { // the operation only spreads undefined fragments
 			class = c.unsafe
 		}
 	}
 	return operation{name: name, kind: kind, class: class}
 }
 
-// walk is a way through a document's operations and fragments. A fragment is measured once, however often
-// it is spread, so a walk takes no longer than the document is long.
-type walk struct {
+// walker walks the operations and fragments of a document. It measures each fragment once, however often
+// it is spread, so its run time is linear in the length of the document.
+type walker struct {
 	fragments map[string]*fragment
-	clear     bool // each fragment that is spread is there, once
+	resolved  bool // every spread fragment is defined exactly once
 }
 
 type fragment struct {
@@ -266,13 +269,14 @@
 	measured
 )
 
-// size is how big a selection is, with the fragments in place of their names.
+// size is the size of a selection set with its fragments expanded.
 type size struct{ depth, aliases int }
 
-// endless is the size of what contains itself.
-const endless = math.MaxInt32
+// maxSize caps the depth and the number of aliases. It is also the depth of a fragment that contains
+// itself.
+const maxSize = math.MaxInt32
 
-func (w *walk) measure(set ast.SelectionSet) (s size) {
+func (w *walker) measure(set ast.SelectionSet) (s size) {
 	for _, one := range set {
 		var in size
 		switch one := one.(type) {
@@ -285,18 +289,18 @@
 		case *ast.InlineFragment:
 			in = w.measure(one.SelectionSet)
 		case *ast.FragmentSpread:
-			in = w.spread(one.Name)
+			in = w.measureSpread(one.Name)
 		}
-		s.depth = min(max(s.depth, in.depth), endless)
-		s.aliases = min(s.aliases+in.aliases, endless)
+		s.depth = min(max(s.depth, in.depth), maxSize)
+		s.aliases = min(s.aliases+in.aliases, maxSize)
 	}
 	return s
 }
 
-func (w *walk) spread(name string) size {
+func (w *walker) measureSpread(name string) size {
 	f := w.fragments[name]
 	if f == nil {
-		w.clear = false
+		w.resolved = false
 		return size{}
 	}
 	switch f.state {
@@ -305,23 +309,23 @@
 		f.size = w.measure(f.definition.SelectionSet)
 		f.state = measured
 	case measuring:
-		return size{depth: endless}
+		return size{depth: maxSize}
 	}
 	return f.size
 }
 
-// roots calls f with each field of an operation that is not within another.
-func (w *walk) roots(set ast.SelectionSet, seen map[string]bool, f func(field string)) {
+// forEachRootField calls f with the name of each root field of an operation, including those in fragments.
+func (w *walker) forEachRootField(set ast.SelectionSet, seen map[string]bool, f func(field string)) {
 	for _, one := range set {
 		switch one := one.(type) {
 		case *ast.Field:
 			f(one.Name)
 		case *ast.InlineFragment:
-			w.roots(one.SelectionSet, seen, f)
+			w.forEachRootField(one.SelectionSet, seen, f)
 		case *ast.FragmentSpread:
 			if in := w.fragments[one.Name]; in != nil && !seen[one.Name] {
 				seen[one.Name] = true
-				w.roots(in.definition.SelectionSet, seen, f)
+				w.forEachRootField(in.definition.SelectionSet, seen, f)
 			}
 		}
 	}
--- a/internal/graphql/errors.go
+++ b/internal/graphql/errors.go
@@ -12,7 +12,7 @@
 
 // The codes of errors, in extensions.code.
 const (
-	CodeBadRequest    = "BAD_REQUEST" // no GraphQL request, or one that another reader could read otherwise
+	CodeBadRequest    = "BAD_REQUEST" // not a GraphQL request, or one that parsers read differently
 	CodeMethod        = "METHOD_NOT_ALLOWED"
 	CodeMediaType     = "UNSUPPORTED_MEDIA_TYPE"
 	CodeNotAcceptable = "NOT_ACCEPTABLE"
@@ -28,16 +28,16 @@
 	CodeFailed        = "FAILED"
 )
 
-// Error is an answer of this side's own.
+// Error is a GraphQL error response that the agent generates itself.
 type Error struct {
 	Code    string
-	Status  int // of the HTTP answer, but see StatusFor
+	Status  int // HTTP status for ResponseJSON; see StatusFor
 	Message string
-	// RetryAfter is when to come back; zero: not told.
+	// RetryAfter is the delay after which the client may retry; zero if unknown.
 	RetryAfter time.Duration
-	// MayHaveRun tells that a mutation may have been executed.
+	// MayHaveRun reports whether a mutation may have been executed.
 	MayHaveRun bool
-	wellFormed bool // it was a GraphQL request, and is turned away for what it asks
+	wellFormed bool // the request was valid GraphQL over HTTP, but what it asks for is refused
 }
 
 func (e *Error) Error() string { return e.Message }
@@ -50,22 +50,23 @@
 	return &Error{Code: CodeLimit, Status: 400, wellFormed: true, Message: fmt.Sprintf(format, args...)}
 }
 
-// MediaType is the form of an answer.
+// MediaType is the media type of a response.
 type MediaType string
 
-// The media types of answers. Clients of plain JSON are told by the body, not by the status, what became of a
-// request that could be read.
+// The media types of responses. With PlainJSON, the response to a well-formed request has status 200, and
+// only the body shows an error.
 const (
 	ResponseJSON MediaType = "application/graphql-response+json"
 	PlainJSON    MediaType = "application/json"
 )
 
-// IsAnswer tells whether a media type is one of GraphQL's answers.
+// IsAnswer reports whether a media type is one of a GraphQL response.
 func IsAnswer(media string) bool {
 	return strings.EqualFold(media, string(ResponseJSON)) || strings.EqualFold(media, string(PlainJSON))
 }
 
-// StatusFor is the status that the GraphQL-over-HTTP specification asks for with an answer of this type.
+// StatusFor returns the HTTP status that the GraphQL-over-HTTP specification requires for a response of
+// this media type.
 func (e *Error) StatusFor(m MediaType) int {
 	if e.wellFormed && m == PlainJSON {
 		return 200
@@ -73,7 +74,8 @@
 	return e.Status
 }
 
-// Append writes the error as a GraphQL answer; to a batch, as one answer for each of its members.
+// Append appends the error to b as a GraphQL response. For a batch, it appends an array of one response
+// for each member; members is 0 for a single request.
 func (e *Error) Append(b []byte, members int) []byte {
 	one := append([]byte(`{"errors":[{"message":`), quote(e.Message)...)
 	one = append(append(one, `,"extensions":{"code":`...), quote(e.Code)...)
@@ -94,12 +96,13 @@
 }
 
 func quote(s string) []byte {
-	b, _ := jsontext.AppendQuote(nil, s) // the error is that of bad UTF-8, which it replaces
+	b, _ := jsontext.AppendQuote(nil, s) // the only error is invalid UTF-8, which AppendQuote replaces
 	return b
 }
 
-// Accepted tells in which form a client takes its answer, by its Accept fields, or that it takes neither. Who
-// does not say takes plain JSON, as clients do that are older than the other.
+// Accepted returns the media type that the client prefers by its Accept fields; false if it accepts
+// neither. The default without a preference is plain JSON, for clients that are older than the other media
+// type.
 func Accepted(fields []string) (MediaType, bool) {
 	all := strings.Join(fields, ",")
 	if strings.TrimSpace(all) == "" {
@@ -136,8 +139,8 @@
 	return chosen, best > 0
 }
 
-// checkHeader tells whether the header fields of a POST say that its body is JSON in UTF-8, and nothing else
-// besides.
+// checkHeader checks that the header fields of a POST declare a JSON body in UTF-8 without a content
+// encoding.
 func checkHeader(h map[string][]string) error {
 	types := h["Content-Type"]
 	wrong := &Error{Code: CodeMediaType, Status: 415, Message: "Content-Type must be application/json, in UTF-8"}
--- a/internal/graphql/graphql.go
+++ b/internal/graphql/graphql.go
@@ -1,10 +1,10 @@
-// Package graphql tells what a GraphQL request over HTTP would do: from its method, query string, headers
-// and body it gets the class of the deployment's settings that the operation belongs to, or a GraphQL error
-// for the client. It decides by the operation that would be executed, and what it cannot tell for sure is
-// unsafe.
+// Package graphql classifies GraphQL requests over HTTP: from the method, query string, headers and body
+// of a request it determines the configured class that the operation belongs to, or a GraphQL error for
+// the client. The operation that a server would execute decides; a request whose effect cannot be
+// determined with certainty is treated as unsafe.
 //
-// It does no input or output and knows no time. Documents are read by vektah/gqlparser, JSON is checked by
-// go-json-experiment's jsontext. A Classer may be used by several goroutines at once.
+// It does no I/O and reads no clock. vektah/gqlparser parses documents, and go-json-experiment's jsontext
+// checks JSON. A Classer is safe for concurrent use.
 package graphql
 
 import (
@@ -17,37 +17,38 @@
 	"dunestep/internal/balancer"
 )
 
-// Rules is what a Classer goes by.
+// Rules configures a Classer.
 type Rules struct {
-	Classes []balancer.Class // of the deployment's settings
-	// Safe and Unsafe name the classes of queries, and of mutations and what cannot be told; empty: the first of
-	// Classes that is safe, or unsafe, to repeat.
+	Classes []balancer.Class // classes of the deployment's settings
+	// Safe names the class of queries. Unsafe names the class of mutations and of requests whose effect
+	// cannot be determined. If empty, they are the first of Classes that is safe, or unsafe, to repeat.
 	Safe, Unsafe string
-	// Queries and Mutations name other classes by root field. A mutation's must not be safe.
+	// Queries and Mutations assign other classes by root field. A mutation's class must not be safe to
+	// repeat.
 	Queries, Mutations map[string]string
-	// Batches lets JSON arrays of requests in, with the strictest class of their members.
+	// Batches allows JSON arrays of requests; a batch has the strictest class of its members.
 	Batches bool
-	// Trusted holds documents by the hash or id that clients send in their place.
+	// Trusted maps the hashes or ids that clients send instead of documents to those documents.
 	Trusted map[string]string
 	Limits  Limits
 }
 
-// Limits bounds what is read of a request, and what is kept of those before it.
+// Limits bounds the size of a request and of the caches.
 type Limits struct {
-	Document   int // bytes of a document
-	Tokens     int // of a document, with its comments
-	Depth      int // of fields within fields, through fragments
-	Aliases    int // of an operation, through fragments
-	Operations int // in a document
-	Batch      int // members
-	CacheBytes int // of documents that were read
-	StoreBytes int // of hashes that were seen with their documents
+	Document   int // maximum length of a document, in bytes
+	Tokens     int // maximum tokens of a document, including comments
+	Depth      int // maximum nesting of fields, with fragments expanded
+	Aliases    int // maximum aliases of an operation, with fragments expanded
+	Operations int // maximum operations in a document
+	Batch      int // maximum members of a batch
+	CacheBytes int // size of the cache of parsed documents
+	StoreBytes int // size of the store of hashes received together with their documents
 }
 
-// Kind is what an operation is, where that can be told.
+// Kind is the kind of an operation.
 type Kind uint8
 
-// The kinds of operation; Unclear is treated like a mutation, but is not known to be one.
+// The kinds of operations. Unclear is one that cannot be determined; it is treated like a mutation.
 const (
 	Unclear Kind = iota
 	Query
@@ -55,37 +56,38 @@
 	Subscription
 )
 
-// Verdict is what a request was found to be.
+// Verdict is the classification of a request.
 type Verdict struct {
-	Class string // the strictest of a batch's members
-	Kind  Kind   // of a batch: its members' where they are the same, else Unclear
-	// Members is how many requests a batch holds; zero: it is no batch.
+	Class string // for a batch, the strictest class of its members
+	Kind  Kind   // for a batch, the kind of its members if they agree, else Unclear
+	// Members is the number of requests in a batch; zero if the request is not a batch.
 	Members int
-	// Variables is the JSON object of variables, of a batch's first member; nil: none.
+	// Variables is the JSON object of variables, in a batch that of the first member; nil if there is
+	// none.
 	Variables []byte
 	class     int
 }
 
-// Classer tells requests' classes.
+// Classer classifies requests.
 type Classer struct {
 	rules        Rules
-	safe, unsafe int // numbers of classes
+	safe, unsafe int // indexes of classes
 	queries      map[string]int
 	mutations    map[string]int
-	documents    *cache // by the JSON string that held them
+	byLiteral    *cache // documents by their JSON string literal
 	trusted      map[string]*document
-	seen         *cache // documents by their hash
+	byHash       *cache // documents by their hash
 }
 
-// NewClasser checks the rules; the error joins all that is wrong with them.
+// NewClasser returns a Classer with the given rules. The error joins all problems of the rules.
 func NewClasser(r Rules) (*Classer, error) {
 	c := &Classer{
 		rules: r, queries: map[string]int{}, mutations: map[string]int{},
-		documents: newCache(r.Limits.CacheBytes), seen: newCache(r.Limits.StoreBytes),
+		byLiteral: newCache(r.Limits.CacheBytes), byHash: newCache(r.Limits.StoreBytes),
 		trusted: map[string]*document{},
 	}
 	var errs []error
-	named := func(name string, effect balancer.Idempotency, what string) int {
+	classIndex := func(name string, effect balancer.Idempotency, what string) int {
 		i := slices.IndexFunc(r.Classes, func(k balancer.Class) bool {
 			return k.Idempotency == effect && (name == "" || k.Name == name)
 		})
@@ -94,11 +96,11 @@
 		}
 		return i
 	}
-	c.safe, c.unsafe = named(
+	c.safe, c.unsafe = classIndex(
 		r.Safe,
 		balancer.Idempotent,
 		"safe",
-	), named(
+	), classIndex(
 		r.Unsafe,
 		balancer.NotIdempotent,
 		"unsafe",
@@ -119,15 +121,16 @@
 	table(r.Queries, c.queries, false)
 	table(r.Mutations, c.mutations, true)
 	if len(errs) == 0 {
-		errs = c.trust(r.Trusted)
+		errs = c.addTrusted(r.Trusted)
 	}
 	return c, errors.Join(errs...)
 }
 
 func (c *Classer) class(i int) balancer.Class { return c.rules.Classes[i] }
 
-// strictest is the class that is repeated least readily of two. Two classes whose servers drop repeats may
-// have them dropped by different servers, so together they are unsafe.
+// strictest returns the stricter of two classes, the one that is less safe to repeat. Two different
+// classes whose repeats servers deduplicate give the unsafe class, because the two may be deduplicated by
+// different servers.
 func (c *Classer) strictest(a, b int) int {
 	switch x, y := c.class(a), c.class(b); {
 	case a == b:
@@ -145,16 +148,17 @@
 	return b
 }
 
-// Request is a request as it came.
+// Request is an HTTP request as received.
 type Request struct {
 	Method string
-	// URLQuery is what follows the target's question mark, as it came.
+	// URLQuery is the part of the request target after the question mark, unparsed.
 	URLQuery string
-	Header   map[string][]string // by canonical names
+	Header   map[string][]string // by canonical name
 	Body     []byte
 }
 
-// CheckHead tells, before the body is read, whether a request could be one. The error is an *Error.
+// CheckHead checks, before the body is read, whether the method and the headers allow a GraphQL request.
+// The error is an *Error.
 func (r Request) CheckHead() error {
 	switch r.Method {
 	case "GET":
@@ -165,7 +169,7 @@
 	return &Error{Code: CodeMethod, Status: 405, Message: "the method must be GET or POST"}
 }
 
-// Class tells what a request is. The error is an *Error: such a request is not to be sent on.
+// Class classifies a request. The error is an *Error; a request with an error must not be forwarded.
 func (c *Classer) Class(r Request) (Verdict, error) {
 	if err := r.CheckHead(); err != nil {
 		return Verdict{}, err
@@ -184,18 +188,18 @@
 	if err != nil {
 		return Verdict{}, err
 	}
-	return c.judge(p, true)
+	return c.classifyParameters(p, true)
 }
 
 func (c *Classer) classPOST(r Request) (Verdict, error) {
-	others := false // the URL may name another document
+	hasUnknown := false // whether the URL may name another document
 	if r.URLQuery != "" {
-		// Some servers would prefer these to the body's.
+		// Some servers prefer parameters in the URL to those in the body.
 		p, err := readURL(r.URLQuery)
-		if err != nil || p.any {
+		if err != nil || p.hasKnown {
 			return Verdict{}, cmp.Or(err, badRequest("a POST has its parameters in its body, not in its URL"))
 		}
-		others = p.others
+		hasUnknown = p.hasUnknown
 	}
 	body := trimSpace(r.Body)
 	if len(body) == 0 || body[0] != '[' {
@@ -203,13 +207,13 @@
 		if err != nil {
 			return Verdict{}, err
 		}
-		p.others = p.others || others
-		return c.judge(p, false)
+		p.hasUnknown = p.hasUnknown || hasUnknown
+		return c.classifyParameters(p, false)
 	}
-	return c.classBatch(body, others)
+	return c.classBatch(body, hasUnknown)
 }
 
-func (c *Classer) classBatch(body []byte, others bool) (v Verdict, err error) {
+func (c *Classer) classBatch(body []byte, hasUnknown bool) (v Verdict, err error) {
 	if !c.rules.Batches {
 		return v, &Error{Code: CodeBatch, Status: 400, Message: "batches are not taken here"}
 	}
@@ -224,8 +228,8 @@
 		if err != nil {
 			return Verdict{}, err
 		}
-		p.others = p.others || others
-		one, err := c.judge(p, false)
+		p.hasUnknown = p.hasUnknown || hasUnknown
+		one, err := c.classifyParameters(p, false)
 		if err != nil {
 			return Verdict{}, err
 		}
@@ -243,16 +247,16 @@
 	return v, nil
 }
 
-// judge tells what one request is, once its parameters are known. By GET only what is surely a query may go
-// on.
-func (c *Classer) judge(p parameters, get bool) (Verdict, error) {
-	d, err := c.find(p)
+// classifyParameters classifies a single request by its parameters. By GET, it only accepts what is
+// certainly a query.
+func (c *Classer) classifyParameters(p parameters, get bool) (Verdict, error) {
+	d, err := c.findDocument(p)
 	if err != nil {
 		return Verdict{}, err
 	}
 	v := Verdict{Kind: Unclear, class: c.unsafe, Variables: p.variables}
-	if d != nil && !p.others {
-		if o := d.executed(p); o != nil {
+	if d != nil && !p.hasUnknown {
+		if o := d.executedOperation(p); o != nil {
 			v.Kind, v.class = o.kind, o.class
 		}
 	}
@@ -266,7 +270,7 @@
 	case get && v.Kind == Mutation:
 		err = &Error{Code: CodeMutationByGET, Status: 405, Message: "a mutation must come by POST"}
 	case get && d == nil && p.query == nil:
-		// The words that clients look for, to send the document too.
+		// Clients match this message, and then send the document as well.
 		err = &Error{Code: CodeNotFound, Status: 400, wellFormed: true, Message: "PersistedQueryNotFound"}
 	case get && v.Kind == Unclear:
 		err = &Error{
--- a/internal/graphql/graphql_test.go
+++ b/internal/graphql/graphql_test.go
@@ -16,8 +16,8 @@
 	"dunestep/internal/balancer"
 )
 
-// rules are those of a deployment with a class of each kind.
-func rules() Rules {
+// testRules returns the rules of a deployment with a class of each kind.
+func testRules() Rules {
 	return Rules{
 		Classes: []balancer.Class{
 			{Name: "consult", Idempotency: balancer.Idempotent, Deadline: 2 * time.Second},
@@ -37,7 +37,7 @@
 	}
 }
 
-func classer(t testing.TB, r Rules) *Classer {
+func newTestClassifier(t testing.TB, r Rules) *Classer {
 	c, err := NewClasser(r)
 	require.NoError(t, err)
 	return c
@@ -49,8 +49,9 @@
 	return Request{Method: "POST", Header: jsonHeader, Body: []byte(body)}
 }
 
-// ask is the body, or the URL's query, of a request for a document.
-func ask(document, operation string) (body, query string) {
+// encodeRequest returns the POST body and the URL query of a request for a document. The operation "-"
+// leaves operationName out.
+func encodeRequest(document, operation string) (body, query string) {
 	m := map[string]any{"query": document}
 	query = "query=" + url.QueryEscape(document)
 	if operation != "-" {
@@ -61,8 +62,8 @@
 	return string(raw), query
 }
 
-// verdict is the class, or the code of the error.
-func verdict(v Verdict, err error) string {
+// classOrCode returns the class, or the code of the error.
+func classOrCode(v Verdict, err error) string {
 	var e *Error
 	if errors.As(err, &e) {
 		return e.Code
@@ -70,10 +71,10 @@
 	return v.Class
 }
 
-// The operation that would be executed decides. Each document goes by POST and by GET, and from the cache
-// too; what may be a mutation is never sent on by GET.
+// The operation that would be executed determines the class, by POST and by GET, parsed and from the
+// cache. What may be a mutation is never forwarded by GET.
 func TestExecutedOperation(t *testing.T) {
-	c := classer(t, rules())
+	c := newTestClassifier(t, testRules())
 	both := `query Q { slots { id } } mutation M { book { id } }`
 	for _, one := range []struct{ document, name, want string }{
 		{`{ slots { id } }`, "-", "consult"},
@@ -81,46 +82,46 @@
 		{`subscription { slots { id } }`, "-", CodeSubscription},
 		{both, "Q", "consult"},
 		{both, "M", "rezervare"},
-		{both, "-", "rezervare"}, // neither is chosen
-		{both, "m", "rezervare"}, // it is not there
-		{both, "", "rezervare"},  // none, or one of no name
+		{both, "-", "rezervare"}, // no operation is selected
+		{both, "m", "rezervare"}, // unknown operation
+		{both, "", "rezervare"},  // no name, or an empty one
 		{both + `subscription S { slots }`, "S", CodeSubscription},
 		{`query Q { slots } subscription S { slots }`, "Q", "consult"},
-		{`query Q { slots }`, "R", "rezervare"},             // a name that is not there
-		{`query Q { slots }`, "", "consult"},                // the only one, or none
-		{`{ slots } mutation M { book }`, "M", "rezervare"}, // a nameless one beside others
+		{`query Q { slots }`, "R", "rezervare"},             // unknown operation
+		{`query Q { slots }`, "", "consult"},                // the only operation, or none
+		{`{ slots } mutation M { book }`, "M", "rezervare"}, // an anonymous operation among others
 		{`{ slots } query Q { slots }`, "Q", "rezervare"},
 		{`query Q { slots } mutation Q { book }`, "Q", "rezervare"},
 		{`mutation M { ... on Mutation @skip(if: true) { book @include(if: false) } }`, "-", "rezervare"},
 		{`mutation M { ...F } fragment F on Mutation { book }`, "M", "rezervare"},
 		{`query Q { ...F } fragment F on Mutation { book }`, "Q", "consult"},
-		{`query Q { ...F }`, "Q", "rezervare"}, // a fragment that is not there
+		{`query Q { ...F }`, "Q", "rezervare"}, // undefined fragment
 		{`query Q { ...F } fragment F on Q { a } fragment F on Q { b }`, "Q", "rezervare"},
 		{`fragment F on Query { slots }`, "-", "rezervare"}, // nothing to execute
 		{``, "-", "rezervare"},
 		{`{ slots(note: "mutation { book }") } # mutation M { book }`, "-", "consult"},
 		{`query mutation { mutation: subscription { query } }`, "mutation", "consult"},
 		{`{ slots(note: """ mutation { book } """) }`, "-", "consult"},
-		{`{ slots(note: """ a \""" b """) }`, "-", "rezervare"}, // older servers see three texts
+		{`{ slots(note: """ a \""" b """) }`, "-", "rezervare"}, // older servers read three strings
 		{`{ slots(note: """a"""") } #"`, "-", "rezervare"},
-		{"{ slots } # \r mutation M { book }", "-", "rezervare"}, // the comment ends, or not
+		{"{ slots } # \r mutation M { book }", "-", "rezervare"}, // servers differ in whether the comment ends here
 		{"{ slots } # \u2028 mutation M { book }", "-", "rezervare"},
 		{"\ufeff{ slots }", "-", "rezervare"},
 		{"{ slots }\x00", "-", "rezervare"},
 		{"{ slots }\r\n", "-", "consult"},
-		{`{ slots! { id } }`, "-", "rezervare"}, // not of the language, or not yet
+		{`{ slots! { id } }`, "-", "rezervare"}, // not in the language, or not yet
 		{`{ slots `, "-", "rezervare"},
-		// The operator's table: the strictest of all root fields, left out or not.
+		// The operator's table: the strictest class of all root fields, skipped by a directive or not.
 		{`{ holdSlot }`, "-", "rezervare"},
 		{`{ slots alias: holdSlot @skip(if: true) }`, "-", "rezervare"},
 		{`{ report }`, "-", "report"},
-		{`{ slots report }`, "-", "consult"}, // of two that are safe, the one with less time
+		{`{ slots report }`, "-", "consult"}, // of two safe classes, the one with the shorter deadline
 		{`{ ...F } fragment F on Query { ... { report holdSlot } }`, "-", "rezervare"},
 		{`mutation { remind }`, "-", "notify"},
-		{`mutation { remind note }`, "-", "rezervare"}, // no server drops repeats of both
+		{`mutation { remind note }`, "-", "rezervare"}, // no server deduplicates both
 		{`mutation { remind book }`, "-", "rezervare"},
 	} {
-		body, query := ask(one.document, one.name)
+		body, query := encodeRequest(one.document, one.name)
 		byGET := one.want
 		if v, err := c.Class(post(body)); one.want != CodeSubscription {
 			require.NoError(t, err, "%q", one)
@@ -131,17 +132,17 @@
 			}
 		}
 		for range 2 {
-			require.Equal(t, one.want, verdict(c.Class(post(body))), "%q", one)
-			require.Equal(t, byGET, verdict(c.Class(Request{Method: "GET", URLQuery: query})), "%q by GET", one)
+			require.Equal(t, one.want, classOrCode(c.Class(post(body))), "%q", one)
+			require.Equal(t, byGET, classOrCode(c.Class(Request{Method: "GET", URLQuery: query})), "%q by GET", one)
 		}
 	}
 }
 
-// What two readers could read differently is refused.
-func TestRefused(t *testing.T) {
-	c := classer(t, rules())
+// Requests that two parsers could read differently are refused.
+func TestAmbiguousRequestsAreRefused(t *testing.T) {
+	c := newTestClassifier(t, testRules())
 	const good = `{"query":"{ slots }"}`
-	require.Equal(t, "consult", verdict(c.Class(post(" "+good+"\r\n"))))
+	require.Equal(t, "consult", classOrCode(c.Class(post(" "+good+"\r\n"))))
 	for _, body := range []string{
 		``, `null`, `"{ slots }"`, `{}`, `{"query":null}`, `{"query":1}`, `{"query":["{ slots }"]}`, `{ slots }`, good + good,
 		good + "\x00", good + "x", "\ufeff" + good, good[:len(good)-1] + ",}", `{,"query":"{ slots }"}`,
@@ -159,33 +160,33 @@
 		`[]`, `[` + good + `,]`, `[` + good + ` ` + good + `]`, `[[` + good + `]]`, `[` + good, `[1]`,
 		string([]byte{0xff, 0xfe, '{', 0, '"', 0}), `{"query":"{ slots }","variables":{"a":` + strings.Repeat("[", 65) + strings.Repeat("]", 65) + `}}`,
 	} {
-		require.Equal(t, CodeBadRequest, verdict(c.Class(post(body))), "%q", body)
+		require.Equal(t, CodeBadRequest, classOrCode(c.Class(post(body))), "%q", body)
 	}
-	for _, name := range []string{"id", "doc_id", "x"} { // it may be another document's
-		require.Equal(t, "rezervare", verdict(c.Class(post(`{"query":"{ slots }","`+name+`":"1"}`))))
+	for _, name := range []string{"id", "doc_id", "x"} { // may be the id of another document
+		require.Equal(t, "rezervare", classOrCode(c.Class(post(`{"query":"{ slots }","`+name+`":"1"}`))))
 	}
 	for _, body := range []string{good, "[" + good + "]"} {
-		require.Equal(t, "rezervare", verdict(c.Class(Request{Method: "POST", Header: jsonHeader, URLQuery: "doc_id=1", Body: []byte(body)})))
-		require.Equal(t, "consult", verdict(c.Class(Request{Method: "POST", Header: jsonHeader, URLQuery: "_=1", Body: []byte(body)})))
+		require.Equal(t, "rezervare", classOrCode(c.Class(Request{Method: "POST", Header: jsonHeader, URLQuery: "doc_id=1", Body: []byte(body)})))
+		require.Equal(t, "consult", classOrCode(c.Class(Request{Method: "POST", Header: jsonHeader, URLQuery: "_=1", Body: []byte(body)})))
 	}
-	require.Equal(t, CodeUnclear, verdict(c.Class(Request{Method: "GET", URLQuery: "query={a}&docId=1"})))
-	require.Equal(t, "consult", verdict(c.Class(Request{Method: "GET", URLQuery: "query={a}&_=1"})))
+	require.Equal(t, CodeUnclear, classOrCode(c.Class(Request{Method: "GET", URLQuery: "query={a}&docId=1"})))
+	require.Equal(t, "consult", classOrCode(c.Class(Request{Method: "GET", URLQuery: "query={a}&_=1"})))
 	for name, r := range map[string]Request{
-		"a hash sign":           {Method: "GET", URLQuery: "query={a}#mutation{b}"},
+		"hash sign":             {Method: "GET", URLQuery: "query={a}#mutation{b}"},
 		"query in URL and body": {Method: "POST", Header: jsonHeader, URLQuery: "query=%7Ba%7D", Body: []byte(good)},
-		"twice":                 {Method: "GET", URLQuery: "query={a}&query=mutation{b}"},
+		"duplicate":             {Method: "GET", URLQuery: "query={a}&query=mutation{b}"},
 		"other case":            {Method: "GET", URLQuery: "query={a}&Query=mutation{b}"},
-		"escaped and twice":     {Method: "GET", URLQuery: "query={a}&%71uery=mutation{b}"},
-		"a list":                {Method: "GET", URLQuery: "query={a}&query[]=mutation{b}"},
-		"to be trimmed":         {Method: "GET", URLQuery: "query={a}&+query=mutation{b}"},
+		"escaped duplicate":     {Method: "GET", URLQuery: "query={a}&%71uery=mutation{b}"},
+		"list":                  {Method: "GET", URLQuery: "query={a}&query[]=mutation{b}"},
+		"leading space":         {Method: "GET", URLQuery: "query={a}&+query=mutation{b}"},
 		"semicolon":             {Method: "GET", URLQuery: "query={a};query=mutation{b}"},
 		"bad escape":            {Method: "GET", URLQuery: "query=%7"},
-		"bad text":              {Method: "GET", URLQuery: "query=%ff"},
+		"invalid UTF-8":         {Method: "GET", URLQuery: "query=%ff"},
 		"variables":             {Method: "GET", URLQuery: "query={a}&variables={}{}"},
-		"nothing":               {Method: "GET", URLQuery: "a=b"},
-		"a body":                {Method: "GET", URLQuery: "query={a}", Body: []byte(good)},
+		"no parameter":          {Method: "GET", URLQuery: "a=b"},
+		"GET with a body":       {Method: "GET", URLQuery: "query={a}", Body: []byte(good)},
 	} {
-		require.Equal(t, CodeBadRequest, verdict(c.Class(r)), name)
+		require.Equal(t, CodeBadRequest, classOrCode(c.Class(r)), name)
 	}
 	for _, h := range []map[string][]string{
 		nil,
@@ -197,91 +198,93 @@
 		{"Content-Type": {"multipart/form-data; boundary=x"}},
 		{"Content-Type": {"application/json"}, "Content-Encoding": {"gzip"}},
 	} {
-		require.Equal(t, CodeMediaType, verdict(c.Class(Request{Method: "POST", Header: h, Body: []byte(good)})), "%v", h)
+		require.Equal(t, CodeMediaType, classOrCode(c.Class(Request{Method: "POST", Header: h, Body: []byte(good)})), "%v", h)
 	}
 	charset := Request{Method: "POST", Header: map[string][]string{"Content-Type": {`Application/JSON; charset="UTF-8"`}}, Body: []byte(good)}
-	require.Equal(t, "consult", verdict(c.Class(charset)))
-	require.Equal(t, CodeMethod, verdict(c.Class(Request{Method: "PUT", Header: jsonHeader, Body: []byte(good)})))
+	require.Equal(t, "consult", classOrCode(c.Class(charset)))
+	require.Equal(t, CodeMethod, classOrCode(c.Class(Request{Method: "PUT", Header: jsonHeader, Body: []byte(good)})))
 }
 
 func TestBatch(t *testing.T) {
-	c := classer(t, rules())
+	c := newTestClassifier(t, testRules())
 	one, other := `{"query":"{ slots }","variables":{"day":"monday"}}`, `{"query":"mutation { book }"}`
 	v, err := c.Class(post(`[` + one + `, ` + one + `]`))
 	require.NoError(t, err)
 	require.Equal(t, Verdict{Class: "consult", Kind: Query, Members: 2, Variables: []byte(`{"day":"monday"}`)}, v)
-	require.Equal(t, "rezervare", verdict(c.Class(post(`[`+one+`,`+other+`]`))))
-	require.Equal(t, CodeSubscription, verdict(c.Class(post(`[`+one+`,{"query":"subscription { a }"}]`))))
-	require.Equal(t, CodeLimit, verdict(c.Class(post(`[`+one+strings.Repeat(`,`+one, 10)+`]`))))
-	r := rules()
+	require.Equal(t, "rezervare", classOrCode(c.Class(post(`[`+one+`,`+other+`]`))))
+	require.Equal(t, CodeSubscription, classOrCode(c.Class(post(`[`+one+`,{"query":"subscription { a }"}]`))))
+	require.Equal(t, CodeLimit, classOrCode(c.Class(post(`[`+one+strings.Repeat(`,`+one, 10)+`]`))))
+	r := testRules()
 	r.Batches = false
-	require.Equal(t, CodeBatch, verdict(classer(t, r).Class(post(`[`+one+`]`))))
+	require.Equal(t, CodeBatch, classOrCode(newTestClassifier(t, r).Class(post(`[`+one+`]`))))
 }
 
-// A hash without its document is what it was seen with, or what the operator's file says; else unsafe, and
-// by GET refused in the words that have clients send the document.
-func TestPersisted(t *testing.T) {
-	c := classer(t, rules())
+// A hash or id without its document has the class of the document that it was received with before or that
+// the operator's file maps it to. If neither exists, it is unsafe, and by GET it is refused with the error
+// after which clients send the document.
+func TestPersistedDocuments(t *testing.T) {
+	c := newTestClassifier(t, testRules())
 	document := `query Q { slots }`
 	hash := fmt.Sprintf("%x", sha256.Sum256([]byte(document)))
 	extension := func(h string) string { return `"extensions":{"persistedQuery":{"version":1,"sha256Hash":"` + h + `"}}` }
 	alone := post(`{` + extension(hash) + `}`)
 	get := Request{Method: "GET", URLQuery: "extensions=" + url.QueryEscape(`{"persistedQuery":{"version":1,"sha256Hash":"`+hash+`"}}`)}
-	require.Equal(t, "rezervare", verdict(c.Class(alone)))
-	require.Equal(t, CodeNotFound, verdict(c.Class(get)))
-	require.Equal(t, CodeMismatch, verdict(c.Class(post(`{"query":"{ other }",`+extension(hash)+`}`))))
-	require.Equal(t, CodeMismatch, verdict(c.Class(post(`{"query":"{ other }","documentId":"sha256:`+hash+`"}`))))
-	require.Equal(t, "rezervare", verdict(c.Class(alone)), "a mismatch teaches nothing")
-	require.Equal(t, "consult", verdict(c.Class(post(`{"query":"`+document+`",`+extension(hash)+`}`))))
-	require.Equal(t, "consult", verdict(c.Class(alone)))
-	require.Equal(t, "consult", verdict(c.Class(get)))
-	require.Equal(t, "consult", verdict(c.Class(post(`{"documentId":"sha256:`+hash+`"}`))))
-	require.Equal(t, "rezervare", verdict(c.Class(post(`{"documentId":"`+hash+`"}`))), "an id of another kind")
-	require.Equal(t, "rezervare", verdict(c.Class(post(`{"operationName":"M",`+extension(hash)+`}`))))
-	require.Equal(t, CodeBadRequest, verdict(c.Class(post(`{"documentId":"t1",`+extension(hash)+`}`))))
-	require.Equal(t, "consult", verdict(c.Class(post(`{"documentId":"t1"}`))))
-	require.Equal(t, "rezervare", verdict(c.Class(post(`{"documentId":"t2"}`))))
-	require.Equal(t, CodeMutationByGET, verdict(c.Class(Request{Method: "GET", URLQuery: "documentId=t2"})))
-	require.Equal(t, "rezervare", verdict(c.Class(post(`{"documentId":"t3","query":"{ slots }"}`))), "which of the two?")
-	require.Equal(t, CodeMismatch, verdict(c.Class(post(`{"documentId":"t1","query":"{ slots }"}`))))
-	require.Equal(t, "consult", verdict(c.Class(post(`{"documentId":"t1","query":"query T { slots { id } }"}`))))
+	require.Equal(t, "rezervare", classOrCode(c.Class(alone)))
+	require.Equal(t, CodeNotFound, classOrCode(c.Class(get)))
+	require.Equal(t, CodeMismatch, classOrCode(c.Class(post(`{"query":"{ other }",`+extension(hash)+`}`))))
+	require.Equal(t, CodeMismatch, classOrCode(c.Class(post(`{"query":"{ other }","documentId":"sha256:`+hash+`"}`))))
+	require.Equal(t, "rezervare", classOrCode(c.Class(alone)), "a mismatch must not be stored")
+	require.Equal(t, "consult", classOrCode(c.Class(post(`{"query":"`+document+`",`+extension(hash)+`}`))))
+	require.Equal(t, "consult", classOrCode(c.Class(alone)))
+	require.Equal(t, "consult", classOrCode(c.Class(get)))
+	require.Equal(t, "consult", classOrCode(c.Class(post(`{"documentId":"sha256:`+hash+`"}`))))
+	require.Equal(t, "rezervare", classOrCode(c.Class(post(`{"documentId":"`+hash+`"}`))), "an id without the prefix is not a hash")
+	require.Equal(t, "rezervare", classOrCode(c.Class(post(`{"operationName":"M",`+extension(hash)+`}`))))
+	require.Equal(t, CodeBadRequest, classOrCode(c.Class(post(`{"documentId":"t1",`+extension(hash)+`}`))))
+	require.Equal(t, "consult", classOrCode(c.Class(post(`{"documentId":"t1"}`))))
+	require.Equal(t, "rezervare", classOrCode(c.Class(post(`{"documentId":"t2"}`))))
+	require.Equal(t, CodeMutationByGET, classOrCode(c.Class(Request{Method: "GET", URLQuery: "documentId=t2"})))
+	require.Equal(t, "rezervare", classOrCode(c.Class(post(`{"documentId":"t3","query":"{ slots }"}`))), "a server may use either document")
+	require.Equal(t, CodeMismatch, classOrCode(c.Class(post(`{"documentId":"t1","query":"{ slots }"}`))))
+	require.Equal(t, "consult", classOrCode(c.Class(post(`{"documentId":"t1","query":"query T { slots { id } }"}`))))
 
 	for _, bad := range []map[string]string{{hash: "{ other }"}, {"sha256:" + hash: "{ other }"}, {"x": "{ a "}, {"x": strings.Repeat("{a", 2000)}} {
-		r := rules()
+		r := testRules()
 		r.Trusted = bad
 		_, err := NewClasser(r)
 		require.Error(t, err)
 	}
-	r := rules()
+	r := testRules()
 	r.Trusted = map[string]string{hash: document}
-	require.Equal(t, "consult", verdict(classer(t, r).Class(alone)))
+	require.Equal(t, "consult", classOrCode(newTestClassifier(t, r).Class(alone)))
 }
 
-// What is kept stays within its bytes, and what was used last is kept.
+// Both caches stay within their size, and the most recently used entries are kept.
 func TestStoresAreBounded(t *testing.T) {
-	r := rules()
+	r := testRules()
 	r.Limits.CacheBytes, r.Limits.StoreBytes = 20_000, 5_000
-	c := classer(t, r)
+	c := newTestClassifier(t, r)
 	first := `{"query":"{ first }"}`
 	for i := range 1000 {
 		document := fmt.Sprintf("{ field%d }", i)
 		body := fmt.Sprintf(`{"query":%q,"documentId":"sha256:%x"}`, document, sha256.Sum256([]byte(document)))
-		require.Equal(t, "consult", verdict(c.Class(post(body))))
-		require.Equal(t, "consult", verdict(c.Class(post(first))))
-		require.LessOrEqual(t, c.documents.held, 20_000)
-		require.LessOrEqual(t, c.seen.held, 5_000)
+		require.Equal(t, "consult", classOrCode(c.Class(post(body))))
+		require.Equal(t, "consult", classOrCode(c.Class(post(first))))
+		require.LessOrEqual(t, c.byLiteral.usedBytes, 20_000)
+		require.LessOrEqual(t, c.byHash.usedBytes, 5_000)
 	}
-	require.NotNil(t, c.documents.get([]byte(`"{ first }"`)))
-	require.Greater(t, len(c.documents.entries), 50)
-	require.Less(t, len(c.seen.entries), 20)
+	require.NotNil(t, c.byLiteral.get([]byte(`"{ first }"`)))
+	require.Greater(t, len(c.byLiteral.entries), 50)
+	require.Less(t, len(c.byHash.entries), 20)
 }
 
-// Guards against documents that are kept whole for the name of an operation in them.
+// Guards against entries that keep a whole document in memory because they hold a substring of it, the
+// name of an operation.
 func TestStoresKeepNoDocuments(t *testing.T) {
 	const most, documents, length = 100_000, 1000, 15_000
-	r := rules()
+	r := testRules()
 	r.Limits.CacheBytes, r.Limits.StoreBytes = 0, most
-	c := classer(t, r)
+	c := newTestClassifier(t, r)
 	heap := func() (bytes int) {
 		var m runtime.MemStats
 		runtime.GC()
@@ -292,15 +295,15 @@
 	for i := range documents {
 		document := fmt.Sprintf("query Q%d { slots }%*s", i, length, "")
 		body := fmt.Sprintf(`{"query":%q,"documentId":"sha256:%x"}`, document, sha256.Sum256([]byte(document)))
-		require.Equal(t, "consult", verdict(c.Class(post(body))))
+		require.Equal(t, "consult", classOrCode(c.Class(post(body))))
 	}
-	require.Greater(t, len(c.seen.entries), 100)
+	require.Greater(t, len(c.byHash.entries), 100)
 	require.Less(t, heap()-before, 100*length/2)
 	runtime.KeepAlive(c)
 }
 
-func TestWrongRules(t *testing.T) {
-	r := rules()
+func TestInvalidRules(t *testing.T) {
+	r := testRules()
 	r.Safe, r.Unsafe, r.Queries["x"], r.Mutations["y"] = "rezervare", "nothing", "nowhere", "consult"
 	_, err := NewClasser(r)
 	for _, want := range []string{
@@ -311,7 +314,7 @@
 	}
 }
 
-func TestAnswers(t *testing.T) {
+func TestResponses(t *testing.T) {
 	for accept, want := range map[string]MediaType{
 		"": PlainJSON, "*/*": PlainJSON, "application/json": PlainJSON,
 		"application/graphql-response+json": ResponseJSON, "application/graphql-response+json, application/json;q=0.9": ResponseJSON,
@@ -322,11 +325,11 @@
 		require.Equal(t, want, got, accept)
 		require.Equal(t, want != "", ok, accept)
 	}
-	asked, _ := classer(t, rules()).Class(post(`{"query":"subscription { a }"}`))
-	require.Equal(t, Subscription, asked.Kind)
-	turned := &Error{Code: CodeSubscription, Status: 400, wellFormed: true}
-	require.Equal(t, 200, turned.StatusFor(PlainJSON))
-	require.Equal(t, 400, turned.StatusFor(ResponseJSON))
+	subscription, _ := newTestClassifier(t, testRules()).Class(post(`{"query":"subscription { a }"}`))
+	require.Equal(t, Subscription, subscription.Kind)
+	refused := &Error{Code: CodeSubscription, Status: 400, wellFormed: true}
+	require.Equal(t, 200, refused.StatusFor(PlainJSON))
+	require.Equal(t, 400, refused.StatusFor(ResponseJSON))
 	busy := &Error{Code: CodeBusy, Status: 503, Message: "\"busy\"\n", RetryAfter: 350 * time.Millisecond}
 	require.Equal(t, 503, busy.StatusFor(PlainJSON))
 	require.JSONEq(t, `{"errors":[{"message":"\"busy\"\n","extensions":{"code":"BUSY","retryAfter":0.35,"mayHaveRun":false}}]}`,
--- a/internal/graphql/limits_test.go
+++ b/internal/graphql/limits_test.go
@@ -36,27 +36,27 @@
 `
 
 func pageBody() string {
-	body, _ := ask(page, "AvailableAppointments")
+	body, _ := encodeRequest(page, "AvailableAppointments")
 	return strings.TrimSuffix(body, "}") + `,"variables":{"clinicId":"c-1","firstDay":"2026-12-01","lastDay":"2026-12-08"}}`
 }
 
-// bombs are requests of up to 64 KiB that ask for more work than they are worth, by what they are refused
-// with.
-func bombs() map[string]struct {
+// expensiveRequests returns requests of up to 64 KiB that would take excessive work to process, with the
+// code of the error that each is refused with; empty if the code does not matter.
+func expensiveRequests() map[string]struct {
 	body, want string
 } {
-	const room = 64<<10 - 100
-	fill := func(s string) string { return strings.Repeat(s, room/len(s)) }
-	doc := func(s string) string { body, _ := ask(s, "-"); return body }
+	const maxLength = 64<<10 - 100
+	fill := func(s string) string { return strings.Repeat(s, maxLength/len(s)) }
+	doc := func(s string) string { body, _ := encodeRequest(s, "-"); return body }
 	small := func(s string) string { return strings.Repeat(s, (16<<10-100)/len(s)) }
 	nested := func(s string) string {
 		return `{"query":"mutation{a}","variables":` + strings.Repeat(`{"a":`, 60) + s + strings.Repeat("}", 61)
 	}
-	laughs := "{...F0}"
+	doubling := "{...F0}"
 	for i := range 60 {
-		laughs += fmt.Sprintf("fragment F%d on Q{a:x ...F%d ...F%d}", i, i+1, i+1)
+		doubling += fmt.Sprintf("fragment F%d on Q{a:x ...F%d ...F%d}", i, i+1, i+1)
 	}
-	laughs += "fragment F60 on Q{a:x}"
+	doubling += "fragment F60 on Q{a:x}"
 	return map[string]struct{ body, want string }{
 		"a long document":             {doc(fill("a")), CodeLimit},
 		"many tokens":                 {doc("{" + small("a ")), CodeLimit},
@@ -67,7 +67,7 @@
 		"deep lists":                  {doc("{a(x:" + small("[")), CodeLimit},
 		"many aliases":                {doc("{" + strings.Repeat("a:b ", 101) + "}"), CodeLimit},
 		"many operations":             {doc(strings.Repeat("query{a}", 51)), CodeLimit},
-		"fragments that double":       {doc(laughs), CodeLimit},
+		"fragments that double":       {doc(doubling), CodeLimit},
 		"a fragment in itself":        {doc("{...A} fragment A on Q{a ...B} fragment B on Q{b ...A}"), CodeLimit},
 		"many members":                {"[" + strings.TrimSuffix(fill(`{"query":"{a}"},`), ",") + "]", CodeLimit},
 		"many lines of text":          {doc(`{a(x:"""` + small("\n ") + `""") ` + "{"), ""},
@@ -83,61 +83,61 @@
 	}
 }
 
-func TestBombs(t *testing.T) {
-	r := rules()
-	c := classer(t, r)
-	for name, b := range bombs() {
-		require.LessOrEqual(t, len(b.body), 64<<10, name)
-		got := verdict(c.Class(post(b.body)))
-		if b.want != "" {
-			require.Equal(t, b.want, got, name)
+func TestExpensiveRequests(t *testing.T) {
+	r := testRules()
+	c := newTestClassifier(t, r)
+	for name, request := range expensiveRequests() {
+		require.LessOrEqual(t, len(request.body), 64<<10, name)
+		got := classOrCode(c.Class(post(request.body)))
+		if request.want != "" {
+			require.Equal(t, request.want, got, name)
 		}
 		require.NotEqual(t, "consult", got, name)
 	}
-	// Objects within objects are taken apart anew for each, so only few are.
+	// Each level of nested objects is split again, so isPlain accepts only a few levels.
 	require.True(t, isPlain([]byte(`{"input":{"clinicId":"c-1"}}`)))
 	require.False(t, isPlain([]byte(`{"a":{"a":{"a":1}}}`)))
-	// Just within the limits.
+	// Documents exactly at or just below a limit are accepted.
 	for _, document := range []string{
 		strings.Repeat("{a", 30) + strings.Repeat("}", 30), "{" + strings.Repeat("a:b ", 100) + "}",
 		"{" + strings.Repeat("a ", 990) + "}",
 	} {
-		body, _ := ask(document, "-")
-		require.Equal(t, "consult", verdict(c.Class(post(body))))
+		body, _ := encodeRequest(document, "-")
+		require.Equal(t, "consult", classOrCode(c.Class(post(body))))
 	}
 }
 
 func BenchmarkClass(b *testing.B) {
 	body := pageBody()
-	r := rules()
+	r := testRules()
 	r.Limits.CacheBytes = 0
 	b.Run("read", func(b *testing.B) { benchmark(b, r, body) })
-	b.Run("cached", func(b *testing.B) { benchmark(b, rules(), body) })
+	b.Run("cached", func(b *testing.B) { benchmark(b, testRules(), body) })
 	b.Run("document/read", func(b *testing.B) {
 		b.ReportAllocs()
-		c := classer(b, r)
+		c := newTestClassifier(b, r)
 		for b.Loop() {
 			_, _ = c.parse(page)
 		}
 	})
 	b.Run("document/cached", func(b *testing.B) {
 		b.ReportAllocs()
-		c, literal := classer(b, rules()), quote(page)
+		c, literal := newTestClassifier(b, testRules()), quote(page)
 		for b.Loop() {
-			_, _ = c.read(literal)
+			_, _ = c.readDocument(literal)
 		}
 	})
 }
 
 func BenchmarkBomb(b *testing.B) {
-	for name, bomb := range bombs() {
-		b.Run(name, func(b *testing.B) { benchmark(b, rules(), bomb.body) })
+	for name, request := range expensiveRequests() {
+		b.Run(name, func(b *testing.B) { benchmark(b, testRules(), request.body) })
 	}
 }
 
 func benchmark(b *testing.B, r Rules, body string) {
 	b.ReportAllocs()
-	c, request := classer(b, r), post(body)
+	c, request := newTestClassifier(b, r), post(body)
 	for b.Loop() {
 		_, _ = c.Class(request)
 	}
--- a/internal/graphql/property_test.go
+++ b/internal/graphql/property_test.go
@@ -15,15 +15,16 @@
 	"dunestep/internal/balancer"
 )
 
-// drawn is a document of which it is known what it holds, since it was made so.
-type drawn struct {
+// generatedDocument is a generated document together with the kinds of its operations.
+type generatedDocument struct {
 	text  string
-	kinds map[string][]string // the operations' kinds by their names
-	total int
+	kinds map[string][]string // kinds of the operations by name
+	total int                 // operations
 }
 
-// draw makes a document of operations and fragments in any order, with all that could hide what they are.
-func draw(t *rapid.T) drawn {
+// generateDocument draws a document of operations and fragments in any order, with comments, strings and
+// names that could disguise the kinds of its operations.
+func generateDocument(t *rapid.T) generatedDocument {
 	pick := func(label string, from ...string) string { return rapid.SampledFrom(from).Draw(t, label) }
 	noise := func() string {
 		return pick("noise", "", " ", "\n", ",", "# mutation M { x }\n", "#\"\"\"\n", "\r\n", "\t# }\n", "# {\r")
@@ -39,7 +40,7 @@
 		return f + pick("directive", "", " @skip(if: true)", " @include(if: $v)", " @live") + noise()
 	}
 	var parts []string
-	d := drawn{kinds: map[string][]string{}, total: rapid.IntRange(0, 3).Draw(t, "operations")}
+	d := generatedDocument{kinds: map[string][]string{}, total: rapid.IntRange(0, 3).Draw(t, "operations")}
 	for range d.total {
 		kind, name := pick("kind", "query", "mutation", "subscription"), pick("name", "", "Q", "M", "query", "mutation")
 		body := "{" + noise() + field() + pick("spread", "", " ...F ", " ... on Mutation { x } ", " ... { y }") + "}"
@@ -55,9 +56,9 @@
 	return d
 }
 
-// executes is what a document executes under a name, by the specification; empty: nothing, or that is not
-// told.
-func (d drawn) executes(name string, named bool) string {
+// executedKind returns the kind of the operation that the specification says is executed under a name;
+// empty if there is none or it is ambiguous.
+func (d generatedDocument) executedKind(name string, named bool) string {
 	if !named && d.total != 1 {
 		return ""
 	}
@@ -69,26 +70,26 @@
 	return ""
 }
 
-// Whatever the document and the name: what executes a mutation, or can't be told, is in a class that must
-// not be repeated, and never goes on by GET.
+// For any document and operation name, a request that executes a mutation, or whose effect cannot be
+// determined, has a class that must not be repeated and is never forwarded by GET.
 func TestMutationsAreUnsafe(t *testing.T) {
-	c := classer(t, rules())
+	c := newTestClassifier(t, testRules())
 	safe := 0
 	check := func(t *rapid.T) {
-		d := draw(t)
+		d := generateDocument(t)
 		name := rapid.SampledFrom([]string{"-", "", "Q", "M", "query", "mutation", "other"}).Draw(t, "operationName")
-		body, query := ask(d.text, name)
-		runs := d.executes(strings.TrimPrefix(name, "-"), name != "-")
+		body, query := encodeRequest(d.text, name)
+		runs := d.executedKind(strings.TrimPrefix(name, "-"), name != "-")
 		for _, r := range []Request{post(body), {Method: "GET", URLQuery: query}, post("[" + body + "]")} {
 			v, err := c.Class(r)
-			if err == nil && effect(v.Class) == balancer.Idempotent {
+			if err == nil && idempotencyOf(v.Class) == balancer.Idempotent {
 				safe++
-				if runs != "query" && (runs != "" || name != "") { // an empty name may be none
+				if runs != "query" && (runs != "" || name != "") { // servers may treat an empty name as none
 					t.Fatalf("%s as %q executes %q and has class %s", d.text, name, runs, v.Class)
 				}
 			}
 			if r.Method == "GET" && err == nil && v.Kind != Query {
-				t.Fatalf("%s goes on by GET", d.text)
+				t.Fatalf("%s is forwarded by GET", d.text)
 			}
 			if runs == "mutation" && r.Method == "POST" && err != nil {
 				t.Fatalf("%s is refused: %v", d.text, err)
@@ -96,16 +97,16 @@
 		}
 	}
 	rapid.Check(t, check)
-	for range 20 { // few of the documents are clear
+	for range 20 { // few of the documents are unambiguous
 		if safe == 0 {
 			rapid.Check(t, check)
 		}
 	}
-	require.NotZero(t, safe, "queries are to be found safe too")
+	require.NotZero(t, safe, "some queries must be found safe")
 }
 
-func effect(class string) balancer.Idempotency {
-	for _, c := range rules().Classes {
+func idempotencyOf(class string) balancer.Idempotency {
+	for _, c := range testRules().Classes {
 		if c.Name == class {
 			return c.Idempotency
 		}
@@ -113,8 +114,8 @@
 	return balancer.NotIdempotent
 }
 
-// Whatever comes: no panic, an *Error or a class, and a safe class only for what another reader of the JSON
-// and the parser find to be a query.
+// For any input, Class does not panic and returns an *Error or a class. The class is only safe if
+// encoding/json and the parser also find a query.
 func FuzzClass(f *testing.F) {
 	for _, s := range []string{
 		`{"query":"{ slots }"}`, `{"query":"mutation M { a } query Q { b }","operationName":"Q"}`,
@@ -125,7 +126,7 @@
 	}
 	f.Add("GET", "query=%7Ba%7D&operationName=a&variables=%7B%7D")
 	f.Add("GET", "query={a}&%71uery=mutation{b}")
-	r := rules()
+	r := testRules()
 	r.Queries, r.Trusted = nil, nil
 	c, err := NewClasser(r)
 	if err != nil {
@@ -141,36 +142,37 @@
 		if err != nil && !errors.As(err, &e) {
 			t.Fatalf("%T", err)
 		}
-		if err != nil || effect(v.Class) != balancer.Idempotent {
+		if err != nil || idempotencyOf(v.Class) != balancer.Idempotent {
 			return
 		}
-		var asked []request
+		var requests []request
 		if method == "GET" {
 			q, err := url.ParseQuery(text)
 			require.NoError(t, err)
-			asked = append(asked, request{q.Get("query"), q.Get("operationName")})
+			requests = append(requests, request{q.Get("query"), q.Get("operationName")})
 		} else {
 			if !strings.HasPrefix(strings.TrimSpace(text), "[") {
 				text = "[" + text + "]"
 			}
-			require.NoError(t, json.Unmarshal([]byte(text), &asked))
+			require.NoError(t, json.Unmarshal([]byte(text), &requests))
 		}
-		for _, a := range asked {
-			if a.executes() != ast.Query {
+		for _, a := range requests {
+			if a.executedOperation() != ast.Query {
 				t.Fatalf("%q has class %s", text, v.Class)
 			}
 		}
 	})
 }
 
-// request is one as encoding/json reads it.
+// request is a GraphQL request as encoding/json reads it.
 type request struct {
 	Query         string
 	OperationName string
 }
 
-// executes tells what the request executes, as a server reads it that takes an empty name for none.
-func (a request) executes() ast.Operation {
+// executedOperation returns the kind of operation that a server executes if it treats an empty name as
+// none.
+func (a request) executedOperation() ast.Operation {
 	d, err := parser.ParseQuery(&ast.Source{Input: a.Query})
 	if err != nil {
 		return ""
--- a/internal/graphql/read.go
+++ b/internal/graphql/read.go
@@ -12,19 +12,19 @@
 	"github.com/go-json-experiment/json/jsontext"
 )
 
-// parameters is what a request holds, whichever way it came.
+// parameters are the GraphQL parameters of a request, from its URL or its body.
 type parameters struct {
-	query      []byte // from quote to quote, a JSON string if it can be read at all; nil: none
-	operation  []byte // its name; empty: none, or an empty one
+	query      []byte // string literal with its quotes, not yet validated; nil if absent
+	operation  []byte // operation name; empty if absent or empty
 	documentID string
-	hash       string // of extensions.persistedQuery
-	variables  []byte // a JSON object; nil: none
-	any        bool   // one of them was there
-	others     bool   // there are more, which may mean another document to a server
+	hash       string // hash in extensions.persistedQuery
+	variables  []byte // JSON object; nil if absent
+	hasKnown   bool   // a known parameter is present
+	hasUnknown bool   // an unknown parameter is present that may select another document
 }
 
-// The names of parameters, and those within extensions. A name that is equal but for case, or is written with
-// escapes, would be the same one to some servers and another one to others: it is refused.
+// The names of parameters, and the names within extensions. A name that differs only in case or is written
+// with escapes is refused, because servers differ in whether it is the same name.
 var (
 	parameterNames = []string{"query", "operationName", "variables", "extensions", "documentId"}
 	extensionNames = []string{"persistedQuery"}
@@ -39,20 +39,20 @@
 	nameDocumentID
 )
 
-// prototype would be taken for an object's parent by some readers.
-const prototype = "__proto__"
+// protoName would set an object's prototype in some JSON readers.
+const protoName = "__proto__"
 
-// maxNames bounds the names beside variables; there are five in all.
+// maxNames bounds the members of an object other than variables; five names are known.
 const maxNames = 32
 
-// maxNesting bounds JSON within JSON; what a form of a booking page sends comes nowhere near.
+// maxNesting bounds the nesting of JSON values; a form of a booking page needs far fewer levels.
 const maxNesting = 64
 
 // readObject reads the parameters from a JSON object.
 func readObject(b []byte) (p parameters, err error) {
-	err = members(b, parameterNames, func(name int, value []byte) error {
+	err = forEachMember(b, parameterNames, func(name int, value []byte) error {
 		if name < 0 {
-			p.others = true
+			p.hasUnknown = true
 			return nil
 		}
 		return p.set(name, value)
@@ -60,9 +60,9 @@
 	return p, err
 }
 
-// set takes one parameter, a JSON value that is not checked yet.
+// set sets one parameter from a JSON value, which it validates.
 func (p *parameters) set(name int, value []byte) (err error) {
-	p.any = true
+	p.hasKnown = true
 	if string(value) == "null" {
 		return nil
 	}
@@ -73,10 +73,10 @@
 		}
 		p.query = value
 	case nameOperation:
-		p.operation, err = text(value, "operationName")
+		p.operation, err = stringValue(value, "operationName")
 	case nameDocumentID:
 		var id []byte
-		id, err = text(value, "documentId")
+		id, err = stringValue(value, "documentId")
 		p.documentID = string(id)
 	case nameVariables:
 		if !isObject(value) {
@@ -87,7 +87,7 @@
 		if !isObject(value) {
 			return badRequest("extensions must be an object")
 		}
-		err = members(value, extensionNames, func(name int, value []byte) (err error) {
+		err = forEachMember(value, extensionNames, func(name int, value []byte) (err error) {
 			if name >= 0 {
 				p.hash, err = persistedHash(value)
 			}
@@ -97,15 +97,15 @@
 	return err
 }
 
-// persistedHash reads extensions.persistedQuery.
+// persistedHash returns the hash in the value of extensions.persistedQuery.
 func persistedHash(b []byte) (hash string, err error) {
 	version := false
-	err = members(b, persistedNames, func(name int, value []byte) error {
+	err = forEachMember(b, persistedNames, func(name int, value []byte) error {
 		switch name {
 		case 0:
 			version = string(value) == "1"
 		case 1:
-			text, err := text(value, "sha256Hash")
+			text, err := stringValue(value, "sha256Hash")
 			hash = string(text)
 			return err
 		}
@@ -119,9 +119,9 @@
 
 func isHash(s string) bool { return len(s) == 64 && strings.Trim(s, "0123456789abcdef") == "" }
 
-// readURL reads the parameters from a target's query.
+// readURL reads the parameters from the query string of a URL.
 func readURL(query string) (p parameters, err error) {
-	if strings.ContainsAny(query, ";#") { // some servers take them for an ampersand, and for the end
+	if strings.ContainsAny(query, ";#") { // some servers read ; as & and # as the end of the query
 		return p, badRequest("the URL's query must have %%3B and %%23 for a semicolon and a hash sign")
 	}
 	var seen uint
@@ -135,12 +135,12 @@
 		if err != nil || err2 != nil || !utf8.ValidString(value) || strings.Trim(name, urlNames) != "" {
 			return p, badRequest("the URL's query cannot be read")
 		}
-		i, err := known([]byte(name), parameterNames, &seen)
+		i, err := nameIndex([]byte(name), parameterNames, &seen)
 		if err != nil {
 			return p, err
 		}
 		if i < 0 {
-			p.others = p.others || slices.Contains(documentNames, strings.ToLower(name))
+			p.hasUnknown = p.hasUnknown || slices.Contains(documentNames, strings.ToLower(name))
 			continue
 		}
 		if i == nameQuery || i == nameOperation || i == nameDocumentID {
@@ -155,18 +155,20 @@
 	return p, nil
 }
 
-// documentNames are, in small letters, what servers of their own ways call a document's id. In a URL other
-// names are common and mean nothing.
+// documentNames are lower-case names that servers with conventions of their own use for the id of a
+// document. Other unknown names are common in URLs and have no effect on the document.
 var documentNames = []string{
 	"id", "doc", "docid", "doc_id", "document", "hash", "queryid", "query_id",
 	"operationid", "operation_id", "sha256hash",
 }
 
-// urlNames are what a name in a URL consists of. Others are read as lists or trimmed by some servers.
+// urlNames are the characters allowed in the name of a URL parameter. Some servers read names with others
+// as lists or trim them.
 const urlNames = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789_-"
 
-// known finds a name among names; below zero: it is another.
-func known(name []byte, names []string, seen *uint) (int, error) {
+// nameIndex returns the index of name in names, or -1 if it is not there. It returns an error for a
+// duplicate, by the bits in seen, and for a name that a parser could confuse with a known one.
+func nameIndex(name []byte, names []string, seen *uint) (int, error) {
 	for i, n := range names {
 		if string(name) == n {
 			if *seen&(1<<i) != 0 {
@@ -181,36 +183,36 @@
 			return -1, badRequest("%q could be taken for %s", name, n)
 		}
 	}
-	if string(name) == prototype {
-		return -1, badRequest("a name must not be %s", prototype)
+	if string(name) == protoName {
+		return -1, badRequest("a name must not be %s", protoName)
 	}
 	return -1, nil
 }
 
-// members calls f with the value of each member of a JSON object and the number of its name among names;
-// one that is not among them, below zero, is checked before.
-func members(b []byte, names []string, f func(name int, value []byte) error) error {
+// forEachMember calls f with the value of each member of a JSON object and the index of its name in names.
+// The index is -1 for an unknown name, whose value has been validated; other values have not.
+func forEachMember(b []byte, names []string, f func(name int, value []byte) error) error {
 	var seen uint
 	count := 0
-	return pairs(b, func(literal, value []byte) error {
-		i, err := key(literal, names, &seen)
+	return forEachPair(b, func(literal, value []byte) error {
+		i, err := keyIndex(literal, names, &seen)
 		count++
 		switch {
 		case count > maxNames:
 			return badRequest("an object has %d names at most", maxNames)
 		case err != nil:
 			return err
-		case i < 0 && !valid(value):
+		case i < 0 && !isValidJSON(value):
 			return errNotJSON
 		}
 		return f(i, value)
 	})
 }
 
-// pairs calls f with the name and the value of each member of a JSON object, both as they stand there. The
-// object is taken apart here, and each piece is to be checked by the library: so the whole is JSON if all
-// pieces are.
-func pairs(b []byte, f func(literal, value []byte) error) error {
+// forEachPair calls f with the name and the value of each member of a JSON object, as unparsed literals.
+// It only splits the object; the caller validates each piece, and the object is valid JSON if all pieces
+// are.
+func forEachPair(b []byte, f func(literal, value []byte) error) error {
 	if len(b) < 2 || b[0] != '{' || b[len(b)-1] != '}' {
 		return errNotJSON
 	}
@@ -239,18 +241,18 @@
 	return nil
 }
 
-// maxVariable is the most bytes of a variable that is looked at.
+// maxVariable is the maximum length of a variable that Variable returns, in bytes.
 const maxVariable = 256
 
-// Variable finds a string or a number among the variables of a Verdict, by the names on the way to it;
-// empty: it is not there, too long, or there twice.
+// Variable returns the string or number at a path of names in the variables of a Verdict. It returns an
+// empty string if the variable is missing, too long or duplicated, or has another type.
 func Variable(variables []byte, path []string) (found string) {
 	if len(path) == 0 || len(variables) == 0 || variables[0] != '{' {
 		return ""
 	}
 	var at []byte
-	err := pairs(variables, func(literal, value []byte) error {
-		name, err := text(literal, "a name")
+	err := forEachPair(variables, func(literal, value []byte) error {
+		name, err := stringValue(literal, "a name")
 		if err != nil || string(name) != path[0] {
 			return err
 		}
@@ -266,7 +268,7 @@
 	case len(path) > 1:
 		return Variable(at, path[1:])
 	case at[0] == '"':
-		s, _ := text(at, "")
+		s, _ := stringValue(at, "")
 		return string(s)
 	case at[0] == '-' || at[0] >= '0' && at[0] <= '9':
 		return string(at)
@@ -274,7 +276,8 @@
 	return ""
 }
 
-// afterComma is what follows the comma that must stand between two members or elements; nothing at the end.
+// afterComma returns the text after the comma that must separate two members or elements; nil at the end
+// of the input.
 func afterComma(b []byte) ([]byte, error) {
 	b = trimSpace(b)
 	if len(b) == 0 {
@@ -287,20 +290,21 @@
 	return after, nil
 }
 
-// key finds which of names a member's key is; below zero: none.
-func key(literal []byte, names []string, seen *uint) (int, error) {
-	name, err := text(literal, "a name")
+// keyIndex returns the index of a member's key in names, or -1 if it is not there. It refuses a known name
+// that is written with escapes.
+func keyIndex(literal []byte, names []string, seen *uint) (int, error) {
+	name, err := stringValue(literal, "a name")
 	if err != nil {
 		return -1, err
 	}
-	i, err := known(name, names, seen)
+	i, err := nameIndex(name, names, seen)
 	if i >= 0 && len(name) != len(literal)-2 {
 		return i, badRequest("%s is written with escapes", names[i])
 	}
 	return i, err
 }
 
-// elements gives the elements of a JSON array, which are not checked yet, or an error.
+// elements yields the elements of a JSON array, not yet validated, or an error as the last item.
 func elements(b []byte) iter.Seq2[[]byte, error] {
 	return func(yield func([]byte, error) bool) {
 		if len(b) < 2 || b[len(b)-1] != ']' {
@@ -327,17 +331,18 @@
 
 var errNotJSON = badRequest("the body must be a JSON object or an array of them, in UTF-8, without a mark")
 
-// valid tells whether a piece is a JSON value. Names that are there twice are left to those who read them.
-func valid(b []byte) bool {
+// isValidJSON reports whether b is a JSON value. It allows duplicate names: the server decides how to
+// handle those.
+func isValidJSON(b []byte) bool {
 	return isPlain(b) || jsontext.Value(b).IsValid(jsontext.AllowDuplicateNames(true))
 }
 
-// isPlain tells whether a piece is a string of nothing but printable ASCII without escapes, digits, or an
-// object of such: what clients send for variables, mostly. That takes a third of the library's time, as long
-// as few objects are within others: each is taken apart anew.
+// isPlain reports whether b is a string of printable ASCII without escapes, a number of digits only, or an
+// object of such values, as most variables are. The check takes a third of the time of the library's, as
+// long as objects are hardly nested: each level splits its content again.
 func isPlain(b []byte) bool { return bytes.IndexByte(b, '[') < 0 && isPlainWithin(b, maxPlainNesting) }
 
-// maxPlainNesting is how many objects within one another are looked at.
+// maxPlainNesting is the maximum nesting of objects that isPlain accepts.
 const maxPlainNesting = 2
 
 func isPlainWithin(b []byte, nesting int) bool {
@@ -352,7 +357,7 @@
 	case b[0] >= '1' && b[0] <= '9':
 		return len(bytes.Trim(b, "0123456789")) == 0
 	case b[0] == '{' && nesting > 0:
-		return pairs(b, func(literal, value []byte) error {
+		return forEachPair(b, func(literal, value []byte) error {
 			if literal[0] != '"' || !isPlain(literal) || !isPlainWithin(value, nesting-1) {
 				return errNotJSON
 			}
@@ -362,12 +367,12 @@
 	return false
 }
 
-func isObject(b []byte) bool { return b[0] == '{' && valueEnd(b) == len(b) && valid(b) }
+func isObject(b []byte) bool { return b[0] == '{' && valueEnd(b) == len(b) && isValidJSON(b) }
 
-// text is what a JSON string holds.
-func text(literal []byte, what string) ([]byte, error) {
+// stringValue returns the content of a JSON string literal; what names the value in the error.
+func stringValue(literal []byte, what string) ([]byte, error) {
 	if len(literal) >= 2 && literal[0] == '"' {
-		if inner := literal[1 : len(literal)-1]; isName(inner) && literal[len(literal)-1] == '"' {
+		if inner := literal[1 : len(literal)-1]; isWord(inner) && literal[len(literal)-1] == '"' {
 			return inner, nil
 		}
 	}
@@ -378,8 +383,8 @@
 	return s, nil
 }
 
-// isName tells whether a string holds nothing but letters, digits and underlines: so it needs no reading.
-func isName(b []byte) bool {
+// isWord reports whether b has only letters, digits and underscores, and so needs no unescaping.
+func isWord(b []byte) bool {
 	for _, c := range b {
 		if c != '_' && (c < '0' || c > '9') && (c < 'a' || c > 'z') && (c < 'A' || c > 'Z') {
 			return false
@@ -388,7 +393,7 @@
 	return true
 }
 
-// trimSpace takes off what JSON takes for white space, and no more.
+// trimSpace trims exactly the characters that are white space in JSON.
 func trimSpace(b []byte) []byte {
 	for len(b) > 0 && isSpace(b[0]) {
 		b = b[1:]
@@ -401,7 +406,7 @@
 
 func isSpace(c byte) bool { return c == ' ' || c == '\t' || c == '\n' || c == '\r' }
 
-// stringEnd is where the JSON string at the beginning of b has ended; below zero: nowhere.
+// stringEnd returns the offset after the JSON string at the start of b, or -1 if the string has no end.
 func stringEnd(b []byte) int {
 	for from := 1; ; {
 		n := bytes.IndexByte(b[from:], '"')
@@ -419,7 +424,8 @@
 	}
 }
 
-// valueEnd is where the JSON value at the beginning of b ends, if it is one; zero or below: nowhere.
+// valueEnd returns the offset after the JSON value at the start of b, which it does not validate. It
+// returns zero or less if there is no value.
 func valueEnd(b []byte) int {
 	if len(b) == 0 {
 		return -1
