--- a/docs/pages_test.go
+++ b/docs/pages_test.go
@@ -22,8 +22,8 @@
 const notRun = 3
 
 // readers are for the tables in pages, by what they are of.
-func readers(t *testing.T) map[string]doctest.Reader {
-	return map[string]doctest.Reader{
+func readers(t *testing.T) map[string]doctest.TableReader {
+	return map[string]doctest.TableReader{
 		"operator": func(text string) error {
 			file := filepath.Join(t.TempDir(), "operator.toml")
 			require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
@@ -54,7 +54,7 @@
 				t.Error(problem)
 			}
 			all = append(all, page)
-			count += page.NotRun()
+			count += page.CountSkipped()
 		}
 	}
 	t.Logf("%d pages, %d blocks not run", len(all), count)
@@ -62,7 +62,7 @@
 		t.Errorf("%d blocks are not run, where %d are noted: fewer are a lower number here, more are a page "+
 			"that promises what nobody has tried", count, notRun)
 	}
-	player := &doctest.Player{Root: ".."}
+	player := &doctest.Runner{Root: ".."}
 	require.NoError(t, program.Sources())
 	require.NoError(t, player.Build(t.TempDir()))
 	params, err := player.Params(t.TempDir(), all)
--- a/internal/doctest/check.go
+++ b/internal/doctest/check.go
@@ -14,22 +14,22 @@
 	"strings"
 )
 
-// Reader reads a table as the program does that it is meant for.
-type Reader func(text string) error
+// TableReader parses a table with the code that parses it in production.
+type TableReader func(text string) error
 
-// commandForm is how a line begins that is a command of this project.
-var commandForm = regexp.MustCompile(
+// commandPattern matches the start of a line that is a command of this project.
+var commandPattern = regexp.MustCompile(
 	`(?m)^\s*(\$ |(\w+=\S+ )*((bin/)?(dunestep|rehearse|benchlink)|go (run|build|test|tool)|curl|bash) )`)
 
-// Check reads all blocks that are not commands: tables by the reader of their name, or, where they have none,
-// by any; Go by the file below the root that it is said to be from, which is compiled as a test. And it has
-// commands be such that a run of them can fail.
-func (p Page) Check(root string, readers map[string]Reader) (all []Problem) {
+// Check checks all blocks. It parses each table with the reader that the block names, or with any reader
+// if it names none. It checks that Go code is part of the file that the block names, relative to the root,
+// so that it is compiled. It also checks that a run of the commands can fail.
+func (p Page) Check(root string, readers map[string]TableReader) (all []Problem) {
 	for i := range p.Blocks {
 		b := &p.Blocks[i]
 		err := b.check(readers)
-		if err == nil && b.Kind == Go && (b.Of != "" || !strings.Contains(p.Name, design)) {
-			err = b.checkFrom(root)
+		if err == nil && b.Kind == Go && (b.InfoArg != "" || !strings.Contains(p.Name, designDir)) {
+			err = b.checkSourceFile(root)
 		}
 		if err != nil {
 			all = append(all, Problem{Page: p.Name, Line: b.Line, Text: err.Error()})
@@ -38,7 +38,7 @@
 	return all
 }
 
-func (b *Block) check(readers map[string]Reader) error {
+func (b *Block) check(readers map[string]TableReader) error {
 	switch b.Kind {
 	case TOML:
 		return b.checkTable(readers)
@@ -55,47 +55,48 @@
 		_, err := format.Source([]byte(b.Text))
 		return err
 	case Text:
-		if line := commandForm.FindString(b.Text); line != "" {
-			return fmt.Errorf("a block of text with a command, %q: put it into one of sh or console", line)
+		if line := commandPattern.FindString(b.Text); line != "" {
+			return fmt.Errorf("a text block with a command, %q: use a block of kind sh or console", line)
 		}
 	case Commands:
-		// curl ends with 0 whatever the answer is.
-		if b.runs() && strings.Contains(b.Text, "curl ") {
-			return errors.New("what curl gets must be shown: make the block one of console")
+		// curl exits with 0 whatever the response is.
+		if b.isRun() && strings.Contains(b.Text, "curl ") {
+			return errors.New("the response to curl must be shown: use a console block")
 		}
 	}
 	return nil
 }
 
-// checkFrom looks for the block's lines, one after another, in the file that it is from.
-func (b *Block) checkFrom(root string) error {
-	if b.Of == "" {
-		return errors.New("name the Go file after the fence that has these lines, so that they are compiled")
+// checkSourceFile checks that the block's lines occur, in sequence, in the file that it names.
+func (b *Block) checkSourceFile(root string) error {
+	if b.InfoArg == "" {
+		return errors.New("name the Go file with these lines after the fence, so that they are compiled")
 	}
-	raw, err := os.ReadFile(filepath.Join(root, filepath.FromSlash(b.Of)))
+	raw, err := os.ReadFile(filepath.Join(root, filepath.FromSlash(b.InfoArg)))
 	if err != nil {
 		return err
 	}
-	if !strings.Contains(flush(string(raw)), flush(b.Text)) {
-		return fmt.Errorf("these lines are not in %s", b.Of)
+	if !strings.Contains(withoutIndents(string(raw)), withoutIndents(b.Text)) {
+		return fmt.Errorf("these lines are not in %s", b.InfoArg)
 	}
 	return nil
 }
 
-// flush is a text without indents.
-func flush(text string) (all string) {
+// withoutIndents returns a text with the white space around each line removed.
+func withoutIndents(text string) (all string) {
 	for line := range strings.SplitSeq(strings.Trim(text, "\n"), "\n") {
 		all += strings.TrimSpace(line) + "\n"
 	}
 	return "\n" + all
 }
 
-func (b *Block) checkTable(readers map[string]Reader) error {
-	if b.Of != "" {
-		if readers[b.Of] == nil {
-			return fmt.Errorf("a table of %q: there are readers for %q", b.Of, slices.Sorted(maps.Keys(readers)))
+func (b *Block) checkTable(readers map[string]TableReader) error {
+	if b.InfoArg != "" {
+		if readers[b.InfoArg] == nil {
+			return fmt.Errorf("unknown table reader %q: there are readers for %q", b.InfoArg,
+				slices.Sorted(maps.Keys(readers)))
 		}
-		return readers[b.Of](b.Text)
+		return readers[b.InfoArg](b.Text)
 	}
 	var all error
 	for _, name := range slices.Sorted(maps.Keys(readers)) {
@@ -103,15 +104,15 @@
 		if err == nil {
 			return nil
 		}
-		all = errors.Join(all, fmt.Errorf("as one of %s: %w", name, err))
+		all = errors.Join(all, fmt.Errorf("as a table of %s: %w", name, err))
 	}
 	return all
 }
 
-// NotRun counts the blocks that say why they are not run.
-func (p Page) NotRun() (count int) {
+// CountSkipped returns the number of blocks with a reason not to be run.
+func (p Page) CountSkipped() (count int) {
 	for _, b := range p.Blocks {
-		if b.NotRun != "" {
+		if b.SkipReason != "" {
 			count++
 		}
 	}
--- a/internal/doctest/output.go
+++ b/internal/doctest/output.go
@@ -7,52 +7,54 @@
 	"strings"
 )
 
-// A step is a command of a block, with the output that the page shows for it.
+// step is a command of a block, with the output that the page shows for it.
 type step struct {
-	line    int
-	command string
-	shown   []string
-	silent  bool // nothing is said of its output
+	line          int
+	command       string
+	want          []string
+	outputIgnored bool // output is not compared
 }
 
 const prompt = "$ "
 
-// steps takes a block of commands apart. A command goes on in the next line after a backslash.
-func (b *Block) steps() ([]step, error) {
+// parseSteps splits a block into its commands. A backslash at the end of a line continues the command on
+// the next line.
+func (b *Block) parseSteps() ([]step, error) {
 	body := b.Text
-	for _, as := range b.As {
-		body = strings.ReplaceAll(body, as[0], as[1])
+	for _, pair := range b.Replacements {
+		body = strings.ReplaceAll(body, pair[0], pair[1])
 	}
 	if b.Kind != Console {
-		return []step{{line: b.Line, command: body, silent: true}}, nil
+		return []step{{line: b.Line, command: body, outputIgnored: true}}, nil
 	}
 	var all []step
-	more := false // the line goes on with the command
+	continued := false // whether the line continues a command
 	for i, line := range strings.Split(strings.TrimRight(body, "\n"), "\n") {
-		command, begins := strings.CutPrefix(line, prompt)
+		command, hasPrompt := strings.CutPrefix(line, prompt)
 		switch {
-		case more:
+		case continued:
 			last := &all[len(all)-1]
 			last.command += line + "\n"
-		case begins:
+		case hasPrompt:
 			all = append(all, step{line: b.Line + i, command: command + "\n"})
 			line = command
 		case len(all) == 0:
-			return nil, fmt.Errorf("a block of commands and output begins with output: %q", line)
+			return nil, fmt.Errorf("a console block starts with output: %q", line)
 		default:
 			last := &all[len(all)-1]
-			last.shown = append(last.shown, line)
+			last.want = append(last.want, line)
 			continue
 		}
-		more = strings.HasSuffix(line, `\`)
+		continued = strings.HasSuffix(line, `\`)
 	}
 	return all, nil
 }
 
-// anything stands in a page for what varies: within a line for some of it, alone for any lines.
-const anything = "..."
+// wildcard matches any text in a page's output: a part of a line, or, alone on a line, any number of
+// lines.
+const wildcard = "..."
 
-// lines takes output apart, as a terminal would show it.
+// lines splits output into lines, without the white space at their ends that a terminal does not show.
 func lines(output string) []string {
 	all := strings.Split(strings.ReplaceAll(output, "\r", ""), "\n")
 	for i := range all {
@@ -64,60 +66,60 @@
 	return all
 }
 
-// like tells whether a line is as the page shows it.
-func like(shown, line string) bool {
-	if !strings.Contains(shown, anything) {
+// lineMatches reports whether a line of output matches a line of the page.
+func lineMatches(shown, line string) bool {
+	if !strings.Contains(shown, wildcard) {
 		return strings.TrimRight(shown, " \t") == line
 	}
-	parts := strings.Split(strings.TrimRight(shown, " \t"), anything)
+	parts := strings.Split(strings.TrimRight(shown, " \t"), wildcard)
 	for i := range parts {
 		parts[i] = regexp.QuoteMeta(parts[i])
 	}
 	return regexp.MustCompile(`^` + strings.Join(parts, `.+`) + `$`).MatchString(line)
 }
 
-// among tells whether each line that a page shows has come, in any order and with others between: what goes
-// on does several things at once.
-func among(shown, got []string) bool {
+// containsAll reports whether the output has each line that the page shows, in any order and with other
+// lines between: background commands do several things concurrently.
+func containsAll(shown, got []string) bool {
 	for _, one := range shown {
-		if one != anything && !slices.ContainsFunc(got, func(line string) bool { return like(one, line) }) {
+		if one != wildcard && !slices.ContainsFunc(got, func(line string) bool { return lineMatches(one, line) }) {
 			return false
 		}
 	}
 	return true
 }
 
-// same tells whether output is what a page shows. It goes through all ways in which "..." may stand for
-// lines, at most lines times lines.
-func same(shown, got []string) bool {
-	// can[i] is that the lines so far are shown by the first i of what is shown.
-	can := make([]bool, len(shown)+1)
-	can[0] = true
+// outputMatches reports whether output matches what a page shows. It tries all ways in which wildcards can
+// match lines, in time proportional to the product of both lengths.
+func outputMatches(shown, got []string) bool {
+	// reachable[i] reports whether the first i lines of the page match the output so far.
+	reachable := make([]bool, len(shown)+1)
+	reachable[0] = true
 	skip := func() {
 		for i, one := range shown {
-			can[i+1] = can[i+1] || can[i] && one == anything
+			reachable[i+1] = reachable[i+1] || reachable[i] && one == wildcard
 		}
 	}
 	skip()
 	for _, line := range got {
 		next := make([]bool, len(shown)+1)
 		for i, one := range shown {
-			if one == anything {
-				next[i+1] = next[i+1] || can[i+1]
+			if one == wildcard {
+				next[i+1] = next[i+1] || reachable[i+1]
 			} else {
-				next[i+1] = can[i] && like(one, line)
+				next[i+1] = reachable[i] && lineMatches(one, line)
 			}
 		}
-		can = next
+		reachable = next
 		skip()
 	}
-	return can[len(shown)]
+	return reachable[len(shown)]
 }
 
-// differs says how output differs from what a page shows.
-func differs(s step, got []string) error {
-	return fmt.Errorf("the page shows for\n  %s\n%s\nand this came\n%s", strings.TrimSpace(s.command),
-		indented(s.shown), indented(got))
+// mismatchError returns an error that shows the expected and the actual output.
+func mismatchError(s step, got []string) error {
+	return fmt.Errorf("the page shows for\n  %s\n%s\nbut the output was\n%s", strings.TrimSpace(s.command),
+		indented(s.want), indented(got))
 }
 
 func indented(all []string) string {
--- a/internal/doctest/pages.go
+++ b/internal/doctest/pages.go
@@ -1,6 +1,6 @@
-// Package doctest does with the pages of the documentation what a reader would: their blocks of commands are
-// run, their tables and objects are read by the code that reads them in earnest. How a block says what it is
-// stands in docs/design/pages.md.
+// Package doctest checks the documentation pages as a reader would use them: it runs their blocks of
+// commands, and parses their tables and objects with the code that parses them in production.
+// docs/design/pages.md describes how a page declares the kind of a block.
 package doctest
 
 import (
@@ -16,39 +16,40 @@
 	"github.com/yuin/goldmark/text"
 )
 
-// Kind is what a block is.
+// Kind is the kind of a block.
 type Kind string
 
-// The kinds, as the languages of fences have them. An indented block is one of commands.
+// The kinds, named as in the info string of a fence. An indented block is of kind Commands.
 const (
-	Commands Kind = "sh"      // run as a whole; nothing is said of its output
-	Console  Kind = "console" // commands after "$ ", each with its output
+	Commands Kind = "sh"      // run as a whole; output not compared
+	Console  Kind = "console" // commands after "$ ", each followed by its output
 	TOML     Kind = "toml"
 	JSON     Kind = "json"
 	Go       Kind = "go"
-	Text     Kind = "text" // drawings, and what other programs say
+	Text     Kind = "text" // drawings and output of other programs
 )
 
 var kinds = []Kind{Commands, Console, TOML, JSON, Go, Text}
 
-// design is the folder of notes whose indented blocks are drawings, unless they begin as a command does.
-const design = "docs/design/"
+// designDir is the folder of design notes. An indented block there is a drawing, unless it contains a
+// command.
+const designDir = "docs/design/"
 
-// Block is a block of code in a page.
+// Block is a code block of a page.
 type Block struct {
-	Kind Kind
-	Line int    // its first, in the page
-	Text string // without fence or indent
-	Of   string // what a table is part of: the second word after the fence
-
-	// What comments before it say.
-	NotRun string      // why not; empty: it is run
-	Before string      // commands that are run first, which readers do not see
-	Beside string      // a page, and names of what goes on there: begun first
-	GoesOn string      // its name, for what runs on beside the blocks that follow
-	Ends   []string    // the names of what is ended first
-	Exits  int         // the exit code of its last command
-	As     [][2]string // texts that are run as others, to take less
+	Kind    Kind
+	Line    int    // first line in the page
+	Text    string // content without fence or indent
+	InfoArg string // text after the language: the reader of a table, or the file of Go code
+
+	// Set by directives in the comments before the block.
+	SkipReason         string      // reason why the block is not run; empty if it is run
+	Before             string      // commands to run first, not shown to readers
+	RequiredBackground string      // page and names of its background commands to start first
+	BackgroundName     string      // name of the command if it keeps running during later blocks
+	Stops              []string    // names of background commands to stop first
+	ExitCode           int         // expected exit code of the last command
+	Replacements       [][2]string // pairs of text and replacement, for faster runs
 }
 
 // Page is a page of the documentation.
@@ -57,17 +58,18 @@
 	Blocks []Block
 }
 
-// Problem is what is wrong in a page.
+// Problem is a fault in a page.
 type Problem struct {
 	Page string
 	Line int
 	Text string
 }
 
-// Error is the place, and what is wrong there.
+// Error returns the position and the description of the fault.
 func (p Problem) Error() string { return fmt.Sprintf("%s:%d: %s", p.Page, p.Line, p.Text) }
 
-// Read reads a page's file. The name is for the problems, each of which is the page's own.
+// Read parses a page's file. The name identifies the page in problems. An unreadable file is a problem
+// too.
 func Read(name, path string) (Page, []Problem) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -76,11 +78,11 @@
 	return Parse(name, raw)
 }
 
-// Parse reads a page's text. A page with problems has all blocks that could be made out.
+// Parse parses a page's text. The page has all blocks that could be parsed, even if there are problems.
 func Parse(name string, raw []byte) (Page, []Problem) {
-	r := reader{raw: raw, page: Page{Name: name}}
+	r := pageParser{raw: raw, page: Page{Name: name}}
 	tree := goldmark.DefaultParser().Parse(text.NewReader(raw))
-	// The error could only come from the walker.
+	// Walk only returns errors of the function, which returns none.
 	_ = ast.Walk(tree, func(n ast.Node, entering bool) (ast.WalkStatus, error) {
 		if entering && n.Type() == ast.TypeBlock {
 			r.node(n)
@@ -90,27 +92,27 @@
 	return r.page, r.problems
 }
 
-// reader goes through a page's nodes in their order.
-type reader struct {
+// pageParser collects the blocks and problems of a page, in page order.
+type pageParser struct {
 	raw      []byte
 	page     Page
 	problems []Problem
 }
 
-func (r *reader) complain(line int, format string, args ...any) {
+func (r *pageParser) report(line int, format string, args ...any) {
 	r.problems = append(r.problems, Problem{Page: r.page.Name, Line: line, Text: fmt.Sprintf(format, args...)})
 }
 
-// line is where a node begins in the page.
-func (r *reader) line(n ast.Node) int {
+// line returns the page's line on which a node starts; zero if the node has no lines.
+func (r *pageParser) line(n ast.Node) int {
 	if n.Lines().Len() == 0 {
 		return 0
 	}
 	return 1 + bytes.Count(r.raw[:n.Lines().At(0).Start], []byte("\n"))
 }
 
-// text is a node's lines.
-func (r *reader) text(n ast.Node) string {
+// text returns the lines of a node.
+func (r *pageParser) text(n ast.Node) string {
 	var b strings.Builder
 	for i := range n.Lines().Len() {
 		line := n.Lines().At(i)
@@ -122,12 +124,12 @@
 	return b.String()
 }
 
-func (r *reader) node(n ast.Node) {
+func (r *pageParser) node(n ast.Node) {
 	b := Block{Line: r.line(n)}
 	switch n := n.(type) {
 	case *ast.CodeBlock:
 		b.Kind = Commands
-		if strings.Contains(r.page.Name, design) && !commandForm.MatchString(r.text(n)) {
+		if strings.Contains(r.page.Name, designDir) && !commandPattern.MatchString(r.text(n)) {
 			b.Kind = Text
 		}
 	case *ast.FencedCodeBlock:
@@ -136,13 +138,13 @@
 			info = string(n.Info.Segment.Value(r.raw))
 		}
 		language, of, _ := strings.Cut(strings.TrimSpace(info), " ")
-		b.Kind, b.Of = Kind(language), strings.TrimSpace(of)
+		b.Kind, b.InfoArg = Kind(language), strings.TrimSpace(of)
 		if !slices.Contains(kinds, b.Kind) {
-			r.complain(b.Line, "a block in %q: the kinds are %v", language, kinds)
+			r.report(b.Line, "block of unknown kind %q: the kinds are %v", language, kinds)
 			return
 		}
 	case *ast.HTMLBlock:
-		r.alone(n)
+		r.checkDetachedComment(n)
 		return
 	default:
 		return
@@ -150,8 +152,8 @@
 	b.Text = r.text(n)
 	for before := n.PreviousSibling(); before != nil && before.Kind() == ast.KindHTMLBlock; {
 		for _, comment := range comments(r.text(before)) {
-			if err := b.heed(comment); err != nil {
-				r.complain(r.line(before), "%v", err)
+			if err := b.applyDirective(comment); err != nil {
+				r.report(r.line(before), "%v", err)
 			}
 		}
 		before = before.PreviousSibling()
@@ -159,8 +161,8 @@
 	r.page.Blocks = append(r.page.Blocks, b)
 }
 
-// alone guards against a comment that is meant for a block and stands before none: it would say nothing.
-func (r *reader) alone(n *ast.HTMLBlock) {
+// checkDetachedComment reports a directive that no block follows: it would have no effect.
+func (r *pageParser) checkDetachedComment(n *ast.HTMLBlock) {
 	var next ast.Node = n
 	for next != nil && next.Kind() == ast.KindHTMLBlock {
 		next = next.NextSibling()
@@ -169,56 +171,58 @@
 		return
 	}
 	for _, comment := range comments(r.text(n)) {
-		word, _, said := strings.Cut(comment, ":")
-		if said && words[word] != nil {
-			r.complain(r.line(n), "a comment on no block: %q", comment)
+		name, _, found := strings.Cut(comment, ":")
+		if found && directives[name] != nil {
+			r.report(r.line(n), "no block follows the directive %q", comment)
 		}
 	}
 }
 
-var commentForm = regexp.MustCompile(`(?s)<!--(.*?)-->`)
+var commentPattern = regexp.MustCompile(`(?s)<!--(.*?)-->`)
 
 func comments(html string) (all []string) {
-	for _, one := range commentForm.FindAllStringSubmatch(html, -1) {
+	for _, one := range commentPattern.FindAllStringSubmatch(html, -1) {
 		all = append(all, strings.TrimSpace(one[1]))
 	}
 	return all
 }
 
-var asForm = regexp.MustCompile(`^"([^"]+)" is "([^"]*)"$`)
+var replacementPattern = regexp.MustCompile(`^"([^"]+)" is "([^"]*)"$`)
 
-// words are what comments before a block may begin with.
-var words = map[string]func(b *Block, value string) error{
-	"not run": func(b *Block, value string) error { b.NotRun = value; return nil },
+// directives maps the name of each directive, the start of a comment before a block, to the function that
+// applies it.
+var directives = map[string]func(b *Block, value string) error{
+	"not run": func(b *Block, value string) error { b.SkipReason = value; return nil },
 	"before":  func(b *Block, value string) error { b.Before = value; return nil },
-	"beside":  func(b *Block, value string) error { b.Beside = value; return nil },
-	"goes on": func(b *Block, value string) error { b.GoesOn = value; return nil },
-	"ended":   func(b *Block, value string) error { b.Ends = append(b.Ends, value); return nil },
+	"beside":  func(b *Block, value string) error { b.RequiredBackground = value; return nil },
+	"goes on": func(b *Block, value string) error { b.BackgroundName = value; return nil },
+	"ended":   func(b *Block, value string) error { b.Stops = append(b.Stops, value); return nil },
 	"exits": func(b *Block, value string) error {
-		_, err := fmt.Sscanf(value, "%d", &b.Exits)
+		_, err := fmt.Sscanf(value, "%d", &b.ExitCode)
 		return err
 	},
 	"run as": func(b *Block, value string) error {
-		as := asForm.FindStringSubmatch(value)
-		if as == nil || !strings.Contains(b.Text, as[1]) {
+		match := replacementPattern.FindStringSubmatch(value)
+		if match == nil || !strings.Contains(b.Text, match[1]) {
 			return fmt.Errorf("must be \"TEXT OF THE BLOCK\" is \"OTHER TEXT\"")
 		}
-		b.As = append(b.As, [2]string{as[1], as[2]})
+		b.Replacements = append(b.Replacements, [2]string{match[1], match[2]})
 		return nil
 	},
 }
 
-// heed takes over what a comment says of the block.
-func (b *Block) heed(comment string) error {
-	word, value, _ := strings.Cut(comment, ":")
-	take := words[word]
-	if take == nil {
-		return fmt.Errorf("a comment before a block begins with a word that is not known: %q", comment)
+// applyDirective applies a comment to the block. It returns an error for an unknown directive or an
+// invalid value.
+func (b *Block) applyDirective(comment string) error {
+	name, value, _ := strings.Cut(comment, ":")
+	apply := directives[name]
+	if apply == nil {
+		return fmt.Errorf("unknown directive in the comment before a block: %q", comment)
 	}
 	if value = strings.TrimSpace(value); value == "" {
-		return fmt.Errorf("%q says nothing: it needs a reason or a name", comment)
+		return fmt.Errorf("%q has no value: it needs a reason or a name", comment)
 	}
-	if err := take(b, value); err != nil {
+	if err := apply(b, value); err != nil {
 		return fmt.Errorf("%q: %w", comment, err)
 	}
 	return nil
--- a/internal/doctest/pages_test.go
+++ b/internal/doctest/pages_test.go
@@ -13,25 +13,25 @@
 	"github.com/stretchr/testify/require"
 )
 
-// verdict is a testscript.T that keeps what a script says instead of failing.
-type verdict struct {
+// recordingT is a testscript.T that records the output and the failure of a script.
+type recordingT struct {
 	mu     sync.Mutex
 	failed bool
-	said   string
+	output string
 }
 
-func (v *verdict) note(failed bool, args []any) {
+func (v *recordingT) record(failed bool, args []any) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.failed, v.said = v.failed || failed, v.said+fmt.Sprintln(args...)
+	v.failed, v.output = v.failed || failed, v.output+fmt.Sprintln(args...)
 }
-func (v *verdict) Skip(args ...any)  { panic("skipped") }
-func (v *verdict) Log(args ...any)   { v.note(false, args) }
-func (v *verdict) Parallel()         {}
-func (v *verdict) Verbose() bool     { return false }
-func (v *verdict) FailNow()          { v.note(true, nil); panic(v) }
-func (v *verdict) Fatal(args ...any) { v.note(true, args); panic(v) }
-func (v *verdict) Run(_ string, f func(testscript.T)) {
+func (v *recordingT) Skip(args ...any)  { panic("skipped") }
+func (v *recordingT) Log(args ...any)   { v.record(false, args) }
+func (v *recordingT) Parallel()         {}
+func (v *recordingT) Verbose() bool     { return false }
+func (v *recordingT) FailNow()          { v.record(true, nil); panic(v) }
+func (v *recordingT) Fatal(args ...any) { v.record(true, args); panic(v) }
+func (v *recordingT) Run(_ string, f func(testscript.T)) {
 	defer func() {
 		if r := recover(); r != nil && r != any(v) {
 			panic(r)
@@ -40,41 +40,41 @@
 	f(v)
 }
 
-var readers = map[string]Reader{"storm": func(text string) error {
+var readers = map[string]TableReader{"storm": func(text string) error {
 	if text != "purge = 1\n" {
 		return errors.New("unknown key")
 	}
 	return nil
 }}
 
-// tell is all that is wrong with a page's text, as the pages' test would tell it.
-func tell(t *testing.T, text string) string {
+// problemsOf returns all problems of a page's text, as the test of the pages reports them.
+func problemsOf(t *testing.T, text string) string {
 	page, problems := Parse("page.md", []byte(text))
 	all := ""
 	for _, p := range append(problems, page.Check("testdata", readers)...) {
 		all += p.Error() + "\n"
 	}
-	p := &Player{Root: t.TempDir()}
+	p := &Runner{Root: t.TempDir()}
 	params, err := p.Params(t.TempDir(), []Page{page})
 	require.NoError(t, err)
 	if len(params.Files) == 0 {
 		return all
 	}
-	v := &verdict{}
+	v := &recordingT{}
 	testscript.RunT(v, params)
 	if v.failed {
-		all += v.said
+		all += v.output
 	}
 	return all
 }
 
-// A page that is right passes, and each wrong word in it is told, with its line.
-func TestWrongWords(t *testing.T) {
+// A correct page passes, and each single fault in it is reported, with its line.
+func TestFaultsAreReportedWithLine(t *testing.T) {
 	raw, err := os.ReadFile(filepath.Join("testdata", "right.md"))
 	require.NoError(t, err)
 	right := string(raw)
-	require.Empty(t, tell(t, right))
-	for _, wrong := range []struct{ old, new, told string }{
+	require.Empty(t, problemsOf(t, right))
+	for _, fault := range []struct{ old, new, want string }{
 		{"grep told", "gerp told", "page.md:7"},
 		{"before: echo told", "before: echo tald", "exit code 1"},
 		{"echo one; echo two", "ecoh one; echo two", "page.md:12"},
@@ -85,34 +85,34 @@
 		{"one two\n", "one, two\n", "page.md:21"},
 		{"exit 3", "exit 4", "ended with exit code 4"},
 		{"(exit 3)", "(exit 3", "the shell ended"},
-		{"\nbegun\n", "\nbegone\n", "it ended"},
+		{"\nbegun\n", "\nbegone\n", "the command ended"},
 		{"ended: ticker", "ended: tikcer", "tikcer"},
 		{"\nover\n", "\n127.0.0.1\n", "page.md:42"},
 		{`"seq 1000000" is`, `"seq 99" is`, "page.md:46"},
-		{"not run: there is no such program", "not run:", "page.md:53: \"not run:\" says nothing"},
-		{"not run: there is", "not rum: there is", "a word that is not known"},
-		{"<!-- not run: there is no such program -->", "<!-- not run: so -->\n\nWords between.\n", "no block"},
+		{"not run: there is no such program", "not run:", "page.md:53: \"not run:\" has no value"},
+		{"not run: there is", "not rum: there is", "unknown directive"},
+		{"<!-- not run: there is no such program -->", "<!-- not run: so -->\n\nWords between.\n", "no block follows the directive"},
 		{"purge = 1", "pruge = 1", "page.md:59: unknown key"},
-		{"toml storm", "toml strom", `a table of "strom"`},
+		{"toml storm", "toml strom", `unknown table reader "strom"`},
 		{`{"b": 2}`, `{"b": 2`, "page.md:63"},
 		{"func f()", "fucn f()", "page.md:68"},
 		{"func f()", "func g()", "page.md:68: these lines are not in right.go.txt"},
 		{"```go right.go.txt", "```go", "name the Go file"},
-		{"```go right.go.txt", "```golang", `a block in "golang"`},
+		{"```go right.go.txt", "```golang", `block of unknown kind "golang"`},
 		{"```go right.go.txt\nfunc f() {}", "```text\ncurl http://127.0.0.1", "with a command"},
 		{"test -f before", "curl http://127.0.0.1", "must be shown"},
 	} {
-		text := strings.Replace(right, wrong.old, wrong.new, 1)
-		require.NotEqual(t, right, text, wrong.old)
-		if wrong.old == "\nbegun\n" { // it would be waited for as long as it goes on
+		text := strings.Replace(right, fault.old, fault.new, 1)
+		require.NotEqual(t, right, text, fault.old)
+		if fault.old == "\nbegun\n" { // the run would wait until commandTimeout for the missing output
 			text = strings.Replace(text, "while :;", "while false;", 1)
 		}
-		require.Contains(t, tell(t, text), wrong.told, wrong.new)
+		require.Contains(t, problemsOf(t, text), fault.want, fault.new)
 	}
 }
 
-// Drawings are indented in notes of design, commands are not taken for them.
-func TestDrawings(t *testing.T) {
+// Indented blocks in design notes are drawings, unless they contain a command.
+func TestIndentedBlocksInDesignNotes(t *testing.T) {
 	for text, kind := range map[string]Kind{
 		"    a -> b\n": Text, "    bin/rehearse list\n": Commands,
 		"    A=1 go run ./example/toy\n": Commands,
@@ -123,11 +123,12 @@
 	}
 }
 
-// Where what holds it is gone, as with a kill of the test, the whole group of a block ends.
-func TestNothingStays(t *testing.T) {
-	s, err := run("sleep 1000 & echo begun; sleep 1000", t.TempDir(), os.Environ())
+// The whole process group of a block ends when the process that started it is killed; closing keepAlive
+// has the same effect.
+func TestProcessGroupEndsWithItsStarter(t *testing.T) {
+	s, err := startShell("sleep 1000 & echo begun; sleep 1000", t.TempDir(), os.Environ())
 	require.NoError(t, err)
-	require.NoError(t, s.until(func(output string) bool { return strings.Contains(output, "begun") }))
-	require.NoError(t, s.hold.Close())
-	require.NoError(t, s.wait()) // all ends of its output are closed
+	require.NoError(t, s.waitForOutput(func(output string) bool { return strings.Contains(output, "begun") }))
+	require.NoError(t, s.keepAlive.Close())
+	require.NoError(t, s.wait()) // returns once all processes have closed the output
 }
--- a/internal/doctest/play.go
+++ b/internal/doctest/play.go
@@ -18,25 +18,25 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// Player runs the commands of pages, each page by itself in a copy of the repository, side by side.
-type Player struct {
-	Root string // the repository's
-	// Programs is a folder of programs built from it, for pages that do not build them themselves.
+// Runner runs the commands of pages in parallel, each page in its own copy of the repository.
+type Runner struct {
+	Root string // root folder of the repository
+	// Programs is a folder of built programs, for pages that do not build them themselves.
 	Programs string
 
 	pages map[string]Page
 }
 
-// onLoopback is the address in the pages, and in the files of the example. Each page has it stand for an
-// address of its own of the 127.0.0.0/8 that are all this machine, so that pages run side by side, beside
-// whoever follows one by hand, with the page's ports.
-const onLoopback = "127.0.0.1"
+// pageAddress is the address in the pages and in the files of the example. Each run replaces it by another
+// address of its own in 127.0.0.0/8, which is all loopback, so that pages can run in parallel, and beside
+// a user who follows a page by hand, with the ports of the page.
+const pageAddress = "127.0.0.1"
 
-// example is the folder whose files name the address.
+// example is the folder whose files contain pageAddress.
 const example = "example"
 
-// Build builds the programs of the repository into a folder, as README.md says to.
-func (p *Player) Build(folder string) error {
+// Build builds the programs of the repository into a folder, with the command of README.md.
+func (p *Runner) Build(folder string) error {
 	cmd := exec.Command("go", "build", "-trimpath", "-ldflags=-linkmode=external", "-o", folder+"/", "./cmd/...")
 	cmd.Dir = p.Root
 	if out, err := cmd.CombinedOutput(); err != nil {
@@ -46,13 +46,13 @@
 	return nil
 }
 
-// Params is what testscript runs: a script for each page, in files in a folder. What a page begins is ended
-// with its script.
-func (p *Player) Params(folder string, pages []Page) (testscript.Params, error) {
+// Params writes a script for each page to a folder and returns the parameters with which testscript runs
+// them. The end of a script stops the background commands of its page.
+func (p *Runner) Params(folder string, pages []Page) (testscript.Params, error) {
 	p.pages = map[string]Page{}
 	params := testscript.Params{
 		Setup: p.setup,
-		Cmds:  map[string]func(*testscript.TestScript, bool, []string){"block": p.block},
+		Cmds:  map[string]func(*testscript.TestScript, bool, []string){"block": p.runBlock},
 	}
 	for _, page := range pages {
 		script, runs := page.script()
@@ -69,14 +69,14 @@
 	return params, nil
 }
 
-// scriptName is a page's among the scripts.
+// scriptName returns the name of a page's script.
 func scriptName(page string) string { return strings.NewReplacer("/", "-", ".md", "").Replace(page) }
 
-// script has a line for each block that is run.
+// script returns the page's script, with a line for each block to run, and whether there is any.
 func (p Page) script() (text string, runs bool) {
 	text = "[!exec:bash] skip 'there is no bash'\n"
 	for i, b := range p.Blocks {
-		if b.runs() {
+		if b.isRun() {
 			if strings.Contains(b.Text, "curl ") {
 				text += "[!exec:curl] skip 'there is no curl'\n"
 			}
@@ -87,82 +87,83 @@
 	return text, runs
 }
 
-// runs tells whether a block is of commands that are run.
-func (b *Block) runs() bool { return (b.Kind == Commands || b.Kind == Console) && b.NotRun == "" }
+// isRun reports whether the block has commands that are run.
+func (b *Block) isRun() bool { return (b.Kind == Commands || b.Kind == Console) && b.SkipReason == "" }
 
-// play is a page's run.
-type play struct {
-	player *Player
-	page   Page
-	folder string
-	env    []string
-	addr   string            // in place of onLoopback
-	claim  net.Listener      // holds it
-	beside map[string]*shell // what goes on, by name
+// pageRun is the run of one page.
+type pageRun struct {
+	runner      *Runner
+	page        Page
+	folder      string
+	env         []string
+	addr        string            // replaces pageAddress
+	addressLock net.Listener      // reserves addr
+	background  map[string]*shell // background commands by name
 }
 
-type playKey struct{}
+type pageRunKey struct{}
 
-// setup makes the state that a page begins with: a copy of the repository, and programs on the path.
-func (p *Player) setup(env *testscript.Env) error {
+// setup prepares the folder of a page's run: a copy of the repository, with the programs on the path.
+func (p *Runner) setup(env *testscript.Env) error {
 	name := strings.TrimPrefix(filepath.Base(env.WorkDir), "script-")
-	y := &play{player: p, page: p.pages[name], folder: env.WorkDir, beside: map[string]*shell{}}
-	env.Values[playKey{}] = y
+	y := &pageRun{runner: p, page: p.pages[name], folder: env.WorkDir, background: map[string]*shell{}}
+	env.Values[pageRunKey{}] = y
 	env.Defer(y.close)
 	if err := copyTree(p.Root, y.folder); err != nil {
 		return err
 	}
-	if err := errors.Join(y.address(), y.environment(env)); err != nil {
+	if err := errors.Join(y.assignAddress(), y.setEnvironment(env)); err != nil {
 		return err
 	}
-	if p.Programs == "" || y.builds() {
+	if p.Programs == "" || y.buildsPrograms() {
 		return nil
 	}
 	return os.CopyFS(filepath.Join(y.folder, "bin"), os.DirFS(p.Programs))
 }
 
-// builds tells whether the page has its reader build the programs.
-func (y *play) builds() bool {
+// buildsPrograms reports whether the page's commands build the programs.
+func (y *pageRun) buildsPrograms() bool {
 	return slices.ContainsFunc(y.page.Blocks, func(b Block) bool {
-		return b.runs() && strings.Contains(b.Text, "go build")
+		return b.isRun() && strings.Contains(b.Text, "go build")
 	})
 }
 
-// leftOut is what a reader's copy of the repository needs nothing of.
-var leftOut = []string{"bin", "journal", "testdata", "node_modules"}
+// notCopied are the folders that the copy of the repository leaves out.
+var notCopied = []string{"bin", "journal", "testdata", "node_modules"}
 
 func copyTree(from, to string) error {
 	return filepath.WalkDir(from, func(path string, d fs.DirEntry, err error) error {
 		if err != nil {
 			return err
 		}
-		below, err := filepath.Rel(from, path)
-		hidden := strings.HasPrefix(d.Name(), ".") || slices.Contains(leftOut, d.Name())
+		relative, err := filepath.Rel(from, path)
+		excluded := strings.HasPrefix(d.Name(), ".") || slices.Contains(notCopied, d.Name())
 		switch {
-		case err != nil || below == ".":
+		case err != nil || relative == ".":
 			return err
-		case hidden && d.IsDir():
+		case excluded && d.IsDir():
 			return fs.SkipDir
 		case d.IsDir():
-			return os.MkdirAll(filepath.Join(to, below), 0o755)
-		case hidden || !d.Type().IsRegular() || strings.HasSuffix(below, "_test.go"):
+			return os.MkdirAll(filepath.Join(to, relative), 0o755)
+		case excluded || !d.Type().IsRegular() || strings.HasSuffix(relative, "_test.go"):
 			return nil
 		}
 		raw, err := os.ReadFile(path)
 		if err != nil {
 			return err
 		}
-		return os.WriteFile(filepath.Join(to, below), raw, 0o644)
+		return os.WriteFile(filepath.Join(to, relative), raw, 0o644)
 	})
 }
 
-var portForm = regexp.MustCompile(regexp.QuoteMeta(onLoopback) + `:(\d+)`)
+var portPattern = regexp.MustCompile(regexp.QuoteMeta(pageAddress) + `:(\d+)`)
 
-// address finds an address at which all the page's ports are free, and writes it into the example's files.
-func (y *play) address() error {
+// assignAddress finds an address at which all the page's ports are free, and writes it to the example's
+// files.
+func (y *pageRun) assignAddress() error {
 	files, ports := map[string][]byte{}, map[string]bool{}
-	note := func(text string) {
-		for _, one := range portForm.FindAllStringSubmatch(text, -1) {
+	addPorts := func(text string) {
+		for _, one := range portPattern.FindAllStringSubmatch(text, -1) {
 			ports[one[1]] = true
 		}
 	}
@@ -171,9 +172,9 @@
 			return err
 		}
 		raw, err := os.ReadFile(path)
-		if err == nil && bytes.Contains(raw, []byte(onLoopback)) {
+		if err == nil && bytes.Contains(raw, []byte(pageAddress)) {
 			files[path] = raw
-			note(string(raw))
+			addPorts(string(raw))
 		}
 		return err
 	})
@@ -181,13 +182,13 @@
 		return err
 	}
 	for _, b := range y.page.Blocks {
-		note(b.Before + b.Text)
+		addPorts(b.Before + b.Text)
 	}
-	if y.addr, y.claim, err = claimAddress(ports); err != nil {
+	if y.addr, y.addressLock, err = lockAddress(ports); err != nil {
 		return err
 	}
 	for path, raw := range files {
-		raw = bytes.ReplaceAll(raw, []byte(onLoopback), []byte(y.addr))
+		raw = bytes.ReplaceAll(raw, []byte(pageAddress), []byte(y.addr))
 		if err := os.WriteFile(path, raw, 0o644); err != nil {
 			return err
 		}
@@ -195,17 +196,17 @@
 	return nil
 }
 
-// claimPort is held at an address while a page has it.
-const claimPort = "20999"
+// lockPort is the port that reserves an address: a run listens on it until its end.
+const lockPort = "20999"
 
-// claimAddress finds an address as long as the one in the pages, so that what is set in columns stays so,
-// with all of the ports free, and holds it until the listener is closed.
-func claimAddress(ports map[string]bool) (addr string, claim net.Listener, err error) {
+// lockAddress finds a loopback address with all of the ports free, and reserves it until the returned
+// listener is closed. The address is as long as the one in the pages, which keeps columns aligned.
+func lockAddress(ports map[string]bool) (addr string, lock net.Listener, err error) {
 	for range 100 {
 		var r [3]byte
 		_, _ = rand.Read(r[:]) // never fails
 		addr = fmt.Sprintf("127.%d.%d.%d", 1+r[0]%9, 1+r[1]%9, 1+r[2]%9)
-		if claim, err = net.Listen("tcp", net.JoinHostPort(addr, claimPort)); err != nil {
+		if lock, err = net.Listen("tcp", net.JoinHostPort(addr, lockPort)); err != nil {
 			continue
 		}
 		for port := range ports {
@@ -216,16 +217,16 @@
 			_ = l.Close()
 		}
 		if err == nil {
-			return addr, claim, nil
+			return addr, lock, nil
 		}
-		_ = claim.Close()
+		_ = lock.Close()
 	}
-	return "", nil, fmt.Errorf("no address of loopback has the page's ports free: %w", err)
+	return "", nil, fmt.Errorf("no loopback address has the page's ports free: %w", err)
 }
 
-// environment is testscript's clean one, with what go needs of the user's, programs of the copy on the path,
-// and a curl that shows what it shows in a terminal.
-func (y *play) environment(env *testscript.Env) error {
+// setEnvironment extends testscript's clean environment with the user's settings of the go command, the
+// copy's programs on the path, and a curl configuration that prints what a terminal shows.
+func (y *pageRun) setEnvironment(env *testscript.Env) error {
 	out, err := exec.Command("go", "env", "GOCACHE", "GOMODCACHE", "GOPROXY", "GOSUMDB", "GOFLAGS",
 		"GOTOOLCHAIN").Output()
 	if err != nil {
@@ -237,7 +238,7 @@
 	env.Setenv("GOPROXY", user[2])
 	env.Setenv("GOSUMDB", user[3])
 	env.Setenv("GOTOOLCHAIN", user[5])
-	// The copy lies elsewhere each time: with -trimpath, what was built in one is found by the next.
+	// Each copy has another path: with -trimpath, the build cache of one run serves the next.
 	env.Setenv("GOFLAGS", strings.TrimSpace(user[4]+" -trimpath"))
 	env.Setenv("PATH", filepath.Join(y.folder, "bin")+string(os.PathListSeparator)+env.Getenv("PATH"))
 	env.Setenv("CURL_HOME", env.Getenv("TMPDIR"))
@@ -246,9 +247,9 @@
 	return os.WriteFile(filepath.Join(env.Getenv("TMPDIR"), ".curlrc"), []byte("silent\nshow-error\n"), 0o600)
 }
 
-// block is the script's command for one of its page's.
-func (p *Player) block(ts *testscript.TestScript, _ bool, args []string) {
-	y := ts.Value(playKey{}).(*play)
+// runBlock is the script command that runs one block of the script's page.
+func (p *Runner) runBlock(ts *testscript.TestScript, _ bool, args []string) {
+	y := ts.Value(pageRunKey{}).(*pageRun)
 	i, err := strconv.Atoi(args[0])
 	ts.Check(err)
 	if err := y.run(&y.page.Blocks[i]); err != nil {
@@ -256,38 +257,38 @@
 	}
 }
 
-// run runs a block, after what it says comes first.
-func (y *play) run(b *Block) error {
-	for _, name := range b.Ends {
-		s := y.beside[name]
+// run stops and starts what the block's directives name, then runs the block.
+func (y *pageRun) run(b *Block) error {
+	for _, name := range b.Stops {
+		s := y.background[name]
 		if s == nil {
-			return fmt.Errorf("nothing of the name %q goes on", name)
+			return fmt.Errorf("no background command %q is running", name)
 		}
-		delete(y.beside, name)
-		if err := s.end(); err != nil {
+		delete(y.background, name)
+		if err := s.stop(); err != nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
 	}
-	if err := y.begun(b.Beside); err != nil {
+	if err := y.startRequired(b.RequiredBackground); err != nil {
 		return err
 	}
 	if b.Before != "" {
-		if out, code, err := y.shell("set -e\n" + b.Before); err != nil {
-			return fmt.Errorf("what comes before: %w\n%s", err, out)
+		if out, code, err := y.runShell("set -e\n" + b.Before); err != nil {
+			return fmt.Errorf("commands of before: %w\n%s", err, out)
 		} else if code != 0 {
-			return fmt.Errorf("what comes before: exit code %d\n%s", code, out)
+			return fmt.Errorf("commands of before: exit code %d\n%s", code, out)
 		}
 	}
-	all, err := b.steps()
+	all, err := b.parseSteps()
 	if err != nil {
 		return err
 	}
-	if b.GoesOn != "" {
-		return y.begin(b.GoesOn, all)
+	if b.BackgroundName != "" {
+		return y.startBackground(b.BackgroundName, all)
 	}
 	if b.Kind == Commands {
-		out, code, err := y.shell("set -e\n" + all[0].command)
-		if err == nil && code != b.Exits {
+		out, code, err := y.runShell("set -e\n" + all[0].command)
+		if err == nil && code != b.ExitCode {
 			err = fmt.Errorf("exit code %d", code)
 		}
 		if err != nil {
@@ -295,52 +296,57 @@
 		}
 		return nil
 	}
-	return y.steps(all, b.Exits)
+	return y.runSteps(all, b.ExitCode)
 }
 
-// here has the page's address stand for the run's, and there the other way round.
-func (y *play) here(text string) string  { return strings.ReplaceAll(text, onLoopback, y.addr) }
-func (y *play) there(text string) string { return strings.ReplaceAll(text, y.addr, onLoopback) }
+// toRunAddress replaces the page's address by the run's; toPageAddress does the reverse.
+func (y *pageRun) toRunAddress(text string) string {
+	return strings.ReplaceAll(text, pageAddress, y.addr)
+}
+func (y *pageRun) toPageAddress(text string) string {
+	return strings.ReplaceAll(text, y.addr, pageAddress)
+}
 
-// shell runs commands to their end.
-func (y *play) shell(commands string) (output string, code int, err error) {
-	s, err := run(y.here(commands), y.folder, y.env)
+// runShell runs commands until they end.
+func (y *pageRun) runShell(commands string) (output string, code int, err error) {
+	s, err := startShell(y.toRunAddress(commands), y.folder, y.env)
 	if err != nil {
 		return "", 0, err
 	}
 	err = s.wait()
-	output, _ = s.said()
-	return y.there(output), s.code, err
+	output, _ = s.currentOutput()
+	return y.toPageAddress(output), s.code, err
 }
 
-// endOf is what the shell writes after each command, with its exit code.
-const endOf = "\x1e"
+// exitCodeMark encloses the exit code that the shell prints after each command.
+const exitCodeMark = "\x1e"
 
-// steps runs commands one after another in one shell, and compares the output of each.
-func (y *play) steps(all []step, exits int) error {
+// runSteps runs commands one after another in one shell, and compares the output and the exit code of
+// each.
+func (y *pageRun) runSteps(all []step, exitCode int) error {
 	var text strings.Builder
 	for _, s := range all {
 		fmt.Fprintf(&text, "%sprintf '\\036%%d\\036' $?\n", s.command)
 	}
-	output, _, err := y.shell(text.String())
+	output, _, err := y.runShell(text.String())
 	if err != nil {
 		return fmt.Errorf("%w\n%s", err, output)
 	}
-	came := strings.Split(output, endOf)
+	parts := strings.Split(output, exitCodeMark)
 	var problems []error
 	for i, s := range all {
-		if 2*i+1 >= len(came) {
-			return fmt.Errorf("the shell ended within\n  %s\n%s", strings.TrimSpace(s.command), came[len(came)-1])
+		if 2*i+1 >= len(parts) {
+			return fmt.Errorf("the shell ended during\n  %s\n%s", strings.TrimSpace(s.command), parts[len(parts)-1])
 		}
-		want := 0
+		wantCode := 0
 		if i == len(all)-1 {
-			want = exits
+			wantCode = exitCode
 		}
-		got := lines(came[2*i])
-		if !same(s.shown, got) {
-			problems = append(problems, fmt.Errorf("%s:%d: %w", y.page.Name, s.line, differs(s, got)))
+		got := lines(parts[2*i])
+		if !outputMatches(s.want, got) {
+			problems = append(problems, fmt.Errorf("%s:%d: %w", y.page.Name, s.line, mismatchError(s, got)))
 		}
-		if code := came[2*i+1]; code != strconv.Itoa(want) {
+		if code := parts[2*i+1]; code != strconv.Itoa(wantCode) {
 			problems = append(problems, fmt.Errorf("%s:%d: %s\nended with exit code %s", y.page.Name, s.line,
 				strings.TrimSpace(s.command), code))
 		}
@@ -348,22 +354,22 @@
 	return errors.Join(problems...)
 }
 
-// begun has begun what goes on in another page: "PAGE: NAME, NAME".
-func (y *play) begun(beside string) error {
-	if beside == "" {
+// startRequired starts background commands of another page: "PAGE: NAME, NAME".
+func (y *pageRun) startRequired(required string) error {
+	if required == "" {
 		return nil
 	}
-	of, names, _ := strings.Cut(beside, ":")
+	page, names, _ := strings.Cut(required, ":")
 	for name := range strings.SplitSeq(names, ",") {
 		name = strings.TrimSpace(name)
-		blocks := y.player.pages[scriptName(of)].Blocks
-		i := slices.IndexFunc(blocks, func(b Block) bool { return b.GoesOn == name })
+		blocks := y.runner.pages[scriptName(page)].Blocks
+		i := slices.IndexFunc(blocks, func(b Block) bool { return b.BackgroundName == name })
 		if i < 0 {
-			return fmt.Errorf("nothing of the name %q goes on in %q", name, of)
+			return fmt.Errorf("no background command %q in %q", name, page)
 		}
-		all, err := blocks[i].steps()
+		all, err := blocks[i].parseSteps()
 		if err == nil {
-			err = y.begin(name, all)
+			err = y.startBackground(name, all)
 		}
 		if err != nil {
 			return err
@@ -372,33 +378,37 @@
 	return nil
 }
 
-// begin starts what goes on, and waits until it has said all that the page shows, whatever else it says.
-func (y *play) begin(name string, all []step) error {
-	if len(all) != 1 || all[0].silent || len(all[0].shown) == 0 {
-		return errors.New("what goes on is one command in a block of commands and output, which shows what it says")
+// startBackground starts a background command, and waits until its output has all lines that the page
+// shows; it may have others.
+func (y *pageRun) startBackground(name string, all []step) error {
+	if len(all) != 1 || all[0].outputIgnored || len(all[0].want) == 0 {
+		return errors.New("a background command must be alone in a console block that shows its output")
 	}
-	if y.beside[name] != nil {
-		return fmt.Errorf("%q goes on already", name)
+	if y.background[name] != nil {
+		return fmt.Errorf("background command %q is already running", name)
 	}
-	s, err := run(y.here(all[0].command), y.folder, y.env)
+	s, err := startShell(y.toRunAddress(all[0].command), y.folder, y.env)
 	if err != nil {
 		return err
 	}
-	y.beside[name] = s
-	err = s.until(func(output string) bool { return among(all[0].shown, lines(y.there(output))) })
+	y.background[name] = s
+	err = s.waitForOutput(func(output string) bool {
+		return containsAll(all[0].want, lines(y.toPageAddress(output)))
+	})
 	if err != nil {
-		output, _ := s.said()
-		return fmt.Errorf("%s:%d: %w: %w", y.page.Name, all[0].line, err, differs(all[0], lines(y.there(output))))
+		output, _ := s.currentOutput()
+		return fmt.Errorf("%s:%d: %w: %w", y.page.Name, all[0].line, err,
+			mismatchError(all[0], lines(y.toPageAddress(output))))
 	}
 	return nil
 }
 
-// close ends all that goes on.
-func (y *play) close() {
-	for _, s := range y.beside {
-		_ = s.end() // killed if need be
+// close stops all background commands and releases the address.
+func (y *pageRun) close() {
+	for _, s := range y.background {
+		_ = s.stop() // its error is only that it had to kill the command
 	}
-	if y.claim != nil {
-		_ = y.claim.Close()
+	if y.addressLock != nil {
+		_ = y.addressLock.Close()
 	}
 }
