--- a/docs/architecture_test.go
+++ b/docs/architecture_test.go
@@ -19,7 +19,7 @@
 // `internal/agent/agent.go#Agent.HandleRequest`.
 var codeReference = regexp.MustCompile("`((?:cmd|deploy|docs|example|internal|rehearsals|tools)(?:/[\\w.-]+)+)(?:#([\\w.]+))?`")
 
-func TestArchitectureNamesWhatExists(t *testing.T) {
+func TestArchitectureReferencesExist(t *testing.T) {
 	text, err := os.ReadFile("architecture.md")
 	require.NoError(t, err)
 	references := codeReference.FindAllStringSubmatch(string(text), -1)
@@ -72,7 +72,7 @@
 	}
 }
 
-// folderOf is the longest folder of the diagram that a package is in.
+// folderOf returns the longest folder of the diagram that contains a package; empty if there is none.
 func folderOf(path string, layerOf map[string]int) string {
 	for path != "." {
 		if _, ok := layerOf[path]; ok {
@@ -83,8 +83,8 @@
 	return ""
 }
 
-// importsBelow are the folders that the packages in a folder and below it import, without tests and kits of the fleet
-// and of what it agrees on.
+// importsBelow returns the folders that the packages in and below a folder import. It skips tests and the
+// test kits of the fleet and of what it agrees on.
 func importsBelow(t *testing.T, folder string) (imports []string) {
 	t.Helper()
 	root := filepath.Join("..", filepath.FromSlash(folder))
@@ -113,7 +113,7 @@
 	return imports
 }
 
-// declares tells whether a Go file declares a function, a type, or a method or field written as Type.Name.
+// declares reports whether a Go file declares a function, a type, or a method written as Type.Name.
 func declares(t *testing.T, path, declaration string) bool {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
@@ -137,7 +137,7 @@
 	return false
 }
 
-// receiverType is the name of a method's receiver, without pointer and type parameters.
+// receiverType returns the name of a method's receiver type, without pointer and type parameters.
 func receiverType(method *ast.FuncDecl) string {
 	expr := method.Recv.List[0].Type
 	for {
@@ -154,7 +154,7 @@
 	}
 }
 
-// exists reports a file or folder that does not exist.
+// exists reports whether a file or folder exists, and fails the test if not.
 func exists(t *testing.T, path, reference string) bool {
 	t.Helper()
 	_, err := os.Stat(path)
--- a/docs/oncall_test.go
+++ b/docs/oncall_test.go
@@ -19,28 +19,29 @@
 // logMessage is the constant text of a log call in the agent's code.
 type logMessage struct {
 	text  string
-	level string // empty where the call does not tell
-	// isFormat is true for what the decision modules say: a format for fmt, logged as a value.
+	level string // empty if the call does not determine it
+	// isFormat is true for messages of the decision modules: formats for fmt, logged as a value.
 	isFormat bool
 	position string
 }
 
-// logLevels are slog's functions that log at a level of their own.
+// logLevels maps slog's functions that log at a fixed level to that level.
 var logLevels = map[string]string{"Debug": "DEBUG", "Info": "INFO", "Warn": "WARN", "Error": "ERROR"}
 
-// kitFolders hold programs and tools that do not log as the agent does.
+// kitFolders are folders with programs and tools that do not log as the agent does.
 var kitFolders = []string{
 	"internal/rehearsal", "internal/standin", "internal/doctest", "internal/ci", "internal/simnet", "cmd/rehearse",
 	"cmd/benchlink",
 }
 
-// pageRow is a first cell between backquotes of the page's tables, with the rest of its row.
+// pageRow matches a row of the page's tables whose first cell is between backquotes, and captures that
+// cell and the rest of the row.
 var pageRow = regexp.MustCompile("(?m)^\\| (`[^|]+`) \\|(.*)$")
 
-// attributes are the names of values that follow a message on the page, such as " name= listen=".
+// attributes matches the names of attributes after a message on the page, such as " name= listen=".
 var attributes = regexp.MustCompile(`( [a-z_]+=)+$`)
 
-// formatVerb matches what fmt replaces in a format.
+// formatVerb matches a verb in a format for fmt.
 var formatVerb = regexp.MustCompile(`%[0-9.]*[a-z]`)
 
 func TestOnCallPageHasEveryLogLineAndNoOther(t *testing.T) {
@@ -70,7 +71,7 @@
 		assert.True(t, isOnPage, "%q, logged at %s, is not on the page", message.text, message.position)
 	}
 	for text := range explained {
-		assert.True(t, used[text], "%q is on the page, but nothing logs it", text)
+		assert.True(t, used[text], "%q is on the page, but no code logs it", text)
 	}
 }
 
@@ -85,7 +86,7 @@
 	return regexp.MustCompile("^" + strings.Join(literals, ".*") + "$").MatchString(text)
 }
 
-// agentLogMessages finds the log calls in the code of the agent.
+// agentLogMessages returns the log messages in the agent's code.
 func agentLogMessages(t *testing.T) (messages []logMessage) {
 	t.Helper()
 	for _, root := range []string{"cmd", "internal"} {
@@ -106,7 +107,7 @@
 	return messages
 }
 
-// packageLogMessages finds the log calls of the package in a folder, in files that are no tests.
+// packageLogMessages returns the log messages of the package in a folder, without test files.
 func packageLogMessages(t *testing.T, folder string) (messages []logMessage) {
 	t.Helper()
 	names, err := filepath.Glob(filepath.Join(folder, "*.go"))
@@ -126,7 +127,7 @@
 	for _, file := range files {
 		ast.Inspect(file, func(node ast.Node) bool {
 			if function, ok := node.(*ast.FuncDecl); ok && function.Name.Name == "warn" {
-				return false // its callers have the message
+				return false // the message is at its callers
 			}
 			call, ok := node.(*ast.CallExpr)
 			if !ok {
@@ -138,7 +139,7 @@
 			}
 			message.position = set.Position(call.Pos()).String()
 			message.text, ok = stringValue(argument, constants)
-			assert.True(t, ok, "%s: the message is no constant text", message.position)
+			assert.True(t, ok, "%s: the message must be a constant", message.position)
 			messages = append(messages, message)
 			return true
 		})
@@ -146,7 +147,8 @@
 	return messages
 }
 
-// logCall returns the argument of a log call that is its message; nil where the call logs nothing.
+// logCall returns the level of a log call and the argument that is its message; a nil argument for another
+// call.
 func logCall(call *ast.CallExpr) (message logMessage, argument ast.Expr) {
 	selector, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok || len(call.Args) == 0 {
@@ -171,7 +173,7 @@
 	return message, nil
 }
 
-// collectConstants adds a file's string constants that stand outside of functions.
+// collectConstants adds a file's package-level string constants to constants.
 func collectConstants(file *ast.File, constants map[string]string) {
 	for _, declaration := range file.Decls {
 		general, ok := declaration.(*ast.GenDecl)
@@ -192,7 +194,7 @@
 	}
 }
 
-// stringValue evaluates literals, constants and their concatenation.
+// stringValue evaluates string literals, constants and their concatenation; false for other expressions.
 func stringValue(expr ast.Expr, constants map[string]string) (string, bool) {
 	switch e := expr.(type) {
 	case *ast.BasicLit:
--- a/docs/pages_test.go
+++ b/docs/pages_test.go
@@ -1,4 +1,4 @@
-// Package docs has the test of the pages: what they tell readers to do is done.
+// Package docs tests that the instructions on the documentation pages work.
 package docs
 
 import (
@@ -17,11 +17,11 @@
 	"dunestep/internal/standin/program"
 )
 
-// notRun is how many blocks of commands the pages have that are not run, each with its reason. It may only
-// fall.
+// notRun is the number of command blocks on the pages that are not run, each with its reason. It must only
+// be lowered.
 const notRun = 3
 
-// readers are for the tables in pages, by what they are of.
+// readers returns the readers of the pages' tables, by the name after the fence.
 func readers(t *testing.T) map[string]doctest.TableReader {
 	return map[string]doctest.TableReader{
 		"operator": func(text string) error {
@@ -41,7 +41,7 @@
 	}
 }
 
-// Guards against pages that tell readers to do what does not work, or does something else.
+// Guards against instructions on the pages that fail or have another result than the page shows.
 func TestPages(t *testing.T) {
 	var all []doctest.Page
 	count := 0
@@ -59,13 +59,13 @@
 	}
 	t.Logf("%d pages, %d blocks not run", len(all), count)
 	if count != notRun {
-		t.Errorf("%d blocks are not run, where %d are noted: fewer are a lower number here, more are a page "+
-			"that promises what nobody has tried", count, notRun)
+		t.Errorf("%d blocks are not run, want %d: lower notRun if there are fewer; if there are more, a page has "+
+			"commands that are not tested", count, notRun)
 	}
-	player := &doctest.Runner{Root: ".."}
+	runner := &doctest.Runner{Root: ".."}
 	require.NoError(t, program.Sources())
-	require.NoError(t, player.Build(t.TempDir()))
-	params, err := player.Params(t.TempDir(), all)
+	require.NoError(t, runner.Build(t.TempDir()))
+	params, err := runner.Params(t.TempDir(), all)
 	require.NoError(t, err)
 	testscript.Run(t, params)
 }
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -1,5 +1,5 @@
-// Command toy stands in for discovery and two booking servers, so that a newcomer can try the agent. Press
-// Enter to have toy-2 drain, and Enter again to have it back.
+// Command toy simulates discovery and two booking servers, to try the agent with. Press Enter to drain
+// toy-2, and Enter again to make it active.
 package main
 
 import (
@@ -27,7 +27,8 @@
 	log.Fatal(http.ListenAndServe(discoveryAddr, d))
 }
 
-// booking answers each request after a moment, with its own name, and a GraphQL one in GraphQL.
+// booking answers each request after a short delay with the server's id, and a GraphQL request with a
+// GraphQL response.
 func booking(id string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
@@ -45,12 +46,12 @@
 	})
 }
 
-// discovery tells the list once, or on a watch: whole at first, then at each change.
+// discovery serves the endpoint list once or as a watch: the full list first, then again at each change.
 type discovery struct {
 	mu       sync.Mutex
 	version  int
 	draining bool
-	changed  chan struct{} // closed at the next change
+	changed  chan struct{} // closed and replaced at each change
 }
 
 func (d *discovery) list() (string, <-chan struct{}) {
--- a/internal/ci/testverdict/main.go
+++ b/internal/ci/testverdict/main.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// run judges the output of go test that it copies from in to out, by the list in file knownPath.
+// run copies the output of go test from in to out and checks it against the list in file knownPath.
 func run(knownPath string, in io.Reader, out io.Writer) error {
 	known, err := readKnownFailures(knownPath)
 	if err != nil {
--- a/internal/ci/testverdict/verdict.go
+++ b/internal/ci/testverdict/verdict.go
@@ -25,7 +25,7 @@
 	Issue   string
 }
 
-// packageResult is what go test printed about one package.
+// packageResult is the part of the output of go test about one package.
 type packageResult struct {
 	Name   string
 	Failed bool
@@ -35,7 +35,7 @@
 	Aborted bool
 }
 
-// errNoTests says that the output has no result of any package.
+// errNoTests reports that the output has no result of any package.
 var errNoTests = errors.New("go test printed no result of any package")
 
 // parseKnownFailures reads KNOWN-RED.txt: entries between blank lines, each with the fields test (package
--- a/internal/ci/testverdict/verdict_test.go
+++ b/internal/ci/testverdict/verdict_test.go
@@ -35,19 +35,19 @@
 FAIL
 `
 
-func TestRunPassesOverExactlyTheKnownFailures(t *testing.T) {
+func TestRunAcceptsExactlyTheKnownFailures(t *testing.T) {
 	tests := []struct {
 		name   string
 		known  string
 		output string
-		want   string // part of what is printed
+		want   string // part of the output
 		wantOK bool
 	}{
 		{"nothing failed, none known", "", passed, "ok", true},
-		{"the known ones failed", twoKnown, passed + oneAndTwoFailed, "known failure: dunestep/a TestOne: 2 of 3", true},
-		{"a test failed that is not known", "", oneAndTwoFailed, "verdict: dunestep/b TestTwo: failed", false},
+		{"the known tests failed", twoKnown, passed + oneAndTwoFailed, "known failure: dunestep/a TestOne: 2 of 3", true},
+		{"an unknown test failed", "", oneAndTwoFailed, "verdict: dunestep/b TestTwo: failed", false},
 		{
-			"a known one passed", twoKnown,
+			"a known failure passed", twoKnown,
 			"--- FAIL: TestOne (0.00s)\nFAIL\tdunestep/a\t0.1s\nok  \tdunestep/b\t0.1s\n",
 			"verdict: dunestep/b TestTwo: listed in KNOWN-RED.txt, but it did not fail", false,
 		},
@@ -71,7 +71,7 @@
 			err := run(list, strings.NewReader(test.output), &printed)
 			require.Equal(t, test.wantOK, err == nil, "%v", err)
 			require.Contains(t, printed.String(), test.want)
-			require.Contains(t, printed.String(), test.output, "what go test printed stays visible")
+			require.Contains(t, printed.String(), test.output, "the output of go test must be printed unchanged")
 		})
 	}
 }
