--- a/deploy/sites/prepare.sh
+++ b/deploy/sites/prepare.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Copies what the operators' bench asks for beside a site file from the kit's sites to this folder. The copies are the
-# kit's and are not kept here: .gitignore names them.
+# Copies the files that the operators' bench requires beside a site file from the kit's folder sites to this folder. The
+# copies belong to the kit and are not committed: .gitignore lists them.
 set -euo pipefail
 
 usage() {
--- a/example/fleet.sh
+++ b/example/fleet.sh
@@ -1,7 +1,6 @@
 #!/usr/bin/env bash
-# Three agents of one fleet on this machine, all voters, for trying docs/fleet.md and docs/maintenance.md: bin/dunestep
-# beside the toy.
-# Ctrl-C ends them.
+# Runs a fleet of three agents on this machine, all of them voters, to try docs/fleet.md and docs/maintenance.md with.
+# Needs bin/dunestep and a running toy (example/toy). Ctrl-C stops the agents.
 fronts=(127.0.0.1:9200 127.0.0.1:9201 127.0.0.1:9202)
 doors=(127.0.0.1:9210 127.0.0.1:9211 127.0.0.1:9212)
 discovery=127.0.0.1:8500
