--- a/internal/doctest/pages.go
+++ b/internal/doctest/pages.go
@@ -137,8 +137,8 @@
 		if n.Info != nil {
 			info = string(n.Info.Segment.Value(r.raw))
 		}
-		language, of, _ := strings.Cut(strings.TrimSpace(info), " ")
-		b.Kind, b.InfoArg = Kind(language), strings.TrimSpace(of)
+		language, infoArg, _ := strings.Cut(strings.TrimSpace(info), " ")
+		b.Kind, b.InfoArg = Kind(language), strings.TrimSpace(infoArg)
 		if !slices.Contains(kinds, b.Kind) {
 			r.report(b.Line, "block of unknown kind %q: the kinds are %v", language, kinds)
 			return
--- a/internal/graphql/cache.go
+++ b/internal/graphql/cache.go
@@ -36,8 +36,8 @@
 	return e.Value.(*entry).document
 }
 
-// put adds a document and evicts the least recently used entries to make room. It ignores an entry that is
-// larger than the whole cache.
+// put adds a document and evicts the least recently used entries to make room. It ignores a key that
+// exists and an entry that is larger than the whole cache.
 func (c *cache) put(key string, d *document) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/graphql/document.go
+++ b/internal/graphql/document.go
@@ -85,8 +85,9 @@
 // extensions.persistedQuery.
 const idPrefix = "sha256:"
 
-// checkID checks that an id belongs to the document that was sent with it. It returns nil if the id is
-// unknown, because it is then unclear which of the two a server would use. The error is an *Error.
+// checkID checks that an id belongs to the document that was sent with it, and stores the document if the
+// id is its hash. It returns nil for another id that is unknown, because it is then unclear which of the
+// two a server would use. The error is an *Error.
 func (c *Classer) checkID(d *document, id string) (*document, error) {
 	trusted := c.trusted[id]
 	hash, isHash := strings.CutPrefix(id, idPrefix)
--- a/internal/graphql/errors.go
+++ b/internal/graphql/errors.go
@@ -31,7 +31,7 @@
 // Error is a GraphQL error response that the agent generates itself.
 type Error struct {
 	Code    string
-	Status  int // HTTP status for ResponseJSON; see StatusFor
+	Status  int // HTTP status, which StatusFor overrides for some errors
 	Message string
 	// RetryAfter is the delay after which the client may retry; zero if unknown.
 	RetryAfter time.Duration
