--- a/cmd/dunestep/answers_test.go
+++ b/cmd/dunestep/answers_test.go
@@ -31,8 +31,8 @@
 	w.operatorFile = "[answers]\nwhole_kb = 64\nhold_ms = 10000\n"
 }
 
-// long returns a body of n bytes. Bodies of different ids differ, and no part of a body repeats.
-func long(n int, id string) string {
+// uniqueBody returns a body of n bytes. Bodies of different ids differ, and no part of a body repeats.
+func uniqueBody(n int, id string) string {
 	var b strings.Builder
 	for sum := sha256.Sum256([]byte(id)); b.Len() < n; sum = sha256.Sum256(sum[:]) {
 		fmt.Fprintf(&b, "%x\r\n", sum)
@@ -40,7 +40,7 @@
 	return b.String()[:n]
 }
 
-func idOf(s upstreamAttempt) string { return s.Header.Get("X-Correlation-Id") }
+func correlationID(s upstreamAttempt) string { return s.Header.Get("X-Correlation-Id") }
 
 // framings are the two ways to frame an answer's body: the answer's head, how a part of the body is written, and what
 // ends the body.
@@ -92,27 +92,27 @@
 	r.Close = true
 	resp, err := http.DefaultTransport.RoundTrip(r)
 	if err != nil {
-		return idOf(upstreamAttempt{Request: r}), receivedAnswer{err: err}
+		return correlationID(upstreamAttempt{Request: r}), receivedAnswer{err: err}
 	}
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
-	return idOf(upstreamAttempt{Request: r}), receivedAnswer{resp.StatusCode, string(body), err}
+	return correlationID(upstreamAttempt{Request: r}), receivedAnswer{resp.StatusCode, string(body), err}
 }
 
-// served checks that the agent serves requests with complete long answers.
-func (w *testbed) served(class string) {
+// requireServed checks that the agent serves requests with complete long answers.
+func (w *testbed) requireServed(class string) {
 	w.t.Helper()
 	for _, s := range w.servers {
 		s.setScript(nil)
 	}
-	w.answerAll(func(s upstreamAttempt) string { return reply("200 OK", long(400_000, idOf(s))) })
+	w.answerAll(func(s upstreamAttempt) string { return reply("200 OK", uniqueBody(400_000, correlationID(s))) })
 	for n := 0; n < 3; {
 		id, g := w.sendAndRead(class, 30000)
 		if g.status == 503 && g.err == nil { // earlier faults have made the balancer reject requests for a while
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
-		g.requireEqual(w.t, receivedAnswer{200, long(400_000, id), nil})
+		g.requireEqual(w.t, receivedAnswer{200, uniqueBody(400_000, id), nil})
 		n++
 	}
 }
@@ -126,13 +126,13 @@
 		if s.Method == http.MethodPost {
 			f = framings["chunked"]
 		}
-		return f.head(400_000) + f.part(long(400_000, idOf(s))) + f.last
+		return f.head(400_000) + f.part(uniqueBody(400_000, correlationID(s))) + f.last
 	})
 	var wait sync.WaitGroup
 	for i := range 60 {
 		wait.Go(func() {
 			id, g := w.sendAndRead([]string{"consult", "rezervare"}[i%2], 60000)
-			if g != (receivedAnswer{200, long(400_000, id), nil}) {
+			if g != (receivedAnswer{200, uniqueBody(400_000, id), nil}) {
 				t.Errorf("status %d, %d bytes, %v", g.status, len(g.body), g.err)
 			}
 		})
@@ -153,12 +153,12 @@
 				for _, class := range []string{"consult", "rezervare"} {
 					before := w.attemptCount()
 					w.answerFirst(func(s upstreamAttempt) string {
-						return f.head(size) + f.part(long(size, idOf(s))[:at]) + hangUp
+						return f.head(size) + f.part(uniqueBody(size, correlationID(s))[:at]) + hangUp
 					}, ok)
 					id, g := w.sendAndRead(class, 900)
 					switch {
 					case at > maxBufferedBytes:
-						g.requireTruncated(t, long(size, id)[:at], maxBufferedBytes)
+						g.requireTruncated(t, uniqueBody(size, id)[:at], maxBufferedBytes)
 						require.Equal(t, 1, w.attemptCount()-before)
 					case class == "consult":
 						require.Equal(t, 200, g.status)
@@ -169,7 +169,7 @@
 						require.Equal(t, 1, w.attemptCount()-before)
 					}
 				}
-				w.served("rezervare")
+				w.requireServed("rezervare")
 			})
 		}
 	}
@@ -188,17 +188,17 @@
 					before := w.attemptCount()
 					written, disconnected := make(chan struct{}), make(chan struct{})
 					w.servers[0].setScript(func(s upstreamAttempt, c net.Conn) bool {
-						_, _ = io.WriteString(c, f.head(size)+f.part(long(size, idOf(s))[:at]))
+						_, _ = io.WriteString(c, f.head(size)+f.part(uniqueBody(size, correlationID(s))[:at]))
 						close(written)
 						if at <= maxBufferedBytes { // the server completes the answer after the client has disconnected
 							<-disconnected
-							_, _ = io.WriteString(c, f.part(long(size, idOf(s))[at:])+f.last)
+							_, _ = io.WriteString(c, f.part(uniqueBody(size, correlationID(s))[at:])+f.last)
 						}
 						_, err := c.Read(make([]byte, 1))
 						return err == nil
 					})
 					r := w.request("consult", 30000)
-					c := w.sendRaw("GET /consult HTTP/1.1\r\nHost: x\r\nX-Time-Left-Ms: 30000\r\nX-Correlation-Id: " + idOf(upstreamAttempt{Request: r}) +
+					c := w.sendRaw("GET /consult HTTP/1.1\r\nHost: x\r\nX-Time-Left-Ms: 30000\r\nX-Correlation-Id: " + correlationID(upstreamAttempt{Request: r}) +
 						"\r\n\r\n")
 					await(t, written)
 					if at > maxBufferedBytes { // the answer is being forwarded
@@ -211,7 +211,7 @@
 					require.Equal(t, 1, w.attemptCount()-before)
 				}
 			}
-			w.served("rezervare")
+			w.requireServed("rezervare")
 			require.NotContains(t, w.log.String(), "server s-0 ejected")
 		})
 	}
@@ -226,7 +226,7 @@
 	for _, s := range w.servers {
 		s.setScript(func(s upstreamAttempt, c net.Conn) bool {
 			size, f := 1+rand.IntN(300_000), framings[names[rand.IntN(2)]]
-			body := long(size, idOf(s))
+			body := uniqueBody(size, correlationID(s))
 			text := f.head(size) + f.part(body) + f.last
 			keep := true
 			switch rand.IntN(6) {
@@ -265,7 +265,7 @@
 					truncated.Add(1)
 				}
 				_ = resp.Body.Close()
-				if resp.StatusCode == 200 && !strings.HasPrefix(long(300_000, idOf(upstreamAttempt{Request: r})), string(body)) {
+				if resp.StatusCode == 200 && !strings.HasPrefix(uniqueBody(300_000, correlationID(upstreamAttempt{Request: r})), string(body)) {
 					t.Error("got bytes of another answer")
 				}
 			}
@@ -275,7 +275,7 @@
 	require.Positive(t, complete.Load())
 	require.Positive(t, truncated.Load())
 	require.Positive(t, disconnected.Load())
-	w.served("consult")
+	w.requireServed("consult")
 }
 
 // An answer begins at about the time at which its attempt is abandoned and another attempt is served. Whichever happens
@@ -291,7 +291,7 @@
 				_, err := io.WriteString(c, ok(s))
 				return err == nil
 			}
-			text := reply("200 OK", long(size, idOf(s)))
+			text := reply("200 OK", uniqueBody(size, correlationID(s)))
 			at := len(text) - size + maxBufferedBytes
 			_, _ = io.WriteString(c, text[:at])
 			time.Sleep(490*time.Millisecond + time.Duration(rand.IntN(20))*time.Millisecond) // the latency objective is 500 ms
@@ -301,7 +301,7 @@
 	}
 	for range 20 {
 		switch id, g := w.sendAndRead("consult", 2000); {
-		case g == (receivedAnswer{200, long(size, id), nil}):
+		case g == (receivedAnswer{200, uniqueBody(size, id), nil}):
 			inTime++
 		case g.err == nil && strings.HasPrefix(g.body, id+" s-"):
 			second++
@@ -310,7 +310,7 @@
 		}
 	}
 	t.Logf("%d answers began in time, %d requests were answered by the second attempt", inTime, second)
-	w.served("consult")
+	w.requireServed("consult")
 }
 
 // An answer of a class that the settings mark as streamed is forwarded from its first byte.
@@ -338,9 +338,9 @@
 	}
 }
 
-// pausing makes the server pause in its answers to rezervare after at bytes of the body. It closes paused at the first
+// pauseAnswersAt makes the server pause in its answers to rezervare after at bytes of the body. It closes paused at the first
 // pause, and continues once the caller closes resume.
-func (s *server) pausing(size, at int) (paused, resume chan struct{}) {
+func (s *server) pauseAnswersAt(size, at int) (paused, resume chan struct{}) {
 	paused, resume = make(chan struct{}), make(chan struct{})
 	closePaused := sync.OnceFunc(func() { close(paused) })
 	s.setScript(func(s upstreamAttempt, c net.Conn) bool {
@@ -348,7 +348,7 @@
 			_, err := io.WriteString(c, ok(s))
 			return err == nil
 		}
-		text := reply("200 OK", long(size, idOf(s)))
+		text := reply("200 OK", uniqueBody(size, correlationID(s)))
 		_, _ = io.WriteString(c, text[:len(text)-size+at])
 		closePaused()
 		<-resume
@@ -362,7 +362,7 @@
 func TestAnswerCompletesWhenEndpointDrainsOrIsRemoved(t *testing.T) {
 	const size = 400_000
 	w := start(t, 2, (*testbed).useLongTimeouts, withLittleMemory)
-	w.until("watch", func() bool { return w.discovery.watched() == 1 })
+	w.until("watch", func() bool { return w.discovery.watchCount() == 1 })
 	received := make(chan receivedAnswer, 1)
 	var id string
 	begin := func() {
@@ -373,14 +373,14 @@
 		}()
 	}
 	for version, change := range []string{
-		list(42, false, w.servers[0].entry("leaving"), w.servers[1].entry("leaving")),
-		list(43, false, w.servers[0].entry("left"), w.servers[1].entry("left"), newServer(t, "s-2").entry("active")),
+		listJSON(42, false, w.servers[0].entry("leaving"), w.servers[1].entry("leaving")),
+		listJSON(43, false, w.servers[0].entry("left"), w.servers[1].entry("left"), newServer(t, "s-2").entry("active")),
 	} {
-		paused, resume := w.servers[0].pausing(size, maxBufferedBytes+1)
+		paused, resume := w.servers[0].pauseAnswersAt(size, maxBufferedBytes+1)
 		w.servers[1].setScript(w.servers[0].script)
 		begin()
 		await(t, paused)
-		w.discovery.say(change)
+		w.discovery.sendLine(change)
 		w.until("update applied", func() bool {
 			if version == 0 {
 				return w.send("consult").status == 503 // no server accepts new requests
@@ -388,9 +388,9 @@
 			return w.send("consult").status == 200
 		})
 		close(resume)
-		await(t, received).requireEqual(t, receivedAnswer{200, long(size, id), nil})
+		await(t, received).requireEqual(t, receivedAnswer{200, uniqueBody(size, id), nil})
 		if version == 0 {
-			w.discovery.say(list(42, false, w.servers[0].entry("active"), w.servers[1].entry("active")))
+			w.discovery.sendLine(listJSON(42, false, w.servers[0].entry("active"), w.servers[1].entry("active")))
 			w.until("servers in use again", func() bool {
 				for _, s := range w.servers {
 					s.setScript(nil)
@@ -408,7 +408,7 @@
 	for name, ends := range map[string]bool{"answer ends": true, "answer does not end": false} {
 		t.Run(name, func(t *testing.T) {
 			w := start(t, 1, (*testbed).useLongTimeouts, withLittleMemory)
-			paused, resume := w.servers[0].pausing(size, maxBufferedBytes+1)
+			paused, resume := w.servers[0].pauseAnswersAt(size, maxBufferedBytes+1)
 			received := make(chan receivedAnswer, 1)
 			var id string
 			go func() {
@@ -421,11 +421,11 @@
 			w.until("no longer ready", func() bool { return w.readyStatus() == 503 })
 			if ends {
 				close(resume)
-				await(t, received).requireEqual(t, receivedAnswer{200, long(size, id), nil})
+				await(t, received).requireEqual(t, receivedAnswer{200, uniqueBody(size, id), nil})
 			} else {
 				defer close(resume)
 				g := await(t, received)
-				g.requireTruncated(t, long(size, id)[:maxBufferedBytes+1], maxBufferedBytes)
+				g.requireTruncated(t, uniqueBody(size, id)[:maxBufferedBytes+1], maxBufferedBytes)
 			}
 			require.Zero(t, w.stop())
 			require.Equal(t, !ends, strings.Contains(w.log.String(), "drain deadline reached"))
@@ -438,10 +438,10 @@
 func TestStalledAnswerIsTruncatedAtDeadline(t *testing.T) {
 	const size = 3_000_000
 	w := start(t, 1, withLittleMemory, (*testbed).useLongTimeouts)
-	_, resume := w.servers[0].pausing(size, maxBufferedBytes+1)
+	_, resume := w.servers[0].pauseAnswersAt(size, maxBufferedBytes+1)
 	began := time.Now()
 	id, g := w.sendAndRead("rezervare", 1000)
-	g.requireTruncated(t, long(size, id)[:maxBufferedBytes+1], maxBufferedBytes)
+	g.requireTruncated(t, uniqueBody(size, id)[:maxBufferedBytes+1], maxBufferedBytes)
 	require.Greater(t, time.Since(began), time.Second)
 	require.Less(t, time.Since(began), 10*time.Second)
 	close(resume)
@@ -454,12 +454,12 @@
 func TestStalledShortAnswerIsTruncatedAtDeadline(t *testing.T) {
 	const size, received = 5000, 3000
 	w := start(t, 1, (*testbed).useLongTimeouts, func(w *testbed) { w.operatorFile = "[answers]\nwhole_kb = 1\n" })
-	_, resume := w.servers[0].pausing(size, received)
+	_, resume := w.servers[0].pauseAnswersAt(size, received)
 	began := time.Now()
 	id, g := w.sendAndRead("rezervare", 500)
 	elapsed := time.Since(began)
 	close(resume)
-	g.requireTruncated(t, long(size, id)[:received], received)
+	g.requireTruncated(t, uniqueBody(size, id)[:received], received)
 	require.Greater(t, elapsed, 400*time.Millisecond)
 	require.Less(t, elapsed, 2*time.Second, "an answer whose last byte has a deadline is not waited for after that deadline")
 }
@@ -473,7 +473,7 @@
 		t.Run(name, func(t *testing.T) {
 			w := start(t, 1, (*testbed).useLongTimeouts)
 			w.servers[0].setScript(func(s upstreamAttempt, c net.Conn) bool {
-				text := long(size, idOf(s))
+				text := uniqueBody(size, correlationID(s))
 				if _, err := io.WriteString(c, f.head(size)); err != nil {
 					return false
 				}
@@ -487,7 +487,7 @@
 				return err == nil && f.last != hangUp
 			})
 			id, g := w.sendAndRead("rezervare", 1000) // the answer takes 3 s
-			g.requireEqual(t, receivedAnswer{200, long(size, id), nil})
+			g.requireEqual(t, receivedAnswer{200, uniqueBody(size, id), nil})
 		})
 	}
 }
@@ -495,7 +495,7 @@
 // chunkedAnswer returns a function that answers with a body of size bytes in chunks of at most 50,000 bytes.
 func chunkedAnswer(size int) func(upstreamAttempt) string {
 	return func(s upstreamAttempt) string {
-		f, text := framings["chunked"], long(size, idOf(s))
+		f, text := framings["chunked"], uniqueBody(size, correlationID(s))
 		var b strings.Builder
 		b.WriteString(f.head(0))
 		for len(text) > 0 {
@@ -512,7 +512,7 @@
 	w := start(t, 1, (*testbed).useLongTimeouts, withLittleMemory, func(w *testbed) { w.operatorFile += "longest_kb = 4096\n" })
 	w.answerAll(chunkedAnswer(4<<20 + 1))
 	id, g := w.sendAndRead("rezervare", 30000)
-	g.requireTruncated(t, long(4<<20, id), maxBufferedBytes)
+	g.requireTruncated(t, uniqueBody(4<<20, id), maxBufferedBytes)
 	w.until("server connection is closed", func() bool { return w.servers[0].openCount() == 0 })
 	require.Equal(t, 1, w.attemptCount())
 }
@@ -522,7 +522,7 @@
 	w := start(t, 1, (*testbed).useLongTimeouts, withLittleMemory)
 	w.answerAll(chunkedAnswer(4 << 20))
 	id, g := w.sendAndRead("rezervare", 30000)
-	g.requireEqual(t, receivedAnswer{200, long(4<<20, id), nil})
+	g.requireEqual(t, receivedAnswer{200, uniqueBody(4<<20, id), nil})
 	reload := func(operator, log string) {
 		w.operatorFile = operator
 		w.configure()
@@ -530,7 +530,7 @@
 		require.NoError(t, w.process.Process.Signal(syscall.SIGHUP))
 		w.until(log, func() bool { return strings.Count(w.log.String(), log) > before })
 	}
-	w.answerAll(func(s upstreamAttempt) string { return reply("200 OK", long(64<<10+1, idOf(s))) })
+	w.answerAll(func(s upstreamAttempt) string { return reply("200 OK", uniqueBody(64<<10+1, correlationID(s))) })
 	reload("[answers]\nlongest_kb = 64\nstall = 1\nlag_ms = -1\n", "toml:4:1: answers.lag_ms: must be")
 	require.Contains(t, w.log.String(), "toml:3:1: answers.stall: unknown key")
 	_, g = w.sendAndRead("rezervare", 30000)
@@ -571,16 +571,16 @@
 	var openAnswers atomic.Int32
 	w.servers[0].setScript(func(s upstreamAttempt, c net.Conn) bool {
 		if s.Method == http.MethodPost {
-			_, err := io.WriteString(c, reply("200 OK", long(400_000, idOf(s))))
+			_, err := io.WriteString(c, reply("200 OK", uniqueBody(400_000, correlationID(s))))
 			return err == nil
 		}
 		openAnswers.Add(1)
 		defer openAnswers.Add(-1)
 		_ = c.(*net.TCPConn).SetWriteBuffer(64 << 10)
-		_, err := io.WriteString(c, reply("200 OK", long(size, idOf(s))))
+		_, err := io.WriteString(c, reply("200 OK", uniqueBody(size, correlationID(s))))
 		return err == nil
 	})
-	w.until("watch", func() bool { return w.discovery.watched() == 1 })
+	w.until("watch", func() bool { return w.discovery.watchCount() == 1 })
 	before := w.descriptors()
 	stop := make(chan struct{})
 	defer close(stop)
@@ -590,7 +590,7 @@
 	w.until("slow clients are being answered", func() bool { return openAnswers.Load() > 10 })
 	for range 5 {
 		id, g := w.sendAndRead("rezervare", 60000)
-		g.requireEqual(t, receivedAnswer{200, long(400_000, id), nil})
+		g.requireEqual(t, receivedAnswer{200, uniqueBody(400_000, id), nil})
 	}
 	w.until("the server has no such answer open", func() bool { return openAnswers.Load() == 0 })
 	w.until("slow clients are disconnected", func() bool { return w.descriptors() < before+20 })
@@ -608,7 +608,7 @@
 	var written atomic.Int64
 	w.servers[0].setScript(func(s upstreamAttempt, c net.Conn) bool {
 		_ = c.(*net.TCPConn).SetWriteBuffer(64 << 10)
-		for text := reply("200 OK", long(size, idOf(s))); len(text) > 0; {
+		for text := reply("200 OK", uniqueBody(size, correlationID(s))); len(text) > 0; {
 			n, err := io.WriteString(c, text[:min(len(text), 10_000)])
 			if err != nil {
 				return false
@@ -635,14 +635,16 @@
 	require.NoError(t, err)
 	body, err := io.ReadAll(resp.Body)
 	require.NoError(t, err)
-	require.Equal(t, long(size, idOf(upstreamAttempt{Request: r})), string(body))
+	require.Equal(t, uniqueBody(size, correlationID(upstreamAttempt{Request: r})), string(body))
 }
 
-// memory returns the program's peak and current resident memory in KiB.
-func (w *testbed) memory() (peak, now int) { return w.status("VmHWM"), w.status("VmRSS") }
+// memoryKiB returns the program's peak and current resident memory in KiB.
+func (w *testbed) memoryKiB() (peak, now int) {
+	return w.processStatusKB("VmHWM"), w.processStatusKB("VmRSS")
+}
 
-// status returns the value of a line of /proc/PID/status, in kB. It returns 0 once the process has ended.
-func (w *testbed) status(name string) (kB int) {
+// processStatusKB returns the value of a line of /proc/PID/status, in kB. It returns 0 once the process has ended.
+func (w *testbed) processStatusKB(name string) (kB int) {
 	raw, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", w.process.Process.Pid))
 	if m := regexp.MustCompile(name + `:\s+(\d+) kB`).FindSubmatch(raw); m != nil {
 		kB, _ = strconv.Atoi(string(m[1]))
@@ -660,10 +662,10 @@
 	})
 	texts := make([]string, 16) // prepared in advance, so that the program has the processors
 	for i := range texts {
-		texts[i] = long(400_000, strconv.Itoa(i))
+		texts[i] = uniqueBody(400_000, strconv.Itoa(i))
 	}
 	w.answerAll(func(s upstreamAttempt) string {
-		id, _ := strconv.ParseUint(idOf(s), 16, 64)
+		id, _ := strconv.ParseUint(correlationID(s), 16, 64)
 		return reply("200 OK", texts[id%16])
 	})
 	began := time.Now()
@@ -684,7 +686,7 @@
 					}
 					body, err := io.ReadAll(resp.Body)
 					_ = resp.Body.Close()
-					id, _ := strconv.ParseUint(idOf(upstreamAttempt{Request: r}), 16, 64)
+					id, _ := strconv.ParseUint(correlationID(upstreamAttempt{Request: r}), 16, 64)
 					switch {
 					case err != nil:
 						t.Error(err)
@@ -709,9 +711,9 @@
 		answers = 10_000
 	}
 	round(1000)
-	_, before := w.memory()
+	_, before := w.memoryKiB()
 	round(answers - 1000)
-	peak, after := w.memory()
+	peak, after := w.memoryKiB()
 	t.Logf("sent %d, served %d, rejected %d; peak %d KiB, %d KiB after 1000, %d KiB at the end, after %s", sent.Load(),
 		served.Load(), rejected.Load(), peak, before, after, time.Since(began))
 	require.Less(t, peak, 29<<10) // 26.5 to 27.2 MB with the fleet's packages linked, 24.3 to 24.9 MB without; 32 MB is the smallest limit
@@ -726,7 +728,7 @@
 		w.operatorFile = "[answers]\nstall_ms = 60000\nlag_ms = 60000\n"
 	})
 	for _, s := range w.servers {
-		s.setAnswer(func(s upstreamAttempt) string { return reply("200 OK", long(3_000_000, idOf(s))) })
+		s.setAnswer(func(s upstreamAttempt) string { return reply("200 OK", uniqueBody(3_000_000, correlationID(s))) })
 	}
 	stop := make(chan struct{})
 	defer close(stop)
@@ -735,10 +737,10 @@
 	}
 	w.until("slow clients' requests have reached the servers", func() bool { return w.attemptCount() == 24 })
 	for _, s := range w.servers {
-		s.setAnswer(func(s upstreamAttempt) string { return reply("200 OK", long(200_000, idOf(s))) })
+		s.setAnswer(func(s upstreamAttempt) string { return reply("200 OK", uniqueBody(200_000, correlationID(s))) })
 	}
 	for range 5 {
 		id, g := w.sendAndRead("rezervare", 5000)
-		g.requireEqual(t, receivedAnswer{200, long(200_000, id), nil})
+		g.requireEqual(t, receivedAnswer{200, uniqueBody(200_000, id), nil})
 	}
 }
--- a/cmd/dunestep/budgets_test.go
+++ b/cmd/dunestep/budgets_test.go
@@ -93,10 +93,10 @@
 	}, func(int, int) {})
 	sent := w.attemptCount()
 	w.until("the agent has measured the request rate", func() bool { return w.attemptCount() > sent+2*perS })
-	w.until("watch", func() bool { return w.discovery.watched() == 1 })
+	w.until("watch", func() bool { return w.discovery.watchCount() == 1 })
 	restarted := w.servers[3].entry("active")
 	restarted["started_ms"] = time.Now().UnixMilli()
-	w.discovery.say(list(42, false, restarted))
+	w.discovery.sendLine(listJSON(42, false, restarted))
 	updatedAt := time.Now()
 	time.Sleep(200 * time.Millisecond) // until the update is applied
 	useOwnedKeys.Store(true)
--- a/cmd/dunestep/confined_linux_amd64_test.go
+++ b/cmd/dunestep/confined_linux_amd64_test.go
@@ -21,7 +21,7 @@
 
 func init() {
 	if program := os.Getenv(confinedProgramEnv); program != "" {
-		fmt.Fprintln(os.Stderr, standin.Confined(program, os.Args, os.Environ()))
+		fmt.Fprintln(os.Stderr, standin.ExecConfined(program, os.Args, os.Environ()))
 		os.Exit(3)
 	}
 }
@@ -49,15 +49,15 @@
 	require.Contains(t, libraries, "libc.so.6")
 	w := start(t, 2, (*testbed).useLongTimeouts, func(w *testbed) {
 		w.program, w.env = os.Args[0], []string{confinedProgramEnv + "=" + program}
-		w.answerAll(func(s upstreamAttempt) string { return reply("200 OK", long(3_000_000, idOf(s))) })
+		w.answerAll(func(s upstreamAttempt) string { return reply("200 OK", uniqueBody(3_000_000, correlationID(s))) })
 	})
 	for _, class := range []string{"consult", "rezervare"} {
 		require.Equal(t, http.StatusOK, w.send(class).status)
 	}
-	counted(w)
+	echoBodyLength(w)
 	c, id := w.upload(fmt.Sprint("Content-Length: ", 3_000_000))
-	go func() { _, _ = c.Write([]byte(long(3_000_000, id))) }()
-	status, body := answered(t, c)
+	go func() { _, _ = c.Write([]byte(uniqueBody(3_000_000, id))) }()
+	status, body := readResponse(t, c)
 	require.Equal(t, http.StatusOK, status)
 	require.Equal(t, "3000000 true", body)
 	_, err = w.peer.WriteTo([]byte("nothing known"), w.peer.LocalAddr())
--- a/cmd/dunestep/crossings_client_test.go
+++ b/cmd/dunestep/crossings_client_test.go
@@ -189,14 +189,14 @@
 	t.Run("connecting", func(t *testing.T) {
 		w := start(t, 1, withLongTimeoutsAndFastExit)
 		s := w.servers[0]
-		require.NoError(t, s.socket.Mute())
-		w.until("the accept queue is full", s.socket.Full)
+		require.NoError(t, s.socket.IgnoreConnections())
+		w.until("the accept queue is full", s.socket.IsBacklogFull)
 		c := w.newRawClient()
 		c.send(w.requestText("rezervare", 60000))
 		w.until("connecting", func() bool { return countConnecting(t, w.process.Process.Pid) > 0 })
 		w.terminate()
 		require.Zero(t, w.attemptCount())
-		require.NoError(t, s.socket.Accept())
+		require.NoError(t, s.socket.AcceptConnections())
 		require.Equal(t, 200, c.readAnswer().status)
 		w.requireExit()
 	})
@@ -206,14 +206,14 @@
 // it has accepted.
 func TestSecondSIGTERMDuringDrain(t *testing.T) {
 	w := start(t, 1, withLongTimeoutsAndFastExit)
-	w.until("watch", func() bool { return w.discovery.watched() == 1 })
+	w.until("watch", func() bool { return w.discovery.watchCount() == 1 })
 	received, release := make(chan struct{}), make(chan struct{})
 	w.answerFirst(func(s upstreamAttempt) string { close(received); <-release; return ok(s) }, ok)
 	c := w.newRawClient()
 	c.send(w.requestText("rezervare", 60000))
 	await(t, received)
-	w.discovery.set(503, false)
-	w.discovery.end()
+	w.discovery.setResponse(503, false)
+	w.discovery.endWatches()
 	w.terminate()
 	w.signal(syscall.SIGHUP)
 	w.signal(syscall.SIGTERM)
@@ -273,7 +273,7 @@
 	for name, known := range map[string]bool{"endpoint list": true, "no endpoint list": false} {
 		t.Run(name, func(t *testing.T) {
 			w := newTestbed(t, 1)
-			w.discovery.set(0, true) // it accepts calls and sends nothing
+			w.discovery.setResponse(0, true) // it accepts calls and sends nothing
 			if !known {
 				w.config["known"] = object{"version": 0, "full": true, "servers": []object{}}
 			}
@@ -304,9 +304,9 @@
 		w.config["limits"].(object)["sockets"] = limit
 		w.useLongTimeouts()
 	})
-	w.until("watch", func() bool { return w.discovery.watched() == 1 })
-	w.discovery.set(503, false)
-	w.discovery.end()
+	w.until("watch", func() bool { return w.discovery.watchCount() == 1 })
+	w.discovery.setResponse(503, false)
+	w.discovery.endWatches()
 	for range 2 * limit {
 		c := w.sendRaw("GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n")
 		go func() { _, _ = io.Copy(io.Discard, c) }() // the client does not close it
@@ -322,10 +322,10 @@
 		require.Equal(t, 200, resp.StatusCode)
 	}
 	require.LessOrEqual(t, w.descriptors(), limit)
-	before := len(w.discovery.called())
-	w.until("discovery polled again", func() bool { return len(w.discovery.called()) > before })
-	w.discovery.set(200, false)
-	w.until("watch again", func() bool { return w.discovery.watched() == 1 })
+	before := len(w.discovery.callTargets())
+	w.until("discovery polled again", func() bool { return len(w.discovery.callTargets()) > before })
+	w.discovery.setResponse(200, false)
+	w.until("watch again", func() bool { return w.discovery.watchCount() == 1 })
 	require.Equal(t, 200, w.statusOnNewConn(http.MethodGet, "/health/ready"))
 }
 
--- a/cmd/dunestep/crossings_upstream_test.go
+++ b/cmd/dunestep/crossings_upstream_test.go
@@ -29,9 +29,9 @@
 	w.config["settings"].(object)["rules"].(object)["stopSendingWithin"] = 1_000_000
 	f := useFaultyServer(t, w)
 	w.start()
-	w.until("watch", func() bool { return w.discovery.watched() == 1 })
-	require.NoError(t, f.Mute())
-	w.until("the accept queue is full", f.Full)
+	w.until("watch", func() bool { return w.discovery.watchCount() == 1 })
+	require.NoError(t, f.IgnoreConnections())
+	w.until("the accept queue is full", f.IsBacklogFull)
 	answered := make(chan int, 1)
 	r := w.request("rezervare", 60000)
 	r.Close = true
@@ -45,11 +45,11 @@
 		answered <- resp.StatusCode
 	}()
 	w.until("connecting", func() bool { return countConnecting(t, w.process.Process.Pid) > 0 })
-	w.discovery.say(list(42, false, f.entry("leaving")))
+	w.discovery.sendLine(listJSON(42, false, f.entry("leaving")))
 	updatedAt := time.Now()
 	w.until("connection attempt abandoned", func() bool { return countConnecting(t, w.process.Process.Pid) == 0 })
 	require.Less(t, time.Since(updatedAt), 5*time.Second, "half of the drain grace, and a margin for a busy machine")
-	require.NoError(t, f.Accept())
+	require.NoError(t, f.AcceptConnections())
 	require.Equal(t, http.StatusServiceUnavailable, await(t, answered))
 	require.Zero(t, f.requests.Load(), "nothing was forwarded")
 }
@@ -61,8 +61,8 @@
 	w.useLongTimeouts()
 	f := useFaultyServer(t, w)
 	w.start()
-	require.NoError(t, f.Mute())
-	w.until("the accept queue is full", f.Full)
+	require.NoError(t, f.IgnoreConnections())
+	w.until("the accept queue is full", f.IsBacklogFull)
 	for _, class := range []string{"consult", "rezervare"} {
 		for _, leftMS := range []int{0, 1, 4, 5, 6, 20, 60} {
 			began := time.Now()
@@ -71,7 +71,7 @@
 			require.Contains(t, []int{429, 502, 503}, status, "%s, %d ms", class, leftMS)
 		}
 	}
-	require.NoError(t, f.Accept()) // pending connections are established when the kernel retransmits
+	require.NoError(t, f.AcceptConnections()) // pending connections are established when the kernel retransmits
 	w.until("no connection is pending", func() bool { return countConnecting(t, w.process.Process.Pid) == 0 })
 	w.until("served again", func() bool { return w.do(w.request("consult", 20000)).status == http.StatusOK })
 	require.EqualValues(t, 1, f.requests.Load(), "nothing was forwarded for clients whose time was up")
@@ -112,7 +112,7 @@
 			require.Equal(t, 2, w.attemptCount()-before)
 			for _, s := range w.servers {
 				for _, st := range s.attempts() {
-					if idOf(st) != idOf(upstreamAttempt{Request: r}) {
+					if correlationID(st) != correlationID(upstreamAttempt{Request: r}) {
 						continue
 					}
 					timeLeft, err := strconv.Atoi(st.Header.Get("X-Time-Left-Ms"))
--- a/cmd/dunestep/deployments_test.go
+++ b/cmd/dunestep/deployments_test.go
@@ -162,11 +162,11 @@
 				require.Equal(w.t, site.maxAttempts, w.attemptCount())
 			},
 			"drains": func(w *testbed) {
-				drains := w.watchDrains()
-				w.until("watch", func() bool { return w.discovery.watched() == 1 })
-				drains.told(w.servers[1], 0)
-				w.discovery.say(list(42, false, w.servers[1].entry("leaving")))
-				drains.hold()
+				drains := w.startDrainCheck()
+				w.until("watch", func() bool { return w.discovery.watchCount() == 1 })
+				drains.expectDrained(w.servers[1], 0)
+				w.discovery.sendLine(listJSON(42, false, w.servers[1].entry("leaving")))
+				drains.check()
 				require.Empty(w.t, w.servers[0].attempts(), "the endpoint was draining from the start")
 			},
 		} {
@@ -206,7 +206,7 @@
 		}
 	}
 	for _, path := range []string{"/ops/stats", "/ops/readiness"} {
-		_, text := w.call("GET", path, "")
+		_, text := w.callOps("GET", path, "")
 		s.add(text)
 	}
 	s.add(w.log.String())
@@ -262,16 +262,16 @@
 	for i, site := range sites {
 		testbeds[i] = newDeploymentTestbed(t, site, 3)
 		testbeds[i].tempDir = folder
-		testbeds[i].start(door)
+		testbeds[i].start(withOpsSocket)
 		if i == 0 { // before the other agent starts
-			testbeds[0].yes("POST", "/ops/booking-servers/down", testbeds[0].servers[2].id)
-			testbeds[0].yes("POST", "/ops/drain/start", "")
+			testbeds[0].requireOpsOK("POST", "/ops/booking-servers/down", testbeds[0].servers[2].id)
+			testbeds[0].requireOpsOK("POST", "/ops/drain/start", "")
 		}
 	}
 	require.Equal(t, http.StatusOK, testbeds[1].readyStatus(), "the drain of the other agent does not affect this one")
 	require.Zero(t, testbeds[1].stats().Ejected)
 	require.NotContains(t, testbeds[1].log.String(), "taking over")
-	testbeds[0].yes("POST", "/ops/drain/stop", "")
+	testbeds[0].requireOpsOK("POST", "/ops/drain/stop", "")
 	var all sync.WaitGroup
 	var transcripts [2]transcript
 	for i, w := range testbeds {
@@ -290,8 +290,8 @@
 func TestReloadIgnoresSettingsOfAnotherDeployment(t *testing.T) {
 	t.Parallel()
 	w := newDeploymentTestbed(t, coast, 3)
-	w.start(door)
-	w.until("watch", func() bool { return w.discovery.watched() == 1 })
+	w.start(withOpsSocket)
+	w.until("watch", func() bool { return w.discovery.watchCount() == 1 })
 	var output, successorOutput transcript
 	own, limits := w.config["settings"], w.config["limits"]
 	for round, settings := range []any{hills.settings(), own, hills.settings()} {
@@ -310,7 +310,7 @@
 	output.requireNoNameOf(t, hills)
 	w.config["limits"] = limits
 
-	successor := w.another()
+	successor := w.nextProcess()
 	successor.deployment = hills
 	successor.servers = nil
 	var entries []object
@@ -341,7 +341,7 @@
 // An agent's state belongs to the deployment that the operator file named at its start, although a reload changed the
 // name. A process that takes over under the new name does not restore the state.
 func TestStateIsNotRestoredForAnotherDeployment(t *testing.T) {
-	w := start(t, 2, door, func(w *testbed) { w.operatorFile = "[state]\ndeployment = \"coast\"\n" })
+	w := start(t, 2, withOpsSocket, func(w *testbed) { w.operatorFile = "[state]\ndeployment = \"coast\"\n" })
 	w.operatorFile = "[state]\ndeployment = \"hills\"\n"
 	w.configure()
 	require.NoError(t, w.process.Process.Signal(syscall.SIGHUP))
--- a/cmd/dunestep/discovery_test.go
+++ b/cmd/dunestep/discovery_test.go
@@ -19,8 +19,8 @@
 	mu                sync.Mutex
 	status            int
 	withoutKeepalives bool          // send no empty lines
-	news              string        // first text on each new watch
-	turn              time.Duration // delay before a call is answered
+	initialText       string        // first text on each new watch
+	responseDelay     time.Duration // delay before a call is answered
 	calls             []string
 	watches           map[*standin.Call]bool
 }
@@ -38,21 +38,21 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.calls = append(d.calls, c.Target)
-	c.Mute = d.withoutKeepalives
+	c.NoEmptyLines = d.withoutKeepalives
 	switch d.status {
 	case 0: // send no response
 	case http.StatusOK:
-		if d.turn == 0 {
+		if d.responseDelay == 0 {
 			d.beginWatch(c)
 			return
 		}
-		time.AfterFunc(d.turn, func() {
+		time.AfterFunc(d.responseDelay, func() {
 			d.mu.Lock()
 			defer d.mu.Unlock()
 			d.beginWatch(c)
 		})
 	default:
-		c.Begin(d.status)
+		c.WriteStatus(d.status)
 		c.End()
 	}
 }
@@ -60,8 +60,8 @@
 // beginWatch accepts a watch. The caller holds mu.
 func (d *discovery) beginWatch(c *standin.Call) {
 	d.watches[c] = true
-	c.Begin(http.StatusOK)
-	c.Write(d.news)
+	c.WriteStatus(http.StatusOK)
+	c.Write(d.initialText)
 }
 
 func (d *discovery) callEnded(c *standin.Call) {
@@ -70,32 +70,32 @@
 	delete(d.watches, c)
 }
 
-// set sets how later calls are answered. Status 0: no response; mute: watches get no empty lines.
-func (d *discovery) set(status int, mute bool) {
+// setResponse sets how later calls are answered. Status 0: no response; mute: watches get no empty lines.
+func (d *discovery) setResponse(status int, mute bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.status, d.withoutKeepalives = status, mute
 }
 
-// called returns the request targets of all calls so far.
-func (d *discovery) called() []string {
+// callTargets returns the request targets of all calls so far.
+func (d *discovery) callTargets() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return append([]string(nil), d.calls...)
 }
 
-// watched returns how many watches are open.
-func (d *discovery) watched() int {
+// watchCount returns how many watches are open.
+func (d *discovery) watchCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.watches)
 }
 
-// say writes a line to the open watches.
-func (d *discovery) say(line string) { d.write(line + "\n") }
+// sendLine writes a line to the open watches.
+func (d *discovery) sendLine(line string) { d.sendText(line + "\n") }
 
-// write writes text unchanged to the open watches.
-func (d *discovery) write(text string) {
+// sendText writes text unchanged to the open watches.
+func (d *discovery) sendText(text string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for w := range d.watches {
@@ -103,24 +103,24 @@
 	}
 }
 
-// begins sets the text that is sent first on each later watch.
-func (d *discovery) begins(with string) {
+// setInitialText sets the text that is sent first on each later watch.
+func (d *discovery) setInitialText(with string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.news = with
+	d.initialText = with
 }
 
-// hush stops the empty lines on the open watches.
-func (d *discovery) hush() {
+// stopKeepalives stops the empty lines on the open watches.
+func (d *discovery) stopKeepalives() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for w := range d.watches {
-		w.Hush()
+		w.StopEmptyLines()
 	}
 }
 
-// end ends the open watches.
-func (d *discovery) end() {
+// endWatches ends the open watches.
+func (d *discovery) endWatches() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for w := range d.watches {
@@ -129,8 +129,8 @@
 	}
 }
 
-// list returns an endpoint list update in JSON, as discovery sends it.
-func list(version int, full bool, entries ...object) string {
+// listJSON returns an endpoint list update in JSON, as discovery sends it.
+func listJSON(version int, full bool, entries ...object) string {
 	raw, _ := json.Marshal(object{"version": version, "full": full, "servers": entries})
 	return string(raw)
 }
--- a/cmd/dunestep/earlierbuild_test.go
+++ b/cmd/dunestep/earlierbuild_test.go
@@ -42,13 +42,13 @@
 		t.Skip("LONG_TESTS is not set")
 	}
 	earlier := buildOfCommit(t, beforeRenaming)
-	w := start(t, 3, door, (*testbed).useLongTimeouts, func(w *testbed) { w.program = earlier })
-	l := w.load(8)
+	w := start(t, 3, withOpsSocket, (*testbed).useLongTimeouts, func(w *testbed) { w.program = earlier })
+	l := w.startLoad(8)
 	w.until("load", func() bool { return l.ok.Load() > 50 })
-	w.yes("POST", "/ops/booking-servers/down", "s-0")
+	w.requireOpsOK("POST", "/ops/booking-servers/down", "s-0")
 	current, program := w, ""
 	for range 2 {
-		next := current.another()
+		next := current.nextProcess()
 		next.program = program
 		next.launch()
 		next.untilReady()
@@ -60,9 +60,9 @@
 		require.Len(t, w.servers[0].attempts(), attemptsBefore, "a disabled endpoint gets no attempts")
 		require.Equal(t, 1, current.stats().Ejected)
 	}
-	l.end()
-	l.none(t)
-	w.once()
+	l.finish()
+	l.requireNoFailures(t)
+	w.requireNoneRanTwice()
 	require.Zero(t, current.stop())
 }
 
@@ -74,27 +74,27 @@
 	}
 	earlier := buildOfCommit(t, beforeRenaming)
 	w := newTestbed(t, 3)
-	path := w.keeping("")
-	w.answerAll(busy)
+	path := w.keepState("")
+	w.answerAll(answerSlowly)
 	w.servers[0].setAnswer(func(upstreamAttempt) string { return silence })
 	w.program = earlier
 	w.start()
-	w.until("watch", func() bool { return w.discovery.watched() == 1 })
-	w.discovery.say(list(77, false, w.servers[1].entry("active")))
-	w.offer(2 * time.Second)
+	w.until("watch", func() bool { return w.discovery.watchCount() == 1 })
+	w.discovery.sendLine(listJSON(77, false, w.servers[1].entry("active")))
+	w.offerLoad(2 * time.Second)
 	w.until("ejected", func() bool { return strings.Contains(w.log.String(), "down s-0") })
 	require.Zero(t, w.stop())
 	for program, restored := range map[string]string{"": `msg="state restored"`, earlier: `msg="state taken over"`} {
 		w.program = program
-		w.again()
+		w.relaunch()
 		w.until("restored", func() bool { return strings.Contains(w.log.String(), restored) })
 		w.until("watch from the restored version", func() bool {
-			calls := w.discovery.called()
+			calls := w.discovery.callTargets()
 			return strings.HasSuffix(calls[len(calls)-1], "from=77")
 		})
 		require.Equal(t, 200, w.send("consult").status)
 		require.Zero(t, w.stop())
-		f := newest(t, path)
+		f := newestState(t, path)
 		require.Equal(t, int64(77), f.List.Version)
 		require.True(t, f.Balancer.Servers[0].Outlier.Ejected)
 	}
@@ -111,27 +111,27 @@
 	program, err := plainBinary()
 	require.NoError(t, err)
 	folders := t.TempDir()
-	l := lab.Open(t, lab.Options{Agents: 4, Program: program, Ops: true, Seed: 7, Shape: func(c *lab.Config) {
+	l := lab.Open(t, lab.Options{Agents: 4, Program: program, OperatorListener: true, Seed: 7, Configure: func(c *lab.Config) {
 		if c.Run%2 == 1 {
 			c.Program = earlier
 		}
 		folder := filepath.Join(folders, fmt.Sprint(c.Agent))
 		require.NoError(t, os.MkdirAll(folder, 0o700))
-		c.Operator = "[fleet]\non = true\nvoters = [0, 1, 2]\nlease_ms = 2000\nheard_ms = 500\n" +
+		c.OperatorFile = "[fleet]\non = true\nvoters = [0, 1, 2]\nlease_ms = 2000\nheard_ms = 500\n" +
 			fmt.Sprintf("folder = %q\n", folder)
 	}})
 	ctx := t.Context()
 	isDisabled := isDown("s-0")
-	isEnabled := func(a *lab.Agent, s fleetStatus) bool { return full(a, s) && !isDisabled(a, s) }
+	isEnabled := func(a *lab.Agent, s fleetStatus) bool { return hasFullStanding(a, s) && !isDisabled(a, s) }
 	runs := []struct { // of the earlier build, this one, the earlier one
 		holds   func(*lab.Agent, fleetStatus) bool
 		command string
-	}{{full, "down"}, {isDisabled, "up"}, {isEnabled, "down"}}
+	}{{hasFullStanding, "down"}, {isDisabled, "up"}, {isEnabled, "down"}}
 	epoch := uint64(0)
 	for i, run := range runs {
 		require.NoError(t, l.StartAll(ctx))
-		require.NoError(t, l.Wait(ctx, "leases", all(l, full)))
-		require.NoError(t, l.Wait(ctx, "the previous run's commands are in force", all(l, run.holds)))
+		require.NoError(t, l.Wait(ctx, "leases", allAgents(l, hasFullStanding)))
+		require.NoError(t, l.Wait(ctx, "the previous run's commands are in force", allAgents(l, run.holds)))
 		status := statusAt(l.Agent(3))
 		if i > 0 {
 			require.Equal(t, epoch, status.Epoch, "the log has the same epoch")
--- a/cmd/dunestep/faults_test.go
+++ b/cmd/dunestep/faults_test.go
@@ -16,28 +16,28 @@
 	"dunestep/internal/standin"
 )
 
-// faultyServer is an endpoint whose first answer has a wire fault. After scenario.Forgets it answers no further request on
+// faultyServer is an endpoint whose first answer has a wire fault. After scenario.DropsConnection it answers no further request on
 // that connection.
 type faultyServer struct {
 	*standin.Server
-	fault       scenario.Fault
+	fault       scenario.ConnFault
 	requests    atomic.Int32
 	connections atomic.Int32
 }
 
-func newFaultyServer(t *testing.T, fault scenario.Fault) *faultyServer {
+func newFaultyServer(t *testing.T, fault scenario.ConnFault) *faultyServer {
 	f := &faultyServer{fault: fault}
 	var err error
 	f.Server, err = standin.Listen("127.0.0.1:0", standin.Events{
-		Opened: func(*standin.Conn) { f.connections.Add(1) },
-		Came: func(c *standin.Conn, r *http.Request, body []byte) {
+		ConnectionOpened: func(*standin.Conn) { f.connections.Add(1) },
+		RequestReceived: func(c *standin.Conn, r *http.Request, body []byte) {
 			n := f.requests.Add(1)
-			if c.Handle != nil { // after scenario.Forgets
+			if c.Handle != nil { // after scenario.DropsConnection
 				return
 			}
 			if n > 1 {
 				fault = ""
-			} else if fault == scenario.Forgets {
+			} else if fault == scenario.DropsConnection {
 				c.Handle = fault
 			}
 			c.Reply(standin.Reply{Status: 200, Body: fmt.Sprintf("%s %d", r.Header.Get("X-Correlation-Id"), len(body))}, fault)
@@ -54,7 +54,7 @@
 func TestWireFaults(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
-		fault  scenario.Fault
+		fault  scenario.ConnFault
 		unsafe int  // status that the client of an unsafe request gets
 		reused bool // the connection is reused
 	}{
@@ -64,14 +64,14 @@
 		{scenario.SilentBody, 502, false},
 		{scenario.ResetBefore, 502, false},
 		{scenario.ResetAfter, 200, false},
-		{scenario.Hints, 200, true},
+		{scenario.InformationalAnswer, 200, true},
 		{scenario.TwoAnswers, 200, false},
 		{scenario.Noise, 502, false},
 		{scenario.EndlessHead, 502, false},
 		{scenario.CutBody, 502, false},
 		{scenario.HalfClose, 200, false},
 		{scenario.SlowReader, 200, true},
-		{scenario.Forgets, 200, true},
+		{scenario.DropsConnection, 200, true},
 	} {
 		t.Run("fault "+string(c.fault), func(t *testing.T) {
 			f := newFaultyServer(t, c.fault)
@@ -83,10 +83,10 @@
 			w.start()
 			switch c.fault {
 			case scenario.NoAccept:
-				require.NoError(t, f.Mute())
-				w.until("the accept queue is full", f.Full)
+				require.NoError(t, f.IgnoreConnections())
+				w.until("the accept queue is full", f.IsBacklogFull)
 			case scenario.SlowReader:
-				f.ReadSlowly(10 * time.Millisecond)
+				f.SetReadPause(10 * time.Millisecond)
 			}
 			send := func() (answer, string) {
 				body := strings.Repeat("b", 60<<10) // more than one read returns
@@ -102,8 +102,8 @@
 			if c.fault != scenario.NoAccept {
 				require.EqualValues(t, 1, f.requests.Load(), "a request that may have been executed is not retried")
 			}
-			require.NoError(t, f.Accept())
-			if c.fault == scenario.Forgets { // the agent detects it only when the next request times out
+			require.NoError(t, f.AcceptConnections())
+			if c.fault == scenario.DropsConnection { // the agent detects it only when the next request times out
 				got, _ = send()
 				require.Equal(t, 502, got.status)
 			}
@@ -113,7 +113,7 @@
 				}
 				return got.status == 200
 			})
-			if c.reused && c.fault != scenario.Forgets {
+			if c.reused && c.fault != scenario.DropsConnection {
 				require.EqualValues(t, 1, f.connections.Load())
 			} else if c.fault != scenario.NoAccept {
 				require.Greater(t, f.connections.Load(), int32(1))
@@ -135,8 +135,8 @@
 		"state": "active", "weight": 1.0,
 	}}
 	w.start()
-	require.NoError(t, f.Mute())
-	w.until("the accept queue is full", f.Full)
+	require.NoError(t, f.IgnoreConnections())
+	w.until("the accept queue is full", f.IsBacklogFull)
 	var clients []net.Conn
 	for _, head := range []string{"GET /consult", "POST /rezervare"} {
 		clients = append(clients, w.sendRaw(fmt.Sprintf("%s HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: %s\r\nX-Time-Left-Ms: 20000\r\nContent-Length: 0\r\n\r\n", head, w.nextID())))
@@ -145,7 +145,7 @@
 	for _, c := range clients {
 		require.NoError(t, c.Close())
 	}
-	require.NoError(t, f.Accept()) // pending connections are established when the kernel retransmits
+	require.NoError(t, f.AcceptConnections()) // pending connections are established when the kernel retransmits
 	w.until("no connection is pending", func() bool { return countConnecting(t, w.process.Process.Pid) == 0 })
 	r := w.request("consult", 20000)
 	require.Equal(t, r.Header.Get("X-Correlation-Id")+" 0", w.do(r).body)
--- a/cmd/dunestep/fleet_test.go
+++ b/cmd/dunestep/fleet_test.go
@@ -34,19 +34,19 @@
 	program, err := plainBinary()
 	require.NoError(t, err)
 	folders := t.TempDir()
-	return lab.Open(t, lab.Options{Agents: agents, Program: program, Ops: true, Seed: 7, Shape: func(c *lab.Config) {
-		c.Operator = "[fleet]\non = true\nvoters = [0, 1, 2]\nlease_ms = 2000\nheard_ms = 500\n"
+	return lab.Open(t, lab.Options{Agents: agents, Program: program, OperatorListener: true, Seed: 7, Configure: func(c *lab.Config) {
+		c.OperatorFile = "[fleet]\non = true\nvoters = [0, 1, 2]\nlease_ms = 2000\nheard_ms = 500\n"
 		if stores == inFolders {
 			folder := filepath.Join(folders, fmt.Sprint(c.Agent))
 			require.NoError(t, os.MkdirAll(folder, 0o700))
-			c.Operator += fmt.Sprintf("folder = %q\n", folder)
+			c.OperatorFile += fmt.Sprintf("folder = %q\n", folder)
 		}
 	}})
 }
 
 // statusAt returns the fleet status that an agent reports, or a zero status if it does not respond.
 func statusAt(a *lab.Agent) (s fleetStatus) {
-	resp, err := http.Get("http://" + a.Ops + "/ops/fleet/status")
+	resp, err := http.Get("http://" + a.OperatorAddr + "/ops/fleet/status")
 	if err != nil {
 		return s
 	}
@@ -63,7 +63,7 @@
 	require.NoError(t, err)
 	var out bytes.Buffer
 	c := exec.CommandContext(t.Context(), program, append([]string{"fleet"}, args...)...)
-	c.Env = append(os.Environ(), "LB_OPS="+a.Ops)
+	c.Env = append(os.Environ(), "LB_OPS="+a.OperatorAddr)
 	c.Stdout, c.Stderr = &out, &out
 	err = c.Run()
 	return out.String(), err
@@ -79,8 +79,8 @@
 	return nil
 }
 
-// all returns a function that reports whether is returns true for every agent and its status.
-func all(l *lab.Lab, is func(a *lab.Agent, s fleetStatus) bool) func() bool {
+// allAgents returns a function that reports whether is returns true for every agent and its status.
+func allAgents(l *lab.Lab, is func(a *lab.Agent, s fleetStatus) bool) func() bool {
 	return func() bool {
 		for _, a := range l.Agents() {
 			if !is(a, statusAt(a)) {
@@ -91,8 +91,8 @@
 	}
 }
 
-// full reports whether an agent has full standing: it holds a lease.
-func full(_ *lab.Agent, s fleetStatus) bool { return s.Standing == "full" }
+// hasFullStanding reports whether an agent has full standing: it holds a lease.
+func hasFullStanding(_ *lab.Agent, s fleetStatus) bool { return s.Standing == "full" }
 
 // isDown returns a function that reports whether an agent's status has the endpoint taken down.
 func isDown(id string) func(*lab.Agent, fleetStatus) bool {
@@ -112,9 +112,9 @@
 	l := newFleetLab(t, 5, inMemory)
 	ctx := t.Context()
 	require.NoError(t, l.StartAll(ctx))
-	require.NoError(t, l.Wait(ctx, "leases", all(l, full)))
+	require.NoError(t, l.Wait(ctx, "leases", allAgents(l, hasFullStanding)))
 	l.Agent(4).Kill()
-	_, err := l.Spoil(mishap.Fault{Way: mishap.Way{Loss: 0.3, Double: 0.2}})
+	_, err := l.InjectNetworkFault(mishap.Fault{Impairment: mishap.Impairment{Loss: 0.3, Duplicate: 0.2}})
 	require.NoError(t, err)
 	text, err := fleetCommand(t, l.Agent(3), "down", "s-0")
 	require.NoError(t, err, text)
@@ -123,18 +123,18 @@
 	for _, a := range l.Agents() {
 		require.True(t, isDown("s-0")(a, statusAt(a)), a.Name+" is ready and has the command")
 		for i := range 20 {
-			_, body, askErr := a.Ask(ctx, "consult", fmt.Sprint("k", i))
+			_, body, askErr := a.Request(ctx, "consult", fmt.Sprint("k", i))
 			require.NoError(t, askErr)
 			require.NotContains(t, body, "s-0")
 		}
 	}
 	text, err = fleetCommand(t, l.Agent(4), "down", "s-unknown")
 	require.Error(t, err)
-	require.Contains(t, text, "no such upstream server was ever listed")
+	require.Contains(t, text, "no such booking server was ever listed")
 	text, err = fleetCommand(t, l.Agent(4), "up", "s-0")
 	require.NoError(t, err, text)
 	require.NoError(t, l.Wait(ctx, "s-0 gets requests again", func() bool {
-		_, body, askErr := l.Agent(0).Ask(ctx, "consult", fmt.Sprint(l.Now()))
+		_, body, askErr := l.Agent(0).Request(ctx, "consult", fmt.Sprint(l.Now()))
 		return askErr == nil && strings.Contains(body, "s-0")
 	}))
 	text, err = fleetCommand(t, l.Agent(1), "status")
@@ -149,7 +149,7 @@
 	l := newFleetLab(t, 5, inFolders)
 	ctx := t.Context()
 	require.NoError(t, l.StartAll(ctx))
-	require.NoError(t, l.Wait(ctx, "leases", all(l, full)))
+	require.NoError(t, l.Wait(ctx, "leases", allAgents(l, hasFullStanding)))
 	text, err := fleetCommand(t, l.Agent(4), "down", "s-1")
 	require.NoError(t, err, text)
 	first := leader(l)
@@ -160,9 +160,9 @@
 	}
 	require.NoError(t, l.Wait(ctx, "another agent leads", anotherLeads(first)))
 	require.NoError(t, first.Start(ctx))
-	require.NoError(t, l.Wait(ctx, "leases again", all(l, full)))
+	require.NoError(t, l.Wait(ctx, "leases again", allAgents(l, hasFullStanding)))
 	second := leader(l)
-	logged := second.Logged()
+	logged := second.LogLines()
 	second.Pause()
 	require.NoError(t, l.Wait(ctx, "a third agent leads", func() bool {
 		for _, a := range l.Agents()[:3] {
@@ -176,10 +176,10 @@
 	require.NoError(t, err, text)
 	second.Resume()
 	require.NoError(t, l.Wait(ctx, "the paused agent has lost its lease", func() bool {
-		return second.SaidSince(logged, "fleet: lease lost") || second.SaidSince(logged, "this agent is no longer the leader")
+		return second.LogContainsSince(logged, "fleet: lease lost") || second.LogContainsSince(logged, "this agent is no longer the leader")
 	}))
-	require.NoError(t, l.Wait(ctx, "all agents have both commands", all(l, func(a *lab.Agent, s fleetStatus) bool {
-		return full(a, s) && isDown("s-0")(a, s) && isDown("s-1")(a, s)
+	require.NoError(t, l.Wait(ctx, "all agents have both commands", allAgents(l, func(a *lab.Agent, s fleetStatus) bool {
+		return hasFullStanding(a, s) && isDown("s-0")(a, s) && isDown("s-1")(a, s)
 	})))
 	require.Empty(t, l.EndAll())
 }
@@ -201,7 +201,7 @@
 			l := newFleetLab(t, 5, stores)
 			ctx := t.Context()
 			require.NoError(t, l.StartAll(ctx))
-			require.NoError(t, l.Wait(ctx, "leases", all(l, full)))
+			require.NoError(t, l.Wait(ctx, "leases", allAgents(l, hasFullStanding)))
 			text, err := fleetCommand(t, l.Agent(3), "down", "s-0")
 			require.NoError(t, err, text)
 			before := statusAt(l.Agent(3))
@@ -209,8 +209,8 @@
 				a.Kill()
 			}
 			require.NoError(t, l.StartAll(ctx))
-			require.NoError(t, l.Wait(ctx, "leases again", all(l, func(a *lab.Agent, s fleetStatus) bool {
-				return full(a, s) && (s.Epoch == before.Epoch) == (stores == inFolders) && isDown("s-0")(a, s) == (stores == inFolders)
+			require.NoError(t, l.Wait(ctx, "leases again", allAgents(l, func(a *lab.Agent, s fleetStatus) bool {
+				return hasFullStanding(a, s) && (s.Epoch == before.Epoch) == (stores == inFolders) && isDown("s-0")(a, s) == (stores == inFolders)
 			})))
 			require.Empty(t, l.EndAll())
 		})
@@ -223,24 +223,24 @@
 	l := newFleetLab(t, 6, inMemory)
 	ctx := t.Context()
 	require.NoError(t, l.StartAll(ctx))
-	require.NoError(t, l.Wait(ctx, "leases", all(l, full)))
+	require.NoError(t, l.Wait(ctx, "leases", allAgents(l, hasFullStanding)))
 	first := leader(l)
 	require.NotNil(t, first)
-	heal, err := l.Spoil(mishap.Fault{From: []int{first.Number}, Way: mishap.Way{Cut: true}})
+	heal, err := l.InjectNetworkFault(mishap.Fault{From: []int{first.Number}, Impairment: mishap.Impairment{Cut: true}})
 	require.NoError(t, err)
 	require.NoError(t, l.Wait(ctx, "another agent leads", func() bool {
 		now := leader(l)
 		return now != nil && now != first
 	}))
 	heal()
-	require.NoError(t, l.Wait(ctx, "leases again", all(l, full)))
+	require.NoError(t, l.Wait(ctx, "leases again", allAgents(l, hasFullStanding)))
 	minority := []int{0, 3}
 	majority := []int{1, 2, 4, 5}
 	for _, f := range []mishap.Fault{
-		{From: minority, To: majority, Way: mishap.Way{Cut: true}},
-		{From: majority, To: minority, Way: mishap.Way{Cut: true}},
+		{From: minority, To: majority, Impairment: mishap.Impairment{Cut: true}},
+		{From: majority, To: minority, Impairment: mishap.Impairment{Cut: true}},
 	} {
-		endFault, spoilErr := l.Spoil(f)
+		endFault, spoilErr := l.InjectNetworkFault(f)
 		require.NoError(t, spoilErr)
 		defer endFault()
 	}
--- a/cmd/dunestep/fleetcost_test.go
+++ b/cmd/dunestep/fleetcost_test.go
@@ -55,14 +55,14 @@
 	require.NoError(t, err)
 	ctx := t.Context()
 	open := func(operator string) *lab.Lab {
-		l := lab.Open(t, lab.Options{Agents: 5, Program: program, Ops: true, Seed: 2, Shape: func(c *lab.Config) {
-			c.Operator = operator
+		l := lab.Open(t, lab.Options{Agents: 5, Program: program, OperatorListener: true, Seed: 2, Configure: func(c *lab.Config) {
+			c.OperatorFile = operator
 		}})
 		require.NoError(t, l.StartAll(ctx))
 		return l
 	}
 	labs := []*lab.Lab{open(""), open("[fleet]\non = true\npolicy = true\nvoters = [0, 1, 2]\n")}
-	require.NoError(t, labs[1].Wait(ctx, "leases", all(labs[1], full)))
+	require.NoError(t, labs[1].Wait(ctx, "leases", allAgents(labs[1], hasFullStanding)))
 	var latencies [2][]time.Duration
 	var cpuBefore [2][2]time.Duration // of a voter and of another agent, before the idle period
 	for i, l := range labs {
@@ -82,7 +82,7 @@
 		l := labs[turn%2]
 		for n := range 100 {
 			began := time.Now()
-			status, _, err := l.Agent(n%5).Ask(ctx, "consult", fmt.Sprint(turn, n))
+			status, _, err := l.Agent(n%5).Request(ctx, "consult", fmt.Sprint(turn, n))
 			require.NoError(t, err)
 			require.Equal(t, 200, status)
 			latencies[turn%2] = append(latencies[turn%2], time.Since(began))
--- a/cmd/dunestep/fleetops.go
+++ b/cmd/dunestep/fleetops.go
@@ -91,7 +91,7 @@
 	call protocol.OpsCall,
 ) (int, []byte) {
 	if !f.manual.agent.WasListed(ctx, call.ID) {
-		return http.StatusNotFound, []byte("no such upstream server was ever listed\n")
+		return http.StatusNotFound, []byte("no such booking server was ever listed\n")
 	}
 	record, err := operatorcommand.Command{
 		Server: call.ID, Down: call.Kind == protocol.OpsFleetDisable,
--- a/cmd/dunestep/fleetstarts_test.go
+++ b/cmd/dunestep/fleetstarts_test.go
@@ -33,7 +33,7 @@
 	f := &slowStartFleet{t: t, attempts: map[int][]time.Time{}}
 	f.Lab = lab.Open(t, lab.Options{
 		Agents: agents, Servers: 4, Program: program, Seed: 21,
-		Answer: func(s lab.Step) standin.Reply {
+		Respond: func(s lab.Attempt) standin.Reply {
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			f.attempts[s.Server] = append(f.attempts[s.Server], time.Now())
@@ -54,7 +54,7 @@
 func (f *slowStartFleet) findOwnedKeys(n int) (owned []string) {
 	for len(owned) < n {
 		key, before := fmt.Sprintf("%x", rand.Uint64()), f.attemptCount()
-		status, _, err := f.Agent(0).Ask(f.t.Context(), "consult", key)
+		status, _, err := f.Agent(0).Request(f.t.Context(), "consult", key)
 		require.NoError(f.t, err)
 		if status == http.StatusOK && f.attemptCount() > before {
 			owned = append(owned, key)
@@ -75,7 +75,7 @@
 			for {
 				select {
 				case <-ticker.C:
-					wait.Go(func() { _, _, _ = a.Ask(ctx, "consult", keys()) }) // requests to agents that do not run fail
+					wait.Go(func() { _, _, _ = a.Request(ctx, "consult", keys()) }) // requests to agents that do not run fail
 				case <-ctx.Done():
 					return
 				}
@@ -118,7 +118,7 @@
 		}
 		return true
 	}))
-	f.Restarted(restartedServer)
+	f.SetServerRestarted(restartedServer)
 	const updateDelay = 200 * time.Millisecond
 	updatedAt := time.Now()
 	require.NoError(t, f.Wait(ctx, "the update is applied", func() bool { return time.Since(updatedAt) > updateDelay }))
@@ -154,14 +154,14 @@
 	}
 	d.mu.Unlock()
 	if full {
-		c.Begin(http.StatusServiceUnavailable)
+		c.WriteStatus(http.StatusServiceUnavailable)
 		c.End()
 		return
 	}
 	d.working.Lock()
 	time.Sleep(d.callDuration) // processing of the call
 	d.working.Unlock()
-	a.Tell(c)
+	a.SendEndpointList(c)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.queued--
@@ -178,13 +178,13 @@
 	var l *lab.Lab
 	l = lab.Open(t, lab.Options{
 		Agents: agents, Servers: 2, Program: program, Seed: 22,
-		Call: func(agent int, c *standin.Call) bool {
+		HandleDiscovery: func(agent int, c *standin.Call) bool {
 			go d.answer(l.Agent(agent), c)
 			return true
 		},
-		Shape: func(c *lab.Config) {
-			c.File["known"] = object{"version": 0, "full": true, "servers": []object{}}
-			c.File["settings"].(map[string]any)["balancers"] = fleet
+		Configure: func(c *lab.Config) {
+			c.ConfigFile["known"] = object{"version": 0, "full": true, "servers": []object{}}
+			c.ConfigFile["settings"].(map[string]any)["balancers"] = fleet
 		},
 	})
 	began := time.Now()
--- a/cmd/dunestep/fleetstate_test.go
+++ b/cmd/dunestep/fleetstate_test.go
@@ -18,8 +18,8 @@
 func TestInheritedFleetState(t *testing.T) {
 	w := newTestbed(t, 4)
 	usePlainBinary(w)
-	door(w)
-	w.operatorFile = strings.Replace(shortTerms, "[0, 1, 2]", "[0]", 1) + "placement = true\n[storm]\non = false\n"
+	withOpsSocket(w)
+	w.operatorFile = strings.Replace(shortFleetTimes, "[0, 1, 2]", "[0]", 1) + "placement = true\n[storm]\non = false\n"
 	w.useLongTimeouts()
 	w.start()
 	file := w.t.TempDir() + "/policy.toml"
--- a/cmd/dunestep/graphql.go
+++ b/cmd/dunestep/graphql.go
@@ -38,7 +38,7 @@
 	if err != nil {
 		return fmt.Errorf("operator file: graphql: listen: %w", err)
 	}
-	if err := l.Listen(addr, form.Everywhere); err != nil {
+	if err := l.Listen(addr, form.AnyPath); err != nil {
 		return err
 	}
 	return l.Listen(s.Listen, protocol.HTTP)
@@ -61,21 +61,21 @@
 	if err != nil {
 		return nil, err
 	}
-	classer, err := graphql.NewClasser(graphql.Rules{
+	classer, err := graphql.NewClassifier(graphql.Rules{
 		Classes: s.Settings.Classes,
 		Safe:    g.IdempotentClass, Unsafe: g.NonIdempotentClass, Queries: g.Queries, Mutations: g.Mutations,
 		Batches: g.Batch == operator.BatchStrictest, Trusted: trusted,
 		Limits: graphql.Limits{
-			Document: int(g.MaxDocumentKB << 10), Tokens: int(g.MaxTokens), Depth: int(g.MaxDepth),
-			Aliases: int(g.MaxAliases), Operations: int(g.MaxOperations), Batch: int(g.MaxBatchLength),
-			CacheBytes: int(g.CacheKB << 10), StoreBytes: int(g.HashStoreKB << 10),
+			MaxDocumentBytes: int(g.MaxDocumentKB << 10), MaxTokens: int(g.MaxTokens), MaxDepth: int(g.MaxDepth),
+			MaxAliases: int(g.MaxAliases), MaxOperations: int(g.MaxOperations), MaxBatchLength: int(g.MaxBatchLength),
+			CacheBytes: int(g.CacheKB << 10), HashStoreBytes: int(g.HashStoreKB << 10),
 		},
 	})
 	if g.Listen == operator.MainListener && s.isClassPath(g.Path) {
 		err = errors.Join(err, fmt.Errorf("path %s is that of a class on the main socket", g.Path))
 	}
 	form := &protocol.GraphQL{
-		Path: g.Path, Classer: classer, Classes: s.Settings.Classes,
+		Path: g.Path, Classifier: classer, Classes: s.Settings.Classes,
 		DefaultTenant: g.TenantDefault,
 	}
 	for _, source := range []struct {
@@ -107,7 +107,7 @@
 	if len(raw) > maxTrustedBytes {
 		return nil, fmt.Errorf("%s: %w", path, errTrustedTooLong)
 	}
-	documents, err := graphql.ReadTrusted(raw)
+	documents, err := graphql.ParseTrustedDocuments(raw)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
--- a/cmd/dunestep/graphql_cost_test.go
+++ b/cmd/dunestep/graphql_cost_test.go
@@ -14,8 +14,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// cpu returns the processor time that the program has used.
-func (w *testbed) cpu() time.Duration {
+// cpuTime returns the processor time that the program has used.
+func (w *testbed) cpuTime() time.Duration {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", w.process.Process.Pid))
 	require.NoError(w.t, err)
 	_, after, _ := strings.Cut(string(raw), ") ")
@@ -27,7 +27,7 @@
 
 // costPerRequest sends requests from eight clients and returns the program's processor time for each request.
 func (w *testbed) costPerRequest(requests int, newRequest func(i int) *http.Request) time.Duration {
-	before := w.cpu()
+	before := w.cpuTime()
 	var clients sync.WaitGroup
 	for c := range 8 {
 		clients.Go(func() {
@@ -45,7 +45,7 @@
 		})
 	}
 	clients.Wait()
-	return (w.cpu() - before) / time.Duration(requests)
+	return (w.cpuTime() - before) / time.Duration(requests)
 }
 
 // Measures the processor time of GraphQL requests and of plain requests with the same bodies, and checks memory with all
@@ -83,7 +83,7 @@
 	tooDeep := w.costPerRequest(requests, func(i int) *http.Request {
 		return w.graphQLRequest(fmt.Sprintf("query Q%d ", i)+strings.Repeat("{a", 4000), "{}")
 	})
-	peak, now := w.memory()
+	peak, now := w.memoryKiB()
 	t.Logf("processor time of a request: plain %v, GraphQL %v (%+.1f%%), with documents not seen before %v, too deep %v; "+
 		"memory %.1f MB at its peak, %.1f MB at the end", cost[0], cost[1], 100*(float64(cost[1])/float64(cost[0])-1), unseen, tooDeep,
 		float64(peak)/1024, float64(now)/1024)
--- a/cmd/dunestep/graphql_faults_test.go
+++ b/cmd/dunestep/graphql_faults_test.go
@@ -253,11 +253,11 @@
 		time.Sleep(50 * time.Millisecond)
 	} else {
 		old.setAnswer(func(upstreamAttempt) string { return reply("503 Service Unavailable", "", "X-Unprocessed: 1") })
-		w.discovery.say(list(version, false, old.entry("leaving"), next.entry("active")))
+		w.discovery.sendLine(listJSON(version, false, old.entry("leaving"), next.entry("active")))
 		time.Sleep(200 * time.Millisecond)
 		old.stop()
 	}
-	w.discovery.say(list(version+1, false, old.entry("left"), next.entry("active")))
+	w.discovery.sendLine(listJSON(version+1, false, old.entry("left"), next.entry("active")))
 	return version + 2
 }
 
--- a/cmd/dunestep/helper_test.go
+++ b/cmd/dunestep/helper_test.go
@@ -207,7 +207,7 @@
 
 // newDeploymentTestbed is newSerialTestbed with a deployment other than the default.
 func newDeploymentTestbed(t testing.TB, site deployment, n int) *testbed {
-	require.NoError(t, program.Sources())
+	require.NoError(t, program.DependOnSources())
 	w := &testbed{t: t, deployment: site, log: &logBuffer{}, exited: make(chan struct{}), tempDir: t.TempDir()}
 	w.lastID.Store(uint64(time.Now().UnixNano()))
 	var entries []object
@@ -341,7 +341,7 @@
 
 // countConnecting returns how many of a process's connections are not established yet.
 func countConnecting(t testing.TB, pid int) int {
-	n, err := standin.Connecting(pid)
+	n, err := standin.CountConnecting(pid)
 	require.NoError(t, err)
 	return n
 }
--- a/cmd/dunestep/idempotency_test.go
+++ b/cmd/dunestep/idempotency_test.go
@@ -26,7 +26,7 @@
 	for _, s := range w.servers {
 		for _, attempt := range s.attempts() {
 			attempts++
-			if idOf(attempt) == idOf(upstreamAttempt{Request: request}) {
+			if correlationID(attempt) == correlationID(upstreamAttempt{Request: request}) {
 				require.Equal(t, []string{key}, attempt.Header["Idempotency-Key"], s.id)
 			} else {
 				require.NotContains(t, attempt.Header, "Idempotency-Key", "the client sent no key")
--- a/cmd/dunestep/list_test.go
+++ b/cmd/dunestep/list_test.go
@@ -29,8 +29,8 @@
 	stopClients func()
 }
 
-// watchDrains starts clients that send requests with new keys all the time, so that every endpoint in use gets requests.
-func (w *testbed) watchDrains() *drainChecker {
+// startDrainCheck starts clients that send requests with new keys all the time, so that every endpoint in use gets requests.
+func (w *testbed) startDrainCheck() *drainChecker {
 	done := make(chan struct{})
 	var clients sync.WaitGroup
 	for range 4 {
@@ -54,16 +54,16 @@
 	return &drainChecker{w: w, deadlines: map[*server]time.Time{}, stopClients: end}
 }
 
-// told waits until the endpoint gets requests, and sets its deadline: its drain counts as reported after the delay.
-func (d *drainChecker) told(s *server, delay time.Duration) {
+// expectDrained waits until the endpoint gets requests, and sets its deadline: its drain counts as reported after the delay.
+func (d *drainChecker) expectDrained(s *server, delay time.Duration) {
 	d.w.t.Helper()
 	before := len(s.attempts())
 	d.w.until("request at "+s.id, func() bool { return len(s.attempts()) > before })
 	d.deadlines[s] = time.Now().Add(delay + d.w.drainGraceWithSlack())
 }
 
-// hold waits until after all deadlines, and requires that no endpoint got a request after its own.
-func (d *drainChecker) hold() {
+// check waits until after all deadlines, and requires that no endpoint got a request after its own.
+func (d *drainChecker) check() {
 	d.w.t.Helper()
 	last := time.Now()
 	for _, at := range d.deadlines {
@@ -105,17 +105,17 @@
 	t.Parallel()
 	w := newSerialTestbed(t, 4).start()
 	discovery := w.discovery
-	w.until("watch", func() bool { return discovery.watched() == 1 })
-	drains := w.watchDrains()
+	w.until("watch", func() bool { return discovery.watchCount() == 1 })
+	drains := w.startDrainCheck()
 	unlisted, others := w.servers[3], []object{}
 	for _, s := range w.servers[:3] {
 		others = append(others, s.entry("active"))
 	}
-	discovery.begins(list(43, true, others...) + "\n")
-	drains.told(unlisted, 0)
-	discovery.end()
-	w.until("new watch", func() bool { return discovery.watched() == 1 })
-	drains.hold()
+	discovery.setInitialText(listJSON(43, true, others...) + "\n")
+	drains.expectDrained(unlisted, 0)
+	discovery.endWatches()
+	w.until("new watch", func() bool { return discovery.watchCount() == 1 })
+	drains.check()
 }
 
 // A drain is applied whatever the form of the list that reports it.
@@ -127,50 +127,50 @@
 func tryDrainListForms(t *testing.T) error {
 	w := newSerialTestbed(t, 8).start()
 	discovery := w.discovery
-	w.until("watch", func() bool { return discovery.watched() == 1 })
-	drains := w.watchDrains()
+	w.until("watch", func() bool { return discovery.watchCount() == 1 })
+	drains := w.startDrainCheck()
 	lastDraining, fullRequested := 0, true
 	nextDraining := func() object { lastDraining++; return w.servers[lastDraining].entry("leaving") }
 	for i, report := range []func(version int){
-		func(version int) { discovery.say(indented(t, list(version, false, nextDraining()))) },
+		func(version int) { discovery.sendLine(indented(t, listJSON(version, false, nextDraining()))) },
 		func(version int) {
-			for _, piece := range strings.SplitAfter(list(version, false, nextDraining())+"\n", `"`) {
-				discovery.write(piece)
+			for _, piece := range strings.SplitAfter(listJSON(version, false, nextDraining())+"\n", `"`) {
+				discovery.sendText(piece)
 				time.Sleep(10 * time.Millisecond)
 			}
 		},
 		func(version int) {
-			line := list(version, false, nextDraining())
-			discovery.write(line + "\n" + line + "\n")
+			line := listJSON(version, false, nextDraining())
+			discovery.sendText(line + "\n" + line + "\n")
 		},
 		func(version int) {
-			discovery.write(list(version, false) + list(version, false, nextDraining()) + "\n\n\n")
+			discovery.sendText(listJSON(version, false) + listJSON(version, false, nextDraining()) + "\n\n\n")
 		},
 		func(version int) { // out of order: the agent requests the full list
-			discovery.begins(indented(t, list(version, true, w.entries(append(w.servers[1:lastDraining+1], w.servers[lastDraining+1])...)...)) + "\n")
+			discovery.setInitialText(indented(t, listJSON(version, true, w.entries(append(w.servers[1:lastDraining+1], w.servers[lastDraining+1])...)...)) + "\n")
 			lastDraining++
-			discovery.say(list(12, false, w.servers[1].entry("active")))
-			requested := func() bool { calls := discovery.called(); return strings.HasSuffix(calls[len(calls)-1], "from=0") }
+			discovery.sendLine(listJSON(12, false, w.servers[1].entry("active")))
+			requested := func() bool { calls := discovery.callTargets(); return strings.HasSuffix(calls[len(calls)-1], "from=0") }
 			for until := time.Now().Add(5 * time.Second); !requested() && time.Now().Before(until); {
 				time.Sleep(time.Millisecond)
 			}
 			fullRequested = requested() // false if a busy machine let the watch end before
 		},
 		func(int) { // versions that restart at 1
-			discovery.begins(list(1, true, w.entries(w.servers[1:lastDraining+1]...)...) + "\n")
-			discovery.end()
-			w.until("new watch", func() bool { return discovery.watched() == 1 })
-			discovery.say(list(2, false, nextDraining()))
+			discovery.setInitialText(listJSON(1, true, w.entries(w.servers[1:lastDraining+1]...)...) + "\n")
+			discovery.endWatches()
+			w.until("new watch", func() bool { return discovery.watchCount() == 1 })
+			discovery.sendLine(listJSON(2, false, nextDraining()))
 		},
 	} {
-		drains.told(w.servers[i+1], 0)
+		drains.expectDrained(w.servers[i+1], 0)
 		report(42 + i)
 	}
-	drains.hold()
+	drains.check()
 	if !fullRequested {
 		return errors.New("the full list was not requested after a list that is out of order")
 	}
-	if n := len(discovery.called()); n != 3 {
+	if n := len(discovery.callTargets()); n != 3 {
 		return fmt.Errorf("%d calls: a watch may only end when a list is out of order or discovery ends it", n)
 	}
 	return nil
@@ -183,11 +183,11 @@
 	w.config["settings"].(object)["discovery"] = "pushed"
 	w.config["known"] = object{"version": 41, "full": true, "servers": w.entries(w.servers[0])}
 	w.start()
-	drains := w.watchDrains()
-	w.until("watch", func() bool { return w.discovery.watched() == 1 })
-	drains.told(w.servers[1], 0)
-	w.discovery.say(list(42, false, w.servers[1].entry("leaving")))
-	drains.hold()
+	drains := w.startDrainCheck()
+	w.until("watch", func() bool { return w.discovery.watchCount() == 1 })
+	drains.expectDrained(w.servers[1], 0)
+	w.discovery.sendLine(listJSON(42, false, w.servers[1].entry("leaving")))
+	drains.check()
 	require.Empty(t, w.servers[0].attempts())
 }
 
@@ -210,7 +210,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := start(t, 3, func(w *testbed) { w.config["settings"].(object)["balancers"] = c.agents })
-			w.until("watch", func() bool { return w.discovery.watched() == 1 })
+			w.until("watch", func() bool { return w.discovery.watchCount() == 1 })
 			next, reportedAfter := w.discovery, 6*time.Second-emptyLineInterval
 			if c.moved {
 				next, reportedAfter = newDiscovery(t), 4*time.Second
@@ -218,16 +218,16 @@
 				w.configure()
 			}
 			next.mu.Lock()
-			next.turn, next.news = c.callDelay, indented(t, list(42, false, w.servers[0].entry("leaving")))+"\n"
+			next.responseDelay, next.initialText = c.callDelay, indented(t, listJSON(42, false, w.servers[0].entry("leaving")))+"\n"
 			next.mu.Unlock()
-			drains := w.watchDrains()
-			drains.told(w.servers[0], reportedAfter)
-			w.discovery.hush()
+			drains := w.startDrainCheck()
+			drains.expectDrained(w.servers[0], reportedAfter)
+			w.discovery.stopKeepalives()
 			if c.moved {
 				require.NoError(t, w.process.Process.Signal(syscall.SIGHUP))
 			}
-			drains.hold()
-			require.Positive(t, next.watched())
+			drains.check()
+			require.Positive(t, next.watchCount())
 		})
 	}
 }
@@ -235,9 +235,9 @@
 // A watch on which only empty lines arrive stays open: each new call costs discovery work.
 func TestWatchWithoutUpdatesStaysOpen(t *testing.T) {
 	w := start(t, 1)
-	w.until("watch", func() bool { return w.discovery.watched() == 1 })
+	w.until("watch", func() bool { return w.discovery.watchCount() == 1 })
 	time.Sleep(4 * time.Second)
-	require.Len(t, w.discovery.called(), 1)
+	require.Len(t, w.discovery.callTargets(), 1)
 }
 
 // While discovery is unreachable the agent applies the list that it has: the configured one from the start, and in the
@@ -249,20 +249,20 @@
 			w := newTestbed(t, 4)
 			w.config["settings"].(object)["discovery"] = mode
 			w.config["known"] = object{"version": 41, "full": true, "servers": w.entries(w.servers[0])}
-			w.discovery.set(http.StatusServiceUnavailable, false)
+			w.discovery.setResponse(http.StatusServiceUnavailable, false)
 			w.start()
-			drains := w.watchDrains()
-			w.until("failed call", func() bool { return len(w.discovery.called()) > 0 })
-			drains.told(w.servers[1], 0)
-			w.discovery.begins(list(42, false, w.servers[1].entry("leaving")) + "\n")
-			w.discovery.set(http.StatusOK, false)
-			w.until("watch", func() bool { return w.discovery.watched() == 1 })
+			drains := w.startDrainCheck()
+			w.until("failed call", func() bool { return len(w.discovery.callTargets()) > 0 })
+			drains.expectDrained(w.servers[1], 0)
+			w.discovery.setInitialText(listJSON(42, false, w.servers[1].entry("leaving")) + "\n")
+			w.discovery.setResponse(http.StatusOK, false)
+			w.until("watch", func() bool { return w.discovery.watchCount() == 1 })
 			drains.deadlines[w.servers[1]] = time.Now().Add(w.drainGraceWithSlack())
-			w.discovery.set(http.StatusServiceUnavailable, false)
-			w.discovery.end()
-			before := len(w.discovery.called())
-			w.until("more failed calls", func() bool { return len(w.discovery.called()) > before+1 })
-			drains.hold()
+			w.discovery.setResponse(http.StatusServiceUnavailable, false)
+			w.discovery.endWatches()
+			before := len(w.discovery.callTargets())
+			w.until("more failed calls", func() bool { return len(w.discovery.callTargets()) > before+1 })
+			drains.check()
 			require.Empty(t, w.servers[0].attempts())
 		})
 	}
--- a/cmd/dunestep/maintenance.go
+++ b/cmd/dunestep/maintenance.go
@@ -38,7 +38,7 @@
 	f.maintenance = &windowControl{logged: map[string]windowLog{}, lastStats: map[string]balancer.TenantStats{}}
 	f.maintenance.adapter = maintenancelog.New(maintenancelog.Settings{
 		Self: n.Self, IsVoter: n.IsVoter(), Incarnation: n.Incarnation, MachineNumber: maintenanceMachine,
-		Times: f.policyTimes(n.Terms), Turns: int(o.MaintenanceGroups), MaxInFlight: seconds(o.MaxRequestS),
+		Times: f.policyTimes(n.Terms), Groups: int(o.MaintenanceGroups), MaxInFlight: seconds(o.MaxRequestS),
 		ClockMargin: seconds(o.SafetyMarginS), MinNotice: seconds(o.MinNoticeS),
 		InForce: f.policyInForce, View: f.leaderView,
 	})
--- a/cmd/dunestep/ops_test.go
+++ b/cmd/dunestep/ops_test.go
@@ -12,12 +12,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// door configures an operators' socket.
-func door(w *testbed) { w.opsAddr = uniqueAddr(w.t) }
+// withOpsSocket configures an operators' socket.
+func withOpsSocket(w *testbed) { w.opsAddr = uniqueAddr(w.t) }
 
-// call sends a request to the operators' socket and returns the status and body of the answer. An answer is due within 1 s;
+// callOps sends a request to the operators' socket and returns the status and body of the answer. An answer is due within 1 s;
 // the test tolerates 3 s.
-func (w *testbed) call(method, path, body string) (int, string) {
+func (w *testbed) callOps(method, path, body string) (int, string) {
 	w.t.Helper()
 	began := time.Now()
 	r, err := http.NewRequest(method, "http://"+w.opsAddr+path, strings.NewReader(body))
@@ -32,10 +32,10 @@
 	return resp.StatusCode, string(text)
 }
 
-// yes sends a request to the operators' socket and requires that it succeeds.
-func (w *testbed) yes(method, path, body string) {
+// requireOpsOK sends a request to the operators' socket and requires that it succeeds.
+func (w *testbed) requireOpsOK(method, path, body string) {
 	w.t.Helper()
-	status, text := w.call(method, path, body)
+	status, text := w.callOps(method, path, body)
 	require.Equal(w.t, 200, status, text)
 }
 
@@ -49,7 +49,7 @@
 
 func (w *testbed) stats() (s stats) {
 	w.t.Helper()
-	status, text := w.call("GET", "/ops/stats", "")
+	status, text := w.callOps("GET", "/ops/stats", "")
 	require.Equal(w.t, 200, status)
 	require.NoError(w.t, json.Unmarshal([]byte(text), &s))
 	return s
@@ -57,7 +57,7 @@
 
 // Each call is answered with its status. Unknown paths, wrong methods and malformed bodies are rejected.
 func TestOpsCalls(t *testing.T) {
-	w := start(t, 2, door)
+	w := start(t, 2, withOpsSocket)
 	for _, c := range []struct {
 		method, path, body string
 		status             int
@@ -78,7 +78,7 @@
 		{"POST", "/ops/booking-servers/up", "s-7", 404},
 		{"POST", "/ops/booking-servers/up", "s-1\n", 200},
 	} {
-		status, text := w.call(c.method, c.path, c.body)
+		status, text := w.callOps(c.method, c.path, c.body)
 		require.Equal(t, c.status, status, "%s %s %q: %s", c.method, c.path, c.body, text)
 	}
 	require.Equal(t, 404, w.do(must(http.NewRequest("GET", "http://"+w.opsAddr+"/health/ready", nil))).status)
@@ -104,9 +104,9 @@
 // The operators' socket answers while clients use all their descriptors, and while many callers are connected that send
 // nothing or an incomplete call. The oldest of such connections is closed first.
 func TestOpsSocketUnderPressure(t *testing.T) {
-	w := start(t, 1, door, (*testbed).useLongTimeouts, func(w *testbed) { w.config["limits"].(object)["sockets"] = 96 })
+	w := start(t, 1, withOpsSocket, (*testbed).useLongTimeouts, func(w *testbed) { w.config["limits"].(object)["sockets"] = 96 })
 	w.servers[0].setAnswer(func(upstreamAttempt) string { return silence })
-	w.until("watch", func() bool { return w.discovery.watched() == 1 })
+	w.until("watch", func() bool { return w.discovery.watchCount() == 1 })
 	base := w.descriptors()
 	for range 60 { // more than descriptors are available
 		c, err := net.Dial("tcp", w.addr)
@@ -127,7 +127,7 @@
 		w.sendRawTo(w.opsAddr, []string{"", "GET /ops/stats HTTP/1.1\r\n", "POST /ops/booking-servers/down HTTP/1.1\r\n" +
 			"Host: x\r\nContent-Length: 9\r\n\r\ns-0"}[i%3])
 		if i%20 == 0 {
-			w.yes("GET", "/ops/readiness", "")
+			w.requireOpsOK("GET", "/ops/readiness", "")
 		}
 	}
 	_ = first.SetReadDeadline(time.Now().Add(waitTimeout))
@@ -138,7 +138,7 @@
 
 // The statistics match what clients and endpoints observed, with failures, rejections, resets and clients that disconnect.
 func TestStatsMatchObservedTraffic(t *testing.T) {
-	w := start(t, 2, door, (*testbed).useLongTimeouts)
+	w := start(t, 2, withOpsSocket, (*testbed).useLongTimeouts)
 	initial := w.stats()
 	require.Equal(t, []any{0, 0, 2, 0}, []any{initial.Tries, initial.Active, initial.Size, initial.Ejected})
 	require.Len(t, initial.Responses, 2, "classes without a request are listed")
@@ -170,7 +170,7 @@
 
 // A disabled endpoint gets no requests, whatever discovery reports, until it is enabled again.
 func TestDisableEndpoint(t *testing.T) {
-	w := start(t, 2, door)
+	w := start(t, 2, withOpsSocket)
 	sendSome := func(n int) {
 		for range n {
 			require.Equal(t, 200, w.send("consult").status)
@@ -187,17 +187,17 @@
 	}
 	w.until("both are used", func() bool { return reaches(0)() })
 	w.until("both are used", func() bool { return reaches(1)() })
-	w.yes("POST", "/ops/booking-servers/down", "s-0")
-	w.yes("POST", "/ops/booking-servers/down", "s-0")
+	w.requireOpsOK("POST", "/ops/booking-servers/down", "s-0")
+	w.requireOpsOK("POST", "/ops/booking-servers/down", "s-0")
 	w.until("connections to s-0 are closed", func() bool { return w.servers[0].openCount() == 0 })
 	before := len(w.servers[0].attempts())
 	sendSome(20)
-	w.until("watch", func() bool { return w.discovery.watched() == 1 })
-	w.discovery.say(list(50, true, w.servers[0].entry("active"), w.servers[1].entry("active")))
-	w.discovery.say(list(51, false, w.servers[0].entry("active")))
+	w.until("watch", func() bool { return w.discovery.watchCount() == 1 })
+	w.discovery.sendLine(listJSON(50, true, w.servers[0].entry("active"), w.servers[1].entry("active")))
+	w.discovery.sendLine(listJSON(51, false, w.servers[0].entry("active")))
 	for version := 52; version < 54; version += 2 {
-		w.discovery.say(list(version, false, w.servers[0].entry("left")))
-		w.discovery.say(list(version+1, false, w.servers[0].entry("active")))
+		w.discovery.sendLine(listJSON(version, false, w.servers[0].entry("left")))
+		w.discovery.sendLine(listJSON(version+1, false, w.servers[0].entry("active")))
 	}
 	for range 20 {
 		require.False(t, reaches(0)())
@@ -205,10 +205,10 @@
 	require.Len(t, w.servers[0].attempts(), before)
 	s := w.stats()
 	require.Equal(t, []int{2, 1}, []int{s.Size, s.Ejected})
-	w.yes("POST", "/ops/booking-servers/down", "s-1")
+	w.requireOpsOK("POST", "/ops/booking-servers/down", "s-1")
 	require.Equal(t, 503, w.send("consult").status, "all endpoints are disabled")
-	w.yes("POST", "/ops/booking-servers/up", "s-1")
-	w.yes("POST", "/ops/booking-servers/up", "s-0")
+	w.requireOpsOK("POST", "/ops/booking-servers/up", "s-1")
+	w.requireOpsOK("POST", "/ops/booking-servers/up", "s-0")
 	w.until("s-0 is used again", reaches(0))
 }
 
@@ -223,14 +223,14 @@
 // A drain is started and stopped by operators, in any order of calls: the agent is not ready meanwhile and closes its
 // clients' connections, but still answers requests.
 func TestManualDrain(t *testing.T) {
-	w := start(t, 1, door)
-	w.yes("POST", "/ops/drain/stop", "") // without a start
+	w := start(t, 1, withOpsSocket)
+	w.requireOpsOK("POST", "/ops/drain/stop", "") // without a start
 	idle := w.sendRaw("GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n")
 	_, err := idle.Read(make([]byte, 1))
 	require.NoError(t, err)
 	silent := w.sendRaw("")
 	for range 2 {
-		w.yes("POST", "/ops/drain/start", "")
+		w.requireOpsOK("POST", "/ops/drain/start", "")
 		require.Equal(t, 503, w.readyStatus())
 		require.Equal(t, []any{200, true}, w.statusAndClose(), "a request is served, and its connection closed")
 	}
@@ -239,8 +239,8 @@
 		_, err := io.Copy(io.Discard, c)
 		require.NoError(t, err, "idle connections are closed")
 	}
-	w.yes("POST", "/ops/drain/stop", "")
+	w.requireOpsOK("POST", "/ops/drain/stop", "")
 	require.Equal(t, 200, w.readyStatus())
 	require.Equal(t, []any{200, false}, w.statusAndClose())
-	w.yes("POST", "/ops/drain/start", "") // SIGTERM follows while drained
+	w.requireOpsOK("POST", "/ops/drain/start", "") // SIGTERM follows while drained
 }
--- a/cmd/dunestep/overload_test.go
+++ b/cmd/dunestep/overload_test.go
@@ -173,11 +173,11 @@
 				all.Wait()
 			}
 			run(3000)
-			cpu := w.cpu()
+			cpu := w.cpuTime()
 			b.ResetTimer()
 			run(int64(b.N))
 			b.StopTimer()
-			b.ReportMetric(float64((w.cpu()-cpu).Microseconds())/float64(b.N), "cpu-us/op")
+			b.ReportMetric(float64((w.cpuTime()-cpu).Microseconds())/float64(b.N), "cpu-us/op")
 		})
 	}
 }
--- a/cmd/dunestep/policy_test.go
+++ b/cmd/dunestep/policy_test.go
@@ -30,7 +30,7 @@
 	attempts  map[string]int // number of attempts of each request, by id
 }
 
-func (c *attemptCounter) answer(s lab.Step) standin.Reply {
+func (c *attemptCounter) answer(s lab.Attempt) standin.Reply {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	id := s.Request.Header.Get("X-Correlation-Id")
@@ -44,12 +44,12 @@
 // attemptsBy sends a request to an agent, and returns how many attempts the agent made; 0 if no endpoint received it.
 func (c *attemptCounter) attemptsBy(ctx context.Context, t *testing.T, a *lab.Agent) int {
 	t.Helper()
-	before := a.Steps()
-	_, _, err := a.Ask(ctx, "consult", fmt.Sprint("k", before))
+	before := a.Attempts()
+	_, _, err := a.Request(ctx, "consult", fmt.Sprint("k", before))
 	require.NoError(t, err)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if a.Steps() == before {
+	if a.Attempts() == before {
 		return 0
 	}
 	return c.attempts[c.latestIDs[a.Number]]
@@ -63,9 +63,9 @@
 	require.NoError(t, err)
 	c := &attemptCounter{latestIDs: map[int]string{}, attempts: map[string]int{}}
 	return lab.Open(t, lab.Options{
-		Agents: agents, Servers: 4, Program: program, Ops: true, Seed: 9, Answer: c.answer,
-		Shape: func(c *lab.Config) {
-			c.Operator = "[fleet]\non = true\npolicy = true\nvoters = [0, 1, 2]\nlease_ms = 2000\nheard_ms = 500\n[storm]\non = false\n"
+		Agents: agents, Servers: 4, Program: program, OperatorListener: true, Seed: 9, Respond: c.answer,
+		Configure: func(c *lab.Config) {
+			c.OperatorFile = "[fleet]\non = true\npolicy = true\nvoters = [0, 1, 2]\nlease_ms = 2000\nheard_ms = 500\n[storm]\non = false\n"
 			if shape != nil {
 				shape(c)
 			}
@@ -93,12 +93,12 @@
 func TestPolicyAppliesAtAllAgentsOrNone(t *testing.T) {
 	l, counter := policyLab(t, 5, func(c *lab.Config) {
 		if c.Agent == 3 { // its settings permit fewer attempts than those of the others
-			c.File["settings"].(map[string]any)["bounds"].(map[string]any)["sendCap"] = 2
+			c.ConfigFile["settings"].(map[string]any)["bounds"].(map[string]any)["sendCap"] = 2
 		}
 	})
 	ctx := t.Context()
 	require.NoError(t, l.StartAll(ctx))
-	require.NoError(t, l.Wait(ctx, "leases", all(l, full)))
+	require.NoError(t, l.Wait(ctx, "leases", allAgents(l, hasFullStanding)))
 	output, err := fleetCommand(t, l.Agent(1), "policy", "propose", attemptsDocument(t, 3, ""))
 	require.Error(t, err, output)
 	require.Contains(t, output, "not taken")
@@ -106,7 +106,7 @@
 	require.Equal(t, 3, counter.attemptsBy(ctx, t, l.Agent(0)), "the rejected policy is not applied")
 
 	l.Agent(4).Kill()
-	_, err = l.Spoil(mishap.Fault{Way: mishap.Way{Loss: 0.2, Double: 0.2}})
+	_, err = l.InjectNetworkFault(mishap.Fault{Impairment: mishap.Impairment{Loss: 0.2, Duplicate: 0.2}})
 	require.NoError(t, err)
 	output, err = fleetCommand(t, l.Agent(2), "policy", "propose", attemptsDocument(t, 2, ""))
 	require.NoError(t, err, output)
@@ -117,7 +117,7 @@
 	require.NoError(t, l.Agent(4).Start(ctx))
 	require.Equal(t, 2, counter.attemptsBy(ctx, t, l.Agent(4)), "the policy applies from the first request after the start")
 	var s policyState
-	require.NoError(t, opsClient{l.Agent(0).Ops}.call(http.MethodGet, "/ops/fleet/policy", "", &s))
+	require.NoError(t, opsClient{l.Agent(0).OperatorAddr}.call(http.MethodGet, "/ops/fleet/policy", "", &s))
 	limited := s.InForce.Number
 
 	output, err = fleetCommand(t, l.Agent(4), "policy", "propose", attemptsDocument(t, 0, ""))
@@ -142,12 +142,12 @@
 	l, counter := policyLab(t, 5, nil)
 	ctx := t.Context()
 	require.NoError(t, l.StartAll(ctx))
-	require.NoError(t, l.Wait(ctx, "leases", all(l, full)))
+	require.NoError(t, l.Wait(ctx, "leases", allAgents(l, hasFullStanding)))
 	output, err := fleetCommand(t, l.Agent(0), "policy", "propose", attemptsDocument(t, 3, floor))
 	require.NoError(t, err, output)
 	var ends []func()
-	for _, fault := range []mishap.Fault{{From: []int{4}, Way: mishap.Way{Cut: true}}, {To: []int{4}, Way: mishap.Way{Cut: true}}} {
-		end, spoilErr := l.Spoil(fault)
+	for _, fault := range []mishap.Fault{{From: []int{4}, Impairment: mishap.Impairment{Cut: true}}, {To: []int{4}, Impairment: mishap.Impairment{Cut: true}}} {
+		end, spoilErr := l.InjectNetworkFault(fault)
 		require.NoError(t, spoilErr)
 		ends = append(ends, end)
 	}
@@ -170,12 +170,12 @@
 	}
 	const agents = 40
 	l, counter := policyLab(t, agents, func(c *lab.Config) {
-		c.Operator = strings.Replace(c.Operator, "[0, 1, 2]", "[0, 8, 16, 24, 32]", 1)
+		c.OperatorFile = strings.Replace(c.OperatorFile, "[0, 1, 2]", "[0, 8, 16, 24, 32]", 1)
 	})
 	ctx := t.Context()
 	require.NoError(t, l.StartAll(ctx))
-	require.NoError(t, l.Wait(ctx, "leases", all(l, full)))
-	_, err := l.Spoil(mishap.Fault{Way: mishap.Way{Loss: 0.3, Double: 0.1}})
+	require.NoError(t, l.Wait(ctx, "leases", allAgents(l, hasFullStanding)))
+	_, err := l.InjectNetworkFault(mishap.Fault{Impairment: mishap.Impairment{Loss: 0.3, Duplicate: 0.1}})
 	require.NoError(t, err)
 	down := func(a *lab.Agent) bool { return a.Number%5 == 3 }
 	for _, a := range l.Agents() {
--- a/cmd/dunestep/policyfaults_test.go
+++ b/cmd/dunestep/policyfaults_test.go
@@ -150,7 +150,7 @@
 	output, err := w.propose(w.lab.Agent(3), 4, "--wait", "1s")
 	require.ErrorContains(t, err, "exit status", output)
 	require.NoError(t, w.lab.StartAll(ctx))
-	require.NoError(t, w.lab.Wait(ctx, "leases again", all(w.lab, full)))
+	require.NoError(t, w.lab.Wait(ctx, "leases again", allAgents(w.lab, hasFullStanding)))
 	if isAccepted := w.awaitOutcome(w.lab.Agent(3), 4); isAccepted {
 		w.awaitInForce(4)
 	}
@@ -174,7 +174,7 @@
 				a.Kill()
 			}
 			require.NoError(t, w.lab.StartAll(t.Context()))
-			require.NoError(t, w.lab.Wait(t.Context(), "leases again", all(w.lab, full)))
+			require.NoError(t, w.lab.Wait(t.Context(), "leases again", allAgents(w.lab, hasFullStanding)))
 			if storage == inFolders {
 				w.finish(4, accepted)
 				return
@@ -197,7 +197,7 @@
 			result = w.proposeInBackground(w.lab.Agent(0), 3)
 		}
 		a.Drain()
-		require.NoError(t, w.lab.Wait(t.Context(), a.Name+" has ended", func() bool { return !a.Runs() }))
+		require.NoError(t, w.lab.Wait(t.Context(), a.Name+" has ended", func() bool { return !a.IsRunning() }))
 		require.NoError(t, a.Start(t.Context()))
 	}
 	second := <-result
@@ -213,7 +213,7 @@
 	w.startPendingRequest(t.Context(), paused)
 	paused.Pause()
 	pausedAt := sinceEpoch()
-	heal, err := w.lab.Spoil(mishap.Fault{To: []int{4}, Way: mishap.Way{Cut: true}}) // it receives nothing after the pause
+	heal, err := w.lab.InjectNetworkFault(mishap.Fault{To: []int{4}, Impairment: mishap.Impairment{Cut: true}}) // it receives nothing after the pause
 	require.NoError(t, err)
 	output, err := w.propose(w.lab.Agent(1), 4)
 	require.NoError(t, err, output)
@@ -236,9 +236,9 @@
 // Proposals are decided and applied while 30 % of the datagrams are lost, 20 % duplicated and 20 % delayed by up to 2 s.
 func TestPolicyUnderDatagramLoss(t *testing.T) {
 	w := newObservedLab(t, 5, inMemory, nil)
-	_, err := w.lab.Spoil(mishap.Fault{Way: mishap.Way{
-		Loss: 0.3, Double: 0.2, Reorder: 0.2,
-		Held: scenario.TimeSpan{High: 2 * time.Second},
+	_, err := w.lab.InjectNetworkFault(mishap.Fault{Impairment: mishap.Impairment{
+		Loss: 0.3, Duplicate: 0.2, Reorder: 0.2,
+		HoldTime: scenario.TimeSpan{High: 2 * time.Second},
 	}})
 	require.NoError(t, err)
 	lastAccepted := 0
@@ -280,11 +280,11 @@
 			w.lab.Agent(4).Pause()
 			result := w.proposeInBackground(other, 4)
 			w.awaitOpenChange(other)
-			fault := mishap.Fault{From: []int{leading.Number}, Way: mishap.Way{Cut: true}}
+			fault := mishap.Fault{From: []int{leading.Number}, Impairment: mishap.Impairment{Cut: true}}
 			if toLeader {
-				fault = mishap.Fault{To: []int{leading.Number}, Way: mishap.Way{Cut: true}}
+				fault = mishap.Fault{To: []int{leading.Number}, Impairment: mishap.Impairment{Cut: true}}
 			}
-			heal, err := w.lab.Spoil(fault)
+			heal, err := w.lab.InjectNetworkFault(fault)
 			require.NoError(t, err)
 			w.lab.Agent(4).Resume()
 			require.NoError(t, w.lab.Wait(t.Context(), "another agent leads", func() bool {
@@ -310,10 +310,10 @@
 	minority, majority := []int{0, 3}, []int{1, 2, 4}
 	var heal []func()
 	for _, fault := range []mishap.Fault{
-		{From: minority, To: majority, Way: mishap.Way{Cut: true}},
-		{From: majority, To: minority, Way: mishap.Way{Cut: true}},
+		{From: minority, To: majority, Impairment: mishap.Impairment{Cut: true}},
+		{From: majority, To: minority, Impairment: mishap.Impairment{Cut: true}},
 	} {
-		end, err := w.lab.Spoil(fault)
+		end, err := w.lab.InjectNetworkFault(fault)
 		require.NoError(t, err)
 		heal = append(heal, end)
 	}
@@ -351,7 +351,7 @@
 		t.Run(name, func(t *testing.T) {
 			folder := ""
 			w := newObservedLab(t, 5, inFolders, func(c *lab.Config) {
-				if _, rest, ok := strings.Cut(c.Operator, "folder = "); ok && c.Agent == 1 {
+				if _, rest, ok := strings.Cut(c.OperatorFile, "folder = "); ok && c.Agent == 1 {
 					_, err := fmt.Sscanf(rest, "%q", &folder)
 					require.NoError(t, err)
 				}
@@ -368,7 +368,7 @@
 			require.NoError(t, err)
 			require.NoError(t, os.WriteFile(files[0], damage(content), 0o600))
 			require.NoError(t, voter.Start(ctx))
-			require.True(t, voter.Said("the voter's store cannot be used"))
+			require.True(t, voter.LogContains("the voter's store cannot be used"))
 			require.Nil(t, statusAt(voter).Voter)
 			require.True(t, w.awaitOutcome(voter, 3))
 			w.awaitInForce(3)
@@ -391,10 +391,10 @@
 	t.Parallel()
 	program, err := plainBinary()
 	require.NoError(t, err)
-	l := lab.Open(t, lab.Options{Agents: 6, Program: program, Ops: true, Seed: 3, Shape: func(c *lab.Config) {
-		c.Operator = "[fleet]\non = true\nvoters = [0, 1, 2]\nlease_ms = 2000\nheard_ms = 500\n"
+	l := lab.Open(t, lab.Options{Agents: 6, Program: program, OperatorListener: true, Seed: 3, Configure: func(c *lab.Config) {
+		c.OperatorFile = "[fleet]\non = true\nvoters = [0, 1, 2]\nlease_ms = 2000\nheard_ms = 500\n"
 		if c.Agent != 1 {
-			c.Operator += "here_cold = true\nhere_shares = true\nhere_storm = true\n"
+			c.OperatorFile += "here_cold = true\nhere_shares = true\nhere_storm = true\n"
 		}
 	}})
 	ctx := t.Context()
@@ -403,8 +403,8 @@
 	awaitLog := func(text string) {
 		t.Helper()
 		logged := 0
-		require.NoError(t, l.Wait(ctx, text, func() bool { return a.SaidSince(logged, text) }))
-		logged = a.Logged()
+		require.NoError(t, l.Wait(ctx, text, func() bool { return a.LogContainsSince(logged, text) }))
+		logged = a.LogLines()
 	}
 	awaitLog("there=6 counted=6")
 	for _, n := range []int{4, 5} {
@@ -413,11 +413,11 @@
 	awaitLog("there=4 counted=4")
 	require.NoError(t, l.StartAll(ctx))
 	require.NoError(t, l.Wait(ctx, "all agents are present", func() bool { return statusAt(a).Present == 6 }))
-	heal, err := l.Spoil(mishap.Fault{To: []int{0}, Way: mishap.Way{Cut: true}})
+	heal, err := l.InjectNetworkFault(mishap.Fault{To: []int{0}, Impairment: mishap.Impairment{Cut: true}})
 	require.NoError(t, err)
 	awaitLog("there=0 counted=6")
 	heal()
-	require.False(t, l.Agent(1).Said("number of present agents changed"))
+	require.False(t, l.Agent(1).LogContains("number of present agents changed"))
 	require.Empty(t, l.EndAll())
 }
 
@@ -442,7 +442,7 @@
 		if c.Agent < 3 {
 			folder := voterFolder(t, folders, c.Agent)
 			c.Program, _ = wrapWithSmallDisk(t, c.Program, folder)
-			c.Operator = strings.Replace(c.Operator, "[storm]", fmt.Sprintf("folder = %q\n[storm]", folder), 1)
+			c.OperatorFile = strings.Replace(c.OperatorFile, "[storm]", fmt.Sprintf("folder = %q\n[storm]", folder), 1)
 		}
 	})
 	leading := leader(w.lab)
@@ -458,13 +458,13 @@
 	longDocument := attemptsDocument(t, 0, "# "+strings.Repeat("much to write ", 900)+"\n")
 	text, err := os.ReadFile(longDocument)
 	require.NoError(t, err)
-	for n := 0; !leading.Said("the voter's log cannot be written"); n++ {
+	for n := 0; !leading.LogContains("the voter's log cannot be written"); n++ {
 		require.Less(t, n, 200)
 		var outcome policyOutcome
 		path := fmt.Sprintf("/ops/fleet/policy/propose?id=attempts-%d-%d&within_ms=500", initialMaxAttempts, n)
-		require.NoError(t, opsClient{w.lab.Agent(3 + n%2).Ops}.call(http.MethodPost, path, string(text), &outcome))
+		require.NoError(t, opsClient{w.lab.Agent(3 + n%2).OperatorAddr}.call(http.MethodPost, path, string(text), &outcome))
 		require.NoError(t, w.lab.Wait(t.Context(), "the proposal is in the log", func() bool {
-			callErr := opsClient{w.lab.Agent(3 + n%2).Ops}.call(http.MethodGet,
+			callErr := opsClient{w.lab.Agent(3 + n%2).OperatorAddr}.call(http.MethodGet,
 				fmt.Sprintf("/ops/fleet/policy/outcome?id=attempts-%d-%d", initialMaxAttempts, n), "", &outcome)
 			s, ok := policiesAt(w.lab.Agent(3 + n%2))
 			return callErr == nil && outcome.Status != policy.StatusUnknown.String() || ok && s.Open != nil && s.Open.ProposalID == outcome.ID
@@ -502,7 +502,7 @@
 		if c.Agent%2 == 1 {
 			c.Program = earlier
 		} else {
-			c.Operator = strings.Replace(c.Operator, "policy = true\n", "policy = true\nwindows = true\n", 1)
+			c.OperatorFile = strings.Replace(c.OperatorFile, "policy = true\n", "policy = true\nwindows = true\n", 1)
 		}
 	})
 	for _, attempts := range []int{4, 3} {
--- a/cmd/dunestep/requests_test.go
+++ b/cmd/dunestep/requests_test.go
@@ -248,7 +248,7 @@
 // The close of an idle connection is noticed while it is idle. A write to it would be answered by a reset.
 func TestIdleConnectionCloseIsDetected(t *testing.T) {
 	w := start(t, 1)
-	w.until("watch", func() bool { return w.discovery.watched() == 1 })
+	w.until("watch", func() bool { return w.discovery.watchCount() == 1 })
 	before := w.descriptors()
 	for range 10 {
 		require.Equal(t, 200, w.send("rezervare").status)
--- a/cmd/dunestep/restart_test.go
+++ b/cmd/dunestep/restart_test.go
@@ -24,8 +24,8 @@
 	"dunestep/internal/state"
 )
 
-// again launches the program again after its exit, and waits until it is ready.
-func (w *testbed) again() {
+// relaunch launches the program again after its exit, and waits until it is ready.
+func (w *testbed) relaunch() {
 	w.exited = make(chan struct{})
 	w.launch()
 	w.until("ready again", func() bool { return w.readyStatus() == http.StatusOK })
@@ -39,8 +39,8 @@
 	return few
 }
 
-// busy answers after 20 to 60 ms.
-func busy(s upstreamAttempt) string {
+// answerSlowly answers after 20 to 60 ms.
+func answerSlowly(s upstreamAttempt) string {
 	time.Sleep(20*time.Millisecond + rand.N(40*time.Millisecond))
 	return ok(s)
 }
@@ -52,9 +52,9 @@
 	return float64(s.served.Load()) / float64(max(s.sent.Load(), 1))
 }
 
-// offer sends 60 requests per second, 70 % of them idempotent, and returns the counts of the idempotent and the
+// offerLoad sends 60 requests per second, 70 % of them idempotent, and returns the counts of the idempotent and the
 // non-idempotent class.
-func (w *testbed) offer(duration time.Duration) (idempotent, nonIdempotent *serviceCount) {
+func (w *testbed) offerLoad(duration time.Duration) (idempotent, nonIdempotent *serviceCount) {
 	idempotent, nonIdempotent = &serviceCount{}, &serviceCount{}
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}, Timeout: 3 * time.Second}
 	defer client.CloseIdleConnections()
@@ -88,8 +88,8 @@
 
 // fillBacklog makes the server accept no more connections and fills its backlog, so that new ones are never established.
 func (s *server) fillBacklog(t *testing.T) {
-	require.NoError(t, s.socket.Mute())
-	s.socket.HangUp()
+	require.NoError(t, s.socket.IgnoreConnections())
+	s.socket.CloseConnections()
 	for connected := true; connected; { // until the backlog is full
 		c, err := net.DialTimeout("tcp", s.socket.Addr(), 200*time.Millisecond)
 		if connected = err == nil; connected {
@@ -113,7 +113,7 @@
 		for run := range repeatCount(1) {
 			t.Run(fmt.Sprint(name, " ", run), func(t *testing.T) {
 				w := newTestbed(t, 10)
-				w.answerAll(busy)
+				w.answerAll(answerSlowly)
 				for _, s := range w.servers[:5] {
 					disable(t, s)
 				}
@@ -122,27 +122,27 @@
 					listed = append(listed, s.entry("active"))
 				}
 				w.config["known"].(object)["servers"] = listed
-				w.discovery.set(503, false)
+				w.discovery.setResponse(503, false)
 				w.operatorFile = "[state]\nprove_list = " + strconv.FormatBool(os.Getenv("RESTART_UNPROVED") == "")
 				w.start()
 				duration := 3 * time.Second
 				if repeatCount(1) > 1 {
 					duration = 10 * time.Second
 				}
-				idempotent, nonIdempotent := w.offer(duration)
+				idempotent, nonIdempotent := w.offerLoad(duration)
 				t.Logf("%s: consult %.4f rezervare %.4f", name, idempotent.servedFraction(), nonIdempotent.servedFraction())
 				if os.Getenv("RESTART_UNPROVED") == "" {
 					require.Greater(t, min(idempotent.servedFraction(), nonIdempotent.servedFraction()), 0.9)
 				}
 				require.Contains(t, w.log.String(), "discovery not reachable since the start")
 
-				w.discovery.set(200, false)
-				w.until("watch", func() bool { return w.discovery.watched() == 1 })
+				w.discovery.setResponse(200, false)
+				w.until("watch", func() bool { return w.discovery.watchCount() == 1 })
 				var removed []object
 				for _, s := range w.servers[:6] { // one of these was serving
 					removed = append(removed, s.entry("left"))
 				}
-				w.discovery.say(list(42, false, removed...))
+				w.discovery.sendLine(listJSON(42, false, removed...))
 				w.until("list confirmed", func() bool { return strings.Contains(w.log.String(), "discovery confirmed the endpoint list") })
 				before := make([]int, 6)
 				for i, s := range w.servers[:6] {
@@ -159,15 +159,15 @@
 	}
 }
 
-// keeping makes the program store its state in a folder, and returns that folder. More is added to the operator file.
-func (w *testbed) keeping(more string) string {
+// keepState makes the program store its state in a folder, and returns that folder. More is added to the operator file.
+func (w *testbed) keepState(more string) string {
 	path := w.t.TempDir()
 	w.operatorFile = fmt.Sprintf("[state]\nfolder = %q\nperiod_s = 1\nwrites_a_minute = 60\n%s", path, more)
 	return path
 }
 
-// newest returns the newest state file of a folder; nil: it has none.
-func newest(t *testing.T, path string) (newest *state.File) {
+// newestState returns the newest state file of a folder; nil: it has none.
+func newestState(t *testing.T, path string) (newest *state.File) {
 	for _, name := range []string{"state-a", "state-b"} {
 		raw, err := os.ReadFile(filepath.Join(path, name))
 		if os.IsNotExist(err) {
@@ -214,13 +214,13 @@
 // folder runs without stored state and does not overwrite the first agent's.
 func TestStateIsRestored(t *testing.T) {
 	w := newTestbed(t, 3)
-	path := w.keeping("")
-	w.answerAll(busy)
+	path := w.keepState("")
+	w.answerAll(answerSlowly)
 	w.servers[0].setAnswer(func(upstreamAttempt) string { return silence })
 	w.start()
-	w.until("watch", func() bool { return w.discovery.watched() == 1 })
-	w.discovery.say(list(77, false, w.servers[1].entry("active")))
-	w.offer(2 * time.Second)
+	w.until("watch", func() bool { return w.discovery.watchCount() == 1 })
+	w.discovery.sendLine(listJSON(77, false, w.servers[1].entry("active")))
+	w.offerLoad(2 * time.Second)
 	w.until("s-0 ejected", func() bool { return strings.Contains(w.log.String(), "server s-0 ejected") })
 
 	log, end := w.startSecondAgent()
@@ -229,7 +229,7 @@
 	end()
 
 	require.Zero(t, w.stop())
-	stored := newest(t, path)
+	stored := newestState(t, path)
 	require.Equal(t, "n0", stored.Owner.Agent)
 	require.Equal(t, int64(77), stored.List.Version)
 	require.True(t, stored.Balancer.Servers[0].Outlier.Ejected)
@@ -238,13 +238,13 @@
 	require.Contains(t, string(out), w.servers[1].socket.Addr())
 
 	attemptsBefore := len(w.servers[0].attempts())
-	w.again()
+	w.relaunch()
 	require.Contains(t, w.log.String(), "state restored")
 	w.until("watch from the restored version", func() bool {
-		calls := w.discovery.called()
+		calls := w.discovery.callTargets()
 		return strings.HasSuffix(calls[len(calls)-1], "from=77")
 	})
-	idempotent, nonIdempotent := w.offer(2 * time.Second)
+	idempotent, nonIdempotent := w.offerLoad(2 * time.Second)
 	require.InDelta(t, 1.0, nonIdempotent.servedFraction(), 0)
 	require.Greater(t, idempotent.servedFraction(), 0.97)
 	require.Less(t, len(w.servers[0].attempts())-attemptsBefore, 6, "probes only")
@@ -253,18 +253,18 @@
 	// A damaged file is logged, and the agent starts without it.
 	require.NoError(t, os.WriteFile(filepath.Join(path, "state-a"), []byte("DUNESTEP, but nothing that fits"), 0o600))
 	require.NoError(t, os.Remove(filepath.Join(path, "state-b")))
-	w.again()
+	w.relaunch()
 	require.Contains(t, w.log.String(), "damaged")
 	require.Equal(t, 200, w.send("rezervare").status)
 	require.Zero(t, w.stop())
-	require.NotNil(t, newest(t, path))
+	require.NotNil(t, newestState(t, path))
 	require.Error(t, exec.Command(raceBinary, "state", "check", w.configPath).Run())
 }
 
 // The process is killed repeatedly, also while it writes its state at the end. Every start finds a complete file.
 func TestKillLeavesReadableState(t *testing.T) {
 	w := newTestbed(t, 2)
-	path := w.keeping("")
+	path := w.keepState("")
 	w.start()
 	last := uint64(0)
 	for range repeatCount(12) {
@@ -273,11 +273,11 @@
 		time.Sleep(rand.N(8 * time.Millisecond))
 		require.NoError(t, w.process.Process.Kill())
 		await(t, w.exited)
-		if stored := newest(t, path); stored != nil {
+		if stored := newestState(t, path); stored != nil {
 			require.GreaterOrEqual(t, stored.Generation, last)
 			last = stored.Generation
 		}
-		w.again()
+		w.relaunch()
 		require.NotRegexp(t, "not restored|not applied|cannot be used|takeover from the running process failed", w.log.String())
 	}
 	require.NotZero(t, last)
--- a/cmd/dunestep/ring_test.go
+++ b/cmd/dunestep/ring_test.go
@@ -36,20 +36,20 @@
 	program, err := plainBinary()
 	require.NoError(t, err)
 	l := lab.Open(t, lab.Options{
-		Agents: 5, Servers: 4, Program: program, Ops: true, Seed: 13, Patience: 3 * time.Minute,
-		Shape: func(c *lab.Config) {
-			c.Operator = "[fleet]\non = true\npolicy = true\nplacement = true\nvoters = [0, 1, 2]\nlease_ms = 2000\nheard_ms = 500\n"
+		Agents: 5, Servers: 4, Program: program, OperatorListener: true, Seed: 13, WaitTimeout: 3 * time.Minute,
+		Configure: func(c *lab.Config) {
+			c.OperatorFile = "[fleet]\non = true\npolicy = true\nplacement = true\nvoters = [0, 1, 2]\nlease_ms = 2000\nheard_ms = 500\n"
 		},
 	})
 	ctx := t.Context()
-	l.List(3, "left")
+	l.SetServerState(3, "left")
 	require.NoError(t, l.StartAll(ctx))
-	require.NoError(t, l.Wait(ctx, "all agents use a generation", all(l, func(a *lab.Agent, s fleetStatus) bool {
+	require.NoError(t, l.Wait(ctx, "all agents use a generation", allAgents(l, func(a *lab.Agent, s fleetStatus) bool {
 		return s.Ring != nil && s.Ring.Active > 0 && s.Ring.Active == statusAt(l.Agent(0)).Ring.Active
 	})))
 	full := ringServerAt(l.Agent(0), "s-0").Points
 	require.Positive(t, full)
-	l.List(3, "active")
+	l.SetServerState(3, "active")
 	steps := map[int]bool{}
 	require.NoError(t, l.Wait(ctx, "s-3 has all its points", func() bool {
 		now := ringServerAt(l.Agent(4), "s-3").Points
@@ -59,7 +59,7 @@
 	require.Greater(t, len(steps), 5, "the points grow in steps")
 	keysServedByS3 := func(a *lab.Agent, keys []string) (sentToS3 []string) {
 		for _, key := range keys {
-			_, body, askErr := a.Ask(ctx, "consult", key)
+			_, body, askErr := a.Request(ctx, "consult", key)
 			require.NoError(t, askErr)
 			if strings.Contains(body, "s-3") {
 				sentToS3 = append(sentToS3, key)
@@ -75,11 +75,11 @@
 	require.NotEmpty(t, keysOfS3)
 	withoutKeys := 0
 	for range 3 {
-		l.List(3, "left")
-		require.NoError(t, l.Wait(ctx, "s-3 has no keys at any agent", all(l, func(a *lab.Agent, s fleetStatus) bool {
+		l.SetServerState(3, "left")
+		require.NoError(t, l.Wait(ctx, "s-3 has no keys at any agent", allAgents(l, func(a *lab.Agent, s fleetStatus) bool {
 			return s.Ring.Active == s.Ring.Generation && ringServerAt(a, "s-3").Points == 0
 		})))
-		l.List(3, "active")
+		l.SetServerState(3, "active")
 		for _, a := range l.Agents() {
 			sentToS3 := keysServedByS3(a, keysOfS3)
 			if ringServerAt(a, "s-3").Points == 0 { // it has not rejoined meanwhile
@@ -108,22 +108,22 @@
 	t.Parallel()
 	program, err := plainBinary()
 	require.NoError(t, err)
-	settings := lab.Deployment()
+	settings := lab.DefaultSettings()
 	settings.Tenants = []balancer.Tenant{{Name: "east", QuotaPerSecond: 1000, Share: 1}}
 	r := &windowObserver{t: t}
 	r.Lab = lab.Open(t, lab.Options{
-		Agents: 5, Servers: 4, Program: program, Ops: true, Seed: 17, Settings: settings,
-		Patience: 3 * time.Minute, Answer: func(s lab.Step) standin.Reply {
+		Agents: 5, Servers: 4, Program: program, OperatorListener: true, Seed: 17, Settings: settings,
+		WaitTimeout: 3 * time.Minute, Respond: func(s lab.Attempt) standin.Reply {
 			return standin.Reply{Status: http.StatusOK, Body: fmt.Sprint("s-", s.Server)}
 		},
-		Shape: func(c *lab.Config) { c.Operator = shortTerms + "placement = true\n" },
+		Configure: func(c *lab.Config) { c.OperatorFile = shortFleetTimes + "placement = true\n" },
 	})
 	ctx := t.Context()
 	require.NoError(t, r.StartAll(ctx))
-	require.NoError(t, r.Wait(ctx, "leases", all(r.Lab, full)))
+	require.NoError(t, r.Wait(ctx, "leases", allAgents(r.Lab, hasFullStanding)))
 	r.propose(permissiveContracts)
 	allAgents := func(condition func(a *lab.Agent) bool) func() bool {
-		return all(r.Lab, func(a *lab.Agent, s fleetStatus) bool { return s.Ring != nil && s.Ring.Active > 0 && condition(a) })
+		return allAgents(r.Lab, func(a *lab.Agent, s fleetStatus) bool { return s.Ring != nil && s.Ring.Active > 0 && condition(a) })
 	}
 	require.NoError(t, r.Wait(ctx, "s-0 is whole at all agents", allAgents(func(a *lab.Agent) bool {
 		return ringServerAt(a, "s-0").Phase == "whole"
@@ -131,14 +131,14 @@
 	output, err := r.requestWindow(3, "w", "s-0", "+8s", "+32s", "--tenant", "-", "--pace", "1")
 	require.NoError(t, err, output)
 	w := r.awaitState(0, "w", "drained", "free")
-	r.List(0, "left")
-	r.List(1, "left")
+	r.SetServerState(0, "left")
+	r.SetServerState(1, "left")
 	require.NoError(t, r.Wait(ctx, "the ring has dropped s-1", allAgents(func(a *lab.Agent) bool {
 		return ringServerAt(a, "s-1").Points == 0
 	})))
 	heal := r.cutOff(4)
 	defer heal()
-	r.List(0, "active")
+	r.SetServerState(0, "active")
 	require.Less(t, time.Now(), w.ReturnFrom, "the window must not be over yet")
 	for _, a := range r.Agents() {
 		require.Equal(t, "whole", ringServerAt(a, "s-0").Phase)
@@ -148,7 +148,7 @@
 	for n, a := range r.Agents() {
 		received := 0
 		for i := range 60 {
-			_, body, err := a.AskFor(ctx, "east", "consult", fmt.Sprint("k", i))
+			_, body, err := a.RequestForTenant(ctx, "east", "consult", fmt.Sprint("k", i))
 			require.NoError(t, err)
 			if body == "s-0" {
 				received++
@@ -170,16 +170,16 @@
 	program, err := plainBinary()
 	require.NoError(t, err)
 	l := lab.Open(t, lab.Options{
-		Agents: 5, Servers: 5, Program: program, Ops: true, Seed: 19, Patience: 3 * time.Minute,
+		Agents: 5, Servers: 5, Program: program, OperatorListener: true, Seed: 19, WaitTimeout: 3 * time.Minute,
 		Kinds: []string{"rapid", "rapid", "lent", "lent", "lent"},
-		Answer: func(s lab.Step) standin.Reply {
+		Respond: func(s lab.Attempt) standin.Reply {
 			if s.Server < 2 {
 				time.Sleep(40 * time.Millisecond)
 			}
 			return standin.Reply{Status: http.StatusOK, Body: fmt.Sprint("s-", s.Server)}
 		},
-		Shape: func(c *lab.Config) {
-			c.Operator = "[fleet]\non = true\npolicy = true\nplacement = true\npaces = true\nvoters = [0, 1, 2]\nlease_ms = 2000\nheard_ms = 500\n"
+		Configure: func(c *lab.Config) {
+			c.OperatorFile = "[fleet]\non = true\npolicy = true\nplacement = true\npaces = true\nvoters = [0, 1, 2]\nlease_ms = 2000\nheard_ms = 500\n"
 		},
 	})
 	ctx := t.Context()
@@ -192,7 +192,7 @@
 			for c := range 4 {
 				wait.Go(func() {
 					for n := 0; loading.Err() == nil; n++ {
-						_, _, _ = l.Agent(a).Ask(loading, "consult", fmt.Sprint("k", c, "-", n%64))
+						_, _, _ = l.Agent(a).Request(loading, "consult", fmt.Sprint("k", c, "-", n%64))
 						select {
 						case <-time.After(10 * time.Millisecond):
 						case <-loading.Done():
@@ -215,14 +215,14 @@
 	startLoad(0, 3)
 	require.NoError(t, l.Wait(ctx, "two agents report", reporters(2)))
 	before := statusAt(l.Agent(0)).Ring.Generation
-	l.List(4, "left")
-	require.NoError(t, l.Wait(ctx, "the next generation", all(l, func(_ *lab.Agent, s fleetStatus) bool {
+	l.SetServerState(4, "left")
+	require.NoError(t, l.Wait(ctx, "the next generation", allAgents(l, func(_ *lab.Agent, s fleetStatus) bool {
 		return s.Ring.Generation > before && s.Ring.Active == s.Ring.Generation
 	})))
 	require.Empty(t, statusAt(l.Agent(0)).Ring.Paces)
-	l.List(4, "active")
+	l.SetServerState(4, "active")
 	startLoad(4)
-	require.NoError(t, l.Wait(ctx, "the pace is agreed on", all(l, func(_ *lab.Agent, s fleetStatus) bool { return len(s.Ring.Paces) > 0 })))
+	require.NoError(t, l.Wait(ctx, "the pace is agreed on", allAgents(l, func(_ *lab.Agent, s fleetStatus) bool { return len(s.Ring.Paces) > 0 })))
 	require.Equal(t, map[string]float64{"rapid": 0.9}, statusAt(l.Agent(1)).Ring.Paces, "at most 10 % per step")
 	output, err := fleetCommand(t, l.Agent(2), "status")
 	require.NoError(t, err, output)
--- a/cmd/dunestep/ringfaults_test.go
+++ b/cmd/dunestep/ringfaults_test.go
@@ -40,16 +40,16 @@
 	program, err := plainBinary()
 	require.NoError(t, err)
 	r := &ringObserver{t: t, points: map[uint64]map[string]int{}}
-	options.Program, options.Ops, options.Seed, options.Patience = program, true, 17, 3*time.Minute
-	options.Shape = func(c *lab.Config) {
-		c.Operator = "[fleet]\non = true\npolicy = true\nplacement = true\nvoters = [0, 1, 2]\nlease_ms = 2000\nheard_ms = 500\n"
+	options.Program, options.OperatorListener, options.Seed, options.WaitTimeout = program, true, 17, 3*time.Minute
+	options.Configure = func(c *lab.Config) {
+		c.OperatorFile = "[fleet]\non = true\npolicy = true\nplacement = true\nvoters = [0, 1, 2]\nlease_ms = 2000\nheard_ms = 500\n"
 	}
 	r.Lab = lab.Open(t, options)
 	for n := listed; n < options.Servers; n++ {
-		r.List(n, "left")
+		r.SetServerState(n, "left")
 	}
 	require.NoError(t, r.StartAll(t.Context()))
-	require.NoError(t, r.Wait(t.Context(), "all agents use a generation", all(r.Lab, func(_ *lab.Agent, s fleetStatus) bool {
+	require.NoError(t, r.Wait(t.Context(), "all agents use a generation", allAgents(r.Lab, func(_ *lab.Agent, s fleetStatus) bool {
 		return s.Ring != nil && s.Ring.Active > 0
 	})))
 	ctx, cancel := context.WithCancel(context.Background())
@@ -121,9 +121,9 @@
 func (r *ringObserver) checkServed() {
 	for _, a := range r.Agents() {
 		for n := range 10 {
-			status, _, err := a.Ask(r.t.Context(), "consult", fmt.Sprint("k", n))
+			status, _, err := a.Request(r.t.Context(), "consult", fmt.Sprint("k", n))
 			if err == nil && status == 503 {
-				status, _, err = a.Ask(r.t.Context(), "consult", fmt.Sprint("k", n))
+				status, _, err = a.Request(r.t.Context(), "consult", fmt.Sprint("k", n))
 			}
 			assert.NoError(r.t, err) //nolint:testifylint // require may not be called from another goroutine
 			assert.Equal(r.t, 200, status)
@@ -138,7 +138,7 @@
 		var first []string
 		for _, a := range r.Agents() {
 			for n := range 30 {
-				_, body, err := a.Ask(r.t.Context(), "consult", fmt.Sprint("k", n))
+				_, body, err := a.Request(r.t.Context(), "consult", fmt.Sprint("k", n))
 				if len(first) <= n {
 					first = append(first, body)
 				}
@@ -162,10 +162,10 @@
 	kinds := slices.Repeat([]string{"rapid", "lent"}, 8)
 	r := newRingObserver(t, lab.Options{Agents: 5, Servers: 16, Kinds: kinds}, 10)
 	for n := range 6 {
-		r.List(10+n, "active")
-		r.List(n, "leaving")
+		r.SetServerState(10+n, "active")
+		r.SetServerState(n, "leaving")
 		r.wait(time.Second)
-		r.List(n, "left")
+		r.SetServerState(n, "left")
 		r.checkServed()
 	}
 	r.until("only the new servers have points", func() bool {
@@ -187,18 +187,18 @@
 	lost := []int{0, 1}
 	for _, n := range lost {
 		for _, a := range r.Agents() {
-			a.Server(n).Refuse()
-			a.Server(n).HangUp()
+			a.Server(n).RefuseConnections()
+			a.Server(n).CloseConnections()
 		}
-		r.List(n, "left")
+		r.SetServerState(n, "left")
 	}
 	r.until("no server of the zone has points", func() bool { return r.pointsOf(0) <= 0 && r.pointsOf(1) <= 0 })
 	r.checkServed()
 	for _, n := range lost {
 		for _, a := range r.Agents() {
-			require.NoError(t, a.Server(n).Accept())
+			require.NoError(t, a.Server(n).AcceptConnections())
 		}
-		r.List(n, "active")
+		r.SetServerState(n, "active")
 	}
 	r.until("both servers have points again", func() bool { return r.pointsOf(0) > 0 && r.pointsOf(1) > 0 })
 	r.checkServed()
@@ -233,17 +233,17 @@
 	r := newRingObserver(t, lab.Options{Agents: 5, Servers: 5}, 4)
 	var ends []func()
 	for _, n := range []int{0, 3, 4} {
-		ends = append(ends, r.Agent(n).Hinder("discovery", scenario.StreamSilent))
+		ends = append(ends, r.Agent(n).InjectStreamFault("discovery", scenario.StreamSilent))
 	}
-	r.List(4, "active")
-	r.List(0, "leaving")
+	r.SetServerState(4, "active")
+	r.SetServerState(0, "leaving")
 	r.wait(5 * time.Second)
 	r.checkServed()
 	for _, end := range ends {
 		end()
 	}
 	r.until("the new server has points, the drained one none", func() bool { return r.pointsOf(4) > 0 && r.pointsOf(0) <= 0 })
-	r.List(0, "left")
+	r.SetServerState(0, "left")
 	r.finish()
 	require.Empty(t, r.EndAll())
 }
@@ -252,18 +252,18 @@
 // agree on, and all agents do once they are connected again.
 func TestRingWithAgentsCutOff(t *testing.T) {
 	r := newRingObserver(t, lab.Options{Agents: 6, Servers: 9}, 6)
-	_, err := r.Spoil(mishap.Fault{Way: mishap.Way{Loss: 0.2}})
+	_, err := r.InjectNetworkFault(mishap.Fault{Impairment: mishap.Impairment{Loss: 0.2}})
 	require.NoError(t, err)
 	cut := []int{4, 5}
 	var ends []func()
-	for _, fault := range []mishap.Fault{{From: cut, Way: mishap.Way{Cut: true}}, {To: cut, Way: mishap.Way{Cut: true}}} {
-		end, err := r.Spoil(fault)
+	for _, fault := range []mishap.Fault{{From: cut, Impairment: mishap.Impairment{Cut: true}}, {To: cut, Impairment: mishap.Impairment{Cut: true}}} {
+		end, err := r.InjectNetworkFault(fault)
 		require.NoError(t, err)
 		ends = append(ends, end)
 	}
 	for n := range 3 { // more than one generation, before the leases of the agents cut off expire
-		r.List(6+n, "active")
-		r.List(n, "leaving")
+		r.SetServerState(6+n, "active")
+		r.SetServerState(n, "leaving")
 		r.wait(400 * time.Millisecond)
 	}
 	r.until("s-8 has points at the connected agents", func() bool { return r.pointsOf(8) > 0 && ringServerAt(r.Agent(3), "s-8").Points > 0 })
--- a/cmd/dunestep/ringforms.go
+++ b/cmd/dunestep/ringforms.go
@@ -54,7 +54,7 @@
 	}
 	for i := range s.Members {
 		m := &s.Members[i]
-		out.Servers = append(out.Servers, ringServer{m.ID, m.Phase.String(), m.OnRing()})
+		out.Servers = append(out.Servers, ringServer{m.ID, m.Phase.String(), m.PointsOnRing()})
 	}
 	return out
 }
--- a/cmd/dunestep/server_test.go
+++ b/cmd/dunestep/server_test.go
@@ -61,7 +61,7 @@
 func newServer(t testing.TB, id string) *server {
 	s := &server{id: id, zone: defaultDeployment.zone, kind: defaultDeployment.kind, answer: ok}
 	var err error
-	s.socket, err = standin.Listen("127.0.0.1:0", standin.Events{Opened: s.connectionOpened, Came: s.serve, Ended: s.connectionEnded})
+	s.socket, err = standin.Listen("127.0.0.1:0", standin.Events{ConnectionOpened: s.connectionOpened, RequestReceived: s.serve, ConnectionEnded: s.connectionEnded})
 	require.NoError(t, err)
 	t.Cleanup(s.stop)
 	return s
@@ -100,11 +100,11 @@
 }
 
 // closeConnections closes all open connections. The server continues to listen.
-func (s *server) closeConnections() { s.socket.HangUp() }
+func (s *server) closeConnections() { s.socket.CloseConnections() }
 
 func (s *server) stop() {
-	s.socket.Refuse()
-	s.socket.HangUp()
+	s.socket.RefuseConnections()
+	s.socket.CloseConnections()
 }
 
 func (s *server) connectionOpened(c *standin.Conn) {
@@ -134,7 +134,7 @@
 	s.mu.Unlock()
 	defer func() { conn.lastUsed = time.Now() }()
 	if script != nil {
-		if !script(st, c.Socket()) {
+		if !script(st, c.TCPConn()) {
 			c.Close()
 		}
 		return
--- a/cmd/dunestep/settings.go
+++ b/cmd/dunestep/settings.go
@@ -94,7 +94,7 @@
 	a := s.operator.Bodies
 	return int64(a.MemoryFraction * float64(s.Limits.MemoryMB<<20)), transport.BodyRules{
 		MaxBytes: a.MaxKB << 10, BufferedBytes: a.BufferedKB << 10, MaxBuffering: milliseconds(a.MaxBufferingMS),
-		ClientStall: milliseconds(a.ClientStallMS), ClientLag: milliseconds(a.ClientLagMS),
+		ClientStallTimeout: milliseconds(a.ClientStallMS), MaxClientLag: milliseconds(a.ClientLagMS),
 	}
 }
 
@@ -123,7 +123,7 @@
 	return slowstart.Params{
 		InitialCapacity: rules.SlowStartCapacity, Duration: rules.SlowStartDuration,
 		OverloadMultiple: rules.OverloadMultiple, OverloadWindow: rules.OverloadWindow,
-		Margin: tuning.SlowStartMargin, MaxOfWarm: tuning.SlowStartMax, Balancers: s.Settings.Balancers,
+		Margin: tuning.SlowStartMargin, MaxWarmMultiple: tuning.SlowStartMax, Balancers: s.Settings.Balancers,
 	}
 }
 
--- a/cmd/dunestep/shutdown_test.go
+++ b/cmd/dunestep/shutdown_test.go
@@ -115,7 +115,7 @@
 	class, method, body, size := "consult", "GET", "", rand.N(100_000)
 	id := c.w.nextID()
 	if n := rand.N(4); n > 0 {
-		class, method, body = "rezervare", "POST", long([]int{20, 60_000, 200_000}[n-1], id)
+		class, method, body = "rezervare", "POST", uniqueBody([]int{20, 60_000, 200_000}[n-1], id)
 	}
 	key := rand.N(1000)
 	for used := conn != nil; ; used, query = false, query+resentMark {
@@ -127,7 +127,7 @@
 			rest -= len(body) / 2
 		}
 		if used {
-			conn.Ask(request[:rest])
+			conn.Send(request[:rest])
 		} else {
 			events := make(chan connEvent, 2)
 			received = events
@@ -137,7 +137,7 @@
 		}
 		if late > 0 {
 			time.Sleep(late)
-			conn.Ask(request[rest:])
+			conn.Send(request[rest:])
 		}
 		sent := time.Now()
 		var event connEvent
@@ -158,7 +158,7 @@
 				continue
 			}
 		}
-		c.record(id, event, event.Response != nil && string(event.body) == long(size, id), time.Since(sent) > maxDuration)
+		c.record(id, event, event.Response != nil && string(event.body) == uniqueBody(size, id), time.Since(sent) > maxDuration)
 		if event.Response == nil || event.Close {
 			conn.Close()
 			return nil, nil
@@ -199,7 +199,7 @@
 	reached := map[string]bool{}
 	for _, s := range c.w.servers {
 		for _, attempt := range s.attempts() {
-			id := idOf(attempt)
+			id := correlationID(attempt)
 			reached[id] = true
 			if c.crossed[id] && !strings.Contains(attempt.URL.RawQuery, resentMark) {
 				c.lost = append(c.lost, "forwarded, though it crossed a close: "+id)
@@ -250,7 +250,7 @@
 			time.Sleep(wait)
 			var size int
 			_, _ = fmt.Sscan(path.Base(s.URL.Path), &size)
-			return reply("200 OK", long(size, idOf(s)))
+			return reply("200 OK", uniqueBody(size, correlationID(s)))
 		})
 	})
 	callers := w.startCallers(clients, thinkTime)
@@ -267,7 +267,7 @@
 	await(t, w.exited)
 	kill.Stop()
 	code := w.process.ProcessState.ExitCode()
-	w.again()
+	w.relaunch()
 	callers.mayDial.Store(true)
 	time.Sleep(time.Second)
 	callers.stop()
--- a/cmd/dunestep/lifecycle_test.go
+++ b/cmd/dunestep/surroundings_test.go
@@ -14,10 +14,10 @@
 )
 
 func TestStartsFromConfiguredEndpointList(t *testing.T) {
-	w := start(t, 1, func(w *testbed) { w.discovery.set(503, false) })
+	w := start(t, 1, func(w *testbed) { w.discovery.setResponse(503, false) })
 	require.Equal(t, 200, w.send("consult").status)
-	w.until("discovery polled again", func() bool { return len(w.discovery.called()) > 1 })
-	require.Equal(t, "/registry/instances?watch=1&from=41", w.discovery.called()[0])
+	w.until("discovery polled again", func() bool { return len(w.discovery.callTargets()) > 1 })
+	require.Equal(t, "/registry/instances?watch=1&from=41", w.discovery.callTargets()[0])
 }
 
 // The program is ready only once it knows an endpoint: before that, it rejects all requests.
@@ -25,9 +25,9 @@
 	w := newTestbed(t, 1)
 	w.config["known"] = object{"version": 0, "full": true, "servers": []object{}}
 	w.launch()
-	w.until("running without being ready", func() bool { return w.readyStatus() == 503 && w.discovery.watched() == 1 })
+	w.until("running without being ready", func() bool { return w.readyStatus() == 503 && w.discovery.watchCount() == 1 })
 	require.Equal(t, 503, w.send("consult").status)
-	w.discovery.say(list(1, true, w.servers[0].entry("active")))
+	w.discovery.sendLine(listJSON(1, true, w.servers[0].entry("active")))
 	w.until("ready", func() bool { return w.readyStatus() == 200 })
 	require.Equal(t, 200, w.send("consult").status)
 	require.Zero(t, w.stop())
@@ -48,16 +48,16 @@
 			return len(s.attempts()) > before
 		}
 	}
-	w.until("watch", func() bool { return w.discovery.watched() == 1 })
-	w.discovery.say(list(42, false, w.servers[0].entry("leaving"), object{"id": 7}, object{"id": "s-9", "state": "?"},
+	w.until("watch", func() bool { return w.discovery.watchCount() == 1 })
+	w.discovery.sendLine(listJSON(42, false, w.servers[0].entry("leaving"), object{"id": 7}, object{"id": "s-9", "state": "?"},
 		object{"id": "s-8", "state": "active", "addr": "nowhere"}))
 	w.until("update with the drain applied", func() bool { return strings.Count(w.log.String(), "entry dropped") == 3 })
 	for range 10 {
 		require.True(t, reaches(w.servers[1])())
 	}
-	w.discovery.say(list(43, false, moved.entry("active"))) // s-1 has a new address
+	w.discovery.sendLine(listJSON(43, false, moved.entry("active"))) // s-1 has a new address
 	w.until("new address in use", reaches(moved))
-	w.discovery.say(list(44, true, w.servers[0].entry("active"))) // s-1 is no longer listed
+	w.discovery.sendLine(listJSON(44, true, w.servers[0].entry("active"))) // s-1 is no longer listed
 	w.until("s-0 in use again", reaches(w.servers[0]))
 	for range 10 {
 		require.True(t, reaches(w.servers[0])())
@@ -73,36 +73,36 @@
 		ends func()
 		from int
 	}{
-		{"end of stream", w.discovery.end, 43},
-		{"not JSON", func() { w.discovery.say("{") }, 43},
-		{"no version", func() { w.discovery.say(`{"servers":[]}`) }, 43},
-		{"another type", func() { w.discovery.say(`{"version":"x","servers":{}}`) }, 43},
+		{"end of stream", w.discovery.endWatches, 43},
+		{"not JSON", func() { w.discovery.sendLine("{") }, 43},
+		{"no version", func() { w.discovery.sendLine(`{"servers":[]}`) }, 43},
+		{"another type", func() { w.discovery.sendLine(`{"version":"x","servers":{}}`) }, 43},
 		{"silence", func() {
-			w.discovery.set(200, true)
-			w.discovery.end()
-			w.until("watch on which nothing is sent", func() bool { return w.discovery.watched() == 1 })
+			w.discovery.setResponse(200, true)
+			w.discovery.endWatches()
+			w.until("watch on which nothing is sent", func() bool { return w.discovery.watchCount() == 1 })
 		}, 43},
 		{"no answer", func() {
-			calls := len(w.discovery.called())
-			w.discovery.set(0, false)
-			w.discovery.end()
-			w.until("call that gets no answer", func() bool { return len(w.discovery.called()) > calls })
+			calls := len(w.discovery.callTargets())
+			w.discovery.setResponse(0, false)
+			w.discovery.endWatches()
+			w.until("call that gets no answer", func() bool { return len(w.discovery.callTargets()) > calls })
 		}, 43},
-		{"changes out of order", func() { w.discovery.say(list(12, false)) }, 0},
+		{"changes out of order", func() { w.discovery.sendLine(listJSON(12, false)) }, 0},
 	} {
-		w.until("watch", func() bool { return w.discovery.watched() == 1 })
-		w.discovery.say(list(43, i > 0))
-		w.discovery.say(list(43, false, w.servers[0].entry("active")))
+		w.until("watch", func() bool { return w.discovery.watchCount() == 1 })
+		w.discovery.sendLine(listJSON(43, i > 0))
+		w.discovery.sendLine(listJSON(43, false, w.servers[0].entry("active")))
 		w.until("endpoint list applied", func() bool { return w.readyStatus() == 200 })
-		calls := len(w.discovery.called())
+		calls := len(w.discovery.callTargets())
 		c.ends()
 		if c.name == "silence" || c.name == "no answer" {
 			calls++ // that call itself
 		}
-		w.until("new watch after "+c.name, func() bool { return len(w.discovery.called()) > calls })
-		w.discovery.set(200, false)
-		require.Equal(t, fmt.Sprintf("/registry/instances?watch=1&from=%d", c.from), w.discovery.called()[calls], c.name)
-		w.discovery.end() // nothing may be sent on this watch either
+		w.until("new watch after "+c.name, func() bool { return len(w.discovery.callTargets()) > calls })
+		w.discovery.setResponse(200, false)
+		require.Equal(t, fmt.Sprintf("/registry/instances?watch=1&from=%d", c.from), w.discovery.callTargets()[calls], c.name)
+		w.discovery.endWatches() // nothing may be sent on this watch either
 	}
 	require.Equal(t, 200, w.send("consult").status)
 }
@@ -112,8 +112,8 @@
 func TestReload(t *testing.T) {
 	w := start(t, 2)
 	first, second := w.discovery, newDiscovery(t)
-	w.until("watch", func() bool { return first.watched() == 1 })
-	first.say(list(44, false))
+	w.until("watch", func() bool { return first.watchCount() == 1 })
+	first.sendLine(listJSON(44, false))
 	reload := func(log string) {
 		before := strings.Count(w.log.String(), log)
 		require.NoError(t, w.process.Process.Signal(syscall.SIGHUP))
@@ -126,16 +126,16 @@
 	}
 	require.NoError(t, os.Remove(w.configPath))
 	reload("configuration not applied")
-	require.Equal(t, 1, first.watched())
-	require.Empty(t, second.called())
+	require.Equal(t, 1, first.watchCount())
+	require.Empty(t, second.callTargets())
 
 	w.config["discovery"] = second.addr
 	w.configure()
 	reload("configuration applied")
-	w.until("watch at the new address", func() bool { return second.watched() == 1 })
-	require.Equal(t, "/registry/instances?watch=1&from=44", second.called()[0])
-	w.until("no watch at the old address", func() bool { return first.watched() == 0 })
-	second.say(list(45, false, w.servers[0].entry("leaving")))
+	w.until("watch at the new address", func() bool { return second.watchCount() == 1 })
+	require.Equal(t, "/registry/instances?watch=1&from=44", second.callTargets()[0])
+	w.until("no watch at the old address", func() bool { return first.watchCount() == 0 })
+	second.sendLine(listJSON(45, false, w.servers[0].entry("leaving")))
 	w.until("drained endpoint gets no requests", func() bool {
 		before := len(w.servers[0].attempts())
 		for range 10 {
@@ -144,8 +144,8 @@
 		return len(w.servers[0].attempts()) == before
 	})
 	reload("configuration applied") // unchanged
-	require.Len(t, second.called(), 1)
-	require.Len(t, first.called(), 1)
+	require.Len(t, second.callTargets(), 1)
+	require.Len(t, first.callTargets(), 1)
 }
 
 // Datagrams of at most 256 bytes reach the peers. Malformed ones and those from unknown senders are dropped.
--- a/cmd/dunestep/upgrade_test.go
+++ b/cmd/dunestep/upgrade_test.go
@@ -22,7 +22,7 @@
 
 // upgrade starts the agent's next process, with its own address of the operators' socket, and waits until it is ready.
 func (w *testbed) upgrade() *testbed {
-	next := w.another()
+	next := w.nextProcess()
 	next.launch()
 	next.untilReady()
 	return next
@@ -40,14 +40,14 @@
 	})
 }
 
-// another returns the same agent's next process, not started yet.
-func (w *testbed) another() *testbed {
+// nextProcess returns the same agent's next process, not started yet.
+func (w *testbed) nextProcess() *testbed {
 	next := &testbed{
 		t: w.t, deployment: w.deployment, config: w.config, env: w.env, operatorFile: w.operatorFile, program: w.program, addr: w.addr,
 		tempDir: w.tempDir, log: &logBuffer{}, exited: make(chan struct{}), servers: w.servers, discovery: w.discovery,
 	}
 	next.lastID.Store(w.lastID.Load() + 1_000_000)
-	door(next)
+	withOpsSocket(next)
 	return next
 }
 
@@ -66,14 +66,14 @@
 // noteFailure records the first loss or failure.
 func (l *load) noteFailure(what ...any) { l.firstFailure.CompareAndSwap(nil, fmt.Sprint(what...)) }
 
-// none requires that no request was lost, refused or failed.
-func (l *load) none(t *testing.T) {
+// requireNoFailures requires that no request was lost, refused or failed.
+func (l *load) requireNoFailures(t *testing.T) {
 	t.Helper()
 	require.Equal(t, []int64{0, 0, 0}, []int64{l.lost.Load(), l.refused.Load(), l.failed.Load()}, "%d were served; first failure: %v",
 		l.ok.Load(), l.firstFailure.Load())
 }
 
-func (w *testbed) load(clients int) *load {
+func (w *testbed) startLoad(clients int) *load {
 	return w.runLoad(clients, &load{pause: 2 * time.Millisecond})
 }
 
@@ -81,7 +81,7 @@
 func (w *testbed) startLongBodyLoad(clients int) *load {
 	const size = 150_000
 	rest := strings.Repeat("x", size)
-	w.answerAll(func(s upstreamAttempt) string { return reply("200 OK", idOf(s)+rest) })
+	w.answerAll(func(s upstreamAttempt) string { return reply("200 OK", correlationID(s)+rest) })
 	return w.runLoad(clients, &load{bodySize: size, pause: 15 * time.Millisecond})
 }
 
@@ -144,16 +144,16 @@
 	}
 }
 
-func (l *load) end() { close(l.stop); l.wait.Wait() }
+func (l *load) finish() { close(l.stop); l.wait.Wait() }
 
-// once requires that no non-idempotent request reached endpoints twice.
-func (w *testbed) once() {
+// requireNoneRanTwice requires that no non-idempotent request reached endpoints twice.
+func (w *testbed) requireNoneRanTwice() {
 	w.t.Helper()
 	ran := map[string]int{}
 	for _, s := range w.servers {
 		for _, step := range s.attempts() {
 			if strings.HasPrefix(step.URL.Path, "/rezervare") {
-				ran[idOf(step)]++
+				ran[correlationID(step)]++
 			}
 		}
 	}
@@ -165,14 +165,14 @@
 // Consecutive upgrades under load, with endpoints disabled by operators before, during and after each: no request is lost,
 // refused or run twice, disabled endpoints stay disabled, and the old process exits by itself.
 func TestConsecutiveUpgradesUnderLoad(t *testing.T) {
-	w := start(t, 3, door, (*testbed).useLongTimeouts)
-	load := w.load(8)
+	w := start(t, 3, withOpsSocket, (*testbed).useLongTimeouts)
+	load := w.startLoad(8)
 	w.until("load", func() bool { return load.ok.Load() > 50 })
 	current, disabled := w, 0
 	disable := func(id int) {
-		current.yes("POST", "/ops/booking-servers/up", fmt.Sprint("s-", disabled))
+		current.requireOpsOK("POST", "/ops/booking-servers/up", fmt.Sprint("s-", disabled))
 		disabled = id
-		current.yes("POST", "/ops/booking-servers/down", fmt.Sprint("s-", disabled))
+		current.requireOpsOK("POST", "/ops/booking-servers/down", fmt.Sprint("s-", disabled))
 	}
 	disable(0)
 	for i := range 3 {
@@ -188,18 +188,18 @@
 		require.Len(t, w.servers[disabled].attempts(), before, "a disabled endpoint gets no requests")
 		require.Equal(t, 1, current.stats().Ejected)
 	}
-	load.end()
-	load.none(t)
-	w.once()
+	load.finish()
+	load.requireNoFailures(t)
+	w.requireNoneRanTwice()
 	require.Zero(t, current.stop())
 }
 
 // A new process that dies during the upgrade, or cannot start, does not affect the old one. If the old process is killed
 // after the upgrade, the new one continues with its state.
 func TestFailedUpgradeLeavesOldProcess(t *testing.T) {
-	w := start(t, 2, door, (*testbed).useLongTimeouts)
+	w := start(t, 2, withOpsSocket, (*testbed).useLongTimeouts)
 	for _, wait := range []time.Duration{0, 2, 5, 10, 20, 50} {
-		next := w.another()
+		next := w.nextProcess()
 		next.launch()
 		time.Sleep(wait * time.Millisecond)
 		_ = next.process.Process.Kill()
@@ -208,12 +208,12 @@
 			require.Equal(t, 200, w.send("consult").status)
 		}
 	}
-	conflicting := w.another()
+	conflicting := w.nextProcess()
 	conflicting.opsAddr = w.opsAddr // with an address that is in use it cannot start
 	conflicting.launch()
 	await(t, conflicting.exited)
 	require.Equal(t, 1, conflicting.process.ProcessState.ExitCode())
-	w.yes("POST", "/ops/booking-servers/down", "s-1")
+	w.requireOpsOK("POST", "/ops/booking-servers/down", "s-1")
 	next := w.upgrade()
 	_ = w.process.Process.Kill()
 	await(t, w.exited)
@@ -231,12 +231,12 @@
 // Operators disable endpoints at both processes of an upgrade at the same time: both processes, and the next one, apply
 // both changes.
 func TestOpsCallsAtBothProcesses(t *testing.T) {
-	current := start(t, 4, door)
+	current := start(t, 4, withOpsSocket)
 	for round := range 4 {
 		next := current.upgrade()
 		var calls sync.WaitGroup
 		for i, p := range []*testbed{current, next} {
-			calls.Go(func() { p.yes("POST", "/ops/booking-servers/down", fmt.Sprint("s-", (round+i)%4)) })
+			calls.Go(func() { p.requireOpsOK("POST", "/ops/booking-servers/down", fmt.Sprint("s-", (round+i)%4)) })
 		}
 		calls.Wait()
 		for _, p := range []*testbed{current, next} {
@@ -247,7 +247,7 @@
 		require.Equal(t, 2, current.stats().Ejected, "endpoints stay disabled over the next upgrade")
 		require.Zero(t, next.stop())
 		for i := range 2 {
-			current.yes("POST", "/ops/booking-servers/up", fmt.Sprint("s-", (round+i)%4))
+			current.requireOpsOK("POST", "/ops/booking-servers/up", fmt.Sprint("s-", (round+i)%4))
 		}
 		require.Zero(t, current.stats().Ejected)
 	}
@@ -256,13 +256,13 @@
 
 // A drain by operators lasts over an upgrade: the new process takes over, and accepts clients once the drain is stopped.
 func TestUpgradeWhileDrained(t *testing.T) {
-	w := start(t, 1, door)
-	w.yes("POST", "/ops/drain/start", "")
+	w := start(t, 1, withOpsSocket)
+	w.requireOpsOK("POST", "/ops/drain/start", "")
 	next := w.upgrade()
 	require.Equal(t, 503, next.readyStatus())
 	require.Zero(t, w.stop())
 	require.Equal(t, 503, next.readyStatus())
-	next.yes("POST", "/ops/drain/stop", "")
+	next.requireOpsOK("POST", "/ops/drain/stop", "")
 	require.Equal(t, 200, next.readyStatus())
 	require.Zero(t, next.stop())
 }
@@ -270,8 +270,8 @@
 // Unusable files or a broken server in the handover folder: the new process logs a failed takeover and starts without the
 // old one's state.
 func TestInvalidHandoverFiles(t *testing.T) {
-	first := start(t, 1, door)
-	first.yes("POST", "/ops/booking-servers/down", "s-0")
+	first := start(t, 1, withOpsSocket)
+	first.requireOpsOK("POST", "/ops/booking-servers/down", "s-0")
 	files, err := filepath.Glob(filepath.Join(first.tempDir, "dunestep-*"))
 	require.NoError(t, err)
 	var file, socket string
@@ -317,13 +317,13 @@
 // A long body and a long answer in transit are completed by the old process while it drains.
 func TestUpgradeWithLongBodies(t *testing.T) {
 	const size = 400_000
-	w := start(t, 1, door, (*testbed).useLongTimeouts)
-	received, release := w.servers[0].pausing(size, size/2)
+	w := start(t, 1, withOpsSocket, (*testbed).useLongTimeouts)
+	received, release := w.servers[0].pauseAnswersAt(size, size/2)
 	slowResponse, _ := w.upload("Content-Length: 2")
 	_, _ = io.WriteString(slowResponse, "ab")
 	await(t, received)
 	upload, id := w.upload(fmt.Sprint("Content-Length: ", size))
-	body := long(size, id)
+	body := uniqueBody(size, id)
 	_, _ = io.WriteString(upload, body[:size/2])
 	next := w.upgrade()
 	require.NoError(t, w.process.Process.Signal(syscall.SIGTERM))
@@ -331,7 +331,7 @@
 	close(release)
 	_, _ = io.WriteString(upload, body[size/2:])
 	for _, c := range []net.Conn{slowResponse, upload} {
-		status, text := answered(t, c)
+		status, text := readResponse(t, c)
 		require.Equal(t, 200, status)
 		require.Len(t, text, size)
 	}
@@ -343,7 +343,7 @@
 // agent's limits, and no request is lost.
 func TestUpgradeStaysWithinLimits(t *testing.T) {
 	const memoryMB, sockets = 32, 256
-	w := newSerialTestbed(t, 3).start(door, (*testbed).useLongTimeouts, usePlainBinary, func(w *testbed) {
+	w := newSerialTestbed(t, 3).start(withOpsSocket, (*testbed).useLongTimeouts, usePlainBinary, func(w *testbed) {
 		w.config["limits"].(object)["memory_mb"] = memoryMB
 		w.config["limits"].(object)["sockets"] = sockets
 	})
@@ -352,8 +352,8 @@
 	usage := func() (kB, descriptors int) {
 		file := 0 // pages of the binary, which both processes share
 		for _, p := range processes {
-			kB, descriptors = kB+p.status("RssAnon"), descriptors+p.descriptors()
-			file = max(file, p.status("RssFile"))
+			kB, descriptors = kB+p.processStatusKB("RssAnon"), descriptors+p.descriptors()
+			file = max(file, p.processStatusKB("RssFile"))
 		}
 		return kB + file, descriptors
 	}
@@ -368,7 +368,7 @@
 		old := processes[0]
 		goal := load.ok.Load() + 50
 		w.until("requests are still served", func() bool { return load.ok.Load() > goal })
-		next := old.another()
+		next := old.nextProcess()
 		next.launch()
 		processes = append(processes, next)
 		recordPeaks(500 * time.Millisecond)
@@ -378,12 +378,12 @@
 		require.Zero(t, old.stop())
 		processes = processes[1:]
 	}
-	load.end()
+	load.finish()
 	t.Logf("at most %d kB and %d descriptors, %d served, %d rejected", peakKB, peakDescriptors, load.ok.Load(), load.rejected.Load())
-	load.none(t)
+	load.requireNoFailures(t)
 	require.LessOrEqual(t, peakKB, memoryMB<<10)
 	require.LessOrEqual(t, peakDescriptors, sockets)
-	w.once()
+	w.requireNoneRanTwice()
 	require.Zero(t, processes[0].stop())
 }
 
@@ -391,10 +391,10 @@
 // accepted are lost, one per client. None runs twice, and the other process continues with the operators' settings.
 func TestKillsDuringUpgrades(t *testing.T) {
 	const clients = 8
-	w := start(t, 3, door, (*testbed).useLongTimeouts)
+	w := start(t, 3, withOpsSocket, (*testbed).useLongTimeouts)
 	load := w.startLongBodyLoad(clients)
 	current, disabled, lost := w, w.servers[2], int64(0)
-	current.yes("POST", "/ops/booking-servers/down", "s-2")
+	current.requireOpsOK("POST", "/ops/booking-servers/down", "s-2")
 	requireServing := func(stage string) {
 		before, goal := len(disabled.attempts()), load.ok.Load()+40
 		current.until(stage, func() bool { return load.ok.Load() > goal })
@@ -405,7 +405,7 @@
 	requireServing("alone")
 	require.Zero(t, lost)
 	for _, wait := range []time.Duration{0, 5, 15, 30, 60, 200} {
-		next := current.another()
+		next := current.nextProcess()
 		next.launch()
 		time.Sleep(wait * time.Millisecond)
 		_ = next.process.Process.Kill()
@@ -422,9 +422,9 @@
 		requireServing(fmt.Sprint("the old process killed ", wait*time.Millisecond, " after its SIGTERM"))
 		require.Equal(t, 1, current.stats().Ejected)
 	}
-	load.end()
+	load.finish()
 	require.Zero(t, load.refused.Load(), "no connection was refused")
-	w.once()
+	w.requireNoneRanTwice()
 	require.Zero(t, current.stop())
 	w.process = exec.Command("true") // replaces the killed process, for the exit code check
 	require.NoError(t, w.process.Run())
@@ -433,22 +433,22 @@
 // SIGHUP during an upgrade is applied by both processes: each watches discovery at the new address, and once the old one
 // has exited the new limits apply.
 func TestReloadDuringUpgrade(t *testing.T) {
-	w := start(t, 2, door)
+	w := start(t, 2, withOpsSocket)
 	first, second := w.discovery, newDiscovery(t)
-	w.until("watch", func() bool { return first.watched() == 1 })
+	w.until("watch", func() bool { return first.watchCount() == 1 })
 	next := w.upgrade()
-	w.until("both watch", func() bool { return first.watched() == 2 })
+	w.until("both watch", func() bool { return first.watchCount() == 2 })
 	w.config["discovery"] = second.addr // both processes have the same configuration
 	w.config["limits"].(object)["sockets"] = 700
 	for _, p := range []*testbed{w, next} {
 		p.configure()
 		require.NoError(t, p.process.Process.Signal(syscall.SIGHUP))
 	}
-	w.until("both watch the new address", func() bool { return second.watched() == 2 && first.watched() == 0 })
+	w.until("both watch the new address", func() bool { return second.watchCount() == 2 && first.watchCount() == 0 })
 	for _, p := range []*testbed{w, next} {
 		require.Contains(t, p.log.String(), "sockets=700")
 	}
-	second.say(list(60, false, w.servers[0].entry("leaving")))
+	second.sendLine(listJSON(60, false, w.servers[0].entry("leaving")))
 	for _, p := range []*testbed{w, next} {
 		p.until("update applied", func() bool { return p.stats().Size == 2 })
 	}
@@ -464,7 +464,7 @@
 
 // Datagrams are sent from the same address, whichever process of an upgrade ends.
 func TestDatagramsDuringUpgrades(t *testing.T) {
-	w := start(t, 1, door)
+	w := start(t, 1, withOpsSocket)
 	requireDatagrams := func(what string) {
 		buf := make([]byte, 1024)
 		for range 2 { // a datagram in transit may be from the process that ended
--- a/cmd/dunestep/uploads_test.go
+++ b/cmd/dunestep/uploads_test.go
@@ -14,10 +14,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// counted makes all endpoints answer with the length of the received body and whether it is the one that was sent.
-func counted(w *testbed) {
+// echoBodyLength makes all endpoints answer with the length of the received body and whether it is the one that was sent.
+func echoBodyLength(w *testbed) {
 	w.answerAll(func(s upstreamAttempt) string {
-		return reply("200 OK", fmt.Sprint(len(s.body), s.body == long(len(s.body), idOf(s))))
+		return reply("200 OK", fmt.Sprint(len(s.body), s.body == uniqueBody(len(s.body), correlationID(s))))
 	})
 }
 
@@ -34,8 +34,8 @@
 		"X-Time-Left-Ms: 3000\r\n" + head + "\r\n\r\n")
 }
 
-// answered reads a response, and returns its status and body.
-func answered(t *testing.T, c net.Conn) (int, string) {
+// readResponse reads a response, and returns its status and body.
+func readResponse(t *testing.T, c net.Conn) (int, string) {
 	_ = c.SetReadDeadline(time.Now().Add(waitTimeout))
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	require.NoError(t, err)
@@ -46,7 +46,7 @@
 
 // Bodies of any size and coding are forwarded unchanged. Memory does not grow with their size.
 func TestUploadSizesAndForms(t *testing.T) {
-	w := start(t, 2, (*testbed).useLongTimeouts, counted, usePlainBinary, func(w *testbed) {
+	w := start(t, 2, (*testbed).useLongTimeouts, echoBodyLength, usePlainBinary, func(w *testbed) {
 		w.config["limits"].(object)["memory_mb"] = 32
 	})
 	for _, size := range []int{65535, 65536, 65537, 100_000, 3_000_000, 32 << 20} {
@@ -55,7 +55,7 @@
 			fmt.Sprintf("Content-Length: %d\r\nExpect: 100-continue", size),
 		} {
 			id := w.nextID()
-			body := long(size, id)
+			body := uniqueBody(size, id)
 			if strings.Contains(head, "chunked") {
 				body = fmt.Sprintf("1;a=b\r\n%s\r\n%x\r\n%s\r\n0\r\nA: b\r\n\r\n", body[:1], size-1, body[1:])
 			}
@@ -67,68 +67,68 @@
 				require.Equal(t, "HTTP/1.1 100 Continue\r\n\r\n", string(interim))
 			}
 			go func() { _, _ = io.WriteString(c, body) }()
-			status, text := answered(t, c)
+			status, text := readResponse(t, c)
 			require.Equal(t, 200, status, head)
 			require.Equal(t, fmt.Sprint(size, true), text, head)
 		}
 	}
-	peak, _ := w.memory()
+	peak, _ := w.memoryKiB()
 	require.Less(t, peak, 32<<10)
 }
 
 // A request with a slow head and a body at 64 kB/s is served, although it takes longer than the request's time.
 func TestSlowUpload(t *testing.T) {
-	w := start(t, 2, counted)
+	w := start(t, 2, echoBodyLength)
 	id := w.nextID()
 	c := w.sendRaw("POST /rezervare/x HTTP/1.1\r\n")
 	time.Sleep(1800 * time.Millisecond)
 	const size = 128 << 10
 	_, _ = fmt.Fprintf(c, "Host: x\r\nX-Correlation-Id: %s\r\nX-Account: acme\r\nX-Time-Left-Ms: 900\r\n"+
 		"Content-Length: %d\r\n\r\n", id, size)
-	for body := long(size, id); len(body) > 0; body = body[8<<10:] {
+	for body := uniqueBody(size, id); len(body) > 0; body = body[8<<10:] {
 		time.Sleep(125 * time.Millisecond)
 		_, err := io.WriteString(c, body[:8<<10])
 		require.NoError(t, err)
 	}
-	status, text := answered(t, c)
+	status, text := readResponse(t, c)
 	require.Equal(t, 200, status, text)
 	require.Equal(t, fmt.Sprint(size, true), text)
 }
 
 // An upload that stalls is answered in time. Stalled, aborted and too large uploads reach no endpoint, and eject none.
 func TestStalledUpload(t *testing.T) {
-	w := start(t, 2, counted)
+	w := start(t, 2, echoBodyLength)
 	for _, sent := range []int{0, 1000, 100_000} {
 		c, id := w.upload("Content-Length: 200000")
-		_, _ = io.WriteString(c, long(200_000, id)[:sent])
+		_, _ = io.WriteString(c, uniqueBody(200_000, id)[:sent])
 		began := time.Now()
-		status, _ := answered(t, c)
+		status, _ := readResponse(t, c)
 		require.Equal(t, 400, status)
 		require.Less(t, time.Since(began), 6*time.Second)
 	}
 	c, id := w.upload("Content-Length: 200000")
-	_, _ = io.WriteString(c, long(200_000, id)[:100_000])
+	_, _ = io.WriteString(c, uniqueBody(200_000, id)[:100_000])
 	_ = c.Close() // or the client disconnects
 	c, _ = w.upload("Content-Length: 60000000")
-	status, _ := answered(t, c)
+	status, _ := readResponse(t, c)
 	require.Equal(t, 413, status)
 	c, _ = w.upload("Transfer-Encoding: chunked")
 	go func() { _, _ = io.WriteString(c, "2200000\r\n"+strings.Repeat("x", 0x2200000)) }()
-	status, _ = answered(t, c)
+	status, _ = readResponse(t, c)
 	require.Equal(t, 413, status)
 	require.Zero(t, w.attemptCount())
-	w.served("rezervare")
+	w.requireServed("rezervare")
 	require.NotContains(t, w.log.String(), "ejected")
 }
 
 // An upload is rejected with 503 if no endpoint is reachable, since none has processed it.
 func TestUploadWithoutReachableEndpoint(t *testing.T) {
-	w := start(t, 2, (*testbed).useLongTimeouts, counted)
+	w := start(t, 2, (*testbed).useLongTimeouts, echoBodyLength)
 	w.servers[0].stop()
 	w.servers[1].stop()
 	c, id := w.upload("Content-Length: 200000")
-	_, _ = io.WriteString(c, long(200_000, id))
-	status, _ := answered(t, c)
+	_, _ = io.WriteString(c, uniqueBody(200_000, id))
+	status, _ := readResponse(t, c)
 	require.Equal(t, 503, status)
 }
 
@@ -154,8 +154,8 @@
 		}()
 	}
 	c, id := w.upload("Content-Length: 20000000")
-	_, _ = io.WriteString(c, long(200_000, id))
-	status, _ := answered(t, c)
+	_, _ = io.WriteString(c, uniqueBody(200_000, id))
+	status, _ := readResponse(t, c)
 	require.Equal(t, 503, status)
 	await(t, early)
 }
@@ -166,7 +166,7 @@
 	w := start(t, 1, (*testbed).useLongTimeouts, usePlainBinary, func(w *testbed) { w.config["limits"].(object)["cores"] = 4 })
 	rest := strings.Repeat("x", size)
 	w.servers[0].setScript(func(s upstreamAttempt, c net.Conn) bool {
-		text := reply("200 OK", idOf(s)+rest)
+		text := reply("200 OK", correlationID(s)+rest)
 		for len(text) > 0 { // in parts that the agent has to wait for
 			n := min(len(text), 20_000)
 			if _, err := io.WriteString(c, text[:n]); err != nil {
@@ -182,8 +182,8 @@
 		clients.Go(func() {
 			for range 100 {
 				c, id := w.upload(fmt.Sprint("Content-Length: ", size))
-				_, _ = io.WriteString(c, long(size, id))
-				status, text := answered(t, c)
+				_, _ = io.WriteString(c, uniqueBody(size, id))
+				status, text := readResponse(t, c)
 				require.Equal(t, 200, status)
 				require.Len(t, text, len(id)+size)
 				_ = c.Close()
@@ -212,13 +212,13 @@
 		uploads.Go(func() {
 			c, _ := w.upload(fmt.Sprint("Content-Length: ", size))
 			go func() { _, _ = io.WriteString(c, body) }()
-			status, text := answered(t, c)
+			status, text := readResponse(t, c)
 			require.Equal(t, 200, status)
 			require.Equal(t, body, text)
 		})
 	}
 	uploads.Wait()
-	peak, _ := w.memory()
+	peak, _ := w.memoryKiB()
 	t.Logf("at most %d kB", peak)
 	require.Less(t, peak, 32<<10)
 	require.Less(t, w.descriptors(), 256)
--- a/cmd/dunestep/window_test.go
+++ b/cmd/dunestep/window_test.go
@@ -40,8 +40,8 @@
 	awaitsReady  bool          // the load of an agent that was down waits until it is ready
 }
 
-// shortTerms is the operator file's [fleet] section, with short times.
-const shortTerms = "[fleet]\non = true\npolicy = true\nwindows = true\nvoters = [0, 1, 2]\nlease_ms = 2000\nheard_ms = 500\n" +
+// shortFleetTimes is the operator file's [fleet] section, with short times.
+const shortFleetTimes = "[fleet]\non = true\npolicy = true\nwindows = true\nvoters = [0, 1, 2]\nlease_ms = 2000\nheard_ms = 500\n" +
 	"floor_s = 2\nnotice_s = 6\nmargin_s = 1\nlinger_s = 1\nturns = 0\n"
 
 // newWindowObserver starts the fleet. A shape that is not nil may change the agents' configuration.
@@ -57,24 +57,24 @@
 	t.Helper()
 	program, err := plainBinary()
 	require.NoError(t, err)
-	settings := lab.Deployment()
+	settings := lab.DefaultSettings()
 	settings.Tenants = []balancer.Tenant{{Name: "east", QuotaPerSecond: 1000, Share: 0.5}, {Name: "west", QuotaPerSecond: 1000, Share: 0.5}}
-	options.Servers, options.Program, options.Ops, options.Seed, options.Settings, options.Answer = 4, program, true, 11, settings, r.answer
-	options.Patience = max(options.Patience, 3*time.Minute)
-	options.Shape = func(c *lab.Config) {
-		if c.Operator = shortTerms; shape != nil {
+	options.Servers, options.Program, options.OperatorListener, options.Seed, options.Settings, options.Respond = 4, program, true, 11, settings, r.answer
+	options.WaitTimeout = max(options.WaitTimeout, 3*time.Minute)
+	options.Configure = func(c *lab.Config) {
+		if c.OperatorFile = shortFleetTimes; shape != nil {
 			shape(c)
 		}
 	}
 	r.Lab = lab.Open(t, options)
 	require.NoError(t, r.StartAll(t.Context()))
-	require.NoError(t, r.Wait(t.Context(), "leases", all(r.Lab, full)))
+	require.NoError(t, r.Wait(t.Context(), "leases", allAgents(r.Lab, hasFullStanding)))
 	r.startLoad()
 	r.propose(contracts)
 	return r
 }
 
-func (r *windowObserver) answer(s lab.Step) standin.Reply {
+func (r *windowObserver) answer(s lab.Attempt) standin.Reply {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.arrivals = append(r.arrivals, arrival{time.Now(), s.Agent, s.Server, s.Request.URL.Query().Get("clinic")})
@@ -93,8 +93,8 @@
 		for _, tenant := range []string{"east", "west"} {
 			wait.Go(func() {
 				for n := 0; ctx.Err() == nil; n++ {
-					if _, _, err := a.AskFor(ctx, tenant, "consult", fmt.Sprint("k", n%257)); err != nil { // the agent is down
-						_ = r.Wait(ctx, "the agent runs", func() bool { return a.Runs() && (!r.awaitsReady || a.IsReady()) })
+					if _, _, err := a.RequestForTenant(ctx, tenant, "consult", fmt.Sprint("k", n%257)); err != nil { // the agent is down
+						_ = r.Wait(ctx, "the agent runs", func() bool { return a.IsRunning() && (!r.awaitsReady || a.IsReady()) })
 					}
 					select {
 					case <-time.After(r.requestPause):
@@ -130,7 +130,7 @@
 // windowAt returns a window as an agent reports it; a zero one if it reports none.
 func (r *windowObserver) windowAt(agent int, id string) (w windowState) {
 	var s windowsState
-	if (opsClient{r.Agent(agent).Ops}).call(http.MethodGet, "/ops/fleet/windows", "", &s) != nil {
+	if (opsClient{r.Agent(agent).OperatorAddr}).call(http.MethodGet, "/ops/fleet/windows", "", &s) != nil {
 		return w
 	}
 	for _, one := range s.Windows {
@@ -176,8 +176,8 @@
 // cutOff drops all datagrams from and to an agent until heal is called.
 func (r *windowObserver) cutOff(agent int) (heal func()) {
 	var ends []func()
-	for _, fault := range []mishap.Fault{{From: []int{agent}, Way: mishap.Way{Cut: true}}, {To: []int{agent}, Way: mishap.Way{Cut: true}}} {
-		end, err := r.Spoil(fault)
+	for _, fault := range []mishap.Fault{{From: []int{agent}, Impairment: mishap.Impairment{Cut: true}}, {To: []int{agent}, Impairment: mishap.Impairment{Cut: true}}} {
+		end, err := r.InjectNetworkFault(fault)
 		require.NoError(r.t, err)
 		ends = append(ends, end)
 	}
@@ -207,7 +207,7 @@
 	w := r.awaitState(0, "w", "free")
 	freeSince := time.Now()
 	r.Agent(4).Kill()
-	endDelay, err := r.Spoil(mishap.Fault{To: []int{4}, Way: mishap.Way{Delay: scenario.TimeSpan{Low: 50 * time.Millisecond, High: 50 * time.Millisecond}}})
+	endDelay, err := r.InjectNetworkFault(mishap.Fault{To: []int{4}, Impairment: mishap.Impairment{Delay: scenario.TimeSpan{Low: 50 * time.Millisecond, High: 50 * time.Millisecond}}})
 	require.NoError(t, err)
 	require.NoError(t, r.Agent(4).Start(t.Context())) // requests arrive before any datagram of another agent
 	require.Equal(t, "free", r.windowAt(4, "w").State, "the restarted agent has the agreed state")
@@ -305,7 +305,7 @@
 	r.awaitReturn(-1, "east")
 	require.NoError(t, r.Wait(t.Context(), "an agent logs the override", func() bool {
 		for _, a := range r.Agents() {
-			if a.Said("exclusion overridden: tenant east") {
+			if a.LogContains("exclusion overridden: tenant east") {
 				return true
 			}
 		}
--- a/cmd/dunestep/windowfaults_test.go
+++ b/cmd/dunestep/windowfaults_test.go
@@ -53,7 +53,7 @@
 	require.Empty(t, r.arrivalsAt(-1, 0, "east", freeSince, w.ReturnFrom))
 	require.NotEmpty(t, r.arrivalsAt(3, 0, "west", freeSince, w.ReturnFrom))
 	for _, a := range r.Agents() {
-		require.Equal(t, slices.Contains(deviating, a.Number), a.Said("time zone rules differ from this machine's zone data"), a.Name)
+		require.Equal(t, slices.Contains(deviating, a.Number), a.LogContains("time zone rules differ from this machine's zone data"), a.Name)
 	}
 	require.Empty(t, r.EndAll())
 }
@@ -160,17 +160,17 @@
 	require.NoError(t, err, output)
 	w := r.awaitState(1, "w", "free")
 	for _, a := range r.Agents() {
-		a.Server(0).Refuse()
-		a.Server(0).HangUp()
+		a.Server(0).RefuseConnections()
+		a.Server(0).CloseConnections()
 	}
-	r.List(0, "left")
+	r.SetServerState(0, "left")
 	downSince := time.Now()
 	var wait sync.WaitGroup
 	for _, a := range r.Agents() {
 		for _, tenant := range []string{"east", "west"} {
 			wait.Go(func() {
 				for n := range 20 {
-					status, _, askErr := a.AskFor(t.Context(), tenant, "consult", fmt.Sprint("s", n))
+					status, _, askErr := a.RequestForTenant(t.Context(), tenant, "consult", fmt.Sprint("s", n))
 					assert.NoError(t, askErr) //nolint:testifylint // require may not be called from another goroutine
 					assert.Equal(t, 200, status, tenant)
 				}
@@ -182,9 +182,9 @@
 	require.NoError(t, err, "the server counts as available after its window: %s", checked)
 	require.Equal(t, "free", r.windowAt(1, "w").State)
 	for _, a := range r.Agents() {
-		require.NoError(t, a.Server(0).Accept())
+		require.NoError(t, a.Server(0).AcceptConnections())
 	}
-	r.List(0, "active")
+	r.SetServerState(0, "active")
 	later := r.awaitState(1, "w", "returning")
 	require.Empty(t, later.Reason)
 	require.Empty(t, r.arrivalsAt(-1, 0, "east", downSince, w.ReturnFrom))
@@ -236,13 +236,13 @@
 		}
 	}
 	r := openWindowObserver(&windowObserver{t: t, failing: map[int]bool{}, requestPause: 100 * time.Millisecond, awaitsReady: turns == 0},
-		lab.Options{Agents: 40, Zones: zones, Patience: 8 * time.Minute}, func(c *lab.Config) {
-			c.Operator = fortyAgentSettings + fmt.Sprintln("turns =", turns)
+		lab.Options{Agents: 40, Zones: zones, WaitTimeout: 8 * time.Minute}, func(c *lab.Config) {
+			c.OperatorFile = fortyAgentSettings + fmt.Sprintln("turns =", turns)
 			if turns == 0 { // an agent that reports ready because of the timeout would get requests without having any state
-				c.Operator += "ready_ms = 10000\n"
+				c.OperatorFile += "ready_ms = 10000\n"
 			}
 			if c.Agent%8 == 0 { // with this loss, restarting voters one after the other would lose a log in memory
-				c.Operator += fmt.Sprintf("folder = %q\n", voterFolder(t, folders, c.Agent))
+				c.OperatorFile += fmt.Sprintf("folder = %q\n", voterFolder(t, folders, c.Agent))
 			}
 		})
 	return &fortyAgents{r}
@@ -251,12 +251,12 @@
 // run performs the steps of TestWindowWithFortyAgents.
 func (f *fortyAgents) run() {
 	t, ctx := f.t, f.t.Context()
-	require.NoError(t, f.Wait(ctx, "all agents use a generation", all(f.Lab, func(_ *lab.Agent, s fleetStatus) bool {
+	require.NoError(t, f.Wait(ctx, "all agents use a generation", allAgents(f.Lab, func(_ *lab.Agent, s fleetStatus) bool {
 		return s.Ring != nil && s.Ring.Active > 0
 	})))
-	_, err := f.Spoil(mishap.Fault{Way: mishap.Way{Loss: 0.3, Double: 0.1}})
+	_, err := f.InjectNetworkFault(mishap.Fault{Impairment: mishap.Impairment{Loss: 0.3, Duplicate: 0.1}})
 	require.NoError(t, err)
-	f.List(3, "left")
+	f.SetServerState(3, "left")
 	start := time.Now()
 	end := start.Add(5 * time.Minute).Truncate(time.Minute).UTC()
 	hours := fmt.Sprintf("hours = [\"mon-sun %s-%s\"]", start.Add(-time.Minute).UTC().Format("15:04"), end.Format("15:04"))
@@ -267,7 +267,7 @@
 	f.awaitState(2, "w", "draining")
 	f.restartLeader("draining")
 	cut := f.cutOffFifth()
-	f.List(3, "active")
+	f.SetServerState(3, "active")
 	f.awaitState(2, "w", "drained")
 	f.restartLeader("drained")
 	w := f.awaitState(2, "w", "free")
@@ -339,7 +339,7 @@
 		}
 		return arrivals, all
 	}
-	f.t.Logf("free for %v; %d agents restarted; %d datagrams delivered", w.ReturnFrom.Sub(freeSince).Round(time.Second), restarted, f.Network().Passed)
+	f.t.Logf("free for %v; %d agents restarted; %d datagrams delivered", w.ReturnFrom.Sub(freeSince).Round(time.Second), restarted, f.NetworkCounts().Datagrams)
 	for _, span := range []struct {
 		name     string
 		from, to time.Time
@@ -361,7 +361,7 @@
 // the timeout, as their log shows. Without turns such agents may use the server. With turns it returns 0.
 func (f *fortyAgents) arrivalsFromUninformed(from, to time.Time) (n int) {
 	for _, a := range f.arrivalsAt(-1, 0, "east", from, to) {
-		if f.awaitsReady && f.Agent(a.agent).Said("caught_up=false") {
+		if f.awaitsReady && f.Agent(a.agent).LogContains("caught_up=false") {
 			n++
 		}
 	}
--- a/cmd/dunestep/witness_test.go
+++ b/cmd/dunestep/witness_test.go
@@ -73,20 +73,20 @@
 		t: t, open: map[string]*observedRequest{}, history: judge.NewHistory(clockSlack), versions: map[uint64]policyVersion{},
 		maxAttempts: map[uint64]int{0: initialMaxAttempts},
 	}
-	set := lab.Deployment()
+	set := lab.DefaultSettings()
 	set.Limits.MaxAttempts = initialMaxAttempts
 	set.Classes = append(set.Classes, balancer.Class{Name: pendingClass, LatencyObjective: 10 * time.Second, PriorityWeight: 1, Idempotency: balancer.Idempotent})
 	for i := range set.Classes { // no request reaches its deadline
 		set.Classes[i].Deadline = 60 * time.Second
 	}
 	w.lab = lab.Open(t, lab.Options{
-		Agents: agents, Servers: 2 * initialMaxAttempts, Program: program, Ops: true, Seed: 5,
-		Settings: set, Answer: w.answerAttempt, Shape: func(c *lab.Config) {
-			c.Operator = "[fleet]\non = true\npolicy = true\nvoters = [0, 1, 2]\nlease_ms = 2000\nheard_ms = 500\n"
+		Agents: agents, Servers: 2 * initialMaxAttempts, Program: program, OperatorListener: true, Seed: 5,
+		Settings: set, Respond: w.answerAttempt, Configure: func(c *lab.Config) {
+			c.OperatorFile = "[fleet]\non = true\npolicy = true\nvoters = [0, 1, 2]\nlease_ms = 2000\nheard_ms = 500\n"
 			if stores == inFolders {
-				c.Operator += fmt.Sprintf("folder = %q\n", voterFolder(t, folders, c.Agent))
+				c.OperatorFile += fmt.Sprintf("folder = %q\n", voterFolder(t, folders, c.Agent))
 			}
-			c.Operator += "[storm]\non = false\n"
+			c.OperatorFile += "[storm]\non = false\n"
 			if shape != nil {
 				shape(c)
 			}
@@ -94,7 +94,7 @@
 	})
 	ctx := t.Context()
 	require.NoError(t, w.lab.StartAll(ctx))
-	require.NoError(t, w.lab.Wait(ctx, "leases", all(w.lab, full)))
+	require.NoError(t, w.lab.Wait(ctx, "leases", allAgents(w.lab, hasFullStanding)))
 	ctx, w.stop = context.WithCancel(ctx)
 	for _, a := range w.lab.Agents() {
 		for caller := range callersPerAgent {
@@ -167,7 +167,7 @@
 }
 
 // answerAttempt answers an attempt. Of every rejectionInterval requests, it rejects one and records its attempts.
-func (w *policyObserver) answerAttempt(s lab.Step) standin.Reply {
+func (w *policyObserver) answerAttempt(s lab.Attempt) standin.Reply {
 	id := s.Request.Header.Get("X-Correlation-Id")
 	if n, _ := strconv.ParseUint(id, 16, 64); n%rejectionInterval != 0 {
 		return standin.Reply{Status: http.StatusOK}
@@ -188,7 +188,7 @@
 	}
 	w.mu.Unlock()
 	if waits {
-		w.lab.Mark("request pending", fmt.Sprint("n", s.Agent), id)
+		w.lab.RecordEvent("request pending", fmt.Sprint("n", s.Agent), id)
 	}
 	return standin.Reply{Status: http.StatusServiceUnavailable, Headers: "X-Unprocessed: 1\r\n"}
 }
@@ -265,7 +265,7 @@
 
 // policiesAt returns an agent's policy status; false: it did not respond.
 func policiesAt(a *lab.Agent) (s policyState, ok bool) {
-	err := opsClient{a.Ops}.call(http.MethodGet, "/ops/fleet/policy", "", &s)
+	err := opsClient{a.OperatorAddr}.call(http.MethodGet, "/ops/fleet/policy", "", &s)
 	return s, err == nil
 }
 
@@ -301,7 +301,7 @@
 	require.NoError(w.t, w.lab.Wait(w.t.Context(), "more requests", func() bool {
 		now := count()
 		for _, a := range w.lab.Agents() {
-			if a.Runs() && now[a.Number] < before[a.Number]+4*callersPerAgent {
+			if a.IsRunning() && now[a.Number] < before[a.Number]+4*callersPerAgent {
 				return false
 			}
 		}
@@ -313,7 +313,7 @@
 func (w *policyObserver) awaitInForce(attempts int) {
 	w.t.Helper()
 	for _, a := range w.lab.Agents() {
-		if !a.Runs() {
+		if !a.IsRunning() {
 			continue
 		}
 		require.NoError(w.t, w.lab.Wait(w.t.Context(), fmt.Sprint(a.Name, " applies the version with attempts = ", attempts), func() bool {
--- a/cmd/rehearse/bench.go
+++ b/cmd/rehearse/bench.go
@@ -30,8 +30,8 @@
 	}
 	bench, err := live.RunBench(inv.ctx, live.BenchOptions{
 		Programs: c.Agent, Rounds: c.Rounds,
-		Self: []string{self, "part"}, Conns: c.Conns,
-		Servers: c.Servers, Length: c.Length, Rates: c.Rate,
+		PartCommand: []string{self, "part"}, Conns: c.Conns,
+		Servers: c.Servers, Duration: c.Length, Rates: c.Rate,
 	})
 	if bench != nil && len(bench.Costs) > 0 {
 		if err := bench.Text(inv.stdout); err != nil {
@@ -46,11 +46,11 @@
 	if err != nil {
 		return err
 	}
-	lateness := bench.Late.Happenings
+	lateness := bench.Lateness.Events
 	fmt.Fprintf(inv.stdout, "%d requests scheduled, %d answered, %.0f a second, on %d cores with %.2f s of "+
-		"processor time\n", bench.Asked, bench.Answered, bench.PerS, bench.Cores, bench.CPUS)
+		"processor time\n", bench.Sent, bench.Answered, bench.AnsweredPerSecond, bench.Cores, bench.CPUSeconds)
 	fmt.Fprintf(inv.stdout, "lateness: p50 %d us, p99 %d us, p99.9 %d us, max %v\n",
-		lateness.ValueAtQuantile(50), lateness.ValueAtQuantile(99), lateness.ValueAtQuantile(99.9), bench.Late.Most)
+		lateness.ValueAtQuantile(50), lateness.ValueAtQuantile(99), lateness.ValueAtQuantile(99.9), bench.Lateness.Max)
 	return nil
 }
 
--- a/cmd/rehearse/compare.go
+++ b/cmd/rehearse/compare.go
@@ -136,7 +136,7 @@
 	}
 	p := inv.progress()
 	o := rehearsal.BreakOptions{
-		Least: c.From, Most: c.To, Steps: c.Steps, Seed: scen.Seed,
+		MinLoad: c.From, MaxLoad: c.To, Steps: c.Steps, Seed: scen.Seed,
 		Progress: func(load float64) { p.show("%s at %.3f times its load", scen.Name, load) },
 	}
 	if c.Live {
--- a/cmd/rehearse/gate.go
+++ b/cmd/rehearse/gate.go
@@ -107,13 +107,13 @@
 	}
 	raiseMemoryLimit(1, scen)
 	p := inv.progress()
-	show := func(at time.Duration) { p.show("%s: %v of %v done", scen.Name, at, scen.Day.Length) }
+	show := func(at time.Duration) { p.show("%s: %v of %v done", scen.Name, at, scen.Run.Length) }
 	soaked, err := rehearsal.Soak(inv.ctx, scen, rehearsal.Options{Seed: scen.Seed, Progress: show})
 	p.clear()
 	if err != nil {
 		return err
 	}
-	for _, h := range soaked.Held {
+	for _, h := range soaked.Samples {
 		fmt.Fprintf(inv.stdout, "%6.0f s  %8.1f MB in use, %.1f KB for each agent\n", h.At.Seconds(),
 			float64(h.Heap)/(1<<20), float64(h.Heap)/1024/float64(soaked.Agents))
 	}
--- a/cmd/rehearse/hunt.go
+++ b/cmd/rehearse/hunt.go
@@ -53,7 +53,7 @@
 	p := inv.progress()
 	results, err := rehearsal.Hunt(inv.ctx, scen, rehearsal.HuntOptions{
 		First: c.First, Seeds: c.Seeds,
-		Without: c.Without, Placed: c.Placed,
+		Without: c.Without, RingAssignment: c.Placed,
 		Progress: func(done, failed int) {
 			p.show("%s: %d of %d runs done, %d did not pass", scen.Name, done, c.Seeds, failed)
 		},
@@ -75,7 +75,7 @@
 }
 
 // writeRanking writes the ranking as text.
-func (c *huntCommand) writeRanking(out io.Writer, results []rehearsal.Found) {
+func (c *huntCommand) writeRanking(out io.Writer, results []rehearsal.SeedResult) {
 	sum, squares, failed := 0.0, 0.0, 0
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "seed\tservice\tcrashed\trules broken\tfindings")
@@ -107,18 +107,18 @@
 }
 
 // writeFiles writes the ranking as JSON, and the worst failed runs as scenario files with their seeds.
-func (c *huntCommand) writeFiles(scen *scenario.Scenario, results []rehearsal.Found) error {
+func (c *huntCommand) writeFiles(scen *scenario.Scenario, results []rehearsal.SeedResult) error {
 	ranking := struct {
-		Schema   int               `json:"schema"`
-		Scenario string            `json:"scenario"`
-		First    uint64            `json:"first_seed"`
-		Seeds    int               `json:"seeds"`
-		Without  []string          `json:"without"`
-		Placed   bool              `json:"placed,omitempty"` // by the flag, whatever the scenario has
-		Days     []rehearsal.Found `json:"days"`             // the worst first; fewer than seeds if interrupted
+		Schema   int                    `json:"schema"`
+		Scenario string                 `json:"scenario"`
+		First    uint64                 `json:"first_seed"`
+		Seeds    int                    `json:"seeds"`
+		Without  []string               `json:"without"`
+		Placed   bool                   `json:"placed,omitempty"` // by the flag, whatever the scenario has
+		Days     []rehearsal.SeedResult `json:"days"`             // the worst first; fewer than seeds if interrupted
 	}{
 		1, scen.Name, c.First, c.Seeds, append([]string{}, c.Without...), c.Placed,
-		append([]rehearsal.Found{}, results...),
+		append([]rehearsal.SeedResult{}, results...),
 	}
 	text, err := json.MarshalIndent(ranking, "", " ")
 	if err != nil {
@@ -132,7 +132,7 @@
 			break
 		}
 		failing := *scen
-		failing.Seed, failing.Agents.Placed = result.Seed, failing.Agents.Placed || c.Placed
+		failing.Seed, failing.Agents.RingPlacement = result.Seed, failing.Agents.RingPlacement || c.Placed
 		text, err := scenario.Encode(&failing)
 		if err != nil {
 			return err
--- a/cmd/rehearse/live.go
+++ b/cmd/rehearse/live.go
@@ -57,7 +57,7 @@
 	}
 	p := inv.progress()
 	o := live.Options{Seed: scen.Seed, Program: c.Agent, Progress: func(at time.Duration) {
-		p.show("%s: %v of %v done", scen.Name, at, scen.Day.Length)
+		p.show("%s: %v of %v done", scen.Name, at, scen.Run.Length)
 	}}
 	if c.Verbose {
 		o.Log = func(agent, line string) { fmt.Fprintln(inv.stderr, agent, line) }
--- a/cmd/rehearse/live_test.go
+++ b/cmd/rehearse/live_test.go
@@ -33,7 +33,7 @@
 func buildPrograms(t *testing.T) (kit, agent, scenarioFile string) {
 	dir := t.TempDir()
 	kit, agent, scenarioFile = filepath.Join(dir, "rehearse"), filepath.Join(dir, "dunestep"), filepath.Join(dir, "day.toml")
-	require.NoError(t, program.Sources())
+	require.NoError(t, program.DependOnSources())
 	require.NoError(t, program.Build(kit, "dunestep/cmd/rehearse"))
 	require.NoError(t, program.Build(agent, "dunestep/cmd/dunestep"))
 	require.NoError(t, os.WriteFile(scenarioFile, []byte(liveScenario), 0o600))
--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -139,9 +139,9 @@
 	raiseMemoryLimit(1, scen)
 	p := inv.progress()
 	r, err := rehearsal.Play(inv.ctx, scen, rehearsal.Options{
-		Seed: scen.Seed, Without: c.Without, Late: c.Late,
-		Placed:   c.Placed,
-		Progress: func(at time.Duration) { p.show("%s: %v of %v done", scen.Name, at, scen.Day.Length) },
+		Seed: scen.Seed, Without: c.Without, MeasureShares: c.Late,
+		RingAssignment: c.Placed,
+		Progress:       func(at time.Duration) { p.show("%s: %v of %v done", scen.Name, at, scen.Run.Length) },
 	})
 	p.clear()
 	if r == nil {
@@ -206,8 +206,8 @@
 	smallest, err := rehearsal.Shrink(inv.ctx, scen, rehearsal.ShrinkOptions{
 		Without: c.Without,
 		Progress: func(played int, current *scenario.Scenario) {
-			p.show("%d runs done: %v, %d agents, %d servers, %d faults", played, current.Day.Length,
-				current.Agents.Count, current.Fleet.Servers, len(current.Troubles))
+			p.show("%d runs done: %v, %d agents, %d servers, %d faults", played, current.Run.Length,
+				current.Agents.Count, current.Fleet.Servers, len(current.Faults))
 		},
 	})
 	p.clear()
@@ -221,8 +221,8 @@
 	if err := os.WriteFile(c.Out, text, 0o644); err != nil {
 		return err
 	}
-	fmt.Fprintf(inv.stdout, "%s: %v, %d agents, %d servers, %d faults, seed %d\n", c.Out, smallest.Day.Length,
-		smallest.Agents.Count, smallest.Fleet.Servers, len(smallest.Troubles), smallest.Seed)
+	fmt.Fprintf(inv.stdout, "%s: %v, %d agents, %d servers, %d faults, seed %d\n", c.Out, smallest.Run.Length,
+		smallest.Agents.Count, smallest.Fleet.Servers, len(smallest.Faults), smallest.Seed)
 	return err
 }
 
@@ -247,7 +247,7 @@
 			bad = append(bad, err)
 			continue
 		}
-		fmt.Fprintf(w, "%s\t%v\t%d servers, %d agents\tfloor %.2f\t%s\n", scen.Name, scen.Day.Length,
+		fmt.Fprintf(w, "%s\t%v\t%d servers, %d agents\tfloor %.2f\t%s\n", scen.Name, scen.Run.Length,
 			scen.Fleet.Servers, scen.Agents.Count, scen.Floor, scen.About)
 	}
 	fmt.Fprintln(w, "\nProtections that --without disables:")
--- a/cmd/rehearse/main_test.go
+++ b/cmd/rehearse/main_test.go
@@ -109,7 +109,7 @@
 // core and on eight.
 func TestSameBytesInEveryProcess(t *testing.T) {
 	kit := filepath.Join(t.TempDir(), "rehearse")
-	require.NoError(t, program.Sources())
+	require.NoError(t, program.DependOnSources())
 	require.NoError(t, program.Build(kit, "dunestep/cmd/rehearse"))
 	files, err := filepath.Glob(filepath.Join(scenariosDir, "*.toml"))
 	require.NoError(t, err)
@@ -117,7 +117,7 @@
 	for _, file := range files {
 		scen, err := scenario.Load(file)
 		require.NoError(t, err)
-		if scen.Day.Length > maxRunLength || scen.Fleet.Servers > maxServers {
+		if scen.Run.Length > maxRunLength || scen.Fleet.Servers > maxServers {
 			continue
 		}
 		t.Run(scen.Name, func(t *testing.T) {
--- a/docs/pages_test.go
+++ b/docs/pages_test.go
@@ -63,7 +63,7 @@
 			"commands that are not tested", count, notRun)
 	}
 	runner := &doctest.Runner{Root: ".."}
-	require.NoError(t, program.Sources())
+	require.NoError(t, program.DependOnSources())
 	require.NoError(t, runner.Build(t.TempDir()))
 	params, err := runner.Params(t.TempDir(), all)
 	require.NoError(t, err)
--- a/internal/agent/actor.go
+++ b/internal/agent/actor.go
@@ -107,7 +107,7 @@
 func (a *Agent) reportEjections(now time.Duration) {
 	if a.balancer != nil && now-a.ejectedAt >= ejectionInterval {
 		a.ejectedAt = now
-		a.metrics.SetEjected(a.balancer.EjectedServers())
+		a.metrics.SetEjected(a.balancer.EjectedServerCount())
 	}
 }
 
--- a/internal/agent/bench_test.go
+++ b/internal/agent/bench_test.go
@@ -61,7 +61,7 @@
 // address of its listener.
 func startAgentWithObjective(b testing.TB, objective time.Duration, servers ...string) string {
 	descriptors := transport.NewDescriptors(1024, func() {})
-	bodies := transport.NewBodyLimits(24<<20, transport.BodyRules{MaxBytes: 4 << 20, ClientStall: 2 * time.Second, ClientLag: time.Second})
+	bodies := transport.NewBodyLimits(24<<20, transport.BodyRules{MaxBytes: 4 << 20, ClientStallTimeout: 2 * time.Second, MaxClientLag: time.Second})
 	class := balancer.Class{Name: "consult", LatencyObjective: objective, Deadline: objective}
 	list := protocol.EndpointList{Version: 1, Full: true}
 	for i, s := range servers {
--- a/internal/agent/exchange.go
+++ b/internal/agent/exchange.go
@@ -121,7 +121,7 @@
 		p, left := body.Progress(), time.Until(a.deadlines.Load().deadline)
 		progress := responseProgress(p)
 		progress.Stream = a.streams
-		lag := e.upstream.settings.bodies.Rules().ClientLag
+		lag := e.upstream.settings.bodies.Rules().MaxClientLag
 		if reason := progress.CheckLimits(time.Since(a.sent), left, p.SilentFor, lag); reason != routing.NotEnded {
 			a.cancel(reason)
 			return
@@ -188,7 +188,7 @@
 	if p.IsComplete && !p.LastReceivedAt.IsZero() { // else the attempt waited for the response until its end
 		ended = p.LastReceivedAt
 	}
-	latency := ended.Sub(e.attempt.latencyStart()) - p.DelayedBefore - p.StalledFor
+	latency := ended.Sub(e.attempt.latencyStart()) - p.MemoryWait - p.StalledFor
 	if e.streamed != nil {
 		latency -= p.ReceivingFor
 	}
@@ -198,7 +198,7 @@
 // responseProgress converts the progress of a body to the router's type.
 func responseProgress(p bodystream.Progress) routing.ResponseProgress {
 	return routing.ResponseProgress{
-		Length: p.Length, Received: p.Received, DelayBefore: p.DelayedBefore, Blocked: p.StalledFor,
+		Length: p.Length, Received: p.Received, DelayBefore: p.MemoryWait, Blocked: p.StalledFor,
 		Receiving: p.ReceivingFor,
 		Complete:  p.IsComplete,
 	}
--- a/internal/agent/list.go
+++ b/internal/agent/list.go
@@ -141,7 +141,7 @@
 // reportSize updates the numbers of listed and disabled endpoints in the metrics.
 func (l *listActor) reportSize() {
 	listed, disabled := l.tracker.Size()
-	l.metrics.SetEndpoints(metrics.Endpoints{Listed: listed, Banned: disabled})
+	l.metrics.SetEndpoints(metrics.Endpoints{Listed: listed, Disabled: disabled})
 }
 
 // carryOut carries out the tracker's outputs, in order.
--- a/internal/agent/requests.go
+++ b/internal/agent/requests.go
@@ -131,7 +131,7 @@
 	case routing.RescheduleAttempt:
 		r.attempts[out.Attempt].reschedule(a.clock.time(out.At), a.clock.time(out.Deadline))
 	case routing.CancelAttempt:
-		r.attempts[out.Attempt].cancel(out.Why)
+		r.attempts[out.Attempt].cancel(out.Reason)
 	case routing.CancelIfUnsent:
 		r.attempts[out.Attempt].cancelIfUnsent()
 	case routing.ForgetRequest:
--- a/internal/agent/responses_test.go
+++ b/internal/agent/responses_test.go
@@ -57,7 +57,7 @@
 	stream := bodystream.New(100, grant, 100)
 	_, err = stream.WriteBuffer()
 	require.NoError(t, err)
-	stream.Wrote(50)
+	stream.CommitWrite(50)
 	return stream
 }
 
@@ -179,7 +179,7 @@
 	sent := time.Now()
 	buffered := &exchange{attempt: &attempt{sent: sent, request: &request{Request: &protocol.Request{}}}}
 	streamed := &exchange{attempt: buffered.attempt, streamed: &bodystream.Stream{}}
-	p := bodystream.Progress{IsComplete: true, LastReceivedAt: sent.Add(9 * time.Second), DelayedBefore: time.Second, StalledFor: 2 * time.Second}
+	p := bodystream.Progress{IsComplete: true, LastReceivedAt: sent.Add(9 * time.Second), MemoryWait: time.Second, StalledFor: 2 * time.Second}
 	require.Equal(t, 6*time.Second, buffered.endpointLatency(p, sent.Add(time.Hour)))
 	p.ReceivingFor = time.Second
 	require.Equal(t, 5*time.Second, streamed.endpointLatency(p, sent.Add(time.Hour)), "only the beginning of a streamed body is timed")
--- a/internal/agent/sharedlimits.go
+++ b/internal/agent/sharedlimits.go
@@ -68,6 +68,6 @@
 	case err == nil:
 		c.shared.Connected(time.Since(began))
 	case errors.As(err, &netErr) && netErr.Timeout():
-		c.shared.GaveUp()
+		c.shared.TimedOut()
 	}
 }
--- a/internal/agent/unsentattempt_test.go
+++ b/internal/agent/unsentattempt_test.go
@@ -49,7 +49,7 @@
 		clock: agentClock, maxConnectTimeout: time.Minute, reuseDelay: routing.ReuseDelay, connectTimeouts: &connectTimeouts{},
 		idleLimit:   &idleLimit{shared: routing.NewIdleLimit(agentClock.now(), time.Hour)},
 		descriptors: transport.NewDescriptors(16, func() {}), metrics: metrics.New(nil),
-		bodies: transport.NewBodyLimits(1<<20, transport.BodyRules{MaxBytes: 1 << 20, ClientStall: time.Second, ClientLag: time.Second}),
+		bodies: transport.NewBodyLimits(1<<20, transport.BodyRules{MaxBytes: 1 << 20, ClientStallTimeout: time.Second, MaxClientLag: time.Second}),
 	},
 		l.Addr().(*net.TCPAddr).AddrPort(), func(m any) { reports <- m })
 	attemptOf := func(id string) *attempt {
--- a/internal/agent/upstream_test.go
+++ b/internal/agent/upstream_test.go
@@ -53,8 +53,8 @@
 		idleLimit:   &idleLimit{shared: routing.NewIdleLimit(s.clock.now(), time.Hour)},
 		descriptors: transport.NewDescriptors(1024, func() {}), metrics: metrics.New(nil),
 		bodies: transport.NewBodyLimits(1<<20, transport.BodyRules{
-			MaxBytes: 1 << 20, BufferedBytes: 1 << 20, ClientStall: time.Minute,
-			ClientLag: time.Minute,
+			MaxBytes: 1 << 20, BufferedBytes: 1 << 20, ClientStallTimeout: time.Minute,
+			MaxClientLag: time.Minute,
 		}),
 	}
 	if edit != nil {
--- a/internal/balancer/attempt.go
+++ b/internal/balancer/attempt.go
@@ -47,7 +47,7 @@
 	b.addInFlight(&r.attempts[len(r.attempts)-1], 1)
 	b.sentThisRound += r.workUnits
 	s.slowStart.Spend(r.workUnits)
-	b.zoneReach.RecordTrial(b.now, s.Zone)
+	b.zoneReach.RecordAttempt(b.now, s.Zone)
 	b.accounts.RequestSent(&s.account, r.workUnits)
 	b.emit(Action{Kind: Send, ID: r.id, Server: s.ID, After: timeout})
 	b.countOverride(r, s)
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -107,7 +107,7 @@
 	b.setSlowStartParams(slowstart.Params{
 		InitialCapacity: set.Rules.SlowStartCapacity, Duration: set.Rules.SlowStartDuration,
 		OverloadMultiple: set.Rules.OverloadMultiple, OverloadWindow: set.Rules.OverloadWindow,
-		Margin: b.tuning.SlowStartMargin, MaxOfWarm: b.tuning.SlowStartMax, Balancers: set.Balancers,
+		Margin: b.tuning.SlowStartMargin, MaxWarmMultiple: b.tuning.SlowStartMax, Balancers: set.Balancers,
 	})
 	shortest := set.Classes[0].LatencyObjective
 	for i, c := range set.Classes {
--- a/internal/balancer/eligibility.go
+++ b/internal/balancer/eligibility.go
@@ -124,7 +124,7 @@
 func (b *Balancer) checkHealth(r *request, s *server) (skipReason, attemptPurpose) {
 	damped := s.isDamped(b.now)
 	if b.isZoneUnreachable(s) {
-		if r.class.Idempotency != NotIdempotent && b.zoneReach.IsTrialDue(b.now, s.Zone) {
+		if r.class.Idempotency != NotIdempotent && b.zoneReach.IsProbeDue(b.now, s.Zone) {
 			return notSkipped, probeServer
 		}
 		return skipZoneUnreachable, serveRequest
--- a/internal/balancer/endpoints.go
+++ b/internal/balancer/endpoints.go
@@ -61,7 +61,7 @@
 // scheduled.
 func (b *Balancer) onWatchEnded(w *WatchStatus) {
 	if w.End == backoff.WatchSilent {
-		b.discovery.WatchFellSilent(b.now, w.SilentFor)
+		b.discovery.RecordSilentWatch(b.now, w.SilentFor)
 	}
 	if w.Replaced {
 		return
--- a/internal/balancer/fleetsize_test.go
+++ b/internal/balancer/fleetsize_test.go
@@ -30,7 +30,7 @@
 func probeRequestRate(agents, live int) float64 {
 	const length = 10 * time.Minute
 	terms := slowstart.Params{
-		InitialCapacity: 0.3, Duration: 9 * time.Second, OverloadMultiple: 3, OverloadWindow: 3 * time.Second, Margin: 0.5, MaxOfWarm: 1,
+		InitialCapacity: 0.3, Duration: 9 * time.Second, OverloadMultiple: 3, OverloadWindow: 3 * time.Second, Margin: 0.5, MaxWarmMultiple: 1,
 		Balancers: EffectiveFleetSize(live, 300),
 	}
 	rng, sent := rand.New(rand.NewPCG(1, 2)), 0
--- a/internal/balancer/introspection.go
+++ b/internal/balancer/introspection.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// EjectedServers returns the number of ready servers that get no ordinary requests now because they are
+// EjectedServerCount returns the number of ready servers that get no ordinary requests now because they are
 // ejected, damped, or have been rejecting requests.
-func (b *Balancer) EjectedServers() (n int) {
+func (b *Balancer) EjectedServerCount() (n int) {
 	for _, s := range b.servers {
 		if s.State == Ready && (s.outlier.IsEjected() || s.isDamped(b.now) || s.outlier.IsAvoided(b.now)) {
 			n++
--- a/internal/balancer/outlier/detector_test.go
+++ b/internal/balancer/outlier/detector_test.go
@@ -115,7 +115,7 @@
 	d := New(attemptTimeout, 1)
 	s := d.AddServer()
 	for range 100 {
-		d.AttemptEnded(time.Second, s, Attempt{}, NotSent, ms, &Evidence{LocalShortage: true})
+		d.AttemptEnded(time.Second, s, Attempt{}, ConnectFailed, ms, &Evidence{LocalShortage: true})
 		d.AttemptEnded(time.Second, s, Attempt{}, TimedOut, attemptTimeout, &Evidence{ActedLateBy: time.Second})
 	}
 	assert.Equal(t, Healthy, d.Verdict(s, 0))
@@ -180,8 +180,8 @@
 		evidence Evidence
 		needed   int
 	}{
-		{"refused", NotSent, Evidence{Phase: PhaseConnecting, ConnectionRefused: true}, 2},
-		{"connection not established", NotSent, Evidence{Phase: PhaseConnecting}, 3},
+		{"refused", ConnectFailed, Evidence{Phase: PhaseConnecting, ConnectionRefused: true}, 2},
+		{"connection not established", ConnectFailed, Evidence{Phase: PhaseConnecting}, 3},
 		{"reset within the response", ConnectionLost, Evidence{Phase: PhaseAnswering, ConnectionReused: true, IdleFor: time.Second}, 3},
 		{"reset of an idle connection", ConnectionLost, idle, 12},
 		{"server error", ServerError, Evidence{Phase: PhaseAwaiting}, 3},
--- a/internal/balancer/outlier/evidence.go
+++ b/internal/balancer/outlier/evidence.go
@@ -11,7 +11,7 @@
 	ServerError            // the server reported a failure or sent an invalid response
 	Rejected               // the server rejected the request without processing it
 	TimedOut               // no response before the timeout
-	NotSent                // no connection, or it broke before the last byte was written; not processed
+	ConnectFailed          // no connection, or it broke before the last byte was written; not processed
 	ConnectionLost         // the connection broke after the last byte was written
 	NoEvidence             // canceled or never sent: no information about the server
 )
@@ -40,7 +40,7 @@
 }
 
 // cause is the cause of a failure. Each cause has a usual ratio of its own. The order of the constants is the
-// order of the stored counts, Snapshot.EndsByCause.
+// order of the stored counts, Snapshot.RecentByCause.
 type cause uint8
 
 const (
@@ -93,7 +93,7 @@
 		return causeNoResponse
 	case ConnectionLost:
 		return e.lostConnectionCause()
-	case NotSent:
+	case ConnectFailed:
 		switch {
 		case e.Phase == PhaseWriting:
 			return e.lostConnectionCause()
--- a/internal/balancer/outlier/property_test.go
+++ b/internal/balancer/outlier/property_test.go
@@ -70,7 +70,7 @@
 		s := servers[0]
 		for range 30 {
 			verdictBefore, evidenceBefore := d.Verdict(s, 0), s.partialEvidence
-			end := rapid.SampledFrom([]Outcome{ServerError, TimedOut, NotSent, ConnectionLost}).Draw(t, "end")
+			end := rapid.SampledFrom([]Outcome{ServerError, TimedOut, ConnectFailed, ConnectionLost}).Draw(t, "end")
 			d.AttemptEnded(now, s, d.AttemptStarted(now-attemptTimeout, s, 0, attemptTimeout), end, attemptTimeout, &Evidence{})
 			require.GreaterOrEqual(t, d.Verdict(s, 0), verdictBefore)
 			require.False(t, s.partialEvidence[0] < evidenceBefore[0] || s.partialEvidence[1] < evidenceBefore[1])
--- a/internal/balancer/outlier/simulation_test.go
+++ b/internal/balancer/outlier/simulation_test.go
@@ -80,7 +80,7 @@
 	end.at, end.outcome = done, Answered
 	switch {
 	case p.refuses != nil && p.refuses(f.now):
-		end.at, end.outcome, end.evidence = f.now+ms, NotSent, Evidence{Phase: PhaseConnecting, ConnectionRefused: true}
+		end.at, end.outcome, end.evidence = f.now+ms, ConnectFailed, Evidence{Phase: PhaseConnecting, ConnectionRefused: true}
 	case p.silent != nil && (p.silent(f.now, class) || p.silent(done, class)):
 		end.at, end.outcome, end.evidence = f.now+attemptTimeout, TimedOut, Evidence{Phase: PhaseAwaiting}
 	case f.rng.Float64() < f.noise:
--- a/internal/balancer/outlier/snapshot.go
+++ b/internal/balancer/outlier/snapshot.go
@@ -21,8 +21,8 @@
 	RejectEvidence  float64         `cbor:"10,keyasint,omitempty" json:"turns"`
 	HoldFor         time.Duration   `cbor:"11,keyasint,omitempty" json:"hold_ns"`
 	AvoidFor        time.Duration   `cbor:"12,keyasint,omitempty" json:"not_now_for_ns"`
-	Ends            float64         `cbor:"13,keyasint,omitempty" json:"ends"` // decayed count of ended attempts
-	EndsByCause     []float64       `cbor:"14,keyasint,omitempty" json:"ends_by_cause,omitempty"`
+	RecentAttempts  float64         `cbor:"13,keyasint,omitempty" json:"ends"` // decayed count of ended attempts
+	RecentByCause   []float64       `cbor:"14,keyasint,omitempty" json:"ends_by_cause,omitempty"`
 	Classes         []ClassSnapshot `cbor:"15,keyasint,omitempty" json:"classes,omitempty"`
 }
 
@@ -46,7 +46,7 @@
 	snapshot := Snapshot{
 		DeadEvidence: s.deadEvidence, PartialEvidence: s.partialEvidence, Ejected: s.isEjected,
 		Silent: s.isEjected && s.isSilent, NotListening: s.notListening, RejectEvidence: s.rejectEvidence,
-		AvoidFor: max(s.avoidUntil-now, 0), Ends: s.recent.total,
+		AvoidFor: max(s.avoidUntil-now, 0), RecentAttempts: s.recent.total,
 	}
 	if s.rejectEvidence >= rejectingEvidence/2 { // Restore ignores the hold at less evidence
 		snapshot.HoldFor = s.holdFor
@@ -57,7 +57,7 @@
 	}
 	for _, n := range s.recent.byCause {
 		if n > 0 {
-			snapshot.EndsByCause = append([]float64(nil), s.recent.byCause[:]...)
+			snapshot.RecentByCause = append([]float64(nil), s.recent.byCause[:]...)
 			break
 		}
 	}
@@ -86,10 +86,10 @@
 	if avoid := min(snapshot.AvoidFor, d.maxHold()) - age; avoid > 0 {
 		s.holdUntil, s.avoidUntil = now+avoid, now+avoid
 	}
-	if ends := validEvidence(snapshot.Ends, maxEnds); !s.isEjected &&
-		len(snapshot.EndsByCause) <= len(s.recent.byCause) {
+	if ends := validEvidence(snapshot.RecentAttempts, maxEnds); !s.isEjected &&
+		len(snapshot.RecentByCause) <= len(s.recent.byCause) {
 		s.recent.total = left * ends
-		for c, n := range snapshot.EndsByCause {
+		for c, n := range snapshot.RecentByCause {
 			s.recent.byCause[c] = left * min(validEvidence(n, maxEnds), ends)
 		}
 		d.fleet.add(s.recent)
--- a/internal/balancer/outlier/ejectionrate_test.go
+++ b/internal/balancer/outlier/table_test.go
@@ -27,7 +27,7 @@
 		return hasChanged
 	}
 	c.failed++
-	if c.failures++; outcome == ConnectionLost || outcome == NotSent {
+	if c.failures++; outcome == ConnectionLost || outcome == ConnectFailed {
 		c.failures += 0.5
 	}
 	if !c.isEjected && c.failures >= 3 && c.lastServedAt <= startedAt {
@@ -135,7 +135,7 @@
 // prints a table of both for the detector and, as a comparison, for countingDetector.
 func TestEjectionRates(t *testing.T) {
 	silent := func(*rand.Rand) (Outcome, time.Duration) { return TimedOut, attemptTimeout }
-	refusing := func(*rand.Rand) (Outcome, time.Duration) { return NotSent, ms }
+	refusing := func(*rand.Rand) (Outcome, time.Duration) { return ConnectFailed, ms }
 	partlyFailing := func(rng *rand.Rand) (Outcome, time.Duration) {
 		if rng.Float64() < 0.36 {
 			return ServerError, 3 * ms
--- a/internal/balancer/outliers.go
+++ b/internal/balancer/outliers.go
@@ -14,7 +14,7 @@
 	case TimedOut:
 		return outlier.TimedOut
 	case ConnectFailed:
-		return outlier.NotSent
+		return outlier.ConnectFailed
 	case ConnectionLost:
 		return outlier.ConnectionLost
 	}
--- a/internal/balancer/outliers_test.go
+++ b/internal/balancer/outliers_test.go
@@ -106,10 +106,10 @@
 	}
 }
 
-// EjectedServers counts each skipped server once, and no draining ones.
+// EjectedServerCount counts each skipped server once, and no draining ones.
 func TestEjectedServers(t *testing.T) {
 	b := newStarted(t, testSettings(), serverList(6))
-	require.Zero(t, b.EjectedServers())
+	require.Zero(t, b.EjectedServerCount())
 	i := 0
 	for _, s := range b.servers {
 		switch i++; i {
@@ -119,5 +119,5 @@
 			s.dampedUntil, s.State = b.now+time.Second, Draining
 		}
 	}
-	require.Equal(t, 1, b.EjectedServers())
+	require.Equal(t, 1, b.EjectedServerCount())
 }
--- a/internal/balancer/slowstart.go
+++ b/internal/balancer/slowstart.go
@@ -17,7 +17,7 @@
 func (b *Balancer) setSlowStartParams(params slowstart.Params) {
 	b.slowStart, b.slowStartSaturated = params, params
 	b.slowStartSaturated.Margin *= saturatedMargin
-	b.slowStartSaturated.MaxOfWarm *= saturatedMargin
+	b.slowStartSaturated.MaxWarmMultiple *= saturatedMargin
 }
 
 // slowStartParams returns the slow-start parameters that apply now. Under a ring assignment a server in slow
--- a/internal/balancer/slowstart/slowstart.go
+++ b/internal/balancer/slowstart/slowstart.go
@@ -16,7 +16,7 @@
 	OverloadMultiple float64       // multiple of its capacity above which a server is overloaded
 	OverloadWindow   time.Duration // time for which the load must exceed that multiple
 	Margin           float64       // fraction of OverloadMultiple that is used
-	MaxOfWarm        float64       // maximum rate as a multiple of the rate to a warm server
+	MaxWarmMultiple  float64       // maximum rate as a multiple of the rate to a warm server
 	Balancers        int           // number of agents that share the probe requests
 }
 
@@ -34,7 +34,7 @@
 // capacity and kept well below the overload multiple. The rate of probe requests to an ejected server is
 // lower. Neither rate grows with the number of agents.
 func (p *Params) fillRate(capacity, warmRate float64, kind Traffic) float64 {
-	rate := min(p.Margin*p.OverloadMultiple*capacity, p.MaxOfWarm) * warmRate
+	rate := min(p.Margin*p.OverloadMultiple*capacity, p.MaxWarmMultiple) * warmRate
 	if kind == Probes {
 		rate = max(min(rate, probeFraction*warmRate), minProbesPerSecond/float64(max(p.Balancers, 1)))
 	}
--- a/internal/balancer/slowstart/slowstart_test.go
+++ b/internal/balancer/slowstart/slowstart_test.go
@@ -9,7 +9,7 @@
 
 var testParams = Params{
 	InitialCapacity: 0.25, Duration: 8 * time.Second, OverloadMultiple: 2, OverloadWindow: 3 * time.Second,
-	Margin: 0.5, MaxOfWarm: 0.75, Balancers: 10,
+	Margin: 0.5, MaxWarmMultiple: 0.75, Balancers: 10,
 }
 
 // TestCapacityFraction checks that the capacity grows linearly from the initial one until the server is warm.
--- a/internal/balancer/snapshot_test.go
+++ b/internal/balancer/snapshot_test.go
@@ -82,7 +82,7 @@
 			require.InDelta(t, fresh.TypicalInFlight, old.TypicalInFlight, 1e-9)
 			old.TypicalInFlight, old.MeanWork = fresh.TypicalInFlight, fresh.MeanWork
 			for i := range old.Servers { // the remaining evidence rounds to none
-				require.Less(t, old.Servers[i].Outlier.DeadEvidence+old.Servers[i].Outlier.Ends, 1e-9)
+				require.Less(t, old.Servers[i].Outlier.DeadEvidence+old.Servers[i].Outlier.RecentAttempts, 1e-9)
 				old.Servers[i] = ServerSnapshot{ID: old.Servers[i].ID}
 			}
 			require.InDelta(t, 0, old.SendRate+old.ArrivalRate+old.MeanArrivalRate+old.FailureRatio+old.MeanReportedInFlight, 1e-9)
--- a/internal/balancer/timers.go
+++ b/internal/balancer/timers.go
@@ -30,7 +30,7 @@
 	case purpose == timerPoll:
 		b.pollScheduled = false
 		// Otherwise another call has received updates meanwhile, as after a change of discovery's address.
-		if b.discovery.IsMissingChanges() {
+		if b.discovery.MayHaveMissedChanges() {
 			b.pollDiscovery()
 		}
 	case r == nil || r.closed:
--- a/internal/balancer/zonereach/tracker.go
+++ b/internal/balancer/zonereach/tracker.go
@@ -76,10 +76,10 @@
 	return false
 }
 
-// IsTrialDue reports whether the next request may probe an unreachable zone.
-func (t *Tracker) IsTrialDue(now time.Duration, zone string) bool {
+// IsProbeDue reports whether the next request may probe an unreachable zone.
+func (t *Tracker) IsProbeDue(now time.Duration, zone string) bool {
 	return now-t.state(zone).lastAttemptAt >= probeInterval
 }
 
-// RecordTrial records the start of an attempt at a server of the zone.
-func (t *Tracker) RecordTrial(now time.Duration, zone string) { t.state(zone).lastAttemptAt = now }
+// RecordAttempt records the start of an attempt at a server of the zone.
+func (t *Tracker) RecordAttempt(now time.Duration, zone string) { t.state(zone).lastAttemptAt = now }
--- a/internal/balancer/zonereach/tracker_test.go
+++ b/internal/balancer/zonereach/tracker_test.go
@@ -41,10 +41,10 @@
 // TestProbeInterval checks that an unreachable zone is probed at intervals.
 func TestProbeInterval(t *testing.T) {
 	var z Tracker
-	require.True(t, z.IsTrialDue(time.Second, "a"))
-	z.RecordTrial(time.Second, "a")
-	require.False(t, z.IsTrialDue(time.Second+probeInterval-1, "a"))
-	require.True(t, z.IsTrialDue(time.Second+probeInterval, "a"))
+	require.True(t, z.IsProbeDue(time.Second, "a"))
+	z.RecordAttempt(time.Second, "a")
+	require.False(t, z.IsProbeDue(time.Second+probeInterval-1, "a"))
+	require.True(t, z.IsProbeDue(time.Second+probeInterval, "a"))
 }
 
 // TestSomeZoneIsReachable checks for random outcomes that at least one zone is reachable, that any response makes its
--- a/internal/bodystream/progress.go
+++ b/internal/bodystream/progress.go
@@ -7,7 +7,7 @@
 	Length         int64         // announced length in bytes; negative: unknown
 	Received       int64         // bytes received so far
 	LastReceivedAt time.Time     // when the last bytes were received; zero: none yet
-	DelayedBefore  time.Duration // wait for memory before the first byte could be received
+	MemoryWait     time.Duration // wait for memory before the first byte could be received
 	StalledFor     time.Duration // wait since then because earlier bytes were not read
 	ReceivingFor   time.Duration // time since the first byte, without StalledFor
 	SilentFor      time.Duration // time since the last bytes, without stalls; zero after CloseWrite
@@ -20,7 +20,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := Progress{
-		Length: s.length, Received: s.received, LastReceivedAt: s.lastReceivedAt, DelayedBefore: s.memoryWait,
+		Length: s.length, Received: s.received, LastReceivedAt: s.lastReceivedAt, MemoryWait: s.memoryWait,
 		StalledFor: s.stalledFor, IsComplete: s.isComplete, HasConsumed: s.hasConsumed,
 	}
 	until := s.lastReceivedAt
--- a/internal/bodystream/read.go
+++ b/internal/bodystream/read.go
@@ -29,8 +29,8 @@
 // hasUnread reports whether there are bytes to read. The caller must hold mu.
 func (s *Stream) hasUnread() bool { return len(s.queue) > 0 && s.consumed < len(s.queue[0]) }
 
-// Consumed releases the first n bytes returned by the last ReadBuffer.
-func (s *Stream) Consumed(n int) {
+// Consume releases the first n bytes returned by the last ReadBuffer.
+func (s *Stream) Consume(n int) {
 	s.mu.Lock()
 	s.consumed += n
 	s.hasConsumed = true
--- a/internal/bodystream/stream.go
+++ b/internal/bodystream/stream.go
@@ -64,9 +64,9 @@
 	return s.length
 }
 
-// ForwardingStarted notifies the Stream that the body is being forwarded. From then on one chunk is enough to
+// SetForwarding notifies the Stream that the body is being forwarded. From then on one chunk is enough to
 // make progress, and the Stream reduces its grant accordingly as chunks are consumed.
-func (s *Stream) ForwardingStarted() {
+func (s *Stream) SetForwarding() {
 	s.mu.Lock()
 	s.minGrantBytes = min(s.minGrantBytes, ChunkBytes)
 	s.mu.Unlock()
--- a/internal/bodystream/stream_test.go
+++ b/internal/bodystream/stream_test.go
@@ -55,7 +55,7 @@
 					return
 				}
 				n := copy(buffer[:min(len(buffer), pieces[at%4])], body[at:])
-				s.Wrote(n)
+				s.CommitWrite(n)
 				at += n
 			}
 			s.CloseWrite(io.EOF)
@@ -69,7 +69,7 @@
 			require.LessOrEqual(t, pool.Reserved(), maxBytes)
 			n := min(len(b), pieces[len(got)%4])
 			got = append(got, b[:n]...)
-			s.Consumed(n)
+			s.Consume(n)
 			if len(got) > stopsAfter {
 				if aborts {
 					s.Abort(abandoned)
@@ -100,10 +100,10 @@
 	grant, err := pool.Reserve(t.Context(), bytebudget.Holder{Name: "s-0"}, ChunkBytes)
 	require.NoError(t, err)
 	s := New(-1, grant, ChunkBytes)
-	s.SetDelayedBefore(time.Hour)
+	s.AddMemoryWait(time.Hour)
 	buffer, err := s.WriteBuffer()
 	require.NoError(t, err)
-	s.Wrote(len(buffer))
+	s.CommitWrite(len(buffer))
 	woken := make(chan error)
 	go func() {
 		_, stopErr := s.WriteBuffer()
@@ -112,15 +112,15 @@
 	const wait = 30 * time.Millisecond
 	require.Eventually(t, func() bool { return s.Progress().StalledFor > wait }, 10*time.Second, time.Millisecond)
 	p := s.Progress()
-	require.Equal(t, time.Hour, p.DelayedBefore)
+	require.Equal(t, time.Hour, p.MemoryWait)
 	require.Less(t, p.ReceivingFor, p.StalledFor)
 	b, err := s.ReadBuffer()
 	require.NoError(t, err)
-	s.Consumed(len(b))
+	s.Consume(len(b))
 	require.NoError(t, <-woken)
 	buffer, err = s.WriteBuffer()
 	require.NoError(t, err)
-	s.Wrote(len(buffer))
+	s.CommitWrite(len(buffer))
 	go func() {
 		_, stopErr := s.WriteBuffer()
 		woken <- stopErr
--- a/internal/bodystream/write.go
+++ b/internal/bodystream/write.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// SetDelayedBefore adds d to the time that the body waited for memory before it could begin. It must be
+// AddMemoryWait adds d to the time that the body waited for memory before it could begin. It must be
 // called before WriteBuffer.
-func (s *Stream) SetDelayedBefore(d time.Duration) { s.memoryWait += d }
+func (s *Stream) AddMemoryWait(d time.Duration) { s.memoryWait += d }
 
 // WriteBuffer waits for memory and returns a buffer for the next bytes. The buffer is empty beyond the
 // announced length. The error is the reason why no more bytes are wanted.
@@ -33,8 +33,8 @@
 	}
 }
 
-// Wrote appends the first n bytes of the last WriteBuffer to the body.
-func (s *Stream) Wrote(n int) {
+// CommitWrite appends the first n bytes of the last WriteBuffer to the body.
+func (s *Stream) CommitWrite(n int) {
 	if n == 0 {
 		return
 	}
