--- a/internal/control/maintenance/lab/application.go
+++ b/internal/control/maintenance/lab/application.go
@@ -50,7 +50,7 @@
 func (l *Lab) newApplication(n int, now lease.ClockReading) policylab.Application {
 	settings := maintenancelog.Settings{
 		Self: n, IsVoter: n >= 0 && n < voters, Incarnation: uint64(now.Mono) + 1, MachineNumber: 2,
-		Turns: turns, MaxInFlight: maxInFlight, ClockMargin: clockMargin,
+		Groups: turns, MaxInFlight: maxInFlight, ClockMargin: clockMargin,
 		InForce: func() uint64 { return l.versionInForce(n) },
 		View:    func(fleet.ClockReading) maintenance.LeaderView { return l.leaderView(n) },
 	}
@@ -62,7 +62,7 @@
 			settings.Times.Terms = 1, lease.Terms{Duration: 1, MaxKnowledgeAge: 1, MaxClockError: 1}
 	case withoutTurns:
 		if n >= voters {
-			settings.Turns = 0
+			settings.Groups = 0
 		}
 	}
 	p := &application{Adapter: maintenancelog.New(settings), lab: l, node: n}
--- a/internal/control/maintenance/maintenancelog/adapter.go
+++ b/internal/control/maintenance/maintenancelog/adapter.go
@@ -40,7 +40,7 @@
 	Incarnation   uint64 // the node's
 	MachineNumber uint8  // number of the state machine in the log's records
 	Times         policy.Times
-	Turns         int           // number of turns, the same at all agents; zero: none
+	Groups        int           // number of turns, the same at all agents; zero: none
 	MaxInFlight   time.Duration // maximum time of a request in flight; zero: 30 s
 	ClockMargin   time.Duration // allowance for differing clocks; zero: 10 s
 	MinNotice     time.Duration // minimum notice of a window; zero: maintenance.MinNotice
@@ -60,7 +60,7 @@
 }
 
 func (s *Adapter) start() {
-	s.agent = maintenance.NewAgent(s.settings.Turns)
+	s.agent = maintenance.NewAgent(s.settings.Groups)
 	if s.settings.IsVoter {
 		s.proposer = maintenance.NewProposer(maintenance.ProposerSettings{
 			Times: s.settings.Times, MaxInFlight: s.settings.MaxInFlight, ClockMargin: s.settings.ClockMargin,
@@ -223,7 +223,7 @@
 ) (*maintenance.Window, error) {
 	input.Now, input.Windows, input.CountWindows = now.Unix, s.openWindows(), s.machine.CountWindows
 	input.MinNotice, input.ClockMargin = s.settings.MinNotice, s.settings.ClockMargin
-	if turns := maintenance.Turns(s.settings.Turns); turns > 0 {
+	if turns := maintenance.Turns(s.settings.Groups); turns > 0 {
 		input.IsInTurn = func(server maintenance.Server, from, to time.Duration) bool {
 			return turns.Covers(server.ID, server.Zone, from, to)
 		}
--- a/internal/control/maintenance/modelcheck.go
+++ b/internal/control/maintenance/modelcheck.go
@@ -39,22 +39,22 @@
 type FingerprintDetail uint8
 
 const (
-	// Everything distinguishes all differences.
-	Everything FingerprintDetail = iota
-	// Alive omits what no longer has an effect at a proposer that knows the whole log: the time at which a
-	// state other than Planned was applied, the time without a fault of a window that can no longer be
+	// DetailAll distinguishes all differences.
+	DetailAll FingerprintDetail = iota
+	// DetailEffective omits what no longer has an effect at a proposer that knows the whole log: the time at
+	// which a state other than Planned was applied, the time without a fault of a window that can no longer be
 	// paused, and everything about a window that returns.
-	Alive
-	// Lagging applies to a proposer that does not know the whole log: its proposals have no effect, and it
+	DetailEffective
+	// DetailLagging applies to a proposer that does not know the whole log: its proposals have no effect, and it
 	// applies the missing records later.
-	Lagging
-	// Quiet is Alive for worlds in which no more faults occur: a past fault is over at the next check, and
-	// the time without a fault matters only for a paused window.
-	Quiet
-	// QuietLagging combines Quiet and Lagging; the window may be paused.
-	QuietLagging
-	// FingerprintDetails is the number of the values above.
-	FingerprintDetails
+	DetailLagging
+	// DetailFaultFree is DetailEffective for worlds in which no more faults occur: a past fault is over at the
+	// next check, and the time without a fault matters only for a paused window.
+	DetailFaultFree
+	// DetailFaultFreeLagging combines DetailFaultFree and DetailLagging; the window may be paused.
+	DetailFaultFreeLagging
+	// DetailCount is the number of the values above.
+	DetailCount
 )
 
 // Fingerprint appends to b, and returns, what distinguishes the proposer from others that have applied the
@@ -65,21 +65,21 @@
 ) []byte {
 	for _, w := range p.windows {
 		progress := p.progress[w.ID]
-		if d != Everything && (w.State == Returning || w.isOver()) {
+		if d != DetailAll && (w.State == Returning || w.isOver()) {
 			continue
 		}
-		if d == Everything || (d == Alive || d == Quiet) && w.State == Planned {
+		if d == DetailAll || (d == DetailEffective || d == DetailFaultFree) && w.State == Planned {
 			b = appendAge(b, progress.appliedAt, now, maxWait)
 		}
-		if d >= Quiet {
-			if d == QuietLagging || w.State == Paused {
+		if d >= DetailFaultFree {
+			if d == DetailFaultFreeLagging || w.State == Paused {
 				b = progress.appendHealthy(b, now)
 			}
 			continue
 		}
 		if b = append(b, byte(progress.fault.Kind)); progress.fault.Kind != NoFault {
 			b = appendAge(b, progress.faultSince, now, maxFaultTime)
-		} else if d == Everything || w.State != Free {
+		} else if d == DetailAll || w.State != Free {
 			b = progress.appendHealthy(b, now)
 		}
 	}
--- a/internal/control/maintenance/search/state.go
+++ b/internal/control/maintenance/search/state.go
@@ -29,7 +29,7 @@
 }
 
 // fingerprints are the fingerprints of a proposer by detail.
-type fingerprints [maintenance.FingerprintDetails]uint64
+type fingerprints [maintenance.DetailCount]uint64
 
 // logPosition is a position in a log, with the state after its records. A record that does not change the
 // state adds no position.
--- a/internal/control/maintenance/search/worker.go
+++ b/internal/control/maintenance/search/worker.go
@@ -137,9 +137,9 @@
 // fingerprint returns a hash that is equal for proposers that behave equally.
 func (k *worker) fingerprint(v *voter) uint64 {
 	if k.setup.Exhaustive {
-		return v.fingerprints[maintenance.Everything]
+		return v.fingerprints[maintenance.DetailAll]
 	}
-	return v.fingerprints[maintenance.Alive]
+	return v.fingerprints[maintenance.DetailEffective]
 }
 
 // dropIrrelevant resets what no longer has an effect: redundant leases, and, if the window returns, is over
@@ -195,17 +195,17 @@
 	isLagging := v.applied < state.log.depth
 	switch {
 	case detail == fullState:
-		return v.fingerprints[maintenance.Everything]
+		return v.fingerprints[maintenance.DetailAll]
 	case state.faults > 0 && isLagging:
-		return v.fingerprints[maintenance.Lagging]
+		return v.fingerprints[maintenance.DetailLagging]
 	case state.faults > 0:
-		return v.fingerprints[maintenance.Alive]
+		return v.fingerprints[maintenance.DetailEffective]
 	case isLagging && state.log.state == maintenance.Paused:
-		return v.fingerprints[maintenance.QuietLagging]
+		return v.fingerprints[maintenance.DetailFaultFreeLagging]
 	case isLagging:
 		return 0
 	}
-	return v.fingerprints[maintenance.Quiet]
+	return v.fingerprints[maintenance.DetailFaultFree]
 }
 
 // hash returns a hash of the state, which does not depend on the order of agents or of voters.
--- a/internal/control/policy/policylog/adapter_test.go
+++ b/internal/control/policy/policylog/adapter_test.go
@@ -166,7 +166,7 @@
 		id := p.propose(2, time.Second)
 		for range 1200 {
 			p.Run(10 * time.Millisecond)
-			p.Decide()
+			p.CheckDecisions()
 		}
 		require.Equal(t, policy.StatusAccepted, p.adapters[2].Outcome(id).Status, name)
 		last := time.Duration(0)
@@ -185,8 +185,8 @@
 		if disable == nil {
 			require.Less(t, last, 1500*time.Millisecond)
 		}
-		p.Settle(10 * time.Second)
-		p.Decide()
+		p.RecoverAndCheck(10 * time.Second)
+		p.CheckDecisions()
 		require.Len(t, p.firstActedAt[1], 30, name)
 		require.Empty(t, p.judge.Violations, name)
 		require.Empty(t, p.Violations(), name)
@@ -224,16 +224,16 @@
 				agent = p.Leader()
 			}
 			p.World.SetClock(uint32(agent), off)
-			p.Decide()
+			p.CheckDecisions()
 			p.propose((agent+1)%9, time.Second)
 			for range 800 {
 				p.Run(10 * time.Millisecond)
-				p.Decide()
+				p.CheckDecisions()
 			}
 			require.Equal(t, lease.Floor, p.Node(agent).Standing(p.Reading(agent)))
 			require.Len(t, p.firstActedAt[1], 8)
-			p.Settle(10 * time.Second)
-			p.Decide()
+			p.RecoverAndCheck(10 * time.Second)
+			p.CheckDecisions()
 			require.Len(t, p.firstActedAt[1], 9)
 			require.Empty(t, p.judge.Violations)
 		}
@@ -242,11 +242,11 @@
 
 // runWithFaults runs a fleet with the faults of a seed and a proposal every 4 s, for a number of rounds.
 func runWithFaults(t *testing.T, o fleetlab.Options, rounds int) *testFleet {
-	o.ClocksWithin = 100 * time.Millisecond
+	o.MaxClockOffset = 100 * time.Millisecond
 	p := newTestFleet(t, o, nil)
 	for range rounds {
-		p.Do(fleetlab.Fault{Kind: fleetlab.ApplicationAct, Agent: int(o.Seed+uint64(p.proposed)) % o.Agents})
-		p.Hunt(4 * time.Second)
+		p.InjectFault(fleetlab.Fault{Kind: fleetlab.ApplicationAct, Agent: int(o.Seed+uint64(p.proposed)) % o.Agents})
+		p.RunWithRandomFaults(4 * time.Second)
 		p.pollOutcomes(false)
 	}
 	return p
@@ -257,18 +257,18 @@
 // the history is linearizable for one register that each proposal changes at most once. LONG_TESTS runs more seeds and
 // larger fleets instead.
 func TestSafetyUnderFaults(t *testing.T) {
-	rows := []hunting.Row{{Agents: 7, To: 25}}
+	rows := []hunting.SeedRange{{Agents: 7, To: 25}}
 	if os.Getenv("LONG_TESTS") != "" {
-		rows = []hunting.Row{{Agents: 5, To: 1000}, {Agents: 50, To: 1000}, {Agents: 300, To: 1000}}
+		rows = []hunting.SeedRange{{Agents: 5, To: 1000}, {Agents: 50, To: 1000}, {Agents: 300, To: 1000}}
 	}
-	for _, r := range hunting.SelectRows(rows) {
+	for _, r := range hunting.SelectSeedRanges(rows) {
 		versionNumbers, decisions, voters := 0, 0, 3
 		if r.Agents >= 50 {
 			voters = 5
 		}
 		for seed := r.From; seed < r.To; seed++ {
 			p := runWithFaults(t, fleetlab.Options{Agents: r.Agents, Voters: voters, Seed: seed}, 12)
-			p.Settle(40 * time.Second)
+			p.RecoverAndCheck(40 * time.Second)
 			p.pollOutcomes(true)
 			require.Empty(t, p.Violations(), seed)
 			require.Empty(t, p.judge.Violations, seed)
@@ -299,7 +299,7 @@
 		seed := uint64(0)
 		for ; seed < 200 && (!judged || linearizable); seed++ {
 			p := runWithFaults(t, fleetlab.Options{Agents: 5, Voters: 3, Seed: seed, Weaken: weaken}, 12)
-			p.Settle(40 * time.Second)
+			p.RecoverAndCheck(40 * time.Second)
 			p.pollOutcomes(true)
 			judged = judged || len(p.judge.Violations) > 0
 			linearizable = linearizable && p.history.IsLinearizable()
@@ -321,12 +321,12 @@
 
 // violation plays a scenario and returns the reason of the judge's first violation, or "" if there is none.
 func (s scenario) violation(t *testing.T, weaken func(*fleet.Settings)) string {
-	o := fleetlab.Options{Agents: s.Agents, Voters: s.Voters, Seed: s.Seed, Weaken: weaken, ClocksWithin: 100 * time.Millisecond}
+	o := fleetlab.Options{Agents: s.Agents, Voters: s.Voters, Seed: s.Seed, Weaken: weaken, MaxClockOffset: 100 * time.Millisecond}
 	p := newTestFleet(t, o, nil)
-	p.Play(s.Script)
+	p.Replay(s.Script)
 	for range 75 { // 15 s, so that open changes can end
 		p.Run(200 * time.Millisecond)
-		p.Decide()
+		p.CheckDecisions()
 	}
 	if len(p.judge.Violations) == 0 {
 		return ""
@@ -384,7 +384,7 @@
 				continue
 			}
 			found++
-			s.Script = fleetlab.Shorten(s.Script, fails)
+			s.Script = fleetlab.MinimizeScript(s.Script, fails)
 			s.ExpectedViolation = s.violation(t, weaken)
 			t.Logf("%s, seed %d: %d steps: %s", name, seed, len(s.Script), s.ExpectedViolation)
 			if len(best.Script) == 0 || len(s.Script) < len(best.Script) {
--- a/internal/control/policy/policylog/measure_test.go
+++ b/internal/control/policy/policylog/measure_test.go
@@ -18,13 +18,13 @@
 // The document has the given number of extra bytes.
 func timeToEffect(t *testing.T, agents int, loss float64, seed uint64, bytes int) (took [3]time.Duration) {
 	p := newTestFleet(t, fleetlab.Options{Agents: agents, Voters: 3, Seed: seed}, nil)
-	p.Lossy(loss, 0, 0)
+	p.SetLoss(loss, 0, 0)
 	p.Run(12 * time.Second)
 	began, within := p.World.Now(), 20*time.Second
 	p.proposeDocument(2, testDocument(1)+"#"+strings.Repeat(" ", bytes)+"\n", 900*time.Millisecond)
 	for len(p.firstActedAt[1]) < agents && p.World.Now().Sub(began) < within {
 		p.Run(10 * time.Millisecond)
-		p.Decide()
+		p.CheckDecisions()
 	}
 	var at []time.Duration
 	for _, first := range p.firstActedAt[1] {
--- a/internal/control/ringassignment/agent.go
+++ b/internal/control/ringassignment/agent.go
@@ -15,7 +15,7 @@
 // at a given moment.
 type Agent struct {
 	current, upcoming *usableGeneration
-	applied           Mark // the newest generation that was applied
+	applied           GenerationID // the newest generation that was applied
 	hadLease          bool
 	lastLeased        lease.ClockReading // valid if hadLease
 }
@@ -45,11 +45,11 @@
 	if missed := st.Number != a.applied.Number+1; missed || a.applied.Number == 0 && !a.hadLease {
 		a.current, a.upcoming = next, nil
 	}
-	a.applied = st.mark()
+	a.applied = st.generationID()
 }
 
 // Applied returns the newest generation that was applied, which the agent reports to the voters.
-func (a *Agent) Applied() Mark { return a.applied }
+func (a *Agent) Applied() GenerationID { return a.applied }
 
 func newAssignment(st *State) *balancer.RingAssignment {
 	if st.Suspended || st.Number == 0 {
@@ -57,7 +57,7 @@
 	}
 	assignment := &balancer.RingAssignment{Generation: st.Number, Points: map[string]int{}}
 	for i := range st.Members {
-		if points := st.Members[i].OnRing(); points > 0 {
+		if points := st.Members[i].PointsOnRing(); points > 0 {
 			assignment.Points[st.Members[i].ID] = points
 		}
 	}
--- a/internal/control/ringassignment/assignmentlog/adapter.go
+++ b/internal/control/ringassignment/assignmentlog/adapter.go
@@ -28,10 +28,10 @@
 	paceReport   []byte                   // encoded report for voters; nil if there is none
 	paceReportAt time.Duration            // when it is next sent, by the monotonic clock
 
-	notifiedMark   ringassignment.Mark // the generation that voters are notified of
-	acknowledgedBy []int               // voters that have acknowledged notifiedMark
-	notifiedSince  time.Duration       // when notifications of it began, by the monotonic clock
-	notifyAt       time.Duration       // when they are next sent, by the monotonic clock
+	notifiedGeneration ringassignment.GenerationID // the generation that voters are notified of
+	acknowledgedBy     []int                       // voters that have acknowledged notifiedGeneration
+	notifiedSince      time.Duration               // when notifications of it began, by the monotonic clock
+	notifyAt           time.Duration               // when they are next sent, by the monotonic clock
 }
 
 // Settings are the settings of one agent's Adapter.
@@ -94,12 +94,12 @@
 
 // The first byte of a message is its kind.
 const (
-	messagePaceReport  byte = 1 // from an agent; the first byte of ringassignment.EncodePaceReport
-	messageMark        byte = 2 // an agent's incarnation and its applied generation; echoed as the reply
-	messageVoterReport byte = 3 // a generation that all holders of the voter's leases have applied
+	messagePaceReport        byte = 1 // from an agent; the first byte of ringassignment.EncodePaceReport
+	messageAppliedGeneration byte = 2 // an agent's incarnation and its applied generation; echoed as the reply
+	messageVoterReport       byte = 3 // a generation that all holders of the voter's leases have applied
 
-	incarnationSize = 8 // bytes
-	markMessageSize = 1 + incarnationSize + ringassignment.MarkSize
+	incarnationSize       = 8 // bytes
+	appliedGenerationSize = 1 + incarnationSize + ringassignment.GenerationIDSize
 )
 
 // HandleMessage implements fleet.Application. It ignores malformed messages. An agent's report of its applied
@@ -111,14 +111,14 @@
 	switch data[0] {
 	case messagePaceReport:
 		s.proposer.PaceReportReceived(now, from, data)
-	case messageMark:
-		if len(data) == markMessageSize {
-			m, _ := ringassignment.DecodeMark(data[1+incarnationSize:]) // always succeeds: the length was checked
-			s.proposer.MarkReceived(now, from, binary.BigEndian.Uint64(data[1:]), m)
+	case messageAppliedGeneration:
+		if len(data) == appliedGenerationSize {
+			m, _ := ringassignment.DecodeGenerationID(data[1+incarnationSize:]) // always succeeds: the length was checked
+			s.proposer.AppliedGenerationReceived(now, from, binary.BigEndian.Uint64(data[1:]), m)
 			return data
 		}
 	case messageVoterReport:
-		if m, ok := ringassignment.DecodeMark(data[1:]); ok {
+		if m, ok := ringassignment.DecodeGenerationID(data[1:]); ok {
 			s.proposer.ReportReceived(from, m)
 		}
 	}
@@ -127,24 +127,24 @@
 
 // HandleReply implements fleet.Application. It records a voter's acknowledgement of the applied generation.
 func (s *Adapter) HandleReply(_ fleet.ClockReading, from int, data []byte) {
-	if bytes.Equal(data, s.encodedMark()) && !slices.Contains(s.acknowledgedBy, from) {
+	if bytes.Equal(data, s.encodedAppliedGeneration()) && !slices.Contains(s.acknowledgedBy, from) {
 		s.acknowledgedBy = append(s.acknowledgedBy, from)
 	}
 }
 
-func (s *Adapter) encodedMark() []byte {
-	return s.agent.Applied().Encode(binary.BigEndian.AppendUint64([]byte{messageMark}, s.settings.Incarnation))
+func (s *Adapter) encodedAppliedGeneration() []byte {
+	return s.agent.Applied().Encode(binary.BigEndian.AppendUint64([]byte{messageAppliedGeneration}, s.settings.Incarnation))
 }
 
 const (
 	// paceReportInterval is the interval between pace reports to voters.
 	paceReportInterval = 30 * time.Second
-	// markInterval is the interval at which voters that have not acknowledged the applied generation are
-	// notified again, and at which voters report to each other.
-	markInterval = 200 * time.Millisecond
-	// markPeriod is the time for which these messages are repeated. After that the fence has passed, and they
-	// are not needed any more.
-	markPeriod = 5 * time.Second
+	// generationReportInterval is the interval at which voters that have not acknowledged the applied
+	// generation are notified again, and at which voters report to each other.
+	generationReportInterval = 200 * time.Millisecond
+	// generationReportPeriod is the time for which these messages are repeated. After that the fence has
+	// passed, and they are not needed any more.
+	generationReportPeriod = 5 * time.Second
 	// followerInterval is the maximum time to the next call of NextActions at a voter that is not the leader, as
 	// it may become the leader.
 	followerInterval = time.Second
@@ -164,7 +164,7 @@
 			actions.Proposals = append(actions.Proposals, fleet.Proposal{Machine: s.settings.MachineNumber, Data: r})
 		}
 	}
-	actions.Next = min(actions.Next, s.sendMarks(now, v, &actions))
+	actions.Next = min(actions.Next, s.sendGenerationReports(now, v, &actions))
 	actions.Next = min(actions.Next, s.sendPaceReport(now, v, &actions))
 	return actions
 }
@@ -186,24 +186,25 @@
 	return s.paceReportAt
 }
 
-// sendMarks adds messages that notify voters of the generation that this agent has applied and, at a voter,
-// of the generation that all holders of its leases have applied. It returns when it is next due.
-func (s *Adapter) sendMarks(now fleet.ClockReading, v fleet.VoterState,
+// sendGenerationReports adds messages that notify voters of the generation that this agent has applied and,
+// at a voter, of the generation that all holders of its leases have applied. It returns when it is next
+// due.
+func (s *Adapter) sendGenerationReports(now fleet.ClockReading, v fleet.VoterState,
 	actions *fleet.Actions,
 ) (next time.Duration) {
-	if applied := s.agent.Applied(); applied != s.notifiedMark {
-		s.notifiedMark, s.acknowledgedBy, s.notifiedSince, s.notifyAt = applied, nil, now.Mono, now.Mono
+	if applied := s.agent.Applied(); applied != s.notifiedGeneration {
+		s.notifiedGeneration, s.acknowledgedBy, s.notifiedSince, s.notifyAt = applied, nil, now.Mono, now.Mono
 	}
-	if s.notifiedMark.Number == 0 || now.Mono-s.notifiedSince >= markPeriod {
+	if s.notifiedGeneration.Number == 0 || now.Mono-s.notifiedSince >= generationReportPeriod {
 		return now.Mono + time.Hour
 	}
 	if now.Mono < s.notifyAt {
 		return s.notifyAt
 	}
-	s.notifyAt = now.Mono + markInterval
+	s.notifyAt = now.Mono + generationReportInterval
 	for _, voter := range v.Voters {
 		if !slices.Contains(s.acknowledgedBy, voter) {
-			actions.Messages = append(actions.Messages, fleet.Message{To: voter, Data: s.encodedMark()})
+			actions.Messages = append(actions.Messages, fleet.Message{To: voter, Data: s.encodedAppliedGeneration()})
 		}
 	}
 	if s.proposer == nil {
--- a/internal/control/ringassignment/assignmentlog/adapter_test.go
+++ b/internal/control/ringassignment/assignmentlog/adapter_test.go
@@ -136,8 +136,8 @@
 // TestMalformedMessages checks that malformed messages are ignored.
 func TestMalformedMessages(t *testing.T) {
 	s := New(Settings{IsVoter: true}, fleet.ClockReading{})
-	for _, data := range [][]byte{nil, {}, {messageMark}, {messageMark, 1}, {messageVoterReport, 1}, {messagePaceReport, 1}, {9, 9, 9}} {
+	for _, data := range [][]byte{nil, {}, {messageAppliedGeneration}, {messageAppliedGeneration, 1}, {messageVoterReport, 1}, {messagePaceReport, 1}, {9, 9, 9}} {
 		require.Nil(t, s.HandleMessage(fleet.ClockReading{}, 1, data))
 	}
-	require.NotNil(t, s.HandleMessage(fleet.ClockReading{}, 1, s.encodedMark()))
+	require.NotNil(t, s.HandleMessage(fleet.ClockReading{}, 1, s.encodedAppliedGeneration()))
 }
--- a/internal/control/ringassignment/assignmentlog/golden_test.go
+++ b/internal/control/ringassignment/assignmentlog/golden_test.go
@@ -64,7 +64,7 @@
 	now = fleet.ClockReading{Unix: now.Unix + 2*time.Second, Mono: now.Mono + 2*time.Second}
 	due := s.NextActions(now, fleet.VoterState{IsVoter: true, Voters: []int{1}, Members: []int{1}, Generation: 5})
 	require.Len(t, due.Messages, 3)
-	require.Equal(t, []byte{messageMark, messageVoterReport, messagePaceReport},
+	require.Equal(t, []byte{messageAppliedGeneration, messageVoterReport, messagePaceReport},
 		[]byte{due.Messages[0].Data[0], due.Messages[1].Data[0], due.Messages[2].Data[0]})
 	stored := requireGolden(t, "messages.txt", []goldenForm{
 		{"mark", due.Messages[0].Data},
--- a/internal/control/ringassignment/change.go
+++ b/internal/control/ringassignment/change.go
@@ -141,7 +141,7 @@
 
 // applyRule applies a rule to a server: it changes the phase and the points.
 func (x *builder) applyRule(member *Member, r *rule) {
-	before := member.OnRing()
+	before := member.PointsOnRing()
 	member.enter(r.to, r.flap, x.now, x.params.PenaltyHalfLife)
 	switch {
 	case r.to == Away || r.to == Gone:
@@ -152,7 +152,7 @@
 		member.Points = uint16(min(int(member.Points),
 			x.permittedPoints(x.servers[member.ID], member.fullPoints())))
 	}
-	if lost := before - member.OnRing(); lost > 0 {
+	if lost := before - member.PointsOnRing(); lost > 0 {
 		x.lostPoints += float64(lost)
 	} else if lost < 0 { // the server returns with the points that were kept for it
 		x.owedPoints += float64(lost)
@@ -222,11 +222,11 @@
 		member, before := x.members[id], x.state.find(id)
 		switch {
 		case before == nil:
-			change.MovesKeys = change.MovesKeys || member.OnRing() > 0
+			change.MovesKeys = change.MovesKeys || member.PointsOnRing() > 0
 		case *before == *member:
 			continue
 		default:
-			change.MovesKeys = change.MovesKeys || member.OnRing() != before.OnRing()
+			change.MovesKeys = change.MovesKeys || member.PointsOnRing() != before.PointsOnRing()
 		}
 		change.Urgent = change.Urgent || before == nil || member.Phase != before.Phase ||
 			member.Phase == Joining && int(member.Points) > int(before.Points)+member.fullPoints()/urgentGrowthDivisor
@@ -235,7 +235,7 @@
 	for i := range x.state.Members {
 		if id := x.state.Members[i].ID; x.members[id] == nil {
 			change.RemovedIDs = append(change.RemovedIDs, id)
-			change.MovesKeys = change.MovesKeys || x.state.Members[i].OnRing() > 0
+			change.MovesKeys = change.MovesKeys || x.state.Members[i].PointsOnRing() > 0
 		}
 	}
 	return change, len(change.Members)+len(change.RemovedIDs) > 0
@@ -244,12 +244,12 @@
 // ringLevel returns the median fraction of their full points that servers have, weighted by points: at least
 // half of the ring's points belong to servers with this fraction or a larger one.
 func (st *State) ringLevel() float64 {
-	ring := slices.DeleteFunc(slices.Clone(st.Members), func(n Member) bool { return n.OnRing() == 0 })
+	ring := slices.DeleteFunc(slices.Clone(st.Members), func(n Member) bool { return n.PointsOnRing() == 0 })
 	fraction := func(n *Member) float64 { return float64(n.Points) / float64(max(n.fullPoints(), 1)) }
 	slices.SortFunc(ring, func(a, b Member) int { return cmp.Compare(fraction(&b), fraction(&a)) })
-	sum, all := 0, st.OnRing()
+	sum, all := 0, st.PointsOnRing()
 	for i := range ring {
-		if sum += ring[i].OnRing(); 2*sum >= all {
+		if sum += ring[i].PointsOnRing(); 2*sum >= all {
 			return min(fraction(&ring[i]), 1)
 		}
 	}
--- a/internal/control/ringassignment/change_test.go
+++ b/internal/control/ringassignment/change_test.go
@@ -29,7 +29,7 @@
 // newLeader returns a leader with 20 servers after 5 min of simulated time.
 func newLeader(t *testing.T) *leader {
 	x := &leader{t: t, now: 1e6 * time.Hour, list: map[string]*Server{}, machine: NewStateMachine(), params: Parameters{
-		SlowStart: slowstart.Params{InitialCapacity: 0.31, Duration: 9 * time.Second, OverloadMultiple: 3, Margin: 0.4, MaxOfWarm: 1},
+		SlowStart: slowstart.Params{InitialCapacity: 0.31, Duration: 9 * time.Second, OverloadMultiple: 3, Margin: 0.4, MaxWarmMultiple: 1},
 	}.WithDefaults()}
 	for i := range 20 {
 		x.list[fmt.Sprint("s-", 10+i)] = &Server{ID: fmt.Sprint("s-", 10+i), Ready: true, Capacity: 1}
@@ -71,7 +71,7 @@
 	x.advance(3 * time.Second)
 	require.Equal(t, Suspect, x.member("s-10").Phase)
 	n := x.member("s-10")
-	require.Zero(t, n.OnRing())
+	require.Zero(t, n.PointsOnRing())
 	require.EqualValues(t, 200, n.Points)
 
 	x.list["s-10"] = &vanished
@@ -160,7 +160,7 @@
 		s.Ready = true
 		x.advance(2 * time.Second)
 		n := x.member("s-10")
-		require.Zero(t, n.OnRing())
+		require.Zero(t, n.PointsOnRing())
 	}
 	back := func() (after time.Duration) {
 		for from := x.now; x.member("s-10").Phase != Complete; after = x.now - from {
@@ -210,10 +210,10 @@
 		delete(x.list, fmt.Sprint("s-", 10+i))
 	}
 	x.advance(time.Minute)
-	require.Equal(t, before.OnRing(), x.machine.state.OnRing())
+	require.Equal(t, before.PointsOnRing(), x.machine.state.PointsOnRing())
 	clear(x.list)
 	x.advance(time.Minute)
-	require.Equal(t, before.OnRing(), x.machine.state.OnRing())
+	require.Equal(t, before.PointsOnRing(), x.machine.state.PointsOnRing())
 }
 
 // TestSuspendedWithTooManyServers checks that the assignment is suspended if the servers do not fit the snapshot, and
--- a/internal/control/ringassignment/golden_test.go
+++ b/internal/control/ringassignment/golden_test.go
@@ -122,12 +122,12 @@
 
 // TestGoldenMessages checks the encoding of generation IDs and pace reports, which agents and voters send to each other.
 func TestGoldenMessages(t *testing.T) {
-	mark := Mark{Number: 4, EffectiveAt: goldenNow}
+	mark := GenerationID{Number: 4, EffectiveAt: goldenNow}
 	report := EncodePaceReport(map[string]float64{"own": 1.1, "lent": 0.9, "strange": -1})
 	stored := requireGolden(t, "messages.txt", []goldenForm{
 		{"mark", mark.Encode(nil)}, {"word", report}, {"word-of-none", EncodePaceReport(nil)},
 	})
-	read, ok := DecodeMark(stored["mark"])
+	read, ok := DecodeGenerationID(stored["mark"])
 	require.True(t, ok)
 	require.Equal(t, mark, read)
 	proposer := NewProposer(Parameters{UsePaces: true}, lease.ClockReading{Unix: goldenNow})
--- a/internal/control/ringassignment/holders.go
+++ b/internal/control/ringassignment/holders.go
@@ -8,36 +8,36 @@
 	"dunestep/internal/fleet/lease"
 )
 
-// Mark identifies a generation. Agents send it to voters once they have applied the generation, and voters
-// send it to each other once all holders of their leases have applied it. EffectiveAt distinguishes
+// GenerationID identifies a generation. Agents send it to voters once they have applied the generation, and
+// voters send it to each other once all holders of their leases have applied it. EffectiveAt distinguishes
 // generations with the same number in a former log and in the new log that replaced it.
-type Mark struct {
+type GenerationID struct {
 	Number      uint64
 	EffectiveAt time.Duration
 }
 
-// MarkSize is the size of an encoded Mark, in bytes.
-const MarkSize = 16
+// GenerationIDSize is the size of an encoded GenerationID, in bytes.
+const GenerationIDSize = 16
 
 // Encode appends the encoded generation ID to b.
-func (m Mark) Encode(b []byte) []byte {
+func (m GenerationID) Encode(b []byte) []byte {
 	return binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(b, m.Number), uint64(m.EffectiveAt))
 }
 
-// DecodeMark decodes a generation ID. It returns false if b does not have MarkSize bytes.
-func DecodeMark(b []byte) (m Mark, ok bool) {
-	if len(b) != MarkSize {
+// DecodeGenerationID decodes a generation ID. It returns false if b does not have GenerationIDSize bytes.
+func DecodeGenerationID(b []byte) (m GenerationID, ok bool) {
+	if len(b) != GenerationIDSize {
 		return m, false
 	}
-	return Mark{binary.BigEndian.Uint64(b), time.Duration(binary.BigEndian.Uint64(b[8:]))}, true
+	return GenerationID{binary.BigEndian.Uint64(b), time.Duration(binary.BigEndian.Uint64(b[8:]))}, true
 }
 
 // covers reports whether a process that has applied m has also applied the other generation.
-func (m Mark) covers(other Mark) bool {
+func (m GenerationID) covers(other GenerationID) bool {
 	return m.Number >= other.Number && m.EffectiveAt >= other.EffectiveAt
 }
 
-func (st *State) mark() Mark { return Mark{st.Number, st.EffectiveAt} }
+func (st *State) generationID() GenerationID { return GenerationID{st.Number, st.EffectiveAt} }
 
 // holders tracks the processes that may hold a lease from this voter. Once all of them have applied the
 // current generation, the next one need not wait for the fence. A lease covers all records that were agreed
@@ -55,7 +55,7 @@
 type holder struct {
 	incarnation uint64
 	grantedAt   lease.ClockReading // time of the last grant
-	applied     Mark
+	applied     GenerationID
 }
 
 // maxProcesses is the maximum number of processes of one agent that are tracked separately; during an upgrade
@@ -84,13 +84,13 @@
 	if o, spare := h.find(now, agent, incarnation); o != nil {
 		o.grantedAt = now
 	} else {
-		spare.incarnation, spare.grantedAt, spare.applied = incarnation, now, Mark{}
+		spare.incarnation, spare.grantedAt, spare.applied = incarnation, now, GenerationID{}
 	}
 }
 
-// markReceived records the generation that a process has applied, even if the process has no lease from this
-// voter yet.
-func (h *holders) markReceived(now lease.ClockReading, agent int, incarnation uint64, m Mark) {
+// appliedGenerationReceived records the generation that a process has applied, even if the process has no
+// lease from this voter yet.
+func (h *holders) appliedGenerationReceived(now lease.ClockReading, agent int, incarnation uint64, m GenerationID) {
 	if o, spare := h.find(now, agent, incarnation); o == nil && h.isExpired(*spare, now) {
 		*spare = holder{incarnation: incarnation, applied: m}
 	} else if o != nil && m.covers(o.applied) {
@@ -119,7 +119,7 @@
 
 // allApplied reports whether every process that may hold a lease from this voter has applied the generation
 // m, which was applied here at appliedAt.
-func (h *holders) allApplied(now, appliedAt lease.ClockReading, m Mark) bool {
+func (h *holders) allApplied(now, appliedAt lease.ClockReading, m GenerationID) bool {
 	if minElapsed(h.startedAt, now) < h.withClockDrift(h.terms.Duration) {
 		return false
 	}
--- a/internal/control/ringassignment/judge/judge.go
+++ b/internal/control/ringassignment/judge/judge.go
@@ -72,9 +72,9 @@
 	// Moved is the total of key moves by agent, as a fraction of all keys. Needed is the part of it that moved
 	// from lost servers.
 	Moved, Needed map[int]float64
-	// Behind counts the samples with a lease by their distance to the newest generation in use: 0, 1, and 2 or
-	// more generations.
-	Behind [3]int
+	// SamplesBehind counts the samples with a lease by their distance to the newest generation in use: 0, 1,
+	// and 2 or more generations.
+	SamplesBehind [3]int
 
 	settings       Settings
 	truth          Truth
@@ -142,7 +142,7 @@
 func (j *Judge) checkGeneration(s Sample) {
 	j.newest = max(j.newest, s.Generation)
 	behind := j.newest - s.Generation
-	j.Behind[min(behind, 2)]++
+	j.SamplesBehind[min(behind, 2)]++
 	if behind > 1 {
 		j.addViolation(s, fmt.Sprintf("generation %d is already in use", j.newest))
 	}
--- a/internal/control/ringassignment/lab/course.go
+++ b/internal/control/ringassignment/lab/course.go
@@ -364,7 +364,7 @@
 		switch {
 		case ready[n.ID] && (n.Phase != ringassignment.Complete || n.FullPoints != 0):
 			return fmt.Sprintf("%s is %v with %d points of %d", n.ID, n.Phase, n.Points, n.FullPoints)
-		case !ready[n.ID] && n.OnRing() > 0:
+		case !ready[n.ID] && n.PointsOnRing() > 0:
 			return fmt.Sprintf("%s is %v with %d points, although it is not ready", n.ID, n.Phase, n.Points)
 		}
 		delete(ready, n.ID)
--- a/internal/control/ringassignment/lab/lab.go
+++ b/internal/control/ringassignment/lab/lab.go
@@ -67,7 +67,7 @@
 	}
 	return slowstart.Params{
 		InitialCapacity: 0.31, Duration: duration, OverloadMultiple: 3, OverloadWindow: 3 * time.Second,
-		Margin: 0.4, MaxOfWarm: 1,
+		Margin: 0.4, MaxWarmMultiple: 1,
 	}
 }
 
@@ -123,7 +123,7 @@
 	isCutFromLists   bool                    // it receives no lists
 	list             int                     // index of its list in Lab.lists
 	unusableSince    map[int32]time.Duration // time since which its list has a server as unusable
-	generation       ringassignment.Mark
+	generation       ringassignment.GenerationID
 	generationSince  time.Duration
 	generationAcked  [voters]bool  // voters that acknowledged generation
 	viewSetAt        time.Duration // when its proposer last got a view, by the monotonic clock
@@ -139,7 +139,7 @@
 	records     int
 	wantsNewer  bool // the sender requests newer records
 	incarnation int  // of the sender's process
-	generation  ringassignment.Mark
+	generation  ringassignment.GenerationID
 	paceReport  []byte
 }
 
@@ -276,7 +276,7 @@
 			l.send(to, from, message{records: nd.applied})
 		}
 	case messageApplied:
-		nd.proposer.MarkReceived(l.reading(to), from, uint64(m.incarnation), m.generation)
+		nd.proposer.AppliedGenerationReceived(l.reading(to), from, uint64(m.incarnation), m.generation)
 		l.send(to, from, message{kind: messageAcknowledged, generation: m.generation})
 	case messageAcknowledged:
 		if m.generation == nd.agent.Applied() {
--- a/internal/control/ringassignment/lab/lab_test.go
+++ b/internal/control/ringassignment/lab/lab_test.go
@@ -37,7 +37,7 @@
 }
 
 // searchSeeds runs the scenarios of a row and checks each.
-func searchSeeds(t *testing.T, r hunting.Row) {
+func searchSeeds(t *testing.T, r hunting.SeedRange) {
 	var behind [3]int
 	generations := 0
 	run := func(seed uint64) *Lab { return RunScenario(seed, r.Agents, "") }
@@ -45,10 +45,10 @@
 		require.Zero(t, l.Judge.Count, "seed %d: %v", seed, l.Judge.Violations)
 		require.Empty(t, l.CheckSettled(), "seed %d", seed)
 		generations += int(l.State().Number)
-		for i, n := range l.Judge.Behind {
+		for i, n := range l.Judge.SamplesBehind {
 			behind[i] += n
 		}
-		r.Log(t, seed, "%d generations, behind %v, moved %v", l.State().Number, l.Judge.Behind, totalMoved(l))
+		r.Log(t, seed, "%d generations, behind %v, moved %v", l.State().Number, l.Judge.SamplesBehind, totalMoved(l))
 		return true
 	})
 	t.Logf("%d agents, seeds %d to %d: %d generations; samples with a lease by number of generations behind: %v", r.Agents, r.From,
@@ -70,11 +70,11 @@
 // and that all agents use a complete generation in the end.
 func TestRingRulesUnderFaults(t *testing.T) {
 	t.Parallel()
-	rows := []hunting.Row{{Agents: 5, To: 12}, {Agents: 50, To: 1}}
+	rows := []hunting.SeedRange{{Agents: 5, To: 12}, {Agents: 50, To: 1}}
 	if os.Getenv("LONG_TESTS") != "" {
-		rows = []hunting.Row{{Agents: 5, To: 1000}, {Agents: 50, To: 1000}, {Agents: 300, To: 1000}}
+		rows = []hunting.SeedRange{{Agents: 5, To: 1000}, {Agents: 50, To: 1000}, {Agents: 300, To: 1000}}
 	}
-	for _, r := range hunting.SelectRows(rows) {
+	for _, r := range hunting.SelectSeedRanges(rows) {
 		t.Run(fmt.Sprint(r.Agents, " agents"), func(t *testing.T) { searchSeeds(t, r) })
 	}
 }
--- a/internal/control/ringassignment/lab/paces.go
+++ b/internal/control/ringassignment/lab/paces.go
@@ -165,7 +165,7 @@
 	state := l.reference.State()
 	points := map[string]int{}
 	for i := range state.Members {
-		points[state.Members[i].ID] = state.Members[i].OnRing()
+		points[state.Members[i].ID] = state.Members[i].PointsOnRing()
 	}
 	owners := l.rings.ownersOf(points, nil)
 	keys, capacity := map[string]float64{}, map[string]float64{}
--- a/internal/control/ringassignment/member.go
+++ b/internal/control/ringassignment/member.go
@@ -61,8 +61,8 @@
 		n.Points <= maxPoints && n.FullPoints <= maxPoints
 }
 
-// OnRing returns the number of points that the server has on the ring.
-func (n *Member) OnRing() int {
+// PointsOnRing returns the number of points that the server has on the ring.
+func (n *Member) PointsOnRing() int {
 	if n.Phase == Suspect {
 		return 0
 	}
--- a/internal/control/ringassignment/points.go
+++ b/internal/control/ringassignment/points.go
@@ -45,7 +45,7 @@
 	}
 	slow := &x.params.SlowStart
 	return min(slow.Margin*slow.OverloadMultiple*slow.CapacityFraction(x.effectiveAt, server.StartedAt),
-		slow.MaxOfWarm, 1)
+		slow.MaxWarmMultiple, 1)
 }
 
 // fleetSlowStartFraction returns twice the average slowStartFraction of all usable servers, weighted by their
@@ -91,7 +91,7 @@
 	var joining, other []*Member
 	for _, id := range slices.Sorted(maps.Keys(x.members)) {
 		member := x.members[id]
-		ring += member.OnRing()
+		ring += member.PointsOnRing()
 		switch {
 		case member.Phase == Joining && x.servers[id] != nil:
 			joining = append(joining, member)
--- a/internal/control/ringassignment/proposer.go
+++ b/internal/control/ringassignment/proposer.go
@@ -25,7 +25,7 @@
 	membership   uint64             // see SetMembers
 	membersSince lease.ClockReading // valid if membersKnown
 	membersKnown bool
-	reports      map[int]Mark // by voter: generation that all holders of its leases have applied
+	reports      map[int]GenerationID // by voter: generation that all holders of its leases have applied
 
 	paceReports paceReports
 
@@ -78,7 +78,7 @@
 		return
 	}
 	p.members, p.membership, p.membersSince, p.membersKnown = slices.Clone(members), membership, now, true
-	p.reports = map[int]Mark{}
+	p.reports = map[int]GenerationID{}
 }
 
 // LeaseGranted records that this voter grants a lease now.
@@ -86,22 +86,22 @@
 	p.holders.leaseGranted(now, agent, incarnation)
 }
 
-// MarkReceived records which generation an agent's process has applied.
-func (p *Proposer) MarkReceived(now lease.ClockReading, agent int, incarnation uint64, m Mark) {
-	p.holders.markReceived(now, agent, incarnation, m)
+// AppliedGenerationReceived records which generation an agent's process has applied.
+func (p *Proposer) AppliedGenerationReceived(now lease.ClockReading, agent int, incarnation uint64, m GenerationID) {
+	p.holders.appliedGenerationReceived(now, agent, incarnation, m)
 }
 
 // Report returns the current generation if all holders of this voter's leases have applied it, so that the
 // voter can report that to the other voters. It returns false if there is nothing to report, because a holder
 // has not applied it or the fence has passed.
-func (p *Proposer) Report(now lease.ClockReading) (m Mark, due bool) {
-	m = p.state.mark()
+func (p *Proposer) Report(now lease.ClockReading) (m GenerationID, due bool) {
+	m = p.state.generationID()
 	return m, p.state.Number > 0 && !p.params.Terms.FencePassed(p.appliedAt, now) &&
 		p.holders.allApplied(now, p.appliedAt, m)
 }
 
 // ReportReceived records another voter's report.
-func (p *Proposer) ReportReceived(voter int, m Mark) {
+func (p *Proposer) ReportReceived(voter int, m GenerationID) {
 	if slices.Contains(p.members, voter) && m.covers(p.reports[voter]) {
 		p.reports[voter] = m
 	}
@@ -163,7 +163,7 @@
 		return false
 	}
 	for _, v := range p.members {
-		if m, reported := p.reports[v]; !reported || !m.covers(p.state.mark()) {
+		if m, reported := p.reports[v]; !reported || !m.covers(p.state.generationID()) {
 			return false
 		}
 	}
--- a/internal/control/ringassignment/statemachine.go
+++ b/internal/control/ringassignment/statemachine.go
@@ -161,10 +161,10 @@
 	return &st.Members[i]
 }
 
-// OnRing returns the total number of points on the ring.
-func (st *State) OnRing() (sum int) {
+// PointsOnRing returns the total number of points on the ring.
+func (st *State) PointsOnRing() (sum int) {
 	for i := range st.Members {
-		sum += st.Members[i].OnRing()
+		sum += st.Members[i].PointsOnRing()
 	}
 	return sum
 }
--- a/internal/discovery/backoff/schedule.go
+++ b/internal/discovery/backoff/schedule.go
@@ -39,18 +39,18 @@
 	}
 }
 
-// IsMissingChanges reports whether changes may have been made that were not received, because no call has
+// MayHaveMissedChanges reports whether changes may have been made that were not received, because no call has
 // been answered since.
-func (s *Schedule) IsMissingChanges() bool { return s.hasMissed }
+func (s *Schedule) MayHaveMissedChanges() bool { return s.hasMissed }
 
 // IsStale reports whether recent changes may not have been received, because a call failed recently.
 func (s *Schedule) IsStale(now time.Duration) bool {
 	return s.failedCalls > 0 && now-s.failedAt < staleFor
 }
 
-// WatchFellSilent records that a watch has received nothing for a time. It applies also if another call has
+// RecordSilentWatch records that a watch has received nothing for a time. It applies also if another call has
 // replaced the watch.
-func (s *Schedule) WatchFellSilent(now, silentFor time.Duration) {
+func (s *Schedule) RecordSilentWatch(now, silentFor time.Duration) {
 	s.recordMissedSince(now - silentFor)
 }
 
--- a/internal/discovery/backoff/schedule_test.go
+++ b/internal/discovery/backoff/schedule_test.go
@@ -31,7 +31,7 @@
 		c.Answered(NoEntries)
 		silentSince := time.Minute
 		now := silentSince + rapid.SampledFrom([]time.Duration{750, 3000}).Draw(t, "silence")*time.Millisecond
-		c.WatchFellSilent(now, now-silentSince)
+		c.RecordSilentWatch(now, now-silentSince)
 		now += c.CallEnded(now, WatchSilent, draw.Draw(t, "first"))
 		require.LessOrEqual(t, now, silentSince+AssumedKnownAfter-time.Second,
 			"the answer arrives before the missed changes count as known")
@@ -132,10 +132,10 @@
 // TestMissedChanges checks that changes count as missed since the earliest recorded time until a call is answered.
 func TestMissedChanges(t *testing.T) {
 	c := New(largeFleet)
-	c.WatchFellSilent(10*time.Second, 3*time.Second)
-	c.WatchFellSilent(14*time.Second, time.Second)
+	c.RecordSilentWatch(10*time.Second, 3*time.Second)
+	c.RecordSilentWatch(14*time.Second, time.Second)
 	require.Equal(t, 7*time.Second, c.missedSince)
-	c.WatchFellSilent(15*time.Second, 9*time.Second)
+	c.RecordSilentWatch(15*time.Second, 9*time.Second)
 	require.Equal(t, 6*time.Second, c.missedSince)
 	require.True(t, func() bool { c.CallEnded(15*time.Second, WatchSilent, 0); return c.IsStale(16 * time.Second) }())
 	c.CallStarted(16 * time.Second)
--- a/internal/fleet/fleetlab/checker.go
+++ b/internal/fleet/fleetlab/checker.go
@@ -155,8 +155,8 @@
 	}
 }
 
-// Decide checks a decision of each running agent at the present time.
-func (l *Lab) Decide() {
+// CheckDecisions checks a decision of each running agent at the present time.
+func (l *Lab) CheckDecisions() {
 	for a, h := range l.hosts {
 		if h.node != nil && !l.World.IsPaused(uint32(a)) {
 			l.checker.checkDecision(h)
@@ -211,9 +211,10 @@
 	return counts
 }
 
-// Settle ends all faults, runs for the given time, and checks the final state: all agents have applied the
-// same records, hold leases and are ready, and the reported results of proposals agree with the log.
-func (l *Lab) Settle(length time.Duration) {
+// RecoverAndCheck ends all faults, runs for the given time, and checks the final state: all agents have
+// applied the same records, hold leases and are ready, and the reported results of proposals agree with the
+// log.
+func (l *Lab) RecoverAndCheck(length time.Duration) {
 	l.ClearNetworkFaults()
 	for a := range l.hosts {
 		l.World.SetClock(uint32(a), 0)
--- a/internal/fleet/fleetlab/lab.go
+++ b/internal/fleet/fleetlab/lab.go
@@ -22,16 +22,16 @@
 	Volatile       bool // voters have no store
 	Seed           uint64
 	Terms          lease.Terms
-	// ClocksWithin is the maximum offset of the Unix clocks in a Hunt; default 5 s.
-	ClocksWithin time.Duration
+	// MaxClockOffset is the maximum offset of the Unix clocks in a RunWithRandomFaults; default 5 s.
+	MaxClockOffset time.Duration
 	// Weaken changes the settings of each process so that a protection is missing, to check that violations are
 	// found; nil: no change.
 	Weaken func(*fleet.Settings)
 	// Application adds an application to the settings of each process that starts, and its state machines after
 	// the lab's own; nil: no application.
 	Application func(set *fleet.Settings, now fleet.ClockReading)
-	// OnDecision is called whenever an agent could decide: after each of its steps, and by Decide; nil: not
-	// called.
+	// OnDecision is called whenever an agent could decide: after each of its steps, and by CheckDecisions;
+	// nil: not called.
 	OnDecision func(agent int, at time.Time, now fleet.ClockReading, n *fleet.Node)
 	// Act lets the application of an agent perform an action; it is called for the fault ApplicationAct.
 	Act func(agent int)
@@ -67,8 +67,8 @@
 func New(o Options) *Lab {
 	l := &Lab{opts: o, rng: rand.New(rand.NewPCG(o.Seed, 0xf1ee7)), begin: time.Unix(1_700_000_000, 0)}
 	l.opts.Terms = o.Terms.WithDefaults()
-	if o.ClocksWithin == 0 {
-		l.opts.ClocksWithin = 5 * time.Second
+	if o.MaxClockOffset == 0 {
+		l.opts.MaxClockOffset = 5 * time.Second
 	}
 	for i := range o.Agents {
 		l.hosts = append(l.hosts, &host{lab: l, self: i})
@@ -88,9 +88,9 @@
 	})
 }
 
-// Lossy sets that all directions lose and duplicate the given fractions of datagrams, and delay a tenth of
+// SetLoss sets that all directions lose and duplicate the given fractions of datagrams, and delay a tenth of
 // them by up to lateness.
-func (l *Lab) Lossy(loss, duplicate float64, lateness time.Duration) {
+func (l *Lab) SetLoss(loss, duplicate float64, lateness time.Duration) {
 	l.World.ChangeAll(func(k *simnet.Link) {
 		*k = simnet.Link{
 			Cut: k.Cut, Loss: loss, Duplicate: duplicate, Delay: time.Millisecond,
--- a/internal/fleet/fleetlab/lab_test.go
+++ b/internal/fleet/fleetlab/lab_test.go
@@ -42,7 +42,7 @@
 		}
 		t.Logf("%d agents: idle %.2f datagrams, %.0f bytes per agent and second; 12 records at all agents after %v", agents,
 			datagrams, bytes, latency)
-		l.Settle(5 * time.Second)
+		l.RecoverAndCheck(5 * time.Second)
 		require.Equal(t, map[fleet.Result]int{fleet.Committed: min(agents, 12)}, l.Results())
 		require.Empty(t, l.Violations())
 	}
@@ -109,8 +109,8 @@
 	for _, n := range agents {
 		for seed := range seeds {
 			l := start(Options{Agents: n, Voters: min(n/2|1, 5), Seed: seed})
-			l.Hunt(60 * time.Second)
-			l.Settle(40 * time.Second)
+			l.RunWithRandomFaults(60 * time.Second)
+			l.RecoverAndCheck(40 * time.Second)
 			require.Empty(t, l.Violations(), l.Report())
 		}
 	}
@@ -125,7 +125,7 @@
 		isFound := false
 		for seed := uint64(0); seed < 200 && !isFound; seed++ {
 			l := start(Options{Agents: 7, Voters: 3, Seed: seed, Weaken: weaken})
-			l.Hunt(60 * time.Second)
+			l.RunWithRandomFaults(60 * time.Second)
 			isFound = len(l.Violations()) > 0
 		}
 		require.True(t, isFound, name)
@@ -145,7 +145,7 @@
 	require.Equal(t, lease.Floor, l.Node(paused).Standing(l.Reading(paused)), "the lease has expired before the agent receives a message")
 	require.Zero(t, l.Node(paused).Applied().Seq)
 	l.World.Resume(paused)
-	l.Settle(5 * time.Second)
+	l.RecoverAndCheck(5 * time.Second)
 	require.Empty(t, l.Violations())
 }
 
@@ -172,7 +172,7 @@
 		l.Run(6 * time.Second)
 		require.Equal(t, map[fleet.Result]int{fleet.NotCommitted: 1, fleet.Committed: 1}, l.Results())
 		l.Partition(cut, false)
-		l.Settle(8 * time.Second)
+		l.RecoverAndCheck(8 * time.Second)
 		require.Empty(t, l.Violations())
 	}
 }
@@ -189,7 +189,7 @@
 		l.Kill(a)
 	}
 	l.Run(time.Second)
-	l.Settle(10 * time.Second)
+	l.RecoverAndCheck(10 * time.Second)
 	require.Empty(t, l.Violations())
 	require.Len(t, l.hosts[8].counter.counts, 9)
 }
@@ -209,7 +209,7 @@
 				l.Run(10 * time.Millisecond)
 			}
 		}
-		l.Settle(10 * time.Second)
+		l.RecoverAndCheck(10 * time.Second)
 		require.Empty(t, l.Violations(), seed)
 		require.Equal(t, before, l.Node(0).Applied(), seed)
 	}
--- a/internal/fleet/fleetlab/randomfaults.go
+++ b/internal/fleet/fleetlab/randomfaults.go
@@ -5,20 +5,21 @@
 	"time"
 )
 
-// Hunt injects random faults, determined by the seed, for the given time. Faults may overlap. They are loss,
-// delays of seconds, duplicates, corruption, cuts of one direction, of an agent or of a partition, pauses of
-// up to a minute, clocks that are off by up to Options.ClocksWithin, and restarts with or without the disk,
-// sometimes of all processes at once. Disks are erased one at a time. Agents continue to propose records.
-func (l *Lab) Hunt(length time.Duration) {
+// RunWithRandomFaults injects random faults, determined by the seed, for the given time. Faults may
+// overlap. They are loss, delays of seconds, duplicates, corruption, cuts of one direction, of an agent or
+// of a partition, pauses of up to a minute, clocks that are off by up to Options.MaxClockOffset, and
+// restarts with or without the disk, sometimes of all processes at once. Disks are erased one at a time.
+// Agents continue to propose records.
+func (l *Lab) RunWithRandomFaults(length time.Duration) {
 	end := l.World.Now().Add(length)
 	for l.World.Now().Before(end) {
 		l.Run(time.Duration(50+l.rng.IntN(1200)) * time.Millisecond)
 		l.injectRandomFault()
 		for range l.rng.IntN(3) {
-			l.Do(Fault{Kind: Propose, Agent: l.rng.IntN(len(l.hosts))})
+			l.InjectFault(Fault{Kind: Propose, Agent: l.rng.IntN(len(l.hosts))})
 		}
 		l.UpdateOutcomes()
-		l.Decide()
+		l.CheckDecisions()
 	}
 }
 
@@ -36,30 +37,30 @@
 	b := l.rng.IntN(len(l.hosts))
 	switch l.rng.IntN(14) {
 	case 0, 1:
-		l.Do(Fault{Kind: ClearNetwork})
+		l.InjectFault(Fault{Kind: ClearNetwork})
 	case 2:
-		l.Do(Fault{Kind: Cut, Agent: a, Other: b, Duration: length})
+		l.InjectFault(Fault{Kind: Cut, Agent: a, Other: b, Duration: length})
 	case 3:
-		l.Do(Fault{Kind: Isolate, Agent: a, Duration: length})
+		l.InjectFault(Fault{Kind: Isolate, Agent: a, Duration: length})
 	case 4:
-		l.Do(Fault{Kind: Partition, Agents: l.randomPartition(), Duration: length})
+		l.InjectFault(Fault{Kind: Partition, Agents: l.randomPartition(), Duration: length})
 	case 5, 6:
 		loss := l.rng.Float64() * 0.4
-		l.Do(Fault{Kind: Lossy, Loss: loss, Duplicate: l.rng.Float64() * 0.3})
+		l.InjectFault(Fault{Kind: Lossy, Loss: loss, Duplicate: l.rng.Float64() * 0.3})
 	case 7:
-		l.Do(Fault{Kind: Corrupt})
+		l.InjectFault(Fault{Kind: Corrupt})
 	case 8, 9:
 		if l.rng.IntN(8) == 0 {
 			length = time.Minute
 		}
-		l.Do(Fault{Kind: Pause, Agent: a, Duration: length})
+		l.InjectFault(Fault{Kind: Pause, Agent: a, Duration: length})
 	case 10:
-		offset := time.Duration((2*l.rng.Float64() - 1) * float64(l.opts.ClocksWithin))
-		l.Do(Fault{Kind: Clock, Agent: a, Duration: offset})
+		offset := time.Duration((2*l.rng.Float64() - 1) * float64(l.opts.MaxClockOffset))
+		l.InjectFault(Fault{Kind: Clock, Agent: a, Duration: offset})
 	case 11:
-		l.Do(Fault{Kind: Kill, Agent: a, Duration: length})
+		l.InjectFault(Fault{Kind: Kill, Agent: a, Duration: length})
 	case 12:
-		l.Do(Fault{Kind: EraseDisk, Agent: a})
+		l.InjectFault(Fault{Kind: EraseDisk, Agent: a})
 	case 13:
 		l.killRandomProcesses()
 	}
--- a/internal/fleet/fleetlab/script.go
+++ b/internal/fleet/fleetlab/script.go
@@ -41,14 +41,14 @@
 // Script returns the faults that have been injected so far.
 func (l *Lab) Script() []Fault { return l.script }
 
-// Play injects the faults of a script at their times, and checks a decision of each agent every 200 ms.
-func (l *Lab) Play(script []Fault) {
+// Replay injects the faults of a script at their times, and checks a decision of each agent every 200 ms.
+func (l *Lab) Replay(script []Fault) {
 	const interval = 200 * time.Millisecond
 	for _, f := range script {
-		for at := l.begin.Add(f.At); l.World.Now().Before(at); l.Decide() {
+		for at := l.begin.Add(f.At); l.World.Now().Before(at); l.CheckDecisions() {
 			l.Run(min(interval, at.Sub(l.World.Now())))
 		}
-		l.Do(f)
+		l.InjectFault(f)
 	}
 }
 
@@ -57,8 +57,8 @@
 	l.script = append(l.script, f)
 }
 
-// Do injects a fault now, and adds it to the script.
-func (l *Lab) Do(f Fault) {
+// InjectFault injects a fault now, and adds it to the script.
+func (l *Lab) InjectFault(f Fault) {
 	l.addToScript(f)
 	a := uint32(f.Agent)
 	switch f.Kind {
@@ -74,7 +74,7 @@
 		l.Partition(f.Agents, true)
 		l.after(f.Duration, func() { l.Partition(f.Agents, false) })
 	case Lossy:
-		l.Lossy(f.Loss, f.Duplicate, 3*time.Second)
+		l.SetLoss(f.Loss, f.Duplicate, 3*time.Second)
 	case Corrupt:
 		l.World.ChangeAll(func(k *simnet.Link) { k.Corrupt = 0.05 })
 	case Pause:
@@ -97,9 +97,9 @@
 	}
 }
 
-// Shorten returns a shorter script that still fails: it removes faults that are not needed for the failure,
-// at first half of them at a time and then ever fewer, and rounds the times of the others.
-func Shorten(script []Fault, fails func([]Fault) bool) []Fault {
+// MinimizeScript returns a shorter script that still fails: it removes faults that are not needed for the
+// failure, at first half of them at a time and then ever fewer, and rounds the times of the others.
+func MinimizeScript(script []Fault, fails func([]Fault) bool) []Fault {
 	for size := (len(script) + 1) / 2; size > 0; {
 		isShorter := false
 		for from := 0; from < len(script); {
--- a/internal/fleet/fragment/outbox.go
+++ b/internal/fleet/fragment/outbox.go
@@ -114,7 +114,7 @@
 			continue
 		}
 		if !m.isInPass() {
-			o.roundTrip.Note(now.Sub(m.passEndedAt))
+			o.roundTrip.AddSample(now.Sub(m.passEndedAt))
 		}
 		if len(f.data) == 0 {
 			o.remove(i)
--- a/internal/fleet/gossip/catchup.go
+++ b/internal/fleet/gossip/catchup.go
@@ -125,7 +125,7 @@
 		return
 	}
 	c.hasReply = true
-	r.roundTrip.Note(r.now - c.lastRequestAt)
+	r.roundTrip.AddSample(r.now - c.lastRequestAt)
 	if !d.Trusted {
 		return
 	}
--- a/internal/fleet/gossip/pull.go
+++ b/internal/fleet/gossip/pull.go
@@ -92,7 +92,7 @@
 	r.receiveBudget.charge(got.bytes)
 	if r.isPulling && r.pullPeer == from {
 		r.isPulling, r.pullWaitUntil = false, r.now
-		r.roundTrip.Note(r.now - r.pullStarted)
+		r.roundTrip.AddSample(r.now - r.pullStarted)
 	}
 	r.forgetPeer(from)
 	if !got.hasMore {
--- a/internal/fleet/gossip/pull_test.go
+++ b/internal/fleet/gossip/pull_test.go
@@ -42,7 +42,7 @@
 		require.Equal(t, has, own.Last().Seq)
 		require.Equal(t, byte(kindPull), pulled.Messages[0].Data[0])
 		require.Equal(t, time.Second+150*time.Millisecond, s.Next(), "the timeout is the maximum before the first reply")
-		s.roundTrip.Note(10 * time.Millisecond)
+		s.roundTrip.AddSample(10 * time.Millisecond)
 		again := s.Tick(s.Next())
 		require.Equal(t, byte(kindPull), again.Messages[0].Data[0])
 		require.Equal(t, time.Second+190*time.Millisecond, s.Next())
--- a/internal/fleet/hunting/hunting.go
+++ b/internal/fleet/hunting/hunting.go
@@ -9,31 +9,31 @@
 	"testing"
 )
 
-// Row is a fault search in fleets of one size, with the seeds From to To-1.
-type Row struct {
+// SeedRange is a fault search in fleets of one size, with the seeds From to To-1.
+type SeedRange struct {
 	Agents     int
 	From, To   uint64
 	isSelected bool // by the environment variable
 }
 
-// SelectRows returns the given rows, or only the one in the environment variable HUNT if that is set, such as
-// "300 200 400" for 300 agents and the seeds 200 to 399. Several processes can share the seeds of a search
-// this way. It panics if HUNT is malformed.
-func SelectRows(rows []Row) []Row {
+// SelectSeedRanges returns the given rows, or only the one in the environment variable HUNT if that is set,
+// such as "300 200 400" for 300 agents and the seeds 200 to 399. Several processes can share the seeds of a
+// search this way. It panics if HUNT is malformed.
+func SelectSeedRanges(rows []SeedRange) []SeedRange {
 	text := os.Getenv("HUNT")
 	if text == "" {
 		return rows
 	}
-	r := Row{isSelected: true}
+	r := SeedRange{isSelected: true}
 	if _, err := fmt.Sscan(text, &r.Agents, &r.From, &r.To); err != nil || r.From >= r.To {
 		panic(fmt.Sprintf("HUNT=%q: need the number of agents, the first seed and the one after the last", text))
 	}
-	return []Row{r}
+	return []SeedRange{r}
 }
 
 // Log logs the result of a seed if the row was selected by HUNT. The log shows the progress of a search that
 // was stopped, and allows the results of two builds to be compared.
-func (r Row) Log(t *testing.T, seed uint64, format string, args ...any) {
+func (r SeedRange) Log(t *testing.T, seed uint64, format string, args ...any) {
 	if r.isSelected {
 		t.Logf("%d agents, seed %d: %s", r.Agents, seed, fmt.Sprintf(format, args...))
 	}
--- a/internal/fleet/internal/roundtrip/roundtrip.go
+++ b/internal/fleet/internal/roundtrip/roundtrip.go
@@ -17,8 +17,8 @@
 	smoothed time.Duration // 0: no sample yet
 }
 
-// Note adds a sample.
-func (e *Estimate) Note(sample time.Duration) {
+// AddSample adds a sample.
+func (e *Estimate) AddSample(sample time.Duration) {
 	if e.smoothed == 0 {
 		e.smoothed = sample
 	}
--- a/internal/fleet/internal/roundtrip/roundtrip_test.go
+++ b/internal/fleet/internal/roundtrip/roundtrip_test.go
@@ -24,7 +24,7 @@
 	} {
 		var e Estimate
 		for _, s := range c.samples {
-			e.Note(s)
+			e.AddSample(s)
 		}
 		require.Equal(t, c.timeout, e.Timeout(200*ms, 4), "%v", c.samples)
 	}
--- a/internal/fleet/lease/holder.go
+++ b/internal/fleet/lease/holder.go
@@ -136,7 +136,7 @@
 }
 
 func (h *Holder) handleReply(now ClockReading, o outstandingRequest, g Grant) {
-	h.retries.roundTrip.Note(now.Mono - o.sent.Mono)
+	h.retries.roundTrip.AddSample(now.Mono - o.sent.Mono)
 	switch {
 	case g.Rejected:
 		h.stats.Rejected++
--- a/internal/fleet/statemachines_test.go
+++ b/internal/fleet/statemachines_test.go
@@ -103,7 +103,7 @@
 		l.Kill(a)
 		l.World.Start(uint32(a))
 	}
-	l.Settle(10 * time.Second)
+	l.RecoverAndCheck(10 * time.Second)
 	for a := range 5 {
 		require.Equal(t, want, recorders[a].records, a)
 	}
@@ -123,7 +123,7 @@
 	require.Equal(t, lease.Full, l.Node(4).Standing(l.Reading(4)))
 	isEarlier[0] = false
 	l.Kill(0)
-	l.Settle(10 * time.Second)
+	l.RecoverAndCheck(10 * time.Second)
 	require.Len(t, recorders[0].records, 151)
 	require.Equal(t, recorders[2].records, recorders[0].records)
 	require.NotNil(t, l.Node(0).Status(l.Reading(0)).Voter)
--- a/internal/graphql/document.go
+++ b/internal/graphql/document.go
@@ -58,7 +58,7 @@
 
 // findDocument returns the document of a request. It returns nil if only the document's hash or id is
 // known, or if it is unclear which document a server would use.
-func (c *Classer) findDocument(p parameters) (d *document, err error) {
+func (c *Classifier) findDocument(p parameters) (d *document, err error) {
 	id := p.documentID
 	if p.hash != "" {
 		if id != "" {
@@ -88,7 +88,7 @@
 // checkID checks that an id belongs to the document that was sent with it, and stores the document if the
 // id is its hash. It returns nil for another id that is unknown, because it is then unclear which of the
 // two a server would use. The error is an *Error.
-func (c *Classer) checkID(d *document, id string) (*document, error) {
+func (c *Classifier) checkID(d *document, id string) (*document, error) {
 	trusted := c.trusted[id]
 	hash, isHash := strings.CutPrefix(id, idPrefix)
 	if trusted != nil && trusted.hash != d.hash || isHash && hash != fmt.Sprintf("%x", d.hash) {
@@ -102,14 +102,15 @@
 	return d, nil
 }
 
-// ReadTrusted parses a file of trusted documents: a JSON object that maps hashes or ids to documents.
-func ReadTrusted(raw []byte) (documents map[string]string, err error) {
+// ParseTrustedDocuments parses a file of trusted documents: a JSON object that maps hashes or ids to
+// documents.
+func ParseTrustedDocuments(raw []byte) (documents map[string]string, err error) {
 	return documents, json.Unmarshal(raw, &documents)
 }
 
 // addTrusted parses the operator's trusted documents and stores them. An id that is a hash must be the
 // hash of its document.
-func (c *Classer) addTrusted(documents map[string]string) (errs []error) {
+func (c *Classifier) addTrusted(documents map[string]string) (errs []error) {
 	for _, id := range slices.Sorted(maps.Keys(documents)) {
 		d, err := c.parse(documents[id])
 		if err == nil && len(d.operations) == 0 {
@@ -132,7 +133,7 @@
 }
 
 // readDocument returns the document in a JSON string literal, from the cache if it was parsed before.
-func (c *Classer) readDocument(literal []byte) (*document, error) {
+func (c *Classifier) readDocument(literal []byte) (*document, error) {
 	if d := c.byLiteral.get(literal); d != nil {
 		return d, nil
 	}
@@ -149,25 +150,25 @@
 
 // parse parses a document. The error is an *Error that reports an exceeded limit. A document with a syntax
 // error has no operations and is no error: a server may support a newer version of the language.
-func (c *Classer) parse(text string) (*document, error) {
+func (c *Classifier) parse(text string) (*document, error) {
 	l := c.rules.Limits
-	if len(text) > l.Document {
-		return nil, overLimit("a document has %d bytes at most", l.Document)
+	if len(text) > l.MaxDocumentBytes {
+		return nil, overLimit("a document has %d bytes at most", l.MaxDocumentBytes)
 	}
 	d := &document{hash: sha256.Sum256([]byte(text))}
 	if !tokenizesUnambiguously(text) {
 		return d, nil
 	}
-	q, err := parser.ParseQueryWithTokenLimit(&ast.Source{Input: text}, l.Tokens)
+	q, err := parser.ParseQueryWithTokenLimit(&ast.Source{Input: text}, l.MaxTokens)
 	if err != nil {
 		var e *gqlerror.Error
 		if errors.As(err, &e) && strings.HasPrefix(e.Message, "exceeded ") { // identifiable by its text only
-			return nil, overLimit("a document has %d tokens at most, and no more than %d levels", l.Tokens, l.Depth)
+			return nil, overLimit("a document has %d tokens at most, and no more than %d levels", l.MaxTokens, l.MaxDepth)
 		}
 		return d, nil
 	}
-	if len(q.Operations) > l.Operations {
-		return nil, overLimit("a document has %d operations at most", l.Operations)
+	if len(q.Operations) > l.MaxOperations {
+		return nil, overLimit("a document has %d operations at most", l.MaxOperations)
 	}
 	w := &walker{fragments: map[string]*fragment{}, resolved: true}
 	for _, f := range q.Fragments {
@@ -177,10 +178,10 @@
 	var operations []operation
 	for _, o := range q.Operations {
 		switch s := w.measure(o.SelectionSet); {
-		case s.depth > l.Depth:
-			return nil, overLimit("an operation has %d levels of fields at most", l.Depth)
-		case s.aliases > l.Aliases:
-			return nil, overLimit("an operation has %d aliases at most", l.Aliases)
+		case s.depth > l.MaxDepth:
+			return nil, overLimit("an operation has %d levels of fields at most", l.MaxDepth)
+		case s.aliases > l.MaxAliases:
+			return nil, overLimit("an operation has %d aliases at most", l.MaxAliases)
 		}
 		operations = append(operations, c.classifyOperation(w, o))
 	}
@@ -222,7 +223,7 @@
 
 // classifyOperation returns an operation with the strictest class of its root fields. It ignores
 // directives: a field that a variable excludes in one request may be included in the next.
-func (c *Classer) classifyOperation(w *walker, o *ast.OperationDefinition) operation {
+func (c *Classifier) classifyOperation(w *walker, o *ast.OperationDefinition) operation {
 	kind, class, table := Query, c.safe, c.queries
 	name := strings.Clone(o.Name) // a substring would keep the whole document in memory
 	switch o.Operation {
--- a/internal/graphql/errors.go
+++ b/internal/graphql/errors.go
@@ -60,8 +60,8 @@
 	PlainJSON    MediaType = "application/json"
 )
 
-// IsAnswer reports whether a media type is one of a GraphQL response.
-func IsAnswer(media string) bool {
+// IsResponseType reports whether a media type is one of a GraphQL response.
+func IsResponseType(media string) bool {
 	return strings.EqualFold(media, string(ResponseJSON)) || strings.EqualFold(media, string(PlainJSON))
 }
 
@@ -100,10 +100,10 @@
 	return b
 }
 
-// Accepted returns the media type that the client prefers by its Accept fields; false if it accepts
+// NegotiateMediaType returns the media type that the client prefers by its Accept fields; false if it accepts
 // neither. The default without a preference is plain JSON, for clients that are older than the other media
 // type.
-func Accepted(fields []string) (MediaType, bool) {
+func NegotiateMediaType(fields []string) (MediaType, bool) {
 	all := strings.Join(fields, ",")
 	if strings.TrimSpace(all) == "" {
 		return PlainJSON, true
--- a/internal/graphql/graphql.go
+++ b/internal/graphql/graphql.go
@@ -4,7 +4,7 @@
 // determined with certainty is treated as unsafe.
 //
 // It does no I/O and reads no clock. vektah/gqlparser parses documents, and go-json-experiment's jsontext
-// checks JSON. A Classer is safe for concurrent use.
+// checks JSON. A Classifier is safe for concurrent use.
 package graphql
 
 import (
@@ -17,7 +17,7 @@
 	"dunestep/internal/balancer"
 )
 
-// Rules configures a Classer.
+// Rules configures a Classifier.
 type Rules struct {
 	Classes []balancer.Class // classes of the deployment's settings
 	// Safe names the class of queries. Unsafe names the class of mutations and of requests whose effect
@@ -35,14 +35,14 @@
 
 // Limits bounds the size of a request and of the caches.
 type Limits struct {
-	Document   int // maximum length of a document, in bytes
-	Tokens     int // maximum tokens of a document, including comments
-	Depth      int // maximum nesting of fields, with fragments expanded
-	Aliases    int // maximum aliases of an operation, with fragments expanded
-	Operations int // maximum operations in a document
-	Batch      int // maximum members of a batch
-	CacheBytes int // size of the cache of parsed documents
-	StoreBytes int // size of the store of hashes received together with their documents
+	MaxDocumentBytes int // maximum length of a document, in bytes
+	MaxTokens        int // maximum tokens of a document, including comments
+	MaxDepth         int // maximum nesting of fields, with fragments expanded
+	MaxAliases       int // maximum aliases of an operation, with fragments expanded
+	MaxOperations    int // maximum operations in a document
+	MaxBatchLength   int // maximum members of a batch
+	CacheBytes       int // size of the cache of parsed documents
+	HashStoreBytes   int // size of the store of hashes received together with their documents
 }
 
 // Kind is the kind of an operation.
@@ -56,8 +56,8 @@
 	Subscription
 )
 
-// Verdict is the classification of a request.
-type Verdict struct {
+// Classification is the classification of a request.
+type Classification struct {
 	Class string // for a batch, the strictest class of its members
 	Kind  Kind   // for a batch, the kind of its members if they agree, else Unclear
 	// Members is the number of requests in a batch; zero if the request is not a batch.
@@ -68,8 +68,8 @@
 	class     int
 }
 
-// Classer classifies requests.
-type Classer struct {
+// Classifier classifies requests.
+type Classifier struct {
 	rules        Rules
 	safe, unsafe int // indexes of classes
 	queries      map[string]int
@@ -79,11 +79,11 @@
 	byHash       *cache // documents by their hash
 }
 
-// NewClasser returns a Classer with the given rules. The error joins all problems of the rules.
-func NewClasser(r Rules) (*Classer, error) {
-	c := &Classer{
+// NewClassifier returns a Classifier with the given rules. The error joins all problems of the rules.
+func NewClassifier(r Rules) (*Classifier, error) {
+	c := &Classifier{
 		rules: r, queries: map[string]int{}, mutations: map[string]int{},
-		byLiteral: newCache(r.Limits.CacheBytes), byHash: newCache(r.Limits.StoreBytes),
+		byLiteral: newCache(r.Limits.CacheBytes), byHash: newCache(r.Limits.HashStoreBytes),
 		trusted: map[string]*document{},
 	}
 	var errs []error
@@ -126,12 +126,12 @@
 	return c, errors.Join(errs...)
 }
 
-func (c *Classer) class(i int) balancer.Class { return c.rules.Classes[i] }
+func (c *Classifier) class(i int) balancer.Class { return c.rules.Classes[i] }
 
 // strictest returns the stricter of two classes, the one that is less safe to repeat. Two different
 // classes whose repeats servers deduplicate give the unsafe class, because the two may be deduplicated by
 // different servers.
-func (c *Classer) strictest(a, b int) int {
+func (c *Classifier) strictest(a, b int) int {
 	switch x, y := c.class(a), c.class(b); {
 	case a == b:
 		return a
@@ -169,10 +169,10 @@
 	return &Error{Code: CodeMethod, Status: 405, Message: "the method must be GET or POST"}
 }
 
-// Class classifies a request. The error is an *Error; a request with an error must not be forwarded.
-func (c *Classer) Class(r Request) (Verdict, error) {
+// Classify classifies a request. The error is an *Error; a request with an error must not be forwarded.
+func (c *Classifier) Classify(r Request) (Classification, error) {
 	if err := r.CheckHead(); err != nil {
-		return Verdict{}, err
+		return Classification{}, err
 	}
 	if r.Method == "GET" {
 		return c.classGET(r)
@@ -180,24 +180,24 @@
 	return c.classPOST(r)
 }
 
-func (c *Classer) classGET(r Request) (Verdict, error) {
+func (c *Classifier) classGET(r Request) (Classification, error) {
 	if len(r.Body) > 0 {
-		return Verdict{}, badRequest("a GET has no body")
+		return Classification{}, badRequest("a GET has no body")
 	}
 	p, err := readURL(r.URLQuery)
 	if err != nil {
-		return Verdict{}, err
+		return Classification{}, err
 	}
 	return c.classifyParameters(p, true)
 }
 
-func (c *Classer) classPOST(r Request) (Verdict, error) {
+func (c *Classifier) classPOST(r Request) (Classification, error) {
 	hasUnknown := false // whether the URL may name another document
 	if r.URLQuery != "" {
 		// Some servers prefer parameters in the URL to those in the body.
 		p, err := readURL(r.URLQuery)
 		if err != nil || p.hasKnown {
-			return Verdict{}, cmp.Or(err, badRequest("a POST has its parameters in its body, not in its URL"))
+			return Classification{}, cmp.Or(err, badRequest("a POST has its parameters in its body, not in its URL"))
 		}
 		hasUnknown = p.hasUnknown
 	}
@@ -205,7 +205,7 @@
 	if len(body) == 0 || body[0] != '[' {
 		p, err := readObject(body)
 		if err != nil {
-			return Verdict{}, err
+			return Classification{}, err
 		}
 		p.hasUnknown = p.hasUnknown || hasUnknown
 		return c.classifyParameters(p, false)
@@ -213,25 +213,25 @@
 	return c.classBatch(body, hasUnknown)
 }
 
-func (c *Classer) classBatch(body []byte, hasUnknown bool) (v Verdict, err error) {
+func (c *Classifier) classBatch(body []byte, hasUnknown bool) (v Classification, err error) {
 	if !c.rules.Batches {
 		return v, &Error{Code: CodeBatch, Status: 400, Message: "batches are not taken here"}
 	}
 	for member, err := range elements(body) {
 		if err != nil {
-			return Verdict{}, err
+			return Classification{}, err
 		}
-		if v.Members == c.rules.Limits.Batch {
-			return Verdict{}, overLimit("a batch has %d members at most", c.rules.Limits.Batch)
+		if v.Members == c.rules.Limits.MaxBatchLength {
+			return Classification{}, overLimit("a batch has %d members at most", c.rules.Limits.MaxBatchLength)
 		}
 		p, err := readObject(member)
 		if err != nil {
-			return Verdict{}, err
+			return Classification{}, err
 		}
 		p.hasUnknown = p.hasUnknown || hasUnknown
 		one, err := c.classifyParameters(p, false)
 		if err != nil {
-			return Verdict{}, err
+			return Classification{}, err
 		}
 		if v.Members == 0 {
 			v = one
@@ -241,7 +241,7 @@
 		v.Members++
 	}
 	if v.Members == 0 {
-		return Verdict{}, badRequest("the batch is empty")
+		return Classification{}, badRequest("the batch is empty")
 	}
 	v.Class = c.class(v.class).Name
 	return v, nil
@@ -249,12 +249,12 @@
 
 // classifyParameters classifies a single request by its parameters. By GET, it only accepts what is
 // certainly a query.
-func (c *Classer) classifyParameters(p parameters, get bool) (Verdict, error) {
+func (c *Classifier) classifyParameters(p parameters, get bool) (Classification, error) {
 	d, err := c.findDocument(p)
 	if err != nil {
-		return Verdict{}, err
+		return Classification{}, err
 	}
-	v := Verdict{Kind: Unclear, class: c.unsafe, Variables: p.variables}
+	v := Classification{Kind: Unclear, class: c.unsafe, Variables: p.variables}
 	if d != nil && !p.hasUnknown {
 		if o := d.executedOperation(p); o != nil {
 			v.Kind, v.class = o.kind, o.class
--- a/internal/graphql/graphql_test.go
+++ b/internal/graphql/graphql_test.go
@@ -31,14 +31,14 @@
 		Trusted:   map[string]string{"t1": "query T { slots { id } }", "t2": "mutation { book { id } }"},
 		Batches:   true,
 		Limits: Limits{
-			Document: 16 << 10, Tokens: 1000, Depth: 30, Aliases: 100, Operations: 50, Batch: 10,
-			CacheBytes: 1 << 20, StoreBytes: 1 << 18,
+			MaxDocumentBytes: 16 << 10, MaxTokens: 1000, MaxDepth: 30, MaxAliases: 100, MaxOperations: 50, MaxBatchLength: 10,
+			CacheBytes: 1 << 20, HashStoreBytes: 1 << 18,
 		},
 	}
 }
 
-func newTestClassifier(t testing.TB, r Rules) *Classer {
-	c, err := NewClasser(r)
+func newTestClassifier(t testing.TB, r Rules) *Classifier {
+	c, err := NewClassifier(r)
 	require.NoError(t, err)
 	return c
 }
@@ -63,7 +63,7 @@
 }
 
 // classOrCode returns the class, or the code of the error.
-func classOrCode(v Verdict, err error) string {
+func classOrCode(v Classification, err error) string {
 	var e *Error
 	if errors.As(err, &e) {
 		return e.Code
@@ -123,7 +123,7 @@
 	} {
 		body, query := encodeRequest(one.document, one.name)
 		byGET := one.want
-		if v, err := c.Class(post(body)); one.want != CodeSubscription {
+		if v, err := c.Classify(post(body)); one.want != CodeSubscription {
 			require.NoError(t, err, "%q", one)
 			if v.Kind == Mutation {
 				byGET = CodeMutationByGET
@@ -132,8 +132,8 @@
 			}
 		}
 		for range 2 {
-			require.Equal(t, one.want, classOrCode(c.Class(post(body))), "%q", one)
-			require.Equal(t, byGET, classOrCode(c.Class(Request{Method: "GET", URLQuery: query})), "%q by GET", one)
+			require.Equal(t, one.want, classOrCode(c.Classify(post(body))), "%q", one)
+			require.Equal(t, byGET, classOrCode(c.Classify(Request{Method: "GET", URLQuery: query})), "%q by GET", one)
 		}
 	}
 }
@@ -142,7 +142,7 @@
 func TestAmbiguousRequestsAreRefused(t *testing.T) {
 	c := newTestClassifier(t, testRules())
 	const good = `{"query":"{ slots }"}`
-	require.Equal(t, "consult", classOrCode(c.Class(post(" "+good+"\r\n"))))
+	require.Equal(t, "consult", classOrCode(c.Classify(post(" "+good+"\r\n"))))
 	for _, body := range []string{
 		``, `null`, `"{ slots }"`, `{}`, `{"query":null}`, `{"query":1}`, `{"query":["{ slots }"]}`, `{ slots }`, good + good,
 		good + "\x00", good + "x", "\ufeff" + good, good[:len(good)-1] + ",}", `{,"query":"{ slots }"}`,
@@ -160,17 +160,17 @@
 		`[]`, `[` + good + `,]`, `[` + good + ` ` + good + `]`, `[[` + good + `]]`, `[` + good, `[1]`,
 		string([]byte{0xff, 0xfe, '{', 0, '"', 0}), `{"query":"{ slots }","variables":{"a":` + strings.Repeat("[", 65) + strings.Repeat("]", 65) + `}}`,
 	} {
-		require.Equal(t, CodeBadRequest, classOrCode(c.Class(post(body))), "%q", body)
+		require.Equal(t, CodeBadRequest, classOrCode(c.Classify(post(body))), "%q", body)
 	}
 	for _, name := range []string{"id", "doc_id", "x"} { // may be the id of another document
-		require.Equal(t, "rezervare", classOrCode(c.Class(post(`{"query":"{ slots }","`+name+`":"1"}`))))
+		require.Equal(t, "rezervare", classOrCode(c.Classify(post(`{"query":"{ slots }","`+name+`":"1"}`))))
 	}
 	for _, body := range []string{good, "[" + good + "]"} {
-		require.Equal(t, "rezervare", classOrCode(c.Class(Request{Method: "POST", Header: jsonHeader, URLQuery: "doc_id=1", Body: []byte(body)})))
-		require.Equal(t, "consult", classOrCode(c.Class(Request{Method: "POST", Header: jsonHeader, URLQuery: "_=1", Body: []byte(body)})))
+		require.Equal(t, "rezervare", classOrCode(c.Classify(Request{Method: "POST", Header: jsonHeader, URLQuery: "doc_id=1", Body: []byte(body)})))
+		require.Equal(t, "consult", classOrCode(c.Classify(Request{Method: "POST", Header: jsonHeader, URLQuery: "_=1", Body: []byte(body)})))
 	}
-	require.Equal(t, CodeUnclear, classOrCode(c.Class(Request{Method: "GET", URLQuery: "query={a}&docId=1"})))
-	require.Equal(t, "consult", classOrCode(c.Class(Request{Method: "GET", URLQuery: "query={a}&_=1"})))
+	require.Equal(t, CodeUnclear, classOrCode(c.Classify(Request{Method: "GET", URLQuery: "query={a}&docId=1"})))
+	require.Equal(t, "consult", classOrCode(c.Classify(Request{Method: "GET", URLQuery: "query={a}&_=1"})))
 	for name, r := range map[string]Request{
 		"hash sign":             {Method: "GET", URLQuery: "query={a}#mutation{b}"},
 		"query in URL and body": {Method: "POST", Header: jsonHeader, URLQuery: "query=%7Ba%7D", Body: []byte(good)},
@@ -186,7 +186,7 @@
 		"no parameter":          {Method: "GET", URLQuery: "a=b"},
 		"GET with a body":       {Method: "GET", URLQuery: "query={a}", Body: []byte(good)},
 	} {
-		require.Equal(t, CodeBadRequest, classOrCode(c.Class(r)), name)
+		require.Equal(t, CodeBadRequest, classOrCode(c.Classify(r)), name)
 	}
 	for _, h := range []map[string][]string{
 		nil,
@@ -198,25 +198,25 @@
 		{"Content-Type": {"multipart/form-data; boundary=x"}},
 		{"Content-Type": {"application/json"}, "Content-Encoding": {"gzip"}},
 	} {
-		require.Equal(t, CodeMediaType, classOrCode(c.Class(Request{Method: "POST", Header: h, Body: []byte(good)})), "%v", h)
+		require.Equal(t, CodeMediaType, classOrCode(c.Classify(Request{Method: "POST", Header: h, Body: []byte(good)})), "%v", h)
 	}
 	charset := Request{Method: "POST", Header: map[string][]string{"Content-Type": {`Application/JSON; charset="UTF-8"`}}, Body: []byte(good)}
-	require.Equal(t, "consult", classOrCode(c.Class(charset)))
-	require.Equal(t, CodeMethod, classOrCode(c.Class(Request{Method: "PUT", Header: jsonHeader, Body: []byte(good)})))
+	require.Equal(t, "consult", classOrCode(c.Classify(charset)))
+	require.Equal(t, CodeMethod, classOrCode(c.Classify(Request{Method: "PUT", Header: jsonHeader, Body: []byte(good)})))
 }
 
 func TestBatch(t *testing.T) {
 	c := newTestClassifier(t, testRules())
 	one, other := `{"query":"{ slots }","variables":{"day":"monday"}}`, `{"query":"mutation { book }"}`
-	v, err := c.Class(post(`[` + one + `, ` + one + `]`))
+	v, err := c.Classify(post(`[` + one + `, ` + one + `]`))
 	require.NoError(t, err)
-	require.Equal(t, Verdict{Class: "consult", Kind: Query, Members: 2, Variables: []byte(`{"day":"monday"}`)}, v)
-	require.Equal(t, "rezervare", classOrCode(c.Class(post(`[`+one+`,`+other+`]`))))
-	require.Equal(t, CodeSubscription, classOrCode(c.Class(post(`[`+one+`,{"query":"subscription { a }"}]`))))
-	require.Equal(t, CodeLimit, classOrCode(c.Class(post(`[`+one+strings.Repeat(`,`+one, 10)+`]`))))
+	require.Equal(t, Classification{Class: "consult", Kind: Query, Members: 2, Variables: []byte(`{"day":"monday"}`)}, v)
+	require.Equal(t, "rezervare", classOrCode(c.Classify(post(`[`+one+`,`+other+`]`))))
+	require.Equal(t, CodeSubscription, classOrCode(c.Classify(post(`[`+one+`,{"query":"subscription { a }"}]`))))
+	require.Equal(t, CodeLimit, classOrCode(c.Classify(post(`[`+one+strings.Repeat(`,`+one, 10)+`]`))))
 	r := testRules()
 	r.Batches = false
-	require.Equal(t, CodeBatch, classOrCode(newTestClassifier(t, r).Class(post(`[`+one+`]`))))
+	require.Equal(t, CodeBatch, classOrCode(newTestClassifier(t, r).Classify(post(`[`+one+`]`))))
 }
 
 // A hash or id without its document has the class of the document that it was received with before or that
@@ -229,47 +229,47 @@
 	extension := func(h string) string { return `"extensions":{"persistedQuery":{"version":1,"sha256Hash":"` + h + `"}}` }
 	alone := post(`{` + extension(hash) + `}`)
 	get := Request{Method: "GET", URLQuery: "extensions=" + url.QueryEscape(`{"persistedQuery":{"version":1,"sha256Hash":"`+hash+`"}}`)}
-	require.Equal(t, "rezervare", classOrCode(c.Class(alone)))
-	require.Equal(t, CodeNotFound, classOrCode(c.Class(get)))
-	require.Equal(t, CodeMismatch, classOrCode(c.Class(post(`{"query":"{ other }",`+extension(hash)+`}`))))
-	require.Equal(t, CodeMismatch, classOrCode(c.Class(post(`{"query":"{ other }","documentId":"sha256:`+hash+`"}`))))
-	require.Equal(t, "rezervare", classOrCode(c.Class(alone)), "a mismatch must not be stored")
-	require.Equal(t, "consult", classOrCode(c.Class(post(`{"query":"`+document+`",`+extension(hash)+`}`))))
-	require.Equal(t, "consult", classOrCode(c.Class(alone)))
-	require.Equal(t, "consult", classOrCode(c.Class(get)))
-	require.Equal(t, "consult", classOrCode(c.Class(post(`{"documentId":"sha256:`+hash+`"}`))))
-	require.Equal(t, "rezervare", classOrCode(c.Class(post(`{"documentId":"`+hash+`"}`))), "an id without the prefix is not a hash")
-	require.Equal(t, "rezervare", classOrCode(c.Class(post(`{"operationName":"M",`+extension(hash)+`}`))))
-	require.Equal(t, CodeBadRequest, classOrCode(c.Class(post(`{"documentId":"t1",`+extension(hash)+`}`))))
-	require.Equal(t, "consult", classOrCode(c.Class(post(`{"documentId":"t1"}`))))
-	require.Equal(t, "rezervare", classOrCode(c.Class(post(`{"documentId":"t2"}`))))
-	require.Equal(t, CodeMutationByGET, classOrCode(c.Class(Request{Method: "GET", URLQuery: "documentId=t2"})))
-	require.Equal(t, "rezervare", classOrCode(c.Class(post(`{"documentId":"t3","query":"{ slots }"}`))), "a server may use either document")
-	require.Equal(t, CodeMismatch, classOrCode(c.Class(post(`{"documentId":"t1","query":"{ slots }"}`))))
-	require.Equal(t, "consult", classOrCode(c.Class(post(`{"documentId":"t1","query":"query T { slots { id } }"}`))))
+	require.Equal(t, "rezervare", classOrCode(c.Classify(alone)))
+	require.Equal(t, CodeNotFound, classOrCode(c.Classify(get)))
+	require.Equal(t, CodeMismatch, classOrCode(c.Classify(post(`{"query":"{ other }",`+extension(hash)+`}`))))
+	require.Equal(t, CodeMismatch, classOrCode(c.Classify(post(`{"query":"{ other }","documentId":"sha256:`+hash+`"}`))))
+	require.Equal(t, "rezervare", classOrCode(c.Classify(alone)), "a mismatch must not be stored")
+	require.Equal(t, "consult", classOrCode(c.Classify(post(`{"query":"`+document+`",`+extension(hash)+`}`))))
+	require.Equal(t, "consult", classOrCode(c.Classify(alone)))
+	require.Equal(t, "consult", classOrCode(c.Classify(get)))
+	require.Equal(t, "consult", classOrCode(c.Classify(post(`{"documentId":"sha256:`+hash+`"}`))))
+	require.Equal(t, "rezervare", classOrCode(c.Classify(post(`{"documentId":"`+hash+`"}`))), "an id without the prefix is not a hash")
+	require.Equal(t, "rezervare", classOrCode(c.Classify(post(`{"operationName":"M",`+extension(hash)+`}`))))
+	require.Equal(t, CodeBadRequest, classOrCode(c.Classify(post(`{"documentId":"t1",`+extension(hash)+`}`))))
+	require.Equal(t, "consult", classOrCode(c.Classify(post(`{"documentId":"t1"}`))))
+	require.Equal(t, "rezervare", classOrCode(c.Classify(post(`{"documentId":"t2"}`))))
+	require.Equal(t, CodeMutationByGET, classOrCode(c.Classify(Request{Method: "GET", URLQuery: "documentId=t2"})))
+	require.Equal(t, "rezervare", classOrCode(c.Classify(post(`{"documentId":"t3","query":"{ slots }"}`))), "a server may use either document")
+	require.Equal(t, CodeMismatch, classOrCode(c.Classify(post(`{"documentId":"t1","query":"{ slots }"}`))))
+	require.Equal(t, "consult", classOrCode(c.Classify(post(`{"documentId":"t1","query":"query T { slots { id } }"}`))))
 
 	for _, bad := range []map[string]string{{hash: "{ other }"}, {"sha256:" + hash: "{ other }"}, {"x": "{ a "}, {"x": strings.Repeat("{a", 2000)}} {
 		r := testRules()
 		r.Trusted = bad
-		_, err := NewClasser(r)
+		_, err := NewClassifier(r)
 		require.Error(t, err)
 	}
 	r := testRules()
 	r.Trusted = map[string]string{hash: document}
-	require.Equal(t, "consult", classOrCode(newTestClassifier(t, r).Class(alone)))
+	require.Equal(t, "consult", classOrCode(newTestClassifier(t, r).Classify(alone)))
 }
 
 // Both caches stay within their size, and the most recently used entries are kept.
 func TestStoresAreBounded(t *testing.T) {
 	r := testRules()
-	r.Limits.CacheBytes, r.Limits.StoreBytes = 20_000, 5_000
+	r.Limits.CacheBytes, r.Limits.HashStoreBytes = 20_000, 5_000
 	c := newTestClassifier(t, r)
 	first := `{"query":"{ first }"}`
 	for i := range 1000 {
 		document := fmt.Sprintf("{ field%d }", i)
 		body := fmt.Sprintf(`{"query":%q,"documentId":"sha256:%x"}`, document, sha256.Sum256([]byte(document)))
-		require.Equal(t, "consult", classOrCode(c.Class(post(body))))
-		require.Equal(t, "consult", classOrCode(c.Class(post(first))))
+		require.Equal(t, "consult", classOrCode(c.Classify(post(body))))
+		require.Equal(t, "consult", classOrCode(c.Classify(post(first))))
 		require.LessOrEqual(t, c.byLiteral.usedBytes, 20_000)
 		require.LessOrEqual(t, c.byHash.usedBytes, 5_000)
 	}
@@ -283,7 +283,7 @@
 func TestStoresKeepNoDocuments(t *testing.T) {
 	const most, documents, length = 100_000, 1000, 15_000
 	r := testRules()
-	r.Limits.CacheBytes, r.Limits.StoreBytes = 0, most
+	r.Limits.CacheBytes, r.Limits.HashStoreBytes = 0, most
 	c := newTestClassifier(t, r)
 	heap := func() (bytes int) {
 		var m runtime.MemStats
@@ -295,7 +295,7 @@
 	for i := range documents {
 		document := fmt.Sprintf("query Q%d { slots }%*s", i, length, "")
 		body := fmt.Sprintf(`{"query":%q,"documentId":"sha256:%x"}`, document, sha256.Sum256([]byte(document)))
-		require.Equal(t, "consult", classOrCode(c.Class(post(body))))
+		require.Equal(t, "consult", classOrCode(c.Classify(post(body))))
 	}
 	require.Greater(t, len(c.byHash.entries), 100)
 	require.Less(t, heap()-before, 100*length/2)
@@ -305,7 +305,7 @@
 func TestInvalidRules(t *testing.T) {
 	r := testRules()
 	r.Safe, r.Unsafe, r.Queries["x"], r.Mutations["y"] = "rezervare", "nothing", "nowhere", "consult"
-	_, err := NewClasser(r)
+	_, err := NewClassifier(r)
 	for _, want := range []string{
 		`no class "rezervare" in the settings is safe`, `no class "nothing" in the settings is unsafe`,
 		`x: the settings have no class "nowhere"`, `y: a mutation must not have class "consult"`,
@@ -321,11 +321,11 @@
 		"application/json;q=0.5, application/graphql-response+json;q=0.4": PlainJSON, "text/html": "", "application/json;q=0": "",
 		"application/graphql-response+json; charset=utf-8, application/json; charset=utf-8": ResponseJSON, "application/json;charset=latin1": "",
 	} {
-		got, ok := Accepted([]string{accept})
+		got, ok := NegotiateMediaType([]string{accept})
 		require.Equal(t, want, got, accept)
 		require.Equal(t, want != "", ok, accept)
 	}
-	subscription, _ := newTestClassifier(t, testRules()).Class(post(`{"query":"subscription { a }"}`))
+	subscription, _ := newTestClassifier(t, testRules()).Classify(post(`{"query":"subscription { a }"}`))
 	require.Equal(t, Subscription, subscription.Kind)
 	refused := &Error{Code: CodeSubscription, Status: 400, wellFormed: true}
 	require.Equal(t, 200, refused.StatusFor(PlainJSON))
--- a/internal/graphql/limits_test.go
+++ b/internal/graphql/limits_test.go
@@ -88,7 +88,7 @@
 	c := newTestClassifier(t, r)
 	for name, request := range expensiveRequests() {
 		require.LessOrEqual(t, len(request.body), 64<<10, name)
-		got := classOrCode(c.Class(post(request.body)))
+		got := classOrCode(c.Classify(post(request.body)))
 		if request.want != "" {
 			require.Equal(t, request.want, got, name)
 		}
@@ -103,7 +103,7 @@
 		"{" + strings.Repeat("a ", 990) + "}",
 	} {
 		body, _ := encodeRequest(document, "-")
-		require.Equal(t, "consult", classOrCode(c.Class(post(body))))
+		require.Equal(t, "consult", classOrCode(c.Classify(post(body))))
 	}
 }
 
@@ -139,6 +139,6 @@
 	b.ReportAllocs()
 	c, request := newTestClassifier(b, r), post(body)
 	for b.Loop() {
-		_, _ = c.Class(request)
+		_, _ = c.Classify(request)
 	}
 }
--- a/internal/graphql/property_test.go
+++ b/internal/graphql/property_test.go
@@ -81,7 +81,7 @@
 		body, query := encodeRequest(d.text, name)
 		runs := d.executedKind(strings.TrimPrefix(name, "-"), name != "-")
 		for _, r := range []Request{post(body), {Method: "GET", URLQuery: query}, post("[" + body + "]")} {
-			v, err := c.Class(r)
+			v, err := c.Classify(r)
 			if err == nil && idempotencyOf(v.Class) == balancer.Idempotent {
 				safe++
 				if runs != "query" && (runs != "" || name != "") { // servers may treat an empty name as none
@@ -114,7 +114,7 @@
 	return balancer.NotIdempotent
 }
 
-// For any input, Class does not panic and returns an *Error or a class. The class is only safe if
+// For any input, Classify does not panic and returns an *Error or a class. The class is only safe if
 // encoding/json and the parser also find a query.
 func FuzzClass(f *testing.F) {
 	for _, s := range []string{
@@ -128,7 +128,7 @@
 	f.Add("GET", "query={a}&%71uery=mutation{b}")
 	r := testRules()
 	r.Queries, r.Trusted = nil, nil
-	c, err := NewClasser(r)
+	c, err := NewClassifier(r)
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -137,7 +137,7 @@
 		if method == "POST" {
 			r = post(text)
 		}
-		v, err := c.Class(r)
+		v, err := c.Classify(r)
 		var e *Error
 		if err != nil && !errors.As(err, &e) {
 			t.Fatalf("%T", err)
--- a/internal/graphql/read.go
+++ b/internal/graphql/read.go
@@ -244,8 +244,8 @@
 // maxVariable is the maximum length of a variable that Variable returns, in bytes.
 const maxVariable = 256
 
-// Variable returns the string or number at a path of names in the variables of a Verdict. It returns an
-// empty string if the variable is missing, too long or duplicated, or has another type.
+// Variable returns the string or number at a path of names in the variables of a Classification. It returns
+// an empty string if the variable is missing, too long or duplicated, or has another type.
 func Variable(variables []byte, path []string) (found string) {
 	if len(path) == 0 || len(variables) == 0 || variables[0] != '{' {
 		return ""
--- a/internal/metrics/counters.go
+++ b/internal/metrics/counters.go
@@ -29,8 +29,8 @@
 
 // Endpoints is the number of upstream servers.
 type Endpoints struct {
-	Listed int // in discovery's list
-	Banned int // of these, disabled by operators
+	Listed   int // in discovery's list
+	Disabled int // of these, disabled by operators
 }
 
 // New returns Counters for the classes of a deployment. Requests of other classes have no count by ending.
@@ -120,6 +120,6 @@
 	}
 	endpoints := c.endpoints.Load()
 	r.Listed = int64(endpoints.Listed)
-	r.Ejected = min(int64(endpoints.Banned)+c.ejected.Load(), r.Listed)
+	r.Ejected = min(int64(endpoints.Disabled)+c.ejected.Load(), r.Listed)
 	return r
 }
--- a/internal/overload/snapshot.go
+++ b/internal/overload/snapshot.go
@@ -20,8 +20,8 @@
 
 // KindSnapshot is the usual service time of a machine kind, by concurrency bucket.
 type KindSnapshot struct {
-	Name  string                `cbor:"1,keyasint" json:"name"`
-	Steps []ServiceTimeSnapshot `cbor:"2,keyasint,omitempty" json:"steps"`
+	Name    string                `cbor:"1,keyasint" json:"name"`
+	Buckets []ServiceTimeSnapshot `cbor:"2,keyasint,omitempty" json:"steps"`
 }
 
 // ServiceTimeSnapshot is the usual service time in a concurrency bucket.
@@ -64,7 +64,7 @@
 		kind := KindSnapshot{Name: name}
 		for i, samples := range c.serviceTimes[name].samples {
 			if s := (ServiceTimeSnapshot{i, c.serviceTimes[name].logSeconds[i], samples}); s.isValid() {
-				kind.Steps = append(kind.Steps, s)
+				kind.Buckets = append(kind.Buckets, s)
 			}
 		}
 		snapshot.Kinds = append(snapshot.Kinds, kind)
@@ -83,7 +83,7 @@
 	remaining := math.Exp2(-float64(age) / float64(serviceTimeHalfLife))
 	for _, kind := range snapshot.Kinds[:min(len(snapshot.Kinds), maxKinds)] {
 		estimate := c.serviceTimeOf(kind.Name)
-		for _, s := range kind.Steps {
+		for _, s := range kind.Buckets {
 			if s.isValid() {
 				estimate.logSeconds[s.Step] = s.LogSeconds
 				estimate.samples[s.Step] = remaining * min(s.Samples, maxSamples)
--- a/internal/overload/snapshot_test.go
+++ b/internal/overload/snapshot_test.go
@@ -38,7 +38,7 @@
 	restoredSnapshot.LearnedFor = snapshot.LearnedFor
 	require.Equal(t, snapshot, restoredSnapshot)
 	require.Equal(t, Snapshot{
-		Kinds:    []KindSnapshot{{"rapid", []ServiceTimeSnapshot{{concurrencyBucket(5), snapshot.Kinds[0].Steps[0].LogSeconds, 100}}}},
+		Kinds:    []KindSnapshot{{"rapid", []ServiceTimeSnapshot{{concurrencyBucket(5), snapshot.Kinds[0].Buckets[0].LogSeconds, 100}}}},
 		InFlight: 12, Servers: 13, NoSheddingFor: 20 * time.Second, LearnedFor: learningDuration,
 	}, snapshot)
 	for c, factor := range map[*Controller]float64{restored: 3, newController(): 1} {
@@ -69,13 +69,13 @@
 	for i := range many {
 		many[i].Name = fmt.Sprint(i)
 	}
-	many[0].Steps = []ServiceTimeSnapshot{{-1, 0, 1}, {concurrencyBuckets, 0, 1}, {1, math.NaN(), 9}, {2, 0, math.Inf(-1)}, {3, 0, math.NaN()}}
+	many[0].Buckets = []ServiceTimeSnapshot{{-1, 0, 1}, {concurrencyBuckets, 0, 1}, {1, math.NaN(), 9}, {2, 0, math.Inf(-1)}, {3, 0, math.NaN()}}
 	invalid.Restore(now, Snapshot{
 		InFlight: math.Inf(1), Servers: math.NaN(), NoSheddingFor: math.MinInt64, LearnedFor: math.MinInt64,
 		Kinds: many,
 	}, time.Second)
 	got := invalid.Snapshot(now)
 	require.Len(t, got.Kinds, maxKinds)
-	got.Kinds = slices.DeleteFunc(got.Kinds, func(k KindSnapshot) bool { return k.Steps == nil })
+	got.Kinds = slices.DeleteFunc(got.Kinds, func(k KindSnapshot) bool { return k.Buckets == nil })
 	require.Equal(t, Snapshot{Kinds: []KindSnapshot{}}, got)
 }
--- a/internal/protocol/graphql.go
+++ b/internal/protocol/graphql.go
@@ -14,9 +14,9 @@
 
 // GraphQL is the format of requests and responses in GraphQL over HTTP.
 type GraphQL struct {
-	Path    string // path of GraphQL requests
-	Classer *graphql.Classer
-	Classes []balancer.Class // classes of the settings, for their deadlines
+	Path       string // path of GraphQL requests
+	Classifier *graphql.Classifier
+	Classes    []balancer.Class // classes of the settings, for their deadlines
 	// Key, Tenant, Deadline (in milliseconds) and ID (correlation id) locate these values in a request.
 	Key, Tenant, Deadline, ID Source
 	DefaultTenant             string
@@ -77,9 +77,9 @@
 	return ""
 }
 
-// Everywhere is the Format of a socket that serves only GraphQL. It accepts every request; Decode rejects
+// AnyPath is the Format of a socket that serves only GraphQL. It accepts every request; Decode rejects
 // other paths.
-func (g *GraphQL) Everywhere(r *http.Request) Exchange {
+func (g *GraphQL) AnyPath(r *http.Request) Exchange {
 	return &graphQLExchange{format: g, request: r, media: graphql.PlainJSON}
 }
 
@@ -88,7 +88,7 @@
 	if path, _, _ := strings.Cut(r.RequestURI, "?"); path != g.Path {
 		return nil
 	}
-	return g.Everywhere(r)
+	return g.AnyPath(r)
 }
 
 // graphQLExchange is one request and its response.
@@ -96,7 +96,7 @@
 	format      *GraphQL
 	request     *http.Request
 	media       graphql.MediaType
-	verdict     graphql.Verdict
+	verdict     graphql.Classification
 	decodeError *graphql.Error // error with which Decode rejected the request; nil if there is none
 }
 
@@ -117,7 +117,7 @@
 func (x *graphQLExchange) decode(reserve ReserveMemory) (*Request, error) {
 	g, r := x.format, x.request
 	path, query, _ := strings.Cut(r.RequestURI, "?")
-	media, acceptable := graphql.Accepted(r.Header["Accept"])
+	media, acceptable := graphql.NegotiateMediaType(r.Header["Accept"])
 	switch {
 	case path != g.Path:
 		return nil, &graphql.Error{
@@ -147,7 +147,7 @@
 	}
 	request.Body = op.Body
 	var err error
-	if x.verdict, err = g.Classer.Class(request); err != nil {
+	if x.verdict, err = g.Classifier.Classify(request); err != nil {
 		return op, err
 	}
 	op.Class = x.verdict.Class
--- a/internal/protocol/upstream.go
+++ b/internal/protocol/upstream.go
@@ -111,7 +111,7 @@
 		return false
 	}
 	media, _, _ := strings.Cut(contentType, ";")
-	return status/100 == 4 && graphql.IsAnswer(strings.TrimSpace(media))
+	return status/100 == 4 && graphql.IsResponseType(strings.TrimSpace(media))
 }
 
 // discardBody reads a body to its end. It returns ErrResponseTooLong after maxDiscardedBytes.
--- a/internal/rehearsal/breaking.go
+++ b/internal/rehearsal/breaking.go
@@ -10,8 +10,8 @@
 
 // BreakOptions configures Break.
 type BreakOptions struct {
-	Least, Most float64 // bounds of the search, in multiples of the scenario's load
-	Steps       int     // number of bisection steps
+	MinLoad, MaxLoad float64 // bounds of the search, in multiples of the scenario's load
+	Steps            int     // number of bisection steps
 	// Play runs a scenario, possibly live; nil: Play of this package with Seed.
 	Play     func(ctx context.Context, set *scenario.Scenario) (*report.Report, error)
 	Seed     uint64
@@ -43,13 +43,13 @@
 		results = report.InsertLoad(results, report.LoadRun{Load: load, Report: r})
 		return r.Passed, nil
 	}
-	if passed, err := passesUnder(o.Least); err != nil || !passed {
+	if passed, err := passesUnder(o.MinLoad); err != nil || !passed {
 		return 0, results, err
 	}
-	if passed, err := passesUnder(o.Most); err != nil || passed {
-		return o.Most, results, err
+	if passed, err := passesUnder(o.MaxLoad); err != nil || passed {
+		return o.MaxLoad, results, err
 	}
-	low, high := o.Least, o.Most
+	low, high := o.MinLoad, o.MaxLoad
 	for range o.Steps {
 		middle := (low + high) / 2
 		passed, err := passesUnder(middle)
--- a/internal/rehearsal/fleet_test.go
+++ b/internal/rehearsal/fleet_test.go
@@ -22,8 +22,8 @@
 			set.Fleet.Servers /= 3
 			set.Discovery.CallsPerS.Low /= 3
 			set.Discovery.CallsPerS.High /= 3
-			for i := range set.Troubles {
-				set.Troubles[i].Count /= 3
+			for i := range set.Faults {
+				set.Faults[i].Count /= 3
 			}
 		}
 		scenarios = append(scenarios, set)
@@ -32,8 +32,8 @@
 	require.NoError(t, err)
 	require.Len(t, results, len(scenarios))
 	for _, result := range results {
-		t.Log(result.Scenario, result.Says)
-		require.True(t, result.Passed, "%s: %s", result.Scenario, result.Says)
+		t.Log(result.Scenario, result.Line)
+		require.True(t, result.Passed, "%s: %s", result.Scenario, result.Line)
 	}
 }
 
@@ -52,14 +52,14 @@
 // others, because it measures the memory of the process.
 func TestSoakDetectsLeak(t *testing.T) {
 	set := loadScenario(t, "fleet-soak")
-	set.Day.Length, set.Agents.Count, set.Fleet.Servers = 2*time.Minute, 3, 13
+	set.Run.Length, set.Agents.Count, set.Fleet.Servers = 2*time.Minute, 3, 13
 	set.Load.PerS = scenario.Span{Low: 40, High: 40}
 	s, err := Soak(context.Background(), set, Options{Seed: 1})
 	require.NoError(t, err)
-	require.Less(t, s.Growth(), 64e3, "%+v", s.Held)
+	require.Less(t, s.Growth(), 64e3, "%+v", s.Samples)
 	leak := &leakingSink{}
 	s, err = soak(context.Background(), set, Options{Seed: 1}, leak)
 	require.NoError(t, err)
-	require.Greater(t, s.Growth(), 64e3, "%+v", s.Held)
+	require.Greater(t, s.Growth(), 64e3, "%+v", s.Samples)
 	require.NotEmpty(t, leak.kept)
 }
--- a/internal/rehearsal/gate.go
+++ b/internal/rehearsal/gate.go
@@ -10,22 +10,22 @@
 	"dunestep/internal/rehearsal/scenario"
 )
 
-// Gated is the gate's result for one run, or for all short runs together.
-type Gated struct {
+// GateResult is the gate's result for one run, or for all short runs together.
+type GateResult struct {
 	Scenario string
 	Seed     uint64
 	Passed   bool    // no rule broken, no crash, service at or above the floor, and no share too low
 	Service  float64 // 0 to 1
-	Says     string  // one-line verdict with the shares and the servers in slow start
+	Line     string  // one-line verdict with the shares and the servers in slow start
 	shares   []judge.Share
 }
 
 // String returns the verdict in one line, with the scenario and seed.
-func (g *Gated) String() string {
+func (g *GateResult) String() string {
 	if g.shares == nil {
-		return g.Scenario + ": " + g.Says
+		return g.Scenario + ": " + g.Line
 	}
-	return fmt.Sprintf("%s, seed %d: %s", g.Scenario, g.Seed, g.Says)
+	return fmt.Sprintf("%s, seed %d: %s", g.Scenario, g.Seed, g.Line)
 }
 
 // GateOptions configures Gate.
@@ -42,26 +42,26 @@
 // Gate runs scenarios and judges each run by the terms of the gate. The results are in the order of the
 // scenarios and seeds, followed by the combined result of the short runs, if any. If the context ends
 // first, Gate returns the results so far with its error.
-func Gate(ctx context.Context, scenarios []*scenario.Scenario, o GateOptions) ([]Gated, error) {
+func Gate(ctx context.Context, scenarios []*scenario.Scenario, o GateOptions) ([]GateResult, error) {
 	o.Seeds = max(o.Seeds, 1)
 	pairs := 1
 	for _, s := range scenarios {
 		pairs = max(pairs, s.Agents.Count*s.Fleet.Servers)
 	}
-	results := make([]Gated, len(scenarios)*o.Seeds)
+	results := make([]GateResult, len(scenarios)*o.Seeds)
 	var mu sync.Mutex
 	done := 0
 	err := onCores(ctx, min(runtime.GOMAXPROCS(0), max(maxPairs/pairs, 1)), len(results), func(i int) error {
 		set := scenarios[i/o.Seeds]
 		seed := set.Seed + uint64(i%o.Seeds)
-		r, err := Play(ctx, set, Options{Seed: seed, Without: o.Without, Late: true})
+		r, err := Play(ctx, set, Options{Seed: seed, Without: o.Without, MeasureShares: true})
 		if err != nil {
 			return err
 		}
 		mu.Lock()
 		defer mu.Unlock()
 		line, passed := r.GateLine()
-		results[i] = Gated{set.Name, seed, passed, r.Service, line, r.Shares}
+		results[i] = GateResult{set.Name, seed, passed, r.Service, line, r.Shares}
 		if done++; o.Progress != nil {
 			o.Progress(done)
 		}
--- a/internal/rehearsal/graphql_test.go
+++ b/internal/rehearsal/graphql_test.go
@@ -26,17 +26,17 @@
 func (x *executionCounter) Take(e *record.Event) {
 	x.Sink.Take(e)
 	switch e.Kind {
-	case record.Asked:
-		x.requests[e.Op] = e.Chain
+	case record.RequestReceived:
+		x.requests[e.RequestID] = e.Chain
 		if x.unsafe[e.Class] {
 			x.unsafeRuns[e.Chain] += 0
 		}
-	case record.Ended:
+	case record.AttemptEnded:
 		if e.Outcome != record.OK {
 			x.failedAttempts++
 		}
-	case record.Worked:
-		request := x.requests[e.Op]
+	case record.WorkDone:
+		request := x.requests[e.RequestID]
 		if _, unsafe := x.unsafeRuns[request]; unsafe && e.Ran {
 			x.unsafeRuns[request]++
 		} else if e.Ran {
@@ -56,14 +56,14 @@
 	failures, repeats, executed := 0, 0, 0
 	const runs = 3
 	for listener := range service {
-		set.Clients.GraphQLFront = listener == 1
+		set.Clients.GraphQLListener = listener == 1
 		for seed := range uint64(runs) {
 			verdicts := judge.New(set)
 			counter := &executionCounter{Sink: verdicts, requests: map[uint32]uint32{}, unsafeRuns: map[uint32]int{}, safeRuns: map[uint32]int{}}
 			for _, c := range set.Classes {
 				counter.unsafe = append(counter.unsafe, c.Effect == scenario.Unsafe)
 			}
-			require.NoError(t, world.Play(t.Context(), set, seed+1, counter, world.Options{Figures: balancer.DefaultTuning()}))
+			require.NoError(t, world.Play(t.Context(), set, seed+1, counter, world.Options{Tuning: balancer.DefaultTuning()}))
 			for chain, n := range counter.unsafeRuns {
 				require.LessOrEqual(t, n, 1, "request %d with seed %d", chain, seed+1)
 				executed += n
--- a/internal/rehearsal/hunt.go
+++ b/internal/rehearsal/hunt.go
@@ -13,8 +13,8 @@
 	"dunestep/internal/rehearsal/scenario"
 )
 
-// Found is the result of one seed of a hunt.
-type Found struct {
+// SeedResult is the result of one seed of a hunt.
+type SeedResult struct {
 	Seed     uint64   `json:"seed"`
 	Passed   bool     `json:"passed"`
 	Crashed  bool     `json:"crashed"`
@@ -25,26 +25,26 @@
 
 // HuntOptions configures Hunt.
 type HuntOptions struct {
-	First    uint64                 // first seed
-	Seeds    int                    // number of consecutive seeds
-	Without  []string               // names of protections to disable
-	Placed   bool                   // agents use ring assignment whatever the scenario says
-	Progress func(done, failed int) // called after each run, never concurrently; may be nil
+	First          uint64                 // first seed
+	Seeds          int                    // number of consecutive seeds
+	Without        []string               // names of protections to disable
+	RingAssignment bool                   // agents use ring assignment whatever the scenario says
+	Progress       func(done, failed int) // called after each run, never concurrently; may be nil
 }
 
 // Hunt runs the scenario with many seeds on all cores and returns the results, worst first: crashes, then
 // by the number of broken rules, then by service, then by seed. If the context ends first, Hunt returns the
 // results so far with its error.
-func Hunt(ctx context.Context, set *scenario.Scenario, o HuntOptions) ([]Found, error) {
+func Hunt(ctx context.Context, set *scenario.Scenario, o HuntOptions) ([]SeedResult, error) {
 	if _, _, err := tuningWithout(o.Without); err != nil {
 		return nil, err
 	}
 	var mu sync.Mutex
-	var results []Found
+	var results []SeedResult
 	failed := 0
 	err := onAllCores(ctx, o.Seeds, func(i int) error {
 		seed := o.First + uint64(i)
-		r, err := Play(ctx, set, Options{Seed: seed, Without: o.Without, Placed: o.Placed})
+		r, err := Play(ctx, set, Options{Seed: seed, Without: o.Without, RingAssignment: o.RingAssignment})
 		if err != nil {
 			return err
 		}
@@ -59,7 +59,7 @@
 		}
 		return nil
 	})
-	slices.SortFunc(results, func(a, b Found) int {
+	slices.SortFunc(results, func(a, b SeedResult) int {
 		return cmp.Or(cmp.Compare(b.severity(), a.severity()), cmp.Compare(a.Service, b.Service),
 			cmp.Compare(a.Seed, b.Seed))
 	})
@@ -67,7 +67,7 @@
 }
 
 // severity ranks a result apart from its service. A crash ranks above any number of broken rules.
-func (f Found) severity() int {
+func (f SeedResult) severity() int {
 	const crash = 100
 	if f.Crashed {
 		return crash + len(f.Broken)
@@ -75,8 +75,8 @@
 	return len(f.Broken)
 }
 
-func newFound(r *report.Report) Found {
-	f := Found{
+func newFound(r *report.Report) SeedResult {
+	f := SeedResult{
 		Seed: r.Seed, Passed: r.Passed, Crashed: r.Crash != nil, Service: r.Service,
 		Broken: []string{}, Findings: []string{},
 	}
@@ -85,7 +85,7 @@
 			f.Broken = append(f.Broken, rule.Name)
 		}
 	}
-	for _, term := range r.Terms {
+	for _, term := range r.Limits {
 		if term.Broken {
 			f.Broken = append(f.Broken, term.Name)
 		}
--- a/internal/rehearsal/judge/cold.go
+++ b/internal/rehearsal/judge/cold.go
@@ -9,19 +9,20 @@
 	"dunestep/internal/rehearsal/scenario"
 )
 
-// Cold is how close servers in slow start came to being overloaded. Each start counts with its fullest
-// window: the most work sent to it within the rule's window, as a part of the work that would overload it.
-type Cold struct {
-	Starts    int     `json:"starts"`
-	Fell      int     `json:"fell"`
-	FellTold  int     `json:"fell_told"` // of these, over two thirds of the work by agents notified of the start
-	Median    float64 `json:"fullest_median"`
-	P90       float64 `json:"fullest_p90"`
-	Fullest   float64 `json:"fullest"`
-	Server    string  `json:"fullest_server"`
-	AtS       float64 `json:"fullest_at_s"`
-	Told      float64 `json:"fullest_told"` // part of that window's work from agents notified of the start
-	OverThree int     `json:"over_three_quarters"`
+// SlowStartSummary is how close servers in slow start came to being overloaded. Each start counts with its
+// fullest window: the most work sent to it within the rule's window, as a part of the work that would
+// overload it.
+type SlowStartSummary struct {
+	Starts             int     `json:"starts"`
+	Overloaded         int     `json:"fell"`
+	OverloadedNotified int     `json:"fell_told"` // of these, over two thirds of the work by agents notified of the start
+	Median             float64 `json:"fullest_median"`
+	P90                float64 `json:"fullest_p90"`
+	Fullest            float64 `json:"fullest"`
+	Server             string  `json:"fullest_server"`
+	AtS                float64 `json:"fullest_at_s"`
+	FullestNotified    float64 `json:"fullest_told"` // part of that window's work from agents notified of the start
+	OverThree          int     `json:"over_three_quarters"`
 }
 
 // slowStartChecker checks the fourth rule: an upstream server that has just started is not overloaded by
@@ -56,7 +57,7 @@
 }
 
 func newSlowStartChecker(
-	d describer, sc *scenario.Scenario, run record.Day, view *discoveryView,
+	d describer, sc *scenario.Scenario, run record.Run, view *discoveryView,
 ) *slowStartChecker {
 	return &slowStartChecker{
 		describe: d, scenario: sc, view: view, starting: map[int32]*startingServer{},
@@ -75,22 +76,22 @@
 	switch e.Kind {
 	case record.ServerUp:
 		delete(c.starting, e.Server)
-		if e.Cold {
+		if e.SlowStart {
 			s := &startingServer{server: e.Server, up: e.At}
 			c.starting[e.Server] = s
 			c.all = append(c.all, s)
 		}
-	case record.Reached:
+	case record.AttemptReached:
 		s := c.starting[e.Server]
 		switch {
 		case s == nil:
-		case !e.Cold:
+		case !e.SlowStart:
 			s.sent = nil
 			delete(c.starting, e.Server)
 		default:
 			c.reached(e, s)
 		}
-	case record.Fell:
+	case record.ServerOverloaded:
 		if s := c.starting[e.Server]; s != nil {
 			c.overloaded(e, s)
 		}
@@ -99,10 +100,10 @@
 
 // reached adds work to the window that ends with it, and records the window if it is the fullest so far.
 func (c *slowStartChecker) reached(e *record.Event, s *startingServer) {
-	s.expire(e.At - c.scenario.Rules.FallWindow)
+	s.expire(e.At - c.scenario.Rules.OverloadWindow)
 	s.sent = append(s.sent, startingWork{*e, c.view.notifiedOfStart(e.Agent, e.Server, s.up, e.At)})
 	s.sum += e.Work
-	limit := max(c.scenario.Rules.FallLimit(e.Capacity, c.meanWork), 1)
+	limit := max(c.scenario.Rules.OverloadLimit(e.Capacity, c.meanWork), 1)
 	if full := float64(s.sum) / float64(limit); full > s.fullest {
 		s.fullest, s.at, s.notified = full, e.At, s.notifiedShare()
 	}
@@ -133,18 +134,18 @@
 const maxNotifiedShare = 2.0 / 3
 
 func (c *slowStartChecker) overloaded(e *record.Event, s *startingServer) {
-	s.expire(e.At - c.scenario.Rules.FallWindow)
+	s.expire(e.At - c.scenario.Rules.OverloadWindow)
 	c.overloads++
 	share := s.notifiedShare()
 	if share <= maxNotifiedShare {
 		return
 	}
-	if c.overloadsNotified++; !c.scenario.Gate.ColdFalls {
+	if c.overloadsNotified++; !c.scenario.Gate.OverloadBreaksRule {
 		return
 	}
 	c.addBreach(e.At, func() []Line { return c.breachEvents(e, s) },
 		"%s, started %v before, got %v of work in %v and was overloaded; %.0f%% by agents notified of its start",
-		c.describe.server(e.Server), roundToMS(e.At-s.up), roundToMS(s.sum), c.scenario.Rules.FallWindow, 100*share)
+		c.describe.server(e.Server), roundToMS(e.At-s.up), roundToMS(s.sum), c.scenario.Rules.OverloadWindow, 100*share)
 }
 
 const maxShownSends = 12 // of those that led to an overload
@@ -163,7 +164,7 @@
 	}
 	lines = append(lines, Line{Moment(e.At), fmt.Sprintf(
 		"at its current capacity it is overloaded by more than %v in %v",
-		roundToMS(c.scenario.Rules.FallLimit(capacity, c.meanWork)), c.scenario.Rules.FallWindow)})
+		roundToMS(c.scenario.Rules.OverloadLimit(capacity, c.meanWork)), c.scenario.Rules.OverloadWindow)})
 	for agent, work := range by {
 		if work > 0 {
 			lines = append(lines, Line{Moment(e.At), fmt.Sprintf("%s sent it %v of work in that time",
@@ -176,7 +177,7 @@
 const nearOverload = 0.75 // part of the work that would overload the server
 
 // summary returns how close the servers in slow start came to being overloaded, or nil if none started.
-func (c *slowStartChecker) summary() *Cold {
+func (c *slowStartChecker) summary() *SlowStartSummary {
 	if len(c.all) == 0 {
 		return nil
 	}
@@ -192,10 +193,10 @@
 	})
 	n := len(all)
 	fullest := all[n-1]
-	sum := &Cold{
-		Starts: n, Fell: c.overloads, FellTold: c.overloadsNotified, Median: all[n/2].fullest,
+	sum := &SlowStartSummary{
+		Starts: n, Overloaded: c.overloads, OverloadedNotified: c.overloadsNotified, Median: all[n/2].fullest,
 		P90: all[n*9/10].fullest, Fullest: fullest.fullest, Server: c.describe.server(fullest.server),
-		AtS: inSeconds(fullest.at), Told: fullest.notified,
+		AtS: inSeconds(fullest.at), FullestNotified: fullest.notified,
 	}
 	for _, s := range all {
 		if s.fullest > nearOverload {
--- a/internal/rehearsal/judge/faultlog.go
+++ b/internal/rehearsal/judge/faultlog.go
@@ -8,11 +8,12 @@
 	"dunestep/internal/rehearsal/scenario"
 )
 
-// Spell is a fault of the run: when it was active, and how the service went before, during and after it.
-type Spell struct {
+// FaultReport is a fault of the run: when it was active, and how the service went before, during and after
+// it.
+type FaultReport struct {
 	Kind     string  `json:"kind"`
 	BeganS   float64 `json:"began_s"`
-	OverS    float64 `json:"over_s"`         // negative: active until the end of the run
+	EndedS   float64 `json:"over_s"`         // negative: active until the end of the run
 	Before   float64 `json:"service_before"` // in the seconds before it
 	During   float64 `json:"service_during"`
 	SendsPer float64 `json:"sends_per_first_try"` // while it was active
@@ -22,7 +23,7 @@
 	RecoveredS float64 `json:"recovered_s"`
 	IdleBusy   float64 `json:"busy_meanwhile"`
 
-	fault        *scenario.Trouble
+	fault        *scenario.FaultSpec
 	began, ended time.Duration
 }
 
@@ -43,17 +44,17 @@
 // faultLog records the faults of the run.
 type faultLog struct {
 	scenario *scenario.Scenario
-	all      []Spell
+	all      []FaultReport
 }
 
 func (s *faultLog) observe(e *record.Event) {
 	switch e.Kind {
-	case record.Began:
-		t := &s.scenario.Troubles[e.Trouble]
-		s.all = append(s.all, Spell{Kind: string(t.Kind), fault: t, began: e.At, ended: -1})
-	case record.Over:
+	case record.FaultBegan:
+		t := &s.scenario.Faults[e.Fault]
+		s.all = append(s.all, FaultReport{Kind: string(t.Kind), fault: t, began: e.At, ended: -1})
+	case record.FaultEnded:
 		for i := range s.all {
-			if s.all[i].fault == &s.scenario.Troubles[e.Trouble] && s.all[i].ended < 0 {
+			if s.all[i].fault == &s.scenario.Faults[e.Fault] && s.all[i].ended < 0 {
 				s.all[i].ended = e.At
 			}
 		}
@@ -71,9 +72,9 @@
 	for i := range s.all {
 		f := &s.all[i]
 		from, to := int(f.began/time.Second), arrivals
-		f.BeganS, f.OverS = inSeconds(f.began), -1
+		f.BeganS, f.EndedS = inSeconds(f.began), -1
 		if f.ended >= 0 {
-			f.OverS = inSeconds(f.ended)
+			f.EndedS = inSeconds(f.ended)
 			to = min(int(f.ended/time.Second)+1, arrivals)
 		}
 		f.Before = serviceOf(seconds[max(from-beforeSeconds, 0):min(from, arrivals)])
@@ -102,7 +103,7 @@
 	return float64(sends) / float64(max(firsts, 1))
 }
 
-func (f *Spell) measureRecovery(seconds []Second) {
+func (f *FaultReport) measureRecovery(seconds []Second) {
 	f.RecoveredS = -1
 	if f.ended < 0 {
 		return
@@ -225,7 +226,7 @@
 }
 
 // covers reports whether the fault was active in any part of a second.
-func (f *Spell) covers(at int) bool {
+func (f *FaultReport) covers(at int) bool {
 	return int(f.began/time.Second) <= at && (f.ended < 0 || time.Duration(at)*time.Second < f.ended)
 }
 
--- a/internal/rehearsal/judge/judge.go
+++ b/internal/rehearsal/judge/judge.go
@@ -17,7 +17,7 @@
 // its requests. Use New to create one; it is not safe for concurrent use.
 type Judge struct {
 	scenario   *scenario.Scenario
-	run        record.Day
+	run        record.Run
 	servers    []record.Server
 	requests   requestTracker
 	service    service
@@ -48,10 +48,10 @@
 }
 
 // Begin implements record.Sink.
-func (j *Judge) Begin(run record.Day) {
+func (j *Judge) Begin(run record.Run) {
 	j.run = run
 	j.service.begin(run)
-	j.series.begin(j.scenario.Day.Length, j.scenario.Fleet.Servers)
+	j.series.begin(j.scenario.Run.Length, j.scenario.Fleet.Servers)
 	view := newDiscoveryView(j.scenario, len(run.Agents))
 	d := describer{j.scenario, &j.run, &j.servers}
 	j.slowStarts = newSlowStartChecker(d, j.scenario, run, view)
@@ -83,7 +83,7 @@
 	j.series.observe(e, req)
 	j.faults.observe(e)
 	j.requests.apply(e, req)
-	if e.Kind == record.AgentStill || e.Kind == record.AgentOn {
+	if e.Kind == record.AgentPaused || e.Kind == record.AgentResumed {
 		j.requests.setPaused(e)
 	}
 	if e.Kind == record.AgentDown {
--- a/internal/rehearsal/judge/judge_test.go
+++ b/internal/rehearsal/judge/judge_test.go
@@ -81,7 +81,7 @@
 		change(sc)
 	}
 	p := &harness{Judge: New(sc)}
-	p.Begin(record.Day{
+	p.Begin(record.Run{
 		Agents: []record.Agent{{Name: "n0"}, {Name: "n1"}}, Capacity: 2, Quotas: []float64{20, 20},
 		MeanWork: []time.Duration{ms(100), ms(100)},
 	})
@@ -105,7 +105,7 @@
 func (p *harness) receiveWork(at int, class uint8, chain uint32, work time.Duration) (req uint32) {
 	p.lastOp++
 	e := record.Event{
-		Kind: record.Asked, At: ms(at), Op: p.lastOp, Chain: chain, Class: class, Work: work,
+		Kind: record.RequestReceived, At: ms(at), RequestID: p.lastOp, Chain: chain, Class: class, Work: work,
 		Left: ms(1000),
 	}
 	if chain == 0 {
@@ -118,20 +118,20 @@
 }
 
 func (p *harness) send(at int, req uint32, attempt int8, server int32) {
-	p.Take(&record.Event{Kind: record.Sent, At: ms(at), Op: req, Attempt: attempt, Server: server})
-	p.Take(&record.Event{Kind: record.Reached, At: ms(at), Op: req, Attempt: attempt, Server: server, Work: ms(100)})
+	p.Take(&record.Event{Kind: record.AttemptSent, At: ms(at), RequestID: req, Attempt: attempt, Server: server})
+	p.Take(&record.Event{Kind: record.AttemptReached, At: ms(at), RequestID: req, Attempt: attempt, Server: server, Work: ms(100)})
 }
 
 func (p *harness) ended(at int, req uint32, attempt int8, how record.Outcome) {
 	p.Take(&record.Event{
-		Kind: record.Worked, At: ms(at), Op: req, Attempt: attempt, Work: ms(100),
+		Kind: record.WorkDone, At: ms(at), RequestID: req, Attempt: attempt, Work: ms(100),
 		Ran: !how.NeverRan(),
 	})
-	p.Take(&record.Event{Kind: record.Ended, At: ms(at), Op: req, Attempt: attempt, Outcome: how})
+	p.Take(&record.Event{Kind: record.AttemptEnded, At: ms(at), RequestID: req, Attempt: attempt, Outcome: how})
 }
 
 func (p *harness) answer(at int, req uint32, how record.Answer, attempt int8) {
-	p.Take(&record.Event{Kind: record.Answered, At: ms(at), Op: req, Answer: how, Attempt: attempt})
+	p.Take(&record.Event{Kind: record.Answered, At: ms(at), RequestID: req, Answer: how, Attempt: attempt})
 }
 
 // serve plays a try that is served by one attempt.
@@ -192,12 +192,12 @@
 
 // Events before service counts are not counted, except answers.
 func TestCountsStartWithService(t *testing.T) {
-	p := newHarness(t, func(s *scenario.Scenario) { s.Day.From = time.Second })
+	p := newHarness(t, func(s *scenario.Scenario) { s.Run.From = time.Second })
 	for at := range 2 {
 		at *= 1000
 		first := p.receive(at, consult, 0)
 		p.answer(at+10, first, record.Refused, -1)
-		p.Take(&record.Event{Kind: record.Unreached, At: ms(at + 20), Op: 70 + first, Chain: first, Try: 1, Work: ms(100)})
+		p.Take(&record.Event{Kind: record.RequestUnreached, At: ms(at + 20), RequestID: 70 + first, Chain: first, Try: 1, Work: ms(100)})
 		p.serve(at+30, at+40, consult, first)
 	}
 	require.Equal(t, Counts{FirstTries: 1, Retries: 2, Unreached: 1, InTime: 1, Served: 2, Refused: 2, Sends: 1},
@@ -206,7 +206,7 @@
 
 func TestWorthScalesWithWorkAndDropsOverQuota(t *testing.T) {
 	p := newHarness(t, nil)
-	heavy := record.Event{Kind: record.Asked, Op: 1, Chain: 1, Work: ms(300), Left: ms(1000), Tenant: 1}
+	heavy := record.Event{Kind: record.RequestReceived, RequestID: 1, Chain: 1, Work: ms(300), Left: ms(1000), Tenant: 1}
 	p.Take(&heavy)
 	p.lastOp = 1
 	p.answer(100, 1, record.Refused, -1)
@@ -222,28 +222,28 @@
 // Each rule reports its first breach with the events that led to it, and allowed behavior breaks no rule.
 func TestRules(t *testing.T) {
 	notified := func(p *harness, at int, state record.State) {
-		p.Take(&record.Event{Kind: record.Told, At: ms(at), Server: 0, State: state})
+		p.Take(&record.Event{Kind: record.Notified, At: ms(at), Server: 0, State: state})
 	}
-	watch := func(p *harness, at int) { p.Take(&record.Event{Kind: record.Watching, At: ms(at)}) }
+	watch := func(p *harness, at int) { p.Take(&record.Event{Kind: record.WatchOpened, At: ms(at)}) }
 	leave := func(p *harness, at int) {
-		p.Take(&record.Event{Kind: record.Changed, At: ms(at), Server: 0, State: record.Leaving})
+		p.Take(&record.Event{Kind: record.ListChanged, At: ms(at), Server: 0, State: record.Draining})
 	}
 	silence := func(p *harness, at, maxWait int) {
 		p.Take(&record.Event{Kind: record.WatchSilent, At: ms(at), Left: ms(maxWait)})
 	}
 	// overload sends a server in slow start more than it can take; known: the agent knows of its start.
 	overload := func(p *harness, known bool) {
-		p.Take(&record.Event{Kind: record.ServerUp, At: ms(1000), Server: 0, Cold: true})
+		p.Take(&record.Event{Kind: record.ServerUp, At: ms(1000), Server: 0, SlowStart: true})
 		if known {
-			p.Take(&record.Event{Kind: record.Told, At: ms(1100), Server: 0, Started: ms(1000)})
+			p.Take(&record.Event{Kind: record.Notified, At: ms(1100), Server: 0, Started: ms(1000)})
 		}
 		for i := range 10 {
 			p.Take(&record.Event{
-				Kind: record.Reached, At: ms(1200 + i), Op: 99, Server: 0, Work: ms(500), Cold: true,
+				Kind: record.AttemptReached, At: ms(1200 + i), RequestID: 99, Server: 0, Work: ms(500), SlowStart: true,
 				Capacity: 0.3,
 			})
 		}
-		p.Take(&record.Event{Kind: record.Fell, At: ms(1300), Server: 0})
+		p.Take(&record.Event{Kind: record.ServerOverloaded, At: ms(1300), Server: 0})
 	}
 	// sentAfter makes n further attempts begin the given time after their clients have left.
 	sentAfter := func(p *harness, after, n int) {
@@ -251,7 +251,7 @@
 			at := 1000 * i
 			req := p.receive(at, consult, 0)
 			p.send(at, req, 0, 0)
-			p.Take(&record.Event{Kind: record.Left, At: ms(at + 500), Op: req})
+			p.Take(&record.Event{Kind: record.ClientLeft, At: ms(at + 500), RequestID: req})
 			p.ended(at+500, req, 0, record.Broken)
 			p.send(at+500+after, req, 1, 1)
 			p.ended(at+900, req, 1, record.OK)
@@ -272,10 +272,10 @@
 		}},
 		"never answered": {0, "n0 did not answer request 1 by 1.07s", 1070, func(p *harness) { p.receive(0, consult, 0) }},
 		"client leaves at its deadline": {0, "n0 did not answer request 1", 1070, func(p *harness) {
-			p.Take(&record.Event{Kind: record.Left, At: ms(1070), Op: p.receive(0, consult, 0)})
+			p.Take(&record.Event{Kind: record.ClientLeft, At: ms(1070), RequestID: p.receive(0, consult, 0)})
 		}},
 		"client leaves early": {-1, "", 0, func(p *harness) {
-			p.Take(&record.Event{Kind: record.Left, At: ms(300), Op: p.receive(0, consult, 0)})
+			p.Take(&record.Event{Kind: record.ClientLeft, At: ms(300), RequestID: p.receive(0, consult, 0)})
 		}},
 		"answered twice": {0, "n0 answered request 1, which was already closed", 200, func(p *harness) {
 			req := p.receive(0, consult, 0)
@@ -290,12 +290,12 @@
 			p.answer(200, req, record.Refused, -1)
 		}},
 		"connection lost": {0, "n0 ended the connection of request 1", 50, func(p *harness) {
-			p.Take(&record.Event{Kind: record.Lost, At: ms(50), Op: p.receive(0, consult, 0)})
+			p.Take(&record.Event{Kind: record.ConnectionLost, At: ms(50), RequestID: p.receive(0, consult, 0)})
 		}},
 		"connection lost with a killed agent": {-1, "", 0, func(p *harness) {
 			req := p.receive(0, consult, 0)
 			p.Take(&record.Event{Kind: record.AgentDown, At: ms(40)})
-			p.Take(&record.Event{Kind: record.Lost, At: ms(50), Op: req})
+			p.Take(&record.Event{Kind: record.ConnectionLost, At: ms(50), RequestID: req})
 		}},
 		"served after a failed attempt": {0, "served request 1 with an answer that no upstream server produced", 50, func(p *harness) {
 			req := p.receive(0, consult, 0)
@@ -307,7 +307,7 @@
 			req := p.receive(0, consult, 0)
 			p.send(0, req, 0, 0)
 			p.answer(50, req, record.Served, 0)
-			p.ended(60, req, 0, record.GivenUp)
+			p.ended(60, req, 0, record.Abandoned)
 		}},
 		"served by an attempt never sent": {0, "served request 1 with an answer that no upstream server produced", 50, func(p *harness) {
 			req := p.receive(0, consult, 0)
@@ -324,7 +324,7 @@
 		"sent again, never ran": {-1, "", 0, func(p *harness) {
 			req := p.receive(0, rezervare, 0)
 			p.send(0, req, 0, 0)
-			p.ended(10, req, 0, record.TurnedAway)
+			p.ended(10, req, 0, record.Rejected)
 			p.send(20, req, 1, 1)
 			p.ended(90, req, 1, record.OK)
 			p.answer(90, req, record.Served, 1)
@@ -351,20 +351,20 @@
 			p.answer(20, req, record.Failed, -1)
 			p.Sample(&record.Sample{At: ms(500)})
 			p.send(600, req, 1, 1)
-			p.ended(690, req, 1, record.TurnedAway)
+			p.ended(690, req, 1, record.Rejected)
 		}},
 		"sent again after the client left": {1, "n0 sent request 1 again, though attempt 0 may have run", 30, func(p *harness) {
 			req := p.receive(0, rezervare, 0)
-			p.Take(&record.Event{Kind: record.Left, At: ms(5), Op: req})
+			p.Take(&record.Event{Kind: record.ClientLeft, At: ms(5), RequestID: req})
 			p.send(10, req, 0, 0) // the agent does not know yet
 			p.ended(20, req, 0, record.Broken)
 			p.send(30, req, 1, 1)
-			p.ended(90, req, 1, record.TurnedAway)
+			p.ended(90, req, 1, record.Rejected)
 		}},
 		"attempt sent twice": {1, "n0 sent attempt 0 of request 1 twice", 20, func(p *harness) {
 			req := p.receive(0, rezervare, 0)
 			p.send(0, req, 0, 0)
-			p.Take(&record.Event{Kind: record.Sent, At: ms(20), Op: req})
+			p.Take(&record.Event{Kind: record.AttemptSent, At: ms(20), RequestID: req})
 			p.ended(30, req, 0, record.OK)
 			p.answer(30, req, record.Served, 0)
 		}},
@@ -389,23 +389,23 @@
 		"ran twice": {1, "request 1 ran twice, as attempts 0 and 1", 60, func(p *harness) {
 			req := p.receive(0, rezervare, 0)
 			p.send(0, req, 0, 0)
-			p.ended(10, req, 0, record.TurnedAway) // as the server claimed
-			p.Take(&record.Event{Kind: record.Worked, At: ms(20), Op: req, Ran: true})
+			p.ended(10, req, 0, record.Rejected) // as the server claimed
+			p.Take(&record.Event{Kind: record.WorkDone, At: ms(20), RequestID: req, Ran: true})
 			p.send(30, req, 1, 1)
 			p.ended(60, req, 1, record.OK)
 			p.answer(60, req, record.Served, 1)
 		}},
 		"within the grace period": {-1, "", 0, func(p *harness) {
-			notified(p, 0, record.Leaving)
+			notified(p, 0, record.Draining)
 			p.serve(3050, 3100, consult, 0)
 		}},
 		"after the grace period": {2, "n0 sent to s0 3.051s after it was notified", 3051, func(p *harness) {
-			notified(p, 0, record.Leaving)
+			notified(p, 0, record.Draining)
 			notified(p, 2000, record.Gone) // gone after draining gives no new grace period
 			p.serve(3051, 3100, consult, 0)
 		}},
 		"active again": {-1, "", 0, func(p *harness) {
-			notified(p, 0, record.Leaving)
+			notified(p, 0, record.Draining)
 			notified(p, 3000, record.Active)
 			p.serve(4000, 4100, consult, 0)
 		}},
@@ -435,10 +435,10 @@
 			p.serve(10_051, 10_100, consult, 0)
 		}},
 		"failed call, discovery down": {2, "n0 sent to s0 3.051s after", 17_051, func(p *harness) {
-			p.Take(&record.Event{Kind: record.Began, At: ms(1000), Trouble: 1})
+			p.Take(&record.Event{Kind: record.FaultBegan, At: ms(1000), Fault: 1})
 			p.Take(&record.Event{Kind: record.CallFailed, At: ms(1000)})
 			leave(p, 2000)
-			p.Take(&record.Event{Kind: record.Over, At: ms(8000), Trouble: 1})
+			p.Take(&record.Event{Kind: record.FaultEnded, At: ms(8000), Fault: 1})
 			p.serve(17_050, 17_060, consult, 0)
 			p.serve(17_051, 17_100, consult, 0)
 		}},
@@ -478,13 +478,13 @@
 		}},
 		"no request for the list, discovery is back": {2, "n0 sent to s0", 21_051, func(p *harness) {
 			leave(p, 2000)
-			p.Take(&record.Event{Kind: record.Over, At: ms(8000), Trouble: 1})
+			p.Take(&record.Event{Kind: record.FaultEnded, At: ms(8000), Fault: 1})
 			p.serve(21_050, 21_060, consult, 0)
 			p.serve(21_051, 21_100, consult, 0)
 		}},
 		"notified as soon as a new process starts": {2, "n0 sent to s0", 4052, func(p *harness) {
 			p.Take(&record.Event{Kind: record.AgentUp, At: ms(1001)})
-			notified(p, 1001, record.Leaving)
+			notified(p, 1001, record.Draining)
 			p.serve(4052, 4100, consult, 0)
 		}},
 		"overloaded, start known": {
@@ -521,7 +521,7 @@
 	leave := func(p *harness, n, sent, after int) {
 		for i := range n {
 			req := p.receive(100*i, consult, 0)
-			p.Take(&record.Event{Kind: record.Left, At: ms(100*i + 50), Op: req})
+			p.Take(&record.Event{Kind: record.ClientLeft, At: ms(100*i + 50), RequestID: req})
 			if i < sent {
 				p.send(100*i+50+after, req, 0, 0)
 				p.ended(100*i+900, req, 0, record.OK)
@@ -533,12 +533,12 @@
 		for i := range 10 {
 			req := p.receive(100*i, consult, 0) // the client waits 1 s
 			p.send(100*i, req, 0, 0)
-			p.ended(100*i+10, req, 0, record.TurnedAway)
+			p.ended(100*i+10, req, 0, record.Rejected)
 			left := 800
 			if i < n {
 				left += more
 			}
-			p.Take(&record.Event{Kind: record.Sent, At: ms(100*i + 200), Op: req, Attempt: 1, Server: 1, Left: ms(left)})
+			p.Take(&record.Event{Kind: record.AttemptSent, At: ms(100*i + 200), RequestID: req, Attempt: 1, Server: 1, Left: ms(left)})
 			p.ended(100*i+300, req, 1, record.OK)
 			p.answer(100*i+300, req, record.Served, 1)
 		}
@@ -561,7 +561,7 @@
 			}
 		}
 	}
-	limitRejecting := func(s *scenario.Scenario) { s.Gate.TurnAway = 0.1 }
+	limitRejecting := func(s *scenario.Scenario) { s.Gate.RejectingPart = 0.1 }
 	for name, test := range map[string]struct {
 		broken string // empty: none
 		change func(*scenario.Scenario)
@@ -590,9 +590,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newHarness(t, test.change)
-			p.Take(&record.Event{Kind: record.Began, At: 0}) // a run without faults is calm
+			p.Take(&record.Event{Kind: record.FaultBegan, At: 0}) // a run without faults is calm
 			test.play(p)
-			for _, term := range p.verdict().Terms {
+			for _, term := range p.verdict().Limits {
 				if term.Name == "clients that left" || term.Name == test.broken { // the rule on answers is checked elsewhere
 					require.Equal(t, term.Name == test.broken, term.Broken, "%+v", term)
 				}
@@ -608,14 +608,14 @@
 	for _, calm := range []bool{true, false} {
 		p := newHarness(t, nil)
 		if !calm {
-			p.Take(&record.Event{Kind: record.Began, At: 0})
+			p.Take(&record.Event{Kind: record.FaultBegan, At: 0})
 		}
 		for at := 0; at <= 4000; at += 200 {
 			p.answer(at, p.receive(at, consult, 0), record.Refused, -1)
 		}
 		v := p.verdict()
-		require.Equal(t, calm, v.Terms[2].Broken)
-		require.Equal(t, "turning away", v.Terms[2].Name)
+		require.Equal(t, calm, v.Limits[2].Broken)
+		require.Equal(t, "turning away", v.Limits[2].Name)
 		require.False(t, calm && v.Passed)
 	}
 }
@@ -623,21 +623,21 @@
 // In short runs, some requests may stay unanswered, and a server in slow start may be overloaded.
 func TestShortRunAllowsUnansweredAndOverload(t *testing.T) {
 	for _, left := range []int{6, 7} {
-		p := newHarness(t, func(s *scenario.Scenario) { s.Gate.OneUnansweredIn, s.Gate.ColdFalls = 500, false })
+		p := newHarness(t, func(s *scenario.Scenario) { s.Gate.OneUnansweredIn, s.Gate.OverloadBreaksRule = 500, false })
 		for i := range 500 {
 			p.serve(i*10, i*10+5, consult, 0)
 		}
 		for range left {
 			p.receive(6000, consult, 0)
 		}
-		p.Take(&record.Event{Kind: record.ServerUp, At: ms(1000), Server: 0, Cold: true})
-		p.Take(&record.Event{Kind: record.Told, At: ms(1100), Server: 0, Started: ms(1000)})
-		p.Take(&record.Event{Kind: record.Reached, At: ms(1200), Op: 999, Server: 0, Work: ms(5000), Cold: true, Capacity: 0.3})
-		p.Take(&record.Event{Kind: record.Fell, At: ms(1300), Server: 0})
+		p.Take(&record.Event{Kind: record.ServerUp, At: ms(1000), Server: 0, SlowStart: true})
+		p.Take(&record.Event{Kind: record.Notified, At: ms(1100), Server: 0, Started: ms(1000)})
+		p.Take(&record.Event{Kind: record.AttemptReached, At: ms(1200), RequestID: 999, Server: 0, Work: ms(5000), SlowStart: true, Capacity: 0.3})
+		p.Take(&record.Event{Kind: record.ServerOverloaded, At: ms(1300), Server: 0})
 		v := p.verdict()
 		require.Equal(t, left > 6, v.Rules[0].First != nil)
 		require.Nil(t, v.Rules[3].First)
-		require.Equal(t, 1, v.Cold.FellTold)
+		require.Equal(t, 1, v.SlowStarts.OverloadedNotified)
 	}
 }
 
@@ -653,10 +653,10 @@
 	for s := from; s < to; s++ {
 		at := ms(s * 1000)
 		req := p.receiveWork(s*1000, consult, 0, time.Duration(asked*2e9))
-		p.Take(&record.Event{Kind: record.Reached, At: at, Op: req, Work: time.Duration(first * 2e9)})
-		p.Take(&record.Event{Kind: record.Reached, At: at, Op: req, Attempt: 1, Work: time.Duration(again * 2e9)})
+		p.Take(&record.Event{Kind: record.AttemptReached, At: at, RequestID: req, Work: time.Duration(first * 2e9)})
+		p.Take(&record.Event{Kind: record.AttemptReached, At: at, RequestID: req, Attempt: 1, Work: time.Duration(again * 2e9)})
 		p.ended(s*1000, req, 0, record.OK)
-		p.ended(s*1000, req, 1, record.GivenUp)
+		p.ended(s*1000, req, 1, record.Abandoned)
 		if served {
 			p.answer(s*1000+400, req, record.Served, 0)
 		} else {
@@ -682,9 +682,9 @@
 		t.Run(name, func(t *testing.T) {
 			p := newHarness(t, nil)
 			p.playSeconds(0, 5, 0.3, 0, 0.3, true)
-			p.Take(&record.Event{Kind: record.Began, At: ms(5000)})
+			p.Take(&record.Event{Kind: record.FaultBegan, At: ms(5000)})
 			p.playSecondsWarm(5, 15, test.asked, test.first, test.again, min(test.first+test.again, 1), false)
-			p.Take(&record.Event{Kind: record.Over, At: ms(15_000)})
+			p.Take(&record.Event{Kind: record.FaultEnded, At: ms(15_000)})
 			p.playSeconds(15, 18, 0.3, 0, 0.1, false) // the fault is over, and still nothing is served
 			p.playSeconds(18, 30, 0.3, 0, 0.3, true)
 			v := p.verdict()
@@ -702,9 +702,9 @@
 			}
 			require.EqualValues(t, 15, found[LeftIdle].FromS)
 			require.EqualValues(t, 18, found[LeftIdle].ToS)
-			require.Len(t, v.Spells, 1)
-			require.EqualValues(t, 3, v.Spells[0].RecoveredS)
-			require.InDelta(t, 0.1, v.Spells[0].IdleBusy, 1e-9)
+			require.Len(t, v.Faults, 1)
+			require.EqualValues(t, 3, v.Faults[0].RecoveredS)
+			require.InDelta(t, 0.1, v.Faults[0].IdleBusy, 1e-9)
 		})
 	}
 }
@@ -720,7 +720,7 @@
 	p.answer(450, first, record.Served, 0) // the first try is served as well
 	held := p.receive(1000, consult, 0)
 	p.Take(&record.Event{Kind: record.AgentDown, At: ms(1100)})
-	p.Take(&record.Event{Kind: record.Unreached, At: ms(1150), Op: 77, Chain: held, Try: 1, Work: ms(100)})
+	p.Take(&record.Event{Kind: record.RequestUnreached, At: ms(1150), RequestID: 77, Chain: held, Try: 1, Work: ms(100)})
 	p.serve(1200, 1400, consult, held)
 	v := p.verdict()
 	require.Equal(t, 1.0, v.Parts.Whole)
@@ -740,15 +740,15 @@
 		for range rapid.IntRange(0, 200).Draw(r, "events") {
 			at += rapid.IntRange(0, 400).Draw(r, "pause")
 			p.Take(&record.Event{
-				At: ms(at), Kind: record.Kind(rapid.IntRange(0, int(record.Over)).Draw(r, "kind")),
-				Op: uint32(rapid.IntRange(1, 9).Draw(r, "op")), Chain: uint32(rapid.IntRange(1, 9).Draw(r, "chain")),
+				At: ms(at), Kind: record.Kind(rapid.IntRange(0, int(record.FaultEnded)).Draw(r, "kind")),
+				RequestID: uint32(rapid.IntRange(1, 9).Draw(r, "op")), Chain: uint32(rapid.IntRange(1, 9).Draw(r, "chain")),
 				Server: int32(rapid.IntRange(0, 1).Draw(r, "server")), Agent: int32(rapid.IntRange(0, 1).Draw(r, "agent")),
 				Try: uint8(rapid.IntRange(0, 2).Draw(r, "try")), Class: uint8(rapid.IntRange(0, 1).Draw(r, "class")),
 				Attempt: int8(rapid.IntRange(-1, 4).Draw(r, "attempt")), Outcome: record.Outcome(rapid.IntRange(0, 7).Draw(r, "outcome")),
 				Answer: record.Answer(rapid.IntRange(0, 2).Draw(r, "answer")), State: record.State(rapid.IntRange(0, 2).Draw(r, "state")),
 				Work: ms(rapid.IntRange(0, 300).Draw(r, "work")), Left: ms(rapid.IntRange(0, 2000).Draw(r, "left")),
-				Tenant: rapid.SampledFrom([]uint8{0, 1, record.NoTenant}).Draw(r, "tenant"),
-				Cold:   rapid.Bool().Draw(r, "cold"), Ran: rapid.Bool().Draw(r, "ran"),
+				Tenant:    rapid.SampledFrom([]uint8{0, 1, record.NoTenant}).Draw(r, "tenant"),
+				SlowStart: rapid.Bool().Draw(r, "cold"), Ran: rapid.Bool().Draw(r, "ran"),
 			})
 		}
 		p.Sample(&record.Sample{At: ms(at) + time.Hour, Servers: []record.Load{{Server: 0}}})
@@ -776,18 +776,18 @@
 	}{"two thirds": {6, false}, "over two thirds": {7, true}} {
 		t.Run(name, func(t *testing.T) {
 			p := newHarness(t, nil)
-			limit := p.scenario.Rules.FallLimit(0.3, ms(100)) // 27 requests of 0.1 s, plus 2 * sqrt(27) + 2
+			limit := p.scenario.Rules.OverloadLimit(0.3, ms(100)) // 27 requests of 0.1 s, plus 2 * sqrt(27) + 2
 			require.InDelta(t, 27+2*math.Sqrt(27)+2, limit.Seconds()*10, 1e-6)
 			reached := func(at int, server int32, agent int32, work time.Duration) {
 				p.Take(&record.Event{
-					Kind: record.Reached, At: ms(at), Op: 99, Server: server, Agent: agent, Work: work, Cold: true,
+					Kind: record.AttemptReached, At: ms(at), RequestID: 99, Server: server, Agent: agent, Work: work, SlowStart: true,
 					Capacity: 0.3,
 				})
 			}
 			for server := range int32(2) {
-				p.Take(&record.Event{Kind: record.ServerUp, At: ms(1000), Server: server, Cold: true})
+				p.Take(&record.Event{Kind: record.ServerUp, At: ms(1000), Server: server, SlowStart: true})
 			}
-			p.Take(&record.Event{Kind: record.Told, At: ms(1100), Agent: 1, Server: 0, Started: ms(1000)})
+			p.Take(&record.Event{Kind: record.Notified, At: ms(1100), Agent: 1, Server: 0, Started: ms(1000)})
 			reached(1200, 1, 0, limit/4)
 			reached(4200, 1, 0, limit/2) // the first send has left the window by then
 			for i := range 9 {
@@ -797,14 +797,14 @@
 				}
 				reached(1200+i, 0, agent, limit/8)
 			}
-			p.Take(&record.Event{Kind: record.Fell, At: ms(1300), Server: 0})
+			p.Take(&record.Event{Kind: record.ServerOverloaded, At: ms(1300), Server: 0})
 			v := p.verdict()
 			require.Equal(t, test.broken, v.Rules[3].First != nil)
-			require.Equal(t, 2, v.Cold.Starts)
-			require.Equal(t, 1, v.Cold.Fell)
-			require.Equal(t, "s0", v.Cold.Server)
-			require.InDelta(t, 9.0/8, v.Cold.Fullest, 1e-6)
-			require.InDelta(t, float64(test.notified)/9, v.Cold.Told, 1e-6)
+			require.Equal(t, 2, v.SlowStarts.Starts)
+			require.Equal(t, 1, v.SlowStarts.Overloaded)
+			require.Equal(t, "s0", v.SlowStarts.Server)
+			require.InDelta(t, 9.0/8, v.SlowStarts.Fullest, 1e-6)
+			require.InDelta(t, float64(test.notified)/9, v.SlowStarts.FullestNotified, 1e-6)
 			require.InDelta(t, 0.5, p.slowStarts.all[1].fullest, 1e-6)
 		})
 	}
@@ -813,7 +813,7 @@
 // The minimum of each share depends on what the delayed-view policy serves of it.
 func TestSharesAreComparedWithDelayedViewPolicy(t *testing.T) {
 	p := newHarness(t, func(s *scenario.Scenario) {
-		s.Day.Length = 12 * time.Minute
+		s.Run.Length = 12 * time.Minute
 		s.Classes[0].Share, s.Classes[1].Share = 0.96, 0.04 // few requests, but the class is unsafe to repeat
 	})
 	for at := 0; at < 600_000; at += 1000 { // nothing is served from 10 minutes on
@@ -821,7 +821,7 @@
 	}
 	p.serve(0, 100, rezervare, 0)
 	p.receive(600_000, consult, 0)
-	p.Take(&record.Event{Kind: record.Began, At: ms(601_000)})
+	p.Take(&record.Event{Kind: record.FaultBegan, At: ms(601_000)})
 	v := p.verdict()
 	delayed := Verdict{Shares: []Share{
 		{Served: 0.9},
@@ -833,32 +833,32 @@
 		{Served: 0.9},
 		{Served: 0.4},
 	}}
-	v.Measure(&delayed)
+	v.SetMinimums(&delayed)
 	wants := []float64{0.45, 0, 0.4, 0.2, 0, 0.5, 0.45, 0.2}
 	for i, s := range v.Shares {
-		require.InDelta(t, wants[i], s.Wants, 1e-9, s.Of)
-		require.False(t, s.Short())
+		require.InDelta(t, wants[i], s.Minimum, 1e-9, s.Of)
+		require.False(t, s.BelowMinimum())
 	}
 	require.True(t, v.Shares[4].Small, "the second tenant sent nothing")
 	require.Equal(t, "third 3", v.Shares[7].Of)
 	v.Shares[2].Served = 0.39
-	require.True(t, v.Shares[2].Short())
-	v.Spells = nil // a calm run has a higher minimum
-	v.Measure(&delayed)
-	require.InDelta(t, 0.8, v.Shares[0].Wants, 1e-9)
+	require.True(t, v.Shares[2].BelowMinimum())
+	v.Faults = nil // a calm run has a higher minimum
+	v.SetMinimums(&delayed)
+	require.InDelta(t, 0.8, v.Shares[0].Minimum, 1e-9)
 	for _, short := range []bool{false, true} { // in a run of minutes the thirds have a lower minimum; in a short run only the whole has one
-		p := newHarness(t, func(s *scenario.Scenario) { s.Gate.Short, s.Gate.OfLate = short, 0.3 })
+		p := newHarness(t, func(s *scenario.Scenario) { s.Gate.Short, s.Gate.OfDelayed = short, 0.3 })
 		p.serve(0, 100, consult, 0)
 		p.serve(0, 100, rezervare, 0)
-		p.Take(&record.Event{Kind: record.Began, At: ms(5000)})
+		p.Take(&record.Event{Kind: record.FaultBegan, At: ms(5000)})
 		v := p.verdict()
-		v.Measure(&delayed)
+		v.SetMinimums(&delayed)
 		wants := []float64{0.27, 0, 0.4, 0.2, 0, 0.2, 0.18, 0.08}
 		if short {
 			wants = []float64{0.27, 0, 0, 0, 0, 0, 0, 0}
 		}
 		for i, s := range v.Shares {
-			require.InDelta(t, wants[i], s.Wants, 1e-9, s.Of)
+			require.InDelta(t, wants[i], s.Minimum, 1e-9, s.Of)
 		}
 	}
 }
@@ -873,8 +873,8 @@
 		}
 		for i := range shut {
 			p.Take(&record.Event{
-				Kind: record.Unreached, At: ms(19_980 + i), Op: 900 + uint32(i), Chain: 900 + uint32(i),
-				Work: ms(100), Shut: true,
+				Kind: record.RequestUnreached, At: ms(19_980 + i), RequestID: 900 + uint32(i), Chain: 900 + uint32(i),
+				Work: ms(100), ClosedByShutdown: true,
 			})
 		}
 		p.answer(20_100, p.receive(20_000, consult, 0), record.Failed, -1) // never sent
@@ -883,7 +883,7 @@
 		p.ended(20_300, sent, 0, record.Error)
 		p.answer(20_300, sent, record.Failed, -1)
 		v := p.verdict()
-		require.Equal(t, shut, v.Counts.Shut)
+		require.Equal(t, shut, v.Counts.ClosedUnanswered)
 		require.Equal(t, 1, v.Counts.Unsent)
 		require.InDelta(t, float64(shut+1)/202, v.Prices[len(v.Prices)-1].Rate, 1e-9)
 		require.Equal(t, shut == 2, v.Rules[0].First != nil)
@@ -915,18 +915,18 @@
 		{"returned", []string{"one"}, 0, 0, 10, 30, 0},
 	} {
 		p := newHarness(t, func(sc *scenario.Scenario) {
-			sc.Troubles[1] = scenario.Trouble{Kind: scenario.Window, Tenants: c.tenants}
+			sc.Faults[1] = scenario.FaultSpec{Kind: scenario.Window, Tenants: c.tenants}
 		})
-		p.Take(&record.Event{Kind: record.Asked, At: ms(5), Op: 1, Chain: 1, Tenant: c.tenant, Work: ms(9), Left: ms(1000)})
+		p.Take(&record.Event{Kind: record.RequestReceived, At: ms(5), RequestID: 1, Chain: 1, Tenant: c.tenant, Work: ms(9), Left: ms(1000)})
 		windowEvent := func(kind record.Kind, at int) {
-			p.Take(&record.Event{Kind: kind, At: ms(at), Server: 0, Trouble: 1})
+			p.Take(&record.Event{Kind: kind, At: ms(at), Server: 0, Fault: 1})
 		}
 		for at := range 100 {
 			switch at {
 			case c.emptied:
-				windowEvent(record.Emptied, at)
+				windowEvent(record.WindowEmptied, at)
 			case c.returns:
-				windowEvent(record.Returns, at)
+				windowEvent(record.WindowReturning, at)
 			case 50:
 				p.send(at, 1, 0, c.server)
 			}
--- a/internal/rehearsal/judge/knowledge.go
+++ b/internal/rehearsal/judge/knowledge.go
@@ -66,29 +66,29 @@
 
 func (k *discoveryView) observe(e *record.Event) {
 	switch e.Kind {
-	case record.Changed:
+	case record.ListChanged:
 		applyChange(k.listed, e)
-	case record.Told:
+	case record.Notified:
 		applyChange(k.agents[e.Agent].notified, e)
-	case record.Watching:
+	case record.WatchOpened:
 		a := &k.agents[e.Agent]
 		a.watching, a.since, a.failed, a.silent = true, e.At, false, false
-	case record.Asking:
+	case record.ListRequested:
 		a := &k.agents[e.Agent]
 		a.since, a.failed, a.silent = e.At, false, false
 	case record.WatchSilent:
-		k.agents[e.Agent].watchSilent(e, k.rules.TellWithin)
-	case record.Began:
+		k.agents[e.Agent].watchSilent(e, k.rules.NotifyWithin)
+	case record.FaultBegan:
 		k.countOutage(e, 1)
-	case record.Over:
+	case record.FaultEnded:
 		k.countOutage(e, -1)
 		k.restartClocks(e)
 	case record.CallFailed:
 		a := &k.agents[e.Agent]
 		a.watching, a.since, a.failed = false, e.At, true
-	case record.AgentStill:
+	case record.AgentPaused:
 		k.agents[e.Agent].pausedAt = e.At
-	case record.AgentOn:
+	case record.AgentResumed:
 		k.agents[e.Agent].resume(e.At)
 	case record.AgentUp: // starts without state and gets time to request the list
 		was := &k.agents[e.Agent]
@@ -111,8 +111,8 @@
 
 // restartClocks restarts the clock of the agents without a watch after discovery was down.
 func (k *discoveryView) restartClocks(e *record.Event) {
-	if n := int(e.Trouble); n >= len(k.scenario.Troubles) ||
-		k.scenario.Troubles[n].Kind != scenario.DiscoveryDown {
+	if n := int(e.Fault); n >= len(k.scenario.Faults) ||
+		k.scenario.Faults[n].Kind != scenario.DiscoveryDown {
 		return
 	}
 	for i := range k.agents {
@@ -125,10 +125,10 @@
 // countOutage counts a fault that begins (by 1) or ends (by -1) to make discovery unreachable, for all
 // agents or for some.
 func (k *discoveryView) countOutage(e *record.Event, by int) {
-	if int(e.Trouble) >= len(k.scenario.Troubles) {
+	if int(e.Fault) >= len(k.scenario.Faults) {
 		return
 	}
-	t := &k.scenario.Troubles[e.Trouble]
+	t := &k.scenario.Faults[e.Fault]
 	streams := t.Kind == scenario.Streams && t.Stream != "servers"
 	if !streams && t.Kind != scenario.DiscoveryDown {
 		return
@@ -170,13 +170,13 @@
 		return max(a.silentUntil, since)
 	}
 	if a.watching {
-		return max(a.since, since) + k.rules.TellWithin
+		return max(a.since, since) + k.rules.NotifyWithin
 	}
-	at := max(a.since, since) + k.rules.AskWithin
+	at := max(a.since, since) + k.rules.RequestWithin
 	if a.failed {
-		at = max(a.since, since) + failedCallFactor*k.rules.AskWithin
+		at = max(a.since, since) + failedCallFactor*k.rules.RequestWithin
 		if a.outages == 0 { // discovery is reachable: the longer time after a failed call does not apply
-			at = min(at, max(a.reachableAt, since)+k.rules.TellWithin)
+			at = min(at, max(a.reachableAt, since)+k.rules.NotifyWithin)
 		}
 	}
 	return at
--- a/internal/rehearsal/judge/operations.go
+++ b/internal/rehearsal/judge/operations.go
@@ -84,10 +84,10 @@
 // requestOf returns the request of an event, which begins with the event Asked; nil if there is none.
 func (o *requestTracker) requestOf(e *record.Event) *request {
 	switch e.Kind {
-	case record.Asked:
+	case record.RequestReceived:
 		return o.begin(e)
-	case record.Answered, record.Lost, record.Left, record.Sent, record.Reached, record.Ended, record.Worked:
-		return o.open[e.Op]
+	case record.Answered, record.ConnectionLost, record.ClientLeft, record.AttemptSent, record.AttemptReached, record.AttemptEnded, record.WorkDone:
+		return o.open[e.RequestID]
 	}
 	return nil
 }
@@ -100,7 +100,7 @@
 	}
 	req.received, req.servedBy, req.agentPaused = *e, -1, o.paused[e.Agent]
 	req.deadline = e.At + e.Left + o.scenario.Rules.AnswerSlack + wireSlack
-	o.open[e.Op] = req
+	o.open[e.RequestID] = req
 	o.order = append(o.order, req)
 	return req
 }
@@ -126,16 +126,16 @@
 			req.servedBy = int(e.Attempt)
 		}
 		return
-	case record.Left:
+	case record.ClientLeft:
 		if !req.closed && !e.Unread {
 			req.clientLeft, req.leftAt, req.leftUnsent = true, e.At, !req.wasSent()
 		}
 		req.closed = true
 		return
-	case record.Lost:
+	case record.ConnectionLost:
 		req.closed = true
 		return
-	case record.Asked:
+	case record.RequestReceived:
 		return
 	}
 	if e.Attempt < 0 || e.Attempt > maxAttemptNumber {
@@ -147,13 +147,13 @@
 	a := &req.attempts[e.Attempt]
 	a.server = e.Server
 	switch e.Kind {
-	case record.Sent:
+	case record.AttemptSent:
 		a.sent = true
-	case record.Reached:
+	case record.AttemptReached:
 		a.reached = true
-	case record.Ended:
+	case record.AttemptEnded:
 		a.ended, a.outcome = true, e.Outcome
-	case record.Worked:
+	case record.WorkDone:
 		a.worked, a.work, a.ran = true, a.work+e.Work, a.ran || e.Ran
 	}
 }
@@ -161,7 +161,7 @@
 // closeAll closes and returns the requests that a killed agent held: they need no answer any more.
 func (o *requestTracker) closeAll(agent int32) (ended []*request) {
 	for _, req := range o.order {
-		if req.received.Agent == agent && !req.closed && o.open[req.received.Op] == req {
+		if req.received.Agent == agent && !req.closed && o.open[req.received.RequestID] == req {
 			req.closed = true
 			ended = append(ended, req)
 		}
@@ -175,7 +175,7 @@
 	if o.paused == nil {
 		o.paused = map[int32]bool{}
 	}
-	o.paused[e.Agent] = e.Kind == record.AgentStill
+	o.paused[e.Agent] = e.Kind == record.AgentPaused
 	for _, req := range o.order {
 		req.agentPaused = req.agentPaused || req.received.Agent == e.Agent
 	}
@@ -188,11 +188,11 @@
 	o.evicted = o.evicted[:0]
 	kept := o.order[:0]
 	for _, req := range o.order {
-		switch open := o.open[req.received.Op] == req; {
+		switch open := o.open[req.received.RequestID] == req; {
 		case !open: // its number was reused
 			o.free = append(o.free, req)
 		case now-evictAfter > req.deadline, now-evictDoneAfter > req.deadline && req.done():
-			delete(o.open, req.received.Op)
+			delete(o.open, req.received.RequestID)
 			o.evicted = append(o.evicted, req)
 		default:
 			kept = append(kept, req)
--- a/internal/rehearsal/judge/rules.go
+++ b/internal/rehearsal/judge/rules.go
@@ -103,35 +103,35 @@
 func (c *answerChecker) verdict() Rule { return c.Rule }
 
 func (c *answerChecker) observe(e *record.Event, req *request) {
-	if e.Kind == record.Asked || e.Kind == record.Unreached {
+	if e.Kind == record.RequestReceived || e.Kind == record.RequestUnreached {
 		c.tries++
 	}
-	if e.Shut {
+	if e.ClosedByShutdown {
 		if c.closedUnanswered++; c.closedUnanswered == 1 {
 			c.firstClosed = Line{Moment(e.At), fmt.Sprintf(
 				"%s closes the new connection of request %d without an answer",
-				c.describe.agent(e.Agent), e.Op)}
+				c.describe.agent(e.Agent), e.RequestID)}
 		}
 	}
 	if req == nil {
 		return
 	}
-	id := req.received.Op
+	id := req.received.RequestID
 	switch e.Kind {
 	case record.Answered:
 		c.answered(e, req)
-	case record.Lost:
+	case record.ConnectionLost:
 		if !req.closed {
 			c.addBreach(e.At, c.describe.events(req, e),
 				"%s ended the connection of request %d without a complete answer", c.describe.agent(e.Agent), id)
 		}
-	case record.Left:
+	case record.ClientLeft:
 		if !req.closed && !req.agentPaused && e.At >= req.deadline {
 			c.unanswered(req)
 		}
-	case record.Sent:
+	case record.AttemptSent:
 		c.sent(e, req)
-	case record.Ended: // ended after its answer was sent, as when an answer is streamed
+	case record.AttemptEnded: // ended after its answer was sent, as when an answer is streamed
 		if req.servedBy == int(e.Attempt) && e.Outcome != record.OK {
 			c.fabricated(e, req)
 		}
@@ -143,7 +143,7 @@
 func (c *answerChecker) sent(e *record.Event, req *request) {
 	if req.answered && !req.agentPaused && e.At > req.answeredAt+wireSlack {
 		c.addBreach(e.At, c.describe.events(req, e), "%s sent request %d %v after its final answer",
-			c.describe.agent(e.Agent), req.received.Op, roundToMS(e.At-req.answeredAt))
+			c.describe.agent(e.Agent), req.received.RequestID, roundToMS(e.At-req.answeredAt))
 	}
 	if !req.clientLeft || req.agentPaused || e.At <= req.leftAt+clientLeftGrace {
 		return
@@ -151,13 +151,13 @@
 	if c.sentAfterLeft++; c.sentAfterLeft > maxSentAfterLeft {
 		c.addBreach(e.At, c.describe.events(req, e),
 			"%s began attempt %d of request %d %v after its client had left, "+
-				"number %d of its kind in this run", c.describe.agent(e.Agent), e.Attempt, req.received.Op,
+				"number %d of its kind in this run", c.describe.agent(e.Agent), e.Attempt, req.received.RequestID,
 			roundToMS(e.At-req.leftAt), c.sentAfterLeft)
 	}
 }
 
 func (c *answerChecker) answered(e *record.Event, req *request) {
-	id, agent := req.received.Op, c.describe.agent(e.Agent)
+	id, agent := req.received.RequestID, c.describe.agent(e.Agent)
 	a := req.attempt(e.Attempt)
 	switch {
 	case req.closed:
@@ -173,19 +173,19 @@
 func (c *answerChecker) fabricated(e *record.Event, req *request) {
 	c.addBreach(e.At, c.describe.events(req, e),
 		"%s served request %d with an answer that no upstream server produced for it",
-		c.describe.agent(req.received.Agent), req.received.Op)
+		c.describe.agent(req.received.Agent), req.received.RequestID)
 }
 
 // unanswered counts a request without an answer at its deadline; some scenarios allow a few.
 func (c *answerChecker) unanswered(req *request) {
 	c.unansweredRule.addBreach(req.deadline, c.describe.events(req, nil), "%s did not answer request %d by %v",
-		c.describe.agent(req.received.Agent), req.received.Op, roundToMS(req.deadline))
+		c.describe.agent(req.received.Agent), req.received.RequestID, roundToMS(req.deadline))
 }
 
 // finish counts the requests that never got an answer.
 func (c *answerChecker) finish(at time.Duration) {
 	for _, req := range c.requests.order {
-		if c.requests.open[req.received.Op] == req && !req.closed && !req.agentPaused && req.deadline <= at {
+		if c.requests.open[req.received.RequestID] == req && !req.closed && !req.agentPaused && req.deadline <= at {
 			c.unanswered(req)
 		}
 	}
@@ -225,24 +225,24 @@
 	}
 	unsafe := c.scenario.Classes[req.received.Class].Effect == scenario.Unsafe
 	switch e.Kind {
-	case record.Sent:
+	case record.AttemptSent:
 		c.sent(e, req, unsafe)
 	case record.Answered:
 		if i := mayHaveRan(req, -1); unsafe && e.Answer == record.Refused && !req.closed && i >= 0 {
 			c.addBreach(e.At, c.describe.events(req, e), "%s refused request %d, though attempt %d may have run",
-				c.describe.agent(e.Agent), req.received.Op, i)
+				c.describe.agent(e.Agent), req.received.RequestID, i)
 		}
-	case record.Worked:
+	case record.WorkDone:
 		other := slices.IndexFunc(req.attempts, func(a attempt) bool { return a.worked && a.ran })
 		if unsafe && e.Ran && other >= 0 && other != int(e.Attempt) {
 			c.addBreach(e.At, c.describe.events(req, e), "request %d ran twice, as attempts %d and %d",
-				req.received.Op, other, e.Attempt)
+				req.received.RequestID, other, e.Attempt)
 		}
 	}
 }
 
 func (c *repeatChecker) sent(e *record.Event, req *request, unsafe bool) {
-	agent, id := c.describe.agent(e.Agent), req.received.Op
+	agent, id := c.describe.agent(e.Agent), req.received.RequestID
 	if i := mayHaveRan(req, e.Attempt); unsafe && i >= 0 {
 		c.addBreach(e.At, c.describe.events(req, e), "%s sent request %d again, though attempt %d may have run",
 			agent, id, i)
@@ -291,7 +291,7 @@
 func (c *drainChecker) finish(time.Duration) {}
 
 func (c *drainChecker) observe(e *record.Event, req *request) {
-	if e.Kind != record.Sent {
+	if e.Kind != record.AttemptSent {
 		return
 	}
 	notified, ok := c.view.notifiedToStop(e.Agent, e.Server)
--- a/internal/rehearsal/judge/service.go
+++ b/internal/rehearsal/judge/service.go
@@ -77,7 +77,7 @@
 type service struct {
 	scenario *scenario.Scenario
 	series   *timeSeries
-	run      record.Day
+	run      record.Run
 	chains   map[uint32]*chain
 	queues   []chainQueue // by class
 	buckets  []tokenBucket
@@ -91,7 +91,7 @@
 	lateFailWorth float64 // worth whose client was still waiting when the latency objective passed
 
 	firstTries, retries, unreached, unanswered int
-	tries, closedUnanswered, unsent            int    // see Counts.Shut and Counts.Unsent
+	tries, closedUnanswered, unsent            int    // see Counts.ClosedUnanswered and Counts.Unsent
 	answers                                    [3]int // final answers by record.Answer
 	inTime                                     int    // chains served in time
 	sends, opened, crossings                   int
@@ -118,13 +118,13 @@
 	s.classFirsts = make([]int, len(sc.Classes))
 	s.tenants = make([]tally, len(sc.Tenants))
 	s.buckets = make([]tokenBucket, len(sc.Tenants))
-	s.seconds = make([]tally, int(math.Ceil(sc.Day.Length.Seconds())))
+	s.seconds = make([]tally, int(math.Ceil(sc.Run.Length.Seconds())))
 	for range sc.Classes {
 		s.latency = append(s.latency, newHistogram())
 	}
 }
 
-func (s *service) begin(run record.Day) {
+func (s *service) begin(run record.Run) {
 	s.run = run
 	for i := range s.buckets {
 		s.buckets[i].tokens = max(run.Quotas[i], minBucket)
@@ -133,28 +133,28 @@
 
 func (s *service) observe(e *record.Event, req *request) {
 	s.settle(e.At)
-	if e.Shut && e.At >= s.scenario.Day.From {
+	if e.ClosedByShutdown && e.At >= s.scenario.Run.From {
 		s.closedUnanswered++
 	}
 	switch e.Kind {
-	case record.Asked, record.Unreached:
+	case record.RequestReceived, record.RequestUnreached:
 		s.received(e)
 	case record.Answered:
 		if req != nil && !req.closed {
 			s.answered(e, req)
 		}
-	case record.Lost, record.Left:
+	case record.ConnectionLost, record.ClientLeft:
 		if req != nil && !req.closed {
 			s.leftUnanswered(e.At, req)
 		}
-	case record.Sent:
+	case record.AttemptSent:
 		s.sent(e, req)
-	case record.Opened:
-		if e.At >= s.scenario.Day.From {
+	case record.ConnOpened:
+		if e.At >= s.scenario.Run.From {
 			s.opened++
 		}
 	case record.Datagram:
-		if e.At >= s.scenario.Day.From {
+		if e.At >= s.scenario.Run.From {
 			s.peerBytes += float64(e.Bytes)
 		}
 	}
@@ -162,11 +162,11 @@
 
 // received processes a try; a first try begins a chain.
 func (s *service) received(e *record.Event) {
-	counts := e.At >= s.scenario.Day.From
+	counts := e.At >= s.scenario.Run.From
 	if counts {
 		s.tries++
 	}
-	if counts && e.Kind == record.Unreached {
+	if counts && e.Kind == record.RequestUnreached {
 		s.unreached++
 	}
 	c := s.chains[e.Chain]
@@ -177,7 +177,7 @@
 	}
 	if c != nil {
 		c.tries++
-		if e.Kind == record.Asked {
+		if e.Kind == record.RequestReceived {
 			c.outstanding++
 		}
 	}
@@ -186,8 +186,8 @@
 func (s *service) firstTry(e *record.Event) *chain {
 	class := &s.scenario.Classes[e.Class]
 	c := &chain{
-		id: e.Op, class: e.Class, tenant: e.Tenant, start: e.At, aimBy: e.At + class.Aim, withinQuota: true,
-		counted: e.At >= s.scenario.Day.From, worth: class.Worth,
+		id: e.RequestID, class: e.Class, tenant: e.Tenant, start: e.At, aimBy: e.At + class.LatencyObjective, withinQuota: true,
+		counted: e.At >= s.scenario.Run.From, worth: class.Worth,
 	}
 	if mean := s.run.MeanWork[e.Class]; mean > 0 {
 		c.worth *= float64(e.Work) / float64(mean)
@@ -202,7 +202,7 @@
 		s.classFirsts[e.Class]++
 		s.askedWork += e.Work
 	}
-	s.chains[e.Op] = c
+	s.chains[e.RequestID] = c
 	s.queues[e.Class].chains = append(s.queues[e.Class].chains, c)
 	return c
 }
@@ -218,7 +218,7 @@
 
 func (s *service) answered(e *record.Event, req *request) {
 	s.answers[e.Answer]++
-	if e.Answer == record.Failed && req.received.At >= s.scenario.Day.From && !req.wasSent() {
+	if e.Answer == record.Failed && req.received.At >= s.scenario.Run.From && !req.wasSent() {
 		s.unsent++
 	}
 	c := s.returned(req)
@@ -245,9 +245,9 @@
 	if c := s.chains[req.received.Chain]; c != nil {
 		c.sends++
 	}
-	if e.At >= s.scenario.Day.From {
+	if e.At >= s.scenario.Run.From {
 		s.sends++
-		if e.Crossed {
+		if e.CrossZone {
 			s.crossings++
 		}
 	}
@@ -292,7 +292,7 @@
 
 // finished processes a request that is done: work on attempts other than the one that served it was wasted.
 func (s *service) finished(req *request) {
-	if req.received.At < s.scenario.Day.From {
+	if req.received.At < s.scenario.Run.From {
 		return
 	}
 	for i := range req.attempts {
@@ -314,8 +314,8 @@
 // worstWindow returns the lowest share of any ten consecutive seconds and the window's first second. For a
 // run of at most ten seconds it returns the share of the whole run.
 func (s *service) worstWindow() (share float64, from int) {
-	first := int((s.scenario.Day.From + time.Second - 1) / time.Second)
-	last := int(s.scenario.Day.Length / time.Second) // an incomplete second belongs to no window
+	first := int((s.scenario.Run.From + time.Second - 1) / time.Second)
+	last := int(s.scenario.Run.Length / time.Second) // an incomplete second belongs to no window
 	if last-first <= windowSeconds {
 		return s.total.share(), first
 	}
--- a/internal/rehearsal/judge/shares.go
+++ b/internal/rehearsal/judge/shares.go
@@ -14,19 +14,19 @@
 	Served float64 `json:"served"`
 	Small  bool    `json:"small,omitempty"` // too small to be checked
 	Worth  float64 `json:"asked_worth"`
-	// Late is the part that the policy with a delayed view of the true state serves, and Wants the minimum
-	// required next to it. Both are 0 if that policy was not played; Wants is also 0 if the policy itself
+	// Delayed is the part that the policy with a delayed view of the true state serves, and Minimum the minimum
+	// required next to it. Both are 0 if that policy was not played; Minimum is also 0 if the policy itself
 	// serves too little.
-	Late  float64 `json:"late,omitempty"`
-	Wants float64 `json:"wants,omitempty"`
+	Delayed float64 `json:"late,omitempty"`
+	Minimum float64 `json:"wants,omitempty"`
 
 	requiredPart float64 // part of what the delayed-view policy serves that is required
 	minDelayed   float64 // minimum share of that policy for a requirement to apply
 	wholeRun     bool    // the share of the whole run
 }
 
-// Short reports whether less was served than required.
-func (s *Share) Short() bool { return s.Served < s.Wants }
+// BelowMinimum reports whether less was served than required.
+func (s *Share) BelowMinimum() bool { return s.Served < s.Minimum }
 
 const (
 	smallShare      = 0.05 // of the requests or the worth; a class or tenant below it is small
@@ -49,7 +49,7 @@
 		return Share{Of: name, Served: t.share(), Worth: t.asked, requiredPart: part}
 	}
 	all := []Share{of("the day", s.total, classPart)}
-	all[0].wholeRun, all[0].requiredPart = true, j.scenario.Gate.OfLate
+	all[0].wholeRun, all[0].requiredPart = true, j.scenario.Gate.OfDelayed
 	for i, c := range j.scenario.Classes {
 		v := of("class "+c.Name, s.classes[i], classPart)
 		v.minDelayed = minDelayedShare
@@ -67,7 +67,7 @@
 		all = append(all, v)
 	}
 	ofThird := shortThirdPart
-	if j.scenario.Day.Length >= longRun {
+	if j.scenario.Run.Length >= longRun {
 		ofThird = classPart
 	}
 	for i := range 3 {
@@ -81,25 +81,25 @@
 	return all
 }
 
-// Measure sets the minimum of each share from what a policy with a delayed view of the true state serves in
-// the same run.
-func (v *Verdict) Measure(delayed *Verdict) {
+// SetMinimums sets the minimum of each share from what a policy with a delayed view of the true state
+// serves in the same run.
+func (v *Verdict) SetMinimums(delayed *Verdict) {
 	for i := range v.Shares {
 		s := &v.Shares[i]
 		if i >= len(delayed.Shares) {
 			continue
 		}
-		s.Late = delayed.Shares[i].Served
-		if s.Small || s.Late < s.minDelayed {
+		s.Delayed = delayed.Shares[i].Served
+		if s.Small || s.Delayed < s.minDelayed {
 			continue
 		}
-		if s.Wants = s.requiredPart * s.Late; s.wholeRun && isCalm(v.Spells) {
-			s.Wants = max(s.Wants, s.Late-calmMargin)
+		if s.Minimum = s.requiredPart * s.Delayed; s.wholeRun && isCalm(v.Faults) {
+			s.Minimum = max(s.Minimum, s.Delayed-calmMargin)
 		}
 	}
 }
 
 // isCalm reports whether a run had no fault; a surge of traffic is no fault.
-func isCalm(all []Spell) bool {
-	return !slices.ContainsFunc(all, func(s Spell) bool { return s.Kind != string(scenario.Surge) })
+func isCalm(all []FaultReport) bool {
+	return !slices.ContainsFunc(all, func(s FaultReport) bool { return s.Kind != string(scenario.Surge) })
 }
--- a/internal/rehearsal/judge/terms.go
+++ b/internal/rehearsal/judge/terms.go
@@ -8,8 +8,8 @@
 	"dunestep/internal/rehearsal/scenario"
 )
 
-// Term is a limit that the gate sets for a run besides its rules and shares: at most a part of a count.
-type Term struct {
+// GateLimit is a limit that the gate sets for a run besides its rules and shares: at most a part of a count.
+type GateLimit struct {
 	Name   string `json:"name"`
 	Text   string `json:"text"`  // the limit in words
 	Count  int    `json:"count"` // events of which only some are allowed
@@ -22,7 +22,7 @@
 }
 
 // count counts an event and keeps the first one's description.
-func (t *Term) count(at time.Duration, format string, args ...any) {
+func (t *GateLimit) count(at time.Duration, format string, args ...any) {
 	if t.Count++; t.Count == 1 {
 		t.At, t.First = Moment(at), fmt.Sprintf(format, args...)
 	}
@@ -56,7 +56,7 @@
 type limitTracker struct {
 	scenario                                                *scenario.Scenario
 	describe                                                describer
-	sentAfterLeft, announced, rejecting, restarts, startups Term
+	sentAfterLeft, announced, rejecting, restarts, startups GateLimit
 	agents                                                  []agentState
 }
 
@@ -72,26 +72,26 @@
 
 func (t *limitTracker) begin(sc *scenario.Scenario, d describer, agents int) {
 	t.scenario, t.describe, t.agents = sc, d, make([]agentState, agents)
-	t.sentAfterLeft = Term{Name: "clients that left", Text: "of the requests whose clients left before their " +
+	t.sentAfterLeft = GateLimit{Name: "clients that left", Text: "of the requests whose clients left before their " +
 		"first attempt, at most one in four, or four of them, is sent over 0.3 s later"}
-	t.announced = Term{Name: "time told", Text: "of the further attempts, at most one in five announces to " +
+	t.announced = GateLimit{Name: "time told", Text: "of the further attempts, at most one in five announces to " +
 		"its server over 0.15 s more than the client has left"}
-	t.rejecting = Term{Name: "turning away",
+	t.rejecting = GateLimit{Name: "turning away",
 		Text: "few agents reject every request that they get, 15 or more, for 4 s"}
-	t.restarts = Term{Name: "restarts", Text: "nine in ten restarted agents are ready within 10 s, or 6 s " +
+	t.restarts = GateLimit{Name: "restarts", Text: "nine in ten restarted agents are ready within 10 s, or 6 s " +
 		"if the run ends sooner"}
-	t.startups = Term{Name: "starts", Text: "no agent takes over 30 s to be ready"}
+	t.startups = GateLimit{Name: "starts", Text: "no agent takes over 30 s to be ready"}
 }
 
 func (t *limitTracker) observe(e *record.Event, req *request) {
 	switch e.Kind {
-	case record.Sent:
+	case record.AttemptSent:
 		a := &t.agents[e.Agent]
 		a.since, a.rejections = e.At, 0
 		if req != nil && !req.agentPaused {
 			t.sent(e, req)
 		}
-	case record.Left:
+	case record.ClientLeft:
 		if req != nil && !req.closed && !req.agentPaused && !e.Unread && !req.wasSent() {
 			t.sentAfterLeft.Of++
 		}
@@ -99,14 +99,14 @@
 		if req != nil && !req.closed && e.Answer != record.Served && !req.wasSent() {
 			t.rejected(e, req)
 		}
-	case record.AgentStarts, record.AgentUp, record.AgentDown, record.AgentStill, record.AgentOn:
+	case record.AgentStarts, record.AgentUp, record.AgentDown, record.AgentPaused, record.AgentResumed:
 		t.process(e)
 	}
 }
 
 // sent checks an attempt that begins: whether its client is still there, and the timeout that it announces.
 func (t *limitTracker) sent(e *record.Event, req *request) {
-	agent, id := t.describe.agent(e.Agent), req.received.Op
+	agent, id := t.describe.agent(e.Agent), req.received.RequestID
 	if req.clientLeft && req.leftUnsent && !req.wasSent() && e.At > req.leftAt+sentAfterLeftBy {
 		t.sentAfterLeft.count(e.At, "%s sends request %d %v after its client left", agent, id,
 			roundToMS(e.At-req.leftAt))
@@ -164,7 +164,7 @@
 		return
 	}
 	within := readyIn
-	if e.At-took+readyIn > t.scenario.Day.Length {
+	if e.At-took+readyIn > t.scenario.Run.Length {
 		within = readyInShort
 	}
 	t.restarts.Of++
@@ -176,7 +176,7 @@
 // finish counts the agents that are still not ready, unless they started too shortly before the end of the
 // run.
 func (t *limitTracker) finish(at time.Duration) {
-	at = min(at, t.scenario.Day.Length)
+	at = min(at, t.scenario.Run.Length)
 	for i := range t.agents {
 		if a := &t.agents[i]; a.starting && at-a.startedAt > readyInShort {
 			t.ready(&record.Event{At: at, Agent: int32(i)}, at-a.startedAt, true)
@@ -186,11 +186,11 @@
 
 // verdict returns the limits and whether they were broken. In a calm run few agents may reject all
 // requests.
-func (t *limitTracker) verdict(calm bool) []Term {
+func (t *limitTracker) verdict(calm bool) []GateLimit {
 	t.sentAfterLeft.Asked, t.sentAfterLeft.Broken = true, t.sentAfterLeft.Count >= minSentAfterLeft &&
 		t.sentAfterLeft.Count*sentAfterLeftOneIn > t.sentAfterLeft.Of
 	t.announced.Asked, t.announced.Broken = true, t.announced.Count*announcedOneIn > t.announced.Of
-	allowed := t.scenario.Gate.TurnAway
+	allowed := t.scenario.Gate.RejectingPart
 	if calm {
 		allowed = min(allowed, calmRejectingPart)
 	}
@@ -199,5 +199,5 @@
 	t.rejecting.Broken = float64(t.rejecting.Count) > allowed*float64(t.rejecting.Of)
 	t.restarts.Asked, t.restarts.Broken = true, t.restarts.Count*lateReadyOneIn > t.restarts.Of
 	t.startups.Asked, t.startups.Broken, t.startups.Of = true, t.startups.Count > 0, t.restarts.Of
-	return []Term{t.sentAfterLeft, t.announced, t.rejecting, t.restarts, t.startups}
+	return []GateLimit{t.sentAfterLeft, t.announced, t.rejecting, t.restarts, t.startups}
 }
--- a/internal/rehearsal/judge/timeseries.go
+++ b/internal/rehearsal/judge/timeseries.go
@@ -24,10 +24,10 @@
 	Failed     int `json:"failed"`
 	Unanswered int `json:"unanswered"` // the client left or lost its agent
 
-	Sends  int `json:"sends"`
-	Again  int `json:"again"`  // sends other than a request's first
-	Opened int `json:"opened"` // connections
-	Conns  int `json:"conns"`  // connections open at the end of the second
+	Sends        int `json:"sends"`
+	FurtherSends int `json:"again"`  // sends other than a request's first
+	Opened       int `json:"opened"` // connections
+	Conns        int `json:"conns"`  // connections open at the end of the second
 
 	// Work in seconds of standard work. WorkAsked is that of all first tries that arrived, sent or not, before
 	// savings by warm keys. The others are work that reached upstream servers: WorkFirst by the first sends of
@@ -117,17 +117,17 @@
 func (c *timeSeries) observe(e *record.Event, req *request) {
 	s := c.secondOf(e.At)
 	switch e.Kind {
-	case record.Asked:
+	case record.RequestReceived:
 		c.received(s, e)
-	case record.Unreached:
+	case record.RequestUnreached:
 		c.received(s, e)
 		s.Unreached++
-	case record.Sent:
+	case record.AttemptSent:
 		s.Sends++
 		if e.Attempt > 0 {
-			s.Again++
+			s.FurtherSends++
 		}
-	case record.Reached:
+	case record.AttemptReached:
 		work := e.Work.Seconds()
 		switch {
 		case e.Attempt > 0:
@@ -140,7 +140,7 @@
 				s.workAskedOfSent += req.received.Work.Seconds()
 			}
 		}
-	case record.Opened:
+	case record.ConnOpened:
 		s.Opened++
 	}
 }
--- a/internal/rehearsal/judge/verdict.go
+++ b/internal/rehearsal/judge/verdict.go
@@ -19,23 +19,23 @@
 	Capacity float64 `json:"capacity"` // of the warmed-up fleet, in seconds of standard work per second
 	RatePerS float64 `json:"rate_per_s"`
 
-	Parts    Parts     `json:"parts"`
-	Prices   []Price   `json:"prices"`
-	Rules    []Rule    `json:"rules"`
-	Terms    []Term    `json:"terms"` // limits of the gate besides the rules and shares
-	Spells   []Spell   `json:"troubles"`
-	Findings []Finding `json:"findings"`
-	Counts   Counts    `json:"counts"`
-	Shares   []Share   `json:"shares"`         // the parts that the gate checks separately
-	Cold     *Cold     `json:"cold,omitempty"` // nil: no server started
-	Classes  []Group   `json:"classes"`
-	Tenants  []Group   `json:"tenants"` // within their quotas
+	Parts      Parts             `json:"parts"`
+	Prices     []Price           `json:"prices"`
+	Rules      []Rule            `json:"rules"`
+	Limits     []GateLimit       `json:"terms"` // limits of the gate besides the rules and shares
+	Faults     []FaultReport     `json:"troubles"`
+	Findings   []Finding         `json:"findings"`
+	Counts     Counts            `json:"counts"`
+	Shares     []Share           `json:"shares"`         // the parts that the gate checks separately
+	SlowStarts *SlowStartSummary `json:"cold,omitempty"` // nil: no server started
+	Classes    []Group           `json:"classes"`
+	Tenants    []Group           `json:"tenants"` // within their quotas
 	// Number of first tries that had 0, 1, 2, ... tries including retries.
-	Tries   []int       `json:"chains_by_tries"`
-	Sends   []int       `json:"chains_by_sends"` // the same by sends
-	Servers []ServerDay `json:"servers"`
-	StepS   int         `json:"server_step_s"` // seconds in a step of the servers' series
-	Seconds []Second    `json:"seconds"`
+	Tries   []int           `json:"chains_by_tries"`
+	Sends   []int           `json:"chains_by_sends"` // the same by sends
+	Servers []ServerSummary `json:"servers"`
+	StepS   int             `json:"server_step_s"` // seconds in a step of the servers' series
+	Seconds []Second        `json:"seconds"`
 }
 
 // Parts are the weighted parts of the service.
@@ -57,8 +57,8 @@
 	Off  float64 `json:"off"`
 }
 
-// Counts are numbers of events since service counts. The numbers of answers and ForGone are of the whole
-// run.
+// Counts are numbers of events since service counts. The numbers of answers and SentAfterLeft are of the
+// whole run.
 type Counts struct {
 	FirstTries int `json:"first_tries"`
 	Retries    int `json:"retries"`
@@ -71,12 +71,12 @@
 	Sends      int `json:"sends"`
 	Opened     int `json:"connections_opened"`
 	Crossings  int `json:"zone_crossings"`
-	// Tries that count as refused and are charged: Shut had their new connection closed without an answer by
-	// an agent that was shutting down, Unsent were answered as failed and never sent.
-	Shut   int `json:"shut"`
-	Unsent int `json:"failed_unsent"`
+	// Tries that count as refused and are charged: ClosedUnanswered had their new connection closed without an
+	// answer by an agent that was shutting down, Unsent were answered as failed and never sent.
+	ClosedUnanswered int `json:"shut"`
+	Unsent           int `json:"failed_unsent"`
 	// Attempts of the whole run that began over 0.1 s after their clients had closed their connections.
-	ForGone int `json:"sent_for_clients_gone"`
+	SentAfterLeft int `json:"sent_for_clients_gone"`
 }
 
 // Group is a class or a tenant.
@@ -97,8 +97,8 @@
 	MaxMS  float64 `json:"max_ms"`
 }
 
-// ServerDay is the load of a server over the run.
-type ServerDay struct {
+// ServerSummary is the load of a server over the run.
+type ServerSummary struct {
 	ID        string    `json:"id"`
 	Zone      string    `json:"zone"`
 	Kind      string    `json:"kind"`
@@ -116,7 +116,7 @@
 	s, goal := &j.service, j.scenario.Goal
 	arrivals := len(s.seconds)
 	v := Verdict{
-		Tenants: []Group{}, Servers: []ServerDay{}, Floor: j.scenario.Floor, LastedS: inSeconds(j.end),
+		Tenants: []Group{}, Servers: []ServerSummary{}, Floor: j.scenario.Floor, LastedS: inSeconds(j.end),
 		Capacity: j.run.Capacity, RatePerS: j.run.RatePerS, StepS: j.series.step, Seconds: j.series.seconds,
 		Tries: s.byTries[:], Sends: s.bySends[:],
 	}
@@ -136,12 +136,12 @@
 		v.Rules = append(v.Rules, r)
 		v.Passed = v.Passed && r.First == nil
 	}
-	v.Terms = j.limits.verdict(isCalm(j.faults.all))
-	for _, t := range v.Terms {
+	v.Limits = j.limits.verdict(isCalm(j.faults.all))
+	for _, t := range v.Limits {
 		v.Passed = v.Passed && !t.Broken
 	}
 	j.faults.evaluate(j.series.seconds, arrivals)
-	v.Spells = append([]Spell{}, j.faults.all...) // an empty array, not null, if there are none
+	v.Faults = append([]FaultReport{}, j.faults.all...) // an empty array, not null, if there are none
 	v.Findings = j.faults.findings(j.series.seconds, arrivals)
 	v.Counts = Counts{
 		s.firstTries, s.retries, s.unreached, s.inTime, s.answers[record.Served],
@@ -149,7 +149,7 @@
 		s.closedUnanswered, s.unsent, j.answers.sentAfterLeft,
 	}
 	v.Shares = j.shares()
-	v.Cold = j.slowStarts.summary()
+	v.SlowStarts = j.slowStarts.summary()
 	v.addGroups(j)
 	v.addServers(j)
 	return v
@@ -192,7 +192,7 @@
 		{Name: "crossing zones", Rate: s.perFirstTry(float64(s.crossings)), Off: p.CrossZone},
 		{Name: "messages between agents", Rate: s.perFirstTry(s.peerBytes / messageBytes), Off: p.Peer},
 		{Name: "turned back unheard",
-			Rate: float64(s.closedUnanswered+s.unsent) / float64(max(s.tries, 1)), Off: p.Unheard},
+			Rate: float64(s.closedUnanswered+s.unsent) / float64(max(s.tries, 1)), Off: p.UnsentTries},
 	}
 	for i := range all {
 		all[i].Off *= all[i].Rate
@@ -224,7 +224,7 @@
 func (v *Verdict) addServers(j *Judge) {
 	for n, s := range j.servers {
 		c := &j.series.servers[n]
-		v.Servers = append(v.Servers, ServerDay{
+		v.Servers = append(v.Servers, ServerSummary{
 			ID: s.ID, Zone: s.Zone, Kind: s.Kind, Capacity: s.Capacity,
 			MeanBusy: c.sum / float64(max(c.samples, 1)), PeakBusy: c.peak, MostHeld: c.maxHeld,
 			MostConns: c.maxConns, Busy: c.busy, Held: c.held,
--- a/internal/rehearsal/judge/windows.go
+++ b/internal/rehearsal/judge/windows.go
@@ -31,12 +31,12 @@
 
 func (c *windowChecker) observe(e *record.Event, req *request) {
 	switch e.Kind {
-	case record.Emptied:
-		c.emptiedBy[e.Server] = append(c.emptiedBy[e.Server], e.Trouble)
-	case record.Returns:
+	case record.WindowEmptied:
+		c.emptiedBy[e.Server] = append(c.emptiedBy[e.Server], e.Fault)
+	case record.WindowReturning:
 		c.emptiedBy[e.Server] = slices.DeleteFunc(c.emptiedBy[e.Server],
-			func(n int16) bool { return n == e.Trouble })
-	case record.Reached:
+			func(n int16) bool { return n == e.Fault })
+	case record.AttemptReached:
 		if req == nil {
 			return
 		}
@@ -44,7 +44,7 @@
 			if name := c.tenant(req); c.moves(name, n) {
 				c.addBreach(e.At, c.describe.events(req, e),
 					"attempt %d of request %d, of %s, reached %s, which a window "+
-						"had emptied", e.Attempt, req.received.Op, name, c.describe.server(e.Server))
+						"had emptied", e.Attempt, req.received.RequestID, name, c.describe.server(e.Server))
 			}
 		}
 	}
@@ -60,11 +60,11 @@
 
 // moves reports whether a window covers a tenant.
 func (c *windowChecker) moves(name string, n int16) bool {
-	tenants := c.scenario.Troubles[n].Tenants
+	tenants := c.scenario.Faults[n].Tenants
 	return slices.Contains(tenants, name) || slices.Contains(tenants, "*")
 }
 
 // hasWindow reports whether a scenario has a maintenance window.
 func hasWindow(sc *scenario.Scenario) bool {
-	return slices.ContainsFunc(sc.Troubles, func(t scenario.Trouble) bool { return t.Kind == scenario.Window })
+	return slices.ContainsFunc(sc.Faults, func(t scenario.FaultSpec) bool { return t.Kind == scenario.Window })
 }
--- a/internal/rehearsal/judge/words.go
+++ b/internal/rehearsal/judge/words.go
@@ -11,7 +11,7 @@
 // describer describes events as text.
 type describer struct {
 	scenario *scenario.Scenario
-	run      *record.Day
+	run      *record.Run
 	servers  *[]record.Server
 }
 
@@ -52,41 +52,41 @@
 
 var (
 	answerNames = [...]string{record.Served: "served", record.Refused: "refused", record.Failed: "failed"}
-	stateNames  = [...]string{record.Active: "active", record.Leaving: "leaving", record.Gone: "gone"}
+	stateNames  = [...]string{record.Active: "active", record.Draining: "leaving", record.Gone: "gone"}
 
 	outcomeNames = [...]string{
-		record.OK: "a 200", record.Error: "an error", record.TurnedAway: "rejected",
+		record.OK: "a 200", record.Error: "an error", record.Rejected: "rejected",
 		record.NoConnection: "no connection", record.Broken: "connection broken",
-		record.GivenUp:   "the agent stopped waiting",
-		record.Unwritten: "the agent stopped before it was written", record.SpoiltAnswer: "an unreadable answer",
+		record.Abandoned: "the agent stopped waiting",
+		record.Unwritten: "the agent stopped before it was written", record.UnreadableAnswer: "an unreadable answer",
 	}
 )
 
 func (d describer) text(e *record.Event) string {
 	agent, server := d.agent(e.Agent), d.server(e.Server)
 	switch e.Kind {
-	case record.Asked:
-		return fmt.Sprintf("%s receives request %d, try %d of %d, %s, with %v left", agent, e.Op, e.Try, e.Chain,
+	case record.RequestReceived:
+		return fmt.Sprintf("%s receives request %d, try %d of %d, %s, with %v left", agent, e.RequestID, e.Try, e.Chain,
 			d.scenario.Classes[e.Class].Name, roundToMS(e.Left))
 	case record.Answered:
-		return fmt.Sprintf("%s answers request %d: %s", agent, e.Op, answerNames[e.Answer])
-	case record.Lost:
-		return fmt.Sprintf("%s ends the connection of request %d", agent, e.Op)
-	case record.Left:
-		return fmt.Sprintf("the client of request %d closes its connection", e.Op)
-	case record.Sent:
-		return fmt.Sprintf("%s sends attempt %d of request %d to %s", agent, e.Attempt, e.Op, server)
-	case record.Reached:
-		return fmt.Sprintf("attempt %d of request %d, %v of work, reaches %s", e.Attempt, e.Op,
+		return fmt.Sprintf("%s answers request %d: %s", agent, e.RequestID, answerNames[e.Answer])
+	case record.ConnectionLost:
+		return fmt.Sprintf("%s ends the connection of request %d", agent, e.RequestID)
+	case record.ClientLeft:
+		return fmt.Sprintf("the client of request %d closes its connection", e.RequestID)
+	case record.AttemptSent:
+		return fmt.Sprintf("%s sends attempt %d of request %d to %s", agent, e.Attempt, e.RequestID, server)
+	case record.AttemptReached:
+		return fmt.Sprintf("attempt %d of request %d, %v of work, reaches %s", e.Attempt, e.RequestID,
 			roundToMS(e.Work), server)
-	case record.Ended:
-		return fmt.Sprintf("attempt %d of request %d at %s: %s", e.Attempt, e.Op, server, outcomeNames[e.Outcome])
-	case record.Worked:
+	case record.AttemptEnded:
+		return fmt.Sprintf("attempt %d of request %d at %s: %s", e.Attempt, e.RequestID, server, outcomeNames[e.Outcome])
+	case record.WorkDone:
 		ran := "was dropped before it ran"
 		if e.Ran {
 			ran = "ran"
 		}
-		return fmt.Sprintf("attempt %d of request %d at %s %s", e.Attempt, e.Op, server, ran)
+		return fmt.Sprintf("attempt %d of request %d at %s %s", e.Attempt, e.RequestID, server, ran)
 	default:
 		return fmt.Sprintf("%s is notified that %s is %s", agent, server, stateNames[e.State])
 	}
--- a/internal/rehearsal/lab/agent.go
+++ b/internal/rehearsal/lab/agent.go
@@ -23,11 +23,11 @@
 
 // Agent is one of the lab's agents with its stand-ins. Its process may be restarted.
 type Agent struct {
-	Number int
-	Name   string
-	Addr   string // of its listener (TCP) and its gossip (UDP)
-	Ops    string // of its operator listener; empty: it has none
-	Folder string // its $TMPDIR, unless Config.Folder replaces it
+	Number       int
+	Name         string
+	Addr         string // of its listener (TCP) and its gossip (UDP)
+	OperatorAddr string // of its operator listener; empty: it has none
+	TempDir      string // its $TMPDIR, unless Config.TempDir replaces it
 
 	lab       *Lab
 	standinIP string // IP address of its stand-ins
@@ -48,22 +48,22 @@
 
 func newAgent(l *Lab, n int) (*Agent, error) {
 	a := &Agent{Number: n, Name: fmt.Sprint("n", n), lab: l, watches: map[*standin.Call]bool{}}
-	a.Folder = filepath.Join(l.folder, a.Name)
-	a.program = &program.Agent{Name: a.Name, Spawn: l.spawn, Log: a.logReceived}
+	a.TempDir = filepath.Join(l.folder, a.Name)
+	a.program = &program.Agent{Name: a.Name, Spawner: l.spawn, Log: a.logReceived}
 	number := int(agentsCreated.Add(1) - 1)
-	ip := program.OwnIP(os.Getpid(), number)
-	a.standinIP = program.RoundIP(os.Getpid(), number)
+	ip := program.AgentIP(os.Getpid(), number)
+	a.standinIP = program.StandInIP(os.Getpid(), number)
 	var err error
 	if a.Addr, err = program.FreeAddr(ip); err != nil {
 		return a, err
 	}
 	a.program.Addr = a.Addr
-	for l.options.Ops && (a.Ops == "" || a.Ops == a.Addr) { // FreeAddr may repeat an unused port
-		if a.Ops, err = program.FreeAddr(ip); err != nil {
+	for l.options.OperatorListener && (a.OperatorAddr == "" || a.OperatorAddr == a.Addr) { // FreeAddr may repeat an unused port
+		if a.OperatorAddr, err = program.FreeAddr(ip); err != nil {
 			return a, err
 		}
 	}
-	if err := os.Mkdir(a.Folder, 0o700); err != nil {
+	if err := os.Mkdir(a.TempDir, 0o700); err != nil {
 		return a, err
 	}
 	if a.discovery, err = standin.ListenDiscovery(a.standinIP+":0", watchKeepalive, a.discoveryCalled,
@@ -72,7 +72,7 @@
 	}
 	for s := range l.options.Servers {
 		server, err := standin.Listen(a.standinIP+":0", standin.Events{
-			Came: func(c *standin.Conn, r *http.Request, body []byte) { a.attemptReceived(c, Step{n, s, r, body}) },
+			RequestReceived: func(c *standin.Conn, r *http.Request, body []byte) { a.attemptReceived(c, Attempt{n, s, r, body}) },
 		})
 		if err != nil {
 			return a, err
@@ -99,26 +99,26 @@
 	run := a.runs
 	a.mu.Unlock()
 	config := a.config(run)
-	if a.lab.options.Shape != nil {
-		a.lab.options.Shape(config)
+	if a.lab.options.Configure != nil {
+		a.lab.options.Configure(config)
 	}
 	p := a.program
-	p.Program, p.Env, p.Args, p.Operator, p.Folder = config.Program, config.Env, config.Args, config.Operator,
-		config.Folder
-	if a.Ops != "" {
-		p.Env = append([]string{"LB_OPS=" + a.Ops}, p.Env...)
+	p.Program, p.Env, p.Args, p.Operator, p.TempDir = config.Program, config.Env, config.Args, config.OperatorFile,
+		config.TempDir
+	if a.OperatorAddr != "" {
+		p.Env = append([]string{"LB_OPS=" + a.OperatorAddr}, p.Env...)
 	}
-	_, err := p.Start(program.Line(config.File), a.discovery.Addr, func(unexpected bool) {
+	_, err := p.Start(program.JSON(config.ConfigFile), a.discovery.Addr, func(unexpected bool) {
 		text := "exited"
 		if unexpected {
 			text = "exited unexpectedly"
 		}
-		a.lab.Mark(Processes, a.Name, text)
+		a.lab.RecordEvent(Processes, a.Name, text)
 	})
 	if err != nil {
 		return fmt.Errorf("lab: agent %s: %w", a.Name, err)
 	}
-	a.lab.Mark(Processes, a.Name, fmt.Sprintf("run %d starts", run))
+	a.lab.RecordEvent(Processes, a.Name, fmt.Sprintf("run %d starts", run))
 	return nil
 }
 
@@ -138,14 +138,14 @@
 	defer cancel()
 	for !a.IsReady() { // Wait would poll every starting agent at each event
 		var err error
-		if !a.Runs() {
+		if !a.IsRunning() {
 			err = errors.New("it ended before it was ready")
 		} else if err = sleep(ctx, pollInterval); err == nil {
 			continue
 		}
-		return fmt.Errorf("lab: agent %s is not ready: %w\n%s", a.Name, err, a.program.LastWords())
+		return fmt.Errorf("lab: agent %s is not ready: %w\n%s", a.Name, err, a.program.LastLogLines())
 	}
-	a.lab.Mark(Processes, a.Name, "ready")
+	a.lab.RecordEvent(Processes, a.Name, "ready")
 	return nil
 }
 
@@ -163,19 +163,19 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// Ask sends a request of an idempotent class and returns the status and body of the answer. The request is of
-// the first tenant of the settings, if there is one.
-func (a *Agent) Ask(ctx context.Context, class, key string) (status int, body string, err error) {
+// Request sends a request of an idempotent class and returns the status and body of the answer. The request
+// is of the first tenant of the settings, if there is one.
+func (a *Agent) Request(ctx context.Context, class, key string) (status int, body string, err error) {
 	tenant := ""
 	if tenants := a.lab.options.Settings.Tenants; len(tenants) > 0 {
 		tenant = tenants[0].Name
 	}
-	return a.AskFor(ctx, tenant, class, key)
+	return a.RequestForTenant(ctx, tenant, class, key)
 }
 
-// AskFor is like Ask for a given tenant; empty: none. The agent does not forward the tenant to upstream
-// servers, so the request's target repeats it as ?clinic=NAME.
-func (a *Agent) AskFor(ctx context.Context, tenant, class, key string) (status int, body string, err error) {
+// RequestForTenant is like Request for a given tenant; empty: none. The agent does not forward the tenant
+// to upstream servers, so the request's target repeats it as ?clinic=NAME.
+func (a *Agent) RequestForTenant(ctx context.Context, tenant, class, key string) (status int, body string, err error) {
 	target := "http://" + a.Addr + "/" + class + "/book?clinic=" + url.QueryEscape(tenant)
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
 	if err != nil {
@@ -201,7 +201,7 @@
 
 // Serves sends one request and reports whether the agent answers with status 200.
 func (a *Agent) Serves(ctx context.Context) bool {
-	status, _, err := a.Ask(ctx, a.lab.options.Settings.Classes[0].Name, "")
+	status, _, err := a.Request(ctx, a.lab.options.Settings.Classes[0].Name, "")
 	return err == nil && status == http.StatusOK
 }
 
@@ -223,8 +223,8 @@
 		return func() {}
 	}
 	p.Pause()
-	p.Stands()
-	a.lab.Mark(timeline.Faults, a.Name, "paused")
+	p.WaitStopped()
+	a.lab.RecordEvent(timeline.Faults, a.Name, "paused")
 	return func() { a.resume(p) }
 }
 
@@ -236,22 +236,22 @@
 }
 
 func (a *Agent) resume(p *program.Process) {
-	a.lab.Mark(timeline.Faults, a.Name, "resumed")
+	a.lab.RecordEvent(timeline.Faults, a.Name, "resumed")
 	p.Resume()
 }
 
 // SetCPUShare lets the process run for a share of the time, from 0 to 1; 1 removes the limit.
 func (a *Agent) SetCPUShare(share float64) {
 	if p := a.program.Running(); p != nil {
-		a.lab.Mark(timeline.Faults, a.Name, fmt.Sprintf("CPU share set to %.3g", share))
-		p.Slow(share, scenario.SlowSlice)
+		a.lab.RecordEvent(timeline.Faults, a.Name, fmt.Sprintf("CPU share set to %.3g", share))
+		p.SetCPUShare(share, scenario.SlowSlice)
 	}
 }
 
 // Kill kills the process and returns once it has ended.
 func (a *Agent) Kill() {
 	if p := a.program.Running(); p != nil {
-		a.lab.Mark(timeline.Faults, a.Name, "killed")
+		a.lab.RecordEvent(timeline.Faults, a.Name, "killed")
 		p.Kill()
 		<-p.Ended()
 	}
@@ -260,47 +260,47 @@
 // Drain requests a graceful shutdown of the process. It does not wait for the end.
 func (a *Agent) Drain() {
 	if p := a.program.Running(); p != nil {
-		a.lab.Mark(timeline.Faults, a.Name, "drain requested")
+		a.lab.RecordEvent(timeline.Faults, a.Name, "drain requested")
 		p.Drain()
 	}
 }
 
-// Runs reports whether a process is running.
-func (a *Agent) Runs() bool { return a.program.Running() != nil }
+// IsRunning reports whether a process is running.
+func (a *Agent) IsRunning() bool { return a.program.Running() != nil }
 
-// Empty removes everything in the agent's Folder, as on a new machine.
-func (a *Agent) Empty() error {
-	entries, err := os.ReadDir(a.Folder)
+// ClearTempDir removes everything in the agent's TempDir, as on a new machine.
+func (a *Agent) ClearTempDir() error {
+	entries, err := os.ReadDir(a.TempDir)
 	for _, e := range entries {
-		err = errors.Join(err, os.RemoveAll(filepath.Join(a.Folder, e.Name())))
+		err = errors.Join(err, os.RemoveAll(filepath.Join(a.TempDir, e.Name())))
 	}
 	return err
 }
 
-// Hinder applies a fault of scenario.StreamFaults to the agent's connections to discovery, to the upstream
-// servers or to both ("discovery", "servers", "both"), until end is called.
-func (a *Agent) Hinder(stream string, fault scenario.Fault) (end func()) {
+// InjectStreamFault applies a fault of scenario.StreamFaults to the agent's connections to discovery, to
+// the upstream servers or to both ("discovery", "servers", "both"), until end is called.
+func (a *Agent) InjectStreamFault(stream string, fault scenario.ConnFault) (end func()) {
 	text := "streams to " + stream + ": " + string(fault)
-	a.lab.Mark(timeline.Faults, a.Name, text)
-	var streams []*standin.Strait
+	a.lab.RecordEvent(timeline.Faults, a.Name, text)
+	var streams []*standin.StreamLink
 	if stream != "servers" {
-		streams = append(streams, a.discovery.Way())
+		streams = append(streams, a.discovery.Link())
 	}
 	if stream != "discovery" {
 		for _, s := range a.servers {
-			streams = append(streams, s.Way())
+			streams = append(streams, s.Link())
 		}
 	}
 	for _, w := range streams {
-		w.Begin(fault)
+		w.BeginFault(fault)
 	}
 	var once sync.Once
 	return func() {
 		once.Do(func() {
 			for _, w := range streams {
-				w.End(fault)
+				w.EndFault(fault)
 			}
-			a.lab.Mark(timeline.Faults, a.Name, "over: "+text)
+			a.lab.RecordEvent(timeline.Faults, a.Name, "over: "+text)
 		})
 	}
 }
@@ -308,17 +308,17 @@
 // Server returns the stand-in of an upstream server for this agent.
 func (a *Agent) Server(n int) *standin.Server { return a.servers[n] }
 
-// Steps returns the number of attempts that upstream servers received from the agent.
-func (a *Agent) Steps() int {
+// Attempts returns the number of attempts that upstream servers received from the agent.
+func (a *Agent) Attempts() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.attempts
 }
 
-func (a *Agent) attemptReceived(c *standin.Conn, s Step) {
+func (a *Agent) attemptReceived(c *standin.Conn, s Attempt) {
 	reply := standin.Reply{Status: http.StatusOK, Body: fmt.Sprintf("booked by s-%d\n", s.Server)}
-	if a.lab.options.Answer != nil {
-		reply = a.lab.options.Answer(s)
+	if a.lab.options.Respond != nil {
+		reply = a.lab.options.Respond(s)
 	}
 	a.mu.Lock()
 	a.attempts++
@@ -335,25 +335,26 @@
 	}
 	a.lines = append(a.lines, line)
 	a.mu.Unlock()
-	a.lab.Timeline.Read(a.lab.options.Lanes, a.lab.Now(), a.Name, line)
+	a.lab.Timeline.AddLine(a.lab.options.Lanes, a.lab.Now(), a.Name, line)
 	if a.lab.options.Log != nil {
 		a.lab.options.Log(a.Name, line)
 	}
 	a.lab.signalEvent()
 }
 
-// Logged returns the number of lines that the agent has logged over all its runs, for use with SaidSince.
-func (a *Agent) Logged() int {
+// LogLines returns the number of lines that the agent has logged over all its runs, for use with
+// LogContainsSince.
+func (a *Agent) LogLines() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.droppedLines + len(a.lines)
 }
 
-// Said reports whether a line of the agent's log contains text.
-func (a *Agent) Said(text string) bool { return a.SaidSince(0, text) }
+// LogContains reports whether a line of the agent's log contains text.
+func (a *Agent) LogContains(text string) bool { return a.LogContainsSince(0, text) }
 
-// SaidSince is like Said but ignores the first skip lines, a count returned by Logged.
-func (a *Agent) SaidSince(skip int, text string) bool {
+// LogContainsSince is like LogContains but ignores the first skip lines, a count returned by LogLines.
+func (a *Agent) LogContainsSince(skip int, text string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, l := range a.lines[min(max(skip-a.droppedLines, 0), len(a.lines)):] {
--- a/internal/rehearsal/lab/deployment.go
+++ b/internal/rehearsal/lab/deployment.go
@@ -12,10 +12,10 @@
 	"dunestep/internal/standin/program"
 )
 
-// Deployment returns the default settings of a lab's agents: an idempotent class, "consult", and one that is
-// not, "rezervare"; one tenant, "acme", whose traffic the agents gossip about; and timeouts long enough for a
-// busy machine.
-func Deployment() *protocol.Settings {
+// DefaultSettings returns the default settings of a lab's agents: an idempotent class, "consult", and one
+// that is not, "rezervare"; one tenant, "acme", whose traffic the agents gossip about; and timeouts long
+// enough for a busy machine.
+func DefaultSettings() *protocol.Settings {
 	return &protocol.Settings{
 		ConnIdleTimeout: 15 * time.Second, ConnectTimeout: time.Second,
 		Settings: balancer.Settings{
@@ -61,13 +61,13 @@
 		"name": a.Name, "listen": a.Addr, "discovery": a.discovery.Addr,
 		"seed":   fmt.Sprintf("%016x", l.options.Seed<<32|uint64(a.Number)<<16|uint64(run)),
 		"limits": program.Object{"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "known": known,
-		"settings": program.SettingsObject(settings),
+		"settings": program.ConfigObject(settings),
 	}
 	if settings.Limits.Gossip {
 		file["peer_listen"] = a.Addr
 		file["peers"], file["peers_all"] = l.network.Addrs(a.Number)
 	}
-	return &Config{Agent: a.Number, Run: run, Program: l.options.Program, Folder: a.Folder, File: file}
+	return &Config{Agent: a.Number, Run: run, Program: l.options.Program, TempDir: a.TempDir, ConfigFile: file}
 }
 
 // endpointList is discovery's endpoint list. It is the same for all agents except for the addresses.
@@ -113,16 +113,17 @@
 	return program.Object{"version": v.version, "full": true, "servers": entries}
 }
 
-// List sets an upstream server's state in discovery to "active", "leaving" or "left" and notifies all agents.
-func (l *Lab) List(server int, state string) {
+// SetServerState sets an upstream server's state in discovery to "active", "leaving" or "left" and notifies
+// all agents.
+func (l *Lab) SetServerState(server int, state string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.list.states[server] = state
 	l.sendUpdate(server)
 }
 
-// Restarted sets an upstream server's start time in discovery to now and notifies all agents.
-func (l *Lab) Restarted(server int) {
+// SetServerRestarted sets an upstream server's start time in discovery to now and notifies all agents.
+func (l *Lab) SetServerRestarted(server int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.list.started[server] = time.Now()
@@ -133,13 +134,13 @@
 func (l *Lab) sendUpdate(server int) {
 	l.list.version++
 	for _, a := range l.agents {
-		text := program.Line(program.Object{
+		text := program.JSON(program.Object{
 			"version": l.list.version, "full": false,
 			"servers": []program.Object{l.list.entry(a, server)},
 		})
 		a.mu.Lock()
 		for c := range a.watches {
-			c.Say(text)
+			c.WriteLine(text)
 		}
 		a.mu.Unlock()
 	}
@@ -147,21 +148,21 @@
 
 // discoveryCalled answers an agent's poll or watch of discovery.
 func (a *Agent) discoveryCalled(c *standin.Call) {
-	if answer := a.lab.options.Call; answer != nil && answer(a.Number, c) {
+	if answer := a.lab.options.HandleDiscovery; answer != nil && answer(a.Number, c) {
 		return
 	}
-	a.Tell(c)
+	a.SendEndpointList(c)
 }
 
-// Tell answers an agent's poll or watch of discovery with the endpoint list, as the lab does unless
-// Options.Call answers. A watch whose version is current gets no list.
-func (a *Agent) Tell(c *standin.Call) {
+// SendEndpointList answers an agent's poll or watch of discovery with the endpoint list, as the lab does
+// unless Options.HandleDiscovery answers. A watch whose version is current gets no list.
+func (a *Agent) SendEndpointList(c *standin.Call) {
 	l := a.lab
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	c.Begin(http.StatusOK)
+	c.WriteStatus(http.StatusOK)
 	if !c.Watch || c.From != l.list.version {
-		c.Say(program.Line(l.list.full(a)))
+		c.WriteLine(program.JSON(l.list.full(a)))
 	}
 	if !c.Watch {
 		c.End()
