--- a/internal/rehearsal/lab/example_test.go
+++ b/internal/rehearsal/lab/example_test.go
@@ -15,19 +15,19 @@
 		t           *testing.T
 		ctx         = context.Background()
 		path, older string
-		troubles    []scenario.Trouble
+		troubles    []scenario.FaultSpec
 	)
-	l := lab.Open(t, lab.Options{Agents: 5, Program: path, Seed: 7, Shape: func(c *lab.Config) {
-		c.Operator = "[storm]\non = true\n"
+	l := lab.Open(t, lab.Options{Agents: 5, Program: path, Seed: 7, Configure: func(c *lab.Config) {
+		c.OperatorFile = "[storm]\non = true\n"
 		if c.Agent == 4 {
 			c.Program = older
 		}
 	}})
 	l.StartAll(ctx)
-	end, _ := l.Spoil(mishap.Fault{From: []int{0}, To: []int{1, 2}, Way: mishap.Way{Cut: true}})
+	end, _ := l.InjectNetworkFault(mishap.Fault{From: []int{0}, To: []int{1, 2}, Impairment: mishap.Impairment{Cut: true}})
 	l.Agent(1).Pause()
 	l.Wait(ctx, "n2 serves", func() bool { return l.Agent(2).Serves(ctx) })
 	l.Agent(1).Resume()
 	end()
-	l.Play(ctx, troubles) // of a scenario's file, or []scenario.Trouble
+	l.Play(ctx, troubles) // of a scenario's file, or []scenario.FaultSpec
 }
--- a/internal/rehearsal/lab/lab.go
+++ b/internal/rehearsal/lab/lab.go
@@ -8,9 +8,9 @@
 //
 //	l := lab.Open(t, lab.Options{Agents: 5, Program: path})
 //	l.StartAll(ctx)
-//	end, _ := l.Spoil(mishap.Fault{From: []int{0}, Way: mishap.Way{Cut: true}})
+//	end, _ := l.InjectNetworkFault(mishap.Fault{From: []int{0}, Way: mishap.Impairment{Cut: true}})
 //	l.Agent(1).Pause()
-//	l.Wait(ctx, "n2 has noticed", func() bool { return l.Agent(2).Said("noticed") })
+//	l.Wait(ctx, "n2 has noticed", func() bool { return l.Agent(2).LogContains("noticed") })
 //	end()
 package lab
 
@@ -39,26 +39,26 @@
 	Servers int // number of upstream servers, each with a separate address for each agent; 0: two
 	// Zones and Kinds of the upstream servers, by number; a server without an entry is in zone "a" and of kind
 	// "rapid".
-	Zones, Kinds []string
-	Seed         uint64 // for the datagrams' faults and the values drawn for scripts
-	Program      string // path of the agent program; empty: bin/dunestep
-	Ops          bool   // whether agents have an operator listener, at Agent.Ops
-	// Settings of the deployment, except for Self and Balancers; nil: Deployment().
+	Zones, Kinds     []string
+	Seed             uint64 // for the datagrams' faults and the values drawn for scripts
+	Program          string // path of the agent program; empty: bin/dunestep
+	OperatorListener bool   // whether agents have an operator listener, at Agent.OperatorListener
+	// Settings of the deployment, except for Self and Balancers; nil: DefaultSettings().
 	Settings *protocol.Settings
-	// Shape may change an agent's configuration before each start; may be nil.
-	Shape func(*Config)
-	// Answer returns an upstream server's reply to an attempt. It is called from the connection's goroutine;
+	// Configure may change an agent's configuration before each start; may be nil.
+	Configure func(*Config)
+	// Respond returns an upstream server's reply to an attempt. It is called from the connection's goroutine;
 	// nil: status 200 with the server's name.
-	Answer func(Step) standin.Reply
-	// Call may answer an agent's poll or watch of discovery instead of the lab, and reports whether it does; may
-	// be nil.
-	Call func(agent int, c *standin.Call) bool
+	Respond func(Attempt) standin.Reply
+	// HandleDiscovery may answer an agent's poll or watch of discovery instead of the lab, and reports whether
+	// it does; may be nil.
+	HandleDiscovery func(agent int, c *standin.Call) bool
 	// Log receives the agents' log lines; may be nil.
 	Log func(agent, line string)
 	// Lanes selects log lines for the timeline; nil: none.
 	Lanes timeline.Reader
-	// Patience is the timeout of Wait if its context has no deadline; 0: a minute.
-	Patience time.Duration
+	// WaitTimeout is the timeout of Wait if its context has no deadline; 0: a minute.
+	WaitTimeout time.Duration
 }
 
 // Config is the configuration of one start of an agent.
@@ -66,16 +66,16 @@
 	Agent, Run int    // agent number from 0; run number from 1
 	Program    string // path of the agent program, which may differ between agents
 	Env, Args  []string
-	// Operator is the text of the operator file; empty: no file.
-	Operator string
-	// Folder is $TMPDIR, which is kept across restarts. The default is removed with the lab.
-	Folder string
-	// File is the configuration file.
-	File program.Object
+	// OperatorFile is the text of the operator file; empty: no file.
+	OperatorFile string
+	// TempDir is $TMPDIR, which is kept across restarts. The default is removed with the lab.
+	TempDir string
+	// ConfigFile is the configuration file.
+	ConfigFile program.Object
 }
 
-// Step is an attempt that an upstream server received.
-type Step struct {
+// Attempt is an attempt that an upstream server received.
+type Attempt struct {
 	Agent, Server int
 	Request       *http.Request
 	Body          []byte
@@ -124,7 +124,7 @@
 	if o.Agents < 1 {
 		return nil, fmt.Errorf("lab: %d agents; at least 1 is needed", o.Agents)
 	}
-	path, err := program.Find(o.Program)
+	path, err := program.FindAgent(o.Program)
 	if err != nil {
 		return nil, err
 	}
@@ -132,11 +132,11 @@
 	if o.Servers == 0 {
 		o.Servers = defaultServers
 	}
-	if o.Patience == 0 {
-		o.Patience = defaultWaitTimeout
+	if o.WaitTimeout == 0 {
+		o.WaitTimeout = defaultWaitTimeout
 	}
 	if o.Settings == nil {
-		o.Settings = Deployment()
+		o.Settings = DefaultSettings()
 	}
 	l := &Lab{
 		Timeline: &timeline.Timeline{}, options: o, began: time.Now(), changed: make(chan struct{}),
@@ -181,7 +181,7 @@
 // the agents' last log lines.
 func Open(t TB, o Options) *Lab {
 	t.Helper()
-	if err := program.Sources(); err != nil {
+	if err := program.DependOnSources(); err != nil {
 		t.Fatal(err)
 	}
 	l, err := New(o)
@@ -226,7 +226,7 @@
 func (l *Lab) EndAll() (problems []string) {
 	l.endAgents(true)
 	for _, a := range l.agents {
-		for _, p := range a.program.Used().Problems {
+		for _, p := range a.program.TotalUsage().Problems {
 			problems = append(problems, a.Name+" "+p)
 		}
 	}
@@ -258,32 +258,32 @@
 	return errors.Join(errs...)
 }
 
-// Spoil applies a fault to the network between the agents until end is called.
-func (l *Lab) Spoil(f mishap.Fault) (end func(), err error) {
-	id, err := l.network.Begin(f)
+// InjectNetworkFault applies a fault to the network between the agents until end is called.
+func (l *Lab) InjectNetworkFault(f mishap.Fault) (end func(), err error) {
+	id, err := l.network.BeginFault(f)
 	if err != nil {
 		return nil, err
 	}
-	text := fmt.Sprintf("datagrams from %v to %v: %v", f.From, f.To, f.Way)
-	l.Mark(timeline.Faults, "", text)
+	text := fmt.Sprintf("datagrams from %v to %v: %v", f.From, f.To, f.Impairment)
+	l.RecordEvent(timeline.Faults, "", text)
 	var once sync.Once
 	return func() {
 		once.Do(func() {
-			l.network.End(id)
-			l.Mark(timeline.Faults, "", "over: "+text)
+			l.network.EndFault(id)
+			l.RecordEvent(timeline.Faults, "", "over: "+text)
 		})
 	}, nil
 }
 
-// Network returns the traffic counts of the network between the agents.
-func (l *Lab) Network() standin.Figures { return l.network.Figures() }
+// NetworkCounts returns the traffic counts of the network between the agents.
+func (l *Lab) NetworkCounts() standin.NetworkStats { return l.network.Stats() }
 
 // Now returns the time since the lab was opened, the time base of its timeline.
 func (l *Lab) Now() time.Duration { return time.Since(l.began) }
 
-// Mark adds a mark to the timeline at the current time and wakes the callers of Wait.
-func (l *Lab) Mark(lane, agent, text string) {
-	l.Timeline.Mark(l.Now(), lane, agent, text)
+// RecordEvent adds a mark to the timeline at the current time and wakes the callers of Wait.
+func (l *Lab) RecordEvent(lane, agent, text string) {
+	l.Timeline.Add(l.Now(), lane, agent, text)
 	l.signalEvent()
 }
 
@@ -306,7 +306,7 @@
 	if _, ok := ctx.Deadline(); ok {
 		return ctx, func() {}
 	}
-	return context.WithTimeout(ctx, l.options.Patience)
+	return context.WithTimeout(ctx, l.options.WaitTimeout)
 }
 
 // Wait waits until met returns true. It calls met after each event (a log line, an attempt, a call to
@@ -337,12 +337,12 @@
 // String returns the most recent marks of the timeline and the agents' last log lines.
 func (l *Lab) String() string {
 	var b strings.Builder
-	marks, _ := l.Timeline.Marks()
+	marks, _ := l.Timeline.Entries()
 	for _, m := range marks[max(len(marks)-maxShownMarks, 0):] {
 		fmt.Fprintf(&b, "%9.3f  %-10s %-4s %s\n", m.At.Seconds(), m.Lane, m.Agent, m.Text)
 	}
 	for _, a := range l.agents {
-		fmt.Fprintf(&b, "last log lines of %s:\n%s\n", a.Name, a.program.LastWords())
+		fmt.Fprintf(&b, "last log lines of %s:\n%s\n", a.Name, a.program.LastLogLines())
 	}
 	return b.String()
 }
--- a/internal/rehearsal/lab/lab_test.go
+++ b/internal/rehearsal/lab/lab_test.go
@@ -84,12 +84,12 @@
 func TestScriptLeavesAllAgentsServing(t *testing.T) {
 	set, err := scenario.Parse("five.toml", []byte(fiveAgentsScenario))
 	require.NoError(t, err)
-	l := Open(t, Options{Agents: set.Agents.Count, Program: agentProgram, Seed: set.Seed, Ops: true})
+	l := Open(t, Options{Agents: set.Agents.Count, Program: agentProgram, Seed: set.Seed, OperatorListener: true})
 	ctx := t.Context()
 	require.NoError(t, l.StartAll(ctx))
 	var pids []int
 	for _, a := range l.Agents() {
-		require.NoError(t, os.WriteFile(filepath.Join(a.Folder, "mine"), nil, 0o600))
+		require.NoError(t, os.WriteFile(filepath.Join(a.TempDir, "mine"), nil, 0o600))
 		pids = append(pids, a.Pid())
 	}
 	stop := make(chan struct{})
@@ -102,16 +102,16 @@
 				return
 			case <-time.After(time.Millisecond):
 				short, cancel := context.WithTimeout(ctx, 50*time.Millisecond)
-				_, _, _ = l.Agent(n%5).Ask(short, "consult", fmt.Sprint(n))
+				_, _, _ = l.Agent(n%5).Request(short, "consult", fmt.Sprint(n))
 				cancel()
 			}
 		}
 	}()
-	require.NoError(t, l.Play(ctx, set.Troubles))
-	end, err := l.Spoil(mishap.Fault{From: []int{0, 1}, Way: mishap.Way{Cut: true}})
+	require.NoError(t, l.Play(ctx, set.Faults))
+	end, err := l.InjectNetworkFault(mishap.Fault{From: []int{0, 1}, Impairment: mishap.Impairment{Cut: true}})
 	require.NoError(t, err)
-	before := l.Network().Cut
-	require.NoError(t, l.Wait(ctx, "a datagram of n0 or n1 is dropped", func() bool { return l.Network().Cut > before }))
+	before := l.NetworkCounts().Cut
+	require.NoError(t, l.Wait(ctx, "a datagram of n0 or n1 is dropped", func() bool { return l.NetworkCounts().Cut > before }))
 	end()
 	close(stop)
 	<-sendersDone
@@ -121,13 +121,13 @@
 		restarted := i == 2 || i == 3
 		require.Equal(t, restarted, a.Pid() != pids[i])
 		require.Equal(t, restarted, hasExited(pids[i]))
-		_, err := os.Stat(filepath.Join(a.Folder, "mine"))
+		_, err := os.Stat(filepath.Join(a.TempDir, "mine"))
 		require.Equal(t, i == 2, os.IsNotExist(err), "only n2's folder is emptied")
 		require.NoError(t, l.Wait(ctx, a.Name+" watches", func() bool { return a.Watches() == 1 }))
-		require.NotEmpty(t, a.Ops)
+		require.NotEmpty(t, a.OperatorAddr)
 	}
-	f := l.Network()
-	require.Equal(t, f.Came-f.Cut-f.Lost+f.Doubled, f.Copies)
+	f := l.NetworkCounts()
+	require.Equal(t, f.Sent-f.Cut-f.Lost+f.Duplicated, f.Copies)
 	text := l.String()
 	for _, want := range []string{
 		"datagrams from [0] to [1 2]: cut", "over: datagrams from [0] to", "n1   paused", "n1   resumed",
@@ -141,7 +141,7 @@
 	require.NoDirExists(t, l.folder)
 }
 
-// Options.Shape sets program, environment and files for each agent and run, and List changes the endpoint list.
+// Options.Configure sets program, environment and files for each agent and run, and SetServerState changes the endpoint list.
 func TestConfigurePerAgentAndRun(t *testing.T) {
 	other := filepath.Join(t.TempDir(), "older")
 	raw, err := os.ReadFile(agentProgram)
@@ -154,10 +154,10 @@
 		}
 		return "", ""
 	}
-	l := Open(t, Options{Agents: 2, Program: agentProgram, Lanes: serving, Shape: func(c *Config) {
+	l := Open(t, Options{Agents: 2, Program: agentProgram, Lanes: serving, Configure: func(c *Config) {
 		if c.Agent == 1 {
 			c.Env = append(c.Env, fmt.Sprint("LAB_RUN=", c.Run))
-			c.Operator, c.Folder = "[storm]\non = false\n", folder
+			c.OperatorFile, c.TempDir = "[storm]\non = false\n", folder
 			if c.Run == 1 {
 				c.Program = other
 			}
@@ -177,15 +177,15 @@
 	require.Zero(t, l.Agent(0).Pid(), "the agent was never started")
 	require.NoError(t, a.Start(ctx))
 	require.NoError(t, l.Wait(ctx, "it watches", func() bool { return a.Watches() == 1 }))
-	l.List(0, "left")
+	l.SetServerState(0, "left")
 	require.NoError(t, l.Wait(ctx, "only s-1 serves", func() bool {
-		_, body, err := a.Ask(ctx, "consult", "")
+		_, body, err := a.Request(ctx, "consult", "")
 		return err == nil && body == "booked by s-1\n"
 	}))
-	steps := a.Steps()
+	steps := a.Attempts()
 	require.True(t, a.Serves(ctx))
-	require.Greater(t, a.Steps(), steps)
-	marks, _ := l.Timeline.Marks()
+	require.Greater(t, a.Attempts(), steps)
+	marks, _ := l.Timeline.Entries()
 	require.Equal(t, []string{timeline.Faults, Processes, "views"}, timeline.Lanes(marks))
 	require.Equal(t, 3, strings.Count(l.String(), "views      n1   serves"))
 }
@@ -198,22 +198,22 @@
 	require.ErrorContains(t, err, "0 agents; at least 1 is needed")
 	l := Open(t, Options{
 		Agents: 1, Program: agentProgram,
-		Shape: func(c *Config) { c.Operator = "[storm]\non = 7\n" },
+		Configure: func(c *Config) { c.OperatorFile = "[storm]\non = 7\n" },
 	})
 	ctx := t.Context()
 	err = l.StartAll(ctx)
 	require.ErrorContains(t, err, "n0 is not ready: it ended before it was ready")
 	require.ErrorContains(t, err, "storm.on", "the error includes the last log lines")
-	require.True(t, l.Agent(0).Said("storm.on"))
-	require.False(t, l.Agent(0).SaidSince(l.Agent(0).Logged(), "storm.on"))
+	require.True(t, l.Agent(0).LogContains("storm.on"))
+	require.False(t, l.Agent(0).LogContainsSince(l.Agent(0).LogLines(), "storm.on"))
 	short, cancel := context.WithTimeout(ctx, 50*time.Millisecond)
 	defer cancel()
 	require.ErrorContains(t, l.Wait(short, "never true", func() bool { return false }), "condition not met: never true")
-	trouble := scenario.Trouble{Kind: scenario.Surge, At: scenario.Always(0), For: scenario.Always(time.Second), Size: scenario.Exactly(2)}
-	require.ErrorContains(t, l.Play(ctx, []scenario.Trouble{trouble}), `trouble[0]: kind "surge" needs a scenario run`)
+	trouble := scenario.FaultSpec{Kind: scenario.Surge, At: scenario.ExactTime(0), For: scenario.ExactTime(time.Second), Size: scenario.ExactSpan(2)}
+	require.ErrorContains(t, l.Play(ctx, []scenario.FaultSpec{trouble}), `trouble[0]: kind "surge" needs a scenario run`)
 	trouble.Kind = scenario.Datagrams
-	require.ErrorContains(t, l.Play(ctx, []scenario.Trouble{trouble}), "trouble[0].size: means nothing for datagrams")
-	_, err = l.Spoil(mishap.Fault{From: []int{1}})
+	require.ErrorContains(t, l.Play(ctx, []scenario.FaultSpec{trouble}), "trouble[0].size: means nothing for datagrams")
+	_, err = l.InjectNetworkFault(mishap.Fault{From: []int{1}})
 	require.ErrorContains(t, err, "no agent 1 of 1")
 }
 
@@ -222,18 +222,18 @@
 	l := Open(t, Options{Agents: 2, Program: agentProgram})
 	ctx, cancel := context.WithCancel(t.Context())
 	require.NoError(t, l.StartAll(ctx))
-	hour := scenario.Always(time.Hour)
+	hour := scenario.ExactTime(time.Hour)
 	done := make(chan error, 1)
 	go func() {
-		done <- l.Play(ctx, []scenario.Trouble{
+		done <- l.Play(ctx, []scenario.FaultSpec{
 			{Kind: scenario.AgentsKilled, For: hour, Agents: []int{0}},
-			{Kind: scenario.AgentsPaused, For: scenario.Always(scenario.LongestPause), Agents: []int{1}},
+			{Kind: scenario.AgentsPaused, For: scenario.ExactTime(scenario.LongestPause), Agents: []int{1}},
 			{Kind: scenario.Datagrams, For: hour, Cut: true},
-			{Kind: scenario.Datagrams, At: hour, For: hour, Loss: scenario.Exactly(1)},
+			{Kind: scenario.Datagrams, At: hour, For: hour, Loss: scenario.ExactSpan(1)},
 		})
 	}()
 	require.NoError(t, l.Wait(ctx, "all faults are active", func() bool {
-		marks, _ := l.Timeline.Marks()
+		marks, _ := l.Timeline.Entries()
 		faults := 0
 		for _, m := range marks {
 			if m.Lane == timeline.Faults {
@@ -246,9 +246,9 @@
 	require.ErrorIs(t, <-done, context.Canceled)
 	require.NoError(t, l.StartAll(t.Context()))
 	require.True(t, l.Agent(1).Serves(t.Context()), "the agent is resumed")
-	before := l.Network().Cut
-	l.network.Begin(mishap.Fault{}) // a fault without effect
-	require.Equal(t, before, l.Network().Cut)
+	before := l.NetworkCounts().Cut
+	l.network.BeginFault(mishap.Fault{}) // a fault without effect
+	require.Equal(t, before, l.NetworkCounts().Cut)
 }
 
 // runLabThatDies opens a lab with two agents, one paused and one slowed, and then panics or waits to be killed.
@@ -308,20 +308,20 @@
 				began := time.Now()
 				require.NoError(b, l.StartAll(b.Context()))
 				b.ReportMetric(time.Since(began).Seconds(), "s-until-ready")
-				_, err := l.Spoil(mishap.Fault{Way: mishap.Way{Reorder: 0.5, Held: scenario.Always(50 * time.Millisecond)}})
+				_, err := l.InjectNetworkFault(mishap.Fault{Impairment: mishap.Impairment{Reorder: 0.5, HoldTime: scenario.ExactTime(50 * time.Millisecond)}})
 				require.NoError(b, err)
-				before, began := l.Network().Passed, time.Now()
+				before, began := l.NetworkCounts().Datagrams, time.Now()
 				served := 0
 				for n := 0; time.Since(began) < 5*time.Second; n++ {
 					if l.Agent(n % agents).Serves(b.Context()) {
 						served++
 					}
 				}
-				took, f := time.Since(began).Seconds(), l.Network()
+				took, f := time.Since(began).Seconds(), l.NetworkCounts()
 				b.ReportMetric(float64(served)/took, "served/s")
-				b.ReportMetric(float64(f.Passed-before)/took, "datagrams/s")
-				b.ReportMetric(float64(f.Late.ValueAtQuantile(50)), "late-p50-us")
-				b.ReportMetric(float64(f.Late.ValueAtQuantile(99)), "late-p99-us")
+				b.ReportMetric(float64(f.Datagrams-before)/took, "datagrams/s")
+				b.ReportMetric(float64(f.Lateness.ValueAtQuantile(50)), "late-p50-us")
+				b.ReportMetric(float64(f.Lateness.ValueAtQuantile(99)), "late-p99-us")
 				l.Close()
 			}
 		})
--- a/internal/rehearsal/lab/script.go
+++ b/internal/rehearsal/lab/script.go
@@ -19,7 +19,7 @@
 //
 // A lab supports the kinds datagrams, streams, agents_paused, agents_slowed, agents_killed and
 // agents_restarted. The other kinds need a scenario's load and servers; Play returns an error for them.
-func (l *Lab) Play(ctx context.Context, troubles []scenario.Trouble) error {
+func (l *Lab) Play(ctx context.Context, troubles []scenario.FaultSpec) error {
 	troubles, err := scenario.Check(len(l.agents), troubles)
 	if err != nil {
 		return err
@@ -90,7 +90,7 @@
 }
 
 // events draws the times at which a fault starts and ends, in pairs.
-func (f *fault) events(t *scenario.Trouble, random *rand.Rand) (events []*faultEvent) {
+func (f *fault) events(t *scenario.FaultSpec, random *rand.Rand) (events []*faultEvent) {
 	at, duration := t.At.Draw(random), t.For.Draw(random)
 	on, off := t.On.Draw(random), t.Off.Draw(random)
 	end := at + duration
@@ -107,7 +107,7 @@
 }
 
 // newFault returns the fault that a scenario's trouble describes.
-func (l *Lab) newFault(t *scenario.Trouble, random *rand.Rand) (*fault, error) {
+func (l *Lab) newFault(t *scenario.FaultSpec, random *rand.Rand) (*fault, error) {
 	agents := l.targets(t)
 	each := func(begin func(*Agent) (end func())) *fault {
 		return &fault{begin: func() (func(context.Context) error, error) {
@@ -127,14 +127,14 @@
 	case scenario.Datagrams:
 		networkFault := mishap.FromTrouble(t, random)
 		return &fault{begin: func() (func(context.Context) error, error) {
-			end, err := l.Spoil(networkFault)
+			end, err := l.InjectNetworkFault(networkFault)
 			if err != nil {
 				return nil, err
 			}
 			return func(context.Context) error { end(); return nil }, nil
 		}}, nil
 	case scenario.Streams:
-		return each(func(a *Agent) func() { return a.Hinder(t.Stream, t.Fault) }), nil
+		return each(func(a *Agent) func() { return a.InjectStreamFault(t.Stream, t.Fault) }), nil
 	case scenario.AgentsPaused:
 		return each(func(a *Agent) func() { return a.pause() }), nil
 	case scenario.AgentsSlowed:
@@ -143,8 +143,8 @@
 	case scenario.AgentsKilled:
 		return l.processFault(agents, func(a *Agent) error {
 			a.Kill()
-			if t.Folder == "empty" {
-				return a.Empty()
+			if t.StateDir == "empty" {
+				return a.ClearTempDir()
 			}
 			return nil
 		}), nil
@@ -163,7 +163,7 @@
 		}
 		return func(ctx context.Context) error {
 			for _, a := range agents {
-				if err := l.Wait(ctx, a.Name+" has ended", func() bool { return !a.Runs() }); err != nil {
+				if err := l.Wait(ctx, a.Name+" has ended", func() bool { return !a.IsRunning() }); err != nil {
 					return err
 				}
 				if err := a.Launch(); err != nil {
@@ -176,7 +176,7 @@
 }
 
 // targets returns the agents that a fault affects.
-func (l *Lab) targets(t *scenario.Trouble) []*Agent {
+func (l *Lab) targets(t *scenario.FaultSpec) []*Agent {
 	if len(t.Agents) > 0 {
 		var agents []*Agent
 		for _, n := range t.Agents {
--- a/internal/rehearsal/late/late.go
+++ b/internal/rehearsal/late/late.go
@@ -21,15 +21,15 @@
 // Server is the true state of an upstream server.
 type Server struct {
 	ID       string
-	Takes    bool    // accepts requests and answers most of them
+	Accepts  bool    // accepts requests and answers most of them
 	Capacity float64 // current capacity, in seconds of standard work per second
 	Speed    float64 // Capacity less what is lost to the number of requests it holds
 	Held     float64 // requests executing or queued
 	Cores    float64
 }
 
-// Sight is the state of all servers at one time.
-type Sight struct {
+// FleetView is the state of all servers at one time.
+type FleetView struct {
 	admitted   float64   // part of the arriving work that the servers can do
 	servers    []Server  // servers that accept requests and have capacity
 	cumulative []float64 // cumulative sums of the servers' capacities
@@ -40,13 +40,13 @@
 // variation.
 const maxUtilization = 0.7
 
-// NewSight returns the state of the given servers. asked is the work that arrived at all agents, in seconds
-// of standard work per second.
-func NewSight(all []Server, asked float64) *Sight {
-	s := &Sight{admitted: 1, byID: make(map[string]int, len(all))}
+// NewFleetView returns the state of the given servers. asked is the work that arrived at all agents, in
+// seconds of standard work per second.
+func NewFleetView(all []Server, asked float64) *FleetView {
+	s := &FleetView{admitted: 1, byID: make(map[string]int, len(all))}
 	sum := 0.0
 	for _, v := range all {
-		if v.Takes && v.Capacity > 0 {
+		if v.Accepts && v.Capacity > 0 {
 			sum += v.Capacity
 			s.byID[v.ID] = len(s.servers)
 			s.servers, s.cumulative = append(s.servers, v), append(s.cumulative, sum)
@@ -59,7 +59,7 @@
 }
 
 // draw returns a random server weighted by capacity, or nil if there is none.
-func (s *Sight) draw(rng *rand.Rand) *Server {
+func (s *FleetView) draw(rng *rand.Rand) *Server {
 	if len(s.servers) == 0 {
 		return nil
 	}
@@ -80,7 +80,7 @@
 // Policy is one agent that decides by the delayed view. It implements the routing core's Module.
 type Policy struct {
 	settings    balancer.Settings
-	view        func() *Sight
+	view        func() *FleetView
 	meanWork    time.Duration // of a request
 	rng         *rand.Rand
 	ready       map[string]bool
@@ -100,7 +100,7 @@
 
 // New returns a Policy. view returns the state of the servers as it was some time ago; work is the mean
 // work of a request on a standard core.
-func New(settings balancer.Settings, work time.Duration, seed uint64, view func() *Sight) *Policy {
+func New(settings balancer.Settings, work time.Duration, seed uint64, view func() *FleetView) *Policy {
 	p := &Policy{
 		settings: settings, view: view, meanWork: work, rng: rand.New(rand.NewPCG(seed, 0x6c617465)),
 		ready: map[string]bool{}, outstanding: map[string]int{}, requests: map[uint32]*request{},
--- a/internal/rehearsal/late/late_test.go
+++ b/internal/rehearsal/late/late_test.go
@@ -12,16 +12,16 @@
 // Work beyond the servers' capacity is rejected. The rest goes to servers with room, in proportion to their
 // capacity. A request that may be repeated is retried on another server, any other request is not.
 func TestPolicyAdmitsChoosesAndRetries(t *testing.T) {
-	view := NewSight([]Server{
-		{ID: "a", Takes: true, Capacity: 1, Speed: 1, Cores: 1},
-		{ID: "b", Takes: true, Capacity: 3, Speed: 3, Cores: 3},
-		{ID: "full", Takes: true, Capacity: 1, Speed: 1, Held: 9, Cores: 1},
+	view := NewFleetView([]Server{
+		{ID: "a", Accepts: true, Capacity: 1, Speed: 1, Cores: 1},
+		{ID: "b", Accepts: true, Capacity: 3, Speed: 3, Cores: 3},
+		{ID: "full", Accepts: true, Capacity: 1, Speed: 1, Held: 9, Cores: 1},
 		{ID: "silent", Capacity: 100, Speed: 100, Cores: 1},
 	}, 7)
 	settings := balancer.Settings{Limits: balancer.Limits{MaxAttempts: 3}, Classes: []balancer.Class{
 		{Name: "consult", LatencyObjective: time.Second}, {Name: "rezervare", LatencyObjective: time.Second, Idempotency: balancer.NotIdempotent},
 	}}
-	p := New(settings, 100*time.Millisecond, 1, func() *Sight { return view })
+	p := New(settings, 100*time.Millisecond, 1, func() *FleetView { return view })
 	var list balancer.ServerListUpdate
 	for _, id := range []string{"a", "b", "full", "silent"} {
 		list.Servers = append(list.Servers, balancer.Server{ID: id})
--- a/internal/rehearsal/live/bench.go
+++ b/internal/rehearsal/live/bench.go
@@ -24,13 +24,13 @@
 
 // BenchOptions configures a benchmark of the agent's own cost.
 type BenchOptions struct {
-	Programs []string      // paths of the agent programs to measure
-	Rounds   int           // number of measurements of each subject
-	Self     []string      // command line that runs RunPart; its arguments are appended
-	Conns    int           // number of persistent client connections
-	Servers  int           // number of upstream servers, stand-ins that answer immediately
-	Length   time.Duration // duration of each measurement
-	Rates    []float64     // in requests per second; empty: 1/4, 1/2 and 3/4 of the first subject's maximum
+	Programs    []string      // paths of the agent programs to measure
+	Rounds      int           // number of measurements of each subject
+	PartCommand []string      // command line that runs RunPart; its arguments are appended
+	Conns       int           // number of persistent client connections
+	Servers     int           // number of upstream servers, stand-ins that answer immediately
+	Duration    time.Duration // duration of each measurement
+	Rates       []float64     // in requests per second; empty: 1/4, 1/2 and 3/4 of the first subject's maximum
 }
 
 // Cost is the measured cost of one subject between the client and the upstream servers.
@@ -85,7 +85,7 @@
 	defer spawn.Close()
 	var servers []string
 	for range o.Servers {
-		server, err := standin.ListenQuick("127.0.0.1:0")
+		server, err := standin.ListenInstantServer("127.0.0.1:0")
 		if err != nil {
 			return nil, err
 		}
@@ -94,7 +94,7 @@
 	}
 	var subjects []benchSubject
 	for _, name := range o.Programs {
-		path, err := program.Find(name)
+		path, err := program.FindAgent(name)
 		if err != nil {
 			return nil, err
 		}
@@ -104,10 +104,10 @@
 	}
 	subjects = append(subjects, []benchSubject{
 		{"reverse proxy", func(addr string) (*exec.Cmd, io.Closer, error) {
-			return benchPart(o.Self, PartProxy, addr, servers), nil, nil
+			return benchPart(o.PartCommand, PartProxy, addr, servers), nil, nil
 		}},
 		{"copier", func(addr string) (*exec.Cmd, io.Closer, error) {
-			return benchPart(o.Self, PartCopier, addr, servers), nil, nil
+			return benchPart(o.PartCommand, PartCopier, addr, servers), nil, nil
 		}},
 		{"nothing between", nil},
 	}...)
@@ -181,7 +181,7 @@
 		return c, err
 	}
 	before := cpuSeconds(cmd)
-	if c.Saturated, err = l.saturate(o.Length); err != nil {
+	if c.Saturated, err = l.saturate(o.Duration); err != nil {
 		return c, err
 	}
 	c.CPUSeconds = cpuSeconds(cmd) - before
@@ -190,7 +190,7 @@
 			c.Saturated.PerSecond() * 3 / 4}
 	}
 	for i, rate := range bench.Rates {
-		load, err := l.runSchedule(Schedule(uint64(i+1), rate, o.Length))
+		load, err := l.runSchedule(Schedule(uint64(i+1), rate, o.Duration))
 		if err != nil {
 			return c, err
 		}
@@ -208,7 +208,7 @@
 // benchAgent returns the command of an agent with one request class and an endpoint list that never changes.
 // The closer ends its discovery stand-in and releases the configuration file.
 func benchAgent(path, addr string, servers []string) (*exec.Cmd, io.Closer, error) {
-	d, err := standin.ListenDiscovery("127.0.0.1:0", watchKeepalive, func(c *standin.Call) { c.Begin(200) },
+	d, err := standin.ListenDiscovery("127.0.0.1:0", watchKeepalive, func(c *standin.Call) { c.WriteStatus(200) },
 		func(*standin.Call) {})
 	if err != nil {
 		return nil, nil, err
@@ -238,12 +238,12 @@
 			},
 		},
 	}
-	config := program.Line(program.Object{
+	config := program.JSON(program.Object{
 		"name": "n0", "listen": addr, "discovery": d.Addr,
 		"seed":     "8c1f30d27a5be964",
 		"limits":   program.Object{"cores": 1, "memory_mb": 192, "sockets": 1024},
 		"known":    program.Object{"version": 1, "full": true, "servers": entries},
-		"settings": program.SettingsObject(set),
+		"settings": program.ConfigObject(set),
 	})
 	file, err := program.MemoryFile("config", config)
 	if err != nil {
--- a/internal/rehearsal/live/benchload.go
+++ b/internal/rehearsal/live/benchload.go
@@ -40,12 +40,12 @@
 
 // LoadBench is the result of running the load generator of a live scenario run by itself.
 type LoadBench struct {
-	PerS     float64 // answered requests per second
-	Asked    int     // requests sent
-	Answered int     // requests answered
-	Late     world.Lateness
-	CPUS     float64 // CPU time of the load generator, in seconds
-	Cores    int
+	AnsweredPerSecond float64 // answered requests per second
+	Sent              int     // requests sent
+	Answered          int     // requests answered
+	Lateness          world.Lateness
+	CPUSeconds        float64 // CPU time of the load generator, in seconds
+	Cores             int
 }
 
 // RunLoadBench sends the clients' requests of a live scenario run to stand-ins that answer immediately,
@@ -65,7 +65,7 @@
 	defer env.Close()
 	w := &quickWire{wire: wire{set: set, env: env}}
 	for i := range set.Agents.Count {
-		server, err := standin.ListenQuick(addresses{os.Getpid()}.agent(i) + ":0")
+		server, err := standin.ListenInstantServer(addresses{os.Getpid()}.agent(i) + ":0")
 		if err != nil {
 			return nil, err
 		}
@@ -76,8 +76,8 @@
 	err = env.Play(ctx, w)
 	elapsed := time.Since(start)
 	return &LoadBench{
-		PerS: float64(counter.answered) / min(elapsed, length).Seconds(), Asked: counter.requests,
-		Answered: counter.answered, Late: env.Late(), CPUS: (kitCPUTime() - cpuBefore).Seconds(), Cores: cores,
+		AnsweredPerSecond: float64(counter.answered) / min(elapsed, length).Seconds(), Sent: counter.requests,
+		Answered: counter.answered, Lateness: env.Lateness(), CPUSeconds: (kitCPUTime() - cpuBefore).Seconds(), Cores: cores,
 	}, err
 }
 
@@ -96,8 +96,8 @@
 // requestCounter counts requests and answers.
 type requestCounter struct{ requests, answered int }
 
-// Begin implements record.Sink.
-func (c *requestCounter) Begin(record.Day) {}
+// Accept implements record.Sink.
+func (c *requestCounter) Begin(record.Run) {}
 
 // Server implements record.Sink.
 func (c *requestCounter) Server(int, record.Server) {}
@@ -105,7 +105,7 @@
 // Take implements record.Sink.
 func (c *requestCounter) Take(e *record.Event) {
 	switch e.Kind {
-	case record.Asked:
+	case record.RequestReceived:
 		c.requests++
 	case record.Answered:
 		c.answered++
--- a/internal/rehearsal/live/live.go
+++ b/internal/rehearsal/live/live.go
@@ -44,7 +44,7 @@
 // and is returned with the context's error; with any other error there is no report. All processes and
 // sockets are closed on return.
 func Play(ctx context.Context, set *scenario.Scenario, o Options) (_ *report.Report, err error) {
-	path, err := program.Find(o.Program)
+	path, err := program.FindAgent(o.Program)
 	if err != nil {
 		return nil, err
 	}
@@ -63,7 +63,7 @@
 	spawn := program.NewSpawner()
 	defer spawn.Close()
 	agents, err := newAgents(set, path, spawn, func(agent, text string) {
-		events.Read(o.Lanes, max(time.Since(env.Zero()), 0), agent, text)
+		events.AddLine(o.Lanes, max(time.Since(env.Zero()), 0), agent, text)
 		if o.Log != nil {
 			o.Log(agent, text)
 		}
@@ -95,7 +95,7 @@
 	result.SetTimeline(events)
 	result.CutShort = err != nil
 	result.Live = &report.Live{Plan: planPart(plan),
-		Measured: measured(o.Program, env.Late(), kitCPU, set, agents)}
+		Measured: measured(o.Program, env.Lateness(), kitCPU, set, agents)}
 	result.Passed = result.Passed && result.Judged() && !result.CutShort
 	for _, a := range result.Live.Measured.Agents {
 		result.Passed = result.Passed && len(a.Problems) == 0
@@ -108,8 +108,8 @@
 ) {
 	for i := range set.Agents.Count {
 		a := &program.Agent{
-			Name: fmt.Sprint("n", i), Program: path, Sockets: set.Agents.Sockets, Spawn: spawn,
-			Log: log, Look: usageSamplePeriod * time.Duration(max(set.Agents.Count/agentsPerSamplePeriod, 1)),
+			Name: fmt.Sprint("n", i), Program: path, MaxSockets: set.Agents.Sockets, Spawner: spawn,
+			Log: log, MeasureInterval: usageSamplePeriod * time.Duration(max(set.Agents.Count/agentsPerSamplePeriod, 1)),
 		}
 		if a.Addr, err = program.FreeAddr(addresses{os.Getpid()}.agent(i)); err != nil {
 			return nil, err
@@ -126,13 +126,13 @@
 
 // agentUsage returns the resources that an agent used over all its runs, and the problems found.
 func agentUsage(a *program.Agent, set *scenario.Scenario) report.AgentUsage {
-	u, memory := a.Used(), set.Agents.MemoryMB
+	u, memory := a.TotalUsage(), set.Agents.MemoryMB
 	if u.PeakMB > float64(memory) {
 		u.Problems = append(u.Problems, fmt.Sprintf("used %.1f MB of %d", u.PeakMB, memory))
 	}
 	return report.AgentUsage{
 		Name: a.Name, Starts: u.Starts, PeakMB: u.PeakMB, LimitMB: memory,
-		Descriptors: u.Descriptors, Limit: set.Agents.Sockets + program.SpareDescriptors, CPUS: u.CPUS,
+		Descriptors: u.Descriptors, Limit: set.Agents.Sockets + program.SpareDescriptors, CPUS: u.CPUSeconds,
 		Problems: u.Problems,
 	}
 }
@@ -140,9 +140,9 @@
 // checkPlayable returns an error if the scenario cannot run live or needs more file descriptors than this
 // process may have.
 func checkPlayable(set *scenario.Scenario) error {
-	for i, t := range set.Troubles {
+	for i, t := range set.Faults {
 		switch t.Kind {
-		case scenario.TakenOut, scenario.SentAway, scenario.Upgraded, scenario.Window:
+		case scenario.ServersTakenOut, scenario.ClientsRedirected, scenario.AgentsUpgraded, scenario.Window:
 			return fmt.Errorf("trouble %d: kind %q is not supported in live runs", i+1, t.Kind)
 		}
 	}
@@ -162,7 +162,7 @@
 // that the agents may open.
 func descriptorsNeeded(set *scenario.Scenario) uint64 {
 	servers := set.Fleet.Servers
-	for _, t := range set.Troubles {
+	for _, t := range set.Faults {
 		if t.Kind == scenario.Deploy {
 			servers += int(t.Part.High*float64(set.Fleet.Servers)) + 1
 		}
@@ -178,7 +178,7 @@
 		Arrivals: len(p.Arrivals), Digest: hex.EncodeToString(digest.Sum(nil)),
 		Troubles: []report.PlanTrouble{},
 	}
-	for _, t := range p.Troubles {
+	for _, t := range p.Faults {
 		part.Troubles = append(part.Troubles, report.PlanTrouble{
 			Kind: string(t.Kind), AtS: t.At.Seconds(),
 			ForS: t.For.Seconds(),
@@ -190,7 +190,7 @@
 // WritePlan writes a plan as text, one line for each fault and for each client request except retries. The
 // output is byte for byte the same for the same scenario and seed.
 func WritePlan(w io.Writer, p *world.Plan) error {
-	for _, t := range p.Troubles {
+	for _, t := range p.Faults {
 		if _, err := fmt.Fprintf(w, "trouble %s at %v for %v part %g size %g\n", t.Kind, t.At, t.For, t.Part,
 			t.Size); err != nil {
 			return err
@@ -208,11 +208,11 @@
 func measured(path string, late world.Lateness, kit time.Duration, set *scenario.Scenario,
 	agents []*program.Agent,
 ) report.Measured {
-	h := late.Happenings
+	h := late.Events
 	m := report.Measured{Program: path, Cores: runtime.NumCPU(), Kit: report.Kit{
 		P50US: h.ValueAtQuantile(50),
-		P99US: h.ValueAtQuantile(99), P999US: h.ValueAtQuantile(99.9), MaxMS: late.Most.Seconds() * 1000,
-		MaxAtS: late.MostAt.Seconds(), CPUS: kit.Seconds(),
+		P99US: h.ValueAtQuantile(99), P999US: h.ValueAtQuantile(99.9), MaxMS: late.Max.Seconds() * 1000,
+		MaxAtS: late.MaxAt.Seconds(), CPUS: kit.Seconds(),
 	}}
 	for _, a := range agents {
 		m.Agents = append(m.Agents, agentUsage(a, set))
@@ -220,9 +220,9 @@
 	switch p99 := time.Duration(m.Kit.P99US) * time.Microsecond; {
 	case p99 > maxLatenessP99:
 		m.NotJudged = fmt.Sprintf("the kit itself was late by %v at the 99th percentile", p99)
-	case late.Most > maxLateness:
-		m.NotJudged = fmt.Sprintf("the kit itself was late by %v at %.1f s", late.Most.Round(time.Millisecond),
-			late.MostAt.Seconds())
+	case late.Max > maxLateness:
+		m.NotJudged = fmt.Sprintf("the kit itself was late by %v at %.1f s", late.Max.Round(time.Millisecond),
+			late.MaxAt.Seconds())
 	}
 	return m
 }
--- a/internal/rehearsal/live/live_test.go
+++ b/internal/rehearsal/live/live_test.go
@@ -43,7 +43,7 @@
 
 // shortScenario returns a scenario of a few seconds with the given faults.
 func shortScenario(t testing.TB, seconds int, agents int, troubles ...string) *scenario.Scenario {
-	require.NoError(t, program.Sources())
+	require.NoError(t, program.DependOnSources())
 	text := fmt.Sprintf(`schema = 1
 name = "short"
 floor = 0.1
@@ -130,9 +130,9 @@
 	require.NoError(t, err)
 	requireRulesKept(t, r)
 	require.Equal(t, r.Live.Plan.Arrivals, r.Counts.FirstTries)
-	require.Len(t, r.Spells, len(set.Troubles))
+	require.Len(t, r.Faults, len(set.Faults))
 	faults := slices.DeleteFunc(slices.Clone(r.Timeline), func(m report.Mark) bool { return m.Lane != timeline.Faults })
-	require.Len(t, faults, 2*len(set.Troubles), "each fault's beginning and end")
+	require.Len(t, faults, 2*len(set.Faults), "each fault's beginning and end")
 	for i, a := range r.Live.Measured.Agents {
 		require.Empty(t, a.Problems)
 		require.Positive(t, a.PeakMB)
@@ -148,7 +148,7 @@
 // Faults of the upstream responses, one after another, make no agent break a rule.
 func TestUpstreamResponseFaultsBreakNoRule(t *testing.T) {
 	var troubles []string
-	for i, f := range scenario.Faults {
+	for i, f := range scenario.AnswerFaults {
 		troubles = append(troubles, fmt.Sprintf(`kind = "on_wire"; at_s = %g; for_s = 0.3; part = 0.3; size = 0.2; fault = "%s"`,
 			0.2+0.35*float64(i), f))
 	}
--- a/internal/rehearsal/live/wire.go
+++ b/internal/rehearsal/live/wire.go
@@ -40,8 +40,8 @@
 type addresses struct{ pid int }
 
 // agent returns the IP address of an agent; standins returns that of its stand-ins.
-func (a addresses) agent(agent int) string    { return program.OwnIP(a.pid, agent) }
-func (a addresses) standins(agent int) string { return program.RoundIP(a.pid, agent) }
+func (a addresses) agent(agent int) string    { return program.AgentIP(a.pid, agent) }
+func (a addresses) standins(agent int) string { return program.StandInIP(a.pid, agent) }
 
 // agentStandins is an agent with its stand-ins.
 type agentStandins struct {
@@ -59,8 +59,8 @@
 		w.agents = append(w.agents, s)
 		var err error
 		s.discovery, err = standin.ListenDiscovery(ips.standins(i)+":0", watchKeepalive,
-			func(c *standin.Call) { c.Handle = env.Called(i, c.Watch, c.From, &discoveryCall{c, w, s}) },
-			func(c *standin.Call) { env.Uncalled(c.Handle.(*world.Call)) })
+			func(c *standin.Call) { c.Handle = env.CallStarted(i, c.Watch, c.From, &discoveryCall{c, w, s}) },
+			func(c *standin.Call) { env.CallCanceled(c.Handle.(*world.Call)) })
 		if err != nil {
 			w.close()
 			return nil, err
@@ -74,7 +74,7 @@
 		addrs = append(addrs, netip.MustParseAddrPort(a.Addr))
 	}
 	var err error
-	if w.peers, err = standin.ListenPeers(ips.standins(0), addrs, env.Told); err != nil {
+	if w.peers, err = standin.ListenPeers(ips.standins(0), addrs, env.DatagramSent); err != nil {
 		w.close()
 		return nil, err
 	}
@@ -107,12 +107,12 @@
 			continue
 		}
 		server, err := standin.Listen(w.ips.standins(s.number)+":0", standin.Events{
-			Opened: func(c *standin.Conn) { c.Handle = w.env.Connected(s.number, addr, upstreamConn{c}) },
-			Came: func(c *standin.Conn, r *http.Request, _ []byte) {
+			ConnectionOpened: func(c *standin.Conn) { c.Handle = w.env.Connected(s.number, addr, upstreamConn{c}) },
+			RequestReceived: func(c *standin.Conn, r *http.Request, _ []byte) {
 				requestID, timeLeft := parseAttempt(r)
-				w.env.Sent(c.Handle.(*world.Conn), requestID, timeLeft)
+				w.env.AttemptArrived(c.Handle.(*world.Conn), requestID, timeLeft)
 			},
-			Ended: func(c *standin.Conn) { w.env.Disconnected(c.Handle.(*world.Conn)) },
+			ConnectionEnded: func(c *standin.Conn) { w.env.Disconnected(c.Handle.(*world.Conn)) },
 		})
 		if err != nil {
 			return fmt.Errorf("upstream server socket: %w", err)
@@ -138,12 +138,12 @@
 	server := w.agents[agent].servers[addr]
 	var err error
 	switch state {
-	case world.Open:
-		err = server.Accept()
-	case world.Shut:
-		server.Refuse()
-	case world.Mute:
-		err = server.Mute()
+	case world.Accept:
+		err = server.AcceptConnections()
+	case world.Refuse:
+		server.RefuseConnections()
+	case world.Ignore:
+		err = server.IgnoreConnections()
 	}
 	if err != nil {
 		w.env.Fail(err)
@@ -160,12 +160,12 @@
 	world.AnswerServed:      {Status: http.StatusOK},
 	world.AnswerError:       {Status: http.StatusInternalServerError},
 	world.AnswerUnprocessed: {Status: http.StatusServiceUnavailable, Headers: "X-Unprocessed: 1\r\n"},
-	world.AnswerSpoilt:      {Status: http.StatusOK},
+	world.AnswerUnreadable:  {Status: http.StatusOK},
 }
 
 func (c upstreamConn) Answer(a world.Answer) {
 	r, fault := replies[a.Kind], a.Fault
-	if r.Body = answerBody(a.Op, a.Attempt); a.Kind == world.AnswerSpoilt {
+	if r.Body = answerBody(a.Op, a.Attempt); a.Kind == world.AnswerUnreadable {
 		fault = scenario.Noise
 	}
 	c.conn.Reply(r, fault)
@@ -195,21 +195,21 @@
 	standins *agentStandins
 }
 
-func (c *discoveryCall) Begin() { c.call.Begin(http.StatusOK) }
+func (c *discoveryCall) Accept() { c.call.WriteStatus(http.StatusOK) }
 
-func (c *discoveryCall) Say(config protocol.EndpointList) {
-	c.call.Say(program.Line(program.ListObject(config, c.standins.serverAddr, c.wire.env.StartedMS)))
+func (c *discoveryCall) Send(config protocol.EndpointList) {
+	c.call.WriteLine(program.JSON(program.EndpointsObject(config, c.standins.serverAddr, c.wire.env.StartedMS)))
 }
 
 func (c *discoveryCall) End(bool) { c.call.End() }
 
-func (c *discoveryCall) Silence() { c.call.Silence() }
+func (c *discoveryCall) Silence() { c.call.StopOutput() }
 
 // serverAddr returns the address at which the agent reaches an upstream server.
 func (s *agentStandins) serverAddr(addr netip.AddrPort) string { return s.servers[addr].Addr() }
 
 // Datagram implements world.Wire.
-func (w *wire) Datagram(from, to int, data []byte) { w.peers.Tell(from, to, data) }
+func (w *wire) Datagram(from, to int, data []byte) { w.peers.Send(from, to, data) }
 
 // clientConn is a client's connection to an agent, with its current request.
 type clientConn struct {
@@ -224,35 +224,35 @@
 	return c.requestID
 }
 
-// Ask implements world.Wire.
-func (w *wire) Ask(c *world.FrontConn, q *world.Query) {
+// Send implements world.Wire.
+func (w *wire) Send(c *world.ClientConn, q *world.ClientRequest) {
 	request := requestText(q)
 	if client, ok := c.Handle.(*clientConn); ok {
 		client.mu.Lock()
 		client.requestID = q.Op
 		client.mu.Unlock()
-		client.conn.Ask(request)
+		client.conn.Send(request)
 		return
 	}
 	client := &clientConn{requestID: q.Op}
 	c.Handle = client
 	client.conn = standin.Dial(w.agents[q.Agent].agent.Addr, request,
 		func(r *http.Response, body []byte) { w.env.Answered(c, parseFinal(r, body, client.currentRequest())) },
-		func(unread bool) { w.env.Lost(c, unread) })
+		func(unread bool) { w.env.ClientConnLost(c, unread) })
 }
 
-// HangUp implements world.Wire.
-func (w *wire) HangUp(c *world.FrontConn) {
+// CloseConn implements world.Wire.
+func (w *wire) CloseConn(c *world.ClientConn) {
 	if client, ok := c.Handle.(*clientConn); ok {
 		client.conn.Close()
 	}
 }
 
 // requestText encodes a client's request as HTTP.
-func requestText(q *world.Query) []byte {
+func requestText(q *world.ClientRequest) []byte {
 	b := make([]byte, 0, 400)
 	method := "GET /"
-	if q.Update {
+	if q.IsUpdate {
 		method = "POST /"
 	}
 	b = append(append(append(b, method...), q.Class...), "/book HTTP/1.1\r\nHost: backend.local\r\n"...)
@@ -263,10 +263,10 @@
 	if q.Key != "" {
 		b = append(append(append(b, "Cookie: sid="...), q.Key...), "\r\n"...)
 	}
-	if q.Repeat {
+	if q.IsRetry {
 		b = append(b, "X-Repeat: 1\r\n"...)
 	}
-	if q.Update {
+	if q.IsUpdate {
 		b = fmt.Appendf(b, "Content-Type: text/plain\r\nContent-Length: %d\r\n\r\n%s", len(requestBody),
 			requestBody)
 		return b
@@ -275,8 +275,8 @@
 }
 
 // parseFinal converts an agent's response to a request into the world's form.
-func parseFinal(r *http.Response, body []byte, requestID uint32) world.Final {
-	answer := world.Final{Answer: record.Failed, Attempt: -1, Closes: r.Close}
+func parseFinal(r *http.Response, body []byte, requestID uint32) world.FinalAnswer {
+	answer := world.FinalAnswer{Answer: record.Failed, Attempt: -1, Closes: r.Close}
 	switch r.StatusCode {
 	case http.StatusOK:
 		answer.Answer, answer.Attempt = record.Served, parseAnswerBody(body, requestID)
@@ -284,7 +284,7 @@
 		answer.Answer = record.Refused
 		seconds, err := strconv.ParseFloat(strings.TrimSpace(r.Header.Get("Retry-After")), 64)
 		if err == nil && seconds > 0 {
-			answer.After = time.Duration(seconds * float64(time.Second))
+			answer.RetryAfter = time.Duration(seconds * float64(time.Second))
 		}
 	}
 	return answer
@@ -301,14 +301,14 @@
 			"cores": w.set.Agents.Cores, "memory_mb": w.set.Agents.MemoryMB,
 			"sockets": w.set.Agents.Sockets,
 		},
-		"known":    program.ListObject(known, s.serverAddr, w.env.StartedMS),
-		"settings": program.SettingsObject(settings),
+		"known":    program.EndpointsObject(known, s.serverAddr, w.env.StartedMS),
+		"settings": program.ConfigObject(settings),
 	}
 	if w.peers != nil {
 		config["peer_listen"] = s.agent.Addr
 		config["peers"], config["peers_all"] = w.peers.Addrs(number)
 	}
-	text := program.Line(config)
+	text := program.JSON(config)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.closing {
@@ -324,7 +324,7 @@
 		w.env.AgentEnded(s.number, run, unexpected)
 	})
 	if err == nil {
-		ready = p.Ready()
+		ready = p.WaitReady()
 	}
 	switch {
 	case err != nil:
@@ -332,7 +332,7 @@
 	case ready:
 		w.env.AgentReady(s.number, run)
 	case run == 1:
-		w.env.Fail(fmt.Errorf("agent %s ended before it was ready:\n%s", s.agent.Name, s.agent.LastWords()))
+		w.env.Fail(fmt.Errorf("agent %s ended before it was ready:\n%s", s.agent.Name, s.agent.LastLogLines()))
 	}
 }
 
@@ -364,12 +364,12 @@
 	}
 }
 
-// Hinder implements world.Wire.
-func (w *wire) Hinder(number int, fault scenario.Fault, on bool) {
-	stream := w.agents[number].discovery.Way()
+// SetStreamFault implements world.Wire.
+func (w *wire) SetStreamFault(number int, fault scenario.ConnFault, on bool) {
+	stream := w.agents[number].discovery.Link()
 	if on {
-		stream.Begin(fault)
+		stream.BeginFault(fault)
 	} else {
-		stream.End(fault)
+		stream.EndFault(fault)
 	}
 }
--- a/internal/rehearsal/mishap/mishap.go
+++ b/internal/rehearsal/mishap/mishap.go
@@ -24,39 +24,39 @@
 	Loss      float64
 }
 
-// Way describes the faults of a direction. The zero value has no faults. Shares are from 0 to 1; delays are
-// drawn uniformly for each copy.
-type Way struct {
-	Cut     bool    // drops every datagram
-	Loss    float64 // share of datagrams that are lost, independently of one another
-	Burst   Burst
-	Delay   scenario.TimeSpan // delay of each copy
-	Reorder float64           // share of copies that are held back so that others overtake them
-	Held    scenario.TimeSpan // additional delay of a copy that is held back
-	Double  float64           // share of datagrams delivered twice, with other faults drawn for each copy
-	Flip    float64           // share of copies with up to maxFlips bits flipped
-	Shorten float64           // share of copies that are truncated
+// Impairment describes the faults of a direction. The zero value has no faults. Shares are from 0 to 1;
+// delays are drawn uniformly for each copy.
+type Impairment struct {
+	Cut       bool    // drops every datagram
+	Loss      float64 // share of datagrams that are lost, independently of one another
+	Burst     Burst
+	Delay     scenario.TimeSpan // delay of each copy
+	Reorder   float64           // share of copies that are held back so that others overtake them
+	HoldTime  scenario.TimeSpan // additional delay of a copy that is held back
+	Duplicate float64           // share of datagrams delivered twice, with other faults drawn for each copy
+	Flip      float64           // share of copies with up to maxFlips bits flipped
+	Truncate  float64           // share of copies that are truncated
 }
 
-// Fault applies a Way to the datagrams between some agents.
+// Fault applies a Impairment to the datagrams between some agents.
 type Fault struct {
-	Way
+	Impairment
 	From, To []int // agent numbers, from 0; empty: all
 }
 
 // FromTrouble returns the fault that a scenario's trouble of kind datagrams describes, with its shares and
 // mean times drawn.
-func FromTrouble(t *scenario.Trouble, random *rand.Rand) Fault {
-	return Fault{From: t.From, To: t.To, Way: Way{
+func FromTrouble(t *scenario.FaultSpec, random *rand.Rand) Fault {
+	return Fault{From: t.From, To: t.To, Impairment: Impairment{
 		Cut: t.Cut, Loss: t.Loss.Draw(random),
 		Burst: Burst{Calm: t.Calm.Draw(random), Bad: t.Bad.Draw(random), Loss: t.BurstLoss.Draw(random)},
-		Delay: t.Delay, Reorder: t.Reorder.Draw(random), Held: t.Held, Double: t.Double.Draw(random),
-		Flip: t.Flip.Draw(random), Shorten: t.Shorten.Draw(random),
+		Delay: t.Delay, Reorder: t.Reorder.Draw(random), HoldTime: t.HoldBack, Duplicate: t.Duplicate.Draw(random),
+		Flip: t.Flip.Draw(random), Truncate: t.Shorten.Draw(random),
 	}}
 }
 
 // String lists the faults in words.
-func (w Way) String() string {
+func (w Impairment) String() string {
 	var parts []string
 	add := func(condition bool, format string, args ...any) {
 		if condition {
@@ -67,10 +67,10 @@
 	add(w.Loss > 0, "loses %.3g", w.Loss)
 	add(w.Burst.Loss > 0, "loses %.3g for %v after %v", w.Burst.Loss, w.Burst.Bad, w.Burst.Calm)
 	add(w.Delay.High > 0, "late by %v to %v", w.Delay.Low, w.Delay.High)
-	add(w.Reorder > 0, "holds %.3g back for %v to %v", w.Reorder, w.Held.Low, w.Held.High)
-	add(w.Double > 0, "doubles %.3g", w.Double)
+	add(w.Reorder > 0, "holds %.3g back for %v to %v", w.Reorder, w.HoldTime.Low, w.HoldTime.High)
+	add(w.Duplicate > 0, "doubles %.3g", w.Duplicate)
 	add(w.Flip > 0, "flips bits in %.3g", w.Flip)
-	add(w.Shorten > 0, "shortens %.3g", w.Shorten)
+	add(w.Truncate > 0, "shortens %.3g", w.Truncate)
 	return strings.Join(parts, ", ")
 }
 
@@ -92,15 +92,15 @@
 		{"loss", f.Loss},
 		{"loss in bursts", f.Burst.Loss},
 		{"reorder", f.Reorder},
-		{"double", f.Double},
+		{"double", f.Duplicate},
 		{"flip", f.Flip},
-		{"shorten", f.Shorten},
+		{"shorten", f.Truncate},
 	} {
 		if !(s.share >= 0 && s.share <= 1) {
 			return fmt.Errorf("mishap: %s is %v; allowed: 0 to 1", s.name, s.share)
 		}
 	}
-	for _, s := range []scenario.TimeSpan{f.Delay, f.Held} {
+	for _, s := range []scenario.TimeSpan{f.Delay, f.HoldTime} {
 		if s.Low < 0 || s.High < s.Low || s.High > maxDelay {
 			return fmt.Errorf("mishap: a delay from %v to %v; allowed: 0 to %v", s.Low, s.High, maxDelay)
 		}
@@ -120,27 +120,27 @@
 	return (len(f.From) == 0 || slices.Contains(f.From, from)) && (len(f.To) == 0 || slices.Contains(f.To, to))
 }
 
-// Copy is a datagram to deliver, After later than without faults.
-type Copy struct {
-	After time.Duration
+// Delivery is a datagram to deliver, Delay later than without faults.
+type Delivery struct {
+	Delay time.Duration
 	Data  []byte
 }
 
 // Counts counts the datagrams that were sent while a fault applied to their direction, by what happened to
 // them.
 type Counts struct {
-	Came    int // datagrams sent
-	Cut     int // datagrams dropped by Way.Cut
-	Lost    int // datagrams dropped at random
-	Doubled int // datagrams delivered twice
-	Held    int // copies held back
-	Flipped int // copies with flipped bits
-	Short   int // truncated copies
-	Copies  int // copies to deliver: Came - Cut - Lost + Doubled
+	Sent       int // datagrams sent
+	Cut        int // datagrams dropped by Impairment.Cut
+	Lost       int // datagrams dropped at random
+	Duplicated int // datagrams delivered twice
+	HeldBack   int // copies held back
+	Flipped    int // copies with flipped bits
+	Truncated  int // truncated copies
+	Copies     int // copies to deliver: Sent - Cut - Lost + Duplicated
 }
 
-// Net is the network between the agents. It is not safe for concurrent use.
-type Net struct {
+// Network is the network between the agents. It is not safe for concurrent use.
+type Network struct {
 	seed       uint64
 	agents     int
 	lastID     int
@@ -171,13 +171,13 @@
 }
 
 // New returns a network without faults between the given number of agents.
-func New(seed uint64, agents int) *Net {
-	return &Net{seed: seed, agents: agents, states: map[direction]*directionState{}}
+func New(seed uint64, agents int) *Network {
+	return &Network{seed: seed, agents: agents, states: map[direction]*directionState{}}
 }
 
 // Begin adds a fault to the network and returns the ID with which End removes it. Concurrent faults combine:
 // losses as independent events, delays by addition. The error is that of Fault.Check.
-func (n *Net) Begin(f Fault) (id int, err error) {
+func (n *Network) Begin(f Fault) (id int, err error) {
 	if err := f.Check(n.agents); err != nil {
 		return 0, err
 	}
@@ -187,7 +187,7 @@
 }
 
 // End removes a fault. An unknown ID is ignored.
-func (n *Net) End(id int) {
+func (n *Network) End(id int) {
 	n.active = slices.DeleteFunc(n.active, func(a activeFault) bool { return a.id == id })
 	if len(n.active) == 0 { // makes later faults independent of the datagrams sent before
 		clear(n.states)
@@ -196,12 +196,12 @@
 }
 
 // Counts returns the counts so far.
-func (n *Net) Counts() Counts { return n.counts }
+func (n *Network) Counts() Counts { return n.counts }
 
-// Pass applies the faults to a datagram that one agent sends to another at time now, and returns the copies
-// to deliver: none, one or two. It does not change data; unchanged copies share it.
-func (n *Net) Pass(now time.Duration, from, to int, data []byte) []Copy {
-	faults, applies := Way{}, false
+// Transmit applies the faults to a datagram that one agent sends to another at time now, and returns the
+// copies to deliver: none, one or two. It does not change data; unchanged copies share it.
+func (n *Network) Transmit(now time.Duration, from, to int, data []byte) []Delivery {
+	faults, applies := Impairment{}, false
 	var state *directionState
 	for i := range n.active {
 		a := &n.active[i]
@@ -211,27 +211,27 @@
 		if !applies {
 			applies, state = true, n.state(direction{int32(from), int32(to)})
 		}
-		faults.add(a.Way)
+		faults.add(a.Impairment)
 		if a.Burst.Loss > 0 && state.inLossBurst(now, a, n.newRand(from, to, uint64(a.id)<<32|state.datagrams)) {
 			faults.Loss = eitherProbability(faults.Loss, a.Burst.Loss)
 		}
 	}
 	if !applies {
-		return []Copy{{Data: data}}
+		return []Delivery{{Data: data}}
 	}
 	state.datagrams++
-	n.counts.Came++
+	n.counts.Sent++
 	return n.deliveries(&faults, n.newRand(from, to, state.datagrams), data)
 }
 
 // newRand returns the random source of one datagram of a direction, independent of draws for other datagrams.
-func (n *Net) newRand(from, to int, nth uint64) *rand.Rand {
+func (n *Network) newRand(from, to int, nth uint64) *rand.Rand {
 	return rand.New(rand.NewPCG(n.seed+n.generation<<48, mix(uint64(from)<<32|uint64(uint32(to)))^mix(nth)))
 }
 
 // deliveries draws the faults of a datagram. All values are drawn, used or not, in a fixed order.
-func (n *Net) deliveries(faults *Way, random *rand.Rand, data []byte) []Copy {
-	lost, doubled := random.Float64() < faults.Loss, random.Float64() < faults.Double
+func (n *Network) deliveries(faults *Impairment, random *rand.Rand, data []byte) []Delivery {
+	lost, doubled := random.Float64() < faults.Loss, random.Float64() < faults.Duplicate
 	switch {
 	case faults.Cut:
 		n.counts.Cut++
@@ -240,9 +240,9 @@
 		n.counts.Lost++
 		return nil
 	}
-	out := make([]Copy, 1, 2)
+	out := make([]Delivery, 1, 2)
 	if doubled {
-		n.counts.Doubled++
+		n.counts.Duplicated++
 		out = out[:2]
 	}
 	for i := range out {
@@ -252,16 +252,16 @@
 	return out
 }
 
-func (n *Net) delivery(faults *Way, random *rand.Rand, data []byte) Copy {
-	c := Copy{After: faults.Delay.Draw(random), Data: data}
-	held, holdTime := random.Float64() < faults.Reorder, faults.Held.Draw(random)
-	flip, shorten := random.Float64() < faults.Flip, random.Float64() < faults.Shorten
+func (n *Network) delivery(faults *Impairment, random *rand.Rand, data []byte) Delivery {
+	c := Delivery{Delay: faults.Delay.Draw(random), Data: data}
+	held, holdTime := random.Float64() < faults.Reorder, faults.HoldTime.Draw(random)
+	flip, shorten := random.Float64() < faults.Flip, random.Float64() < faults.Truncate
 	if held {
-		n.counts.Held++
-		c.After += holdTime
+		n.counts.HeldBack++
+		c.Delay += holdTime
 	}
 	if shorten && len(data) > 0 {
-		n.counts.Short++
+		n.counts.Truncated++
 		c.Data = data[:random.IntN(len(data)):len(data)]
 	}
 	if flip && len(c.Data) > 0 {
@@ -279,7 +279,7 @@
 }
 
 // state returns the stored state of a direction and creates it if necessary.
-func (n *Net) state(d direction) *directionState {
+func (n *Network) state(d direction) *directionState {
 	s := n.states[d]
 	if s == nil {
 		if len(n.states) >= maxDirections {
@@ -317,14 +317,14 @@
 }
 
 // add combines w with the faults of v.
-func (w *Way) add(v Way) {
+func (w *Impairment) add(v Impairment) {
 	w.Cut = w.Cut || v.Cut
-	w.Loss, w.Double = eitherProbability(w.Loss, v.Loss), eitherProbability(w.Double, v.Double)
-	w.Flip, w.Shorten = eitherProbability(w.Flip, v.Flip), eitherProbability(w.Shorten, v.Shorten)
+	w.Loss, w.Duplicate = eitherProbability(w.Loss, v.Loss), eitherProbability(w.Duplicate, v.Duplicate)
+	w.Flip, w.Truncate = eitherProbability(w.Flip, v.Flip), eitherProbability(w.Truncate, v.Truncate)
 	w.Delay.Low, w.Delay.High = w.Delay.Low+v.Delay.Low, w.Delay.High+v.Delay.High
 	if v.Reorder > 0 { // if both hold copies back, the longer range applies
 		w.Reorder = eitherProbability(w.Reorder, v.Reorder)
-		w.Held.Low, w.Held.High = max(w.Held.Low, v.Held.Low), max(w.Held.High, v.Held.High)
+		w.HoldTime.Low, w.HoldTime.High = max(w.HoldTime.Low, v.HoldTime.Low), max(w.HoldTime.High, v.HoldTime.High)
 	}
 }
 
--- a/internal/rehearsal/mishap/mishap_test.go
+++ b/internal/rehearsal/mishap/mishap_test.go
@@ -18,7 +18,7 @@
 	return scenario.TimeSpan{Low: low, High: high}
 }
 
-func begin(t require.TestingT, n *Net, f Fault) int {
+func begin(t require.TestingT, n *Network, f Fault) int {
 	id, err := n.Begin(f)
 	require.NoError(t, err)
 	return id
@@ -41,9 +41,9 @@
 			low := time.Duration(rapid.IntRange(0, 50).Draw(t, name)) * ms
 			return delayRange(low, low+time.Duration(rapid.IntRange(0, 50).Draw(t, name))*ms)
 		}
-		w := Way{
+		w := Impairment{
 			Cut: rapid.Bool().Draw(t, "cut"), Loss: share("loss"), Delay: span("delay"), Reorder: share("reorder"),
-			Held: span("held"), Double: share("double"), Flip: share("flip"), Shorten: share("shorten"),
+			HoldTime: span("held"), Duplicate: share("double"), Flip: share("flip"), Truncate: share("shorten"),
 			Burst: Burst{Calm: 20 * ms, Bad: 10 * ms, Loss: share("burst")},
 		}
 		from := rapid.SampledFrom([][]int{nil, {0}, {1, 2}}).Draw(t, "from")
@@ -57,12 +57,12 @@
 				bytes.Repeat([]byte{0x5a}, rapid.IntRange(0, 40).Draw(t, "length")),
 			})
 		}
-		run := func(only int) (out [][]Copy, c Counts) {
+		run := func(only int) (out [][]Delivery, c Counts) {
 			n := New(seed, 3)
-			begin(t, n, Fault{Way: w, From: from})
+			begin(t, n, Fault{Impairment: w, From: from})
 			for _, s := range datagrams {
 				if only < 0 || s.from == only {
-					out = append(out, n.Pass(s.at, s.from, s.to, s.data))
+					out = append(out, n.Transmit(s.at, s.from, s.to, s.data))
 				}
 			}
 			return out, n.Counts()
@@ -72,13 +72,13 @@
 		require.Equal(t, first, again)
 		f := Fault{From: from}
 		copies, sent := 0, 0
-		var fromOne [][]Copy
+		var fromOne [][]Delivery
 		for i, s := range datagrams {
 			if s.from == 1 {
 				fromOne = append(fromOne, first[i])
 			}
 			if !f.appliesTo(s.from, s.to) {
-				require.Equal(t, []Copy{{Data: s.data}}, first[i])
+				require.Equal(t, []Delivery{{Data: s.data}}, first[i])
 				continue
 			}
 			sent++
@@ -90,25 +90,25 @@
 		}
 		alone, _ := run(1)
 		require.Equal(t, fromOne, alone)
-		require.Equal(t, sent, counts.Came)
+		require.Equal(t, sent, counts.Sent)
 		require.Equal(t, copies, counts.Copies)
-		require.Equal(t, sent-counts.Cut-counts.Lost+counts.Doubled, copies)
+		require.Equal(t, sent-counts.Cut-counts.Lost+counts.Duplicated, copies)
 		if w.Cut {
 			require.Zero(t, copies)
 		}
 	})
 }
 
-func requireCopy(t *rapid.T, w *Way, data []byte, c Copy) {
+func requireCopy(t *rapid.T, w *Impairment, data []byte, c Delivery) {
 	low, high := w.Delay.Low, w.Delay.High
 	if w.Reorder > 0 {
-		high += w.Held.High
+		high += w.HoldTime.High
 	}
 	if w.Reorder == 1 {
-		low += w.Held.Low
+		low += w.HoldTime.Low
 	}
-	require.True(t, c.After >= low && c.After <= high, "%v", c.After)
-	if w.Shorten == 0 {
+	require.True(t, c.Delay >= low && c.Delay <= high, "%v", c.Delay)
+	if w.Truncate == 0 {
 		require.Len(t, c.Data, len(data))
 	}
 	flipped := 0
@@ -132,36 +132,38 @@
 		n := New(9, 2)
 		begin(t, n, f)
 		for i := range many {
-			n.Pass(time.Duration(i)*ms, 0, 1, []byte("book"))
+			n.Transmit(time.Duration(i)*ms, 0, 1, []byte("book"))
 		}
 		return n.Counts()
 	}
 	for name, c := range map[string]struct {
-		way  Way
+		way  Impairment
 		of   func(Counts) int
 		want float64
 	}{
-		"loss":    {Way{Loss: 0.3}, func(c Counts) int { return c.Lost }, 0.3},
-		"double":  {Way{Double: 0.2}, func(c Counts) int { return c.Doubled }, 0.2},
-		"reorder": {Way{Reorder: 0.1, Held: delayRange(ms, ms)}, func(c Counts) int { return c.Held }, 0.1},
-		"flip":    {Way{Flip: 0.4}, func(c Counts) int { return c.Flipped }, 0.4},
-		"shorten": {Way{Shorten: 0.25}, func(c Counts) int { return c.Short }, 0.25},
+		"loss":    {Impairment{Loss: 0.3}, func(c Counts) int { return c.Lost }, 0.3},
+		"double":  {Impairment{Duplicate: 0.2}, func(c Counts) int { return c.Duplicated }, 0.2},
+		"reorder": {Impairment{Reorder: 0.1, HoldTime: delayRange(ms, ms)}, func(c Counts) int { return c.HeldBack }, 0.1},
+		"flip":    {Impairment{Flip: 0.4}, func(c Counts) int { return c.Flipped }, 0.4},
+		"shorten": {Impairment{Truncate: 0.25}, func(c Counts) int { return c.Truncated }, 0.25},
 		"bursts": {
-			Way{Burst: Burst{Calm: 300 * ms, Bad: 100 * ms, Loss: 0.8}},
+			Impairment{Burst: Burst{Calm: 300 * ms, Bad: 100 * ms, Loss: 0.8}},
 			func(c Counts) int { return c.Lost }, 0.25 * 0.8,
 		},
 	} {
-		t.Run(name, func(t *testing.T) { require.InDelta(t, c.want, float64(c.of(count(Fault{Way: c.way})))/many, 0.03) })
+		t.Run(name, func(t *testing.T) {
+			require.InDelta(t, c.want, float64(c.of(count(Fault{Impairment: c.way})))/many, 0.03)
+		})
 	}
 }
 
 // Burst losses are correlated: after a loss, the next datagram is lost much more often than the average.
 func TestBurstLossesAreCorrelated(t *testing.T) {
 	n := New(3, 2)
-	begin(t, n, Fault{Way: Way{Burst: Burst{Calm: 900 * ms, Bad: 100 * ms, Loss: 1}}})
+	begin(t, n, Fault{Impairment: Impairment{Burst: Burst{Calm: 900 * ms, Bad: 100 * ms, Loss: 1}}})
 	lost, pairs, before := 0, 0, false
 	for i := range 50_000 {
-		isLost := len(n.Pass(time.Duration(i)*10*ms, 0, 1, nil)) == 0
+		isLost := len(n.Transmit(time.Duration(i)*10*ms, 0, 1, nil)) == 0
 		if isLost {
 			lost++
 			if before {
@@ -171,7 +173,7 @@
 		before = isLost
 	}
 	require.InDelta(t, 0.1, float64(lost)/50_000, 0.02)
-	// After 10 ms, exp(-10 ms/90 ms) of the deviation from the mean remains: 0.1 + 0.9 * 0.895.
+	// Delay 10 ms, exp(-10 ms/90 ms) of the deviation from the mean remains: 0.1 + 0.9 * 0.895.
 	require.InDelta(t, 0.905, float64(pairs)/float64(lost), 0.03)
 }
 
@@ -179,15 +181,15 @@
 func TestConcurrentFaultsAddUp(t *testing.T) {
 	n := New(1, 3)
 	delay := func(from, to int) time.Duration {
-		c := n.Pass(0, from, to, []byte("x"))
+		c := n.Transmit(0, from, to, []byte("x"))
 		if len(c) == 0 {
 			return -1
 		}
-		return c[0].After
+		return c[0].Delay
 	}
-	a := begin(t, n, Fault{From: []int{0}, To: []int{1}, Way: Way{Delay: delayRange(ms, ms)}})
-	b := begin(t, n, Fault{From: []int{0}, Way: Way{Delay: delayRange(5*ms, 5*ms)}})
-	c := begin(t, n, Fault{To: []int{2}, Way: Way{Cut: true}})
+	a := begin(t, n, Fault{From: []int{0}, To: []int{1}, Impairment: Impairment{Delay: delayRange(ms, ms)}})
+	b := begin(t, n, Fault{From: []int{0}, Impairment: Impairment{Delay: delayRange(5*ms, 5*ms)}})
+	c := begin(t, n, Fault{To: []int{2}, Impairment: Impairment{Cut: true}})
 	require.Equal(t, []time.Duration{6 * ms, 0, -1, -1}, []time.Duration{delay(0, 1), delay(1, 0), delay(0, 2), delay(1, 2)})
 	n.End(a)
 	n.End(c)
@@ -202,11 +204,11 @@
 	n := New(1, 3)
 	seen := map[[64]bool]bool{}
 	for range 2 {
-		id := begin(t, n, Fault{Way: Way{Loss: 0.5}})
+		id := begin(t, n, Fault{Impairment: Impairment{Loss: 0.5}})
 		for _, way := range [][2]int{{0, 1}, {1, 0}, {0, 2}, {2, 1}} {
 			var lost [64]bool
 			for i := range lost {
-				lost[i] = len(n.Pass(0, way[0], way[1], nil)) == 0
+				lost[i] = len(n.Transmit(0, way[0], way[1], nil)) == 0
 			}
 			seen[lost] = true
 		}
@@ -218,27 +220,27 @@
 func TestCheckRejectsOutOfRangeFaults(t *testing.T) {
 	n := New(1, 2)
 	for want, f := range map[string]Fault{
-		"loss is 1.5":     {Way: Way{Loss: 1.5}},
-		"flip is -1":      {Way: Way{Flip: -1}},
-		"a delay from 2":  {Way: Way{Delay: delayRange(2*ms, ms)}},
-		"allowed: 0 to":   {Way: Way{Held: delayRange(0, time.Hour)}},
+		"loss is 1.5":     {Impairment: Impairment{Loss: 1.5}},
+		"flip is -1":      {Impairment: Impairment{Flip: -1}},
+		"a delay from 2":  {Impairment: Impairment{Delay: delayRange(2*ms, ms)}},
+		"allowed: 0 to":   {Impairment: Impairment{HoldTime: delayRange(0, time.Hour)}},
 		"no agent 2 of 2": {To: []int{2}},
-		"bursts need":     {Way: Way{Burst: Burst{Loss: 0.5, Bad: ms}}},
+		"bursts need":     {Impairment: Impairment{Burst: Burst{Loss: 0.5, Bad: ms}}},
 	} {
 		_, err := n.Begin(f)
 		require.ErrorContains(t, err, want)
 	}
-	require.Equal(t, []Copy{{Data: []byte("x")}}, n.Pass(0, 0, 1, []byte("x")))
+	require.Equal(t, []Delivery{{Data: []byte("x")}}, n.Transmit(0, 0, 1, []byte("x")))
 }
 
 func BenchmarkPass(b *testing.B) {
 	n := New(1, 50)
-	begin(b, n, Fault{Way: Way{
-		Loss: 0.1, Double: 0.1, Reorder: 0.1, Delay: delayRange(ms, 30*ms), Flip: 0.01,
+	begin(b, n, Fault{Impairment: Impairment{
+		Loss: 0.1, Duplicate: 0.1, Reorder: 0.1, Delay: delayRange(ms, 30*ms), Flip: 0.01,
 		Burst: Burst{Calm: time.Second, Bad: 100 * ms, Loss: 0.9},
 	}})
 	data := make([]byte, 256)
 	for i := 0; b.Loop(); i++ {
-		n.Pass(time.Duration(i)*ms, i%50, (i+7)%50, data)
+		n.Transmit(time.Duration(i)*ms, i%50, (i+7)%50, data)
 	}
 }
--- a/internal/rehearsal/record/record.go
+++ b/internal/rehearsal/record/record.go
@@ -8,7 +8,7 @@
 // Sink receives a run as it is played. Calls come from one goroutine in the order of virtual time; events
 // with the same time come in the order in which they took effect.
 type Sink interface {
-	Begin(Day)
+	Begin(Run)
 	// Server announces an upstream server before its first event. Numbers start at 0 and are never reused: a
 	// process that restarts on its machine keeps its number, the successor in a deploy gets a new one.
 	Server(n int, s Server)
@@ -17,8 +17,8 @@
 	End(at time.Duration)
 }
 
-// Day describes a run after its random values have been drawn.
-type Day struct {
+// Run describes a run after its random values have been drawn.
+type Run struct {
 	Agents   []Agent
 	Capacity float64         // of the warmed-up fleet, in seconds of standard work per second
 	RatePerS float64         // drawn mean rate of first tries per second
@@ -26,7 +26,7 @@
 	MeanWork []time.Duration // drawn mean work of each class, in the scenario's order
 }
 
-// Agent describes the agent with the same number in Day.Agents.
+// Agent describes the agent with the same number in Run.Agents.
 type Agent struct{ Name, Zone string }
 
 // Server describes an upstream server.
@@ -41,66 +41,66 @@
 
 // The events. Parentheses list the fields of Event that each one sets besides At.
 const (
-	// Tries of clients. Asked: a running agent has received the last byte of the request (Op, Chain, Try,
-	// Agent, Class, Tenant, Key, Work, and the time that the client will wait). Unreached: no agent received
-	// it (the same fields, Shut). Answered: the client received the last byte of the final answer (Op, Agent,
-	// Answer, After, Attempt: the attempt whose body it is, negative if it came from no server). Lost: the
-	// agent ended the connection without a complete answer (Op, Agent). Left: the client closed its connection
-	// because its time was up or it lost patience (Op, Agent), or it learned that the agent had not read the
-	// request (Unread).
-	Asked Kind = iota
-	Unreached
+	// Tries of clients. RequestReceived: a running agent has received the last byte of the request (RequestID,
+	// Chain, Try, Agent, Class, Tenant, Key, Work, and the time that the client will wait). RequestUnreached:
+	// no agent received it (the same fields, ClosedByShutdown). Answered: the client received the last byte of
+	// the final answer (RequestID, Agent, Answer, After, Attempt: the attempt whose body it is, negative if it
+	// came from no server). ConnectionLost: the agent ended the connection without a complete answer
+	// (RequestID, Agent). ClientLeft: the client closed its connection because its time was up or it lost
+	// patience (RequestID, Agent), or it learned that the agent had not read the request (Unread).
+	RequestReceived Kind = iota
+	RequestUnreached
 	Answered
-	Lost
-	Left
-	// Attempts. Sent: the first byte left the agent (Op, Agent, Server, Attempt, NewConn, Crossed, and the
-	// timeout announced to the server). Reached: the last byte arrived at an upstream server, even if the
-	// server rejects it (Op, Agent, Server, Attempt, Work: what it would cost, Capacity: the server's current
-	// one, Cold). Ended: how it ended for the agent (Op, Agent, Server, Attempt, Outcome). Worked: the server
-	// finished or dropped it (Op, Server, Attempt, Work: standard work spent on it so far, Ran: whether it
-	// started to run).
-	Sent
-	Reached
-	Ended
-	Worked
-	// Connections and datagrams. Opened and Closed: a connection to an upstream server, as counted by the
-	// server (Agent, Server). Datagram: delivered to an agent (Agent, From, Bytes).
-	Opened
-	Closed
+	ConnectionLost
+	ClientLeft
+	// Attempts. AttemptSent: the first byte left the agent (RequestID, Agent, Server, Attempt, NewConn,
+	// CrossZone, and the timeout announced to the server). AttemptReached: the last byte arrived at an
+	// upstream server, even if the server rejects it (RequestID, Agent, Server, Attempt, Work: what it would
+	// cost, Capacity: the server's current one, SlowStart). AttemptEnded: how it ended for the agent
+	// (RequestID, Agent, Server, Attempt, Outcome). WorkDone: the server finished or dropped it (RequestID,
+	// Server, Attempt, Work: standard work spent on it so far, Ran: whether it started to run).
+	AttemptSent
+	AttemptReached
+	AttemptEnded
+	WorkDone
+	// Connections and datagrams. ConnOpened and ConnClosed: a connection to an upstream server, as counted by
+	// the server (Agent, Server). Datagram: delivered to an agent (Agent, From, Bytes).
+	ConnOpened
+	ConnClosed
 	Datagram
-	// The endpoint list. Changed: discovery learned of a change (Server, State, Started). Told: discovery has
-	// written it to the agent (Agent, Server, State, Started). Watching: the agent's watch was accepted
-	// (Agent). Asking: the agent requested the whole list (Agent). CallFailed: the agent's call failed or its
-	// watch ended (Agent). WatchSilent: discovery sends nothing more on the agent's call, which stays open
-	// (Agent, and the time that the call might have waited for its answer).
-	Changed
-	Told
-	Watching
-	Asking
+	// The endpoint list. ListChanged: discovery learned of a change (Server, State, Started). Notified:
+	// discovery has written it to the agent (Agent, Server, State, Started). WatchOpened: the agent's watch
+	// was accepted (Agent). ListRequested: the agent requested the whole list (Agent). CallFailed: the agent's
+	// call failed or its watch ended (Agent). WatchSilent: discovery sends nothing more on the agent's call,
+	// which stays open (Agent, and the time that the call might have waited for its answer).
+	ListChanged
+	Notified
+	WatchOpened
+	ListRequested
 	CallFailed
 	WatchSilent
 	// Processes. AgentStarts: an agent's process starts again (Agent). AgentUp: it is ready (Agent, After: the
-	// startup time, where known). AgentDown: it was killed and everything it held is void (Agent). AgentStill:
-	// it was paused (Agent). AgentOn: it was resumed (Agent). ServerUp: a server starts (Server, Cold,
-	// Capacity: its current one). ServerDown: a server's process ends (Server). Fell: a server was overloaded
-	// during slow start and crashed (Server).
+	// startup time, where known). AgentDown: it was killed and everything it held is void (Agent).
+	// AgentPaused: it was paused (Agent). AgentResumed: it was resumed (Agent). ServerUp: a server starts
+	// (Server, SlowStart, Capacity: its current one). ServerDown: a server's process ends (Server).
+	// ServerOverloaded: a server was overloaded during slow start and crashed (Server).
 	AgentStarts
 	AgentUp
 	AgentDown
-	AgentStill
-	AgentOn
+	AgentPaused
+	AgentResumed
 	ServerUp
 	ServerDown
-	Fell
-	// Faults. Began and Over (Trouble: the fault's number in the scenario). Over is when the fault's cause
-	// ends; for a slow period that ends by itself, when it has ended.
-	Began
-	Over
-	// Maintenance windows (Trouble, Server). Emptied: the keys of the window's tenants have left the server,
-	// long enough ago that none of their requests can still be on the way. Returns: from now on they may come
-	// back.
-	Emptied
-	Returns
+	ServerOverloaded
+	// Faults. FaultBegan and FaultEnded (Fault: the fault's number in the scenario). FaultEnded is when the
+	// fault's cause ends; for a slow period that ends by itself, when it has ended.
+	FaultBegan
+	FaultEnded
+	// Maintenance windows (Fault, Server). WindowEmptied: the keys of the window's tenants have left the
+	// server, long enough ago that none of their requests can still be on the way. WindowReturning: from now
+	// on they may come back.
+	WindowEmptied
+	WindowReturning
 	kinds
 )
 
@@ -119,18 +119,18 @@
 
 // The outcomes.
 const (
-	OK           Outcome = iota // 200 with a complete body
-	Error                       // 500; it may have run
-	TurnedAway                  // rejected; never ran
-	NoConnection                // refused, timed out, or broken before the last byte was written; never ran
-	Broken                      // connection ended after the last byte; it may have run
-	GivenUp                     // the agent stopped waiting after the last byte; it may have run or run later
-	Unwritten                   // the agent stopped before the last byte was written; never ran
-	SpoiltAnswer                // unreadable answer; it has run
+	OK               Outcome = iota // 200 with a complete body
+	Error                           // 500; it may have run
+	Rejected                        // rejected; never ran
+	NoConnection                    // refused, timed out, or broken before the last byte was written; never ran
+	Broken                          // connection ended after the last byte; it may have run
+	Abandoned                       // the agent stopped waiting after the last byte; it may have run or run later
+	Unwritten                       // the agent stopped before the last byte was written; never ran
+	UnreadableAnswer                // unreadable answer; it has run
 )
 
 // NeverRan reports whether the outcome proves that the attempt had no effect.
-func (o Outcome) NeverRan() bool { return o == TurnedAway || o == NoConnection || o == Unwritten }
+func (o Outcome) NeverRan() bool { return o == Rejected || o == NoConnection || o == Unwritten }
 
 // State is the state of an upstream server on discovery's list.
 type State uint8
@@ -138,41 +138,41 @@
 // The states.
 const (
 	Active State = iota
-	Leaving
+	Draining
 	Gone // announced as gone, or missing from a full list
 )
 
 // Event is something that passed on the wire or happened to a machine. It is kept small: an hour of the
 // deployment's traffic has about ten million events.
 type Event struct {
-	At       time.Duration
-	Work     time.Duration // on a standard core
-	Left     time.Duration // remaining wait of the client or the silent call, or timeout announced by an attempt
-	After    time.Duration // advised by Retry-After, 0 for none; for AgentUp: since the process started
-	Started  time.Duration // start of a server's process; 0: long ago
-	Capacity float64       // in seconds of standard work per second
-	Op       uint32        // number of a client's try, unique in the run
-	Chain    uint32        // Op of the chain's first try
-	Key      uint32
-	Bytes    uint32
-	Server   int32
-	Agent    int32
-	From     int32 // sender of a datagram
-	Trouble  int16
-	Class    uint8
-	Tenant   uint8 // number in the scenario, or NoTenant
-	Try      uint8 // 0: the first try
-	Attempt  int8  // number within the request, from 0
-	Kind     Kind
-	Answer   Answer
-	Outcome  Outcome
-	State    State
-	NewConn  bool // the attempt waits for a new connection
-	Crossed  bool // sent to another zone
-	Cold     bool // the server is in slow start
-	Ran      bool
-	Shut     bool // for Left and Unreached: an agent that is shutting down closed the new connection
-	Unread   bool // for Left: the agent had not read the request
+	At               time.Duration
+	Work             time.Duration // on a standard core
+	Left             time.Duration // remaining wait of the client or the silent call, or timeout announced by an attempt
+	After            time.Duration // advised by Retry-After, 0 for none; for AgentUp: since the process started
+	Started          time.Duration // start of a server's process; 0: long ago
+	Capacity         float64       // in seconds of standard work per second
+	RequestID        uint32        // number of a client's try, unique in the run
+	Chain            uint32        // RequestID of the chain's first try
+	Key              uint32
+	Bytes            uint32
+	Server           int32
+	Agent            int32
+	From             int32 // sender of a datagram
+	Fault            int16
+	Class            uint8
+	Tenant           uint8 // number in the scenario, or NoTenant
+	Try              uint8 // 0: the first try
+	Attempt          int8  // number within the request, from 0
+	Kind             Kind
+	Answer           Answer
+	Outcome          Outcome
+	State            State
+	NewConn          bool // the attempt waits for a new connection
+	CrossZone        bool // sent to another zone
+	SlowStart        bool // the server is in slow start
+	Ran              bool
+	ClosedByShutdown bool // for ClientLeft and RequestUnreached: an agent that is shutting down closed the new connection
+	Unread           bool // for ClientLeft: the agent had not read the request
 }
 
 // NoTenant is the tenant number in a scenario without tenants.
--- a/internal/rehearsal/rehearsal.go
+++ b/internal/rehearsal/rehearsal.go
@@ -79,13 +79,13 @@
 
 // Options configures Play beyond the scenario.
 type Options struct {
-	Seed     uint64
-	Without  []string                                   // names of protections to disable
-	Placed   bool                                       // agents use ring assignment whatever the scenario says
-	Late     bool                                       // also run late.Policy, the reference for the shares
-	Progress func(at time.Duration)                     // receives the elapsed time; may be nil
-	Log      func(at time.Duration, agent, line string) // receives the agents' log lines; may be nil
-	Lanes    timeline.Reader                            // selects log lines for the timeline; nil: none
+	Seed           uint64
+	Without        []string                                   // names of protections to disable
+	RingAssignment bool                                       // agents use ring assignment whatever the scenario says
+	MeasureShares  bool                                       // also run late.Policy, the reference for the shares
+	Progress       func(at time.Duration)                     // receives the elapsed time; may be nil
+	Log            func(at time.Duration, agent, line string) // receives the agents' log lines; may be nil
+	Lanes          timeline.Reader                            // selects log lines for the timeline; nil: none
 }
 
 // Play runs a scenario in virtual time and returns its report. If the context ends first, the report covers
@@ -98,8 +98,8 @@
 	verdicts, events := judge.New(set), &timeline.Timeline{}
 	crash, err := play(ctx, set, o.Seed, verdicts,
 		world.Options{
-			Figures: tuning, Storm: shedding, Progress: o.Progress, Log: o.logFunc(events), Timeline: events,
-			Placed: o.Placed,
+			Tuning: tuning, Overload: shedding, Progress: o.Progress, Log: o.logFunc(events), Timeline: events,
+			RingAssignment: o.RingAssignment,
 		})
 	if err != nil && ctx.Err() == nil {
 		return nil, err
@@ -110,7 +110,7 @@
 		r.Crash = crash
 	}
 	r.Passed = r.Passed && !r.CutShort
-	if o.Late && err == nil {
+	if o.MeasureShares && err == nil {
 		err = measureShares(ctx, set, o.Seed, r)
 	}
 	return r, err
@@ -122,7 +122,7 @@
 		return o.Log
 	}
 	return func(at time.Duration, agent, line string) {
-		t.Read(o.Lanes, at, agent, line)
+		t.AddLine(o.Lanes, at, agent, line)
 		if o.Log != nil {
 			o.Log(at, agent, line)
 		}
@@ -136,11 +136,11 @@
 // sets what the report's shares must reach from what that policy serves.
 func measureShares(ctx context.Context, set *scenario.Scenario, seed uint64, r *report.Report) error {
 	verdicts := judge.New(set)
-	if err := world.Play(ctx, set, seed, verdicts, world.Options{Late: latePolicyDelay}); err != nil {
+	if err := world.Play(ctx, set, seed, verdicts, world.Options{ViewDelay: latePolicyDelay}); err != nil {
 		return err
 	}
 	v := verdicts.Verdict()
-	r.Measure(&v)
+	r.SetMinimums(&v)
 	return nil
 }
 
--- a/internal/rehearsal/rehearsal_test.go
+++ b/internal/rehearsal/rehearsal_test.go
@@ -47,7 +47,7 @@
 			with, without := playScenario(t, set), playScenario(t, set, protection)
 			require.True(t, with.Passed)
 			if protection == "cold-budget" {
-				require.Greater(t, without.Cold.Fullest, 2*with.Cold.Fullest, "fullest window of a starting server, as a part of its limit")
+				require.Greater(t, without.SlowStarts.Fullest, 2*with.SlowStarts.Fullest, "fullest window of a starting server, as a part of its limit")
 				return
 			}
 			require.Greater(t, with.Service-without.Service, 0.05)
@@ -60,17 +60,17 @@
 // The model reproduces the known overload behavior of the balancer alone; with load shedding it disappears.
 func TestModelReproducesKnownOverloads(t *testing.T) {
 	silent := playScenario(t, loadScenario(t, "all-silent"), "storm")
-	require.GreaterOrEqual(t, silent.Spells[0].RecoveredS, 3.0, "the servers have recovered, but the agent detects it late")
-	require.Less(t, silent.Spells[0].IdleBusy, 0.6)
-	require.Greater(t, playScenario(t, loadScenario(t, "all-refusing"), "storm").Spells[0].SendsPer, 2.0)
-	require.Less(t, playScenario(t, loadScenario(t, "all-silent")).Spells[0].RecoveredS, 3.0)
-	require.Less(t, playScenario(t, loadScenario(t, "all-refusing")).Spells[0].SendsPer, 0.5)
+	require.GreaterOrEqual(t, silent.Faults[0].RecoveredS, 3.0, "the servers have recovered, but the agent detects it late")
+	require.Less(t, silent.Faults[0].IdleBusy, 0.6)
+	require.Greater(t, playScenario(t, loadScenario(t, "all-refusing"), "storm").Faults[0].SendsPer, 2.0)
+	require.Less(t, playScenario(t, loadScenario(t, "all-silent")).Faults[0].RecoveredS, 3.0)
+	require.Less(t, playScenario(t, loadScenario(t, "all-refusing")).Faults[0].SendsPer, 0.5)
 	results, err := Hunt(context.Background(), loadScenario(t, "slow-kept-alive"), HuntOptions{
 		First: 1, Seeds: 16,
 		Without: []string{"storm"},
 	})
 	require.NoError(t, err)
-	require.True(t, slices.ContainsFunc(results, func(f Found) bool {
+	require.True(t, slices.ContainsFunc(results, func(f SeedResult) bool {
 		return slices.Contains(f.Findings, judge.KeptAlive)
 	}), "%+v", results)
 }
@@ -91,7 +91,7 @@
 // A hunt returns the same results on one core and on many, and its results so far when it is canceled.
 func TestHuntIsDeterministicAndCancelable(t *testing.T) {
 	set := loadScenario(t, "most-refusing")
-	hunt := func(cores int) []Found {
+	hunt := func(cores int) []SeedResult {
 		defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(cores))
 		results, err := Hunt(context.Background(), set, HuntOptions{First: 3, Seeds: 12})
 		require.NoError(t, err)
@@ -122,16 +122,16 @@
 	small, err := Shrink(context.Background(), set, ShrinkOptions{})
 	require.NoError(t, err)
 	require.Less(t, playScenario(t, small).Service, 0.9)
-	require.Less(t, small.Day.Length, set.Day.Length)
+	require.Less(t, small.Run.Length, set.Run.Length)
 	require.LessOrEqual(t, small.Fleet.Servers, set.Fleet.Servers)
 	parts := func(s *scenario.Scenario) int {
-		return len(s.Classes) + len(s.Tenants) + len(s.Kinds) + len(s.Troubles)
+		return len(s.Classes) + len(s.Tenants) + len(s.Kinds) + len(s.Faults)
 	}
 	require.Less(t, parts(small), parts(set)-3)
 
 	set.Floor = 0
 	_, err = Shrink(context.Background(), set, ShrinkOptions{})
-	require.ErrorIs(t, err, ErrNothingWrong)
+	require.ErrorIs(t, err, ErrScenarioPasses)
 }
 
 // A panic of an agent ends the run; the report names the cause and the calls, and is usable as a symptom.
@@ -188,7 +188,7 @@
 // A run of two seconds with one server and one agent produces a report.
 func TestReportOfMinimalScenario(t *testing.T) {
 	set := loadScenario(t, "calm-monday")
-	set.Day.Length, set.Day.From, set.Fleet.Servers, set.Agents.Count = 2*time.Second, 0, 1, 1
+	set.Run.Length, set.Run.From, set.Fleet.Servers, set.Agents.Count = 2*time.Second, 0, 1, 1
 	set.Load.OfCapacity = scenario.Span{Low: 0.01, High: 0.01}
 	r := playScenario(t, set)
 	require.NotEmpty(t, writtenText(t, r.HTML))
--- a/internal/rehearsal/report/page.go
+++ b/internal/rehearsal/report/page.go
@@ -41,8 +41,8 @@
 }
 
 // kthLargest returns the mean utilization of the kth busiest server.
-func kthLargest(servers []judge.ServerDay, k int) float64 {
-	sorted := slices.SortedFunc(slices.Values(servers), func(a, b judge.ServerDay) int {
+func kthLargest(servers []judge.ServerSummary, k int) float64 {
+	sorted := slices.SortedFunc(slices.Values(servers), func(a, b judge.ServerSummary) int {
 		return cmp.Compare(b.MeanBusy, a.MeanBusy)
 	})
 	return sorted[k-1].MeanBusy
--- a/internal/rehearsal/report/plots.go
+++ b/internal/rehearsal/report/plots.go
@@ -179,7 +179,7 @@
 	step := (len(seconds) + maxPoints - 1) / maxPoints
 	p := newPlot("second of the day", unit)
 	p.X.Min, p.X.Max, p.Y.Min = 0, float64(len(seconds)), 0
-	p.Add(plotter.NewGrid(), troubleBands{r.Spells})
+	p.Add(plotter.NewGrid(), troubleBands{r.Faults})
 	for _, l := range lines {
 		var points plotter.XYs
 		for at := 0; at < len(seconds); at += step {
@@ -230,7 +230,7 @@
 }
 
 // troubleBands is a plotter that shades and labels the times of the troubles.
-type troubleBands struct{ troubles []judge.Spell }
+type troubleBands struct{ troubles []judge.FaultReport }
 
 // Plot implements plot.Plotter.
 func (b troubleBands) Plot(c draw.Canvas, p *plot.Plot) {
@@ -238,7 +238,7 @@
 	style := p.X.Tick.Label
 	style.Font.Size, style.XAlign, style.YAlign, style.Color = 8, draw.XLeft, draw.YTop, grey
 	for i, s := range b.troubles {
-		end := s.OverS
+		end := s.EndedS
 		if end < 0 || end > p.X.Max {
 			end = p.X.Max
 		}
@@ -257,7 +257,7 @@
 
 // A loadGrid is the load of servers over time in the form that the heat map reads.
 type loadGrid struct {
-	rows  []judge.ServerDay
+	rows  []judge.ServerSummary
 	width int
 	step  int
 }
@@ -310,9 +310,9 @@
 }
 
 // busiestServers returns the n servers with the highest mean utilization, in their original order.
-func busiestServers(servers []judge.ServerDay, n int) []judge.ServerDay {
+func busiestServers(servers []judge.ServerSummary, n int) []judge.ServerSummary {
 	threshold := kthLargest(servers, n)
-	var rows []judge.ServerDay
+	var rows []judge.ServerSummary
 	for _, s := range servers {
 		if s.MeanBusy >= threshold && len(rows) < n {
 			rows = append(rows, s)
--- a/internal/rehearsal/report/text.go
+++ b/internal/rehearsal/report/text.go
@@ -42,7 +42,7 @@
 			reasons = append(reasons, fmt.Sprintf("rule broken: %s (%d times)", rule.Name, rule.Breaches))
 		}
 	}
-	for _, term := range r.Terms {
+	for _, term := range r.Limits {
 		if term.Broken {
 			reasons = append(reasons, fmt.Sprintf("term broken: %s (%d of %d)", term.Name, term.Count, term.Of))
 		}
@@ -106,7 +106,7 @@
 		}
 	}
 	all = append(all, r.termsTable())
-	if len(r.Spells) > 0 {
+	if len(r.Faults) > 0 {
 		all = append(all, r.troublesTable())
 	}
 	if len(r.Findings) > 0 {
@@ -119,7 +119,7 @@
 		all = append(all, r.liveTables()...)
 	}
 	all = append(all, r.groupsTable(), r.sharesTable())
-	if r.Cold != nil {
+	if r.SlowStarts != nil {
 		all = append(all, r.slowStartTable())
 	}
 	return append(all, r.countsTable(), r.repeatsTable(), r.serversTable())
@@ -154,7 +154,7 @@
 
 func (r *Report) termsTable() table {
 	t := table{title: "Terms of the gate", head: []string{"term", "", "of", "what it asks, and the first"}}
-	for _, term := range r.Terms {
+	for _, term := range r.Limits {
 		count, text := fmt.Sprint(term.Count), term.Text
 		switch {
 		case term.Broken:
@@ -184,15 +184,15 @@
 		"trouble", "from", "to", "service before", "during",
 		"sends per first try", "back after", "servers busy meanwhile",
 	}}
-	for _, s := range r.Spells {
+	for _, s := range r.Faults {
 		end, recovery, utilization := "-", "not", "-"
-		if s.OverS >= 0 {
-			end = fmt.Sprintf("%.1f s", s.OverS)
+		if s.EndedS >= 0 {
+			end = fmt.Sprintf("%.1f s", s.EndedS)
 		}
 		if s.RecoveredS >= 0 {
 			recovery = fmt.Sprintf("%.0f s", s.RecoveredS)
 		}
-		if s.RecoveredS != 0 && s.OverS >= 0 {
+		if s.RecoveredS != 0 && s.EndedS >= 0 {
 			utilization = percent(s.IdleBusy)
 		}
 		t.add(s.Kind, fmt.Sprintf("%.1f s", s.BeganS), end, share(s.Before), share(s.During),
@@ -233,10 +233,10 @@
 	}
 	for _, s := range r.Shares {
 		reference, required := "-", "-"
-		if s.Late > 0 {
-			reference, required = share(s.Late), share(s.Wants)
+		if s.Delayed > 0 {
+			reference, required = share(s.Delayed), share(s.Minimum)
 		}
-		if s.Short() {
+		if s.BelowMinimum() {
 			required += " SHORT"
 		}
 		t.add(s.Of, share(s.Served), reference, required)
@@ -251,9 +251,9 @@
 	var served, low []string
 	for i := range r.Shares {
 		s := &r.Shares[i]
-		served = append(served, fmt.Sprintf("%s %.2f (%.2f)", s.Of, s.Served, s.Wants))
-		if s.Short() {
-			low = append(low, fmt.Sprintf("%s served %.3f, asked %.3f", s.Of, s.Served, s.Wants))
+		served = append(served, fmt.Sprintf("%s %.2f (%.2f)", s.Of, s.Served, s.Minimum))
+		if s.BelowMinimum() {
+			low = append(low, fmt.Sprintf("%s served %.3f, asked %.3f", s.Of, s.Served, s.Minimum))
 		}
 	}
 	if len(low) > 0 {
@@ -268,7 +268,7 @@
 // slowStartTable returns how full the fullest windows of the servers in slow start were, as a part of their
 // limit: at 1 a server crashes.
 func (r *Report) slowStartTable() table {
-	c := r.Cold
+	c := r.SlowStarts
 	t := table{
 		title: "Cold servers, by the fullest window of each over what it stood then",
 		head:  []string{"", "", ""},
@@ -277,20 +277,20 @@
 	t.add("median", share(c.Median), "")
 	t.add("of nine in ten at most", share(c.P90), "")
 	t.add("the fullest", share(c.Fullest), fmt.Sprintf("%s at %.1f s, %s from agents told of its start",
-		c.Server, c.AtS, percent(c.Told)))
+		c.Server, c.AtS, percent(c.FullestNotified)))
 	t.add("over three quarters", fmt.Sprint(c.OverThree), "")
-	t.add("fell over", fmt.Sprint(c.Fell), fmt.Sprintf("%d by agents told of the start", c.FellTold))
+	t.add("fell over", fmt.Sprint(c.Overloaded), fmt.Sprintf("%d by agents told of the start", c.OverloadedNotified))
 	return t
 }
 
 // slowStartSummary is a short form of slowStartTable for GateLine; empty if no server started.
 func (r *Report) slowStartSummary() string {
-	c := r.Cold
+	c := r.SlowStarts
 	if c == nil {
 		return ""
 	}
 	return fmt.Sprintf("; %d cold servers, fullest window %.2f of the limit (median %.2f, nine in ten under "+
-		"%.2f), %d fell", c.Starts, c.Fullest, c.Median, c.P90, c.Fell)
+		"%.2f), %d fell", c.Starts, c.Fullest, c.Median, c.P90, c.Overloaded)
 }
 
 func (r *Report) countsTable() table {
@@ -307,9 +307,9 @@
 	add("answers: refused", c.Refused)
 	add("answers: failed", c.Failed)
 	add("no answer", c.Unanswered)
-	add("new connections closed with no answer", c.Shut)
+	add("new connections closed with no answer", c.ClosedUnanswered)
 	add("failed, never sent on", c.Unsent)
-	add("sent for clients that had gone", c.ForGone)
+	add("sent for clients that had gone", c.SentAfterLeft)
 	add("sends", c.Sends)
 	add("new connections", c.Opened)
 	add("sends that crossed zones", c.Crossings)
--- a/internal/rehearsal/report/text_test.go
+++ b/internal/rehearsal/report/text_test.go
@@ -12,10 +12,10 @@
 // GateLine fails a run whose own verdict is passed if a share is too low, and names the share.
 func TestGateLineNamesLowShares(t *testing.T) {
 	v := judge.Verdict{
-		Passed: true, Service: 0.8, Floor: 0.5, Cold: &judge.Cold{Starts: 7, Fullest: 0.4},
+		Passed: true, Service: 0.8, Floor: 0.5, SlowStarts: &judge.SlowStartSummary{Starts: 7, Fullest: 0.4},
 		Shares: []judge.Share{
-			{Of: "the day", Served: 0.9, Late: 0.8, Wants: 0.4},
-			{Of: "class rezervare", Served: 0.41, Late: 0.82, Wants: 0.41},
+			{Of: "the day", Served: 0.9, Delayed: 0.8, Minimum: 0.4},
+			{Of: "class rezervare", Served: 0.41, Delayed: 0.82, Minimum: 0.41},
 		},
 	}
 	line, passed := New("day", "", 1, nil, v).GateLine()
--- a/internal/rehearsal/report/timeline.go
+++ b/internal/rehearsal/report/timeline.go
@@ -22,10 +22,10 @@
 func (r *Report) SetTimeline(t *timeline.Timeline) {
 	for _, rule := range r.Rules {
 		if rule.First != nil {
-			t.Mark(time.Duration(rule.First.At), Breaches, "", rule.Name+": "+rule.First.Text)
+			t.Add(time.Duration(rule.First.At), Breaches, "", rule.Name+": "+rule.First.Text)
 		}
 	}
-	marks, dropped := t.Marks()
+	marks, dropped := t.Entries()
 	r.Timeline, r.MarksDropped = make([]Mark, len(marks)), dropped
 	for i, m := range marks {
 		r.Timeline[i] = Mark{AtS: m.At.Seconds(), Lane: m.Lane, Agent: m.Agent, Text: m.Text}
--- a/internal/rehearsal/report/timeline_test.go
+++ b/internal/rehearsal/report/timeline_test.go
@@ -14,8 +14,8 @@
 // The timeline has a column for each lane, faults first, and contains the first breach of each rule.
 func TestTimelineLanesAndFirstBreaches(t *testing.T) {
 	var line timeline.Timeline
-	line.Mark(3*time.Second, "versions", "n1", "acts on 7")
-	line.Mark(time.Second, timeline.Faults, "", "n1 paused")
+	line.Add(3*time.Second, "versions", "n1", "acts on 7")
+	line.Add(time.Second, timeline.Faults, "", "n1 paused")
 	breach := &judge.Breach{At: judge.Moment(2 * time.Second), Text: "too late"}
 	r := New("day", "", 1, nil, judge.Verdict{Rules: []judge.Rule{{Name: "answers", First: breach}, {Name: "drains"}}})
 	r.SetTimeline(&line)
@@ -26,7 +26,7 @@
 	require.Equal(t, []string{"second", "faults", "breaches", "versions"}, strings.Fields(strings.SplitN(b.String(), "\n", 2)[0]))
 	require.Contains(t, b.String(), "n1: acts on 7")
 	for range 25_000 {
-		line.Mark(0, "versions", "n2", "acts on 8")
+		line.Add(0, "versions", "n2", "acts on 8")
 	}
 	r.SetTimeline(&line)
 	require.Equal(t, 20_000, len(r.Timeline))
--- a/internal/rehearsal/restart_test.go
+++ b/internal/rehearsal/restart_test.go
@@ -28,34 +28,34 @@
 	coldCrashes    int               // servers that crashed in slow start
 }
 
-func (s *windowService) Begin(record.Day)          {}
+func (s *windowService) Begin(record.Run)          {}
 func (s *windowService) Server(int, record.Server) {}
 func (s *windowService) Sample(*record.Sample)     {}
 func (s *windowService) End(time.Duration)         {}
 
 func (s *windowService) Take(e *record.Event) {
 	switch e.Kind {
-	case record.Asked, record.Unreached:
+	case record.RequestReceived, record.RequestUnreached:
 		if e.Try == 0 && e.At >= s.from && e.At < s.to {
 			first := *e
 			s.firstTries[e.Chain] = &first
 			s.worth[e.Class] += s.set.Classes[e.Class].Worth
 		}
-		s.chains[e.Op] = e.Chain
+		s.chains[e.RequestID] = e.Chain
 	case record.Answered:
-		first := s.firstTries[s.chains[e.Op]]
-		if first != nil && e.Answer == record.Served && e.At-first.At <= s.set.Classes[first.Class].Aim {
+		first := s.firstTries[s.chains[e.RequestID]]
+		if first != nil && e.Answer == record.Served && e.At-first.At <= s.set.Classes[first.Class].LatencyObjective {
 			s.served[first.Class] += s.set.Classes[first.Class].Worth
 			delete(s.firstTries, first.Chain)
 		}
-		delete(s.chains, e.Op)
-	case record.Told:
+		delete(s.chains, e.RequestID)
+	case record.Notified:
 		s.departed[[2]int32{e.Agent, e.Server}] = e.State == record.Gone
-	case record.Fell:
+	case record.ServerOverloaded:
 		s.coldCrashes++
 	case record.AgentDown:
 		clear(s.departed)
-	case record.Sent:
+	case record.AttemptSent:
 		if s.departed[[2]int32{e.Agent, e.Server}] {
 			s.sentToDeparted++
 		}
@@ -100,10 +100,10 @@
 	for name, change := range map[string]func(*scenario.Scenario){
 		"lasting": func(*scenario.Scenario) {},
 		"stale": func(s *scenario.Scenario) {
-			other := s.Troubles[0]
-			s.Troubles[0].For = exactly(18 * time.Second)
+			other := s.Faults[0]
+			s.Faults[0].For = exactly(18 * time.Second)
 			other.At, other.For = exactly(30*time.Second), exactly(25*time.Second)
-			s.Troubles = append(s.Troubles, other)
+			s.Faults = append(s.Faults, other)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -114,8 +114,8 @@
 						func(s *scenario.Scenario) { change(s); edit(s) }).all()
 				}
 				with := lostService(func(*scenario.Scenario) {})
-				without := lostService(func(s *scenario.Scenario) { s.Agents.KeepEvery = 0 })
-				noRestart := lostService(func(s *scenario.Scenario) { s.Troubles[1].At = exactly(56 * time.Second) })
+				without := lostService(func(s *scenario.Scenario) { s.Agents.StateInterval = 0 })
+				noRestart := lostService(func(s *scenario.Scenario) { s.Faults[1].At = exactly(56 * time.Second) })
 				lost, lostWithout, lostNoRestart = lost+with, lostWithout+without, lostNoRestart+noRestart
 				worst = max(worst, with-without)
 			}
@@ -139,11 +139,11 @@
 		service := func(keep, kill time.Duration) float64 {
 			return playWindow(t, "slow-for-a-while", seed, 30500*time.Millisecond, 50500*time.Millisecond,
 				func(s *scenario.Scenario) {
-					s.Agents.KeepEvery = keep
-					slowPeriod := &s.Troubles[0]
+					s.Agents.StateInterval = keep
+					slowPeriod := &s.Faults[0]
 					slowPeriod.At, slowPeriod.For = exactly(28*time.Second), exactly(16*time.Second)
 					slowPeriod.HealsBelow, slowPeriod.HealsRest = scenario.Span{Low: 0.5, High: 0.5}, exactly(1200*time.Millisecond)
-					s.Troubles = append(s.Troubles, scenario.Trouble{
+					s.Faults = append(s.Faults, scenario.FaultSpec{
 						Kind: scenario.AgentsKilled, At: exactly(kill),
 						For: exactly(200 * time.Millisecond), Count: 5,
 					})
@@ -161,17 +161,17 @@
 // or another program. Both classes are served nevertheless, and once discovery is back no attempt goes to a server that
 // it reports as gone.
 func TestStartWithoutDiscoveryAndHalfTheListDead(t *testing.T) {
-	for _, kind := range []scenario.TroubleKind{scenario.Silent, scenario.Vanished, scenario.Crashed, scenario.Failing} {
+	for _, kind := range []scenario.FaultKind{scenario.Silent, scenario.MachinesUnreachable, scenario.Crashed, scenario.Failing} {
 		t.Run(string(kind), func(t *testing.T) {
 			var sum, without, safe, unsafe float64
 			n, minimum := float64(seedCount(3)), 1.0
 			for seed := range seedCount(3) {
 				run := func(proves bool) *windowService {
 					return playWindow(t, "start-alone", seed, 0, 10*time.Second, func(s *scenario.Scenario) {
-						if s.Troubles[0].Kind = kind; kind == scenario.Failing {
-							s.Troubles[0].Size = scenario.Span{Low: 1, High: 1}
+						if s.Faults[0].Kind = kind; kind == scenario.Failing {
+							s.Faults[0].Size = scenario.Span{Low: 1, High: 1}
 						}
-						s.Agents.ProvesList = proves
+						s.Agents.ListProbation = proves
 					})
 				}
 				with := run(true)
@@ -200,8 +200,8 @@
 	sum, minimum := 0.0, 1.0
 	for seed := range seedCount(3) {
 		s := playWindow(t, "start-alone", seed, 40500*time.Millisecond, 50500*time.Millisecond, func(s *scenario.Scenario) {
-			s.Agents.KeepEvery, s.Agents.DeployTakes, s.Discovery.KnownAge = 5*time.Second, 20*time.Second, exactly(45)
-			s.Troubles = []scenario.Trouble{
+			s.Agents.StateInterval, s.Agents.DeployTime, s.Discovery.KnownAge = 5*time.Second, 20*time.Second, exactly(45)
+			s.Faults = []scenario.FaultSpec{
 				{Kind: scenario.AgentsKilled, At: exactly(8), For: exactly(32), Count: 5},
 				{
 					Kind: scenario.Deploy, At: exactly(9), For: exactly(29), Part: span(1), Size: span(0.2), Drain: exactly(1),
--- a/internal/rehearsal/ringassignment_test.go
+++ b/internal/rehearsal/ringassignment_test.go
@@ -18,7 +18,7 @@
 func ringAssignmentGain(t *testing.T, set *scenario.Scenario, seeds int) (mean, stdErr float64) {
 	service := make([][2]float64, seeds)
 	require.NoError(t, onAllCores(context.Background(), 2*seeds, func(i int) error {
-		r, err := Play(context.Background(), set, Options{Seed: uint64(i/2 + 1), Placed: i%2 == 1})
+		r, err := Play(context.Background(), set, Options{Seed: uint64(i/2 + 1), RingAssignment: i%2 == 1})
 		if err == nil {
 			service[i/2][i%2] = r.Service
 		}
--- a/internal/rehearsal/scenario/check.go
+++ b/internal/rehearsal/scenario/check.go
@@ -28,13 +28,13 @@
 	checkShares(d, s)
 	checkNames(d, s)
 	checkClasses(d, s)
-	for i := range s.Troubles {
-		checkFaultSpec(d, s, fmt.Sprintf("trouble[%d]", i), &s.Troubles[i])
+	for i := range s.Faults {
+		checkFaultSpec(d, s, fmt.Sprintf("trouble[%d]", i), &s.Faults[i])
 	}
 }
 
 func checkSize(d *stricttoml.Document, s *Scenario) {
-	if s.Day.From >= s.Day.Length {
+	if s.Run.From >= s.Run.Length {
 		d.AddProblem("day.from_s", "must be before the end of the run")
 	}
 	if pairs := s.Agents.Count * s.Fleet.Servers; pairs > maxPairs {
@@ -61,12 +61,12 @@
 		perS = s.Load.OfCapacity.High * cores * float64(s.Fleet.Servers) / max(work, 1e-6)
 	}
 	surge := 1.0
-	for _, t := range s.Troubles {
+	for _, t := range s.Faults {
 		if t.Kind == Surge {
 			surge = max(surge, t.Size.High)
 		}
 	}
-	return perS * s.Day.Length.Seconds() * surge
+	return perS * s.Run.Length.Seconds() * surge
 }
 
 func checkLoad(d *stricttoml.Document, s *Scenario) {
@@ -160,23 +160,23 @@
 		d.AddProblem("clients.graphql", "needs a class that is safe to repeat and one that is not")
 	}
 	for i, c := range s.Classes {
-		if c.Aim > c.Deadline {
+		if c.LatencyObjective > c.Deadline {
 			d.AddProblem(fmt.Sprintf("class[%d].aim_ms", i), "the aim is after the deadline")
 		}
 	}
-	if s.Rules.ColdFor == 0 && s.Rules.ColdShare < 1 {
+	if s.Rules.SlowStartTime == 0 && s.Rules.SlowStartShare < 1 {
 		d.AddProblem("rules.cold_s", "must be above zero where a server starts at less than its capacity")
 	}
 	for i, k := range s.Kinds {
 		// Agents rely on these values, so they must be true.
-		if k.ColdFrom.Low < s.Rules.ColdShare || k.Cold.High > s.Rules.ColdFor {
+		if k.SlowStartFrom.Low < s.Rules.SlowStartShare || k.SlowStartTime.High > s.Rules.SlowStartTime {
 			d.AddProblem(fmt.Sprintf("kind[%d]", i), "starts colder than rules.cold_share or stays so for longer "+
 				"than rules.cold_s, which agents rely on")
 		}
 	}
 }
 
-func checkFaultSpec(d *stricttoml.Document, s *Scenario, path string, t *Trouble) {
+func checkFaultSpec(d *stricttoml.Document, s *Scenario, path string, t *FaultSpec) {
 	fields, known := faultKinds[t.Kind]
 	if !known {
 		var all []string
@@ -187,8 +187,8 @@
 		d.AddProblem(path+".kind", "%q is unknown; allowed: %s", t.Kind, joinNames(all))
 		return
 	}
-	if t.At.High >= s.Day.Length {
-		d.AddProblem(path+".at_s", "is not before the run's end, %v", s.Day.Length)
+	if t.At.High >= s.Run.Length {
+		d.AddProblem(path+".at_s", "is not before the run's end, %v", s.Run.Length)
 	}
 	checkFaultKeys(d, path, t.Kind, fields)
 	if d.Has(path, "size") && (t.Size.Low < fields.minSize || t.Size.High > fields.maxSize) {
@@ -202,7 +202,7 @@
 	if d.Has(path, "zone") && !slices.Contains(s.Network.Zones, t.Zone) {
 		d.AddProblem(path+".zone", "%q is unknown; allowed: %s", t.Zone, joinNames(s.Network.Zones))
 	}
-	for kind, faults := range map[TroubleKind][]Fault{OnWire: Faults, Streams: StreamFaults} {
+	for kind, faults := range map[FaultKind][]ConnFault{FaultyAnswers: AnswerFaults, Streams: StreamFaults} {
 		if t.Kind == kind && !slices.Contains(faults, t.Fault) {
 			var all []string
 			for _, f := range faults {
@@ -229,7 +229,7 @@
 }
 
 // checkWindow checks that a window's tenants exist and that all keys can leave before it ends.
-func checkWindow(d *stricttoml.Document, s *Scenario, path string, t *Trouble) {
+func checkWindow(d *stricttoml.Document, s *Scenario, path string, t *FaultSpec) {
 	for i, name := range t.Tenants {
 		known := slices.ContainsFunc(s.Tenants, func(t Tenant) bool { return t.Name == name })
 		if !known && name != "-" && name != "*" {
@@ -239,13 +239,13 @@
 	if len(t.Tenants) == 0 {
 		d.AddProblem(path+".tenants", "must have at least one entry")
 	}
-	if 2*t.Moves.High >= t.For.Low {
+	if 2*t.MoveTime.High >= t.For.Low {
 		d.AddProblem(path+".moves_s", "must be less than half of for_s")
 	}
 }
 
 // checkAgentFault checks faults between agents or of their processes for values that are inconsistent.
-func checkAgentFault(d *stricttoml.Document, path string, t *Trouble) {
+func checkAgentFault(d *stricttoml.Document, path string, t *FaultSpec) {
 	switch {
 	case t.Kind == AgentsPaused && !d.Has(path, "on_s") && t.For.High > LongestPause:
 		d.AddProblem(path+".for_s", "an agent may be paused for at most %v", LongestPause)
@@ -253,12 +253,12 @@
 		d.AddProblem(path+".on_s", "an agent may be paused for at most %v", LongestPause)
 	case t.Kind == Datagrams && (t.BurstLoss.High > 0) != (d.Has(path, "calm_ms") && d.Has(path, "bad_ms")):
 		d.AddProblem(path, "burst_loss, calm_ms and bad_ms go together")
-	case t.Kind == Datagrams && (t.Reorder.High > 0) != (t.Held.High > 0):
+	case t.Kind == Datagrams && (t.Reorder.High > 0) != (t.HoldBack.High > 0):
 		d.AddProblem(path, "reorder and held_ms go together")
 	}
 }
 
-func checkFaultKeys(d *stricttoml.Document, path string, kind TroubleKind, fields faultFields) {
+func checkFaultKeys(d *stricttoml.Document, path string, kind FaultKind, fields faultFields) {
 	allowed := slices.Concat([]string{"kind", "at_s", "for_s"}, fields.required, fields.oneOf, fields.optional)
 	for _, key := range fields.required {
 		if !d.Has(path, key) {
@@ -288,7 +288,7 @@
 // Ends returns the latest possible end of all faults.
 func (s *Scenario) Ends() time.Duration {
 	last := time.Duration(0)
-	for _, t := range s.Troubles {
+	for _, t := range s.Faults {
 		last = max(last, t.At.High+t.For.High)
 	}
 	return last
--- a/internal/rehearsal/scenario/fault.go
+++ b/internal/rehearsal/scenario/fault.go
@@ -1,58 +1,58 @@
 package scenario
 
-// Fault is a fault of a connection: of an upstream server's answer on the wire, or of a stream.
-type Fault string
+// ConnFault is a fault of a connection: of an upstream server's answer on the wire, or of a stream.
+type ConnFault string
 
 // The faults of an answer on the wire.
 const (
 	// NoAccept accepts no connections; those that are open continue.
-	NoAccept Fault = "no_accept"
+	NoAccept ConnFault = "no_accept"
 	// SilentHead and SilentBody stop the answer in the middle of its head or body and keep the connection
 	// open.
-	SilentHead Fault = "silent_head"
-	SilentBody Fault = "silent_body"
+	SilentHead ConnFault = "silent_head"
+	SilentBody ConnFault = "silent_body"
 	// ResetBefore and ResetAfter reset the connection before the answer's first byte or after its last.
-	ResetBefore Fault = "reset_before"
-	ResetAfter  Fault = "reset_after"
-	// Hints sends a 1xx response before the answer.
-	Hints Fault = "hints"
+	ResetBefore ConnFault = "reset_before"
+	ResetAfter  ConnFault = "reset_after"
+	// InformationalAnswer sends a 1xx response before the answer.
+	InformationalAnswer ConnFault = "hints"
 	// TwoAnswers sends the answer twice.
-	TwoAnswers Fault = "two_answers"
+	TwoAnswers ConnFault = "two_answers"
 	// Noise sends bytes that are not HTTP.
-	Noise Fault = "noise"
+	Noise ConnFault = "noise"
 	// EndlessHead sends a head that does not end.
-	EndlessHead Fault = "endless_head"
+	EndlessHead ConnFault = "endless_head"
 	// CutBody closes the connection in the middle of the body.
-	CutBody Fault = "cut_body"
-	// OpenBody sends the answer without a length and resets the connection in the middle of the body.
-	OpenBody Fault = "open_body"
+	CutBody ConnFault = "cut_body"
+	// UnboundedBody sends the answer without a length and resets the connection in the middle of the body.
+	UnboundedBody ConnFault = "open_body"
 	// HalfClose closes the server's side after the answer while the server still reads.
-	HalfClose Fault = "half_close"
+	HalfClose ConnFault = "half_close"
 	// SlowReader reads the request so slowly that its last byte is read late.
-	SlowReader Fault = "slow_reader"
-	// Forgets drops the connection's state on the server's machine after the answer, without notice.
-	Forgets Fault = "forgets"
+	SlowReader ConnFault = "slow_reader"
+	// DropsConnection drops the connection's state on the server's machine after the answer, without notice.
+	DropsConnection ConnFault = "forgets"
 )
 
-// Faults lists all faults of an answer.
-var Faults = []Fault{
-	NoAccept, SilentHead, SilentBody, ResetBefore, ResetAfter, Hints, TwoAnswers, Noise,
-	EndlessHead, CutBody, OpenBody, HalfClose, SlowReader, Forgets,
+// AnswerFaults lists all faults of an answer.
+var AnswerFaults = []ConnFault{
+	NoAccept, SilentHead, SilentBody, ResetBefore, ResetAfter, InformationalAnswer, TwoAnswers, Noise,
+	EndlessHead, CutBody, UnboundedBody, HalfClose, SlowReader, DropsConnection,
 }
 
 // The faults of streams. Data that cannot pass waits and passes when the fault is over.
 const (
 	// StreamSilent passes nothing in either direction; connections can be opened and stay open.
-	StreamSilent Fault = "silent"
+	StreamSilent ConnFault = "silent"
 	// StreamReset resets open connections and each new one.
-	StreamReset Fault = "reset"
+	StreamReset ConnFault = "reset"
 	// StreamFromAgent passes only data from the agent, StreamToAgent only data to the agent.
-	StreamFromAgent Fault = "from_agent"
-	StreamToAgent   Fault = "to_agent"
+	StreamFromAgent ConnFault = "from_agent"
+	StreamToAgent   ConnFault = "to_agent"
 )
 
 // StreamFaults lists all faults of streams.
-var StreamFaults = []Fault{StreamSilent, StreamReset, StreamFromAgent, StreamToAgent}
+var StreamFaults = []ConnFault{StreamSilent, StreamReset, StreamFromAgent, StreamToAgent}
 
 // FaultEffect is the effect of a fault on the attempt that meets it.
 type FaultEffect uint8
@@ -62,20 +62,20 @@
 const (
 	Harmless FaultEffect = iota
 	Unanswered
-	Breaks
-	Spoils
+	BreaksConnection
+	Unreadable
 	LastAnswer
 )
 
 // Effect returns the effect of the fault on an attempt.
-func (f Fault) Effect() FaultEffect {
+func (f ConnFault) Effect() FaultEffect {
 	switch f {
 	case SilentHead, SilentBody:
 		return Unanswered
-	case ResetBefore, CutBody, OpenBody:
-		return Breaks
+	case ResetBefore, CutBody, UnboundedBody:
+		return BreaksConnection
 	case Noise, EndlessHead:
-		return Spoils
+		return Unreadable
 	case ResetAfter, TwoAnswers, HalfClose:
 		return LastAnswer
 	}
--- a/internal/rehearsal/scenario/faultspec.go
+++ b/internal/rehearsal/scenario/faultspec.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// Exactly returns a span with a single value.
-func Exactly(v float64) Span { return Span{v, v} }
+// ExactSpan returns a span with a single value.
+func ExactSpan(v float64) Span { return Span{v, v} }
 
-// Always returns a time span with a single value.
-func Always(d time.Duration) TimeSpan { return TimeSpan{d, d} }
+// ExactTime returns a time span with a single value.
+func ExactTime(d time.Duration) TimeSpan { return TimeSpan{d, d} }
 
-// Words returns a one-line description of the fault and what it affects.
-func (t *Trouble) Words() string {
+// Describe returns a one-line description of the fault and what it affects.
+func (t *FaultSpec) Describe() string {
 	some := func(numbers []int, what string) string {
 		if len(numbers) == 0 {
 			return ""
@@ -25,7 +25,7 @@
 	switch {
 	case t.Kind == Streams:
 		return text + " " + t.Stream + ": " + string(t.Fault)
-	case t.Kind == OnWire:
+	case t.Kind == FaultyAnswers:
 		text += ": " + string(t.Fault)
 	}
 	if t.Count > 0 {
@@ -40,7 +40,7 @@
 // Check validates faults that were built by a program, for a fleet with the given number of agents, like
 // faults from a file. It returns them with their defaults filled in; errors are stricttoml.Problems, whose
 // keys give the position.
-func Check(agents int, faults []Trouble) ([]Trouble, error) {
+func Check(agents int, faults []FaultSpec) ([]FaultSpec, error) {
 	s, err := Parse("troubles", []byte(checkScenario))
 	if err != nil {
 		return nil, err
@@ -51,16 +51,16 @@
 		if f.Stream == "" {
 			f.Stream = "both"
 		}
-		if f.Folder == "" {
-			f.Folder = "lasts"
+		if f.StateDir == "" {
+			f.StateDir = "lasts"
 		}
 		if f.Drain == (TimeSpan{}) {
 			f.Drain = TimeSpan{2700 * time.Millisecond, 5400 * time.Millisecond} // the key's default
 		}
 		last = max(last, f.At.High)
-		s.Troubles = append(s.Troubles, f)
+		s.Faults = append(s.Faults, f)
 	}
-	s.Day.Length = max(time.Duration(math.Ceil(last.Seconds()))*time.Second, 0) + time.Second
+	s.Run.Length = max(time.Duration(math.Ceil(last.Seconds()))*time.Second, 0) + time.Second
 	text, err := Encode(s)
 	if err != nil {
 		return nil, err
@@ -69,7 +69,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return checked.Troubles, nil
+	return checked.Faults, nil
 }
 
 // checkScenario is the scenario that Check puts the faults into.
--- a/internal/rehearsal/scenario/load_test.go
+++ b/internal/rehearsal/scenario/load_test.go
@@ -170,27 +170,27 @@
 
 // Check validates injected faults built by a program like those of a file, and returns them unchanged.
 func TestCheckFaults(t *testing.T) {
-	good := Trouble{
-		Kind: Datagrams, At: Always(time.Second), For: Always(2 * time.Second), From: []int{1}, Loss: Exactly(0.3),
+	good := FaultSpec{
+		Kind: Datagrams, At: ExactTime(time.Second), For: ExactTime(2 * time.Second), From: []int{1}, Loss: ExactSpan(0.3),
 		Delay: TimeSpan{0, 30 * time.Millisecond},
 	}
-	got, err := Check(2, []Trouble{good, {Kind: AgentsKilled, At: Always(0), For: Always(time.Second), Agents: []int{0}}})
+	got, err := Check(2, []FaultSpec{good, {Kind: AgentsKilled, At: ExactTime(0), For: ExactTime(time.Second), Agents: []int{0}}})
 	require.NoError(t, err)
 	require.Equal(t, good.Loss, got[0].Loss)
 	require.Equal(t, good.Delay, got[0].Delay)
-	require.Equal(t, "lasts", got[1].Folder)
-	require.Equal(t, "datagrams from n1", got[0].Words())
-	for want, change := range map[string]func(*Trouble){
-		"trouble[0].loss: must be a number from 0 to 1":          func(t *Trouble) { t.Loss = Exactly(2) },
-		"trouble[0].from[0]: there are only 2 agents":            func(t *Trouble) { t.From = []int{2} },
-		"trouble[0].part: means nothing for datagrams":           func(t *Trouble) { t.Part = Exactly(1) },
-		"trouble[0].for_s: must be a number from 0.1":            func(t *Trouble) { t.For = Always(0) },
-		"trouble[0].kind: \"flood\" is unknown":                  func(t *Trouble) { t.Kind = "flood" },
-		"trouble[0].delay_ms: must be a number from 0 to 600000": func(t *Trouble) { t.Delay = Always(time.Hour) },
+	require.Equal(t, "lasts", got[1].StateDir)
+	require.Equal(t, "datagrams from n1", got[0].Describe())
+	for want, change := range map[string]func(*FaultSpec){
+		"trouble[0].loss: must be a number from 0 to 1":          func(t *FaultSpec) { t.Loss = ExactSpan(2) },
+		"trouble[0].from[0]: there are only 2 agents":            func(t *FaultSpec) { t.From = []int{2} },
+		"trouble[0].part: means nothing for datagrams":           func(t *FaultSpec) { t.Part = ExactSpan(1) },
+		"trouble[0].for_s: must be a number from 0.1":            func(t *FaultSpec) { t.For = ExactTime(0) },
+		"trouble[0].kind: \"flood\" is unknown":                  func(t *FaultSpec) { t.Kind = "flood" },
+		"trouble[0].delay_ms: must be a number from 0 to 600000": func(t *FaultSpec) { t.Delay = ExactTime(time.Hour) },
 	} {
 		bad := good
 		change(&bad)
-		_, err := Check(2, []Trouble{bad})
+		_, err := Check(2, []FaultSpec{bad})
 		require.ErrorContains(t, err, want)
 	}
 }
--- a/internal/rehearsal/scenario/scenario.go
+++ b/internal/rehearsal/scenario/scenario.go
@@ -37,7 +37,7 @@
 	Floor float64 `toml:"floor,need" range:"0..1"`
 	// Seed of the run if the command gives none.
 	Seed        uint64      `toml:"seed" default:"1"`
-	Day         Day         `toml:"day,need"`
+	Run         Run         `toml:"day,need"`
 	Load        Traffic     `toml:"load,need"`
 	Agents      Agents      `toml:"agents,need"`
 	Fleet       Fleet       `toml:"fleet,need"`
@@ -54,11 +54,11 @@
 	Goal        Goal        `toml:"goal"`
 	Prices      Prices      `toml:"prices"`
 	Gate        Gate        `toml:"gate"`
-	Troubles    []Trouble   `toml:"trouble"`
+	Faults      []FaultSpec `toml:"trouble"`
 }
 
-// Day is the length of a run's arrivals. The run then continues until everything is answered.
-type Day struct {
+// Run is the length of a run's arrivals. The run then continues until everything is answered.
+type Run struct {
 	Length time.Duration `toml:"length_s,need" range:"1..86400"`
 	// Service counts first tries from this time on.
 	From time.Duration `toml:"from_s" range:"0..3600" default:"1"`
@@ -124,18 +124,18 @@
 	MemoryMB int     `toml:"memory_mb" range:"32..65536" default:"192"`
 	Cores    float64 `toml:"cores" range:"0.1..64" default:"1"`
 	// Time from a killed agent's start until it is ready.
-	BackIn time.Duration `toml:"back_in_ms" range:"0..60000" default:"300"`
+	RestartTime time.Duration `toml:"back_in_ms" range:"0..60000" default:"300"`
 	// Interval at which an agent writes its learned state to a disk that outlives it, and duration of a write;
 	// 0: never.
-	KeepEvery time.Duration `toml:"keep_every_s" range:"0..3600"`
-	KeepTakes time.Duration `toml:"keep_takes_ms" range:"0..60000" default:"20"`
+	StateInterval  time.Duration `toml:"keep_every_s" range:"0..3600"`
+	StateWriteTime time.Duration `toml:"keep_takes_ms" range:"0..60000" default:"20"`
 	// Agents send only a small part of the traffic at first to servers of a list that discovery has not
 	// confirmed since the agent's start.
-	ProvesList bool `toml:"proves_list"`
+	ListProbation bool `toml:"proves_list"`
 	// Agents place requests by generations of the ring that they agree on. Not available in live runs.
-	Placed bool `toml:"placed"`
+	RingPlacement bool `toml:"placed"`
 	// Duration of a full deploy. A list of that age is considered entirely unconfirmed.
-	DeployTakes time.Duration `toml:"deploy_takes_s" range:"1..86400" default:"900"`
+	DeployTime time.Duration `toml:"deploy_takes_s" range:"1..86400" default:"900"`
 }
 
 // Fleet defines the number of upstream servers and their distribution over the zones.
@@ -165,9 +165,9 @@
 	// Executing requests per core.
 	ThrashAt Span `toml:"thrash_at" range:"0..10000" default:"[3.6, 7.8]"`
 	// Part of the capacity available at the start.
-	ColdFrom Span `toml:"cold_from" range:"0.01..1" default:"[0.31, 0.58]"`
+	SlowStartFrom Span `toml:"cold_from" range:"0.01..1" default:"[0.31, 0.58]"`
 	// Duration of the slow start, counted while the server has work.
-	Cold TimeSpan `toml:"cold_s" range:"0..600" default:"[3.7, 8.9]"`
+	SlowStartTime TimeSpan `toml:"cold_s" range:"0..600" default:"[3.7, 8.9]"`
 	// 0: no pauses.
 	PauseEvery TimeSpan `toml:"pause_every_s" range:"0..3600" default:"[2.1, 11]"`
 	Pause      TimeSpan `toml:"pause_ms" range:"0..10000" default:"[0, 125]"`
@@ -199,8 +199,8 @@
 	// Standard deviation over the mean, for lognormal work.
 	CV Span `toml:"cv" range:"0..10" default:"[0.2, 0.7]"`
 	// The same for an attempt's work around its request's.
-	Noise Span          `toml:"attempt_noise" range:"0..5" default:"[0.06, 0.45]"`
-	Aim   time.Duration `toml:"aim_ms,need" range:"1..600000"`
+	Noise            Span          `toml:"attempt_noise" range:"0..5" default:"[0.06, 0.45]"`
+	LatencyObjective time.Duration `toml:"aim_ms,need" range:"1..600000"`
 	// Client's deadline over all its tries.
 	Deadline time.Duration `toml:"deadline_ms,need" range:"1..600000"`
 	Worth    float64       `toml:"worth,need" range:"0.001..1000000"`
@@ -235,18 +235,18 @@
 	Backoff     Backoff  `toml:"backoff" oneof:"none,fixed,exp" default:"'exp'"`
 	BackoffWait TimeSpan `toml:"backoff_ms" range:"0..60000" default:"[25, 200]"`
 	// Part of the clients that obey Retry-After.
-	Honour Span `toml:"honour" range:"0..1" default:"[0.3, 0.9]"`
+	HonorRetryAfter Span `toml:"honour" range:"0..1" default:"[0.3, 0.9]"`
 	// Part of the tries whose client leaves before its time is up.
 	Impatient  Span `toml:"impatient" range:"0..1" default:"[0, 0.02]"`
 	MarksRetry bool `toml:"marks_retry" default:"true"`
 	// A client whose agent was killed retries at another agent.
-	Elsewhere bool `toml:"elsewhere" default:"true"`
+	RetryElsewhere bool `toml:"elsewhere" default:"true"`
 	// Time after which a client closes its idle connection; 0: a new connection for each request.
 	KeepIdle time.Duration `toml:"keep_idle_s" range:"0..3600" default:"10"`
 	// Part of the requests sent as GraphQL over HTTP.
 	GraphQL float64 `toml:"graphql" range:"0..1"`
 	// Agents have a GraphQL listener; otherwise they treat GraphQL as POST requests of the first unsafe class.
-	GraphQLFront bool `toml:"graphql_front" default:"true"`
+	GraphQLListener bool `toml:"graphql_front" default:"true"`
 }
 
 // Connections defines costs and limits of connections from agents to upstream servers.
@@ -319,27 +319,27 @@
 	AnswerSlack time.Duration `toml:"answer_slack_ms" range:"0..10000" default:"20"`
 	DrainGrace  time.Duration `toml:"drain_grace_ms" range:"0..60000" default:"3000"`
 	// An agent that requests the list less often counts as notified after this time.
-	AskWithin time.Duration `toml:"ask_within_s" range:"0.1..3600" default:"10"`
+	RequestWithin time.Duration `toml:"ask_within_s" range:"0.1..3600" default:"10"`
 	// An agent with a watch counts as notified of a change after this time.
-	TellWithin time.Duration `toml:"tell_within_s" range:"0..3600" default:"6"`
+	NotifyWithin time.Duration `toml:"tell_within_s" range:"0..3600" default:"6"`
 	// Minimum capacity of a starting server, as a part of its full capacity.
-	ColdShare float64 `toml:"cold_share" range:"0.01..1" default:"0.31"`
+	SlowStartShare float64 `toml:"cold_share" range:"0.01..1" default:"0.31"`
 	// Maximum duration of the slow start.
-	ColdFor      time.Duration `toml:"cold_s" range:"0..600" default:"8.9"`
-	FallMultiple float64       `toml:"fall_multiple" range:"1..1000" default:"3"`
-	FallWindow   time.Duration `toml:"fall_ms" range:"1..600000" default:"3000"`
+	SlowStartTime    time.Duration `toml:"cold_s" range:"0..600" default:"8.9"`
+	OverloadMultiple float64       `toml:"fall_multiple" range:"1..1000" default:"3"`
+	OverloadWindow   time.Duration `toml:"fall_ms" range:"1..600000" default:"3000"`
 }
 
 // Margin before a server in slow start is overloaded: of N allowed requests, so many times the square root
 // of N, and so many requests more.
 const overloadRoots, overloadExtra = 2, 2
 
-// FallLimit returns the work within FallWindow above which a server in slow start is overloaded. capacity
-// is its current capacity in seconds of standard work per second, mean the mean work of a request. On top
-// of the N requests of mean work that FallMultiple allows, there is a margin of 2 requests plus twice the
-// square root of N, so that random variation is not counted against the agents.
-func (r *Rules) FallLimit(capacity float64, mean time.Duration) time.Duration {
-	allowed := r.FallMultiple * max(capacity, 0) * float64(r.FallWindow)
+// OverloadLimit returns the work within OverloadWindow above which a server in slow start is overloaded.
+// capacity is its current capacity in seconds of standard work per second, mean the mean work of a request.
+// On top of the N requests of mean work that OverloadMultiple allows, there is a margin of 2 requests plus
+// twice the square root of N, so that random variation is not counted against the agents.
+func (r *Rules) OverloadLimit(capacity float64, mean time.Duration) time.Duration {
+	allowed := r.OverloadMultiple * max(capacity, 0) * float64(r.OverloadWindow)
 	if mean <= 0 {
 		return time.Duration(allowed)
 	}
@@ -377,7 +377,7 @@
 	// One attempt to another zone per first try.
 	CrossZone float64 `toml:"cross_zone" range:"0..1" default:"0.023"`
 	// All tries had their new connection closed without an answer, or failed without having been sent.
-	Unheard float64 `toml:"unheard" range:"0..1" default:"0.04"`
+	UnsentTries float64 `toml:"unheard" range:"0..1" default:"0.04"`
 	// 256 bytes delivered between agents per first try.
 	Peer float64 `toml:"peer" range:"0..1" default:"0.01"`
 }
@@ -387,99 +387,99 @@
 	// One of the short runs: the requirements on classes apply to all short runs together.
 	Short bool `toml:"short"`
 	// Minimum service as a part of what the delayed-view policy serves in the run.
-	OfLate float64 `toml:"of_late" range:"0..1" default:"0.5"`
+	OfDelayed float64 `toml:"of_late" range:"0..1" default:"0.5"`
 	// Part of the agents that may reject every request that they get for some seconds; at most 0.1 in a calm
 	// run.
-	TurnAway float64 `toml:"turn_away" range:"0..1" default:"1"`
+	RejectingPart float64 `toml:"turn_away" range:"0..1" default:"1"`
 	// One request in this number, and five more, may be unanswered at its deadline; 0: none.
 	OneUnansweredIn int `toml:"one_unanswered_in" range:"0..1000000"`
 	// An overloaded server in slow start breaks the rule.
-	ColdFalls bool `toml:"cold_falls" default:"true"`
+	OverloadBreaksRule bool `toml:"cold_falls" default:"true"`
 }
 
-// TroubleKind is a kind of fault.
-type TroubleKind string
+// FaultKind is a kind of fault.
+type FaultKind string
 
 // The kinds of faults. Part is the part of the running servers or machines that a fault affects when it
 // begins.
 const (
 	// Silent: servers accept requests and answer none.
-	Silent TroubleKind = "silent"
+	Silent FaultKind = "silent"
 	// Failing: servers quickly fail the part Size of their requests.
-	Failing TroubleKind = "failing"
+	Failing FaultKind = "failing"
 	// Refusing: servers reject all requests at once.
-	Refusing TroubleKind = "refusing"
+	Refusing FaultKind = "refusing"
 	// Deploy: a rolling deploy replaces Part of the servers, in batches of the part Size of the fleet. Each
 	// server is listed as leaving and ends after Drain; its successor begins with a slow start.
-	Deploy TroubleKind = "deploy"
-	// Slow: a shared dependency slows all servers down by the factor Size.
-	Slow TroubleKind = "slow"
-	// Vanished: machines are cut off, without any notice that they are gone. They come back with what they
-	// held.
-	Vanished TroubleKind = "vanished"
+	Deploy FaultKind = "deploy"
+	// SlowPeriod: a shared dependency slows all servers down by the factor Size.
+	SlowPeriod FaultKind = "slow"
+	// MachinesUnreachable: machines are cut off, without any notice that they are gone. They come back with
+	// what they held.
+	MachinesUnreachable FaultKind = "vanished"
 	// Crashed: processes die and their connections are reset. They start again when the fault ends, with a
 	// slow start.
-	Crashed TroubleKind = "crashed"
+	Crashed FaultKind = "crashed"
 	// AgentsKilled: Count agents, the busiest first, are killed and start without memory when the fault ends.
-	AgentsKilled TroubleKind = "agents_killed"
+	AgentsKilled FaultKind = "agents_killed"
 	// AgentsRestarted: Count agents, the busiest first, are told to terminate. They drain, and start without
 	// memory when the fault ends. With a Size, that part of them restarts at a time, spread evenly over the
 	// fault's duration, each as soon as it has drained.
-	AgentsRestarted TroubleKind = "agents_restarted"
-	// TakenOut: operators take servers out of service manually at every running agent, restart them half way,
-	// and put them back when the fault ends. Discovery learns only of the restarts.
-	TakenOut TroubleKind = "taken_out"
-	// SentAway: Count agents, the busiest first, are manually set to send their clients to other agents, and
-	// take them back when the fault ends.
-	SentAway TroubleKind = "sent_away"
-	// Upgraded: at Count agents, the busiest first, a new process takes over and the old one shuts down
+	AgentsRestarted FaultKind = "agents_restarted"
+	// ServersTakenOut: operators take servers out of service manually at every running agent, restart them
+	// half way, and put them back when the fault ends. Discovery learns only of the restarts.
+	ServersTakenOut FaultKind = "taken_out"
+	// ClientsRedirected: Count agents, the busiest first, are manually set to send their clients to other
+	// agents, and take them back when the fault ends.
+	ClientsRedirected FaultKind = "sent_away"
+	// AgentsUpgraded: at Count agents, the busiest first, a new process takes over and the old one shuts down
 	// gracefully.
-	Upgraded TroubleKind = "upgraded"
+	AgentsUpgraded FaultKind = "upgraded"
 	// DiscoveryDown: calls to discovery fail and its watches end.
-	DiscoveryDown TroubleKind = "discovery_down"
+	DiscoveryDown FaultKind = "discovery_down"
 	// WatchesSilent: each open watch goes silent at some time during the fault, and stays silent until its
 	// agent ends it. Watches opened later work.
-	WatchesSilent TroubleKind = "watches_silent"
+	WatchesSilent FaultKind = "watches_silent"
 	// EmptyList: discovery reports every server as gone, and all as back when the fault ends.
-	EmptyList TroubleKind = "empty_list"
+	EmptyList FaultKind = "empty_list"
 	// Reset: the part Size of the attempts ends with a reset connection, half of them before and half after
 	// they have run.
-	Reset TroubleKind = "reset"
-	// Forgotten: connections to servers that were idle for longer than Idle are lost without notice.
-	Forgotten TroubleKind = "forgotten"
-	// Spoilt: the part Size of the servers' answers is unreadable.
-	Spoilt TroubleKind = "spoilt"
-	// OnWire: the part Size of the servers' answers has a Fault of the wire.
-	OnWire TroubleKind = "on_wire"
+	Reset FaultKind = "reset"
+	// IdleConnectionsLost: connections to servers that were idle for longer than Idle are lost without notice.
+	IdleConnectionsLost FaultKind = "forgotten"
+	// UnreadableAnswers: the part Size of the servers' answers is unreadable.
+	UnreadableAnswers FaultKind = "spoilt"
+	// FaultyAnswers: the part Size of the servers' answers has a ConnFault of the wire.
+	FaultyAnswers FaultKind = "on_wire"
 	// Surge: the usual traffic times Size.
-	Surge TroubleKind = "surge"
+	Surge FaultKind = "surge"
 	// Partition: nothing passes between a zone and the other zones.
-	Partition TroubleKind = "partition"
+	Partition FaultKind = "partition"
 	// DatagramsLost: the part Size of the datagrams between agents is lost, with a Zone only of those to its
 	// agents.
-	DatagramsLost TroubleKind = "datagrams_lost"
+	DatagramsLost FaultKind = "datagrams_lost"
 	// FewConnections: servers accept only the part Size of their usual number of connections.
-	FewConnections TroubleKind = "few_connections"
+	FewConnections FaultKind = "few_connections"
 	// Datagrams: datagrams between some agents are lost, delayed, reordered, duplicated, corrupted or
 	// truncated, each direction of each pair independently (internal/rehearsal/mishap).
-	Datagrams TroubleKind = "datagrams"
-	// Streams: agents' connections to discovery, to the upstream servers or to both have a Fault of
+	Datagrams FaultKind = "datagrams"
+	// Streams: agents' connections to discovery, to the upstream servers or to both have a ConnFault of
 	// StreamFaults.
-	Streams TroubleKind = "streams"
+	Streams FaultKind = "streams"
 	// AgentsPaused: agents are paused, as by SIGSTOP, and continue when the fault ends, with everything that
 	// has arrived.
-	AgentsPaused TroubleKind = "agents_paused"
+	AgentsPaused FaultKind = "agents_paused"
 	// AgentsSlowed: agents run for the part Size of the time, in slices of SlowSlice.
-	AgentsSlowed TroubleKind = "agents_slowed"
+	AgentsSlowed FaultKind = "agents_slowed"
 	// ClientsLeave: Part of the clients that are waiting for an answer when the fault begins leave and do not
 	// return.
-	ClientsLeave TroubleKind = "clients_leave"
+	ClientsLeave FaultKind = "clients_leave"
 	// LateConnections: Part of the connections that agents open to upstream servers are established later by
 	// Delay.
-	LateConnections TroubleKind = "late_connections"
-	// Window: a maintenance window takes servers from Tenants. Their keys leave evenly over Moves and come
+	LateConnections FaultKind = "late_connections"
+	// Window: a maintenance window takes servers from Tenants. Their keys leave evenly over MoveTime and come
 	// back the same way at the end.
-	Window TroubleKind = "window"
+	Window FaultKind = "window"
 )
 
 // SlowSlice is the period in which a slowed agent runs once and pauses once.
@@ -488,21 +488,21 @@
 // LongestPause is the maximum duration of a pause of an agent.
 const LongestPause = time.Minute
 
-// Trouble is a fault to inject at a time and for a duration. Each kind requires some of the fields and
+// FaultSpec is a fault to inject at a time and for a duration. Each kind requires some of the fields and
 // allows some others; further ones are an error (see faultFields).
-type Trouble struct {
-	Kind TroubleKind `toml:"kind,need"`
-	At   TimeSpan    `toml:"at_s,need" range:"0..86400"`
-	For  TimeSpan    `toml:"for_s,need" range:"0.1..86400"`
-	Part Span        `toml:"part" range:"0.001..1"`
-	Size Span        `toml:"size" range:"0..1000"`
+type FaultSpec struct {
+	Kind FaultKind `toml:"kind,need"`
+	At   TimeSpan  `toml:"at_s,need" range:"0..86400"`
+	For  TimeSpan  `toml:"for_s,need" range:"0.1..86400"`
+	Part Span      `toml:"part" range:"0.001..1"`
+	Size Span      `toml:"size" range:"0..1000"`
 	// Agents affected: the busiest Count agents, or those with the given numbers, from 0.
 	Count  int   `toml:"count" range:"1..20000"`
 	Agents []int `toml:"agents" range:"0..19999"`
 	// Zone of the servers chosen from, or of the agents that receive nothing; empty: all zones.
-	Zone  string   `toml:"zone"`
-	Fault Fault    `toml:"fault"`
-	Idle  TimeSpan `toml:"idle_s" range:"0.01..3600"`
+	Zone  string    `toml:"zone"`
+	Fault ConnFault `toml:"fault"`
+	Idle  TimeSpan  `toml:"idle_s" range:"0.01..3600"`
 	// Time between the notice to a server in a deploy and its end.
 	Drain TimeSpan `toml:"drain_s" range:"0..600" default:"[2.7, 5.4]"`
 	// Part of a deploy's successors that start at the old address.
@@ -527,21 +527,21 @@
 	Calm      TimeSpan `toml:"calm_ms" range:"1..600000"`
 	Bad       TimeSpan `toml:"bad_ms" range:"1..600000"`
 	Delay     TimeSpan `toml:"delay_ms" range:"0..600000"`
-	// Part that is held back for Held, so that later datagrams overtake it.
-	Reorder Span     `toml:"reorder" range:"0..1"`
-	Held    TimeSpan `toml:"held_ms" range:"0..600000"`
-	Double  Span     `toml:"double" range:"0..1"`
+	// Part that is held back for HoldBack, so that later datagrams overtake it.
+	Reorder   Span     `toml:"reorder" range:"0..1"`
+	HoldBack  TimeSpan `toml:"held_ms" range:"0..600000"`
+	Duplicate Span     `toml:"double" range:"0..1"`
 	// Parts with flipped bits, and with the end cut off.
 	Flip    Span `toml:"flip" range:"0..1"`
 	Shorten Span `toml:"shorten" range:"0..1"`
 	// Affected streams.
 	Stream string `toml:"stream" oneof:"discovery,servers,both" default:"'both'"`
 	// What a killed agent finds in its state directory when it starts again: its last state, or nothing.
-	Folder string `toml:"folder" oneof:"lasts,empty" default:"'lasts'"`
+	StateDir string `toml:"folder" oneof:"lasts,empty" default:"'lasts'"`
 	// Tenants that a window moves, by name; "-" is requests without a tenant, "*" is all.
 	Tenants []string `toml:"tenants"`
 	// Time that a window takes to move the keys away, and to move them back.
-	Moves TimeSpan `toml:"moves_s" range:"0.1..3600"`
+	MoveTime TimeSpan `toml:"moves_s" range:"0.1..3600"`
 }
 
 // faultFields defines the keys that a kind of fault requires and allows besides kind, at_s and for_s, and
@@ -562,31 +562,31 @@
 	datagramKeys     = []string{"cut", "loss", "burst_loss", "delay_ms", "reorder", "double", "flip", "shorten"}
 )
 
-var faultKinds = map[TroubleKind]faultFields{
+var faultKinds = map[FaultKind]faultFields{
 	Silent:   {required: []string{"part"}, optional: intermittentKeys},
 	Failing:  {required: []string{"part", "size"}, optional: intermittentKeys, maxSize: 1},
 	Refusing: {required: []string{"part"}, optional: intermittentKeys},
 	Deploy:   {required: []string{"part", "size"}, optional: deployKeys, maxSize: 1},
-	Slow: {required: []string{"size"}, optional: []string{"heals_below", "heals_rest_s"},
+	SlowPeriod: {required: []string{"size"}, optional: []string{"heals_below", "heals_rest_s"},
 		minSize: 1, maxSize: 100},
-	Vanished:        {required: []string{"part"}, optional: zoneKey},
-	Crashed:         {required: []string{"part"}, optional: intermittentKeys},
-	AgentsKilled:    {oneOf: agentKeys, optional: []string{"folder"}},
-	AgentsRestarted: {oneOf: agentKeys, optional: []string{"size"}, minSize: 0.001, maxSize: 1},
-	TakenOut:        {required: []string{"part"}},
-	SentAway:        {required: []string{"count"}},
-	Upgraded:        {required: []string{"count"}},
-	DiscoveryDown:   {},
-	WatchesSilent:   {},
-	EmptyList:       {},
-	Reset:           {required: []string{"size"}, maxSize: 1},
-	Forgotten:       {required: []string{"idle_s"}},
-	Spoilt:          {required: []string{"part", "size"}, optional: zoneKey, maxSize: 1},
-	OnWire:          {required: []string{"part", "size", "fault"}, maxSize: 1},
-	Surge:           {required: []string{"size"}, minSize: 0.01, maxSize: 100},
-	Partition:       {required: zoneKey},
-	DatagramsLost:   {required: []string{"size"}, optional: zoneKey, maxSize: 1},
-	FewConnections:  {required: []string{"part", "size"}, optional: zoneKey, maxSize: 1},
+	MachinesUnreachable: {required: []string{"part"}, optional: zoneKey},
+	Crashed:             {required: []string{"part"}, optional: intermittentKeys},
+	AgentsKilled:        {oneOf: agentKeys, optional: []string{"folder"}},
+	AgentsRestarted:     {oneOf: agentKeys, optional: []string{"size"}, minSize: 0.001, maxSize: 1},
+	ServersTakenOut:     {required: []string{"part"}},
+	ClientsRedirected:   {required: []string{"count"}},
+	AgentsUpgraded:      {required: []string{"count"}},
+	DiscoveryDown:       {},
+	WatchesSilent:       {},
+	EmptyList:           {},
+	Reset:               {required: []string{"size"}, maxSize: 1},
+	IdleConnectionsLost: {required: []string{"idle_s"}},
+	UnreadableAnswers:   {required: []string{"part", "size"}, optional: zoneKey, maxSize: 1},
+	FaultyAnswers:       {required: []string{"part", "size", "fault"}, maxSize: 1},
+	Surge:               {required: []string{"size"}, minSize: 0.01, maxSize: 100},
+	Partition:           {required: zoneKey},
+	DatagramsLost:       {required: []string{"size"}, optional: zoneKey, maxSize: 1},
+	FewConnections:      {required: []string{"part", "size"}, optional: zoneKey, maxSize: 1},
 	Datagrams: {
 		oneOf: datagramKeys, anyOf: true,
 		optional: []string{"from", "to", "calm_ms", "bad_ms", "held_ms", "on_s", "off_s"},
--- a/internal/rehearsal/short.go
+++ b/internal/rehearsal/short.go
@@ -43,12 +43,12 @@
 	}
 	totals.requested += share.Worth
 	totals.served += share.Served * share.Worth
-	totals.late += share.Late * share.Worth
+	totals.late += share.Delayed * share.Worth
 }
 
 // result judges all added runs together; ok is false if there were none.
-func (s *shortRuns) result() (g Gated, ok bool) {
-	g = Gated{Scenario: fmt.Sprintf("all %d short days", s.runs), Passed: true}
+func (s *shortRuns) result() (g GateResult, ok bool) {
+	g = GateResult{Scenario: fmt.Sprintf("all %d short days", s.runs), Passed: true}
 	var texts, low []string
 	for _, name := range s.names {
 		totals := s.totals[name]
@@ -61,10 +61,10 @@
 			low = append(low, fmt.Sprintf("%s served %.3f, asked %.3f", name, served, required))
 		}
 	}
-	g.Says = "passed"
+	g.Line = "passed"
 	if len(low) > 0 {
-		g.Passed, g.Says = false, "FAILED, share too low: "+strings.Join(low, ", ")
+		g.Passed, g.Line = false, "FAILED, share too low: "+strings.Join(low, ", ")
 	}
-	g.Says += "; served (asked): " + strings.Join(texts, ", ")
+	g.Line += "; served (asked): " + strings.Join(texts, ", ")
 	return g, s.runs > 0
 }
--- a/internal/rehearsal/shrink.go
+++ b/internal/rehearsal/shrink.go
@@ -11,8 +11,8 @@
 	"dunestep/internal/rehearsal/scenario"
 )
 
-// ErrNothingWrong is returned by Shrink for a scenario that passes.
-var ErrNothingWrong = errors.New("the scenario passes; there is no failure to reproduce")
+// ErrScenarioPasses is returned by Shrink for a scenario that passes.
+var ErrScenarioPasses = errors.New("the scenario passes; there is no failure to reproduce")
 
 // minFirstTries is the minimum number of requests of a shrunk run, so that its service is not that of a
 // handful of requests.
@@ -36,7 +36,7 @@
 			return symptom{rule: rule.Name}, true
 		}
 	}
-	for _, term := range r.Terms {
+	for _, term := range r.Limits {
 		if term.Broken {
 			return symptom{rule: term.Name}, true
 		}
@@ -58,7 +58,7 @@
 	if s.rule != "" {
 		broken := func(k judge.Rule) bool { return k.Name == s.rule && k.First != nil }
 		return slices.ContainsFunc(r.Rules, broken) ||
-			slices.ContainsFunc(r.Terms, func(k judge.Term) bool { return k.Name == s.rule && k.Broken })
+			slices.ContainsFunc(r.Limits, func(k judge.GateLimit) bool { return k.Name == s.rule && k.Broken })
 	}
 	named := func(f judge.Finding) bool { return f.Name == s.finding }
 	return r.Service < s.floor && r.Counts.FirstTries >= minFirstTries &&
@@ -81,7 +81,7 @@
 	}
 	failure, ok := symptomOf(r)
 	if !ok {
-		return nil, ErrNothingWrong
+		return nil, ErrScenarioPasses
 	}
 	played := 1
 	for {
@@ -125,9 +125,9 @@
 // candidates returns the valid scenarios that are one reduction smaller, largest reductions first.
 func candidates(set *scenario.Scenario) []*scenario.Scenario {
 	var reductions []reduction
-	for i := range set.Troubles {
+	for i := range set.Faults {
 		reductions = append(reductions, func(s *scenario.Scenario) bool {
-			s.Troubles = slices.Delete(s.Troubles, i, i+1)
+			s.Faults = slices.Delete(s.Faults, i, i+1)
 			return true
 		})
 	}
@@ -149,7 +149,7 @@
 func clone(set *scenario.Scenario) *scenario.Scenario {
 	s := *set
 	s.Kinds, s.Classes = slices.Clone(s.Kinds), slices.Clone(s.Classes)
-	s.Tenants, s.Troubles = slices.Clone(s.Tenants), slices.Clone(s.Troubles)
+	s.Tenants, s.Faults = slices.Clone(s.Tenants), slices.Clone(s.Faults)
 	s.Network.Zones = slices.Clone(s.Network.Zones)
 	return &s
 }
@@ -189,8 +189,8 @@
 // fitTroubles limits troubles to the existing agents and removes those that named only agents that no longer
 // exist.
 func fitTroubles(s *scenario.Scenario) bool {
-	var fit []scenario.Trouble
-	for _, t := range s.Troubles {
+	var fit []scenario.FaultSpec
+	for _, t := range s.Faults {
 		t.Count = min(t.Count, s.Agents.Count)
 		emptied := false
 		for _, numbers := range []*[]int{&t.Agents, &t.From, &t.To} {
@@ -204,7 +204,7 @@
 			fit = append(fit, t)
 		}
 	}
-	s.Troubles = fit
+	s.Faults = fit
 	return true
 }
 
@@ -218,40 +218,40 @@
 	}
 }
 
-func halveDuration(s *scenario.Scenario) bool { return endAt(s, s.Day.Length/2) }
+func halveDuration(s *scenario.Scenario) bool { return endAt(s, s.Run.Length/2) }
 
 func shortenDuration(s *scenario.Scenario) bool {
-	return endAt(s, s.Day.Length-max(s.Day.Length/10, time.Second))
+	return endAt(s, s.Run.Length-max(s.Run.Length/10, time.Second))
 }
 
 // endAt shortens the run to length and removes the troubles that begin later.
 func endAt(s *scenario.Scenario, length time.Duration) bool {
-	s.Day.Length = length.Truncate(time.Second)
-	tooLate := func(t scenario.Trouble) bool { return t.At.High >= s.Day.Length }
-	s.Troubles = slices.DeleteFunc(s.Troubles, tooLate)
-	return s.Day.Length > 0
+	s.Run.Length = length.Truncate(time.Second)
+	tooLate := func(t scenario.FaultSpec) bool { return t.At.High >= s.Run.Length }
+	s.Faults = slices.DeleteFunc(s.Faults, tooLate)
+	return s.Run.Length > 0
 }
 
 const minLead = 2 * time.Second
 
 // cutLead halves the time before the first trouble, to no less than minLead.
 func cutLead(s *scenario.Scenario) bool {
-	if len(s.Troubles) == 0 {
+	if len(s.Faults) == 0 {
 		return false
 	}
-	first := s.Day.Length
-	for _, t := range s.Troubles {
+	first := s.Run.Length
+	for _, t := range s.Faults {
 		first = min(first, t.At.Low)
 	}
 	cut := (first / 2).Truncate(time.Second)
 	if cut == 0 || first-cut < minLead {
 		return false
 	}
-	for i := range s.Troubles {
-		s.Troubles[i].At.Low -= cut
-		s.Troubles[i].At.High -= cut
+	for i := range s.Faults {
+		s.Faults[i].At.Low -= cut
+		s.Faults[i].At.High -= cut
 	}
-	s.Day.Length -= cut
+	s.Run.Length -= cut
 	return true
 }
 
--- a/internal/rehearsal/timeline/timeline.go
+++ b/internal/rehearsal/timeline/timeline.go
@@ -15,8 +15,8 @@
 // maxEntries limits the entries of a timeline. Later entries are only counted as dropped.
 const maxEntries = 20_000
 
-// Mark is one entry of a timeline.
-type Mark struct {
+// Entry is one entry of a timeline.
+type Entry struct {
 	At    time.Duration // since the start of the run
 	Lane  string
 	Agent string // name of the agent; empty: the whole fleet
@@ -27,13 +27,13 @@
 // none.
 type Reader func(line string) (lane, text string)
 
-// Read adds the entry that r finds in a line of an agent's log. A nil reader finds none.
-func (t *Timeline) Read(r Reader, at time.Duration, agent, line string) {
+// AddLine adds the entry that r finds in a line of an agent's log. A nil reader finds none.
+func (t *Timeline) AddLine(r Reader, at time.Duration, agent, line string) {
 	if r == nil {
 		return
 	}
 	if lane, text := r(line); lane != "" {
-		t.Mark(at, lane, agent, text)
+		t.Add(at, lane, agent, text)
 	}
 }
 
@@ -41,33 +41,33 @@
 // the zero value is ready to use.
 type Timeline struct {
 	mu      sync.Mutex
-	entries []Mark
+	entries []Entry
 	dropped int
 }
 
-// Mark adds an entry.
-func (t *Timeline) Mark(at time.Duration, lane, agent, text string) {
+// Add adds an entry.
+func (t *Timeline) Add(at time.Duration, lane, agent, text string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if len(t.entries) >= maxEntries {
 		t.dropped++
 		return
 	}
-	t.entries = append(t.entries, Mark{at, lane, agent, text})
+	t.entries = append(t.entries, Entry{at, lane, agent, text})
 }
 
-// Marks returns all entries sorted by time, entries of the same time in the order in which they were added,
+// Entries returns all entries sorted by time, entries of the same time in the order in which they were added,
 // and the number of entries dropped above the limit.
-func (t *Timeline) Marks() (marks []Mark, dropped int) {
+func (t *Timeline) Entries() (marks []Entry, dropped int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	marks = slices.Clone(t.entries)
-	slices.SortStableFunc(marks, func(a, b Mark) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(marks, func(a, b Entry) int { return cmp.Compare(a.At, b.At) })
 	return marks, t.dropped
 }
 
 // Lanes returns the names of the lanes with entries: Faults first, then in the order of their first entry.
-func Lanes(marks []Mark) []string {
+func Lanes(marks []Entry) []string {
 	var lanes []string
 	for _, m := range marks {
 		if !slices.Contains(lanes, m.Lane) {
--- a/internal/rehearsal/world/bench_test.go
+++ b/internal/rehearsal/world/bench_test.go
@@ -12,15 +12,15 @@
 // discardingSink is a sink that discards everything.
 type discardingSink struct{}
 
-func (discardingSink) Begin(record.Day)          {}
+func (discardingSink) Begin(record.Run)          {}
 func (discardingSink) Server(int, record.Server) {}
 func (discardingSink) Take(*record.Event)        {}
 func (discardingSink) Sample(*record.Sample)     {}
 func (discardingSink) End(time.Duration)         {}
 
-func benchmarkMinute(b *testing.B, troubles ...scenario.Trouble) {
+func benchmarkMinute(b *testing.B, troubles ...scenario.FaultSpec) {
 	set := deployment(time.Minute)
-	set.Troubles = troubles
+	set.Faults = troubles
 	b.ReportAllocs()
 	for i := range b.N {
 		if err := Play(context.Background(), set, uint64(i), discardingSink{}, Options{}); err != nil {
@@ -36,9 +36,9 @@
 // times the traffic.
 func BenchmarkMinuteWithFaults(b *testing.B) {
 	at, lasts := ms(10000, 10000), ms(25000, 25000)
-	benchmarkMinute(b, scenario.Trouble{Kind: scenario.Silent, At: at, For: lasts, Part: span(0.19, 0.19)},
-		scenario.Trouble{
+	benchmarkMinute(b, scenario.FaultSpec{Kind: scenario.Silent, At: at, For: lasts, Part: span(0.19, 0.19)},
+		scenario.FaultSpec{
 			Kind: scenario.Deploy, At: at, For: lasts, Part: span(0.8, 0.8), Size: span(0.18, 0.18),
 			Drain: ms(4000, 4000),
-		}, scenario.Trouble{Kind: scenario.Surge, At: at, For: lasts, Size: span(4, 4)})
+		}, scenario.FaultSpec{Kind: scenario.Surge, At: at, For: lasts, Size: span(4, 4)})
 }
--- a/internal/rehearsal/world/byhand.go
+++ b/internal/rehearsal/world/byhand.go
@@ -104,8 +104,8 @@
 
 // hasUpgrades reports whether the scenario upgrades agents.
 func (w *world) hasUpgrades() bool {
-	return slices.ContainsFunc(w.scenario.Troubles, func(t scenario.Trouble) bool {
-		return t.Kind == scenario.Upgraded
+	return slices.ContainsFunc(w.scenario.Faults, func(t scenario.FaultSpec) bool {
+		return t.Kind == scenario.AgentsUpgraded
 	})
 }
 
@@ -113,7 +113,7 @@
 // operators have set. The old process accepts no new connection and shuts down gracefully.
 func (a *agent) upgrade() {
 	old := a.proc
-	// There is no recorder with Options.Late.
+	// There is no recorder with Options.ViewDelay.
 	if old == nil || old.external || old.shutdown.requested || old.recorder == nil {
 		return
 	}
--- a/internal/rehearsal/world/client.go
+++ b/internal/rehearsal/world/client.go
@@ -38,7 +38,7 @@
 	idleSince time.Duration
 	idleCheck bool // an idle check is scheduled
 	activeTry *try // of a connection to a real agent: the try that uses it
-	Handle    FrontHandle
+	Handle    ClientConnHandle
 }
 
 // listener is an agent's listener.
@@ -89,7 +89,7 @@
 func (q *request) send(number int) {
 	w := q.client.w
 	a := q.client.agent
-	if (number > 0 || a.proc != nil && a.proc.sendingAway) && w.scenario.Clients.Elsewhere {
+	if (number > 0 || a.proc != nil && a.proc.sendingAway) && w.scenario.Clients.RetryElsewhere {
 		for range w.agents {
 			if a.accepting() {
 				break
@@ -167,7 +167,7 @@
 	t.notAccepted = true
 	t.closedUnanswered = t.proc != nil && (t.proc.shutdown.closing || t.proc.shutdown.exited)
 	t.conn.closed = true
-	w.record.try(record.Unreached, t)
+	w.record.try(record.RequestUnreached, t)
 	w.scheduleAfter(w.network.client, rankArrival, (*clientSeesUnreached)(t))
 }
 
@@ -192,7 +192,7 @@
 // accept passes the try to the agent.
 func (t *try) accept() {
 	t.accepted = true
-	t.agent.w.record.try(record.Asked, t)
+	t.agent.w.record.try(record.RequestReceived, t)
 	if s := t.agent.w.delayedView; s != nil {
 		s.arrivedWork += t.request.work
 	}
@@ -232,7 +232,7 @@
 	}
 	f.closed = true
 	if f.proc.external {
-		f.client.w.wire.HangUp(f)
+		f.client.w.wire.CloseConn(f)
 	}
 	if f.counted && !f.proc.ended {
 		f.counted = false
@@ -329,9 +329,9 @@
 	t.end()
 	w := t.agent.w
 	if t.accepted {
-		w.record.add(record.Event{Kind: record.Left, Op: t.op, Agent: int32(t.agent.number)})
+		w.record.add(record.Event{Kind: record.ClientLeft, RequestID: t.op, Agent: int32(t.agent.number)})
 	} else if !t.notAccepted { // it never reached the agent
-		w.record.try(record.Unreached, t)
+		w.record.try(record.RequestUnreached, t)
 	}
 	w.scheduleAfter(w.network.client, rankArrival, (*clientLeft)(t))
 }
@@ -379,7 +379,7 @@
 		return
 	}
 	t.end()
-	t.agent.w.record.add(record.Event{Kind: record.Lost, Op: t.op, Agent: int32(t.agent.number)})
+	t.agent.w.record.add(record.Event{Kind: record.ConnectionLost, RequestID: t.op, Agent: int32(t.agent.number)})
 	t.retry(false)
 }
 
@@ -397,7 +397,7 @@
 }
 
 // retry schedules the client's next try, if the request cannot have run or is safe to repeat, and if
-// retries and time are left. After a timeout the retry has already been scheduled.
+// retries and time are left. RetryAfter a timeout the retry has already been scheduled.
 func (t *try) retry(neverRan bool) {
 	if t.timedOut {
 		return
--- a/internal/rehearsal/world/client_test.go
+++ b/internal/rehearsal/world/client_test.go
@@ -25,7 +25,7 @@
 			set := deployment(runLength)
 			set.Load.Shape, set.Load.Swing, set.Load.Arrivals = shape, span(0.5, 0.5), arrivals
 			d := play(t, set, 7, Options{})
-			first, second := d.count(record.Asked, 0, runLength/2, firstTry), d.count(record.Asked, runLength/2, runLength, firstTry)
+			first, second := d.count(record.RequestReceived, 0, runLength/2, firstTry), d.count(record.RequestReceived, runLength/2, runLength, firstTry)
 			scatter := math.Sqrt(330 * 20)
 			if arrivals == scenario.Bursty {
 				scatter *= math.Sqrt(2 * set.Load.BurstMean)
@@ -35,7 +35,7 @@
 			require.InDelta(t, 330*20*(1-lean), second, 4*scatter, "%s %s", shape, arrivals)
 			classes, keys := [2]float64{}, map[uint32]int{}
 			work := [2]float64{}
-			for _, e := range d.ofKind(record.Asked) {
+			for _, e := range d.ofKind(record.RequestReceived) {
 				if e.Try == 0 {
 					classes[e.Class]++
 					keys[e.Key]++
@@ -67,9 +67,9 @@
 		{scenario.Fixed, 0, 0, nil},
 		{scenario.Fixed, 1, 1, nil},
 	} {
-		d := playFault(t, scenario.Trouble{Kind: scenario.Refusing, Part: span(1, 1)}, func(set *scenario.Scenario) {
+		d := playFault(t, scenario.FaultSpec{Kind: scenario.Refusing, Part: span(1, 1)}, func(set *scenario.Scenario) {
 			set.Clients.Backoff, set.Clients.Retries, set.Clients.BackoffWait = c.backoff, c.retries, ms(60, 60)
-			set.Clients.Honour, set.Clients.Impatient = span(c.honour, c.honour), span(0, 0)
+			set.Clients.HonorRetryAfter, set.Clients.Impatient = span(c.honour, c.honour), span(0, 0)
 			set.Clients.TryShare = span(1, 1)
 		})
 		type tryKey struct {
@@ -86,9 +86,9 @@
 			}
 			switch e.Kind {
 			case record.Answered:
-				rejected[sent[e.Op]] = e
-			case record.Asked:
-				sent[e.Op] = tryKey{e.Chain, e.Try}
+				rejected[sent[e.RequestID]] = e
+			case record.RequestReceived:
+				sent[e.RequestID] = tryKey{e.Chain, e.Try}
 				before, known := rejected[tryKey{e.Chain, e.Try - 1}]
 				if !known {
 					continue
@@ -118,8 +118,8 @@
 func TestSameRunOnAnyCoreCount(t *testing.T) {
 	if os.Getenv("WORLD_PRINT_DAY") != "" {
 		set := deployment(20 * time.Second)
-		for _, k := range []scenario.TroubleKind{scenario.Deploy, scenario.AgentsKilled, scenario.Silent, scenario.Reset} {
-			set.Troubles = append(set.Troubles, scenario.Trouble{
+		for _, k := range []scenario.FaultKind{scenario.Deploy, scenario.AgentsKilled, scenario.Silent, scenario.Reset} {
+			set.Faults = append(set.Faults, scenario.FaultSpec{
 				Kind: k, At: ms(2000, 5000), For: ms(5000, 9000),
 				Part: span(0.1, 0.5), Size: span(0.1, 0.2), Count: 2, Drain: ms(2000, 3000), SameAddress: span(0.5, 0.5),
 			})
--- a/internal/rehearsal/world/conn.go
+++ b/internal/rehearsal/world/conn.go
@@ -37,8 +37,8 @@
 	idleCheck     bool // an idle check is scheduled
 	idleSince     time.Duration
 
-	wire StepConn // of a real agent; nil: simulated
-	used bool     // it has carried an attempt
+	wire AttemptConn // of a real agent; nil: simulated
+	used bool        // it has carried an attempt
 
 	usedAt                    time.Duration // last transfer, as the agent sees it
 	lastToServer, lastToAgent time.Duration // arrival time of the last data sent
@@ -84,7 +84,7 @@
 	m := &p.server.machine
 	c.handshakeWork = m.handshakeWork
 	c.counted = true
-	w.record.conn(record.Opened, c)
+	w.record.conn(record.ConnOpened, c)
 	w.schedule(c.link.arrival(&c.lastToAgent, 1), rankArrival, (*connAccepted)(c))
 	c.watchIdle()
 }
@@ -159,7 +159,7 @@
 func (c *conn) uncount() {
 	if c.counted {
 		c.counted = false
-		c.link.w.record.conn(record.Closed, c)
+		c.link.w.record.conn(record.ConnClosed, c)
 	}
 }
 
@@ -215,15 +215,15 @@
 	}
 	s.reply = kind
 	c.idleSince = w.now
-	c.forgotten = s.fault == scenario.Forgets
+	c.forgotten = s.fault == scenario.DropsConnection
 	if c.wire == nil {
 		switch s.fault.Effect() {
 		case scenario.Unanswered:
 			return
-		case scenario.Breaks:
+		case scenario.BreaksConnection:
 			c.drop()
 			return
-		case scenario.Spoils:
+		case scenario.Unreadable:
 			s.reply = replyUnreadable
 		case scenario.LastAnswer:
 			defer c.drop()
--- a/internal/rehearsal/world/discovery.go
+++ b/internal/rehearsal/world/discovery.go
@@ -63,7 +63,7 @@
 	updateDelay time.Duration // delay of its updates, up to updateSpread
 	lastSent    time.Duration // last message on it, keep-alive lines excluded
 	silent      bool          // nothing more is sent on it
-	wire        ListConn      // of a real agent
+	wire        CallConn      // of a real agent
 }
 
 var (
@@ -163,7 +163,7 @@
 	d.published[i] = l
 	d.version++
 	d.changes = append(d.changes, change{listEntry: l, version: d.version, at: d.w.now})
-	d.w.record.listed(record.Changed, nil, l)
+	d.w.record.listed(record.ListChanged, nil, l)
 	if !d.flushing {
 		d.flushing = true
 		wait := time.Duration(0)
@@ -305,12 +305,12 @@
 	}
 	c.accepted, c.lastSent = true, d.w.now
 	if !c.watch {
-		d.w.record.agent(record.Asking, c.proc.agent)
+		d.w.record.agent(record.ListRequested, c.proc.agent)
 		c.sendList(d.published, true)
 		c.finish(nil)
 		return
 	}
-	d.w.record.agent(record.Watching, c.proc.agent)
+	d.w.record.agent(record.WatchOpened, c.proc.agent)
 	c.send(message{kind: callAccepted, number: c.number})
 	if c.sentVersion == 0 {
 		c.sendList(d.published, true)
@@ -371,7 +371,7 @@
 		wasListed, isListed := l.sentServers[e.server.number], e.state != balancer.Gone
 		l.sentServers[e.server.number] = isListed
 		if !full || isListed || wasListed {
-			l.w.record.listed(record.Told, l.agent, e)
+			l.w.record.listed(record.Notified, l.agent, e)
 		}
 	}
 }
--- a/internal/rehearsal/world/discovery_test.go
+++ b/internal/rehearsal/world/discovery_test.go
@@ -17,7 +17,7 @@
 	set.Agents.Count, set.Load.PerS = 30, span(20, 20)
 	set.Discovery.CallsPerS, set.Discovery.Timeout = span(4, 4), time.Second
 	d := play(t, set, 7, Options{})
-	watching := d.ofKind(record.Watching)
+	watching := d.ofKind(record.WatchOpened)
 	accepted := map[int32]bool{}
 	for i, e := range watching {
 		accepted[e.Agent] = true
@@ -35,11 +35,11 @@
 // and updates its watches at the next period, spread over a short time.
 func TestDiscoveryDelays(t *testing.T) {
 	notice, join, period, spread := 2*time.Second, 1500*time.Millisecond, 700*time.Millisecond, 90*time.Millisecond
-	d := playFault(t, scenario.Trouble{Kind: scenario.Crashed, Part: span(0.3, 0.3)}, func(set *scenario.Scenario) {
+	d := playFault(t, scenario.FaultSpec{Kind: scenario.Crashed, Part: span(0.3, 0.3)}, func(set *scenario.Scenario) {
 		set.Discovery.Notice, set.Discovery.Join = ms(2000, 2000), ms(1500, 1500)
 		set.Discovery.Period, set.Discovery.Spread = ms(700, 700), ms(90, 90)
 	})
-	changed := d.ofKind(record.Changed)
+	changed := d.ofKind(record.ListChanged)
 	require.Len(t, changed, 2*4)
 	for i, e := range changed {
 		if i < 4 {
@@ -51,7 +51,7 @@
 			require.Equal(t, faultEnd+join, e.At)
 		}
 		updates := map[int32]int{}
-		for _, u := range d.ofKind(record.Told) {
+		for _, u := range d.ofKind(record.Notified) {
 			if u.Server == e.Server && u.State == e.State && u.Started == e.Started && u.At >= e.At {
 				updates[u.Agent]++
 				next := e.At + period - e.At%period
@@ -70,11 +70,11 @@
 		set.Discovery.Notice, set.Discovery.SilentNotice = ms(15000, 15000), ms(15000, 15000)
 		set.Discovery.Join = ms(1000, 1000)
 	}
-	d := playFault(t, scenario.Trouble{Kind: scenario.Vanished, Part: span(0.3, 0.3)}, slowNotice)
-	require.Empty(t, d.ofKind(record.Changed))
-	d = playFault(t, scenario.Trouble{Kind: scenario.Crashed, Part: span(0.3, 0.3)}, slowNotice)
-	require.Len(t, d.ofKind(record.Changed), 4)
-	for _, e := range d.ofKind(record.Changed) {
+	d := playFault(t, scenario.FaultSpec{Kind: scenario.MachinesUnreachable, Part: span(0.3, 0.3)}, slowNotice)
+	require.Empty(t, d.ofKind(record.ListChanged))
+	d = playFault(t, scenario.FaultSpec{Kind: scenario.Crashed, Part: span(0.3, 0.3)}, slowNotice)
+	require.Len(t, d.ofKind(record.ListChanged), 4)
+	for _, e := range d.ofKind(record.ListChanged) {
 		require.Equal(t, record.Active, e.State)
 	}
 }
@@ -84,7 +84,7 @@
 func TestAgentStartsWithOlderList(t *testing.T) {
 	set := deployment(runLength)
 	set.Discovery.KnownAge, set.Discovery.Notice = ms(15000, 15000), ms(1000, 1000)
-	set.Troubles = []scenario.Trouble{
+	set.Faults = []scenario.FaultSpec{
 		{Kind: scenario.Crashed, At: ms(10000, 10000), For: ms(25000, 25000), Part: span(0.3, 0.3)},
 		{Kind: scenario.AgentsKilled, At: ms(15000, 15000), For: ms(1000, 1000), Count: 1},
 	}
@@ -92,7 +92,7 @@
 	up := d.ofKind(record.AgentUp)
 	require.Len(t, up, 6)
 	first, later := map[int32]record.State{}, map[int32]record.State{}
-	for _, e := range d.ofKind(record.Told) {
+	for _, e := range d.ofKind(record.Notified) {
 		if e.Agent == 0 && e.At == up[5].At {
 			first[e.Server] = e.State
 		} else if e.Agent == 0 && e.At > up[5].At && e.At < 30*time.Second {
--- a/internal/rehearsal/world/fault_test.go
+++ b/internal/rehearsal/world/fault_test.go
@@ -14,11 +14,11 @@
 // outcomes counts how attempts ended, in addition to judging the run.
 type outcomes struct {
 	*judge.Judge
-	ended [record.SpoiltAnswer + 1]int
+	ended [record.UnreadableAnswer + 1]int
 }
 
 func (o *outcomes) Take(e *record.Event) {
-	if e.Kind == record.Ended {
+	if e.Kind == record.AttemptEnded {
 		o.ended[e.Outcome]++
 	}
 	o.Judge.Take(e)
@@ -27,7 +27,7 @@
 // TestWireFaultOutcomes checks that each fault on the wire leads to its outcome in a simulated run and
 // breaks no rule.
 func TestWireFaultOutcomes(t *testing.T) {
-	for _, f := range scenario.Faults {
+	for _, f := range scenario.AnswerFaults {
 		t.Run(string(f), func(t *testing.T) {
 			set, err := scenario.Load("../../../rehearsals/calm-monday.toml")
 			require.NoError(t, err)
@@ -36,15 +36,15 @@
 			fault := "\n[[trouble]]\nkind = \"on_wire\"\nat_s = 2\nfor_s = 20\npart = 0.3\nsize = 0.3\nfault = \"" + string(f) + "\"\n"
 			set, err = scenario.Parse("day", []byte(strings.TrimSpace(string(text))+fault))
 			require.NoError(t, err)
-			set.Day.Length /= 3
+			set.Run.Length /= 3
 			o := &outcomes{Judge: judge.New(set)}
 			require.NoError(t, Play(t.Context(), set, 1, o, Options{}))
 			for _, rule := range o.Verdict().Rules {
 				require.Nil(t, rule.First)
 			}
 			shows := map[scenario.FaultEffect]record.Outcome{
-				scenario.Unanswered: record.GivenUp,
-				scenario.Breaks:     record.Broken, scenario.Spoils: record.SpoiltAnswer,
+				scenario.Unanswered:       record.Abandoned,
+				scenario.BreaksConnection: record.Broken, scenario.Unreadable: record.UnreadableAnswer,
 			}
 			if of, is := shows[f.Effect()]; is {
 				require.Greater(t, o.ended[of], 100)
--- a/internal/rehearsal/world/graphql.go
+++ b/internal/rehearsal/world/graphql.go
@@ -9,9 +9,9 @@
 
 // graphQL describes how agents classify the requests of GraphQL clients.
 type graphQL struct {
-	classer *graphql.Classer // nil: agents have none
-	bodies  [][]string       // by class: request bodies that select its root field
-	opaque  int              // class of a POST whose body is not inspected
+	classer *graphql.Classifier // nil: agents have none
+	bodies  [][]string          // by class: request bodies that select its root field
+	opaque  int                 // class of a POST whose body is not inspected
 }
 
 // graphQLHeader is the header of every GraphQL request.
@@ -35,7 +35,7 @@
 		Classes: w.deployment(w.agents[0]).Classes,
 		Queries: map[string]string{}, Mutations: map[string]string{},
 		Limits: graphql.Limits{
-			Document: 4 << 10, Tokens: 200, Depth: 10, Aliases: 10, Operations: 5,
+			MaxDocumentBytes: 4 << 10, MaxTokens: 200, MaxDepth: 10, MaxAliases: 10, MaxOperations: 5,
 			CacheBytes: 1 << 20,
 		},
 	}
@@ -53,8 +53,8 @@
 		}
 		w.graphQL.bodies = append([][]string{bodies}, w.graphQL.bodies...)
 	}
-	if w.scenario.Clients.GraphQLFront {
-		w.graphQL.classer, err = graphql.NewClasser(rules)
+	if w.scenario.Clients.GraphQLListener {
+		w.graphQL.classer, err = graphql.NewClassifier(rules)
 	}
 	return err
 }
@@ -67,7 +67,7 @@
 		if w.graphQL.classer != nil {
 			body := w.graphQL.bodies[class][int(
 				hashedDraw(q.drawSeed, 0, drawGraphQLTemplate)*float64(len(queryTemplates)))]
-			v, err := w.graphQL.classer.Class(graphql.Request{
+			v, err := w.graphQL.classer.Classify(graphql.Request{
 				Method: "POST", Header: graphQLHeader, Body: []byte(body),
 			})
 			if err != nil {
--- a/internal/rehearsal/world/hardship.go
+++ b/internal/rehearsal/world/hardship.go
@@ -50,7 +50,7 @@
 			if l := a.current(); l != nil {
 				t.paused = append(t.paused, l)
 				if l.pauseFaults++; l.pauseFaults == 1 {
-					w.record.agent(record.AgentStill, a)
+					w.record.agent(record.AgentPaused, a)
 				}
 				l.pause()
 			}
@@ -75,7 +75,7 @@
 	case scenario.AgentsPaused:
 		for _, l := range t.paused {
 			if l.pauseFaults--; l.pauseFaults == 0 && !l.ended {
-				t.w.record.agent(record.AgentOn, l.agent)
+				t.w.record.agent(record.AgentResumed, l.agent)
 			}
 			l.resume()
 		}
@@ -86,7 +86,7 @@
 // its keep-alive lines itself, so that the simulation cannot hold them back.
 func (t *injection) setWireStreams(a *agent, on bool) {
 	if t.w.wire != nil && t.config.Stream != "servers" {
-		t.w.wire.Hinder(a.number, t.config.Fault, on)
+		t.w.wire.SetStreamFault(a.number, t.config.Fault, on)
 	}
 }
 
@@ -120,7 +120,7 @@
 	}
 }
 
-// resume ends one pause. After the last one, the events that were deferred fire now, in their order.
+// resume ends one pause. RetryAfter the last one, the events that were deferred fire now, in their order.
 func (l *agentProcess) resume() {
 	if l.pauseCount--; l.pauseCount > 0 || l.ended {
 		return
@@ -153,7 +153,7 @@
 type streamBlock struct{ out, back, reset time.Duration }
 
 // add extends the block by a fault until a time.
-func (h *streamBlock) add(fault scenario.Fault, until time.Duration) {
+func (h *streamBlock) add(fault scenario.ConnFault, until time.Duration) {
 	switch fault {
 	case scenario.StreamReset:
 		h.reset = max(h.reset, until)
@@ -167,7 +167,7 @@
 }
 
 // blockStreams applies a stream fault to an agent until a time.
-func (a *agent) blockStreams(stream string, fault scenario.Fault, until time.Duration) {
+func (a *agent) blockStreams(stream string, fault scenario.ConnFault, until time.Duration) {
 	reset := fault == scenario.StreamReset
 	if stream != "servers" {
 		a.toDiscovery.add(fault, until)
@@ -210,7 +210,7 @@
 	for _, a := range agents {
 		for _, c := range d.calls {
 			if c.proc.agent == a && !c.ended && c.watch && c.accepted {
-				d.w.record.agent(record.Watching, a)
+				d.w.record.agent(record.WatchOpened, a)
 				d.w.schedule(a.toDiscovery.back, rankServer, (*watchUpdate)(c))
 			}
 		}
@@ -220,7 +220,7 @@
 // description describes the fault for the timeline.
 func (t *injection) description() string {
 	if t.config.Kind == scenario.Datagrams {
-		return t.config.Words() + ": " + t.datagramFault.Way.String()
+		return t.config.Describe() + ": " + t.datagramFault.Impairment.String()
 	}
-	return t.config.Words()
+	return t.config.Describe()
 }
--- a/internal/rehearsal/world/lab_test.go
+++ b/internal/rehearsal/world/lab_test.go
@@ -75,8 +75,8 @@
 // workOf returns when the server was done with an attempt, the work spent on it, and whether it ran; at
 // is negative if it is not done.
 func (l *testbed) workOf(s *attempt) (at time.Duration, work time.Duration, ran bool) {
-	for _, e := range l.sink.ofKind(record.Worked) {
-		if e.Op == s.try.op {
+	for _, e := range l.sink.ofKind(record.WorkDone) {
+		if e.RequestID == s.try.op {
 			return e.At, e.Work, e.Ran
 		}
 	}
@@ -211,7 +211,7 @@
 	for _, busy := range []bool{true, false} {
 		l := newTestbed(func(set *scenario.Scenario, m *machine) {
 			m.initialCapacity, m.warmupTime, m.slots = 0.4, 4*time.Second, 100
-			set.Rules.ColdFor, set.Rules.FallMultiple = 8*time.Second, 1e9
+			set.Rules.SlowStartTime, set.Rules.OverloadMultiple = 8*time.Second, 1e9
 		})
 		l.advance(time.Second)
 		l.server.start(true)
@@ -252,7 +252,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			l := newTestbed(func(set *scenario.Scenario, m *machine) {
 				m.initialCapacity, m.warmupTime, m.slots, m.queue = 0.4, time.Hour, 1, 0
-				set.Rules.ColdFor = time.Hour
+				set.Rules.SlowStartTime = time.Hour
 			})
 			l.advance(time.Second)
 			l.server.start(c.cold)
@@ -260,14 +260,14 @@
 				l.advance(10 * time.Millisecond)
 				l.deliver(0.01*c.times*0.4*4.5, 0)
 			}
-			require.Len(t, l.sink.ofKind(record.Fell), map[bool]int{true: 1, false: 0}[c.falls])
+			require.Len(t, l.sink.ofKind(record.ServerOverloaded), map[bool]int{true: 1, false: 0}[c.falls])
 			l.advance(time.Minute)
 			if c.falls {
-				require.Greater(t, l.sink.ofKind(record.Fell)[0].At, 3*time.Second)
+				require.Greater(t, l.sink.ofKind(record.ServerOverloaded)[0].At, 3*time.Second)
 				require.Equal(t, processDown, l.server.process.state, "a crashed process stays down")
 				require.Empty(t, l.server.process.conns)
 			}
-			require.Len(t, l.sink.ofKind(record.Worked), len(l.sink.ofKind(record.Reached)))
+			require.Len(t, l.sink.ofKind(record.WorkDone), len(l.sink.ofKind(record.AttemptReached)))
 		})
 	}
 }
@@ -320,7 +320,7 @@
 	l.schedule(time.Second, rankArrival, (*tryAnswered)(sent))
 	l.advance(time.Second)
 	require.Len(t, l.sink.ofKind(record.Answered), 1)
-	require.Empty(t, l.sink.ofKind(record.Left))
+	require.Empty(t, l.sink.ofKind(record.ClientLeft))
 
 	outcomeWith := func(timeout time.Duration) record.Event {
 		l := newTestbed(func(*scenario.Scenario, *machine) {})
@@ -339,13 +339,13 @@
 		proc.openConns = []*conn{s.conn}
 		timed.conn = s.conn
 		l.advance(time.Minute)
-		require.Len(t, l.sink.ofKind(record.Ended), 1)
-		return l.sink.ofKind(record.Ended)[0]
+		require.Len(t, l.sink.ofKind(record.AttemptEnded), 1)
+		return l.sink.ofKind(record.AttemptEnded)[0]
 	}
 	answered := outcomeWith(30 * time.Second)
 	require.Equal(t, record.OK, answered.Outcome)
 	require.Equal(t, record.OK, outcomeWith(answered.At).Outcome)
-	require.Equal(t, record.GivenUp, outcomeWith(answered.At-1).Outcome)
+	require.Equal(t, record.Abandoned, outcomeWith(answered.At-1).Outcome)
 }
 
 // connTimeout is the timeout of the attempt that is on its connection at that time.
--- a/internal/rehearsal/world/life.go
+++ b/internal/rehearsal/world/life.go
@@ -154,7 +154,7 @@
 	if err != nil {
 		return err
 	}
-	shedder, err := overload.New(settings, w.options.Storm, decisions, seed)
+	shedder, err := overload.New(settings, w.options.Overload, decisions, seed)
 	if err != nil {
 		return err
 	}
@@ -179,11 +179,11 @@
 	}
 	a.proc = l
 	l.joinRing()
-	if s := &w.scenario.Agents; w.delayedView == nil && (s.KeepEvery > 0 || s.ProvesList || w.hasUpgrades()) {
+	if s := &w.scenario.Agents; w.delayedView == nil && (s.StateInterval > 0 || s.ListProbation || w.hasUpgrades()) {
 		l.recorder = state.NewRecorder(start, decisions, shedder, l.idleLimit,
-			state.ProbationSettings{Enabled: s.ProvesList, FullDeploy: s.DeployTakes})
+			state.ProbationSettings{Enabled: s.ListProbation, FullDeploy: s.DeployTime})
 	}
-	if every := w.scenario.Agents.KeepEvery; every > 0 {
+	if every := w.scenario.Agents.StateInterval; every > 0 {
 		w.scheduleAfter(every, rankTimer, (*periodicSave)(l))
 	}
 	w.record.agent(record.AgentUp, a)
@@ -215,7 +215,7 @@
 	for len(l.openConns) > 0 {
 		c := l.openConns[len(l.openConns)-1]
 		if s := c.attempt; s != nil && !s.ended {
-			s.finish(record.GivenUp)
+			s.finish(record.Abandoned)
 		}
 		c.close()
 	}
@@ -257,7 +257,7 @@
 
 // updatePolicy applies the present fleet policy to the router, as agent.Agent does before each message.
 func (l *agentProcess) updatePolicy() {
-	if acting := l.w.options.Acting; acting != nil {
+	if acting := l.w.options.FleetPolicy; acting != nil {
 		if e := acting(l.agent.number, l.w.now); e != l.appliedPolicy {
 			l.appliedPolicy = e
 			l.router.SetFleetPolicy(e)
@@ -351,7 +351,7 @@
 			l.startAttempt(o)
 		case routing.CancelAttempt:
 			if s := l.requests[o.Request].attempt(o.Attempt); s != nil && !s.ended {
-				s.end(o.Why)
+				s.end(o.Reason)
 			}
 		case routing.CancelIfUnsent:
 			if s := l.requests[o.Request].attempt(o.Attempt); s != nil && !s.ended && s.phase == routing.Connecting {
--- a/internal/rehearsal/world/live.go
+++ b/internal/rehearsal/world/live.go
@@ -24,10 +24,10 @@
 	Server(addr netip.AddrPort) error
 	// Gate sets how an agent's connection requests to an address are handled.
 	Gate(agent int, addr netip.AddrPort, g Gate)
-	// Ask sends a client's try to an agent, on a kept connection or a new one.
-	Ask(f *FrontConn, q *Query)
-	// HangUp closes a client's connection.
-	HangUp(f *FrontConn)
+	// Send sends a client's try to an agent, on a kept connection or a new one.
+	Send(f *ClientConn, q *ClientRequest)
+	// CloseConn closes a client's connection.
+	CloseConn(f *ClientConn)
 	// Datagram delivers a datagram from one agent to another.
 	Datagram(from, to int, data []byte)
 	// Start starts an agent's program as run number run; Kill kills it, Drain starts its shutdown.
@@ -37,8 +37,8 @@
 	// Pause stops an agent's process, Resume continues it.
 	Pause(agent int)
 	Resume(agent int)
-	// Hinder turns a stream fault of an agent's connections to discovery on or off.
-	Hinder(agent int, fault scenario.Fault, on bool)
+	// SetStreamFault turns a stream fault of an agent's connections to discovery on or off.
+	SetStreamFault(agent int, fault scenario.ConnFault, on bool)
 }
 
 // Gate is how a connection request is handled.
@@ -46,13 +46,13 @@
 
 // The gates: a connection request is accepted, refused or left unanswered.
 const (
-	Open Gate = iota
-	Shut
-	Mute
+	Accept Gate = iota
+	Refuse
+	Ignore
 )
 
-// A StepConn is the wire's side of an agent's connection to an upstream server.
-type StepConn interface {
+// An AttemptConn is the wire's side of an agent's connection to an upstream server.
+type AttemptConn interface {
 	Answer(a Answer) // writes an answer
 	Reset()          // breaks the connection
 	Close()          // closes it in an orderly way
@@ -63,7 +63,7 @@
 	Op      uint32
 	Attempt int
 	Kind    AnswerKind
-	Fault   scenario.Fault // fault on the wire that replaces a valid answer
+	Fault   scenario.ConnFault // fault on the wire that replaces a valid answer
 }
 
 // AnswerKind is the kind of an answer.
@@ -74,50 +74,50 @@
 	AnswerServed AnswerKind = iota
 	AnswerError
 	AnswerUnprocessed
-	AnswerSpoilt
+	AnswerUnreadable
 )
 
-// A ListConn is the wire's side of an agent's call to discovery.
-type ListConn interface {
-	Begin()                           // the call is accepted
-	Say(config protocol.EndpointList) // sends a full list or changes
-	End(ok bool)                      // ends the call; false: it has failed
-	Silence()                         // sends nothing more and keeps the call open
+// A CallConn is the wire's side of an agent's call to discovery.
+type CallConn interface {
+	Accept()                           // the call is accepted
+	Send(config protocol.EndpointList) // sends a full list or changes
+	End(ok bool)                       // ends the call; false: it has failed
+	Silence()                          // sends nothing more and keeps the call open
 }
 
-// Query is a client's try in the form that the wire sends.
-type Query struct {
+// ClientRequest is a client's try in the form that the wire sends.
+type ClientRequest struct {
 	Agent    int
 	Op       uint32
 	Class    string
 	Tenant   string
 	Key      string
-	Repeat   bool // marked as a retry
-	Update   bool // sent as a POST
+	IsRetry  bool // marked as a retry
+	IsUpdate bool // sent as a POST
 	TimeLeft time.Duration
-	Due      time.Duration // when it is to be sent
+	SendAt   time.Duration // when it is to be sent
 	try      *try
 }
 
-// Final is an agent's final answer.
-type Final struct {
-	Answer  record.Answer
-	After   time.Duration // Retry-After; zero: none
-	Attempt int           // the attempt that produced the body; negative: none did
-	Closes  bool          // the connection cannot carry another try
+// FinalAnswer is an agent's final answer.
+type FinalAnswer struct {
+	Answer     record.Answer
+	RetryAfter time.Duration // Retry-RetryAfter; zero: none
+	Attempt    int           // the attempt that produced the body; negative: none did
+	Closes     bool          // the connection cannot carry another try
 }
 
-// FrontConn is a client's connection to an agent. The wire keeps its own state of it in Handle.
-type FrontConn = clientConn
+// ClientConn is a client's connection to an agent. The wire keeps its own state of it in Handle.
+type ClientConn = clientConn
 
-// FrontHandle is the wire's state of a client's connection.
-type FrontHandle any
+// ClientConnHandle is the wire's state of a client's connection.
+type ClientConnHandle any
 
 // Lateness is how late the rehearsal kit itself fired its events.
 type Lateness struct {
-	Happenings *hdrhistogram.Histogram // of all events, in microseconds
-	Most       time.Duration
-	MostAt     time.Duration // virtual time of the maximum
+	Events *hdrhistogram.Histogram // of all events, in microseconds
+	Max    time.Duration
+	MaxAt  time.Duration // virtual time of the maximum
 }
 
 // Live is a run in real time. Its methods may be called from any goroutine.
@@ -172,7 +172,7 @@
 		return nil, err
 	}
 	v := &Live{w: w, eventFD: fd, ready: make([]bool, set.Agents.Count)}
-	v.late.Happenings = hdrhistogram.New(1, int64(10*time.Minute/time.Microsecond), 3)
+	v.late.Events = hdrhistogram.New(1, int64(10*time.Minute/time.Microsecond), 3)
 	w.live = v
 	return v, nil
 }
@@ -205,8 +205,8 @@
 	return v.Zero().Add(started - clockStart).UnixMilli()
 }
 
-// Late returns how late the kit was, once the run has ended.
-func (v *Live) Late() Lateness { return v.late }
+// ViewDelay returns how late the kit was, once the run has ended.
+func (v *Live) Lateness() Lateness { return v.late }
 
 // Play runs the scenario in real time. It returns an error if the agents do not get ready, the wire
 // fails or the context ends.
@@ -239,9 +239,9 @@
 // their work.
 func (v *Live) run(ctx context.Context) error {
 	w := v.w
-	last := w.scenario.Day.Length
+	last := w.scenario.Run.Length
 	for i := range w.scenario.Classes {
-		last = max(last, w.scenario.Day.Length+w.scenario.Classes[i].Deadline)
+		last = max(last, w.scenario.Run.Length+w.scenario.Classes[i].Deadline)
 	}
 	reported := time.Duration(0)
 	for {
@@ -267,7 +267,7 @@
 		case !v.started && wall >= -time.Second:
 			w.sink.End(0)
 			return errNotReady
-		case w.now >= last+maxOverrun || w.now >= w.scenario.Day.Length && w.pending == 0 && w.idle():
+		case w.now >= last+maxOverrun || w.now >= w.scenario.Run.Length && w.pending == 0 && w.idle():
 			v.finish()
 			return nil
 		}
@@ -285,9 +285,9 @@
 	if v.w.now <= 0 {
 		return
 	}
-	_ = v.late.Happenings.RecordValue(max(late.Microseconds(), 1))
-	if late > v.late.Most {
-		v.late.Most, v.late.MostAt = late, v.w.now
+	_ = v.late.Events.RecordValue(max(late.Microseconds(), 1))
+	if late > v.late.Max {
+		v.late.Max, v.late.MaxAt = late, v.w.now
 	}
 }
 
--- a/internal/rehearsal/world/memory.go
+++ b/internal/rehearsal/world/memory.go
@@ -52,16 +52,16 @@
 		return
 	}
 	l.saveState()
-	l.w.scheduleAfter(l.w.scenario.Agents.KeepEvery+l.w.scenario.Agents.KeepTakes, rankTimer, k)
+	l.w.scheduleAfter(l.w.scenario.Agents.StateInterval+l.w.scenario.Agents.StateWriteTime, rankTimer, k)
 }
 
 // saveState begins to write the state file, if the agent has one.
 func (l *agentProcess) saveState() {
-	if l.w.scenario.Agents.KeepEvery == 0 || l.recorder == nil {
+	if l.w.scenario.Agents.StateInterval == 0 || l.recorder == nil {
 		return
 	}
 	if raw, err := state.Encode(l.stateFile()); err == nil {
-		l.w.scheduleAfter(l.w.scenario.Agents.KeepTakes, rankTimer, &saveCompleted{l, raw})
+		l.w.scheduleAfter(l.w.scenario.Agents.StateWriteTime, rankTimer, &saveCompleted{l, raw})
 	}
 }
 
--- a/internal/rehearsal/world/network.go
+++ b/internal/rehearsal/world/network.go
@@ -91,8 +91,8 @@
 	if cut || draw < max(w.datagramLoss, w.datagramLossByZone[to.zone]) {
 		return
 	}
-	for _, c := range w.datagramFaults.Pass(w.now, from.number, to.number, data) {
-		w.scheduleAfter(delay+c.After, rankArrival, &datagram{from: from, to: to, data: c.Data})
+	for _, c := range w.datagramFaults.Transmit(w.now, from.number, to.number, data) {
+		w.scheduleAfter(delay+c.Delay, rankArrival, &datagram{from: from, to: to, data: c.Data})
 	}
 }
 
--- a/internal/rehearsal/world/placed.go
+++ b/internal/rehearsal/world/placed.go
@@ -41,8 +41,8 @@
 	stateMachine *ringassignment.StateMachine // immutable once agents have it
 	proposer     *ringassignment.Proposer
 	leader       *agentProcess
-	mark         ringassignment.Mark // of the present generation
-	allAppliedAt time.Duration       // when all lease holders had applied it; zero: they have not
+	mark         ringassignment.GenerationID // of the present generation
+	allAppliedAt time.Duration               // when all lease holders had applied it; zero: they have not
 	rng          stream
 	kindCapacity map[string]float64 // agreed capacities, by machine kind
 }
@@ -54,12 +54,12 @@
 		kindCapacity: map[string]float64{},
 	}
 	g.parameters.SlowStart = slowstart.Params{
-		InitialCapacity:  r.ColdShare,
-		Duration:         r.ColdFor,
-		OverloadMultiple: r.FallMultiple,
-		OverloadWindow:   r.FallWindow,
+		InitialCapacity:  r.SlowStartShare,
+		Duration:         r.SlowStartTime,
+		OverloadMultiple: r.OverloadMultiple,
+		OverloadWindow:   r.OverloadWindow,
 		Margin:           f.SlowStartMargin,
-		MaxOfWarm:        f.SlowStartMax,
+		MaxWarmMultiple:  f.SlowStartMax,
 		Balancers:        w.scenario.Agents.Count,
 	}
 	mean := 0.0
--- a/internal/rehearsal/world/placed_test.go
+++ b/internal/rehearsal/world/placed_test.go
@@ -18,17 +18,17 @@
 func TestRingAssignmentRun(t *testing.T) {
 	set := deployment(40 * time.Second)
 	set.Kinds[0].Speed, set.Kinds[1].Speed = span(2, 2), span(1, 1)
-	set.Agents.Placed = true
-	set.Troubles = []scenario.Trouble{
+	set.Agents.RingPlacement = true
+	set.Faults = []scenario.FaultSpec{
 		{
-			Kind: scenario.Deploy, At: scenario.Always(5 * time.Second), For: scenario.Always(4 * time.Second),
-			Part: span(0.5, 0.5), Size: span(0.2, 0.2), Drain: scenario.Always(3 * time.Second),
+			Kind: scenario.Deploy, At: scenario.ExactTime(5 * time.Second), For: scenario.ExactTime(4 * time.Second),
+			Part: span(0.5, 0.5), Size: span(0.2, 0.2), Drain: scenario.ExactTime(3 * time.Second),
 		},
 		{
-			Kind: scenario.Partition, At: scenario.Always(8 * time.Second), For: scenario.Always(5 * time.Second),
+			Kind: scenario.Partition, At: scenario.ExactTime(8 * time.Second), For: scenario.ExactTime(5 * time.Second),
 			Zone: set.Network.Zones[1],
 		},
-		{Kind: scenario.AgentsKilled, At: scenario.Always(12 * time.Second), For: scenario.Always(2 * time.Second), Count: 1},
+		{Kind: scenario.AgentsKilled, At: scenario.ExactTime(12 * time.Second), For: scenario.ExactTime(2 * time.Second), Count: 1},
 	}
 	d := &recordingSink{}
 	w, err := newRun(set, 3, d, Options{})
@@ -40,7 +40,7 @@
 	for _, s := range w.servers {
 		for _, n := range settled.Members {
 			if n.ID == s.id {
-				require.InDelta(t, 200*w.generations.kindCapacity[s.machine.kind], n.OnRing(), 25, "settled on the kind's capacity")
+				require.InDelta(t, 200*w.generations.kindCapacity[s.machine.kind], n.PointsOnRing(), 25, "settled on the kind's capacity")
 			}
 		}
 	}
@@ -60,8 +60,8 @@
 	}
 	again := play(t, set, 3, Options{})
 	require.Equal(t, len(d.events), len(again.events))
-	require.Equal(t, d.ofKind(record.Sent), again.ofKind(record.Sent))
-	set.Agents.Placed = false
+	require.Equal(t, d.ofKind(record.AttemptSent), again.ofKind(record.AttemptSent))
+	set.Agents.RingPlacement = false
 	require.NotEqual(t, len(d.events), len(play(t, set, 3, Options{}).events))
-	require.Equal(t, len(d.events), len(play(t, set, 3, Options{Placed: true}).events))
+	require.Equal(t, len(d.events), len(play(t, set, 3, Options{RingAssignment: true}).events))
 }
--- a/internal/rehearsal/world/plan.go
+++ b/internal/rehearsal/world/plan.go
@@ -12,7 +12,7 @@
 // and faults.
 type Plan struct {
 	Arrivals []Arrival
-	Troubles []Spell
+	Faults   []PlannedFault
 }
 
 // Arrival is a first try.
@@ -25,9 +25,9 @@
 	Tenant uint8
 }
 
-// Spell is a fault injection, as drawn.
-type Spell struct {
-	Kind    scenario.TroubleKind
+// PlannedFault is a fault injection, as drawn.
+type PlannedFault struct {
+	Kind    scenario.FaultKind
 	At, For time.Duration
 	Part    float64
 	Size    float64
@@ -42,7 +42,7 @@
 	}
 	w.record.w = w
 	w.build()
-	for ev, ok := w.next(set.Day.Length); ok; ev, ok = w.next(set.Day.Length) {
+	for ev, ok := w.next(set.Run.Length); ok; ev, ok = w.next(set.Run.Length) {
 		ev.fire()
 	}
 	return p
@@ -59,7 +59,7 @@
 // discardSink is a sink that discards everything.
 type discardSink struct{}
 
-func (discardSink) Begin(record.Day)          {}
+func (discardSink) Begin(record.Run)          {}
 func (discardSink) Server(int, record.Server) {}
 func (discardSink) Take(*record.Event)        {}
 func (discardSink) Sample(*record.Sample)     {}
--- a/internal/rehearsal/world/policyfloor_test.go
+++ b/internal/rehearsal/world/policyfloor_test.go
@@ -38,7 +38,7 @@
 func playCut(t *testing.T, name string, seed uint64, mode string) (own, all, others float64, old int) {
 	set, err := scenario.Load("../../../rehearsals/" + name + ".toml")
 	require.NoError(t, err)
-	set.Day.Length, set.Agents.Count = time.Minute, 5
+	set.Run.Length, set.Agents.Count = time.Minute, 5
 	d := &recordingSink{}
 	var before, after, floor *policy.Effect
 	acting := func(agent int, at time.Duration) *policy.Effect {
@@ -53,13 +53,13 @@
 		}
 		return after
 	}
-	require.NoError(t, Play(t.Context(), set, seed, d, Options{Acting: acting}))
+	require.NoError(t, Play(t.Context(), set, seed, d, Options{FleetPolicy: acting}))
 	served, agentOf := map[uint32]bool{}, map[uint32]int{}
 	chain := map[uint32]uint32{}
 	for _, e := range d.events {
 		switch {
-		case e.Kind == record.Asked || e.Kind == record.Unreached:
-			chain[e.Op] = e.Chain
+		case e.Kind == record.RequestReceived || e.Kind == record.RequestUnreached:
+			chain[e.RequestID] = e.Chain
 			if e.Try == 0 && e.At >= leaseEnd && e.At < cutTo {
 				agentOf[e.Chain] = int(e.Agent)
 				if e.Agent == cutAgent && e.At >= newPolicyAt && mode == "staleness" {
@@ -67,7 +67,7 @@
 				}
 			}
 		case e.Kind == record.Answered && e.Answer == record.Served:
-			served[chain[e.Op]] = true
+			served[chain[e.RequestID]] = true
 		}
 	}
 	var ownServed, ownAll, allServed float64
--- a/internal/rehearsal/world/process.go
+++ b/internal/rehearsal/world/process.go
@@ -85,7 +85,7 @@
 	if m.warmupTime > 0 {
 		progress = p.busy / (m.warmupTime.Seconds() * float64(m.cores))
 	}
-	if slowStart := p.w.scenario.Rules.ColdFor; slowStart > 0 {
+	if slowStart := p.w.scenario.Rules.SlowStartTime; slowStart > 0 {
 		progress = max(progress, float64(p.w.now-p.started)/float64(slowStart))
 	}
 	return m.initialCapacity + (1-m.initialCapacity)*min(progress, 1)
@@ -277,7 +277,7 @@
 	p.running.push(j)
 }
 
-// finish completes a job. After a handshake the process admits the attempt that waits for it; after an
+// finish completes a job. RetryAfter a handshake the process admits the attempt that waits for it; after an
 // attempt it sends the answer and starts waiting attempts.
 func (p *serverProcess) finish(j *job) {
 	if j.handshake {
@@ -431,12 +431,12 @@
 	q := &p.warmupLoad
 	q.sent = append(q.sent, sentWork{p.w.now, j.work})
 	q.sum += j.work
-	for q.sent[q.first].at <= p.w.now-rules.FallWindow {
+	for q.sent[q.first].at <= p.w.now-rules.OverloadWindow {
 		q.sum -= q.sent[q.first].work
 		q.first++
 	}
-	if q.sum > rules.FallLimit(p.capacity(), p.w.scenario.MeanWork(p.w.meanWork)).Seconds() {
-		p.w.record.server(record.Fell, p)
+	if q.sum > rules.OverloadLimit(p.capacity(), p.w.scenario.MeanWork(p.w.meanWork)).Seconds() {
+		p.w.record.server(record.ServerOverloaded, p)
 		j.attempt.done(0)
 		p.server.stop()
 	}
--- a/internal/rehearsal/world/record.go
+++ b/internal/rehearsal/world/record.go
@@ -25,15 +25,15 @@
 func (r *recorder) try(kind record.Kind, t *try) {
 	q := t.request
 	r.add(record.Event{
-		Kind: kind, Op: t.op, Chain: q.chain, Agent: int32(t.agent.number),
+		Kind: kind, RequestID: t.op, Chain: q.chain, Agent: int32(t.agent.number),
 		Class: uint8(q.class), Tenant: q.tenant, Key: q.key, Work: seconds(q.work), Left: t.deadline - r.w.now,
-		Try: uint8(t.number), Shut: kind == record.Unreached && t.closedUnanswered,
+		Try: uint8(t.number), ClosedByShutdown: kind == record.RequestUnreached && t.closedUnanswered,
 	})
 }
 
 func (r *recorder) answered(t *try) {
 	r.add(record.Event{
-		Kind: record.Answered, Op: t.op, Agent: int32(t.agent.number), Answer: t.answer,
+		Kind: record.Answered, RequestID: t.op, Agent: int32(t.agent.number), Answer: t.answer,
 		After: t.retryAfter, Attempt: int8(t.attempt),
 	})
 }
@@ -41,36 +41,36 @@
 // event returns an event with the fields that all events of an attempt have in common.
 func (s *attempt) event(kind record.Kind) record.Event {
 	ev := record.Event{
-		Kind: kind, Op: s.try.op, Agent: int32(s.proc.agent.number), Attempt: int8(s.index),
+		Kind: kind, RequestID: s.try.op, Agent: int32(s.proc.agent.number), Attempt: int8(s.index),
 		Server: -1, NewConn: !s.checkout.Reused,
 	}
 	if s.conn != nil {
 		ev.Server = int32(s.conn.link.server.number)
-		ev.Crossed = s.conn.link.crossesZone
+		ev.CrossZone = s.conn.link.crossesZone
 	}
 	return ev
 }
 
 func (r *recorder) sent(s *attempt) {
-	ev := s.event(record.Sent)
+	ev := s.event(record.AttemptSent)
 	ev.Left = s.deadline - r.w.now
 	r.add(ev)
 }
 
 func (r *recorder) reached(s *attempt, p *serverProcess) {
-	ev := s.event(record.Reached)
-	ev.Work, ev.Capacity, ev.Cold = seconds(s.work), p.capacity(), p.warming
+	ev := s.event(record.AttemptReached)
+	ev.Work, ev.Capacity, ev.SlowStart = seconds(s.work), p.capacity(), p.warming
 	r.add(ev)
 }
 
 func (r *recorder) worked(s *attempt, spent float64) {
-	ev := s.event(record.Worked)
+	ev := s.event(record.WorkDone)
 	ev.Work, ev.Ran = seconds(spent), s.ran
 	r.add(ev)
 }
 
 func (r *recorder) ended(s *attempt, outcome record.Outcome) {
-	ev := s.event(record.Ended)
+	ev := s.event(record.AttemptEnded)
 	ev.Outcome = outcome
 	r.add(ev)
 }
@@ -81,7 +81,7 @@
 
 func (r *recorder) server(kind record.Kind, p *serverProcess) {
 	r.add(record.Event{
-		Kind: kind, Server: int32(p.server.number), Cold: p.warming, Capacity: p.capacity(),
+		Kind: kind, Server: int32(p.server.number), SlowStart: p.warming, Capacity: p.capacity(),
 		Started: p.started,
 	})
 }
@@ -94,7 +94,7 @@
 	}
 	switch l.state {
 	case balancer.Draining:
-		ev.State = record.Leaving
+		ev.State = record.Draining
 	case balancer.Gone:
 		ev.State = record.Gone
 	}
@@ -122,11 +122,11 @@
 }
 
 func (r *recorder) fault(kind record.Kind, n int) {
-	r.add(record.Event{Kind: kind, Trouble: int16(n)})
+	r.add(record.Event{Kind: kind, Fault: int16(n)})
 }
 
 func (r *recorder) window(kind record.Kind, t *injection, s *server) {
-	r.add(record.Event{Kind: kind, Trouble: int16(t.index), Server: int32(s.number)})
+	r.add(record.Event{Kind: kind, Fault: int16(t.index), Server: int32(s.number)})
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/rehearsal/world/record_test.go
+++ b/internal/rehearsal/world/record_test.go
@@ -15,8 +15,8 @@
 // which is at most what its client has left.
 func TestRecordsStartTimesAndDeadlines(t *testing.T) {
 	set := deployment(12 * time.Second)
-	set.Agents.BackIn = 700 * time.Millisecond
-	set.Troubles = []scenario.Trouble{
+	set.Agents.RestartTime = 700 * time.Millisecond
+	set.Faults = []scenario.FaultSpec{
 		{Kind: scenario.AgentsKilled, At: ms(2000, 2000), For: ms(3000, 3000), Count: 2},
 		{Kind: scenario.Refusing, At: ms(6000, 6000), For: ms(4000, 4000), Part: span(0.5, 0.5)},
 	} // rejections lead to further attempts
@@ -33,14 +33,14 @@
 			if e.After == 700*time.Millisecond && e.At == 5700*time.Millisecond {
 				timed++
 			}
-		case record.Asked:
-			deadlines[e.Op] = e.At + e.Left
-		case record.Sent:
+		case record.RequestReceived:
+			deadlines[e.RequestID] = e.At + e.Left
+		case record.AttemptSent:
 			if e.Attempt > 0 {
 				further++
 			}
 			require.Positive(t, e.Left)
-			require.LessOrEqual(t, e.At+e.Left, deadlines[e.Op])
+			require.LessOrEqual(t, e.At+e.Left, deadlines[e.RequestID])
 		}
 	}
 	require.Equal(t, 2, starts)
