--- a/internal/rehearsal/world/remote.go
+++ b/internal/rehearsal/world/remote.go
@@ -68,7 +68,7 @@
 // killExternal kills a real agent's program. The rest shows on its sockets.
 func (l *agentProcess) killExternal() {
 	for _, f := range l.agent.client.idle {
-		l.w.wire.HangUp(f)
+		l.w.wire.CloseConn(f)
 	}
 	l.w.wire.Kill(l.agent.number)
 }
@@ -84,9 +84,9 @@
 		}
 		switch m.kind {
 		case callAccepted:
-			c.wire.Begin()
+			c.wire.Accept()
 		case callReceived:
-			c.wire.Say(m.list)
+			c.wire.Send(m.list)
 		case callEnded:
 			c.wire.End(m.err == nil)
 			delete(l.calls, m.number)
@@ -104,11 +104,11 @@
 	return a.starting
 }
 
-// Call is an agent's call to discovery. The wire reports its end by Uncalled.
+// Call is an agent's call to discovery. The wire reports its end by CallCanceled.
 type Call = call
 
-// Called reports that an agent calls discovery: for a watch from a version on, or for the full list.
-func (v *Live) Called(agent int, watch bool, from int64, wire ListConn) *Call {
+// CallStarted reports that an agent calls discovery: for a watch from a version on, or for the full list.
+func (v *Live) CallStarted(agent int, watch bool, from int64, wire CallConn) *Call {
 	c := &call{discovery: v.w.discovery, watch: watch, sentVersion: from, wire: wire}
 	v.post(eventFunc(func() {
 		w := v.w
@@ -126,8 +126,8 @@
 	return c
 }
 
-// Uncalled reports that an agent has ended its call.
-func (v *Live) Uncalled(c *Call) {
+// CallCanceled reports that an agent has ended its call.
+func (v *Live) CallCanceled(c *Call) {
 	v.post(eventFunc(func() {
 		if c.proc != nil && !c.ended {
 			c.remove()
@@ -136,8 +136,8 @@
 	}))
 }
 
-// Told reports that an agent has sent a datagram to another or to all others.
-func (v *Live) Told(agent, peer int, data []byte) {
+// DatagramSent reports that an agent has sent a datagram to another or to all others.
+func (v *Live) DatagramSent(agent, peer int, data []byte) {
 	v.post(eventFunc(func() {
 		if l := v.w.agents[agent].current(); l != nil {
 			l.sendDatagram(peer, data)
@@ -149,7 +149,7 @@
 type Conn = conn
 
 // Connected reports that an agent has connected to an upstream server's address.
-func (v *Live) Connected(agent int, addr netip.AddrPort, wire StepConn) *Conn {
+func (v *Live) Connected(agent int, addr netip.AddrPort, wire AttemptConn) *Conn {
 	c := &conn{processIndex: -1, wire: wire}
 	v.post(eventFunc(func() {
 		w := v.w
@@ -165,9 +165,9 @@
 	return c
 }
 
-// Sent reports that an attempt of the try op has arrived on an agent's connection, with the time that
-// the agent waits for it. The connection is reset if no try of that number is known.
-func (v *Live) Sent(c *Conn, op uint32, left time.Duration) {
+// AttemptArrived reports that an attempt of the try op has arrived on an agent's connection, with the time
+// that the agent waits for it. The connection is reset if no try of that number is known.
+func (v *Live) AttemptArrived(c *Conn, op uint32, left time.Duration) {
 	v.post(eventFunc(func() {
 		t := v.w.tries[op]
 		if c.closed || c.link == nil {
@@ -201,7 +201,7 @@
 		}
 		c.closed = true
 		if s := c.attempt; s != nil && !s.ended {
-			s.finish(record.GivenUp)
+			s.finish(record.Abandoned)
 		}
 		v.w.schedule(c.link.arrival(&c.lastToServer, 1), rankArrival, (*connClosing)(c))
 	}))
@@ -223,10 +223,10 @@
 	a := Answer{Op: s.try.op, Attempt: s.index, Kind: AnswerKind(s.reply), Fault: s.fault}
 	switch s.fault.Effect() {
 	case scenario.Unanswered: // the agent gives it up
-	case scenario.Breaks:
+	case scenario.BreaksConnection:
 		s.finish(record.Broken)
-	case scenario.Spoils:
-		s.finish(record.SpoiltAnswer)
+	case scenario.Unreadable:
+		s.finish(record.UnreadableAnswer)
 	default:
 		s.finish(s.wireOutcome())
 	}
@@ -239,9 +239,9 @@
 	case replyServed:
 		return record.OK
 	case replyUnprocessed:
-		return record.TurnedAway
+		return record.Rejected
 	case replyUnreadable:
-		return record.SpoiltAnswer
+		return record.UnreadableAnswer
 	}
 	return record.Error
 }
@@ -254,13 +254,13 @@
 	t.proc.requests[t.op] = &agentRequest{try: t}
 	w.tries[t.op] = t
 	w.schedule(t.deadline+tryRetention, rankClient, (*tryExpires)(t))
-	w.record.try(record.Asked, t)
-	query := &Query{
+	w.record.try(record.RequestReceived, t)
+	query := &ClientRequest{
 		Agent: t.agent.number, Op: t.op, Class: q.agentClass(),
-		Update:   w.scenario.Classes[q.class].Effect != scenario.Safe,
-		Repeat:   t.number > 0 && w.scenario.Clients.MarksRetry,
+		IsUpdate: w.scenario.Classes[q.class].Effect != scenario.Safe,
+		IsRetry:  t.number > 0 && w.scenario.Clients.MarksRetry,
 		TimeLeft: (t.deadline - t.sentAt).Truncate(time.Millisecond),
-		Due:      w.now, try: t,
+		SendAt:   w.now, try: t,
 	}
 	if q.key > 0 {
 		query.Key = w.keyNames[q.key-1]
@@ -269,7 +269,7 @@
 		query.Tenant = w.scenario.Tenants[q.tenant].Name
 	}
 	t.conn.activeTry = t
-	w.wire.Ask(t.conn, query)
+	w.wire.Send(t.conn, query)
 }
 
 // tryExpires makes upstream servers reject further attempts of a try.
@@ -286,14 +286,14 @@
 }
 
 // Answered reports that an agent's final answer has arrived.
-func (v *Live) Answered(f *FrontConn, a Final) {
+func (v *Live) Answered(f *ClientConn, a FinalAnswer) {
 	v.post(eventFunc(func() {
 		t := f.pendingTry()
 		if t == nil {
 			return
 		}
 		f.activeTry = nil
-		t.answerSent, t.answer, t.retryAfter, t.attempt = true, a.Answer, a.After, a.Attempt
+		t.answerSent, t.answer, t.retryAfter, t.attempt = true, a.Answer, a.RetryAfter, a.Attempt
 		delete(t.proc.requests, t.op)
 		f.used = true
 		if a.Closes {
@@ -303,9 +303,9 @@
 	}))
 }
 
-// Lost reports that an agent has closed a connection. Unread means that the agent may not have read the
-// try; it has read it if it sent an attempt of it.
-func (v *Live) Lost(f *FrontConn, unread bool) {
+// ClientConnLost reports that an agent has closed a connection. Unread means that the agent may not have
+// read the try; it has read it if it sent an attempt of it.
+func (v *Live) ClientConnLost(f *ClientConn, unread bool) {
 	v.post(eventFunc(func() {
 		f.close()
 		f.client.removeIdle(f)
@@ -328,8 +328,8 @@
 	w := t.agent.w
 	t.end()
 	w.record.add(record.Event{
-		Kind: record.Left, Op: t.op, Agent: int32(t.agent.number),
-		Shut: !t.conn.used, Unread: true,
+		Kind: record.ClientLeft, RequestID: t.op, Agent: int32(t.agent.number),
+		ClosedByShutdown: !t.conn.used, Unread: true,
 	})
 	t.retry(true)
 }
@@ -371,9 +371,9 @@
 func (w *world) gate(a *agent, s *server) Gate {
 	switch p := s.process; {
 	case a.link(s).cutUntil() > 0 || s.ignoringConnects || a.link(s).connectLost():
-		return Mute
+		return Ignore
 	case p == nil || p.state == processDown || p.full():
-		return Shut
+		return Refuse
 	}
-	return Open
+	return Accept
 }
--- a/internal/rehearsal/world/restart.go
+++ b/internal/rehearsal/world/restart.go
@@ -95,7 +95,7 @@
 	w, a := l.w, l.agent
 	l.shutdown.exited = true
 	for _, t := range l.unanswered() { // the program exited by itself: unanswered tries are lost
-		w.record.add(record.Event{Kind: record.Lost, Op: t.op, Agent: int32(a.number)})
+		w.record.add(record.Event{Kind: record.ConnectionLost, RequestID: t.op, Agent: int32(a.number)})
 		t.end()
 		t.retry(false)
 	}
@@ -125,7 +125,7 @@
 	if a.proc != nil || a.downFaults > 0 {
 		return
 	}
-	wait := a.w.scenario.Agents.BackIn
+	wait := a.w.scenario.Agents.RestartTime
 	if a.w.wire != nil { // a real program needs its own start time
 		wait = 0
 	} else {
--- a/internal/rehearsal/world/run_test.go
+++ b/internal/rehearsal/world/run_test.go
@@ -15,14 +15,14 @@
 
 // recordingSink is a sink that keeps a run in memory.
 type recordingSink struct {
-	run     record.Day
+	run     record.Run
 	servers []record.Server
 	events  []record.Event
 	samples []record.Sample
 	ended   time.Duration
 }
 
-func (d *recordingSink) Begin(day record.Day)          { d.run = day }
+func (d *recordingSink) Begin(day record.Run)          { d.run = day }
 func (d *recordingSink) Server(_ int, s record.Server) { d.servers = append(d.servers, s) }
 func (d *recordingSink) Take(e *record.Event)          { d.events = append(d.events, *e) }
 func (d *recordingSink) End(at time.Duration)          { d.ended = at }
@@ -68,8 +68,8 @@
 			fail(e, "time runs backwards")
 		}
 		last = e.At
-		key := attemptKey{e.Op, e.Attempt}
-		if e.Kind <= record.Left {
+		key := attemptKey{e.RequestID, e.Attempt}
+		if e.Kind <= record.ClientLeft {
 			key.attempt = -1
 		}
 		c := seen[key]
@@ -78,33 +78,33 @@
 			seen[key] = c
 		}
 		switch e.Kind {
-		case record.Unreached:
+		case record.RequestUnreached:
 			c.tries++
 			c.ends++
-		case record.Asked:
+		case record.RequestReceived:
 			c.tries++
 			c.accepted++
-		case record.Answered, record.Left, record.Lost:
+		case record.Answered, record.ClientLeft, record.ConnectionLost:
 			if c.ends++; c.accepted != 1 {
 				fail(e, "ends without having been accepted")
 			}
-		case record.Sent:
+		case record.AttemptSent:
 			if c.sent++; c.ended > 0 {
 				fail(e, "sent after it has ended")
 			}
-		case record.Ended:
+		case record.AttemptEnded:
 			c.ended++
-		case record.Reached:
+		case record.AttemptReached:
 			if c.reached++; c.sent != 1 {
 				fail(e, "reached the server without having been sent")
 			}
-		case record.Worked:
+		case record.WorkDone:
 			if c.worked++; c.reached != 1 || !e.Ran && e.Work != 0 {
 				fail(e, "work on an attempt that never arrived or never ran")
 			}
-		case record.Opened:
+		case record.ConnOpened:
 			open[[2]int32{e.Agent, e.Server}]++
-		case record.Closed:
+		case record.ConnClosed:
 			open[[2]int32{e.Agent, e.Server}]--
 		}
 	}
@@ -120,24 +120,24 @@
 }
 
 // anyFault draws a fault of any kind within a run of 20 s.
-func anyFault(t *rapid.T, i int) scenario.Trouble {
-	kinds := []scenario.TroubleKind{
-		scenario.Silent, scenario.Failing, scenario.Refusing, scenario.Deploy, scenario.Slow,
-		scenario.Vanished, scenario.Crashed, scenario.AgentsKilled, scenario.AgentsRestarted, scenario.TakenOut, scenario.SentAway, scenario.Upgraded,
+func anyFault(t *rapid.T, i int) scenario.FaultSpec {
+	kinds := []scenario.FaultKind{
+		scenario.Silent, scenario.Failing, scenario.Refusing, scenario.Deploy, scenario.SlowPeriod,
+		scenario.MachinesUnreachable, scenario.Crashed, scenario.AgentsKilled, scenario.AgentsRestarted, scenario.ServersTakenOut, scenario.ClientsRedirected, scenario.AgentsUpgraded,
 		scenario.DiscoveryDown, scenario.EmptyList,
-		scenario.Reset, scenario.Forgotten, scenario.Spoilt, scenario.Surge, scenario.Partition,
+		scenario.Reset, scenario.IdleConnectionsLost, scenario.UnreadableAnswers, scenario.Surge, scenario.Partition,
 		scenario.DatagramsLost, scenario.FewConnections, scenario.Datagrams, scenario.Streams, scenario.AgentsPaused,
 		scenario.AgentsSlowed, scenario.ClientsLeave, scenario.LateConnections,
 	}
 	kind := rapid.SampledFrom(kinds).Draw(t, fmt.Sprint("kind ", i))
 	at, duration := rapid.Float64Range(0, 18000).Draw(t, "at"), rapid.Float64Range(100, 15000).Draw(t, "for")
 	size := rapid.Float64Range(0.05, 1).Draw(t, "size")
-	u := scenario.Trouble{
+	u := scenario.FaultSpec{
 		Kind: kind, At: ms(at, at), For: ms(duration, duration), Count: 1 + int(size*4), Zone: "cluj-est",
 		Part: span(0.01, 1), Size: span(size, size), Idle: ms(50, 2000), Drain: ms(0, 5000), SameAddress: span(0, 1),
 	}
 	switch kind {
-	case scenario.Slow:
+	case scenario.SlowPeriod:
 		u.Size = span(1+3*size, 1+3*size)
 		if size < 0.5 {
 			u.HealsBelow, u.HealsRest = span(0.3, 0.6), ms(500, 2000)
@@ -151,7 +151,7 @@
 		u.Stream = rapid.SampledFrom([]string{"discovery", "servers", "both"}).Draw(t, "stream")
 		u.Agents = []int{0}
 	case scenario.Datagrams:
-		u.Loss, u.Double, u.Flip, u.Shorten, u.Delay = span(0, 0.5), span(0.2, 0.2), span(0.1, 0.1), span(0.1, 0.1), ms(0, 900)
+		u.Loss, u.Duplicate, u.Flip, u.Shorten, u.Delay = span(0, 0.5), span(0.2, 0.2), span(0.1, 0.1), span(0.1, 0.1), ms(0, 900)
 		u.From, u.Cut = []int{0}, size < 0.3
 	}
 	return u
@@ -176,7 +176,7 @@
 			set.Load.Keys, set.Tenants, set.Network.Zones = span(0, 0), nil, []string{"buc-pipera", "cluj-est"}
 		}
 		for i := range rapid.IntRange(0, 4).Draw(t, "troubles") {
-			set.Troubles = append(set.Troubles, anyFault(t, i))
+			set.Faults = append(set.Faults, anyFault(t, i))
 		}
 		requireBalanced(t, play(t, set, rapid.Uint64().Draw(t, "seed"), Options{}))
 	})
--- a/internal/rehearsal/world/scenario_test.go
+++ b/internal/rehearsal/world/scenario_test.go
@@ -17,7 +17,7 @@
 	if err != nil {
 		panic(err)
 	}
-	set.Day.Length, set.Agents.Count, set.Fleet.Servers = length, 5, 13
+	set.Run.Length, set.Agents.Count, set.Fleet.Servers = length, 5, 13
 	set.Load.PerS, set.Load.OfCapacity, set.Load.Shape = span(330, 330), span(0, 0), scenario.Steady
 	return set
 }
--- a/internal/rehearsal/world/server.go
+++ b/internal/rehearsal/world/server.go
@@ -32,7 +32,7 @@
 	failing          float64 // fraction of attempts that it answers with an error at once
 	unreadable       float64 // fraction of answers that cannot be read
 	connShare        float64 // fraction of the machine's connection limit
-	fault            scenario.Fault
+	fault            scenario.ConnFault
 	faultShare       float64 // fraction of answers that have it
 	ignoringConnects bool    // connection requests get no answer
 	cutUntil         time.Duration
@@ -67,7 +67,7 @@
 	m := machine{
 		kind: k.Name, cores: k.Cores, speed: draw(k.Speed), slots: max(perCore(k.SlotsPerCore), 1),
 		queue: perCore(k.QueuePerCore), conns: perCore(k.ConnsPerCore), thrash: draw(k.Thrash),
-		thrashAt: draw(k.ThrashAt), initialCapacity: draw(k.ColdFrom), warmupTime: k.Cold.Draw(rng.Rand),
+		thrashAt: draw(k.ThrashAt), initialCapacity: draw(k.SlowStartFrom), warmupTime: k.SlowStartTime.Draw(rng.Rand),
 		pauseEvery: k.PauseEvery.Draw(rng.Rand), pause: k.Pause.Draw(rng.Rand),
 		errorRate: draw(k.ErrorRate), dropsExpired: k.DropsExpired,
 	}
--- a/internal/rehearsal/world/sight.go
+++ b/internal/rehearsal/world/sight.go
@@ -21,9 +21,9 @@
 type delayedView struct {
 	w           *world
 	delay       time.Duration
-	views       []*late.Sight // oldest first; as many as fit into the delay
-	arrivedWork float64       // that reached the agents since the last view, in standard seconds
-	workPerS    float64       // smoothed work per second that reaches the agents
+	views       []*late.FleetView // oldest first; as many as fit into the delay
+	arrivedWork float64           // that reached the agents since the last view, in standard seconds
+	workPerS    float64           // smoothed work per second that reaches the agents
 }
 
 func newDelayedView(w *world, delay time.Duration) *delayedView {
@@ -42,20 +42,20 @@
 		seen = append(seen, late.Server{
 			ID: v.id, Capacity: p.capacity(),
 			Speed: p.capacity() * p.efficiency(), Cores: float64(v.machine.cores),
-			Held:  float64(len(p.running.jobs) + p.waiting.len()),
-			Takes: !v.silent && !v.refusing && v.failing < maxFailingShare && s.w.now >= v.cutUntil,
+			Held:    float64(len(p.running.jobs) + p.waiting.len()),
+			Accepts: !v.silent && !v.refusing && v.failing < maxFailingShare && s.w.now >= v.cutUntil,
 		})
 	}
 	s.workPerS += (s.arrivedWork/viewInterval.Seconds() - s.workPerS) * loadSmoothing
 	s.arrivedWork = 0
-	if s.views = append(s.views, late.NewSight(seen, s.workPerS)); len(s.views) > int(s.delay/viewInterval)+1 {
+	if s.views = append(s.views, late.NewFleetView(seen, s.workPerS)); len(s.views) > int(s.delay/viewInterval)+1 {
 		s.views = s.views[1:]
 	}
 	s.w.scheduleAfter(viewInterval, rankSample, s)
 }
 
 // oldest returns the view that agents see now.
-func (s *delayedView) oldest() *late.Sight { return s.views[0] }
+func (s *delayedView) oldest() *late.FleetView { return s.views[0] }
 
 // policy returns the balancer of an agent that sees the true state with a delay.
 func (s *delayedView) policy(set balancer.Settings, seed uint64) routing.Module {
--- a/internal/rehearsal/world/silence.go
+++ b/internal/rehearsal/world/silence.go
@@ -38,7 +38,7 @@
 	c.silent = true
 	w.record.agent(record.WatchSilent, c.proc.agent)
 	if c.wire != nil { // a real agent detects it by itself
-		// After the messages that were sent before.
+		// RetryAfter the messages that were sent before.
 		w.scheduleAfter(c.discovery.delay(c.proc.agent), rankArrival, eventFunc(c.wire.Silence))
 		return
 	}
--- a/internal/rehearsal/world/silence_test.go
+++ b/internal/rehearsal/world/silence_test.go
@@ -14,10 +14,10 @@
 // nothing from then on. Each agent ends its watch 3 s after the last message, with a keep-alive every 2
 // s, and opens a new one.
 func TestSilentWatchesAreReplaced(t *testing.T) {
-	d := playFault(t, scenario.Trouble{Kind: scenario.WatchesSilent}, func(set *scenario.Scenario) {
+	d := playFault(t, scenario.FaultSpec{Kind: scenario.WatchesSilent}, func(set *scenario.Scenario) {
 		set.Agents.Count = 8
 		set.Discovery.CallsPerS = span(100, 100)
-		set.Troubles = append(set.Troubles, scenario.Trouble{
+		set.Faults = append(set.Faults, scenario.FaultSpec{
 			Kind: scenario.Deploy, At: ms(5000, 5000),
 			For: ms(25000, 25000), Part: span(0.8, 0.8), Size: span(0.1, 0.1), Drain: ms(3000, 3000),
 		})
@@ -29,12 +29,12 @@
 		silent[e.Agent] = e.At
 	}
 	require.Len(t, silent, 8)
-	for _, e := range d.ofKind(record.Told) {
-		_, rewatched := d.next(record.Watching, e.Agent, silent[e.Agent])
+	for _, e := range d.ofKind(record.Notified) {
+		_, rewatched := d.next(record.WatchOpened, e.Agent, silent[e.Agent])
 		require.False(t, e.At > silent[e.Agent] && e.At < rewatched, "agent %d was sent an update on a silent watch", e.Agent)
 	}
 	for agent, at := range silent {
-		ok, rewatched := d.next(record.Watching, agent, at)
+		ok, rewatched := d.next(record.WatchOpened, agent, at)
 		require.True(t, ok, "agent %d opens no new watch", agent)
 		require.Greater(t, rewatched-at, time.Second) // the last keep-alive is at most 2 s old
 		require.Less(t, rewatched-at, 3*time.Second+maxRewatchTime, "and the balancer's own wait")
--- a/internal/rehearsal/world/step.go
+++ b/internal/rehearsal/world/step.go
@@ -41,7 +41,7 @@
 	ran           bool
 	reset         bool // a fault resets its connection
 	resetAfterRun bool // only after it has run
-	fault         scenario.Fault
+	fault         scenario.ConnFault
 }
 
 // The events of an attempt.
@@ -119,7 +119,7 @@
 func (u *connectTimesOut) fire() {
 	s := (*attempt)(u)
 	if !s.proc.deferIfPaused(u) && !s.ended && !s.proc.ended && s.phase == routing.Connecting {
-		s.proc.connectTimeouts.GaveUp()
+		s.proc.connectTimeouts.TimedOut()
 		s.end(routing.TimedOut)
 	}
 }
@@ -233,13 +233,13 @@
 	case result.EndReason == routing.BrokenByEndpoint:
 		return record.Broken
 	case result.EndReason == routing.InvalidResponse:
-		return record.SpoiltAnswer
+		return record.UnreadableAnswer
 	case result.EndReason != routing.Completed:
-		return record.GivenUp
+		return record.Abandoned
 	case result.Response == balancer.Served:
 		return record.OK
 	case result.Response == balancer.Rejected:
-		return record.TurnedAway
+		return record.Rejected
 	}
 	return record.Error
 }
--- a/internal/rehearsal/world/trouble.go
+++ b/internal/rehearsal/world/trouble.go
@@ -23,7 +23,7 @@
 	w      *world
 	index  int // in the scenario
 	name   string
-	config *scenario.Trouble
+	config *scenario.FaultSpec
 	rng    stream
 
 	start, duration     time.Duration
@@ -49,7 +49,7 @@
 // newInjection draws a fault injection. Its name is its kind and its index within that kind, so that
 // adding or removing faults of another kind does not change its draws.
 func newInjection(w *world, index, nth int) *injection {
-	config := &w.scenario.Troubles[index]
+	config := &w.scenario.Faults[index]
 	t := &injection{w: w, index: index, config: config, name: fmt.Sprint("trouble ", config.Kind, " ", nth)}
 	t.rng = newStream(w.seed, t.name)
 	draw := func(v scenario.Span) float64 { return v.Draw(t.rng.Rand) }
@@ -60,7 +60,7 @@
 	t.healThreshold, t.healTime = draw(config.HealsBelow), span(config.HealsRest)
 	t.onTime, t.offTime = span(config.On), span(config.Off)
 	if config.Kind == scenario.Window {
-		t.window = t.newWindow(span(config.Moves))
+		t.window = t.newWindow(span(config.MoveTime))
 	}
 	if config.Kind == scenario.LateConnections {
 		t.delayRNG = newStream(w.seed, t.name+" connections")
@@ -80,7 +80,7 @@
 func (b *injectionStarts) fire() {
 	t := (*injection)(b)
 	w := t.w
-	w.record.fault(record.Began, t.index)
+	w.record.fault(record.FaultBegan, t.index)
 	w.active = append(w.active, t)
 	w.mark(t.description())
 	duration := t.duration
@@ -89,15 +89,15 @@
 	}
 	w.scheduleAfter(duration, rankEnvironment, (*injectionEnds)(t))
 	switch t.config.Kind {
-	case scenario.Silent, scenario.Failing, scenario.Refusing, scenario.Spoilt, scenario.FewConnections,
-		scenario.OnWire:
+	case scenario.Silent, scenario.Failing, scenario.Refusing, scenario.UnreadableAnswers, scenario.FewConnections,
+		scenario.FaultyAnswers:
 		t.servers = t.pickServers()
 		t.updateServers()
 	case scenario.Deploy:
 		t.servers = t.pickServers()
 		t.batchSize = max(int(math.Round(t.size*float64(w.scenario.Fleet.Servers))), 1)
 		(*deployStep)(t).fire()
-	case scenario.Vanished:
+	case scenario.MachinesUnreachable:
 		t.servers = t.pickServers()
 		for _, s := range t.servers {
 			s.cutUntil = max(s.cutUntil, w.now+t.duration)
@@ -119,24 +119,24 @@
 			a.downFaults++
 			if t.config.Kind == scenario.AgentsKilled {
 				a.kill()
-				if t.config.Folder == "empty" {
+				if t.config.StateDir == "empty" {
 					a.savedState = nil
 				}
 			} else if a.proc != nil {
 				a.proc.drain()
 			}
 		}
-	case scenario.TakenOut:
+	case scenario.ServersTakenOut:
 		t.servers = t.pickServers()
 		for _, a := range w.agents {
 			a.disableServers(t.servers)
 		}
 		w.scheduleAfter(t.duration/2, rankEnvironment, (*operatorRestart)(t))
-	case scenario.Upgraded:
+	case scenario.AgentsUpgraded:
 		for _, a := range w.agents[:min(t.config.Count, len(w.agents))] {
 			a.upgrade()
 		}
-	case scenario.SentAway:
+	case scenario.ClientsRedirected:
 		for _, a := range w.agents[:min(t.config.Count, len(w.agents))] {
 			a.sendClientsAway()
 		}
@@ -159,7 +159,7 @@
 		t.startAgentFault()
 	}
 	w.updateShared()
-	if t.config.Kind == scenario.Slow && t.healTime > 0 {
+	if t.config.Kind == scenario.SlowPeriod && t.healTime > 0 {
 		t.lastBusy = map[int]float64{}
 		(*healCheck)(t).fire()
 	}
@@ -175,13 +175,13 @@
 	}
 	t.ended = true
 	w.active = slices.DeleteFunc(w.active, func(u *injection) bool { return u == t })
-	w.record.fault(record.Over, t.index)
+	w.record.fault(record.FaultEnded, t.index)
 	w.mark("over: " + t.description())
 	switch t.config.Kind {
-	case scenario.Silent, scenario.Failing, scenario.Refusing, scenario.Spoilt, scenario.FewConnections,
-		scenario.OnWire:
+	case scenario.Silent, scenario.Failing, scenario.Refusing, scenario.UnreadableAnswers, scenario.FewConnections,
+		scenario.FaultyAnswers:
 		t.updateServers()
-	case scenario.Vanished:
+	case scenario.MachinesUnreachable:
 		for _, s := range t.servers {
 			if s.process.state != processDown && s.cutUntil <= w.now {
 				w.discovery.learnAfter(s.entry(s.listState()), w.discovery.joinDelay)
@@ -197,12 +197,12 @@
 			a.downFaults--
 			a.restart()
 		}
-	case scenario.TakenOut:
+	case scenario.ServersTakenOut:
 		t.restartServers()
 		for _, a := range w.agents {
 			a.enableServers(t.servers)
 		}
-	case scenario.SentAway:
+	case scenario.ClientsRedirected:
 		for _, a := range w.agents[:min(t.config.Count, len(w.agents))] {
 			a.acceptClients()
 		}
@@ -270,11 +270,11 @@
 				s.refusing = true
 			case scenario.Failing:
 				sound *= 1 - u.size
-			case scenario.Spoilt:
+			case scenario.UnreadableAnswers:
 				readable *= 1 - u.size
 			case scenario.FewConnections:
 				s.connShare *= u.size
-			case scenario.OnWire:
+			case scenario.FaultyAnswers:
 				s.fault, s.faultShare = u.config.Fault, u.size
 				s.ignoringConnects = s.ignoringConnects || u.config.Fault == scenario.NoAccept
 			}
@@ -296,11 +296,11 @@
 	w.datagramLossByZone = make([]float64, len(w.scenario.Network.Zones))
 	for _, t := range w.active {
 		switch t.config.Kind {
-		case scenario.Slow:
+		case scenario.SlowPeriod:
 			slow *= t.size
 		case scenario.Reset:
 			w.resetShare = 1 - (1-w.resetShare)*(1-t.size)
-		case scenario.Forgotten:
+		case scenario.IdleConnectionsLost:
 			if w.idleForgetting == 0 || t.idleTime < w.idleForgetting {
 				w.idleForgetting = t.idleTime
 			}
@@ -336,7 +336,7 @@
 		s := &source{
 			client: a.client, rng: newStream(t.w.seed, t.name+" "+a.name),
 			perS: (t.size - 1) * t.w.perS * a.share, from: t.w.now,
-			until: min(t.w.now+t.duration, t.w.scenario.Day.Length),
+			until: min(t.w.now+t.duration, t.w.scenario.Run.Length),
 		}
 		s.start()
 	}
--- a/internal/rehearsal/world/week_test.go
+++ b/internal/rehearsal/world/week_test.go
@@ -26,11 +26,11 @@
 func playWindow(t *testing.T, name string, seed uint64, windowed bool) (arrived, served int) {
 	set, err := scenario.Load("../../../rehearsals/" + name + ".toml")
 	require.NoError(t, err)
-	set.Day.Length = weekRunLength
+	set.Run.Length = weekRunLength
 	if windowed {
-		set.Troubles = append(set.Troubles, scenario.Trouble{
-			Kind: scenario.Window, At: scenario.Always(windowFrom),
-			For: scenario.Always(windowTo - windowFrom), Part: span(0.25, 0.25), Moves: scenario.Always(15 * time.Second),
+		set.Faults = append(set.Faults, scenario.FaultSpec{
+			Kind: scenario.Window, At: scenario.ExactTime(windowFrom),
+			For: scenario.ExactTime(windowTo - windowFrom), Part: span(0.25, 0.25), MoveTime: scenario.ExactTime(15 * time.Second),
 			Tenants: []string{set.Tenants[0].Name, set.Tenants[1].Name},
 		})
 	}
@@ -39,13 +39,13 @@
 	arrivals, answered, chain := map[uint32]bool{}, map[uint32]bool{}, map[uint32]uint32{}
 	for _, e := range d.events {
 		switch {
-		case e.Kind == record.Asked || e.Kind == record.Unreached:
-			chain[e.Op] = e.Chain
+		case e.Kind == record.RequestReceived || e.Kind == record.RequestUnreached:
+			chain[e.RequestID] = e.Chain
 			if e.Try == 0 && e.Tenant < 2 && e.At >= windowFrom && e.At < windowTo {
 				arrivals[e.Chain] = true
 			}
 		case e.Kind == record.Answered && e.Answer == record.Served:
-			answered[chain[e.Op]] = true
+			answered[chain[e.RequestID]] = true
 		}
 	}
 	for c := range arrivals {
--- a/internal/rehearsal/world/window.go
+++ b/internal/rehearsal/world/window.go
@@ -60,13 +60,13 @@
 
 func (e *windowDrained) fire() {
 	for _, s := range e.servers {
-		e.w.record.window(record.Emptied, (*injection)(e), s)
+		e.w.record.window(record.WindowEmptied, (*injection)(e), s)
 	}
 }
 
 func (r *windowReturns) fire() {
 	for _, s := range r.servers {
-		r.w.record.window(record.Returns, (*injection)(r), s)
+		r.w.record.window(record.WindowReturning, (*injection)(r), s)
 	}
 }
 
@@ -100,7 +100,7 @@
 }
 
 // windowTenants returns the tenants that a window moves.
-func (w *world) windowTenants(config *scenario.Trouble) (names []string) {
+func (w *world) windowTenants(config *scenario.FaultSpec) (names []string) {
 	for _, name := range config.Tenants {
 		if name != maintenance.AllTenants {
 			names = append(names, name)
--- a/internal/rehearsal/world/window_test.go
+++ b/internal/rehearsal/world/window_test.go
@@ -15,32 +15,32 @@
 // servers.
 func TestWindowMovesTenants(t *testing.T) {
 	set := deployment(60 * time.Second)
-	set.Troubles = []scenario.Trouble{
+	set.Faults = []scenario.FaultSpec{
 		{
-			Kind: scenario.Window, At: scenario.Always(5 * time.Second), For: scenario.Always(50 * time.Second),
-			Part: span(0.3, 0.3), Tenants: []string{set.Tenants[0].Name}, Moves: scenario.Always(10 * time.Second),
+			Kind: scenario.Window, At: scenario.ExactTime(5 * time.Second), For: scenario.ExactTime(50 * time.Second),
+			Part: span(0.3, 0.3), Tenants: []string{set.Tenants[0].Name}, MoveTime: scenario.ExactTime(10 * time.Second),
 		},
-		{Kind: scenario.AgentsKilled, At: scenario.Always(20 * time.Second), For: scenario.Always(2 * time.Second), Count: 1},
+		{Kind: scenario.AgentsKilled, At: scenario.ExactTime(20 * time.Second), For: scenario.ExactTime(2 * time.Second), Count: 1},
 	}
 	d := play(t, set, 1, Options{})
 	requireBalanced(t, d)
 	emptied := map[int32]time.Duration{}
-	for _, e := range d.ofKind(record.Emptied) {
+	for _, e := range d.ofKind(record.WindowEmptied) {
 		emptied[e.Server] = e.At
 	}
 	require.Len(t, emptied, 4, "of 13")
-	returned := d.ofKind(record.Returns)
+	returned := d.ofKind(record.WindowReturning)
 	require.Len(t, returned, 4)
 	require.Equal(t, 45*time.Second, returned[0].At)
 	tenant := map[uint32]uint8{}
 	var moved, others [60]int // attempts that reached these servers, by second
 	for _, e := range d.events {
 		switch at := emptied[e.Server]; {
-		case e.Kind == record.Asked:
-			tenant[e.Op] = e.Tenant
-		case e.Kind == record.Reached && at > 0 && e.At < time.Minute && tenant[e.Op] == 0:
+		case e.Kind == record.RequestReceived:
+			tenant[e.RequestID] = e.Tenant
+		case e.Kind == record.AttemptReached && at > 0 && e.At < time.Minute && tenant[e.RequestID] == 0:
 			moved[e.At/time.Second]++
-		case e.Kind == record.Reached && at > 0 && e.At < time.Minute:
+		case e.Kind == record.AttemptReached && at > 0 && e.At < time.Minute:
 			others[e.At/time.Second]++
 		}
 	}
--- a/internal/rehearsal/world/world.go
+++ b/internal/rehearsal/world/world.go
@@ -37,18 +37,18 @@
 type Options struct {
 	// Progress is called with the virtual time once per simulated second; nil: no calls.
 	Progress func(at time.Duration)
-	// Figures replace the balancer's tuning; zero: the defaults.
-	Figures balancer.Tuning
-	// Storm is the configuration of the load shedder in front of the balancer; zero: the defaults.
-	Storm overload.Config
-	// Late replaces the agents' balancer by late.Policy, which sees the servers' true state after this
+	// Tuning replace the balancer's tuning; zero: the defaults.
+	Tuning balancer.Tuning
+	// Overload is the configuration of the load shedder in front of the balancer; zero: the defaults.
+	Overload overload.Config
+	// ViewDelay replaces the agents' balancer by late.Policy, which sees the servers' true state after this
 	// delay; zero: the agents run their own balancer.
-	Late time.Duration
-	// Acting returns the fleet policy that is in effect at an agent, in the form of agent.Settings;
+	ViewDelay time.Duration
+	// FleetPolicy returns the fleet policy that is in effect at an agent, in the form of agent.Settings;
 	// nil: there is no fleet policy.
-	Acting func(agent int, at time.Duration) *policy.Effect
-	// Placed turns ring assignment on, whatever the scenario sets.
-	Placed bool
+	FleetPolicy func(agent int, at time.Duration) *policy.Effect
+	// RingAssignment turns ring assignment on, whatever the scenario sets.
+	RingAssignment bool
 	// Log is called with the lines that the agents' balancers log; nil: no calls.
 	Log func(at time.Duration, agent, says string)
 	// Timeline receives the start and end of each fault in its lane of faults; nil: none.
@@ -77,7 +77,7 @@
 	resetShare         float64       // fraction of attempts whose connection is reset
 	idleForgetting     time.Duration // idle time after which middleboxes forget connections; zero: never
 	datagramLossByZone []float64     // by the receiving agents' zone: fraction lost
-	datagramFaults     *mishap.Net
+	datagramFaults     *mishap.Network
 	trafficKept        float64 // fraction of the usual traffic that is sent
 
 	// The load, as drawn for the run.
@@ -133,12 +133,12 @@
 			return nil, err
 		}
 	}
-	if (o.Placed || set.Agents.Placed) && o.Late == 0 {
+	if (o.RingAssignment || set.Agents.RingPlacement) && o.ViewDelay == 0 {
 		w.generations = newGenerations(w)
 		w.generations.settle()
 	}
-	if o.Late > 0 {
-		w.delayedView = newDelayedView(w, o.Late)
+	if o.ViewDelay > 0 {
+		w.delayedView = newDelayedView(w, o.ViewDelay)
 		w.delayedView.fire()
 	}
 	for _, a := range w.agents {
@@ -153,15 +153,15 @@
 // mark adds a line about a fault to the timeline.
 func (w *world) mark(text string) {
 	if w.options.Timeline != nil {
-		w.options.Timeline.Mark(w.now, timeline.Faults, "", text)
+		w.options.Timeline.Add(w.now, timeline.Faults, "", text)
 	}
 }
 
 // run fires events until the last request has ended and the servers have finished their work.
 func (w *world) run(ctx context.Context) error {
-	last := w.scenario.Day.Length
+	last := w.scenario.Run.Length
 	for i := range w.scenario.Classes {
-		last = max(last, w.scenario.Day.Length+w.scenario.Classes[i].Deadline)
+		last = max(last, w.scenario.Run.Length+w.scenario.Classes[i].Deadline)
 	}
 	reported := time.Duration(0)
 	for n := 0; ; n++ {
@@ -178,7 +178,7 @@
 			reported = second
 			w.options.Progress(second)
 		}
-		if w.now >= w.scenario.Day.Length && w.pending == 0 && w.idle() {
+		if w.now >= w.scenario.Run.Length && w.pending == 0 && w.idle() {
 			break
 		}
 	}
@@ -216,7 +216,7 @@
 	for i, a := range w.agents {
 		names[i] = record.Agent{Name: a.name, Zone: s.Network.Zones[a.zone]}
 	}
-	w.sink.Begin(record.Day{
+	w.sink.Begin(record.Run{
 		Agents: names, Capacity: totalCapacity(machines), RatePerS: w.perS, Quotas: w.quotas,
 		MeanWork: w.meanWork,
 	})
@@ -228,15 +228,15 @@
 	for _, a := range w.agents {
 		(&source{
 			client: a.client, rng: newStream(w.seed, "client "+a.name), perS: w.perS * a.share,
-			until: s.Day.Length,
+			until: s.Run.Length,
 		}).start()
 	}
-	nth := map[scenario.TroubleKind]int{}
-	for i := range s.Troubles {
-		t := newInjection(w, i, nth[s.Troubles[i].Kind])
+	nth := map[scenario.FaultKind]int{}
+	for i := range s.Faults {
+		t := newInjection(w, i, nth[s.Faults[i].Kind])
 		nth[t.config.Kind]++
 		if w.plan != nil {
-			w.plan.Troubles = append(w.plan.Troubles, Spell{t.config.Kind, t.start, t.duration, t.share, t.size})
+			w.plan.Faults = append(w.plan.Faults, PlannedFault{t.config.Kind, t.start, t.duration, t.share, t.size})
 		}
 		w.schedule(t.start, rankEnvironment, (*injectionStarts)(t))
 	}
@@ -323,7 +323,7 @@
 	w.swing = draw(s.Load.Swing)
 	keys, keyZipf := int(math.Round(draw(s.Load.Keys))), draw(s.Load.KeyZipf)
 	quotaPerS, quotaOfCapacity := draw(s.Load.QuotaPerS), draw(s.Load.QuotaOfCapacity)
-	w.tryTimeoutShare, w.honorShare = draw(s.Clients.TryShare), draw(s.Clients.Honour)
+	w.tryTimeoutShare, w.honorShare = draw(s.Clients.TryShare), draw(s.Clients.HonorRetryAfter)
 	w.impatientShare = draw(s.Clients.Impatient)
 	w.backoff = s.Clients.BackoffWait.Draw(rng.Rand)
 	var shares []float64
@@ -364,7 +364,7 @@
 
 // loadFactor is the request rate at a time relative to the mean of the run.
 func (w *world) loadFactor(at time.Duration) float64 {
-	progress := float64(at) / float64(w.scenario.Day.Length)
+	progress := float64(at) / float64(w.scenario.Run.Length)
 	switch w.scenario.Load.Shape {
 	case scenario.Ramp:
 		return 1 + w.swing*(2*progress-1)
@@ -380,7 +380,7 @@
 	settings := balancer.Settings{
 		Self: a.number, Balancers: len(w.agents), Zone: s.Network.Zones[a.zone],
 		OverQuotaWeight: s.Load.OverShareWorth, DiscoveryOnDemand: true, ClientsMarkRetries: s.Clients.MarksRetry,
-		Tick: s.Agents.Tick, Tuning: w.options.Figures,
+		Tick: s.Agents.Tick, Tuning: w.options.Tuning,
 		Limits: balancer.Limits{
 			MaxAttempts: s.Allow.MaxAttempts, Hedging: s.Allow.SecondCopies,
 			Cancel: s.Allow.Cancel, Gossip: s.Allow.Peers, RetryAfter: s.Allow.RetryAfter,
@@ -388,11 +388,11 @@
 		},
 		Rules: balancer.Rules{
 			DrainGrace:        s.Rules.DrainGrace,
-			MaxPollInterval:   s.Rules.AskWithin,
-			SlowStartCapacity: s.Rules.ColdShare,
-			SlowStartDuration: s.Rules.ColdFor,
-			OverloadMultiple:  s.Rules.FallMultiple,
-			OverloadWindow:    s.Rules.FallWindow,
+			MaxPollInterval:   s.Rules.RequestWithin,
+			SlowStartCapacity: s.Rules.SlowStartShare,
+			SlowStartDuration: s.Rules.SlowStartTime,
+			OverloadMultiple:  s.Rules.OverloadMultiple,
+			OverloadWindow:    s.Rules.OverloadWindow,
 		},
 		Costs: balancer.Costs{
 			CrossZone: s.Prices.CrossZone, WastedWork: s.Prices.Waste, PeerMessage: s.Prices.Peer,
@@ -407,7 +407,7 @@
 		c := &s.Classes[i]
 		k := balancer.Class{
 			Name:             c.Name,
-			LatencyObjective: c.Aim,
+			LatencyObjective: c.LatencyObjective,
 			Deadline:         c.Deadline,
 			PriorityWeight:   c.Worth,
 			Idempotency:      balancer.NotIdempotent,
--- a/internal/routing/connecttimeouts.go
+++ b/internal/routing/connecttimeouts.go
@@ -41,5 +41,5 @@
 	c.slowest, c.consecutiveTimeouts = max(time.Duration(connectDecay*float64(c.slowest)), took), 0
 }
 
-// GaveUp records that a connection was not established within its Timeout.
-func (c *ConnectTimeouts) GaveUp() { c.consecutiveTimeouts++ }
+// TimedOut records that a connection was not established within its Timeout.
+func (c *ConnectTimeouts) TimedOut() { c.consecutiveTimeouts++ }
--- a/internal/routing/connecttimeouts_test.go
+++ b/internal/routing/connecttimeouts_test.go
@@ -30,7 +30,7 @@
 			c.Connected(connectTime)
 			established++
 		} else {
-			c.GaveUp()
+			c.TimedOut()
 		}
 	}
 	require.Equal(t, 100-maxEarlyTimeouts, established)
--- a/internal/routing/output.go
+++ b/internal/routing/output.go
@@ -25,7 +25,7 @@
 	// RescheduleAttempt changes when an attempt times out, now that its request is complete: Request,
 	// Attempt, At, Deadline.
 	RescheduleAttempt
-	// CancelAttempt ends an attempt now: Request, Attempt, Why. Its end is reported like any other.
+	// CancelAttempt ends an attempt now: Request, Attempt, Reason. Its end is reported like any other.
 	CancelAttempt
 	// CancelIfUnsent ends an attempt if it has not been written yet, because the request has its response
 	// or its client has left: Request, Attempt. An attempt that waits for a connection ends at once, as
@@ -69,7 +69,7 @@
 	Streaming bool
 	Endpoint  string // id of the endpoint
 	Addr      netip.AddrPort
-	Why       EndReason
+	Reason    EndReason
 	At        time.Duration // on the clock
 	Deadline  time.Duration // of the request's final response, on the clock
 	After     time.Duration
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -306,7 +306,7 @@
 func (r *Router) emit(o Output) { r.out = append(r.out, o) }
 
 func (r *Router) cancel(req *requestState, attempt int, reason EndReason) {
-	r.emit(Output{Kind: CancelAttempt, Request: req.id, Attempt: attempt, Why: reason})
+	r.emit(Output{Kind: CancelAttempt, Request: req.id, Attempt: attempt, Reason: reason})
 }
 
 // cancelStreaming cancels the response that is being streamed to the client, if any.
--- a/internal/routing/simulation_test.go
+++ b/internal/routing/simulation_test.go
@@ -192,7 +192,7 @@
 		case CancelAttempt:
 			s := d.attempts[ref]
 			d.check(s != nil && !s.ended, "a canceled attempt is not open")
-			d.schedule(0, func() { d.finish(s, reaction{result: AttemptResult{Phase: AwaitingResponse, EndReason: o.Why}}) })
+			d.schedule(0, func() { d.finish(s, reaction{result: AttemptResult{Phase: AwaitingResponse, EndReason: o.Reason}}) })
 		case CancelIfUnsent:
 			s := d.attempts[ref]
 			d.check(s != nil && !s.ended, "an attempt to cancel if unsent is not open")
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -67,8 +67,8 @@
 	c.read()
 }
 
-// Ask writes the next request, once the former one is answered, or the next part of a request.
-func (c *Client) Ask(request []byte) {
+// Send writes the next request, once the former one is answered, or the next part of a request.
+func (c *Client) Send(request []byte) {
 	<-c.dialDone
 	c.mu.Lock()
 	c.awaitsResponse = true
--- a/internal/standin/confined_linux_amd64.go
+++ b/internal/standin/confined_linux_amd64.go
@@ -17,10 +17,10 @@
 	unix.SYS_IO_URING_REGISTER, unix.SYS_SPLICE, unix.SYS_TEE, unix.SYS_VMSPLICE, unix.SYS_SENDFILE,
 }
 
-// Confined replaces this process with a program, by exec, under a seccomp filter: each of the refused calls
-// kills it by SIGSYS, and so does a clone that does not create a thread. It needs no privileges. It returns
-// only on an error.
-func Confined(path string, args, env []string) error {
+// ExecConfined replaces this process with a program, by exec, under a seccomp filter: each of the refused
+// calls kills it by SIGSYS, and so does a clone that does not create a thread. It needs no privileges. It
+// returns only on an error.
+func ExecConfined(path string, args, env []string) error {
 	runtime.LockOSThread()
 	filter := confinementFilter()
 	program := unix.SockFprog{Len: uint16(len(filter)), Filter: &filter[0]}
--- a/internal/standin/connecting.go
+++ b/internal/standin/connecting.go
@@ -10,9 +10,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Connecting returns the number of a process's outgoing TCP connections over IPv4 that are not established
-// yet. It works on Linux only.
-func Connecting(pid int) (n int, err error) {
+// CountConnecting returns the number of a process's outgoing TCP connections over IPv4 that are not
+// established yet. It works on Linux only.
+func CountConnecting(pid int) (n int, err error) {
 	connecting, err := synSentSockets()
 	if err != nil {
 		return 0, fmt.Errorf("listing connections in SYN_SENT: %w", err)
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -16,7 +16,7 @@
 	emptyLineInterval time.Duration
 	onCall            func(*Call)
 	onCallEnd         func(*Call)
-	link              Strait
+	link              StreamLink
 	wait              sync.WaitGroup
 }
 
@@ -35,8 +35,8 @@
 	return d, nil
 }
 
-// Way returns the link between discovery and its agents, on which faults can be started.
-func (d *Discovery) Way() *Strait { return &d.link }
+// Link returns the link between discovery and its agents, on which faults can be started.
+func (d *Discovery) Link() *StreamLink { return &d.link }
 
 // Close closes the service and all calls, and waits for its goroutines.
 func (d *Discovery) Close() {
@@ -47,11 +47,11 @@
 
 // Call is an agent's request to discovery.
 type Call struct {
-	Target string // the request target as received
-	Watch  bool
-	From   int64 // of a watch: the agent's version of the endpoint list
-	Mute   bool  // no empty lines are written; set in onCall
-	Handle any   // the caller's own data; set in onCall
+	Target       string // the request target as received
+	Watch        bool
+	From         int64 // of a watch: the agent's version of the endpoint list
+	NoEmptyLines bool  // no empty lines are written; set in onCall
+	Handle       any   // the caller's own data; set in onCall
 
 	mu     sync.Mutex
 	queue  []callStep
@@ -76,23 +76,24 @@
 	}
 }
 
-// Begin answers the call with a status.
-func (c *Call) Begin(status int) { c.enqueue(callStep{status: status}) }
+// WriteStatus answers the call with a status.
+func (c *Call) WriteStatus(status int) { c.enqueue(callStep{status: status}) }
 
-// Say writes a line; it appends the line feed.
-func (c *Call) Say(line string) { c.Write(line + "\n") }
+// WriteLine writes a line; it appends the line feed.
+func (c *Call) WriteLine(line string) { c.Write(line + "\n") }
 
 // Write writes text as it is.
 func (c *Call) Write(text string) { c.enqueue(callStep{text: text}) }
 
-// Silence stops all output on the call, empty lines included. The call stays open until either side ends it.
-func (c *Call) Silence() { c.enqueue(callStep{silence: true}) }
+// StopOutput stops all output on the call, empty lines included. The call stays open until either side ends
+// it.
+func (c *Call) StopOutput() { c.enqueue(callStep{silence: true}) }
 
-// Hush stops the empty lines; other output continues.
-func (c *Call) Hush() {
+// StopEmptyLines stops the empty lines; other output continues.
+func (c *Call) StopEmptyLines() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.Mute = true
+	c.NoEmptyLines = true
 }
 
 // End ends the call. If nothing was written yet, it closes the connection without a response.
@@ -115,7 +116,7 @@
 			return
 		case <-emptyLineTick:
 			c.mu.Lock()
-			silenced := c.Mute
+			silenced := c.NoEmptyLines
 			c.mu.Unlock()
 			if silenced {
 				continue
@@ -138,7 +139,7 @@
 			case s.status != 0:
 				started = true
 				w.WriteHeader(s.status)
-				if c.Watch && !c.Mute && d.emptyLineInterval > 0 {
+				if c.Watch && !c.NoEmptyLines && d.emptyLineInterval > 0 {
 					tick := time.NewTicker(d.emptyLineInterval)
 					defer tick.Stop()
 					emptyLineTick = tick.C
--- a/internal/standin/instantserver.go
+++ b/internal/standin/instantserver.go
@@ -20,8 +20,8 @@
 	headerEnd       = []byte("\r\n\r\n")
 )
 
-// ListenQuick opens an InstantServer at an address.
-func ListenQuick(addr string) (*InstantServer, error) {
+// ListenInstantServer opens an InstantServer at an address.
+func ListenInstantServer(addr string) (*InstantServer, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
--- a/internal/standin/network.go
+++ b/internal/standin/network.go
@@ -11,7 +11,7 @@
 	"dunestep/internal/rehearsal/mishap"
 )
 
-// Network is the network between the agents of a fleet, with the faults of a mishap.Net: it forwards the
+// Network is the network between the agents of a fleet, with the faults of a mishap.Network: it forwards the
 // datagrams of Peers, at once or with a delay. ListenNetwork creates one. Its methods are safe for concurrent
 // use.
 type Network struct {
@@ -20,7 +20,7 @@
 	startedAt time.Time
 
 	mu         sync.Mutex
-	faults     *mishap.Net
+	faults     *mishap.Network
 	delayed    copyHeap
 	overflowed int // copies dropped because maxDelayed were delayed
 	datagrams  int // received; a broadcast counts once for each receiver
@@ -54,37 +54,37 @@
 // Addrs returns the addresses for an agent's configuration, as Peers.Addrs does.
 func (n *Network) Addrs(agent int) (each []string, all string) { return n.peers.Addrs(agent) }
 
-// Begin starts a fault and returns its id, with which End ends it. It returns an error if the fault is
-// invalid.
-func (n *Network) Begin(f mishap.Fault) (id int, err error) {
+// BeginFault starts a fault and returns its id, with which EndFault ends it. It returns an error if the
+// fault is invalid.
+func (n *Network) BeginFault(f mishap.Fault) (id int, err error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.faults.Begin(f)
 }
 
-// End ends a fault. Copies that it has delayed stay delayed.
-func (n *Network) End(id int) {
+// EndFault ends a fault. Copies that it has delayed stay delayed.
+func (n *Network) EndFault(id int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.faults.End(id)
 }
 
-// Figures counts what the network has carried.
-type Figures struct {
+// NetworkStats counts what the network has carried.
+type NetworkStats struct {
 	mishap.Counts     // of datagrams affected by faults
-	Passed        int // all datagrams, with or without faults; a broadcast counts once for each receiver
-	Full          int // copies dropped because too many were delayed
-	// Late has how long after their due time delayed copies were sent, in microseconds.
-	Late *hdrhistogram.Histogram
+	Datagrams     int // all datagrams, with or without faults; a broadcast counts once for each receiver
+	Overflowed    int // copies dropped because too many were delayed
+	// Lateness has how long after their due time delayed copies were sent, in microseconds.
+	Lateness *hdrhistogram.Histogram
 }
 
-// Figures returns what the network has carried so far.
-func (n *Network) Figures() Figures {
+// Stats returns what the network has carried so far.
+func (n *Network) Stats() NetworkStats {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return Figures{
-		Counts: n.faults.Counts(), Passed: n.datagrams, Full: n.overflowed,
-		Late: hdrhistogram.Import(n.lateness.Export()),
+	return NetworkStats{
+		Counts: n.faults.Counts(), Datagrams: n.datagrams, Overflowed: n.overflowed,
+		Lateness: hdrhistogram.Import(n.lateness.Export()),
 	}
 }
 
@@ -105,19 +105,19 @@
 	now := time.Since(n.startedAt)
 	n.mu.Lock()
 	n.datagrams++
-	var immediate []mishap.Copy // without a delay
-	for _, c := range n.faults.Pass(now, from, to, data) {
-		if c.After == 0 {
+	var immediate []mishap.Delivery // without a delay
+	for _, c := range n.faults.Transmit(now, from, to, data) {
+		if c.Delay == 0 {
 			immediate = append(immediate, c)
 		} else if len(n.delayed) < maxDelayed {
-			heap.Push(&n.delayed, delayedCopy{now + c.After, from, to, c.Data})
+			heap.Push(&n.delayed, delayedCopy{now + c.Delay, from, to, c.Data})
 		} else {
 			n.overflowed++
 		}
 	}
 	n.mu.Unlock()
 	for _, c := range immediate {
-		n.peers.Tell(from, to, c.Data)
+		n.peers.Send(from, to, c.Data)
 	}
 	n.wakeDeliverer()
 }
@@ -151,7 +151,7 @@
 	for {
 		due, wait, closed := n.takeDue()
 		for _, u := range due { // without the lock, which receive needs
-			n.peers.Tell(u.from, u.to, u.data)
+			n.peers.Send(u.from, u.to, u.data)
 		}
 		if len(due) == 0 || closed {
 			return wait, closed
--- a/internal/standin/network_test.go
+++ b/internal/standin/network_test.go
@@ -72,7 +72,7 @@
 		require.Eventually(t, func() bool { return fmt.Sprint(agents[agent].receivedSoFar()) == fmt.Sprint(want) }, eventTimeout, time.Millisecond,
 			"%v", want)
 	}
-	cut, err := n.Begin(mishap.Fault{From: []int{0}, To: []int{1}, Way: mishap.Way{Cut: true}})
+	cut, err := n.BeginFault(mishap.Fault{From: []int{0}, To: []int{1}, Impairment: mishap.Impairment{Cut: true}})
 	require.NoError(t, err)
 	_, everyone := n.Addrs(0)
 	agents[0].send(t, everyone, "to all")
@@ -80,22 +80,22 @@
 	agents[1].send(t, addrs(1)[0], "back")
 	requireReceived(0, "back")
 	require.Empty(t, agents[1].receivedSoFar())
-	n.End(cut)
+	n.EndFault(cut)
 	const delay = 200 * time.Millisecond
-	slow, err := n.Begin(mishap.Fault{From: []int{0}, Way: mishap.Way{Double: 1, Delay: scenario.Always(delay)}})
+	slow, err := n.BeginFault(mishap.Fault{From: []int{0}, Impairment: mishap.Impairment{Duplicate: 1, Delay: scenario.ExactTime(delay)}})
 	require.NoError(t, err)
 	sent := time.Now()
 	agents[0].send(t, addrs(0)[1], "late")
-	require.Eventually(t, func() bool { return n.Figures().Doubled == 1 }, eventTimeout, time.Millisecond)
-	n.End(slow)
+	require.Eventually(t, func() bool { return n.Stats().Duplicated == 1 }, eventTimeout, time.Millisecond)
+	n.EndFault(slow)
 	agents[0].send(t, addrs(0)[1], "first")
 	requireReceived(1, "first", "late", "late")
 	require.GreaterOrEqual(t, time.Since(sent), delay)
-	f := n.Figures()
-	require.Equal(t, 5, f.Passed)
+	f := n.Stats()
+	require.Equal(t, 5, f.Datagrams)
 	require.Equal(t, 1, f.Cut)
-	require.EqualValues(t, 2, f.Late.TotalCount())
-	_, err = n.Begin(mishap.Fault{Way: mishap.Way{Loss: 2}})
+	require.EqualValues(t, 2, f.Lateness.TotalCount())
+	_, err = n.BeginFault(mishap.Fault{Impairment: mishap.Impairment{Loss: 2}})
 	require.ErrorContains(t, err, "loss is 2")
 }
 
@@ -105,7 +105,7 @@
 	for _, rate := range []int{5_000, 20_000, 50_000} {
 		b.Run(fmt.Sprint(rate, "/s"), func(b *testing.B) {
 			agents, n := startUDPAgents(b, 50)
-			_, err := n.Begin(mishap.Fault{Way: mishap.Way{Loss: 0.1, Double: 0.1, Reorder: 0.1, Held: scenario.Always(20 * time.Millisecond)}})
+			_, err := n.BeginFault(mishap.Fault{Impairment: mishap.Impairment{Loss: 0.1, Duplicate: 0.1, Reorder: 0.1, HoldTime: scenario.ExactTime(20 * time.Millisecond)}})
 			require.NoError(b, err)
 			data, sent := string(make([]byte, 256)), 0
 			for b.Loop() {
@@ -117,11 +117,11 @@
 			}
 			elapsed := b.Elapsed().Seconds()
 			time.Sleep(100 * time.Millisecond)
-			f := n.Figures()
+			f := n.Stats()
 			b.ReportMetric(float64(sent)/elapsed, "sent/s")
-			b.ReportMetric(float64(f.Passed)/float64(sent), "passed/sent")
-			b.ReportMetric(float64(f.Late.ValueAtQuantile(50)), "late-p50-us")
-			b.ReportMetric(float64(f.Late.ValueAtQuantile(99)), "late-p99-us")
+			b.ReportMetric(float64(f.Datagrams)/float64(sent), "passed/sent")
+			b.ReportMetric(float64(f.Lateness.ValueAtQuantile(50)), "late-p50-us")
+			b.ReportMetric(float64(f.Lateness.ValueAtQuantile(99)), "late-p99-us")
 		})
 	}
 }
--- a/internal/standin/peers.go
+++ b/internal/standin/peers.go
@@ -79,8 +79,8 @@
 	return each, p.broadcast.LocalAddr().String()
 }
 
-// Tell sends an agent a datagram from a peer. Like any datagram, it may be lost.
-func (p *Peers) Tell(from, to int, data []byte) {
+// Send sends an agent a datagram from a peer. Like any datagram, it may be lost.
+func (p *Peers) Send(from, to int, data []byte) {
 	_, _ = p.sockets[from].WriteToUDPAddrPort(data, p.agents[to])
 }
 
--- a/internal/standin/program/build.go
+++ b/internal/standin/program/build.go
@@ -17,11 +17,11 @@
 	return nil
 }
 
-// Sources makes the result that go test caches for the calling test depend on the sources of this module's
-// programs. Without it, go test reuses a result for an earlier version of a program that the test starts, as
-// that program is not part of the test's binary. go test checks what a test has opened below the module's
-// root, a folder by the sizes and times of its entries, but not what TestMain opens.
-func Sources() error {
+// DependOnSources makes the result that go test caches for the calling test depend on the sources of this
+// module's programs. Without it, go test reuses a result for an earlier version of a program that the test
+// starts, as that program is not part of the test's binary. go test checks what a test has opened below the
+// module's root, a folder by the sizes and times of its entries, but not what TestMain opens.
+func DependOnSources() error {
 	all, err := sourceFolders()
 	if err != nil {
 		return err
--- a/internal/standin/program/config.go
+++ b/internal/standin/program/config.go
@@ -13,8 +13,8 @@
 // Object is a JSON object of an agent's configuration or of discovery.
 type Object = map[string]any
 
-// SettingsObject returns an agent's configuration with a deployment's settings.
-func SettingsObject(s protocol.Settings) Object {
+// ConfigObject returns an agent's configuration with a deployment's settings.
+func ConfigObject(s protocol.Settings) Object {
 	var classes, tenants []Object
 	for _, c := range s.Classes {
 		effect := "fragile"
@@ -68,10 +68,10 @@
 	balancer.Ready: "active", balancer.Draining: "leaving", balancer.Gone: "left",
 }
 
-// ListObject returns discovery's object for an endpoint list. addrOf returns the address at which the agent
-// reaches an upstream server, so that each agent can have addresses of its own; startedMS returns a start
-// time in milliseconds of Unix time.
-func ListObject(c protocol.EndpointList, addrOf func(netip.AddrPort) string,
+// EndpointsObject returns discovery's object for an endpoint list. addrOf returns the address at which the
+// agent reaches an upstream server, so that each agent can have addresses of its own; startedMS returns a
+// start time in milliseconds of Unix time.
+func EndpointsObject(c protocol.EndpointList, addrOf func(netip.AddrPort) string,
 	startedMS func(time.Duration) int64,
 ) Object {
 	entries := []Object{}
@@ -84,8 +84,8 @@
 	return Object{"version": c.Version, "full": c.Full, "servers": entries}
 }
 
-// Line returns an object as JSON on one line. It panics if the object cannot be encoded.
-func Line(o Object) string {
+// JSON returns an object as JSON on one line. It panics if the object cannot be encoded.
+func JSON(o Object) string {
 	text, err := json.Marshal(o)
 	if err != nil {
 		panic(fmt.Sprint("program: ", err))
--- a/internal/standin/program/pace.go
+++ b/internal/standin/program/pace.go
@@ -43,9 +43,9 @@
 	}
 }
 
-// Stands waits until all threads of the process are stopped after a Pause. It returns false if the process
-// has ended.
-func (p *Process) Stands() bool {
+// WaitStopped waits until all threads of the process are stopped after a Pause. It returns false if the
+// process has ended.
+func (p *Process) WaitStopped() bool {
 	for {
 		err := unix.Waitid(unix.P_PID, p.Pid(), nil, unix.WSTOPPED|unix.WNOWAIT, nil)
 		if err != unix.EINTR {
@@ -54,9 +54,9 @@
 	}
 }
 
-// Slow lets the process run for a share of each slice of time and stops it for the rest. A share of 1 or more
-// ends the slowing. Each call replaces the former one.
-func (p *Process) Slow(share float64, slice time.Duration) {
+// SetCPUShare lets the process run for a share of each slice of time and stops it for the rest. A share of
+// 1 or more ends the slowing. Each call replaces the former one.
+func (p *Process) SetCPUShare(share float64, slice time.Duration) {
 	p.suspension.stopSlow()
 	p.updateSuspension(func() { p.suspension.inRest = false })
 	if share >= 1 {
--- a/internal/standin/program/program.go
+++ b/internal/standin/program/program.go
@@ -31,7 +31,7 @@
 	// drainTimeout is how long an agent may take to end after SIGTERM: the longest wait of a client (3 s), the
 	// grace before a SIGKILL (700 ms), and an allowance for a busy machine.
 	drainTimeout = 3*time.Second + 700*time.Millisecond + 1300*time.Millisecond
-	keptLogLines = 12 // for LastWords
+	keptLogLines = 12 // for LastLogLines
 )
 
 // Agent is a named agent, which runs as one process after another. The exported fields are set while no
@@ -44,12 +44,12 @@
 	Args    []string
 	// Operator is the content of its operator file; empty: none.
 	Operator string
-	// Folder is its $TMPDIR; empty: not set.
-	Folder  string
-	Sockets int           // limit of its descriptors beside SpareDescriptors; 0: this process's limit
-	Look    time.Duration // interval between measurements of its memory and descriptors; 0: never
-	Log     func(name, line string)
-	Spawn   *Spawner
+	// TempDir is its $TMPDIR; empty: not set.
+	TempDir         string
+	MaxSockets      int           // limit of its descriptors beside SpareDescriptors; 0: this process's limit
+	MeasureInterval time.Duration // interval between measurements of its memory and descriptors; 0: never
+	Log             func(name, line string)
+	Spawner         *Spawner
 
 	mu        sync.Mutex
 	current   *Process // nil: not running
@@ -63,7 +63,7 @@
 	Starts      int
 	PeakMB      float64
 	Descriptors int
-	CPUS        float64
+	CPUSeconds  float64
 	Problems    []string
 }
 
@@ -137,8 +137,8 @@
 		"LB_NAME=" + a.Name, "LB_LISTEN=" + a.Addr, "LB_DISCOVERY=" + discovery,
 		"LB_CONFIG=/proc/self/fd/3",
 	}, a.Env...)
-	if a.Folder != "" {
-		cmd.Env = append(cmd.Env, "TMPDIR="+a.Folder)
+	if a.TempDir != "" {
+		cmd.Env = append(cmd.Env, "TMPDIR="+a.TempDir)
 	}
 	texts := []string{config}
 	if a.Operator != "" {
@@ -169,11 +169,11 @@
 	if hasEnded {
 		return nil, errAgentEnded
 	}
-	if err := a.Spawn.Start(cmd); err != nil {
+	if err := a.Spawner.Start(cmd); err != nil {
 		return nil, err
 	}
-	if a.Sockets > 0 {
-		limit := uint64(a.Sockets + SpareDescriptors)
+	if a.MaxSockets > 0 {
+		limit := uint64(a.MaxSockets + SpareDescriptors)
 		_ = unix.Prlimit(cmd.Process.Pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: limit, Max: limit}, nil)
 	}
 	a.mu.Lock()
@@ -182,7 +182,7 @@
 	hasEnded = a.ended
 	a.mu.Unlock()
 	go p.wait(out, ended)
-	if a.Look > 0 {
+	if a.MeasureInterval > 0 {
 		go p.measureUntilEnd()
 	}
 	if hasEnded { // End was called meanwhile
@@ -210,7 +210,7 @@
 	a.mu.Lock()
 	unasked := !p.drained && !p.killed
 	state := p.cmd.ProcessState
-	a.usage.CPUS += (state.UserTime() + state.SystemTime()).Seconds()
+	a.usage.CPUSeconds += (state.UserTime() + state.SystemTime()).Seconds()
 	if err != nil && !p.killed {
 		a.usage.Problems = append(a.usage.Problems, "ended with "+err.Error())
 	} else if unasked {
@@ -237,8 +237,8 @@
 	}
 }
 
-// LastWords returns the last lines of the agent's log.
-func (a *Agent) LastWords() string {
+// LastLogLines returns the last lines of the agent's log.
+func (a *Agent) LastLogLines() string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return strings.Join(a.lastLines, "\n")
@@ -246,7 +246,7 @@
 
 // measureUntilEnd measures the process at each interval until it ends.
 func (p *Process) measureUntilEnd() {
-	tick := time.NewTicker(p.agent.Look)
+	tick := time.NewTicker(p.agent.MeasureInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -272,8 +272,8 @@
 	a.usage.Descriptors = max(a.usage.Descriptors, len(open))
 }
 
-// Ready waits until the process reports that it is ready. It returns false if the process ends first.
-func (p *Process) Ready() bool {
+// WaitReady waits until the process reports that it is ready. It returns false if the process ends first.
+func (p *Process) WaitReady() bool {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for {
 		select {
@@ -353,8 +353,8 @@
 	wait.Wait()
 }
 
-// Used returns the usage of all the agent's processes so far.
-func (a *Agent) Used() Usage {
+// TotalUsage returns the usage of all the agent's processes so far.
+func (a *Agent) TotalUsage() Usage {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	u := a.usage
@@ -376,13 +376,13 @@
 	return l.Addr().String(), errors.Join(err, l.Close())
 }
 
-// OwnIP returns a loopback address for an agent, by the process id of the caller. Nothing else may listen
+// AgentIP returns a loopback address for an agent, by the process id of the caller. Nothing else may listen
 // there: the system could pick the agent's port for a stand-in, as the port is free until the agent's
 // program opens it.
-func OwnIP(pid, agent int) string { return processIP(pid, 2*(agent%distinctAgents)) }
+func AgentIP(pid, agent int) string { return processIP(pid, 2*(agent%distinctAgents)) }
 
-// RoundIP returns a loopback address for an agent's stand-ins, by the process id of the caller.
-func RoundIP(pid, agent int) string { return processIP(pid, 2*(agent%distinctAgents)+1) }
+// StandInIP returns a loopback address for an agent's stand-ins, by the process id of the caller.
+func StandInIP(pid, agent int) string { return processIP(pid, 2*(agent%distinctAgents)+1) }
 
 // distinctAgents is the number of agents with addresses of their own; with more, some share an address.
 const distinctAgents = 125
@@ -391,8 +391,8 @@
 	return fmt.Sprintf("127.%d.%d.%d", 64+pid%128, 1+pid/128%250, 1+last)
 }
 
-// Find returns the path of the agent's program; an empty name: bin/dunestep.
-func Find(name string) (string, error) {
+// FindAgent returns the path of the agent's program; an empty name: bin/dunestep.
+func FindAgent(name string) (string, error) {
 	path, err := exec.LookPath(cmp.Or(name, "bin/dunestep"))
 	if err != nil {
 		return "", fmt.Errorf("finding the agent's program: %w", err)
--- a/internal/standin/program/program_test.go
+++ b/internal/standin/program/program_test.go
@@ -25,13 +25,13 @@
 
 // shellAgent returns an agent whose program is a shell script.
 func shellAgent(script string) *Agent {
-	return &Agent{Name: "n0", Program: "/bin/sh", Args: []string{"-c", script}, Spawn: NewSpawner()}
+	return &Agent{Name: "n0", Program: "/bin/sh", Args: []string{"-c", script}, Spawner: NewSpawner()}
 }
 
 func (a *Agent) begin(t *testing.T) *Process {
 	t.Cleanup(func() {
 		a.End(false)
-		a.Spawn.Close()
+		a.Spawner.Close()
 	})
 	p, err := a.Start("{}", "127.0.0.1:1", func(bool) {})
 	require.NoError(t, err)
@@ -56,7 +56,7 @@
 	p := shellAgent("while :; do :; done").begin(t)
 	p.Pause()
 	p.Pause()
-	require.True(t, p.Stands())
+	require.True(t, p.WaitStopped())
 	before, state := cpuTimeAndState(p)
 	require.Equal(t, "T", state)
 	p.Resume()
@@ -68,7 +68,7 @@
 	p.Pause()
 	p.Kill()
 	<-p.Ended()
-	require.False(t, p.Stands())
+	require.False(t, p.WaitStopped())
 	p.Resume() // no effect: the process has ended
 }
 
@@ -77,8 +77,8 @@
 func TestSlowLimitsProcessorTime(t *testing.T) {
 	const share, slice = 0.2, 50 * time.Millisecond
 	p := shellAgent("while :; do :; done").begin(t)
-	p.Slow(0.9, slice) // replaced
-	p.Slow(share, slice)
+	p.SetCPUShare(0.9, slice) // replaced
+	p.SetCPUShare(share, slice)
 	before, _ := cpuTimeAndState(p)
 	startedAt := time.Now()
 	time.Sleep(time.Second)
@@ -86,7 +86,7 @@
 	elapsed := time.Since(startedAt).Seconds()
 	require.Less(t, after-before, (share+0.2)*elapsed, "processor time used in %v s", elapsed)
 	require.Eventually(t, func() bool { now, _ := cpuTimeAndState(p); return now > before }, eventTimeout, time.Millisecond)
-	p.Slow(1, slice)
+	p.SetCPUShare(1, slice)
 	_, state := cpuTimeAndState(p)
 	require.NotEqual(t, "T", state)
 }
@@ -104,9 +104,9 @@
 	require.NotEqual(t, p.Pid(), q.Pid())
 	require.True(t, <-up)
 	q.Pause()
-	require.True(t, q.Stands())
+	require.True(t, q.WaitStopped())
 	a.End(true)
-	require.Empty(t, a.Used().Problems)
+	require.Empty(t, a.TotalUsage().Problems)
 	_, err = a.Start("{}", "127.0.0.1:1", func(bool) {})
 	require.ErrorIs(t, err, errAgentEnded)
 }
@@ -120,7 +120,7 @@
 		}
 		if i == 0 {
 			p.Pause()
-			p.Stands()
+			p.WaitStopped()
 		}
 		fmt.Println(p.Pid())
 	}
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -22,19 +22,19 @@
 	"dunestep/internal/rehearsal/scenario"
 )
 
-// Events are the callbacks of a Server, called from a goroutine of the connection. Opened and Ended may be
-// nil.
+// Events are the callbacks of a Server, called from a goroutine of the connection. ConnectionOpened and
+// ConnectionEnded may be nil.
 type Events struct {
-	Opened func(*Conn)
-	Came   func(*Conn, *http.Request, []byte) // a complete request and its body
-	Ended  func(*Conn)                        // the last callback for the connection
+	ConnectionOpened func(*Conn)
+	RequestReceived  func(*Conn, *http.Request, []byte) // a complete request and its body
+	ConnectionEnded  func(*Conn)                        // the last callback for the connection
 }
 
 // Server is the socket of an upstream server. Listen creates one.
 type Server struct {
 	events Events
 	addr   *net.TCPAddr
-	link   Strait
+	link   StreamLink
 
 	mu          sync.Mutex
 	listener    *net.TCPListener    // nil: connection attempts are refused
@@ -48,7 +48,7 @@
 }
 
 // Listen opens an upstream server's socket at a loopback address; with port 0 the system picks a port. The
-// server keeps its address after Refuse, Mute and Accept.
+// server keeps its address after RefuseConnections, IgnoreConnections and AcceptConnections.
 func Listen(addr string, events Events) (*Server, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -65,11 +65,11 @@
 // Addr returns the address at which the server listens.
 func (s *Server) Addr() string { return s.addr.String() }
 
-// Way returns the link between the server and its agents, on which faults can be started.
-func (s *Server) Way() *Strait { return &s.link }
+// Link returns the link between the server and its agents, on which faults can be started.
+func (s *Server) Link() *StreamLink { return &s.link }
 
-// ReadSlowly sets a pause before each read of at most 4 KiB; zero: reads are not slowed.
-func (s *Server) ReadSlowly(pause time.Duration) {
+// SetReadPause sets a pause before each read of at most 4 KiB; zero: reads are not slowed.
+func (s *Server) SetReadPause(pause time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.readPause = pause
@@ -78,9 +78,9 @@
 // acceptBacklog is the listen backlog of a server that accepts.
 const acceptBacklog = 1024
 
-// Accept makes the server accept connections again after Refuse or Mute. It returns an error if another
-// socket has taken the port meanwhile, or after Close.
-func (s *Server) Accept() error {
+// AcceptConnections makes the server accept connections again after RefuseConnections or IgnoreConnections.
+// It returns an error if another socket has taken the port meanwhile, or after Close.
+func (s *Server) AcceptConnections() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
@@ -110,8 +110,8 @@
 	return nil
 }
 
-// Refuse closes the listener, so that the system refuses connection attempts.
-func (s *Server) Refuse() {
+// RefuseConnections closes the listener, so that the system refuses connection attempts.
+func (s *Server) RefuseConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.listener != nil {
@@ -121,10 +121,11 @@
 	s.isMuted = false
 }
 
-// Mute leaves connection attempts without an answer, as if the network were cut: the listen backlog is full
-// and the system drops them. This takes effect when Full returns true, a moment later.
-func (s *Server) Mute() error {
-	if err := s.Accept(); err != nil { // the backlog needs a listener
+// IgnoreConnections leaves connection attempts without an answer, as if the network were cut: the listen
+// backlog is full and the system drops them. This takes effect when IsBacklogFull returns true, a moment
+// later.
+func (s *Server) IgnoreConnections() error {
+	if err := s.AcceptConnections(); err != nil { // the backlog needs a listener
 		return err
 	}
 	s.mu.Lock()
@@ -138,7 +139,7 @@
 		return err
 	}
 	s.acceptWaiting()
-	clear(s.fillers) // those of an earlier Mute do not wait any more
+	clear(s.fillers) // those of an earlier IgnoreConnections do not wait any more
 	s.activeFills++
 	s.wait.Go(s.fillBacklog)
 	return nil
@@ -153,10 +154,10 @@
 	return errors.Join(err, raw.Control(func(fd uintptr) { err = syscall.Listen(int(fd), n) }), err)
 }
 
-// Full reports whether the listen backlog is full: from then on a muted server answers no connection attempt.
-// It works on Linux only. It returns false if the server does not listen, and while fillBacklog runs, as that
-// may accept a connection and free its place.
-func (s *Server) Full() bool {
+// IsBacklogFull reports whether the listen backlog is full: from then on a muted server answers no
+// connection attempt. It works on Linux only. It returns false if the server does not listen, and while
+// fillBacklog runs, as that may accept a connection and free its place.
+func (s *Server) IsBacklogFull() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.activeFills == 0 && s.acceptQueueFull()
@@ -263,8 +264,8 @@
 	return c.(*net.TCPConn)
 }
 
-// HangUp closes the open connections; the server continues.
-func (s *Server) HangUp() {
+// CloseConnections closes the open connections; the server continues.
+func (s *Server) CloseConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
@@ -274,7 +275,7 @@
 
 // Close closes the server and its connections, and waits for their goroutines.
 func (s *Server) Close() {
-	s.Refuse()
+	s.RefuseConnections()
 	s.mu.Lock()
 	s.closed = true
 	for _, c := range s.fillers {
@@ -282,7 +283,7 @@
 	}
 	s.mu.Unlock()
 	s.link.close()
-	s.HangUp()
+	s.CloseConnections()
 	s.wait.Wait()
 }
 
@@ -314,7 +315,7 @@
 
 // Conn is an agent's connection to an upstream server.
 type Conn struct {
-	Handle any // the caller's own data; set in Opened
+	Handle any // the caller's own data; set in ConnectionOpened
 
 	conn   *linkConn
 	server *Server
@@ -322,7 +323,7 @@
 
 const maxRequestBytes = 64 << 20
 
-// Read reads from the connection, slowly after ReadSlowly.
+// Read reads from the connection, slowly after SetReadPause.
 func (c *Conn) Read(b []byte) (int, error) {
 	c.server.mu.Lock()
 	pause := c.server.readPause
@@ -336,8 +337,8 @@
 
 func (c *Conn) serve() {
 	s := c.server
-	if s.events.Opened != nil {
-		s.events.Opened(c)
+	if s.events.ConnectionOpened != nil {
+		s.events.ConnectionOpened(c)
 	}
 	in := bufio.NewReader(c)
 	for {
@@ -349,19 +350,19 @@
 		if err != nil {
 			break
 		}
-		s.events.Came(c, r, body)
+		s.events.RequestReceived(c, r, body)
 	}
 	_ = c.conn.Close()
 	s.mu.Lock()
 	delete(s.conns, c)
 	s.mu.Unlock()
-	if s.events.Ended != nil {
-		s.events.Ended(c)
+	if s.events.ConnectionEnded != nil {
+		s.events.ConnectionEnded(c)
 	}
 }
 
-// Socket returns the underlying TCP connection, which bypasses the link's faults.
-func (c *Conn) Socket() *net.TCPConn { return c.conn.raw }
+// TCPConn returns the underlying TCP connection, which bypasses the link's faults.
+func (c *Conn) TCPConn() *net.TCPConn { return c.conn.raw }
 
 // Write writes bytes as they are.
 func (c *Conn) Write(b []byte) (int, error) { return c.conn.Write(b) }
@@ -392,7 +393,7 @@
 
 // Reply writes a response with a fault. It ignores the faults that do not concern a response, NoAccept and
 // SlowReader, and also Forgets: a server that forgets a connection calls no Reply on it.
-func (c *Conn) Reply(r Reply, fault scenario.Fault) {
+func (c *Conn) Reply(r Reply, fault scenario.ConnFault) {
 	head := r.head()
 	write := func(parts ...string) { _, _ = io.WriteString(c.conn, strings.Join(parts, "")) }
 	switch fault {
@@ -403,7 +404,7 @@
 	case scenario.CutBody:
 		write(head, r.Body[:len(r.Body)/2])
 		c.Close()
-	case scenario.OpenBody:
+	case scenario.UnboundedBody:
 		write(fmt.Sprintf("HTTP/1.1 %d %s\r\nConnection: close\r\n%s\r\n", r.Status, http.StatusText(r.Status),
 			r.Headers), r.Body[:len(r.Body)/2])
 		c.Reset()
@@ -412,7 +413,7 @@
 	case scenario.ResetAfter:
 		write(head, r.Body)
 		c.Reset()
-	case scenario.Hints:
+	case scenario.InformationalAnswer:
 		write("HTTP/1.1 103 Early Hints\r\nLink: </chairs>; rel=preload\r\n\r\n", head, r.Body)
 	case scenario.TwoAnswers:
 		write(head, r.Body, head, r.Body)
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -21,8 +21,8 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // answerOK answers every request with status 200.
-func answerOK(fault scenario.Fault) Events {
-	return Events{Came: func(c *Conn, _ *http.Request, _ []byte) { c.Reply(Reply{Status: 200, Body: "booked\n"}, fault) }}
+func answerOK(fault scenario.ConnFault) Events {
+	return Events{RequestReceived: func(c *Conn, _ *http.Request, _ []byte) { c.Reply(Reply{Status: 200, Body: "booked\n"}, fault) }}
 }
 
 func sendRequest(s *Server) (string, error) {
@@ -45,15 +45,15 @@
 	require.NoError(t, err)
 	defer s.Close()
 	for range 3 {
-		require.NoError(t, s.Accept())
+		require.NoError(t, s.AcceptConnections())
 		require.Eventually(t, func() bool {
 			text, err := sendRequest(s)
 			return err == nil && strings.HasSuffix(text, "booked\n")
 		}, 10*time.Second, time.Millisecond)
-		s.Refuse()
+		s.RefuseConnections()
 		_, err = sendRequest(s)
 		require.ErrorContains(t, err, "refused")
-		require.NoError(t, s.Mute())
+		require.NoError(t, s.IgnoreConnections())
 		require.Eventually(t, func() bool {
 			_, err := sendRequest(s)
 			timedOut, is := err.(net.Error)
@@ -61,33 +61,33 @@
 		}, 10*time.Second, time.Millisecond)
 	}
 	s.Close()
-	require.ErrorIs(t, s.Accept(), net.ErrClosed)
+	require.ErrorIs(t, s.AcceptConnections(), net.ErrClosed)
 }
 
-// TestMuteServesConnectionsAlreadyUp: a connection established just before Mute is served: its request does not stay
+// TestMuteServesConnectionsAlreadyUp: a connection established just before IgnoreConnections is served: its request does not stay
 // unread until the server accepts again.
 func TestMuteServesConnectionsAlreadyUp(t *testing.T) {
 	s, err := Listen("127.77.0.1:0", answerOK(""))
 	require.NoError(t, err)
 	defer s.Close()
 	for range 20 {
-		require.NoError(t, s.Accept())
+		require.NoError(t, s.AcceptConnections())
 		_ = s.listener.SetDeadline(time.Unix(1, 0)) // stops accept
 		c, err := net.Dial("tcp", s.Addr())
 		require.NoError(t, err)
-		require.NoError(t, s.Mute())
+		require.NoError(t, s.IgnoreConnections())
 		_, err = io.WriteString(c, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
 		require.NoError(t, err)
 		_ = c.SetDeadline(time.Now().Add(5 * time.Second))
 		text, err := bufio.NewReader(c).ReadString('\n')
 		require.NoError(t, err)
 		require.Contains(t, text, "200")
-		require.Eventually(t, s.Full, 10*time.Second, time.Millisecond)
+		require.Eventually(t, s.IsBacklogFull, 10*time.Second, time.Millisecond)
 		c.Close()
 	}
 }
 
-// TestFullReturnsFalseWhileFilling: Full returns false while fillBacklog runs. A filler can fill the backlog although
+// TestFullReturnsFalseWhileFilling: IsBacklogFull returns false while fillBacklog runs. A filler can fill the backlog although
 // its dial timed out; the server then accepts it, and the next connection attempt succeeds.
 func TestFullReturnsFalseWhileFilling(t *testing.T) {
 	s, err := Listen("127.77.0.1:0", answerOK(""))
@@ -106,11 +106,11 @@
 		defer s.mu.Unlock()
 		return s.acceptQueueFull()
 	}, 10*time.Second, time.Millisecond)
-	require.False(t, s.Full())
+	require.False(t, s.IsBacklogFull())
 	s.mu.Lock()
 	s.activeFills--
 	s.mu.Unlock()
-	require.True(t, s.Full())
+	require.True(t, s.IsBacklogFull())
 }
 
 // TestConnectingCountsOwnProcessOnly: a connection that is not established is counted for its own process only, and an
@@ -122,9 +122,9 @@
 	up, err := net.Dial("tcp", s.Addr())
 	require.NoError(t, err)
 	defer up.Close()
-	require.NoError(t, s.Mute())
-	require.Eventually(t, s.Full, 10*time.Second, time.Millisecond)
-	before, err := Connecting(os.Getpid())
+	require.NoError(t, s.IgnoreConnections())
+	require.Eventually(t, s.IsBacklogFull, 10*time.Second, time.Millisecond)
+	before, err := CountConnecting(os.Getpid())
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
@@ -133,15 +133,15 @@
 		_, _ = new(net.Dialer).DialContext(ctx, "tcp", s.Addr())
 	}()
 	require.Eventually(t, func() bool {
-		n, err := Connecting(os.Getpid())
+		n, err := CountConnecting(os.Getpid())
 		return err == nil && n == before+1
 	}, 10*time.Second, time.Millisecond)
-	others, err := Connecting(os.Getppid())
+	others, err := CountConnecting(os.Getppid())
 	require.NoError(t, err)
 	require.Zero(t, others)
 	cancel()
 	<-ended
-	n, err := Connecting(os.Getpid())
+	n, err := CountConnecting(os.Getpid())
 	require.NoError(t, err)
 	require.Equal(t, before, n)
 }
@@ -152,8 +152,8 @@
 	s, err := Listen("127.77.0.1:0", answerOK(""))
 	require.NoError(t, err)
 	defer s.Close()
-	require.NoError(t, s.Mute())
-	require.Eventually(t, s.Full, 10*time.Second, time.Millisecond)
+	require.NoError(t, s.IgnoreConnections())
+	require.Eventually(t, s.IsBacklogFull, 10*time.Second, time.Millisecond)
 	s.mu.Lock()
 	require.NoError(t, s.setBacklog(1)) // as if two were established at the same moment
 	s.mu.Unlock()
@@ -162,7 +162,7 @@
 	defer c.Close()
 	_, err = io.WriteString(c, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
 	require.NoError(t, err)
-	require.NoError(t, s.Accept())
+	require.NoError(t, s.AcceptConnections())
 	_ = c.SetDeadline(time.Now().Add(5 * time.Second))
 	_, err = c.Read(make([]byte, 1))
 	require.ErrorIs(t, err, syscall.ECONNRESET)
@@ -216,7 +216,7 @@
 			dialled := make(chan struct{})
 			client = Dial(l.Addr().String(), []byte(request), func(*http.Response, []byte) {
 				<-dialled
-				client.Ask([]byte(request))
+				client.Send([]byte(request))
 			}, func(unread bool) { ended <- unread })
 			close(dialled)
 			defer client.Close()
--- a/internal/standin/strait.go
+++ b/internal/standin/strait.go
@@ -10,10 +10,10 @@
 	"dunestep/internal/rehearsal/scenario"
 )
 
-// Strait is the link between agents and a stand-in, with faults of streams. Bytes that a fault holds are
+// StreamLink is the link between agents and a stand-in, with faults of streams. Bytes that a fault holds are
 // delivered when it ends, as with TCP retransmission; meanwhile connections are still established and stay
 // open. The zero value has no faults. Its methods are safe for concurrent use and do not block, except close.
-type Strait struct {
+type StreamLink struct {
 	mu            sync.Mutex
 	changed       *sync.Cond
 	inboundHolds  int // active faults that hold bytes from the agents
@@ -29,9 +29,9 @@
 
 var errHeldOverflow = errors.New("standin: too many bytes held on a connection")
 
-// Begin starts a fault of streams. It lasts until End was called as often as Begin. Other faults have no
-// effect.
-func (s *Strait) Begin(fault scenario.Fault) {
+// BeginFault starts a fault of streams. It lasts until EndFault was called as often as BeginFault. Other
+// faults have no effect.
+func (s *StreamLink) BeginFault(fault scenario.ConnFault) {
 	s.mu.Lock()
 	s.addFault(fault, 1)
 	var toReset []*linkConn
@@ -46,15 +46,15 @@
 	}
 }
 
-// End undoes one Begin of a fault.
-func (s *Strait) End(fault scenario.Fault) {
+// EndFault undoes one BeginFault of a fault.
+func (s *StreamLink) EndFault(fault scenario.ConnFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.addFault(fault, -1)
 	s.releaseHeld()
 }
 
-func (s *Strait) addFault(fault scenario.Fault, delta int) {
+func (s *StreamLink) addFault(fault scenario.ConnFault, delta int) {
 	switch fault {
 	case scenario.StreamSilent:
 		s.inboundHolds, s.outboundHolds = max(s.inboundHolds+delta, 0), max(s.outboundHolds+delta, 0)
@@ -69,7 +69,7 @@
 
 // releaseHeld wakes readers and flushes held writes where no fault holds them any more. The caller
 // holds the lock.
-func (s *Strait) releaseHeld() {
+func (s *StreamLink) releaseHeld() {
 	s.cond().Broadcast()
 	for c := range s.conns {
 		if s.outboundHolds == 0 && !c.flushing && (len(c.heldWrites) > 0 || c.heldEnd != nil) {
@@ -79,7 +79,7 @@
 	}
 }
 
-func (s *Strait) cond() *sync.Cond {
+func (s *StreamLink) cond() *sync.Cond {
 	if s.changed == nil {
 		s.changed = sync.NewCond(&s.mu)
 	}
@@ -87,7 +87,7 @@
 }
 
 // close ends all faults and closes the link's connections.
-func (s *Strait) close() {
+func (s *StreamLink) close() {
 	s.mu.Lock()
 	s.closed, s.inboundHolds, s.outboundHolds, s.resetFaults = true, 0, 0, 0
 	for c := range s.conns {
@@ -100,7 +100,7 @@
 }
 
 // attach puts a new connection on the link; it returns nil if the connection was reset.
-func (s *Strait) attach(raw *net.TCPConn) *linkConn {
+func (s *StreamLink) attach(raw *net.TCPConn) *linkConn {
 	c := &linkConn{Conn: raw, raw: raw, link: s}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,7 +121,7 @@
 type linkConn struct {
 	net.Conn
 	raw  *net.TCPConn
-	link *Strait
+	link *StreamLink
 
 	readAhead    []byte // read while a fault began; used by the reader alone
 	readAheadErr error
@@ -301,7 +301,7 @@
 // linkListener accepts connections and attaches them to a link.
 type linkListener struct {
 	*net.TCPListener
-	link *Strait
+	link *StreamLink
 }
 
 // Accept implements net.Listener.
--- a/internal/standin/strait_test.go
+++ b/internal/standin/strait_test.go
@@ -51,13 +51,13 @@
 // TestLinkHoldsBytesUntilFaultEnds: each fault holds the bytes of its directions, on open connections and on new
 // ones, and they are delivered when the fault ends.
 func TestLinkHoldsBytesUntilFaultEnds(t *testing.T) {
-	for fault, reachesServer := range map[scenario.Fault]bool{
+	for fault, reachesServer := range map[scenario.ConnFault]bool{
 		scenario.StreamSilent: false, scenario.StreamToAgent: false,
 		scenario.StreamFromAgent: true,
 	} {
 		t.Run(string(fault), func(t *testing.T) {
 			var requests atomic.Int32
-			s, err := Listen("127.0.0.1:0", Events{Came: func(c *Conn, _ *http.Request, _ []byte) {
+			s, err := Listen("127.0.0.1:0", Events{RequestReceived: func(c *Conn, _ *http.Request, _ []byte) {
 				requests.Add(1)
 				c.Reply(Reply{Status: 200, Body: "booked\n"}, "")
 				c.Close() // held like the response
@@ -66,9 +66,9 @@
 			defer s.Close()
 			open := dialAgentConn(t, s.Addr())
 			for range 2 { // faults are counted
-				s.Way().Begin(fault)
+				s.Link().BeginFault(fault)
 			}
-			s.Way().End(fault)
+			s.Link().EndFault(fault)
 			conns := []*agentConn{open, dialAgentConn(t, s.Addr())}
 			for _, c := range conns {
 				c.sendRequest()
@@ -81,7 +81,7 @@
 			} else {
 				require.Zero(t, requests.Load())
 			}
-			s.Way().End(fault)
+			s.Link().EndFault(fault)
 			for _, c := range conns {
 				hasInput, err := c.hasInputWithin(eventTimeout)
 				require.NoError(t, err)
@@ -101,7 +101,7 @@
 	require.NoError(t, err)
 	defer s.Close()
 	open := dialAgentConn(t, s.Addr())
-	s.Way().Begin(scenario.StreamReset)
+	s.Link().BeginFault(scenario.StreamReset)
 	c, err := net.Dial("tcp", s.Addr()) // may fail with the reset already
 	if err == nil {
 		defer c.Close()
@@ -111,7 +111,7 @@
 	hasInput, err := open.hasInputWithin(eventTimeout)
 	require.ErrorContains(t, err, "reset")
 	require.False(t, hasInput)
-	s.Way().End(scenario.StreamReset)
+	s.Link().EndFault(scenario.StreamReset)
 	after := dialAgentConn(t, s.Addr())
 	after.sendRequest()
 	hasInput, err = after.hasInputWithin(eventTimeout)
@@ -121,13 +121,13 @@
 
 // TestLinkHoldsDiscoveryStream: a fault also holds discovery's empty lines, and Close does not wait for a fault's end.
 func TestLinkHoldsDiscoveryStream(t *testing.T) {
-	d, err := ListenDiscovery("127.0.0.1:0", 10*time.Millisecond, func(c *Call) { c.Begin(200) }, func(*Call) {})
+	d, err := ListenDiscovery("127.0.0.1:0", 10*time.Millisecond, func(c *Call) { c.WriteStatus(200) }, func(*Call) {})
 	require.NoError(t, err)
 	c := dialAgentConn(t, d.Addr)
 	c.sendRequest()
 	hasInput, _ := c.hasInputWithin(eventTimeout)
 	require.True(t, hasInput)
-	d.Way().Begin(scenario.StreamFromAgent)
+	d.Link().BeginFault(scenario.StreamFromAgent)
 	require.Eventually(t, func() bool { // reads what was sent before the fault
 		_, _ = c.in.Discard(c.in.Buffered())
 		hasInput, err := c.hasInputWithin(silencePeriod)
@@ -135,10 +135,10 @@
 	}, eventTimeout, time.Millisecond)
 	waiting := dialAgentConn(t, d.Addr)
 	waiting.sendRequest()
-	d.Way().End(scenario.StreamFromAgent)
+	d.Link().EndFault(scenario.StreamFromAgent)
 	hasInput, _ = waiting.hasInputWithin(eventTimeout)
 	require.True(t, hasInput)
-	d.Way().Begin(scenario.StreamSilent)
+	d.Link().BeginFault(scenario.StreamSilent)
 	dialAgentConn(t, d.Addr).sendRequest()
 	d.Close()
 }
--- a/internal/state/format_test.go
+++ b/internal/state/format_test.go
@@ -38,8 +38,8 @@
 			ID: s.ID, StartedAt: s.StartedAt, Latency: 0.01 * float64(i+1) / 3,
 			LatencyInFlight: 3.3 / float64(i+1), SampledAgo: time.Duration(i+1) * 1234567, FlapPenalty: 0.7123 / float64(i+1),
 			Outlier: outlier.Snapshot{
-				Ends: 12.345, Ejected: i%5 == 0, Silent: true, ProbesRequired: 1,
-				Reason: "6 of 6 unanswered, usual 2%", EndsByCause: make([]float64, 9),
+				RecentAttempts: 12.345, Ejected: i%5 == 0, Silent: true, ProbesRequired: 1,
+				Reason: "6 of 6 unanswered, usual 2%", RecentByCause: make([]float64, 9),
 			},
 		})
 	}
@@ -48,7 +48,7 @@
 		Content: Content{
 			List: NewStoredList(config, 1_796_115_624_000), Balancer: &m,
 			IdleConnections: &routing.IdleSnapshot{Buckets: []routing.IdleBucket{{Index: 3, Used: 1.5, Lost: 0.25}}, SinceDecay: time.Second},
-			Overload: &overload.Snapshot{Kinds: []overload.KindSnapshot{{Name: "rapid", Steps: []overload.ServiceTimeSnapshot{{
+			Overload: &overload.Snapshot{Kinds: []overload.KindSnapshot{{Name: "rapid", Buckets: []overload.ServiceTimeSnapshot{{
 				Step: 3, LogSeconds: -2.5,
 				Samples: 70,
 			}}}}, InFlight: 1.5, Servers: 13, NoSheddingFor: time.Second},
--- a/internal/transport/bodies.go
+++ b/internal/transport/bodies.go
@@ -24,12 +24,12 @@
 
 // BodyRules are limits for bodies.
 type BodyRules struct {
-	MaxBytes      int64         // of a response; one that is longer, or announced as longer, is invalid
-	BufferedBytes int64         // length up to which a response is buffered until it is complete; zero: 64 KiB
-	MaxBuffering  time.Duration // of a response not known to be that short, from its first byte on
-	ClientStall   time.Duration // time after which a client that reads nothing of its response is cut off
+	MaxBytes           int64         // of a response; one that is longer, or announced as longer, is invalid
+	BufferedBytes      int64         // length up to which a response is buffered until it is complete; zero: 64 KiB
+	MaxBuffering       time.Duration // of a response not known to be that short, from its first byte on
+	ClientStallTimeout time.Duration // time after which a client that reads nothing of its response is cut off
 	// maximum time by which a client may occupy the server's connection longer than the server needs it
-	ClientLag time.Duration
+	MaxClientLag time.Duration
 }
 
 // BodyLimits are the memory and the rules that request and response bodies share. Both may change while they
--- a/internal/transport/listener_crossings_test.go
+++ b/internal/transport/listener_crossings_test.go
@@ -146,7 +146,7 @@
 		handler.response = busyResponse()
 	}
 	listener := NewListener(NewDescriptors(descriptors, func() {}),
-		NewBodyLimits(1<<20, BodyRules{MaxBytes: 1 << 20, ClientStall: time.Minute}), metrics.New(nil), handler)
+		NewBodyLimits(1<<20, BodyRules{MaxBytes: 1 << 20, ClientStallTimeout: time.Minute}), metrics.New(nil), handler)
 	for _, option := range options {
 		option(listener)
 	}
--- a/internal/transport/listener_test.go
+++ b/internal/transport/listener_test.go
@@ -62,7 +62,7 @@
 
 // Guards against clients that never complete a request: they must get a response and their connection must be closed.
 func TestUnfinishedRequestIsAnsweredAndClosed(t *testing.T) {
-	dial := serveListener(t, busyResponse, NewBodyLimits(1<<20, BodyRules{MaxBytes: 1 << 20, ClientStall: time.Minute}), protocol.HTTP)
+	dial := serveListener(t, busyResponse, NewBodyLimits(1<<20, BodyRules{MaxBytes: 1 << 20, ClientStallTimeout: time.Minute}), protocol.HTTP)
 	for name, c := range map[string]struct {
 		request string
 		status  int
@@ -91,16 +91,16 @@
 // short timeout must be rejected within it.
 func TestLackOfMemoryIsReportedWithinClientTimeout(t *testing.T) {
 	const deadline = 300 * time.Millisecond
-	bodies := NewBodyLimits(1<<20, BodyRules{MaxBytes: 1 << 20, ClientStall: time.Minute})
+	bodies := NewBodyLimits(1<<20, BodyRules{MaxBytes: 1 << 20, ClientStallTimeout: time.Minute})
 	_, err := bodies.Memory.Reserve(t.Context(), bytebudget.Holder{Name: "s-0"}, 1<<20) // all of it
 	require.NoError(t, err)
 	classes := []balancer.Class{
 		{Name: "consult", Deadline: time.Second, Idempotency: balancer.Idempotent},
 		{Name: "rezervare", Deadline: deadline, Idempotency: balancer.NotIdempotent},
 	}
-	classer, err := graphql.NewClasser(graphql.Rules{Classes: classes})
+	classer, err := graphql.NewClassifier(graphql.Rules{Classes: classes})
 	require.NoError(t, err)
-	graphQL := &protocol.GraphQL{Path: "/graphql", Classer: classer, Classes: classes}
+	graphQL := &protocol.GraphQL{Path: "/graphql", Classifier: classer, Classes: classes}
 	graphQL.Deadline, err = protocol.ParseSource("header:X-Time-Left-Ms")
 	require.NoError(t, err)
 	dial := serveListener(t, busyResponse, bodies, graphQL.AtPath, protocol.HTTP)
@@ -140,7 +140,7 @@
 // Guards against the eviction of a request that waits for memory in this agent as if its client had stalled, while
 // descriptors are short: the client sends everything that is read.
 func TestBodyWaitingForMemoryIsNotEvicted(t *testing.T) {
-	bodies := NewBodyLimits(1<<20, BodyRules{MaxBytes: 1 << 20, ClientStall: time.Minute})
+	bodies := NewBodyLimits(1<<20, BodyRules{MaxBytes: 1 << 20, ClientStallTimeout: time.Minute})
 	_, err := bodies.Memory.Reserve(t.Context(), bytebudget.Holder{Name: "s-0"}, 1<<20) // all of it
 	require.NoError(t, err)
 	dial := serveWithDescriptors(t, 64, busyResponse, bodies, protocol.HTTP)
@@ -181,14 +181,14 @@
 
 // Guards against a truncated response that looks complete: without a length, it must be an error in any HTTP version.
 func TestTruncatedResponseWithoutLengthIsAnError(t *testing.T) {
-	bodies := NewBodyLimits(1<<20, BodyRules{MaxBytes: 1 << 20, ClientStall: time.Minute})
+	bodies := NewBodyLimits(1<<20, BodyRules{MaxBytes: 1 << 20, ClientStallTimeout: time.Minute})
 	dial := serveListener(t, func() protocol.Response {
 		grant, err := bodies.Memory.Reserve(context.Background(), bytebudget.Holder{Name: "s-0"}, bodystream.ChunkBytes)
 		require.NoError(t, err)
 		stream := bodystream.New(-1, grant, bodystream.ChunkBytes)
 		_, err = stream.WriteBuffer()
 		require.NoError(t, err)
-		stream.Wrote(20_000) // more than net/http buffers
+		stream.CommitWrite(20_000) // more than net/http buffers
 		stream.CloseWrite(io.ErrUnexpectedEOF)
 		return protocol.Response{BodyStream: stream, Streaming: true}
 	}, bodies, protocol.HTTP)
--- a/internal/transport/responsewriter.go
+++ b/internal/transport/responsewriter.go
@@ -29,7 +29,7 @@
 	}
 	out := &responseWriter{
 		ResponseWriter: w, control: http.NewResponseController(w), isStreaming: response.Streaming,
-		writeTimeout: f.bodies.Rules().ClientStall,
+		writeTimeout: f.bodies.Rules().ClientStallTimeout,
 	}
 	out.extendDeadline()
 	err := x.Encode(out, response)
@@ -130,6 +130,6 @@
 		if err != nil {
 			return err
 		}
-		body.Consumed(n)
+		body.Consume(n)
 	}
 }
--- a/internal/transport/upload.go
+++ b/internal/transport/upload.go
@@ -126,7 +126,7 @@
 		}
 		u.body.extend(time.Since(waitedSince))
 		n, err := u.body.Read(buffer)
-		u.rest.Wrote(n)
+		u.rest.CommitWrite(n)
 		received += int64(n)
 		if err != nil {
 			return err
--- a/internal/transport/upstream.go
+++ b/internal/transport/upstream.go
@@ -287,7 +287,7 @@
 		if err := writePart(w, request, b); err != nil {
 			return err
 		}
-		request.Rest.Consumed(len(b))
+		request.Rest.Consume(len(b))
 	}
 }
 
--- a/internal/transport/upstream_crossings_test.go
+++ b/internal/transport/upstream_crossings_test.go
@@ -29,7 +29,7 @@
 	c, err := l.Accept()
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = c.Close() })
-	bodies = NewBodyLimits(1<<20, BodyRules{MaxBytes: 1 << 20, BufferedBytes: 1 << 20, ClientStall: time.Minute, MaxBuffering: time.Minute})
+	bodies = NewBodyLimits(1<<20, BodyRules{MaxBytes: 1 << 20, BufferedBytes: 1 << 20, ClientStallTimeout: time.Minute, MaxBuffering: time.Minute})
 	u, err = newUpstream(ours, "s-0", bodies, func() {}, func(*UpstreamConn) {})
 	require.NoError(t, err)
 	t.Cleanup(u.Close)
@@ -102,7 +102,7 @@
 									break
 								}
 								n += len(b)
-								response.BodyStream.Consumed(len(b))
+								response.BodyStream.Consume(len(b))
 							}
 							<-written
 							end()
@@ -272,7 +272,7 @@
 			buffer, err := rest.WriteBuffer()
 			require.NoError(t, err)
 			copy(buffer, "ab")
-			rest.Wrote(2) // the rest never arrives
+			rest.CommitWrite(2) // the rest never arrives
 			ended := make(chan struct{})
 			go func() {
 				defer close(ended)
--- a/internal/transport/upstream_test.go
+++ b/internal/transport/upstream_test.go
@@ -102,7 +102,7 @@
 	const maxLength, maxBuffered = 9000, 4000
 	second := []byte(head + "Content-Length: 6\r\n\r\nsecond")
 	f.Fuzz(func(t *testing.T, text []byte, readLimit uint16, isStreamed bool) {
-		bodies := NewBodyLimits(1<<20, BodyRules{MaxBytes: maxLength, BufferedBytes: maxBuffered, ClientStall: time.Second})
+		bodies := NewBodyLimits(1<<20, BodyRules{MaxBytes: maxLength, BufferedBytes: maxBuffered, ClientStallTimeout: time.Second})
 		want, isComplete, staysOpen := expectedResponse(text, maxLength)
 		texts := [][]byte{text}
 		if staysOpen {
@@ -123,7 +123,7 @@
 				if b, end = r.BodyStream.ReadBuffer(); end == nil {
 					require.LessOrEqual(t, bodies.Memory.Reserved(), int64(1<<20/maxBodyMemoryDivisor))
 					got = append(got, b...)
-					r.BodyStream.Consumed(len(b))
+					r.BodyStream.Consume(len(b))
 				}
 			}
 		}
@@ -170,7 +170,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Cleanup(func() { goleak.VerifyNone(t) })
-			bodies := NewBodyLimits(1<<20, BodyRules{MaxBytes: 1 << 20, BufferedBytes: 4000, ClientStall: time.Second})
+			bodies := NewBodyLimits(1<<20, BodyRules{MaxBytes: 1 << 20, BufferedBytes: 4000, ClientStallTimeout: time.Second})
 			ours, server := socketPair(t)
 			t.Cleanup(func() { _ = server.Close() })
 			u, err := newUpstream(ours, "s-0", bodies, func() {}, func(*UpstreamConn) {})
@@ -198,7 +198,7 @@
 func TestClientDisconnectsWithLastBytes(t *testing.T) {
 	body := strings.Repeat("0123456789", 1000)
 	head := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(body))
-	bodies := NewBodyLimits(1<<20, BodyRules{MaxBytes: 1 << 20, BufferedBytes: 4000, ClientStall: time.Second})
+	bodies := NewBodyLimits(1<<20, BodyRules{MaxBytes: 1 << 20, BufferedBytes: 4000, ClientStallTimeout: time.Second})
 	for i := range 300 {
 		ours, server := socketPair(t)
 		u, err := newUpstream(ours, "s-0", bodies, func() {}, func(*UpstreamConn) {})
--- a/internal/transport/upstreamresponse.go
+++ b/internal/transport/upstreamresponse.go
@@ -62,10 +62,10 @@
 		return err
 	}
 	stream := bodystream.New(body.Length, grant, maxBytes)
-	stream.SetDelayedBefore(time.Since(waitedSince))
+	stream.AddMemoryWait(time.Since(waitedSince))
 	response.BodyStream = stream
 	start := responseStart{start: func() {
-		stream.ForwardingStarted()
+		stream.SetForwarding()
 		u.responses <- responseEvent{UpstreamResponse: protocol.UpstreamResponse{
 			Outcome: response.Outcome, ContentType: response.ContentType, Status: response.Status,
 			BodyStream: stream,
@@ -102,7 +102,7 @@
 		if received += int64(n); received > rules.MaxBytes { // also if it ends right there
 			return protocol.ErrResponseTooLong
 		}
-		stream.Wrote(n)
+		stream.CommitWrite(n)
 		switch {
 		case err != nil:
 			return err
