--- a/internal/balancer/actions.go
+++ b/internal/balancer/actions.go
@@ -44,7 +44,7 @@
 	Data      []byte
 	Text      string
 	OverQuota bool  // rejected because of the tenant's quota, not for lack of capacity
-	Quota     Quota // the tenant's, to report to the client; zero: none
+	Quota     Quota // the tenant's quota, to report to the client; zero: none
 }
 
 // Quota is this balancer's part of a tenant's quota, in requests.
--- a/internal/balancer/exclusions_test.go
+++ b/internal/balancer/exclusions_test.go
@@ -18,7 +18,7 @@
 func TestKeyRank(t *testing.T) {
 	const keys, half = 20000, 1 << 31
 	var below [4]int
-	both := 0
+	atAll := 0
 	for i := range keys {
 		h, n := ring.Hash(fmt.Sprint("key", i)), 0
 		for s := range below {
@@ -28,13 +28,13 @@
 			}
 		}
 		if n == len(below) {
-			both++
+			atAll++
 		}
 	}
 	for s, n := range below {
 		require.InDelta(t, keys/2, n, keys/50, "server %d", s)
 	}
-	require.InDelta(t, keys/16, both, keys/100)
+	require.InDelta(t, keys/16, atAll, keys/100)
 	require.Equal(t, uint32(0xdbf1fcde), KeyRank(ring.Hash("k:1"), "s3"), "all agents of a fleet must have the same ranks, whatever their build")
 }
 
--- a/internal/balancer/flapdamping.go
+++ b/internal/balancer/flapdamping.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// dampOrConsult damps a flapping server, or first asks peers if there are any. If none agrees and the server
-// flaps again within dampingDuration, it is damped all the same.
+// dampOrConsult damps a flapping server, or first consults peers if there are any. If none agrees and the
+// server flaps again within dampingDuration, it is damped without their agreement.
 func (b *Balancer) dampOrConsult(s *server) {
 	if b.settings.Limits.Gossip && b.settings.Balancers > 1 && b.now-s.dampRequestedAt > dampingDuration {
 		s.dampRequestedAt = b.now
@@ -60,8 +60,8 @@
 // onDampResponse damps the server if the peer's flap penalty agrees and the request to peers was sent within
 // the last round.
 func (b *Balancer) onDampResponse(s *server, peerPenalty float64) {
-	asked := s.dampRequestedAt > 0 && b.now-s.dampRequestedAt <= roundInterval
-	if asked && !s.isDamped(b.now) &&
+	isPending := s.dampRequestedAt > 0 && b.now-s.dampRequestedAt <= roundInterval
+	if isPending && !s.isDamped(b.now) &&
 		min(s.decayedPenalty(b.now), peerPenalty) > b.tuning.SuppressLimit/peerLimitDivisor {
 		b.damp(s)
 	}
--- a/internal/balancer/flapdamping_test.go
+++ b/internal/balancer/flapdamping_test.go
@@ -57,17 +57,17 @@
 		for _, o := range []Outcome{ConnectFailed, Served, ConnectFailed} {
 			b.repeatOutcome(s, o)
 		}
-		asked := 0
+		requests := 0
 		for _, a := range b.actions {
 			if a.Kind == SendToPeer {
-				asked++
+				requests++
 				if a.Peer == b.settings.Self {
 					t.Error("sends the damp request to itself")
 				}
 			}
 		}
-		if asked != gossipFanout || s.dampedUntil != 0 {
-			t.Fatalf("asked %d peers, damped %v", asked, s.dampedUntil)
+		if requests != gossipFanout || s.dampedUntil != 0 {
+			t.Fatalf("%d damp requests sent, damped until %v", requests, s.dampedUntil)
 		}
 		reply := encodeDampMessage(messageDampResponse, s, b.now)
 		reply[5] = c.penalty
--- a/internal/balancer/fleetsize.go
+++ b/internal/balancer/fleetsize.go
@@ -21,9 +21,10 @@
 	b.quotas.SetBalancers(EffectiveFleetSize(size.Quotas, b.settings.Balancers))
 }
 
-// EffectiveFleetSize returns the number of agents to divide by: the number reported live, but at least two
-// thirds and at most all of the number named in the settings. If no number is known, live is not positive and
-// the result is named. So the sum over all agents is at most 1.5 times that with each dividing by named.
+// EffectiveFleetSize returns the number of agents to divide a limit by: live, the number reported live, but
+// at least two thirds and at most all of named, the number in the settings. If live is not positive, no
+// number is known and the result is named. Even with wrong numbers, the parts of all agents thus add up to at
+// most 1.5 times the limit.
 func EffectiveFleetSize(live, named int) int {
 	if live <= 0 {
 		return named
--- a/internal/balancer/fleetsize_test.go
+++ b/internal/balancer/fleetsize_test.go
@@ -29,7 +29,7 @@
 // settings name 300 agents, and live is the number reported live.
 func probeRequestRate(agents, live int) float64 {
 	const length = 10 * time.Minute
-	terms := slowstart.Params{
+	params := slowstart.Params{
 		InitialCapacity: 0.3, Duration: 9 * time.Second, OverloadMultiple: 3, OverloadWindow: 3 * time.Second, Margin: 0.5, MaxWarmMultiple: 1,
 		Balancers: EffectiveFleetSize(live, 300),
 	}
@@ -38,7 +38,7 @@
 		var b slowstart.Budget
 		b.Start(0, rng.Float64())
 		for at := time.Duration(0); at < length; at += time.Second {
-			if b.HasCapacity(&terms, at, 1, 0.01, 1, slowstart.Probes) {
+			if b.HasCapacity(&params, at, 1, 0.01, 1, slowstart.Probes) {
 				b.Spend(1)
 				sent++
 			}
--- a/internal/balancer/inflight/accounts.go
+++ b/internal/balancer/inflight/accounts.go
@@ -2,9 +2,9 @@
 
 // Limits in usual requests: one is the charge of a request that takes the mean time.
 const (
-	// creditFactor is the multiple of its fraction that each account is credited. The surplus lets keys stay
-	// with their owners where the load is less even over owners than over keys. It is also the maximum load of a
-	// server relative to the mean.
+	// creditFactor is the credit of an account for each charge, as a multiple of its fraction of the charge. The
+	// surplus above 1 lets keys stay with their owners where the load is less even over owners than over keys.
+	// The factor is also the maximum load of a server relative to the mean.
 	creditFactor = 1.3
 	// maxCredit is the maximum credit. It keeps a server that got nothing for a while from getting a burst from
 	// each of hundreds of agents.
--- a/internal/balancer/outlier/attempt.go
+++ b/internal/balancer/outlier/attempt.go
@@ -172,8 +172,8 @@
 	}
 	// Late responses of a class that the server is ejected for are no evidence against its other classes.
 	class := s.class(int(a.class))
-	isClassKnown := c == causeLateResponse && class != nil && class.isEjected
-	if tested := testedRatio(partialRatio); partialRatio < tested && !isClassKnown {
+	isClassEjected := c == causeLateResponse && class != nil && class.isEjected
+	if tested := testedRatio(partialRatio); partialRatio < tested && !isClassEjected {
 		s.partialEvidence[kind] += math.Log(tested / partialRatio)
 	}
 	if s.isEjected {
--- a/internal/balancer/outlier/evidence.go
+++ b/internal/balancer/outlier/evidence.go
@@ -44,7 +44,7 @@
 type cause uint8
 
 const (
-	causeConnectionRefused cause = iota // a dead process on a running host: hardly ever by chance
+	causeConnectionRefused cause = iota // as by a dead process on a running host; rarely by chance
 	causeConnectTimeout                 // no connection established
 	causeStaleConnection                // reset of an idle, reused connection: likely no fault of the server
 	causeConnectionReset                // the connection broke before or within the response
@@ -68,7 +68,7 @@
 const (
 	staleAfterIdle       = 50 * time.Millisecond  // minimum idle time of a stale connection
 	maxLateness          = 100 * time.Millisecond // a timeout that the agent handles later is no evidence
-	quickFailureFraction = 0.25                   // of the timeout; faster connect failures count as refused
+	quickFailureFraction = 0.25                   // timeout fraction; quicker connect failures count as refused
 )
 
 // cause returns the cause of an attempt's failure, or causeNone if its end is no evidence against the server.
--- a/internal/balancer/outlier/snapshot.go
+++ b/internal/balancer/outlier/snapshot.go
@@ -38,7 +38,7 @@
 	faultHalfLife  = 30 * time.Second      // half-life of stored evidence
 	maxEjectionAge = 2 * faultHalfLife     // a stored ejection of this age or older is restored as evidence only
 	maxEvidence    = 10 * ejectionEvidence // above ejectionEvidence, as it can grow until the round ends
-	maxEnds        = 1e6                   // attempts; maximum of a stored count
+	maxAttempts    = 1e6                   // maximum of a stored count
 )
 
 // Snapshot returns the learned state of a server.
@@ -86,11 +86,11 @@
 	if avoid := min(snapshot.AvoidFor, d.maxHold()) - age; avoid > 0 {
 		s.holdUntil, s.avoidUntil = now+avoid, now+avoid
 	}
-	if ends := validEvidence(snapshot.RecentAttempts, maxEnds); !s.isEjected &&
+	if attempts := validEvidence(snapshot.RecentAttempts, maxAttempts); !s.isEjected &&
 		len(snapshot.RecentByCause) <= len(s.recent.byCause) {
-		s.recent.total = left * ends
+		s.recent.total = left * attempts
 		for c, n := range snapshot.RecentByCause {
-			s.recent.byCause[c] = left * min(validEvidence(n, maxEnds), ends)
+			s.recent.byCause[c] = left * min(validEvidence(n, maxAttempts), attempts)
 		}
 		d.fleet.add(s.recent)
 	}
--- a/internal/balancer/outlier/verdict.go
+++ b/internal/balancer/outlier/verdict.go
@@ -10,7 +10,7 @@
 const (
 	ejectionEvidence        = 13.8 // outcomes that occur once in a million by chance eject a server
 	partialEjectionEvidence = 18.0 // higher for partial failures, which occur in clusters
-	suspectEvidence         = 7.5  // suspect from here on: more than one refused connect
+	suspectEvidence         = 7.5  // evidence that makes a server suspect: more than one refused connect
 
 	falseReadmissionChance = 0.05 // probability that a partly failing server serves all required probes
 	maxProbes              = 8    // maximum number of probes required
--- a/internal/balancer/probation/list.go
+++ b/internal/balancer/probation/list.go
@@ -40,7 +40,7 @@
 }
 
 // WaitDeadline returns when a request that finds no server stops waiting for a proven one, which is not after
-// latest. A request that has a deadline keeps it.
+// latest. If the request's WaitUntil is set, it is the result.
 func (l *List) WaitDeadline(r Request, now, latest time.Duration) time.Duration {
 	if r.WaitUntil != 0 {
 		return r.WaitUntil
--- a/internal/balancer/probation/request.go
+++ b/internal/balancer/probation/request.go
@@ -3,10 +3,10 @@
 import "time"
 
 const (
-	unprovenTimeoutFraction    = 0.4 // of the latency objective; leaves time for two retries
-	unprovenLatencyMultiple    = 4.0 // of the usual latency; applies if it gives a longer timeout
-	maxUnprovenTimeoutFraction = 0.5 // of the latency objective
-	waitObjectiveFraction      = 0.2 // of the latency objective, at full trust
+	unprovenTimeoutFraction    = 0.4 // fraction of the latency objective; leaves time for two retries
+	unprovenLatencyMultiple    = 4.0 // multiple of the usual latency; applies if it gives a longer timeout
+	maxUnprovenTimeoutFraction = 0.5 // fraction of the latency objective
+	waitObjectiveFraction      = 0.2 // fraction of the latency objective, at full trust
 	recheckInterval            = 10 * time.Millisecond
 )
 
--- a/internal/balancer/probation/server.go
+++ b/internal/balancer/probation/server.go
@@ -3,13 +3,13 @@
 import "time"
 
 const (
-	provenLimit       = 16 // attempts in flight; reached by four responses from a limit of one
-	trustedStartLimit = 4  // attempts in flight at first on a list confirmed just now; one on an old list
+	provenLimit       = 16 // limit from which a server is proven, in attempts in flight; four responses from one
+	trustedStartLimit = 4  // initial limit of attempts in flight at full trust; without trust it is one
 	maxFailures       = 3  // consecutive failures after which a server that has responded is avoided
 
 	minHold      = time.Second            // first time for which a server that did not respond is avoided
 	maxHold      = 8 * time.Second        // maximum of that time
-	rejectedHold = 200 * time.Millisecond // time for which a server that rejected is avoided: its process runs
+	rejectedHold = 200 * time.Millisecond // hold of a server that rejected an attempt; its process runs
 )
 
 // Outcome is how an attempt ended, as evidence about the server.
--- a/internal/balancer/rejection.go
+++ b/internal/balancer/rejection.go
@@ -51,9 +51,9 @@
 	c := r.class
 	for i := range r.attempts {
 		a := &r.attempts[i]
-		droppedAnywhere := c.Idempotency == IdempotentWithKey && c.DedupScope == DedupScopeAll &&
+		isDeduplicated := c.Idempotency == IdempotentWithKey && c.DedupScope == DedupScopeAll &&
 			b.now-a.outlier.StartedAt < c.DedupWindow
-		if !a.unprocessed && c.Idempotency != Idempotent && !droppedAnywhere {
+		if !a.unprocessed && c.Idempotency != Idempotent && !isDeduplicated {
 			return false
 		}
 	}
--- a/internal/balancer/saturation.go
+++ b/internal/balancer/saturation.go
@@ -6,8 +6,8 @@
 	// affinityFraction is a fraction of the latency objective. A server with a lower expected latency than this
 	// keeps its keys even above its bounded load, since key affinity saves more than a faster server would.
 	affinityFraction = 0.35
-	// surgeDeviations is the number of standard deviations, each the square root of the typical number of
-	// requests in flight, above that number from which there is a surge.
+	// surgeDeviations is the number of standard deviations above the typical number of requests in flight from
+	// which there is a surge. The standard deviation is the square root of the typical number.
 	surgeDeviations = 2.0
 	// inFlightGain is the weight of a new round in the moving average of requests in flight.
 	inFlightGain = 0.1
--- a/internal/balancer/slowstart/slowstart.go
+++ b/internal/balancer/slowstart/slowstart.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	probeFraction      = 0.05 // of the rate to a warm server: rate of probe requests to an ejected one
-	minProbesPerSecond = 0.5  // of all agents together, so that a quiet fleet notices a recovered server
+	probeFraction      = 0.05 // rate of probe requests to an ejected server, relative to the rate to a warm one
+	minProbesPerSecond = 0.5  // minimum over all agents together; a quiet fleet thus notices a recovered server
 	burstsPerWindow    = 6    // parts of the overload window; a budget saves at most the fill of one part
 )
 
@@ -12,7 +12,7 @@
 // used.
 type Params struct {
 	InitialCapacity  float64       // minimum fraction of its capacity that a server has when it starts
-	Duration         time.Duration // of the warm-up
+	Duration         time.Duration // duration of the warm-up
 	OverloadMultiple float64       // multiple of its capacity above which a server is overloaded
 	OverloadWindow   time.Duration // time for which the load must exceed that multiple
 	Margin           float64       // fraction of OverloadMultiple that is used
@@ -20,8 +20,8 @@
 	Balancers        int           // number of agents that share the probe requests
 }
 
-// CapacityFraction returns the minimum fraction of its capacity, from 0 to 1, of a server that started or
-// recovered at the time since. Zero means long ago and gives 1.
+// CapacityFraction returns the minimum fraction of its capacity, from 0 to 1, that a server has if it started
+// or recovered at the time named since. Zero means long ago and gives 1.
 func (p *Params) CapacityFraction(now, since time.Duration) float64 {
 	age := now - since
 	if since == 0 || age >= p.Duration {
@@ -56,8 +56,8 @@
 	updatedAt time.Duration
 }
 
-// Start starts a budget with a random fraction of one request, from 0 to 1. Many agents that each may send
-// far less than a request a second thus together send as many at once as their fractions add up to.
+// Start starts a budget with a random fraction of one request, from 0 to 1. The first requests of many agents
+// that each may send far less than one request a second are thus spread evenly over time from the start.
 func (b *Budget) Start(now time.Duration, fraction float64) { b.units, b.updatedAt = fraction, now }
 
 // Spend deducts sent work units from the budget.
--- a/internal/balancer/snapshot.go
+++ b/internal/balancer/snapshot.go
@@ -127,10 +127,10 @@
 // Snapshot returns the learned state at a time, for Restore.
 func (b *Balancer) Snapshot(now time.Duration) Snapshot {
 	b.now = max(b.now, now)
-	here, mean := b.quotas.Rates()
+	local, mean := b.quotas.Rates()
 	m := Snapshot{
 		BaselineLatency: b.baseline.snapshot(), MeanLatency: b.meanLatency, FailureRatio: b.failureFraction,
-		SendRate: b.sendRate, TypicalInFlight: b.typicalInFlight, ArrivalRate: here, MeanArrivalRate: mean,
+		SendRate: b.sendRate, TypicalInFlight: b.typicalInFlight, ArrivalRate: local, MeanArrivalRate: mean,
 		MeanWork: b.meanWork, MeanReportedInFlight: b.meanReportedInFlight, RetryTokens: b.retryTokens,
 	}
 	for _, name := range sortedNames(b.kindBaselines) {
--- a/internal/balancer/tuning.go
+++ b/internal/balancer/tuning.go
@@ -16,8 +16,8 @@
 	BoundedLoadFactor      float64 // multiple of the mean load above which a slow server is saturated
 	RetryRatio             float64 // retry tokens earned by each request
 	RetryBurst             float64 // maximum number of saved retry tokens
-	UnprocessedRetryRatio  float64 // RetryRatio of retries of unprocessed attempts, at healthy servers
-	UnprocessedRetryBurst  float64 // RetryBurst of the same
+	UnprocessedRetryRatio  float64 // like RetryRatio, for retries of unprocessed attempts at healthy servers
+	UnprocessedRetryBurst  float64 // like RetryBurst, for the same retries
 	OverQuotaQueueFraction float64 // fraction of the normal queueing time that requests over quota accept
 }
 
--- a/internal/balancer/zonereach/tracker.go
+++ b/internal/balancer/zonereach/tracker.go
@@ -7,7 +7,7 @@
 
 const (
 	unreachableAfter = 3                      // different servers in a row that did not respond
-	probeInterval    = 500 * time.Millisecond // between two requests to an unreachable zone
+	probeInterval    = 500 * time.Millisecond // minimum time between two requests to an unreachable zone
 	// maxZones is the maximum number of zones kept. When there are more, all are dropped at the cost of a few
 	// attempts. The number needs a limit because each endpoint list may name other zones.
 	maxZones = 64
--- a/internal/balancer/zones_test.go
+++ b/internal/balancer/zones_test.go
@@ -57,7 +57,7 @@
 	}
 	lost, recovered := run(ConnectFailed)
 	t.Log(lost, recovered)
-	require.LessOrEqual(t, lost, 3+20*2, "three requests to detect it, then two trials a second")
+	require.LessOrEqual(t, lost, 3+20*2, "three requests to detect it, then two probe requests a second")
 	require.Greater(t, recovered, 20, "of 80 requests")
 	lost, recovered = run(TimedOut)
 	require.LessOrEqual(t, lost, 3+20*2)
