--- a/internal/discovery/backoff/schedule.go
+++ b/internal/discovery/backoff/schedule.go
@@ -27,8 +27,8 @@
 	HasEntries ListContent = true
 )
 
-// CallStarted records the start of a call to discovery. Unless changes already count as missed, they do so
-// from now on.
+// CallStarted records the start of a call to discovery. From now on changes count as missed, unless
+// they already do.
 func (s *Schedule) CallStarted(now time.Duration) { s.recordMissedSince(now) }
 
 // Answered records that discovery has sent the endpoint list.
--- a/internal/discovery/backoff/settings.go
+++ b/internal/discovery/backoff/settings.go
@@ -11,8 +11,8 @@
 	WatchSilent                     // an open watch stopped receiving anything
 	WatchLost                       // an open watch was closed or could not be read
 	CallFailed                      // the call was refused, failed, or was not answered in time
-	Unreadable                      // received data was not usable; its changes count as known all the same
-	AddressMoved                    // as CallFailed, for the first call to a new address of discovery
+	Unreadable                      // received data was not usable; its changes still count as known
+	AddressMoved                    // like CallFailed, for the first call to a new address of discovery
 )
 
 const (
@@ -27,10 +27,10 @@
 	// discovery has the change and can be reached, or when the watch that missed the change fell silent.
 	AssumedKnownAfter = 6 * time.Second
 
-	staleFor        = 6 * time.Second        // after a failed call, in which recent changes may be missing
-	responseTime    = 500 * time.Millisecond // of an answer from a discovery service with capacity
+	staleFor        = 6 * time.Second        // time after a failed call in which recent changes may be missing
+	responseTime    = 500 * time.Millisecond // response time of a discovery service with capacity
 	callTimeout     = 2 * time.Second
-	movedKnownAfter = 4 * time.Second // as AssumedKnownAfter, after discovery moved to a new address
+	movedKnownAfter = 4 * time.Second // like AssumedKnownAfter, after discovery moved to a new address
 )
 
 // Settings are the settings of the deployment that determine the delays.
--- a/internal/metrics/counters_test.go
+++ b/internal/metrics/counters_test.go
@@ -33,7 +33,7 @@
 			"eject":   func(t *rapid.T) { counters.SetEjected(rapid.IntRange(0, 9).Draw(t, "n")) },
 			"endpoints": func(t *rapid.T) {
 				listed := rapid.IntRange(0, 9).Draw(t, "listed")
-				counters.SetEndpoints(Endpoints{Listed: listed, Disabled: rapid.IntRange(0, listed).Draw(t, "banned")})
+				counters.SetEndpoints(Endpoints{Listed: listed, Disabled: rapid.IntRange(0, listed).Draw(t, "disabled")})
 			},
 			"": func(t *rapid.T) {
 				r := counters.Read()
--- a/internal/overload/admission.go
+++ b/internal/overload/admission.go
@@ -33,8 +33,8 @@
 	client clientID
 	kind   arrivalKind
 	priority
-	counts bool // against its tenant's quota
-	tier   int  // in the fairness order
+	counts bool // counted against its tenant's quota
+	tier   int  // tier in the fairness order
 }
 
 // admit decides on a request. It returns the event to pass to the balancer, or nil if the request is
--- a/internal/overload/attempts.go
+++ b/internal/overload/attempts.go
@@ -209,8 +209,8 @@
 	}
 }
 
-// recordServiceTime compares a response's latency with the usual service time and updates the estimate of
-// the latter.
+// recordServiceTime compares a response's latency with the usual service time, and updates the estimate of
+// the usual service time.
 func (c *Controller) recordServiceTime(a *attempt, latency time.Duration) {
 	s, logSeconds := a.server, math.Log(latency.Seconds())
 	c.firstResponseAt = cmp.Or(c.firstResponseAt, c.now)
--- a/internal/overload/controller.go
+++ b/internal/overload/controller.go
@@ -33,7 +33,7 @@
 	usualRateHalfLife   = 3 * time.Second
 	factorHalfLife      = 300 * time.Millisecond
 	peakServersHalfLife = time.Minute
-	checkInterval       = 10 * time.Millisecond // between checks of episodes, retry storms and the throttle
+	checkInterval       = 10 * time.Millisecond // time between checks of episodes, retry storms and the throttle
 )
 
 // Controller is the admission controller: it forwards requests to a Balancer or rejects them.
@@ -41,15 +41,15 @@
 	balancer Balancer
 	settings balancer.Settings
 	rng      *rand.Rand
-	now      time.Duration // of the current event; never decreases
+	now      time.Duration // time of the current event; never decreases
 
 	configured           Config  // as set by the operator
 	agreedWastedFraction float64 // the fleet policy's upper bound of Config.WastedFraction; zero: none
 	config               Config  // in effect: configured, within the agreed bound
-	agents               int     // estimated number that share the servers
+	agents               int     // estimated number of agents that share the servers
 
-	actions       []balancer.Action // of the current event
-	pendingEvents []balancer.Event  // for the balancer, after the current event
+	actions       []balancer.Action // actions of the current event
+	pendingEvents []balancer.Event  // events to pass to the balancer after the current one
 
 	requests     map[uint32]*request
 	freeRequests []*request // for reuse
--- a/internal/overload/episode.go
+++ b/internal/overload/episode.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	sparseFactorHalfLife = 700 * time.Millisecond // for an agent with too few responses within factorHalfLife
+	sparseFactorHalfLife = 700 * time.Millisecond // for agents with too few responses within factorHalfLife
 
 	minOwnWeight          = 8.0  // responses from which an agent's own evidence is sufficient
 	minSparseWeight       = 2.0  // the same over sparseFactorHalfLife
@@ -11,16 +11,16 @@
 	minWeightWithoutPeers = 12.0 // the same for an agent without fresh evidence from others
 	minEndWeight          = 12.0 // responses required to end an episode
 
-	unusualFactor         = 1.25 // times the usual service time from which an agent's own responses are unusual
+	unusualFactor         = 1.25 // multiple of the usual service time from which own responses are unusual
 	minSlowServerFraction = 0.7  // minimum slowServerFraction in an episode
-	maxForwardedFraction  = 0.9  // of requests; above, shedding costs more than the episode
+	maxForwardedFraction  = 0.9  // fraction of requests; above it, shedding costs more than the episode
 
-	learningDuration      = 5 * time.Second        // since the first response, before service can count as slow
-	episodeConfirmedAfter = 150 * time.Millisecond // of slow service before load is shed
-	episodeOverAfter      = time.Second            // of usual service
+	learningDuration      = 5 * time.Second        // from the first response until service can count as slow
+	episodeConfirmedAfter = 150 * time.Millisecond // duration of slow service after which load is shed
+	episodeOverAfter      = time.Second            // duration of usual service after which an episode is over
 
-	newEpisodeGrowth      = 1.35 // growth of the factor after failed shedding: a new episode
-	growthMinAge          = 1800 * time.Millisecond
+	newEpisodeGrowth      = 1.35 // growth of the factor after failed shedding that indicates a new episode
+	growthMinAge          = 1800 * time.Millisecond // minimum time since the end of shedding until growth counts
 	episodeFactorHalfLife = 3 * time.Second
 )
 
--- a/internal/overload/outage.go
+++ b/internal/overload/outage.go
@@ -17,7 +17,7 @@
 
 	minTrialsPerSecond = 1.0
 	maxSavedTrials     = 2.0
-	stalledTrialAfter  = 300 * time.Millisecond // without an attempt, after which the balancer's view is reset
+	stalledTrialAfter  = 300 * time.Millisecond // time without an attempt until the balancer's view is reset
 
 	// slowStartHold, multiplied by the number of agents, is the pause of a server in slow start after a
 	// failure.
@@ -54,7 +54,7 @@
 	trialTokens   float64
 	trialTokensAt time.Duration
 	lastSentAt    time.Duration
-	lastResetAt   time.Duration // of the balancer's view of the servers, because it sent no trial
+	lastResetAt   time.Duration // last reset of the balancer's view of the servers, because it sent no trial
 }
 
 func newOutageState() outageState {
--- a/internal/overload/outage_test.go
+++ b/internal/overload/outage_test.go
@@ -18,7 +18,7 @@
 func TestOutage(t *testing.T) {
 	for name, tt := range map[string]struct {
 		begin        func(sim *fleetSimulation)
-		slow         float64 // after the outage, times the usual work
+		slow         float64 // work of a request after the outage, as a multiple of the usual
 		rate         float64
 		maxSentRatio float64 // maximum ratio of attempts to requests
 	}{
--- a/internal/overload/quota.go
+++ b/internal/overload/quota.go
@@ -10,7 +10,7 @@
 const (
 	minBurst          = 3.0 // requests: a small agent sees a tenant's requests at uneven intervals
 	quotaHalfLife     = 2 * time.Second
-	overQuotaFraction = 0.1 // of first attempts over quota, above which a tenant's retries are counted too
+	overQuotaFraction = 0.1 // fraction of first attempts over quota above which a tenant's retries count too
 )
 
 // tenantQuota is a token bucket with this agent's fraction of a tenant's quota. During an outage and the
--- a/internal/overload/recovery.go
+++ b/internal/overload/recovery.go
@@ -10,10 +10,10 @@
 	initialInFlightPerServer = 8.0 // requests of all agents, if the usual number is unknown
 	rampAfter                = 5 * time.Second
 	rampPerSecond            = 0.2 // growth of the in-flight limit after rampAfter, per second
-	lowestRankCapacity       = 0.5 // of the proven capacity, for the last request in the fairness order
+	lowestRankCapacity       = 0.5 // fraction of the proven capacity for the last request in the fairness order
 	provenDuration           = 2 * time.Second
 	settledAfterRecovery     = 2 * time.Second
-	resetAfterFaults         = 2 // consecutive; a success after these resets the view of the server
+	resetAfterFaults         = 2 // consecutive faults after which a success resets the view of the server
 )
 
 // startRecovery enters phaseRecovering, in which the servers get what they prove able to serve.
--- a/internal/overload/retryafter.go
+++ b/internal/overload/retryafter.go
@@ -4,7 +4,7 @@
 
 const (
 	minRetryAfter       = 100 * time.Millisecond
-	retryAfterTolerance = 20 * time.Millisecond // by which a client may return early
+	retryAfterTolerance = 20 * time.Millisecond // time by which a client may return early
 	maxRejections       = 2                     // rejections after which a returning client is deprioritized
 
 	retryAfterEntries    = 1 << 15 // clients; 24 bytes each
--- a/internal/overload/retrystorm.go
+++ b/internal/overload/retrystorm.go
@@ -4,8 +4,8 @@
 
 const (
 	retryRateHalfLife       = time.Second
-	stormRetryRatio         = 1.0 // retries per first attempt, above which a storm begins
-	stormForwardedFraction  = 0.5 // of requests, below which a storm begins
+	stormRetryRatio         = 1.0 // retries per first attempt above which a storm begins
+	stormForwardedFraction  = 0.5 // forwarded fraction of requests below which a storm begins
 	stormConfirmedAfter     = time.Second
 	normalRetryRatio        = 0.5
 	normalForwardedFraction = 0.8
--- a/internal/overload/servers.go
+++ b/internal/overload/servers.go
@@ -13,7 +13,7 @@
 	serverHalfLife    = time.Second
 	deadAfterFailures = 3 // consecutive failures after which a server counts as not working
 	recentResponse    = 2 * time.Second
-	slowServerFactor  = 1.2 // times the usual service time from which a server counts as slow
+	slowServerFactor  = 1.2 // multiple of the usual service time from which a server counts as slow
 	minCapacity       = 0.1 // minimum result of serverCapacityFraction
 )
 
--- a/internal/overload/shedding.go
+++ b/internal/overload/shedding.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	sheddingStartDelay            = 60 * time.Millisecond // for the message to reach the other agents
+	sheddingStartDelay            = 60 * time.Millisecond // time for the message to reach the other agents
 	uncoordinatedSheddingFraction = 0.7                   // of SheddingFraction, as some agents miss the episode
 	queueDrainTime                = 700 * time.Millisecond
 	healthyFactor                 = 0.9 // times the usual service time, under reduced load
--- a/internal/overload/snapshot.go
+++ b/internal/overload/snapshot.go
@@ -35,7 +35,7 @@
 const SnapshotVersion = 1
 
 const (
-	serviceTimeHalfLife = time.Hour        // of the weight of stored service times
+	serviceTimeHalfLife = time.Hour        // half-life of the weight of stored service times
 	freshDuration       = 20 * time.Minute // maximum age at which InFlight and LearnedFor are restored
 	maxNoShedding       = time.Minute
 
--- a/internal/overload/throttle.go
+++ b/internal/overload/throttle.go
@@ -9,8 +9,8 @@
 const (
 	throttleHalfLife    = 500 * time.Millisecond
 	throttleHeadroom    = 2.0 // extra admission relative to answered attempts, if none is wasted
-	minThrottleHeadroom = 0.1 // the same, however many attempts are wasted
-	minWastedWeight     = 1.0 // attempts: below, a single failed attempt would have others rejected
+	minThrottleHeadroom = 0.1 // minimum of the same, however many attempts are wasted
+	minWastedWeight     = 1.0 // attempts; below it, a single wasted attempt would cause rejections
 	throttleOffAfter    = 2 * time.Second
 )
 
