--- a/internal/agent/upstream_test.go
+++ b/internal/agent/upstream_test.go
@@ -151,7 +151,7 @@
 	s.upstream.mail.put(s.newAttempt("000000000000000b"))
 	end, body := s.awaitEnd()
 	require.Equal(t, balancer.Served, end.result.Outcome())
-	require.Equal(t, "000000000000000b", body, "the response of its response request")
+	require.Equal(t, "000000000000000b", body, "the body is the response to its own request")
 }
 
 // An attempt that is given up during the reuse delay is not sent. Its connection is returned to the pool, and its idle time
--- a/internal/routing/attemptresult.go
+++ b/internal/routing/attemptresult.go
@@ -16,7 +16,7 @@
 	NotEnded         EndReason = iota
 	Completed                  // the response was received completely; a streamed one was also read completely
 	BrokenByEndpoint           // the endpoint closed the connection
-	InvalidResponse            // the endpoint sent no valid response, or its rest is invalid
+	InvalidResponse            // the endpoint's response, or the rest of it, is invalid
 	TimedOut                   // the time was over, or known to be too short
 	ClientLeft                 // the client disconnected, or read nothing for too long
 	ClientTooSlow              // the client reads its response so slowly that it blocks the endpoint
@@ -118,8 +118,9 @@
 	return balancer.Canceled
 }
 
-// IdleEvidence returns what the attempt shows about connections that were idle for that long, for
-// IdleLimit.Record: they work, or the attempt was lost on one. If counts is false, it shows nothing.
+// IdleEvidence returns the arguments of IdleLimit.Record: how long the connection was idle before the
+// attempt, zero for a new one, and whether the attempt was lost on it. counts is false if the attempt shows
+// nothing about idle connections and must not be recorded.
 func (s AttemptResult) IdleEvidence() (idle time.Duration, lost, counts bool) {
 	if s.Reused {
 		idle = s.IdleFor
--- a/internal/routing/idlelimit.go
+++ b/internal/routing/idlelimit.go
@@ -24,7 +24,7 @@
 type IdleLimit struct {
 	max          time.Duration // from the settings
 	limit        time.Duration
-	lastHalvedAt time.Duration // of used and lost
+	lastHalvedAt time.Duration // when used and lost were last halved
 	// used and lost are the decayed counts of attempts by their connection's idle time; see idleBucketOf.
 	used, lost [idleBuckets]float64
 }
@@ -40,7 +40,7 @@
 func (l *IdleLimit) Limit() time.Duration { return l.limit }
 
 // Record records whether an attempt was lost on a connection that had been idle for that long; zero: a new
-// connection. AttemptResult.IdleEvidence tells which attempts to record.
+// connection. AttemptResult.IdleEvidence reports which attempts to record.
 //
 //nolint:revive // flag-parameter: lost is observed, and is no choice of the caller's
 func (l *IdleLimit) Record(now, idle time.Duration, lost bool) {
--- a/internal/routing/listcalls.go
+++ b/internal/routing/listcalls.go
@@ -69,8 +69,8 @@
 	return l.out
 }
 
-// CallIdle handles the passage of a time after a call's acceptance that is longer than a pending change takes
-// to arrive: the known list is up to date.
+// CallIdle handles the end of the time after a call's acceptance in which a pending change would have
+// arrived: the known list is then up to date.
 func (l *ListTracker) CallIdle(call int) []ListOutput {
 	l.out = l.out[:0]
 	if call == l.watchCall && l.accepted && !l.outOfOrder {
--- a/internal/routing/listtracker.go
+++ b/internal/routing/listtracker.go
@@ -20,9 +20,9 @@
 	EndCall
 	// ListUpdate is an input for Router.ListUpdated: Update, List, DiscoveryList, Watch, Confirms.
 	ListUpdate
-	// ListOutOfOrder is to be logged: Version, KnownVersion.
+	// ListOutOfOrder requests a log line about an update that is out of order: Version, KnownVersion.
 	ListOutOfOrder
-	// CallFailed is to be logged: Err.
+	// CallFailed requests a log line about a call that ended: Err.
 	CallFailed
 )
 
--- a/internal/routing/output.go
+++ b/internal/routing/output.go
@@ -78,5 +78,5 @@
 	Data      []byte
 	Text      string
 	OverQuota bool           // rejected because the tenant is over its quota
-	Quota     balancer.Quota // of the tenant, to be sent to the client; zero: nothing is sent
+	Quota     balancer.Quota // the tenant's quota, to report to the client; zero: none
 }
