--- a/internal/control/policy/document.go
+++ b/internal/control/policy/document.go
@@ -39,7 +39,8 @@
 	Classes  map[string]classTable  `toml:"classes"`
 	Throttle throttleTable          `toml:"throttle"`
 	Floor    Floor                  `toml:"floor"`
-	// Contracts are by tenant of the settings; contract "-" is for requests that belong to none of them.
+	// Contracts are the contracts by tenant; "-" is the key for requests that belong to no tenant of the
+	// settings.
 	Contracts map[string]contract.Table `toml:"contracts"`
 	Capacity  Capacity                  `toml:"capacity"`
 	// Zones are the UTC offsets of the contracts' time zones; AddZoneRules adds the missing ones.
--- a/internal/control/policy/document_test.go
+++ b/internal/control/policy/document_test.go
@@ -57,9 +57,9 @@
 		"format = 2": "policy:2:1:",
 		"note = '" + strings.Repeat("x", MaxDocumentSize) + "'": "is longer than",
 	} {
-		whole, err := AddZoneRules([]byte("format = 1\n"+text), time.Unix(1.8e9, 0))
+		completed, err := AddZoneRules([]byte("format = 1\n"+text), time.Unix(1.8e9, 0))
 		require.NoError(t, err)
-		err = CheckDocument(whole, testSettings(), InitialFloor())
+		err = CheckDocument(completed, testSettings(), InitialFloor())
 		if want == "" {
 			require.NoError(t, err, text)
 			continue
@@ -67,13 +67,13 @@
 		require.ErrorContains(t, err, want, text)
 		require.ErrorAs(t, err, &Rejection{})
 	}
-	both := testSettings()
-	both.Settings.Limits.Hedging = true
-	doubled := InitialFloor()
-	doubled.Hedging = true
-	require.ErrorContains(t, CheckDocument([]byte("format = 1\n[classes.find]\ncopies = false\n"), both, doubled),
+	hedgingSettings := testSettings()
+	hedgingSettings.Settings.Limits.Hedging = true
+	hedgingFloor := InitialFloor()
+	hedgingFloor.Hedging = true
+	require.ErrorContains(t, CheckDocument([]byte("format = 1\n[classes.find]\ncopies = false\n"), hedgingSettings, hedgingFloor),
 		"hedged requests (copies) of class find")
-	require.NoError(t, CheckDocument([]byte("format = 1\n[classes.find]\ncopies = true\n"), both, InitialFloor()))
+	require.NoError(t, CheckDocument([]byte("format = 1\n[classes.find]\ncopies = true\n"), hedgingSettings, InitialFloor()))
 	d, err := ParseDocument("p", []byte("format = 1\n[tenants.east]\nshare = 0.5\n[classes.book]\nattempts = 2\ncopies = false\npace_ms = 5\n"+
 		"[throttle]\nin_vain = 0.5"))
 	require.NoError(t, err)
@@ -98,7 +98,7 @@
 		}
 		text := fmt.Sprintf("format = 1\n[tenants.east]\nshare = %f\n[classes.find]\nattempts = %d\ncopies = %t\npace_ms = %f\n"+
 			"[throttle]\nin_vain = %f\n[floor]\nshare = %f\nattempts = %d\npace_ms = %f\nin_vain = %f\n",
-			num("share", 0.001, 1), rapid.IntRange(1, 4).Draw(t, "attempts"), rapid.Bool().Draw(t, "doubled"),
+			num("share", 0.001, 1), rapid.IntRange(1, 4).Draw(t, "attempts"), rapid.Bool().Draw(t, "hedging"),
 			num("pace", 0, 1000), num("in vain", 0.05, 1), num("floor's share", 0.001, 1),
 			rapid.IntRange(1, 4).Draw(t, "floor's attempts"), num("floor's pace", 0, 1000), num("floor's in vain", 0.05, 1))
 		d, err := ParseDocument("p", []byte(text))
@@ -136,33 +136,33 @@
 	const contracts = "format = 1\n[contracts.east]\nzone = 'Europe/Bucharest'\nhours = ['mon-fri 20:00-06:00']\n"
 	first, later := time.Unix(1.8e9, 0), time.Unix(1.9e9, 0)
 	require.ErrorContains(t, CheckDocument([]byte(contracts), testSettings(), InitialFloor()), "has no rules for time zone Europe/Bucharest")
-	whole, err := AddZoneRules([]byte(contracts), first)
+	completed, err := AddZoneRules([]byte(contracts), first)
 	require.NoError(t, err)
-	require.NoError(t, CheckDocument(whole, testSettings(), InitialFloor()))
-	again, err := AddZoneRules(whole, later)
+	require.NoError(t, CheckDocument(completed, testSettings(), InitialFloor()))
+	again, err := AddZoneRules(completed, later)
 	require.NoError(t, err)
 	fresh, err := AddZoneRules([]byte(contracts), later)
 	require.NoError(t, err)
 	require.Equal(t, string(fresh), string(again))
-	require.NotEqual(t, string(fresh), string(whole))
-	after := string(whole) + "[classes.find]\nattempts = 2\n" // text after the added section is kept
+	require.NotEqual(t, string(fresh), string(completed))
+	after := string(completed) + "[classes.find]\nattempts = 2\n" // text after the added section is kept
 	kept, err := AddZoneRules([]byte(after), later)
 	require.NoError(t, err)
 	require.Equal(t, after, string(kept))
 
-	const law = "[zones.'Europe/Bucharest']\nchanges = ['2026-01-01T00:00:00Z +02:00', '2031-01-01T00:00:00Z end']\n"
-	withLaw, err := AddZoneRules([]byte(contracts+law+"[contracts.-]\nzone = 'Asia/Tokyo'\nhours = ['mon 01:00-02:00']\n"), first)
+	const ownRules = "[zones.'Europe/Bucharest']\nchanges = ['2026-01-01T00:00:00Z +02:00', '2031-01-01T00:00:00Z end']\n"
+	withOwnRules, err := AddZoneRules([]byte(contracts+ownRules+"[contracts.-]\nzone = 'Asia/Tokyo'\nhours = ['mon 01:00-02:00']\n"), first)
 	require.NoError(t, err)
-	d, err := ParseDocument("with-law", withLaw)
+	d, err := ParseDocument("own-rules", withOwnRules)
 	require.NoError(t, err)
 	require.ErrorContains(t, d.ZoneDifferences(), "Europe/Bucharest: ")
 	require.NotContains(t, d.ZoneDifferences().Error(), "Tokyo")
 	summer := time.Duration(time.Date(2027, 7, 1, 17, 30, 0, 0, time.UTC).UnixNano()) // 19:30 by the document's rules, 20:30 by the zone data
 	require.False(t, d.contracts["east"].Allows(summer))
-	filled, err := ParseDocument("whole", whole)
+	fromZoneData, err := ParseDocument("completed", completed)
 	require.NoError(t, err)
-	require.NoError(t, filled.ZoneDifferences())
-	require.True(t, filled.contracts["east"].Allows(summer))
-	_, err = ParseDocument("wrong", []byte(strings.Replace(contracts+law, "+02:00", "", 1)))
+	require.NoError(t, fromZoneData.ZoneDifferences())
+	require.True(t, fromZoneData.contracts["east"].Allows(summer))
+	_, err = ParseDocument("wrong", []byte(strings.Replace(contracts+ownRules, "+02:00", "", 1)))
 	require.ErrorContains(t, err, "contracts.east.zone: ")
 }
--- a/internal/control/policy/lab/application.go
+++ b/internal/control/policy/lab/application.go
@@ -11,7 +11,7 @@
 // fleet.StateMachine with the methods of a fleet.Application that the lab calls.
 type Application interface {
 	fleet.StateMachine
-	RecordsApplied(now lease.ClockReading, anew bool)
+	RecordsApplied(now lease.ClockReading, isNewEpoch bool)
 	MayGrantLease(now lease.ClockReading, agent int, incarnation uint64, note []byte) bool
 	HandleMessage(now lease.ClockReading, from int, data []byte) []byte
 	NextActions(now lease.ClockReading, v fleet.VoterState) fleet.Actions
--- a/internal/control/policy/lab/messages.go
+++ b/internal/control/policy/lab/messages.go
@@ -12,11 +12,11 @@
 
 const (
 	messageRecords        messageKind = iota // records: number of records that the sender has applied
-	messageRecordsRequest                    // the same, and requests newer records
-	messageLeaseRequest                      // with the agent's answer to an open change
-	messageGrant                             // or rejection of a lease request
-	messageAnswer                            // the agent's answer, sent outside of a lease request
-	messageAcknowledged                      // confirms an answer to its agent
+	messageRecordsRequest                    // records: as in messageRecords; requests newer records
+	messageLeaseRequest                      // request; answer: the agent's answer to an open change
+	messageGrant                             // grant: grants or rejects a lease request
+	messageAnswer                            // answer: the agent's answer, sent outside of a lease request
+	messageAcknowledged                      // answer: acknowledged to its agent
 	messageProposal                          // data: a record for the leader to commit
 	messageReadRequest                       // requests the length of the agreed log from the leader
 	messageReadReply                         // records: length of the agreed log
--- a/internal/control/policy/modelcheck.go
+++ b/internal/control/policy/modelcheck.go
@@ -51,14 +51,14 @@
 
 // Fingerprint appends to b what distinguishes the voter from others that have applied the same records.
 func (v *Voter) Fingerprint(now lease.ClockReading, b []byte) []byte {
-	b = age(b, v.startedAt, now, v.times.maxLeaseAge())
+	b = appendAge(b, v.startedAt, now, v.times.maxLeaseAge())
 	b = append(b, byte(v.rejection.agent), byte(v.rejection.answer.Version))
 	for _, agent := range slices.Sorted(maps.Keys(v.holders)) {
 		for _, h := range v.holders[agent] {
 			if h.answer.Code == Accepted && v.isExpired(h, now) {
 				continue // an expired lease of a process that has promised has no effect
 			}
-			b = append(age(b, h.grantedAt, now, v.times.maxLeaseAge()), byte(agent), byte(h.incarnation),
+			b = append(appendAge(b, h.grantedAt, now, v.times.maxLeaseAge()), byte(agent), byte(h.incarnation),
 				byte(h.answer.Version), byte(h.answer.Code))
 		}
 	}
@@ -68,10 +68,10 @@
 // Fingerprint appends to b what distinguishes the proposer from others that have applied the same records.
 func (p *Proposer) Fingerprint(now lease.ClockReading, b []byte) []byte {
 	wait := p.times.Terms.FenceWait()
-	return age(age(append(b, byte(p.openNumber)), p.votersSince, now, wait), p.openSince, now, wait)
+	return appendAge(appendAge(append(b, byte(p.openNumber)), p.votersSince, now, wait), p.openSince, now, wait)
 }
 
-// age appends to b the age of a clock reading, limited to maxAge, above which ages make no difference.
-func age(b []byte, r, now lease.ClockReading, maxAge time.Duration) []byte {
+// appendAge appends to b the age of a clock reading, limited to maxAge, above which ages make no difference.
+func appendAge(b []byte, r, now lease.ClockReading, maxAge time.Duration) []byte {
 	return binary.AppendVarint(b, int64(min(minElapsed(r, now), maxAge)))
 }
--- a/internal/control/policy/policylog/adapter.go
+++ b/internal/control/policy/policylog/adapter.go
@@ -63,12 +63,12 @@
 // Restore implements fleet.StateMachine.
 func (s *Adapter) Restore(data []byte) error { return s.replica.StateMachine.Restore(data) }
 
-// RecordsApplied implements fleet.Application. If a new log has replaced the former one, it discards all
-// promises made under the former log.
+// RecordsApplied implements fleet.Application. In a new epoch, when a new log has replaced the former one, it
+// discards all promises made under the former log.
 //
 //nolint:revive // flag-parameter: fleet.Application has it
-func (s *Adapter) RecordsApplied(now fleet.ClockReading, newLog bool) {
-	if newLog {
+func (s *Adapter) RecordsApplied(now fleet.ClockReading, isNewEpoch bool) {
+	if isNewEpoch {
 		machine := s.replica.StateMachine
 		s.replica = newReplica(s.settings, now)
 		s.replica.StateMachine = machine
--- a/internal/control/policy/policylog/adapter_test.go
+++ b/internal/control/policy/policylog/adapter_test.go
@@ -257,11 +257,11 @@
 // the history is linearizable for one register that each proposal changes at most once. LONG_TESTS runs more seeds and
 // larger fleets instead.
 func TestSafetyUnderFaults(t *testing.T) {
-	rows := []hunting.SeedRange{{Agents: 7, To: 25}}
+	ranges := []hunting.SeedRange{{Agents: 7, To: 25}}
 	if os.Getenv("LONG_TESTS") != "" {
-		rows = []hunting.SeedRange{{Agents: 5, To: 1000}, {Agents: 50, To: 1000}, {Agents: 300, To: 1000}}
+		ranges = []hunting.SeedRange{{Agents: 5, To: 1000}, {Agents: 50, To: 1000}, {Agents: 300, To: 1000}}
 	}
-	for _, r := range hunting.SelectSeedRanges(rows) {
+	for _, r := range hunting.SelectSeedRanges(ranges) {
 		versionNumbers, decisions, voters := 0, 0, 3
 		if r.Agents >= 50 {
 			voters = 5
@@ -276,7 +276,7 @@
 			require.Nil(t, p.adapters[0].State().OpenChange, seed)
 			versionNumbers += int(p.adapters[0].State().InForce.Number)
 			decisions += p.judge.Decisions[policy.ModeFull]
-			r.Log(t, seed, "%d changes, %d decisions, course %x", p.adapters[0].State().InForce.Number,
+			r.Log(t, seed, "%d changes, %d decisions, decision hash %x", p.adapters[0].State().InForce.Number,
 				p.judge.Decisions[policy.ModeFull], p.decisionHash)
 		}
 		t.Logf("%d agents: seeds %d to %d, 12 changes proposed in each, version numbers up to %d in all, %d decisions in full mode", r.Agents,
