--- a/internal/control/ringassignment/assignmentlog/adapter.go
+++ b/internal/control/ringassignment/assignmentlog/adapter.go
@@ -63,12 +63,12 @@
 // Restore implements fleet.StateMachine.
 func (s *Adapter) Restore(data []byte) error { return s.machine.Restore(data) }
 
-// RecordsApplied implements fleet.Application. If a new log has replaced the former one, it discards what is
-// known of the former log's generations.
+// RecordsApplied implements fleet.Application. In a new epoch, when a new log has replaced the former one, it
+// discards what is known of the former log's generations.
 //
 //nolint:revive // flag-parameter: fleet.Application has it
-func (s *Adapter) RecordsApplied(now fleet.ClockReading, newLog bool) {
-	if newLog {
+func (s *Adapter) RecordsApplied(now fleet.ClockReading, isNewEpoch bool) {
+	if isNewEpoch {
 		s.agent = ringassignment.NewAgent()
 		if s.proposer != nil {
 			s.proposer = ringassignment.NewProposer(s.settings.Parameters, now)
@@ -94,7 +94,7 @@
 
 // The first byte of a message is its kind.
 const (
-	messagePaceReport        byte = 1 // from an agent; the first byte of ringassignment.EncodePaceReport
+	messagePaceReport        byte = 1 // an agent's pace report, as ringassignment.EncodePaceReport returns it
 	messageAppliedGeneration byte = 2 // an agent's incarnation and its applied generation; echoed as the reply
 	messageVoterReport       byte = 3 // a generation that all holders of the voter's leases have applied
 
@@ -113,7 +113,8 @@
 		s.proposer.PaceReportReceived(now, from, data)
 	case messageAppliedGeneration:
 		if len(data) == appliedGenerationSize {
-			m, _ := ringassignment.DecodeGenerationID(data[1+incarnationSize:]) // always succeeds: the length was checked
+			// This always succeeds, because the length was checked.
+			m, _ := ringassignment.DecodeGenerationID(data[1+incarnationSize:])
 			s.proposer.AppliedGenerationReceived(now, from, binary.BigEndian.Uint64(data[1:]), m)
 			return data
 		}
@@ -133,7 +134,8 @@
 }
 
 func (s *Adapter) encodedAppliedGeneration() []byte {
-	return s.agent.Applied().Encode(binary.BigEndian.AppendUint64([]byte{messageAppliedGeneration}, s.settings.Incarnation))
+	return s.agent.Applied().Encode(
+		binary.BigEndian.AppendUint64([]byte{messageAppliedGeneration}, s.settings.Incarnation))
 }
 
 const (
--- a/internal/control/ringassignment/assignmentlog/golden_test.go
+++ b/internal/control/ringassignment/assignmentlog/golden_test.go
@@ -15,9 +15,9 @@
 	"dunestep/internal/fleet"
 )
 
-// update rewrites the golden files. They were made by the build before the packages were renamed: a change of
-// a golden file is a change of the encoding that other builds read.
-var update = flag.Bool("update", false, "write testdata/golden anew")
+// update rewrites the golden files. They were made by an earlier build: a change of a golden file is a change of
+// the encoding that other builds read.
+var update = flag.Bool("update", false, "rewrite testdata/golden")
 
 // goldenForm is one encoded value and its name in a golden file.
 type goldenForm struct {
--- a/internal/control/ringassignment/change_test.go
+++ b/internal/control/ringassignment/change_test.go
@@ -162,23 +162,23 @@
 		n := x.member("s-10")
 		require.Zero(t, n.PointsOnRing())
 	}
-	back := func() (after time.Duration) {
+	waitForReturn := func() (after time.Duration) {
 		for from := x.now; x.member("s-10").Phase != Complete; after = x.now - from {
 			x.advance(time.Second)
 		}
 		return after
 	}
-	first := back()
+	first := waitForReturn()
 	for range 4 {
 		s.Ready = false
 		x.advance(10 * time.Second)
 		s.Ready = true
-		back()
+		waitForReturn()
 	}
 	s.Ready = false
 	x.advance(10 * time.Second)
 	s.Ready = true
-	require.Greater(t, back(), 2*first)
+	require.Greater(t, waitForReturn(), 2*first)
 }
 
 // TestCapacityChanges checks that a short change of capacity moves no points, that a lasting one does, limited by the move
@@ -274,7 +274,7 @@
 				c.RemovedIDs = []string{rapid.StringN(0, 3, 9).Draw(t, "dropped")}
 			}
 			data := c.Encode()
-			if rapid.IntRange(0, 9).Draw(t, "spoilt") == 0 {
+			if rapid.IntRange(0, 9).Draw(t, "malformed") == 0 {
 				data = rapid.SliceOf(rapid.Byte()).Draw(t, "bytes")
 			}
 			m.Apply(1, data)
--- a/internal/control/ringassignment/golden_test.go
+++ b/internal/control/ringassignment/golden_test.go
@@ -14,9 +14,9 @@
 	"dunestep/internal/fleet/lease"
 )
 
-// update rewrites the golden files. They were made by the build before the packages were renamed: a change of
-// a golden file is a change of the encoding that other builds read.
-var update = flag.Bool("update", false, "write testdata/golden anew")
+// update rewrites the golden files. They were made by an earlier build: a change of a golden file is a change of
+// the encoding that other builds read.
+var update = flag.Bool("update", false, "rewrite testdata/golden")
 
 // goldenForm is one encoded value and its name in a golden file.
 type goldenForm struct {
@@ -122,14 +122,14 @@
 
 // TestGoldenMessages checks the encoding of generation IDs and pace reports, which agents and voters send to each other.
 func TestGoldenMessages(t *testing.T) {
-	mark := GenerationID{Number: 4, EffectiveAt: goldenNow}
+	id := GenerationID{Number: 4, EffectiveAt: goldenNow}
 	report := EncodePaceReport(map[string]float64{"own": 1.1, "lent": 0.9, "strange": -1})
 	stored := requireGolden(t, "messages.txt", []goldenForm{
-		{"mark", mark.Encode(nil)}, {"word", report}, {"word-of-none", EncodePaceReport(nil)},
+		{"mark", id.Encode(nil)}, {"word", report}, {"word-of-none", EncodePaceReport(nil)},
 	})
 	read, ok := DecodeGenerationID(stored["mark"])
 	require.True(t, ok)
-	require.Equal(t, mark, read)
+	require.Equal(t, id, read)
 	proposer := NewProposer(Parameters{UsePaces: true}, lease.ClockReading{Unix: goldenNow})
 	require.True(t, proposer.PaceReportReceived(lease.ClockReading{Unix: goldenNow}, 1, stored["word"]))
 	require.Equal(t, 1, proposer.PaceReporters(lease.ClockReading{Unix: goldenNow}))
--- a/internal/control/ringassignment/holders.go
+++ b/internal/control/ringassignment/holders.go
@@ -90,7 +90,9 @@
 
 // appliedGenerationReceived records the generation that a process has applied, even if the process has no
 // lease from this voter yet.
-func (h *holders) appliedGenerationReceived(now lease.ClockReading, agent int, incarnation uint64, m GenerationID) {
+func (h *holders) appliedGenerationReceived(now lease.ClockReading, agent int, incarnation uint64,
+	m GenerationID,
+) {
 	if o, spare := h.find(now, agent, incarnation); o == nil && h.isExpired(*spare, now) {
 		*spare = holder{incarnation: incarnation, applied: m}
 	} else if o != nil && m.covers(o.applied) {
--- a/internal/control/ringassignment/judge/judge.go
+++ b/internal/control/ringassignment/judge/judge.go
@@ -36,8 +36,8 @@
 	// Capacity returns the server's capacity when it is warm.
 	Capacity(server int32) float64
 	// SlowStartFraction returns the fraction of the capacity that slow start permits, as far as the leader could
-	// know it when it made a generation that was first used at the time made.
-	SlowStartFraction(server int32, made time.Duration) float64
+	// know it when it proposed the generation that was first used at firstUsedAt.
+	SlowStartFraction(server int32, firstUsedAt time.Duration) float64
 	// IsSteady reports whether the server has been ready and warm for a minute, in the agent's list too, not
 	// counting the time between from and to.
 	IsSteady(agent int, server int32, from, to time.Duration) bool
--- a/internal/control/ringassignment/judge/servers.go
+++ b/internal/control/ringassignment/judge/servers.go
@@ -32,7 +32,7 @@
 
 const (
 	// largeLoss is the fraction of lost keys from which slow start is not checked: too few servers are left for
-	// the generation, which was made before the loss, to divide the keys as it should.
+	// the generation, which was proposed before the loss, to divide the keys as it should.
 	largeLoss = 0.1
 	// slowStartTolerance is the factor by which a server in slow start may exceed its fraction.
 	slowStartTolerance = 1.75
@@ -42,10 +42,10 @@
 // server in slow start has more keys than permitted. The reference is the warm server with the most keys for
 // its capacity.
 func (j *Judge) checkServers(s Sample) {
-	counts, densest, made := j.keyCounts(s.Owners), 0.0, j.firstUsedAt[s.Generation]
+	counts, densest, firstUsedAt := j.keyCounts(s.Owners), 0.0, j.firstUsedAt[s.Generation]
 	inWindows := j.fractionInWindows(s.At, counts)
 	for _, c := range counts {
-		if j.truth.SlowStartFraction(c.server, made) == 1 {
+		if j.truth.SlowStartFraction(c.server, firstUsedAt) == 1 {
 			densest = max(densest, float64(c.keys)/j.truth.Capacity(c.server))
 		}
 	}
@@ -53,7 +53,7 @@
 		if j.truth.IsKnownGone(s.Agent, c.server) {
 			j.addViolation(s, fmt.Sprintf("server %d is used, but draining or gone in the agent's list", c.server))
 		}
-		fraction, all := j.truth.SlowStartFraction(c.server, made), float64(len(*s.Owners))
+		fraction, all := j.truth.SlowStartFraction(c.server, firstUsedAt), float64(len(*s.Owners))
 		has := float64(c.keys) / all
 		limit := slowStartTolerance*fraction*densest*j.truth.Capacity(c.server)/all*(1+2*inWindows) +
 			j.settings.SampleError/4
--- a/internal/control/ringassignment/lab/course.go
+++ b/internal/control/ringassignment/lab/course.go
@@ -14,8 +14,8 @@
 	healthyTime = 220 * time.Second // duration of the part without faults that follows
 )
 
-// receiveList replaces an agent's endpoint list by a list unless it has a newer one. A voter's proposer
-// gets the new view at once.
+// receiveList replaces an agent's endpoint list by the one with the given index in Lab.lists, unless it has a
+// newer one. A voter's proposer gets the new view at once.
 func (l *Lab) receiveList(nd *node, list int) {
 	nd.list = max(nd.list, list)
 	for i, s := range l.lists[nd.list] {
--- a/internal/control/ringassignment/lab/lab.go
+++ b/internal/control/ringassignment/lab/lab.go
@@ -31,7 +31,8 @@
 	Faults            simnet.Faults
 	Parameters        ringassignment.Parameters // zero fields: defaults
 	SlowStartDuration time.Duration             // zero: 9 s
-	Without           string                    // one of Protections, or WithoutGenerations; empty: none
+	// Without is one of Protections, PaceProtections or WithoutGenerations; empty: none.
+	Without string
 }
 
 // WithoutGenerations is a value of Setup.Without: agents assign keys by their own lists alone, as if there
--- a/internal/control/ringassignment/lab/lab_test.go
+++ b/internal/control/ringassignment/lab/lab_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// searchSeeds runs the scenarios of a row and checks each.
+// searchSeeds runs the scenario of each seed of a range and checks it.
 func searchSeeds(t *testing.T, r hunting.SeedRange) {
 	var behind [3]int
 	generations := 0
@@ -70,11 +70,11 @@
 // and that all agents use a complete generation in the end.
 func TestRingRulesUnderFaults(t *testing.T) {
 	t.Parallel()
-	rows := []hunting.SeedRange{{Agents: 5, To: 12}, {Agents: 50, To: 1}}
+	ranges := []hunting.SeedRange{{Agents: 5, To: 12}, {Agents: 50, To: 1}}
 	if os.Getenv("LONG_TESTS") != "" {
-		rows = []hunting.SeedRange{{Agents: 5, To: 1000}, {Agents: 50, To: 1000}, {Agents: 300, To: 1000}}
+		ranges = []hunting.SeedRange{{Agents: 5, To: 1000}, {Agents: 50, To: 1000}, {Agents: 300, To: 1000}}
 	}
-	for _, r := range hunting.SelectSeedRanges(rows) {
+	for _, r := range hunting.SelectSeedRanges(ranges) {
 		t.Run(fmt.Sprint(r.Agents, " agents"), func(t *testing.T) { searchSeeds(t, r) })
 	}
 }
--- a/internal/control/ringassignment/lab/paces.go
+++ b/internal/control/ringassignment/lab/paces.go
@@ -124,9 +124,9 @@
 	}
 }
 
-// RunPaceChange runs a fleet in which the servers of one kind become half as fast after stableTime, for a
-// further time. One agent reports false paces, two have hardly any requests, agents are cut off and leaders
-// stop.
+// RunPaceChange runs a fleet for stableTime, then makes the servers of one kind half as fast and runs the
+// fleet for duration. One agent reports false paces, two have hardly any requests, agents are cut off and
+// leaders stop.
 func RunPaceChange(seed uint64, without string, duration time.Duration) (l *Lab, j *judge.PaceJudge) {
 	setup := Setup{
 		Seed: seed, Agents: 5, Servers: 20, Keys: 4000, Without: without,
--- a/internal/control/ringassignment/lab/rings.go
+++ b/internal/control/ringassignment/lab/rings.go
@@ -60,8 +60,8 @@
 	return true
 }
 
-// usablePoints returns the points on the ring by server. Servers that the list has as unusable get none;
-// without any points left, all usable servers get the default.
+// usablePoints returns the points on the ring by server. Servers that the list has as unusable get none. If
+// no points are left, all usable servers get the default.
 func (r *ringCache) usablePoints(assignment *balancer.RingAssignment, list []server) map[string]int {
 	usable := map[string]int{}
 	for _, s := range list {
@@ -149,7 +149,7 @@
 	return known && t.l.Now()-since > time.Second
 }
 
-// IsSteady depends on the times at which the server was lost and started.
+// IsSteady implements judge.Truth. It depends on the times at which the server was lost and started.
 func (t truth) IsSteady(agent int, i int32, from, to time.Duration) bool {
 	s, warmUp := &t.l.servers[i], t.l.setup.SlowStart().Duration+3*time.Second
 	if _, missing := t.l.nodes[agent].unusableSince[i]; missing || !s.isUsable() || s.startedAt > to-warmUp {
@@ -166,11 +166,11 @@
 // Capacity returns the capacity of a warm server.
 func (t truth) Capacity(i int32) float64 { return t.l.servers[i].capacity }
 
-// SlowStartFraction returns 1 if the leader could not know of the server's start when it made the
-// generation.
-func (t truth) SlowStartFraction(i int32, made time.Duration) float64 {
+// SlowStartFraction implements judge.Truth. It returns 1 if the leader could not know of the server's start
+// when it proposed the generation.
+func (t truth) SlowStartFraction(i int32, firstUsedAt time.Duration) float64 {
 	s, slowStart := &t.l.servers[i], t.l.setup.SlowStart()
-	if s.startedAt == 0 || s.startedAt > made-2*time.Second-t.l.maxInjectedDelay {
+	if s.startedAt == 0 || s.startedAt > firstUsedAt-2*time.Second-t.l.maxInjectedDelay {
 		return 1
 	}
 	return min(1, slowStart.Margin*slowStart.OverloadMultiple*slowStart.CapacityFraction(t.l.Now(), s.startedAt))
--- a/internal/control/ringassignment/lab/windows.go
+++ b/internal/control/ringassignment/lab/windows.go
@@ -27,8 +27,9 @@
 // emptyTime returns how long windows keep servers without keys: long enough to be warm again at the end.
 func (l *Lab) emptyTime() time.Duration { return 2*l.setup.SlowStart().Duration + 20*time.Second }
 
-// PlanWindow plans a window for servers and all tenants that starts after a time. The servers have no keys
-// for emptyTime, and restart a number of times in it. They restart even if the window is not agreed.
+// PlanWindow plans a window that moves all tenants off servers and starts after the time ahead. The servers
+// have no keys for emptyTime, and restart a number of times in it. They restart even if the window is not
+// agreed.
 func (l *Lab) PlanWindow(servers []int, ahead, emptyTime time.Duration, restarts int) {
 	if l.leader < 0 {
 		return
--- a/internal/control/ringassignment/pacemeter_test.go
+++ b/internal/control/ringassignment/pacemeter_test.go
@@ -49,7 +49,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		g, now := &PaceMeter{}, time.Duration(0)
 		capacity := rapid.OneOf(rapid.Float64(), rapid.Float64Range(0, 100))
-		for range rapid.IntRange(1, 20).Draw(t, "looks") {
+		for range rapid.IntRange(1, 20).Draw(t, "measurements") {
 			now += time.Duration(rapid.IntRange(0, 200).Draw(t, "seconds")) * time.Second
 			list := kinds(rapid.SliceOfN(capacity, 0, 20).Draw(t, "capacities")...)
 			measured := latencies(rapid.Float64Range(0, 1e6).Draw(t, "answers"), rapid.SliceOfN(rapid.Float64Range(-1, 1e6), 0, 25).Draw(t, "ms")...)
--- a/internal/control/ringassignment/proposer.go
+++ b/internal/control/ringassignment/proposer.go
@@ -87,7 +87,9 @@
 }
 
 // AppliedGenerationReceived records which generation an agent's process has applied.
-func (p *Proposer) AppliedGenerationReceived(now lease.ClockReading, agent int, incarnation uint64, m GenerationID) {
+func (p *Proposer) AppliedGenerationReceived(now lease.ClockReading, agent int, incarnation uint64,
+	m GenerationID,
+) {
 	p.holders.appliedGenerationReceived(now, agent, incarnation, m)
 }
 
@@ -152,7 +154,7 @@
 	case now.Unix < p.state.EffectiveAt+2*terms.MaxClockError: // not in effect by every clock
 		return false
 	}
-	// After either, no lease holder uses the previous generation any more.
+	// In both cases no lease holder uses the previous generation any more.
 	return terms.FencePassed(p.appliedAt, now) || p.allReported(now)
 }
 
