--- a/internal/control/maintenance/contract/contract_test.go
+++ b/internal/control/maintenance/contract/contract_test.go
@@ -112,7 +112,7 @@
 	"Australia/Lord_Howe", "Africa/Casablanca", "America/Nuuk", "Europe/Bucharest", "Pacific/Kiritimati", "Etc/GMT+12",
 }
 
-// TestAnyTableIsRefusedOrUsable checks that an arbitrary table is either refused or gives a contract that
+// TestAnyTableIsRefusedOrUsable checks that an arbitrary table is either rejected or gives a contract that
 // returns a consistent result for any moment, and that each search along the calendar terminates.
 func TestAnyTableIsRefusedOrUsable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -199,12 +199,12 @@
 		"sun 03:30-05:00":        {"04:00 EEST - 05:00 EEST, 1h0m0s", "03:30 EEST - 03:00 EET, 30m0s"},
 		"sun 03:00-04:00":        {"", "03:00 EEST - 04:00 EET, 2h0m0s"},
 		"sat,sun 00:00-24:00":    {"00:00 EET - 00:00 EEST, 47h0m0s", "00:00 EEST - 00:00 EET, 49h0m0s"},
-		"sat 20:00-24:00,sun-no": {"refused", "refused"},
+		"sat 20:00-24:00,sun-no": {"rejected", "rejected"},
 	} {
 		c, err := Table{Zone: "Europe/Bucharest", Hours: []string{hours}}.Contract()
 		for i, day := range []string{"2026-03-28", "2026-10-24"} {
 			if err != nil {
-				require.Equal(t, "refused", want[i])
+				require.Equal(t, "rejected", want[i])
 				continue
 			}
 			saturday, err := time.ParseInLocation(time.DateOnly, day, c.zone)
--- a/internal/control/maintenance/contract/runs.go
+++ b/internal/control/maintenance/contract/runs.go
@@ -65,7 +65,7 @@
 	return time.Duration(next) * time.Second
 }
 
-// edgeUpTo returns the last such moment that is not after another.
+// edgeUpTo returns the last moment, not after the given one, at which a run may begin or end; see edgeAfter.
 func (c *Contract) edgeUpTo(at time.Duration) time.Duration {
 	t := c.InZone(at)
 	wall, second := wallSeconds(t), int64(0)
--- a/internal/control/maintenance/contract/zonerules_test.go
+++ b/internal/control/maintenance/contract/zonerules_test.go
@@ -75,7 +75,7 @@
 	require.ErrorContains(t, other.compare(fixed.zone), "+02:00 from 2026-03-29T01:00:00Z on, not +03:00")
 }
 
-// TestInvalidRulesAreRefused checks that rules that are malformed or out of order are refused.
+// TestInvalidRulesAreRefused checks that rules that are malformed or out of order are rejected.
 func TestInvalidRulesAreRefused(t *testing.T) {
 	const first, end = "2026-01-01T00:00:00Z +02:00", "2031-01-01T00:00:00Z end"
 	for _, rules := range [][]string{
--- a/internal/control/maintenance/exclusions.go
+++ b/internal/control/maintenance/exclusions.go
@@ -54,8 +54,8 @@
 }
 
 // Exclusions returns which servers to keep off now; nil if nothing is moved. It returns the same pointer
-// while nothing changes. The clock reading, the lease's standing and the active policy must be taken anew for
-// this decision, so that a process that was suspended notices that its lease has expired.
+// while nothing changes. The clock reading, the lease's standing and the active policy must be taken for this
+// decision, so that a process that was suspended notices that its lease has expired.
 func (a *Agent) Exclusions(now lease.ClockReading, standing lease.Standing,
 	active policy.Active,
 ) *balancer.Exclusions {
--- a/internal/control/maintenance/judge/planchecker_test.go
+++ b/internal/control/maintenance/judge/planchecker_test.go
@@ -31,7 +31,7 @@
 	input := &p.Input
 	start := time.Date(2026, pick(t, "month", time.March, time.October), 20, 0, 0, 0, 0, time.UTC)
 	input.Now = time.Duration(start.UnixNano()) + time.Duration(rapid.IntRange(0, 10*288).Draw(t, "now"))*grid
-	input.ClockMargin, input.PeakLoad, input.MaxUtilization = grid, pick(t, "load", 0, 0.3, 0.6), pick(t, "most", 0, 0.8, 1)
+	input.ClockMargin, input.PeakLoad, input.MaxUtilization = grid, pick(t, "load", 0, 0.3, 0.6), pick(t, "max utilization", 0, 0.8, 1)
 	for i := range pick(t, "nodes", 6, 5, 9, 4, 2) {
 		input.Servers = append(input.Servers, maintenance.Server{
 			ID: fmt.Sprint("n", i), Zone: pick(t, "zone", "a", "b", ""), Capacity: pick(t, "capacity", 1, 1.8, 1, 1, 0.9, 0),
@@ -84,7 +84,7 @@
 
 // drawRequest draws a request for the input.
 func (p *PlanChecker) drawRequest(t *rapid.T) maintenance.WindowRequest {
-	request := maintenance.WindowRequest{ID: "ask", MoveRate: pick(t, "pace", 0, 0.05, 0.003), From: p.Input.Now + time.Duration((rapid.IntRange(0, 288).Draw(t, "from")*pick(t, "days", 1, 2, 10)+pick(t, "ahead", 4, 12, 0)))*grid}
+	request := maintenance.WindowRequest{ID: "request", MoveRate: pick(t, "move rate", 0, 0.05, 0.003), From: p.Input.Now + time.Duration((rapid.IntRange(0, 288).Draw(t, "from")*pick(t, "days", 1, 2, 10)+pick(t, "ahead", 4, 12, 0)))*grid}
 	if windows := p.Input.Windows; len(windows) > 0 && rapid.Bool().Draw(t, "beside another") {
 		request.From = max(windows[0].From, p.Input.Now)
 	}
--- a/internal/control/maintenance/lab/application.go
+++ b/internal/control/maintenance/lab/application.go
@@ -34,7 +34,7 @@
 
 // RecordsApplied calls the Adapter, with an earlier time at voters if a protection that depends on it is
 // disabled.
-func (p *application) RecordsApplied(now lease.ClockReading, anew bool) {
+func (p *application) RecordsApplied(now lease.ClockReading, isNewEpoch bool) {
 	if p.node >= 0 && p.node < voters {
 		switch p.lab.setup.Without {
 		case withoutNotice:
@@ -43,7 +43,7 @@
 			now.Unix, now.Mono = now.Unix-time.Hour, now.Mono-time.Hour
 		}
 	}
-	p.Adapter.RecordsApplied(now, anew)
+	p.Adapter.RecordsApplied(now, isNewEpoch)
 }
 
 // newApplication returns the application of a starting process of a node.
--- a/internal/control/maintenance/lab/faults.go
+++ b/internal/control/maintenance/lab/faults.go
@@ -8,8 +8,8 @@
 	policylab "dunestep/internal/control/policy/lab"
 )
 
-// injectFault injects a fault of the week's focus, and one random fault; fewer of these if the week has a
-// focus.
+// injectFault injects a fault of the week's focus, and one random fault. Random faults are less frequent in a
+// week with a focus, and do not occur with olderBuild.
 func (l *Lab) injectFault() {
 	rng := l.Rand()
 	l.injectFocusedFault()
@@ -35,7 +35,7 @@
 	case 6:
 		l.restart(max(l.Leader(), 0), until)
 	case 7:
-		for i := range voters { // cuts the messages from voters to the node
+		for i := range voters { // all messages from voters to the node
 			l.SetCut(i, n, true)
 			l.At(until, func() { l.SetCut(i, n, false) })
 		}
--- a/internal/control/maintenance/lab/lab_test.go
+++ b/internal/control/maintenance/lab/lab_test.go
@@ -42,11 +42,11 @@
 // TestWindowsUnderFaults runs weeks with random faults. It checks that the judge finds no violation, and that each window
 // ends or is stopped.
 func TestWindowsUnderFaults(t *testing.T) {
-	rows := []hunting.SeedRange{{Agents: 5, To: 24}}
+	ranges := []hunting.SeedRange{{Agents: 5, To: 24}}
 	if os.Getenv("LONG_TESTS") != "" {
-		rows = []hunting.SeedRange{{Agents: 5, To: 1000}, {Agents: 50, To: 1000}, {Agents: 300, To: 1000}}
+		ranges = []hunting.SeedRange{{Agents: 5, To: 1000}, {Agents: 50, To: 1000}, {Agents: 300, To: 1000}}
 	}
-	for _, r := range hunting.SelectSeedRanges(rows) {
+	for _, r := range hunting.SelectSeedRanges(ranges) {
 		t.Run(fmt.Sprint(r.Agents, " agents"), func(t *testing.T) { searchSeeds(t, r) })
 	}
 }
@@ -64,7 +64,7 @@
 	return Setup{Agents: agents, Days: 2}
 }
 
-// searchSeeds runs the weeks of a row and checks each.
+// searchSeeds runs the week of each seed of a range and checks it.
 func searchSeeds(t *testing.T, r hunting.SeedRange) {
 	setup, seeds := weekSetup(r.Agents), r.To-r.From
 	var accepted, freed, returnedEarly, excluded, whileFree, requests, overrides int
--- a/internal/control/maintenance/lab/scenario.go
+++ b/internal/control/maintenance/lab/scenario.go
@@ -203,7 +203,7 @@
 
 // runPhase pauses all nodes until a time, calls first if it is not nil, and then simulates the fleet for a
 // length of time, with decisions each second and calls of fault every 7 s. Callers start it some seconds
-// before an event, so that agents are awake by then.
+// before an event, so that agents run again by then.
 func (l *Lab) runPhase(at, length time.Duration, fault, first func()) {
 	l.PauseAll(at)
 	if first != nil {
--- a/internal/control/maintenance/maintenancelog/adapter.go
+++ b/internal/control/maintenance/maintenancelog/adapter.go
@@ -37,7 +37,7 @@
 type Settings struct {
 	Self          int // number of this agent
 	IsVoter       bool
-	Incarnation   uint64 // the node's
+	Incarnation   uint64 // incarnation of the node
 	MachineNumber uint8  // number of the state machine in the log's records
 	Times         policy.Times
 	Groups        int           // number of turns, the same at all agents; zero: none
@@ -77,12 +77,12 @@
 // Restore implements fleet.StateMachine.
 func (s *Adapter) Restore(data []byte) error { return s.machine.Restore(data) }
 
-// RecordsApplied implements fleet.Application. If the log was replaced by a new one, the agent and the
-// proposer are created anew, without what they derived from the old log.
+// RecordsApplied implements fleet.Application. In a new epoch, when a new log has replaced the former one, it
+// creates the agent and the proposer again, without what they derived from the former log.
 //
 //nolint:revive // flag-parameter: required by fleet.Application
-func (s *Adapter) RecordsApplied(now fleet.ClockReading, logReplaced bool) {
-	if logReplaced {
+func (s *Adapter) RecordsApplied(now fleet.ClockReading, isNewEpoch bool) {
+	if isNewEpoch {
 		s.start()
 	}
 	s.agent.Learn(s.machine)
@@ -159,7 +159,7 @@
 }
 
 // Exclusions returns which servers requests are kept off now; nil if none. It returns the same pointer while
-// nothing changes. The clock reading, the lease's standing and the active policy must be taken anew for this
+// nothing changes. The clock reading, the lease's standing and the active policy must be taken for this
 // decision.
 func (s *Adapter) Exclusions(now fleet.ClockReading, standing lease.Standing,
 	active policy.Active,
@@ -173,7 +173,7 @@
 	return moves
 }
 
-// SetOverloaded sets whether the next reports say that this agent sheds load.
+// SetOverloaded sets Report.Overloaded of the next reports: whether this agent sheds load.
 func (s *Adapter) SetOverloaded(overloaded bool) { s.overloaded = overloaded }
 
 // AddCounts adds counts of tenants' requests, made since its previous call, to the next report. It ignores
--- a/internal/control/maintenance/maintenancelog/golden_test.go
+++ b/internal/control/maintenance/maintenancelog/golden_test.go
@@ -15,8 +15,8 @@
 	"dunestep/internal/fleet"
 )
 
-// update rewrites the golden files. They were made by a build that predates the present package names: a
-// change of them changes the format that other builds read.
+// update rewrites the golden files. They were made by an earlier build: a change of a golden file is a change of
+// the format that other builds read.
 var update = flag.Bool("update", false, "rewrite testdata/golden")
 
 // goldenForm is an encoded value with its name in a golden file.
--- a/internal/control/maintenance/modelcheck.go
+++ b/internal/control/maintenance/modelcheck.go
@@ -26,8 +26,8 @@
 	p.lastProposed, p.reports = map[string]lastRecord{}, newReportLog(p.reports.leaseLength)
 }
 
-// SetReports replaces all reports by those of one agent, which has reported for long enough to be complete;
-// its latest report has these counts.
+// SetReports replaces all reports by one report of one agent with these counts. The reports count as received
+// without a break for long enough to be complete.
 func (p *Proposer) SetReports(now lease.ClockReading, counts []TenantCounts) {
 	ago := max(MinReportLeases*p.reports.leaseLength, SumPeriod)
 	p.reports.hasReports, p.reports.lastReceivedAt = true, now
--- a/internal/control/maintenance/plan_test.go
+++ b/internal/control/maintenance/plan_test.go
@@ -148,7 +148,7 @@
 			{ID: "west", From: now + 20*time.Hour, To: now + 21*time.Hour, Nodes: []string{"b"}, Tenants: []string{"west"}},
 		},
 	}
-	_, err = Plan(WindowRequest{ID: "ask", Nodes: []string{"a"}, Tenants: []string{NoTenant}, From: now + 2*time.Hour, To: now + 150*time.Minute}, input)
+	_, err = Plan(WindowRequest{ID: "request", Nodes: []string{"a"}, Tenants: []string{NoTenant}, From: now + 2*time.Hour, To: now + 150*time.Minute}, input)
 	require.ErrorContains(t, err, "node b would use 1.01 of its capacity, which exceeds the limit of 1, with windows east")
 	var conflict Conflict
 	require.ErrorAs(t, err, &conflict)
--- a/internal/control/maintenance/proposer.go
+++ b/internal/control/maintenance/proposer.go
@@ -229,9 +229,9 @@
 // It requires that, by the clock, all keys have been moved for longer than the clock error and the maximum
 // time of a request in flight. An agent with a lease knows the log up to the fence, so it also knows that a
 // paused window was resumed. An agent without a lease follows the plan, and knows the window, which was
-// confirmed long before; an agent at policy.ModeBottom excludes servers by turns. So no agent has to be
-// polled. An agent whose build does not support windows does none of this: it is detected because it is
-// granted leases and sends no reports.
+// confirmed long before; an agent at policy.ModeBottom excludes the servers whose turn it is. So no agent
+// has to be polled. An agent whose build does not support windows does not exclude servers: it is detected
+// because it is granted leases and sends no reports.
 func (p *Proposer) isTrafficFree(now lease.ClockReading, v LeaderView, w *storedWindow,
 	progress windowProgress,
 ) bool {
--- a/internal/control/maintenance/reports.go
+++ b/internal/control/maintenance/reports.go
@@ -38,13 +38,13 @@
 	ReportInterval = 2 * time.Second
 	// SumPeriod is the time for which a report is included in sums.
 	SumPeriod = 10 * time.Second
-	// MinReportLeases is for how long, in lease durations, a voter must have received reports without a break
-	// before it concludes anything from a missing report. The minimum is SumPeriod.
+	// MinReportLeases is the time, in lease durations, for which a voter must have received reports without a
+	// break before it concludes anything from a missing report. This time is at least SumPeriod.
 	MinReportLeases = 7
 	// MaxCounts is the maximum number of tenants in one report.
 	MaxCounts = 32
 
-	maxSilence         = 3 * ReportInterval // longest time without any report that is not a break
+	maxSilence         = 3 * ReportInterval // maximum interval between reports without a break
 	maxReportSize      = 8 << 10            // bytes
 	maxAgents          = 512                // agents whose reports are kept
 	maxReports         = 6                  // reports kept per agent
@@ -140,7 +140,7 @@
 }
 
 // isComplete reports whether reports have been received without a break for long enough: for SumPeriod, and
-// for so long that each agent that holds leases has requested one from this voter.
+// until each agent that holds leases has requested one from this voter.
 func (l *reportLog) isComplete(now lease.ClockReading) bool {
 	return l.hasReports && now.Since(l.lastReceivedAt) <= maxSilence &&
 		minElapsed(l.unbrokenSince, now) >= max(MinReportLeases*l.leaseLength, SumPeriod)
--- a/internal/control/maintenance/retention.go
+++ b/internal/control/maintenance/retention.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// keepEnded is the time for which a window that is over is kept.
-	keepEnded = 24 * time.Hour
-	// keepHistory is the time for which a window counts for its tenants; it must be longer than a month, as
-	// contracts limit the windows per month.
-	keepHistory = 33 * 24 * time.Hour
+	// endedRetention is the time for which a window that is over is kept.
+	endedRetention = 24 * time.Hour
+	// historyRetention is the time for which a window counts for its tenants; it must be longer than a month,
+	// because contracts limit the windows per month.
+	historyRetention = 33 * 24 * time.Hour
 )
 
-// tenantHistory has the times at which those windows of a tenant began that are over.
+// tenantHistory has the beginnings of a tenant's windows that are over.
 type tenantHistory struct {
 	_            struct{} `cbor:",toarray"`
 	Tenant       string
@@ -90,15 +90,16 @@
 	m.dropExpired(m.state.Now)
 }
 
-// dropExpired removes windows that have been over for keepEnded, and history older than keepHistory.
+// dropExpired removes windows that have been over for endedRetention, and history older than
+// historyRetention.
 func (m *StateMachine) dropExpired(now time.Duration) {
 	m.state.Windows = slices.DeleteFunc(slices.Clone(m.state.Windows), func(w *storedWindow) bool {
-		return w.isOver() && w.StateSince < now-keepEnded
+		return w.isOver() && w.StateSince < now-endedRetention
 	})
 	var history []tenantHistory
 	for _, h := range m.state.History {
 		recent := slices.DeleteFunc(slices.Clone(h.BeginMinutes), func(minute uint32) bool {
-			return time.Duration(minute)*time.Minute < now-keepHistory
+			return time.Duration(minute)*time.Minute < now-historyRetention
 		})
 		if len(recent) > 0 {
 			history = append(history, tenantHistory{Tenant: h.Tenant, BeginMinutes: recent})
--- a/internal/control/maintenance/search/state.go
+++ b/internal/control/maintenance/search/state.go
@@ -73,9 +73,9 @@
 	return windowFrom - minNotice
 }
 
-// addInitialJobs adds jobs for all possible states just before the window starts, given the first agents:
-// each other agent has had its last lease at any time or never, and knows the window if one of its leases
-// covers it.
+// addInitialJobs adds jobs for all possible states just before the window starts, given the first agents. For
+// each other agent it tries all times of its last lease, including never. An agent knows the window if one of
+// its leases covers it.
 func (s *search) addInitialJobs(agents []agent) {
 	if len(agents) < s.setup.Agents {
 		left := int8(s.setup.Grants)
--- a/internal/control/maintenance/search/worker.go
+++ b/internal/control/maintenance/search/worker.go
@@ -77,7 +77,7 @@
 // exclusion is how an agent excludes the window's server.
 type exclusion struct {
 	below  uint32 // rank below which keys are excluded; math.MaxUint32: all keys
-	byTurn bool   // because of its turn
+	byTurn bool   // excluded because it is the server's turn
 }
 
 func newWorker(s *search, jobs *modelcheck.JobQueue[job]) *worker {
--- a/internal/control/maintenance/statemachine.go
+++ b/internal/control/maintenance/statemachine.go
@@ -30,10 +30,10 @@
 	MaxSnapshot = 16 << 10
 )
 
-// confirmFraction is the inverse of the fraction of a window's notice that may pass before a leader has
-// applied its acceptance. The rest of the notice must be longer than the time for which any agent may act
-// within the floor that it knows.
-const confirmFraction = 10
+// confirmNoticeDivisor limits how late a window is confirmed: a leader has to apply its acceptance within the
+// window's notice divided by this number. The rest of the notice must be longer than the time for which any
+// agent may act within the floor that it knows.
+const confirmNoticeDivisor = 10
 
 // StateMachine applies the records of the agreed log to the state of all windows. The state depends only on
 // the records and on the policy version in force, which itself depends only on records: agents of different
--- a/internal/control/maintenance/statemachine_test.go
+++ b/internal/control/maintenance/statemachine_test.go
@@ -114,7 +114,7 @@
 func TestConfirmedTooLateIsEnded(t *testing.T) {
 	m, from := newTestMachine(), mondayNoon+MinNotice
 	accept(t, m, exampleWindow("a", from), mondayNoon)
-	apply(m, kindConfirmed, "a", mondayNoon+MinNotice/confirmFraction+1, 0)
+	apply(m, kindConfirmed, "a", mondayNoon+MinNotice/confirmNoticeDivisor+1, 0)
 	require.Equal(t, Ended, m.state.Windows[0].State)
 }
 
--- a/internal/control/maintenance/transitions.go
+++ b/internal/control/maintenance/transitions.go
@@ -28,7 +28,7 @@
 		return false
 	}
 	w.ConfirmedAt = r.Now
-	if r.Now > w.From-w.MinNotice+w.MinNotice/confirmFraction {
+	if r.Now > w.From-w.MinNotice+w.MinNotice/confirmNoticeDivisor {
 		w.State, w.StateSince, w.Reason = Ended, r.Now, "it was agreed on too late for its notice"
 	}
 	return true
