--- a/internal/fleet/applicationstack_test.go
+++ b/internal/fleet/applicationstack_test.go
@@ -30,7 +30,7 @@
 }
 
 func (b *broadcaster) RecordsApplied(fleet.ClockReading, bool) { b.applied++ }
-func (b *broadcaster) LeaseNote() []byte                       { return []byte("never asked for") }
+func (b *broadcaster) LeaseNote() []byte                       { return []byte("never sent") }
 func (b *broadcaster) MayGrantLease(fleet.ClockReading, int, uint64, []byte) bool {
 	return !b.deniesLeases
 }
--- a/internal/fleet/events.go
+++ b/internal/fleet/events.go
@@ -51,8 +51,8 @@
 	n.addEvent(Event{Kind: kind, Position: n.applied})
 }
 
-// reportVoterChange adds an event if this agent became the leader or ceased to be it, and if its voter
-// stopped.
+// reportVoterChange adds an event if this agent became the leader or is no longer the leader, and another one
+// if its voter stopped.
 func (n *Node) reportVoterChange(s raftlog.Status) {
 	if isLeading := s.Phase == raftlog.Leading; isLeading != n.wasLeading {
 		n.wasLeading = isLeading
--- a/internal/fleet/fleetlab/lab_test.go
+++ b/internal/fleet/fleetlab/lab_test.go
@@ -149,8 +149,8 @@
 	require.Empty(t, l.Violations())
 }
 
-// A minority of a fleet with one voter is cut off. It falls back to the floor, and its proposals are not committed. The
-// majority continues, also if the leader is in the minority.
+// A minority of a fleet, which includes one voter, is cut off. It falls back to the floor, and its proposals are not
+// committed. The majority continues, also if the leader is in the minority.
 func TestMinorityCutOff(t *testing.T) {
 	for _, withLeader := range []bool{false, true} {
 		l := start(Options{Agents: 9, Voters: 3, Seed: 5})
--- a/internal/fleet/fragment/inbox.go
+++ b/internal/fleet/fragment/inbox.go
@@ -100,8 +100,8 @@
 }
 
 // begin starts the reception of a message. If necessary, it gives up the oldest messages to free memory;
-// these are received again when their senders resend them. It returns the message, or nil if that is too
-// long, and the number of messages that were given up.
+// these are received again when their senders resend them. It returns the message, or nil if it is too long,
+// and the number of messages that were given up, which includes a message that is too long.
 func (in *inbox) begin(now time.Time, from uint32, f frame, maxBytes int) (m *inMessage, givenUp uint64) {
 	size := int(f.count) * fragmentBytes
 	if size > maxBytes {
--- a/internal/fleet/gossip/catchup.go
+++ b/internal/fleet/gossip/catchup.go
@@ -14,7 +14,8 @@
 const (
 	// Asking agents, before the deadline, request digests from other agents and pull the records that they lack.
 	Asking CatchUpState = iota
-	// CaughtUp agents have all records that a voter, or several agents that have caught up, reported to have.
+	// CaughtUp agents have all records up to the positions that a voter, or several agents that have caught up,
+	// reported.
 	CaughtUp
 	// Late agents have received replies but did not catch up by the deadline, as too few of the replies were
 	// trusted or records are still missing.
@@ -29,8 +30,8 @@
 }
 
 const (
-	// maxQueriedAgents is the maximum number of agents from which a digest is requested at once, without the
-	// voter.
+	// maxQueriedAgents is the maximum number of agents from which a digest is requested at once, not counting
+	// the voter.
 	maxQueriedAgents = 8
 	// resetAfterAttempts is the number of attempts after which a late agent discards the replies, as they may
 	// have been wrong.
--- a/internal/fleet/gossip/catchup_test.go
+++ b/internal/fleet/gossip/catchup_test.go
@@ -58,17 +58,17 @@
 
 // A false trusted reply, with a position that no agent has, delays catching up only until the replies are discarded.
 func TestFalseTrustedReplyOnlyDelaysCatchUp(t *testing.T) {
-	s := New(Settings{Agents: 9, Self: 1, Voters: []int{0}, Seed: 1}, newLog(replica.Limits{}), 0)
+	replicator := New(Settings{Agents: 9, Self: 1, Voters: []int{0}, Seed: 1}, newLog(replica.Limits{}), 0)
 	reply := func(now time.Duration, from int, seq uint64) {
-		s.Step(now, from, encode(kindDigest, digest{
+		replicator.Step(now, from, encode(kindDigest, digest{
 			Epoch: 1, Seq: seq, Sum: replica.InitialSnapshot(1).Sum,
-			AnswerTo: s.catchUp.requestID, Trusted: true,
+			AnswerTo: replicator.catchUp.requestID, Trusted: true,
 		}))
 	}
 	reply(0, 5, 1<<60)
 	for now := time.Duration(0); now < time.Minute; now += 100 * time.Millisecond {
-		s.Tick(now)
+		replicator.Tick(now)
 		reply(now, 0, 0)
 	}
-	require.Equal(t, CaughtUp, s.CatchUpState(time.Minute))
+	require.Equal(t, CaughtUp, replicator.CatchUpState(time.Minute))
 }
--- a/internal/fleet/gossip/pull_test.go
+++ b/internal/fleet/gossip/pull_test.go
@@ -10,18 +10,18 @@
 	"dunestep/internal/fleet/replica"
 )
 
-// A push carries the newest records if they fit into a message, and else a digest. An agent that lacks earlier records
+// A push carries the newest records if they fit into a message, and otherwise a digest. An agent that lacks earlier records
 // pulls them, with the maximum timeout at first, and with one that follows the round-trip time later.
 func TestPushCarriesRecords(t *testing.T) {
 	push := func(size int) (out Output, log *replica.Log) {
 		log = newLog(replica.Limits{})
-		s := New(Settings{Agents: 2, Seed: 1}, log, 0)
-		s.MarkCaughtUp()
+		replicator := New(Settings{Agents: 2, Seed: 1}, log, 0)
+		replicator.MarkCaughtUp()
 		for seq := range uint64(9) {
 			require.NoError(t, log.Append(replica.Record{Seq: seq + 1, Data: make([]byte, size)}))
 		}
-		s.RecordsAdded(time.Second)
-		return s.Tick(s.Next()), log
+		replicator.RecordsAdded(time.Second)
+		return replicator.Tick(replicator.Next()), log
 	}
 	out, log := push(60)
 	require.Len(t, out.Messages, 1)
@@ -31,9 +31,9 @@
 		for seq := range has {
 			require.NoError(t, own.Append(replica.Record{Seq: seq + 1, Data: make([]byte, 60)}))
 		}
-		s := New(Settings{Agents: 2, Self: 1, Seed: 1}, own, 0)
-		s.MarkCaughtUp()
-		pulled := s.Step(time.Second, 0, out.Messages[0].Data)
+		replicator := New(Settings{Agents: 2, Self: 1, Seed: 1}, own, 0)
+		replicator.MarkCaughtUp()
+		pulled := replicator.Step(time.Second, 0, out.Messages[0].Data)
 		if has == 8 {
 			require.Equal(t, log.Last(), own.Last())
 			require.Empty(t, pulled.Messages)
@@ -41,11 +41,11 @@
 		}
 		require.Equal(t, has, own.Last().Seq)
 		require.Equal(t, byte(kindPull), pulled.Messages[0].Data[0])
-		require.Equal(t, time.Second+150*time.Millisecond, s.Next(), "the timeout is the maximum before the first reply")
-		s.roundTrip.AddSample(10 * time.Millisecond)
-		again := s.Tick(s.Next())
+		require.Equal(t, time.Second+150*time.Millisecond, replicator.Next(), "the timeout is the maximum before the first reply")
+		replicator.roundTrip.AddSample(10 * time.Millisecond)
+		again := replicator.Tick(replicator.Next())
 		require.Equal(t, byte(kindPull), again.Messages[0].Data[0])
-		require.Equal(t, time.Second+190*time.Millisecond, s.Next())
+		require.Equal(t, time.Second+190*time.Millisecond, replicator.Next())
 	}
 	out, _ = push(400)
 	require.Equal(t, byte(kindDigest), out.Messages[0].Data[0])
@@ -84,21 +84,21 @@
 	l.restart(9)
 	require.Greater(t, l.runUntilEqual(10, time.Minute), 8*time.Second)
 
-	s := New(Settings{Agents: 20, Self: 1, Seed: 1}, newLog(replica.Limits{}), 0)
+	replicator := New(Settings{Agents: 20, Self: 1, Seed: 1}, newLog(replica.Limits{}), 0)
 	farAhead := encode(kindDigest, digest{Epoch: 1, Seq: 50})
 	for from := 2; from < 15; from++ {
-		s.Step(0, from, farAhead)
-		require.LessOrEqual(t, len(s.aheadPeers), maxAheadPeers)
+		replicator.Step(0, from, farAhead)
+		require.LessOrEqual(t, len(replicator.aheadPeers), maxAheadPeers)
 	}
-	pulled := s.pullPeer
-	s.Step(0, pulled, farAhead)
-	s.Step(0, pulled, encode(kindSegment, segment{
+	pulled := replicator.pullPeer
+	replicator.Step(0, pulled, farAhead)
+	replicator.Step(0, pulled, encode(kindSegment, segment{
 		Epoch: 1, First: 1, PriorSum: replica.InitialSnapshot(1).Sum,
 		Sum: replica.InitialSnapshot(1).Sum, LastSeq: 50,
 	}))
-	for _, p := range s.aheadPeers {
+	for _, p := range replicator.aheadPeers {
 		require.NotEqual(t, pulled, p.agent)
 	}
-	s.Step(0, 3, encode(kindChunk, chunk{Epoch: 1, Seq: 5, ItemBytes: 100, Data: []byte{1}}))
-	require.False(t, s.partial.isStarted, "a chunk that does not extend the log is not collected")
+	replicator.Step(0, 3, encode(kindChunk, chunk{Epoch: 1, Seq: 5, ItemBytes: 100, Data: []byte{1}}))
+	require.False(t, replicator.partial.isStarted, "a chunk that does not extend the log is not collected")
 }
--- a/internal/fleet/gossip/push.go
+++ b/internal/fleet/gossip/push.go
@@ -1,8 +1,8 @@
 package gossip
 
-// push sends the newest records or a digest to Settings.Fanout agents, drawn at random. It sends to one agent
-// only if the interval has reached Settings.IdleInterval, or if enough other agents have reported the same
-// position. The interval doubles with each push.
+// push sends the newest records or a digest to Settings.Fanout agents, drawn at random, or to a single agent
+// if the interval has reached Settings.IdleInterval or enough other agents have reported the same position.
+// The interval doubles with each push.
 func (r *Replicator) push() {
 	count := r.settings.Fanout
 	if r.pushInterval >= r.settings.IdleInterval || r.equalDigests >= 2*r.settings.Fanout {
--- a/internal/fleet/gossip/replicator_test.go
+++ b/internal/fleet/gossip/replicator_test.go
@@ -138,7 +138,7 @@
 func TestArbitraryMessagesAreHarmless(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		log := newLog(replica.Limits{MaxRecords: 10, MaxRecordBytes: 5000, MaxSnapshotBytes: 5000})
-		s := New(Settings{Agents: 20, Self: 1, Voters: []int{0}, Seed: 1}, log, 0)
+		replicator := New(Settings{Agents: 20, Self: 1, Voters: []int{0}, Seed: 1}, log, 0)
 		any64 := func(name string) uint64 {
 			return rapid.SampledFrom([]uint64{0, 1, 2, 1 << 63, 1<<64 - 1}).Draw(t, name)
 		}
@@ -151,7 +151,7 @@
 			case 0:
 				data = encode(kindDigest, digest{
 					Epoch: any64("e"), Seq: any64("s"), Sum: any64("sum"),
-					Question: uint32(any64("ask")), AnswerTo: s.catchUp.requestID, Trusted: true,
+					Question: uint32(any64("ask")), AnswerTo: replicator.catchUp.requestID, Trusted: true,
 				})
 			case 1:
 				data = encode(kindPull, pull{
@@ -170,12 +170,12 @@
 				})
 			}
 			now := time.Duration(i) * 100 * time.Millisecond
-			out := s.Step(now, rapid.IntRange(-1, 21).Draw(t, "from"), data)
+			out := replicator.Step(now, rapid.IntRange(-1, 21).Draw(t, "from"), data)
 			require.LessOrEqual(t, len(out.Messages), 2)
-			s.Tick(now)
-			require.LessOrEqual(t, len(s.aheadPeers), maxAheadPeers)
-			require.LessOrEqual(t, cap(s.partial.data), 20000)
-			require.Greater(t, s.Next(), now-time.Second)
+			replicator.Tick(now)
+			require.LessOrEqual(t, len(replicator.aheadPeers), maxAheadPeers)
+			require.LessOrEqual(t, cap(replicator.partial.data), 20000)
+			require.Greater(t, replicator.Next(), now-time.Second)
 			require.Zero(t, log.Last().Seq)
 		}
 	})
--- a/internal/fleet/gossip/settings.go
+++ b/internal/fleet/gossip/settings.go
@@ -10,15 +10,15 @@
 	Seed      uint64 // different for each agent and process
 	NeverPull bool   // for a voter whose replica is filled by consensus
 
-	Fanout          int           // number of agents in a push of new records; default 3
-	PushInterval    time.Duration // between the first pushes of new records, doubled after each; default 50 ms
-	IdleInterval    time.Duration // between pushes without new records; default 1.5 s
+	Fanout          int           // number of agents to which new records are pushed; default 3
+	PushInterval    time.Duration // first interval between pushes of new records; default 50 ms
+	IdleInterval    time.Duration // interval between pushes without new records; default 1.5 s
 	ReplyTimeout    time.Duration // maximum timeout of a pull; default 150 ms
-	MaxMessageBytes int           // of records or of a snapshot in one message; default 1024
-	MaxPushBytes    int           // of a message that pushes the newest records; default 200
-	BytesPerSecond  int           // limit of the bytes served, and of the bytes pulled; default 64 KiB
+	MaxMessageBytes int           // maximum size of the records or of a chunk in a message; default 1024
+	MaxPushBytes    int           // maximum size of a message that pushes the newest records; default 200
+	BytesPerSecond  int           // maximum rate of the bytes served, and of those pulled; default 64 KiB
 	AgentQuorum     int           // number of trusted replies that replace the reply of a voter; default 3
-	CatchUpDeadline time.Duration // after the start, for catching up; default 3 s
+	CatchUpDeadline time.Duration // maximum time in the state Asking after the start; default 3 s
 }
 
 // Defaults of Settings.
--- a/internal/fleet/gossiping.go
+++ b/internal/fleet/gossiping.go
@@ -47,10 +47,10 @@
 	n.lastGossiped = n.log.Last()
 }
 
-// Ready reports whether a process that has started may report that it is ready, which is if it has caught up
-// or ReadyTimeout has passed, and whether it has caught up. It has caught up if it has the records of the
-// other agents, holds a lease (if there is an application) and is a member of the log (if it is a voter). For
-// a voter without a store, the timeout is multiplied by voterReadyFactor.
+// Ready reports whether this process may report that it is ready, and whether it has caught up after its
+// start. It is ready if it has caught up or ReadyTimeout has passed. It has caught up if it has the records
+// of the other agents, holds a lease (if there is an application) and is a member of the log (if it is a
+// voter). For a voter without a store, the timeout is multiplied by voterReadyFactor.
 func (n *Node) Ready(now ClockReading) (isReady, isCaughtUp bool) {
 	isCaughtUp = n.hasRecords(now)
 	if n.settings.Application != nil {
--- a/internal/fleet/lease/holder_test.go
+++ b/internal/fleet/lease/holder_test.go
@@ -102,7 +102,7 @@
 	require.Equal(t, 3300*time.Millisecond, h.Remaining(at(2.7)))
 	h.HandleGrant(at(3), 4, Grant{Nonce: request(3).Nonce, Epoch: 2, Seq: 6})
 	pending, isPending := h.PendingPosition()
-	require.True(t, isPending && pending.Seq == 6 && h.Holds(at(5.9)) && !h.Holds(at(6)), "the former grant holds until it expires")
+	require.True(t, isPending && pending.Seq == 6 && h.Holds(at(5.9)) && !h.Holds(at(6)), "the former grant remains in effect until it expires")
 
 	rejected := request(4)
 	before := h.nextRequest
--- a/internal/fleet/leases.go
+++ b/internal/fleet/leases.go
@@ -80,8 +80,8 @@
 	return s
 }
 
-// FencePassed reports whether no agent may still act without the records that were committed at an earlier
-// reading.
+// FencePassed reports whether the fence has passed: no agent acts any more without the records that were
+// committed at an earlier reading.
 func (n *Node) FencePassed(committed, now ClockReading) bool {
 	return n.settings.Terms.FencePassed(committed, now)
 }
--- a/internal/fleet/membership/announce.go
+++ b/internal/fleet/membership/announce.go
@@ -10,8 +10,8 @@
 	// contact.
 	ageUnit    = 500 * time.Millisecond
 	ageUnknown = 255
-	// repeatOneIn is the mean number of updates per update that repeats an event that is no longer pending, for
-	// agents that missed it.
+	// On average, one in repeatOneIn updates repeats an event that is no longer pending, for agents that missed
+	// it.
 	repeatOneIn = 4
 )
 
@@ -103,7 +103,8 @@
 	return events
 }
 
-// appendEventsOf appends the pending events of an agent that have an urgency, up to maxCount events in total.
+// appendEventsOf appends the pending events of an agent that have the urgency u, up to maxCount events in
+// total.
 func (l *List) appendEventsOf(now time.Duration, i int, u urgency, events []event, maxCount int) []event {
 	number, a, hasLeft := uint16(i), &l.agents[i], l.contacts[i].hasLeft
 	own := notUrgent
--- a/internal/fleet/membership/list.go
+++ b/internal/fleet/membership/list.go
@@ -27,7 +27,7 @@
 // that it is dense in memory.
 type contact struct {
 	lastContact time.Duration // latest time at which any agent received a message from it, if isKnown
-	isKnown     bool          // the agent was received or reported, in this incarnation or an earlier one
+	isKnown     bool          // the agent has run, in this incarnation or an earlier one
 	hasLeft     bool
 }
 
@@ -86,7 +86,7 @@
 // Incarnation returns the agent's own incarnation.
 func (l *List) Incarnation() uint64 { return l.agents[l.settings.Self].incarnation }
 
-// Leave sets that all further updates announce that this process leaves.
+// Leave makes all further updates announce that this process leaves.
 func (l *List) Leave() { l.isLeaving = true }
 
 // NoteReceived records that a message without an update was received from another agent.
--- a/internal/fleet/membership/list_test.go
+++ b/internal/fleet/membership/list_test.go
@@ -84,9 +84,9 @@
 
 // countStatus returns the number of running agents that see an agent in one of some statuses.
 func (l *lab) countStatus(of int, status ...Status) (count int) {
-	for a, r := range l.lists {
+	for a, list := range l.lists {
 		for _, s := range status {
-			if a != of && !l.down[a] && r.Status(l.SteadyTime(a), of) == s {
+			if a != of && !l.down[a] && list.Status(l.SteadyTime(a), of) == s {
 				count++
 			}
 		}
@@ -208,29 +208,29 @@
 
 // PresentCount reports all agents after the start, an increase at once, and a decrease only after a delay.
 func TestPresentCountDecreasesAfterDelay(t *testing.T) {
-	r := New(Settings{Agents: 4, SilenceTimeout: 20 * time.Second}, 0)
-	require.Equal(t, 4, r.PresentCount(0))
+	list := New(Settings{Agents: 4, SilenceTimeout: 20 * time.Second}, 0)
+	require.Equal(t, 4, list.PresentCount(0))
 	at := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 	for _, c := range []struct {
 		now      float64
 		received int
 		present  int
 	}{{15, 1, 4}, {21, 1, 4}, {30, 1, 4}, {31.5, 2, 3}, {32, 3, 4}, {51.6, 1, 4}, {55, 2, 4}, {61.6, 1, 3}, {75, 1, 3}, {86, 1, 3}, {97, 1, 2}} {
-		r.NoteReceived(at(c.now), c.received)
-		require.Equal(t, c.present, r.PresentCount(at(c.now)), "%v", c.now)
+		list.NoteReceived(at(c.now), c.received)
+		require.Equal(t, c.present, list.PresentCount(at(c.now)), "%v", c.now)
 	}
 }
 
 // TestApplyUpdate checks which updates and events are accepted, and their effect on statuses and closed paths.
 func TestApplyUpdate(t *testing.T) {
 	s := time.Second
-	r := New(Settings{Agents: 6, SilenceTimeout: 40 * s, StartedAt: 1000 * s}, 0)
+	list := New(Settings{Agents: 6, SilenceTimeout: 40 * s, StartedAt: 1000 * s}, 0)
 	incarnation := func(n uint64) uint64 { return (1000 + n) << refutationBits }
 	apply := func(now time.Duration, from int, u update) {
 		if u.Incarnation == 0 {
 			u.Incarnation = incarnation(0)
 		}
-		require.NoError(t, r.ApplyUpdate(now, from, u.encode(200)))
+		require.NoError(t, list.ApplyUpdate(now, from, u.encode(200)))
 	}
 	left := func(of uint64) []event { return []event{{Agent: 2, By: 2, Incarnation: of, Left: true}} }
 	ages := []byte{0, 0, 0}
@@ -238,45 +238,45 @@
 	apply(1*s, 1, update{Incarnation: incarnation(5), Ages: ages, ReceivedAge: ageUnknown})
 	apply(10*s, 1, update{Incarnation: incarnation(5), Events: left(incarnation(0)), ReceivedAge: ageUnknown})
 	apply(12*s, 1, update{Incarnation: incarnation(5), Ages: ages, ReceivedAge: ageUnknown})
-	require.Equal(t, Left, r.Status(12*s, 2), "a contact within leaveGrace does not count as a restart")
+	require.Equal(t, Left, list.Status(12*s, 2), "a contact within leaveGrace does not count as a restart")
 	apply(25*s, 1, update{Incarnation: incarnation(5), Ages: ages, ReceivedAge: ageUnknown})
 	apply(26*s, 1, update{Incarnation: incarnation(5), Events: left(incarnation(0)), ReceivedAge: ageUnknown})
-	require.Equal(t, Alive, r.Status(26*s, 2), "a contact after leaveGrace is of a later incarnation, to which the event does not apply")
+	require.Equal(t, Alive, list.Status(26*s, 2), "a contact after leaveGrace is of a later incarnation, to which the event does not apply")
 	apply(30*s, 1, update{Incarnation: incarnation(5), Events: left(incarnation(9)), ReceivedAge: ageUnknown})
-	require.Equal(t, Left, r.Status(30*s, 2))
+	require.Equal(t, Left, list.Status(30*s, 2))
 	apply(31*s, 1, update{Incarnation: incarnation(4), ReceivedAge: 0})
-	require.Equal(t, 30*s, r.agents[1].path.lastReceived, "a delayed update of an earlier incarnation is ignored")
+	require.Equal(t, 30*s, list.agents[1].path.lastReceived, "a delayed update of an earlier incarnation is ignored")
 
-	apply(31*s, 1, update{Incarnation: incarnation(5), Events: []event{{Incarnation: r.Incarnation(), Left: true}}, ReceivedAge: ageUnknown})
-	require.Greater(t, r.Incarnation(), incarnation(0))
+	apply(31*s, 1, update{Incarnation: incarnation(5), Events: []event{{Incarnation: list.Incarnation(), Left: true}}, ReceivedAge: ageUnknown})
+	require.Greater(t, list.Incarnation(), incarnation(0))
 	apply(31*s, 1, update{Incarnation: incarnation(5), Events: left(incarnation(5000)), ReceivedAge: ageUnknown})
 	apply(31*s, 1, update{Incarnation: incarnation(5), Events: []event{{Agent: 6}}, ReceivedAge: ageUnknown})
-	require.ErrorIs(t, r.ApplyUpdate(31*s, 1, update{Incarnation: incarnation(5000)}.encode(200)), ErrInvalidUpdate)
-	require.ErrorIs(t, r.ApplyUpdate(31*s, 1, update{Incarnation: incarnation(5), FirstAgent: 6}.encode(200)), ErrInvalidUpdate)
-	require.ErrorIs(t, r.ApplyUpdate(31*s, 1, update{Incarnation: incarnation(5), Ages: make([]byte, 7)}.encode(200)), ErrInvalidUpdate)
-	require.Equal(t, uint64(5), r.Stats().Dropped)
+	require.ErrorIs(t, list.ApplyUpdate(31*s, 1, update{Incarnation: incarnation(5000)}.encode(200)), ErrInvalidUpdate)
+	require.ErrorIs(t, list.ApplyUpdate(31*s, 1, update{Incarnation: incarnation(5), FirstAgent: 6}.encode(200)), ErrInvalidUpdate)
+	require.ErrorIs(t, list.ApplyUpdate(31*s, 1, update{Incarnation: incarnation(5), Ages: make([]byte, 7)}.encode(200)), ErrInvalidUpdate)
+	require.Equal(t, uint64(5), list.Stats().Dropped)
 
 	apply(49*s, 3, update{ReceivedAge: ageUnknown})
 	for range closedAfterSends {
-		r.NoteSent(50*s, 3)
+		list.NoteSent(50*s, 3)
 	}
 	apply(51*s, 3, update{ReceivedAge: 2})
-	require.False(t, r.IsPathClosed(51*s, 3), "the messages may still be in flight")
+	require.False(t, list.IsPathClosed(51*s, 3), "the messages may still be in flight")
 	apply(60*s, 3, update{ReceivedAge: 30})
-	require.True(t, r.IsPathClosed(60*s, 3))
-	r.agents[3].path.reports[0].announcements = 0
+	require.True(t, list.IsPathClosed(60*s, 3))
+	list.agents[3].path.reports[0].announcements = 0
 	apply(61*s, 3, update{ReceivedAge: 32})
-	require.Zero(t, r.agents[3].path.reports[0].announcements, "a report of about the same time is not announced again")
+	require.Zero(t, list.agents[3].path.reports[0].announcements, "a report of about the same time is not announced again")
 	apply(62*s, 3, update{ReceivedAge: 0})
-	require.False(t, r.IsPathClosed(62*s, 3))
+	require.False(t, list.IsPathClosed(62*s, 3))
 
-	r = New(Settings{Agents: 4, SilenceTimeout: 20 * s}, 0)
+	list = New(Settings{Agents: 4, SilenceTimeout: 20 * s}, 0)
 	for _, c := range []struct {
 		now               time.Duration
 		received, present int
 	}{{15 * s, 1, 4}, {21 * s, 1, 4}, {25 * s, 2, 4}, {26 * s, 2, 4}, {44 * s, 2, 3}} {
-		r.NoteReceived(c.now, c.received)
-		require.Equal(t, c.present, r.PresentCount(c.now), "the maximum since the decrease is reported; at %v", c.now)
+		list.NoteReceived(c.now, c.received)
+		require.Equal(t, c.present, list.PresentCount(c.now), "the maximum count since the decrease began is reported; at %v", c.now)
 	}
 }
 
@@ -284,9 +284,9 @@
 func TestArbitraryUpdates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.SampledFrom([]int{1, 2, 10, 300, 65535}).Draw(t, "agents")
-		r := New(Settings{Agents: n, Self: n / 2, StartedAt: time.Duration(1 << 60)}, 0)
+		list := New(Settings{Agents: n, Self: n / 2, StartedAt: time.Duration(1 << 60)}, 0)
 		number := rapid.SampledFrom([]uint16{0, 1, 9, 10, 299, 65535})
-		incarnation := rapid.SampledFrom([]uint64{0, 1, r.Incarnation(), r.Incarnation() + 1<<20, 1<<64 - 1})
+		incarnation := rapid.SampledFrom([]uint64{0, 1, list.Incarnation(), list.Incarnation() + 1<<20, 1<<64 - 1})
 		for i := range 30 {
 			now := time.Duration(i) * time.Second
 			data := rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(t, "data")
@@ -303,18 +303,18 @@
 				require.Equal(t, compact.Marshal(u), data)
 			}
 			from := rapid.IntRange(-1, 400).Draw(t, "from")
-			err := r.ApplyUpdate(now, from, data)
+			err := list.ApplyUpdate(now, from, data)
 			if from < 0 || from >= n {
 				require.ErrorIs(t, err, ErrInvalidUpdate)
 			}
-			r.NoteSent(now, from)
+			list.NoteSent(now, from)
 			maxBytes := rapid.IntRange(0, 200).Draw(t, "max bytes")
-			require.LessOrEqual(t, len(r.Update(now, from, maxBytes)), maxBytes)
-			require.Less(t, r.Incarnation(), uint64(1<<64-1))
-			require.LessOrEqual(t, r.PresentCount(now), n)
-			require.GreaterOrEqual(t, r.PresentCount(now), 1)
+			require.LessOrEqual(t, len(list.Update(now, from, maxBytes)), maxBytes)
+			require.Less(t, list.Incarnation(), uint64(1<<64-1))
+			require.LessOrEqual(t, list.PresentCount(now), n)
+			require.GreaterOrEqual(t, list.PresentCount(now), 1)
 		}
 	})
-	r := New(Settings{Agents: 300, StartedAt: 1 << 60}, 0)
-	require.Greater(t, len(r.Update(0, 1, updateBytes)), updateBytes-eventBytes, "the available bytes are used")
+	list := New(Settings{Agents: 300, StartedAt: 1 << 60}, 0)
+	require.Greater(t, len(list.Update(0, 1, updateBytes)), updateBytes-eventBytes, "the available bytes are used")
 }
--- a/internal/fleet/membership/paths.go
+++ b/internal/fleet/membership/paths.go
@@ -10,7 +10,7 @@
 	// messages to it, the first of which was sent more than closedAfter after the message that it received last.
 	closedAfterSends = 8
 	closedAfter      = 3 * time.Second
-	// sentUnit is the unit of path.sentAt.
+	// sentUnit is the unit of path.sentAt, which counts from the start.
 	sentUnit = 100 * time.Millisecond
 	// maxReports is the maximum number of reporters that are remembered for an agent. An agent with as many
 	// recent reports is OneWay.
@@ -25,7 +25,7 @@
 	lastReceived time.Duration
 	hasReceived  bool
 	nextSent     uint8                    // index of the oldest entry in sentAt
-	sentAt       [closedAfterSends]uint32 // of the last messages: sentUnits since the start, plus 1; 0: none
+	sentAt       [closedAfterSends]uint32 // times of the last messages, in sentUnits, plus 1; 0: none
 	reports      [maxReports]oneWayReport
 }
 
--- a/internal/fleet/membership/status.go
+++ b/internal/fleet/membership/status.go
@@ -12,7 +12,7 @@
 	Alive
 	// Suspect agents had no contact within half of the silence timeout.
 	Suspect
-	// OneWay agents are received by other agents, but do not receive messages from them.
+	// OneWay agents send messages that other agents receive, but do not receive the messages of others.
 	OneWay
 	// Silent agents had no contact within the silence timeout.
 	Silent
--- a/internal/fleet/messages.go
+++ b/internal/fleet/messages.go
@@ -25,7 +25,7 @@
 	maxUpdateBytes = 64
 	// maxGrantUpdateBytes is the maximum size of the update in a lease grant in fleets of up to
 	// largeFleetAgents. It is larger than maxUpdateBytes, as voters receive messages from all agents. In larger
-	// fleets it decreases, as a voter sends more grants and its bytes per second are limited.
+	// fleets grantUpdateBytes returns less, as a voter sends more grants and its bytes per second are limited.
 	maxGrantUpdateBytes, largeFleetAgents = 200, 1000
 )
 
--- a/internal/fleet/proposalmessages.go
+++ b/internal/fleet/proposalmessages.go
@@ -49,12 +49,12 @@
 type proposalOutcome byte
 
 const (
-	replyBase         proposalOutcome = iota // the proposal is to be repeated with the base index of the reply
+	replyBase         proposalOutcome = iota // the request has to be repeated with the base index in the reply
 	replyUnknown                             // the proposal may still be committed
 	replyCommitted                           // the proposal is committed
 	replyNotCommitted                        // the proposal is not committed and never will be
 	replyForgotten                           // the proposal is too old for its outcome to be known
-	replyNoLeader                            // the voter knows no leader: another voter has to be used
+	replyNoLeader                            // the voter knows no leader: another voter has to be tried
 )
 
 // proposalReply is the message with which a voter replies to a proposalRequest.
--- a/internal/fleet/raftlog/abandonment.go
+++ b/internal/fleet/raftlog/abandonment.go
@@ -2,7 +2,7 @@
 
 // When a log is abandoned.
 //
-// A voter leaves its log, and becomes a new store with another nonce, if all of the following hold:
+// A voter leaves its log, and becomes a new store with another nonce, if all of the following are true:
 //
 //   - a majority of the log's voters, by the newest configuration that this voter knows, is proved gone;
 //   - every other configured voter recently reported that it has no log, or that its log cannot continue;
--- a/internal/fleet/raftlog/freshness.go
+++ b/internal/fleet/raftlog/freshness.go
@@ -51,7 +51,7 @@
 	coveredReadings map[uint64]clockReading   // latest covered reading, by the voter's ID
 
 	// Data of a follower.
-	leaderRound     map[uint64]heartbeatRound // last stamp, with the term as the index, by the leader's ID
+	leaderRound     map[uint64]heartbeatRound // last stamp, with the term as its index, by the leader's ID
 	lateHeartbeatAt time.Time                 // last time a stamp was too much later than the one before
 }
 
@@ -105,7 +105,7 @@
 }
 
 // noteReading remembers another voter's clock reading. If too many are pending, the new one is dropped: the
-// voter's next answer brings another.
+// voter's next answer contains another.
 func (f *freshness) noteReading(id uint64, r clockReading) {
 	if r.reading > 0 && len(f.pendingReadings[id]) < maxPendingReadings {
 		f.pendingReadings[id] = append(f.pendingReadings[id], r)
@@ -154,8 +154,8 @@
 	return true
 }
 
-// hasRecentLoss reports whether a voter was found to leave a round unanswered within the duration memory. The
-// last round does not count, as its answers may still be under way.
+// hasRecentLoss reports whether a voter was found to have left a round unanswered less than memory ago. The
+// last round does not count, as its answers may still be in flight.
 func (f *freshness) hasRecentLoss(id uint64, now time.Time, memory time.Duration) bool {
 	if f.acked[id] < f.lastRounds[1] {
 		f.missedRoundAt[id] = now
--- a/internal/fleet/raftlog/membership.go
+++ b/internal/fleet/raftlog/membership.go
@@ -135,7 +135,7 @@
 	return binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint32(nil, agent), nonce)
 }
 
-// isValidChange reports whether a committed configuration change is valid, and so applied. All voters come to
+// isValidChange reports whether a committed configuration change is valid, and so applied. All voters reach
 // the same result.
 func (s *logState) isValidChange(c *raftpb.ConfChangeV2, conf *raftpb.ConfState) bool {
 	isJoint := len(conf.GetVotersOutgoing()) > 0
--- a/internal/fleet/raftlog/send.go
+++ b/internal/fleet/raftlog/send.go
@@ -110,8 +110,8 @@
 	sentAt time.Time
 }
 
-// isLongAppendInFlight reports whether a long append from the same index on was sent within the last half of
-// an election timeout, and otherwise remembers this one. Raft repeats an append with each heartbeat that is
+// isLongAppendInFlight reports whether a long append from the same index on was sent less than half an
+// election timeout ago, and otherwise remembers this one. Raft repeats an append with each heartbeat that is
 // answered, however long its fragments take to arrive.
 func (v *Voter) isLongAppendInFlight(m *raftpb.Message, size int) bool {
 	if size < longMessageBytes {
--- a/internal/fleet/raftlog/voterlab/host.go
+++ b/internal/fleet/raftlog/voterlab/host.go
@@ -27,7 +27,7 @@
 	writeDoneAt          time.Time
 	state                registers
 	epoch                uint64
-	recordsSinceSnapshot int      // records since the last snapshot
+	recordsSinceSnapshot int
 	configured           []uint32 // configured voters, as last seen
 }
 
--- a/internal/fleet/raftlog/voterlab/lab.go
+++ b/internal/fleet/raftlog/voterlab/lab.go
@@ -64,8 +64,8 @@
 	op                         op
 	id                         raftlog.ProposalID
 	client                     int
-	from, to                   time.Time
-	hasOutcome, isNotCommitted bool // its outcome is known; it was not committed
+	from, to                   time.Time // start and end
+	hasOutcome, isNotCommitted bool      // its outcome is known; it was not committed
 	result                     uint64
 }
 
@@ -198,7 +198,7 @@
 	l.disks[a] = nil
 }
 
-// Propose has an agent propose a write, and returns its ID.
+// Propose lets an agent propose a write. It returns the ID of the proposal, and an error if it is rejected.
 func (l *Lab) Propose(a uint32, key uint8, value uint64) (id raftlog.ProposalID, err error) {
 	l.lastNumber++
 	id = raftlog.ProposalID{Origin: 99, Number: l.lastNumber, Base: l.hosts[a].index()}
@@ -218,8 +218,8 @@
 	return o
 }
 
-// startCall starts the next call of a client, which starts another one after its end while the run lasts. A
-// call is repeated at one agent after the other.
+// startCall starts the next call of a client. When a call ends, the client starts another one. A call is
+// repeated at one agent after the other.
 func (l *Lab) startCall(n int) {
 	l.lastNumber++
 	c := &call{
--- a/internal/fleet/replica/data.go
+++ b/internal/fleet/replica/data.go
@@ -5,7 +5,8 @@
 	"encoding/binary"
 )
 
-// Position is a position in a log: the number of the last record, and the sum over all records up to it.
+// Position is a position in a log: the sequence number of the last record, and the sum over all records up to
+// it.
 type Position struct {
 	Epoch, Seq, Sum uint64
 }
@@ -17,13 +18,13 @@
 	return p.Epoch > other.Epoch || p.Epoch == other.Epoch && p.Seq >= other.Seq
 }
 
-// Record is one agreed record. The first one of an epoch has number 1.
+// Record is one agreed record. The first one of an epoch has the sequence number 1.
 type Record struct {
 	Seq  uint64
 	Data []byte
 }
 
-// Snapshot is the state that results from all records up to number Seq.
+// Snapshot is the state that results from all records up to sequence number Seq.
 type Snapshot struct {
 	Epoch, Seq, Sum uint64 // Sum is the log's sum at that record, not one over Data
 	Data            []byte
@@ -42,7 +43,7 @@
 
 // Segment is a sequence of records of a replica, with the sums before and after it.
 type Segment struct {
-	Epoch, First  uint64 // First is the number of the first record
+	Epoch, First  uint64 // First is the sequence number of the first record
 	PriorSum, Sum uint64 // before the first and after the last record
 	Records       [][]byte
 }
--- a/internal/fleet/replica/log.go
+++ b/internal/fleet/replica/log.go
@@ -68,7 +68,8 @@
 // Bytes returns the size of the data of the records since the snapshot.
 func (l *Log) Bytes() int { return l.bytes }
 
-// Record returns the record with a number, or false if the log does not contain it, or does not any more.
+// Record returns the record with a sequence number, or false if the log does not contain it, or does not any
+// more.
 func (l *Log) Record(seq uint64) (Record, bool) {
 	if seq <= l.snapshot.Seq || seq > l.Last().Seq {
 		return Record{}, false
@@ -188,8 +189,8 @@
 	}
 }
 
-// Segment returns the records from number first on, with at most maxBytes of data but at least one record. It
-// returns false if the log does not contain the first one, or does not any more.
+// Segment returns the records from sequence number first on, with at most maxBytes of data but at least one
+// record. It returns false if the log does not contain the first one, or does not any more.
 func (l *Log) Segment(first uint64, maxBytes int) (Segment, bool) {
 	prior, isPriorKnown := l.SumAt(first - 1)
 	if first == 0 || !isPriorKnown || first > l.Last().Seq {
--- a/internal/fleet/statemachines.go
+++ b/internal/fleet/statemachines.go
@@ -15,8 +15,8 @@
 // Agents of an earlier build do not know all state machines. They store the records of unknown state machines
 // in their snapshots, and an agent of a later build applies them only when it restores such a snapshot, after
 // the states of all state machines. Therefore a new state machine must not depend on the state of another
-// one. The one exception is that of the maintenance windows, which depends on that of the fleet policy: every
-// build that knows either of them knows that of the fleet policy.
+// one. The only exception is the state machine of the maintenance windows, which depends on that of the fleet
+// policy: every build that knows the former also knows the latter.
 type StateMachine interface {
 	// Apply applies the next record of this state machine. It ignores a record that it cannot decode, as every
 	// agent does.
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -29,14 +29,14 @@
 	Leases         lease.HolderStats
 }
 
-// Peer is the view of another agent.
+// Peer is this agent's view of another agent.
 type Peer struct {
 	Agent        int
 	State        membership.Status
 	IsPathClosed bool // this agent receives messages from it, but not the reverse
 }
 
-// Status returns the present status.
+// Status returns the status at the time of the reading.
 func (n *Node) Status(now ClockReading) Status {
 	isReady, _ := n.Ready(now)
 	s := Status{
