--- a/internal/simnet/cluster.go
+++ b/internal/simnet/cluster.go
@@ -22,7 +22,7 @@
 	Wake(now time.Time)
 	// Next returns when Wake is due; the zero time: never.
 	Next() time.Time
-	// Out returns what is to be sent since it was last called. It is called after each of the others.
+	// Out returns the datagrams to send since its last call. It is called after the start and each input.
 	Out(now time.Time) []Datagram
 }
 
@@ -30,12 +30,12 @@
 type Link struct {
 	Loss, Duplicate, Corrupt float64 // fractions of all datagrams, from 0 to 1
 	Delay, Jitter            time.Duration
-	Late                     float64       // fraction of datagrams delayed by up to Lateness more
-	Lateness                 time.Duration // makes later datagrams overtake
+	Late                     float64       // fraction of the datagrams that are delayed by up to Lateness more
+	Lateness                 time.Duration // maximum additional delay, with which later datagrams overtake
 	Cut                      bool
 }
 
-// Traffic counts what was sent since the start.
+// Traffic counts sent datagrams and their bytes.
 type Traffic struct{ Datagrams, Bytes uint64 }
 
 func (t *Traffic) add(d Datagram) {
@@ -43,7 +43,8 @@
 	t.Bytes += uint64(len(d.Bytes))
 }
 
-// maxBuffered is the number of datagrams that wait at a paused process; more are lost, as at a socket.
+// maxBuffered is the number of buffered calls of a paused process at which further datagrams are lost, as in
+// a full socket buffer.
 const maxBuffered = 256
 
 // clusterStream selects the stream of a cluster's random numbers for a seed.
@@ -59,10 +60,10 @@
 	now         time.Time
 	start       func(agent uint32, now time.Time) Process
 	agents      []agent
-	defaultLink Link                     // of all directions while links is nil
+	defaultLink Link                     // Link of all directions while links is nil
 	links       []Link                   // by the sender and the receiver; nil: all are the default link
 	events      eventqueue.Queue[func()] // by the time since begin
-	serial      uint64                   // of the last event
+	serial      uint64                   // order of the last event
 	traffic     Traffic
 }
 
@@ -71,12 +72,12 @@
 	incarnation    uint64
 	clockOffset    time.Duration
 	isPaused       bool
-	buffer         []func()  // of a paused process
-	wakeAt         time.Time // by the agent's clock, as in the event queue; the zero time: none
+	buffer         []func()  // buffered calls of a paused process
+	wakeAt         time.Time // scheduled time of Wake, by the agent's clock; the zero time: none
 	sent, received Traffic
 }
 
-// NewCluster returns a cluster of agents none of which is running. start creates an agent's process.
+// NewCluster returns a cluster of agents, none of which is running. start creates an agent's process.
 func NewCluster(
 	seed uint64, now time.Time, agents int, start func(agent uint32, now time.Time) Process,
 ) *Cluster {
@@ -89,10 +90,11 @@
 // Now returns the cluster's time.
 func (c *Cluster) Now() time.Time { return c.now }
 
-// Traffic returns what was sent so far.
+// Traffic returns the traffic of all agents since the start, including lost datagrams.
 func (c *Cluster) Traffic() Traffic { return c.traffic }
 
-// TrafficOf returns what an agent has sent and what was sent to it, lost or not, over all its processes.
+// TrafficOf returns the traffic that an agent has sent and the traffic that was sent to it, including lost
+// datagrams, over all its processes.
 func (c *Cluster) TrafficOf(a uint32) (sent, received Traffic) {
 	return c.agents[a].sent, c.agents[a].received
 }
@@ -100,8 +102,8 @@
 // Random returns the cluster's random source, for scripts of faults that follow the seed.
 func (c *Cluster) Random() *rand.Rand { return c.rng }
 
-// Link returns a direction, to be changed. From then on each direction has a Link of its own, of some 70
-// bytes: clusters of thousands of agents use ChangeAll only.
+// Link returns the Link of a direction, which the caller may change. From the first call on, each direction
+// has a Link of its own, of some 70 bytes; clusters of thousands of agents should use only ChangeAll.
 func (c *Cluster) Link(from, to uint32) *Link {
 	if c.links == nil {
 		c.links = slices.Repeat([]Link{c.defaultLink}, len(c.agents)*len(c.agents))
@@ -109,7 +111,7 @@
 	return &c.links[int(from)*len(c.agents)+int(to)]
 }
 
-// ChangeAll changes all directions alike.
+// ChangeAll applies the same change to all directions.
 func (c *Cluster) ChangeAll(change func(l *Link)) {
 	change(&c.defaultLink)
 	for i := range c.links {
@@ -117,7 +119,7 @@
 	}
 }
 
-// ChangeEach changes each direction, by its ends.
+// ChangeEach calls change for each direction, with its sending and receiving agent.
 func (c *Cluster) ChangeEach(change func(from, to uint32, l *Link)) {
 	for from := range c.agents {
 		for to := range c.agents {
@@ -133,10 +135,10 @@
 	return *c.Link(from, to)
 }
 
-// SetClock sets the offset of an agent's clock to the cluster's.
+// SetClock sets the offset by which an agent's clock is ahead of the cluster's.
 func (c *Cluster) SetClock(a uint32, offset time.Duration) { c.agents[a].clockOffset = offset }
 
-// ClockOffset returns the offset of an agent's clock.
+// ClockOffset returns the offset by which an agent's clock is ahead of the cluster's.
 func (c *Cluster) ClockOffset(a uint32) time.Duration { return c.agents[a].clockOffset }
 
 // IsRunning reports whether an agent has a process, paused or not.
@@ -154,17 +156,17 @@
 	}
 }
 
-// Kill ends an agent's process at once. What is in its buffer is lost.
+// Kill ends an agent's process at once. Its buffered calls are lost.
 func (c *Cluster) Kill(a uint32) {
 	g := &c.agents[a]
 	g.process, g.isPaused, g.buffer = nil, false, nil
 	g.incarnation++
 }
 
-// Pause pauses an agent's process; what arrives meanwhile waits in its buffer.
+// Pause pauses an agent's process; calls of Receive and Wake are buffered meanwhile.
 func (c *Cluster) Pause(a uint32) { c.agents[a].isPaused = c.agents[a].process != nil }
 
-// Resume continues an agent's process, which first processes what is in its buffer.
+// Resume continues an agent's process, and first makes its buffered calls.
 func (c *Cluster) Resume(a uint32) {
 	g := &c.agents[a]
 	g.isPaused = false
@@ -207,7 +209,7 @@
 	}
 }
 
-// settle sends what a process has to send, and notes when it is to be woken.
+// settle sends the datagrams of a process, and schedules its next Wake.
 func (c *Cluster) settle(a uint32) {
 	g := &c.agents[a]
 	for _, d := range g.process.Out(c.now.Add(g.clockOffset)) {
--- a/internal/simnet/network.go
+++ b/internal/simnet/network.go
@@ -11,7 +11,7 @@
 type Faults struct {
 	Loss, Duplicate    float64       // fractions of the messages
 	MinDelay, MaxDelay time.Duration // the delay of a message is uniformly distributed between them
-	Late               float64       // the fraction that takes up to Lateness longer
+	Late               float64       // fraction of the messages that take up to Lateness longer
 	Lateness           time.Duration
 }
 
@@ -21,11 +21,11 @@
 // Network has nodes 0 to n-1, and a true time that none of them can read.
 type Network struct {
 	Faults Faults
-	// OnMessage is called with each message that arrives, OnTimer when a node's timer ends, both while the node
-	// is not paused.
+	// OnMessage is called with each message that arrives, OnTimer when a node's timer is due. Calls for a paused
+	// node are made at the end of its pause.
 	OnMessage func(to, from int, data []byte)
 	OnTimer   func(node int)
-	// SentMessages counts messages, and SentBytes their data, by the sender.
+	// SentMessages counts the sent messages, and SentBytes the bytes of their data, by the sender.
 	SentMessages, SentBytes []int
 
 	rng         *rand.Rand
@@ -38,7 +38,7 @@
 	clocks      []nodeClock
 }
 
-// nodeClock is how a node's two clocks differ from the true time.
+// nodeClock describes how a node's two clocks differ from the true time.
 type nodeClock struct {
 	unixOffset time.Duration
 	rate       float64 // of the steady clock
