--- a/internal/bodystream/stop.go
+++ b/internal/bodystream/stop.go
@@ -18,10 +18,10 @@
 }
 
 // OnStop sets a function that is called once, in a new goroutine, when the rest of the body is no longer
-// wanted. It serves to wake a writer that waits elsewhere than in WriteBuffer. The returned function must
-// be called after CloseWrite. It returns true if do was not called and will not be; otherwise the call may
-// still be about to start.
-func (s *Stream) OnStop(do func()) (never func() bool) {
+// wanted. It can wake a writer that waits outside WriteBuffer. The returned function must be called after
+// CloseWrite. It returns true if do was not called and will not be called; otherwise the call may still be
+// about to start.
+func (s *Stream) OnStop(do func()) (isNeverCalled func() bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.onStop = do
--- a/internal/eventqueue/queue.go
+++ b/internal/eventqueue/queue.go
@@ -21,7 +21,7 @@
 	return i.DueAt < o.DueAt || i.DueAt == o.DueAt && i.Order < o.Order
 }
 
-// Queue holds the items that are not due yet. The zero value is an empty queue.
+// Queue contains the items that Next has not returned yet. The zero value is an empty queue.
 type Queue[T any] struct{ items []Item[T] }
 
 // arity is the number of children of a heap node.
@@ -50,7 +50,7 @@
 	return q.items[0].DueAt, true
 }
 
-// Next removes and returns the first item if it is due at until or earlier; else ok is false.
+// Next removes and returns the first item if it is due at until or earlier; otherwise ok is false.
 func (q *Queue[T]) Next(until time.Duration) (first Item[T], ok bool) {
 	if len(q.items) == 0 || q.items[0].DueAt > until {
 		return first, false
@@ -65,7 +65,7 @@
 	return first, true
 }
 
-// siftDown places an item at the root, or as far below it as the order of the heap needs.
+// siftDown places an item at the root, or as far below it as the order of the heap requires.
 func (q *Queue[T]) siftDown(item Item[T]) {
 	i := 0
 	for {
--- a/internal/fleetstore/faultydirectory_test.go
+++ b/internal/fleetstore/faultydirectory_test.go
@@ -63,7 +63,7 @@
 }
 
 func (d *faultyDirectory) read(name string, _ int64) ([]byte, error) {
-	if f, is := d.names[name]; is {
+	if f, exists := d.names[name]; exists {
 		return append([]byte(nil), f.content...), nil
 	}
 	return nil, fs.ErrNotExist
--- a/internal/fleetstore/store_test.go
+++ b/internal/fleetstore/store_test.go
@@ -221,7 +221,7 @@
 		acknowledged := uint64(0)
 		lines := bufio.NewScanner(out)
 		for i := 0; i < 40+30*round && lines.Scan(); i++ {
-			if n, is := strings.CutPrefix(lines.Text(), "acknowledged "); is {
+			if n, hasPrefix := strings.CutPrefix(lines.Text(), "acknowledged "); hasPrefix {
 				acknowledged, _ = strconv.ParseUint(n, 10, 64)
 			}
 		}
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -25,7 +25,7 @@
 )
 
 // maxSocketPathBytes is the maximum length of the agent's socket path in bytes: the system's limit for Unix
-// sockets, less room for the process id that Listener.bind appends.
+// sockets, minus the space for the process id that Listener.bind appends.
 const maxSocketPathBytes = 100
 
 // filePath returns the path of the file with this suffix of the agent whose clients connect at listen.
--- a/internal/handover/listener.go
+++ b/internal/handover/listener.go
@@ -26,8 +26,8 @@
 	return l, l.bind()
 }
 
-// bind listens at a path of this process's own and renames it to the agent's path, so that the agent's path
-// always exists.
+// bind listens at a path that is unique to this process and renames it to the agent's path, so that the
+// agent's path always exists.
 func (l *Listener) bind() error {
 	own := fmt.Sprintf("%s.%d", l.path, os.Getpid())
 	_ = os.Remove(own) // from an earlier process with the same id; if it can't be removed, listening fails
@@ -51,7 +51,7 @@
 // process has disconnected, and report whether this process continues to run. If it does, Serve binds the
 // agent's path again, which the other process may have taken over. Serve returns if it does not, or if the
 // path can't be bound. A connection without a valid hello is closed, and rejected is called with the
-// reason, as it is if the path can't be bound.
+// reason. It is also called if the path can't be bound.
 func (l *Listener) Serve(rejected func(error), handle func(*Peer) (continues bool)) {
 	for {
 		conn, err := l.listener.AcceptUnix()
--- a/internal/modelcheck/modelcheck.go
+++ b/internal/modelcheck/modelcheck.go
@@ -1,6 +1,6 @@
-// Package modelcheck holds what exhaustive searches of a small model share: the set of the states that were
-// visited, and a pool of workers that offer each other parts of the search.
+// Package modelcheck contains the common parts of exhaustive searches of small models: the set of the visited
+// states, and a pool of workers that offer parts of the search to each other.
 //
-// Both are used by several goroutines at once. The order in which workers visit states is not determined; the
+// Both are safe for concurrent use. The order in which workers visit states is not determined; the
 // set of visited states of a complete search is.
 package modelcheck
--- a/internal/modelcheck/states.go
+++ b/internal/modelcheck/states.go
@@ -5,7 +5,7 @@
 // shards is the number of parts of a StateSet, each with a lock of its own.
 const shards = 256
 
-// StateSet is the set of visited states, each known by 64 bits of its hash. With n states the chance that any
+// StateSet is the set of visited states, each identified by a 64-bit hash. With n states the chance that any
 // two have the same hash, so that one of them is not visited, is n*n/2^65: 1 in 3,700 with 100 million.
 type StateSet [shards]stateShard
 
