--- a/internal/fleet/gossip/settings.go
+++ b/internal/fleet/gossip/settings.go
@@ -10,8 +10,8 @@
 	Seed      uint64 // different for each agent and process
 	NeverPull bool   // for a voter whose replica is filled by consensus
 
-	Fanout          int           // number of agents to which new records are pushed; default 3
-	PushInterval    time.Duration // first interval between pushes of new records; default 50 ms
+	Fanout          int           // number of agents that a push of new records is sent to; default 3
+	PushInterval    time.Duration // first interval between pushes of new records, then doubled; default 50 ms
 	IdleInterval    time.Duration // interval between pushes without new records; default 1.5 s
 	ReplyTimeout    time.Duration // maximum timeout of a pull; default 150 ms
 	MaxMessageBytes int           // maximum size of the records or of a chunk in a message; default 1024
