--- a/internal/control/ringassignment/lab/lab.go
+++ b/internal/control/ringassignment/lab/lab.go
@@ -95,7 +95,7 @@
 	hasWrongCapacities bool           // views have wrong capacities
 	assumedDraining    func(int) bool // servers that leaders assume to be draining; nil: none
 	hasFalseReports    bool           // one agent reports false paces, two measure few requests
-	fastKindSpeed      float64        // true speed of the fast servers, relative to the initial one
+	fastKindSpeed      float64        // true speed of the servers of kind rapid, relative to the initial one
 }
 
 type agreedRecord struct {
