--- a/internal/graphql/errors.go
+++ b/internal/graphql/errors.go
@@ -37,7 +37,8 @@
 	RetryAfter time.Duration
 	// MayHaveRun reports whether a mutation may have been executed.
 	MayHaveRun bool
-	wellFormed bool // the request was valid GraphQL over HTTP, but what it asks for is refused
+	// wellFormed means that the request is valid GraphQL over HTTP, although the agent does not forward it.
+	wellFormed bool
 }
 
 func (e *Error) Error() string { return e.Message }
--- a/internal/graphql/graphql.go
+++ b/internal/graphql/graphql.go
@@ -175,12 +175,12 @@
 		return Classification{}, err
 	}
 	if r.Method == "GET" {
-		return c.classGET(r)
+		return c.classifyGET(r)
 	}
-	return c.classPOST(r)
+	return c.classifyPOST(r)
 }
 
-func (c *Classifier) classGET(r Request) (Classification, error) {
+func (c *Classifier) classifyGET(r Request) (Classification, error) {
 	if len(r.Body) > 0 {
 		return Classification{}, badRequest("a GET has no body")
 	}
@@ -191,7 +191,7 @@
 	return c.classifyParameters(p, true)
 }
 
-func (c *Classifier) classPOST(r Request) (Classification, error) {
+func (c *Classifier) classifyPOST(r Request) (Classification, error) {
 	hasUnknown := false // whether the URL may name another document
 	if r.URLQuery != "" {
 		// Some servers prefer parameters in the URL to those in the body.
@@ -210,12 +210,12 @@
 		p.hasUnknown = p.hasUnknown || hasUnknown
 		return c.classifyParameters(p, false)
 	}
-	return c.classBatch(body, hasUnknown)
+	return c.classifyBatch(body, hasUnknown)
 }
 
-func (c *Classifier) classBatch(body []byte, hasUnknown bool) (v Classification, err error) {
+func (c *Classifier) classifyBatch(body []byte, hasUnknown bool) (v Classification, err error) {
 	if !c.rules.Batches {
-		return v, &Error{Code: CodeBatch, Status: 400, Message: "batches are not taken here"}
+		return v, &Error{Code: CodeBatch, Status: 400, Message: "batches are not accepted here"}
 	}
 	for member, err := range elements(body) {
 		if err != nil {
@@ -268,14 +268,14 @@
 			Message: "subscriptions are not served here",
 		}
 	case get && v.Kind == Mutation:
-		err = &Error{Code: CodeMutationByGET, Status: 405, Message: "a mutation must come by POST"}
+		err = &Error{Code: CodeMutationByGET, Status: 405, Message: "a mutation must be sent by POST"}
 	case get && d == nil && p.query == nil:
 		// Clients match this message, and then send the document as well.
 		err = &Error{Code: CodeNotFound, Status: 400, wellFormed: true, Message: "PersistedQueryNotFound"}
 	case get && v.Kind == Unclear:
 		err = &Error{
 			Code: CodeUnclear, Status: 400, wellFormed: true,
-			Message: "it cannot be told that this is a query; send it by POST",
+			Message: "it cannot be determined that this is a query; send it by POST",
 		}
 	}
 	return v, err
--- a/internal/graphql/graphql_test.go
+++ b/internal/graphql/graphql_test.go
@@ -281,9 +281,9 @@
 // Guards against entries that keep a whole document in memory because they hold a substring of it, the
 // name of an operation.
 func TestStoresKeepNoDocuments(t *testing.T) {
-	const most, documents, length = 100_000, 1000, 15_000
+	const maxBytes, documents, length = 100_000, 1000, 15_000
 	r := testRules()
-	r.Limits.CacheBytes, r.Limits.HashStoreBytes = 0, most
+	r.Limits.CacheBytes, r.Limits.HashStoreBytes = 0, maxBytes
 	c := newTestClassifier(t, r)
 	heap := func() (bytes int) {
 		var m runtime.MemStats
--- a/internal/graphql/limits_test.go
+++ b/internal/graphql/limits_test.go
@@ -107,7 +107,7 @@
 	}
 }
 
-func BenchmarkClass(b *testing.B) {
+func BenchmarkClassify(b *testing.B) {
 	body := pageBody()
 	r := testRules()
 	r.Limits.CacheBytes = 0
@@ -129,7 +129,7 @@
 	})
 }
 
-func BenchmarkBomb(b *testing.B) {
+func BenchmarkExpensiveRequests(b *testing.B) {
 	for name, request := range expensiveRequests() {
 		b.Run(name, func(b *testing.B) { benchmark(b, testRules(), request.body) })
 	}
--- a/internal/protocol/graphql.go
+++ b/internal/protocol/graphql.go
@@ -93,11 +93,11 @@
 
 // graphQLExchange is one request and its response.
 type graphQLExchange struct {
-	format      *GraphQL
-	request     *http.Request
-	media       graphql.MediaType
-	verdict     graphql.Classification
-	decodeError *graphql.Error // error with which Decode rejected the request; nil if there is none
+	format         *GraphQL
+	request        *http.Request
+	media          graphql.MediaType
+	classification graphql.Classification
+	decodeError    *graphql.Error // error with which Decode rejected the request; nil if there is none
 }
 
 // Decode decodes a request. Its class is that of the operation that would be executed.
@@ -113,7 +113,7 @@
 	return op, nil
 }
 
-// decode checks the header before it reads the body. Only the classer parses what the class depends on.
+// decode checks the header before it reads the body. Only the classifier parses what the class depends on.
 func (x *graphQLExchange) decode(reserve ReserveMemory) (*Request, error) {
 	g, r := x.format, x.request
 	path, query, _ := strings.Cut(r.RequestURI, "?")
@@ -147,12 +147,12 @@
 	}
 	request.Body = op.Body
 	var err error
-	if x.verdict, err = g.Classifier.Classify(request); err != nil {
+	if x.classification, err = g.Classifier.Classify(request); err != nil {
 		return op, err
 	}
-	op.Class = x.verdict.Class
+	op.Class = x.classification.Class
 	err = x.setProperties(op)
-	x.verdict.Variables = nil // a part of the body, which may be released before the response is written
+	x.classification.Variables = nil // a part of the body, which may be released before the response is written
 	return op, err
 }
 
@@ -171,7 +171,7 @@
 // setProperties sets the key, tenant, correlation id and time left of op. Plain requests have them in header
 // fields and a cookie.
 func (x *graphQLExchange) setProperties(op *Request) error {
-	g, r, variables := x.format, x.request, x.verdict.Variables
+	g, r, variables := x.format, x.request, x.classification.Variables
 	op.Key, op.Tenant = g.Key.find(r, variables), g.Tenant.find(r, variables)
 	if op.Tenant == "" {
 		op.Tenant = g.DefaultTenant
@@ -210,7 +210,7 @@
 	case http.StatusNotAcceptable:
 		h.Set("Accept", string(graphql.ResponseJSON)+", "+string(graphql.PlainJSON))
 	}
-	body := e.Append(nil, x.verdict.Members)
+	body := e.Append(nil, x.classification.Members)
 	return writeResponse(w, e.StatusFor(x.media), string(x.media)+"; charset=utf-8", int64(len(body)), body)
 }
 
@@ -225,7 +225,7 @@
 	case response.Kind == Failed:
 		return &graphql.Error{
 			Code: graphql.CodeFailed, Status: http.StatusBadGateway, Message: "failed",
-			MayHaveRun: x.verdict.Kind != graphql.Query,
+			MayHaveRun: x.classification.Kind != graphql.Query,
 		}
 	case response.Kind == TooLong:
 		return &graphql.Error{
