--- a/internal/transport/bodies.go
+++ b/internal/transport/bodies.go
@@ -24,11 +24,16 @@
 
 // BodyRules are limits for bodies.
 type BodyRules struct {
-	MaxBytes           int64         // of a response; one that is longer, or announced as longer, is invalid
-	BufferedBytes      int64         // length up to which a response is buffered until it is complete; zero: 64 KiB
-	MaxBuffering       time.Duration // of a response not known to be that short, from its first byte on
-	ClientStallTimeout time.Duration // time after which a client that reads nothing of its response is cut off
-	// maximum time by which a client may occupy the server's connection longer than the server needs it
+	// MaxBytes is the maximum length of a response. One that is longer, or announced as longer, is invalid.
+	MaxBytes int64
+	// BufferedBytes is the length up to which a response is buffered until it is complete; zero: 64 KiB.
+	BufferedBytes int64
+	// MaxBuffering is how long a response that may exceed BufferedBytes is buffered, from its first byte on.
+	MaxBuffering time.Duration
+	// ClientStallTimeout is the time after which a client that reads nothing of its response is cut off.
+	ClientStallTimeout time.Duration
+	// MaxClientLag is the maximum time by which a client may occupy the server's connection longer than the
+	// server needs it.
 	MaxClientLag time.Duration
 }
 
--- a/internal/transport/listener_test.go
+++ b/internal/transport/listener_test.go
@@ -98,9 +98,9 @@
 		{Name: "consult", Deadline: time.Second, Idempotency: balancer.Idempotent},
 		{Name: "rezervare", Deadline: deadline, Idempotency: balancer.NotIdempotent},
 	}
-	classer, err := graphql.NewClassifier(graphql.Rules{Classes: classes})
+	classifier, err := graphql.NewClassifier(graphql.Rules{Classes: classes})
 	require.NoError(t, err)
-	graphQL := &protocol.GraphQL{Path: "/graphql", Classifier: classer, Classes: classes}
+	graphQL := &protocol.GraphQL{Path: "/graphql", Classifier: classifier, Classes: classes}
 	graphQL.Deadline, err = protocol.ParseSource("header:X-Time-Left-Ms")
 	require.NoError(t, err)
 	dial := serveListener(t, busyResponse, bodies, graphQL.AtPath, protocol.HTTP)
--- a/internal/transport/upstream.go
+++ b/internal/transport/upstream.go
@@ -193,7 +193,7 @@
 		request.OnResponseStart(event.UpstreamResponse)
 		event = <-u.responses
 	}
-	// Whoever stopped it may be about to close the connection, even if the response has just become complete.
+	// A stop may be about to close the connection, even if the response has just become complete.
 	if !stop() || !isWanted() || event.err != nil || event.Close {
 		u.Close()
 		return event.UpstreamResponse, false, event.err
--- a/internal/wire/names.go
+++ b/internal/wire/names.go
@@ -10,7 +10,7 @@
 const (
 	KindServerList    = "POOL"         // a server list, to which later list updates refer by number
 	KindNewInstance   = "NEW_INSTANCE" // starts a balancer
-	KindKilled        = "KILLED"       // stops one
+	KindKilled        = "KILLED"       // stops a balancer
 	KindRequest       = "REQUEST"
 	KindAttemptDone   = "DONE"
 	KindListUpdate    = "SYNC"
