--- a/cmd/dunestep/answers_test.go
+++ b/cmd/dunestep/answers_test.go
@@ -207,7 +207,7 @@
 					}
 					require.NoError(t, c.Close())
 					close(disconnected)
-					w.until("the server's connection is closed", func() bool { return w.servers[0].openCount() == 0 })
+					w.waitUntil("the server's connection is closed", func() bool { return w.servers[0].openCount() == 0 })
 					require.Equal(t, 1, w.attemptCount()-before)
 				}
 			}
@@ -362,7 +362,7 @@
 func TestAnswerCompletesWhenEndpointDrainsOrIsRemoved(t *testing.T) {
 	const size = 400_000
 	w := start(t, 2, (*testbed).useLongTimeouts, withLittleMemory)
-	w.until("watch", func() bool { return w.discovery.watchCount() == 1 })
+	w.waitUntil("watch", func() bool { return w.discovery.watchCount() == 1 })
 	received := make(chan receivedAnswer, 1)
 	var id string
 	begin := func() {
@@ -373,15 +373,15 @@
 		}()
 	}
 	for version, change := range []string{
-		listJSON(42, false, w.servers[0].entry("leaving"), w.servers[1].entry("leaving")),
-		listJSON(43, false, w.servers[0].entry("left"), w.servers[1].entry("left"), newServer(t, "s-2").entry("active")),
+		listJSON(42, false, w.servers[0].listEntry("leaving"), w.servers[1].listEntry("leaving")),
+		listJSON(43, false, w.servers[0].listEntry("left"), w.servers[1].listEntry("left"), newServer(t, "s-2").listEntry("active")),
 	} {
 		paused, resume := w.servers[0].pauseAnswersAt(size, maxBufferedBytes+1)
 		w.servers[1].setScript(w.servers[0].script)
 		begin()
 		await(t, paused)
 		w.discovery.sendLine(change)
-		w.until("update applied", func() bool {
+		w.waitUntil("update applied", func() bool {
 			if version == 0 {
 				return w.send("consult").status == 503 // no server accepts new requests
 			}
@@ -390,8 +390,8 @@
 		close(resume)
 		await(t, received).requireEqual(t, receivedAnswer{200, uniqueBody(size, id), nil})
 		if version == 0 {
-			w.discovery.sendLine(listJSON(42, false, w.servers[0].entry("active"), w.servers[1].entry("active")))
-			w.until("servers in use again", func() bool {
+			w.discovery.sendLine(listJSON(42, false, w.servers[0].listEntry("active"), w.servers[1].listEntry("active")))
+			w.waitUntil("servers in use again", func() bool {
 				for _, s := range w.servers {
 					s.setScript(nil)
 				}
@@ -418,7 +418,7 @@
 			}()
 			await(t, paused)
 			require.NoError(t, w.process.Process.Signal(syscall.SIGTERM))
-			w.until("no longer ready", func() bool { return w.readyStatus() == 503 })
+			w.waitUntil("no longer ready", func() bool { return w.readyStatus() == 503 })
 			if ends {
 				close(resume)
 				await(t, received).requireEqual(t, receivedAnswer{200, uniqueBody(size, id), nil})
@@ -445,7 +445,7 @@
 	require.Greater(t, time.Since(began), time.Second)
 	require.Less(t, time.Since(began), 10*time.Second)
 	close(resume)
-	w.until("server connection is closed", func() bool { return w.servers[0].openCount() == 0 })
+	w.waitUntil("server connection is closed", func() bool { return w.servers[0].openCount() == 0 })
 }
 
 // A short answer that the agent has begun to forward, because the operator file sets whole_kb to less than its length,
@@ -513,7 +513,7 @@
 	w.answerAll(chunkedAnswer(4<<20 + 1))
 	id, g := w.sendAndRead("rezervare", 30000)
 	g.requireTruncated(t, uniqueBody(4<<20, id), maxBufferedBytes)
-	w.until("server connection is closed", func() bool { return w.servers[0].openCount() == 0 })
+	w.waitUntil("server connection is closed", func() bool { return w.servers[0].openCount() == 0 })
 	require.Equal(t, 1, w.attemptCount())
 }
 
@@ -525,10 +525,10 @@
 	g.requireEqual(t, receivedAnswer{200, uniqueBody(4<<20, id), nil})
 	reload := func(operator, log string) {
 		w.operatorFile = operator
-		w.configure()
+		w.writeConfig()
 		before := strings.Count(w.log.String(), log)
 		require.NoError(t, w.process.Process.Signal(syscall.SIGHUP))
-		w.until(log, func() bool { return strings.Count(w.log.String(), log) > before })
+		w.waitUntil(log, func() bool { return strings.Count(w.log.String(), log) > before })
 	}
 	w.answerAll(func(s upstreamAttempt) string { return reply("200 OK", uniqueBody(64<<10+1, correlationID(s))) })
 	reload("[answers]\nlongest_kb = 64\nstall = 1\nlag_ms = -1\n", "toml:4:1: answers.lag_ms: must be")
@@ -580,20 +580,20 @@
 		_, err := io.WriteString(c, reply("200 OK", uniqueBody(size, correlationID(s))))
 		return err == nil
 	})
-	w.until("watch", func() bool { return w.discovery.watchCount() == 1 })
-	before := w.descriptors()
+	w.waitUntil("watch", func() bool { return w.discovery.watchCount() == 1 })
+	before := w.descriptorCount()
 	stop := make(chan struct{})
 	defer close(stop)
 	for range 100 {
 		go w.readSlowly(w.request("consult", 60000), stop)
 	}
-	w.until("slow clients are being answered", func() bool { return openAnswers.Load() > 10 })
+	w.waitUntil("slow clients are being answered", func() bool { return openAnswers.Load() > 10 })
 	for range 5 {
 		id, g := w.sendAndRead("rezervare", 60000)
 		g.requireEqual(t, receivedAnswer{200, uniqueBody(400_000, id), nil})
 	}
-	w.until("the server has no such answer open", func() bool { return openAnswers.Load() == 0 })
-	w.until("slow clients are disconnected", func() bool { return w.descriptors() < before+20 })
+	w.waitUntil("the server has no such answer open", func() bool { return openAnswers.Load() == 0 })
+	w.waitUntil("slow clients are disconnected", func() bool { return w.descriptorCount() < before+20 })
 	require.NotContains(t, w.log.String(), "server s-0 ejected")
 }
 
@@ -624,7 +624,7 @@
 	defer func() { _ = c.Close() }()
 	require.NoError(t, c.(*net.TCPConn).SetReadBuffer(16<<10))
 	require.NoError(t, r.Write(c))
-	w.until("server cannot send more", func() bool {
+	w.waitUntil("server cannot send more", func() bool {
 		before := written.Load()
 		time.Sleep(200 * time.Millisecond)
 		return before > 0 && written.Load() == before
@@ -735,7 +735,7 @@
 	for range 24 {
 		go w.readSlowly(w.request("consult", 60000), stop)
 	}
-	w.until("slow clients' requests have reached the servers", func() bool { return w.attemptCount() == 24 })
+	w.waitUntil("slow clients' requests have reached the servers", func() bool { return w.attemptCount() == 24 })
 	for _, s := range w.servers {
 		s.setAnswer(func(s upstreamAttempt) string { return reply("200 OK", uniqueBody(200_000, correlationID(s))) })
 	}
--- a/cmd/dunestep/budgets_test.go
+++ b/cmd/dunestep/budgets_test.go
@@ -92,22 +92,22 @@
 		return request(fmt.Sprintf("%x", rand.Uint64()))
 	}, func(int, int) {})
 	sent := w.attemptCount()
-	w.until("the agent has measured the request rate", func() bool { return w.attemptCount() > sent+2*perS })
-	w.until("watch", func() bool { return w.discovery.watchCount() == 1 })
-	restarted := w.servers[3].entry("active")
+	w.waitUntil("the agent has measured the request rate", func() bool { return w.attemptCount() > sent+2*perS })
+	w.waitUntil("watch", func() bool { return w.discovery.watchCount() == 1 })
+	restarted := w.servers[3].listEntry("active")
 	restarted["started_ms"] = time.Now().UnixMilli()
 	w.discovery.sendLine(listJSON(42, false, restarted))
 	updatedAt := time.Now()
 	time.Sleep(200 * time.Millisecond) // until the update is applied
 	useOwnedKeys.Store(true)
 	from, before := time.Now(), len(w.servers[3].attempts())
-	w.until("the restarted server gets a request", func() bool { return len(w.servers[3].attempts()) > before })
+	w.waitUntil("the restarted server gets a request", func() bool { return len(w.servers[3].attempts()) > before })
 	time.Sleep(time.Until(updatedAt.Add(5 * time.Second)))
 	end()
 	limit := slowStartLimit(capacity)
 	var arrivals []time.Time
-	for _, st := range w.servers[3].attempts() {
-		arrivals = append(arrivals, st.receivedAt)
+	for _, attempt := range w.servers[3].attempts() {
+		arrivals = append(arrivals, attempt.receivedAt)
 	}
 	count := maxInWindow(arrivals, from.Add(slowStartWindow-200*time.Millisecond), slowStartWindow)
 	t.Logf("at most %d attempts in 3 s, limit %.0f", count, limit)
@@ -117,11 +117,11 @@
 // answerOneAtATime makes an endpoint process one request at a time. Each takes processingTime.
 func (s *server) answerOneAtATime(processingTime time.Duration) {
 	var mu sync.Mutex
-	s.setAnswer(func(st upstreamAttempt) string {
+	s.setAnswer(func(attempt upstreamAttempt) string {
 		mu.Lock()
 		defer mu.Unlock()
 		time.Sleep(processingTime)
-		return ok(st)
+		return ok(attempt)
 	})
 }
 
--- a/cmd/dunestep/commands_test.go
+++ b/cmd/dunestep/commands_test.go
@@ -32,7 +32,7 @@
 func TestCheck(t *testing.T) {
 	w := newTestbed(t, 1)
 	w.configPath = filepath.Join(t.TempDir(), "config.json")
-	w.configure()
+	w.writeConfig()
 	code, out, errs := command(t, "check", "--config", w.configPath, "--operator", "../../deploy/operator.toml")
 	require.Zero(t, code, errs)
 	require.NotEmpty(t, out)
@@ -40,7 +40,7 @@
 	// Faults of both files are reported together.
 	w.config["listen"], w.config["seed"] = "here", "xyz"
 	w.operatorFile = "[answers]\nlag_ms = -1\n[log]\nlevel = \"all\"\n"
-	w.configure()
+	w.writeConfig()
 	code, _, errs = command(t, "check", "--config", w.configPath, "--operator", w.configPath+".toml")
 	require.Equal(t, 2, code)
 	require.Equal(t, 4, strings.Count(errs, "\n"), errs)
@@ -51,7 +51,7 @@
 	// Faults that only the balancer detects.
 	w.config["listen"], w.config["seed"] = w.addr, "1"
 	w.config["settings"].(object)["resolution"] = 0
-	w.configure()
+	w.writeConfig()
 	code, _, errs = command(t, "check", "--config", w.configPath)
 	require.Equal(t, 2, code)
 	require.Regexp(t, `config.json:1:\d+: balancer: `, errs)
@@ -59,7 +59,7 @@
 	// Conflicts between the files.
 	w.config["settings"].(object)["resolution"] = 5000
 	w.operatorFile = "[graphql]\nlisten = \"front\"\npath = \"/consult\"\nsafe_class = \"none\"\n"
-	w.configure()
+	w.writeConfig()
 	code, _, errs = command(t, "check", "--config", w.configPath, "--operator", w.configPath+".toml")
 	require.Equal(t, 2, code)
 	require.Equal(t, 2, strings.Count(errs, "operator file: graphql: "), errs)
@@ -90,9 +90,9 @@
 	require.Equal(t, "n0", line.Name)
 
 	w.operatorFile = "[log]\nformat = \"text\"\n"
-	w.configure()
+	w.writeConfig()
 	require.NoError(t, w.process.Process.Signal(syscall.SIGHUP))
-	w.until("log in text format", func() bool { return strings.Contains(w.log.String(), `level=INFO msg="configuration applied"`) })
+	w.waitUntil("log in text format", func() bool { return strings.Contains(w.log.String(), `level=INFO msg="configuration applied"`) })
 
 	quiet := newSerialTestbed(t, 1).start(func(w *testbed) { w.operatorFile = "[log]\nlevel = \"error\"\n" })
 	require.Equal(t, 200, quiet.send("consult").status)
--- a/cmd/dunestep/crossings_client_test.go
+++ b/cmd/dunestep/crossings_client_test.go
@@ -25,8 +25,8 @@
 // rawClient is a client connection to which the test writes bytes directly.
 type rawClient struct {
 	*net.TCPConn
-	w  *testbed
-	in *bufio.Reader
+	testbed *testbed
+	in      *bufio.Reader
 }
 
 func (w *testbed) newRawClient() *rawClient {
@@ -38,8 +38,8 @@
 // send writes a text, and returns once the kernel on the program's side has acknowledged all of it.
 func (c *rawClient) send(text string) {
 	_, err := io.WriteString(c, text)
-	require.NoError(c.w.t, err)
-	c.w.until("data acknowledged", func() bool {
+	require.NoError(c.testbed.t, err)
+	c.testbed.waitUntil("data acknowledged", func() bool {
 		raw, err := c.SyscallConn()
 		if err != nil {
 			return false
@@ -52,11 +52,11 @@
 
 // readAnswer reads one complete answer.
 func (c *rawClient) readAnswer() answer {
-	c.w.t.Helper()
+	c.testbed.t.Helper()
 	r, err := http.ReadResponse(c.in, nil)
-	require.NoError(c.w.t, err)
+	require.NoError(c.testbed.t, err)
 	body, err := io.ReadAll(r.Body)
-	require.NoError(c.w.t, err)
+	require.NoError(c.testbed.t, err)
 	if r.Close {
 		r.Header.Set("Connection", "close")
 	}
@@ -65,9 +65,9 @@
 
 // requireEOF checks that the program closes the connection without further data and without a reset.
 func (c *rawClient) requireEOF() {
-	c.w.t.Helper()
+	c.testbed.t.Helper()
 	_, err := c.in.ReadByte()
-	require.ErrorIs(c.w.t, err, io.EOF)
+	require.ErrorIs(c.testbed.t, err, io.EOF)
 }
 
 // requestText returns a request of a class in wire format, with the time that its client has left.
@@ -83,12 +83,12 @@
 // terminate sends SIGTERM to the program, and returns once the program has begun to drain.
 func (w *testbed) terminate() {
 	w.signal(syscall.SIGTERM)
-	w.until("no longer ready", func() bool { return w.readyStatus() == http.StatusServiceUnavailable })
+	w.waitUntil("no longer ready", func() bool { return w.readyStatus() == http.StatusServiceUnavailable })
 }
 
 // awaitListenerClosed returns once the draining program accepts no further connections.
 func (w *testbed) awaitListenerClosed() {
-	w.until("connections are refused", func() bool {
+	w.waitUntil("connections are refused", func() bool {
 		c, err := net.Dial("tcp", w.addr)
 		if err == nil {
 			_ = c.Close()
@@ -190,10 +190,10 @@
 		w := start(t, 1, withLongTimeoutsAndFastExit)
 		s := w.servers[0]
 		require.NoError(t, s.socket.IgnoreConnections())
-		w.until("the accept queue is full", s.socket.IsBacklogFull)
+		w.waitUntil("the accept queue is full", s.socket.IsBacklogFull)
 		c := w.newRawClient()
 		c.send(w.requestText("rezervare", 60000))
-		w.until("connecting", func() bool { return countConnecting(t, w.process.Process.Pid) > 0 })
+		w.waitUntil("connecting", func() bool { return countConnecting(t, w.process.Process.Pid) > 0 })
 		w.terminate()
 		require.Zero(t, w.attemptCount())
 		require.NoError(t, s.socket.AcceptConnections())
@@ -206,7 +206,7 @@
 // it has accepted.
 func TestSecondSIGTERMDuringDrain(t *testing.T) {
 	w := start(t, 1, withLongTimeoutsAndFastExit)
-	w.until("watch", func() bool { return w.discovery.watchCount() == 1 })
+	w.waitUntil("watch", func() bool { return w.discovery.watchCount() == 1 })
 	received, release := make(chan struct{}), make(chan struct{})
 	w.answerFirst(func(s upstreamAttempt) string { close(received); <-release; return ok(s) }, ok)
 	c := w.newRawClient()
@@ -249,7 +249,7 @@
 func TestSIGTERMBeforeReady(t *testing.T) {
 	w := newTestbed(t, 1)
 	w.configPath = filepath.Join(t.TempDir(), "config.json")
-	w.configure()
+	w.writeConfig()
 	text, err := os.ReadFile(w.configPath)
 	require.NoError(t, err)
 	pipe := filepath.Join(t.TempDir(), "config.pipe")
@@ -278,7 +278,7 @@
 				w.config["known"] = object{"version": 0, "full": true, "servers": []object{}}
 			}
 			w.launch()
-			w.until("listening", func() bool { return w.readyStatus() != 0 })
+			w.waitUntil("listening", func() bool { return w.readyStatus() != 0 })
 			ready := w.readyStatus() == http.StatusOK
 			require.Equal(t, known, ready)
 			c := w.newRawClient()
@@ -304,7 +304,7 @@
 		w.config["limits"].(object)["sockets"] = limit
 		w.useLongTimeouts()
 	})
-	w.until("watch", func() bool { return w.discovery.watchCount() == 1 })
+	w.waitUntil("watch", func() bool { return w.discovery.watchCount() == 1 })
 	w.discovery.setResponse(503, false)
 	w.discovery.endWatches()
 	for range 2 * limit {
@@ -321,11 +321,11 @@
 		require.NoError(t, resp.Body.Close())
 		require.Equal(t, 200, resp.StatusCode)
 	}
-	require.LessOrEqual(t, w.descriptors(), limit)
+	require.LessOrEqual(t, w.descriptorCount(), limit)
 	before := len(w.discovery.callTargets())
-	w.until("discovery polled again", func() bool { return len(w.discovery.callTargets()) > before })
+	w.waitUntil("discovery polled again", func() bool { return len(w.discovery.callTargets()) > before })
 	w.discovery.setResponse(200, false)
-	w.until("watch again", func() bool { return w.discovery.watchCount() == 1 })
+	w.waitUntil("watch again", func() bool { return w.discovery.watchCount() == 1 })
 	require.Equal(t, 200, w.statusOnNewConn(http.MethodGet, "/health/ready"))
 }
 
--- a/cmd/dunestep/crossings_upstream_test.go
+++ b/cmd/dunestep/crossings_upstream_test.go
@@ -13,11 +13,11 @@
 // useFaultyServer replaces the endpoint list by a single faultyServer, which has no fault.
 func useFaultyServer(t *testing.T, w *testbed) *faultyServer {
 	f := newFaultyServer(t, "")
-	w.config["known"].(object)["servers"] = []object{f.entry("active")}
+	w.config["known"].(object)["servers"] = []object{f.listEntry("active")}
 	return f
 }
 
-func (f *faultyServer) entry(state string) object {
+func (f *faultyServer) listEntry(state string) object {
 	return object{"id": "s-0", "addr": f.Addr(), "zone": "a", "kind": "rapid", "cell": 1, "state": state, "weight": 1.0}
 }
 
@@ -29,9 +29,9 @@
 	w.config["settings"].(object)["rules"].(object)["stopSendingWithin"] = 1_000_000
 	f := useFaultyServer(t, w)
 	w.start()
-	w.until("watch", func() bool { return w.discovery.watchCount() == 1 })
+	w.waitUntil("watch", func() bool { return w.discovery.watchCount() == 1 })
 	require.NoError(t, f.IgnoreConnections())
-	w.until("the accept queue is full", f.IsBacklogFull)
+	w.waitUntil("the accept queue is full", f.IsBacklogFull)
 	answered := make(chan int, 1)
 	r := w.request("rezervare", 60000)
 	r.Close = true
@@ -44,10 +44,10 @@
 		_ = resp.Body.Close()
 		answered <- resp.StatusCode
 	}()
-	w.until("connecting", func() bool { return countConnecting(t, w.process.Process.Pid) > 0 })
-	w.discovery.sendLine(listJSON(42, false, f.entry("leaving")))
+	w.waitUntil("connecting", func() bool { return countConnecting(t, w.process.Process.Pid) > 0 })
+	w.discovery.sendLine(listJSON(42, false, f.listEntry("leaving")))
 	updatedAt := time.Now()
-	w.until("connection attempt abandoned", func() bool { return countConnecting(t, w.process.Process.Pid) == 0 })
+	w.waitUntil("connection attempt abandoned", func() bool { return countConnecting(t, w.process.Process.Pid) == 0 })
 	require.Less(t, time.Since(updatedAt), 5*time.Second, "half of the drain grace, and a margin for a busy machine")
 	require.NoError(t, f.AcceptConnections())
 	require.Equal(t, http.StatusServiceUnavailable, await(t, answered))
@@ -62,7 +62,7 @@
 	f := useFaultyServer(t, w)
 	w.start()
 	require.NoError(t, f.IgnoreConnections())
-	w.until("the accept queue is full", f.IsBacklogFull)
+	w.waitUntil("the accept queue is full", f.IsBacklogFull)
 	for _, class := range []string{"consult", "rezervare"} {
 		for _, leftMS := range []int{0, 1, 4, 5, 6, 20, 60} {
 			began := time.Now()
@@ -72,8 +72,8 @@
 		}
 	}
 	require.NoError(t, f.AcceptConnections()) // pending connections are established when the kernel retransmits
-	w.until("no connection is pending", func() bool { return countConnecting(t, w.process.Process.Pid) == 0 })
-	w.until("served again", func() bool { return w.do(w.request("consult", 20000)).status == http.StatusOK })
+	w.waitUntil("no connection is pending", func() bool { return countConnecting(t, w.process.Process.Pid) == 0 })
+	w.waitUntil("served again", func() bool { return w.do(w.request("consult", 20000)).status == http.StatusOK })
 	require.EqualValues(t, 1, f.requests.Load(), "nothing was forwarded for clients whose time was up")
 }
 
@@ -86,7 +86,7 @@
 		t.Run(name, func(t *testing.T) {
 			w := start(t, 2, (*testbed).useLongTimeouts)
 			if connected {
-				w.until("both servers have a connection", func() bool {
+				w.waitUntil("both servers have a connection", func() bool {
 					for _, s := range w.servers {
 						if len(s.attempts()) == 0 {
 							r := w.request("consult", leftMS)
@@ -111,14 +111,14 @@
 			require.Equal(t, http.StatusOK, w.do(r).status)
 			require.Equal(t, 2, w.attemptCount()-before)
 			for _, s := range w.servers {
-				for _, st := range s.attempts() {
-					if correlationID(st) != correlationID(upstreamAttempt{Request: r}) {
+				for _, attempt := range s.attempts() {
+					if correlationID(attempt) != correlationID(upstreamAttempt{Request: r}) {
 						continue
 					}
-					timeLeft, err := strconv.Atoi(st.Header.Get("X-Time-Left-Ms"))
+					timeLeft, err := strconv.Atoi(attempt.Header.Get("X-Time-Left-Ms"))
 					require.NoError(t, err)
 					require.LessOrEqual(t, timeLeft, leftMS)
-					if st.server != rejectedBy.Load() {
+					if attempt.server != rejectedBy.Load() {
 						require.LessOrEqual(t, timeLeft, leftMS-int(delay.Milliseconds()))
 					}
 				}
--- a/cmd/dunestep/deployments_test.go
+++ b/cmd/dunestep/deployments_test.go
@@ -77,25 +77,25 @@
 }
 
 // requireAllServed checks that a request of every class is served for every tenant.
-func (w *testbed) requireAllServed(site deployment) {
+func (w *testbed) requireAllServed(d deployment) {
 	w.t.Helper()
-	for _, c := range site.classes {
-		for _, tenant := range site.tenants {
+	for _, c := range d.classes {
+		for _, tenant := range d.tenants {
 			r := w.requestFor(c.name, tenant)
 			got := w.do(r)
 			require.Equal(w.t, http.StatusOK, got.status, "%s for %s: %s", c.name, tenant, got.body)
-			require.True(w.t, strings.HasPrefix(got.body, r.Header.Get("X-Correlation-Id")+" "+site.idPrefix), got.body)
+			require.True(w.t, strings.HasPrefix(got.body, r.Header.Get("X-Correlation-Id")+" "+d.idPrefix), got.body)
 		}
 	}
 }
 
 // requireAllUnknown checks that requests of every class of a deployment are rejected as of an unknown class, and that none
 // is forwarded.
-func (w *testbed) requireAllUnknown(site deployment) {
+func (w *testbed) requireAllUnknown(d deployment) {
 	w.t.Helper()
 	before := w.attemptCount()
-	for _, c := range site.classes {
-		got := w.do(w.requestFor(c.name, site.tenants[0]))
+	for _, c := range d.classes {
+		got := w.do(w.requestFor(c.name, d.tenants[0]))
 		require.Equal(w.t, answer{http.StatusBadRequest, "unknown class\n", got.header}, got, c.name)
 	}
 	require.Equal(w.t, before, w.attemptCount(), "no request was forwarded")
@@ -105,13 +105,13 @@
 func TestDeployments(t *testing.T) {
 	t.Parallel()
 	for name, pair := range map[string][2]deployment{"coast": {coast, hills}, "hills": {hills, coast}} {
-		site, other := pair[0], pair[1]
+		own, other := pair[0], pair[1]
 		for check, run := range map[string]func(*testbed){
 			"served": func(w *testbed) {
-				w.requireAllServed(site)
+				w.requireAllServed(own)
 				for _, s := range w.servers {
 					for _, attempt := range s.attempts() {
-						c := site.classNamed(strings.Split(attempt.URL.Path, "/")[1])
+						c := own.classNamed(strings.Split(attempt.URL.Path, "/")[1])
 						require.Equal(w.t, map[bool]string{true: "GET", false: "POST"}[c.effect == retryable], attempt.Method)
 						timeLeft, err := strconv.Atoi(attempt.Header.Get("X-Time-Left-Ms"))
 						require.NoError(w.t, err)
@@ -120,19 +120,19 @@
 				}
 			},
 			"idempotency keys": func(w *testbed) {
-				for _, c := range site.classes {
+				for _, c := range own.classes {
 					w.answerFirst(func(upstreamAttempt) string { return reply("503 No", "", "X-Unprocessed: 1") }, ok)
-					require.Equal(w.t, http.StatusOK, w.do(w.requestFor(c.name, site.tenants[0])).status, c.name)
+					require.Equal(w.t, http.StatusOK, w.do(w.requestFor(c.name, own.tenants[0])).status, c.name)
 				}
-				require.Equal(w.t, 2*len(site.classes), w.attemptCount())
+				require.Equal(w.t, 2*len(own.classes), w.attemptCount())
 				w.requireKeysForwarded()
 			},
-			"unknown classes": func(w *testbed) { w.requireAllUnknown(other); w.requireAllServed(site) },
+			"unknown classes": func(w *testbed) { w.requireAllUnknown(other); w.requireAllServed(own) },
 			"may have run": func(w *testbed) {
-				for _, c := range site.classes {
+				for _, c := range own.classes {
 					w.answerFirst(func(upstreamAttempt) string { return hangUp }, ok)
 					before := w.attemptCount()
-					got := w.do(w.requestFor(c.name, site.tenants[0]))
+					got := w.do(w.requestFor(c.name, own.tenants[0]))
 					status, attempts := http.StatusOK, 2
 					if c.effect == fragile || c.effect == dedup && c.keyRetention == 0 {
 						status, attempts = http.StatusBadGateway, 1
@@ -142,30 +142,30 @@
 			},
 			"rejected": func(w *testbed) {
 				w.answerAll(func(upstreamAttempt) string { return reply("503 Service Unavailable", "", "X-Unprocessed: 1") })
-				for _, c := range site.classes {
+				for _, c := range own.classes {
 					before := w.attemptCount()
-					got := w.do(w.requestFor(c.name, site.tenants[0]))
+					got := w.do(w.requestFor(c.name, own.tenants[0]))
 					require.Equal(w.t, http.StatusServiceUnavailable, got.status, c.name)
-					require.LessOrEqual(w.t, w.attemptCount()-before, site.maxAttempts, c.name)
+					require.LessOrEqual(w.t, w.attemptCount()-before, own.maxAttempts, c.name)
 					after, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
-					require.Equal(w.t, site.retryAfter, err == nil, got.header)
-					require.LessOrEqual(w.t, after, site.maxRetryAfter.Seconds())
+					require.Equal(w.t, own.retryAfter, err == nil, got.header)
+					require.LessOrEqual(w.t, after, own.maxRetryAfter.Seconds())
 				}
 			},
 			"attempts": func(w *testbed) {
 				w.answerAll(func(upstreamAttempt) string { return reply("500 Internal Server Error", "") })
-				for _, c := range site.classes {
+				for _, c := range own.classes {
 					if c.effect == retryable {
-						w.do(w.requestFor(c.name, site.tenants[0]))
+						w.do(w.requestFor(c.name, own.tenants[0]))
 					}
 				}
-				require.Equal(w.t, site.maxAttempts, w.attemptCount())
+				require.Equal(w.t, own.maxAttempts, w.attemptCount())
 			},
 			"drains": func(w *testbed) {
 				drains := w.startDrainCheck()
-				w.until("watch", func() bool { return w.discovery.watchCount() == 1 })
+				w.waitUntil("watch", func() bool { return w.discovery.watchCount() == 1 })
 				drains.expectDrained(w.servers[1], 0)
-				w.discovery.sendLine(listJSON(42, false, w.servers[1].entry("leaving")))
+				w.discovery.sendLine(listJSON(42, false, w.servers[1].listEntry("leaving")))
 				drains.check()
 				require.Empty(w.t, w.servers[0].attempts(), "the endpoint was draining from the start")
 			},
@@ -174,9 +174,9 @@
 				t.Parallel()
 				// A failure counts as an answer that takes about the latency objective, and the balancer makes no attempt
 				// at a server that slow. So there are more servers than failures.
-				w := newDeploymentTestbed(t, site, 8)
+				w := newDeploymentTestbed(t, own, 8)
 				if check == "drains" {
-					w.config["known"] = object{"version": 41, "full": true, "servers": w.entries(w.servers[0])}
+					w.config["known"] = object{"version": 41, "full": true, "servers": w.listEntries(w.servers[0])}
 				}
 				run(w.start())
 			})
@@ -190,10 +190,10 @@
 	text strings.Builder
 }
 
-func (s *transcript) add(what ...any) {
+func (s *transcript) add(values ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	fmt.Fprintln(&s.text, what...)
+	fmt.Fprintln(&s.text, values...)
 }
 
 // addOutput adds the output of a testbed's agent so far, except its answers.
@@ -240,10 +240,10 @@
 }
 
 // requireStatsOf checks that the agent's statistics have exactly a deployment's classes.
-func (w *testbed) requireStatsOf(site deployment) {
+func (w *testbed) requireStatsOf(d deployment) {
 	w.t.Helper()
 	var want, got []string
-	for _, c := range site.classes {
+	for _, c := range d.classes {
 		want = append(want, c.name)
 	}
 	for name := range w.stats().Responses {
@@ -256,11 +256,11 @@
 // by the other one's requests or by operators' commands to it.
 func TestAgentsSideBySideShareNothing(t *testing.T) {
 	t.Parallel()
-	sites := [2]deployment{coast, hills}
+	deployments := [2]deployment{coast, hills}
 	var testbeds [2]*testbed
 	folder := t.TempDir()
-	for i, site := range sites {
-		testbeds[i] = newDeploymentTestbed(t, site, 3)
+	for i, d := range deployments {
+		testbeds[i] = newDeploymentTestbed(t, d, 3)
 		testbeds[i].tempDir = folder
 		testbeds[i].start(withOpsSocket)
 		if i == 0 { // before the other agent starts
@@ -275,13 +275,13 @@
 	var all sync.WaitGroup
 	var transcripts [2]transcript
 	for i, w := range testbeds {
-		all.Go(func() { w.sendAllCombinations(&transcripts[i], sites[i], sites[1-i]) })
+		all.Go(func() { w.sendAllCombinations(&transcripts[i], deployments[i], deployments[1-i]) })
 	}
 	all.Wait()
 	for i, w := range testbeds {
-		w.requireStatsOf(sites[i])
+		w.requireStatsOf(deployments[i])
 		transcripts[i].addOutput(w)
-		transcripts[i].requireNoNameOf(t, sites[1-i])
+		transcripts[i].requireNoNameOf(t, deployments[1-i])
 	}
 }
 
@@ -291,15 +291,15 @@
 	t.Parallel()
 	w := newDeploymentTestbed(t, coast, 3)
 	w.start(withOpsSocket)
-	w.until("watch", func() bool { return w.discovery.watchCount() == 1 })
+	w.waitUntil("watch", func() bool { return w.discovery.watchCount() == 1 })
 	var output, successorOutput transcript
 	own, limits := w.config["settings"], w.config["limits"]
 	for round, settings := range []any{hills.settings(), own, hills.settings()} {
 		w.config["settings"] = settings
 		w.config["limits"] = object{"cores": 1.0, "memory_mb": 160 + round, "sockets": 900 + round}
-		w.configure()
+		w.writeConfig()
 		require.NoError(t, w.process.Process.Signal(syscall.SIGHUP))
-		w.until("configuration applied", func() bool {
+		w.waitUntil("configuration applied", func() bool {
 			return strings.Contains(w.log.String(), fmt.Sprintf("memory_mb=%d sockets=%d", 160+round, 900+round))
 		})
 		w.requireAllUnknown(hills)
@@ -317,11 +317,11 @@
 	for i := range 3 {
 		s := newServer(t, fmt.Sprint(hills.idPrefix, i))
 		s.zone, s.kind = hills.zone, hills.kind
-		successor.servers, entries = append(successor.servers, s), append(entries, s.entry("active"))
+		successor.servers, entries = append(successor.servers, s), append(entries, s.listEntry("active"))
 	}
 	w.config["known"] = object{"version": 7, "full": true, "servers": entries}
 	successor.launch()
-	successor.until("ready", func() bool {
+	successor.waitUntil("ready", func() bool {
 		resp, err := http.Get("http://" + successor.opsAddr + "/ops/readiness")
 		if err == nil {
 			_ = resp.Body.Close()
@@ -343,9 +343,9 @@
 func TestStateIsNotRestoredForAnotherDeployment(t *testing.T) {
 	w := start(t, 2, withOpsSocket, func(w *testbed) { w.operatorFile = "[state]\ndeployment = \"coast\"\n" })
 	w.operatorFile = "[state]\ndeployment = \"hills\"\n"
-	w.configure()
+	w.writeConfig()
 	require.NoError(t, w.process.Process.Signal(syscall.SIGHUP))
-	w.until("configuration applied", func() bool { return strings.Contains(w.log.String(), "configuration applied") })
+	w.waitUntil("configuration applied", func() bool { return strings.Contains(w.log.String(), "configuration applied") })
 	next := w.upgrade()
 	require.Contains(t, next.log.String(), `msg="state not restored" error="state: belongs to another agent or another deployment"`)
 	require.NotContains(t, next.log.String(), `msg="state restored"`)
--- a/cmd/dunestep/discovery_test.go
+++ b/cmd/dunestep/discovery_test.go
@@ -70,11 +70,11 @@
 	delete(d.watches, c)
 }
 
-// setResponse sets how later calls are answered. Status 0: no response; mute: watches get no empty lines.
-func (d *discovery) setResponse(status int, mute bool) {
+// setResponse sets how later calls are answered. Status 0: no response.
+func (d *discovery) setResponse(status int, withoutKeepalives bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.status, d.withoutKeepalives = status, mute
+	d.status, d.withoutKeepalives = status, withoutKeepalives
 }
 
 // callTargets returns the request targets of all calls so far.
@@ -104,10 +104,10 @@
 }
 
 // setInitialText sets the text that is sent first on each later watch.
-func (d *discovery) setInitialText(with string) {
+func (d *discovery) setInitialText(text string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.initialText = with
+	d.initialText = text
 }
 
 // stopKeepalives stops the empty lines on the open watches.
--- a/cmd/dunestep/earlierbuild_test.go
+++ b/cmd/dunestep/earlierbuild_test.go
@@ -44,19 +44,19 @@
 	earlier := buildOfCommit(t, beforeRenaming)
 	w := start(t, 3, withOpsSocket, (*testbed).useLongTimeouts, func(w *testbed) { w.program = earlier })
 	l := w.startLoad(8)
-	w.until("load", func() bool { return l.ok.Load() > 50 })
+	w.waitUntil("load", func() bool { return l.served.Load() > 50 })
 	w.requireOpsOK("POST", "/ops/booking-servers/down", "s-0")
 	current, program := w, ""
 	for range 2 {
 		next := current.nextProcess()
 		next.program = program
 		next.launch()
-		next.untilReady()
+		next.awaitReady()
 		require.Zero(t, current.stop(), current.log.String())
 		current, program = next, earlier
 		attemptsBefore := len(w.servers[0].attempts())
-		goal := l.ok.Load() + 100
-		w.until("100 more requests are served", func() bool { return l.ok.Load() > goal })
+		goal := l.served.Load() + 100
+		w.waitUntil("100 more requests are served", func() bool { return l.served.Load() > goal })
 		require.Len(t, w.servers[0].attempts(), attemptsBefore, "a disabled endpoint gets no attempts")
 		require.Equal(t, 1, current.stats().Ejected)
 	}
@@ -74,21 +74,21 @@
 	}
 	earlier := buildOfCommit(t, beforeRenaming)
 	w := newTestbed(t, 3)
-	path := w.keepState("")
+	path := w.enableState("")
 	w.answerAll(answerSlowly)
 	w.servers[0].setAnswer(func(upstreamAttempt) string { return silence })
 	w.program = earlier
 	w.start()
-	w.until("watch", func() bool { return w.discovery.watchCount() == 1 })
-	w.discovery.sendLine(listJSON(77, false, w.servers[1].entry("active")))
-	w.offerLoad(2 * time.Second)
-	w.until("ejected", func() bool { return strings.Contains(w.log.String(), "down s-0") })
+	w.waitUntil("watch", func() bool { return w.discovery.watchCount() == 1 })
+	w.discovery.sendLine(listJSON(77, false, w.servers[1].listEntry("active")))
+	w.sendLoad(2 * time.Second)
+	w.waitUntil("ejected", func() bool { return strings.Contains(w.log.String(), "down s-0") })
 	require.Zero(t, w.stop())
 	for program, restored := range map[string]string{"": `msg="state restored"`, earlier: `msg="state taken over"`} {
 		w.program = program
 		w.relaunch()
-		w.until("restored", func() bool { return strings.Contains(w.log.String(), restored) })
-		w.until("watch from the restored version", func() bool {
+		w.waitUntil("restored", func() bool { return strings.Contains(w.log.String(), restored) })
+		w.waitUntil("watch from the restored version", func() bool {
 			calls := w.discovery.callTargets()
 			return strings.HasSuffix(calls[len(calls)-1], "from=77")
 		})
@@ -124,14 +124,14 @@
 	isDisabled := isDown("s-0")
 	isEnabled := func(a *lab.Agent, s fleetStatus) bool { return hasFullStanding(a, s) && !isDisabled(a, s) }
 	runs := []struct { // of the earlier build, this one, the earlier one
-		holds   func(*lab.Agent, fleetStatus) bool
+		inForce func(*lab.Agent, fleetStatus) bool
 		command string
 	}{{hasFullStanding, "down"}, {isDisabled, "up"}, {isEnabled, "down"}}
 	epoch := uint64(0)
 	for i, run := range runs {
 		require.NoError(t, l.StartAll(ctx))
 		require.NoError(t, l.Wait(ctx, "leases", allAgents(l, hasFullStanding)))
-		require.NoError(t, l.Wait(ctx, "the previous run's commands are in force", allAgents(l, run.holds)))
+		require.NoError(t, l.Wait(ctx, "the previous run's commands are in force", allAgents(l, run.inForce)))
 		status := statusAt(l.Agent(3))
 		if i > 0 {
 			require.Equal(t, epoch, status.Epoch, "the log has the same epoch")
--- a/cmd/dunestep/faults_test.go
+++ b/cmd/dunestep/faults_test.go
@@ -84,7 +84,7 @@
 			switch c.fault {
 			case scenario.NoAccept:
 				require.NoError(t, f.IgnoreConnections())
-				w.until("the accept queue is full", f.IsBacklogFull)
+				w.waitUntil("the accept queue is full", f.IsBacklogFull)
 			case scenario.SlowReader:
 				f.SetReadPause(10 * time.Millisecond)
 			}
@@ -107,7 +107,7 @@
 				got, _ = send()
 				require.Equal(t, 502, got.status)
 			}
-			w.until("served again", func() bool {
+			w.waitUntil("served again", func() bool {
 				if got, want = send(); got.status == 200 {
 					require.Equal(t, want, got.body, "the answer belongs to this request")
 				}
@@ -136,17 +136,17 @@
 	}}
 	w.start()
 	require.NoError(t, f.IgnoreConnections())
-	w.until("the accept queue is full", f.IsBacklogFull)
+	w.waitUntil("the accept queue is full", f.IsBacklogFull)
 	var clients []net.Conn
 	for _, head := range []string{"GET /consult", "POST /rezervare"} {
 		clients = append(clients, w.sendRaw(fmt.Sprintf("%s HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: %s\r\nX-Time-Left-Ms: 20000\r\nContent-Length: 0\r\n\r\n", head, w.nextID())))
 	}
-	w.until("both requests wait for a connection", func() bool { return countConnecting(t, w.process.Process.Pid) == 2 })
+	w.waitUntil("both requests wait for a connection", func() bool { return countConnecting(t, w.process.Process.Pid) == 2 })
 	for _, c := range clients {
 		require.NoError(t, c.Close())
 	}
 	require.NoError(t, f.AcceptConnections()) // pending connections are established when the kernel retransmits
-	w.until("no connection is pending", func() bool { return countConnecting(t, w.process.Process.Pid) == 0 })
+	w.waitUntil("no connection is pending", func() bool { return countConnecting(t, w.process.Process.Pid) == 0 })
 	r := w.request("consult", 20000)
 	require.Equal(t, r.Header.Get("X-Correlation-Id")+" 0", w.do(r).body)
 	require.EqualValues(t, 1, f.requests.Load(), "nothing was forwarded for the disconnected clients")
--- a/cmd/dunestep/fleet_test.go
+++ b/cmd/dunestep/fleet_test.go
@@ -79,11 +79,11 @@
 	return nil
 }
 
-// allAgents returns a function that reports whether is returns true for every agent and its status.
-func allAgents(l *lab.Lab, is func(a *lab.Agent, s fleetStatus) bool) func() bool {
+// allAgents returns a function that reports whether condition returns true for every agent and its status.
+func allAgents(l *lab.Lab, condition func(a *lab.Agent, s fleetStatus) bool) func() bool {
 	return func() bool {
 		for _, a := range l.Agents() {
-			if !is(a, statusAt(a)) {
+			if !condition(a, statusAt(a)) {
 				return false
 			}
 		}
@@ -123,8 +123,8 @@
 	for _, a := range l.Agents() {
 		require.True(t, isDown("s-0")(a, statusAt(a)), a.Name+" is ready and has the command")
 		for i := range 20 {
-			_, body, askErr := a.Request(ctx, "consult", fmt.Sprint("k", i))
-			require.NoError(t, askErr)
+			_, body, requestErr := a.Request(ctx, "consult", fmt.Sprint("k", i))
+			require.NoError(t, requestErr)
 			require.NotContains(t, body, "s-0")
 		}
 	}
@@ -134,8 +134,8 @@
 	text, err = fleetCommand(t, l.Agent(4), "up", "s-0")
 	require.NoError(t, err, text)
 	require.NoError(t, l.Wait(ctx, "s-0 gets requests again", func() bool {
-		_, body, askErr := l.Agent(0).Request(ctx, "consult", fmt.Sprint(l.Now()))
-		return askErr == nil && strings.Contains(body, "s-0")
+		_, body, requestErr := l.Agent(0).Request(ctx, "consult", fmt.Sprint(l.Now()))
+		return requestErr == nil && strings.Contains(body, "s-0")
 	}))
 	text, err = fleetCommand(t, l.Agent(1), "status")
 	require.NoError(t, err)
@@ -240,8 +240,8 @@
 		{From: minority, To: majority, Impairment: mishap.Impairment{Cut: true}},
 		{From: majority, To: minority, Impairment: mishap.Impairment{Cut: true}},
 	} {
-		endFault, spoilErr := l.InjectNetworkFault(f)
-		require.NoError(t, spoilErr)
+		endFault, faultErr := l.InjectNetworkFault(f)
+		require.NoError(t, faultErr)
 		defer endFault()
 	}
 	require.NoError(t, l.Wait(ctx, "the minority has the floor standing", func() bool {
--- a/cmd/dunestep/fleetcommands.go
+++ b/cmd/dunestep/fleetcommands.go
@@ -20,7 +20,7 @@
 	Window windowCommands     `cmd:"" help:"Maintenance windows, in which servers get no requests."`
 }
 
-// The outcomes of a command to the fleet that is not in force.
+// The errors of a command to the fleet that was not committed, or of which that is unknown.
 var (
 	errNotCommitted  = errors.New("not taken: the voters did not commit it in time")
 	errIndeterminate = errors.New("not known whether it was taken: check fleet status, and retry")
--- a/cmd/dunestep/fleetops.go
+++ b/cmd/dunestep/fleetops.go
@@ -12,7 +12,7 @@
 	"dunestep/internal/protocol"
 )
 
-// maxTickets is how many commands' outcomes are kept: those of the latest.
+// maxTickets is the maximum number of tickets that are stored: those of the latest commands.
 const maxTickets = 64
 
 // ticket is the state of an operator's command that was proposed to the fleet. Only the fleet's actor
--- a/cmd/dunestep/fleetstate_test.go
+++ b/cmd/dunestep/fleetstate_test.go
@@ -27,7 +27,7 @@
 		"[floor]\nattempts = 1\n"
 	require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
 	client := opsClient{w.opsAddr}
-	w.until("a lease", func() bool {
+	w.waitUntil("a lease", func() bool {
 		var s fleetStatus
 		return client.call(http.MethodGet, "/ops/fleet/status", "", &s) == nil && s.Standing == "full" && s.Ring.Active > 0
 	})
@@ -46,12 +46,12 @@
 	w.answerAll(func(upstreamAttempt) string { return silence })
 	before := w.attemptCount()
 	go func() { _, _ = http.DefaultClient.Do(w.request("consult", 60_000)) }()
-	w.until("a request is in progress", func() bool { return w.attemptCount() > before })
+	w.waitUntil("a request is in progress", func() bool { return w.attemptCount() > before })
 	require.NoError(t, w.process.Process.Signal(syscall.SIGTERM))
-	w.until("old process drains", func() bool { return strings.Contains(w.log.String(), "draining") })
+	w.waitUntil("old process drains", func() bool { return strings.Contains(w.log.String(), "draining") })
 	w.answerAll(ok)
 	attemptsAtFreed := len(w.servers[0].attempts())
-	maxAttempts := func(n int) (most int) {
+	maxAttempts := func(n int) (highest int) {
 		ids := map[string]int{}
 		for i := range n {
 			r := next.request("consult", 5000)
@@ -63,11 +63,11 @@
 			for _, attempt := range s.attempts() {
 				if _, sent := ids[attempt.Header.Get("X-Correlation-Id")]; sent {
 					ids[attempt.Header.Get("X-Correlation-Id")]++
-					most = max(most, ids[attempt.Header.Get("X-Correlation-Id")])
+					highest = max(highest, ids[attempt.Header.Get("X-Correlation-Id")])
 				}
 			}
 		}
-		return most
+		return highest
 	}
 	require.Equal(t, 1, maxAttempts(40))
 	require.Len(t, w.servers[0].attempts(), attemptsAtFreed, "the freed server gets no requests")
--- a/cmd/dunestep/graphql.go
+++ b/cmd/dunestep/graphql.go
@@ -61,7 +61,7 @@
 	if err != nil {
 		return nil, err
 	}
-	classer, err := graphql.NewClassifier(graphql.Rules{
+	classifier, err := graphql.NewClassifier(graphql.Rules{
 		Classes: s.Settings.Classes,
 		Safe:    g.IdempotentClass, Unsafe: g.NonIdempotentClass, Queries: g.Queries, Mutations: g.Mutations,
 		Batches: g.Batch == operator.BatchStrictest, Trusted: trusted,
@@ -75,7 +75,7 @@
 		err = errors.Join(err, fmt.Errorf("path %s is that of a class on the main socket", g.Path))
 	}
 	form := &protocol.GraphQL{
-		Path: g.Path, Classifier: classer, Classes: s.Settings.Classes,
+		Path: g.Path, Classifier: classifier, Classes: s.Settings.Classes,
 		DefaultTenant: g.TenantDefault,
 	}
 	for _, source := range []struct {
--- a/cmd/dunestep/graphql_faults_test.go
+++ b/cmd/dunestep/graphql_faults_test.go
@@ -142,7 +142,7 @@
 	}
 	w.answerAll(executions.answer)
 	w.launch()
-	w.until("ready", func() bool { return w.readyStatus() == http.StatusOK })
+	w.waitUntil("ready", func() bool { return w.readyStatus() == http.StatusOK })
 	var served, sent [2]atomic.Int64 // of queries, of mutations
 	done := make(chan struct{})
 	var clients sync.WaitGroup
@@ -253,11 +253,11 @@
 		time.Sleep(50 * time.Millisecond)
 	} else {
 		old.setAnswer(func(upstreamAttempt) string { return reply("503 Service Unavailable", "", "X-Unprocessed: 1") })
-		w.discovery.sendLine(listJSON(version, false, old.entry("leaving"), next.entry("active")))
+		w.discovery.sendLine(listJSON(version, false, old.listEntry("leaving"), next.listEntry("active")))
 		time.Sleep(200 * time.Millisecond)
 		old.stop()
 	}
-	w.discovery.sendLine(listJSON(version+1, false, old.entry("left"), next.entry("active")))
+	w.discovery.sendLine(listJSON(version+1, false, old.listEntry("left"), next.listEntry("active")))
 	return version + 2
 }
 
@@ -271,10 +271,10 @@
 	}
 	var entries []object
 	for _, s := range w.servers {
-		entries = append(entries, s.entry("active"))
+		entries = append(entries, s.listEntry("active"))
 	}
 	w.config["known"] = object{"version": 1, "full": true, "servers": entries}
 	w.exited = make(chan struct{})
 	w.launch()
-	w.until("ready", func() bool { return w.readyStatus() == http.StatusOK })
+	w.waitUntil("ready", func() bool { return w.readyStatus() == http.StatusOK })
 }
--- a/cmd/dunestep/handover.go
+++ b/cmd/dunestep/handover.go
@@ -43,9 +43,9 @@
 	return successor(u.nextReady)
 }
 
-// listenForHandover opens the socket to which a process that takes over from this one connects; nil: it
-// cannot be opened. It must be open before this process reports that it is ready, because the next process
-// may be started as soon as it does.
+// listenForHandover opens the socket to which a process that takes over from this one connects. It returns
+// nil if the socket cannot be opened. The socket must be open before this process reports that it is ready,
+// because the next process may be started as soon as it does.
 func (p *process) listenForHandover() *handover.Listener {
 	l, err := handover.Listen(os.TempDir(), p.settings.Name, p.settings.Listen)
 	if err != nil {
@@ -99,8 +99,8 @@
 	return !p.upgrade.stopping
 }
 
-// runBeside receives the next process's notifications until it exits, and shares the descriptors with it. The
-// offer gave the next process the number descriptors.
+// runBeside receives the next process's notifications until it exits, and shares the descriptors with it.
+// descriptors is the number that the offer gave it.
 func (p *process) runBeside(next *handover.Peer, descriptors int) {
 	stop := make(chan struct{})
 	defer close(stop)
--- a/cmd/dunestep/helper_test.go
+++ b/cmd/dunestep/helper_test.go
@@ -86,7 +86,7 @@
 	fragile   = "fragile"
 )
 
-// deployment is what the agent's settings say of its environment, and how the endpoints are named.
+// deployment has the settings that describe an agent's environment, and the names of its endpoints.
 type deployment struct {
 	zone, kind, idPrefix string // of an endpoint: zone, machine kind, prefix of its id
 	classes              []class
@@ -206,16 +206,16 @@
 }
 
 // newDeploymentTestbed is newSerialTestbed with a deployment other than the default.
-func newDeploymentTestbed(t testing.TB, site deployment, n int) *testbed {
+func newDeploymentTestbed(t testing.TB, d deployment, n int) *testbed {
 	require.NoError(t, program.DependOnSources())
-	w := &testbed{t: t, deployment: site, log: &logBuffer{}, exited: make(chan struct{}), tempDir: t.TempDir()}
+	w := &testbed{t: t, deployment: d, log: &logBuffer{}, exited: make(chan struct{}), tempDir: t.TempDir()}
 	w.lastID.Store(uint64(time.Now().UnixNano()))
 	var entries []object
 	for i := range n {
-		s := newServer(t, fmt.Sprint(site.idPrefix, i))
-		s.zone, s.kind = site.zone, site.kind
+		s := newServer(t, fmt.Sprint(d.idPrefix, i))
+		s.zone, s.kind = d.zone, d.kind
 		w.servers = append(w.servers, s)
-		entries = append(entries, s.entry("active"))
+		entries = append(entries, s.listEntry("active"))
 	}
 	w.discovery = newDiscovery(t)
 	w.addr = uniqueAddr(t)
@@ -227,7 +227,7 @@
 		"name": "n0", "listen": w.addr, "discovery": w.discovery.addr, "seed": "8c1f30d27a5be964",
 		"limits":      object{"cores": 1.0, "memory_mb": 192, "sockets": 1024},
 		"peer_listen": w.addr, "peers": []string{w.addr, w.peer.LocalAddr().String()}, "peers_all": w.addr,
-		"known": object{"version": 41, "full": true, "servers": entries}, "settings": site.settings(),
+		"known": object{"version": 41, "full": true, "servers": entries}, "settings": d.settings(),
 	}
 	return w
 }
@@ -242,8 +242,8 @@
 	return free.Addr().String()
 }
 
-// configure writes the current configuration and operator file to disk.
-func (w *testbed) configure() {
+// writeConfig writes the current configuration and operator file to disk.
+func (w *testbed) writeConfig() {
 	raw, err := json.Marshal(w.config)
 	require.NoError(w.t, err)
 	require.NoError(w.t, os.WriteFile(w.configPath, raw, 0o600))
@@ -253,7 +253,7 @@
 // launch starts the program with the current configuration.
 func (w *testbed) launch() {
 	w.configPath = filepath.Join(w.t.TempDir(), "config.json")
-	w.configure()
+	w.writeConfig()
 	w.process = exec.Command(cmp.Or(w.program, raceBinary))
 	if w.operatorFile != "" {
 		w.process.Args = append(w.process.Args, "--operator", w.configPath+".toml")
@@ -284,7 +284,7 @@
 		edit(w)
 	}
 	w.launch()
-	w.until("ready", func() bool { return w.readyStatus() == http.StatusOK })
+	w.waitUntil("ready", func() bool { return w.readyStatus() == http.StatusOK })
 	w.t.Cleanup(func() { require.Zero(w.t, w.stop(), "exit code") })
 	return w
 }
@@ -355,9 +355,10 @@
 	return resp.StatusCode
 }
 
-func (w *testbed) until(what string, is func() bool) {
+// waitUntil waits until the condition is true; the test fails after waitTimeout.
+func (w *testbed) waitUntil(event string, condition func() bool) {
 	w.t.Helper()
-	require.Eventually(w.t, is, waitTimeout, 5*time.Millisecond, what)
+	require.Eventually(w.t, condition, waitTimeout, 5*time.Millisecond, event)
 }
 
 // attemptCount returns how many attempts have reached the endpoints.
--- a/cmd/dunestep/list_test.go
+++ b/cmd/dunestep/list_test.go
@@ -24,7 +24,7 @@
 
 // drainChecker checks that draining endpoints get no requests after their deadlines.
 type drainChecker struct {
-	w           *testbed
+	testbed     *testbed
 	deadlines   map[*server]time.Time // the last time at which an endpoint may get requests
 	stopClients func()
 }
@@ -51,20 +51,20 @@
 	}
 	end := sync.OnceFunc(func() { close(done); clients.Wait() })
 	w.t.Cleanup(end)
-	return &drainChecker{w: w, deadlines: map[*server]time.Time{}, stopClients: end}
+	return &drainChecker{testbed: w, deadlines: map[*server]time.Time{}, stopClients: end}
 }
 
 // expectDrained waits until the endpoint gets requests, and sets its deadline: its drain counts as reported after the delay.
 func (d *drainChecker) expectDrained(s *server, delay time.Duration) {
-	d.w.t.Helper()
+	d.testbed.t.Helper()
 	before := len(s.attempts())
-	d.w.until("request at "+s.id, func() bool { return len(s.attempts()) > before })
-	d.deadlines[s] = time.Now().Add(delay + d.w.drainGraceWithSlack())
+	d.testbed.waitUntil("request at "+s.id, func() bool { return len(s.attempts()) > before })
+	d.deadlines[s] = time.Now().Add(delay + d.testbed.drainGraceWithSlack())
 }
 
 // check waits until after all deadlines, and requires that no endpoint got a request after its own.
 func (d *drainChecker) check() {
-	d.w.t.Helper()
+	d.testbed.t.Helper()
 	last := time.Now()
 	for _, at := range d.deadlines {
 		if at.After(last) {
@@ -74,19 +74,19 @@
 	time.Sleep(time.Until(last.Add(300 * time.Millisecond)))
 	d.stopClients()
 	for s, at := range d.deadlines {
-		for _, st := range s.attempts() {
-			require.False(d.w.t, st.receivedAt.After(at), "%s got a request %v after the deadline of its drain", s.id, st.receivedAt.Sub(at))
+		for _, attempt := range s.attempts() {
+			require.False(d.testbed.t, attempt.receivedAt.After(at), "%s got a request %v after the deadline of its drain", s.id, attempt.receivedAt.Sub(at))
 		}
 	}
 }
 
-// entries returns the list entries of all endpoints. Those given are draining.
-func (w *testbed) entries(drain ...*server) (all []object) {
+// listEntries returns the list entries of all endpoints. Those given are draining.
+func (w *testbed) listEntries(drain ...*server) (all []object) {
 	for _, s := range w.servers {
-		all = append(all, s.entry("active"))
+		all = append(all, s.listEntry("active"))
 		for _, d := range drain {
 			if d == s {
-				all[len(all)-1] = s.entry("leaving")
+				all[len(all)-1] = s.listEntry("leaving")
 			}
 		}
 	}
@@ -105,16 +105,16 @@
 	t.Parallel()
 	w := newSerialTestbed(t, 4).start()
 	discovery := w.discovery
-	w.until("watch", func() bool { return discovery.watchCount() == 1 })
+	w.waitUntil("watch", func() bool { return discovery.watchCount() == 1 })
 	drains := w.startDrainCheck()
 	unlisted, others := w.servers[3], []object{}
 	for _, s := range w.servers[:3] {
-		others = append(others, s.entry("active"))
+		others = append(others, s.listEntry("active"))
 	}
 	discovery.setInitialText(listJSON(43, true, others...) + "\n")
 	drains.expectDrained(unlisted, 0)
 	discovery.endWatches()
-	w.until("new watch", func() bool { return discovery.watchCount() == 1 })
+	w.waitUntil("new watch", func() bool { return discovery.watchCount() == 1 })
 	drains.check()
 }
 
@@ -127,10 +127,10 @@
 func tryDrainListForms(t *testing.T) error {
 	w := newSerialTestbed(t, 8).start()
 	discovery := w.discovery
-	w.until("watch", func() bool { return discovery.watchCount() == 1 })
+	w.waitUntil("watch", func() bool { return discovery.watchCount() == 1 })
 	drains := w.startDrainCheck()
 	lastDraining, fullRequested := 0, true
-	nextDraining := func() object { lastDraining++; return w.servers[lastDraining].entry("leaving") }
+	nextDraining := func() object { lastDraining++; return w.servers[lastDraining].listEntry("leaving") }
 	for i, report := range []func(version int){
 		func(version int) { discovery.sendLine(indented(t, listJSON(version, false, nextDraining()))) },
 		func(version int) {
@@ -147,9 +147,9 @@
 			discovery.sendText(listJSON(version, false) + listJSON(version, false, nextDraining()) + "\n\n\n")
 		},
 		func(version int) { // out of order: the agent requests the full list
-			discovery.setInitialText(indented(t, listJSON(version, true, w.entries(append(w.servers[1:lastDraining+1], w.servers[lastDraining+1])...)...)) + "\n")
+			discovery.setInitialText(indented(t, listJSON(version, true, w.listEntries(append(w.servers[1:lastDraining+1], w.servers[lastDraining+1])...)...)) + "\n")
 			lastDraining++
-			discovery.sendLine(listJSON(12, false, w.servers[1].entry("active")))
+			discovery.sendLine(listJSON(12, false, w.servers[1].listEntry("active")))
 			requested := func() bool { calls := discovery.callTargets(); return strings.HasSuffix(calls[len(calls)-1], "from=0") }
 			for until := time.Now().Add(5 * time.Second); !requested() && time.Now().Before(until); {
 				time.Sleep(time.Millisecond)
@@ -157,9 +157,9 @@
 			fullRequested = requested() // false if a busy machine let the watch end before
 		},
 		func(int) { // versions that restart at 1
-			discovery.setInitialText(listJSON(1, true, w.entries(w.servers[1:lastDraining+1]...)...) + "\n")
+			discovery.setInitialText(listJSON(1, true, w.listEntries(w.servers[1:lastDraining+1]...)...) + "\n")
 			discovery.endWatches()
-			w.until("new watch", func() bool { return discovery.watchCount() == 1 })
+			w.waitUntil("new watch", func() bool { return discovery.watchCount() == 1 })
 			discovery.sendLine(listJSON(2, false, nextDraining()))
 		},
 	} {
@@ -181,12 +181,12 @@
 func TestPushedDiscoveryIsStillWatched(t *testing.T) {
 	w := newTestbed(t, 3)
 	w.config["settings"].(object)["discovery"] = "pushed"
-	w.config["known"] = object{"version": 41, "full": true, "servers": w.entries(w.servers[0])}
+	w.config["known"] = object{"version": 41, "full": true, "servers": w.listEntries(w.servers[0])}
 	w.start()
 	drains := w.startDrainCheck()
-	w.until("watch", func() bool { return w.discovery.watchCount() == 1 })
+	w.waitUntil("watch", func() bool { return w.discovery.watchCount() == 1 })
 	drains.expectDrained(w.servers[1], 0)
-	w.discovery.sendLine(listJSON(42, false, w.servers[1].entry("leaving")))
+	w.discovery.sendLine(listJSON(42, false, w.servers[1].listEntry("leaving")))
 	drains.check()
 	require.Empty(t, w.servers[0].attempts())
 }
@@ -210,15 +210,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := start(t, 3, func(w *testbed) { w.config["settings"].(object)["balancers"] = c.agents })
-			w.until("watch", func() bool { return w.discovery.watchCount() == 1 })
+			w.waitUntil("watch", func() bool { return w.discovery.watchCount() == 1 })
 			next, reportedAfter := w.discovery, 6*time.Second-emptyLineInterval
 			if c.moved {
 				next, reportedAfter = newDiscovery(t), 4*time.Second
 				w.config["discovery"] = next.addr
-				w.configure()
+				w.writeConfig()
 			}
 			next.mu.Lock()
-			next.responseDelay, next.initialText = c.callDelay, indented(t, listJSON(42, false, w.servers[0].entry("leaving")))+"\n"
+			next.responseDelay, next.initialText = c.callDelay, indented(t, listJSON(42, false, w.servers[0].listEntry("leaving")))+"\n"
 			next.mu.Unlock()
 			drains := w.startDrainCheck()
 			drains.expectDrained(w.servers[0], reportedAfter)
@@ -235,7 +235,7 @@
 // A watch on which only empty lines arrive stays open: each new call costs discovery work.
 func TestWatchWithoutUpdatesStaysOpen(t *testing.T) {
 	w := start(t, 1)
-	w.until("watch", func() bool { return w.discovery.watchCount() == 1 })
+	w.waitUntil("watch", func() bool { return w.discovery.watchCount() == 1 })
 	time.Sleep(4 * time.Second)
 	require.Len(t, w.discovery.callTargets(), 1)
 }
@@ -248,20 +248,20 @@
 		t.Run(mode, func(t *testing.T) {
 			w := newTestbed(t, 4)
 			w.config["settings"].(object)["discovery"] = mode
-			w.config["known"] = object{"version": 41, "full": true, "servers": w.entries(w.servers[0])}
+			w.config["known"] = object{"version": 41, "full": true, "servers": w.listEntries(w.servers[0])}
 			w.discovery.setResponse(http.StatusServiceUnavailable, false)
 			w.start()
 			drains := w.startDrainCheck()
-			w.until("failed call", func() bool { return len(w.discovery.callTargets()) > 0 })
+			w.waitUntil("failed call", func() bool { return len(w.discovery.callTargets()) > 0 })
 			drains.expectDrained(w.servers[1], 0)
-			w.discovery.setInitialText(listJSON(42, false, w.servers[1].entry("leaving")) + "\n")
+			w.discovery.setInitialText(listJSON(42, false, w.servers[1].listEntry("leaving")) + "\n")
 			w.discovery.setResponse(http.StatusOK, false)
-			w.until("watch", func() bool { return w.discovery.watchCount() == 1 })
+			w.waitUntil("watch", func() bool { return w.discovery.watchCount() == 1 })
 			drains.deadlines[w.servers[1]] = time.Now().Add(w.drainGraceWithSlack())
 			w.discovery.setResponse(http.StatusServiceUnavailable, false)
 			w.discovery.endWatches()
 			before := len(w.discovery.callTargets())
-			w.until("more failed calls", func() bool { return len(w.discovery.callTargets()) > before+1 })
+			w.waitUntil("more failed calls", func() bool { return len(w.discovery.callTargets()) > before+1 })
 			drains.check()
 			require.Empty(t, w.servers[0].attempts())
 		})
--- a/cmd/dunestep/maintenance.go
+++ b/cmd/dunestep/maintenance.go
@@ -19,7 +19,7 @@
 type windowControl struct {
 	adapter   *maintenancelog.Adapter
 	logged    map[string]windowLog            // the last logged state of each window, by id
-	lastStats map[string]balancer.TenantStats // the previous counts, by tenant; of watchEndpoints
+	lastStats map[string]balancer.TenantStats // the previous counts, by tenant; accessed only by watchEndpoints
 }
 
 // windowLog is the last logged state of a window.
--- a/cmd/dunestep/ops_test.go
+++ b/cmd/dunestep/ops_test.go
@@ -106,8 +106,8 @@
 func TestOpsSocketUnderPressure(t *testing.T) {
 	w := start(t, 1, withOpsSocket, (*testbed).useLongTimeouts, func(w *testbed) { w.config["limits"].(object)["sockets"] = 96 })
 	w.servers[0].setAnswer(func(upstreamAttempt) string { return silence })
-	w.until("watch", func() bool { return w.discovery.watchCount() == 1 })
-	base := w.descriptors()
+	w.waitUntil("watch", func() bool { return w.discovery.watchCount() == 1 })
+	base := w.descriptorCount()
 	for range 60 { // more than descriptors are available
 		c, err := net.Dial("tcp", w.addr)
 		require.NoError(t, err)
@@ -115,10 +115,10 @@
 		_ = w.request("consult", 30000).Write(c)
 	}
 	full := base
-	w.until("clients use all their descriptors", func() bool {
+	w.waitUntil("clients use all their descriptors", func() bool {
 		before := full
 		time.Sleep(200 * time.Millisecond)
-		full = w.descriptors()
+		full = w.descriptorCount()
 		return full == before && full > base+30
 	})
 	require.LessOrEqual(t, full-base, 96-32-18, "18 descriptors are reserved for the operators' socket, and 32 for the program")
@@ -133,7 +133,7 @@
 	_ = first.SetReadDeadline(time.Now().Add(waitTimeout))
 	_, err := first.Read(make([]byte, 1))
 	require.ErrorIs(t, err, io.EOF, "the oldest connection is closed")
-	require.LessOrEqual(t, w.descriptors(), 96)
+	require.LessOrEqual(t, w.descriptorCount(), 96)
 }
 
 // The statistics match what clients and endpoints observed, with failures, rejections, resets and clients that disconnect.
@@ -157,10 +157,10 @@
 	before := w.attemptCount()
 	client := w.sendRaw("GET /consult/x HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: 9b1f03aa5c7e2d41\r\n" +
 		"X-Account: acme\r\nX-Time-Left-Ms: 9000\r\n\r\n")
-	w.until("the request is forwarded", func() bool { return w.attemptCount() > before })
+	w.waitUntil("the request is forwarded", func() bool { return w.attemptCount() > before })
 	require.Equal(t, 1, w.stats().Active)
 	_ = client.Close()
-	w.until("the client's disconnect is noticed", func() bool { return w.stats().Active == 0 })
+	w.waitUntil("the client's disconnect is noticed", func() bool { return w.stats().Active == 0 })
 	s := w.stats()
 	got := s.Responses["rezervare"]
 	require.Equal(t, []int{answers[200], answers[503] + answers[429], answers[502]}, []int{got.OK, got.Shed, got.Errors})
@@ -185,19 +185,19 @@
 			return len(w.servers[server].attempts()) > before
 		}
 	}
-	w.until("both are used", func() bool { return reaches(0)() })
-	w.until("both are used", func() bool { return reaches(1)() })
+	w.waitUntil("both are used", func() bool { return reaches(0)() })
+	w.waitUntil("both are used", func() bool { return reaches(1)() })
 	w.requireOpsOK("POST", "/ops/booking-servers/down", "s-0")
 	w.requireOpsOK("POST", "/ops/booking-servers/down", "s-0")
-	w.until("connections to s-0 are closed", func() bool { return w.servers[0].openCount() == 0 })
+	w.waitUntil("connections to s-0 are closed", func() bool { return w.servers[0].openCount() == 0 })
 	before := len(w.servers[0].attempts())
 	sendSome(20)
-	w.until("watch", func() bool { return w.discovery.watchCount() == 1 })
-	w.discovery.sendLine(listJSON(50, true, w.servers[0].entry("active"), w.servers[1].entry("active")))
-	w.discovery.sendLine(listJSON(51, false, w.servers[0].entry("active")))
+	w.waitUntil("watch", func() bool { return w.discovery.watchCount() == 1 })
+	w.discovery.sendLine(listJSON(50, true, w.servers[0].listEntry("active"), w.servers[1].listEntry("active")))
+	w.discovery.sendLine(listJSON(51, false, w.servers[0].listEntry("active")))
 	for version := 52; version < 54; version += 2 {
-		w.discovery.sendLine(listJSON(version, false, w.servers[0].entry("left")))
-		w.discovery.sendLine(listJSON(version+1, false, w.servers[0].entry("active")))
+		w.discovery.sendLine(listJSON(version, false, w.servers[0].listEntry("left")))
+		w.discovery.sendLine(listJSON(version+1, false, w.servers[0].listEntry("active")))
 	}
 	for range 20 {
 		require.False(t, reaches(0)())
@@ -209,7 +209,7 @@
 	require.Equal(t, 503, w.send("consult").status, "all endpoints are disabled")
 	w.requireOpsOK("POST", "/ops/booking-servers/up", "s-1")
 	w.requireOpsOK("POST", "/ops/booking-servers/up", "s-0")
-	w.until("s-0 is used again", reaches(0))
+	w.waitUntil("s-0 is used again", reaches(0))
 }
 
 // statusAndClose sends a request, and returns the response's status and whether the agent closes the connection.
--- a/cmd/dunestep/overload_test.go
+++ b/cmd/dunestep/overload_test.go
@@ -63,30 +63,30 @@
 func TestOutageAndRecovery(t *testing.T) {
 	t.Parallel()
 	for name, fault := range map[string]func(upstreamAttempt) string{
-		"refusing": func(upstreamAttempt) string { return reply("503 Service Unavailable", "", "X-Unprocessed: 1") },
-		"silent":   func(upstreamAttempt) string { return silence },
+		"rejecting": func(upstreamAttempt) string { return reply("503 Service Unavailable", "", "X-Unprocessed: 1") },
+		"silent":    func(upstreamAttempt) string { return silence },
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := start(t, 4)
 			stream := w.startStream(8 * time.Millisecond)
 			defer stream.stop()
-			w.until("served", func() bool { return stream.served.Load() > 200 })
+			w.waitUntil("served", func() bool { return stream.served.Load() > 200 })
 			w.answerAll(fault)
-			w.until("outage logged", func() bool { return strings.Contains(w.log.String(), "nothing was served") })
+			w.waitUntil("outage logged", func() bool { return strings.Contains(w.log.String(), "nothing was served") })
 			sent, attempts := stream.sent.Load(), w.attemptCount()
-			w.until("more requests sent", func() bool { return stream.sent.Load() > sent+300 })
+			w.waitUntil("more requests sent", func() bool { return stream.sent.Load() > sent+300 })
 			require.Less(t, float64(w.attemptCount()-attempts), 0.5*float64(stream.sent.Load()-sent))
 			for _, endpoint := range w.servers {
 				endpoint.setAnswer(ok)
 				endpoint.closeConnections() // an unanswered request blocks the next one on its connection
 			}
-			w.until("recovery logged", func() bool { return strings.Contains(w.log.String(), "served again") })
-			w.until("served", func() bool {
+			w.waitUntil("recovery logged", func() bool { return strings.Contains(w.log.String(), "served again") })
+			w.waitUntil("served", func() bool {
 				sent, served := stream.sent.Load(), stream.served.Load()
 				time.Sleep(300 * time.Millisecond)
 				return float64(stream.served.Load()-served) > 0.95*float64(stream.sent.Load()-sent)
 			})
-			w.until("end of the outage logged", func() bool { return strings.Contains(w.log.String(), "outage over") })
+			w.waitUntil("end of the outage logged", func() bool { return strings.Contains(w.log.String(), "outage over") })
 		})
 	}
 }
@@ -109,11 +109,11 @@
 		r.Header.Set("Cookie", "sid="+w.nextID())
 		return w.do(r)
 	}
-	w.until("outage logged", func() bool {
+	w.waitUntil("outage logged", func() bool {
 		sendAs("acme")
 		return strings.Contains(w.log.String(), "nothing was served")
 	})
-	w.until("rejection with 429", func() bool { return sendAs("greedy").status == http.StatusTooManyRequests })
+	w.waitUntil("rejection with 429", func() bool { return sendAs("greedy").status == http.StatusTooManyRequests })
 	for tenant, status := range map[string]int{"acme": 503, "greedy": 429} {
 		for range 3 {
 			got := sendAs(tenant)
@@ -128,9 +128,9 @@
 		}
 	}
 	w.operatorFile = "[storm]\non = false\n"
-	w.configure()
+	w.writeConfig()
 	require.NoError(t, w.process.Process.Signal(syscall.SIGHUP))
-	w.until("rate limit fields are off", func() bool {
+	w.waitUntil("rate limit fields are off", func() bool {
 		got := sendAs("greedy")
 		return got.status == 503 && got.header.Get("RateLimit") == ""
 	})
@@ -140,8 +140,8 @@
 // process's CPU time per request, and the time per request.
 func BenchmarkRejection(b *testing.B) {
 	for name, answers := range map[string]func(upstreamAttempt) string{
-		"served":  ok,
-		"refused": func(upstreamAttempt) string { return reply("503 Service Unavailable", "", "X-Unprocessed: 1") },
+		"served":   ok,
+		"rejected": func(upstreamAttempt) string { return reply("503 Service Unavailable", "", "X-Unprocessed: 1") },
 	} {
 		b.Run(name, func(b *testing.B) {
 			w := newSerialTestbed(b, 4).start(usePlainBinary)
--- a/cmd/dunestep/policy_test.go
+++ b/cmd/dunestep/policy_test.go
@@ -55,8 +55,8 @@
 	return c.attempts[c.latestIDs[a.Number]]
 }
 
-// policyLab returns a lab whose agents apply policies, and the counter that answers for its endpoints.
-func policyLab(t *testing.T, agents int, shape func(*lab.Config)) (*lab.Lab, *attemptCounter) {
+// newPolicyLab returns a lab whose agents apply policies, and the counter that answers for its endpoints.
+func newPolicyLab(t *testing.T, agents int, configure func(*lab.Config)) (*lab.Lab, *attemptCounter) {
 	t.Helper()
 	t.Parallel()
 	program, err := plainBinary()
@@ -66,8 +66,8 @@
 		Agents: agents, Servers: 4, Program: program, OperatorListener: true, Seed: 9, Respond: c.answer,
 		Configure: func(c *lab.Config) {
 			c.OperatorFile = "[fleet]\non = true\npolicy = true\nvoters = [0, 1, 2]\nlease_ms = 2000\nheard_ms = 500\n[storm]\non = false\n"
-			if shape != nil {
-				shape(c)
+			if configure != nil {
+				configure(c)
 			}
 		},
 	}), c
@@ -91,7 +91,7 @@
 // reports that it is ready. A policy that one agent cannot apply is rejected with the reason. Going back to an earlier
 // version creates a new version.
 func TestPolicyAppliesAtAllAgentsOrNone(t *testing.T) {
-	l, counter := policyLab(t, 5, func(c *lab.Config) {
+	l, counter := newPolicyLab(t, 5, func(c *lab.Config) {
 		if c.Agent == 3 { // its settings permit fewer attempts than those of the others
 			c.ConfigFile["settings"].(map[string]any)["bounds"].(map[string]any)["sendCap"] = 2
 		}
@@ -139,7 +139,7 @@
 // anywhere, and the policy once it is connected again. It serves requests throughout.
 func TestPolicyFloorWhileCutOff(t *testing.T) {
 	const floor = "[floor]\nattempts = 1\n"
-	l, counter := policyLab(t, 5, nil)
+	l, counter := newPolicyLab(t, 5, nil)
 	ctx := t.Context()
 	require.NoError(t, l.StartAll(ctx))
 	require.NoError(t, l.Wait(ctx, "leases", allAgents(l, hasFullStanding)))
@@ -147,8 +147,8 @@
 	require.NoError(t, err, output)
 	var ends []func()
 	for _, fault := range []mishap.Fault{{From: []int{4}, Impairment: mishap.Impairment{Cut: true}}, {To: []int{4}, Impairment: mishap.Impairment{Cut: true}}} {
-		end, spoilErr := l.InjectNetworkFault(fault)
-		require.NoError(t, spoilErr)
+		end, faultErr := l.InjectNetworkFault(fault)
+		require.NoError(t, faultErr)
 		ends = append(ends, end)
 	}
 	output, err = fleetCommand(t, l.Agent(1), "policy", "propose", attemptsDocument(t, 2, floor))
@@ -169,7 +169,7 @@
 		t.Skip("LONG_TESTS is not set")
 	}
 	const agents = 40
-	l, counter := policyLab(t, agents, func(c *lab.Config) {
+	l, counter := newPolicyLab(t, agents, func(c *lab.Config) {
 		c.OperatorFile = strings.Replace(c.OperatorFile, "[0, 1, 2]", "[0, 8, 16, 24, 32]", 1)
 	})
 	ctx := t.Context()
--- a/cmd/dunestep/policyfaults_test.go
+++ b/cmd/dunestep/policyfaults_test.go
@@ -29,7 +29,7 @@
 
 // Without faults, the judge observes each of two versions at the agents.
 func TestPolicyVersionsObserved(t *testing.T) {
-	w := newObservedLab(t, 5, inMemory, nil)
+	w := newPolicyObserver(t, 5, inMemory, nil)
 	for _, attempts := range []int{4, 3} {
 		output, err := w.propose(w.lab.Agent(attempts%5), attempts)
 		require.NoError(t, err, output)
@@ -75,7 +75,7 @@
 func (w *policyObserver) awaitOpenChange(a *lab.Agent) {
 	w.t.Helper()
 	require.NoError(w.t, w.lab.Wait(w.t.Context(), "a change is open", func() bool {
-		s, ok := policiesAt(a)
+		s, ok := policyStateAt(a)
 		return ok && s.Open != nil
 	}))
 }
@@ -110,7 +110,7 @@
 		activated bool
 	}{"proposed": {[]int{3, 4}, false}, "answered by all but one": {[]int{4}, false}, "activated": {[]int{4}, true}} {
 		t.Run(name, func(t *testing.T) {
-			w := newObservedLab(t, 5, inMemory, nil)
+			w := newPolicyObserver(t, 5, inMemory, nil)
 			leading := leader(w.lab)
 			require.NotNil(t, leading)
 			other := w.lab.Agent((leading.Number + 1) % 3)
@@ -120,7 +120,7 @@
 			result := w.proposeInBackground(other, 4)
 			if w.awaitOpenChange(other); step.activated {
 				require.NoError(t, w.lab.Wait(t.Context(), "the change is activated", func() bool {
-					s, ok := policiesAt(w.lab.Agent(3))
+					s, ok := policyStateAt(w.lab.Agent(3))
 					return ok && s.InForce.Number > 0
 				}))
 			}
@@ -140,7 +140,7 @@
 // Two of three voters with folders are killed: nothing can be agreed on, and the agents apply the floor and serve requests.
 // After the restart the outcome of the pending proposal becomes known, and the next one is accepted.
 func TestPolicyVotersKilled(t *testing.T) {
-	w := newObservedLab(t, 5, inFolders, nil)
+	w := newPolicyObserver(t, 5, inFolders, nil)
 	ctx := t.Context()
 	w.lab.Agent(0).Kill()
 	w.lab.Agent(2).Kill()
@@ -165,7 +165,7 @@
 	t.Parallel()
 	for _, storage := range []durability{inFolders, inMemory} {
 		t.Run(fmt.Sprint("folders ", storage), func(t *testing.T) {
-			w := newObservedLab(t, 5, storage, nil)
+			w := newPolicyObserver(t, 5, storage, nil)
 			output, err := w.propose(w.lab.Agent(3), 4)
 			require.NoError(t, err, output)
 			w.awaitInForce(4)
@@ -188,7 +188,7 @@
 
 // All agents are restarted, one after the other, while two changes are agreed on. Voters store nothing.
 func TestPolicyDuringRollingRestart(t *testing.T) {
-	w := newObservedLab(t, 7, inMemory, nil)
+	w := newPolicyObserver(t, 7, inMemory, nil)
 	result := w.proposeInBackground(w.lab.Agent(6), 4)
 	for _, a := range w.lab.Agents() {
 		if a.Number == 4 { // halfway
@@ -208,7 +208,7 @@
 // An agent is paused across an activation. Its pending request's next attempt falls due meanwhile, and only the previous
 // version permits it. After the pause the agent must apply the floor or the new version.
 func TestPolicyAfterPauseWithPendingRequest(t *testing.T) {
-	w := newObservedLab(t, 5, inMemory, nil)
+	w := newPolicyObserver(t, 5, inMemory, nil)
 	paused := w.lab.Agent(4)
 	w.startPendingRequest(t.Context(), paused)
 	paused.Pause()
@@ -218,7 +218,7 @@
 	output, err := w.propose(w.lab.Agent(1), 4)
 	require.NoError(t, err, output)
 	for _, a := range w.lab.Agents()[:4] {
-		s, ok := policiesAt(a)
+		s, ok := policyStateAt(a)
 		require.True(t, ok && s.InForce.Number == 1)
 	}
 	paused.Resume()
@@ -235,7 +235,7 @@
 
 // Proposals are decided and applied while 30 % of the datagrams are lost, 20 % duplicated and 20 % delayed by up to 2 s.
 func TestPolicyUnderDatagramLoss(t *testing.T) {
-	w := newObservedLab(t, 5, inMemory, nil)
+	w := newPolicyObserver(t, 5, inMemory, nil)
 	_, err := w.lab.InjectNetworkFault(mishap.Fault{Impairment: mishap.Impairment{
 		Loss: 0.3, Duplicate: 0.2, Reorder: 0.2,
 		HoldTime: scenario.TimeSpan{High: 2 * time.Second},
@@ -254,7 +254,7 @@
 
 // Of two concurrent proposals the first is accepted, and the other is rejected with the reason.
 func TestPolicyConcurrentProposals(t *testing.T) {
-	w := newObservedLab(t, 5, inMemory, nil)
+	w := newPolicyObserver(t, 5, inMemory, nil)
 	w.lab.Agent(4).Pause() // keeps the first change open until the agent's lease expires
 	result := w.proposeInBackground(w.lab.Agent(0), 4)
 	w.awaitOpenChange(w.lab.Agent(1))
@@ -273,7 +273,7 @@
 	t.Parallel()
 	for _, toLeader := range []bool{false, true} {
 		t.Run(fmt.Sprint("to leader ", toLeader), func(t *testing.T) {
-			w := newObservedLab(t, 5, inMemory, nil)
+			w := newPolicyObserver(t, 5, inMemory, nil)
 			leading := leader(w.lab)
 			require.NotNil(t, leading)
 			other := w.lab.Agent((leading.Number + 1) % 3)
@@ -306,7 +306,7 @@
 // Two of five agents, one of them a voter, are cut off. What is proposed among them is not accepted. What the others agree
 // on applies there, and at all agents once they are connected again. Until then the two apply the floor.
 func TestPolicyMinorityPartition(t *testing.T) {
-	w := newObservedLab(t, 5, inMemory, nil)
+	w := newPolicyObserver(t, 5, inMemory, nil)
 	minority, majority := []int{0, 3}, []int{1, 2, 4}
 	var heal []func()
 	for _, fault := range []mishap.Fault{
@@ -320,7 +320,7 @@
 	result := w.proposeInBackground(w.lab.Agent(3), 4, "--wait", "4s")
 	require.True(t, w.awaitOutcome(w.lab.Agent(4), 3))
 	for _, n := range majority {
-		s, ok := policiesAt(w.lab.Agent(n))
+		s, ok := policyStateAt(w.lab.Agent(n))
 		require.True(t, ok && s.InForce.ProposalID == "attempts-3", "%+v", s)
 	}
 	w.awaitMoreRequests()
@@ -338,7 +338,7 @@
 
 // storeDamage has functions that damage the contents of a voter's store.
 var storeDamage = map[string]func([]byte) []byte{
-	"torn":         func(b []byte) []byte { return b[:len(b)-len(b)/3] },
+	"truncated":    func(b []byte) []byte { return b[:len(b)-len(b)/3] },
 	"other build":  func(b []byte) []byte { return append([]byte("fleet of an older build"), b[23:]...) },
 	"not a record": func(b []byte) []byte { clear(b[40:300]); return b },
 }
@@ -350,7 +350,7 @@
 	for name, damage := range storeDamage {
 		t.Run(name, func(t *testing.T) {
 			folder := ""
-			w := newObservedLab(t, 5, inFolders, func(c *lab.Config) {
+			w := newPolicyObserver(t, 5, inFolders, func(c *lab.Config) {
 				if _, rest, ok := strings.Cut(c.OperatorFile, "folder = "); ok && c.Agent == 1 {
 					_, err := fmt.Sscanf(rest, "%q", &folder)
 					require.NoError(t, err)
@@ -386,7 +386,7 @@
 
 // With a third of the agents stopped, the present agents divide limits by their own number, and by the number of all agents
 // once those are back. An agent that is cut off, and so sees no other agent, also divides by all. An agent with none of the
-// here_ settings logs nothing of it.
+// here_ settings logs nothing about it.
 func TestFleetSize(t *testing.T) {
 	t.Parallel()
 	program, err := plainBinary()
@@ -438,7 +438,7 @@
 	if _, ok := wrapWithSmallDisk(t, "true", voterFolder(t, folders, 0)); !ok {
 		t.Skip("this machine does not permit a disk of limited size")
 	}
-	w := newObservedLab(t, 5, inMemory, func(c *lab.Config) {
+	w := newPolicyObserver(t, 5, inMemory, func(c *lab.Config) {
 		if c.Agent < 3 {
 			folder := voterFolder(t, folders, c.Agent)
 			c.Program, _ = wrapWithSmallDisk(t, c.Program, folder)
@@ -466,12 +466,12 @@
 		require.NoError(t, w.lab.Wait(t.Context(), "the proposal is in the log", func() bool {
 			callErr := opsClient{w.lab.Agent(3 + n%2).OperatorAddr}.call(http.MethodGet,
 				fmt.Sprintf("/ops/fleet/policy/outcome?id=attempts-%d-%d", initialMaxAttempts, n), "", &outcome)
-			s, ok := policiesAt(w.lab.Agent(3 + n%2))
+			s, ok := policyStateAt(w.lab.Agent(3 + n%2))
 			return callErr == nil && outcome.Status != policy.StatusUnknown.String() || ok && s.Open != nil && s.Open.ProposalID == outcome.ID
 		}))
 	}
 	require.NoError(t, w.lab.Wait(t.Context(), "the last change is in force", func() bool {
-		s, ok := policiesAt(w.lab.Agent(3))
+		s, ok := policyStateAt(w.lab.Agent(3))
 		return ok && s.Open == nil && time.Since(s.InForce.EffectiveAt) > 0
 	}))
 	w.resetHistory(w.lab.Agent(3))
@@ -498,7 +498,7 @@
 		t.Skip("LONG_TESTS is not set")
 	}
 	earlier := buildOfCommit(t, commitWithoutWindows)
-	w := newObservedLab(t, 6, inMemory, func(c *lab.Config) {
+	w := newPolicyObserver(t, 6, inMemory, func(c *lab.Config) {
 		if c.Agent%2 == 1 {
 			c.Program = earlier
 		} else {
--- a/cmd/dunestep/requests_test.go
+++ b/cmd/dunestep/requests_test.go
@@ -164,7 +164,7 @@
 				require.NoError(t, err)
 				require.Greater(t, after, 0.0)
 			}
-			w.until("the connection to the endpoint is closed", func() bool { return w.servers[0].openCount() == 0 })
+			w.waitUntil("the connection to the endpoint is closed", func() bool { return w.servers[0].openCount() == 0 })
 		})
 	}
 }
@@ -207,7 +207,7 @@
 		require.ErrorIs(t, err, io.EOF)
 		close(release)
 		// The id is in use until the attempt has ended without a retry.
-		w.until("ended", func() bool { return w.do(r.Clone(t.Context())).status == 200 })
+		w.waitUntil("ended", func() bool { return w.do(r.Clone(t.Context())).status == 200 })
 		require.Equal(t, before+2, w.attemptCount(), "one attempt per request")
 	}
 }
@@ -248,12 +248,12 @@
 // The close of an idle connection is noticed while it is idle. A write to it would be answered by a reset.
 func TestIdleConnectionCloseIsDetected(t *testing.T) {
 	w := start(t, 1)
-	w.until("watch", func() bool { return w.discovery.watchCount() == 1 })
-	before := w.descriptors()
+	w.waitUntil("watch", func() bool { return w.discovery.watchCount() == 1 })
+	before := w.descriptorCount()
 	for range 10 {
 		require.Equal(t, 200, w.send("rezervare").status)
 		w.servers[0].closeConnections()
-		w.until("noticed", func() bool { return w.descriptors() <= before })
+		w.waitUntil("noticed", func() bool { return w.descriptorCount() <= before })
 	}
 }
 
@@ -263,7 +263,7 @@
 		w.config["settings"].(object)["bounds"].(object)["connIdle"] = 1000000
 	})
 	require.Equal(t, 200, w.send("rezervare").status)
-	w.until("dropped", func() bool { return w.servers[0].openCount() == 0 })
+	w.waitUntil("dropped", func() bool { return w.servers[0].openCount() == 0 })
 	require.Equal(t, 200, w.send("rezervare").status)
 }
 
@@ -294,7 +294,7 @@
 	for range 3 {
 		go func() { answers <- w.send("consult").status }()
 	}
-	w.until("three connections", func() bool { return len(endpoint.attempts()) == 3 })
+	w.waitUntil("three connections", func() bool { return len(endpoint.attempts()) == 3 })
 	close(release)
 	for range 3 {
 		require.Equal(t, 200, await(t, answers))
@@ -307,7 +307,7 @@
 	})
 	require.Equal(t, 503, w.send("consult").status)
 	require.Equal(t, 200, w.send("consult").status, "no other silent connection is used")
-	w.until("the other silent connections are closed", func() bool { return endpoint.openCount() == 1 })
+	w.waitUntil("the other silent connections are closed", func() bool { return endpoint.openCount() == 1 })
 }
 
 // The process does not run out of descriptors: client and upstream connections share those available, and every request is
@@ -329,7 +329,7 @@
 				_ = resp.Body.Close()
 				answered.Add(1)
 			}
-			peak.Store(max(peak.Load(), int32(w.descriptors())))
+			peak.Store(max(peak.Load(), int32(w.descriptorCount())))
 		})
 	}
 	wait.Wait()
@@ -337,7 +337,7 @@
 	require.LessOrEqual(t, int(peak.Load()), limit)
 	require.Contains(t, w.log.String(), `for="an upstream server"`)
 	w.answerAll(ok)
-	w.until("serves again", func() bool { return w.send("consult").status == 200 })
+	w.waitUntil("serves again", func() bool { return w.send("consult").status == 200 })
 }
 
 // Connections of idle clients are closed to serve new ones. Idle are those that stay connected after one request and those
@@ -391,7 +391,7 @@
 func TestSlowClientsAreCutOff(t *testing.T) {
 	w := start(t, 1)
 	head := "POST /consult HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: 00000000000000aa\r\nX-Time-Left-Ms: 500\r\n"
-	w.until("closed in time", func() bool {
+	w.waitUntil("closed in time", func() bool {
 		began := time.Now()
 		var conns []net.Conn
 		for _, text := range []string{"", "GET /con", head, head + "Content-Length: 9\r\n\r\nhalf"} {
@@ -448,8 +448,8 @@
 	}
 }
 
-// descriptors returns how many descriptors the program has open.
-func (w *testbed) descriptors() int {
+// descriptorCount returns how many descriptors the program has open.
+func (w *testbed) descriptorCount() int {
 	entries, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", w.process.Process.Pid))
 	return len(entries)
 }
--- a/cmd/dunestep/restart_test.go
+++ b/cmd/dunestep/restart_test.go
@@ -28,7 +28,7 @@
 func (w *testbed) relaunch() {
 	w.exited = make(chan struct{})
 	w.launch()
-	w.until("ready again", func() bool { return w.readyStatus() == http.StatusOK })
+	w.waitUntil("ready again", func() bool { return w.readyStatus() == http.StatusOK })
 }
 
 // repeatCount returns how often a test repeats a slow part: RESTART_RUNS times if that is set, otherwise few times.
@@ -52,9 +52,9 @@
 	return float64(s.served.Load()) / float64(max(s.sent.Load(), 1))
 }
 
-// offerLoad sends 60 requests per second, 70 % of them idempotent, and returns the counts of the idempotent and the
+// sendLoad sends 60 requests per second, 70 % of them idempotent, and returns the counts of the idempotent and the
 // non-idempotent class.
-func (w *testbed) offerLoad(duration time.Duration) (idempotent, nonIdempotent *serviceCount) {
+func (w *testbed) sendLoad(duration time.Duration) (idempotent, nonIdempotent *serviceCount) {
 	idempotent, nonIdempotent = &serviceCount{}, &serviceCount{}
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}, Timeout: 3 * time.Second}
 	defer client.CloseIdleConnections()
@@ -119,7 +119,7 @@
 				}
 				var listed []object
 				for _, s := range w.servers {
-					listed = append(listed, s.entry("active"))
+					listed = append(listed, s.listEntry("active"))
 				}
 				w.config["known"].(object)["servers"] = listed
 				w.discovery.setResponse(503, false)
@@ -129,7 +129,7 @@
 				if repeatCount(1) > 1 {
 					duration = 10 * time.Second
 				}
-				idempotent, nonIdempotent := w.offerLoad(duration)
+				idempotent, nonIdempotent := w.sendLoad(duration)
 				t.Logf("%s: consult %.4f rezervare %.4f", name, idempotent.servedFraction(), nonIdempotent.servedFraction())
 				if os.Getenv("RESTART_UNPROVED") == "" {
 					require.Greater(t, min(idempotent.servedFraction(), nonIdempotent.servedFraction()), 0.9)
@@ -137,13 +137,13 @@
 				require.Contains(t, w.log.String(), "discovery not reachable since the start")
 
 				w.discovery.setResponse(200, false)
-				w.until("watch", func() bool { return w.discovery.watchCount() == 1 })
+				w.waitUntil("watch", func() bool { return w.discovery.watchCount() == 1 })
 				var removed []object
 				for _, s := range w.servers[:6] { // one of these was serving
-					removed = append(removed, s.entry("left"))
+					removed = append(removed, s.listEntry("left"))
 				}
 				w.discovery.sendLine(listJSON(42, false, removed...))
-				w.until("list confirmed", func() bool { return strings.Contains(w.log.String(), "discovery confirmed the endpoint list") })
+				w.waitUntil("list confirmed", func() bool { return strings.Contains(w.log.String(), "discovery confirmed the endpoint list") })
 				before := make([]int, 6)
 				for i, s := range w.servers[:6] {
 					before[i] = len(s.attempts())
@@ -159,8 +159,8 @@
 	}
 }
 
-// keepState makes the program store its state in a folder, and returns that folder. More is added to the operator file.
-func (w *testbed) keepState(more string) string {
+// enableState makes the program store its state in a folder, and returns that folder. More is added to the operator file.
+func (w *testbed) enableState(more string) string {
 	path := w.t.TempDir()
 	w.operatorFile = fmt.Sprintf("[state]\nfolder = %q\nperiod_s = 1\nwrites_a_minute = 60\n%s", path, more)
 	return path
@@ -214,17 +214,17 @@
 // folder runs without stored state and does not overwrite the first agent's.
 func TestStateIsRestored(t *testing.T) {
 	w := newTestbed(t, 3)
-	path := w.keepState("")
+	path := w.enableState("")
 	w.answerAll(answerSlowly)
 	w.servers[0].setAnswer(func(upstreamAttempt) string { return silence })
 	w.start()
-	w.until("watch", func() bool { return w.discovery.watchCount() == 1 })
-	w.discovery.sendLine(listJSON(77, false, w.servers[1].entry("active")))
-	w.offerLoad(2 * time.Second)
-	w.until("s-0 ejected", func() bool { return strings.Contains(w.log.String(), "server s-0 ejected") })
+	w.waitUntil("watch", func() bool { return w.discovery.watchCount() == 1 })
+	w.discovery.sendLine(listJSON(77, false, w.servers[1].listEntry("active")))
+	w.sendLoad(2 * time.Second)
+	w.waitUntil("s-0 ejected", func() bool { return strings.Contains(w.log.String(), "server s-0 ejected") })
 
 	log, end := w.startSecondAgent()
-	w.until("the second agent serves", func() bool { return strings.Contains(log.String(), "serving name=n1") })
+	w.waitUntil("the second agent serves", func() bool { return strings.Contains(log.String(), "serving name=n1") })
 	require.Contains(t, log.String(), "in use by another agent")
 	end()
 
@@ -240,11 +240,11 @@
 	attemptsBefore := len(w.servers[0].attempts())
 	w.relaunch()
 	require.Contains(t, w.log.String(), "state restored")
-	w.until("watch from the restored version", func() bool {
+	w.waitUntil("watch from the restored version", func() bool {
 		calls := w.discovery.callTargets()
 		return strings.HasSuffix(calls[len(calls)-1], "from=77")
 	})
-	idempotent, nonIdempotent := w.offerLoad(2 * time.Second)
+	idempotent, nonIdempotent := w.sendLoad(2 * time.Second)
 	require.InDelta(t, 1.0, nonIdempotent.servedFraction(), 0)
 	require.Greater(t, idempotent.servedFraction(), 0.97)
 	require.Less(t, len(w.servers[0].attempts())-attemptsBefore, 6, "probes only")
@@ -264,7 +264,7 @@
 // The process is killed repeatedly, also while it writes its state at the end. Every start finds a complete file.
 func TestKillLeavesReadableState(t *testing.T) {
 	w := newTestbed(t, 2)
-	path := w.keepState("")
+	path := w.enableState("")
 	w.start()
 	last := uint64(0)
 	for range repeatCount(12) {
--- a/cmd/dunestep/ring_test.go
+++ b/cmd/dunestep/ring_test.go
@@ -59,8 +59,8 @@
 	require.Greater(t, len(steps), 5, "the points grow in steps")
 	keysServedByS3 := func(a *lab.Agent, keys []string) (sentToS3 []string) {
 		for _, key := range keys {
-			_, body, askErr := a.Request(ctx, "consult", key)
-			require.NoError(t, askErr)
+			_, body, requestErr := a.Request(ctx, "consult", key)
+			require.NoError(t, requestErr)
 			if strings.Contains(body, "s-3") {
 				sentToS3 = append(sentToS3, key)
 			}
--- a/cmd/dunestep/ringfaults_test.go
+++ b/cmd/dunestep/ringfaults_test.go
@@ -93,8 +93,8 @@
 	}
 }
 
-// wait waits for a time.
-func (r *ringObserver) wait(d time.Duration) {
+// waitFor waits for a duration.
+func (r *ringObserver) waitFor(d time.Duration) {
 	began := time.Now()
 	require.NoError(r.t, r.Wait(r.t.Context(), "time passes", func() bool { return time.Since(began) >= d }))
 }
@@ -111,9 +111,9 @@
 	return -1
 }
 
-func (r *ringObserver) until(what string, is func() bool) {
+func (r *ringObserver) waitUntil(event string, condition func() bool) {
 	r.t.Helper()
-	require.NoError(r.t, r.Wait(r.t.Context(), what, is))
+	require.NoError(r.t, r.Wait(r.t.Context(), event, condition))
 }
 
 // checkServed sends requests with some keys to each agent. Each must be served, at the latest when it is sent again after a
@@ -134,7 +134,7 @@
 // finish waits until all agents send each key to the same server, and requires that no violation was observed.
 func (r *ringObserver) finish() {
 	r.t.Helper()
-	r.until("all agents send each key to the same server", func() bool {
+	r.waitUntil("all agents send each key to the same server", func() bool {
 		var first []string
 		for _, a := range r.Agents() {
 			for n := range 30 {
@@ -164,11 +164,11 @@
 	for n := range 6 {
 		r.SetServerState(10+n, "active")
 		r.SetServerState(n, "leaving")
-		r.wait(time.Second)
+		r.waitFor(time.Second)
 		r.SetServerState(n, "left")
 		r.checkServed()
 	}
-	r.until("only the new servers have points", func() bool {
+	r.waitUntil("only the new servers have points", func() bool {
 		for n := range 6 {
 			if r.pointsOf(n) > 0 || r.pointsOf(10+n) <= 0 {
 				return false
@@ -192,7 +192,7 @@
 		}
 		r.SetServerState(n, "left")
 	}
-	r.until("no server of the zone has points", func() bool { return r.pointsOf(0) <= 0 && r.pointsOf(1) <= 0 })
+	r.waitUntil("no server of the zone has points", func() bool { return r.pointsOf(0) <= 0 && r.pointsOf(1) <= 0 })
 	r.checkServed()
 	for _, n := range lost {
 		for _, a := range r.Agents() {
@@ -200,7 +200,7 @@
 		}
 		r.SetServerState(n, "active")
 	}
-	r.until("both servers have points again", func() bool { return r.pointsOf(0) > 0 && r.pointsOf(1) > 0 })
+	r.waitUntil("both servers have points again", func() bool { return r.pointsOf(0) > 0 && r.pointsOf(1) > 0 })
 	r.checkServed()
 	r.finish()
 	require.Empty(t, r.EndAll())
@@ -217,7 +217,7 @@
 		output, err := fleetCommand(t, r.Agent(4), "policy", "propose", path)
 		require.NoError(t, err, output)
 		changedAt := time.Now()
-		r.until("two seconds", func() bool {
+		r.waitUntil("two seconds", func() bool {
 			maxDifference = max(maxDifference, r.pointsOf(0)-r.pointsOf(1), r.pointsOf(1)-r.pointsOf(0))
 			return time.Since(changedAt) > 2*time.Second
 		})
@@ -237,12 +237,12 @@
 	}
 	r.SetServerState(4, "active")
 	r.SetServerState(0, "leaving")
-	r.wait(5 * time.Second)
+	r.waitFor(5 * time.Second)
 	r.checkServed()
 	for _, end := range ends {
 		end()
 	}
-	r.until("the new server has points, the drained one none", func() bool { return r.pointsOf(4) > 0 && r.pointsOf(0) <= 0 })
+	r.waitUntil("the new server has points, the drained one none", func() bool { return r.pointsOf(4) > 0 && r.pointsOf(0) <= 0 })
 	r.SetServerState(0, "left")
 	r.finish()
 	require.Empty(t, r.EndAll())
@@ -264,11 +264,11 @@
 	for n := range 3 { // more than one generation, before the leases of the agents cut off expire
 		r.SetServerState(6+n, "active")
 		r.SetServerState(n, "leaving")
-		r.wait(400 * time.Millisecond)
+		r.waitFor(400 * time.Millisecond)
 	}
-	r.until("s-8 has points at the connected agents", func() bool { return r.pointsOf(8) > 0 && ringServerAt(r.Agent(3), "s-8").Points > 0 })
+	r.waitUntil("s-8 has points at the connected agents", func() bool { return r.pointsOf(8) > 0 && ringServerAt(r.Agent(3), "s-8").Points > 0 })
 	require.Zero(t, ringServerAt(r.Agent(4), "s-8").Points)
-	r.until("the agents cut off have no lease", func() bool { return statusAt(r.Agent(4)).Standing != "full" })
+	r.waitUntil("the agents cut off have no lease", func() bool { return statusAt(r.Agent(4)).Standing != "full" })
 	r.checkServed()
 	for _, end := range ends {
 		end()
--- a/cmd/dunestep/ringforms.go
+++ b/cmd/dunestep/ringforms.go
@@ -17,8 +17,8 @@
 type ringStatus struct {
 	Generation  uint64    `json:"generation"`
 	EffectiveAt time.Time `json:"by,omitzero"`
-	Suspended   bool      `json:"off,omitempty"` // agents place by their own lists meanwhile
-	Active      uint64    `json:"acting"`        // the generation that this agent places by; 0: none
+	Suspended   bool      `json:"off,omitempty"` // agents place keys by their own lists meanwhile
+	Active      uint64    `json:"acting"`        // the generation by which this agent places keys; 0: none
 	// Paces are the agreed speeds of machine kinds relative to their configured capacity; those that are 1 are
 	// omitted. PaceReporters is how many agents have recently reported theirs to this voter.
 	Paces         map[string]float64 `json:"paces,omitempty"`
--- a/cmd/dunestep/server_test.go
+++ b/cmd/dunestep/server_test.go
@@ -67,7 +67,7 @@
 	return s
 }
 
-func (s *server) entry(state string) object {
+func (s *server) listEntry(state string) object {
 	return object{
 		"id": s.id, "addr": s.socket.Addr(), "zone": s.zone, "kind": s.kind, "cell": 1,
 		"state": state, "weight": 1.0, "started_ms": 0,
@@ -127,19 +127,19 @@
 		c.Close()
 		return
 	}
-	st := upstreamAttempt{r, string(body), conn.number, s.id, time.Now()}
+	attempt := upstreamAttempt{r, string(body), conn.number, s.id, time.Now()}
 	s.mu.Lock()
-	s.received = append(s.received, st)
+	s.received = append(s.received, attempt)
 	answer, script := s.answer, s.script
 	s.mu.Unlock()
 	defer func() { conn.lastUsed = time.Now() }()
 	if script != nil {
-		if !script(st, c.TCPConn()) {
+		if !script(attempt, c.TCPConn()) {
 			c.Close()
 		}
 		return
 	}
-	text, cut := strings.CutSuffix(answer(st), hangUp)
+	text, cut := strings.CutSuffix(answer(attempt), hangUp)
 	_, _ = io.WriteString(c, text)
 	if cut {
 		c.Close()
--- a/cmd/dunestep/settings.go
+++ b/cmd/dunestep/settings.go
@@ -158,10 +158,10 @@
 func seconds(n int64) time.Duration      { return time.Duration(n) * time.Second }
 func milliseconds(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// unixNow returns the time as operators' settings have it.
+// unixNow returns the time since the Unix epoch, which is the form of times in operators' settings.
 func unixNow() time.Duration { return time.Duration(time.Now().UnixNano()) }
 
-// unixTime returns a Unix time for people; the zero time where there is none.
+// unixTime returns the UTC time at a duration since the Unix epoch; the zero time if at is not positive.
 func unixTime(at time.Duration) (t time.Time) {
 	if at > 0 {
 		t = time.Unix(0, int64(at)).UTC()
--- a/cmd/dunestep/shutdown.go
+++ b/cmd/dunestep/shutdown.go
@@ -12,7 +12,7 @@
 	"dunestep/internal/transport"
 )
 
-// successor reports whether another process of this agent already accepts its clients.
+// successor is whether another process of this agent already accepts its clients.
 type successor bool
 
 // The values of successor.
--- a/cmd/dunestep/shutdown_test.go
+++ b/cmd/dunestep/shutdown_test.go
@@ -27,7 +27,7 @@
 
 // callers are clients that send one request after another, each on its own connection while that stays open.
 type callers struct {
-	w         *testbed
+	testbed   *testbed
 	thinkTime func() time.Duration // returns the pause between an answer and the next request
 	mayDial   atomic.Bool          // new connections may be opened
 	done      chan struct{}
@@ -63,7 +63,7 @@
 // startCallers starts the clients. Each waits for thinkTime before a request.
 func (w *testbed) startCallers(clients int, thinkTime func() time.Duration) *callers {
 	c := &callers{
-		w: w, thinkTime: thinkTime, done: make(chan struct{}), outcomes: map[string]int{},
+		testbed: w, thinkTime: thinkTime, done: make(chan struct{}), outcomes: map[string]int{},
 		crossed: map[string]bool{},
 	}
 	c.mayDial.Store(true)
@@ -113,7 +113,7 @@
 ) {
 	const timeLeftMS = 2500
 	class, method, body, size := "consult", "GET", "", rand.N(100_000)
-	id := c.w.nextID()
+	id := c.testbed.nextID()
 	if n := rand.N(4); n > 0 {
 		class, method, body = "rezervare", "POST", uniqueBody([]int{20, 60_000, 200_000}[n-1], id)
 	}
@@ -131,7 +131,7 @@
 		} else {
 			events := make(chan connEvent, 2)
 			received = events
-			conn = standin.Dial(c.w.addr, request[:rest],
+			conn = standin.Dial(c.testbed.addr, request[:rest],
 				func(r *http.Response, body []byte) { events <- connEvent{Response: r, body: body} },
 				func(unread bool) { events <- connEvent{unread: unread} })
 		}
@@ -197,7 +197,7 @@
 // check returns an error if requests were lost, or too many ended unsent.
 func (c *callers) check() error {
 	reached := map[string]bool{}
-	for _, s := range c.w.servers {
+	for _, s := range c.testbed.servers {
 		for _, attempt := range s.attempts() {
 			id := correlationID(attempt)
 			reached[id] = true
@@ -212,7 +212,7 @@
 			unsent++
 		}
 	}
-	c.w.t.Logf("%d requests: %v, %d sent again, %d ended unsent", c.requests, c.outcomes, len(c.crossed), unsent)
+	c.testbed.t.Logf("%d requests: %v, %d sent again, %d ended unsent", c.requests, c.outcomes, len(c.crossed), unsent)
 	if len(c.lost) > 0 || float64(unsent) > maxUnsentFraction*float64(c.requests) {
 		return fmt.Errorf("lost %v, %d of %d unsent", c.lost, unsent, c.requests)
 	}
--- a/cmd/dunestep/statecommands.go
+++ b/cmd/dunestep/statecommands.go
@@ -24,7 +24,7 @@
 	exportState struct{ stateFile }
 )
 
-// stateFile is a command's argument.
+// stateFile is the argument of a command: a state file.
 type stateFile struct {
 	File string `arg:"" help:"The file: state-a or state-b in the folder." type:"path"`
 }
--- a/cmd/dunestep/surroundings_test.go
+++ b/cmd/dunestep/surroundings_test.go
@@ -16,7 +16,7 @@
 func TestStartsFromConfiguredEndpointList(t *testing.T) {
 	w := start(t, 1, func(w *testbed) { w.discovery.setResponse(503, false) })
 	require.Equal(t, 200, w.send("consult").status)
-	w.until("discovery polled again", func() bool { return len(w.discovery.callTargets()) > 1 })
+	w.waitUntil("discovery polled again", func() bool { return len(w.discovery.callTargets()) > 1 })
 	require.Equal(t, "/registry/instances?watch=1&from=41", w.discovery.callTargets()[0])
 }
 
@@ -25,10 +25,10 @@
 	w := newTestbed(t, 1)
 	w.config["known"] = object{"version": 0, "full": true, "servers": []object{}}
 	w.launch()
-	w.until("running without being ready", func() bool { return w.readyStatus() == 503 && w.discovery.watchCount() == 1 })
+	w.waitUntil("running without being ready", func() bool { return w.readyStatus() == 503 && w.discovery.watchCount() == 1 })
 	require.Equal(t, 503, w.send("consult").status)
-	w.discovery.sendLine(listJSON(1, true, w.servers[0].entry("active")))
-	w.until("ready", func() bool { return w.readyStatus() == 200 })
+	w.discovery.sendLine(listJSON(1, true, w.servers[0].listEntry("active")))
+	w.waitUntil("ready", func() bool { return w.readyStatus() == 200 })
 	require.Equal(t, 200, w.send("consult").status)
 	require.Zero(t, w.stop())
 }
@@ -48,21 +48,21 @@
 			return len(s.attempts()) > before
 		}
 	}
-	w.until("watch", func() bool { return w.discovery.watchCount() == 1 })
-	w.discovery.sendLine(listJSON(42, false, w.servers[0].entry("leaving"), object{"id": 7}, object{"id": "s-9", "state": "?"},
+	w.waitUntil("watch", func() bool { return w.discovery.watchCount() == 1 })
+	w.discovery.sendLine(listJSON(42, false, w.servers[0].listEntry("leaving"), object{"id": 7}, object{"id": "s-9", "state": "?"},
 		object{"id": "s-8", "state": "active", "addr": "nowhere"}))
-	w.until("update with the drain applied", func() bool { return strings.Count(w.log.String(), "entry dropped") == 3 })
+	w.waitUntil("update with the drain applied", func() bool { return strings.Count(w.log.String(), "entry dropped") == 3 })
 	for range 10 {
 		require.True(t, reaches(w.servers[1])())
 	}
-	w.discovery.sendLine(listJSON(43, false, moved.entry("active"))) // s-1 has a new address
-	w.until("new address in use", reaches(moved))
-	w.discovery.sendLine(listJSON(44, true, w.servers[0].entry("active"))) // s-1 is no longer listed
-	w.until("s-0 in use again", reaches(w.servers[0]))
+	w.discovery.sendLine(listJSON(43, false, moved.listEntry("active"))) // s-1 has a new address
+	w.waitUntil("new address in use", reaches(moved))
+	w.discovery.sendLine(listJSON(44, true, w.servers[0].listEntry("active"))) // s-1 is no longer listed
+	w.waitUntil("s-0 in use again", reaches(w.servers[0]))
 	for range 10 {
 		require.True(t, reaches(w.servers[0])())
 	}
-	w.until("connections to the removed endpoint are closed", func() bool { return moved.openCount() == 0 })
+	w.waitUntil("connections to the removed endpoint are closed", func() bool { return moved.openCount() == 0 })
 }
 
 // However a watch ends, also by malformed data, the agent watches again from the version that it has.
@@ -80,26 +80,26 @@
 		{"silence", func() {
 			w.discovery.setResponse(200, true)
 			w.discovery.endWatches()
-			w.until("watch on which nothing is sent", func() bool { return w.discovery.watchCount() == 1 })
+			w.waitUntil("watch on which nothing is sent", func() bool { return w.discovery.watchCount() == 1 })
 		}, 43},
 		{"no answer", func() {
 			calls := len(w.discovery.callTargets())
 			w.discovery.setResponse(0, false)
 			w.discovery.endWatches()
-			w.until("call that gets no answer", func() bool { return len(w.discovery.callTargets()) > calls })
+			w.waitUntil("call that gets no answer", func() bool { return len(w.discovery.callTargets()) > calls })
 		}, 43},
 		{"changes out of order", func() { w.discovery.sendLine(listJSON(12, false)) }, 0},
 	} {
-		w.until("watch", func() bool { return w.discovery.watchCount() == 1 })
+		w.waitUntil("watch", func() bool { return w.discovery.watchCount() == 1 })
 		w.discovery.sendLine(listJSON(43, i > 0))
-		w.discovery.sendLine(listJSON(43, false, w.servers[0].entry("active")))
-		w.until("endpoint list applied", func() bool { return w.readyStatus() == 200 })
+		w.discovery.sendLine(listJSON(43, false, w.servers[0].listEntry("active")))
+		w.waitUntil("endpoint list applied", func() bool { return w.readyStatus() == 200 })
 		calls := len(w.discovery.callTargets())
 		c.ends()
 		if c.name == "silence" || c.name == "no answer" {
 			calls++ // that call itself
 		}
-		w.until("new watch after "+c.name, func() bool { return len(w.discovery.callTargets()) > calls })
+		w.waitUntil("new watch after "+c.name, func() bool { return len(w.discovery.callTargets()) > calls })
 		w.discovery.setResponse(200, false)
 		require.Equal(t, fmt.Sprintf("/registry/instances?watch=1&from=%d", c.from), w.discovery.callTargets()[calls], c.name)
 		w.discovery.endWatches() // nothing may be sent on this watch either
@@ -112,12 +112,12 @@
 func TestReload(t *testing.T) {
 	w := start(t, 2)
 	first, second := w.discovery, newDiscovery(t)
-	w.until("watch", func() bool { return first.watchCount() == 1 })
+	w.waitUntil("watch", func() bool { return first.watchCount() == 1 })
 	first.sendLine(listJSON(44, false))
 	reload := func(log string) {
 		before := strings.Count(w.log.String(), log)
 		require.NoError(t, w.process.Process.Signal(syscall.SIGHUP))
-		w.until(log, func() bool { return strings.Count(w.log.String(), log) > before })
+		w.waitUntil(log, func() bool { return strings.Count(w.log.String(), log) > before })
 		require.Equal(t, 200, w.send("rezervare").status)
 	}
 	for _, broken := range []string{"", `{"name":`, `{"discovery":"` + second.addr + `"}`} {
@@ -130,13 +130,13 @@
 	require.Empty(t, second.callTargets())
 
 	w.config["discovery"] = second.addr
-	w.configure()
+	w.writeConfig()
 	reload("configuration applied")
-	w.until("watch at the new address", func() bool { return second.watchCount() == 1 })
+	w.waitUntil("watch at the new address", func() bool { return second.watchCount() == 1 })
 	require.Equal(t, "/registry/instances?watch=1&from=44", second.callTargets()[0])
-	w.until("no watch at the old address", func() bool { return first.watchCount() == 0 })
-	second.sendLine(listJSON(45, false, w.servers[0].entry("leaving")))
-	w.until("drained endpoint gets no requests", func() bool {
+	w.waitUntil("no watch at the old address", func() bool { return first.watchCount() == 0 })
+	second.sendLine(listJSON(45, false, w.servers[0].listEntry("leaving")))
+	w.waitUntil("drained endpoint gets no requests", func() bool {
 		before := len(w.servers[0].attempts())
 		for range 10 {
 			require.Equal(t, 200, w.send("rezervare").status)
@@ -165,7 +165,7 @@
 	stranger, err := net.DialUDP("udp", nil, to)
 	require.NoError(t, err)
 	defer func() { _ = stranger.Close() }()
-	w.until("dropped", func() bool {
+	w.waitUntil("dropped", func() bool {
 		_, err := stranger.Write([]byte("hello"))
 		return err == nil && strings.Contains(w.log.String(), "not among the peers")
 	})
@@ -187,7 +187,7 @@
 	require.NoError(t, err)
 	began := time.Now()
 	require.NoError(t, w.process.Process.Signal(syscall.SIGTERM))
-	w.until("no longer ready", func() bool { return w.readyStatus() == 503 })
+	w.waitUntil("no longer ready", func() bool { return w.readyStatus() == 503 })
 	for time.Since(began) < 400*time.Millisecond { // it accepts requests for at least 0.75 s
 		require.Equal(t, 200, w.send("consult").status)
 	}
--- a/cmd/dunestep/takeover.go
+++ b/cmd/dunestep/takeover.go
@@ -23,8 +23,8 @@
 	networkUDP = "udp"
 )
 
-// takenOver is what a process starts with: the offer of the process from which it takes over, or what that
-// has left in files.
+// takenOver is what a process starts with: the offer of the process from which it takes over, or what an
+// earlier process has left in files.
 type takenOver struct {
 	manual    handover.ManualSettings
 	file      *state.File // nil: no state
--- a/cmd/dunestep/upgrade_test.go
+++ b/cmd/dunestep/upgrade_test.go
@@ -24,13 +24,13 @@
 func (w *testbed) upgrade() *testbed {
 	next := w.nextProcess()
 	next.launch()
-	next.untilReady()
+	next.awaitReady()
 	return next
 }
 
-// untilReady waits until the process reports at its operators' socket that it is ready.
-func (w *testbed) untilReady() {
-	w.until("ready", func() bool {
+// awaitReady waits until the process reports at its operators' socket that it is ready.
+func (w *testbed) awaitReady() {
+	w.waitUntil("ready", func() bool {
 		resp, err := http.Get("http://" + w.opsAddr + "/ops/readiness")
 		if err != nil {
 			return false
@@ -51,41 +51,44 @@
 	return next
 }
 
-// load has clients that send requests all the time on persistent connections, and counts the outcomes. A request that
-// crosses the close of its connection is sent again, as the protocol permits.
-type load struct {
-	bodySize                    int           // size of the body of non-idempotent requests; zero: a short one
-	pause                       time.Duration // between a client's requests
-	stop                        chan struct{}
-	wait                        sync.WaitGroup
-	ok, rejected, lost, refused atomic.Int64
-	failed                      atomic.Int64 // error responses
-	firstFailure                atomic.Value // first loss or failure
+// loadGenerator has clients that send requests all the time on persistent connections, and counts the outcomes. A request
+// that crosses the close of its connection is sent again, as the protocol permits.
+type loadGenerator struct {
+	bodySize int           // size of the body of non-idempotent requests; zero: a short one
+	pause    time.Duration // between a client's requests
+	stop     chan struct{}
+	wait     sync.WaitGroup
+	// Numbers of requests by outcome. A lost request got no response, an incomplete one or that of another request.
+	served, rejected, lost, connRefused atomic.Int64
+	failed                              atomic.Int64 // error responses
+	firstFailure                        atomic.Value // first loss or failure
 }
 
-// noteFailure records the first loss or failure.
-func (l *load) noteFailure(what ...any) { l.firstFailure.CompareAndSwap(nil, fmt.Sprint(what...)) }
+// recordFailure records the first loss or failure.
+func (l *loadGenerator) recordFailure(details ...any) {
+	l.firstFailure.CompareAndSwap(nil, fmt.Sprint(details...))
+}
 
 // requireNoFailures requires that no request was lost, refused or failed.
-func (l *load) requireNoFailures(t *testing.T) {
+func (l *loadGenerator) requireNoFailures(t *testing.T) {
 	t.Helper()
-	require.Equal(t, []int64{0, 0, 0}, []int64{l.lost.Load(), l.refused.Load(), l.failed.Load()}, "%d were served; first failure: %v",
-		l.ok.Load(), l.firstFailure.Load())
+	require.Equal(t, []int64{0, 0, 0}, []int64{l.lost.Load(), l.connRefused.Load(), l.failed.Load()}, "%d were served; first failure: %v",
+		l.served.Load(), l.firstFailure.Load())
 }
 
-func (w *testbed) startLoad(clients int) *load {
-	return w.runLoad(clients, &load{pause: 2 * time.Millisecond})
+func (w *testbed) startLoad(clients int) *loadGenerator {
+	return w.runLoad(clients, &loadGenerator{pause: 2 * time.Millisecond})
 }
 
 // startLongBodyLoad starts a load with bodies both ways that are too long to be buffered and so are streamed.
-func (w *testbed) startLongBodyLoad(clients int) *load {
+func (w *testbed) startLongBodyLoad(clients int) *loadGenerator {
 	const size = 150_000
 	rest := strings.Repeat("x", size)
 	w.answerAll(func(s upstreamAttempt) string { return reply("200 OK", correlationID(s)+rest) })
-	return w.runLoad(clients, &load{bodySize: size, pause: 15 * time.Millisecond})
+	return w.runLoad(clients, &loadGenerator{bodySize: size, pause: 15 * time.Millisecond})
 }
 
-func (w *testbed) runLoad(clients int, l *load) *load {
+func (w *testbed) runLoad(clients int, l *loadGenerator) *loadGenerator {
 	l.stop = make(chan struct{})
 	for range clients {
 		l.wait.Go(func() {
@@ -112,17 +115,17 @@
 	return l
 }
 
-func (l *load) send(client *http.Client, r *http.Request) {
+func (l *loadGenerator) send(client *http.Client, r *http.Request) {
 	resp, err := client.Do(r)
 	if errors.Is(err, syscall.ECONNRESET) && r.GetBody != nil { // net/http does not send a long body again
 		r.Body, _ = r.GetBody()
 		resp, err = client.Do(r)
 	}
 	if err != nil {
-		l.noteFailure(err)
+		l.recordFailure(err)
 		var op *net.OpError
 		if errors.As(err, &op) && op.Op == "dial" {
-			l.refused.Add(1)
+			l.connRefused.Add(1)
 		} else {
 			l.lost.Add(1)
 		}
@@ -132,28 +135,28 @@
 	body, err := io.ReadAll(resp.Body)
 	switch {
 	case err != nil || resp.StatusCode == 200 && !strings.HasPrefix(string(body), r.Header.Get("X-Correlation-Id")):
-		l.noteFailure(resp.StatusCode, len(body), err)
+		l.recordFailure(resp.StatusCode, len(body), err)
 		l.lost.Add(1)
 	case resp.StatusCode == 200:
-		l.ok.Add(1)
+		l.served.Add(1)
 	case resp.StatusCode == 503, resp.StatusCode == 429:
 		l.rejected.Add(1)
 	default:
-		l.noteFailure(resp.StatusCode, string(body))
+		l.recordFailure(resp.StatusCode, string(body))
 		l.failed.Add(1)
 	}
 }
 
-func (l *load) finish() { close(l.stop); l.wait.Wait() }
+func (l *loadGenerator) finish() { close(l.stop); l.wait.Wait() }
 
 // requireNoneRanTwice requires that no non-idempotent request reached endpoints twice.
 func (w *testbed) requireNoneRanTwice() {
 	w.t.Helper()
 	ran := map[string]int{}
 	for _, s := range w.servers {
-		for _, step := range s.attempts() {
-			if strings.HasPrefix(step.URL.Path, "/rezervare") {
-				ran[correlationID(step)]++
+		for _, attempt := range s.attempts() {
+			if strings.HasPrefix(attempt.URL.Path, "/rezervare") {
+				ran[correlationID(attempt)]++
 			}
 		}
 	}
@@ -167,7 +170,7 @@
 func TestConsecutiveUpgradesUnderLoad(t *testing.T) {
 	w := start(t, 3, withOpsSocket, (*testbed).useLongTimeouts)
 	load := w.startLoad(8)
-	w.until("load", func() bool { return load.ok.Load() > 50 })
+	w.waitUntil("load", func() bool { return load.served.Load() > 50 })
 	current, disabled := w, 0
 	disable := func(id int) {
 		current.requireOpsOK("POST", "/ops/booking-servers/up", fmt.Sprint("s-", disabled))
@@ -181,10 +184,10 @@
 		disable((i + 1) % 3) // reported to the old process while both run
 		require.Zero(t, current.stop(), current.log.String())
 		current = next
-		current.until("full limits", func() bool { return strings.Contains(current.log.String(), "full limits") })
+		current.waitUntil("full limits", func() bool { return strings.Contains(current.log.String(), "full limits") })
 		before := len(w.servers[disabled].attempts())
-		goal := load.ok.Load() + 100
-		w.until("requests are still served", func() bool { return load.ok.Load() > goal })
+		goal := load.served.Load() + 100
+		w.waitUntil("requests are still served", func() bool { return load.served.Load() > goal })
 		require.Len(t, w.servers[disabled].attempts(), before, "a disabled endpoint gets no requests")
 		require.Equal(t, 1, current.stats().Ejected)
 	}
@@ -217,7 +220,7 @@
 	next := w.upgrade()
 	_ = w.process.Process.Kill()
 	await(t, w.exited)
-	next.until("full limits", func() bool { return strings.Contains(next.log.String(), "full limits") })
+	next.waitUntil("full limits", func() bool { return strings.Contains(next.log.String(), "full limits") })
 	before := len(w.servers[1].attempts())
 	for range 20 {
 		require.Equal(t, 200, next.send("consult").status)
@@ -240,7 +243,7 @@
 		}
 		calls.Wait()
 		for _, p := range []*testbed{current, next} {
-			p.until("both endpoints are disabled", func() bool { return p.stats().Ejected == 2 })
+			p.waitUntil("both endpoints are disabled", func() bool { return p.stats().Ejected == 2 })
 		}
 		require.Zero(t, current.stop())
 		current = next.upgrade()
@@ -327,7 +330,7 @@
 	_, _ = io.WriteString(upload, body[:size/2])
 	next := w.upgrade()
 	require.NoError(t, w.process.Process.Signal(syscall.SIGTERM))
-	w.until("the old process drains", func() bool { return strings.Contains(w.log.String(), "draining") })
+	w.waitUntil("the old process drains", func() bool { return strings.Contains(w.log.String(), "draining") })
 	close(release)
 	_, _ = io.WriteString(upload, body[size/2:])
 	for _, c := range []net.Conn{slowResponse, upload} {
@@ -352,7 +355,7 @@
 	usage := func() (kB, descriptors int) {
 		file := 0 // pages of the binary, which both processes share
 		for _, p := range processes {
-			kB, descriptors = kB+p.processStatusKB("RssAnon"), descriptors+p.descriptors()
+			kB, descriptors = kB+p.processStatusKB("RssAnon"), descriptors+p.descriptorCount()
 			file = max(file, p.processStatusKB("RssFile"))
 		}
 		return kB + file, descriptors
@@ -366,8 +369,8 @@
 	}
 	for range 3 {
 		old := processes[0]
-		goal := load.ok.Load() + 50
-		w.until("requests are still served", func() bool { return load.ok.Load() > goal })
+		goal := load.served.Load() + 50
+		w.waitUntil("requests are still served", func() bool { return load.served.Load() > goal })
 		next := old.nextProcess()
 		next.launch()
 		processes = append(processes, next)
@@ -379,7 +382,7 @@
 		processes = processes[1:]
 	}
 	load.finish()
-	t.Logf("at most %d kB and %d descriptors, %d served, %d rejected", peakKB, peakDescriptors, load.ok.Load(), load.rejected.Load())
+	t.Logf("at most %d kB and %d descriptors, %d served, %d rejected", peakKB, peakDescriptors, load.served.Load(), load.rejected.Load())
 	load.requireNoFailures(t)
 	require.LessOrEqual(t, peakKB, memoryMB<<10)
 	require.LessOrEqual(t, peakDescriptors, sockets)
@@ -396,8 +399,8 @@
 	current, disabled, lost := w, w.servers[2], int64(0)
 	current.requireOpsOK("POST", "/ops/booking-servers/down", "s-2")
 	requireServing := func(stage string) {
-		before, goal := len(disabled.attempts()), load.ok.Load()+40
-		current.until(stage, func() bool { return load.ok.Load() > goal })
+		before, goal := len(disabled.attempts()), load.served.Load()+40
+		current.waitUntil(stage, func() bool { return load.served.Load() > goal })
 		require.Len(t, disabled.attempts(), before, stage)
 		require.LessOrEqual(t, load.lost.Load()-lost, int64(clients), stage)
 		lost = load.lost.Load()
@@ -423,7 +426,7 @@
 		require.Equal(t, 1, current.stats().Ejected)
 	}
 	load.finish()
-	require.Zero(t, load.refused.Load(), "no connection was refused")
+	require.Zero(t, load.connRefused.Load(), "no connection was refused")
 	w.requireNoneRanTwice()
 	require.Zero(t, current.stop())
 	w.process = exec.Command("true") // replaces the killed process, for the exit code check
@@ -435,25 +438,25 @@
 func TestReloadDuringUpgrade(t *testing.T) {
 	w := start(t, 2, withOpsSocket)
 	first, second := w.discovery, newDiscovery(t)
-	w.until("watch", func() bool { return first.watchCount() == 1 })
+	w.waitUntil("watch", func() bool { return first.watchCount() == 1 })
 	next := w.upgrade()
-	w.until("both watch", func() bool { return first.watchCount() == 2 })
+	w.waitUntil("both watch", func() bool { return first.watchCount() == 2 })
 	w.config["discovery"] = second.addr // both processes have the same configuration
 	w.config["limits"].(object)["sockets"] = 700
 	for _, p := range []*testbed{w, next} {
-		p.configure()
+		p.writeConfig()
 		require.NoError(t, p.process.Process.Signal(syscall.SIGHUP))
 	}
-	w.until("both watch the new address", func() bool { return second.watchCount() == 2 && first.watchCount() == 0 })
+	w.waitUntil("both watch the new address", func() bool { return second.watchCount() == 2 && first.watchCount() == 0 })
 	for _, p := range []*testbed{w, next} {
 		require.Contains(t, p.log.String(), "sockets=700")
 	}
-	second.sendLine(listJSON(60, false, w.servers[0].entry("leaving")))
+	second.sendLine(listJSON(60, false, w.servers[0].listEntry("leaving")))
 	for _, p := range []*testbed{w, next} {
-		p.until("update applied", func() bool { return p.stats().Size == 2 })
+		p.waitUntil("update applied", func() bool { return p.stats().Size == 2 })
 	}
 	require.Zero(t, w.stop())
-	next.until("full limits", func() bool { return strings.Contains(next.log.String(), "full limits") })
+	next.waitUntil("full limits", func() bool { return strings.Contains(next.log.String(), "full limits") })
 	before := len(w.servers[0].attempts())
 	for range 20 {
 		require.Equal(t, 200, next.send("consult").status)
@@ -465,21 +468,21 @@
 // Datagrams are sent from the same address, whichever process of an upgrade ends.
 func TestDatagramsDuringUpgrades(t *testing.T) {
 	w := start(t, 1, withOpsSocket)
-	requireDatagrams := func(what string) {
+	requireDatagrams := func(stage string) {
 		buf := make([]byte, 1024)
 		for range 2 { // a datagram in transit may be from the process that ended
 			require.NoError(t, w.peer.SetReadDeadline(time.Now().Add(waitTimeout)))
 			_, from, err := w.peer.ReadFromUDP(buf)
-			require.NoError(t, err, what)
-			require.Equal(t, w.addr, from.String(), what)
+			require.NoError(t, err, stage)
+			require.Equal(t, w.addr, from.String(), stage)
 		}
 	}
 	requireDatagrams("alone")
 	failed := w.upgrade()
-	w.until("the new process accepts clients", func() bool { return strings.Contains(w.log.String(), "the new process accepts clients") })
+	w.waitUntil("the new process accepts clients", func() bool { return strings.Contains(w.log.String(), "the new process accepts clients") })
 	_ = failed.process.Process.Kill()
 	await(t, failed.exited)
-	w.until("the old process continues", func() bool { return strings.Contains(w.log.String(), "this one continues") })
+	w.waitUntil("the old process continues", func() bool { return strings.Contains(w.log.String(), "this one continues") })
 	requireDatagrams("after the new process died")
 	next := w.upgrade()
 	require.Zero(t, w.stop())
--- a/cmd/dunestep/uploads_test.go
+++ b/cmd/dunestep/uploads_test.go
@@ -221,5 +221,5 @@
 	peak, _ := w.memoryKiB()
 	t.Logf("at most %d kB", peak)
 	require.Less(t, peak, 32<<10)
-	require.Less(t, w.descriptors(), 256)
+	require.Less(t, w.descriptorCount(), 256)
 }
--- a/cmd/dunestep/window_test.go
+++ b/cmd/dunestep/window_test.go
@@ -44,15 +44,15 @@
 const shortFleetTimes = "[fleet]\non = true\npolicy = true\nwindows = true\nvoters = [0, 1, 2]\nlease_ms = 2000\nheard_ms = 500\n" +
 	"floor_s = 2\nnotice_s = 6\nmargin_s = 1\nlinger_s = 1\nturns = 0\n"
 
-// newWindowObserver starts the fleet. A shape that is not nil may change the agents' configuration.
-func newWindowObserver(t *testing.T, agents int, shape func(*lab.Config)) *windowObserver {
+// newWindowObserver starts the fleet. A configure function that is not nil may change the agents' configuration.
+func newWindowObserver(t *testing.T, agents int, configure func(*lab.Config)) *windowObserver {
 	t.Helper()
 	t.Parallel()
-	return openWindowObserver(&windowObserver{t: t, failing: map[int]bool{}, requestPause: 15 * time.Millisecond}, lab.Options{Agents: agents}, shape)
+	return openWindowObserver(&windowObserver{t: t, failing: map[int]bool{}, requestPause: 15 * time.Millisecond}, lab.Options{Agents: agents}, configure)
 }
 
 // openWindowObserver starts a fleet with the options and its load, and proposes contracts.
-func openWindowObserver(r *windowObserver, options lab.Options, shape func(*lab.Config)) *windowObserver {
+func openWindowObserver(r *windowObserver, options lab.Options, configure func(*lab.Config)) *windowObserver {
 	t := r.t
 	t.Helper()
 	program, err := plainBinary()
@@ -62,8 +62,8 @@
 	options.Servers, options.Program, options.OperatorListener, options.Seed, options.Settings, options.Respond = 4, program, true, 11, settings, r.answer
 	options.WaitTimeout = max(options.WaitTimeout, 3*time.Minute)
 	options.Configure = func(c *lab.Config) {
-		if c.OperatorFile = shortFleetTimes; shape != nil {
-			shape(c)
+		if c.OperatorFile = shortFleetTimes; configure != nil {
+			configure(c)
 		}
 	}
 	r.Lab = lab.Open(t, options)
@@ -336,10 +336,10 @@
 	output, err = r.requestWindow(2, "three", "s-2", next.Add(time.Second).Format(time.RFC3339), next.Add(11*time.Minute).Format(time.RFC3339))
 	require.NoError(t, err, output)
 	for name, args := range map[string][]string{
-		"notice":   {"--node", "s-3", "--tenant", "east", "--from", "+1s", "--to", "+1h"},
-		"kept":     {"--node", "s-3", "--node", "s-1", "--tenant", "west", "--from", "+5h", "--to", "+6h"},
-		"server":   {"--node", "s-9", "--tenant", "east", "--from", "+5h", "--to", "+6h"},
-		"backward": {"--node", "s-3", "--tenant", "east", "--from", "+6h", "--to", "+5h"},
+		"too little notice":   {"--node", "s-3", "--tenant", "east", "--from", "+1s", "--to", "+1h"},
+		"too little capacity": {"--node", "s-3", "--node", "s-1", "--tenant", "west", "--from", "+5h", "--to", "+6h"},
+		"unknown server":      {"--node", "s-9", "--tenant", "east", "--from", "+5h", "--to", "+6h"},
+		"end before start":    {"--node", "s-3", "--tenant", "east", "--from", "+6h", "--to", "+5h"},
 	} {
 		output, err = fleetCommand(t, r.Agent(1), append([]string{"window", "check"}, args...)...)
 		require.Error(t, err, name+output)
--- a/cmd/dunestep/windowfaults_test.go
+++ b/cmd/dunestep/windowfaults_test.go
@@ -170,8 +170,8 @@
 		for _, tenant := range []string{"east", "west"} {
 			wait.Go(func() {
 				for n := range 20 {
-					status, _, askErr := a.RequestForTenant(t.Context(), tenant, "consult", fmt.Sprint("s", n))
-					assert.NoError(t, askErr) //nolint:testifylint // require may not be called from another goroutine
+					status, _, requestErr := a.RequestForTenant(t.Context(), tenant, "consult", fmt.Sprint("s", n))
+					assert.NoError(t, requestErr) //nolint:testifylint // require may not be called from another goroutine
 					assert.Equal(t, 200, status, tenant)
 				}
 			})
@@ -329,7 +329,7 @@
 	arrivals := func(tenant string, from, to time.Time) (arrivals, all int) {
 		for server := range 4 {
 			for _, a := range f.arrivalsAt(-1, server, tenant, from, to) {
-				if slices.Contains(cut, a.agent) && f.observesTurns(from, hoursEnd) { // such an agent keeps off servers in their turn
+				if slices.Contains(cut, a.agent) && f.observesTurns(from, hoursEnd) { // such an agent sends nothing to servers in their turn
 					continue
 				}
 				if all++; server == 0 {
@@ -368,7 +368,7 @@
 	return n
 }
 
-// observesTurns reports whether agents that are cut off keep off the servers in their turn at a given time.
+// observesTurns reports whether, at a given time, agents that are cut off send nothing to servers in their turn.
 func (f *fortyAgents) observesTurns(at, hoursEnd time.Time) bool {
 	return !f.awaitsReady && !at.Before(hoursEnd)
 }
--- a/cmd/dunestep/witness_test.go
+++ b/cmd/dunestep/witness_test.go
@@ -62,8 +62,8 @@
 // sinceEpoch returns the current Unix time.
 func sinceEpoch() time.Duration { return time.Duration(time.Now().UnixNano()) }
 
-// newObservedLab starts a fleet with policies, and observes its decisions.
-func newObservedLab(t *testing.T, agents int, stores durability, shape func(*lab.Config)) *policyObserver {
+// newPolicyObserver starts a fleet with policies, and observes its decisions.
+func newPolicyObserver(t *testing.T, agents int, stores durability, configure func(*lab.Config)) *policyObserver {
 	t.Helper()
 	t.Parallel()
 	program, err := plainBinary()
@@ -87,8 +87,8 @@
 				c.OperatorFile += fmt.Sprintf("folder = %q\n", voterFolder(t, folders, c.Agent))
 			}
 			c.OperatorFile += "[storm]\non = false\n"
-			if shape != nil {
-				shape(c)
+			if configure != nil {
+				configure(c)
 			}
 		},
 	})
@@ -233,7 +233,7 @@
 // resetHistory restarts the history at the version that is in force at an agent: earlier ones were not proposed by
 // propose.
 func (w *policyObserver) resetHistory(a *lab.Agent) {
-	s, ok := policiesAt(a)
+	s, ok := policyStateAt(a)
 	require.True(w.t, ok)
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -249,7 +249,7 @@
 func (w *policyObserver) pollVersions(ctx context.Context, a *lab.Agent) {
 	for ctx.Err() == nil {
 		from := sinceEpoch()
-		if s, ok := policiesAt(a); ok && s.Mode == policy.ModeFull.String() {
+		if s, ok := policyStateAt(a); ok && s.Mode == policy.ModeFull.String() {
 			w.mu.Lock()
 			if s.Version >= w.firstVersion {
 				w.history.VersionRead(from, sinceEpoch(), s.Version)
@@ -263,8 +263,8 @@
 	}
 }
 
-// policiesAt returns an agent's policy status; false: it did not respond.
-func policiesAt(a *lab.Agent) (s policyState, ok bool) {
+// policyStateAt returns an agent's policy status; false: it did not respond.
+func policyStateAt(a *lab.Agent) (s policyState, ok bool) {
 	err := opsClient{a.OperatorAddr}.call(http.MethodGet, "/ops/fleet/policy", "", &s)
 	return s, err == nil
 }
@@ -317,7 +317,7 @@
 			continue
 		}
 		require.NoError(w.t, w.lab.Wait(w.t.Context(), fmt.Sprint(a.Name, " applies the version with attempts = ", attempts), func() bool {
-			s, ok := policiesAt(a)
+			s, ok := policyStateAt(a)
 			return ok && s.Mode == policy.ModeFull.String() && (s.InForce.ProposalID == fmt.Sprint("attempts-", attempts) ||
 				s.InForce.Number == 0 && attempts == initialMaxAttempts)
 		}))
@@ -329,7 +329,7 @@
 func (w *policyObserver) checkDecisions() {
 	w.t.Helper()
 	for _, a := range w.lab.Agents() {
-		if s, ok := policiesAt(a); ok {
+		if s, ok := policyStateAt(a); ok {
 			w.recordVersions(s)
 		}
 	}
