--- a/internal/graphql/document.go
+++ b/internal/graphql/document.go
@@ -62,7 +62,7 @@
 	id := p.documentID
 	if p.hash != "" {
 		if id != "" {
-			return nil, badRequest("documentId and persistedQuery must not be used together")
+			return nil, badRequest("documentId and persistedQuery must not come together")
 		}
 		id = idPrefix + p.hash
 	}
@@ -163,7 +163,7 @@
 	if err != nil {
 		var e *gqlerror.Error
 		if errors.As(err, &e) && strings.HasPrefix(e.Message, "exceeded ") { // identifiable by its text only
-			return nil, overLimit("a document has %d tokens and %d levels at most", l.MaxTokens, l.MaxDepth)
+			return nil, overLimit("a document has %d tokens at most, and no more than %d levels", l.MaxTokens, l.MaxDepth)
 		}
 		return d, nil
 	}
--- a/internal/graphql/graphql.go
+++ b/internal/graphql/graphql.go
@@ -215,7 +215,7 @@
 
 func (c *Classifier) classifyBatch(body []byte, hasUnknown bool) (v Classification, err error) {
 	if !c.rules.Batches {
-		return v, &Error{Code: CodeBatch, Status: 400, Message: "batches are not accepted here"}
+		return v, &Error{Code: CodeBatch, Status: 400, Message: "batches are not taken here"}
 	}
 	for member, err := range elements(body) {
 		if err != nil {
@@ -268,14 +268,14 @@
 			Message: "subscriptions are not served here",
 		}
 	case get && v.Kind == Mutation:
-		err = &Error{Code: CodeMutationByGET, Status: 405, Message: "a mutation must be sent by POST"}
+		err = &Error{Code: CodeMutationByGET, Status: 405, Message: "a mutation must come by POST"}
 	case get && d == nil && p.query == nil:
 		// Clients match this message, and then send the document as well.
 		err = &Error{Code: CodeNotFound, Status: 400, wellFormed: true, Message: "PersistedQueryNotFound"}
 	case get && v.Kind == Unclear:
 		err = &Error{
 			Code: CodeUnclear, Status: 400, wellFormed: true,
-			Message: "it cannot be determined that this is a query; send it by POST",
+			Message: "it cannot be told that this is a query; send it by POST",
 		}
 	}
 	return v, err
--- a/internal/graphql/read.go
+++ b/internal/graphql/read.go
@@ -112,7 +112,7 @@
 		return nil
 	})
 	if err == nil && (!version || !isHash(hash)) {
-		err = badRequest("persistedQuery must have version 1, and sha256Hash of 64 lower-case hexadecimal digits")
+		err = badRequest("persistedQuery must have version 1, and sha256Hash of 64 small hexadecimal digits")
 	}
 	return hash, err
 }
@@ -172,7 +172,7 @@
 	for i, n := range names {
 		if string(name) == n {
 			if *seen&(1<<i) != 0 {
-				return i, badRequest("%s occurs twice", n)
+				return i, badRequest("%s is there twice", n)
 			}
 			*seen |= 1 << i
 			return i, nil
@@ -180,7 +180,7 @@
 	}
 	for _, n := range names {
 		if strings.EqualFold(string(name), n) {
-			return -1, badRequest("%q could be mistaken for %s", name, n)
+			return -1, badRequest("%q could be taken for %s", name, n)
 		}
 	}
 	if string(name) == protoName {
@@ -329,7 +329,7 @@
 	}
 }
 
-var errNotJSON = badRequest("the body must be a JSON object or an array of them, in UTF-8, without a BOM")
+var errNotJSON = badRequest("the body must be a JSON object or an array of them, in UTF-8, without a mark")
 
 // isValidJSON reports whether b is a JSON value. It allows duplicate names: the server decides how to
 // handle those.
--- a/internal/transport/upload.go
+++ b/internal/transport/upload.go
@@ -27,7 +27,7 @@
 
 // errSlowBody means that a request's body was received too slowly, or not at all. Its text is sent to
 // clients.
-var errSlowBody = errors.New("the body is received too slowly")
+var errSlowBody = errors.New("the body does not come")
 
 // pacedBody reads a request's body as long as the client makes progress in sending it: a stalled body is cut
 // off, one that is merely slow is not.
