--- a/internal/balancer/outlier/table_test.go
+++ b/internal/balancer/outlier/table_test.go
@@ -65,7 +65,8 @@
 // run feeds the stream to a detector for a duration. It returns the number of ejections of healthy servers, and the
 // number of attempts and the time until the faulty server was ejected.
 func (st evidenceStream) run(seed uint64, duration time.Duration, kind detectorKind) (
-	falseEjections, tries int, took time.Duration) {
+	falseEjections, tries int, took time.Duration,
+) {
 	const servers = 13
 	rng := rand.New(rand.NewPCG(seed, 7))
 	d := New(attemptTimeout, 1)
--- a/internal/fleet/gossip/pull.go
+++ b/internal/fleet/gossip/pull.go
@@ -152,8 +152,10 @@
 	}
 	last := r.log.Last()
 	hasMore := err == nil && appended > 0 && s.Epoch == last.Epoch && s.LastSeq > last.Seq
-	r.endPull(from, pullResult{bytes: totalBytes(s.Records), epoch: s.Epoch, lastSeq: s.LastSeq,
-		hasMore: hasMore})
+	r.endPull(from, pullResult{
+		bytes: totalBytes(s.Records), epoch: s.Epoch, lastSeq: s.LastSeq,
+		hasMore: hasMore,
+	})
 	if isFull {
 		r.pullWaitUntil = r.now + r.settings.ReplyTimeout
 	}
--- a/internal/fleet/gossip/replicator.go
+++ b/internal/fleet/gossip/replicator.go
@@ -75,8 +75,10 @@
 	}
 	r.nextPush = now + r.jittered(settings.IdleInterval)
 	r.sendBudget, r.receiveBudget = newByteBudget(settings, now), newByteBudget(settings, now)
-	r.catchUp = catchUp{deadline: now + settings.CatchUpDeadline, nextRequestAt: now,
-		requestID: r.rng.Uint32() | 1}
+	r.catchUp = catchUp{
+		deadline: now + settings.CatchUpDeadline, nextRequestAt: now,
+		requestID: r.rng.Uint32() | 1,
+	}
 	return r
 }
 
--- a/internal/fleet/membership/paths.go
+++ b/internal/fleet/membership/paths.go
@@ -113,7 +113,8 @@
 		return
 	}
 	reports[place] = oneWayReport{
-		reporter: reporter, reportedAt: at, isSet: true, announcements: l.announceTimes}
+		reporter: reporter, reportedAt: at, isSet: true, announcements: l.announceTimes,
+	}
 	l.markPending(number)
 }
 
--- a/internal/fleet/raftlog/voterlab/checks.go
+++ b/internal/fleet/raftlog/voterlab/checks.go
@@ -16,7 +16,7 @@
 	if s.Phase == raftlog.Leading {
 		at := epochPosition{s.Identity.Epoch, s.Term}
 		if id, isKnown := l.leaders[at]; isKnown && id != s.Identity.ID {
-			l.addViolation("epoch %d has two leaders in term %d: %d and %d", at.epoch, at.number, id, s.Identity.ID)
+			l.addViolation("epoch %d has two leaders in term %d: %d and %d", at.epoch, at.at, id, s.Identity.ID)
 		}
 		l.leaders[at] = s.Identity.ID
 	}
@@ -39,9 +39,9 @@
 	for i := len(l.acknowledgements) - 1; i >= 0 && i > len(l.acknowledgements)-50; i-- {
 		ack := l.acknowledgements[i]
 		at := ack.at.Add(clockOffset(h.agent) + clockError) // by the voter's own clock
-		if ack.epoch == s.Identity.Epoch && at.Before(s.FreshAsOf) && s.AppliedIndex < ack.epochPosition.number {
+		if ack.epoch == s.Identity.Epoch && at.Before(s.FreshAsOf) && s.AppliedIndex < ack.epochPosition.at {
 			l.addViolation("agent %d is fresh as of %v, but has not applied record %d, reported at %v", h.agent,
-				s.FreshAsOf.Sub(Start), ack.epochPosition.number, ack.at.Sub(Start))
+				s.FreshAsOf.Sub(Start), ack.epochPosition.at, ack.at.Sub(Start))
 		}
 	}
 }
@@ -106,8 +106,8 @@
 	for _, a := range l.configured {
 		s, _ := l.Status(a)
 		for _, ack := range before {
-			if ack.epoch == s.Identity.Epoch && s.AppliedIndex < ack.epochPosition.number {
-				l.addViolation("agent %d lacks record %d, which was reported as committed", a, ack.epochPosition.number)
+			if ack.epoch == s.Identity.Epoch && s.AppliedIndex < ack.epochPosition.at {
+				l.addViolation("agent %d lacks record %d, which was reported as committed", a, ack.epochPosition.at)
 			}
 		}
 	}
--- a/internal/fleet/raftlog/voterlab/host.go
+++ b/internal/fleet/raftlog/voterlab/host.go
@@ -198,11 +198,11 @@
 	// A hash returns no errors.
 	_, _ = fmt.Fprintf(sum, "%d %d %d %v %v", h.state.chain, e.Index, e.Term, e.ID, e.Data)
 	h.state.chain = sum.Sum64()
-	op := decodeOp(e.Data)
-	if op.write {
-		h.state.values[op.key] = op.value
+	decoded := decodeOp(e.Data)
+	if decoded.write {
+		h.state.values[decoded.key] = decoded.value
 	}
-	h.lab.checkApplied(h, e, h.state.values[op.key])
+	h.lab.checkApplied(h, e, h.state.values[decoded.key])
 }
 
 // op is a client's operation: it writes one register, or reads it. A read is a record of its own, too.
--- a/internal/fleet/raftlog/voterlab/lab.go
+++ b/internal/fleet/raftlog/voterlab/lab.go
@@ -51,7 +51,7 @@
 }
 
 // epochPosition is an index or a term in an epoch.
-type epochPosition struct{ epoch, number uint64 }
+type epochPosition struct{ epoch, at uint64 }
 
 // acknowledgement is the report to a client that a proposal was committed: its time, and the record's index.
 type acknowledgement struct {
--- a/internal/graphql/document.go
+++ b/internal/graphql/document.go
@@ -163,7 +163,8 @@
 	if err != nil {
 		var e *gqlerror.Error
 		if errors.As(err, &e) && strings.HasPrefix(e.Message, "exceeded ") { // identifiable by its text only
-			return nil, overLimit("a document has %d tokens at most, and no more than %d levels", l.MaxTokens, l.MaxDepth)
+			return nil, overLimit("a document has %d tokens at most, and no more than %d levels", l.MaxTokens,
+				l.MaxDepth)
 		}
 		return d, nil
 	}
--- a/internal/protocol/endpointlist.go
+++ b/internal/protocol/endpointlist.go
@@ -42,8 +42,10 @@
 	if form.Version == nil {
 		return EndpointList{}, errors.New("endpoint list: no version")
 	}
-	list := EndpointList{Version: *form.Version, Full: form.Full,
-		Endpoints: make([]Endpoint, 0, len(form.Servers))}
+	list := EndpointList{
+		Version: *form.Version, Full: form.Full,
+		Endpoints: make([]Endpoint, 0, len(form.Servers)),
+	}
 	for _, raw := range form.Servers {
 		endpoint, err := decodeEndpoint(raw)
 		if err != nil {
@@ -75,8 +77,10 @@
 	if err := json.Unmarshal(raw, &form); err != nil {
 		return Endpoint{}, fmt.Errorf("server: %w", err)
 	}
-	endpoint := Endpoint{Server: balancer.Server{ID: form.ID, Zone: form.Zone, MachineKind: form.Kind,
-		Cell: form.Cell, Weight: 1}}
+	endpoint := Endpoint{Server: balancer.Server{
+		ID: form.ID, Zone: form.Zone, MachineKind: form.Kind,
+		Cell: form.Cell, Weight: 1,
+	}}
 	var known bool
 	if endpoint.State, known = endpointStates[form.State]; !known || form.ID == "" {
 		return Endpoint{}, fmt.Errorf("server %q: no id, or unknown state %q", form.ID, form.State)
