--- a/internal/overload/episode.go
+++ b/internal/overload/episode.go
@@ -19,7 +19,7 @@
 	episodeConfirmedAfter = 150 * time.Millisecond // duration of slow service after which load is shed
 	episodeOverAfter      = time.Second            // duration of usual service after which an episode is over
 
-	newEpisodeGrowth      = 1.35                    // factor growth after failed shedding that starts a new episode
+	newEpisodeGrowth      = 1.35                    // factor growth after shedding that starts a new episode
 	growthMinAge          = 1800 * time.Millisecond // minimum time since the end of shedding until growth counts
 	episodeFactorHalfLife = 3 * time.Second
 )
