--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -1,4 +1,4 @@
-// Command toy simulates discovery and two booking servers, to try the agent with. Press Enter to drain
+// Command toy simulates discovery and two upstream servers, to try the agent with. Press Enter to drain
 // toy-2, and Enter again to make it active.
 package main
 
@@ -19,7 +19,7 @@
 
 func main() {
 	for _, s := range servers {
-		go func() { log.Fatal(http.ListenAndServe(s.addr, booking(s.id))) }()
+		go func() { log.Fatal(http.ListenAndServe(s.addr, upstreamServer(s.id))) }()
 	}
 	d := &discovery{version: 1, changed: make(chan struct{})}
 	go d.switchOnEnter()
@@ -27,9 +27,9 @@
 	log.Fatal(http.ListenAndServe(discoveryAddr, d))
 }
 
-// booking answers each request after a short delay with the server's id, and a GraphQL request with a
+// upstreamServer answers each request after a short delay with the server's id, and a GraphQL request with a
 // GraphQL response.
-func booking(id string) http.Handler {
+func upstreamServer(id string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
