--- a/internal/standin/program/program.go
+++ b/internal/standin/program/program.go
@@ -127,8 +127,8 @@
 var errAgentEnded = errors.New("program: the agent cannot be started after End")
 
 // Start starts the agent's program with a configuration, after its former process has ended. It calls ended
-// once when the process has ended; unasked is true if neither SIGTERM nor Kill was sent to it.
-func (a *Agent) Start(config, discovery string, ended func(unasked bool)) (*Process, error) {
+// once when the process has ended; unexpected is true if neither SIGTERM nor Kill was sent to it.
+func (a *Agent) Start(config, discovery string, ended func(unexpected bool)) (*Process, error) {
 	if old := a.Running(); old != nil { // it was killed and ends soon
 		<-old.ended
 	}
@@ -208,12 +208,12 @@
 	err := p.cmd.Wait()
 	p.suspension.end()
 	a.mu.Lock()
-	unasked := !p.drained && !p.killed
+	unexpected := !p.drained && !p.killed
 	state := p.cmd.ProcessState
 	a.usage.CPUSeconds += (state.UserTime() + state.SystemTime()).Seconds()
 	if err != nil && !p.killed {
 		a.usage.Problems = append(a.usage.Problems, "ended with "+err.Error())
-	} else if unasked {
+	} else if unexpected {
 		a.usage.Problems = append(a.usage.Problems, "ended by itself")
 	}
 	if a.current == p {
@@ -221,7 +221,7 @@
 	}
 	a.mu.Unlock()
 	close(p.ended)
-	ended(unasked)
+	ended(unexpected)
 }
 
 // keepLogLine keeps a line among the last lines of the log and passes it to Log.
--- a/internal/standin/program/program_test.go
+++ b/internal/standin/program/program_test.go
@@ -72,9 +72,9 @@
 	p.Resume() // no effect: the process has ended
 }
 
-// TestSlowLimitsProcessorTime: a slowed process uses at most its share of the time and a margin, and is not stopped any
+// TestSetCPUShareLimitsProcessorTime: a slowed process uses at most its share of the time and a margin, and is not stopped any
 // more after the slowing.
-func TestSlowLimitsProcessorTime(t *testing.T) {
+func TestSetCPUShareLimitsProcessorTime(t *testing.T) {
 	const share, slice = 0.2, 50 * time.Millisecond
 	p := shellAgent("while :; do :; done").begin(t)
 	p.SetCPUShare(0.9, slice) // replaced
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -38,7 +38,7 @@
 
 	mu          sync.Mutex
 	listener    *net.TCPListener    // nil: connection attempts are refused
-	isMuted     bool                // connection attempts are not answered
+	ignoring    bool                // connection attempts are not answered
 	activeFills int                 // goroutines in fillBacklog
 	fillers     map[string]net.Conn // the server's own connections in its backlog, by local address
 	conns       map[*Conn]struct{}
@@ -86,8 +86,8 @@
 	if s.closed {
 		return net.ErrClosed
 	}
-	if s.isMuted {
-		s.isMuted = false
+	if s.ignoring {
+		s.ignoring = false
 		s.resetWaiting()
 		for _, c := range s.fillers {
 			_ = c.Close()
@@ -118,7 +118,7 @@
 		_ = s.listener.Close()
 		s.listener = nil
 	}
-	s.isMuted = false
+	s.ignoring = false
 }
 
 // IgnoreConnections leaves connection attempts without an answer, as if the network were cut: the listen
@@ -130,10 +130,10 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.isMuted {
+	if s.ignoring {
 		return nil
 	}
-	s.isMuted = true
+	s.ignoring = true
 	_ = s.listener.SetDeadline(time.Unix(1, 0)) // ends accept
 	if err := s.setBacklog(0); err != nil {
 		return err
@@ -154,9 +154,9 @@
 	return errors.Join(err, raw.Control(func(fd uintptr) { err = syscall.Listen(int(fd), n) }), err)
 }
 
-// IsBacklogFull reports whether the listen backlog is full: from then on a muted server answers no
-// connection attempt. It works on Linux only. It returns false if the server does not listen, and while
-// fillBacklog runs, as that may accept a connection and free its place.
+// IsBacklogFull reports whether the listen backlog is full: from then on a server answers no connection
+// attempt after IgnoreConnections. It works on Linux only. It returns false if the server does not listen,
+// and while fillBacklog runs, as that may accept a connection and free its place.
 func (s *Server) IsBacklogFull() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -199,7 +199,7 @@
 			continue
 		}
 		s.mu.Lock()
-		if s.fillers[c.LocalAddr().String()] = c; !s.isMuted {
+		if s.fillers[c.LocalAddr().String()] = c; !s.ignoring {
 			_ = c.Close()
 		}
 		s.mu.Unlock()
@@ -217,7 +217,7 @@
 	if !s.acceptQueueFull() {
 		return false
 	}
-	if s.isMuted && len(s.fillers) == 0 {
+	if s.ignoring && len(s.fillers) == 0 {
 		s.acceptWaiting()
 		return false
 	}
@@ -392,7 +392,7 @@
 const endlessHeadTimeout = 5 * time.Second
 
 // Reply writes a response with a fault. It ignores the faults that do not concern a response, NoAccept and
-// SlowReader, and also Forgets: a server that forgets a connection calls no Reply on it.
+// SlowReader, and also DropsConnection: a server that drops a connection's state does not call Reply on it.
 func (c *Conn) Reply(r Reply, fault scenario.ConnFault) {
 	head := r.head()
 	write := func(parts ...string) { _, _ = io.WriteString(c.conn, strings.Join(parts, "")) }
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -38,9 +38,9 @@
 	return string(buf[:n]), err
 }
 
-// TestServerRefusesMutesAndAcceptsAgain: a server can refuse, leave unanswered and accept connections repeatedly at the
+// TestServerRefusesIgnoresAndAcceptsAgain: a server can refuse, leave unanswered and accept connections repeatedly at the
 // same address.
-func TestServerRefusesMutesAndAcceptsAgain(t *testing.T) {
+func TestServerRefusesIgnoresAndAcceptsAgain(t *testing.T) {
 	s, err := Listen("127.77.0.1:0", answerOK(""))
 	require.NoError(t, err)
 	defer s.Close()
@@ -64,9 +64,9 @@
 	require.ErrorIs(t, s.AcceptConnections(), net.ErrClosed)
 }
 
-// TestMuteServesConnectionsAlreadyUp: a connection established just before IgnoreConnections is served: its request does not stay
-// unread until the server accepts again.
-func TestMuteServesConnectionsAlreadyUp(t *testing.T) {
+// TestIgnoreConnectionsServesEstablished: a connection established just before IgnoreConnections is served: its
+// request does not stay unread until the server accepts again.
+func TestIgnoreConnectionsServesEstablished(t *testing.T) {
 	s, err := Listen("127.77.0.1:0", answerOK(""))
 	require.NoError(t, err)
 	defer s.Close()
@@ -87,9 +87,9 @@
 	}
 }
 
-// TestFullReturnsFalseWhileFilling: IsBacklogFull returns false while fillBacklog runs. A filler can fill the backlog although
-// its dial timed out; the server then accepts it, and the next connection attempt succeeds.
-func TestFullReturnsFalseWhileFilling(t *testing.T) {
+// TestIsBacklogFullReturnsFalseWhileFilling: IsBacklogFull returns false while fillBacklog runs. A filler can fill the
+// backlog although its dial timed out; the server then accepts it, and the next connection attempt succeeds.
+func TestIsBacklogFullReturnsFalseWhileFilling(t *testing.T) {
 	s, err := Listen("127.77.0.1:0", answerOK(""))
 	require.NoError(t, err)
 	defer s.Close()
@@ -113,9 +113,9 @@
 	require.True(t, s.IsBacklogFull())
 }
 
-// TestConnectingCountsOwnProcessOnly: a connection that is not established is counted for its own process only, and an
+// TestCountConnectingCountsOwnProcessOnly: a connection that is not established is counted for its own process only, and an
 // established one is not.
-func TestConnectingCountsOwnProcessOnly(t *testing.T) {
+func TestCountConnectingCountsOwnProcessOnly(t *testing.T) {
 	s, err := Listen("127.77.0.1:0", answerOK(""))
 	require.NoError(t, err)
 	defer s.Close()
@@ -146,9 +146,9 @@
 	require.Equal(t, before, n)
 }
 
-// TestAcceptResetsConnectionsMadeWhileMuted: a connection that got into a muted server's backlog is reset when the server
-// accepts again, as its request is old by then.
-func TestAcceptResetsConnectionsMadeWhileMuted(t *testing.T) {
+// TestAcceptConnectionsResetsIgnoredConnections: a connection that got into the backlog during IgnoreConnections is
+// reset when the server accepts again, as its request is old by then.
+func TestAcceptConnectionsResetsIgnoredConnections(t *testing.T) {
 	s, err := Listen("127.77.0.1:0", answerOK(""))
 	require.NoError(t, err)
 	defer s.Close()
--- a/internal/standin/strait.go
+++ b/internal/standin/streamlink.go
@@ -238,8 +238,8 @@
 	}
 }
 
-// holdEnd defers end until held bytes are written, and reports whether it did: not where nothing is held.
-// closes is true if the connection is closed in both directions.
+// holdEnd defers end until held bytes are written, and reports whether it did; it does not if nothing is
+// held. closes is true if the connection is closed in both directions.
 func (c *linkConn) holdEnd(closes bool, end func()) bool {
 	s := c.link
 	s.mu.Lock()
