--- a/cmd/rehearse/bench.go
+++ b/cmd/rehearse/bench.go
@@ -50,7 +50,8 @@
 	fmt.Fprintf(inv.stdout, "%d requests scheduled, %d answered, %.0f a second, on %d cores with %.2f s of "+
 		"processor time\n", bench.Sent, bench.Answered, bench.AnsweredPerSecond, bench.Cores, bench.CPUSeconds)
 	fmt.Fprintf(inv.stdout, "lateness: p50 %d us, p99 %d us, p99.9 %d us, max %v\n",
-		lateness.ValueAtQuantile(50), lateness.ValueAtQuantile(99), lateness.ValueAtQuantile(99.9), bench.Lateness.Max)
+		lateness.ValueAtQuantile(50), lateness.ValueAtQuantile(99), lateness.ValueAtQuantile(99.9),
+		bench.Lateness.Max)
 	return nil
 }
 
--- a/cmd/rehearse/hunt.go
+++ b/cmd/rehearse/hunt.go
@@ -109,13 +109,14 @@
 // writeFiles writes the ranking as JSON, and the worst failed runs as scenario files with their seeds.
 func (c *huntCommand) writeFiles(scen *scenario.Scenario, results []rehearsal.SeedResult) error {
 	ranking := struct {
-		Schema   int                    `json:"schema"`
-		Scenario string                 `json:"scenario"`
-		First    uint64                 `json:"first_seed"`
-		Seeds    int                    `json:"seeds"`
-		Without  []string               `json:"without"`
-		Placed   bool                   `json:"placed,omitempty"` // by the flag, whatever the scenario has
-		Days     []rehearsal.SeedResult `json:"days"`             // the worst first; fewer than seeds if interrupted
+		Schema   int      `json:"schema"`
+		Scenario string   `json:"scenario"`
+		First    uint64   `json:"first_seed"`
+		Seeds    int      `json:"seeds"`
+		Without  []string `json:"without"`
+		Placed   bool     `json:"placed,omitempty"` // by the flag, whatever the scenario has
+		// Results are sorted, the worst first. There are fewer than Seeds if the hunt was interrupted.
+		Results []rehearsal.SeedResult `json:"days"`
 	}{
 		1, scen.Name, c.First, c.Seeds, append([]string{}, c.Without...), c.Placed,
 		append([]rehearsal.SeedResult{}, results...),
--- a/internal/rehearsal/breaking.go
+++ b/internal/rehearsal/breaking.go
@@ -13,7 +13,7 @@
 	MinLoad, MaxLoad float64 // bounds of the search, in multiples of the scenario's load
 	Steps            int     // number of bisection steps
 	// Play runs a scenario, possibly live; nil: Play of this package with Seed.
-	Play     func(ctx context.Context, set *scenario.Scenario) (*report.Report, error)
+	Play     func(ctx context.Context, sc *scenario.Scenario) (*report.Report, error)
 	Seed     uint64
 	Progress func(load float64) // called before each run with its load; may be nil
 }
@@ -22,10 +22,10 @@
 // above the floor. Loads are multiples of the scenario's own. Break returns the highest load that passed,
 // or zero if none did, and the results of all runs by increasing load. It assumes that a scenario that
 // passes under a load also passes under any lower load.
-func Break(ctx context.Context, set *scenario.Scenario, o BreakOptions) (float64, []report.LoadRun, error) {
+func Break(ctx context.Context, sc *scenario.Scenario, o BreakOptions) (float64, []report.LoadRun, error) {
 	if o.Play == nil {
-		o.Play = func(ctx context.Context, set *scenario.Scenario) (*report.Report, error) {
-			return Play(ctx, set, Options{Seed: o.Seed})
+		o.Play = func(ctx context.Context, sc *scenario.Scenario) (*report.Report, error) {
+			return Play(ctx, sc, Options{Seed: o.Seed})
 		}
 	}
 	var results []report.LoadRun
@@ -33,12 +33,12 @@
 		if o.Progress != nil {
 			o.Progress(load)
 		}
-		r, err := o.Play(ctx, underLoad(set, load))
+		r, err := o.Play(ctx, underLoad(sc, load))
 		if err != nil {
 			return false, err
 		}
 		if !r.Judged() {
-			return false, fmt.Errorf("%s: %s", set.Name, r.Live.Measured.NotJudged)
+			return false, fmt.Errorf("%s: %s", sc.Name, r.Live.Measured.NotJudged)
 		}
 		results = report.InsertLoad(results, report.LoadRun{Load: load, Report: r})
 		return r.Passed, nil
@@ -66,8 +66,8 @@
 }
 
 // underLoad returns the scenario with its load multiplied by load. The tenants' shares are unchanged.
-func underLoad(set *scenario.Scenario, load float64) *scenario.Scenario {
-	changed := *set
+func underLoad(sc *scenario.Scenario, load float64) *scenario.Scenario {
+	changed := *sc
 	for _, span := range []*scenario.Span{&changed.Load.PerS, &changed.Load.OfCapacity} {
 		span.Low, span.High = span.Low*load, span.High*load
 	}
--- a/internal/rehearsal/breaking_test.go
+++ b/internal/rehearsal/breaking_test.go
@@ -17,8 +17,8 @@
 func TestBreakFindsHighestPassingLoad(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit, steps := rapid.Float64Range(0, 3).Draw(t, "limit"), rapid.IntRange(0, 10).Draw(t, "steps")
-		set := &scenario.Scenario{Load: scenario.Traffic{PerS: scenario.Span{Low: 100, High: 200}}}
-		got, results, err := Break(t.Context(), set, BreakOptions{
+		sc := &scenario.Scenario{Load: scenario.Traffic{PerS: scenario.Span{Low: 100, High: 200}}}
+		got, results, err := Break(t.Context(), sc, BreakOptions{
 			MinLoad: 0.5, MaxLoad: 2, Steps: steps,
 			Play: func(_ context.Context, s *scenario.Scenario) (*report.Report, error) {
 				require.InDelta(t, 2*s.Load.PerS.Low, s.Load.PerS.High, 1e-9)
--- a/internal/rehearsal/fleet_test.go
+++ b/internal/rehearsal/fleet_test.go
@@ -16,17 +16,17 @@
 func TestFleetScenariosPassGate(t *testing.T) {
 	var scenarios []*scenario.Scenario
 	for _, name := range []string{"calm", "roll", "herd", "zone", "split", "join"} {
-		set := loadScenario(t, "fleet-"+name)
+		sc := loadScenario(t, "fleet-"+name)
 		if os.Getenv("LONG_TESTS") == "" {
-			set.Agents.Count /= 3
-			set.Fleet.Servers /= 3
-			set.Discovery.CallsPerS.Low /= 3
-			set.Discovery.CallsPerS.High /= 3
-			for i := range set.Faults {
-				set.Faults[i].Count /= 3
+			sc.Agents.Count /= 3
+			sc.Fleet.Servers /= 3
+			sc.Discovery.CallsPerS.Low /= 3
+			sc.Discovery.CallsPerS.High /= 3
+			for i := range sc.Faults {
+				sc.Faults[i].Count /= 3
 			}
 		}
-		scenarios = append(scenarios, set)
+		scenarios = append(scenarios, sc)
 	}
 	results, err := Gate(context.Background(), scenarios, GateOptions{})
 	require.NoError(t, err)
@@ -43,7 +43,7 @@
 	kept []*record.Event
 }
 
-func (h *leakingSink) Take(e *record.Event) {
+func (h *leakingSink) Observe(e *record.Event) {
 	kept := *e
 	h.kept = append(h.kept, &kept)
 }
@@ -51,14 +51,14 @@
 // The agents' memory does not grow in a quiet run, and Soak detects a leak. The test must not run in parallel with
 // others, because it measures the memory of the process.
 func TestSoakDetectsLeak(t *testing.T) {
-	set := loadScenario(t, "fleet-soak")
-	set.Run.Length, set.Agents.Count, set.Fleet.Servers = 2*time.Minute, 3, 13
-	set.Load.PerS = scenario.Span{Low: 40, High: 40}
-	s, err := Soak(context.Background(), set, Options{Seed: 1})
+	sc := loadScenario(t, "fleet-soak")
+	sc.Run.Length, sc.Agents.Count, sc.Fleet.Servers = 2*time.Minute, 3, 13
+	sc.Load.PerS = scenario.Span{Low: 40, High: 40}
+	s, err := Soak(context.Background(), sc, Options{Seed: 1})
 	require.NoError(t, err)
 	require.Less(t, s.Growth(), 64e3, "%+v", s.Samples)
 	leak := &leakingSink{}
-	s, err = soak(context.Background(), set, Options{Seed: 1}, leak)
+	s, err = soak(context.Background(), sc, Options{Seed: 1}, leak)
 	require.NoError(t, err)
 	require.Greater(t, s.Growth(), 64e3, "%+v", s.Samples)
 	require.NotEmpty(t, leak.kept)
--- a/internal/rehearsal/gate.go
+++ b/internal/rehearsal/gate.go
@@ -52,16 +52,16 @@
 	var mu sync.Mutex
 	done := 0
 	err := onCores(ctx, min(runtime.GOMAXPROCS(0), max(maxPairs/pairs, 1)), len(results), func(i int) error {
-		set := scenarios[i/o.Seeds]
-		seed := set.Seed + uint64(i%o.Seeds)
-		r, err := Play(ctx, set, Options{Seed: seed, Without: o.Without, MeasureShares: true})
+		sc := scenarios[i/o.Seeds]
+		seed := sc.Seed + uint64(i%o.Seeds)
+		r, err := Play(ctx, sc, Options{Seed: seed, Without: o.Without, MeasureShares: true})
 		if err != nil {
 			return err
 		}
 		mu.Lock()
 		defer mu.Unlock()
 		line, passed := r.GateLine()
-		results[i] = GateResult{set.Name, seed, passed, r.Service, line, r.Shares}
+		results[i] = GateResult{sc.Name, seed, passed, r.Service, line, r.Shares}
 		if done++; o.Progress != nil {
 			o.Progress(done)
 		}
--- a/internal/rehearsal/graphql_test.go
+++ b/internal/rehearsal/graphql_test.go
@@ -23,8 +23,8 @@
 	failedAttempts int
 }
 
-func (x *executionCounter) Take(e *record.Event) {
-	x.Sink.Take(e)
+func (x *executionCounter) Observe(e *record.Event) {
+	x.Sink.Observe(e)
 	switch e.Kind {
 	case record.RequestReceived:
 		x.requests[e.RequestID] = e.Chain
@@ -47,23 +47,23 @@
 	}
 }
 
-// With every kind of fault, no GraphQL request that must not run twice does. Without the GraphQL listener, as opaque
-// POSTs, service is lower, because queries are not retried.
+// With every kind of fault, no GraphQL request that must not be repeated runs twice. Without the GraphQL listener the
+// requests are opaque POSTs, and service is lower because queries are not retried.
 func TestGraphQLMutationsRunAtMostOnce(t *testing.T) {
-	set, err := scenario.Load("../../rehearsals/graphql.toml")
+	sc, err := scenario.Load("../../rehearsals/graphql.toml")
 	require.NoError(t, err)
 	var service [2]float64
 	failures, repeats, executed := 0, 0, 0
 	const runs = 3
 	for listener := range service {
-		set.Clients.GraphQLListener = listener == 1
+		sc.Clients.GraphQLListener = listener == 1
 		for seed := range uint64(runs) {
-			verdicts := judge.New(set)
+			verdicts := judge.New(sc)
 			counter := &executionCounter{Sink: verdicts, requests: map[uint32]uint32{}, unsafeRuns: map[uint32]int{}, safeRuns: map[uint32]int{}}
-			for _, c := range set.Classes {
+			for _, c := range sc.Classes {
 				counter.unsafe = append(counter.unsafe, c.Effect == scenario.Unsafe)
 			}
-			require.NoError(t, world.Play(t.Context(), set, seed+1, counter, world.Options{Tuning: balancer.DefaultTuning()}))
+			require.NoError(t, world.Play(t.Context(), sc, seed+1, counter, world.Options{Tuning: balancer.DefaultTuning()}))
 			for chain, n := range counter.unsafeRuns {
 				require.LessOrEqual(t, n, 1, "request %d with seed %d", chain, seed+1)
 				executed += n
--- a/internal/rehearsal/hunt.go
+++ b/internal/rehearsal/hunt.go
@@ -28,14 +28,14 @@
 	First          uint64                 // first seed
 	Seeds          int                    // number of consecutive seeds
 	Without        []string               // names of protections to disable
-	RingAssignment bool                   // agents use ring assignment whatever the scenario says
+	RingAssignment bool                   // enables ring assignment for any scenario
 	Progress       func(done, failed int) // called after each run, never concurrently; may be nil
 }
 
 // Hunt runs the scenario with many seeds on all cores and returns the results, worst first: crashes, then
 // by the number of broken rules, then by service, then by seed. If the context ends first, Hunt returns the
 // results so far with its error.
-func Hunt(ctx context.Context, set *scenario.Scenario, o HuntOptions) ([]SeedResult, error) {
+func Hunt(ctx context.Context, sc *scenario.Scenario, o HuntOptions) ([]SeedResult, error) {
 	if _, _, err := tuningWithout(o.Without); err != nil {
 		return nil, err
 	}
@@ -44,13 +44,13 @@
 	failed := 0
 	err := onAllCores(ctx, o.Seeds, func(i int) error {
 		seed := o.First + uint64(i)
-		r, err := Play(ctx, set, Options{Seed: seed, Without: o.Without, RingAssignment: o.RingAssignment})
+		r, err := Play(ctx, sc, Options{Seed: seed, Without: o.Without, RingAssignment: o.RingAssignment})
 		if err != nil {
 			return err
 		}
 		mu.Lock()
 		defer mu.Unlock()
-		results = append(results, newFound(r))
+		results = append(results, newSeedResult(r))
 		if !r.Passed {
 			failed++
 		}
@@ -75,7 +75,7 @@
 	return len(f.Broken)
 }
 
-func newFound(r *report.Report) SeedResult {
+func newSeedResult(r *report.Report) SeedResult {
 	f := SeedResult{
 		Seed: r.Seed, Passed: r.Passed, Crashed: r.Crash != nil, Service: r.Service,
 		Broken: []string{}, Findings: []string{},
--- a/internal/rehearsal/judge/words.go
+++ b/internal/rehearsal/judge/describe.go
@@ -57,8 +57,9 @@
 	outcomeNames = [...]string{
 		record.OK: "a 200", record.Error: "an error", record.Rejected: "rejected",
 		record.NoConnection: "no connection", record.Broken: "connection broken",
-		record.Abandoned: "the agent stopped waiting",
-		record.Unwritten: "the agent stopped before it was written", record.UnreadableAnswer: "an unreadable answer",
+		record.Abandoned:        "the agent stopped waiting",
+		record.Unwritten:        "the agent stopped before it was written",
+		record.UnreadableAnswer: "an unreadable answer",
 	}
 )
 
@@ -66,8 +67,8 @@
 	agent, server := d.agent(e.Agent), d.server(e.Server)
 	switch e.Kind {
 	case record.RequestReceived:
-		return fmt.Sprintf("%s receives request %d, try %d of %d, %s, with %v left", agent, e.RequestID, e.Try, e.Chain,
-			d.scenario.Classes[e.Class].Name, roundToMS(e.Left))
+		return fmt.Sprintf("%s receives request %d, try %d of %d, %s, with %v left",
+			agent, e.RequestID, e.Try, e.Chain, d.scenario.Classes[e.Class].Name, roundToMS(e.Left))
 	case record.Answered:
 		return fmt.Sprintf("%s answers request %d: %s", agent, e.RequestID, answerNames[e.Answer])
 	case record.ConnectionLost:
@@ -80,7 +81,8 @@
 		return fmt.Sprintf("attempt %d of request %d, %v of work, reaches %s", e.Attempt, e.RequestID,
 			roundToMS(e.Work), server)
 	case record.AttemptEnded:
-		return fmt.Sprintf("attempt %d of request %d at %s: %s", e.Attempt, e.RequestID, server, outcomeNames[e.Outcome])
+		return fmt.Sprintf("attempt %d of request %d at %s: %s", e.Attempt, e.RequestID, server,
+			outcomeNames[e.Outcome])
 	case record.WorkDone:
 		ran := "was dropped before it ran"
 		if e.Ran {
--- a/internal/rehearsal/judge/knowledge.go
+++ b/internal/rehearsal/judge/discoveryview.go
@@ -30,7 +30,7 @@
 	since       time.Duration // when its watch was accepted, or its last request for the list
 	failed      bool          // the last call failed
 	silent      bool          // a watch went silent and no call was accepted since
-	silentUntil time.Duration // what the silence hides counts as received at this time
+	silentUntil time.Duration // time at which the changes withheld by the silence count as received
 	pausedAt    time.Duration // when it was paused; 0: it is running
 	notified    map[int32]*listEntry
 	outages     int           // active faults that make discovery unreachable
@@ -100,10 +100,10 @@
 // silenceGrace is how long after the latest possible answer to a silent call the agent counts as notified.
 const silenceGrace = 2 * time.Second
 
-// watchSilent starts the clock of a silence. Everything that the silence hides counts as received at the
-// same time, however soon the call is given up and repeated, until a call is accepted.
+// watchSilent records that the agent's watch went silent. All changes that the silence withholds count as
+// received at the same time, however soon the call is given up and repeated, until a call is accepted.
 func (a *agentView) watchSilent(e *record.Event, within time.Duration) {
-	if a.silent { // what the first silence hides is still missing
+	if a.silent { // the changes withheld by the first silence are still missing
 		return
 	}
 	a.silent, a.silentUntil = true, max(e.At+within, e.At+e.Left+silenceGrace)
@@ -122,8 +122,8 @@
 	}
 }
 
-// countOutage counts a fault that begins (by 1) or ends (by -1) to make discovery unreachable, for all
-// agents or for some.
+// countOutage updates the number of active faults that make discovery unreachable, for all agents or for
+// some: by is 1 if the fault begins and -1 if it ends.
 func (k *discoveryView) countOutage(e *record.Event, by int) {
 	if int(e.Fault) >= len(k.scenario.Faults) {
 		return
@@ -157,13 +157,13 @@
 	a.pausedAt = 0
 }
 
-// failedCallFactor is the factor by which an agent whose call failed may go longer without the list.
+// failedCallFactor multiplies the time that an agent may go without the list after a failed call.
 const failedCallFactor = 4
 
 // notifiedBy returns when an agent counts as notified of what discovery has known since a given time. With
-// a watch that is TellWithin later. During a silence it is the silence's time. Without a watch it is
-// AskWithin after the last request, and longer after a failed call, but no later than with a watch once
-// discovery is reachable again.
+// a watch, that is NotifyWithin later; during a silence, silentUntil. Without a watch it is RequestWithin
+// after the last request, and longer after a failed call, but no later than with a watch once discovery is
+// reachable again.
 func (k *discoveryView) notifiedBy(agent int32, since time.Duration) time.Duration {
 	a := &k.agents[agent]
 	if a.silent {
@@ -195,7 +195,8 @@
 	return k.notifiedBy(agent, listed.at), true
 }
 
-// clockSlack is how far a listed start time may lie before the true one: the list has whole milliseconds.
+// clockSlack is the maximum by which a listed start time precedes the true one: the list has whole
+// milliseconds.
 const clockSlack = time.Millisecond
 
 // notifiedOfStart reports whether the agent has by now been notified, or counts as notified, that a server
--- a/internal/rehearsal/judge/faultlog.go
+++ b/internal/rehearsal/judge/faultlog.go
@@ -8,8 +8,7 @@
 	"dunestep/internal/rehearsal/scenario"
 )
 
-// FaultReport is a fault of the run: when it was active, and how the service went before, during and after
-// it.
+// FaultReport is a fault of the run: when it was active, and the service before, during and after it.
 type FaultReport struct {
 	Kind     string  `json:"kind"`
 	BeganS   float64 `json:"began_s"`
@@ -38,7 +37,7 @@
 // The names of the findings.
 const (
 	KeptAlive = "kept alive by retries" // metastable: first tries alone would not keep the servers so busy
-	LeftIdle  = "left idle"             // the servers had room while the service was low
+	LeftIdle  = "left idle"             // the servers had spare capacity while the service was low
 )
 
 // faultLog records the faults of the run.
@@ -67,7 +66,7 @@
 	settledSeconds = 2   // consecutive seconds that must reach it
 )
 
-// evaluate fills in how the service went around each fault.
+// evaluate computes the service before, during and after each fault.
 func (s *faultLog) evaluate(seconds []Second, arrivals int) {
 	for i := range s.all {
 		f := &s.all[i]
@@ -84,11 +83,11 @@
 	}
 }
 
-// serviceOf returns the service over some seconds, or 1 if no worth was asked for.
+// serviceOf returns the service over some seconds, or 1 if no worth was requested.
 func serviceOf(seconds []Second) float64 {
 	var t tally
 	for i := range seconds {
-		t.asked += seconds[i].AskedWorth
+		t.requested += seconds[i].RequestedWorth
 		t.served += seconds[i].ServedWorth
 	}
 	return t.share()
@@ -124,7 +123,7 @@
 }
 
 const (
-	lowService        = 0.7 // of the worth asked for
+	lowService        = 0.7 // of the requested worth
 	fullBusy          = 0.9 // utilization at which the servers are the bottleneck
 	idleBusy          = 0.5 // utilization below which a low service is not caused by lack of capacity
 	minFindingSeconds = 3
@@ -154,11 +153,12 @@
 	return all
 }
 
-// runs returns the ranges [from, to) of at least minFindingSeconds seconds in which holds is true.
-func runs(n int, holds func(at int) bool) (all [][2]int) {
+// runs returns the ranges [from, to) of at least minFindingSeconds seconds that satisfy the
+// condition.
+func runs(n int, satisfied func(at int) bool) (all [][2]int) {
 	from := -1
 	for at := 0; at <= n; at++ {
-		switch on := at < n && holds(at); {
+		switch on := at < n && satisfied(at); {
 		case on && from < 0:
 			from = at
 		case !on && from >= 0:
@@ -177,9 +177,9 @@
 	var capacity, askedOfSent, sent float64
 	for i := range seconds {
 		s := &seconds[i]
-		first += s.WorkAsked
+		first += s.WorkRequested
 		sent += s.WorkFirst
-		askedOfSent += s.workAskedOfSent
+		askedOfSent += s.workRequestedOfSent
 		all += s.WorkFirst + s.WorkAgain + s.WorkRetry
 		capacity += s.Capacity
 	}
@@ -193,8 +193,8 @@
 }
 
 // keptAlive reports whether repeats alone keep the servers busier than the limit below which the overload
-// would end. In a slow period that ends once utilization falls below a limit, it is that limit. Otherwise
-// it is being the bottleneck while the service is low.
+// would end. A slow period that ends once utilization falls below a limit has that limit. Otherwise the limit
+// is fullBusy, and the service must be low as well.
 func (s *faultLog) keptAlive(seconds []Second, at int) bool {
 	from := max(at-smoothingSeconds+1, 0)
 	first, all := demand(seconds[from : at+1])
--- a/internal/rehearsal/judge/judge.go
+++ b/internal/rehearsal/judge/judge.go
@@ -71,8 +71,8 @@
 	j.series.server(n)
 }
 
-// Take implements record.Sink.
-func (j *Judge) Take(e *record.Event) {
+// Observe implements record.Sink.
+func (j *Judge) Observe(e *record.Event) {
 	req := j.requests.requestOf(e)
 	j.view.observe(e)
 	for _, c := range j.checkers {
--- a/internal/rehearsal/judge/judge_test.go
+++ b/internal/rehearsal/judge/judge_test.go
@@ -71,7 +71,7 @@
 // A harness passes hand-written events to a Judge.
 type harness struct {
 	*Judge
-	lastOp uint32
+	lastRequestID uint32
 }
 
 func newHarness(t *testing.T, change func(*scenario.Scenario)) *harness {
@@ -103,35 +103,35 @@
 }
 
 func (p *harness) receiveWork(at int, class uint8, chain uint32, work time.Duration) (req uint32) {
-	p.lastOp++
+	p.lastRequestID++
 	e := record.Event{
-		Kind: record.RequestReceived, At: ms(at), RequestID: p.lastOp, Chain: chain, Class: class, Work: work,
+		Kind: record.RequestReceived, At: ms(at), RequestID: p.lastRequestID, Chain: chain, Class: class, Work: work,
 		Left: ms(1000),
 	}
 	if chain == 0 {
-		e.Chain = p.lastOp
+		e.Chain = p.lastRequestID
 	} else {
 		e.Try = 1
 	}
-	p.Take(&e)
-	return p.lastOp
+	p.Observe(&e)
+	return p.lastRequestID
 }
 
 func (p *harness) send(at int, req uint32, attempt int8, server int32) {
-	p.Take(&record.Event{Kind: record.AttemptSent, At: ms(at), RequestID: req, Attempt: attempt, Server: server})
-	p.Take(&record.Event{Kind: record.AttemptReached, At: ms(at), RequestID: req, Attempt: attempt, Server: server, Work: ms(100)})
+	p.Observe(&record.Event{Kind: record.AttemptSent, At: ms(at), RequestID: req, Attempt: attempt, Server: server})
+	p.Observe(&record.Event{Kind: record.AttemptReached, At: ms(at), RequestID: req, Attempt: attempt, Server: server, Work: ms(100)})
 }
 
 func (p *harness) ended(at int, req uint32, attempt int8, how record.Outcome) {
-	p.Take(&record.Event{
+	p.Observe(&record.Event{
 		Kind: record.WorkDone, At: ms(at), RequestID: req, Attempt: attempt, Work: ms(100),
 		Ran: !how.NeverRan(),
 	})
-	p.Take(&record.Event{Kind: record.AttemptEnded, At: ms(at), RequestID: req, Attempt: attempt, Outcome: how})
+	p.Observe(&record.Event{Kind: record.AttemptEnded, At: ms(at), RequestID: req, Attempt: attempt, Outcome: how})
 }
 
 func (p *harness) answer(at int, req uint32, how record.Answer, attempt int8) {
-	p.Take(&record.Event{Kind: record.Answered, At: ms(at), RequestID: req, Answer: how, Attempt: attempt})
+	p.Observe(&record.Event{Kind: record.Answered, At: ms(at), RequestID: req, Answer: how, Attempt: attempt})
 }
 
 // serve plays a try that is served by one attempt.
@@ -147,7 +147,7 @@
 	return p.Verdict()
 }
 
-func TestServiceIsWorthServedInTimeOverWorthAsked(t *testing.T) {
+func TestServiceIsWorthServedInTimeOverWorthRequested(t *testing.T) {
 	p := newHarness(t, nil)
 	for at := 0; at < 20_000; at += 1000 { // in time until 20 s
 		p.serve(at, at+400, consult, 0)
@@ -169,7 +169,7 @@
 		p.serve(at, at+100, consult, 0)
 	}
 	v := p.verdict()
-	// Asked: 29 consults of worth 1 and 2 bookings of worth 2; missed: 3 consults and 1 booking. The worst
+	// Requested: 29 consults of worth 1 and 2 bookings of worth 2; missed: 3 consults and 1 booking. The worst
 	// windows of 10 s, from 15 s or 20 s on, hold 9 consults and both bookings, and everything missed.
 	whole, window := 28.0/33, 8.0/13
 	require.InDelta(t, whole, v.Parts.Whole, 1e-9)
@@ -197,7 +197,7 @@
 		at *= 1000
 		first := p.receive(at, consult, 0)
 		p.answer(at+10, first, record.Refused, -1)
-		p.Take(&record.Event{Kind: record.RequestUnreached, At: ms(at + 20), RequestID: 70 + first, Chain: first, Try: 1, Work: ms(100)})
+		p.Observe(&record.Event{Kind: record.RequestUnreached, At: ms(at + 20), RequestID: 70 + first, Chain: first, Try: 1, Work: ms(100)})
 		p.serve(at+30, at+40, consult, first)
 	}
 	require.Equal(t, Counts{FirstTries: 1, Retries: 2, Unreached: 1, InTime: 1, Served: 2, Refused: 2, Sends: 1},
@@ -207,8 +207,8 @@
 func TestWorthScalesWithWorkAndDropsOverQuota(t *testing.T) {
 	p := newHarness(t, nil)
 	heavy := record.Event{Kind: record.RequestReceived, RequestID: 1, Chain: 1, Work: ms(300), Left: ms(1000), Tenant: 1}
-	p.Take(&heavy)
-	p.lastOp = 1
+	p.Observe(&heavy)
+	p.lastRequestID = 1
 	p.answer(100, 1, record.Refused, -1)
 	for range 40 { // its tenant's quota is 20 per second
 		p.serve(0, 100, consult, 0)
@@ -222,28 +222,28 @@
 // Each rule reports its first breach with the events that led to it, and allowed behavior breaks no rule.
 func TestRules(t *testing.T) {
 	notified := func(p *harness, at int, state record.State) {
-		p.Take(&record.Event{Kind: record.Notified, At: ms(at), Server: 0, State: state})
+		p.Observe(&record.Event{Kind: record.Notified, At: ms(at), Server: 0, State: state})
 	}
-	watch := func(p *harness, at int) { p.Take(&record.Event{Kind: record.WatchOpened, At: ms(at)}) }
+	watch := func(p *harness, at int) { p.Observe(&record.Event{Kind: record.WatchOpened, At: ms(at)}) }
 	leave := func(p *harness, at int) {
-		p.Take(&record.Event{Kind: record.ListChanged, At: ms(at), Server: 0, State: record.Draining})
+		p.Observe(&record.Event{Kind: record.ListChanged, At: ms(at), Server: 0, State: record.Draining})
 	}
 	silence := func(p *harness, at, maxWait int) {
-		p.Take(&record.Event{Kind: record.WatchSilent, At: ms(at), Left: ms(maxWait)})
+		p.Observe(&record.Event{Kind: record.WatchSilent, At: ms(at), Left: ms(maxWait)})
 	}
 	// overload sends a server in slow start more than it can take; known: the agent knows of its start.
 	overload := func(p *harness, known bool) {
-		p.Take(&record.Event{Kind: record.ServerUp, At: ms(1000), Server: 0, SlowStart: true})
+		p.Observe(&record.Event{Kind: record.ServerUp, At: ms(1000), Server: 0, SlowStart: true})
 		if known {
-			p.Take(&record.Event{Kind: record.Notified, At: ms(1100), Server: 0, Started: ms(1000)})
+			p.Observe(&record.Event{Kind: record.Notified, At: ms(1100), Server: 0, Started: ms(1000)})
 		}
 		for i := range 10 {
-			p.Take(&record.Event{
+			p.Observe(&record.Event{
 				Kind: record.AttemptReached, At: ms(1200 + i), RequestID: 99, Server: 0, Work: ms(500), SlowStart: true,
 				Capacity: 0.3,
 			})
 		}
-		p.Take(&record.Event{Kind: record.ServerOverloaded, At: ms(1300), Server: 0})
+		p.Observe(&record.Event{Kind: record.ServerOverloaded, At: ms(1300), Server: 0})
 	}
 	// sentAfter makes n further attempts begin the given time after their clients have left.
 	sentAfter := func(p *harness, after, n int) {
@@ -251,7 +251,7 @@
 			at := 1000 * i
 			req := p.receive(at, consult, 0)
 			p.send(at, req, 0, 0)
-			p.Take(&record.Event{Kind: record.ClientLeft, At: ms(at + 500), RequestID: req})
+			p.Observe(&record.Event{Kind: record.ClientLeft, At: ms(at + 500), RequestID: req})
 			p.ended(at+500, req, 0, record.Broken)
 			p.send(at+500+after, req, 1, 1)
 			p.ended(at+900, req, 1, record.OK)
@@ -272,10 +272,10 @@
 		}},
 		"never answered": {0, "n0 did not answer request 1 by 1.07s", 1070, func(p *harness) { p.receive(0, consult, 0) }},
 		"client leaves at its deadline": {0, "n0 did not answer request 1", 1070, func(p *harness) {
-			p.Take(&record.Event{Kind: record.ClientLeft, At: ms(1070), RequestID: p.receive(0, consult, 0)})
+			p.Observe(&record.Event{Kind: record.ClientLeft, At: ms(1070), RequestID: p.receive(0, consult, 0)})
 		}},
 		"client leaves early": {-1, "", 0, func(p *harness) {
-			p.Take(&record.Event{Kind: record.ClientLeft, At: ms(300), RequestID: p.receive(0, consult, 0)})
+			p.Observe(&record.Event{Kind: record.ClientLeft, At: ms(300), RequestID: p.receive(0, consult, 0)})
 		}},
 		"answered twice": {0, "n0 answered request 1, which was already closed", 200, func(p *harness) {
 			req := p.receive(0, consult, 0)
@@ -290,12 +290,12 @@
 			p.answer(200, req, record.Refused, -1)
 		}},
 		"connection lost": {0, "n0 ended the connection of request 1", 50, func(p *harness) {
-			p.Take(&record.Event{Kind: record.ConnectionLost, At: ms(50), RequestID: p.receive(0, consult, 0)})
+			p.Observe(&record.Event{Kind: record.ConnectionLost, At: ms(50), RequestID: p.receive(0, consult, 0)})
 		}},
 		"connection lost with a killed agent": {-1, "", 0, func(p *harness) {
 			req := p.receive(0, consult, 0)
-			p.Take(&record.Event{Kind: record.AgentDown, At: ms(40)})
-			p.Take(&record.Event{Kind: record.ConnectionLost, At: ms(50), RequestID: req})
+			p.Observe(&record.Event{Kind: record.AgentDown, At: ms(40)})
+			p.Observe(&record.Event{Kind: record.ConnectionLost, At: ms(50), RequestID: req})
 		}},
 		"served after a failed attempt": {0, "served request 1 with an answer that no upstream server produced", 50, func(p *harness) {
 			req := p.receive(0, consult, 0)
@@ -355,7 +355,7 @@
 		}},
 		"sent again after the client left": {1, "n0 sent request 1 again, though attempt 0 may have run", 30, func(p *harness) {
 			req := p.receive(0, rezervare, 0)
-			p.Take(&record.Event{Kind: record.ClientLeft, At: ms(5), RequestID: req})
+			p.Observe(&record.Event{Kind: record.ClientLeft, At: ms(5), RequestID: req})
 			p.send(10, req, 0, 0) // the agent does not know yet
 			p.ended(20, req, 0, record.Broken)
 			p.send(30, req, 1, 1)
@@ -364,7 +364,7 @@
 		"attempt sent twice": {1, "n0 sent attempt 0 of request 1 twice", 20, func(p *harness) {
 			req := p.receive(0, rezervare, 0)
 			p.send(0, req, 0, 0)
-			p.Take(&record.Event{Kind: record.AttemptSent, At: ms(20), RequestID: req})
+			p.Observe(&record.Event{Kind: record.AttemptSent, At: ms(20), RequestID: req})
 			p.ended(30, req, 0, record.OK)
 			p.answer(30, req, record.Served, 0)
 		}},
@@ -390,7 +390,7 @@
 			req := p.receive(0, rezervare, 0)
 			p.send(0, req, 0, 0)
 			p.ended(10, req, 0, record.Rejected) // as the server claimed
-			p.Take(&record.Event{Kind: record.WorkDone, At: ms(20), RequestID: req, Ran: true})
+			p.Observe(&record.Event{Kind: record.WorkDone, At: ms(20), RequestID: req, Ran: true})
 			p.send(30, req, 1, 1)
 			p.ended(60, req, 1, record.OK)
 			p.answer(60, req, record.Served, 1)
@@ -430,15 +430,15 @@
 		}},
 		"failed call, discovery reachable": {2, "n0 sent to s0 3.051s after", 10_051, func(p *harness) {
 			leave(p, 1000)
-			p.Take(&record.Event{Kind: record.CallFailed, At: ms(5000)})
+			p.Observe(&record.Event{Kind: record.CallFailed, At: ms(5000)})
 			p.serve(10_050, 10_060, consult, 0)
 			p.serve(10_051, 10_100, consult, 0)
 		}},
 		"failed call, discovery down": {2, "n0 sent to s0 3.051s after", 17_051, func(p *harness) {
-			p.Take(&record.Event{Kind: record.FaultBegan, At: ms(1000), Fault: 1})
-			p.Take(&record.Event{Kind: record.CallFailed, At: ms(1000)})
+			p.Observe(&record.Event{Kind: record.FaultBegan, At: ms(1000), Fault: 1})
+			p.Observe(&record.Event{Kind: record.CallFailed, At: ms(1000)})
 			leave(p, 2000)
-			p.Take(&record.Event{Kind: record.FaultEnded, At: ms(8000), Fault: 1})
+			p.Observe(&record.Event{Kind: record.FaultEnded, At: ms(8000), Fault: 1})
 			p.serve(17_050, 17_060, consult, 0)
 			p.serve(17_051, 17_100, consult, 0)
 		}},
@@ -452,7 +452,7 @@
 			watch(p, 0)
 			silence(p, 1000, 0)
 			leave(p, 2000)
-			p.Take(&record.Event{Kind: record.CallFailed, At: ms(4000)})
+			p.Observe(&record.Event{Kind: record.CallFailed, At: ms(4000)})
 			silence(p, 4500, 0) // what the first silence hides is still missing
 			p.serve(10_050, 10_060, consult, 0)
 			p.serve(10_051, 10_100, consult, 0)
@@ -478,12 +478,12 @@
 		}},
 		"no request for the list, discovery is back": {2, "n0 sent to s0", 21_051, func(p *harness) {
 			leave(p, 2000)
-			p.Take(&record.Event{Kind: record.FaultEnded, At: ms(8000), Fault: 1})
+			p.Observe(&record.Event{Kind: record.FaultEnded, At: ms(8000), Fault: 1})
 			p.serve(21_050, 21_060, consult, 0)
 			p.serve(21_051, 21_100, consult, 0)
 		}},
 		"notified as soon as a new process starts": {2, "n0 sent to s0", 4052, func(p *harness) {
-			p.Take(&record.Event{Kind: record.AgentUp, At: ms(1001)})
+			p.Observe(&record.Event{Kind: record.AgentUp, At: ms(1001)})
 			notified(p, 1001, record.Draining)
 			p.serve(4052, 4100, consult, 0)
 		}},
@@ -521,7 +521,7 @@
 	leave := func(p *harness, n, sent, after int) {
 		for i := range n {
 			req := p.receive(100*i, consult, 0)
-			p.Take(&record.Event{Kind: record.ClientLeft, At: ms(100*i + 50), RequestID: req})
+			p.Observe(&record.Event{Kind: record.ClientLeft, At: ms(100*i + 50), RequestID: req})
 			if i < sent {
 				p.send(100*i+50+after, req, 0, 0)
 				p.ended(100*i+900, req, 0, record.OK)
@@ -538,7 +538,7 @@
 			if i < n {
 				left += more
 			}
-			p.Take(&record.Event{Kind: record.AttemptSent, At: ms(100*i + 200), RequestID: req, Attempt: 1, Server: 1, Left: ms(left)})
+			p.Observe(&record.Event{Kind: record.AttemptSent, At: ms(100*i + 200), RequestID: req, Attempt: 1, Server: 1, Left: ms(left)})
 			p.ended(100*i+300, req, 1, record.OK)
 			p.answer(100*i+300, req, record.Served, 1)
 		}
@@ -554,10 +554,10 @@
 	}
 	restart := func(p *harness, at int, took ...int) {
 		for _, took := range took {
-			p.Take(&record.Event{Kind: record.AgentDown, At: ms(at)})
-			p.Take(&record.Event{Kind: record.AgentStarts, At: ms(at)})
+			p.Observe(&record.Event{Kind: record.AgentDown, At: ms(at)})
+			p.Observe(&record.Event{Kind: record.AgentStarts, At: ms(at)})
 			if took > 0 {
-				p.Take(&record.Event{Kind: record.AgentUp, At: ms(at + took), After: ms(took)})
+				p.Observe(&record.Event{Kind: record.AgentUp, At: ms(at + took), After: ms(took)})
 			}
 		}
 	}
@@ -585,12 +585,12 @@
 		"not ready by the run's end":    {"restarts", nil, func(p *harness) { restart(p, 23_999, 0) }},
 		"run ends too soon to judge":    {"", nil, func(p *harness) { restart(p, 24_000, 0) }},
 		"one late near the run's end":   {"restarts", nil, func(p *harness) { restart(p, 20_001, 6001) }},
-		"not ready for 30 s":            {"starts", nil, func(p *harness) { p.Take(&record.Event{Kind: record.AgentUp, After: ms(30_001)}) }},
-		"ready after 30 s":              {"", nil, func(p *harness) { p.Take(&record.Event{Kind: record.AgentUp, After: ms(30_000)}) }},
+		"not ready for 30 s":            {"starts", nil, func(p *harness) { p.Observe(&record.Event{Kind: record.AgentUp, After: ms(30_001)}) }},
+		"ready after 30 s":              {"", nil, func(p *harness) { p.Observe(&record.Event{Kind: record.AgentUp, After: ms(30_000)}) }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newHarness(t, test.change)
-			p.Take(&record.Event{Kind: record.FaultBegan, At: 0}) // a run without faults is calm
+			p.Observe(&record.Event{Kind: record.FaultBegan, At: 0}) // a run without faults is calm
 			test.play(p)
 			for _, term := range p.verdict().Limits {
 				if term.Name == "clients that left" || term.Name == test.broken { // the rule on answers is checked elsewhere
@@ -608,7 +608,7 @@
 	for _, calm := range []bool{true, false} {
 		p := newHarness(t, nil)
 		if !calm {
-			p.Take(&record.Event{Kind: record.FaultBegan, At: 0})
+			p.Observe(&record.Event{Kind: record.FaultBegan, At: 0})
 		}
 		for at := 0; at <= 4000; at += 200 {
 			p.answer(at, p.receive(at, consult, 0), record.Refused, -1)
@@ -630,10 +630,10 @@
 		for range left {
 			p.receive(6000, consult, 0)
 		}
-		p.Take(&record.Event{Kind: record.ServerUp, At: ms(1000), Server: 0, SlowStart: true})
-		p.Take(&record.Event{Kind: record.Notified, At: ms(1100), Server: 0, Started: ms(1000)})
-		p.Take(&record.Event{Kind: record.AttemptReached, At: ms(1200), RequestID: 999, Server: 0, Work: ms(5000), SlowStart: true, Capacity: 0.3})
-		p.Take(&record.Event{Kind: record.ServerOverloaded, At: ms(1300), Server: 0})
+		p.Observe(&record.Event{Kind: record.ServerUp, At: ms(1000), Server: 0, SlowStart: true})
+		p.Observe(&record.Event{Kind: record.Notified, At: ms(1100), Server: 0, Started: ms(1000)})
+		p.Observe(&record.Event{Kind: record.AttemptReached, At: ms(1200), RequestID: 999, Server: 0, Work: ms(5000), SlowStart: true, Capacity: 0.3})
+		p.Observe(&record.Event{Kind: record.ServerOverloaded, At: ms(1300), Server: 0})
 		v := p.verdict()
 		require.Equal(t, left > 6, v.Rules[0].First != nil)
 		require.Nil(t, v.Rules[3].First)
@@ -653,8 +653,8 @@
 	for s := from; s < to; s++ {
 		at := ms(s * 1000)
 		req := p.receiveWork(s*1000, consult, 0, time.Duration(asked*2e9))
-		p.Take(&record.Event{Kind: record.AttemptReached, At: at, RequestID: req, Work: time.Duration(first * 2e9)})
-		p.Take(&record.Event{Kind: record.AttemptReached, At: at, RequestID: req, Attempt: 1, Work: time.Duration(again * 2e9)})
+		p.Observe(&record.Event{Kind: record.AttemptReached, At: at, RequestID: req, Work: time.Duration(first * 2e9)})
+		p.Observe(&record.Event{Kind: record.AttemptReached, At: at, RequestID: req, Attempt: 1, Work: time.Duration(again * 2e9)})
 		p.ended(s*1000, req, 0, record.OK)
 		p.ended(s*1000, req, 1, record.Abandoned)
 		if served {
@@ -682,9 +682,9 @@
 		t.Run(name, func(t *testing.T) {
 			p := newHarness(t, nil)
 			p.playSeconds(0, 5, 0.3, 0, 0.3, true)
-			p.Take(&record.Event{Kind: record.FaultBegan, At: ms(5000)})
+			p.Observe(&record.Event{Kind: record.FaultBegan, At: ms(5000)})
 			p.playSecondsWarm(5, 15, test.asked, test.first, test.again, min(test.first+test.again, 1), false)
-			p.Take(&record.Event{Kind: record.FaultEnded, At: ms(15_000)})
+			p.Observe(&record.Event{Kind: record.FaultEnded, At: ms(15_000)})
 			p.playSeconds(15, 18, 0.3, 0, 0.1, false) // the fault is over, and still nothing is served
 			p.playSeconds(18, 30, 0.3, 0, 0.3, true)
 			v := p.verdict()
@@ -719,8 +719,8 @@
 	p.ended(450, first, 0, record.OK)
 	p.answer(450, first, record.Served, 0) // the first try is served as well
 	held := p.receive(1000, consult, 0)
-	p.Take(&record.Event{Kind: record.AgentDown, At: ms(1100)})
-	p.Take(&record.Event{Kind: record.RequestUnreached, At: ms(1150), RequestID: 77, Chain: held, Try: 1, Work: ms(100)})
+	p.Observe(&record.Event{Kind: record.AgentDown, At: ms(1100)})
+	p.Observe(&record.Event{Kind: record.RequestUnreached, At: ms(1150), RequestID: 77, Chain: held, Try: 1, Work: ms(100)})
 	p.serve(1200, 1400, consult, held)
 	v := p.verdict()
 	require.Equal(t, 1.0, v.Parts.Whole)
@@ -739,7 +739,7 @@
 		at := 0
 		for range rapid.IntRange(0, 200).Draw(r, "events") {
 			at += rapid.IntRange(0, 400).Draw(r, "pause")
-			p.Take(&record.Event{
+			p.Observe(&record.Event{
 				At: ms(at), Kind: record.Kind(rapid.IntRange(0, int(record.FaultEnded)).Draw(r, "kind")),
 				RequestID: uint32(rapid.IntRange(1, 9).Draw(r, "op")), Chain: uint32(rapid.IntRange(1, 9).Draw(r, "chain")),
 				Server: int32(rapid.IntRange(0, 1).Draw(r, "server")), Agent: int32(rapid.IntRange(0, 1).Draw(r, "agent")),
@@ -779,15 +779,15 @@
 			limit := p.scenario.Rules.OverloadLimit(0.3, ms(100)) // 27 requests of 0.1 s, plus 2 * sqrt(27) + 2
 			require.InDelta(t, 27+2*math.Sqrt(27)+2, limit.Seconds()*10, 1e-6)
 			reached := func(at int, server int32, agent int32, work time.Duration) {
-				p.Take(&record.Event{
+				p.Observe(&record.Event{
 					Kind: record.AttemptReached, At: ms(at), RequestID: 99, Server: server, Agent: agent, Work: work, SlowStart: true,
 					Capacity: 0.3,
 				})
 			}
 			for server := range int32(2) {
-				p.Take(&record.Event{Kind: record.ServerUp, At: ms(1000), Server: server, SlowStart: true})
+				p.Observe(&record.Event{Kind: record.ServerUp, At: ms(1000), Server: server, SlowStart: true})
 			}
-			p.Take(&record.Event{Kind: record.Notified, At: ms(1100), Agent: 1, Server: 0, Started: ms(1000)})
+			p.Observe(&record.Event{Kind: record.Notified, At: ms(1100), Agent: 1, Server: 0, Started: ms(1000)})
 			reached(1200, 1, 0, limit/4)
 			reached(4200, 1, 0, limit/2) // the first send has left the window by then
 			for i := range 9 {
@@ -797,7 +797,7 @@
 				}
 				reached(1200+i, 0, agent, limit/8)
 			}
-			p.Take(&record.Event{Kind: record.ServerOverloaded, At: ms(1300), Server: 0})
+			p.Observe(&record.Event{Kind: record.ServerOverloaded, At: ms(1300), Server: 0})
 			v := p.verdict()
 			require.Equal(t, test.broken, v.Rules[3].First != nil)
 			require.Equal(t, 2, v.SlowStarts.Starts)
@@ -821,7 +821,7 @@
 	}
 	p.serve(0, 100, rezervare, 0)
 	p.receive(600_000, consult, 0)
-	p.Take(&record.Event{Kind: record.FaultBegan, At: ms(601_000)})
+	p.Observe(&record.Event{Kind: record.FaultBegan, At: ms(601_000)})
 	v := p.verdict()
 	delayed := Verdict{Shares: []Share{
 		{Served: 0.9},
@@ -850,7 +850,7 @@
 		p := newHarness(t, func(s *scenario.Scenario) { s.Gate.Short, s.Gate.OfDelayed = short, 0.3 })
 		p.serve(0, 100, consult, 0)
 		p.serve(0, 100, rezervare, 0)
-		p.Take(&record.Event{Kind: record.FaultBegan, At: ms(5000)})
+		p.Observe(&record.Event{Kind: record.FaultBegan, At: ms(5000)})
 		v := p.verdict()
 		v.SetMinimums(&delayed)
 		wants := []float64{0.27, 0, 0.4, 0.2, 0, 0.2, 0.18, 0.08}
@@ -872,7 +872,7 @@
 			p.serve(i*100, i*100+50, consult, 0)
 		}
 		for i := range shut {
-			p.Take(&record.Event{
+			p.Observe(&record.Event{
 				Kind: record.RequestUnreached, At: ms(19_980 + i), RequestID: 900 + uint32(i), Chain: 900 + uint32(i),
 				Work: ms(100), ClosedByShutdown: true,
 			})
@@ -917,9 +917,9 @@
 		p := newHarness(t, func(sc *scenario.Scenario) {
 			sc.Faults[1] = scenario.FaultSpec{Kind: scenario.Window, Tenants: c.tenants}
 		})
-		p.Take(&record.Event{Kind: record.RequestReceived, At: ms(5), RequestID: 1, Chain: 1, Tenant: c.tenant, Work: ms(9), Left: ms(1000)})
+		p.Observe(&record.Event{Kind: record.RequestReceived, At: ms(5), RequestID: 1, Chain: 1, Tenant: c.tenant, Work: ms(9), Left: ms(1000)})
 		windowEvent := func(kind record.Kind, at int) {
-			p.Take(&record.Event{Kind: kind, At: ms(at), Server: 0, Fault: 1})
+			p.Observe(&record.Event{Kind: kind, At: ms(at), Server: 0, Fault: 1})
 		}
 		for at := range 100 {
 			switch at {
--- a/internal/rehearsal/judge/terms.go
+++ b/internal/rehearsal/judge/limits.go
@@ -10,12 +10,12 @@
 
 // GateLimit is a limit that the gate sets for a run besides its rules and shares: at most a part of a count.
 type GateLimit struct {
-	Name   string `json:"name"`
-	Text   string `json:"text"`  // the limit in words
-	Count  int    `json:"count"` // events of which only some are allowed
-	Of     int    `json:"of"`
-	Asked  bool   `json:"asked"` // applies to this run
-	Broken bool   `json:"broken"`
+	Name    string `json:"name"`
+	Text    string `json:"text"`  // the limit in words
+	Count   int    `json:"count"` // events of which only some are allowed
+	Of      int    `json:"of"`
+	Applies bool   `json:"asked"` // whether the limit applies to this run
+	Broken  bool   `json:"broken"`
 	// Time and description of the first event counted; empty if there is none.
 	At    Moment `json:"first_at_s"`
 	First string `json:"first"`
@@ -60,7 +60,7 @@
 	agents                                                  []agentState
 }
 
-// agentState is the state of an agent.
+// agentState is what limitTracker records about an agent.
 type agentState struct {
 	starting       bool // its process has started and is not ready
 	startedAt      time.Duration
@@ -72,14 +72,17 @@
 
 func (t *limitTracker) begin(sc *scenario.Scenario, d describer, agents int) {
 	t.scenario, t.describe, t.agents = sc, d, make([]agentState, agents)
-	t.sentAfterLeft = GateLimit{Name: "clients that left", Text: "of the requests whose clients left before their " +
-		"first attempt, at most one in four, or four of them, is sent over 0.3 s later"}
-	t.announced = GateLimit{Name: "time told", Text: "of the further attempts, at most one in five announces to " +
-		"its server over 0.15 s more than the client has left"}
+	t.sentAfterLeft = GateLimit{Name: "clients that left",
+		Text: "of the requests whose clients left before their " +
+			"first attempt, at most one in four, or four of them, is sent over 0.3 s later"}
+	t.announced = GateLimit{Name: "time told",
+		Text: "of the further attempts, at most one in five announces to " +
+			"its server over 0.15 s more than the client has left"}
 	t.rejecting = GateLimit{Name: "turning away",
 		Text: "few agents reject every request that they get, 15 or more, for 4 s"}
-	t.restarts = GateLimit{Name: "restarts", Text: "nine in ten restarted agents are ready within 10 s, or 6 s " +
-		"if the run ends sooner"}
+	t.restarts = GateLimit{Name: "restarts",
+		Text: "nine in ten restarted agents are ready within 10 s, or 6 s " +
+			"if the run ends sooner"}
 	t.startups = GateLimit{Name: "starts", Text: "no agent takes over 30 s to be ready"}
 }
 
@@ -104,7 +107,7 @@
 	}
 }
 
-// sent checks an attempt that begins: whether its client is still there, and the timeout that it announces.
+// sent checks an attempt that begins: whether its client has left, and the timeout that it announces.
 func (t *limitTracker) sent(e *record.Event, req *request) {
 	agent, id := t.describe.agent(e.Agent), req.received.RequestID
 	if req.clientLeft && req.leftUnsent && !req.wasSent() && e.At > req.leftAt+sentAfterLeftBy {
@@ -187,17 +190,17 @@
 // verdict returns the limits and whether they were broken. In a calm run few agents may reject all
 // requests.
 func (t *limitTracker) verdict(calm bool) []GateLimit {
-	t.sentAfterLeft.Asked, t.sentAfterLeft.Broken = true, t.sentAfterLeft.Count >= minSentAfterLeft &&
+	t.sentAfterLeft.Applies, t.sentAfterLeft.Broken = true, t.sentAfterLeft.Count >= minSentAfterLeft &&
 		t.sentAfterLeft.Count*sentAfterLeftOneIn > t.sentAfterLeft.Of
-	t.announced.Asked, t.announced.Broken = true, t.announced.Count*announcedOneIn > t.announced.Of
+	t.announced.Applies, t.announced.Broken = true, t.announced.Count*announcedOneIn > t.announced.Of
 	allowed := t.scenario.Gate.RejectingPart
 	if calm {
 		allowed = min(allowed, calmRejectingPart)
 	}
 	t.rejecting.Of = len(t.agents)
-	t.rejecting.Asked = allowed < 1
+	t.rejecting.Applies = allowed < 1
 	t.rejecting.Broken = float64(t.rejecting.Count) > allowed*float64(t.rejecting.Of)
-	t.restarts.Asked, t.restarts.Broken = true, t.restarts.Count*lateReadyOneIn > t.restarts.Of
-	t.startups.Asked, t.startups.Broken, t.startups.Of = true, t.startups.Count > 0, t.restarts.Of
+	t.restarts.Applies, t.restarts.Broken = true, t.restarts.Count*lateReadyOneIn > t.restarts.Of
+	t.startups.Applies, t.startups.Broken, t.startups.Of = true, t.startups.Count > 0, t.restarts.Of
 	return []GateLimit{t.sentAfterLeft, t.announced, t.rejecting, t.restarts, t.startups}
 }
--- a/internal/rehearsal/judge/operations.go
+++ b/internal/rehearsal/judge/requests.go
@@ -54,7 +54,7 @@
 	return slices.ContainsFunc(req.attempts, func(a attempt) bool { return a.sent })
 }
 
-// done reports whether no further event of the request can come.
+// done reports whether no further event of the request can follow.
 func (req *request) done() bool {
 	for i := range req.attempts {
 		if a := &req.attempts[i]; !a.ended || a.reached && !a.worked {
@@ -81,12 +81,14 @@
 	paused   map[int32]bool
 }
 
-// requestOf returns the request of an event, which begins with the event Asked; nil if there is none.
+// requestOf returns the request that an event belongs to, or nil if there is none. RequestReceived begins a
+// request.
 func (o *requestTracker) requestOf(e *record.Event) *request {
 	switch e.Kind {
 	case record.RequestReceived:
 		return o.begin(e)
-	case record.Answered, record.ConnectionLost, record.ClientLeft, record.AttemptSent, record.AttemptReached, record.AttemptEnded, record.WorkDone:
+	case record.Answered, record.ConnectionLost, record.ClientLeft, record.AttemptSent, record.AttemptReached,
+		record.AttemptEnded, record.WorkDone:
 		return o.open[e.RequestID]
 	}
 	return nil
--- a/internal/rehearsal/judge/service.go
+++ b/internal/rehearsal/judge/service.go
@@ -13,34 +13,34 @@
 // windowSeconds is the length of the window for the worst service.
 const windowSeconds = 10
 
-// A chain is a client's first try with its retries. Its worth is asked for once, and earned by the first
+// A chain is a client's first try with its retries. Its worth is requested once, and earned by the first
 // answer in time to any of its tries.
 type chain struct {
-	id            uint32 // Op of its first try
-	class, tenant uint8
-	start, aimBy  time.Duration
-	worth         float64
-	counted       bool // it began after the warm-up, when service counts
-	withinQuota   bool // within its tenant's quota
-	served        bool // within the latency objective
-	answered      bool // served at any time
-	outstanding   int  // unanswered tries
-	tries, sends  int
+	id                   uint32 // RequestID of its first try
+	class, tenant        uint8
+	start, objectiveTime time.Duration
+	worth                float64
+	counted              bool // it began after the warm-up, when service counts
+	withinQuota          bool // within its tenant's quota
+	served               bool // within the latency objective
+	answered             bool // served at any time
+	outstanding          int  // unanswered tries
+	tries, sends         int
 }
 
-// A tally is the worth asked for and the worth served in time.
-type tally struct{ asked, served float64 }
+// A tally is the requested worth and the worth served in time.
+type tally struct{ requested, served float64 }
 
-// share returns the part served in time, or 1 if nothing was asked for.
+// share returns the part served in time, or 1 if nothing was requested.
 func (t tally) share() float64 {
-	if t.asked <= 0 {
+	if t.requested <= 0 {
 		return 1
 	}
-	return t.served / t.asked
+	return t.served / t.requested
 }
 
 func (t *tally) add(c *chain) {
-	t.asked += c.worth
+	t.requested += c.worth
 	if c.served {
 		t.served += c.worth
 	}
@@ -52,7 +52,7 @@
 	at     time.Duration
 }
 
-const minBucket = 3.0 // in first tries; the first tries of a small tenant come irregularly
+const minBucket = 3.0 // in first tries; the first tries of a small tenant arrive irregularly
 
 // take reports whether a first try is within the quota, in first tries per second. Up to one second's quota
 // is saved up.
@@ -69,11 +69,11 @@
 // A chainQueue holds the chains of a class in order of arrival, which is also the order of their latency
 // objectives and deadlines.
 type chainQueue struct {
-	chains  []*chain
-	pastAim int // number of chains from the front whose latency objective has passed
+	chains        []*chain
+	pastObjective int // number of chains, from the oldest on, whose latency objective has passed
 }
 
-// service computes the worth served in time and the worth asked for.
+// service computes the worth served in time and the requested worth.
 type service struct {
 	scenario *scenario.Scenario
 	series   *timeSeries
@@ -96,7 +96,7 @@
 	inTime                                     int    // chains served in time
 	sends, opened, crossings                   int
 	peerBytes                                  float64
-	askedWork, wastedWork                      time.Duration
+	requestedWork, wastedWork                  time.Duration
 	latency                                    []*hdrhistogram.Histogram // by class, in microseconds
 	byTries, bySends                           [maxCounted + 1]int       // chains by number of tries or sends
 }
@@ -186,7 +186,8 @@
 func (s *service) firstTry(e *record.Event) *chain {
 	class := &s.scenario.Classes[e.Class]
 	c := &chain{
-		id: e.RequestID, class: e.Class, tenant: e.Tenant, start: e.At, aimBy: e.At + class.LatencyObjective, withinQuota: true,
+		id: e.RequestID, class: e.Class, tenant: e.Tenant, start: e.At,
+		objectiveTime: e.At + class.LatencyObjective, withinQuota: true,
 		counted: e.At >= s.scenario.Run.From, worth: class.Worth,
 	}
 	if mean := s.run.MeanWork[e.Class]; mean > 0 {
@@ -200,7 +201,7 @@
 	if c.counted {
 		s.firstTries++
 		s.classFirsts[e.Class]++
-		s.askedWork += e.Work
+		s.requestedWork += e.Work
 	}
 	s.chains[e.RequestID] = c
 	s.queues[e.Class].chains = append(s.queues[e.Class].chains, c)
@@ -229,7 +230,7 @@
 	c.answered = true
 	took := e.At - c.start
 	recordLatency(s.latency[c.class], took)
-	if e.At <= c.aimBy {
+	if e.At <= c.objectiveTime {
 		c.served = true
 		if c.counted {
 			s.inTime++
@@ -258,17 +259,17 @@
 func (s *service) settle(now time.Duration) {
 	for i := range s.queues {
 		q, deadline := &s.queues[i], s.scenario.Classes[i].Deadline
-		for ; q.pastAim < len(q.chains) && q.chains[q.pastAim].aimBy < now; q.pastAim++ {
-			s.countChain(q.chains[q.pastAim])
+		for ; q.pastObjective < len(q.chains) && q.chains[q.pastObjective].objectiveTime < now; q.pastObjective++ {
+			s.countChain(q.chains[q.pastObjective])
 		}
 		n := 0
-		for ; n < q.pastAim && q.chains[n].start+deadline+wireSlack < now; n++ {
+		for ; n < q.pastObjective && q.chains[n].start+deadline+wireSlack < now; n++ {
 			c := q.chains[n]
 			s.byTries[min(c.tries, maxCounted)]++
 			s.bySends[min(c.sends, maxCounted)]++
 			delete(s.chains, c.id)
 		}
-		q.chains, q.pastAim = q.chains[n:], q.pastAim-n
+		q.chains, q.pastObjective = q.chains[n:], q.pastObjective-n
 	}
 }
 
@@ -290,7 +291,8 @@
 	}
 }
 
-// finished processes a request that is done: work on attempts other than the one that served it was wasted.
+// finished processes a request that is done: work on attempts other than the one that served it counts as
+// wasted.
 func (s *service) finished(req *request) {
 	if req.received.At < s.scenario.Run.From {
 		return
@@ -323,7 +325,7 @@
 	for start := first; start+windowSeconds <= last; start++ {
 		var sum tally
 		for _, second := range s.seconds[start : start+windowSeconds] {
-			sum.asked += second.asked
+			sum.requested += second.requested
 			sum.served += second.served
 		}
 		if got := sum.share(); got < share {
@@ -337,7 +339,7 @@
 func worst(all []tally) (share float64, which int) {
 	share, which = 2, -1
 	for i, t := range all {
-		if t.asked > 0 && t.share() < share {
+		if t.requested > 0 && t.share() < share {
 			share, which = t.share(), i
 		}
 	}
--- a/internal/rehearsal/judge/shares.go
+++ b/internal/rehearsal/judge/shares.go
@@ -29,13 +29,15 @@
 func (s *Share) BelowMinimum() bool { return s.Served < s.Minimum }
 
 const (
-	smallShare      = 0.05 // of the requests or the worth; a class or tenant below it is small
-	longRun         = 10 * time.Minute
-	classPart       = 0.5 // of the delayed-view policy, required of each class and each third of a long run
-	tenantPart      = 1.0 / 3
-	shortThirdPart  = 0.2 // of each third of a run that is not long
-	calmMargin      = 0.1 // in a calm run, allowed distance below the share of the delayed-view policy
-	minDelayedShare = 0.3 // served by the delayed-view policy, for a requirement to apply
+	smallShare = 0.05 // part of the requests or the worth; a class or tenant below it is small
+	longRun    = 10 * time.Minute
+	// Required parts of the share that the delayed-view policy serves.
+	classPart      = 0.5 // of each class and each third of a long run
+	tenantPart     = 1.0 / 3
+	shortThirdPart = 0.2 // of each third of a run that is not long
+
+	calmMargin      = 0.1 // allowed distance below the delayed-view policy's share in a calm run
+	minDelayedShare = 0.3 // share of the delayed-view policy below which nothing is required
 )
 
 // shares returns the parts of the run that the gate checks: the whole, each class and tenant, and each
@@ -46,24 +48,24 @@
 		if j.scenario.Gate.Short {
 			part = 0
 		}
-		return Share{Of: name, Served: t.share(), Worth: t.asked, requiredPart: part}
+		return Share{Of: name, Served: t.share(), Worth: t.requested, requiredPart: part}
 	}
 	all := []Share{of("the day", s.total, classPart)}
 	all[0].wholeRun, all[0].requiredPart = true, j.scenario.Gate.OfDelayed
 	for i, c := range j.scenario.Classes {
 		v := of("class "+c.Name, s.classes[i], classPart)
 		v.minDelayed = minDelayedShare
-		v.Small = c.Effect == scenario.Safe && s.classes[i].asked < smallShare*s.total.asked &&
+		v.Small = c.Effect == scenario.Safe && s.classes[i].requested < smallShare*s.total.requested &&
 			float64(s.classFirsts[i]) < smallShare*float64(s.firstTries)
 		all = append(all, v)
 	}
 	within := 0.0
 	for _, t := range s.tenants {
-		within += t.asked
+		within += t.requested
 	}
 	for i, t := range j.scenario.Tenants {
 		v := of("tenant "+t.Name, s.tenants[i], tenantPart)
-		v.Small = s.tenants[i].asked < smallShare*within
+		v.Small = s.tenants[i].requested < smallShare*within
 		all = append(all, v)
 	}
 	ofThird := shortThirdPart
@@ -73,7 +75,7 @@
 	for i := range 3 {
 		var t tally
 		for _, second := range s.seconds[len(s.seconds)*i/3 : len(s.seconds)*(i+1)/3] {
-			t.asked += second.asked
+			t.requested += second.requested
 			t.served += second.served
 		}
 		all = append(all, of(fmt.Sprintf("third %d", i+1), t, ofThird))
--- a/internal/rehearsal/judge/cold.go
+++ b/internal/rehearsal/judge/slowstart.go
@@ -9,20 +9,22 @@
 	"dunestep/internal/rehearsal/scenario"
 )
 
-// SlowStartSummary is how close servers in slow start came to being overloaded. Each start counts with its
-// fullest window: the most work sent to it within the rule's window, as a part of the work that would
-// overload it.
+// SlowStartSummary reports how close servers in slow start came to being overloaded. Each start is
+// represented by its fullest window: the maximum work sent within the rule's window, as a part of the work
+// that would overload the server.
 type SlowStartSummary struct {
-	Starts             int     `json:"starts"`
-	Overloaded         int     `json:"fell"`
-	OverloadedNotified int     `json:"fell_told"` // of these, over two thirds of the work by agents notified of the start
+	Starts     int `json:"starts"`
+	Overloaded int `json:"fell"`
+	// Of the overloaded servers, those with over two thirds of the work from agents notified of the start.
+	OverloadedNotified int     `json:"fell_told"`
 	Median             float64 `json:"fullest_median"`
 	P90                float64 `json:"fullest_p90"`
 	Fullest            float64 `json:"fullest"`
 	Server             string  `json:"fullest_server"`
 	AtS                float64 `json:"fullest_at_s"`
-	FullestNotified    float64 `json:"fullest_told"` // part of that window's work from agents notified of the start
-	OverThree          int     `json:"over_three_quarters"`
+	// Part of the fullest window's work that came from agents notified of the start.
+	FullestNotified float64 `json:"fullest_told"`
+	OverThree       int     `json:"over_three_quarters"`
 }
 
 // slowStartChecker checks the fourth rule: an upstream server that has just started is not overloaded by
@@ -129,8 +131,8 @@
 	return float64(notified) / float64(max(s.sum, 1))
 }
 
-// maxNotifiedShare is the part of the work that overloaded a server above which the agents that knew of its
-// start are responsible.
+// maxNotifiedShare is the maximum part of the work that overloaded a server that may come from agents
+// notified of its start. Above it, the overload breaks the rule.
 const maxNotifiedShare = 2.0 / 3
 
 func (c *slowStartChecker) overloaded(e *record.Event, s *startingServer) {
@@ -145,10 +147,11 @@
 	}
 	c.addBreach(e.At, func() []Line { return c.breachEvents(e, s) },
 		"%s, started %v before, got %v of work in %v and was overloaded; %.0f%% by agents notified of its start",
-		c.describe.server(e.Server), roundToMS(e.At-s.up), roundToMS(s.sum), c.scenario.Rules.OverloadWindow, 100*share)
+		c.describe.server(e.Server), roundToMS(e.At-s.up), roundToMS(s.sum), c.scenario.Rules.OverloadWindow,
+		100*share)
 }
 
-const maxShownSends = 12 // of those that led to an overload
+const maxShownSends = 12 // sends listed for an overload, the last ones
 
 // breachEvents describes the last sends before an overload and the work of each agent.
 func (c *slowStartChecker) breachEvents(e *record.Event, s *startingServer) []Line {
--- a/internal/rehearsal/judge/timeseries.go
+++ b/internal/rehearsal/judge/timeseries.go
@@ -10,10 +10,10 @@
 )
 
 // Second is what happened in one second of the run. Tries and answers are counted in the second of their
-// own event; AskedWorth and ServedWorth in the second of the first try.
+// own event; RequestedWorth and ServedWorth in the second of the first try.
 type Second struct {
-	AskedWorth  float64 `json:"asked_worth"`
-	ServedWorth float64 `json:"served_worth"` // served within the latency objective
+	RequestedWorth float64 `json:"asked_worth"`
+	ServedWorth    float64 `json:"served_worth"` // served within the latency objective
 
 	FirstTries int `json:"first_tries"`
 	Retries    int `json:"retries"` // by clients
@@ -29,29 +29,30 @@
 	Opened       int `json:"opened"` // connections
 	Conns        int `json:"conns"`  // connections open at the end of the second
 
-	// Work in seconds of standard work. WorkAsked is that of all first tries that arrived, sent or not, before
-	// savings by warm keys. The others are work that reached upstream servers: WorkFirst by the first sends of
-	// first tries, WorkAgain by the agents' further sends, WorkRetry by the first sends of clients' retries.
-	WorkAsked float64 `json:"work_asked"`
-	WorkFirst float64 `json:"work_first"`
-	WorkAgain float64 `json:"work_again"`
-	WorkRetry float64 `json:"work_retry"`
-	Capacity  float64 `json:"capacity"` // at the end of the second, in seconds of standard work per second
-	Busy      float64 `json:"busy"`     // mean utilization of the servers, weighted by capacity
+	// Work in seconds of standard work. WorkRequested is that of all first tries that arrived, sent or not,
+	// before savings by warm keys. The others are work that reached upstream servers: WorkFirst by the first
+	// sends of first tries, WorkAgain by the agents' further sends, WorkRetry by the first sends of clients'
+	// retries.
+	WorkRequested float64 `json:"work_asked"`
+	WorkFirst     float64 `json:"work_first"`
+	WorkAgain     float64 `json:"work_again"`
+	WorkRetry     float64 `json:"work_retry"`
+	Capacity      float64 `json:"capacity"` // at the end of the second, in seconds of standard work per second
+	Busy          float64 `json:"busy"`     // mean utilization of the servers, weighted by capacity
 
 	P50MS float64 `json:"p50_ms"` // of the answers served in the second, from the first try on
 	P99MS float64 `json:"p99_ms"`
 
-	workAskedOfSent float64 // WorkAsked of the first tries counted in WorkFirst
+	workRequestedOfSent float64 // WorkRequested of the first tries counted in WorkFirst
 }
 
-// servedShare returns the part of the worth asked for that was served in time, or 1 if nothing was asked
-// for.
+// servedShare returns the part of the requested worth that was served in time, or 1 if nothing was
+// requested.
 func (s *Second) servedShare() float64 {
-	if s.AskedWorth <= 0 {
+	if s.RequestedWorth <= 0 {
 		return 1
 	}
-	return s.ServedWorth / s.AskedWorth
+	return s.ServedWorth / s.RequestedWorth
 }
 
 // tailSeconds is how long after the last arrivals the run is still recorded second by second.
@@ -137,7 +138,7 @@
 		default:
 			s.WorkFirst += work
 			if req != nil {
-				s.workAskedOfSent += req.received.Work.Seconds()
+				s.workRequestedOfSent += req.received.Work.Seconds()
 			}
 		}
 	case record.ConnOpened:
@@ -150,7 +151,7 @@
 		s.Retries++
 	} else {
 		s.FirstTries++
-		s.WorkAsked += e.Work.Seconds()
+		s.WorkRequested += e.Work.Seconds()
 	}
 }
 
@@ -214,6 +215,6 @@
 func (c *timeSeries) end(worth []tally) {
 	c.closeSecond()
 	for i, t := range worth {
-		c.seconds[i].AskedWorth, c.seconds[i].ServedWorth = t.asked, t.served
+		c.seconds[i].RequestedWorth, c.seconds[i].ServedWorth = t.requested, t.served
 	}
 }
--- a/internal/rehearsal/judge/verdict.go
+++ b/internal/rehearsal/judge/verdict.go
@@ -82,7 +82,7 @@
 // Group is a class or a tenant.
 type Group struct {
 	Name    string   `json:"name"`
-	Served  float64  `json:"served"`            // part of the worth asked for
+	Served  float64  `json:"served"`            // part of the requested worth
 	Latency *Latency `json:"latency,omitempty"` // of served answers, from the first try on
 }
 
@@ -99,16 +99,16 @@
 
 // ServerSummary is the load of a server over the run.
 type ServerSummary struct {
-	ID        string    `json:"id"`
-	Zone      string    `json:"zone"`
-	Kind      string    `json:"kind"`
-	Capacity  float64   `json:"capacity"`
-	MeanBusy  float64   `json:"mean_busy"`
-	PeakBusy  float64   `json:"peak_busy"`
-	MostHeld  int       `json:"most_held"`
-	MostConns int       `json:"most_connections"`
-	Busy      []float32 `json:"busy"` // mean of each step; negative: the server was not running
-	Held      []float32 `json:"held"`
+	ID       string    `json:"id"`
+	Zone     string    `json:"zone"`
+	Kind     string    `json:"kind"`
+	Capacity float64   `json:"capacity"`
+	MeanBusy float64   `json:"mean_busy"`
+	PeakBusy float64   `json:"peak_busy"`
+	MaxHeld  int       `json:"most_held"`
+	MaxConns int       `json:"most_connections"`
+	Busy     []float32 `json:"busy"` // mean of each step; negative: the server was not running
+	Held     []float32 `json:"held"`
 }
 
 // Verdict returns the evaluation of the run. Call it after End.
@@ -179,11 +179,11 @@
 func (j *Judge) prices() []Price {
 	s, p := &j.service, j.scenario.Prices
 	waste, lateFail := 0.0, 0.0
-	if s.askedWork > 0 {
-		waste = float64(s.wastedWork) / float64(s.askedWork)
+	if s.requestedWork > 0 {
+		waste = float64(s.wastedWork) / float64(s.requestedWork)
 	}
-	if s.total.asked > 0 {
-		lateFail = s.lateFailWorth / s.total.asked
+	if s.total.requested > 0 {
+		lateFail = s.lateFailWorth / s.total.requested
 	}
 	all := []Price{
 		{Name: "new connections", Rate: s.perFirstTry(float64(s.opened)), Off: p.Handshake},
@@ -226,8 +226,8 @@
 		c := &j.series.servers[n]
 		v.Servers = append(v.Servers, ServerSummary{
 			ID: s.ID, Zone: s.Zone, Kind: s.Kind, Capacity: s.Capacity,
-			MeanBusy: c.sum / float64(max(c.samples, 1)), PeakBusy: c.peak, MostHeld: c.maxHeld,
-			MostConns: c.maxConns, Busy: c.busy, Held: c.held,
+			MeanBusy: c.sum / float64(max(c.samples, 1)), PeakBusy: c.peak, MaxHeld: c.maxHeld,
+			MaxConns: c.maxConns, Busy: c.busy, Held: c.held,
 		})
 	}
 }
--- a/internal/rehearsal/judge/windows.go
+++ b/internal/rehearsal/judge/windows.go
@@ -9,8 +9,8 @@
 )
 
 // windowChecker checks runs with maintenance windows: no request of a window's tenants reaches its servers
-// from when all their keys have left until they may come back. Agents may send there when no other server
-// is left; a run that goes that far still counts it as a breach.
+// from when all their keys have left until they may return. An agent may send there if no other server is
+// left, but that counts as a breach as well.
 type windowChecker struct {
 	Rule
 	scenario  *scenario.Scenario
--- a/internal/rehearsal/lab/agent.go
+++ b/internal/rehearsal/lab/agent.go
@@ -58,7 +58,8 @@
 		return a, err
 	}
 	a.program.Addr = a.Addr
-	for l.options.OperatorListener && (a.OperatorAddr == "" || a.OperatorAddr == a.Addr) { // FreeAddr may repeat an unused port
+	// FreeAddr may repeat an unused port.
+	for l.options.OperatorListener && (a.OperatorAddr == "" || a.OperatorAddr == a.Addr) {
 		if a.OperatorAddr, err = program.FreeAddr(ip); err != nil {
 			return a, err
 		}
@@ -72,7 +73,9 @@
 	}
 	for s := range l.options.Servers {
 		server, err := standin.Listen(a.standinIP+":0", standin.Events{
-			RequestReceived: func(c *standin.Conn, r *http.Request, body []byte) { a.attemptReceived(c, Attempt{n, s, r, body}) },
+			RequestReceived: func(c *standin.Conn, r *http.Request, body []byte) {
+				a.attemptReceived(c, Attempt{n, s, r, body})
+			},
 		})
 		if err != nil {
 			return a, err
@@ -103,8 +106,8 @@
 		a.lab.options.Configure(config)
 	}
 	p := a.program
-	p.Program, p.Env, p.Args, p.Operator, p.TempDir = config.Program, config.Env, config.Args, config.OperatorFile,
-		config.TempDir
+	p.Program, p.Env, p.Args, p.Operator, p.TempDir =
+		config.Program, config.Env, config.Args, config.OperatorFile, config.TempDir
 	if a.OperatorAddr != "" {
 		p.Env = append([]string{"LB_OPS=" + a.OperatorAddr}, p.Env...)
 	}
@@ -175,7 +178,9 @@
 
 // RequestForTenant is like Request for a given tenant; empty: none. The agent does not forward the tenant
 // to upstream servers, so the request's target repeats it as ?clinic=NAME.
-func (a *Agent) RequestForTenant(ctx context.Context, tenant, class, key string) (status int, body string, err error) {
+func (a *Agent) RequestForTenant(ctx context.Context, tenant, class, key string) (
+	status int, body string, err error,
+) {
 	target := "http://" + a.Addr + "/" + class + "/book?clinic=" + url.QueryEscape(tenant)
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
 	if err != nil {
--- a/internal/rehearsal/lab/lab.go
+++ b/internal/rehearsal/lab/lab.go
@@ -8,7 +8,7 @@
 //
 //	l := lab.Open(t, lab.Options{Agents: 5, Program: path})
 //	l.StartAll(ctx)
-//	end, _ := l.InjectNetworkFault(mishap.Fault{From: []int{0}, Way: mishap.Impairment{Cut: true}})
+//	end, _ := l.InjectNetworkFault(mishap.Fault{From: []int{0}, Impairment: mishap.Impairment{Cut: true}})
 //	l.Agent(1).Pause()
 //	l.Wait(ctx, "n2 has noticed", func() bool { return l.Agent(2).LogContains("noticed") })
 //	end()
@@ -42,7 +42,7 @@
 	Zones, Kinds     []string
 	Seed             uint64 // for the datagrams' faults and the values drawn for scripts
 	Program          string // path of the agent program; empty: bin/dunestep
-	OperatorListener bool   // whether agents have an operator listener, at Agent.OperatorListener
+	OperatorListener bool   // whether agents have an operator listener, at Agent.OperatorAddr
 	// Settings of the deployment, except for Self and Balancers; nil: DefaultSettings().
 	Settings *protocol.Settings
 	// Configure may change an agent's configuration before each start; may be nil.
@@ -83,7 +83,7 @@
 
 // Lab is a fleet of agents. Create it with New or Open. Its methods are safe for concurrent use.
 type Lab struct {
-	// Timeline records faults, process starts and ends, and the marks set by users of the lab.
+	// Timeline records faults, process starts and ends, and the entries added by RecordEvent.
 	Timeline *timeline.Timeline
 
 	options       Options
@@ -281,7 +281,7 @@
 // Now returns the time since the lab was opened, the time base of its timeline.
 func (l *Lab) Now() time.Duration { return time.Since(l.began) }
 
-// RecordEvent adds a mark to the timeline at the current time and wakes the callers of Wait.
+// RecordEvent adds an entry to the timeline at the current time and wakes the callers of Wait.
 func (l *Lab) RecordEvent(lane, agent, text string) {
 	l.Timeline.Add(l.Now(), lane, agent, text)
 	l.signalEvent()
@@ -310,8 +310,8 @@
 }
 
 // Wait waits until met returns true. It calls met after each event (a log line, an attempt, a call to
-// discovery, the start or end of a process, a mark) and every pollInterval. The function may call any
-// method of the lab. The error names the condition, what, that was not met before the context ended.
+// discovery, the start or end of a process, a timeline entry) and every pollInterval. The function may call
+// any method of the lab. The error names the condition, what, that was not met before the context ended.
 func (l *Lab) Wait(ctx context.Context, what string, met func() bool) error {
 	ctx, cancel := l.withWaitTimeout(ctx)
 	defer cancel()
@@ -331,14 +331,14 @@
 	}
 }
 
-// maxShownMarks is the number of most recent marks in String.
-const maxShownMarks = 100
+// maxShownEntries is the number of most recent timeline entries in String.
+const maxShownEntries = 100
 
-// String returns the most recent marks of the timeline and the agents' last log lines.
+// String returns the most recent entries of the timeline and the agents' last log lines.
 func (l *Lab) String() string {
 	var b strings.Builder
-	marks, _ := l.Timeline.Entries()
-	for _, m := range marks[max(len(marks)-maxShownMarks, 0):] {
+	entries, _ := l.Timeline.Entries()
+	for _, m := range entries[max(len(entries)-maxShownEntries, 0):] {
 		fmt.Fprintf(&b, "%9.3f  %-10s %-4s %s\n", m.At.Seconds(), m.Lane, m.Agent, m.Text)
 	}
 	for _, a := range l.agents {
--- a/internal/rehearsal/lab/lab_test.go
+++ b/internal/rehearsal/lab/lab_test.go
@@ -82,9 +82,9 @@
 
 // After a script with every supported kind of fault, all five agents serve, and the lab leaves no process or folder.
 func TestScriptLeavesAllAgentsServing(t *testing.T) {
-	set, err := scenario.Parse("five.toml", []byte(fiveAgentsScenario))
+	sc, err := scenario.Parse("five.toml", []byte(fiveAgentsScenario))
 	require.NoError(t, err)
-	l := Open(t, Options{Agents: set.Agents.Count, Program: agentProgram, Seed: set.Seed, OperatorListener: true})
+	l := Open(t, Options{Agents: sc.Agents.Count, Program: agentProgram, Seed: sc.Seed, OperatorListener: true})
 	ctx := t.Context()
 	require.NoError(t, l.StartAll(ctx))
 	var pids []int
@@ -107,7 +107,7 @@
 			}
 		}
 	}()
-	require.NoError(t, l.Play(ctx, set.Faults))
+	require.NoError(t, l.Play(ctx, sc.Faults))
 	end, err := l.InjectNetworkFault(mishap.Fault{From: []int{0, 1}, Impairment: mishap.Impairment{Cut: true}})
 	require.NoError(t, err)
 	before := l.NetworkCounts().Cut
@@ -185,8 +185,8 @@
 	steps := a.Attempts()
 	require.True(t, a.Serves(ctx))
 	require.Greater(t, a.Attempts(), steps)
-	marks, _ := l.Timeline.Entries()
-	require.Equal(t, []string{timeline.Faults, Processes, "views"}, timeline.Lanes(marks))
+	entries, _ := l.Timeline.Entries()
+	require.Equal(t, []string{timeline.Faults, Processes, "views"}, timeline.Lanes(entries))
 	require.Equal(t, 3, strings.Count(l.String(), "views      n1   serves"))
 }
 
@@ -209,10 +209,10 @@
 	short, cancel := context.WithTimeout(ctx, 50*time.Millisecond)
 	defer cancel()
 	require.ErrorContains(t, l.Wait(short, "never true", func() bool { return false }), "condition not met: never true")
-	trouble := scenario.FaultSpec{Kind: scenario.Surge, At: scenario.ExactTime(0), For: scenario.ExactTime(time.Second), Size: scenario.ExactSpan(2)}
-	require.ErrorContains(t, l.Play(ctx, []scenario.FaultSpec{trouble}), `trouble[0]: kind "surge" needs a scenario run`)
-	trouble.Kind = scenario.Datagrams
-	require.ErrorContains(t, l.Play(ctx, []scenario.FaultSpec{trouble}), "trouble[0].size: means nothing for datagrams")
+	faultSpec := scenario.FaultSpec{Kind: scenario.Surge, At: scenario.ExactTime(0), For: scenario.ExactTime(time.Second), Size: scenario.ExactSpan(2)}
+	require.ErrorContains(t, l.Play(ctx, []scenario.FaultSpec{faultSpec}), `trouble[0]: kind "surge" needs a scenario run`)
+	faultSpec.Kind = scenario.Datagrams
+	require.ErrorContains(t, l.Play(ctx, []scenario.FaultSpec{faultSpec}), "trouble[0].size: means nothing for datagrams")
 	_, err = l.InjectNetworkFault(mishap.Fault{From: []int{1}})
 	require.ErrorContains(t, err, "no agent 1 of 1")
 }
@@ -233,9 +233,9 @@
 		})
 	}()
 	require.NoError(t, l.Wait(ctx, "all faults are active", func() bool {
-		marks, _ := l.Timeline.Entries()
+		entries, _ := l.Timeline.Entries()
 		faults := 0
-		for _, m := range marks {
+		for _, m := range entries {
 			if m.Lane == timeline.Faults {
 				faults++
 			}
--- a/internal/rehearsal/lab/script.go
+++ b/internal/rehearsal/lab/script.go
@@ -13,14 +13,14 @@
 	"dunestep/internal/rehearsal/scenario"
 )
 
-// Play plays a script of faults, given as a scenario's troubles, and returns when all have ended. Values
+// Play plays a script of faults, given as for a scenario, and returns when all have ended. Values
 // are drawn from the lab's seed and the number of the script. If the context ends first, all faults end
 // then, agents that a fault stopped are launched again, and the context's error is returned.
 //
 // A lab supports the kinds datagrams, streams, agents_paused, agents_slowed, agents_killed and
 // agents_restarted. The other kinds need a scenario's load and servers; Play returns an error for them.
-func (l *Lab) Play(ctx context.Context, troubles []scenario.FaultSpec) error {
-	troubles, err := scenario.Check(len(l.agents), troubles)
+func (l *Lab) Play(ctx context.Context, faults []scenario.FaultSpec) error {
+	faults, err := scenario.Check(len(l.agents), faults)
 	if err != nil {
 		return err
 	}
@@ -29,12 +29,12 @@
 	random := rand.New(rand.NewPCG(l.options.Seed, uint64(l.scriptsPlayed)))
 	l.mu.Unlock()
 	var events []*faultEvent
-	for i := range troubles {
-		f, err := l.newFault(&troubles[i], random)
+	for i := range faults {
+		f, err := l.newFault(&faults[i], random)
 		if err != nil {
 			return fmt.Errorf("lab: trouble[%d]: %w", i, err)
 		}
-		events = append(events, f.events(&troubles[i], random)...)
+		events = append(events, f.events(&faults[i], random)...)
 	}
 	slices.SortStableFunc(events, func(a, b *faultEvent) int { return cmp.Compare(a.at, b.at) })
 	start := time.Now()
@@ -106,7 +106,7 @@
 	return events
 }
 
-// newFault returns the fault that a scenario's trouble describes.
+// newFault returns the fault that a FaultSpec describes.
 func (l *Lab) newFault(t *scenario.FaultSpec, random *rand.Rand) (*fault, error) {
 	agents := l.targets(t)
 	each := func(begin func(*Agent) (end func())) *fault {
@@ -125,7 +125,7 @@
 	}
 	switch t.Kind {
 	case scenario.Datagrams:
-		networkFault := mishap.FromTrouble(t, random)
+		networkFault := mishap.FromFaultSpec(t, random)
 		return &fault{begin: func() (func(context.Context) error, error) {
 			end, err := l.InjectNetworkFault(networkFault)
 			if err != nil {
--- a/internal/rehearsal/late/late.go
+++ b/internal/rehearsal/late/late.go
@@ -71,10 +71,10 @@
 	maxDraws         = 16 // random draws to find a server that is on the agent's list and untried
 	tagResubscribe   = 1
 	resubscribeDelay = time.Second // minimum delay after a failed call
-	// A request of mean work may take at most 1/aimDivisor of its latency objective.
-	aimDivisor     = 2
-	maxFullSkipped = 1 // full servers that may be drawn before the last one
-	maxAttempts    = 3 // attempts per request, where the deployment allows that many
+	// A request of mean work may take at most 1/objectiveDivisor of its latency objective.
+	objectiveDivisor = 2
+	maxFullSkipped   = 1 // full servers that may be skipped; a further one ends the search
+	maxAttempts      = 3 // attempts per request, where the deployment allows that many
 )
 
 // Policy is one agent that decides by the delayed view. It implements the routing core's Module.
@@ -183,7 +183,8 @@
 }
 
 // choose draws a server where the request would likely finish in time, or returns nil if none was found. It
-// skips few full servers: otherwise all requests would meet at the few servers that were seen with room.
+// skips only a few full servers: otherwise all requests would go to the few servers that were seen with spare
+// capacity.
 func (p *Policy) choose(r *request) *Server {
 	view, full := p.view(), 0
 	for range maxDraws {
@@ -195,7 +196,8 @@
 			continue
 		}
 		held := max(s.Held, float64(p.outstanding[s.ID])) + 1
-		if time.Duration(max(held, s.Cores)*float64(p.meanWork)/s.Speed) <= r.class.LatencyObjective/aimDivisor {
+		if time.Duration(max(held, s.Cores)*float64(p.meanWork)/s.Speed) <=
+			r.class.LatencyObjective/objectiveDivisor {
 			return s
 		}
 		full++
--- a/internal/rehearsal/live/bench.go
+++ b/internal/rehearsal/live/bench.go
@@ -26,7 +26,7 @@
 type BenchOptions struct {
 	Programs    []string      // paths of the agent programs to measure
 	Rounds      int           // number of measurements of each subject
-	PartCommand []string      // command line that runs RunPart; its arguments are appended
+	PartCommand []string      // command line that runs RunPart; RunPart's arguments are appended
 	Conns       int           // number of persistent client connections
 	Servers     int           // number of upstream servers, stand-ins that answer immediately
 	Duration    time.Duration // duration of each measurement
@@ -208,8 +208,8 @@
 // benchAgent returns the command of an agent with one request class and an endpoint list that never changes.
 // The closer ends its discovery stand-in and releases the configuration file.
 func benchAgent(path, addr string, servers []string) (*exec.Cmd, io.Closer, error) {
-	d, err := standin.ListenDiscovery("127.0.0.1:0", watchKeepalive, func(c *standin.Call) { c.WriteStatus(200) },
-		func(*standin.Call) {})
+	d, err := standin.ListenDiscovery("127.0.0.1:0", watchKeepalive,
+		func(c *standin.Call) { c.WriteStatus(200) }, func(*standin.Call) {})
 	if err != nil {
 		return nil, nil, err
 	}
@@ -220,7 +220,7 @@
 			"state": "active", "weight": 1.0,
 		})
 	}
-	set := protocol.Settings{
+	settings := protocol.Settings{
 		ConnIdleTimeout: 15 * time.Second, ConnectTimeout: 250 * time.Millisecond,
 		Settings: balancer.Settings{
 			Balancers: 1, Zone: "a", Tick: 5 * time.Millisecond,
@@ -243,7 +243,7 @@
 		"seed":     "8c1f30d27a5be964",
 		"limits":   program.Object{"cores": 1, "memory_mb": 192, "sockets": 1024},
 		"known":    program.Object{"version": 1, "full": true, "servers": entries},
-		"settings": program.ConfigObject(set),
+		"settings": program.ConfigObject(settings),
 	})
 	file, err := program.MemoryFile("config", config)
 	if err != nil {
--- a/internal/rehearsal/live/benchload.go
+++ b/internal/rehearsal/live/benchload.go
@@ -51,20 +51,20 @@
 // RunLoadBench sends the clients' requests of a live scenario run to stand-ins that answer immediately,
 // with no agents or upstream servers. It sends perS requests per second on the given number of cores.
 func RunLoadBench(ctx context.Context, perS float64, length time.Duration, cores int) (*LoadBench, error) {
-	set, err := scenario.Parse("load", fmt.Appendf(nil, loadScenario, length.Seconds(), perS))
+	sc, err := scenario.Parse("load", fmt.Appendf(nil, loadScenario, length.Seconds(), perS))
 	if err != nil {
 		return nil, err
 	}
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(cores * procsPerCore))
 	defer debug.SetGCPercent(debug.SetGCPercent(gcPercent))
 	counter := &requestCounter{}
-	env, err := world.NewLive(set, 1, counter, world.Options{})
+	env, err := world.NewLive(sc, 1, counter, world.Options{})
 	if err != nil {
 		return nil, err
 	}
 	defer env.Close()
-	w := &quickWire{wire: wire{set: set, env: env}}
-	for i := range set.Agents.Count {
+	w := &instantWire{wire: wire{scenario: sc, env: env}}
+	for i := range sc.Agents.Count {
 		server, err := standin.ListenInstantServer(addresses{os.Getpid()}.agent(i) + ":0")
 		if err != nil {
 			return nil, err
@@ -77,33 +77,34 @@
 	elapsed := time.Since(start)
 	return &LoadBench{
 		AnsweredPerSecond: float64(counter.answered) / min(elapsed, length).Seconds(), Sent: counter.requests,
-		Answered: counter.answered, Lateness: env.Lateness(), CPUSeconds: (kitCPUTime() - cpuBefore).Seconds(), Cores: cores,
+		Answered: counter.answered, Lateness: env.Lateness(), CPUSeconds: (kitCPUTime() - cpuBefore).Seconds(),
+		Cores: cores,
 	}, err
 }
 
-// quickWire replaces each agent by a stand-in that answers immediately, without upstream servers.
-type quickWire struct{ wire }
+// instantWire replaces each agent by a stand-in that answers immediately, without upstream servers.
+type instantWire struct{ wire }
 
 // Server implements world.Wire.
-func (w *quickWire) Server(netip.AddrPort) error { return nil }
+func (w *instantWire) Server(netip.AddrPort) error { return nil }
 
 // Gate implements world.Wire.
-func (w *quickWire) Gate(int, netip.AddrPort, world.Gate) {}
+func (w *instantWire) Gate(int, netip.AddrPort, world.Gate) {}
 
 // Start implements world.Wire.
-func (w *quickWire) Start(number, run int, _ protocol.EndpointList) { w.env.AgentReady(number, run) }
+func (w *instantWire) Start(number, run int, _ protocol.EndpointList) { w.env.AgentReady(number, run) }
 
 // requestCounter counts requests and answers.
 type requestCounter struct{ requests, answered int }
 
-// Accept implements record.Sink.
+// Begin implements record.Sink.
 func (c *requestCounter) Begin(record.Run) {}
 
 // Server implements record.Sink.
 func (c *requestCounter) Server(int, record.Server) {}
 
-// Take implements record.Sink.
-func (c *requestCounter) Take(e *record.Event) {
+// Observe implements record.Sink.
+func (c *requestCounter) Observe(e *record.Event) {
 	switch e.Kind {
 	case record.RequestReceived:
 		c.requests++
--- a/internal/rehearsal/live/live.go
+++ b/internal/rehearsal/live/live.go
@@ -33,8 +33,8 @@
 	Lanes    timeline.Reader          // selects log lines for the report's timeline; nil: none
 }
 
-// The kit's own lateness up to which a run is judged. A late kit makes upstream servers slower and clients
-// later than the scenario says; beyond these limits it would distort the results.
+// The maximum lateness of the kit itself in a run that is judged. A late kit makes upstream servers slower
+// and clients later than the scenario specifies; beyond these limits it distorts the results.
 const (
 	maxLatenessP99 = 10 * time.Millisecond
 	maxLateness    = 250 * time.Millisecond
@@ -43,26 +43,26 @@
 // Play runs a scenario and returns its report. If the context ends first, the report covers the run so far
 // and is returned with the context's error; with any other error there is no report. All processes and
 // sockets are closed on return.
-func Play(ctx context.Context, set *scenario.Scenario, o Options) (_ *report.Report, err error) {
+func Play(ctx context.Context, sc *scenario.Scenario, o Options) (_ *report.Report, err error) {
 	path, err := program.FindAgent(o.Program)
 	if err != nil {
 		return nil, err
 	}
-	if err := checkPlayable(set); err != nil {
+	if err := checkPlayable(sc); err != nil {
 		return nil, err
 	}
 	defer debug.SetGCPercent(debug.SetGCPercent(gcPercent))
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(runtime.NumCPU() * procsPerCore))
-	plan := world.NewPlan(set, o.Seed)
-	verdicts, events := judge.New(set), &timeline.Timeline{}
-	env, err := world.NewLive(set, o.Seed, verdicts, world.Options{Progress: o.Progress, Timeline: events})
+	plan := world.NewPlan(sc, o.Seed)
+	verdicts, events := judge.New(sc), &timeline.Timeline{}
+	env, err := world.NewLive(sc, o.Seed, verdicts, world.Options{Progress: o.Progress, Timeline: events})
 	if err != nil {
 		return nil, err
 	}
 	defer env.Close()
 	spawn := program.NewSpawner()
 	defer spawn.Close()
-	agents, err := newAgents(set, path, spawn, func(agent, text string) {
+	agents, err := newAgents(sc, path, spawn, func(agent, text string) {
 		events.AddLine(o.Lanes, max(time.Since(env.Zero()), 0), agent, text)
 		if o.Log != nil {
 			o.Log(agent, text)
@@ -71,7 +71,7 @@
 	if err != nil {
 		return nil, err
 	}
-	w, err := newWire(set, env, addresses{os.Getpid()}, agents)
+	w, err := newWire(sc, env, addresses{os.Getpid()}, agents)
 	if err != nil {
 		return nil, err
 	}
@@ -91,11 +91,11 @@
 		return nil, err
 	}
 	closeAll(err == nil)
-	result := report.New(set.Name, set.About, o.Seed, nil, verdicts.Verdict())
+	result := report.New(sc.Name, sc.About, o.Seed, nil, verdicts.Verdict())
 	result.SetTimeline(events)
 	result.CutShort = err != nil
 	result.Live = &report.Live{Plan: planPart(plan),
-		Measured: measured(o.Program, env.Lateness(), kitCPU, set, agents)}
+		Measured: measured(o.Program, env.Lateness(), kitCPU, sc, agents)}
 	result.Passed = result.Passed && result.Judged() && !result.CutShort
 	for _, a := range result.Live.Measured.Agents {
 		result.Passed = result.Passed && len(a.Problems) == 0
@@ -103,13 +103,14 @@
 	return result, err
 }
 
-func newAgents(set *scenario.Scenario, path string, spawn *program.Spawner, log func(string, string)) (
+func newAgents(sc *scenario.Scenario, path string, spawn *program.Spawner, log func(string, string)) (
 	agents []*program.Agent, err error,
 ) {
-	for i := range set.Agents.Count {
+	for i := range sc.Agents.Count {
 		a := &program.Agent{
-			Name: fmt.Sprint("n", i), Program: path, MaxSockets: set.Agents.Sockets, Spawner: spawn,
-			Log: log, MeasureInterval: usageSamplePeriod * time.Duration(max(set.Agents.Count/agentsPerSamplePeriod, 1)),
+			Name: fmt.Sprint("n", i), Program: path, MaxSockets: sc.Agents.Sockets, Spawner: spawn,
+			Log:             log,
+			MeasureInterval: usageSamplePeriod * time.Duration(max(sc.Agents.Count/agentsPerSamplePeriod, 1)),
 		}
 		if a.Addr, err = program.FreeAddr(addresses{os.Getpid()}.agent(i)); err != nil {
 			return nil, err
@@ -125,22 +126,22 @@
 )
 
 // agentUsage returns the resources that an agent used over all its runs, and the problems found.
-func agentUsage(a *program.Agent, set *scenario.Scenario) report.AgentUsage {
-	u, memory := a.TotalUsage(), set.Agents.MemoryMB
+func agentUsage(a *program.Agent, sc *scenario.Scenario) report.AgentUsage {
+	u, memory := a.TotalUsage(), sc.Agents.MemoryMB
 	if u.PeakMB > float64(memory) {
 		u.Problems = append(u.Problems, fmt.Sprintf("used %.1f MB of %d", u.PeakMB, memory))
 	}
 	return report.AgentUsage{
 		Name: a.Name, Starts: u.Starts, PeakMB: u.PeakMB, LimitMB: memory,
-		Descriptors: u.Descriptors, Limit: set.Agents.Sockets + program.SpareDescriptors, CPUS: u.CPUSeconds,
+		Descriptors: u.Descriptors, Limit: sc.Agents.Sockets + program.SpareDescriptors, CPUS: u.CPUSeconds,
 		Problems: u.Problems,
 	}
 }
 
 // checkPlayable returns an error if the scenario cannot run live or needs more file descriptors than this
 // process may have.
-func checkPlayable(set *scenario.Scenario) error {
-	for i, t := range set.Faults {
+func checkPlayable(sc *scenario.Scenario) error {
+	for i, t := range sc.Faults {
 		switch t.Kind {
 		case scenario.ServersTakenOut, scenario.ClientsRedirected, scenario.AgentsUpgraded, scenario.Window:
 			return fmt.Errorf("trouble %d: kind %q is not supported in live runs", i+1, t.Kind)
@@ -150,7 +151,7 @@
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		return err
 	}
-	if need := descriptorsNeeded(set); need > limit.Cur {
+	if need := descriptorsNeeded(sc); need > limit.Cur {
 		return fmt.Errorf("the scenario may need %d file descriptors, but the limit is %d (ulimit -n)", need,
 			limit.Cur)
 	}
@@ -160,14 +161,14 @@
 // descriptorsNeeded estimates the maximum number of file descriptors that the kit needs: sockets for each
 // pair of an agent and an upstream server, including servers that a deploy adds, and for the connections
 // that the agents may open.
-func descriptorsNeeded(set *scenario.Scenario) uint64 {
-	servers := set.Fleet.Servers
-	for _, t := range set.Faults {
+func descriptorsNeeded(sc *scenario.Scenario) uint64 {
+	servers := sc.Fleet.Servers
+	for _, t := range sc.Faults {
 		if t.Kind == scenario.Deploy {
-			servers += int(t.Part.High*float64(set.Fleet.Servers)) + 1
+			servers += int(t.Part.High*float64(sc.Fleet.Servers)) + 1
 		}
 	}
-	return uint64(set.Agents.Count*(servers+8+set.Agents.Sockets) + 100)
+	return uint64(sc.Agents.Count*(servers+8+sc.Agents.Sockets) + 100)
 }
 
 // planPart returns the plan section of the report.
@@ -176,10 +177,10 @@
 	_ = WritePlan(digest, p) // writing to a hash never fails
 	part := report.PlanPart{
 		Arrivals: len(p.Arrivals), Digest: hex.EncodeToString(digest.Sum(nil)),
-		Troubles: []report.PlanTrouble{},
+		Faults: []report.PlannedFault{},
 	}
 	for _, t := range p.Faults {
-		part.Troubles = append(part.Troubles, report.PlanTrouble{
+		part.Faults = append(part.Faults, report.PlannedFault{
 			Kind: string(t.Kind), AtS: t.At.Seconds(),
 			ForS: t.For.Seconds(),
 		})
@@ -205,7 +206,7 @@
 	return nil
 }
 
-func measured(path string, late world.Lateness, kit time.Duration, set *scenario.Scenario,
+func measured(path string, late world.Lateness, kit time.Duration, sc *scenario.Scenario,
 	agents []*program.Agent,
 ) report.Measured {
 	h := late.Events
@@ -215,7 +216,7 @@
 		MaxAtS: late.MaxAt.Seconds(), CPUS: kit.Seconds(),
 	}}
 	for _, a := range agents {
-		m.Agents = append(m.Agents, agentUsage(a, set))
+		m.Agents = append(m.Agents, agentUsage(a, sc))
 	}
 	switch p99 := time.Duration(m.Kit.P99US) * time.Microsecond; {
 	case p99 > maxLatenessP99:
--- a/internal/rehearsal/live/live_test.go
+++ b/internal/rehearsal/live/live_test.go
@@ -42,7 +42,7 @@
 }
 
 // shortScenario returns a scenario of a few seconds with the given faults.
-func shortScenario(t testing.TB, seconds int, agents int, troubles ...string) *scenario.Scenario {
+func shortScenario(t testing.TB, seconds int, agents int, faults ...string) *scenario.Scenario {
 	require.NoError(t, program.DependOnSources())
 	text := fmt.Sprintf(`schema = 1
 name = "short"
@@ -72,12 +72,12 @@
 worth = 2
 effect = "unsafe"
 `, seconds, agents)
-	for _, trouble := range troubles {
-		text += "\n[[trouble]]\n" + strings.ReplaceAll(trouble, "; ", "\n") + "\n"
+	for _, faultSpec := range faults {
+		text += "\n[[trouble]]\n" + strings.ReplaceAll(faultSpec, "; ", "\n") + "\n"
 	}
-	set, err := scenario.Parse("short.toml", []byte(text))
+	sc, err := scenario.Parse("short.toml", []byte(text))
 	require.NoError(t, err)
-	return set
+	return sc
 }
 
 // processesRunning returns the IDs of the processes that run a program.
@@ -105,9 +105,9 @@
 }
 
 // A run with every kind of fault breaks no rule, sends every planned request and leaves no process.
-func TestPlayWithEveryTrouble(t *testing.T) {
+func TestPlayWithEveryFault(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	set := shortScenario(t, 6, 3,
+	sc := shortScenario(t, 6, 3,
 		`kind = "agents_restarted"; at_s = 1; for_s = 2; count = 1`,
 		`kind = "agents_killed"; at_s = 4; for_s = 0.5; count = 1`,
 		`kind = "crashed"; at_s = 1.5; for_s = 1; part = 0.2`,
@@ -126,13 +126,13 @@
 		`kind = "datagrams"; at_s = 0.5; for_s = 4; from = [0]; loss = 0.2; double = 0.2; flip = 0.1; delay_ms = [0, 50]`,
 		`kind = "streams"; at_s = 4; for_s = 0.5; agents = [1]; stream = "discovery"; fault = "silent"`,
 		`kind = "streams"; at_s = 5; for_s = 0.3; agents = [1]; fault = "reset"`)
-	r, err := Play(t.Context(), set, Options{Seed: 3, Program: agentProgram})
+	r, err := Play(t.Context(), sc, Options{Seed: 3, Program: agentProgram})
 	require.NoError(t, err)
 	requireRulesKept(t, r)
 	require.Equal(t, r.Live.Plan.Arrivals, r.Counts.FirstTries)
-	require.Len(t, r.Faults, len(set.Faults))
-	faults := slices.DeleteFunc(slices.Clone(r.Timeline), func(m report.Mark) bool { return m.Lane != timeline.Faults })
-	require.Len(t, faults, 2*len(set.Faults), "each fault's beginning and end")
+	require.Len(t, r.Faults, len(sc.Faults))
+	faults := slices.DeleteFunc(slices.Clone(r.Timeline), func(m report.TimelineEntry) bool { return m.Lane != timeline.Faults })
+	require.Len(t, faults, 2*len(sc.Faults), "each fault's beginning and end")
 	for i, a := range r.Live.Measured.Agents {
 		require.Empty(t, a.Problems)
 		require.Positive(t, a.PeakMB)
@@ -147,12 +147,12 @@
 
 // Faults of the upstream responses, one after another, make no agent break a rule.
 func TestUpstreamResponseFaultsBreakNoRule(t *testing.T) {
-	var troubles []string
+	var faults []string
 	for i, f := range scenario.AnswerFaults {
-		troubles = append(troubles, fmt.Sprintf(`kind = "on_wire"; at_s = %g; for_s = 0.3; part = 0.3; size = 0.2; fault = "%s"`,
+		faults = append(faults, fmt.Sprintf(`kind = "on_wire"; at_s = %g; for_s = 0.3; part = 0.3; size = 0.2; fault = "%s"`,
 			0.2+0.35*float64(i), f))
 	}
-	r, err := Play(t.Context(), shortScenario(t, 6, 2, troubles...), Options{Seed: 5, Program: agentProgram})
+	r, err := Play(t.Context(), shortScenario(t, 6, 2, faults...), Options{Seed: 5, Program: agentProgram})
 	require.NoError(t, err)
 	requireRulesKept(t, r)
 	for _, a := range r.Live.Measured.Agents {
@@ -226,10 +226,10 @@
 
 // The plan is the same, byte for byte, for the same scenario and seed.
 func TestPlanIsDeterministic(t *testing.T) {
-	set := shortScenario(t, 30, 3, `kind = "surge"; at_s = [1, 5]; for_s = 5; size = 3`)
+	sc := shortScenario(t, 30, 3, `kind = "surge"; at_s = [1, 5]; for_s = 5; size = 3`)
 	text := func(seed uint64) string {
 		var b bytes.Buffer
-		require.NoError(t, WritePlan(&b, world.NewPlan(set, seed)))
+		require.NoError(t, WritePlan(&b, world.NewPlan(sc, seed)))
 		return b.String()
 	}
 	require.Equal(t, text(7), text(7))
--- a/internal/rehearsal/live/load.go
+++ b/internal/rehearsal/live/load.go
@@ -152,7 +152,7 @@
 	headerEnd         = []byte("\r\n\r\n")
 )
 
-// readResponse reads a response, which must have a Content-Duration; ok reports whether its status is 200.
+// readResponse reads a response, which must have a Content-Length; ok reports whether its status is 200.
 func (c *loadConn) readResponse() (ok bool, err error) {
 	_ = c.SetReadDeadline(time.Now().Add(responseTimeout))
 	c.buf = c.buf[:0]
--- a/internal/rehearsal/live/wire.go
+++ b/internal/rehearsal/live/wire.go
@@ -24,11 +24,11 @@
 
 // wire connects the simulated world to real agents through stand-ins. It implements world.Wire.
 type wire struct {
-	set    *scenario.Scenario
-	env    *world.Live
-	ips    addresses
-	agents []*agentStandins
-	peers  *standin.Peers // nil: the agents exchange no gossip
+	scenario *scenario.Scenario
+	env      *world.Live
+	ips      addresses
+	agents   []*agentStandins
+	peers    *standin.Peers // nil: the agents exchange no gossip
 
 	mu            sync.Mutex
 	closing       bool
@@ -52,8 +52,8 @@
 }
 
 // newWire opens the stand-ins of each agent.
-func newWire(set *scenario.Scenario, env *world.Live, ips addresses, agents []*program.Agent) (*wire, error) {
-	w := &wire{set: set, env: env, ips: ips}
+func newWire(sc *scenario.Scenario, env *world.Live, ips addresses, agents []*program.Agent) (*wire, error) {
+	w := &wire{scenario: sc, env: env, ips: ips}
 	for i, a := range agents {
 		s := &agentStandins{number: i, agent: a, servers: map[netip.AddrPort]*standin.Server{}}
 		w.agents = append(w.agents, s)
@@ -66,7 +66,7 @@
 			return nil, err
 		}
 	}
-	if !set.Allow.Peers {
+	if !sc.Allow.Peers {
 		return w, nil
 	}
 	var addrs []netip.AddrPort
@@ -229,12 +229,12 @@
 	request := requestText(q)
 	if client, ok := c.Handle.(*clientConn); ok {
 		client.mu.Lock()
-		client.requestID = q.Op
+		client.requestID = q.RequestID
 		client.mu.Unlock()
 		client.conn.Send(request)
 		return
 	}
-	client := &clientConn{requestID: q.Op}
+	client := &clientConn{requestID: q.RequestID}
 	c.Handle = client
 	client.conn = standin.Dial(w.agents[q.Agent].agent.Addr, request,
 		func(r *http.Response, body []byte) { w.env.Answered(c, parseFinal(r, body, client.currentRequest())) },
@@ -256,7 +256,8 @@
 		method = "POST /"
 	}
 	b = append(append(append(b, method...), q.Class...), "/book HTTP/1.1\r\nHost: backend.local\r\n"...)
-	b = fmt.Appendf(b, "X-Correlation-Id: %016x\r\nX-Time-Left-Ms: %d\r\n", q.Op, q.TimeLeft.Milliseconds())
+	b = fmt.Appendf(b, "X-Correlation-Id: %016x\r\nX-Time-Left-Ms: %d\r\n", q.RequestID,
+		q.TimeLeft.Milliseconds())
 	if q.Tenant != "" {
 		b = append(append(append(b, "X-Account: "...), q.Tenant...), "\r\n"...)
 	}
@@ -298,8 +299,8 @@
 		"name": s.agent.Name, "listen": s.agent.Addr, "discovery": s.discovery.Addr,
 		"seed": fmt.Sprintf("%016x", uint64(number)<<32|uint64(run)),
 		"limits": program.Object{
-			"cores": w.set.Agents.Cores, "memory_mb": w.set.Agents.MemoryMB,
-			"sockets": w.set.Agents.Sockets,
+			"cores": w.scenario.Agents.Cores, "memory_mb": w.scenario.Agents.MemoryMB,
+			"sockets": w.scenario.Agents.Sockets,
 		},
 		"known":    program.EndpointsObject(known, s.serverAddr, w.env.StartedMS),
 		"settings": program.ConfigObject(settings),
--- a/internal/rehearsal/mishap/mishap.go
+++ b/internal/rehearsal/mishap/mishap.go
@@ -38,15 +38,15 @@
 	Truncate  float64           // share of copies that are truncated
 }
 
-// Fault applies a Impairment to the datagrams between some agents.
+// Fault applies an Impairment to the datagrams between some agents.
 type Fault struct {
 	Impairment
 	From, To []int // agent numbers, from 0; empty: all
 }
 
-// FromTrouble returns the fault that a scenario's trouble of kind datagrams describes, with its shares and
-// mean times drawn.
-func FromTrouble(t *scenario.FaultSpec, random *rand.Rand) Fault {
+// FromFaultSpec returns the fault that a FaultSpec of kind datagrams describes. Its shares and mean times are
+// drawn.
+func FromFaultSpec(t *scenario.FaultSpec, random *rand.Rand) Fault {
 	return Fault{From: t.From, To: t.To, Impairment: Impairment{
 		Cut: t.Cut, Loss: t.Loss.Draw(random),
 		Burst: Burst{Calm: t.Calm.Draw(random), Bad: t.Bad.Draw(random), Loss: t.BurstLoss.Draw(random)},
@@ -120,7 +120,7 @@
 	return (len(f.From) == 0 || slices.Contains(f.From, from)) && (len(f.To) == 0 || slices.Contains(f.To, to))
 }
 
-// Delivery is a datagram to deliver, Delay later than without faults.
+// Delivery is a copy of a datagram to deliver, Delay later than without faults.
 type Delivery struct {
 	Delay time.Duration
 	Data  []byte
--- a/internal/rehearsal/mishap/mishap_test.go
+++ b/internal/rehearsal/mishap/mishap_test.go
@@ -31,7 +31,7 @@
 	data     []byte
 }
 
-// For any faults, a datagram that is not lost is delivered, or delivered twice if doubled; each copy's delay is in range,
+// For any faults, a datagram that is not lost is delivered, or delivered twice if duplicated; each copy's delay is in range,
 // and a copy is unchanged unless bits are flipped or it is truncated. The same seed gives the same copies, and the
 // datagrams of one sender do not change those of another.
 func TestCopiesMatchFaults(t *testing.T) {
@@ -173,7 +173,7 @@
 		before = isLost
 	}
 	require.InDelta(t, 0.1, float64(lost)/50_000, 0.02)
-	// Delay 10 ms, exp(-10 ms/90 ms) of the deviation from the mean remains: 0.1 + 0.9 * 0.895.
+	// After 10 ms, exp(-10 ms/90 ms) of the deviation from the mean remains: 0.1 + 0.9 * 0.895.
 	require.InDelta(t, 0.905, float64(pairs)/float64(lost), 0.03)
 }
 
@@ -233,7 +233,7 @@
 	require.Equal(t, []Delivery{{Data: []byte("x")}}, n.Transmit(0, 0, 1, []byte("x")))
 }
 
-func BenchmarkPass(b *testing.B) {
+func BenchmarkTransmit(b *testing.B) {
 	n := New(1, 50)
 	begin(b, n, Fault{Impairment: Impairment{
 		Loss: 0.1, Duplicate: 0.1, Reorder: 0.1, Delay: delayRange(ms, 30*ms), Flip: 0.01,
--- a/internal/rehearsal/record/record.go
+++ b/internal/rehearsal/record/record.go
@@ -6,13 +6,13 @@
 import "time"
 
 // Sink receives a run as it is played. Calls come from one goroutine in the order of virtual time; events
-// with the same time come in the order in which they took effect.
+// with the same time arrive in the order in which they took effect.
 type Sink interface {
 	Begin(Run)
 	// Server announces an upstream server before its first event. Numbers start at 0 and are never reused: a
 	// process that restarts on its machine keeps its number, the successor in a deploy gets a new one.
 	Server(n int, s Server)
-	Take(*Event) // must be copied if kept: the caller reuses it
+	Observe(*Event) // the event must be copied to be kept: the caller reuses it
 	Sample(*Sample)
 	End(at time.Duration)
 }
@@ -124,7 +124,7 @@
 	Rejected                        // rejected; never ran
 	NoConnection                    // refused, timed out, or broken before the last byte was written; never ran
 	Broken                          // connection ended after the last byte; it may have run
-	Abandoned                       // the agent stopped waiting after the last byte; it may have run or run later
+	Abandoned                       // the agent stopped waiting after the last byte; it may run or have run
 	Unwritten                       // the agent stopped before the last byte was written; never ran
 	UnreadableAnswer                // unreadable answer; it has run
 )
@@ -147,7 +147,7 @@
 type Event struct {
 	At               time.Duration
 	Work             time.Duration // on a standard core
-	Left             time.Duration // remaining wait of the client or the silent call, or timeout announced by an attempt
+	Left             time.Duration // wait left of the client or the silent call; for AttemptSent: its timeout
 	After            time.Duration // advised by Retry-After, 0 for none; for AgentUp: since the process started
 	Started          time.Duration // start of a server's process; 0: long ago
 	Capacity         float64       // in seconds of standard work per second
@@ -171,7 +171,7 @@
 	CrossZone        bool // sent to another zone
 	SlowStart        bool // the server is in slow start
 	Ran              bool
-	ClosedByShutdown bool // for ClientLeft and RequestUnreached: an agent that is shutting down closed the new connection
+	ClosedByShutdown bool // for ClientLeft and RequestUnreached: new connection closed by an agent shutting down
 	Unread           bool // for ClientLeft: the agent had not read the request
 }
 
--- a/internal/rehearsal/rehearsal.go
+++ b/internal/rehearsal/rehearsal.go
@@ -81,8 +81,8 @@
 type Options struct {
 	Seed           uint64
 	Without        []string                                   // names of protections to disable
-	RingAssignment bool                                       // agents use ring assignment whatever the scenario says
-	MeasureShares  bool                                       // also run late.Policy, the reference for the shares
+	RingAssignment bool                                       // enables ring assignment for any scenario
+	MeasureShares  bool                                       // also runs late.Policy, the shares' reference
 	Progress       func(at time.Duration)                     // receives the elapsed time; may be nil
 	Log            func(at time.Duration, agent, line string) // receives the agents' log lines; may be nil
 	Lanes          timeline.Reader                            // selects log lines for the timeline; nil: none
@@ -90,13 +90,13 @@
 
 // Play runs a scenario in virtual time and returns its report. If the context ends first, the report covers
 // the run so far and is returned with the context's error; with any other error there is no report.
-func Play(ctx context.Context, set *scenario.Scenario, o Options) (*report.Report, error) {
+func Play(ctx context.Context, sc *scenario.Scenario, o Options) (*report.Report, error) {
 	tuning, shedding, err := tuningWithout(o.Without)
 	if err != nil {
 		return nil, err
 	}
-	verdicts, events := judge.New(set), &timeline.Timeline{}
-	crash, err := play(ctx, set, o.Seed, verdicts,
+	verdicts, events := judge.New(sc), &timeline.Timeline{}
+	crash, err := play(ctx, sc, o.Seed, verdicts,
 		world.Options{
 			Tuning: tuning, Overload: shedding, Progress: o.Progress, Log: o.logFunc(events), Timeline: events,
 			RingAssignment: o.RingAssignment,
@@ -104,14 +104,14 @@
 	if err != nil && ctx.Err() == nil {
 		return nil, err
 	}
-	r := report.New(set.Name, set.About, o.Seed, o.Without, verdicts.Verdict())
+	r := report.New(sc.Name, sc.About, o.Seed, o.Without, verdicts.Verdict())
 	r.SetTimeline(events)
 	if r.CutShort = err != nil || crash != nil; crash != nil {
 		r.Crash = crash
 	}
 	r.Passed = r.Passed && !r.CutShort
 	if o.MeasureShares && err == nil {
-		err = measureShares(ctx, set, o.Seed, r)
+		err = measureShares(ctx, sc, o.Seed, r)
 	}
 	return r, err
 }
@@ -134,9 +134,9 @@
 
 // measureShares runs the scenario with the reference policy, which sees the servers' true state late, and
 // sets what the report's shares must reach from what that policy serves.
-func measureShares(ctx context.Context, set *scenario.Scenario, seed uint64, r *report.Report) error {
-	verdicts := judge.New(set)
-	if err := world.Play(ctx, set, seed, verdicts, world.Options{ViewDelay: latePolicyDelay}); err != nil {
+func measureShares(ctx context.Context, sc *scenario.Scenario, seed uint64, r *report.Report) error {
+	verdicts := judge.New(sc)
+	if err := world.Play(ctx, sc, seed, verdicts, world.Options{ViewDelay: latePolicyDelay}); err != nil {
 		return err
 	}
 	v := verdicts.Verdict()
@@ -146,7 +146,7 @@
 
 // play runs a scenario and records it with a judge. A panic ends the run and is returned as a crash: the
 // agents' code runs in this process, and a hunt must find agents that crash.
-func play(ctx context.Context, set *scenario.Scenario, seed uint64, j *judge.Judge, o world.Options) (
+func play(ctx context.Context, sc *scenario.Scenario, seed uint64, j *judge.Judge, o world.Options) (
 	crash *report.Crash, err error,
 ) {
 	now := time.Duration(0)
@@ -162,5 +162,5 @@
 			j.End(now)
 		}
 	}()
-	return nil, world.Play(ctx, set, seed, j, o)
+	return nil, world.Play(ctx, sc, seed, j, o)
 }
--- a/internal/rehearsal/rehearsal_test.go
+++ b/internal/rehearsal/rehearsal_test.go
@@ -22,14 +22,14 @@
 
 func loadScenario(t testing.TB, name string) *scenario.Scenario {
 	t.Helper()
-	set, err := scenario.Load(filepath.Join("../../rehearsals", name+".toml"))
+	sc, err := scenario.Load(filepath.Join("../../rehearsals", name+".toml"))
 	require.NoError(t, err)
-	return set
+	return sc
 }
 
-func playScenario(t testing.TB, set *scenario.Scenario, without ...string) *report.Report {
+func playScenario(t testing.TB, sc *scenario.Scenario, without ...string) *report.Report {
 	t.Helper()
-	r, err := Play(context.Background(), set, Options{Seed: set.Seed, Without: without})
+	r, err := Play(context.Background(), sc, Options{Seed: sc.Seed, Without: without})
 	require.NoError(t, err)
 	return r
 }
@@ -43,8 +43,8 @@
 	} {
 		t.Run(protection, func(t *testing.T) {
 			t.Parallel()
-			set := loadScenario(t, name)
-			with, without := playScenario(t, set), playScenario(t, set, protection)
+			sc := loadScenario(t, name)
+			with, without := playScenario(t, sc), playScenario(t, sc, protection)
 			require.True(t, with.Passed)
 			if protection == "cold-budget" {
 				require.Greater(t, without.SlowStarts.Fullest, 2*with.SlowStarts.Fullest, "fullest window of a starting server, as a part of its limit")
@@ -81,23 +81,23 @@
 	require.NoError(t, err)
 	require.NotEmpty(t, files)
 	for _, file := range files {
-		set, err := scenario.Load(file)
+		sc, err := scenario.Load(file)
 		require.NoError(t, err)
-		r := playScenario(t, set)
+		r := playScenario(t, sc)
 		require.True(t, r.Passed, "%s: service %.3f, crash %+v", file, r.Service, r.Crash)
 	}
 }
 
 // A hunt returns the same results on one core and on many, and its results so far when it is canceled.
 func TestHuntIsDeterministicAndCancelable(t *testing.T) {
-	set := loadScenario(t, "most-refusing")
+	sc := loadScenario(t, "most-refusing")
 	hunt := func(cores int) []SeedResult {
 		defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(cores))
-		results, err := Hunt(context.Background(), set, HuntOptions{First: 3, Seeds: 12})
+		results, err := Hunt(context.Background(), sc, HuntOptions{First: 3, Seeds: 12})
 		require.NoError(t, err)
 		return results
 	}
-	set.Floor = hunt(1)[5].Service // half of the runs pass
+	sc.Floor = hunt(1)[5].Service // half of the runs pass
 	results := hunt(1)
 	require.Equal(t, results, hunt(8))
 	require.Len(t, results, 12)
@@ -108,7 +108,7 @@
 	}
 
 	ctx, cancel := context.WithCancel(context.Background())
-	partial, err := Hunt(ctx, set, HuntOptions{Seeds: 1e6, Progress: func(int, int) { cancel() }})
+	partial, err := Hunt(ctx, sc, HuntOptions{Seeds: 1e6, Progress: func(int, int) { cancel() }})
 	require.ErrorIs(t, err, context.Canceled)
 	require.NotEmpty(t, partial)
 	require.Less(t, len(partial), 100)
@@ -116,39 +116,39 @@
 
 // A shrunk scenario is much smaller, fails in the same way and is a valid scenario.
 func TestShrinkKeepsTheFailure(t *testing.T) {
-	set := loadScenario(t, "most-refusing")
-	set.Floor = 0.9
-	require.False(t, playScenario(t, set).Passed)
-	small, err := Shrink(context.Background(), set, ShrinkOptions{})
+	sc := loadScenario(t, "most-refusing")
+	sc.Floor = 0.9
+	require.False(t, playScenario(t, sc).Passed)
+	small, err := Shrink(context.Background(), sc, ShrinkOptions{})
 	require.NoError(t, err)
 	require.Less(t, playScenario(t, small).Service, 0.9)
-	require.Less(t, small.Run.Length, set.Run.Length)
-	require.LessOrEqual(t, small.Fleet.Servers, set.Fleet.Servers)
+	require.Less(t, small.Run.Length, sc.Run.Length)
+	require.LessOrEqual(t, small.Fleet.Servers, sc.Fleet.Servers)
 	parts := func(s *scenario.Scenario) int {
 		return len(s.Classes) + len(s.Tenants) + len(s.Kinds) + len(s.Faults)
 	}
-	require.Less(t, parts(small), parts(set)-3)
+	require.Less(t, parts(small), parts(sc)-3)
 
-	set.Floor = 0
-	_, err = Shrink(context.Background(), set, ShrinkOptions{})
+	sc.Floor = 0
+	_, err = Shrink(context.Background(), sc, ShrinkOptions{})
 	require.ErrorIs(t, err, ErrScenarioPasses)
 }
 
 // A panic of an agent ends the run; the report names the cause and the calls, and is usable as a symptom.
 func TestCrashIsReported(t *testing.T) {
-	set := loadScenario(t, "flapping")
-	r, err := Play(context.Background(), set, Options{Seed: 2, Log: func(time.Duration, string, string) {
+	sc := loadScenario(t, "flapping")
+	r, err := Play(context.Background(), sc, Options{Seed: 2, Log: func(time.Duration, string, string) {
 		panic("planted")
 	}})
 	require.NoError(t, err)
 	require.False(t, r.Passed)
 	require.Equal(t, "planted", r.Crash.Cause)
-	require.Contains(t, strings.Join(r.Crash.Calls, "\n"), "world.(*agentProcess).execute (life.go:")
+	require.Contains(t, strings.Join(r.Crash.Calls, "\n"), "world.(*agentProcess).execute (agent.go:")
 	require.NotContains(t, strings.Join(r.Crash.Calls, ""), "0x")
 	require.Contains(t, writtenText(t, r.Text), "crashed: planted")
 	failure, ok := symptomOf(r)
 	require.True(t, ok && failure.presentIn(r))
-	require.False(t, failure.presentIn(playScenario(t, set)))
+	require.False(t, failure.presentIn(playScenario(t, sc)))
 }
 
 func writtenText(t *testing.T, write func(io.Writer) error) string {
@@ -160,9 +160,9 @@
 // The HTML page loads nothing from elsewhere and escapes the texts of a scenario. The JSON report names its schema
 // version.
 func TestReportIsSelfContained(t *testing.T) {
-	set := loadScenario(t, "slow-kept-alive")
-	set.About = "<script>alert(1)</script>"
-	r := playScenario(t, set, "retry-budget")
+	sc := loadScenario(t, "slow-kept-alive")
+	sc.About = "<script>alert(1)</script>"
+	r := playScenario(t, sc, "retry-budget")
 	r.Findings = append(r.Findings, judge.Finding{Name: judge.KeptAlive, Text: "by <repeats>"})
 	page := writtenText(t, r.HTML)
 	require.NotContains(t, page, "<script")
@@ -187,26 +187,26 @@
 
 // A run of two seconds with one server and one agent produces a report.
 func TestReportOfMinimalScenario(t *testing.T) {
-	set := loadScenario(t, "calm-monday")
-	set.Run.Length, set.Run.From, set.Fleet.Servers, set.Agents.Count = 2*time.Second, 0, 1, 1
-	set.Load.OfCapacity = scenario.Span{Low: 0.01, High: 0.01}
-	r := playScenario(t, set)
+	sc := loadScenario(t, "calm-monday")
+	sc.Run.Length, sc.Run.From, sc.Fleet.Servers, sc.Agents.Count = 2*time.Second, 0, 1, 1
+	sc.Load.OfCapacity = scenario.Span{Low: 0.01, High: 0.01}
+	r := playScenario(t, sc)
 	require.NotEmpty(t, writtenText(t, r.HTML))
 	require.NotEmpty(t, writtenText(t, r.JSON))
 }
 
 // One minute of the deployment: 13 servers, 5 agents, 330 requests per second.
 func BenchmarkPlayOneMinute(b *testing.B) {
-	set := loadScenario(b, "calm-monday")
-	set.Load.OfCapacity, set.Load.PerS = scenario.Span{}, scenario.Span{Low: 330, High: 330}
+	sc := loadScenario(b, "calm-monday")
+	sc.Load.OfCapacity, sc.Load.PerS = scenario.Span{}, scenario.Span{Low: 330, High: 330}
 	for b.Loop() {
-		require.True(b, playScenario(b, set).Passed)
+		require.True(b, playScenario(b, sc).Passed)
 	}
 }
 
 // A hunt through runs of a minute with a deploy and silent servers, on all cores; the time is that of one run.
 func BenchmarkHuntOneMinute(b *testing.B) {
-	set := loadScenario(b, "silent-during-deploy")
-	_, err := Hunt(context.Background(), set, HuntOptions{Seeds: b.N})
+	sc := loadScenario(b, "silent-during-deploy")
+	_, err := Hunt(context.Background(), sc, HuntOptions{Seeds: b.N})
 	require.NoError(b, err)
 }
--- a/internal/rehearsal/report/live.go
+++ b/internal/rehearsal/report/live.go
@@ -11,13 +11,13 @@
 
 // PlanPart is the part of the run that was drawn before it began.
 type PlanPart struct {
-	Arrivals int           `json:"arrivals"` // number of client requests, not counting retries
-	Digest   string        `json:"sha256"`   // hash of the plan as written by rehearse live --plan
-	Troubles []PlanTrouble `json:"troubles"`
+	Arrivals int            `json:"arrivals"` // number of client requests, not counting retries
+	Digest   string         `json:"sha256"`   // hash of the plan as written by rehearse live --plan
+	Faults   []PlannedFault `json:"troubles"`
 }
 
-// PlanTrouble is a planned trouble with its drawn times.
-type PlanTrouble struct {
+// PlannedFault is a planned fault with its drawn times.
+type PlannedFault struct {
 	Kind string  `json:"kind"`
 	AtS  float64 `json:"at_s"`
 	ForS float64 `json:"for_s"`
@@ -82,7 +82,7 @@
 	plan := table{title: "Plan (the same for the same scenario and seed)", head: []string{"", ""}}
 	plan.add("first tries", fmt.Sprint(r.Live.Plan.Arrivals))
 	plan.add("sha256", r.Live.Plan.Digest)
-	for _, t := range r.Live.Plan.Troubles {
+	for _, t := range r.Live.Plan.Faults {
 		plan.add(t.Kind, fmt.Sprintf("from %.1f s for %.1f s", t.AtS, t.ForS))
 	}
 	return []table{kit, agents, plan}
--- a/internal/rehearsal/report/loads.go
+++ b/internal/rehearsal/report/loads.go
@@ -100,7 +100,7 @@
 		}
 		l.Color, dots.Color = blue, blue
 		p.Add(plotter.NewGrid(), l, dots)
-		drawn, err := figure{Title: f.title}.of(p, plotHeight)
+		drawn, err := figure{Title: f.title}.render(p, plotHeight)
 		if err != nil {
 			return err
 		}
--- a/internal/rehearsal/report/plots.go
+++ b/internal/rehearsal/report/plots.go
@@ -49,7 +49,7 @@
 type line struct {
 	name  string
 	color color.Color
-	of    func(s []judge.Second) (y float64, ok bool) // value of a point from the seconds that it covers
+	value func(s []judge.Second) (y float64, ok bool) // value of a point from the seconds that it covers
 }
 
 // mean returns a line function that averages a figure.
@@ -94,7 +94,7 @@
 }
 
 func (r *Report) serviceFigure() (figure, error) {
-	worth := func(s *judge.Second) float64 { return s.AskedWorth }
+	worth := func(s *judge.Second) float64 { return s.RequestedWorth }
 	served := func(s *judge.Second) float64 { return s.ServedWorth }
 	return r.overTime(figure{
 		Title: "Service over time",
@@ -173,17 +173,17 @@
 	return r.Seconds[:min(max(int(r.LastedS), 1), len(r.Seconds))]
 }
 
-// overTime draws lines over the seconds of the run, with its troubles shaded.
+// overTime draws lines over the seconds of the run, with its faults shaded.
 func (r *Report) overTime(f figure, unit string, top float64, lines ...line) (figure, error) {
 	seconds := r.lastedSeconds()
 	step := (len(seconds) + maxPoints - 1) / maxPoints
 	p := newPlot("second of the day", unit)
 	p.X.Min, p.X.Max, p.Y.Min = 0, float64(len(seconds)), 0
-	p.Add(plotter.NewGrid(), troubleBands{r.Faults})
+	p.Add(plotter.NewGrid(), faultBands{r.Faults})
 	for _, l := range lines {
 		var points plotter.XYs
 		for at := 0; at < len(seconds); at += step {
-			if y, ok := l.of(seconds[at:min(at+step, len(seconds))]); ok {
+			if y, ok := l.value(seconds[at:min(at+step, len(seconds))]); ok {
 				points = append(points, plotter.XY{X: float64(at) + 0.5*float64(step), Y: y})
 			}
 		}
@@ -203,7 +203,7 @@
 	if top > 0 {
 		p.Y.Max = top
 	}
-	return f.of(p, plotHeight)
+	return f.render(p, plotHeight)
 }
 
 func newPlot(x, y string) *plot.Plot {
@@ -229,15 +229,15 @@
 	return ticks
 }
 
-// troubleBands is a plotter that shades and labels the times of the troubles.
-type troubleBands struct{ troubles []judge.FaultReport }
+// faultBands is a plotter that shades and labels the times of the faults.
+type faultBands struct{ faults []judge.FaultReport }
 
 // Plot implements plot.Plotter.
-func (b troubleBands) Plot(c draw.Canvas, p *plot.Plot) {
+func (b faultBands) Plot(c draw.Canvas, p *plot.Plot) {
 	x, _ := p.Transforms(&c)
 	style := p.X.Tick.Label
 	style.Font.Size, style.XAlign, style.YAlign, style.Color = 8, draw.XLeft, draw.YTop, grey
-	for i, s := range b.troubles {
+	for i, s := range b.faults {
 		end := s.EndedS
 		if end < 0 || end > p.X.Max {
 			end = p.X.Max
@@ -306,7 +306,7 @@
 	p.Add(m)
 	p.NominalY(names...)
 	p.Y.Tick.Label.Font.Size = 6
-	return f.of(p, 2*vg.Centimeter+rowHeight*vg.Length(len(rows)))
+	return f.render(p, 2*vg.Centimeter+rowHeight*vg.Length(len(rows)))
 }
 
 // busiestServers returns the n servers with the highest mean utilization, in their original order.
@@ -366,11 +366,11 @@
 		p.Legend.Add(bars.name, chart)
 	}
 	p.NominalX(labels...)
-	return f.of(p, plotHeight)
+	return f.render(p, plotHeight)
 }
 
 // of renders the plot into the figure as an SVG element without a file header.
-func (f figure) of(p *plot.Plot, height vg.Length) (figure, error) {
+func (f figure) render(p *plot.Plot, height vg.Length) (figure, error) {
 	c := vgsvg.New(plotWidth, height)
 	p.Draw(draw.New(c))
 	var b bytes.Buffer
--- a/internal/rehearsal/report/report.go
+++ b/internal/rehearsal/report/report.go
@@ -29,9 +29,9 @@
 	CutShort bool     `json:"cut_short"` // the run ended early; the report covers the run so far
 	Crash    *Crash   `json:"crash,omitempty"`
 	Live     *Live    `json:"live,omitempty"` // set for a live run
-	// Timeline has the marks in order of time. MarksDropped is the number of marks beyond the limit.
-	Timeline     []Mark `json:"timeline,omitempty"`
-	MarksDropped int    `json:"timeline_dropped,omitempty"`
+	// Timeline has the entries in order of time. TimelineDropped is the number of entries beyond the limit.
+	Timeline        []TimelineEntry `json:"timeline,omitempty"`
+	TimelineDropped int             `json:"timeline_dropped,omitempty"`
 	judge.Verdict
 
 	lanes []string
--- a/internal/rehearsal/report/text.go
+++ b/internal/rehearsal/report/text.go
@@ -105,9 +105,9 @@
 			all = append(all, breachTable(rule))
 		}
 	}
-	all = append(all, r.termsTable())
+	all = append(all, r.limitsTable())
 	if len(r.Faults) > 0 {
-		all = append(all, r.troublesTable())
+		all = append(all, r.faultsTable())
 	}
 	if len(r.Findings) > 0 {
 		all = append(all, r.findingsTable())
@@ -152,14 +152,14 @@
 	return t
 }
 
-func (r *Report) termsTable() table {
+func (r *Report) limitsTable() table {
 	t := table{title: "Terms of the gate", head: []string{"term", "", "of", "what it asks, and the first"}}
 	for _, term := range r.Limits {
 		count, text := fmt.Sprint(term.Count), term.Text
 		switch {
 		case term.Broken:
 			count += " BROKEN"
-		case !term.Asked:
+		case !term.Applies:
 			text = "not asked of this day"
 		}
 		if term.First != "" {
@@ -179,7 +179,7 @@
 	return t
 }
 
-func (r *Report) troublesTable() table {
+func (r *Report) faultsTable() table {
 	t := table{title: "Troubles", head: []string{
 		"trouble", "from", "to", "service before", "during",
 		"sends per first try", "back after", "servers busy meanwhile",
@@ -265,7 +265,7 @@
 	return line + "; served (asked): " + strings.Join(served, ", ") + r.slowStartSummary(), passed
 }
 
-// slowStartTable returns how full the fullest windows of the servers in slow start were, as a part of their
+// slowStartTable returns a table of the fullest windows of the servers in slow start, as a part of their
 // limit: at 1 a server crashes.
 func (r *Report) slowStartTable() table {
 	c := r.SlowStarts
@@ -279,7 +279,8 @@
 	t.add("the fullest", share(c.Fullest), fmt.Sprintf("%s at %.1f s, %s from agents told of its start",
 		c.Server, c.AtS, percent(c.FullestNotified)))
 	t.add("over three quarters", fmt.Sprint(c.OverThree), "")
-	t.add("fell over", fmt.Sprint(c.Overloaded), fmt.Sprintf("%d by agents told of the start", c.OverloadedNotified))
+	t.add("fell over", fmt.Sprint(c.Overloaded),
+		fmt.Sprintf("%d by agents told of the start", c.OverloadedNotified))
 	return t
 }
 
@@ -344,7 +345,7 @@
 	}}
 	for _, s := range r.Servers {
 		t.add(s.ID, s.Kind, s.Zone, fmt.Sprintf("%.2f", s.Capacity), percent(s.MeanBusy), percent(s.PeakBusy),
-			fmt.Sprint(s.MostHeld), fmt.Sprint(s.MostConns))
+			fmt.Sprint(s.MaxHeld), fmt.Sprint(s.MaxConns))
 	}
 	return t
 }
--- a/internal/rehearsal/report/timeline.go
+++ b/internal/rehearsal/report/timeline.go
@@ -7,8 +7,8 @@
 	"dunestep/internal/rehearsal/timeline"
 )
 
-// Mark is an entry of a run's timeline.
-type Mark struct {
+// TimelineEntry is an entry of a run's timeline.
+type TimelineEntry struct {
 	AtS   float64 `json:"at_s"`
 	Lane  string  `json:"lane"` // faults, breaches, or a name that a layer of the agents chooses
 	Agent string  `json:"agent,omitempty"`
@@ -25,21 +25,21 @@
 			t.Add(time.Duration(rule.First.At), Breaches, "", rule.Name+": "+rule.First.Text)
 		}
 	}
-	marks, dropped := t.Entries()
-	r.Timeline, r.MarksDropped = make([]Mark, len(marks)), dropped
-	for i, m := range marks {
-		r.Timeline[i] = Mark{AtS: m.At.Seconds(), Lane: m.Lane, Agent: m.Agent, Text: m.Text}
+	entries, dropped := t.Entries()
+	r.Timeline, r.TimelineDropped = make([]TimelineEntry, len(entries)), dropped
+	for i, m := range entries {
+		r.Timeline[i] = TimelineEntry{AtS: m.At.Seconds(), Lane: m.Lane, Agent: m.Agent, Text: m.Text}
 	}
-	r.lanes = timeline.Lanes(marks)
+	r.lanes = timeline.Lanes(entries)
 }
 
-// maxShownMarks limits the marks in the text and on the page; the JSON has all.
-const maxShownMarks = 200
+// maxShownEntries limits the timeline entries in the text and on the page; the JSON has all.
+const maxShownEntries = 200
 
-// timelineTable returns a table with a column for each lane and a row for each mark.
+// timelineTable returns a table with a column for each lane and a row for each entry.
 func (r *Report) timelineTable() table {
 	t := table{title: "Timeline", head: append([]string{"second"}, r.lanes...)}
-	for _, m := range r.Timeline[:min(len(r.Timeline), maxShownMarks)] {
+	for _, m := range r.Timeline[:min(len(r.Timeline), maxShownEntries)] {
 		row := []string{fmt.Sprintf("%.3f", m.AtS)}
 		for _, lane := range r.lanes {
 			text := ""
@@ -53,7 +53,8 @@
 		}
 		t.add(row...)
 	}
-	if more := len(r.Timeline) - maxShownMarks + r.MarksDropped; more > 0 && len(r.Timeline) > maxShownMarks {
+	if more := len(r.Timeline) - maxShownEntries + r.TimelineDropped; more > 0 &&
+		len(r.Timeline) > maxShownEntries {
 		t.add("...", fmt.Sprintf("and %d more", more))
 	}
 	return t
--- a/internal/rehearsal/report/timeline_test.go
+++ b/internal/rehearsal/report/timeline_test.go
@@ -19,7 +19,7 @@
 	breach := &judge.Breach{At: judge.Moment(2 * time.Second), Text: "too late"}
 	r := New("day", "", 1, nil, judge.Verdict{Rules: []judge.Rule{{Name: "answers", First: breach}, {Name: "drains"}}})
 	r.SetTimeline(&line)
-	require.Equal(t, []Mark{{1, timeline.Faults, "", "n1 paused"}, {2, Breaches, "", "answers: too late"}, {3, "versions", "n1", "acts on 7"}}, r.Timeline)
+	require.Equal(t, []TimelineEntry{{1, timeline.Faults, "", "n1 paused"}, {2, Breaches, "", "answers: too late"}, {3, "versions", "n1", "acts on 7"}}, r.Timeline)
 	var b strings.Builder
 	table := r.timelineTable()
 	table.write(&b)
@@ -30,8 +30,8 @@
 	}
 	r.SetTimeline(&line)
 	require.Equal(t, 20_000, len(r.Timeline))
-	require.Equal(t, 5_004, r.MarksDropped, "includes the breach, which is marked a second time")
+	require.Equal(t, 5_004, r.TimelineDropped, "includes the breach, which is marked a second time")
 	rows := r.timelineTable().rows
-	require.Len(t, rows, maxShownMarks+1)
-	require.Equal(t, "and 24804 more", rows[maxShownMarks][1])
+	require.Len(t, rows, maxShownEntries+1)
+	require.Equal(t, "and 24804 more", rows[maxShownEntries][1])
 }
--- a/internal/rehearsal/restart_test.go
+++ b/internal/rehearsal/restart_test.go
@@ -17,15 +17,15 @@
 // windowService measures the worth of the requests sent in a window, not counting retries, and the part of it that was
 // answered within the latency objective, by class.
 type windowService struct {
-	set            *scenario.Scenario
-	from, to       time.Duration
-	firstTries     map[uint32]*record.Event // first try of each request, by request ID
-	chains         map[uint32]uint32        // request ID by the ID of each try
-	worth          [8]float64
-	served         [8]float64
-	departed       map[[2]int32]bool // by agent and server: the agent was notified that the server has left
-	sentToDeparted int               // attempts sent to such servers
-	coldCrashes    int               // servers that crashed in slow start
+	scenario         *scenario.Scenario
+	from, to         time.Duration
+	firstTries       map[uint32]*record.Event // first try of each request, by request ID
+	chains           map[uint32]uint32        // request ID by the ID of each try
+	worth            [8]float64
+	served           [8]float64
+	departed         map[[2]int32]bool // by agent and server: the agent was notified that the server has left
+	sentToDeparted   int               // attempts sent to such servers
+	slowStartCrashes int               // servers that crashed in slow start
 }
 
 func (s *windowService) Begin(record.Run)          {}
@@ -33,26 +33,26 @@
 func (s *windowService) Sample(*record.Sample)     {}
 func (s *windowService) End(time.Duration)         {}
 
-func (s *windowService) Take(e *record.Event) {
+func (s *windowService) Observe(e *record.Event) {
 	switch e.Kind {
 	case record.RequestReceived, record.RequestUnreached:
 		if e.Try == 0 && e.At >= s.from && e.At < s.to {
 			first := *e
 			s.firstTries[e.Chain] = &first
-			s.worth[e.Class] += s.set.Classes[e.Class].Worth
+			s.worth[e.Class] += s.scenario.Classes[e.Class].Worth
 		}
 		s.chains[e.RequestID] = e.Chain
 	case record.Answered:
 		first := s.firstTries[s.chains[e.RequestID]]
-		if first != nil && e.Answer == record.Served && e.At-first.At <= s.set.Classes[first.Class].LatencyObjective {
-			s.served[first.Class] += s.set.Classes[first.Class].Worth
+		if first != nil && e.Answer == record.Served && e.At-first.At <= s.scenario.Classes[first.Class].LatencyObjective {
+			s.served[first.Class] += s.scenario.Classes[first.Class].Worth
 			delete(s.firstTries, first.Chain)
 		}
 		delete(s.chains, e.RequestID)
 	case record.Notified:
 		s.departed[[2]int32{e.Agent, e.Server}] = e.State == record.Gone
 	case record.ServerOverloaded:
-		s.coldCrashes++
+		s.slowStartCrashes++
 	case record.AgentDown:
 		clear(s.departed)
 	case record.AttemptSent:
@@ -74,14 +74,14 @@
 
 // playWindow runs a scenario and measures the service in a window.
 func playWindow(t *testing.T, name string, seed uint64, from, to time.Duration, edit func(*scenario.Scenario)) *windowService {
-	set, err := scenario.Load("../../rehearsals/" + name + ".toml")
+	sc, err := scenario.Load("../../rehearsals/" + name + ".toml")
 	require.NoError(t, err)
-	edit(set)
+	edit(sc)
 	s := &windowService{
-		set: set, from: from, to: to, firstTries: map[uint32]*record.Event{}, chains: map[uint32]uint32{},
+		scenario: sc, from: from, to: to, firstTries: map[uint32]*record.Event{}, chains: map[uint32]uint32{},
 		departed: map[[2]int32]bool{},
 	}
-	require.NoError(t, world.Play(context.Background(), set, seed, s, world.Options{}))
+	require.NoError(t, world.Play(context.Background(), sc, seed, s, world.Options{}))
 	return s
 }
 
@@ -211,7 +211,7 @@
 			}
 		})
 		sum, minimum = sum+s.all()/float64(seedCount(3)), min(minimum, s.all())
-		require.Zero(t, s.coldCrashes)
+		require.Zero(t, s.slowStartCrashes)
 		require.Zero(t, s.sentToDeparted)
 	}
 	t.Logf("%.4f, minimum %.4f", sum, minimum)
--- a/internal/rehearsal/ringassignment_test.go
+++ b/internal/rehearsal/ringassignment_test.go
@@ -15,10 +15,10 @@
 )
 
 // ringAssignmentGain returns the mean gain in service by ring assignment over seeds, and its standard error.
-func ringAssignmentGain(t *testing.T, set *scenario.Scenario, seeds int) (mean, stdErr float64) {
+func ringAssignmentGain(t *testing.T, sc *scenario.Scenario, seeds int) (mean, stdErr float64) {
 	service := make([][2]float64, seeds)
 	require.NoError(t, onAllCores(context.Background(), 2*seeds, func(i int) error {
-		r, err := Play(context.Background(), set, Options{Seed: uint64(i/2 + 1), RingAssignment: i%2 == 1})
+		r, err := Play(context.Background(), sc, Options{Seed: uint64(i/2 + 1), RingAssignment: i%2 == 1})
 		if err == nil {
 			service[i/2][i%2] = r.Service
 		}
@@ -46,7 +46,7 @@
 
 // Measures the gain over MEASURE seeds of each scenario in DAYS, or of all short ones, for the design note:
 //
-//	MEASURE=12 DAYS=hot-keys,surge go test ./internal/rehearsal -run MeasurePlaced -v
+//	MEASURE=12 DAYS=hot-keys,surge go test ./internal/rehearsal -run MeasureRingAssignment -v
 func TestMeasureRingAssignment(t *testing.T) {
 	seeds, err := strconv.Atoi(os.Getenv("MEASURE"))
 	if err != nil {
--- a/internal/rehearsal/scenario/check.go
+++ b/internal/rehearsal/scenario/check.go
@@ -29,7 +29,7 @@
 	checkNames(d, s)
 	checkClasses(d, s)
 	for i := range s.Faults {
-		checkFaultSpec(d, s, fmt.Sprintf("trouble[%d]", i), &s.Faults[i])
+		checkFault(d, s, fmt.Sprintf("trouble[%d]", i), &s.Faults[i])
 	}
 }
 
@@ -176,7 +176,7 @@
 	}
 }
 
-func checkFaultSpec(d *stricttoml.Document, s *Scenario, path string, t *FaultSpec) {
+func checkFault(d *stricttoml.Document, s *Scenario, path string, t *FaultSpec) {
 	fields, known := faultKinds[t.Kind]
 	if !known {
 		var all []string
--- a/internal/rehearsal/scenario/scenario.go
+++ b/internal/rehearsal/scenario/scenario.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Span is a range from which each run draws one value, evenly between Low and High. In a file it is a
+// Span is a range from which each run draws one value, uniformly between Low and High. In a file it is a
 // number, or an array of minimum and maximum.
 type Span struct{ Low, High float64 }
 
@@ -370,7 +370,7 @@
 type Prices struct {
 	// One new connection per first try.
 	Handshake float64 `toml:"handshake" range:"0..1" default:"0.08"`
-	// As much work wasted as asked for.
+	// As much work wasted as requested.
 	Waste float64 `toml:"waste" range:"0..1" default:"0.046"`
 	// All worth fails only after the latency objective.
 	LateFail float64 `toml:"late_fail" range:"0..1" default:"0.04"`
@@ -422,9 +422,9 @@
 	Crashed FaultKind = "crashed"
 	// AgentsKilled: Count agents, the busiest first, are killed and start without memory when the fault ends.
 	AgentsKilled FaultKind = "agents_killed"
-	// AgentsRestarted: Count agents, the busiest first, are told to terminate. They drain, and start without
-	// memory when the fault ends. With a Size, that part of them restarts at a time, spread evenly over the
-	// fault's duration, each as soon as it has drained.
+	// AgentsRestarted: Count agents, the busiest first, are requested to terminate. They drain, and start
+	// without memory when the fault ends. With a Size, that part of them restarts at a time,
+	// spread evenly over the fault's duration, each as soon as it has drained.
 	AgentsRestarted FaultKind = "agents_restarted"
 	// ServersTakenOut: operators take servers out of service manually at every running agent, restart them
 	// half way, and put them back when the fault ends. Discovery learns only of the restarts.
--- a/internal/rehearsal/short.go
+++ b/internal/rehearsal/short.go
@@ -21,15 +21,15 @@
 
 // worthTotals is the total worth of the requests, the part that was served, and the part that the reference
 // policy serves.
-type worthTotals struct{ requested, served, late float64 }
+type worthTotals struct{ requested, served, reference float64 }
 
 func newShortRuns() *shortRuns { return &shortRuns{totals: map[string]*worthTotals{}} }
 
 // add adds the shares of a run.
-func (s *shortRuns) add(set *scenario.Scenario, shares []judge.Share) {
+func (s *shortRuns) add(sc *scenario.Scenario, shares []judge.Share) {
 	s.runs++
 	s.count("all", shares[0])
-	for i, c := range set.Classes {
+	for i, c := range sc.Classes {
 		s.count("class "+c.Name, shares[1+i])
 		s.count(string(c.Effect)+" classes", shares[1+i])
 	}
@@ -43,7 +43,7 @@
 	}
 	totals.requested += share.Worth
 	totals.served += share.Served * share.Worth
-	totals.late += share.Delayed * share.Worth
+	totals.reference += share.Delayed * share.Worth
 }
 
 // result judges all added runs together; ok is false if there were none.
@@ -55,7 +55,7 @@
 		if totals.requested <= 0 {
 			continue
 		}
-		served, required := totals.served/totals.requested, minPartOfLatePolicy*totals.late/totals.requested
+		served, required := totals.served/totals.requested, minPartOfLatePolicy*totals.reference/totals.requested
 		texts = append(texts, fmt.Sprintf("%s %.2f (%.2f)", name, served, required))
 		if served < required {
 			low = append(low, fmt.Sprintf("%s served %.3f, asked %.3f", name, served, required))
--- a/internal/rehearsal/shrink.go
+++ b/internal/rehearsal/shrink.go
@@ -71,11 +71,11 @@
 	Progress func(played int, now *scenario.Scenario) // called after each reduction; may be nil
 }
 
-// Shrink returns the smallest scenario it finds that still fails in the same way: with fewer troubles,
+// Shrink returns the smallest scenario it finds that still fails in the same way: with fewer faults,
 // servers, agents and clients, a shorter duration and fewer features. It uses the scenario's own seed. If
 // the context ends first, Shrink returns the smallest scenario so far with the context's error.
-func Shrink(ctx context.Context, set *scenario.Scenario, o ShrinkOptions) (*scenario.Scenario, error) {
-	r, err := Play(ctx, set, Options{Seed: set.Seed, Without: o.Without})
+func Shrink(ctx context.Context, sc *scenario.Scenario, o ShrinkOptions) (*scenario.Scenario, error) {
+	r, err := Play(ctx, sc, Options{Seed: sc.Seed, Without: o.Without})
 	if err != nil {
 		return nil, err
 	}
@@ -85,12 +85,12 @@
 	}
 	played := 1
 	for {
-		smaller, n, err := firstWithSymptom(ctx, failure, candidates(set), o)
+		smaller, n, err := firstWithSymptom(ctx, failure, candidates(sc), o)
 		if played += n; err != nil || smaller == nil {
-			return set, err
+			return sc, err
 		}
-		if set = smaller; o.Progress != nil {
-			o.Progress(played, set)
+		if sc = smaller; o.Progress != nil {
+			o.Progress(played, sc)
 		}
 	}
 }
@@ -123,9 +123,9 @@
 type reduction func(s *scenario.Scenario) bool
 
 // candidates returns the valid scenarios that are one reduction smaller, largest reductions first.
-func candidates(set *scenario.Scenario) []*scenario.Scenario {
+func candidates(sc *scenario.Scenario) []*scenario.Scenario {
 	var reductions []reduction
-	for i := range set.Faults {
+	for i := range sc.Faults {
 		reductions = append(reductions, func(s *scenario.Scenario) bool {
 			s.Faults = slices.Delete(s.Faults, i, i+1)
 			return true
@@ -136,7 +136,7 @@
 	reductions = append(reductions, featureRemovals...)
 	var all []*scenario.Scenario
 	for _, reduce := range reductions {
-		if s := clone(set); reduce(s) {
+		if s := clone(sc); reduce(s) {
 			if s = valid(s); s != nil {
 				all = append(all, s)
 			}
@@ -146,8 +146,8 @@
 }
 
 // clone returns a copy of a scenario that shares no slices with it.
-func clone(set *scenario.Scenario) *scenario.Scenario {
-	s := *set
+func clone(sc *scenario.Scenario) *scenario.Scenario {
+	s := *sc
 	s.Kinds, s.Classes = slices.Clone(s.Kinds), slices.Clone(s.Classes)
 	s.Tenants, s.Faults = slices.Clone(s.Tenants), slices.Clone(s.Faults)
 	s.Network.Zones = slices.Clone(s.Network.Zones)
@@ -174,7 +174,7 @@
 	return func(s *scenario.Scenario) bool {
 		n := of(s)
 		*n /= 2
-		return *n > 0 && fitTroubles(s)
+		return *n > 0 && fitFaults(s)
 	}
 }
 
@@ -182,13 +182,13 @@
 	return func(s *scenario.Scenario) bool {
 		n := of(s)
 		*n--
-		return *n > 0 && fitTroubles(s)
+		return *n > 0 && fitFaults(s)
 	}
 }
 
-// fitTroubles limits troubles to the existing agents and removes those that named only agents that no longer
+// fitFaults limits faults to the existing agents and removes those that named only agents that no longer
 // exist.
-func fitTroubles(s *scenario.Scenario) bool {
+func fitFaults(s *scenario.Scenario) bool {
 	var fit []scenario.FaultSpec
 	for _, t := range s.Faults {
 		t.Count = min(t.Count, s.Agents.Count)
@@ -224,7 +224,7 @@
 	return endAt(s, s.Run.Length-max(s.Run.Length/10, time.Second))
 }
 
-// endAt shortens the run to length and removes the troubles that begin later.
+// endAt shortens the run to length and removes the faults that begin later.
 func endAt(s *scenario.Scenario, length time.Duration) bool {
 	s.Run.Length = length.Truncate(time.Second)
 	tooLate := func(t scenario.FaultSpec) bool { return t.At.High >= s.Run.Length }
@@ -234,7 +234,7 @@
 
 const minLead = 2 * time.Second
 
-// cutLead halves the time before the first trouble, to no less than minLead.
+// cutLead halves the time before the first fault, to no less than minLead.
 func cutLead(s *scenario.Scenario) bool {
 	if len(s.Faults) == 0 {
 		return false
--- a/internal/rehearsal/soak.go
+++ b/internal/rehearsal/soak.go
@@ -11,7 +11,7 @@
 	"dunestep/internal/rehearsal/world"
 )
 
-// Samples is the memory in use at a time of the run.
+// HeapSample is the memory in use at one time of the run.
 type HeapSample struct {
 	At   time.Duration
 	Heap uint64 // heap bytes in use by all agents and the simulated world
@@ -29,25 +29,25 @@
 // Soak runs a scenario and samples the memory in use, which is not part of a report because it varies from
 // run to run. No other run may be in progress in the process. Nothing is judged, so no record of the run is
 // kept: memory that grows belongs to the agents or the simulated world.
-func Soak(ctx context.Context, set *scenario.Scenario, o Options) (*SoakResult, error) {
-	return soak(ctx, set, o, discardSink{})
+func Soak(ctx context.Context, sc *scenario.Scenario, o Options) (*SoakResult, error) {
+	return soak(ctx, sc, o, discardSink{})
 }
 
-func soak(ctx context.Context, set *scenario.Scenario, o Options, sink record.Sink) (*SoakResult, error) {
+func soak(ctx context.Context, sc *scenario.Scenario, o Options, sink record.Sink) (*SoakResult, error) {
 	tuning, shedding, err := tuningWithout(o.Without)
 	if err != nil {
 		return nil, err
 	}
-	s := &SoakResult{Agents: set.Agents.Count}
+	s := &SoakResult{Agents: sc.Agents.Count}
 	progress := func(at time.Duration) {
 		if o.Progress != nil {
 			o.Progress(at)
 		}
-		if len(s.Samples) < soakSamples && at >= set.Run.Length/soakSamples*time.Duration(len(s.Samples)+1) {
+		if len(s.Samples) < soakSamples && at >= sc.Run.Length/soakSamples*time.Duration(len(s.Samples)+1) {
 			s.sample(at)
 		}
 	}
-	err = world.Play(ctx, set, o.Seed, sink,
+	err = world.Play(ctx, sc, o.Seed, sink,
 		world.Options{Tuning: tuning, Overload: shedding, Progress: progress, Log: o.Log})
 	if err == nil && len(s.Samples) < soakSamples {
 		err = errors.New("the run is too short for ten memory samples")
@@ -84,6 +84,6 @@
 
 func (discardSink) Begin(record.Run)          {}
 func (discardSink) Server(int, record.Server) {}
-func (discardSink) Take(*record.Event)        {}
+func (discardSink) Observe(*record.Event)     {}
 func (discardSink) Sample(*record.Sample)     {}
 func (discardSink) End(time.Duration)         {}
--- a/internal/rehearsal/timeline/timeline.go
+++ b/internal/rehearsal/timeline/timeline.go
@@ -58,18 +58,18 @@
 
 // Entries returns all entries sorted by time, entries of the same time in the order in which they were added,
 // and the number of entries dropped above the limit.
-func (t *Timeline) Entries() (marks []Entry, dropped int) {
+func (t *Timeline) Entries() (entries []Entry, dropped int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	marks = slices.Clone(t.entries)
-	slices.SortStableFunc(marks, func(a, b Entry) int { return cmp.Compare(a.At, b.At) })
-	return marks, t.dropped
+	entries = slices.Clone(t.entries)
+	slices.SortStableFunc(entries, func(a, b Entry) int { return cmp.Compare(a.At, b.At) })
+	return entries, t.dropped
 }
 
 // Lanes returns the names of the lanes with entries: Faults first, then in the order of their first entry.
-func Lanes(marks []Entry) []string {
+func Lanes(entries []Entry) []string {
 	var lanes []string
-	for _, m := range marks {
+	for _, m := range entries {
 		if !slices.Contains(lanes, m.Lane) {
 			lanes = append(lanes, m.Lane)
 		}
--- a/internal/rehearsal/world/life.go
+++ b/internal/rehearsal/world/agent.go
@@ -179,7 +179,8 @@
 	}
 	a.proc = l
 	l.joinRing()
-	if s := &w.scenario.Agents; w.delayedView == nil && (s.StateInterval > 0 || s.ListProbation || w.hasUpgrades()) {
+	if s := &w.scenario.Agents; w.delayedView == nil &&
+		(s.StateInterval > 0 || s.ListProbation || w.hasUpgrades()) {
 		l.recorder = state.NewRecorder(start, decisions, shedder, l.idleLimit,
 			state.ProbationSettings{Enabled: s.ListProbation, FullDeploy: s.DeployTime})
 	}
--- a/internal/rehearsal/world/hardship.go
+++ b/internal/rehearsal/world/agentfault.go
@@ -120,7 +120,7 @@
 	}
 }
 
-// resume ends one pause. RetryAfter the last one, the events that were deferred fire now, in their order.
+// resume ends one pause. After the last one, the events that were deferred fire now, in their order.
 func (l *agentProcess) resume() {
 	if l.pauseCount--; l.pauseCount > 0 || l.ended {
 		return
--- a/internal/rehearsal/world/hardship_test.go
+++ b/internal/rehearsal/world/agentfault_test.go
@@ -26,8 +26,8 @@
 	const settled = faultStart + 500*time.Millisecond // after earlier messages have arrived
 	some := []int{0}
 	for name, c := range map[string]struct {
-		trouble scenario.FaultSpec
-		check   func(t *testing.T, d *recordingSink)
+		fault scenario.FaultSpec
+		check func(t *testing.T, d *recordingSink)
 	}{
 		"cut one way": {
 			scenario.FaultSpec{Kind: scenario.Datagrams, From: some, To: []int{1}, Cut: true},
@@ -102,7 +102,7 @@
 			require.Positive(t, d.count(record.WatchOpened, faultEnd, runLength, ofAgent(0)))
 		}},
 	} {
-		t.Run(name, func(t *testing.T) { c.check(t, playFault(t, c.trouble, nil)) })
+		t.Run(name, func(t *testing.T) { c.check(t, playFault(t, c.fault, nil)) })
 	}
 }
 
@@ -111,8 +111,8 @@
 func TestBlockedDiscoveryStream(t *testing.T) {
 	updates := func(fault scenario.ConnFault) (agents [2]int, after int) {
 		d := playFault(t, scenario.FaultSpec{Kind: scenario.Streams, Stream: "discovery", Agents: []int{0}, Fault: fault},
-			func(set *scenario.Scenario) {
-				set.Faults = append(set.Faults, scenario.FaultSpec{
+			func(sc *scenario.Scenario) {
+				sc.Faults = append(sc.Faults, scenario.FaultSpec{
 					Kind: scenario.Deploy, At: ms(11000, 11000),
 					For: ms(4000, 4000), Part: span(0.4, 0.4), Size: span(0.2, 0.2), Drain: ms(3000, 3000),
 				})
@@ -135,16 +135,16 @@
 // TestTimelineHasFaults checks that the timeline describes each fault at its start and end.
 func TestTimelineHasFaults(t *testing.T) {
 	var line timeline.Timeline
-	set := deployment(3 * time.Second)
-	set.Faults = []scenario.FaultSpec{{
+	sc := deployment(3 * time.Second)
+	sc.Faults = []scenario.FaultSpec{{
 		Kind: scenario.Datagrams, At: ms(1000, 1000), For: ms(500, 500),
 		From: []int{0, 2}, Loss: span(0.5, 0.5),
 	}}
-	play(t, set, 1, Options{Overload: overload.Config{Disabled: true}, Timeline: &line})
-	marks, dropped := line.Entries()
+	play(t, sc, 1, Options{Overload: overload.Config{Disabled: true}, Timeline: &line})
+	entries, dropped := line.Entries()
 	require.Zero(t, dropped)
 	require.Equal(t, []timeline.Entry{
 		{At: time.Second, Lane: timeline.Faults, Text: "datagrams from n0 n2: loses 0.5"},
 		{At: 1500 * time.Millisecond, Lane: timeline.Faults, Text: "over: datagrams from n0 n2: loses 0.5"},
-	}, marks)
+	}, entries)
 }
--- a/internal/rehearsal/world/step.go
+++ b/internal/rehearsal/world/attempt.go
@@ -74,8 +74,8 @@
 	p.arrive(s)
 }
 
-// done records that the process has finished or dropped it, with the work spent in seconds of standard
-// work.
+// done records that the process has finished or dropped the attempt, with the work spent in seconds of
+// standard work.
 func (s *attempt) done(spent float64) {
 	s.job = nil
 	s.w.record.worked(s, spent)
--- a/internal/rehearsal/world/client.go
+++ b/internal/rehearsal/world/client.go
@@ -56,7 +56,7 @@
 	work     float64 // seconds on a standard core
 	drawSeed uint64  // seed of its random draws
 	deadline time.Duration
-	chain    uint32 // op of its first try
+	chain    uint32 // ID of its first try
 }
 
 // try is one try of a client's request, as sent to an agent.
@@ -66,7 +66,7 @@
 	proc             *agentProcess
 	conn             *clientConn
 	agentRequest     *agentRequest
-	op               uint32 // unique in the run
+	id               uint32 // unique in the run
 	number           int    // 0: the first try of the request
 	sentAt           time.Duration
 	deadline         time.Duration // when the client stops waiting
@@ -99,12 +99,12 @@
 	}
 	w.tryCount++
 	w.pending++
-	t := &try{request: q, agent: a, number: number, op: w.tryCount, sentAt: w.now, attempt: -1}
+	t := &try{request: q, agent: a, number: number, id: w.tryCount, sentAt: w.now, attempt: -1}
 	if a.accepting() {
 		t.proc = a.proc
 	}
 	if number == 0 {
-		q.chain = t.op
+		q.chain = t.id
 	}
 	deadline := w.scenario.Classes[q.class].Deadline
 	t.deadline = min(w.now+time.Duration(w.tryTimeoutShare*float64(deadline)), q.deadline)
@@ -329,7 +329,7 @@
 	t.end()
 	w := t.agent.w
 	if t.accepted {
-		w.record.add(record.Event{Kind: record.ClientLeft, RequestID: t.op, Agent: int32(t.agent.number)})
+		w.record.add(record.Event{Kind: record.ClientLeft, RequestID: t.id, Agent: int32(t.agent.number)})
 	} else if !t.notAccepted { // it never reached the agent
 		w.record.try(record.RequestUnreached, t)
 	}
@@ -340,7 +340,7 @@
 	t := (*try)(l)
 	t.conn.close()
 	if t.accepted && t.proc.external {
-		delete(t.proc.requests, t.op)
+		delete(t.proc.requests, t.id)
 	}
 	if t.accepted && !t.proc.ended {
 		t.proc.post(message{kind: clientGone, try: t})
@@ -369,7 +369,7 @@
 			waiting = append(waiting, o.try)
 		}
 	}
-	slices.SortFunc(waiting, func(a, b *try) int { return cmp.Compare(a.op, b.op) })
+	slices.SortFunc(waiting, func(a, b *try) int { return cmp.Compare(a.id, b.id) })
 	return waiting
 }
 
@@ -379,7 +379,8 @@
 		return
 	}
 	t.end()
-	t.agent.w.record.add(record.Event{Kind: record.ConnectionLost, RequestID: t.op, Agent: int32(t.agent.number)})
+	t.agent.w.record.add(
+		record.Event{Kind: record.ConnectionLost, RequestID: t.id, Agent: int32(t.agent.number)})
 	t.retry(false)
 }
 
@@ -397,7 +398,7 @@
 }
 
 // retry schedules the client's next try, if the request cannot have run or is safe to repeat, and if
-// retries and time are left. RetryAfter a timeout the retry has already been scheduled.
+// retries and time are left. After a timeout the retry has already been scheduled.
 func (t *try) retry(neverRan bool) {
 	if t.timedOut {
 		return
@@ -446,7 +447,7 @@
 	s.scheduleNext()
 }
 
-// scheduleNext draws the time of the next request or burst by thinning: candidates come at the run's
+// scheduleNext draws the time of the next request or burst by thinning: candidates arrive at the run's
 // peak rate and are discarded so that the rate at that time remains.
 func (s *source) scheduleNext() {
 	w := s.client.w
--- a/internal/rehearsal/world/client_test.go
+++ b/internal/rehearsal/world/client_test.go
@@ -22,13 +22,13 @@
 func TestFirstTriesFollowLoad(t *testing.T) {
 	for _, shape := range []scenario.Shape{scenario.Steady, scenario.Ramp, scenario.Wave} {
 		for _, arrivals := range []scenario.Arrivals{scenario.Poisson, scenario.Bursty} {
-			set := deployment(runLength)
-			set.Load.Shape, set.Load.Swing, set.Load.Arrivals = shape, span(0.5, 0.5), arrivals
-			d := play(t, set, 7, Options{})
+			sc := deployment(runLength)
+			sc.Load.Shape, sc.Load.Swing, sc.Load.Arrivals = shape, span(0.5, 0.5), arrivals
+			d := play(t, sc, 7, Options{})
 			first, second := d.count(record.RequestReceived, 0, runLength/2, firstTry), d.count(record.RequestReceived, runLength/2, runLength, firstTry)
 			scatter := math.Sqrt(330 * 20)
 			if arrivals == scenario.Bursty {
-				scatter *= math.Sqrt(2 * set.Load.BurstMean)
+				scatter *= math.Sqrt(2 * sc.Load.BurstMean)
 			}
 			lean := map[scenario.Shape]float64{scenario.Ramp: -0.25, scenario.Wave: 1 / math.Pi}[shape]
 			require.InDelta(t, 330*20*(1+lean), first, 4*scatter, "%s %s", shape, arrivals)
@@ -67,10 +67,10 @@
 		{scenario.Fixed, 0, 0, nil},
 		{scenario.Fixed, 1, 1, nil},
 	} {
-		d := playFault(t, scenario.FaultSpec{Kind: scenario.Refusing, Part: span(1, 1)}, func(set *scenario.Scenario) {
-			set.Clients.Backoff, set.Clients.Retries, set.Clients.BackoffWait = c.backoff, c.retries, ms(60, 60)
-			set.Clients.HonorRetryAfter, set.Clients.Impatient = span(c.honour, c.honour), span(0, 0)
-			set.Clients.TryShare = span(1, 1)
+		d := playFault(t, scenario.FaultSpec{Kind: scenario.Refusing, Part: span(1, 1)}, func(sc *scenario.Scenario) {
+			sc.Clients.Backoff, sc.Clients.Retries, sc.Clients.BackoffWait = c.backoff, c.retries, ms(60, 60)
+			sc.Clients.HonorRetryAfter, sc.Clients.Impatient = span(c.honour, c.honour), span(0, 0)
+			sc.Clients.TryShare = span(1, 1)
 		})
 		type tryKey struct {
 			chain uint32
@@ -117,14 +117,14 @@
 // eight.
 func TestSameRunOnAnyCoreCount(t *testing.T) {
 	if os.Getenv("WORLD_PRINT_DAY") != "" {
-		set := deployment(20 * time.Second)
+		sc := deployment(20 * time.Second)
 		for _, k := range []scenario.FaultKind{scenario.Deploy, scenario.AgentsKilled, scenario.Silent, scenario.Reset} {
-			set.Faults = append(set.Faults, scenario.FaultSpec{
+			sc.Faults = append(sc.Faults, scenario.FaultSpec{
 				Kind: k, At: ms(2000, 5000), For: ms(5000, 9000),
 				Part: span(0.1, 0.5), Size: span(0.1, 0.2), Count: 2, Drain: ms(2000, 3000), SameAddress: span(0.5, 0.5),
 			})
 		}
-		d := play(t, set, 11, Options{})
+		d := play(t, sc, 11, Options{})
 		fmt.Printf("day %x\n", sha256.Sum256(fmt.Append(nil, d.run, d.servers, d.events, d.samples)))
 		return
 	}
@@ -152,7 +152,7 @@
 	l.agents[0].client = &client{w: l.world, agent: l.agents[0]}
 	q := &request{client: l.agents[0].client}
 	tried := &try{
-		request: q, agent: l.agents[0], proc: proc, op: 1, accepted: true,
+		request: q, agent: l.agents[0], proc: proc, id: 1, accepted: true,
 		conn: &clientConn{client: l.agents[0].client, proc: proc},
 	}
 	proc.requests = map[uint32]*agentRequest{7: {try: tried}}
--- a/internal/rehearsal/world/sight.go
+++ b/internal/rehearsal/world/delayedview.go
@@ -48,7 +48,8 @@
 	}
 	s.workPerS += (s.arrivedWork/viewInterval.Seconds() - s.workPerS) * loadSmoothing
 	s.arrivedWork = 0
-	if s.views = append(s.views, late.NewFleetView(seen, s.workPerS)); len(s.views) > int(s.delay/viewInterval)+1 {
+	if s.views = append(s.views, late.NewFleetView(seen, s.workPerS)); len(s.views) >
+		int(s.delay/viewInterval)+1 {
 		s.views = s.views[1:]
 	}
 	s.w.scheduleAfter(viewInterval, rankSample, s)
@@ -58,6 +59,6 @@
 func (s *delayedView) oldest() *late.FleetView { return s.views[0] }
 
 // policy returns the balancer of an agent that sees the true state with a delay.
-func (s *delayedView) policy(set balancer.Settings, seed uint64) routing.Module {
-	return late.New(set, s.w.scenario.MeanWork(s.w.meanWork), seed, s.oldest)
+func (s *delayedView) policy(settings balancer.Settings, seed uint64) routing.Module {
+	return late.New(settings, s.w.scenario.MeanWork(s.w.meanWork), seed, s.oldest)
 }
--- a/internal/rehearsal/world/discovery.go
+++ b/internal/rehearsal/world/discovery.go
@@ -44,7 +44,7 @@
 	cachedFull protocol.EndpointList // last one built
 }
 
-// change is a published entry, with the list version that it came with.
+// change is a published entry with the list version that published it.
 type change struct {
 	listEntry
 	version int64
@@ -356,7 +356,7 @@
 
 // recordList records what an agent is sent: each entry, and for a full list also the servers that are
 // missing and that the agent had. A server that operators have disabled drains for this agent, whatever
-// the list says.
+// its state on the list is.
 func (l *agentProcess) recordList(list []listEntry, full bool) {
 	for _, e := range list {
 		if e.server == nil {
--- a/internal/rehearsal/world/discovery_test.go
+++ b/internal/rehearsal/world/discovery_test.go
@@ -13,10 +13,10 @@
 // TestDiscoveryQueuesCalls checks that discovery handles the calls of many starting agents one after
 // another, and that calls which wait too long fail and are repeated.
 func TestDiscoveryQueuesCalls(t *testing.T) {
-	set := deployment(30 * time.Second)
-	set.Agents.Count, set.Load.PerS = 30, span(20, 20)
-	set.Discovery.CallsPerS, set.Discovery.Timeout = span(4, 4), time.Second
-	d := play(t, set, 7, Options{})
+	sc := deployment(30 * time.Second)
+	sc.Agents.Count, sc.Load.PerS = 30, span(20, 20)
+	sc.Discovery.CallsPerS, sc.Discovery.Timeout = span(4, 4), time.Second
+	d := play(t, sc, 7, Options{})
 	watching := d.ofKind(record.WatchOpened)
 	accepted := map[int32]bool{}
 	for i, e := range watching {
@@ -35,9 +35,9 @@
 // and updates its watches at the next period, spread over a short time.
 func TestDiscoveryDelays(t *testing.T) {
 	notice, join, period, spread := 2*time.Second, 1500*time.Millisecond, 700*time.Millisecond, 90*time.Millisecond
-	d := playFault(t, scenario.FaultSpec{Kind: scenario.Crashed, Part: span(0.3, 0.3)}, func(set *scenario.Scenario) {
-		set.Discovery.Notice, set.Discovery.Join = ms(2000, 2000), ms(1500, 1500)
-		set.Discovery.Period, set.Discovery.Spread = ms(700, 700), ms(90, 90)
+	d := playFault(t, scenario.FaultSpec{Kind: scenario.Crashed, Part: span(0.3, 0.3)}, func(sc *scenario.Scenario) {
+		sc.Discovery.Notice, sc.Discovery.Join = ms(2000, 2000), ms(1500, 1500)
+		sc.Discovery.Period, sc.Discovery.Spread = ms(700, 700), ms(90, 90)
 	})
 	changed := d.ofKind(record.ListChanged)
 	require.Len(t, changed, 2*4)
@@ -66,9 +66,9 @@
 // TestDiscoveryIgnoresStaleUpdates checks that a machine which vanishes and returns before discovery
 // learns of it stays listed, and that a restarted process is not listed as gone afterwards.
 func TestDiscoveryIgnoresStaleUpdates(t *testing.T) {
-	slowNotice := func(set *scenario.Scenario) {
-		set.Discovery.Notice, set.Discovery.SilentNotice = ms(15000, 15000), ms(15000, 15000)
-		set.Discovery.Join = ms(1000, 1000)
+	slowNotice := func(sc *scenario.Scenario) {
+		sc.Discovery.Notice, sc.Discovery.SilentNotice = ms(15000, 15000), ms(15000, 15000)
+		sc.Discovery.Join = ms(1000, 1000)
 	}
 	d := playFault(t, scenario.FaultSpec{Kind: scenario.MachinesUnreachable, Part: span(0.3, 0.3)}, slowNotice)
 	require.Empty(t, d.ofKind(record.ListChanged))
@@ -82,13 +82,13 @@
 // TestAgentStartsWithOlderList checks that a restarted agent first gets the list as discovery published
 // it some time before.
 func TestAgentStartsWithOlderList(t *testing.T) {
-	set := deployment(runLength)
-	set.Discovery.KnownAge, set.Discovery.Notice = ms(15000, 15000), ms(1000, 1000)
-	set.Faults = []scenario.FaultSpec{
+	sc := deployment(runLength)
+	sc.Discovery.KnownAge, sc.Discovery.Notice = ms(15000, 15000), ms(1000, 1000)
+	sc.Faults = []scenario.FaultSpec{
 		{Kind: scenario.Crashed, At: ms(10000, 10000), For: ms(25000, 25000), Part: span(0.3, 0.3)},
 		{Kind: scenario.AgentsKilled, At: ms(15000, 15000), For: ms(1000, 1000), Count: 1},
 	}
-	d := play(t, set, 7, Options{})
+	d := play(t, sc, 7, Options{})
 	up := d.ofKind(record.AgentUp)
 	require.Len(t, up, 6)
 	first, later := map[int32]record.State{}, map[int32]record.State{}
--- a/internal/rehearsal/world/remote.go
+++ b/internal/rehearsal/world/external.go
@@ -165,11 +165,11 @@
 	return c
 }
 
-// AttemptArrived reports that an attempt of the try op has arrived on an agent's connection, with the time
-// that the agent waits for it. The connection is reset if no try of that number is known.
-func (v *Live) AttemptArrived(c *Conn, op uint32, left time.Duration) {
+// AttemptArrived reports that an attempt of the try with the given ID has arrived on an agent's connection,
+// with the time that the agent waits for it. The connection is reset if no try has that ID.
+func (v *Live) AttemptArrived(c *Conn, tryID uint32, left time.Duration) {
 	v.post(eventFunc(func() {
-		t := v.w.tries[op]
+		t := v.w.tries[tryID]
 		if c.closed || c.link == nil {
 			return
 		}
@@ -220,7 +220,7 @@
 
 // answerExternal sends an upstream server's answer to a real agent.
 func (s *attempt) answerExternal() {
-	a := Answer{Op: s.try.op, Attempt: s.index, Kind: AnswerKind(s.reply), Fault: s.fault}
+	a := Answer{Op: s.try.id, Attempt: s.index, Kind: AnswerKind(s.reply), Fault: s.fault}
 	switch s.fault.Effect() {
 	case scenario.Unanswered: // the agent gives it up
 	case scenario.BreaksConnection:
@@ -251,12 +251,12 @@
 	w := t.agent.w
 	q := t.request
 	t.accepted = true
-	t.proc.requests[t.op] = &agentRequest{try: t}
-	w.tries[t.op] = t
+	t.proc.requests[t.id] = &agentRequest{try: t}
+	w.tries[t.id] = t
 	w.schedule(t.deadline+tryRetention, rankClient, (*tryExpires)(t))
 	w.record.try(record.RequestReceived, t)
 	query := &ClientRequest{
-		Agent: t.agent.number, Op: t.op, Class: q.agentClass(),
+		Agent: t.agent.number, RequestID: t.id, Class: q.agentClass(),
 		IsUpdate: w.scenario.Classes[q.class].Effect != scenario.Safe,
 		IsRetry:  t.number > 0 && w.scenario.Clients.MarksRetry,
 		TimeLeft: (t.deadline - t.sentAt).Truncate(time.Millisecond),
@@ -275,7 +275,7 @@
 // tryExpires makes upstream servers reject further attempts of a try.
 type tryExpires try
 
-func (f *tryExpires) fire() { delete(f.agent.w.tries, f.op) }
+func (f *tryExpires) fire() { delete(f.agent.w.tries, f.id) }
 
 // pendingTry returns the try that uses the connection, if its client still waits.
 func (f *clientConn) pendingTry() *try {
@@ -294,7 +294,7 @@
 		}
 		f.activeTry = nil
 		t.answerSent, t.answer, t.retryAfter, t.attempt = true, a.Answer, a.RetryAfter, a.Attempt
-		delete(t.proc.requests, t.op)
+		delete(t.proc.requests, t.id)
 		f.used = true
 		if a.Closes {
 			f.close()
@@ -314,7 +314,7 @@
 			return
 		}
 		f.activeTry = nil
-		delete(t.proc.requests, t.op)
+		delete(t.proc.requests, t.id)
 		if unread && t.attemptsSeen == 0 {
 			t.unreadByExternal()
 			return
@@ -328,7 +328,7 @@
 	w := t.agent.w
 	t.end()
 	w.record.add(record.Event{
-		Kind: record.ClientLeft, RequestID: t.op, Agent: int32(t.agent.number),
+		Kind: record.ClientLeft, RequestID: t.id, Agent: int32(t.agent.number),
 		ClosedByShutdown: !t.conn.used, Unread: true,
 	})
 	t.retry(true)
--- a/internal/rehearsal/world/fault_test.go
+++ b/internal/rehearsal/world/fault_test.go
@@ -17,11 +17,11 @@
 	ended [record.UnreadableAnswer + 1]int
 }
 
-func (o *outcomes) Take(e *record.Event) {
+func (o *outcomes) Observe(e *record.Event) {
 	if e.Kind == record.AttemptEnded {
 		o.ended[e.Outcome]++
 	}
-	o.Judge.Take(e)
+	o.Judge.Observe(e)
 }
 
 // TestWireFaultOutcomes checks that each fault on the wire leads to its outcome in a simulated run and
@@ -29,16 +29,16 @@
 func TestWireFaultOutcomes(t *testing.T) {
 	for _, f := range scenario.AnswerFaults {
 		t.Run(string(f), func(t *testing.T) {
-			set, err := scenario.Load("../../../rehearsals/calm-monday.toml")
+			sc, err := scenario.Load("../../../rehearsals/calm-monday.toml")
 			require.NoError(t, err)
-			text, err := scenario.Encode(set)
+			text, err := scenario.Encode(sc)
 			require.NoError(t, err)
 			fault := "\n[[trouble]]\nkind = \"on_wire\"\nat_s = 2\nfor_s = 20\npart = 0.3\nsize = 0.3\nfault = \"" + string(f) + "\"\n"
-			set, err = scenario.Parse("day", []byte(strings.TrimSpace(string(text))+fault))
+			sc, err = scenario.Parse("day", []byte(strings.TrimSpace(string(text))+fault))
 			require.NoError(t, err)
-			set.Run.Length /= 3
-			o := &outcomes{Judge: judge.New(set)}
-			require.NoError(t, Play(t.Context(), set, 1, o, Options{}))
+			sc.Run.Length /= 3
+			o := &outcomes{Judge: judge.New(sc)}
+			require.NoError(t, Play(t.Context(), sc, 1, o, Options{}))
 			for _, rule := range o.Verdict().Rules {
 				require.Nil(t, rule.First)
 			}
--- a/internal/rehearsal/world/trouble.go
+++ b/internal/rehearsal/world/injection.go
@@ -41,7 +41,7 @@
 	calmTime            time.Duration       // how long the servers have been below the heal threshold
 	lastBusy            map[int]float64     // by server: core seconds used at the last heal check
 	datagramFault       mishap.Fault        // on datagrams
-	datagramFaultID     int                 // ID in world.mishaps
+	datagramFaultID     int                 // ID in world.datagramFaults
 	paused              []*agentProcess     // that it has paused
 	window              *maintenance.Window // of a maintenance window; otherwise nil
 }
@@ -66,7 +66,7 @@
 		t.delayRNG = newStream(w.seed, t.name+" connections")
 	}
 	if config.Kind == scenario.Datagrams {
-		t.datagramFault = mishap.FromTrouble(config, t.rng.Rand)
+		t.datagramFault = mishap.FromFaultSpec(config, t.rng.Rand)
 	}
 	return t
 }
@@ -82,15 +82,15 @@
 	w := t.w
 	w.record.fault(record.FaultBegan, t.index)
 	w.active = append(w.active, t)
-	w.mark(t.description())
+	w.addFaultEntry(t.description())
 	duration := t.duration
 	if t.onTime > 0 {
 		duration = min(t.onTime, t.start+t.duration-w.now)
 	}
 	w.scheduleAfter(duration, rankEnvironment, (*injectionEnds)(t))
 	switch t.config.Kind {
-	case scenario.Silent, scenario.Failing, scenario.Refusing, scenario.UnreadableAnswers, scenario.FewConnections,
-		scenario.FaultyAnswers:
+	case scenario.Silent, scenario.Failing, scenario.Refusing, scenario.UnreadableAnswers,
+		scenario.FewConnections, scenario.FaultyAnswers:
 		t.servers = t.pickServers()
 		t.updateServers()
 	case scenario.Deploy:
@@ -176,10 +176,10 @@
 	t.ended = true
 	w.active = slices.DeleteFunc(w.active, func(u *injection) bool { return u == t })
 	w.record.fault(record.FaultEnded, t.index)
-	w.mark("over: " + t.description())
+	w.addFaultEntry("over: " + t.description())
 	switch t.config.Kind {
-	case scenario.Silent, scenario.Failing, scenario.Refusing, scenario.UnreadableAnswers, scenario.FewConnections,
-		scenario.FaultyAnswers:
+	case scenario.Silent, scenario.Failing, scenario.Refusing, scenario.UnreadableAnswers,
+		scenario.FewConnections, scenario.FaultyAnswers:
 		t.updateServers()
 	case scenario.MachinesUnreachable:
 		for _, s := range t.servers {
--- a/internal/rehearsal/world/trouble_test.go
+++ b/internal/rehearsal/world/injection_test.go
@@ -20,14 +20,14 @@
 
 // playFault simulates a run with one fault.
 func playFault(t *testing.T, u scenario.FaultSpec, change func(*scenario.Scenario)) *recordingSink {
-	set := deployment(runLength)
+	sc := deployment(runLength)
 	u.At, u.For = ms(10000, 10000), ms(12000, 12000)
-	set.Faults = []scenario.FaultSpec{u}
+	sc.Faults = []scenario.FaultSpec{u}
 	if change != nil {
-		change(set)
+		change(sc)
 	}
 	// Without load shedding, which would hide the effects of faults.
-	d := play(t, set, 7, Options{Overload: overload.Config{Disabled: true}})
+	d := play(t, sc, 7, Options{Overload: overload.Config{Disabled: true}})
 	requireBalanced(t, d)
 	return d
 }
@@ -54,11 +54,11 @@
 	const second = time.Second
 	all := span(1, 1)
 	for _, c := range []struct {
-		trouble scenario.FaultSpec
-		change  func(*scenario.Scenario)
-		check   func(t *testing.T, d *recordingSink)
+		fault  scenario.FaultSpec
+		change func(*scenario.Scenario)
+		check  func(t *testing.T, d *recordingSink)
 	}{
-		{trouble: scenario.FaultSpec{Kind: scenario.Silent, Part: all}, check: func(t *testing.T, d *recordingSink) {
+		{fault: scenario.FaultSpec{Kind: scenario.Silent, Part: all}, check: func(t *testing.T, d *recordingSink) {
 			require.Zero(t, d.count(record.WorkDone, faultStart, faultEnd, func(e record.Event) bool { return e.Ran }))
 			require.Zero(t, d.count(record.Answered, faultStart+second, faultEnd, served))
 			require.Less(t, d.count(record.Answered, faultEnd, faultEnd+second, served), 150,
@@ -66,19 +66,19 @@
 			require.Greater(t, d.count(record.Answered, 32*second, 33*second, served), 280)
 		}},
 		{
-			trouble: scenario.FaultSpec{Kind: scenario.Failing, Part: span(0.19, 0.19), Size: span(0.9, 0.9)},
+			fault: scenario.FaultSpec{Kind: scenario.Failing, Part: span(0.19, 0.19), Size: span(0.9, 0.9)},
 			check: func(t *testing.T, d *recordingSink) {
 				require.Greater(t, d.count(record.AttemptEnded, faultStart, faultEnd, ended(record.Error)), 30)
 				require.Less(t, d.count(record.AttemptEnded, faultEnd, runLength, ended(record.Error)), 20)
 			},
 		},
-		{trouble: scenario.FaultSpec{Kind: scenario.Refusing, Part: all}, check: func(t *testing.T, d *recordingSink) {
+		{fault: scenario.FaultSpec{Kind: scenario.Refusing, Part: all}, check: func(t *testing.T, d *recordingSink) {
 			require.Zero(t, d.count(record.Answered, faultStart+second, faultEnd, served))
 			require.Greater(t, d.count(record.AttemptEnded, faultStart, faultEnd, ended(record.Rejected)), 1000)
 			require.Zero(t, d.count(record.WorkDone, faultStart+2*second, faultEnd,
 				func(e record.Event) bool { return e.Ran }))
 		}},
-		{trouble: scenario.FaultSpec{
+		{fault: scenario.FaultSpec{
 			Kind: scenario.Deploy, Part: span(0.8, 0.8), Size: span(0.18, 0.18),
 			Drain: ms(3000, 3000), SameAddress: span(0.5, 0.5),
 		}, check: func(t *testing.T, d *recordingSink) {
@@ -93,7 +93,7 @@
 			require.Less(t, len(addrs), 23, "some new servers reuse addresses")
 			require.Greater(t, len(addrs), 13, "and some have new ones")
 		}},
-		{trouble: scenario.FaultSpec{Kind: scenario.SlowPeriod, Size: span(2.5, 2.5)}, check: func(t *testing.T, d *recordingSink) {
+		{fault: scenario.FaultSpec{Kind: scenario.SlowPeriod, Size: span(2.5, 2.5)}, check: func(t *testing.T, d *recordingSink) {
 			capacity := func(second int) (sum float64) {
 				for _, s := range d.samples[second-1].Servers {
 					sum += s.Capacity
@@ -104,8 +104,8 @@
 			require.InDelta(t, 1, capacity(9)/capacity(23), 0.05)
 		}},
 		{
-			trouble: scenario.FaultSpec{Kind: scenario.MachinesUnreachable, Part: span(0.19, 0.19)},
-			change:  func(set *scenario.Scenario) { set.Discovery.SilentNotice = ms(5000, 5000) },
+			fault:  scenario.FaultSpec{Kind: scenario.MachinesUnreachable, Part: span(0.19, 0.19)},
+			change: func(sc *scenario.Scenario) { sc.Discovery.SilentNotice = ms(5000, 5000) },
 			check: func(t *testing.T, d *recordingSink) {
 				gone := map[int32]bool{}
 				for _, e := range d.ofKind(record.ListChanged) {
@@ -120,14 +120,14 @@
 				require.Greater(t, d.count(record.AttemptReached, faultEnd+5*second, runLength, from), 100, "they are used again")
 			},
 		},
-		{trouble: scenario.FaultSpec{Kind: scenario.Crashed, Part: span(0.19, 0.19)}, check: func(t *testing.T, d *recordingSink) {
+		{fault: scenario.FaultSpec{Kind: scenario.Crashed, Part: span(0.19, 0.19)}, check: func(t *testing.T, d *recordingSink) {
 			require.Equal(t, 2, d.count(record.ServerDown, faultStart, faultStart+1, nil))
 			require.Equal(t, 2, d.count(record.ServerUp, faultEnd, faultEnd+1,
 				func(e record.Event) bool { return e.SlowStart && e.Started == faultEnd }))
 			require.Greater(t, d.count(record.AttemptEnded, faultStart, faultStart+second, ended(record.NoConnection))+
 				d.count(record.AttemptEnded, faultStart, faultStart+second, ended(record.Broken)), 0)
 		}},
-		{trouble: scenario.FaultSpec{Kind: scenario.AgentsKilled, Count: 1}, check: func(t *testing.T, d *recordingSink) {
+		{fault: scenario.FaultSpec{Kind: scenario.AgentsKilled, Count: 1}, check: func(t *testing.T, d *recordingSink) {
 			require.Equal(t, 1, d.count(record.AgentDown, faultStart, faultStart+1, nil))
 			require.Equal(t, 1, d.count(record.AgentUp, faultEnd+300*time.Millisecond, runLength, nil))
 			require.Greater(t, d.count(record.ConnectionLost, faultStart, faultStart+second, nil), 0)
@@ -138,7 +138,7 @@
 			require.Greater(t, d.count(record.Answered, 30*second, runLength,
 				func(e record.Event) bool { return e.Agent == 0 && served(e) }), 500)
 		}},
-		{trouble: scenario.FaultSpec{Kind: scenario.AgentsRestarted, Count: 2}, check: func(t *testing.T, d *recordingSink) {
+		{fault: scenario.FaultSpec{Kind: scenario.AgentsRestarted, Count: 2}, check: func(t *testing.T, d *recordingSink) {
 			require.Zero(t, d.count(record.ConnectionLost, 0, runLength, nil), "it answers all accepted requests")
 			require.Equal(t, 2, d.count(record.AgentDown, faultStart+750*time.Millisecond, faultStart+4*second, nil))
 			require.Equal(t, 2, d.count(record.AgentUp, faultEnd, faultEnd+second, nil))
@@ -147,7 +147,7 @@
 				"clients use their existing connections")
 			require.Greater(t, d.count(record.RequestReceived, faultEnd+second, runLength, busiest), 500)
 		}},
-		{trouble: scenario.FaultSpec{Kind: scenario.ServersTakenOut, Part: span(0.19, 0.19)}, check: func(t *testing.T, d *recordingSink) {
+		{fault: scenario.FaultSpec{Kind: scenario.ServersTakenOut, Part: span(0.19, 0.19)}, check: func(t *testing.T, d *recordingSink) {
 			out := map[int32]bool{}
 			for _, e := range d.ofKind(record.ServerDown) {
 				require.Equal(t, faultStart+6*second, e.At, "restarted half-way")
@@ -160,7 +160,7 @@
 				func(e record.Event) bool { return e.SlowStart && e.Started == faultEnd }))
 			require.Greater(t, d.count(record.AttemptSent, faultEnd, faultEnd+6*second, from), 10, "they are used again")
 		}},
-		{trouble: scenario.FaultSpec{Kind: scenario.AgentsUpgraded, Count: 3}, check: func(t *testing.T, d *recordingSink) {
+		{fault: scenario.FaultSpec{Kind: scenario.AgentsUpgraded, Count: 3}, check: func(t *testing.T, d *recordingSink) {
 			require.Zero(t, d.count(record.ConnectionLost, 0, runLength, nil), "both processes answer all accepted requests")
 			require.Zero(t, d.count(record.RequestUnreached, 0, runLength, nil), "no client finds the agent closed")
 			require.Equal(t, 3, d.count(record.AgentUp, faultStart, faultStart+1, nil))
@@ -168,7 +168,7 @@
 			require.Greater(t, d.count(record.Answered, faultStart+2*second, runLength,
 				func(e record.Event) bool { return e.Agent == 0 && served(e) }), 500)
 		}},
-		{trouble: scenario.FaultSpec{Kind: scenario.ClientsRedirected, Count: 1}, check: func(t *testing.T, d *recordingSink) {
+		{fault: scenario.FaultSpec{Kind: scenario.ClientsRedirected, Count: 1}, check: func(t *testing.T, d *recordingSink) {
 			require.Zero(t, d.count(record.ConnectionLost, 0, runLength, nil), "it answers all accepted requests")
 			require.Zero(t, d.count(record.AgentDown, 0, runLength, nil), "the agent stays up")
 			busiest := func(e record.Event) bool { return e.Agent == 0 }
@@ -176,18 +176,18 @@
 			require.Zero(t, d.count(record.RequestReceived, faultStart+2*second, faultEnd, busiest))
 			require.Greater(t, d.count(record.RequestReceived, faultEnd+second, runLength, busiest), 500)
 		}},
-		{trouble: scenario.FaultSpec{Kind: scenario.DiscoveryDown}, check: func(t *testing.T, d *recordingSink) {
+		{fault: scenario.FaultSpec{Kind: scenario.DiscoveryDown}, check: func(t *testing.T, d *recordingSink) {
 			require.Equal(t, 5, d.count(record.CallFailed, faultStart, faultStart+1, nil), "each agent's watch fails")
 			require.Zero(t, d.count(record.WatchOpened, faultStart, faultEnd, nil))
 			require.Equal(t, 5, d.count(record.WatchOpened, faultEnd, runLength, nil))
 		}},
-		{trouble: scenario.FaultSpec{Kind: scenario.EmptyList}, check: func(t *testing.T, d *recordingSink) {
+		{fault: scenario.FaultSpec{Kind: scenario.EmptyList}, check: func(t *testing.T, d *recordingSink) {
 			require.Equal(t, 13*5, d.count(record.Notified, faultStart, faultStart+2*second,
 				func(e record.Event) bool { return e.State == record.Gone }))
 			require.Zero(t, d.count(record.AttemptSent, faultStart+2*second, faultEnd, nil))
 			require.Greater(t, d.count(record.AttemptSent, faultEnd+2*second, faultEnd+3*second, nil), 200)
 		}},
-		{trouble: scenario.FaultSpec{Kind: scenario.Reset, Size: span(0.08, 0.08)}, check: func(t *testing.T, d *recordingSink) {
+		{fault: scenario.FaultSpec{Kind: scenario.Reset, Size: span(0.08, 0.08)}, check: func(t *testing.T, d *recordingSink) {
 			reached := d.count(record.AttemptReached, faultStart, faultEnd, nil)
 			broken := d.count(record.AttemptEnded, faultStart, faultEnd, ended(record.Broken))
 			require.InDelta(t, 0.08, float64(broken)/float64(reached), 0.015)
@@ -201,26 +201,26 @@
 			require.InDelta(t, 0.5, float64(ran)/float64(broken), 0.1, "half of the broken attempts had run")
 			require.Zero(t, d.count(record.AttemptEnded, faultEnd+second, runLength, ended(record.Broken)))
 		}},
-		{trouble: scenario.FaultSpec{Kind: scenario.IdleConnectionsLost, Idle: ms(500, 500)}, check: func(t *testing.T, d *recordingSink) {
+		{fault: scenario.FaultSpec{Kind: scenario.IdleConnectionsLost, Idle: ms(500, 500)}, check: func(t *testing.T, d *recordingSink) {
 			early := d.count(record.AttemptEnded, faultStart, faultStart+4*second, ended(record.Broken))
 			require.Greater(t, early, 10)
 			require.Less(t, d.count(record.AttemptEnded, faultEnd-4*second, faultEnd, ended(record.Broken)), early/2,
 				"agents learn the idle time that connections survive")
 		}},
 		{
-			trouble: scenario.FaultSpec{Kind: scenario.UnreadableAnswers, Part: span(0.2, 0.2), Size: span(0.2, 0.2)},
+			fault: scenario.FaultSpec{Kind: scenario.UnreadableAnswers, Part: span(0.2, 0.2), Size: span(0.2, 0.2)},
 			check: func(t *testing.T, d *recordingSink) {
 				require.Greater(t, d.count(record.AttemptEnded, faultStart, faultEnd, ended(record.UnreadableAnswer)), 30)
 				require.Zero(t, d.count(record.AttemptEnded, faultEnd+second, runLength, ended(record.UnreadableAnswer)))
 			},
 		},
-		{trouble: scenario.FaultSpec{Kind: scenario.Surge, Size: span(4, 4)}, check: func(t *testing.T, d *recordingSink) {
+		{fault: scenario.FaultSpec{Kind: scenario.Surge, Size: span(4, 4)}, check: func(t *testing.T, d *recordingSink) {
 			require.InDelta(t, 4*12*330, d.count(record.RequestReceived, faultStart, faultEnd, firstTry), 5*130)
 		}},
-		{trouble: scenario.FaultSpec{Kind: scenario.Surge, Size: span(0.25, 0.25)}, check: func(t *testing.T, d *recordingSink) {
+		{fault: scenario.FaultSpec{Kind: scenario.Surge, Size: span(0.25, 0.25)}, check: func(t *testing.T, d *recordingSink) {
 			require.InDelta(t, 12*330/4, d.count(record.RequestReceived, faultStart, faultEnd, firstTry), 5*32)
 		}},
-		{trouble: scenario.FaultSpec{Kind: scenario.Partition, Zone: "buc-pipera"}, check: func(t *testing.T, d *recordingSink) {
+		{fault: scenario.FaultSpec{Kind: scenario.Partition, Zone: "buc-pipera"}, check: func(t *testing.T, d *recordingSink) {
 			inA := func(e record.Event) bool {
 				return crossing(e) && (d.servers[e.Server].Zone == "buc-pipera" || d.run.Agents[e.Agent].Zone == "buc-pipera")
 			}
@@ -228,11 +228,11 @@
 			require.Zero(t, d.count(record.AttemptReached, faultStart+5*time.Millisecond, faultEnd, inA))
 			require.Greater(t, d.count(record.AttemptReached, faultEnd+5*second, runLength, inA), 100)
 		}},
-		{trouble: scenario.FaultSpec{Kind: scenario.DatagramsLost, Size: all}, check: func(t *testing.T, d *recordingSink) {
+		{fault: scenario.FaultSpec{Kind: scenario.DatagramsLost, Size: all}, check: func(t *testing.T, d *recordingSink) {
 			require.Greater(t, d.count(record.Datagram, 0, faultStart, nil), 50)
 			require.Zero(t, d.count(record.Datagram, faultStart+30*time.Millisecond, faultEnd, nil))
 		}},
-		{trouble: scenario.FaultSpec{Kind: scenario.DatagramsLost, Size: all, Zone: "buc-pipera"}, check: func(t *testing.T, d *recordingSink) {
+		{fault: scenario.FaultSpec{Kind: scenario.DatagramsLost, Size: all, Zone: "buc-pipera"}, check: func(t *testing.T, d *recordingSink) {
 			in := func(of func(record.Event) int32) int {
 				return d.count(record.Datagram, faultStart+30*time.Millisecond, faultEnd, func(e record.Event) bool {
 					return d.run.Agents[of(e)].Zone == "buc-pipera"
@@ -241,26 +241,26 @@
 			require.Zero(t, in(func(e record.Event) int32 { return e.Agent }), "its agents receive nothing")
 			require.Greater(t, in(func(e record.Event) int32 { return e.From }), 5, "datagrams from them arrive")
 		}},
-		{trouble: scenario.FaultSpec{Kind: scenario.Crashed, Part: all, Zone: "buc-pipera"}, check: func(t *testing.T, d *recordingSink) {
+		{fault: scenario.FaultSpec{Kind: scenario.Crashed, Part: all, Zone: "buc-pipera"}, check: func(t *testing.T, d *recordingSink) {
 			for _, e := range d.ofKind(record.ServerDown) {
 				require.Equal(t, "buc-pipera", d.servers[e.Server].Zone)
 			}
 			require.Greater(t, d.count(record.ServerDown, faultStart, faultStart+1, nil), 2, "all servers of the zone")
 		}},
-		{trouble: scenario.FaultSpec{Kind: scenario.AgentsRestarted, Count: 5, Size: span(0.4, 0.4)}, check: func(t *testing.T, d *recordingSink) {
+		{fault: scenario.FaultSpec{Kind: scenario.AgentsRestarted, Count: 5, Size: span(0.4, 0.4)}, check: func(t *testing.T, d *recordingSink) {
 			require.Zero(t, d.count(record.ConnectionLost, 0, runLength, nil))
 			require.Equal(t, 5, d.count(record.AgentDown, 0, runLength, nil))
 			require.Equal(t, 2, d.count(record.AgentDown, 0, faultStart+4*second, nil), "two at a time, the next 4 s later")
 			require.Equal(t, 5, d.count(record.AgentUp, faultStart, runLength, nil), "each one after its drain")
 		}},
 		{
-			trouble: scenario.FaultSpec{Kind: scenario.FewConnections, Part: all, Size: span(0.005, 0.005)},
+			fault: scenario.FaultSpec{Kind: scenario.FewConnections, Part: all, Size: span(0.005, 0.005)},
 			check: func(t *testing.T, d *recordingSink) {
 				require.Greater(t, d.count(record.AttemptEnded, faultStart, faultEnd, ended(record.NoConnection)), 10)
 				require.Zero(t, d.count(record.AttemptEnded, 0, faultStart, ended(record.NoConnection)))
 			},
 		},
-		{trouble: scenario.FaultSpec{Kind: scenario.ClientsLeave, Part: all}, check: func(t *testing.T, d *recordingSink) {
+		{fault: scenario.FaultSpec{Kind: scenario.ClientsLeave, Part: all}, check: func(t *testing.T, d *recordingSink) {
 			leave := map[uint32]bool{}
 			for _, e := range d.ofKind(record.ClientLeft) {
 				if e.At == faultStart {
@@ -274,8 +274,8 @@
 			}), "they do not retry")
 		}},
 		{
-			trouble: scenario.FaultSpec{Kind: scenario.LateConnections, Part: all, Delay: ms(900, 900)},
-			change:  func(set *scenario.Scenario) { set.Connections.Idle = 200 * time.Millisecond }, // many new ones
+			fault:  scenario.FaultSpec{Kind: scenario.LateConnections, Part: all, Delay: ms(900, 900)},
+			change: func(sc *scenario.Scenario) { sc.Connections.Idle = 200 * time.Millisecond }, // many new ones
 			check: func(t *testing.T, d *recordingSink) {
 				early := faultStart + 10*time.Millisecond // some were opened before
 				require.Greater(t, d.count(record.ConnOpened, faultStart-second, faultStart, nil), 20)
@@ -284,7 +284,7 @@
 			},
 		},
 	} {
-		t.Run(string(c.trouble.Kind), func(t *testing.T) { c.check(t, playFault(t, c.trouble, c.change)) })
+		t.Run(string(c.fault.Kind), func(t *testing.T) { c.check(t, playFault(t, c.fault, c.change)) })
 	}
 }
 
@@ -295,8 +295,8 @@
 		d := playFault(t, scenario.FaultSpec{
 			Kind: scenario.SlowPeriod, Size: span(2.5, 2.5), HealsBelow: span(0.5, 0.5),
 			HealsRest: ms(2000, 2000),
-		}, func(set *scenario.Scenario) {
-			set.Load.PerS, set.Load.OfCapacity = span(0, 0), span(load, load)
+		}, func(sc *scenario.Scenario) {
+			sc.Load.PerS, sc.Load.OfCapacity = span(0, 0), span(load, load)
 		})
 		over := d.ofKind(record.FaultEnded)
 		require.Len(t, over, 1)
@@ -338,15 +338,15 @@
 		}
 	}
 	// The same traffic per agent, with one more server and one more agent.
-	set := deployment(runLength)
-	set.Faults = []scenario.FaultSpec{{
+	sc := deployment(runLength)
+	sc.Faults = []scenario.FaultSpec{{
 		Kind: scenario.Crashed, At: ms(10000, 10000), For: ms(12000, 12000),
 		Part: span(0.3, 0.3),
 	}}
-	set.Agents.Zipf, set.Agents.Count = span(0, 0), 4
-	base := play(t, set, 7, Options{})
-	set.Agents.Count, set.Fleet.Servers, set.Load.PerS = 5, 14, span(330*5/4.0, 330*5/4.0)
-	more := play(t, set, 7, Options{})
+	sc.Agents.Zipf, sc.Agents.Count = span(0, 0), 4
+	base := play(t, sc, 7, Options{})
+	sc.Agents.Count, sc.Fleet.Servers, sc.Load.PerS = 5, 14, span(330*5/4.0, 330*5/4.0)
+	more := play(t, sc, 7, Options{})
 	require.Equal(t, base.servers, more.servers[:13])
 	for agent := range int32(4) {
 		require.Equal(t, firstTries(base, agent), firstTries(more, agent))
--- a/internal/rehearsal/world/live.go
+++ b/internal/rehearsal/world/live.go
@@ -87,22 +87,22 @@
 
 // ClientRequest is a client's try in the form that the wire sends.
 type ClientRequest struct {
-	Agent    int
-	Op       uint32
-	Class    string
-	Tenant   string
-	Key      string
-	IsRetry  bool // marked as a retry
-	IsUpdate bool // sent as a POST
-	TimeLeft time.Duration
-	SendAt   time.Duration // when it is to be sent
-	try      *try
+	Agent     int
+	RequestID uint32
+	Class     string
+	Tenant    string
+	Key       string
+	IsRetry   bool // marked as a retry
+	IsUpdate  bool // sent as a POST
+	TimeLeft  time.Duration
+	SendAt    time.Duration // when it is to be sent
+	try       *try
 }
 
 // FinalAnswer is an agent's final answer.
 type FinalAnswer struct {
 	Answer     record.Answer
-	RetryAfter time.Duration // Retry-RetryAfter; zero: none
+	RetryAfter time.Duration // Retry-After; zero: none
 	Attempt    int           // the attempt that produced the body; negative: none did
 	Closes     bool          // the connection cannot carry another try
 }
@@ -160,9 +160,9 @@
 var errNotReady = errors.New("the agents did not get ready within a minute")
 
 // NewLive prepares a run in real time.
-func NewLive(set *scenario.Scenario, seed uint64, sink record.Sink, o Options) (*Live, error) {
+func NewLive(sc *scenario.Scenario, seed uint64, sink record.Sink, o Options) (*Live, error) {
 	w := &world{
-		seed: seed, scenario: set, sink: sink, options: o, byAddr: map[netip.AddrPort]*server{},
+		seed: seed, scenario: sc, sink: sink, options: o, byAddr: map[netip.AddrPort]*server{},
 		slowdown: 1, trafficKept: 1,
 		tries: map[uint32]*try{},
 	}
@@ -171,7 +171,7 @@
 	if err != nil {
 		return nil, err
 	}
-	v := &Live{w: w, eventFD: fd, ready: make([]bool, set.Agents.Count)}
+	v := &Live{w: w, eventFD: fd, ready: make([]bool, sc.Agents.Count)}
 	v.late.Events = hdrhistogram.New(1, int64(10*time.Minute/time.Microsecond), 3)
 	w.live = v
 	return v, nil
@@ -205,7 +205,7 @@
 	return v.Zero().Add(started - clockStart).UnixMilli()
 }
 
-// ViewDelay returns how late the kit was, once the run has ended.
+// Lateness returns how late the kit was, once the run has ended.
 func (v *Live) Lateness() Lateness { return v.late }
 
 // Play runs the scenario in real time. It returns an error if the agents do not get ready, the wire
--- a/internal/rehearsal/world/plan.go
+++ b/internal/rehearsal/world/plan.go
@@ -34,15 +34,15 @@
 }
 
 // NewPlan draws a plan. It advances the simulation without agents.
-func NewPlan(set *scenario.Scenario, seed uint64) *Plan {
+func NewPlan(sc *scenario.Scenario, seed uint64) *Plan {
 	p := &Plan{}
 	w := &world{
-		seed: seed, scenario: set, sink: discardSink{}, byAddr: map[netip.AddrPort]*server{}, slowdown: 1,
+		seed: seed, scenario: sc, sink: discardSink{}, byAddr: map[netip.AddrPort]*server{}, slowdown: 1,
 		trafficKept: 1, plan: p,
 	}
 	w.record.w = w
 	w.build()
-	for ev, ok := w.next(set.Run.Length); ok; ev, ok = w.next(set.Run.Length) {
+	for ev, ok := w.next(sc.Run.Length); ok; ev, ok = w.next(sc.Run.Length) {
 		ev.fire()
 	}
 	return p
@@ -61,6 +61,6 @@
 
 func (discardSink) Begin(record.Run)          {}
 func (discardSink) Server(int, record.Server) {}
-func (discardSink) Take(*record.Event)        {}
+func (discardSink) Observe(*record.Event)     {}
 func (discardSink) Sample(*record.Sample)     {}
 func (discardSink) End(time.Duration)         {}
--- a/internal/rehearsal/world/policyfloor_test.go
+++ b/internal/rehearsal/world/policyfloor_test.go
@@ -14,8 +14,8 @@
 	"dunestep/internal/rehearsal/scenario"
 )
 
-// Of five agents the last is cut off from the fleet, but not from its clients and servers, for 30 s; its lease is over
-// after 4 s, and a new policy holds at the others after 5 s.
+// Of five agents the last is cut off from the fleet, but not from its clients and servers, for 30 s; its lease expires
+// after 4 s, and a new policy takes effect at the others after 5 s.
 const (
 	cutAgent    = 4
 	cutFrom     = 15 * time.Second
@@ -33,17 +33,17 @@
 
 // playCut simulates a run with the cut-off agent in a policy mode. It returns the fractions of first
 // tries during the cut whose request was served, by any of its tries: of the agent's own, of all, and
-// of all but without its own. Old counts its first tries under the replaced policy after the new one
+// of all but its own. old counts its first tries under the replaced policy after the new one
 // was in effect.
 func playCut(t *testing.T, name string, seed uint64, mode string) (own, all, others float64, old int) {
-	set, err := scenario.Load("../../../rehearsals/" + name + ".toml")
+	sc, err := scenario.Load("../../../rehearsals/" + name + ".toml")
 	require.NoError(t, err)
-	set.Run.Length, set.Agents.Count = time.Minute, 5
+	sc.Run.Length, sc.Agents.Count = time.Minute, 5
 	d := &recordingSink{}
 	var before, after, floor *policy.Effect
 	acting := func(agent int, at time.Duration) *policy.Effect {
 		if before == nil {
-			before, after, floor = effects(t, set, d.run.Quotas)
+			before, after, floor = effects(t, sc, d.run.Quotas)
 		}
 		switch isCut := agent == cutAgent && at >= leaseEnd && at < cutTo; {
 		case isCut && mode == "floor":
@@ -53,7 +53,7 @@
 		}
 		return after
 	}
-	require.NoError(t, Play(t.Context(), set, seed, d, Options{FleetPolicy: acting}))
+	require.NoError(t, Play(t.Context(), sc, seed, d, Options{FleetPolicy: acting}))
 	served, agentOf := map[uint32]bool{}, map[uint32]int{}
 	chain := map[uint32]uint32{}
 	for _, e := range d.events {
@@ -86,16 +86,16 @@
 }
 
 // effects returns the effects of the settings alone, of the new policy, and of the new policy's floor.
-func effects(t *testing.T, set *scenario.Scenario, quotas []float64) (before, after, floor *policy.Effect) {
+func effects(t *testing.T, sc *scenario.Scenario, quotas []float64) (before, after, floor *policy.Effect) {
 	own := policy.LocalSettings{MaxFailedRatio: 0.25, Settings: balancer.Settings{Limits: balancer.Limits{
-		MaxAttempts: set.Allow.MaxAttempts,
-		Hedging:     set.Allow.SecondCopies,
+		MaxAttempts: sc.Allow.MaxAttempts,
+		Hedging:     sc.Allow.SecondCopies,
 	}}}
-	for i := range set.Tenants {
-		own.Settings.Tenants = append(own.Settings.Tenants, balancer.Tenant{Name: set.Tenants[i].Name, QuotaPerSecond: quotas[i]})
+	for i := range sc.Tenants {
+		own.Settings.Tenants = append(own.Settings.Tenants, balancer.Tenant{Name: sc.Tenants[i].Name, QuotaPerSecond: quotas[i]})
 	}
-	for i := range set.Classes {
-		own.Settings.Classes = append(own.Settings.Classes, balancer.Class{Name: set.Classes[i].Name})
+	for i := range sc.Classes {
+		own.Settings.Classes = append(own.Settings.Classes, balancer.Class{Name: sc.Classes[i].Name})
 	}
 	effect := func(text string) (*policy.Effect, *policy.Effect) {
 		d, err := policy.ParseDocument("day", []byte(text))
--- a/internal/rehearsal/world/process.go
+++ b/internal/rehearsal/world/process.go
@@ -277,7 +277,7 @@
 	p.running.push(j)
 }
 
-// finish completes a job. RetryAfter a handshake the process admits the attempt that waits for it; after an
+// finish completes a job. After a handshake the process admits the attempt that waits for it; after an
 // attempt it sends the answer and starts waiting attempts.
 func (p *serverProcess) finish(j *job) {
 	if j.handshake {
--- a/internal/rehearsal/world/lab_test.go
+++ b/internal/rehearsal/world/process_test.go
@@ -27,15 +27,15 @@
 // newTestbed puts a server on a plain machine of three cores, which a test may change before the server
 // starts.
 func newTestbed(change func(*scenario.Scenario, *machine)) *testbed {
-	set := deployment(time.Minute)
+	sc := deployment(time.Minute)
 	l := &testbed{sink: &recordingSink{}}
-	l.world = &world{seed: 1, scenario: set, sink: l.sink, slowdown: 1, trafficKept: 1, byAddr: map[netip.AddrPort]*server{}}
+	l.world = &world{seed: 1, scenario: sc, sink: l.sink, slowdown: 1, trafficKept: 1, byAddr: map[netip.AddrPort]*server{}}
 	l.record.w = l.world
 	m := machine{cores: 3, speed: 1.5, slots: 10, queue: 5, conns: 1000, thrashAt: math.Inf(1), initialCapacity: 1}
-	change(set, &m)
-	l.network = newNetwork(set, 1)
-	l.zoneCut = make([]time.Duration, len(set.Network.Zones))
-	l.datagramLossByZone = make([]float64, len(set.Network.Zones))
+	change(sc, &m)
+	l.network = newNetwork(sc, 1)
+	l.zoneCut = make([]time.Duration, len(sc.Network.Zones))
+	l.datagramLossByZone = make([]float64, len(sc.Network.Zones))
 	l.agents = []*agent{{w: l.world, name: "n0"}}
 	l.discovery = newDiscovery(l.world)
 	l.server = l.newServer(0, m, netip.AddrPort{})
@@ -52,7 +52,7 @@
 	}
 	c.process = l.server.process
 	s := &attempt{
-		w: l.world, proc: c.proc, try: &try{op: uint32(l.sent), request: &request{key: key}}, conn: c,
+		w: l.world, proc: c.proc, try: &try{id: uint32(l.sent), request: &request{key: key}}, conn: c,
 		drawSeed: l.sent, work: work, ended: true,
 	}
 	c.attempt = s
@@ -76,7 +76,7 @@
 // is negative if it is not done.
 func (l *testbed) workOf(s *attempt) (at time.Duration, work time.Duration, ran bool) {
 	for _, e := range l.sink.ofKind(record.WorkDone) {
-		if e.RequestID == s.try.op {
+		if e.RequestID == s.try.id {
 			return e.At, e.Work, e.Ran
 		}
 	}
@@ -209,9 +209,9 @@
 // work within the rules' slow start duration.
 func TestProcessWarmsUp(t *testing.T) {
 	for _, busy := range []bool{true, false} {
-		l := newTestbed(func(set *scenario.Scenario, m *machine) {
+		l := newTestbed(func(sc *scenario.Scenario, m *machine) {
 			m.initialCapacity, m.warmupTime, m.slots = 0.4, 4*time.Second, 100
-			set.Rules.SlowStartTime, set.Rules.OverloadMultiple = 8*time.Second, 1e9
+			sc.Rules.SlowStartTime, sc.Rules.OverloadMultiple = 8*time.Second, 1e9
 		})
 		l.advance(time.Second)
 		l.server.start(true)
@@ -244,18 +244,18 @@
 // process withstands far more.
 func TestWarmingProcessCrashesOnOverload(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		times float64
-		cold  bool
-		falls bool
+		name    string
+		times   float64
+		warming bool
+		falls   bool
 	}{{"under", 2.9, true, false}, {"over", 3.6, true, true}, {"warm", 9, false, false}} {
 		t.Run(c.name, func(t *testing.T) {
-			l := newTestbed(func(set *scenario.Scenario, m *machine) {
+			l := newTestbed(func(sc *scenario.Scenario, m *machine) {
 				m.initialCapacity, m.warmupTime, m.slots, m.queue = 0.4, time.Hour, 1, 0
-				set.Rules.SlowStartTime = time.Hour
+				sc.Rules.SlowStartTime = time.Hour
 			})
 			l.advance(time.Second)
-			l.server.start(c.cold)
+			l.server.start(c.warming)
 			for range 600 {
 				l.advance(10 * time.Millisecond)
 				l.deliver(0.01*c.times*0.4*4.5, 0)
@@ -312,7 +312,7 @@
 	a.client = &client{w: l.world, agent: a}
 	proc := &agentProcess{w: l.world, agent: a, descriptors: routing.NewDescriptors(1024)}
 	sent := &try{
-		request: &request{client: a.client, deadline: time.Hour}, agent: a, proc: proc, op: 1,
+		request: &request{client: a.client, deadline: time.Hour}, agent: a, proc: proc, id: 1,
 		conn: &clientConn{client: a.client, proc: proc}, accepted: true,
 	}
 	l.schedule(time.Second, rankClient, (*tryTimesOut)(sent))
--- a/internal/rehearsal/world/record.go
+++ b/internal/rehearsal/world/record.go
@@ -18,14 +18,14 @@
 func (r *recorder) add(ev record.Event) {
 	ev.At = max(r.w.now, 0) // real agents get ready before time zero
 	r.ev = ev
-	r.w.sink.Take(&r.ev)
+	r.w.sink.Observe(&r.ev)
 }
 
 // try records an event of a client's try.
 func (r *recorder) try(kind record.Kind, t *try) {
 	q := t.request
 	r.add(record.Event{
-		Kind: kind, RequestID: t.op, Chain: q.chain, Agent: int32(t.agent.number),
+		Kind: kind, RequestID: t.id, Chain: q.chain, Agent: int32(t.agent.number),
 		Class: uint8(q.class), Tenant: q.tenant, Key: q.key, Work: seconds(q.work), Left: t.deadline - r.w.now,
 		Try: uint8(t.number), ClosedByShutdown: kind == record.RequestUnreached && t.closedUnanswered,
 	})
@@ -33,7 +33,7 @@
 
 func (r *recorder) answered(t *try) {
 	r.add(record.Event{
-		Kind: record.Answered, RequestID: t.op, Agent: int32(t.agent.number), Answer: t.answer,
+		Kind: record.Answered, RequestID: t.id, Agent: int32(t.agent.number), Answer: t.answer,
 		After: t.retryAfter, Attempt: int8(t.attempt),
 	})
 }
@@ -41,7 +41,7 @@
 // event returns an event with the fields that all events of an attempt have in common.
 func (s *attempt) event(kind record.Kind) record.Event {
 	ev := record.Event{
-		Kind: kind, RequestID: s.try.op, Agent: int32(s.proc.agent.number), Attempt: int8(s.index),
+		Kind: kind, RequestID: s.try.id, Agent: int32(s.proc.agent.number), Attempt: int8(s.index),
 		Server: -1, NewConn: !s.checkout.Reused,
 	}
 	if s.conn != nil {
--- a/internal/rehearsal/world/record_test.go
+++ b/internal/rehearsal/world/record_test.go
@@ -14,13 +14,13 @@
 // restarted agent took until it was ready, and the time limit that each attempt sends to its server,
 // which is at most what its client has left.
 func TestRecordsStartTimesAndDeadlines(t *testing.T) {
-	set := deployment(12 * time.Second)
-	set.Agents.RestartTime = 700 * time.Millisecond
-	set.Faults = []scenario.FaultSpec{
+	sc := deployment(12 * time.Second)
+	sc.Agents.RestartTime = 700 * time.Millisecond
+	sc.Faults = []scenario.FaultSpec{
 		{Kind: scenario.AgentsKilled, At: ms(2000, 2000), For: ms(3000, 3000), Count: 2},
 		{Kind: scenario.Refusing, At: ms(6000, 6000), For: ms(4000, 4000), Part: span(0.5, 0.5)},
 	} // rejections lead to further attempts
-	d := play(t, set, 7, Options{})
+	d := play(t, sc, 7, Options{})
 	starts, timed := 0, 0
 	deadlines := map[uint32]time.Duration{}
 	further := 0
--- a/internal/rehearsal/world/restart.go
+++ b/internal/rehearsal/world/restart.go
@@ -95,7 +95,7 @@
 	w, a := l.w, l.agent
 	l.shutdown.exited = true
 	for _, t := range l.unanswered() { // the program exited by itself: unanswered tries are lost
-		w.record.add(record.Event{Kind: record.ConnectionLost, RequestID: t.op, Agent: int32(a.number)})
+		w.record.add(record.Event{Kind: record.ConnectionLost, RequestID: t.id, Agent: int32(a.number)})
 		t.end()
 		t.retry(false)
 	}
