--- a/internal/rehearsal/world/placed.go
+++ b/internal/rehearsal/world/ringassignment.go
@@ -41,7 +41,7 @@
 	stateMachine *ringassignment.StateMachine // immutable once agents have it
 	proposer     *ringassignment.Proposer
 	leader       *agentProcess
-	mark         ringassignment.GenerationID // of the present generation
+	generationID ringassignment.GenerationID // of the present generation
 	allAppliedAt time.Duration               // when all lease holders had applied it; zero: they have not
 	rng          stream
 	kindCapacity map[string]float64 // agreed capacities, by machine kind
@@ -103,18 +103,18 @@
 			proposer.Learn(now, g.stateMachine)
 		}
 	}
-	g.updateMark()
+	g.updateGenerationID()
 	g.w.scheduleAfter(proposeInterval, rankTimer, g)
 }
 
 // members returns the voters. There is effectively one, which reports the leases of all agents.
 func (g *generations) members() []int { return []int{0} }
 
-// updateMark records that there is a new generation.
-func (g *generations) updateMark() {
+// updateGenerationID records that there is a new generation.
+func (g *generations) updateGenerationID() {
 	all := ringassignment.NewAgent()
 	all.Learn(g.stateMachine)
-	g.mark, g.allAppliedAt = all.Applied(), 0
+	g.generationID, g.allAppliedAt = all.Applied(), 0
 }
 
 // report reports to the proposer that all lease holders have applied the present generation, after
@@ -127,16 +127,16 @@
 		case l == nil || l.ring == nil:
 		case !g.isolated(a) && l.pauseCount == 0:
 			l.lastConnected = w.now
-			have = have && l.ring.Applied() == g.mark
+			have = have && l.ring.Applied() == g.generationID
 		default: // its lease may still be valid
-			have = have && (l.ring.Applied() == g.mark || w.now-l.lastConnected > maxLeaseTime)
+			have = have && (l.ring.Applied() == g.generationID || w.now-l.lastConnected > maxLeaseTime)
 		}
 	}
 	if g.allAppliedAt == 0 && have {
 		g.allAppliedAt = w.now
 	}
 	if g.allAppliedAt > 0 && w.now-g.allAppliedAt >= reportDelay {
-		g.proposer.ReportReceived(0, g.mark)
+		g.proposer.ReportReceived(0, g.generationID)
 	}
 }
 
@@ -169,7 +169,7 @@
 		next.Apply(0, r)
 		g.stateMachine = &next
 		g.proposer.Learn(now, g.stateMachine)
-		g.updateMark()
+		g.updateGenerationID()
 		for _, a := range w.agents {
 			wait := minLearnDelay + time.Duration(g.rng.Float64()*float64(maxLearnDelay-minLearnDelay))
 			w.scheduleAfter(wait, rankArrival, &assignmentLearned{agent: a, stateMachine: g.stateMachine})
--- a/internal/rehearsal/world/run_test.go
+++ b/internal/rehearsal/world/run_test.go
@@ -22,9 +22,9 @@
 	ended   time.Duration
 }
 
-func (d *recordingSink) Begin(day record.Run)          { d.run = day }
+func (d *recordingSink) Begin(run record.Run)          { d.run = run }
 func (d *recordingSink) Server(_ int, s record.Server) { d.servers = append(d.servers, s) }
-func (d *recordingSink) Take(e *record.Event)          { d.events = append(d.events, *e) }
+func (d *recordingSink) Observe(e *record.Event)       { d.events = append(d.events, *e) }
 func (d *recordingSink) End(at time.Duration)          { d.ended = at }
 func (d *recordingSink) Sample(s *record.Sample) {
 	kept := *s
@@ -33,9 +33,9 @@
 	d.samples = append(d.samples, kept)
 }
 
-func play(t require.TestingT, set *scenario.Scenario, seed uint64, o Options) *recordingSink {
+func play(t require.TestingT, sc *scenario.Scenario, seed uint64, o Options) *recordingSink {
 	d := &recordingSink{}
-	require.NoError(t, Play(context.Background(), set, seed, d, o))
+	require.NoError(t, Play(context.Background(), sc, seed, d, o))
 	return d
 }
 
@@ -51,8 +51,8 @@
 
 // attemptKey identifies an attempt, or with a negative index its client's try.
 type attemptKey struct {
-	op      uint32
-	attempt int8
+	requestID uint32
+	attempt   int8
 }
 
 // requireBalanced checks an invariant of every run: whatever begins on the wire ends there exactly
@@ -161,23 +161,23 @@
 // faults.
 func TestEverythingEndsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		set := deployment(20 * time.Second)
-		set.Load.PerS = span(100, 100)
-		set.Agents.Count = rapid.IntRange(1, 4).Draw(t, "agents")
-		set.Agents.Sockets = rapid.SampledFrom([]int{64, 1024}).Draw(t, "sockets")
-		set.Fleet.Servers = rapid.IntRange(1, 8).Draw(t, "servers")
-		set.Clients.KeepIdle = rapid.SampledFrom([]time.Duration{0, time.Second}).Draw(t, "kept")
-		set.Clients.Backoff = rapid.SampledFrom([]scenario.Backoff{
+		sc := deployment(20 * time.Second)
+		sc.Load.PerS = span(100, 100)
+		sc.Agents.Count = rapid.IntRange(1, 4).Draw(t, "agents")
+		sc.Agents.Sockets = rapid.SampledFrom([]int{64, 1024}).Draw(t, "sockets")
+		sc.Fleet.Servers = rapid.IntRange(1, 8).Draw(t, "servers")
+		sc.Clients.KeepIdle = rapid.SampledFrom([]time.Duration{0, time.Second}).Draw(t, "kept")
+		sc.Clients.Backoff = rapid.SampledFrom([]scenario.Backoff{
 			scenario.AtOnce, scenario.Fixed,
 			scenario.Exponential,
 		}).Draw(t, "backoff")
-		set.Load.Arrivals = rapid.SampledFrom([]scenario.Arrivals{scenario.Poisson, scenario.Bursty}).Draw(t, "arrivals")
+		sc.Load.Arrivals = rapid.SampledFrom([]scenario.Arrivals{scenario.Poisson, scenario.Bursty}).Draw(t, "arrivals")
 		if rapid.Bool().Draw(t, "plain") {
-			set.Load.Keys, set.Tenants, set.Network.Zones = span(0, 0), nil, []string{"buc-pipera", "cluj-est"}
+			sc.Load.Keys, sc.Tenants, sc.Network.Zones = span(0, 0), nil, []string{"buc-pipera", "cluj-est"}
 		}
 		for i := range rapid.IntRange(0, 4).Draw(t, "troubles") {
-			set.Faults = append(set.Faults, anyFault(t, i))
+			sc.Faults = append(sc.Faults, anyFault(t, i))
 		}
-		requireBalanced(t, play(t, set, rapid.Uint64().Draw(t, "seed"), Options{}))
+		requireBalanced(t, play(t, sc, rapid.Uint64().Draw(t, "seed"), Options{}))
 	})
 }
--- a/internal/rehearsal/world/scenario_test.go
+++ b/internal/rehearsal/world/scenario_test.go
@@ -13,11 +13,11 @@
 
 // deployment returns a scenario with steady load: 13 servers, 5 agents, 330 requests a second.
 func deployment(length time.Duration) *scenario.Scenario {
-	set, err := scenario.Load("../../../rehearsals/calm-monday.toml")
+	sc, err := scenario.Load("../../../rehearsals/calm-monday.toml")
 	if err != nil {
 		panic(err)
 	}
-	set.Run.Length, set.Agents.Count, set.Fleet.Servers = length, 5, 13
-	set.Load.PerS, set.Load.OfCapacity, set.Load.Shape = span(330, 330), span(0, 0), scenario.Steady
-	return set
+	sc.Run.Length, sc.Agents.Count, sc.Fleet.Servers = length, 5, 13
+	sc.Load.PerS, sc.Load.OfCapacity, sc.Load.Shape = span(330, 330), span(0, 0), scenario.Steady
+	return sc
 }
--- a/internal/rehearsal/world/server.go
+++ b/internal/rehearsal/world/server.go
@@ -67,7 +67,8 @@
 	m := machine{
 		kind: k.Name, cores: k.Cores, speed: draw(k.Speed), slots: max(perCore(k.SlotsPerCore), 1),
 		queue: perCore(k.QueuePerCore), conns: perCore(k.ConnsPerCore), thrash: draw(k.Thrash),
-		thrashAt: draw(k.ThrashAt), initialCapacity: draw(k.SlowStartFrom), warmupTime: k.SlowStartTime.Draw(rng.Rand),
+		thrashAt: draw(k.ThrashAt), initialCapacity: draw(k.SlowStartFrom),
+		warmupTime: k.SlowStartTime.Draw(rng.Rand),
 		pauseEvery: k.PauseEvery.Draw(rng.Rand), pause: k.Pause.Draw(rng.Rand),
 		errorRate: draw(k.ErrorRate), dropsExpired: k.DropsExpired,
 	}
--- a/internal/rehearsal/world/silence.go
+++ b/internal/rehearsal/world/silence.go
@@ -38,7 +38,7 @@
 	c.silent = true
 	w.record.agent(record.WatchSilent, c.proc.agent)
 	if c.wire != nil { // a real agent detects it by itself
-		// RetryAfter the messages that were sent before.
+		// After the messages that were sent before.
 		w.scheduleAfter(c.discovery.delay(c.proc.agent), rankArrival, eventFunc(c.wire.Silence))
 		return
 	}
@@ -48,8 +48,8 @@
 // silenceDetected returns when the agent ends the watch if it gets nothing from now on.
 func (c *call) silenceDetected() time.Duration {
 	w := c.discovery.w
-	lastHeard := c.lastSent + (w.now-c.lastSent)/keepAliveInterval*keepAliveInterval
-	return max(lastHeard+c.discovery.delay(c.proc.agent)+silenceTimeout, w.now)
+	lastReceived := c.lastSent + (w.now-c.lastSent)/keepAliveInterval*keepAliveInterval
+	return max(lastReceived+c.discovery.delay(c.proc.agent)+silenceTimeout, w.now)
 }
 
 // watchBlocked makes an agent end a watch whose stream is still blocked.
--- a/internal/rehearsal/world/silence_test.go
+++ b/internal/rehearsal/world/silence_test.go
@@ -14,10 +14,10 @@
 // nothing from then on. Each agent ends its watch 3 s after the last message, with a keep-alive every 2
 // s, and opens a new one.
 func TestSilentWatchesAreReplaced(t *testing.T) {
-	d := playFault(t, scenario.FaultSpec{Kind: scenario.WatchesSilent}, func(set *scenario.Scenario) {
-		set.Agents.Count = 8
-		set.Discovery.CallsPerS = span(100, 100)
-		set.Faults = append(set.Faults, scenario.FaultSpec{
+	d := playFault(t, scenario.FaultSpec{Kind: scenario.WatchesSilent}, func(sc *scenario.Scenario) {
+		sc.Agents.Count = 8
+		sc.Discovery.CallsPerS = span(100, 100)
+		sc.Faults = append(sc.Faults, scenario.FaultSpec{
 			Kind: scenario.Deploy, At: ms(5000, 5000),
 			For: ms(25000, 25000), Part: span(0.8, 0.8), Size: span(0.1, 0.1), Drain: ms(3000, 3000),
 		})
--- a/internal/rehearsal/world/week_test.go
+++ b/internal/rehearsal/world/week_test.go
@@ -24,18 +24,18 @@
 // tenants. It returns how many first tries of these tenants arrived during the window, and how many of
 // their requests were served in the end.
 func playWindow(t *testing.T, name string, seed uint64, windowed bool) (arrived, served int) {
-	set, err := scenario.Load("../../../rehearsals/" + name + ".toml")
+	sc, err := scenario.Load("../../../rehearsals/" + name + ".toml")
 	require.NoError(t, err)
-	set.Run.Length = weekRunLength
+	sc.Run.Length = weekRunLength
 	if windowed {
-		set.Faults = append(set.Faults, scenario.FaultSpec{
+		sc.Faults = append(sc.Faults, scenario.FaultSpec{
 			Kind: scenario.Window, At: scenario.ExactTime(windowFrom),
 			For: scenario.ExactTime(windowTo - windowFrom), Part: span(0.25, 0.25), MoveTime: scenario.ExactTime(15 * time.Second),
-			Tenants: []string{set.Tenants[0].Name, set.Tenants[1].Name},
+			Tenants: []string{sc.Tenants[0].Name, sc.Tenants[1].Name},
 		})
 	}
 	d := &recordingSink{}
-	require.NoError(t, Play(t.Context(), set, seed, d, Options{}))
+	require.NoError(t, Play(t.Context(), sc, seed, d, Options{}))
 	arrivals, answered, chain := map[uint32]bool{}, map[uint32]bool{}, map[uint32]uint32{}
 	for _, e := range d.events {
 		switch {
--- a/internal/rehearsal/world/window_test.go
+++ b/internal/rehearsal/world/window_test.go
@@ -14,15 +14,15 @@
 // also at an agent that starts during the window, while requests of other tenants still reach these
 // servers.
 func TestWindowMovesTenants(t *testing.T) {
-	set := deployment(60 * time.Second)
-	set.Faults = []scenario.FaultSpec{
+	sc := deployment(60 * time.Second)
+	sc.Faults = []scenario.FaultSpec{
 		{
 			Kind: scenario.Window, At: scenario.ExactTime(5 * time.Second), For: scenario.ExactTime(50 * time.Second),
-			Part: span(0.3, 0.3), Tenants: []string{set.Tenants[0].Name}, MoveTime: scenario.ExactTime(10 * time.Second),
+			Part: span(0.3, 0.3), Tenants: []string{sc.Tenants[0].Name}, MoveTime: scenario.ExactTime(10 * time.Second),
 		},
 		{Kind: scenario.AgentsKilled, At: scenario.ExactTime(20 * time.Second), For: scenario.ExactTime(2 * time.Second), Count: 1},
 	}
-	d := play(t, set, 1, Options{})
+	d := play(t, sc, 1, Options{})
 	requireBalanced(t, d)
 	emptied := map[int32]time.Duration{}
 	for _, e := range d.ofKind(record.WindowEmptied) {
--- a/internal/rehearsal/world/world.go
+++ b/internal/rehearsal/world/world.go
@@ -37,7 +37,7 @@
 type Options struct {
 	// Progress is called with the virtual time once per simulated second; nil: no calls.
 	Progress func(at time.Duration)
-	// Tuning replace the balancer's tuning; zero: the defaults.
+	// Tuning replaces the balancer's tuning; zero: the defaults.
 	Tuning balancer.Tuning
 	// Overload is the configuration of the load shedder in front of the balancer; zero: the defaults.
 	Overload overload.Config
@@ -50,7 +50,7 @@
 	// RingAssignment turns ring assignment on, whatever the scenario sets.
 	RingAssignment bool
 	// Log is called with the lines that the agents' balancers log; nil: no calls.
-	Log func(at time.Duration, agent, says string)
+	Log func(at time.Duration, agent, line string)
 	// Timeline receives the start and end of each fault in its lane of faults; nil: none.
 	Timeline *timeline.Timeline
 }
@@ -112,8 +112,8 @@
 
 // Play simulates a run of the scenario and writes it to the sink. If the context ends first, the sink
 // keeps the run so far and Play returns the context's error.
-func Play(ctx context.Context, set *scenario.Scenario, seed uint64, sink record.Sink, o Options) error {
-	w, err := newRun(set, seed, sink, o)
+func Play(ctx context.Context, sc *scenario.Scenario, seed uint64, sink record.Sink, o Options) error {
+	w, err := newRun(sc, seed, sink, o)
 	if err != nil {
 		return err
 	}
@@ -121,19 +121,19 @@
 }
 
 // newRun draws a run and starts its agents.
-func newRun(set *scenario.Scenario, seed uint64, sink record.Sink, o Options) (*world, error) {
+func newRun(sc *scenario.Scenario, seed uint64, sink record.Sink, o Options) (*world, error) {
 	w := &world{
-		seed: seed, scenario: set, sink: sink, options: o, byAddr: map[netip.AddrPort]*server{},
+		seed: seed, scenario: sc, sink: sink, options: o, byAddr: map[netip.AddrPort]*server{},
 		slowdown: 1, trafficKept: 1,
 	}
 	w.record.w = w
 	w.build()
-	if set.Clients.GraphQL > 0 {
+	if sc.Clients.GraphQL > 0 {
 		if err := w.buildGraphQL(); err != nil {
 			return nil, err
 		}
 	}
-	if (o.RingAssignment || set.Agents.RingPlacement) && o.ViewDelay == 0 {
+	if (o.RingAssignment || sc.Agents.RingPlacement) && o.ViewDelay == 0 {
 		w.generations = newGenerations(w)
 		w.generations.settle()
 	}
@@ -150,8 +150,8 @@
 	return w, nil
 }
 
-// mark adds a line about a fault to the timeline.
-func (w *world) mark(text string) {
+// addFaultEntry adds a line about a fault to the timeline.
+func (w *world) addFaultEntry(text string) {
 	if w.options.Timeline != nil {
 		w.options.Timeline.Add(w.now, timeline.Faults, "", text)
 	}
