--- a/internal/doctest/play.go
+++ b/internal/doctest/play.go
@@ -303,6 +303,7 @@
 func (y *pageRun) toRunAddress(text string) string {
 	return strings.ReplaceAll(text, pageAddress, y.addr)
 }
+
 func (y *pageRun) toPageAddress(text string) string {
 	return strings.ReplaceAll(text, y.addr, pageAddress)
 }
--- a/internal/rehearsal/judge/judge.go
+++ b/internal/rehearsal/judge/judge.go
@@ -56,8 +56,10 @@
 	d := describer{j.scenario, &j.run, &j.servers}
 	j.slowStarts = newSlowStartChecker(d, j.scenario, run, view)
 	j.answers = newAnswerChecker(d, &j.requests)
-	j.checkers = []checker{j.answers, newRepeatChecker(d, j.scenario),
-		newDrainChecker(d, j.scenario, view), j.slowStarts}
+	j.checkers = []checker{
+		j.answers, newRepeatChecker(d, j.scenario),
+		newDrainChecker(d, j.scenario, view), j.slowStarts,
+	}
 	if hasWindow(j.scenario) {
 		j.checkers = append(j.checkers, newWindowChecker(d, j.scenario))
 	}
--- a/internal/rehearsal/judge/knowledge.go
+++ b/internal/rehearsal/judge/knowledge.go
@@ -48,7 +48,8 @@
 
 func newDiscoveryView(sc *scenario.Scenario, agents int) *discoveryView {
 	k := &discoveryView{
-		scenario: sc, rules: sc.Rules, listed: map[int32]*listEntry{}, agents: make([]agentView, agents)}
+		scenario: sc, rules: sc.Rules, listed: map[int32]*listEntry{}, agents: make([]agentView, agents),
+	}
 	for i := range k.agents {
 		k.agents[i].notified = map[int32]*listEntry{}
 	}
@@ -92,8 +93,10 @@
 		k.agents[e.Agent].resume(e.At)
 	case record.AgentUp: // starts without state and gets time to request the list
 		was := &k.agents[e.Agent]
-		*was = agentView{since: e.At, notified: map[int32]*listEntry{}, outages: was.outages,
-			reachableAt: was.reachableAt}
+		*was = agentView{
+			since: e.At, notified: map[int32]*listEntry{}, outages: was.outages,
+			reachableAt: was.reachableAt,
+		}
 	}
 }
 
--- a/internal/rehearsal/judge/terms.go
+++ b/internal/rehearsal/judge/terms.go
@@ -72,17 +72,25 @@
 
 func (t *limitTracker) begin(sc *scenario.Scenario, d describer, agents int) {
 	t.scenario, t.describe, t.agents = sc, d, make([]agentState, agents)
-	t.sentAfterLeft = GateLimit{Name: "clients that left",
+	t.sentAfterLeft = GateLimit{
+		Name: "clients that left",
 		Text: "of the requests whose clients left before their " +
-			"first attempt, at most one in four, or four of them, is sent over 0.3 s later"}
-	t.announced = GateLimit{Name: "time told",
+			"first attempt, at most one in four, or four of them, is sent over 0.3 s later",
+	}
+	t.announced = GateLimit{
+		Name: "time told",
 		Text: "of the further attempts, at most one in five announces to " +
-			"its server over 0.15 s more than the client has left"}
-	t.rejecting = GateLimit{Name: "turning away",
-		Text: "few agents reject every request that they get, 15 or more, for 4 s"}
-	t.restarts = GateLimit{Name: "restarts",
+			"its server over 0.15 s more than the client has left",
+	}
+	t.rejecting = GateLimit{
+		Name: "turning away",
+		Text: "few agents reject every request that they get, 15 or more, for 4 s",
+	}
+	t.restarts = GateLimit{
+		Name: "restarts",
 		Text: "nine in ten restarted agents are ready within 10 s, or 6 s " +
-			"if the run ends sooner"}
+			"if the run ends sooner",
+	}
 	t.startups = GateLimit{Name: "starts", Text: "no agent takes over 30 s to be ready"}
 }
 
--- a/internal/rehearsal/judge/verdict.go
+++ b/internal/rehearsal/judge/verdict.go
@@ -191,8 +191,10 @@
 		{Name: "failing only late", Rate: lateFail, Off: p.LateFail},
 		{Name: "crossing zones", Rate: s.perFirstTry(float64(s.crossings)), Off: p.CrossZone},
 		{Name: "messages between agents", Rate: s.perFirstTry(s.peerBytes / messageBytes), Off: p.Peer},
-		{Name: "turned back unheard",
-			Rate: float64(s.closedUnanswered+s.unsent) / float64(max(s.tries, 1)), Off: p.UnsentTries},
+		{
+			Name: "turned back unheard",
+			Rate: float64(s.closedUnanswered+s.unsent) / float64(max(s.tries, 1)), Off: p.UnsentTries,
+		},
 	}
 	for i := range all {
 		all[i].Off *= all[i].Rate
--- a/internal/rehearsal/live/bench.go
+++ b/internal/rehearsal/live/bench.go
@@ -186,8 +186,10 @@
 	}
 	c.CPUSeconds = cpuSeconds(cmd) - before
 	if len(bench.Rates) == 0 {
-		bench.Rates = []float64{c.Saturated.PerSecond() / 4, c.Saturated.PerSecond() / 2,
-			c.Saturated.PerSecond() * 3 / 4}
+		bench.Rates = []float64{
+			c.Saturated.PerSecond() / 4, c.Saturated.PerSecond() / 2,
+			c.Saturated.PerSecond() * 3 / 4,
+		}
 	}
 	for i, rate := range bench.Rates {
 		load, err := l.runSchedule(Schedule(uint64(i+1), rate, o.Duration))
--- a/internal/rehearsal/live/live.go
+++ b/internal/rehearsal/live/live.go
@@ -94,8 +94,10 @@
 	result := report.New(sc.Name, sc.About, o.Seed, nil, verdicts.Verdict())
 	result.SetTimeline(events)
 	result.CutShort = err != nil
-	result.Live = &report.Live{Plan: planPart(plan),
-		Measured: measured(o.Program, env.Lateness(), kitCPU, sc, agents)}
+	result.Live = &report.Live{
+		Plan:     planPart(plan),
+		Measured: measured(o.Program, env.Lateness(), kitCPU, sc, agents),
+	}
 	result.Passed = result.Passed && result.Judged() && !result.CutShort
 	for _, a := range result.Live.Measured.Agents {
 		result.Passed = result.Passed && len(a.Problems) == 0
--- a/internal/rehearsal/scenario/scenario.go
+++ b/internal/rehearsal/scenario/scenario.go
@@ -567,8 +567,10 @@
 	Failing:  {required: []string{"part", "size"}, optional: intermittentKeys, maxSize: 1},
 	Refusing: {required: []string{"part"}, optional: intermittentKeys},
 	Deploy:   {required: []string{"part", "size"}, optional: deployKeys, maxSize: 1},
-	SlowPeriod: {required: []string{"size"}, optional: []string{"heals_below", "heals_rest_s"},
-		minSize: 1, maxSize: 100},
+	SlowPeriod: {
+		required: []string{"size"}, optional: []string{"heals_below", "heals_rest_s"},
+		minSize: 1, maxSize: 100,
+	},
 	MachinesUnreachable: {required: []string{"part"}, optional: zoneKey},
 	Crashed:             {required: []string{"part"}, optional: intermittentKeys},
 	AgentsKilled:        {oneOf: agentKeys, optional: []string{"folder"}},
