--- a/internal/rehearsal/rehearsal_test.go
+++ b/internal/rehearsal/rehearsal_test.go
@@ -143,7 +143,7 @@
 	require.NoError(t, err)
 	require.False(t, r.Passed)
 	require.Equal(t, "planted", r.Crash.Cause)
-	require.Contains(t, strings.Join(r.Crash.Calls, "\n"), "world.(*agentProcess).execute (life.go:")
+	require.Contains(t, strings.Join(r.Crash.Calls, "\n"), "world.(*agentProcess).execute (agent.go:")
 	require.NotContains(t, strings.Join(r.Crash.Calls, ""), "0x")
 	require.Contains(t, writtenText(t, r.Text), "crashed: planted")
 	failure, ok := symptomOf(r)
