--- a/cmd/dunestep/graphql_test.go
+++ b/cmd/dunestep/graphql_test.go
@@ -253,7 +253,7 @@
 func TestGraphQLBadConfiguration(t *testing.T) {
 	t.Parallel()
 	for lines, want := range map[string]string{
-		`safe_class = "rezervare"`:         `no class "rezervare" in the settings is safe to repeat`,
+		`safe_class = "rezervare"`:         `the settings have no class "rezervare" that is safe to repeat`,
 		`mutations = { book = "consult" }`: `book: a mutation must not have class "consult"`,
 		`trusted = "nowhere.json"`:         "no such file",
 		"path = \"/consult\"\n#":           "path /consult is that of a class",
--- a/cmd/dunestep/policyobserver_test.go
+++ b/cmd/dunestep/policyobserver_test.go
@@ -389,10 +389,16 @@
 // attempts. A request that fails for lack of time or capacity waits longer before it ends.
 const maxExhaustedDelay = 50 * time.Millisecond
 
-// decisions returns the decisions that the observed requests prove. A request's last attempt proves that the limit was at
-// least that high when the attempt was decided on. That no further attempt followed proves the exact limit only where
-// the caller's previous or next request had as many attempts. Otherwise the version may have changed in the middle of
-// the request, and the decision counts for the newest version that allows the attempts.
+// decisions returns the decisions that the observed requests prove, one for each request, sorted by time.
+//
+// A request with fewer attempts than floorMaxAttempts counts as ModeBottom, and one with exactly as many as ModeFloor. A
+// request with more attempts counts for the newest version that was in force before the last attempt and whose limit
+// matches:
+//   - The last attempt proves that the limit was at least the number of attempts.
+//   - The end of the request proves that the limit was exactly this number, if the request used up its attempts and the
+//     caller's previous or next request had as many. Otherwise the version may have changed during the request.
+//
+// If only versions that were not yet in force have exactly this limit, the oldest of them counts, for the judge to check.
 func (w *policyObserver) decisions(numbers []uint64) (out []judge.Decision) {
 	byCaller := map[string][]observedRequest{} // in the order of the requests
 	for _, s := range w.finished {
--- a/internal/agent/fleetactor.go
+++ b/internal/agent/fleetactor.go
@@ -130,8 +130,8 @@
 	read(f.node, ReadClocks())
 }
 
-// LeaseStanding returns this agent's lease standing. It does not lock: it is for functions that the node
-// calls. In Do and Read, use the node's Standing.
+// LeaseStanding returns this agent's lease standing. It takes no lock: it is for functions that the node
+// calls while the actor holds its lock. In Do and Read, use the node's Standing.
 func (f *FleetActor) LeaseStanding(now fleet.ClockReading) lease.Standing {
 	return f.node.Standing(now)
 }
--- a/internal/balancer/events.go
+++ b/internal/balancer/events.go
@@ -7,7 +7,7 @@
 	"dunestep/internal/discovery/backoff"
 )
 
-// ServerState is a server's state by the server list.
+// ServerState is a server's state in the server list.
 type ServerState uint8
 
 const (
--- a/internal/balancer/exclusions.go
+++ b/internal/balancer/exclusions.go
@@ -69,8 +69,8 @@
 
 // SetExclusions replaces the exclusions from the next Step on; nil removes them all. They apply to every kind
 // of new attempt: first attempts, retries, hedged requests and probe requests. Attempts in flight continue.
-// Exclusions are overridden for a request only if every listed server it is not excluded from is known to be
-// down, not if those servers are busy or were tried before.
+// A request ignores its exclusions only if every listed server that it is not excluded from is known to be
+// down. A server that is busy or was tried before does not count as down.
 func (b *Balancer) SetExclusions(exclusions *Exclusions) {
 	if exclusions == b.exclusions.current {
 		return
--- a/internal/balancer/fleetsize.go
+++ b/internal/balancer/fleetsize.go
@@ -1,7 +1,8 @@
 package balancer
 
-// FleetSize is the number of live agents by which limits of the whole fleet are divided. In each field, zero
-// means the number in the settings. The numbers come from gossip and may be wrong: see EffectiveFleetSize.
+// FleetSize has the numbers of live agents by which limits of the whole fleet are divided. In each field,
+// zero means the number in the settings. The numbers come from gossip and may be wrong: see
+// EffectiveFleetSize.
 type FleetSize struct {
 	// ProbeRequests divides the rate of probe requests that all agents together send to a server that is down.
 	ProbeRequests int
@@ -9,7 +10,7 @@
 	Quotas int
 }
 
-// SetFleetSize sets the number of live agents from the next Step on. The zero value restores the settings'
+// SetFleetSize sets the numbers of live agents from the next Step on. The zero value restores the settings'
 // number.
 //
 // Even if the numbers are wrong at every agent, all agents together send at most 1.5 times the intended probe
@@ -21,10 +22,10 @@
 	b.quotas.SetBalancers(EffectiveFleetSize(size.Quotas, b.settings.Balancers))
 }
 
-// EffectiveFleetSize returns the number of agents to divide a limit by: live, the number reported live, but
-// at least two thirds and at most all of named, the number in the settings. If live is not positive, no
-// number is known and the result is named. Even with wrong numbers, the parts of all agents thus add up to at
-// most 1.5 times the limit.
+// EffectiveFleetSize returns the number of agents to divide a limit by. live is the number of agents reported
+// live; zero or less: not known. named is the number in the settings. The result is live, but at least two
+// thirds of named and at most named; if live is not known, it is named. Even with wrong numbers, the parts of
+// all agents thus add up to at most 1.5 times the limit.
 func EffectiveFleetSize(live, named int) int {
 	if live <= 0 {
 		return named
--- a/internal/balancer/latency.go
+++ b/internal/balancer/latency.go
@@ -63,8 +63,9 @@
 	return k
 }
 
-// recordLatency updates the server's and the fleet's mean latency with one in seconds. InFlight is the number
-// of other requests that were in flight at the server when the attempt was sent.
+// recordLatency updates the mean latency of the server and that over all servers with the latency of an
+// attempt, in seconds. inFlight is the number of other requests that were in flight at the server when the
+// attempt was sent.
 func (b *Balancer) recordLatency(s *server, latency float64, inFlight int32) {
 	n := float64(inFlight + 1)
 	s.latency, s.latencyInFlight = cmp.Or(s.latency, latency), cmp.Or(s.latencyInFlight, n)
--- a/internal/balancer/snapshot.go
+++ b/internal/balancer/snapshot.go
@@ -68,13 +68,13 @@
 	ReportedInFlight float64 `cbor:"3,keyasint,omitempty" json:"held"`   // mean, in requests
 }
 
-// ClassSnapshot is the longest client timeout of a class so far.
+// ClassSnapshot has the longest client timeout of a class so far.
 type ClassSnapshot struct {
 	Name             string        `cbor:"1,keyasint" json:"name"`
 	MaxClientTimeout time.Duration `cbor:"2,keyasint,omitempty" json:"budget_ns"`
 }
 
-// TenantSnapshot is what a tenant had left of its quota at this balancer.
+// TenantSnapshot has the rest of a tenant's quota at this balancer.
 type TenantSnapshot struct {
 	Name       string        `cbor:"1,keyasint" json:"name"`
 	Tokens     float64       `cbor:"2,keyasint,omitempty" json:"bucket"` // requests
--- a/internal/control/ringassignment/lab/measure.go
+++ b/internal/control/ringassignment/lab/measure.go
@@ -170,8 +170,10 @@
 	if m.l.setup.Without != WithoutGenerations {
 		return *m.l.rings.ownersFor(assignment, nd.list, m.l.exclusions(nd))
 	}
-	// Without generations each agent gives a cold server the keys that its slow start permits, and passes the
-	// others on. Here these are the same keys at each moment, so this moves fewer keys than a real agent.
+	// Without agreed generations, each agent assigns keys by its own list. Its slow-start budget limits the
+	// requests that it sends to a server in slow start; the rest go to other servers. A real agent decides for
+	// each request, so requests of the same key can alternate between servers. Here a hash of the key and the
+	// server decides, so fewer keys move than at a real agent.
 	r, list := &m.l.rings, m.l.lists[nd.list]
 	exclusions := m.l.exclusions(nd)
 	r.ownersOf(r.usablePoints(nil, list), exclusions)
--- a/internal/fleet/gossip/push.go
+++ b/internal/fleet/gossip/push.go
@@ -21,7 +21,7 @@
 // it is a digest.
 func (r *Replicator) announcement() []byte {
 	if r.pushInterval < r.settings.IdleInterval {
-		if message, isFitting := r.newestRecords(); isFitting {
+		if message, hasRecords := r.newestRecords(); hasRecords {
 			return message
 		}
 	}
@@ -29,8 +29,8 @@
 }
 
 // newestRecords returns a segment with as many of the newest records as fit into Settings.MaxPushBytes.
-// isFitting is false if not even the last record fits.
-func (r *Replicator) newestRecords() (message []byte, isFitting bool) {
+// hasRecords is false if there is no record after the snapshot, or if not even the newest record fits.
+func (r *Replicator) newestRecords() (message []byte, hasRecords bool) {
 	last := r.log.Last()
 	for first := last.Seq; first > r.log.Snapshot().Seq; first-- {
 		s, isKnown := r.log.Segment(first, r.settings.MaxPushBytes)
@@ -44,9 +44,9 @@
 		if len(m) > r.settings.MaxPushBytes {
 			break
 		}
-		message, isFitting = m, true
+		message, hasRecords = m, true
 	}
-	return message, isFitting
+	return message, hasRecords
 }
 
 // handleDigest compares another agent's position with that of this replica. It replies with a digest if one
--- a/internal/graphql/graphql.go
+++ b/internal/graphql/graphql.go
@@ -92,7 +92,7 @@
 			return k.Idempotency == effect && (name == "" || k.Name == name)
 		})
 		if i < 0 {
-			errs = append(errs, fmt.Errorf("no class %q in the settings is %s to repeat", name, what))
+			errs = append(errs, fmt.Errorf("the settings have no class %q that is %s to repeat", name, what))
 		}
 		return i
 	}
--- a/internal/graphql/graphql_test.go
+++ b/internal/graphql/graphql_test.go
@@ -307,7 +307,7 @@
 	r.Safe, r.Unsafe, r.Queries["x"], r.Mutations["y"] = "rezervare", "nothing", "nowhere", "consult"
 	_, err := NewClassifier(r)
 	for _, want := range []string{
-		`no class "rezervare" in the settings is safe`, `no class "nothing" in the settings is unsafe`,
+		`the settings have no class "rezervare" that is safe`, `the settings have no class "nothing" that is unsafe`,
 		`x: the settings have no class "nowhere"`, `y: a mutation must not have class "consult"`,
 	} {
 		require.ErrorContains(t, err, want)
--- a/internal/metrics/counters.go
+++ b/internal/metrics/counters.go
@@ -27,7 +27,7 @@
 	ejected   atomic.Int64
 }
 
-// Endpoints is the number of upstream servers.
+// Endpoints has the numbers of listed and of disabled upstream servers.
 type Endpoints struct {
 	Listed   int // in discovery's list
 	Disabled int // of these, disabled by operators
--- a/internal/rehearsal/live/benchload.go
+++ b/internal/rehearsal/live/benchload.go
@@ -58,7 +58,7 @@
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(cores * procsPerCore))
 	defer debug.SetGCPercent(debug.SetGCPercent(gcPercent))
 	counter := &requestCounter{}
-	env, err := world.NewLive(sc, 1, counter, world.Options{})
+	env, err := world.NewLiveRun(sc, 1, counter, world.Options{})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/rehearsal/live/live.go
+++ b/internal/rehearsal/live/live.go
@@ -55,7 +55,7 @@
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(runtime.NumCPU() * procsPerCore))
 	plan := world.NewPlan(sc, o.Seed)
 	verdicts, events := judge.New(sc), &timeline.Timeline{}
-	env, err := world.NewLive(sc, o.Seed, verdicts, world.Options{Progress: o.Progress, Timeline: events})
+	env, err := world.NewLiveRun(sc, o.Seed, verdicts, world.Options{Progress: o.Progress, Timeline: events})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/rehearsal/live/wire.go
+++ b/internal/rehearsal/live/wire.go
@@ -25,7 +25,7 @@
 // wire connects the simulated world to real agents through stand-ins. It implements world.Wire.
 type wire struct {
 	scenario *scenario.Scenario
-	env      *world.Live
+	env      *world.LiveRun
 	ips      addresses
 	agents   []*agentStandins
 	peers    *standin.Peers // nil: the agents exchange no gossip
@@ -52,7 +52,9 @@
 }
 
 // newWire opens the stand-ins of each agent.
-func newWire(sc *scenario.Scenario, env *world.Live, ips addresses, agents []*program.Agent) (*wire, error) {
+func newWire(
+	sc *scenario.Scenario, env *world.LiveRun, ips addresses, agents []*program.Agent,
+) (*wire, error) {
 	w := &wire{scenario: sc, env: env, ips: ips}
 	for i, a := range agents {
 		s := &agentStandins{number: i, agent: a, servers: map[netip.AddrPort]*standin.Server{}}
--- a/internal/rehearsal/world/external.go
+++ b/internal/rehearsal/world/external.go
@@ -29,7 +29,7 @@
 }
 
 // AgentReady reports that the numbered run of an agent's program is ready.
-func (v *Live) AgentReady(agent, run int) {
+func (v *LiveRun) AgentReady(agent, run int) {
 	v.post(eventFunc(func() {
 		a := v.w.agents[agent]
 		v.ready[agent] = true
@@ -42,7 +42,7 @@
 
 // AgentEnded reports that the numbered run of an agent's program has ended; crashed means without a
 // shutdown request.
-func (v *Live) AgentEnded(agent, run int, crashed bool) {
+func (v *LiveRun) AgentEnded(agent, run int, crashed bool) {
 	v.post(eventFunc(func() {
 		a := v.w.agents[agent]
 		switch {
@@ -63,7 +63,7 @@
 const crashRestartDelay = time.Second
 
 // Fail ends the run with an error.
-func (v *Live) Fail(err error) { v.post(eventFunc(func() { v.w.failed = err })) }
+func (v *LiveRun) Fail(err error) { v.post(eventFunc(func() { v.w.failed = err })) }
 
 // killExternal kills a real agent's program. The rest shows on its sockets.
 func (l *agentProcess) killExternal() {
@@ -108,7 +108,7 @@
 type Call = call
 
 // CallStarted reports that an agent calls discovery: for a watch from a version on, or for the full list.
-func (v *Live) CallStarted(agent int, watch bool, from int64, wire CallConn) *Call {
+func (v *LiveRun) CallStarted(agent int, watch bool, from int64, wire CallConn) *Call {
 	c := &call{discovery: v.w.discovery, watch: watch, sentVersion: from, wire: wire}
 	v.post(eventFunc(func() {
 		w := v.w
@@ -127,7 +127,7 @@
 }
 
 // CallCanceled reports that an agent has ended its call.
-func (v *Live) CallCanceled(c *Call) {
+func (v *LiveRun) CallCanceled(c *Call) {
 	v.post(eventFunc(func() {
 		if c.proc != nil && !c.ended {
 			c.remove()
@@ -137,7 +137,7 @@
 }
 
 // DatagramSent reports that an agent has sent a datagram to another or to all others.
-func (v *Live) DatagramSent(agent, peer int, data []byte) {
+func (v *LiveRun) DatagramSent(agent, peer int, data []byte) {
 	v.post(eventFunc(func() {
 		if l := v.w.agents[agent].current(); l != nil {
 			l.sendDatagram(peer, data)
@@ -149,7 +149,7 @@
 type Conn = conn
 
 // Connected reports that an agent has connected to an upstream server's address.
-func (v *Live) Connected(agent int, addr netip.AddrPort, wire AttemptConn) *Conn {
+func (v *LiveRun) Connected(agent int, addr netip.AddrPort, wire AttemptConn) *Conn {
 	c := &conn{processIndex: -1, wire: wire}
 	v.post(eventFunc(func() {
 		w := v.w
@@ -167,7 +167,7 @@
 
 // AttemptArrived reports that an attempt of the try with the given ID has arrived on an agent's connection,
 // with the time that the agent waits for it. The connection is reset if no try has that ID.
-func (v *Live) AttemptArrived(c *Conn, tryID uint32, left time.Duration) {
+func (v *LiveRun) AttemptArrived(c *Conn, tryID uint32, left time.Duration) {
 	v.post(eventFunc(func() {
 		t := v.w.tries[tryID]
 		if c.closed || c.link == nil {
@@ -194,7 +194,7 @@
 }
 
 // Disconnected reports that an agent has closed its connection.
-func (v *Live) Disconnected(c *Conn) {
+func (v *LiveRun) Disconnected(c *Conn) {
 	v.post(eventFunc(func() {
 		if c.closed || c.link == nil {
 			return
@@ -286,7 +286,7 @@
 }
 
 // Answered reports that an agent's final answer has arrived.
-func (v *Live) Answered(f *ClientConn, a FinalAnswer) {
+func (v *LiveRun) Answered(f *ClientConn, a FinalAnswer) {
 	v.post(eventFunc(func() {
 		t := f.pendingTry()
 		if t == nil {
@@ -305,7 +305,7 @@
 
 // ClientConnLost reports that an agent has closed a connection. Unread means that the agent may not have
 // read the try; it has read it if it sent an attempt of it.
-func (v *Live) ClientConnLost(f *ClientConn, unread bool) {
+func (v *LiveRun) ClientConnLost(f *ClientConn, unread bool) {
 	v.post(eventFunc(func() {
 		f.close()
 		f.client.removeIdle(f)
--- a/internal/rehearsal/world/live.go
+++ b/internal/rehearsal/world/live.go
@@ -17,7 +17,7 @@
 )
 
 // Wire connects a run in real time to real agents over sockets. Its methods are called from the
-// goroutine that runs the simulation and must not block; results are reported to Live.
+// goroutine that runs the simulation and must not block; results are reported to LiveRun.
 type Wire interface {
 	// Server makes an upstream server's address reachable for every agent. A repeated call has no
 	// effect.
@@ -120,8 +120,8 @@
 	MaxAt  time.Duration // virtual time of the maximum
 }
 
-// Live is a run in real time. Its methods may be called from any goroutine.
-type Live struct {
+// LiveRun is a run in real time. Its methods may be called from any goroutine.
+type LiveRun struct {
 	w       *world
 	ready   []bool // by agent, before the start
 	started bool   // all agents are ready and time zero is set
@@ -159,8 +159,8 @@
 // errNotReady ends a run whose agents do not get ready within maxSetup.
 var errNotReady = errors.New("the agents did not get ready within a minute")
 
-// NewLive prepares a run in real time.
-func NewLive(sc *scenario.Scenario, seed uint64, sink record.Sink, o Options) (*Live, error) {
+// NewLiveRun prepares a run in real time.
+func NewLiveRun(sc *scenario.Scenario, seed uint64, sink record.Sink, o Options) (*LiveRun, error) {
 	w := &world{
 		seed: seed, scenario: sc, sink: sink, options: o, byAddr: map[netip.AddrPort]*server{},
 		slowdown: 1, trafficKept: 1,
@@ -171,17 +171,17 @@
 	if err != nil {
 		return nil, err
 	}
-	v := &Live{w: w, eventFD: fd, ready: make([]bool, sc.Agents.Count)}
+	v := &LiveRun{w: w, eventFD: fd, ready: make([]bool, sc.Agents.Count)}
 	v.late.Events = hdrhistogram.New(1, int64(10*time.Minute/time.Microsecond), 3)
 	w.live = v
 	return v, nil
 }
 
 // Close releases the system resources of the run, which must have ended.
-func (v *Live) Close() { _ = unix.Close(v.eventFD) }
+func (v *LiveRun) Close() { _ = unix.Close(v.eventFD) }
 
 // Deployment returns an agent's settings, for its configuration file.
-func (v *Live) Deployment(agent int) protocol.Settings {
+func (v *LiveRun) Deployment(agent int) protocol.Settings {
 	c := &v.w.scenario.Connections
 	return protocol.Settings{
 		Settings: v.w.deployment(v.w.agents[agent]), ConnIdleTimeout: c.Idle,
@@ -190,7 +190,7 @@
 }
 
 // Zero returns the run's time zero on the machine's clock. It may move until all agents are ready.
-func (v *Live) Zero() time.Time {
+func (v *LiveRun) Zero() time.Time {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.zero
@@ -198,7 +198,7 @@
 
 // StartedMS converts a process start on the list to the machine's clock, in Unix milliseconds; zero:
 // before the run.
-func (v *Live) StartedMS(started time.Duration) int64 {
+func (v *LiveRun) StartedMS(started time.Duration) int64 {
 	if started == 0 {
 		return 0
 	}
@@ -206,11 +206,11 @@
 }
 
 // Lateness returns how late the kit was, once the run has ended.
-func (v *Live) Lateness() Lateness { return v.late }
+func (v *LiveRun) Lateness() Lateness { return v.late }
 
 // Play runs the scenario in real time. It returns an error if the agents do not get ready, the wire
 // fails or the context ends.
-func (v *Live) Play(ctx context.Context, wire Wire) error {
+func (v *LiveRun) Play(ctx context.Context, wire Wire) error {
 	w := v.w
 	w.wire = wire
 	v.zero = time.Now().Add(maxSetup)
@@ -237,7 +237,7 @@
 
 // run fires events when they are due, until the last request has ended and the servers have finished
 // their work.
-func (v *Live) run(ctx context.Context) error {
+func (v *LiveRun) run(ctx context.Context) error {
 	w := v.w
 	last := w.scenario.Run.Length
 	for i := range w.scenario.Classes {
@@ -280,7 +280,7 @@
 }
 
 // recordLateness records how late an event fires. Events before time zero do not count.
-func (v *Live) recordLateness(wall time.Duration) {
+func (v *LiveRun) recordLateness(wall time.Duration) {
 	late := wall - v.w.now
 	if v.w.now <= 0 {
 		return
@@ -292,7 +292,7 @@
 }
 
 // finish ends the run.
-func (v *Live) finish() {
+func (v *LiveRun) finish() {
 	for _, s := range v.w.servers {
 		if s.process.state != processDown {
 			s.process.terminate()
@@ -301,7 +301,7 @@
 	v.w.sink.End(v.w.now)
 }
 
-func (v *Live) allReady() bool {
+func (v *LiveRun) allReady() bool {
 	for _, ready := range v.ready {
 		if !ready {
 			return false
@@ -311,17 +311,17 @@
 }
 
 // setZero sets the run's time zero when all agents are ready.
-func (v *Live) setZero() {
+func (v *LiveRun) setZero() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.zero, v.started = time.Now().Add(startDelay), true
 }
 
 // clock returns the run's time by the machine's clock.
-func (v *Live) clock() time.Duration { return time.Since(v.Zero()) }
+func (v *LiveRun) clock() time.Duration { return time.Since(v.Zero()) }
 
 // post schedules an event from the wire for now.
-func (v *Live) post(ev event) {
+func (v *LiveRun) post(ev event) {
 	v.mu.Lock()
 	v.inbox = append(v.inbox, inboxItem{time.Since(v.zero), ev})
 	v.mu.Unlock()
@@ -330,13 +330,13 @@
 	}
 }
 
-func (v *Live) wakeUp() {
+func (v *LiveRun) wakeUp() {
 	one := [8]byte{0: 1}
 	_, _ = unix.Write(v.eventFD, one[:])
 }
 
 // drainInbox schedules the events that have arrived from the wire.
-func (v *Live) drainInbox() {
+func (v *LiveRun) drainInbox() {
 	v.mu.Lock()
 	items := v.inbox
 	v.inbox = nil
@@ -348,7 +348,7 @@
 
 // sleep waits until an event is due or has arrived. It uses ppoll because the Go runtime's timers fire
 // up to a millisecond late on an idle machine.
-func (v *Live) sleep() {
+func (v *LiveRun) sleep() {
 	wait := 100 * time.Millisecond
 	if at, ok := v.w.NextAt(); ok {
 		wait = min(wait, at-v.clock())
--- a/internal/rehearsal/world/world.go
+++ b/internal/rehearsal/world/world.go
@@ -97,7 +97,7 @@
 	graphQL                     graphQL
 
 	// Optional parts: real time, delayed views, ring assignment, maintenance windows and plans.
-	live        *Live
+	live        *LiveRun
 	wire        Wire                 // nil: agents and network are simulated
 	tries       map[uint32]*try      // by number: tries that upstream servers may still receive attempts of
 	failed      error                // why the run cannot continue
--- a/internal/routing/connecttimeouts.go
+++ b/internal/routing/connecttimeouts.go
@@ -18,16 +18,16 @@
 	maxEarlyTimeouts = 8
 )
 
-// ConnectTimeouts learns how long an attempt should wait for a new connection. With the configured timeout
-// alone, where it is longer than an attempt's time, an unreachable machine would cost each attempt that needs
-// a connection to it all its time, though another endpoint could have served the request.
+// ConnectTimeouts learns how long an attempt should wait for a new connection. The configured timeout may be
+// longer than an attempt's time. An attempt that needs a connection to an unreachable machine would then
+// spend all its time on it, though another endpoint could have served the request.
 type ConnectTimeouts struct {
 	slowest             time.Duration // decayed longest connect time
 	consecutiveTimeouts int           // since a connection was last established
 }
 
-// Timeout returns how long an attempt with that much time left waits for a connection, at most limit, which
-// is the configured timeout.
+// Timeout returns how long an attempt waits for a connection. left is the time that the attempt has left;
+// limit is the configured timeout, which is the maximum.
 func (c *ConnectTimeouts) Timeout(limit, left time.Duration) time.Duration {
 	if c.consecutiveTimeouts >= maxEarlyTimeouts {
 		return limit
--- a/internal/routing/idlelimit.go
+++ b/internal/routing/idlelimit.go
@@ -39,8 +39,8 @@
 // Limit returns how long a connection may have been idle to be reused.
 func (l *IdleLimit) Limit() time.Duration { return l.limit }
 
-// Record records whether an attempt was lost on a connection that had been idle for that long; zero: a new
-// connection. AttemptResult.IdleEvidence reports which attempts to record.
+// Record records whether an attempt was lost on its connection. idle is how long the connection had been idle
+// before; zero: a new connection. AttemptResult.IdleEvidence reports which attempts to record.
 //
 //nolint:revive // flag-parameter: lost is observed, and is no choice of the caller's
 func (l *IdleLimit) Record(now, idle time.Duration, lost bool) {
--- a/internal/routing/listtracker.go
+++ b/internal/routing/listtracker.go
@@ -85,7 +85,8 @@
 	return l
 }
 
-// WasListed reports whether an endpoint with that id is or was listed, as far as it is remembered.
+// WasListed reports whether an endpoint with that id is or was listed. Of more than maxRememberedIDs ids, the
+// oldest are forgotten.
 func (l *ListTracker) WasListed(id string) bool { return l.knownIDs[id] }
 
 // Size returns how many endpoints are listed, and how many of these are disabled.
--- a/internal/routing/pool.go
+++ b/internal/routing/pool.go
@@ -53,10 +53,10 @@
 	return &Pool[C]{limit: limit, addr: addr, reuseDelay: reuseDelay}
 }
 
-// Acquire returns the connection for a new attempt. Of the idle connections past the reuse delay, it is the
-// one used last, since those unused for longer are more likely to have been dropped on the network path. If
-// there is none, it is the one that is past the reuse delay first; if none is idle, a new connection. The
-// caller reports the attempt's end with one of the Release methods or ReturnUnused.
+// Acquire returns an idle connection for a new attempt, or the address to connect to if there is none. Of the
+// idle connections past the reuse delay, it is the one used last, since those unused for longer are more
+// likely to have been dropped on the network path. If none is past the reuse delay, it is the one whose delay
+// ends first. The caller reports the attempt's end with one of the Release methods or ReturnUnused.
 func (p *Pool[C]) Acquire(now time.Duration) (Checkout[C], []C) {
 	p.inUse++
 	p.closing = p.closing[:0]
@@ -151,7 +151,7 @@
 	return p.closeMatching(func(idleConnection[C]) bool { return moved })
 }
 
-// StopReuse closes the idle connections, and others after their response, until the next SetAddress.
+// StopReuse closes the idle connections, and until the next SetAddress each connection after its response.
 func (p *Pool[C]) StopReuse() []C {
 	p.noReuse = true
 	return p.closeMatching(func(idleConnection[C]) bool { return true })
@@ -163,7 +163,8 @@
 	return p.closeMatching(func(idleConnection[C]) bool { left--; return left >= 0 })
 }
 
-// Retire closes the idle connections, and others after their response: the endpoint has left the list.
+// Retire handles the endpoint's removal from the list: it closes the idle connections, and those in use after
+// their responses.
 func (p *Pool[C]) Retire() []C {
 	p.retired = true
 	return p.closeMatching(func(idleConnection[C]) bool { return true })
--- a/internal/routing/responseprogress.go
+++ b/internal/routing/responseprogress.go
@@ -53,10 +53,14 @@
 
 // CheckLimits returns why a response that has begun may not continue, or NotEnded if it may. sinceSent is
 // the time since its attempt was sent, left is the rest of the request's time, and quiet is how long
-// nothing has been received although this agent was ready to receive. A short response has to be complete
-// within the request's time. Of a long response and of a stream, the first bytes are timed, and an endpoint
-// that still sends is not cut off. A client may block an endpoint's connection for as long as the endpoint
-// itself has taken since the attempt was sent plus lag, and for longer while it reads at least
+// nothing has been received although this agent was ready to receive.
+//
+// A short response has to be complete within the request's time; maxShortStall and maxShortOverrun define how
+// late it is ended. Of a long response and of a stream, only the first bytes have to arrive in that time. The
+// rest may arrive later while the endpoint keeps sending, within maxLongStall and maxLongOverrun.
+//
+// A client may block the connection to an endpoint for as long as the endpoint itself has taken since the
+// attempt was sent, plus lag. It may block the connection for longer while it reads at least
 // minClientBytesPerSecond.
 func (p ResponseProgress) CheckLimits(sinceSent, left, quiet, lag time.Duration) EndReason {
 	endpointTime := sinceSent - p.DelayBefore - p.Blocked
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -248,7 +248,7 @@
 	return req
 }
 
-// ClientGone handles the departure of a client, which gets no response any more. A response that is being
+// ClientGone handles the disconnection of a client, which gets no response any more. A response that is being
 // streamed is canceled. Other attempts that were sent continue unless the decision module cancels them.
 func (r *Router) ClientGone(now time.Duration, id uint32) []Output {
 	r.out = r.out[:0]
--- a/internal/state/folder/writer.go
+++ b/internal/state/folder/writer.go
@@ -31,7 +31,7 @@
 // ends the goroutine, which closes the folder.
 type Writer struct {
 	settings WriterSettings
-	requests chan struct{} // buffer of one: a write is requested before the period ends
+	requests chan struct{} // to write before Period has passed; buffer of one: at most one request is pending
 	finish   chan struct{} // closed by Finish
 	done     chan struct{} // closed when the goroutine ends
 	stop     context.CancelFunc
