--- a/internal/rehearsal/judge/requests.go
+++ b/internal/rehearsal/judge/requests.go
@@ -37,9 +37,9 @@
 	ran                          bool
 }
 
-// mayHaveRan reports whether the attempt may have had an effect: it was sent and did not provably fail
+// mayHaveRun reports whether the attempt may have had an effect: it was sent and did not provably fail
 // before it ran.
-func (a *attempt) mayHaveRan() bool { return a.sent && !(a.ended && a.outcome.NeverRan()) }
+func (a *attempt) mayHaveRun() bool { return a.sent && !(a.ended && a.outcome.NeverRan()) }
 
 // attempt returns the attempt with the given number, or nil if there is none.
 func (req *request) attempt(n int8) *attempt {
--- a/internal/rehearsal/judge/rules.go
+++ b/internal/rehearsal/judge/rules.go
@@ -228,7 +228,7 @@
 	case record.AttemptSent:
 		c.sent(e, req, unsafe)
 	case record.Answered:
-		if i := mayHaveRan(req, -1); unsafe && e.Answer == record.Refused && !req.closed && i >= 0 {
+		if i := attemptThatMayHaveRun(req, -1); unsafe && e.Answer == record.Refused && !req.closed && i >= 0 {
 			c.addBreach(e.At, c.describe.events(req, e), "%s refused request %d, though attempt %d may have run",
 				c.describe.agent(e.Agent), req.received.RequestID, i)
 		}
@@ -243,7 +243,7 @@
 
 func (c *repeatChecker) sent(e *record.Event, req *request, unsafe bool) {
 	agent, id := c.describe.agent(e.Agent), req.received.RequestID
-	if i := mayHaveRan(req, e.Attempt); unsafe && i >= 0 {
+	if i := attemptThatMayHaveRun(req, e.Attempt); unsafe && i >= 0 {
 		c.addBreach(e.At, c.describe.events(req, e), "%s sent request %d again, though attempt %d may have run",
 			agent, id, i)
 	}
@@ -260,10 +260,11 @@
 	}
 }
 
-// mayHaveRan returns the number of an attempt other than except that may have run, or -1 if there is none.
-func mayHaveRan(req *request, except int8) int {
+// attemptThatMayHaveRun returns the number of an attempt other than except that may have run, or -1 if there
+// is none.
+func attemptThatMayHaveRun(req *request, except int8) int {
 	for i := range req.attempts {
-		if i != int(except) && req.attempts[i].mayHaveRan() {
+		if i != int(except) && req.attempts[i].mayHaveRun() {
 			return i
 		}
 	}
